--- a/cmd/lockplot/main.go
+++ b/cmd/lockplot/main.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"lockflow/internal/fleetsim"
+	"lockflow/internal/simulation/fleetsim"
 )
 
 func main() {
--- a/internal/command/golden_test.go
+++ b/internal/command/golden_test.go
@@ -4,13 +4,13 @@
 	"path/filepath"
 	"testing"
 
-	"lockflow/internal/balancesim"
 	"lockflow/internal/eventlog"
-	"lockflow/internal/fleetsim"
 	"lockflow/internal/measure"
-	"lockflow/internal/rolloutsim"
+	"lockflow/internal/simulation/balancesim"
+	"lockflow/internal/simulation/fleetsim"
+	"lockflow/internal/simulation/rolloutsim"
+	"lockflow/internal/simulation/waitpolicysim"
 	"lockflow/internal/testkit"
-	"lockflow/internal/waitpolicysim"
 )
 
 // Files of earlier builds; go test ./internal/command -run Golden -update writes them anew.
--- a/internal/command/keys_test.go
+++ b/internal/command/keys_test.go
@@ -3,17 +3,17 @@
 import (
 	"testing"
 
-	"lockflow/internal/balancesim"
 	"lockflow/internal/config"
 	"lockflow/internal/eventlog"
 	"lockflow/internal/fake"
 	"lockflow/internal/fleet"
-	"lockflow/internal/fleetsim"
 	"lockflow/internal/measure"
 	"lockflow/internal/quotalease"
-	"lockflow/internal/rolloutsim"
+	"lockflow/internal/simulation/balancesim"
+	"lockflow/internal/simulation/fleetsim"
+	"lockflow/internal/simulation/rolloutsim"
+	"lockflow/internal/simulation/waitpolicysim"
 	"lockflow/internal/testkit"
-	"lockflow/internal/waitpolicysim"
 )
 
 // What commands print with --json has a written key for every field.
--- a/internal/command/measure.go
+++ b/internal/command/measure.go
@@ -14,8 +14,8 @@
 	"text/tabwriter"
 	"time"
 
-	"lockflow/internal/balancesim"
 	"lockflow/internal/measure"
+	"lockflow/internal/simulation/balancesim"
 	"lockflow/internal/versionskew"
 )
 
--- a/internal/command/simulate.go
+++ b/internal/command/simulate.go
@@ -12,8 +12,8 @@
 	"text/tabwriter"
 	"time"
 
-	"lockflow/internal/fleetrules"
-	"lockflow/internal/fleetsim"
+	"lockflow/internal/simulation/fleetrules"
+	"lockflow/internal/simulation/fleetsim"
 )
 
 // What is played where nothing else is asked for; a day's load is as usual then, and its length its own.
--- a/internal/command/simulate_gather.go
+++ b/internal/command/simulate_gather.go
@@ -10,7 +10,7 @@
 	"text/tabwriter"
 	"time"
 
-	"lockflow/internal/waitpolicysim"
+	"lockflow/internal/simulation/waitpolicysim"
 )
 
 // gatherFlag has simulate play scattered queries. What it gives plays them where the flag is set: the
--- a/internal/command/simulate_quota.go
+++ b/internal/command/simulate_quota.go
@@ -13,7 +13,7 @@
 	"sync"
 	"text/tabwriter"
 
-	"lockflow/internal/fleetsim"
+	"lockflow/internal/simulation/fleetsim"
 )
 
 // quotaFlag has simulate play worlds of quotas. What it gives plays them where the flag is set: the calm
--- a/internal/command/simulate_rollout.go
+++ b/internal/command/simulate_rollout.go
@@ -10,7 +10,7 @@
 	"text/tabwriter"
 	"time"
 
-	"lockflow/internal/rolloutsim"
+	"lockflow/internal/simulation/rolloutsim"
 )
 
 // rolloutPlay is simulate --rollout: staged changes in virtual time.
--- a/internal/discovery/pacer_test.go
+++ b/internal/discovery/pacer_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"lockflow/internal/vtime"
+	"lockflow/internal/simulation/vtime"
 )
 
 // simulatedDiscovery answers one call after another at a fixed rate, also those that have timed out, and rejects those
--- a/internal/quotalease/world_test.go
+++ b/internal/quotalease/world_test.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"time"
 
-	"lockflow/internal/vtime"
+	"lockflow/internal/simulation/vtime"
 )
 
 // world is a group of instances that one customer comes through, and counters, in virtual time.
--- a/internal/record/golden_amd64_test.go
+++ b/internal/record/golden_amd64_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"lockflow/control"
-	"lockflow/internal/decisiondigest"
+	"lockflow/internal/simulation/decisiondigest"
 )
 
 // updateRecordings records the histories anew and writes the golden file:
--- a/internal/balancesim/sim.go
+++ b/internal/simulation/balancesim/sim.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"lockflow/control"
-	"lockflow/internal/vtime"
+	"lockflow/internal/simulation/vtime"
 
 	"gonum.org/v1/gonum/stat"
 )
--- a/internal/fleetsim/acceptance_test.go
+++ b/internal/simulation/fleetsim/acceptance_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"lockflow/control"
-	"lockflow/internal/fleetrules"
+	"lockflow/internal/simulation/fleetrules"
 )
 
 // The terms of the fleet's acceptance that are about decisions, played with the real modules.
--- a/internal/fleetsim/days.go
+++ b/internal/simulation/fleetsim/days.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"lockflow/control"
-	"lockflow/internal/fleetrules"
+	"lockflow/internal/simulation/fleetrules"
 )
 
 // A day's script: what happens to servers, instances, lists, the meter and clients, by its name.
--- a/internal/fleetsim/days_test.go
+++ b/internal/simulation/fleetsim/days_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"lockflow/control"
-	"lockflow/internal/fleetrules"
+	"lockflow/internal/simulation/fleetrules"
 )
 
 func day(t *testing.T, o DayOptions) DayReport {
--- a/internal/fleetsim/decisions_amd64_test.go
+++ b/internal/simulation/fleetsim/decisions_amd64_test.go
@@ -12,12 +12,12 @@
 	"time"
 
 	"lockflow/control"
-	"lockflow/internal/decisiondigest"
+	"lockflow/internal/simulation/decisiondigest"
 )
 
 // updateDecisions writes the golden file anew:
 //
-//	go test ./internal/fleetsim -run '^TestDecisionsAreUnchanged$' -update-decisions
+//	go test ./internal/simulation/fleetsim -run '^TestDecisionsAreUnchanged$' -update-decisions
 //
 // A change of package control that means to decide as before has no cause to do so.
 var updateDecisions = flag.Bool("update-decisions", false, "writes testdata/decisions.golden anew")
--- a/internal/fleetsim/hard_test.go
+++ b/internal/simulation/fleetsim/hard_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"lockflow/internal/fleetrules"
+	"lockflow/internal/simulation/fleetrules"
 )
 
 // Days that no list of troubles names. The rules hold on them too, and what can be served is.
--- a/internal/fleetsim/quota_bound_test.go
+++ b/internal/simulation/fleetsim/quota_bound_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"lockflow/internal/fleetrules"
+	"lockflow/internal/simulation/fleetrules"
 )
 
 // boundDraw are the settings of a play: one plan, of whose customers all or half ask x times their quota and
--- a/internal/fleetsim/quota_day.go
+++ b/internal/simulation/fleetsim/quota_day.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"lockflow/control"
-	"lockflow/internal/fleetrules"
+	"lockflow/internal/simulation/fleetrules"
 )
 
 // The calm day in a world of quotas: its customers, and what one gateway that saw all would have done.
--- a/internal/fleetsim/servers.go
+++ b/internal/simulation/fleetsim/servers.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"lockflow/control"
-	"lockflow/internal/fleetrules"
+	"lockflow/internal/simulation/fleetrules"
 )
 
 // App servers and the lists that tell of them.
--- a/internal/fleetsim/sim.go
+++ b/internal/simulation/fleetsim/sim.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"lockflow/control"
-	"lockflow/internal/vtime"
+	"lockflow/internal/simulation/vtime"
 )
 
 // Figures of the model that no option changes.
--- a/internal/fleetsim/world.go
+++ b/internal/simulation/fleetsim/world.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"lockflow/control"
-	"lockflow/internal/fleetrules"
-	"lockflow/internal/vtime"
+	"lockflow/internal/simulation/fleetrules"
+	"lockflow/internal/simulation/vtime"
 )
 
 // Figures of the days' world that no option changes. Works and aims are those of a service whose
