--- a/cmd/lockflow/disk_faults_test.go
+++ b/cmd/lockflow/disk_faults_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"lockflow/internal/faultnet/faultbuild"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // A state directory whose disk fails for a while, in any call by which a checkpoint is written, costs no start and no
--- a/cmd/lockflow/faults_test.go
+++ b/cmd/lockflow/faults_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // Real nodes between clients and servers with faults on every link and on the nodes themselves, in
--- a/cmd/lockflow/fleet_test.go
+++ b/cmd/lockflow/fleet_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // Forty real processes under load, reloaded, upgraded, ended and killed by chance while servers
--- a/cmd/lockflow/judged_test.go
+++ b/cmd/lockflow/judged_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // taking is a server of which a part of the answers takes long. The 99th percentile is among these, so that what
--- a/cmd/lockflow/keeper_test.go
+++ b/cmd/lockflow/keeper_test.go
@@ -15,7 +15,7 @@
 
 	"lockflow/internal/desiredstate"
 	"lockflow/internal/manage"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // kept is a directory of instances and who keeps them.
--- a/cmd/lockflow/killed_test.go
+++ b/cmd/lockflow/killed_test.go
@@ -5,7 +5,7 @@
 
 	"lockflow/internal/desiredstate"
 	"lockflow/internal/measure"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // A coordinator that is killed at some of its writes, before or after, is followed by another that brings all
--- a/cmd/lockflow/main_test.go
+++ b/cmd/lockflow/main_test.go
@@ -18,7 +18,7 @@
 
 	"github.com/coreos/go-systemd/v22/unit"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // programs is where build puts the program.
--- a/cmd/lockflow/rollout_test.go
+++ b/cmd/lockflow/rollout_test.go
@@ -18,7 +18,7 @@
 
 	"lockflow/internal/desiredstate"
 	"lockflow/internal/rolloutlog"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // ordinary is a configuration of one service that speaks ordinary HTTP before one server.
--- a/cmd/lockflow/shortage_test.go
+++ b/cmd/lockflow/shortage_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"lockflow/internal/faultnet/faultbuild"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // shortageTime is how long a shortage lasts in these tests: longer than a call of the system, shorter than a deadline.
--- a/cmd/lockflow/skew_test.go
+++ b/cmd/lockflow/skew_test.go
@@ -5,7 +5,7 @@
 	"os"
 	"testing"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 	"lockflow/internal/versionskew"
 )
 
--- a/cmd/lockflow/stepped_clock_test.go
+++ b/cmd/lockflow/stepped_clock_test.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"lockflow/internal/faultnet/faultbuild"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // clockSteps are how far the wall clock is stepped in the middle of a run.
--- a/cmd/lockflow/term_test.go
+++ b/cmd/lockflow/term_test.go
@@ -17,7 +17,7 @@
 	"golang.org/x/sys/unix"
 
 	"lockflow/internal/limits"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // site is a setting that the crossings are played with.
--- a/control/golden_test.go
+++ b/control/golden_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // Files of earlier builds; go test ./control -run Golden -update writes them anew.
--- a/control/keys_test.go
+++ b/control/keys_test.go
@@ -4,7 +4,7 @@
 	"testing"
 
 	"lockflow/control"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // Settings, checkpoints and images have a written key for every field: they are stored under these.
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // self makes a certificate that vouches for itself, and its key.
--- a/internal/command/allowance_test.go
+++ b/internal/command/allowance_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"lockflow/internal/quotalease"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 func TestAllowance(t *testing.T) {
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/spf13/cobra/doc"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 const example = "../../deploy/lockflow.toml"
--- a/internal/command/daemon_test.go
+++ b/internal/command/daemon_test.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"testing"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // A supervisor hears of each step of a daemon's life: READY once it serves, RELOADING with the
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -8,8 +8,8 @@
 	"log/slog"
 	"time"
 
-	"lockflow/internal/fake"
-	"lockflow/internal/testbench"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/testbench"
 )
 
 func demoCommand() command {
--- a/internal/command/golden_test.go
+++ b/internal/command/golden_test.go
@@ -10,7 +10,7 @@
 	"lockflow/internal/simulation/fleetsim"
 	"lockflow/internal/simulation/rolloutsim"
 	"lockflow/internal/simulation/waitpolicysim"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // Files of earlier builds; go test ./internal/command -run Golden -update writes them anew.
--- a/internal/command/keys_test.go
+++ b/internal/command/keys_test.go
@@ -5,7 +5,6 @@
 
 	"lockflow/internal/config"
 	"lockflow/internal/eventlog"
-	"lockflow/internal/fake"
 	"lockflow/internal/fleet"
 	"lockflow/internal/measure"
 	"lockflow/internal/quotalease"
@@ -13,7 +12,8 @@
 	"lockflow/internal/simulation/fleetsim"
 	"lockflow/internal/simulation/rolloutsim"
 	"lockflow/internal/simulation/waitpolicysim"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // What commands print with --json has a written key for every field.
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"lockflow/control"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // A change of everything that a plan compares is told under the keys that earlier builds told; go test
--- a/internal/customer/customer_test.go
+++ b/internal/customer/customer_test.go
@@ -14,7 +14,7 @@
 
 	"go.uber.org/goleak"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/daemon/commands_test.go
+++ b/internal/daemon/commands_test.go
@@ -13,7 +13,7 @@
 
 	"lockflow/internal/desiredstate"
 	"lockflow/internal/manage"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // changedSettings returns a command for the configuration file with old replaced by new.
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -10,12 +10,12 @@
 	"testing"
 	"time"
 
-	"lockflow/internal/fake"
 	"lockflow/internal/manage"
 	"lockflow/internal/quotalease"
-	"lockflow/internal/redistest"
 	"lockflow/internal/state"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/redistest"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // An upgrade under load, and a second one by the successor, lose no request, forward none twice, refuse no
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -17,10 +17,10 @@
 	"time"
 
 	"lockflow/internal/command"
-	"lockflow/internal/fake"
 	"lockflow/internal/manage"
-	"lockflow/internal/testbench"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/testbench"
+	"lockflow/internal/testsupport/testkit"
 	"lockflow/internal/upgrade"
 )
 
--- a/internal/desiredstate/golden_test.go
+++ b/internal/desiredstate/golden_test.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"testing"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // The file of an earlier build is decoded, and encoded to the same bytes again. The flag -update writes it.
--- a/internal/desiredstate/keys_test.go
+++ b/internal/desiredstate/keys_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // Each field of a state and of a coordinator's messages has an explicit key.
--- a/internal/discovery/keys_test.go
+++ b/internal/discovery/keys_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // Lists of servers, as they are fetched, have a written key for every field.
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -18,7 +18,7 @@
 	"testing/synctest"
 	"time"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 func startWatch(t *testing.T, a *testkit.Agent, rev int64, silence time.Duration) (<-chan EndpointList, *Feed) {
--- a/internal/eventlog/golden_test.go
+++ b/internal/eventlog/golden_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // Lines are those that earlier builds wrote, and are read: logs of several builds are added up together. go test
--- a/internal/faultnet/play_test.go
+++ b/internal/faultnet/play_test.go
@@ -13,7 +13,7 @@
 	"go.uber.org/goleak"
 
 	"lockflow/internal/faultnet/script"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/faultnet/process/process_test.go
+++ b/internal/faultnet/process/process_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/google/renameio/v2"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // TestMain is also the program of these tests: it writes what it reads into a file of its state
--- a/internal/faultnet/trial/clients.go
+++ b/internal/faultnet/trial/clients.go
@@ -14,7 +14,7 @@
 	"strconv"
 	"time"
 
-	"lockflow/internal/fake"
+	"lockflow/internal/testsupport/fake"
 )
 
 const (
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -13,7 +13,7 @@
 	"lockflow/internal/desiredstate"
 	"lockflow/internal/rollout"
 	"lockflow/internal/rolloutlog"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // What is kept and printed of a rollout is read and written under the keys of earlier builds; go test
--- a/internal/fleet/keys_test.go
+++ b/internal/fleet/keys_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // The records of a rollout, and what is printed of a fleet, have a written key for every field.
--- a/internal/front/client_departure_test.go
+++ b/internal/front/client_departure_test.go
@@ -18,7 +18,7 @@
 	"lockflow/internal/limits"
 	"lockflow/internal/protocol"
 	"lockflow/internal/service"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 	"lockflow/internal/upstream"
 )
 
--- a/internal/front/client_registry_test.go
+++ b/internal/front/client_registry_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"lockflow/control"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // connWithReadHook is a connection that calls afterRead when it has read bytes and before its reader gets them.
--- a/internal/front/keys_test.go
+++ b/internal/front/keys_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // Every field of a problem has an explicit JSON key.
--- a/internal/front/lingering_conn_test.go
+++ b/internal/front/lingering_conn_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // A busy connection with unread input lingers until its client closes; one that is idle, or whose answer must
--- a/internal/front/read_close_race_test.go
+++ b/internal/front/read_close_race_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // heldReadListener accepts connections with a lingering close whose bytes, once read from the socket, reach net/http
--- a/internal/front/unacknowledged_answer_test.go
+++ b/internal/front/unacknowledged_answer_test.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // dialSmall connects a client whose segments and buffer are small: most of a long answer stays on the server's side.
--- a/internal/leasestore/golden_test.go
+++ b/internal/leasestore/golden_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"lockflow/internal/quotalease"
-	"lockflow/internal/redistest"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/redistest"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // What instances of earlier builds ask a counter, and the keys and fields under which it stores what it lends, are
--- a/internal/leasestore/leasestore_test.go
+++ b/internal/leasestore/leasestore_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"lockflow/internal/quotalease"
-	"lockflow/internal/redistest"
+	"lockflow/internal/testsupport/redistest"
 )
 
 var rules = quotalease.Rules{Instances: 4, Term: time.Second, Pledge: 2 * time.Second, Settle: 2 * time.Second}
--- a/internal/manage/golden_test.go
+++ b/internal/manage/golden_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // Bodies on the control socket have the keys of earlier builds. go test ./internal/manage -run Golden -update replaces the
--- a/internal/manage/keys_test.go
+++ b/internal/manage/keys_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // All bodies on the control socket have an explicit key for every field.
--- a/internal/measure/change.go
+++ b/internal/measure/change.go
@@ -13,9 +13,9 @@
 	"sync"
 	"time"
 
-	"lockflow/internal/fake"
 	"lockflow/internal/fleet"
-	"lockflow/internal/testbench"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/testbench"
 )
 
 // ReloadOptions say how reloads are measured.
--- a/internal/measure/fleet.go
+++ b/internal/measure/fleet.go
@@ -14,8 +14,8 @@
 	"sync/atomic"
 	"time"
 
-	"lockflow/internal/fake"
 	"lockflow/internal/fleet"
+	"lockflow/internal/testsupport/fake"
 )
 
 //go:embed fleet.toml
--- a/internal/measure/isolation.go
+++ b/internal/measure/isolation.go
@@ -7,8 +7,8 @@
 	"math/rand/v2"
 	"time"
 
-	"lockflow/internal/fake"
-	"lockflow/internal/testbench"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/testbench"
 )
 
 // IsolationOptions are what a measurement of a stalled pool is made with.
--- a/internal/measure/proxy.go
+++ b/internal/measure/proxy.go
@@ -21,8 +21,8 @@
 	"sync/atomic"
 	"time"
 
-	"lockflow/internal/fake"
-	"lockflow/internal/testbench"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/testbench"
 
 	"gonum.org/v1/gonum/floats"
 	"gonum.org/v1/gonum/stat"
--- a/internal/measure/servers.go
+++ b/internal/measure/servers.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"lockflow/internal/fake"
-	"lockflow/internal/testbench"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/testbench"
 )
 
 // ServersOptions are what a comparison of HTTP/1.1 and HTTP/2 to servers is made with.
--- a/internal/metrics/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -10,8 +10,8 @@
 	"lockflow/internal/node"
 	"lockflow/internal/scattergather"
 	"lockflow/internal/service"
-	"lockflow/internal/testbench/labtest"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testbench/labtest"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // sampled is a source that tells samples, and the counts of a service that has had no request.
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -13,11 +13,11 @@
 	"github.com/prometheus/common/expfmt"
 	"github.com/prometheus/common/model"
 
-	"lockflow/internal/fake"
-	"lockflow/internal/redistest"
-	"lockflow/internal/testbench"
-	"lockflow/internal/testbench/labtest"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/redistest"
+	"lockflow/internal/testsupport/testbench"
+	"lockflow/internal/testsupport/testbench/labtest"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // scrape reads what a handler tells, with the parser that Prometheus has.
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -11,7 +11,7 @@
 
 	"lockflow/internal/config"
 	"lockflow/internal/protocol"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // failingListener is a listener whose next calls of Accept fail, by one error after another.
--- a/internal/node/client_connections_test.go
+++ b/internal/node/client_connections_test.go
@@ -14,7 +14,7 @@
 	"lockflow/internal/discovery"
 	"lockflow/internal/limits"
 	"lockflow/internal/protocol"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // Near the limit on descriptors an idle client connection goes for a new one.
--- a/internal/node/drain_requests_test.go
+++ b/internal/node/drain_requests_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"lockflow/internal/config"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // A draining node answers its requests in flight, accepts those that still come and then ends.
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -16,7 +16,7 @@
 
 	"lockflow/internal/config"
 	"lockflow/internal/limits"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // A client whose connection is up and waits in the socket when the node takes no new ones gets its
--- a/internal/node/fixtures_test.go
+++ b/internal/node/fixtures_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"lockflow/internal/fake"
-	"lockflow/internal/testbench"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/testbench"
+	"lockflow/internal/testsupport/testkit"
 )
 
 const configHeader = `
--- a/internal/node/flood_test.go
+++ b/internal/node/flood_test.go
@@ -13,7 +13,7 @@
 	"lockflow/internal/config"
 	"lockflow/internal/limits"
 	"lockflow/internal/protocol"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // Requests that a client sends at once are answered each, in their order.
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -12,7 +12,7 @@
 	"lockflow/internal/discovery"
 	"lockflow/internal/protocol"
 	"lockflow/internal/service"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // testNode is a node with an agent, and app servers as a test starts them.
--- a/internal/node/http2_test.go
+++ b/internal/node/http2_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"lockflow/internal/fake"
 	"lockflow/internal/node"
-	"lockflow/internal/testbench/labtest"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/testbench/labtest"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // idempotentUpdates are clients that send keyed updates of various lengths, as fast as they are answered.
--- a/internal/node/isolation_test.go
+++ b/internal/node/isolation_test.go
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
-	"lockflow/internal/fake"
 	"lockflow/internal/node"
-	"lockflow/internal/testbench"
-	"lockflow/internal/testbench/labtest"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/testbench"
+	"lockflow/internal/testsupport/testbench/labtest"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // runRostersBesideDocuments plays a steady stream of roster calls beside many patient document clients, and
--- a/internal/node/limiter_test.go
+++ b/internal/node/limiter_test.go
@@ -8,11 +8,11 @@
 	"testing"
 	"time"
 
-	"lockflow/internal/fake"
 	"lockflow/internal/node"
-	"lockflow/internal/testbench"
-	"lockflow/internal/testbench/labtest"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/testbench"
+	"lockflow/internal/testsupport/testbench/labtest"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // startLoad has clients request a path without a pause until stop, which returns their results.
--- a/internal/node/memory_test.go
+++ b/internal/node/memory_test.go
@@ -10,7 +10,7 @@
 	"lockflow/internal/config"
 	"lockflow/internal/protocol"
 	"lockflow/internal/service"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // Requests in flight use no more than a part of the process's memory, whatever the limit on descriptors: a
--- a/internal/node/nodelay_test.go
+++ b/internal/node/nodelay_test.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 
 	"lockflow/internal/config"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // acceptedConns is a listener that keeps the connections that it has given.
--- a/internal/node/platform_settings_test.go
+++ b/internal/node/platform_settings_test.go
@@ -14,7 +14,7 @@
 
 	"lockflow/internal/config"
 	"lockflow/internal/protocol"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // jsonObject is an object of a configuration as JSON.
--- a/internal/node/random_settings_test.go
+++ b/internal/node/random_settings_test.go
@@ -18,7 +18,7 @@
 	"lockflow/control"
 	"lockflow/internal/config"
 	"lockflow/internal/protocol"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // classNames are of classes, plans and zones; each has to be escaped somewhere, or may be taken for something else.
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -7,7 +7,7 @@
 
 	"lockflow/internal/config"
 	"lockflow/internal/discovery"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // A node that starts again with the list that it had is ready and serves by it before its discovery has said
--- a/internal/node/reload_listeners_test.go
+++ b/internal/node/reload_listeners_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
-	"lockflow/internal/testbench/labtest"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testbench/labtest"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // Listeners and what the process may use change in a reload: a new address takes clients, one
--- a/internal/node/reload_load_test.go
+++ b/internal/node/reload_load_test.go
@@ -11,11 +11,11 @@
 	"testing"
 	"time"
 
-	"lockflow/internal/fake"
 	"lockflow/internal/node"
-	"lockflow/internal/testbench"
-	"lockflow/internal/testbench/labtest"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/testbench"
+	"lockflow/internal/testsupport/testbench/labtest"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // randomConfig draws a configuration: which service a path leads to, its source of endpoints, its guarantees, its
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -10,11 +10,11 @@
 	"testing"
 
 	"lockflow/internal/config"
-	"lockflow/internal/fake"
 	"lockflow/internal/node"
-	"lockflow/internal/testbench"
-	"lockflow/internal/testbench/labtest"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/testbench"
+	"lockflow/internal/testsupport/testbench/labtest"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // A request whose body still arrives when its service is removed is served by that service,
--- a/internal/node/requests_test.go
+++ b/internal/node/requests_test.go
@@ -10,7 +10,7 @@
 	"lockflow/internal/discovery"
 	"lockflow/internal/protocol"
 	"lockflow/internal/service"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 func TestRequestAndAnswerAreForwardedUnchanged(t *testing.T) {
--- a/internal/node/routing_test.go
+++ b/internal/node/routing_test.go
@@ -8,9 +8,9 @@
 	"testing"
 
 	"lockflow/internal/node"
-	"lockflow/internal/testbench"
-	"lockflow/internal/testbench/labtest"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testbench"
+	"lockflow/internal/testsupport/testbench/labtest"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // One connection may ask one service and then another, under different hosts; the same customer
--- a/internal/node/servers_test.go
+++ b/internal/node/servers_test.go
@@ -9,7 +9,7 @@
 	"testing"
 
 	"lockflow/internal/protocol"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // A request with an idempotency key that may have run is retried within its group only, with its key.
--- a/internal/node/shared_hard_limits_test.go
+++ b/internal/node/shared_hard_limits_test.go
@@ -8,12 +8,12 @@
 	"testing"
 	"time"
 
-	"lockflow/internal/fake"
 	"lockflow/internal/quotalease"
-	"lockflow/internal/redistest"
-	"lockflow/internal/testbench"
-	"lockflow/internal/testbench/labtest"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/redistest"
+	"lockflow/internal/testsupport/testbench"
+	"lockflow/internal/testsupport/testbench/labtest"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // sharedFleet is nodes that share an enterprise customer's ceiling by counters.
--- a/internal/record/keys_test.go
+++ b/internal/record/keys_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"lockflow/control"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // events has one of each event that recordings hold, in the order of their numbers.
--- a/internal/regiontrial/clients.go
+++ b/internal/regiontrial/clients.go
@@ -14,7 +14,7 @@
 	"strings"
 	"time"
 
-	"lockflow/internal/fake"
+	"lockflow/internal/testsupport/fake"
 )
 
 const (
--- a/internal/regiontrial/standins.go
+++ b/internal/regiontrial/standins.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"lockflow/internal/fake"
 	"lockflow/internal/faultnet/history"
+	"lockflow/internal/testsupport/fake"
 )
 
 // Fields of requests and answers between clients and stand-ins.
--- a/internal/service/attempts_test.go
+++ b/internal/service/attempts_test.go
@@ -11,7 +11,7 @@
 	"lockflow/control"
 	"lockflow/internal/discovery"
 	"lockflow/internal/limits"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 	"lockflow/internal/upstream"
 )
 
--- a/internal/service/client_departure_test.go
+++ b/internal/service/client_departure_test.go
@@ -12,7 +12,7 @@
 	"lockflow/control"
 	"lockflow/internal/limits"
 	"lockflow/internal/responseclass"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 	"lockflow/internal/upstream"
 )
 
--- a/internal/service/endpoint_changes_test.go
+++ b/internal/service/endpoint_changes_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"lockflow/internal/discovery"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // waitAt starts a request that waits at some place, and returns what lets it go on and its answer.
--- a/internal/service/guard_test.go
+++ b/internal/service/guard_test.go
@@ -11,7 +11,7 @@
 	"lockflow/internal/discovery"
 	"lockflow/internal/invariant"
 	"lockflow/internal/limits"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 	"lockflow/internal/upstream"
 )
 
--- a/internal/service/retry_outcomes_test.go
+++ b/internal/service/retry_outcomes_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"lockflow/control"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 	"lockflow/internal/upstream"
 )
 
--- a/internal/service/withheld_retry_test.go
+++ b/internal/service/withheld_retry_test.go
@@ -7,7 +7,7 @@
 
 	"lockflow/control"
 	"lockflow/internal/limits"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 	"lockflow/internal/upstream"
 )
 
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -15,11 +15,11 @@
 	"syscall"
 	"time"
 
-	"lockflow/internal/fake"
 	"lockflow/internal/faultnet"
 	"lockflow/internal/faultnet/faultbuild"
 	"lockflow/internal/faultnet/process"
 	"lockflow/internal/invariant"
+	"lockflow/internal/testsupport/fake"
 )
 
 // node is a real node with its own discovery and its own connections to the app servers.
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -5,7 +5,7 @@
 	"os"
 	"testing"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // Encode writes the golden file, which an earlier build wrote, byte for byte, also after Decode has read it.
--- a/internal/state/keys_test.go
+++ b/internal/state/keys_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // A node's checkpoint, with the checkpoints of services in it, has an explicit key for every field.
--- a/internal/supervise/supervise_test.go
+++ b/internal/supervise/supervise_test.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"testing"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 func TestNotificationsReachSupervisor(t *testing.T) {
--- a/internal/fake/fake_test.go
+++ b/internal/testsupport/fake/fake_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 func running(t *testing.T, s Server) *Running {
--- a/internal/fake/keys_test.go
+++ b/internal/testsupport/fake/keys_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // Messages of the discovery stand-in have a written key for every field.
--- a/internal/ordinarytest/differential_test.go
+++ b/internal/testsupport/ordinarytest/differential_test.go
@@ -19,9 +19,9 @@
 
 	"go.uber.org/goleak"
 
-	"lockflow/internal/fake"
-	"lockflow/internal/testbench"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/testbench"
+	"lockflow/internal/testsupport/testkit"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/ordinarytest/hard_test.go
+++ b/internal/testsupport/ordinarytest/hard_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"lockflow/internal/fake"
-	"lockflow/internal/testbench"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/testbench"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // dial connects to a node until the test ends.
--- a/internal/ordinarytest/http2_test.go
+++ b/internal/testsupport/ordinarytest/http2_test.go
@@ -21,9 +21,9 @@
 	"time"
 
 	"lockflow/internal/config"
-	"lockflow/internal/fake"
 	"lockflow/internal/node"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // both is an origin that speaks HTTP/1.1 and, to whoever begins with it, HTTP/2.
--- a/internal/ordinarytest/mutations_test.go
+++ b/internal/testsupport/ordinarytest/mutations_test.go
@@ -15,12 +15,12 @@
 
 	"lockflow/control"
 	"lockflow/internal/discovery"
-	"lockflow/internal/fake"
 	"lockflow/internal/limits"
 	"lockflow/internal/responseclass"
 	"lockflow/internal/retrybuffer"
 	"lockflow/internal/service"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/testkit"
 	"lockflow/internal/upstream"
 )
 
--- a/internal/ordinarytest/tallies_test.go
+++ b/internal/testsupport/ordinarytest/tallies_test.go
@@ -17,8 +17,8 @@
 	"testing"
 	"time"
 
-	"lockflow/internal/fake"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // tally is what origins ran, by request. An attempt of which a server has read any byte may have run.
--- a/internal/scattergathertest/faults_test.go
+++ b/internal/testsupport/scattergathertest/faults_test.go
@@ -11,8 +11,8 @@
 	"lockflow/internal/faultnet"
 	"lockflow/internal/faultnet/script"
 	"lockflow/internal/manage"
-	"lockflow/internal/redistest"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/redistest"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // faulty is instances of the program over pools and a store that all stand behind links.
--- a/internal/scattergathertest/node_test.go
+++ b/internal/testsupport/scattergathertest/node_test.go
@@ -19,7 +19,7 @@
 	"lockflow/internal/command"
 	"lockflow/internal/config"
 	"lockflow/internal/node"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // pool is a service's one server, which answers with elements that name it. It answers while open.
--- a/internal/scattergathertest/process_test.go
+++ b/internal/testsupport/scattergathertest/process_test.go
@@ -17,8 +17,8 @@
 	"testing"
 
 	"lockflow/internal/manage"
-	"lockflow/internal/redistest"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/redistest"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // proc is an instance of the program as a process of its own.
--- a/internal/testbench/labtest/labtest.go
+++ b/internal/testsupport/testbench/labtest/labtest.go
@@ -5,9 +5,9 @@
 	"context"
 	"testing"
 
-	"lockflow/internal/fake"
-	"lockflow/internal/testbench"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/testbench"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // Begin starts a lab that the end of a test stops, and waits until its node is ready.
--- a/internal/testbench/ordinary.go
+++ b/internal/testsupport/testbench/ordinary.go
@@ -6,8 +6,8 @@
 	"strings"
 
 	"lockflow/internal/config"
-	"lockflow/internal/fake"
 	"lockflow/internal/node"
+	"lockflow/internal/testsupport/fake"
 )
 
 // Ordinary is a node of one service, app, that serves ordinary HTTP from origins.
--- a/internal/testbench/scenario.go
+++ b/internal/testsupport/testbench/scenario.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"lockflow/internal/fake"
+	"lockflow/internal/testsupport/fake"
 )
 
 // Demo is the configuration of a node with two services, rosters and documents, on one host.
--- a/internal/testbench/testbench.go
+++ b/internal/testsupport/testbench/testbench.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"lockflow/internal/config"
-	"lockflow/internal/fake"
 	"lockflow/internal/node"
+	"lockflow/internal/testsupport/fake"
 )
 
 // Lab is a node with the app servers and the discovery of each of its services.
--- a/internal/testbench/testbench_test.go
+++ b/internal/testsupport/testbench/testbench_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"lockflow/internal/fake"
-	"lockflow/internal/testbench"
-	"lockflow/internal/testbench/labtest"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/testbench"
+	"lockflow/internal/testsupport/testbench/labtest"
 )
 
 // play sends calls of both services at a rate for a while.
--- a/internal/upgrade/golden_test.go
+++ b/internal/upgrade/golden_test.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"testing"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // The environment variable of a successor has the keys of earlier builds. go test ./internal/upgrade -run Golden -update
--- a/internal/upgrade/keys_test.go
+++ b/internal/upgrade/keys_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // The environment variable of a successor has an explicit key for every field.
--- a/internal/upgrade/processes_test.go
+++ b/internal/upgrade/processes_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // The test's own executable is the successor where roleVariable is set; its value is what it does.
--- a/internal/upstream/answer_test.go
+++ b/internal/upstream/answer_test.go
@@ -13,7 +13,7 @@
 	"lockflow/control"
 	"lockflow/internal/limits"
 	"lockflow/internal/protocol"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // TestOutcomeByAnswer checks the outcome of well-formed and malformed answers, with and without a reset of the
--- a/internal/upstream/faulty_server_test.go
+++ b/internal/upstream/faulty_server_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"lockflow/control"
-	"lockflow/internal/fake"
 	"lockflow/internal/h2"
+	"lockflow/internal/testsupport/fake"
 )
 
 // playFaultyServer sends updates concurrently to a server with random faults. An update is retried only where
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"lockflow/internal/fake"
 	"lockflow/internal/limits"
 	"lockflow/internal/protocol"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // newTestUpstream makes an Upstream whose idle connections are evicted at the limit of sockets.
--- a/internal/upstream/idle_test.go
+++ b/internal/upstream/idle_test.go
@@ -10,7 +10,7 @@
 
 	"lockflow/control"
 	"lockflow/internal/limits"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // TestUnusedConnectionKeepsItsIdleTime checks that a connection on which an attempt wrote nothing needs no quiet
--- a/internal/upstream/interrupted_attempt_test.go
+++ b/internal/upstream/interrupted_attempt_test.go
@@ -15,7 +15,7 @@
 
 	"lockflow/control"
 	"lockflow/internal/limits"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // TestAttemptOverTLSEndsAtItsDeadline checks that an attempt over TLS ends at its deadline while its server reads
--- a/internal/upstream/late_connection_test.go
+++ b/internal/upstream/late_connection_test.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"lockflow/control"
-	"lockflow/internal/fake"
 	"lockflow/internal/limits"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // delayedDials is a limiter that delays connections until a time.
--- a/internal/upstream/many_connections_test.go
+++ b/internal/upstream/many_connections_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"lockflow/control"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // settingsOfOneStream is a SETTINGS frame that allows one stream at a time (RFC 9113, 6.5).
--- a/internal/upstream/nodelay_test.go
+++ b/internal/upstream/nodelay_test.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 
 	"lockflow/internal/limits"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // TestServersAreSentSmallWritesAtOnce checks that the system holds no small write back: a request's last byte would
--- a/internal/upstream/relayed_request_test.go
+++ b/internal/upstream/relayed_request_test.go
@@ -11,12 +11,12 @@
 	"time"
 
 	"lockflow/control"
-	"lockflow/internal/fake"
 	"lockflow/internal/limits"
 	"lockflow/internal/protocol"
 	"lockflow/internal/responseclass"
 	"lockflow/internal/retrybuffer"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // TestResetIsNotEndOfBody checks that an answer without a length is incomplete if its connection is reset. The
--- a/internal/upstream/scripted_server_test.go
+++ b/internal/upstream/scripted_server_test.go
@@ -10,7 +10,7 @@
 
 	"lockflow/control"
 	"lockflow/internal/limits"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 const goodAnswer, strayAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil"
--- a/internal/upstream/second_answer_test.go
+++ b/internal/upstream/second_answer_test.go
@@ -12,7 +12,7 @@
 
 	"lockflow/control"
 	"lockflow/internal/limits"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // TestRequestAvoidsConnectionWithPossibleSecondAnswer checks that a request isn't written on a connection where
--- a/internal/upstream/shared_connections_test.go
+++ b/internal/upstream/shared_connections_test.go
@@ -20,9 +20,9 @@
 
 	"lockflow/control"
 	"lockflow/internal/certs"
-	"lockflow/internal/fake"
 	"lockflow/internal/limits"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // TestRequestsShareHTTP2Connections checks that many concurrent requests share few connections, within the
--- a/internal/upstream/time_left_test.go
+++ b/internal/upstream/time_left_test.go
@@ -14,7 +14,7 @@
 	"lockflow/control"
 	"lockflow/internal/limits"
 	"lockflow/internal/protocol"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // TestAttemptSendsTimeLeft checks that each attempt tells its server the time that is left when it is written:
--- a/internal/versionskew/load.go
+++ b/internal/versionskew/load.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"lockflow/internal/fake"
-	"lockflow/internal/testbench"
+	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/testsupport/testbench"
 )
 
 // Figures of the load; rates and bursts are those of config.toml.
--- a/internal/waitpolicy/golden_test.go
+++ b/internal/waitpolicy/golden_test.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"testing"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // Sketches of an earlier build, which go test ./internal/waitpolicy -run Golden -update writes anew, are read, and
--- a/internal/waitpolicy/keys_test.go
+++ b/internal/waitpolicy/keys_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/testkit"
 )
 
 // Stored and shared sketches have a written key for every field.
--- a/internal/waitpolicy/share/share_test.go
+++ b/internal/waitpolicy/share/share_test.go
@@ -11,8 +11,8 @@
 
 	"go.uber.org/goleak"
 
-	"lockflow/internal/redistest"
-	"lockflow/internal/testkit"
+	"lockflow/internal/testsupport/redistest"
+	"lockflow/internal/testsupport/testkit"
 	"lockflow/internal/waitpolicy"
 	"lockflow/internal/waitpolicy/pool"
 )
