--- a/cmd/lockflow/disk_faults_test.go
+++ b/cmd/lockflow/disk_faults_test.go
@@ -7,8 +7,8 @@
 	"syscall"
 	"testing"
 
-	"lockflow/internal/faultnet/faultbuild"
 	"lockflow/internal/testsupport/testkit"
+	"lockflow/internal/trials/faultnet/faultbuild"
 )
 
 // A state directory whose disk fails for a while, in any call by which a checkpoint is written, costs no start and no
--- a/cmd/lockflow/killed_test.go
+++ b/cmd/lockflow/killed_test.go
@@ -4,8 +4,8 @@
 	"testing"
 
 	"lockflow/internal/desiredstate"
-	"lockflow/internal/measure"
 	"lockflow/internal/testsupport/testkit"
+	"lockflow/internal/trials/measure"
 )
 
 // A coordinator that is killed at some of its writes, before or after, is followed by another that brings all
--- a/cmd/lockflow/shortage_test.go
+++ b/cmd/lockflow/shortage_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"lockflow/internal/faultnet/faultbuild"
 	"lockflow/internal/testsupport/testkit"
+	"lockflow/internal/trials/faultnet/faultbuild"
 )
 
 // shortageTime is how long a shortage lasts in these tests: longer than a call of the system, shorter than a deadline.
--- a/cmd/lockflow/skew_test.go
+++ b/cmd/lockflow/skew_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"lockflow/internal/testsupport/testkit"
-	"lockflow/internal/versionskew"
+	"lockflow/internal/trials/versionskew"
 )
 
 // Two builds take each other's place under load and by their files, and nothing is lost between them; here both
--- a/cmd/lockflow/stepped_clock_test.go
+++ b/cmd/lockflow/stepped_clock_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
-	"lockflow/internal/faultnet/faultbuild"
 	"lockflow/internal/testsupport/testkit"
+	"lockflow/internal/trials/faultnet/faultbuild"
 )
 
 // clockSteps are how far the wall clock is stepped in the middle of a run.
--- a/internal/command/golden_test.go
+++ b/internal/command/golden_test.go
@@ -5,12 +5,12 @@
 	"testing"
 
 	"lockflow/internal/eventlog"
-	"lockflow/internal/measure"
 	"lockflow/internal/simulation/balancesim"
 	"lockflow/internal/simulation/fleetsim"
 	"lockflow/internal/simulation/rolloutsim"
 	"lockflow/internal/simulation/waitpolicysim"
 	"lockflow/internal/testsupport/testkit"
+	"lockflow/internal/trials/measure"
 )
 
 // Files of earlier builds; go test ./internal/command -run Golden -update writes them anew.
--- a/internal/command/keys_test.go
+++ b/internal/command/keys_test.go
@@ -6,7 +6,6 @@
 	"lockflow/internal/config"
 	"lockflow/internal/eventlog"
 	"lockflow/internal/fleet"
-	"lockflow/internal/measure"
 	"lockflow/internal/quotalease"
 	"lockflow/internal/simulation/balancesim"
 	"lockflow/internal/simulation/fleetsim"
@@ -14,6 +13,7 @@
 	"lockflow/internal/simulation/waitpolicysim"
 	"lockflow/internal/testsupport/fake"
 	"lockflow/internal/testsupport/testkit"
+	"lockflow/internal/trials/measure"
 )
 
 // What commands print with --json has a written key for every field.
--- a/internal/command/measure.go
+++ b/internal/command/measure.go
@@ -14,9 +14,9 @@
 	"text/tabwriter"
 	"time"
 
-	"lockflow/internal/measure"
 	"lockflow/internal/simulation/balancesim"
-	"lockflow/internal/versionskew"
+	"lockflow/internal/trials/measure"
+	"lockflow/internal/trials/versionskew"
 )
 
 func measureCommand() command {
--- a/internal/command/measure_gather.go
+++ b/internal/command/measure_gather.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"os"
 
-	"lockflow/internal/measure"
+	"lockflow/internal/trials/measure"
 )
 
 func measureGather(ctx context.Context, e *Env, o measure.GatherOptions, asJSON bool) (err error) {
--- a/internal/command/measurefaults.go
+++ b/internal/command/measurefaults.go
@@ -9,10 +9,10 @@
 	"text/tabwriter"
 	"time"
 
-	"lockflow/internal/faultnet"
-	"lockflow/internal/faultnet/trial"
-	"lockflow/internal/measure"
-	"lockflow/internal/regiontrial"
+	"lockflow/internal/trials/faultnet"
+	"lockflow/internal/trials/faultnet/trial"
+	"lockflow/internal/trials/measure"
+	"lockflow/internal/trials/regiontrial"
 )
 
 // faultFlags are those of measure faults.
--- a/internal/command/measurerollout.go
+++ b/internal/command/measurerollout.go
@@ -10,7 +10,7 @@
 	"strings"
 
 	"lockflow/internal/desiredstate"
-	"lockflow/internal/measure"
+	"lockflow/internal/trials/measure"
 )
 
 // measureRollout kills coordinators of staged changes at each of their writes.
--- a/internal/command/measureskew.go
+++ b/internal/command/measureskew.go
@@ -8,7 +8,7 @@
 	"path/filepath"
 	"time"
 
-	"lockflow/internal/versionskew"
+	"lockflow/internal/trials/versionskew"
 )
 
 // Bounds of measure upgrade --previous.
--- a/internal/command/measuresoak.go
+++ b/internal/command/measuresoak.go
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
-	"lockflow/internal/faultnet/faultbuild"
-	"lockflow/internal/soak"
+	"lockflow/internal/trials/faultnet/faultbuild"
+	"lockflow/internal/trials/soak"
 )
 
 // soakPackage is the program that is built with faults, in the repository in which measure soak runs.
--- a/internal/testsupport/scattergathertest/faults_test.go
+++ b/internal/testsupport/scattergathertest/faults_test.go
@@ -8,11 +8,11 @@
 	"testing"
 	"time"
 
-	"lockflow/internal/faultnet"
-	"lockflow/internal/faultnet/script"
 	"lockflow/internal/manage"
 	"lockflow/internal/testsupport/redistest"
 	"lockflow/internal/testsupport/testkit"
+	"lockflow/internal/trials/faultnet"
+	"lockflow/internal/trials/faultnet/script"
 )
 
 // faulty is instances of the program over pools and a store that all stand behind links.
--- a/internal/faultnet/faultnet.go
+++ b/internal/trials/faultnet/faultnet.go
@@ -1,14 +1,14 @@
 // Package faultnet has faults befall what goes on between processes of the program, and the
 // processes themselves: by scripts that a seed draws, links between processes that obey them, and
 // processes that are killed and paused. What was said is recorded in a history and checked
-// afterwards (internal/faultnet/history). It is used by tests and measurements only.
+// afterwards (internal/trials/faultnet/history). It is used by tests and measurements only.
 package faultnet
 
 import (
-	"lockflow/internal/faultnet/history"
-	"lockflow/internal/faultnet/link"
-	"lockflow/internal/faultnet/process"
-	"lockflow/internal/faultnet/script"
+	"lockflow/internal/trials/faultnet/history"
+	"lockflow/internal/trials/faultnet/link"
+	"lockflow/internal/trials/faultnet/process"
+	"lockflow/internal/trials/faultnet/script"
 )
 
 type (
--- a/internal/faultnet/link/link.go
+++ b/internal/trials/faultnet/link/link.go
@@ -15,7 +15,7 @@
 
 	"golang.org/x/time/rate"
 
-	"lockflow/internal/faultnet/script"
+	"lockflow/internal/trials/faultnet/script"
 )
 
 // Link is a listener whose connections lead on to another address. Its methods are safe for
--- a/internal/faultnet/link/link_test.go
+++ b/internal/trials/faultnet/link/link_test.go
@@ -13,8 +13,8 @@
 
 	"go.uber.org/goleak"
 
-	"lockflow/internal/faultnet/script"
 	"lockflow/internal/testsupport/testkit"
+	"lockflow/internal/trials/faultnet/script"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/faultnet/play.go
+++ b/internal/trials/faultnet/play.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"lockflow/internal/faultnet/script"
+	"lockflow/internal/trials/faultnet/script"
 )
 
 // Event is a step of a script that was carried out.
--- a/internal/faultnet/trial/owners.go
+++ b/internal/trials/faultnet/trial/owners.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"lockflow/internal/desiredstate"
-	"lockflow/internal/faultnet/history"
 	"lockflow/internal/manage"
+	"lockflow/internal/trials/faultnet/history"
 )
 
 // owners is how many coordinators claim the nodes at once.
--- a/internal/faultnet/trial/servers.go
+++ b/internal/trials/faultnet/trial/servers.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"lockflow/internal/faultnet/history"
 	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/trials/faultnet/history"
 )
 
 // Fields of requests and answers between clients and stand-ins.
--- a/internal/faultnet/trial/trial.go
+++ b/internal/trials/faultnet/trial/trial.go
@@ -20,10 +20,10 @@
 	"time"
 
 	"lockflow/internal/desiredstate"
-	"lockflow/internal/faultnet"
-	"lockflow/internal/faultnet/history"
-	"lockflow/internal/faultnet/process"
 	"lockflow/internal/manage"
+	"lockflow/internal/trials/faultnet"
+	"lockflow/internal/trials/faultnet/history"
+	"lockflow/internal/trials/faultnet/process"
 )
 
 //go:embed config.toml
--- a/internal/faultnet/trial/trouble.go
+++ b/internal/trials/faultnet/trial/trouble.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"lockflow/internal/faultnet"
-	"lockflow/internal/faultnet/script"
+	"lockflow/internal/trials/faultnet"
+	"lockflow/internal/trials/faultnet/script"
 )
 
 // side is what faults can explain: what clients of a node see by themselves, or the way beyond it.
--- a/internal/measure/faults.go
+++ b/internal/trials/measure/faults.go
@@ -9,10 +9,10 @@
 	"strings"
 	"time"
 
-	"lockflow/internal/faultnet"
-	"lockflow/internal/faultnet/script"
-	"lockflow/internal/faultnet/trial"
-	"lockflow/internal/regiontrial"
+	"lockflow/internal/trials/faultnet"
+	"lockflow/internal/trials/faultnet/script"
+	"lockflow/internal/trials/faultnet/trial"
+	"lockflow/internal/trials/regiontrial"
 )
 
 // FaultsOptions say how nodes are tried under faults.
--- a/internal/measure/tap.go
+++ b/internal/trials/measure/tap.go
@@ -11,8 +11,8 @@
 	"sync"
 
 	"lockflow/internal/desiredstate"
-	"lockflow/internal/faultnet/history"
 	"lockflow/internal/manage"
+	"lockflow/internal/trials/faultnet/history"
 )
 
 // taps stand between coordinators and the control sockets of members, and note what each has asked and been
--- a/internal/regiontrial/ground.go
+++ b/internal/trials/regiontrial/ground.go
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
-	"lockflow/internal/faultnet"
-	"lockflow/internal/faultnet/process"
-	"lockflow/internal/faultnet/script"
 	"lockflow/internal/manage"
+	"lockflow/internal/trials/faultnet"
+	"lockflow/internal/trials/faultnet/process"
+	"lockflow/internal/trials/faultnet/script"
 )
 
 // nowhere is an address at which nobody listens.
--- a/internal/regiontrial/trial.go
+++ b/internal/trials/regiontrial/trial.go
@@ -15,11 +15,11 @@
 	"sync/atomic"
 	"time"
 
-	"lockflow/internal/faultnet"
-	"lockflow/internal/faultnet/history"
 	"lockflow/internal/fleetfile"
 	"lockflow/internal/manage"
 	"lockflow/internal/regions"
+	"lockflow/internal/trials/faultnet"
+	"lockflow/internal/trials/faultnet/history"
 )
 
 // Options say what is tried.
--- a/internal/regiontrial/trial_test.go
+++ b/internal/trials/regiontrial/trial_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"lockflow/internal/command"
-	"lockflow/internal/regiontrial"
+	"lockflow/internal/trials/regiontrial"
 )
 
 // The test's own program is the node and the coordinator where this variable is set.
--- a/internal/soak/disturbances.go
+++ b/internal/trials/soak/disturbances.go
@@ -8,8 +8,8 @@
 	"syscall"
 	"time"
 
-	"lockflow/internal/faultnet/faultbuild"
-	"lockflow/internal/faultnet/script"
+	"lockflow/internal/trials/faultnet/faultbuild"
+	"lockflow/internal/trials/faultnet/script"
 )
 
 // maxDisturbanceTime is how long one disturbance lasts at most.
--- a/internal/soak/node.go
+++ b/internal/trials/soak/node.go
@@ -15,11 +15,11 @@
 	"syscall"
 	"time"
 
-	"lockflow/internal/faultnet"
-	"lockflow/internal/faultnet/faultbuild"
-	"lockflow/internal/faultnet/process"
 	"lockflow/internal/invariant"
 	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/trials/faultnet"
+	"lockflow/internal/trials/faultnet/faultbuild"
+	"lockflow/internal/trials/faultnet/process"
 )
 
 // node is a real node with its own discovery and its own connections to the app servers.
--- a/internal/soak/soak_test.go
+++ b/internal/trials/soak/soak_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"lockflow/internal/faultnet/faultbuild"
+	"lockflow/internal/trials/faultnet/faultbuild"
 )
 
 // busySlack is for a machine on which all other tests run beside: what the short form finds is what no wait for a processor
