--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"lockflow/internal/naming"
+	"lockflow/internal/ci/naming"
 )
 
 // TestArchitectureListsEveryPackage holds docs/architecture.md to the packages of the module: each is on it,
--- a/internal/knownred/main_test.go
+++ b/internal/ci/knownred/main_test.go
@@ -67,12 +67,12 @@
 				}
 				return string(raw)
 			}
-			put(".ci/run", taken("../../.ci/run"), 0o755)
+			put(".ci/run", taken("../../../.ci/run"), 0o755)
 			if c.lint == "" {
 				c.lint = "#!/bin/sh\n" // the real one takes tools that this module has not
 			}
 			put(".ci/lint", c.lint, 0o755)
-			put("internal/knownred/main.go", taken("main.go"), 0o644)
+			put("internal/ci/knownred/main.go", taken("main.go"), 0o644)
 			put("deploy/balancer.toml", "build = \"mkdir bin && cp /bin/sh bin/lockflow\"\n", 0o644) // quick, and linked dynamically
 			put("go.mod", "module lockflow\n\ngo 1.26.0\n", 0o644)
 			put("one/one_test.go", "package one\n\n"+c.one, 0o644)
--- a/internal/naming/naming_test.go
+++ b/internal/ci/naming/naming_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-const root = "../.."
+const root = "../../.."
 
 // TestNoPackageGainsPlainWords holds each package to the number that testdata/left.txt allows it, and
 // those that it doesn't list, which are finished or new, to none.
