--- a/cmd/lockflow/rollout_test.go
+++ b/cmd/lockflow/rollout_test.go
@@ -21,7 +21,7 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// ordinary is a configuration of one service that speaks ordinary HTTP before one server.
+// ordinary is a configuration of one service that speaks generic HTTP before one server.
 func ordinary(server string) string {
 	return fmt.Sprintf(`[process]
 upgrade = { within = "10s", probation = "100ms" }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -122,7 +122,7 @@
 	Servers    Servers                `plan:"servers"`
 	Counter    Counter                `plan:"counter"`
 	OnPanic    service.PanicPolicy    `plan:"on_panic"`
-	HTTP       *HTTP                  `plan:"h_t_t_p"` // what ordinary HTTP needs; nil is the platform's protocol
+	HTTP       *HTTP                  `plan:"h_t_t_p"` // what generic HTTP needs; nil is the platform's protocol
 	Record     Record                 `plan:"record"`
 	Required   bool                   `plan:"required"` // the node is ready only once this service is
 	Guaranteed Amounts                `plan:"guaranteed"`
--- a/internal/config/gather.go
+++ b/internal/config/gather.go
@@ -81,7 +81,7 @@
 	if in.Has("protocol") && protocols[in.OneOf("protocol", protocols...)] != "http" || !in.Has("protocol") && protocols[r.speaks] != "http" {
 		in.Wrong("protocol", `a gathering service speaks "http" only`)
 	}
-	read := control.Class{Name: ClassRead, Idempotency: control.Idempotent, LatencyObjective: defaultLatencyObjective, Deadline: ordinaryDeadline, PriorityWeight: 1}
+	read := control.Class{Name: ClassRead, Idempotency: control.Idempotent, LatencyObjective: defaultLatencyObjective, Deadline: defaultHTTPDeadline, PriorityWeight: 1}
 	g.Classes[ClassRead] = read
 	for name, k := range r.classes {
 		if k.Idempotency == control.Idempotent {
--- a/internal/config/http.go
+++ b/internal/config/http.go
@@ -18,7 +18,7 @@
 // protocols are what a service's clients may speak; the first is what a file means that names none.
 var protocols = []string{"http", "platform"}
 
-// Classes and plan of a service of ordinary HTTP whose file has none of these names.
+// Classes and plan of a service of generic HTTP whose file has none of these names.
 const (
 	ClassRead   = "read"  // of safe methods
 	ClassWrite  = "write" // of all others
@@ -26,15 +26,15 @@
 
 	onceSuffix = " (no key)" // of a keyed class, for requests without a key
 
-	defaultLatencyObjective = 2 * time.Second
-	ordinaryDeadline        = 30 * time.Second
-	ordinaryConnect         = time.Second // the platform's networks are one data centre's
-	maxUnknownClients       = 1 << 20
-	maxIdle                 = time.Hour
-	minDuration             = 100 * time.Millisecond
+	defaultLatencyObjective   = 2 * time.Second
+	defaultHTTPDeadline       = 30 * time.Second
+	defaultHTTPConnectTimeout = time.Second // the platform's networks are one data centre's
+	maxUnknownClients         = 1 << 20
+	maxIdle                   = time.Hour
+	minDuration               = 100 * time.Millisecond
 )
 
-// HTTP is what a service of ordinary HTTP has beside what all have.
+// HTTP is what a service of generic HTTP has beside what all have.
 type HTTP struct {
 	Once        map[string]string // of keyed classes, the one of requests that carry no key
 	Customers   customer.Options
@@ -57,7 +57,7 @@
 	return s.Body + s.Answer
 }
 
-// http reads what only ordinary HTTP has, and completes the classes and plans.
+// http reads what only generic HTTP has, and completes the classes and plans.
 func (r *reader) http(t tree.Table, s *Service) {
 	h := &HTTP{
 		TimeHeader: fieldName(t, "time_header"), SendTime: t.Flag("send_time", false), SendID: t.Flag("send_id", false),
@@ -67,7 +67,7 @@
 	}
 	s.HTTP = h
 	if !t.Has("connect_timeout") {
-		s.Connect = ordinaryConnect
+		s.Connect = defaultHTTPConnectTimeout
 	}
 	if !t.Has("body") {
 		s.Body = -1
@@ -102,7 +102,7 @@
 		return slices.ContainsFunc(set.Classes, func(k control.Class) bool { return k.Name == name })
 	}
 	for _, k := range []control.Class{{Name: ClassRead, Idempotency: control.Idempotent}, {Name: ClassWrite, Idempotency: control.NotIdempotent}} {
-		k.LatencyObjective, k.Deadline, k.PriorityWeight = defaultLatencyObjective, ordinaryDeadline, 1
+		k.LatencyObjective, k.Deadline, k.PriorityWeight = defaultLatencyObjective, defaultHTTPDeadline, 1
 		if own, ok := r.classes[k.Name]; ok {
 			k = own
 		}
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -36,13 +36,13 @@
 		MaxRetryAfter: t.Span("retry_after", time.Second, 0, day),
 	}
 	set.SupportsRetryAfter = set.MaxRetryAfter > 0
-	ordinary := protocols[speaks] == "http"
-	for _, k := range r.named(t, "classes", classes, ordinary) {
+	isGenericHTTP := protocols[speaks] == "http"
+	for _, k := range r.named(t, "classes", classes, isGenericHTTP) {
 		if c, ok := r.classes[k]; ok {
 			set.Classes = append(set.Classes, c)
 		}
 	}
-	for _, p := range r.named(t, "plans", plans, ordinary) {
+	for _, p := range r.named(t, "plans", plans, isGenericHTTP) {
 		if c, ok := r.plans[p]; ok {
 			set.Plans = append(set.Plans, c)
 		}
@@ -52,7 +52,7 @@
 	if t.Has("counter") {
 		s.Counter = r.counter(t.Sub("counter"), name, set.Plans)
 	}
-	if ordinary {
+	if isGenericHTTP {
 		r.http(t, &s)
 	}
 	s.Source = r.source(t)
--- a/internal/customer/customer.go
+++ b/internal/customer/customer.go
@@ -1,4 +1,4 @@
-// Package customer identifies the customer of a request of the Ordinary protocol by a header, a query
+// Package customer identifies the customer of a request of generic HTTP by a header, a query
 // parameter, a cookie or the client's address, and looks up the customer's plan in a file. Customers that
 // the file does not name are limited in number; those beyond the limit share overflow buckets.
 //
--- a/internal/front/answer_stream.go
+++ b/internal/front/answer_stream.go
@@ -33,7 +33,7 @@
 
 // streamAnswer writes an answer to the client while its body arrives. It panics with
 // http.ErrAbortHandler if the answer breaks off.
-func (o *Ordinary) streamAnswer(front *Front, w http.ResponseWriter, r *http.Request, answer service.Answer) {
+func (o *GenericHTTP) streamAnswer(front *Front, w http.ResponseWriter, r *http.Request, answer service.Answer) {
 	buffer := upstream.BodyBuffers.Get().(*[]byte)
 	defer upstream.BodyBuffers.Put(buffer)
 	s := &answerStream{
--- a/internal/front/doc.go
+++ b/internal/front/doc.go
@@ -11,7 +11,7 @@
 //	    Protocol.WriteAnswer  writes that answer
 //
 // There are two protocols: platformProtocol, whose headers name customer, plan and deadline, and
-// Ordinary, which is plain HTTP/1.x. A ScatterGather target sends one request to several services
+// GenericHTTP, which is plain HTTP/1.x. A ScatterGather target sends one request to several services
 // and merges their answers.
 //
 // The package makes no scheduling decisions: it only rejects requests that cannot be read. Package
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -218,13 +218,13 @@
 }
 
 // Finish flushes an answer that was given before the end of the body, and writes nothing if there was none.
-func TestOrdinaryFinishFlushesOnlyGivenAnswers(t *testing.T) {
+func TestGenericHTTPFinishFlushesOnlyGivenAnswers(t *testing.T) {
 	for _, given := range []bool{false, true} {
 		w := httptest.NewRecorder()
-		x := &ordinaryCall{writer: w, controller: http.NewResponseController(w), hasAnswer: given}
+		x := &genericCall{writer: w, controller: http.NewResponseController(w), hasAnswer: given}
 		x.Forwarder = x
 		x.Body = retrybuffer.New(strings.NewReader("the rest"), 0, func() {})
-		(&Ordinary{}).Finish(&x.Exchange)
+		(&GenericHTTP{}).Finish(&x.Exchange)
 		if w.Flushed != given {
 			t.Errorf("given %v: flushed %v", given, w.Flushed)
 		}
--- a/internal/front/ordinary_answer.go
+++ b/internal/front/generic_answer.go
@@ -11,8 +11,8 @@
 
 // WriteAnswer writes the final answer to the client. If a streamed answer breaks off, the connection is
 // aborted, so that the client does not take a part for the complete answer.
-func (o *Ordinary) WriteAnswer(front *Front, w http.ResponseWriter, r *http.Request, exchange *service.Exchange, answer service.Answer) {
-	call := exchange.Forwarder.(*ordinaryCall)
+func (o *GenericHTTP) WriteAnswer(front *Front, w http.ResponseWriter, r *http.Request, exchange *service.Exchange, answer service.Answer) {
+	call := exchange.Forwarder.(*genericCall)
 	call.endInterim()
 	call.hasAnswer = true
 	if answer.Stream != nil {
@@ -57,6 +57,6 @@
 }
 
 // WriteBadRequest reports a client's mistake to it.
-func (*Ordinary) WriteBadRequest(front *Front, w http.ResponseWriter, r *http.Request, badRequest *BadRequest) {
+func (*GenericHTTP) WriteBadRequest(front *Front, w http.ResponseWriter, r *http.Request, badRequest *BadRequest) {
 	writeBadRequestAnswer(front, w, r, badRequest)
 }
--- a/internal/front/ordinary_call.go
+++ b/internal/front/generic_call.go
@@ -22,9 +22,9 @@
 
 var errBodyTooLong = errors.New("a body of too many bytes")
 
-// ordinaryCall is one request of the Ordinary protocol: its exchange with the service, what is
+// genericCall is one request of generic HTTP: its exchange with the service, what is
 // forwarded, and the state of its body and its interim responses.
-type ordinaryCall struct {
+type genericCall struct {
 	service.Exchange
 	upstream.RelayedRequest
 	maxBodyBytes int64 // negative for no limit
@@ -41,11 +41,11 @@
 	isFinal bool       // no more interim responses may be written
 }
 
-var _ upstream.InterimWriter = (*ordinaryCall)(nil)
+var _ upstream.InterimWriter = (*genericCall)(nil)
 
 // ReservedBytes returns the memory for a request's body: all of a short one, else the retry buffer and
 // the buffers for streaming.
-func (o *Ordinary) ReservedBytes(r *http.Request) int64 {
+func (o *GenericHTTP) ReservedBytes(r *http.Request) int64 {
 	switch n := r.ContentLength; {
 	case n == 0:
 		return 0
@@ -57,8 +57,8 @@
 
 // ReadBody buffers a body that fits in the retry buffer, so that a slow client does not occupy a
 // server, and prepares to stream any other.
-func (o *Ordinary) ReadBody(w http.ResponseWriter, r *http.Request, exchange *service.Exchange) *BadRequest {
-	call := exchange.Forwarder.(*ordinaryCall)
+func (o *GenericHTTP) ReadBody(w http.ResponseWriter, r *http.Request, exchange *service.Exchange) *BadRequest {
+	call := exchange.Forwarder.(*genericCall)
 	call.writer, call.controller = w, http.NewResponseController(w)
 	if r.ProtoAtLeast(1, 1) {
 		call.InterimWriter = call
@@ -82,7 +82,7 @@
 }
 
 // setReadDeadline limits the next read of the body.
-func (c *ordinaryCall) setReadDeadline() {
+func (c *genericCall) setReadDeadline() {
 	deadline := time.Now().Add(c.idleTimeout)
 	if discardDeadline := c.discardDeadline.Load(); discardDeadline != nil {
 		deadline = *discardDeadline
@@ -93,7 +93,7 @@
 // limitedBody reads a request's body and enforces its maximum length and minimum rate.
 type limitedBody struct {
 	io.Reader
-	call *ordinaryCall
+	call *genericCall
 }
 
 // Read implements io.Reader.
@@ -113,7 +113,7 @@
 }
 
 // WriteInterim writes a 1xx response, unless the final answer is due.
-func (c *ordinaryCall) WriteInterim(status int, interim http.Header) {
+func (c *genericCall) WriteInterim(status int, interim http.Header) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.isFinal {
@@ -129,8 +129,8 @@
 // Finish stops reading the request. If an answer has been given before the body came to its end, it
 // reads and discards the rest for a moment: closing at once would reset the connection and could drop
 // the answer before the client has read it.
-func (o *Ordinary) Finish(exchange *service.Exchange) {
-	call := exchange.Forwarder.(*ordinaryCall)
+func (o *GenericHTTP) Finish(exchange *service.Exchange) {
+	call := exchange.Forwarder.(*genericCall)
 	call.endInterim()
 	body := call.Body
 	if body == nil {
@@ -148,7 +148,7 @@
 }
 
 // endInterim ends the writing of interim responses.
-func (c *ordinaryCall) endInterim() {
+func (c *genericCall) endInterim() {
 	c.mu.Lock()
 	c.isFinal = true
 	c.mu.Unlock()
--- a/internal/front/ordinary.go
+++ b/internal/front/generic_http.go
@@ -24,9 +24,9 @@
 
 const requestIDHeader = "X-Request-Id"
 
-// OrdinaryOptions configure the Ordinary protocol of one service. Where a configuration key has another word,
+// GenericHTTPOptions configure generic HTTP of one service. Where a configuration key has another word,
 // the comment names it.
-type OrdinaryOptions struct {
+type GenericHTTPOptions struct {
 	// Customers identifies the customer of a request. Nil treats all as anonymous.
 	Customers *customer.Directory
 	// SafeClass is the class of requests with a safe method (RFC 9110, 9.2.1) and UnsafeClass that
@@ -54,23 +54,23 @@
 	TrustedProxies    []netip.Prefix
 }
 
-// Ordinary is the Protocol of plain HTTP/1.x (RFC 9110 and 9112), with any client and any app server.
+// GenericHTTP is the Protocol of plain HTTP/1.x (RFC 9110 and 9112), with any client and any app server.
 // It is safe for concurrent use.
-type Ordinary struct {
-	OrdinaryOptions
+type GenericHTTP struct {
+	GenericHTTPOptions
 	ids atomic.Uint64 // last request ID given to the service
 }
 
-// NewOrdinary returns the protocol of one service.
-func NewOrdinary(o OrdinaryOptions) *Ordinary {
+// NewGenericHTTP returns the protocol of one service.
+func NewGenericHTTP(o GenericHTTPOptions) *GenericHTTP {
 	if o.Customers == nil {
 		o.Customers = customer.New(customer.Options{})
 	}
-	return &Ordinary{OrdinaryOptions: o}
+	return &GenericHTTP{GenericHTTPOptions: o}
 }
 
 // ReadRequest checks the head of a request and prepares to forward it.
-func (o *Ordinary) ReadRequest(r *http.Request, target *Target, _ string, arrived time.Time) (*service.Exchange, *BadRequest) {
+func (o *GenericHTTP) ReadRequest(r *http.Request, target *Target, _ string, arrived time.Time) (*service.Exchange, *BadRequest) {
 	if badRequest := o.checkHead(r, target); badRequest != nil {
 		return nil, badRequest
 	}
@@ -92,14 +92,14 @@
 		FanOut: target.Service.GroupSize, IsWrite: !protocol.IsSafeMethod(r.Method),
 	}
 	request.Customer, request.Plan = o.Customers.Identify(r, arrived)
-	call := &ordinaryCall{maxBodyBytes: target.MaxBodyBytes, idleTimeout: o.IdleTimeout}
+	call := &genericCall{maxBodyBytes: target.MaxBodyBytes, idleTimeout: o.IdleTimeout}
 	o.setRelay(&call.RelayedRequest, r, target, timeout)
 	call.Exchange = service.Exchange{Request: request, Forwarder: call, Deadline: arrived.Add(timeout)}
 	return &call.Exchange, nil
 }
 
 // checkHead rejects what the protocol does not forward.
-func (o *Ordinary) checkHead(r *http.Request, target *Target) *BadRequest {
+func (o *GenericHTTP) checkHead(r *http.Request, target *Target) *BadRequest {
 	if badRequest := checkMessage(r); badRequest != nil {
 		return badRequest
 	}
@@ -113,7 +113,7 @@
 }
 
 // classOf returns the class of a request, which need not be one of the service.
-func (o *Ordinary) classOf(r *http.Request, target *Target) string {
+func (o *GenericHTTP) classOf(r *http.Request, target *Target) string {
 	class := target.Class
 	if class == "" {
 		if class = o.UnsafeClass; protocol.IsSafeMethod(r.Method) {
@@ -127,7 +127,7 @@
 }
 
 // requestedTimeout returns the timeout that a client asks for; empty for none.
-func (o *Ordinary) requestedTimeout(r *http.Request) string {
+func (o *GenericHTTP) requestedTimeout(r *http.Request) string {
 	if o.TimeoutHeader == "" {
 		return ""
 	}
@@ -135,7 +135,7 @@
 }
 
 // setRelay fills in what is forwarded of a request.
-func (o *Ordinary) setRelay(relay *upstream.RelayedRequest, r *http.Request, target *Target, timeout time.Duration) {
+func (o *GenericHTTP) setRelay(relay *upstream.RelayedRequest, r *http.Request, target *Target, timeout time.Duration) {
 	peer := hopheaders.Peer{Host: r.Host, Proto: "http"}
 	if address, err := netip.ParseAddrPort(r.RemoteAddr); err == nil {
 		peer.Addr = address.Addr()
--- a/internal/front/scatter_gather.go
+++ b/internal/front/scatter_gather.go
@@ -27,7 +27,7 @@
 	Tree      *scattergather.Tree
 	Leaves    []scattergather.Leaf
 	Gatherers []*scattergather.Gatherer // indexed by the IDs of trees
-	Targets   []Target                  // indexed like Leaves; all use the Ordinary protocol
+	Targets   []Target                  // indexed like Leaves; all use generic HTTP
 	Deadlines map[string]time.Duration  // by class
 	// DefaultClass is the class of requests whose route names none; they have to be GET or HEAD.
 	DefaultClass string
@@ -104,7 +104,7 @@
 		return deadline, nil
 	}
 	parse := parseTimeout
-	if g.TimeoutHeader == protocol.HeaderTimeLeft { // sent by another node, see OrdinaryOptions.SendTimeLeft
+	if g.TimeoutHeader == protocol.HeaderTimeLeft { // sent by another node, see GenericHTTPOptions.SendTimeLeft
 		parse = func(text string) (time.Duration, error) { return parseTimeLeft(text, maxTimeLeft) }
 	}
 	requested, err := parse(value)
@@ -182,8 +182,8 @@
 	for i := range g.Targets {
 		target := g.Targets[i]
 		target.Class = class
-		ordinary := target.Protocol.(*Ordinary)
-		exchange, badRequest := ordinary.ReadRequest(request, &target, "", arrived)
+		genericHTTP := target.Protocol.(*GenericHTTP)
+		exchange, badRequest := genericHTTP.ReadRequest(request, &target, "", arrived)
 		if badRequest != nil {
 			releaseCalls(calls)
 			return nil, badRequest
@@ -195,7 +195,7 @@
 		if target.Service.Admit(exchange, bodyBytes) {
 			bodyBytes = 0
 		}
-		calls = append(calls, scattergather.Call{Service: target.Service, Exchange: exchange, MaxBytes: ordinary.MaxBufferedAnswerBytes})
+		calls = append(calls, scattergather.Call{Service: target.Service, Exchange: exchange, MaxBytes: genericHTTP.MaxBufferedAnswerBytes})
 	}
 	return calls, nil
 }
@@ -213,7 +213,7 @@
 		return
 	}
 	for _, call := range calls {
-		relay := &call.Exchange.Forwarder.(*ordinaryCall).RelayedRequest
+		relay := &call.Exchange.Forwarder.(*genericCall).RelayedRequest
 		relay.Body, relay.ContentLength = retrybuffer.FromBytes(body), int64(len(body))
 	}
 }
--- a/internal/front/tunnel.go
+++ b/internal/front/tunnel.go
@@ -26,7 +26,7 @@
 
 // serveTunnel takes over the client's connection and copies bytes in both directions until both sides have
 // closed, one of them fails, or neither has sent anything for the idle timeout.
-func (o *Ordinary) serveTunnel(w http.ResponseWriter, answer service.Answer) {
+func (o *GenericHTTP) serveTunnel(w http.ResponseWriter, answer service.Answer) {
 	client, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
--- a/internal/front/validating_conn.go
+++ b/internal/front/validating_conn.go
@@ -78,7 +78,7 @@
 }
 
 // ValidatingListener wraps a listener so that its connections are scanned for malformed requests. A
-// Front with a service of the Ordinary protocol needs it.
+// Front with a service of generic HTTP needs it.
 func ValidatingListener(listener net.Listener) net.Listener { return validatingConnListener{listener} }
 
 // validatingConnListener accepts connections as *validatingConn.
--- a/internal/hopheaders/hopheaders.go
+++ b/internal/hopheaders/hopheaders.go
@@ -1,6 +1,6 @@
 // Package hopheaders determines which header fields of a message an intermediary forwards, drops, sets
 // or replaces (RFC 9110, 7.6), and the address of a client behind trusted proxies (RFC 7239). Package
-// front applies it to the requests and answers of the Ordinary protocol. It does no I/O and keeps no
+// front applies it to the requests and answers of generic HTTP. It does no I/O and keeps no
 // state, so all functions are safe for concurrent use.
 package hopheaders
 
--- a/internal/node/gatherers.go
+++ b/internal/node/gatherers.go
@@ -144,7 +144,7 @@
 	var accounts []*account
 	for _, leaf := range tree.leaves {
 		s := services[leaf.Name]
-		target.Targets = append(target.Targets, front.Target{Service: s.Service, MaxBodyBytes: s.cfg.Body, Protocol: s.ordinary})
+		target.Targets = append(target.Targets, front.Target{Service: s.Service, MaxBodyBytes: s.cfg.Body, Protocol: s.genericHTTP})
 		if s.cfg.Body >= 0 {
 			target.MaxBodyBytes = min(target.MaxBodyBytes, s.cfg.Body)
 		}
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -138,7 +138,7 @@
 	}
 	slog.Info("serving", "listen", l.Addr().String())
 	server, source := n.server, net.Listener(l)
-	if n.cfg.Process.Shared { // a reload may add services of ordinary HTTP
+	if n.cfg.Process.Shared { // a reload may add services of generic HTTP
 		source = front.ValidatingListener(l)
 	}
 	n.tasks.Go(func() {
--- a/internal/node/retirement.go
+++ b/internal/node/retirement.go
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// cancelOverdueStreams cancels retired services of ordinary HTTP that are overdue: only streamed answers,
+// cancelOverdueStreams cancels retired services of generic HTTP that are overdue: only streamed answers,
 // which have no deadline, can be left in them. It returns how long the others may still take. n.mu is held.
 func (n *Node) cancelOverdueStreams() time.Duration {
 	longest := retiredCheckInterval // time for the cancelled ones to end
@@ -107,7 +107,7 @@
 }
 
 // reportOverdue logs each retired service once that has lived longer than any of its requests may. Services
-// of ordinary HTTP are left out: a streamed answer has no deadline.
+// of generic HTTP are left out: a streamed answer has no deadline.
 func (n *Node) reportOverdue() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/routes.go
+++ b/internal/node/routes.go
@@ -27,8 +27,8 @@
 		}
 		s := services[r.Service]
 		target := front.Target{Service: s.Service, Class: r.As, MaxBodyBytes: s.cfg.Body, UpgradeProtocols: r.Upgrade}
-		if s.ordinary != nil {
-			target.Protocol = s.ordinary
+		if s.genericHTTP != nil {
+			target.Protocol = s.genericHTTP
 		}
 		table.Targets = append(table.Targets, target)
 	}
--- a/internal/node/services.go
+++ b/internal/node/services.go
@@ -29,7 +29,7 @@
 	*service.Service
 	cfg              config.Service
 	account          *account             // nil where services share nothing
-	ordinary         *front.Ordinary      // nil where clients speak the platform's protocol
+	genericHTTP      *front.GenericHTTP   // nil where clients speak the platform's protocol
 	leaseStores      []*leasestore.Client // that lend its hard limits; closed when it ends
 	generation       int                  // in which it began
 	predecessorEnded <-chan struct{}      // ended of the service that it replaced; nil where there is none
@@ -104,7 +104,7 @@
 // buildService makes the service itself and what it needs: its protocol, TLS files and lease stores.
 func (n *Node) buildService(r *runningService, predecessor *runningService, sharesUpstream, hasMetrics bool) (err error) {
 	cfg := r.cfg
-	if r.ordinary, err = newOrdinary(cfg); err != nil {
+	if r.genericHTTP, err = newGenericHTTP(cfg); err != nil {
 		return err
 	}
 	options := n.serviceOptions(r, hasMetrics)
@@ -134,7 +134,7 @@
 func (n *Node) serviceOptions(r *runningService, hasMetrics bool) service.Options {
 	cfg, account := r.cfg, r.account
 	options := service.Options{
-		Name: cfg.Name, AnyMethod: r.ordinary != nil, Settings: cfg.Settings, Seed: cfg.Seed, Source: cfg.Source, CachedEndpoints: cfg.Known,
+		Name: cfg.Name, AnyMethod: r.genericHTTP != nil, Settings: cfg.Settings, Seed: cfg.Seed, Source: cfg.Source, CachedEndpoints: cfg.Known,
 		OnPanic: cfg.OnPanic, OnReady: n.notifyReadyChanged, Protocol: cfg.Servers.Protocol, Limiter: n.limiter.requestLimiter(account),
 		Upstream: n.upstreamOptions(r),
 	}
@@ -165,7 +165,7 @@
 		ConnectTimeout: cfg.Connect, KeepAliveTimeout: cfg.Keepalive, MaxBodyBytes: int(cfg.Answer), SocketLimiter: n.limiter.upstreamSockets(r.account), QuietPeriod: upstream.SecondAnswerDelay,
 		HTTP2: upstream.HTTP2Options{
 			MaxStreams: cfg.Servers.Streams, MaxConnections: cfg.Servers.Connections, MaxConnectionAge: cfg.Servers.Age, FallbackPeriod: cfg.Servers.Again,
-			StartsAtLastByte: r.ordinary == nil,
+			StartsAtLastByte: r.genericHTTP == nil,
 		},
 	}
 	if r.account != nil {
@@ -212,8 +212,8 @@
 	return record.New(module, cfg.Settings, record.Options{Service: cfg.Name, Dir: cfg.Record.Dir, Bytes: cfg.Record.Bytes})
 }
 
-// newOrdinary makes the protocol of a service of ordinary HTTP; nil where clients speak the platform's.
-func newOrdinary(cfg config.Service) (*front.Ordinary, error) {
+// newGenericHTTP makes the protocol of a service of generic HTTP; nil where clients speak the platform's.
+func newGenericHTTP(cfg config.Service) (*front.GenericHTTP, error) {
 	http := cfg.HTTP
 	if http == nil {
 		return nil, nil
@@ -222,7 +222,7 @@
 	if err := customers.Load(planChecker(cfg)); err != nil {
 		return nil, err
 	}
-	return front.NewOrdinary(front.OrdinaryOptions{
+	return front.NewGenericHTTP(front.GenericHTTPOptions{
 		Customers: customers, SafeClass: config.ClassRead, UnsafeClass: config.ClassWrite, ClassWithoutKey: http.Once,
 		TimeoutHeader: http.TimeHeader, SendTimeLeft: http.SendTime, SendRequestID: http.SendID, ForwardingHeaders: http.Tells, TrustedProxies: http.Customers.TrustedProxies,
 		RetryBufferBytes: int(http.Replay), MaxBufferedAnswerBytes: int(cfg.Answer), IdleTimeout: http.Idle, MinBytesPerSecond: http.MinRate,
@@ -245,8 +245,8 @@
 	n.runningServices++
 	ctx, cancel := context.WithCancel(n.servicesContext)
 	s.cancel = cancel
-	if s.ordinary != nil {
-		n.tasks.Go(func() { s.ordinary.Customers.Follow(ctx, planChecker(s.cfg)) })
+	if s.genericHTTP != nil {
+		n.tasks.Go(func() { s.genericHTTP.Customers.Follow(ctx, planChecker(s.cfg)) })
 	}
 	if certificates := s.Upstream().TLS; certificates != nil {
 		n.tasks.Go(func() {
--- a/internal/responseclass/responseclass.go
+++ b/internal/responseclass/responseclass.go
@@ -1,4 +1,4 @@
-// Package responseclass classifies the answers of app servers in the Ordinary protocol: with which reason
+// Package responseclass classifies the answers of app servers in generic HTTP: with which reason
 // the attempt ends for the decision module, and whether the answer is final. Package upstream calls it
 // for each answer. It does no I/O; all functions are safe for concurrent use.
 //
--- a/internal/retrybuffer/retrybuffer.go
+++ b/internal/retrybuffer/retrybuffer.go
@@ -2,7 +2,7 @@
 // as long as no attempt has read beyond the buffer. The rest is read from the client once, at the pace of
 // the attempt, so a body of any size takes no more memory than the buffer.
 //
-// Package front makes a Body of each request of the Ordinary protocol; package upstream reads it, with a
+// Package front makes a Body of each request of generic HTTP; package upstream reads it, with a
 // new Reader for each attempt.
 package retrybuffer
 
--- a/internal/service/options.go
+++ b/internal/service/options.go
@@ -41,7 +41,7 @@
 	Predecessor     *Service               // that this one will replace, whose clock and ages of servers go on; may be nil
 
 	OnPanic   PanicPolicy
-	AnyMethod bool // requests of a class may come by any method, as in ordinary HTTP
+	AnyMethod bool // requests of a class may come by any method, as in generic HTTP
 
 	Limiter           RequestLimiter         // nil limits nothing
 	Streams           *Streams               // where open response streams are registered; may be nil
--- a/internal/testsupport/fake/origin.go
+++ b/internal/testsupport/fake/origin.go
@@ -42,7 +42,7 @@
 //	never100=1        Expect is not answered by 100
 const HeaderScript = "X-Script"
 
-// Origin is an app server of ordinary HTTP on raw connections, so that it can answer well or in
+// Origin is an app server of generic HTTP on raw connections, so that it can answer well or in
 // any other way. It tells what it was sent. It is safe for concurrent use.
 type Origin struct {
 	// Fault may change the script of each request, by chance; nil changes none.
--- a/internal/testsupport/ordinarytest/differential_test.go
+++ b/internal/testsupport/generichttptest/differential_test.go
@@ -1,6 +1,6 @@
-// Package ordinarytest holds the tests of ordinary HTTP through a whole node, against origins that
+// Package generichttptest holds the tests of generic HTTP through a whole node, against origins that
 // answer well or in any other way.
-package ordinarytest
+package generichttptest
 
 import (
 	"bufio"
@@ -27,14 +27,14 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // begin starts a node before origins, until the test ends.
-func begin(t testing.TB, origins ...*fake.Origin) *testbench.Ordinary {
+func begin(t testing.TB, origins ...*fake.Origin) *testbench.GenericHTTP {
 	t.Helper()
 	return beginWith(t, `drain = { idle = "0s", accept = "0s", most = "1s" }`, "", "", origins...)
 }
 
-func beginWith(t testing.TB, process, service, more string, origins ...*fake.Origin) *testbench.Ordinary {
+func beginWith(t testing.TB, process, service, more string, origins ...*fake.Origin) *testbench.GenericHTTP {
 	t.Helper()
-	o, err := testbench.StartOrdinary(origins, process, service, more)
+	o, err := testbench.StartGenericHTTP(origins, process, service, more)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testsupport/ordinarytest/hard_test.go
+++ b/internal/testsupport/generichttptest/hard_test.go
@@ -1,4 +1,4 @@
-package ordinarytest
+package generichttptest
 
 import (
 	"bufio"
@@ -18,7 +18,7 @@
 )
 
 // dial connects to a node until the test ends.
-func dial(t testing.TB, o *testbench.Ordinary) (net.Conn, *bufio.Reader) {
+func dial(t testing.TB, o *testbench.GenericHTTP) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", o.Node.Addr())
 	if err != nil {
@@ -49,7 +49,7 @@
 }
 
 // idle waits until the node holds nothing.
-func idle(t testing.TB, o *testbench.Ordinary) {
+func idle(t testing.TB, o *testbench.GenericHTTP) {
 	t.Helper()
 	testkit.Until(t, "nothing is held", func() bool {
 		st := o.Node.Status()[0]
@@ -363,7 +363,7 @@
 }
 
 // tunnelled opens a tunnel and has something go round in it.
-func tunnelled(t testing.TB, o *testbench.Ordinary) (net.Conn, *bufio.Reader) {
+func tunnelled(t testing.TB, o *testbench.GenericHTTP) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, in := dial(t, o)
 	ask(c, "GET", "upgrade=1", "Connection: Upgrade", "Upgrade: echo")
@@ -414,7 +414,7 @@
 	const streams, tunnels = 200, 50
 	// Tunnels are opened first: each counts as one of what the module lets out until it has begun.
 	process := "descriptors = 4096\ndrain = { idle = \"0s\", accept = \"0s\", most = \"700ms\" }\nclients = 800\nbytes = \"256MiB\""
-	o, err := testbench.StartOrdinary([]*fake.Origin{{}, {}}, process, "", "")
+	o, err := testbench.StartGenericHTTP([]*fake.Origin{{}, {}}, process, "", "")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testsupport/ordinarytest/http2_test.go
+++ b/internal/testsupport/generichttptest/http2_test.go
@@ -1,4 +1,4 @@
-package ordinarytest
+package generichttptest
 
 import (
 	"bufio"
--- a/internal/testsupport/testbench/ordinary.go
+++ b/internal/testsupport/testbench/generic_http.go
@@ -10,8 +10,8 @@
 	"lockflow/internal/testsupport/fake"
 )
 
-// Ordinary is a node of one service, app, that serves ordinary HTTP from origins.
-type Ordinary struct {
+// GenericHTTP is a node of one service, app, that serves generic HTTP from origins.
+type GenericHTTP struct {
 	Node    *node.Node
 	Origins []*fake.Origin
 
@@ -20,11 +20,11 @@
 	err  error
 }
 
-// StartOrdinary starts origins and a node before them. process and service are further lines of the
+// StartGenericHTTP starts origins and a node before them. process and service are further lines of the
 // configuration's [process] and [services.app], more is what stands behind it all; @origins stands
 // for the list of the origins as static servers.
-func StartOrdinary(origins []*fake.Origin, process, service, more string) (*Ordinary, error) {
-	o := &Ordinary{done: make(chan error, 1), stop: func() {}}
+func StartGenericHTTP(origins []*fake.Origin, process, service, more string) (*GenericHTTP, error) {
+	o := &GenericHTTP{done: make(chan error, 1), stop: func() {}}
 	for _, one := range origins {
 		if err := one.Start(); err != nil {
 			o.closeOrigins()
@@ -46,8 +46,8 @@
 	return o, nil
 }
 
-// Config is a configuration of the node as StartOrdinary has it.
-func (o *Ordinary) Config(process, service, more string) (config.Config, error) {
+// Config is a configuration of the node as StartGenericHTTP has it.
+func (o *GenericHTTP) Config(process, service, more string) (config.Config, error) {
 	if more == "" {
 		more = "[[routes]]\nservice = \"app\"\nupgrade = [\"echo\", \"websocket\"]\n"
 	}
@@ -56,7 +56,7 @@
 	return config.Parse("lab.toml", []byte(strings.ReplaceAll(text, "@origins", o.list())))
 }
 
-func (o *Ordinary) list() string {
+func (o *GenericHTTP) list() string {
 	var list []string
 	for _, one := range o.Origins {
 		list = append(list, fmt.Sprintf("{ endpoint = %q }", one.Addr()))
@@ -66,7 +66,7 @@
 
 // Stop drains the node and ends everything. Further calls do nothing; each gives the error with
 // which the node ended.
-func (o *Ordinary) Stop() error {
+func (o *GenericHTTP) Stop() error {
 	if o.done != nil {
 		o.stop()
 		o.err = <-o.done
@@ -77,9 +77,9 @@
 }
 
 // Drain has the node begin to drain; Stop waits for the end.
-func (o *Ordinary) Drain() { o.stop() }
+func (o *GenericHTTP) Drain() { o.stop() }
 
-func (o *Ordinary) closeOrigins() {
+func (o *GenericHTTP) closeOrigins() {
 	for _, one := range o.Origins {
 		one.Close()
 	}
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -4,7 +4,7 @@
 // Package service creates an Upstream for each service, a Pool for each of its servers, and calls the Attempt
 // method of a request for each attempt that its decision module starts. There are two kinds of request.
 // BufferedRequest is one of the platform's protocol: request and answer are complete in memory. RelayedRequest
-// is one of ordinary HTTP: bodies of any size pass through in both directions, and an answer that is not
+// is one of generic HTTP: bodies of any size pass through in both directions, and an answer that is not
 // buffered goes on as a Stream.
 //
 // Over HTTP/1.1 an attempt has a connection of its own (serverConn), taken from its pool or dialed. Over HTTP/2
--- a/internal/upstream/relayed_request.go
+++ b/internal/upstream/relayed_request.go
@@ -31,7 +31,7 @@
 	WriteInterim(status int, header http.Header)
 }
 
-// RelayedRequest is a request of ordinary HTTP (RFC 9110, 9112). Its fields do not change once the first attempt
+// RelayedRequest is a request of generic HTTP (RFC 9110, 9112). Its fields do not change once the first attempt
 // has started. At most one of its attempts runs at a time.
 type RelayedRequest struct {
 	// RequestMethod, Target and Host are forwarded unchanged.
