--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -1,10 +1,13 @@
 package docs
 
 import (
+	"go/parser"
+	"go/token"
 	"os"
 	"path/filepath"
 	"regexp"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 
@@ -79,3 +82,68 @@
 	}
 	return string(text)
 }
+
+// supportFolders hold what is no part of the running node.
+var supportFolders = []string{"internal/simulation/", "internal/testsupport/", "internal/trials/", "internal/ci/"}
+
+// supportUsers are production packages that may import support: the commands that offer the simulation and
+// the trials, and the program that draws what the simulation prints.
+var supportUsers = []string{"internal/command", "cmd/lockplot"}
+
+// TestProductionImportsNoSupport holds that no file of a production package, tests aside, imports a package
+// of the support folders.
+func TestProductionImportsNoSupport(t *testing.T) {
+	packages, err := naming.Packages("..")
+	if err != nil {
+		t.Fatal(err)
+	}
+	production := 0
+	for _, directory := range packages {
+		if isSupport(directory) || slices.Contains(supportUsers, directory) {
+			continue
+		}
+		production++
+		for _, imported := range importsOf(t, filepath.Join("..", directory)) {
+			if isSupport(imported) {
+				t.Errorf("%s imports %s, which is no part of the running node", directory, imported)
+			}
+		}
+	}
+	if production < 40 {
+		t.Fatalf("only %d production packages are found", production)
+	}
+}
+
+// isSupport tells whether the package in a directory, relative to the module, is no part of the running node.
+func isSupport(directory string) bool {
+	return slices.ContainsFunc(supportFolders, func(folder string) bool { return strings.HasPrefix(directory, folder) })
+}
+
+// importsOf returns the packages of this module that the files of a directory, tests aside, import.
+func importsOf(t *testing.T, directory string) []string {
+	t.Helper()
+	files, err := filepath.Glob(filepath.Join(directory, "*.go"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var imported []string
+	for _, name := range files {
+		if strings.HasSuffix(name, "_test.go") {
+			continue
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.ImportsOnly)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, spec := range file.Imports {
+			path, err := strconv.Unquote(spec.Path.Value)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if inModule, ok := strings.CutPrefix(path, "lockflow/"); ok {
+				imported = append(imported, inModule)
+			}
+		}
+	}
+	return imported
+}
--- a/internal/ci/naming/naming.go
+++ b/internal/ci/naming/naming.go
@@ -31,6 +31,32 @@
 	"ledger": "rollout log", "tally": "event log", "standin": "fake", "stranger": "unknown client",
 	"strangers": "unknown clients", "crowd": "overflow bucket", "fate": "stream outcome", "fates": "stream outcomes",
 	"doubt": "degraded condition", "doubts": "degraded conditions", "moot": "not sent",
+	// Pronouns, adverbs and verbs that stand where the name of a thing should.
+	"come": "arrived, received", "came": "arrived, received", "comes": "arrives",
+	"way": "direction, kind", "ways": "options", "lingers": "half-life of late results", "ahead": "margin, lead time",
+	"once": "the event that is awaited", "look": "evaluation", "looks": "evaluations", "looked": "last evaluated",
+	"took": "duration", "seen": "observed, visited", "saw": "observed", "who": "client, holder", "whose": "owner",
+	"ours": "local", "our": "local", "mine": "local", "theirs": "remote", "heard": "status reply", "hear": "receive",
+	"patience": "maximum queue time", "said": "output, reported", "say": "report", "tell": "report, notify", "tells": "reports",
+	"begun": "started, sent", "circle": "cycle", "circling": "cyclic", "passing": "transient", "unsure": "incomplete",
+	"sweep": "rollback pass", "again": "retry, repeat", "let": "admit", "lets": "admits", "within": "timeout",
+	"lasts": "duration", "doubtful": "degraded", "doubting": "degraded", "standins": "fakes", "taps": "captures",
+	"ground": "fixture", "young": "recently started", "wary": "cautious", "wild": "out of range", "mild": "minor",
+	"milder": "less severe", "dear": "costly", "deaf": "partitioned", "mute": "unresponsive", "luck": "chance of",
+	"liar": "misreporting", "lie": "misreport", "spoken": "protocol", "spoilt": "corrupt", "fallen": "overloaded",
+	"goes": "direction", "nowhere": "no destination", "everywhere": "all", "wander": "random walk", "bystand": "unaffected",
+	"befall": "fault", "beside": "concurrent", "beyond": "above, excess", "people": "clients", "thing": "item",
+	"things": "items", "voice": "report", "voices": "reports", "dose": "intensity", "meets": "intersects",
+	"bears": "capacity", "alike": "equal", "apart": "distance, separate", "lately": "recent", "gives": "result",
+	"knows": "has, known", "holds": "contains, satisfied", "stays": "remains", "speaks": "protocol", "carries": "contains",
+}
+
+// falseFriends are names in which a plain word has its usual meaning in Go or in the field.
+var falseFriends = map[string]bool{
+	// Of type sync.Once, or functions that do a thing at most once.
+	"once": true, "closeOnce": true, "abortOnce": true, "doOnce": true, "endOnce": true, "releaseOnce": true, "killOnce": true,
+	// Take over: what a successor does with its predecessor's role.
+	"SuccessorTookOver": true, "successorTookOver": true, "messageTookOver": true, "neverTookOver": true, "TookOver": true,
 }
 
 // Finding is one declared name that holds a plain word.
@@ -75,7 +101,7 @@
 
 // Packages returns the directories below root that hold Go files, relative to it and sorted.
 func Packages(root string) ([]string, error) {
-	seen := map[string]bool{}
+	hasGoFiles := map[string]bool{}
 	err := filepath.WalkDir(root, func(path string, entry os.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -88,7 +114,7 @@
 			if err != nil {
 				return err
 			}
-			seen[filepath.ToSlash(directory)] = true
+			hasGoFiles[filepath.ToSlash(directory)] = true
 		}
 		return nil
 	})
@@ -96,7 +122,7 @@
 		return nil, fmt.Errorf("walking %s: %w", root, err)
 	}
 	var directories []string
-	for directory := range seen {
+	for directory := range hasGoFiles {
 		directories = append(directories, directory)
 	}
 	sort.Strings(directories)
@@ -141,6 +167,9 @@
 
 // plainWord returns the first plain word in a name in Go's case, or nothing.
 func plainWord(name string) string {
+	if falseFriends[name] {
+		return ""
+	}
 	for _, word := range splitWords(name) {
 		if _, ok := plainWords[word]; ok {
 			return word
