--- a/control/account.go
+++ b/control/account.go
@@ -21,6 +21,11 @@
 // isIdle tells whether the customer has nothing in flight or queued; subtraction may leave a rounding error.
 func (a *customerAccount) isIdle() bool { return a.inFlight.current == 0 && a.queuedUnits < epsilon }
 
+// isIdleFor tells whether the customer is idle and its account was last used longer than a time ago.
+func (a *customerAccount) isIdleFor(limit, now time.Duration) bool {
+	return now-a.updatedAt > limit && a.isIdle()
+}
+
 // charge is what an attempt took from the buckets of an account.
 type charge struct {
 	units       float64 // the request's
--- a/control/admission.go
+++ b/control/admission.go
@@ -20,39 +20,64 @@
 
 // handleRequest admits a request to the queue of its plan, or rejects it.
 func (c *Controller) handleRequest(event Request) {
-	class, plan := c.classes[event.Class], c.plansByName[event.Plan]
 	if c.requests[event.ID] != nil {
 		return
-	} else if cause := unusableCause(event, class, plan); cause != CauseNone {
+	}
+	class := c.classes[event.Class]
+	plan := c.plansByName[event.Plan]
+	if cause := unusableCause(event, class, plan); cause != CauseNone {
 		c.reject(event.ID, cause)
 		return
 	}
 	c.fleet.requestUnits.add(c.countedUnits(event.Units), fleetEstimateGain)
 	account := c.accountFor(plan, event.Customer, event.FanOut)
 	waited := c.clientWait(event, class)
-	latency := durationOf(c.fleet.latency.mean)
-	isLate := waited+latency >= class.LatencyObjective
-	// Guards against rejecting all for good after one slow answer: with nothing in flight, an attempt has to
-	// show whether servers still are slow.
-	if latency >= class.LatencyObjective && waited < class.LatencyObjective && c.slots.inFlight == 0 {
-		isLate = false
-	}
+	isLate := c.isExpectedLate(class, waited)
 	if cause := c.admissionCause(account, class, event.Units, isLate); cause != CauseNone {
 		c.reject(event.ID, cause)
 		return
 	}
-	req := &request{id: event.ID, class: class, plan: plan, account: account, units: event.Units}
-	req.arrivedAt, req.isStreaming = c.now, event.HasPendingBody
-	req.objectiveAt, req.deadline = c.now+class.LatencyObjective-waited, c.now+event.Timeout
+	req := &request{
+		id:          event.ID,
+		class:       class,
+		plan:        plan,
+		account:     account,
+		units:       event.Units,
+		arrivedAt:   c.now,
+		objectiveAt: c.now + class.LatencyObjective - waited,
+		deadline:    c.now + event.Timeout,
+		isStreaming: event.HasPendingBody,
+	}
 	c.requests[req.id] = req
 	c.retryBudget.earn()
 	plan.pushBack(req)
-	waitFraction := queueWaitFraction
-	if plan.MaxInFlight > 0 {
-		waitFraction = inFlightQuotaWaitFraction
+	c.armTimer(req, c.maxQueueTime(req))
+}
+
+// isExpectedLate tells whether the latency objective of a request whose client has waited for a time can
+// not be met.
+func (c *Controller) isExpectedLate(class *Class, waited time.Duration) bool {
+	latency := durationOf(c.fleet.latency.mean)
+	// Guards against rejecting all for good after one slow answer: with nothing in flight, an attempt has to
+	// show whether servers still are slow.
+	needsSample := latency >= class.LatencyObjective && c.slots.inFlight == 0
+	if needsSample && waited < class.LatencyObjective {
+		return false
+	}
+	return waited+latency >= class.LatencyObjective
+}
+
+// maxQueueTime is how long a new request may be queued: a part of its latency objective and of its
+// client's timeout, and no longer than an answer can still meet the objective.
+func (c *Controller) maxQueueTime(req *request) time.Duration {
+	fraction := queueWaitFraction
+	if req.plan.MaxInFlight > 0 {
+		fraction = inFlightQuotaWaitFraction
 	}
-	maxWait := time.Duration(waitFraction * float64(class.LatencyObjective))
-	c.armTimer(req, min(maxWait, event.Timeout/2, max(req.objectiveAt-c.now-latency, tickPeriod)))
+	maxWait := time.Duration(fraction * float64(req.class.LatencyObjective))
+	slack := req.objectiveAt - c.now - durationOf(c.fleet.latency.mean)
+	timeout := req.deadline - c.now
+	return min(maxWait, timeout/2, max(slack, tickPeriod))
 }
 
 // unusableCause is why a request is rejected whatever the load; CauseNone is none.
@@ -62,7 +87,11 @@
 		return CauseOverCapacity
 	case event.IsOverHardLimit:
 		return CauseHardLimit
-	case class == nil || plan == nil || !(event.Units >= 0) || event.Timeout <= 0:
+	case class == nil || plan == nil:
+		return CauseInvalid
+	case !(event.Units >= 0): // also NaN
+		return CauseInvalid
+	case event.Timeout <= 0:
 		return CauseInvalid
 	}
 	return CauseNone
@@ -75,17 +104,20 @@
 	typical := c.typicalDeadlines[class]
 	shortfall := typical.deadline - event.Timeout
 	isOutlier := shortfall > max(c.clockAdvance, tickPeriod) || shortfall < -tickPeriod
-	isRetry := event.IsRetry || !c.settings.RetriesAreMarked && isOutlier && typical.support > 0
+	looksLikeRetry := isOutlier && typical.support > 0
+	isRetry := event.IsRetry || !c.settings.RetriesAreMarked && looksLikeRetry
 	if !event.IsRetry {
 		typical.observe(event.Timeout, isOutlier)
 	}
 	if !isRetry {
 		return min(max(shortfall, 0), c.clockAdvance)
-	} else if !isOutlier { // its deadline is that of a first attempt
-		return min(c.minRetryGap, class.Deadline-event.Timeout)
 	}
-	c.minRetryGap = min(c.minRetryGap, class.Deadline-event.Timeout)
-	return class.Deadline - event.Timeout
+	elapsed := class.Deadline - event.Timeout
+	if !isOutlier { // its deadline is that of a first attempt
+		return min(c.minRetryGap, elapsed)
+	}
+	c.minRetryGap = min(c.minRetryGap, elapsed)
+	return elapsed
 }
 
 func (c *Controller) reject(id string, cause Cause) {
@@ -105,15 +137,7 @@
 	key := plan.Name + " " + customer
 	account := c.accounts[key]
 	if account == nil {
-		account = &customerAccount{plan: plan, fanOut: math.Max(1, float64(fanOut)), updatedAt: c.now}
-		account.admissionRemainder = c.rng.Float64()
-		account.quota.tokens = c.rateFraction * plan.QuotaBurst
-		account.usage.rate = initialUsageFraction * plan.QuotaRate
-		// A gateway just started does not know what its predecessor has forwarded: the hard limit's
-		// bucket begins with the slack only and fills from the gateway's start.
-		filled := c.slackFraction*plan.HardLimitSlack + (c.now-c.fillingSince).Seconds()*plan.HardLimitRate
-		account.hardLimit.tokens = c.rateFraction * math.Min(plan.HardLimitBurst, filled) / account.fanOut
-		account.inFlight.limit = float64(plan.MaxInFlight) / account.fanOut
+		account = c.openAccount(plan, fanOut)
 		c.accounts[key] = account
 	}
 	account.fanOut = math.Max(account.fanOut, float64(fanOut))
@@ -121,9 +145,24 @@
 	return account
 }
 
+// openAccount returns the account of a customer that has none.
+func (c *Controller) openAccount(plan *planQueue, fanOut int) *customerAccount {
+	account := &customerAccount{plan: plan, fanOut: math.Max(1, float64(fanOut)), updatedAt: c.now}
+	account.admissionRemainder = c.rng.Float64()
+	account.quota.tokens = c.rateFraction * plan.QuotaBurst
+	account.usage.rate = initialUsageFraction * plan.QuotaRate
+	// A gateway just started does not know what its predecessor has forwarded: the hard limit's
+	// bucket begins with the slack only and fills from the gateway's start.
+	filled := c.slackFraction*plan.HardLimitSlack + (c.now-c.fillingSince).Seconds()*plan.HardLimitRate
+	account.hardLimit.tokens = c.rateFraction * math.Min(plan.HardLimitBurst, filled) / account.fanOut
+	account.inFlight.limit = float64(plan.MaxInFlight) / account.fanOut
+	return account
+}
+
 // refill brings an account up to now. Remote usage is charged as if it went on after its reading.
 func (c *Controller) refill(account *customerAccount) {
-	plan, elapsed := account.plan, (c.now - account.updatedAt).Seconds()
+	plan := account.plan
+	elapsed := (c.now - account.updatedAt).Seconds()
 	account.updatedAt = c.now
 	account.history.advance(c.currentBin())
 	remoteUnits := account.usage.remoteUnits(c.now, elapsed)
@@ -134,19 +173,18 @@
 }
 
 // admissionCause decides on a request at its arrival; CauseNone admits it.
-func (c *Controller) admissionCause(account *customerAccount, class *Class, units float64, late bool) Cause {
-	plan := account.plan
+func (c *Controller) admissionCause(
+	account *customerAccount, class *Class, units float64, isLate bool,
+) Cause {
 	account.history.arrivals.add(1)
 	account.demand.addRequest(c.now, units)
 	// Guards against requests that can only be late, or whose class weighs far less than the most
 	// important one, taking the tokens or the turn of others.
-	isSheddable := late || class.PriorityWeight < sheddableWeightRatio*c.maxPriorityWeight
-	maxTurnTime := sheddableTurnFraction * class.LatencyObjective.Seconds()
-	isScarce := !c.limiter.hasFreeSlot(c.now, c.slots.occupied(c.now)) && c.expectedTurnTime() > maxTurnTime ||
-		plan.QuotaRate > 0 && account.quota.tokens-account.queuedUnits < spareTokensFraction*plan.QuotaBurst
+	isSheddable := isLate || class.PriorityWeight < sheddableWeightRatio*c.maxPriorityWeight
+	isScarce := c.isTurnScarce(class) || account.isQuotaScarce()
 	var cause Cause
 	switch {
-	case late && !account.demand.isWellMetered(c.now, c.fillingSince):
+	case isLate && !account.demand.isWellMetered(c.now, c.fillingSince):
 		cause = CauseTooLate
 	case isSheddable && isScarce:
 		cause = CauseShed
@@ -159,6 +197,23 @@
 	return cause
 }
 
+// isTurnScarce tells whether a sheddable request of a class would take a turn that others need.
+func (c *Controller) isTurnScarce(class *Class) bool {
+	if c.limiter.hasFreeSlot(c.now, c.slots.occupied(c.now)) {
+		return false
+	}
+	maxTurnTime := sheddableTurnFraction * class.LatencyObjective.Seconds()
+	return c.expectedTurnTime() > maxTurnTime
+}
+
+// isQuotaScarce tells whether a sheddable request would take tokens that others need.
+func (a *customerAccount) isQuotaScarce() bool {
+	if a.plan.QuotaRate == 0 {
+		return false
+	}
+	return a.quota.tokens-a.queuedUnits < spareTokensFraction*a.plan.QuotaBurst
+}
+
 // expectedTurnTime is the time in seconds that a request that joins the queues now waits and occupies
 // its slot. Guards against rejecting what fast servers finish at once, only as the limit is reached.
 func (c *Controller) expectedTurnTime() float64 {
@@ -212,11 +267,17 @@
 	c.refill(account)
 	account.hardLimit.tokens -= units
 	factor := account.usage.groupFactor(account.fanOut, account.plan.QuotaRate, account.demand.isMetered)
-	groupUnits, before := units*factor, account.quota.tokens
+	groupUnits := units * factor
+	before := account.quota.tokens
 	account.quota.tokens = math.Max(-account.plan.QuotaBurst, before-groupUnits)
 	account.history.sent.add(units)
 	account.history.charged.add(groupUnits)
-	return charge{units, groupUnits, before - account.quota.tokens, c.currentBin()}
+	return charge{
+		units:       units,
+		groupUnits:  groupUnits,
+		quotaTokens: before - account.quota.tokens,
+		bin:         c.currentBin(),
+	}
 }
 
 // refund undoes the charge of an attempt that was not sent to any server.
@@ -232,16 +293,17 @@
 // many, all idle ones sooner. Hard limits stay safe: buckets of later accounts fill from that time on.
 func (c *Controller) evictIdleAccounts() {
 	for key, account := range c.accounts {
-		if c.now-account.updatedAt > maxAccountIdleTime && account.isIdle() && c.hasFullBuckets(account) {
+		if account.isIdleFor(maxAccountIdleTime, c.now) && c.hasFullBuckets(account) {
 			delete(c.accounts, key)
 		}
 	}
 	maxIdle := maxAccountIdleTime
 	for len(c.accounts) > maxAccounts/2 && maxIdle > windowDuration {
 		maxIdle /= 2
-		c.fillingSince, c.slackFraction = max(c.fillingSince, c.now-maxIdle), 0 // each has had its slack
+		c.fillingSince = max(c.fillingSince, c.now-maxIdle)
+		c.slackFraction = 0 // each has had its slack
 		for key, account := range c.accounts {
-			if c.now-account.updatedAt > maxIdle && account.isIdle() {
+			if account.isIdleFor(maxIdle, c.now) {
 				delete(c.accounts, key)
 			}
 		}
@@ -250,9 +312,14 @@
 
 // hasFullBuckets tells whether the buckets of an idle account would be full if they were refilled now.
 func (c *Controller) hasFullBuckets(account *customerAccount) bool {
-	plan, elapsed := account.plan, (c.now - account.updatedAt).Seconds()
+	plan := account.plan
+	if plan.MaxInFlight > 0 { // its limit is learned
+		return false
+	}
+	elapsed := (c.now - account.updatedAt).Seconds()
 	quotaTokens := account.quota.tokens + elapsed*(plan.QuotaRate-account.usage.currentRemoteRate(c.now))
 	hardLimitTokens := account.hardLimit.tokens + elapsed*plan.HardLimitRate/account.fanOut
-	return plan.MaxInFlight == 0 && (plan.QuotaRate == 0 || quotaTokens >= plan.QuotaBurst) &&
-		(plan.HardLimitRate == 0 || hardLimitTokens >= plan.HardLimitBurst/account.fanOut)
+	isQuotaFull := plan.QuotaRate == 0 || quotaTokens >= plan.QuotaBurst
+	isHardLimitFull := plan.HardLimitRate == 0 || hardLimitTokens >= plan.HardLimitBurst/account.fanOut
+	return isQuotaFull && isHardLimitFull
 }
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -9,10 +9,14 @@
 	retryBudgetPerRequest = 0.1 // retries that an admitted request earns
 	minRetryCost          = 0.1 // of the retry budget
 	maxAbandonedLatencies = 2.0 // mean latencies that an abandoned attempt is presumed to run
+
+	retryDeadlineMargin = time.Millisecond // time before a request's deadline from which it is not retried
 )
 
+// handleStarted takes the start of a streamed answer. From then on its attempt occupies no slot, as its
+// length says nothing of the server.
 func (c *Controller) handleStarted(event ResponseStarted) {
-	attempt := c.attempts[attemptKey{event.ID, event.Attempt}]
+	attempt := c.attempts[attemptKey{id: event.ID, number: event.Attempt}]
 	if attempt == nil || attempt.request.isStreaming {
 		return
 	}
@@ -21,8 +25,9 @@
 	c.recordAnswer(attempt, event.Delay)
 }
 
+// handleResponse takes the end of an attempt.
 func (c *Controller) handleResponse(event AttemptResult) {
-	attempt := c.recordAttemptEnd(attemptKey{event.ID, event.Attempt})
+	attempt := c.recordAttemptEnd(attemptKey{id: event.ID, number: event.Attempt})
 	if attempt == nil {
 		return
 	}
@@ -70,21 +75,13 @@
 
 // recordOutcome updates server, window and request by how an attempt ended.
 func (c *Controller) recordOutcome(attempt *pendingAttempt, event AttemptResult) {
-	srv, req := attempt.server, attempt.request
+	srv := attempt.server
+	req := attempt.request
 	elapsed := (c.now - attempt.sentAt).Seconds()
 	srv.outlier.recordOutcome(c.now, event.Reason, req.plan)
 	switch event.Reason {
 	case OK:
-		if !srv.slowStart.isActive {
-			c.window.servedUnits += c.countedUnits(req.units)
-		}
-		if event.ActualUnits > 0 && c.settings.UnitsInResponse {
-			c.refill(attempt.account)
-			attempt.account.quota.tokens -= event.ActualUnits - req.units
-		}
-		if !req.isStreaming {
-			c.recordAnswer(attempt, c.now-attempt.sentAt)
-		}
+		c.recordSuccess(attempt, event)
 	case RejectedByServer:
 		c.window.overloads++
 	case TimedOut:
@@ -93,14 +90,29 @@
 		}
 		c.window.overloads++
 	}
-	mayStillRun := event.Reason == TimedOut || event.Reason == Cancelled
-	if mayStillRun {
+	if event.Reason.mayStillRun() {
 		runsFor := durationOf(math.Min(elapsed, maxAbandonedLatencies*c.fleet.latency.mean))
 		c.slots.abandon(srv, c.now+runsFor)
 	}
-	mayHaveRun := event.Reason == Errored || event.Reason == ResetByPeer || mayStillRun
-	if mayHaveRun && !req.mayHaveRun {
-		req.mayHaveRun, req.firstRunAt, req.repeatGroup = true, attempt.sentAt, srv
+	if event.Reason.mayHaveRun() && !req.mayHaveRun {
+		req.mayHaveRun = true
+		req.firstRunAt = attempt.sentAt
+		req.repeatGroup = srv
+	}
+}
+
+// recordSuccess takes an attempt that the server answered.
+func (c *Controller) recordSuccess(attempt *pendingAttempt, event AttemptResult) {
+	req := attempt.request
+	if !attempt.server.slowStart.isActive {
+		c.window.servedUnits += c.countedUnits(req.units)
+	}
+	if event.ActualUnits > 0 && c.settings.UnitsInResponse {
+		c.refill(attempt.account)
+		attempt.account.quota.tokens -= event.ActualUnits - req.units
+	}
+	if !req.isStreaming {
+		c.recordAnswer(attempt, c.now-attempt.sentAt)
 	}
 }
 
@@ -127,29 +139,41 @@
 // allow it, else ends it. An attempt that failed at once costs little of the budget. Guards against
 // a storm of errors that uses it up while most servers still serve half of their requests.
 func (c *Controller) retryOrEnd(req *request, attempt *pendingAttempt, reason Reason) {
-	cost := 1.0
-	if reason == Errored || reason == ResetByPeer || reason == ConnectFailed {
-		cost = (c.now - attempt.sentAt).Seconds() / math.Max(c.fleet.latency.mean, epsilon)
-		cost = math.Min(1, math.Max(minRetryCost, cost))
-	}
-	canRetry := reason != NotSent && c.retryBudget.covers(cost) && c.now < req.deadline-time.Millisecond &&
-		(c.settings.MaxAttempts == 0 || req.attempts < c.settings.MaxAttempts)
-	canRepeat := !req.mayHaveRun || req.class.Idempotency == Idempotent ||
-		req.hasIdempotencyKey() && c.now < req.repeatsDroppedUntil()
-	if !canRetry || !canRepeat {
+	cost := retryCost(reason, c.now-attempt.sentAt, c.fleet.latency.mean)
+	isAllowed := reason != NotSent && c.canAttemptAgain(req) && req.canRunAgain(c.now)
+	if !isAllowed || !c.retryBudget.covers(cost) {
 		c.endUnserved(req, CauseNoRetry)
 		return
 	}
-	c.retryBudget.retries -= cost
+	c.retryBudget.spend(cost)
 	req.plan.pushFront(req)
 	// Guards against a retry that is queued beyond the client's deadline or its key's repeat window.
-	until := req.deadline - time.Millisecond
+	until := req.lastRetryAt()
 	if req.mayHaveRun && req.hasIdempotencyKey() {
 		until = min(until, req.repeatsDroppedUntil())
 	}
 	c.armTimer(req, until-c.now)
 }
 
+// retryCost is what a retry costs of the budget, given how the attempt before it ended, how long it took,
+// and the mean latency in seconds.
+func retryCost(reason Reason, elapsed time.Duration, meanLatencySeconds float64) float64 {
+	isFailure := reason == Errored || reason == ResetByPeer || reason == ConnectFailed
+	if !isFailure {
+		return 1
+	}
+	cost := elapsed.Seconds() / math.Max(meanLatencySeconds, epsilon)
+	return math.Min(1, math.Max(minRetryCost, cost))
+}
+
+// canAttemptAgain tells whether the deadline and the maximum number of attempts allow another one.
+func (c *Controller) canAttemptAgain(req *request) bool {
+	if c.now >= req.lastRetryAt() {
+		return false
+	}
+	return c.settings.MaxAttempts == 0 || req.attempts < c.settings.MaxAttempts
+}
+
 // endUnserved gives the final answer of a request that was not served: a rejection if that is allowed.
 func (c *Controller) endUnserved(req *request, cause Cause) {
 	if c.canReject(req) {
@@ -162,10 +186,18 @@
 
 // canReject tells whether the client may repeat the request safely, as it does after a rejection.
 func (c *Controller) canReject(req *request) bool {
-	return req.class.Idempotency == Idempotent || !req.mayHaveRun && req.inFlight == 0 ||
-		req.hasIdempotencyKey() && req.class.KeyScope == ScopeAll
+	if req.class.Idempotency == Idempotent {
+		return true
+	}
+	if req.hasIdempotencyKey() && req.class.KeyScope == ScopeAll {
+		return true
+	}
+	return !req.mayHaveRun && req.inFlight == 0
 }
 
+// earn adds what an admitted request brings.
 func (b *retryBudget) earn() { b.retries = math.Min(maxRetryBudget, b.retries+retryBudgetPerRequest) }
 
 func (b *retryBudget) covers(cost float64) bool { return b.retries >= cost }
+
+func (b *retryBudget) spend(cost float64) { b.retries -= cost }
--- a/control/controller.go
+++ b/control/controller.go
@@ -31,7 +31,9 @@
 		return nil, err
 	}
 	c := newController(settings, seed)
-	c.retryBudget.retries, c.minRetryGap, c.meter.lagBins = maxRetryBudget, rejectRetryAfter, initialMeterLagBins
+	c.retryBudget.retries = maxRetryBudget
+	c.minRetryGap = rejectRetryAfter
+	c.meter.lagBins = initialMeterLagBins
 	c.fleet.requestUnits.mean = (1 + math.Max(1, settings.MaxUnits)) / 2 // until there are requests
 	for _, plan := range c.plans {
 		plan.share = 1 / float64(len(c.plans))
@@ -39,8 +41,11 @@
 	return c, nil
 }
 
+// handleList takes a change of the endpoint list. After a failure the list is watched again at a random
+// time, as all gateways see the same failure.
 func (c *Controller) handleList(event EndpointList) {
-	c.isWatching = c.settings.ListOnRequest && event.Kind != ListCached && event.Kind != ListFailed
+	isFromWatch := event.Kind == ListPatch || event.Kind == ListComplete
+	c.isWatching = c.settings.ListOnRequest && isFromWatch
 	if event.Kind == ListFailed {
 		c.nextWatchAt = c.now + rewatchInterval/2 + time.Duration(c.rng.Int64N(int64(rewatchInterval)))
 		return
@@ -55,23 +60,38 @@
 func (c *Controller) handleTimer(label uint64) {
 	if label == tickTimerLabel {
 		c.handleTick()
-	} else if req := c.requestsByTimer[label]; req != nil && req.isQueued {
-		// Guards against a starved plan that seems punctual: a request shed counts as late by its deadline.
-		req.plan.recordLateness(math.Max(1, req.class.Deadline.Seconds()/req.class.LatencyObjective.Seconds()))
-		c.endUnserved(req, CauseQueueTimeout)
+		return
+	}
+	req := c.requestsByTimer[label]
+	if req == nil || !req.isQueued {
+		return
 	}
+	// Guards against a starved plan that seems punctual: a request shed counts as late by its deadline.
+	req.plan.recordLateness(math.Max(1, req.class.Deadline.Seconds()/req.class.LatencyObjective.Seconds()))
+	c.endUnserved(req, CauseQueueTimeout)
 }
 
+// handleTick watches the endpoint list again if its watch has ended, and ends the control window if it is
+// due.
 func (c *Controller) handleTick() {
 	c.emit(StartTimer{After: tickPeriod, Label: tickTimerLabel})
-	if c.settings.ListOnRequest && !c.isWatching && c.now >= c.nextWatchAt {
+	needsWatch := c.settings.ListOnRequest && !c.isWatching
+	if needsWatch && c.now >= c.nextWatchAt {
 		c.emit(WatchEndpoints{Active: true})
 		c.nextWatchAt = c.now + rewatchInterval
 	}
-	// A window of few answers goes on, as their mean says little.
-	hasAnswers := c.window.answers+c.window.overloads >= minAnswersPerWindow
-	if c.now >= c.windowEndsAt && (hasAnswers || c.now >= c.windowEndsAt+maxWindowExtension) {
+	if c.isWindowDue() {
 		c.endWindow((c.now - c.windowEndsAt + windowDuration).Seconds())
 		c.windowEndsAt = c.now + windowDuration
 	}
 }
+
+// isWindowDue tells whether the control window ends now. One with few answers is extended, as their mean
+// says little.
+func (c *Controller) isWindowDue() bool {
+	if c.now < c.windowEndsAt {
+		return false
+	}
+	hasEnoughAnswers := c.window.answers+c.window.overloads >= minAnswersPerWindow
+	return hasEnoughAnswers || c.now >= c.windowEndsAt+maxWindowExtension
+}
--- a/control/events.go
+++ b/control/events.go
@@ -50,6 +50,12 @@
 	NotSent          Reason = 307 // never ran
 )
 
+// mayStillRun tells whether the attempt may still be running at its server.
+func (r Reason) mayStillRun() bool { return r == TimedOut || r == Cancelled }
+
+// mayHaveRun tells whether the attempt may have had an effect.
+func (r Reason) mayHaveRun() bool { return r == Errored || r == ResetByPeer || r.mayStillRun() }
+
 // LoadReport is what a server reports of its load; a negative value was not reported.
 type LoadReport struct {
 	InFlight          float64 `cbor:"Active"`
--- a/control/request.go
+++ b/control/request.go
@@ -28,6 +28,17 @@
 // repeatsDroppedUntil is the end of the time in which the repeat group drops repeats of what may have run.
 func (r *request) repeatsDroppedUntil() time.Duration { return r.firstRunAt + r.class.RepeatWindow }
 
+// canRunAgain tells whether a second run would have no other effect than the first.
+func (r *request) canRunAgain(now time.Duration) bool {
+	if !r.mayHaveRun || r.class.Idempotency == Idempotent {
+		return true
+	}
+	return r.hasIdempotencyKey() && now < r.repeatsDroppedUntil()
+}
+
+// lastRetryAt is the time from which a retry comes too late for the client.
+func (r *request) lastRetryAt() time.Duration { return r.deadline - retryDeadlineMargin }
+
 // attemptKey names an attempt: the first of a request is number 0.
 type attemptKey struct {
 	id     string
@@ -68,13 +79,17 @@
 // abandon counts an attempt at a server that is presumed still running.
 func (s *attemptSlots) abandon(srv *server, until time.Duration) {
 	srv.abandoned++
-	s.abandoned = append(s.abandoned, abandonedAttempt{srv, until})
+	s.abandoned = append(s.abandoned, abandonedAttempt{server: srv, until: until})
 }
 
 // recordAttemptStart counts an attempt that starts now.
 func (c *Controller) recordAttemptStart(req *request, srv *server, charged charge) {
-	c.attempts[attemptKey{req.id, req.attempts}] = &pendingAttempt{
-		request: req, server: srv, account: req.account, sentAt: c.now, charge: charged,
+	c.attempts[attemptKey{id: req.id, number: req.attempts}] = &pendingAttempt{
+		request: req,
+		server:  srv,
+		account: req.account,
+		sentAt:  c.now,
+		charge:  charged,
 	}
 	req.attempts++
 	req.inFlight++
@@ -132,10 +147,13 @@
 
 // observe follows the majority of the deadlines.
 func (d *typicalDeadline) observe(deadline time.Duration, isOutlier bool) {
-	if isOutlier && d.support == 0 {
+	switch {
+	case !isOutlier:
+		d.support++
+	case d.support != 0:
+		d.support--
+	default:
 		d.deadline = deadline
-	} else if isOutlier {
-		d.support -= 2
+		d.support = 1
 	}
-	d.support++
 }
