--- a/control/concurrency_limit.go
+++ b/control/concurrency_limit.go
@@ -50,7 +50,8 @@
 	if l.isOverloaded(window, overloadFraction) {
 		window.wasCut = true
 		if now >= l.cutAt+durationOf(2*latency.mean) { // the answers are to attempts after the last cut
-			l.cutAt, l.limit = now, l.limit*limitDecreaseFactor
+			l.cutAt = now
+			l.limit *= limitDecreaseFactor
 		}
 	} else if overloadFraction <= overloadHoldFraction && window.limitReached {
 		l.limit *= limitIncreaseFactor
@@ -60,23 +61,39 @@
 
 // isOverloaded tells whether a window shows that servers have too much to do.
 func (l *concurrencyLimiter) isOverloaded(window *controlWindow, overloadFraction float64) bool {
-	latencyRatio := window.latencyRatioSum / math.Max(1, window.latencyCount)
-	isLate := latencyRatio > latencyCutFraction && (latencyRatio > latencyHardCutFraction ||
-		window.latencySecondsSum > window.latencyCount*idleLatencyCutFactor*l.idleLatency)
+	// Guards, in a large group, against cutting for a few answers that are slow by chance or come from
+	// slow servers, to which others send no less; many answers are sure without load reports.
+	isSure := window.latencyCount >= sureAnswerCount || window.utilizationCount == 0
+	reportsAreFull := window.utilizationSum > window.utilizationCount*fullUtilization
+	if !isSure && !reportsAreFull {
+		return false
+	}
+	if l.isLate(window) {
+		return true
+	}
 	// Guards against servers that reject a plan though they have capacity: answers are not slow then.
 	isSlow := window.latencyCount == 0 ||
 		window.latencySecondsSum > window.latencyCount*overloadIdleLatencyFactor*l.idleLatency
-	// Guards, in a large group, against cutting for a few answers that are slow by chance or come from
-	// slow servers, to which others send no less; many answers are sure without load reports.
-	serversAreFull := window.latencyCount >= sureAnswerCount || window.utilizationCount == 0 ||
-		window.utilizationSum > window.utilizationCount*fullUtilization
-	return serversAreFull && (isLate || overloadFraction > overloadCutFraction && isSlow)
+	return overloadFraction > overloadCutFraction && isSlow
+}
+
+// isLate tells whether the mean latency of a window shows overload by itself.
+func (l *concurrencyLimiter) isLate(window *controlWindow) bool {
+	latencyRatio := window.latencyRatioSum / math.Max(1, window.latencyCount)
+	if latencyRatio > latencyHardCutFraction {
+		return true
+	}
+	isAboveIdle := window.latencySecondsSum > window.latencyCount*idleLatencyCutFactor*l.idleLatency
+	return latencyRatio > latencyCutFraction && isAboveIdle
 }
 
 // hasFreeSlot tells whether another attempt is within the limit. A fractional slot pauses after each
 // use, so that hundreds of gateways may each have less than one attempt in flight.
 func (l *concurrencyLimiter) hasFreeSlot(now time.Duration, occupied float64) bool {
-	return occupied+1 <= l.limit || occupied < l.limit && now >= l.fractionalSlotFreeAt
+	if occupied+1 <= l.limit {
+		return true
+	}
+	return occupied < l.limit && now >= l.fractionalSlotFreeAt
 }
 
 // pauseAfter holds the fractional slot back after an attempt that ended.
@@ -88,13 +105,16 @@
 
 // updateShares has the share controller set the shares by the lateness of each plan.
 func (c *Controller) updateShares() {
-	lateness, shares := make([]float64, len(c.plans)), make([]float64, len(c.plans))
+	lateness := make([]float64, len(c.plans))
+	shares := make([]float64, len(c.plans))
 	for i, plan := range c.plans {
 		if plan.latenessCount > 0 {
 			plan.meanLateness = plan.latenessSum / plan.latenessCount
 		}
-		plan.latenessSum, plan.latenessCount = 0, 0
-		lateness[i], shares[i] = plan.meanLateness, plan.share
+		plan.latenessSum = 0
+		plan.latenessCount = 0
+		lateness[i] = plan.meanLateness
+		shares[i] = plan.share
 	}
 	if c.window.answers < minAnswersPerWindow {
 		return
--- a/control/endpoint_choice.go
+++ b/control/endpoint_choice.go
@@ -23,10 +23,7 @@
 func (c *Controller) chooseServer(req *request) *server {
 	var best *server
 	bestCost := math.Inf(1)
-	unknownPenalty := unknownServerPenalty
-	if c.countServers(func(srv *server) bool { return srv.load.isRecent(c.now) }) < minReportingServers {
-		unknownPenalty = 1 / unknownServerPenalty
-	}
+	unknownPenalty := c.unknownServerPenalty()
 	for _, srv := range c.sortedServers {
 		if !srv.isUsable() || !c.dropsRepeats(req, srv) || !c.allowsSlowStart(srv) {
 			continue
@@ -41,24 +38,41 @@
 			cost *= ejectedServerPenalty
 		}
 		if cost < bestCost {
-			best, bestCost = srv, cost
+			best = srv
+			bestCost = cost
 		}
 	}
 	return best
 }
 
+// unknownServerPenalty is the factor on the cost of a server without a recent load report. While few
+// servers have reported, it makes the others cheaper, so that they come to report.
+func (c *Controller) unknownServerPenalty() float64 {
+	reporting := c.countServers(func(srv *server) bool { return srv.load.isRecent(c.now) })
+	if reporting < minReportingServers {
+		return 1 / unknownServerPenalty
+	}
+	return unknownServerPenalty
+}
+
 // dropsRepeats tells whether a server would drop a repeat of what the request may have run.
 func (c *Controller) dropsRepeats(req *request, srv *server) bool {
-	switch {
-	case req.repeatGroup == nil || !req.hasIdempotencyKey():
+	if req.repeatGroup == nil || !req.hasIdempotencyKey() {
 		return true
-	case c.now >= req.repeatsDroppedUntil(): // it was queued for too long
+	}
+	if c.now >= req.repeatsDroppedUntil() { // it was queued for too long
 		return false
-	case req.class.KeyScope == ScopeAll:
+	}
+	switch req.class.KeyScope {
+	case ScopeAll:
 		return true
+	case ScopeZone:
+		return req.repeatGroup.Zone == srv.Zone
+	case ScopeCell:
+		return req.repeatGroup.Cell == srv.Cell
+	default:
+		return false
 	}
-	return req.class.KeyScope == ScopeZone && req.repeatGroup.Zone == srv.Zone ||
-		req.class.KeyScope == ScopeCell && req.repeatGroup.Cell == srv.Cell
 }
 
 // expectedWait is the cost of a server: its latency times the attempts of this gateway there, raised by
@@ -66,7 +80,9 @@
 // penalty. Guards against many gateways that each try all servers, slow ones too, in turn.
 func (c *Controller) expectedWait(srv *server, unknownPenalty float64) float64 {
 	fleetLatency := math.Max(c.fleet.latency.mean, 1e-3)
-	latency, slowdown, busy := fleetLatency, unknownPenalty, c.fleet.utilization.mean
+	latency := fleetLatency
+	slowdown := unknownPenalty
+	busy := c.fleet.utilization.mean
 	if srv.latency.samples > 0 {
 		freshSamples := srv.latency.samples * decayFactor(c.now-srv.latency.updatedAt, latencyDecaySeconds)
 		latency += (srv.latency.seconds - fleetLatency) * freshSamples / (freshSamples + latencyPriorSamples)
@@ -88,6 +104,7 @@
 	return cost * srv.outlier.costFactor(c.now) * (1 + tieBreakNoise*c.rng.Float64())
 }
 
+// add takes the latency of an answer, or the time after which there was none.
 func (l *latencyEstimate) add(now time.Duration, seconds float64) {
 	if l.seconds == 0 {
 		l.seconds = seconds
@@ -117,7 +134,8 @@
 	if srv.load.slowdown < minSlowdown {
 		srv.load.slowdown = 1
 	}
-	srv.load.utilization, srv.load.reportedAt = math.Min(1, report.Utilization), c.now
+	srv.load.utilization = math.Min(1, report.Utilization)
+	srv.load.reportedAt = c.now
 	c.window.utilizationSum += srv.load.utilization
 	c.window.utilizationCount++
 }
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -14,15 +14,18 @@
 		srv := c.servers[endpoint.Server]
 		if srv == nil {
 			srv = &server{outlier: outlierDetector{planRejectedUntil: make(map[*planQueue]time.Duration)}}
-			c.servers[endpoint.Server], c.sortedServers = srv, append(c.sortedServers, srv)
+			c.servers[endpoint.Server] = srv
+			c.sortedServers = append(c.sortedServers, srv)
 		} else if endpoint.State != Active {
 			// Guards against an entry that holds no more than that: the server's zone and cell say
 			// who drops repeats of what it may have run.
-			srv.State, srv.isListed = endpoint.State, endpoint.State != Gone
+			srv.State = endpoint.State
+			srv.isListed = endpoint.State != Gone
 			continue
 		}
 		c.trackRestart(srv, endpoint)
-		srv.Endpoint, srv.isListed = endpoint, endpoint.State != Gone
+		srv.Endpoint = endpoint
+		srv.isListed = endpoint.State != Gone
 	}
 	sort.Slice(c.sortedServers, func(i, j int) bool { return c.sortedServers[i].Server < c.sortedServers[j].Server })
 	c.removeGoneServers()
@@ -41,6 +44,7 @@
 	c.sortedServers = remaining
 }
 
+// countServers counts the servers of which something holds; a float, as it enters quotients.
 func (c *Controller) countServers(matches func(*server) bool) float64 {
 	count := 0.0
 	for _, srv := range c.sortedServers {
--- a/control/history.go
+++ b/control/history.go
@@ -53,11 +53,12 @@
 
 // sumUntil is the running sum at the end of a bin.
 func (h *history) sumUntil(bin int64) float64 {
-	if n := len(h.sums); n == 0 || h.sums[n-1].Bin <= bin { // the common case
-		if n == 0 {
-			return 0
-		}
-		return h.sums[n-1].Sum
+	last := len(h.sums) - 1
+	if last < 0 {
+		return 0
+	}
+	if h.sums[last].Bin <= bin { // the common case
+		return h.sums[last].Sum
 	}
 	if i := sort.Search(len(h.sums), func(i int) bool { return h.sums[i].Bin > bin }); i > 0 {
 		return h.sums[i-1].Sum
@@ -77,9 +78,11 @@
 	sums   [historyBins]float64
 }
 
+// window is the present state of the history.
 func (h *history) window() historyWindow {
 	latest := historyWindow{oldest: h.oldestBin()}
-	sum, next := 0.0, 0
+	sum := 0.0
+	next := 0
 	for i := range latest.sums {
 		for ; next < len(h.sums) && h.sums[next].Bin <= latest.oldest+int64(i); next++ {
 			sum = h.sums[next].Sum
@@ -114,11 +117,13 @@
 		return fmt.Errorf("a history of %d bins", len(sums))
 	}
 	for i, sum := range sums {
-		if sum.Bin > currentBin || i > 0 && sum.Bin <= sums[i-1].Bin {
+		isAscending := i == 0 || sum.Bin > sums[i-1].Bin
+		if !isAscending || sum.Bin > currentBin {
 			return fmt.Errorf("bin %d is out of order", sum.Bin)
 		}
 	}
-	h.currentBin, h.sums = currentBin, slices.Clone(sums)
+	h.currentBin = currentBin
+	h.sums = slices.Clone(sums)
 	return nil
 }
 
--- a/control/outlier.go
+++ b/control/outlier.go
@@ -15,15 +15,19 @@
 	maxEjectionTime     = 8 * time.Second
 )
 
+// hasTripped tells whether the server failed often enough in a row to be ejected, whether or not that
+// time is over.
 func (o *outlierDetector) hasTripped() bool { return o.consecutiveFailures >= ejectionFailures }
 
+// isEjected tells whether the server is ejected now.
 func (o *outlierDetector) isEjected(now time.Duration) bool {
 	return o.hasTripped() && now < o.ejectedUntil
 }
 
 // isAvoided tells whether the server is the last choice for a plan.
 func (o *outlierDetector) isAvoided(now time.Duration, plan *planQueue) bool {
-	return o.isEjected(now) || o.isProbing || now < o.planRejectedUntil[plan]
+	rejectedPlan := now < o.planRejectedUntil[plan]
+	return o.isEjected(now) || o.isProbing || rejectedPlan
 }
 
 // costFactor raises the cost of a server that fails more often than a single failure explains.
@@ -41,7 +45,9 @@
 func (o *outlierDetector) recordOutcome(now time.Duration, reason Reason, plan *planQueue) {
 	switch reason {
 	case OK:
-		o.consecutiveFailures, o.isProbing, o.ejectionTime = 0, false, 0
+		o.consecutiveFailures = 0
+		o.isProbing = false
+		o.ejectionTime = 0
 		o.updateFailureRate(now, 0)
 	case RejectedByServer: // maybe for this plan only
 		o.recordFailures(now, 1)
@@ -65,7 +71,8 @@
 // part of its requests at once: it is never ejected, looks idle and attracts the others.
 func (o *outlierDetector) updateFailureRate(now time.Duration, failed float64) {
 	rate := o.currentFailureRate(now)
-	o.failureRate, o.failureRateAt = rate+failureRateGain*(failed-rate), now
+	o.failureRate = rate + failureRateGain*(failed-rate)
+	o.failureRateAt = now
 }
 
 // recordFailures counts n consecutive failures and ejects the server if they are enough.
--- a/control/scheduler.go
+++ b/control/scheduler.go
@@ -18,7 +18,8 @@
 	var best *planQueue
 	totalShare := 0.0
 	for _, plan := range c.plans {
-		if plan.nextRequest, plan.nextServer = c.nextEligible(plan); plan.nextRequest == nil {
+		plan.nextRequest, plan.nextServer = c.nextEligible(plan)
+		if plan.nextRequest == nil {
 			continue
 		}
 		plan.deficit += plan.share
@@ -38,7 +39,9 @@
 // an in-flight quota or for their repeat group let the next pass.
 func (c *Controller) nextEligible(plan *planQueue) (*request, *server) {
 	for _, req := range plan.queue {
-		if plan.MaxInFlight > 0 && req.attempts == 0 && req.account.inFlight.isFull(c.now) {
+		// A retry takes the place in the in-flight quota that its request has had.
+		needsQuota := plan.MaxInFlight > 0 && req.attempts == 0
+		if needsQuota && req.account.inFlight.isFull(c.now) {
 			continue
 		}
 		if srv := c.chooseServer(req); srv != nil {
--- a/control/server.go
+++ b/control/server.go
@@ -53,7 +53,10 @@
 
 // reset drops what was known of an earlier incarnation of the server.
 func (o *outlierDetector) reset() {
-	o.failureRate, o.consecutiveFailures, o.ejectedUntil, o.ejectionTime = 0, 0, 0, 0
+	o.failureRate = 0
+	o.consecutiveFailures = 0
+	o.ejectedUntil = 0
+	o.ejectionTime = 0
 	clear(o.planRejectedUntil)
 }
 
--- a/control/slow_start.go
+++ b/control/slow_start.go
@@ -12,15 +12,22 @@
 // trackRestart takes a new entry of a server before it replaces the old one. What was known of an
 // earlier incarnation is dropped, and a slow start begins with an empty budget.
 func (c *Controller) trackRestart(srv *server, endpoint Endpoint) {
-	if endpoint.HasStartedAt && (!srv.HasStartedAt || endpoint.StartedAt > srv.StartedAt) {
-		srv.latency.seconds, srv.latency.samples, srv.load.reportedAt = 0, 0, 0
+	if !endpoint.HasStartedAt {
+		return
+	}
+	if !srv.HasStartedAt || endpoint.StartedAt > srv.StartedAt {
+		srv.latency.seconds = 0
+		srv.latency.samples = 0
+		srv.load.reportedAt = 0
 		srv.outlier.reset()
 	}
-	if endpoint.HasStartedAt && c.now < endpoint.StartedAt+c.settings.WarmupTime {
-		srv.slowStart.isActive, srv.slowStart.startedAt = true, max(endpoint.StartedAt, srv.slowStart.startedAt)
+	if c.now < endpoint.StartedAt+c.settings.WarmupTime {
+		srv.slowStart.isActive = true
+		srv.slowStart.startedAt = max(endpoint.StartedAt, srv.slowStart.startedAt)
 		// Guards against a large group whose first requests come all at once, or not before the slow
 		// start ends, as each gateway takes longer than that to earn one.
-		srv.slowStart.tokens, srv.slowStart.updatedAt = -c.rng.Float64()*c.fleet.requestUnits.mean, c.now
+		srv.slowStart.tokens = -c.rng.Float64() * c.fleet.requestUnits.mean
+		srv.slowStart.updatedAt = c.now
 	}
 }
 
@@ -97,7 +104,7 @@
 // countWarmServers counts the servers that serve and don't warm up. Guards against servers that stay listed
 // after they died: as many of those listed count as of those tried lately.
 func (c *Controller) countWarmServers() float64 {
-	warm, reporting, ejected := 0.0, 0.0, 0.0
+	var warm, reporting, ejected float64
 	for _, srv := range c.sortedServers {
 		switch {
 		case !srv.isUsable() || srv.slowStart.isActive:
--- a/control/usage.go
+++ b/control/usage.go
@@ -34,6 +34,7 @@
 	return elapsedSeconds * u.remoteRate * decayFactor(now-u.remoteRateAt, remoteRateDecaySeconds)
 }
 
+// currentRemoteRate is the rate of the usage through other gateways, in units a second.
 func (u *usageEstimate) currentRemoteRate(now time.Duration) float64 {
 	return u.remoteRate * decayFactor(now-u.remoteRateAt, remoteRateDecaySeconds)
 }
@@ -63,10 +64,12 @@
 	// gateways: the lower of the last two readings is presumed to go on elsewhere.
 	lowerRate := math.Min(used, u.lastReadingUnits) / period
 	u.remoteRate = (1 - u.localFraction(fanOut)) * math.Min(lowerRate, quotaRate)
-	u.remoteRateAt, u.lastReadingUnits = now, used
+	u.remoteRateAt = now
+	u.lastReadingUnits = used
 	u.rate += (1 - usageRateDecay) * (used/period - u.rate)
 }
 
+// addRequest takes the units of a request here, whether it is admitted or not.
 func (d *demandEstimate) addRequest(now time.Duration, units float64) {
 	d.requestedUnits = d.requestedUnits*decayFactor(now-d.requestedAt, readingDecaySeconds) + units
 	d.requestedAt = now
@@ -125,7 +128,8 @@
 // rejected part is that of the metered period, whatever the probability is now.
 func (c *Controller) recordReading(account *customerAccount, reading int, units float64) {
 	c.refill(account)
-	plan, period := account.plan, c.settings.MeterPeriod.Seconds()
+	plan := account.plan
+	period := c.settings.MeterPeriod.Seconds()
 	percent := float64(reading - 1)
 	used := percent / 100 * plan.QuotaRate * period
 	if plan.QuotaRate > 0 {
@@ -139,8 +143,10 @@
 	if !account.demand.isMetered {
 		plan.recordFirstReading(percent, units, period)
 	}
-	account.demand.isMetered, account.demand.readingEndBin = true, end
-	arrivals, rejected := account.history.arrivals.periodSum(end), c.rejectionProbability(account)
+	account.demand.isMetered = true
+	account.demand.readingEndBin = end
+	arrivals := account.history.arrivals.periodSum(end)
+	rejected := c.rejectionProbability(account)
 	if arrivals > 0 {
 		rejected = account.history.rejections.periodSum(end) / arrivals
 	}
@@ -149,7 +155,8 @@
 		account.inFlight.adjust(plan.MaxInFlight, account.fanOut, percent, rejected, arrivals)
 		return
 	}
-	local, charged := account.history.sent.periodSum(end), account.history.charged.periodSum(end)
+	local := account.history.sent.periodSum(end)
+	charged := account.history.charged.periodSum(end)
 	account.usage.addReading(c.now, used, local, period, account.fanOut, plan.QuotaRate)
 	corrected := math.Max(-plan.QuotaBurst/2, account.quota.tokens+c.rateFraction*(charged-used))
 	account.quota.tokens = math.Min(c.rateFraction*plan.QuotaBurst, corrected)
@@ -169,7 +176,8 @@
 		factor := math.Min(limitIncreaseFactor, 100/math.Max(percent, 1))
 		q.limit *= math.Max(minInFlightLimitFactor, factor)
 	}
-	q.limit, q.hitLimit = math.Min(float64(maxInFlight), math.Max(minLimit, q.limit)), false
+	q.limit = math.Min(float64(maxInFlight), math.Max(minLimit, q.limit))
+	q.hitLimit = false
 }
 
 // isFull tells whether no attempt may start now; a request that meets it shows that the limit binds.
@@ -190,7 +198,8 @@
 // units sent here fit the readings best. Guards against a period that is read many times or matched
 // with another's sends; holds for late readings of any cause.
 func (m *meterClock) fit(sent *history, used, units, localFraction float64, now int64) {
-	minMisfit, bestPhase, bestLag := math.Inf(1), int64(0), int64(0)
+	minMisfit := math.Inf(1)
+	var bestPhase, bestLag int64
 	recent := sent.window()
 	for phase := int64(0); phase < binsPerPeriod; phase++ {
 		periodEnd := latestBinAtPhase(now, phase)
@@ -198,12 +207,16 @@
 			local := recent.periodSum(periodEnd - lag)
 			miss := math.Max(0, local-used) + missingSendsWeight*math.Max(0, localFraction*used-local)
 			misfit := &m.misfit[phase][lag]
-			if *misfit = *misfit*misfitDecay + miss/(units+used+local); *misfit < minMisfit {
-				minMisfit, bestPhase, bestLag = *misfit, phase, lag
+			*misfit = *misfit*misfitDecay + miss/(units+used+local)
+			if *misfit < minMisfit {
+				minMisfit = *misfit
+				bestPhase = phase
+				bestLag = lag
 			}
 		}
 	}
 	if minMisfit < misfitSwitchRatio*m.misfit[m.phaseBin][m.lagBins] {
-		m.phaseBin, m.lagBins = bestPhase, bestLag
+		m.phaseBin = bestPhase
+		m.lagBins = bestLag
 	}
 }
