--- a/control/admission.go
+++ b/control/admission.go
@@ -104,8 +104,8 @@
 	typical := c.typicalDeadlines[class]
 	shortfall := typical.deadline - event.Timeout
 	isOutlier := shortfall > max(c.clockAdvance, tickPeriod) || shortfall < -tickPeriod
-	looksLikeRetry := isOutlier && typical.support > 0
-	isRetry := event.IsRetry || !c.settings.RetriesAreMarked && looksLikeRetry
+	resemblesRetry := isOutlier && typical.support > 0
+	isRetry := event.IsRetry || !c.settings.RetriesAreMarked && resemblesRetry
 	if !event.IsRetry {
 		typical.observe(event.Timeout, isOutlier)
 	}
--- a/control/sharecontrol/sharecontrol.go
+++ b/control/sharecontrol/sharecontrol.go
@@ -15,32 +15,35 @@
 	initialLatenessPersistence = 0.9  // A1(0): lateness that stays to the next window
 	maxNorm                    = 1e4  // norm of P or X above which the estimate starts anew
 	minInformation             = 1e-9 // phi' P phi below which a window teaches nothing
+	maxShareSumError           = 1e-6 // of the sum of shares, which is one
 )
 
 // New returns a controller of one share for each price; dearer plans weigh more.
 func New(prices []float64) *Controller {
-	c := &Controller{plans: len(prices), weights: mat.NewDiagDense(len(prices), nil)}
+	c := &Controller{planCount: len(prices), weights: mat.NewDiagDense(len(prices), nil)}
 	for i, price := range prices {
 		c.weights.SetDiag(i, 1)
 		if floats.Sum(prices) > 0 {
-			c.weights.SetDiag(i, price*float64(c.plans)/floats.Sum(prices))
+			c.weights.SetDiag(i, price*float64(c.planCount)/floats.Sum(prices))
 		}
 	}
 	c.reset()
 	return c
 }
 
+// reset starts the estimate anew.
 func (c *Controller) reset() {
-	c.estimate, c.covariance = mat.NewDense(c.plans, 2*c.plans, nil), mat.NewDense(2*c.plans, 2*c.plans, nil)
-	for i := 0; i < 2*c.plans; i++ {
+	c.estimate = mat.NewDense(c.planCount, 2*c.planCount, nil)
+	c.covariance = mat.NewDense(2*c.planCount, 2*c.planCount, nil)
+	for i := 0; i < 2*c.planCount; i++ {
 		c.covariance.Set(i, i, initialCovariance)
 	}
-	for i := 0; i < c.plans; i++ {
-		for j := 0; j < c.plans; j++ {
-			c.estimate.Set(i, j, initialShareEffect/float64(c.plans))
+	for i := 0; i < c.planCount; i++ {
+		for j := 0; j < c.planCount; j++ {
+			c.estimate.Set(i, j, initialShareEffect/float64(c.planCount))
 		}
-		c.estimate.Set(i, i, initialShareEffect/float64(c.plans)-initialShareEffect)
-		c.estimate.Set(i, c.plans+i, initialLatenessPersistence)
+		c.estimate.Set(i, i, initialShareEffect/float64(c.planCount)-initialShareEffect)
+		c.estimate.Set(i, c.planCount+i, initialLatenessPersistence)
 	}
 	c.regressors = nil
 }
@@ -52,11 +55,11 @@
 		c.updateEstimate(lateness)
 	}
 	next := c.optimalShares(lateness)
-	if !(math.Abs(floats.Sum(next)-1) < 1e-6) { // NaN, or a singular matrix
+	if !(math.Abs(floats.Sum(next)-1) < maxShareSumError) { // NaN, or a singular matrix
 		c.reset()
 		return shares
 	}
-	c.regressors = mat.NewVecDense(2*c.plans, append(append([]float64{}, next...), lateness...))
+	c.regressors = mat.NewVecDense(2*c.planCount, append(append([]float64{}, next...), lateness...))
 	return next
 }
 
@@ -71,11 +74,12 @@
 		return
 	}
 	residual.MulVec(c.estimate, c.regressors)
-	residual.SubVec(mat.NewVecDense(c.plans, lateness), &residual)
+	residual.SubVec(mat.NewVecDense(c.planCount, lateness), &residual)
 	c.estimate.RankOne(c.estimate, 1/(forgettingFactor+information), &residual, &gain)
 	beta := forgettingFactor - (1-forgettingFactor)/information
 	c.covariance.RankOne(c.covariance, -beta/(1+beta*information), &gain, &gain)
-	if !(mat.Norm(c.covariance, 1) < maxNorm) || !(mat.Norm(c.estimate, 1) < maxNorm) {
+	isBounded := mat.Norm(c.covariance, 1) < maxNorm && mat.Norm(c.estimate, 1) < maxNorm
+	if !isBounded { // also NaN
 		c.reset()
 	}
 }
@@ -83,7 +87,7 @@
 // optimalShares is law (14): the shares of least cost that sum to one, then lifted to
 // be no less than zero and normalised. It returns NaN if S is singular.
 func (c *Controller) optimalShares(lateness []float64) []float64 {
-	n := c.plans
+	n := c.planCount
 	var effect, normal, inverse mat.Dense // W B0, and S with its inverse
 	var errors, gradient, optimum, direction mat.VecDense
 	effect.Mul(c.weights, c.estimate.Slice(0, n, 0, n))
--- a/control/sharecontrol/state.go
+++ b/control/sharecontrol/state.go
@@ -14,7 +14,7 @@
 
 // Controller sets shares; see the package. Its estimate is of y(k+1) = X [u(k); y(k)], with shares u and lateness y.
 type Controller struct {
-	plans      int
+	planCount  int
 	weights    *mat.DiagDense // W
 	estimate   *mat.Dense     // X = [B0 A1], plans by 2*plans
 	covariance *mat.Dense     // P, 2*plans by 2*plans
@@ -42,9 +42,11 @@
 
 // Restore replaces the controller's state by a copy of s. It fails if s is of another number of plans.
 func (c *Controller) Restore(s State) error {
-	n := c.plans
+	n := c.planCount
 	hasRegressors := len(s.Regressors) > 0
-	if len(s.Estimate) != 2*n*n || len(s.Covariance) != 4*n*n || hasRegressors && len(s.Regressors) != 2*n {
+	fitsMatrices := len(s.Estimate) == 2*n*n && len(s.Covariance) == 4*n*n
+	fitsRegressors := !hasRegressors || len(s.Regressors) == 2*n
+	if !fitsMatrices || !fitsRegressors {
 		return fmt.Errorf("the state of a share controller is not of %d plans", n)
 	}
 	c.estimate = mat.NewDense(n, 2*n, slices.Clone(s.Estimate))
--- a/internal/groupsize/groupsize.go
+++ b/internal/groupsize/groupsize.go
@@ -1,7 +1,7 @@
 // Package groupsize estimates how many instances share a service's servers, from what servers report
-// of their load: where all instances send alike, a server holds as many times what one of them
-// holds there as there are instances. It is for noticing that the group's size in the settings is
-// wrong; nothing is decided by it. It does no I/O and takes the time as an argument.
+// of their load: where all instances send alike, a server has as many times what one of them has in
+// flight there as there are instances. It is for noticing that the group size in the settings is wrong;
+// nothing is decided by it. It does no I/O and takes the time as an argument.
 package groupsize
 
 import (
@@ -10,54 +10,67 @@
 )
 
 const (
-	memory   = 2 * time.Minute // after which a report has lost 63% of its weight
-	evidence = 40.0            // own attempts seen beside an answer that an estimate needs
-	beyond   = 1.6             // times, or one over it, from which the told size is doubted
+	decayTime             = 2 * time.Minute // after which a report has lost 63% of its weight
+	minLocalAttempts      = 40.0            // own attempts beside the answered ones that an estimate needs
+	contradictionMinRatio = 1.6             // of estimate and configuration, or its inverse, that contradicts
 )
 
-// Estimator follows one service. It is not safe for concurrent use.
+// Estimator estimates the group size of one service. It is not safe for concurrent use.
 type Estimator struct {
 	configured float64
-	active     float64 // sum over reports of what the server held
-	own        float64 // and of what this instance held there, beside the attempt that was answered
-	n          float64 // reports
-	at         time.Duration
+	reported   float64 // decaying sum over reports of the attempts that the server had in flight
+	local      float64 // and of those that this instance had in flight there, without the answered ones
+	reports    float64 // decaying number of reports
+	updatedAt  time.Duration
 }
 
-// New makes one for a group that is told to have so many instances.
-func New(configured int) *Estimator { return &Estimator{configured: math.Max(1, float64(configured))} }
+// New returns an estimator for a group that is configured to have a number of instances.
+func New(configured int) *Estimator {
+	return &Estimator{configured: math.Max(1, float64(configured))}
+}
 
-// Saw takes a report: the server held active requests, of which own are this instance's, the
-// answered one not counted.
-func (c *Estimator) Saw(now time.Duration, active, own float64) {
-	if !(active >= 0) || !(own >= 0) || math.IsInf(active, 0) {
+// AddReport takes a load report: the server had inFlight attempts, of which local are this instance's;
+// the answered one does not count. A report that is no number of attempts is ignored.
+func (e *Estimator) AddReport(now time.Duration, inFlight, local float64) {
+	if !(inFlight >= 0) || !(local >= 0) || math.IsInf(inFlight, 0) {
 		return
 	}
-	c.fade(now)
-	c.active += math.Max(active, own)
-	c.own += own
-	c.n++
+	e.decay(now)
+	e.reported += math.Max(inFlight, local)
+	e.local += local
+	e.reports++
 }
 
-func (c *Estimator) fade(now time.Duration) {
-	if now > c.at {
-		k := math.Exp(-(now - c.at).Seconds() / memory.Seconds())
-		c.active, c.own, c.n, c.at = c.active*k, c.own*k, c.n*k, now
+func (e *Estimator) decay(now time.Duration) {
+	if now <= e.updatedAt {
+		return
 	}
+	factor := math.Exp(-(now - e.updatedAt).Seconds() / decayTime.Seconds())
+	e.reported *= factor
+	e.local *= factor
+	e.reports *= factor
+	e.updatedAt = now
 }
 
-// Seen is the least and the most that the group's size may be by the reports, which leave open
-// whether a server counts the request that it answers; false while they say too little.
-func (c *Estimator) Seen(now time.Duration) (low, high float64, ok bool) {
-	c.fade(now)
-	if c.own < evidence {
+// Range returns the bounds of the group size by the reports, which leave open whether a server counts
+// the request that it answers. It returns false while there are too few reports.
+func (e *Estimator) Range(now time.Duration) (low, high float64, ok bool) {
+	e.decay(now)
+	if e.local < minLocalAttempts {
 		return 0, 0, false
 	}
-	return math.Max(1, (c.active-c.n)/c.own), math.Max(1, c.active/c.own), true
+	low = math.Max(1, (e.reported-e.reports)/e.local)
+	high = math.Max(1, e.reported/e.local)
+	return low, high, true
 }
 
-// ContradictsConfiguration tells whether the reports speak against the told size.
-func (c *Estimator) ContradictsConfiguration(now time.Duration) bool {
-	low, high, ok := c.Seen(now)
-	return ok && (low > beyond*c.configured || high < c.configured/beyond)
+// ContradictsConfiguration tells whether the reports contradict the configured size.
+func (e *Estimator) ContradictsConfiguration(now time.Duration) bool {
+	low, high, ok := e.Range(now)
+	if !ok {
+		return false
+	}
+	isLarger := low > contradictionMinRatio*e.configured
+	isSmaller := high < e.configured/contradictionMinRatio
+	return isLarger || isSmaller
 }
--- a/internal/service/attempts.go
+++ b/internal/service/attempts.go
@@ -226,6 +226,6 @@
 		delete(l.attemptsInFlight, server)
 	}
 	if load != nil && load.InFlight >= 0 {
-		l.groupSizeEstimator.Saw(l.now(), load.InFlight, float64(n))
+		l.groupSizeEstimator.AddReport(l.now(), load.InFlight, float64(n))
 	}
 }
--- a/internal/service/status.go
+++ b/internal/service/status.go
@@ -64,7 +64,7 @@
 	st.ConcurrencyLimit = l.concurrencyLimit()
 	st.HardLimits = l.hardLimitStatus()
 	if l.groupSizeEstimator != nil {
-		st.GroupSizeRange[0], st.GroupSizeRange[1], _ = l.groupSizeEstimator.Seen(l.now())
+		st.GroupSizeRange[0], st.GroupSizeRange[1], _ = l.groupSizeEstimator.Range(l.now())
 		st.IsGroupSizeDoubted = l.groupSizeEstimator.ContradictsConfiguration(l.now())
 	}
 }
