--- a/control/actions.go
+++ b/control/actions.go
@@ -10,7 +10,7 @@
 	ID          string
 	Server      uint32
 	Timeout     time.Duration // 0 is until the client gives up
-	WriteWithin time.Duration // a request that is not completely written by then is not sent; 0 is any time
+	WriteTimeout time.Duration // a request that is not completely written by then is not sent; 0 is any time
 }
 
 // CancelAttempt cancels an attempt.
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -140,7 +140,7 @@
 // a storm of errors that uses it up while most servers still serve half of their requests.
 func (c *Controller) retryOrEnd(req *request, attempt *pendingAttempt, reason Reason) {
 	cost := retryCost(reason, c.now-attempt.sentAt, c.fleet.latency.mean)
-	isAllowed := reason != NotSent && c.canAttemptAgain(req) && req.canRunAgain(c.now)
+	isAllowed := reason != NotSent && c.allowsAttempt(req) && req.isRepeatable(c.now)
 	if !isAllowed || !c.retryBudget.covers(cost) {
 		c.endUnserved(req, CauseNoRetry)
 		return
@@ -166,8 +166,8 @@
 	return math.Min(1, math.Max(minRetryCost, cost))
 }
 
-// canAttemptAgain tells whether the deadline and the maximum number of attempts allow another one.
-func (c *Controller) canAttemptAgain(req *request) bool {
+// allowsAttempt tells whether the deadline and the maximum number of attempts allow another one.
+func (c *Controller) allowsAttempt(req *request) bool {
 	if c.now >= req.lastRetryAt() {
 		return false
 	}
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -126,8 +126,8 @@
 			request.class.KeyScope == ScopeZone && first.Zone != srv.Zone {
 			w.t.Fatalf("%s may have run and was sent again outside its group or window", send.ID)
 		}
-		if send.WriteWithin <= 0 || w.now+send.WriteWithin > request.firstRunAt+request.class.RepeatWindow {
-			w.t.Fatalf("%s may have run, and be written again %v from now, behind its window", send.ID, send.WriteWithin)
+		if send.WriteTimeout <= 0 || w.now+send.WriteTimeout > request.firstRunAt+request.class.RepeatWindow {
+			w.t.Fatalf("%s may have run, and be written again %v from now, behind its window", send.ID, send.WriteTimeout)
 		}
 	}
 	if request.attempts == 0 && request.plan == "ceil" {
--- a/control/request.go
+++ b/control/request.go
@@ -28,8 +28,8 @@
 // repeatsDroppedUntil is the end of the time in which the repeat group drops repeats of what may have run.
 func (r *request) repeatsDroppedUntil() time.Duration { return r.firstRunAt + r.class.RepeatWindow }
 
-// canRunAgain tells whether a second run would have no other effect than the first.
-func (r *request) canRunAgain(now time.Duration) bool {
+// isRepeatable tells whether a second run would have no other effect than the first.
+func (r *request) isRepeatable(now time.Duration) bool {
 	if !r.mayHaveRun || r.class.Idempotency == Idempotent {
 		return true
 	}
--- a/control/scheduler.go
+++ b/control/scheduler.go
@@ -77,7 +77,7 @@
 	send := Send{ID: req.id, Server: srv.Server}
 	// Guards against a connection that comes up when repeats run again.
 	if req.mayHaveRun && req.hasIdempotencyKey() {
-		send.WriteWithin = req.repeatsDroppedUntil() - c.now
+		send.WriteTimeout = req.repeatsDroppedUntil() - c.now
 	}
 	c.emit(send)
 }
--- a/internal/record/digest_test.go
+++ b/internal/record/digest_test.go
@@ -31,7 +31,7 @@
 		action control.Action
 		want   string
 	}{
-		{control.Send{ID: "a", Server: 300, Timeout: 5, WriteWithin: 6}, "0101610aac02"},
+		{control.Send{ID: "a", Server: 300, Timeout: 5, WriteTimeout: 6}, "0101610aac02"},
 		{control.CancelAttempt{ID: "a", Attempt: 3}, "02016106"},
 		{control.Reject{ID: "a", RetryAfter: 7, Cause: control.CauseTooLate}, "0301610e"},
 		{control.Fail{ID: "a", Cause: control.CauseNoRetry}, "040161"},
--- a/internal/service/attempts.go
+++ b/internal/service/attempts.go
@@ -69,8 +69,8 @@
 	} else {
 		ctx, cancel = context.WithDeadline(l.lifetime, deadline)
 	}
-	if a.WriteWithin > 0 {
-		ctx = upstream.WithWriteDeadline(ctx, time.Now().Add(a.WriteWithin))
+	if a.WriteTimeout > 0 {
+		ctx = upstream.WithWriteDeadline(ctx, time.Now().Add(a.WriteTimeout))
 	}
 	return ctx, cancel
 }
--- a/internal/service/attempts_test.go
+++ b/internal/service/attempts_test.go
@@ -33,7 +33,7 @@
 					server = e.Endpoints[0].Server
 					listed <- struct{}{}
 				case control.Request:
-					return []control.Action{control.Send{ID: e.ID, Server: server, WriteWithin: tc.begin}}
+					return []control.Action{control.Send{ID: e.ID, Server: server, WriteTimeout: tc.begin}}
 				case control.AttemptResult:
 					if reasons <- e.Reason; !e.IsFinal {
 						return []control.Action{control.Reject{ID: e.ID}}
--- a/internal/simulation/decisiondigest/decisiondigest.go
+++ b/internal/simulation/decisiondigest/decisiondigest.go
@@ -103,7 +103,7 @@
 		d.begin(tagSend, a.ID)
 		d.integer(int64(a.Server))
 		d.duration(a.Timeout)
-		d.duration(a.WriteWithin)
+		d.duration(a.WriteTimeout)
 	case control.CancelAttempt:
 		d.begin(tagWithdraw, a.ID)
 		d.integer(int64(a.Attempt))
