--- a/control/actions.go
+++ b/control/actions.go
@@ -7,9 +7,9 @@
 
 // Send starts an attempt. The attempts of a request are numbered 0, 1, 2 in order.
 type Send struct {
-	ID          string
-	Server      uint32
-	Timeout     time.Duration // 0 is until the client gives up
+	ID           string
+	Server       uint32
+	Timeout      time.Duration // 0 is until the client gives up
 	WriteTimeout time.Duration // a request that is not completely written by then is not sent; 0 is any time
 }
 
--- a/control/admission.go
+++ b/control/admission.go
@@ -120,6 +120,15 @@
 	return elapsed
 }
 
+// countedUnits are a request's units in estimates over all customers. Guards against a client that names
+// any number where the settings have no maximum.
+func (c *Controller) countedUnits(units float64) float64 {
+	if c.settings.MaxUnits == 0 {
+		return 1
+	}
+	return units
+}
+
 func (c *Controller) reject(id string, cause Cause) {
 	c.emit(Reject{ID: id, RetryAfter: min(rejectRetryAfter, c.settings.MaxRetryAfter), Cause: cause})
 }
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -41,8 +41,9 @@
 		c.recordReading(attempt.account, event.QuotaUsage, req.units)
 	}
 	c.recordOutcome(attempt, event)
-	if event.Load != nil {
-		c.recordLoadReport(attempt.server, event.Load)
+	if event.Load != nil && !event.Load.isPartial() {
+		c.recordLoadReport(c.now, attempt.server, event.Load)
+		c.window.recordUtilization(attempt.server.load.utilization)
 	}
 	switch {
 	case c.requests[req.id] != req: // it has its final answer
@@ -65,9 +66,7 @@
 
 // refundAttempt returns what was charged for an attempt that was not sent.
 func (c *Controller) refundAttempt(attempt *pendingAttempt) {
-	if attempt.server.slowStart.isActive && attempt.sentAt >= attempt.server.slowStart.startedAt {
-		attempt.server.slowStart.tokens += c.countedUnits(attempt.request.units)
-	}
+	attempt.server.slowStart.refund(c.countedUnits(attempt.request.units), attempt.sentAt)
 	if attempt.charge.units > 0 {
 		c.refund(attempt.account, attempt.charge)
 	}
--- a/control/concurrency_limit.go
+++ b/control/concurrency_limit.go
@@ -31,13 +31,17 @@
 func (c *Controller) endWindow(windowSeconds float64) {
 	c.limiter.update(c.now, &c.window, c.fleet.latency, c.minConcurrencyLimit())
 	c.updateShares()
-	c.fleet.warmThroughput.add(c.window.servedUnits/windowSeconds, serverLatencyGain)
-	c.fleet.warmServers.add(c.countWarmServers(), serverLatencyGain)
-	c.fleet.updatePeakThroughput(windowSeconds)
+	c.recordThroughput(c.now, c.window.servedUnits, windowSeconds)
 	c.window = controlWindow{}
 	c.evictIdleAccounts()
 }
 
+// recordUtilization counts a load report.
+func (w *controlWindow) recordUtilization(utilization float64) {
+	w.utilizationSum += utilization
+	w.utilizationCount++
+}
+
 // update cuts the limit on overload in a window, and raises it if there was none and it was reached.
 func (l *concurrencyLimiter) update(
 	now time.Duration, window *controlWindow, latency runningMean, minLimit float64,
--- a/control/controller.go
+++ b/control/controller.go
@@ -50,7 +50,7 @@
 		c.nextWatchAt = c.now + rewatchInterval/2 + time.Duration(c.rng.Int64N(int64(rewatchInterval)))
 		return
 	}
-	c.mergeList(event)
+	c.merge(c.now, c.rng, event, &c.slowStartSettings)
 	if c.limiter.limit == 0 {
 		first := math.Min(slotsPerServer, initialGroupSlotsPerServer/float64(c.settings.GroupSize))
 		c.limiter.limit = math.Max(c.minConcurrencyLimit(), first*c.countServers((*server).isUsable))
--- a/control/endpoint_choice.go
+++ b/control/endpoint_choice.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"math/rand/v2"
 	"time"
 )
 
@@ -19,22 +20,35 @@
 	minReportingServers     = 4    // with fewer, servers without a report are preferred
 )
 
-// chooseServer returns the allowed server of the lowest cost; nil if the request has to wait.
-func (c *Controller) chooseServer(req *request) *server {
+// endpointSelector chooses the server of an attempt among those of a fleet.
+type endpointSelector struct {
+	fleet     *serverFleet
+	slowStart *slowStartSettings
+}
+
+// choose returns the allowed server of the lowest cost; nil if the request has to wait. The rate fraction is
+// the part of a slow start's rate that is the caller's.
+func (s *endpointSelector) choose(
+	now time.Duration, rng *rand.Rand, rateFraction float64, req *request,
+) *server {
 	var best *server
 	bestCost := math.Inf(1)
-	unknownPenalty := c.unknownServerPenalty()
-	for _, srv := range c.sortedServers {
-		if !srv.isUsable() || !c.dropsRepeats(req, srv) || !c.allowsSlowStart(srv) {
+	unknownPenalty := s.unknownServerPenalty(now)
+	for _, srv := range s.fleet.sortedServers {
+		if !srv.isUsable() || !req.isRepeatDroppedBy(srv, now) {
+			continue
+		}
+		load := srv.inFlight + srv.abandoned
+		if !srv.slowStart.allows(now, s.slowStart, load, rateFraction, s.fleet) {
 			continue
 		}
-		cost := c.expectedWait(srv, unknownPenalty)
+		cost := s.expectedWait(now, srv, unknownPenalty, rng.Float64())
 		for _, tried := range req.triedServers {
 			if tried == srv.Server {
 				cost *= triedServerPenalty
 			}
 		}
-		if srv.outlier.isAvoided(c.now, req.plan) {
+		if srv.outlier.isAvoided(now, req.plan) {
 			cost *= ejectedServerPenalty
 		}
 		if cost < bestCost {
@@ -47,29 +61,29 @@
 
 // unknownServerPenalty is the factor on the cost of a server without a recent load report. While few
 // servers have reported, it makes the others cheaper, so that they come to report.
-func (c *Controller) unknownServerPenalty() float64 {
-	reporting := c.countServers(func(srv *server) bool { return srv.load.isRecent(c.now) })
+func (s *endpointSelector) unknownServerPenalty(now time.Duration) float64 {
+	reporting := s.fleet.countServers(func(srv *server) bool { return srv.load.isRecent(now) })
 	if reporting < minReportingServers {
 		return 1 / unknownServerPenalty
 	}
 	return unknownServerPenalty
 }
 
-// dropsRepeats tells whether a server would drop a repeat of what the request may have run.
-func (c *Controller) dropsRepeats(req *request, srv *server) bool {
-	if req.repeatGroup == nil || !req.hasIdempotencyKey() {
+// isRepeatDroppedBy tells whether a server would drop a repeat of what the request may have run.
+func (r *request) isRepeatDroppedBy(srv *server, now time.Duration) bool {
+	if r.repeatGroup == nil || !r.hasIdempotencyKey() {
 		return true
 	}
-	if c.now >= req.repeatsDroppedUntil() { // it was queued for too long
+	if now >= r.repeatsDroppedUntil() { // it was queued for too long
 		return false
 	}
-	switch req.class.KeyScope {
+	switch r.class.KeyScope {
 	case ScopeAll:
 		return true
 	case ScopeZone:
-		return req.repeatGroup.Zone == srv.Zone
+		return r.repeatGroup.Zone == srv.Zone
 	case ScopeCell:
-		return req.repeatGroup.Cell == srv.Cell
+		return r.repeatGroup.Cell == srv.Cell
 	default:
 		return false
 	}
@@ -77,31 +91,34 @@
 
 // expectedWait is the cost of a server: its latency times the attempts of this gateway there, raised by
 // its reported utilization. Without samples it is the fleet's; without a report it is raised by a
-// penalty. Guards against many gateways that each try all servers, slow ones too, in turn.
-func (c *Controller) expectedWait(srv *server, unknownPenalty float64) float64 {
-	fleetLatency := math.Max(c.fleet.latency.mean, 1e-3)
+// penalty. Guards against many gateways that each try all servers, slow ones too, in turn. The noise, from
+// 0 to 1, makes gateways choose differently.
+func (s *endpointSelector) expectedWait(
+	now time.Duration, srv *server, unknownPenalty, noise float64,
+) float64 {
+	fleetLatency := s.fleet.fleet.minLatency()
 	latency := fleetLatency
 	slowdown := unknownPenalty
-	busy := c.fleet.utilization.mean
+	busy := s.fleet.fleet.utilization.mean
 	if srv.latency.samples > 0 {
-		freshSamples := srv.latency.samples * decayFactor(c.now-srv.latency.updatedAt, latencyDecaySeconds)
+		freshSamples := srv.latency.samples * decayFactor(now-srv.latency.updatedAt, latencyDecaySeconds)
 		latency += (srv.latency.seconds - fleetLatency) * freshSamples / (freshSamples + latencyPriorSamples)
 	}
 	if srv.slowStart.isActive { // it has no reports yet, and its budget is below its capacity
 		slowdown = 1
 	}
 	if srv.load.reportedAt > 0 {
-		since := c.now - srv.load.reportedAt
+		since := now - srv.load.reportedAt
 		slowdown += (srv.load.slowdown - slowdown) * decayFactor(since, slowdownDecaySeconds)
 		busy += (srv.load.utilization - busy) * decayFactor(since, utilizationDecaySeconds)
 	}
 	latency = math.Max(latency, fleetLatency*slowdown)
 	if srv.inFlight > 0 { // a silent server is at least as slow as its silence is long
-		latency = math.Max(latency, (c.now - srv.lastActivityAt).Seconds())
+		latency = math.Max(latency, (now - srv.lastActivityAt).Seconds())
 	}
 	latency *= 1 + utilizationPenalty*busy*busy*busy*busy
 	cost := latency * (float64(srv.inFlight+srv.abandoned) + 1)
-	return cost * srv.outlier.costFactor(c.now) * (1 + tieBreakNoise*c.rng.Float64())
+	return cost * srv.outlier.costFactor(now) * (1 + tieBreakNoise*noise)
 }
 
 // add takes the latency of an answer, or the time after which there was none.
@@ -122,20 +139,18 @@
 // recordLoadReport takes a report, which covers the requests of all gateways. Its mean latency starts at
 // zero and follows slowly: it can show that a server is slow, but not that it is fast. Guards against a
 // server just started that all gateways find the fastest.
-func (c *Controller) recordLoadReport(srv *server, report *LoadReport) {
-	if report.Utilization < 0 || report.MeanLatencyMS < 0 {
-		return
-	}
+func (f *serverFleet) recordLoadReport(now time.Duration, srv *server, report *LoadReport) {
 	reportedLatency := report.MeanLatencyMS / 1000
-	c.fleet.utilization.add(math.Min(1, report.Utilization), fleetEstimateGain)
-	c.fleet.reportedLatency.add(reportedLatency, fleetEstimateGain)
-	own := math.Max(c.fleet.latency.mean, 1e-3) / 2
-	srv.load.slowdown = (reportedLatency + own) / (c.fleet.reportedLatency.mean + own)
+	f.fleet.utilization.add(math.Min(1, report.Utilization), fleetEstimateGain)
+	f.fleet.reportedLatency.add(reportedLatency, fleetEstimateGain)
+	own := f.fleet.minLatency() / 2
+	srv.load.slowdown = (reportedLatency + own) / (f.fleet.reportedLatency.mean + own)
 	if srv.load.slowdown < minSlowdown {
 		srv.load.slowdown = 1
 	}
 	srv.load.utilization = math.Min(1, report.Utilization)
-	srv.load.reportedAt = c.now
-	c.window.utilizationSum += srv.load.utilization
-	c.window.utilizationCount++
+	srv.load.reportedAt = now
 }
+
+// minLatency is the fleet's latency in seconds, or a small one where none is known.
+func (f *fleetEstimate) minLatency() float64 { return math.Max(f.latency.mean, 1e-3) }
--- a/control/events.go
+++ b/control/events.go
@@ -66,6 +66,9 @@
 	ErrorsPerSecond   float64 `cbor:"ErrRPS"`
 }
 
+// isPartial tells whether the report lacks what decisions go by.
+func (l *LoadReport) isPartial() bool { return l.Utilization < 0 || l.MeanLatencyMS < 0 }
+
 // Event is something that happened, for Controller.Handle.
 type Event interface{ isEvent() }
 
--- a/control/outlier.go
+++ b/control/outlier.go
@@ -15,6 +15,38 @@
 	maxEjectionTime     = 8 * time.Second
 )
 
+// outlierDetector ejects a server that fails more than others do, for a time that doubles while it goes on.
+type outlierDetector struct {
+	consecutiveFailures int
+	failureRate         float64 // decaying part of the attempts that failed
+	failureRateAt       time.Duration
+	ejectedUntil        time.Duration
+	ejectionTime        time.Duration // of the latest ejection
+	isProbing           bool          // an attempt tries whether the ejected server is well again
+	planRejectedUntil   map[*planQueue]time.Duration
+}
+
+func newOutlierDetector() outlierDetector {
+	return outlierDetector{planRejectedUntil: make(map[*planQueue]time.Duration)}
+}
+
+// reset drops what was known of an earlier incarnation of the server.
+func (o *outlierDetector) reset() {
+	o.failureRate = 0
+	o.consecutiveFailures = 0
+	o.ejectedUntil = 0
+	o.ejectionTime = 0
+	clear(o.planRejectedUntil)
+}
+
+// recordAttempt takes the start of an attempt. One at a server that was ejected probes whether it is well
+// again; the server is avoided until the attempt has ended.
+func (o *outlierDetector) recordAttempt() {
+	if o.hasTripped() {
+		o.isProbing = true
+	}
+}
+
 // hasTripped tells whether the server failed often enough in a row to be ejected, whether or not that
 // time is over.
 func (o *outlierDetector) hasTripped() bool { return o.consecutiveFailures >= ejectionFailures }
--- a/control/scheduler.go
+++ b/control/scheduler.go
@@ -44,7 +44,7 @@
 		if needsQuota && req.account.inFlight.isFull(c.now) {
 			continue
 		}
-		if srv := c.chooseServer(req); srv != nil {
+		if srv := c.selector.choose(c.now, c.rng, c.rateFraction, req); srv != nil {
 			return req, srv
 		}
 		if req.repeatGroup == nil {
@@ -67,12 +67,8 @@
 	if srv.inFlight == 0 {
 		srv.lastActivityAt = c.now
 	}
-	if srv.slowStart.isActive {
-		srv.slowStart.tokens -= c.countedUnits(req.units)
-	}
-	if srv.outlier.hasTripped() {
-		srv.outlier.isProbing = true
-	}
+	srv.slowStart.charge(c.countedUnits(req.units))
+	srv.outlier.recordAttempt()
 	c.recordAttemptStart(req, srv, charged)
 	send := Send{ID: req.id, Server: srv.Server}
 	// Guards against a connection that comes up when repeats run again.
--- a/control/server.go
+++ b/control/server.go
@@ -26,6 +26,14 @@
 	return s.StartedAt
 }
 
+// forgetIncarnation drops what was known of the server before it started anew.
+func (s *server) forgetIncarnation() {
+	s.latency.seconds = 0
+	s.latency.samples = 0
+	s.load.reportedAt = 0
+	s.outlier.reset()
+}
+
 // latencyEstimate is a server's latency by attempts of this gateway.
 type latencyEstimate struct {
 	seconds   float64 // smoothed; 0 is none
@@ -39,31 +47,3 @@
 	utilization float64       // part of its cores that is busy
 	reportedAt  time.Duration // 0 is never
 }
-
-// outlierDetector ejects a server that fails.
-type outlierDetector struct {
-	consecutiveFailures int
-	failureRate         float64 // decaying part of the attempts that failed
-	failureRateAt       time.Duration
-	ejectedUntil        time.Duration
-	ejectionTime        time.Duration // of the latest ejection
-	isProbing           bool          // an attempt tries whether the ejected server is well again
-	planRejectedUntil   map[*planQueue]time.Duration
-}
-
-// reset drops what was known of an earlier incarnation of the server.
-func (o *outlierDetector) reset() {
-	o.failureRate = 0
-	o.consecutiveFailures = 0
-	o.ejectedUntil = 0
-	o.ejectionTime = 0
-	clear(o.planRejectedUntil)
-}
-
-// slowStart limits the attempts at a server that is warming up by a token bucket of units.
-type slowStart struct {
-	isActive  bool
-	startedAt time.Duration
-	tokens    float64
-	updatedAt time.Duration
-}
--- a/control/slow_start.go
+++ b/control/slow_start.go
@@ -1,123 +1,114 @@
 package control
 
-import "math"
+import (
+	"math"
+	"time"
+)
 
 const (
 	minWarmupFraction       = 0.1  // of a server's capacity
 	slowStartBudgetFraction = 0.32 // part of a warming server's budget that is used
-	peakDecaySeconds        = 60.0 // time constant of a server's highest throughput: it can serve that again
-	minBusyFraction         = 0.5  // below it, reports of utilization say nothing of what a server can serve
 )
 
-// trackRestart takes a new entry of a server before it replaces the old one. What was known of an
-// earlier incarnation is dropped, and a slow start begins with an empty budget.
-func (c *Controller) trackRestart(srv *server, endpoint Endpoint) {
-	if !endpoint.HasStartedAt {
-		return
-	}
-	if !srv.HasStartedAt || endpoint.StartedAt > srv.StartedAt {
-		srv.latency.seconds = 0
-		srv.latency.samples = 0
-		srv.load.reportedAt = 0
-		srv.outlier.reset()
-	}
-	if c.now < endpoint.StartedAt+c.settings.WarmupTime {
-		srv.slowStart.isActive = true
-		srv.slowStart.startedAt = max(endpoint.StartedAt, srv.slowStart.startedAt)
-		// Guards against a large group whose first requests come all at once, or not before the slow
-		// start ends, as each gateway takes longer than that to earn one.
-		srv.slowStart.tokens = -c.rng.Float64() * c.fleet.requestUnits.mean
-		srv.slowStart.updatedAt = c.now
-	}
+// slowStartSettings say how servers warm up and what they bear meanwhile.
+type slowStartSettings struct {
+	warmupTime       time.Duration // after its start, by which a server has its full capacity; 0 is none
+	initialCapacity  float64       // part of its capacity that a server has at its start, at least
+	overloadWindow   time.Duration // time over which the load of a server that is warming up is counted
+	overloadMultiple float64       // times its present capacity that it bears over that time
+	groupSize        int           // gateways that share the servers
 }
 
-// countedUnits are a request's units in estimates over all customers. Guards against a client that names
-// any number where the settings have no maximum.
-func (c *Controller) countedUnits(units float64) float64 {
-	if c.settings.MaxUnits == 0 {
-		return 1
+func newSlowStartSettings(settings *Settings) slowStartSettings {
+	return slowStartSettings{
+		warmupTime:       settings.WarmupTime,
+		initialCapacity:  settings.InitialCapacity,
+		overloadWindow:   settings.OverloadWindow,
+		overloadMultiple: settings.OverloadMultiple,
+		groupSize:        settings.GroupSize,
 	}
-	return units
 }
 
-// warmupFraction is the part of its capacity that a server has at least reached.
-func (c *Controller) warmupFraction(srv *server) float64 {
-	if c.settings.WarmupTime <= 0 {
+// isWarmingUp tells whether a server that started at a time warms up still.
+func (s *slowStartSettings) isWarmingUp(now, startedAt time.Duration) bool {
+	return now < startedAt+s.warmupTime
+}
+
+// capacityFraction is the part of its capacity that a server has at least reached.
+func (s *slowStartSettings) capacityFraction(now, startedAt time.Duration) float64 {
+	if s.warmupTime <= 0 {
 		return 1
 	}
-	progress := (c.now - srv.slowStart.startedAt).Seconds() / c.settings.WarmupTime.Seconds()
-	initial := math.Max(minWarmupFraction, c.settings.InitialCapacity)
-	return math.Min(1, initial+(1-c.settings.InitialCapacity)*math.Max(0, progress))
+	progress := (now - startedAt).Seconds() / s.warmupTime.Seconds()
+	initial := math.Max(minWarmupFraction, s.initialCapacity)
+	return math.Min(1, initial+(1-s.initialCapacity)*math.Max(0, progress))
 }
 
-// allowsSlowStart limits a warming server to this gateway's part of its budget: the throughput of warm
-// servers times its warmup fraction and the multiple. Below one attempt a second, it still flows.
-func (c *Controller) allowsSlowStart(srv *server) bool {
-	if !srv.slowStart.isActive {
-		return true
-	}
-	if c.now >= srv.slowStart.startedAt+c.settings.WarmupTime {
-		srv.slowStart.isActive = false
-		return true
-	}
-	warmup := c.warmupFraction(srv)
-	if float64(srv.inFlight+srv.abandoned) >= math.Max(1, math.Floor(warmup*slotsPerServer)) {
-		return false
+// slowStart limits the attempts at a server that is warming up by a token bucket of units.
+type slowStart struct {
+	isActive  bool
+	startedAt time.Duration
+	tokens    float64
+	updatedAt time.Duration
+}
+
+// begin starts the slow start of a server that started at a time. Guards against a large group whose first
+// requests come all at once, or not before the slow start ends, as each gateway takes longer than that to
+// earn one: the budget begins with a debt, which is random.
+func (s *slowStart) begin(now, startedAt time.Duration, debt float64) {
+	s.isActive = true
+	s.startedAt = max(startedAt, s.startedAt)
+	s.tokens = -debt
+	s.updatedAt = now
+}
+
+// charge takes the units of an attempt that starts.
+func (s *slowStart) charge(units float64) {
+	if s.isActive {
+		s.tokens -= units
 	}
-	// Guards against many gateways with an attempt a second each: a bucket that may go into debt lets a
-	// part of a request a second flow, as a window would not.
-	budget := slowStartBudgetFraction * c.settings.OverloadMultiple * warmup * c.warmServerThroughput()
-	rate := c.rateFraction * math.Max(budget, 1/float64(c.settings.GroupSize))
-	srv.slowStart.tokens += rate * (c.now - srv.slowStart.updatedAt).Seconds()
-	srv.slowStart.tokens = math.Min(srv.slowStart.tokens, rate*c.settings.OverloadWindow.Seconds()/2)
-	srv.slowStart.updatedAt = c.now
-	return srv.slowStart.tokens >= 0
 }
 
-// warmServerThroughput is the units a second that a warm server can serve for this gateway, by what one of
-// them has served lately. Guards against a restart of most servers at once: what all have served is divided
-// by how many those were, not by how many are left. A checkpoint of an earlier build does not tell that.
-func (c *Controller) warmServerThroughput() float64 {
-	if c.fleet.warmServers.mean == 0 {
-		return c.fleet.warmThroughput.mean / math.Max(1, c.countWarmServers())
+// refund returns the units of an attempt that was not sent, if they were charged to this slow start.
+func (s *slowStart) refund(units float64, sentAt time.Duration) {
+	if s.isActive && sentAt >= s.startedAt {
+		s.tokens += units
 	}
-	return c.fleet.peakThroughput
 }
 
-// updatePeakThroughput follows what one warm server can serve up at once and down slowly: its throughput by
-// the part of its capacity that this was.
-func (f *fleetEstimate) updatePeakThroughput(windowSeconds float64) {
-	decayed := f.peakThroughput * math.Exp(-windowSeconds/peakDecaySeconds)
-	served := f.warmThroughput.mean / math.Max(1, f.warmServers.mean)
-	f.peakThroughput = math.Max(decayed, served/f.busyFraction())
+// refill adds what was earned since the last time, at a rate in units a second, up to a capacity in units.
+func (s *slowStart) refill(now time.Duration, rate, capacity float64) {
+	s.tokens += rate * (now - s.updatedAt).Seconds()
+	s.tokens = math.Min(s.tokens, capacity)
+	s.updatedAt = now
 }
 
-// busyFraction is the part of their capacity that servers report to use, or 1 where they report none.
-// Servers are not believed to be able to serve more than twice what they do.
-func (f *fleetEstimate) busyFraction() float64 {
-	if f.utilization.count == 0 {
-		return 1
-	}
-	return math.Min(1, math.Max(minBusyFraction, f.utilization.mean))
+// throughputEstimate tells how many units a second a warm server can serve for this gateway.
+type throughputEstimate interface {
+	warmServerThroughput(now time.Duration) float64
 }
 
-// countWarmServers counts the servers that serve and don't warm up. Guards against servers that stay listed
-// after they died: as many of those listed count as of those tried lately.
-func (c *Controller) countWarmServers() float64 {
-	var warm, reporting, ejected float64
-	for _, srv := range c.sortedServers {
-		switch {
-		case !srv.isUsable() || srv.slowStart.isActive:
-			continue
-		case srv.outlier.hasTripped():
-			ejected++
-		case srv.load.isRecent(c.now):
-			reporting++
-		}
-		warm++
+// allows limits a warming server to this gateway's part of its budget: the throughput of warm servers times
+// its capacity fraction and the multiple. Below one attempt a second, it still flows. The load is the number
+// of attempts at the server that run or are presumed to.
+func (s *slowStart) allows(
+	now time.Duration, settings *slowStartSettings, load int, rateFraction float64, fleet throughputEstimate,
+) bool {
+	if !s.isActive {
+		return true
+	}
+	if !settings.isWarmingUp(now, s.startedAt) {
+		s.isActive = false
+		return true
 	}
-	if ejected > 0 {
-		warm *= (1 + reporting) / (1 + reporting + ejected)
+	warmup := settings.capacityFraction(now, s.startedAt)
+	if float64(load) >= math.Max(1, math.Floor(warmup*slotsPerServer)) {
+		return false
 	}
-	return warm
+	// Guards against many gateways with an attempt a second each: a bucket that may go into debt lets a
+	// part of a request a second flow, as a window would not.
+	budget := slowStartBudgetFraction * settings.overloadMultiple * warmup * fleet.warmServerThroughput(now)
+	rate := rateFraction * math.Max(budget, 1/float64(settings.groupSize))
+	s.refill(now, rate, rate*settings.overloadWindow.Seconds()/2)
+	return s.tokens >= 0
 }
--- a/control/state.go
+++ b/control/state.go
@@ -42,11 +42,11 @@
 	rateFraction  float64       // part of all rates that is this controller's; below one after HandOver
 
 	// Servers.
-	servers       map[uint32]*server
-	sortedServers []*server // by number
-	fleet         fleetEstimate
-	isWatching    bool // the endpoint list
-	nextWatchAt   time.Duration
+	serverFleet
+	slowStartSettings slowStartSettings
+	selector          endpointSelector
+	isWatching        bool // the endpoint list
+	nextWatchAt       time.Duration
 
 	// The control window.
 	window          controlWindow
@@ -93,8 +93,10 @@
 		requestsByTimer:  make(map[uint64]*request),
 		attempts:         make(map[attemptKey]*pendingAttempt),
 		accounts:         make(map[string]*customerAccount),
-		servers:          make(map[uint32]*server),
+		serverFleet:      serverFleet{servers: make(map[uint32]*server)},
 	}
+	c.slowStartSettings = newSlowStartSettings(&c.settings)
+	c.selector = endpointSelector{fleet: &c.serverFleet, slowStart: &c.slowStartSettings}
 	for i := range c.settings.Classes {
 		class := &c.settings.Classes[i]
 		c.classes[class.Name], c.typicalDeadlines[class] = class, &typicalDeadline{}
