--- a/control/admission.go
+++ b/control/admission.go
@@ -226,10 +226,7 @@
 // expectedTurnTime is the time in seconds that a request that joins the queues now waits and occupies
 // its slot. Guards against rejecting what fast servers finish at once, only as the limit is reached.
 func (c *Controller) expectedTurnTime() float64 {
-	queued := 0
-	for _, plan := range c.plans {
-		queued += len(plan.queue)
-	}
+	queued := c.countQueued()
 	return c.fleet.latency.mean * (1 + float64(queued+1)/math.Max(1, c.limiter.limit))
 }
 
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -13,6 +13,47 @@
 	retryDeadlineMargin = time.Millisecond // time before a request's deadline from which it is not retried
 )
 
+// dispatch starts attempts of queued requests while the concurrency limit allows.
+func (c *Controller) dispatch() {
+	for c.limiter.hasFreeSlot(c.now, c.slots.occupied(c.now)) {
+		req, srv := c.nextTurn(c.now, c)
+		if req == nil {
+			return
+		}
+		c.startAttempt(req, srv)
+	}
+	c.window.recordLimitReached()
+}
+
+// chooseServer makes the controller the scheduler's serverChooser.
+func (c *Controller) chooseServer(req *request) *server {
+	return c.selector.choose(c.now, c.rng, c.rateFraction, req)
+}
+
+// startAttempt sends a request to a server. The first attempt is charged to its account.
+func (c *Controller) startAttempt(req *request, srv *server) {
+	req.plan.remove(req)
+	var charged charge
+	if req.attempts == 0 {
+		charged = c.chargeFirstAttempt(req.account, req.units)
+	}
+	if req.repeatGroup == nil && req.hasIdempotencyKey() {
+		req.firstRunAt = c.now
+	}
+	if srv.inFlight == 0 {
+		srv.lastActivityAt = c.now
+	}
+	srv.slowStart.charge(c.countedUnits(req.units))
+	srv.outlier.recordAttempt()
+	c.recordAttemptStart(req, srv, charged)
+	send := Send{ID: req.id, Server: srv.Server}
+	// Guards against a connection that comes up when repeats run again.
+	if req.mayHaveRun && req.hasIdempotencyKey() {
+		send.WriteTimeout = req.repeatsDroppedUntil() - c.now
+	}
+	c.emit(send)
+}
+
 // handleStarted takes the start of a streamed answer. From then on its attempt occupies no slot, as its
 // length says nothing of the server.
 func (c *Controller) handleStarted(event ResponseStarted) {
@@ -82,12 +123,12 @@
 	case OK:
 		c.recordSuccess(attempt, event)
 	case RejectedByServer:
-		c.window.overloads++
+		c.window.recordOverload()
 	case TimedOut:
 		if !req.isStreaming { // else it is the length of the stream
 			srv.latency.add(c.now, elapsed)
 		}
-		c.window.overloads++
+		c.window.recordOverload()
 	}
 	if event.Reason.mayStillRun() {
 		runsFor := durationOf(math.Min(elapsed, maxAbandonedLatencies*c.fleet.latency.mean))
@@ -104,7 +145,7 @@
 func (c *Controller) recordSuccess(attempt *pendingAttempt, event AttemptResult) {
 	req := attempt.request
 	if !attempt.server.slowStart.isActive {
-		c.window.servedUnits += c.countedUnits(req.units)
+		c.window.recordServed(c.countedUnits(req.units))
 	}
 	if event.ActualUnits > 0 && c.settings.UnitsInResponse {
 		c.refill(attempt.account)
@@ -120,7 +161,7 @@
 	seconds := elapsed.Seconds()
 	attempt.server.latency.add(c.now, seconds)
 	objective := attempt.request.class.LatencyObjective.Seconds()
-	c.window.answers++
+	c.window.recordAnswer()
 	if c.rejectionProbability(attempt.account) == 0 {
 		attempt.request.plan.recordLateness((c.now - attempt.request.arrivedAt).Seconds() / objective)
 	}
@@ -129,9 +170,7 @@
 		return
 	}
 	c.fleet.latency.add(math.Min(seconds, objective), fleetEstimateGain)
-	c.window.latencySecondsSum += math.Min(seconds, objective)
-	c.window.latencyRatioSum += math.Min(1, seconds/objective)
-	c.window.latencyCount++
+	c.window.recordLatency(seconds, objective)
 }
 
 // retryOrEnd retries a request if idempotency, the attempt limit, the retry budget and the deadline
--- a/control/concurrency_limit.go
+++ b/control/concurrency_limit.go
@@ -20,26 +20,27 @@
 	overloadHoldFraction      = 0.03  // part of the outcomes above which the limit does not grow
 )
 
-// minConcurrencyLimit is twice the usable servers, or this gateway's part of the replica group's sum.
-// Guards against many gateways whose minimum limits alone overload the servers.
-func (c *Controller) minConcurrencyLimit() float64 {
-	n := c.countServers(func(srv *server) bool { return srv.isUsable() && !srv.outlier.hasTripped() })
-	return math.Min(slotsPerServer, minGroupSlotsPerServer/float64(c.settings.GroupSize)) * math.Max(1, n)
+// concurrencyLimiter limits the attempts in flight: it cuts the limit on overload and raises it without.
+type concurrencyLimiter struct {
+	limit                float64
+	cutAt                time.Duration // of the latest cut
+	fractionalSlotFreeAt time.Duration // before, the part of the limit beyond a whole number is not used
+	idleLatency          float64       // seconds; latency of answers by servers with little load
 }
 
-// endWindow sets the concurrency limit and the shares of the next control window.
-func (c *Controller) endWindow(windowSeconds float64) {
-	c.limiter.update(c.now, &c.window, c.fleet.latency, c.minConcurrencyLimit())
-	c.updateShares()
-	c.recordThroughput(c.now, c.window.servedUnits, windowSeconds)
-	c.window = controlWindow{}
-	c.evictIdleAccounts()
+// minConcurrencyLimit is twice the servers, or this gateway's part of the replica group's sum. Guards
+// against many gateways whose minimum limits alone overload the servers.
+func minConcurrencyLimit(groupSize int, servers float64) float64 {
+	return math.Min(slotsPerServer, minGroupSlotsPerServer/float64(groupSize)) * math.Max(1, servers)
 }
 
-// recordUtilization counts a load report.
-func (w *controlWindow) recordUtilization(utilization float64) {
-	w.utilizationSum += utilization
-	w.utilizationCount++
+// open sets the first limit, for a number of usable servers; a limit that is set stays.
+func (l *concurrencyLimiter) open(groupSize int, usable, minLimit float64) {
+	if l.limit != 0 {
+		return
+	}
+	first := math.Min(slotsPerServer, initialGroupSlotsPerServer/float64(groupSize))
+	l.limit = math.Max(minLimit, first*usable)
 }
 
 // update cuts the limit on overload in a window, and raises it if there was none and it was reached.
@@ -50,7 +51,7 @@
 	if latency.count < minIdleLatencySamples || l.idleLatency == 0 {
 		l.idleLatency = latency.mean
 	}
-	overloadFraction := window.overloads / math.Max(1, window.overloads+window.answers)
+	overloadFraction := window.overloadFraction()
 	if l.isOverloaded(window, overloadFraction) {
 		window.wasCut = true
 		if now >= l.cutAt+durationOf(2*latency.mean) { // the answers are to attempts after the last cut
@@ -107,23 +108,31 @@
 	}
 }
 
-// updateShares has the share controller set the shares by the lateness of each plan.
-func (c *Controller) updateShares() {
-	lateness := make([]float64, len(c.plans))
-	shares := make([]float64, len(c.plans))
-	for i, plan := range c.plans {
-		if plan.latenessCount > 0 {
-			plan.meanLateness = plan.latenessSum / plan.latenessCount
-		}
-		plan.latenessSum = 0
-		plan.latenessCount = 0
-		lateness[i] = plan.meanLateness
-		shares[i] = plan.share
-	}
-	if c.window.answers < minAnswersPerWindow {
-		return
-	}
-	for i, share := range c.shareController.NextShares(shares, lateness, !c.window.wasCut) {
-		c.plans[i].share = share
+// abandonedAttempt is one that has ended here and is presumed still running at its server.
+type abandonedAttempt struct {
+	server *server
+	until  time.Duration
+}
+
+// attemptSlots counts the attempts that occupy slots of the concurrency limit.
+type attemptSlots struct {
+	inFlight  int
+	streaming int                // of those in flight, which occupy none
+	abandoned []abandonedAttempt // by their ends
+}
+
+// occupied counts the attempts in flight, without streaming ones, and the abandoned ones that are presumed
+// still running.
+func (s *attemptSlots) occupied(now time.Duration) float64 {
+	for len(s.abandoned) > 0 && s.abandoned[0].until <= now {
+		s.abandoned[0].server.abandoned--
+		s.abandoned = s.abandoned[1:]
 	}
+	return float64(s.inFlight - s.streaming + len(s.abandoned))
+}
+
+// abandon counts an attempt at a server that is presumed still running.
+func (s *attemptSlots) abandon(srv *server, until time.Duration) {
+	srv.abandoned++
+	s.abandoned = append(s.abandoned, abandonedAttempt{server: srv, until: until})
 }
--- a/control/controller.go
+++ b/control/controller.go
@@ -35,9 +35,6 @@
 	c.minRetryGap = rejectRetryAfter
 	c.meter.lagBins = initialMeterLagBins
 	c.fleet.requestUnits.mean = (1 + math.Max(1, settings.MaxUnits)) / 2 // until there are requests
-	for _, plan := range c.plans {
-		plan.share = 1 / float64(len(c.plans))
-	}
 	return c, nil
 }
 
@@ -51,10 +48,15 @@
 		return
 	}
 	c.merge(c.now, c.rng, event, &c.slowStartSettings)
-	if c.limiter.limit == 0 {
-		first := math.Min(slotsPerServer, initialGroupSlotsPerServer/float64(c.settings.GroupSize))
-		c.limiter.limit = math.Max(c.minConcurrencyLimit(), first*c.countServers((*server).isUsable))
-	}
+	c.limiter.open(c.settings.GroupSize, c.countServers((*server).isUsable), c.minConcurrencyLimit())
+}
+
+// minConcurrencyLimit is the lowest concurrency limit with the servers that are usable and not ejected.
+func (c *Controller) minConcurrencyLimit() float64 {
+	responsive := c.countServers(func(srv *server) bool {
+		return srv.isUsable() && !srv.outlier.hasTripped()
+	})
+	return minConcurrencyLimit(c.settings.GroupSize, responsive)
 }
 
 func (c *Controller) handleTimer(label uint64) {
@@ -92,6 +94,14 @@
 	if c.now < c.windowEndsAt {
 		return false
 	}
-	hasEnoughAnswers := c.window.answers+c.window.overloads >= minAnswersPerWindow
-	return hasEnoughAnswers || c.now >= c.windowEndsAt+maxWindowExtension
+	return c.window.hasEnoughAnswers() || c.now >= c.windowEndsAt+maxWindowExtension
+}
+
+// endWindow sets the concurrency limit and the shares of the next control window.
+func (c *Controller) endWindow(windowSeconds float64) {
+	c.limiter.update(c.now, &c.window, c.fleet.latency, c.minConcurrencyLimit())
+	c.updateShares(&c.window)
+	c.recordThroughput(c.now, c.window.servedUnits, windowSeconds)
+	c.window = controlWindow{}
+	c.evictIdleAccounts()
 }
--- a/control/plan_queue.go
+++ b/control/plan_queue.go
@@ -26,6 +26,17 @@
 	p.latenessCount++
 }
 
+// endLatenessWindow returns the mean lateness of the control window that ends, or of the latest one with
+// answers.
+func (p *planQueue) endLatenessWindow() float64 {
+	if p.latenessCount > 0 {
+		p.meanLateness = p.latenessSum / p.latenessCount
+	}
+	p.latenessSum = 0
+	p.latenessCount = 0
+	return p.meanLateness
+}
+
 // pushBack queues a new request.
 func (p *planQueue) pushBack(req *request) {
 	p.countQueued(req)
--- a/control/request.go
+++ b/control/request.go
@@ -54,34 +54,6 @@
 	charge  charge // zero unless it is its request's first attempt
 }
 
-// abandonedAttempt is one that has ended here and is presumed still running at its server.
-type abandonedAttempt struct {
-	server *server
-	until  time.Duration
-}
-
-// attemptSlots counts the attempts that occupy slots of the concurrency limit.
-type attemptSlots struct {
-	inFlight  int
-	streaming int                // of those in flight, which occupy none
-	abandoned []abandonedAttempt // by their ends
-}
-
-// occupied counts the attempts in flight, without streaming ones, and the abandoned ones that are presumed still running.
-func (s *attemptSlots) occupied(now time.Duration) float64 {
-	for len(s.abandoned) > 0 && s.abandoned[0].until <= now {
-		s.abandoned[0].server.abandoned--
-		s.abandoned = s.abandoned[1:]
-	}
-	return float64(s.inFlight - s.streaming + len(s.abandoned))
-}
-
-// abandon counts an attempt at a server that is presumed still running.
-func (s *attemptSlots) abandon(srv *server, until time.Duration) {
-	srv.abandoned++
-	s.abandoned = append(s.abandoned, abandonedAttempt{server: srv, until: until})
-}
-
 // recordAttemptStart counts an attempt that starts now.
 func (c *Controller) recordAttemptStart(req *request, srv *server, charged charge) {
 	c.attempts[attemptKey{id: req.id, number: req.attempts}] = &pendingAttempt{
--- a/control/scheduler.go
+++ b/control/scheduler.go
@@ -1,24 +1,53 @@
 package control
 
-// dispatch starts attempts of queued requests while the concurrency limit allows.
-func (c *Controller) dispatch() {
-	for c.limiter.hasFreeSlot(c.now, c.slots.occupied(c.now)) {
-		req, srv := c.nextTurn()
-		if req == nil {
-			return
-		}
-		c.startAttempt(req, srv)
+import (
+	"time"
+
+	"lockflow/control/sharecontrol"
+)
+
+// scheduler gives the queues of the plans turns by weighted round robin, and sets their shares.
+type scheduler struct {
+	plans           []*planQueue
+	plansByName     map[string]*planQueue
+	shareController *sharecontrol.Controller
+}
+
+// newScheduler returns a scheduler in which all plans have the same share.
+func newScheduler(plans []Plan) scheduler {
+	s := scheduler{plansByName: make(map[string]*planQueue)}
+	prices := make([]float64, len(plans))
+	for i, plan := range plans {
+		queue := &planQueue{Plan: plan, index: i, share: 1 / float64(len(plans))}
+		s.plans = append(s.plans, queue)
+		s.plansByName[plan.Name] = queue
+		prices[i] = plan.Price
 	}
-	c.window.limitReached = true
+	s.shareController = sharecontrol.New(prices)
+	return s
+}
+
+// countQueued counts the requests in all queues.
+func (s *scheduler) countQueued() int {
+	queued := 0
+	for _, plan := range s.plans {
+		queued += len(plan.queue)
+	}
+	return queued
+}
+
+// serverChooser chooses the server of a request's next attempt; nil if the request has to wait.
+type serverChooser interface {
+	chooseServer(req *request) *server
 }
 
 // nextTurn is one step of the weighted round robin among the plans that have an eligible request: the
-// one that is farthest behind its share comes next.
-func (c *Controller) nextTurn() (*request, *server) {
+// one that is farthest behind its share comes next. It returns nil if no plan has one.
+func (s *scheduler) nextTurn(now time.Duration, servers serverChooser) (*request, *server) {
 	var best *planQueue
 	totalShare := 0.0
-	for _, plan := range c.plans {
-		plan.nextRequest, plan.nextServer = c.nextEligible(plan)
+	for _, plan := range s.plans {
+		plan.nextRequest, plan.nextServer = plan.nextEligible(now, servers)
 		if plan.nextRequest == nil {
 			continue
 		}
@@ -37,14 +66,14 @@
 
 // nextEligible is a plan's first request that may be sent now, and its server. Requests that wait for
 // an in-flight quota or for their repeat group let the next pass.
-func (c *Controller) nextEligible(plan *planQueue) (*request, *server) {
-	for _, req := range plan.queue {
+func (p *planQueue) nextEligible(now time.Duration, servers serverChooser) (*request, *server) {
+	for _, req := range p.queue {
 		// A retry takes the place in the in-flight quota that its request has had.
-		needsQuota := plan.MaxInFlight > 0 && req.attempts == 0
-		if needsQuota && req.account.inFlight.isFull(c.now) {
+		needsQuota := p.MaxInFlight > 0 && req.attempts == 0
+		if needsQuota && req.account.inFlight.isFull(now) {
 			continue
 		}
-		if srv := c.selector.choose(c.now, c.rng, c.rateFraction, req); srv != nil {
+		if srv := servers.chooseServer(req); srv != nil {
 			return req, srv
 		}
 		if req.repeatGroup == nil {
@@ -54,26 +83,18 @@
 	return nil, nil
 }
 
-// startAttempt sends a request to a server. The first attempt is charged to its account.
-func (c *Controller) startAttempt(req *request, srv *server) {
-	req.plan.remove(req)
-	var charged charge
-	if req.attempts == 0 {
-		charged = c.chargeFirstAttempt(req.account, req.units)
-	}
-	if req.repeatGroup == nil && req.hasIdempotencyKey() {
-		req.firstRunAt = c.now
+// updateShares has the share controller set the shares by the lateness of each plan in a control window.
+func (s *scheduler) updateShares(window *controlWindow) {
+	lateness := make([]float64, len(s.plans))
+	shares := make([]float64, len(s.plans))
+	for i, plan := range s.plans {
+		lateness[i] = plan.endLatenessWindow()
+		shares[i] = plan.share
 	}
-	if srv.inFlight == 0 {
-		srv.lastActivityAt = c.now
+	if window.answers < minAnswersPerWindow {
+		return
 	}
-	srv.slowStart.charge(c.countedUnits(req.units))
-	srv.outlier.recordAttempt()
-	c.recordAttemptStart(req, srv, charged)
-	send := Send{ID: req.id, Server: srv.Server}
-	// Guards against a connection that comes up when repeats run again.
-	if req.mayHaveRun && req.hasIdempotencyKey() {
-		send.WriteTimeout = req.repeatsDroppedUntil() - c.now
+	for i, share := range s.shareController.NextShares(shares, lateness, !window.wasCut) {
+		s.plans[i].share = share
 	}
-	c.emit(send)
 }
--- a/control/state.go
+++ b/control/state.go
@@ -4,8 +4,6 @@
 	"math"
 	"math/rand/v2"
 	"time"
-
-	"lockflow/control/sharecontrol"
 )
 
 // Controller decides for one gateway. It is not safe for concurrent use.
@@ -33,8 +31,7 @@
 	minRetryGap      time.Duration // shortest observed time from a client's first attempt to its retry
 
 	// Customers and their plans.
-	plans         []*planQueue
-	plansByName   map[string]*planQueue
+	scheduler
 	accounts      map[string]*customerAccount // by plan and customer
 	meter         meterClock
 	fillingSince  time.Duration // time since which the buckets of accounts not opened yet fill
@@ -49,33 +46,10 @@
 	nextWatchAt       time.Duration
 
 	// The control window.
-	window          controlWindow
-	windowEndsAt    time.Duration
-	limiter         concurrencyLimiter
-	shareController *sharecontrol.Controller
-	nextTick        time.Duration // not in use; images have a key for it
-}
-
-// concurrencyLimiter limits the attempts in flight.
-type concurrencyLimiter struct {
-	limit                float64
-	cutAt                time.Duration // of the latest cut
-	fractionalSlotFreeAt time.Duration // before, the part of the limit beyond a whole number is not used
-	idleLatency          float64       // seconds; latency of answers by servers with little load
-}
-
-// controlWindow is what is counted in one control window. Counts are floats as they enter quotients.
-type controlWindow struct {
-	wasCut            bool // the limit, or would have been but for a recent cut
-	limitReached      bool
-	latencyRatioSum   float64 // of latency over objective, one at most
-	latencySecondsSum float64
-	latencyCount      float64
-	answers           float64 // also by servers that are warming up
-	overloads         float64 // attempts that were rejected by a server or timed out
-	servedUnits       float64 // by servers that are not warming up
-	utilizationSum    float64 // of load reports
-	utilizationCount  float64
+	window       controlWindow
+	windowEndsAt time.Duration
+	limiter      concurrencyLimiter
+	nextTick     time.Duration // not in use; images have a key for it
 }
 
 func newController(settings Settings, seed uint64) *Controller {
@@ -87,7 +61,7 @@
 		pcg:              pcg,
 		rng:              rand.New(pcg),
 		classes:          make(map[string]*Class),
-		plansByName:      make(map[string]*planQueue),
+		scheduler:        newScheduler(settings.Plans),
 		requests:         make(map[string]*request),
 		typicalDeadlines: make(map[*Class]*typicalDeadline),
 		requestsByTimer:  make(map[uint64]*request),
@@ -99,15 +73,10 @@
 	c.selector = endpointSelector{fleet: &c.serverFleet, slowStart: &c.slowStartSettings}
 	for i := range c.settings.Classes {
 		class := &c.settings.Classes[i]
-		c.classes[class.Name], c.typicalDeadlines[class] = class, &typicalDeadline{}
+		c.classes[class.Name] = class
+		c.typicalDeadlines[class] = &typicalDeadline{}
 		c.maxPriorityWeight = math.Max(c.maxPriorityWeight, class.PriorityWeight)
 	}
-	prices := make([]float64, len(settings.Plans))
-	for i, p := range settings.Plans {
-		plan := &planQueue{Plan: p, index: i}
-		c.plans, c.plansByName[p.Name], prices[i] = append(c.plans, plan), plan, p.Price
-	}
-	c.shareController = sharecontrol.New(prices)
 	return c
 }
 
