--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -154,23 +154,23 @@
 	gateway := newTestGateway(t, settings, activeEndpoints(1, 2)...)
 	class := &gateway.controller.settings.Classes[0]
 	for i := 0; i < 3; i++ {
-		if w := gateway.controller.clientWait(Request{Timeout: 3 * time.Second}, class); w != 0 {
+		if w := gateway.controller.clientWait(Request{Timeout: 3 * time.Second}, class, gateway.controller.clockAdvance); w != 0 {
 			t.Fatalf("a first try has waited %v", w)
 		}
 	}
 	gateway.controller.clockAdvance = 1500 * ms
-	if w := gateway.controller.clientWait(Request{Timeout: 2 * time.Second}, class); w != time.Second {
+	if w := gateway.controller.clientWait(Request{Timeout: 2 * time.Second}, class, gateway.controller.clockAdvance); w != time.Second {
 		t.Errorf("a first try that lay for 1 s through a stall has waited %v", w)
 	}
 	gateway.controller.clockAdvance = 4 * ms
-	if w := gateway.controller.clientWait(Request{Timeout: 2 * time.Second}, class); w != 4*time.Second {
+	if w := gateway.controller.clientWait(Request{Timeout: 2 * time.Second}, class, gateway.controller.clockAdvance); w != 4*time.Second {
 		t.Errorf("a later try with 2 s of 6 s left has waited %v", w)
 	}
-	if w := gateway.controller.clientWait(Request{Timeout: 5 * time.Second}, class); w != time.Second {
+	if w := gateway.controller.clientWait(Request{Timeout: 5 * time.Second}, class, gateway.controller.clockAdvance); w != time.Second {
 		t.Errorf("a last try, with all the rest of the time, has waited %v", w)
 	}
-	gateway.controller.settings.RetriesAreMarked = true
-	if w := gateway.controller.clientWait(Request{Timeout: 5 * time.Second}, class); w != 0 {
+	gateway.controller.retriesAreMarked = true
+	if w := gateway.controller.clientWait(Request{Timeout: 5 * time.Second}, class, gateway.controller.clockAdvance); w != 0 {
 		t.Errorf("a try without the mark of a later one has waited %v", w)
 	}
 }
--- /dev/null
+++ b/control/arrivals.go
@@ -0,0 +1,118 @@
+package control
+
+import (
+	"math"
+	"time"
+)
+
+const (
+	queueWaitFraction         = 0.4 // part of its latency objective that a request may be queued
+	inFlightQuotaWaitFraction = 0.7 // the same for plans with an in-flight quota
+)
+
+// handleRequest admits a request to the queue of its plan, or rejects it.
+func (c *Controller) handleRequest(event Request) {
+	if c.requests[event.ID] != nil {
+		return
+	}
+	class := c.classes[event.Class]
+	plan := c.plansByName[event.Plan]
+	if cause := unusableCause(event, class, plan); cause != CauseNone {
+		c.reject(event.ID, cause)
+		return
+	}
+	c.fleet.requestUnits.add(c.countedUnits(event.Units), fleetEstimateGain)
+	account := c.accountFor(plan, event.Customer, event.FanOut)
+	waited := c.clientWait(event, class, c.clockAdvance)
+	cause := c.admit(c.now, account, admissionRequest{
+		class:  class,
+		units:  event.Units,
+		isLate: c.isExpectedLate(class, waited),
+		turn:   c.nextTurnEstimate(),
+	})
+	if cause != CauseNone {
+		c.reject(event.ID, cause)
+		return
+	}
+	req := &request{
+		id:          event.ID,
+		class:       class,
+		plan:        plan,
+		account:     account,
+		units:       event.Units,
+		arrivedAt:   c.now,
+		objectiveAt: c.now + class.LatencyObjective - waited,
+		deadline:    c.now + event.Timeout,
+		isStreaming: event.HasPendingBody,
+	}
+	c.requests[req.id] = req
+	c.retryBudget.earn()
+	plan.pushBack(req)
+	c.armTimer(req, c.maxQueueTime(req))
+}
+
+// isExpectedLate tells whether the latency objective of a request whose client has waited for a time can
+// not be met.
+func (c *Controller) isExpectedLate(class *Class, waited time.Duration) bool {
+	latency := durationOf(c.fleet.latency.mean)
+	// Guards against rejecting all for good after one slow answer: with nothing in flight, an attempt has to
+	// show whether servers still are slow.
+	needsSample := latency >= class.LatencyObjective && c.slots.inFlight == 0
+	if needsSample && waited < class.LatencyObjective {
+		return false
+	}
+	return waited+latency >= class.LatencyObjective
+}
+
+// maxQueueTime is how long a new request may be queued: a part of its latency objective and of its
+// client's timeout, and no longer than an answer can still meet the objective.
+func (c *Controller) maxQueueTime(req *request) time.Duration {
+	fraction := queueWaitFraction
+	if req.plan.MaxInFlight > 0 {
+		fraction = inFlightQuotaWaitFraction
+	}
+	maxWait := time.Duration(fraction * float64(req.class.LatencyObjective))
+	slack := req.objectiveAt - c.now - durationOf(c.fleet.latency.mean)
+	timeout := req.deadline - c.now
+	return min(maxWait, timeout/2, max(slack, tickPeriod))
+}
+
+// unusableCause is why a request is rejected whatever the load; CauseNone is none.
+func unusableCause(event Request, class *Class, plan *planQueue) Cause {
+	switch {
+	case event.IsOverCapacity:
+		return CauseOverCapacity
+	case event.IsOverHardLimit:
+		return CauseHardLimit
+	case class == nil || plan == nil:
+		return CauseInvalid
+	case !(event.Units >= 0): // also NaN
+		return CauseInvalid
+	case event.Timeout <= 0:
+		return CauseInvalid
+	}
+	return CauseNone
+}
+
+// nextTurnEstimate is what a request that joins the queues now has to expect. Guards against rejecting what
+// fast servers finish at once, only as the limit is reached.
+func (c *Controller) nextTurnEstimate() turnEstimate {
+	queued := c.countQueued()
+	return turnEstimate{
+		hasFreeSlot: c.limiter.hasFreeSlot(c.now, c.slots.occupied(c.now)),
+		seconds:     c.fleet.latency.mean * (1 + float64(queued+1)/math.Max(1, c.limiter.limit)),
+	}
+}
+
+// countedUnits are a request's units in estimates over all customers. Guards against a client that names
+// any number where the settings have no maximum.
+func (c *Controller) countedUnits(units float64) float64 {
+	if c.settings.MaxUnits == 0 {
+		return 1
+	}
+	return units
+}
+
+func (c *Controller) reject(id string, cause Cause) {
+	c.emit(Reject{ID: id, RetryAfter: min(rejectRetryAfter, c.settings.MaxRetryAfter), Cause: cause})
+}
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -5,13 +5,7 @@
 	"time"
 )
 
-const (
-	retryBudgetPerRequest = 0.1 // retries that an admitted request earns
-	minRetryCost          = 0.1 // of the retry budget
-	maxAbandonedLatencies = 2.0 // mean latencies that an abandoned attempt is presumed to run
-
-	retryDeadlineMargin = time.Millisecond // time before a request's deadline from which it is not retried
-)
+const maxAbandonedLatencies = 2.0 // mean latencies that an abandoned attempt is presumed to run
 
 // dispatch starts attempts of queued requests while the concurrency limit allows.
 func (c *Controller) dispatch() {
@@ -35,7 +29,8 @@
 	req.plan.remove(req)
 	var charged charge
 	if req.attempts == 0 {
-		charged = c.chargeFirstAttempt(req.account, req.units)
+		c.refill(req.account)
+		charged = req.account.chargeFirstAttempt(req.units, c.currentBin())
 	}
 	if req.repeatGroup == nil && req.hasIdempotencyKey() {
 		req.firstRunAt = c.now
@@ -79,7 +74,7 @@
 		c.reserveFractionalSlot(attempt)
 	}
 	if event.QuotaUsage > 0 && c.settings.MeterPeriod > 0 {
-		c.recordReading(attempt.account, event.QuotaUsage, req.units)
+		c.recordReading(c.now, &c.accountTable, attempt.account, event.QuotaUsage, req.units)
 	}
 	c.recordOutcome(attempt, event)
 	if event.Load != nil && !event.Load.isPartial() {
@@ -109,7 +104,8 @@
 func (c *Controller) refundAttempt(attempt *pendingAttempt) {
 	attempt.server.slowStart.refund(c.countedUnits(attempt.request.units), attempt.sentAt)
 	if attempt.charge.units > 0 {
-		c.refund(attempt.account, attempt.charge)
+		c.refill(attempt.account)
+		attempt.account.refund(attempt.charge)
 	}
 }
 
@@ -149,7 +145,7 @@
 	}
 	if event.ActualUnits > 0 && c.settings.UnitsInResponse {
 		c.refill(attempt.account)
-		attempt.account.quota.tokens -= event.ActualUnits - req.units
+		attempt.account.chargeActualUnits(event.ActualUnits, req.units)
 	}
 	if !req.isStreaming {
 		c.recordAnswer(attempt, c.now-attempt.sentAt)
@@ -162,7 +158,7 @@
 	attempt.server.latency.add(c.now, seconds)
 	objective := attempt.request.class.LatencyObjective.Seconds()
 	c.window.recordAnswer()
-	if c.rejectionProbability(attempt.account) == 0 {
+	if attempt.account.rejectionProbability(c.now, c.fillingSince) == 0 {
 		attempt.request.plan.recordLateness((c.now - attempt.request.arrivedAt).Seconds() / objective)
 	}
 	// Guards against a limit that is cut because servers are warming up: they are slow with little load.
@@ -173,69 +169,22 @@
 	c.window.recordLatency(seconds, objective)
 }
 
-// retryOrEnd retries a request if idempotency, the attempt limit, the retry budget and the deadline
-// allow it, else ends it. An attempt that failed at once costs little of the budget. Guards against
-// a storm of errors that uses it up while most servers still serve half of their requests.
+// retryOrEnd retries a request if that is allowed, else ends it.
 func (c *Controller) retryOrEnd(req *request, attempt *pendingAttempt, reason Reason) {
-	cost := retryCost(reason, c.now-attempt.sentAt, c.fleet.latency.mean)
-	isAllowed := reason != NotSent && c.allowsAttempt(req) && req.isRepeatable(c.now)
-	if !isAllowed || !c.retryBudget.covers(cost) {
+	if !c.allowRetry(c.now, req, reason, c.now-attempt.sentAt, c.fleet.latency.mean) {
 		c.endUnserved(req, CauseNoRetry)
 		return
 	}
-	c.retryBudget.spend(cost)
 	req.plan.pushFront(req)
-	// Guards against a retry that is queued beyond the client's deadline or its key's repeat window.
-	until := req.lastRetryAt()
-	if req.mayHaveRun && req.hasIdempotencyKey() {
-		until = min(until, req.repeatsDroppedUntil())
-	}
-	c.armTimer(req, until-c.now)
-}
-
-// retryCost is what a retry costs of the budget, given how the attempt before it ended, how long it took,
-// and the mean latency in seconds.
-func retryCost(reason Reason, elapsed time.Duration, meanLatencySeconds float64) float64 {
-	isFailure := reason == Errored || reason == ResetByPeer || reason == ConnectFailed
-	if !isFailure {
-		return 1
-	}
-	cost := elapsed.Seconds() / math.Max(meanLatencySeconds, epsilon)
-	return math.Min(1, math.Max(minRetryCost, cost))
-}
-
-// allowsAttempt tells whether the deadline and the maximum number of attempts allow another one.
-func (c *Controller) allowsAttempt(req *request) bool {
-	if c.now >= req.lastRetryAt() {
-		return false
-	}
-	return c.settings.MaxAttempts == 0 || req.attempts < c.settings.MaxAttempts
+	c.armTimer(req, req.retryDeadline()-c.now)
 }
 
 // endUnserved gives the final answer of a request that was not served: a rejection if that is allowed.
 func (c *Controller) endUnserved(req *request, cause Cause) {
-	if c.canReject(req) {
+	if req.isRejectable() {
 		c.reject(req.id, cause)
 	} else {
 		c.emit(Fail{ID: req.id, Cause: cause})
 	}
 	c.removeRequest(req)
 }
-
-// canReject tells whether the client may repeat the request safely, as it does after a rejection.
-func (c *Controller) canReject(req *request) bool {
-	if req.class.Idempotency == Idempotent {
-		return true
-	}
-	if req.hasIdempotencyKey() && req.class.KeyScope == ScopeAll {
-		return true
-	}
-	return !req.mayHaveRun && req.inFlight == 0
-}
-
-// earn adds what an admitted request brings.
-func (b *retryBudget) earn() { b.retries = math.Min(maxRetryBudget, b.retries+retryBudgetPerRequest) }
-
-func (b *retryBudget) covers(cost float64) bool { return b.retries >= cost }
-
-func (b *retryBudget) spend(cost float64) { b.retries -= cost }
--- a/control/controller.go
+++ b/control/controller.go
@@ -16,12 +16,9 @@
 	minAnswersPerWindow        = 5                      // with fewer answers the shares stay
 	epsilon                    = 1e-9                   // keeps quotients finite
 	rejectRetryAfter           = time.Second            // Retry-After of a rejection
-	initialMeterLagBins        = 8                      // delay of readings assumed until it is learned
 	historyBins                = 80                     // length of an account's histories
-	initialSlackFraction       = 0.5                    // part of the slack that a new hard-limit bucket has
 	serverLatencyGain          = 0.2                    // gain of a server's latency estimate
 	fleetEstimateGain          = 0.02                   // gain of estimates over all servers
-	maxRetryBudget             = 20.0                   // retries that can be saved up
 	rewatchInterval            = 2 * time.Second        // between two requests to watch the endpoint list
 )
 
@@ -31,9 +28,6 @@
 		return nil, err
 	}
 	c := newController(settings, seed)
-	c.retryBudget.retries = maxRetryBudget
-	c.minRetryGap = rejectRetryAfter
-	c.meter.lagBins = initialMeterLagBins
 	c.fleet.requestUnits.mean = (1 + math.Max(1, settings.MaxUnits)) / 2 // until there are requests
 	return c, nil
 }
@@ -103,5 +97,15 @@
 	c.updateShares(&c.window)
 	c.recordThroughput(c.now, c.window.servedUnits, windowSeconds)
 	c.window = controlWindow{}
-	c.evictIdleAccounts()
+	c.evictIdle(c.now)
 }
+
+// accountFor returns the refilled account of a plan's customer, opened at its first request.
+func (c *Controller) accountFor(plan *planQueue, customer string, fanOut int) *customerAccount {
+	return c.find(c.now, c.rng, plan, customer, fanOut)
+}
+
+// refill brings an account up to now.
+func (c *Controller) refill(account *customerAccount) { c.refillAccount(c.now, account) }
+
+func (c *Controller) currentBin() int64 { return c.binAt(c.now) }
--- a/control/hard_limit_test.go
+++ b/control/hard_limit_test.go
@@ -104,7 +104,7 @@
 				}
 				gateway.now += windowDuration
 				if gateway.controller.Handle(gateway.now, TimerFired{}); gateway.controller.accounts[plan.Name+" x"] != nil {
-					gateway.controller.evictIdleAccounts()
+					gateway.controller.evictIdle(gateway.controller.now)
 				}
 				if gateway.controller.accounts[plan.Name+" x"] == nil {
 					forgotten++
--- /dev/null
+++ b/control/in_flight_quota.go
@@ -0,0 +1,40 @@
+package control
+
+import (
+	"math"
+	"time"
+)
+
+const minInFlightLimitFactor = 0.85 // of an in-flight limit, at one reading
+
+// adjust moves this gateway's part of the quota by the maximum that a reading reports, in percent. A
+// limit below one is held by a pause after each attempt. The rejection probability comes last.
+func (q *inFlightQuota) adjust(maxInFlight int, fanOut, percent, rejected, arrivals float64) {
+	minLimit := float64(maxInFlight) / fanOut / 2
+	if q.limit > minLimit {
+		q.rejectionProbability = 0
+	} else if arrivals > 0 || percent <= 100 {
+		probability := math.Max(0, 1-(1-rejected)*100/math.Max(percent, 1))
+		q.rejectionProbability = math.Min(maxRejectionProbability, probability)
+	}
+	if percent > 100 || q.hitLimit {
+		factor := math.Min(limitIncreaseFactor, 100/math.Max(percent, 1))
+		q.limit *= math.Max(minInFlightLimitFactor, factor)
+	}
+	q.limit = math.Min(float64(maxInFlight), math.Max(minLimit, q.limit))
+	q.hitLimit = false
+}
+
+// isFull tells whether no attempt may start now; a request that meets it shows that the limit binds.
+func (q *inFlightQuota) isFull(now time.Duration) bool {
+	isFull := now < q.nextAttemptAt || float64(q.current+q.predecessor) >= math.Max(1, math.Floor(q.limit))
+	q.hitLimit = q.hitLimit || isFull
+	return isFull
+}
+
+// pauseAfter holds the next attempt back after one that ended, where the limit is below one.
+func (q *inFlightQuota) pauseAfter(now, sentAt time.Duration) {
+	if pause := 1/math.Max(q.limit, epsilon) - 1; pause > 0 {
+		q.nextAttemptAt = now + time.Duration(pause*float64(now-sentAt))
+	}
+}
--- a/control/request.go
+++ b/control/request.go
@@ -28,17 +28,6 @@
 // repeatsDroppedUntil is the end of the time in which the repeat group drops repeats of what may have run.
 func (r *request) repeatsDroppedUntil() time.Duration { return r.firstRunAt + r.class.RepeatWindow }
 
-// isRepeatable tells whether a second run would have no other effect than the first.
-func (r *request) isRepeatable(now time.Duration) bool {
-	if !r.mayHaveRun || r.class.Idempotency == Idempotent {
-		return true
-	}
-	return r.hasIdempotencyKey() && now < r.repeatsDroppedUntil()
-}
-
-// lastRetryAt is the time from which a retry comes too late for the client.
-func (r *request) lastRetryAt() time.Duration { return r.deadline - retryDeadlineMargin }
-
 // attemptKey names an attempt: the first of a request is number 0.
 type attemptKey struct {
 	id     string
@@ -107,25 +96,3 @@
 	}
 	c.emit(StartTimer{After: max(after, 0), Label: req.timerLabel})
 }
-
-// retryBudget is the number of retries that requests have earned and not used.
-type retryBudget struct{ retries float64 }
-
-// typicalDeadline is the deadline that most first attempts of a class come with.
-type typicalDeadline struct {
-	deadline time.Duration
-	support  int // requests with it, less those without
-}
-
-// observe follows the majority of the deadlines.
-func (d *typicalDeadline) observe(deadline time.Duration, isOutlier bool) {
-	switch {
-	case !isOutlier:
-		d.support++
-	case d.support != 0:
-		d.support--
-	default:
-		d.deadline = deadline
-		d.support = 1
-	}
-}
--- a/control/state.go
+++ b/control/state.go
@@ -8,9 +8,8 @@
 
 // Controller decides for one gateway. It is not safe for concurrent use.
 type Controller struct {
-	settings          Settings
-	classes           map[string]*Class
-	maxPriorityWeight float64 // of all classes
+	settings Settings
+	classes  map[string]*Class
 
 	pcg *rand.PCG // source of rng
 	rng *rand.Rand
@@ -21,22 +20,18 @@
 	actions      []Action // that answer the present event
 
 	// Requests and their attempts.
-	requests         map[string]*request
-	requestsByTimer  map[uint64]*request
-	lastTimerLabel   uint64
-	attempts         map[attemptKey]*pendingAttempt
-	slots            attemptSlots
-	retryBudget      retryBudget
-	typicalDeadlines map[*Class]*typicalDeadline
-	minRetryGap      time.Duration // shortest observed time from a client's first attempt to its retry
+	requests        map[string]*request
+	requestsByTimer map[uint64]*request
+	lastTimerLabel  uint64
+	attempts        map[attemptKey]*pendingAttempt
+	slots           attemptSlots
+	retryPolicy
+	clientWaitEstimator
 
 	// Customers and their plans.
 	scheduler
-	accounts      map[string]*customerAccount // by plan and customer
-	meter         meterClock
-	fillingSince  time.Duration // time since which the buckets of accounts not opened yet fill
-	slackFraction float64       // part of its slack with which the bucket of a hard limit is opened
-	rateFraction  float64       // part of all rates that is this controller's; below one after HandOver
+	admission
+	usageEstimator
 
 	// Servers.
 	serverFleet
@@ -55,28 +50,26 @@
 func newController(settings Settings, seed uint64) *Controller {
 	pcg := rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)
 	c := &Controller{
-		settings:         settings,
-		rateFraction:     1,
-		slackFraction:    initialSlackFraction,
-		pcg:              pcg,
-		rng:              rand.New(pcg),
-		classes:          make(map[string]*Class),
-		scheduler:        newScheduler(settings.Plans),
-		requests:         make(map[string]*request),
-		typicalDeadlines: make(map[*Class]*typicalDeadline),
-		requestsByTimer:  make(map[uint64]*request),
-		attempts:         make(map[attemptKey]*pendingAttempt),
-		accounts:         make(map[string]*customerAccount),
-		serverFleet:      serverFleet{servers: make(map[uint32]*server)},
+		settings:        settings,
+		pcg:             pcg,
+		rng:             rand.New(pcg),
+		classes:         make(map[string]*Class),
+		scheduler:       newScheduler(settings.Plans),
+		requests:        make(map[string]*request),
+		requestsByTimer: make(map[uint64]*request),
+		attempts:        make(map[attemptKey]*pendingAttempt),
+		serverFleet:     serverFleet{servers: make(map[uint32]*server)},
 	}
 	c.slowStartSettings = newSlowStartSettings(&c.settings)
 	c.selector = endpointSelector{fleet: &c.serverFleet, slowStart: &c.slowStartSettings}
 	for i := range c.settings.Classes {
 		class := &c.settings.Classes[i]
 		c.classes[class.Name] = class
-		c.typicalDeadlines[class] = &typicalDeadline{}
-		c.maxPriorityWeight = math.Max(c.maxPriorityWeight, class.PriorityWeight)
 	}
+	c.admission = newAdmission(&c.settings)
+	c.usageEstimator = newUsageEstimator(&c.settings)
+	c.retryPolicy = newRetryPolicy(&c.settings)
+	c.clientWaitEstimator = newClientWaitEstimator(&c.settings)
 	return c
 }
 
--- a/control/usage.go
+++ b/control/usage.go
@@ -6,20 +6,13 @@
 )
 
 const (
-	binsPerPeriod           = 10   // bins in a meter period
-	maxMeterLagBins         = 66   // delays of readings that are considered
-	misfitDecay             = 0.99 // part of a delay's misfit that stays at each reading
-	missingSendsWeight      = 0.5  // weight of usage without sends against sends without usage
-	misfitSwitchRatio       = 0.8  // another delay's misfit must be below this part of the present one's
 	localUsageDecay         = 0.85 // part of the local and total usage that stays at each reading
 	localUsagePriorRequests = 3.0  // weight, in requests, of the prior that usage is spread evenly
 	minLocalFraction        = 0.05 // of a customer's usage
-	initialUsageFraction    = 0.3  // part of its rate that an unmetered customer is assumed to use
 	usageRateDecay          = 0.8  // part of the smoothed usage rate that stays at each reading
 	surgeShape              = 0.5  // shape of the prior of remote usage: small trusts local surges more
 	remoteRateDecaySeconds  = 4.0  // time constant with which a reading's remote rate decays
 	unmeteredSeconds        = 2.0  // of usage that readings do not cover yet
-	minInFlightLimitFactor  = 0.85 // of an in-flight limit, at one reading
 	readingWindowUnits      = 8.0  // units of quota over which readings are averaged
 	demandPriorShape        = 0.5  // shape of the prior of a customer's demand
 	demandPriorMean         = 0.8  // and its mean, as a part of the quota's rate
@@ -124,19 +117,36 @@
 	p.firstReadingExcess += (excess - p.firstReadingExcess) / planReadingWindow
 }
 
-// recordReading takes a reading of the meter, 1 + percent of the quota, once for each period. The
-// rejected part is that of the metered period, whatever the probability is now.
-func (c *Controller) recordReading(account *customerAccount, reading int, units float64) {
-	c.refill(account)
+// usageEstimator takes the readings of the fleet's meter into the accounts.
+type usageEstimator struct {
+	meterPeriod time.Duration // 0 is no meter
+	meter       meterClock
+}
+
+func newUsageEstimator(settings *Settings) usageEstimator {
+	return usageEstimator{
+		meterPeriod: settings.MeterPeriod,
+		meter:       meterClock{lagBins: initialMeterLagBins},
+	}
+}
+
+// recordReading takes a reading of the meter, 1 + percent of the quota, once for each period; units are
+// those of the request whose answer it came with. The rejected part is that of the metered period,
+// whatever the probability is now.
+func (e *usageEstimator) recordReading(
+	now time.Duration, table *accountTable, account *customerAccount, reading int, units float64,
+) {
+	table.refillAccount(now, account)
 	plan := account.plan
-	period := c.settings.MeterPeriod.Seconds()
+	period := e.meterPeriod.Seconds()
+	bin := table.binAt(now)
 	percent := float64(reading - 1)
 	used := percent / 100 * plan.QuotaRate * period
 	if plan.QuotaRate > 0 {
 		local := account.usage.localFraction(account.fanOut)
-		c.meter.fit(&account.history.sent, used, units, local, c.currentBin())
+		e.meter.fit(&account.history.sent, used, units, local, bin)
 	}
-	end := c.meter.periodEndBin(c.currentBin())
+	end := e.meter.periodEndBin(bin)
 	if account.demand.isMetered && end < account.demand.readingEndBin+binsPerPeriod/2 {
 		return
 	}
@@ -146,77 +156,18 @@
 	account.demand.isMetered = true
 	account.demand.readingEndBin = end
 	arrivals := account.history.arrivals.periodSum(end)
-	rejected := c.rejectionProbability(account)
+	rejected := account.rejectionProbability(now, table.fillingSince)
 	if arrivals > 0 {
 		rejected = account.history.rejections.periodSum(end) / arrivals
 	}
-	account.demand.addReading(c.now, used, period, plan.QuotaRate, rejected)
+	account.demand.addReading(now, used, period, plan.QuotaRate, rejected)
 	if plan.QuotaRate == 0 {
 		account.inFlight.adjust(plan.MaxInFlight, account.fanOut, percent, rejected, arrivals)
 		return
 	}
 	local := account.history.sent.periodSum(end)
 	charged := account.history.charged.periodSum(end)
-	account.usage.addReading(c.now, used, local, period, account.fanOut, plan.QuotaRate)
-	corrected := math.Max(-plan.QuotaBurst/2, account.quota.tokens+c.rateFraction*(charged-used))
-	account.quota.tokens = math.Min(c.rateFraction*plan.QuotaBurst, corrected)
-}
-
-// adjust moves this gateway's part of the quota by the maximum that a reading reports, in percent. A
-// limit below one is held by a pause after each attempt. The rejection probability comes last.
-func (q *inFlightQuota) adjust(maxInFlight int, fanOut, percent, rejected, arrivals float64) {
-	minLimit := float64(maxInFlight) / fanOut / 2
-	if q.limit > minLimit {
-		q.rejectionProbability = 0
-	} else if arrivals > 0 || percent <= 100 {
-		probability := math.Max(0, 1-(1-rejected)*100/math.Max(percent, 1))
-		q.rejectionProbability = math.Min(maxRejectionProbability, probability)
-	}
-	if percent > 100 || q.hitLimit {
-		factor := math.Min(limitIncreaseFactor, 100/math.Max(percent, 1))
-		q.limit *= math.Max(minInFlightLimitFactor, factor)
-	}
-	q.limit = math.Min(float64(maxInFlight), math.Max(minLimit, q.limit))
-	q.hitLimit = false
-}
-
-// isFull tells whether no attempt may start now; a request that meets it shows that the limit binds.
-func (q *inFlightQuota) isFull(now time.Duration) bool {
-	isFull := now < q.nextAttemptAt || float64(q.current+q.predecessor) >= math.Max(1, math.Floor(q.limit))
-	q.hitLimit = q.hitLimit || isFull
-	return isFull
-}
-
-// pauseAfter holds the next attempt back after one that ended, where the limit is below one.
-func (q *inFlightQuota) pauseAfter(now, sentAt time.Duration) {
-	if pause := 1/math.Max(q.limit, epsilon) - 1; pause > 0 {
-		q.nextAttemptAt = now + time.Duration(pause*float64(now-sentAt))
-	}
-}
-
-// fit finds when the meter's periods end and how late they are reported: the pair under which the
-// units sent here fit the readings best. Guards against a period that is read many times or matched
-// with another's sends; holds for late readings of any cause.
-func (m *meterClock) fit(sent *history, used, units, localFraction float64, now int64) {
-	minMisfit := math.Inf(1)
-	var bestPhase, bestLag int64
-	recent := sent.window()
-	for phase := int64(0); phase < binsPerPeriod; phase++ {
-		periodEnd := latestBinAtPhase(now, phase)
-		for lag := int64(0); lag < maxMeterLagBins; lag++ {
-			local := recent.periodSum(periodEnd - lag)
-			miss := math.Max(0, local-used) + missingSendsWeight*math.Max(0, localFraction*used-local)
-			misfit := &m.misfit[phase][lag]
-			*misfit = *misfit*misfitDecay + miss/(units+used+local)
-			if *misfit < minMisfit {
-				minMisfit = *misfit
-				bestPhase = phase
-				bestLag = lag
-			}
-		}
-	}
-	if minMisfit < misfitSwitchRatio*m.misfit[m.phaseBin][m.lagBins] {
-		m.phaseBin = bestPhase
-		m.lagBins = bestLag
-	}
+	account.usage.addReading(now, used, local, period, account.fanOut, plan.QuotaRate)
+	corrected := math.Max(-plan.QuotaBurst/2, account.quota.tokens+table.rateFraction*(charged-used))
+	account.quota.tokens = math.Min(table.rateFraction*plan.QuotaBurst, corrected)
 }
--- a/control/usage_test.go
+++ b/control/usage_test.go
@@ -15,8 +15,8 @@
 	read := func(pct int) float64 {
 		gateway.controller.now = gateway.now
 		account.quota.tokens = 0 // the store is empty enough for the chance to decide
-		gateway.controller.recordReading(account, pct+1, 1)
-		return gateway.controller.rejectionProbability(account)
+		gateway.recordReading(account, pct+1, 1)
+		return account.rejectionProbability(gateway.controller.now, gateway.controller.fillingSince)
 	}
 	gateway.controller.meter.lagBins = 0
 	asks := func(n, refused int) { // what was asked and refused in the second to come
@@ -62,7 +62,7 @@
 		gateway.controller.now = gateway.now
 		gateway.controller.refill(account)
 		if i%7 == 0 && (i/300)%2 == 0 {
-			gateway.controller.chargeFirstAttempt(account, 1)
+			account.chargeFirstAttempt(1, gateway.controller.currentBin())
 			sent = append(sent, gateway.now)
 		}
 		end := (gateway.now - late).Truncate(time.Second)
@@ -73,7 +73,7 @@
 			}
 		}
 		if i%5 == 0 {
-			gateway.controller.recordReading(account, 1+n*10, 1)
+			gateway.recordReading(account, 1+n*10, 1)
 		}
 	}
 	end := gateway.controller.meter.periodEndBin(gateway.controller.currentBin())
@@ -136,7 +136,7 @@
 	}
 	read := func(plan int, customer string, pct int) {
 		gateway.controller.now = gateway.now
-		gateway.controller.recordReading(gateway.controller.accountFor(gateway.controller.plans[plan], customer, 2), pct+1, 1)
+		gateway.recordReading(gateway.controller.accountFor(gateway.controller.plans[plan], customer, 2), pct+1, 1)
 	}
 	is := func(when, plan string, want float64) {
 		t.Helper()
