--- a/control/policy_files_test.go
+++ b/control/policy_files_test.go
@@ -18,7 +18,7 @@
 	"server_storage.go", "settings.go", "shift.go", "sharecontrol/state.go", "state.go",
 }
 
-// The files that decide, which the deploy file lists, are there, and each of their lines has a limit.
+// The files that decide, which both deploy files list alike, are there and are not just a few; each line has a limit.
 func TestPolicyFilesStayWithinLimits(t *testing.T) {
 	policy := policyFiles(t, "../deploy/balancer.toml")
 	if tally := policyFiles(t, "../deploy/tally.toml"); !slices.Equal(policy, tally) {
