--- a/control/account_storage.go
+++ b/control/account_storage.go
@@ -7,13 +7,24 @@
 	"time"
 )
 
-// checkpoint is the stored form of an account for another controller.
+// An account has two stored forms, CustomerCheckpoint and CustomerImage, whose keys and order of fields are fixed
+// apart from each other. Each form is written by one method of the account, and has one method for each part of an
+// account that it is read into.
+
+// accountKey is the key of a customer's account in Controller.accounts.
+func accountKey(plan, customer string) string { return plan + " " + customer }
+
+// checkpoint is the stored form of an account for another controller. key is the account's in Controller.accounts.
 func (a *customerAccount) checkpoint(key string) CustomerCheckpoint {
 	plan := a.plan
 	return CustomerCheckpoint{
-		ID: key[len(plan.Name)+1:], Plan: plan.Name, FanOut: a.fanOut,
-		QuotaBurst: plan.QuotaBurst, QuotaTokens: a.quota.tokens,
-		HardLimitBurst: plan.HardLimitBurst, HardLimitTokens: a.hardLimit.tokens,
+		ID:                       key[len(plan.Name)+1:],
+		Plan:                     plan.Name,
+		FanOut:                   a.fanOut,
+		QuotaBurst:               plan.QuotaBurst,
+		QuotaTokens:              a.quota.tokens,
+		HardLimitBurst:           plan.HardLimitBurst,
+		HardLimitTokens:          a.hardLimit.tokens,
 		InFlight:                 a.inFlight.current + a.inFlight.predecessor,
 		InFlightLimit:            a.inFlight.limit,
 		OpenRejectionProbability: a.inFlight.rejectionProbability,
@@ -38,7 +49,52 @@
 	}
 }
 
-// restoreAccount opens an account from its stored form. Its histories count only if they are of the same period.
+func (saved *CustomerCheckpoint) usage() usageEstimate {
+	return usageEstimate{
+		localUnits:       saved.LocalUnits,
+		totalUnits:       saved.TotalUnits,
+		rate:             saved.UsageRate,
+		remoteRate:       saved.RemoteRate,
+		remoteRateAt:     saved.RemoteRateAt,
+		lastReadingUnits: saved.LastReadingUnits,
+	}
+}
+
+func (saved *CustomerCheckpoint) demand() demandEstimate {
+	return demandEstimate{
+		requestedUnits: saved.RequestedUnits,
+		requestedAt:    saved.RequestedAt,
+		meteredUnits:   saved.MeteredUnits,
+		demandSeconds:  saved.DemandSeconds,
+		meteredSeconds: saved.MeteredSeconds,
+		readingAt:      saved.ReadingAt,
+		isMetered:      saved.IsMetered,
+		readingEndBin:  saved.ReadingEndBin,
+	}
+}
+
+// usageHistory is the history of bins up to the current one.
+func (saved *CustomerCheckpoint) usageHistory(currentBin int64) usageHistory {
+	var restored usageHistory
+	restored.sent.restore(saved.Sent, currentBin)
+	restored.charged.restore(saved.Charged, currentBin)
+	restored.arrivals.restore(saved.Arrivals, currentBin)
+	restored.rejections.restore(saved.Rejections, currentBin)
+	restored.advance(currentBin)
+	return restored
+}
+
+// inFlightLimit is this gateway's limit of a customer's attempts in flight. A checkpoint without one is of settings
+// in which the plan had none.
+func (saved *CustomerCheckpoint) inFlightLimit(plan *planQueue, fanOut float64) float64 {
+	if saved.InFlightLimit == 0 && plan.MaxInFlight > 0 {
+		return float64(plan.MaxInFlight) / fanOut
+	}
+	return math.Min(saved.InFlightLimit, float64(plan.MaxInFlight))
+}
+
+// restoreAccount opens an account from its stored form. period is that of the meter under which it was stored: bins
+// are of use with the same period only.
 func (c *Controller) restoreAccount(saved *CustomerCheckpoint, period time.Duration, trust Trust) {
 	plan := c.plansByName[saved.Plan]
 	if plan == nil || !(saved.FanOut >= 1) {
@@ -46,32 +102,23 @@
 	}
 	account := c.accountFor(plan, saved.ID, int(saved.FanOut))
 	account.inFlight.rejectionProbability = saved.OpenRejectionProbability
-	account.inFlight.limit = math.Min(saved.InFlightLimit, float64(plan.MaxInFlight))
-	if saved.InFlightLimit == 0 && plan.MaxInFlight > 0 {
-		account.inFlight.limit = float64(plan.MaxInFlight) / account.fanOut
-	}
-	account.usage = usageEstimate{
-		localUnits: saved.LocalUnits, totalUnits: saved.TotalUnits, rate: saved.UsageRate,
-		remoteRate: saved.RemoteRate, remoteRateAt: saved.RemoteRateAt, lastReadingUnits: saved.LastReadingUnits,
-	}
-	account.demand = demandEstimate{
-		requestedUnits: saved.RequestedUnits, requestedAt: saved.RequestedAt,
-		meteredUnits: saved.MeteredUnits, demandSeconds: saved.DemandSeconds, meteredSeconds: saved.MeteredSeconds,
-		readingAt: saved.ReadingAt, isMetered: saved.IsMetered,
-	}
+	account.inFlight.limit = saved.inFlightLimit(plan, account.fanOut)
+	account.usage = saved.usage()
+	account.demand = saved.demand()
 	if period == c.settings.MeterPeriod {
-		account.demand.readingEndBin = saved.ReadingEndBin
-		account.history = usageHistory{}
-		account.history.sent.restore(saved.Sent, c.currentBin())
-		account.history.charged.restore(saved.Charged, c.currentBin())
-		account.history.arrivals.restore(saved.Arrivals, c.currentBin())
-		account.history.rejections.restore(saved.Rejections, c.currentBin())
-		account.history.advance(c.currentBin())
+		account.history = saved.usageHistory(c.currentBin())
+	} else {
+		account.demand.readingEndBin = 0
 	}
-	if trust != TrustAll {
-		return
+	if trust == TrustAll {
+		c.restoreSpending(account, saved)
 	}
-	// What is missing in a bucket was spent, whatever the bucket holds now.
+}
+
+// restoreSpending takes over what a customer has spent and has in flight. What is missing in a bucket was spent,
+// whatever the bucket holds now.
+func (c *Controller) restoreSpending(account *customerAccount, saved *CustomerCheckpoint) {
+	plan := account.plan
 	spent := c.rateFraction*saved.QuotaBurst - saved.QuotaTokens
 	account.quota.tokens = math.Max(-plan.QuotaBurst, c.rateFraction*plan.QuotaBurst-spent)
 	if saved.HardLimitBurst > 0 && plan.HardLimitRate > 0 {
@@ -81,12 +128,16 @@
 	account.inFlight.predecessor = saved.InFlight
 }
 
-// image is the stored form of an account for this controller; its key and whether it is tracked are added.
+// image is the stored form of an account for this controller, without its key and whether it is tracked.
 func (a *customerAccount) image() CustomerImage {
 	return CustomerImage{
-		Plan: a.plan.index, FanOut: a.fanOut, UpdatedAt: a.updatedAt,
-		QuotaTokens: a.quota.tokens, HardLimitTokens: a.hardLimit.tokens,
-		QueuedUnits: a.queuedUnits, AdmissionRemainder: a.admissionRemainder,
+		Plan:                     a.plan.index,
+		FanOut:                   a.fanOut,
+		UpdatedAt:                a.updatedAt,
+		QuotaTokens:              a.quota.tokens,
+		HardLimitTokens:          a.hardLimit.tokens,
+		QueuedUnits:              a.queuedUnits,
+		AdmissionRemainder:       a.admissionRemainder,
 		InFlight:                 a.inFlight.current,
 		PredecessorInFlight:      a.inFlight.predecessor,
 		InFlightLimit:            a.inFlight.limit,
@@ -118,59 +169,97 @@
 	}
 }
 
+func (saved *CustomerImage) usage() usageEstimate {
+	return usageEstimate{
+		localUnits:       saved.LocalUnits,
+		totalUnits:       saved.TotalUnits,
+		rate:             saved.UsageRate,
+		remoteRate:       saved.RemoteRate,
+		remoteRateAt:     saved.RemoteRateAt,
+		lastReadingUnits: saved.LastReadingUnits,
+	}
+}
+
+func (saved *CustomerImage) demand() demandEstimate {
+	return demandEstimate{
+		requestedUnits: saved.RequestedUnits,
+		requestedAt:    saved.RequestedAt,
+		meteredUnits:   saved.MeteredUnits,
+		demandSeconds:  saved.DemandSeconds,
+		meteredSeconds: saved.MeteredSeconds,
+		readingAt:      saved.ReadingAt,
+		isMetered:      saved.IsMetered,
+		readingEndBin:  saved.ReadingEndBin,
+	}
+}
+
+func (saved *CustomerImage) inFlight() inFlightQuota {
+	return inFlightQuota{
+		current:              saved.InFlight,
+		predecessor:          saved.PredecessorInFlight,
+		limit:                saved.InFlightLimit,
+		nextAttemptAt:        saved.NextAttemptAt,
+		hitLimit:             saved.HitInFlightLimit,
+		rejectionProbability: saved.OpenRejectionProbability,
+	}
+}
+
+func (saved *CustomerImage) usageHistory() (usageHistory, error) {
+	var resumed usageHistory
+	for _, part := range []struct {
+		name       string
+		history    *history
+		currentBin int64
+		sums       []RunningSum
+	}{
+		{"sent units", &resumed.sent, saved.SentBin, saved.Sent},
+		{"charged units", &resumed.charged, saved.ChargedBin, saved.Charged},
+		{"arrivals", &resumed.arrivals, saved.ArrivalsBin, saved.Arrivals},
+		{"rejections", &resumed.rejections, saved.RejectionsBin, saved.Rejections},
+	} {
+		if err := part.history.resume(part.currentBin, part.sums); err != nil {
+			return usageHistory{}, fmt.Errorf("history of %s: %w", part.name, err)
+		}
+	}
+	return resumed, nil
+}
+
+func (saved *CustomerImage) account(plan *planQueue) (*customerAccount, error) {
+	resumed, err := saved.usageHistory()
+	if err != nil {
+		return nil, err
+	}
+	return &customerAccount{
+		plan:               plan,
+		fanOut:             saved.FanOut,
+		updatedAt:          saved.UpdatedAt,
+		quota:              tokenBucket{saved.QuotaTokens},
+		hardLimit:          tokenBucket{saved.HardLimitTokens},
+		queuedUnits:        saved.QueuedUnits,
+		admissionRemainder: saved.AdmissionRemainder,
+		usage:              saved.usage(),
+		demand:             saved.demand(),
+		inFlight:           saved.inFlight(),
+		history:            resumed,
+	}, nil
+}
+
 // resumeCustomers opens the accounts of an image, in its order.
 func (c *Controller) resumeCustomers(image *Image) ([]*customerAccount, error) {
-	var all []*customerAccount
+	var accounts []*customerAccount
 	for i := range image.Customers {
 		saved := &image.Customers[i]
-		if saved.Plan < 0 || saved.Plan >= len(c.plans) {
+		if !isIndex(saved.Plan, len(c.plans)) {
 			return nil, fmt.Errorf("customer %q: there is no plan %d", saved.Key, saved.Plan)
 		}
 		account, err := saved.account(c.plans[saved.Plan])
 		if err != nil {
 			return nil, fmt.Errorf("customer %q: %w", saved.Key, err)
 		}
-		all = append(all, account)
+		accounts = append(accounts, account)
 		if saved.IsTracked {
 			c.accounts[saved.Key] = account
 		}
 	}
-	return all, nil
-}
-
-func (saved *CustomerImage) account(plan *planQueue) (*customerAccount, error) {
-	account := &customerAccount{
-		plan: plan, fanOut: saved.FanOut, updatedAt: saved.UpdatedAt,
-		quota: tokenBucket{saved.QuotaTokens}, hardLimit: tokenBucket{saved.HardLimitTokens},
-		queuedUnits: saved.QueuedUnits, admissionRemainder: saved.AdmissionRemainder,
-		inFlight: inFlightQuota{
-			current: saved.InFlight, predecessor: saved.PredecessorInFlight, limit: saved.InFlightLimit,
-			nextAttemptAt: saved.NextAttemptAt, hitLimit: saved.HitInFlightLimit,
-			rejectionProbability: saved.OpenRejectionProbability,
-		},
-		usage: usageEstimate{
-			localUnits: saved.LocalUnits, totalUnits: saved.TotalUnits, rate: saved.UsageRate,
-			remoteRate: saved.RemoteRate, remoteRateAt: saved.RemoteRateAt, lastReadingUnits: saved.LastReadingUnits,
-		},
-		demand: demandEstimate{
-			requestedUnits: saved.RequestedUnits, requestedAt: saved.RequestedAt,
-			meteredUnits: saved.MeteredUnits, demandSeconds: saved.DemandSeconds, meteredSeconds: saved.MeteredSeconds,
-			readingAt: saved.ReadingAt, isMetered: saved.IsMetered, readingEndBin: saved.ReadingEndBin,
-		},
-	}
-	for _, hist := range []struct {
-		to   *history
-		bin  int64
-		sums []RunningSum
-	}{
-		{&account.history.sent, saved.SentBin, saved.Sent},
-		{&account.history.charged, saved.ChargedBin, saved.Charged},
-		{&account.history.arrivals, saved.ArrivalsBin, saved.Arrivals},
-		{&account.history.rejections, saved.RejectionsBin, saved.Rejections},
-	} {
-		if err := hist.to.resume(hist.bin, hist.sums); err != nil {
-			return nil, err
-		}
-	}
-	return account, nil
+	return accounts, nil
 }
--- a/control/admission.go
+++ b/control/admission.go
@@ -102,7 +102,7 @@
 
 // accountFor returns the refilled account of a plan's customer, opened at its first request.
 func (c *Controller) accountFor(plan *planQueue, customer string, fanOut int) *customerAccount {
-	key := plan.Name + " " + customer
+	key := accountKey(plan.Name, customer)
 	account := c.accounts[key]
 	if account == nil {
 		account = &customerAccount{plan: plan, fanOut: math.Max(1, float64(fanOut)), updatedAt: c.now}
--- a/control/checkpoint.go
+++ b/control/checkpoint.go
@@ -13,9 +13,10 @@
 const CheckpointVersion = 1
 
 // Checkpoint is what a controller has spent and learned, for one that takes its place: after a reload, in a successor
-// process, or after a restart. Times are on a clock that both controllers share (Unix time). Its keys have older names
-// of the same fields: portion is the rate fraction, bound the concurrency limit, spread the fan-out, level and ceiling the
-// tokens of the quota and of the hard limit, strikes consecutive failures, aside the ejection, told a reading.
+// process, or after a restart. Times are on a clock that both controllers share (Unix time). An Image, in contrast, is
+// the complete state of one controller; both forms have the same parts under keys of their own. The keys have older
+// names of the fields: portion is the rate fraction, bound the concurrency limit, spread the fan-out, level and ceiling
+// the tokens of the quota and of the hard limit, strikes consecutive failures, aside the ejection, told a reading.
 type Checkpoint struct {
 	Version          int                    `cbor:"v"`
 	At               time.Duration          `cbor:"at"`      // when it was taken
@@ -150,14 +151,15 @@
 	queued := 0.0
 	for i := range checkpoint.Customers {
 		saved := &checkpoint.Customers[i]
-		account := c.accounts[saved.Plan+" "+saved.ID]
+		account := c.accounts[accountKey(saved.Plan, saved.ID)]
 		queued += account.queuedUnits
 		saved.QuotaTokens = account.quota.give(account.queuedUnits, fraction)
 		saved.HardLimitTokens = account.hardLimit.give(account.queuedUnits, fraction)
 	}
 	for i := range checkpoint.Servers {
 		saved := &checkpoint.Servers[i]
-		if srv := c.servers[saved.Server]; srv.slowStart.isActive {
+		srv := c.servers[saved.Server]
+		if srv.slowStart.isActive {
 			saved.SlowStartTokens, srv.slowStart.tokens = splitTokens(saved.SlowStartTokens, queued, fraction)
 		}
 	}
@@ -200,15 +202,19 @@
 		MinRetryGap:      c.minRetryGap,
 		TypicalDeadlines: c.typicalDeadlineStates(),
 	}
-	checkpoint.Window.EndsAt, checkpoint.Window.CutAt = c.windowEndsAt, c.limiter.cutAt
+	checkpoint.Window.EndsAt = c.windowEndsAt
+	checkpoint.Window.CutAt = c.limiter.cutAt
 	if c.settings.MeterPeriod > 0 {
 		checkpoint.Meter = c.meter.state()
 		checkpoint.Meter.Period = c.settings.MeterPeriod
 	}
 	for _, plan := range c.plans {
 		checkpoint.Plans = append(checkpoint.Plans, PlanCheckpoint{
-			Plan: plan.Name, Share: plan.share, MeanLateness: plan.meanLateness,
-			LatenessSum: plan.latenessSum, LatenessCount: plan.latenessCount,
+			Plan:          plan.Name,
+			Share:         plan.share,
+			MeanLateness:  plan.meanLateness,
+			LatenessSum:   plan.latenessSum,
+			LatenessCount: plan.latenessCount,
 		})
 	}
 	for _, srv := range c.sortedServers {
@@ -227,7 +233,7 @@
 	if order := cmp.Compare(b.RequestedAt, a.RequestedAt); order != 0 {
 		return order
 	}
-	return strings.Compare(a.Plan+" "+a.ID, b.Plan+" "+b.ID)
+	return strings.Compare(accountKey(a.Plan, a.ID), accountKey(b.Plan, b.ID))
 }
 
 // state is the stored form of a window, without its end and the latest cut of the limit.
@@ -246,6 +252,7 @@
 	}
 }
 
+// window is the control window that a stored form is of.
 func (s *WindowState) window() controlWindow {
 	return controlWindow{
 		wasCut:            s.WasCut,
@@ -272,7 +279,8 @@
 
 // restore takes over a stored form of the right size.
 func (m *meterClock) restore(state *MeterState) {
-	m.phaseBin, m.lagBins = state.PhaseBin, state.LagBins
+	m.phaseBin = state.PhaseBin
+	m.lagBins = state.LagBins
 	for i := range m.misfit {
 		copy(m.misfit[i][:], state.Misfit[i*maxMeterLagBins:])
 	}
@@ -288,12 +296,13 @@
 	return states
 }
 
-// isFinite tells whether all numbers of a checkpoint are.
+// isFinite tells whether no number of a checkpoint is infinite or NaN: their sum would be so too.
 func (c *Checkpoint) isFinite() bool {
-	w := &c.Window
+	window := &c.Window
 	sum := c.SlackFraction + c.RateFraction + c.ConcurrencyLimit + c.UsableServers + c.FleetLatency + c.IdleLatency +
-		c.LatencySamples + c.WarmThroughput + c.WarmServers + c.PeakThroughput + c.RetryBudget + w.LatencyRatioSum + w.LatencySecondsSum + w.LatencyCount +
-		w.Answers + w.Overloads + w.ServedUnits + w.UtilizationSum + w.UtilizationCount
+		c.LatencySamples + c.WarmThroughput + c.WarmServers + c.PeakThroughput + c.RetryBudget +
+		window.LatencyRatioSum + window.LatencySecondsSum + window.LatencyCount + window.Answers + window.Overloads +
+		window.ServedUnits + window.UtilizationSum + window.UtilizationCount
 	for _, misfit := range c.Meter.Misfit {
 		sum += misfit
 	}
--- a/control/image_take.go
+++ b/control/image_take.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Image returns the complete state of the controller. It shares nothing with it.
+// Image returns the complete state of the controller, as a copy.
 func (c *Controller) Image() Image {
 	random, _ := c.pcg.MarshalBinary() // never fails
 	image := Image{
@@ -48,35 +48,49 @@
 		ShareController:      c.shareController.State(),
 		TypicalDeadlines:     c.typicalDeadlineStates(),
 	}
-	c.imageReferences(&image)
+	references := c.indexTracked()
+	// What refers to others comes before them: an attempt may be the last to refer to a request, and both to a server
+	// or a customer.
+	c.imageAttempts(&image, references)
+	c.imageRequests(&image, references)
+	c.imagePlans(&image, references)
+	c.imageServers(&image, references)
+	c.imageCustomers(&image, references)
 	return image
 }
 
-// imageReferences adds what refers to each other. Everything that is referred to has an index, in the order in which it
-// is first met; what is tracked comes first, in a fixed order.
-func (c *Controller) imageReferences(image *Image) {
-	var servers indexer[*server]
-	var customers indexer[*customerAccount]
-	var requests indexer[*request]
-	keys := make(map[*customerAccount]string, len(c.accounts))
+// imageReferences gives all that an image refers to an index, in the order in which it is first met.
+type imageReferences struct {
+	servers   indexer[*server]
+	customers indexer[*customerAccount]
+	requests  indexer[*request]
+}
+
+// indexTracked gives what the controller tracks the first indexes, in a fixed order.
+func (c *Controller) indexTracked() *imageReferences {
+	references := &imageReferences{}
 	for _, srv := range c.sortedServers {
-		servers.index(srv)
+		references.servers.index(srv)
 	}
 	for _, key := range slices.Sorted(maps.Keys(c.accounts)) {
-		customers.index(c.accounts[key])
-		keys[c.accounts[key]] = key
+		references.customers.index(c.accounts[key])
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
-		requests.index(c.requests[id])
+		references.requests.index(c.requests[id])
 	}
+	return references
+}
+
+// imageAttempts adds the attempts in flight and those presumed still running.
+func (c *Controller) imageAttempts(image *Image, references *imageReferences) {
 	for _, key := range slices.SortedFunc(maps.Keys(c.attempts), compareAttempts) {
 		attempt := c.attempts[key]
 		image.Attempts = append(image.Attempts, AttemptImage{
 			ID:          key.id,
 			Attempt:     key.number,
-			Request:     requests.index(attempt.request),
-			Server:      servers.index(attempt.server),
-			Customer:    customers.index(attempt.account),
+			Request:     references.requests.index(attempt.request),
+			Server:      references.servers.index(attempt.server),
+			Customer:    references.customers.index(attempt.account),
 			SentAt:      attempt.sentAt,
 			Units:       attempt.charge.units,
 			GroupUnits:  attempt.charge.groupUnits,
@@ -85,30 +99,49 @@
 		})
 	}
 	for _, abandoned := range c.slots.abandoned {
-		image.Abandoned = append(image.Abandoned, AbandonedImage{servers.index(abandoned.server), abandoned.until})
+		image.Abandoned = append(image.Abandoned, AbandonedImage{
+			Server: references.servers.index(abandoned.server),
+			Until:  abandoned.until,
+		})
 	}
-	for _, req := range requests.items {
+}
+
+func (c *Controller) imageRequests(image *Image, references *imageReferences) {
+	for _, req := range references.requests.items {
 		requestImage := req.image()
 		requestImage.IsTracked = c.requests[req.id] == req
-		requestImage.Customer = customers.index(req.account)
+		requestImage.Customer = references.customers.index(req.account)
 		if req.repeatGroup != nil {
-			requestImage.RepeatGroup = servers.index(req.repeatGroup) + 1
+			requestImage.RepeatGroup = references.servers.index(req.repeatGroup) + 1
 		}
 		image.Requests = append(image.Requests, requestImage)
 	}
+}
+
+func (c *Controller) imagePlans(image *Image, references *imageReferences) {
 	for _, plan := range c.plans {
 		planImage := plan.image()
 		for _, req := range plan.queue {
-			planImage.Queue = append(planImage.Queue, requests.index(req))
+			planImage.Queue = append(planImage.Queue, references.requests.index(req))
 		}
 		image.Plans = append(image.Plans, planImage)
 	}
-	for _, srv := range servers.items {
+}
+
+func (c *Controller) imageServers(image *Image, references *imageReferences) {
+	for _, srv := range references.servers.items {
 		serverImage := srv.image()
 		serverImage.IsTracked = c.servers[srv.Server] == srv
 		image.Servers = append(image.Servers, serverImage)
 	}
-	for _, account := range customers.items {
+}
+
+func (c *Controller) imageCustomers(image *Image, references *imageReferences) {
+	keys := make(map[*customerAccount]string, len(c.accounts))
+	for key, account := range c.accounts {
+		keys[account] = key
+	}
+	for _, account := range references.customers.items {
 		customerImage := account.image()
 		customerImage.Key, customerImage.IsTracked = keys[account]
 		image.Customers = append(image.Customers, customerImage)
@@ -153,7 +186,7 @@
 	}
 }
 
-// indexer gives each item an index, in the order in which they are first asked for.
+// indexer gives each item an index, in the order in which index is first called with them.
 type indexer[T comparable] struct {
 	indexes map[T]int
 	items   []T
@@ -166,7 +199,8 @@
 			x.indexes = make(map[T]int)
 		}
 		i = len(x.items)
-		x.indexes[item], x.items = i, append(x.items, item)
+		x.indexes[item] = i
+		x.items = append(x.items, item)
 	}
 	return i
 }
--- a/control/restore.go
+++ b/control/restore.go
@@ -7,18 +7,20 @@
 	"time"
 )
 
-// Trust says how far a checkpoint counts.
+// Trust is how much of a checkpoint Restore takes over.
 type Trust int
 
-// The degrees of trust.
 const (
-	// TrustAll: nothing was spent elsewhere since the checkpoint was taken.
+	// TrustAll is for a checkpoint since which nothing was spent: all of it is taken over.
 	TrustAll Trust = iota
-	// TrustEstimates: what was spent since is not known, as after a crash. Estimates count, while the buckets of hard
-	// limits begin empty, as the slack that each start grants would add up.
+	// TrustEstimates is for one since which an unknown amount was spent, as after a crash. Only estimates are taken
+	// over. The buckets of hard limits begin empty, as the slack that each start grants would add up.
 	TrustEstimates
 )
 
+// maxShareSumError is how far the shares of a checkpoint may be from a sum of one.
+const maxShareSumError = 1e-6
+
 // Restore takes over a checkpoint, with its part of all rates until ReclaimRates. It is for a controller that has
 // been given the endpoint list and has taken no request yet. What a checkpoint holds of servers, classes or plans that
 // are not there is dropped; where a plan has other quotas now, what was spent stays spent. Estimates count by their age.
@@ -84,16 +86,22 @@
 // restoreWindow goes on with a window. Guards against reloads faster than a window, in which nothing would be learned.
 func (c *Controller) restoreWindow(saved *WindowState) {
 	if saved.EndsAt > c.now-maxWindowExtension && saved.EndsAt <= c.now+windowDuration {
-		c.windowEndsAt, c.limiter.cutAt = saved.EndsAt, min(saved.CutAt, c.now)
+		c.windowEndsAt = saved.EndsAt
+		c.limiter.cutAt = min(saved.CutAt, c.now)
 		c.window = saved.window()
 	}
 }
 
+// isUsable tells whether the state is one of a meter clock with this period.
 func (m *MeterState) isUsable(period time.Duration) bool {
-	return m.Period == period && len(m.Misfit) == binsPerPeriod*maxMeterLagBins &&
-		m.PhaseBin >= 0 && m.PhaseBin < binsPerPeriod && m.LagBins >= 0 && m.LagBins < maxMeterLagBins
+	isPhase := m.PhaseBin >= 0 && m.PhaseBin < binsPerPeriod
+	isLag := m.LagBins >= 0 && m.LagBins < maxMeterLagBins
+	return m.Period == period && m.hasMisfits() && isPhase && isLag
 }
 
+// hasMisfits tells whether there is a misfit for each phase and lag.
+func (m *MeterState) hasMisfits() bool { return len(m.Misfit) == binsPerPeriod*maxMeterLagBins }
+
 // restoreShares takes the shares over if the plans are the same.
 func (c *Controller) restoreShares(plans []PlanCheckpoint) {
 	if len(plans) != len(c.plans) {
@@ -106,13 +114,15 @@
 		}
 		sum += saved.Share
 	}
-	if math.Abs(sum-1) > 1e-6 {
+	if math.Abs(sum-1) > maxShareSumError {
 		return
 	}
 	for _, saved := range plans {
 		plan := c.plansByName[saved.Plan]
-		plan.share, plan.meanLateness = saved.Share, saved.MeanLateness
-		plan.latenessSum, plan.latenessCount = saved.LatenessSum, saved.LatenessCount
+		plan.share = saved.Share
+		plan.meanLateness = saved.MeanLateness
+		plan.latenessSum = saved.LatenessSum
+		plan.latenessCount = saved.LatenessCount
 	}
 }
 
@@ -137,7 +147,7 @@
 		if plan == nil || !(saved.FanOut >= 1) {
 			continue
 		}
-		account := c.accountFor(plan, saved.ID, int(saved.FanOut)) // also one that only the other has seen
+		account := c.accountFor(plan, saved.ID, int(saved.FanOut)) // new if only the other controller has had it
 		account.quota.tokens = math.Min(plan.QuotaBurst, account.quota.tokens+saved.QuotaTokens)
 		hardLimitTokens := account.hardLimit.tokens + saved.HardLimitTokens
 		account.hardLimit.tokens = math.Min(plan.HardLimitBurst/account.fanOut, hardLimitTokens)
@@ -151,7 +161,7 @@
 	}
 }
 
-// PredecessorEnded tells that the controller whose place this one took has no attempts in flight any more.
+// PredecessorEnded reports that the controller whose place this one took has no attempts in flight any more.
 func (c *Controller) PredecessorEnded() {
 	for _, account := range c.accounts {
 		account.inFlight.predecessor = 0
--- a/control/resume.go
+++ b/control/resume.go
@@ -28,23 +28,17 @@
 		return fmt.Errorf("random numbers: %w", err)
 	}
 	c.rng = rand.New(c.pcg)
-	if len(image.Plans) != len(c.plans) {
-		return fmt.Errorf("of %d plans, not %d", len(image.Plans), len(c.plans))
-	}
-	if len(image.TypicalDeadlines) != len(c.settings.Classes) || len(image.Meter.Misfit) != binsPerPeriod*maxMeterLagBins {
-		return fmt.Errorf("of %d classes, not %d, or of another meter", len(image.TypicalDeadlines), len(c.settings.Classes))
+	if err := c.checkSettings(image); err != nil {
+		return err
 	}
 	c.resumeCounters(image)
+	c.resumeEstimates(image)
 	c.meter.restore(&image.Meter)
 	if err := c.shareController.Restore(image.ShareController); err != nil {
 		return err
 	}
-	for _, saved := range image.TypicalDeadlines {
-		class := c.classes[saved.Class]
-		if class == nil {
-			return fmt.Errorf("there is no class %q", saved.Class)
-		}
-		*c.typicalDeadlines[class] = typicalDeadline{saved.Deadline, saved.Support}
+	if err := c.resumeTypicalDeadlines(image.TypicalDeadlines); err != nil {
+		return err
 	}
 	servers, err := c.resumeServers(image)
 	if err != nil {
@@ -64,13 +58,42 @@
 	return c.resumeAttempts(image, requests, servers, customers)
 }
 
-// resumeCounters takes over all that refers to nothing else.
+// checkSettings returns an error if the image was taken under other settings.
+func (c *Controller) checkSettings(image *Image) error {
+	if len(image.Plans) != len(c.plans) {
+		return fmt.Errorf("of %d plans, not %d", len(image.Plans), len(c.plans))
+	}
+	if len(image.TypicalDeadlines) != len(c.settings.Classes) {
+		return fmt.Errorf("of %d classes, not %d", len(image.TypicalDeadlines), len(c.settings.Classes))
+	}
+	if !image.Meter.hasMisfits() {
+		return fmt.Errorf("of a meter with %d misfits", len(image.Meter.Misfit))
+	}
+	return nil
+}
+
+// resumeCounters takes over times, counts and parts that refer to nothing else.
 func (c *Controller) resumeCounters(image *Image) {
-	c.now, c.clockAdvance, c.isStarted = image.Now, image.ClockAdvance, image.IsStarted
-	c.isWatching, c.nextWatchAt = image.IsWatching, image.NextWatchAt
-	c.fillingSince, c.slackFraction, c.rateFraction = image.FillingSince, image.SlackFraction, image.RateFraction
-	c.minRetryGap, c.retryBudget.retries, c.lastTimerLabel = image.MinRetryGap, image.RetryBudget, image.LastTimerLabel
-	c.slots.inFlight, c.slots.streaming = image.InFlight, image.StreamingAttempts
+	c.now = image.Now
+	c.clockAdvance = image.ClockAdvance
+	c.isStarted = image.IsStarted
+	c.isWatching = image.IsWatching
+	c.nextWatchAt = image.NextWatchAt
+	c.fillingSince = image.FillingSince
+	c.slackFraction = image.SlackFraction
+	c.rateFraction = image.RateFraction
+	c.minRetryGap = image.MinRetryGap
+	c.retryBudget.retries = image.RetryBudget
+	c.lastTimerLabel = image.LastTimerLabel
+	c.slots.inFlight = image.InFlight
+	c.slots.streaming = image.StreamingAttempts
+	c.window = image.Window.window()
+	c.windowEndsAt = image.WindowEndsAt
+	c.nextTick = image.NextTick
+}
+
+// resumeEstimates takes over the concurrency limit and what is known of all servers together.
+func (c *Controller) resumeEstimates(image *Image) {
 	c.limiter = concurrencyLimiter{
 		limit:                image.ConcurrencyLimit,
 		cutAt:                image.LimitCutAt,
@@ -86,43 +109,31 @@
 		peakThroughput:  image.PeakThroughput,
 		requestUnits:    runningMean{image.MeanRequestUnits, image.RequestCount},
 	}
-	c.window, c.windowEndsAt, c.nextTick = image.Window.window(), image.WindowEndsAt, image.NextTick
+}
+
+func (c *Controller) resumeTypicalDeadlines(states []TypicalDeadlineState) error {
+	for _, saved := range states {
+		class := c.classes[saved.Class]
+		if class == nil {
+			return fmt.Errorf("there is no class %q", saved.Class)
+		}
+		*c.typicalDeadlines[class] = typicalDeadline{saved.Deadline, saved.Support}
+	}
+	return nil
 }
 
 // resumeRequests takes over the requests of an image, in its order.
 func (c *Controller) resumeRequests(
 	image *Image, servers []*server, customers []*customerAccount,
 ) ([]*request, error) {
-	var all []*request
+	var requests []*request
 	for i := range image.Requests {
 		saved := &image.Requests[i]
-		class := c.classes[saved.Class]
-		if class == nil || !isIndex(saved.Plan, len(c.plans)) || !isIndex(saved.Customer, len(customers)) ||
-			!isIndex(saved.RepeatGroup, len(servers)+1) {
-			return nil, fmt.Errorf("request %q: it refers to what is not there", saved.ID)
+		req, err := c.resumeRequest(saved, servers, customers)
+		if err != nil {
+			return nil, fmt.Errorf("request %q: %w", saved.ID, err)
 		}
-		req := &request{
-			id:           saved.ID,
-			class:        class,
-			plan:         c.plans[saved.Plan],
-			account:      customers[saved.Customer],
-			units:        saved.Units,
-			arrivedAt:    saved.ArrivedAt,
-			objectiveAt:  saved.ObjectiveAt,
-			deadline:     saved.Deadline,
-			firstRunAt:   saved.FirstRunAt,
-			isQueued:     saved.IsQueued,
-			isStreaming:  saved.IsStreaming,
-			mayHaveRun:   saved.MayHaveRun,
-			attempts:     saved.Attempts,
-			inFlight:     saved.InFlight,
-			triedServers: slices.Clone(saved.TriedServers),
-			timerLabel:   saved.TimerLabel,
-		}
-		if saved.RepeatGroup > 0 {
-			req.repeatGroup = servers[saved.RepeatGroup-1]
-		}
-		all = append(all, req)
+		requests = append(requests, req)
 		if !saved.IsTracked {
 			continue
 		}
@@ -131,21 +142,65 @@
 			c.requestsByTimer[req.timerLabel] = req
 		}
 	}
-	return all, nil
+	return requests, nil
+}
+
+// resumeRequest returns the request of an image, or an error if it refers to something that the image or the settings
+// do not have.
+func (c *Controller) resumeRequest(
+	saved *RequestImage, servers []*server, customers []*customerAccount,
+) (*request, error) {
+	class := c.classes[saved.Class]
+	switch {
+	case class == nil:
+		return nil, fmt.Errorf("there is no class %q", saved.Class)
+	case !isIndex(saved.Plan, len(c.plans)):
+		return nil, fmt.Errorf("there is no plan %d", saved.Plan)
+	case !isIndex(saved.Customer, len(customers)):
+		return nil, fmt.Errorf("there is no customer %d", saved.Customer)
+	case !isIndex(saved.RepeatGroup, len(servers)+1):
+		return nil, fmt.Errorf("there is no server %d", saved.RepeatGroup-1)
+	}
+	req := &request{
+		id:           saved.ID,
+		class:        class,
+		plan:         c.plans[saved.Plan],
+		account:      customers[saved.Customer],
+		units:        saved.Units,
+		arrivedAt:    saved.ArrivedAt,
+		objectiveAt:  saved.ObjectiveAt,
+		deadline:     saved.Deadline,
+		firstRunAt:   saved.FirstRunAt,
+		isQueued:     saved.IsQueued,
+		isStreaming:  saved.IsStreaming,
+		mayHaveRun:   saved.MayHaveRun,
+		attempts:     saved.Attempts,
+		inFlight:     saved.InFlight,
+		triedServers: slices.Clone(saved.TriedServers),
+		timerLabel:   saved.TimerLabel,
+	}
+	if saved.RepeatGroup > 0 {
+		req.repeatGroup = servers[saved.RepeatGroup-1]
+	}
+	return req, nil
 }
 
 func (c *Controller) resumePlans(image *Image, requests []*request) error {
 	for i := range image.Plans {
-		saved, plan := &image.Plans[i], c.plans[i]
-		plan.share, plan.deficit = saved.Share, saved.Deficit
-		plan.latenessSum, plan.latenessCount = saved.LatenessSum, saved.LatenessCount
+		saved := &image.Plans[i]
+		plan := c.plans[i]
+		plan.share = saved.Share
+		plan.deficit = saved.Deficit
+		plan.latenessSum = saved.LatenessSum
+		plan.latenessCount = saved.LatenessCount
 		plan.meanLateness = saved.MeanLateness
-		plan.firstReadingUsage, plan.firstReadingExcess = saved.FirstReadingUsage, saved.FirstReadingExcess
-		for _, place := range saved.Queue {
-			if !isIndex(place, len(requests)) {
-				return fmt.Errorf("plan %q: there is no request %d", plan.Name, place)
+		plan.firstReadingUsage = saved.FirstReadingUsage
+		plan.firstReadingExcess = saved.FirstReadingExcess
+		for _, index := range saved.Queue {
+			if !isIndex(index, len(requests)) {
+				return fmt.Errorf("plan %q: there is no request %d", plan.Name, index)
 			}
-			plan.queue = append(plan.queue, requests[place])
+			plan.queue = append(plan.queue, requests[index])
 		}
 	}
 	return nil
@@ -156,19 +211,29 @@
 ) error {
 	for i := range image.Attempts {
 		saved := &image.Attempts[i]
-		if !isIndex(saved.Request, len(requests)) || !isIndex(saved.Server, len(servers)) ||
-			!isIndex(saved.Customer, len(customers)) {
-			return fmt.Errorf("attempt %d of %q: it refers to what is not there", saved.Attempt, saved.ID)
+		switch {
+		case !isIndex(saved.Request, len(requests)):
+			return fmt.Errorf("attempt %d of %q: there is no request %d", saved.Attempt, saved.ID, saved.Request)
+		case !isIndex(saved.Server, len(servers)):
+			return fmt.Errorf("attempt %d of %q: there is no server %d", saved.Attempt, saved.ID, saved.Server)
+		case !isIndex(saved.Customer, len(customers)):
+			return fmt.Errorf("attempt %d of %q: there is no customer %d", saved.Attempt, saved.ID, saved.Customer)
 		}
 		c.attempts[attemptKey{saved.ID, saved.Attempt}] = &pendingAttempt{
 			request: requests[saved.Request],
 			server:  servers[saved.Server],
 			account: customers[saved.Customer],
 			sentAt:  saved.SentAt,
-			charge:  charge{saved.Units, saved.GroupUnits, saved.QuotaTokens, saved.Bin},
+			charge: charge{
+				units:       saved.Units,
+				groupUnits:  saved.GroupUnits,
+				quotaTokens: saved.QuotaTokens,
+				bin:         saved.Bin,
+			},
 		}
 	}
 	return nil
 }
 
+// isIndex tells whether i is an index in a list of this length.
 func isIndex(i, length int) bool { return i >= 0 && i < length }
--- a/control/server_storage.go
+++ b/control/server_storage.go
@@ -7,8 +7,8 @@
 
 // Limits of what is restored of a server.
 const (
-	maxRestoredAbandoned = 10000     // attempts presumed still running
-	maxAbandonedTime     = time.Hour // for which they are
+	maxRestoredAbandoned = 10000     // attempts presumed still running, of each kind
+	maxAbandonedTime     = time.Hour // for which an attempt is presumed so
 
 	// maxStartDifference is how far apart two processes may reckon one start of a server: each takes its age by its
 	// own reading of the clocks.
@@ -56,36 +56,50 @@
 		return
 	}
 	// The estimate was most likely one of several samples.
-	srv.latency = latencyEstimate{seconds: saved.Latency, updatedAt: saved.LatencyAt, samples: latencyPriorSamples}
-	srv.outlier.failureRate, srv.outlier.failureRateAt = saved.FailureRate, saved.FailureRateAt
-	srv.outlier.consecutiveFailures = saved.ConsecutiveFailures
-	srv.outlier.ejectedUntil = min(saved.EjectedUntil, c.now+maxEjectionTime)
-	srv.outlier.ejectionTime = min(saved.EjectionTime, maxEjectionTime)
-	for name, until := range saved.PlanRejectedUntil {
-		if plan := c.plansByName[name]; plan != nil {
-			srv.outlier.planRejectedUntil[plan] = min(until, c.now+planRejectionTime)
-		}
+	srv.latency = latencyEstimate{
+		seconds:   saved.Latency,
+		updatedAt: saved.LatencyAt,
+		samples:   latencyPriorSamples,
 	}
+	c.restoreOutlier(&srv.outlier, saved)
 	if trust != TrustAll {
 		return
 	}
 	if srv.slowStart.isActive {
 		srv.slowStart.tokens = saved.SlowStartTokens
 	}
-	// The predecessor's attempts count against the concurrency limit and a slow start until they
-	// are presumed to have ended.
+	c.restoreAbandoned(srv, saved)
+}
+
+// restoreOutlier takes over what a checkpoint knows of a server's failures, with no end later than one set now.
+func (c *Controller) restoreOutlier(outlier *outlierDetector, saved *ServerCheckpoint) {
+	outlier.failureRate = saved.FailureRate
+	outlier.failureRateAt = saved.FailureRateAt
+	outlier.consecutiveFailures = saved.ConsecutiveFailures
+	outlier.ejectedUntil = min(saved.EjectedUntil, c.now+maxEjectionTime)
+	outlier.ejectionTime = min(saved.EjectionTime, maxEjectionTime)
+	for name, until := range saved.PlanRejectedUntil {
+		if plan := c.plansByName[name]; plan != nil {
+			outlier.planRejectedUntil[plan] = min(until, c.now+planRejectionTime)
+		}
+	}
+}
+
+// restoreAbandoned takes over the predecessor's attempts: they count against the concurrency limit and a slow start
+// until they are presumed to have ended.
+func (c *Controller) restoreAbandoned(srv *server, saved *ServerCheckpoint) {
 	until := c.now + durationOf(c.fleet.latency.mean)
 	for range min(saved.InFlight, maxRestoredAbandoned) {
 		c.slots.abandon(srv, until)
 	}
 	for i := range min(len(saved.AbandonedUntil), maxRestoredAbandoned) {
-		if at := saved.AbandonedUntil[i]; at > c.now {
-			c.slots.abandon(srv, min(at, c.now+maxAbandonedTime))
+		if until := saved.AbandonedUntil[i]; until > c.now {
+			c.slots.abandon(srv, min(until, c.now+maxAbandonedTime))
 		}
 	}
 }
 
-// image is the stored form of a server for this controller; whether it is tracked is added.
+// image is the stored form of a server for this controller, without whether it is tracked.
 func (s *server) image() ServerImage {
 	image := ServerImage{
 		Endpoint:            s.Endpoint,
@@ -119,25 +133,26 @@
 
 // resumeServers takes the servers of an image, in its order, and the attempts presumed still running there.
 func (c *Controller) resumeServers(image *Image) ([]*server, error) {
-	var all []*server
+	var servers []*server
 	for i := range image.Servers {
 		saved := &image.Servers[i]
 		srv, err := saved.server(c.plans)
 		if err != nil {
 			return nil, fmt.Errorf("server %d: %w", saved.Server, err)
 		}
-		all = append(all, srv)
+		servers = append(servers, srv)
 		if saved.IsTracked {
-			c.servers[srv.Server], c.sortedServers = srv, append(c.sortedServers, srv)
+			c.servers[srv.Server] = srv
+			c.sortedServers = append(c.sortedServers, srv)
 		}
 	}
 	for _, saved := range image.Abandoned {
-		if saved.Server < 0 || saved.Server >= len(all) {
-			return nil, fmt.Errorf("there is no server %d", saved.Server)
+		if !isIndex(saved.Server, len(servers)) {
+			return nil, fmt.Errorf("abandoned attempt: there is no server %d", saved.Server)
 		}
-		c.slots.abandoned = append(c.slots.abandoned, abandonedAttempt{all[saved.Server], saved.Until})
+		c.slots.abandoned = append(c.slots.abandoned, abandonedAttempt{servers[saved.Server], saved.Until})
 	}
-	return all, nil
+	return servers, nil
 }
 
 func (saved *ServerImage) server(plans []*planQueue) (*server, error) {
@@ -148,24 +163,33 @@
 		abandoned:      saved.Abandoned,
 		lastActivityAt: saved.LastActivityAt,
 		latency: latencyEstimate{
-			seconds: saved.Latency, updatedAt: saved.LatencyAt, samples: saved.LatencySamples,
+			seconds:   saved.Latency,
+			updatedAt: saved.LatencyAt,
+			samples:   saved.LatencySamples,
 		},
 		load: loadEstimate{
-			slowdown: saved.Slowdown, utilization: saved.Utilization, reportedAt: saved.ReportedAt,
+			slowdown:    saved.Slowdown,
+			utilization: saved.Utilization,
+			reportedAt:  saved.ReportedAt,
 		},
 		outlier: outlierDetector{
 			consecutiveFailures: saved.ConsecutiveFailures,
-			failureRate:         saved.FailureRate, failureRateAt: saved.FailureRateAt,
-			ejectedUntil: saved.EjectedUntil, ejectionTime: saved.EjectionTime, isProbing: saved.IsProbing,
-			planRejectedUntil: make(map[*planQueue]time.Duration, len(saved.PlanRejectedUntil)),
+			failureRate:         saved.FailureRate,
+			failureRateAt:       saved.FailureRateAt,
+			ejectedUntil:        saved.EjectedUntil,
+			ejectionTime:        saved.EjectionTime,
+			isProbing:           saved.IsProbing,
+			planRejectedUntil:   make(map[*planQueue]time.Duration, len(saved.PlanRejectedUntil)),
 		},
 		slowStart: slowStart{
-			isActive: saved.IsWarmingUp, startedAt: saved.WarmupStart,
-			tokens: saved.SlowStartTokens, updatedAt: saved.SlowStartTokensAt,
+			isActive:  saved.IsWarmingUp,
+			startedAt: saved.WarmupStart,
+			tokens:    saved.SlowStartTokens,
+			updatedAt: saved.SlowStartTokensAt,
 		},
 	}
 	for i, until := range saved.PlanRejectedUntil {
-		if i < 0 || i >= len(plans) {
+		if !isIndex(i, len(plans)) {
 			return nil, fmt.Errorf("there is no plan %d", i)
 		}
 		srv.outlier.planRejectedUntil[plans[i]] = until
--- a/control/state.go
+++ b/control/state.go
@@ -78,8 +78,11 @@
 	utilizationCount  float64
 }
 
+// secondSeedMask makes the second seed of the random numbers differ from the first: 2^64 over the golden ratio.
+const secondSeedMask = 0x9e3779b97f4a7c15
+
 func newController(settings Settings, seed uint64) *Controller {
-	pcg := rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)
+	pcg := rand.NewPCG(seed, seed^secondSeedMask)
 	c := &Controller{
 		settings:         settings,
 		rateFraction:     1,
@@ -97,13 +100,16 @@
 	}
 	for i := range c.settings.Classes {
 		class := &c.settings.Classes[i]
-		c.classes[class.Name], c.typicalDeadlines[class] = class, &typicalDeadline{}
+		c.classes[class.Name] = class
+		c.typicalDeadlines[class] = &typicalDeadline{}
 		c.maxPriorityWeight = math.Max(c.maxPriorityWeight, class.PriorityWeight)
 	}
 	prices := make([]float64, len(settings.Plans))
-	for i, p := range settings.Plans {
-		plan := &planQueue{Plan: p, index: i}
-		c.plans, c.plansByName[p.Name], prices[i] = append(c.plans, plan), plan, p.Price
+	for i, plan := range settings.Plans {
+		queue := &planQueue{Plan: plan, index: i}
+		c.plans = append(c.plans, queue)
+		c.plansByName[plan.Name] = queue
+		prices[i] = plan.Price
 	}
 	c.shareController = sharecontrol.New(prices)
 	return c
@@ -114,7 +120,8 @@
 func (c *Controller) Handle(now time.Duration, event Event) []Action {
 	c.actions = c.actions[:0]
 	if now > c.now {
-		c.now, c.clockAdvance = now, now-c.now
+		c.clockAdvance = now - c.now
+		c.now = now
 	}
 	if !c.isStarted {
 		c.startClock()
@@ -143,7 +150,8 @@
 
 // startClock starts the timer and the first window, at the first event.
 func (c *Controller) startClock() {
-	c.isStarted, c.fillingSince = true, c.now
+	c.isStarted = true
+	c.fillingSince = c.now
 	c.windowEndsAt = c.now + windowDuration
 	c.emit(StartTimer{After: tickPeriod, Label: tickTimerLabel})
 }
