--- a/internal/command/replay.go
+++ b/internal/command/replay.go
@@ -101,7 +101,7 @@
 	out := replayed{File: path, Same: true}
 	out.Service, out.At, out.Lost = r.Service()
 	var before []string
-	out.Events, out.Digest, err = r.Play(func(s record.Step) error {
+	out.Events, out.Digest, err = r.Replay(func(s record.Step) error {
 		if p.steps && (p.id == "" || about(s, p.id)) {
 			fmt.Fprintln(p.e.Out, line(s))
 		}
@@ -109,7 +109,7 @@
 			before = before[1:]
 		}
 		before = append(before, line(s))
-		if !s.Same {
+		if !s.IsAsRecorded {
 			return errDiffers
 		}
 		return ctx.Err()
--- a/internal/record/event.go
+++ b/internal/record/event.go
@@ -7,13 +7,13 @@
 	"lockflow/internal/codec"
 )
 
-// kinds are events by the number that a recording has for them, from 1 on.
-var kinds = []func(cbor.RawMessage) (control.Event, error){
-	decode[control.EndpointList], decode[control.Request], decode[control.ResponseStarted],
-	decode[control.AttemptResult], decode[control.ClientGone], decode[control.TimerFired], decode[control.HealthCheckResult], decode[control.PeerMessage], decode[control.CounterResult],
+// eventDecoders are events by the number that a recording has for them, from 1 on.
+var eventDecoders = []func(cbor.RawMessage) (control.Event, error){
+	decodeEvent[control.EndpointList], decodeEvent[control.Request], decodeEvent[control.ResponseStarted],
+	decodeEvent[control.AttemptResult], decodeEvent[control.ClientGone], decodeEvent[control.TimerFired], decodeEvent[control.HealthCheckResult], decodeEvent[control.PeerMessage], decodeEvent[control.CounterResult],
 }
 
-func decode[E control.Event](raw cbor.RawMessage) (control.Event, error) {
+func decodeEvent[E control.Event](raw cbor.RawMessage) (control.Event, error) {
 	var e E
 	err := codec.Decoder.Unmarshal(raw, &e)
 	return e, err
--- a/internal/record/golden_amd64_test.go
+++ b/internal/record/golden_amd64_test.go
@@ -110,7 +110,7 @@
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	m, err := New(c, h.history.settings, Options{Service: name, Dir: h.dir, Bytes: 64 << 20})
+	m, err := New(c, h.history.settings, Options{Service: name, Dir: h.dir, MaxBytes: 64 << 20})
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -284,7 +284,7 @@
 	if p.reader, err = Open(bytes.NewReader(raw)); err != nil {
 		t.Fatalf("%s: %v", path, err)
 	}
-	if p.shadow, err = control.Resume(p.reader.head.Settings, p.reader.head.Image); err != nil {
+	if p.shadow, err = control.Resume(p.reader.header.Settings, p.reader.header.Image); err != nil {
 		t.Fatalf("%s: %v", path, err)
 	}
 	return p
@@ -293,8 +293,8 @@
 // play plays the recording and returns its line of the golden file.
 func (p *replayed) play() string {
 	p.t.Helper()
-	events, sum, err := p.reader.Play(func(s Step) error {
-		if !s.Same {
+	events, sum, err := p.reader.Replay(func(s Step) error {
+		if !s.IsAsRecorded {
 			if p.other++; p.other == 1 {
 				p.t.Errorf("%s: at %v %T is answered otherwise than recorded, by %v", p.path, s.Now, s.Event, s.Actions)
 			}
--- a/internal/record/keys_test.go
+++ b/internal/record/keys_test.go
@@ -23,13 +23,13 @@
 
 // Recordings have a written key for every field: of a section's head with its settings and image, and of each event.
 func TestKeysAreWritten(t *testing.T) {
-	testkit.RequireKeys(t, "cbor", slices.Concat([]any{head{}, one{}}, events)...)
+	testkit.RequireKeys(t, "cbor", slices.Concat([]any{sectionHeader{}, recordedEvent{}}, events)...)
 }
 
 // An event that is not among those checked would go unchecked.
 func TestKeysOfAllEvents(t *testing.T) {
-	if len(events) != len(kinds) {
-		t.Fatalf("%d events are checked, recordings know %d", len(events), len(kinds))
+	if len(events) != len(eventDecoders) {
+		t.Fatalf("%d events are checked, recordings know %d", len(events), len(eventDecoders))
 	}
 	for i, e := range events {
 		if kind := kindOf(e.(control.Event)); int(kind) != i+1 {
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -30,8 +30,8 @@
 	Plans: []control.Plan{{Name: "a", Price: 1, QuotaRate: 20, QuotaBurst: 40}, {Name: "b", Price: 2, QuotaRate: 20, QuotaBurst: 20, HardLimitRate: 40, HardLimitBurst: 40, HardLimitSlack: 4}},
 }
 
-// played has a recorded module take a history by chance, as a service would bring it.
-func played(t testing.TB, seed uint64, steps int, o Options, between func(m *Module, step int)) {
+// recordRandomHistory has a recorded module take a history by chance, as a service would bring it.
+func recordRandomHistory(t testing.TB, seed uint64, steps int, o Options, between func(m *Module, step int)) {
 	t.Helper()
 	c, err := control.New(settings, seed)
 	if err != nil {
@@ -133,16 +133,16 @@
 	return all
 }
 
-var errOther = errors.New("other actions")
+var errDiffers = errors.New("other actions")
 
-func play(raw []byte) (n int, sum uint64, err error) {
+func replayAll(raw []byte) (n int, sum uint64, err error) {
 	r, err := Open(bytes.NewReader(raw))
 	if err != nil {
 		return 0, 0, err
 	}
-	return r.Play(func(s Step) error {
-		if !s.Same {
-			return errOther
+	return r.Replay(func(s Step) error {
+		if !s.IsAsRecorded {
+			return errDiffers
 		}
 		return nil
 	})
@@ -154,7 +154,7 @@
 	events := 0
 	for seed := range uint64(60) {
 		dir := t.TempDir()
-		played(t, seed, 1500, Options{Service: "s", Dir: dir, Bytes: 1 << 20}, func(m *Module, step int) {
+		recordRandomHistory(t, seed, 1500, Options{Service: "s", Dir: dir, MaxBytes: 1 << 20}, func(m *Module, step int) {
 			if step == 700 {
 				given := m.HandOver(time.Hour+time.Duration(step)*5*time.Millisecond, 0.5)
 				m.ReclaimRates(time.Hour+time.Duration(step)*5*time.Millisecond, &given)
@@ -165,11 +165,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			n, sum, err := play(raw)
+			n, sum, err := replayAll(raw)
 			if events += n; err != nil {
 				t.Fatalf("seed %d, %s: after %d events: %v", seed, path, n, err)
 			}
-			if _, again, _ := play(raw); again != sum {
+			if _, again, _ := replayAll(raw); again != sum {
 				t.Fatalf("seed %d: two replays differ", seed)
 			}
 		}
@@ -180,49 +180,48 @@
 // Files rotate within their bound, and each stands alone.
 func TestRotation(t *testing.T) {
 	dir := t.TempDir()
-	played(t, 1, 20_000, Options{Service: "s", Dir: dir, Bytes: 1 << 20}, nil)
+	recordRandomHistory(t, 1, 20_000, Options{Service: "s", Dir: dir, MaxBytes: 1 << 20}, nil)
 	all := sections(t, dir)
-	if len(all) != files {
+	if len(all) != filesPerService {
 		t.Errorf("%d files", len(all))
 	}
 	for _, path := range all {
 		raw, err := os.ReadFile(path)
-		if err != nil || len(raw) > 1<<20/files+1<<16 {
+		if err != nil || len(raw) > 1<<20/filesPerService+1<<16 {
 			t.Errorf("%s: %d bytes, %v", path, len(raw), err)
 		}
-		if n, _, err := play(raw); err != nil || n == 0 {
+		if n, _, err := replayAll(raw); err != nil || n == 0 {
 			t.Errorf("%s: %d events, %v", path, n, err)
 		}
 	}
 }
 
-// What is cut off is played up to there; what was altered, is of another build or no recording is
-// told.
-func TestSpoilt(t *testing.T) {
+// A recording that was cut off is replayed up to there; what is none is rejected.
+func TestDamagedRecordings(t *testing.T) {
 	dir := t.TempDir()
-	played(t, 2, 2000, Options{Service: "s", Dir: dir, Bytes: 64 << 20}, nil)
+	recordRandomHistory(t, 2, 2000, Options{Service: "s", Dir: dir, MaxBytes: 64 << 20}, nil)
 	raw, err := os.ReadFile(sections(t, dir)[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole, _, err := play(raw)
+	whole, _, err := replayAll(raw)
 	if err != nil || whole < 1000 {
 		t.Fatalf("%d events, %v", whole, err)
 	}
-	if n, _, err := play(raw[:len(raw)/2]); err != nil || n == 0 || n >= whole {
+	if n, _, err := replayAll(raw[:len(raw)/2]); err != nil || n == 0 || n >= whole {
 		t.Errorf("cut off: %d of %d events, %v", n, whole, err)
 	}
 	for _, bad := range [][]byte{nil, []byte("noise"), raw[:20]} {
-		if _, _, err := play(bad); err == nil {
+		if _, _, err := replayAll(bad); err == nil {
 			t.Errorf("%d bytes are a recording", len(bad))
 		}
 	}
 }
 
 // Another decision than the recorded one is found at the event where it is made.
-func TestDifference(t *testing.T) {
+func TestOtherDecisionIsFound(t *testing.T) {
 	dir := t.TempDir()
-	played(t, 3, 500, Options{Service: "s", Dir: dir, Bytes: 64 << 20}, nil)
+	recordRandomHistory(t, 3, 500, Options{Service: "s", Dir: dir, MaxBytes: 64 << 20}, nil)
 	raw, err := os.ReadFile(sections(t, dir)[0])
 	if err != nil {
 		t.Fatal(err)
@@ -231,15 +230,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.head.Settings.Plans[0].QuotaRate /= 10 // as another build would decide
-	r.head.Settings.Plans[0].QuotaBurst /= 10
+	r.header.Settings.Plans[0].QuotaRate /= 10 // as another build would decide
+	r.header.Settings.Plans[0].QuotaBurst /= 10
 	at := 0
-	if _, _, err = r.Play(func(s Step) error {
-		if at++; !s.Same {
-			return errOther
+	if _, _, err = r.Replay(func(s Step) error {
+		if at++; !s.IsAsRecorded {
+			return errDiffers
 		}
 		return nil
-	}); !errors.Is(err, errOther) {
+	}); !errors.Is(err, errDiffers) {
 		t.Errorf("no difference in %d events: %v", at, err)
 	}
 }
@@ -254,7 +253,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	first, err := cbor.Marshal(head{Version: Version, Settings: settings, Image: c.Image()})
+	first, err := cbor.Marshal(sectionHeader{Version: Version, Settings: settings, Image: c.Image()})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -262,15 +261,15 @@
 	f.Add(uint8(4), int64(1), []byte{0xa1, 0x61, 'N', 0x01})
 	f.Add(uint8(1), int64(-1), []byte{0xa0})
 	f.Fuzz(func(t *testing.T, kind uint8, now int64, body []byte) {
-		event, err := cbor.Marshal(one{Now: time.Duration(now), Kind: kind, Body: body})
+		event, err := cbor.Marshal(recordedEvent{Now: time.Duration(now), Kind: kind, Body: body})
 		if err != nil {
 			return // no CBOR
 		}
-		r, err := read(bytes.NewReader(frame(frame([]byte(magic), first), event)))
+		r, err := readHeader(bytes.NewReader(frame(frame([]byte(fileMagic), first), event)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _, _ = r.Play(func(Step) error { return nil })
+		_, _, _ = r.Replay(func(Step) error { return nil })
 	})
 }
 
@@ -283,7 +282,7 @@
 			}
 			handle := c.Handle
 			if name == "recorded" {
-				m, err := New(c, settings, Options{Service: "s", Dir: b.TempDir(), Bytes: 64 << 20})
+				m, err := New(c, settings, Options{Service: "s", Dir: b.TempDir(), MaxBytes: 64 << 20})
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/record/section_writer.go
+++ b/internal/record/section_writer.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// write is the writer's goroutine: a file each section, the oldest removed.
-func (m *Module) write() {
-	defer close(m.done)
+// runWriter is the writer's goroutine: a file each section, the oldest removed.
+func (m *Module) runWriter() {
+	defer close(m.writerDone)
 	var file *os.File
 	var z *gzip.Writer
 	end := func() {
@@ -28,14 +28,14 @@
 	for b := range m.batches {
 		if b == nil {
 			end()
-			f, err := m.next()
+			f, err := m.createFile()
 			if err != nil {
-				slog.Warn("recording: no section can be begun", "dir", m.o.Dir, "err", err)
+				slog.Warn("recording: no section can be begun", "dir", m.options.Dir, "err", err)
 				continue
 			}
 			file = f
 			z, _ = gzip.NewWriterLevel(file, gzip.BestSpeed) // an error is a level that is none
-			_, _ = z.Write([]byte(magic))                    // what fails shows at the end
+			_, _ = z.Write([]byte(fileMagic))                // what fails shows at the end
 			continue
 		}
 		if file != nil {
@@ -46,19 +46,19 @@
 	}
 }
 
-// next makes room for a file and opens it.
-func (m *Module) next() (*os.File, error) {
-	old, err := filepath.Glob(filepath.Join(m.o.Dir, m.o.Service+"-*"+Suffix))
+// createFile makes room for a file and opens it.
+func (m *Module) createFile() (*os.File, error) {
+	old, err := filepath.Glob(filepath.Join(m.options.Dir, m.options.Service+"-*"+Suffix))
 	if err != nil {
 		return nil, err
 	}
 	slices.Sort(old)
-	for len(old) >= files {
+	for len(old) >= filesPerService {
 		if err := os.Remove(old[0]); err != nil {
 			return nil, err
 		}
 		old = old[1:]
 	}
-	name := fmt.Sprintf("%s-%020d%s", m.o.Service, time.Now().UnixNano(), Suffix)
-	return os.OpenFile(filepath.Join(m.o.Dir, name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
+	name := fmt.Sprintf("%s-%020d%s", m.options.Service, time.Now().UnixNano(), Suffix)
+	return os.OpenFile(filepath.Join(m.options.Dir, name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 }
