--- a/internal/command/allowance.go
+++ b/internal/command/allowance.go
@@ -25,9 +25,9 @@
 			set.Float64Var(&x.units, "units", 1, "`N` units of a request")
 			set.IntVar(&x.spread, "spread", 0, "`N` instances that the customer comes through; all without it")
 			set.DurationVar(&x.rules.Term, "term", 0, "`TIME` for which units are lent; the file's or 1s without it")
-			set.DurationVar(&x.rules.Pledge, "pledge", 0, "`TIME` for which an instance pledges its part; the file's or 2s without it")
-			set.DurationVar(&x.rules.Settle, "settle", 0, "`TIME` within which all instances know of another number of them; the file's or 10s without it")
-			set.Float64Var(&x.rules.Drift, "drift", 0, "part by which a clock's rate may be wrong; the file's or 0.001 without it")
+			set.DurationVar(&x.rules.ReservationTime, "pledge", 0, "`TIME` for which an instance pledges its part; the file's or 2s without it")
+			set.DurationVar(&x.rules.ResizeTime, "settle", 0, "`TIME` within which all instances know of another number of them; the file's or 10s without it")
+			set.Float64Var(&x.rules.MaxDrift, "drift", 0, "part by which a clock's rate may be wrong; the file's or 0.001 without it")
 			set.BoolVar(&x.json, "json", false, "prints JSON")
 			return func(_ context.Context, e *Env, args []string) error {
 				if len(args) != 1 || args[0] != "explain" || x.file == "" || x.plan == "" || !(x.units > 0) || x.spread < 0 {
@@ -52,21 +52,21 @@
 	if err != nil {
 		return err
 	}
-	var ceiling quotalease.Ceiling
+	var ceiling quotalease.HardLimit
 	found := false
 	for _, s := range cfg.Services {
 		for _, p := range s.Settings.Plans {
 			if p.Name != x.plan {
 				continue
 			}
-			ceiling, found = quotalease.Ceiling{Rate: p.HardLimitRate, Burst: p.HardLimitBurst}, true
+			ceiling, found = quotalease.HardLimit{Rate: p.HardLimitRate, Burst: p.HardLimitBurst}, true
 			file := s.Counter.Rules
 			if file.Instances == 0 {
-				file = quotalease.Rules{Instances: s.Settings.GroupSize, Term: time.Second, Pledge: 2 * time.Second, Settle: 10 * time.Second, Drift: 0.001}
+				file = quotalease.Rules{Instances: s.Settings.GroupSize, Term: time.Second, ReservationTime: 2 * time.Second, ResizeTime: 10 * time.Second, MaxDrift: 0.001}
 			}
 			x.rules = quotalease.Rules{
 				Instances: cmp.Or(x.rules.Instances, file.Instances), Term: cmp.Or(x.rules.Term, file.Term),
-				Pledge: cmp.Or(x.rules.Pledge, file.Pledge), Settle: cmp.Or(x.rules.Settle, file.Settle), Drift: cmp.Or(x.rules.Drift, file.Drift),
+				ReservationTime: cmp.Or(x.rules.ReservationTime, file.ReservationTime), ResizeTime: cmp.Or(x.rules.ResizeTime, file.ResizeTime), MaxDrift: cmp.Or(x.rules.MaxDrift, file.MaxDrift),
 			}
 		}
 	}
@@ -79,10 +79,10 @@
 	if x.spread == 0 || x.spread > x.rules.Instances {
 		x.spread = x.rules.Instances
 	}
-	if err := x.rules.Check(); err != nil {
+	if err := x.rules.Validate(); err != nil {
 		return err
 	}
-	promises := x.rules.Promises(ceiling, x.units, x.spread)
+	promises := x.rules.Guarantees(ceiling, x.units, x.spread)
 	if x.json {
 		return json.NewEncoder(e.Out).Encode(map[string]any{"ceiling": ceiling, "bound": x.rules.Bound(ceiling), "promises": promises})
 	}
@@ -90,11 +90,11 @@
 		ceiling.Burst, x.rules.Instances, x.spread, x.units)
 	b := x.rules.Bound(ceiling)
 	fmt.Fprintf(e.Out, "in any window, whatever fails: %.4g units and %.4g a second; the rate by clocks wrong by %g, the units by a term of %v\n\n",
-		b.Burst, b.Rate, x.rules.Drift, x.rules.Term)
+		b.Burst, b.Rate, x.rules.MaxDrift, x.rules.Term)
 	w := tabwriter.NewWriter(e.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "case\tbeyond in a minute\tuse\twhy")
 	for _, p := range promises {
-		fmt.Fprintf(w, "%s\t%.1f%%\t%.1f%%\t%s\n", p.Case, 100*p.Over, 100*p.Use, p.Why)
+		fmt.Fprintf(w, "%s\t%.1f%%\t%.1f%%\t%s\n", p.Case, 100*p.Excess, 100*p.Utilization, p.Reason)
 	}
 	return w.Flush()
 }
--- a/internal/command/allowance_test.go
+++ b/internal/command/allowance_test.go
@@ -41,14 +41,14 @@
 	}
 	_, out, _ := run(t, nil, "allowance", "explain", "--config", file, "--plan", "enterprise", "--instances", "40", "--json")
 	var got struct {
-		Bound    quotalease.Ceiling
-		Promises []quotalease.Promise
+		Bound    quotalease.HardLimit
+		Promises []quotalease.Guarantee
 	}
 	if err := json.Unmarshal([]byte(out), &got); err != nil || got.Bound.Burst <= 60 || len(got.Promises) < 6 {
 		t.Errorf("%v: %s", err, out)
 	}
 	for _, p := range got.Promises {
-		if p.Over < 0 || p.Use < 0 || p.Use > 1 || p.Why == "" {
+		if p.Excess < 0 || p.Utilization < 0 || p.Utilization > 1 || p.Reason == "" {
 			t.Errorf("%+v", p)
 		}
 	}
--- a/internal/command/keys_test.go
+++ b/internal/command/keys_test.go
@@ -20,7 +20,7 @@
 func TestKeysAreWritten(t *testing.T) {
 	testkit.RequireKeys(t, "json",
 		config.Plan{}, findings{}, replayed{}, played{}, phase{}, eventlog.Sum{},
-		quotalease.Ceiling{}, []quotalease.Promise{}, map[string]fake.Counts{},
+		quotalease.HardLimit{}, []quotalease.Guarantee{}, map[string]fake.Counts{},
 		[]fleet.Answer{}, fleet.Progress{}, []fleet.MemberState{},
 		[]balancesim.Report{}, []fleetsim.Report{}, []fleetsim.QuotaReport{}, []rolloutsim.Report{},
 		[]waitpolicysim.Report{}, []waitpolicysim.ShareReport{},
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -99,13 +99,13 @@
 
 // Counter is how a service's ceilings are shared over the group; its zero value shares none.
 type Counter struct {
-	Addresses    []string                      `plan:"addresses"` // of Redis servers; customers are spread over them
-	Name         string                        `plan:"name"`      // of what is counted there
-	Username     string                        `plan:"username"`
-	PasswordFile string                        `plan:"password_file"`
-	Within       time.Duration                 `plan:"within"` // a call has its answer
-	Rules        quotalease.Rules              `plan:"rules"`
-	Ceilings     map[string]quotalease.Ceiling `plan:"ceilings"` // by plan
+	Addresses    []string                        `plan:"addresses"` // of Redis servers; customers are spread over them
+	Name         string                          `plan:"name"`      // of what is counted there
+	Username     string                          `plan:"username"`
+	PasswordFile string                          `plan:"password_file"`
+	Within       time.Duration                   `plan:"within"` // a call has its answer
+	Rules        quotalease.Rules                `plan:"rules"`
+	Ceilings     map[string]quotalease.HardLimit `plan:"ceilings"` // by plan
 }
 
 // Service is one service.
--- a/internal/config/quota_counter.go
+++ b/internal/config/quota_counter.go
@@ -16,12 +16,12 @@
 func (r *reader) counter(t tree.Table, name string, plans []control.Plan) Counter {
 	c := Counter{
 		Addresses: t.Texts("addresses"), Name: t.Str("name", name), Username: t.Str("username", ""), PasswordFile: path(t, "password_file"),
-		Within: t.Span("within", 200*time.Millisecond, time.Millisecond, quotalease.CallWithin), Ceilings: make(map[string]quotalease.Ceiling),
+		Within: t.Span("within", 200*time.Millisecond, time.Millisecond, quotalease.CallTimeout), Ceilings: make(map[string]quotalease.HardLimit),
 	}
 	c.Rules = quotalease.Rules{
 		Instances: max(1, r.group.size), Term: t.Span("term", time.Second, 10*time.Millisecond, time.Minute),
-		Pledge: t.Span("pledge", 2*time.Second, 10*time.Millisecond, time.Hour), Settle: t.Span("settle", 10*time.Second, 10*time.Millisecond, day),
-		Drift: t.Number("drift", 0.001, 0, 0.1),
+		ReservationTime: t.Span("pledge", 2*time.Second, 10*time.Millisecond, time.Hour), ResizeTime: t.Span("settle", 10*time.Second, 10*time.Millisecond, day),
+		MaxDrift: t.Number("drift", 0.001, 0, 0.1),
 	}
 	maxOver := t.Number("over", 0.05, 0, 1)
 	if len(c.Addresses) == 0 {
@@ -43,16 +43,16 @@
 		t.Wrong("name", "another service counts as %q", c.Name)
 	}
 	r.counted[c.Name] = true
-	if err := c.Rules.Check(); err != nil {
+	if err := c.Rules.Validate(); err != nil {
 		t.Wrong("term", "%v", err)
 	}
 	for _, p := range plans {
 		if p.HardLimitRate == 0 {
 			continue
 		}
-		of := quotalease.Ceiling{Rate: p.HardLimitRate, Burst: p.HardLimitBurst}
+		of := quotalease.HardLimit{Rate: p.HardLimitRate, Burst: p.HardLimitBurst}
 		c.Ceilings[p.Name] = of
-		if over := c.Rules.Over(of, time.Minute); over > maxOver {
+		if over := c.Rules.MaxExcess(of, time.Minute); over > maxOver {
 			b := c.Rules.Bound(of)
 			t.Wrong("over", "plan %s: a minute may hold %.4g + 60*%.4g units, which is %.1f%% more than %.4g + 60*%.4g, and not %.1f%%: its term is too long, or clocks too wrong",
 				p.Name, b.Burst, b.Rate, 100*over, of.Burst, of.Rate, 100*maxOver)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -177,7 +177,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(counter.Close)
-	b := quotalease.Rules{Instances: 1, Term: 200 * time.Millisecond, Drift: 0.001}.Bound(quotalease.Ceiling{Rate: 50, Burst: 50})
+	b := quotalease.Rules{Instances: 1, Term: 200 * time.Millisecond, MaxDrift: 0.001}.Bound(quotalease.HardLimit{Rate: 50, Burst: 50})
 	ceiling := &fake.Ceiling{Rate: b.Rate, Burst: b.Burst}
 	r := startDaemonWith(t, "", ceiling, "[services.a]", fmt.Sprintf("[services.a]\ncounter = { addresses = [%q], term = \"200ms\", pledge = \"400ms\", "+
 		"settle = \"500ms\", over = 0.5 }", counter.Addr()))
@@ -212,7 +212,7 @@
 		more()
 	}
 	r.awaitStatus("a counter that lends", func(s manage.Status) bool {
-		return len(s.Services[0].HardLimits) == 1 && s.Services[0].HardLimits[0].Lends
+		return len(s.Services[0].HardLimits) == 1 && s.Services[0].HardLimits[0].CanBorrow
 	})
 	worst, units := ceiling.Over()
 	if t.Logf("%.0f units, %.1f beyond the bound", units, worst); worst > 0 || counter.Calls() == 0 {
--- a/internal/leasestore/golden_test.go
+++ b/internal/leasestore/golden_test.go
@@ -17,27 +17,27 @@
 // file anew.
 func TestGoldenCounter(t *testing.T) {
 	var text strings.Builder
-	c := New(Options{Address: "127.0.0.1:1", Name: "care"})
+	c := New(Options{Address: "127.0.0.1:1", KeyPrefix: "care"})
 	t.Cleanup(func() { _ = c.Close() })
-	fmt.Fprintln(&text, "key", c.key)
+	fmt.Fprintln(&text, "key", c.keys)
 
 	now := time.Unix(1_700_000_000, 0)
 	s := redistest.New()
 	s.Clock(func() time.Time { return now })
-	id := eval(t, s, &quotalease.Call{From: "x"}).Counter
-	var last quotalease.Call
+	id := eval(t, s, &quotalease.StoreCall{HolderID: "x"}).StoreID
+	var last quotalease.StoreCall
 	for step := range 5 { // a part that is pledged for a time comes to hold units
 		now = now.Add(time.Second)
-		last = quotalease.Call{From: "x", Counter: id, Echo: time.Duration(now.UnixMicro()) * time.Microsecond, Pledge: 0.5, Seen: 7}
+		last = quotalease.StoreCall{HolderID: "x", StoreID: id, EchoedTime: time.Duration(now.UnixMicro()) * time.Microsecond, ReservedFraction: 0.5, LastToken: 7}
 		if step == 4 {
-			last.Wants = []quotalease.Want{{Key: "p c", Ceiling: quotalease.Ceiling{Rate: 30, Burst: 60}, Units: 4, Need: 1.5}}
-			last.Gives = []quotalease.Give{{Key: "p d", Token: 3, Units: 2.5}}
+			last.Requests = []quotalease.LeaseRequest{{Key: "p c", Limit: quotalease.HardLimit{Rate: 30, Burst: 60}, Units: 4, MinUnits: 1.5}}
+			last.Returns = []quotalease.LeaseReturn{{Key: "p d", Token: 3, Units: 2.5}}
 		}
 		if a := eval(t, s, &last); step == 4 && len(a.Grants) != 1 {
 			t.Errorf("%+v lends nothing", a)
 		}
 	}
-	fmt.Fprintln(&text, "asked", Args(&last, rules))
+	fmt.Fprintln(&text, "asked", EncodeCall(&last, rules))
 
 	base := "{x}:" + id
 	for _, key := range []string{":m", ":p", ":l:1:8"} {
--- a/internal/leasestore/leasestore_test.go
+++ b/internal/leasestore/leasestore_test.go
@@ -13,12 +13,12 @@
 	"lockflow/internal/testsupport/redistest"
 )
 
-var rules = quotalease.Rules{Instances: 4, Term: time.Second, Pledge: 2 * time.Second, Settle: 2 * time.Second}
+var rules = quotalease.Rules{Instances: 4, Term: time.Second, ReservationTime: 2 * time.Second, ResizeTime: 2 * time.Second}
 
-func eval(t *testing.T, s *redistest.Server, q *quotalease.Call) quotalease.Answer {
+func eval(t *testing.T, s *redistest.Server, q *quotalease.StoreCall) quotalease.StoreReply {
 	t.Helper()
-	args := []string{"EVAL", source, "1", "{x}"}
-	for _, a := range Args(q, rules) {
+	args := []string{"EVAL", scriptSource, "1", "{x}"}
+	for _, a := range EncodeCall(q, rules) {
 		args = append(args, fmt.Sprint(a))
 	}
 	reply := s.Do(args...)
@@ -30,7 +30,7 @@
 	for i, v := range list {
 		raw[i] = v.(string)
 	}
-	a, err := Parse(raw)
+	a, err := DecodeReply(raw)
 	if err != nil {
 		t.Fatalf("%v: %q", err, raw)
 	}
@@ -46,9 +46,9 @@
 		now := time.Unix(1_700_000_000, 0)
 		s := redistest.New()
 		s.Clock(func() time.Time { return now })
-		id := eval(t, s, &quotalease.Call{From: "x"}).Counter
-		c := quotalease.NewCounter(rules, id)
-		c.Handle(time.Duration(now.UnixMicro())*time.Microsecond, quotalease.Call{From: "x"})
+		id := eval(t, s, &quotalease.StoreCall{HolderID: "x"}).StoreID
+		c := quotalease.NewStore(rules, id)
+		c.Handle(time.Duration(now.UnixMicro())*time.Microsecond, quotalease.StoreCall{HolderID: "x"})
 		var grants []quotalease.Grant
 		var owner []string
 		echo := time.Duration(now.UnixMicro()) * time.Microsecond
@@ -60,36 +60,36 @@
 			case 1:
 				now = now.Add(time.Duration(rng.IntN(30)) * time.Second)
 			}
-			q := quotalease.Call{From: fmt.Sprint("i", rng.IntN(4)), Counter: id, Echo: echo - time.Duration(rng.IntN(2500))*time.Millisecond}
+			q := quotalease.StoreCall{HolderID: fmt.Sprint("i", rng.IntN(4)), StoreID: id, EchoedTime: echo - time.Duration(rng.IntN(2500))*time.Millisecond}
 			if rng.IntN(4) > 0 {
-				q.Pledge = 0.25
+				q.ReservedFraction = 0.25
 			}
 			if rng.IntN(50) == 0 {
-				q.Seen = uint64(rng.IntN(2000))
+				q.LastToken = uint64(rng.IntN(2000))
 			}
 			if rng.IntN(30) == 0 {
-				q.Counter = "another"
+				q.StoreID = "another"
 			}
 			for range rng.IntN(3) {
-				q.Wants = append(q.Wants, quotalease.Want{
-					Key: fmt.Sprint("k ", rng.IntN(3)), Ceiling: quotalease.Ceiling{Rate: 30, Burst: 60},
-					Units: rng.Float64() * 20, Need: rng.Float64() * 4,
+				q.Requests = append(q.Requests, quotalease.LeaseRequest{
+					Key: fmt.Sprint("k ", rng.IntN(3)), Limit: quotalease.HardLimit{Rate: 30, Burst: 60},
+					Units: rng.Float64() * 20, MinUnits: rng.Float64() * 4,
 				})
 			}
 			for range rng.IntN(3) {
 				if len(grants) > 0 {
 					i := rng.IntN(len(grants))
 					g := grants[i]
-					if q.From = owner[i]; rng.IntN(4) == 0 {
-						q.From = "i1"
+					if q.HolderID = owner[i]; rng.IntN(4) == 0 {
+						q.HolderID = "i1"
 					}
-					q.Gives = append(q.Gives, quotalease.Give{Key: g.Key, Token: g.Token, Units: g.Units * rng.Float64() * 1.5})
+					q.Returns = append(q.Returns, quotalease.LeaseReturn{Key: g.Key, Token: g.Token, Units: g.Units * rng.Float64() * 1.5})
 					returned++
 				}
 			}
 			at := time.Duration(now.UnixMicro()) * time.Microsecond
 			want, got := c.Handle(at, q), eval(t, s, &q)
-			same := want.Counter == got.Counter && want.Now == got.Now && want.Lends == got.Lends && len(want.Grants) == len(got.Grants)
+			same := want.StoreID == got.StoreID && want.StoreTime == got.StoreTime && want.IsLending == got.IsLending && len(want.Grants) == len(got.Grants)
 			for i := 0; same && i < len(want.Grants); i++ {
 				w, g := want.Grants[i], got.Grants[i]
 				same = w.Key == g.Key && w.Token == g.Token && math.Abs(w.Units-g.Units) < 1e-6
@@ -98,10 +98,10 @@
 				t.Fatalf("seed %d, step %d: %+v\nthe counter: %+v\nthe script:  %+v", seed, step, q, want, got)
 			}
 			for _, g := range got.Grants {
-				grants, owner = append(grants, g), append(owner, q.From)
+				grants, owner = append(grants, g), append(owner, q.HolderID)
 			}
 			lent += len(got.Grants)
-			if want.Counter == id {
+			if want.StoreID == id {
 				echo = at
 			}
 		}
@@ -118,7 +118,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Close)
-	c := New(Options{Address: s.Addr(), Name: "a", Within: 5 * time.Second, Rules: rules})
+	c := New(Options{Address: s.Addr(), KeyPrefix: "a", Timeout: 5 * time.Second, Rules: rules})
 	t.Cleanup(func() { c.Close() })
 	return s, c
 }
@@ -127,11 +127,11 @@
 // nothing is sent again.
 func TestCalls(t *testing.T) {
 	s, c := start(t)
-	call := func() (quotalease.Answer, error) {
-		return c.Call(context.Background(), &quotalease.Call{From: "i", Seq: 7})
+	call := func() (quotalease.StoreReply, error) {
+		return c.Call(context.Background(), &quotalease.StoreCall{HolderID: "i", Seq: 7})
 	}
 	a, err := call()
-	if err != nil || a.Counter == "" || a.Seq != 7 || a.Lends || s.Calls() != 1 {
+	if err != nil || a.StoreID == "" || a.Seq != 7 || a.IsLending || s.Calls() != 1 {
 		t.Fatalf("%+v, %v, %d calls", a, err, s.Calls())
 	}
 	for _, text := range []string{
@@ -154,13 +154,13 @@
 			b, err = call()
 		}
 	}
-	if err != nil || b.Counter == a.Counter {
+	if err != nil || b.StoreID == a.StoreID {
 		t.Errorf("after it was replaced: %+v, %v", b, err)
 	}
 	s.Set(0, "", true)
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
-	if _, err := c.Call(ctx, &quotalease.Call{}); err == nil {
+	if _, err := c.Call(ctx, &quotalease.StoreCall{}); err == nil {
 		t.Error("no answer, and no error")
 	}
 }
@@ -168,12 +168,12 @@
 func TestPassword(t *testing.T) {
 	s, c := start(t)
 	s.Require("secret")
-	if _, err := c.Call(t.Context(), &quotalease.Call{}); err == nil || !strings.Contains(err.Error(), "NOAUTH") {
+	if _, err := c.Call(t.Context(), &quotalease.StoreCall{}); err == nil || !strings.Contains(err.Error(), "NOAUTH") {
 		t.Errorf("without: %v", err)
 	}
 	for password, fine := range map[string]bool{"secret": true, "other": false} {
-		c := New(Options{Address: s.Addr(), Password: password, Name: "a", Within: 5 * time.Second, Rules: rules})
-		if _, err := c.Call(t.Context(), &quotalease.Call{}); (err == nil) != fine {
+		c := New(Options{Address: s.Addr(), Password: password, KeyPrefix: "a", Timeout: 5 * time.Second, Rules: rules})
+		if _, err := c.Call(t.Context(), &quotalease.StoreCall{}); (err == nil) != fine {
 			t.Errorf("%s: %v", password, err)
 		}
 		c.Close()
@@ -186,12 +186,12 @@
 	f.Add("id\x00-1\x001")
 	f.Add("id\x001\x001\x00k\x005\x00NaN")
 	f.Fuzz(func(t *testing.T, raw string) {
-		a, err := Parse(strings.Split(raw, "\x00"))
+		a, err := DecodeReply(strings.Split(raw, "\x00"))
 		if err != nil {
 			return
 		}
 		for _, g := range a.Grants {
-			if !(g.Units > 0) || math.IsInf(g.Units, 0) || a.Counter == "" || a.Now < 0 {
+			if !(g.Units > 0) || math.IsInf(g.Units, 0) || a.StoreID == "" || a.StoreTime < 0 {
 				t.Errorf("%q: %+v", raw, a)
 			}
 		}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -188,10 +188,10 @@
 	p.add(&idle, float64(s.IdleConnections), s.Name)
 	p.add(&restarts, float64(s.Restarts), s.Name)
 	for _, c := range s.HardLimits {
-		p.add(&lends, oneIf(c.Lends), s.Name, c.StoreName)
-		p.add(&ownPart, oneIf(c.Own), s.Name, c.StoreName)
-		p.add(&borrowed, c.Borrowed, s.Name, c.StoreName)
-		p.add(&lendWaits, float64(c.Waiting), s.Name, c.StoreName)
+		p.add(&lends, oneIf(c.CanBorrow), s.Name, c.StoreName)
+		p.add(&ownPart, oneIf(c.UsesOwnQuota), s.Name, c.StoreName)
+		p.add(&borrowed, c.LeasedUnits, s.Name, c.StoreName)
+		p.add(&lendWaits, float64(c.QueuedRequests), s.Name, c.StoreName)
 		p.add(&lendCalls, float64(c.Calls), s.Name, c.StoreName)
 	}
 	if h := s.HTTP2; h != nil {
--- a/internal/node/services.go
+++ b/internal/node/services.go
@@ -195,7 +195,7 @@
 	var clients []*leasestore.Client
 	for _, address := range cfg.Addresses {
 		client := leasestore.New(leasestore.Options{
-			Address: address, Username: cfg.Username, Password: password, Name: cfg.Name, Within: cfg.Within, Rules: cfg.Rules,
+			Address: address, Username: cfg.Username, Password: password, KeyPrefix: cfg.Name, Timeout: cfg.Within, Rules: cfg.Rules,
 		})
 		clients = append(clients, client)
 		hardLimits.Stores = append(hardLimits.Stores, client)
--- a/internal/node/shared_hard_limits_test.go
+++ b/internal/node/shared_hard_limits_test.go
@@ -22,7 +22,7 @@
 	firstStore  *redistest.Server // the first of counters
 	hardLimit   *fake.Ceiling
 	configs     []string
-	allowed     quotalease.Ceiling
+	allowed     quotalease.HardLimit
 	unitsServed func() float64
 	stores      []*redistest.Server
 }
@@ -31,8 +31,8 @@
 func startSharedFleet(t *testing.T, nodes int, counters ...int) *sharedFleet {
 	t.Helper()
 	const rate, burst = 100, 50
-	rules := quotalease.Rules{Instances: nodes, Term: 200 * time.Millisecond, Pledge: 400 * time.Millisecond, Settle: 500 * time.Millisecond, Drift: 0.001}
-	f := &sharedFleet{allowed: rules.Bound(quotalease.Ceiling{Rate: rate, Burst: burst})}
+	rules := quotalease.Rules{Instances: nodes, Term: 200 * time.Millisecond, ReservationTime: 400 * time.Millisecond, ResizeTime: 500 * time.Millisecond, MaxDrift: 0.001}
+	f := &sharedFleet{allowed: rules.Bound(quotalease.HardLimit{Rate: rate, Burst: burst})}
 	f.hardLimit = &fake.Ceiling{Rate: f.allowed.Rate, Burst: f.allowed.Burst}
 	f.unitsServed = func() float64 { _, units := f.hardLimit.Over(); return units }
 	app, err := fake.Server{UID: "s", Ceiling: f.hardLimit}.Start()
@@ -125,8 +125,8 @@
 	})
 }
 
-func leasesUnits(s quotalease.Status) bool  { return s.Lends && s.Pledged > 0 }
-func usesOwnQuota(s quotalease.Status) bool { return s.Own }
+func leasesUnits(s quotalease.Status) bool  { return s.CanBorrow && s.ReservedFraction > 0 }
+func usesOwnQuota(s quotalease.Status) bool { return s.UsesOwnQuota }
 
 // Nodes over a lease store that is lost, late, refuses, goes dark, is replaced by an empty one and
 // restored: by the servers' own count the customer keeps to its ceiling throughout, and goes on
--- a/internal/quotalease/account.go
+++ b/internal/quotalease/account.go
@@ -3,41 +3,41 @@
 import "time"
 
 type account struct {
-	key     string
-	ceiling Ceiling
-	level   float64 // of its own part
-	at      time.Duration
-	asked   time.Duration // last
-	demand  float64       // units a second, learned
-	leases  []lease
-	waiting []waiting
-	wants   bool // is in wanting
-	busy    bool // is in busy
+	key           string
+	limit         HardLimit
+	ownTokens     float64 // of its own part
+	refilledAt    time.Duration
+	lastRequestAt time.Duration // last
+	demand        float64       // units a second, learned
+	leases        []lease
+	queue         []queuedRequest
+	needsUnits    bool // is in wanting
+	isActive      bool // is in busy
 }
 
 type lease struct {
-	token uint64
-	units float64
-	until time.Duration
+	token     uint64
+	units     float64
+	expiresAt time.Duration
 }
 
-type waiting struct {
-	id    uint64
-	units float64
-	until time.Duration
-	told  bool // the call that is out asks for it
+type queuedRequest struct {
+	id       uint64
+	units    float64
+	deadline time.Duration
+	isInCall bool // the call that is out asks for it
 }
 
-func (h *Holder) account(now time.Duration, key string, c Ceiling) *account {
+func (h *Holder) account(now time.Duration, key string, c HardLimit) *account {
 	a := h.accounts[key]
 	if a == nil {
-		if len(h.accounts) >= accountsMax {
+		if len(h.accounts) >= maxAccounts {
 			h.evict(now)
 		}
-		a = &account{key: key, at: h.ownFrom}
+		a = &account{key: key, refilledAt: h.ownQuotaFrom}
 		h.accounts[key] = a
 	}
-	a.ceiling = c
+	a.limit = c
 	h.refill(now, a)
 	return a
 }
@@ -56,15 +56,15 @@
 	var oldest *account
 	n := 0
 	for _, a := range h.accounts { // some, which a map's order makes random ones
-		if !a.busy && !a.wants && (oldest == nil || a.asked < oldest.asked) {
+		if !a.isActive && !a.needsUnits && (oldest == nil || a.lastRequestAt < oldest.lastRequestAt) {
 			oldest = a
 		}
-		if n++; n == evictOf {
+		if n++; n == evictionSample {
 			break
 		}
 	}
 	if oldest != nil {
-		h.ownFrom = max(h.ownFrom, now)
+		h.ownQuotaFrom = max(h.ownQuotaFrom, now)
 		delete(h.accounts, oldest.key)
 	}
 }
@@ -72,103 +72,103 @@
 // refill fills the own part up to now, from when it was the holder's own to spend, and lets go of
 // what has ended.
 func (h *Holder) refill(now time.Duration, a *account) {
-	n := h.size(now)
-	if a.at < h.settled && !h.without.settle { // some of the time was before
-		n = max(n, h.nBefore)
+	n := h.effectiveInstances(now)
+	if a.refilledAt < h.resizedAt && !h.disabled.resizeDelay { // some of the time was before
+		n = max(n, h.previousInstances)
 	}
-	own := a.ceiling.times(1 / float64(n))
-	if a.at < h.ownFrom && !h.without.cede {
-		a.level, a.at = 0, h.ownFrom
+	own := a.limit.times(1 / float64(n))
+	if a.refilledAt < h.ownQuotaFrom && !h.disabled.exclusiveReservation {
+		a.ownTokens, a.refilledAt = 0, h.ownQuotaFrom
 	}
-	if now > a.at {
-		a.level = min(own.Burst, a.level+(now-a.at).Seconds()*own.Rate)
-		a.at = now
+	if now > a.refilledAt {
+		a.ownTokens = min(own.Burst, a.ownTokens+(now-a.refilledAt).Seconds()*own.Rate)
+		a.refilledAt = now
 	}
-	if h.without.term {
+	if h.disabled.leaseExpiry {
 		return
 	}
 	kept := a.leases[:0]
 	for _, l := range a.leases {
-		if now < l.until {
+		if now < l.expiresAt {
 			kept = append(kept, l)
 		}
 	}
 	a.leases = kept
 }
 
-// lent is what an account has borrowed and not spent.
-func (a *account) lent() (units float64) {
+// leasedUnits is what an account has borrowed and not spent.
+func (a *account) leasedUnits() (units float64) {
 	for _, l := range a.leases {
 		units += l.units
 	}
 	return units
 }
 
-// least is the smallest part of a unit that counts: what is a sum of parts is never exactly one.
-const least = 1e-9
+// minReservedSince is the smallest part of a unit that counts: what is a sum of parts is never exactly one.
+const unitTolerance = 1e-9
 
-// take spends units, of what ends first; false where there are too few. Until is when the first of
+// spend spends units, of what ends first; false where there are too few. Until is when the first of
 // what was lent ends; 0 where some was the holder's own.
-func (a *account) take(units float64) (until time.Duration, ok bool) {
-	if a.level+a.lent() < units-least {
+func (a *account) spend(units float64) (until time.Duration, ok bool) {
+	if a.ownTokens+a.leasedUnits() < units-unitTolerance {
 		return 0, false
 	}
 	for len(a.leases) > 0 && units > 0 {
 		l := &a.leases[0]
-		if until == 0 || l.until < until { // a late answer's may end before one that came first
-			until = l.until
+		if until == 0 || l.expiresAt < until { // a late answer's may end before one that came first
+			until = l.expiresAt
 		}
 		used := min(units, l.units)
 		l.units -= used
-		if units -= used; l.units > least {
+		if units -= used; l.units > unitTolerance {
 			break
 		}
 		a.leases = a.leases[1:]
 	}
-	if units > least {
+	if units > unitTolerance {
 		until = 0
 	}
-	a.level -= units
+	a.ownTokens -= units
 	return until, true
 }
 
 // Refund gives back units that a Let has spent and that were never sent, until what they were lent by ends.
 func (h *Holder) Refund(now time.Duration, key string, units float64, until time.Duration) {
-	if a := h.accounts[key]; a != nil && now < until && units > 0 && len(a.leases) < leasesMost {
+	if a := h.accounts[key]; a != nil && now < until && units > 0 && len(a.leases) < maxLeases {
 		a.leases = append(a.leases, lease{0, units, until})
-		h.attend(a)
+		h.markActive(a)
 	}
 }
 
-// ahead is what an account borrows beside what its requests wait for.
-func (h *Holder) ahead(a *account, units float64) float64 {
-	wish := a.demand * aheadPart * h.rules.Term.Seconds()
-	if have := a.lent(); wish >= 2*units && have < wish/2 && len(a.leases) < leasesMost {
+// prefetchUnits is what an account borrows beside what its requests wait for.
+func (h *Holder) prefetchUnits(a *account, units float64) float64 {
+	wish := a.demand * prefetchFraction * h.rules.Term.Seconds()
+	if have := a.leasedUnits(); wish >= 2*units && have < wish/2 && len(a.leases) < maxLeases {
 		return wish - have
 	}
 	return 0
 }
 
-// giveBack returns what an account has borrowed and does not spend.
-func (h *Holder) giveBack(a *account) {
-	if !h.borrows() {
+// returnLeases returns what an account has borrowed and does not spend.
+func (h *Holder) returnLeases(a *account) {
+	if !h.canBorrow() {
 		return
 	}
 	for _, l := range a.leases {
 		if l.token != 0 {
-			h.gives = append(h.gives, Give{a.key, l.token, l.units})
+			h.returns = append(h.returns, LeaseReturn{a.key, l.token, l.units})
 		}
 	}
 	a.leases = nil
 }
 
-// sweep forgets customers that would be as they are if they were new.
-func (h *Holder) sweep(now time.Duration) {
+// removeIdleBuckets forgets customers that would be as they are if they were new.
+func (h *Holder) removeIdleAccounts(now time.Duration) {
 	for key, a := range h.accounts {
-		if h.refill(now, a); a.busy || a.wants || now-a.asked < time.Minute {
+		if h.refill(now, a); a.isActive || a.needsUnits || now-a.lastRequestAt < time.Minute {
 			continue
 		}
-		if full := a.ceiling.Burst / float64(h.size(now)); a.level >= full || now < h.ownFrom {
+		if full := a.limit.Burst / float64(h.effectiveInstances(now)); a.ownTokens >= full || now < h.ownQuotaFrom {
 			delete(h.accounts, key)
 		}
 	}
--- a/internal/quotalease/holder_status.go
+++ b/internal/quotalease/holder_status.go
@@ -4,33 +4,35 @@
 
 // Status is what a holder has.
 type Status struct {
-	Identity  string  `json:"identity"`  // of the counter that it holds to; "" is none yet
-	Since     float64 `json:"since_s"`   // s that it has held to that one
-	Lends     bool    `json:"lends"`     // and whether it can borrow there now
-	Own       bool    `json:"own"`       // its part is its own to spend
-	Pledged   float64 `json:"pledged"`   // part of each ceiling that is pledged to that counter
-	Customers int     `json:"customers"` // that it knows of
-	Borrowed  float64 `json:"borrowed"`  // units that it holds
-	Waiting   int     `json:"waiting"`   // requests that wait for units
-	Calls     uint64  `json:"calls"`     // made
+	StoreID          string  `json:"identity"`  // of the counter that it holds to; "" is none yet
+	SecondsAtStore   float64 `json:"since_s"`   // s that it has held to that one
+	CanBorrow        bool    `json:"lends"`     // and whether it can borrow there now
+	UsesOwnQuota     bool    `json:"own"`       // its part is its own to spend
+	ReservedFraction float64 `json:"pledged"`   // fraction of each ceiling that is pledged to that counter
+	Customers        int     `json:"customers"` // that it knows of
+	LeasedUnits      float64 `json:"borrowed"`  // units that it holds
+	QueuedRequests   int     `json:"waiting"`   // requests that wait for units
+	Calls            uint64  `json:"calls"`     // made
 }
 
 // Status tells what it has.
 func (h *Holder) Status(now time.Duration) Status {
-	s := Status{Identity: h.counter, Lends: h.borrows(), Own: now >= h.ownFrom, Customers: len(h.accounts), Calls: h.seq}
-	if !s.Own && h.counter != "" && now >= h.pledgeFrom {
-		s.Pledged = 1 / float64(h.size(now))
+	s := Status{StoreID: h.storeID, CanBorrow: h.canBorrow(), UsesOwnQuota: now >= h.ownQuotaFrom, Customers: len(h.accounts), Calls: h.lastSeq}
+	if !s.UsesOwnQuota && h.storeID != "" && now >= h.reservableFrom {
+		s.ReservedFraction = 1 / float64(h.effectiveInstances(now))
 	}
-	if h.counter != "" {
-		s.Since = (now - h.held).Seconds()
+	if h.storeID != "" {
+		s.SecondsAtStore = (now - h.storeSince).Seconds()
 	}
-	for _, a := range h.busy {
+	for _, a := range h.active {
 		h.refill(now, a)
-		s.Borrowed += a.lent()
-		s.Waiting += len(a.waiting)
+		s.LeasedUnits += a.leasedUnits()
+		s.QueuedRequests += len(a.queue)
 	}
 	return s
 }
 
-// borrows tells whether there is a counter to ask.
-func (h *Holder) borrows() bool { return h.counter != "" && h.lends && h.failures < 2 }
+// canBorrow tells whether there is a counter to ask.
+func (h *Holder) canBorrow() bool {
+	return h.storeID != "" && h.storeIsLending && h.consecutiveFailures < 2
+}
--- a/internal/quotalease/quotalease_test.go
+++ b/internal/quotalease/quotalease_test.go
@@ -13,8 +13,8 @@
 )
 
 var (
-	rules = Rules{Instances: 40, Term: time.Second, Pledge: 2 * time.Second, Settle: 4 * time.Second, Drift: 0.005}
-	cap30 = Ceiling{Rate: 30, Burst: 60}
+	rules = Rules{Instances: 40, Term: time.Second, ReservationTime: 2 * time.Second, ResizeTime: 4 * time.Second, MaxDrift: 0.005}
+	cap30 = HardLimit{Rate: 30, Burst: 60}
 )
 
 // trouble is what goes wrong in a world, by name.
@@ -151,7 +151,7 @@
 			if i < 10 {
 				n.h.Resize(n.now(), 10)
 			} else {
-				w.After(rules.Settle-100*time.Millisecond, n.kill)
+				w.After(rules.ResizeTime-100*time.Millisecond, n.kill)
 			}
 		}
 		w.weight = func(int) float64 { return 1 }
@@ -164,7 +164,7 @@
 				n.h.Resize(n.now(), 10)
 			}
 		}
-		w.After(rules.Settle+time.Second, func() {
+		w.After(rules.ResizeTime+time.Second, func() {
 			for i, n := range w.nodes {
 				if i >= 10 {
 					n.start()
@@ -178,10 +178,10 @@
 
 // play has some troubles come one after another, after the group is up, and more than the
 // customer's ceiling asked for throughout.
-func play(seed uint64, c Ceiling, w without, names ...string) *world {
+func play(seed uint64, c HardLimit, w protections, names ...string) *world {
 	x := newWorld(seed, rules.Instances, rules, c, w)
 	x.asking = 90
-	if seed%2 == 1 && troubles[names[0]] != nil { // quiet for a while, then all that its store holds at once
+	if seed%2 == 1 && troubles[names[0]] != nil { // nextKeepAliveAt for a while, then all that its store holds at once
 		var turn func()
 		turn = func() {
 			if x.asking > 0 {
@@ -232,7 +232,7 @@
 				for range rng.IntN(3) {
 					with = append(with, names[rng.IntN(len(names))])
 				}
-				w := play(seed, cap30, without{}, with...)
+				w := play(seed, cap30, protections{}, with...)
 				if worst, minute = math.Max(worst, w.worst), math.Max(minute, w.over()); w.worst > 0 {
 					t.Errorf("seed %d, %q: %.2f units beyond the bound", seed, with, w.worst)
 				}
@@ -248,27 +248,27 @@
 // Each protection is there for something: on a day made for it the bound holds, and breaks without it.
 func TestProtectionsAreNeeded(t *testing.T) {
 	for name, tc := range map[string]struct {
-		without
-		Ceiling
+		protections
+		HardLimit
 		trouble string
 	}{
-		"what is pledged is spent as well":                  {without{cede: true}, cap30, "none"},
-		"a new counter begins full":                         {without{empty: true}, Ceiling{30, 240}, "replaced now and then"},
-		"a pledge counts from when it comes":                {without{echo: true}, Ceiling{30, 10}, "late pledges, then a move"},
-		"a part is pledged to another counter at once":      {without{wait: true}, cap30, "a majority moves to and fro"},
-		"what is lent has no end":                           {without{term: true}, cap30, "answers come late"},
-		"parts grow at once":                                {without{settle: true}, Ceiling{30, 30}, "a smaller group"},
-		"a counter that goes back is believed":              {without{seen: true}, cap30, "rolled back"},
-		"pledges outlive a counter's clock that steps back": {without{step: true}, cap30, "a clock steps back, and a majority moves"},
+		"what is pledged is spent as well":                  {protections{exclusiveReservation: true}, cap30, "none"},
+		"a new counter begins full":                         {protections{emptyStart: true}, HardLimit{30, 240}, "replaced now and then"},
+		"a pledge counts from when it comes":                {protections{reservationFromEcho: true}, HardLimit{30, 10}, "late pledges, then a move"},
+		"a part is pledged to another counter at once":      {protections{storeChangeDelay: true}, cap30, "a majority moves to and fro"},
+		"what is lent has no end":                           {protections{leaseExpiry: true}, cap30, "answers come late"},
+		"parts grow at once":                                {protections{resizeDelay: true}, HardLimit{30, 30}, "a smaller group"},
+		"a counter that goes back is believed":              {protections{rollbackReset: true}, cap30, "rolled back"},
+		"pledges outlive a counter's clock that steps back": {protections{clockStepReset: true}, cap30, "a clock steps back, and a majority moves"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			broken := 0.0
 			for seed := range uint64(seeds(t, 3)) {
-				if w := play(seed, tc.Ceiling, without{}, tc.trouble); w.worst > 0 {
+				if w := play(seed, tc.HardLimit, protections{}, tc.trouble); w.worst > 0 {
 					t.Errorf("seed %d: %.1f units beyond the bound with all protections", seed, w.worst)
 				}
-				broken = math.Max(broken, play(seed, tc.Ceiling, tc.without, tc.trouble).worst)
+				broken = math.Max(broken, play(seed, tc.HardLimit, tc.protections, tc.trouble).worst)
 			}
 			if t.Logf("without it: %.1f units beyond the bound", broken); broken <= 0 {
 				t.Error("nothing is broken without it")
@@ -278,7 +278,7 @@
 	t.Run("a larger group", func(t *testing.T) {
 		t.Parallel()
 		for seed := range uint64(seeds(t, 3)) {
-			if w := play(seed, cap30, without{}, "a larger group"); w.worst > 0 {
+			if w := play(seed, cap30, protections{}, "a larger group"); w.worst > 0 {
 				t.Errorf("seed %d: %.1f units beyond the bound", seed, w.worst)
 			}
 		}
@@ -289,7 +289,7 @@
 func TestUse(t *testing.T) {
 	for _, spread := range []int{1, 2, 4, 40} {
 		for _, asked := range []float64{33, 90} {
-			w := newWorld(5, rules.Instances, rules, cap30, without{})
+			w := newWorld(5, rules.Instances, rules, cap30, protections{})
 			w.weight, w.asking = first(spread), asked
 			w.Run(8 * time.Second)
 			w.load(68 * time.Second)
@@ -307,7 +307,7 @@
 // spread is what DESIGN's static division gives.
 func TestUseAlone(t *testing.T) {
 	for _, spread := range []int{1, 2, 4, 40} {
-		w := newWorld(5, rules.Instances, rules, cap30, without{})
+		w := newWorld(5, rules.Instances, rules, cap30, protections{})
 		w.reach(-1, all)
 		w.units = 1
 		w.weight, w.asking = first(spread), 90
@@ -333,10 +333,10 @@
 }
 
 // A counter that goes back to an older state as itself lends, each time, at most what its stores
-// held again, until the first instance that has seen a later token asks.
+// storeSince again, until the first instance that has seen a later token asks.
 func TestRolledBack(t *testing.T) {
 	for seed := range uint64(seeds(t, 3)) {
-		if w := play(seed, cap30, without{}, "rolled back"); w.worst > 6*cap30.Burst {
+		if w := play(seed, cap30, protections{}, "rolled back"); w.worst > 6*cap30.Burst {
 			t.Errorf("seed %d: %.1f units beyond the bound in six times", seed, w.worst)
 		}
 	}
@@ -345,17 +345,17 @@
 func TestRules(t *testing.T) {
 	for want, r := range map[string]Rules{
 		"":                 rules,
-		"over 0 instances": {Term: time.Second, Pledge: time.Second, Settle: time.Second},
-		"wrong by 0.2":     {Instances: 1, Term: time.Second, Pledge: time.Second, Settle: time.Second, Drift: 0.2},
-		"wrong by NaN":     {Instances: 1, Term: time.Second, Pledge: time.Second, Settle: time.Second, Drift: math.NaN()},
-		"pledges of 1s":    {Instances: 1, Term: 2 * time.Second, Pledge: time.Second, Settle: time.Second},
-		"1ms":              {Instances: 1, Term: time.Millisecond, Pledge: time.Second, Settle: time.Second},
+		"over 0 instances": {Term: time.Second, ReservationTime: time.Second, ResizeTime: time.Second},
+		"wrong by 0.2":     {Instances: 1, Term: time.Second, ReservationTime: time.Second, ResizeTime: time.Second, MaxDrift: 0.2},
+		"wrong by NaN":     {Instances: 1, Term: time.Second, ReservationTime: time.Second, ResizeTime: time.Second, MaxDrift: math.NaN()},
+		"pledges of 1s":    {Instances: 1, Term: 2 * time.Second, ReservationTime: time.Second, ResizeTime: time.Second},
+		"1ms":              {Instances: 1, Term: time.Millisecond, ReservationTime: time.Second, ResizeTime: time.Second},
 	} {
-		if err := r.Check(); (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
+		if err := r.Validate(); (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", want, err)
 		}
 	}
-	if over := rules.Over(cap30, time.Minute); over < 0.015 || over > 0.05 {
+	if over := rules.MaxExcess(cap30, time.Minute); over < 0.015 || over > 0.05 {
 		t.Errorf("%.3f beyond the ceiling in a minute", over)
 	}
 }
@@ -364,12 +364,12 @@
 // not full is never full by that.
 func TestForgetting(t *testing.T) {
 	h := NewHolder(0, rules, "i")
-	now := rules.Settle
+	now := rules.ResizeTime
 	for i := range 3 {
 		now += time.Second
-		h.Ask(now, uint64(i), "a", cap30, 0.25)
+		h.RequestUnits(now, uint64(i), "a", cap30, 0.25)
 	}
-	h.Ask(now, 9, "b", cap30, 0.25)
+	h.RequestUnits(now, 9, "b", cap30, 0.25)
 	if len(h.accounts) != 2 {
 		t.Fatalf("%d customers", len(h.accounts))
 	}
@@ -377,60 +377,60 @@
 		now += time.Second
 		h.Tick(now)
 	}
-	if len(h.accounts) != 0 || len(h.busy) != 0 {
-		t.Errorf("%d customers, %d busy", len(h.accounts), len(h.busy))
+	if len(h.accounts) != 0 || len(h.active) != 0 {
+		t.Errorf("%d customers, %d busy", len(h.accounts), len(h.active))
 	}
-	for i := range 2 * accountsMax {
-		h.Ask(now, uint64(i), strconv.Itoa(i), cap30, 1)
+	for i := range 2 * maxAccounts {
+		h.RequestUnits(now, uint64(i), strconv.Itoa(i), cap30, 1)
 	}
-	if n := len(h.accounts); n > accountsMax {
+	if n := len(h.accounts); n > maxAccounts {
 		t.Errorf("%d customers", n)
 	}
-	if a := h.account(now, "new", cap30); a.level != 0 {
-		t.Errorf("one that may have been let go of has %g units", a.level)
+	if a := h.account(now, "new", cap30); a.ownTokens != 0 {
+		t.Errorf("one that may have been let go of has %g units", a.ownTokens)
 	}
 }
 
 // What is lent, taken back once, ended, and asked for by others.
 func TestGives(t *testing.T) {
-	c := NewCounter(rules, "c")
-	call := func(now time.Duration, from string, q Call) Answer {
-		q.From, q.Counter, q.Echo, q.Pledge = from, "c", now, 0.5
+	c := NewStore(rules, "c")
+	call := func(now time.Duration, from string, q StoreCall) StoreReply {
+		q.HolderID, q.StoreID, q.EchoedTime, q.ReservedFraction = from, "c", now, 0.5
 		return c.Handle(now, q)
 	}
-	call(0, "i", Call{})
-	call(0, "k", Call{})
+	call(0, "i", StoreCall{})
+	call(0, "k", StoreCall{})
 	now := time.Second
-	want := []Want{{Key: "a", Ceiling: cap30, Units: 20, Need: 1}}
-	g := call(now, "i", Call{Wants: want}).Grants
+	want := []LeaseRequest{{Key: "a", Limit: cap30, Units: 20, MinUnits: 1}}
+	g := call(now, "i", StoreCall{Requests: want}).Grants
 	if len(g) != 1 || g[0].Units != 20 {
 		t.Fatalf("%+v", g)
 	}
-	level := func() float64 { return c.stores["a"].level }
+	level := func() float64 { return c.buckets["a"].tokens }
 	left := level()
 	for _, back := range []struct {
 		from  string
-		give  Give
+		give  LeaseReturn
 		level float64
 	}{
-		{"k", Give{"a", g[0].Token, 20}, left}, // another's
-		{"i", Give{"b", g[0].Token, 20}, left},
-		{"i", Give{"a", g[0].Token, -20}, left},
-		{"i", Give{"a", g[0].Token, math.NaN()}, left},
-		{"i", Give{"a", g[0].Token, 50}, left + 20}, // no more than was lent
-		{"i", Give{"a", g[0].Token, 20}, left + 20}, // once
+		{"k", LeaseReturn{"a", g[0].Token, 20}, left}, // another's
+		{"i", LeaseReturn{"b", g[0].Token, 20}, left},
+		{"i", LeaseReturn{"a", g[0].Token, -20}, left},
+		{"i", LeaseReturn{"a", g[0].Token, math.NaN()}, left},
+		{"i", LeaseReturn{"a", g[0].Token, 50}, left + 20}, // no more than was lent
+		{"i", LeaseReturn{"a", g[0].Token, 20}, left + 20}, // once
 	} {
-		if call(now, back.from, Call{Gives: []Give{back.give}}); math.Abs(level()-back.level) > least {
+		if call(now, back.from, StoreCall{Returns: []LeaseReturn{back.give}}); math.Abs(level()-back.level) > unitTolerance {
 			t.Errorf("%+v: %g, not %g", back, level(), back.level)
 		}
 	}
-	g = call(now, "i", Call{Wants: want}).Grants
+	g = call(now, "i", StoreCall{Requests: want}).Grants
 	now += rules.Term
 	left = level()
-	if call(now, "i", Call{Gives: []Give{{"a", g[0].Token, 20}}}); level() != left {
+	if call(now, "i", StoreCall{Returns: []LeaseReturn{{"a", g[0].Token, 20}}}); level() != left {
 		t.Error("what has ended is taken back")
 	}
-	if a := call(now, "i", Call{Wants: []Want{{Key: "a", Ceiling: cap30, Units: 1000, Need: 900}}}); len(a.Grants) != 0 {
+	if a := call(now, "i", StoreCall{Requests: []LeaseRequest{{Key: "a", Limit: cap30, Units: 1000, MinUnits: 900}}}); len(a.Grants) != 0 {
 		t.Errorf("less than is of use: %+v", a.Grants)
 	}
 }
@@ -441,48 +441,48 @@
 	for i := range keys {
 		keys[i] = strconv.Itoa(i)
 	}
-	now := rules.Settle
+	now := rules.ResizeTime
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now += 10 * time.Microsecond
-		h.Ask(now, uint64(i), keys[i%len(keys)], Ceiling{1e6, 1e6}, 1)
+		h.RequestUnits(now, uint64(i), keys[i%len(keys)], HardLimit{1e6, 1e6}, 1)
 	}
 }
 
 // A call asks for so many customers at the most; those left are asked for by the next.
 func TestManyWants(t *testing.T) {
 	h := NewHolder(0, rules, "i")
-	now := rules.Settle
-	answer := func(q *Call, lends bool) []Action {
-		r := Answer{Counter: "c", Seq: q.Seq, Now: now, Lends: lends}
-		for i, w := range q.Wants {
+	now := rules.ResizeTime
+	answer := func(q *StoreCall, lends bool) []Action {
+		r := StoreReply{StoreID: "c", Seq: q.Seq, StoreTime: now, IsLending: lends}
+		for i, w := range q.Requests {
 			r.Grants = append(r.Grants, Grant{w.Key, q.Seq*1000 + uint64(i) + 1, w.Units})
 		}
-		return h.Answered(now, r)
+		return h.HandleReply(now, r)
 	}
-	send := func(todo []Action) *Call {
+	send := func(todo []Action) *StoreCall {
 		for _, a := range todo {
-			if a.Kind == Send {
-				return a.Call
+			if a.Kind == Call {
+				return a.StoreCall
 			}
 		}
 		return nil
 	}
 	answer(send(h.Tick(now)), true)
-	now += rules.Pledge / 5
+	now += rules.ReservationTime / 5
 	first := send(h.Tick(now))
 	for i := range 600 {
-		h.Ask(now, uint64(i), strconv.Itoa(i), cap30, 1)
+		h.RequestUnits(now, uint64(i), strconv.Itoa(i), cap30, 1)
 	}
 	let, calls := 0, 0
 	for q := first; q != nil && calls < 10; calls++ {
-		if len(q.Wants) > wantsMost {
-			t.Errorf("%d wants", len(q.Wants))
+		if len(q.Requests) > maxCallEntries {
+			t.Errorf("%d wants", len(q.Requests))
 		}
-		now += TickEvery
+		now += TickInterval
 		todo := answer(q, true)
 		for _, a := range todo {
-			if a.Kind == Let {
+			if a.Kind == Admit {
 				let++
 			}
 		}
@@ -498,7 +498,7 @@
 // What is given back ends with the first lease that it was taken from, in whatever order they came.
 func TestRefundEndsWithTheFirst(t *testing.T) {
 	a := &account{leases: []lease{{1, 2, 5 * time.Second}, {2, 2, 4 * time.Second}}}
-	until, ok := a.take(3)
+	until, ok := a.spend(3)
 	if !ok || until != 4*time.Second {
 		t.Errorf("%v, %v", until, ok)
 	}
@@ -521,7 +521,7 @@
 		b.Run(strconv.Itoa(customers), func(b *testing.B) {
 			for b.Loop() {
 				rng := rand.New(rand.NewPCG(1, 2))
-				c := NewCounter(rules, "c")
+				c := NewStore(rules, "c")
 				holders := make([]*Holder, 40)
 				for i := range holders {
 					holders[i] = NewHolder(0, rules, strconv.Itoa(i))
@@ -538,24 +538,24 @@
 				do = func(h *Holder, now time.Duration, todo []Action) {
 					for _, a := range slices.Clone(todo) {
 						switch a.Kind {
-						case Let:
+						case Admit:
 							let++
-						case Deny:
+						case Reject:
 							denied++
-						case Send:
+						case Call:
 							calls++
-							do(h, now, h.Answered(now, c.Handle(now, *a.Call)))
+							do(h, now, h.HandleReply(now, c.Handle(now, *a.StoreCall)))
 						}
 					}
 				}
 				const seconds = 30
-				for now := rules.Settle; now < rules.Settle+seconds*time.Second; now += TickEvery {
+				for now := rules.ResizeTime; now < rules.ResizeTime+seconds*time.Second; now += TickInterval {
 					for _, h := range holders {
 						do(h, now, h.Tick(now))
 					}
 					for i := range 20 {
 						h := holders[rng.IntN(len(holders))]
-						do(h, now, h.Ask(now, uint64(i), keys[rng.IntN(customers)], cap30, 1))
+						do(h, now, h.RequestUnits(now, uint64(i), keys[rng.IntN(customers)], cap30, 1))
 					}
 				}
 				runtime.GC()
--- a/internal/quotalease/world_test.go
+++ b/internal/quotalease/world_test.go
@@ -15,11 +15,11 @@
 	vtime.Clock
 	rng     *rand.Rand
 	rules   Rules
-	ceiling Ceiling
+	ceiling HardLimit
 	units   float64 // most of a request
 	nodes   []*node
 	places  []*place
-	without without
+	without protections
 	starts  int
 
 	delay, tail float64 // s; mean, and part of calls that take up to 4 s
@@ -55,7 +55,7 @@
 	clock   clock
 	place   int // of the counter that it reaches; below zero is none
 	gen     int
-	stopped time.Duration // until which the process does not run
+	stopped time.Duration // expiresAt which the process does not run
 	gone    bool
 	late    time.Duration // of its calls
 	n       uint64
@@ -63,14 +63,14 @@
 
 // place is an address at which a counter answers, or none.
 type place struct {
-	c     *Counter
+	c     *Store
 	clock clock
 	late  time.Duration // of calls and answers together
 
 	answers time.Duration // by which its answers are later still
 }
 
-func newWorld(seed uint64, nodes int, r Rules, c Ceiling, w without) *world {
+func newWorld(seed uint64, nodes int, r Rules, c HardLimit, w protections) *world {
 	x := &world{
 		rng: rand.New(rand.NewPCG(seed, 7)), rules: r, ceiling: c, units: 4, without: w, delay: 0.002,
 		weight: func(int) float64 { return 1 }, worst: math.Inf(-1),
@@ -88,14 +88,14 @@
 }
 
 func (w *world) clock() clock {
-	return clock{1 + w.rules.Drift*(2*w.rng.Float64()-1), time.Duration(w.rng.IntN(1000)) * time.Second}
+	return clock{1 + w.rules.MaxDrift*(2*w.rng.Float64()-1), time.Duration(w.rng.IntN(1000)) * time.Second}
 }
 
 // replace puts a counter that knows nothing at a place.
 func (w *world) replace(i int) {
 	w.starts++
-	w.places[i].c = NewCounter(w.rules, fmt.Sprint("counter ", w.starts))
-	w.places[i].c.without = w.without
+	w.places[i].c = NewStore(w.rules, fmt.Sprint("counter ", w.starts))
+	w.places[i].c.disabled = w.without
 }
 
 func (n *node) now() time.Duration { return n.clock.at(n.w.Now()) }
@@ -106,7 +106,7 @@
 	n.gen++
 	n.gone, n.stopped = false, 0
 	n.h = NewHolder(n.now(), n.w.rules, fmt.Sprint("instance ", n.w.starts))
-	n.h.without = n.w.without
+	n.h.disabled = n.w.without
 	n.tick(n.gen)
 }
 
@@ -131,17 +131,17 @@
 func (n *node) tick(gen int) {
 	n.when(gen, func() {
 		n.do(n.h.Tick(n.now()))
-		n.w.After(TickEvery, func() { n.tick(gen) })
+		n.w.After(TickInterval, func() { n.tick(gen) })
 	})
 }
 
 func (n *node) do(todo []Action) {
 	for _, a := range todo {
 		switch a.Kind {
-		case Let:
-			n.w.spend(float64(a.ID&7) / 2)
-		case Send:
-			n.w.carry(n, *a.Call)
+		case Admit:
+			n.w.spend(float64(a.RequestID&7) / 2)
+		case Call:
+			n.w.carry(n, *a.StoreCall)
 		}
 	}
 }
@@ -156,7 +156,7 @@
 	n.n++
 	id := n.n<<3 | uint64(halves)
 	w.asked += float64(halves) / 2
-	n.when(n.gen, func() { n.do(n.h.Ask(n.now(), id, "a", w.ceiling, float64(halves)/2)) })
+	n.when(n.gen, func() { n.do(n.h.RequestUnits(n.now(), id, "a", w.ceiling, float64(halves)/2)) })
 }
 
 func (w *world) spend(units float64) {
@@ -192,7 +192,7 @@
 
 // carry takes a call to the counter that the instance reaches when it leaves, and the answer back,
 // each late, lost or overtaken by others.
-func (w *world) carry(n *node, q Call) {
+func (w *world) carry(n *node, q StoreCall) {
 	if n.place < 0 || w.rng.Float64() < w.loss {
 		return
 	}
@@ -206,7 +206,7 @@
 		}
 		a := p.c.Handle(p.clock.at(w.Now()), q)
 		w.After(w.latency()+p.late/2+p.answers, func() {
-			n.when(gen, func() { n.do(n.h.Answered(n.now(), a)) })
+			n.when(gen, func() { n.do(n.h.HandleReply(n.now(), a)) })
 		})
 	})
 }
--- a/internal/service/hard_limits.go
+++ b/internal/service/hard_limits.go
@@ -14,14 +14,14 @@
 
 // LeaseStore lends units of shared hard limits. It is safe for concurrent use.
 type LeaseStore interface {
-	Call(context.Context, *quotalease.Call) (quotalease.Answer, error)
+	Call(context.Context, *quotalease.StoreCall) (quotalease.StoreReply, error)
 }
 
 // SharedHardLimits are the hard limits that a service shares with other instances through lease stores. They
 // are decided on before the module gets a request; the module has none of its own then.
 type SharedHardLimits struct {
 	Rules      quotalease.Rules
-	ByPlan     map[string]quotalease.Ceiling
+	ByPlan     map[string]quotalease.HardLimit
 	StoreNames []string     // assign customers to stores, in the order of Stores
 	Stores     []LeaseStore // each lends to the customers that are assigned to it
 }
@@ -111,15 +111,15 @@
 	h.undecided[h.lastDecisionID] = x
 	store, key := h.storeFor(x.Request.Plan, x.Request.Customer)
 	x.charge = hardLimitCharge{store: store, key: key, units: x.Request.Units}
-	l.applyLeaseActions(store, h.holders[store].Ask(h.now(), h.lastDecisionID, key, limit, x.Request.Units))
+	l.applyLeaseActions(store, h.holders[store].RequestUnits(h.now(), h.lastDecisionID, key, limit, x.Request.Units))
 	return true
 }
 
 // applyLeaseActions carries out the actions of a store's holder.
 func (l *loop) applyLeaseActions(store int, actions []quotalease.Action) {
 	for _, a := range actions {
-		if a.Kind == quotalease.Send {
-			l.callLeaseStore(store, a.Call)
+		if a.Kind == quotalease.Call {
+			l.callLeaseStore(store, a.StoreCall)
 		} else {
 			l.applyDecision(store, a)
 		}
@@ -127,7 +127,7 @@
 }
 
 // callLeaseStore makes a call in a goroutine of its own, which ends with the loop's lifetime at the latest.
-func (l *loop) callLeaseStore(store int, call *quotalease.Call) {
+func (l *loop) callLeaseStore(store int, call *quotalease.StoreCall) {
 	h := l.hardLimiter
 	leaseStore := h.Stores[store]
 	go func() {
@@ -139,19 +139,19 @@
 // applyDecision submits a request that a holder has decided on to the module.
 func (l *loop) applyDecision(store int, a quotalease.Action) {
 	h := l.hardLimiter
-	x := h.undecided[a.ID]
-	delete(h.undecided, a.ID)
-	isAdmitted := a.Kind == quotalease.Let
+	x := h.undecided[a.RequestID]
+	delete(h.undecided, a.RequestID)
+	isAdmitted := a.Kind == quotalease.Admit
 	switch {
 	case x == nil: // it went to the replacement of an earlier service
 		return
 	case x.isAnswered: // its client has left
 		if isAdmitted {
-			h.holders[store].Refund(h.now(), x.charge.key, x.charge.units, a.Until)
+			h.holders[store].Refund(h.now(), x.charge.key, x.charge.units, a.RefundableUntil)
 		}
 		return
 	case isAdmitted:
-		x.charge.refundableUntil = a.Until
+		x.charge.refundableUntil = a.RefundableUntil
 	default:
 		x.Request.IsOverHardLimit = true
 	}
@@ -160,7 +160,7 @@
 
 // leaseStoreAnswered handles the result of a call. One for a limiter that was transferred meanwhile comes too
 // late.
-func (l *loop) leaseStoreAnswered(h *hardLimiter, store int, answer quotalease.Answer, err error) {
+func (l *loop) leaseStoreAnswered(h *hardLimiter, store int, answer quotalease.StoreReply, err error) {
 	if l.hardLimiter != h {
 		return
 	}
@@ -170,18 +170,18 @@
 		if !hadFailed {
 			l.log.Warn("lease store call failed", "counter", h.StoreNames[store], "err", err)
 		}
-		l.applyLeaseActions(store, h.holders[store].Lost(h.now()))
+		l.applyLeaseActions(store, h.holders[store].CallFailed(h.now()))
 		return
 	}
 	if hadFailed {
 		l.log.Info("lease store available again", "counter", h.StoreNames[store])
 	}
-	l.applyLeaseActions(store, h.holders[store].Answered(h.now(), answer))
+	l.applyLeaseActions(store, h.holders[store].HandleReply(h.now(), answer))
 }
 
 // tickLeaseHolders has the current loop's holders do what is due by time, until ctx ends.
 func (s *Service) tickLeaseHolders(ctx context.Context) {
-	ticker := time.NewTicker(quotalease.TickEvery)
+	ticker := time.NewTicker(quotalease.TickInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/service/hard_limits_test.go
+++ b/internal/service/hard_limits_test.go
@@ -18,13 +18,13 @@
 // memoryLeaseStore is a lease store without a network, which can be down.
 type memoryLeaseStore struct {
 	mu        sync.Mutex
-	counter   *quotalease.Counter
+	counter   *quotalease.Store
 	startedAt time.Time
 	isDown    bool
 	gate      chan struct{} // calls wait until it is closed; nil lets them pass
 }
 
-func (m *memoryLeaseStore) Call(_ context.Context, q *quotalease.Call) (quotalease.Answer, error) {
+func (m *memoryLeaseStore) Call(_ context.Context, q *quotalease.StoreCall) (quotalease.StoreReply, error) {
 	m.mu.Lock()
 	hold := m.gate
 	m.mu.Unlock()
@@ -34,7 +34,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.isDown {
-		return quotalease.Answer{}, errors.New("away")
+		return quotalease.StoreReply{}, errors.New("away")
 	}
 	return m.counter.Handle(time.Since(m.startedAt), *q), nil
 }
@@ -54,11 +54,11 @@
 }
 
 func sharedLimitOptions(store *memoryLeaseStore, instances int) Options {
-	r := quotalease.Rules{Instances: instances, Term: time.Second, Pledge: 2 * time.Second, Settle: 3 * time.Second}
+	r := quotalease.Rules{Instances: instances, Term: time.Second, ReservationTime: 2 * time.Second, ResizeTime: 3 * time.Second}
 	if store.counter == nil {
-		store.counter, store.startedAt = quotalease.NewCounter(r, "c"), time.Now()
+		store.counter, store.startedAt = quotalease.NewStore(r, "c"), time.Now()
 	}
-	return Options{SharedHardLimits: &SharedHardLimits{Rules: r, ByPlan: map[string]quotalease.Ceiling{"p": {Rate: 10, Burst: 20}}, StoreNames: []string{"c"}, Stores: []LeaseStore{store}}}
+	return Options{SharedHardLimits: &SharedHardLimits{Rules: r, ByPlan: map[string]quotalease.HardLimit{"p": {Rate: 10, Burst: 20}}, StoreNames: []string{"c"}, Stores: []LeaseStore{store}}}
 }
 
 // rejectOverLimit creates modules that reject requests over their shared hard limit and never answer others.
@@ -101,7 +101,7 @@
 		}
 		synctest.Wait()
 		st := s.Status().HardLimits
-		if len(st) != 1 || !st[0].Lends || st[0].Own || st[0].Pledged != 1 || st[0].Identity != "c" || st[0].Since < 10 {
+		if len(st) != 1 || !st[0].CanBorrow || st[0].UsesOwnQuota || st[0].ReservedFraction != 1 || st[0].StoreID != "c" || st[0].SecondsAtStore < 10 {
 			t.Fatalf("%+v", st)
 		}
 		ctx, leave := context.WithCancel(t.Context())
@@ -121,8 +121,8 @@
 		}
 		leave()
 		synctest.Wait()
-		if st := s.Status().HardLimits[0]; st.Borrowed < 15.9 {
-			t.Errorf("of 20 units that nobody spent %g are there", st.Borrowed)
+		if st := s.Status().HardLimits[0]; st.LeasedUnits < 15.9 {
+			t.Errorf("of 20 units that nobody spent %g are there", st.LeasedUnits)
 		}
 		again, gone := context.WithCancel(t.Context())
 		go s.Do(again, newExchangeOfUnits("c", 4))
@@ -149,7 +149,7 @@
 		time.Sleep(60 * time.Second)
 		synctest.Wait()
 		st := s.Status().HardLimits[0]
-		if st.Lends || !st.Own || st.Pledged != 0 || st.Calls-begun > 200 {
+		if st.CanBorrow || !st.UsesOwnQuota || st.ReservedFraction != 0 || st.Calls-begun > 200 {
 			t.Errorf("%+v, %d calls while it was away", st, st.Calls-begun)
 		}
 		ctx, leave := context.WithCancel(t.Context())
@@ -191,12 +191,12 @@
 		}
 		synctest.Wait()
 		st := replacement.Status().HardLimits[0]
-		if st.Calls < calls || st.Pledged != 0.5 {
+		if st.Calls < calls || st.ReservedFraction != 0.5 {
 			t.Errorf("%+v after %d calls", st, calls)
 		}
 		time.Sleep(4 * time.Second)
 		synctest.Wait()
-		if st := replacement.Status().HardLimits[0]; st.Pledged != 1 || !st.Lends {
+		if st := replacement.Status().HardLimits[0]; st.ReservedFraction != 1 || !st.CanBorrow {
 			t.Errorf("%+v", st)
 		}
 		if x := newExchangeOfUnits("x", 1); original.Upstream() != replacement.Upstream() || x.Forwarder.(*upstream.BufferedRequest) == nil {
@@ -209,7 +209,7 @@
 			t.Errorf("%+v, not %+v", again, st)
 		}
 		replacement.HandOver(0.5)
-		if st := replacement.Status().HardLimits[0]; st.Own || st.Pledged != 0 {
+		if st := replacement.Status().HardLimits[0]; st.UsesOwnQuota || st.ReservedFraction != 0 {
 			t.Errorf("%+v after it was handed over", st)
 		}
 		// The other process fails while a request waits for units here: it is answered, and the part is
@@ -217,7 +217,7 @@
 		store.holdCalls()
 		answered := doInBackground(t.Context(), replacement, newExchangeOfUnits("w", 4))
 		synctest.Wait()
-		if st := replacement.Status().HardLimits[0]; st.Waiting != 1 {
+		if st := replacement.Status().HardLimits[0]; st.QueuedRequests != 1 {
 			t.Errorf("%+v", st)
 		}
 		replacement.Rejoin(nil)
@@ -227,7 +227,7 @@
 		store.releaseCalls()
 		time.Sleep(8 * time.Second)
 		synctest.Wait()
-		if st := replacement.Status().HardLimits[0]; st.Pledged != 1 || !st.Lends {
+		if st := replacement.Status().HardLimits[0]; st.ReservedFraction != 1 || !st.CanBorrow {
 			t.Errorf("%+v after the other has ended", st)
 		}
 	})
@@ -286,7 +286,7 @@
 // is added only those move that are assigned to it.
 func TestCustomersSpreadOverLeaseStores(t *testing.T) {
 	assignments := func(names ...string) map[string]string {
-		g := newHardLimiter(&SharedHardLimits{Rules: quotalease.Rules{Instances: 1}, ByPlan: map[string]quotalease.Ceiling{"p": {}}, StoreNames: names, Stores: make([]LeaseStore, len(names))})
+		g := newHardLimiter(&SharedHardLimits{Rules: quotalease.Rules{Instances: 1}, ByPlan: map[string]quotalease.HardLimit{"p": {}}, StoreNames: names, Stores: make([]LeaseStore, len(names))})
 		all := make(map[string]string)
 		for i := range 30_000 {
 			n, key := g.storeFor("p", fmt.Sprintf("%016x", i))
@@ -311,8 +311,8 @@
 // BenchmarkSharedHardLimit measures what a shared hard limit adds to a request that needs no call.
 func BenchmarkSharedHardLimit(b *testing.B) {
 	o := sharedLimitOptions(&memoryLeaseStore{}, 1)
-	o.SharedHardLimits.ByPlan["p"] = quotalease.Ceiling{Rate: 1e9, Burst: 1e9}
-	o.SharedHardLimits.Rules.Settle = 1
+	o.SharedHardLimits.ByPlan["p"] = quotalease.HardLimit{Rate: 1e9, Burst: 1e9}
+	o.SharedHardLimits.Rules.ResizeTime = 1
 	l := &loop{hardLimiter: newHardLimiter(o.SharedHardLimits), module: moduleFunc(ignoreAll)}
 	l.hardLimiter.startedAt = l.hardLimiter.startedAt.Add(-time.Minute) // its part may be spent
 	xs := make([]*Exchange, 1000)
