--- a/internal/canary/canary.go
+++ b/internal/canary/canary.go
@@ -38,7 +38,7 @@
 	Member     string
 	Side       Side
 	IsServing  bool // answers and serves
-	Statistics instancestats.Figures
+	Statistics instancestats.Statistics
 	Weight     float64 // part of the traffic that it is meant to get; kept for callers, the judge goes by what came
 }
 
@@ -52,7 +52,7 @@
 	IsWorse, IsEnough            bool    // Low is beyond a quarter of the margin; High is under it
 	Members, References, LeftOut int     // compared, compared with, left out for what they told
 
-	diff float64
+	difference float64
 }
 
 // Verdict is what a stage has come to. Why is one line for people.
@@ -67,10 +67,10 @@
 	MaxFalseAlarms float64       // part of harmless rollouts that are stopped as worse, at most: 0.01
 	MaxMissedHarm  float64       // part of stages with harm of a whole margin that pass, at most: 0.05
 	Stages         int           // that Alpha is split over: 4
-	MinBake        time.Duration // from the last member's change to a pass: 5 min
-	MaxBake        time.Duration // from the last member's change to NoEvidence: 1 h
+	MinBake        time.Duration // countedMeasure the last member's change to a pass: 5 min
+	MaxBake        time.Duration // countedMeasure the last member's change to NoEvidence: 1 h
 	WarmUp         time.Duration // of a process, not compared: 30 s
-	Onset          time.Duration // within which of a stage's steps harm to others shows: 1 min
+	Onset          time.Duration // varianceOverTime which of a stage's steps harm to others shows: 1 min
 
 	// Margins. Those of shares are half of what the old side has, where that is more.
 	LostMargin       float64       // of the part of worth asked that is not served in time: 0.01
@@ -93,8 +93,8 @@
 	Sequential bool // bounds for one look instead of bounds for any number
 	Cluster    bool // requests as units: no variance between or over time within instances
 	Control    bool // controls count as old ones
-	Slack      bool // alarm from no difference on, and few counts taken for normal
-	Before     bool // nothing from before the stage
+	Tolerance  bool // alarm from no difference on, and few counts taken for normal
+	Baseline   bool // nothing from before the stage
 }
 
 func (o *Options) setDefaults() {
@@ -145,13 +145,13 @@
 
 var measureNames = [measureCount]string{"lost worth", "failed", "refused", "late", "slow", "units", "cpu", "memory", "growth"}
 
-func (o *Options) margin(k int) float64 {
-	return [measureCount]float64{o.LostMargin, o.FailedMargin, o.RejectedMargin, o.LateMargin, o.SlowMargin, o.UnitsMargin, o.CPUMargin, o.MemoryMargin, o.GrowthMargin}[k]
+func (o *Options) margin(measure int) float64 {
+	return [measureCount]float64{o.LostMargin, o.FailedMargin, o.RejectedMargin, o.LateMargin, o.SlowMargin, o.UnitsMargin, o.CPUMargin, o.MemoryMargin, o.GrowthMargin}[measure]
 }
 
 // Growth is told by the hour, and shows over time: its bound narrows with the span to the power of 3/2.
 const (
-	fullGrowthBake = 30 * time.Minute // from this BakeMost on its margin is Growth; under it that which shows as much
+	fullGrowthBake = 30 * time.Minute // countedMeasure this BakeMost on its margin is Growth; under it that which shows as much
 	minGrowthBake  = 5 * time.Minute  // under this nothing slower than what the memory's own margin shows can be told
 )
 
@@ -159,11 +159,11 @@
 // rate that would be harm by the hour to be ruled out, a pass waits for no more than that of which memory's
 // mean over the span would be over its margin; it is for the memory measure to see less.
 func (o *Options) growthMargin(watched time.Duration) float64 {
-	m := o.hourlyGrowthMargin()
+	margin := o.hourlyGrowthMargin()
 	if o.MaxBake < minGrowthBake {
-		m = max(m, 2*o.MemoryMargin/max(watched, time.Second).Hours())
+		margin = max(margin, 2*o.MemoryMargin/max(watched, time.Second).Hours())
 	}
-	return m
+	return margin
 }
 
 // hourlyGrowthMargin is that of which a quarter, where it is shown, is harm.
@@ -171,35 +171,35 @@
 	return o.GrowthMargin * max(1, fullGrowthBake.Seconds()/o.MaxBake.Seconds())
 }
 
-// relative tells whether a measure is told as a ratio to before.
-func relative(k int) bool { return k >= measureUnits }
+// relativeEvidence tells whether a measure is told as a ratio to before.
+func isRelative(measure int) bool { return measure >= measureUnits }
 
-// ratio is a measure of a span as numerator and denominator.
-func ratio(k int, f *instancestats.Figures, cut int) (y, d float64) {
-	switch k {
+// measureRatio is a measure of a span as numerator and denominator.
+func measureRatio(measure int, statistics *instancestats.Statistics, slowBucket int) (numerator, denominator float64) {
+	switch measure {
 	case measureLost:
-		return f.OfferedWeight - f.Served, f.OfferedWeight
+		return statistics.OfferedWeight - statistics.Served, statistics.OfferedWeight
 	case measureFailed:
-		return float64(f.Failed), float64(f.Requests)
+		return float64(statistics.Failed), float64(statistics.Requests)
 	case measureRejected:
-		return float64(f.Refused - f.Beyond), float64(f.Requests - f.Beyond)
+		return float64(statistics.Refused - statistics.OverQuota), float64(statistics.Requests - statistics.OverQuota)
 	case measureLate:
-		return float64(f.Late), float64(f.Requests)
+		return float64(statistics.Late), float64(statistics.Requests)
 	case measureSlow:
-		if cut < 0 { // what the old side takes is not known yet
+		if slowBucket < 0 { // what the old side takes is not known yet
 			return 0, 0
 		}
-		var over, all uint64
-		for i, n := range f.Delays {
-			if all += n; i > cut {
-				over += n
+		var slow, all uint64
+		for i, n := range statistics.Delays {
+			if all += n; i > slowBucket {
+				slow += n
 			}
 		}
-		return float64(over), float64(all)
+		return float64(slow), float64(all)
 	case measureUnits:
-		return f.Units, float64(f.Requests)
+		return statistics.Units, float64(statistics.Requests)
 	case measureCPU:
-		return f.CPU.Seconds(), float64(f.Requests)
+		return statistics.CPU.Seconds(), float64(statistics.Requests)
 	}
-	return float64(f.MemoryKB), 1
+	return float64(statistics.MemoryKB), 1
 }
--- a/internal/canary/judge.go
+++ b/internal/canary/judge.go
@@ -13,24 +13,24 @@
 	order            []*member // as they were first seen, so that sums don't go by the map's order
 	stage            int
 	stageStartedAt   time.Duration
-	lastChangeAt     time.Duration         // the last change of a member's side
-	observedAt       time.Duration         // of the last Observe
-	observations     int                   // Observes of this stage
-	slowBucket       int                   // bucket of the 99th percentile; -1 is not known
-	oldStatistics    instancestats.Figures // of the old side, until the cut is known
-	rejectedReadings int                   // readings for which there was no room
+	lastChangeAt     time.Duration            // the last change of a member's side
+	observedAt       time.Duration            // of the last Observe
+	observations     int                      // Observes of this stage
+	slowBucket       int                      // bucket of the 99th percentile; -1 is not known
+	oldStatistics    instancestats.Statistics // of the old side, until the cut is known
+	rejectedReadings int                      // readings for which there was no room
 
 	sideTotals [2]batch // of this stage as counted: the old side, the new one
-	crashes    events
-	breaches   events
+	crashes    rareEvents
+	breaches   rareEvents
 	unchanged  unchangedMembers
 
-	spans []interval // of one Observe, kept for reuse
+	intervals []countedInterval // of one Observe, kept for reuse
 }
 
-type interval struct {
+type countedInterval struct {
 	member     *member
-	statistics instancestats.Figures
+	statistics instancestats.Statistics
 }
 
 // NewJudge makes a judge of one rollout.
@@ -84,7 +84,7 @@
 	}
 	if first {
 		for _, m := range j.order {
-			j.oldStatistics.Add(instancestats.Figures{Delays: m.baseline.Delays})
+			j.oldStatistics.Add(instancestats.Statistics{Delays: m.baseline.Delays})
 		}
 		j.setSlowBucket()
 	}
@@ -105,7 +105,7 @@
 	}
 	for _, m := range j.order {
 		m.reset()
-		m.prev, m.raw = m.raw, batch{}
+		m.previousTotals, m.totals = m.totals, batch{}
 	}
 	j.stage, j.stageStartedAt, j.lastChangeAt, j.observations, j.sideTotals = j.stage+1, now, now, 0, [2]batch{}
 }
@@ -115,8 +115,8 @@
 	if now <= j.observedAt && j.observedAt > 0 {
 		return
 	}
-	j.spans = j.spans[:0]
-	flips := 0
+	j.intervals = j.intervals[:0]
+	changes := 0
 	for i := range all {
 		r := &all[i]
 		m := j.memberOf(r)
@@ -127,120 +127,120 @@
 			m.isNewProcess = !r.Statistics.Began.Equal(m.last.Began)
 			m.reset()
 			m.side, m.hasLast, m.isServing, m.isCrashCounted, m.isChangedInStage = r.Side, false, r.IsServing, false, true
-			flips++
+			changes++
 		}
-		j.read(now, m, r)
+		j.observeMember(now, m, r)
 	}
-	if flips > 0 {
+	if changes > 0 {
 		j.lastChangeAt = now
 		j.unchanged.restart()
 		for _, m := range j.order {
-			m.raw = batch{}
+			m.totals = batch{}
 		}
 	}
 	j.observedAt = now
 	j.observations++
 	if j.slowBucket < 0 && j.stage > 0 {
-		for i := range j.spans {
-			if j.spans[i].member.side != SideNew {
-				j.oldStatistics.Add(instancestats.Figures{Delays: j.spans[i].statistics.Delays})
+		for i := range j.intervals {
+			if j.intervals[i].member.side != SideNew {
+				j.oldStatistics.Add(instancestats.Statistics{Delays: j.intervals[i].statistics.Delays})
 			}
 		}
 		j.setSlowBucket()
 	}
-	j.count(now)
+	j.countIntervals(now)
 }
 
-// count adds what was read to the sides, to their members and to those not changed.
-func (j *Judge) count(now time.Duration) {
-	var fleet, bystand [countedMeasures]struct{ y, d float64 }
-	refs := 0
-	for i := range j.spans {
-		if j.spans[i].member.side != SideNew {
-			refs++
+// countIntervals adds what was read to the sides, to their members and to those not changed.
+func (j *Judge) countIntervals(now time.Duration) {
+	var fleet, unchanged [countedMeasures]struct{ y, d float64 }
+	references := 0
+	for i := range j.intervals {
+		if j.intervals[i].member.side != SideNew {
+			references++
 		}
 	}
-	for i := range j.spans {
-		s := &j.spans[i]
+	for i := range j.intervals {
+		span := &j.intervals[i]
 		side := 0
-		if s.member.side == SideNew {
+		if span.member.side == SideNew {
 			side = 1
 		}
-		for k := range countedMeasures {
-			y, d := ratio(k, &s.statistics, j.slowBucket)
-			j.sideTotals[side].y[k], j.sideTotals[side].d[k] = j.sideTotals[side].y[k]+y, j.sideTotals[side].d[k]+d
+		for measure := range countedMeasures {
+			numerator, denominator := measureRatio(measure, &span.statistics, j.slowBucket)
+			j.sideTotals[side].numerator[measure], j.sideTotals[side].denominator[measure] = j.sideTotals[side].numerator[measure]+numerator, j.sideTotals[side].denominator[measure]+denominator
 			// What all share at a moment goes by the old ones where they are enough to say it.
-			if side == 0 || refs < 8 {
-				fleet[k].y, fleet[k].d = fleet[k].y+y, fleet[k].d+d
+			if side == 0 || references < 8 {
+				fleet[measure].y, fleet[measure].d = fleet[measure].y+numerator, fleet[measure].d+denominator
 			}
-			if s.member.raw.y[k], s.member.raw.d[k] = s.member.raw.y[k]+y, s.member.raw.d[k]+d; !s.member.isChangedInStage {
-				bystand[k].y, bystand[k].d = bystand[k].y+y, bystand[k].d+d
+			if span.member.totals.numerator[measure], span.member.totals.denominator[measure] = span.member.totals.numerator[measure]+numerator, span.member.totals.denominator[measure]+denominator; !span.member.isChangedInStage {
+				unchanged[measure].y, unchanged[measure].d = unchanged[measure].y+numerator, unchanged[measure].d+denominator
 			}
 		}
 	}
-	var rate [countedMeasures]float64
-	for k := range countedMeasures {
-		rate[k] = fleet[k].y / fleet[k].d // NaN without any, which add knows
+	var rates [countedMeasures]float64
+	for measure := range countedMeasures {
+		rates[measure] = fleet[measure].y / fleet[measure].d // NaN without any, which add knows
 	}
-	for i := range j.spans {
-		if s := &j.spans[i]; j.stage > 0 {
-			s.member.add(&s.statistics, j.slowBucket, &rate)
+	for i := range j.intervals {
+		if span := &j.intervals[i]; j.stage > 0 {
+			span.member.add(&span.statistics, j.slowBucket, &rates)
 		}
 	}
-	var b batch
-	for k := range countedMeasures {
-		b.y[k], b.d[k] = bystand[k].y, bystand[k].d
+	var total batch
+	for measure := range countedMeasures {
+		total.numerator[measure], total.denominator[measure] = unchanged[measure].y, unchanged[measure].d
 	}
-	j.unchanged.add(now-j.lastChangeAt, j.options.Onset, &b)
+	j.unchanged.add(now-j.lastChangeAt, j.options.Onset, &total)
 }
 
-// read takes one member's reading. What it counted since the last one goes to spans, where it can be believed.
-func (j *Judge) read(now time.Duration, m *member, r *Reading) {
-	new := m.side == SideNew
+// observeMember takes one member's reading. What it counted since the last one goes to spans, where it can be believed.
+func (j *Judge) observeMember(now time.Duration, m *member, r *Reading) {
+	isNew := m.side == SideNew
 	if !r.IsServing {
 		if m.isServing && m.hasLast && j.stage > 0 && !m.isCrashCounted {
-			j.crashes.count(new)
+			j.crashes.add(isNew)
 			m.isCrashCounted = true
 		}
 		m.isServing = false
 		return
 	}
-	f := &r.Statistics
-	if !isPlausible(f, 0) {
+	statistics := &r.Statistics
+	if !isPlausible(statistics, 0) {
 		m.implausibleReadings++
 		return
 	}
-	switch d, ok := f.Since(m.last); {
+	switch difference, ok := statistics.Since(m.last); {
 	case !m.hasLast:
-		m.first, m.warmAt = *f, now+j.options.WarmUp
-	case !f.Began.Equal(m.last.Began):
+		m.first, m.warmAt = *statistics, now+j.options.WarmUp
+	case !statistics.Began.Equal(m.last.Began):
 		if !m.isCrashCounted && j.stage > 0 {
-			j.crashes.count(new)
+			j.crashes.add(isNew)
 		}
-		m.first, m.warmAt = *f, now+j.options.WarmUp
-	case !ok || !isPlausible(&d, now-m.lastAt) || hasDecreased(f, &m.last):
+		m.first, m.warmAt = *statistics, now+j.options.WarmUp
+	case !ok || !isPlausible(&difference, now-m.lastAt) || hasDecreased(statistics, &m.last):
 		// Of the same process and less than before: nothing of it is believed, nor what it is set against.
 		m.implausibleReadings++
 	case now-m.lastAt <= maxReadingGap:
-		j.crashes.expose(new, now-m.lastAt)
-		j.breaches.expose(new, now-m.lastAt)
-		if (d.Breaches > 0 || d.Panics > 0) && j.stage > 0 {
-			j.breaches.count(new)
+		j.crashes.addExposure(isNew, now-m.lastAt)
+		j.breaches.addExposure(isNew, now-m.lastAt)
+		if (difference.Breaches > 0 || difference.Panics > 0) && j.stage > 0 {
+			j.breaches.add(isNew)
 		}
 		if now > m.warmAt || j.stage == 0 {
-			j.spans = append(j.spans, interval{m, d})
+			j.intervals = append(j.intervals, countedInterval{m, difference})
 		}
 	}
-	m.last, m.lastAt, m.hasLast, m.isServing, m.isCrashCounted = *f, now, true, true, false
+	m.last, m.lastAt, m.hasLast, m.isServing, m.isCrashCounted = *statistics, now, true, true, false
 }
 
 // hasDecreased tells whether any count has become less; Since looks at some.
-func hasDecreased(f, old *instancestats.Figures) bool {
-	for i := range f.Delays {
-		if f.Delays[i] < old.Delays[i] {
+func hasDecreased(current, earlier *instancestats.Statistics) bool {
+	for i := range current.Delays {
+		if current.Delays[i] < earlier.Delays[i] {
 			return true
 		}
 	}
-	return f.OfferedWeight < old.OfferedWeight || f.Served < old.Served || f.Refused < old.Refused || f.Beyond < old.Beyond || f.Failed < old.Failed ||
-		f.Late < old.Late || f.Left < old.Left || f.Units < old.Units || f.Breaches < old.Breaches || f.Panics < old.Panics
+	return current.OfferedWeight < earlier.OfferedWeight || current.Served < earlier.Served || current.Refused < earlier.Refused || current.OverQuota < earlier.OverQuota || current.Failed < earlier.Failed ||
+		current.Late < earlier.Late || current.ClientsGone < earlier.ClientsGone || current.Units < earlier.Units || current.Breaches < earlier.Breaches || current.Panics < earlier.Panics
 }
--- a/internal/canary/judge_test.go
+++ b/internal/canary/judge_test.go
@@ -19,13 +19,13 @@
 	now time.Duration
 	all []Reading
 
-	before map[string]instancestats.Figures // kept by tests that want them
+	before map[string]instancestats.Statistics // kept by tests that want them
 }
 
 func newCrew(n int, seed uint64) *crew {
-	c := &crew{j: NewJudge(Options{}), rng: rand.New(rand.NewPCG(seed, 1)), before: make(map[string]instancestats.Figures)}
+	c := &crew{j: NewJudge(Options{}), rng: rand.New(rand.NewPCG(seed, 1)), before: make(map[string]instancestats.Statistics)}
 	for i := range n {
-		c.all = append(c.all, Reading{Member: fmt.Sprint(i), IsServing: true, Statistics: instancestats.Figures{Began: time.Unix(1, 0)}})
+		c.all = append(c.all, Reading{Member: fmt.Sprint(i), IsServing: true, Statistics: instancestats.Statistics{Began: time.Unix(1, 0)}})
 	}
 	return c
 }
@@ -58,7 +58,7 @@
 func (c *crew) stage(from, to, controls int) {
 	c.j.Begin(c.now, c.all)
 	for i := from; i < to+controls; i++ {
-		c.all[i].Side, c.all[i].Statistics = SideNew, instancestats.Figures{Began: time.Unix(2, int64(c.now))}
+		c.all[i].Side, c.all[i].Statistics = SideNew, instancestats.Statistics{Began: time.Unix(2, int64(c.now))}
 		if i >= to {
 			c.all[i].Side = SideControl
 		}
@@ -111,17 +111,17 @@
 	}},
 	{"nobody asks the new one", KindNoEvidence, 400, func(_ *crew, _ int, r *Reading) {
 		if r.Side == SideNew {
-			r.Statistics = instancestats.Figures{Began: r.Statistics.Began, MemoryKB: 100000}
+			r.Statistics = instancestats.Statistics{Began: r.Statistics.Began, MemoryKB: 100000}
 		}
 	}},
 	{"the new one crashes", KindWorse, 30, func(c *crew, _ int, r *Reading) {
 		if r.Side == SideNew && c.now%time.Minute == 0 {
-			r.Statistics = instancestats.Figures{Began: time.Unix(3, int64(c.now))}
+			r.Statistics = instancestats.Statistics{Began: time.Unix(3, int64(c.now))}
 		}
 	}},
 	{"all crash", KindWait, 20, func(c *crew, _ int, r *Reading) {
 		if c.now == 6*time.Minute {
-			r.Statistics = instancestats.Figures{Began: time.Unix(3, int64(c.now))}
+			r.Statistics = instancestats.Statistics{Began: time.Unix(3, int64(c.now))}
 		}
 	}},
 	{"others are harmed, and the new one takes more", KindWorse, 60, func(_ *crew, _ int, r *Reading) {
@@ -161,12 +161,12 @@
 func TestNonsenseIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newCrew(4, 2)
-		any := rapid.Custom(func(t *rapid.T) instancestats.Figures {
+		any := rapid.Custom(func(t *rapid.T) instancestats.Statistics {
 			v := rapid.OneOf(rapid.Float64(), rapid.Just(math.NaN()), rapid.Just(math.Inf(1)), rapid.Float64Range(0, 1e6))
 			n := rapid.OneOf(rapid.Uint64(), rapid.Uint64Range(0, 1e6))
-			return instancestats.Figures{
+			return instancestats.Statistics{
 				OfferedWeight: v.Draw(t, "asked"), Served: v.Draw(t, "served"), Units: v.Draw(t, "units"), Requests: n.Draw(t, "requests"),
-				Failed: n.Draw(t, "failed"), Refused: n.Draw(t, "refused"), Beyond: n.Draw(t, "beyond"), CPU: time.Duration(rapid.Int64().Draw(t, "cpu")),
+				Failed: n.Draw(t, "failed"), Refused: n.Draw(t, "refused"), OverQuota: n.Draw(t, "beyond"), CPU: time.Duration(rapid.Int64().Draw(t, "cpu")),
 				MemoryKB: rapid.Int().Draw(t, "memory"), Began: time.Unix(rapid.Int64Range(0, 2).Draw(t, "began"), 0),
 			}
 		})
@@ -196,7 +196,7 @@
 		for i := 1; i <= 500; i++ {
 			sum += r.NormFloat64()
 			for _, seq := range []bool{true, false} {
-				if !done[seq] && sum/float64(i) > width(1/float64(i), 0.3, alpha, seq) {
+				if !done[seq] && sum/float64(i) > boundWidth(1/float64(i), 0.3, alpha, seq) {
 					done[seq] = true
 					crossed[seq]++
 				}
@@ -214,9 +214,9 @@
 	n := 0
 	for seed := range uint64(runs) {
 		r := rand.New(rand.NewPCG(seed, 4))
-		for e := (events{}); e.time[1] < 1000*time.Hour; {
-			e.expose(true, time.Duration(r.ExpFloat64()*float64(240*time.Hour)))
-			if e.count(true); e.absolute(240*time.Hour) >= limit {
+		for e := (rareEvents{}); e.exposure[1] < 1000*time.Hour; {
+			e.addExposure(true, time.Duration(r.ExpFloat64()*float64(240*time.Hour)))
+			if e.add(true); e.absoluteEvidence(240*time.Hour) >= limit {
 				n++
 				break
 			}
--- a/internal/canary/member.go
+++ b/internal/canary/member.go
@@ -14,15 +14,15 @@
 	maxCores               = 4096            // of its machine
 	maxImplausibleReadings = 3               // nonsense figures of a stage after which a member is left out of it
 	maxMembers             = 1 << 16         // members; further ones are left out
-	maxReadingGap          = 5 * time.Minute // between readings, beyond which their difference is not one interval
+	maxReadingGap          = 5 * time.Minute // varianceBetween readings, beyond which their difference is not one interval
 )
 
 // batch is a span of a member's time, set against the fleet at the same time: for shares y is what it counted
 // less x, what it would have at the fleet's rate; for costs d is what it would have. n is readings.
 type batch struct {
-	y, d [countedMeasures]float64
-	x    [measureUnits]float64
-	n    float64
+	numerator, denominator [countedMeasures]float64
+	expected               [measureUnits]float64
+	readings               float64
 }
 
 // member is what is known of one.
@@ -30,18 +30,18 @@
 	side                Side
 	isServing           bool
 	hasLast             bool // last is of the process and side of now
-	last                instancestats.Figures
+	last                instancestats.Statistics
 	lastAt              time.Duration // of last
-	first               instancestats.Figures
-	baseline            instancestats.Figures // what it did before the first stage
+	first               instancestats.Statistics
+	baseline            instancestats.Statistics // what it did before the first stage
 	hasBaseline         bool
 	isChangedInStage    bool          // changed sides in this stage
 	isNewProcess        bool          // a new process since it changed sides
-	warmAt              time.Duration // from when on it counts
+	warmAt              time.Duration // countedMeasure when on it counts
 	isCrashCounted      bool          // counted as a crash already
 	implausibleReadings int
 
-	prev, raw batch // as counted, since the last change of the stage before, and of this one
+	previousTotals, totals batch // as counted, since the last change of the stage before, and of this one
 
 	batches         [maxBatches + 1]batch
 	fullBatches     int // batches that are full
@@ -55,36 +55,36 @@
 }
 
 // isPlausible tells whether figures can be what a process counted in a span; d is zero for figures since it began.
-func isPlausible(f *instancestats.Figures, d time.Duration) bool {
-	for _, v := range [...]float64{f.OfferedWeight, f.Served, f.Units} {
+func isPlausible(statistics *instancestats.Statistics, duration time.Duration) bool {
+	for _, v := range [...]float64{statistics.OfferedWeight, statistics.Served, statistics.Units} {
 		if math.IsNaN(v) || v < 0 || v > 1e15 {
 			return false
 		}
 	}
-	if f.Served > f.OfferedWeight*1.01+1e3 || f.CPU < 0 || f.MemoryKB < 0 || f.Requests > 1<<50 {
+	if statistics.Served > statistics.OfferedWeight*1.01+1e3 || statistics.CPU < 0 || statistics.MemoryKB < 0 || statistics.Requests > 1<<50 {
 		return false
 	}
-	if d > 0 && (float64(f.Requests) > maxRequestsPerSecond*d.Seconds() || f.CPU > maxCores*d || f.Units > 1e3*maxRequestsPerSecond*d.Seconds()) {
+	if duration > 0 && (float64(statistics.Requests) > maxRequestsPerSecond*duration.Seconds() || statistics.CPU > maxCores*duration || statistics.Units > 1e3*maxRequestsPerSecond*duration.Seconds()) {
 		return false
 	}
 	// Ends within a span need not have been counted in every place in the same moment.
-	limit := f.Requests + f.Requests/50 + 64
-	return f.Failed <= limit && f.Refused <= limit && f.Late <= limit && f.Beyond <= f.Refused && f.Left <= limit && f.Delays.Total() <= limit &&
-		f.Breaches <= 1<<50
+	limit := statistics.Requests + statistics.Requests/50 + 64
+	return statistics.Failed <= limit && statistics.Refused <= limit && statistics.Late <= limit && statistics.OverQuota <= statistics.Refused && statistics.ClientsGone <= limit && statistics.Delays.Total() <= limit &&
+		statistics.Breaches <= 1<<50
 }
 
 // add counts a span. rate is the fleet's of each measure meanwhile, and NaN where it has none.
-func (m *member) add(f *instancestats.Figures, cut int, rate *[countedMeasures]float64) {
+func (m *member) add(statistics *instancestats.Statistics, slowBucket int, rates *[countedMeasures]float64) {
 	b := &m.batches[m.fullBatches]
-	b.n++
-	for k := range countedMeasures {
-		y, d := ratio(k, f, cut)
-		switch r := rate[k]; {
-		case math.IsNaN(r) || math.IsInf(r, 0) || relative(k) && r <= 0: // nobody asked anything meanwhile
-		case relative(k):
-			b.y[k], b.d[k] = b.y[k]+y, b.d[k]+d*r
+	b.readings++
+	for measure := range countedMeasures {
+		numerator, denominator := measureRatio(measure, statistics, slowBucket)
+		switch rate := rates[measure]; {
+		case math.IsNaN(rate) || math.IsInf(rate, 0) || isRelative(measure) && rate <= 0: // nobody asked anything meanwhile
+		case isRelative(measure):
+			b.numerator[measure], b.denominator[measure] = b.numerator[measure]+numerator, b.denominator[measure]+denominator*rate
 		default:
-			b.y[k], b.d[k], b.x[k] = b.y[k]+y-d*r, b.d[k]+d, b.x[k]+d*r
+			b.numerator[measure], b.denominator[measure], b.expected[measure] = b.numerator[measure]+numerator-denominator*rate, b.denominator[measure]+denominator, b.expected[measure]+denominator*rate
 		}
 	}
 	m.advance()
@@ -103,14 +103,14 @@
 	// sixteenth to an eighth of the stage, by which what is alike from one to the next has faded.
 	for i := range maxBatches / 2 {
 		b := m.batches[2*i]
-		for k := range countedMeasures {
-			b.y[k] += m.batches[2*i+1].y[k]
-			b.d[k] += m.batches[2*i+1].d[k]
+		for measure := range countedMeasures {
+			b.numerator[measure] += m.batches[2*i+1].numerator[measure]
+			b.denominator[measure] += m.batches[2*i+1].denominator[measure]
 		}
-		for k := range measureUnits {
-			b.x[k] += m.batches[2*i+1].x[k]
+		for measure := range measureUnits {
+			b.expected[measure] += m.batches[2*i+1].expected[measure]
 		}
-		b.n += m.batches[2*i+1].n
+		b.readings += m.batches[2*i+1].readings
 		m.batches[i] = b
 	}
 	clear(m.batches[maxBatches/2:])
@@ -118,21 +118,21 @@
 }
 
 // window is the batches that a look takes: all, or the later half.
-func (m *member) window(half bool) []batch {
+func (m *member) window(isLaterHalf bool) []batch {
 	n := m.fullBatches
 	if m.partialReadings > 0 && n < len(m.batches) {
 		n++
 	}
-	if half {
+	if isLaterHalf {
 		return m.batches[n/2 : n]
 	}
 	return m.batches[:n]
 }
 
-func sum(all []batch, k int) (y, d float64) {
-	for i := range all {
-		y += all[i].y[k]
-		d += all[i].d[k]
+func sumBatches(window []batch, measure int) (numerator, denominator float64) {
+	for i := range window {
+		numerator += window[i].numerator[measure]
+		denominator += window[i].denominator[measure]
 	}
-	return y, d
+	return numerator, denominator
 }
--- a/internal/canary/unchanged.go
+++ b/internal/canary/unchanged.go
@@ -6,97 +6,97 @@
 )
 
 // unchangedMembers are the members that a stage does not change. What the changed ones do to them shows in both
-// sides alike, so they are held against themselves before the stage.
+// estimateSides alike, so they are held against themselves before the stage.
 type unchangedMembers struct {
-	current  member // all of them as one
-	early    batch  // within Onset of the last change
-	previous []batch
-	steps    [countedMeasures][]estimate // of earlier stages
-	isKnown  bool                        // that they were watched before this stage
+	current     member // all of them as one
+	early       batch  // varianceOverTime Onset of the last change
+	previous    []batch
+	steps       [countedMeasures][]estimate // of earlier stages
+	hasPrevious bool                        // that they were watched before this stage
 }
 
-func (o *unchangedMembers) begin(j *Judge, first bool) {
+func (u *unchangedMembers) begin(j *Judge, first bool) {
 	if !first {
-		for k := range countedMeasures {
-			if s, ok := j.unchangedStep(k); ok {
-				o.steps[k] = append(o.steps[k], estimate{min(s.diff, s.early, s.lately), s.v})
-				if len(o.steps[k]) > 16 {
-					o.steps[k] = o.steps[k][1:]
+		for measure := range countedMeasures {
+			if step, ok := j.unchangedStep(measure); ok {
+				u.steps[measure] = append(u.steps[measure], estimate{min(step.difference, step.early, step.late), step.variance})
+				if len(u.steps[measure]) > 16 {
+					u.steps[measure] = u.steps[measure][1:]
 				}
 			}
 		}
 	}
-	o.previous = append([]batch(nil), o.current.window(!first)...)
-	o.isKnown = len(o.previous) >= 4
-	o.restart()
+	u.previous = append([]batch(nil), u.current.window(!first)...)
+	u.hasPrevious = len(u.previous) >= 4
+	u.restart()
 }
 
 // restart says that another member has changed: what came before is of a smaller dose.
-func (o *unchangedMembers) restart() { o.current.reset(); o.early = batch{} }
+func (u *unchangedMembers) restart() { u.current.reset(); u.early = batch{} }
 
-func (o *unchangedMembers) add(since, onset time.Duration, b *batch) {
-	at := &o.current.batches[o.current.fullBatches]
-	for k := range countedMeasures {
-		at.y[k], at.d[k] = at.y[k]+b.y[k], at.d[k]+b.d[k]
+func (u *unchangedMembers) add(since, onset time.Duration, total *batch) {
+	current := &u.current.batches[u.current.fullBatches]
+	for measure := range countedMeasures {
+		current.numerator[measure], current.denominator[measure] = current.numerator[measure]+total.numerator[measure], current.denominator[measure]+total.denominator[measure]
 		if since <= onset {
-			o.early.y[k], o.early.d[k] = o.early.y[k]+b.y[k], o.early.d[k]+b.d[k]
+			u.early.numerator[measure], u.early.denominator[measure] = u.early.numerator[measure]+total.numerator[measure], u.early.denominator[measure]+total.denominator[measure]
 		}
 	}
-	at.n++
-	o.current.advance()
+	current.readings++
+	u.current.advance()
 }
 
-// jump is a step of the others at a stage.
-type jump struct {
-	diff, v       float64
-	early, lately float64 // what of it there was within Onset, and is in the later half
+// stepChange is a step of the others at a stage.
+type stepChange struct {
+	difference, variance float64
+	early, late          float64 // what of it there was within Onset, and is in the later half
 }
 
 // unchangedStep is what a measure of the others has become since the stage began.
-func (j *Judge) unchangedStep(k int) (jump, bool) {
-	o := &j.unchanged
-	if !o.isKnown {
-		return jump{}, false
+func (j *Judge) unchangedStep(measure int) (stepChange, bool) {
+	u := &j.unchanged
+	if !u.hasPrevious {
+		return stepChange{}, false
 	}
-	now := o.current.window(false)
-	var py, pd, y, d float64
+	current := u.current.window(false)
+	var previousNumerator, previousDenominator, numerator, denominator float64
 	for _, m := range j.order {
-		if !m.isChangedInStage && m.implausibleReadings < maxImplausibleReadings && m.prev.d[k] > 0 && m.raw.d[k] > 0 {
-			py, pd, y, d = py+m.prev.y[k], pd+m.prev.d[k], y+m.raw.y[k], d+m.raw.d[k]
+		if !m.isChangedInStage && m.implausibleReadings < maxImplausibleReadings && m.previousTotals.denominator[measure] > 0 && m.totals.denominator[measure] > 0 {
+			previousNumerator, previousDenominator, numerator, denominator = previousNumerator+m.previousTotals.numerator[measure], previousDenominator+m.previousTotals.denominator[measure], numerator+m.totals.numerator[measure], denominator+m.totals.denominator[measure]
 		}
 	}
-	ly, ld := sum(o.current.window(true), k)
-	if pd <= 0 || d <= 0 || ld <= 0 || o.early.d[k] <= 0 || len(now) < 4 {
-		return jump{}, false
+	lateNumerator, lateDenominator := sumBatches(u.current.window(true), measure)
+	if previousDenominator <= 0 || denominator <= 0 || lateDenominator <= 0 || u.early.denominator[measure] <= 0 || len(current) < 4 {
+		return stepChange{}, false
 	}
-	s := within([][]batch{o.previous, now}, []float64{1, 1}, k)
-	if s.df < 6 {
-		return jump{}, false
+	spread := varianceOverTime([][]batch{u.previous, current}, []float64{1, 1}, measure)
+	if spread.degreesOfFreedom < 6 {
+		return stepChange{}, false
 	}
-	was := py / pd
-	v := max(s.v, (was+j.options.margin(k)/4)*j.unit(k)) * (1/pd + 1/d)
-	return jump{y/d - was, v, o.early.y[k]/o.early.d[k] - was, ly/ld - was}, true
+	previousRatio := previousNumerator / previousDenominator
+	variance := max(spread.variance, (previousRatio+j.options.margin(measure)/4)*j.requestWeight(measure)) * (1/previousDenominator + 1/denominator)
+	return stepChange{numerator/denominator - previousRatio, variance, u.early.numerator[measure]/u.early.denominator[measure] - previousRatio, lateNumerator/lateDenominator - previousRatio}, true
 }
 
 // harmToUnchanged tells which measure of the others has become worse with the stage and has stayed so, and whether
 // that can be laid to the change: they also did so at an earlier, smaller step.
-func (j *Judge) harmToUnchanged() (k int, again bool, is bool) {
+func (j *Judge) harmToUnchanged() (measure int, isRepeated bool, isHarmed bool) {
 	worst := 0.0
-	for i := measureLost; i <= measureSlow; i++ {
-		s, ok := j.unchangedStep(i)
+	for candidate := measureLost; candidate <= measureSlow; candidate++ {
+		step, ok := j.unchangedStep(candidate)
 		if !ok {
 			continue
 		}
-		m := j.options.margin(i)
-		low := s.diff - width(s.v, m, 0.1*j.options.MaxFalseAlarms/float64(j.options.Stages)/(measureSlow+1), true)
-		if low > m/2 && s.early > m/2 && s.lately > m/2 && low/m > worst {
-			worst, k, is, again = low/m, i, true, false
-			for _, was := range j.unchanged.steps[i] {
-				if was.mean > m/2 && was.mean > 4*math.Sqrt(was.variance) && s.diff > 1.5*was.mean { // with the dose
-					again = true
+		margin := j.options.margin(candidate)
+		low := step.difference - boundWidth(step.variance, margin, 0.1*j.options.MaxFalseAlarms/float64(j.options.Stages)/(measureSlow+1), true)
+		if low > margin/2 && step.early > margin/2 && step.late > margin/2 && low/margin > worst {
+			worst, measure, isHarmed, isRepeated = low/margin, candidate, true, false
+			for _, earlier := range j.unchanged.steps[candidate] {
+				if earlier.mean > margin/2 && earlier.mean > 4*math.Sqrt(earlier.variance) && step.difference > 1.5*earlier.mean { // with the dose
+					isRepeated = true
 				}
 			}
 		}
 	}
-	return k, again, is
+	return measure, isRepeated, isHarmed
 }
--- a/internal/canary/verdict.go
+++ b/internal/canary/verdict.go
@@ -9,100 +9,100 @@
 
 // Verdict is what the stage has come to by now. It may be asked as often as one likes.
 func (j *Judge) Verdict(now time.Duration) Verdict {
-	var v Verdict
-	var worse, thin, lately []string
-	var passes *Measure
-	for k := range measureCount {
-		m, h := j.compareWindows(k)
-		if k == measureUnits {
-			passes = &m
+	var verdict Verdict
+	var worse, unclear, recent []string
+	var units *Measure
+	for measure := range measureCount {
+		result, laterHalf := j.compareWindows(measure)
+		if measure == measureUnits {
+			units = &result
 		}
-		if m.IsWorse {
-			worse = append(worse, describe(&m))
+		if result.IsWorse {
+			worse = append(worse, describe(&result))
 		}
 		switch {
-		case !j.isMeasured(k): // neither side has any of it
-			m.IsEnough = true
-		case !m.IsEnough:
-			thin = append(thin, fmt.Sprintf("%s: up to %.3g, margin %.3g", m.Name, m.High, m.Margin))
-		case m.Members > 0 && h.diff >= m.Margin:
-			m.IsEnough = false
-			lately = append(lately, fmt.Sprintf("%s lately: %.3g, margin %.3g", m.Name, h.diff, m.Margin))
+		case !j.isMeasured(measure): // neither side has any of it
+			result.IsEnough = true
+		case !result.IsEnough:
+			unclear = append(unclear, fmt.Sprintf("%s: up to %.3g, margin %.3g", result.Name, result.High, result.Margin))
+		case result.Members > 0 && laterHalf.difference >= result.Margin:
+			result.IsEnough = false
+			recent = append(recent, fmt.Sprintf("%s lately: %.3g, margin %.3g", result.Name, laterHalf.difference, result.Margin))
 		}
-		v.Measures = append(v.Measures, m)
+		verdict.Measures = append(verdict.Measures, result)
 	}
-	crash, breach, shown := j.compareRareEvents()
+	crashEvidence, breachEvidence, shown := j.compareRareEvents()
 	worse = append(worse, shown...)
-	k, again, harmed := j.harmToUnchanged()
-	whose := ""
+	harmedMeasure, isRepeated, harmed := j.harmToUnchanged()
+	harm := ""
 	if harmed {
-		whose = fmt.Sprintf("those not changed have become worse with the stage (%s)", measureNames[k])
+		harm = fmt.Sprintf("those not changed have become worse with the stage (%s)", measureNames[harmedMeasure])
 		switch {
-		case passes.Low > 0:
-			worse = append(worse, whose+", and the changed ones take more than their part")
-		case again:
-			worse = append(worse, whose+", as they did with an earlier one")
+		case units.Low > 0:
+			worse = append(worse, harm+", and the changed ones take more than their part")
+		case isRepeated:
+			worse = append(worse, harm+", as they did with an earlier one")
 		}
 	}
 	since := now - j.lastChangeAt
 	switch {
 	case len(worse) > 0:
-		v.Kind, v.Reason = KindWorse, strings.Join(worse, "; ")
+		verdict.Kind, verdict.Reason = KindWorse, strings.Join(worse, "; ")
 	case since < j.options.MinBake:
-		v.Kind, v.Reason = KindWait, fmt.Sprintf("watched for %v of %v", since.Round(time.Second), j.options.MinBake)
+		verdict.Kind, verdict.Reason = KindWait, fmt.Sprintf("watched for %v of %v", since.Round(time.Second), j.options.MinBake)
 	case harmed:
-		v.Kind, v.Reason = j.end(since), whose+"; nothing tells the change from the world"
-	case crash >= 150 || breach >= 150:
-		v.Kind, v.Reason = j.end(since), fmt.Sprintf("%d crashes and %d breaches of the new side are too many to go on and too few to blame it", j.crashes.n[1], j.breaches.n[1])
+		verdict.Kind, verdict.Reason = j.waitOrGiveUp(since), harm+"; nothing tells the change from the world"
+	case crashEvidence >= 150 || breachEvidence >= 150:
+		verdict.Kind, verdict.Reason = j.waitOrGiveUp(since), fmt.Sprintf("%d crashes and %d breaches of the new side are too many to go on and too few to blame it", j.crashes.counts[1], j.breaches.counts[1])
 	case !j.hasOld():
-		if v.Kind, v.Reason = KindPass, "all are changed, and the fleet is as it was before the stage"; !j.areChangedMembersLive(now) {
-			v.Kind, v.Reason = j.end(since), "too few members tell anything"
+		if verdict.Kind, verdict.Reason = KindPass, "all are changed, and the fleet is as it was before the stage"; !j.areChangedMembersLive(now) {
+			verdict.Kind, verdict.Reason = j.waitOrGiveUp(since), "too few members tell anything"
 		}
-	case len(thin) > 0:
-		v.Kind, v.Reason = j.end(since), "too little evidence: "+strings.Join(thin, "; ")
-	case len(lately) > 0:
-		v.Kind, v.Reason = j.end(since), strings.Join(lately, "; ")
+	case len(unclear) > 0:
+		verdict.Kind, verdict.Reason = j.waitOrGiveUp(since), "too little evidence: "+strings.Join(unclear, "; ")
+	case len(recent) > 0:
+		verdict.Kind, verdict.Reason = j.waitOrGiveUp(since), strings.Join(recent, "; ")
 	case !j.areChangedMembersLive(now):
-		v.Kind, v.Reason = j.end(since), "too few of the changed members tell anything"
+		verdict.Kind, verdict.Reason = j.waitOrGiveUp(since), "too few of the changed members tell anything"
 	default:
-		v.Kind, v.Reason = KindPass, "no harm beyond the margins"
+		verdict.Kind, verdict.Reason = KindPass, "no harm beyond the margins"
 	}
-	return v
+	return verdict
 }
 
 // compareRareEvents holds crashes and breaches of both sides against each other, as likelihood ratios, and gives what is shown.
-func (j *Judge) compareRareEvents() (crash, breach float64, worse []string) {
+func (j *Judge) compareRareEvents() (crashEvidence, breachEvidence float64, worse []string) {
 	// Crashes are rare: one side has had none as a rule. What the world does hits both sides, and then the
-	// relative one is small.
-	crash, breach = j.crashes.absolute(j.options.MinCrashInterval), j.breaches.relative()
-	if j.crashes.relative() < 3 {
-		crash = 0
+	// relativeEvidence one is small.
+	crashEvidence, breachEvidence = j.crashes.absoluteEvidence(j.options.MinCrashInterval), j.breaches.relativeEvidence()
+	if j.crashes.relativeEvidence() < 3 {
+		crashEvidence = 0
 	}
-	if limit := 1 / (0.15 * j.options.MaxFalseAlarms); crash >= limit {
-		worse = append(worse, fmt.Sprintf("crashes: %d in %v of the new, %d in %v of the old", j.crashes.n[1], j.crashes.time[1].Round(time.Second),
-			j.crashes.n[0], j.crashes.time[0].Round(time.Second)))
+	if limit := 1 / (0.15 * j.options.MaxFalseAlarms); crashEvidence >= limit {
+		worse = append(worse, fmt.Sprintf("crashes: %d in %v of the new, %d in %v of the old", j.crashes.counts[1], j.crashes.exposure[1].Round(time.Second),
+			j.crashes.counts[0], j.crashes.exposure[0].Round(time.Second)))
 	}
-	if limit := 1 / (0.05 * j.options.MaxFalseAlarms); breach >= limit {
-		worse = append(worse, fmt.Sprintf("breaches: in %d intervals of the new, %d of the old", j.breaches.n[1], j.breaches.n[0]))
+	if limit := 1 / (0.05 * j.options.MaxFalseAlarms); breachEvidence >= limit {
+		worse = append(worse, fmt.Sprintf("breaches: in %d intervals of the new, %d of the old", j.breaches.counts[1], j.breaches.counts[0]))
 	}
-	return crash, breach, worse
+	return crashEvidence, breachEvidence, worse
 }
 
 // compareWindows compares a measure over the stage, mended by what its later half shows, and over that half.
-func (j *Judge) compareWindows(k int) (m, half Measure) {
-	m = j.compare(k, false)
-	half = m
-	if k != measureGrowth { // a line through few points says nothing
-		half = j.compare(k, true)
+func (j *Judge) compareWindows(measure int) (result, laterHalf Measure) {
+	result = j.compare(measure, false)
+	laterHalf = result
+	if measure != measureGrowth { // a line through few points says nothing
+		laterHalf = j.compare(measure, true)
 	}
 	// A fault of the world that is over does not keep a stage from passing by what came after it.
-	if half.IsEnough && !m.IsEnough && half.High < m.High {
-		m.IsEnough, m.High = true, half.High
+	if laterHalf.IsEnough && !result.IsEnough && laterHalf.High < result.High {
+		result.IsEnough, result.High = true, laterHalf.High
 	}
-	if half.IsWorse && !m.IsWorse {
-		m.IsWorse, m.Low = true, half.Low
+	if laterHalf.IsWorse && !result.IsWorse {
+		result.IsWorse, result.Low = true, laterHalf.Low
 	}
-	return m, half
+	return result, laterHalf
 }
 
 // hasOld tells whether a member that tells something of itself is not changed.
@@ -110,8 +110,8 @@
 	return slices.ContainsFunc(j.order, func(m *member) bool { return m.hasLast && m.side != SideNew })
 }
 
-// end is Wait until a stage may be watched no longer.
-func (j *Judge) end(since time.Duration) VerdictKind {
+// waitOrGiveUp is Wait until a stage may be watched no longer.
+func (j *Judge) waitOrGiveUp(since time.Duration) VerdictKind {
 	if since >= j.options.MaxBake {
 		return KindNoEvidence
 	}
@@ -119,13 +119,13 @@
 }
 
 // isMeasured tells whether any side has anything of a measure that can be compared.
-func (j *Judge) isMeasured(k int) bool {
-	from := min(k, measureMemory)
-	if k == measureGrowth && !j.canCompareGrowth() {
+func (j *Judge) isMeasured(measure int) bool {
+	counted := min(measure, measureMemory)
+	if measure == measureGrowth && !j.canCompareGrowth() {
 		return false
 	}
-	if relative(k) {
-		return j.sideTotals[0].y[from]+j.sideTotals[1].y[from] > 0
+	if isRelative(measure) {
+		return j.sideTotals[0].numerator[counted]+j.sideTotals[1].numerator[counted] > 0
 	}
 	return true
 }
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -48,7 +48,7 @@
 }
 
 // instanceStats returns the process's counts of itself.
-func (d *daemon) instanceStats() instancestats.Figures {
+func (d *daemon) instanceStats() instancestats.Statistics {
 	stats := d.node.Statistics()
 	stats.Began, stats.MemoryKB = d.startedAt, residentMemoryKB()
 	var usage unix.Rusage
--- a/internal/instancestats/instancestats.go
+++ b/internal/instancestats/instancestats.go
@@ -24,8 +24,8 @@
 	if i >= delayBuckets-1 {
 		return math.MaxInt64
 	}
-	whole, part := i/delaySteps, i%delaySteps
-	return minDelay << whole * time.Duration(delaySteps+part) / delaySteps
+	doubling, part := i/delaySteps, i%delaySteps
+	return minDelay << doubling * time.Duration(delaySteps+part) / delaySteps
 }
 
 // Bucket is the one that a delay is counted in.
@@ -33,13 +33,13 @@
 	if d < minDelay {
 		return 0
 	}
-	whole := bits.Len64(uint64(d/minDelay)) - 1
-	part := int((d - minDelay<<whole) * delaySteps / (minDelay << whole))
-	return min(whole*delaySteps+part+1, delayBuckets-1)
+	doubling := bits.Len64(uint64(d/minDelay)) - 1
+	part := int((d - minDelay<<doubling) * delaySteps / (minDelay << doubling))
+	return min(doubling*delaySteps+part+1, delayBuckets-1)
 }
 
 // Add counts a delay.
-func (d *Delays) Add(took time.Duration) { d[Bucket(took)]++ }
+func (d *Delays) Add(delay time.Duration) { d[Bucket(delay)]++ }
 
 // Total is how many are counted.
 func (d *Delays) Total() (n uint64) {
@@ -51,31 +51,31 @@
 
 // Quantile is the end of the bucket that holds the share p of all; 0 of none. What is in the last
 // bucket is told as the end of the one before.
-func (d *Delays) Quantile(p float64) time.Duration {
+func (d *Delays) Quantile(share float64) time.Duration {
 	total := d.Total()
 	if total == 0 {
 		return 0
 	}
-	rank, seen := uint64(math.Ceil(p*float64(total))), uint64(0)
+	rank, counted := uint64(math.Ceil(share*float64(total))), uint64(0)
 	for i, v := range d {
-		if seen += v; seen >= max(rank, 1) {
+		if counted += v; counted >= max(rank, 1) {
 			return Edge(min(i, delayBuckets-2))
 		}
 	}
 	return Edge(delayBuckets - 2)
 }
 
-// Figures are one instance's, cumulative since Began. Worth is by class, as the settings have it.
-type Figures struct {
+// Statistics are one instance's, cumulative since Began. Worth is by class, as the settings have it.
+type Statistics struct {
 	Began         time.Time     `json:"began"`    // of the process; another value says that it has restarted
 	OfferedWeight float64       `json:"asked"`    // worth of what was asked, but for what was beyond quotas
 	Served        float64       `json:"served"`   // worth of what was served within its class's aim
 	Requests      uint64        `json:"requests"` // that have ended, whichever way
 	Refused       uint64        `json:"refused"`
-	Beyond        uint64        `json:"beyond"` // of the refused, those that were beyond a quota or ceiling
+	OverQuota     uint64        `json:"beyond"` // of the refused, those that were beyond a quota or ceiling
 	Failed        uint64        `json:"failed"`
 	Late          uint64        `json:"late"`      // served after the aim
-	Left          uint64        `json:"left"`      // clients that hung up
+	ClientsGone   uint64        `json:"left"`      // clients that hung up
 	Units         float64       `json:"units"`     // sent on, as ceilings count them
 	Breaches      uint64        `json:"breaches"`  // of the rules that a node can see of itself
 	Panics        uint64        `json:"panics"`    // of modules
@@ -86,44 +86,44 @@
 
 // Since is what came after an earlier reading of the same process, and false where that is not the same
 // process's or is not earlier. Began and MemoryKB are the later reading's.
-func (f Figures) Since(old Figures) (Figures, bool) {
-	if !f.Began.Equal(old.Began) || f.Requests < old.Requests || f.CPU < old.CPU {
-		return Figures{}, false
+func (f Statistics) Since(earlier Statistics) (Statistics, bool) {
+	if !f.Began.Equal(earlier.Began) || f.Requests < earlier.Requests || f.CPU < earlier.CPU {
+		return Statistics{}, false
 	}
-	d := f
-	d.OfferedWeight -= old.OfferedWeight
-	d.Served -= old.Served
-	d.Requests -= old.Requests
-	d.Refused -= old.Refused
-	d.Beyond -= old.Beyond
-	d.Failed -= old.Failed
-	d.Late -= old.Late
-	d.Left -= old.Left
-	d.Units -= old.Units
-	d.Breaches -= old.Breaches
-	d.Panics -= old.Panics
-	d.CPU -= old.CPU
-	for i := range d.Delays {
-		d.Delays[i] -= old.Delays[i]
+	difference := f
+	difference.OfferedWeight -= earlier.OfferedWeight
+	difference.Served -= earlier.Served
+	difference.Requests -= earlier.Requests
+	difference.Refused -= earlier.Refused
+	difference.OverQuota -= earlier.OverQuota
+	difference.Failed -= earlier.Failed
+	difference.Late -= earlier.Late
+	difference.ClientsGone -= earlier.ClientsGone
+	difference.Units -= earlier.Units
+	difference.Breaches -= earlier.Breaches
+	difference.Panics -= earlier.Panics
+	difference.CPU -= earlier.CPU
+	for i := range difference.Delays {
+		difference.Delays[i] -= earlier.Delays[i]
 	}
-	return d, true
+	return difference, true
 }
 
 // Add sums what several instances, or several spans, counted. Began and MemoryKB stay.
-func (f *Figures) Add(o Figures) {
-	f.OfferedWeight += o.OfferedWeight
-	f.Served += o.Served
-	f.Requests += o.Requests
-	f.Refused += o.Refused
-	f.Beyond += o.Beyond
-	f.Failed += o.Failed
-	f.Late += o.Late
-	f.Left += o.Left
-	f.Units += o.Units
-	f.Breaches += o.Breaches
-	f.Panics += o.Panics
-	f.CPU += o.CPU
+func (f *Statistics) Add(other Statistics) {
+	f.OfferedWeight += other.OfferedWeight
+	f.Served += other.Served
+	f.Requests += other.Requests
+	f.Refused += other.Refused
+	f.OverQuota += other.OverQuota
+	f.Failed += other.Failed
+	f.Late += other.Late
+	f.ClientsGone += other.ClientsGone
+	f.Units += other.Units
+	f.Breaches += other.Breaches
+	f.Panics += other.Panics
+	f.CPU += other.CPU
 	for i := range f.Delays {
-		f.Delays[i] += o.Delays[i]
+		f.Delays[i] += other.Delays[i]
 	}
 }
--- a/internal/manage/status.go
+++ b/internal/manage/status.go
@@ -53,7 +53,7 @@
 	LastCommand    desiredstate.Outcome  `json:"order"`           // outcome of the command that ended last
 	RunningCommand string                `json:"doing,omitempty"` // id of the command that runs
 	DesiredState   desiredstate.Target   `json:"wanted"`
-	Statistics     instancestats.Figures `json:"figures"`
+	Statistics     instancestats.Statistics `json:"figures"`
 }
 
 // StateDrained is the State of a daemon whose desired state is drained: it has a control socket and no listeners.
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -107,7 +107,7 @@
 	p.add(&breaches, float64(f.Breaches))
 	p.add(&panics, float64(f.Panics))
 	p.add(&lateTotal, float64(f.Late))
-	p.add(&beyond, float64(f.Beyond))
+	p.add(&beyond, float64(f.OverQuota))
 }
 
 // page is what one scrape tells: a family's values follow each other.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -178,7 +178,7 @@
 }
 
 // Statistics are what the services have counted since the process began; zero without a control socket.
-func (n *Node) Statistics() instancestats.Figures { return n.statistics.Statistics() }
+func (n *Node) Statistics() instancestats.Statistics { return n.statistics.Statistics() }
 
 // Status reports what each service is doing, sorted by name.
 func (n *Node) Status() []Status {
--- a/internal/service/statistics.go
+++ b/internal/service/statistics.go
@@ -14,7 +14,7 @@
 // them. The zero value is empty; a nil *StatisticsCollector reports none.
 type StatisticsCollector struct {
 	mu    sync.Mutex
-	ended instancestats.Figures // of loops that have ended
+	ended instancestats.Statistics // of loops that have ended
 	loops map[*loopStatistics]struct{}
 }
 
@@ -67,9 +67,9 @@
 
 // Statistics returns what was counted until now. Figures of the process that no service counts are left to
 // the caller.
-func (c *StatisticsCollector) Statistics() instancestats.Figures {
+func (c *StatisticsCollector) Statistics() instancestats.Statistics {
 	if c == nil {
-		return instancestats.Figures{}
+		return instancestats.Statistics{}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,17 +80,17 @@
 	return total
 }
 
-func (s *loopStatistics) addTo(total *instancestats.Figures) {
+func (s *loopStatistics) addTo(total *instancestats.Statistics) {
 	for _, class := range s.classes {
 		total.OfferedWeight += class.priorityWeight * float64(class.offered.Load())
 		total.Served += class.priorityWeight * float64(class.served.Load())
 		total.Requests += class.requests.Load()
 	}
 	total.Refused += s.rejected.Load()
-	total.Beyond += s.rejectedByQuota.Load()
+	total.OverQuota += s.rejectedByQuota.Load()
 	total.Failed += s.failed.Load()
 	total.Late += s.late.Load()
-	total.Left += s.abandoned.Load()
+	total.ClientsGone += s.abandoned.Load()
 	total.Breaches += s.deadlineBreaches.Load()
 	total.Panics += s.panics.Load()
 	total.Units += math.Float64frombits(s.units.Load())
--- a/internal/service/statistics_test.go
+++ b/internal/service/statistics_test.go
@@ -9,7 +9,7 @@
 )
 
 // countedIn names what counts one request of priority weight 2.5.
-func countedIn(f instancestats.Figures) (names string) {
+func countedIn(f instancestats.Statistics) (names string) {
 	for _, v := range []struct {
 		name string
 		is   bool
@@ -17,10 +17,10 @@
 		{"asked", f.OfferedWeight == 2.5},
 		{"served", f.Served == 2.5},
 		{"refused", f.Refused == 1},
-		{"beyond", f.Beyond == 1},
+		{"beyond", f.OverQuota == 1},
 		{"failed", f.Failed == 1},
 		{"late", f.Late == 1},
-		{"left", f.Left == 1},
+		{"left", f.ClientsGone == 1},
 		{"breach", f.Breaches == 1},
 		{"delays", f.Delays.Total() == 1},
 	} {
--- a/internal/simulation/rolloutsim/plain.go
+++ b/internal/simulation/rolloutsim/plain.go
@@ -19,20 +19,20 @@
 // is beyond the old one's by a fixed amount, and passes after five minutes. A minute is let go by first.
 type threshold struct {
 	begin time.Duration
-	last  map[string]instancestats.Figures
-	side  [2]instancestats.Figures
+	last  map[string]instancestats.Statistics
+	side  [2]instancestats.Statistics
 	mem   [2]float64
 	n     [2]float64
 	crash int
 }
 
 func (t *threshold) Begin(now time.Duration, _ []canary.Reading) {
-	t.begin, t.side, t.mem, t.n, t.crash = now, [2]instancestats.Figures{}, [2]float64{}, [2]float64{}, 0
+	t.begin, t.side, t.mem, t.n, t.crash = now, [2]instancestats.Statistics{}, [2]float64{}, [2]float64{}, 0
 }
 
 func (t *threshold) Observe(_ time.Duration, all []canary.Reading) {
 	if t.last == nil {
-		t.last = make(map[string]instancestats.Figures)
+		t.last = make(map[string]instancestats.Statistics)
 	}
 	for i := range all {
 		r := &all[i]
@@ -57,7 +57,7 @@
 	if now-t.begin < time.Minute || n.Requests == 0 {
 		return canary.Verdict{}
 	}
-	part := func(a uint64, f *instancestats.Figures) float64 { return float64(a) / max(float64(f.Requests), 1) }
+	part := func(a uint64, f *instancestats.Statistics) float64 { return float64(a) / max(float64(f.Requests), 1) }
 	worse := func(what string) canary.Verdict { return canary.Verdict{Kind: canary.KindWorse, Reason: what} }
 	switch {
 	case t.crash > 0:
--- a/internal/simulation/rolloutsim/sim.go
+++ b/internal/simulation/rolloutsim/sim.go
@@ -23,12 +23,12 @@
 
 // Mutations take a part of the judge out.
 var Mutations = map[string]canary.Guards{
-	"no slack":         {Slack: true},
-	"one look":         {Sequential: true, Slack: true}, // the slack alone would hide it
-	"request as unit":  {Cluster: true, Slack: true},
+	"no slack":         {Tolerance: true},
+	"one look":         {Sequential: true, Tolerance: true}, // the slack alone would hide it
+	"request as unit":  {Cluster: true, Tolerance: true},
 	"no control":       {Control: true},
-	"no before":        {Before: true},
-	"all of the above": {Sequential: true, Cluster: true, Control: true, Before: true, Slack: true},
+	"no before":        {Baseline: true},
+	"all of the above": {Sequential: true, Cluster: true, Control: true, Baseline: true, Tolerance: true},
 }
 
 // MutationNames are theirs, sorted.
--- a/internal/simulation/rolloutsim/world.go
+++ b/internal/simulation/rolloutsim/world.go
@@ -64,7 +64,7 @@
 	began              time.Duration
 	upAt               time.Duration
 	side               canary.Side
-	total              instancestats.Figures
+	total              instancestats.Statistics
 }
 
 type world struct {
@@ -101,7 +101,7 @@
 	}
 	for _, x := range w.all {
 		x.share *= float64(o.Instances) / sum
-		x.total = instancestats.Figures{Began: w.epoch.Add(x.began), Requests: uint64(o.Rate * x.share * -x.began.Seconds())}
+		x.total = instancestats.Statistics{Began: w.epoch.Add(x.began), Requests: uint64(o.Rate * x.share * -x.began.Seconds())}
 		x.total.OfferedWeight, x.total.Served = float64(x.total.Requests), 0.995*float64(x.total.Requests)
 	}
 	return w
@@ -112,7 +112,7 @@
 // restart has an instance begin anew on a side.
 func (w *world) restart(x *instance, side canary.Side, off time.Duration) {
 	x.side, x.began, x.upAt = side, w.now, w.now+off
-	x.total = instancestats.Figures{Began: w.epoch.Add(w.now)}
+	x.total = instancestats.Statistics{Began: w.epoch.Add(w.now)}
 }
 
 // step plays an interval and tells what every instance says at its end.
@@ -211,7 +211,7 @@
 	f.Served += worth - float64(turned+failed+late+4*lostDear)
 	f.Requests += uint64(requests)
 	f.Refused += uint64(turned + beyond)
-	f.Beyond += uint64(beyond)
+	f.OverQuota += uint64(beyond)
 	f.Failed += uint64(failed)
 	f.Late += uint64(late)
 	f.Units += float64(rest) * (1 + atCeiling*over) * (1 + 0.02*r.NormFloat64())
