--- a/internal/canary/compare.go
+++ b/internal/canary/compare.go
@@ -6,37 +6,61 @@
 	"time"
 )
 
-// falseAlarmShare is a measure's part of what false alarms are allowed: of a window, a stage and a side.
+// falseAlarmShare returns the part of MaxFalseAlarms that one measure may use up in one stage, in each of the two
+// windows (the stage and its later half).
 func (j *Judge) falseAlarmShare() float64 {
 	return 0.7 * j.options.MaxFalseAlarms / float64(j.options.Stages) / (2 * measureCount)
 }
 
-// comparison is that of one measure over a stage, or over its later half.
+// comparison compares one measure between the sides, over a stage or over its later half.
 type comparison struct {
-	judge                                    *Judge
-	measure                                  int // the measure
-	countedMeasure                           int // the measure whose figures are compared: memory's for its growth
-	isLaterHalf                              bool
-	margin                                   float64
-	minDifference, requestWeight             float64 // what differs by less counts as equal; of the denominator that one request is
-	hasStageControls, hasEarlierChanged      bool    // there are controls of this stage; changed ones of earlier stages
-	members                                  []*member
-	windows                                  [][]batch // of each of who
-	referenceWindows                         [][]batch // of those not changed
-	baselineNumerators, baselineDenominators []float64 // what each did before, as numerator and denominator
-	sideVariance                             float64   // memberVariance for each unit of a denominator
-	memberVariances                          []float64 // the same of each
-	result                                   Measure
+	judge          *Judge
+	measure        int // index of the measure that is compared
+	countedMeasure int // index of the measure whose counts are used: growth uses those of memory
+	isLaterHalf    bool
+	margin         float64
+	minDifference  float64 // a smaller difference counts as none
+	requestWeight  float64 // weight of one request in the denominator
+
+	hasStageControls  bool // there are controls of this stage
+	hasEarlierChanged bool // there are members that earlier stages changed
+
+	// Parallel slices with an entry for each member that takes part.
+	members              []*member
+	windows              [][]batch
+	baselineNumerators   []float64
+	baselineDenominators []float64
+	memberVariances      []float64 // for each unit of the denominator
+
+	referenceWindows [][]batch // windows of the members that aren't changed
+	sideVariance     float64   // for each unit of the denominator, estimated from the reference windows
+	result           Measure
 }
 
-// compare sets the sides against each other over a stage, or over its later half.
+// minDegreesOfFreedom is how many degrees of freedom a variance estimate needs.
+const minDegreesOfFreedom = 6
+
+// compare compares one measure between the sides, over the stage or over its later half.
 func (j *Judge) compare(measure int, isLaterHalf bool) Measure {
-	c := &comparison{judge: j, measure: measure, countedMeasure: min(measure, measureMemory), isLaterHalf: isLaterHalf, margin: j.options.margin(measure)}
+	c := &comparison{
+		judge:          j,
+		measure:        measure,
+		countedMeasure: min(measure, measureMemory),
+		isLaterHalf:    isLaterHalf,
+		margin:         j.options.margin(measure),
+	}
 	if measure == measureGrowth {
 		c.margin = j.options.growthMargin(j.observedAt - j.lastChangeAt)
 	}
-	c.result = Measure{Name: measureNames[measure], Margin: c.margin, Low: math.Inf(-1), High: math.Inf(1), Old: c.sideRatio(0), New: c.sideRatio(1)}
-	if !isRelative(measure) { // in a fault of the world what members differ by grows with what they have in common
+	c.result = Measure{
+		Name:   measureNames[measure],
+		Margin: c.margin,
+		Low:    math.Inf(-1),
+		High:   math.Inf(1),
+		Old:    c.sideRatio(sideIndexOld),
+		New:    c.sideRatio(sideIndexNew),
+	}
+	if !isRelative(measure) { // in a fault of the environment, differences between members grow with the fleet's mean
 		c.margin = max(c.margin, c.result.Old/2)
 		c.result.Margin = c.margin
 	}
@@ -47,7 +71,8 @@
 	if len(c.referenceWindows) == 0 || len(c.referenceWindows) == len(c.members) {
 		return c.result
 	}
-	c.minDifference, c.requestWeight = c.margin/4, j.requestWeight(measure)
+	c.minDifference = c.margin / 4
+	c.requestWeight = j.requestWeight(measure)
 	if !c.estimateVariances() {
 		return c.result
 	}
@@ -58,7 +83,7 @@
 	return c.result
 }
 
-// sideRatio is the measure of a side over the stage as it was read.
+// sideRatio returns the measure's value for a side over the stage, as counted.
 func (c *comparison) sideRatio(side int) float64 {
 	if d := c.judge.sideTotals[side].denominator[c.countedMeasure]; d > 0 {
 		return c.judge.sideTotals[side].numerator[c.countedMeasure] / d
@@ -66,7 +91,7 @@
 	return 0
 }
 
-// chooseMembers finds who takes part, with what it did before.
+// chooseMembers selects the members that take part, with their windows and baselines.
 func (c *comparison) chooseMembers() {
 	for _, m := range c.judge.order {
 		c.hasStageControls = c.hasStageControls || m.isChangedInStage && m.side == SideControl
@@ -81,30 +106,43 @@
 		if _, d := sumBatches(window, c.countedMeasure); d <= 0 || c.isIncomparable(m) {
 			continue
 		}
-		numerator, denominator := 0.0, 0.0
-		if m.hasBaseline && !c.judge.options.Without.Baseline {
-			if numerator, denominator = measureRatio(c.countedMeasure, &m.baseline, c.judge.slowBucket); c.measure >= measureMemory {
-				numerator, denominator = numerator*maxBatches, denominator*maxBatches
-			}
-		}
-		c.members, c.windows, c.baselineNumerators, c.baselineDenominators = append(c.members, m), append(c.windows, window), append(c.baselineNumerators, numerator), append(c.baselineDenominators, denominator)
+		numerator, denominator := c.baselineRatio(m)
+		c.members = append(c.members, m)
+		c.windows = append(c.windows, window)
+		c.baselineNumerators = append(c.baselineNumerators, numerator)
+		c.baselineDenominators = append(c.baselineDenominators, denominator)
 		if m.side != SideNew {
 			c.referenceWindows = append(c.referenceWindows, window)
 		}
 	}
 }
 
-// isIncomparable tells whether a member's age keeps it out.
+// baselineRatio returns a member's measure before the first stage as numerator and denominator; zeros are no baseline.
+func (c *comparison) baselineRatio(m *member) (numerator, denominator float64) {
+	if !m.hasBaseline || c.judge.options.Without.Baseline {
+		return 0, 0
+	}
+	numerator, denominator = measureRatio(c.countedMeasure, &m.baseline, c.judge.slowBucket)
+	if c.measure >= measureMemory {
+		numerator *= maxBatches
+		denominator *= maxBatches
+	}
+	return numerator, denominator
+}
+
+// isIncomparable tells whether a member's age keeps it out of the comparison.
 func (c *comparison) isIncomparable(m *member) bool {
-	// Without a control new processes of this stage are too cold to be held against anybody, if others are not.
-	if m.side == SideNew && m.isChangedInStage && m.isNewProcess && c.hasEarlierChanged && !c.hasStageControls && !c.judge.options.Without.Control {
+	// Without controls of this stage, processes that it started are still warming up and have no equals.
+	isJustStarted := m.side == SideNew && m.isChangedInStage && m.isNewProcess
+	if isJustStarted && c.hasEarlierChanged && !c.hasStageControls && !c.judge.options.Without.Control {
 		return true
 	}
-	// Memory goes by age: changed ones of this stage are held against controls of this stage alone.
+	// Memory depends on a process's age: members changed in this stage are compared with its controls alone.
 	return c.measure >= measureMemory && c.hasStageControls && m.side != SideOld && !m.isChangedInStage
 }
 
-// estimateVariances estimates by how much members vary, from those not changed; false where these say too little.
+// estimateVariances estimates the variance of each member from the members that aren't changed. It returns false
+// if they have too few batches.
 func (c *comparison) estimateVariances() bool {
 	var spread pooledVariance
 	if isRelative(c.measure) {
@@ -112,7 +150,7 @@
 	} else {
 		spread = dispersion(c.referenceWindows, c.measure, c.requestWeight, c.minDifference)
 	}
-	if spread.degreesOfFreedom < 6 {
+	if spread.degreesOfFreedom < minDegreesOfFreedom {
 		return false
 	}
 	c.sideVariance = spread.variance * (1 + 4/float64(spread.degreesOfFreedom)) * float64(len(c.members)) / float64(len(c.members)-1)
@@ -130,7 +168,8 @@
 	return true
 }
 
-// memberVariance is that of one member, for each unit of its denominator.
+// memberVariance returns the variance of one member for each unit of its denominator. perReading is the variance
+// of a relative measure from reading to reading.
 func (c *comparison) memberVariance(window []batch, perReading float64) float64 {
 	if isRelative(c.measure) {
 		_, denominator := sumBatches(window, c.countedMeasure)
@@ -148,39 +187,41 @@
 	return c.sideVariance * c.requestWeight * (expected/denominator + c.minDifference)
 }
 
-// estimateSides are what the members of each side say; false where there is nothing to hold them against.
+// estimateSides returns the estimates of the members of each side, and false if there is nothing to compare with.
 func (c *comparison) estimateSides() (sides [3][]estimate, ok bool) {
-	mean, before := c.baselines()
-	sides = c.judge.estimateMembers(c.measure, c.members, c.windows, before, mean, c.memberVariances)
-	// A young process's memory grows: without its control's there is nothing to hold it against.
+	mean, levels := c.baselines()
+	sides = c.judge.estimateMembers(c.measure, c.members, c.windows, levels, mean, c.memberVariances)
+	// The memory of a process that has just started grows; only controls of the same age compare with it.
 	if c.measure >= measureMemory && c.hasStageControls && !c.judge.options.Without.Control && len(sides[SideControl]) == 0 {
 		return sides, false
 	}
-	// What was before helps only if members are now as they were then: after a fault of one zone they aren't.
-	// The old ones tell by differing less with it or without.
-	if len(sides[SideOld]) >= 8 && !isRelative(c.measure) {
-		flat := slices.Repeat([]baselineLevel{{mean, 0}}, len(before))
-		if withoutBaseline := c.judge.estimateMembers(c.measure, c.members, c.windows, flat, mean, c.memberVariances); totalVariance(withoutBaseline[SideOld]) < totalVariance(sides[SideOld]) {
+	// A baseline helps only if members still differ as they did then; after a fault of one zone they don't.
+	// It is dropped where the old side differs less without it.
+	if len(sides[SideOld]) >= minMembersForSpread && !isRelative(c.measure) {
+		flat := slices.Repeat([]baselineLevel{{mean, 0}}, len(levels))
+		withoutBaseline := c.judge.estimateMembers(c.measure, c.members, c.windows, flat, mean, c.memberVariances)
+		if totalVariance(withoutBaseline[SideOld]) < totalVariance(sides[SideOld]) {
 			sides = withoutBaseline
 		}
 	}
 	return sides, true
 }
 
-// baselines is what the members did before, in the mean and each.
+// baselines returns the measure before the first stage: the members' mean, and the level of each.
 func (c *comparison) baselines() (mean float64, each []baselineLevel) {
 	var numerator, denominator float64
 	for i := range c.baselineNumerators {
-		numerator, denominator = numerator+c.baselineNumerators[i], denominator+c.baselineDenominators[i]
+		numerator += c.baselineNumerators[i]
+		denominator += c.baselineDenominators[i]
 	}
 	if !isRelative(c.measure) {
 		variance := c.sideVariance * c.requestWeight * (c.sideRatio(0) + c.minDifference)
-		if denominator > 0 { // baselines may have been another time
+		if denominator > 0 { // the fleet's rate then may differ from today's
 			variance = c.sideVariance * c.requestWeight * (max(numerator/denominator, 0) + c.minDifference)
 		}
 		return shrinkBaselines(c.baselineNumerators, c.baselineDenominators, variance)
 	}
-	if fleetRatio := numerator / denominator; denominator > 0 && fleetRatio > 0 { // shares of the fleet's rate, as the batches are
+	if fleetRatio := numerator / denominator; denominator > 0 && fleetRatio > 0 { // relative to the fleet's rate, as the batches are
 		for i := range c.baselineDenominators {
 			c.baselineDenominators[i] *= fleetRatio
 		}
@@ -197,19 +238,24 @@
 	return mean, each
 }
 
-// decideHarm decides whether harm is shown.
+// Counts are skewed where they are few: the normal bound is too narrow by z^2/6 counts (Cornish and Fisher). Requests
+// of different weights make them more skewed than their variance shows.
+const (
+	skewCorrection       = 5.0
+	weightSkewCorrection = 12.0
+)
+
+// decideHarm sets IsWorse of the result, after a correction of Low for few counts.
 func (c *comparison) decideHarm() {
-	if c.measure == measureGrowth { // what shows is harm also where the margin of a pass is wider
+	if c.measure == measureGrowth { // the margin of a pass may be wider than that of harm
 		c.result.IsWorse = c.result.Low > c.judge.options.hourlyGrowthMargin()/4
 	}
 	if isRelative(c.measure) {
 		return
 	}
-	// Few counts are skewed: the normal's bound lacks z^2/6 of them (Cornish and Fisher), five at our levels.
-	// What a request is worth differs, so that its counts are more skewed than they vary.
-	missingCounts := 5.0
+	missingCounts := skewCorrection
 	if c.measure == measureLost {
-		missingCounts = 12
+		missingCounts = weightSkewCorrection
 	}
 	changedDenominator := 0.0
 	for i, m := range c.members {
@@ -224,10 +270,11 @@
 	c.result.IsWorse = c.result.Low > c.judge.toleratedDifference(c.margin)
 }
 
-// canCompareGrowth tells whether the growth of memory can be compared: that of processes which began with a stage needs
-// others that began with them.
+// canCompareGrowth tells whether the growth of memory can be compared: processes that a stage started need controls
+// that were started with them.
 func (j *Judge) canCompareGrowth() bool {
-	hasNewProcess, hasControl := false, j.options.Without.Control
+	hasNewProcess := false
+	hasControl := j.options.Without.Control
 	for _, m := range j.order {
 		hasNewProcess = hasNewProcess || m.isNewProcess && m.side == SideNew
 		hasControl = hasControl || m.isChangedInStage && m.side == SideControl
@@ -235,42 +282,28 @@
 	return hasControl || !hasNewProcess
 }
 
-// requestWeight is how much of a measure's denominator one request is.
+// requestWeight returns the mean weight of one request in a measure's denominator.
 func (j *Judge) requestWeight(measure int) float64 {
-	if old := &j.sideTotals[0]; measure == measureLost && old.denominator[measureFailed] > 0 {
+	if old := &j.sideTotals[sideIndexOld]; measure == measureLost && old.denominator[measureFailed] > 0 {
 		return max(old.denominator[measureLost]/old.denominator[measureFailed], 1e-9)
 	}
 	return 1
 }
 
-// estimateMembers are what each member of a side says.
+// estimateMembers returns the estimates of a measure by side. members, windows, baselines and variances are parallel
+// slices; mean is that of the baselines.
 func (j *Judge) estimateMembers(measure int, members []*member, windows [][]batch, baselines []baselineLevel, mean float64, variances []float64) (sides [3][]estimate) {
-	var residuals struct {
-		sum              float64
-		degreesOfFreedom int
-	}
-	type grown struct{ g, sxx float64 }
-	var lines []grown
+	var growth growthFit
 	if measure == measureGrowth {
-		lines = make([]grown, len(members))
-		for i, m := range members {
-			slope, sxx, residual, points := memorySlope(windows[i], max(baselines[i].mean/mean, 1e-9))
-			lines[i] = grown{slope, sxx}
-			if m.side != SideNew && points > 2 {
-				residuals.sum, residuals.degreesOfFreedom = residuals.sum+residual, residuals.degreesOfFreedom+points-2
-			}
-		}
-		if residuals.degreesOfFreedom < 6 {
+		growth = fitGrowth(members, windows, baselines, mean)
+		if growth.degreesOfFreedom < minDegreesOfFreedom {
 			return sides
 		}
 	}
-	readingsPerHour := 0.0
-	if j.observations > 0 && j.observedAt > j.stageStartedAt {
-		readingsPerHour = float64(time.Hour) / (float64(j.observedAt-j.stageStartedAt) / float64(j.observations))
-	}
+	readingsPerHour := j.readingsPerHour()
 	for i, m := range members {
 		side := m.side
-		// One that was restarted for an earlier stage is as warm as any by now.
+		// A control of an earlier stage has warmed up by now.
 		if side == SideControl && (!m.isChangedInStage || j.options.Without.Control) {
 			side = SideOld
 		}
@@ -278,11 +311,11 @@
 		var e estimate
 		switch {
 		case measure == measureGrowth:
-			if lines[i].sxx <= 0 {
+			if growth.lines[i].sxx <= 0 {
 				continue
 			}
-			// Batches next to each other are alike, which their distance from a line does not show: twice.
-			e = estimate{lines[i].g * readingsPerHour, 2 * residuals.sum / float64(residuals.degreesOfFreedom) / lines[i].sxx * readingsPerHour * readingsPerHour}
+			// Adjacent batches are correlated, which their residuals do not show: the variance counts twice.
+			e = estimate{growth.lines[i].slope * readingsPerHour, 2 * growth.residualSum / float64(growth.degreesOfFreedom) / growth.lines[i].sxx * readingsPerHour * readingsPerHour}
 		case isRelative(measure):
 			scale := max(baselines[i].mean/mean, 1e-9)
 			e = estimate{numerator/denominator/scale - 1, (variances[i]/denominator + baselines[i].variance) / (scale * scale)}
@@ -294,7 +327,36 @@
 	return sides
 }
 
-// toleratedDifference is what members differ by without harm.
+// growthFit is a line of memory over time for each member, with the residuals of the members that aren't changed.
+type growthFit struct {
+	lines            []memoryLine
+	residualSum      float64 // of squares
+	degreesOfFreedom int
+}
+
+// fitGrowth fits the lines of members' memory.
+func fitGrowth(members []*member, windows [][]batch, baselines []baselineLevel, mean float64) growthFit {
+	fit := growthFit{lines: make([]memoryLine, len(members))}
+	for i, m := range members {
+		line := fitMemory(windows[i], max(baselines[i].mean/mean, 1e-9))
+		fit.lines[i] = line
+		if m.side != SideNew && line.points > 2 {
+			fit.residualSum += line.residualSum
+			fit.degreesOfFreedom += line.points - 2
+		}
+	}
+	return fit
+}
+
+// readingsPerHour returns the rate of observations in this stage; 0 is unknown.
+func (j *Judge) readingsPerHour() float64 {
+	if j.observations == 0 || j.observedAt <= j.stageStartedAt {
+		return 0
+	}
+	return float64(time.Hour) / (float64(j.observedAt-j.stageStartedAt) / float64(j.observations))
+}
+
+// toleratedDifference returns the difference that is no harm yet.
 func (j *Judge) toleratedDifference(margin float64) float64 {
 	if j.options.Without.Tolerance {
 		return 0
@@ -302,57 +364,70 @@
 	return margin / 4
 }
 
-// contrastSides is new less what it is held against.
-func (j *Judge) contrastSides(out *Measure, sides [3][]estimate, isLaterHalf bool) {
-	var leftOut [2]int
-	sides[SideOld], leftOut[0] = trimOutliers(sides[SideOld])
-	sides[SideControl], leftOut[1] = trimOutliers(sides[SideControl])
-	out.LeftOut += leftOut[0] + leftOut[1]
-	out.Members, out.References = len(sides[SideNew]), len(sides[SideOld])+len(sides[SideControl])
-	if out.Members == 0 || out.References == 0 {
+// contrastSides compares the changed side with the old ones and controls, and sets the result's bounds.
+func (j *Judge) contrastSides(result *Measure, sides [3][]estimate, isLaterHalf bool) {
+	var oldOutliers, controlOutliers int
+	sides[SideOld], oldOutliers = trimOutliers(sides[SideOld])
+	sides[SideControl], controlOutliers = trimOutliers(sides[SideControl])
+	result.LeftOut += oldOutliers + controlOutliers
+	result.Members = len(sides[SideNew])
+	result.References = len(sides[SideOld]) + len(sides[SideControl])
+	if result.Members == 0 || result.References == 0 {
 		return
 	}
-	// How much members differ for no cause at all, from the old ones; where they are few, mostly taken
-	// to be a tenth of the margin.
-	tau2 := 0.0
+	betweenMembers := 0.0
 	if !j.options.Without.Cluster {
-		const priorDegrees = 4
-		priorDeviation := out.Margin / 10
-		tau2 = priorDegrees * priorDeviation * priorDeviation
-		degreesOfFreedom := priorDegrees
-		for _, all := range [...][]estimate{sides[SideOld], sides[SideControl]} {
-			if len(all) > 1 {
-				tau2 += float64(len(all)-1) * varianceBetween(all)
-				degreesOfFreedom += len(all) - 1
-			}
-		}
-		tau2 /= float64(degreesOfFreedom)
-		// Towards a rollout's end the few old ones left may all be of one zone; then the new ones say it too.
-		if len(sides[SideOld])+len(sides[SideControl]) < 8 {
-			tau2 = max(tau2, varianceBetween(sides[SideNew]))
-		}
-	}
-	reference := poolEstimates(sides[SideOld], tau2)
-	if control := poolEstimates(sides[SideControl], tau2); len(sides[SideControl]) > 0 {
-		if len(sides[SideOld]) == 0 {
-			reference = control
-		} else {
-			// Old ones that have served for long count as far as they are like the control, which is as cold
-			// as the new ones are.
-			warmingDifference := control.mean - reference.mean
-			oldVariance := reference.variance + warmingDifference*warmingDifference
-			controlWeight := oldVariance / (oldVariance + control.variance)
-			reference = estimate{controlWeight*control.mean + (1-controlWeight)*reference.mean, oldVariance * control.variance / (oldVariance + control.variance)}
-		}
+		betweenMembers = moderatedVarianceBetween(sides, result.Margin)
 	}
-	changed := poolEstimates(sides[SideNew], tau2)
-	difference, variance := changed.mean-reference.mean, changed.variance+reference.variance
+	reference := poolReferences(sides, betweenMembers)
+	changed := poolEstimates(sides[SideNew], betweenMembers)
+	difference := changed.mean - reference.mean
+	variance := changed.variance + reference.variance
 	alpha := j.falseAlarmShare()
-	if isLaterHalf { // it moves on, which a bound over time does not cover
+	if isLaterHalf { // this window moves, which the bound over all looks does not cover
 		alpha /= 4
 	}
-	out.Low = difference - boundWidth(variance, out.Margin, alpha, !j.options.Without.Sequential)
-	out.High = difference + boundWidth(variance, out.Margin, j.options.MaxMissedHarm, !j.options.Without.Sequential)
-	out.difference = difference
-	out.IsWorse, out.IsEnough = out.Low > j.toleratedDifference(out.Margin), out.High < out.Margin
+	result.Low = difference - boundWidth(variance, result.Margin, alpha, !j.options.Without.Sequential)
+	result.High = difference + boundWidth(variance, result.Margin, j.options.MaxMissedHarm, !j.options.Without.Sequential)
+	result.difference = difference
+	result.IsWorse = result.Low > j.toleratedDifference(result.Margin)
+	result.IsEnough = result.High < result.Margin
+}
+
+// moderatedVarianceBetween returns the variance between members without any change, estimated from the references
+// and a prior of a tenth of the margin, which dominates where references are few.
+func moderatedVarianceBetween(sides [3][]estimate, margin float64) float64 {
+	const priorDegrees = 4
+	priorDeviation := margin / 10
+	variance := priorDegrees * priorDeviation * priorDeviation
+	degreesOfFreedom := priorDegrees
+	for _, all := range [...][]estimate{sides[SideOld], sides[SideControl]} {
+		if len(all) > 1 {
+			variance += float64(len(all)-1) * varianceBetween(all)
+			degreesOfFreedom += len(all) - 1
+		}
+	}
+	variance /= float64(degreesOfFreedom)
+	// Towards a rollout's end the few references may all be of one zone; then the changed members count too.
+	if len(sides[SideOld])+len(sides[SideControl]) < minMembersForSpread {
+		variance = max(variance, varianceBetween(sides[SideNew]))
+	}
+	return variance
+}
+
+// poolReferences returns the mean of the old side and the controls together.
+func poolReferences(sides [3][]estimate, betweenMembers float64) estimate {
+	old := poolEstimates(sides[SideOld], betweenMembers)
+	if len(sides[SideControl]) == 0 {
+		return old
+	}
+	control := poolEstimates(sides[SideControl], betweenMembers)
+	if len(sides[SideOld]) == 0 {
+		return control
+	}
+	// The old side counts as far as it is like the controls, which are warming up as the changed members are.
+	warmingDifference := control.mean - old.mean
+	oldVariance := old.variance + warmingDifference*warmingDifference
+	controlWeight := oldVariance / (oldVariance + control.variance)
+	return estimate{controlWeight*control.mean + (1-controlWeight)*old.mean, oldVariance * control.variance / (oldVariance + control.variance)}
 }
--- a/internal/canary/estimate.go
+++ b/internal/canary/estimate.go
@@ -5,18 +5,26 @@
 	"slices"
 )
 
-// estimate is what one member says of a measure: its change against before, and the variance of that.
+// minMembersForSpread is how many members it takes to estimate from them how much members differ.
+const minMembersForSpread = 8
+
+// minVariance keeps inverse variances finite.
+const minVariance = 1e-18
+
+// estimate is the mean of a measure of one member or of a side, and the variance of that mean.
 type estimate struct{ mean, variance float64 }
 
-// baselineLevel is what a member's before is believed to be, and the variance of that.
+// baselineLevel is a member's estimated level before the first stage.
 type baselineLevel struct{ mean, variance float64 }
 
-// shrinkBaselines has each member's before between its own and the fleet's, by how far members differ and how sure
-// its own is (James and Stein). y, d hold one entry a member; d of 0 is a member without.
+// shrinkBaselines returns the mean of all baselines, and each member's own moved towards it: the further the less
+// members differ, and the less certain its own is (James-Stein estimator). There is one entry a member; a denominator
+// of 0 is a member without a baseline. variance is for each unit of a denominator.
 func shrinkBaselines(numerators, denominators []float64, variance float64) (mean float64, all []baselineLevel) {
-	numeratorSum, denominatorSum := 0.0, 0.0
+	var numeratorSum, denominatorSum float64
 	for i := range numerators {
-		numeratorSum, denominatorSum = numeratorSum+numerators[i], denominatorSum+denominators[i]
+		numeratorSum += numerators[i]
+		denominatorSum += denominators[i]
 	}
 	all = make([]baselineLevel, len(numerators))
 	if denominatorSum == 0 {
@@ -45,19 +53,22 @@
 	return mean, all
 }
 
-// varianceBetween is the variance between members beyond that of each (DerSimonian and Laird).
+// varianceBetween returns the variance between members in excess of each one's own (DerSimonian-Laird estimator).
 func varianceBetween(all []estimate) float64 {
 	if len(all) < 2 {
 		return 0
 	}
 	var weightSum, weightedSum, squaredSum float64
 	for _, e := range all {
-		weight := 1 / max(e.variance, 1e-18)
-		weightSum, weightedSum, squaredSum = weightSum+weight, weightedSum+weight*e.mean, squaredSum+weight*weight
+		weight := 1 / max(e.variance, minVariance)
+		weightSum += weight
+		weightedSum += weight * e.mean
+		squaredSum += weight * weight
 	}
-	deviation, mean := 0.0, weightedSum/weightSum
+	mean := weightedSum / weightSum
+	deviation := 0.0
 	for _, e := range all {
-		deviation += (e.mean - mean) * (e.mean - mean) / max(e.variance, 1e-18)
+		deviation += (e.mean - mean) * (e.mean - mean) / max(e.variance, minVariance)
 	}
 	scale := weightSum - squaredSum/weightSum
 	if scale <= 0 {
@@ -66,7 +77,7 @@
 	return max(0, (deviation-float64(len(all)-1))/scale)
 }
 
-// totalVariance is how far members are from each other, with all that makes them so.
+// totalVariance returns the variance between members including the mean of each one's own.
 func totalVariance(all []estimate) float64 {
 	variance := 0.0
 	for _, e := range all {
@@ -75,23 +86,28 @@
 	return varianceBetween(all) + variance/float64(max(len(all), 1))
 }
 
-// poolEstimates is the mean of a side and its variance.
+// poolEstimates returns the mean of a side by inverse variance; betweenMembers is added to each member's own.
 func poolEstimates(all []estimate, betweenMembers float64) estimate {
 	if len(all) == 0 {
 		return estimate{0, math.Inf(1)}
 	}
 	var weightSum, weightedSum float64
 	for _, e := range all {
-		weight := 1 / max(e.variance+betweenMembers, 1e-18)
-		weightSum, weightedSum = weightSum+weight, weightedSum+weight*e.mean
+		weight := 1 / max(e.variance+betweenMembers, minVariance)
+		weightSum += weight
+		weightedSum += weight * e.mean
 	}
 	return estimate{weightedSum / weightSum, 1 / weightSum}
 }
 
-// trimOutliers leaves out what is far from all others, where there are enough to tell. More than one in twenty that
-// are far are no liars but how the fleet is (a zone with a fault): then all stay, and widen the bounds.
+// normalConsistency makes the median absolute deviation of normal values an estimate of their standard deviation.
+const normalConsistency = 1.4826
+
+// trimOutliers returns the estimates without outliers, and how many were left out. The distance is measured in median
+// absolute deviations. More than one outlier in twenty is a property of the fleet (a zone with a fault): then all
+// remain, and widen the bounds.
 func trimOutliers(all []estimate) ([]estimate, int) {
-	if len(all) < 8 {
+	if len(all) < minMembersForSpread {
 		return all, 0
 	}
 	distances := make([]float64, len(all))
@@ -104,7 +120,7 @@
 		distances[i] = math.Abs(distances[i] - median)
 	}
 	slices.Sort(distances)
-	deviation := 1.4826 * distances[len(distances)/2]
+	deviation := normalConsistency * distances[len(distances)/2]
 	remaining := make([]estimate, 0, len(all))
 	for _, e := range all {
 		if math.Abs(e.mean-median) <= 8*math.Sqrt(deviation*deviation+e.variance) {
@@ -117,28 +133,31 @@
 	return all, 0
 }
 
-// boundWidth is how far on one side an estimate of variance v may be off at any of any number of looks, but
-// for a part alpha: Robbins' normal mixture, narrowest about where v is a sixteenth of margin squared.
+// boundWidth returns the half-width of a one-sided confidence bound that is exceeded with a probability of at most alpha.
+// If sequential, that holds over any number of looks (confidence sequence by Robbins' normal mixture, see Howard et al.,
+// "Time-uniform, nonparametric, nonasymptotic confidence sequences"); it is narrowest about where variance is a
+// sixteenth of margin squared.
 func boundWidth(variance, margin, alpha float64, sequential bool) float64 {
 	if !(variance < 1e12) {
 		return math.Inf(1)
 	}
-	variance = max(variance, 1e-18)
+	variance = max(variance, minVariance)
 	if !sequential {
 		return math.Sqrt(variance) * math.Sqrt2 * math.Erfinv(1-2*alpha)
 	}
-	information, rho := 1/variance, 1/(margin*margin)
+	information := 1 / variance
+	rho := 1 / (margin * margin) // of the mixture
 	return math.Sqrt((information+rho)*math.Log((information+rho)/(rho*4*alpha*alpha))) / information
 }
 
-// pooledVariance is what a measure varies by within members over time: the variance of a sum for each unit of
-// its denominator, and how many batches less means that stands on.
+// pooledVariance is the variance of a measure within members over time, for each unit of its denominator.
 type pooledVariance struct {
 	variance         float64
 	degreesOfFreedom int
 }
 
-// varianceOverTime takes it from how a member's batches differ from its own mean.
+// varianceOverTime estimates the variance from the batches of each window around the window's own mean (method of
+// batch means). scales has a divisor for each window.
 func varianceOverTime(windows [][]batch, scales []float64, measure int) pooledVariance {
 	var squares float64
 	degreesOfFreedom := 0
@@ -147,7 +166,8 @@
 		if denominator <= 0 || len(window) < 2 || scales[i] <= 0 {
 			continue
 		}
-		ratio, batches := numerator/denominator, 0
+		ratio := numerator / denominator
+		batches := 0
 		for j := range window {
 			if b := &window[j]; b.denominator[measure] > 0 {
 				residual := (b.numerator[measure] - ratio*b.denominator[measure]) / scales[i]
@@ -163,8 +183,8 @@
 	return pooledVariance{squares / float64(degreesOfFreedom), degreesOfFreedom}
 }
 
-// ratioVariance is what a ratio varies by from reading to reading whatever its denominator: cost a request does, as work
-// besides requests does, so that more requests don't make it surer.
+// ratioVariance returns the variance of a ratio from reading to reading that its denominator does not explain. Costs
+// have it: work besides requests does not become more certain with more requests.
 func ratioVariance(windows [][]batch, measure int) float64 {
 	squares, degreesOfFreedom := 0.0, 0
 	for _, window := range windows {
@@ -184,9 +204,9 @@
 	return squares / float64(max(degreesOfFreedom, 1))
 }
 
-// dispersion is how many times more than Poisson counts the counts of members vary over time, 1 at least:
-// requests come in bursts, fail together and are worth more than one (quasi-Poisson, by Pearson's residuals).
-// least is a part taken to go wrong besides, so that the first one does not weigh all.
+// dispersion returns how many times the counts of members vary more than Poisson counts, at least 1: requests come in
+// bursts, fail together and weigh more than one (quasi-Poisson dispersion by Pearson residuals). minShare is a share of
+// the denominator that is added to the expected count, so that the first event does not dominate.
 func dispersion(windows [][]batch, measure int, requestWeight, minShare float64) pooledVariance {
 	var squares float64
 	degreesOfFreedom := 0
@@ -211,36 +231,54 @@
 	return pooledVariance{max(1, squares/float64(degreesOfFreedom)), degreesOfFreedom}
 }
 
-// memorySlope is a member's growth of memory for each reading, in parts of scale times the fleet's, and what its
-// batches are off that line by.
-func memorySlope(window []batch, scale float64) (slope, sxx, residual float64, points int) {
-	var x, y, meanX, meanY float64
+// minLinePoints is how many batches a line takes.
+const minLinePoints = 6
+
+// memoryLine is a least-squares line of a member's memory over readings, relative to the fleet's. The zero value is
+// none.
+type memoryLine struct {
+	slope       float64 // for each reading
+	sxx         float64 // sum of squared distances from the mean time
+	residualSum float64 // of squares
+	points      int
+}
+
+// fitMemory fits a line to a member's memory, divided by scale.
+func fitMemory(window []batch, scale float64) memoryLine {
+	var meanX, meanY float64
 	var xs, ys [maxBatches + 1]float64
+	points := 0
 	start := 0.0
 	for i := range window {
 		if denominator := window[i].denominator[measureMemory]; denominator > 0 {
-			xs[points], ys[points] = start+window[i].readings/2, window[i].numerator[measureMemory]/denominator/scale
-			meanX, meanY = meanX+xs[points], meanY+ys[points]
+			xs[points] = start + window[i].readings/2
+			ys[points] = window[i].numerator[measureMemory] / denominator / scale
+			meanX += xs[points]
+			meanY += ys[points]
 			points++
 		}
 		start += window[i].readings
 	}
-	if points < 6 {
-		return 0, 0, 0, 0
+	if points < minLinePoints {
+		return memoryLine{}
 	}
-	meanX, meanY = meanX/float64(points), meanY/float64(points)
+	meanX /= float64(points)
+	meanY /= float64(points)
+	line := memoryLine{points: points}
 	sxy := 0.0
 	for i := range points {
-		x, y = xs[i]-meanX, ys[i]-meanY
-		sxx, sxy = sxx+x*x, sxy+x*y
+		x := xs[i] - meanX
+		y := ys[i] - meanY
+		line.sxx += x * x
+		sxy += x * y
 	}
-	if sxx <= 0 {
-		return 0, 0, 0, 0
+	if line.sxx <= 0 {
+		return memoryLine{}
 	}
-	slope = sxy / sxx
+	line.slope = sxy / line.sxx
 	for i := range points {
-		distance := ys[i] - meanY - slope*(xs[i]-meanX)
-		residual += distance * distance
+		residual := ys[i] - meanY - line.slope*(xs[i]-meanX)
+		line.residualSum += residual * residual
 	}
-	return slope, sxx, residual, points
+	return line
 }
--- a/internal/canary/judge.go
+++ b/internal/canary/judge.go
@@ -1,39 +1,41 @@
 package canary
 
 import (
+	"maps"
 	"time"
 
 	"lockflow/internal/instancestats"
 )
 
-// Judge watches a rollout's stages. Its zero value isn't ready; NewJudge makes one.
+// Judge watches a rollout's stages. NewJudge makes one. It is for one goroutine.
 type Judge struct {
 	options          Options
 	members          map[string]*member
-	order            []*member // as they were first seen, so that sums don't go by the map's order
-	stage            int
+	order            []*member // by first reading, so that sums do not depend on the map's order
+	stage            int       // 0 is before the first
 	stageStartedAt   time.Duration
-	lastChangeAt     time.Duration            // the last change of a member's side
-	observedAt       time.Duration            // of the last Observe
-	observations     int                      // Observes of this stage
-	slowBucket       int                      // bucket of the 99th percentile; -1 is not known
-	oldStatistics    instancestats.Statistics // of the old side, until the cut is known
-	rejectedReadings int                      // readings for which there was no room
-
-	sideTotals [2]batch // of this stage as counted: the old side, the new one
+	lastChangeAt     time.Duration            // last change of a member's side
+	observedAt       time.Duration            // last observation
+	observations     int                      // of this stage
+	slowBucket       int                      // delay bucket of the old side's 99th percentile; -1 is unknown
+	oldStatistics    instancestats.Statistics // of the old side, until slowBucket is known
+	rejectedReadings int                      // of members beyond maxMembers
+
+	sideTotals [sideCount]batch // absolute counts of this stage
 	crashes    rareEvents
 	breaches   rareEvents
 	unchanged  unchangedMembers
 
-	intervals []countedInterval // of one Observe, kept for reuse
+	intervals []countedInterval // of one observation; reused
 }
 
+// countedInterval is what a member counted between two readings.
 type countedInterval struct {
 	member     *member
 	statistics instancestats.Statistics
 }
 
-// NewJudge makes a judge of one rollout.
+// NewJudge returns a judge of one rollout.
 func NewJudge(o Options) *Judge {
 	o.setDefaults()
 	j := &Judge{options: o, members: make(map[string]*member), slowBucket: -1}
@@ -41,18 +43,21 @@
 	return j
 }
 
-// minSlowSamples is how many answers it takes to say where the slowest hundredth begins.
-const minSlowSamples = 200
+const (
+	minSlowSamples      = 200 // answers that it takes to estimate the 99th percentile
+	minBaselineRequests = 100 // requests of a member from which on observed counts are its baseline
+	minFleetReferences  = 8   // unchanged members from which on they alone give the fleet's rate
+)
 
-// setSlowBucket sets what slow is, once enough of the old side's answers are known: a fleet that has just started has
-// told none before the change, and is held to those beside it.
+// setSlowBucket sets the 99th percentile of delays once the old side has enough answers. A fleet that has just started
+// has none before the change; then the percentile is that of the members not changed.
 func (j *Judge) setSlowBucket() {
 	if j.oldStatistics.Delays.Total() >= minSlowSamples {
 		j.slowBucket = instancestats.Bucket(j.oldStatistics.Delays.Quantile(0.99)) - 1
 	}
 }
 
-// memberOf is a member's state, and nil where there is no room for it.
+// memberOf returns a reading's member, and nil if there are maxMembers others.
 func (j *Judge) memberOf(r *Reading) *member {
 	m := j.members[r.Member]
 	if m == nil {
@@ -62,55 +67,58 @@
 		}
 		m = &member{side: r.Side, isServing: r.IsServing}
 		m.reset()
-		j.members[r.Member], j.order = m, append(j.order, m)
+		j.members[r.Member] = m
+		j.order = append(j.order, m)
 	}
 	return m
 }
 
-// Begin says that a stage begins. What was observed until then is what it did before; without any, before's
-// figures since each process began are.
+// Begin starts a stage. Members' baselines are what was observed before the first one, or, of members that were not
+// observed, the counts since their process began.
 func (j *Judge) Begin(now time.Duration, before []Reading) {
-	first := j.stage == 0
+	isFirst := j.stage == 0
 	for i := range before {
 		m := j.memberOf(&before[i])
-		if m == nil || m.hasBaseline || !first || !isPlausible(&before[i].Statistics, 0) {
-			continue
-		}
-		m.hasBaseline, m.baseline = true, before[i].Statistics
-		// Memory is a state; what else it has done lately says more than what it did since it began.
-		if d, ok := m.last.Since(m.first); m.hasLast && ok && d.Requests >= 100 {
-			m.baseline = d
+		if m != nil && isFirst {
+			m.setBaseline(&before[i].Statistics)
 		}
 	}
-	if first {
+	if isFirst {
 		for _, m := range j.order {
 			j.oldStatistics.Add(instancestats.Statistics{Delays: m.baseline.Delays})
 		}
 		j.setSlowBucket()
 	}
-	j.unchanged.begin(j, first)
+	j.unchanged.begin(j, isFirst)
+	if !isFirst {
+		j.forgetSilentMembers()
+	}
+	for _, m := range j.order {
+		m.reset()
+		m.previousTotals = m.totals
+		m.totals = batch{}
+	}
+	j.stage++
+	j.stageStartedAt = now
+	j.lastChangeAt = now
+	j.observations = 0
+	j.sideTotals = [sideCount]batch{}
+}
+
+// forgetSilentMembers removes members that were not read in the stage that ends.
+func (j *Judge) forgetSilentMembers() {
 	remaining := j.order[:0]
 	for _, m := range j.order {
-		if first || m.lastAt >= j.stageStartedAt {
+		if m.lastAt >= j.stageStartedAt {
 			remaining = append(remaining, m)
 		}
 	}
 	clear(j.order[len(remaining):])
-	if j.order = remaining; len(remaining) < len(j.members) {
-		for name, m := range j.members {
-			if !first && m.lastAt < j.stageStartedAt {
-				delete(j.members, name)
-			}
-		}
-	}
-	for _, m := range j.order {
-		m.reset()
-		m.previousTotals, m.totals = m.totals, batch{}
-	}
-	j.stage, j.stageStartedAt, j.lastChangeAt, j.observations, j.sideTotals = j.stage+1, now, now, 0, [2]batch{}
+	j.order = remaining
+	maps.DeleteFunc(j.members, func(_ string, m *member) bool { return m.lastAt < j.stageStartedAt })
 }
 
-// Observe takes what every member tells, each interval, also before the first stage.
+// Observe takes a reading of every member. It is called at each interval, also before the first stage.
 func (j *Judge) Observe(now time.Duration, all []Reading) {
 	if now <= j.observedAt && j.observedAt > 0 {
 		return
@@ -120,13 +128,11 @@
 	for i := range all {
 		r := &all[i]
 		m := j.memberOf(r)
-		if m == nil || m.lastAt == now && m.hasLast { // told twice
+		if m == nil || m.lastAt == now && m.hasLast { // a duplicate
 			continue
 		}
 		if r.Side != m.side {
-			m.isNewProcess = !r.Statistics.Began.Equal(m.last.Began)
-			m.reset()
-			m.side, m.hasLast, m.isServing, m.isCrashCounted, m.isChangedInStage = r.Side, false, r.IsServing, false, true
+			m.changeSide(r)
 			changes++
 		}
 		j.observeMember(now, m, r)
@@ -151,9 +157,9 @@
 	j.countIntervals(now)
 }
 
-// countIntervals adds what was read to the sides, to their members and to those not changed.
+// countIntervals adds the intervals of one observation to the sides, to their members and to the unchanged members.
 func (j *Judge) countIntervals(now time.Duration) {
-	var fleet, unchanged [countedMeasures]struct{ y, d float64 }
+	var fleet, unchanged batch
 	references := 0
 	for i := range j.intervals {
 		if j.intervals[i].member.side != SideNew {
@@ -161,40 +167,35 @@
 		}
 	}
 	for i := range j.intervals {
-		span := &j.intervals[i]
-		side := 0
-		if span.member.side == SideNew {
-			side = 1
-		}
+		counted := &j.intervals[i]
+		side := sideIndex(counted.member.side == SideNew)
 		for measure := range countedMeasures {
-			numerator, denominator := measureRatio(measure, &span.statistics, j.slowBucket)
-			j.sideTotals[side].numerator[measure], j.sideTotals[side].denominator[measure] = j.sideTotals[side].numerator[measure]+numerator, j.sideTotals[side].denominator[measure]+denominator
-			// What all share at a moment goes by the old ones where they are enough to say it.
-			if side == 0 || references < 8 {
-				fleet[measure].y, fleet[measure].d = fleet[measure].y+numerator, fleet[measure].d+denominator
+			numerator, denominator := measureRatio(measure, &counted.statistics, j.slowBucket)
+			j.sideTotals[side].addMeasure(measure, numerator, denominator)
+			// The rate that the fleet has in common at a moment is that of unchanged members, if they are enough.
+			if side == sideIndexOld || references < minFleetReferences {
+				fleet.addMeasure(measure, numerator, denominator)
 			}
-			if span.member.totals.numerator[measure], span.member.totals.denominator[measure] = span.member.totals.numerator[measure]+numerator, span.member.totals.denominator[measure]+denominator; !span.member.isChangedInStage {
-				unchanged[measure].y, unchanged[measure].d = unchanged[measure].y+numerator, unchanged[measure].d+denominator
+			counted.member.totals.addMeasure(measure, numerator, denominator)
+			if !counted.member.isChangedInStage {
+				unchanged.addMeasure(measure, numerator, denominator)
 			}
 		}
 	}
 	var rates [countedMeasures]float64
 	for measure := range countedMeasures {
-		rates[measure] = fleet[measure].y / fleet[measure].d // NaN without any, which add knows
+		rates[measure] = fleet.numerator[measure] / fleet.denominator[measure] // NaN without any, which member.add ignores
 	}
-	for i := range j.intervals {
-		if span := &j.intervals[i]; j.stage > 0 {
-			span.member.add(&span.statistics, j.slowBucket, &rates)
+	if j.stage > 0 {
+		for i := range j.intervals {
+			counted := &j.intervals[i]
+			counted.member.add(&counted.statistics, j.slowBucket, &rates)
 		}
 	}
-	var total batch
-	for measure := range countedMeasures {
-		total.numerator[measure], total.denominator[measure] = unchanged[measure].y, unchanged[measure].d
-	}
-	j.unchanged.add(now-j.lastChangeAt, j.options.Onset, &total)
+	j.unchanged.add(now-j.lastChangeAt, j.options.Onset, &unchanged)
 }
 
-// observeMember takes one member's reading. What it counted since the last one goes to spans, where it can be believed.
+// observeMember takes one member's reading. What it counted since the last reading is added to intervals if plausible.
 func (j *Judge) observeMember(now time.Duration, m *member, r *Reading) {
 	isNew := m.side == SideNew
 	if !r.IsServing {
@@ -212,35 +213,53 @@
 	}
 	switch difference, ok := statistics.Since(m.last); {
 	case !m.hasLast:
-		m.first, m.warmAt = *statistics, now+j.options.WarmUp
+		m.startWarmUp(statistics, now+j.options.WarmUp)
 	case !statistics.Began.Equal(m.last.Began):
 		if !m.isCrashCounted && j.stage > 0 {
 			j.crashes.add(isNew)
 		}
-		m.first, m.warmAt = *statistics, now+j.options.WarmUp
+		m.startWarmUp(statistics, now+j.options.WarmUp)
 	case !ok || !isPlausible(&difference, now-m.lastAt) || hasDecreased(statistics, &m.last):
-		// Of the same process and less than before: nothing of it is believed, nor what it is set against.
+		// The counts of one process only grow: neither this reading nor the difference to the next one is plausible.
 		m.implausibleReadings++
 	case now-m.lastAt <= maxReadingGap:
-		j.crashes.addExposure(isNew, now-m.lastAt)
-		j.breaches.addExposure(isNew, now-m.lastAt)
-		if (difference.Breaches > 0 || difference.Panics > 0) && j.stage > 0 {
-			j.breaches.add(isNew)
-		}
-		if now > m.warmAt || j.stage == 0 {
-			j.intervals = append(j.intervals, countedInterval{m, difference})
-		}
+		j.countDifference(now, m, &difference)
+	}
+	m.last = *statistics
+	m.lastAt = now
+	m.hasLast = true
+	m.isServing = true
+	m.isCrashCounted = false
+}
+
+// countDifference counts what a member counted since its last reading.
+func (j *Judge) countDifference(now time.Duration, m *member, difference *instancestats.Statistics) {
+	isNew := m.side == SideNew
+	j.crashes.addExposure(isNew, now-m.lastAt)
+	j.breaches.addExposure(isNew, now-m.lastAt)
+	if (difference.Breaches > 0 || difference.Panics > 0) && j.stage > 0 {
+		j.breaches.add(isNew)
+	}
+	if now > m.warmAt || j.stage == 0 {
+		j.intervals = append(j.intervals, countedInterval{m, *difference})
 	}
-	m.last, m.lastAt, m.hasLast, m.isServing, m.isCrashCounted = *statistics, now, true, true, false
 }
 
-// hasDecreased tells whether any count has become less; Since looks at some.
+// hasDecreased tells whether any count is less than earlier.
 func hasDecreased(current, earlier *instancestats.Statistics) bool {
 	for i := range current.Delays {
 		if current.Delays[i] < earlier.Delays[i] {
 			return true
 		}
 	}
-	return current.OfferedWeight < earlier.OfferedWeight || current.Served < earlier.Served || current.Refused < earlier.Refused || current.OverQuota < earlier.OverQuota || current.Failed < earlier.Failed ||
-		current.Late < earlier.Late || current.ClientsGone < earlier.ClientsGone || current.Units < earlier.Units || current.Breaches < earlier.Breaches || current.Panics < earlier.Panics
+	return current.OfferedWeight < earlier.OfferedWeight ||
+		current.Served < earlier.Served ||
+		current.Rejected < earlier.Rejected ||
+		current.OverQuota < earlier.OverQuota ||
+		current.Failed < earlier.Failed ||
+		current.Late < earlier.Late ||
+		current.ClientsGone < earlier.ClientsGone ||
+		current.Units < earlier.Units ||
+		current.Breaches < earlier.Breaches ||
+		current.Panics < earlier.Panics
 }
--- a/internal/canary/judge_test.go
+++ b/internal/canary/judge_test.go
@@ -166,7 +166,7 @@
 			n := rapid.OneOf(rapid.Uint64(), rapid.Uint64Range(0, 1e6))
 			return instancestats.Statistics{
 				OfferedWeight: v.Draw(t, "asked"), Served: v.Draw(t, "served"), Units: v.Draw(t, "units"), Requests: n.Draw(t, "requests"),
-				Failed: n.Draw(t, "failed"), Refused: n.Draw(t, "refused"), OverQuota: n.Draw(t, "beyond"), CPU: time.Duration(rapid.Int64().Draw(t, "cpu")),
+				Failed: n.Draw(t, "failed"), Rejected: n.Draw(t, "refused"), OverQuota: n.Draw(t, "beyond"), CPU: time.Duration(rapid.Int64().Draw(t, "cpu")),
 				MemoryKB: rapid.Int().Draw(t, "memory"), Began: time.Unix(rapid.Int64Range(0, 2).Draw(t, "began"), 0),
 			}
 		})
--- a/internal/canary/rare_events.go
+++ b/internal/canary/rare_events.go
@@ -5,56 +5,73 @@
 	"time"
 )
 
-// rareEvents are rare ones (crashes, breaches) by side, over the whole rollout.
-type rareEvents struct {
-	counts   [2]int // old side, new side
-	exposure [2]time.Duration
-}
+// Indexes of arrays that have an entry for each side. Controls count as old.
+const (
+	sideIndexOld = iota
+	sideIndexNew
+	sideCount
+)
 
 func sideIndex(isNew bool) int {
 	if isNew {
-		return 1
+		return sideIndexNew
 	}
-	return 0
+	return sideIndexOld
 }
 
-func (e *rareEvents) add(new bool) { e.counts[sideIndex(new)]++ }
+// rareEvents counts rare events (crashes, invariant violations) of each side over the rollout.
+type rareEvents struct {
+	counts   [sideCount]int
+	exposure [sideCount]time.Duration // time of members in which events would have been counted
+}
+
+func (e *rareEvents) add(isNew bool) { e.counts[sideIndex(isNew)]++ }
+
 func (e *rareEvents) addExposure(isNew bool, duration time.Duration) {
 	e.exposure[sideIndex(isNew)] += duration
 }
 
-// Rates that are taken for the new side's in turn, in times of what they are held against: 3 to 3,000.
+// The likelihood ratios are mixtures over rateCount rates of the new side, which are multiples of the reference rate.
 const rateCount = 7
 
+// maxLogLikelihood keeps exponentials finite.
+const maxLogLikelihood = 600
+
+// rateMultiple returns the multiples 3 to 3,000 in geometric steps.
 func rateMultiple(i int) float64 { return 3 * math.Pow(10, float64(i)/2) }
 
-// isRelative is the evidence that the new side has them more often than the old: how many times likelier what
-// happened is than at equal rates, given the time that each side ran. At equal rates its mean is 1.
+// relativeEvidence returns the evidence that the new side has more events than the old one: the likelihood ratio of
+// the counts against equal rates, given each side's exposure. At equal rates its mean is 1.
 func (e *rareEvents) relativeEvidence() float64 {
-	newTime, oldTime := max(e.exposure[1].Seconds(), 1), e.exposure[0].Seconds()
-	if e.counts[1] == 0 || oldTime <= 0 {
+	newTime := max(e.exposure[sideIndexNew].Seconds(), 1)
+	oldTime := e.exposure[sideIndexOld].Seconds()
+	newCount := e.counts[sideIndexNew]
+	allCount := e.counts[sideIndexOld] + newCount
+	if newCount == 0 || oldTime <= 0 {
 		return 0
 	}
 	total := 0.0
 	for i := range rateCount {
 		multiple := rateMultiple(i)
-		logLikelihood := float64(e.counts[1])*math.Log(multiple) + float64(e.counts[0]+e.counts[1])*(math.Log(newTime+oldTime)-math.Log(multiple*newTime+oldTime))
-		total += math.Exp(min(logLikelihood, 600)) / rateCount
+		logLikelihood := float64(newCount)*math.Log(multiple) + float64(allCount)*(math.Log(newTime+oldTime)-math.Log(multiple*newTime+oldTime))
+		total += math.Exp(min(logLikelihood, maxLogLikelihood)) / rateCount
 	}
 	return total
 }
 
-// absoluteEvidence is the evidence that the new side has more than one in every: a Poisson process's likelihood
-// ratio, whose mean stays 1 at most however often one looks, if it has no more. The old side is watched
-// for too short to say what is usual, and what it lived before says nothing: a crash would have ended it.
+// absoluteEvidence returns the evidence that the new side has more than one event in usualInterval: the likelihood
+// ratio of a Poisson process. Without harm its mean is at most 1 at any number of looks (Ville's inequality). The usual
+// rate is given, since the old side is watched for too short a time to estimate it.
 func (e *rareEvents) absoluteEvidence(usualInterval time.Duration) float64 {
-	if e.counts[1] == 0 {
+	newCount := e.counts[sideIndexNew]
+	if newCount == 0 {
 		return 0
 	}
-	expected, total := e.exposure[1].Seconds()/usualInterval.Seconds(), 0.0
+	expected := e.exposure[sideIndexNew].Seconds() / usualInterval.Seconds()
+	total := 0.0
 	for i := range rateCount {
 		multiple := rateMultiple(i)
-		total += math.Exp(min(float64(e.counts[1])*math.Log(multiple)-(multiple-1)*expected, 600)) / rateCount
+		total += math.Exp(min(float64(newCount)*math.Log(multiple)-(multiple-1)*expected, maxLogLikelihood)) / rateCount
 	}
 	return total
 }
--- a/internal/canary/verdict.go
+++ b/internal/canary/verdict.go
@@ -7,143 +7,181 @@
 	"time"
 )
 
-// Verdict is what the stage has come to by now. It may be asked as often as one likes.
+// minRareEvidence is the likelihood ratio of crashes or violations from which on a stage does not pass.
+const minRareEvidence = 150
+
+// findings are the results of all comparisons of a stage.
+type findings struct {
+	measures       []Measure
+	worse          []string // harm that is shown
+	unclear        []string // measures with too little evidence
+	recent         []string // measures that exceed their margin in the later half
+	crashEvidence  float64  // likelihood ratios
+	breachEvidence float64
+	unchangedHarm  string // harm to the unchanged members; "" is none
+}
+
+// Verdict judges the stage by now. It may be called at any time; the probability of a false alarm holds over all calls.
 func (j *Judge) Verdict(now time.Duration) Verdict {
-	var verdict Verdict
-	var worse, unclear, recent []string
-	var units *Measure
+	found := j.compareAll()
+	kind, reason := j.decide(now, &found)
+	return Verdict{Kind: kind, Reason: reason, Measures: found.measures}
+}
+
+// compareAll compares all measures, rare events and the unchanged members.
+func (j *Judge) compareAll() findings {
+	var found findings
 	for measure := range measureCount {
 		result, laterHalf := j.compareWindows(measure)
-		if measure == measureUnits {
-			units = &result
-		}
 		if result.IsWorse {
-			worse = append(worse, describe(&result))
+			found.worse = append(found.worse, describe(&result))
 		}
 		switch {
-		case !j.isMeasured(measure): // neither side has any of it
+		case !j.isMeasured(measure):
 			result.IsEnough = true
 		case !result.IsEnough:
-			unclear = append(unclear, fmt.Sprintf("%s: up to %.3g, margin %.3g", result.Name, result.High, result.Margin))
+			found.unclear = append(found.unclear, fmt.Sprintf("%s: up to %.3g, margin %.3g", result.Name, result.High, result.Margin))
 		case result.Members > 0 && laterHalf.difference >= result.Margin:
 			result.IsEnough = false
-			recent = append(recent, fmt.Sprintf("%s lately: %.3g, margin %.3g", result.Name, laterHalf.difference, result.Margin))
+			found.recent = append(found.recent, fmt.Sprintf("%s lately: %.3g, margin %.3g", result.Name, laterHalf.difference, result.Margin))
 		}
-		verdict.Measures = append(verdict.Measures, result)
+		found.measures = append(found.measures, result)
 	}
-	crashEvidence, breachEvidence, shown := j.compareRareEvents()
-	worse = append(worse, shown...)
-	harmedMeasure, isRepeated, harmed := j.harmToUnchanged()
-	harm := ""
-	if harmed {
-		harm = fmt.Sprintf("those not changed have become worse with the stage (%s)", measureNames[harmedMeasure])
-		switch {
-		case units.Low > 0:
-			worse = append(worse, harm+", and the changed ones take more than their part")
-		case isRepeated:
-			worse = append(worse, harm+", as they did with an earlier one")
-		}
+	var shown []string
+	found.crashEvidence, found.breachEvidence, shown = j.compareRareEvents()
+	found.worse = append(found.worse, shown...)
+	harm := j.harmToUnchanged()
+	if !harm.isHarmed {
+		return found
 	}
-	since := now - j.lastChangeAt
+	found.unchangedHarm = fmt.Sprintf("those not changed have become worse with the stage (%s)", measureNames[harm.measure])
 	switch {
-	case len(worse) > 0:
-		verdict.Kind, verdict.Reason = KindWorse, strings.Join(worse, "; ")
-	case since < j.options.MinBake:
-		verdict.Kind, verdict.Reason = KindWait, fmt.Sprintf("watched for %v of %v", since.Round(time.Second), j.options.MinBake)
-	case harmed:
-		verdict.Kind, verdict.Reason = j.waitOrGiveUp(since), harm+"; nothing tells the change from the world"
-	case crashEvidence >= 150 || breachEvidence >= 150:
-		verdict.Kind, verdict.Reason = j.waitOrGiveUp(since), fmt.Sprintf("%d crashes and %d breaches of the new side are too many to go on and too few to blame it", j.crashes.counts[1], j.breaches.counts[1])
+	case found.measures[measureUnits].Low > 0:
+		found.worse = append(found.worse, found.unchangedHarm+", and the changed ones take more than their part")
+	case harm.isRepeated:
+		found.worse = append(found.worse, found.unchangedHarm+", as they did with an earlier one")
+	}
+	return found
+}
+
+// decide returns the verdict on findings and its reason.
+func (j *Judge) decide(now time.Duration, found *findings) (VerdictKind, string) {
+	watched := now - j.lastChangeAt
+	switch {
+	case len(found.worse) > 0:
+		return KindWorse, strings.Join(found.worse, "; ")
+	case watched < j.options.MinBake:
+		return KindWait, fmt.Sprintf("watched for %v of %v", watched.Round(time.Second), j.options.MinBake)
+	case found.unchangedHarm != "":
+		return j.waitOrGiveUp(watched), found.unchangedHarm + "; nothing tells the change from the world"
+	case found.crashEvidence >= minRareEvidence || found.breachEvidence >= minRareEvidence:
+		return j.waitOrGiveUp(watched), fmt.Sprintf("%d crashes and %d breaches of the new side are too many to go on and too few to blame it",
+			j.crashes.counts[sideIndexNew], j.breaches.counts[sideIndexNew])
 	case !j.hasOld():
-		if verdict.Kind, verdict.Reason = KindPass, "all are changed, and the fleet is as it was before the stage"; !j.areChangedMembersLive(now) {
-			verdict.Kind, verdict.Reason = j.waitOrGiveUp(since), "too few members tell anything"
+		if !j.areChangedMembersLive(now) {
+			return j.waitOrGiveUp(watched), "too few members tell anything"
 		}
-	case len(unclear) > 0:
-		verdict.Kind, verdict.Reason = j.waitOrGiveUp(since), "too little evidence: "+strings.Join(unclear, "; ")
-	case len(recent) > 0:
-		verdict.Kind, verdict.Reason = j.waitOrGiveUp(since), strings.Join(recent, "; ")
+		return KindPass, "all are changed, and the fleet is as it was before the stage"
+	case len(found.unclear) > 0:
+		return j.waitOrGiveUp(watched), "too little evidence: " + strings.Join(found.unclear, "; ")
+	case len(found.recent) > 0:
+		return j.waitOrGiveUp(watched), strings.Join(found.recent, "; ")
 	case !j.areChangedMembersLive(now):
-		verdict.Kind, verdict.Reason = j.waitOrGiveUp(since), "too few of the changed members tell anything"
-	default:
-		verdict.Kind, verdict.Reason = KindPass, "no harm beyond the margins"
+		return j.waitOrGiveUp(watched), "too few of the changed members tell anything"
 	}
-	return verdict
+	return KindPass, "no harm beyond the margins"
 }
 
-// compareRareEvents holds crashes and breaches of both sides against each other, as likelihood ratios, and gives what is shown.
+// Parts of MaxFalseAlarms that rare events may use up.
+const (
+	crashAlarmShare  = 0.15
+	breachAlarmShare = 0.05
+)
+
+// minRelativeCrashes is the likelihood ratio between the sides under which crashes are put down to the environment.
+const minRelativeCrashes = 3
+
+// compareRareEvents returns the likelihood ratios of crashes and invariant violations, and descriptions of the harm that
+// they show. Crashes are compared with a usual rate, since the old side has none as a rule; a fault of the environment
+// affects both sides, and then the ratio between them is small.
 func (j *Judge) compareRareEvents() (crashEvidence, breachEvidence float64, worse []string) {
-	// Crashes are rare: one side has had none as a rule. What the world does hits both sides, and then the
-	// relativeEvidence one is small.
-	crashEvidence, breachEvidence = j.crashes.absoluteEvidence(j.options.MinCrashInterval), j.breaches.relativeEvidence()
-	if j.crashes.relativeEvidence() < 3 {
+	crashEvidence = j.crashes.absoluteEvidence(j.options.MinCrashInterval)
+	breachEvidence = j.breaches.relativeEvidence()
+	if j.crashes.relativeEvidence() < minRelativeCrashes {
 		crashEvidence = 0
 	}
-	if limit := 1 / (0.15 * j.options.MaxFalseAlarms); crashEvidence >= limit {
-		worse = append(worse, fmt.Sprintf("crashes: %d in %v of the new, %d in %v of the old", j.crashes.counts[1], j.crashes.exposure[1].Round(time.Second),
-			j.crashes.counts[0], j.crashes.exposure[0].Round(time.Second)))
+	if limit := 1 / (crashAlarmShare * j.options.MaxFalseAlarms); crashEvidence >= limit {
+		worse = append(worse, fmt.Sprintf("crashes: %d in %v of the new, %d in %v of the old", j.crashes.counts[sideIndexNew], j.crashes.exposure[sideIndexNew].Round(time.Second),
+			j.crashes.counts[sideIndexOld], j.crashes.exposure[sideIndexOld].Round(time.Second)))
 	}
-	if limit := 1 / (0.05 * j.options.MaxFalseAlarms); breachEvidence >= limit {
-		worse = append(worse, fmt.Sprintf("breaches: in %d intervals of the new, %d of the old", j.breaches.counts[1], j.breaches.counts[0]))
+	if limit := 1 / (breachAlarmShare * j.options.MaxFalseAlarms); breachEvidence >= limit {
+		worse = append(worse, fmt.Sprintf("breaches: in %d intervals of the new, %d of the old", j.breaches.counts[sideIndexNew], j.breaches.counts[sideIndexOld]))
 	}
 	return crashEvidence, breachEvidence, worse
 }
 
-// compareWindows compares a measure over the stage, mended by what its later half shows, and over that half.
+// compareWindows compares a measure over the stage and over its later half. The stage's result takes the half's bound
+// where that one decides.
 func (j *Judge) compareWindows(measure int) (result, laterHalf Measure) {
 	result = j.compare(measure, false)
 	laterHalf = result
-	if measure != measureGrowth { // a line through few points says nothing
+	if measure != measureGrowth { // a slope needs all points of the stage
 		laterHalf = j.compare(measure, true)
 	}
-	// A fault of the world that is over does not keep a stage from passing by what came after it.
+	// A fault of the environment that is over does not keep the stage from passing.
 	if laterHalf.IsEnough && !result.IsEnough && laterHalf.High < result.High {
-		result.IsEnough, result.High = true, laterHalf.High
+		result.IsEnough = true
+		result.High = laterHalf.High
 	}
 	if laterHalf.IsWorse && !result.IsWorse {
-		result.IsWorse, result.Low = true, laterHalf.Low
+		result.IsWorse = true
+		result.Low = laterHalf.Low
 	}
 	return result, laterHalf
 }
 
-// hasOld tells whether a member that tells something of itself is not changed.
+// hasOld tells whether any member that has been read is not changed.
 func (j *Judge) hasOld() bool {
 	return slices.ContainsFunc(j.order, func(m *member) bool { return m.hasLast && m.side != SideNew })
 }
 
-// waitOrGiveUp is Wait until a stage may be watched no longer.
-func (j *Judge) waitOrGiveUp(since time.Duration) VerdictKind {
-	if since >= j.options.MaxBake {
+// waitOrGiveUp returns KindWait until the stage has been watched for MaxBake.
+func (j *Judge) waitOrGiveUp(watched time.Duration) VerdictKind {
+	if watched >= j.options.MaxBake {
 		return KindNoEvidence
 	}
 	return KindWait
 }
 
-// isMeasured tells whether any side has anything of a measure that can be compared.
+// isMeasured tells whether any side has counts of a measure that can be compared.
 func (j *Judge) isMeasured(measure int) bool {
 	counted := min(measure, measureMemory)
 	if measure == measureGrowth && !j.canCompareGrowth() {
 		return false
 	}
 	if isRelative(measure) {
-		return j.sideTotals[0].numerator[counted]+j.sideTotals[1].numerator[counted] > 0
+		return j.sideTotals[sideIndexOld].numerator[counted]+j.sideTotals[sideIndexNew].numerator[counted] > 0
 	}
 	return true
 }
 
-// areChangedMembersLive tells whether nine in ten of the changed members are up, told of themselves lately and can be believed.
+// areChangedMembersLive tells whether nine in ten of the changed members serve and have been read lately and plausibly.
 func (j *Judge) areChangedMembersLive(now time.Duration) bool {
-	n, fine := 0, 0
+	changed, live := 0, 0
 	for _, m := range j.order {
-		if m.side == SideNew {
-			n++
-			if m.isServing && m.hasLast && m.implausibleReadings < maxImplausibleReadings && now-m.lastAt <= 2*j.options.WarmUp {
-				fine++
-			}
+		if m.side != SideNew {
+			continue
+		}
+		changed++
+		isRead := m.hasLast && now-m.lastAt <= 2*j.options.WarmUp
+		if m.isServing && isRead && m.implausibleReadings < maxImplausibleReadings {
+			live++
 		}
 	}
-	return n > 0 && 10*fine >= 9*n
+	return changed > 0 && 10*live >= 9*changed
 }
 
+// describe returns a measure's harm in a line.
 func describe(m *Measure) string {
 	return fmt.Sprintf("%s: %.3g of the new, %.3g of the old, at least %.3g more", m.Name, m.New, m.Old, m.Low)
 }
--- a/internal/daemon/commands_test.go
+++ b/internal/daemon/commands_test.go
@@ -397,7 +397,7 @@
 	served := r.sendRequests(60)                                                                                            // of a burst of 50
 	r.awaitStatus("the last is counted", func(s manage.Status) bool { return s.Statistics.Requests >= before.Requests+60 }) // it is answered first
 	f, ok := r.status().Statistics.Since(before)
-	if !ok || f.Requests != 60 || int(f.Delays.Total()) != served || int(f.Refused) != 60-served || f.OverQuota != f.Refused || f.OverQuota == 0 ||
+	if !ok || f.Requests != 60 || int(f.Delays.Total()) != served || int(f.Rejected) != 60-served || f.OverQuota != f.Rejected || f.OverQuota == 0 ||
 		f.OfferedWeight != float64(served) || f.Served != float64(served)-float64(f.Late) || f.Units < float64(served) || f.Failed+f.Breaches+f.Panics > 0 || f.CPU <= 0 || f.MemoryKB <= 0 {
 		t.Errorf("served %d: %+v", served, f)
 	}
--- a/internal/instancestats/instancestats.go
+++ b/internal/instancestats/instancestats.go
@@ -1,6 +1,6 @@
-// Package instancestats is what one instance has counted of its own service since its process began, in a
-// form that others can compare: all of it only grows, so that what a span of time brought is the
-// difference of two readings. It does no I/O.
+// Package instancestats holds what one instance has counted of its own service since its process began, in a form
+// that instances can be compared by. Counts only grow, so that the difference of two readings is what was counted
+// between them. It does no I/O.
 package instancestats
 
 import (
@@ -9,83 +9,86 @@
 	"time"
 )
 
-// Delays are counts of answers by how long they took: bucket i holds those under Edge(i) and not under
-// Edge(i-1), the last all that took longer.
+// Delays is a histogram of response times: bucket i counts those under Edge(i) and not under Edge(i-1), the last one
+// all longer ones.
 type Delays [delayBuckets]uint64
 
 const (
 	delayBuckets = 64
-	delaySteps   = 4 // buckets for each doubling
-	minDelay     = time.Millisecond
+	delaySteps   = 4                // buckets for each doubling
+	minDelay     = time.Millisecond // upper edge of the first bucket
 )
 
-// Edge is the end of a bucket.
+// Edge returns the upper edge of a bucket, which is not part of it.
 func Edge(i int) time.Duration {
 	if i >= delayBuckets-1 {
 		return math.MaxInt64
 	}
-	doubling, part := i/delaySteps, i%delaySteps
+	doubling := i / delaySteps
+	part := i % delaySteps
 	return minDelay << doubling * time.Duration(delaySteps+part) / delaySteps
 }
 
-// Bucket is the one that a delay is counted in.
-func Bucket(d time.Duration) int {
-	if d < minDelay {
+// Bucket returns the index of the bucket that counts a delay.
+func Bucket(delay time.Duration) int {
+	if delay < minDelay {
 		return 0
 	}
-	doubling := bits.Len64(uint64(d/minDelay)) - 1
-	part := int((d - minDelay<<doubling) * delaySteps / (minDelay << doubling))
+	doubling := bits.Len64(uint64(delay/minDelay)) - 1
+	part := int((delay - minDelay<<doubling) * delaySteps / (minDelay << doubling))
 	return min(doubling*delaySteps+part+1, delayBuckets-1)
 }
 
 // Add counts a delay.
 func (d *Delays) Add(delay time.Duration) { d[Bucket(delay)]++ }
 
-// Total is how many are counted.
-func (d *Delays) Total() (n uint64) {
-	for _, v := range d {
-		n += v
+// Total returns the number of delays counted.
+func (d *Delays) Total() (total uint64) {
+	for _, count := range d {
+		total += count
 	}
-	return n
+	return total
 }
 
-// Quantile is the end of the bucket that holds the share p of all; 0 of none. What is in the last
-// bucket is told as the end of the one before.
+// Quantile returns the upper edge of the bucket that holds a quantile, and 0 if no delay is counted. For the last
+// bucket, which has no edge, it returns that of the one before. share is from 0 to 1.
 func (d *Delays) Quantile(share float64) time.Duration {
 	total := d.Total()
 	if total == 0 {
 		return 0
 	}
-	rank, counted := uint64(math.Ceil(share*float64(total))), uint64(0)
-	for i, v := range d {
-		if counted += v; counted >= max(rank, 1) {
+	rank := uint64(math.Ceil(share * float64(total)))
+	counted := uint64(0)
+	for i, count := range d {
+		counted += count
+		if counted >= max(rank, 1) {
 			return Edge(min(i, delayBuckets-2))
 		}
 	}
 	return Edge(delayBuckets - 2)
 }
 
-// Statistics are one instance's, cumulative since Began. Worth is by class, as the settings have it.
+// Statistics are one instance's counts since Began. Requests weigh by the priority weight of their class.
 type Statistics struct {
-	Began         time.Time     `json:"began"`    // of the process; another value says that it has restarted
-	OfferedWeight float64       `json:"asked"`    // worth of what was asked, but for what was beyond quotas
-	Served        float64       `json:"served"`   // worth of what was served within its class's aim
-	Requests      uint64        `json:"requests"` // that have ended, whichever way
-	Refused       uint64        `json:"refused"`
-	OverQuota     uint64        `json:"beyond"` // of the refused, those that were beyond a quota or ceiling
+	Began         time.Time     `json:"began"`    // start of the process, by which a restart is known
+	OfferedWeight float64       `json:"asked"`    // priority weight of requests, without those over a quota
+	Served        float64       `json:"served"`   // priority weight of requests served within their latency objective
+	Requests      uint64        `json:"requests"` // that have ended, with any outcome
+	Rejected      uint64        `json:"refused"`
+	OverQuota     uint64        `json:"beyond"` // part of Rejected that exceeded a quota or hard limit
 	Failed        uint64        `json:"failed"`
-	Late          uint64        `json:"late"`      // served after the aim
-	ClientsGone   uint64        `json:"left"`      // clients that hung up
-	Units         float64       `json:"units"`     // sent on, as ceilings count them
-	Breaches      uint64        `json:"breaches"`  // of the rules that a node can see of itself
+	Late          uint64        `json:"late"`      // served after the latency objective
+	ClientsGone   uint64        `json:"left"`      // requests whose client closed its connection
+	Units         float64       `json:"units"`     // forwarded, as hard limits count them
+	Breaches      uint64        `json:"breaches"`  // invariant violations that the instance has seen itself
 	Panics        uint64        `json:"panics"`    // of modules
-	CPU           time.Duration `json:"cpu"`       // of the process
-	MemoryKB      int           `json:"memory_kb"` // resident now; the one figure that does not only grow
-	Delays        Delays        `json:"delays"`    // of what was served
+	CPU           time.Duration `json:"cpu"`       // time of the process
+	MemoryKB      int           `json:"memory_kb"` // resident; a state that may also fall
+	Delays        Delays        `json:"delays"`    // of served requests
 }
 
-// Since is what came after an earlier reading of the same process, and false where that is not the same
-// process's or is not earlier. Began and MemoryKB are the later reading's.
+// Since returns what was counted after an earlier reading of the same process, with the later reading's Began and
+// MemoryKB. It returns false if the readings are of different processes or in the wrong order.
 func (f Statistics) Since(earlier Statistics) (Statistics, bool) {
 	if !f.Began.Equal(earlier.Began) || f.Requests < earlier.Requests || f.CPU < earlier.CPU {
 		return Statistics{}, false
@@ -94,7 +97,7 @@
 	difference.OfferedWeight -= earlier.OfferedWeight
 	difference.Served -= earlier.Served
 	difference.Requests -= earlier.Requests
-	difference.Refused -= earlier.Refused
+	difference.Rejected -= earlier.Rejected
 	difference.OverQuota -= earlier.OverQuota
 	difference.Failed -= earlier.Failed
 	difference.Late -= earlier.Late
@@ -109,12 +112,12 @@
 	return difference, true
 }
 
-// Add sums what several instances, or several spans, counted. Began and MemoryKB stay.
+// Add adds the counts of another instance or another time. Began and MemoryKB do not change.
 func (f *Statistics) Add(other Statistics) {
 	f.OfferedWeight += other.OfferedWeight
 	f.Served += other.Served
 	f.Requests += other.Requests
-	f.Refused += other.Refused
+	f.Rejected += other.Rejected
 	f.OverQuota += other.OverQuota
 	f.Failed += other.Failed
 	f.Late += other.Late
--- a/internal/instancestats/instancestats_test.go
+++ b/internal/instancestats/instancestats_test.go
@@ -18,7 +18,7 @@
 }
 
 func TestSinceUndoesAdd(t *testing.T) {
-	a := Statistics{Began: time.Unix(1, 0), OfferedWeight: 3, Served: 2, Requests: 4, Refused: 1, Units: 4, CPU: 5}
+	a := Statistics{Began: time.Unix(1, 0), OfferedWeight: 3, Served: 2, Requests: 4, Rejected: 1, Units: 4, CPU: 5}
 	a.Delays.Add(20 * time.Millisecond)
 	more := Statistics{Began: a.Began, OfferedWeight: 1, Requests: 2, Failed: 2, Late: 1, CPU: 7}
 	more.Delays.Add(time.Second)
--- a/internal/manage/status.go
+++ b/internal/manage/status.go
@@ -49,10 +49,10 @@
 	IsVolatile bool   `json:"forgets"` // without a state directory: epoch, commands and desired state don't outlive a crash
 	// LostToken, where it is not empty, means that the member doesn't know which epochs it had granted. It rejects
 	// every coordinator until a claim has this token in After.
-	LostToken      string                `json:"lost,omitempty"`
-	LastCommand    desiredstate.Outcome  `json:"order"`           // outcome of the command that ended last
-	RunningCommand string                `json:"doing,omitempty"` // id of the command that runs
-	DesiredState   desiredstate.Target   `json:"wanted"`
+	LostToken      string                   `json:"lost,omitempty"`
+	LastCommand    desiredstate.Outcome     `json:"order"`           // outcome of the command that ended last
+	RunningCommand string                   `json:"doing,omitempty"` // id of the command that runs
+	DesiredState   desiredstate.Target      `json:"wanted"`
 	Statistics     instancestats.Statistics `json:"figures"`
 }
 
--- a/internal/service/statistics.go
+++ b/internal/service/statistics.go
@@ -86,7 +86,7 @@
 		total.Served += class.priorityWeight * float64(class.served.Load())
 		total.Requests += class.requests.Load()
 	}
-	total.Refused += s.rejected.Load()
+	total.Rejected += s.rejected.Load()
 	total.OverQuota += s.rejectedByQuota.Load()
 	total.Failed += s.failed.Load()
 	total.Late += s.late.Load()
--- a/internal/service/statistics_test.go
+++ b/internal/service/statistics_test.go
@@ -16,7 +16,7 @@
 	}{
 		{"asked", f.OfferedWeight == 2.5},
 		{"served", f.Served == 2.5},
-		{"refused", f.Refused == 1},
+		{"refused", f.Rejected == 1},
 		{"beyond", f.OverQuota == 1},
 		{"failed", f.Failed == 1},
 		{"late", f.Late == 1},
--- a/internal/simulation/rolloutsim/world.go
+++ b/internal/simulation/rolloutsim/world.go
@@ -210,7 +210,7 @@
 	f.OfferedWeight += worth
 	f.Served += worth - float64(turned+failed+late+4*lostDear)
 	f.Requests += uint64(requests)
-	f.Refused += uint64(turned + beyond)
+	f.Rejected += uint64(turned + beyond)
 	f.OverQuota += uint64(beyond)
 	f.Failed += uint64(failed)
 	f.Late += uint64(late)
