--- a/internal/canary/compare.go
+++ b/internal/canary/compare.go
@@ -6,353 +6,428 @@
 	"time"
 )
 
-// alpha is a measure's part of what false alarms are allowed: of a window, a stage and a side.
-func (j *Judge) alpha() float64 {
+// falseAlarmShare returns the part of MaxFalseAlarms that one measure may use up in one stage, in each of the two
+// windows (the stage and its later half).
+func (j *Judge) falseAlarmShare() float64 {
 	return 0.7 * j.options.MaxFalseAlarms / float64(j.options.Stages) / (2 * measureCount)
 }
 
-// comparison is that of one measure over a stage, or over its later half.
+// comparison compares one measure between the sides, over a stage or over its later half.
 type comparison struct {
-	j                                   *Judge
-	k                                   int // the measure
-	from                                int // the measure whose figures are compared: memory's for its growth
-	half                                bool
-	margin                              float64
-	minDifference, unit                 float64 // what differs by less counts as equal; of the denominator that one request is
-	hasStageControls, hasEarlierChanged bool    // there are controls of this stage; changed ones of earlier stages
-	members                             []*member
-	windows                             [][]batch // of each of who
-	references                          [][]batch // of those not changed
-	y0, d0                              []float64 // what each did before, as numerator and denominator
-	v                                   float64   // variance for each unit of a denominator
-	vs                                  []float64 // the same of each
-	result                              Measure
+	judge          *Judge
+	measure        int // index of the measure that is compared
+	countedMeasure int // index of the measure whose counts are used: growth uses those of memory
+	isLaterHalf    bool
+	margin         float64
+	minDifference  float64 // a smaller difference counts as none
+	requestWeight  float64 // weight of one request in the denominator
+
+	hasStageControls  bool // there are controls of this stage
+	hasEarlierChanged bool // there are members that earlier stages changed
+
+	// Parallel slices with an entry for each member that takes part.
+	members              []*member
+	windows              [][]batch
+	baselineNumerators   []float64
+	baselineDenominators []float64
+	memberVariances      []float64 // for each unit of the denominator
+
+	referenceWindows [][]batch // windows of the members that aren't changed
+	sideVariance     float64   // for each unit of the denominator, estimated from the reference windows
+	result           Measure
 }
 
-// compare sets the sides against each other over a stage, or over its later half.
-func (j *Judge) compare(k int, half bool) Measure {
-	c := &comparison{j: j, k: k, from: min(k, measureMemory), half: half, margin: j.options.margin(k)}
-	if k == measureGrowth {
+// minDegreesOfFreedom is how many degrees of freedom a variance estimate needs.
+const minDegreesOfFreedom = 6
+
+// compare compares one measure between the sides, over the stage or over its later half.
+func (j *Judge) compare(measure int, isLaterHalf bool) Measure {
+	c := &comparison{
+		judge:          j,
+		measure:        measure,
+		countedMeasure: min(measure, measureMemory),
+		isLaterHalf:    isLaterHalf,
+		margin:         j.options.margin(measure),
+	}
+	if measure == measureGrowth {
 		c.margin = j.options.growthMargin(j.observedAt - j.lastChangeAt)
 	}
-	c.result = Measure{Name: measureNames[k], Margin: c.margin, Low: math.Inf(-1), High: math.Inf(1), Old: c.raw(0), New: c.raw(1)}
-	if !relative(k) { // in a fault of the world what members differ by grows with what they have in common
+	c.result = Measure{
+		Name:   measureNames[measure],
+		Margin: c.margin,
+		Low:    math.Inf(-1),
+		High:   math.Inf(1),
+		Old:    c.sideRatio(sideIndexOld),
+		New:    c.sideRatio(sideIndexNew),
+	}
+	if !isRelative(measure) { // in a fault of the environment, differences between members grow with the fleet's mean
 		c.margin = max(c.margin, c.result.Old/2)
 		c.result.Margin = c.margin
 	}
-	if k == measureGrowth && !j.canCompareGrowth() {
+	if measure == measureGrowth && !j.canCompareGrowth() {
 		return c.result
 	}
-	c.choose()
-	if len(c.references) == 0 || len(c.references) == len(c.members) {
+	c.chooseMembers()
+	if len(c.referenceWindows) == 0 || len(c.referenceWindows) == len(c.members) {
 		return c.result
 	}
-	c.minDifference, c.unit = c.margin/4, j.unit(k)
-	if !c.variances() {
+	c.minDifference = c.margin / 4
+	c.requestWeight = j.requestWeight(measure)
+	if !c.estimateVariances() {
 		return c.result
 	}
-	if sides, ok := c.sides(); ok {
-		j.contrast(&c.result, sides, half)
-		c.worse()
+	if sides, ok := c.estimateSides(); ok {
+		j.contrastSides(&c.result, sides, isLaterHalf)
+		c.decideHarm()
 	}
 	return c.result
 }
 
-// raw is the measure of a side over the stage as it was read.
-func (c *comparison) raw(side int) float64 {
-	if d := c.j.sideTotals[side].d[c.from]; d > 0 {
-		return c.j.sideTotals[side].y[c.from] / d
+// sideRatio returns the measure's value for a side over the stage, as counted.
+func (c *comparison) sideRatio(side int) float64 {
+	if d := c.judge.sideTotals[side].denominator[c.countedMeasure]; d > 0 {
+		return c.judge.sideTotals[side].numerator[c.countedMeasure] / d
 	}
 	return 0
 }
 
-// choose finds who takes part, with what it did before.
-func (c *comparison) choose() {
-	for _, m := range c.j.order {
+// chooseMembers selects the members that take part, with their windows and baselines.
+func (c *comparison) chooseMembers() {
+	for _, m := range c.judge.order {
 		c.hasStageControls = c.hasStageControls || m.isChangedInStage && m.side == SideControl
 		c.hasEarlierChanged = c.hasEarlierChanged || !m.isChangedInStage && m.side == SideNew
 	}
-	for _, m := range c.j.order {
+	for _, m := range c.judge.order {
 		if m.implausibleReadings >= maxImplausibleReadings {
 			c.result.LeftOut++
 			continue
 		}
-		w := m.window(c.half)
-		if _, d := sum(w, c.from); d <= 0 || c.incomparable(m) {
+		window := m.window(c.isLaterHalf)
+		if _, d := sumBatches(window, c.countedMeasure); d <= 0 || c.isIncomparable(m) {
 			continue
 		}
-		y, d := 0.0, 0.0
-		if m.hasBaseline && !c.j.options.Without.Before {
-			if y, d = ratio(c.from, &m.baseline, c.j.slowBucket); c.k >= measureMemory {
-				y, d = y*maxBatches, d*maxBatches
-			}
-		}
-		c.members, c.windows, c.y0, c.d0 = append(c.members, m), append(c.windows, w), append(c.y0, y), append(c.d0, d)
+		numerator, denominator := c.baselineRatio(m)
+		c.members = append(c.members, m)
+		c.windows = append(c.windows, window)
+		c.baselineNumerators = append(c.baselineNumerators, numerator)
+		c.baselineDenominators = append(c.baselineDenominators, denominator)
 		if m.side != SideNew {
-			c.references = append(c.references, w)
+			c.referenceWindows = append(c.referenceWindows, window)
 		}
 	}
 }
 
-// incomparable tells whether a member's age keeps it out.
-func (c *comparison) incomparable(m *member) bool {
-	// Without a control new processes of this stage are too cold to be held against anybody, if others are not.
-	if m.side == SideNew && m.isChangedInStage && m.isNewProcess && c.hasEarlierChanged && !c.hasStageControls && !c.j.options.Without.Control {
+// baselineRatio returns a member's measure before the first stage as numerator and denominator; zeros are no baseline.
+func (c *comparison) baselineRatio(m *member) (numerator, denominator float64) {
+	if !m.hasBaseline || c.judge.options.Without.Baseline {
+		return 0, 0
+	}
+	numerator, denominator = measureRatio(c.countedMeasure, &m.baseline, c.judge.slowBucket)
+	if c.measure >= measureMemory {
+		numerator *= maxBatches
+		denominator *= maxBatches
+	}
+	return numerator, denominator
+}
+
+// isIncomparable tells whether a member's age keeps it out of the comparison.
+func (c *comparison) isIncomparable(m *member) bool {
+	// Without controls of this stage, processes that it started are still warming up and have no equals.
+	isJustStarted := m.side == SideNew && m.isChangedInStage && m.isNewProcess
+	if isJustStarted && c.hasEarlierChanged && !c.hasStageControls && !c.judge.options.Without.Control {
 		return true
 	}
-	// Memory goes by age: changed ones of this stage are held against controls of this stage alone.
-	return c.k >= measureMemory && c.hasStageControls && m.side != SideOld && !m.isChangedInStage
+	// Memory depends on a process's age: members changed in this stage are compared with its controls alone.
+	return c.measure >= measureMemory && c.hasStageControls && m.side != SideOld && !m.isChangedInStage
 }
 
-// variances estimates by how much members vary, from those not changed; false where these say too little.
-func (c *comparison) variances() bool {
-	var s spread
-	if relative(c.k) {
-		s = within(c.references, slices.Repeat([]float64{1}, len(c.references)), c.from)
+// estimateVariances estimates the variance of each member from the members that aren't changed. It returns false
+// if they have too few batches.
+func (c *comparison) estimateVariances() bool {
+	var spread pooledVariance
+	if isRelative(c.measure) {
+		spread = varianceOverTime(c.referenceWindows, slices.Repeat([]float64{1}, len(c.referenceWindows)), c.countedMeasure)
 	} else {
-		s = dispersion(c.references, c.k, c.unit, c.minDifference)
+		spread = dispersion(c.referenceWindows, c.measure, c.requestWeight, c.minDifference)
 	}
-	if s.df < 6 {
+	if spread.degreesOfFreedom < minDegreesOfFreedom {
 		return false
 	}
-	c.v = s.v * (1 + 4/float64(s.df)) * float64(len(c.members)) / float64(len(c.members)-1)
-	if c.j.options.Without.Cluster {
-		c.v = min(c.v, 1)
+	c.sideVariance = spread.variance * (1 + 4/float64(spread.degreesOfFreedom)) * float64(len(c.members)) / float64(len(c.members)-1)
+	if c.judge.options.Without.Cluster {
+		c.sideVariance = min(c.sideVariance, 1)
 	}
-	loose := 0.0
-	if relative(c.k) && !c.j.options.Without.Cluster {
-		loose = wander(c.references, c.from) * (1 + 4/float64(s.df))
+	perReading := 0.0
+	if isRelative(c.measure) && !c.judge.options.Without.Cluster {
+		perReading = ratioVariance(c.referenceWindows, c.countedMeasure) * (1 + 4/float64(spread.degreesOfFreedom))
 	}
-	c.vs = make([]float64, len(c.members))
+	c.memberVariances = make([]float64, len(c.members))
 	for i, w := range c.windows {
-		c.vs[i] = c.variance(w, loose)
+		c.memberVariances[i] = c.memberVariance(w, perReading)
 	}
 	return true
 }
 
-// variance is that of one member, for each unit of its denominator.
-func (c *comparison) variance(w []batch, loose float64) float64 {
-	if relative(c.k) {
-		_, d := sum(w, c.from)
-		n := 0.0
-		for b := range w {
-			n += w[b].n
+// memberVariance returns the variance of one member for each unit of its denominator. perReading is the variance
+// of a relative measure from reading to reading.
+func (c *comparison) memberVariance(window []batch, perReading float64) float64 {
+	if isRelative(c.measure) {
+		_, denominator := sumBatches(window, c.countedMeasure)
+		readings := 0.0
+		for b := range window {
+			readings += window[b].readings
 		}
-		return max(c.v, loose*d/max(n, 1))
+		return max(c.sideVariance, perReading*denominator/max(readings, 1))
 	}
-	x := 0.0
-	for b := range w {
-		x += w[b].x[c.k]
+	expected := 0.0
+	for b := range window {
+		expected += window[b].expected[c.measure]
 	}
-	_, d := sum(w, c.k)
-	return c.v * c.unit * (x/d + c.minDifference)
+	_, denominator := sumBatches(window, c.measure)
+	return c.sideVariance * c.requestWeight * (expected/denominator + c.minDifference)
 }
 
-// sides are what the members of each side say; false where there is nothing to hold them against.
-func (c *comparison) sides() (sides [3][]estimate, ok bool) {
-	mean, before := c.before()
-	sides = c.j.estimates(c.k, c.members, c.windows, before, mean, c.vs)
-	// A young process's memory grows: without its control's there is nothing to hold it against.
-	if c.k >= measureMemory && c.hasStageControls && !c.j.options.Without.Control && len(sides[SideControl]) == 0 {
+// estimateSides returns the estimates of the members of each side, and false if there is nothing to compare with.
+func (c *comparison) estimateSides() (sides [3][]estimate, ok bool) {
+	mean, levels := c.baselines()
+	sides = c.judge.estimateMembers(c.measure, c.members, c.windows, levels, mean, c.memberVariances)
+	// The memory of a process that has just started grows; only controls of the same age compare with it.
+	if c.measure >= measureMemory && c.hasStageControls && !c.judge.options.Without.Control && len(sides[SideControl]) == 0 {
 		return sides, false
 	}
-	// What was before helps only if members are now as they were then: after a fault of one zone they aren't.
-	// The old ones tell by differing less with it or without.
-	if len(sides[SideOld]) >= 8 && !relative(c.k) {
-		flat := slices.Repeat([]level{{mean, 0}}, len(before))
-		if plain := c.j.estimates(c.k, c.members, c.windows, flat, mean, c.vs); vary(plain[SideOld]) < vary(sides[SideOld]) {
-			sides = plain
+	// A baseline helps only if members still differ as they did then; after a fault of one zone they don't.
+	// It is dropped where the old side differs less without it.
+	if len(sides[SideOld]) >= minMembersForSpread && !isRelative(c.measure) {
+		flat := slices.Repeat([]baselineLevel{{mean, 0}}, len(levels))
+		withoutBaseline := c.judge.estimateMembers(c.measure, c.members, c.windows, flat, mean, c.memberVariances)
+		if totalVariance(withoutBaseline[SideOld]) < totalVariance(sides[SideOld]) {
+			sides = withoutBaseline
 		}
 	}
 	return sides, true
 }
 
-// before is what the members did before, in the mean and each.
-func (c *comparison) before() (mean float64, each []level) {
-	var y, d float64
-	for i := range c.y0 {
-		y, d = y+c.y0[i], d+c.d0[i]
-	}
-	if !relative(c.k) {
-		v := c.v * c.unit * (c.raw(0) + c.minDifference)
-		if d > 0 { // before may have been another time
-			v = c.v * c.unit * (max(y/d, 0) + c.minDifference)
+// baselines returns the measure before the first stage: the members' mean, and the level of each.
+func (c *comparison) baselines() (mean float64, each []baselineLevel) {
+	var numerator, denominator float64
+	for i := range c.baselineNumerators {
+		numerator += c.baselineNumerators[i]
+		denominator += c.baselineDenominators[i]
+	}
+	if !isRelative(c.measure) {
+		variance := c.sideVariance * c.requestWeight * (c.sideRatio(0) + c.minDifference)
+		if denominator > 0 { // the fleet's rate then may differ from today's
+			variance = c.sideVariance * c.requestWeight * (max(numerator/denominator, 0) + c.minDifference)
 		}
-		return shrink(c.y0, c.d0, v)
+		return shrinkBaselines(c.baselineNumerators, c.baselineDenominators, variance)
 	}
-	if was := y / d; d > 0 && was > 0 { // shares of the fleet's rate, as the batches are
-		for i := range c.d0 {
-			c.d0[i] *= was
+	if fleetRatio := numerator / denominator; denominator > 0 && fleetRatio > 0 { // relative to the fleet's rate, as the batches are
+		for i := range c.baselineDenominators {
+			c.baselineDenominators[i] *= fleetRatio
 		}
 	} else {
-		clear(c.d0)
-		clear(c.y0)
+		clear(c.baselineDenominators)
+		clear(c.baselineNumerators)
 	}
-	if mean, each = shrink(c.y0, c.d0, c.v); mean <= 0 {
+	if mean, each = shrinkBaselines(c.baselineNumerators, c.baselineDenominators, c.sideVariance); mean <= 0 {
 		mean = 1
 		for i := range each {
-			each[i].b = 1
+			each[i].mean = 1
 		}
 	}
 	return mean, each
 }
 
-// worse decides whether harm is shown.
-func (c *comparison) worse() {
-	if c.k == measureGrowth { // what shows is harm also where the margin of a pass is wider
-		c.result.IsWorse = c.result.Low > c.j.options.hourlyGrowthMargin()/4
+// Counts are skewed where they are few: the normal bound is too narrow by z^2/6 counts (Cornish and Fisher). Requests
+// of different weights make them more skewed than their variance shows.
+const (
+	skewCorrection       = 5.0
+	weightSkewCorrection = 12.0
+)
+
+// decideHarm sets IsWorse of the result, after a correction of Low for few counts.
+func (c *comparison) decideHarm() {
+	if c.measure == measureGrowth { // the margin of a pass may be wider than that of harm
+		c.result.IsWorse = c.result.Low > c.judge.options.hourlyGrowthMargin()/4
 	}
-	if relative(c.k) {
+	if isRelative(c.measure) {
 		return
 	}
-	// Few counts are skewed: the normal's bound lacks z^2/6 of them (Cornish and Fisher), five at our levels.
-	// What a request is worth differs, so that its counts are more skewed than they vary.
-	few := 5.0
-	if c.k == measureLost {
-		few = 12
+	missingCounts := skewCorrection
+	if c.measure == measureLost {
+		missingCounts = weightSkewCorrection
 	}
-	n := 0.0
+	changedDenominator := 0.0
 	for i, m := range c.members {
 		if m.side == SideNew {
-			_, d := sum(c.windows[i], c.k)
-			n += d
+			_, d := sumBatches(c.windows[i], c.measure)
+			changedDenominator += d
 		}
 	}
-	if !c.j.options.Without.Slack {
-		c.result.Low -= few * c.v * c.unit / n
+	if !c.judge.options.Without.Tolerance {
+		c.result.Low -= missingCounts * c.sideVariance * c.requestWeight / changedDenominator
 	}
-	c.result.IsWorse = c.result.Low > c.j.slack(c.margin)
+	c.result.IsWorse = c.result.Low > c.judge.toleratedDifference(c.margin)
 }
 
-// canCompareGrowth tells whether the growth of memory can be compared: that of processes which began with a stage needs
-// others that began with them.
+// canCompareGrowth tells whether the growth of memory can be compared: processes that a stage started need controls
+// that were started with them.
 func (j *Judge) canCompareGrowth() bool {
-	young, control := false, j.options.Without.Control
+	hasNewProcess := false
+	hasControl := j.options.Without.Control
 	for _, m := range j.order {
-		young = young || m.isNewProcess && m.side == SideNew
-		control = control || m.isChangedInStage && m.side == SideControl
+		hasNewProcess = hasNewProcess || m.isNewProcess && m.side == SideNew
+		hasControl = hasControl || m.isChangedInStage && m.side == SideControl
 	}
-	return control || !young
+	return hasControl || !hasNewProcess
 }
 
-// unit is how much of a measure's denominator one request is.
-func (j *Judge) unit(k int) float64 {
-	if b := &j.sideTotals[0]; k == measureLost && b.d[measureFailed] > 0 {
-		return max(b.d[measureLost]/b.d[measureFailed], 1e-9)
+// requestWeight returns the mean weight of one request in a measure's denominator.
+func (j *Judge) requestWeight(measure int) float64 {
+	if old := &j.sideTotals[sideIndexOld]; measure == measureLost && old.denominator[measureFailed] > 0 {
+		return max(old.denominator[measureLost]/old.denominator[measureFailed], 1e-9)
 	}
 	return 1
 }
 
-// estimates are what each member of a side says.
-func (j *Judge) estimates(k int, who []*member, windows [][]batch, before []level, mean float64, vs []float64) (sides [3][]estimate) {
-	var line struct {
-		rest float64
-		df   int
-	}
-	type grown struct{ g, sxx float64 }
-	var lines []grown
-	if k == measureGrowth {
-		lines = make([]grown, len(who))
-		for i, m := range who {
-			g, sxx, rest, n := slope(windows[i], max(before[i].b/mean, 1e-9))
-			lines[i] = grown{g, sxx}
-			if m.side != SideNew && n > 2 {
-				line.rest, line.df = line.rest+rest, line.df+n-2
-			}
-		}
-		if line.df < 6 {
+// estimateMembers returns the estimates of a measure by side. members, windows, baselines and variances are parallel
+// slices; mean is that of the baselines.
+func (j *Judge) estimateMembers(measure int, members []*member, windows [][]batch, baselines []baselineLevel, mean float64, variances []float64) (sides [3][]estimate) {
+	var growth growthFit
+	if measure == measureGrowth {
+		growth = fitGrowth(members, windows, baselines, mean)
+		if growth.degreesOfFreedom < minDegreesOfFreedom {
 			return sides
 		}
 	}
-	hour := 0.0
-	if j.observations > 0 && j.observedAt > j.stageStartedAt {
-		hour = float64(time.Hour) / (float64(j.observedAt-j.stageStartedAt) / float64(j.observations))
-	}
-	for i, m := range who {
+	readingsPerHour := j.readingsPerHour()
+	for i, m := range members {
 		side := m.side
-		// One that was restarted for an earlier stage is as warm as any by now.
+		// A control of an earlier stage has warmed up by now.
 		if side == SideControl && (!m.isChangedInStage || j.options.Without.Control) {
 			side = SideOld
 		}
-		y, d := sum(windows[i], min(k, measureMemory))
+		numerator, denominator := sumBatches(windows[i], min(measure, measureMemory))
 		var e estimate
 		switch {
-		case k == measureGrowth:
-			if lines[i].sxx <= 0 {
+		case measure == measureGrowth:
+			if growth.lines[i].sxx <= 0 {
 				continue
 			}
-			// Batches next to each other are alike, which their distance from a line does not show: twice.
-			e = estimate{lines[i].g * hour, 2 * line.rest / float64(line.df) / lines[i].sxx * hour * hour}
-		case relative(k):
-			scale := max(before[i].b/mean, 1e-9)
-			e = estimate{y/d/scale - 1, (vs[i]/d + before[i].v) / (scale * scale)}
+			// Adjacent batches are correlated, which their residuals do not show: the variance counts twice.
+			e = estimate{growth.lines[i].slope * readingsPerHour, 2 * growth.residualSum / float64(growth.degreesOfFreedom) / growth.lines[i].sxx * readingsPerHour * readingsPerHour}
+		case isRelative(measure):
+			scale := max(baselines[i].mean/mean, 1e-9)
+			e = estimate{numerator/denominator/scale - 1, (variances[i]/denominator + baselines[i].variance) / (scale * scale)}
 		default:
-			e = estimate{y/d - (before[i].b - mean), vs[i]/d + before[i].v}
+			e = estimate{numerator/denominator - (baselines[i].mean - mean), variances[i]/denominator + baselines[i].variance}
 		}
 		sides[side] = append(sides[side], e)
 	}
 	return sides
 }
 
-// slack is what members differ by without harm.
-func (j *Judge) slack(margin float64) float64 {
-	if j.options.Without.Slack {
+// growthFit is a line of memory over time for each member, with the residuals of the members that aren't changed.
+type growthFit struct {
+	lines            []memoryLine
+	residualSum      float64 // of squares
+	degreesOfFreedom int
+}
+
+// fitGrowth fits the lines of members' memory.
+func fitGrowth(members []*member, windows [][]batch, baselines []baselineLevel, mean float64) growthFit {
+	fit := growthFit{lines: make([]memoryLine, len(members))}
+	for i, m := range members {
+		line := fitMemory(windows[i], max(baselines[i].mean/mean, 1e-9))
+		fit.lines[i] = line
+		if m.side != SideNew && line.points > 2 {
+			fit.residualSum += line.residualSum
+			fit.degreesOfFreedom += line.points - 2
+		}
+	}
+	return fit
+}
+
+// readingsPerHour returns the rate of observations in this stage; 0 is unknown.
+func (j *Judge) readingsPerHour() float64 {
+	if j.observations == 0 || j.observedAt <= j.stageStartedAt {
+		return 0
+	}
+	return float64(time.Hour) / (float64(j.observedAt-j.stageStartedAt) / float64(j.observations))
+}
+
+// toleratedDifference returns the difference that is no harm yet.
+func (j *Judge) toleratedDifference(margin float64) float64 {
+	if j.options.Without.Tolerance {
 		return 0
 	}
 	return margin / 4
 }
 
-// contrast is new less what it is held against.
-func (j *Judge) contrast(out *Measure, sides [3][]estimate, half bool) {
-	var left [2]int
-	sides[SideOld], left[0] = trim(sides[SideOld])
-	sides[SideControl], left[1] = trim(sides[SideControl])
-	out.LeftOut += left[0] + left[1]
-	out.Members, out.References = len(sides[SideNew]), len(sides[SideOld])+len(sides[SideControl])
-	if out.Members == 0 || out.References == 0 {
+// contrastSides compares the changed side with the old ones and controls, and sets the result's bounds.
+func (j *Judge) contrastSides(result *Measure, sides [3][]estimate, isLaterHalf bool) {
+	var oldOutliers, controlOutliers int
+	sides[SideOld], oldOutliers = trimOutliers(sides[SideOld])
+	sides[SideControl], controlOutliers = trimOutliers(sides[SideControl])
+	result.LeftOut += oldOutliers + controlOutliers
+	result.Members = len(sides[SideNew])
+	result.References = len(sides[SideOld]) + len(sides[SideControl])
+	if result.Members == 0 || result.References == 0 {
 		return
 	}
-	// How much members differ for no cause at all, from the old ones; where they are few, mostly taken
-	// to be a tenth of the margin.
-	tau2 := 0.0
+	betweenMembers := 0.0
 	if !j.options.Without.Cluster {
-		const trust = 4
-		few := out.Margin / 10
-		tau2 = trust * few * few
-		n := trust
-		for _, all := range [...][]estimate{sides[SideOld], sides[SideControl]} {
-			if len(all) > 1 {
-				tau2 += float64(len(all)-1) * between(all)
-				n += len(all) - 1
-			}
-		}
-		tau2 /= float64(n)
-		// Towards a rollout's end the few old ones left may all be of one zone; then the new ones say it too.
-		if len(sides[SideOld])+len(sides[SideControl]) < 8 {
-			tau2 = max(tau2, between(sides[SideNew]))
-		}
+		betweenMembers = moderatedVarianceBetween(sides, result.Margin)
+	}
+	reference := poolReferences(sides, betweenMembers)
+	changed := poolEstimates(sides[SideNew], betweenMembers)
+	difference := changed.mean - reference.mean
+	variance := changed.variance + reference.variance
+	alpha := j.falseAlarmShare()
+	if isLaterHalf { // this window moves, which the bound over all looks does not cover
+		alpha /= 4
 	}
-	against := pooled(sides[SideOld], tau2)
-	if c := pooled(sides[SideControl], tau2); len(sides[SideControl]) > 0 {
-		if len(sides[SideOld]) == 0 {
-			against = c
-		} else {
-			// Old ones that have served for long count as far as they are like the control, which is as cold
-			// as the new ones are.
-			warmingDifference := c.mean - against.mean
-			ov := against.variance + warmingDifference*warmingDifference
-			w := ov / (ov + c.variance)
-			against = estimate{w*c.mean + (1-w)*against.mean, ov * c.variance / (ov + c.variance)}
+	result.Low = difference - boundWidth(variance, result.Margin, alpha, !j.options.Without.Sequential)
+	result.High = difference + boundWidth(variance, result.Margin, j.options.MaxMissedHarm, !j.options.Without.Sequential)
+	result.difference = difference
+	result.IsWorse = result.Low > j.toleratedDifference(result.Margin)
+	result.IsEnough = result.High < result.Margin
+}
+
+// moderatedVarianceBetween returns the variance between members without any change, estimated from the references
+// and a prior of a tenth of the margin, which dominates where references are few.
+func moderatedVarianceBetween(sides [3][]estimate, margin float64) float64 {
+	const priorDegrees = 4
+	priorDeviation := margin / 10
+	variance := priorDegrees * priorDeviation * priorDeviation
+	degreesOfFreedom := priorDegrees
+	for _, all := range [...][]estimate{sides[SideOld], sides[SideControl]} {
+		if len(all) > 1 {
+			variance += float64(len(all)-1) * varianceBetween(all)
+			degreesOfFreedom += len(all) - 1
 		}
 	}
-	changed := pooled(sides[SideNew], tau2)
-	diff, v := changed.mean-against.mean, changed.variance+against.variance
-	alpha := j.alpha()
-	if half { // it moves on, which a bound over time does not cover
-		alpha /= 4
+	variance /= float64(degreesOfFreedom)
+	// Towards a rollout's end the few references may all be of one zone; then the changed members count too.
+	if len(sides[SideOld])+len(sides[SideControl]) < minMembersForSpread {
+		variance = max(variance, varianceBetween(sides[SideNew]))
 	}
-	out.Low = diff - width(v, out.Margin, alpha, !j.options.Without.Sequential)
-	out.High = diff + width(v, out.Margin, j.options.MaxMissedHarm, !j.options.Without.Sequential)
-	out.diff = diff
-	out.IsWorse, out.IsEnough = out.Low > j.slack(out.Margin), out.High < out.Margin
+	return variance
+}
+
+// poolReferences returns the mean of the old side and the controls together.
+func poolReferences(sides [3][]estimate, betweenMembers float64) estimate {
+	old := poolEstimates(sides[SideOld], betweenMembers)
+	if len(sides[SideControl]) == 0 {
+		return old
+	}
+	control := poolEstimates(sides[SideControl], betweenMembers)
+	if len(sides[SideOld]) == 0 {
+		return control
+	}
+	// The old side counts as far as it is like the controls, which are warming up as the changed members are.
+	warmingDifference := control.mean - old.mean
+	oldVariance := old.variance + warmingDifference*warmingDifference
+	controlWeight := oldVariance / (oldVariance + control.variance)
+	return estimate{controlWeight*control.mean + (1-controlWeight)*old.mean, oldVariance * control.variance / (oldVariance + control.variance)}
 }
--- a/internal/canary/unchanged.go
+++ b/internal/canary/unchanged.go
@@ -5,98 +5,138 @@
 	"time"
 )
 
-// unchangedMembers are the members that a stage does not change. What the changed ones do to them shows in both
-// sides alike, so they are held against themselves before the stage.
+const (
+	maxSteps         = 16 // stages whose steps are stored
+	minWindowBatches = 4  // batches that it takes to compare the stage with the time before
+)
+
+// unchangedMembers are the members that a stage does not change. Harm that the changed members do to them affects both
+// sides of the comparison, so they are compared with themselves before the stage.
 type unchangedMembers struct {
-	current  member // all of them as one
-	early    batch  // within Onset of the last change
-	previous []batch
-	steps    [countedMeasures][]estimate // of earlier stages
-	isKnown  bool                        // that they were watched before this stage
+	current     member // the sums of all unchanged members
+	early       batch  // the part within Onset of the last change
+	previous    []batch
+	steps       [countedMeasures][]estimate // of earlier stages
+	hasPrevious bool                        // previous has enough batches
 }
 
-func (o *unchangedMembers) begin(j *Judge, first bool) {
-	if !first {
-		for k := range countedMeasures {
-			if s, ok := j.unchangedStep(k); ok {
-				o.steps[k] = append(o.steps[k], estimate{min(s.diff, s.early, s.lately), s.v})
-				if len(o.steps[k]) > 16 {
-					o.steps[k] = o.steps[k][1:]
+// begin starts a stage and stores the step that the stage before had.
+func (u *unchangedMembers) begin(j *Judge, isFirst bool) {
+	if !isFirst {
+		for measure := range countedMeasures {
+			if step, ok := j.unchangedStep(measure); ok {
+				u.steps[measure] = append(u.steps[measure], estimate{min(step.difference, step.early, step.late), step.variance})
+				if len(u.steps[measure]) > maxSteps {
+					u.steps[measure] = u.steps[measure][1:]
 				}
 			}
 		}
 	}
-	o.previous = append([]batch(nil), o.current.window(!first)...)
-	o.isKnown = len(o.previous) >= 4
-	o.restart()
+	u.previous = append([]batch(nil), u.current.window(!isFirst)...)
+	u.hasPrevious = len(u.previous) >= minWindowBatches
+	u.restart()
 }
 
-// restart says that another member has changed: what came before is of a smaller dose.
-func (o *unchangedMembers) restart() { o.current.reset(); o.early = batch{} }
+// restart drops the counts of the stage: another member has changed, and so has its possible effect on the others.
+func (u *unchangedMembers) restart() {
+	u.current.reset()
+	u.early = batch{}
+}
 
-func (o *unchangedMembers) add(since, onset time.Duration, b *batch) {
-	at := &o.current.batches[o.current.fullBatches]
-	for k := range countedMeasures {
-		at.y[k], at.d[k] = at.y[k]+b.y[k], at.d[k]+b.d[k]
+// add adds the sums of one observation. since is the time from the last change.
+func (u *unchangedMembers) add(since, onset time.Duration, total *batch) {
+	current := &u.current.batches[u.current.fullBatches]
+	for measure := range countedMeasures {
+		current.addMeasure(measure, total.numerator[measure], total.denominator[measure])
 		if since <= onset {
-			o.early.y[k], o.early.d[k] = o.early.y[k]+b.y[k], o.early.d[k]+b.d[k]
+			u.early.addMeasure(measure, total.numerator[measure], total.denominator[measure])
 		}
 	}
-	at.n++
-	o.current.advance()
+	current.readings++
+	u.current.advance()
 }
 
-// jump is a step of the others at a stage.
-type jump struct {
-	diff, v       float64
-	early, lately float64 // what of it there was within Onset, and is in the later half
+// stepChange is the change of a measure of the unchanged members with a stage.
+type stepChange struct {
+	difference float64
+	variance   float64 // of difference
+	early      float64 // the difference within Onset
+	late       float64 // the difference in the later half
 }
 
-// unchangedStep is what a measure of the others has become since the stage began.
-func (j *Judge) unchangedStep(k int) (jump, bool) {
-	o := &j.unchanged
-	if !o.isKnown {
-		return jump{}, false
+// unchangedStep returns the change of a measure of the unchanged members since the stage began, and false if that
+// can't be estimated.
+func (j *Judge) unchangedStep(measure int) (stepChange, bool) {
+	u := &j.unchanged
+	if !u.hasPrevious {
+		return stepChange{}, false
 	}
-	now := o.current.window(false)
-	var py, pd, y, d float64
+	current := u.current.window(false)
+	var previousNumerator, previousDenominator, numerator, denominator float64
 	for _, m := range j.order {
-		if !m.isChangedInStage && m.implausibleReadings < maxImplausibleReadings && m.prev.d[k] > 0 && m.raw.d[k] > 0 {
-			py, pd, y, d = py+m.prev.y[k], pd+m.prev.d[k], y+m.raw.y[k], d+m.raw.d[k]
+		if m.isChangedInStage || m.implausibleReadings >= maxImplausibleReadings {
+			continue
+		}
+		if m.previousTotals.denominator[measure] > 0 && m.totals.denominator[measure] > 0 {
+			previousNumerator += m.previousTotals.numerator[measure]
+			previousDenominator += m.previousTotals.denominator[measure]
+			numerator += m.totals.numerator[measure]
+			denominator += m.totals.denominator[measure]
 		}
 	}
-	ly, ld := sum(o.current.window(true), k)
-	if pd <= 0 || d <= 0 || ld <= 0 || o.early.d[k] <= 0 || len(now) < 4 {
-		return jump{}, false
+	lateNumerator, lateDenominator := sumBatches(u.current.window(true), measure)
+	minDenominator := min(previousDenominator, denominator, lateDenominator, u.early.denominator[measure])
+	if minDenominator <= 0 || len(current) < minWindowBatches {
+		return stepChange{}, false
 	}
-	s := within([][]batch{o.previous, now}, []float64{1, 1}, k)
-	if s.df < 6 {
-		return jump{}, false
+	spread := varianceOverTime([][]batch{u.previous, current}, []float64{1, 1}, measure)
+	if spread.degreesOfFreedom < minDegreesOfFreedom {
+		return stepChange{}, false
 	}
-	was := py / pd
-	v := max(s.v, (was+j.options.margin(k)/4)*j.unit(k)) * (1/pd + 1/d)
-	return jump{y/d - was, v, o.early.y[k]/o.early.d[k] - was, ly/ld - was}, true
+	previousRatio := previousNumerator / previousDenominator
+	variance := max(spread.variance, (previousRatio+j.options.margin(measure)/4)*j.requestWeight(measure)) * (1/previousDenominator + 1/denominator)
+	return stepChange{
+		difference: numerator/denominator - previousRatio,
+		variance:   variance,
+		early:      u.early.numerator[measure]/u.early.denominator[measure] - previousRatio,
+		late:       lateNumerator/lateDenominator - previousRatio,
+	}, true
+}
+
+// unchangedHarm is a lasting step for the worse of the unchanged members. The zero value is none.
+type unchangedHarm struct {
+	isHarmed   bool
+	measure    int
+	isRepeated bool // an earlier stage had a smaller step too, so that the change is the likely cause
 }
 
-// harmToUnchanged tells which measure of the others has become worse with the stage and has stayed so, and whether
-// that can be laid to the change: they also did so at an earlier, smaller step.
-func (j *Judge) harmToUnchanged() (k int, again bool, is bool) {
+// harmToUnchanged returns the worst harm to the unchanged members.
+func (j *Judge) harmToUnchanged() unchangedHarm {
+	var harm unchangedHarm
 	worst := 0.0
-	for i := measureLost; i <= measureSlow; i++ {
-		s, ok := j.unchangedStep(i)
+	for candidate := measureLost; candidate <= measureSlow; candidate++ {
+		step, ok := j.unchangedStep(candidate)
 		if !ok {
 			continue
 		}
-		m := j.options.margin(i)
-		low := s.diff - width(s.v, m, 0.1*j.options.MaxFalseAlarms/float64(j.options.Stages)/(measureSlow+1), true)
-		if low > m/2 && s.early > m/2 && s.lately > m/2 && low/m > worst {
-			worst, k, is, again = low/m, i, true, false
-			for _, was := range j.unchanged.steps[i] {
-				if was.mean > m/2 && was.mean > 4*math.Sqrt(was.variance) && s.diff > 1.5*was.mean { // with the dose
-					again = true
-				}
-			}
+		margin := j.options.margin(candidate)
+		low := step.difference - boundWidth(step.variance, margin, 0.1*j.options.MaxFalseAlarms/float64(j.options.Stages)/(measureSlow+1), true)
+		isLasting := step.early > margin/2 && step.late > margin/2
+		if isLasting && low > margin/2 && low/margin > worst {
+			worst = low / margin
+			harm = unchangedHarm{isHarmed: true, measure: candidate, isRepeated: j.unchanged.hadSmallerStep(candidate, step.difference, margin)}
+		}
+	}
+	return harm
+}
+
+// hadSmallerStep tells whether an earlier stage had a step that is sure and smaller, as an effect that grows with the
+// number of changed members has.
+func (u *unchangedMembers) hadSmallerStep(measure int, difference, margin float64) bool {
+	for _, earlier := range u.steps[measure] {
+		if earlier.mean > margin/2 && earlier.mean > 4*math.Sqrt(earlier.variance) && difference > 1.5*earlier.mean {
+			return true
 		}
 	}
-	return k, again, is
+	return false
 }
