--- a/internal/command/regions.go
+++ b/internal/command/regions.go
@@ -77,11 +77,11 @@
 	if err != nil {
 		return err
 	}
-	waiving, check := new.Waiving(time.Now()), mixture.Again()
+	waiving, check := new.Waiving(time.Now()), mixture.NewIncrementalCheck()
 	left := func(all []regions.Region) []regions.Conflict {
 		var kept []regions.Conflict
 		for _, c := range check(all) {
-			if len(waiving.Left([]regions.Conflict{mixture.Plain(c)})) > 0 {
+			if len(waiving.Left([]regions.Conflict{mixture.WithoutGenerations(c)})) > 0 {
 				kept = append(kept, c)
 			}
 		}
@@ -90,9 +90,9 @@
 	is := new.Regions()
 	found := findings{Conflicts: left(is)}
 	r := mixture.Order(old.Regions(), is, left)
-	found.Circle, found.Passing = r.Circle, r.Passing
+	found.Circle, found.Passing = r.Cycle, r.Transient
 	found.Conflicts = append(append(found.Conflicts, r.Blocked...), waiving.Conflicts()...)
-	for _, mid := range r.Through {
+	for _, mid := range r.Intermediate {
 		for _, one := range old.All {
 			if one.Name != mid.Name {
 				continue
@@ -104,7 +104,7 @@
 			found.Through = append(found.Through, through{mid.Name, mid.Instances, now.Hash, string(now.Text), config.Compare(one.Config, now.Config)})
 		}
 	}
-	for _, name := range r.First {
+	for _, name := range r.IntermediateOrder {
 		found.Order = append(found.Order, name+intermediate)
 	}
 	found.Order = append(found.Order, r.Order...)
@@ -117,14 +117,14 @@
 // explain prints the order, or why there is none.
 func (f findings) explain(w io.Writer, r mixture.Result) {
 	switch {
-	case r.Order != nil && len(r.Order) == 0 && len(r.Circle) == 0:
+	case r.Order != nil && len(r.Order) == 0 && len(r.Cycle) == 0:
 		fmt.Fprintln(w, "no region changes")
 		return
-	case len(r.Circle) > 0:
-		fmt.Fprintf(w, "no order as it is: %s in the way of each other\n", strings.Join(r.Circle, ", "))
+	case len(r.Cycle) > 0:
+		fmt.Fprintf(w, "no order as it is: %s in the way of each other\n", strings.Join(r.Cycle, ", "))
 	}
 	if r.Order == nil {
-		if r.Unsure {
+		if r.IsIncomplete {
 			fmt.Fprintln(w, "the search ended by its bound: an order may exist")
 		}
 		fmt.Fprintln(w, "no intermediate settings help: waive what is meant until the change is through, or change less at once")
--- a/internal/fleet/between.go
+++ b/internal/fleet/between.go
@@ -44,7 +44,7 @@
 
 // meet writes the settings of mixture.Meet as a change of old's text, and holds the result against it.
 func meet(text []byte, old, new regions.Region) ([]byte, error) {
-	want := mixture.Meet(old, new)
+	want := mixture.Strictest(old, new)
 	change, without := changeTo(old, want)
 	var r tree.Reading
 	base, ok := r.Parse("the old settings", text)
@@ -108,9 +108,9 @@
 	for i, s := range want.Services {
 		was := old.Services[i]
 		if s.SlowStart != was.SlowStart {
-			set(s.SlowStart.For.String(), "services", s.Name, "cold")
-			set(s.SlowStart.From, "services", s.Name, "cold_from")
-			set(s.SlowStart.Multiple, "services", s.Name, "fall_multiple")
+			set(s.SlowStart.WarmupTime.String(), "services", s.Name, "cold")
+			set(s.SlowStart.InitialCapacity, "services", s.Name, "cold_from")
+			set(s.SlowStart.OverloadMultiple, "services", s.Name, "fall_multiple")
 		}
 		setPlans(set, was.Plans, s.Plans)
 		without = append(without, setClasses(set, was.Classes, s.Classes)...)
--- a/internal/fleet/regional.go
+++ b/internal/fleet/regional.go
@@ -70,11 +70,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	waiving, again := f.Waiving(now), mixture.Again()
+	waiving, again := f.Waiving(now), mixture.NewIncrementalCheck()
 	check := func(all []regions.Region) (left []regions.Conflict) {
 		for _, c := range again(all) {
 			// A waiver names regions as the file does, and not by their generations.
-			if len(waiving.Left([]regions.Conflict{mixture.Plain(c)})) > 0 {
+			if len(waiving.Left([]regions.Conflict{mixture.WithoutGenerations(c)})) > 0 {
 				left = append(left, c)
 			}
 		}
@@ -86,13 +86,13 @@
 	res := mixture.Order(old, new, check)
 	if res.Order == nil {
 		return nil, nil, &ConflictError{fmt.Sprintf("there is no order in which the regions can change: %s block each other; nothing was changed",
-			strings.Join(res.Circle, ", ")), res.Blocked}
+			strings.Join(res.Cycle, ", ")), res.Blocked}
 	}
 	order := [][]string{whole(f, res.Order)}
 	between := make(map[string][]byte)
-	if len(res.Through) > 0 {
-		order = [][]string{whole(f, res.First), order[0]}
-		for _, r := range res.Through {
+	if len(res.Intermediate) > 0 {
+		order = [][]string{whole(f, res.IntermediateOrder), order[0]}
+		for _, r := range res.Intermediate {
 			i := slices.IndexFunc(old, func(o regions.Region) bool { return o.Name == r.Name })
 			if between[r.Name], err = meet(texts[r.Name], old[i], new[i]); err != nil {
 				return nil, nil, fmt.Errorf("region %s: %w", r.Name, err)
@@ -100,7 +100,7 @@
 		}
 	}
 	for i, m := range members {
-		if len(res.Through) > 0 {
+		if len(res.Intermediate) > 0 {
 			first := between[m.Region]
 			if first == nil {
 				first = texts[m.Region]
--- a/internal/fleetfile/fleetfile_test.go
+++ b/internal/fleetfile/fleetfile_test.go
@@ -108,7 +108,7 @@
 	if north.Instances != 4 || north.Members != 2 || south.Instances != 8 || south.Listeners[0] != "south.example:80" || north.Listeners[0] != "10.0.0.1:80" {
 		t.Errorf("%+v\n%+v", north, south)
 	}
-	if s := south.Services[1]; !s.Ordinary || s.Servers[0] != "a" || s.Leads[0] != "10.1.0.1:80" || s.Source != "" || s.Plans[0].HardLimitRate != 30 {
+	if s := south.Services[1]; !s.GenericHTTP || s.Servers[0] != "a" || s.Destinations[0] != "10.1.0.1:80" || s.Source != "" || s.Plans[0].HardLimitRate != 30 {
 		t.Errorf("%+v", s)
 	}
 	var got []string
@@ -145,8 +145,8 @@
 	}
 	r := of("")
 	all, app := r.Services[3], r.Services[0]
-	if all.Name != "all" || !all.Ordinary || all.Gather != "app, west [pod as ndjson, at least 0.5] as ndjson, at least 0.5" ||
-		strings.Join(all.Leads, " ") != "10.1.0.1:80 10.9.0.1:80" || all.Servers != nil || all.Plans != nil || !reflect.DeepEqual(all.Classes, app.Classes) || r.Instances != 4 {
+	if all.Name != "all" || !all.GenericHTTP || all.Gather != "app, west [pod as ndjson, at least 0.5] as ndjson, at least 0.5" ||
+		strings.Join(all.Destinations, " ") != "10.1.0.1:80 10.9.0.1:80" || all.Servers != nil || all.Plans != nil || !reflect.DeepEqual(all.Classes, app.Classes) || r.Instances != 4 {
 		t.Errorf("%+v", all)
 	}
 	for _, other := range []string{"least=0.6", "weights=[2,1]"} {
@@ -245,7 +245,7 @@
 		}
 		ends = append(ends, f.All[0])
 	}
-	mid := mixture.Meet(ends[0].Region(), ends[1].Region())
+	mid := mixture.Strictest(ends[0].Region(), ends[1].Region())
 	got, err := ends[0].Intermediate(mid)
 	if err != nil || got.Hash == ends[0].Hash || got.Region().Instances != mid.Instances {
 		t.Fatalf("%v\n%s", err, got.Text)
--- a/internal/fleetfile/intermediate.go
+++ b/internal/fleetfile/intermediate.go
@@ -62,7 +62,7 @@
 	}
 	if s.SlowStart != before.SlowStart {
 		to := in(in(doc, "services"), s.Name)
-		to["cold"], to["cold_from"], to["fall_multiple"] = s.SlowStart.For.String(), s.SlowStart.From, s.SlowStart.Multiple
+		to["cold"], to["cold_from"], to["fall_multiple"] = s.SlowStart.WarmupTime.String(), s.SlowStart.InitialCapacity, s.SlowStart.OverloadMultiple
 	}
 }
 
--- a/internal/fleetfile/regions.go
+++ b/internal/fleetfile/regions.go
@@ -30,7 +30,7 @@
 		}
 	}
 	for i, rule := range one.Config.Routes {
-		route := regions.Route{Rule: rule.Rule, As: rule.As}
+		route := regions.Route{Rule: rule.Rule, RequestClass: rule.As}
 		if i < len(one.origins) {
 			route.Base = one.origins[i].base
 			route.Line = one.origins[i].line
@@ -57,8 +57,8 @@
 func service(s config.Service) regions.Service {
 	set := s.Settings
 	v := regions.Service{
-		Name: s.Name, Ordinary: s.HTTP != nil, Classes: set.Classes, Plans: set.Plans,
-		SlowStart: regions.SlowStart{For: set.WarmupTime, From: set.InitialCapacity, Multiple: set.OverloadMultiple},
+		Name: s.Name, GenericHTTP: s.HTTP != nil, Classes: set.Classes, Plans: set.Plans,
+		SlowStart: regions.SlowStart{WarmupTime: set.WarmupTime, InitialCapacity: set.InitialCapacity, OverloadMultiple: set.OverloadMultiple},
 	}
 	if s.Counter.Name != "" {
 		// The same name at other counters is counted apart.
@@ -71,7 +71,7 @@
 		v.Source = "file " + s.Source.Path
 	}
 	for _, to := range s.Source.Endpoints {
-		v.Servers, v.Leads = append(v.Servers, to.UID), append(v.Leads, to.Address)
+		v.Servers, v.Destinations = append(v.Servers, to.UID), append(v.Destinations, to.Address)
 	}
 	return v
 }
@@ -81,13 +81,13 @@
 
 // gatherer is a service that asks others. What it takes of plans and servers is theirs, and counted there.
 func gatherer(g *config.Gather, c config.Config) regions.Service {
-	v := regions.Service{Name: g.Name, Ordinary: true, Gather: form(g, c, gathersDeep)}
+	v := regions.Service{Name: g.Name, GenericHTTP: true, Gather: form(g, c, gathersDeep)}
 	reach(g, c, gathersDeep, func(s *config.Service) {
 		// The file's classes, which all its services have. Those that can't scatter are there too: that a
 		// class is not free to repeat any more has to show here as with its parts.
 		v.Classes = s.Settings.Classes
 		for _, to := range s.Source.Endpoints {
-			v.Leads = append(v.Leads, to.Address)
+			v.Destinations = append(v.Destinations, to.Address)
 		}
 	})
 	return v
--- a/internal/regions/bench_test.go
+++ b/internal/regions/bench_test.go
@@ -33,8 +33,8 @@
 	var services []Service
 	for i := range 20 {
 		s := Service{
-			Name: fmt.Sprint("s", i), Ordinary: true, Classes: []control.Class{{Name: "read"}, {Name: "write", Idempotency: control.NotIdempotent}},
-			Source: fmt.Sprint("source", i), SlowStart: SlowStart{For: 15 * time.Second, From: 0.15, Multiple: 2.5}, Plans: []control.Plan{{Name: "p", HardLimitRate: 9, HardLimitBurst: 9}},
+			Name: fmt.Sprint("s", i), GenericHTTP: true, Classes: []control.Class{{Name: "read"}, {Name: "write", Idempotency: control.NotIdempotent}},
+			Source: fmt.Sprint("source", i), SlowStart: SlowStart{WarmupTime: 15 * time.Second, InitialCapacity: 0.15, OverloadMultiple: 2.5}, Plans: []control.Plan{{Name: "p", HardLimitRate: 9, HardLimitBurst: 9}},
 		}
 		for k := range 20 {
 			s.Servers = append(s.Servers, fmt.Sprint(20*i+k))
@@ -131,14 +131,14 @@
 			for b.Loop() {
 				for _, one := range x.regions[0].rules {
 					for _, two := range x.regions[1].rules {
-						a, ok := one.area.meet(two.area)
+						a, ok := one.requests.intersect(two.requests)
 						if !ok {
 							continue
 						}
 						if a.method == "" {
 							a.method = http.MethodGet
 						}
-						w := x.request(a)
+						w := x.minimalRequest(a)
 						differ(p.treat(w), q.treat(w))
 					}
 				}
--- a/internal/regions/tell.go
+++ b/internal/regions/conflicts.go
@@ -20,11 +20,11 @@
 }
 
 // Conflicts gives all that there are.
-func (x *Index) Conflicts() []Conflict { return x.conflicts(maxReported) }
+func (x *Index) Conflicts() []Conflict { return x.limitedConflicts(maxReported) }
 
-func (x *Index) conflicts(limit int) []Conflict {
+func (x *Index) limitedConflicts(limit int) []Conflict {
 	n := len(x.regions)
-	rest, findings, counts := x.collect()
+	rest, findings, counts := x.collectFindings()
 	// Each two regions have their place in what is told; there it is filled in by precedence.
 	var all []Conflict
 	places := make(map[Kind][]int)
@@ -46,7 +46,7 @@
 		for i, count := range counts[kind] {
 			if count > limit {
 				all[at[i]+limit] = Conflict{
-					Kind: kind, Severity: severities[kind], Regions: x.names(i/n, i%n), Rules: []string{},
+					Kind: kind, Severity: severities[kind], Regions: x.regionNames(i/n, i%n), Rules: []string{},
 					Why: fmt.Sprintf("%d more of this kind", count-limit),
 				}
 				counts[kind][i] = limit
@@ -58,7 +58,7 @@
 		at, left := places[f.kind], counts[f.kind]
 		for k, p := range f.pairs {
 			if i := int(p[0])*n + int(p[1]); left[i] > 0 {
-				all[at[i]] = x.conflict(f, k)
+				all[at[i]] = x.conflictOf(f, k)
 				at[i]++
 				left[i]--
 			}
@@ -67,23 +67,23 @@
 	return all
 }
 
-// collect gives the conflicts that are not between two regions' rules, in their order, the findings that are, by
+// collectFindings gives the conflicts that are not between two regions' rules, in their order, the findings that are, by
 // precedence, and how many there are of a kind by two regions.
-func (x *Index) collect() (rest []Conflict, findings []*finding, counts map[Kind][]int) {
+func (x *Index) collectFindings() (rest []Conflict, findings []*finding, counts map[Kind][]int) {
 	n := len(x.regions)
-	rest = append(slices.Clone(x.loops), x.sums...)
+	rest = append(slices.Clone(x.loopConflicts), x.sumConflicts...)
 	counts = make(map[Kind][]int)
-	for _, found := range []map[*cond][]finding{x.found, x.dead} {
-		conds := make([]*cond, 0, len(found))
+	for _, found := range []map[*condition][]finding{x.differences, x.deadRules} {
+		conds := make([]*condition, 0, len(found))
 		for c := range found {
 			conds = append(conds, c)
 		}
-		slices.SortFunc(conds, compare)
+		slices.SortFunc(conds, comparePrecedence)
 		for _, c := range conds {
 			for i := range found[c] {
 				f := &found[c][i]
-				if f.why != "" && f.kind != DeadKind {
-					rest = append(rest, x.undecided(f))
+				if f.reason != "" && f.kind != DeadKind {
+					rest = append(rest, x.undecidedConflict(f))
 					continue
 				}
 				findings = append(findings, f)
@@ -106,87 +106,87 @@
 	return rest, findings, counts
 }
 
-func (x *Index) names(a, b int) []string {
+func (x *Index) regionNames(a, b int) []string {
 	if a == b {
 		return []string{x.regions[a].Name}
 	}
 	return []string{x.regions[a].Name, x.regions[b].Name}
 }
 
-func (x *Index) undecided(f *finding) Conflict {
-	c := Conflict{Kind: f.kind, Severity: severities[f.kind], Why: f.why}
-	for _, u := range f.d.uses {
-		c.Regions, c.Rules = append(c.Regions, x.regions[u.region].Name), append(c.Rules, x.attrs.all[u.attr].name)
+func (x *Index) undecidedConflict(f *finding) Conflict {
+	c := Conflict{Kind: f.kind, Severity: severities[f.kind], Why: f.reason}
+	for _, u := range f.winner.uses {
+		c.Regions, c.Rules = append(c.Regions, x.regions[u.region].Name), append(c.Rules, x.ruleInfos.values[u.ruleID].name)
 	}
 	return c
 }
 
-// conflict is what a finding says of the k-th two regions, made once.
-func (x *Index) conflict(f *finding, k int) Conflict {
-	if f.told == nil {
-		f.told = make([]Conflict, len(f.pairs))
+// conflictOf is what a finding says of the k-th two regions, made once.
+func (x *Index) conflictOf(f *finding, k int) Conflict {
+	if f.conflicts == nil {
+		f.conflicts = make([]Conflict, len(f.pairs))
 	}
-	c := &f.told[k]
+	c := &f.conflicts[k]
 	if c.Kind != "" {
 		return *c
 	}
 	a, b := int32(f.pairs[k][0]), int32(f.pairs[k][1])
-	*c = Conflict{Kind: f.kind, Severity: severities[f.kind], Regions: x.names(int(a), int(b)), Witness: f.witness, Why: f.why}
+	*c = Conflict{Kind: f.kind, Severity: severities[f.kind], Regions: x.regionNames(int(a), int(b)), Witness: f.witness, Why: f.reason}
 	if f.kind == DeadKind {
-		c.Rules = []string{x.attrs.all[f.side(a)].name}
+		c.Rules = []string{x.ruleInfos.values[f.ruleIn(a)].name}
 		return *c
 	}
 	for _, r := range []int32{a, b} {
-		if at := f.side(r); at >= 0 {
-			c.Rules = append(c.Rules, x.attrs.all[at].name)
+		if at := f.ruleIn(r); at >= 0 {
+			c.Rules = append(c.Rules, x.ruleInfos.values[at].name)
 		}
 	}
-	c.Why = x.why(f, a, b)
-	if one, two := x.fateOf(f.side(a), f.witness), x.fateOf(f.side(b), f.witness); f.kind == ServiceKind && one.service == two.service {
+	c.Why = x.describe(f, a, b)
+	if one, two := x.fateOf(f.ruleIn(a), f.witness), x.fateOf(f.ruleIn(b), f.witness); f.kind == ServiceKind && one.service == two.service {
 		c.Severity = Warning // what is asked is the same, and free to repeat; the answers hold other parts
 	}
 	return *c
 }
 
-// side is the rule that a region chooses for the witness; -1 is none.
-func (f *finding) side(region int32) int32 {
-	for _, c := range []*cond{f.d, f.j} {
+// opposedRule is the rule that a region chooses for the witness; -1 is none.
+func (f *finding) ruleIn(region int32) int32 {
+	for _, c := range []*condition{f.winner, f.other} {
 		if c != nil {
-			if i, ok := c.at(region); ok && (c == f.d) == slices.Contains(f.with, region) {
-				return c.uses[i].attr
+			if i, ok := c.findUse(region); ok && (c == f.winner) == slices.Contains(f.winningRegions, region) {
+				return c.uses[i].ruleID
 			}
 		}
 	}
 	return -1
 }
 
-func (x *Index) why(f *finding, a, b int32) string {
-	as, bs := f.side(a), f.side(b)
+func (x *Index) describe(f *finding, a, b int32) string {
+	as, bs := f.ruleIn(a), f.ruleIn(b)
 	one, two := x.fateOf(as, f.witness), x.fateOf(bs, f.witness)
 	an, bn := x.regions[a].Name, x.regions[b].Name
-	if f.text == "" {
-		f.text = f.witness.String()
+	if f.requestText == "" {
+		f.requestText = f.witness.String()
 	}
 	switch f.kind {
 	case ServiceKind:
 		if one.service == two.service {
-			return f.text + " leads to service " + one.service + ", which in " + an + " " + x.gathers(one) + " and in " + bn + " " + x.gathers(two)
+			return f.requestText + " leads to service " + one.service + ", which in " + an + " " + x.describeGather(one) + " and in " + bn + " " + x.describeGather(two)
 		}
-		return f.text + " leads to service " + one.service + " in " + an + " and to " + two.service + " in " + bn
+		return f.requestText + " leads to service " + one.service + " in " + an + " and to " + two.service + " in " + bn
 	case TermsKind:
 		return fmt.Sprintf("%s is of class %q in %s (%v) and %q in %s (%v): a repeat through the other region goes by other terms",
-			f.text, one.class, an, one.terms, two.class, bn, two.terms)
+			f.requestText, one.class, an, one.terms, two.class, bn, two.terms)
 	}
-	if two.taken {
+	if two.isAccepted {
 		one, two, bs, an, bn = two, one, as, bn, an
 	}
-	why := f.text + " is taken by service " + one.service + " in " + an
+	why := f.requestText + " is taken by service " + one.service + " in " + an
 	switch {
 	case bs < 0:
 		return why + ", and no route is for it in " + bn
-	case two.gather != 0:
+	case two.gatherID != 0:
 		return why + ", and service " + two.service + " in " + bn + " gathers, which is for other requests"
-	case two.known:
+	case two.hasTerms:
 		return why + ", and " + bn + " serves its class " + two.class + " by another method"
 	case two.class == "":
 		return why + ", and service " + two.service + " in " + bn + " has no class for it"
@@ -194,12 +194,12 @@
 	return why + ", and service " + two.service + " in " + bn + " has no class " + two.class
 }
 
-// gathers tells what a service does by what it gathers.
-func (x *Index) gathers(f fate) string {
-	if f.gather == 0 {
+// describeGather tells what a service does by what it gathers.
+func (x *Index) describeGather(f disposition) string {
+	if f.gatherID == 0 {
 		return "has servers of its own"
 	}
-	return "gathers " + strings.TrimPrefix(x.texts.all[f.gather], "gather\n")
+	return "gathers " + strings.TrimPrefix(x.texts.values[f.gatherID], "gather\n")
 }
 
 // String is the request as a line.
--- a/internal/regions/mixture/class.go
+++ b/internal/regions/mixture/equality.go
@@ -16,35 +16,35 @@
 	if r == nil {
 		return control.Class{}, false
 	}
-	to, ok := find(r.Routes, rule, func(one regions.Route) string { return one.Name })
+	to, ok := findByName(r.Routes, rule, func(one regions.Route) string { return one.Name })
 	if !ok {
 		return control.Class{}, false
 	}
-	s, ok := find(r.Services, to.Service, serviceName)
-	name := to.As
+	s, ok := findByName(r.Services, to.Service, serviceName)
+	name := to.RequestClass
 	switch {
 	case name != "":
-	case !s.Ordinary:
+	case !s.GenericHTTP:
 		name = route.FirstSegment(w.Path)
 	case protocol.IsSafeMethod(w.Method):
 		name = config.ClassRead
 	default:
 		name = config.ClassWrite
 	}
-	k, has := find(s.Classes, name, className)
+	k, has := findByName(s.Classes, name, className)
 	return k, ok && has
 }
 
-// same tells whether two configurations are the same; one that isn't there is nil.
-func same(a, b *regions.Region) bool {
+// isEqual tells whether two configurations are the same; one that isn't there is nil.
+func isEqual(a, b *regions.Region) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
 	return reflect.DeepEqual(a, b)
 }
 
-// unsummed is a configuration without what sums over regions go by; nil of nil.
-func unsummed(r *regions.Region) *regions.Region {
+// withoutSums is a configuration without what sums over regions go by; nil of nil.
+func withoutSums(r *regions.Region) *regions.Region {
 	if r == nil {
 		return nil
 	}
--- a/internal/regions/mixture/again.go
+++ b/internal/regions/mixture/incremental.go
@@ -2,9 +2,9 @@
 
 import "lockflow/internal/regions"
 
-// Again is regions.Check for many mixtures of one fleet: lists with the same regions as the one before are
+// NewIncrementalCheck is regions.Check for many mixtures of one fleet: lists with the same regions as the one before are
 // looked at anew only where a region differs. Not safe for concurrent use.
-func Again() func([]regions.Region) []regions.Conflict {
+func NewIncrementalCheck() func([]regions.Region) []regions.Conflict {
 	var index *regions.Index
 	held := make(map[string]regions.Region)
 	var last []regions.Conflict
@@ -13,7 +13,7 @@
 		for _, r := range all {
 			h, has := held[r.Name]
 			known = known && has
-			if has && !identical(r, h) {
+			if has && !sharesData(r, h) {
 				differ++
 			}
 		}
@@ -29,7 +29,7 @@
 			last = index.Conflicts()
 		}
 		for _, r := range all {
-			if known && !identical(r, held[r.Name]) {
+			if known && !sharesData(r, held[r.Name]) {
 				last = index.Replace(r)
 			}
 			held[r.Name] = r
@@ -38,12 +38,12 @@
 	}
 }
 
-// identical tells whether two regions share what they were made of; if not, they may still be equal.
-func identical(a, b regions.Region) bool {
-	return a.Instances == b.Instances && a.Members == b.Members && a.Shared == b.Shared && sameList(a.Listeners, b.Listeners) &&
-		sameList(a.Routes, b.Routes) && sameList(a.Services, b.Services)
+// sharesData tells whether two regions share what they were made of; if not, they may still be equal.
+func sharesData(a, b regions.Region) bool {
+	return a.Instances == b.Instances && a.Members == b.Members && a.Shared == b.Shared && sharesList(a.Listeners, b.Listeners) &&
+		sharesList(a.Routes, b.Routes) && sharesList(a.Services, b.Services)
 }
 
-func sameList[T any](a, b []T) bool {
+func sharesList[T any](a, b []T) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
--- a/internal/regions/mixture/mixture_test.go
+++ b/internal/regions/mixture/mixture_test.go
@@ -37,7 +37,7 @@
 				})
 			}
 			for _, r := range a.Routes {
-				o, ok := find(b.Routes, r.Name, func(r regions.Route) string { return r.Name })
+				o, ok := findByName(b.Routes, r.Name, func(r regions.Route) string { return r.Name })
 				ka, _ := classOf(&a, r.Name, &regions.Witness{Path: r.Prefix})
 				kb, _ := classOf(&b, r.Name, &regions.Witness{Path: r.Prefix})
 				switch {
@@ -50,7 +50,7 @@
 				}
 			}
 			for _, r := range b.Routes {
-				if _, ok := find(a.Routes, r.Name, func(r regions.Route) string { return r.Name }); !ok {
+				if _, ok := findByName(a.Routes, r.Name, func(r regions.Route) string { return r.Name }); !ok {
 					tell(regions.CoverageKind, regions.Warning, r.Prefix, r.Name)
 				}
 			}
@@ -92,7 +92,7 @@
 			class.Deadline = d
 		}
 		s[part[0]].Classes = append(s[part[0]].Classes, class)
-		r.Routes = append(r.Routes, regions.Route{Rule: route.Rule{Name: k, Prefix: k, Service: part[0]}, As: name})
+		r.Routes = append(r.Routes, regions.Route{Rule: route.Rule{Name: k, Prefix: k, Service: part[0]}, RequestClass: name})
 	}
 	for _, one := range s {
 		r.Services = append(r.Services, *one)
@@ -123,13 +123,13 @@
 		"ceilings swap":                     {"n 1/4 a=12 b=8|s 1/4 a=8 b=12|w 1/3 a=8 b=8", "n 1/4 a=8 b=12|s 1/4 a=12 b=8|w 1/3 a=8 b=8", "n s", "n s", "n s"},
 	} {
 		r := Order(fleet(tc.old), fleet(tc.new), regions.Check)
-		if again := Order(fleet(tc.old), fleet(tc.new), Again()); !reflect.DeepEqual(r, again) {
+		if again := Order(fleet(tc.old), fleet(tc.new), NewIncrementalCheck()); !reflect.DeepEqual(r, again) {
 			t.Errorf("%s: by Again %+v\nand not %+v", name, again, r)
 		}
-		if name == "one route of one" && len(r.Passing) != 1 {
-			t.Errorf("%s: passing %+v", name, r.Passing)
+		if name == "one route of one" && len(r.Transient) != 1 {
+			t.Errorf("%s: passing %+v", name, r.Transient)
 		}
-		got := []string{strings.Join(r.Order, " "), strings.Join(r.Circle, " "), strings.Join(r.First, " ")}
+		got := []string{strings.Join(r.Order, " "), strings.Join(r.Cycle, " "), strings.Join(r.IntermediateOrder, " ")}
 		if !slices.Equal(got, []string{tc.order, tc.circle, tc.first}) {
 			t.Errorf("%s: order, circle, first %q\n%+v", name, got, r)
 		}
@@ -168,15 +168,15 @@
 		}
 		ends := map[string]bool{}
 		for _, c := range append(obvious(old), obvious(new)...) {
-			ends[key(c)] = true
+			ends[conflictKey(c)] = true
 		}
 		from := old
-		if len(r.Through) > 0 {
+		if len(r.Intermediate) > 0 {
 			mid := slices.Clone(old)
-			for _, m := range r.Through {
+			for _, m := range r.Intermediate {
 				mid[slices.IndexFunc(mid, func(o regions.Region) bool { return o.Name == m.Name })] = m
 			}
-			if why := walk(old, mid, r.First, ends, old, new); why != "" {
+			if why := walk(old, mid, r.IntermediateOrder, ends, old, new); why != "" {
 				t.Fatalf("to the intermediate: %s", why)
 			}
 			from = mid
@@ -186,21 +186,21 @@
 				t.Fatalf("%v: %s", r.Order, why)
 			}
 		}
-		if r.Circle != nil {
+		if r.Cycle != nil {
 			circles++
 			var names []string
 			for i := range old {
-				if !same(&old[i], &new[i]) {
+				if !isEqual(&old[i], &new[i]) {
 					names = append(names, old[i].Name)
 				}
 			}
 			permute(names, 0, func(order []string) {
-				if why := walk(old, new, order, ends, old, new); why == "" && len(r.Through) == 0 {
+				if why := walk(old, new, order, ends, old, new); why == "" && len(r.Intermediate) == 0 {
 					t.Fatalf("%v will do", order)
 				}
 			})
-			for _, c := range r.Circle {
-				if !slices.Contains(names, c) && len(r.Through) == 0 {
+			for _, c := range r.Cycle {
+				if !slices.Contains(names, c) && len(r.Intermediate) == 0 {
 					t.Fatalf("%s of the circle does not change", c)
 				}
 			}
@@ -229,7 +229,7 @@
 func total(all []regions.Region, plan string) (sum float64) {
 	for _, r := range all {
 		for _, s := range r.Services {
-			if p, ok := find(s.Plans, plan, planName); ok {
+			if p, ok := findByName(s.Plans, plan, planName); ok {
 				sum += p.HardLimitRate * float64(r.Members) / float64(r.Instances)
 			}
 		}
@@ -257,7 +257,7 @@
 					in[all[j].Name] = &all[j]
 				}
 				for _, c := range obvious(all) {
-					if ends[key(c)] || c.Severity != regions.Error || c.Kind == regions.ServiceKind && len(Plain(c).Regions) == 1 {
+					if ends[conflictKey(c)] || c.Severity != regions.Error || c.Kind == regions.ServiceKind && len(WithoutGenerations(c).Regions) == 1 {
 						continue
 					}
 					if c.Kind == regions.HardLimitKind && (total(all, c.Rules[0]) <= total(whole[0], c.Rules[0])*1.0001 || total(all, c.Rules[0]) <= total(whole[1], c.Rules[0])*1.0001) {
@@ -266,7 +266,7 @@
 					if c.Kind == regions.TermsKind {
 						k, _ := classOf(in[c.Regions[0]], c.Rules[0], c.Witness)
 						l, _ := classOf(in[c.Regions[1]], c.Rules[1], c.Witness)
-						if stricter(k, l) || stricter(l, k) {
+						if isStricterOrEqual(k, l) || isStricterOrEqual(l, k) {
 							continue
 						}
 					}
@@ -296,9 +296,9 @@
 		}
 		for _, at := range []time.Duration{0, time.Second, 5 * time.Second, 9 * time.Second} {
 			budget := math.Inf(1)
-			if at < s.SlowStart.For {
-				w := s.SlowStart.From + (1-s.SlowStart.From)*float64(at)/float64(s.SlowStart.For)
-				budget = max(0.32*w*s.SlowStart.Multiple, 1/float64(r.Instances))
+			if at < s.SlowStart.WarmupTime {
+				w := s.SlowStart.InitialCapacity + (1-s.SlowStart.InitialCapacity)*float64(at)/float64(s.SlowStart.WarmupTime)
+				budget = max(0.32*w*s.SlowStart.OverloadMultiple, 1/float64(r.Instances))
 			}
 			if members == 0 {
 				budget = 0
@@ -332,7 +332,7 @@
 		}
 		r.Services = []regions.Service{{
 			Name: "a", Plans: []control.Plan{plan}, Classes: []control.Class{class},
-			SlowStart: regions.SlowStart{For: time.Duration(draw(0, 2)) * 4 * time.Second, From: float64(draw(0, 3)) / 4, Multiple: float64(draw(1, 3))},
+			SlowStart: regions.SlowStart{WarmupTime: time.Duration(draw(0, 2)) * 4 * time.Second, InitialCapacity: float64(draw(0, 3)) / 4, OverloadMultiple: float64(draw(1, 3))},
 		}}
 		return r, drawn
 	}
@@ -362,7 +362,7 @@
 				}
 			}
 			k, l := a.Services[0].Classes[0], b.Services[0].Classes[0]
-			if !stricter(k, l) && !stricter(l, k) {
+			if !isStricterOrEqual(k, l) && !isStricterOrEqual(l, k) {
 				t.Fatalf("terms cross: %+v, %+v", k, l)
 			}
 		}
--- a/internal/regions/mixture/search.go
+++ b/internal/regions/mixture/search.go
@@ -9,8 +9,8 @@
 
 // Bounds of a search: mixtures looked at. Each is a check of all regions.
 const (
-	budgetLeast  = 256
-	budgetRegion = 16
+	baseSearchBudget      = 256
+	searchBudgetPerRegion = 16
 )
 
 // solve finds an order, or the least circle. First one in which mixtures have no warnings either.
@@ -23,25 +23,25 @@
 	for _, strict := range []bool{true, false} {
 		order, unsure := p.search(nil, p.changed, strict)
 		if order != nil {
-			return Result{Order: order, Passing: p.passes(order)}
+			return Result{Order: order, Transient: p.transientConflicts(order)}
 		}
-		r.Unsure = unsure
+		r.IsIncomplete = unsure
 	}
-	deepest := p.deepest
-	r.Circle, r.Blocked = p.circle()
-	if r.Circle == nil {
-		r.Circle, r.Blocked = p.least(deepest)
+	deepest := p.largestReached
+	r.Cycle, r.Blocked = p.findCycle()
+	if r.Cycle == nil {
+		r.Cycle, r.Blocked = p.smallestBlockedSet(deepest)
 	}
 	return r
 }
 
 // search looks for an order in which the regions in rest change once those in done have.
 func (p *planner) search(done, rest []string, strict bool) (order []string, unsure bool) {
-	p.strict, p.dead, p.deepest = strict, make(map[string]bool), done
-	if p.states == nil {
-		p.states = make(map[string]verdict)
+	p.strict, p.deadEnds, p.largestReached = strict, make(map[string]bool), done
+	if p.verdicts == nil {
+		p.verdicts = make(map[string]verdict)
 	}
-	p.budget = budgetLeast + budgetRegion*len(rest)
+	p.budget = baseSearchBudget + searchBudgetPerRegion*len(rest)
 	set := make(map[string]bool)
 	for _, name := range done {
 		set[name] = true
@@ -59,18 +59,18 @@
 		return true
 	}
 	at := setKey(set)
-	if p.dead[at] {
+	if p.deadEnds[at] {
 		return false
 	}
 	for _, name := range rest {
-		if set[name] || !p.ready(name, set) || p.budget <= 0 {
+		if set[name] || !p.isReady(name, set) || p.budget <= 0 {
 			continue
 		}
 		set[name] = true
-		if p.step(name, set).fine(p.strict) {
+		if p.stepVerdict(name, set).isAcceptable(p.strict) {
 			*order = append(*order, name)
-			if len(set) > len(p.deepest) {
-				p.deepest = keys(set)
+			if len(set) > len(p.largestReached) {
+				p.largestReached = sortedNames(set)
 			}
 			if p.extend(set, rest, order) {
 				return true
@@ -79,82 +79,82 @@
 		}
 		delete(set, name)
 	}
-	p.dead[at] = true
+	p.deadEnds[at] = true
 	return false
 }
 
-// ready tells whether all that have to change before a region have.
-func (p *planner) ready(name string, set map[string]bool) bool {
-	for _, c := range p.pair {
-		if c.new == name && p.counts(c) && !set[c.old] {
+// isReady tells whether all that have to change before a region have.
+func (p *planner) isReady(name string, set map[string]bool) bool {
+	for _, c := range p.pairings {
+		if c.newRegion == name && p.isBinding(c) && !set[c.oldRegion] {
 			return false
 		}
 	}
 	return true
 }
 
-func (p *planner) counts(c pairing) bool {
+func (p *planner) isBinding(c pairing) bool {
 	return c.Severity == regions.Error || p.strict && c.Severity == regions.Warning
 }
 
-// step is what the mixtures bring in which the regions in set have changed, name as the last, and those in
+// stepVerdict is what the mixtures bring in which the regions in set have changed, name as the last, and those in
 // which some of its members have.
-func (p *planner) step(name string, set map[string]bool) verdict {
-	v := p.state(set)
-	for _, list := range p.inChange(name, set) {
+func (p *planner) stepVerdict(name string, set map[string]bool) verdict {
+	v := p.verdictOf(set)
+	for _, list := range p.partialMixtures(name, set) {
 		p.budget--
 		p.mixtures++
 		for _, c := range p.check(list) {
-			if !pairwise(c.Kind) && c.Kind != regions.DeadKind && c.Kind != regions.LoopKind {
-				v = p.judge(v, c, list, nil, keys(set))
+			if !isPairwise(c.Kind) && c.Kind != regions.DeadKind && c.Kind != regions.LoopKind {
+				v = p.addConflict(v, c, list, nil, sortedNames(set))
 			}
 		}
 	}
 	return v
 }
 
-// state is what a mixture brings that neither end has.
-func (p *planner) state(set map[string]bool) verdict {
+// verdictOf is what a mixture brings that neither end has.
+func (p *planner) verdictOf(set map[string]bool) verdict {
 	at := setKey(set)
-	if v, ok := p.states[at]; ok {
+	if v, ok := p.verdicts[at]; ok {
 		return v
 	}
 	p.budget--
 	p.mixtures++
 	var v verdict
-	all := p.mixed(set, "")
+	all := p.mixtureOf(set, "")
 	in := make(map[string]*regions.Region, len(all))
 	for i := range all {
 		in[all[i].Name] = &all[i]
 	}
 	for _, c := range p.check(all) {
 		if c.Kind != regions.DeadKind { // of one region alone: an end has it
-			v = p.judge(v, c, all, in, keys(set))
+			v = p.addConflict(v, c, all, in, sortedNames(set))
 		}
 	}
-	p.states[at] = v
+	p.verdicts[at] = v
 	return v
 }
 
-func (p *planner) judge(v verdict, c regions.Conflict, all []regions.Region, in map[string]*regions.Region, changed []string) verdict {
-	if !p.fresh(c) || p.within(c, all) {
+func (p *planner) addConflict(v verdict, c regions.Conflict, all []regions.Region, in map[string]*regions.Region, changed []string) verdict {
+	if !p.isNew(c) || p.isWithinEnd(c, all) {
 		return v
 	}
-	of := severity(c, in)
-	c = told(c, changed)
+	of := severityInMixture(c, in)
+	c = inMixture(c, changed)
 	switch of {
 	case regions.Error:
 		v.errors = append(slices.Clip(v.errors), c)
-	case passing:
-		v.passing = append(slices.Clip(v.passing), c)
+	case transient:
+		v.transient = append(slices.Clip(v.transient), c)
 	default:
 		v.warnings = append(slices.Clip(v.warnings), c)
 	}
 	return v
 }
 
-// mixed is the fleet in which the regions in set have changed, without one of them.
-func (p *planner) mixed(set map[string]bool, without string) (all []regions.Region) {
+// mixtureOf is the fleet in which the regions in set have changed, without one of them.
+func (p *planner) mixtureOf(set map[string]bool, without string) (all []regions.Region) {
 	for _, name := range p.names {
 		r := p.old[name]
 		if set[name] {
@@ -171,14 +171,14 @@
 	return all
 }
 
-// inChange gives the fleets in which only some of a region's members have changed, as far as they bring
+// partialMixtures gives the fleets in which only some of a region's members have changed, as far as they bring
 // more than the states before and after do. Routes and terms of both generations are held against all
 // others by those two states, and against each other by pairs. A request that goes round through both
 // comes back to the region on the way, so it goes round in one of the two states as well. Sums are linear
 // in how many members have changed, and held to the limits that both generations state: these are the
 // corners with at least one member of each, without routes, which no sum goes by. Where it isn't known how
-// many members there are, none can be told.
-func (p *planner) inChange(name string, set map[string]bool) (lists [][]regions.Region) {
+// truncated members there are, none can be told.
+func (p *planner) partialMixtures(name string, set map[string]bool) (lists [][]regions.Region) {
 	old, new := p.old[name], p.new[name]
 	if old == nil || new == nil || old.Members == 0 || new.Members == 0 || sameSums(old, new) {
 		return nil
@@ -192,7 +192,7 @@
 		a, b := *old, *new
 		a.Members, b.Members = corner[0], corner[1]
 		a.Name, b.Name = name+aliasOld, name+aliasNew
-		list := append(p.mixed(set, name), a, b)
+		list := append(p.mixtureOf(set, name), a, b)
 		for i := range list {
 			list[i].Routes = nil
 		}
@@ -212,34 +212,34 @@
 		})
 }
 
-// passes are the differences that an order can't avoid.
-func (p *planner) passes(order []string) (all []regions.Conflict) {
+// transientConflicts are the differences that an order can't avoid.
+func (p *planner) transientConflicts(order []string) (all []regions.Conflict) {
 	seen := make(map[string]bool)
 	add := func(c regions.Conflict) {
-		c = Plain(c)
+		c = WithoutGenerations(c)
 		c.Severity = regions.Warning
-		if k := key(c); !seen[k] {
+		if k := conflictKey(c); !seen[k] {
 			seen[k] = true
 			all = append(all, c)
 		}
 	}
-	for _, c := range p.pair {
-		if c.new == c.old {
+	for _, c := range p.pairings {
+		if c.newRegion == c.oldRegion {
 			add(c.Conflict)
 		}
 	}
 	set := make(map[string]bool)
 	for _, name := range order {
 		set[name] = true
-		v := p.state(set)
-		for _, c := range append(slices.Clip(v.passing), v.warnings...) {
+		v := p.verdictOf(set)
+		for _, c := range append(slices.Clip(v.transient), v.warnings...) {
 			add(c)
 		}
 	}
 	return all
 }
 
-func keys(set map[string]bool) []string {
+func sortedNames(set map[string]bool) []string {
 	all := make([]string, 0, len(set))
 	for name := range set {
 		all = append(all, name)
@@ -248,4 +248,4 @@
 	return all
 }
 
-func setKey(set map[string]bool) string { return strings.Join(keys(set), "\x00") }
+func setKey(set map[string]bool) string { return strings.Join(sortedNames(set), "\x00") }
--- a/internal/regions/outcome.go
+++ b/internal/regions/outcome.go
@@ -45,67 +45,67 @@
 	classWrite = "write"
 )
 
-// way is how a rule's requests have their class.
-type way uint8
+// classSource is how a rule's requests have their class.
+type classSource uint8
 
 const (
-	named    way = iota // by the rule, or by its paths' first segment
-	byMethod            // ordinary: read or write
-	byPath              // the first segment of the path
+	classFromRule   classSource = iota // by the rule, or by its paths' first segment
+	classFromMethod                    // ordinary: read or write
+	classFromPath                      // the first segment of the path
 )
 
 // outcome is what a rule leads to, as far as requests can tell. Equal ones treat all requests alike.
 type outcome struct {
-	service  string
-	way      way
-	ordinary bool
-	class    string // with named
-	table    int32  // of the classes that its requests can have; 0 is not known
-	gather   int32  // text of what it gathers; 0 is no gatherer
+	service     string
+	classSource classSource
+	genericHTTP bool
+	class       string // winning named
+	tableID     int32  // ids the classes that its requests can have; 0 is not known
+	gatherID    int32  // requestText of what it gathers; 0 is no gatherer
 }
 
-// attr is a region's side of a rule.
-type attr struct {
-	name  string
-	base  bool
-	out   int32
-	leads int32 // 0 is nowhere that is known
+// ruleID is a region's side of a rule.
+type ruleInfo struct {
+	name           string
+	isFromBase     bool
+	outcomeID      int32
+	destinationsID int32 // 0 is nowhere that is known
 }
 
-// intern gives values numbers, from 1 on; the zero value has its number 0 from the start.
-type intern[T comparable] struct {
-	of  map[T]int32
-	all []T
+// internTable gives values numbers, from 1 on; the zero value has its number 0 from the start.
+type internTable[T comparable] struct {
+	ids    map[T]int32
+	values []T
 }
 
-func (n *intern[T]) id(v T) int32 {
-	if n.of == nil {
+func (n *internTable[T]) id(v T) int32 {
+	if n.ids == nil {
 		var zero T
-		n.of, n.all = map[T]int32{zero: 0}, []T{zero}
+		n.ids, n.values = map[T]int32{zero: 0}, []T{zero}
 	}
-	i, ok := n.of[v]
+	i, ok := n.ids[v]
 	if !ok {
-		i = int32(len(n.all))
-		n.of[v], n.all = i, append(n.all, v)
+		i = int32(len(n.values))
+		n.ids[v], n.values = i, append(n.values, v)
 	}
 	return i
 }
 
-// book holds what rules lead to.
-type book struct {
-	attrs  intern[attr]
-	outs   intern[outcome]
-	texts  intern[string] // tables and leads as texts
-	tables map[int32]map[string]terms
-	leads  map[int32][]string
+// registry holds what rules lead to.
+type registry struct {
+	ruleInfos    internTable[ruleInfo]
+	outcomes     internTable[outcome]
+	texts        internTable[string] // classTables and leads as texts
+	classTables  map[int32]map[string]terms
+	destinations map[int32][]string
 }
 
-func newBook() *book {
-	return &book{tables: make(map[int32]map[string]terms), leads: make(map[int32][]string)}
+func newRegistry() *registry {
+	return &registry{classTables: make(map[int32]map[string]terms), destinations: make(map[int32][]string)}
 }
 
-// table is the number of a set of classes. With only, that one alone or without it.
-func (b *book) table(all []control.Class, only ...string) int32 {
+// classTable is the number of a set of classes. With only, that one alone or without it.
+func (b *registry) classTable(all []control.Class, only ...string) int32 {
 	if len(all) == 0 {
 		return 0
 	}
@@ -119,171 +119,171 @@
 	}
 	slices.Sort(lines)
 	id := b.texts.id("classes\n" + strings.Join(lines, "\n"))
-	b.tables[id] = t
+	b.classTables[id] = t
 	return id
 }
 
-// attr is the number of what a region's rule leads to. envs remembers the region's services.
-func (b *book) attr(r *Route, env *environment) int32 {
-	o := outcome{service: r.Service, class: r.As}
+// ruleID is the number of what a region's rule leads to. envs remembers the region's services.
+func (b *registry) ruleID(r *Route, env *environment) int32 {
+	o := outcome{service: r.Service, class: r.RequestClass}
 	sv := env.services[r.Service]
 	if sv != nil {
-		o.ordinary = sv.Ordinary
+		o.genericHTTP = sv.GenericHTTP
 		if sv.Gather != "" {
-			o.gather = b.texts.id("gather\n" + sv.Gather)
+			o.gatherID = b.texts.id("gather\n" + sv.Gather)
 		}
 	}
 	switch {
-	case r.As != "":
-	case o.ordinary:
-		o.way = byMethod
+	case r.RequestClass != "":
+	case o.genericHTTP:
+		o.classSource = classFromMethod
 	default:
 		if o.class = cmp.Or(route.FirstSegment(r.Path+r.Prefix), r.Class); o.class == "" && r.Path == "" {
-			o.way = byPath
+			o.classSource = classFromPath
 		}
 	}
-	a := attr{name: r.Name, base: r.Base}
+	a := ruleInfo{name: r.Name, isFromBase: r.Base}
 	if sv != nil {
-		k := tableKey{r.Service, o.way, o.class}
-		id, ok := env.tables[k]
+		k := tableKey{r.Service, o.classSource, o.class}
+		id, ok := env.tableIDs[k]
 		if !ok {
-			switch o.way {
-			case named:
-				id = b.table(sv.Classes, o.class)
-			case byMethod:
-				id = b.table(sv.Classes, classRead, classWrite)
+			switch o.classSource {
+			case classFromRule:
+				id = b.classTable(sv.Classes, o.class)
+			case classFromMethod:
+				id = b.classTable(sv.Classes, classRead, classWrite)
 			default:
-				id = b.table(sv.Classes)
+				id = b.classTable(sv.Classes)
 			}
-			env.tables[k] = id
+			env.tableIDs[k] = id
 		}
-		o.table, a.leads = id, env.leads[r.Service]
+		o.tableID, a.destinationsID = id, env.destinationIDs[r.Service]
 	}
-	a.out = b.outs.id(o)
-	return b.attrs.id(a)
+	a.outcomeID = b.outcomes.id(o)
+	return b.ruleInfos.id(a)
 }
 
 // environment is a region's services, by name.
 type environment struct {
-	services map[string]*Service
-	tables   map[tableKey]int32
-	leads    map[string]int32
+	services       map[string]*Service
+	tableIDs       map[tableKey]int32
+	destinationIDs map[string]int32
 }
 
 type tableKey struct {
-	service string
-	way     way
-	class   string
+	service     string
+	classSource classSource
+	class       string
 }
 
-func (b *book) environment(r *Region) *environment {
+func (b *registry) environment(r *Region) *environment {
 	e := &environment{make(map[string]*Service), make(map[tableKey]int32), make(map[string]int32)}
 	for i := range r.Services {
 		s := &r.Services[i]
 		e.services[s.Name] = s
-		if len(s.Leads) > 0 {
-			all := slices.Compact(slices.Sorted(slices.Values(s.Leads)))
+		if len(s.Destinations) > 0 {
+			all := slices.Compact(slices.Sorted(slices.Values(s.Destinations)))
 			id := b.texts.id("leads\n" + strings.Join(all, "\n"))
-			e.leads[s.Name], b.leads[id] = id, all
+			e.destinationIDs[s.Name], b.destinations[id] = id, all
 		}
 	}
 	return e
 }
 
-// fate is what becomes of a request.
-type fate struct {
-	taken   bool // by a service that has its class
-	service string
-	class   string
-	known   bool // its terms
-	terms   terms
-	gather  int32 // as the outcome's
+// disposition is what becomes of a request.
+type disposition struct {
+	isAccepted bool // by a service that has its class
+	service    string
+	class      string
+	hasTerms   bool // its terms
+	terms      terms
+	gatherID   int32 // as the outcome's
 }
 
-// fate is what a rule's outcome makes of a request.
-func (b *book) fate(attr int32, w *Witness) fate {
-	o := &b.outs.all[b.attrs.all[attr].out]
-	f := fate{taken: true, service: o.service, class: o.class, gather: o.gather}
-	switch o.way {
-	case byMethod:
+// disposition is what a rule's outcome makes of a request.
+func (b *registry) disposition(attr int32, w *Witness) disposition {
+	o := &b.outcomes.values[b.ruleInfos.values[attr].outcomeID]
+	f := disposition{isAccepted: true, service: o.service, class: o.class, gatherID: o.gatherID}
+	switch o.classSource {
+	case classFromMethod:
 		if f.class = classWrite; protocol.IsSafeMethod(w.Method) {
 			f.class = classRead
 		}
-	case byPath:
+	case classFromPath:
 		f.class = route.FirstSegment(w.Path)
 	}
-	if o.ordinary && w.Method == http.MethodTrace {
-		f.taken = false
+	if o.genericHTTP && w.Method == http.MethodTrace {
+		f.isAccepted = false
 	}
-	if o.gather != 0 && (w.Method == http.MethodOptions || w.Method == http.MethodConnect ||
-		o.way == byMethod && w.Method != http.MethodGet && w.Method != http.MethodHead) {
-		f.taken = false
+	if o.gatherID != 0 && (w.Method == http.MethodOptions || w.Method == http.MethodConnect ||
+		o.classSource == classFromMethod && w.Method != http.MethodGet && w.Method != http.MethodHead) {
+		f.isAccepted = false
 	}
-	if o.table == 0 {
+	if o.tableID == 0 {
 		return f
 	}
-	if f.terms, f.known = b.tables[o.table][f.class]; !f.known {
-		f.taken = false
+	if f.terms, f.hasTerms = b.classTables[o.tableID][f.class]; !f.hasTerms {
+		f.isAccepted = false
 		return f
 	}
-	if o.gather != 0 && f.terms.effect != control.Idempotent {
-		f.taken = false
+	if o.gatherID != 0 && f.terms.effect != control.Idempotent {
+		f.isAccepted = false
 	}
-	if !o.ordinary {
-		// As the platform's clients ask: by GET for what is free to repeat, else by POST.
+	if !o.genericHTTP {
+		// RequestClass the platform's clients ask: by GET for what is free to repeat, else by POST.
 		want := http.MethodPost
 		if f.terms.effect == control.Idempotent {
 			want = http.MethodGet
 		}
-		f.taken = w.Method == want
+		f.isAccepted = w.Method == want
 	}
 	return f
 }
 
-// apart gives the kinds by which two regions' fates of one request conflict.
-func apart(a, b fate) (service, coverage, other bool) {
-	service = a.taken && b.taken && (a.service != b.service || a.gather != b.gather)
-	coverage = a.taken != b.taken
-	other = a.known && b.known && a.terms != b.terms && (a.service == b.service || a.class == b.class)
+// differences gives the kinds by which two regions' fates of one request conflict.
+func differences(a, b disposition) (service, coverage, other bool) {
+	service = a.isAccepted && b.isAccepted && (a.service != b.service || a.gatherID != b.gatherID)
+	coverage = a.isAccepted != b.isAccepted
+	other = a.hasTerms && b.hasTerms && a.terms != b.terms && (a.service == b.service || a.class == b.class)
 	return
 }
 
 // byClasses gives an area of any path, and those in it of each class that a path names to rules of these outcomes.
-func (x *Index) byClasses(a area, attrs []int32) []area {
-	all := []area{a}
+func (x *Index) byClasses(a requestSet, attrs []int32) []requestSet {
+	all := []requestSet{a}
 	if a.exact || a.path != "" {
 		return all
 	}
 	for _, at := range attrs {
-		o := &x.outs.all[x.attrs.all[at].out]
-		if o.way != byPath {
+		o := &x.outcomes.values[x.ruleInfos.values[at].outcomeID]
+		if o.classSource != classFromPath {
 			continue
 		}
-		for class := range x.tables[o.table] {
-			if b, ok := a.meet(area{path: "/" + class}); ok && !slices.ContainsFunc(all, func(c area) bool { return c.path == b.path }) {
+		for class := range x.classTables[o.tableID] {
+			if b, ok := a.intersect(requestSet{path: "/" + class}); ok && !slices.ContainsFunc(all, func(c requestSet) bool { return c.path == b.path }) {
 				all = append(all, b)
 			}
 		}
 	}
-	slices.SortFunc(all, func(a, b area) int { return cmp.Compare(a.path, b.path) })
+	slices.SortFunc(all, func(a, b requestSet) int { return cmp.Compare(a.path, b.path) })
 	return all
 }
 
 // variants gives the areas of which one has a request that shows what rules of these outcomes do with
 // the least requests of an area: by each method and class that makes a difference to them.
-func (x *Index) variants(a area, attrs []int32) []area {
+func (x *Index) variants(a requestSet, attrs []int32) []requestSet {
 	all := x.byClasses(a, attrs)
 	if a.method != "" {
 		return all
 	}
 	var platform, byClass bool
 	for _, at := range attrs {
-		o := &x.outs.all[x.attrs.all[at].out]
-		platform = platform || !o.ordinary && o.table != 0 || o.gather != 0 // more than a method's safety counts
-		byClass = byClass || o.way == byMethod
+		o := &x.outcomes.values[x.ruleInfos.values[at].outcomeID]
+		platform = platform || !o.genericHTTP && o.tableID != 0 || o.gatherID != 0 // more than a method's safety counts
+		byClass = byClass || o.classSource == classFromMethod
 	}
-	other, methods := x.freshMethod(false), []string(nil)
-	switch safe := x.freshMethod(true); {
+	other, methods := x.unusedMethod(false), []string(nil)
+	switch safe := x.unusedMethod(true); {
 	case platform || byClass && safe == "":
 		methods = []string{http.MethodGet, http.MethodPost, http.MethodHead, http.MethodOptions, other}
 	case byClass:
@@ -291,7 +291,7 @@
 	default:
 		methods = []string{cmp.Or(safe, other)}
 	}
-	var out []area
+	var out []requestSet
 	for _, a := range all {
 		for _, m := range methods {
 			a.method = m
--- a/internal/regions/regions_test.go
+++ b/internal/regions/regions_test.go
@@ -81,13 +81,13 @@
 	}
 	one := p.Routes[i]
 	s := p.by[one.Service]
-	got = treated{rule: one.Name, service: one.Service, class: one.As, taken: true}
-	if one.As == "" && s.Ordinary {
+	got = treated{rule: one.Name, service: one.Service, class: one.RequestClass, taken: true}
+	if one.RequestClass == "" && s.GenericHTTP {
 		got.class = "write"
 		if slices.Contains([]string{"GET", "HEAD", "OPTIONS"}, w.Method) {
 			got.class = "read"
 		}
-	} else if one.As == "" {
+	} else if one.RequestClass == "" {
 		got.class = route.FirstSegment(w.Path)
 	}
 	for _, k := range s.Classes {
@@ -98,10 +98,10 @@
 	if s.Gather != "" {
 		got.gather = s.Gather
 		got.taken = got.terms == nil || got.terms.Idempotency == control.Idempotent
-		got.taken = got.taken && (w.Method == "GET" || w.Method == "HEAD" || one.As != "" && w.Method != "OPTIONS")
+		got.taken = got.taken && (w.Method == "GET" || w.Method == "HEAD" || one.RequestClass != "" && w.Method != "OPTIONS")
 	}
 	if len(s.Classes) > 0 {
-		got.taken = got.taken && got.terms != nil && (s.Ordinary || (got.terms.Idempotency == control.Idempotent) == (w.Method == "GET") && (w.Method == "GET" || w.Method == "POST"))
+		got.taken = got.taken && got.terms != nil && (s.GenericHTTP || (got.terms.Idempotency == control.Idempotent) == (w.Method == "GET") && (w.Method == "GET" || w.Method == "POST"))
 	}
 	return got
 }
@@ -139,21 +139,21 @@
 		}
 	}
 	for i, n := range []string{"s", "t", "u"} {
-		s := Service{Name: n, Ordinary: rapid.Bool().Draw(t, "ordinary")}
+		s := Service{Name: n, GenericHTTP: rapid.Bool().Draw(t, "ordinary")}
 		for _, k := range [][]string{{"read", "write", "a"}, {"a", "b"}, {"read", "a"}, nil}[rapid.IntRange(0, 3).Draw(t, "classes")] {
 			s.Classes = append(s.Classes, class(k))
 		}
 		if i > 0 {
-			if s.Ordinary && rapid.Bool().Draw(t, "gathers") {
+			if s.GenericHTTP && rapid.Bool().Draw(t, "gathers") {
 				s.Gather = pick("gather", "x", "x, y")
 			}
-			s.Leads = rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"n:80", "o:80", "p:80", "q:80"}), 0, 2, rapid.ID).Draw(t, "leads")
+			s.Destinations = rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"n:80", "o:80", "p:80", "q:80"}), 0, 2, rapid.ID).Draw(t, "leads")
 		}
 		r.Services = append(r.Services, s)
 	}
 	r.Routes = slices.Clone(base)
 	for i := range rapid.IntRange(0, 4).Draw(t, "rules") {
-		one := Route{As: pick("as", "", "", "a")}
+		one := Route{RequestClass: pick("as", "", "", "a")}
 		one.Name, one.Service = fmt.Sprint(name, i), pick("service", "s", "t", "u")
 		one.Host, one.Method, one.Class = pick("host", "", "", "a.x", "*.x", "*.a.x", "b.a.x"), pick("method", "", "", "GET", "POST"), pick("class", "", "", "a", "b")
 		path := pick("path", "", "/a", "/ab", "/b", "/a/a", "/a/b")
@@ -241,7 +241,7 @@
 			}
 		}
 		x := NewIndex(all)
-		for _, c := range x.conflicts(math.MaxInt) {
+		for _, c := range x.limitedConflicts(math.MaxInt) {
 			w := c.Witness
 			switch c.Kind {
 			case DeadKind:
@@ -298,10 +298,10 @@
 	rules := make([]string, len(all))
 	for i, p := range all {
 		got := p.treat(w)
-		if rules[i] = got.rule; !got.taken || got.gather != "" && w.Method == "HEAD" { // goes on as GET
+		if rules[i] = got.rule; !got.taken || got.gather != "" && w.Method == "HEAD" { // isFollowedByMinimal on as GET
 			continue
 		}
-		for _, to := range p.by[got.service].Leads {
+		for _, to := range p.by[got.service].Destinations {
 			if j := slices.IndexFunc(all, func(q *plain) bool { return q.Listeners[0] == to }); j >= 0 {
 				next[i] = append(next[i], j)
 			}
@@ -331,7 +331,7 @@
 	leads := func(i, j int) bool {
 		p := all[slices.IndexFunc(all, func(p *plain) bool { return p.Name == c.Regions[i] })]
 		got := p.treat(c.Witness)
-		return got.taken && !(got.gather != "" && c.Witness.Method == "HEAD") && got.rule == c.Rules[i] && slices.Contains(p.by[got.service].Leads, c.Regions[j]+":80")
+		return got.taken && !(got.gather != "" && c.Witness.Method == "HEAD") && got.rule == c.Rules[i] && slices.Contains(p.by[got.service].Destinations, c.Regions[j]+":80")
 	}
 	forth, back := true, true
 	for i := range n {
--- a/internal/regions/area.go
+++ b/internal/regions/request_set.go
@@ -7,9 +7,9 @@
 	"lockflow/internal/route"
 )
 
-// area is the requests that conditions hold for: a host with those below it, a path with those below it,
+// requestSet is the requests that conditions hold for: a host with those below it, a path with those below it,
 // a method and conditions on headers. A named class is the paths below its segment.
-type area struct {
+type requestSet struct {
 	host    string // as a rule's
 	path    string // exact, or a prefix of whole segments; "" is any
 	exact   bool
@@ -17,8 +17,8 @@
 	headers []route.Header // each name once
 }
 
-func areaOf(r *route.Rule) area {
-	a := area{host: r.Host, path: r.Prefix, method: r.Method, headers: r.Headers}
+func requestsOf(r *route.Rule) requestSet {
+	a := requestSet{host: r.Host, path: r.Prefix, method: r.Method, headers: r.Headers}
 	if r.Path != "" {
 		a.path, a.exact = r.Path, true
 	} else if r.Class != "" {
@@ -27,21 +27,21 @@
 	return a
 }
 
-// meet is what two areas have in common, and false where that is nothing.
-func (a area) meet(b area) (area, bool) {
+// intersect is what two areas have in common, and false where that is nothing.
+func (a requestSet) intersect(b requestSet) (requestSet, bool) {
 	var ok bool
-	if a.host, ok = meetHosts(a.host, b.host); !ok {
+	if a.host, ok = intersectHosts(a.host, b.host); !ok {
 		return a, false
 	}
 	switch {
 	case a.exact && b.exact:
 		ok = a.path == b.path
 	case a.exact:
-		ok = below(a.path, b.path)
-	case below(b.path, a.path):
+		ok = isBelow(a.path, b.path)
+	case isBelow(b.path, a.path):
 		a.path, a.exact = b.path, b.exact
 	default:
-		ok = !b.exact && below(a.path, b.path)
+		ok = !b.exact && isBelow(a.path, b.path)
 	}
 	if !ok || a.method != "" && b.method != "" && a.method != b.method {
 		return a, false
@@ -49,37 +49,37 @@
 	if a.method == "" {
 		a.method = b.method
 	}
-	a.headers, ok = meetHeaders(a.headers, b.headers)
+	a.headers, ok = intersectHeaders(a.headers, b.headers)
 	return a, ok
 }
 
-func meetHosts(a, b string) (string, bool) {
+func intersectHosts(a, b string) (string, bool) {
 	switch {
 	case a == b || b == "":
 		return a, true
 	case a == "":
 		return b, true
-	case hostBelow(a, b):
+	case isHostBelow(a, b):
 		return a, true
-	case hostBelow(b, a):
+	case isHostBelow(b, a):
 		return b, true
 	}
 	return "", false
 }
 
-// hostBelow tells whether all hosts of a are among those of the wildcard b.
-func hostBelow(a, b string) bool {
+// isHostBelow tells whether all hosts of a are among those of the wildcard b.
+func isHostBelow(a, b string) bool {
 	suffix, wild := strings.CutPrefix(b, "*")
 	a = strings.TrimPrefix(a, "*")
 	return wild && len(a) > len(suffix) && strings.HasSuffix(a, suffix)
 }
 
-// below tells whether a path is one of a prefix of whole segments.
-func below(path, prefix string) bool {
+// eachBelow tells whether a path is one of a prefix of whole segments.
+func isBelow(path, prefix string) bool {
 	return strings.HasPrefix(path, prefix) && (len(path) == len(prefix) || path[len(prefix)] == '/')
 }
 
-func meetHeaders(a, b []route.Header) ([]route.Header, bool) {
+func intersectHeaders(a, b []route.Header) ([]route.Header, bool) {
 	if len(a) == 0 || len(b) == 0 {
 		return append(a[:len(a):len(a)], b...), true
 	}
@@ -101,9 +101,9 @@
 	return out, true
 }
 
-// header is the least that the conditions on headers ask for: what may be absent is, and what may have
+// minimalHeaders is the least that the conditions on headers ask for: what may be absent is, and what may have
 // any value has one that no rule names.
-func (s *space) header(a area) http.Header {
+func (s *conditionIndex) minimalHeaders(a requestSet) http.Header {
 	if len(a.headers) == 0 {
 		return nil
 	}
@@ -111,15 +111,15 @@
 	for _, h := range a.headers {
 		v := h.Value
 		if h.Any {
-			v = s.freshValue(h.Name)
+			v = s.unusedHeaderValue(h.Name)
 		}
 		out[h.Name] = []string{v}
 	}
 	return out
 }
 
-// nowhere tells whether no request can have a condition's host or path: the path would hold what begins a
+// matchesNothing tells whether no request can have a condition's host or path: the path would hold what begins a
 // query, or the wildcard has no room for a label.
-func (c *cond) nowhere() bool {
-	return strings.Contains(c.area.path, "?") || c.area.host != "" && c.area.host[0] == '*' && len(c.area.host) > maxHostBytes
+func (c *condition) matchesNothing() bool {
+	return strings.Contains(c.requests.path, "?") || c.requests.host != "" && c.requests.host[0] == '*' && len(c.requests.host) > maxHostBytes
 }
--- a/internal/regions/sums_test.go
+++ b/internal/regions/sums_test.go
@@ -17,7 +17,7 @@
 		r := Region{Name: string(rune('a' + i)), Instances: s[0], Members: s[1], Services: []Service{{
 			Name:    "s",
 			Plans:   []control.Plan{{Name: "p", HardLimitRate: 100, HardLimitBurst: 50, HardLimitSlack: 10}},
-			Servers: []string{"1", fmt.Sprint("own", i)}, SlowStart: SlowStart{For: 15 * time.Second, From: 0.15, Multiple: 2.5},
+			Servers: []string{"1", fmt.Sprint("own", i)}, SlowStart: SlowStart{WarmupTime: 15 * time.Second, InitialCapacity: 0.15, OverloadMultiple: 2.5},
 		}}}
 		change(i, &r)
 		all = append(all, r)
@@ -60,11 +60,11 @@
 		"four lists":         {cold(func(int, *Service) {}), four, "cold error 0.48 of a warm one's work together, it falls at 0.375"},
 		"one list":           {cold(func(_ int, s *Service) { s.Servers = []string{"1", "2"} }), four, ""},
 		"one source":         {cold(func(_ int, s *Service) { s.Servers, s.Source = nil, "agent" }), four, ""},
-		"one does not ramp":  {cold(func(i int, s *Service) { s.SlowStart.For *= time.Duration(i) }), two, "cold error it falls at 0.375"},
+		"one does not ramp":  {cold(func(i int, s *Service) { s.SlowStart.WarmupTime *= time.Duration(i) }), two, "cold error it falls at 0.375"},
 		"told of one each":   {cold(func(int, *Service) {}), [][2]int{{1, 2}, {1, 2}}, "cold error 4 requests a second"},
 		"one region alone":   {cold(func(int, *Service) {}), [][2]int{{1, 4}}, "cold error 4 requests a second"},
-		"nothing falls":      {cold(func(_ int, s *Service) { s.SlowStart.Multiple = 0 }), four, ""},
-		"another view of it": {cold(func(i int, s *Service) { s.SlowStart.From += 0.85 * float64(i) }), two, "cold error it falls at 0.375"},
+		"nothing falls":      {cold(func(_ int, s *Service) { s.SlowStart.OverloadMultiple = 0 }), four, ""},
+		"another view of it": {cold(func(i int, s *Service) { s.SlowStart.InitialCapacity += 0.85 * float64(i) }), two, "cold error it falls at 0.375"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			told := summed(tc.change, tc.sizes...)
@@ -113,9 +113,9 @@
 		var all []Region
 		for i, n := range []string{"a", "b"} {
 			all = append(all, Region{Name: n, Listeners: []string{n}, Routes: tc.routes, Services: []Service{
-				{Name: "own", Ordinary: tc.ordinary},
-				{Name: "peer", Ordinary: tc.ordinary, Leads: []string{[]string{"b", "a"}[i]}},
-				{Name: "gathers", Ordinary: true, Gather: "peer", Leads: []string{[]string{"b", "a"}[i]}},
+				{Name: "own", GenericHTTP: tc.ordinary},
+				{Name: "peer", GenericHTTP: tc.ordinary, Destinations: []string{[]string{"b", "a"}[i]}},
+				{Name: "gathers", GenericHTTP: true, Gather: "peer", Destinations: []string{[]string{"b", "a"}[i]}},
 			}})
 		}
 		if told := Check(all); len(told) != min(1, len(tc.want)) || len(told) == 1 && (told[0].Kind != LoopKind || told[0].Severity != tc.want) {
--- a/internal/regions/types.go
+++ b/internal/regions/types.go
@@ -25,22 +25,22 @@
 // Route is one rule, compiled by route as the node itself does.
 type Route struct {
 	route.Rule
-	As   string // class that its requests have; "" is for the protocol to tell
-	Base bool   // it stands in the base unchanged
-	Line int    // in the region's file; 0 is unknown
+	RequestClass string // classRules that its requests have; "" is for the protocol to tell
+	Base         bool   // it stands in the base unchanged
+	Line         int    // pathRegions the region's file; 0 is unknown
 }
 
 // Service is what matters of a service beyond its region.
 type Service struct {
-	Name      string
-	Ordinary  bool // HTTP: a route without a class means read or write by method; else the path's first segment
-	Classes   []control.Class
-	Plans     []control.Plan
-	Counter   string   // name of what is counted at shared counters; "" is none
-	Servers   []string // uids of app servers that its configuration lists or its source names; see Source
-	Source    string   // of its servers, for equality: two services of one source have the same servers
-	Leads     []string // host:port of servers listed in the file: where its requests go on
-	SlowStart SlowStart
+	Name         string
+	GenericHTTP  bool // HTTP: a route without a class means read or write by method; else the path's first segment
+	Classes      []control.Class
+	Plans        []control.Plan
+	Counter      string   // name of what is counted at shared counters; "" is none
+	Servers      []string // uids of app servers that its configuration lists or its source names; see Source
+	Source       string   // ids its servers, for equality: two services of one source have the same servers
+	Destinations []string // host:port of servers listed in the file: where its requests go on
+	SlowStart    SlowStart
 	// Gather is of a service that asks others and gives their answers as one: whom, how it joins them and
 	// what is enough of them, for equality; "" is none. Leads are then those of all that it reaches. It is
 	// ordinary, takes no more than what is free to repeat, and asks by GET where it is asked by HEAD.
@@ -49,9 +49,9 @@
 
 // SlowStart is what a service lets a cold server have, over the whole group that its instances believe in.
 type SlowStart struct {
-	For      time.Duration // that a server counts as cold; 0 is never
-	From     float64       // share of a warm server's work at the start
-	Multiple float64       // of what it may have at which a server falls; 0 is none
+	WarmupTime       time.Duration // that a server counts as cold; 0 is never
+	InitialCapacity  float64       // share of a warm server's work at the start
+	OverloadMultiple float64       // ids what it may have at which a server falls; 0 is none
 }
 
 // Kind is what a conflict is about.
@@ -90,7 +90,7 @@
 	Kind     Kind     `json:"kind"`
 	Severity Severity `json:"severity"`
 	Regions  []string `json:"regions"` // sorted
-	Rules    []string `json:"rules"`   // names of routes, plans, classes or servers, one for each region where that fits
+	Rules    []string `json:"rules"`   // regionNames of routes, plans, classes or servers, one for each region where that fits
 	Why      string   `json:"why"`
-	Witness  *Witness `json:"witness,omitempty"` // of kinds that are about requests
+	Witness  *Witness `json:"witness,omitempty"` // ids kinds that are about requests
 }
