--- a/internal/regions/conflicts.go
+++ b/internal/regions/conflicts.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// maxReported is the most conflicts of one kind that are told of two regions. That there are more is told by
-// one without rules, which no waiver of a rule can hide.
+// maxReported is the largest number of conflicts of one kind between two regions that are reported. That
+// there are more is reported by one without rules, which no waiver of a rule can hide.
 const maxReported = 100
 
-// kinds is the order in which conflicts are told.
+// kinds is the order in which conflicts are reported.
 var kinds = []Kind{HardLimitKind, SlowStartKind, CoverageKind, DeadKind, LoopKind, ServiceKind, TermsKind}
 
 var severities = map[Kind]Severity{
@@ -19,87 +19,96 @@
 	LoopKind: Error, DeadKind: Warning,
 }
 
-// Conflicts gives all that there are.
+// Conflicts returns all conflicts between the regions, sorted by kind, regions and precedence.
 func (x *Index) Conflicts() []Conflict { return x.limitedConflicts(maxReported) }
 
+// limitedConflicts returns the conflicts, at most limit of one kind between two regions.
 func (x *Index) limitedConflicts(limit int) []Conflict {
-	n := len(x.regions)
 	rest, findings, counts := x.collectFindings()
-	// Each two regions have their place in what is told; there it is filled in by precedence.
+	// Each pair of regions has a range of the result, which its findings fill in by precedence.
 	var all []Conflict
-	places := make(map[Kind][]int)
+	next := make(map[Kind][]int) // by pair: the position of its next conflict
 	for _, kind := range kinds {
 		for _, c := range rest {
 			if c.Kind == kind {
 				all = append(all, c)
 			}
 		}
-		at := make([]int, len(counts[kind]))
-		total := len(all)
-		for i, count := range counts[kind] {
-			at[i] = total
-			if total += min(count, limit); count > limit {
-				total++
+		all, next[kind] = x.reserve(all, kind, counts[kind], limit)
+	}
+	for _, found := range findings {
+		positions := next[found.kind]
+		remaining := counts[found.kind]
+		for k, pair := range found.pairs {
+			if i := x.pairIndex(pair); remaining[i] > 0 {
+				all[positions[i]] = x.conflictOf(found, k)
+				positions[i]++
+				remaining[i]--
 			}
 		}
-		all = append(all, make([]Conflict, total-len(all))...)
-		for i, count := range counts[kind] {
-			if count > limit {
-				all[at[i]+limit] = Conflict{
-					Kind: kind, Severity: severities[kind], Regions: x.regionNames(i/n, i%n), Rules: []string{},
-					Why: fmt.Sprintf("%d more of this kind", count-limit),
-				}
-				counts[kind][i] = limit
-			}
+	}
+	return all
+}
+
+// reserve appends empty entries for the conflicts of a kind, counted by pair, and returns where those of each pair
+// start. Counts above the limit are cut to it, and a conflict says how many were left out.
+func (x *Index) reserve(all []Conflict, kind Kind, counts []int, limit int) (reserved []Conflict, starts []int) {
+	starts = make([]int, len(counts))
+	total := len(all)
+	for i, count := range counts {
+		starts[i] = total
+		total += min(count, limit)
+		if count > limit {
+			total++
 		}
-		places[kind] = at
 	}
-	for _, f := range findings {
-		at, left := places[f.kind], counts[f.kind]
-		for k, p := range f.pairs {
-			if i := int(p[0])*n + int(p[1]); left[i] > 0 {
-				all[at[i]] = x.conflictOf(f, k)
-				at[i]++
-				left[i]--
+	reserved = append(all, make([]Conflict, total-len(all))...)
+	for i, count := range counts {
+		if count > limit {
+			reserved[starts[i]+limit] = Conflict{
+				Kind: kind, Severity: severities[kind], Regions: x.regionNames(i/len(x.regions), i%len(x.regions)), Rules: []string{},
+				Why: fmt.Sprintf("%d more of this kind", count-limit),
 			}
+			counts[i] = limit
 		}
 	}
-	return all
+	return reserved, starts
 }
 
-// collectFindings gives the conflicts that are not between two regions' rules, in their order, the findings that are, by
-// precedence, and how many there are of a kind by two regions.
+// pairIndex numbers pairs of regions by the first and then by the second.
+func (x *Index) pairIndex(pair [2]uint16) int { return int(pair[0])*len(x.regions) + int(pair[1]) }
+
+// collectFindings returns the conflicts that are not between two regions' rules, sorted, the findings of
+// the others by precedence, and the number of those by kind and pair.
 func (x *Index) collectFindings() (rest []Conflict, findings []*finding, counts map[Kind][]int) {
-	n := len(x.regions)
 	rest = append(slices.Clone(x.loopConflicts), x.sumConflicts...)
 	counts = make(map[Kind][]int)
-	for _, found := range []map[*condition][]finding{x.differences, x.deadRules} {
-		conds := make([]*condition, 0, len(found))
-		for c := range found {
-			conds = append(conds, c)
+	for _, byCondition := range []map[*condition][]finding{x.differences, x.deadRules} {
+		conditions := make([]*condition, 0, len(byCondition))
+		for c := range byCondition {
+			conditions = append(conditions, c)
 		}
-		slices.SortFunc(conds, comparePrecedence)
-		for _, c := range conds {
-			for i := range found[c] {
-				f := &found[c][i]
-				if f.reason != "" && f.kind != DeadKind {
-					rest = append(rest, x.undecidedConflict(f))
+		slices.SortFunc(conditions, comparePrecedence)
+		for _, c := range conditions {
+			for i := range byCondition[c] {
+				found := &byCondition[c][i]
+				if found.reason != "" && found.kind != DeadKind {
+					rest = append(rest, x.undecidedConflict(found))
 					continue
 				}
-				findings = append(findings, f)
-				if counts[f.kind] == nil {
-					counts[f.kind] = make([]int, n*n)
+				findings = append(findings, found)
+				if counts[found.kind] == nil {
+					counts[found.kind] = make([]int, len(x.regions)*len(x.regions))
 				}
-				in := counts[f.kind]
-				for _, p := range f.pairs {
-					in[int(p[0])*n+int(p[1])]++
+				for _, pair := range found.pairs {
+					counts[found.kind][x.pairIndex(pair)]++
 				}
 			}
 		}
 	}
 	slices.SortStableFunc(rest, func(a, b Conflict) int {
-		if c := cmp.Or(slices.Compare(a.Regions, b.Regions), slices.Compare(a.Rules, b.Rules)); c != 0 {
-			return c
+		if order := cmp.Or(slices.Compare(a.Regions, b.Regions), slices.Compare(a.Rules, b.Rules)); order != 0 {
+			return order
 		}
 		return strings.Compare(a.Why, b.Why)
 	})
@@ -113,111 +122,47 @@
 	return []string{x.regions[a].Name, x.regions[b].Name}
 }
 
-func (x *Index) undecidedConflict(f *finding) Conflict {
-	c := Conflict{Kind: f.kind, Severity: severities[f.kind], Why: f.reason}
-	for _, u := range f.winner.uses {
-		c.Regions, c.Rules = append(c.Regions, x.regions[u.region].Name), append(c.Rules, x.ruleInfos.values[u.ruleID].name)
+func (x *Index) undecidedConflict(found *finding) Conflict {
+	conflict := Conflict{Kind: found.kind, Severity: severities[found.kind], Why: found.reason}
+	for _, use := range found.winner.uses {
+		conflict.Regions = append(conflict.Regions, x.regions[use.region].Name)
+		conflict.Rules = append(conflict.Rules, x.ruleInfos.values[use.ruleID].name)
 	}
-	return c
+	return conflict
 }
 
-// conflictOf is what a finding says of the k-th two regions, made once.
-func (x *Index) conflictOf(f *finding, k int) Conflict {
-	if f.conflicts == nil {
-		f.conflicts = make([]Conflict, len(f.pairs))
-	}
-	c := &f.conflicts[k]
-	if c.Kind != "" {
-		return *c
+// conflictOf returns the conflict of a finding's k-th pair, which is made only once.
+func (x *Index) conflictOf(found *finding, k int) Conflict {
+	if found.conflicts == nil {
+		found.conflicts = make([]Conflict, len(found.pairs))
 	}
-	a, b := int32(f.pairs[k][0]), int32(f.pairs[k][1])
-	*c = Conflict{Kind: f.kind, Severity: severities[f.kind], Regions: x.regionNames(int(a), int(b)), Witness: f.witness, Why: f.reason}
-	if f.kind == DeadKind {
-		c.Rules = []string{x.ruleInfos.values[f.ruleIn(a)].name}
-		return *c
-	}
-	for _, r := range []int32{a, b} {
-		if at := f.ruleIn(r); at >= 0 {
-			c.Rules = append(c.Rules, x.ruleInfos.values[at].name)
-		}
+	if found.conflicts[k].Kind == "" {
+		found.conflicts[k] = x.newConflict(found, int32(found.pairs[k][0]), int32(found.pairs[k][1]))
 	}
-	c.Why = x.describe(f, a, b)
-	if one, two := x.fateOf(f.ruleIn(a), f.witness), x.fateOf(f.ruleIn(b), f.witness); f.kind == ServiceKind && one.service == two.service {
-		c.Severity = Warning // what is asked is the same, and free to repeat; the answers hold other parts
-	}
-	return *c
+	return found.conflicts[k]
 }
 
-// opposedRule is the rule that a region chooses for the witness; -1 is none.
-func (f *finding) ruleIn(region int32) int32 {
-	for _, c := range []*condition{f.winner, f.other} {
-		if c != nil {
-			if i, ok := c.findUse(region); ok && (c == f.winner) == slices.Contains(f.winningRegions, region) {
-				return c.uses[i].ruleID
-			}
+func (x *Index) newConflict(found *finding, a, b int32) Conflict {
+	conflict := Conflict{
+		Kind: found.kind, Severity: severities[found.kind], Regions: x.regionNames(int(a), int(b)), Witness: found.witness, Why: found.reason,
+	}
+	if found.kind == DeadKind {
+		conflict.Rules = []string{x.ruleInfos.values[found.ruleIn(a)].name}
+		return conflict
+	}
+	first := x.handlingOf(found, a)
+	second := x.handlingOf(found, b)
+	for _, h := range []handling{first, second} {
+		if h.ruleID != noRule {
+			conflict.Rules = append(conflict.Rules, x.ruleInfos.values[h.ruleID].name)
 		}
 	}
-	return -1
-}
-
-func (x *Index) describe(f *finding, a, b int32) string {
-	as, bs := f.ruleIn(a), f.ruleIn(b)
-	one, two := x.fateOf(as, f.witness), x.fateOf(bs, f.witness)
-	an, bn := x.regions[a].Name, x.regions[b].Name
-	if f.requestText == "" {
-		f.requestText = f.witness.String()
-	}
-	switch f.kind {
-	case ServiceKind:
-		if one.service == two.service {
-			return f.requestText + " leads to service " + one.service + ", which in " + an + " " + x.describeGather(one) + " and in " + bn + " " + x.describeGather(two)
-		}
-		return f.requestText + " leads to service " + one.service + " in " + an + " and to " + two.service + " in " + bn
-	case TermsKind:
-		return fmt.Sprintf("%s is of class %q in %s (%v) and %q in %s (%v): a repeat through the other region goes by other terms",
-			f.requestText, one.class, an, one.terms, two.class, bn, two.terms)
-	}
-	if two.isAccepted {
-		one, two, bs, an, bn = two, one, as, bn, an
+	if found.requestText == "" {
+		found.requestText = found.witness.String()
 	}
-	why := f.requestText + " is taken by service " + one.service + " in " + an
-	switch {
-	case bs < 0:
-		return why + ", and no route is for it in " + bn
-	case two.gatherID != 0:
-		return why + ", and service " + two.service + " in " + bn + " gathers, which is for other requests"
-	case two.hasTerms:
-		return why + ", and " + bn + " serves its class " + two.class + " by another method"
-	case two.class == "":
-		return why + ", and service " + two.service + " in " + bn + " has no class for it"
-	}
-	return why + ", and service " + two.service + " in " + bn + " has no class " + two.class
-}
-
-// describeGather tells what a service does by what it gathers.
-func (x *Index) describeGather(f disposition) string {
-	if f.gatherID == 0 {
-		return "has servers of its own"
-	}
-	return "gathers " + strings.TrimPrefix(x.texts.values[f.gatherID], "gather\n")
-}
-
-// String is the request as a line.
-func (w *Witness) String() string {
-	if w == nil {
-		return ""
-	}
-	var b strings.Builder
-	b.WriteString(w.Method + " " + w.Host + w.Path)
-	names := make([]string, 0, len(w.Headers))
-	for n := range w.Headers {
-		names = append(names, n)
-	}
-	slices.Sort(names)
-	for _, n := range names {
-		for _, v := range w.Headers[n] {
-			b.WriteString(", " + n + ": " + v)
-		}
+	conflict.Why = x.describe(found, first, second)
+	if found.kind == ServiceKind && first.service == second.service {
+		conflict.Severity = Warning // the parts are asked idempotent requests, only the results differ
 	}
-	return b.String()
+	return conflict
 }
--- a/internal/regions/differences.go
+++ b/internal/regions/differences.go
@@ -2,212 +2,232 @@
 
 import (
 	"fmt"
+	"reflect"
 	"slices"
 )
 
-// maxStepsDefault bounds the look at one condition, and that for loops, in conditions tried: some seconds.
+// maxStepsDefault bounds the review of one condition, and the search for loops, in conditions examined:
+// some seconds of work.
 const maxStepsDefault = 1 << 26
 
-// findDifferences finds the requests that lead to condition d in one region and elsewhere in another. Of two rules
-// that treat a request differently the more specific one is not in both regions, or not with the same
-// outcome; so it is enough to hold each such condition against those of lower rank. See
-// docs/design/regions.md for why the least request of both shows all that any shows.
-func (x *Index) findDifferences(d *condition) (all []finding) {
+// finding is a request that shows a conflict between the regions in which a rule of one condition wins and
+// those in which one of another does.
+type finding struct {
+	kind    Kind
+	witness *Witness // nil where no request has the conditions, or the search was ended by its bound
+	winner  *condition
+	// other wins in the opposed regions. Without it no rule does there, or the winner with another outcome.
+	other          *condition
+	winningRegions []int32
+	pairs          [][2]uint16 // of regions, each in order; of a dead rule the same region twice
+	reason         string      // of a dead rule, and of a search that was ended by its bound
+
+	requestText string     // of the witness; empty until needed
+	conflicts   []Conflict // by pair; empty until needed
+}
+
+// opposedRule is a region and the rule that it chooses, or noRule.
+type opposedRule struct {
+	region int32
+	ruleID int32
+}
+
+// reportedPair is a kind of conflict between two regions that has a witness already.
+type reportedPair struct {
+	kind Kind
+	pair [2]uint16
+}
+
+// findDifferences finds the requests that a condition wins in one region and that another region handles
+// otherwise. Of two rules that handle a request differently, the more specific one is missing in one of the
+// regions or has another outcome there, so that it suffices to compare each such condition with those of
+// lower precedence. docs/design/regions.md proves that the minimal request of both shows all that any
+// request shows.
+func (x *Index) findDifferences(winner *condition) (findings []finding) {
 	start := x.visited
-	all = x.comparePair(all, d, nil)
+	findings = x.comparePair(findings, winner, nil)
 	var lower []*condition
-	x.eachIntersecting(d.requests, func(c *condition) bool {
+	x.eachIntersecting(winner.requests, func(c *condition) bool {
 		x.visited++
-		if c != d && comparePrecedence(c, d) > 0 && !x.haveOneOutcome(d, c) {
+		if c != winner && comparePrecedence(c, winner) > 0 && !x.haveOneOutcome(winner, c) {
 			lower = append(lower, c)
 		}
 		return true
 	})
 	slices.SortFunc(lower, comparePrecedence)
-	for _, j := range lower {
+	for _, other := range lower {
 		if x.visited-start > x.maxSteps {
-			return append(all, finding{kind: ServiceKind, winner: d, reason: fmt.Sprintf("undecided: too many rules have requests in common with this one for %d steps", x.maxSteps)})
+			reason := fmt.Sprintf("undecided: too many rules have requests in common with this one for %d steps", x.maxSteps)
+			return append(findings, finding{kind: ServiceKind, winner: winner, reason: reason})
 		}
-		all = x.comparePair(all, d, j)
+		findings = x.comparePair(findings, winner, other)
 	}
-	return all
+	return findings
 }
 
-// haveOneOutcome tells whether all rules of two conditions have one outcome.
-func (x *Index) haveOneOutcome(a, b *condition) bool {
-	one := x.ruleInfos.values[a.uses[0].ruleID].outcomeID
-	for _, u := range a.uses {
-		if x.ruleInfos.values[u.ruleID].outcomeID != one {
-			return false
-		}
-	}
-	for _, u := range b.uses {
-		if x.ruleInfos.values[u.ruleID].outcomeID != one {
-			return false
+// haveOneOutcome tells whether all rules of some conditions have the same outcome.
+func (x *Index) haveOneOutcome(conditions ...*condition) bool {
+	first := x.ruleInfos.values[conditions[0].uses[0].ruleID].outcomeID
+	for _, c := range conditions {
+		for _, use := range c.uses {
+			if x.ruleInfos.values[use.ruleID].outcomeID != first {
+				return false
+			}
 		}
 	}
 	return true
 }
 
-// comparePair holds regions in which d wins against those in which j does; without j, against those in which no
-// rule does, or d itself with another outcome.
-func (x *Index) comparePair(all []finding, d, j *condition) []finding {
-	a := d.requests
-	attrs := appendRuleIDs(nil, d)
-	if j != nil {
+// comparePair appends the conflicts between regions in which a winner wins and those in which another
+// condition does. Without another, the opposed regions have no rule or the winner's with another outcome.
+func (x *Index) comparePair(findings []finding, winner, other *condition) []finding {
+	set := winner.requests
+	ruleIDs := appendRuleIDs(nil, winner)
+	if other != nil {
 		var ok bool
-		if a, ok = a.intersect(j.requests); !ok {
-			return all
+		if set, ok = set.intersect(other.requests); !ok {
+			return findings
 		}
-		attrs = appendRuleIDs(attrs, j)
+		ruleIDs = appendRuleIDs(ruleIDs, other)
 	}
-	var seen map[reportedPair]struct{} // what has a witness
-	variants := x.variants(a, attrs)
+	var reported map[reportedPair]struct{}
+	variants := x.variants(set, ruleIDs)
 	if len(variants) > 1 {
-		seen = make(map[reportedPair]struct{})
+		reported = make(map[reportedPair]struct{})
 	}
-	for _, v := range variants {
-		w := x.minimalRequest(v)
-		if w == nil {
+	for _, variant := range variants {
+		request := x.minimalRequest(variant)
+		if request == nil {
 			continue
 		}
-		if x.chooseRules(w); !x.opposeRegions(d, j) {
+		x.chooseRules(request)
+		if x.opposeRegions(winner, other) {
+			findings = x.appendDifferences(findings, request, winner, other, reported)
+		}
+	}
+	return findings
+}
+
+// appendDifferences appends a finding for each kind by which the opposed regions conflict over a request.
+// reported is nil where there is one request only.
+func (x *Index) appendDifferences(findings []finding, request *Witness, winner, other *condition, reported map[reportedPair]struct{}) []finding {
+	for _, kind := range []Kind{ServiceKind, CoverageKind, TermsKind} {
+		pairs := x.differingPairs(kind, request, other, reported)
+		if len(pairs) == 0 {
 			continue
 		}
-		for _, kind := range []Kind{ServiceKind, CoverageKind, TermsKind} {
-			found := x.differingPairs(kind, w, j, seen)
-			if len(found) == 0 {
-				continue
+		for _, pair := range pairs {
+			if reported != nil {
+				reported[reportedPair{kind, pair}] = struct{}{}
 			}
-			for _, pair := range found {
-				if seen != nil {
-					seen[reportedPair{kind, pair}] = struct{}{}
-				}
-			}
-			f := finding{kind: kind, witness: w, winner: d, other: j, pairs: found}
-			for _, s := range x.winning {
-				f.winningRegions = append(f.winningRegions, s.region)
-			}
-			all = append(all, f)
 		}
+		found := finding{kind: kind, witness: request, winner: winner, other: other, pairs: pairs}
+		for _, rule := range x.winning {
+			found.winningRegions = append(found.winningRegions, rule.region)
+		}
+		findings = append(findings, found)
 	}
-	return all
+	return findings
 }
 
-// opposeRegions sorts the regions into those in which d wins and those that they are held against, by what was
-// evaluated last; false where there are none of one.
-func (x *Index) opposeRegions(d, j *condition) bool {
-	x.winning, x.opposing = x.winning[:0], x.opposing[:0]
-	for i, c := range x.chosen {
+// opposeRegions sets winning to the regions that chose the winner and opposing to those that they are
+// compared with; false where one of the two is empty.
+func (x *Index) opposeRegions(winner, other *condition) bool {
+	x.winning = x.winning[:0]
+	x.opposing = x.opposing[:0]
+	for i, chosen := range x.chosen {
 		switch {
-		case c.condition == d:
-			x.winning = append(x.winning, opposedRule{int32(i), c.ruleID})
-		case c.condition == j && j != nil:
-			x.opposing = append(x.opposing, opposedRule{int32(i), c.ruleID})
-		case c.condition == nil && j == nil:
-			x.opposing = append(x.opposing, opposedRule{int32(i), -1})
+		case chosen.condition == winner:
+			x.winning = append(x.winning, opposedRule{int32(i), chosen.ruleID})
+		case chosen.condition == other && other != nil:
+			x.opposing = append(x.opposing, opposedRule{int32(i), chosen.ruleID})
+		case chosen.condition == nil && other == nil:
+			x.opposing = append(x.opposing, opposedRule{int32(i), noRule})
 		}
 	}
-	if len(x.winning) == 0 || j != nil && len(x.opposing) == 0 {
+	if len(x.winning) == 0 || other != nil && len(x.opposing) == 0 {
 		return false
 	}
-	if j == nil {
+	if other == nil {
 		x.opposing = append(x.opposing, x.winning...)
 	}
 	return true
 }
 
-// differingPairs lists the pairs of opposed regions that treat a request differently, of one kind, and have no
+// differingPairs lists the pairs of opposed regions that conflict over a request by a kind and have no
 // witness yet.
-func (x *Index) differingPairs(kind Kind, w *Witness, j *condition, seen map[reportedPair]struct{}) (found [][2]uint16) {
-	last, yes := opposedRule{-2, -2}, false // ids attrs
-	for _, s := range x.winning {
-		for _, o := range x.opposing {
-			if o.ruleID >= 0 && j == nil && o.region <= s.region { // both d
+func (x *Index) differingPairs(kind Kind, request *Witness, other *condition, reported map[reportedPair]struct{}) (pairs [][2]uint16) {
+	// Adjacent pairs mostly have the same two rules, so the last comparison is remembered.
+	var comparedA, comparedB int32 = noRule - 1, noRule - 1
+	isConflict := false
+	for _, a := range x.winning {
+		for _, b := range x.opposing {
+			areBothWinning := b.ruleID != noRule && other == nil
+			if areBothWinning && b.region <= a.region { // each pair once
 				continue
 			}
-			if now := (opposedRule{s.ruleID, o.ruleID}); now != last {
-				last, yes = now, x.shows(kind, w, s.ruleID, o.ruleID)
+			if a.ruleID != comparedA || b.ruleID != comparedB {
+				comparedA, comparedB = a.ruleID, b.ruleID
+				isConflict = conflictsBy(kind, x.disposition(a.ruleID, request), x.disposition(b.ruleID, request))
 			}
-			if !yes {
+			if !isConflict {
 				continue
 			}
-			pair := [2]uint16{uint16(min(s.region, o.region)), uint16(max(s.region, o.region))}
-			if _, twice := seen[reportedPair{kind, pair}]; !twice {
-				found = append(found, pair)
+			pair := [2]uint16{uint16(min(a.region, b.region)), uint16(max(a.region, b.region))}
+			if _, isReported := reported[reportedPair{kind, pair}]; !isReported {
+				pairs = append(pairs, pair)
 			}
 		}
 	}
-	return found
+	return pairs
 }
 
-// opposedRule is a region and the rule that it chooses; -1 is none.
-type opposedRule struct {
-	region int32
-	ruleID int32
-}
-
-// reportedPair is a kind of conflict between rules of two regions that has a witness already.
-type reportedPair struct {
-	kind Kind
-	pair [2]uint16
-}
-
-func appendRuleIDs(to []int32, c *condition) []int32 {
-	for _, u := range c.uses {
-		if !slices.Contains(to, u.ruleID) {
-			to = append(to, u.ruleID)
+// appendRuleIDs appends the numbers of a condition's rules, each once.
+func appendRuleIDs(ids []int32, c *condition) []int32 {
+	for _, use := range c.uses {
+		if !slices.Contains(ids, use.ruleID) {
+			ids = append(ids, use.ruleID)
 		}
 	}
-	return to
+	return ids
 }
 
-// shows tells whether two rules treat a request differently, of one kind.
-func (x *Index) shows(kind Kind, w *Witness, a, b int32) bool {
-	service, coverage, other := differences(x.fateOf(a, w), x.fateOf(b, w))
-	switch kind {
-	case ServiceKind:
-		return service
-	case CoverageKind:
-		return coverage
+// reuseConflicts takes over the conflicts of an earlier finding of the same request, except for pairs of
+// which a region has changed.
+func (f *finding) reuseConflicts(before []finding, changed uint16) {
+	i := slices.IndexFunc(before, func(g finding) bool {
+		isSame := g.kind == f.kind && g.other == f.other
+		return g.conflicts != nil && isSame && reflect.DeepEqual(g.witness, f.witness)
+	})
+	if i < 0 {
+		return
 	}
-	return other
-}
-
-func (x *Index) fateOf(attr int32, w *Witness) disposition {
-	if attr < 0 {
-		return disposition{}
+	earlier := &before[i]
+	positions := make(map[[2]uint16]int, len(earlier.pairs))
+	for k, pair := range earlier.pairs {
+		positions[pair] = k
+	}
+	f.requestText = earlier.requestText
+	f.conflicts = make([]Conflict, len(f.pairs))
+	for k, pair := range f.pairs {
+		position, isKnown := positions[pair]
+		if isKnown && pair[0] != changed && pair[1] != changed {
+			f.conflicts[k] = earlier.conflicts[position]
+		}
 	}
-	return x.disposition(attr, w)
 }
 
-// mayBeDead tells whether a rule of such a condition can be dead. Any other wins the least request of its
-// own area: what ranks above it there holds for fewer requests by method or by a header. A class is the
-// one exception, as it ranks below the path that its segment is.
-func (c *condition) mayBeDead() bool { return c.canonical.Rule().Class != "" || c.matchesNothing() }
-
-// findDeadRules finds the regions in which no request reaches condition d.
-func (x *Index) findDeadRules(d *condition) (all []finding) {
-	for _, v := range x.variants(d.requests, nil) {
-		w := x.minimalRequest(v)
-		if w != nil {
-			x.chooseRules(w)
+// ruleIn returns the rule that a region chooses for the witness, or noRule.
+func (f *finding) ruleIn(region int32) int32 {
+	for _, c := range []*condition{f.winner, f.other} {
+		if c == nil {
+			continue
 		}
-		for _, u := range d.uses {
-			f := finding{kind: DeadKind, winner: d, winningRegions: []int32{u.region}, pairs: [][2]uint16{{uint16(u.region), uint16(u.region)}}, reason: "no request has such a host or path"}
-			if w != nil {
-				win := x.chosen[u.region]
-				if win.condition == d {
-					continue
-				}
-				by := &x.ruleInfos.values[win.ruleID]
-				f.witness, f.reason = w, fmt.Sprintf("all its requests lead by the more specific route %q to service %q", by.name, x.outcomes.values[by.outcomeID].service)
-				if x.ruleInfos.values[u.ruleID].isFromBase && !by.isFromBase {
-					f.reason += ", which the region adds to the base"
-				}
-			}
-			all = append(all, f)
+		isWinner := c == f.winner
+		i, hasUse := c.findUse(region)
+		if hasUse && isWinner == slices.Contains(f.winningRegions, region) {
+			return c.uses[i].ruleID
 		}
 	}
-	return all
+	return noRule
 }
--- /dev/null
+++ b/internal/regions/hard_limits.go
@@ -0,0 +1,206 @@
+package regions
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+)
+
+// Hard limits and the budgets of warming servers are divided over the group size that each instance is
+// told, and no instance sees their sum. docs/design/regions.md derives both sums from package control.
+
+// relativeTolerance is by how much sums may exceed a limit through rounding.
+const relativeTolerance = 1e-9
+
+// hardLimitStartFraction is the fraction of the slack with which control fills a hard-limit bucket at first.
+const hardLimitStartFraction = 0.5
+
+// findSums finds what the regions admit together above a limit.
+func (x *Index) findSums() []Conflict {
+	return append(x.findHardLimitConflicts(), x.findSlowStartConflicts()...)
+}
+
+// groupCount returns how many complete groups a region's instances act as: its members by the group size
+// that each is told. Where the members are unknown it is 1, as the region's own settings have it.
+func (r *indexedRegion) groupCount() (count float64, isKnown bool) {
+	if r.Members == 0 {
+		return 1, false
+	}
+	return float64(r.Members) / float64(max(1, r.Instances)), true
+}
+
+func (r *indexedRegion) describeGroup() string {
+	size := max(1, r.Instances)
+	if count, isKnown := r.groupCount(); isKnown {
+		return fmt.Sprintf("%d of %d in %s (%.3g)", r.Members, size, r.Name, count)
+	}
+	return fmt.Sprintf("all of %d in %s, members unknown (1)", size, r.Name)
+}
+
+// sharedService is a region's service among those whose customers share hard limits.
+type sharedService struct {
+	*indexedRegion
+	*Service
+}
+
+// findHardLimitConflicts compares the regions' sums of each plan with the smallest hard limit that any
+// region states.
+func (x *Index) findHardLimitConflicts() (conflicts []Conflict) {
+	for _, group := range x.sharingGroups() {
+		names := make(map[string]struct{})
+		for _, service := range group {
+			for _, plan := range service.Plans {
+				names[plan.Name] = struct{}{}
+			}
+		}
+		for _, name := range slices.Sorted(maps.Keys(names)) {
+			if conflict := hardLimitConflict(name, group); conflict != nil {
+				conflicts = append(conflicts, *conflict)
+			}
+		}
+	}
+	return conflicts
+}
+
+// sharingGroups groups the services that share hard limits: of one name, or of one counter.
+func (x *Index) sharingGroups() [][]sharedService {
+	positions := make(map[string]int) // by service or counter
+	var groups [][]sharedService
+	for _, region := range x.regions {
+		for i := range region.Services {
+			service := sharedService{region, &region.Services[i]}
+			names := []string{"service " + service.Name}
+			if region.Shared && service.Counter != "" {
+				names = append(names, "counter "+service.Counter)
+			}
+			position := mergeGroups(names, positions, groups)
+			if position < 0 {
+				position = len(groups)
+				groups = append(groups, nil)
+			}
+			for _, name := range names {
+				positions[name] = position
+			}
+			groups[position] = append(groups[position], service)
+		}
+	}
+	return groups
+}
+
+// mergeGroups merges the groups that some names belong to and returns the position of the merged one; -1
+// where there are none.
+func mergeGroups(names []string, positions map[string]int, groups [][]sharedService) int {
+	target := -1
+	for _, name := range names {
+		position, ok := positions[name]
+		switch {
+		case !ok || position == target:
+		case target < 0:
+			target = position
+		default:
+			groups[target] = append(groups[target], groups[position]...)
+			groups[position] = nil
+			for key, value := range positions {
+				if value == position {
+					positions[key] = target
+				}
+			}
+		}
+	}
+	return target
+}
+
+// planPart is a region's part of a plan's hard limit.
+type planPart struct {
+	sharedService
+	rate float64 // units a second; 0 is no hard limit
+}
+
+// hardLimitTotal is what all regions admit of a plan, and the smallest limits that they state.
+type hardLimitTotal struct {
+	parts       []planPart
+	isLimited   bool
+	isUncertain bool // the members of a region are unknown
+
+	rate, burst, slack float64 // the limits, in units (a second)
+	sumRate, sumBurst  float64 // what is admitted in all
+}
+
+func totalOf(plan string, group []sharedService) hardLimitTotal {
+	var t hardLimitTotal
+	for _, s := range group {
+		for _, p := range s.Plans {
+			if p.Name != plan {
+				continue
+			}
+			t.parts = append(t.parts, planPart{s, p.HardLimitRate})
+			if p.HardLimitRate == 0 {
+				continue
+			}
+			n, isKnown := s.groupCount()
+			store := max(p.HardLimitBurst, hardLimitStartFraction*p.HardLimitSlack)
+			t.isUncertain = t.isUncertain || !isKnown
+			t.sumRate, t.sumBurst = t.sumRate+n*p.HardLimitRate, t.sumBurst+n*store
+			if !t.isLimited {
+				t.isLimited = true
+				t.rate = p.HardLimitRate
+				t.burst = p.HardLimitBurst
+				t.slack = p.HardLimitSlack
+			}
+			t.rate = min(t.rate, p.HardLimitRate)
+			t.burst = min(t.burst, p.HardLimitBurst)
+			t.slack = min(t.slack, p.HardLimitSlack)
+		}
+	}
+	slices.SortStableFunc(t.parts, func(a, b planPart) int {
+		return cmp.Or(strings.Compare(a.indexedRegion.Name, b.indexedRegion.Name), strings.Compare(a.Name, b.Name))
+	})
+	return t
+}
+
+// hardLimitConflict returns the conflict of a plan in services that share hard limits, or nil.
+func hardLimitConflict(plan string, group []sharedService) *Conflict {
+	total := totalOf(plan, group)
+	if !total.isLimited {
+		return nil
+	}
+	conflict := &Conflict{Kind: HardLimitKind, Severity: Error}
+	var groups, unlimited []string
+	for _, part := range total.parts {
+		region := part.indexedRegion.Name
+		if len(conflict.Regions) == 0 || conflict.Regions[len(conflict.Regions)-1] != region {
+			conflict.Regions = append(conflict.Regions, region)
+			conflict.Rules = append(conflict.Rules, plan)
+			groups = append(groups, part.describeGroup())
+		}
+		if part.rate == 0 {
+			unlimited = append(unlimited, region)
+		}
+	}
+	conflict.Why = total.describeExcess(plan, groups, unlimited)
+	if conflict.Why == "" {
+		return nil
+	}
+	if total.isUncertain && len(unlimited) == 0 {
+		conflict.Severity = Warning
+	}
+	return conflict
+}
+
+// describeExcess says by what the regions exceed a plan's hard limit; "" where they don't.
+func (t *hardLimitTotal) describeExcess(plan string, groups, unlimited []string) string {
+	service := t.parts[0].Name
+	switch {
+	case len(unlimited) > 0:
+		return fmt.Sprintf("plan %q of service %q has a ceiling of %.4g units a second, and none in %s", plan, service, t.rate, strings.Join(unlimited, ", "))
+	case t.sumRate > t.rate*(1+relativeTolerance):
+		return fmt.Sprintf("plan %q of service %q: the regions' parts let %.4g units a second through, the ceiling is %.4g: %s",
+			plan, service, t.sumRate, t.rate, strings.Join(groups, ", "))
+	case t.sumBurst > (t.burst+t.slack)*(1+relativeTolerance):
+		return fmt.Sprintf("plan %q of service %q: the regions' parts let %.4g units through at once, the ceiling's store and slack are %.4g: %s",
+			plan, service, t.sumBurst, t.burst+t.slack, strings.Join(groups, ", "))
+	}
+	return ""
+}
--- a/internal/regions/regions_test.go
+++ b/internal/regions/regions_test.go
@@ -298,7 +298,7 @@
 	rules := make([]string, len(all))
 	for i, p := range all {
 		got := p.treat(w)
-		if rules[i] = got.rule; !got.taken || got.gather != "" && w.Method == "HEAD" { // isFollowedByMinimal on as GET
+		if rules[i] = got.rule; !got.taken || got.gather != "" && w.Method == "HEAD" { // goes on as GET
 			continue
 		}
 		for _, to := range p.by[got.service].Destinations {
--- /dev/null
+++ b/internal/regions/registry.go
@@ -0,0 +1,194 @@
+package regions
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"strings"
+
+	"lockflow/control"
+	"lockflow/internal/route"
+)
+
+// Classes of generic HTTP requests whose route names none, as package config adds them.
+const (
+	classRead  = "read"
+	classWrite = "write"
+)
+
+// classSource is where the requests of a rule get their class from.
+type classSource uint8
+
+const (
+	classFromRule   classSource = iota // named by the rule, or the first segment of its path
+	classFromMethod                    // generic HTTP: read or write
+	classFromPath                      // the first segment of the request's path
+)
+
+// outcome is how a rule handles requests. Rules with equal outcomes handle every request alike.
+type outcome struct {
+	service     string
+	classSource classSource
+	genericHTTP bool
+	class       string // with classFromRule
+	tableID     int32  // of the classes that its requests can have; 0 is unknown
+	gatherID    int32  // text of what the service gathers; 0 where it gathers nothing
+}
+
+// ruleInfo is what a region has of a rule besides its conditions.
+type ruleInfo struct {
+	name           string
+	isFromBase     bool
+	outcomeID      int32
+	destinationsID int32 // 0 where none are known
+}
+
+// noRule is the rule ID of a region that has no rule for a request.
+const noRule = -1
+
+// internTable numbers distinct values in the order in which they come, from 1. The zero value has number 0.
+type internTable[T comparable] struct {
+	ids    map[T]int32
+	values []T
+}
+
+func (n *internTable[T]) id(value T) int32 {
+	if n.ids == nil {
+		var zero T
+		n.ids = map[T]int32{zero: 0}
+		n.values = []T{zero}
+	}
+	id, ok := n.ids[value]
+	if !ok {
+		id = int32(len(n.values))
+		n.ids[value] = id
+		n.values = append(n.values, value)
+	}
+	return id
+}
+
+// registry holds what rules lead to, each distinct value once.
+type registry struct {
+	ruleInfos    internTable[ruleInfo]
+	outcomes     internTable[outcome]
+	texts        internTable[string] // class tables, destinations and gathers as texts
+	classTables  map[int32]map[string]terms
+	destinations map[int32][]string // host:port, sorted
+}
+
+func newRegistry() *registry {
+	return &registry{classTables: make(map[int32]map[string]terms), destinations: make(map[int32][]string)}
+}
+
+// outcomeOf returns the outcome of a rule.
+func (b *registry) outcomeOf(ruleID int32) *outcome {
+	return &b.outcomes.values[b.ruleInfos.values[ruleID].outcomeID]
+}
+
+// classTable returns the number of a table of classes: of those named, or of all where no name is given.
+func (b *registry) classTable(classes []control.Class, names ...string) int32 {
+	if len(classes) == 0 {
+		return 0
+	}
+	var lines []string
+	table := make(map[string]terms)
+	for _, class := range classes {
+		if len(names) == 0 || slices.Contains(names, class.Name) {
+			table[class.Name] = termsOf(class)
+			lines = append(lines, fmt.Sprintf("%q %+v", class.Name, termsOf(class)))
+		}
+	}
+	slices.Sort(lines)
+	id := b.texts.id("classes\n" + strings.Join(lines, "\n"))
+	b.classTables[id] = table
+	return id
+}
+
+// ruleID returns the number of a route's name, origin, outcome and destinations.
+func (b *registry) ruleID(route *Route, env *environment) int32 {
+	info := ruleInfo{name: route.Name, isFromBase: route.Base}
+	service := env.services[route.Service]
+	result := outcome{service: route.Service, class: route.RequestClass}
+	if service != nil {
+		result.genericHTTP = service.GenericHTTP
+		if service.Gather != "" {
+			result.gatherID = b.texts.id(gatherPrefix + service.Gather)
+		}
+	}
+	setClassSource(&result, route)
+	if service != nil {
+		result.tableID = b.tableOf(service, &result, env)
+		info.destinationsID = env.destinationIDs[route.Service]
+	}
+	info.outcomeID = b.outcomes.id(result)
+	return b.ruleInfos.id(info)
+}
+
+// gatherPrefix marks the text of a gather among the registry's texts.
+const gatherPrefix = "gather\n"
+
+// setClassSource completes the outcome of a route with how its requests get their class.
+func setClassSource(result *outcome, r *Route) {
+	switch {
+	case r.RequestClass != "":
+	case result.genericHTTP:
+		result.classSource = classFromMethod
+	default:
+		result.class = cmp.Or(route.FirstSegment(r.Path+r.Prefix), r.Class)
+		if result.class == "" && r.Path == "" {
+			result.classSource = classFromPath
+		}
+	}
+}
+
+// tableOf returns the number of the table of the classes that requests with an outcome can have.
+func (b *registry) tableOf(service *Service, result *outcome, env *environment) int32 {
+	key := tableKey{service.Name, result.classSource, result.class}
+	id, ok := env.tableIDs[key]
+	if ok {
+		return id
+	}
+	switch result.classSource {
+	case classFromRule:
+		id = b.classTable(service.Classes, result.class)
+	case classFromMethod:
+		id = b.classTable(service.Classes, classRead, classWrite)
+	default:
+		id = b.classTable(service.Classes)
+	}
+	env.tableIDs[key] = id
+	return id
+}
+
+// environment holds a region's services by name, and what the registry has of them.
+type environment struct {
+	services       map[string]*Service
+	tableIDs       map[tableKey]int32
+	destinationIDs map[string]int32 // by service
+}
+
+type tableKey struct {
+	service     string
+	classSource classSource
+	class       string
+}
+
+func (b *registry) environment(region *Region) *environment {
+	env := &environment{
+		services:       make(map[string]*Service),
+		tableIDs:       make(map[tableKey]int32),
+		destinationIDs: make(map[string]int32),
+	}
+	for i := range region.Services {
+		service := &region.Services[i]
+		env.services[service.Name] = service
+		if len(service.Destinations) == 0 {
+			continue
+		}
+		destinations := slices.Compact(slices.Sorted(slices.Values(service.Destinations)))
+		id := b.texts.id("leads\n" + strings.Join(destinations, "\n"))
+		env.destinationIDs[service.Name] = id
+		b.destinations[id] = destinations
+	}
+	return env
+}
--- a/internal/regions/request_set.go
+++ b/internal/regions/request_set.go
@@ -1,49 +1,49 @@
 package regions
 
 import (
-	"net/http"
 	"strings"
 
 	"lockflow/internal/route"
 )
 
-// requestSet is the requests that conditions hold for: a host with those below it, a path with those below it,
-// a method and conditions on headers. A named class is the paths below its segment.
+// requestSet is the set of requests that fulfil a rule's conditions: a host or a wildcard, a path or a
+// prefix, a method and conditions on headers. An empty string leaves a dimension open. A rule's class is
+// held as the prefix of the class's path segment.
 type requestSet struct {
-	host    string // as a rule's
-	path    string // exact, or a prefix of whole segments; "" is any
-	exact   bool
-	method  string
-	headers []route.Header // each name once
+	host        string // as in a rule: exact, "*.suffix" or any
+	path        string // an exact path, or a prefix of complete segments
+	isExactPath bool
+	method      string
+	headers     []route.Header // each name at most once
 }
 
-func requestsOf(r *route.Rule) requestSet {
-	a := requestSet{host: r.Host, path: r.Prefix, method: r.Method, headers: r.Headers}
-	if r.Path != "" {
-		a.path, a.exact = r.Path, true
-	} else if r.Class != "" {
-		a.path = "/" + r.Class // a class beside a prefix says nothing, and is "" in the one form
+func requestsOf(rule *route.Rule) requestSet {
+	set := requestSet{host: rule.Host, path: rule.Prefix, method: rule.Method, headers: rule.Headers}
+	if rule.Path != "" {
+		set.path, set.isExactPath = rule.Path, true
+	} else if rule.Class != "" {
+		set.path = "/" + rule.Class // in canonical form a rule has either a prefix or a class
 	}
-	return a
+	return set
 }
 
-// intersect is what two areas have in common, and false where that is nothing.
+// intersect returns the requests that are in both sets, and false where there are none.
 func (a requestSet) intersect(b requestSet) (requestSet, bool) {
 	var ok bool
 	if a.host, ok = intersectHosts(a.host, b.host); !ok {
 		return a, false
 	}
 	switch {
-	case a.exact && b.exact:
+	case a.isExactPath && b.isExactPath:
 		ok = a.path == b.path
-	case a.exact:
+	case a.isExactPath:
 		ok = isBelow(a.path, b.path)
 	case isBelow(b.path, a.path):
-		a.path, a.exact = b.path, b.exact
+		a.path, a.isExactPath = b.path, b.isExactPath
 	default:
-		ok = !b.exact && isBelow(a.path, b.path)
+		ok = !b.isExactPath && isBelow(a.path, b.path)
 	}
-	if !ok || a.method != "" && b.method != "" && a.method != b.method {
+	if !ok || !canShareMethod(a.method, b.method) {
 		return a, false
 	}
 	if a.method == "" {
@@ -53,6 +53,8 @@
 	return a, ok
 }
 
+func canShareMethod(a, b string) bool { return a == "" || b == "" || a == b }
+
 func intersectHosts(a, b string) (string, bool) {
 	switch {
 	case a == b || b == "":
@@ -67,14 +69,14 @@
 	return "", false
 }
 
-// isHostBelow tells whether all hosts of a are among those of the wildcard b.
+// isHostBelow tells whether the wildcard b matches every host that a matches.
 func isHostBelow(a, b string) bool {
-	suffix, wild := strings.CutPrefix(b, "*")
+	suffix, isWildcard := strings.CutPrefix(b, "*")
 	a = strings.TrimPrefix(a, "*")
-	return wild && len(a) > len(suffix) && strings.HasSuffix(a, suffix)
+	return isWildcard && len(a) > len(suffix) && strings.HasSuffix(a, suffix)
 }
 
-// eachBelow tells whether a path is one of a prefix of whole segments.
+// isBelow tells whether a path starts with a prefix of complete segments.
 func isBelow(path, prefix string) bool {
 	return strings.HasPrefix(path, prefix) && (len(path) == len(prefix) || path[len(prefix)] == '/')
 }
@@ -83,43 +85,28 @@
 	if len(a) == 0 || len(b) == 0 {
 		return append(a[:len(a):len(a)], b...), true
 	}
-	out := append([]route.Header(nil), a...)
+	both := append([]route.Header(nil), a...)
 next:
-	for _, h := range b {
-		for i := range out {
-			if o := &out[i]; o.Name == h.Name {
-				if o.Any {
-					*o = h
-				} else if !h.Any && o.Value != h.Value {
+	for _, header := range b {
+		for i := range both {
+			if other := &both[i]; other.Name == header.Name {
+				if other.Any {
+					*other = header
+				} else if !header.Any && other.Value != header.Value {
 					return nil, false
 				}
 				continue next
 			}
 		}
-		out = append(out, h)
-	}
-	return out, true
-}
-
-// minimalHeaders is the least that the conditions on headers ask for: what may be absent is, and what may have
-// any value has one that no rule names.
-func (s *conditionIndex) minimalHeaders(a requestSet) http.Header {
-	if len(a.headers) == 0 {
-		return nil
-	}
-	out := make(http.Header, len(a.headers))
-	for _, h := range a.headers {
-		v := h.Value
-		if h.Any {
-			v = s.unusedHeaderValue(h.Name)
-		}
-		out[h.Name] = []string{v}
+		both = append(both, header)
 	}
-	return out
+	return both, true
 }
 
-// matchesNothing tells whether no request can have a condition's host or path: the path would hold what begins a
-// query, or the wildcard has no room for a label.
+// matchesNothing tells whether no request can have the condition's host or path: the path contains the
+// start of a query, or the wildcard leaves no bytes for a label.
 func (c *condition) matchesNothing() bool {
-	return strings.Contains(c.requests.path, "?") || c.requests.host != "" && c.requests.host[0] == '*' && len(c.requests.host) > maxHostBytes
+	host := c.requests.host
+	isWildcard := host != "" && host[0] == '*'
+	return strings.Contains(c.requests.path, "?") || isWildcard && len(host) > maxHostBytes
 }
--- /dev/null
+++ b/internal/regions/slow_start.go
@@ -0,0 +1,200 @@
+package regions
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+)
+
+const (
+	// slowStartBudgetFraction is the fraction of a warming server's budget that control uses.
+	slowStartBudgetFraction = 0.32
+	// minWarmupFraction is the smallest capacity that control assumes of a warming server, as a fraction of
+	// a warm one's.
+	minWarmupFraction = 0.1
+	// maxReportedServers is the largest number of servers that a conflict names.
+	maxReportedServers = 8
+)
+
+// serverUser is a region's service that sends to a server.
+type serverUser struct {
+	*indexedRegion
+	*Service
+	listID string // equal for services with the same list of servers
+}
+
+// findSlowStartConflicts compares what regions send together to a warming server with what it can serve.
+func (x *Index) findSlowStartConflicts() (conflicts []Conflict) {
+	users, positionsByServer := x.serverUsers()
+	servers := make(map[string][]string) // by the users that send to them
+	positions := make(map[string][]int)
+	for id, at := range positionsByServer {
+		key := fmt.Sprint(at)
+		servers[key] = append(servers[key], id)
+		positions[key] = at
+	}
+	for key, ids := range servers {
+		var of []serverUser
+		for _, i := range positions[key] {
+			of = append(of, users[i])
+		}
+		conflict := slowStartConflict(of)
+		if conflict == nil {
+			continue
+		}
+		slices.Sort(ids)
+		conflict.Rules = ids
+		if len(ids) > maxReportedServers {
+			conflict.Rules = ids[:maxReportedServers]
+			conflict.Why += fmt.Sprintf("; and of %d more servers", len(ids)-maxReportedServers)
+		}
+		conflicts = append(conflicts, *conflict)
+	}
+	return conflicts
+}
+
+// serverUsers lists the services that send to servers, and their positions by server.
+func (x *Index) serverUsers() (users []serverUser, positionsByServer map[string][]int) {
+	known := x.knownServers()
+	positionsByServer = make(map[string][]int)
+	listIDs := make(map[string]int) // by source, or by the servers as a text
+	for _, region := range x.regions {
+		for i := range region.Services {
+			service := &region.Services[i]
+			servers := serversOf(service, known)
+			if len(servers) == 0 {
+				continue
+			}
+			list := "source " + service.Source
+			if service.Source == "" {
+				list = strings.Join(slices.Sorted(slices.Values(servers)), "\n")
+			}
+			if _, ok := listIDs[list]; !ok {
+				listIDs[list] = len(listIDs)
+			}
+			for _, id := range servers {
+				positions := positionsByServer[id]
+				if len(positions) == 0 || positions[len(positions)-1] != len(users) {
+					positionsByServer[id] = append(positions, len(users))
+				}
+			}
+			users = append(users, serverUser{region, service, fmt.Sprint(listIDs[list])})
+		}
+	}
+	return users, positionsByServer
+}
+
+// serversOf returns a service's servers: its own, else those known of its source, else the source itself.
+func serversOf(service *Service, known map[string][]string) []string {
+	switch {
+	case len(service.Servers) > 0 || service.Source == "":
+		return service.Servers
+	case len(known[service.Source]) > 0:
+		return known[service.Source]
+	default:
+		return []string{service.Source}
+	}
+}
+
+// knownServers returns the servers of each source, as the region with the largest number of them lists them.
+func (x *Index) knownServers() map[string][]string {
+	known := make(map[string][]string)
+	for _, region := range x.regions {
+		for _, service := range region.Services {
+			if service.Source != "" && len(service.Servers) > len(known[service.Source]) {
+				known[service.Source] = service.Servers
+			}
+		}
+	}
+	return known
+}
+
+// slowStartConflict returns the conflict over servers that all of some services send to, or nil.
+func slowStartConflict(users []serverUser) *Conflict {
+	conflict := &Conflict{Kind: SlowStartKind, Severity: Error}
+	floor, maxGroup, isUncertain := 0.0, 0.0, false
+	var groups []string
+	for _, user := range users {
+		region := user.indexedRegion.Name
+		if len(conflict.Regions) == 0 || conflict.Regions[len(conflict.Regions)-1] != region {
+			conflict.Regions = append(conflict.Regions, region)
+			groups = append(groups, user.describeGroup())
+		}
+		if n, isKnown := user.groupCount(); user.SlowStart.WarmupTime > 0 {
+			floor, maxGroup, isUncertain = floor+n, max(maxGroup, n), isUncertain || !isKnown
+		}
+	}
+	if len(conflict.Regions) < 2 && maxGroup <= 1 {
+		return nil
+	}
+	if floor*slowStartBudgetFraction > 1+relativeTolerance {
+		conflict.Why = fmt.Sprintf("instances send a cold server %.3g requests a second at the least, where a group's one is meant: %s",
+			floor, strings.Join(groups, ", "))
+		if isUncertain {
+			conflict.Severity = Warning
+		}
+		return conflict
+	}
+	if len(conflict.Regions) < 2 {
+		return nil
+	}
+	at, sum, limit := worstMoment(users)
+	if sum > limit*(1+relativeTolerance) {
+		conflict.Why = fmt.Sprintf("%.3gs after its start the regions let a cold server have %.3g of a warm one's work together, it falls at %.3g: %s",
+			at, sum, limit, strings.Join(conflict.Regions, ", "))
+		return conflict
+	}
+	return nil
+}
+
+// worstMoment returns the time in seconds after a server's start at which what it is sent exceeds its limit
+// by the largest ratio. sum and limit are both in fractions of a warm server's load.
+func worstMoment(users []serverUser) (worst, sum, limit float64) {
+	times := []float64{0}
+	for _, user := range users {
+		from, span := user.SlowStart.InitialCapacity, user.SlowStart.WarmupTime.Seconds()
+		times = append(times, span)
+		// The moments at which its warmth is complete and at which its budget is. Between such moments sums
+		// are linear and the limit is the smallest of linear ones, so the worst moment is one of these.
+		for _, w := range []float64{1, 1 / (slowStartBudgetFraction * user.SlowStart.OverloadMultiple)} {
+			if t := span * (w - max(minWarmupFraction, from)) / (1 - from); t > 0 && t < span {
+				times = append(times, t)
+			}
+		}
+	}
+	slices.Sort(times)
+	for _, t := range times {
+		for _, isAfter := range []bool{false, true} { // just before t, and at t
+			s, b := loadAt(users, t, isAfter)
+			if b > 0 && (limit == 0 || s/b > (1+relativeTolerance)*sum/limit) {
+				worst, sum, limit = t, s, b
+			}
+		}
+	}
+	return worst, sum, limit
+}
+
+// loadAt returns what a server is sent t seconds after its start, and the smallest limit of the services
+// for which it is warming up; a limit of 0 is none. isAfter tells t from the moment just before it.
+func loadAt(users []serverUser, t float64, isAfter bool) (sum, limit float64) {
+	budgets := make(map[string]float64) // by list: users of one list share a warm server's load
+	for _, user := range users {
+		span := user.SlowStart.WarmupTime.Seconds()
+		budget := 1.0 // of a warm server
+		isWarmingUp := t < span || !isAfter && t == span && span > 0
+		if isWarmingUp {
+			from := user.SlowStart.InitialCapacity
+			warmth := min(1, max(minWarmupFraction, from)+(1-from)*t/span)
+			budget = min(1, slowStartBudgetFraction*user.SlowStart.OverloadMultiple*warmth)
+			if capacity := user.SlowStart.OverloadMultiple * warmth; capacity > 0 && (limit == 0 || capacity < limit) {
+				limit = capacity
+			}
+		}
+		budgets[user.listID] = max(budgets[user.listID], budget)
+	}
+	for _, list := range slices.Sorted(maps.Keys(budgets)) { // a fixed order, so that rounding is the same each time
+		sum += budgets[list]
+	}
+	return sum, limit
+}
--- /dev/null
+++ b/internal/regions/terms.go
@@ -0,0 +1,37 @@
+package regions
+
+import (
+	"fmt"
+	"time"
+
+	"lockflow/control"
+)
+
+// terms decide whether, where and until when a request may be repeated.
+type terms struct {
+	idempotency  control.Idempotency
+	keyScope     control.KeyScope // zero unless requests have an idempotency key
+	repeatWindow time.Duration    // as keyScope
+	deadline     time.Duration
+}
+
+func termsOf(class control.Class) terms {
+	t := terms{idempotency: class.Idempotency, deadline: class.Deadline}
+	if class.Idempotency == control.IdempotentWithKey {
+		t.keyScope = class.KeyScope
+		t.repeatWindow = class.RepeatWindow
+	}
+	return t
+}
+
+// String describes the terms for the reason of a conflict.
+func (t terms) String() string {
+	switch t.idempotency {
+	case control.Idempotent:
+		return fmt.Sprintf("free to repeat, deadline %v", t.deadline)
+	case control.IdempotentWithKey:
+		scopes := [...]string{"all", "a zone", "a group"}
+		return fmt.Sprintf("keyed over %s for %v, deadline %v", scopes[int(t.keyScope)%len(scopes)], t.repeatWindow, t.deadline)
+	}
+	return fmt.Sprintf("never repeated, deadline %v", t.deadline)
+}
