--- a/internal/command/measure.go
+++ b/internal/command/measure.go
@@ -85,9 +85,9 @@
 	set.StringVar(&m.loads, "loads", "0.5,0.8", "balance: `PART,PART...` of what all servers can do")
 	set.StringVar(&m.serve, "serve", "", "proxy: be the proxy over `ADDRESS,ADDRESS...` (used by the measurement itself)")
 	set.IntVar(&m.fleet.Instances, "instances", 40, "fleet: `N` real processes")
-	set.IntVar(&m.fleet.Told, "told", 0, "fleet: `N` that they are told the group has, where it is another")
+	set.IntVar(&m.fleet.GroupSize, "told", 0, "fleet: `N` that they are told the group has, where it is another")
 	set.DurationVar(&m.fleet.Every, "every", 400*time.Millisecond, "fleet: `TIME` from one disturbance to the next; 0 is none")
-	set.DurationVar(&m.fleet.ColdEvery, "cold-every", 4*time.Second, "fleet: `TIME` from one cold server to the next; 0 is none")
+	set.DurationVar(&m.fleet.NewServerInterval, "cold-every", 4*time.Second, "fleet: `TIME` from one cold server to the next; 0 is none")
 	set.IntVar(&m.fleet.Rate, "rate", 400, "fleet: `N` calls a second")
 	set.IntVar(&m.fleet.Servers, "servers", 8, "fleet: `N` app servers of two cores each")
 	set.DurationVar(&m.fleet.Work, "work", 25*time.Millisecond, "fleet: `TIME` of a call on a core")
@@ -121,16 +121,16 @@
 		}
 		return measureProxy(ctx, e, m.connections, m.protocol, m.rounds, m.lasts, m.asJSON)
 	case what == "servers":
-		return measureServers(ctx, e, measure.ServersOptions{Rounds: m.rounds, Lasts: m.lasts, Work: time.Millisecond, Progress: e.Err},
+		return measureServers(ctx, e, measure.ServersOptions{Rounds: m.rounds, Duration: m.lasts, Work: time.Millisecond, Progress: e.Err},
 			m.connections, m.asJSON)
 	case what == "balance":
 		return measureBalance(ctx, e, balancesim.Options{Lasts: m.lasts, Seed: m.fleet.Seed}, m.loads, m.asJSON)
 	case what == "bodies":
-		return measureBodies(ctx, e, measure.BodiesOptions{Workers: m.workers, Rounds: m.rounds, Lasts: m.lasts, MemoryMB: m.memory, Progress: e.Err},
+		return measureBodies(ctx, e, measure.BodiesOptions{Workers: m.workers, Rounds: m.rounds, Duration: m.lasts, MemoryMB: m.memory, Progress: e.Err},
 			m.sizes, m.ways, m.asJSON)
 	case what == "reload":
 		return measureReloads(ctx, e, measure.ReloadOptions{
-			Rounds: m.rounds, Lasts: m.lasts, Every: 150 * time.Millisecond, Clients: 48,
+			Rounds: m.rounds, Duration: m.lasts, Every: 150 * time.Millisecond, Clients: 48,
 			Progress: e.Err,
 		}, m.asJSON)
 	case what == "upgrade" && m.skew.Previous != "":
@@ -139,20 +139,20 @@
 	case what == "upgrade":
 		return measureUpgrades(ctx, e, measure.UpgradeOptions{Upgrades: m.rounds, Every: m.lasts, Clients: 16, Progress: e.Err}, m.asJSON)
 	case what == "fleet":
-		m.fleet.Lasts = m.lasts
+		m.fleet.Duration = m.lasts
 		return measureFleet(ctx, e, m.fleet, m.asJSON)
 	case what == "faults" || what == "change":
-		m.faults.Lasts, m.faults.Seed = m.lasts, m.fleet.Seed
+		m.faults.Duration, m.faults.Seed = m.lasts, m.fleet.Seed
 		return measureFaults(ctx, e, m.faults, what == "change", *m.script, m.asJSON)
 	case what == "soak":
 		return measureSoak(ctx, e, soakOptions{nodes: m.faults.Processes, seeds: m.faults.Seeds, seed: m.fleet.Seed, lasts: m.lasts}, m.asJSON)
 	case what == "rollout":
 		return measureRollout(ctx, e, measure.RolloutOptions{Members: m.faults.Processes, Seed: m.fleet.Seed}, m.kinds, m.asJSON)
 	case what == "gather":
-		return measureGather(ctx, e, measure.GatherOptions{Rounds: m.rounds, Lasts: m.lasts}, m.asJSON)
+		return measureGather(ctx, e, measure.GatherOptions{Rounds: m.rounds, Duration: m.lasts}, m.asJSON)
 	case what == "isolation":
 		return measureIsolation(ctx, e, measure.IsolationOptions{
-			Descriptors: m.descriptors, Rounds: m.rounds, Lasts: m.lasts, Crowd: m.crowd,
+			Descriptors: m.descriptors, Rounds: m.rounds, Duration: m.lasts, DocumentClients: m.crowd,
 			Progress: e.Err,
 		}, m.asJSON)
 	}
@@ -160,7 +160,7 @@
 }
 
 func measureProxy(ctx context.Context, e *Env, connections, protocol string, rounds int, lasts time.Duration, asJSON bool) error {
-	o := measure.ProxyOptions{Protocol: protocol, Rounds: rounds, Lasts: lasts, Progress: e.Err}
+	o := measure.ProxyOptions{Protocol: protocol, Rounds: rounds, Duration: lasts, Progress: e.Err}
 	var err error
 	if o.Connections, err = counts(connections); err != nil {
 		return err
@@ -180,7 +180,7 @@
 		"proxy", "node", "proxy", "ratio from-to, node refused, lost")
 	for _, r := range rows {
 		fmt.Fprintf(e.Out, "%11d  %6.0f %6.0f %7.2f  %8.0f %8.0f  %8.2f %8.2f  %8.2f %8.2f  %.2f-%.2f, %d, %d\n", r.Connections, r.Node.CPU, r.Proxy.CPU,
-			r.Ratio, r.Node.Rate, r.Proxy.Rate, r.Node.P50, r.Proxy.P50, r.Node.P99, r.Proxy.P99, r.Least, r.Most, r.Node.Refused, r.Node.Lost)
+			r.Ratio, r.Node.Rate, r.Proxy.Rate, r.Node.P50, r.Proxy.P50, r.Node.P99, r.Proxy.P99, r.MinRatio, r.MaxRatio, r.Node.Refused, r.Node.Lost)
 	}
 	return nil
 }
@@ -198,7 +198,7 @@
 }
 
 func measureServers(ctx context.Context, e *Env, o measure.ServersOptions, connections string, asJSON bool) (err error) {
-	if o.AtOnce, err = counts(connections); err != nil {
+	if o.Concurrency, err = counts(connections); err != nil {
 		return err
 	}
 	if o.Program, err = os.Executable(); err != nil {
@@ -215,8 +215,8 @@
 	fmt.Fprintln(w, "at once\tprotocol\tCPU us a request\tratio\tanswers a second\tp50 ms\tp99 ms\tp99 beside slow\tconnections\tmade\trefused\tlost\t")
 	for _, r := range rows {
 		for i, s := range []measure.ServersSide{r.HTTP1, r.HTTP2} {
-			fmt.Fprintf(w, "%d\t%s\t%.0f\t%s\t%.0f\t%.2f\t%.2f\t%.2f\t%.0f\t%.0f\t%d\t%d\t\n", r.AtOnce, []string{"HTTP/1.1", "HTTP/2"}[i], s.CPU,
-				[]string{"", fmt.Sprintf("%.2f", r.Ratio)}[i], s.Rate, s.P50, s.P99, s.Beside, s.Most, s.Dials, s.Refused, s.Lost)
+			fmt.Fprintf(w, "%d\t%s\t%.0f\t%s\t%.0f\t%.2f\t%.2f\t%.2f\t%.0f\t%.0f\t%d\t%d\t\n", r.Concurrency, []string{"HTTP/1.1", "HTTP/2"}[i], s.CPU,
+				[]string{"", fmt.Sprintf("%.2f", r.Ratio)}[i], s.Rate, s.P50, s.P99, s.P99BesideSlow, s.OpenConnections, s.Dials, s.Refused, s.Lost)
 		}
 	}
 	return w.Flush()
@@ -253,7 +253,7 @@
 	fmt.Fprintf(e.Out, "%12s %-5s  %17s  %17s  %17s  %s\n", "", "", "MB a second", "CPU ms a MB", "most MiB", "node: whole, not whole, refused")
 	fmt.Fprintf(e.Out, "%12s %-5s  %8s %8s  %8s %8s  %8s %8s\n", "bytes", "way", "node", "proxy", "node", "proxy", "node", "proxy")
 	for _, r := range rows {
-		fmt.Fprintf(e.Out, "%12d %-5s  %8.0f %8.0f  %8.2f %8.2f  %8.1f %8.1f  %d, %d, %d %s\n", r.Size, r.Way, r.Node.MBs, r.Proxy.MBs, r.Node.CPU, r.Proxy.CPU,
+		fmt.Fprintf(e.Out, "%12d %-5s  %8.0f %8.0f  %8.2f %8.2f  %8.1f %8.1f  %d, %d, %d %s\n", r.Size, r.Direction, r.Node.MBs, r.Proxy.MBs, r.Node.CPU, r.Proxy.CPU,
 			r.Node.Memory, r.Proxy.Memory, r.Node.Bodies, r.Node.Bad, r.Node.Refused, r.Node.Why)
 	}
 	return nil
@@ -301,7 +301,7 @@
 	if asJSON {
 		return json.NewEncoder(e.Out).Encode(got)
 	}
-	fmt.Fprintf(e.Out, "rosters beside %d clients of the documents, %d descriptors, medians of %d pairs\n\n", o.Crowd, o.Descriptors, o.Rounds)
+	fmt.Fprintf(e.Out, "rosters beside %d clients of the documents, %d descriptors, medians of %d pairs\n\n", o.DocumentClients, o.Descriptors, o.Rounds)
 	fmt.Fprintf(e.Out, "%-22s %8s %9s %9s %6s\n", "documents", "served", "p50 ms", "p99 ms", "lost")
 	for _, r := range []struct {
 		name string
@@ -317,7 +317,7 @@
 }
 
 func measureFleet(ctx context.Context, e *Env, o measure.FleetOptions, asJSON bool) error {
-	if o.Instances < 1 || o.Instances > 1000 || o.Told < 0 || o.Rate < 1 || o.Servers < 1 || o.Work < time.Millisecond || o.Servers > 1000 || o.Rate > 100000 || o.Every < 0 || o.ColdEvery < 0 {
+	if o.Instances < 1 || o.Instances > 1000 || o.GroupSize < 0 || o.Rate < 1 || o.Servers < 1 || o.Work < time.Millisecond || o.Servers > 1000 || o.Rate > 100000 || o.Every < 0 || o.NewServerInterval < 0 {
 		return usage("measure fleet: its flags are off; see lockflow measure --help")
 	}
 	var err error
@@ -348,7 +348,7 @@
 
 func printFleet(w io.Writer, r *measure.FleetReport) {
 	fmt.Fprintf(w, "%d instances (told %d) for %.0f s: %d reloads, %d upgrades, %d ends, %d kills; an idle one: %.1f MB, %d descriptors, %.1f ms of CPU a second\n\n",
-		r.Instances, r.Told, r.Seconds, r.Reloads, r.Upgrades, r.Ends, r.Kills, float64(r.IdleMem)/1024, r.IdleFDs, r.IdleCPU)
+		r.Instances, r.GroupSize, r.Seconds, r.Reloads, r.Upgrades, r.Ends, r.Kills, float64(r.IdleMem)/1024, r.IdleFDs, r.IdleCPU)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "calls of\tcalls\ttries\tserved\trefused\tfailed\tlost\tkilled with\tno connection\twrong\tp50 ms\tp99 ms\t")
 	for _, k := range slices.Sorted(maps.Keys(r.Results)) {
@@ -358,9 +358,9 @@
 	}
 	t.Flush()
 	fmt.Fprintf(w, "\neffects twice %d, attempts of one request out at once %d, late to draining servers %d\n", r.Servers.Twice, r.Servers.MostAtOne, r.Late)
-	fmt.Fprintf(w, "cold servers %d, pushed past their limit %d, the worst at %.2f of it\n", r.Cold, r.Fallen, r.Worst)
-	fmt.Fprintf(w, "customers with a ceiling sent %.0f units, at most %.1f beyond it (%g allowed)\n", r.Enterp, r.Over, r.Slack)
-	fmt.Fprintf(w, "%d instances doubt the size of the group\n", r.Doubting)
+	fmt.Fprintf(w, "cold servers %d, pushed past their limit %d, the worst at %.2f of it\n", r.WarmingUp, r.Overloaded, r.WorstOverload)
+	fmt.Fprintf(w, "customers with a ceiling sent %.0f units, at most %.1f beyond it (%g allowed)\n", r.EnterpriseUnits, r.OverLimit, r.Slack)
+	fmt.Fprintf(w, "%d instances doubt the size of the group\n", r.DegradedInstances)
 	for _, text := range append(r.Failed, r.Wrong...) {
 		fmt.Fprintln(w, "WRONG:", text)
 	}
--- a/internal/command/measure_gather.go
+++ b/internal/command/measure_gather.go
@@ -23,7 +23,7 @@
 	}
 	fmt.Fprintf(e.Out, "%5s  %12s %12s %12s  %s\n", "parts", "us a query", "us plainly", "us a part", "ratio from-to, p50 ms, not whole")
 	for _, r := range rows {
-		fmt.Fprintf(e.Out, "%5d  %12.0f %12.0f %12.0f  %.2f %.2f-%.2f, %.2f, %d\n", r.Parts, r.Query, r.Plain, r.Part, r.Ratio, r.Least, r.Most, r.P50, r.Failed)
+		fmt.Fprintf(e.Out, "%5d  %12.0f %12.0f %12.0f  %.2f %.2f-%.2f, %.2f, %d\n", r.Parts, r.Query, r.Plain, r.Part, r.Ratio, r.MinRatio, r.MaxRatio, r.P50, r.Failed)
 	}
 	return nil
 }
--- a/internal/command/measurefaults.go
+++ b/internal/command/measurefaults.go
@@ -104,7 +104,7 @@
 	}
 	t.Flush()
 	if r.Failing != "" {
-		fmt.Fprintf(w, "\nWRONG:\n%s\n\nthe least script that fails so or otherwise (lockflow measure change --script FILE):\n%s", r.Failing, r.Least)
+		fmt.Fprintf(w, "\nWRONG:\n%s\n\nthe least script that fails so or otherwise (lockflow measure change --script FILE):\n%s", r.Failing, r.ShortestScript)
 	}
 }
 
@@ -138,6 +138,6 @@
 	row("all", &sum, back, wrong)
 	t.Flush()
 	if r.Failing != "" {
-		fmt.Fprintf(w, "\nWRONG:\n%s\n\nthe least script that fails so or otherwise (lockflow measure faults --script FILE):\n%s", r.Failing, r.Least)
+		fmt.Fprintf(w, "\nWRONG:\n%s\n\nthe least script that fails so or otherwise (lockflow measure faults --script FILE):\n%s", r.Failing, r.ShortestScript)
 	}
 }
--- a/internal/command/measurerollout.go
+++ b/internal/command/measurerollout.go
@@ -43,7 +43,7 @@
 	} else {
 		ends := make(map[string]int)
 		for _, row := range r.Rows {
-			ends[fmt.Sprintf("%s, %s: all %s", row.Kind, row.Way, row.State)]++
+			ends[fmt.Sprintf("%s, %s: all %s", row.Kind, row.Recovery, row.State)]++
 		}
 		for _, k := range sorted(ends) {
 			fmt.Fprintf(e.Out, "%5d  %s\n", ends[k], k)
@@ -52,7 +52,7 @@
 			fmt.Fprintf(e.Out, "%5d  writes of a change of %s\n", r.Writes[k], k)
 		}
 		fmt.Fprintf(e.Out, "%5d  coordinators killed, %d claims, %d epochs owned, %d orders carried out or told again, %d of them restarts, %d begun\n",
-			r.Killed, r.Claims, r.Owned, r.Orders, r.Restarts, r.Begun)
+			r.Killed, r.Claims, r.Owned, r.Orders, r.Restarts, r.StartedCommands)
 		fmt.Fprintf(e.Out, "%5d  requests, %d without an answer, %d with another one\n", r.Requests, r.Lost, r.Other)
 		for _, w := range r.Wrong {
 			fmt.Fprintf(e.Out, "WRONG: %s\n", w)
--- a/internal/trials/measure/bodies.go
+++ b/internal/trials/measure/bodies.go
@@ -22,7 +22,7 @@
 	Sizes    []int64 // bytes of one body
 	Workers  int     // bodies at once, in one direction
 	Rounds   int     // pairs of runs a row
-	Lasts    time.Duration
+	Duration time.Duration
 	MemoryMB int // that the node is told it has
 	Progress io.Writer
 }
@@ -31,7 +31,7 @@
 type Flow struct {
 	MBs     float64 `json:"mb_s"`      // megabytes of 10^6 bytes a second
 	CPU     float64 `json:"cpu_ms_mb"` // of the process, in ms a megabyte
-	Memory  float64 `json:"memory_mb"` // most that was resident, in 2^20 bytes
+	Memory  float64 `json:"memory_mb"` // peakMB that was resident, in 2^20 bytes
 	Bad     int64   `json:"bad"`       // bodies that did not come whole
 	Refused int64   `json:"refused"`   // answers of 503, after which a client comes back
 	Bodies  int64   `json:"bodies"`    // that did
@@ -40,10 +40,10 @@
 
 // BodiesRow compares the two at a size, one way.
 type BodiesRow struct {
-	Size  int64  `json:"size"`
-	Way   string `json:"way"` // down, up, or both at once
-	Node  Flow   `json:"node"`
-	Proxy Flow   `json:"proxy"`
+	Size      int64  `json:"size"`
+	Direction string `json:"way"` // down, up, or both at once
+	Node      Flow   `json:"node"`
+	Proxy     Flow   `json:"proxy"`
 }
 
 const bodiesConfig = `
@@ -64,7 +64,7 @@
 `
 
 // Bodies compares a node with the standard library's reverse proxy on bodies of some sizes.
-func Bodies(ctx context.Context, o BodiesOptions, ways []string) ([]BodiesRow, error) {
+func Bodies(ctx context.Context, o BodiesOptions, directions []string) ([]BodiesRow, error) {
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("starting the app server: %w", err)
@@ -83,21 +83,21 @@
 	defer os.Remove(file) //nolint:errcheck // a temporary file
 	var rows []BodiesRow
 	for _, size := range o.Sizes {
-		for _, way := range ways {
+		for _, direction := range directions {
 			var nodes, proxies []Flow
 			for round := range o.Rounds {
-				a, err := o.flow(ctx, size, way, "serve", "--config", file)
+				a, err := o.flow(ctx, size, direction, "serve", "--config", file)
 				if err != nil {
 					return rows, fmt.Errorf("measuring the node: %w", err)
 				}
-				b, err := o.flow(ctx, size, way, "measure", "proxy", "--serve", l.Addr().String())
+				b, err := o.flow(ctx, size, direction, "measure", "proxy", "--serve", l.Addr().String())
 				if err != nil {
 					return rows, fmt.Errorf("measuring the proxy: %w", err)
 				}
 				nodes, proxies = append(nodes, a), append(proxies, b)
-				fmt.Fprintf(o.Progress, "%d bytes %s, round %d of %d: %.0f and %.0f MB/s\n", size, way, round+1, o.Rounds, a.MBs, b.MBs)
+				fmt.Fprintf(o.Progress, "%d bytes %s, round %d of %d: %.0f and %.0f MB/s\n", size, direction, round+1, o.Rounds, a.MBs, b.MBs)
 			}
-			rows = append(rows, BodiesRow{size, way, middleFlow(nodes), middleFlow(proxies)})
+			rows = append(rows, BodiesRow{size, direction, middleFlow(nodes), middleFlow(proxies)})
 		}
 	}
 	return rows, nil
@@ -176,7 +176,7 @@
 
 // flow has clients send or fetch bodies through a program until the time is over; each goes on to
 // its end.
-func (o BodiesOptions) flow(ctx context.Context, size int64, way string, args ...string) (Flow, error) {
+func (o BodiesOptions) flow(ctx context.Context, size int64, direction string, args ...string) (Flow, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	cmd, addr, err := launch(ctx, o.Program, args...)
@@ -194,12 +194,12 @@
 	client := &http.Client{Transport: transport}
 	var bodies, bad, refused, moved atomic.Int64
 	var why atomic.Pointer[error]
-	begun := time.Now()
+	started := time.Now()
 	var all sync.WaitGroup
 	work := func(one func() (int64, error)) {
-		for first := true; first || time.Since(begun) < o.Lasts; first = false {
+		for first := true; first || time.Since(started) < o.Duration; first = false {
 			n, err := one()
-			for errors.Is(err, errRefused) && time.Since(begun) < refusedFor { // it says when to return
+			for errors.Is(err, errRefused) && time.Since(started) < refusedFor { // it says when to return
 				refused.Add(1)
 				time.Sleep(time.Second)
 				n, err = one()
@@ -214,23 +214,23 @@
 		}
 	}
 	for range o.Workers {
-		if way != "up" {
+		if direction != "up" {
 			all.Go(func() { work(func() (int64, error) { return fetch(client, addr, size) }) })
 		}
-		if way != "down" {
+		if direction != "down" {
 			all.Go(func() { work(func() (int64, error) { return send(client, addr, size) }) })
 		}
 	}
 	watched := watchMemory(cmd.Process.Pid)
 	all.Wait()
-	took := time.Since(begun)
-	most := watched()
+	elapsed := time.Since(started)
+	peakMB := watched()
 	after, err := cpuOf(cmd.Process.Pid)
 	if err != nil {
 		return Flow{}, err
 	}
 	mb := float64(moved.Load()) / 1e6
-	f := Flow{MBs: mb / took.Seconds(), CPU: float64((after - before).Milliseconds()) / mb, Memory: most, Bad: bad.Load(), Bodies: bodies.Load(), Refused: refused.Load()}
+	f := Flow{MBs: mb / elapsed.Seconds(), CPU: float64((after - before).Milliseconds()) / mb, Memory: peakMB, Bad: bad.Load(), Bodies: bodies.Load(), Refused: refused.Load()}
 	if e := why.Load(); e != nil {
 		f.Why = (*e).Error()
 	}
@@ -275,9 +275,9 @@
 	if r.StatusCode == http.StatusServiceUnavailable {
 		return 0, errRefused
 	}
-	told, err := io.ReadAll(r.Body)
-	if err == nil && string(told) != strconv.FormatInt(size, 10) {
-		err = fmt.Errorf("%w: %s, %q", errCut, r.Status, told)
+	reply, err := io.ReadAll(r.Body)
+	if err == nil && string(reply) != strconv.FormatInt(size, 10) {
+		err = fmt.Errorf("%w: %s, %q", errCut, r.Status, reply)
 	}
 	if err != nil {
 		return 0, err
--- a/internal/trials/measure/change.go
+++ b/internal/trials/measure/change.go
@@ -21,7 +21,7 @@
 // ReloadOptions say how reloads are measured.
 type ReloadOptions struct {
 	Rounds   int
-	Lasts    time.Duration // of each run
+	Duration time.Duration // of each run
 	Every    time.Duration // from one reload to the next
 	Clients  int
 	Progress io.Writer
@@ -66,9 +66,9 @@
 	if err := l.Ready(ctx); err != nil {
 		return ReloadRow{}, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, o.Lasts)
+	ctx, cancel := context.WithTimeout(ctx, o.Duration)
 	defer cancel()
-	begun := time.Now()
+	started := time.Now()
 	var mu sync.Mutex
 	early := 0
 	run := fake.Clients{Addr: l.Node.Addr(), Seed: seed, Workers: o.Clients, Call: func(rng *rand.Rand) fake.Call {
@@ -76,7 +76,7 @@
 		c.Method, c.Path, c.Body, c.Key = "POST", "/visit-update", "swap", strconv.FormatUint(rng.Uint64(), 16)
 		return c
 	}, Seen: func(a fake.Answer) {
-		if a.Status == 200 && a.Sent.Add(a.Took).Sub(begun) < o.Lasts/4 {
+		if a.Status == 200 && a.Sent.Add(a.Took).Sub(started) < o.Duration/4 {
 			mu.Lock()
 			early++
 			mu.Unlock()
@@ -103,8 +103,8 @@
 		}
 	}
 	r := run.Wait()["rosters"]
-	took := time.Since(begun).Seconds()
-	row.Rate, row.First = float64(r.Served)/took, float64(early)/(o.Lasts.Seconds()/4)
+	seconds := time.Since(started).Seconds()
+	row.Rate, row.First = float64(r.Served)/seconds, float64(early)/(o.Duration.Seconds()/4)
 	row.P99, row.Refused, row.Lost = ms(r.P(0.99)), r.Refused, r.Lost+r.Wrong+r.Failed
 	row.Twice = l.Pools["rosters"].Tally.Counts().Twice
 	return row, nil
@@ -122,15 +122,15 @@
 
 // UpgradeReport is what upgrades under load cost.
 type UpgradeReport struct {
-	Upgrades int     `json:"upgrades"`
-	Calls    int     `json:"calls"`
-	NoConn   int     `json:"no_connection"`
-	Refused  int     `json:"refused"`
-	Lost     int     `json:"lost"`
-	Twice    int     `json:"twice"`
-	Around   Times   `json:"around"` // of calls sent in the 2 s around an upgrade
-	Quiet    Times   `json:"quiet"`  // and of all others
-	Took     []int64 `json:"took_ms"`
+	Upgrades  int     `json:"upgrades"`
+	Calls     int     `json:"calls"`
+	NoConn    int     `json:"no_connection"`
+	Refused   int     `json:"refused"`
+	Lost      int     `json:"lost"`
+	Twice     int     `json:"twice"`
+	Around    Times   `json:"around"` // of calls sent in the 2 s around an upgrade
+	Quiet     Times   `json:"quiet"`  // and of all others
+	Durations []int64 `json:"took_ms"`
 }
 
 // Times are quantiles of times in ms.
@@ -167,7 +167,7 @@
 		defer mu.Unlock()
 		all = append(all, a)
 	}}
-	kept := clients.Start(load)
+	persistent := clients.Start(load)
 	clients.Fresh, clients.Seed = true, 1000
 	fresh := clients.Start(load)
 	rep := &UpgradeReport{}
@@ -183,17 +183,17 @@
 		if err != nil {
 			return nil, err
 		}
-		begun := time.Now()
+		started := time.Now()
 		if err := (&fleet.Upgrade{}).Do(ctx, m, before); err != nil {
 			return nil, fmt.Errorf("upgrade %d: %w", i+1, err)
 		}
-		at = append(at, begun)
-		rep.Took = append(rep.Took, time.Since(begun).Milliseconds())
-		fmt.Fprintf(o.Progress, "upgrade %d of %d: %v until the old process had ended\n", i+1, o.Upgrades, time.Since(begun).Round(time.Millisecond))
+		at = append(at, started)
+		rep.Durations = append(rep.Durations, time.Since(started).Milliseconds())
+		fmt.Fprintf(o.Progress, "upgrade %d of %d: %v until the old process had ended\n", i+1, o.Upgrades, time.Since(started).Round(time.Millisecond))
 	}
 	time.Sleep(o.Every)
 	cancel()
-	for _, r := range []map[string]*fake.Result{kept.Wait(), fresh.Wait()} {
+	for _, r := range []map[string]*fake.Result{persistent.Wait(), fresh.Wait()} {
 		x := r["x"]
 		rep.Calls, rep.Refused, rep.Lost = rep.Calls+x.Calls, rep.Refused+x.Refused, rep.Lost+x.Lost+x.Wrong+x.Failed
 	}
--- a/internal/trials/measure/disturb.go
+++ b/internal/trials/measure/disturb.go
@@ -31,14 +31,14 @@
 		delete(r.away, i)
 	}()
 	m := r.run.Members[i]
-	within, cancel := context.WithTimeout(context.WithoutCancel(ctx), 30*time.Second)
+	disturbanceCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), 30*time.Second)
 	defer cancel()
-	before, err := m.Client.Status(within)
+	before, err := m.Client.Status(disturbanceCtx)
 	if err != nil {
 		r.fail("instance %d does not answer: %v", i, err)
 		return
 	}
-	count := &r.rep.Reloads
+	count := &r.report.Reloads
 	switch {
 	case what < 5:
 		raw, _ := os.ReadFile(before.ConfigPath)
@@ -46,23 +46,23 @@
 		if changed == string(raw) {
 			changed = strings.Replace(string(raw), "depth = 2001", "depth = 2000", 1)
 		}
-		err = (&fleet.Reload{New: []byte(changed)}).Do(within, m, before)
+		err = (&fleet.Reload{New: []byte(changed)}).Do(disturbanceCtx, m, before)
 	case what < 8:
-		count = &r.rep.Upgrades
-		err = (&fleet.Upgrade{}).Do(within, m, before)
+		count = &r.report.Upgrades
+		err = (&fleet.Upgrade{}).Do(disturbanceCtx, m, before)
 	case what == toEnd:
-		count = &r.rep.Ends
+		count = &r.report.Ends
 		r.leave(i)
 		err = syscall.Kill(before.PID, syscall.SIGTERM)
-		err = errors.Join(err, r.back(within, i, before.PID))
+		err = errors.Join(err, r.back(disturbanceCtx, i, before.PID))
 	default:
-		count = &r.rep.Kills
+		count = &r.report.Kills
 		r.mu.Lock()
 		r.away[i] = true
 		r.killed[r.run.Addr(i)] = append(r.killed[r.run.Addr(i)], time.Now())
 		r.mu.Unlock()
 		err = syscall.Kill(before.PID, syscall.SIGKILL)
-		err = errors.Join(err, r.back(within, i, before.PID))
+		err = errors.Join(err, r.back(disturbanceCtx, i, before.PID))
 	}
 	if err != nil {
 		r.fail("instance %d, disturbance %d: %v", i, what, err)
@@ -75,28 +75,28 @@
 
 func (r *fleetRig) fail(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
-	r.tell("%s", text)
+	r.logProgress("%s", text)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rep.Failed = append(r.rep.Failed, text)
+	r.report.Failed = append(r.report.Failed, text)
 }
 
 // half has half of the instances end at once and start again in the middle of the run, just after
 // a cold server has come where some do.
 func (r *fleetRig) half(ctx context.Context) {
 	select {
-	case <-time.After(r.o.Lasts / 2):
+	case <-time.After(r.options.Duration / 2):
 	case <-ctx.Done():
 		return
 	}
-	if r.o.ColdEvery > 0 {
-		if err := r.serverComes(fleetWarmup); err != nil {
+	if r.options.NewServerInterval > 0 {
+		if err := r.startServer(fleetWarmup); err != nil {
 			r.fail("a server: %v", err)
 		}
 	}
-	r.tell("half of the instances end and start again")
+	r.logProgress("half of the instances end and start again")
 	var all sync.WaitGroup
-	for i := 0; i < r.o.Instances; i += 2 {
+	for i := 0; i < r.options.Instances; i += 2 {
 		all.Go(func() { r.disturb(ctx, i, toEnd) })
 	}
 	all.Wait()
@@ -113,7 +113,7 @@
 	time.Sleep(leadTime)
 }
 
-// back waits until an instance serves again, by another process.
+// needsRollback waits until an instance serves again, by another process.
 func (r *fleetRig) back(ctx context.Context, i, pid int) error {
 	for {
 		if s, err := r.run.Members[i].Client.Status(ctx); err == nil && s.PID != pid && s.IsReady() {
--- a/internal/trials/measure/faults.go
+++ b/internal/trials/measure/faults.go
@@ -23,7 +23,7 @@
 	Servers   int
 	Clients   int // of each process
 	Faults    int // of a script; 0 is one for each link and process, and one more
-	Lasts     time.Duration
+	Duration  time.Duration
 	Seed      uint64
 	Seeds     int
 	Script    *faultnet.Script // is tried instead of any drawn
@@ -33,14 +33,14 @@
 
 // FaultsReport is what came of it.
 type FaultsReport struct {
-	Rows    []*trial.Report `json:"rows"`
-	Least   string          `json:"least,omitempty"`   // the script of the first seed that failed, shortened
-	Failing string          `json:"failing,omitempty"` // what was wrong with it
+	Rows           []*trial.Report `json:"rows"`
+	ShortestScript string          `json:"least,omitempty"`   // the script of the first seed that failed, shortened
+	Failing        string          `json:"failing,omitempty"` // what was wrong with it
 }
 
 // Faults tries seed after seed. It ends at the first that fails, and shortens its script.
 func Faults(ctx context.Context, o FaultsOptions) (*FaultsReport, error) {
-	rows, least, failing, err := overSeeds(ctx, o, "faults", func(seed uint64) faultnet.Script { return FaultsScript(o, seed) },
+	rows, shortest, failing, err := overSeeds(ctx, o, "faults", func(seed uint64) faultnet.Script { return FaultsScript(o, seed) },
 		func(dir string, s faultnet.Script) (*trial.Report, []string, error) {
 			got, err := trial.Run(ctx, trial.Options{Program: o.Program, Dir: dir, Nodes: o.Processes, Servers: o.Servers, Clients: o.Clients, Script: s})
 			if err != nil {
@@ -52,21 +52,21 @@
 			}
 			return got, got.Wrong, nil
 		}, func(n int) string { return trial.Place(o.Servers, n) })
-	return &FaultsReport{rows, least, failing}, err
+	return &FaultsReport{rows, shortest, failing}, err
 }
 
 // ChangeReport is what came of changes over three regions.
 type ChangeReport struct {
-	Rows    []*regiontrial.Report `json:"rows"`
-	Least   string                `json:"least,omitempty"`
-	Failing string                `json:"failing,omitempty"`
+	Rows           []*regiontrial.Report `json:"rows"`
+	ShortestScript string                `json:"least,omitempty"`
+	Failing        string                `json:"failing,omitempty"`
 }
 
 // Change tries seed after seed what Faults does of a change over three regions that gather from each other;
 // a third of the processes is in each.
 func Change(ctx context.Context, o FaultsOptions) (*ChangeReport, error) {
 	each := o.Processes / len(regiontrial.Regions())
-	rows, least, failing, err := overSeeds(ctx, o, "change", func(seed uint64) faultnet.Script { return regiontrial.Draw(seed, each, o.Faults, o.Lasts) },
+	rows, shortest, failing, err := overSeeds(ctx, o, "change", func(seed uint64) faultnet.Script { return regiontrial.Draw(seed, each, o.Faults, o.Duration) },
 		func(dir string, s faultnet.Script) (*regiontrial.Report, []string, error) {
 			got, err := regiontrial.Run(ctx, regiontrial.Options{Program: o.Program, Dir: dir, Each: each, Clients: o.Clients, Script: s, Bake: time.Second})
 			if err != nil {
@@ -76,14 +76,14 @@
 				got.Took.Round(time.Second))
 			return got, got.Wrong, nil
 		}, func(n int) string { return regiontrial.Place(each, n) })
-	return &ChangeReport{rows, least, failing}, err
+	return &ChangeReport{rows, shortest, failing}, err
 }
 
 // overSeeds tries the scripts of seeds, or the one that was given, until one has something wrong, and
 // shortens that. What each left is kept where it failed.
 func overSeeds[R any](ctx context.Context, o FaultsOptions, what string, draw func(seed uint64) faultnet.Script,
 	run func(dir string, s faultnet.Script) (R, []string, error), place func(link int) string,
-) (rows []R, least, failing string, err error) {
+) (rows []R, shortest, failing string, err error) {
 	tries := 0
 	try := func(s faultnet.Script) (got R, wrong []string, err error) {
 		tries++
@@ -131,7 +131,7 @@
 // FaultsScript is the script of a seed.
 func FaultsScript(o FaultsOptions, seed uint64) faultnet.Script {
 	return faultnet.Draw(seed, faultnet.Spec{
-		Links: trial.Links(o.Processes, o.Servers), Procs: o.Processes, For: o.Lasts, Faults: o.Faults,
+		Links: trial.Links(o.Processes, o.Servers), Procs: o.Processes, For: o.Duration, Faults: o.Faults,
 		ProcKinds: []script.Kind{script.Kill, script.Pause, script.Full, script.ReadOnly},
 	})
 }
--- a/internal/trials/measure/fleet.go
+++ b/internal/trials/measure/fleet.go
@@ -32,108 +32,108 @@
 	hardLimitBurst = 40
 	hardLimitSlack = 8
 	spread         = 4
-	retryWithin    = 8 * time.Second        // of a client's first try: well within the window in which a key is dropped
+	retryTimeout   = 8 * time.Second        // of a client's first try: well within the window in which a key is dropped
 	leadTime       = 150 * time.Millisecond // from when clients leave an instance until it is told to end
 )
 
 // FleetOptions say how a fleet is tried.
 type FleetOptions struct {
-	Program   string
-	Dir       string // for the instances' files; has to be short and empty
-	Env       []string
-	Instances int
-	Told      int // the size of the group that they are told; 0 is Instances
-	Lasts     time.Duration
-	Every     time.Duration // from one disturbance to the next; 0 is none
-	Rate      int           // calls a second
-	Servers   int           // that are there from the start, of two cores each
-	Work      time.Duration // of a call on one core
-	ColdEvery time.Duration // from one new server to the next; 0 is none
-	Seed      uint64
-	Progress  io.Writer
+	Program           string
+	Dir               string // for the instances' files; has to be short and empty
+	Env               []string
+	Instances         int
+	GroupSize         int // the size of the group that they are told; 0 is Instances
+	Duration          time.Duration
+	Every             time.Duration // from one disturbance to the next; 0 is none
+	Rate              int           // calls a second
+	Servers           int           // that are there from the start, of two cores each
+	Work              time.Duration // of a call on one core
+	NewServerInterval time.Duration // from one new server to the next; 0 is none
+	Seed              uint64
+	Progress          io.Writer
 }
 
 // FleetReport is what came of it.
 type FleetReport struct {
-	Instances int                     `json:"instances"`
-	Told      int                     `json:"told"`
-	Seconds   float64                 `json:"seconds"`
-	Results   map[string]*fake.Result `json:"results"`
-	P50, P99  map[string]float64      `json:"-"`
-	Servers   fake.Counts             `json:"servers"`
-	Late      int                     `json:"late"`        // requests to a server that drains, 2 s after it was told
-	Cold      int                     `json:"cold"`        // servers that started cold
-	Fallen    int                     `json:"fallen"`      // of them, pushed past their limit
-	Worst     float64                 `json:"worst"`       // most that one was sent, over its limit
-	Over      float64                 `json:"over"`        // units beyond the ceiling of any customer
-	Slack     float64                 `json:"slack"`       // that the ceiling allows
-	Enterp    float64                 `json:"enterprise"`  // units of customers with a ceiling
-	Reloads   int                     `json:"reloads"`     //
-	Upgrades  int                     `json:"upgrades"`    //
-	Ends      int                     `json:"ends"`        // by SIGTERM, with a start after each
-	Kills     int                     `json:"kills"`       // by SIGKILL
-	Failed    []string                `json:"failed"`      // disturbances that did not end as they should
-	IdleMem   int                     `json:"idle_kb"`     // resident, mean
-	IdleFDs   int                     `json:"idle_fds"`    // mean
-	IdleCPU   float64                 `json:"idle_cpu_ms"` // a second, mean
-	Doubting  int                     `json:"doubting"`    // instances that doubt the group's size at the end
-	Wrong     []string                `json:"wrong"`       // rules that did not hold
+	Instances         int                     `json:"instances"`
+	GroupSize         int                     `json:"told"`
+	Seconds           float64                 `json:"seconds"`
+	Results           map[string]*fake.Result `json:"results"`
+	P50, P99          map[string]float64      `json:"-"`
+	Servers           fake.Counts             `json:"servers"`
+	Late              int                     `json:"late"`        // requests to a server that drains, 2 s after it was told
+	WarmingUp         int                     `json:"cold"`        // servers that started cold
+	Overloaded        int                     `json:"fallen"`      // of them, pushed past their limit
+	WorstOverload     float64                 `json:"worst"`       // most that one was sent, over its limit
+	OverLimit         float64                 `json:"over"`        // units beyond the ceiling of any customer
+	Slack             float64                 `json:"slack"`       // that the ceiling allows
+	EnterpriseUnits   float64                 `json:"enterprise"`  // units of customers with a ceiling
+	Reloads           int                     `json:"reloads"`     //
+	Upgrades          int                     `json:"upgrades"`    //
+	Ends              int                     `json:"ends"`        // by SIGTERM, with a start after each
+	Kills             int                     `json:"kills"`       // by SIGKILL
+	Failed            []string                `json:"failed"`      // disturbances that did not end as they should
+	IdleMem           int                     `json:"idle_kb"`     // resident, mean
+	IdleFDs           int                     `json:"idle_fds"`    // mean
+	IdleCPU           float64                 `json:"idle_cpu_ms"` // a second, mean
+	DegradedInstances int                     `json:"doubting"`    // instances that doubt the group's size at the end
+	Wrong             []string                `json:"wrong"`       // rules that did not hold
 }
 
 // fleetRig is a fleet that is being tried.
 type fleetRig struct {
-	o     FleetOptions
-	run   *fleet.Run
-	disco *fake.Discovery
-	tally *fake.Tally
-	limit *fake.Ceiling
-	group *fake.Group // all servers drop repeats of a key together, as a client may ask another instance again
-	rep   *FleetReport
+	options   FleetOptions
+	run       *fleet.Run
+	discovery *fake.Discovery
+	events    *fake.Tally
+	limit     *fake.Ceiling
+	group     *fake.Group // all servers drop repeats of a key together, as a client may ask another instance again
+	report    *FleetReport
 
-	mu      sync.Mutex
-	away    map[int]bool           // instances that clients leave alone
-	killed  map[string][]time.Time // when, by address
-	servers []*fake.Running
-	cold    []*fake.Running
-	gone    []*fake.Running
-	made    int
-	busy    map[int]bool // instances that are being disturbed
-	say     sync.Mutex
+	mu            sync.Mutex
+	away          map[int]bool           // instances that clients leave alone
+	killed        map[string][]time.Time // when, by address
+	servers       []*fake.Running
+	warmingUp     []*fake.Running
+	removed       []*fake.Running
+	created       int
+	busy          map[int]bool // instances that are being disturbed
+	progressMutex sync.Mutex
 }
 
 // Fleet runs a fleet of real processes under load, disturbs it by chance and holds what comes of
 // it to the rules.
 func Fleet(ctx context.Context, o FleetOptions) (*FleetReport, error) {
 	r := &fleetRig{
-		o: o, tally: &fake.Tally{}, group: &fake.Group{Window: 15 * time.Second}, away: make(map[int]bool), killed: make(map[string][]time.Time), busy: make(map[int]bool),
+		options: o, events: &fake.Tally{}, group: &fake.Group{Window: 15 * time.Second}, away: make(map[int]bool), killed: make(map[string][]time.Time), busy: make(map[int]bool),
 		limit: &fake.Ceiling{Rate: hardLimitRate, Burst: hardLimitBurst, From: enterpriseFrom},
 	}
-	r.rep = &FleetReport{Instances: o.Instances, Told: o.Told, Slack: hardLimitSlack, P50: map[string]float64{}, P99: map[string]float64{}}
-	if o.Told == 0 {
-		r.rep.Told = o.Instances
+	r.report = &FleetReport{Instances: o.Instances, GroupSize: o.GroupSize, Slack: hardLimitSlack, P50: map[string]float64{}, P99: map[string]float64{}}
+	if o.GroupSize == 0 {
+		r.report.GroupSize = o.Instances
 	}
 	var err error
-	if r.disco, err = fake.StartDiscovery(); err != nil {
+	if r.discovery, err = fake.StartDiscovery(); err != nil {
 		return nil, err
 	}
-	defer r.disco.Close()
+	defer r.discovery.Close()
 	var lags atomic.Uint64
-	r.disco.Late(func() time.Duration { // uneven, by the order in which instances ask
+	r.discovery.Late(func() time.Duration { // uneven, by the order in which instances ask
 		return time.Duration(lags.Add(1)*7%10) * fleetLag / 10
 	})
 	defer r.closeServers()
 	for range o.Servers {
-		if err := r.serverComes(0); err != nil {
+		if err := r.startServer(0); err != nil {
 			return nil, err
 		}
 	}
 	file := filepath.Join(o.Dir, "fleet.toml")
-	if err := os.WriteFile(file, []byte(strings.ReplaceAll(fleetConfig, "@visits", r.disco.Addr())), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(strings.ReplaceAll(fleetConfig, "@visits", r.discovery.Addr())), 0o600); err != nil {
 		return nil, fmt.Errorf("measuring a fleet: %w", err)
 	}
-	r.tell("%d instances start", o.Instances)
+	r.logProgress("%d instances start", o.Instances)
 	r.run, err = fleet.Start(ctx, fleet.Options{
-		Program: o.Program, Env: o.Env, Config: file, Dir: o.Dir, Instances: o.Instances, Told: o.Told,
+		Program: o.Program, Env: o.Env, Config: file, Dir: o.Dir, Instances: o.Instances, Told: o.GroupSize,
 		Host: "127.0.0.1", Within: time.Minute,
 	})
 	if err != nil {
@@ -146,21 +146,21 @@
 	r.play(ctx)
 	for _, a := range fleet.Ask(context.WithoutCancel(ctx), r.run.Members) {
 		if a.Status != nil && len(a.Status.Services) > 0 && a.Status.Services[0].IsGroupSizeDoubted {
-			r.rep.Doubting++
+			r.report.DegradedInstances++
 		}
 	}
-	r.tell("the instances end")
+	r.logProgress("the instances end")
 	if err := r.run.Stop(30 * time.Second); err != nil {
-		r.rep.Failed = append(r.rep.Failed, err.Error())
+		r.report.Failed = append(r.report.Failed, err.Error())
 	}
 	r.judge()
-	return r.rep, nil
+	return r.report, nil
 }
 
-func (r *fleetRig) tell(format string, args ...any) {
-	r.say.Lock()
-	defer r.say.Unlock()
-	fmt.Fprintf(r.o.Progress, format+"\n", args...)
+func (r *fleetRig) logProgress(format string, args ...any) {
+	r.progressMutex.Lock()
+	defer r.progressMutex.Unlock()
+	fmt.Fprintf(r.options.Progress, format+"\n", args...)
 }
 
 // idle measures what instances cost that nobody asks anything.
@@ -176,67 +176,67 @@
 			return err
 		}
 	}
-	begun := time.Now()
+	started := time.Now()
 	select {
 	case <-time.After(time.Second):
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	all := fleet.Ask(ctx, r.run.Members)
-	took := time.Since(begun).Seconds()
+	seconds := time.Since(started).Seconds()
 	n := 0
 	for i, a := range all {
 		if a.Status == nil {
 			return fmt.Errorf("instance %s: %s", a.Member, a.Error)
 		}
 		n++
-		r.rep.IdleMem += a.Status.MemoryKB
-		r.rep.IdleFDs += a.Status.OpenDescriptors
+		r.report.IdleMem += a.Status.MemoryKB
+		r.report.IdleFDs += a.Status.OpenDescriptors
 		now, err := cpuOf(a.Status.PID)
 		if err != nil {
 			return err
 		}
-		r.rep.IdleCPU += ms(now-used[i]) / took
+		r.report.IdleCPU += ms(now-used[i]) / seconds
 	}
-	r.rep.IdleMem, r.rep.IdleFDs, r.rep.IdleCPU = r.rep.IdleMem/n, r.rep.IdleFDs/n, r.rep.IdleCPU/float64(n)
+	r.report.IdleMem, r.report.IdleFDs, r.report.IdleCPU = r.report.IdleMem/n, r.report.IdleFDs/n, r.report.IdleCPU/float64(n)
 	return nil
 }
 
 // play has clients send and disturbs the fleet meanwhile.
 func (r *fleetRig) play(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, r.o.Lasts)
+	ctx, cancel := context.WithTimeout(ctx, r.options.Duration)
 	defer cancel()
-	begun := time.Now()
+	started := time.Now()
 	run := fake.Clients{
-		Seed: r.o.Seed, Every: time.Second / time.Duration(r.o.Rate), Workers: min(r.o.Rate, 600), Retries: 3, Pause: 100 * time.Millisecond, Within: retryWithin,
-		Call: fleetCall(r.rep.Told), Pick: r.pick, Excused: r.excused,
+		Seed: r.options.Seed, Every: time.Second / time.Duration(r.options.Rate), Workers: min(r.options.Rate, 600), Retries: 3, Pause: 100 * time.Millisecond, Within: retryTimeout,
+		Call: fleetCall(r.report.GroupSize), Pick: r.pick, Excused: r.excused,
 	}.Start(ctx)
 	var all sync.WaitGroup
-	rng := rand.New(rand.NewPCG(r.o.Seed, 11))
-	if r.o.ColdEvery > 0 {
+	rng := rand.New(rand.NewPCG(r.options.Seed, 11))
+	if r.options.NewServerInterval > 0 {
 		all.Go(func() { r.change(ctx) })
 	}
-	if r.o.Every > 0 {
+	if r.options.Every > 0 {
 		all.Go(func() { r.half(ctx) })
-		t := time.NewTicker(r.o.Every)
+		t := time.NewTicker(r.options.Every)
 		defer t.Stop()
 		for more := true; more; {
 			select {
 			case <-t.C:
-				i, what := rng.IntN(r.o.Instances), rng.IntN(10)
+				i, what := rng.IntN(r.options.Instances), rng.IntN(10)
 				all.Go(func() { r.disturb(ctx, i, what) })
 			case <-ctx.Done():
 				more = false
 			}
 		}
 	}
-	r.rep.Results = run.Wait()
+	r.report.Results = run.Wait()
 	all.Wait()
-	r.rep.Seconds = time.Since(begun).Seconds()
-	for k, s := range r.rep.Results {
-		r.rep.P50[k], r.rep.P99[k] = ms(s.P(0.5)), ms(s.P(0.99))
+	r.report.Seconds = time.Since(started).Seconds()
+	for k, s := range r.report.Results {
+		r.report.P50[k], r.report.P99[k] = ms(s.P(0.5)), ms(s.P(0.99))
 	}
-	r.rep.Servers = r.tally.Counts()
+	r.report.Servers = r.events.Counts()
 }
 
 // fleetCall makes calls of many customers, each of which comes through a few instances.
@@ -267,10 +267,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	addr := ""
-	first, set := int(c.Customer)*7%r.o.Instances, min(spread, r.o.Instances)
+	first, set := int(c.Customer)*7%r.options.Instances, min(spread, r.options.Instances)
 	from := rng.IntN(set)
 	for i := range set {
-		n := (first + (from+i)%set) % r.o.Instances
+		n := (first + (from+i)%set) % r.options.Instances
 		if a := r.run.Addr(n); !r.away[n] {
 			if addr = a; a != last {
 				return a
@@ -278,7 +278,7 @@
 		}
 	}
 	if addr == "" {
-		addr = r.run.Addr((first + from) % r.o.Instances)
+		addr = r.run.Addr((first + from) % r.options.Instances)
 	}
 	return addr
 }
@@ -295,47 +295,47 @@
 	return false
 }
 
-// serverComes starts a server; one that is cold is told to have just started.
-func (r *fleetRig) serverComes(cold time.Duration) error {
+// startServer starts a server; one that is cold is told to have just started.
+func (r *fleetRig) startServer(warmUp time.Duration) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.made++
+	r.created++
 	s, err := fake.Server{
-		UID: fmt.Sprint("visits-", r.made), Group: r.group, Tally: r.tally, Ceiling: r.limit,
-		Work: r.o.Work, Cores: fleetCores, Queue: 64, Cold: cold, ColdFrom: 0.15, Fall: 2 * time.Second, Multiple: 2.5,
+		UID: fmt.Sprint("visits-", r.created), Group: r.group, Tally: r.events, Ceiling: r.limit,
+		Work: r.options.Work, Cores: fleetCores, Queue: 64, Cold: warmUp, ColdFrom: 0.15, Fall: 2 * time.Second, Multiple: 2.5,
 	}.Start()
 	if err != nil {
 		return err
 	}
 	r.servers = append(r.servers, s)
-	if cold > 0 {
-		r.cold = append(r.cold, s)
+	if warmUp > 0 {
+		r.warmingUp = append(r.warmingUp, s)
 	}
-	r.disco.Tell(s.Entry())
+	r.discovery.Tell(s.Entry())
 	return nil
 }
 
 // change has the oldest server drain and go, and a cold one come, again and again.
 func (r *fleetRig) change(ctx context.Context) {
-	t := time.NewTicker(r.o.ColdEvery)
+	t := time.NewTicker(r.options.NewServerInterval)
 	defer t.Stop()
 	for {
-		if err := r.serverComes(fleetWarmup); err != nil {
+		if err := r.startServer(fleetWarmup); err != nil {
 			r.fail("a server: %v", err)
 			return
 		}
 		r.mu.Lock()
 		old := r.servers[0]
 		r.servers = r.servers[1:]
-		r.gone = append(r.gone, old)
+		r.removed = append(r.removed, old)
 		r.mu.Unlock()
 		e := old.Entry()
 		e.State = "draining"
 		old.Drain(fleetLag + drainNotified) // told to the last instance by then
-		r.disco.Tell(e)
+		r.discovery.Tell(e)
 		time.AfterFunc(fleetLag+drainNotified+2*time.Second, func() {
 			e.State = "removed"
-			r.disco.Tell(e)
+			r.discovery.Tell(e)
 		})
 		select {
 		case <-t.C:
@@ -348,27 +348,27 @@
 func (r *fleetRig) closeServers() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, s := range append(r.servers, r.gone...) {
+	for _, s := range append(r.servers, r.removed...) {
 		s.Close()
 	}
 }
 
 // judge holds what was counted to the rules.
 func (r *fleetRig) judge() {
-	rep := r.rep
+	rep := r.report
 	wrong := func(format string, args ...any) { rep.Wrong = append(rep.Wrong, fmt.Sprintf(format, args...)) }
-	for _, s := range r.gone {
+	for _, s := range r.removed {
 		rep.Late += s.Late()
 	}
-	for _, s := range r.cold {
-		fallen, worst := s.Fallen()
-		rep.Cold++
-		rep.Worst = max(rep.Worst, worst)
-		if fallen {
-			rep.Fallen++
+	for _, s := range r.warmingUp {
+		isOverloaded, overload := s.Fallen()
+		rep.WarmingUp++
+		rep.WorstOverload = max(rep.WorstOverload, overload)
+		if isOverloaded {
+			rep.Overloaded++
 		}
 	}
-	rep.Over, rep.Enterp = r.limit.Over()
+	rep.OverLimit, rep.EnterpriseUnits = r.limit.Over()
 	calls := 0
 	for kind, s := range rep.Results {
 		calls += s.Calls
@@ -391,11 +391,11 @@
 	if rep.Late > 0 {
 		wrong("%d requests came to draining servers 2 s after they were told", rep.Late)
 	}
-	if rep.Fallen > 0 {
-		wrong("%d of %d cold servers were pushed past their limit", rep.Fallen, rep.Cold)
+	if rep.Overloaded > 0 {
+		wrong("%d of %d cold servers were pushed past their limit", rep.Overloaded, rep.WarmingUp)
 	}
-	if rep.Over > rep.Slack {
-		wrong("a customer was %.1f units beyond its ceiling, %g are allowed", rep.Over, rep.Slack)
+	if rep.OverLimit > rep.Slack {
+		wrong("a customer was %.1f units beyond its ceiling, %g are allowed", rep.OverLimit, rep.Slack)
 	}
 	if len(rep.Failed) > 0 {
 		wrong("%d disturbances did not end as they should", len(rep.Failed))
--- a/internal/trials/measure/gather.go
+++ b/internal/trials/measure/gather.go
@@ -18,21 +18,21 @@
 	Parts    []int  // each its own row
 	Workers  int    // clients
 	Rounds   int    // pairs of runs a row
-	Lasts    time.Duration
+	Duration time.Duration
 	Progress io.Writer
 }
 
 // GatherRow compares queries over a number of parts with the same calls made one by one.
 type GatherRow struct {
-	Parts  int     `json:"parts"`
-	Query  float64 `json:"query_cpu_us"` // of the node, a query
-	Plain  float64 `json:"plain_cpu_us"` // of the node, as many plain calls
-	Part   float64 `json:"part_cpu_us"`  // of a query, a part
-	Ratio  float64 `json:"cpu_ratio"`    // median of the pairs'
-	Least  float64 `json:"ratio_least"`
-	Most   float64 `json:"ratio_most"`
-	P50    float64 `json:"p50_ms"` // of a query
-	Failed int     `json:"failed"` // answers that were not whole
+	Parts    int     `json:"parts"`
+	Query    float64 `json:"query_cpu_us"` // of the node, a query
+	Plain    float64 `json:"plain_cpu_us"` // of the node, as many plain calls
+	Part     float64 `json:"part_cpu_us"`  // of a query, a part
+	Ratio    float64 `json:"cpu_ratio"`    // median of the pairs'
+	MinRatio float64 `json:"ratio_least"`
+	MaxRatio float64 `json:"ratio_most"`
+	P50      float64 `json:"p50_ms"` // of a query
+	Failed   int     `json:"failed"` // answers that were not whole
 }
 
 const gatherAnswer = `[{"visit":1,"name":"a"},{"visit":2,"name":"b"}]`
@@ -68,9 +68,9 @@
 		}
 		same := func(v float64) float64 { return v }
 		row.Query, row.Plain, row.Ratio, row.P50 = median(queries, same), median(plain, same), median(ratios, same), median(p50, same)
-		row.Part, row.Least, row.Most = row.Query/float64(n), ratios[0], ratios[0]
+		row.Part, row.MinRatio, row.MaxRatio = row.Query/float64(n), ratios[0], ratios[0]
 		for _, r := range ratios {
-			row.Least, row.Most = min(row.Least, r), max(row.Most, r)
+			row.MinRatio, row.MaxRatio = min(row.MinRatio, r), max(row.MaxRatio, r)
 		}
 		rows = append(rows, row)
 	}
@@ -90,17 +90,17 @@
 }
 
 // rounds has workers do one round after another, and gives how long each took and how many failed.
-func rounds(ctx context.Context, workers int, lasts time.Duration, round func() bool) (took []time.Duration, failed int) {
+func rounds(ctx context.Context, workers int, duration time.Duration, round func() bool) (durations []time.Duration, failed int) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	end := time.Now().Add(lasts)
+	end := time.Now().Add(duration)
 	for range workers {
 		all.Go(func() {
 			for time.Now().Before(end) && ctx.Err() == nil {
-				begun := time.Now()
+				started := time.Now()
 				ok := round()
 				mu.Lock()
-				took = append(took, time.Since(begun))
+				durations = append(durations, time.Since(started))
 				if !ok {
 					failed++
 				}
@@ -109,7 +109,7 @@
 		})
 	}
 	all.Wait()
-	return took, failed
+	return durations, failed
 }
 
 // gatherRun gives the CPU of the node, in us, for a query or for as many plain calls as one has parts.
@@ -126,7 +126,7 @@
 	defer func() { node.Process.Kill(); _ = node.Wait() }() // it was killed
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: o.Workers}}
 	defer client.CloseIdleConnections()
-	ask := func(path string) bool {
+	fetchAll := func(path string) bool {
 		resp, err := get(ctx, client, "http://"+addr+path)
 		if err != nil {
 			return false
@@ -137,21 +137,21 @@
 	}
 	round := func() bool {
 		if gathers {
-			return ask("/all")
+			return fetchAll("/all")
 		}
 		ok := true
 		for i := range parts {
-			ok = ask(fmt.Sprint("/p", i)) && ok
+			ok = fetchAll(fmt.Sprint("/p", i)) && ok
 		}
 		return ok
 	}
-	rounds(ctx, o.Workers, o.Lasts/4, round) // connections, and what is learned
+	rounds(ctx, o.Workers, o.Duration/4, round) // connections, and what is learned
 	before, err := cpuOf(node.Process.Pid)
 	if err != nil {
 		return 0, 0, 0, err
 	}
-	took, failed := rounds(ctx, o.Workers, o.Lasts, round)
-	n := len(took)
+	durations, failed := rounds(ctx, o.Workers, o.Duration, round)
+	n := len(durations)
 	after, err := cpuOf(node.Process.Pid)
 	if err == nil && n == 0 {
 		err = fmt.Errorf("nothing was answered")
@@ -159,5 +159,5 @@
 	if err != nil {
 		return 0, 0, failed, err
 	}
-	return float64((after - before).Microseconds()) / float64(n), median(took, func(d time.Duration) float64 { return ms(d) }), failed, ctx.Err()
+	return float64((after - before).Microseconds()) / float64(n), median(durations, func(d time.Duration) float64 { return ms(d) }), failed, ctx.Err()
 }
--- a/internal/trials/measure/isolation.go
+++ b/internal/trials/measure/isolation.go
@@ -13,11 +13,11 @@
 
 // IsolationOptions are what a measurement of a stalled pool is made with.
 type IsolationOptions struct {
-	Descriptors int
-	Rounds      int           // pairs of runs
-	Lasts       time.Duration // of one run
-	Crowd       int           // clients of the documents
-	Progress    io.Writer
+	Descriptors     int
+	Rounds          int           // pairs of runs
+	Duration        time.Duration // of one run
+	DocumentClients int           // clients of the documents
+	Progress        io.Writer
 }
 
 // Isolation is what one service showed while the other's servers answered, and while they
@@ -86,14 +86,14 @@
 	l.Pools["documents"].Stall(stall)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	documents := fake.Clients{Addr: l.Node.Addr(), Seed: seed, Workers: o.Crowd, Call: func(rng *rand.Rand) fake.Call {
+	documents := fake.Clients{Addr: l.Node.Addr(), Seed: seed, Workers: o.DocumentClients, Call: func(rng *rand.Rand) fake.Call {
 		time.Sleep(time.Duration(300+rng.IntN(400)) * time.Millisecond) // of a person, or after a refusal
 		c := testbench.DocumentCall(rng)
 		c.Deadline = 20 * time.Second
 		return c
 	}}.Start(ctx)
 	time.Sleep(2 * time.Second) // for the crowd to gather
-	short, stop := context.WithTimeout(ctx, o.Lasts)
+	short, stop := context.WithTimeout(ctx, o.Duration)
 	defer stop()
 	rosters := fake.Clients{Addr: l.Node.Addr(), Seed: seed + 50, Call: testbench.RosterCall, Every: 5 * time.Millisecond, Workers: 32}.Start(short)
 	r := rosters.Wait()["rosters"]
--- a/internal/trials/measure/proxy.go
+++ b/internal/trials/measure/proxy.go
@@ -33,7 +33,7 @@
 	Program     string        // lockflow's own file, started anew as each of the two
 	Connections []int         // of clients, each its own row
 	Rounds      int           // pairs of runs a row
-	Lasts       time.Duration // of one run
+	Duration    time.Duration // of one run
 	Protocol    string        // that the node speaks: "platform" or "http"
 	Progress    io.Writer
 
@@ -55,11 +55,11 @@
 
 // ProxyRow compares the two at a number of connections.
 type ProxyRow struct {
-	Connections int     `json:"connections"`
-	Node        Side    `json:"node"`
-	Proxy       Side    `json:"proxy"`
-	Ratio       float64 `json:"cpu_ratio"` // median of the pairs' ratios, node over proxy
-	Least, Most float64 `json:"-"`
+	Connections        int     `json:"connections"`
+	Node               Side    `json:"node"`
+	Proxy              Side    `json:"proxy"`
+	Ratio              float64 `json:"cpu_ratio"` // median of the pairs' ratios, node over proxy
+	MinRatio, MaxRatio float64 `json:"-"`
 }
 
 const proxyConfig = `
@@ -127,7 +127,7 @@
 		}
 		row.Node, row.Proxy = middleSide(nodes), middleSide(proxies)
 		row.Ratio = median(ratios, func(v float64) float64 { return v })
-		row.Least, row.Most = floats.Min(ratios), floats.Max(ratios)
+		row.MinRatio, row.MaxRatio = floats.Min(ratios), floats.Max(ratios)
 		rows = append(rows, row)
 	}
 	return rows, nil
@@ -188,20 +188,20 @@
 		defer slow.Start(ended).Wait()
 		defer stop()
 	}
-	play := func(lasts time.Duration) *fake.Result {
-		ctx, cancel := context.WithTimeout(ctx, lasts)
+	play := func(duration time.Duration) *fake.Result {
+		ctx, cancel := context.WithTimeout(ctx, duration)
 		defer cancel()
 		return clients.Start(ctx).Wait()["x"]
 	}
-	play(o.Lasts / 5) // connections come up and the bound grows
+	play(o.Duration / 5) // connections come up and the bound grows
 	before, err := cpuOf(cmd.Process.Pid)
 	if err != nil {
 		return Side{}, err
 	}
-	begun := time.Now()
+	started := time.Now()
 	clients.Seed += 1000
-	r := play(o.Lasts)
-	took := time.Since(begun)
+	r := play(o.Duration)
+	elapsed := time.Since(started)
 	after, err := cpuOf(cmd.Process.Pid)
 	if err != nil {
 		return Side{}, err
@@ -210,7 +210,7 @@
 		return Side{}, fmt.Errorf("%s served nothing", args[0])
 	}
 	return Side{
-		CPU: float64((after - before).Microseconds()) / float64(r.Tries), Rate: float64(r.Served) / took.Seconds(),
+		CPU: float64((after - before).Microseconds()) / float64(r.Tries), Rate: float64(r.Served) / elapsed.Seconds(),
 		P50: ms(r.P(0.5)), P99: ms(r.P(0.99)), Refused: r.Refused, Lost: r.Lost + r.Failed,
 	}, nil
 }
--- a/internal/trials/measure/rollout.go
+++ b/internal/trials/measure/rollout.go
@@ -27,55 +27,55 @@
 )
 
 // What goes on after a coordinator was killed: another goes on or takes back, and the same with that one
-// killed too at one of its first writes.
-var rolloutWays = []string{"resume", "take-back", "resume, killed again", "take-back, killed again"}
+// wasKilled too at one of its first writes.
+var rolloutRecoveries = []string{"resume", "take-back", "resume, killed again", "take-back, killed again"}
 
 // RolloutOptions say how coordinators of staged changes are killed.
 type RolloutOptions struct {
-	Program string
-	Dir     string // for all files; has to be short and empty
-	Members int
-	Kinds   []desiredstate.Kind // KindSettings, KindProgram
-	Kills   []int               // a coordinator is killed after write n, or before write -n; nil is each write of a change
-	Ways    []string            // nil is all; more than one are taken in turn where Kills are given, and all at each write where not
-	Clients int                 // of each member
-	Seed    uint64
+	Program    string
+	Dir        string // for all files; has to be short and empty
+	Members    int
+	Kinds      []desiredstate.Kind // KindSettings, KindProgram
+	Kills      []int               // a coordinator is killed after write n, or before write -n; nil is each write of a change
+	Recoveries []string            // nil is all; more than one are taken in turn where Kills are given, and all at each write where not
+	Clients    int                 // of each member
+	Seed       uint64
 	// Progress is told each change; nil is nobody.
 	Progress io.Writer
 }
 
 // RolloutRow is a change whose coordinator was killed.
 type RolloutRow struct {
-	Kind    desiredstate.Kind `json:"kind"`
-	Kill    int               `json:"kill"` // after this write, or before it where it is less than 0
-	Way     string            `json:"way"`
-	Killed  int               `json:"killed"` // coordinators
-	State   string            `json:"state"`  // of all members at the end: new or old
-	Exit    int               `json:"exit"`   // of the last coordinator
-	Seconds float64           `json:"seconds"`
+	Kind     desiredstate.Kind `json:"kind"`
+	Kill     int               `json:"kill"` // after this write, or before it where it is less than 0
+	Recovery string            `json:"way"`
+	Killed   int               `json:"killed"` // coordinators
+	State    string            `json:"state"`  // of all members at the end: new or old
+	Exit     int               `json:"exit"`   // of the last coordinator
+	Seconds  float64           `json:"seconds"`
 }
 
 // RolloutReport is what came of it.
 type RolloutReport struct {
-	Rows     []RolloutRow   `json:"rows"`
-	Writes   map[string]int `json:"writes"` // of a whole change, by kind
-	Killed   int            `json:"killed"`
-	Claims   int            `json:"claims"`
-	Owned    int            `json:"owned"`  // epochs, each by one coordinator
-	Orders   int            `json:"orders"` // carried out, or told again
-	Restarts int            `json:"restarts"`
-	Begun    int            `json:"begun"` // orders that members have begun, by their logs: each once
-	Requests int64          `json:"requests"`
-	Lost     int64          `json:"lost"`  // requests without an answer
-	Other    int64          `json:"other"` // answers that are another request's, or no 200
-	Wrong    []string       `json:"wrong"`
+	Rows            []RolloutRow   `json:"rows"`
+	Writes          map[string]int `json:"writes"` // of a whole change, by kind
+	Killed          int            `json:"killed"`
+	Claims          int            `json:"claims"`
+	Owned           int            `json:"owned"`  // epochs, each by one coordinator
+	Orders          int            `json:"orders"` // completed out, or told again
+	Restarts        int            `json:"restarts"`
+	StartedCommands int            `json:"begun"` // orders that members have begun, by their logs: each once
+	Requests        int64          `json:"requests"`
+	Lost            int64          `json:"lost"`  // requests without an answer
+	Other           int64          `json:"other"` // answers that are another request's, or no 200
+	Wrong           []string       `json:"wrong"`
 }
 
 // rolloutRig is a fleet whose coordinators are killed.
 type rolloutRig struct {
-	o       RolloutOptions
-	rep     *RolloutReport
-	taps    *taps
+	options RolloutOptions
+	report  *RolloutReport
+	taps    *controlTaps
 	run     *fleet.Run
 	rng     *rand.Rand
 	changes int
@@ -102,12 +102,12 @@
 // Rollout has a fleet of real processes under clients change again and again, and kills the coordinator at its
 // writes. After each another one has to bring all members to one state, the old or the new.
 func Rollout(ctx context.Context, o RolloutOptions) (*RolloutReport, error) {
-	r := &rolloutRig{o: o, rep: &RolloutReport{Writes: make(map[string]int)}, taps: newTaps(o.Members), rng: rand.New(rand.NewPCG(o.Seed, 5))}
+	r := &rolloutRig{options: o, report: &RolloutReport{Writes: make(map[string]int)}, taps: newControlTaps(o.Members), rng: rand.New(rand.NewPCG(o.Seed, 5))}
 	if o.Progress == nil {
-		r.o.Progress = io.Discard
+		r.options.Progress = io.Discard
 	}
-	if o.Ways == nil {
-		r.o.Ways = rolloutWays
+	if o.Recoveries == nil {
+		r.options.Recoveries = rolloutRecoveries
 	}
 	stop, err := r.start(ctx)
 	defer stop()
@@ -130,22 +130,22 @@
 	cancel()
 	clients.Wait()
 	r.judge()
-	return r.rep, nil
+	return r.report, nil
 }
 
 // kills kills coordinators of one kind of change, after each write, and before it.
 func (r *rolloutRig) kills(ctx context.Context, kind desiredstate.Kind) error {
-	for i, at := range r.o.Kills {
-		if _, err := r.change(ctx, kind, at, r.o.Ways[i%len(r.o.Ways)]); err != nil {
+	for i, at := range r.options.Kills {
+		if _, err := r.change(ctx, kind, at, r.options.Recoveries[i%len(r.options.Recoveries)]); err != nil {
 			return err
 		}
 	}
-	for n := 1; len(r.o.Kills) == 0; n++ {
+	for n := 1; len(r.options.Kills) == 0; n++ {
 		for _, at := range []int{-n, n} {
-			for _, way := range r.o.Ways {
-				killed, err := r.change(ctx, kind, at, way)
+			for _, recovery := range r.options.Recoveries {
+				killed, err := r.change(ctx, kind, at, recovery)
 				if err != nil || !killed {
-					r.rep.Writes[string(kind)] = n - 1
+					r.report.Writes[string(kind)] = n - 1
 					return err
 				}
 			}
@@ -168,29 +168,29 @@
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { io.WriteString(w, q.URL.Path) })}
 	go s.Serve(l) //nolint:errcheck // ends with its listener
 	ends = append(ends, func() { s.Close() })
-	raw, err := os.ReadFile(r.o.Program)
+	raw, err := os.ReadFile(r.options.Program)
 	if err != nil {
 		return stop, err
 	}
 	for i := range r.program { // what is behind a program's end has no meaning, and makes another one of it
-		r.program[i] = filepath.Join(r.o.Dir, fmt.Sprint("program-", i))
+		r.program[i] = filepath.Join(r.options.Dir, fmt.Sprint("program-", i))
 		if err := os.WriteFile(r.program[i], append(bytes.Clone(raw), byte(i)), 0o700); err != nil {
 			return stop, err
 		}
 	}
 	r.text = fmt.Sprintf(rolloutConfig, l.Addr())
-	config := filepath.Join(r.o.Dir, "c.toml")
+	config := filepath.Join(r.options.Dir, "c.toml")
 	if err := os.WriteFile(config, []byte(r.text), 0o600); err != nil {
 		return stop, err
 	}
-	r.run, err = fleet.Start(ctx, fleet.Options{Program: r.program[0], Config: config, Dir: r.o.Dir, Instances: r.o.Members, Host: "127.0.0.1", Within: time.Minute})
+	r.run, err = fleet.Start(ctx, fleet.Options{Program: r.program[0], Config: config, Dir: r.options.Dir, Instances: r.options.Members, Host: "127.0.0.1", Within: time.Minute})
 	if err != nil {
 		return stop, err
 	}
 	ends = append(ends, func() { _ = r.run.Stop(5 * time.Second) })
 	var list strings.Builder
 	for i, m := range r.run.Members {
-		path := filepath.Join(r.o.Dir, fmt.Sprint("t", i))
+		path := filepath.Join(r.options.Dir, fmt.Sprint("t", i))
 		end, err := r.taps.open(m.Name, path, m.Client.Path)
 		if err != nil {
 			return stop, err
@@ -198,7 +198,7 @@
 		ends = append(ends, end)
 		fmt.Fprintln(&list, path)
 	}
-	r.sockets = filepath.Join(r.o.Dir, "members")
+	r.sockets = filepath.Join(r.options.Dir, "members")
 	return stop, os.WriteFile(r.sockets, []byte(list.String()), 0o600)
 }
 
@@ -233,9 +233,9 @@
 }
 
 // coordinator runs one; killed tells that it ended by SIGKILL.
-func (r *rolloutRig) coordinator(ctx context.Context, kill int, args ...string) (code int, killed bool, said string, err error) {
+func (r *rolloutRig) coordinator(ctx context.Context, kill int, args ...string) (code int, killed bool, output string, err error) {
 	args = append([]string{"fleet", "--sockets", r.sockets, "--journal", r.journal(), "--kill-at", strconv.Itoa(kill)}, args...)
-	cmd := exec.CommandContext(ctx, r.o.Program, args...)
+	cmd := exec.CommandContext(ctx, r.options.Program, args...)
 	out, err := cmd.CombinedOutput()
 	if exit := (*exec.ExitError)(nil); err != nil && !errors.As(err, &exit) {
 		return 0, false, "", err
@@ -244,7 +244,7 @@
 	return cmd.ProcessState.ExitCode(), ok && w.Signaled() && w.Signal() == syscall.SIGKILL, string(out), ctx.Err()
 }
 
-func (r *rolloutRig) journal() string { return filepath.Join(r.o.Dir, "journal") }
+func (r *rolloutRig) journal() string { return filepath.Join(r.options.Dir, "journal") }
 
 // next gives the command's arguments for the next change of a kind, and the hash of what members run after it.
 func (r *rolloutRig) next(kind desiredstate.Kind) (args []string, hash string, err error) {
@@ -256,24 +256,24 @@
 		return []string{"upgrade", "--program", r.program[1-r.at]}, desiredstate.Hash(raw), nil
 	}
 	text := []byte(r.text + fmt.Sprintf("# change %d\n", r.changes))
-	path := filepath.Join(r.o.Dir, "next.toml")
+	path := filepath.Join(r.options.Dir, "next.toml")
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return nil, "", err
 	}
 	return []string{"reload", "--config", path}, desiredstate.Hash(text), nil
 }
 
-// killed takes a change whose first coordinator was killed into the report; none of it may have begun.
+// wasKilled takes a change whose first coordinator was killed into the report; none of it may have begun.
 func (r *rolloutRig) killed(row RolloutRow, none bool) {
-	r.rep.Rows, r.rep.Killed = append(r.rep.Rows, row), r.rep.Killed+row.Killed
+	r.report.Rows, r.report.Killed = append(r.report.Rows, row), r.report.Killed+row.Killed
 	if none {
-		r.rep.Killed++
+		r.report.Killed++
 	}
 }
 
 // state names what the members run now: the old, the new, or a mixture.
 func (r *rolloutRig) state(now map[string]int, old, next string) string {
-	switch r.o.Members {
+	switch r.options.Members {
 	case now[next]:
 		return "new"
 	case now[old]:
@@ -285,32 +285,32 @@
 
 // changeEnd is how a change ended.
 type changeEnd struct {
-	none   bool // nothing of it was begun
-	killed bool // its first coordinator was
-	back   bool // it had to be taken back
-	over   bool // the last coordinator found it over
-	code   int  // the last coordinator's
+	notStarted    bool // nothing of it was begun
+	wasKilled     bool // its first coordinator was
+	needsRollback bool // it had to be taken back
+	foundFinished bool // the last coordinator found it over
+	exitCode      int  // the last coordinator's
 }
 
-// wrong tells whether members may not be left in a state by it.
-func (e *changeEnd) wrong(state string) bool {
+// isWrong tells whether members may not be left in a state by it.
+func (e *changeEnd) isWrong(state string) bool {
 	switch {
 	case state == "mixed":
 		return true
-	case e.none:
+	case e.notStarted:
 		return state != "old"
-	case e.over || !e.killed:
-		return !e.killed && (e.code != 0 || state != "new")
-	case e.back:
-		return state != "old" || e.code != 1
+	case e.foundFinished || !e.wasKilled:
+		return !e.wasKilled && (e.exitCode != 0 || state != "new")
+	case e.needsRollback:
+		return state != "old" || e.exitCode != 1
 	default:
-		return state != "new" || e.code != 0
+		return state != "new" || e.exitCode != 0
 	}
 }
 
 // change begins a change whose coordinator is killed, and has it ended. killed tells whether it was.
-func (r *rolloutRig) change(ctx context.Context, kind desiredstate.Kind, kill int, way string) (killed bool, err error) {
-	begun := time.Now()
+func (r *rolloutRig) change(ctx context.Context, kind desiredstate.Kind, kill int, recovery string) (killed bool, err error) {
+	started := time.Now()
 	r.changes++
 	args, next, err := r.next(kind)
 	if err != nil {
@@ -325,8 +325,8 @@
 		return false, fmt.Errorf("members run %v before a change", was)
 	}
 	args = append(args, "--bake", "50ms", "--bake-most", "10s", "--within", "10s", "--unjudged")
-	row := RolloutRow{Kind: kind, Kill: kill, Way: way}
-	code, killed, said, err := r.coordinator(ctx, kill, args...)
+	row := RolloutRow{Kind: kind, Kill: kill, Recovery: recovery}
+	code, killed, output, err := r.coordinator(ctx, kill, args...)
 	if err != nil {
 		return false, err
 	}
@@ -336,36 +336,36 @@
 	}
 	// A coordinator that was killed before its first write has begun nothing.
 	none := kill == -1 || len(records) == 0
-	log := said
-	flag, again := "--"+strings.SplitN(way, ",", 2)[0], 0
-	if strings.HasSuffix(way, "again") {
-		again = 1 + r.rng.IntN(8)
+	log := output
+	flag, nextKill := "--"+strings.SplitN(recovery, ",", 2)[0], 0
+	if strings.HasSuffix(recovery, "again") {
+		nextKill = 1 + r.rng.IntN(8)
 	}
-	for cut := killed && !none; cut; again = 0 {
+	for cut := killed && !none; cut; nextKill = 0 {
 		row.Killed++
-		if code, cut, said, err = r.coordinator(ctx, again, args[0], flag); err != nil {
+		if code, cut, output, err = r.coordinator(ctx, nextKill, args[0], flag); err != nil {
 			return false, err
 		}
-		log += "-- killed, then " + flag + "\n" + said
+		log += "-- killed, then " + flag + "\n" + output
 	}
 	now, err := r.runs(ctx, kind)
 	if err != nil {
 		return false, err
 	}
-	row.State, row.Exit, row.Seconds = r.state(now, old[0], next), code, time.Since(begun).Seconds()
+	row.State, row.Exit, row.Seconds = r.state(now, old[0], next), code, time.Since(started).Seconds()
 	if row.State == "new" && kind == desiredstate.KindProgram {
 		r.at = 1 - r.at
 	}
-	end := changeEnd{none: none, killed: killed, back: strings.HasPrefix(way, "take-back"), over: strings.Contains(said, "the change is over"), code: code}
-	if end.wrong(row.State) {
-		r.rep.Wrong = append(r.rep.Wrong, fmt.Sprintf("%s, killed at write %d, then %s: exit %d, members run %v; before %v, next %.12s\n%s", kind, kill, way, code, now, old, next, log))
+	end := changeEnd{notStarted: none, wasKilled: killed, needsRollback: strings.HasPrefix(recovery, "take-back"), foundFinished: strings.Contains(output, "the change is over"), exitCode: code}
+	if end.isWrong(row.State) {
+		r.report.Wrong = append(r.report.Wrong, fmt.Sprintf("%s, killed at write %d, then %s: exit %d, members run %v; before %v, next %.12s\n%s", kind, kill, recovery, code, now, old, next, log))
 	}
 	if killed {
 		r.killed(row, none)
 	}
-	fmt.Fprintf(r.o.Progress, "%s, killed at write %d, %s: %s, exit %d, %.1f s, %d wrong\n", kind, kill, way, row.State, code, row.Seconds, len(r.rep.Wrong))
+	fmt.Fprintf(r.options.Progress, "%s, killed at write %d, %s: %s, exit %d, %.1f s, %d wrong\n", kind, kill, recovery, row.State, code, row.Seconds, len(r.report.Wrong))
 	if row.State == "mixed" {
-		return false, fmt.Errorf("members are left in a mixture: %s", r.rep.Wrong[len(r.rep.Wrong)-1])
+		return false, fmt.Errorf("members are left in a mixture: %s", r.report.Wrong[len(r.report.Wrong)-1])
 	}
 	return killed, nil
 }
@@ -395,10 +395,10 @@
 
 // judge holds all that was seen to the rules.
 func (r *rolloutRig) judge() {
-	p := r.rep
+	p := r.report
 	p.Requests, p.Lost, p.Other = r.requests.Load(), r.lost.Load(), r.other.Load()
 	r.taps.mu.Lock()
-	p.Claims, p.Owned, p.Orders, p.Restarts = r.taps.claims, r.taps.owned, r.taps.carried, r.taps.restarts
+	p.Claims, p.Owned, p.Orders, p.Restarts = r.taps.claims, r.taps.owned, r.taps.completed, r.taps.restarts
 	r.taps.mu.Unlock()
 	if why := r.firstLost.Load(); why != nil {
 		p.Wrong = append(p.Wrong, fmt.Sprintf("%d requests without an answer, %d with another one; the first: %s", p.Lost, p.Other, *why))
@@ -411,21 +411,21 @@
 		if err != nil {
 			p.Wrong = append(p.Wrong, err.Error())
 		}
-		begun := make(map[string]int)
+		startsByCommand := make(map[string]int)
 		for line := range strings.Lines(string(raw)) {
 			if _, rest, ok := strings.Cut(line, `msg="command started" id=`); ok {
 				id, _, _ := strings.Cut(rest, " ")
-				begun[id]++
-				p.Begun++
+				startsByCommand[id]++
+				p.StartedCommands++
 			}
 		}
-		for id, n := range begun {
+		for id, n := range startsByCommand {
 			if n > 1 {
 				p.Wrong = append(p.Wrong, fmt.Sprintf("member %s has done order %s %d times", m.Name, id, n))
 			}
 		}
 	}
-	if p.Orders > 0 && p.Begun == 0 {
+	if p.Orders > 0 && p.StartedCommands == 0 {
 		p.Wrong = append(p.Wrong, fmt.Sprintf("%d commands were carried out, and no member's log has one that was started", p.Orders))
 	}
 }
--- a/internal/trials/measure/servers.go
+++ b/internal/trials/measure/servers.go
@@ -14,43 +14,43 @@
 
 // ServersOptions are what a comparison of HTTP/1.1 and HTTP/2 to servers is made with.
 type ServersOptions struct {
-	Program  string        // lockflow's own file, started anew for each run
-	AtOnce   []int         // requests, each its own row
-	Rounds   int           // pairs of runs a row
-	Lasts    time.Duration // of one run
-	Work     time.Duration // of a server, a request
-	Progress io.Writer
+	Program     string        // lockflow's own file, started anew for each run
+	Concurrency []int         // requests, each its own row
+	Rounds      int           // pairs of runs a row
+	Duration    time.Duration // of one run
+	Work        time.Duration // of a server, a request
+	Progress    io.Writer
 }
 
 // ServersSide is one of the two.
 type ServersSide struct {
 	Side
-	Dials float64 `json:"dials"`       // connections made to the servers in a run: handshakes
-	Most  float64 `json:"connections"` // open at once to all servers
-	// Beside is the p99 where four clients more have requests open that take a thousand times as long.
-	Beside float64 `json:"p99_beside_slow_ms"`
+	Dials           float64 `json:"dials"`       // connections made to the servers in a run: handshakes
+	OpenConnections float64 `json:"connections"` // open at once to all servers
+	// P99BesideSlow is the p99 where four clients more have requests open that take a thousand times as long.
+	P99BesideSlow float64 `json:"p99_beside_slow_ms"`
 }
 
 // ServersRow compares the two at a number of requests at once.
 type ServersRow struct {
-	AtOnce int         `json:"at_once"`
-	HTTP1  ServersSide `json:"http1"`
-	HTTP2  ServersSide `json:"http2"`
-	Ratio  float64     `json:"cpu_ratio"` // median of the pairs', HTTP/2 over HTTP/1.1
+	Concurrency int         `json:"at_once"`
+	HTTP1       ServersSide `json:"http1"`
+	HTTP2       ServersSide `json:"http2"`
+	Ratio       float64     `json:"cpu_ratio"` // median of the pairs', HTTP/2 over HTTP/1.1
 }
 
 // Servers compares HTTP/1.1 and HTTP/2 to the same stand-in servers, in turn.
 func Servers(ctx context.Context, o ServersOptions) ([]ServersRow, error) {
 	var rows []ServersRow
-	for _, n := range o.AtOnce {
-		row := ServersRow{AtOnce: n}
+	for _, n := range o.Concurrency {
+		row := ServersRow{Concurrency: n}
 		var sides [2][]ServersSide
 		var ratios []float64
 		for round := range o.Rounds {
-			for i, speaks := range []string{"http/1.1", "http/2"} {
-				s, err := serversRun(ctx, o, n, uint64(round), speaks)
+			for i, protocol := range []string{"http/1.1", "http/2"} {
+				s, err := serversRun(ctx, o, n, uint64(round), protocol)
 				if err != nil {
-					return rows, fmt.Errorf("measuring %s: %w", speaks, err)
+					return rows, fmt.Errorf("measuring %s: %w", protocol, err)
 				}
 				sides[i] = append(sides[i], s)
 			}
@@ -72,12 +72,12 @@
 	}
 	return ServersSide{
 		Side: middleSide(sides), Dials: median(all, func(s ServersSide) float64 { return s.Dials }),
-		Most: median(all, func(s ServersSide) float64 { return s.Most }), Beside: median(all, func(s ServersSide) float64 { return s.Beside }),
+		OpenConnections: median(all, func(s ServersSide) float64 { return s.OpenConnections }), P99BesideSlow: median(all, func(s ServersSide) float64 { return s.P99BesideSlow }),
 	}
 }
 
 // serversRun has a node of its own ask servers of its own, so that connections are those of one run.
-func serversRun(ctx context.Context, o ServersOptions, n int, seed uint64, speaks string) (s ServersSide, err error) {
+func serversRun(ctx context.Context, o ServersOptions, n int, seed uint64, protocol string) (s ServersSide, err error) {
 	var servers []fake.Server
 	for i := range 4 {
 		servers = append(servers, fake.Server{UID: fmt.Sprint("s", i), Work: o.Work, Seed: uint64(i), HTTP2: true})
@@ -92,24 +92,24 @@
 		list = append(list, fmt.Sprintf("{ uid = %q, endpoint = %q }", one.UID, one.Addr()))
 	}
 	text := strings.Replace(fmt.Sprintf(proxyConfig, "platform", strings.Join(list, ", ")), "[services.rosters]",
-		fmt.Sprintf("[services.rosters]\nservers = { protocol = %q }", speaks), 1)
+		fmt.Sprintf("[services.rosters]\nservers = { protocol = %q }", protocol), 1)
 	file, err := writeConfig(text)
 	if err != nil {
 		return s, err
 	}
 	defer os.Remove(file) //nolint:errcheck // a temporary file
-	one := ProxyOptions{Program: o.Program, Lasts: o.Lasts}
+	one := ProxyOptions{Program: o.Program, Duration: o.Duration}
 	s.Side, err = run(ctx, one, n, seed, "serve", "--config", file)
 	for _, srv := range pool.Servers {
-		dials, most := srv.Dials()
+		dials, open := srv.Dials()
 		s.Dials += float64(dials)
-		s.Most += float64(most)
+		s.OpenConnections += float64(open)
 	}
 	if err != nil {
 		return s, err
 	}
 	one.slow = 4
-	beside, err := run(ctx, one, n, seed, "serve", "--config", file)
-	s.Beside = beside.P99
+	besideSlow, err := run(ctx, one, n, seed, "serve", "--config", file)
+	s.P99BesideSlow = besideSlow.P99
 	return s, err
 }
--- a/internal/trials/measure/tap.go
+++ b/internal/trials/measure/tap.go
@@ -15,47 +15,47 @@
 	"lockflow/internal/trials/faultnet/history"
 )
 
-// taps stand between coordinators and the control sockets of members, and note what each has asked and been
+// controlTaps stand between coordinators and the control sockets of members, and note what each has asked and been
 // told, apart from what either remembers.
-type taps struct {
+type controlTaps struct {
 	history history.History
 	members int
 
-	mu       sync.Mutex
-	claims   int
-	carried  int
-	restarts int
-	owned    int
-	numbers  map[string]int // of owners, as clients of the history
-	tries    map[history.Acquire]*try
+	mu        sync.Mutex
+	claims    int
+	completed int
+	restarts  int
+	owned     int
+	numbers   map[string]int // of owners, as clients of the history
+	attempts  map[history.Acquire]*claimAttempt
 }
 
-// try is a coordinator's at an epoch.
-type try struct {
+// claimAttempt is a coordinator's at an epoch.
+type claimAttempt struct {
 	granted map[string]bool
 	done    func(any)
 }
 
-func newTaps(members int) *taps {
-	return &taps{members: members, numbers: make(map[string]int), tries: make(map[history.Acquire]*try)}
+func newControlTaps(members int) *controlTaps {
+	return &controlTaps{members: members, numbers: make(map[string]int), attempts: make(map[history.Acquire]*claimAttempt)}
 }
 
 // open puts a tap at a path before a member's socket.
-func (t *taps) open(name, path, to string) (stop func(), err error) {
+func (t *controlTaps) open(name, path, to string) (stop func(), err error) {
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "unix", path)
 	if err != nil {
 		return nil, fmt.Errorf("a tap: %w", err)
 	}
-	way := &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
+	transport := &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "unix", to)
 	}}
-	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { t.pass(w, r, name, way) })}
+	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { t.pass(w, r, name, transport) })}
 	go s.Serve(l) //nolint:errcheck // ends with its listener
 	return func() { s.Close() }, nil
 }
 
 // pass has a member answer, and notes it.
-func (t *taps) pass(w http.ResponseWriter, r *http.Request, name string, way *http.Transport) {
+func (t *controlTaps) pass(w http.ResponseWriter, r *http.Request, name string, transport *http.Transport) {
 	raw, err := io.ReadAll(r.Body)
 	if err != nil {
 		return // it was cut before the member heard of it
@@ -64,7 +64,7 @@
 	req, err := http.NewRequestWithContext(r.Context(), r.Method, "http://daemon"+r.URL.Path, bytes.NewReader(raw))
 	var resp *http.Response
 	if err == nil {
-		resp, err = way.RoundTrip(req)
+		resp, err = transport.RoundTrip(req)
 	}
 	var answer []byte
 	if err == nil {
@@ -81,7 +81,7 @@
 }
 
 // recordRequest notes what is asked; the function that it gives notes the answer.
-func (t *taps) recordRequest(path, member string, raw []byte) func(status int, answer []byte) {
+func (t *controlTaps) recordRequest(path, member string, raw []byte) func(status int, answer []byte) {
 	code := func(answer []byte) desiredstate.Code {
 		var f struct {
 			Code desiredstate.Code `json:"code"`
@@ -116,7 +116,7 @@
 				done(history.Carried)
 				t.mu.Lock()
 				defer t.mu.Unlock()
-				t.carried++
+				t.completed++
 				if o.Operation.Kind == desiredstate.KindRestart {
 					t.restarts++
 				}
@@ -139,7 +139,7 @@
 }
 
 // number is an owner's as a client of the history; those who only look are 0.
-func (t *taps) number(owner string) int {
+func (t *controlTaps) number(owner string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.numbers[owner] == 0 {
@@ -149,22 +149,22 @@
 }
 
 // trying notes the first claim of a coordinator's epoch.
-func (t *taps) trying(c manage.Claim) {
+func (t *controlTaps) trying(c manage.Claim) {
 	n := t.number(c.Owner)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.claims++
 	a := history.Acquire{Epoch: c.Epoch, Owner: c.Owner}
-	if t.tries[a] == nil {
-		t.tries[a] = &try{granted: make(map[string]bool), done: t.history.Call(n, a)}
+	if t.attempts[a] == nil {
+		t.attempts[a] = &claimAttempt{granted: make(map[string]bool), done: t.history.Call(n, a)}
 	}
 }
 
 // granted notes a member's grant. From that of more than half on the epoch is owned.
-func (t *taps) granted(c manage.Claim, member string) {
+func (t *controlTaps) granted(c manage.Claim, member string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	a := t.tries[history.Acquire{Epoch: c.Epoch, Owner: c.Owner}]
+	a := t.attempts[history.Acquire{Epoch: c.Epoch, Owner: c.Owner}]
 	if a.granted[member] {
 		return
 	}
