--- a/internal/command/measure.go
+++ b/internal/command/measure.go
@@ -216,7 +216,7 @@
 	for _, r := range rows {
 		for i, s := range []measure.ServersSide{r.HTTP1, r.HTTP2} {
 			fmt.Fprintf(w, "%d\t%s\t%.0f\t%s\t%.0f\t%.2f\t%.2f\t%.2f\t%.0f\t%.0f\t%d\t%d\t\n", r.Concurrency, []string{"HTTP/1.1", "HTTP/2"}[i], s.CPU,
-				[]string{"", fmt.Sprintf("%.2f", r.Ratio)}[i], s.Rate, s.P50, s.P99, s.P99BesideSlow, s.OpenConnections, s.Dials, s.Refused, s.Lost)
+				[]string{"", fmt.Sprintf("%.2f", r.Ratio)}[i], s.Rate, s.P50, s.P99, s.P99WithSlowClients, s.OpenConnections, s.Dials, s.Refused, s.Lost)
 		}
 	}
 	return w.Flush()
--- a/internal/trials/faultnet/faultbuild/table.go
+++ b/internal/trials/faultnet/faultbuild/table.go
@@ -72,7 +72,9 @@
 func (t *Table) Environment() string { return Variable + "=" + t.path }
 
 // StepClock sets by how much the wall clock of the programs is ahead of this machine's; below 0 is behind.
-func (t *Table) StepClock(ahead time.Duration) { atomic.StoreUint64(&t.words[0], uint64(ahead)) }
+func (t *Table) StepClock(clockOffset time.Duration) {
+	atomic.StoreUint64(&t.words[0], uint64(clockOffset))
+}
 
 // Fail has each interval-th call fail from now on, with an error or ErrShortTransfer.
 func (t *Table) Fail(call Call, errno syscall.Errno, interval int) {
--- a/internal/trials/faultnet/history/exchange.go
+++ b/internal/trials/faultnet/history/exchange.go
@@ -10,17 +10,17 @@
 // Exchanges counts what became of requests: final answers at the clients, effects at the servers,
 // and generations at the members. The zero value is ready; its methods are safe for concurrent use.
 type Exchanges struct {
-	mu      sync.Mutex
-	begun   time.Time
-	asked   map[string]*asked
-	effects map[string][]string // by what must not happen twice, the servers
-	seen    map[string][]Generation
-	wanted  map[string]bool
-	wrong   []string
-	dropped int
+	mu          sync.Mutex
+	started     time.Time
+	requests    map[string]*requestOutcome
+	effects     map[string][]string // partitionBy what must not happen twice, the servers
+	generations map[string][]Generation
+	wanted      map[string]bool
+	wrong       []string
+	dropped     int
 }
 
-type asked struct {
+type requestOutcome struct {
 	answers []string
 	lost    string // why there was none
 }
@@ -32,49 +32,49 @@
 }
 
 func (x *Exchanges) init() {
-	if x.asked == nil {
-		x.begun = time.Now()
-		x.asked, x.effects = make(map[string]*asked), make(map[string][]string)
-		x.seen, x.wanted = make(map[string][]Generation), make(map[string]bool)
+	if x.requests == nil {
+		x.started = time.Now()
+		x.requests, x.effects = make(map[string]*requestOutcome), make(map[string][]string)
+		x.generations, x.wanted = make(map[string][]Generation), make(map[string]bool)
 	}
 }
 
-func (x *Exchanges) room(n int) bool {
-	if n < Most {
+func (x *Exchanges) hasCapacity(n int) bool {
+	if n < MaxEntries {
 		return true
 	}
 	x.dropped++
 	return false
 }
 
-// Asked notes that a client sends a request with an id of its own.
-func (x *Exchanges) Asked(id string) {
+// Requested notes that a client sends a request with an id of its own.
+func (x *Exchanges) Requested(id string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.init()
-	if x.asked[id] != nil {
+	if x.requests[id] != nil {
 		x.wrong = append(x.wrong, fmt.Sprintf("request %s: asked twice", id))
 		return
 	}
-	if x.room(len(x.asked)) {
-		x.asked[id] = &asked{}
+	if x.hasCapacity(len(x.requests)) {
+		x.requests[id] = &requestOutcome{}
 	}
 }
 
 // Answered notes a final answer that came for a request.
 func (x *Exchanges) Answered(id, answer string) {
-	x.of(id, func(a *asked) { a.answers = append(a.answers, answer) })
+	x.update(id, func(a *requestOutcome) { a.answers = append(a.answers, answer) })
 }
 
 // Broken notes that no answer will come and why: the connection was reset, or the client's time
 // has ended. What a fault on the client's side of the node explains may end so.
-func (x *Exchanges) Broken(id, why string) { x.of(id, func(a *asked) { a.lost = why }) }
+func (x *Exchanges) Broken(id, why string) { x.update(id, func(a *requestOutcome) { a.lost = why }) }
 
-func (x *Exchanges) of(id string, f func(*asked)) {
+func (x *Exchanges) update(id string, f func(*requestOutcome)) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.init()
-	if a := x.asked[id]; a != nil {
+	if a := x.requests[id]; a != nil {
 		f(a)
 	} else if x.dropped == 0 {
 		x.wrong = append(x.wrong, fmt.Sprintf("request %s: answered, and never asked", id))
@@ -86,36 +86,36 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.init()
-	if x.effects[key] != nil || x.room(len(x.effects)) {
+	if x.effects[key] != nil || x.hasCapacity(len(x.effects)) {
 		x.effects[key] = append(x.effects[key], server)
 	}
 }
 
-// Want notes a generation as one that somebody wants, from the begin on.
-func (x *Exchanges) Want(hash string) {
+// WantGeneration notes a generation as one that somebody wants, from the begin on.
+func (x *Exchanges) WantGeneration(hash string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.init()
 	x.wanted[hash] = true
 }
 
-// Saw notes the generation that a member told; one that it told last is noted once.
-func (x *Exchanges) Saw(member, hash string) {
+// Reported notes the generation that a member told; one that it told last is noted once.
+func (x *Exchanges) Reported(member, hash string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.init()
-	all := x.seen[member]
-	if len(all) > 0 && all[len(all)-1].Hash == hash || !x.room(len(all)) {
+	all := x.generations[member]
+	if len(all) > 0 && all[len(all)-1].Hash == hash || !x.hasCapacity(len(all)) {
 		return
 	}
-	x.seen[member] = append(all, Generation{time.Since(x.begun), hash})
+	x.generations[member] = append(all, Generation{time.Since(x.started), hash})
 }
 
 // Generations are what members have run, in order.
 func (x *Exchanges) Generations(member string) []Generation {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return slices.Clone(x.seen[member])
+	return slices.Clone(x.generations[member])
 }
 
 // Check lists what is wrong, sorted: a request with more than one final answer, or with neither
@@ -127,9 +127,9 @@
 	defer x.mu.Unlock()
 	wrong := slices.Clone(x.wrong)
 	if x.dropped > 0 {
-		wrong = append(wrong, fmt.Sprintf("%d notes more than %d", x.dropped, Most))
+		wrong = append(wrong, fmt.Sprintf("%d notes more than %d", x.dropped, MaxEntries))
 	}
-	for id, a := range x.asked {
+	for id, a := range x.requests {
 		switch n := len(a.answers); {
 		case n > 1:
 			wrong = append(wrong, fmt.Sprintf("request %s: %d final answers: %v", id, n, a.answers))
@@ -144,7 +144,7 @@
 			wrong = append(wrong, fmt.Sprintf("effect %s: %d times, at %v", key, len(at), at))
 		}
 	}
-	for member, all := range x.seen {
+	for member, all := range x.generations {
 		for _, g := range all {
 			if len(x.wanted) > 0 && !x.wanted[g.Hash] {
 				wrong = append(wrong, fmt.Sprintf("member %s at %v: generation %s, which nobody wants", member, g.At.Round(time.Millisecond), g.Hash))
@@ -159,7 +159,7 @@
 func (x *Exchanges) Wrong(format string, args ...any) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.init(); x.room(len(x.wrong)) {
+	if x.init(); x.hasCapacity(len(x.wrong)) {
 		x.wrong = append(x.wrong, fmt.Sprintf(format, args...))
 	}
 }
@@ -168,12 +168,12 @@
 func (x *Exchanges) Counts() (requests, answered int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for _, a := range x.asked {
+	for _, a := range x.requests {
 		if len(a.answers) > 0 {
 			answered++
 		}
 	}
-	return len(x.asked), answered
+	return len(x.requests), answered
 }
 
 // Effects is how many different effects have happened.
--- a/internal/trials/faultnet/history/history.go
+++ b/internal/trials/faultnet/history/history.go
@@ -16,9 +16,9 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Most is how many operations a history keeps; more are an error of the check, so that nothing
+// MaxEntries is how many operations a history keeps; more are an error of the check, so that nothing
 // is held to rules by half.
-const Most = 200_000
+const MaxEntries = 200_000
 
 // checkTime bounds a check; one that takes longer is an error too.
 const checkTime = 20 * time.Second
@@ -39,17 +39,17 @@
 // its methods are safe for concurrent use.
 type History struct {
 	mu      sync.Mutex
-	begun   time.Time
-	all     []Entry
+	started time.Time
+	entries []Entry
 	dropped int
 }
 
 // now is the time since the first call. The caller holds mu.
 func (h *History) now() time.Duration {
-	if h.begun.IsZero() {
-		h.begun = time.Now()
+	if h.started.IsZero() {
+		h.started = time.Now()
 	}
-	return time.Since(h.begun)
+	return time.Since(h.started)
 }
 
 // Call notes that a client asks for op, before it does; the function that it gives notes the
@@ -57,16 +57,16 @@
 func (h *History) Call(client int, op any) (done func(result any)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.all) >= Most {
+	if len(h.entries) >= MaxEntries {
 		h.dropped++
 		return func(any) {}
 	}
-	n := len(h.all)
-	h.all = append(h.all, Entry{Client: client, Op: op, Result: Unknown{}, Call: h.now()})
+	n := len(h.entries)
+	h.entries = append(h.entries, Entry{Client: client, Op: op, Result: Unknown{}, Call: h.now()})
 	return func(result any) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.all[n].Result, h.all[n].Return = result, h.now()
+		h.entries[n].Result, h.entries[n].Return = result, h.now()
 	}
 }
 
@@ -74,7 +74,7 @@
 func (h *History) Entries() []Entry {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.Clone(h.all)
+	return slices.Clone(h.entries)
 }
 
 // Model is what a history is held to: a sequential thing whose operations take effect at one
@@ -89,7 +89,7 @@
 	dropped := h.dropped
 	h.mu.Unlock()
 	if dropped > 0 {
-		return fmt.Errorf("a history of %d operations more than %d", dropped, Most)
+		return fmt.Errorf("a history of %d operations more than %d", dropped, MaxEntries)
 	}
 	all := h.Entries()
 	// What may never have been need not be: mostly the rest explains itself, and then the check is
@@ -114,7 +114,7 @@
 		o := porcupine.Operation{ClientId: e.Client, Input: e.Op, Output: e.Result, Call: int64(e.Call), Return: int64(e.Return)}
 		if _, unknown := e.Result.(Unknown); unknown {
 			// Each of these may stand anywhere, which is what makes a check long.
-			if _, reads := e.Op.(Look); reads {
+			if _, reads := e.Op.(ReadStatus); reads {
 				continue
 			}
 			o.Return = math.MaxInt64
@@ -141,16 +141,16 @@
 	return undecided
 }
 
-// told bounds what an error lists.
-const told = 60
+// maxDescribedOperations bounds what an error lists.
+const maxDescribedOperations = 60
 
 func describe(_ Model, part []porcupine.Operation) string {
 	part = slices.Clone(part)
 	slices.SortStableFunc(part, func(a, b porcupine.Operation) int { return cmp.Compare(a.Call, b.Call) })
 	var b strings.Builder
 	for i, o := range part {
-		if i == told {
-			fmt.Fprintf(&b, "  and %d more\n", len(part)-told)
+		if i == maxDescribedOperations {
+			fmt.Fprintf(&b, "  and %d more\n", len(part)-maxDescribedOperations)
 			break
 		}
 		end := "?"
--- a/internal/trials/faultnet/history/history_test.go
+++ b/internal/trials/faultnet/history/history_test.go
@@ -13,7 +13,7 @@
 type member struct {
 	mu    sync.Mutex
 	name  string
-	seen  Seen
+	seen  MemberState
 	fault string
 }
 
@@ -33,7 +33,7 @@
 			return Stale
 		}
 		if op.ID == m.seen.Order && m.fault != "twice" {
-			return Again
+			return AlreadyDone
 		}
 		m.seen.Order = op.ID
 		return Done
@@ -52,7 +52,7 @@
 			owner := fmt.Sprint("o", c)
 			for range 30 {
 				m := members[rng.IntN(len(members))]
-				var op any = Look{m.name}
+				var op any = ReadStatus{m.name}
 				switch epoch := uint64(1 + rng.IntN(8)); rng.IntN(6) {
 				case 0, 1:
 					op = Claim{m.name, epoch, owner}
@@ -131,10 +131,10 @@
 // Each violation is told, and nothing else.
 func TestExchanges(t *testing.T) {
 	var x Exchanges
-	x.Want("h1")
-	x.Saw("m", "h1")
+	x.WantGeneration("h1")
+	x.Reported("m", "h1")
 	for i := range 6 {
-		x.Asked(fmt.Sprint(i))
+		x.Requested(fmt.Sprint(i))
 	}
 	x.Answered("0", "200")
 	x.Broken("1", "reset")
@@ -148,10 +148,10 @@
 	x.Broken("3", "reset")
 	x.Answered("5", "503")
 	x.Answered("9", "200")
-	x.Asked("5")
+	x.Requested("5")
 	x.Effect("k", "s2")
-	x.Saw("m", "h2")
-	x.Saw("m", "h2")
+	x.Reported("m", "h2")
+	x.Reported("m", "h2")
 	got := strings.Join(x.Check(func(why string) bool { return why == "reset" }), "\n")
 	for i, want := range []string{
 		"effect k: 2 times, at [s1 s2]", "member m at", "request 2: 2 final answers: [200 502]", "request 3: answered 200, and broken",
@@ -178,8 +178,8 @@
 		for i := range tc.lost {
 			h.Call(1+i, Claim{"m", uint64(1 + i), "owner"}) // its answer is lost
 		}
-		h.Call(100, Claim{"m", 1, "other"})(Refused) // by one that was lost
-		h.Call(100, Look{"m"})(Seen{Epoch: tc.seen, Owner: "owner"})
+		h.Call(100, Claim{"m", 1, "other"})(Refused) // partitionBy one that was lost
+		h.Call(100, ReadStatus{"m"})(MemberState{Epoch: tc.seen, Owner: "owner"})
 		if err := h.CheckOwnership(); (err == nil) != tc.isLegal || errors.Is(err, ErrUndecided) {
 			t.Errorf("%d lost, %d seen: %v", tc.lost, tc.seen, err)
 		}
--- a/internal/trials/faultnet/history/ownership.go
+++ b/internal/trials/faultnet/history/ownership.go
@@ -22,12 +22,12 @@
 	ID     string
 }
 
-// Look reads what a member says of itself; its result is a Seen.
-type Look struct{ Member string }
+// ReadStatus reads what a member says of itself; its result is a Seen.
+type ReadStatus struct{ Member string }
 
-// Seen is the newest epoch that a member has granted, to whom, and its last order; as a result with
+// MemberState is the newest epoch that a member has granted, to whom, and its last order; as a result with
 // no order it tells nothing of that.
-type Seen struct {
+type MemberState struct {
 	Epoch uint64
 	Owner string
 	Order string
@@ -50,8 +50,8 @@
 	Granted Outcome = iota + 1
 	Refused
 	Done
-	Again
-	Carried
+	AlreadyDone
+	DoneOrAlreadyDone
 	Stale
 	Nothing
 )
@@ -71,21 +71,21 @@
 func Members() Model {
 	return Model{
 		Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
-			return by(all, func(o porcupine.Operation) string {
+			return partitionBy(all, func(o porcupine.Operation) string {
 				switch op := o.Input.(type) {
 				case Claim:
 					return op.Member
 				case Order:
 					return op.Member
-				case Look:
+				case ReadStatus:
 					return op.Member
 				}
 				return ""
 			})
 		},
-		Init: func() any { return Seen{} },
+		Init: func() any { return MemberState{} },
 		Step: func(state, input, output any) (bool, any) {
-			s := state.(Seen)
+			s := state.(MemberState)
 			_, lost := output.(Unknown)
 			if output == Nothing {
 				return true, s
@@ -102,13 +102,13 @@
 				case op.Epoch != s.Epoch || op.Owner != s.Owner:
 					return lost || output == Stale, s
 				case op.ID == s.Order:
-					return lost || output == Again || output == Carried, s
+					return lost || output == AlreadyDone || output == DoneOrAlreadyDone, s
 				}
 				s.Order = op.ID
-				return lost || output == Done || output == Carried, s
-			case Look:
-				told, ok := output.(Seen)
-				return ok && told.Epoch == s.Epoch && told.Owner == s.Owner && (told.Order == "" || told.Order == s.Order), s
+				return lost || output == Done || output == DoneOrAlreadyDone, s
+			case ReadStatus:
+				reported, ok := output.(MemberState)
+				return ok && reported.Epoch == s.Epoch && reported.Owner == s.Owner && (reported.Order == "" || reported.Order == s.Order), s
 			}
 			return false, s // Acquire is of the fleet, not of a member
 		},
@@ -119,9 +119,9 @@
 // were, or the same by the same owner; never two owners of one. A refusal is always well.
 func Ownership() Model {
 	return Model{
-		Init: func() any { return Seen{} },
+		Init: func() any { return MemberState{} },
 		Step: func(state, input, output any) (bool, any) {
-			s := state.(Seen)
+			s := state.(MemberState)
 			op, ok := input.(Acquire)
 			if !ok {
 				return false, s
@@ -135,7 +135,7 @@
 			case !takes:
 				return false, s
 			}
-			return true, Seen{Epoch: op.Epoch, Owner: op.Owner}
+			return true, MemberState{Epoch: op.Epoch, Owner: op.Owner}
 		},
 	}
 }
@@ -151,8 +151,8 @@
 		if otherMember != member {
 			return false
 		}
-		if seen, ok := other.Result.(Seen); ok {
-			return seen.Epoch == epoch && seen.Owner == owner && (order == "" || seen.Order == order)
+		if observed, ok := other.Result.(MemberState); ok {
+			return observed.Epoch == epoch && observed.Owner == owner && (order == "" || observed.Order == order)
 		}
 		return otherEpoch == epoch && otherOwner == owner && (order == "" || otherOrder == order)
 	})
@@ -165,7 +165,7 @@
 		return op.Member, op.Epoch, op.Owner, ""
 	case Order:
 		return op.Member, op.Epoch, op.Owner, op.ID
-	case Look:
+	case ReadStatus:
 		return op.Member, 0, "", ""
 	case Acquire:
 		return "", op.Epoch, op.Owner, ""
@@ -173,7 +173,7 @@
 	return "", 0, "", ""
 }
 
-func by(all []porcupine.Operation, key func(porcupine.Operation) string) (parts [][]porcupine.Operation) {
+func partitionBy(all []porcupine.Operation, key func(porcupine.Operation) string) (parts [][]porcupine.Operation) {
 	place := make(map[string]int)
 	for _, o := range all {
 		k := key(o)
@@ -188,15 +188,15 @@
 	return parts
 }
 
-// Of gives the history of those operations that a model is about.
-func (h *History) Of(is func(op any) bool) *History {
+// Filter gives the history of those operations that a model is about.
+func (h *History) Filter(is func(op any) bool) *History {
 	of := &History{}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	of.begun, of.dropped = h.begun, h.dropped
-	for _, e := range h.all {
+	of.started, of.dropped = h.started, h.dropped
+	for _, e := range h.entries {
 		if is(e.Op) {
-			of.all = append(of.all, e)
+			of.entries = append(of.entries, e)
 		}
 	}
 	return of
@@ -204,10 +204,10 @@
 
 // CheckOwnership holds all claims, orders and looks to Members and all tries to Ownership.
 func (h *History) CheckOwnership() error {
-	fleet := h.Of(func(op any) bool { _, is := op.(Acquire); return is })
-	members := h.Of(func(op any) bool {
+	fleet := h.Filter(func(op any) bool { _, is := op.(Acquire); return is })
+	members := h.Filter(func(op any) bool {
 		switch op.(type) {
-		case Claim, Order, Look:
+		case Claim, Order, ReadStatus:
 			return true
 		}
 		return false
--- a/internal/trials/faultnet/link/conn.go
+++ b/internal/trials/faultnet/link/conn.go
@@ -58,17 +58,17 @@
 func (c *conn) run() {
 	defer c.end(false)
 	var both sync.WaitGroup
-	ways := [2]chan piece{make(chan piece, buffered), make(chan piece, buffered)}
-	both.Go(func() { c.read(c.from, ways[0]) })
+	queues := [2]chan piece{make(chan piece, buffered), make(chan piece, buffered)}
+	both.Go(func() { c.read(c.from, queues[0]) })
 	both.Go(func() {
 		if !c.dial() {
 			close(c.up)
 			return
 		}
 		close(c.up)
-		both.Go(func() { c.read(c.to, ways[1]) })
-		both.Go(func() { c.write(0, c.to, ways[0]) })
-		c.write(1, c.from, ways[1])
+		both.Go(func() { c.read(c.to, queues[1]) })
+		both.Go(func() { c.write(0, c.to, queues[0]) })
+		c.write(1, c.from, queues[1])
 	})
 	both.Wait()
 }
@@ -77,7 +77,7 @@
 func (c *conn) dial() bool {
 	for {
 		r := c.link.now()
-		if w := &r.ways[0]; !w.cut && !w.hold {
+		if w := &r.directions[0]; !w.cut && !w.hold {
 			break
 		}
 		select {
@@ -132,16 +132,16 @@
 // writer is one way of a connection, to its end.
 type writer struct {
 	*conn
-	way    int
-	to     net.Conn
-	of     *rules // in force
-	passed int    // bytes since those are
-	lost   bool   // bytes are: what follows them can't be delivered any more
+	direction int
+	to        net.Conn
+	of        *rules // in force
+	passed    int    // bytes since those are
+	lost      bool   // bytes are: what follows them can't be delivered any more
 }
 
 // write brings one way's bytes to their end as the rules have it, and tells it of the way's end.
-func (c *conn) write(way int, to net.Conn, from <-chan piece) {
-	w := &writer{conn: c, way: way, to: to}
+func (c *conn) write(direction int, to net.Conn, from <-chan piece) {
+	w := &writer{conn: c, direction: direction, to: to}
 	for {
 		var p piece
 		select {
@@ -162,13 +162,13 @@
 // pass writes a piece, or loses it; false once the connection has ended.
 func (w *writer) pass(p *piece) bool {
 	for first := true; first || len(p.data) > 0; first = false {
-		r, ok := w.due(w.way, p.at, len(p.data) > 0)
+		r, ok := w.due(w.direction, p.at, len(p.data) > 0)
 		if !ok {
 			return false
 		}
 		w.follow(r)
-		way := &r.ways[w.way]
-		if w.way == 1 && len(p.data) > 0 && (r.lost || r.mute) && !w.lost {
+		rule := &r.directions[w.direction]
+		if w.direction == 1 && len(p.data) > 0 && (r.lost || r.blackhole) && !w.lost {
 			w.lose(len(p.data))
 			if r.lost {
 				w.reset()
@@ -177,7 +177,7 @@
 			w.lost = true
 			return true
 		}
-		if way.cut || w.lost {
+		if rule.cut || w.lost {
 			// The end of a direction vanishes as its bytes do.
 			w.lost = true
 			w.lose(len(p.data))
@@ -186,7 +186,7 @@
 		if len(p.data) == 0 {
 			return true
 		}
-		if !w.writeSome(p, r, way) {
+		if !w.writeSome(p, r, rule) {
 			return false
 		}
 	}
@@ -198,22 +198,22 @@
 	if r == w.of {
 		return
 	}
-	if w.of == nil || !r.ways[w.way].reset || !w.of.ways[w.way].reset || r.ways[w.way].after != w.of.ways[w.way].after {
+	if w.of == nil || !r.directions[w.direction].reset || !w.of.directions[w.direction].reset || r.directions[w.direction].after != w.of.directions[w.direction].after {
 		w.passed = 0
 	}
 	w.of = r
 }
 
 // writeSome writes as much of a piece as a way lets through at once; false once the connection has ended.
-func (w *writer) writeSome(p *piece, r *rules, way *wayRules) bool {
+func (w *writer) writeSome(p *piece, r *rules, rule *directionRules) bool {
 	n := len(p.data)
-	if way.limit != nil {
+	if rule.limit != nil {
 		n = min(n, burst)
 	}
-	if way.reset {
-		n = min(n, way.after-w.passed)
+	if rule.reset {
+		n = min(n, rule.after-w.passed)
 	}
-	if way.limit != nil && n > 0 && !w.wait(r, way, n) {
+	if rule.limit != nil && n > 0 && !w.wait(r, rule, n) {
 		return true // the rules have changed
 	}
 	if n > 0 {
@@ -225,7 +225,7 @@
 		w.passed += n
 		w.count(n)
 	}
-	if way.reset && w.passed >= way.after {
+	if rule.reset && w.passed >= rule.after {
 		w.reset()
 		return false
 	}
@@ -235,7 +235,7 @@
 // count counts bytes that passed.
 func (w *writer) count(n int) {
 	w.link.add(func(s *Counts) {
-		if w.way == 0 {
+		if w.direction == 0 {
 			s.Forth += int64(n)
 		} else {
 			s.Back += int64(n)
@@ -261,7 +261,7 @@
 func (c *conn) healed() {
 	for {
 		r := c.link.now()
-		if !r.ways[0].cut && !r.ways[1].cut && !r.lost && !r.mute {
+		if !r.directions[0].cut && !r.directions[1].cut && !r.lost && !r.blackhole {
 			return
 		}
 		select {
@@ -276,11 +276,11 @@
 
 // due waits until what came at a time is to go on: while the way is held, and as long as it is
 // late. It gives the rules in force then; false is the connection's end.
-func (c *conn) due(way int, at time.Time, data bool) (*rules, bool) {
+func (c *conn) due(direction int, at time.Time, data bool) (*rules, bool) {
 	for {
 		r := c.link.now()
-		w := &r.ways[way]
-		if w.cut || way == 1 && data && (r.lost || r.mute) {
+		w := &r.directions[direction]
+		if w.cut || direction == 1 && data && (r.lost || r.blackhole) {
 			return r, true // what vanishes need not wait
 		}
 		var after <-chan time.Time
@@ -302,7 +302,7 @@
 
 // wait takes n bytes of a slow way's rate; false where the rules have changed meanwhile, or the
 // connection has ended.
-func (c *conn) wait(r *rules, w *wayRules, n int) bool {
+func (c *conn) wait(r *rules, w *directionRules, n int) bool {
 	turn := w.limit.ReserveN(time.Now(), n)
 	t := time.NewTimer(turn.Delay())
 	defer t.Stop()
--- a/internal/trials/faultnet/link/link.go
+++ b/internal/trials/faultnet/link/link.go
@@ -26,13 +26,13 @@
 	dir  string // of a Unix socket's path
 	hold int    // a socket that keeps the TCP port while the listener is closed; -1 is none
 
-	mu     sync.Mutex
-	l      net.Listener // nil while connections are refused
-	rules  *rules
-	conns  map[*conn]bool
-	counts Counts
-	closed bool
-	all    sync.WaitGroup
+	mu       sync.Mutex
+	listener net.Listener // nil while connections are refused
+	rules    *rules
+	conns    map[*conn]bool
+	counts   Counts
+	closed   bool
+	all      sync.WaitGroup
 }
 
 // Counts are what a link has seen so far.
@@ -48,14 +48,14 @@
 // rules are the faults in force, summed up: what a connection has to know. They are not changed
 // once they are in force.
 type rules struct {
-	ways    [2]wayRules
-	lost    bool          // answers are thrown away, and the connection reset
-	mute    bool          // the same, and then silence
-	refuse  bool          //
-	changed chan struct{} // closed once other rules are in force
+	directions [2]directionRules
+	lost       bool          // answers are thrown away, and the connection reset
+	blackhole  bool          // the same, and then silence
+	refuse     bool          //
+	changed    chan struct{} // closed once other rules are in force
 }
 
-type wayRules struct {
+type directionRules struct {
 	cut, hold bool
 	delay     time.Duration
 	limit     *rate.Limiter // over all connections; nil is none
@@ -131,13 +131,13 @@
 		switch f.Kind {
 		case script.Lost:
 			r.lost = true
-		case script.Mute:
-			r.mute = true
+		case script.Blackhole:
+			r.blackhole = true
 		case script.Refuse:
 			r.refuse = true
 		}
-		for i, way := range []script.Way{script.Forth, script.Back} {
-			if w := &r.ways[i]; f.Way.Has(way) {
+		for i, direction := range []script.Direction{script.Forth, script.Back} {
+			if w := &r.directions[i]; f.Direction.Has(direction) {
 				w.add(f)
 			}
 		}
@@ -147,19 +147,19 @@
 	if l.closed {
 		return net.ErrClosed
 	}
-	for i := range r.ways { // so that a slow link's rest isn't forgotten at each change of another fault
-		if now, was := r.ways[i].limit, l.rules.ways[i].limit; now != nil && was != nil && now.Limit() == was.Limit() {
-			r.ways[i].limit = was
+	for i := range r.directions { // so that a slow link's rest isn't forgotten at each change of another fault
+		if now, was := r.directions[i].limit, l.rules.directions[i].limit; now != nil && was != nil && now.Limit() == was.Limit() {
+			r.directions[i].limit = was
 		}
 	}
 	close(l.rules.changed)
 	l.rules = r
-	if r.refuse == (l.l == nil) {
+	if r.refuse == (l.listener == nil) {
 		return nil
 	}
 	if r.refuse {
-		err := l.l.Close()
-		l.l = nil
+		err := l.listener.Close()
+		l.listener = nil
 		return err
 	}
 	return l.open()
@@ -168,7 +168,7 @@
 // Heal ends all faults. A connection that lost bytes stays dumb.
 func (l *Link) Heal() error { return l.Set() }
 
-func (w *wayRules) add(f script.Fault) {
+func (w *directionRules) add(f script.Fault) {
 	switch f.Kind {
 	case script.Cut:
 		w.cut = true
@@ -202,9 +202,9 @@
 	l.mu.Lock()
 	l.closed = true
 	var err error
-	if l.l != nil {
-		err = l.l.Close()
-		l.l = nil
+	if l.listener != nil {
+		err = l.listener.Close()
+		l.listener = nil
 	}
 	for c := range l.conns {
 		c.end(false)
@@ -228,12 +228,12 @@
 	if l.unix() {
 		at, err = (&net.ListenConfig{}).Listen(context.Background(), "unix", l.addr)
 	} else {
-		at, err = listenBeside(l.addr)
+		at, err = listenOnHeldPort(l.addr)
 	}
 	if err != nil {
 		return err
 	}
-	l.l = at
+	l.listener = at
 	l.all.Go(func() {
 		for {
 			c, err := at.Accept()
--- a/internal/trials/faultnet/link/link_test.go
+++ b/internal/trials/faultnet/link/link_test.go
@@ -183,11 +183,11 @@
 		for _, c := range []net.Conn{forth, back, spared} {
 			r.echo(c, "up")
 		}
-		r.set(script.Fault{Kind: script.Cut, Way: script.Forth})
+		r.set(script.Fault{Kind: script.Cut, Direction: script.Forth})
 		r.say(forth, "gone")
 		r.until("lost", func(n Counts) bool { return n.Lost == 4 })
 		during := r.conn()
-		r.set(script.Fault{Kind: script.Cut, Way: script.Back})
+		r.set(script.Fault{Kind: script.Cut, Direction: script.Back})
 		r.say(back, "heard")
 		if got := testkit.Next(t, r.got); got != "heard" {
 			t.Errorf("the server got %q", got)
@@ -225,8 +225,8 @@
 			t.Errorf("the server got %q", got)
 		case <-time.After(20 * time.Millisecond):
 		}
-		r.set(script.Fault{Kind: script.Late, Way: script.Forth, Delay: 20 * time.Millisecond},
-			script.Fault{Kind: script.Slow, Way: script.Back, Rate: 2000})
+		r.set(script.Fault{Kind: script.Late, Direction: script.Forth, Delay: 20 * time.Millisecond},
+			script.Fault{Kind: script.Slow, Direction: script.Back, Rate: 2000})
 		begun := time.Now()
 		r.echo(c, "") // nothing
 		if got := testkit.Next(t, r.got); got != "held" {
@@ -254,8 +254,8 @@
 			fault      script.Fault
 			said, came string
 		}{
-			{script.Fault{Kind: script.Reset, Way: script.Forth, Bytes: 3}, "abc", "abc"},
-			{script.Fault{Kind: script.Reset, Way: script.Back, Bytes: 4}, "abcdef", "abcd"},
+			{script.Fault{Kind: script.Reset, Direction: script.Forth, Bytes: 3}, "abc", "abc"},
+			{script.Fault{Kind: script.Reset, Direction: script.Back, Bytes: 4}, "abcdef", "abcd"},
 			{script.Fault{Kind: script.Lost}, "abcdef", ""},
 		} {
 			c := r.conn()
@@ -281,7 +281,7 @@
 			t.Errorf("a connection: %v", err)
 		}
 		r.echo(c, "stays")
-		r.set(script.Fault{Kind: script.Mute})
+		r.set(script.Fault{Kind: script.Blackhole})
 		r.echo(r.conn(), "")
 		r.say(c, "asked")
 		if got := testkit.Next(t, r.got); got != "asked" {
--- a/internal/trials/faultnet/play.go
+++ b/internal/trials/faultnet/play.go
@@ -38,15 +38,15 @@
 	Procs []*Process
 	// Before is told of a step ahead of it, Seen once it has happened; nil is nobody.
 	Before func(script.Step)
-	Seen   func(Event)
+	Done   func(Event)
 
-	steps []script.Step
-	next  int
-	begun time.Time
-	down  map[int]bool // processes that a fault holds down
+	steps    []script.Step
+	nextStep int
+	started  time.Time
+	down     map[int]bool // processes that a fault holds down
 
-	mu  sync.Mutex
-	all []Event
+	mu     sync.Mutex
+	events []Event
 }
 
 // NewPlayer gives the player of a script whose numbers are those of links and processes.
@@ -57,17 +57,17 @@
 	if s.Links > len(links) || s.Procs > len(procs) {
 		return nil, fmt.Errorf("a script of %d links and %d processes, there are %d and %d", s.Links, s.Procs, len(links), len(procs))
 	}
-	return &Player{Links: links, Procs: procs, steps: s.Steps(), begun: time.Now(), down: make(map[int]bool)}, nil
+	return &Player{Links: links, Procs: procs, steps: s.Steps(), started: time.Now(), down: make(map[int]bool)}, nil
 }
 
 // Next carries out the next step, whatever its time; false where there was none left.
 func (p *Player) Next() bool {
-	if p.next >= len(p.steps) {
+	if p.nextStep >= len(p.steps) {
 		return false
 	}
-	st := p.steps[p.next]
+	st := p.steps[p.nextStep]
 	e := Event{Step: st}
-	p.next++
+	p.nextStep++
 	if p.Before != nil {
 		p.Before(st)
 	}
@@ -82,7 +82,7 @@
 		down := p.down[i]
 		p.down[i] = has(all, script.Kill)
 		procs.Go(func() { // a kill waits for the end
-			if err := befall(p.Procs[i], down, all); err != nil {
+			if err := applyFaults(p.Procs[i], down, all); err != nil {
 				mu.Lock()
 				defer mu.Unlock()
 				e.Err = errors.Join(e.Err, fmt.Errorf("process %d: %w", i, err))
@@ -90,12 +90,12 @@
 		})
 	}
 	procs.Wait()
-	e.At = time.Since(p.begun)
+	e.At = time.Since(p.started)
 	p.mu.Lock()
-	p.all = append(p.all, e)
+	p.events = append(p.events, e)
 	p.mu.Unlock()
-	if p.Seen != nil {
-		p.Seen(e)
+	if p.Done != nil {
+		p.Done(e)
 	}
 	return true
 }
@@ -109,12 +109,12 @@
 	return false
 }
 
-// befall has exactly these faults in force on a process, which a fault holds down or not.
-func befall(p *Process, down bool, all []Fault) error {
-	var ahead time.Duration
+// applyFaults has exactly these faults in force on a process, which a fault holds down or not.
+func applyFaults(p *Process, down bool, all []Fault) error {
+	var clockOffset time.Duration
 	for _, f := range all {
 		if f.Kind == script.Clock {
-			ahead += f.Delay
+			clockOffset += f.Delay
 		}
 	}
 	var err error
@@ -122,7 +122,7 @@
 		err = errors.Join(p.SetFull(has(all, script.Full)), p.SetReadOnly(has(all, script.ReadOnly)))
 	}
 	if p.ClockEnv != "" || p.OnClock != nil {
-		err = errors.Join(err, p.SetClock(ahead))
+		err = errors.Join(err, p.SetClock(clockOffset))
 	}
 	switch killed := has(all, script.Kill); {
 	case killed:
@@ -142,18 +142,18 @@
 func (p *Player) Events() []Event {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]Event(nil), p.all...)
+	return append([]Event(nil), p.events...)
 }
 
 // Heal ends all that is in force, as the rest of the script would.
 func (p *Player) Heal() error {
-	p.next = len(p.steps)
+	p.nextStep = len(p.steps)
 	var err error
 	for _, l := range p.Links {
 		err = errors.Join(err, l.Heal())
 	}
 	for i, q := range p.Procs {
-		err = errors.Join(err, befall(q, p.down[i], nil))
+		err = errors.Join(err, applyFaults(q, p.down[i], nil))
 		p.down[i] = false
 	}
 	return err
@@ -171,9 +171,9 @@
 
 // Play carries out what is left of the script by its times.
 func (p *Player) Play(ctx context.Context) ([]Event, error) {
-	p.begun = time.Now()
-	for p.next < len(p.steps) && ctx.Err() == nil {
-		t := time.NewTimer(time.Until(p.begun.Add(p.steps[p.next].At)))
+	p.started = time.Now()
+	for p.nextStep < len(p.steps) && ctx.Err() == nil {
+		t := time.NewTimer(time.Until(p.started.Add(p.steps[p.nextStep].At)))
 		select {
 		case <-t.C:
 			p.Next()
--- a/internal/trials/faultnet/play_test.go
+++ b/internal/trials/faultnet/play_test.go
@@ -90,7 +90,7 @@
 		}
 		heard := 0
 		pl.Before = func(script.Step) { heard++ }
-		pl.Seen = func(e Event) {
+		pl.Done = func(e Event) {
 			if heard++; e.Err != nil {
 				t.Error(e)
 			}
@@ -119,7 +119,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	pl.Seen = func(Event) { cancel() }
+	pl.Done = func(Event) { cancel() }
 	if events, err := pl.Play(ctx); err != nil || len(events) != 1 {
 		t.Errorf("%v, %v", events, err)
 	}
--- a/internal/trials/faultnet/process/process.go
+++ b/internal/trials/faultnet/process/process.go
@@ -41,7 +41,7 @@
 	full     bool
 	readOnly bool
 	mode     os.FileMode // of State before it was read-only
-	ahead    time.Duration
+	offset   time.Duration
 	paused   bool
 }
 
@@ -62,7 +62,7 @@
 	cmd.Dir = p.Dir
 	cmd.Env = append(os.Environ(), p.Env...)
 	if p.ClockEnv != "" {
-		cmd.Env = append(cmd.Env, p.ClockEnv+"="+p.ahead.String())
+		cmd.Env = append(cmd.Env, p.ClockEnv+"="+p.offset.String())
 	}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	// Its output comes through a pipe, as a log file of its own would be full too (RLIMIT_FSIZE).
@@ -182,14 +182,14 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), goneWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), exitTimeout)
 	defer cancel()
 	return p.Gone(ctx)
 }
 
 const (
-	goneWithin = 20 * time.Second
-	goneEvery  = time.Millisecond
+	exitTimeout      = 20 * time.Second
+	exitPollInterval = time.Millisecond
 )
 
 // Pause stops it in its steps (SIGSTOP), Continue has it go on.
@@ -234,7 +234,7 @@
 func (p *Process) Gone(ctx context.Context) error {
 	for p.Runs() {
 		select {
-		case <-time.After(goneEvery):
+		case <-time.After(exitPollInterval):
 		case <-ctx.Done():
 			return fmt.Errorf("process %d: %w", p.PID(), ctx.Err())
 		}
@@ -243,7 +243,7 @@
 }
 
 // Stop ends it by SIGTERM, and by SIGKILL where it is still there after a time.
-func (p *Process) Stop(within time.Duration) error {
+func (p *Process) Stop(timeout time.Duration) error {
 	_ = p.Continue()
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		if errors.Is(err, ErrNone) {
@@ -251,24 +251,24 @@
 		}
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if err := p.Gone(ctx); err != nil {
-		return errors.Join(fmt.Errorf("killed after %v: %w", within, err), p.Kill())
+		return errors.Join(fmt.Errorf("killed after %v: %w", timeout, err), p.Kill())
 	}
 	return nil
 }
 
 // SetClock has its clock be ahead by a time.
-func (p *Process) SetClock(ahead time.Duration) error {
+func (p *Process) SetClock(offset time.Duration) error {
 	p.mu.Lock()
-	p.ahead = ahead
-	tell := p.OnClock
+	p.offset = offset
+	notify := p.OnClock
 	p.mu.Unlock()
-	if tell == nil {
+	if notify == nil {
 		return nil
 	}
-	return tell(ahead)
+	return notify(offset)
 }
 
 // String names it for events.
--- a/internal/trials/faultnet/script/script.go
+++ b/internal/trials/faultnet/script/script.go
@@ -16,14 +16,14 @@
 
 // Faults of links, then of processes.
 const (
-	Cut    Kind = iota // bytes vanish in silence, connections stay; one that lost bytes stays dumb for good
-	Hold               // bytes wait until the fault ends, as TCP brings them after a short cut
-	Late               // each byte comes Delay later
-	Slow               // Rate bytes a second, over all connections of the link
-	Reset              // a connection is reset once Bytes of it have passed since the fault began
-	Lost               // what is asked goes through whole, the answer is thrown away and the connection reset
-	Mute               // the same, but then there is silence instead of a reset
-	Refuse             // new connections are refused, those that are there stay
+	Cut       Kind = iota // bytes vanish in silence, connections stay; one that lost bytes stays dumb for good
+	Hold                  // bytes wait until the fault ends, as TCP brings them after a short cut
+	Late                  // each byte comes Delay later
+	Slow                  // Rate bytes a second, over all connections of the link
+	Reset                 // a connection is reset once Bytes of it have passed since the fault began
+	Lost                  // what is asked goes through whole, the answer is thrown away and the connection reset
+	Blackhole             // the same, but then there is silence instead of a reset
+	Refuse                // new connections are refused, those that are there stay
 
 	Kill     // SIGKILL at the begin, a start with the same arguments at the end
 	Pause    // SIGSTOP at the begin, SIGCONT at the end
@@ -48,35 +48,35 @@
 // directed tells whether the fault has a way.
 func (k Kind) directed() bool { return k <= Reset }
 
-// Way is a direction of a link.
-type Way uint8
+// Direction is a direction of a link.
+type Direction uint8
 
 // Both ways, from whoever dials to what is dialled, or from there.
 const (
-	Both Way = iota
+	Both Direction = iota
 	Forth
 	Back
 )
 
-var wayNames = [...]string{"both", "forth", "back"}
+var directionNames = [...]string{"both", "forth", "back"}
 
-func (w Way) String() string {
-	if int(w) < len(wayNames) {
-		return wayNames[w]
+func (w Direction) String() string {
+	if int(w) < len(directionNames) {
+		return directionNames[w]
 	}
 	return fmt.Sprintf("way(%d)", uint8(w))
 }
 
 // Has tells whether it is or contains the way w (Forth or Back).
-func (w Way) Has(other Way) bool { return w == Both || w == other }
+func (w Direction) Has(other Direction) bool { return w == Both || w == other }
 
 // Fault is one thing that goes wrong.
 type Fault struct {
-	Kind  Kind
-	Way   Way           // of Cut to Reset
-	Delay time.Duration // of Late; of Clock, where it may be negative
-	Rate  int           // of Slow: bytes a second
-	Bytes int           // of Reset
+	Kind      Kind
+	Direction Direction     // of Cut to Reset
+	Delay     time.Duration // of Late; of Clock, where it may be negative
+	Rate      int           // of Slow: bytes a second
+	Bytes     int           // of Reset
 }
 
 // Entry is a fault with its place and time.
@@ -101,7 +101,7 @@
 	Faults       int           // how many; 0 is one for each link and process, and one more
 	LinkKinds    []Kind        // nil is all
 	ProcKinds    []Kind        // nil is Kill and Pause, which every process has
-	Least        time.Duration // that a fault lasts; 0 is a twentieth of For
+	MinDuration  time.Duration // that a fault lasts; 0 is a twentieth of For
 }
 
 // Draw gives the script of a seed. It has no faults where there are no links and no processes.
@@ -109,7 +109,7 @@
 	s := Script{Seed: seed, Links: max(o.Links, 0), Procs: max(o.Procs, 0), For: max(o.For, 20*step)}
 	rng := rand.New(rand.NewPCG(seed, 0xfa017))
 	if o.LinkKinds == nil {
-		o.LinkKinds = []Kind{Cut, Hold, Late, Slow, Reset, Lost, Mute, Refuse}
+		o.LinkKinds = []Kind{Cut, Hold, Late, Slow, Reset, Lost, Blackhole, Refuse}
 	}
 	if o.ProcKinds == nil {
 		o.ProcKinds = []Kind{Kill, Pause}
@@ -122,11 +122,11 @@
 	if n <= 0 {
 		n = places + 1
 	}
-	least := o.Least
-	if least <= 0 {
-		least = s.For / 20
+	minDuration := o.MinDuration
+	if minDuration <= 0 {
+		minDuration = s.For / 20
 	}
-	least = min(max(least.Round(step), step), s.For/2)
+	minDuration = min(max(minDuration.Round(step), step), s.For/2)
 	for range n {
 		var e Entry
 		if at := rng.IntN(places); at < s.Links {
@@ -134,10 +134,10 @@
 		} else {
 			e.On, e.Kind = at-s.Links, o.ProcKinds[rng.IntN(len(o.ProcKinds))]
 		}
-		e.From = draw(rng, 0, s.For-least)
-		e.To = e.From + draw(rng, least, s.For-e.From)
+		e.From = draw(rng, 0, s.For-minDuration)
+		e.To = e.From + draw(rng, minDuration, s.For-e.From)
 		if e.Kind.directed() {
-			e.Way = Way(rng.IntN(3))
+			e.Direction = Direction(rng.IntN(3))
 		}
 		switch e.Kind {
 		case Late:
@@ -162,11 +162,11 @@
 const step = time.Millisecond
 
 // draw is a time from least to most, in whole steps.
-func draw(rng *rand.Rand, least, most time.Duration) time.Duration {
-	if most <= least {
-		return least
+func draw(rng *rand.Rand, shortest, longest time.Duration) time.Duration {
+	if longest <= shortest {
+		return shortest
 	}
-	return (least + time.Duration(rng.Int64N(int64(most-least)+1))).Truncate(step)
+	return (shortest + time.Duration(rng.Int64N(int64(longest-shortest)+1))).Truncate(step)
 }
 
 func (s *Script) sort() {
@@ -180,8 +180,8 @@
 	}
 	for i, e := range s.Entries {
 		n := s.Procs
-		if e.Kind >= kinds || e.Way > Back {
-			return fmt.Errorf("fault %d: %v %v", i+1, e.Kind, e.Way)
+		if e.Kind >= kinds || e.Direction > Back {
+			return fmt.Errorf("fault %d: %v %v", i+1, e.Kind, e.Direction)
 		}
 		if e.Kind.OfLink() {
 			n = s.Links
@@ -191,7 +191,7 @@
 			return fmt.Errorf("fault %d: %v on number %d of %d", i+1, e.Kind, e.On, n)
 		case e.From < 0 || e.To <= e.From || e.To > s.For:
 			return fmt.Errorf("fault %d: from %v to %v in %v", i+1, e.From, e.To, s.For)
-		case !e.Kind.directed() && e.Way != Both,
+		case !e.Kind.directed() && e.Direction != Both,
 			e.Kind == Late && e.Delay <= 0, e.Kind == Slow && e.Rate <= 0, e.Bytes < 0,
 			e.Kind != Late && e.Kind != Clock && e.Delay != 0, e.Kind != Slow && e.Rate != 0, e.Kind != Reset && e.Bytes != 0:
 			return fmt.Errorf("fault %d: its figures are off: %v", i+1, e)
--- a/internal/trials/faultnet/script/script_test.go
+++ b/internal/trials/faultnet/script/script_test.go
@@ -84,7 +84,7 @@
 		{head + "link 0 0s..1s slow both 0", "its figures are off"},
 		{head + "link 0 0s..1s reset both x", "invalid syntax"},
 		{head + "link 0 0s..1s refuse back", "refuse takes 0 figures"},
-		{strings.Repeat("#", mostText+1), "bytes"},
+		{strings.Repeat("#", maxTextBytes+1), "bytes"},
 	} {
 		if _, err := Parse(tc.text); err == nil || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%.80q: %v, want %q", tc.text, err, tc.want)
@@ -117,7 +117,7 @@
 		fails := func(s Script) bool {
 			for _, a := range s.Entries {
 				for _, b := range s.Entries {
-					if (a.Kind == Cut || a.Kind == Hold) && a.Way.Has(Back) && b.Kind == Kill && b.On == 1 && a.From < b.To && b.From < a.To {
+					if (a.Kind == Cut || a.Kind == Hold) && a.Direction.Has(Back) && b.Kind == Kill && b.On == 1 && a.From < b.To && b.From < a.To {
 						return true
 					}
 				}
@@ -129,18 +129,18 @@
 			continue
 		}
 		runs := 0
-		least := ShrinkWithin(s, 300, func(s Script) bool { runs++; return fails(s) })
-		if again := ShrinkWithin(s, 300, fails); !fails(least) || len(least.Entries) != 2 || runs > 300 || !reflect.DeepEqual(again, least) {
+		least := ShrinkWithRuns(s, 300, func(s Script) bool { runs++; return fails(s) })
+		if again := ShrinkWithRuns(s, 300, fails); !fails(least) || len(least.Entries) != 2 || runs > 300 || !reflect.DeepEqual(again, least) {
 			t.Fatalf("seed %d, %d runs:\n%v", seed, runs, least)
 		}
 		for _, e := range least.Entries {
-			if e.To-e.From > 2*step || e.Kind.OfLink() && e.Way != Back {
+			if e.To-e.From > 2*step || e.Kind.OfLink() && e.Direction != Back {
 				t.Errorf("seed %d: %v could be less", seed, e)
 			}
 		}
 	}
 	runs := 0
-	if s := Draw(1, o); len(ShrinkWithin(s, 5, func(Script) bool { runs++; return false }).Entries) != 40 || runs != 5 {
+	if s := Draw(1, o); len(ShrinkWithRuns(s, 5, func(Script) bool { runs++; return false }).Entries) != 40 || runs != 5 {
 		t.Errorf("%d runs", runs)
 	}
 }
--- a/internal/trials/faultnet/script/shrink.go
+++ b/internal/trials/faultnet/script/shrink.go
@@ -10,25 +10,25 @@
 
 // Shrink gives the least script it finds that still fails; s itself has to. It tries scripts one
 // after another, always the same for the same answers, and at most 200 of them.
-func Shrink(s Script, fails func(Script) bool) Script { return ShrinkWithin(s, shrinkRuns, fails) }
+func Shrink(s Script, fails func(Script) bool) Script { return ShrinkWithRuns(s, shrinkRuns, fails) }
 
-// ShrinkWithin is Shrink with a bound of its own on the scripts tried. First faults are left out,
+// ShrinkWithRuns is Shrink with a bound of its own on the scripts tried. First faults are left out,
 // halves before single ones (delta debugging), then those that are left are made shorter and
 // milder.
-func ShrinkWithin(s Script, runs int, fails func(Script) bool) Script {
+func ShrinkWithRuns(s Script, runs int, fails func(Script) bool) Script {
 	sh := shrinker{s, runs, fails}
 	sh.leaveOut()
-	for sh.runs > 0 && sh.makeMilder() {
+	for sh.runs > 0 && sh.reduceFaults() {
 	}
-	sh.s.sort()
-	return sh.s
+	sh.script.sort()
+	return sh.script
 }
 
 // shrinker is the least script so far that fails, and how many more may be tried.
 type shrinker struct {
-	s     Script
-	runs  int
-	fails func(Script) bool
+	script Script
+	runs   int
+	fails  func(Script) bool
 }
 
 // try takes other faults if the script still fails with them.
@@ -37,23 +37,23 @@
 		return false
 	}
 	sh.runs--
-	c := sh.s
+	c := sh.script
 	c.Entries = e
 	if !sh.fails(c) {
 		return false
 	}
-	sh.s = c
+	sh.script = c
 	return true
 }
 
 // leaveOut leaves out what it can, until nothing more goes.
 func (sh *shrinker) leaveOut() {
-	for before := -1; before != len(sh.s.Entries) && sh.runs > 0; {
-		before = len(sh.s.Entries)
-		for size := len(sh.s.Entries); size > 0; size /= 2 {
-			for at := 0; at < len(sh.s.Entries); {
-				end := min(at+size, len(sh.s.Entries))
-				if !sh.try(slices.Concat(sh.s.Entries[:at], sh.s.Entries[end:])) {
+	for before := -1; before != len(sh.script.Entries) && sh.runs > 0; {
+		before = len(sh.script.Entries)
+		for size := len(sh.script.Entries); size > 0; size /= 2 {
+			for at := 0; at < len(sh.script.Entries); {
+				end := min(at+size, len(sh.script.Entries))
+				if !sh.try(slices.Concat(sh.script.Entries[:at], sh.script.Entries[end:])) {
 					at = end
 				}
 			}
@@ -61,43 +61,43 @@
 	}
 }
 
-// makeMilder makes each fault as mild as it goes, and tells whether one has become milder.
-func (sh *shrinker) makeMilder() (milder bool) {
-	for i := range sh.s.Entries {
-		for _, less := range mild {
+// reduceFaults makes each fault as mild as it goes, and tells whether one has become milder.
+func (sh *shrinker) reduceFaults() (isReduced bool) {
+	for i := range sh.script.Entries {
+		for _, less := range reductions {
 			for sh.runs > 0 {
-				e, ok := less(sh.s.Entries[i])
+				e, ok := less(sh.script.Entries[i])
 				if !ok {
 					break
 				}
-				all := slices.Clone(sh.s.Entries)
+				all := slices.Clone(sh.script.Entries)
 				all[i] = e
 				if !sh.try(all) {
 					break
 				}
-				milder = true
+				isReduced = true
 			}
 		}
 	}
-	return milder
+	return isReduced
 }
 
-// mild are the ways in which one fault can be less. Each falls to an end: times to a step, places
+// reductions are the ways in which one fault can be less. Each falls to an end: times to a step, places
 // to the script's begin, rates and bytes to figures at which they hardly count.
-var mild = []func(Entry) (Entry, bool){
-	sooner(2), later(2), sooner(8), later(8),
+var reductions = []func(Entry) (Entry, bool){
+	endEarlier(2), beginLater(2), endEarlier(8), beginLater(8),
 	func(e Entry) (Entry, bool) { // one way only
-		if !e.Kind.directed() || e.Way != Both {
+		if !e.Kind.directed() || e.Direction != Both {
 			return e, false
 		}
-		e.Way = Back
+		e.Direction = Back
 		return e, true
 	},
 	func(e Entry) (Entry, bool) {
-		if !e.Kind.directed() || e.Way != Both {
+		if !e.Kind.directed() || e.Direction != Both {
 			return e, false
 		}
-		e.Way = Forth
+		e.Direction = Forth
 		return e, true
 	},
 	func(e Entry) (Entry, bool) {
@@ -124,16 +124,16 @@
 	},
 }
 
-// sooner has a fault end a part of its time sooner.
-func sooner(part time.Duration) func(Entry) (Entry, bool) {
+// endEarlier has a fault end a part of its time sooner.
+func endEarlier(part time.Duration) func(Entry) (Entry, bool) {
 	return func(e Entry) (Entry, bool) {
 		e.To -= max(((e.To - e.From) / part).Truncate(step), step)
 		return e, e.To-e.From >= step
 	}
 }
 
-// later has it begin a part of its time later.
-func later(part time.Duration) func(Entry) (Entry, bool) {
+// beginLater has it begin a part of its time later.
+func beginLater(part time.Duration) func(Entry) (Entry, bool) {
 	return func(e Entry) (Entry, bool) {
 		e.From += max(((e.To - e.From) / part).Truncate(step), step)
 		return e, e.To-e.From >= step
--- a/internal/trials/faultnet/script/text.go
+++ b/internal/trials/faultnet/script/text.go
@@ -33,7 +33,7 @@
 func (f Fault) String() string {
 	text := f.Kind.String()
 	if f.Kind.directed() {
-		text += " " + f.Way.String()
+		text += " " + f.Direction.String()
 	}
 	switch f.Kind {
 	case Late, Clock:
@@ -46,15 +46,15 @@
 	return text
 }
 
-// mostText bounds what Parse reads.
-const mostText = 1 << 20
+// maxTextBytes bounds what Parse reads.
+const maxTextBytes = 1 << 20
 
 // Parse reads a script that String has printed, or that was written by hand; empty lines and what
 // follows a # don't count. An error names the line.
 func Parse(text string) (Script, error) {
 	var s Script
-	if len(text) > mostText {
-		return s, fmt.Errorf("a script of %d bytes, %d are allowed", len(text), mostText)
+	if len(text) > maxTextBytes {
+		return s, fmt.Errorf("a script of %d bytes, %d are allowed", len(text), maxTextBytes)
 	}
 	headed := false
 	n := 0
@@ -141,17 +141,17 @@
 		if len(rest) == 0 {
 			return e, fmt.Errorf("%v needs a way: both, forth or back", e.Kind)
 		}
-		if e.Way = index(wayNames[:], rest[0], Back+1); e.Way > Back {
+		if e.Direction = index(directionNames[:], rest[0], Back+1); e.Direction > Back {
 			return e, fmt.Errorf("%q is none of both, forth, back", rest[0])
 		}
 		rest = rest[1:]
 	}
-	wants := 0
+	wantedFigures := 0
 	if e.Kind == Late || e.Kind == Slow || e.Kind == Reset || e.Kind == Clock {
-		wants = 1
+		wantedFigures = 1
 	}
-	if len(rest) != wants {
-		return e, fmt.Errorf("%v takes %d figures, not %d", e.Kind, wants, len(rest))
+	if len(rest) != wantedFigures {
+		return e, fmt.Errorf("%v takes %d figures, not %d", e.Kind, wantedFigures, len(rest))
 	}
 	switch e.Kind {
 	case Late, Clock:
--- a/internal/trials/faultnet/trial/clients.go
+++ b/internal/trials/faultnet/trial/clients.go
@@ -96,7 +96,7 @@
 
 // once sends a request and notes what came of it; it gives the server that answered well, or "".
 func (c *client) once(q request) string {
-	c.notes.Asked(q.id)
+	c.notes.Requested(q.id)
 	sent := time.Now()
 	status, server, err := c.exchange(q)
 	c.last = fmt.Sprintf("%s %s: %d in %v, %v", q.id, q.path, status, time.Since(sent).Round(time.Millisecond), err)
--- a/internal/trials/faultnet/trial/owners.go
+++ b/internal/trials/faultnet/trial/owners.go
@@ -145,7 +145,7 @@
 func (w *owner) order(ctx context.Context, i int, epoch uint64, text string, linked bool) bool {
 	id := fmt.Sprintf("%s/%d/%d", w.name, epoch, w.round)
 	o := manage.Command{Epoch: epoch, Owner: w.name, ID: id, Operation: manage.Operation{Kind: desiredstate.KindSettings, Text: text, Hash: desiredstate.Hash([]byte(text))}}
-	w.notes.Want(o.Operation.Hash)
+	w.notes.WantGeneration(o.Operation.Hash)
 	for range 3 {
 		one, cancel := context.WithTimeout(ctx, within(linked))
 		done := w.ownership.Call(w.number, history.Order{Member: member(i), Epoch: epoch, Owner: w.name, ID: id})
@@ -153,10 +153,10 @@
 		cancel()
 		switch refused := (manage.RejectedError{}); {
 		case err == nil:
-			done(history.Carried)
+			done(history.DoneOrAlreadyDone)
 			return true
 		case errors.Is(err, manage.ErrFailed):
-			done(history.Carried)
+			done(history.DoneOrAlreadyDone)
 			return false
 		case errors.Is(err, manage.ErrStale):
 			done(history.Stale)
--- a/internal/trials/faultnet/trial/trial.go
+++ b/internal/trials/faultnet/trial/trial.go
@@ -126,7 +126,7 @@
 		return nil, err
 	}
 	rep := &Report{Seed: o.Script.Seed, Faults: len(o.Script.Entries), StartTook: time.Since(begun)}
-	player.Links, player.Procs, player.Before, player.Seen = r.links, r.procs, r.before, r.seen
+	player.Links, player.Procs, player.Before, player.Done = r.links, r.procs, r.before, r.seen
 
 	sending, stop := context.WithCancel(ctx)
 	defer stop()
@@ -179,7 +179,7 @@
 		switch _, acquires := e.Op.(history.Acquire); {
 		case acquires && e.Result == history.Granted:
 			rep.Owned++
-		case e.Result == history.Carried:
+		case e.Result == history.DoneOrAlreadyDone:
 			rep.Orders++
 		}
 	}
@@ -220,7 +220,7 @@
 		file := filepath.Join(dir, "lockflow.toml")
 		text := strings.NewReplacer("@servers", strings.Join(list, ", "), "@control", r.control(i), "@state", state).Replace(config)
 		r.texts = append(r.texts, text)
-		r.notes.Want(desiredstate.Hash([]byte(text)))
+		r.notes.WantGeneration(desiredstate.Hash([]byte(text)))
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			return fmt.Errorf("a trial: %w", err)
 		}
@@ -355,7 +355,7 @@
 		if rng.IntN(10) == 0 {
 			ask = c.Reload
 		} else {
-			look = r.ownership.Call(owners+1+i, history.Look{Member: member(i)})
+			look = r.ownership.Call(owners+1+i, history.ReadStatus{Member: member(i)})
 		}
 		s, err := ask(within)
 		cancel()
@@ -370,9 +370,9 @@
 				r.notes.Wrong("node %d: generation %d after %d of the same process", i, s.Generation, last.Generation)
 			}
 			last = s
-			look(history.Seen{Epoch: s.Epoch, Owner: s.Owner})
+			look(history.MemberState{Epoch: s.Epoch, Owner: s.Owner})
 			r.toldEpoch(s.Epoch)
-			r.notes.Saw(member(i), s.ConfigHash)
+			r.notes.Reported(member(i), s.ConfigHash)
 		} else if refused := (manage.RejectedError{}); errors.As(err, &refused) && !strings.Contains(refused.Message, "reload") {
 			r.notes.Wrong("node %d refuses what it is asked: %v", i, err)
 		}
--- a/internal/trials/measure/faults.go
+++ b/internal/trials/measure/faults.go
@@ -118,7 +118,7 @@
 		}
 		if o.Shrinks > 0 {
 			fmt.Fprintf(o.Progress, "seed %d is shortened by at most %d tries\n", s.Seed, o.Shrinks)
-			s = script.ShrinkWithin(s, o.Shrinks, func(s script.Script) bool {
+			s = script.ShrinkWithRuns(s, o.Shrinks, func(s script.Script) bool {
 				_, wrong, err := try(s)
 				return err == nil && len(wrong) > 0
 			})
--- a/internal/trials/measure/rollout.go
+++ b/internal/trials/measure/rollout.go
@@ -75,7 +75,7 @@
 type rolloutRig struct {
 	options RolloutOptions
 	report  *RolloutReport
-	taps    *controlTaps
+	capture *controlCapture
 	run     *fleet.Run
 	rng     *rand.Rand
 	changes int
@@ -102,7 +102,7 @@
 // Rollout has a fleet of real processes under clients change again and again, and kills the coordinator at its
 // writes. After each another one has to bring all members to one state, the old or the new.
 func Rollout(ctx context.Context, o RolloutOptions) (*RolloutReport, error) {
-	r := &rolloutRig{options: o, report: &RolloutReport{Writes: make(map[string]int)}, taps: newControlTaps(o.Members), rng: rand.New(rand.NewPCG(o.Seed, 5))}
+	r := &rolloutRig{options: o, report: &RolloutReport{Writes: make(map[string]int)}, capture: newControlCapture(o.Members), rng: rand.New(rand.NewPCG(o.Seed, 5))}
 	if o.Progress == nil {
 		r.options.Progress = io.Discard
 	}
@@ -191,7 +191,7 @@
 	var list strings.Builder
 	for i, m := range r.run.Members {
 		path := filepath.Join(r.options.Dir, fmt.Sprint("t", i))
-		end, err := r.taps.open(m.Name, path, m.Client.Path)
+		end, err := r.capture.open(m.Name, path, m.Client.Path)
 		if err != nil {
 			return stop, err
 		}
@@ -397,13 +397,13 @@
 func (r *rolloutRig) judge() {
 	p := r.report
 	p.Requests, p.Lost, p.Other = r.requests.Load(), r.lost.Load(), r.other.Load()
-	r.taps.mu.Lock()
-	p.Claims, p.Owned, p.Orders, p.Restarts = r.taps.claims, r.taps.owned, r.taps.completed, r.taps.restarts
-	r.taps.mu.Unlock()
+	r.capture.mu.Lock()
+	p.Claims, p.Owned, p.Orders, p.Restarts = r.capture.claims, r.capture.owned, r.capture.completed, r.capture.restarts
+	r.capture.mu.Unlock()
 	if why := r.firstLost.Load(); why != nil {
 		p.Wrong = append(p.Wrong, fmt.Sprintf("%d requests without an answer, %d with another one; the first: %s", p.Lost, p.Other, *why))
 	}
-	if err := r.taps.history.CheckOwnership(); err != nil {
+	if err := r.capture.history.CheckOwnership(); err != nil {
 		p.Wrong = append(p.Wrong, "two owners: "+err.Error())
 	}
 	for _, m := range r.run.Members {
--- a/internal/trials/measure/servers.go
+++ b/internal/trials/measure/servers.go
@@ -27,8 +27,8 @@
 	Side
 	Dials           float64 `json:"dials"`       // connections made to the servers in a run: handshakes
 	OpenConnections float64 `json:"connections"` // open at once to all servers
-	// P99BesideSlow is the p99 where four clients more have requests open that take a thousand times as long.
-	P99BesideSlow float64 `json:"p99_beside_slow_ms"`
+	// P99WithSlowClients is the p99 where four clients more have requests open that take a thousand times as long.
+	P99WithSlowClients float64 `json:"p99_beside_slow_ms"`
 }
 
 // ServersRow compares the two at a number of requests at once.
@@ -72,7 +72,7 @@
 	}
 	return ServersSide{
 		Side: middleSide(sides), Dials: median(all, func(s ServersSide) float64 { return s.Dials }),
-		OpenConnections: median(all, func(s ServersSide) float64 { return s.OpenConnections }), P99BesideSlow: median(all, func(s ServersSide) float64 { return s.P99BesideSlow }),
+		OpenConnections: median(all, func(s ServersSide) float64 { return s.OpenConnections }), P99WithSlowClients: median(all, func(s ServersSide) float64 { return s.P99WithSlowClients }),
 	}
 }
 
@@ -109,7 +109,7 @@
 		return s, err
 	}
 	one.slow = 4
-	besideSlow, err := run(ctx, one, n, seed, "serve", "--config", file)
-	s.P99BesideSlow = besideSlow.P99
+	withSlowClients, err := run(ctx, one, n, seed, "serve", "--config", file)
+	s.P99WithSlowClients = withSlowClients.P99
 	return s, err
 }
--- a/internal/trials/measure/tap.go
+++ b/internal/trials/measure/tap.go
@@ -15,9 +15,9 @@
 	"lockflow/internal/trials/faultnet/history"
 )
 
-// controlTaps stand between coordinators and the control sockets of members, and note what each has asked and been
+// controlCapture stand between coordinators and the control sockets of members, and note what each has asked and been
 // told, apart from what either remembers.
-type controlTaps struct {
+type controlCapture struct {
 	history history.History
 	members int
 
@@ -36,12 +36,12 @@
 	done    func(any)
 }
 
-func newControlTaps(members int) *controlTaps {
-	return &controlTaps{members: members, numbers: make(map[string]int), attempts: make(map[history.Acquire]*claimAttempt)}
+func newControlCapture(members int) *controlCapture {
+	return &controlCapture{members: members, numbers: make(map[string]int), attempts: make(map[history.Acquire]*claimAttempt)}
 }
 
 // open puts a tap at a path before a member's socket.
-func (t *controlTaps) open(name, path, to string) (stop func(), err error) {
+func (t *controlCapture) open(name, path, to string) (stop func(), err error) {
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "unix", path)
 	if err != nil {
 		return nil, fmt.Errorf("a tap: %w", err)
@@ -55,7 +55,7 @@
 }
 
 // pass has a member answer, and notes it.
-func (t *controlTaps) pass(w http.ResponseWriter, r *http.Request, name string, transport *http.Transport) {
+func (t *controlCapture) pass(w http.ResponseWriter, r *http.Request, name string, transport *http.Transport) {
 	raw, err := io.ReadAll(r.Body)
 	if err != nil {
 		return // it was cut before the member heard of it
@@ -81,7 +81,7 @@
 }
 
 // recordRequest notes what is asked; the function that it gives notes the answer.
-func (t *controlTaps) recordRequest(path, member string, raw []byte) func(status int, answer []byte) {
+func (t *controlCapture) recordRequest(path, member string, raw []byte) func(status int, answer []byte) {
 	code := func(answer []byte) desiredstate.Code {
 		var f struct {
 			Code desiredstate.Code `json:"code"`
@@ -113,7 +113,7 @@
 		return func(status int, answer []byte) {
 			switch c := code(answer); {
 			case status == http.StatusOK || c == desiredstate.CodeFailed:
-				done(history.Carried)
+				done(history.DoneOrAlreadyDone)
 				t.mu.Lock()
 				defer t.mu.Unlock()
 				t.completed++
@@ -127,11 +127,11 @@
 			}
 		}
 	case "/v1/status":
-		done := t.history.Call(0, history.Look{Member: member})
+		done := t.history.Call(0, history.ReadStatus{Member: member})
 		return func(status int, answer []byte) {
 			var s manage.Status
 			if json.Unmarshal(answer, &s) == nil && status == http.StatusOK {
-				done(history.Seen{Epoch: s.Epoch, Owner: s.Owner})
+				done(history.MemberState{Epoch: s.Epoch, Owner: s.Owner})
 			}
 		}
 	}
@@ -139,7 +139,7 @@
 }
 
 // number is an owner's as a client of the history; those who only look are 0.
-func (t *controlTaps) number(owner string) int {
+func (t *controlCapture) number(owner string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.numbers[owner] == 0 {
@@ -149,7 +149,7 @@
 }
 
 // trying notes the first claim of a coordinator's epoch.
-func (t *controlTaps) trying(c manage.Claim) {
+func (t *controlCapture) trying(c manage.Claim) {
 	n := t.number(c.Owner)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -161,7 +161,7 @@
 }
 
 // granted notes a member's grant. From that of more than half on the epoch is owned.
-func (t *controlTaps) granted(c manage.Claim, member string) {
+func (t *controlCapture) granted(c manage.Claim, member string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	a := t.attempts[history.Acquire{Epoch: c.Epoch, Owner: c.Owner}]
--- a/internal/trials/regiontrial/change.go
+++ b/internal/trials/regiontrial/change.go
@@ -111,7 +111,7 @@
 			r.gens[n] = m.Versions
 		}
 		for _, h := range m.Versions {
-			r.notes.Want(h)
+			r.notes.WantGeneration(h)
 		}
 	}
 	return nil
--- a/internal/trials/regiontrial/clients.go
+++ b/internal/trials/regiontrial/clients.go
@@ -98,7 +98,7 @@
 
 // once sends a request, notes what came of it, and gives the status; 0 is none.
 func (c *client) once(q request) int {
-	c.notes.Asked(q.id)
+	c.notes.Requested(q.id)
 	begun := time.Now()
 	resp, body, err := c.exchange(q) //nolint:bodyclose // exchange reads it to its end
 	if err != nil {
--- a/internal/trials/regiontrial/standins.go
+++ b/internal/trials/regiontrial/standins.go
@@ -45,7 +45,7 @@
 	if s.at == nil {
 		s.at = make(map[string][]time.Duration)
 	}
-	if len(s.at[customer]) < history.Most {
+	if len(s.at[customer]) < history.MaxEntries {
 		s.at[customer] = append(s.at[customer], time.Since(s.begun))
 	}
 }
--- a/internal/trials/regiontrial/trial.go
+++ b/internal/trials/regiontrial/trial.go
@@ -116,7 +116,7 @@
 		return nil, err
 	}
 	player.Links, player.Procs, player.Before = r.ground.links, r.ground.procs, r.ground.before
-	player.Seen = func(ev faultnet.Event) { r.ground.seen(ev, r.notes.Wrong) }
+	player.Done = func(ev faultnet.Event) { r.ground.seen(ev, r.notes.Wrong) }
 
 	working, stop := context.WithCancel(ctx)
 	defer stop()
@@ -186,7 +186,7 @@
 		}
 	}
 	for i := range r.nodes() {
-		r.notes.Want(hashes[before][i/r.o.Each])
+		r.notes.WantGeneration(hashes[before][i/r.o.Each])
 		if err := os.WriteFile(r.ground.file(i), []byte(r.text(i/r.o.Each, before)), 0o600); err != nil {
 			return nil, nil, fmt.Errorf("a trial: %w", err)
 		}
@@ -210,7 +210,7 @@
 func (r *run) underFaults(ctx context.Context, player *faultnet.Player, rep *Report, hashes map[kind][]string, files map[kind]string) error {
 	// What the change goes through is known once it is in a journal, before any of it is ordered.
 	for _, h := range hashes[after] {
-		r.notes.Want(h)
+		r.notes.WantGeneration(h)
 	}
 	played := make(chan error, 1)
 	go func() {
@@ -324,7 +324,7 @@
 // harm begins a harmful change, which has to be stopped and taken back, and counts the members that it reached.
 func (r *run) harm(ctx context.Context, rep *Report, hashes map[kind][]string, files map[kind]string) error {
 	for _, h := range hashes[harmful] {
-		r.notes.Want(h)
+		r.notes.WantGeneration(h)
 	}
 	r.failsNow.Store(true)
 	begun := time.Now()
@@ -378,7 +378,7 @@
 		to := time.Since(r.began)
 		cancel()
 		if err == nil {
-			r.notes.Saw(member(i), s.ConfigHash)
+			r.notes.Reported(member(i), s.ConfigHash)
 			r.mu.Lock()
 			if len(r.looks) < looksMost {
 				r.looks = append(r.looks, Look{member(i), from, to, s.PID, s.Generation, s.ConfigHash, s.Epoch, s.Owner})
--- a/internal/trials/soak/disturbances.go
+++ b/internal/trials/soak/disturbances.go
@@ -193,10 +193,10 @@
 var linkFaults = []script.Fault{
 	{Kind: script.Cut},
 	{Kind: script.Lost},
-	{Kind: script.Mute},
+	{Kind: script.Blackhole},
 	{Kind: script.Refuse},
-	{Kind: script.Reset, Way: script.Forth, Bytes: 100},
-	{Kind: script.Reset, Way: script.Back, Bytes: 30},
+	{Kind: script.Reset, Direction: script.Forth, Bytes: 100},
+	{Kind: script.Reset, Direction: script.Back, Bytes: 30},
 }
 
 func (t *disturbances) drawOfLink(n *node, s *server, lasts time.Duration) disturbance {
