--- a/internal/command/measurefaults.go
+++ b/internal/command/measurefaults.go
@@ -116,10 +116,10 @@
 	wrong := 0
 	row := func(seed string, x *trial.Report, back time.Duration, wrong int) {
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", seed, x.Faults, x.Kills, x.Resets, x.Lost, x.Requests, x.Served,
-			x.Answered-x.Served, x.Broken, x.Effects, x.Asked, x.Told, x.Owned, x.Orders, back.Milliseconds(), wrong)
+			x.Answered-x.Served, x.Broken, x.Effects, x.ControlCalls, x.ControlReplies, x.OwnedEpochs, x.Orders, back.Milliseconds(), wrong)
 	}
 	for _, x := range r.Rows {
-		row(fmt.Sprint(x.Seed), x, x.Back, len(x.Wrong))
+		row(fmt.Sprint(x.Seed), x, x.RecoveryTime, len(x.Wrong))
 		sum.Faults += x.Faults
 		sum.Kills += x.Kills
 		sum.Resets += x.Resets
@@ -129,11 +129,11 @@
 		sum.Answered += x.Answered
 		sum.Broken += x.Broken
 		sum.Effects += x.Effects
-		sum.Asked += x.Asked
-		sum.Told += x.Told
-		sum.Owned += x.Owned
+		sum.ControlCalls += x.ControlCalls
+		sum.ControlReplies += x.ControlReplies
+		sum.OwnedEpochs += x.OwnedEpochs
 		sum.Orders += x.Orders
-		back, wrong = max(back, x.Back), wrong+len(x.Wrong)
+		back, wrong = max(back, x.RecoveryTime), wrong+len(x.Wrong)
 	}
 	row("all", &sum, back, wrong)
 	t.Flush()
--- a/internal/trials/faultnet/faultnet.go
+++ b/internal/trials/faultnet/faultnet.go
@@ -1,6 +1,6 @@
-// Package faultnet has faults befall what goes on between processes of the program, and the
-// processes themselves: by scripts that a seed draws, links between processes that obey them, and
-// processes that are killed and paused. What was said is recorded in a history and checked
+// Package faultnet injects faults into the links between processes of the program and into the
+// processes: by scripts drawn from a seed, links that carry the faults out, and processes that are
+// killed and paused. Calls and results are recorded in a history and checked
 // afterwards (internal/trials/faultnet/history). It is used by tests and measurements only.
 package faultnet
 
@@ -14,17 +14,17 @@
 type (
 	// Script is a list of faults, by time.
 	Script = script.Script
-	// Spec is what scripts are drawn by.
+	// Spec has the limits of drawn scripts.
 	Spec = script.Spec
 	// Entry is a fault and its time.
 	Entry = script.Entry
-	// Fault is what is done to a link or a process.
+	// Fault is one fault of a link or of a process.
 	Fault = script.Fault
-	// Link passes connections on, and bytes as its faults let it.
+	// Link is a proxy that forwards connections subject to its faults.
 	Link = link.Link
 	// Process is a program that is started, paused and killed.
 	Process = process.Process
-	// History notes calls and what came of them.
+	// History records calls and their results.
 	History = history.History
 )
 
--- a/internal/trials/faultnet/history/history.go
+++ b/internal/trials/faultnet/history/history.go
@@ -1,5 +1,5 @@
-// Package history records who said what, when and of which generation, and checks it afterwards,
-// apart from whatever decided: ownership by a linearizability checker, answers, effects and
+// Package history records operations and their results and checks them afterwards, independently
+// of the code under test: ownership by a linearizability checker; answers, effects and
 // generations by counting.
 package history
 
@@ -16,11 +16,11 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// MaxEntries is how many operations a history keeps; more are an error of the check, so that nothing
-// is held to rules by half.
+// MaxEntries bounds the operations of a history. A check of a longer one fails, so that no partial
+// history passes.
 const MaxEntries = 200_000
 
-// checkTime bounds a check; one that takes longer is an error too.
+// checkTime is the timeout of one check.
 const checkTime = 20 * time.Second
 
 // Unknown is the outcome of an operation whose answer was lost: it may have happened then, or
@@ -35,7 +35,7 @@
 	Call, Return time.Duration // since the history began; Return counts only where the result is known
 }
 
-// History is what happened, in the order in which it was asked. The zero value is empty and ready;
+// History is a list of operations in the order of their calls. The zero value is empty and ready;
 // its methods are safe for concurrent use.
 type History struct {
 	mu      sync.Mutex
@@ -52,8 +52,8 @@
 	return time.Since(h.started)
 }
 
-// Call notes that a client asks for op, before it does; the function that it gives notes the
-// result. One that is never called leaves it unknown, as Unknown{} does. It is called once.
+// Call records the start of an operation of a client. The returned function records its result and
+// may be called once; without a call the result stays Unknown.
 func (h *History) Call(client int, op any) (done func(result any)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -70,20 +70,18 @@
 	}
 }
 
-// Entries are all operations so far.
+// Entries returns a copy of all operations so far.
 func (h *History) Entries() []Entry {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.entries)
 }
 
-// Model is what a history is held to: a sequential thing whose operations take effect at one
-// moment each.
+// Model is the sequential specification that a history is checked against.
 type Model = porcupine.Model
 
-// Check tells whether there is an order of all operations, within the times of each, in which
-// a single thing of the model would have given these results. The error names a partition of the
-// model that has none, and its operations.
+// Check looks for a linearization: an order of all operations, within the times of each, in which
+// the model gives the same results. The error lists the operations of a partition that has none.
 func (h *History) Check(m Model) error {
 	h.mu.Lock()
 	dropped := h.dropped
@@ -141,7 +139,7 @@
 	return undecided
 }
 
-// maxDescribedOperations bounds what an error lists.
+// maxDescribedOperations bounds the operations that an error lists.
 const maxDescribedOperations = 60
 
 func describe(_ Model, part []porcupine.Operation) string {
--- a/internal/trials/faultnet/history/ownership.go
+++ b/internal/trials/faultnet/history/ownership.go
@@ -25,15 +25,15 @@
 // ReadStatus reads what a member says of itself; its result is a Seen.
 type ReadStatus struct{ Member string }
 
-// MemberState is the newest epoch that a member has granted, to whom, and its last order; as a result with
-// no order it tells nothing of that.
+// MemberState is the newest epoch that a member has granted, its owner, and the id of the member's last
+// order. A result with no order says nothing about it.
 type MemberState struct {
 	Epoch uint64
 	Owner string
 	Order string
 }
 
-// Acquire is a coordinator's try to own the fleet; its result is Granted once more than half of
+// Acquire is a coordinator's attempt to own the fleet; its result is Granted once more than half of
 // the members have granted the epoch, Refused otherwise.
 type Acquire struct {
 	Epoch uint64
@@ -43,9 +43,9 @@
 // Outcome is how an operation of ownership ended.
 type Outcome uint8
 
-// Outcomes of claims, and of orders: done now, done before and only told again, one of these two,
-// refused as of an epoch that isn't the newest. Nothing is of either: refused for another reason,
-// with no effect.
+// Outcomes of claims (Granted, Refused) and of orders: done now, done before and only acknowledged,
+// either of these, and rejected because of an outdated epoch. Nothing is an outcome of both: rejected
+// for another reason, without effect.
 const (
 	Granted Outcome = iota + 1
 	Refused
@@ -116,7 +116,7 @@
 }
 
 // Ownership is the model of the fleet's owner: an epoch that is acquired is newer than all that
-// were, or the same by the same owner; never two owners of one. A refusal is always well.
+// were, or the same by the same owner; never two owners of one. A refusal is always allowed.
 func Ownership() Model {
 	return Model{
 		Init: func() any { return MemberState{} },
@@ -188,7 +188,7 @@
 	return parts
 }
 
-// Filter gives the history of those operations that a model is about.
+// Filter returns the history of the operations for which is returns true.
 func (h *History) Filter(is func(op any) bool) *History {
 	of := &History{}
 	h.mu.Lock()
@@ -202,7 +202,7 @@
 	return of
 }
 
-// CheckOwnership holds all claims, orders and looks to Members and all tries to Ownership.
+// CheckOwnership checks claims, orders and status reads against Members, and acquisitions against Ownership.
 func (h *History) CheckOwnership() error {
 	fleet := h.Filter(func(op any) bool { _, is := op.(Acquire); return is })
 	members := h.Filter(func(op any) bool {
--- a/internal/trials/faultnet/link/link.go
+++ b/internal/trials/faultnet/link/link.go
@@ -228,7 +228,7 @@
 	if l.unix() {
 		at, err = (&net.ListenConfig{}).Listen(context.Background(), "unix", l.addr)
 	} else {
-		at, err = listenOnHeldPort(l.addr)
+		at, err = listenOnReservedPort(l.addr)
 	}
 	if err != nil {
 		return err
--- a/internal/trials/faultnet/link/port.go
+++ b/internal/trials/faultnet/link/port.go
@@ -33,8 +33,8 @@
 
 func closePort(fd int) error { return unix.Close(fd) }
 
-// listenOnHeldPort listens on a port that is held.
-func listenOnHeldPort(addr string) (net.Listener, error) {
+// listenOnReservedPort listens on a port that is held.
+func listenOnReservedPort(addr string) (net.Listener, error) {
 	lc := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var err error
 		if e := raw.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }); e != nil {
--- a/internal/trials/faultnet/play.go
+++ b/internal/trials/faultnet/play.go
@@ -10,7 +10,7 @@
 	"lockflow/internal/trials/faultnet/script"
 )
 
-// Event is a step of a script that was carried out.
+// Event is a completed step of a script.
 type Event struct {
 	At   time.Duration // since it began; when it had happened
 	Step script.Step
@@ -31,8 +31,8 @@
 	return text
 }
 
-// Player carries a script out, step by step. Whoever calls Next decides when; Play goes by time.
-// A player is for one goroutine; Events may be called by others.
+// Player carries out a script step by step: Next on request, Play by the script's times.
+// One goroutine may use it; Events is safe for concurrent use.
 type Player struct {
 	Links []*Link
 	Procs []*Process
@@ -49,7 +49,7 @@
 	events []Event
 }
 
-// NewPlayer gives the player of a script whose numbers are those of links and processes.
+// NewPlayer returns the player of a script whose numbers are those of links and processes.
 func NewPlayer(s Script, links []*Link, procs []*Process) (*Player, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -60,7 +60,7 @@
 	return &Player{Links: links, Procs: procs, steps: s.Steps(), started: time.Now(), down: make(map[int]bool)}, nil
 }
 
-// Next carries out the next step, whatever its time; false where there was none left.
+// Next carries out the next step regardless of its time. It returns false if none is left.
 func (p *Player) Next() bool {
 	if p.nextStep >= len(p.steps) {
 		return false
@@ -109,7 +109,7 @@
 	return false
 }
 
-// applyFaults has exactly these faults in force on a process, which a fault holds down or not.
+// applyFaults puts exactly these faults in force on a process. down tells whether a fault has killed it.
 func applyFaults(p *Process, down bool, all []Fault) error {
 	var clockOffset time.Duration
 	for _, f := range all {
@@ -129,7 +129,7 @@
 		return errors.Join(err, p.Kill())
 	case down:
 		err = errors.Join(err, p.Start())
-	case !p.Runs(): // it has ended by itself: whoever started it finds out
+	case !p.Runs(): // it ended by itself, which its starter notices
 		return err
 	}
 	if has(all, script.Pause) {
@@ -138,14 +138,14 @@
 	return errors.Join(err, p.Continue())
 }
 
-// Events are what has happened so far.
+// Events returns the steps completed so far.
 func (p *Player) Events() []Event {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]Event(nil), p.events...)
 }
 
-// Heal ends all that is in force, as the rest of the script would.
+// Heal ends all active faults.
 func (p *Player) Heal() error {
 	p.nextStep = len(p.steps)
 	var err error
@@ -159,8 +159,8 @@
 	return err
 }
 
-// Play carries a script out by its times, from now on. It ends with the script, or with ctx, and
-// leaves nothing in force; the error is of what could not be done.
+// Play carries out a script by its times, starting now, until its end or the end of ctx, and ends
+// all faults. The error joins those of steps that failed.
 func Play(ctx context.Context, s Script, links []*Link, procs []*Process) ([]Event, error) {
 	p, err := NewPlayer(s, links, procs)
 	if err != nil {
--- a/internal/trials/faultnet/process/process.go
+++ b/internal/trials/faultnet/process/process.go
@@ -31,7 +31,7 @@
 	// 1m30s; "" is none.
 	ClockEnv string
 	// OnClock is told the same while it runs; nil is nobody.
-	OnClock func(ahead time.Duration) error
+	OnClock func(offset time.Duration) error
 
 	mu       sync.Mutex
 	cmd      *exec.Cmd
--- a/internal/trials/faultnet/trial/clients.go
+++ b/internal/trials/faultnet/trial/clients.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	patience     = 3 * time.Second  // of a client that a fault explains; beyond each class's deadline
-	patienceMost = 20 * time.Second // of one that none does
-	pauseMost    = 10 * time.Millisecond
-	heldWhole    = 64 << 10 // an answer up to this size the node holds; it is a whole one or none
+	excusedReadTimeout     = 3 * time.Second  // explainedSide a client that a fault explains; beyond each class's deadline
+	maxReadTimeout         = 20 * time.Second // explainedSide one that none does
+	maxPause               = 10 * time.Millisecond
+	maxBufferedAnswerBytes = 64 << 10 // an answer up to this size the node holds; it is a whole one or none
 )
 
 // client sends requests to one node over connections that it keeps, one at a time, and repeats
@@ -30,24 +30,24 @@
 	*run
 	node, number int
 	rng          *rand.Rand
-	made         int
+	requestCount int
 	conn         net.Conn
 	in           *bufio.Reader
-	since        time.Time // when the connection was asked for
-	last         string    // how the last request ended
+	dialedAt     time.Time // when the connection was asked for
+	lastOutcome  string    // how the last request ended
 }
 
-// waiting reads from the node as long as a client waits.
-type waiting struct {
+// patientReader reads from the node as long as a client waits.
+type patientReader struct {
 	*client
 	until time.Time
 }
 
-func (w *waiting) Read(b []byte) (int, error) {
+func (w *patientReader) Read(b []byte) (int, error) {
 	for {
-		w.conn.SetReadDeadline(time.Now().Add(patience))
+		w.conn.SetReadDeadline(time.Now().Add(excusedReadTimeout))
 		n, err := w.conn.Read(b)
-		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || w.excused(w.node, w.since) || time.Now().After(w.until) {
+		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || w.isClientFaultPossible(w.node, w.dialedAt) || time.Now().After(w.until) {
 			return n, err
 		}
 	}
@@ -59,62 +59,62 @@
 	body, answer          int64
 }
 
-func (c *client) draw() request {
-	c.made++
-	q := request{id: fmt.Sprintf("n%d-c%d-%d", c.node, c.number, c.made), method: http.MethodGet, path: "/read", answer: int64(c.rng.IntN(2000))}
+func (c *client) drawRequest() request {
+	c.requestCount++
+	q := request{id: fmt.Sprintf("n%d-c%d-%d", c.node, c.number, c.requestCount), method: http.MethodGet, path: "/read", answer: int64(c.rng.IntN(2000))}
 	switch c.rng.IntN(10) {
 	case 0, 1, 2, 3:
 		q.method, q.path, q.body = http.MethodPost, "/write", int64(c.rng.IntN(2000))
 	case 4, 5:
 		q.method, q.path, q.key, q.body = http.MethodPost, "/keyed", q.id, int64(c.rng.IntN(2000))
 	case 6:
-		q.answer = int64(c.rng.IntN(heldWhole / 2))
+		q.answer = int64(c.rng.IntN(maxBufferedAnswerBytes / 2))
 	case 7:
-		q.answer = 2*heldWhole + int64(c.rng.IntN(heldWhole))
+		q.answer = 2*maxBufferedAnswerBytes + int64(c.rng.IntN(maxBufferedAnswerBytes))
 	}
 	return q
 }
 
 // work sends until ctx ends.
 func (c *client) work(ctx context.Context) {
-	defer c.leave()
+	defer c.closeConn()
 	for ctx.Err() == nil {
-		c.once(c.draw())
+		c.send(c.drawRequest())
 		select {
-		case <-time.After(time.Duration(c.rng.Int64N(int64(pauseMost)))):
+		case <-time.After(time.Duration(c.rng.Int64N(int64(maxPause)))):
 		case <-ctx.Done():
 		}
 	}
 }
 
-func (c *client) leave() {
+func (c *client) closeConn() {
 	if c.conn != nil {
 		c.conn.Close()
 		c.conn = nil
 	}
 }
 
-// once sends a request and notes what came of it; it gives the server that answered well, or "".
-func (c *client) once(q request) string {
+// send sends a request and notes what came of it; it gives the server that answered well, or "".
+func (c *client) send(q request) string {
 	c.notes.Requested(q.id)
 	sent := time.Now()
 	status, server, err := c.exchange(q)
-	c.last = fmt.Sprintf("%s %s: %d in %v, %v", q.id, q.path, status, time.Since(sent).Round(time.Millisecond), err)
+	c.lastOutcome = fmt.Sprintf("%s %s: %d in %v, %v", q.id, q.path, status, time.Since(sent).Round(time.Millisecond), err)
 	if err == nil {
 		c.notes.Answered(q.id, strconv.Itoa(status))
-		c.answered(c.node, q, status, c.excused(c.node, c.since))
+		c.answered(c.node, q, status, c.isClientFaultPossible(c.node, c.dialedAt))
 		return server
 	}
-	c.leave()
+	c.closeConn()
 	why := "unexplained: "
 	switch {
-	case c.excused(c.node, c.since):
+	case c.isClientFaultPossible(c.node, c.dialedAt):
 		why = ""
-	case errors.Is(err, errShort) && q.answer > heldWhole && c.beyond(c.node, c.since):
+	case errors.Is(err, errShort) && q.answer > maxBufferedAnswerBytes && c.isUpstreamFaultPossible(c.node, c.dialedAt):
 		why = ""
 	}
 	c.notes.Broken(q.id, fmt.Sprintf("%s%s of %d bytes, answer of %d, after %v on a connection of %v: %v", why, q.method, q.body, q.answer,
-		time.Since(sent).Round(time.Millisecond), time.Since(c.since).Round(time.Millisecond), err))
+		time.Since(sent).Round(time.Millisecond), time.Since(c.dialedAt).Round(time.Millisecond), err))
 	return ""
 }
 
@@ -124,16 +124,16 @@
 func (c *client) exchange(q request) (status int, server string, err error) {
 	if c.conn != nil && c.in.Buffered() > 0 {
 		c.notes.Wrong("node %d: %d bytes came behind an answer, before request %s", c.node, c.in.Buffered(), q.id)
-		c.leave()
+		c.closeConn()
 	}
 	if c.conn == nil {
-		c.since = time.Now()
-		if c.conn, err = (&net.Dialer{Timeout: patienceMost}).DialContext(context.Background(), "tcp", c.front(c.node)); err != nil {
+		c.dialedAt = time.Now()
+		if c.conn, err = (&net.Dialer{Timeout: maxReadTimeout}).DialContext(context.Background(), "tcp", c.front(c.node)); err != nil {
 			return 0, "", err
 		}
 	}
-	c.in = bufio.NewReader(&waiting{c, time.Now().Add(patienceMost)})
-	c.conn.SetWriteDeadline(time.Now().Add(patienceMost))
+	c.in = bufio.NewReader(&patientReader{c, time.Now().Add(maxReadTimeout)})
+	c.conn.SetWriteDeadline(time.Now().Add(maxReadTimeout))
 	out := bufio.NewWriter(c.conn)
 	fmt.Fprintf(out, "%s %s?n=%d HTTP/1.1\r\nHost: trial.example\r\n%s: %s\r\n", q.method, q.path, q.answer, fieldID, q.id)
 	if q.key != "" {
@@ -164,7 +164,7 @@
 		}
 	}
 	if resp.Close {
-		c.leave()
+		c.closeConn()
 	}
 	return resp.StatusCode, resp.Header.Get(fieldServer), nil
 }
--- a/internal/trials/faultnet/trial/owners.go
+++ b/internal/trials/faultnet/trial/owners.go
@@ -19,30 +19,30 @@
 // owners is how many coordinators claim the nodes at once.
 const owners = 2
 
-// roundEvery bounds how often a coordinator claims: what a history holds has to be checked in
+// claimInterval bounds how often a coordinator claims: what a history holds has to be checked in
 // seconds.
-const roundEvery = 80 * time.Millisecond
+const claimInterval = 80 * time.Millisecond
 
 // owner is a coordinator that claims all nodes for an epoch again and again, and orders those that
 // granted it once they are more than half.
 type owner struct {
 	*run
 	name   string
-	number int // of its client in the history
+	number int // explainedSide its client in the history
 	rng    *rand.Rand
 	round  int
 }
 
 func (r *run) owner(n int) *owner {
-	return &owner{run: r, name: fmt.Sprint("owner-", n), number: n, rng: rand.New(rand.NewPCG(r.o.Script.Seed, uint64(n)+7000))}
+	return &owner{run: r, name: fmt.Sprint("owner-", n), number: n, rng: rand.New(rand.NewPCG(r.options.Script.Seed, uint64(n)+7000))}
 }
 
 // coordinate goes on until ctx ends.
 func (w *owner) coordinate(ctx context.Context) {
 	for ctx.Err() == nil {
-		w.once(ctx, w.epoch(), true)
+		w.runRound(ctx, w.epoch(), true)
 		select {
-		case <-time.After(roundEvery/2 + time.Duration(w.rng.Int64N(int64(roundEvery)))):
+		case <-time.After(claimInterval/2 + time.Duration(w.rng.Int64N(int64(claimInterval)))):
 		case <-ctx.Done():
 		}
 	}
@@ -52,32 +52,32 @@
 func (r *run) epoch() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.newest + 1
+	return r.newestEpoch + 1
 }
 
-func (r *run) toldEpoch(e uint64) {
+func (r *run) noteEpoch(e uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.newest = max(r.newest, e)
+	r.newestEpoch = max(r.newestEpoch, e)
 }
 
-// once is one round; it gives how many nodes have carried the order out. linked has it go by the
+// send is one round; it gives how many nodes have carried the order out. linked has it go by the
 // links.
-func (w *owner) once(ctx context.Context, epoch uint64, linked bool) int {
+func (w *owner) runRound(ctx context.Context, epoch uint64, linked bool) int {
 	w.round++
 	own := w.ownership.Call(w.number, history.Acquire{Epoch: epoch, Owner: w.name})
-	granted := make([]bool, w.o.Nodes)
-	n := w.each(func(i int) bool {
+	granted := make([]bool, w.options.Nodes)
+	n := w.forEachNode(func(i int) bool {
 		granted[i] = w.claim(ctx, i, epoch, linked)
 		return granted[i]
 	})
-	if 2*n <= w.o.Nodes {
+	if 2*n <= w.options.Nodes {
 		own(history.Refused)
 		return 0
 	}
 	own(history.Granted)
 	text := fmt.Sprintf("%s\n# as %s wants it, round %d\n", w.texts[0], w.name, w.round)
-	return w.each(func(i int) bool {
+	return w.forEachNode(func(i int) bool {
 		if !granted[i] {
 			return false
 		}
@@ -86,11 +86,11 @@
 	})
 }
 
-// each does something for all nodes at once, and counts those for which it went well.
-func (w *owner) each(do func(i int) bool) (n int) {
+// forEachNode does something for all nodes at once, and counts those for which it went well.
+func (w *owner) forEachNode(do func(i int) bool) (n int) {
 	var all sync.WaitGroup
 	var mu sync.Mutex
-	for i := range w.o.Nodes {
+	for i := range w.options.Nodes {
 		all.Go(func() {
 			if do(i) {
 				mu.Lock()
@@ -110,29 +110,29 @@
 	return manage.Client{Path: w.control(i)}
 }
 
-// within is how long a node has for an answer: over a link faults may keep it for ever, else only busy
+// controlTimeout is how long a node has for an answer: over a link faults may keep it for ever, else only busy
 // cores are in its way.
-func within(linked bool) time.Duration {
+func controlTimeout(linked bool) time.Duration {
 	if linked {
-		return askWithin
+		return controlCallTimeout
 	}
-	return backWithin
+	return recoveryTimeout
 }
 
 func member(i int) string { return fmt.Sprint("node-", i) }
 
 func (w *owner) claim(ctx context.Context, i int, epoch uint64, linked bool) bool {
-	ctx, cancel := context.WithTimeout(ctx, within(linked))
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout(linked))
 	defer cancel()
 	done := w.ownership.Call(w.number, history.Claim{Member: member(i), Epoch: epoch, Owner: w.name})
 	s, err := w.member(i, linked).Claim(ctx, manage.Claim{Epoch: epoch, Owner: w.name})
 	switch refused := (manage.RejectedError{}); {
 	case err == nil:
-		w.toldEpoch(max(epoch, s.Epoch))
+		w.noteEpoch(max(epoch, s.Epoch))
 		done(history.Granted)
 		return true
 	case errors.Is(err, manage.ErrStale):
-		w.toldEpoch(epoch)
+		w.noteEpoch(epoch)
 		done(history.Refused)
 	case errors.As(err, &refused):
 		done(history.Nothing)
@@ -147,7 +147,7 @@
 	o := manage.Command{Epoch: epoch, Owner: w.name, ID: id, Operation: manage.Operation{Kind: desiredstate.KindSettings, Text: text, Hash: desiredstate.Hash([]byte(text))}}
 	w.notes.WantGeneration(o.Operation.Hash)
 	for range 3 {
-		one, cancel := context.WithTimeout(ctx, within(linked))
+		one, cancel := context.WithTimeout(ctx, controlTimeout(linked))
 		done := w.ownership.Call(w.number, history.Order{Member: member(i), Epoch: epoch, Owner: w.name, ID: id})
 		_, err := w.member(i, linked).RunCommand(one, o)
 		cancel()
@@ -166,7 +166,7 @@
 			w.mayRefuse(i, refused)
 		}
 		select {
-		case <-time.After(waitEvery):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			return false
 		}
@@ -178,7 +178,7 @@
 func (w *owner) mayRefuse(i int, r manage.RejectedError) {
 	switch r.Code {
 	case desiredstate.CodeBusy, desiredstate.CodeNotSaved:
-	case "": // of no order: it ends, or cannot be read
+	case "": // explainedSide no order: it ends, or cannot be read
 	default:
 		w.notes.Wrong("node %d refuses an owner: %s: %s", i, r.Code, r.Message)
 	}
@@ -186,24 +186,24 @@
 
 // settle has one owner bring all nodes to one state, once no fault is in force any more.
 func (r *run) settle(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, backWithin)
+	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	w := r.owner(owners)
-	for w.once(ctx, r.epoch(), false) < r.o.Nodes {
+	for w.runRound(ctx, r.epoch(), false) < r.options.Nodes {
 		select {
-		case <-time.After(waitEvery):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			r.notes.Wrong("the nodes do not all come to one state: %v", ctx.Err())
 			return
 		}
 	}
-	for i := range r.o.Nodes {
+	for i := range r.options.Nodes {
 		s, err := w.member(i, false).Status(ctx)
 		raw, fileErr := os.ReadFile(filepath.Join(r.dir(i), "lockflow.toml"))
 		if err != nil || fileErr != nil || s.ConfigHash != desiredstate.Hash(raw) || s.DesiredState.Hash != s.ConfigHash || s.Owner != w.name {
 			r.notes.Wrong("node %d: runs %s by %s, wants %s, its file is %s; %v, %v", i, s.ConfigHash, s.Owner, s.DesiredState.Hash, desiredstate.Hash(raw), err, fileErr)
 		}
-		r.begunOnce(i)
+		r.countStartedCommands(i)
 	}
 	switch err := r.ownership.CheckOwnership(); {
 	case errors.Is(err, history.ErrUndecided):
@@ -213,22 +213,22 @@
 	}
 }
 
-// begunOnce counts by a node's log the commands that it has begun, each an effect. The last one that settle had it run
+// countStartedCommands counts by a node's log the commands that it has begun, each an effect. The last one that settle had it run
 // is among them: a log without any is not understood.
-func (r *run) begunOnce(i int) {
+func (r *run) countStartedCommands(i int) {
 	raw, err := os.ReadFile(r.procs[i].Log)
 	if err != nil {
 		r.notes.Wrong("node %d: %v", i, err)
 	}
-	begun := 0
+	started := 0
 	for line := range strings.Lines(string(raw)) {
 		if _, rest, ok := strings.Cut(line, `msg="command started" id=`); ok {
 			id, _, _ := strings.Cut(rest, " ")
 			r.notes.Effect(member(i)+" "+id, member(i))
-			begun++
+			started++
 		}
 	}
-	if begun == 0 {
+	if started == 0 {
 		r.notes.Wrong("node %d: its log has no command that was started", i)
 	}
 }
--- a/internal/trials/faultnet/trial/servers.go
+++ b/internal/trials/faultnet/trial/servers.go
@@ -30,13 +30,13 @@
 	addrs []string
 	wg    sync.WaitGroup
 
-	mu   sync.Mutex
-	keys map[string]bool
-	ran  map[string]bool // writes whose effect happened
+	mu      sync.Mutex
+	keys    map[string]bool
+	effects map[string]bool // writes whose effect happened
 }
 
 func startServers(n int, work time.Duration, notes *history.Exchanges) (*servers, error) {
-	s := &servers{notes: notes, work: work, keys: make(map[string]bool), ran: make(map[string]bool)}
+	s := &servers{notes: notes, work: work, keys: make(map[string]bool), effects: make(map[string]bool)}
 	for i := range n {
 		l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 		if err != nil {
@@ -69,13 +69,13 @@
 	id, key := r.Header.Get(fieldID), r.Header.Get(fieldKey)
 	if r.Method == http.MethodPost {
 		s.mu.Lock()
-		again := key != "" && s.keys[key]
+		isRepeat := key != "" && s.keys[key]
 		if key != "" {
 			s.keys[key] = true
 		}
-		s.ran[id] = true
+		s.effects[id] = true
 		s.mu.Unlock()
-		if !again {
+		if !isRepeat {
 			s.notes.Effect(id, name)
 		}
 	}
@@ -88,9 +88,9 @@
 	_, _ = io.Copy(w, fake.PatternReader(n)) // a client that left is its own doing
 }
 
-// has tells whether a write's effect happened.
-func (s *servers) has(id string) bool {
+// hasEffect tells whether a write's effect happened.
+func (s *servers) hasEffect(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ran[id]
+	return s.effects[id]
 }
--- a/internal/trials/faultnet/trial/trial.go
+++ b/internal/trials/faultnet/trial/trial.go
@@ -1,5 +1,5 @@
-// Package trial runs nodes between clients and stand-in servers, has the faults of a script befall
-// the links between them and the nodes themselves, and holds what comes of it to the rules that
+// Package trial runs nodes between clients and stand-in servers, applies the faults of a script to
+// the links between them and to the nodes, and checks the results against the rules that
 // hold under any fault: one final answer, no effect twice, no answer without its effect, and all
 // serve again afterwards.
 package trial
@@ -29,48 +29,48 @@
 //go:embed config.toml
 var config string
 
-// Options say what is tried.
+// Options are the options of a trial.
 type Options struct {
 	Program string // absolute
 	Dir     string // for the nodes' files; short and empty
 	Nodes   int
 	Servers int
-	Clients int // of each node
+	Clients int // explainedSide each node
 	Script  faultnet.Script
-	Seen    func(faultnet.Event) // may be nil
+	OnEvent func(faultnet.Event) // may be nil
 }
 
-// Report is what came of one script.
+// Report is the result of one script.
 type Report struct {
-	Seed      uint64        `json:"seed"`
-	Faults    int           `json:"faults"`
-	Requests  int           `json:"requests"`
-	Answered  int           `json:"answered"` // with a final answer of any kind
-	Served    int           `json:"served"`   // with 200
-	Broken    int           `json:"broken"`   // without one, as a fault of the client's way or of the process explains
-	Effects   int           `json:"effects"`
-	Asked     int           `json:"asked"`   // status and reload, by the control sockets
-	Told      int           `json:"told"`    // of them, answered
-	Owned     int           `json:"owned"`   // epochs that a coordinator has come to own
-	Orders    int           `json:"orders"`  // carried out, or told again
-	Kills     int           `json:"kills"`   //
-	Resets    int           `json:"resets"`  // connections that a fault reset
-	Lost      int64         `json:"lost"`    // bytes that vanished
-	Back      time.Duration `json:"back_ns"` // from the last fault's end until all serve again
-	Wrong     []string      `json:"wrong"`
-	Events    []string      `json:"-"`
-	StartTook time.Duration `json:"-"`
-	Undecided string        `json:"-"` // why the check of ownership has come to no verdict; "" is that it has
+	Seed           uint64        `json:"seed"`
+	Faults         int           `json:"faults"`
+	Requests       int           `json:"requests"`
+	Answered       int           `json:"answered"` // with a final answer of any kind
+	Served         int           `json:"served"`   // with 200
+	Broken         int           `json:"broken"`   // without one, as a fault of the client's way or of the process explains
+	Effects        int           `json:"effects"`
+	ControlCalls   int           `json:"asked"`   // status and reload, by the control sockets
+	ControlReplies int           `json:"told"`    // explainedSide them, answered
+	OwnedEpochs    int           `json:"owned"`   // epochs that a coordinator has come to own
+	Orders         int           `json:"orders"`  // carried out, or told again
+	Kills          int           `json:"kills"`   //
+	Resets         int           `json:"resets"`  // connections that a fault reset
+	Lost           int64         `json:"lost"`    // bytes that vanished
+	RecoveryTime   time.Duration `json:"back_ns"` // from the last fault's end until all serve again
+	Wrong          []string      `json:"wrong"`
+	Events         []string      `json:"-"`
+	StartDuration  time.Duration `json:"-"`
+	Undecided      string        `json:"-"` // why the check of ownership has come to no verdict; "" is that it has
 }
 
-// Bounds of what a trial waits for; nothing is expected to come near them.
+// Timeouts and intervals of a trial.
 const (
-	upWithin   = 30 * time.Second
-	backWithin = 60 * time.Second
-	serverWork = 2 * time.Millisecond
-	askEvery   = 15 * time.Millisecond
-	askWithin  = 2 * time.Second
-	waitEvery  = 2 * time.Millisecond
+	startTimeout       = 30 * time.Second
+	recoveryTimeout    = 60 * time.Second
+	serverWork         = 2 * time.Millisecond
+	controlInterval    = 15 * time.Millisecond
+	controlCallTimeout = 2 * time.Second
+	pollInterval       = 2 * time.Millisecond
 )
 
 // Links is how many links a trial has: for each node its clients', its control socket's, and one
@@ -89,44 +89,44 @@
 	return fmt.Sprintf("node %d to server %d", node, at-2)
 }
 
-// run is a trial that goes on.
+// run is the state of a running trial.
 type run struct {
-	o       Options
+	options Options
 	notes   *history.Exchanges
 	servers *servers
 	links   []*faultnet.Link
 	procs   []*faultnet.Process
 	starts  sync.WaitGroup
 
-	mu     sync.Mutex
-	sides  map[side]*trouble
-	status map[int]int // of answers
-	asked  int
-	told   int
-	kills  int
-	checks int
-	newest uint64 // epoch that was told
+	mu             sync.Mutex
+	sides          map[side]*faultInterval
+	status         map[int]int // explainedSide answers
+	controlCalls   int
+	controlReplies int
+	kills          int
+	checks         int
+	newestEpoch    uint64 // epoch in any reply
 
 	ownership history.History
 	texts     []string // the settings of each node
-	undecided string   // of Report
+	undecided string   // explainedSide Report
 }
 
-// Run tries one script. The error is of what could not be tried; what went wrong in it is in the
-// report.
+// Run runs a trial of one script. It returns an error if the trial could not be run; violated rules
+// are in the report.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	r := &run{o: o, notes: &history.Exchanges{}, sides: make(map[side]*trouble), status: make(map[int]int)}
+	r := &run{options: o, notes: &history.Exchanges{}, sides: make(map[side]*faultInterval), status: make(map[int]int)}
 	player, err := faultnet.NewPlayer(o.Script, make([]*faultnet.Link, Links(o.Nodes, o.Servers)), make([]*faultnet.Process, o.Nodes))
 	if err != nil {
 		return nil, err
 	}
 	defer r.close()
-	begun := time.Now()
-	if err := r.begin(ctx); err != nil {
+	started := time.Now()
+	if err := r.start(ctx); err != nil {
 		return nil, err
 	}
-	rep := &Report{Seed: o.Script.Seed, Faults: len(o.Script.Entries), StartTook: time.Since(begun)}
-	player.Links, player.Procs, player.Before, player.Done = r.links, r.procs, r.before, r.seen
+	rep := &Report{Seed: o.Script.Seed, Faults: len(o.Script.Entries), StartDuration: time.Since(started)}
+	player.Links, player.Procs, player.Before, player.Done = r.links, r.procs, r.beforeStep, r.afterStep
 
 	sending, stop := context.WithCancel(ctx)
 	defer stop()
@@ -136,7 +136,7 @@
 			c := r.client(i, n)
 			all.Go(func() { c.work(sending) })
 		}
-		all.Go(func() { r.own(sending, i) })
+		all.Go(func() { r.callControl(sending, i) })
 	}
 	for n := range owners {
 		all.Go(func() { r.owner(n).coordinate(sending) })
@@ -145,11 +145,11 @@
 	healed := time.Now()
 	r.starts.Wait()
 	for i := range o.Nodes {
-		if err := r.serves(ctx, i); err != nil {
+		if err := r.awaitServing(ctx, i); err != nil {
 			r.notes.Wrong("node %d does not serve again: %v; %s", i, err, r.tail(i))
 		}
 	}
-	rep.Back = time.Since(healed)
+	rep.RecoveryTime = time.Since(healed)
 	stop()
 	all.Wait()
 	if ctx.Err() != nil {
@@ -174,11 +174,11 @@
 	rep.Effects = r.notes.Effects()
 	rep.Undecided = r.undecided
 	rep.Broken = rep.Requests - rep.Answered
-	rep.Served, rep.Asked, rep.Told, rep.Kills = r.status[200], r.asked, r.told, r.kills
+	rep.Served, rep.ControlCalls, rep.ControlReplies, rep.Kills = r.status[200], r.controlCalls, r.controlReplies, r.kills
 	for _, e := range r.ownership.Entries() {
 		switch _, acquires := e.Op.(history.Acquire); {
 		case acquires && e.Result == history.Granted:
-			rep.Owned++
+			rep.OwnedEpochs++
 		case e.Result == history.DoneOrAlreadyDone:
 			rep.Orders++
 		}
@@ -191,21 +191,21 @@
 }
 
 func (r *run) client(node, n int) *client {
-	return &client{run: r, node: node, number: n, rng: rand.New(rand.NewPCG(r.o.Script.Seed, uint64(node*1000+n)))}
+	return &client{run: r, node: node, number: n, rng: rand.New(rand.NewPCG(r.options.Script.Seed, uint64(node*1000+n)))}
 }
 
-// begin starts all, and waits until it serves.
-func (r *run) begin(ctx context.Context) (err error) {
-	if r.servers, err = startServers(r.o.Servers, serverWork, r.notes); err != nil {
+// start starts all, and waits until it serves.
+func (r *run) start(ctx context.Context) (err error) {
+	if r.servers, err = startServers(r.options.Servers, serverWork, r.notes); err != nil {
 		return err
 	}
-	for i := range r.o.Nodes {
+	for i := range r.options.Nodes {
 		dir := r.dir(i)
 		state := filepath.Join(dir, "state")
 		if err := os.MkdirAll(state, 0o700); err != nil {
 			return fmt.Errorf("a trial: %w", err)
 		}
-		to := append([]string{nowhere, r.control(i)}, r.servers.addrs...)
+		to := append([]string{unusedAddr, r.control(i)}, r.servers.addrs...)
 		var list []string
 		for n, addr := range to {
 			l, err := faultnet.Listen(addr)
@@ -224,31 +224,31 @@
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			return fmt.Errorf("a trial: %w", err)
 		}
-		p := &process.Process{Path: r.o.Program, Log: filepath.Join(dir, "log"), State: state, Args: []string{"serve", "--config", file}}
+		p := &process.Process{Path: r.options.Program, Log: filepath.Join(dir, "log"), State: state, Args: []string{"serve", "--config", file}}
 		r.procs = append(r.procs, p)
 		if err := p.Start(); err != nil {
 			return err
 		}
 	}
-	for i := range r.o.Nodes {
-		if err := r.up(ctx, i); err != nil {
+	for i := range r.options.Nodes {
+		if err := r.awaitReady(ctx, i); err != nil {
 			return fmt.Errorf("node %d: %w; %s", i, err, r.tail(i))
 		}
-		if err := r.serves(ctx, i); err != nil {
+		if err := r.awaitServing(ctx, i); err != nil {
 			return fmt.Errorf("node %d: %w; %s", i, err, r.tail(i))
 		}
 	}
 	return nil
 }
 
-// nowhere is an address at which nobody listens.
-const nowhere = "127.0.0.1:1"
+// unusedAddr is an address at which nobody listens.
+const unusedAddr = "127.0.0.1:1"
 
-func (r *run) dir(i int) string     { return filepath.Join(r.o.Dir, strconv.Itoa(i)) }
+func (r *run) dir(i int) string     { return filepath.Join(r.options.Dir, strconv.Itoa(i)) }
 func (r *run) control(i int) string { return filepath.Join(r.dir(i), "c.sock") }
 
 // link is the link of a place of a node: 0 is its clients', 1 its owner's.
-func (r *run) link(node, at int) *faultnet.Link { return r.links[node*(2+r.o.Servers)+at] }
+func (r *run) link(node, at int) *faultnet.Link { return r.links[node*(2+r.options.Servers)+at] }
 
 // front is where clients find a node.
 func (r *run) front(node int) string { return r.link(node, 0).Addr() }
@@ -265,9 +265,9 @@
 	}
 }
 
-// up waits until a process has come up, and leads its clients' link to where it listens.
-func (r *run) up(ctx context.Context, i int) error {
-	ctx, cancel := context.WithTimeout(ctx, upWithin)
+// awaitReady waits until a process has come up, and leads its clients' link to where it listens.
+func (r *run) awaitReady(ctx context.Context, i int) error {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for {
 		s, err := manage.Client{Path: r.control(i)}.Status(ctx)
@@ -279,34 +279,34 @@
 			return fmt.Errorf("it has ended: %w", r.procs[i].Wait())
 		}
 		select {
-		case <-time.After(waitEvery):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			return fmt.Errorf("it is not up: %w, %w", ctx.Err(), err)
 		}
 	}
 }
 
-// serves waits until a node answers one request of each class well. That each server is asked
+// awaitServing waits until a node answers one request of each class well. That each server is asked
 // again is the choice of the node, which lets one that failed rest for a time.
-func (r *run) serves(ctx context.Context, i int) error {
-	ctx, cancel := context.WithTimeout(ctx, backWithin)
+func (r *run) awaitServing(ctx context.Context, i int) error {
+	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	r.mu.Lock()
 	r.checks++
-	c := r.client(i, r.o.Clients+r.checks) // with ids of its own
+	c := r.client(i, r.options.Clients+r.checks) // with ids of its own
 	r.mu.Unlock()
-	defer c.leave()
+	defer c.closeConn()
 	for well := make(map[string]bool); len(well) < 3; {
-		if q := c.draw(); !well[q.path] && c.once(q) != "" {
+		if q := c.drawRequest(); !well[q.path] && c.send(q) != "" {
 			well[q.path] = true
 		}
 		select {
-		case <-time.After(waitEvery):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			return fmt.Errorf("of %d requests only those of %v are answered well; all answers by status: %v; the last one: %s: %w", c.made,
-				slices.Sorted(maps.Keys(well)), r.status, c.last, ctx.Err())
+			return fmt.Errorf("of %d requests only those of %v are answered well; all answers by status: %v; the last one: %s: %w", c.requestCount,
+				slices.Sorted(maps.Keys(well)), r.status, c.lastOutcome, ctx.Err())
 		}
 	}
 	return nil
@@ -329,7 +329,7 @@
 	r.mu.Unlock()
 	switch status {
 	case 200:
-		if q.method == "POST" && !r.servers.has(q.id) {
+		if q.method == "POST" && !r.servers.hasEffect(q.id) {
 			r.notes.Wrong("request %s: answered 200, and no server has had it", q.id)
 		}
 	case 502, 503, 504, 429:
@@ -342,27 +342,27 @@
 	}
 }
 
-// own asks a node by its control socket what it does, and has it read its file again, until ctx
+// callControl asks a node by its control socket what it does, and has it read its file again, until ctx
 // ends. What it says has to be of the process that runs.
-func (r *run) own(ctx context.Context, i int) {
-	rng := rand.New(rand.NewPCG(r.o.Script.Seed, uint64(i)+77))
+func (r *run) callControl(ctx context.Context, i int) {
+	rng := rand.New(rand.NewPCG(r.options.Script.Seed, uint64(i)+77))
 	c := manage.Client{Path: r.link(i, 1).Addr()}
 	var last manage.Status
 	for ctx.Err() == nil {
-		within, cancel := context.WithTimeout(ctx, askWithin)
-		look := func(any) {}
-		ask := c.Status
+		callCtx, cancel := context.WithTimeout(ctx, controlCallTimeout)
+		recordStatus := func(any) {}
+		call := c.Status
 		if rng.IntN(10) == 0 {
-			ask = c.Reload
+			call = c.Reload
 		} else {
-			look = r.ownership.Call(owners+1+i, history.ReadStatus{Member: member(i)})
+			recordStatus = r.ownership.Call(owners+1+i, history.ReadStatus{Member: member(i)})
 		}
-		s, err := ask(within)
+		s, err := call(callCtx)
 		cancel()
 		r.mu.Lock()
-		r.asked++
+		r.controlCalls++
 		if err == nil {
-			r.told++
+			r.controlReplies++
 		}
 		r.mu.Unlock()
 		if err == nil {
@@ -370,14 +370,14 @@
 				r.notes.Wrong("node %d: generation %d after %d of the same process", i, s.Generation, last.Generation)
 			}
 			last = s
-			look(history.MemberState{Epoch: s.Epoch, Owner: s.Owner})
-			r.toldEpoch(s.Epoch)
+			recordStatus(history.MemberState{Epoch: s.Epoch, Owner: s.Owner})
+			r.noteEpoch(s.Epoch)
 			r.notes.Reported(member(i), s.ConfigHash)
 		} else if refused := (manage.RejectedError{}); errors.As(err, &refused) && !strings.Contains(refused.Message, "reload") {
 			r.notes.Wrong("node %d refuses what it is asked: %v", i, err)
 		}
 		select {
-		case <-time.After(askEvery):
+		case <-time.After(controlInterval):
 		case <-ctx.Done():
 		}
 	}
@@ -390,7 +390,7 @@
 			r.notes.Wrong("node %d has ended by itself: %v; %s", i, p.Wait(), r.tail(i))
 			continue
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), upWithin)
+		ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 		_, err := manage.Client{Path: r.control(i)}.Reload(ctx)
 		cancel()
 		if err != nil {
