--- a/internal/trials/faultnet/history/exchange.go
+++ b/internal/trials/faultnet/history/exchange.go
@@ -13,7 +13,7 @@
 	mu          sync.Mutex
 	started     time.Time
 	requests    map[string]*requestOutcome
-	effects     map[string][]string // partitionBy what must not happen twice, the servers
+	effects     map[string][]string // the servers that had an effect, by its key
 	generations map[string][]Generation
 	wanted      map[string]bool
 	wrong       []string
--- a/internal/trials/faultnet/history/history_test.go
+++ b/internal/trials/faultnet/history/history_test.go
@@ -178,7 +178,7 @@
 		for i := range tc.lost {
 			h.Call(1+i, Claim{"m", uint64(1 + i), "owner"}) // its answer is lost
 		}
-		h.Call(100, Claim{"m", 1, "other"})(Refused) // partitionBy one that was lost
+		h.Call(100, Claim{"m", 1, "other"})(Refused) // by one that was lost
 		h.Call(100, ReadStatus{"m"})(MemberState{Epoch: tc.seen, Owner: "owner"})
 		if err := h.CheckOwnership(); (err == nil) != tc.isLegal || errors.Is(err, ErrUndecided) {
 			t.Errorf("%d lost, %d seen: %v", tc.lost, tc.seen, err)
