--- a/internal/command/measurefaults.go
+++ b/internal/command/measurefaults.go
@@ -104,7 +104,7 @@
 	}
 	t.Flush()
 	if r.Failing != "" {
-		fmt.Fprintf(w, "\nWRONG:\n%s\n\nthe least script that fails so or otherwise (lockflow measure change --script FILE):\n%s", r.Failing, r.Least)
+		fmt.Fprintf(w, "\nWRONG:\n%s\n\nthe least script that fails so or otherwise (lockflow measure change --script FILE):\n%s", r.Failing, r.ShortestScript)
 	}
 }
 
@@ -116,10 +116,10 @@
 	wrong := 0
 	row := func(seed string, x *trial.Report, back time.Duration, wrong int) {
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", seed, x.Faults, x.Kills, x.Resets, x.Lost, x.Requests, x.Served,
-			x.Answered-x.Served, x.Broken, x.Effects, x.Asked, x.Told, x.Owned, x.Orders, back.Milliseconds(), wrong)
+			x.Answered-x.Served, x.Broken, x.Effects, x.ControlCalls, x.ControlReplies, x.OwnedEpochs, x.Orders, back.Milliseconds(), wrong)
 	}
 	for _, x := range r.Rows {
-		row(fmt.Sprint(x.Seed), x, x.Back, len(x.Wrong))
+		row(fmt.Sprint(x.Seed), x, x.RecoveryTime, len(x.Wrong))
 		sum.Faults += x.Faults
 		sum.Kills += x.Kills
 		sum.Resets += x.Resets
@@ -129,15 +129,15 @@
 		sum.Answered += x.Answered
 		sum.Broken += x.Broken
 		sum.Effects += x.Effects
-		sum.Asked += x.Asked
-		sum.Told += x.Told
-		sum.Owned += x.Owned
+		sum.ControlCalls += x.ControlCalls
+		sum.ControlReplies += x.ControlReplies
+		sum.OwnedEpochs += x.OwnedEpochs
 		sum.Orders += x.Orders
-		back, wrong = max(back, x.Back), wrong+len(x.Wrong)
+		back, wrong = max(back, x.RecoveryTime), wrong+len(x.Wrong)
 	}
 	row("all", &sum, back, wrong)
 	t.Flush()
 	if r.Failing != "" {
-		fmt.Fprintf(w, "\nWRONG:\n%s\n\nthe least script that fails so or otherwise (lockflow measure faults --script FILE):\n%s", r.Failing, r.Least)
+		fmt.Fprintf(w, "\nWRONG:\n%s\n\nthe least script that fails so or otherwise (lockflow measure faults --script FILE):\n%s", r.Failing, r.ShortestScript)
 	}
 }
--- a/internal/trials/faultnet/history/history.go
+++ b/internal/trials/faultnet/history/history.go
@@ -1,5 +1,5 @@
-// Package history records who said what, when and of which generation, and checks it afterwards,
-// apart from whatever decided: ownership by a linearizability checker, answers, effects and
+// Package history records operations and their results and checks them afterwards, independently
+// of the code under test: ownership by a linearizability checker; answers, effects and
 // generations by counting.
 package history
 
@@ -16,11 +16,11 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Most is how many operations a history keeps; more are an error of the check, so that nothing
-// is held to rules by half.
-const Most = 200_000
+// MaxEntries bounds the operations of a history. A check of a longer one fails, so that no partial
+// history passes.
+const MaxEntries = 200_000
 
-// checkTime bounds a check; one that takes longer is an error too.
+// checkTime is the timeout of one check.
 const checkTime = 20 * time.Second
 
 // Unknown is the outcome of an operation whose answer was lost: it may have happened then, or
@@ -35,61 +35,59 @@
 	Call, Return time.Duration // since the history began; Return counts only where the result is known
 }
 
-// History is what happened, in the order in which it was asked. The zero value is empty and ready;
+// History is a list of operations in the order of their calls. The zero value is empty and ready;
 // its methods are safe for concurrent use.
 type History struct {
 	mu      sync.Mutex
-	begun   time.Time
-	all     []Entry
+	started time.Time
+	entries []Entry
 	dropped int
 }
 
 // now is the time since the first call. The caller holds mu.
 func (h *History) now() time.Duration {
-	if h.begun.IsZero() {
-		h.begun = time.Now()
+	if h.started.IsZero() {
+		h.started = time.Now()
 	}
-	return time.Since(h.begun)
+	return time.Since(h.started)
 }
 
-// Call notes that a client asks for op, before it does; the function that it gives notes the
-// result. One that is never called leaves it unknown, as Unknown{} does. It is called once.
+// Call records the start of an operation of a client. The returned function records its result and
+// may be called once; without a call the result stays Unknown.
 func (h *History) Call(client int, op any) (done func(result any)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.all) >= Most {
+	if len(h.entries) >= MaxEntries {
 		h.dropped++
 		return func(any) {}
 	}
-	n := len(h.all)
-	h.all = append(h.all, Entry{Client: client, Op: op, Result: Unknown{}, Call: h.now()})
+	n := len(h.entries)
+	h.entries = append(h.entries, Entry{Client: client, Op: op, Result: Unknown{}, Call: h.now()})
 	return func(result any) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.all[n].Result, h.all[n].Return = result, h.now()
+		h.entries[n].Result, h.entries[n].Return = result, h.now()
 	}
 }
 
-// Entries are all operations so far.
+// Entries returns a copy of all operations so far.
 func (h *History) Entries() []Entry {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.Clone(h.all)
+	return slices.Clone(h.entries)
 }
 
-// Model is what a history is held to: a sequential thing whose operations take effect at one
-// moment each.
+// Model is the sequential specification that a history is checked against.
 type Model = porcupine.Model
 
-// Check tells whether there is an order of all operations, within the times of each, in which
-// a single thing of the model would have given these results. The error names a partition of the
-// model that has none, and its operations.
+// Check looks for a linearization: an order of all operations, within the times of each, in which
+// the model gives the same results. The error lists the operations of a partition that has none.
 func (h *History) Check(m Model) error {
 	h.mu.Lock()
 	dropped := h.dropped
 	h.mu.Unlock()
 	if dropped > 0 {
-		return fmt.Errorf("a history of %d operations more than %d", dropped, Most)
+		return fmt.Errorf("a history of %d operations more than %d", dropped, MaxEntries)
 	}
 	all := h.Entries()
 	// What may never have been need not be: mostly the rest explains itself, and then the check is
@@ -114,7 +112,7 @@
 		o := porcupine.Operation{ClientId: e.Client, Input: e.Op, Output: e.Result, Call: int64(e.Call), Return: int64(e.Return)}
 		if _, unknown := e.Result.(Unknown); unknown {
 			// Each of these may stand anywhere, which is what makes a check long.
-			if _, reads := e.Op.(Look); reads {
+			if _, reads := e.Op.(ReadStatus); reads {
 				continue
 			}
 			o.Return = math.MaxInt64
@@ -141,16 +139,16 @@
 	return undecided
 }
 
-// told bounds what an error lists.
-const told = 60
+// maxDescribedOperations bounds the operations that an error lists.
+const maxDescribedOperations = 60
 
 func describe(_ Model, part []porcupine.Operation) string {
 	part = slices.Clone(part)
 	slices.SortStableFunc(part, func(a, b porcupine.Operation) int { return cmp.Compare(a.Call, b.Call) })
 	var b strings.Builder
 	for i, o := range part {
-		if i == told {
-			fmt.Fprintf(&b, "  and %d more\n", len(part)-told)
+		if i == maxDescribedOperations {
+			fmt.Fprintf(&b, "  and %d more\n", len(part)-maxDescribedOperations)
 			break
 		}
 		end := "?"
