--- a/internal/command/measuresoak.go
+++ b/internal/command/measuresoak.go
@@ -43,7 +43,7 @@
 	for i := range o.seeds {
 		options := soak.Options{
 			Program: program, Dir: filepath.Join(directory, fmt.Sprint(i)), Nodes: o.nodes, Servers: o.nodes + 1, Clients: 4,
-			Disturbances: o.nodes + 2, Lasts: o.lasts, Seed: o.seed + uint64(i),
+			Disturbances: o.nodes + 2, Duration: o.lasts, Seed: o.seed + uint64(i),
 		}
 		report, err := playSoak(ctx, options)
 		if err != nil {
--- a/internal/trials/soak/client.go
+++ b/internal/trials/soak/client.go
@@ -16,7 +16,7 @@
 const (
 	maxPause     = 30 * time.Millisecond  // between two requests of a client
 	maxRest      = 600 * time.Millisecond // of a client that rests now and then
-	badInputTime = 3 * time.Second        // in which a node ends a request that stops in the middle (STANDING)
+	badInputTime = 3 * time.Second        // in which a node ends a request that stops in the middle
 	answerWait   = lateSlack + time.Second
 )
 
@@ -130,27 +130,27 @@
 
 // exchange sends a request once. It returns false where it is to be sent once more.
 func (c *client) exchange(r *request, text []byte) (done bool) {
-	begun, isFirst := time.Now(), c.used == 0
+	started, isFirst := time.Now(), c.used == 0
 	c.used++
 	c.play.journal.sending(r)
 	if err := c.write(r, text); err != nil {
 		c.disconnect()
-		return c.withoutAnswer(r, begun, isFirst, err)
+		return c.withoutAnswer(r, started, isFirst, err)
 	}
 	_ = c.conn.SetReadDeadline(time.Now().Add(r.class.deadline + answerWait + c.play.journal.slack))
 	response, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		c.disconnect()
-		return c.withoutAnswer(r, begun, isFirst, err)
+		return c.withoutAnswer(r, started, isFirst, err)
 	}
 	body, err := io.ReadAll(response.Body)
 	response.Body.Close()
 	if err != nil {
 		c.disconnect()
-		c.play.journal.unanswered(r, c.node.excuse(begun, time.Now()), fmt.Sprintf("%d is cut behind %d bytes: %v", response.StatusCode, len(body), err))
+		c.play.journal.unanswered(r, c.node.excuse(started, time.Now()), fmt.Sprintf("%d is cut behind %d bytes: %v", response.StatusCode, len(body), err))
 		return true
 	}
-	c.play.journal.answered(r, response.StatusCode, string(body), c.node.excuse(begun, time.Now()), time.Now())
+	c.play.journal.answered(r, response.StatusCode, string(body), c.node.excuse(started, time.Now()), time.Now())
 	if response.Close {
 		c.disconnect()
 	}
@@ -176,16 +176,16 @@
 }
 
 // withoutAnswer judges a request whose connection ended, or stayed silent, with no byte of an answer.
-func (c *client) withoutAnswer(r *request, begun time.Time, isFirst bool, err error) (done bool) {
+func (c *client) withoutAnswer(r *request, started time.Time, isFirst bool, err error) (done bool) {
 	j, now := c.play.journal, time.Now()
-	excuse := c.node.excuse(begun, now)
+	excuse := c.node.excuse(started, now)
 	var timeout net.Error
 	isSilent := errors.As(err, &timeout) && timeout.Timeout()
 	if !isSilent && !j.wasForwarded(r) && (!isFirst || r.sentAt.IsZero()) {
 		return excuse != "" // it crossed the close of a connection between requests
 	}
 	j.unanswered(r, excuse, fmt.Sprintf("%v after %v, first of its connection %v (opened %v before)",
-		err, now.Sub(begun).Round(time.Millisecond), isFirst, begun.Sub(c.openedAt).Round(time.Millisecond)))
+		err, now.Sub(started).Round(time.Millisecond), isFirst, started.Sub(c.openedAt).Round(time.Millisecond)))
 	return true
 }
 
@@ -210,16 +210,16 @@
 		return
 	}
 	defer c.disconnect()
-	begun := time.Now()
+	started := time.Now()
 	r, text := c.draw()
 	c.play.journal.sending(r)
 	if _, err := c.conn.Write(text[:c.rng.IntN(len(text)-1)]); err != nil {
 		return
 	}
-	_ = c.conn.SetReadDeadline(begun.Add(badInputTime + c.play.journal.slack))
+	_ = c.conn.SetReadDeadline(started.Add(badInputTime + c.play.journal.slack))
 	_, err := c.conn.Read(make([]byte, 1))
 	var timeout net.Error
-	if errors.As(err, &timeout) && timeout.Timeout() && c.node.excuse(begun, time.Now()) == "" {
-		c.play.journal.wrong("%s (%s): it stopped in the middle and has no error after %v", r.id, r.node, time.Since(begun))
+	if errors.As(err, &timeout) && timeout.Timeout() && c.node.excuse(started, time.Now()) == "" {
+		c.play.journal.wrong("%s (%s): it stopped in the middle and has no error after %v", r.id, r.node, time.Since(started))
 	}
 }
--- a/internal/trials/soak/disturbances.go
+++ b/internal/trials/soak/disturbances.go
@@ -12,7 +12,7 @@
 	"lockflow/internal/trials/faultnet/script"
 )
 
-// maxDisturbanceTime is how long one disturbance lasts at most.
+// maxDisturbanceTime bounds the duration of one disturbance.
 const maxDisturbanceTime = 1500 * time.Millisecond
 
 // disturbances draws disturbances and plays them, several at once.
@@ -30,7 +30,7 @@
 // disturbance is one that was drawn: it holds on until ctx ends or its time is over.
 type disturbance struct {
 	kind, place string
-	lasts       time.Duration
+	duration    time.Duration
 	play        func(ctx context.Context, t *disturbance) error
 }
 
@@ -41,7 +41,7 @@
 // run begins disturbances at random for the time of the play, and returns once all have ended.
 func (t *disturbances) run(ctx context.Context) {
 	sleep(ctx, calmTime)
-	playing, cancel := context.WithTimeout(ctx, t.play.Lasts)
+	playing, cancel := context.WithTimeout(ctx, t.play.Duration)
 	defer cancel()
 	for playing.Err() == nil {
 		t.begin(ctx, t.draw())
@@ -59,7 +59,7 @@
 	}
 	t.busy[one.place] = true
 	t.counts[one.kind]++
-	t.list = append(t.list, fmt.Sprintf("%v %s at %s for %v", time.Since(t.play.journal.begun).Round(time.Millisecond), one.kind, one.place, one.lasts.Round(time.Millisecond)))
+	t.list = append(t.list, fmt.Sprintf("%v %s at %s for %v", time.Since(t.play.journal.started).Round(time.Millisecond), one.kind, one.place, one.duration.Round(time.Millisecond)))
 	t.active.Go(func() {
 		if err := one.play(ctx, &one); err != nil && ctx.Err() == nil {
 			t.play.journal.wrong("the disturbance %q at %s: %v", one.kind, one.place, err)
@@ -71,32 +71,32 @@
 }
 
 func (t *disturbances) draw() disturbance {
-	lasts := maxDisturbanceTime/10 + time.Duration(t.rng.Int64N(int64(maxDisturbanceTime)))
+	duration := maxDisturbanceTime/10 + time.Duration(t.rng.Int64N(int64(maxDisturbanceTime)))
 	n := t.play.nodes[t.rng.IntN(len(t.play.nodes))]
 	s := t.play.servers[t.rng.IntN(len(t.play.servers))]
 	switch t.rng.IntN(8) {
 	case 0, 1:
-		return t.drawOfProcess(n, lasts)
+		return t.drawOfProcess(n, duration)
 	case 2:
-		return t.drawOfClock(n, lasts)
+		return t.drawOfClock(n, duration)
 	case 3:
-		return t.drawOfCalls(n, lasts)
+		return t.drawOfCalls(n, duration)
 	case 4:
-		return t.drawOfLink(n, s, lasts)
+		return t.drawOfLink(n, s, duration)
 	case 5:
-		return disturbance{"discovery is silent", n.name + " discovery", 2 * lasts, func(ctx context.Context, t *disturbance) error {
+		return disturbance{"discovery is silent", n.name + " discovery", 2 * duration, func(ctx context.Context, t *disturbance) error {
 			defer n.beginMissingListEvents("discovery is silent")()
 			n.silence(true)
-			sleep(ctx, t.lasts)
+			sleep(ctx, t.duration)
 			n.silence(false)
 			return nil
 		}}
 	default:
-		return t.drawOfServer(s, lasts)
+		return t.drawOfServer(s, duration)
 	}
 }
 
-func (t *disturbances) drawOfProcess(n *node, lasts time.Duration) disturbance {
+func (t *disturbances) drawOfProcess(n *node, duration time.Duration) disturbance {
 	place := n.name + " process"
 	switch t.rng.IntN(6) {
 	case 0:
@@ -106,32 +106,32 @@
 			if err := n.process.Pause(); err != nil {
 				return err
 			}
-			sleep(ctx, t.lasts)
+			sleep(ctx, t.duration)
 			return n.process.Continue()
 		}}
 	case 2, 3:
-		return disturbance{"new discovery", place, lasts, func(ctx context.Context, t *disturbance) error {
+		return disturbance{"new discovery", place, duration, func(ctx context.Context, t *disturbance) error {
 			if err := n.move(); err != nil {
 				return err
 			}
-			sleep(ctx, t.lasts/4)
+			sleep(ctx, t.duration/4)
 			return n.move()
 		}}
 	}
 	return disturbance{"end", place, 0, func(ctx context.Context, _ *disturbance) error { return n.terminate(ctx) }}
 }
 
-// suspensionTime is for how long a node may be held up (STANDING).
+// suspensionTime is for how long a node may be held up.
 const suspensionTime = 150 * time.Millisecond
 
 // clockSteps are by how much wall clocks are stepped.
 var clockSteps = []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour}
 
-func (t *disturbances) drawOfClock(n *node, lasts time.Duration) disturbance {
+func (t *disturbances) drawOfClock(n *node, duration time.Duration) disturbance {
 	step := clockSteps[t.rng.IntN(len(clockSteps))]
-	return disturbance{"clock " + step.String(), n.name + " clock", lasts, func(ctx context.Context, t *disturbance) error {
+	return disturbance{"clock " + step.String(), n.name + " clock", duration, func(ctx context.Context, t *disturbance) error {
 		n.table.StepClock(step)
-		sleep(ctx, t.lasts)
+		sleep(ctx, t.duration)
 		n.table.StepClock(0)
 		return nil
 	}}
@@ -168,21 +168,21 @@
 	{"write ENOBUFS", faultbuild.SocketWrite, syscall.ENOBUFS, true},
 }
 
-func (t *disturbances) drawOfCalls(n *node, lasts time.Duration) disturbance {
+func (t *disturbances) drawOfCalls(n *node, duration time.Duration) disturbance {
 	fault := callFaults[t.rng.IntN(len(callFaults))]
 	interval := 1 + t.rng.IntN(7)
 	// A call that is repeated at once, as behind EINTR, must not fail each time.
 	if fault.breaksClient || fault.errno == syscall.EINTR || fault.errno == syscall.ECONNABORTED {
 		interval = 5 + t.rng.IntN(40)
 	}
-	return disturbance{fault.name, n.name + " calls", lasts, func(ctx context.Context, t *disturbance) error {
+	return disturbance{fault.name, n.name + " calls", duration, func(ctx context.Context, t *disturbance) error {
 		defer n.beginMissingListEvents(fault.name)() // a call to discovery may be what fails
 		if fault.breaksClient {
 			end := n.begin(fault.name)
 			defer end()
 		}
 		n.table.Fail(fault.call, fault.errno, interval)
-		sleep(ctx, t.lasts)
+		sleep(ctx, t.duration)
 		n.table.Heal(fault.call)
 		return nil
 	}}
@@ -199,47 +199,47 @@
 	{Kind: script.Reset, Direction: script.Back, Bytes: 30},
 }
 
-func (t *disturbances) drawOfLink(n *node, s *server, lasts time.Duration) disturbance {
+func (t *disturbances) drawOfLink(n *node, s *server, duration time.Duration) disturbance {
 	fault, link := linkFaults[t.rng.IntN(len(linkFaults))], n.linkTo(s)
-	return disturbance{"link " + fault.Kind.String(), n.name + " to " + s.uid, lasts, func(ctx context.Context, t *disturbance) error {
+	return disturbance{"link " + fault.Kind.String(), n.name + " to " + s.uid, duration, func(ctx context.Context, t *disturbance) error {
 		if err := link.Set(fault); err != nil {
 			return err
 		}
-		sleep(ctx, t.lasts)
+		sleep(ctx, t.duration)
 		link.Break()
 		return link.Heal()
 	}}
 }
 
-func (t *disturbances) drawOfServer(s *server, lasts time.Duration) disturbance {
+func (t *disturbances) drawOfServer(s *server, duration time.Duration) disturbance {
 	p := t.play
 	switch t.rng.IntN(4) {
 	case 0:
 		state := []string{"draining", "removed"}[t.rng.IntN(2)]
-		return disturbance{state, s.uid, 2 * lasts, func(ctx context.Context, t *disturbance) error {
+		return disturbance{state, s.uid, 2 * duration, func(ctx context.Context, t *disturbance) error {
 			if err := p.list(s, func() error { s.setState(state, time.Now()); return nil }); err != nil {
 				return err
 			}
-			sleep(ctx, drainGrace+t.lasts)
+			sleep(ctx, drainGrace+t.duration)
 			return p.list(s, func() error { s.setState("up", time.Now()); return nil })
 		}}
 	case 1:
 		return disturbance{"restart cold", s.uid, warmupTime / 3, func(ctx context.Context, t *disturbance) error {
 			err := p.list(s, func() error { return s.restart(time.Now()) })
-			sleep(ctx, t.lasts)
+			sleep(ctx, t.duration)
 			return err
 		}}
 	}
 	how := 1 + behaviour(t.rng.IntN(int(behaviours)-1))
-	return disturbance{"server " + behaviourNames[how], s.uid, lasts, func(ctx context.Context, t *disturbance) error {
+	return disturbance{"server " + behaviourNames[how], s.uid, duration, func(ctx context.Context, t *disturbance) error {
 		s.how.Store(int32(how))
-		sleep(ctx, t.lasts)
+		sleep(ctx, t.duration)
 		s.how.Store(int32(behaves))
 		return nil
 	}}
 }
 
-// list changes an app server and tells all discoveries.
+// list changes an app server and publishes it to all discoveries.
 func (p *play) list(s *server, change func() error) error {
 	if err := change(); err != nil {
 		return err
@@ -247,7 +247,7 @@
 	for _, n := range p.nodes {
 		link := n.linkTo(s)
 		link.To(s.address())
-		n.tell(s)
+		n.publish(s)
 	}
 	return nil
 }
--- a/internal/trials/soak/journal.go
+++ b/internal/trials/soak/journal.go
@@ -11,9 +11,9 @@
 
 // Slack of what is judged, for the time that a busy machine takes.
 const (
-	lateSlack    = 500 * time.Millisecond // after a deadline, in which an answer earns nothing and is not lost (STANDING)
-	timeSlack    = 150 * time.Millisecond // of the time that an attempt tells, and of a drain's grace (STANDING)
-	goneSlack    = 100 * time.Millisecond // after a client's close, in which an attempt may begin (STANDING)
+	lateSlack    = 500 * time.Millisecond // after a deadline, in which an answer earns nothing and is not lost
+	timeSlack    = 150 * time.Millisecond // of the deadline that an attempt carries, and of the grace time of a drain
+	goneSlack    = 100 * time.Millisecond // after a client's close, in which an attempt may begin
 	defaultSlack = 150 * time.Millisecond // of the judge's own clock readings
 	maxListDelay = 6 * time.Second        // after which a change counts as told whatever befell the watch (PROTOCOL)
 	maxWrong     = 40                     // that are told of one play
@@ -28,7 +28,7 @@
 	slack time.Duration // see Options.Slack
 
 	mu        sync.Mutex
-	begun     time.Time
+	started   time.Time
 	requests  map[string]*request
 	keys      map[string]time.Time // when a cell first ran a key; it drops repeats within the window
 	hard      hardLimit
@@ -80,8 +80,8 @@
 		slack = defaultSlack
 	}
 	return &journal{
-		slack: slack,
-		begun: time.Now(), requests: make(map[string]*request), keys: make(map[string]time.Time),
+		slack:   slack,
+		started: time.Now(), requests: make(map[string]*request), keys: make(map[string]time.Time),
 		slowStart: make(map[*server]*warmupLoad), statuses: make(map[int]int), hard: hardLimit{hardBurst, time.Now()},
 	}
 }
@@ -96,7 +96,7 @@
 // addWrong is wrong with mu held.
 func (j *journal) addWrong(format string, args ...any) {
 	if len(j.errors) < maxWrong {
-		j.errors = append(j.errors, time.Since(j.begun).Round(time.Millisecond).String()+": "+fmt.Sprintf(format, args...))
+		j.errors = append(j.errors, time.Since(j.started).Round(time.Millisecond).String()+": "+fmt.Sprintf(format, args...))
 	}
 }
 
@@ -219,7 +219,7 @@
 		j.keys[slot] = at
 	}
 	j.effects++
-	r.effects = append(r.effects, s.uid+" at "+at.Sub(j.begun).Round(time.Millisecond).String())
+	r.effects = append(r.effects, s.uid+" at "+at.Sub(j.started).Round(time.Millisecond).String())
 	if len(r.effects) > 1 && r.class.effect != "free" {
 		j.addWrong("%s (%s, %s): ran twice: %v", id, r.class.name, r.node, r.effects)
 	}
--- a/internal/trials/soak/journal_test.go
+++ b/internal/trials/soak/journal_test.go
@@ -42,11 +42,11 @@
 	}, 1},
 	"no answer":         {readClass, func(j *journal, _ *server, r *request) { j.unanswered(r, "", "EOF") }, 1},
 	"no answer, killed": {readClass, func(j *journal, _ *server, r *request) { j.unanswered(r, "killed", "EOF") }, 0},
-	"ran twice": {onceClass, func(j *journal, s *server, r *request) {
+	"ran twice": {notIdempotentClass, func(j *journal, s *server, r *request) {
 		j.effect(s, r.id, "", r.sentAt)
 		j.effect(s, r.id, "", r.sentAt)
 	}, 1},
-	"refused after it ran": {onceClass, func(j *journal, s *server, r *request) {
+	"refused after it ran": {notIdempotentClass, func(j *journal, s *server, r *request) {
 		j.attempt(s, r.id, r.sentAt, "", true)
 		j.effect(s, r.id, "", r.sentAt)
 		j.answered(r, 503, "", "", r.sentAt)
--- a/internal/trials/soak/node.go
+++ b/internal/trials/soak/node.go
@@ -73,7 +73,7 @@
 		Env: []string{"NODE_CONFIG=" + n.configPath(), "NODE_LISTEN=" + n.address, "LOCKFLOW_TALLY=1", n.table.Environment()},
 	}
 	for _, s := range p.servers {
-		n.tell(s)
+		n.publish(s)
 	}
 	return n, n.writeConfiguration()
 }
@@ -108,8 +108,8 @@
 	return os.WriteFile(n.configPath(), configuration(n.index, n.play.Nodes, discovery), 0o600)
 }
 
-// tell has both discoveries list a server as it is now.
-func (n *node) tell(s *server) {
+// publish updates the entry of a server in both discoveries.
+func (n *node) publish(s *server) {
 	s.mu.Lock()
 	entry := fake.Entry{
 		UID: s.uid, Endpoint: n.linkTo(s).Addr(), Zone: fmt.Sprint("z", s.cell%2), Model: "m", Group: s.cell, State: s.state, Capacity: 1,
@@ -141,7 +141,7 @@
 
 // awaitReady waits until the node answers its health check.
 func (n *node) awaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	for {
@@ -158,7 +158,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("it is not ready within %v", readyWithin)
+			return fmt.Errorf("it is not ready within %v", readyTimeout)
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
--- a/internal/trials/soak/settings.go
+++ b/internal/trials/soak/settings.go
@@ -15,8 +15,8 @@
 var (
 	readClass           = class{name: "read", effect: "free", scope: "all", deadline: 600 * time.Millisecond, window: time.Second}
 	idempotencyKeyClass = class{name: "keyed", effect: "guarded", scope: "cell", deadline: 900 * time.Millisecond, window: 2 * time.Second}
-	onceClass           = class{name: "once", effect: "single_shot", scope: "all", deadline: 700 * time.Millisecond, window: time.Second}
-	classes             = []class{readClass, idempotencyKeyClass, onceClass}
+	notIdempotentClass  = class{name: "once", effect: "single_shot", scope: "all", deadline: 700 * time.Millisecond, window: time.Second}
+	classes             = []class{readClass, idempotencyKeyClass, notIdempotentClass}
 )
 
 // Terms of the settings that the judge needs.
--- a/internal/trials/soak/soak.go
+++ b/internal/trials/soak/soak.go
@@ -26,7 +26,7 @@
 	Servers      int
 	Clients      int // of each node
 	Disturbances int // that begin in each second
-	Lasts        time.Duration
+	Duration     time.Duration
 	Seed         uint64
 	// Slack is what the judge adds to each time limit for its own clock readings, and the time that a process waits for a
 	// processor on a busy machine; 0 is 150 ms, with which the nodes' own word of late answers counts too.
@@ -52,8 +52,8 @@
 
 // Bounds of what a play waits for.
 const (
-	readyWithin = 30 * time.Second // of a node (STANDING)
-	calmTime    = time.Second      // without disturbances, before and after them
+	readyTimeout = 30 * time.Second // of a node
+	calmTime     = time.Second      // without disturbances, before and after them
 )
 
 // play is one run.
--- a/internal/trials/soak/soak_test.go
+++ b/internal/trials/soak/soak_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	report, err := Run(t.Context(), Options{Program: program, Dir: dir, Nodes: 4, Servers: 5, Clients: 4, Disturbances: 6, Lasts: 4 * time.Second, Seed: seed, Slack: busySlack})
+	report, err := Run(t.Context(), Options{Program: program, Dir: dir, Nodes: 4, Servers: 5, Clients: 4, Disturbances: 6, Duration: 4 * time.Second, Seed: seed, Slack: busySlack})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/trials/versionskew/compare.go
+++ b/internal/trials/versionskew/compare.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return state.Checkpoint{}, nil, err
 	}
-	again, err := state.Encode(decoded)
+	encoded, err := state.Encode(decoded)
 	if err != nil {
 		return state.Checkpoint{}, nil, err
 	}
@@ -31,7 +31,7 @@
 	if err := cbor.Unmarshal(raw[stateHeader:], &before); err != nil {
 		return state.Checkpoint{}, nil, fmt.Errorf("reading a checkpoint: %w", err)
 	}
-	if err := cbor.Unmarshal(again[stateHeader:], &after); err != nil {
+	if err := cbor.Unmarshal(encoded[stateHeader:], &after); err != nil {
 		return state.Checkpoint{}, nil, fmt.Errorf("reading a checkpoint: %w", err)
 	}
 	return decoded, differences(before, after, reflect.DeepEqual), nil
@@ -43,11 +43,11 @@
 	if err := json.Unmarshal(raw, &decoded); err != nil {
 		return decoded, nil, fmt.Errorf("reading a status: %w", err)
 	}
-	again, err := json.Marshal(decoded)
+	encoded, err := json.Marshal(decoded)
 	if err != nil {
 		return decoded, nil, fmt.Errorf("writing a status: %w", err)
 	}
-	paths, err := jsonDifferences(raw, again, reflect.DeepEqual)
+	paths, err := jsonDifferences(raw, encoded, reflect.DeepEqual)
 	return decoded, paths, err
 }
 
--- a/internal/trials/versionskew/load.go
+++ b/internal/trials/versionskew/load.go
@@ -72,7 +72,7 @@
 // load is clients that send while processes change.
 type load struct {
 	stop    context.CancelFunc
-	begun   time.Time
+	started time.Time
 	clients []*fake.Run // of the standard plan: with connections that they keep, and with new ones
 	limited *fake.Run
 
@@ -84,7 +84,7 @@
 // startLoad starts twice n clients within their limits, and some that ask for more than theirs.
 func startLoad(ctx context.Context, addr string, n int) *load {
 	ctx, stop := context.WithCancel(ctx)
-	l := &load{stop: stop, begun: time.Now(), changed: make(chan struct{})}
+	l := &load{stop: stop, started: time.Now(), changed: make(chan struct{})}
 	standard := fake.Clients{Addr: addr, Workers: n, Seed: 1, Call: standardCall, Seen: func(fake.Answer) { l.count() }}
 	fresh := standard
 	fresh.Fresh, fresh.Seed = true, 2
@@ -121,8 +121,8 @@
 	l.changed = make(chan struct{})
 }
 
-// seen is the number of answers so far, and a channel that is closed at the next one.
-func (l *load) seen() (int, <-chan struct{}) {
+// progress returns the number of answers so far, and a channel that is closed at the next one.
+func (l *load) progress() (int, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.answered, l.changed
@@ -130,10 +130,10 @@
 
 // await waits for n more answers.
 func (l *load) await(ctx context.Context, n int) error {
-	until, _ := l.seen()
+	until, _ := l.progress()
 	until += n
 	for {
-		now, changed := l.seen()
+		now, changed := l.progress()
 		if now >= until {
 			return nil
 		}
@@ -154,7 +154,7 @@
 		r.Reads.add(results[kindRead])
 	}
 	r.Limited.add(l.limited.Wait()[kindLimited])
-	r.Limit.Allowed = time.Since(l.begun).Seconds() * limitedRate * limitedCustomers
+	r.Limit.Allowed = time.Since(l.started).Seconds() * limitedRate * limitedCustomers
 	r.Limit.Excess, r.Limit.Units = b.limit.Over()
 	counts := b.Tally.Counts()
 	r.Servers = ServerReport{DuplicateEffects: counts.Twice, ConcurrentAttempts: counts.MostAtOne}
@@ -179,7 +179,7 @@
 	url := fmt.Sprintf("http://%s/roster-read/week?account=%016x", addr, reservedCustomer)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
-		return fmt.Errorf("asking as the reserved customer: %w", err)
+		return fmt.Errorf("sending as the reserved customer: %w", err)
 	}
 	request.Host = "care.example"
 	id := "reserved-" + strconv.FormatInt(time.Now().UnixNano(), 16)
@@ -191,15 +191,15 @@
 	}
 	response, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(request)
 	if err != nil {
-		return fmt.Errorf("asking as the reserved customer: %w", err)
+		return fmt.Errorf("sending as the reserved customer: %w", err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return fmt.Errorf("asking as the reserved customer: %w", err)
+		return fmt.Errorf("sending as the reserved customer: %w", err)
 	}
 	if response.StatusCode != http.StatusOK || !strings.HasSuffix(string(body), " "+id) {
-		return fmt.Errorf("asking as the reserved customer: %s: %s", response.Status, body)
+		return fmt.Errorf("sending as the reserved customer: %s: %s", response.Status, body)
 	}
 	return nil
 }
--- a/internal/trials/versionskew/report.go
+++ b/internal/trials/versionskew/report.go
@@ -23,8 +23,8 @@
 // Step is one change from a process to the next.
 type Step struct {
 	Name string `json:"name"`
-	// Took is the time until the old process had ended.
-	Took time.Duration `json:"took_ns"`
+	// Duration is the time until the old process had ended.
+	Duration time.Duration `json:"took_ns"`
 	// Requests are those within their limits that were answered since the step before.
 	Requests int `json:"requests"`
 	// Tokens are left in the reserved customer's hard-limit bucket, by the old and the new process's checkpoint.
@@ -77,7 +77,7 @@
 	var table, rest strings.Builder
 	fmt.Fprintln(&table, "step\ttook ms\trequests before\ttokens before\ttokens after\tconcurrency limit before\tafter\t")
 	for _, s := range r.Steps {
-		fmt.Fprintf(&table, "%s\t%d\t%d\t%.2f\t%.2f\t%.1f\t%.1f\t\n", s.Name, s.Took.Milliseconds(), s.Requests, s.Tokens[0], s.Tokens[1],
+		fmt.Fprintf(&table, "%s\t%d\t%d\t%.2f\t%.2f\t%.1f\t%.1f\t\n", s.Name, s.Duration.Milliseconds(), s.Requests, s.Tokens[0], s.Tokens[1],
 			s.Concurrency[0], s.Concurrency[1])
 	}
 	fmt.Fprintln(&table, "\nrequests\tsent\tserved\trejected\tfailed\tunanswered\tmismatched\tno connection\tp99 ms\t")
--- a/internal/trials/versionskew/trial.go
+++ b/internal/trials/versionskew/trial.go
@@ -177,20 +177,20 @@
 		return err
 	}
 	step.Tokens[0] = tokens(settled)
-	begun := time.Now()
+	started := time.Now()
 	first, err := t.replace(ctx, to, before.PID)
 	if err != nil {
 		return err
 	}
-	step.Took = time.Since(begun)
+	step.Duration = time.Since(started)
 	step.Concurrency = [2]float64{concurrency(before), concurrency(first)}
 	step.Tokens[1] = t.tokensLike(ctx, to, step.Tokens[0])
-	answered, _ := t.load.seen()
+	answered, _ := t.load.progress()
 	step.Requests, t.answered = answered-t.answered, answered
 	t.report.Steps = append(t.report.Steps, step)
 	t.compareTokens(step)
 	t.compareConcurrency(step)
-	_, _ = fmt.Fprintf(t.Progress, "%s: %v\n", step.Name, step.Took.Round(time.Millisecond))
+	_, _ = fmt.Fprintf(t.Progress, "%s: %v\n", step.Name, step.Duration.Round(time.Millisecond))
 	after, err := t.daemon.client.Status(ctx)
 	if err != nil {
 		return err
@@ -269,7 +269,7 @@
 	}
 	for _, pair := range t.directions() {
 		from, to := pair[0], pair[1]
-		begun := time.Now()
+		started := time.Now()
 		status, err := t.start(ctx, to, t.addr)
 		if err != nil {
 			return err
@@ -284,7 +284,7 @@
 		if err := t.stop(ctx); err != nil {
 			return err
 		}
-		step.Took = time.Since(begun)
+		step.Duration = time.Since(started)
 		after, err := t.readCheckpoint(to.name)
 		if err != nil {
 			return err
@@ -330,8 +330,8 @@
 		if paths, err := keyDifferences(raw, printed); err != nil || len(paths) > 0 {
 			t.report.violation("status of the %s build as the %s build prints it: %v %s", serving.name, reader.name, err, strings.Join(paths, " "))
 		}
-		if again, _, err := statusDifferences(printed); err != nil || again.PID != decoded.PID || again.ConfigHash != decoded.ConfigHash || again.Epoch != decoded.Epoch {
-			t.report.violation("status of the %s build as the %s build prints it: process %d, epoch %d: %v", serving.name, reader.name, again.PID, again.Epoch, err)
+		if printedStatus, _, err := statusDifferences(printed); err != nil || printedStatus.PID != decoded.PID || printedStatus.ConfigHash != decoded.ConfigHash || printedStatus.Epoch != decoded.Epoch {
+			t.report.violation("status of the %s build as the %s build prints it: process %d, epoch %d: %v", serving.name, reader.name, printedStatus.PID, printedStatus.Epoch, err)
 		}
 	}
 	return nil
