--- a/internal/command/replay.go
+++ b/internal/command/replay.go
@@ -99,7 +99,10 @@
 		return replayed{}, fmt.Errorf("replaying %s: %w", path, err)
 	}
 	out := replayed{File: path, Same: true}
-	out.Service, out.At, out.Lost = r.Service()
+	section := r.Section()
+	out.Service = section.Service
+	out.At = section.StartedAt
+	out.Lost = section.LostEvents
 	var before []string
 	out.Events, out.Digest, err = r.Replay(func(s record.Step) error {
 		if p.steps && (p.id == "" || about(s, p.id)) {
--- a/internal/record/digest.go
+++ b/internal/record/digest.go
@@ -8,50 +8,67 @@
 	"lockflow/control"
 )
 
-// Digest appends actions to b in a form of their own: equal actions give equal bytes.
-func Digest(b []byte, actions []control.Action) []byte {
-	text := func(s string) {
-		b = binary.AppendUvarint(b, uint64(len(s)))
-		b = append(b, s...)
+// actionCode tells the types of actions in a digest. The numbers are part of what recordings hold.
+type actionCode = byte
+
+const (
+	codeSend actionCode = iota + 1
+	codeCancelAttempt
+	codeReject
+	codeFail
+	codeStartTimer
+	codeDisconnect
+	codeLogLine
+	codeAddToCounter
+	codeRareAction // all others, with a text
+)
+
+// Digest appends actions to buffer in a form of their own, and returns it: equal actions give equal bytes. The form is
+// part of what recordings hold; it has some fields of the actions only.
+func Digest(buffer []byte, actions []control.Action) []byte {
+	for _, action := range actions {
+		buffer = appendAction(buffer, action)
 	}
-	for _, a := range actions {
-		switch a := a.(type) {
-		case control.Send:
-			b = append(b, 1)
-			text(a.ID)
-			b = binary.AppendUvarint(binary.AppendVarint(b, int64(a.Timeout)), uint64(a.Server))
-		case control.CancelAttempt:
-			b = append(b, 2)
-			text(a.ID)
-			b = binary.AppendVarint(b, int64(a.Attempt))
-		case control.Reject:
-			b = append(b, 3)
-			text(a.ID)
-			b = binary.AppendVarint(b, int64(a.RetryAfter))
-		case control.Fail:
-			b = append(b, 4)
-			text(a.ID)
-		case control.StartTimer:
-			b = binary.AppendUvarint(binary.AppendVarint(append(b, 5), int64(a.After)), a.Label)
-		case control.Disconnect:
-			b = binary.AppendUvarint(append(b, 6), uint64(a.Server))
-		case control.LogLine:
-			b = append(b, 7)
-			text(a.Text)
-		case control.AddToCounter:
-			b = binary.AppendUvarint(append(b, 8), math.Float64bits(a.Add))
-		default:
-			b = append(b, 9)
-			text(rareActionText(a))
-		}
+	return buffer
+}
+
+func appendAction(buffer []byte, action control.Action) []byte {
+	switch a := action.(type) {
+	case control.Send:
+		buffer = appendText(append(buffer, codeSend), a.ID)
+		buffer = binary.AppendVarint(buffer, int64(a.Timeout))
+		return binary.AppendUvarint(buffer, uint64(a.Server))
+	case control.CancelAttempt:
+		buffer = appendText(append(buffer, codeCancelAttempt), a.ID)
+		return binary.AppendVarint(buffer, int64(a.Attempt))
+	case control.Reject:
+		buffer = appendText(append(buffer, codeReject), a.ID)
+		return binary.AppendVarint(buffer, int64(a.RetryAfter))
+	case control.Fail:
+		return appendText(append(buffer, codeFail), a.ID)
+	case control.StartTimer:
+		buffer = binary.AppendVarint(append(buffer, codeStartTimer), int64(a.After))
+		return binary.AppendUvarint(buffer, a.Label)
+	case control.Disconnect:
+		return binary.AppendUvarint(append(buffer, codeDisconnect), uint64(a.Server))
+	case control.LogLine:
+		return appendText(append(buffer, codeLogLine), a.Text)
+	case control.AddToCounter:
+		return binary.AppendUvarint(append(buffer, codeAddToCounter), math.Float64bits(a.Add))
+	default:
+		return appendText(append(buffer, codeRareAction), rareActionText(a))
 	}
-	return b
+}
+
+func appendText(buffer []byte, text string) []byte {
+	buffer = binary.AppendUvarint(buffer, uint64(len(text)))
+	return append(buffer, text...)
 }
 
 // rareActionText is the text by which Digest tells an action without a form of its own. It is part of
 // what recordings hold, so it stays as it is whatever the types and fields are called.
-func rareActionText(a control.Action) string {
-	switch a := a.(type) {
+func rareActionText(action control.Action) string {
+	switch a := action.(type) {
 	case control.CheckHealth:
 		return fmt.Sprintf("control.Probe {Server:%d}", a.Server)
 	case control.WatchEndpoints:
--- a/internal/record/event.go
+++ b/internal/record/event.go
@@ -1,44 +1,70 @@
 package record
 
 import (
+	"fmt"
+
 	"github.com/fxamacker/cbor/v2"
 
 	"lockflow/control"
 	"lockflow/internal/codec"
 )
 
-// eventDecoders are events by the number that a recording has for them, from 1 on.
-var eventDecoders = []func(cbor.RawMessage) (control.Event, error){
-	decodeEvent[control.EndpointList], decodeEvent[control.Request], decodeEvent[control.ResponseStarted],
-	decodeEvent[control.AttemptResult], decodeEvent[control.ClientGone], decodeEvent[control.TimerFired], decodeEvent[control.HealthCheckResult], decodeEvent[control.PeerMessage], decodeEvent[control.CounterResult],
+// eventKind is the number by which recordings tell the types of events.
+type eventKind uint8
+
+// The kinds. Their numbers are stored.
+const (
+	kindEndpointList eventKind = iota + 1
+	kindRequest
+	kindResponseStarted
+	kindAttemptResult
+	kindClientGone
+	kindTimerFired
+	kindHealthCheckResult
+	kindPeerMessage
+	kindCounterResult
+)
+
+// eventDecoders are the decoders of the events' bodies.
+var eventDecoders = map[eventKind]func(cbor.RawMessage) (control.Event, error){
+	kindEndpointList:      decodeEvent[control.EndpointList],
+	kindRequest:           decodeEvent[control.Request],
+	kindResponseStarted:   decodeEvent[control.ResponseStarted],
+	kindAttemptResult:     decodeEvent[control.AttemptResult],
+	kindClientGone:        decodeEvent[control.ClientGone],
+	kindTimerFired:        decodeEvent[control.TimerFired],
+	kindHealthCheckResult: decodeEvent[control.HealthCheckResult],
+	kindPeerMessage:       decodeEvent[control.PeerMessage],
+	kindCounterResult:     decodeEvent[control.CounterResult],
 }
 
-func decodeEvent[E control.Event](raw cbor.RawMessage) (control.Event, error) {
-	var e E
-	err := codec.Decoder.Unmarshal(raw, &e)
-	return e, err
+func decodeEvent[E control.Event](body cbor.RawMessage) (control.Event, error) {
+	var event E
+	err := codec.Decoder.Unmarshal(body, &event)
+	return event, err
 }
 
-func kindOf(e control.Event) uint8 {
-	switch e.(type) {
+// kindOf returns the kind of an event, or an error for a type that recordings don't know.
+func kindOf(event control.Event) (eventKind, error) {
+	switch event.(type) {
 	case control.EndpointList:
-		return 1
+		return kindEndpointList, nil
 	case control.Request:
-		return 2
+		return kindRequest, nil
 	case control.ResponseStarted:
-		return 3
+		return kindResponseStarted, nil
 	case control.AttemptResult:
-		return 4
+		return kindAttemptResult, nil
 	case control.ClientGone:
-		return 5
+		return kindClientGone, nil
 	case control.TimerFired:
-		return 6
+		return kindTimerFired, nil
 	case control.HealthCheckResult:
-		return 7
+		return kindHealthCheckResult, nil
 	case control.PeerMessage:
-		return 8
+		return kindPeerMessage, nil
 	case control.CounterResult:
-		return 9
+		return kindCounterResult, nil
 	}
-	return 0
+	return 0, fmt.Errorf("recordings have no events of type %T", event)
 }
--- /dev/null
+++ b/internal/record/frame.go
@@ -0,0 +1,46 @@
+package record
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+
+	"lockflow/internal/codec"
+)
+
+const (
+	fileMagic       = "lockflow recording\n"
+	frameHeaderSize = 4 + 4     // the body's length and its checksum
+	maxFrameBytes   = 256 << 20 // of a body that is read
+)
+
+var errAlteredFrame = errors.New("a frame was altered: its checksum differs")
+
+// appendFrame appends a frame with this body to buffer.
+func appendFrame(buffer, body []byte) []byte {
+	buffer = binary.BigEndian.AppendUint32(buffer, uint32(len(body)))
+	buffer = binary.BigEndian.AppendUint32(buffer, codec.Sum(body))
+	return append(buffer, body...)
+}
+
+// readFrame returns the body of the next frame. The error is io.EOF at the end, also where that cuts a frame off: the
+// process may have been killed.
+func readFrame(source io.Reader) ([]byte, error) {
+	var header [frameHeaderSize]byte
+	if _, err := io.ReadFull(source, header[:]); err != nil {
+		return nil, io.EOF
+	}
+	size := binary.BigEndian.Uint32(header[:])
+	if size > maxFrameBytes {
+		return nil, fmt.Errorf("a frame has %d bytes, more than %d", size, maxFrameBytes)
+	}
+	body, err := io.ReadAll(io.LimitReader(source, int64(size)))
+	if err != nil || len(body) < int(size) {
+		return nil, io.EOF
+	}
+	if codec.Sum(body) != binary.BigEndian.Uint32(header[4:]) {
+		return nil, errAlteredFrame
+	}
+	return body, nil
+}
--- a/internal/record/keys_test.go
+++ b/internal/record/keys_test.go
@@ -32,8 +32,8 @@
 		t.Fatalf("%d events are checked, recordings know %d", len(events), len(eventDecoders))
 	}
 	for i, e := range events {
-		if kind := kindOf(e.(control.Event)); int(kind) != i+1 {
-			t.Errorf("%T is number %d, not %d", e, kind, i+1)
+		if kind, err := kindOf(e.(control.Event)); err != nil || int(kind) != i+1 {
+			t.Errorf("%T is number %d, not %d: %v", e, kind, i+1, err)
 		}
 	}
 }
--- a/internal/record/reader.go
+++ b/internal/record/reader.go
@@ -2,7 +2,6 @@
 
 import (
 	"compress/gzip"
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"io"
@@ -14,111 +13,117 @@
 	"lockflow/internal/codec"
 )
 
-// Reader reads a section.
+// ErrNotRecording is the error of Open for what is no recording at all.
+var ErrNotRecording = errors.New("not a recording")
+
+// Section is what a section says of itself.
+type Section struct {
+	Service    string
+	StartedAt  time.Time
+	LostEvents int64 // losses of the module before the section
+}
+
+// Step is an event with the actions by which the resumed module answers it.
+type Step struct {
+	Now          time.Duration
+	Event        control.Event
+	Actions      []control.Action // valid until the next step
+	IsAsRecorded bool             // the recorded module answered it by the same actions
+}
+
+// Reader reads a section. It is not safe for concurrent use.
 type Reader struct {
-	in     io.Reader
+	source io.Reader // behind the header
 	header sectionHeader
 }
 
-// Open reads a section's beginning.
-func Open(in io.Reader) (*Reader, error) {
-	z, err := gzip.NewReader(in)
+// Open reads the beginning of a section. The error wraps ErrNotRecording for what is none; a recording may also be
+// damaged, or of another Version.
+func Open(source io.Reader) (*Reader, error) {
+	decompressor, err := gzip.NewReader(source)
 	if err != nil {
-		return nil, fmt.Errorf("no recording: %w", err)
+		return nil, fmt.Errorf("%w: %w", ErrNotRecording, err)
 	}
-	return readHeader(z)
+	return readHeader(decompressor)
 }
 
-// readHeader reads the beginning of what was compressed.
-func readHeader(in io.Reader) (*Reader, error) {
-	r := &Reader{in: in}
-	got := make([]byte, len(fileMagic))
-	if _, err := io.ReadFull(in, got); err != nil || string(got) != fileMagic {
-		return nil, errors.New("no recording")
+// readHeader reads the beginning of a section that is not compressed.
+func readHeader(source io.Reader) (*Reader, error) {
+	magic := make([]byte, len(fileMagic))
+	if _, err := io.ReadFull(source, magic); err != nil || string(magic) != fileMagic {
+		return nil, ErrNotRecording
 	}
-	raw, err := r.readFrame()
-	if err == nil {
-		err = codec.Decoder.Unmarshal(raw, &r.header)
+	r := &Reader{source: source}
+	body, err := readFrame(source)
+	if err != nil {
+		return nil, fmt.Errorf("reading the recording's header: %w", err)
 	}
-	if err == nil && r.header.Version != Version {
-		err = fmt.Errorf("it is of version %d, not %d", r.header.Version, Version)
+	if err := codec.Decoder.Unmarshal(body, &r.header); err != nil {
+		return nil, fmt.Errorf("reading the recording's header: %w", err)
 	}
-	if err != nil {
-		return nil, fmt.Errorf("reading the recording's head: %w", err)
+	if r.header.Version != Version {
+		return nil, fmt.Errorf("reading the recording's header: it is of version %d, not %d", r.header.Version, Version)
 	}
 	return r, nil
 }
 
-// readFrame reads one; io.EOF is the end, also in the middle of one: the process may have been killed.
-func (r *Reader) readFrame() ([]byte, error) {
-	var h [8]byte
-	if _, err := io.ReadFull(r.in, h[:]); err != nil {
-		return nil, io.EOF
-	}
-	n := binary.BigEndian.Uint32(h[:])
-	if n > maxFrameBytes {
-		return nil, fmt.Errorf("a frame of %d bytes", n)
+// Section returns what the section says of itself.
+func (r *Reader) Section() Section {
+	return Section{
+		Service:    r.header.Service,
+		StartedAt:  r.header.StartedAt,
+		LostEvents: r.header.LostEvents,
 	}
-	raw, err := io.ReadAll(io.LimitReader(r.in, int64(n)))
-	if err != nil || len(raw) < int(n) {
-		return nil, io.EOF
-	}
-	if codec.Sum(raw) != binary.BigEndian.Uint32(h[4:]) {
-		return nil, errors.New("a frame that was altered")
-	}
-	return raw, nil
-}
-
-// Service is whose recording it is, At when the section began, and Lost how many events came
-// before it that are in none.
-func (r *Reader) Service() (name string, at time.Time, lost int64) {
-	return r.header.Service, r.header.StartedAt, r.header.LostEvents
 }
 
-// Settings are those of the module.
+// Settings returns the settings of the recorded module.
 func (r *Reader) Settings() control.Settings { return r.header.Settings }
 
-// Step is one event with what answered it when it is played again.
-type Step struct {
-	Now          time.Duration
-	Event        control.Event
-	Actions      []control.Action
-	IsAsRecorded bool // they are those that were recorded
-}
-
-// Replay resumes the module and has it take the section's events, up to the end or to an error of do.
-// It gives how many there were and a digest over all actions.
-func (r *Reader) Replay(do func(Step) error) (n int, sum uint64, err error) {
-	c, err := control.Resume(r.header.Settings, r.header.Image)
+// Replay resumes the module and has it handle the section's events. It calls handle after each, and ends with the
+// section or with an error of handle, which it returns. It returns the number of events and a digest of all actions,
+// also with an error. It can be called once.
+func (r *Reader) Replay(handle func(Step) error) (events int, digest uint64, err error) {
+	controller, err := control.Resume(r.header.Settings, r.header.Image)
 	if err != nil {
 		return 0, 0, fmt.Errorf("resuming the module: %w", err)
 	}
 	all := xxhash.New()
 	for {
-		raw, err := r.readFrame()
+		body, err := readFrame(r.source)
 		if errors.Is(err, io.EOF) {
-			return n, all.Sum64(), nil
-		}
-		var o recordedEvent
-		if err == nil {
-			err = codec.Decoder.Unmarshal(raw, &o)
+			return events, all.Sum64(), nil
 		}
-		if err == nil && (o.Kind == 0 || int(o.Kind) > len(eventDecoders)) {
-			err = fmt.Errorf("an event of kind %d", o.Kind)
-		}
-		var e control.Event
-		if err == nil {
-			e, err = eventDecoders[o.Kind-1](o.Body)
+		if err != nil {
+			return events, all.Sum64(), fmt.Errorf("event %d: %w", events+1, err)
 		}
+		recorded, event, err := decodeRecorded(body)
 		if err != nil {
-			return n, all.Sum64(), fmt.Errorf("event %d: %w", n+1, err)
+			return events, all.Sum64(), fmt.Errorf("event %d: %w", events+1, err)
 		}
-		actions := c.Handle(o.Now, e)
-		digest := Digest(nil, actions)
-		_, _ = all.Write(digest)
-		n++
-		if err := do(Step{o.Now, e, actions, xxhash.Sum64(digest) == o.Digest}); err != nil {
-			return n, all.Sum64(), err
+		actions := controller.Handle(recorded.Now, event)
+		actionDigest := Digest(nil, actions)
+		_, _ = all.Write(actionDigest) // never fails
+		events++
+		step := Step{
+			Now:          recorded.Now,
+			Event:        event,
+			Actions:      actions,
+			IsAsRecorded: xxhash.Sum64(actionDigest) == recorded.Digest,
 		}
+		if err := handle(step); err != nil {
+			return events, all.Sum64(), err
+		}
+	}
+}
+
+func decodeRecorded(body []byte) (recorded recordedEvent, event control.Event, err error) {
+	if err := codec.Decoder.Unmarshal(body, &recorded); err != nil {
+		return recorded, nil, err
+	}
+	decode, ok := eventDecoders[recorded.Kind]
+	if !ok {
+		return recorded, nil, fmt.Errorf("unknown kind %d", recorded.Kind)
 	}
+	event, err = decode(recorded.Body)
+	return recorded, event, err
 }
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,11 +1,15 @@
-// Package record keeps what a decision module was told and answered, in files that rotate, so that
-// its decisions can be played again. A file is a section: it begins with the module's settings and
-// whole state, so that it stands alone. Writing never waits: what can't be written in time ends the
-// section, and the next one tells how many events were lost between.
+// Package record writes what a decision module handled to files that rotate, so that its decisions can be replayed.
+//
+// A file is a section of a recording. It stands alone: compressed by gzip, it has fileMagic and then frames, each a
+// length and a checksum (four bytes each, big endian) before a body of CBOR. The first frame is a sectionHeader with the
+// module's settings and complete state, every other one a recordedEvent. An event may be cut off at the end, as the
+// process may have been killed.
+//
+// Recording never makes the module wait: a batch of events that the writer can't take at once is lost and ends the
+// section, and the header of the next one has the number of losses.
 package record
 
 import (
-	"encoding/binary"
 	"fmt"
 	"os"
 	"time"
@@ -14,29 +18,27 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"lockflow/control"
-	"lockflow/internal/codec"
 )
 
-// Version is that of the form. A reader takes its own only.
+// Version is the version of the files' form. A Reader takes no other one.
 const Version = 1
 
-// Suffix is that of the files' names.
+// Suffix is the suffix of the files' names.
 const Suffix = ".lfrec"
 
+// Limits of a recording.
 const (
-	fileMagic        = "lockflow recording\n"
-	filesPerService  = 4        // of a service, among which its bytes are divided
-	maxBatchBytes    = 64 << 10 // of events that are handed over at once
+	filesPerService  = 4        // among which Options.MaxBytes is divided
+	maxBatchBytes    = 64 << 10 // of events that are passed to the writer at once
 	maxBatchAge      = time.Second
-	maxQueuedBatches = 64        // batches that may wait to be written
-	maxFrameBytes    = 256 << 20 // of a frame that is read
+	maxQueuedBatches = 64 // that wait for the writer
 )
 
-// Options are where a service's recordings go.
+// Options says where a service's recording goes.
 type Options struct {
 	Service  string
-	Dir      string
-	MaxBytes int64 // of all its files, before they are compressed
+	Dir      string // is made where it is missing
+	MaxBytes int64  // of all files of the service, before they are compressed
 }
 
 // sectionHeader is the first frame of a section.
@@ -44,60 +46,58 @@
 	Version    int              `cbor:"Version"`
 	Service    string           `cbor:"Service"`
 	StartedAt  time.Time        `cbor:"At"`
-	LostEvents int64            `cbor:"Lost"` // events before this section that are in none
+	LostEvents int64            `cbor:"Lost"` // losses before this section, since the module was made
 	Settings   control.Settings `cbor:"Settings"`
 	Image      control.Image    `cbor:"Image"`
 }
 
-// recordedEvent is an event with a digest of the actions that answered it.
+// recordedEvent is an event and the digest of the actions that answered it. The order of its fields is stored.
 type recordedEvent struct {
 	_      struct{} `cbor:",toarray"`
 	Now    time.Duration
-	Kind   uint8
-	Body   cbor.RawMessage
-	Digest uint64
+	Kind   eventKind
+	Body   cbor.RawMessage // the event
+	Digest uint64          // xxHash of what Digest appends
 }
 
-// Module is a controller whose events are recorded. It is used by one goroutine.
+// Module is a controller whose events are recorded. As a controller, it is not safe for concurrent use.
 type Module struct {
 	*control.Controller
-	options    Options
-	settings   control.Settings
-	batches    chan []byte // nil begins a file
-	writerDone chan struct{}
+	options  Options
+	settings control.Settings
+	writer   *sectionWriter
 
 	needsSection   bool // the next event begins a section
 	batch          []byte
 	batchStartedAt time.Time
-	sectionBytes   int64 // of the section
+	sectionBytes   int64
 	lostEvents     int64
-	digest         []byte
+	digest         []byte // buffer for Handle
 }
 
-// New records a controller of some settings from its next event on. Close ends it.
-func New(c *control.Controller, set control.Settings, o Options) (*Module, error) {
-	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
+// New returns a module that records a controller with these settings from its next event on. Close ends it.
+func New(controller *control.Controller, settings control.Settings, options Options) (*Module, error) {
+	if err := os.MkdirAll(options.Dir, 0o700); err != nil {
 		return nil, fmt.Errorf("recording: %w", err)
 	}
-	m := &Module{Controller: c, options: o, settings: set, batches: make(chan []byte, maxQueuedBatches), writerDone: make(chan struct{}), needsSection: true}
-	go m.runWriter()
-	return m, nil
+	return &Module{
+		Controller:   controller,
+		options:      options,
+		settings:     settings,
+		writer:       startSectionWriter(options),
+		needsSection: true,
+	}, nil
 }
 
-// Handle has the controller take an event, and records it.
-func (m *Module) Handle(now time.Duration, e control.Event) []control.Action {
+// Handle has the controller handle an event, and records both. The slice is valid until the next call.
+func (m *Module) Handle(now time.Duration, event control.Event) []control.Action {
 	if m.needsSection {
 		m.startSection()
 	}
-	actions := m.Controller.Handle(now, e)
-	kind := kindOf(e)
-	body, err := cbor.Marshal(e)
-	if err == nil {
-		m.digest = Digest(m.digest[:0], actions)
-		body, err = cbor.Marshal(recordedEvent{Now: now, Kind: kind, Body: body, Digest: xxhash.Sum64(m.digest)})
-	}
-	if err != nil || kind == 0 {
-		m.recordLoss(1)
+	actions := m.Controller.Handle(now, event)
+	body, err := m.encodeEvent(now, event, actions)
+	if err != nil {
+		m.recordLoss()
 		return actions
 	}
 	m.appendFrame(body)
@@ -111,85 +111,95 @@
 	return actions
 }
 
-// Restore, Rejoin, HandOver and Alone change the controller by no event: another section begins.
+func (m *Module) encodeEvent(now time.Duration, event control.Event, actions []control.Action) ([]byte, error) {
+	kind, err := kindOf(event)
+	if err != nil {
+		return nil, err
+	}
+	body, err := cbor.Marshal(event)
+	if err != nil {
+		return nil, err
+	}
+	m.digest = Digest(m.digest[:0], actions)
+	return cbor.Marshal(recordedEvent{Now: now, Kind: kind, Body: body, Digest: xxhash.Sum64(m.digest)})
+}
+
+// Restore, ReclaimRates, HandOver and PredecessorEnded change the controller without an event. The section could not be
+// replayed beyond them, so another one begins.
 
-// Restore is the controller's.
-func (m *Module) Restore(now time.Duration, c control.Checkpoint, trust control.Trust) {
-	m.Controller.Restore(now, c, trust)
+// Restore is Controller.Restore.
+func (m *Module) Restore(now time.Duration, checkpoint control.Checkpoint, trust control.Trust) {
+	m.Controller.Restore(now, checkpoint, trust)
 	m.needsSection = true
 }
 
-// ReclaimRates is the controller's.
+// ReclaimRates is Controller.ReclaimRates.
 func (m *Module) ReclaimRates(now time.Duration, given *control.Checkpoint) {
 	m.Controller.ReclaimRates(now, given)
 	m.needsSection = true
 }
 
-// HandOver is the controller's.
-func (m *Module) HandOver(now time.Duration, give float64) control.Checkpoint {
-	defer func() { m.needsSection = true }()
-	return m.Controller.HandOver(now, give)
+// HandOver is Controller.HandOver.
+func (m *Module) HandOver(now time.Duration, fraction float64) control.Checkpoint {
+	m.needsSection = true
+	return m.Controller.HandOver(now, fraction)
 }
 
-// PredecessorEnded is the controller's.
+// PredecessorEnded is Controller.PredecessorEnded.
 func (m *Module) PredecessorEnded() {
 	m.Controller.PredecessorEnded()
 	m.needsSection = true
 }
 
-// Close writes what is left. Nothing may be handled any more.
+// Close writes what is left and waits for the writer. No method may be called after it. The error is always nil: the
+// writer logs its own.
 func (m *Module) Close() error {
 	m.flush()
-	close(m.batches)
-	<-m.writerDone
+	m.writer.close()
 	return nil
 }
 
 func (m *Module) startSection() {
 	m.flush()
-	m.needsSection, m.sectionBytes = false, 0
-	raw, err := cbor.Marshal(sectionHeader{Version, m.options.Service, time.Now(), m.lostEvents, m.settings, m.Image()})
-	if err != nil || !m.enqueue(nil) {
-		m.recordLoss(1)
+	m.needsSection = false
+	m.sectionBytes = 0
+	header, err := cbor.Marshal(sectionHeader{
+		Version:    Version,
+		Service:    m.options.Service,
+		StartedAt:  time.Now(),
+		LostEvents: m.lostEvents,
+		Settings:   m.settings,
+		Image:      m.Image(),
+	})
+	if err != nil || !m.writer.enqueue(batch{startsSection: true}) {
+		m.recordLoss()
 		return
 	}
-	m.appendFrame(raw)
+	m.appendFrame(header)
 	m.flush()
 }
 
-// appendFrame adds one with its length and sum.
-func (m *Module) appendFrame(raw []byte) {
+func (m *Module) appendFrame(body []byte) {
 	if len(m.batch) == 0 {
 		m.batchStartedAt = time.Now()
 	}
-	m.batch = binary.BigEndian.AppendUint32(m.batch, uint32(len(raw)))
-	m.batch = binary.BigEndian.AppendUint32(m.batch, codec.Sum(raw))
-	m.batch = append(m.batch, raw...)
-	m.sectionBytes += int64(len(raw)) + 8
+	m.batch = appendFrame(m.batch, body)
+	m.sectionBytes += int64(len(body)) + frameHeaderSize
 }
 
-// flush gives what has come together to the writer, who may be behind: then it is lost, and the
-// section ends here.
+// flush passes the batch to the writer. Where the writer can't take it, the batch is lost and the section ends.
 func (m *Module) flush() {
 	if len(m.batch) == 0 {
 		return
 	}
-	if !m.enqueue(m.batch) {
-		m.recordLoss(1)
+	if !m.writer.enqueue(batch{frames: m.batch}) {
+		m.recordLoss()
 	}
 	m.batch = nil
 }
 
-func (m *Module) enqueue(batch []byte) bool {
-	select {
-	case m.batches <- batch:
-		return true
-	default:
-		return false
-	}
-}
-
-func (m *Module) recordLoss(n int64) {
-	m.lostEvents += n
+// recordLoss counts a loss, of an event or of a batch, and ends the section.
+func (m *Module) recordLoss() {
+	m.lostEvents++
 	m.needsSection = true
 }
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -243,7 +243,7 @@
 	}
 }
 
-// Frames of any bytes, with sums that fit, are played or refused, with no panic.
+// Frames of any bytes, with checksums that fit, are replayed or rejected, with no panic.
 func FuzzFrames(f *testing.F) {
 	frame := func(b, raw []byte) []byte {
 		b = binary.BigEndian.AppendUint32(b, uint32(len(raw)))
@@ -261,7 +261,7 @@
 	f.Add(uint8(4), int64(1), []byte{0xa1, 0x61, 'N', 0x01})
 	f.Add(uint8(1), int64(-1), []byte{0xa0})
 	f.Fuzz(func(t *testing.T, kind uint8, now int64, body []byte) {
-		event, err := cbor.Marshal(recordedEvent{Now: time.Duration(now), Kind: kind, Body: body})
+		event, err := cbor.Marshal(recordedEvent{Now: time.Duration(now), Kind: eventKind(kind), Body: body})
 		if err != nil {
 			return // no CBOR
 		}
--- a/internal/record/section_writer.go
+++ b/internal/record/section_writer.go
@@ -11,54 +11,106 @@
 	"time"
 )
 
-// runWriter is the writer's goroutine: a file each section, the oldest removed.
-func (m *Module) runWriter() {
-	defer close(m.writerDone)
-	var file *os.File
-	var z *gzip.Writer
-	end := func() {
-		if file != nil {
-			if err := errors.Join(z.Close(), file.Close()); err != nil {
-				slog.Warn("recording: a section is not whole", "file", file.Name(), "err", err)
-			}
-			file = nil
-		}
+// batch is what a module passes to its writer: the beginning of a section, or frames of it.
+type batch struct {
+	startsSection bool
+	frames        []byte
+}
+
+// sectionWriter writes a file for each section and removes the oldest files. Its goroutine ends with close.
+type sectionWriter struct {
+	options Options
+	batches chan batch
+	done    chan struct{} // closed when the goroutine has ended
+
+	// The goroutine alone uses the fields below.
+
+	file       *os.File // nil between sections, and where one could not be opened
+	compressor *gzip.Writer
+}
+
+func startSectionWriter(options Options) *sectionWriter {
+	w := &sectionWriter{
+		options: options,
+		batches: make(chan batch, maxQueuedBatches),
+		done:    make(chan struct{}),
 	}
-	defer end()
-	for b := range m.batches {
-		if b == nil {
-			end()
-			f, err := m.createFile()
-			if err != nil {
-				slog.Warn("recording: no section can be begun", "dir", m.options.Dir, "err", err)
-				continue
-			}
-			file = f
-			z, _ = gzip.NewWriterLevel(file, gzip.BestSpeed) // an error is a level that is none
-			_, _ = z.Write([]byte(fileMagic))                // what fails shows at the end
-			continue
-		}
-		if file != nil {
-			if _, err := z.Write(b); err == nil {
-				_ = z.Flush()
-			}
+	go w.run()
+	return w
+}
+
+// enqueue passes a batch to the writer. It returns false, without waiting, where too many are queued.
+func (w *sectionWriter) enqueue(b batch) bool {
+	select {
+	case w.batches <- b:
+		return true
+	default:
+		return false
+	}
+}
+
+// close waits until all that is queued is written.
+func (w *sectionWriter) close() {
+	close(w.batches)
+	<-w.done
+}
+
+func (w *sectionWriter) run() {
+	defer close(w.done)
+	defer w.endSection()
+	for b := range w.batches {
+		if b.startsSection {
+			w.endSection()
+			w.startSection()
+		} else {
+			w.writeFrames(b.frames)
 		}
 	}
 }
 
-// createFile makes room for a file and opens it.
-func (m *Module) createFile() (*os.File, error) {
-	old, err := filepath.Glob(filepath.Join(m.options.Dir, m.options.Service+"-*"+Suffix))
+func (w *sectionWriter) startSection() {
+	file, err := w.createFile()
+	if err != nil {
+		slog.Warn("recording: section not started", "dir", w.options.Dir, "err", err)
+		return
+	}
+	w.file = file
+	w.compressor, _ = gzip.NewWriterLevel(file, gzip.BestSpeed) // fails for invalid levels only
+	_, _ = w.compressor.Write([]byte(fileMagic))                // endSection reports an error
+}
+
+func (w *sectionWriter) writeFrames(frames []byte) {
+	if w.file == nil {
+		return
+	}
+	if _, err := w.compressor.Write(frames); err == nil {
+		_ = w.compressor.Flush() // as in startSection
+	}
+}
+
+func (w *sectionWriter) endSection() {
+	if w.file == nil {
+		return
+	}
+	if err := errors.Join(w.compressor.Close(), w.file.Close()); err != nil {
+		slog.Warn("recording: section incomplete", "file", w.file.Name(), "err", err)
+	}
+	w.file = nil
+}
+
+// createFile creates a section's file, after it has removed the service's oldest files beyond the limit.
+func (w *sectionWriter) createFile() (*os.File, error) {
+	files, err := filepath.Glob(filepath.Join(w.options.Dir, w.options.Service+"-*"+Suffix))
 	if err != nil {
 		return nil, err
 	}
-	slices.Sort(old)
-	for len(old) >= filesPerService {
-		if err := os.Remove(old[0]); err != nil {
+	slices.Sort(files) // by age: names hold the time
+	for len(files) >= filesPerService {
+		if err := os.Remove(files[0]); err != nil {
 			return nil, err
 		}
-		old = old[1:]
+		files = files[1:]
 	}
-	name := fmt.Sprintf("%s-%020d%s", m.options.Service, time.Now().UnixNano(), Suffix)
-	return os.OpenFile(filepath.Join(m.options.Dir, name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
+	name := fmt.Sprintf("%s-%020d%s", w.options.Service, time.Now().UnixNano(), Suffix)
+	return os.OpenFile(filepath.Join(w.options.Dir, name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 }
