--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -20,7 +20,7 @@
 	return m
 }()
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Sum is CRC-32C of what is written: it tells what was damaged, not what was forged.
-func Sum(raw []byte) uint32 { return crc32.Checksum(raw, table) }
+// Checksum is CRC-32C of what is written: it tells what was damaged, not what was forged.
+func Checksum(raw []byte) uint32 { return crc32.Checksum(raw, castagnoli) }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -40,8 +40,8 @@
 	UpgradeSignals     <-chan os.Signal // each requests an upgrade
 }
 
-// eventBacklog is how many posted events wait for the event loop before a poster blocks.
-const eventBacklog = 64
+// maxQueuedEvents is how many posted events wait for the event loop before a poster blocks.
+const maxQueuedEvents = 64
 
 // daemon is one run.
 type daemon struct {
@@ -81,7 +81,7 @@
 		return err
 	}
 	defer d.close()
-	if d.isToStayDrained() {
+	if d.isDesiredDrained() {
 		drained, err := d.runDrained(ctx)
 		if drained == nil {
 			return err
@@ -95,9 +95,9 @@
 	return d.run(ctx)
 }
 
-// isToStayDrained tells whether the desired state is drained. A successor builds first: it was started by
+// isDesiredDrained tells whether the desired state is drained. A successor builds first: it was started by
 // a process that serves.
-func (d *daemon) isToStayDrained() bool {
+func (d *daemon) isDesiredDrained() bool {
 	return d.predecessor == nil && d.member.desiredState.Target.Drained
 }
 
@@ -105,7 +105,7 @@
 func prepare(o Options) (d *daemon, err error) {
 	d = &daemon{
 		opts:            o,
-		events:          make(chan event, eventBacklog),
+		events:          make(chan event, maxQueuedEvents),
 		loopEnded:       make(chan struct{}),
 		startedAt:       time.Now(),
 		endWhileDrained: make(chan struct{}, 1),
@@ -128,7 +128,7 @@
 		d.close()
 		return nil, err
 	}
-	if d.isToStayDrained() {
+	if d.isDesiredDrained() {
 		d.recoverCommand()
 	}
 	return d, nil
--- a/internal/daemon/drained.go
+++ b/internal/daemon/drained.go
@@ -18,7 +18,7 @@
 // drainedDaemon is a daemon whose desired state is drained: it holds its files and answers on its control socket,
 // so that it can be claimed and commanded, and has no listeners. A supervisor that restarts it finds it the same.
 type drainedDaemon struct {
-	d              *daemon
+	daemon         *daemon
 	serveRequested chan struct{} // closed, under mu, once it is to serve
 	resumed        chan struct{} // closed once resume has returned
 	resumeErr      error         // its result; read after resumed is closed
@@ -39,7 +39,7 @@
 	if d.cfg.Process.Control == "" {
 		return nil, errors.New("it is wanted drained, and has no control socket by which it could be told to serve")
 	}
-	r := &drainedDaemon{d: d, serveRequested: make(chan struct{}), resumed: make(chan struct{})}
+	r := &drainedDaemon{daemon: d, serveRequested: make(chan struct{}), resumed: make(chan struct{})}
 	if err := d.listenControl(r, false); err != nil {
 		return nil, err
 	}
@@ -64,7 +64,7 @@
 // awaitServeRequest returns true once the daemon is to serve, false once it is to end. Signals for a reload or an
 // upgrade are ignored: the configuration file is read when it serves.
 func (r *drainedDaemon) awaitServeRequest(ctx context.Context) bool {
-	reloads, upgrades := r.d.opts.ReloadSignals, r.d.opts.UpgradeSignals
+	reloads, upgrades := r.daemon.opts.ReloadSignals, r.daemon.opts.UpgradeSignals
 	for {
 		select {
 		case _, ok := <-reloads:
@@ -79,7 +79,7 @@
 			return true
 		case <-ctx.Done():
 			return false
-		case <-r.d.endWhileDrained:
+		case <-r.daemon.endWhileDrained:
 			return false
 		}
 	}
@@ -91,7 +91,7 @@
 		r.resumeErr = err
 		close(r.resumed)
 	}()
-	d := r.d
+	d := r.daemon
 	old := d.cfg.Process
 	if d.cfg, err = d.opts.LoadConfig(); err != nil {
 		return err
@@ -125,7 +125,7 @@
 func (r *drainedDaemon) Status() manage.Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	d := r.d
+	d := r.daemon
 	s := manage.Status{
 		PID:                os.Getpid(),
 		Program:            d.opts.Program,
@@ -164,7 +164,7 @@
 		return busyError("the daemon starts")
 	}
 	select {
-	case r.d.endWhileDrained <- struct{}{}:
+	case r.daemon.endWhileDrained <- struct{}{}:
 	default:
 	}
 	return nil
@@ -184,7 +184,7 @@
 	if r.isResuming() {
 		return nil
 	}
-	if err := r.d.member.setDrained(false); err != nil {
+	if err := r.daemon.member.setDrained(false); err != nil {
 		return err
 	}
 	close(r.serveRequested)
@@ -196,13 +196,13 @@
 	r.mu.Lock()
 	if !r.isResuming() {
 		defer r.mu.Unlock()
-		return r.d.member.grantEpoch(claim)
+		return r.daemon.member.grantEpoch(claim)
 	}
 	r.mu.Unlock()
 	if err := r.awaitResume(ctx); err != nil {
 		return err
 	}
-	return r.d.Claim(ctx, claim)
+	return r.daemon.Claim(ctx, claim)
 }
 
 // RunCommand implements manage.Daemon. A command to serve ends when the daemon serves.
@@ -214,7 +214,7 @@
 	if err := r.awaitResume(ctx); err != nil {
 		return err
 	}
-	return r.d.RunCommand(ctx, command)
+	return r.daemon.RunCommand(ctx, command)
 }
 
 // runCommand runs what a drained daemon can of a command. Where it returns false, d runs the command once it has
@@ -225,7 +225,7 @@
 	if r.isResuming() {
 		return false, nil
 	}
-	m := r.d.member
+	m := r.daemon.member
 	operation := command.Operation
 	next, step, outcome, err := m.desiredState.Accept(command)
 	switch {
@@ -255,7 +255,7 @@
 
 // replaceSettings replaces the configuration file, which is read when the daemon resumes.
 func (r *drainedDaemon) replaceSettings(operation desiredstate.Operation) error {
-	d := r.d
+	d := r.daemon
 	next, err := d.opts.ParseConfig([]byte(operation.Text))
 	if err != nil {
 		return err
--- a/internal/daemon/groupsize.go
+++ b/internal/daemon/groupsize.go
@@ -16,7 +16,7 @@
 func (d *daemon) watchGroupSize(ctx context.Context) {
 	ticker := time.NewTicker(groupSizeInterval)
 	defer ticker.Stop()
-	wasDoubted := make(map[string]bool) // by service
+	wasContradicted := make(map[string]bool) // by service
 	for {
 		select {
 		case <-ctx.Done():
@@ -28,15 +28,15 @@
 			name := conditionGroupSizePrefix + s.Name
 			low, high := s.GroupSizeRange[0], s.GroupSizeRange[1]
 			switch {
-			case s.IsGroupSizeDoubted && !wasDoubted[s.Name]:
+			case s.IsGroupSizeContradicted && !wasContradicted[s.Name]:
 				slog.Warn("configured group size contradicts load reports, limits and slow start depend on it", "service", s.Name,
 					"group_size", configured, "reported_min", math.Round(low), "reported_max", math.Round(high))
 				d.conditions.add(name, fmt.Sprintf("%d are told, reports speak for %.0f to %.0f", configured, low, high))
-			case !s.IsGroupSizeDoubted && wasDoubted[s.Name]:
+			case !s.IsGroupSizeContradicted && wasContradicted[s.Name]:
 				slog.Info("configured group size agrees with load reports again", "service", s.Name, "group_size", configured)
 				d.conditions.clear(name)
 			}
-			wasDoubted[s.Name] = s.IsGroupSizeDoubted
+			wasContradicted[s.Name] = s.IsGroupSizeContradicted
 		}
 	}
 }
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -191,8 +191,8 @@
 	return nil
 }
 
-// inLoop calls do in the event loop, or here where that has ended, and returns after it.
-func (d *daemon) inLoop(do func()) {
+// callInLoop calls do in the event loop, or here where that has ended, and returns after it.
+func (d *daemon) callInLoop(do func()) {
 	done := make(chan struct{})
 	d.post(loopCall{func() { do(); close(done) }})
 	select {
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -53,12 +53,12 @@
 // memberMetrics is the source of the metrics of a node that is a member of a fleet.
 type memberMetrics struct {
 	*node.Node
-	d *daemon
+	daemon *daemon
 }
 
 // Member implements metrics.Member.
 func (m memberMetrics) Member() manage.Status {
-	s := manage.Status{Statistics: m.d.instanceStats()}
-	m.d.inLoop(func() { m.d.addMemberStatus(&s) })
+	s := manage.Status{Statistics: m.daemon.instanceStats()}
+	m.daemon.callInLoop(func() { m.daemon.addMemberStatus(&s) })
 	return s
 }
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -31,7 +31,7 @@
 		Statistics:         d.instanceStats(),
 	}
 	s.Instance, s.Instances = d.node.Instance()
-	d.inLoop(func() {
+	d.callInLoop(func() {
 		s.State = d.machine.State().String()
 		if d.successor != nil {
 			s.SuccessorPID = d.successor.PID()
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -173,7 +173,7 @@
 	if s != nil {
 		cause = s.endCause
 		s.isDetached = true
-		d.takeBack(s)
+		d.reclaimFromSuccessor(s)
 	}
 	d.checkpointer.ownsFile.Store(true)
 	if s != nil && s.phase >= successorHasCheckpoint {
@@ -189,9 +189,9 @@
 	d.pendingUpgrades = nil
 }
 
-// takeBack takes back what a successor that has ended was sent, as far as it can't have spent it, and new
+// reclaimFromSuccessor takes back what a successor that has ended was sent, as far as it can't have spent it, and new
 // connections.
-func (d *daemon) takeBack(s *successor) {
+func (d *daemon) reclaimFromSuccessor(s *successor) {
 	switch s.phase {
 	case successorServing: // its part may be spent
 		d.node.Rejoin(nil)
--- a/internal/manage/golden_test.go
+++ b/internal/manage/golden_test.go
@@ -20,7 +20,7 @@
 // Bodies that clients of earlier builds send are accepted, and an unknown key is rejected.
 func TestBodiesOfEarlierClients(t *testing.T) {
 	f := fakeDaemon{make(chan string, 1)}
-	h := handler(func() Daemon { return f })
+	h := newHandler(func() Daemon { return f })
 	for _, c := range []struct{ path, body, does string }{
 		{"upgrade", `{"program":"/bin/new"}`, "upgrade /bin/new"},
 		{"drain", `{"keep":true}`, "drain true"},
--- a/internal/manage/handler.go
+++ b/internal/manage/handler.go
@@ -26,7 +26,7 @@
 	commandReads chan struct{} // slots for bodies of commands
 }
 
-func handler(daemon func() Daemon) http.Handler {
+func newHandler(daemon func() Daemon) http.Handler {
 	h := &handlers{daemon: daemon, commandReads: make(chan struct{}, maxCommandReads)}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/status", h.status)
--- a/internal/manage/server.go
+++ b/internal/manage/server.go
@@ -41,7 +41,7 @@
 
 // Server serves one control socket. A nil Server stands for a daemon without one: OwnsSocket and Close take it.
 type Server struct {
-	http       *http.Server
+	httpServer *http.Server
 	daemon     atomic.Pointer[Daemon]
 	path       string
 	socketInfo os.FileInfo   // of the socket that this server has made
@@ -57,15 +57,15 @@
 	}
 	s := &Server{path: path, socketInfo: info, done: make(chan struct{})}
 	s.SetDaemon(d)
-	s.http = &http.Server{
-		Handler:           handler(func() Daemon { return *s.daemon.Load() }),
+	s.httpServer = &http.Server{
+		Handler:           newHandler(func() Daemon { return *s.daemon.Load() }),
 		MaxHeaderBytes:    maxHeaderSize,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       headerTimeout,
 	}
 	go func() {
 		defer close(s.done)
-		_ = s.http.Serve(newOwnerListener(l)) // Close ends it
+		_ = s.httpServer.Serve(newOwnerListener(l)) // Close ends it
 	}()
 	return s, nil
 }
@@ -80,7 +80,7 @@
 		return
 	}
 	s.shutdown(closeTimeout)
-	s.http.Close()
+	s.httpServer.Close()
 	<-s.done
 	if s.OwnsSocket() {
 		_ = os.Remove(s.path) // one that stays is replaced by the next daemon: no process serves it
@@ -102,7 +102,7 @@
 func (s *Server) shutdown(timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	_ = s.http.Shutdown(ctx) // what is not answered in time is ended by Close
+	_ = s.httpServer.Shutdown(ctx) // what is not answered in time is ended by Close
 }
 
 // listen makes the socket at path.
@@ -200,12 +200,12 @@
 // slotConn frees its slot when it is closed.
 type slotConn struct {
 	net.Conn
-	slots chan struct{}
-	once  sync.Once
+	slots       chan struct{}
+	releaseOnce sync.Once
 }
 
 // Close closes the connection.
 func (c *slotConn) Close() error {
-	c.once.Do(func() { <-c.slots })
+	c.releaseOnce.Do(func() { <-c.slots })
 	return c.Conn.Close()
 }
--- a/internal/manage/server_test.go
+++ b/internal/manage/server_test.go
@@ -182,7 +182,7 @@
 		if e.server, err = Listen(path, e, false); err != nil {
 			t.Fatal(err)
 		}
-		e.server.http.RegisterOnShutdown(func() { close(e.closeBegun) })
+		e.server.httpServer.RegisterOnShutdown(func() { close(e.closeBegun) })
 		return e, Client{path}
 	}
 	e, c := begin()
--- a/internal/record/frame.go
+++ b/internal/record/frame.go
@@ -20,7 +20,7 @@
 // appendFrame appends a frame with this body to buffer.
 func appendFrame(buffer, body []byte) []byte {
 	buffer = binary.BigEndian.AppendUint32(buffer, uint32(len(body)))
-	buffer = binary.BigEndian.AppendUint32(buffer, codec.Sum(body))
+	buffer = binary.BigEndian.AppendUint32(buffer, codec.Checksum(body))
 	return append(buffer, body...)
 }
 
@@ -39,7 +39,7 @@
 	if err != nil || len(body) < int(size) {
 		return nil, io.EOF
 	}
-	if codec.Sum(body) != binary.BigEndian.Uint32(header[4:]) {
+	if codec.Checksum(body) != binary.BigEndian.Uint32(header[4:]) {
 		return nil, errAlteredFrame
 	}
 	return body, nil
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -247,7 +247,7 @@
 func FuzzFrames(f *testing.F) {
 	frame := func(b, raw []byte) []byte {
 		b = binary.BigEndian.AppendUint32(b, uint32(len(raw)))
-		return append(binary.BigEndian.AppendUint32(b, codec.Sum(raw)), raw...)
+		return append(binary.BigEndian.AppendUint32(b, codec.Checksum(raw)), raw...)
 	}
 	c, err := control.New(settings, 1)
 	if err != nil {
--- a/internal/service/server_ages.go
+++ b/internal/service/server_ages.go
@@ -73,8 +73,8 @@
 		return known.startedAt
 	}
 	startedAt := startByWallClock(bootMS, now)
-	isDoubtful := s.wasStepped(now) || startedAt.Before(s.lastListAt.Add(-maxListDelay))
-	if isDoubtful && startedAt.Before(s.lastListAt) {
+	isUncertain := s.wasStepped(now) || startedAt.Before(s.lastListAt.Add(-maxListDelay))
+	if isUncertain && startedAt.Before(s.lastListAt) {
 		startedAt = s.lastListAt
 	}
 	s.byUID[uid] = serverStart{bootMS, startedAt}
--- a/internal/service/status.go
+++ b/internal/service/status.go
@@ -29,9 +29,9 @@
 	// ConcurrencyLimit is how many attempts the module lets be in flight at once; 0 where it does not say.
 	ConcurrencyLimit float64 `json:"bound"`
 	// GroupSizeRange is the smallest and the largest group size that the servers' load reports are consistent
-	// with, zero where there are too few; IsGroupSizeDoubted is whether the configured one is not.
-	GroupSizeRange     [2]float64 `json:"group"`
-	IsGroupSizeDoubted bool       `json:"group_doubts"`
+	// with, zero where there are too few; IsGroupSizeContradicted is whether the configured one is not.
+	GroupSizeRange          [2]float64 `json:"group"`
+	IsGroupSizeContradicted bool       `json:"group_doubts"`
 }
 
 // Status returns what the service is doing. Where the service has ended, only what does not depend on its
@@ -65,6 +65,6 @@
 	st.HardLimits = l.hardLimitStatus()
 	if l.groupSizeEstimator != nil {
 		st.GroupSizeRange[0], st.GroupSizeRange[1], _ = l.groupSizeEstimator.Range(l.now())
-		st.IsGroupSizeDoubted = l.groupSizeEstimator.ContradictsConfiguration(l.now())
+		st.IsGroupSizeContradicted = l.groupSizeEstimator.ContradictsConfiguration(l.now())
 	}
 }
--- a/internal/state/checkpoint.go
+++ b/internal/state/checkpoint.go
@@ -58,7 +58,7 @@
 			return nil, fmt.Errorf("writing the state: %w", err)
 		}
 		if len(body) <= maxSize {
-			header := binary.BigEndian.AppendUint32([]byte(fileMagic), codec.Sum(body))
+			header := binary.BigEndian.AppendUint32([]byte(fileMagic), codec.Checksum(body))
 			return append(header, body...), nil
 		}
 		if !dropOlderHalf(&c) {
@@ -92,7 +92,7 @@
 		return c, fmt.Errorf("reading the state: %d bytes are more than %d", len(raw), maxSize)
 	}
 	body := raw[headerSize:]
-	if sum := binary.BigEndian.Uint32(raw[len(fileMagic):]); sum != codec.Sum(body) {
+	if sum := binary.BigEndian.Uint32(raw[len(fileMagic):]); sum != codec.Checksum(body) {
 		return c, errors.New("reading the state: damaged, the checksum differs")
 	}
 	if err := codec.Decoder.Unmarshal(body, &c); err != nil {
--- a/internal/state/checkpoint_test.go
+++ b/internal/state/checkpoint_test.go
@@ -71,7 +71,7 @@
 }
 
 func withChecksum(body []byte) []byte {
-	return append(binary.BigEndian.AppendUint32([]byte(fileMagic), codec.Sum(body)), body...)
+	return append(binary.BigEndian.AppendUint32([]byte(fileMagic), codec.Checksum(body)), body...)
 }
 
 // Encode drops the customers whose last request is the oldest from a checkpoint that is too large.
--- a/internal/trials/measure/fleet.go
+++ b/internal/trials/measure/fleet.go
@@ -145,7 +145,7 @@
 	}
 	r.play(ctx)
 	for _, a := range fleet.Ask(context.WithoutCancel(ctx), r.run.Members) {
-		if a.Status != nil && len(a.Status.Services) > 0 && a.Status.Services[0].IsGroupSizeDoubted {
+		if a.Status != nil && len(a.Status.Services) > 0 && a.Status.Services[0].IsGroupSizeContradicted {
 			r.report.DegradedInstances++
 		}
 	}
--- a/internal/trials/versionskew/compare_test.go
+++ b/internal/trials/versionskew/compare_test.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	header := binary.BigEndian.AppendUint32(raw[:stateHeader-4:stateHeader-4], codec.Sum(body))
+	header := binary.BigEndian.AppendUint32(raw[:stateHeader-4:stateHeader-4], codec.Checksum(body))
 	return append(header, body...)
 }
 
--- a/internal/upgrade/successor.go
+++ b/internal/upgrade/successor.go
@@ -60,20 +60,20 @@
 }
 
 func start(p Program) (*Successor, error) {
-	ours, theirs, err := socketPair()
+	conn, successorEnd, err := socketPair()
 	if err != nil {
 		return nil, err
 	}
-	defer theirs.Close() //nolint:errcheck // the successor has a copy
-	cmd, err := command(p, theirs)
+	defer successorEnd.Close() //nolint:errcheck // the successor has a copy
+	cmd, err := command(p, successorEnd)
 	if err == nil {
 		err = cmd.Start()
 	}
 	if err != nil {
-		ours.Close()
+		conn.Close()
 		return nil, err
 	}
-	return &Successor{cmd: cmd, conn: ours, events: make(chan Event, eventCount)}, nil
+	return &Successor{cmd: cmd, conn: conn, events: make(chan Event, eventCount)}, nil
 }
 
 // command returns the command that starts p with its files and the socket connection.
@@ -112,19 +112,19 @@
 	return inherited
 }
 
-// socketPair returns two connected sockets; theirs is for the successor.
-func socketPair() (ours net.Conn, theirs *os.File, err error) {
+// socketPair returns two connected sockets, this process's and the one that the successor inherits.
+func socketPair() (conn net.Conn, successorEnd *os.File, err error) {
 	descriptors, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, nil, err
 	}
-	ourFile := os.NewFile(uintptr(descriptors[0]), "successor")
-	defer ourFile.Close() //nolint:errcheck // net.FileConn copies it
-	theirs = os.NewFile(uintptr(descriptors[1]), "predecessor")
-	if ours, err = net.FileConn(ourFile); err != nil {
-		return nil, nil, errors.Join(err, theirs.Close())
+	file := os.NewFile(uintptr(descriptors[0]), "successor")
+	defer file.Close() //nolint:errcheck // net.FileConn copies it
+	successorEnd = os.NewFile(uintptr(descriptors[1]), "predecessor")
+	if conn, err = net.FileConn(file); err != nil {
+		return nil, nil, errors.Join(err, successorEnd.Close())
 	}
-	return ours, theirs, nil
+	return conn, successorEnd, nil
 }
 
 // watch sends events until the successor has ended.
--- a/internal/waitpolicy/encode.go
+++ b/internal/waitpolicy/encode.go
@@ -119,7 +119,7 @@
 		return s, fmt.Errorf("reading sketches: %d bytes are more than %d", len(raw), maxBytes)
 	}
 	body := raw[len(magic)+4:]
-	if binary.BigEndian.Uint32(raw[len(magic):]) != codec.Sum(body) {
+	if binary.BigEndian.Uint32(raw[len(magic):]) != codec.Checksum(body) {
 		return s, errors.New("reading sketches: they are damaged: their sum is another one")
 	}
 	if err := codec.Decoder.Unmarshal(body, &s); err != nil {
@@ -239,5 +239,5 @@
 
 // signed puts before a body what shows that it is whole.
 func signed(body []byte) []byte {
-	return append(binary.BigEndian.AppendUint32([]byte(magic), codec.Sum(body)), body...)
+	return append(binary.BigEndian.AppendUint32([]byte(magic), codec.Checksum(body)), body...)
 }
