--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,5 +1,5 @@
-// Package codec holds what all that is written for a later reader shares: CBOR with bounds, as what
-// is read may come from anybody, and the sum that goes with it.
+// Package codec has what the forms of all stored data share: a CBOR decoder with bounds, as what is read may come from
+// anybody, and a checksum. It is safe for concurrent use.
 package codec
 
 import (
@@ -8,19 +8,30 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Decoder reads CBOR of bounded shape: no indefinite lengths, no key twice.
-var Decoder = func() cbor.DecMode {
-	m, err := cbor.DecOptions{
-		MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 20, MaxNestedLevels: 16,
-		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
+// Bounds of what Decoder reads.
+const (
+	maxElements     = 1 << 20 // of an array, and pairs of a map
+	maxNestedLevels = 16
+)
+
+// Decoder decodes CBOR of bounded shape. Indefinite lengths and maps with a key twice are errors.
+var Decoder = newDecoder()
+
+func newDecoder() cbor.DecMode {
+	mode, err := cbor.DecOptions{
+		MaxArrayElements: maxElements,
+		MaxMapPairs:      maxElements,
+		MaxNestedLevels:  maxNestedLevels,
+		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
+		IndefLength:      cbor.IndefLengthForbidden,
 	}.DecMode()
 	if err != nil {
-		panic(err)
+		panic(err) // the options are constants
 	}
-	return m
-}()
+	return mode
+}
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Checksum is CRC-32C of what is written: it tells what was damaged, not what was forged.
-func Checksum(raw []byte) uint32 { return crc32.Checksum(raw, castagnoli) }
+// Checksum returns the CRC-32C of data. It detects damage, not forgery.
+func Checksum(data []byte) uint32 { return crc32.Checksum(data, castagnoli) }
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -1,5 +1,5 @@
-// Package durable replaces files so that what was written is there after a crash, and a file is always either the old
-// one or the new one. It is for folders that last.
+// Package durable replaces files atomically: after a crash, a file is either the old one or the new one, and what a call
+// without an error has written is there. The directories have to be on a lasting file system.
 package durable
 
 import (
@@ -13,12 +13,12 @@
 	"github.com/google/renameio/v2"
 )
 
-// ReplaceFile replaces the file at path, or makes it: it writes a temporary file beside it, syncs that, renames it and
-// syncs the folder. With an error the file is the old one, but that the last sync may have failed behind the rename:
-// then it is the new one, which a power failure may undo.
-func ReplaceFile(path string, raw []byte, mode os.FileMode) error {
+// ReplaceFile replaces or creates the file at path: it writes a temporary file in the same directory, syncs that, renames
+// it and syncs the directory. After an error the file is the old one, or, where only the last sync has failed, the new
+// one, which a power failure may undo.
+func ReplaceFile(path string, content []byte, mode os.FileMode) error {
 	directory := filepath.Dir(path)
-	if err := renameio.WriteFile(path, raw, mode, renameio.WithTempDir(directory)); err != nil {
+	if err := renameio.WriteFile(path, content, mode, renameio.WithTempDir(directory)); err != nil {
 		return err
 	}
 	return syncDirectory(directory)
@@ -29,14 +29,15 @@
 	if err != nil {
 		return err
 	}
-	defer directory.Close() //nolint:errcheck // opened to sync; Sync returns what failed
+	defer directory.Close() //nolint:errcheck // only read; Sync returns the error
 	return directory.Sync()
 }
 
-// RemoveLeftovers removes the temporary files that killed calls of ReplaceFile have left beside a file: its name behind
-// a dot and before digits. It is called while nobody else writes the file.
+// RemoveLeftovers removes the temporary files that ReplaceFile has left for the file at path where its process was
+// killed: those of its name after a dot and before digits. It must not be called while the file is replaced.
 func RemoveLeftovers(path string) error {
-	directory, prefix := filepath.Dir(path), "."+filepath.Base(path)
+	directory := filepath.Dir(path)
+	prefix := "." + filepath.Base(path)
 	entries, err := os.ReadDir(directory)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -1,5 +1,5 @@
-// Package lifecycle is a daemon's life cycle as a state machine: Machine.Handle takes what happened and returns
-// what to do. It does no I/O and knows no time. Package daemon feeds it and carries out its actions.
+// Package lifecycle is a daemon's life cycle as a state machine: Machine.Handle takes an event and returns the actions
+// that follow from it. It does no I/O and has no clock. Package daemon feeds it and carries out its actions.
 //
 //	starting -> warming -> ready <-> reloading
 //	                       ready <-> handing over -> draining
@@ -25,6 +25,7 @@
 	Ended
 )
 
+// String returns the state as the daemon's status and log show it.
 func (s State) String() string {
 	return [...]string{"starting", "warming", "ready", "reloading", "handing over", "draining", "ended"}[s]
 }
@@ -170,7 +171,7 @@
 		return
 	}
 	m.successor = noSuccessor
-	m.transition(Draining, "the successor has proved itself")
+	m.transition(Draining, "the successor's probation has ended")
 	m.emit(StartDrain{})
 }
 
@@ -219,13 +220,15 @@
 
 func (m *Machine) requestStop(cause string) {
 	if m.state == Draining {
-		m.transition(Draining, "asked to stop again: "+cause)
+		m.transition(Draining, "stop requested again: "+cause)
 		return
 	}
-	// A successor that serves is the daemon by now: its own end is requested of itself.
+	// A successor that serves is the daemon by now: its end is requested from it, not from this process.
 	isSuccessorServing := m.successor == successorServing
 	isSuccessorStarting := m.successor != noSuccessor && !isSuccessorServing
-	m.successor, m.pendingReload, m.pendingUpgrade = noSuccessor, "", ""
+	m.successor = noSuccessor
+	m.pendingReload = ""
+	m.pendingUpgrade = ""
 	m.transition(Draining, cause)
 	if isSuccessorStarting {
 		m.emit(KillSuccessor{})
@@ -237,7 +240,7 @@
 }
 
 func (m *Machine) finish(err error) {
-	cause := "all has been let go"
+	cause := "drained"
 	if err != nil {
 		cause = fmt.Sprintf("failed: %v", err)
 	}
--- a/internal/manage/client.go
+++ b/internal/manage/client.go
@@ -13,7 +13,7 @@
 	"lockflow/internal/desiredstate"
 )
 
-// maxAnswerSize is as much of a daemon's answer as is read, in bytes.
+// maxAnswerSize is how much of a daemon's answer is read, in bytes.
 const maxAnswerSize = 16 << 20
 
 // Client sends requests to the daemon of one control socket. It is safe for concurrent use. Its methods wait for the
@@ -73,6 +73,7 @@
 	Code    desiredstate.Code // of package desiredstate; empty for other requests
 }
 
+// Error returns the daemon's text.
 func (r RejectedError) Error() string { return r.Message }
 
 // Is makes the errors below match every RejectedError of their code.
@@ -94,11 +95,11 @@
 
 // call sends a request, with body as JSON unless that is nil, and returns the status that answers it.
 func (c Client) call(ctx context.Context, method, name string, body any) (Status, error) {
-	s, err := c.roundTrip(ctx, method, name, body)
+	status, err := c.roundTrip(ctx, method, name, body)
 	if err != nil && !errors.As(err, new(RejectedError)) {
-		err = fmt.Errorf("asking the daemon at %s: %w", c.Path, err)
+		err = fmt.Errorf("calling the daemon at %s: %w", c.Path, err)
 	}
-	return s, err
+	return status, err
 }
 
 func (c Client) roundTrip(ctx context.Context, method, name string, body any) (Status, error) {
@@ -110,9 +111,12 @@
 	if err != nil {
 		return Status{}, err
 	}
-	transport := &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-		return (&net.Dialer{}).DialContext(ctx, "unix", c.Path)
-	}}
+	transport := &http.Transport{
+		DisableKeepAlives: true,
+		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
+			return (&net.Dialer{}).DialContext(ctx, "unix", c.Path)
+		},
+	}
 	response, err := transport.RoundTrip(request)
 	if err != nil {
 		return Status{}, err
@@ -147,11 +151,11 @@
 		if json.Unmarshal(raw, &answer) != nil || answer.Error == "" {
 			return Status{}, fmt.Errorf("it answered %s", response.Status)
 		}
-		return Status{}, RejectedError{answer.Error, answer.Code}
+		return Status{}, RejectedError{Message: answer.Error, Code: answer.Code}
 	}
-	var s Status
-	if err := json.Unmarshal(raw, &s); err != nil {
+	var status Status
+	if err := json.Unmarshal(raw, &status); err != nil {
 		return Status{}, fmt.Errorf("reading its answer: %w", err)
 	}
-	return s, nil
+	return status, nil
 }
--- a/internal/manage/handler.go
+++ b/internal/manage/handler.go
@@ -13,8 +13,8 @@
 
 // Limits of requests.
 const (
-	maxBodySize = 16 << 10 // of all but commands, in bytes
-	// maxCommandSize has space for settings, of which a byte may take two in JSON.
+	maxBodySize = 16 << 10 // of a request that is no command, in bytes
+	// maxCommandSize allows for settings each of whose bytes takes two in JSON.
 	maxCommandSize     = 2*desiredstate.MaxSettingsBytes + maxBodySize
 	maxCommandReads    = 2                // commands whose bodies are read at once
 	commandReadTimeout = 10 * time.Second // of a body
@@ -100,11 +100,13 @@
 	}
 	defer func() { <-h.commandReads }()
 	connection := http.NewResponseController(w)
-	_ = connection.SetReadDeadline(time.Now().Add(commandReadTimeout))
-	defer connection.SetReadDeadline(time.Time{}) //nolint:errcheck // as above; the command may take longer
+	_ = connection.SetReadDeadline(time.Now().Add(commandReadTimeout)) // fails for a closed connection, as reading does
+	defer connection.SetReadDeadline(time.Time{})                      //nolint:errcheck // the command may take longer than its body
 	return decodeBody(w, r, "order", maxCommandSize, command)
 }
 
+var errTrailingData = errors.New("there is more behind it")
+
 // decodeBody decodes a request's body of at most maxSize bytes into target; an empty one leaves that as it is. Where
 // it returns false it has answered the error. name is the request's in that error.
 func decodeBody(w http.ResponseWriter, r *http.Request, name string, maxSize int64, target any) bool {
@@ -119,9 +121,12 @@
 		if errors.Is(endErr, io.EOF) {
 			return true
 		}
-		err = errors.New("there is more behind it")
+		err = errTrailingData
 	}
-	writeJSON(w, http.StatusBadRequest, errorAnswer{fmt.Sprintf("%s: %v", name, err), desiredstate.CodeInvalid})
+	writeJSON(w, http.StatusBadRequest, errorAnswer{
+		Error: fmt.Sprintf("%s: %v", name, err),
+		Code:  desiredstate.CodeInvalid,
+	})
 	return false
 }
 
--- a/internal/manage/server.go
+++ b/internal/manage/server.go
@@ -28,14 +28,18 @@
 // Daemon is what a Server serves. Its methods are called concurrently.
 type Daemon interface {
 	Status() Status
-	// Reload and Upgrade return once it is done, or why it is not.
+	// Reload returns once the configuration that it has read is in force, or why it is not.
 	Reload(ctx context.Context) error
+	// Upgrade returns once a new process of program (empty for the one that runs) serves, or why none does.
 	Upgrade(ctx context.Context, program string) error
-	// Drain has it end; with keep it doesn't serve again before Serve, also after a restart.
+	// Drain has the daemon drain and end, and doesn't wait for that; with keep it doesn't serve again before Serve,
+	// also after a restart.
 	Drain(keep bool) error
+	// Serve undoes Drain with keep.
 	Serve(ctx context.Context) error
+	// Claim grants a coordinator an epoch, or returns why not.
 	Claim(ctx context.Context, claim Claim) error
-	// RunCommand returns once the command has ended.
+	// RunCommand returns once the command has ended, with its outcome.
 	RunCommand(ctx context.Context, command Command) error
 }
 
@@ -48,8 +52,13 @@
 	done       chan struct{} // closed when http.Serve has returned
 }
 
+// ServedError is the error of Listen where another daemon serves the socket.
+type ServedError struct{ Path string }
+
+func (e *ServedError) Error() string { return e.Path + ": another daemon serves it" }
+
 // Listen makes the control socket at path and serves d on it. It replaces a socket that no process serves, and with
-// takeOver one that the predecessor serves.
+// takeOver one that the predecessor serves. Otherwise the error for a served socket is a *ServedError.
 func Listen(path string, d Daemon, takeOver bool) (*Server, error) {
 	l, info, err := listen(path, takeOver)
 	if err != nil {
@@ -139,17 +148,17 @@
 		return fmt.Errorf("%s is there, and is no socket", path)
 	}
 	if isServed(path) && !takeOver {
-		return fmt.Errorf("%s: another daemon serves it", path)
+		return &ServedError{Path: path}
 	}
 	return os.Remove(path)
 }
 
 func isServed(path string) bool {
-	c, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(context.Background(), "unix", path)
+	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(context.Background(), "unix", path)
 	if err != nil {
 		return false
 	}
-	c.Close()
+	conn.Close()
 	return true
 }
 
@@ -160,29 +169,39 @@
 }
 
 func newOwnerListener(l *net.UnixListener) *ownerListener {
-	return &ownerListener{accept.Persistently(l, accept.Control), make(chan struct{}, maxConnections)}
+	return &ownerListener{
+		Listener: accept.Persistently(l, accept.Control),
+		slots:    make(chan struct{}, maxConnections),
+	}
 }
 
 // Accept waits for a slot and then for a connection.
 func (o *ownerListener) Accept() (net.Conn, error) {
 	for {
 		o.slots <- struct{}{}
-		c, err := o.Listener.Accept()
+		conn, err := o.Listener.Accept()
 		if err != nil {
 			<-o.slots
 			return nil, err
 		}
-		if userID, err := peerUserID(c.(*net.UnixConn)); err == nil && (userID == os.Geteuid() || userID == 0) {
-			return &slotConn{Conn: c, slots: o.slots}, nil
+		if isOwnersConnection(conn.(*net.UnixConn)) {
+			return &slotConn{Conn: conn, slots: o.slots}, nil
 		}
-		c.Close()
+		conn.Close()
 		<-o.slots
 	}
 }
 
-// peerUserID returns the user at the other end (unix(7), SO_PEERCRED).
-func peerUserID(c *net.UnixConn) (int, error) {
-	raw, err := c.SyscallConn()
+func isOwnersConnection(conn *net.UnixConn) bool {
+	userID, err := peerUserID(conn)
+	return err == nil && (userID == os.Geteuid() || userID == rootUserID)
+}
+
+const rootUserID = 0
+
+// peerUserID returns the user of the process that has connected (unix(7), SO_PEERCRED).
+func peerUserID(conn *net.UnixConn) (int, error) {
+	raw, err := conn.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
--- a/internal/state/boot_clock.go
+++ b/internal/state/boot_clock.go
@@ -31,9 +31,11 @@
 	return time.Duration(now.Nano())
 }
 
-// Stamp sets the time at which a checkpoint is taken to now.
+// Stamp sets the time at which the checkpoint was taken to now.
 func (c *Checkpoint) Stamp() {
-	c.TakenAt, c.BootID, c.Uptime = time.Now(), bootID(), uptime()
+	c.TakenAt = time.Now()
+	c.BootID = bootID()
+	c.Uptime = uptime()
 }
 
 // Age is the time since the checkpoint was taken, at least 0. It is real time as long as the machine has not booted
--- a/internal/state/checkpoint.go
+++ b/internal/state/checkpoint.go
@@ -19,8 +19,8 @@
 	"lockflow/internal/service"
 )
 
-// Version is the version of the encoding. Decode accepts no other one: the meaning of another version's
-// fields is not known, and a start without a checkpoint is safer than a hard limit that is opened anew.
+// Version is the version of the encoding. Decode rejects every other one: the meaning of its fields is not known, and a
+// start without a checkpoint is safer than a hard limit that is opened anew.
 const Version = 1
 
 // maxSize is the largest encoded checkpoint, in bytes without its header. Encode drops the customers whose
@@ -48,6 +48,19 @@
 	ScatterGathers map[string][]byte `cbor:"gathers,omitempty"`
 }
 
+// Errors of Decode and Load, beside VersionError, for errors.Is.
+var (
+	ErrNotState = errors.New("not a state file")
+	ErrDamaged  = errors.New("damaged, the checksum differs")
+)
+
+// VersionError is the error of Decode for a checkpoint of another Version.
+type VersionError struct{ Version int }
+
+func (e VersionError) Error() string {
+	return fmt.Sprintf("it is of version %d, not %d", e.Version, Version)
+}
+
 // Encode returns the stored form of c: a header with a checksum, then c as CBOR of at most maxSize bytes.
 // It drops the older half of each service's customers as often as that takes.
 func Encode(c Checkpoint) ([]byte, error) {
@@ -72,11 +85,11 @@
 func dropOlderHalf(c *Checkpoint) bool {
 	remaining := make(map[string]service.State, len(c.Services))
 	dropped := false
-	for name, one := range c.Services {
-		customers := one.Checkpoint.Customers
+	for name, saved := range c.Services {
+		customers := saved.Checkpoint.Customers
 		dropped = dropped || len(customers) > 0
-		one.Checkpoint.Customers = customers[:len(customers)/2]
-		remaining[name] = one
+		saved.Checkpoint.Customers = customers[:len(customers)/2]
+		remaining[name] = saved
 	}
 	c.Services = remaining
 	return dropped
@@ -84,22 +97,22 @@
 
 // Decode returns the checkpoint that Encode wrote as raw, or an error and an empty one.
 func Decode(raw []byte) (Checkpoint, error) {
-	var c Checkpoint
 	if len(raw) < headerSize || string(raw[:len(fileMagic)]) != fileMagic {
-		return c, errors.New("reading the state: not a state file")
+		return Checkpoint{}, fmt.Errorf("reading the state: %w", ErrNotState)
 	}
 	if len(raw) > maxSize+headerSize {
-		return c, fmt.Errorf("reading the state: %d bytes are more than %d", len(raw), maxSize)
+		return Checkpoint{}, fmt.Errorf("reading the state: %d bytes are more than %d", len(raw), maxSize)
 	}
 	body := raw[headerSize:]
 	if sum := binary.BigEndian.Uint32(raw[len(fileMagic):]); sum != codec.Checksum(body) {
-		return c, errors.New("reading the state: damaged, the checksum differs")
+		return Checkpoint{}, fmt.Errorf("reading the state: %w", ErrDamaged)
 	}
+	var c Checkpoint
 	if err := codec.Decoder.Unmarshal(body, &c); err != nil {
 		return Checkpoint{}, fmt.Errorf("reading the state: %w", err)
 	}
 	if c.Version != Version {
-		return Checkpoint{}, fmt.Errorf("reading the state: it is of version %d, not %d", c.Version, Version)
+		return Checkpoint{}, fmt.Errorf("reading the state: %w", VersionError{c.Version})
 	}
 	return c, nil
 }
--- a/internal/state/checkpoint_test.go
+++ b/internal/state/checkpoint_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -65,7 +66,7 @@
 	if _, err := Decode(append(bytes.Clone(raw), 0)); err == nil {
 		t.Error("a byte more")
 	}
-	if _, err := Decode(withChecksum([]byte{0xa1, 0x67, 'v', 'e', 'r', 's', 'i', 'o', 'n', 2})); err == nil || !strings.Contains(err.Error(), "version 2, not 1") {
+	if _, err := Decode(withChecksum([]byte{0xa1, 0x67, 'v', 'e', 'r', 's', 'i', 'o', 'n', 2})); !errors.Is(err, VersionError{2}) || !strings.Contains(err.Error(), "version 2, not 1") {
 		t.Errorf("another version: %v", err)
 	}
 }
@@ -117,7 +118,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(dir, nil); err == nil || !strings.Contains(err.Error(), fmt.Sprint("another daemon has it: process ", os.Getpid())) {
+	var locked *LockedError
+	if _, err := Open(dir, nil); !errors.As(err, &locked) || !strings.Contains(err.Error(), fmt.Sprint("another daemon has it: process ", os.Getpid())) {
 		t.Errorf("a second daemon: %v", err)
 	}
 	if _, found, err := s.Consume(); found || err != nil {
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -25,8 +25,18 @@
 	lock      *os.File
 }
 
+// LockedError is the error of Open where another process has the lock.
+type LockedError struct {
+	Directory string
+	ProcessID string // as the other process has recorded it
+}
+
+func (e *LockedError) Error() string {
+	return fmt.Sprintf("state directory %s: another daemon has it: process %s", e.Directory, e.ProcessID)
+}
+
 // Open creates the directory where it is missing and locks it. Where another process has the lock, the
-// error names it. inheritedLock is the lock file of the predecessor in a binary upgrade, or nil.
+// error is a *LockedError. inheritedLock is the lock file of the predecessor in a binary upgrade, or nil.
 func Open(directory string, inheritedLock *os.File) (*Store, error) {
 	if err := os.MkdirAll(directory, 0o700); err != nil {
 		return nil, fmt.Errorf("state directory: %w", err)
@@ -43,14 +53,14 @@
 		defer lock.Close() //nolint:errcheck // nothing was written
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			owner, _ := os.ReadFile(path)
-			return nil, fmt.Errorf("state directory %s: another daemon has it: process %s", directory, strings.TrimSpace(string(owner)))
+			return nil, &LockedError{Directory: directory, ProcessID: strings.TrimSpace(string(owner))}
 		}
 		return nil, fmt.Errorf("state directory: locking %s: %w", path, err)
 	}
 	s := &Store{directory, lock}
 	s.RecordProcessID()
 	if err := durable.RemoveLeftovers(s.path()); err != nil { // they cost space, and nothing else
-		slog.Warn("temporary files of killed writes are left", "dir", directory, "err", err)
+		slog.Warn("temporary files of interrupted writes not removed", "dir", directory, "err", err)
 	}
 	return s, nil
 }
--- a/internal/supervise/notify.go
+++ b/internal/supervise/notify.go
@@ -1,6 +1,6 @@
-// Package supervise speaks with the service manager that starts the daemon: systemd's notifications (sd_notify(3)),
-// its watchdog, and the sockets that it passes on (sd_listen_fds(3)). It also has the pid file, whose lock keeps a
-// second daemon out. Package daemon uses it. Without a service manager the notifications do nothing.
+// Package supervise has the daemon's side of a service manager's protocols: systemd's notifications (sd_notify(3)), its
+// watchdog, and socket activation (sd_listen_fds(3)). It also has the pid file, whose lock keeps a second daemon from
+// starting. Package daemon uses it. Without a service manager the notifications do nothing.
 //
 // The functions are safe for concurrent use; a PIDFile is not.
 package supervise
@@ -37,9 +37,13 @@
 // NotifyStopping notifies that the daemon drains.
 func NotifyStopping() error { return Notify(daemon.SdNotifyStopping) }
 
-// RunWatchdog notifies the service manager, until ctx ends, as long as isAlive returns true. It does so twice in the
-// time after which the service manager would kill the daemon (WATCHDOG_USEC); isAlive's context ends with its turn.
-// Without a watchdog it returns at once.
+// notificationsPerTimeout is how often the watchdog is notified in the time after which it would kill the daemon
+// (WATCHDOG_USEC), so that one notification may be late.
+const notificationsPerTimeout = 2
+
+// RunWatchdog notifies the service manager's watchdog until ctx ends. It calls isAlive before each notification, with a
+// context that ends when the next one is due, and leaves out those for which isAlive returns false. Without a watchdog
+// it returns at once.
 func RunWatchdog(ctx context.Context, isAlive func(context.Context) bool) error {
 	timeout, err := daemon.SdWatchdogEnabled(false)
 	if err != nil {
@@ -48,7 +52,7 @@
 	if timeout <= 0 {
 		return nil
 	}
-	interval := timeout / 2
+	interval := timeout / notificationsPerTimeout
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
--- a/internal/supervise/pidfile.go
+++ b/internal/supervise/pidfile.go
@@ -9,7 +9,7 @@
 	"syscall"
 )
 
-// maxPIDSize is as much of another daemon's pid file as an error shows, in bytes.
+// maxPIDSize is how much of another daemon's pid file an error shows, in bytes.
 const maxPIDSize = 32
 
 // PIDFile is a file with the daemon's process id, locked as long as any process of the daemon has it open. The methods
@@ -19,32 +19,47 @@
 	path string
 }
 
-// CreatePIDFile creates or takes over a file at path, locks it and writes this process's id. Where another process has
-// the lock, the error names it.
+// RunningError is the error of CreatePIDFile where another process has the lock.
+type RunningError struct {
+	Path      string
+	ProcessID string // as the other process has recorded it
+}
+
+func (e *RunningError) Error() string {
+	return fmt.Sprintf("%s: another daemon runs: process %s", e.Path, e.ProcessID)
+}
+
+// CreatePIDFile creates the file at path or takes over one that is not locked, locks it and writes this process's id.
+// Where another process has the lock, the error is a *RunningError.
 func CreatePIDFile(path string) (*PIDFile, error) {
-	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o644)
+	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
 		return nil, fmt.Errorf("writing the process id: %w", err)
 	}
-	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		owner := make([]byte, maxPIDSize)
-		n, _ := f.Read(owner)
-		_ = f.Close() // nothing was written
+	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+		defer file.Close() //nolint:errcheck // nothing was written
 		if errors.Is(err, syscall.EWOULDBLOCK) {
-			return nil, fmt.Errorf("%s: another daemon runs: process %s", path, strings.TrimSpace(string(owner[:n])))
+			return nil, &RunningError{Path: path, ProcessID: readProcessID(file)}
 		}
 		return nil, fmt.Errorf("locking %s: %w", path, err)
 	}
-	p := &PIDFile{file: f, path: path}
+	p := &PIDFile{file: file, path: path}
 	if err := p.RecordProcessID(); err != nil {
-		return nil, errors.Join(err, f.Close())
+		return nil, errors.Join(err, file.Close())
 	}
 	return p, nil
 }
 
-// AdoptPIDFile returns the predecessor's pid file at path, with its lock, in a binary upgrade. It names the predecessor
-// until RecordProcessID.
-func AdoptPIDFile(f *os.File, path string) *PIDFile { return &PIDFile{file: f, path: path} }
+// readProcessID returns the recorded id, as far as it can be read.
+func readProcessID(file *os.File) string {
+	content := make([]byte, maxPIDSize)
+	n, _ := file.Read(content)
+	return strings.TrimSpace(string(content[:n]))
+}
+
+// AdoptPIDFile returns the locked pid file at path that a successor inherits in a binary upgrade. It names the
+// predecessor until RecordProcessID.
+func AdoptPIDFile(file *os.File, path string) *PIDFile { return &PIDFile{file: file, path: path} }
 
 // RecordProcessID writes this process's id.
 func (p *PIDFile) RecordProcessID() error {
@@ -61,7 +76,7 @@
 	return nil
 }
 
-// File returns the locked file, which remains p's, or nil.
+// File returns the locked file, which remains p's; nil for a nil PIDFile.
 func (p *PIDFile) File() *os.File {
 	if p == nil {
 		return nil
--- a/internal/upgrade/predecessor.go
+++ b/internal/upgrade/predecessor.go
@@ -17,6 +17,13 @@
 	files map[string]*os.File // inherited and not taken yet, by name
 }
 
+// ProtocolError is the error of Join where the predecessor's messages are of another version.
+type ProtocolError struct{ Version int }
+
+func (e ProtocolError) Error() string {
+	return fmt.Sprintf("the old process has protocol version %d, this one %d", e.Version, protocolVersion)
+}
+
 // Join returns the process whose place this one is to take, by its environment. It returns nil where there is none.
 func Join(getenv func(string) string) (*Predecessor, error) {
 	encoded := getenv(EnvironmentVariable)
@@ -28,7 +35,7 @@
 		return nil, fmt.Errorf("%s: %w", EnvironmentVariable, err)
 	}
 	if inherited.Version != protocolVersion {
-		return nil, fmt.Errorf("%s: the old process speaks version %d, this one %d", EnvironmentVariable, inherited.Version, protocolVersion)
+		return nil, fmt.Errorf("%s: %w", EnvironmentVariable, ProtocolError{Version: inherited.Version})
 	}
 	socket := os.NewFile(uintptr(inherited.Connection), "predecessor")
 	defer socket.Close() //nolint:errcheck // net.FileConn copies it
@@ -46,15 +53,15 @@
 
 // TakeFile returns an inherited file, which becomes the caller's; nil where there is none of that name.
 func (p *Predecessor) TakeFile(name string) *os.File {
-	f := p.files[name]
+	file := p.files[name]
 	delete(p.files, name)
-	return f
+	return file
 }
 
 // CloseUnclaimed closes the inherited files that were not taken.
 func (p *Predecessor) CloseUnclaimed() {
-	for name, f := range p.files {
-		_ = f.Close() // a socket or a lock that is not needed
+	for name, file := range p.files {
+		_ = file.Close() // a socket or a lock that is not needed
 		delete(p.files, name)
 	}
 }
@@ -68,23 +75,23 @@
 		if !ok {
 			continue
 		}
-		f := p.TakeFile(name)
-		l, err := net.FileListener(f)
-		_ = f.Close() // net.FileListener copies it
+		file := p.TakeFile(name)
+		listener, err := net.FileListener(file)
+		_ = file.Close() // net.FileListener copies it
 		if err != nil {
 			return nil, fmt.Errorf("taking over the listener of %s: %w", address, err)
 		}
-		listeners[address] = l
+		listeners[address] = listener
 	}
 	return listeners, nil
 }
 
 // AwaitCheckpoint reports that this process could serve and waits for the predecessor's checkpoint. After an error
-// the predecessor has ended, or can't be understood: there is nothing to wait for.
+// the predecessor has ended or sent something else, and no checkpoint will come.
 func (p *Predecessor) AwaitCheckpoint() ([]byte, error) {
 	checkpoint, err := p.requestCheckpoint()
 	if err != nil {
-		return nil, fmt.Errorf("taking over: the old process gave nothing: %w", err)
+		return nil, fmt.Errorf("taking over: no checkpoint from the old process: %w", err)
 	}
 	return checkpoint, nil
 }
@@ -111,7 +118,8 @@
 	return nil
 }
 
-// AwaitFinalCheckpoint waits for the predecessor's end and returns what it left; nil where it sent nothing.
+// AwaitFinalCheckpoint waits for the predecessor's end and returns its final checkpoint, nil where it sent none. It
+// closes the connection: no method may be called after it.
 func (p *Predecessor) AwaitFinalCheckpoint() []byte {
 	defer p.conn.Close()
 	kind, body, err := readMessage(p.conn)
--- a/internal/upgrade/successor.go
+++ b/internal/upgrade/successor.go
@@ -48,8 +48,8 @@
 // firstInheritedDescriptor is that of the first of exec.Cmd's ExtraFiles.
 const firstInheritedDescriptor = 3
 
-// Start starts a successor. It runs until it ends itself or is killed, also after this process. The caller has to
-// receive its events.
+// Start starts a successor, which runs until it ends or is killed; it may outlive this process. The caller receives its
+// events up to Ended.
 func Start(p Program) (*Successor, error) {
 	s, err := start(p)
 	if err != nil {
@@ -79,20 +79,26 @@
 // command returns the command that starts p with its files and the socket connection.
 func command(p Program, connection *os.File) (*exec.Cmd, error) {
 	cmd := exec.CommandContext(context.Background(), p.Path, p.Args...) // it outlives this process
-	inherited := inheritance{Version: protocolVersion, Connection: firstInheritedDescriptor, Files: make(map[string]int)}
+	inherited := inheritance{
+		Version:    protocolVersion,
+		Connection: firstInheritedDescriptor,
+		Files:      make(map[string]int),
+	}
 	cmd.ExtraFiles = []*os.File{connection}
-	for name, f := range p.Files {
+	for name, file := range p.Files {
 		inherited.Files[name] = firstInheritedDescriptor + len(cmd.ExtraFiles)
-		cmd.ExtraFiles = append(cmd.ExtraFiles, f)
+		cmd.ExtraFiles = append(cmd.ExtraFiles, file)
 	}
 	encoded, err := json.Marshal(inherited)
 	if err != nil {
 		return nil, err
 	}
 	cmd.Env = append(Environment(p.Env), EnvironmentVariable+"="+string(encoded))
-	cmd.Stdout, cmd.Stderr = p.Log, p.Log
-	if p.Log == nil {
-		cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
+	cmd.Stdout = os.Stdout
+	cmd.Stderr = os.Stderr
+	if p.Log != nil {
+		cmd.Stdout = p.Log
+		cmd.Stderr = p.Log
 	}
 	return cmd, nil
 }
@@ -157,8 +163,8 @@
 		if err != nil {
 			return err
 		}
-		isInOrder := kind == messagePrepared && next == Prepared || kind == messageTookOver && next == TookOver
-		if !isInOrder {
+		expected, ok := successorMessages[next]
+		if !ok || kind != expected {
 			return fmt.Errorf("it sent the message %q out of order", byte(kind))
 		}
 		s.events <- next
@@ -166,6 +172,12 @@
 	}
 }
 
+// successorMessages are the messages by which a successor reports its events. Ended has none.
+var successorMessages = map[Event]messageKind{
+	Prepared: messagePrepared,
+	TookOver: messageTookOver,
+}
+
 // PID returns its process id.
 func (s *Successor) PID() int { return s.cmd.Process.Pid }
 
