--- a/internal/command/allowance_test.go
+++ b/internal/command/allowance_test.go
@@ -26,13 +26,13 @@
 		"--plan enterprise":                           {Fine, "1 instances, traffic through 1"},
 		"--plan p":                                    {Failed, "has no ceiling"},
 		"--plan q":                                    {Failed, "no plan"},
-		"--plan enterprise --term 5s":                 {Failed, "a term of 5s, pledges of 2s"},
+		"--plan enterprise --term 5s":                 {Failed, "term 5s, pledge 2s"},
 		"--plan enterprise --units 0":                 {Usage, "--units above 0"},
 		"":                                            {Usage, "takes explain with --config"},
 		"--plan enterprise --instances -1":            {Failed, "over -1 instances"},
 		"--plan enterprise --config /none/of/these":   {Failed, "none/of/these"},
 		"--plan enterprise --instances 40 --drift 0.005 --json": {Fine, `"case":"the counter answers"`},
-		"--plan enterprise --instances 40 --drift 0.5 --json":   {Failed, "wrong by 0.5"},
+		"--plan enterprise --instances 40 --drift 0.5 --json":   {Failed, "drift 0.5"},
 	} {
 		code, out, errs := run(t, nil, append([]string{"allowance", "explain", "--config", file}, strings.Fields(args)...)...)
 		if code != want.code || !strings.Contains(out+errs, want.tells) {
--- a/internal/config/counter_test.go
+++ b/internal/config/counter_test.go
@@ -41,7 +41,7 @@
 	for more, wrong := range map[string]string{
 		`, term = "4s", pledge = "4s"`:              "plan enterprise: a minute may hold 180.2 + 60*30.03 units, which is 6.6% more than 60 + 60*30, and not 5.0%",
 		`, term = "4s", pledge = "4s", over = 0.07`: "",
-		`, term = "3s"`:                             "a term of 3s, pledges of 2s",
+		`, term = "3s"`:                             "term 3s, pledge 2s",
 		`, addresses = []`:                          "addresses",
 		`, name = "a b"`:                            `"a b" can't be a part of keys`,
 		`, within = "1s"`:                           "within",
--- a/internal/leasestore/leasestore.go
+++ b/internal/leasestore/leasestore.go
@@ -1,5 +1,5 @@
-// Package leasestore carries calls of quotalease.Holder to a Redis server, on which a script is the
-// counter. It decides nothing, and sends no call twice.
+// Package leasestore makes calls of quotalease.Holder to a Redis server, on which a script is the lease store.
+// It decides nothing, and retries no call.
 package leasestore
 
 import (
@@ -20,91 +20,144 @@
 
 var script = redis.NewScript(scriptSource)
 
-// Options are of one counter.
+// Sizes of the encoded parts of a call, in script arguments.
+const (
+	callArgs    = 9
+	requestArgs = 5
+	returnArgs  = 3
+)
+
+// Sizes of the decoded parts of a reply, in strings.
+const (
+	replyHeaderFields = 3
+	grantFields       = 3
+)
+
+// Limits of the values in a reply.
+const (
+	maxStoreMicroseconds = 1 << 52
+	tokenBits            = 53 // Lua numbers hold no larger integers
+	maxGrantUnits        = 1e15
+)
+
+// maxConnections limits the connections to one server.
+const maxConnections = 2
+
+// errMalformedReply is wrapped by the errors of DecodeReply.
+var errMalformedReply = errors.New("malformed reply")
+
+// Options configure the client of one lease store.
 type Options struct {
-	Address   string
+	Address   string // host:port
 	Username  string
 	Password  string
-	KeyPrefix string // of what is counted there, the same at all instances; keys begin with it
+	KeyPrefix string // of the store's keys on the server; the same at all instances
 	Timeout   time.Duration
 	Rules     quotalease.Rules
 }
 
-// Client asks one counter. It is safe for concurrent use.
+// Client makes calls to one lease store. It is safe for concurrent use.
 type Client struct {
 	options Options
 	redis   *redis.Client
-	keys    []string
+	keys    []string // of the script
 }
 
-// New makes a client that connects once it is asked.
-func New(o Options) *Client {
-	return &Client{options: o, keys: []string{"{lockflow:" + o.KeyPrefix + "}"}, redis: redis.NewClient(&redis.Options{
-		Addr: o.Address, Username: o.Username, Password: o.Password, Protocol: 2, DisableIdentity: true,
-		// The holder decides whether to ask again: a call that is sent twice would be two.
-		MaxRetries: -1, PoolSize: 2, MaxActiveConns: 2, MaxIdleConns: 1, ContextTimeoutEnabled: true,
-		DialTimeout: o.Timeout, ReadTimeout: o.Timeout, WriteTimeout: o.Timeout, ConnMaxIdleTime: time.Minute,
-		DialerRetries: 1,
-	})}
+// New returns a client that connects with its first call.
+func New(options Options) *Client {
+	return &Client{
+		options: options,
+		keys:    []string{"{lockflow:" + options.KeyPrefix + "}"},
+		redis: redis.NewClient(&redis.Options{
+			Addr:                  options.Address,
+			Username:              options.Username,
+			Password:              options.Password,
+			Protocol:              2,
+			DisableIdentity:       true,
+			MaxRetries:            -1, // the holder decides on retries, as a call that is sent twice counts twice
+			DialerRetries:         1,
+			PoolSize:              maxConnections,
+			MaxActiveConns:        maxConnections,
+			MaxIdleConns:          1,
+			ConnMaxIdleTime:       time.Minute,
+			ContextTimeoutEnabled: true,
+			DialTimeout:           options.Timeout,
+			ReadTimeout:           options.Timeout,
+			WriteTimeout:          options.Timeout,
+		}),
+	}
 }
 
-// Close ends its connections; calls that are out fail.
+// Close closes the connections; calls that are in flight fail.
 func (c *Client) Close() error { return c.redis.Close() }
 
-// Call makes one call, within the time that it has at the most.
-func (c *Client) Call(ctx context.Context, q *quotalease.StoreCall) (quotalease.StoreReply, error) {
+// Call makes one call within Options.Timeout. Its errors name the store's address.
+func (c *Client) Call(ctx context.Context, call *quotalease.StoreCall) (quotalease.StoreReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.options.Timeout)
 	defer cancel()
-	// Of what it may send twice the first was not run: the server did not know the script.
-	raw, err := script.Run(ctx, c.redis, c.keys, EncodeCall(q, c.options.Rules)...).StringSlice()
+	// Run sends the script again only if the server did not know it, and so did not run it.
+	raw, err := script.Run(ctx, c.redis, c.keys, EncodeCall(call, c.options.Rules)...).StringSlice()
 	if err != nil {
-		return quotalease.StoreReply{}, fmt.Errorf("counter %s: %w", c.options.Address, err)
+		return quotalease.StoreReply{}, fmt.Errorf("lease store %s: %w", c.options.Address, err)
 	}
-	a, err := DecodeReply(raw)
+	reply, err := DecodeReply(raw)
 	if err != nil {
-		return a, fmt.Errorf("counter %s: %w", c.options.Address, err)
+		return reply, fmt.Errorf("lease store %s: %w", c.options.Address, err)
 	}
-	a.Seq = q.Seq
-	return a, nil
+	reply.Seq = call.Seq
+	return reply, nil
 }
 
 func formatNumber(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
 
-// EncodeCall are the script's arguments for a call.
-func EncodeCall(q *quotalease.StoreCall, r quotalease.Rules) []any {
-	all := make([]any, 0, 9+5*len(q.Requests)+3*len(q.Returns))
-	all = append(all, q.HolderID, q.StoreID, q.EchoedTime.Microseconds(), formatNumber(q.ReservedFraction), q.LastToken, r.Term.Microseconds(), r.ReservationTime.Microseconds(), len(q.Requests))
-	for _, w := range q.Requests {
-		all = append(all, w.Key, formatNumber(w.Limit.Rate), formatNumber(w.Limit.Burst), formatNumber(w.Units), formatNumber(w.MinUnits))
+// EncodeCall returns the script's arguments for a call. Times are in microseconds.
+func EncodeCall(call *quotalease.StoreCall, rules quotalease.Rules) []any {
+	args := make([]any, 0, callArgs+requestArgs*len(call.Requests)+returnArgs*len(call.Returns))
+	args = append(args, call.HolderID, call.StoreID, call.EchoedTime.Microseconds(), formatNumber(call.ReservedFraction), call.LastToken)
+	args = append(args, rules.Term.Microseconds(), rules.ReservationTime.Microseconds())
+	args = append(args, len(call.Requests))
+	for _, request := range call.Requests {
+		limit := request.Limit
+		args = append(args, request.Key, formatNumber(limit.Rate), formatNumber(limit.Burst), formatNumber(request.Units), formatNumber(request.MinUnits))
 	}
-	all = append(all, len(q.Returns))
-	for _, g := range q.Returns {
-		all = append(all, g.Key, g.Token, formatNumber(g.Units))
+	args = append(args, len(call.Returns))
+	for _, returned := range call.Returns {
+		args = append(args, returned.Key, returned.Token, formatNumber(returned.Units))
 	}
-	return all
+	return args
 }
 
-var errMalformedReply = errors.New("its answer can't be read")
-
-// DecodeReply reads the script's answer.
-func DecodeReply(raw []string) (a quotalease.StoreReply, err error) {
-	if len(raw) < 3 || len(raw)%3 != 0 || raw[0] == "" {
-		return a, errMalformedReply
+// DecodeReply decodes the script's reply, all but its Seq: the store's identity, its time in microseconds and
+// "1" if it lends, then key, token and units of each grant.
+func DecodeReply(raw []string) (reply quotalease.StoreReply, err error) {
+	if len(raw) < replyHeaderFields || (len(raw)-replyHeaderFields)%grantFields != 0 || raw[0] == "" {
+		return reply, errMalformedReply
 	}
 	now, err := strconv.ParseInt(raw[1], 10, 64)
-	if err != nil || now < 0 || now > 1<<52 {
-		return a, fmt.Errorf("%w: time %q", errMalformedReply, raw[1])
+	if err != nil || now < 0 || now > maxStoreMicroseconds {
+		return reply, fmt.Errorf("%w: time %q", errMalformedReply, raw[1])
 	}
-	a = quotalease.StoreReply{StoreID: raw[0], StoreTime: time.Duration(now) * time.Microsecond, IsLending: raw[2] == "1"}
-	for raw = raw[3:]; len(raw) > 0; raw = raw[3:] {
-		g := quotalease.Grant{Key: raw[0]}
-		if g.Token, err = strconv.ParseUint(raw[1], 10, 53); err != nil {
-			return a, fmt.Errorf("%w: token %q", errMalformedReply, raw[1])
+	reply = quotalease.StoreReply{StoreID: raw[0], StoreTime: time.Duration(now) * time.Microsecond, IsLending: raw[2] == "1"}
+	for raw = raw[replyHeaderFields:]; len(raw) > 0; raw = raw[grantFields:] {
+		grant, err := decodeGrant(raw[0], raw[1], raw[2])
+		if err != nil {
+			return reply, err
 		}
-		if g.Units, err = strconv.ParseFloat(raw[2], 64); err != nil || !(g.Units > 0 && g.Units < 1e15) {
-			return a, fmt.Errorf("%w: %q units", errMalformedReply, raw[2])
-		}
-		a.Grants = append(a.Grants, g)
+		reply.Grants = append(reply.Grants, grant)
+	}
+	return reply, nil
+}
+
+// decodeGrant decodes the strings of one grant.
+func decodeGrant(key, token, units string) (grant quotalease.Grant, err error) {
+	grant.Key = key
+	grant.Token, err = strconv.ParseUint(token, 10, tokenBits)
+	if err != nil {
+		return grant, fmt.Errorf("%w: token %q", errMalformedReply, token)
+	}
+	grant.Units, err = strconv.ParseFloat(units, 64)
+	if err != nil || !(grant.Units > 0 && grant.Units < maxGrantUnits) {
+		return grant, fmt.Errorf("%w: %q units", errMalformedReply, units)
 	}
-	return a, nil
+	return grant, nil
 }
--- a/internal/quotalease/account.go
+++ b/internal/quotalease/account.go
@@ -2,33 +2,40 @@
 
 import "time"
 
+// unitTolerance is the rounding error that sums of units may have.
+const unitTolerance = 1e-9
+
+// account is one customer's at a holder.
 type account struct {
 	key           string
-	limit         HardLimit
-	ownTokens     float64 // of its own part
+	limit         HardLimit // for all instances together
+	ownTokens     float64   // of the holder's own quota
 	refilledAt    time.Duration
-	lastRequestAt time.Duration // last
-	demand        float64       // units a second, learned
+	lastRequestAt time.Duration
+	demand        float64 // units a second, an exponential average
 	leases        []lease
-	queue         []queuedRequest
-	needsUnits    bool // is in wanting
-	isActive      bool // is in busy
+	queue         []queuedRequest // waiting for units, oldest first
+	needsUnits    bool            // is in Holder.needUnits
+	isActive      bool            // is in Holder.active
 }
 
+// lease is what is left of a grant or a refund.
 type lease struct {
-	token     uint64
+	token     uint64 // 0 cannot be returned
 	units     float64
 	expiresAt time.Duration
 }
 
+// queuedRequest is a request that waits for units.
 type queuedRequest struct {
 	id       uint64
 	units    float64
 	deadline time.Duration
-	isInCall bool // the call that is out asks for it
+	isInCall bool // the current call asks for its units
 }
 
-func (h *Holder) account(now time.Duration, key string, c HardLimit) *account {
+// account returns the refilled account of a customer, which it adds if it is not known.
+func (h *Holder) account(now time.Duration, key string, limit HardLimit) *account {
 	a := h.accounts[key]
 	if a == nil {
 		if len(h.accounts) >= maxAccounts {
@@ -37,12 +44,12 @@
 		a = &account{key: key, refilledAt: h.ownQuotaFrom}
 		h.accounts[key] = a
 	}
-	a.limit = c
+	a.limit = limit
 	h.refill(now, a)
 	return a
 }
 
-// Key is a customer's name as a string; of one that is known it is made of nothing new.
+// Key returns a customer's name as a string, without an allocation if the customer is known.
 func (h *Holder) Key(name []byte) string {
 	if a := h.accounts[string(name)]; a != nil {
 		return a.key
@@ -50,16 +57,17 @@
 	return string(name)
 }
 
-// evict makes room for another customer. One whose part is not full is not to have a full one
-// again: whoever is new from now on begins empty.
+// evict removes the customer that has been idle for the longest time of a random sample. So that an evicted
+// customer does not return with more tokens than it had, all new accounts start empty from now on.
 func (h *Holder) evict(now time.Duration) {
 	var oldest *account
-	n := 0
-	for _, a := range h.accounts { // some, which a map's order makes random ones
+	sampled := 0
+	for _, a := range h.accounts { // the order of a map's iteration is random
 		if !a.isActive && !a.needsUnits && (oldest == nil || a.lastRequestAt < oldest.lastRequestAt) {
 			oldest = a
 		}
-		if n++; n == evictionSample {
+		sampled++
+		if sampled == evictionSample {
 			break
 		}
 	}
@@ -69,16 +77,17 @@
 	}
 }
 
-// refill fills the own part up to now, from when it was the holder's own to spend, and lets go of
-// what has ended.
+// refill adds to the own tokens what the time since the last refill gives, as far as the holder did not reserve
+// it for a store, and removes expired leases.
 func (h *Holder) refill(now time.Duration, a *account) {
-	n := h.effectiveInstances(now)
-	if a.refilledAt < h.resizedAt && !h.disabled.resizeDelay { // some of the time was before
-		n = max(n, h.previousInstances)
+	instances := h.effectiveInstances(now)
+	if a.refilledAt < h.resizedAt && !h.disabled.resizeDelay { // part of the time was before the change
+		instances = max(instances, h.previousInstances)
 	}
-	own := a.limit.times(1 / float64(n))
+	own := a.limit.times(1 / float64(instances))
 	if a.refilledAt < h.ownQuotaFrom && !h.disabled.exclusiveReservation {
-		a.ownTokens, a.refilledAt = 0, h.ownQuotaFrom
+		a.ownTokens = 0
+		a.refilledAt = h.ownQuotaFrom
 	}
 	if now > a.refilledAt {
 		a.ownTokens = min(own.Burst, a.ownTokens+(now-a.refilledAt).Seconds()*own.Rate)
@@ -87,16 +96,16 @@
 	if h.disabled.leaseExpiry {
 		return
 	}
-	kept := a.leases[:0]
+	valid := a.leases[:0]
 	for _, l := range a.leases {
 		if now < l.expiresAt {
-			kept = append(kept, l)
+			valid = append(valid, l)
 		}
 	}
-	a.leases = kept
+	a.leases = valid
 }
 
-// leasedUnits is what an account has borrowed and not spent.
+// leasedUnits returns the units of all leases.
 func (a *account) leasedUnits() (units float64) {
 	for _, l := range a.leases {
 		units += l.units
@@ -104,71 +113,80 @@
 	return units
 }
 
-// minReservedSince is the smallest part of a unit that counts: what is a sum of parts is never exactly one.
-const unitTolerance = 1e-9
-
-// spend spends units, of what ends first; false where there are too few. Until is when the first of
-// what was lent ends; 0 where some was the holder's own.
-func (a *account) spend(units float64) (until time.Duration, ok bool) {
+// spend takes units from the leases, oldest first, then from the own tokens. It returns until when they can be
+// refunded, which is 0 where some were own tokens, and false where there are too few units.
+func (a *account) spend(units float64) (refundableUntil time.Duration, ok bool) {
 	if a.ownTokens+a.leasedUnits() < units-unitTolerance {
 		return 0, false
 	}
 	for len(a.leases) > 0 && units > 0 {
 		l := &a.leases[0]
-		if until == 0 || l.expiresAt < until { // a late answer's may end before one that came first
-			until = l.expiresAt
+		// Replies may arrive out of order, so that an older lease expires later.
+		if refundableUntil == 0 || l.expiresAt < refundableUntil {
+			refundableUntil = l.expiresAt
 		}
 		used := min(units, l.units)
 		l.units -= used
-		if units -= used; l.units > unitTolerance {
+		units -= used
+		if l.units > unitTolerance {
 			break
 		}
 		a.leases = a.leases[1:]
 	}
 	if units > unitTolerance {
-		until = 0
+		refundableUntil = 0
 	}
 	a.ownTokens -= units
-	return until, true
+	return refundableUntil, true
 }
 
-// Refund gives back units that a Let has spent and that were never sent, until what they were lent by ends.
+// Refund gives back the units of an admitted request that was never sent. until is the RefundableUntil of the
+// action that admitted it; later than that the refund is dropped.
 func (h *Holder) Refund(now time.Duration, key string, units float64, until time.Duration) {
-	if a := h.accounts[key]; a != nil && now < until && units > 0 && len(a.leases) < maxLeases {
-		a.leases = append(a.leases, lease{0, units, until})
+	a := h.accounts[key]
+	if a == nil || len(a.leases) >= maxLeases {
+		return
+	}
+	if now < until && units > 0 {
+		a.leases = append(a.leases, lease{units: units, expiresAt: until})
 		h.markActive(a)
 	}
 }
 
-// prefetchUnits is what an account borrows beside what its requests wait for.
+// prefetchUnits returns the units to borrow in advance for an account's demand, for requests of the given
+// units.
 func (h *Holder) prefetchUnits(a *account, units float64) float64 {
-	wish := a.demand * prefetchFraction * h.rules.Term.Seconds()
-	if have := a.leasedUnits(); wish >= 2*units && have < wish/2 && len(a.leases) < maxLeases {
-		return wish - have
+	target := a.demand * prefetchFraction * h.rules.Term.Seconds()
+	leased := a.leasedUnits()
+	if target >= 2*units && leased < target/2 && len(a.leases) < maxLeases {
+		return target - leased
 	}
 	return 0
 }
 
-// returnLeases returns what an account has borrowed and does not spend.
+// returnLeases has the next call return an account's leases.
 func (h *Holder) returnLeases(a *account) {
 	if !h.canBorrow() {
 		return
 	}
 	for _, l := range a.leases {
 		if l.token != 0 {
-			h.returns = append(h.returns, LeaseReturn{a.key, l.token, l.units})
+			h.returns = append(h.returns, LeaseReturn{Key: a.key, Token: l.token, Units: l.units})
 		}
 	}
 	a.leases = nil
 }
 
-// removeIdleBuckets forgets customers that would be as they are if they were new.
+// removeIdleAccounts removes the accounts that new ones would equal.
 func (h *Holder) removeIdleAccounts(now time.Duration) {
 	for key, a := range h.accounts {
-		if h.refill(now, a); a.isActive || a.needsUnits || now-a.lastRequestAt < time.Minute {
+		h.refill(now, a)
+		isIdle := !a.isActive && !a.needsUnits && now-a.lastRequestAt >= accountIdleTime
+		if !isIdle {
 			continue
 		}
-		if full := a.limit.Burst / float64(h.effectiveInstances(now)); a.ownTokens >= full || now < h.ownQuotaFrom {
+		ownBurst := a.limit.Burst / float64(h.effectiveInstances(now))
+		if a.ownTokens >= ownBurst || now < h.ownQuotaFrom {
 			delete(h.accounts, key)
 		}
 	}
--- a/internal/quotalease/holder.go
+++ b/internal/quotalease/holder.go
@@ -5,98 +5,120 @@
 	"time"
 )
 
-// TickInterval is how often Tick is wanted, and by how much calls follow each other at least.
+// TickInterval is how often Holder.Tick has to be called, and the smallest time between two calls to the store.
 const TickInterval = 10 * time.Millisecond
 
-// CallTimeout is for how long a Holder waits for an answer.
+// CallTimeout is how long a Holder waits for the reply to a call.
 const CallTimeout = 250 * time.Millisecond
 
-// What a holder does of itself; none of it bears on what is promised.
+// Limits and targets of a holder. None of them affects what Rules guarantees.
 const (
-	maxQueueTime       = 300 * time.Millisecond // a request waits for units at most
-	maxQueuedRequests  = 64                     // requests of a customer that wait
-	prefetchFraction   = 0.2                    // of a term, that is borrowed ahead by the learned demand
-	demandTimeConstant = time.Second            // that is learned over
-	idleReturnFraction = 0.4                    // of a term without a request, after which what is left is returned
-	maxAccounts        = 200_000                // customers that are known
-	maxLeases          = 8                      // of a customer
-	evictionSample     = 8                      // customers from whom the one that was quiet for longest is let go of
-	maxPendingCalls    = 16                     // calls whose answer may still come
-	maxCallEntries     = 256                    // customers that one call asks for, and that it returns from
+	maxQueueTime       = 300 * time.Millisecond // of a request that waits for units
+	maxQueuedRequests  = 64                     // for each customer
+	maxAccounts        = 200_000
+	maxLeases          = 8   // for each customer, not counting those that one reply brings
+	maxPendingCalls    = 16  // calls whose replies are still accepted
+	maxCallEntries     = 256 // customers to borrow for, and returns, in one call
+	evictionSample     = 8   // accounts
+	prefetchFraction   = 0.2 // of a term's demand, borrowed in advance
+	idleReturnFraction = 0.4 // of a term without a request, after which leases are returned
+	demandTimeConstant = time.Second
+	accountIdleTime    = time.Minute // after which an account may be removed
+	cleanupInterval    = time.Minute
+	maxCallBackoff     = time.Second
+	maxBackoffDoubling = 7 // of TickInterval
+	// keepAliveDivisor divides the reservation time, so that several calls in sequence may fail before a
+	// reservation ends.
+	keepAliveDivisor = 5
+	// maxBorrowFailures is the number of consecutive failures from which a holder does not borrow.
+	maxBorrowFailures = 2
 )
 
-// Kind is that of an Action.
+// never is a time that is not reached.
+const never = time.Duration(math.MaxInt64)
+
+// Kind is the kind of an Action.
 type Kind int
 
-// The kinds of action.
+// The kinds of actions.
 const (
-	Admit  Kind = iota + 1 // a request goes on; its units are spent
-	Reject                 // a request is turned away
-	Call                   // a call goes to the counter
+	Admit  Kind = iota + 1 // forward a request; its units are spent
+	Reject                 // reject a request
+	Call                   // make a call to the store
 )
 
 // Action is what a Holder wants done.
 type Action struct {
 	Kind      Kind
-	RequestID uint64 // of the request
-	// RefundableUntil is when what a request was let go on with ends; 0 where some of it was the holder's own part.
+	RequestID uint64 // with Admit and Reject
+	// RefundableUntil is until when the units of an admitted request can be refunded; 0 is not at all, as some
+	// were of the holder's own quota.
 	RefundableUntil time.Duration
-	StoreCall       *StoreCall // to send
+	StoreCall       *StoreCall // with Call
 }
 
-// Holder is an instance's side: it decides on its customers' requests. All times are of its own
-// clock, which only goes forward, also while the process is stopped. The actions that a method gives
-// are good until the next call of any. It is not safe for concurrent use.
+// Holder is an instance's part: it decides on requests by the instance's own quota and by leases of one store.
+// All times are of the instance's own clock, which is monotonic and also runs while the process is stopped.
+// The actions that a method returns are valid until the next method call. It does no I/O and is not safe for
+// concurrent use.
 type Holder struct {
-	rules        Rules
-	id           string
-	accounts     map[string]*account
-	ownQuotaFrom time.Duration // the part is its own to spend; where that is to come it is pledged, or not its yet
-
-	instances, previousInstances int // instances, and before the last change
-	resizedAt                    time.Duration
-
-	storeID             string        // that it holds to; "" is none yet
-	storeTime           time.Duration // that counter's time
-	storeTimeReceivedAt time.Duration // when it came
-	lastCallDuration    time.Duration // that the call took which brought it
-	reservableFrom      time.Duration // it may pledge its part to that counter
-	storeSince          time.Duration // to that counter since
+	rules    Rules
+	id       string // unique to one run of the instance
+	accounts map[string]*account
+	// ownQuotaFrom is from when the own quota is the holder's to spend. Until then it is reserved for the
+	// store, or may be by an earlier run of the instance.
+	ownQuotaFrom time.Duration
+
+	instances         int           // group size
+	previousInstances int           // before the last change
+	resizedAt         time.Duration // when all instances know the group size
+
+	storeID             string        // empty if not known yet
+	storeSince          time.Duration // when the store became the current one
+	storeTime           time.Duration // in the latest reply
+	storeTimeReceivedAt time.Duration
 	storeIsLending      bool
-	lastToken           uint64
+	lastCallDuration    time.Duration // of the latest call that was answered
+	reservableFrom      time.Duration // from when the own quota can be reserved for this store
+	lastToken           uint64        // the largest that the store has granted
 
 	lastSeq             uint64
-	lastAnsweredSeq     uint64 // the latest call that was
-	lastSeqOfOtherStore uint64 // calls up to this one were for a counter before
-	pendingCalls        map[uint64]time.Duration
-	isCalling           bool // a call is out, the latest
+	lastAnsweredSeq     uint64
+	lastSeqOfOtherStore uint64                   // calls up to this one were for another store
+	pendingCalls        map[uint64]time.Duration // when each was made, by Seq
+	isCalling           bool                     // the call with lastSeq has neither been answered nor failed
 	consecutiveFailures int
-	nextCallAt          time.Duration // a call may be made
-	nextKeepAliveAt     time.Duration // a call is made even so, with nothing to ask for
+	nextCallAt          time.Duration // earliest
+	nextKeepAliveAt     time.Duration // when a call is made even if there is nothing to ask for
 
-	needUnits     []*account // whose requests wait, or which borrow ahead: the next call asks for them
-	calledFor     []*account // for which the call that is out asks
-	active        []*account // that hold leases, or whose requests wait
-	returns       []LeaseReturn
+	needUnits     []*account    // to borrow for with the next call
+	calledFor     []*account    // that the current call borrows for
+	active        []*account    // with leases or queued requests
+	returns       []LeaseReturn // for the next calls
 	nextCleanupAt time.Duration
-	actions       []Action // given last
+	actions       []Action // returned last; its memory is reused
 
 	disabled protections
 }
 
-// NewHolder makes an instance's holder as it starts. It has no part until what its former self had,
-// and maybe pledged, has ended, and all know of a group that has grown.
-func NewHolder(now time.Duration, r Rules, self string) *Holder {
+// NewHolder returns the holder of an instance that has just started. id is unique to this run. The holder has
+// no quota of its own until all reservations of an earlier run have ended and all instances know the group size.
+func NewHolder(now time.Duration, rules Rules, id string) *Holder {
 	h := &Holder{
-		rules: r, id: self, accounts: make(map[string]*account), instances: r.Instances, previousInstances: r.Instances,
-		pendingCalls: make(map[uint64]time.Duration),
+		rules:             rules,
+		id:                id,
+		accounts:          make(map[string]*account),
+		instances:         rules.Instances,
+		previousInstances: rules.Instances,
+		pendingCalls:      make(map[uint64]time.Duration),
 	}
-	h.ownQuotaFrom = now + max(r.ResizeTime, maxDuration(r.ReservationTime, r.MaxDrift))
+	h.ownQuotaFrom = now + max(rules.ResizeTime, maxDuration(rules.ReservationTime, rules.MaxDrift))
 	h.reservableFrom = h.ownQuotaFrom
 	return h
 }
 
-// effectiveInstances is the number of instances that is reckoned with: the larger one until a change has settled.
+// effectiveInstances returns the group size to divide by, which is the larger one until a change is known
+// everywhere.
 func (h *Holder) effectiveInstances(now time.Duration) int {
 	if now < h.resizedAt && !h.disabled.resizeDelay {
 		return max(h.instances, h.previousInstances)
@@ -104,57 +126,63 @@
 	return h.instances
 }
 
-// Resize tells of another number of instances. A part grows only once all have heard of it.
-func (h *Holder) Resize(now time.Duration, n int) {
-	if n == h.instances {
+// Resize sets the group size. The own quota only grows after Rules.ResizeTime.
+func (h *Holder) Resize(now time.Duration, instances int) {
+	if instances == h.instances {
 		return
 	}
 	for _, a := range h.accounts {
 		h.refill(now, a)
 	}
-	h.instances, h.previousInstances = n, h.effectiveInstances(now)
+	h.previousInstances = h.effectiveInstances(now)
+	h.instances = instances
 	h.resizedAt = now + h.rules.ResizeTime
 }
 
-// Resign has it spend no more of its own part, and pledge it to nobody, for good: another instance is
-// to have it once its pledge has ended and the group has settled.
+// Resign stops the holder from spending or reserving its own quota for good. Another instance may have the
+// quota once the last reservation has ended and the change is known everywhere.
 func (h *Holder) Resign() {
-	h.ownQuotaFrom, h.reservableFrom = never, never
+	h.ownQuotaFrom = never
+	h.reservableFrom = never
 	for _, a := range h.accounts {
-		a.ownTokens, a.refilledAt = 0, never
+		a.ownTokens = 0
+		a.refilledAt = never
 	}
 }
 
-const never = time.Duration(math.MaxInt64)
-
-// RequestUnits decides on a request: a Let or a Deny follows, now or within a fraction of a second.
-func (h *Holder) RequestUnits(now time.Duration, id uint64, key string, c HardLimit, units float64) []Action {
-	a := h.account(now, key, c)
-	k := math.Exp(-(now - a.lastRequestAt).Seconds() / demandTimeConstant.Seconds())
-	a.demand, a.lastRequestAt = a.demand*k+units/demandTimeConstant.Seconds(), now
-	todo := h.actions[:0]
-	until, ok := time.Duration(0), false
+// RequestUnits decides on a request of a customer. Its Admit or Reject is returned by this call, or by a later
+// one within maxQueueTime and a TickInterval.
+func (h *Holder) RequestUnits(now time.Duration, requestID uint64, key string, limit HardLimit, units float64) []Action {
+	a := h.account(now, key, limit)
+	decay := math.Exp(-(now - a.lastRequestAt).Seconds() / demandTimeConstant.Seconds())
+	a.demand = a.demand*decay + units/demandTimeConstant.Seconds()
+	a.lastRequestAt = now
+	actions := h.actions[:0]
 	if len(a.queue) == 0 {
-		until, ok = a.spend(units)
-	}
-	switch {
-	case ok:
-		todo = append(todo, Action{Kind: Admit, RequestID: id, RefundableUntil: until})
-		if h.canBorrow() && h.prefetchUnits(a, units) > 0 {
-			h.markNeedsUnits(a)
+		if refundableUntil, ok := a.spend(units); ok {
+			actions = append(actions, Action{Kind: Admit, RequestID: requestID, RefundableUntil: refundableUntil})
+			if h.canBorrow() && h.prefetchUnits(a, units) > 0 {
+				h.markNeedsUnits(a)
+			}
+			return h.callIfDue(now, actions)
 		}
-	case !h.canBorrow() || len(a.queue) >= maxQueuedRequests || units > c.Burst:
-		todo = append(todo, Action{Kind: Reject, RequestID: id})
-		h.actions = todo
-		return todo
-	default:
-		a.queue = append(a.queue, queuedRequest{id: id, units: units, deadline: now + maxQueueTime})
-		h.markNeedsUnits(a)
-		h.markActive(a)
 	}
-	return h.callIfDue(now, todo)
+	if !h.canBorrow() || len(a.queue) >= maxQueuedRequests || units > limit.Burst {
+		h.actions = append(actions, Action{Kind: Reject, RequestID: requestID})
+		return h.actions
+	}
+	a.queue = append(a.queue, queuedRequest{id: requestID, units: units, deadline: now + maxQueueTime})
+	h.markNeedsUnits(a)
+	h.markActive(a)
+	return h.callIfDue(now, actions)
+}
+
+// canBorrow reports whether the store is known, lends and replies.
+func (h *Holder) canBorrow() bool {
+	return h.storeID != "" && h.storeIsLending && h.consecutiveFailures < maxBorrowFailures
 }
 
+// markNeedsUnits has the next call borrow for an account.
 func (h *Holder) markNeedsUnits(a *account) {
 	if !a.needsUnits {
 		a.needsUnits = true
@@ -162,6 +190,7 @@
 	}
 }
 
+// markActive has Tick visit an account.
 func (h *Holder) markActive(a *account) {
 	if !a.isActive {
 		a.isActive = true
@@ -169,29 +198,30 @@
 	}
 }
 
-// Tick does what is due by time; it is wanted every TickInterval or so.
+// Tick does what is due by time. It has to be called every TickInterval.
 func (h *Holder) Tick(now time.Duration) []Action {
-	todo := h.actions[:0]
+	actions := h.actions[:0]
 	if h.isCalling && now-h.pendingCalls[h.lastSeq] > CallTimeout {
-		todo = h.failCall(now, todo)
+		actions = h.failCall(now, actions)
 	}
-	kept := h.active[:0]
+	active := h.active[:0]
 	for _, a := range h.active {
 		h.refill(now, a)
 		if len(a.queue) > 0 {
-			todo = h.decideQueue(a, todo, func(w queuedRequest) bool { return now >= w.deadline })
+			actions = h.decideQueue(a, actions, func(r queuedRequest) bool { return now >= r.deadline })
 		} else if (now - a.lastRequestAt).Seconds() > idleReturnFraction*h.rules.Term.Seconds() {
 			h.returnLeases(a)
 		}
-		if a.isActive = len(a.leases)+len(a.queue) > 0; a.isActive {
-			kept = append(kept, a)
+		a.isActive = len(a.leases)+len(a.queue) > 0
+		if a.isActive {
+			active = append(active, a)
 		}
 	}
-	clear(h.active[len(kept):])
-	h.active = kept
+	clear(h.active[len(active):])
+	h.active = active
 	if now >= h.nextCleanupAt {
-		h.nextCleanupAt = now + time.Minute
+		h.nextCleanupAt = now + cleanupInterval
 		h.removeIdleAccounts(now)
 	}
-	return h.callIfDue(now, todo)
+	return h.callIfDue(now, actions)
 }
--- a/internal/quotalease/holder_calls.go
+++ b/internal/quotalease/holder_calls.go
@@ -5,142 +5,177 @@
 	"time"
 )
 
-// callIfDue makes a call where one is due.
-func (h *Holder) callIfDue(now time.Duration, todo []Action) []Action {
-	h.actions = todo
-	if h.isCalling || now < h.nextCallAt || len(h.needUnits) == 0 && len(h.returns) == 0 && now < h.nextKeepAliveAt {
-		return todo
+// maxDuration returns the longest time by the own clock that a span of another clock can take.
+func maxDuration(span time.Duration, drift float64) time.Duration {
+	return time.Duration(float64(span) * (1 + drift) / (1 - drift))
+}
+
+// callIfDue adds a call to the actions if one is due, and returns them.
+func (h *Holder) callIfDue(now time.Duration, actions []Action) []Action {
+	h.actions = actions
+	hasEntries := len(h.needUnits) > 0 || len(h.returns) > 0
+	if h.isCalling || now < h.nextCallAt || !hasEntries && now < h.nextKeepAliveAt {
+		return actions
 	}
 	h.lastSeq++
-	q := &StoreCall{HolderID: h.id, Seq: h.lastSeq, StoreID: h.storeID, EchoedTime: h.storeTime, LastToken: h.lastToken}
+	call := &StoreCall{HolderID: h.id, Seq: h.lastSeq, StoreID: h.storeID, EchoedTime: h.storeTime, LastToken: h.lastToken}
+	h.addReturns(call)
+	h.addReservation(now, call)
+	h.addRequests(call)
+	if len(h.pendingCalls) >= maxPendingCalls {
+		h.removeOldPendingCalls()
+	}
+	h.pendingCalls[h.lastSeq] = now
+	h.isCalling = true
+	h.nextCallAt = now + TickInterval
+	h.nextKeepAliveAt = now + h.rules.ReservationTime/keepAliveDivisor
+	h.actions = append(actions, Action{Kind: Call, StoreCall: call})
+	return h.actions
+}
+
+// addReturns moves returns to a call.
+func (h *Holder) addReturns(call *StoreCall) {
 	n := min(len(h.returns), maxCallEntries)
-	q.Returns, h.returns = h.returns[:n:n], h.returns[n:]
-	// The pledge counts from the counter's own time, however late this call comes.
-	// To one whose answers come too late to be of use nothing is pledged.
-	if ends := h.storeTimeReceivedAt + maxDuration(h.rules.ReservationTime, h.rules.MaxDrift); h.storeID != "" && now >= h.reservableFrom && now < ends && h.lastCallDuration <= CallTimeout {
-		q.ReservedFraction = 1 / float64(h.effectiveInstances(now))
-		h.ownQuotaFrom = max(h.ownQuotaFrom, ends)
+	call.Returns = h.returns[:n:n]
+	h.returns = h.returns[n:]
+}
+
+// addReservation reserves the own quota for the store. The reservation counts from the store's own time,
+// however late the call arrives. Nothing is reserved for a store whose replies come too late to be of use.
+func (h *Holder) addReservation(now time.Duration, call *StoreCall) {
+	expiresAt := h.storeTimeReceivedAt + maxDuration(h.rules.ReservationTime, h.rules.MaxDrift)
+	isStoreUsable := h.storeID != "" && h.lastCallDuration <= CallTimeout
+	if !isStoreUsable || now < h.reservableFrom || now >= expiresAt {
+		return
 	}
-	n = min(len(h.needUnits), maxCallEntries)
+	call.ReservedFraction = 1 / float64(h.effectiveInstances(now))
+	h.ownQuotaFrom = max(h.ownQuotaFrom, expiresAt)
+}
+
+// addRequests adds the accounts that need units to a call.
+func (h *Holder) addRequests(call *StoreCall) {
+	n := min(len(h.needUnits), maxCallEntries)
 	for _, a := range h.needUnits[:n] {
 		a.needsUnits = false
-		w := LeaseRequest{Key: a.key, Limit: a.limit}
-		have := a.ownTokens + a.leasedUnits()
+		request := LeaseRequest{Key: a.key, Limit: a.limit}
+		available := a.ownTokens + a.leasedUnits()
 		for i := range a.queue {
 			a.queue[i].isInCall = true
-			w.Units += a.queue[i].units
+			request.Units += a.queue[i].units
 		}
 		if len(a.queue) > 0 {
-			w.MinUnits = max(0, a.queue[0].units-have)
+			request.MinUnits = max(0, a.queue[0].units-available)
 		}
-		w.Units = max(0, w.Units-have)
-		w.Units += h.prefetchUnits(a, 1)
-		if w.Units > 0 {
-			q.Requests = append(q.Requests, w)
+		request.Units = max(0, request.Units-available)
+		request.Units += h.prefetchUnits(a, 1)
+		if request.Units > 0 {
+			call.Requests = append(call.Requests, request)
 		}
 	}
 	h.calledFor = append(h.calledFor[:0], h.needUnits[:n]...)
 	h.needUnits = slices.Delete(h.needUnits, 0, n)
-	if len(h.pendingCalls) >= maxPendingCalls {
-		for s := range h.pendingCalls {
-			if s+maxPendingCalls <= h.lastSeq {
-				delete(h.pendingCalls, s)
-			}
-		}
-	}
-	h.pendingCalls[h.lastSeq] = now
-	h.isCalling, h.nextCallAt, h.nextKeepAliveAt = true, now+TickInterval, now+h.rules.ReservationTime/5
-	h.actions = append(todo, Action{Kind: Call, StoreCall: q})
-	return h.actions
 }
 
-// maxDuration is how long a time of another clock may last by this one.
-func maxDuration(d time.Duration, drift float64) time.Duration {
-	return time.Duration(float64(d) * (1 + drift) / (1 - drift))
+// removeOldPendingCalls stops accepting replies to calls that are older than the last maxPendingCalls.
+func (h *Holder) removeOldPendingCalls() {
+	for seq := range h.pendingCalls {
+		if seq+maxPendingCalls <= h.lastSeq {
+			delete(h.pendingCalls, seq)
+		}
+	}
 }
 
-// HandleReply takes a counter's answer.
-func (h *Holder) HandleReply(now time.Duration, r StoreReply) []Action {
-	sent, ok := h.pendingCalls[r.Seq]
-	if !ok || r.Seq <= h.lastSeqOfOtherStore { // of another time, or to what was asked of another counter
+// HandleReply processes a store's reply. One to a call that is not known, or that was meant for another store
+// than the current one, is ignored.
+func (h *Holder) HandleReply(now time.Duration, reply StoreReply) []Action {
+	calledAt, ok := h.pendingCalls[reply.Seq]
+	if !ok || reply.Seq <= h.lastSeqOfOtherStore {
 		return nil
 	}
-	delete(h.pendingCalls, r.Seq)
-	if r.Seq > h.lastAnsweredSeq {
-		h.lastAnsweredSeq = r.Seq
-		if r.StoreID != h.storeID {
-			h.switchStore(now, r.StoreID)
+	delete(h.pendingCalls, reply.Seq)
+	if reply.Seq > h.lastAnsweredSeq {
+		h.lastAnsweredSeq = reply.Seq
+		if reply.StoreID != h.storeID {
+			h.switchStore(now, reply.StoreID)
 		}
-		h.storeTime, h.storeTimeReceivedAt, h.lastCallDuration, h.storeIsLending = r.StoreTime, now, now-sent, r.IsLending
+		h.storeTime = reply.StoreTime
+		h.storeTimeReceivedAt = now
+		h.lastCallDuration = now - calledAt
+		h.storeIsLending = reply.IsLending
 	}
-	for _, g := range r.Grants {
-		h.lastToken = max(h.lastToken, g.Token)
-		if a := h.accounts[g.Key]; a != nil {
-			a.leases = append(a.leases, lease{g.Token, g.Units, sent + h.rules.Term})
+	for _, grant := range reply.Grants {
+		h.lastToken = max(h.lastToken, grant.Token)
+		if a := h.accounts[grant.Key]; a != nil {
+			a.leases = append(a.leases, lease{token: grant.Token, units: grant.Units, expiresAt: calledAt + h.rules.Term})
 			h.markActive(a)
 		}
 	}
-	todo := h.actions[:0]
-	if r.Seq == h.lastSeq {
-		h.isCalling, h.consecutiveFailures = false, 0
-		todo = h.decideCalled(now, todo)
+	actions := h.actions[:0]
+	if reply.Seq == h.lastSeq {
+		h.isCalling = false
+		h.consecutiveFailures = 0
+		actions = h.decideCalled(now, actions)
 	}
-	return h.callIfDue(now, todo)
+	return h.callIfDue(now, actions)
 }
 
-// switchStore has it hold to another counter, to which it pledges once what it pledged to the last is its own again.
-func (h *Holder) switchStore(now time.Duration, counter string) {
-	h.storeID, h.lastToken, h.lastSeqOfOtherStore, h.storeSince = counter, 0, h.lastSeq, now
-	h.returns = nil // they are of the other's tokens, as is what is held
+// switchStore makes another store the current one. Nothing is reserved for it until the reservation for the
+// last one has ended. Leases of the last one remain valid but cannot be returned.
+func (h *Holder) switchStore(now time.Duration, storeID string) {
+	h.storeID = storeID
+	h.storeSince = now
+	h.lastToken = 0
+	h.lastSeqOfOtherStore = h.lastSeq
+	h.returns = nil
 	for _, a := range h.active {
 		for i := range a.leases {
 			a.leases[i].token = 0
 		}
 	}
-	if h.reservableFrom = h.ownQuotaFrom; h.disabled.storeChangeDelay {
+	h.reservableFrom = h.ownQuotaFrom
+	if h.disabled.storeChangeDelay {
 		h.reservableFrom = 0
 	}
 }
 
-// resizeDelay decides on the requests that the latest call has asked for.
-func (h *Holder) decideCalled(now time.Duration, todo []Action) []Action {
+// decideCalled decides on the requests that the latest call was made for: there will be no more units for them.
+func (h *Holder) decideCalled(now time.Duration, actions []Action) []Action {
 	for _, a := range h.calledFor {
 		h.refill(now, a)
-		todo = h.decideQueue(a, todo, func(w queuedRequest) bool { return w.isInCall })
+		actions = h.decideQueue(a, actions, func(r queuedRequest) bool { return r.isInCall })
 		for i := range a.queue {
 			a.queue[i].isInCall = false
 		}
 	}
 	h.calledFor = h.calledFor[:0]
-	return todo
+	return actions
 }
 
-// decideQueue lets waiting requests go in their order while there are units for them; of the rest those
-// are turned away of which over tells so.
-func (h *Holder) decideQueue(a *account, todo []Action, over func(queuedRequest) bool) []Action {
-	kept := a.queue[:0]
-	for _, w := range a.queue {
-		until, ok := time.Duration(0), false
-		if len(kept) == 0 {
-			until, ok = a.spend(w.units)
+// decideQueue admits an account's queued requests in their order as long as there are units. The others are
+// rejected if isExpired reports so, and remain in the queue if not.
+func (h *Holder) decideQueue(a *account, actions []Action, isExpired func(queuedRequest) bool) []Action {
+	remaining := a.queue[:0]
+	for _, r := range a.queue {
+		if len(remaining) == 0 {
+			if refundableUntil, ok := a.spend(r.units); ok {
+				actions = append(actions, Action{Kind: Admit, RequestID: r.id, RefundableUntil: refundableUntil})
+				continue
+			}
 		}
-		switch {
-		case ok:
-			todo = append(todo, Action{Kind: Admit, RequestID: w.id, RefundableUntil: until})
-		case over(w):
-			todo = append(todo, Action{Kind: Reject, RequestID: w.id})
-		default:
-			kept = append(kept, w)
+		if isExpired(r) {
+			actions = append(actions, Action{Kind: Reject, RequestID: r.id})
+			continue
 		}
+		remaining = append(remaining, r)
 	}
-	if a.queue = kept; len(kept) > 0 {
+	a.queue = remaining
+	if len(remaining) > 0 {
 		h.markNeedsUnits(a)
 	}
-	return todo
+	return actions
 }
 
-// CallFailed tells that what calls go by is gone: no answer comes to what is out, and the next may be
-// another counter's.
+// CallFailed reports that the current call has failed, such as by a closed connection: no reply will come.
 func (h *Holder) CallFailed(now time.Duration) []Action {
 	if !h.isCalling {
 		return nil
@@ -148,10 +183,11 @@
 	return h.failCall(now, h.actions[:0])
 }
 
-func (h *Holder) failCall(now time.Duration, todo []Action) []Action {
+// failCall ends the current call without a reply and delays the next one exponentially.
+func (h *Holder) failCall(now time.Duration, actions []Action) []Action {
 	h.isCalling = false
 	h.consecutiveFailures++
-	h.nextCallAt = now + min(time.Second, TickInterval<<min(h.consecutiveFailures, 7))
-	todo = h.decideCalled(now, todo)
-	return h.callIfDue(now, todo)
+	h.nextCallAt = now + min(maxCallBackoff, TickInterval<<min(h.consecutiveFailures, maxBackoffDoubling))
+	actions = h.decideCalled(now, actions)
+	return h.callIfDue(now, actions)
 }
--- a/internal/quotalease/holder_status.go
+++ b/internal/quotalease/holder_status.go
@@ -2,22 +2,28 @@
 
 import "time"
 
-// Status is what a holder has.
+// Status is the state of a holder.
 type Status struct {
-	StoreID          string  `json:"identity"`  // of the counter that it holds to; "" is none yet
-	SecondsAtStore   float64 `json:"since_s"`   // s that it has held to that one
-	CanBorrow        bool    `json:"lends"`     // and whether it can borrow there now
-	UsesOwnQuota     bool    `json:"own"`       // its part is its own to spend
-	ReservedFraction float64 `json:"pledged"`   // fraction of each ceiling that is pledged to that counter
-	Customers        int     `json:"customers"` // that it knows of
-	LeasedUnits      float64 `json:"borrowed"`  // units that it holds
-	QueuedRequests   int     `json:"waiting"`   // requests that wait for units
-	Calls            uint64  `json:"calls"`     // made
+	StoreID          string  `json:"identity"`  // of the current store; empty if not known yet
+	SecondsAtStore   float64 `json:"since_s"`   // since the store became the current one
+	CanBorrow        bool    `json:"lends"`     // the store lends and replies
+	UsesOwnQuota     bool    `json:"own"`       // the own quota is not reserved for the store
+	ReservedFraction float64 `json:"pledged"`   // of each hard limit, reserved for the store
+	Customers        int     `json:"customers"` // with an account
+	LeasedUnits      float64 `json:"borrowed"`  // of all customers
+	QueuedRequests   int     `json:"waiting"`   // that wait for units
+	Calls            uint64  `json:"calls"`     // made since the holder was created
 }
 
-// Status tells what it has.
+// Status returns the holder's state.
 func (h *Holder) Status(now time.Duration) Status {
-	s := Status{StoreID: h.storeID, CanBorrow: h.canBorrow(), UsesOwnQuota: now >= h.ownQuotaFrom, Customers: len(h.accounts), Calls: h.lastSeq}
+	s := Status{
+		StoreID:      h.storeID,
+		CanBorrow:    h.canBorrow(),
+		UsesOwnQuota: now >= h.ownQuotaFrom,
+		Customers:    len(h.accounts),
+		Calls:        h.lastSeq,
+	}
 	if !s.UsesOwnQuota && h.storeID != "" && now >= h.reservableFrom {
 		s.ReservedFraction = 1 / float64(h.effectiveInstances(now))
 	}
@@ -31,8 +37,3 @@
 	}
 	return s
 }
-
-// canBorrow tells whether there is a counter to ask.
-func (h *Holder) canBorrow() bool {
-	return h.storeID != "" && h.storeIsLending && h.consecutiveFailures < 2
-}
--- a/internal/quotalease/quotalease.go
+++ b/internal/quotalease/quotalease.go
@@ -1,15 +1,16 @@
-// Package quotalease divides a customer's ceiling over a group of instances. Each has one part of it,
-// which it spends itself or pledges to a counter for a short time; a counter lends out of what is
-// reservedFraction to it, to whoever of the group asks, for a short term. No part is ever in two hands, so
-// that it doesn't matter how many counters there are, what they forget, or who can reach whom.
+// Package quotalease divides a customer's hard limit over a group of instances. Each instance has an equal part
+// of it, which it spends itself or reserves for a lease store for a short time. A store lends what is reserved
+// for it, for a short term, to any instance that asks. No part is ever in two hands, so that the hard limit is
+// kept with any number of stores, whatever they forget and whoever can reach them.
 //
-// StoreID and Holder are state machines: they are told the time and what came, and give what is to
-// be done. What all instances send of a customer's in any window of length w is no more than
+// Store and Holder are state machines without I/O: their methods take the time and what was received, and
+// return what is to be done. In any window of length w all instances together forward no more units of a
+// customer than
 //
 //	burst + rate*(1+drift)*w + rate*(1+drift)*term/(1-drift)
 //
-// whatever is lost, late, split, replaced, paused or killed; Rules.Promises tells what is left of the
-// ceiling's use in each case, and the one exception. docs/design/allowance.md derives it.
+// whatever is lost, late, partitioned, replaced, paused or killed. Rules.Guarantees lists how much of the hard
+// limit can be used in each case, and the one exception. docs/design/allowance.md derives the bound.
 package quotalease
 
 import (
@@ -17,77 +18,90 @@
 	"time"
 )
 
-// Limit is the most that a customer may send: Rate units a second, and Burst at once.
+const (
+	minTerm  = 10 * time.Millisecond
+	maxDrift = 0.1
+)
+
+// HardLimit is what a customer may use, in a token bucket's terms.
 type HardLimit struct {
-	Rate  float64 `json:"Rate"`
-	Burst float64 `json:"Burst"`
+	Rate  float64 `json:"Rate"`  // units a second
+	Burst float64 `json:"Burst"` // units at once
 }
 
-func (c HardLimit) times(part float64) HardLimit { return HardLimit{part * c.Rate, part * c.Burst} }
+// times returns a fraction of the limit.
+func (l HardLimit) times(fraction float64) HardLimit {
+	return HardLimit{Rate: fraction * l.Rate, Burst: fraction * l.Burst}
+}
 
-// Rules are the same at all instances and counters.
+// Rules are the times that holders and stores go by. They have to be the same at all of them.
 type Rules struct {
-	Instances       int           `plan:"instances"` // that a ceiling is divided over
-	Term            time.Duration `plan:"term"`      // of what is lent, from the moment it was asked for
-	ReservationTime time.Duration `plan:"pledge"`    // for which a part is pledged, from when the counter last told its time
-	ResizeTime      time.Duration `plan:"settle"`    // within which all instances know of another number of them, or have ended
-	MaxDrift        float64       `plan:"drift"`     // most by which a clock's rate is wrong, as a part; what clocks show may be anything
+	Instances int           `plan:"instances"` // group size
+	Term      time.Duration `plan:"term"`      // of a lease, from when it was requested
+	// ReservationTime is how long an instance reserves its part for a store, from the store's last known time.
+	ReservationTime time.Duration `plan:"pledge"`
+	// ResizeTime is the time after which all instances know of a new group size, or have ended.
+	ResizeTime time.Duration `plan:"settle"`
+	// MaxDrift is the largest relative error of a clock's rate, 0 to 0.1. Clocks need not agree otherwise.
+	MaxDrift float64 `plan:"drift"`
 }
 
-// Validate tells what can't be kept.
+// Validate returns an error for the first rule that is out of range.
 func (r Rules) Validate() error {
 	switch {
 	case r.Instances < 1:
-		return fmt.Errorf("allowance: a ceiling divided over %d instances", r.Instances)
-	case !(r.MaxDrift >= 0 && r.MaxDrift <= 0.1):
-		return fmt.Errorf("allowance: clocks wrong by %g of their rate; 0 to 0.1 can be lived with", r.MaxDrift)
-	case r.Term < 10*time.Millisecond || r.ReservationTime < r.Term || r.ResizeTime < r.ReservationTime:
-		return fmt.Errorf("allowance: a term of %v, pledges of %v, %v to settle: the first has to be 10ms at least, the others as long as the one before",
-			r.Term, r.ReservationTime, r.ResizeTime)
+		return fmt.Errorf("quota lease: a hard limit cannot be divided over %d instances", r.Instances)
+	case !(r.MaxDrift >= 0 && r.MaxDrift <= maxDrift): // also NaN
+		return fmt.Errorf("quota lease: clock drift %g is not in the range 0 to %g", r.MaxDrift, maxDrift)
+	case r.Term < minTerm || r.ReservationTime < r.Term || r.ResizeTime < r.ReservationTime:
+		return fmt.Errorf("quota lease: term %v, pledge %v, settle %v: the term has to be at least %v, and each of the others at least the one before it",
+			r.Term, r.ReservationTime, r.ResizeTime, minTerm)
 	}
 	return nil
 }
 
-// Bound is what all instances together keep to in any window: no more than its Burst, and its Rate
-// times the window.
-func (r Rules) Bound(c HardLimit) HardLimit {
-	fast := c.Rate * (1 + r.MaxDrift)
-	return HardLimit{Rate: fast, Burst: c.Burst + fast*r.Term.Seconds()/(1-r.MaxDrift)}
+// Bound returns what all instances together keep to: in any window no more than its Burst, and its Rate times
+// the window.
+func (r Rules) Bound(limit HardLimit) HardLimit {
+	fast := limit.Rate * (1 + r.MaxDrift)
+	return HardLimit{Rate: fast, Burst: limit.Burst + fast*r.Term.Seconds()/(1-r.MaxDrift)}
 }
 
-// MaxExcess is the most by which a window may hold more than the ceiling, as a part of that.
-func (r Rules) MaxExcess(c HardLimit, window time.Duration) float64 {
-	b, w := r.Bound(c), window.Seconds()
-	return (b.Burst+b.Rate*w)/(c.Burst+c.Rate*w) - 1
+// MaxExcess returns by how much a window may exceed the limit, as a fraction of what the limit allows in it.
+func (r Rules) MaxExcess(limit HardLimit, window time.Duration) float64 {
+	bound, seconds := r.Bound(limit), window.Seconds()
+	return (bound.Burst+bound.Rate*seconds)/(limit.Burst+limit.Rate*seconds) - 1
 }
 
-// Guarantee is what holds of a ceiling in a case, in a minute.
+// Guarantee is what holds of a hard limit in one case, in a window of a minute.
 type Guarantee struct {
 	Case        string  `json:"case"`
-	Excess      float64 `json:"over"` // most beyond the ceiling, as a part of it
-	Utilization float64 `json:"use"`  // of the ceiling's rate that traffic can use
+	Excess      float64 `json:"over"` // most by which the limit may be exceeded, as a fraction of it
+	Utilization float64 `json:"use"`  // fraction of the limit's rate that can be used
 	Reason      string  `json:"why"`
 }
 
-// Guarantees tells what holds of a ceiling for requests of so many units, and for traffic that comes
-// evenly through spread of the instances.
-func (r Rules) Guarantees(c HardLimit, units float64, spread int) []Guarantee {
-	over, n := r.MaxExcess(c, time.Minute), float64(r.Instances)
-	alone := min(1, float64(spread)/n)
-	why := "each instance that it comes through has its own part of the rate and of the store"
-	if own := c.times(1 / n); own.Burst < units {
-		alone, why = 0, fmt.Sprintf("the store of one part, %.3g units, never fills up to one request", own.Burst)
+// Guarantees returns what holds of a limit in each case, for requests of the given units and traffic that
+// comes evenly through fanOut of the instances.
+func (r Rules) Guarantees(limit HardLimit, units float64, fanOut int) []Guarantee {
+	excess := r.MaxExcess(limit, time.Minute)
+	instances := float64(r.Instances)
+	withoutStore := min(1, float64(fanOut)/instances)
+	reason := "each instance that it comes through has its own part of the rate and of the store"
+	if own := limit.times(1 / instances); own.Burst < units {
+		withoutStore = 0
+		reason = fmt.Sprintf("the store of one part, %.3g units, never fills up to one request", own.Burst)
 	}
 	return []Guarantee{
-		{"the counter answers", over, 1, "all parts are lent; what was lent may be spent to the end of its term, which is what the window may hold beyond"},
-		{"the counter is lost, or late by more than the term", over, alone, why},
-		{"the group is split, a counter on each side", over, 0.5, "each side's counter lends the parts of its instances: half, where that is half of them"},
-		{"the counter is replaced by an empty one", over, 1, "it begins with empty stores; what the old one had left is lost, and pledges to that one end first"},
+		{"the counter answers", excess, 1, "all parts are lent; what was lent may be spent to the end of its term, which is what the window may hold beyond"},
+		{"the counter is lost, or late by more than the term", excess, withoutStore, reason},
+		{"the group is split, a counter on each side", excess, 0.5, "each side's counter lends the parts of its instances: half, where that is half of them"},
+		{"the counter is replaced by an empty one", excess, 1, "it begins with empty stores; what the old one had left is lost, and pledges to that one end first"},
 		{
-			"the counter goes back to an older state as itself", over + c.Burst/(c.Burst+60*c.Rate), 1,
+			"the counter goes back to an older state as itself", excess + limit.Burst/(limit.Burst+60*limit.Rate), 1,
 			"until an instance tells of a later token, an instant later, it may lend again what its stores held: a burst at most, each time",
 		},
-		{"an instance is killed, or stopped for long", over, 1 - 1/n, "its part is nobody's once its pledge has ended"},
-		{"the group changes its size", over, alone, "larger parts, and those of new instances, wait until all know of it"},
+		{"an instance is killed, or stopped for long", excess, 1 - 1/instances, "its part is nobody's once its pledge has ended"},
+		{"the group changes its size", excess, withoutStore, "larger parts, and those of new instances, wait until all know of it"},
 	}
 }
--- a/internal/quotalease/quotalease_test.go
+++ b/internal/quotalease/quotalease_test.go
@@ -17,11 +17,11 @@
 	cap30 = HardLimit{Rate: 30, Burst: 60}
 )
 
-// trouble is what goes wrong in a world, by name.
-var troubles = map[string]func(w *world){
+// faults are what may go wrong in a world, by name.
+var faults = map[string]func(w *world){
 	"delays and losses": func(w *world) { w.tail, w.loss = 0.05, 0.05 },
-	"late":              func(w *world) { w.places[0].late = 3 * time.Second },
-	"gone for a while": func(w *world) {
+	"late":              func(w *world) { w.addresses[0].delay = 3 * time.Second },
+	"unreachable for a while": func(w *world) {
 		w.reach(-1, all)
 		w.After(10*time.Second, func() { w.reach(0, all) })
 	},
@@ -31,12 +31,12 @@
 			w.After(time.Duration(i)*3*time.Second, func() { w.replace(0) })
 		}
 	},
-	"split in halves": func(w *world) {
+	"partition in halves": func(w *world) {
 		w.replace(1)
 		w.reach(1, func(i int) bool { return i%2 == 0 })
 		w.After(20*time.Second, func() { w.reach(0, all) })
 	},
-	"a split that swings": func(w *world) {
+	"a moving partition": func(w *world) {
 		w.replace(1)
 		for i := range 8 {
 			part := w.rng.IntN(len(w.nodes) + 1)
@@ -56,7 +56,7 @@
 	"stopped processes": func(w *world) {
 		for _, n := range w.nodes {
 			if w.rng.IntN(3) == 0 {
-				n.stopped = w.Now() + time.Duration(1+w.rng.IntN(10))*time.Second
+				n.stoppedUntil = w.Now() + time.Duration(1+w.rng.IntN(10))*time.Second
 			}
 		}
 	},
@@ -74,11 +74,11 @@
 	"the counter's clock steps": func(w *world) {
 		for i := range 6 {
 			w.After(time.Duration(i)*3*time.Second, func() {
-				w.places[0].clock.offset += time.Duration(w.rng.IntN(20)-10) * time.Second
+				w.addresses[0].clock.offset += time.Duration(w.rng.IntN(20)-10) * time.Second
 			})
 		}
 	},
-	"traffic moves at a stroke": func(w *world) {
+	"traffic moves at once": func(w *world) {
 		one := w.rng.IntN(len(w.nodes))
 		w.weight = func(i int) float64 {
 			if i == one {
@@ -89,24 +89,24 @@
 	},
 }
 
-// harsh are troubles that are made for one protection each.
-var harsh = map[string]func(w *world){
+// harshFaults are each made for one protection.
+var harshFaults = map[string]func(w *world){
 	"none": func(*world) {},
-	// Thirty hold to a counter while their calls take 6 s; then they find another at once.
+	// Thirty nodes use a store while their calls take 6 s; then they reach another one at once.
 	"late pledges, then a move": func(w *world) {
 		w.replace(1)
-		w.units, w.asking = 1, 300
+		w.maxUnits, w.demand = 1, 300
 		for i := range 30 {
-			w.nodes[i].late = 6 * time.Second
+			w.nodes[i].callDelay = 6 * time.Second
 		}
 		w.After(6*time.Second, func() {
 			w.reach(1, func(i int) bool { return i < 30 })
 			for i := range 30 {
-				w.nodes[i].late = 0
+				w.nodes[i].callDelay = 0
 			}
 		})
 	},
-	"a majority moves to and fro": func(w *world) {
+	"a majority moves back and forth": func(w *world) {
 		w.replace(1)
 		for k := range 8 {
 			w.After(time.Duration(k)*2500*time.Millisecond, func() {
@@ -117,19 +117,19 @@
 	},
 	"a clock steps back, and a majority moves": func(w *world) {
 		w.replace(1)
-		w.places[0].clock.offset -= 10 * time.Second
+		w.addresses[0].clock.offset -= 10 * time.Second
 		w.After(100*time.Millisecond, func() { w.reach(1, func(i int) bool { return i < 30 }) })
 	},
-	// What a burst borrows comes 6 s late, when the store is full again and as much is asked for.
+	// The grants of a burst arrive 6 s late, when the bucket is full again and as much is requested.
 	"answers come late": func(w *world) {
-		w.asking = 0
+		w.demand = 0
 		w.Run(w.Now() + 4*time.Second)
-		w.asking, w.places[0].answers = 1200, 6*time.Second
-		w.After(500*time.Millisecond, func() { w.asking, w.places[0].answers = 0, 0 })
-		w.After(5900*time.Millisecond, func() { w.asking = 1200 })
+		w.demand, w.addresses[0].replyDelay = 1200, 6*time.Second
+		w.After(500*time.Millisecond, func() { w.demand, w.addresses[0].replyDelay = 0, 0 })
+		w.After(5900*time.Millisecond, func() { w.demand = 1200 })
 	},
-	"replaced now and then": func(w *world) {
-		w.asking = 300
+	"replaced repeatedly": func(w *world) {
+		w.demand = 300
 		for i := range 5 {
 			w.After(time.Duration(i)*6*time.Second, func() { w.replace(0) })
 		}
@@ -137,19 +137,19 @@
 	"rolled back": func(w *world) {
 		for k := range 6 {
 			w.After(time.Duration(k)*1500*time.Millisecond, func() {
-				old := w.places[0].c.clone()
-				w.After(time.Second, func() { w.places[0].c = old })
+				old := w.addresses[0].store.clone()
+				w.After(time.Second, func() { w.addresses[0].store = old })
 			})
 		}
 	},
-	// Ten hear that they are alone before the others have ended; there is no counter.
+	// Ten nodes learn of the smaller group before the others have ended; there is no store.
 	"a smaller group": func(w *world) {
 		w.reach(-1, all)
 		w.Run(w.Now() + 3*time.Second)
-		w.units, w.asking = 1, 300
+		w.maxUnits, w.demand = 1, 300
 		for i, n := range w.nodes {
 			if i < 10 {
-				n.h.Resize(n.now(), 10)
+				n.holder.Resize(n.now(), 10)
 			} else {
 				w.After(rules.ResizeTime-100*time.Millisecond, n.kill)
 			}
@@ -161,7 +161,7 @@
 			if i >= 10 {
 				n.kill()
 			} else {
-				n.h.Resize(n.now(), 10)
+				n.holder.Resize(n.now(), 10)
 			}
 		}
 		w.After(rules.ResizeTime+time.Second, func() {
@@ -169,39 +169,39 @@
 				if i >= 10 {
 					n.start()
 				} else {
-					w.After(time.Duration(w.rng.IntN(3000))*time.Millisecond, func() { n.h.Resize(n.now(), 40) })
+					w.After(time.Duration(w.rng.IntN(3000))*time.Millisecond, func() { n.holder.Resize(n.now(), 40) })
 				}
 			}
 		})
 	},
 }
 
-// play has some troubles come one after another, after the group is up, and more than the
-// customer's ceiling asked for throughout.
+// play runs a world with some faults one after another, after the group has started, with more requested
+// throughout than the customer's hard limit allows.
 func play(seed uint64, c HardLimit, w protections, names ...string) *world {
 	x := newWorld(seed, rules.Instances, rules, c, w)
-	x.asking = 90
-	if seed%2 == 1 && troubles[names[0]] != nil { // nextKeepAliveAt for a while, then all that its store holds at once
-		var turn func()
-		turn = func() {
-			if x.asking > 0 {
-				x.asking = 0
-				x.After(time.Duration(1+x.rng.IntN(5))*time.Second, turn)
+	x.demand = 90
+	if seed%2 == 1 && faults[names[0]] != nil { // idle for a while, then a full bucket at once
+		var toggle func()
+		toggle = func() {
+			if x.demand > 0 {
+				x.demand = 0
+				x.After(time.Duration(1+x.rng.IntN(5))*time.Second, toggle)
 			} else {
-				x.asking = 300
-				x.After(2*time.Second, turn)
+				x.demand = 300
+				x.After(2*time.Second, toggle)
 			}
 		}
-		x.At(5*time.Second, turn)
+		x.At(5*time.Second, toggle)
 	}
 	x.load(60 * time.Second)
 	x.Run(8 * time.Second)
 	for _, name := range names {
-		trouble := troubles[name]
-		if trouble == nil {
-			trouble = harsh[name]
+		fault := faults[name]
+		if fault == nil {
+			fault = harshFaults[name]
 		}
-		trouble(x)
+		fault(x)
 		x.Run(x.Now() + time.Duration(5+x.rng.IntN(10))*time.Second)
 	}
 	x.Run(70 * time.Second)
@@ -216,13 +216,13 @@
 	return n
 }
 
-// Whatever goes wrong, alone and in pairs and threes, no window holds more than the bound.
-func TestCeilingHolds(t *testing.T) {
-	names := make([]string, 0, len(troubles))
-	for name := range troubles {
+// No window holds more than the bound with one, two or three faults in a row.
+func TestNoFaultExceedsHardLimit(t *testing.T) {
+	names := make([]string, 0, len(faults))
+	for name := range faults {
 		names = append(names, name)
 	}
-	for name := range troubles {
+	for name := range faults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			worst, minute := math.Inf(-1), math.Inf(-1)
@@ -233,10 +233,10 @@
 					with = append(with, names[rng.IntN(len(names))])
 				}
 				w := play(seed, cap30, protections{}, with...)
-				if worst, minute = math.Max(worst, w.worst), math.Max(minute, w.over()); w.worst > 0 {
-					t.Errorf("seed %d, %q: %.2f units beyond the bound", seed, with, w.worst)
+				if worst, minute = math.Max(worst, w.maxExcess), math.Max(minute, w.minuteExcess()); w.maxExcess > 0 {
+					t.Errorf("seed %d, %q: %.2f units beyond the bound", seed, with, w.maxExcess)
 				}
-				if w.sent == 0 {
+				if w.admitted == 0 {
 					t.Errorf("seed %d, %q: nothing was sent", seed, with)
 				}
 			}
@@ -245,17 +245,17 @@
 	}
 }
 
-// Each protection is there for something: on a day made for it the bound holds, and breaks without it.
+// With a fault made for a protection the bound is kept, and is exceeded when the protection is disabled.
 func TestProtectionsAreNeeded(t *testing.T) {
 	for name, tc := range map[string]struct {
 		protections
 		HardLimit
-		trouble string
+		fault string
 	}{
 		"what is pledged is spent as well":                  {protections{exclusiveReservation: true}, cap30, "none"},
-		"a new counter begins full":                         {protections{emptyStart: true}, HardLimit{30, 240}, "replaced now and then"},
+		"a new counter begins full":                         {protections{emptyStart: true}, HardLimit{30, 240}, "replaced repeatedly"},
 		"a pledge counts from when it comes":                {protections{reservationFromEcho: true}, HardLimit{30, 10}, "late pledges, then a move"},
-		"a part is pledged to another counter at once":      {protections{storeChangeDelay: true}, cap30, "a majority moves to and fro"},
+		"a part is pledged to another counter at once":      {protections{storeChangeDelay: true}, cap30, "a majority moves back and forth"},
 		"what is lent has no end":                           {protections{leaseExpiry: true}, cap30, "answers come late"},
 		"parts grow at once":                                {protections{resizeDelay: true}, HardLimit{30, 30}, "a smaller group"},
 		"a counter that goes back is believed":              {protections{rollbackReset: true}, cap30, "rolled back"},
@@ -265,10 +265,10 @@
 			t.Parallel()
 			broken := 0.0
 			for seed := range uint64(seeds(t, 3)) {
-				if w := play(seed, tc.HardLimit, protections{}, tc.trouble); w.worst > 0 {
-					t.Errorf("seed %d: %.1f units beyond the bound with all protections", seed, w.worst)
+				if w := play(seed, tc.HardLimit, protections{}, tc.fault); w.maxExcess > 0 {
+					t.Errorf("seed %d: %.1f units beyond the bound with all protections", seed, w.maxExcess)
 				}
-				broken = math.Max(broken, play(seed, tc.HardLimit, tc.protections, tc.trouble).worst)
+				broken = math.Max(broken, play(seed, tc.HardLimit, tc.protections, tc.fault).maxExcess)
 			}
 			if t.Logf("without it: %.1f units beyond the bound", broken); broken <= 0 {
 				t.Error("nothing is broken without it")
@@ -278,24 +278,24 @@
 	t.Run("a larger group", func(t *testing.T) {
 		t.Parallel()
 		for seed := range uint64(seeds(t, 3)) {
-			if w := play(seed, cap30, protections{}, "a larger group"); w.worst > 0 {
-				t.Errorf("seed %d: %.1f units beyond the bound", seed, w.worst)
+			if w := play(seed, cap30, protections{}, "a larger group"); w.maxExcess > 0 {
+				t.Errorf("seed %d: %.1f units beyond the bound", seed, w.maxExcess)
 			}
 		}
 	})
 }
 
-// With the counter in good health a customer reaches its ceiling however its traffic is spread.
-func TestUse(t *testing.T) {
+// With a healthy store a customer can use all of its hard limit, whatever its fan-out.
+func TestUtilization(t *testing.T) {
 	for _, spread := range []int{1, 2, 4, 40} {
 		for _, asked := range []float64{33, 90} {
 			w := newWorld(5, rules.Instances, rules, cap30, protections{})
-			w.weight, w.asking = first(spread), asked
+			w.weight, w.demand = first(spread), asked
 			w.Run(8 * time.Second)
 			w.load(68 * time.Second)
 			w.Run(70 * time.Second)
-			use := w.sent / (cap30.Rate * 60)
-			t.Logf("spread %2d, %g units a second asked: %.3f of the rate, minute %+.3f", spread, asked, use, w.over())
+			use := w.admitted / (cap30.Rate * 60)
+			t.Logf("spread %2d, %g units a second asked: %.3f of the rate, minute %+.3f", spread, asked, use, w.minuteExcess())
 			if use < 0.95 {
 				t.Errorf("spread %d: %.3f of the ceiling", spread, use)
 			}
@@ -303,19 +303,19 @@
 	}
 }
 
-// Without the counter each instance has its own part, no more and no less: the figure for each
-// spread is what DESIGN's static division gives.
-func TestUseAlone(t *testing.T) {
+// Without a store each instance has its own part, no more and no less: the utilization for each fan-out is
+// that of DESIGN's static division.
+func TestUtilizationWithoutStore(t *testing.T) {
 	for _, spread := range []int{1, 2, 4, 40} {
 		w := newWorld(5, rules.Instances, rules, cap30, protections{})
 		w.reach(-1, all)
-		w.units = 1
-		w.weight, w.asking = first(spread), 90
+		w.maxUnits = 1
+		w.weight, w.demand = first(spread), 90
 		w.Run(8 * time.Second)
 		w.load(68 * time.Second)
 		w.Run(70 * time.Second)
 		want := float64(spread) / float64(rules.Instances)
-		use := w.sent / (cap30.Rate * 60)
+		use := w.admitted / (cap30.Rate * 60)
 		t.Logf("spread %2d: %.4f of the rate, %.4f by its own parts", spread, use, want)
 		if use < 0.8*want || use > 1.2*want {
 			t.Errorf("spread %d: %.4f of the ceiling, not about %.4f", spread, use, want)
@@ -332,24 +332,24 @@
 	}
 }
 
-// A counter that goes back to an older state as itself lends, each time, at most what its stores
-// storeSince again, until the first instance that has seen a later token asks.
-func TestRolledBack(t *testing.T) {
+// A store that returns to an older state under the same identity lends again, each time, at most what its
+// buckets held, until the first call of an instance that has received a later token.
+func TestStoreRestoredFromSnapshot(t *testing.T) {
 	for seed := range uint64(seeds(t, 3)) {
-		if w := play(seed, cap30, protections{}, "rolled back"); w.worst > 6*cap30.Burst {
-			t.Errorf("seed %d: %.1f units beyond the bound in six times", seed, w.worst)
+		if w := play(seed, cap30, protections{}, "rolled back"); w.maxExcess > 6*cap30.Burst {
+			t.Errorf("seed %d: %.1f units beyond the bound in six times", seed, w.maxExcess)
 		}
 	}
 }
 
-func TestRules(t *testing.T) {
+func TestValidateRules(t *testing.T) {
 	for want, r := range map[string]Rules{
 		"":                 rules,
 		"over 0 instances": {Term: time.Second, ReservationTime: time.Second, ResizeTime: time.Second},
-		"wrong by 0.2":     {Instances: 1, Term: time.Second, ReservationTime: time.Second, ResizeTime: time.Second, MaxDrift: 0.2},
-		"wrong by NaN":     {Instances: 1, Term: time.Second, ReservationTime: time.Second, ResizeTime: time.Second, MaxDrift: math.NaN()},
-		"pledges of 1s":    {Instances: 1, Term: 2 * time.Second, ReservationTime: time.Second, ResizeTime: time.Second},
-		"1ms":              {Instances: 1, Term: time.Millisecond, ReservationTime: time.Second, ResizeTime: time.Second},
+		"drift 0.2":        {Instances: 1, Term: time.Second, ReservationTime: time.Second, ResizeTime: time.Second, MaxDrift: 0.2},
+		"drift NaN":        {Instances: 1, Term: time.Second, ReservationTime: time.Second, ResizeTime: time.Second, MaxDrift: math.NaN()},
+		"pledge 1s":        {Instances: 1, Term: 2 * time.Second, ReservationTime: time.Second, ResizeTime: time.Second},
+		"term 1ms":         {Instances: 1, Term: time.Millisecond, ReservationTime: time.Second, ResizeTime: time.Second},
 	} {
 		if err := r.Validate(); (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", want, err)
@@ -360,9 +360,8 @@
 	}
 }
 
-// What a customer is known by is let go of once it would be the same if it were new; a part that is
-// not full is never full by that.
-func TestForgetting(t *testing.T) {
+// An account is removed once a new one would equal it; removal never fills one that is not full.
+func TestIdleAccountsAreRemoved(t *testing.T) {
 	h := NewHolder(0, rules, "i")
 	now := rules.ResizeTime
 	for i := range 3 {
@@ -391,8 +390,8 @@
 	}
 }
 
-// What is lent, taken back once, ended, and asked for by others.
-func TestGives(t *testing.T) {
+// A grant can be returned once, before it expires and by its holder.
+func TestReturns(t *testing.T) {
 	c := NewStore(rules, "c")
 	call := func(now time.Duration, from string, q StoreCall) StoreReply {
 		q.HolderID, q.StoreID, q.EchoedTime, q.ReservedFraction = from, "c", now, 0.5
@@ -435,7 +434,7 @@
 	}
 }
 
-func BenchmarkAsk(b *testing.B) {
+func BenchmarkRequestUnits(b *testing.B) {
 	h := NewHolder(0, rules, "i")
 	keys := make([]string, 1000)
 	for i := range keys {
@@ -449,8 +448,8 @@
 	}
 }
 
-// A call asks for so many customers at the most; those left are asked for by the next.
-func TestManyWants(t *testing.T) {
+// A call asks for maxCallEntries customers; the next calls ask for the others.
+func TestCallEntriesAreLimited(t *testing.T) {
 	h := NewHolder(0, rules, "i")
 	now := rules.ResizeTime
 	answer := func(q *StoreCall, lends bool) []Action {
@@ -474,7 +473,7 @@
 	for i := range 600 {
 		h.RequestUnits(now, uint64(i), strconv.Itoa(i), cap30, 1)
 	}
-	let, calls := 0, 0
+	admitted, calls := 0, 0
 	for q := first; q != nil && calls < 10; calls++ {
 		if len(q.Requests) > maxCallEntries {
 			t.Errorf("%d wants", len(q.Requests))
@@ -483,20 +482,20 @@
 		todo := answer(q, true)
 		for _, a := range todo {
 			if a.Kind == Admit {
-				let++
+				admitted++
 			}
 		}
 		if q = send(todo); q == nil {
 			q = send(h.Tick(now))
 		}
 	}
-	if let != 600 || calls < 4 {
-		t.Errorf("%d of 600 let go on in %d calls", let, calls)
+	if admitted != 600 || calls < 4 {
+		t.Errorf("%d of 600 admitted in %d calls", admitted, calls)
 	}
 }
 
-// What is given back ends with the first lease that it was taken from, in whatever order they came.
-func TestRefundEndsWithTheFirst(t *testing.T) {
+// A refund expires with the first of the leases that it was taken from, in whatever order they arrived.
+func TestRefundExpiresWithFirstLease(t *testing.T) {
 	a := &account{leases: []lease{{1, 2, 5 * time.Second}, {2, 2, 4 * time.Second}}}
 	until, ok := a.spend(3)
 	if !ok || until != 4*time.Second {
@@ -533,15 +532,15 @@
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				calls, let, denied := 0, 0, 0
+				calls, admitted, rejected := 0, 0, 0
 				var do func(h *Holder, now time.Duration, todo []Action)
 				do = func(h *Holder, now time.Duration, todo []Action) {
 					for _, a := range slices.Clone(todo) {
 						switch a.Kind {
 						case Admit:
-							let++
+							admitted++
 						case Reject:
-							denied++
+							rejected++
 						case Call:
 							calls++
 							do(h, now, h.HandleReply(now, c.Handle(now, *a.StoreCall)))
@@ -565,7 +564,7 @@
 					known += len(h.accounts)
 				}
 				b.ReportMetric(float64(calls)/seconds/40, "calls/s/instance")
-				b.ReportMetric(float64(let)/float64(let+denied), "let")
+				b.ReportMetric(float64(admitted)/float64(admitted+rejected), "admitted")
 				b.ReportMetric(float64(int64(after.HeapAlloc)-int64(before.HeapAlloc))/float64(known), "B/customer/instance")
 				runtime.KeepAlive(c)
 			}
