--- a/internal/fleetfile/fleetfile.go
+++ b/internal/fleetfile/fleetfile.go
@@ -52,7 +52,7 @@
 
 // origin is where a route was read.
 type origin struct {
-	base bool
+	isBase bool
 	line int
 }
 
@@ -92,12 +92,12 @@
 	if !ok {
 		return File{}, t.Err()
 	}
-	r := &reader{t: &t, dir: filepath.Dir(path), read: read, texts: make(map[string]text), members: make(map[string]string)}
+	r := &reader{tree: &t, dir: filepath.Dir(path), read: read, files: make(map[string]fileText), members: make(map[string]string)}
 	f := File{Path: path}
 	var base tree.Table
 	hasBase := root.Has("base")
 	if hasBase {
-		base, hasBase = r.document(root, "base")
+		base, hasBase = r.readDocument(root, "base")
 	}
 	names, tables := root.Named("regions")
 	switch {
@@ -113,12 +113,12 @@
 			tables[i].Wrong("", "%q is no name: letters, digits, '-' and '_', at most %d", name, maxNameBytes)
 		}
 		onBase = onBase || !tables[i].Has("config")
-		f.All = append(f.All, r.region(name, tables[i], root.Has("base"), base, hasBase))
+		f.All = append(f.All, r.readRegion(name, tables[i], root.Has("base"), base, hasBase))
 	}
 	if root.Has("base") && !onBase && len(names) > 0 {
 		root.Wrong("base", "every region has a config of its own: nothing stands on it")
 	}
-	f.Waivers = waivers(root, names)
+	f.Waivers = readWaivers(root, names)
 	root.Done()
 	slices.SortFunc(f.All, func(a, b Region) int { return strings.Compare(a.Name, b.Name) })
 	if err := t.Err(); err != nil {
@@ -129,22 +129,22 @@
 
 // reader holds what regions have in common.
 type reader struct {
-	t       *tree.Reading
+	tree       *tree.Reading
 	dir     string
 	read    func(string) ([]byte, error)
-	texts   map[string]text // files read, by path
+	files   map[string]fileText // files read, by path
 	members map[string]string
 	bytes   int // of all regions' texts
-	wide    bool
+	isTooLarge    bool
 }
 
-type text struct {
+type fileText struct {
 	raw []byte
 	err error
 }
 
-// file reads what a key names; relative paths are the fleet file's.
-func (r *reader) file(t tree.Table, key string) (path string, raw []byte, ok bool) {
+// readFile reads what a key names; relative paths are the fleet file's.
+func (r *reader) readFile(t tree.Table, key string) (path string, raw []byte, ok bool) {
 	path = t.Str(key, "")
 	if path == "" {
 		t.Wrong(key, "it has to name a file")
@@ -153,10 +153,10 @@
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(r.dir, path)
 	}
-	got, known := r.texts[path]
+	got, known := r.files[path]
 	if !known {
 		got.raw, got.err = r.read(path)
-		r.texts[path] = got
+		r.files[path] = got
 	}
 	if got.err != nil {
 		t.Wrong(key, "%v", got.err)
@@ -164,16 +164,16 @@
 	return path, got.raw, got.err == nil
 }
 
-// document reads a file that a key names as a document.
-func (r *reader) document(t tree.Table, key string) (doc tree.Table, ok bool) {
-	path, raw, ok := r.file(t, key)
+// readDocument reads a file that a key names as a document.
+func (r *reader) readDocument(t tree.Table, key string) (doc tree.Table, ok bool) {
+	path, raw, ok := r.readFile(t, key)
 	if !ok {
 		return doc, false
 	}
-	return r.t.Parse(path, raw)
+	return r.tree.Parse(path, raw)
 }
 
-func (r *reader) region(name string, t tree.Table, basePlanned bool, base tree.Table, hasBase bool) Region {
+func (r *reader) readRegion(name string, t tree.Table, basePlanned bool, base tree.Table, hasBase bool) Region {
 	one := Region{Name: name, Listeners: t.Texts("listeners"), Instances: int(t.Integer("instances", 0, 1, 1<<20))}
 	for _, l := range one.Listeners {
 		if host, port, err := net.SplitHostPort(l); err != nil || host == "" || port == "" {
@@ -188,10 +188,10 @@
 		t.Value("config")
 		t.Value("change")
 	case hasConfig:
-		if path, raw, ok := r.file(t, "config"); ok {
-			if doc, ok := r.t.Parse(path, raw); ok {
+		if path, raw, ok := r.readFile(t, "config"); ok {
+			if doc, ok := r.tree.Parse(path, raw); ok {
 				one.Text = raw
-				one.read(doc, "")
+				one.readConfig(doc, "")
 			}
 		}
 	case !basePlanned && change:
@@ -200,15 +200,15 @@
 	case !basePlanned:
 		t.Wrong("config", "it has to be said what its members run")
 	case !change && hasBase:
-		one.over(t, base.Over(base.Empty(), routesKey), base)
+		one.mergeChange(t, base.Over(base.Empty(), routesKey), base)
 	case change:
-		if doc, ok := r.document(t, "change"); ok && hasBase {
-			one.over(t, doc.Over(base, routesKey), base)
+		if doc, ok := r.readDocument(t, "change"); ok && hasBase {
+			one.mergeChange(t, doc.Over(base, routesKey), base)
 		}
 	}
 	t.Done()
-	if r.bytes += len(one.Text); r.bytes > maxBytes && !r.wide {
-		r.wide = true
+	if r.bytes += len(one.Text); r.bytes > maxBytes && !r.isTooLarge {
+		r.isTooLarge = true
 		t.Wrong("", "the configurations up to here have %d bytes together, more than %d", r.bytes, maxBytes)
 	}
 	one.Hash = desiredstate.Hash(one.Text)
@@ -216,17 +216,17 @@
 	return one
 }
 
-// over reads what a change makes of a base.
-func (one *Region) over(t tree.Table, doc, base tree.Table) {
+// mergeChange reads what a change makes of a base.
+func (one *Region) mergeChange(t tree.Table, doc, base tree.Table) {
 	var err error
 	if one.Text, err = doc.Text(); err != nil {
 		t.Wrong("change", "%v", err)
 	}
-	one.read(doc, base.Node().File())
+	one.readConfig(doc, base.Node().File())
 }
 
-// read reads the configuration, and where its routes stand.
-func (one *Region) read(doc tree.Table, base string) {
+// readConfig reads the configuration, and where its routes stand.
+func (one *Region) readConfig(doc tree.Table, base string) {
 	one.Config = config.Read(doc)
 	for _, n := range doc.List(routesKey) {
 		one.origins = append(one.origins, origin{base != "" && n.File() == base, n.Line()})
--- a/internal/fleetfile/intermediate.go
+++ b/internal/fleetfile/intermediate.go
@@ -22,7 +22,7 @@
 	}
 	is := one.Region()
 	if mid.Instances != is.Instances && one.Instances == 0 {
-		in(doc, "process")["instances"] = int64(mid.Instances)
+		subTable(doc, "process")["instances"] = int64(mid.Instances)
 	}
 	for i, s := range mid.Services {
 		if i >= len(is.Services) || is.Services[i].Name != s.Name {
@@ -42,7 +42,7 @@
 		one.Instances = mid.Instances
 	}
 	one.Hash = one.Config.Hash
-	if got := one.Region(); got.Instances != mid.Instances || !reflect.DeepEqual(sorted(got.Services), sorted(mid.Services)) {
+	if got := one.Region(); got.Instances != mid.Instances || !reflect.DeepEqual(sortedByName(got.Services), sortedByName(mid.Services)) {
 		return Region{}, fmt.Errorf("region %s: its file can't say the intermediate settings", one.Name)
 	}
 	return one, nil
@@ -52,22 +52,22 @@
 func writeService(doc map[string]any, before, s regions.Service) {
 	for k, c := range s.Classes {
 		if k < len(before.Classes) && !reflect.DeepEqual(c, before.Classes[k]) && !strings.Contains(c.Name, " ") { // those with a space follow from others
-			writeClass(in(in(doc, "classes"), c.Name), c)
+			writeClass(subTable(subTable(doc, "classes"), c.Name), c)
 		}
 	}
 	for k, p := range s.Plans {
 		if k < len(before.Plans) && p != before.Plans[k] {
-			writePlan(in(in(doc, "plans"), p.Name), p)
+			writePlan(subTable(subTable(doc, "plans"), p.Name), p)
 		}
 	}
 	if s.SlowStart != before.SlowStart {
-		to := in(in(doc, "services"), s.Name)
+		to := subTable(subTable(doc, "services"), s.Name)
 		to["cold"], to["cold_from"], to["fall_multiple"] = s.SlowStart.For.String(), s.SlowStart.From, s.SlowStart.Multiple
 	}
 }
 
-// sorted is services by name, with all that they have by name: a file that is written anew has its own order.
-func sorted(all []regions.Service) []regions.Service {
+// sortedByName is services by name, with all that they have by name: a file that is written anew has its own order.
+func sortedByName(all []regions.Service) []regions.Service {
 	all = slices.SortedFunc(slices.Values(all), func(a, b regions.Service) int { return strings.Compare(a.Name, b.Name) })
 	for i := range all {
 		s := &all[i]
@@ -77,8 +77,8 @@
 	return all
 }
 
-// in is a table of a table, made where there is none.
-func in(doc map[string]any, key string) map[string]any {
+// subTable is a table of a table, made where there is none.
+func subTable(doc map[string]any, key string) map[string]any {
 	t, ok := doc[key].(map[string]any)
 	if !ok {
 		t = make(map[string]any)
--- a/internal/fleetfile/regions.go
+++ b/internal/fleetfile/regions.go
@@ -32,7 +32,7 @@
 	for i, rule := range one.Config.Routes {
 		route := regions.Route{Rule: rule.Rule, As: rule.As}
 		if i < len(one.origins) {
-			route.Base = one.origins[i].base
+			route.Base = one.origins[i].isBase
 			route.Line = one.origins[i].line
 		}
 		if route.Base {
@@ -46,7 +46,7 @@
 		r.Shared = r.Shared || s.Counter.Name != ""
 	}
 	for i := range one.Config.Gathers {
-		r.Services = append(r.Services, gatherer(&one.Config.Gathers[i], one.Config))
+		r.Services = append(r.Services, gatherService(&one.Config.Gathers[i], one.Config))
 	}
 	if one.Instances > 0 {
 		r.Instances = one.Instances
@@ -76,13 +76,13 @@
 	return v
 }
 
-// gathersDeep is more than the gatherers above each other that a configuration may have.
-const gathersDeep = 16
+// maxGatherDepth is more than the gatherers above each other that a configuration may have.
+const maxGatherDepth = 16
 
-// gatherer is a service that asks others. What it takes of plans and servers is theirs, and counted there.
-func gatherer(g *config.Gather, c config.Config) regions.Service {
-	v := regions.Service{Name: g.Name, Ordinary: true, Gather: form(g, c, gathersDeep)}
-	reach(g, c, gathersDeep, func(s *config.Service) {
+// gatherService is a service that asks others. What it takes of plans and servers is theirs, and counted there.
+func gatherService(g *config.Gather, c config.Config) regions.Service {
+	v := regions.Service{Name: g.Name, Ordinary: true, Gather: gatherForm(g, c, maxGatherDepth)}
+	forEachPartService(g, c, maxGatherDepth, func(s *config.Service) {
 		// The file's classes, which all its services have. Those that can't scatter are there too: that a
 		// class is not free to repeat any more has to show here as with its parts.
 		v.Classes = s.Settings.Classes
@@ -93,36 +93,36 @@
 	return v
 }
 
-// reach calls with each service with servers that a gatherer asks, directly or by another gatherer.
-func reach(g *config.Gather, c config.Config, deep int, each func(*config.Service)) {
+// forEachPartService calls with each service with servers that a gatherer asks, directly or by another gatherer.
+func forEachPartService(g *config.Gather, c config.Config, deep int, each func(*config.Service)) {
 	for _, p := range g.Parts {
 		if i := slices.IndexFunc(c.Services, func(s config.Service) bool { return s.Name == p.Name }); i >= 0 {
 			each(&c.Services[i])
-		} else if inner := gatherOf(p.Name, c); inner != nil && deep > 0 {
-			reach(inner, c, deep-1, each)
+		} else if inner := findGather(p.Name, c); inner != nil && deep > 0 {
+			forEachPartService(inner, c, deep-1, each)
 		}
 	}
 }
 
-func gatherOf(name string, c config.Config) *config.Gather {
+func findGather(name string, c config.Config) *config.Gather {
 	if i := slices.IndexFunc(c.Gathers, func(g config.Gather) bool { return g.Name == name }); i >= 0 {
 		return &c.Gathers[i]
 	}
 	return nil
 }
 
-// form says what of a gatherer its clients can tell from an answer: the parts with their weights, in
+// gatherForm says what of a gatherer its clients can tell from an answer: the parts with their weights, in
 // their order, the merge and the least. For how long it waits is no part of it.
-func form(g *config.Gather, c config.Config, deep int) string {
-	alike := !slices.ContainsFunc(g.Parts, func(p config.GatherPart) bool { return p.Weight != g.Parts[0].Weight })
+func gatherForm(g *config.Gather, c config.Config, deep int) string {
+	hasEqualWeights := !slices.ContainsFunc(g.Parts, func(p config.GatherPart) bool { return p.Weight != g.Parts[0].Weight })
 	var parts []string
 	for _, p := range g.Parts {
 		text := p.Name
-		if !alike {
+		if !hasEqualWeights {
 			text += fmt.Sprintf(" (weight %g)", p.Weight)
 		}
-		if inner := gatherOf(p.Name, c); inner != nil && deep > 0 {
-			text += " [" + form(inner, c, deep-1) + "]"
+		if inner := findGather(p.Name, c); inner != nil && deep > 0 {
+			text += " [" + gatherForm(inner, c, deep-1) + "]"
 		}
 		parts = append(parts, text)
 	}
--- a/internal/fleetfile/waivers.go
+++ b/internal/fleetfile/waivers.go
@@ -15,8 +15,8 @@
 // WaiverKind is the kind of what is told of a waiver itself.
 const WaiverKind regions.Kind = "waiver"
 
-// kinds are those that can be waived.
-var kinds = []regions.Kind{
+// waivableKinds are those that can be waived.
+var waivableKinds = []regions.Kind{
 	regions.ServiceKind, regions.CoverageKind, regions.TermsKind, regions.HardLimitKind, regions.SlowStartKind,
 	regions.LoopKind, regions.DeadKind,
 }
@@ -31,21 +31,21 @@
 	Line    int       // in the fleet file
 }
 
-// waivers reads [[waivers]].
-func waivers(root tree.Table, names []string) []Waiver {
+// readWaivers reads [[waivers]].
+func readWaivers(root tree.Table, names []string) []Waiver {
 	var all []Waiver
 	tables := root.Tables("waivers")
 	if len(tables) > maxWaivers {
 		root.Wrong("waivers", "%d are more than %d", len(tables), maxWaivers)
 		return nil
 	}
-	words := make([]string, len(kinds))
-	for i, k := range kinds {
+	words := make([]string, len(waivableKinds))
+	for i, k := range waivableKinds {
 		words[i] = string(k)
 	}
 	for _, t := range tables {
 		w := Waiver{
-			Kind: kinds[t.OneOf("kind", words...)], Regions: t.Texts("regions"), Rules: t.Texts("rules"),
+			Kind: waivableKinds[t.OneOf("kind", words...)], Regions: t.Texts("regions"), Rules: t.Texts("rules"),
 			Reason: strings.TrimSpace(t.Str("reason", "")), Line: t.Node().Line(),
 		}
 		for key, lacks := range map[string]bool{
@@ -61,15 +61,15 @@
 				t.Wrong("regions", "%q is no region of this file", name)
 			}
 		}
-		w.Until = until(t)
+		w.Until = readUntil(t)
 		t.Done()
 		all = append(all, w)
 	}
 	return all
 }
 
-// until reads the last day, as a date or as a text, and gives its end.
-func until(t tree.Table) time.Time {
+// readUntil reads the last day, as a date or as a text, and gives its end.
+func readUntil(t tree.Table) time.Time {
 	switch v := t.Value("until").(type) {
 	case nil:
 		t.Wrong("until", "a waiver needs an end: the last day on which it waives, such as 2027-01-31")
--- a/internal/rollout/member.go
+++ b/internal/rollout/member.go
@@ -23,7 +23,7 @@
 	load             float64       // share of its capacity in use; below 0 is unknown
 
 	lossToken     string // set while it has lost what it granted
-	lossSeenEpoch uint64 // the coordinator's epoch when lossToken was read
+	lossReadEpoch uint64 // the coordinator's epoch when lossToken was read
 	hasGranted    bool   // the coordinator's epoch
 	isClaiming    bool   // a ClaimReplied is owed
 	nextClaimAt   time.Duration
--- a/internal/rollout/ownership.go
+++ b/internal/rollout/ownership.go
@@ -109,7 +109,7 @@
 		case !m.isServing || m.hasGranted || m.isClaiming || r.now < m.nextClaimAt:
 		case m.lossToken != "" && !r.isMajorityIntact:
 			// It may have granted a newer epoch, and too few others could tell.
-		case m.lossToken != "" && m.lossSeenEpoch >= r.epoch:
+		case m.lossToken != "" && m.lossReadEpoch >= r.epoch:
 			if r.state != stateClaiming {
 				r.claimNewEpoch()
 				return
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -140,7 +140,7 @@
 		return // no answer
 	}
 	if status.LossToken != m.lossToken {
-		m.lossToken, m.lossSeenEpoch = status.LossToken, r.epoch
+		m.lossToken, m.lossReadEpoch = status.LossToken, r.epoch
 	}
 	r.newestEpoch = max(r.newestEpoch, status.Epoch)
 	if r.state != stateClaiming && r.hasGrantedAnother(&status) {
--- a/internal/rolloutlog/log.go
+++ b/internal/rolloutlog/log.go
@@ -37,7 +37,7 @@
 // ErrLocked means that another process writes the log.
 var ErrLocked = errors.New("another coordinator writes it")
 
-var errNotBegun = errors.New("journal: no change has begun")
+var errNoRollout = errors.New("journal: no change has begun")
 
 // Log is a log that is open for writing. It is not safe for concurrent use.
 type Log struct {
@@ -185,7 +185,7 @@
 // Append appends a record to the newest rollout. It is on the disk when Append returns.
 func (l *Log) Append(record []byte) error {
 	if l.newest.id == 0 {
-		return errNotBegun
+		return errNoRollout
 	}
 	next := l.newest
 	err := l.update(func(tx *bbolt.Tx) error {
@@ -206,7 +206,7 @@
 // SetNote replaces the note of the newest rollout: its progress, for whoever reads the log meanwhile.
 func (l *Log) SetNote(note []byte) error {
 	if l.newest.id == 0 {
-		return errNotBegun
+		return errNoRollout
 	}
 	return l.update(func(tx *bbolt.Tx) error {
 		bucket, err := l.newest.bucket(tx)
