--- a/internal/desiredstate/command.go
+++ b/internal/desiredstate/command.go
@@ -94,7 +94,7 @@
 		return err
 	}
 	if c.ID == "" || len(c.ID) > maxNameBytes {
-		return reject(CodeInvalid, "order: id: 1 to %d bytes, not %d", maxNameBytes, len(c.ID))
+		return reject(CodeInvalid, "command: id: 1 to %d bytes, not %d", maxNameBytes, len(c.ID))
 	}
 	return c.Operation.validate(c.ID)
 }
@@ -104,18 +104,18 @@
 	switch o.Kind {
 	case KindSettings, KindProgram, KindRestart, KindDrain, KindServe:
 	default:
-		return reject(CodeInvalid, "order %s: want.kind: there is no %q", id, o.Kind)
+		return reject(CodeInvalid, "command %s: want.kind: there is no %q", id, o.Kind)
 	}
 	isSettings, isProgram := o.Kind == KindSettings, o.Kind == KindProgram
 	switch {
 	case !isSettings && (o.Hash != "" || o.Text != "") || !isProgram && o.Path != "":
-		return reject(CodeInvalid, "order %s: want: %s takes no such thing", id, o.Kind)
+		return reject(CodeInvalid, "command %s: want: %s takes no hash, text or path of another kind", id, o.Kind)
 	case isSettings && len(o.Text) > MaxSettingsBytes:
-		return reject(CodeInvalid, "order %s: want.text: %d bytes are more than %d", id, len(o.Text), MaxSettingsBytes)
+		return reject(CodeInvalid, "command %s: want.text: %d bytes are more than %d", id, len(o.Text), MaxSettingsBytes)
 	case isSettings && o.Hash != Hash([]byte(o.Text)):
-		return reject(CodeInvalid, "order %s: want.hash: the text's is %s", id, Hash([]byte(o.Text)))
+		return reject(CodeInvalid, "command %s: want.hash: the text's is %s", id, Hash([]byte(o.Text)))
 	case isProgram && (!filepath.IsAbs(o.Path) || len(o.Path) > maxPathBytes):
-		return reject(CodeInvalid, "order %s: want.path: %.100q is no absolute path", id, o.Path)
+		return reject(CodeInvalid, "command %s: want.path: %.100q is no absolute path", id, o.Path)
 	}
 	return nil
 }
--- a/internal/desiredstate/state.go
+++ b/internal/desiredstate/state.go
@@ -59,7 +59,7 @@
 	}
 	switch {
 	case s.LossToken != "" && claim.LossToken != s.LossToken:
-		return s, reject(CodeLost, "the epochs that were granted here are lost: it takes a new epoch, and after = %q", s.LossToken)
+		return s, reject(CodeLost, "the epochs that were granted here are lost: a claim needs a new epoch, and after = %q", s.LossToken)
 	case claim.Epoch < s.Epoch || claim.Epoch == s.Epoch && claim.Owner != s.Owner:
 		return s, s.staleError(claim.Epoch, claim.Owner)
 	}
@@ -84,15 +84,15 @@
 	if running := s.Running; running != nil {
 		switch {
 		case running.ID != command.ID:
-			return s, 0, Outcome{}, reject(CodeBusy, "order %s is under way: ask again", running.ID)
+			return s, 0, Outcome{}, reject(CodeBusy, "command %s is running: retry", running.ID)
 		case running.Fingerprint != fingerprint:
-			return s, 0, Outcome{}, reject(CodeInvalid, "order %s is under way, and is another one", running.ID)
+			return s, 0, Outcome{}, reject(CodeInvalid, "command %s is running with another operation", running.ID)
 		}
 		return s, StepWait, Outcome{}, nil
 	}
 	if ended, ok := s.findEnded(command.ID); ok {
 		if ended.Fingerprint != fingerprint {
-			return s, 0, Outcome{}, reject(CodeInvalid, "order %s was another one", ended.ID)
+			return s, 0, Outcome{}, reject(CodeInvalid, "command %s had another operation", ended.ID)
 		}
 		return s, StepAnswer, ended.Outcome, nil
 	}
@@ -105,7 +105,7 @@
 		return err
 	}
 	if s.LossToken != "" {
-		return reject(CodeLost, "the epochs that were granted here are lost: it has to be claimed anew")
+		return reject(CodeLost, "the epochs that were granted here are lost: the member has to be claimed anew")
 	}
 	if command.Epoch != s.Epoch || command.Owner != s.Owner {
 		return s.staleError(command.Epoch, command.Owner)
--- a/internal/fleetfile/fleetfile.go
+++ b/internal/fleetfile/fleetfile.go
@@ -1,5 +1,6 @@
-// Package fleetfile reads FLEET.toml: which regions there are, what the members of each run, and which
-// conflicts between them are meant. docs/regions.md tells how one is written.
+// Package fleetfile reads FLEET.toml, the file that describes a fleet: its regions, what the members of each run, and
+// which conflicts between them the operator accepts. docs/regions.md documents the format. Package command reads the
+// file, and packages fleet and regions work on what it describes.
 package fleetfile
 
 import (
@@ -16,7 +17,7 @@
 	"lockflow/internal/desiredstate"
 )
 
-// Bounds of what a file may say.
+// Limits of a fleet file.
 const (
 	maxRegions    = 1000
 	maxMembers    = 20_000 // of all regions
@@ -24,13 +25,13 @@
 	maxFileBytes  = 16 << 20  // bytes of each file
 	maxBytes      = 512 << 20 // of all regions' configurations
 	maxNameBytes  = 64
-	maxSocketPath = 107 // unix(7): sun_path with its end
+	maxSocketPath = 107 // sun_path of unix(7) without its terminating zero
 )
 
-// Name of the list that a change merges by name.
+// routesKey is the list whose items a change merges by name, and does not replace.
 const routesKey = "routes"
 
-// File is a fleet file with all that it names. It is not changed once it is read.
+// File is a fleet file with the configurations that it names. It does not change after it is read.
 type File struct {
 	Path    string
 	All     []Region // by name
@@ -40,30 +41,30 @@
 // Region is one region.
 type Region struct {
 	Name      string
-	Listeners []string // host:port by which other regions reach it; none is those of its configuration
-	Instances int      // the size of the group that its members are told; 0 is what its configuration says
+	Listeners []string // host:port by which other regions reach it; by default those of its configuration
+	Instances int      // group size that its members assume; 0 is that of its configuration
 	Members   []Member // in the file's order
 	Config    config.Config
-	Text      []byte // the whole configuration that its members run
-	Hash      string // SHA-256 of the text, in hex
+	Text      []byte // complete configuration of its members
+	Hash      string // SHA-256 of Text in hex
 
-	origins []origin // of its routes
+	origins []origin // of the routes, by index
 }
 
-// origin is where a route was read.
+// origin is the place of a route.
 type origin struct {
-	isBase bool
-	line int
+	isBase bool // in the base, which regions share
+	line   int
 }
 
 // Member is one instance.
 type Member struct {
-	Socket string // its control socket: an absolute path
+	Socket string // absolute path of its control socket
 	Zone   string // "" is unknown
 }
 
-// Load reads the file at path and those that it names, which are relative to it. An error is of type
-// config.FieldErrors, with every one found.
+// Load reads the file at path and the files that it names, whose paths are relative to it. An error is a
+// config.FieldErrors with all that is wrong.
 func Load(path string) (File, error) {
 	raw, err := readFile(path)
 	if err != nil {
@@ -85,14 +86,21 @@
 	return raw, err
 }
 
-// Parse reads a file's text; path is where it stands, and read gives the files that it names.
+// Parse reads a fleet file's text. path is its place in errors, and read returns the files that it names. Errors are as
+// those of Load.
 func Parse(path string, raw []byte, read func(path string) ([]byte, error)) (File, error) {
 	var t tree.Reading
 	root, ok := t.Parse(path, raw)
 	if !ok {
 		return File{}, t.Err()
 	}
-	r := &reader{tree: &t, dir: filepath.Dir(path), read: read, files: make(map[string]fileText), members: make(map[string]string)}
+	r := &reader{
+		tree:    &t,
+		dir:     filepath.Dir(path),
+		read:    read,
+		files:   make(map[string]fileText),
+		members: make(map[string]string),
+	}
 	f := File{Path: path}
 	var base tree.Table
 	hasBase := root.Has("base")
@@ -107,15 +115,15 @@
 		root.Wrong("regions", "%d are more than %d", len(names), maxRegions)
 		return File{}, t.Err()
 	}
-	onBase := false
+	isBaseUsed := false
 	for i, name := range names {
 		if !validName(name) {
 			tables[i].Wrong("", "%q is no name: letters, digits, '-' and '_', at most %d", name, maxNameBytes)
 		}
-		onBase = onBase || !tables[i].Has("config")
+		isBaseUsed = isBaseUsed || !tables[i].Has("config")
 		f.All = append(f.All, r.readRegion(name, tables[i], root.Has("base"), base, hasBase))
 	}
-	if root.Has("base") && !onBase && len(names) > 0 {
+	if root.Has("base") && !isBaseUsed && len(names) > 0 {
 		root.Wrong("base", "every region has a config of its own: nothing stands on it")
 	}
 	f.Waivers = readWaivers(root, names)
@@ -127,23 +135,24 @@
 	return f, nil
 }
 
-// reader holds what regions have in common.
+// reader is the state of reading one fleet file.
 type reader struct {
 	tree       *tree.Reading
-	dir     string
-	read    func(string) ([]byte, error)
-	files   map[string]fileText // files read, by path
-	members map[string]string
-	bytes   int // of all regions' texts
-	isTooLarge    bool
+	dir        string // of the fleet file
+	read       func(string) ([]byte, error)
+	files      map[string]fileText // files read, by path
+	members    map[string]string   // regions by control socket
+	bytes      int                 // of all regions' configurations
+	isTooLarge bool                // the limit of bytes is exceeded and reported
 }
 
+// fileText is the result of reading a file.
 type fileText struct {
 	raw []byte
 	err error
 }
 
-// readFile reads what a key names; relative paths are the fleet file's.
+// readFile reads the file that a key names; a relative path starts at the fleet file's directory.
 func (r *reader) readFile(t tree.Table, key string) (path string, raw []byte, ok bool) {
 	path = t.Str(key, "")
 	if path == "" {
@@ -164,7 +173,7 @@
 	return path, got.raw, got.err == nil
 }
 
-// readDocument reads a file that a key names as a document.
+// readDocument reads and parses the file that a key names.
 func (r *reader) readDocument(t tree.Table, key string) (doc tree.Table, ok bool) {
 	path, raw, ok := r.readFile(t, key)
 	if !ok {
@@ -173,7 +182,8 @@
 	return r.tree.Parse(path, raw)
 }
 
-func (r *reader) readRegion(name string, t tree.Table, basePlanned bool, base tree.Table, hasBase bool) Region {
+// readRegion reads one region. hasBaseKey tells whether the file names a base, hasBase whether it could be read.
+func (r *reader) readRegion(name string, t tree.Table, hasBaseKey bool, base tree.Table, hasBase bool) Region {
 	one := Region{Name: name, Listeners: t.Texts("listeners"), Instances: int(t.Integer("instances", 0, 1, 1<<20))}
 	for _, l := range one.Listeners {
 		if host, port, err := net.SplitHostPort(l); err != nil || host == "" || port == "" {
@@ -181,9 +191,10 @@
 		}
 	}
 	r.readMembers(name, t, &one)
-	hasConfig, change := t.Has("config"), t.Has("change")
+	hasConfig := t.Has("config")
+	hasChange := t.Has("change")
 	switch {
-	case hasConfig && change:
+	case hasConfig && hasChange:
 		t.Wrong("change", "not beside config: that is a whole configuration")
 		t.Value("config")
 		t.Value("change")
@@ -194,20 +205,21 @@
 				one.readConfig(doc, "")
 			}
 		}
-	case !basePlanned && change:
+	case !hasBaseKey && hasChange:
 		t.Wrong("change", "there is no base that it could change")
 		t.Value("change")
-	case !basePlanned:
+	case !hasBaseKey:
 		t.Wrong("config", "it has to be said what its members run")
-	case !change && hasBase:
-		one.mergeChange(t, base.Over(base.Empty(), routesKey), base)
-	case change:
+	case !hasChange && hasBase:
+		one.setMerged(t, base.Over(base.Empty(), routesKey), base)
+	case hasChange:
 		if doc, ok := r.readDocument(t, "change"); ok && hasBase {
-			one.mergeChange(t, doc.Over(base, routesKey), base)
+			one.setMerged(t, doc.Over(base, routesKey), base)
 		}
 	}
 	t.Done()
-	if r.bytes += len(one.Text); r.bytes > maxBytes && !r.isTooLarge {
+	r.bytes += len(one.Text)
+	if r.bytes > maxBytes && !r.isTooLarge {
 		r.isTooLarge = true
 		t.Wrong("", "the configurations up to here have %d bytes together, more than %d", r.bytes, maxBytes)
 	}
@@ -216,8 +228,8 @@
 	return one
 }
 
-// mergeChange reads what a change makes of a base.
-func (one *Region) mergeChange(t tree.Table, doc, base tree.Table) {
+// setMerged sets the region's configuration to doc, a base with a change merged into it.
+func (one *Region) setMerged(t tree.Table, doc, base tree.Table) {
 	var err error
 	if one.Text, err = doc.Text(); err != nil {
 		t.Wrong("change", "%v", err)
@@ -225,7 +237,7 @@
 	one.readConfig(doc, base.Node().File())
 }
 
-// readConfig reads the configuration, and where its routes stand.
+// readConfig reads the configuration and the origins of its routes. base is the path of the base; "" is none.
 func (one *Region) readConfig(doc tree.Table, base string) {
 	one.Config = config.Read(doc)
 	for _, n := range doc.List(routesKey) {
@@ -233,41 +245,30 @@
 	}
 }
 
-// readMembers reads a list of control sockets: paths, or tables of a path and a zone.
-func (r *reader) readMembers(name string, t tree.Table, one *Region) {
+// readMembers reads the members of a region, a list of control sockets.
+func (r *reader) readMembers(region string, t tree.Table, one *Region) {
 	zone := t.Str("zone", "")
 	for i, n := range t.List("members") {
-		m := Member{Zone: zone}
-		switch v := n.Value().(type) {
-		case string:
-			m.Socket = v
-		case nil:
-			in, ok := t.Item(n, "members", i)
-			if !ok {
-				continue
-			}
-			m.Socket, m.Zone = in.Str("socket", ""), in.Str("zone", zone)
-			in.Done()
-		default:
-			t.WrongItem(n, "members", "item %d has to be a path or { socket, zone }", i+1)
+		m, ok := readMember(t, n, i, zone)
+		if !ok {
 			continue
 		}
-		clean := filepath.Clean(m.Socket)
-		switch in, twice := r.members[clean]; {
+		socket := filepath.Clean(m.Socket)
+		switch other, isKnown := r.members[socket]; {
 		case !filepath.IsAbs(m.Socket):
 			t.WrongItem(n, "members", "%q is no absolute path", m.Socket)
 		case len(m.Socket) > maxSocketPath:
 			t.WrongItem(n, "members", "%d bytes are more than the %d that the address of a Unix socket may have", len(m.Socket), maxSocketPath)
-		case twice && in == name:
+		case isKnown && other == region:
 			t.WrongItem(n, "members", "%q is given twice", m.Socket)
-		case twice:
-			t.WrongItem(n, "members", "%q is a member of region %s too", m.Socket, in)
+		case isKnown:
+			t.WrongItem(n, "members", "%q is a member of region %s too", m.Socket, other)
 		case len(r.members) >= maxMembers:
 			t.WrongItem(n, "members", "the regions have more than %d members", maxMembers)
 			return
 		default:
-			r.members[clean] = name
-			m.Socket = clean
+			r.members[socket] = region
+			m.Socket = socket
 			one.Members = append(one.Members, m)
 		}
 	}
@@ -276,6 +277,25 @@
 	}
 }
 
+// readMember reads an item of the list of members: a path, or a table of a path and a zone.
+func readMember(t tree.Table, n *tree.Node, i int, zone string) (Member, bool) {
+	switch value := n.Value().(type) {
+	case string:
+		return Member{Socket: value, Zone: zone}, true
+	case nil:
+		item, ok := t.Item(n, "members", i)
+		if !ok {
+			return Member{}, false
+		}
+		m := Member{Socket: item.Str("socket", ""), Zone: item.Str("zone", zone)}
+		item.Done()
+		return m, true
+	}
+	t.WrongItem(n, "members", "item %d has to be a path or { socket, zone }", i+1)
+	return Member{}, false
+}
+
+// validName tells whether a name has letters, digits, '-' and '_' only, and a length up to maxNameBytes.
 func validName(s string) bool {
 	return s != "" && len(s) <= maxNameBytes && strings.IndexFunc(s, func(r rune) bool {
 		return !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_')
--- a/internal/fleetfile/intermediate.go
+++ b/internal/fleetfile/intermediate.go
@@ -13,22 +13,23 @@
 	"lockflow/internal/regions"
 )
 
-// Intermediate is the region with the settings of mid, one that package mixture proposes, written into its
-// own configuration: what differs from it in instances, ceilings, terms and cold times.
-func (one Region) Intermediate(mid regions.Region) (Region, error) {
+// Intermediate returns the region with settings that package mixture proposes: what they change in instances, hard
+// limits, classes and slow start is written into the region's own configuration. It fails if the configuration can't
+// express them.
+func (one Region) Intermediate(proposed regions.Region) (Region, error) {
 	doc := make(map[string]any)
 	if err := toml.Unmarshal(one.Text, &doc); err != nil {
 		return Region{}, fmt.Errorf("region %s: %w", one.Name, err)
 	}
-	is := one.Region()
-	if mid.Instances != is.Instances && one.Instances == 0 {
-		subTable(doc, "process")["instances"] = int64(mid.Instances)
+	current := one.Region()
+	if proposed.Instances != current.Instances && one.Instances == 0 {
+		subTable(doc, "process")["instances"] = int64(proposed.Instances)
 	}
-	for i, s := range mid.Services {
-		if i >= len(is.Services) || is.Services[i].Name != s.Name {
+	for i, s := range proposed.Services {
+		if i >= len(current.Services) || current.Services[i].Name != s.Name {
 			return Region{}, fmt.Errorf("region %s has no service %q there", one.Name, s.Name)
 		}
-		writeService(doc, is.Services[i], s)
+		writeService(doc, current.Services[i], s)
 	}
 	text, err := toml.Marshal(doc)
 	if err != nil {
@@ -39,34 +40,38 @@
 	}
 	one.Text = text
 	if one.Instances > 0 {
-		one.Instances = mid.Instances
+		one.Instances = proposed.Instances
 	}
 	one.Hash = one.Config.Hash
-	if got := one.Region(); got.Instances != mid.Instances || !reflect.DeepEqual(sortedByName(got.Services), sortedByName(mid.Services)) {
+	written := one.Region()
+	if written.Instances != proposed.Instances || !reflect.DeepEqual(sortedByName(written.Services), sortedByName(proposed.Services)) {
 		return Region{}, fmt.Errorf("region %s: its file can't say the intermediate settings", one.Name)
 	}
 	return one, nil
 }
 
-// writeService writes into doc what a service has otherwise than before.
-func writeService(doc map[string]any, before, s regions.Service) {
-	for k, c := range s.Classes {
-		if k < len(before.Classes) && !reflect.DeepEqual(c, before.Classes[k]) && !strings.Contains(c.Name, " ") { // those with a space follow from others
+// writeService writes what differs between a service before and after into doc.
+func writeService(doc map[string]any, before, after regions.Service) {
+	for k, c := range after.Classes {
+		isDerived := strings.Contains(c.Name, " ") // follows from another class
+		if k < len(before.Classes) && !isDerived && !reflect.DeepEqual(c, before.Classes[k]) {
 			writeClass(subTable(subTable(doc, "classes"), c.Name), c)
 		}
 	}
-	for k, p := range s.Plans {
+	for k, p := range after.Plans {
 		if k < len(before.Plans) && p != before.Plans[k] {
 			writePlan(subTable(subTable(doc, "plans"), p.Name), p)
 		}
 	}
-	if s.SlowStart != before.SlowStart {
-		to := subTable(subTable(doc, "services"), s.Name)
-		to["cold"], to["cold_from"], to["fall_multiple"] = s.SlowStart.For.String(), s.SlowStart.From, s.SlowStart.Multiple
+	if after.SlowStart != before.SlowStart {
+		table := subTable(subTable(doc, "services"), after.Name)
+		table["cold"] = after.SlowStart.For.String()
+		table["cold_from"] = after.SlowStart.From
+		table["fall_multiple"] = after.SlowStart.Multiple
 	}
 }
 
-// sortedByName is services by name, with all that they have by name: a file that is written anew has its own order.
+// sortedByName returns services by name, with their classes and plans by name: writing a file changes their order.
 func sortedByName(all []regions.Service) []regions.Service {
 	all = slices.SortedFunc(slices.Values(all), func(a, b regions.Service) int { return strings.Compare(a.Name, b.Name) })
 	for i := range all {
@@ -77,7 +82,7 @@
 	return all
 }
 
-// subTable is a table of a table, made where there is none.
+// subTable returns a table of a table, and makes it if there is none.
 func subTable(doc map[string]any, key string) map[string]any {
 	t, ok := doc[key].(map[string]any)
 	if !ok {
@@ -87,19 +92,25 @@
 	return t
 }
 
+// writePlan writes a plan's rates.
 func writePlan(t map[string]any, p control.Plan) {
 	if p.QuotaRate > 0 {
 		t["rate"] = p.QuotaRate
 	}
-	t["ceiling_rate"], t["ceiling_burst"], t["ceiling_slack"] = p.HardLimitRate, p.HardLimitBurst, p.HardLimitSlack
+	t["ceiling_rate"] = p.HardLimitRate
+	t["ceiling_burst"] = p.HardLimitBurst
+	t["ceiling_slack"] = p.HardLimitSlack
 }
 
+// writeClass writes a class's times and idempotency.
 func writeClass(t map[string]any, c control.Class) {
-	t["aim"], t["deadline"] = c.LatencyObjective.String(), c.Deadline.String()
+	t["aim"] = c.LatencyObjective.String()
+	t["deadline"] = c.Deadline.String()
 	t["repeats"] = []string{"free", "keyed", "never"}[c.Idempotency]
 	delete(t, "key_scope")
 	delete(t, "repeat_window")
 	if c.Idempotency == control.IdempotentWithKey {
-		t["key_scope"], t["repeat_window"] = []string{"all", "zone", "group"}[c.KeyScope], c.RepeatWindow.String()
+		t["key_scope"] = []string{"all", "zone", "group"}[c.KeyScope]
+		t["repeat_window"] = c.RepeatWindow.String()
 	}
 }
--- a/internal/fleetfile/regions.go
+++ b/internal/fleetfile/regions.go
@@ -10,7 +10,7 @@
 	"lockflow/internal/regions"
 )
 
-// Regions is the fleet as package regions looks at it, by name.
+// Regions returns the fleet's regions in the form of package regions, by name.
 func (f File) Regions() []regions.Region {
 	all := make([]regions.Region, len(f.All))
 	for i, one := range f.All {
@@ -19,7 +19,7 @@
 	return all
 }
 
-// Region is the region as package regions looks at it.
+// Region returns the region in the form of package regions.
 func (one Region) Region() regions.Region {
 	r := regions.Region{Name: one.Name, Listeners: one.Listeners, Instances: 1, Members: len(one.Members)}
 	if len(r.Listeners) == 0 {
@@ -36,13 +36,13 @@
 			route.Line = one.origins[i].line
 		}
 		if route.Base {
-			route.Line = 0 // it stands in another file
+			route.Line = 0 // a line of another file
 		}
 		r.Routes = append(r.Routes, route)
 	}
 	for _, s := range one.Config.Services {
 		r.Services = append(r.Services, service(s))
-		r.Instances = s.Settings.GroupSize // of all of them: it is the process's
+		r.Instances = s.Settings.GroupSize // one for the process
 		r.Shared = r.Shared || s.Counter.Name != ""
 	}
 	for i := range one.Config.Gathers {
@@ -54,14 +54,22 @@
 	return r
 }
 
+// service returns a service with servers of its own.
 func service(s config.Service) regions.Service {
-	set := s.Settings
+	settings := s.Settings
 	v := regions.Service{
-		Name: s.Name, Ordinary: s.HTTP != nil, Classes: set.Classes, Plans: set.Plans,
-		SlowStart: regions.SlowStart{For: set.WarmupTime, From: set.InitialCapacity, Multiple: set.OverloadMultiple},
+		Name:     s.Name,
+		Ordinary: s.HTTP != nil,
+		Classes:  settings.Classes,
+		Plans:    settings.Plans,
+		SlowStart: regions.SlowStart{
+			For:      settings.WarmupTime,
+			From:     settings.InitialCapacity,
+			Multiple: settings.OverloadMultiple,
+		},
 	}
 	if s.Counter.Name != "" {
-		// The same name at other counters is counted apart.
+		// A counter is a name at its addresses: the same name at others is another counter.
 		v.Counter = s.Counter.Name + " at " + strings.Join(slices.Sorted(slices.Values(s.Counter.Addresses)), ",")
 	}
 	switch s.Source.Kind {
@@ -70,40 +78,42 @@
 	case discovery.File:
 		v.Source = "file " + s.Source.Path
 	}
-	for _, to := range s.Source.Endpoints {
-		v.Servers, v.Leads = append(v.Servers, to.UID), append(v.Leads, to.Address)
+	for _, endpoint := range s.Source.Endpoints {
+		v.Servers = append(v.Servers, endpoint.UID)
+		v.Leads = append(v.Leads, endpoint.Address)
 	}
 	return v
 }
 
-// maxGatherDepth is more than the gatherers above each other that a configuration may have.
+// maxGatherDepth ends the recursion into nested gather services; a configuration has fewer levels.
 const maxGatherDepth = 16
 
-// gatherService is a service that asks others. What it takes of plans and servers is theirs, and counted there.
+// gatherService returns a scatter-gather service. It has no plans and servers: those of its parts count.
 func gatherService(g *config.Gather, c config.Config) regions.Service {
 	v := regions.Service{Name: g.Name, Ordinary: true, Gather: gatherForm(g, c, maxGatherDepth)}
 	forEachPartService(g, c, maxGatherDepth, func(s *config.Service) {
-		// The file's classes, which all its services have. Those that can't scatter are there too: that a
-		// class is not free to repeat any more has to show here as with its parts.
+		// All classes of the file, also those that can't be scattered: a change of their idempotency matters here too.
 		v.Classes = s.Settings.Classes
-		for _, to := range s.Source.Endpoints {
-			v.Leads = append(v.Leads, to.Address)
+		for _, endpoint := range s.Source.Endpoints {
+			v.Leads = append(v.Leads, endpoint.Address)
 		}
 	})
 	return v
 }
 
-// forEachPartService calls with each service with servers that a gatherer asks, directly or by another gatherer.
-func forEachPartService(g *config.Gather, c config.Config, deep int, each func(*config.Service)) {
+// forEachPartService calls each with every service with servers that a gather service queries, directly or by another
+// gather service, down to depth levels.
+func forEachPartService(g *config.Gather, c config.Config, depth int, each func(*config.Service)) {
 	for _, p := range g.Parts {
 		if i := slices.IndexFunc(c.Services, func(s config.Service) bool { return s.Name == p.Name }); i >= 0 {
 			each(&c.Services[i])
-		} else if inner := findGather(p.Name, c); inner != nil && deep > 0 {
-			forEachPartService(inner, c, deep-1, each)
+		} else if inner := findGather(p.Name, c); inner != nil && depth > 0 {
+			forEachPartService(inner, c, depth-1, each)
 		}
 	}
 }
 
+// findGather returns the gather service of a name, and nil if there is none.
 func findGather(name string, c config.Config) *config.Gather {
 	if i := slices.IndexFunc(c.Gathers, func(g config.Gather) bool { return g.Name == name }); i >= 0 {
 		return &c.Gathers[i]
@@ -111,9 +121,9 @@
 	return nil
 }
 
-// gatherForm says what of a gatherer its clients can tell from an answer: the parts with their weights, in
-// their order, the merge and the least. For how long it waits is no part of it.
-func gatherForm(g *config.Gather, c config.Config, deep int) string {
+// gatherForm describes what clients see of a gather service in its responses: the parts with their weights, in order,
+// the merge and the minimum. Its wait policy is no part of it. Nested services are included down to depth levels.
+func gatherForm(g *config.Gather, c config.Config, depth int) string {
 	hasEqualWeights := !slices.ContainsFunc(g.Parts, func(p config.GatherPart) bool { return p.Weight != g.Parts[0].Weight })
 	var parts []string
 	for _, p := range g.Parts {
@@ -121,8 +131,8 @@
 		if !hasEqualWeights {
 			text += fmt.Sprintf(" (weight %g)", p.Weight)
 		}
-		if inner := findGather(p.Name, c); inner != nil && deep > 0 {
-			text += " [" + gatherForm(inner, c, deep-1) + "]"
+		if inner := findGather(p.Name, c); inner != nil && depth > 0 {
+			text += " [" + gatherForm(inner, c, depth-1) + "]"
 		}
 		parts = append(parts, text)
 	}
--- a/internal/fleetfile/waivers.go
+++ b/internal/fleetfile/waivers.go
@@ -12,26 +12,26 @@
 	"lockflow/internal/regions"
 )
 
-// WaiverKind is the kind of what is told of a waiver itself.
+// WaiverKind is the kind of a conflict that concerns a waiver itself: one that has expired, or waives nothing.
 const WaiverKind regions.Kind = "waiver"
 
-// waivableKinds are those that can be waived.
+// waivableKinds are the kinds of conflicts that can be waived.
 var waivableKinds = []regions.Kind{
 	regions.ServiceKind, regions.CoverageKind, regions.TermsKind, regions.HardLimitKind, regions.SlowStartKind,
 	regions.LoopKind, regions.DeadKind,
 }
 
-// Waiver says that conflicts are meant.
+// Waiver is an entry of [[waivers]]: conflicts that the operator accepts.
 type Waiver struct {
 	Kind    regions.Kind
-	Regions []string  // all regions of a conflict that it waives are among these
-	Rules   []string  // and all of its rules among these
-	Reason  string    // for readers
-	Until   time.Time // from then on it waives nothing
-	Line    int       // in the fleet file
+	Regions []string  // a conflict is waived only if all its regions are among these
+	Rules   []string  // and all its rules among these
+	Reason  string    // for readers of the file
+	Until   time.Time // the waiver expires then
+	Line    int       // line in the fleet file
 }
 
-// readWaivers reads [[waivers]].
+// readWaivers reads [[waivers]]. names are the file's regions.
 func readWaivers(root tree.Table, names []string) []Waiver {
 	var all []Waiver
 	tables := root.Tables("waivers")
@@ -39,36 +39,46 @@
 		root.Wrong("waivers", "%d are more than %d", len(tables), maxWaivers)
 		return nil
 	}
-	words := make([]string, len(waivableKinds))
-	for i, k := range waivableKinds {
-		words[i] = string(k)
-	}
 	for _, t := range tables {
-		w := Waiver{
-			Kind: waivableKinds[t.OneOf("kind", words...)], Regions: t.Texts("regions"), Rules: t.Texts("rules"),
-			Reason: strings.TrimSpace(t.Str("reason", "")), Line: t.Node().Line(),
-		}
-		for key, lacks := range map[string]bool{
-			"kind": !t.Has("kind"), "regions": len(w.Regions) == 0, "rules": len(w.Rules) == 0,
-			"reason": w.Reason == "",
-		} {
-			if lacks {
-				t.Wrong(key, "a waiver needs it")
-			}
+		all = append(all, readWaiver(t, names))
+	}
+	return all
+}
+
+func readWaiver(t tree.Table, names []string) Waiver {
+	kinds := make([]string, len(waivableKinds))
+	for i, kind := range waivableKinds {
+		kinds[i] = string(kind)
+	}
+	w := Waiver{
+		Kind:    waivableKinds[t.OneOf("kind", kinds...)],
+		Regions: t.Texts("regions"),
+		Rules:   t.Texts("rules"),
+		Reason:  strings.TrimSpace(t.Str("reason", "")),
+		Line:    t.Node().Line(),
+	}
+	isMissing := map[string]bool{
+		"kind":    !t.Has("kind"),
+		"regions": len(w.Regions) == 0,
+		"rules":   len(w.Rules) == 0,
+		"reason":  w.Reason == "",
+	}
+	for key, missing := range isMissing {
+		if missing {
+			t.Wrong(key, "a waiver needs it")
 		}
-		for _, name := range w.Regions {
-			if !slices.Contains(names, name) {
-				t.Wrong("regions", "%q is no region of this file", name)
-			}
+	}
+	for _, name := range w.Regions {
+		if !slices.Contains(names, name) {
+			t.Wrong("regions", "%q is no region of this file", name)
 		}
-		w.Until = readUntil(t)
-		t.Done()
-		all = append(all, w)
 	}
-	return all
+	w.Until = readUntil(t)
+	t.Done()
+	return w
 }
 
-// readUntil reads the last day, as a date or as a text, and gives its end.
+// readUntil reads a waiver's last day, a date or a string, and returns the end of that day in UTC.
 func readUntil(t tree.Table) time.Time {
 	switch v := t.Value("until").(type) {
 	case nil:
@@ -87,7 +97,7 @@
 	return time.Time{}
 }
 
-// waives tells whether it is about a conflict.
+// waives tells whether the waiver covers a conflict, expired or not.
 func (w Waiver) waives(c regions.Conflict) bool {
 	if c.Kind != w.Kind {
 		return false
@@ -97,49 +107,49 @@
 			return false
 		}
 	}
-	some := false
+	hasRules := false
 	for _, r := range c.Rules {
-		if r == "" { // a region that has none
+		if r == "" { // of a region without a rule
 			continue
 		}
-		if some = true; !slices.Contains(w.Rules, r) {
+		hasRules = true
+		if !slices.Contains(w.Rules, r) {
 			return false
 		}
 	}
-	return some
+	return hasRules
 }
 
-// Waiving is the waivers at one moment, with which of them have had something to waive.
+// Waiving applies a file's waivers at one time, and notes which of them were used. It is for one goroutine.
 type Waiving struct {
 	file File
 	now  time.Time
 	used []bool
 }
 
-// Waiving begins with waivers of which none is used.
+// Waiving returns the file's waivers at a time, none of them used.
 func (f File) Waiving(now time.Time) *Waiving {
 	return &Waiving{file: f, now: now, used: make([]bool, len(f.Waivers))}
 }
 
-// Left gives the conflicts that no waiver in force is about, in their order.
-func (w *Waiving) Left(all []regions.Conflict) (left []regions.Conflict) {
+// Left returns the conflicts that no waiver in force covers, in their order.
+func (w *Waiving) Left(all []regions.Conflict) (remaining []regions.Conflict) {
 	for _, c := range all {
-		waived := false
+		isWaived := false
 		for i, one := range w.file.Waivers {
 			if one.waives(c) {
 				w.used[i] = true
-				waived = waived || w.now.Before(one.Until)
+				isWaived = isWaived || w.now.Before(one.Until)
 			}
 		}
-		if !waived {
-			left = append(left, c)
+		if !isWaived {
+			remaining = append(remaining, c)
 		}
 	}
-	return left
+	return remaining
 }
 
-// Conflicts is what is to be said of the waivers: that one has expired, or that there was nothing which it
-// would have waived.
+// Conflicts returns a conflict for each waiver that has expired, or that covered nothing so far.
 func (w *Waiving) Conflicts() (conflicts []regions.Conflict) {
 	for i, one := range w.file.Waivers {
 		c := regions.Conflict{Kind: WaiverKind, Severity: regions.Warning, Regions: slices.Sorted(slices.Values(one.Regions)), Rules: one.Rules}
@@ -158,7 +168,7 @@
 	return conflicts
 }
 
-// Waive is Left and Told in one, of all conflicts that there are.
+// Waive returns the conflicts of all that no waiver in force covers, and those of the waivers themselves.
 func (f File) Waive(all []regions.Conflict, now time.Time) []regions.Conflict {
 	w := f.Waiving(now)
 	return append(w.Left(all), w.Conflicts()...)
--- a/internal/rollout/commands.go
+++ b/internal/rollout/commands.go
@@ -111,7 +111,7 @@
 		m.isControl, m.isPlannedControl = m.isControl || hasSucceeded, false
 	case hasSucceeded:
 	case r.state == stateRollback:
-		r.abandon(event.Member, "its taking back failed: "+reason)
+		r.abandon(event.Member, "its rollback failed: "+reason)
 	default:
 		r.fail(fmt.Sprintf("member %s: %s", r.name(event.Member), reason))
 	}
--- a/internal/rollout/ownership.go
+++ b/internal/rollout/ownership.go
@@ -16,7 +16,7 @@
 
 // claimOwnership claims an epoch until a majority has granted it, and then starts what the epoch is for.
 func (r *Rollout) claimOwnership() {
-	r.reason = "asks all members who owns them"
+	r.reason = "polls all members for their owner"
 	for i := range r.members {
 		if !r.members[i].isPolled {
 			return // the epoch that it has granted is not known
@@ -134,7 +134,7 @@
 		// A command of an older epoch may be running: what the member ran before says nothing.
 		m.isUnsettled, m.lastReplyAt = true, r.now
 	case ReplyUnsupported:
-		r.endUnowned(fmt.Sprintf("member %s knows of no ownership: it runs a program older than staged changes", r.name(event.Member)))
+		r.endUnowned(fmt.Sprintf("member %s knows of no ownership: its program is older than staged changes", r.name(event.Member)))
 	case ReplyStale:
 		r.handleStaleClaim(event)
 	case ReplyUngranted: // it has lost its state, and its next status has the token
--- a/internal/rollout/rollback.go
+++ b/internal/rollout/rollback.go
@@ -15,7 +15,7 @@
 	case !r.hasCommanded:
 		r.end(ResultRefused, cause+"; nothing was changed")
 	case r.plan.DisableRollback:
-		r.end(ResultStuck, cause+"; it is left so, as was wanted")
+		r.end(ResultStuck, cause+"; rollback is disabled")
 	default:
 		r.write(Entry{Kind: EntryRollback, Phase: r.phase, Reason: cause})
 		r.startRollback()
@@ -43,7 +43,7 @@
 	pending := r.pendingRollback()
 	r.changeMembers(pending, r.rollbackGeneration, r.unavailableLimit(1))
 	if len(pending) > 0 {
-		r.reason = "takes back " + joinNames(r.memberNames(pending)) + ": " + r.rollbackCause
+		r.reason = "rolls back " + joinNames(r.memberNames(pending)) + ": " + r.rollbackCause
 		return
 	}
 	r.finishRollbackPhase()
@@ -59,7 +59,7 @@
 		switch {
 		case r.isRolledBack(i):
 		case r.hasDrifted(i, r.rollbackGeneration) && !r.members[i].isSuspect:
-			r.abandon(i, "it runs what nobody ordered")
+			r.abandon(i, "it runs a version that no command gave it")
 		case r.isLost(i):
 			r.abandon(i, fmt.Sprintf("it did not come back, or did not answer, within %v", r.plan.MemberTimeout))
 		case isLate:
@@ -91,7 +91,7 @@
 	}
 	switch {
 	case len(abandoned) > 0:
-		r.end(ResultStuck, fmt.Sprintf("%s; not taken back: %s; all others run what they ran before this phase",
+		r.end(ResultStuck, fmt.Sprintf("%s; not rolled back: %s; all others run what they ran before this phase",
 			r.rollbackCause, joinNames(r.memberNames(abandoned))))
 	case r.rollbackGeneration == 0:
 		r.end(ResultRolledBack, r.rollbackCause)
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -105,7 +105,7 @@
 		}
 	case WriteFailed:
 		r.actions = nil
-		r.end(ResultStopped, fmt.Sprintf("what is decided can't be kept, so nothing is done: %v", event.Err))
+		r.end(ResultStopped, fmt.Sprintf("a decision was not written to the rollout log, so nothing more is done: %v", event.Err))
 		return r.actions
 	}
 	r.advance()
