--- a/internal/desiredstate/state.go
+++ b/internal/desiredstate/state.go
@@ -63,7 +63,9 @@
 	case claim.Epoch < s.Epoch || claim.Epoch == s.Epoch && claim.Owner != s.Owner:
 		return s, s.staleError(claim.Epoch, claim.Owner)
 	}
-	s.Epoch, s.Owner, s.LossToken = claim.Epoch, claim.Owner, ""
+	s.Epoch = claim.Epoch
+	s.Owner = claim.Owner
+	s.LossToken = ""
 	return s, nil
 }
 
@@ -159,7 +161,8 @@
 	}
 	ended := EndedCommand{Outcome{ID: running.ID, Code: CodeOK}, running.Epoch, running.Fingerprint}
 	if err != nil {
-		ended.Code, ended.Error = CodeFailed, truncate(err.Error())
+		ended.Code = CodeFailed
+		ended.Error = truncate(err.Error())
 		s.Target = running.Previous
 	} else if running.Kind == KindProgram {
 		s.Program = running.Path
--- a/internal/rollout/bake.go
+++ b/internal/rollout/bake.go
@@ -4,7 +4,10 @@
 
 // beginBake begins the time for which a stage is watched after all of it has changed.
 func (r *Rollout) beginBake() {
-	r.isBaking, r.bakeStartedAt, r.hasJudgment, r.judgment = true, r.now, false, StageJudged{}
+	r.isBaking = true
+	r.bakeStartedAt = r.now
+	r.hasJudgment = false
+	r.judgment = StageJudged{}
 	r.write(Entry{Kind: EntryBake, Phase: r.phase, Stage: r.stage + 1})
 	r.reason = "is watched"
 }
@@ -44,6 +47,7 @@
 func (r *Rollout) passStage(reason string) {
 	r.writeVerdict(VerdictPass, reason)
 	r.stage++
-	r.isWatching, r.isBaking = false, false
+	r.isWatching = false
+	r.isBaking = false
 	r.rollForward()
 }
--- a/internal/rollout/capacity.go
+++ b/internal/rollout/capacity.go
@@ -36,7 +36,8 @@
 		}
 		serving++
 		if m.load >= 0 {
-			sum, known = sum+m.load, known+1
+			sum += m.load
+			known++
 		}
 	}
 	if known == 0 {
--- a/internal/rollout/commands.go
+++ b/internal/rollout/commands.go
@@ -79,7 +79,8 @@
 	m.command.awaitsReply = false
 	switch event.Reply {
 	case ReplyUngranted:
-		m.hasGranted, m.servingSince = false, r.now
+		m.hasGranted = false
+		m.servingSince = r.now
 		r.retryCommand(m, r.now)
 	case ReplyUnknown:
 		r.retryCommand(m, r.now+retryInterval)
@@ -91,7 +92,9 @@
 }
 
 func (r *Rollout) retryCommand(m *member, at time.Duration) {
-	m.command.isReplyLost, m.command.retryAt, m.mayHaveCopies = true, at, true
+	m.command.isReplyLost = true
+	m.command.retryAt = at
+	m.mayHaveCopies = true
 }
 
 // finishCommand ends a member's command with its outcome.
@@ -99,16 +102,20 @@
 	hasSucceeded := event.Reply == ReplyOK
 	outcome, reason := outcomeDone, ""
 	if !hasSucceeded {
-		outcome, reason = outcomeFailed, fmt.Sprint(event.Err)
+		outcome = outcomeFailed
+		reason = fmt.Sprint(event.Err)
 	}
 	r.write(Entry{Kind: EntryOutcome, Member: r.name(event.Member), ID: event.ID, Outcome: outcome, Reason: reason})
 	m := &r.members[event.Member]
 	isRestart := m.command.isRestart
-	m.command, m.lastReplyAt, m.isUnsettled = nil, r.now, hasSucceeded
+	m.command = nil
+	m.lastReplyAt = r.now
+	m.isUnsettled = hasSucceeded
 	m.isSuspect = m.isSuspect && !hasSucceeded
 	switch {
 	case isRestart: // one that fails says nothing of the change
-		m.isControl, m.isPlannedControl = m.isControl || hasSucceeded, false
+		m.isControl = m.isControl || hasSucceeded
+		m.isPlannedControl = false
 	case hasSucceeded:
 	case r.state == stateRollback:
 		r.abandon(event.Member, "its rollback failed: "+reason)
--- a/internal/rollout/forward.go
+++ b/internal/rollout/forward.go
@@ -28,7 +28,8 @@
 	}
 	for phase := 1; phase <= last; phase++ {
 		if r.allRun(phase-1, phase) {
-			r.phase, r.isPhaseKnown = phase, true
+			r.phase = phase
+			r.isPhaseKnown = true
 			return true
 		}
 	}
@@ -151,7 +152,10 @@
 }
 
 func (r *Rollout) beginStage(p *phase) {
-	r.isWatching, r.isBaking, r.stepStartedAt, r.waitsForCapacity = true, false, r.now, false
+	r.isWatching = true
+	r.isBaking = false
+	r.stepStartedAt = r.now
+	r.waitsForCapacity = false
 	r.write(Entry{
 		Kind: EntryStage, Epoch: r.epoch, Phase: r.phase, Stage: r.stage + 1, Members: r.memberNames(p.stages[r.stage]),
 		Controls: r.memberNames(r.chooseControls(p)),
@@ -162,7 +166,8 @@
 // chooseControls chooses members of later stages that restart beside this one, as many as it changes at most.
 func (r *Rollout) chooseControls(p *phase) []int {
 	for i := range r.members {
-		r.members[i].isControl, r.members[i].isPlannedControl = false, false
+		r.members[i].isControl = false
+		r.members[i].isPlannedControl = false
 	}
 	if !r.plan.HasControls {
 		return nil
@@ -230,7 +235,8 @@
 		return true
 	}
 	if !r.waitsForCapacity {
-		r.waitsForCapacity, r.noCapacitySince = true, r.now
+		r.waitsForCapacity = true
+		r.noCapacitySince = r.now
 	}
 	r.reason = "waits: the other members have no capacity for one member's work"
 	if r.now-r.noCapacitySince >= r.plan.MaxBake {
@@ -258,7 +264,9 @@
 		switch {
 		case isRestarting && r.isLost(i):
 			// It may still restart, and does nothing else: its slot stays reserved for that long.
-			m.command, m.isPlannedControl, m.slotReservedUntil = nil, false, r.now+r.plan.MemberTimeout
+			m.command = nil
+			m.isPlannedControl = false
+			m.slotReservedUntil = r.now + r.plan.MemberTimeout
 		case isRestarting || m.isControl && m.isUnsettled:
 			isPending = true
 		case !m.isPlannedControl:
@@ -296,7 +304,9 @@
 		r.end(ResultDone, fmt.Sprintf("%d members changed", len(r.members)))
 		return
 	}
-	r.phase, r.stage, r.stepStartedAt = r.phase+1, 0, r.now
+	r.phase++
+	r.stage = 0
+	r.stepStartedAt = r.now
 	r.resetCommandCounts()
 	r.rollForward()
 }
--- a/internal/rollout/layout.go
+++ b/internal/rollout/layout.go
@@ -108,7 +108,8 @@
 				continue
 			}
 			if share := float64(taken[i]) / float64(len(list)); next < 0 || share < lowestShare {
-				next, lowestShare = i, share
+				next = i
+				lowestShare = share
 			}
 		}
 		if next < 0 {
--- a/internal/rollout/ownership.go
+++ b/internal/rollout/ownership.go
@@ -54,7 +54,8 @@
 	intact := 0
 	for i := range r.members {
 		m := &r.members[i]
-		m.hasGranted, m.isClaiming = false, false
+		m.hasGranted = false
+		m.isClaiming = false
 		if m.isServing && m.lossToken == "" {
 			intact++
 		}
@@ -81,7 +82,8 @@
 			m.command.sentAt = r.now
 		}
 		if m.isRestartDropped {
-			m.isRestartDropped, m.slotReservedUntil = false, r.now+r.plan.MemberTimeout
+			m.isRestartDropped = false
+			m.slotReservedUntil = r.now + r.plan.MemberTimeout
 		}
 	}
 	r.state = stateForward
@@ -126,13 +128,16 @@
 		return // of an earlier attempt
 	}
 	m := &r.members[event.Member]
-	m.isClaiming, m.nextClaimAt = false, r.now+retryInterval
+	m.isClaiming = false
+	m.nextClaimAt = r.now + retryInterval
 	r.newestEpoch = max(r.newestEpoch, event.NewestEpoch)
 	switch event.Reply {
 	case ReplyOK:
-		m.hasGranted, m.lossToken = true, ""
+		m.hasGranted = true
+		m.lossToken = ""
 		// A command of an older epoch may be running: what the member ran before says nothing.
-		m.isUnsettled, m.lastReplyAt = true, r.now
+		m.isUnsettled = true
+		m.lastReplyAt = r.now
 	case ReplyUnsupported:
 		r.endUnowned(fmt.Sprintf("member %s knows of no ownership: its program is older than staged changes", r.name(event.Member)))
 	case ReplyStale:
@@ -172,12 +177,20 @@
 // that has granted the new one, and sent again under it where they are still wanted.
 func (r *Rollout) claimNewEpoch() {
 	r.reason = "claims a new epoch"
-	r.state, r.claimAttempts, r.nextClaimAt, r.claimDeadline = stateClaiming, 0, 0, r.now+r.claimTimeout()
+	r.state = stateClaiming
+	r.claimAttempts = 0
+	r.nextClaimAt = 0
+	r.claimDeadline = r.now + r.claimTimeout()
 	for i := range r.members {
 		m := &r.members[i]
-		m.hasGranted, m.isClaiming, m.nextClaimAt, m.mayHaveCopies = false, false, 0, false
+		m.hasGranted = false
+		m.isClaiming = false
+		m.nextClaimAt = 0
+		m.mayHaveCopies = false
 		if m.command != nil {
-			m.command.awaitsReply, m.command.isReplyLost, m.command.retryAt = false, true, 0
+			m.command.awaitsReply = false
+			m.command.isReplyLost = true
+			m.command.retryAt = 0
 		}
 	}
 }
--- a/internal/rollout/resume.go
+++ b/internal/rollout/resume.go
@@ -30,10 +30,13 @@
 		return nil, fmt.Errorf("the change is over: %s: %s", r.result, r.reason)
 	}
 	if rollBack && !r.isRollbackWanted {
-		r.isRollbackWanted, r.rollbackGeneration = true, r.phase-1
-		r.rollbackCause, r.isRollbackUnwritten = rollbackByOperator, true
+		r.isRollbackWanted = true
+		r.rollbackGeneration = r.phase - 1
+		r.rollbackCause = rollbackByOperator
+		r.isRollbackUnwritten = true
 	}
-	r.result, r.reason = "", ""
+	r.result = ""
+	r.reason = ""
 	r.restoreCommands()
 	return r, nil
 }
@@ -71,7 +74,9 @@
 		}
 		return r.replayOfMember(entry, &r.members[i])
 	case EntryRollback:
-		r.isRollbackWanted, r.rollbackCause, r.rollbackGeneration = true, entry.Reason, r.phase-1
+		r.isRollbackWanted = true
+		r.rollbackCause = entry.Reason
+		r.rollbackGeneration = r.phase - 1
 		for i := range r.members {
 			r.members[i].dropCommand()
 		}
@@ -81,7 +86,8 @@
 		}
 		r.rollbackGeneration = entry.Generation
 	case EntryEnd:
-		r.result, r.reason = Result(entry.Outcome), entry.Reason
+		r.result = Result(entry.Outcome)
+		r.reason = entry.Reason
 	case EntryOwned, EntryBake, EntryVerdict: // nothing follows from them
 	default:
 		return errors.New("its kind is unknown")
@@ -94,7 +100,9 @@
 	if !isPhase || entry.Stage < 1 || entry.Stage > len(r.phases[entry.Phase-1].stages) {
 		return fmt.Errorf("there is no stage %d of phase %d in its plan", entry.Stage, entry.Phase)
 	}
-	r.isPhaseKnown, r.phase, r.stage = true, entry.Phase, entry.Stage-1
+	r.isPhaseKnown = true
+	r.phase = entry.Phase
+	r.stage = entry.Stage - 1
 	return nil
 }
 
@@ -108,7 +116,8 @@
 		r.hasCommanded = true
 	case EntryOutcome:
 		if m.command != nil && m.command.id == entry.ID {
-			m.command, m.isSuspect = nil, m.isSuspect && entry.Outcome != outcomeDone
+			m.command = nil
+			m.isSuspect = m.isSuspect && entry.Outcome != outcomeDone
 		}
 	default: // an abandoned member is tried again
 	}
--- a/internal/rollout/rollback.go
+++ b/internal/rollout/rollback.go
@@ -28,15 +28,20 @@
 	for i := range r.members {
 		r.members[i].dropCommand()
 	}
-	r.isRollbackWanted, r.rollbackGeneration, r.isRollbackPhaseStarted = true, r.phase-1, false
-	r.isWatching, r.isBaking = false, false
+	r.isRollbackWanted = true
+	r.rollbackGeneration = r.phase - 1
+	r.isRollbackPhaseStarted = false
+	r.isWatching = false
+	r.isBaking = false
 	r.claimNewEpoch()
 }
 
 // rollBack does what may be done now of the rollback to one generation.
 func (r *Rollout) rollBack() {
 	if !r.isRollbackPhaseStarted {
-		r.isRollbackPhaseStarted, r.stepStartedAt, r.waitsForCapacity = true, r.now, false
+		r.isRollbackPhaseStarted = true
+		r.stepStartedAt = r.now
+		r.waitsForCapacity = false
 		r.resetCommandCounts()
 		r.write(Entry{Kind: EntryRollbackPhase, Epoch: r.epoch, Generation: r.rollbackGeneration})
 	}
@@ -105,6 +110,8 @@
 // abandon gives up rolling a member back: the operator has to look after it. While it serves it goes on serving.
 func (r *Rollout) abandon(i int, reason string) {
 	m := &r.members[i]
-	m.isAbandoned, m.command, m.isUnsettled = true, nil, false
+	m.isAbandoned = true
+	m.command = nil
+	m.isUnsettled = false
 	r.write(Entry{Kind: EntryAbandoned, Member: r.name(i), Generation: r.rollbackGeneration, Reason: reason})
 }
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -86,7 +86,8 @@
 	if r.state == stateEnded {
 		return nil
 	}
-	r.now, r.actions = now, nil
+	r.now = now
+	r.actions = nil
 	r.start()
 	switch event := event.(type) {
 	case MemberStatus:
@@ -97,7 +98,8 @@
 		r.handleCommandReplied(event)
 	case StageJudged:
 		if r.isBaking {
-			r.judgment, r.hasJudgment = event, true
+			r.judgment = event
+			r.hasJudgment = true
 		}
 	case Stop:
 		if r.stopCause == "" {
@@ -140,7 +142,8 @@
 		return // no answer
 	}
 	if status.LossToken != m.lossToken {
-		m.lossToken, m.lossReadEpoch = status.LossToken, r.epoch
+		m.lossToken = status.LossToken
+		m.lossReadEpoch = r.epoch
 	}
 	r.newestEpoch = max(r.newestEpoch, status.Epoch)
 	if r.state != stateClaiming && r.hasGrantedAnother(&status) {
@@ -148,7 +151,8 @@
 		return
 	}
 	if m.hasGranted && (status.Epoch < r.epoch || status.LossToken != "") {
-		m.hasGranted, m.servingSince = false, r.now // it has lost its state
+		m.hasGranted = false
+		m.servingSince = r.now // it has lost its state
 	}
 }
 
@@ -163,7 +167,9 @@
 	if !m.isServing {
 		m.servingSince = r.now
 	}
-	m.isServing, m.version, m.load = true, status.Version, status.Load
+	m.isServing = true
+	m.version = status.Version
+	m.load = status.Load
 	// The version says nothing yet where a command runs, which may be another coordinator's.
 	m.isUnsettled = status.RunningCommand != "" && m.command == nil
 }
@@ -209,7 +215,9 @@
 func (r *Rollout) end(result Result, reason string) {
 	r.write(Entry{Kind: EntryEnd, Outcome: string(result), Reason: reason, Epoch: r.epoch})
 	r.emit(End{result, reason})
-	r.state, r.result, r.reason = stateEnded, result, reason
+	r.state = stateEnded
+	r.result = result
+	r.reason = reason
 }
 
 // supersede ends the coordinator at once: one of a newer epoch decides.
