--- a/internal/fleetfile/intermediate.go
+++ b/internal/fleetfile/intermediate.go
@@ -65,9 +65,9 @@
 	}
 	if after.SlowStart != before.SlowStart {
 		table := subTable(subTable(doc, "services"), after.Name)
-		table["cold"] = after.SlowStart.For.String()
-		table["cold_from"] = after.SlowStart.From
-		table["fall_multiple"] = after.SlowStart.Multiple
+		table["cold"] = after.SlowStart.WarmupTime.String()
+		table["cold_from"] = after.SlowStart.InitialCapacity
+		table["fall_multiple"] = after.SlowStart.OverloadMultiple
 	}
 }
 
--- a/internal/fleetfile/regions.go
+++ b/internal/fleetfile/regions.go
@@ -30,7 +30,7 @@
 		}
 	}
 	for i, rule := range one.Config.Routes {
-		route := regions.Route{Rule: rule.Rule, As: rule.As}
+		route := regions.Route{Rule: rule.Rule, RequestClass: rule.As}
 		if i < len(one.origins) {
 			route.Base = one.origins[i].isBase
 			route.Line = one.origins[i].line
@@ -58,14 +58,14 @@
 func service(s config.Service) regions.Service {
 	settings := s.Settings
 	v := regions.Service{
-		Name:     s.Name,
-		Ordinary: s.HTTP != nil,
-		Classes:  settings.Classes,
-		Plans:    settings.Plans,
+		Name:        s.Name,
+		GenericHTTP: s.HTTP != nil,
+		Classes:     settings.Classes,
+		Plans:       settings.Plans,
 		SlowStart: regions.SlowStart{
-			For:      settings.WarmupTime,
-			From:     settings.InitialCapacity,
-			Multiple: settings.OverloadMultiple,
+			WarmupTime:       settings.WarmupTime,
+			InitialCapacity:  settings.InitialCapacity,
+			OverloadMultiple: settings.OverloadMultiple,
 		},
 	}
 	if s.Counter.Name != "" {
@@ -80,7 +80,7 @@
 	}
 	for _, endpoint := range s.Source.Endpoints {
 		v.Servers = append(v.Servers, endpoint.UID)
-		v.Leads = append(v.Leads, endpoint.Address)
+		v.Destinations = append(v.Destinations, endpoint.Address)
 	}
 	return v
 }
@@ -90,12 +90,12 @@
 
 // gatherService returns a scatter-gather service. It has no plans and servers: those of its parts count.
 func gatherService(g *config.Gather, c config.Config) regions.Service {
-	v := regions.Service{Name: g.Name, Ordinary: true, Gather: gatherForm(g, c, maxGatherDepth)}
+	v := regions.Service{Name: g.Name, GenericHTTP: true, Gather: gatherForm(g, c, maxGatherDepth)}
 	forEachPartService(g, c, maxGatherDepth, func(s *config.Service) {
 		// All classes of the file, also those that can't be scattered: a change of their idempotency matters here too.
 		v.Classes = s.Settings.Classes
 		for _, endpoint := range s.Source.Endpoints {
-			v.Leads = append(v.Leads, endpoint.Address)
+			v.Destinations = append(v.Destinations, endpoint.Address)
 		}
 	})
 	return v
