--- a/internal/rollout/rollback.go
+++ b/internal/rollout/rollback.go
@@ -15,7 +15,7 @@
 	case !r.hasCommanded:
 		r.end(ResultRefused, cause+"; nothing was changed")
 	case r.plan.DisableRollback:
-		r.end(ResultStuck, cause+"; it is left so, as was wanted")
+		r.end(ResultStuck, cause+"; rollback is disabled")
 	default:
 		r.write(Entry{Kind: EntryRollback, Phase: r.phase, Reason: cause})
 		r.startRollback()
@@ -28,22 +28,27 @@
 	for i := range r.members {
 		r.members[i].dropCommand()
 	}
-	r.isRollbackWanted, r.rollbackGeneration, r.isRollbackPhaseStarted = true, r.phase-1, false
-	r.isWatching, r.isBaking = false, false
+	r.isRollbackWanted = true
+	r.rollbackGeneration = r.phase - 1
+	r.isRollbackPhaseStarted = false
+	r.isWatching = false
+	r.isBaking = false
 	r.claimNewEpoch()
 }
 
 // rollBack does what may be done now of the rollback to one generation.
 func (r *Rollout) rollBack() {
 	if !r.isRollbackPhaseStarted {
-		r.isRollbackPhaseStarted, r.stepStartedAt, r.waitsForCapacity = true, r.now, false
+		r.isRollbackPhaseStarted = true
+		r.stepStartedAt = r.now
+		r.waitsForCapacity = false
 		r.resetCommandCounts()
 		r.write(Entry{Kind: EntryRollbackPhase, Epoch: r.epoch, Generation: r.rollbackGeneration})
 	}
 	pending := r.pendingRollback()
 	r.changeMembers(pending, r.rollbackGeneration, r.unavailableLimit(1))
 	if len(pending) > 0 {
-		r.reason = "takes back " + joinNames(r.memberNames(pending)) + ": " + r.rollbackCause
+		r.reason = "rolls back " + joinNames(r.memberNames(pending)) + ": " + r.rollbackCause
 		return
 	}
 	r.finishRollbackPhase()
@@ -59,7 +64,7 @@
 		switch {
 		case r.isRolledBack(i):
 		case r.hasDrifted(i, r.rollbackGeneration) && !r.members[i].isSuspect:
-			r.abandon(i, "it runs what nobody ordered")
+			r.abandon(i, "it runs a version that no command gave it")
 		case r.isLost(i):
 			r.abandon(i, fmt.Sprintf("it did not come back, or did not answer, within %v", r.plan.MemberTimeout))
 		case isLate:
@@ -91,7 +96,7 @@
 	}
 	switch {
 	case len(abandoned) > 0:
-		r.end(ResultStuck, fmt.Sprintf("%s; not taken back: %s; all others run what they ran before this phase",
+		r.end(ResultStuck, fmt.Sprintf("%s; not rolled back: %s; all others run what they ran before this phase",
 			r.rollbackCause, joinNames(r.memberNames(abandoned))))
 	case r.rollbackGeneration == 0:
 		r.end(ResultRolledBack, r.rollbackCause)
@@ -105,6 +110,8 @@
 // abandon gives up rolling a member back: the operator has to look after it. While it serves it goes on serving.
 func (r *Rollout) abandon(i int, reason string) {
 	m := &r.members[i]
-	m.isAbandoned, m.command, m.isUnsettled = true, nil, false
+	m.isAbandoned = true
+	m.command = nil
+	m.isUnsettled = false
 	r.write(Entry{Kind: EntryAbandoned, Member: r.name(i), Generation: r.rollbackGeneration, Reason: reason})
 }
