--- /dev/null
+++ b/internal/regions/mixture/compare.go
@@ -0,0 +1,70 @@
+package mixture
+
+import (
+	"lockflow/control"
+	"lockflow/internal/regions"
+)
+
+// isNowhereAbove tells whether a exceeds b in no setting.
+func isNowhereAbove(a, b regions.Region) bool {
+	if a.Members > 0 && b.Members > 0 && a.Members > b.Members {
+		return false
+	}
+	for _, service := range a.Services {
+		other, ok := findByName(b.Services, service.Name, serviceName)
+		// A service of a alone shares its customers and servers with no other settings.
+		if ok && !isServiceNotAbove(service, other, memberFraction(a), memberFraction(b)) {
+			return false
+		}
+	}
+	return true
+}
+
+// isServiceNotAbove compares the services of two members by what a member has of its group.
+func isServiceNotAbove(a, b regions.Service, fractionA, fractionB float64) bool {
+	for _, class := range a.Classes {
+		if other, ok := findByName(b.Classes, class.Name, className); ok && !isStricterOrEqual(class, other) {
+			return false
+		}
+	}
+	for _, plan := range a.Plans {
+		if other, ok := findByName(b.Plans, plan.Name, planName); ok && !isPlanNotAbove(plan, other, fractionA, fractionB) {
+			return false
+		}
+	}
+	return isSlowStartNotAbove(a.SlowStart, b.SlowStart, fractionA, fractionB)
+}
+
+// isSlowStartNotAbove compares what two members send to a warming server. Their minimum load depends on the
+// group size alone.
+func isSlowStartNotAbove(a, b regions.SlowStart, fractionA, fractionB float64) bool {
+	isRampNotAbove := a.WarmupTime >= b.WarmupTime && a.InitialCapacity <= b.InitialCapacity
+	return isRampNotAbove && a.OverloadMultiple*fractionA <= b.OverloadMultiple*fractionB && fractionA <= fractionB
+}
+
+// memberFraction is what one member has of what its group has.
+func memberFraction(region regions.Region) float64 { return 1 / float64(max(1, region.Instances)) }
+
+// isPlanNotAbove compares the hard limits of two members.
+func isPlanNotAbove(a, b control.Plan, fractionA, fractionB float64) bool {
+	if b.HardLimitRate == 0 {
+		return true
+	}
+	isRateNotAbove := a.HardLimitRate > 0 && a.HardLimitRate*fractionA <= b.HardLimitRate*fractionB
+	return isRateNotAbove && a.HardLimitBurst*fractionA <= b.HardLimitBurst*fractionB &&
+		a.HardLimitSlack*fractionA <= b.HardLimitSlack*fractionB
+}
+
+// isStricterOrEqual tells whether a allows no repeat of a request that b forbids.
+func isStricterOrEqual(a, b control.Class) bool {
+	if a.Deadline > b.Deadline || a.Idempotency < b.Idempotency {
+		return false
+	}
+	if a.Idempotency != control.IdempotentWithKey || b.Idempotency != control.IdempotentWithKey {
+		return true
+	}
+	return a.KeyScope >= b.KeyScope && a.RepeatWindow <= b.RepeatWindow
+}
+
+// areOrdered tells whether one of two classes is stricter than the other in every respect, or equal.
+func areOrdered(a, b control.Class) bool { return isStricterOrEqual(a, b) || isStricterOrEqual(b, a) }
--- a/internal/regions/mixture/cycle.go
+++ b/internal/regions/mixture/cycle.go
@@ -6,105 +6,118 @@
 	"lockflow/internal/regions"
 )
 
-// findCycle is the shortest one of regions of which each has to change before the next, and the conflicts
-// that make it; nil where pairs make none.
-func (p *planner) findCycle() (least []string, why []regions.Conflict) {
-	next := make(map[string][]pairing) // by the one that has to change first
-	for _, c := range p.pairings {
-		if p.isBinding(c) {
-			next[c.oldRegion] = append(next[c.oldRegion], c)
+// maxSubsets is the largest number of sets of one size that are tried; each is a check of all regions.
+const maxSubsets = 400
+
+// findCycle returns the shortest cycle of regions of which each has to change before the next, sorted by
+// name, and the conflicts that make it; nil where pairs of regions make none.
+func (p *planner) findCycle() (shortest []string, blocked []regions.Conflict) {
+	next := make(map[string][]pairing) // by the region that has to change first
+	for _, pair := range p.pairings {
+		if p.isBinding(pair) {
+			next[pair.oldRegion] = append(next[pair.oldRegion], pair)
 		}
 	}
-	starts := slices.Sorted(slices.Values(p.changed))
-	for _, start := range starts {
-		from := map[string]pairing{} // how each was reached
-		queue := []string{start}
-		for i := 0; i < len(queue) && from[start].oldRegion == ""; i++ {
-			for _, c := range next[queue[i]] {
-				if _, seen := from[c.newRegion]; !seen {
-					from[c.newRegion] = c
-					queue = append(queue, c.newRegion)
-				}
-			}
-		}
-		if from[start].oldRegion == "" {
+	for _, start := range slices.Sorted(slices.Values(p.changed)) {
+		names, conflicts := cycleFrom(start, next)
+		if names == nil || shortest != nil && len(names) >= len(shortest) {
 			continue
 		}
-		var names []string
-		var conflicts []regions.Conflict
-		for at := start; len(names) == 0 || at != start; {
-			c := from[at]
-			names = append(names, c.oldRegion)
-			conflicts = append(conflicts, WithoutGenerations(c.Conflict))
-			at = c.oldRegion
-		}
-		if least == nil || len(names) < len(least) {
-			slices.Sort(names)
-			slices.SortStableFunc(conflicts, func(a, b regions.Conflict) int { return slices.Compare(a.Regions, b.Regions) })
-			least, why = names, conflicts
-		}
+		slices.Sort(names)
+		slices.SortStableFunc(conflicts, func(a, b regions.Conflict) int { return slices.Compare(a.Regions, b.Regions) })
+		shortest, blocked = names, conflicts
 	}
-	return least, why
+	return shortest, blocked
 }
 
-// maxSubsets is how many sets of one size are tried: each is a check of all regions.
-const maxSubsets = 400
+// cycleFrom returns a shortest cycle through a region, by breadth-first search; nil where there is none.
+func cycleFrom(start string, next map[string][]pairing) (names []string, conflicts []regions.Conflict) {
+	reachedBy := map[string]pairing{}
+	queue := []string{start}
+	for i := 0; i < len(queue) && reachedBy[start].oldRegion == ""; i++ {
+		for _, pair := range next[queue[i]] {
+			if _, isReached := reachedBy[pair.newRegion]; !isReached {
+				reachedBy[pair.newRegion] = pair
+				queue = append(queue, pair.newRegion)
+			}
+		}
+	}
+	if reachedBy[start].oldRegion == "" {
+		return nil, nil
+	}
+	for at := start; len(names) == 0 || at != start; {
+		pair := reachedBy[at]
+		names = append(names, pair.oldRegion)
+		conflicts = append(conflicts, WithoutGenerations(pair.Conflict))
+		at = pair.oldRegion
+	}
+	return names, conflicts
+}
 
-// smallestBlockedSet is the least set of regions that, once those in done have changed, could all change at once but
-// not one after another, and what each of them would bring as the first.
-func (p *planner) smallestBlockedSet(done []string) (names []string, why []regions.Conflict) {
-	var rest []string
+// smallestBlockedSet returns the smallest set of regions that, once those in done have changed, could all
+// change at once but not one after another, and the conflicts that block it.
+func (p *planner) smallestBlockedSet(done []string) (names []string, blocked []regions.Conflict) {
+	var remaining []string
 	for _, name := range p.changed {
 		if !slices.Contains(done, name) {
-			rest = append(rest, name)
+			remaining = append(remaining, name)
 		}
 	}
-	slices.Sort(rest)
-	names = rest
-	exact := false
-	for size, sets := 1, len(rest); size < len(rest) && sets <= maxSubsets; size++ {
-		sets = sets * (len(rest) - size) / (size + 1) // of the next size
-		if some := p.blockedSubset(done, rest, nil, size); some != nil {
-			names, exact = some, true
-			break
+	slices.Sort(remaining)
+	names = p.smallBlockedSubset(done, remaining)
+	if names == nil {
+		names = p.reduceBlocked(done, remaining)
+	}
+	return names, p.blockingConflicts(done, names)
+}
+
+// smallBlockedSubset returns the first blocked subset of the smallest size, while the sizes have few enough
+// subsets; else nil.
+func (p *planner) smallBlockedSubset(done, names []string) []string {
+	subsets := len(names) // of the size that is tried
+	for size := 1; size < len(names) && subsets <= maxSubsets; size++ {
+		subsets = subsets * (len(names) - size) / (size + 1)
+		if subset := p.blockedSubset(done, names, nil, size); subset != nil {
+			return subset
 		}
 	}
-	if !exact {
-		for i := len(names) - 1; i >= 0; i-- {
-			if fewer := slices.Delete(slices.Clone(names), i, i+1); p.isBlocked(done, fewer) {
-				names = fewer
-			}
+	return nil
+}
+
+// reduceBlocked removes regions from a blocked set one after another while it remains blocked.
+func (p *planner) reduceBlocked(done, names []string) []string {
+	for i := len(names) - 1; i >= 0; i-- {
+		fewer := slices.Delete(slices.Clone(names), i, i+1)
+		if p.isBlocked(done, fewer) {
+			names = fewer
 		}
 	}
+	return names
+}
+
+// blockingConflicts returns the conflict of each region of a blocked set as the first to change, or, where
+// none has one, as the last.
+func (p *planner) blockingConflicts(done, names []string) (conflicts []regions.Conflict) {
 	for _, name := range names {
-		set := newSet(done, []string{name})
-		if v := p.stepVerdict(name, set); len(v.errors) > 0 {
-			why = append(why, v.errors[0])
+		v := p.stepVerdict(name, newSet(done, []string{name}))
+		if len(v.errors) > 0 {
+			conflicts = append(conflicts, v.errors[0])
 		}
 	}
-	if len(why) == 0 { // each can be the first, none the last
-		for _, name := range names {
-			set := newSet(done, names)
-			delete(set, name)
-			if v := p.verdictOf(set); len(v.errors) > 0 {
-				why = append(why, v.errors[0])
-			}
-		}
+	if len(conflicts) > 0 {
+		return conflicts
 	}
-	return names, why
-}
-
-func newSet(lists ...[]string) map[string]bool {
-	set := make(map[string]bool)
-	for _, l := range lists {
-		for _, name := range l {
-			set[name] = true
+	for _, name := range names {
+		set := newSet(done, names)
+		delete(set, name)
+		if v := p.verdictOf(set); len(v.errors) > 0 {
+			conflicts = append(conflicts, v.errors[0])
 		}
 	}
-	return set
+	return conflicts
 }
 
-// isBlocked tells whether regions can change at once and not one after another.
+// isBlocked tells whether regions can change at once but not one after another.
 func (p *planner) isBlocked(done, names []string) bool {
 	if len(names) == 0 || !p.verdictOf(newSet(done, names)).isAcceptable(false) {
 		return false
@@ -113,17 +126,18 @@
 	return order == nil
 }
 
-// blockedSubset is the first set of a size that is blocked.
-func (p *planner) blockedSubset(done, rest, chosen []string, size int) []string {
+// blockedSubset returns the first blocked set of a size that extends the chosen regions by some of names;
+// nil where there is none.
+func (p *planner) blockedSubset(done, names, chosen []string, size int) []string {
 	if len(chosen) == size {
 		if p.isBlocked(done, chosen) {
 			return slices.Clone(chosen)
 		}
 		return nil
 	}
-	for i, name := range rest {
-		if some := p.blockedSubset(done, rest[i+1:], append(slices.Clip(chosen), name), size); some != nil {
-			return some
+	for i, name := range names {
+		if subset := p.blockedSubset(done, names[i+1:], append(slices.Clip(chosen), name), size); subset != nil {
+			return subset
 		}
 	}
 	return nil
--- a/internal/regions/mixture/equality.go
+++ b/internal/regions/mixture/equality.go
@@ -11,31 +11,32 @@
 	"lockflow/internal/route"
 )
 
-// classOf is the class that a request has by a region's route.
-func classOf(r *regions.Region, rule string, w *regions.Witness) (control.Class, bool) {
-	if r == nil {
+// classOf returns the class that a request has by a region's route; false where the region, the route or
+// the class is missing.
+func classOf(region *regions.Region, rule string, request *regions.Witness) (control.Class, bool) {
+	if region == nil {
 		return control.Class{}, false
 	}
-	to, ok := findByName(r.Routes, rule, func(one regions.Route) string { return one.Name })
+	target, ok := findByName(region.Routes, rule, func(r regions.Route) string { return r.Name })
 	if !ok {
 		return control.Class{}, false
 	}
-	s, ok := findByName(r.Services, to.Service, serviceName)
-	name := to.RequestClass
+	service, hasService := findByName(region.Services, target.Service, serviceName)
+	name := target.RequestClass
 	switch {
 	case name != "":
-	case !s.GenericHTTP:
-		name = route.FirstSegment(w.Path)
-	case protocol.IsSafeMethod(w.Method):
+	case !service.GenericHTTP:
+		name = route.FirstSegment(request.Path)
+	case protocol.IsSafeMethod(request.Method):
 		name = config.ClassRead
 	default:
 		name = config.ClassWrite
 	}
-	k, has := findByName(s.Classes, name, className)
-	return k, ok && has
+	class, hasClass := findByName(service.Classes, name, className)
+	return class, hasService && hasClass
 }
 
-// isEqual tells whether two configurations are the same; one that isn't there is nil.
+// isEqual tells whether two configurations are equal; nil is a region that is not there.
 func isEqual(a, b *regions.Region) bool {
 	if a == nil || b == nil {
 		return a == b
@@ -43,16 +44,21 @@
 	return reflect.DeepEqual(a, b)
 }
 
-// withoutSums is a configuration without what sums over regions go by; nil of nil.
-func withoutSums(r *regions.Region) *regions.Region {
-	if r == nil {
+// withoutSums returns a configuration without all that sums over regions depend on; nil for nil.
+func withoutSums(region *regions.Region) *regions.Region {
+	if region == nil {
 		return nil
 	}
-	u := *r
-	u.Instances, u.Members, u.Shared, u.Services = 0, 0, false, slices.Clone(r.Services)
-	for i := range u.Services {
-		s := &u.Services[i]
-		s.Plans, s.Counter, s.SlowStart = nil, "", regions.SlowStart{}
+	without := *region
+	without.Instances = 0
+	without.Members = 0
+	without.Shared = false
+	without.Services = slices.Clone(region.Services)
+	for i := range without.Services {
+		service := &without.Services[i]
+		service.Plans = nil
+		service.Counter = ""
+		service.SlowStart = regions.SlowStart{}
 	}
-	return &u
+	return &without
 }
--- /dev/null
+++ b/internal/regions/mixture/hard_limits.go
@@ -0,0 +1,124 @@
+package mixture
+
+import (
+	"maps"
+	"math"
+	"slices"
+
+	"lockflow/internal/regions"
+)
+
+// hardLimitKey identifies a service's plan.
+type hardLimitKey struct{ service, plan string }
+
+// hardLimitSum is what regions admit together of one customer's requests, in units (a second).
+type hardLimitSum struct{ rate, burst, slack float64 }
+
+// isNotAbove compares two sums, with a tolerance for rounding.
+func (a hardLimitSum) isNotAbove(b hardLimitSum) bool {
+	const tolerance = 1 + 1e-9
+	return a.rate <= b.rate*tolerance && a.burst <= b.burst*tolerance && a.slack <= b.slack*tolerance
+}
+
+// sumHardLimits returns the sums of regions by plan. They are infinite where a region has a plan without a
+// hard limit.
+func sumHardLimits(all ...*regions.Region) map[hardLimitKey]hardLimitSum {
+	sums := make(map[hardLimitKey]hardLimitSum)
+	for _, region := range all {
+		if region == nil {
+			continue
+		}
+		n := groupCount(region)
+		for _, service := range region.Services {
+			for _, p := range service.Plans {
+				key := hardLimitKey{service.Name, p.Name}
+				t := sums[key]
+				t.rate, t.burst, t.slack = t.rate+n*p.HardLimitRate, t.burst+n*p.HardLimitBurst, t.slack+n*p.HardLimitSlack
+				if p.HardLimitRate == 0 {
+					t = hardLimitSum{math.Inf(1), math.Inf(1), math.Inf(1)}
+				}
+				sums[key] = t
+			}
+		}
+	}
+	return sums
+}
+
+// groupCount is how many complete groups a region's members act as; 1 where their number is unknown, as its
+// own settings have it.
+func groupCount(region *regions.Region) float64 {
+	if region.Members > 0 {
+		return float64(region.Members) * memberFraction(*region)
+	}
+	return 1.0
+}
+
+// hardLimitGrowth returns by how much a change raises a region's hard limits, relative to their mean and
+// summed over plans. It only guides which region is tried first.
+func hardLimitGrowth(old, new *regions.Region) (sum float64) {
+	before, after := sumHardLimits(old), sumHardLimits(new)
+	for key, b := range before {
+		if a := after[key]; a.rate+b.rate > 0 && !math.IsInf(a.rate+b.rate, 1) {
+			sum += (a.rate - b.rate) / (a.rate + b.rate)
+		}
+	}
+	for key := range after {
+		if _, ok := before[key]; !ok {
+			sum++
+		}
+	}
+	return sum
+}
+
+// isWithinEnd tells whether a mixture admits no more, of what a conflict is about, than one end of the
+// change does. regions.Check holds regions to the smallest limit that any of them states. While a new limit
+// is rolled out, a mixture is held to that of the end which admits more.
+func (p *planner) isWithinEnd(conflict regions.Conflict, mixture []regions.Region) bool {
+	for _, end := range []map[string]*regions.Region{p.changeStart, p.changeEnd} {
+		if conflict.Kind == regions.HardLimitKind && areHardLimitsWithin(conflict.Rules, mixture, end) {
+			return true
+		}
+		if conflict.Kind == regions.SlowStartKind && areSlowStartsWithin(mixture, end) {
+			return true
+		}
+	}
+	return false
+}
+
+// areHardLimitsWithin tells whether a mixture admits no more of some plans than an end does.
+func areHardLimitsWithin(plans []string, mixture []regions.Region, end map[string]*regions.Region) bool {
+	all := make([]*regions.Region, len(mixture))
+	for i := range mixture {
+		all[i] = &mixture[i]
+	}
+	limits := sumHardLimits(slices.Collect(maps.Values(end))...)
+	for key, sum := range sumHardLimits(all...) {
+		if slices.Contains(plans, key.plan) && !sum.isNotAbove(limits[key]) {
+			return false
+		}
+	}
+	return true
+}
+
+// areSlowStartsWithin tells whether each region of a mixture sends no more to warming servers than at an
+// end. It compares region by region, as the sum depends on which regions send to a server.
+func areSlowStartsWithin(mixture []regions.Region, end map[string]*regions.Region) bool {
+	members := make(map[string]int)
+	for _, region := range mixture {
+		atEnd := end[withoutGeneration(region.Name)]
+		if atEnd == nil {
+			return false
+		}
+		members[atEnd.Name] += region.Members
+		if atEnd.Members > 0 && members[atEnd.Name] > atEnd.Members {
+			return false
+		}
+		for _, service := range region.Services {
+			other, ok := findByName(atEnd.Services, service.Name, serviceName)
+			if !ok || !isSlowStartNotAbove(service.SlowStart, other.SlowStart, memberFraction(region), memberFraction(*atEnd)) {
+				return false
+			}
+		}
+	}
+	return true
+}
--- a/internal/regions/mixture/incremental.go
+++ b/internal/regions/mixture/incremental.go
@@ -2,46 +2,65 @@
 
 import "lockflow/internal/regions"
 
-// NewIncrementalCheck is regions.Check for many mixtures of one fleet: lists with the same regions as the one before are
-// looked at anew only where a region differs. Not safe for concurrent use.
-func NewIncrementalCheck() func([]regions.Region) []regions.Conflict {
-	var index *regions.Index
-	held := make(map[string]regions.Region)
-	var last []regions.Conflict
-	return func(all []regions.Region) []regions.Conflict {
-		known, differ := len(all) == len(held), 0
-		for _, r := range all {
-			h, has := held[r.Name]
-			known = known && has
-			if has && !sharesData(r, h) {
-				differ++
-			}
+// NewIncrementalCheck returns a regions.Check for many mixtures of one fleet: in a list with the same
+// regions as the list before, only the regions that differ are examined again. The function is not safe for
+// concurrent use.
+func NewIncrementalCheck() CheckFunc {
+	c := &incrementalCheck{current: make(map[string]regions.Region)}
+	return c.check
+}
+
+// incrementalCheck is an index of the fleet that was checked last.
+type incrementalCheck struct {
+	index     *regions.Index
+	current   map[string]regions.Region // by name
+	conflicts []regions.Conflict
+}
+
+func (c *incrementalCheck) check(all []regions.Region) []regions.Conflict {
+	isSameFleet := c.isSameFleet(all)
+	if !isSameFleet {
+		if c.index != nil && len(all) > len(c.current) {
+			// A mixture with both generations of regions: the index of the fleet is kept for the next one.
+			return regions.Check(all)
 		}
-		// Guards against replacing region by region what is another fleet altogether.
-		if known && differ > len(all)/2 && differ > 1 {
-			known = false
+		c.index = regions.NewIndex(all)
+		c.current = make(map[string]regions.Region, len(all))
+		c.conflicts = c.index.Conflicts()
+	}
+	for _, region := range all {
+		if isSameFleet && !sharesData(region, c.current[region.Name]) {
+			c.conflicts = c.index.Replace(region)
 		}
-		if !known {
-			if index != nil && len(all) > len(held) { // a mixture of another kind: kept aside
-				return regions.Check(all)
-			}
-			index, held = regions.NewIndex(all), make(map[string]regions.Region, len(all))
-			last = index.Conflicts()
+		c.current[region.Name] = region
+	}
+	return c.conflicts
+}
+
+// isSameFleet tells whether a list has the regions of the one before, most of them unchanged. To replace
+// most of the regions one by one would cost more than a new index.
+func (c *incrementalCheck) isSameFleet(all []regions.Region) bool {
+	if len(all) != len(c.current) {
+		return false
+	}
+	changed := 0
+	for _, region := range all {
+		current, isKnown := c.current[region.Name]
+		if !isKnown {
+			return false
 		}
-		for _, r := range all {
-			if known && !sharesData(r, held[r.Name]) {
-				last = index.Replace(r)
-			}
-			held[r.Name] = r
+		if !sharesData(region, current) {
+			changed++
 		}
-		return last
 	}
+	return changed <= len(all)/2 || changed <= 1
 }
 
-// sharesData tells whether two regions share what they were made of; if not, they may still be equal.
+// sharesData tells whether two regions consist of the same lists in memory; regions that don't may still
+// be equal.
 func sharesData(a, b regions.Region) bool {
-	return a.Instances == b.Instances && a.Members == b.Members && a.Shared == b.Shared && sharesList(a.Listeners, b.Listeners) &&
-		sharesList(a.Routes, b.Routes) && sharesList(a.Services, b.Services)
+	hasSameSize := a.Instances == b.Instances && a.Members == b.Members && a.Shared == b.Shared
+	return hasSameSize && sharesList(a.Listeners, b.Listeners) && sharesList(a.Routes, b.Routes) && sharesList(a.Services, b.Services)
 }
 
 func sharesList[T any](a, b []T) bool {
--- a/internal/regions/mixture/mixture_test.go
+++ b/internal/regions/mixture/mixture_test.go
@@ -124,7 +124,7 @@
 	} {
 		r := Order(fleet(tc.old), fleet(tc.new), regions.Check)
 		if again := Order(fleet(tc.old), fleet(tc.new), NewIncrementalCheck()); !reflect.DeepEqual(r, again) {
-			t.Errorf("%s: by Again %+v\nand not %+v", name, again, r)
+			t.Errorf("%s: incremental check %+v\nand not %+v", name, again, r)
 		}
 		if name == "one route of one" && len(r.Transient) != 1 {
 			t.Errorf("%s: passing %+v", name, r.Transient)
@@ -250,7 +250,7 @@
 				}
 				one, two := was, is
 				one.Members, two.Members = a, b
-				one.Name, two.Name = name+aliasOld, name+aliasNew
+				one.Name, two.Name = name+oldGeneration, name+newGeneration
 				all := slices.DeleteFunc(append(slices.Delete(slices.Clone(now), i, i+1), one, two), func(r regions.Region) bool { return r.Members == 0 })
 				in := map[string]*regions.Region{}
 				for j := range all {
--- /dev/null
+++ b/internal/regions/mixture/strictest.go
@@ -0,0 +1,122 @@
+package mixture
+
+import (
+	"lockflow/control"
+	"lockflow/internal/regions"
+)
+
+// Phases returns the configurations that a region's members run one after another between old and new. It
+// is empty where members of old and new may run at the same time in any numbers, and otherwise has one that
+// exceeds neither. Of any two successive configurations one then exceeds the other in nothing: hard limits,
+// slow start, retry terms or members, so that a partly changed region admits no more than one of its ends
+// would. docs/design/mixture.md has the rule of each setting.
+func Phases(old, new regions.Region) []regions.Region {
+	if isNowhereAbove(old, new) || isNowhereAbove(new, old) {
+		return nil
+	}
+	return []regions.Region{Strictest(old, new)}
+}
+
+// Strictest returns old with settings that exceed neither those of old nor those of new: the smaller hard
+// limits, the larger group (each member's fraction is smaller by it), the longer warmup times, the stricter
+// retry terms and the fewer members. Members so join only once all know the larger group, and leave before
+// any knows the smaller. Routes and services are those of old.
+func Strictest(old, new regions.Region) regions.Region {
+	strictest := old
+	strictest.Instances = max(old.Instances, new.Instances)
+	if old.Members > 0 && new.Members > 0 {
+		strictest.Members = min(old.Members, new.Members)
+	}
+	strictest.Services = nil
+	for _, service := range old.Services {
+		if other, ok := findByName(new.Services, service.Name, serviceName); ok {
+			service = strictestService(service, other)
+		}
+		strictest.Services = append(strictest.Services, service)
+	}
+	return strictest
+}
+
+func serviceName(service regions.Service) string { return service.Name }
+func className(class control.Class) string       { return class.Name }
+func planName(plan control.Plan) string          { return plan.Name }
+
+func findByName[T any](all []T, name string, nameOf func(T) string) (found T, ok bool) {
+	for _, item := range all {
+		if nameOf(item) == name {
+			return item, true
+		}
+	}
+	return found, false
+}
+
+func strictestService(a, b regions.Service) regions.Service {
+	classes, plans := a.Classes, a.Plans
+	a.Classes = nil
+	for _, class := range classes {
+		if other, ok := findByName(b.Classes, class.Name, className); ok {
+			class = strictestClass(class, other)
+		}
+		a.Classes = append(a.Classes, class)
+	}
+	a.Plans = nil
+	for _, plan := range plans {
+		if other, ok := findByName(b.Plans, plan.Name, planName); ok {
+			plan = strictestPlan(plan, other)
+		}
+		a.Plans = append(a.Plans, plan)
+	}
+	a.SlowStart = regions.SlowStart{
+		WarmupTime:       max(a.SlowStart.WarmupTime, b.SlowStart.WarmupTime),
+		InitialCapacity:  min(a.SlowStart.InitialCapacity, b.SlowStart.InitialCapacity),
+		OverloadMultiple: min(a.SlowStart.OverloadMultiple, b.SlowStart.OverloadMultiple),
+	}
+	return a
+}
+
+// strictestPlan returns a with the smaller of each number of the hard limits; no hard limit is the largest.
+func strictestPlan(a, b control.Plan) control.Plan {
+	switch {
+	case b.HardLimitRate == 0:
+	case a.HardLimitRate == 0:
+		a.HardLimitRate = b.HardLimitRate
+		a.HardLimitBurst = b.HardLimitBurst
+		a.HardLimitSlack = b.HardLimitSlack
+	default:
+		a.HardLimitRate = min(a.HardLimitRate, b.HardLimitRate)
+		a.HardLimitBurst = min(a.HardLimitBurst, b.HardLimitBurst)
+		a.HardLimitSlack = min(a.HardLimitSlack, b.HardLimitSlack)
+	}
+	if a.HardLimitRate > 0 {
+		a.QuotaRate = min(a.QuotaRate, a.HardLimitRate) // a configuration with a larger quota is rejected
+	}
+	return a
+}
+
+// strictestClass returns a with the stricter of each retry term.
+func strictestClass(a, b control.Class) control.Class {
+	strictest := a
+	strictest.Idempotency = max(a.Idempotency, b.Idempotency)
+	strictest.Deadline = min(a.Deadline, b.Deadline)
+	strictest.LatencyObjective = min(a.LatencyObjective, strictest.Deadline)
+	strictest.KeyScope = control.ScopeAll
+	strictest.RepeatWindow = 0
+	if strictest.Idempotency != control.IdempotentWithKey {
+		return strictest
+	}
+	// An idempotent class without a key may be repeated anywhere at any time, so it limits neither.
+	isFirst := true
+	for _, class := range []control.Class{a, b} {
+		switch {
+		case class.Idempotency != control.IdempotentWithKey:
+		case isFirst:
+			strictest.KeyScope = class.KeyScope
+			strictest.RepeatWindow = class.RepeatWindow
+			isFirst = false
+		default:
+			strictest.KeyScope = max(strictest.KeyScope, class.KeyScope)
+			strictest.RepeatWindow = min(strictest.RepeatWindow, class.RepeatWindow)
+		}
+	}
+	return strictest
+}
