--- a/internal/regions/mixture/compare.go
+++ b/internal/regions/mixture/compare.go
@@ -5,8 +5,8 @@
 	"lockflow/internal/regions"
 )
 
-// isNowhereAbove tells whether a exceeds b in no setting.
-func isNowhereAbove(a, b regions.Region) bool {
+// isRegionNotAbove tells whether a exceeds b in no setting.
+func isRegionNotAbove(a, b regions.Region) bool {
 	if a.Members > 0 && b.Members > 0 && a.Members > b.Members {
 		return false
 	}
--- a/internal/regions/mixture/hard_limits.go
+++ b/internal/regions/mixture/hard_limits.go
@@ -70,23 +70,23 @@
 	return sum
 }
 
-// isWithinEnd tells whether a mixture admits no more, of what a conflict is about, than one end of the
+// fitsAnEnd tells whether a mixture admits no more, of what a conflict is about, than one end of the
 // change does. regions.Check holds regions to the smallest limit that any of them states. While a new limit
 // is rolled out, a mixture is held to that of the end which admits more.
-func (p *planner) isWithinEnd(conflict regions.Conflict, mixture []regions.Region) bool {
+func (p *planner) fitsAnEnd(conflict regions.Conflict, mixture []regions.Region) bool {
 	for _, end := range []map[string]*regions.Region{p.changeStart, p.changeEnd} {
-		if conflict.Kind == regions.HardLimitKind && areHardLimitsWithin(conflict.Rules, mixture, end) {
+		if conflict.Kind == regions.HardLimitKind && hardLimitsFit(conflict.Rules, mixture, end) {
 			return true
 		}
-		if conflict.Kind == regions.SlowStartKind && areSlowStartsWithin(mixture, end) {
+		if conflict.Kind == regions.SlowStartKind && slowStartsFit(mixture, end) {
 			return true
 		}
 	}
 	return false
 }
 
-// areHardLimitsWithin tells whether a mixture admits no more of some plans than an end does.
-func areHardLimitsWithin(plans []string, mixture []regions.Region, end map[string]*regions.Region) bool {
+// hardLimitsFit tells whether a mixture admits no more of some plans than an end does.
+func hardLimitsFit(plans []string, mixture []regions.Region, end map[string]*regions.Region) bool {
 	all := make([]*regions.Region, len(mixture))
 	for i := range mixture {
 		all[i] = &mixture[i]
@@ -100,9 +100,9 @@
 	return true
 }
 
-// areSlowStartsWithin tells whether each region of a mixture sends no more to warming servers than at an
+// slowStartsFit tells whether each region of a mixture sends no more to warming servers than at an
 // end. It compares region by region, as the sum depends on which regions send to a server.
-func areSlowStartsWithin(mixture []regions.Region, end map[string]*regions.Region) bool {
+func slowStartsFit(mixture []regions.Region, end map[string]*regions.Region) bool {
 	members := make(map[string]int)
 	for _, region := range mixture {
 		atEnd := end[withoutGeneration(region.Name)]
--- a/internal/regions/mixture/verdict.go
+++ b/internal/regions/mixture/verdict.go
@@ -55,7 +55,7 @@
 // addConflict adds a conflict of a mixture to a verdict, unless an end of the change has it or exceeds the
 // same limit as much.
 func (p *planner) addConflict(v verdict, conflict regions.Conflict, mixture []regions.Region, configurations map[string]*regions.Region, changed []string) verdict {
-	if !p.isNew(conflict) || p.isWithinEnd(conflict, mixture) {
+	if !p.isNew(conflict) || p.fitsAnEnd(conflict, mixture) {
 		return v
 	}
 	severity := severityInMixture(conflict, configurations)
