--- a/internal/node/services.go
+++ b/internal/node/services.go
@@ -195,7 +195,7 @@
 	var clients []*leasestore.Client
 	for _, address := range cfg.Addresses {
 		client := leasestore.New(leasestore.Options{
-			Address: address, Username: cfg.Username, Password: password, Name: cfg.Name, Within: cfg.Within, Rules: cfg.Rules,
+			Address: address, Username: cfg.Username, Password: password, KeyPrefix: cfg.Name, Timeout: cfg.Within, Rules: cfg.Rules,
 		})
 		clients = append(clients, client)
 		hardLimits.Stores = append(hardLimits.Stores, client)
@@ -209,7 +209,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return record.New(module, cfg.Settings, record.Options{Service: cfg.Name, Dir: cfg.Record.Dir, Bytes: cfg.Record.Bytes})
+	return record.New(module, cfg.Settings, record.Options{Service: cfg.Name, Dir: cfg.Record.Dir, MaxBytes: cfg.Record.Bytes})
 }
 
 // newGenericHTTP makes the protocol of a service of generic HTTP; nil where clients speak the platform's.
