--- a/control/accounts.go
+++ b/control/accounts.go
@@ -39,7 +39,7 @@
 func (t *accountTable) find(
 	now time.Duration, rng *rand.Rand, plan *planQueue, customer string, fanOut int,
 ) *customerAccount {
-	key := plan.Name + " " + customer
+	key := accountKey(plan.Name, customer)
 	account := t.accounts[key]
 	if account == nil {
 		account = t.open(now, rng, plan, fanOut)
--- a/control/state.go
+++ b/control/state.go
@@ -47,8 +47,11 @@
 	nextTick     time.Duration // not in use; images have a key for it
 }
 
+// secondSeedMask makes the second seed of the random numbers differ from the first: 2^64 over the golden ratio.
+const secondSeedMask = 0x9e3779b97f4a7c15
+
 func newController(settings Settings, seed uint64) *Controller {
-	pcg := rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)
+	pcg := rand.NewPCG(seed, seed^secondSeedMask)
 	c := &Controller{
 		settings:        settings,
 		pcg:             pcg,
@@ -78,7 +81,8 @@
 func (c *Controller) Handle(now time.Duration, event Event) []Action {
 	c.actions = c.actions[:0]
 	if now > c.now {
-		c.now, c.clockAdvance = now, now-c.now
+		c.clockAdvance = now - c.now
+		c.now = now
 	}
 	if !c.isStarted {
 		c.startClock()
@@ -107,7 +111,8 @@
 
 // startClock starts the timer and the first window, at the first event.
 func (c *Controller) startClock() {
-	c.isStarted, c.fillingSince = true, c.now
+	c.isStarted = true
+	c.fillingSince = c.now
 	c.windowEndsAt = c.now + windowDuration
 	c.emit(StartTimer{After: tickPeriod, Label: tickTimerLabel})
 }
--- a/internal/canary/rare_events.go
+++ b/internal/canary/rare_events.go
@@ -5,54 +5,73 @@
 	"time"
 )
 
-// events are rare ones (crashes, breaches) by side, over the whole rollout.
-type events struct {
-	n    [2]int // old side, new side
-	time [2]time.Duration
-}
+// Indexes of arrays that have an entry for each side. Controls count as old.
+const (
+	sideIndexOld = iota
+	sideIndexNew
+	sideCount
+)
 
-func side(new bool) int {
-	if new {
-		return 1
+func sideIndex(isNew bool) int {
+	if isNew {
+		return sideIndexNew
 	}
-	return 0
+	return sideIndexOld
+}
+
+// rareEvents counts rare events (crashes, invariant violations) of each side over the rollout.
+type rareEvents struct {
+	counts   [sideCount]int
+	exposure [sideCount]time.Duration // time of members in which events would have been counted
 }
 
-func (e *events) count(new bool)                      { e.n[side(new)]++ }
-func (e *events) expose(new bool, took time.Duration) { e.time[side(new)] += took }
+func (e *rareEvents) add(isNew bool) { e.counts[sideIndex(isNew)]++ }
 
-// Rates that are taken for the new side's in turn, in times of what they are held against: 3 to 3,000.
-const rates = 7
+func (e *rareEvents) addExposure(isNew bool, duration time.Duration) {
+	e.exposure[sideIndex(isNew)] += duration
+}
+
+// The likelihood ratios are mixtures over rateCount rates of the new side, which are multiples of the reference rate.
+const rateCount = 7
 
-func rateOf(i int) float64 { return 3 * math.Pow(10, float64(i)/2) }
+// maxLogLikelihood keeps exponentials finite.
+const maxLogLikelihood = 600
 
-// relative is the evidence that the new side has them more often than the old: how many times likelier what
-// happened is than at equal rates, given the time that each side ran. At equal rates its mean is 1.
-func (e *events) relative() float64 {
-	n, o := max(e.time[1].Seconds(), 1), e.time[0].Seconds()
-	if e.n[1] == 0 || o <= 0 {
+// rateMultiple returns the multiples 3 to 3,000 in geometric steps.
+func rateMultiple(i int) float64 { return 3 * math.Pow(10, float64(i)/2) }
+
+// relativeEvidence returns the evidence that the new side has more events than the old one: the likelihood ratio of
+// the counts against equal rates, given each side's exposure. At equal rates its mean is 1.
+func (e *rareEvents) relativeEvidence() float64 {
+	newTime := max(e.exposure[sideIndexNew].Seconds(), 1)
+	oldTime := e.exposure[sideIndexOld].Seconds()
+	newCount := e.counts[sideIndexNew]
+	allCount := e.counts[sideIndexOld] + newCount
+	if newCount == 0 || oldTime <= 0 {
 		return 0
 	}
 	total := 0.0
-	for i := range rates {
-		t := rateOf(i)
-		l := float64(e.n[1])*math.Log(t) + float64(e.n[0]+e.n[1])*(math.Log(n+o)-math.Log(t*n+o))
-		total += math.Exp(min(l, 600)) / rates
+	for i := range rateCount {
+		multiple := rateMultiple(i)
+		logLikelihood := float64(newCount)*math.Log(multiple) + float64(allCount)*(math.Log(newTime+oldTime)-math.Log(multiple*newTime+oldTime))
+		total += math.Exp(min(logLikelihood, maxLogLikelihood)) / rateCount
 	}
 	return total
 }
 
-// absolute is the evidence that the new side has more than one in every: a Poisson process's likelihood
-// ratio, whose mean stays 1 at most however often one looks, if it has no more. The old side is watched
-// for too short to say what is usual, and what it lived before says nothing: a crash would have ended it.
-func (e *events) absolute(every time.Duration) float64 {
-	if e.n[1] == 0 {
+// absoluteEvidence returns the evidence that the new side has more than one event in usualInterval: the likelihood
+// ratio of a Poisson process. Without harm its mean is at most 1 at any number of looks (Ville's inequality). The usual
+// rate is given, since the old side is watched for too short a time to estimate it.
+func (e *rareEvents) absoluteEvidence(usualInterval time.Duration) float64 {
+	newCount := e.counts[sideIndexNew]
+	if newCount == 0 {
 		return 0
 	}
-	usual, total := e.time[1].Seconds()/every.Seconds(), 0.0
-	for i := range rates {
-		t := rateOf(i)
-		total += math.Exp(min(float64(e.n[1])*math.Log(t)-(t-1)*usual, 600)) / rates
+	expected := e.exposure[sideIndexNew].Seconds() / usualInterval.Seconds()
+	total := 0.0
+	for i := range rateCount {
+		multiple := rateMultiple(i)
+		total += math.Exp(min(float64(newCount)*math.Log(multiple)-(multiple-1)*expected, maxLogLikelihood)) / rateCount
 	}
 	return total
 }
--- a/internal/command/allowance_test.go
+++ b/internal/command/allowance_test.go
@@ -26,13 +26,13 @@
 		"--plan enterprise":                           {Fine, "1 instances, traffic through 1"},
 		"--plan p":                                    {Failed, "has no ceiling"},
 		"--plan q":                                    {Failed, "no plan"},
-		"--plan enterprise --term 5s":                 {Failed, "a term of 5s, pledges of 2s"},
+		"--plan enterprise --term 5s":                 {Failed, "term 5s, pledge 2s"},
 		"--plan enterprise --units 0":                 {Usage, "--units above 0"},
 		"":                                            {Usage, "takes explain with --config"},
 		"--plan enterprise --instances -1":            {Failed, "over -1 instances"},
 		"--plan enterprise --config /none/of/these":   {Failed, "none/of/these"},
 		"--plan enterprise --instances 40 --drift 0.005 --json": {Fine, `"case":"the counter answers"`},
-		"--plan enterprise --instances 40 --drift 0.5 --json":   {Failed, "wrong by 0.5"},
+		"--plan enterprise --instances 40 --drift 0.5 --json":   {Failed, "drift 0.5"},
 	} {
 		code, out, errs := run(t, nil, append([]string{"allowance", "explain", "--config", file}, strings.Fields(args)...)...)
 		if code != want.code || !strings.Contains(out+errs, want.tells) {
@@ -41,14 +41,14 @@
 	}
 	_, out, _ := run(t, nil, "allowance", "explain", "--config", file, "--plan", "enterprise", "--instances", "40", "--json")
 	var got struct {
-		Bound    quotalease.Ceiling
-		Promises []quotalease.Promise
+		Bound    quotalease.HardLimit
+		Promises []quotalease.Guarantee
 	}
 	if err := json.Unmarshal([]byte(out), &got); err != nil || got.Bound.Burst <= 60 || len(got.Promises) < 6 {
 		t.Errorf("%v: %s", err, out)
 	}
 	for _, p := range got.Promises {
-		if p.Over < 0 || p.Use < 0 || p.Use > 1 || p.Why == "" {
+		if p.Excess < 0 || p.Utilization < 0 || p.Utilization > 1 || p.Reason == "" {
 			t.Errorf("%+v", p)
 		}
 	}
--- a/internal/config/counter_test.go
+++ b/internal/config/counter_test.go
@@ -34,14 +34,14 @@
 		t.Fatal(err)
 	}
 	got := c.Services[0].Counter
-	want := quotalease.Rules{Instances: 3, Term: time.Second, Pledge: 2 * time.Second, Settle: 10 * time.Second, Drift: 0.001}
-	if got.Rules != want || got.Name != "app" || len(got.Ceilings) != 1 || got.Ceilings["enterprise"] != (quotalease.Ceiling{Rate: 30, Burst: 60}) {
+	want := quotalease.Rules{Instances: 3, Term: time.Second, ReservationTime: 2 * time.Second, ResizeTime: 10 * time.Second, MaxDrift: 0.001}
+	if got.Rules != want || got.Name != "app" || len(got.Ceilings) != 1 || got.Ceilings["enterprise"] != (quotalease.HardLimit{Rate: 30, Burst: 60}) {
 		t.Errorf("%+v", got)
 	}
 	for more, wrong := range map[string]string{
 		`, term = "4s", pledge = "4s"`:              "plan enterprise: a minute may hold 180.2 + 60*30.03 units, which is 6.6% more than 60 + 60*30, and not 5.0%",
 		`, term = "4s", pledge = "4s", over = 0.07`: "",
-		`, term = "3s"`:                             "a term of 3s, pledges of 2s",
+		`, term = "3s"`:                             "term 3s, pledge 2s",
 		`, addresses = []`:                          "addresses",
 		`, name = "a b"`:                            `"a b" can't be a part of keys`,
 		`, within = "1s"`:                           "within",
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -31,7 +31,7 @@
 		Statistics:         d.instanceStats(),
 	}
 	s.Instance, s.Instances = d.node.Instance()
-	d.inLoop(func() {
+	d.callInLoop(func() {
 		s.State = d.machine.State().String()
 		if d.successor != nil {
 			s.SuccessorPID = d.successor.PID()
@@ -48,7 +48,7 @@
 }
 
 // instanceStats returns the process's counts of itself.
-func (d *daemon) instanceStats() instancestats.Figures {
+func (d *daemon) instanceStats() instancestats.Statistics {
 	stats := d.node.Statistics()
 	stats.Began, stats.MemoryKB = d.startedAt, residentMemoryKB()
 	var usage unix.Rusage
--- a/internal/quotalease/holder_status.go
+++ b/internal/quotalease/holder_status.go
@@ -2,35 +2,38 @@
 
 import "time"
 
-// Status is what a holder has.
+// Status is the state of a holder.
 type Status struct {
-	Identity  string  `json:"identity"`  // of the counter that it holds to; "" is none yet
-	Since     float64 `json:"since_s"`   // s that it has held to that one
-	Lends     bool    `json:"lends"`     // and whether it can borrow there now
-	Own       bool    `json:"own"`       // its part is its own to spend
-	Pledged   float64 `json:"pledged"`   // part of each ceiling that is pledged to that counter
-	Customers int     `json:"customers"` // that it knows of
-	Borrowed  float64 `json:"borrowed"`  // units that it holds
-	Waiting   int     `json:"waiting"`   // requests that wait for units
-	Calls     uint64  `json:"calls"`     // made
+	StoreID          string  `json:"identity"`  // of the current store; empty if not known yet
+	SecondsAtStore   float64 `json:"since_s"`   // since the store became the current one
+	CanBorrow        bool    `json:"lends"`     // the store lends and replies
+	UsesOwnQuota     bool    `json:"own"`       // the own quota is not reserved for the store
+	ReservedFraction float64 `json:"pledged"`   // of each hard limit, reserved for the store
+	Customers        int     `json:"customers"` // with an account
+	LeasedUnits      float64 `json:"borrowed"`  // of all customers
+	QueuedRequests   int     `json:"waiting"`   // that wait for units
+	Calls            uint64  `json:"calls"`     // made since the holder was created
 }
 
-// Status tells what it has.
+// Status returns the holder's state.
 func (h *Holder) Status(now time.Duration) Status {
-	s := Status{Identity: h.counter, Lends: h.borrows(), Own: now >= h.ownFrom, Customers: len(h.accounts), Calls: h.seq}
-	if !s.Own && h.counter != "" && now >= h.pledgeFrom {
-		s.Pledged = 1 / float64(h.size(now))
+	s := Status{
+		StoreID:      h.storeID,
+		CanBorrow:    h.canBorrow(),
+		UsesOwnQuota: now >= h.ownQuotaFrom,
+		Customers:    len(h.accounts),
+		Calls:        h.lastSeq,
 	}
-	if h.counter != "" {
-		s.Since = (now - h.held).Seconds()
+	if !s.UsesOwnQuota && h.storeID != "" && now >= h.reservableFrom {
+		s.ReservedFraction = 1 / float64(h.effectiveInstances(now))
 	}
-	for _, a := range h.busy {
+	if h.storeID != "" {
+		s.SecondsAtStore = (now - h.storeSince).Seconds()
+	}
+	for _, a := range h.active {
 		h.refill(now, a)
-		s.Borrowed += a.lent()
-		s.Waiting += len(a.waiting)
+		s.LeasedUnits += a.leasedUnits()
+		s.QueuedRequests += len(a.queue)
 	}
 	return s
 }
-
-// borrows tells whether there is a counter to ask.
-func (h *Holder) borrows() bool { return h.counter != "" && h.lends && h.failures < 2 }
