--- a/control/account_storage.go
+++ b/control/account_storage.go
@@ -11,10 +11,10 @@
 // apart from each other. Each form is written by one method of the account, and has one method for each part of an
 // account that it is read into.
 
-// accountKey is the key of a customer's account in Controller.accounts.
+// accountKey is the key of a customer's account in an accountTable.
 func accountKey(plan, customer string) string { return plan + " " + customer }
 
-// checkpoint is the stored form of an account for another controller. key is the account's in Controller.accounts.
+// checkpoint is the stored form of an account for another controller. key is the account's in an accountTable.
 func (a *customerAccount) checkpoint(key string) CustomerCheckpoint {
 	plan := a.plan
 	return CustomerCheckpoint{
@@ -96,7 +96,7 @@
 // restoreAccount opens an account from its stored form. period is that of the meter under which it was stored: bins
 // are of use with the same period only.
 func (c *Controller) restoreAccount(saved *CustomerCheckpoint, period time.Duration, trust Trust) {
-	plan := c.plansByName[saved.Plan]
+	plan := c.scheduler.plansByName[saved.Plan]
 	if plan == nil || !(saved.FanOut >= 1) {
 		return
 	}
@@ -119,11 +119,11 @@
 // whatever the bucket holds now.
 func (c *Controller) restoreSpending(account *customerAccount, saved *CustomerCheckpoint) {
 	plan := account.plan
-	spent := c.rateFraction*saved.QuotaBurst - saved.QuotaTokens
-	account.quota.tokens = math.Max(-plan.QuotaBurst, c.rateFraction*plan.QuotaBurst-spent)
+	spent := c.accounts.rateFraction*saved.QuotaBurst - saved.QuotaTokens
+	account.quota.tokens = math.Max(-plan.QuotaBurst, c.accounts.rateFraction*plan.QuotaBurst-spent)
 	if saved.HardLimitBurst > 0 && plan.HardLimitRate > 0 {
-		spent = c.rateFraction*saved.HardLimitBurst/saved.FanOut - saved.HardLimitTokens
-		account.hardLimit.tokens = c.rateFraction*plan.HardLimitBurst/account.fanOut - spent
+		spent = c.accounts.rateFraction*saved.HardLimitBurst/saved.FanOut - saved.HardLimitTokens
+		account.hardLimit.tokens = c.accounts.rateFraction*plan.HardLimitBurst/account.fanOut - spent
 	}
 	account.inFlight.predecessor = saved.InFlight
 }
@@ -249,16 +249,16 @@
 	var accounts []*customerAccount
 	for i := range image.Customers {
 		saved := &image.Customers[i]
-		if !isIndex(saved.Plan, len(c.plans)) {
+		if !isIndex(saved.Plan, len(c.scheduler.plans)) {
 			return nil, fmt.Errorf("customer %q: there is no plan %d", saved.Key, saved.Plan)
 		}
-		account, err := saved.account(c.plans[saved.Plan])
+		account, err := saved.account(c.scheduler.plans[saved.Plan])
 		if err != nil {
 			return nil, fmt.Errorf("customer %q: %w", saved.Key, err)
 		}
 		accounts = append(accounts, account)
 		if saved.IsTracked {
-			c.accounts[saved.Key] = account
+			c.accounts.byKey[saved.Key] = account
 		}
 	}
 	return accounts, nil
--- a/control/accounts.go
+++ b/control/accounts.go
@@ -15,7 +15,7 @@
 
 // accountTable holds the accounts of the customers that have come lately.
 type accountTable struct {
-	accounts    map[string]*customerAccount // by plan and customer
+	byKey       map[string]*customerAccount // see accountKey
 	binDuration time.Duration               // of the accounts' histories
 
 	fillingSince  time.Duration // time since which the buckets of accounts not opened yet fill
@@ -25,7 +25,7 @@
 
 func newAccountTable(settings *Settings) accountTable {
 	return accountTable{
-		accounts:      make(map[string]*customerAccount),
+		byKey:         make(map[string]*customerAccount),
 		binDuration:   binDurationOf(settings.MeterPeriod),
 		slackFraction: initialSlackFraction,
 		rateFraction:  1,
@@ -40,10 +40,10 @@
 	now time.Duration, rng *rand.Rand, plan *planQueue, customer string, fanOut int,
 ) *customerAccount {
 	key := accountKey(plan.Name, customer)
-	account := t.accounts[key]
+	account := t.byKey[key]
 	if account == nil {
 		account = t.open(now, rng, plan, fanOut)
-		t.accounts[key] = account
+		t.byKey[key] = account
 	}
 	account.fanOut = math.Max(account.fanOut, float64(fanOut))
 	t.refillAccount(now, account)
@@ -74,19 +74,19 @@
 // evictIdle removes accounts that have been idle for long and equal new ones, and if there are many, all
 // idle ones sooner. Hard limits stay safe: buckets of later accounts fill from that time on.
 func (t *accountTable) evictIdle(now time.Duration) {
-	for key, account := range t.accounts {
+	for key, account := range t.byKey {
 		if account.isIdleFor(maxAccountIdleTime, now) && account.hasFullBuckets(now) {
-			delete(t.accounts, key)
+			delete(t.byKey, key)
 		}
 	}
 	maxIdle := maxAccountIdleTime
-	for len(t.accounts) > maxAccounts/2 && maxIdle > windowDuration {
+	for len(t.byKey) > maxAccounts/2 && maxIdle > windowDuration {
 		maxIdle /= 2
 		t.fillingSince = max(t.fillingSince, now-maxIdle)
 		t.slackFraction = 0 // each has had its slack
-		for key, account := range t.accounts {
+		for key, account := range t.byKey {
 			if account.isIdleFor(maxIdle, now) {
-				delete(t.accounts, key)
+				delete(t.byKey, key)
 			}
 		}
 	}
--- a/control/admission.go
+++ b/control/admission.go
@@ -16,12 +16,11 @@
 
 // admission decides on requests at their arrival, by the accounts of their customers.
 type admission struct {
-	accountTable
 	maxPriorityWeight float64 // of all classes
 }
 
 func newAdmission(settings *Settings) admission {
-	a := admission{accountTable: newAccountTable(settings)}
+	var a admission
 	for i := range settings.Classes {
 		a.maxPriorityWeight = math.Max(a.maxPriorityWeight, settings.Classes[i].PriorityWeight)
 	}
@@ -42,18 +41,19 @@
 	seconds     float64 // that it waits and occupies its slot
 }
 
-// admit decides on a request at its arrival; CauseNone admits it. The account is refilled.
-func (a *admission) admit(now time.Duration, account *customerAccount, req admissionRequest) Cause {
+// admit decides on a request at its arrival; CauseNone admits it. The account has to be refilled. Since is
+// the time from which readings of the meter can be expected.
+func (a *admission) admit(now, since time.Duration, account *customerAccount, req admissionRequest) Cause {
 	account.history.arrivals.add(1)
 	account.demand.addRequest(now, req.units)
 	var cause Cause
 	switch {
-	case req.isLate && !account.demand.isWellMetered(now, a.fillingSince):
+	case req.isLate && !account.demand.isWellMetered(now, since):
 		cause = CauseTooLate
 	case a.isSheddable(&req) && isScarce(account, &req):
 		cause = CauseShed
 	default:
-		cause = account.admitByQuota(now, a.fillingSince, req.units)
+		cause = account.admitByQuota(now, since, req.units)
 	}
 	if cause != CauseNone {
 		account.history.rejections.add(1)
--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -65,7 +65,7 @@
 	settings.UnitsInResponse = true
 	gateway := newTestGateway(t, settings, activeEndpoints(1)...)
 	gateway.request("a", "job", "low", "x")
-	account := gateway.controller.accountFor(gateway.controller.plans[0], "x", 2)
+	account := gateway.controller.accountFor(gateway.controller.scheduler.plans[0], "x", 2)
 	before := account.quota.tokens
 	gateway.handle(AttemptResult{ID: "a", Server: 1, Reason: OK, IsFinal: true, ActualUnits: 4})
 	if got := before - account.quota.tokens; math.Abs(got-3) > 1e-9 {
@@ -96,7 +96,7 @@
 		gateway.respond(id, OK, 0)
 	}
 	kept := make(map[string]int)
-	for _, account := range gateway.controller.accounts {
+	for _, account := range gateway.controller.accounts.byKey {
 		kept[account.plan.Name]++
 	}
 	if kept["low"] > 2 || kept["slow"] != 100 || kept["capped"] != 100 {
@@ -110,8 +110,8 @@
 	for i, units := range []float64{0.1, 0.2, 0.3} {
 		gateway.handle(Request{ID: fmt.Sprint(i), Class: "job", Plan: "low", Customer: "x", Timeout: 5 * time.Second, Units: units, FanOut: 2})
 	}
-	if gateway.advance(2 * maxAccountIdleTime); len(gateway.controller.accounts) > 0 || len(gateway.finalAnswers) != 3 {
-		t.Errorf("%d customers remembered, %d requests answered", len(gateway.controller.accounts), len(gateway.finalAnswers))
+	if gateway.advance(2 * maxAccountIdleTime); len(gateway.controller.accounts.byKey) > 0 || len(gateway.finalAnswers) != 3 {
+		t.Errorf("%d customers remembered, %d requests answered", len(gateway.controller.accounts.byKey), len(gateway.finalAnswers))
 	}
 }
 
@@ -121,7 +121,7 @@
 	settings.Classes = append(settings.Classes, Class{Name: "cheap", LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 0.2})
 	settings.Plans[0].QuotaRate, settings.Plans[0].QuotaBurst = 1, 10
 	gateway := newTestGateway(t, settings, activeEndpoints(1, 2)...)
-	gateway.controller.accountFor(gateway.controller.plans[0], "x", 2).quota.tokens = 4
+	gateway.controller.accountFor(gateway.controller.scheduler.plans[0], "x", 2).quota.tokens = 4
 	gateway.request("cheap", "cheap", "low", "x")
 	gateway.request("dear", "job", "low", "x")
 	if gateway.finalAnswers["cheap"] == nil || gateway.finalAnswers["dear"] != nil {
@@ -142,7 +142,7 @@
 		gateway.serve(tc.life, tc.gap, 151, func(i int) { // half as much again as its rate, for a while
 			gateway.handle(Request{ID: fmt.Sprint(i), Class: "job", Plan: "low", Customer: "c", Timeout: 3 * time.Second, Units: 1, FanOut: 4})
 		})
-		if got := gateway.controller.accounts["low c"].demand.isWellMetered(gateway.controller.now, gateway.controller.fillingSince); got != tc.want {
+		if got := gateway.controller.accounts.byKey["low c"].demand.isWellMetered(gateway.controller.now, gateway.controller.accounts.fillingSince); got != tc.want {
 			t.Errorf("a reading each %v for %v: covered %v", tc.gap, tc.life, got)
 		}
 	}
@@ -154,23 +154,23 @@
 	gateway := newTestGateway(t, settings, activeEndpoints(1, 2)...)
 	class := &gateway.controller.settings.Classes[0]
 	for i := 0; i < 3; i++ {
-		if w := gateway.controller.clientWait(Request{Timeout: 3 * time.Second}, class, gateway.controller.clockAdvance); w != 0 {
+		if w := gateway.controller.clientWaits.estimate(Request{Timeout: 3 * time.Second}, class, gateway.controller.clockAdvance); w != 0 {
 			t.Fatalf("a first try has waited %v", w)
 		}
 	}
 	gateway.controller.clockAdvance = 1500 * ms
-	if w := gateway.controller.clientWait(Request{Timeout: 2 * time.Second}, class, gateway.controller.clockAdvance); w != time.Second {
+	if w := gateway.controller.clientWaits.estimate(Request{Timeout: 2 * time.Second}, class, gateway.controller.clockAdvance); w != time.Second {
 		t.Errorf("a first try that lay for 1 s through a stall has waited %v", w)
 	}
 	gateway.controller.clockAdvance = 4 * ms
-	if w := gateway.controller.clientWait(Request{Timeout: 2 * time.Second}, class, gateway.controller.clockAdvance); w != 4*time.Second {
+	if w := gateway.controller.clientWaits.estimate(Request{Timeout: 2 * time.Second}, class, gateway.controller.clockAdvance); w != 4*time.Second {
 		t.Errorf("a later try with 2 s of 6 s left has waited %v", w)
 	}
-	if w := gateway.controller.clientWait(Request{Timeout: 5 * time.Second}, class, gateway.controller.clockAdvance); w != time.Second {
+	if w := gateway.controller.clientWaits.estimate(Request{Timeout: 5 * time.Second}, class, gateway.controller.clockAdvance); w != time.Second {
 		t.Errorf("a last try, with all the rest of the time, has waited %v", w)
 	}
-	gateway.controller.retriesAreMarked = true
-	if w := gateway.controller.clientWait(Request{Timeout: 5 * time.Second}, class, gateway.controller.clockAdvance); w != 0 {
+	gateway.controller.clientWaits.retriesAreMarked = true
+	if w := gateway.controller.clientWaits.estimate(Request{Timeout: 5 * time.Second}, class, gateway.controller.clockAdvance); w != 0 {
 		t.Errorf("a try without the mark of a later one has waited %v", w)
 	}
 }
@@ -227,7 +227,7 @@
 		gateway.advance(2 * time.Second)
 		cold := Endpoint{Server: 3, Zone: "z1", HasStartedAt: true, StartedAt: gateway.now - time.Second}
 		gateway.handle(EndpointList{Kind: ListPatch, Endpoints: []Endpoint{cold, {Server: 1, State: Gone}, {Server: 2, State: Gone}}})
-		srv := gateway.controller.servers[3]
+		srv := gateway.controller.fleet.servers[3]
 		srv.slowStart.tokens = 0
 		plan = "open"
 		ask("odd again", units)
--- a/control/arrivals.go
+++ b/control/arrivals.go
@@ -16,15 +16,15 @@
 		return
 	}
 	class := c.classes[event.Class]
-	plan := c.plansByName[event.Plan]
+	plan := c.scheduler.plansByName[event.Plan]
 	if cause := unusableCause(event, class, plan); cause != CauseNone {
 		c.reject(event.ID, cause)
 		return
 	}
 	c.fleet.requestUnits.add(c.countedUnits(event.Units), fleetEstimateGain)
 	account := c.accountFor(plan, event.Customer, event.FanOut)
-	waited := c.clientWait(event, class, c.clockAdvance)
-	cause := c.admit(c.now, account, admissionRequest{
+	waited := c.clientWaits.estimate(event, class, c.clockAdvance)
+	cause := c.admission.admit(c.now, c.accounts.fillingSince, account, admissionRequest{
 		class:  class,
 		units:  event.Units,
 		isLate: c.isExpectedLate(class, waited),
@@ -46,7 +46,7 @@
 		isStreaming: event.HasPendingBody,
 	}
 	c.requests[req.id] = req
-	c.retryBudget.earn()
+	c.retries.budget.earn()
 	plan.pushBack(req)
 	c.armTimer(req, c.maxQueueTime(req))
 }
@@ -97,7 +97,7 @@
 // nextTurnEstimate is what a request that joins the queues now has to expect. Guards against rejecting what
 // fast servers finish at once, only as the limit is reached.
 func (c *Controller) nextTurnEstimate() turnEstimate {
-	queued := c.countQueued()
+	queued := c.scheduler.countQueued()
 	return turnEstimate{
 		hasFreeSlot: c.limiter.hasFreeSlot(c.now, c.slots.occupied(c.now)),
 		seconds:     c.fleet.latency.mean * (1 + float64(queued+1)/math.Max(1, c.limiter.limit)),
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -10,7 +10,7 @@
 // dispatch starts attempts of queued requests while the concurrency limit allows.
 func (c *Controller) dispatch() {
 	for c.limiter.hasFreeSlot(c.now, c.slots.occupied(c.now)) {
-		req, srv := c.nextTurn(c.now, c)
+		req, srv := c.scheduler.nextTurn(c.now, c)
 		if req == nil {
 			return
 		}
@@ -21,7 +21,7 @@
 
 // chooseServer makes the controller the scheduler's serverChooser.
 func (c *Controller) chooseServer(req *request) *server {
-	return c.selector.choose(c.now, c.rng, c.rateFraction, req)
+	return c.selector.choose(c.now, c.rng, c.accounts.rateFraction, req)
 }
 
 // startAttempt sends a request to a server. The first attempt is charged to its account.
@@ -74,11 +74,11 @@
 		c.reserveFractionalSlot(attempt)
 	}
 	if event.QuotaUsage > 0 && c.settings.MeterPeriod > 0 {
-		c.recordReading(c.now, &c.accountTable, attempt.account, event.QuotaUsage, req.units)
+		c.usage.recordReading(c.now, &c.accounts, attempt.account, event.QuotaUsage, req.units)
 	}
 	c.recordOutcome(attempt, event)
 	if event.Load != nil && !event.Load.isPartial() {
-		c.recordLoadReport(c.now, attempt.server, event.Load)
+		c.fleet.recordLoadReport(c.now, attempt.server, event.Load)
 		c.window.recordUtilization(attempt.server.load.utilization)
 	}
 	switch {
@@ -158,7 +158,7 @@
 	attempt.server.latency.add(c.now, seconds)
 	objective := attempt.request.class.LatencyObjective.Seconds()
 	c.window.recordAnswer()
-	if attempt.account.rejectionProbability(c.now, c.fillingSince) == 0 {
+	if attempt.account.rejectionProbability(c.now, c.accounts.fillingSince) == 0 {
 		attempt.request.plan.recordLateness((c.now - attempt.request.arrivedAt).Seconds() / objective)
 	}
 	// Guards against a limit that is cut because servers are warming up: they are slow with little load.
@@ -171,7 +171,7 @@
 
 // retryOrEnd retries a request if that is allowed, else ends it.
 func (c *Controller) retryOrEnd(req *request, attempt *pendingAttempt, reason Reason) {
-	if !c.allowRetry(c.now, req, reason, c.now-attempt.sentAt, c.fleet.latency.mean) {
+	if !c.retries.allowRetry(c.now, req, reason, c.now-attempt.sentAt, c.fleet.latency.mean) {
 		c.endUnserved(req, CauseNoRetry)
 		return
 	}
--- a/control/attempts_test.go
+++ b/control/attempts_test.go
@@ -158,10 +158,10 @@
 						endpoints[0].HasStartedAt, endpoints[0].StartedAt = true, gateway.now-time.Second
 					}
 					gateway.handle(EndpointList{Kind: ListComplete, Endpoints: endpoints})
-					controller, srv := gateway.controller, gateway.controller.servers[1]
+					controller, srv := gateway.controller, gateway.controller.fleet.servers[1]
 					srv.slowStart.tokens = 0.125
 					controller.limiter.limit, controller.fleet.latency.count = 0.5, 1 // a place that rests after each use
-					account := controller.accountFor(controller.plans[0], "c", 2)
+					account := controller.accountFor(controller.scheduler.plans[0], "c", 2)
 					account.inFlight.limit = 0.5 // likewise
 					srv.outlier.consecutiveFailures = ejectionFailures
 					type books struct {
--- a/control/checkpoint.go
+++ b/control/checkpoint.go
@@ -151,20 +151,20 @@
 	queued := 0.0
 	for i := range checkpoint.Customers {
 		saved := &checkpoint.Customers[i]
-		account := c.accounts[accountKey(saved.Plan, saved.ID)]
+		account := c.accounts.byKey[accountKey(saved.Plan, saved.ID)]
 		queued += account.queuedUnits
 		saved.QuotaTokens = account.quota.give(account.queuedUnits, fraction)
 		saved.HardLimitTokens = account.hardLimit.give(account.queuedUnits, fraction)
 	}
 	for i := range checkpoint.Servers {
 		saved := &checkpoint.Servers[i]
-		srv := c.servers[saved.Server]
+		srv := c.fleet.servers[saved.Server]
 		if srv.slowStart.isActive {
 			saved.SlowStartTokens, srv.slowStart.tokens = splitTokens(saved.SlowStartTokens, queued, fraction)
 		}
 	}
-	checkpoint.RateFraction = c.rateFraction * fraction
-	c.rateFraction *= 1 - fraction
+	checkpoint.RateFraction = c.accounts.rateFraction * fraction
+	c.accounts.rateFraction *= 1 - fraction
 	return checkpoint
 }
 
@@ -186,11 +186,11 @@
 	checkpoint := Checkpoint{
 		Version:          CheckpointVersion,
 		At:               c.now,
-		FillingSince:     c.fillingSince,
-		SlackFraction:    c.slackFraction,
-		RateFraction:     c.rateFraction,
+		FillingSince:     c.accounts.fillingSince,
+		SlackFraction:    c.accounts.slackFraction,
+		RateFraction:     c.accounts.rateFraction,
 		ConcurrencyLimit: c.limiter.limit,
-		UsableServers:    c.countServers((*server).isUsable),
+		UsableServers:    c.fleet.countServers((*server).isUsable),
 		Window:           c.window.state(),
 		FleetLatency:     c.fleet.latency.mean,
 		LatencySamples:   c.fleet.latency.count,
@@ -198,17 +198,17 @@
 		WarmThroughput:   c.fleet.warmThroughput.mean,
 		WarmServers:      c.fleet.warmServers.mean,
 		PeakThroughput:   c.fleet.peakThroughput,
-		RetryBudget:      c.retryBudget.retries,
-		MinRetryGap:      c.minRetryGap,
+		RetryBudget:      c.retries.budget.retries,
+		MinRetryGap:      c.clientWaits.minRetryGap,
 		TypicalDeadlines: c.typicalDeadlineStates(),
 	}
 	checkpoint.Window.EndsAt = c.windowEndsAt
 	checkpoint.Window.CutAt = c.limiter.cutAt
 	if c.settings.MeterPeriod > 0 {
-		checkpoint.Meter = c.meter.state()
+		checkpoint.Meter = c.usage.meter.state()
 		checkpoint.Meter.Period = c.settings.MeterPeriod
 	}
-	for _, plan := range c.plans {
+	for _, plan := range c.scheduler.plans {
 		checkpoint.Plans = append(checkpoint.Plans, PlanCheckpoint{
 			Plan:          plan.Name,
 			Share:         plan.share,
@@ -217,10 +217,10 @@
 			LatenessCount: plan.latenessCount,
 		})
 	}
-	for _, srv := range c.sortedServers {
+	for _, srv := range c.fleet.sortedServers {
 		checkpoint.Servers = append(checkpoint.Servers, c.checkpointServer(srv))
 	}
-	for key, account := range c.accounts {
+	for key, account := range c.accounts.byKey {
 		c.refill(account)
 		checkpoint.Customers = append(checkpoint.Customers, account.checkpoint(key))
 	}
@@ -290,7 +290,7 @@
 	states := make([]TypicalDeadlineState, 0, len(c.settings.Classes))
 	for i := range c.settings.Classes {
 		class := &c.settings.Classes[i]
-		typical := c.typicalDeadlines[class]
+		typical := c.clientWaits.typicalDeadlines[class]
 		states = append(states, TypicalDeadlineState{class.Name, typical.deadline, typical.support})
 	}
 	return states
--- a/control/client_wait.go
+++ b/control/client_wait.go
@@ -22,10 +22,10 @@
 	return estimator
 }
 
-// clientWait is how long the client has waited. A client's retry is marked, or has an outlier deadline.
+// estimate is how long the client has waited. A client's retry is marked, or has an outlier deadline.
 // Guards against first attempts that seem late to a gateway that was stalled: they lack no more than its
 // clock has advanced since the event before.
-func (e *clientWaitEstimator) clientWait(
+func (e *clientWaitEstimator) estimate(
 	event Request, class *Class, clockAdvance time.Duration,
 ) time.Duration {
 	typical := e.typicalDeadlines[class]
--- a/control/concurrency_limit_test.go
+++ b/control/concurrency_limit_test.go
@@ -108,7 +108,7 @@
 	if gateway.controller.fleet.latency.mean >= settings.Classes[0].LatencyObjective.Seconds() {
 		t.Errorf("the fleet is taken to need %g s", gateway.controller.fleet.latency.mean)
 	}
-	for _, srv := range gateway.controller.sortedServers {
+	for _, srv := range gateway.controller.fleet.sortedServers {
 		if srv.latency.seconds > 1 {
 			t.Errorf("server %d is taken to need %g s", srv.Server, srv.latency.seconds)
 		}
--- a/control/controller.go
+++ b/control/controller.go
@@ -41,13 +41,13 @@
 		c.nextWatchAt = c.now + rewatchInterval/2 + time.Duration(c.rng.Int64N(int64(rewatchInterval)))
 		return
 	}
-	c.merge(c.now, c.rng, event, &c.slowStartSettings)
-	c.limiter.open(c.settings.GroupSize, c.countServers((*server).isUsable), c.minConcurrencyLimit())
+	c.fleet.merge(c.now, c.rng, event, &c.slowStartSettings)
+	c.limiter.open(c.settings.GroupSize, c.fleet.countServers((*server).isUsable), c.minConcurrencyLimit())
 }
 
 // minConcurrencyLimit is the lowest concurrency limit with the servers that are usable and not ejected.
 func (c *Controller) minConcurrencyLimit() float64 {
-	responsive := c.countServers(func(srv *server) bool {
+	responsive := c.fleet.countServers(func(srv *server) bool {
 		return srv.isUsable() && !srv.outlier.hasTripped()
 	})
 	return minConcurrencyLimit(c.settings.GroupSize, responsive)
@@ -94,18 +94,18 @@
 // endWindow sets the concurrency limit and the shares of the next control window.
 func (c *Controller) endWindow(windowSeconds float64) {
 	c.limiter.update(c.now, &c.window, c.fleet.latency, c.minConcurrencyLimit())
-	c.updateShares(&c.window)
-	c.recordThroughput(c.now, c.window.servedUnits, windowSeconds)
+	c.scheduler.updateShares(&c.window)
+	c.fleet.recordThroughput(c.now, c.window.servedUnits, windowSeconds)
 	c.window = controlWindow{}
-	c.evictIdle(c.now)
+	c.accounts.evictIdle(c.now)
 }
 
 // accountFor returns the refilled account of a plan's customer, opened at its first request.
 func (c *Controller) accountFor(plan *planQueue, customer string, fanOut int) *customerAccount {
-	return c.find(c.now, c.rng, plan, customer, fanOut)
+	return c.accounts.find(c.now, c.rng, plan, customer, fanOut)
 }
 
 // refill brings an account up to now.
-func (c *Controller) refill(account *customerAccount) { c.refillAccount(c.now, account) }
+func (c *Controller) refill(account *customerAccount) { c.accounts.refillAccount(c.now, account) }
 
-func (c *Controller) currentBin() int64 { return c.binAt(c.now) }
+func (c *Controller) currentBin() int64 { return c.accounts.binAt(c.now) }
--- a/control/endpoint_choice.go
+++ b/control/endpoint_choice.go
@@ -96,10 +96,10 @@
 func (s *endpointSelector) expectedWait(
 	now time.Duration, srv *server, unknownPenalty, noise float64,
 ) float64 {
-	fleetLatency := s.fleet.fleet.minLatency()
+	fleetLatency := s.fleet.minLatency()
 	latency := fleetLatency
 	slowdown := unknownPenalty
-	busy := s.fleet.fleet.utilization.mean
+	busy := s.fleet.utilization.mean
 	if srv.latency.samples > 0 {
 		freshSamples := srv.latency.samples * decayFactor(now-srv.latency.updatedAt, latencyDecaySeconds)
 		latency += (srv.latency.seconds - fleetLatency) * freshSamples / (freshSamples + latencyPriorSamples)
@@ -141,10 +141,10 @@
 // server just started that all gateways find the fastest.
 func (f *serverFleet) recordLoadReport(now time.Duration, srv *server, report *LoadReport) {
 	reportedLatency := report.MeanLatencyMS / 1000
-	f.fleet.utilization.add(math.Min(1, report.Utilization), fleetEstimateGain)
-	f.fleet.reportedLatency.add(reportedLatency, fleetEstimateGain)
-	own := f.fleet.minLatency() / 2
-	srv.load.slowdown = (reportedLatency + own) / (f.fleet.reportedLatency.mean + own)
+	f.utilization.add(math.Min(1, report.Utilization), fleetEstimateGain)
+	f.reportedLatency.add(reportedLatency, fleetEstimateGain)
+	own := f.minLatency() / 2
+	srv.load.slowdown = (reportedLatency + own) / (f.reportedLatency.mean + own)
 	if srv.load.slowdown < minSlowdown {
 		srv.load.slowdown = 1
 	}
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -10,7 +10,7 @@
 type serverFleet struct {
 	servers       map[uint32]*server
 	sortedServers []*server // by number
-	fleet         fleetEstimate
+	fleetEstimate
 }
 
 // merge takes a change of the endpoint list, or the complete list, and drops servers that are gone.
@@ -55,7 +55,7 @@
 		srv.forgetIncarnation()
 	}
 	if settings.isWarmingUp(now, endpoint.StartedAt) {
-		srv.slowStart.begin(now, endpoint.StartedAt, rng.Float64()*f.fleet.requestUnits.mean)
+		srv.slowStart.begin(now, endpoint.StartedAt, rng.Float64()*f.requestUnits.mean)
 	}
 }
 
--- a/control/extreme_settings_test.go
+++ b/control/extreme_settings_test.go
@@ -173,22 +173,22 @@
 			t.Fatalf("seed %d: %d requests, %d labels, %d attempts, %d in flight, %d streams are left", seed, len(controller.requests), len(controller.requestsByTimer),
 				len(controller.attempts), controller.slots.inFlight, controller.slots.streaming)
 		}
-		for _, plan := range controller.plans {
+		for _, plan := range controller.scheduler.plans {
 			if len(plan.queue) > 0 {
 				t.Fatalf("seed %d: %d wait in the queue of %s", seed, len(plan.queue), plan.Name)
 			}
 		}
-		for key, account := range controller.accounts {
+		for key, account := range controller.accounts.byKey {
 			if !account.isIdle() || math.IsNaN(account.quota.tokens+account.hardLimit.tokens+account.inFlight.rejectionProbability+account.inFlight.limit) {
 				t.Fatalf("seed %d: customer %s has %d open, %g queued, %g and %g left", seed, key, account.inFlight.current, account.queuedUnits, account.quota.tokens, account.hardLimit.tokens)
 			}
 		}
-		for _, srv := range controller.sortedServers {
+		for _, srv := range controller.fleet.sortedServers {
 			if srv.inFlight != 0 || srv.abandoned < 0 {
 				t.Fatalf("seed %d: server %d has %d in flight, %d ghosts", seed, srv.Server, srv.inFlight, srv.abandoned)
 			}
 		}
-		if math.IsNaN(controller.limiter.limit+controller.fleet.latency.mean+controller.retryBudget.retries) || controller.limiter.limit < 0 {
+		if math.IsNaN(controller.limiter.limit+controller.fleet.latency.mean+controller.retries.budget.retries) || controller.limiter.limit < 0 {
 			t.Fatalf("seed %d: a limit of %g, latency %g", seed, controller.limiter.limit, controller.fleet.latency.mean)
 		}
 	}
--- a/control/gateway_test.go
+++ b/control/gateway_test.go
@@ -137,7 +137,7 @@
 
 // recordReading takes a reading of the meter, which came with the answer to a request of some units.
 func (g *testGateway) recordReading(account *customerAccount, reading int, units float64) {
-	g.controller.recordReading(g.controller.now, &g.controller.accountTable, account, reading, units)
+	g.controller.usage.recordReading(g.controller.now, &g.controller.accounts, account, reading, units)
 }
 
 func activeEndpoints(ids ...uint32) []Endpoint {
--- a/control/hand_over_test.go
+++ b/control/hand_over_test.go
@@ -150,14 +150,14 @@
 			settings := hardLimitSettings()
 			settings.Plans[0].QuotaRate, settings.Plans[0].QuotaBurst = 10, 100
 			predecessor := newTestGateway(t, settings, activeEndpoints(1, 2)...)
-			account := predecessor.controller.accountFor(predecessor.controller.plansByName["low"], "x", 1)
+			account := predecessor.controller.accountFor(predecessor.controller.scheduler.plansByName["low"], "x", 1)
 			account.quota.tokens, account.hardLimit.tokens = 60, 20
 			settings.Plans = append([]Plan{}, settings.Plans...)
 			settings.Plans[0].HardLimitBurst, settings.Plans[0].QuotaBurst = tc.burst, tc.depth
 			successor := newTestGateway(t, settings, activeEndpoints(1, 2)...)
 			successor.now = predecessor.now
 			successor.controller.Restore(successor.now, predecessor.controller.HandOver(predecessor.now, 1), TrustAll)
-			got := successor.controller.accounts["low x"]
+			got := successor.controller.accounts.byKey["low x"]
 			if got.hardLimit.tokens != tc.wantCeiling || got.quota.tokens != tc.wantLeft {
 				t.Errorf("hard limit %g, level %g", got.hardLimit.tokens, got.quota.tokens)
 			}
@@ -172,22 +172,22 @@
 func TestEstimatesSurviveAHandOver(t *testing.T) {
 	settings := testSettings()
 	predecessor := newTestGateway(t, settings, activeEndpoints(1, 2, 3)...)
-	predecessor.controller.limiter.limit, predecessor.controller.fleet.latency.mean, predecessor.controller.meter.lagBins, predecessor.controller.meter.phaseBin = 37, 0.25, 12, 3
-	predecessor.controller.plans[0].share, predecessor.controller.plans[1].share = 0.25, 0.75
-	bad := predecessor.controller.servers[2]
+	predecessor.controller.limiter.limit, predecessor.controller.fleet.latency.mean, predecessor.controller.usage.meter.lagBins, predecessor.controller.usage.meter.phaseBin = 37, 0.25, 12, 3
+	predecessor.controller.scheduler.plans[0].share, predecessor.controller.scheduler.plans[1].share = 0.25, 0.75
+	bad := predecessor.controller.fleet.servers[2]
 	bad.latency.seconds, bad.latency.updatedAt, bad.outlier.consecutiveFailures, bad.outlier.ejectedUntil = 3, predecessor.now, ejectionFailures, predecessor.now+time.Second
 	checkpoint := predecessor.controller.HandOver(predecessor.now, 1)
 	checkpoint.Servers = append(checkpoint.Servers, ServerCheckpoint{Server: 99}) // is not listed any more
 	successor := newTestGateway(t, settings, append(activeEndpoints(1, 2), Endpoint{Server: 3, HasStartedAt: true, StartedAt: predecessor.now})...)
 	successor.now = predecessor.now
 	successor.controller.Restore(successor.now, checkpoint, TrustAll)
-	if successor.controller.fleet.latency.mean != 0.25 || successor.controller.meter.lagBins != 12 || successor.controller.meter.phaseBin != 3 || successor.controller.plans[1].share != 0.75 {
-		t.Errorf("latency %g, lag %d, shares %g", successor.controller.fleet.latency.mean, successor.controller.meter.lagBins, successor.controller.plans[1].share)
+	if successor.controller.fleet.latency.mean != 0.25 || successor.controller.usage.meter.lagBins != 12 || successor.controller.usage.meter.phaseBin != 3 || successor.controller.scheduler.plans[1].share != 0.75 {
+		t.Errorf("latency %g, lag %d, shares %g", successor.controller.fleet.latency.mean, successor.controller.usage.meter.lagBins, successor.controller.scheduler.plans[1].share)
 	}
 	if successor.controller.limiter.limit < 37*0.7 || successor.controller.limiter.limit > 37 {
 		t.Errorf("a limit of %g", successor.controller.limiter.limit)
 	}
-	if !successor.controller.servers[2].outlier.isEjected(successor.controller.now) || successor.controller.servers[3].latency.seconds != 0 {
+	if !successor.controller.fleet.servers[2].outlier.isEjected(successor.controller.now) || successor.controller.fleet.servers[3].latency.seconds != 0 {
 		t.Error("the servers are not as they were")
 	}
 	old := checkpoint
--- a/control/hard_limit_test.go
+++ b/control/hard_limit_test.go
@@ -55,7 +55,7 @@
 				gateway.request(fmt.Sprint("on", gateway.now), "job", plan.Name, "comes on")
 				gateway.respond(fmt.Sprint("on", gateway.now), OK, 0)
 			}
-			if gateway.controller.accounts[plan.Name+" x"] != nil {
+			if gateway.controller.accounts.byKey[plan.Name+" x"] != nil {
 				t.Fatal("not forgotten")
 			}
 			before, begun := len(gateway.sends), gateway.now
@@ -88,7 +88,7 @@
 			gateway := newTestGateway(t, settings, activeEndpoints(list...)...)
 			many := func() {
 				for i := range maxAccounts/2 + 1 {
-					gateway.controller.accountFor(gateway.controller.plansByName[plan.Name], fmt.Sprint("busy", i), 2).inFlight.current = 1
+					gateway.controller.accountFor(gateway.controller.scheduler.plansByName[plan.Name], fmt.Sprint("busy", i), 2).inFlight.current = 1
 				}
 			}
 			many()
@@ -103,10 +103,10 @@
 					}
 				}
 				gateway.now += windowDuration
-				if gateway.controller.Handle(gateway.now, TimerFired{}); gateway.controller.accounts[plan.Name+" x"] != nil {
-					gateway.controller.evictIdle(gateway.controller.now)
+				if gateway.controller.Handle(gateway.now, TimerFired{}); gateway.controller.accounts.byKey[plan.Name+" x"] != nil {
+					gateway.controller.accounts.evictIdle(gateway.controller.now)
 				}
-				if gateway.controller.accounts[plan.Name+" x"] == nil {
+				if gateway.controller.accounts.byKey[plan.Name+" x"] == nil {
 					forgotten++
 				}
 				if handsOver && round%10 == 0 {
@@ -137,7 +137,7 @@
 	}
 	crashed := after(newTestGateway(t, settings, activeEndpoints(1, 2)...).controller.Checkpoint(time.Hour), TrustEstimates)
 	next := after(crashed.HandOver(time.Hour, 1), TrustAll)
-	if left := next.accountFor(next.plansByName["low"], "x", 1).hardLimit.tokens; left > 0 {
+	if left := next.accountFor(next.scheduler.plansByName["low"], "x", 1).hardLimit.tokens; left > 0 {
 		t.Errorf("%g units for a customer of whom nothing is known since a crash", left)
 	}
 }
--- a/control/image_take.go
+++ b/control/image_take.go
@@ -15,14 +15,14 @@
 		Random:               random,
 		Now:                  c.now,
 		ClockAdvance:         c.clockAdvance,
-		FillingSince:         c.fillingSince,
+		FillingSince:         c.accounts.fillingSince,
 		IsStarted:            c.isStarted,
 		IsWatching:           c.isWatching,
 		NextWatchAt:          c.nextWatchAt,
-		MinRetryGap:          c.minRetryGap,
+		MinRetryGap:          c.clientWaits.minRetryGap,
 		LastTimerLabel:       c.lastTimerLabel,
-		SlackFraction:        c.slackFraction,
-		RateFraction:         c.rateFraction,
+		SlackFraction:        c.accounts.slackFraction,
+		RateFraction:         c.accounts.rateFraction,
 		InFlight:             c.slots.inFlight,
 		StreamingAttempts:    c.slots.streaming,
 		ConcurrencyLimit:     c.limiter.limit,
@@ -40,12 +40,12 @@
 		ReportCount:          c.fleet.utilization.count,
 		MeanRequestUnits:     c.fleet.requestUnits.mean,
 		RequestCount:         c.fleet.requestUnits.count,
-		RetryBudget:          c.retryBudget.retries,
+		RetryBudget:          c.retries.budget.retries,
 		NextTick:             c.nextTick,
 		WindowEndsAt:         c.windowEndsAt,
 		Window:               c.window.state(),
-		Meter:                c.meter.state(),
-		ShareController:      c.shareController.State(),
+		Meter:                c.usage.meter.state(),
+		ShareController:      c.scheduler.shareController.State(),
 		TypicalDeadlines:     c.typicalDeadlineStates(),
 	}
 	references := c.indexTracked()
@@ -69,11 +69,11 @@
 // indexTracked gives what the controller tracks the first indexes, in a fixed order.
 func (c *Controller) indexTracked() *imageReferences {
 	references := &imageReferences{}
-	for _, srv := range c.sortedServers {
+	for _, srv := range c.fleet.sortedServers {
 		references.servers.index(srv)
 	}
-	for _, key := range slices.Sorted(maps.Keys(c.accounts)) {
-		references.customers.index(c.accounts[key])
+	for _, key := range slices.Sorted(maps.Keys(c.accounts.byKey)) {
+		references.customers.index(c.accounts.byKey[key])
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
 		references.requests.index(c.requests[id])
@@ -119,7 +119,7 @@
 }
 
 func (c *Controller) imagePlans(image *Image, references *imageReferences) {
-	for _, plan := range c.plans {
+	for _, plan := range c.scheduler.plans {
 		planImage := plan.image()
 		for _, req := range plan.queue {
 			planImage.Queue = append(planImage.Queue, references.requests.index(req))
@@ -131,14 +131,14 @@
 func (c *Controller) imageServers(image *Image, references *imageReferences) {
 	for _, srv := range references.servers.items {
 		serverImage := srv.image()
-		serverImage.IsTracked = c.servers[srv.Server] == srv
+		serverImage.IsTracked = c.fleet.servers[srv.Server] == srv
 		image.Servers = append(image.Servers, serverImage)
 	}
 }
 
 func (c *Controller) imageCustomers(image *Image, references *imageReferences) {
-	keys := make(map[*customerAccount]string, len(c.accounts))
-	for key, account := range c.accounts {
+	keys := make(map[*customerAccount]string, len(c.accounts.byKey))
+	for key, account := range c.accounts.byKey {
 		keys[account] = key
 	}
 	for _, account := range references.customers.items {
--- a/control/outlier_test.go
+++ b/control/outlier_test.go
@@ -112,7 +112,7 @@
 // probed again.
 func TestCancelledAttemptEndsTheProbe(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1)...)
-	srv := gateway.controller.servers[1]
+	srv := gateway.controller.fleet.servers[1]
 	srv.outlier.consecutiveFailures = ejectionFailures
 	gateway.request("a", "job", "high", "c")
 	if !srv.outlier.isProbing {
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -347,14 +347,14 @@
 	if early > 8 || late > 1.25*early+1 {
 		t.Errorf("%.1f MB after a fifth of %d customers, %.1f MB after all", early, calls, late)
 	}
-	if n := len(gateway.controller.accounts); n > maxAccounts {
+	if n := len(gateway.controller.accounts.byKey); n > maxAccounts {
 		t.Errorf("%d customers remembered", n)
 	}
 	if n := len(gateway.controller.requests) + len(gateway.controller.requestsByTimer) + len(gateway.controller.attempts); n > 100 {
 		t.Errorf("%d requests, labels and attempts held", n)
 	}
-	if n := len(gateway.controller.servers); n > 10 {
+	if n := len(gateway.controller.fleet.servers); n > 10 {
 		t.Errorf("%d servers held, two are listed", n)
 	}
-	t.Logf("%.1f MB, then %.1f; %d customers", early, late, len(gateway.controller.accounts))
+	t.Logf("%.1f MB, then %.1f; %d customers", early, late, len(gateway.controller.accounts.byKey))
 }
--- a/control/restore.go
+++ b/control/restore.go
@@ -34,22 +34,22 @@
 	if !c.isStarted {
 		c.startClock()
 	}
-	c.slackFraction = 0
+	c.accounts.slackFraction = 0
 	if trust == TrustAll {
-		c.rateFraction = math.Min(1, math.Max(0, checkpoint.RateFraction))
-		c.fillingSince = min(c.now, checkpoint.FillingSince)
-		c.slackFraction = math.Min(initialSlackFraction, math.Max(0, checkpoint.SlackFraction))
+		c.accounts.rateFraction = math.Min(1, math.Max(0, checkpoint.RateFraction))
+		c.accounts.fillingSince = min(c.now, checkpoint.FillingSince)
+		c.accounts.slackFraction = math.Min(initialSlackFraction, math.Max(0, checkpoint.SlackFraction))
 	}
 	c.restoreEstimates(&checkpoint)
 	if trust == TrustAll {
 		c.restoreWindow(&checkpoint.Window)
 	}
 	if checkpoint.Meter.isUsable(c.settings.MeterPeriod) {
-		c.meter.restore(&checkpoint.Meter)
+		c.usage.meter.restore(&checkpoint.Meter)
 	}
 	for _, saved := range checkpoint.TypicalDeadlines {
 		if class := c.classes[saved.Class]; class != nil {
-			*c.typicalDeadlines[class] = typicalDeadline{saved.Deadline, saved.Support}
+			*c.clientWaits.typicalDeadlines[class] = typicalDeadline{saved.Deadline, saved.Support}
 		}
 	}
 	c.restoreShares(checkpoint.Plans)
@@ -58,7 +58,7 @@
 	}
 	slices.SortFunc(c.slots.abandoned, func(a, b abandonedAttempt) int { return cmp.Compare(a.until, b.until) })
 	for i := range checkpoint.Customers {
-		if len(c.accounts) < maxAccounts {
+		if len(c.accounts.byKey) < maxAccounts {
 			c.restoreAccount(&checkpoint.Customers[i], checkpoint.Meter.Period, trust)
 		}
 	}
@@ -73,10 +73,10 @@
 	c.fleet.warmServers = runningMean{checkpoint.WarmServers, 1 / serverLatencyGain}
 	c.fleet.peakThroughput = checkpoint.PeakThroughput * decay
 	c.limiter.idleLatency = checkpoint.IdleLatency
-	c.minRetryGap = max(checkpoint.MinRetryGap, tickPeriod)
-	c.retryBudget.retries = math.Max(0, math.Min(maxRetryBudget, checkpoint.RetryBudget))
+	c.clientWaits.minRetryGap = max(checkpoint.MinRetryGap, tickPeriod)
+	c.retries.budget.retries = math.Max(0, math.Min(maxRetryBudget, checkpoint.RetryBudget))
 	// The limit is one for so many servers; there may be others now.
-	usable := c.countServers((*server).isUsable)
+	usable := c.fleet.countServers((*server).isUsable)
 	if checkpoint.ConcurrencyLimit > 0 && checkpoint.UsableServers > 0 && usable > 0 {
 		limit := checkpoint.ConcurrencyLimit * math.Min(1, usable/checkpoint.UsableServers)
 		c.limiter.limit = math.Max(c.minConcurrencyLimit(), c.limiter.limit+decay*(limit-c.limiter.limit))
@@ -104,12 +104,12 @@
 
 // restoreShares takes the shares over if the plans are the same.
 func (c *Controller) restoreShares(plans []PlanCheckpoint) {
-	if len(plans) != len(c.plans) {
+	if len(plans) != len(c.scheduler.plans) {
 		return
 	}
 	sum := 0.0
 	for _, saved := range plans {
-		if c.plansByName[saved.Plan] == nil || saved.Share < 0 {
+		if c.scheduler.plansByName[saved.Plan] == nil || saved.Share < 0 {
 			return
 		}
 		sum += saved.Share
@@ -118,7 +118,7 @@
 		return
 	}
 	for _, saved := range plans {
-		plan := c.plansByName[saved.Plan]
+		plan := c.scheduler.plansByName[saved.Plan]
 		plan.share = saved.Share
 		plan.meanLateness = saved.MeanLateness
 		plan.latenessSum = saved.LatenessSum
@@ -133,17 +133,17 @@
 	if given != nil && given.Version == CheckpointVersion && given.isFinite() {
 		c.reclaimTokens(given)
 	}
-	for _, account := range c.accounts {
+	for _, account := range c.accounts.byKey {
 		c.refill(account)
 	}
-	c.rateFraction = 1
+	c.accounts.rateFraction = 1
 	c.PredecessorEnded()
 }
 
 func (c *Controller) reclaimTokens(given *Checkpoint) {
 	for i := range given.Customers {
 		saved := &given.Customers[i]
-		plan := c.plansByName[saved.Plan]
+		plan := c.scheduler.plansByName[saved.Plan]
 		if plan == nil || !(saved.FanOut >= 1) {
 			continue
 		}
@@ -154,7 +154,7 @@
 	}
 	for i := range given.Servers {
 		saved := &given.Servers[i]
-		srv := c.servers[saved.Server]
+		srv := c.fleet.servers[saved.Server]
 		if srv != nil && srv.slowStart.isActive && isSameIncarnation(srv.bootTime(), saved.StartedAt) {
 			srv.slowStart.tokens += saved.SlowStartTokens
 		}
@@ -163,7 +163,7 @@
 
 // PredecessorEnded reports that the controller whose place this one took has no attempts in flight any more.
 func (c *Controller) PredecessorEnded() {
-	for _, account := range c.accounts {
+	for _, account := range c.accounts.byKey {
 		account.inFlight.predecessor = 0
 	}
 }
--- a/control/restore_test.go
+++ b/control/restore_test.go
@@ -11,7 +11,7 @@
 // After a crash it is not known what was spent last: buckets of hard limits begin empty.
 func TestRestoreAfterCrashStartsWithEmptyHardLimits(t *testing.T) {
 	crashed := newTestGateway(t, hardLimitSettings(), activeEndpoints(1, 2, 3, 4, 5, 6, 7, 8)...)
-	crashed.controller.accountFor(crashed.controller.plansByName["low"], "x", 1).hardLimit.tokens = 60
+	crashed.controller.accountFor(crashed.controller.scheduler.plansByName["low"], "x", 1).hardLimit.tokens = 60
 	checkpoint := crashed.controller.Checkpoint(crashed.now)
 	for _, customer := range []string{"x", "never seen"} {
 		restarted := newTestGateway(t, hardLimitSettings(), activeEndpoints(1, 2, 3, 4, 5, 6, 7, 8)...)
@@ -30,7 +30,7 @@
 func TestUnusableCheckpointChangesNothing(t *testing.T) {
 	settings := hardLimitSettings()
 	predecessor := newTestGateway(t, settings, activeEndpoints(1, 2)...)
-	predecessor.controller.accountFor(predecessor.controller.plansByName["low"], "x", 1)
+	predecessor.controller.accountFor(predecessor.controller.scheduler.plansByName["low"], "x", 1)
 	for name, spoil := range map[string]func(*Checkpoint){
 		"version":   func(checkpoint *Checkpoint) { checkpoint.Version++ },
 		"no number": func(checkpoint *Checkpoint) { checkpoint.Customers[0].QuotaTokens = math.NaN() },
@@ -40,7 +40,7 @@
 		spoil(&checkpoint)
 		successor, same := newTestGateway(t, settings, activeEndpoints(1, 2)...), newTestGateway(t, settings, activeEndpoints(1, 2)...)
 		successor.controller.Restore(successor.now, checkpoint, TrustAll)
-		if !reflect.DeepEqual(successor.controller.accounts, same.controller.accounts) || successor.controller.limiter.limit != same.controller.limiter.limit {
+		if !reflect.DeepEqual(successor.controller.accounts.byKey, same.controller.accounts.byKey) || successor.controller.limiter.limit != same.controller.limiter.limit {
 			t.Errorf("%s: it was taken over", name)
 		}
 	}
--- a/control/resume.go
+++ b/control/resume.go
@@ -33,8 +33,8 @@
 	}
 	c.resumeCounters(image)
 	c.resumeEstimates(image)
-	c.meter.restore(&image.Meter)
-	if err := c.shareController.Restore(image.ShareController); err != nil {
+	c.usage.meter.restore(&image.Meter)
+	if err := c.scheduler.shareController.Restore(image.ShareController); err != nil {
 		return err
 	}
 	if err := c.resumeTypicalDeadlines(image.TypicalDeadlines); err != nil {
@@ -60,8 +60,8 @@
 
 // checkSettings returns an error if the image was taken under other settings.
 func (c *Controller) checkSettings(image *Image) error {
-	if len(image.Plans) != len(c.plans) {
-		return fmt.Errorf("of %d plans, not %d", len(image.Plans), len(c.plans))
+	if len(image.Plans) != len(c.scheduler.plans) {
+		return fmt.Errorf("of %d plans, not %d", len(image.Plans), len(c.scheduler.plans))
 	}
 	if len(image.TypicalDeadlines) != len(c.settings.Classes) {
 		return fmt.Errorf("of %d classes, not %d", len(image.TypicalDeadlines), len(c.settings.Classes))
@@ -79,11 +79,11 @@
 	c.isStarted = image.IsStarted
 	c.isWatching = image.IsWatching
 	c.nextWatchAt = image.NextWatchAt
-	c.fillingSince = image.FillingSince
-	c.slackFraction = image.SlackFraction
-	c.rateFraction = image.RateFraction
-	c.minRetryGap = image.MinRetryGap
-	c.retryBudget.retries = image.RetryBudget
+	c.accounts.fillingSince = image.FillingSince
+	c.accounts.slackFraction = image.SlackFraction
+	c.accounts.rateFraction = image.RateFraction
+	c.clientWaits.minRetryGap = image.MinRetryGap
+	c.retries.budget.retries = image.RetryBudget
 	c.lastTimerLabel = image.LastTimerLabel
 	c.slots.inFlight = image.InFlight
 	c.slots.streaming = image.StreamingAttempts
@@ -100,7 +100,7 @@
 		fractionalSlotFreeAt: image.FractionalSlotFreeAt,
 		idleLatency:          image.IdleLatency,
 	}
-	c.fleet = fleetEstimate{
+	c.fleet.fleetEstimate = fleetEstimate{
 		latency:         runningMean{image.FleetLatency, image.LatencySamples},
 		utilization:     runningMean{image.FleetUtilization, image.ReportCount},
 		reportedLatency: runningMean{image.FleetReportedLatency, image.ReportCount},
@@ -117,7 +117,7 @@
 		if class == nil {
 			return fmt.Errorf("there is no class %q", saved.Class)
 		}
-		*c.typicalDeadlines[class] = typicalDeadline{saved.Deadline, saved.Support}
+		*c.clientWaits.typicalDeadlines[class] = typicalDeadline{saved.Deadline, saved.Support}
 	}
 	return nil
 }
@@ -154,7 +154,7 @@
 	switch {
 	case class == nil:
 		return nil, fmt.Errorf("there is no class %q", saved.Class)
-	case !isIndex(saved.Plan, len(c.plans)):
+	case !isIndex(saved.Plan, len(c.scheduler.plans)):
 		return nil, fmt.Errorf("there is no plan %d", saved.Plan)
 	case !isIndex(saved.Customer, len(customers)):
 		return nil, fmt.Errorf("there is no customer %d", saved.Customer)
@@ -164,7 +164,7 @@
 	req := &request{
 		id:           saved.ID,
 		class:        class,
-		plan:         c.plans[saved.Plan],
+		plan:         c.scheduler.plans[saved.Plan],
 		account:      customers[saved.Customer],
 		units:        saved.Units,
 		arrivedAt:    saved.ArrivedAt,
@@ -188,7 +188,7 @@
 func (c *Controller) resumePlans(image *Image, requests []*request) error {
 	for i := range image.Plans {
 		saved := &image.Plans[i]
-		plan := c.plans[i]
+		plan := c.scheduler.plans[i]
 		plan.share = saved.Share
 		plan.deficit = saved.Deficit
 		plan.latenessSum = saved.LatenessSum
--- a/control/retries.go
+++ b/control/retries.go
@@ -15,11 +15,11 @@
 // retryPolicy decides whether a request whose attempt failed is attempted again.
 type retryPolicy struct {
 	maxAttempts int // of one request; 0 is no limit
-	retryBudget retryBudget
+	budget      retryBudget
 }
 
 func newRetryPolicy(settings *Settings) retryPolicy {
-	return retryPolicy{maxAttempts: settings.MaxAttempts, retryBudget: retryBudget{retries: maxRetryBudget}}
+	return retryPolicy{maxAttempts: settings.MaxAttempts, budget: retryBudget{retries: maxRetryBudget}}
 }
 
 // allowRetry tells whether idempotency, the attempt limit, the deadline and the retry budget allow a retry,
@@ -30,7 +30,7 @@
 	if reason == NotSent || !req.isRepeatable(now) || !p.allowsAttempt(now, req) {
 		return false
 	}
-	return p.retryBudget.spend(retryCost(reason, elapsed, meanLatency))
+	return p.budget.spend(retryCost(reason, elapsed, meanLatency))
 }
 
 // allowsAttempt tells whether the deadline and the maximum number of attempts allow another one.
--- a/control/server_storage.go
+++ b/control/server_storage.go
@@ -51,7 +51,7 @@
 
 // restoreServer takes over the stored form of a server if it is of the same incarnation.
 func (c *Controller) restoreServer(saved *ServerCheckpoint, trust Trust) {
-	srv := c.servers[saved.Server]
+	srv := c.fleet.servers[saved.Server]
 	if srv == nil || !isSameIncarnation(srv.bootTime(), saved.StartedAt) {
 		return
 	}
@@ -79,7 +79,7 @@
 	outlier.ejectedUntil = min(saved.EjectedUntil, c.now+maxEjectionTime)
 	outlier.ejectionTime = min(saved.EjectionTime, maxEjectionTime)
 	for name, until := range saved.PlanRejectedUntil {
-		if plan := c.plansByName[name]; plan != nil {
+		if plan := c.scheduler.plansByName[name]; plan != nil {
 			outlier.planRejectedUntil[plan] = min(until, c.now+planRejectionTime)
 		}
 	}
@@ -136,14 +136,14 @@
 	var servers []*server
 	for i := range image.Servers {
 		saved := &image.Servers[i]
-		srv, err := saved.server(c.plans)
+		srv, err := saved.server(c.scheduler.plans)
 		if err != nil {
 			return nil, fmt.Errorf("server %d: %w", saved.Server, err)
 		}
 		servers = append(servers, srv)
 		if saved.IsTracked {
-			c.servers[srv.Server] = srv
-			c.sortedServers = append(c.sortedServers, srv)
+			c.fleet.servers[srv.Server] = srv
+			c.fleet.sortedServers = append(c.fleet.sortedServers, srv)
 		}
 	}
 	for _, saved := range image.Abandoned {
--- a/control/state.go
+++ b/control/state.go
@@ -25,16 +25,17 @@
 	lastTimerLabel  uint64
 	attempts        map[attemptKey]*pendingAttempt
 	slots           attemptSlots
-	retryPolicy
-	clientWaitEstimator
+	retries         retryPolicy
+	clientWaits     clientWaitEstimator
 
 	// Customers and their plans.
-	scheduler
-	admission
-	usageEstimator
+	scheduler scheduler
+	accounts  accountTable
+	admission admission
+	usage     usageEstimator
 
 	// Servers.
-	serverFleet
+	fleet             serverFleet
 	slowStartSettings slowStartSettings
 	selector          endpointSelector
 	isWatching        bool // the endpoint list
@@ -61,18 +62,19 @@
 		requests:        make(map[string]*request),
 		requestsByTimer: make(map[uint64]*request),
 		attempts:        make(map[attemptKey]*pendingAttempt),
-		serverFleet:     serverFleet{servers: make(map[uint32]*server)},
+		fleet:           serverFleet{servers: make(map[uint32]*server)},
 	}
 	c.slowStartSettings = newSlowStartSettings(&c.settings)
-	c.selector = endpointSelector{fleet: &c.serverFleet, slowStart: &c.slowStartSettings}
+	c.selector = endpointSelector{fleet: &c.fleet, slowStart: &c.slowStartSettings}
 	for i := range c.settings.Classes {
 		class := &c.settings.Classes[i]
 		c.classes[class.Name] = class
 	}
 	c.admission = newAdmission(&c.settings)
-	c.usageEstimator = newUsageEstimator(&c.settings)
-	c.retryPolicy = newRetryPolicy(&c.settings)
-	c.clientWaitEstimator = newClientWaitEstimator(&c.settings)
+	c.accounts = newAccountTable(&c.settings)
+	c.usage = newUsageEstimator(&c.settings)
+	c.retries = newRetryPolicy(&c.settings)
+	c.clientWaits = newClientWaitEstimator(&c.settings)
 	return c
 }
 
@@ -112,7 +114,7 @@
 // startClock starts the timer and the first window, at the first event.
 func (c *Controller) startClock() {
 	c.isStarted = true
-	c.fillingSince = c.now
+	c.accounts.fillingSince = c.now
 	c.windowEndsAt = c.now + windowDuration
 	c.emit(StartTimer{After: tickPeriod, Label: tickTimerLabel})
 }
--- a/control/throughput.go
+++ b/control/throughput.go
@@ -14,17 +14,17 @@
 // them has served lately. Guards against a restart of most servers at once: what all have served is divided
 // by how many those were, not by how many are left. A checkpoint of an earlier build does not tell that.
 func (f *serverFleet) warmServerThroughput(now time.Duration) float64 {
-	if f.fleet.warmServers.mean == 0 {
-		return f.fleet.warmThroughput.mean / math.Max(1, f.countWarm(now))
+	if f.warmServers.mean == 0 {
+		return f.warmThroughput.mean / math.Max(1, f.countWarm(now))
 	}
-	return f.fleet.peakThroughput
+	return f.peakThroughput
 }
 
 // recordThroughput takes the units that servers which are not warming up have served in a control window.
 func (f *serverFleet) recordThroughput(now time.Duration, servedUnits, windowSeconds float64) {
-	f.fleet.warmThroughput.add(servedUnits/windowSeconds, serverLatencyGain)
-	f.fleet.warmServers.add(f.countWarm(now), serverLatencyGain)
-	f.fleet.updatePeakThroughput(windowSeconds)
+	f.warmThroughput.add(servedUnits/windowSeconds, serverLatencyGain)
+	f.warmServers.add(f.countWarm(now), serverLatencyGain)
+	f.updatePeakThroughput(windowSeconds)
 }
 
 // countWarm counts the servers that serve and don't warm up. Guards against servers that stay listed after
--- a/control/usage_test.go
+++ b/control/usage_test.go
@@ -11,14 +11,14 @@
 	settings := testSettings()
 	settings.Plans[0].QuotaRate, settings.Plans[0].QuotaBurst = 1000, 20 // enough units for a reading to outweigh the prior
 	gateway := newTestGateway(t, settings, activeEndpoints(1, 2, 3)...)
-	account := gateway.controller.accountFor(gateway.controller.plans[0], "x", 1000) // own tries tell next to nothing
+	account := gateway.controller.accountFor(gateway.controller.scheduler.plans[0], "x", 1000) // own tries tell next to nothing
 	read := func(pct int) float64 {
 		gateway.controller.now = gateway.now
 		account.quota.tokens = 0 // the store is empty enough for the chance to decide
 		gateway.recordReading(account, pct+1, 1)
-		return account.rejectionProbability(gateway.controller.now, gateway.controller.fillingSince)
+		return account.rejectionProbability(gateway.controller.now, gateway.controller.accounts.fillingSince)
 	}
-	gateway.controller.meter.lagBins = 0
+	gateway.controller.usage.meter.lagBins = 0
 	asks := func(n, refused int) { // what was asked and refused in the second to come
 		gateway.controller.now = gateway.now
 		gateway.controller.refill(account)
@@ -54,7 +54,7 @@
 	settings := testSettings()
 	settings.Plans[0].QuotaRate, settings.Plans[0].QuotaBurst = 10, 1000
 	gateway := newTestGateway(t, settings, activeEndpoints(1, 2, 3)...)
-	account := gateway.controller.accountFor(gateway.controller.plans[0], "x", 1)
+	account := gateway.controller.accountFor(gateway.controller.scheduler.plans[0], "x", 1)
 	const late = 1300 * ms
 	var sent []time.Duration
 	for i := 0; i < 3000; i++ {
@@ -76,7 +76,7 @@
 			gateway.recordReading(account, 1+n*10, 1)
 		}
 	}
-	end := gateway.controller.meter.periodEndBin(gateway.controller.currentBin())
+	end := gateway.controller.usage.meter.periodEndBin(gateway.controller.currentBin())
 	if want := int64((gateway.now - late).Truncate(time.Second) / (100 * ms)); end < want-1 || end > want+1 {
 		t.Errorf("the told period is taken to end in bin %d, it ended in %d", end, want)
 	}
@@ -136,7 +136,7 @@
 	}
 	read := func(plan int, customer string, pct int) {
 		gateway.controller.now = gateway.now
-		gateway.recordReading(gateway.controller.accountFor(gateway.controller.plans[plan], customer, 2), pct+1, 1)
+		gateway.recordReading(gateway.controller.accountFor(gateway.controller.scheduler.plans[plan], customer, 2), pct+1, 1)
 	}
 	is := func(when, plan string, want float64) {
 		t.Helper()
@@ -174,7 +174,7 @@
 		gateway.request(fmt.Sprint(i), "job", "low", "x")
 	}
 	gateway.request("y", "job", "low", "y")
-	if gateway.controller.accountFor(gateway.controller.plans[0], "x", 2).inFlight.current != 2 || gateway.attempts["y"] != 1 {
+	if gateway.controller.accountFor(gateway.controller.scheduler.plans[0], "x", 2).inFlight.current != 2 || gateway.attempts["y"] != 1 {
 		t.Fatalf("sends %v: two of x are its part of four, y is not held up", gateway.sends)
 	}
 	gateway.respond("0", OK, 0)
