--- a/control/arrivals.go
+++ b/control/arrivals.go
@@ -12,7 +12,7 @@
 
 // handleRequest admits a request to the queue of its plan, or rejects it.
 func (c *Controller) handleRequest(event Request) {
-	if c.requests[event.ID] != nil {
+	if c.requests.byID[event.ID] != nil {
 		return
 	}
 	class := c.classes[event.Class]
@@ -45,7 +45,7 @@
 		deadline:    c.now + event.Timeout,
 		isStreaming: event.HasPendingBody,
 	}
-	c.requests[req.id] = req
+	c.requests.add(req)
 	c.retries.budget.earn()
 	plan.pushBack(req)
 	c.armTimer(req, c.maxQueueTime(req))
@@ -57,7 +57,7 @@
 	latency := durationOf(c.fleet.latency.mean)
 	// Guards against rejecting all for good after one slow answer: with nothing in flight, an attempt has to
 	// show whether servers still are slow.
-	needsSample := latency >= class.LatencyObjective && c.slots.inFlight == 0
+	needsSample := latency >= class.LatencyObjective && c.requests.slots.inFlight == 0
 	if needsSample && waited < class.LatencyObjective {
 		return false
 	}
@@ -99,7 +99,7 @@
 func (c *Controller) nextTurnEstimate() turnEstimate {
 	queued := c.scheduler.countQueued()
 	return turnEstimate{
-		hasFreeSlot: c.limiter.hasFreeSlot(c.now, c.slots.occupied(c.now)),
+		hasFreeSlot: c.limiter.hasFreeSlot(c.now, c.requests.slots.occupied(c.now)),
 		seconds:     c.fleet.latency.mean * (1 + float64(queued+1)/math.Max(1, c.limiter.limit)),
 	}
 }
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -9,7 +9,7 @@
 
 // dispatch starts attempts of queued requests while the concurrency limit allows.
 func (c *Controller) dispatch() {
-	for c.limiter.hasFreeSlot(c.now, c.slots.occupied(c.now)) {
+	for c.limiter.hasFreeSlot(c.now, c.requests.slots.occupied(c.now)) {
 		req, srv := c.scheduler.nextTurn(c.now, c)
 		if req == nil {
 			return
@@ -35,12 +35,8 @@
 	if req.repeatGroup == nil && req.hasIdempotencyKey() {
 		req.firstRunAt = c.now
 	}
-	if srv.inFlight == 0 {
-		srv.lastActivityAt = c.now
-	}
-	srv.slowStart.charge(c.countedUnits(req.units))
-	srv.outlier.recordAttempt()
-	c.recordAttemptStart(req, srv, charged)
+	srv.startAttempt(c.now, c.countedUnits(req.units))
+	c.requests.startAttempt(c.now, req, srv, charged)
 	send := Send{ID: req.id, Server: srv.Server}
 	// Guards against a connection that comes up when repeats run again.
 	if req.mayHaveRun && req.hasIdempotencyKey() {
@@ -52,18 +48,17 @@
 // handleStarted takes the start of a streamed answer. From then on its attempt occupies no slot, as its
 // length says nothing of the server.
 func (c *Controller) handleStarted(event ResponseStarted) {
-	attempt := c.attempts[attemptKey{id: event.ID, number: event.Attempt}]
+	attempt := c.requests.attempts[attemptKey{id: event.ID, number: event.Attempt}]
 	if attempt == nil || attempt.request.isStreaming {
 		return
 	}
-	attempt.request.isStreaming = true
-	c.slots.streaming++
+	c.requests.startStreaming(attempt.request)
 	c.recordAnswer(attempt, event.Delay)
 }
 
 // handleResponse takes the end of an attempt.
 func (c *Controller) handleResponse(event AttemptResult) {
-	attempt := c.recordAttemptEnd(attemptKey{id: event.ID, number: event.Attempt})
+	attempt := c.requests.endAttempt(attemptKey{id: event.ID, number: event.Attempt})
 	if attempt == nil {
 		return
 	}
@@ -82,9 +77,9 @@
 		c.window.recordUtilization(attempt.server.load.utilization)
 	}
 	switch {
-	case c.requests[req.id] != req: // it has its final answer
+	case !c.requests.contains(req): // it has its final answer
 	case event.IsFinal:
-		c.removeRequest(req)
+		c.requests.remove(req)
 	case !req.isQueued && req.inFlight == 0:
 		c.retryOrEnd(req, attempt, event.Reason)
 	}
@@ -94,7 +89,7 @@
 // concurrency limit or an in-flight quota has a fractional slot.
 func (c *Controller) reserveFractionalSlot(attempt *pendingAttempt) {
 	attempt.server.lastActivityAt = c.now
-	c.limiter.pauseAfter(c.now, c.slots.occupied(c.now), c.fleet.latency.mean)
+	c.limiter.pauseAfter(c.now, c.requests.slots.occupied(c.now), c.fleet.latency.mean)
 	if account := attempt.account; account.plan.MaxInFlight > 0 {
 		account.inFlight.pauseAfter(c.now, attempt.sentAt)
 	}
@@ -128,7 +123,7 @@
 	}
 	if event.Reason.mayStillRun() {
 		runsFor := durationOf(math.Min(elapsed, maxAbandonedLatencies*c.fleet.latency.mean))
-		c.slots.abandon(srv, c.now+runsFor)
+		c.requests.slots.abandon(srv, c.now+runsFor)
 	}
 	if event.Reason.mayHaveRun() && !req.mayHaveRun {
 		req.mayHaveRun = true
@@ -186,5 +181,5 @@
 	} else {
 		c.emit(Fail{ID: req.id, Cause: cause})
 	}
-	c.removeRequest(req)
+	c.requests.remove(req)
 }
--- a/control/attempts_test.go
+++ b/control/attempts_test.go
@@ -173,7 +173,7 @@
 					look := func() books {
 						bin := controller.currentBin() + 1
 						return books{
-							account.quota.tokens, account.hardLimit.tokens, srv.slowStart.tokens, account.history.sent.periodSum(bin), account.history.charged.periodSum(bin), account.queuedUnits, account.inFlight.current, srv.inFlight, controller.slots.inFlight,
+							account.quota.tokens, account.hardLimit.tokens, srv.slowStart.tokens, account.history.sent.periodSum(bin), account.history.charged.periodSum(bin), account.queuedUnits, account.inFlight.current, srv.inFlight, controller.requests.slots.inFlight,
 							controller.limiter.fractionalSlotFreeAt, account.inFlight.nextAttemptAt, srv.outlier.isProbing,
 						}
 					}
--- a/control/concurrency_limit_test.go
+++ b/control/concurrency_limit_test.go
@@ -102,8 +102,8 @@
 		why := []Reason{OK, TimedOut, ResetByPeer}[i%3]
 		gateway.handle(AttemptResult{ID: send.ID, Server: send.Server, Reason: why, IsFinal: why == OK, Delay: 10 * time.Second})
 	}
-	if gateway.controller.slots.streaming != 0 || gateway.controller.slots.inFlight != 1 {
-		t.Errorf("%d streams, %d in flight", gateway.controller.slots.streaming, gateway.controller.slots.inFlight)
+	if gateway.controller.requests.slots.streaming != 0 || gateway.controller.requests.slots.inFlight != 1 {
+		t.Errorf("%d streams, %d in flight", gateway.controller.requests.slots.streaming, gateway.controller.requests.slots.inFlight)
 	}
 	if gateway.controller.fleet.latency.mean >= settings.Classes[0].LatencyObjective.Seconds() {
 		t.Errorf("the fleet is taken to need %g s", gateway.controller.fleet.latency.mean)
--- a/control/controller.go
+++ b/control/controller.go
@@ -19,7 +19,6 @@
 	historyBins                = 80                     // length of an account's histories
 	serverLatencyGain          = 0.2                    // gain of a server's latency estimate
 	fleetEstimateGain          = 0.02                   // gain of estimates over all servers
-	rewatchInterval            = 2 * time.Second        // between two requests to watch the endpoint list
 )
 
 // New returns a gateway's controller, whose randomness comes from seed; an error names a bad setting.
@@ -32,13 +31,10 @@
 	return c, nil
 }
 
-// handleList takes a change of the endpoint list. After a failure the list is watched again at a random
-// time, as all gateways see the same failure.
+// handleList takes a change of the endpoint list.
 func (c *Controller) handleList(event EndpointList) {
-	isFromWatch := event.Kind == ListPatch || event.Kind == ListComplete
-	c.isWatching = c.settings.ListOnRequest && isFromWatch
+	c.watch.handleList(c.now, c.rng, event.Kind)
 	if event.Kind == ListFailed {
-		c.nextWatchAt = c.now + rewatchInterval/2 + time.Duration(c.rng.Int64N(int64(rewatchInterval)))
 		return
 	}
 	c.fleet.merge(c.now, c.rng, event, &c.slowStartSettings)
@@ -58,7 +54,7 @@
 		c.handleTick()
 		return
 	}
-	req := c.requestsByTimer[label]
+	req := c.requests.byTimer[label]
 	if req == nil || !req.isQueued {
 		return
 	}
@@ -71,10 +67,8 @@
 // due.
 func (c *Controller) handleTick() {
 	c.emit(StartTimer{After: tickPeriod, Label: tickTimerLabel})
-	needsWatch := c.settings.ListOnRequest && !c.isWatching
-	if needsWatch && c.now >= c.nextWatchAt {
+	if c.watch.start(c.now) {
 		c.emit(WatchEndpoints{Active: true})
-		c.nextWatchAt = c.now + rewatchInterval
 	}
 	if c.isWindowDue() {
 		c.endWindow((c.now - c.windowEndsAt + windowDuration).Seconds())
@@ -109,3 +103,8 @@
 func (c *Controller) refill(account *customerAccount) { c.accounts.refillAccount(c.now, account) }
 
 func (c *Controller) currentBin() int64 { return c.accounts.binAt(c.now) }
+
+// armTimer has the request's one timer fire after a time.
+func (c *Controller) armTimer(req *request, after time.Duration) {
+	c.emit(StartTimer{After: max(after, 0), Label: c.requests.timerLabel(req)})
+}
--- a/control/extreme_settings_test.go
+++ b/control/extreme_settings_test.go
@@ -169,9 +169,9 @@
 			}
 		}
 		controller := w.controller
-		if n := len(controller.requests) + len(controller.requestsByTimer) + len(controller.attempts) + controller.slots.inFlight + controller.slots.streaming; n != 0 || len(w.inFlight)+len(w.requests) != 0 {
-			t.Fatalf("seed %d: %d requests, %d labels, %d attempts, %d in flight, %d streams are left", seed, len(controller.requests), len(controller.requestsByTimer),
-				len(controller.attempts), controller.slots.inFlight, controller.slots.streaming)
+		if n := len(controller.requests.byID) + len(controller.requests.byTimer) + len(controller.requests.attempts) + controller.requests.slots.inFlight + controller.requests.slots.streaming; n != 0 || len(w.inFlight)+len(w.requests) != 0 {
+			t.Fatalf("seed %d: %d requests, %d labels, %d attempts, %d in flight, %d streams are left", seed, len(controller.requests.byID), len(controller.requests.byTimer),
+				len(controller.requests.attempts), controller.requests.slots.inFlight, controller.requests.slots.streaming)
 		}
 		for _, plan := range controller.scheduler.plans {
 			if len(plan.queue) > 0 {
--- a/control/image_take.go
+++ b/control/image_take.go
@@ -17,14 +17,14 @@
 		ClockAdvance:         c.clockAdvance,
 		FillingSince:         c.accounts.fillingSince,
 		IsStarted:            c.isStarted,
-		IsWatching:           c.isWatching,
-		NextWatchAt:          c.nextWatchAt,
+		IsWatching:           c.watch.isActive,
+		NextWatchAt:          c.watch.nextAttemptAt,
 		MinRetryGap:          c.clientWaits.minRetryGap,
-		LastTimerLabel:       c.lastTimerLabel,
+		LastTimerLabel:       c.requests.lastTimerLabel,
 		SlackFraction:        c.accounts.slackFraction,
 		RateFraction:         c.accounts.rateFraction,
-		InFlight:             c.slots.inFlight,
-		StreamingAttempts:    c.slots.streaming,
+		InFlight:             c.requests.slots.inFlight,
+		StreamingAttempts:    c.requests.slots.streaming,
 		ConcurrencyLimit:     c.limiter.limit,
 		LimitCutAt:           c.limiter.cutAt,
 		FractionalSlotFreeAt: c.limiter.fractionalSlotFreeAt,
@@ -75,16 +75,16 @@
 	for _, key := range slices.Sorted(maps.Keys(c.accounts.byKey)) {
 		references.customers.index(c.accounts.byKey[key])
 	}
-	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
-		references.requests.index(c.requests[id])
+	for _, id := range slices.Sorted(maps.Keys(c.requests.byID)) {
+		references.requests.index(c.requests.byID[id])
 	}
 	return references
 }
 
 // imageAttempts adds the attempts in flight and those presumed still running.
 func (c *Controller) imageAttempts(image *Image, references *imageReferences) {
-	for _, key := range slices.SortedFunc(maps.Keys(c.attempts), compareAttempts) {
-		attempt := c.attempts[key]
+	for _, key := range slices.SortedFunc(maps.Keys(c.requests.attempts), compareAttempts) {
+		attempt := c.requests.attempts[key]
 		image.Attempts = append(image.Attempts, AttemptImage{
 			ID:          key.id,
 			Attempt:     key.number,
@@ -98,7 +98,7 @@
 			Bin:         attempt.charge.bin,
 		})
 	}
-	for _, abandoned := range c.slots.abandoned {
+	for _, abandoned := range c.requests.slots.abandoned {
 		image.Abandoned = append(image.Abandoned, AbandonedImage{
 			Server: references.servers.index(abandoned.server),
 			Until:  abandoned.until,
@@ -109,7 +109,7 @@
 func (c *Controller) imageRequests(image *Image, references *imageReferences) {
 	for _, req := range references.requests.items {
 		requestImage := req.image()
-		requestImage.IsTracked = c.requests[req.id] == req
+		requestImage.IsTracked = c.requests.byID[req.id] == req
 		requestImage.Customer = references.customers.index(req.account)
 		if req.repeatGroup != nil {
 			requestImage.RepeatGroup = references.servers.index(req.repeatGroup) + 1
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -350,7 +350,7 @@
 	if n := len(gateway.controller.accounts.byKey); n > maxAccounts {
 		t.Errorf("%d customers remembered", n)
 	}
-	if n := len(gateway.controller.requests) + len(gateway.controller.requestsByTimer) + len(gateway.controller.attempts); n > 100 {
+	if n := len(gateway.controller.requests.byID) + len(gateway.controller.requests.byTimer) + len(gateway.controller.requests.attempts); n > 100 {
 		t.Errorf("%d requests, labels and attempts held", n)
 	}
 	if n := len(gateway.controller.fleet.servers); n > 10 {
--- a/control/request.go
+++ b/control/request.go
@@ -43,56 +43,83 @@
 	charge  charge // zero unless it is its request's first attempt
 }
 
-// recordAttemptStart counts an attempt that starts now.
-func (c *Controller) recordAttemptStart(req *request, srv *server, charged charge) {
-	c.attempts[attemptKey{id: req.id, number: req.attempts}] = &pendingAttempt{
+// requestTable holds the requests that have no final answer, their timers, and the attempts in flight.
+type requestTable struct {
+	byID           map[string]*request
+	byTimer        map[uint64]*request
+	lastTimerLabel uint64
+	attempts       map[attemptKey]*pendingAttempt
+	slots          attemptSlots
+}
+
+func newRequestTable() requestTable {
+	return requestTable{
+		byID:     make(map[string]*request),
+		byTimer:  make(map[uint64]*request),
+		attempts: make(map[attemptKey]*pendingAttempt),
+	}
+}
+
+func (t *requestTable) add(req *request) { t.byID[req.id] = req }
+
+// contains tells whether a request has no final answer yet. Another one may have come with the same ID.
+func (t *requestTable) contains(req *request) bool { return t.byID[req.id] == req }
+
+// remove drops a request that has its final answer. Its attempts in flight go on.
+func (t *requestTable) remove(req *request) {
+	req.plan.remove(req)
+	delete(t.byID, req.id)
+	delete(t.byTimer, req.timerLabel)
+}
+
+// timerLabel returns the label of a request's one timer.
+func (t *requestTable) timerLabel(req *request) uint64 {
+	if req.timerLabel == 0 {
+		t.lastTimerLabel++
+		req.timerLabel = t.lastTimerLabel
+		t.byTimer[req.timerLabel] = req
+	}
+	return req.timerLabel
+}
+
+// startAttempt counts an attempt that starts now.
+func (t *requestTable) startAttempt(now time.Duration, req *request, srv *server, charged charge) {
+	t.attempts[attemptKey{id: req.id, number: req.attempts}] = &pendingAttempt{
 		request: req,
 		server:  srv,
 		account: req.account,
-		sentAt:  c.now,
+		sentAt:  now,
 		charge:  charged,
 	}
 	req.attempts++
 	req.inFlight++
 	req.triedServers = append(req.triedServers, srv.Server)
-	srv.inFlight++
-	c.slots.inFlight++
 	req.account.inFlight.current++
+	t.slots.inFlight++
 	if req.isStreaming { // from the start: its body is still to come
-		c.slots.streaming++
+		t.slots.streaming++
 	}
 }
 
-// recordAttemptEnd ends an attempt, and returns it; nil if there is none of that key.
-func (c *Controller) recordAttemptEnd(key attemptKey) *pendingAttempt {
-	attempt := c.attempts[key]
+// startStreaming tells that the answer of a request has begun.
+func (t *requestTable) startStreaming(req *request) {
+	req.isStreaming = true
+	t.slots.streaming++
+}
+
+// endAttempt ends an attempt, and returns it; nil if there is none of that key.
+func (t *requestTable) endAttempt(key attemptKey) *pendingAttempt {
+	attempt := t.attempts[key]
 	if attempt == nil {
 		return nil
 	}
-	delete(c.attempts, key)
+	delete(t.attempts, key)
 	attempt.request.inFlight--
 	attempt.server.inFlight--
-	c.slots.inFlight--
 	attempt.account.inFlight.current--
+	t.slots.inFlight--
 	if attempt.request.isStreaming {
-		c.slots.streaming--
+		t.slots.streaming--
 	}
 	return attempt
 }
-
-// removeRequest drops a request that has its final answer. Its attempts in flight go on.
-func (c *Controller) removeRequest(req *request) {
-	req.plan.remove(req)
-	delete(c.requests, req.id)
-	delete(c.requestsByTimer, req.timerLabel)
-}
-
-// armTimer has the request's one timer fire after a time.
-func (c *Controller) armTimer(req *request, after time.Duration) {
-	if req.timerLabel == 0 {
-		c.lastTimerLabel++
-		req.timerLabel = c.lastTimerLabel
-		c.requestsByTimer[req.timerLabel] = req
-	}
-	c.emit(StartTimer{After: max(after, 0), Label: req.timerLabel})
-}
--- a/control/restore.go
+++ b/control/restore.go
@@ -56,7 +56,7 @@
 	for i := range checkpoint.Servers {
 		c.restoreServer(&checkpoint.Servers[i], trust)
 	}
-	slices.SortFunc(c.slots.abandoned, func(a, b abandonedAttempt) int { return cmp.Compare(a.until, b.until) })
+	slices.SortFunc(c.requests.slots.abandoned, func(a, b abandonedAttempt) int { return cmp.Compare(a.until, b.until) })
 	for i := range checkpoint.Customers {
 		if len(c.accounts.byKey) < maxAccounts {
 			c.restoreAccount(&checkpoint.Customers[i], checkpoint.Meter.Period, trust)
--- a/control/resume.go
+++ b/control/resume.go
@@ -77,16 +77,16 @@
 	c.now = image.Now
 	c.clockAdvance = image.ClockAdvance
 	c.isStarted = image.IsStarted
-	c.isWatching = image.IsWatching
-	c.nextWatchAt = image.NextWatchAt
+	c.watch.isActive = image.IsWatching
+	c.watch.nextAttemptAt = image.NextWatchAt
 	c.accounts.fillingSince = image.FillingSince
 	c.accounts.slackFraction = image.SlackFraction
 	c.accounts.rateFraction = image.RateFraction
 	c.clientWaits.minRetryGap = image.MinRetryGap
 	c.retries.budget.retries = image.RetryBudget
-	c.lastTimerLabel = image.LastTimerLabel
-	c.slots.inFlight = image.InFlight
-	c.slots.streaming = image.StreamingAttempts
+	c.requests.lastTimerLabel = image.LastTimerLabel
+	c.requests.slots.inFlight = image.InFlight
+	c.requests.slots.streaming = image.StreamingAttempts
 	c.window = image.Window.window()
 	c.windowEndsAt = image.WindowEndsAt
 	c.nextTick = image.NextTick
@@ -137,9 +137,9 @@
 		if !saved.IsTracked {
 			continue
 		}
-		c.requests[req.id] = req
+		c.requests.byID[req.id] = req
 		if req.timerLabel != 0 {
-			c.requestsByTimer[req.timerLabel] = req
+			c.requests.byTimer[req.timerLabel] = req
 		}
 	}
 	return requests, nil
@@ -219,7 +219,7 @@
 		case !isIndex(saved.Customer, len(customers)):
 			return fmt.Errorf("attempt %d of %q: there is no customer %d", saved.Attempt, saved.ID, saved.Customer)
 		}
-		c.attempts[attemptKey{saved.ID, saved.Attempt}] = &pendingAttempt{
+		c.requests.attempts[attemptKey{saved.ID, saved.Attempt}] = &pendingAttempt{
 			request: requests[saved.Request],
 			server:  servers[saved.Server],
 			account: customers[saved.Customer],
--- a/control/server.go
+++ b/control/server.go
@@ -26,6 +26,16 @@
 	return s.StartedAt
 }
 
+// startAttempt counts an attempt that starts now, and charges its units to a slow start.
+func (s *server) startAttempt(now time.Duration, units float64) {
+	if s.inFlight == 0 {
+		s.lastActivityAt = now
+	}
+	s.slowStart.charge(units)
+	s.outlier.recordAttempt()
+	s.inFlight++
+}
+
 // forgetIncarnation drops what was known of the server before it started anew.
 func (s *server) forgetIncarnation() {
 	s.latency.seconds = 0
--- a/control/server_storage.go
+++ b/control/server_storage.go
@@ -36,7 +36,7 @@
 		PlanRejectedUntil:   make(map[string]time.Duration),
 		SlowStartTokens:     srv.slowStart.tokens,
 	}
-	for _, abandoned := range c.slots.abandoned {
+	for _, abandoned := range c.requests.slots.abandoned {
 		if abandoned.server == srv {
 			saved.AbandonedUntil = append(saved.AbandonedUntil, abandoned.until)
 		}
@@ -90,11 +90,11 @@
 func (c *Controller) restoreAbandoned(srv *server, saved *ServerCheckpoint) {
 	until := c.now + durationOf(c.fleet.latency.mean)
 	for range min(saved.InFlight, maxRestoredAbandoned) {
-		c.slots.abandon(srv, until)
+		c.requests.slots.abandon(srv, until)
 	}
 	for i := range min(len(saved.AbandonedUntil), maxRestoredAbandoned) {
 		if until := saved.AbandonedUntil[i]; until > c.now {
-			c.slots.abandon(srv, min(until, c.now+maxAbandonedTime))
+			c.requests.slots.abandon(srv, min(until, c.now+maxAbandonedTime))
 		}
 	}
 }
@@ -150,7 +150,7 @@
 		if !isIndex(saved.Server, len(servers)) {
 			return nil, fmt.Errorf("abandoned attempt: there is no server %d", saved.Server)
 		}
-		c.slots.abandoned = append(c.slots.abandoned, abandonedAttempt{servers[saved.Server], saved.Until})
+		c.requests.slots.abandoned = append(c.requests.slots.abandoned, abandonedAttempt{servers[saved.Server], saved.Until})
 	}
 	return servers, nil
 }
--- a/control/state.go
+++ b/control/state.go
@@ -20,13 +20,9 @@
 	actions      []Action // that answer the present event
 
 	// Requests and their attempts.
-	requests        map[string]*request
-	requestsByTimer map[uint64]*request
-	lastTimerLabel  uint64
-	attempts        map[attemptKey]*pendingAttempt
-	slots           attemptSlots
-	retries         retryPolicy
-	clientWaits     clientWaitEstimator
+	requests    requestTable
+	retries     retryPolicy
+	clientWaits clientWaitEstimator
 
 	// Customers and their plans.
 	scheduler scheduler
@@ -38,8 +34,7 @@
 	fleet             serverFleet
 	slowStartSettings slowStartSettings
 	selector          endpointSelector
-	isWatching        bool // the endpoint list
-	nextWatchAt       time.Duration
+	watch             endpointWatch
 
 	// The control window.
 	window       controlWindow
@@ -54,15 +49,13 @@
 func newController(settings Settings, seed uint64) *Controller {
 	pcg := rand.NewPCG(seed, seed^secondSeedMask)
 	c := &Controller{
-		settings:        settings,
-		pcg:             pcg,
-		rng:             rand.New(pcg),
-		classes:         make(map[string]*Class),
-		scheduler:       newScheduler(settings.Plans),
-		requests:        make(map[string]*request),
-		requestsByTimer: make(map[uint64]*request),
-		attempts:        make(map[attemptKey]*pendingAttempt),
-		fleet:           serverFleet{servers: make(map[uint32]*server)},
+		settings:  settings,
+		pcg:       pcg,
+		rng:       rand.New(pcg),
+		classes:   make(map[string]*Class),
+		scheduler: newScheduler(settings.Plans),
+		requests:  newRequestTable(),
+		fleet:     serverFleet{servers: make(map[uint32]*server)},
 	}
 	c.slowStartSettings = newSlowStartSettings(&c.settings)
 	c.selector = endpointSelector{fleet: &c.fleet, slowStart: &c.slowStartSettings}
@@ -72,6 +65,7 @@
 	}
 	c.admission = newAdmission(&c.settings)
 	c.accounts = newAccountTable(&c.settings)
+	c.watch.isRequired = c.settings.ListOnRequest
 	c.usage = newUsageEstimator(&c.settings)
 	c.retries = newRetryPolicy(&c.settings)
 	c.clientWaits = newClientWaitEstimator(&c.settings)
@@ -99,8 +93,8 @@
 	case AttemptResult:
 		c.handleResponse(e)
 	case ClientGone:
-		if req := c.requests[e.ID]; req != nil {
-			c.removeRequest(req)
+		if req := c.requests.byID[e.ID]; req != nil {
+			c.requests.remove(req)
 		}
 	case TimerFired:
 		c.handleTimer(e.Label)
