--- /dev/null
+++ b/control/accounts_test.go
@@ -0,0 +1,105 @@
+package control
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+func TestUnmeteredCustomerMaySendItsPartOfTheBurst(t *testing.T) {
+	settings := testSettings()
+	settings.Plans[0].QuotaRate, settings.Plans[0].QuotaBurst = 1, 20
+	gateway := newTestGateway(t, settings, activeEndpoints(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16)...)
+	for i := 0; i < 60; i++ {
+		gateway.request(fmt.Sprint(i), "job", "low", "x")
+	}
+	if n := len(gateway.sends); n < 8 || n > 20 {
+		t.Errorf("%d of a burst of 20 over two gateways", n)
+	}
+}
+
+func TestActualUnitsAreCharged(t *testing.T) {
+	settings := testSettings()
+	settings.UnitsInResponse = true
+	gateway := newTestGateway(t, settings, activeEndpoints(1)...)
+	gateway.request("a", "job", "low", "x")
+	account := gateway.controller.accountFor(gateway.controller.scheduler.plans[0], "x", 2)
+	before := account.quota.tokens
+	gateway.handle(AttemptResult{ID: "a", Server: 1, Reason: OK, IsFinal: true, ActualUnits: 4})
+	if got := before - account.quota.tokens; math.Abs(got-3) > 1e-9 {
+		t.Errorf("settled %g units, guessed 1, true 4", got)
+	}
+}
+
+// Guards against memory that grows with customers that come once. An account whose buckets are not full is not
+// evicted, as a new one would grant its quota or hard limit again.
+func TestIdleAccountsAreEvicted(t *testing.T) {
+	settings := testSettings()
+	settings.Plans = append(settings.Plans, Plan{Name: "slow", Price: 1, QuotaRate: 0.01, QuotaBurst: 10},
+		Plan{Name: "capped", Price: 1, QuotaRate: 1000, QuotaBurst: 1000, HardLimitRate: 0.01, HardLimitBurst: 10, HardLimitSlack: 9})
+	gateway := newTestGateway(t, settings, activeEndpoints(1, 2)...)
+	for i := 0; i < 100; i++ {
+		for _, plan := range []string{"low", "slow", "capped"} {
+			id := fmt.Sprint(plan, i)
+			gateway.request(id, "job", plan, id)
+			gateway.now += ms
+			gateway.respond(id, OK, 0)
+		}
+	}
+	gateway.request("stays", "job", "low", "stays")
+	for range 80 {
+		gateway.advance(time.Second)
+		id := fmt.Sprint("on", gateway.now)
+		gateway.request(id, "job", "low", "comes on")
+		gateway.respond(id, OK, 0)
+	}
+	kept := make(map[string]int)
+	for _, account := range gateway.controller.accounts.byKey {
+		kept[account.plan.Name]++
+	}
+	if kept["low"] > 2 || kept["slow"] != 100 || kept["capped"] != 100 {
+		t.Errorf("kept %v", kept)
+	}
+}
+
+// An account is evicted whatever fractions of units its queued and rejected requests had.
+func TestAccountsWithFractionalUnitsAreEvicted(t *testing.T) {
+	gateway := newTestGateway(t, testSettings())
+	for i, units := range []float64{0.1, 0.2, 0.3} {
+		gateway.handle(Request{ID: fmt.Sprint(i), Class: "job", Plan: "low", Customer: "x", Timeout: 5 * time.Second, Units: units, FanOut: 2})
+	}
+	if gateway.advance(2 * maxAccountIdleTime); len(gateway.controller.accounts.byKey) > 0 || len(gateway.finalAnswers) != 3 {
+		t.Errorf("%d customers remembered, %d requests answered", len(gateway.controller.accounts.byKey), len(gateway.finalAnswers))
+	}
+}
+
+func TestRefundUndoesACharge(t *testing.T) {
+	plan := &planQueue{Plan: Plan{Name: "low", QuotaRate: 10, QuotaBurst: 20, HardLimitRate: 10, HardLimitBurst: 20}}
+	table := newAccountTable(&Settings{MeterPeriod: time.Second})
+	account := table.find(time.Hour, rand.New(rand.NewPCG(1, 2)), plan, "x", 2)
+	quota, hardLimit := account.quota.tokens, account.hardLimit.tokens
+	bin := table.binAt(time.Hour)
+	charged := account.chargeFirstAttempt(3, bin)
+	if account.quota.tokens >= quota || account.hardLimit.tokens != hardLimit-3 {
+		t.Errorf("%g and %g tokens after a charge, %g and %g before", account.quota.tokens, account.hardLimit.tokens, quota, hardLimit)
+	}
+	if got := account.history.sent.periodSum(bin + 1); got != 3 {
+		t.Errorf("%g units in the history after a charge of 3", got)
+	}
+	account.refund(charged)
+	if account.quota.tokens != quota || account.hardLimit.tokens != hardLimit || account.history.sent.periodSum(bin+1) != 0 {
+		t.Errorf("%g and %g tokens after the refund, %g and %g before the charge", account.quota.tokens, account.hardLimit.tokens, quota, hardLimit)
+	}
+}
+
+func TestBucketKeepsWhatItHasAboveItsCapacity(t *testing.T) {
+	for _, tc := range []struct{ tokens, want float64 }{{-3, 1}, {8, 10}, {15, 15}} {
+		bucket := tokenBucket{tokens: tc.tokens}
+		bucket.refill(4, 10)
+		if bucket.tokens != tc.want {
+			t.Errorf("%g tokens and 4 more are %g, want %g", tc.tokens, bucket.tokens, tc.want)
+		}
+	}
+}
--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -2,119 +2,10 @@
 
 import (
 	"fmt"
-	"math"
 	"testing"
 	"time"
 )
 
-// One slow answer must not reject all later requests: with nothing in flight an attempt is started, and fast answers
-// admit requests again.
-func TestOneSlowAnswerDoesNotRejectAllLater(t *testing.T) {
-	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2)...)
-	gateway.request("slow", "job", "low", "")
-	gateway.advance(3 * time.Second) // past the aim, within the deadline
-	gateway.respond("slow", OK, 0)
-	let := 0
-	for i := range 40 {
-		id := fmt.Sprint("r", i)
-		gateway.request(id, "job", "low", "")
-		if gateway.attempts[id] > 0 {
-			let++
-			gateway.advance(20 * ms)
-			gateway.respond(id, OK, 0)
-		}
-		gateway.advance(200 * ms)
-	}
-	if let < 39 {
-		t.Errorf("%d of 40 are admitted", let)
-	}
-}
-
-func TestUnknownClassOrPlanIsRejectedOnce(t *testing.T) {
-	gateway := newTestGateway(t, testSettings(), activeEndpoints(1)...)
-	gateway.request("a", "other", "low", "x")
-	gateway.request("b", "job", "other", "x")
-	for _, id := range []string{"a", "b"} {
-		if _, ok := gateway.finalAnswers[id].(Reject); !ok {
-			t.Errorf("%s ended with %v", id, gateway.finalAnswers[id])
-		}
-	}
-	gateway.handle(ClientGone{ID: "z"})
-	gateway.handle(AttemptResult{ID: "z", Server: 9, Reason: OK})
-	gateway.handle(TimerFired{Label: 999})
-	gateway.handle(HealthCheckResult{Server: 77})
-	gateway.handle(CounterResult{Name: 4})
-	gateway.handle(PeerMessage{From: 1})
-	gateway.handle(ResponseStarted{ID: "z"})
-}
-
-func TestUnmeteredCustomerMaySendItsPartOfTheBurst(t *testing.T) {
-	settings := testSettings()
-	settings.Plans[0].QuotaRate, settings.Plans[0].QuotaBurst = 1, 20
-	gateway := newTestGateway(t, settings, activeEndpoints(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16)...)
-	for i := 0; i < 60; i++ {
-		gateway.request(fmt.Sprint(i), "job", "low", "x")
-	}
-	if n := len(gateway.sends); n < 8 || n > 20 {
-		t.Errorf("%d of a burst of 20 over two gateways", n)
-	}
-}
-
-func TestActualUnitsAreCharged(t *testing.T) {
-	settings := testSettings()
-	settings.UnitsInResponse = true
-	gateway := newTestGateway(t, settings, activeEndpoints(1)...)
-	gateway.request("a", "job", "low", "x")
-	account := gateway.controller.accountFor(gateway.controller.scheduler.plans[0], "x", 2)
-	before := account.quota.tokens
-	gateway.handle(AttemptResult{ID: "a", Server: 1, Reason: OK, IsFinal: true, ActualUnits: 4})
-	if got := before - account.quota.tokens; math.Abs(got-3) > 1e-9 {
-		t.Errorf("settled %g units, guessed 1, true 4", got)
-	}
-}
-
-// Guards against memory that grows with customers that come once. An account whose buckets are not full is not
-// evicted, as a new one would grant its quota or hard limit again.
-func TestIdleAccountsAreEvicted(t *testing.T) {
-	settings := testSettings()
-	settings.Plans = append(settings.Plans, Plan{Name: "slow", Price: 1, QuotaRate: 0.01, QuotaBurst: 10},
-		Plan{Name: "capped", Price: 1, QuotaRate: 1000, QuotaBurst: 1000, HardLimitRate: 0.01, HardLimitBurst: 10, HardLimitSlack: 9})
-	gateway := newTestGateway(t, settings, activeEndpoints(1, 2)...)
-	for i := 0; i < 100; i++ {
-		for _, plan := range []string{"low", "slow", "capped"} {
-			id := fmt.Sprint(plan, i)
-			gateway.request(id, "job", plan, id)
-			gateway.now += ms
-			gateway.respond(id, OK, 0)
-		}
-	}
-	gateway.request("stays", "job", "low", "stays")
-	for range 80 {
-		gateway.advance(time.Second)
-		id := fmt.Sprint("on", gateway.now)
-		gateway.request(id, "job", "low", "comes on")
-		gateway.respond(id, OK, 0)
-	}
-	kept := make(map[string]int)
-	for _, account := range gateway.controller.accounts.byKey {
-		kept[account.plan.Name]++
-	}
-	if kept["low"] > 2 || kept["slow"] != 100 || kept["capped"] != 100 {
-		t.Errorf("kept %v", kept)
-	}
-}
-
-// An account is evicted whatever fractions of units its queued and rejected requests had.
-func TestAccountsWithFractionalUnitsAreEvicted(t *testing.T) {
-	gateway := newTestGateway(t, testSettings())
-	for i, units := range []float64{0.1, 0.2, 0.3} {
-		gateway.handle(Request{ID: fmt.Sprint(i), Class: "job", Plan: "low", Customer: "x", Timeout: 5 * time.Second, Units: units, FanOut: 2})
-	}
-	if gateway.advance(2 * maxAccountIdleTime); len(gateway.controller.accounts.byKey) > 0 || len(gateway.finalAnswers) != 3 {
-		t.Errorf("%d customers remembered, %d requests answered", len(gateway.controller.accounts.byKey), len(gateway.finalAnswers))
-	}
-}
-
 // A class of far lower priority weight leaves the lower half of the bucket to others.
 func TestSheddableClassLeavesTheBucket(t *testing.T) {
 	settings := testSettings()
@@ -148,61 +39,6 @@
 	}
 }
 
-// Guards against first attempts being taken for retries by a gateway that was stalled.
-func TestStallDoesNotMakeFirstAttemptsLate(t *testing.T) {
-	settings := testSettings()
-	gateway := newTestGateway(t, settings, activeEndpoints(1, 2)...)
-	class := &gateway.controller.settings.Classes[0]
-	for i := 0; i < 3; i++ {
-		if w := gateway.controller.clientWaits.estimate(Request{Timeout: 3 * time.Second}, class, gateway.controller.clockAdvance); w != 0 {
-			t.Fatalf("a first try has waited %v", w)
-		}
-	}
-	gateway.controller.clockAdvance = 1500 * ms
-	if w := gateway.controller.clientWaits.estimate(Request{Timeout: 2 * time.Second}, class, gateway.controller.clockAdvance); w != time.Second {
-		t.Errorf("a first try that lay for 1 s through a stall has waited %v", w)
-	}
-	gateway.controller.clockAdvance = 4 * ms
-	if w := gateway.controller.clientWaits.estimate(Request{Timeout: 2 * time.Second}, class, gateway.controller.clockAdvance); w != 4*time.Second {
-		t.Errorf("a later try with 2 s of 6 s left has waited %v", w)
-	}
-	if w := gateway.controller.clientWaits.estimate(Request{Timeout: 5 * time.Second}, class, gateway.controller.clockAdvance); w != time.Second {
-		t.Errorf("a last try, with all the rest of the time, has waited %v", w)
-	}
-	gateway.controller.clientWaits.retriesAreMarked = true
-	if w := gateway.controller.clientWaits.estimate(Request{Timeout: 5 * time.Second}, class, gateway.controller.clockAdvance); w != 0 {
-		t.Errorf("a try without the mark of a later one has waited %v", w)
-	}
-}
-
-// After a stall all events come at once: requests that can still be served are, and each has one final answer.
-func TestEventsAllAtOnceAfterAStall(t *testing.T) {
-	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2)...)
-	gateway.request("old", "job", "high", "x")
-	for i := 0; i < 40; i++ {
-		gateway.request(fmt.Sprint("q", i), "job", "high", "x")
-	}
-	gateway.now += 4990 * ms // no timer came in time
-	for i := 0; i < 40; i++ {
-		gateway.request(fmt.Sprint("n", i), "job", "high", "x")
-	}
-	sent := len(gateway.sends)
-	gateway.advance(0)
-	for _, send := range gateway.sends[sent:] {
-		if send.ID[0] == 'q' {
-			t.Errorf("%s was sent when its client had all but left", send.ID)
-		}
-	}
-	gateway.advance(6 * time.Second)
-	for i := 0; i < 40; i++ {
-		for _, id := range []string{fmt.Sprint("q", i), fmt.Sprint("n", i)} {
-			if gateway.finalAnswers[id] == nil && gateway.attempts[id] == 0 {
-				t.Errorf("%s was not answered", id)
-			}
-		}
-	}
-}
-
 // Where the settings have no maximum of units, a client that names any number of them does not move what requests of
 // others depend on: throughput of servers, slow-start budgets and the mean units of a request.
 func TestUnitsOfOneRequestDoNotMoveSharedEstimates(t *testing.T) {
@@ -313,3 +149,36 @@
 		t.Errorf("of equal worth: rejected %v", refused)
 	}
 }
+
+func TestSheddableRequestsLeaveTurnsAndTokens(t *testing.T) {
+	settings := Settings{Classes: []Class{
+		{Name: "important", LatencyObjective: time.Second, PriorityWeight: 10},
+		{Name: "cheap", LatencyObjective: time.Second, PriorityWeight: 1},
+	}}
+	gate := newAdmission(&settings)
+	free, scarce := turnEstimate{hasFreeSlot: true, seconds: 1}, turnEstimate{seconds: 1}
+	for _, tc := range []struct {
+		name   string
+		class  int
+		turn   turnEstimate
+		tokens float64
+		isLate bool
+		want   Cause
+	}{
+		{"important in a scarce turn", 0, scarce, 100, false, CauseNone},
+		{"cheap in a free turn", 1, free, 100, false, CauseNone},
+		{"cheap in a scarce turn", 1, scarce, 100, false, CauseShed},
+		{"cheap in a quick turn", 1, turnEstimate{seconds: 0.01}, 100, false, CauseNone},
+		{"cheap with few tokens", 1, free, 40, false, CauseShed},
+		{"important with few tokens", 0, free, 40, false, CauseNone},
+		{"important without tokens", 0, free, 0, false, CauseQuota},
+		{"late and not metered", 0, free, 100, true, CauseTooLate},
+	} {
+		plan := &planQueue{Plan: Plan{Name: "low", QuotaRate: 10, QuotaBurst: 100}}
+		account := &customerAccount{plan: plan, fanOut: 1, quota: tokenBucket{tokens: tc.tokens}}
+		req := admissionRequest{class: &settings.Classes[tc.class], units: 1, isLate: tc.isLate, turn: tc.turn}
+		if got := gate.admit(time.Hour, 0, account, req); got != tc.want {
+			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
+		}
+	}
+}
--- a/control/concurrency_limit_test.go
+++ b/control/concurrency_limit_test.go
@@ -205,3 +205,36 @@
 		}
 	}
 }
+
+func TestFirstLimitIsSetOnce(t *testing.T) {
+	var limiter concurrencyLimiter
+	limiter.open(1, 3, 2)
+	if limiter.limit != 6 {
+		t.Errorf("a limit of %g for three servers", limiter.limit)
+	}
+	limiter.open(1, 30, 2)
+	if limiter.limit != 6 {
+		t.Errorf("the limit went to %g with a longer list", limiter.limit)
+	}
+	if got := minConcurrencyLimit(40, 10); got != 0.5 {
+		t.Errorf("a minimum of %g for one of 40 gateways and 10 servers", got)
+	}
+}
+
+func TestAbandonedAttemptsOccupySlotsUntilTheirEnds(t *testing.T) {
+	slots := attemptSlots{inFlight: 3, streaming: 1}
+	srv := &server{}
+	slots.abandon(srv, time.Second)
+	slots.abandon(srv, 2*time.Second)
+	for _, tc := range []struct {
+		now  time.Duration
+		want float64
+	}{{0, 4}, {time.Second, 3}, {2 * time.Second, 2}} {
+		if got := slots.occupied(tc.now); got != tc.want {
+			t.Errorf("%g slots are occupied at %v, want %g", got, tc.now, tc.want)
+		}
+	}
+	if srv.abandoned != 0 {
+		t.Errorf("%d attempts are presumed still running at the server", srv.abandoned)
+	}
+}
--- a/control/endpoint_choice_test.go
+++ b/control/endpoint_choice_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"fmt"
+	"math/rand/v2"
 	"testing"
+	"time"
 )
 
 func TestDrainingServerGetsNoAttempts(t *testing.T) {
@@ -94,3 +96,56 @@
 		t.Errorf("%d attempts at full servers, %d at others", full, room)
 	}
 }
+
+func TestSelectorChoosesTheCheapestServerThatMayServe(t *testing.T) {
+	fleet := warmFleet(4)
+	fleet.latency.add(0.1, fleetEstimateGain)
+	for i, srv := range fleet.sortedServers {
+		srv.inFlight = i
+	}
+	selector := endpointSelector{fleet: fleet, slowStart: &slowStartSettings{groupSize: 1}}
+	req := &request{class: &Class{}, plan: &planQueue{}}
+	choose := func() *server { return selector.choose(0, rand.New(rand.NewPCG(1, 2)), 1, req) }
+	if got := choose(); got != fleet.sortedServers[0] {
+		t.Errorf("chose %d, not the idle one", got.Server)
+	}
+	req.triedServers = []uint32{0}
+	if got := choose(); got != fleet.sortedServers[1] {
+		t.Errorf("chose %d, not the least busy one that was not tried", got.Server)
+	}
+	fleet.sortedServers[1].State = Draining
+	if got := choose(); got != fleet.sortedServers[2] {
+		t.Errorf("chose %d, not the next one that does not drain", got.Server)
+	}
+	fleet.sortedServers[2].outlier.recordOutcome(0, ConnectFailed, req.plan)
+	if got := choose(); got == fleet.sortedServers[2] {
+		t.Error("chose an ejected server")
+	}
+	for _, srv := range fleet.sortedServers {
+		srv.isListed = false
+	}
+	if got := choose(); got != nil {
+		t.Errorf("chose %d, which is not listed", got.Server)
+	}
+}
+
+func TestOnlyServersThatDropRepeatsMayRepeat(t *testing.T) {
+	ran := &server{Endpoint: Endpoint{Zone: "z1", Cell: 1}}
+	sameCell := &server{Endpoint: Endpoint{Zone: "z1", Cell: 1}}
+	sameZone := &server{Endpoint: Endpoint{Zone: "z1", Cell: 2}}
+	remote := &server{Endpoint: Endpoint{Zone: "z2", Cell: 3}}
+	for scope, want := range map[KeyScope][3]bool{
+		ScopeCell: {true, false, false}, ScopeZone: {true, true, false}, ScopeAll: {true, true, true},
+	} {
+		class := &Class{Idempotency: IdempotentWithKey, KeyScope: scope, RepeatWindow: time.Second}
+		req := &request{class: class, repeatGroup: ran}
+		for i, srv := range []*server{sameCell, sameZone, remote} {
+			if got := req.isRepeatDroppedBy(srv, 0); got != want[i] {
+				t.Errorf("scope %d, server %d: %v", scope, i, got)
+			}
+			if req.isRepeatDroppedBy(srv, time.Second) {
+				t.Errorf("scope %d, server %d: repeats are dropped after the window", scope, i)
+			}
+		}
+	}
+}
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -6,35 +6,6 @@
 	"time"
 )
 
-func TestEndpointListIsWatchedAgainAfterAFailure(t *testing.T) {
-	settings := testSettings()
-	settings.ListOnRequest, settings.MaxPollInterval = true, 10*time.Second
-	gateway := newTestGateway(t, settings, activeEndpoints(1)...)
-	follows := func() (n int) {
-		for _, action := range gateway.actions {
-			if watch, ok := action.(WatchEndpoints); ok && watch.Active {
-				n++
-			}
-		}
-		return n
-	}
-	gateway.advance(200 * ms)
-	if follows() != 1 {
-		t.Fatalf("%d askings at start", follows())
-	}
-	gateway.handle(EndpointList{Kind: ListFailed})
-	gateway.advance(5 * time.Second)
-	if follows() < 2 {
-		t.Error("no second asking after the first failed")
-	}
-	gateway.handle(EndpointList{Kind: ListComplete, Endpoints: activeEndpoints(1)})
-	n := follows()
-	gateway.advance(20 * time.Second)
-	if follows() != n {
-		t.Error("asked again while subscribed")
-	}
-}
-
 // A server with a request in flight is listed as draining or gone by an entry that holds nothing else. A retry still
 // goes to servers that drop repeats of what it ran, or to none.
 func TestGoneServerKeepsItsRepeatGroup(t *testing.T) {
--- /dev/null
+++ b/control/meter_clock_test.go
@@ -0,0 +1,39 @@
+package control
+
+import (
+	"testing"
+	"time"
+)
+
+// The meter's periods and their delay are learned from the units sent here.
+func TestMeterClockLearnsTheDelay(t *testing.T) {
+	settings := testSettings()
+	settings.Plans[0].QuotaRate, settings.Plans[0].QuotaBurst = 10, 1000
+	gateway := newTestGateway(t, settings, activeEndpoints(1, 2, 3)...)
+	account := gateway.controller.accountFor(gateway.controller.scheduler.plans[0], "x", 1)
+	const late = 1300 * ms
+	var sent []time.Duration
+	for i := 0; i < 3000; i++ {
+		gateway.now += 10 * ms
+		gateway.controller.now = gateway.now
+		gateway.controller.refill(account)
+		if i%7 == 0 && (i/300)%2 == 0 {
+			account.chargeFirstAttempt(1, gateway.controller.currentBin())
+			sent = append(sent, gateway.now)
+		}
+		end := (gateway.now - late).Truncate(time.Second)
+		n := 0
+		for _, at := range sent {
+			if at >= end-time.Second && at < end {
+				n++
+			}
+		}
+		if i%5 == 0 {
+			gateway.recordReading(account, 1+n*10, 1)
+		}
+	}
+	end := gateway.controller.usage.meter.periodEndBin(gateway.controller.currentBin())
+	if want := int64((gateway.now - late).Truncate(time.Second) / (100 * ms)); end < want-1 || end > want+1 {
+		t.Errorf("the told period is taken to end in bin %d, it ended in %d", end, want)
+	}
+}
--- a/control/outlier_test.go
+++ b/control/outlier_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"testing"
+	"time"
 )
 
 func TestDeadServerIsEjected(t *testing.T) {
@@ -124,3 +125,46 @@
 		t.Errorf("probing %v after %d strikes", srv.outlier.isProbing, srv.outlier.consecutiveFailures)
 	}
 }
+
+func TestEjectionTimeDoublesUntilASuccess(t *testing.T) {
+	detector := newOutlierDetector()
+	now := time.Duration(0)
+	for _, want := range []time.Duration{1, 2, 4, 8, 8} {
+		detector.recordOutcome(now, ConnectFailed, nil)
+		if detector.ejectionTime != want*time.Second || !detector.isEjected(now) {
+			t.Errorf("ejected for %v, want %v s", detector.ejectionTime, int(want))
+		}
+		now += detector.ejectionTime
+		if detector.isEjected(now) || !detector.hasTripped() {
+			t.Error("the ejection lasts longer than its time, or is forgotten after it")
+		}
+	}
+	detector.recordAttempt()
+	if !detector.isAvoided(now, nil) {
+		t.Error("a server is chosen while it is probed")
+	}
+	detector.recordOutcome(now, OK, nil)
+	if detector.hasTripped() || detector.isAvoided(now, nil) {
+		t.Error("a server is avoided after a success")
+	}
+	detector.recordOutcome(now, ConnectFailed, nil)
+	if detector.ejectionTime != initialEjectionTime {
+		t.Errorf("ejected for %v after a success", detector.ejectionTime)
+	}
+}
+
+func TestFailuresRaiseTheCostAboveThatOfOne(t *testing.T) {
+	detector := newOutlierDetector()
+	detector.updateFailureRate(0, 1)
+	if got := detector.costFactor(0); got != 1 {
+		t.Errorf("a cost factor of %g after one failure", got)
+	}
+	detector.updateFailureRate(0, 1)
+	after := detector.costFactor(0)
+	if after <= 1 {
+		t.Errorf("a cost factor of %g after two failures", after)
+	}
+	if later := detector.costFactor(time.Minute); later != 1 {
+		t.Errorf("a cost factor of %g a minute later", later)
+	}
+}
--- a/control/scheduler_test.go
+++ b/control/scheduler_test.go
@@ -98,3 +98,59 @@
 		})
 	}
 }
+
+// choiceByID is a serverChooser that knows the server of each request; others have to wait.
+type choiceByID map[string]*server
+
+func (c choiceByID) chooseServer(req *request) *server { return c[req.id] }
+
+func queuedRequest(plan *planQueue, id string) *request {
+	req := &request{id: id, plan: plan, account: &customerAccount{plan: plan}, units: 1}
+	plan.pushBack(req)
+	return req
+}
+
+func TestTurnsFollowTheDeficit(t *testing.T) {
+	s := newScheduler([]Plan{{Name: "low", Price: 1}, {Name: "high", Price: 1}})
+	s.plans[0].share = 0.25
+	s.plans[1].share = 0.75
+	queuedRequest(s.plans[0], "l")
+	queuedRequest(s.plans[1], "h")
+	servers := choiceByID{"l": &server{}, "h": &server{}}
+	var order string
+	for range 8 { // the requests stay queued, as nothing starts an attempt
+		req, _ := s.nextTurn(0, servers)
+		order += req.id
+	}
+	if order != "hlhhhlhh" {
+		t.Errorf("turns in the order %s", order)
+	}
+	if sum := s.plans[0].deficit + s.plans[1].deficit; math.Abs(sum) > 1e-9 {
+		t.Errorf("the deficits sum up to %g", sum)
+	}
+}
+
+func TestOnlyRequestsOfARepeatGroupLetTheNextPass(t *testing.T) {
+	s := newScheduler([]Plan{{Name: "low", Price: 1}})
+	first := queuedRequest(s.plans[0], "first")
+	queuedRequest(s.plans[0], "second")
+	servers := choiceByID{"second": &server{}}
+	if req, _ := s.nextTurn(0, servers); req != nil {
+		t.Errorf("%s passed a request that any server could take", req.id)
+	}
+	first.repeatGroup = &server{}
+	if req, srv := s.nextTurn(0, servers); req == nil || req.id != "second" || srv != servers["second"] {
+		t.Errorf("%+v came next, behind one that waits for its repeat group", req)
+	}
+}
+
+func TestNoPlanHasATurnWithoutAServer(t *testing.T) {
+	s := newScheduler([]Plan{{Name: "low", Price: 1}})
+	queuedRequest(s.plans[0], "waits")
+	if req, srv := s.nextTurn(0, choiceByID{}); req != nil || srv != nil {
+		t.Errorf("%v at %v", req, srv)
+	}
+	if s.countQueued() != 1 || s.plans[0].deficit != 0 {
+		t.Errorf("%d queued, deficit %g", s.countQueued(), s.plans[0].deficit)
+	}
+}
--- a/control/slow_start_test.go
+++ b/control/slow_start_test.go
@@ -154,3 +154,54 @@
 		})
 	}
 }
+
+// fixedThroughput is a throughputEstimate that does not change, in units a second.
+type fixedThroughput float64
+
+func (f fixedThroughput) warmServerThroughput(time.Duration) float64 { return float64(f) }
+
+func TestSlowStartEarnsItsBudgetAndEnds(t *testing.T) {
+	settings := slowStartSettings{
+		warmupTime: 10 * time.Second, initialCapacity: 0.5, overloadWindow: 4 * time.Second, overloadMultiple: 1, groupSize: 1,
+	}
+	throughput := fixedThroughput(100)
+	var start slowStart
+	if !start.allows(0, &settings, 9, 1, throughput) {
+		t.Error("a server that is not warming up is limited")
+	}
+	start.begin(time.Second, 0, 4)
+	if start.allows(time.Second, &settings, 0, 1, throughput) {
+		t.Error("a slow start allows an attempt while its budget is in debt")
+	}
+	if !start.allows(2*time.Second, &settings, 0, 1, throughput) { // at least 16 units a second are earned
+		t.Errorf("%g tokens after a second", start.tokens)
+	}
+	if start.allows(2*time.Second, &settings, slotsPerServer, 1, throughput) {
+		t.Error("as many attempts as a warm server has slots are allowed")
+	}
+	before := start.tokens
+	start.charge(3)
+	start.refund(3, 500*ms)
+	start.refund(3, -time.Second) // charged to an earlier slow start
+	if start.tokens != before {
+		t.Errorf("%g tokens after a charge and its refund, %g before", start.tokens, before)
+	}
+	if !start.allows(10*time.Second, &settings, 9, 1, throughput) || start.isActive {
+		t.Error("the slow start goes on after the warmup time")
+	}
+}
+
+func TestCapacityGrowsFromTheInitialPartToAll(t *testing.T) {
+	settings := slowStartSettings{warmupTime: 10 * time.Second, initialCapacity: 0.2}
+	for _, tc := range []struct {
+		age  time.Duration
+		want float64
+	}{{0, 0.2}, {5 * time.Second, 0.6}, {10 * time.Second, 1}, {time.Hour, 1}} {
+		if got := settings.capacityFraction(tc.age, 0); math.Abs(got-tc.want) > 1e-9 {
+			t.Errorf("capacity %g after %v, want %g", got, tc.age, tc.want)
+		}
+	}
+	if got := (&slowStartSettings{}).capacityFraction(0, 0); got != 1 {
+		t.Errorf("capacity %g where servers have no warmup time", got)
+	}
+}
--- /dev/null
+++ b/control/throughput_test.go
@@ -0,0 +1,63 @@
+package control
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+func warmFleet(servers int) *serverFleet {
+	fleet := &serverFleet{servers: make(map[uint32]*server)}
+	for i := range servers {
+		srv := &server{Endpoint: Endpoint{Server: uint32(i)}, isListed: true, outlier: newOutlierDetector()}
+		fleet.servers[srv.Server] = srv
+		fleet.sortedServers = append(fleet.sortedServers, srv)
+	}
+	return fleet
+}
+
+func TestPeakThroughputFollowsUpAtOnceAndDownSlowly(t *testing.T) {
+	fleet := warmFleet(4)
+	fleet.recordThroughput(0, 400, 1)
+	if got := fleet.warmServerThroughput(0); got != 100 {
+		t.Errorf("%g units a second by one of four servers that served 400", got)
+	}
+	fleet.recordThroughput(0, 0, 1)
+	after := fleet.warmServerThroughput(0)
+	if want := 100 * math.Exp(-1/peakDecaySeconds); math.Abs(after-want) > 1e-9 {
+		t.Errorf("%g units a second after a second without requests, want %g", after, want)
+	}
+}
+
+func TestBusyServersAreNotBelievedToServeMoreThanTwice(t *testing.T) {
+	var estimate fleetEstimate
+	if got := estimate.busyFraction(); got != 1 {
+		t.Errorf("busy fraction %g without reports", got)
+	}
+	estimate.utilization.add(0.1, fleetEstimateGain)
+	if got := estimate.busyFraction(); got != minBusyFraction {
+		t.Errorf("busy fraction %g of servers that are a tenth busy", got)
+	}
+}
+
+// Of eight servers that are listed, four have failed all attempts and three of the others have reported lately: as
+// many of all count as of those tried, by (1+3)/(1+3+4).
+func TestDeadServersCountAsThoseTried(t *testing.T) {
+	fleet := warmFleet(8)
+	now := time.Hour
+	for i, srv := range fleet.sortedServers {
+		switch {
+		case i < 4:
+			srv.outlier.consecutiveFailures = ejectionFailures
+		case i < 7:
+			srv.load.reportedAt = now
+		}
+	}
+	if got := fleet.countWarm(now); got != 4 {
+		t.Errorf("%g warm servers", got)
+	}
+	fleet.sortedServers[7].slowStart.isActive = true
+	if got := fleet.countWarm(now); got != 3.5 {
+		t.Errorf("%g warm servers beside one that is warming up", got)
+	}
+}
--- a/control/usage_test.go
+++ b/control/usage_test.go
@@ -49,39 +49,6 @@
 	}
 }
 
-// The meter's periods and their delay are learned from the units sent here.
-func TestMeterClockLearnsTheDelay(t *testing.T) {
-	settings := testSettings()
-	settings.Plans[0].QuotaRate, settings.Plans[0].QuotaBurst = 10, 1000
-	gateway := newTestGateway(t, settings, activeEndpoints(1, 2, 3)...)
-	account := gateway.controller.accountFor(gateway.controller.scheduler.plans[0], "x", 1)
-	const late = 1300 * ms
-	var sent []time.Duration
-	for i := 0; i < 3000; i++ {
-		gateway.now += 10 * ms
-		gateway.controller.now = gateway.now
-		gateway.controller.refill(account)
-		if i%7 == 0 && (i/300)%2 == 0 {
-			account.chargeFirstAttempt(1, gateway.controller.currentBin())
-			sent = append(sent, gateway.now)
-		}
-		end := (gateway.now - late).Truncate(time.Second)
-		n := 0
-		for _, at := range sent {
-			if at >= end-time.Second && at < end {
-				n++
-			}
-		}
-		if i%5 == 0 {
-			gateway.recordReading(account, 1+n*10, 1)
-		}
-	}
-	end := gateway.controller.usage.meter.periodEndBin(gateway.controller.currentBin())
-	if want := int64((gateway.now - late).Truncate(time.Second) / (100 * ms)); end < want-1 || end > want+1 {
-		t.Errorf("the told period is taken to end in bin %d, it ended in %d", end, want)
-	}
-}
-
 // Guards against a heavy customer that each of many gateways takes for a new one: after a few readings, even seconds
 // apart, most of its requests are rejected, and most of a calm one's admitted, which come so seldom that each counts
 // for more.
@@ -165,20 +132,3 @@
 	is("after a resume", "low", 2.75/4.5/2)
 	is("after a resume", "high", 2.75/4/2)
 }
-
-func TestInFlightQuotaQueuesRequests(t *testing.T) {
-	settings := testSettings()
-	settings.Plans[0].QuotaRate, settings.Plans[0].QuotaBurst, settings.Plans[0].MaxInFlight = 0, 0, 4
-	gateway := newTestGateway(t, settings, activeEndpoints(1, 2, 3, 4)...)
-	for i := 0; i < 4; i++ {
-		gateway.request(fmt.Sprint(i), "job", "low", "x")
-	}
-	gateway.request("y", "job", "low", "y")
-	if gateway.controller.accountFor(gateway.controller.scheduler.plans[0], "x", 2).inFlight.current != 2 || gateway.attempts["y"] != 1 {
-		t.Fatalf("sends %v: two of x are its part of four, y is not held up", gateway.sends)
-	}
-	gateway.respond("0", OK, 0)
-	if gateway.attempts["2"] != 1 {
-		t.Error("the next of x did not follow")
-	}
-}
