--- a/internal/daemon/checkpoint.go
+++ b/internal/daemon/checkpoint.go
@@ -13,8 +13,8 @@
 
 // checkpointer coordinates the writers of the checkpoint file.
 type checkpointer struct {
-	ownsFile atomic.Bool  // the state directory's files are this process's to write, not its successor's or predecessor's
-	interval atomic.Int64 // between two checkpoints, a time.Duration
+	ownsFile atomic.Bool  // this process writes the state directory's files, and not its successor or predecessor
+	interval atomic.Int64 // between two checkpoints, as a time.Duration
 
 	mu        sync.Mutex // held while a checkpoint is saved
 	isStopped bool
@@ -27,7 +27,7 @@
 	c.isStopped = true
 }
 
-// save saves a checkpoint of d's node where the file is this process's. It returns false once stopped.
+// save saves a checkpoint of d's node where this process owns the file. It returns false once stopped.
 func (c *checkpointer) save(d *daemon) (ok bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,8 +40,8 @@
 	return true, err
 }
 
-// saveCheckpoints saves a checkpoint at each interval until ctx ends, so that a start after a crash knows
-// what was learned. A disk that is full or read-only is logged once, and again once it is writable.
+// saveCheckpoints saves a checkpoint at each interval until ctx ends, so that a start after a crash has what was learned.
+// The first of several failures is logged, and the success after them.
 func (d *daemon) saveCheckpoints(ctx context.Context) {
 	if d.store == nil {
 		return
@@ -69,7 +69,8 @@
 	}
 }
 
-// restoreCheckpoint restores the node from the checkpoint of the last run, as far as that can be trusted.
+// restoreCheckpoint restores the node from the checkpoint of the last run. Where that run has not ended by a graceful
+// shutdown, estimates alone are restored, as it may have spent more since.
 func (d *daemon) restoreCheckpoint() {
 	if d.store == nil {
 		return
@@ -83,20 +84,20 @@
 	case !found:
 		slog.Info("no checkpoint of an earlier run", "dir", d.cfg.Process.State)
 	case err != nil, !checkpoint.Clean:
-		cause := "the last run did not end in order"
+		cause := "the last run did not end by a graceful shutdown"
 		if err != nil {
 			cause = err.Error()
 		}
-		slog.Warn("no clean checkpoint, hard limits start empty and servers warming up as unseen", "cause", cause, "age", age)
+		slog.Warn("no clean checkpoint, hard limits start empty and slow starts anew", "cause", cause, "age", age)
 		d.conditions.add(conditionLastSpending, cause)
 		d.node.Restore(checkpoint, control.TrustEstimates)
-	default:
+	default: // the last run ended by a graceful shutdown
 		slog.Info("checkpoint restored", "age", age)
 		d.node.Restore(checkpoint, control.TrustAll)
 	}
 }
 
-// drainFinished has the event loop save the final checkpoint and close done.
+// drainFinished is posted at the end of the node's drain: the event loop saves the final checkpoint and closes done.
 type drainFinished struct{ done chan struct{} }
 
 func (f drainFinished) handle(d *daemon) error {
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// awaitFinalCheckpoint is called by the node at the end of its drain, from the node's goroutine.
+// awaitFinalCheckpoint returns once the final checkpoint is saved. The node's goroutine calls it.
 func (d *daemon) awaitFinalCheckpoint() {
 	f := drainFinished{make(chan struct{})}
 	d.post(f)
@@ -115,16 +116,21 @@
 	}
 }
 
-// saveFinalCheckpoint is called when a drain has come so far that nothing more will be spent: what is left
-// goes to the successor, or to the file for the next start.
+// sendFinalCheckpoint sends the successor all that is left to spend.
+func (d *daemon) sendFinalCheckpoint() error {
+	encoded, err := state.Encode(d.node.HandOver(1))
+	if err != nil {
+		return err
+	}
+	return d.successor.SendFinalCheckpoint(encoded)
+}
+
+// saveFinalCheckpoint is called in a drain once nothing more will be spent: what is left goes to the successor, or to
+// the file for the next start.
 func (d *daemon) saveFinalCheckpoint() {
 	d.checkpointer.stop()
-	if s := d.successor; s != nil && s.phase == successorServing {
-		encoded, err := state.Encode(d.node.HandOver(1))
-		if err == nil {
-			err = s.SendFinalCheckpoint(encoded)
-		}
-		if err != nil {
+	if d.hasServingSuccessor() {
+		if err := d.sendFinalCheckpoint(); err != nil {
 			slog.Warn("upgrade: final checkpoint not sent, what was left is lost", "err", err)
 		}
 		return
--- a/internal/daemon/commands.go
+++ b/internal/daemon/commands.go
@@ -12,17 +12,23 @@
 	"lockflow/internal/lifecycle"
 )
 
-// Commands are what a coordinator has a fleet member do once each, by id; the control socket and the stored
-// data call one an order. The member's desired state is saved before a command begins and after it has ended.
+// A command is what a coordinator has a fleet member do, once for each id; the control socket and the stored data call it
+// an order. The member's desired state is saved before a command starts and after it has ended.
 
-// runningCommand is a command that has begun and not ended.
+// runningCommand is a command that has started and not ended.
 type runningCommand struct {
-	id, hash    string
+	id          string
 	kind        desiredstate.Kind
-	isInherited bool         // the predecessor has begun it
+	hash        string       // of the settings that it puts in force
+	isInherited bool         // the predecessor has started it
 	waiters     []chan error // each has space for the outcome
 }
 
+// isUpgrade tells whether the command starts a new process.
+func (r *runningCommand) isUpgrade() bool {
+	return r.kind == desiredstate.KindProgram || r.kind == desiredstate.KindRestart
+}
+
 // claimRequest is a coordinator's claim of an epoch.
 type claimRequest struct {
 	claim  desiredstate.Claim
@@ -38,7 +44,7 @@
 	return nil
 }
 
-// setDrainedRequest is the operator's change of the desired state, beside all coordinators.
+// setDrainedRequest is the operator's change of the desired state, regardless of coordinators.
 type setDrainedRequest struct {
 	isDrained bool
 	answer    chan error
@@ -53,7 +59,7 @@
 	return nil
 }
 
-// commandRequest asks for a command; the answer comes when that has ended.
+// commandRequest requests a command; the answer is sent when that has ended.
 type commandRequest struct {
 	command desiredstate.Command
 	answer  chan error
@@ -78,7 +84,7 @@
 	return nil
 }
 
-// commandFinished is the end of a command that another goroutine has carried out.
+// commandFinished is the end of a command that another goroutine has run.
 type commandFinished struct {
 	command      *runningCommand
 	err          error
@@ -94,7 +100,7 @@
 	}
 	isSettings := f.command.kind == desiredstate.KindSettings
 	if f.err == nil && isSettings && d.cfg.Hash != f.command.hash {
-		f.err = fmt.Errorf("the file was replaced by another hand: the settings in force have the hash %s", d.cfg.Hash)
+		f.err = fmt.Errorf("the file was replaced meanwhile: the settings in force have the hash %s", d.cfg.Hash)
 	}
 	d.finishCommand(f.err)
 	if isSettings {
@@ -145,7 +151,7 @@
 	return nil
 }
 
-// beginCommand saves the desired state with the command begun in it and starts the command.
+// beginCommand saves next, the desired state in which the command has started, and starts it.
 func (d *daemon) beginCommand(r commandRequest, next desiredstate.State) {
 	c := r.command
 	err := d.checkCommand(c.Operation)
@@ -157,34 +163,34 @@
 		return
 	}
 	slog.Info("command started", "id", c.ID, "epoch", c.Epoch, "owner", c.Owner, "kind", c.Operation.Kind)
-	d.running = &runningCommand{id: c.ID, kind: c.Operation.Kind, hash: c.Operation.Hash, waiters: []chan error{r.answer}}
+	d.running = &runningCommand{
+		id:      c.ID,
+		kind:    c.Operation.Kind,
+		hash:    c.Operation.Hash,
+		waiters: []chan error{r.answer},
+	}
 	d.startCommand(c.Operation)
 }
 
-// checkCommand returns why a command can't begin now, or at all.
+// checkCommand returns why a command can't start now, or at all.
 func (d *daemon) checkCommand(operation desiredstate.Operation) error {
-	current := d.machine.State()
 	switch operation.Kind {
 	case desiredstate.KindDrain:
 		if d.member.store.IsVolatile() {
 			return invalidError("process.state is not set: started again, it would serve")
 		}
-		if current == lifecycle.Draining || current == lifecycle.Ended {
-			return busyError("the daemon is %v", current)
-		}
-	case desiredstate.KindServe:
-		if current == lifecycle.Draining || current == lifecycle.Ended {
-			return busyError("the daemon is %v", current)
-		}
 	case desiredstate.KindProgram:
 		if err := checkExecutable(operation.Path); err != nil {
 			return invalidError(err.Error())
 		}
-		fallthrough
-	default:
-		if current != lifecycle.Ready {
-			return busyError("the daemon is %v", current)
-		}
+	}
+	current := d.machine.State()
+	canStart := current == lifecycle.Ready
+	if operation.Kind == desiredstate.KindDrain || operation.Kind == desiredstate.KindServe {
+		canStart = !isEnding(current)
+	}
+	if !canStart {
+		return busyError("the daemon is %v", current)
 	}
 	return nil
 }
@@ -213,8 +219,8 @@
 	}
 }
 
-// startUpgradeCommand starts an upgrade to a program (empty for the one that runs). The command succeeds when
-// the successor's probation has ended, and fails here where the upgrade fails before.
+// startUpgradeCommand starts an upgrade to a program (empty for the one that runs). The command succeeds when the
+// successor's probation ends, and fails where the upgrade fails before.
 func (d *daemon) startUpgradeCommand(running *runningCommand, program string) {
 	if program == "" {
 		program = d.opts.Program
@@ -243,13 +249,12 @@
 	d.answerCommand(d.member.desiredState.LastOutcome())
 }
 
-// interruptedOutcome is the outcome of a command of which nothing remains: it begins anew when it is sent
-// again.
+// interruptedOutcome is the outcome of a command of which nothing remains: it starts anew when it is sent again.
 func interruptedOutcome(id string) desiredstate.Outcome {
-	return desiredstate.Outcome{ID: id, Code: desiredstate.CodeBusy, Error: "order " + id + " was cut: ask again"}
+	return desiredstate.Outcome{ID: id, Code: desiredstate.CodeBusy, Error: "order " + id + " was interrupted: ask again"}
 }
 
-// answerCommand answers those who wait for the running command.
+// answerCommand answers all requests that wait for the running command, which has ended.
 func (d *daemon) answerCommand(outcome desiredstate.Outcome) {
 	running := d.running
 	d.running = nil
@@ -257,11 +262,16 @@
 	answerEach(running.waiters, outcomeError(outcome))
 }
 
-// takeOverDesiredState reads the predecessor's desired state, and the command that it has begun.
+// takeOverDesiredState reads the predecessor's desired state, and the command that it has started.
 func (d *daemon) takeOverDesiredState() {
 	d.reloadDesiredState()
 	if running := d.member.desiredState.Running; running != nil {
-		d.running = &runningCommand{id: running.ID, kind: running.Kind, hash: running.Hash, isInherited: true}
+		d.running = &runningCommand{
+			id:          running.ID,
+			kind:        running.Kind,
+			hash:        running.Hash,
+			isInherited: true,
+		}
 	}
 }
 
--- a/internal/daemon/conditions.go
+++ b/internal/daemon/conditions.go
@@ -19,8 +19,8 @@
 	conditionGroupSizePrefix = "size of the group, by the servers of "
 )
 
-// degradedConditions are what the daemon can't rely on at present; the status lists them (key distrusts).
-// It is safe for concurrent use; its zero value has none.
+// degradedConditions are what the daemon can't rely on at present, by name. The status lists them (key distrusts).
+// They are safe for concurrent use; the zero value has none.
 type degradedConditions struct {
 	mu     sync.Mutex
 	byName map[string]condition
@@ -32,7 +32,7 @@
 	cause string
 }
 
-// add adds a condition, or replaces the cause of one that lasts.
+// add adds a condition, or replaces the cause of one that is there already.
 func (d *degradedConditions) add(name, cause string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -53,7 +53,7 @@
 	delete(d.byName, name)
 }
 
-// list returns the conditions as text, sorted, and never nil.
+// list returns the conditions as text, sorted; an empty list is not nil.
 func (d *degradedConditions) list() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package daemon runs a node as a daemon. Its event loop passes what happens (signals, requests on the
-// control socket, what a successor or predecessor process does) to the state machine of package lifecycle
-// and carries out the actions that this returns: reload, binary upgrade, drain.
+// Package daemon runs a node as a daemon. Its event loop passes events (signals, requests on the control socket,
+// messages of a successor or predecessor process) to the state machine of package lifecycle and carries out the actions
+// that this returns: reload, binary upgrade, drain.
 //
 // Package command calls Run. One goroutine, the event loop (loop.go), owns the daemon's mutable state; every
 // other goroutine posts events to it. The control socket's handlers (manage.Daemon) run in goroutines of
@@ -45,20 +45,19 @@
 
 // daemon is one run.
 type daemon struct {
-	opts            Options
-	node            *node.Node           // nil until build
-	store           *state.Store         // nil without a state directory
-	pidFile         *supervise.PIDFile   // nil without one
-	predecessor     *upgrade.Predecessor // nil where this process is no successor
-	events          chan event
-	loopEnded       chan struct{} // closed when the event loop takes no events any more
-	startedAt       time.Time
-	goroutines      sync.WaitGroup // those that end with the event loop
-	conditions      degradedConditions
-	checkpointer    checkpointer
-	endWhileDrained chan struct{} // ends a daemon that is drained
+	opts         Options
+	node         *node.Node           // nil until build
+	store        *state.Store         // nil without a state directory
+	pidFile      *supervise.PIDFile   // nil without one
+	predecessor  *upgrade.Predecessor // nil where this process is no successor
+	events       chan event
+	loopEnded    chan struct{} // closed when the event loop takes no events any more
+	startedAt    time.Time
+	goroutines   sync.WaitGroup // those that end with the event loop
+	conditions   degradedConditions
+	checkpointer checkpointer
 
-	// The event loop alone uses the fields below once it runs.
+	// Once the event loop runs, it alone uses the fields below.
 
 	cfg           config.Config // in force
 	member        *member
@@ -67,16 +66,16 @@
 	controlServer *manage.Server // nil without a control socket
 	startDrain    context.CancelFunc
 
-	pendingReloads  []chan error // who waits for a reload that has not begun
-	runningReloads  []chan error // who waits for the one that runs
-	pendingUpgrades []chan error // who waits for an upgrade
-	nextProgram     string       // what the next upgrade starts; empty for opts.Program
+	pendingReloads  []chan error // answers of requests for a reload that has not started
+	runningReloads  []chan error // answers of requests for the one that runs
+	pendingUpgrades []chan error // answers of requests for an upgrade
+	nextProgram     string       // that the next upgrade starts; empty for opts.Program
 	successor       *successor   // nil while there is none
 }
 
 // Run runs a daemon until ctx ends and it has drained, or a successor has taken its place.
-func Run(ctx context.Context, o Options) error {
-	d, err := prepare(o)
+func Run(ctx context.Context, opts Options) error {
+	d, err := prepare(opts)
 	if err != nil {
 		return err
 	}
@@ -102,22 +101,21 @@
 }
 
 // prepare reads the configuration and opens the files.
-func prepare(o Options) (d *daemon, err error) {
+func prepare(opts Options) (d *daemon, err error) {
 	d = &daemon{
-		opts:            o,
-		events:          make(chan event, maxQueuedEvents),
-		loopEnded:       make(chan struct{}),
-		startedAt:       time.Now(),
-		endWhileDrained: make(chan struct{}, 1),
+		opts:      opts,
+		events:    make(chan event, maxQueuedEvents),
+		loopEnded: make(chan struct{}),
+		startedAt: time.Now(),
 	}
-	if d.predecessor, err = upgrade.Join(o.Getenv); err != nil {
+	if d.predecessor, err = upgrade.Join(opts.Getenv); err != nil {
 		return nil, err
 	}
-	if d.cfg, err = o.LoadConfig(); err != nil {
-		if d.predecessor != nil || !rollBackUnreadableSettings(o, err) {
+	if d.cfg, err = opts.LoadConfig(); err != nil {
+		if d.predecessor != nil || !rollBackUnreadableSettings(opts, err) {
 			return nil, err
 		}
-		if d.cfg, err = o.LoadConfig(); err != nil {
+		if d.cfg, err = opts.LoadConfig(); err != nil {
 			return nil, err
 		}
 	}
@@ -134,14 +132,14 @@
 	return d, nil
 }
 
-// build makes everything else that can fail before the first client connects.
+// build makes the node and all else that can fail before the first client connects.
 func (d *daemon) build() error {
 	listeners, err := d.inheritListeners()
 	if err != nil {
 		return err
 	}
 	if d.predecessor != nil {
-		d.predecessor.CloseUnclaimed() // what the configuration no longer has
+		d.predecessor.CloseUnclaimed() // files that the configuration no longer has
 	}
 	d.opts.ApplyRuntimeLimits(d.cfg)
 	if d.node, err = node.NewInheriting(d.cfg, listeners); err != nil {
@@ -221,14 +219,7 @@
 		configured[address] = true
 	}
 	if d.predecessor != nil {
-		listeners, err := d.predecessor.TakeListeners(filePrefixListener)
-		for address, l := range listeners {
-			if !configured[address] { // the configuration has changed meanwhile
-				l.Close()
-				delete(listeners, address)
-			}
-		}
-		return listeners, err
+		return d.takeListeners(configured)
 	}
 	listeners, err := supervise.InheritedListeners()
 	if err != nil {
@@ -242,8 +233,21 @@
 	return listeners, nil
 }
 
-// listenControl opens the control socket and has served answer on it; where it is open already and is not
-// to be taken over, served answers from now on.
+// takeListeners returns the predecessor's listeners at configured addresses. It closes others: the configuration has
+// changed since the predecessor read it.
+func (d *daemon) takeListeners(configured map[string]bool) (map[string]net.Listener, error) {
+	listeners, err := d.predecessor.TakeListeners(filePrefixListener)
+	for address, listener := range listeners {
+		if !configured[address] {
+			listener.Close()
+			delete(listeners, address)
+		}
+	}
+	return listeners, err
+}
+
+// listenControl opens the control socket, on which served answers. Where it is open already and is not to be taken
+// over, served answers there from now on.
 func (d *daemon) listenControl(served manage.Daemon, takeOver bool) (err error) {
 	path := d.cfg.Process.Control
 	if path == "" {
@@ -263,12 +267,11 @@
 // close closes what prepare and build have opened.
 func (d *daemon) close() {
 	d.controlServer.Close()
-	hasHandedOver := d.successor != nil && d.successor.phase == successorServing
 	neverTookOver := d.predecessor != nil && !d.checkpointer.ownsFile.Load()
-	if hasHandedOver || neverTookOver {
-		_ = d.pidFile.Release() // the other process's, which nothing is written to any more
+	if d.hasServingSuccessor() || neverTookOver {
+		_ = d.pidFile.Release() // the other process has it, and this one writes nothing more
 	} else {
-		_ = d.pidFile.Close() // a file that stays is unlocked: whoever reads it can tell that no process has it
+		_ = d.pidFile.Close() // a file that could not be removed is unlocked: the next daemon takes it over
 	}
 	if d.member != nil {
 		d.member.store.Close()
--- a/internal/daemon/drained.go
+++ b/internal/daemon/drained.go
@@ -8,6 +8,7 @@
 	"os"
 	"sync"
 
+	"lockflow/internal/config"
 	"lockflow/internal/desiredstate"
 	"lockflow/internal/lifecycle"
 	"lockflow/internal/manage"
@@ -15,10 +16,11 @@
 	"lockflow/internal/supervise"
 )
 
-// drainedDaemon is a daemon whose desired state is drained: it holds its files and answers on its control socket,
-// so that it can be claimed and commanded, and has no listeners. A supervisor that restarts it finds it the same.
+// drainedDaemon is a daemon whose desired state is drained: it has its files locked and answers on its control socket,
+// so that it can be claimed and commanded, and has no listeners. After a restart it is drained again.
 type drainedDaemon struct {
 	daemon         *daemon
+	stopRequested  chan struct{} // has space for one request
 	serveRequested chan struct{} // closed, under mu, once it is to serve
 	resumed        chan struct{} // closed once resume has returned
 	resumeErr      error         // its result; read after resumed is closed
@@ -37,22 +39,24 @@
 // socket requests the end.
 func (d *daemon) runDrained(ctx context.Context) (*drainedDaemon, error) {
 	if d.cfg.Process.Control == "" {
-		return nil, errors.New("it is wanted drained, and has no control socket by which it could be told to serve")
+		return nil, errors.New("the desired state is drained, and there is no control socket by which serving could be requested")
+	}
+	r := &drainedDaemon{
+		daemon:         d,
+		stopRequested:  make(chan struct{}, 1),
+		serveRequested: make(chan struct{}),
+		resumed:        make(chan struct{}),
 	}
-	r := &drainedDaemon{daemon: d, serveRequested: make(chan struct{}), resumed: make(chan struct{})}
 	if err := d.listenControl(r, false); err != nil {
 		return nil, err
 	}
-	slog.Info("lifecycle transition", "from", lifecycle.Starting, "to", manage.StateDrained, "cause", "it is wanted drained: lockflow fleet serve undoes that")
-	logSupervisor(supervise.NotifyReady("drained, as is wanted"))
+	slog.Info("lifecycle transition", "from", lifecycle.Starting, "to", manage.StateDrained,
+		"cause", "the desired state is drained: lockflow fleet serve undoes that")
+	logSupervisor(supervise.NotifyReady("drained, as desired"))
 
 	watchdogContext, endWatchdog := context.WithCancel(ctx)
 	var watchdog sync.WaitGroup
-	watchdog.Go(func() {
-		if err := supervise.RunWatchdog(watchdogContext, func(context.Context) bool { return true }); err != nil {
-			slog.Warn("watchdog notification failed", "err", err)
-		}
-	})
+	watchdog.Go(func() { runWatchdog(watchdogContext, func(context.Context) bool { return true }) })
 	defer watchdog.Wait()
 	defer endWatchdog()
 	if r.awaitServeRequest(ctx) {
@@ -64,7 +68,8 @@
 // awaitServeRequest returns true once the daemon is to serve, false once it is to end. Signals for a reload or an
 // upgrade are ignored: the configuration file is read when it serves.
 func (r *drainedDaemon) awaitServeRequest(ctx context.Context) bool {
-	reloads, upgrades := r.daemon.opts.ReloadSignals, r.daemon.opts.UpgradeSignals
+	reloads := r.daemon.opts.ReloadSignals
+	upgrades := r.daemon.opts.UpgradeSignals
 	for {
 		select {
 		case _, ok := <-reloads:
@@ -79,29 +84,32 @@
 			return true
 		case <-ctx.Done():
 			return false
-		case <-r.daemon.endWhileDrained:
+		case <-r.stopRequested:
 			return false
 		}
 	}
 }
 
-// resume builds what serves.
+// resume reads the configuration again and builds the node.
 func (r *drainedDaemon) resume() (err error) {
 	defer func() {
 		r.resumeErr = err
 		close(r.resumed)
 	}()
 	d := r.daemon
-	old := d.cfg.Process
+	previous := d.cfg.Process
 	if d.cfg, err = d.opts.LoadConfig(); err != nil {
 		return err
 	}
-	if d.cfg.Process.State != old.State || d.cfg.Process.Control != old.Control {
+	if !haveSameFiles(previous, d.cfg.Process) {
 		return errors.New("process.state or process.control has changed while the daemon was drained: start it again")
 	}
 	return d.build()
 }
 
+// haveSameFiles tells whether the state directory and the control socket are the same.
+func haveSameFiles(a, b config.Process) bool { return a.State == b.State && a.Control == b.Control }
+
 // awaitResume waits until resume has returned, and returns its error.
 func (r *drainedDaemon) awaitResume(ctx context.Context) error {
 	select {
@@ -164,7 +172,7 @@
 		return busyError("the daemon starts")
 	}
 	select {
-	case r.daemon.endWhileDrained <- struct{}{}:
+	case r.stopRequested <- struct{}{}:
 	default:
 	}
 	return nil
@@ -217,8 +225,8 @@
 	return r.daemon.RunCommand(ctx, command)
 }
 
-// runCommand runs what a drained daemon can of a command. Where it returns false, d runs the command once it has
-// resumed.
+// runCommand runs a command as far as a drained daemon can. Where isComplete is false, the daemon runs the command once
+// it has resumed.
 func (r *drainedDaemon) runCommand(command desiredstate.Command) (isComplete bool, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -260,7 +268,7 @@
 	if err != nil {
 		return err
 	}
-	if old := d.cfg.Process; old.State != next.Process.State || old.Control != next.Process.Control {
+	if !haveSameFiles(d.cfg.Process, next.Process) {
 		return fmt.Errorf("process.state and process.control can't change without a restart: %q, %q", next.Process.State, next.Process.Control)
 	}
 	if err := desiredstate.ReplaceFile(d.opts.ConfigPath, []byte(operation.Text)); err != nil {
--- a/internal/daemon/groupsize.go
+++ b/internal/daemon/groupsize.go
@@ -11,8 +11,8 @@
 // groupSizeInterval is the time between two comparisons of the group's size with load reports.
 const groupSizeInterval = 2 * time.Second
 
-// watchGroupSize logs, until ctx ends, where the load reports of a service's servers begin and cease to
-// contradict the configured group size.
+// watchGroupSize logs when the load reports of a service's servers begin to contradict the configured group size, and
+// when they agree again, until ctx ends.
 func (d *daemon) watchGroupSize(ctx context.Context) {
 	ticker := time.NewTicker(groupSizeInterval)
 	defer ticker.Stop()
@@ -26,12 +26,13 @@
 		_, configured := d.node.Instance()
 		for _, s := range d.node.Status() {
 			name := conditionGroupSizePrefix + s.Name
-			low, high := s.GroupSizeRange[0], s.GroupSizeRange[1]
+			low := s.GroupSizeRange[0]
+			high := s.GroupSizeRange[1]
 			switch {
 			case s.IsGroupSizeContradicted && !wasContradicted[s.Name]:
 				slog.Warn("configured group size contradicts load reports, limits and slow start depend on it", "service", s.Name,
 					"group_size", configured, "reported_min", math.Round(low), "reported_max", math.Round(high))
-				d.conditions.add(name, fmt.Sprintf("%d are told, reports speak for %.0f to %.0f", configured, low, high))
+				d.conditions.add(name, fmt.Sprintf("%d configured, load reports indicate %.0f to %.0f", configured, low, high))
 			case !s.IsGroupSizeContradicted && wasContradicted[s.Name]:
 				slog.Info("configured group size agrees with load reports again", "service", s.Name, "group_size", configured)
 				d.conditions.clear(name)
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -12,9 +12,9 @@
 	"lockflow/internal/supervise"
 )
 
-// event is something that another goroutine has posted for the event loop.
+// event is posted by another goroutine for the event loop.
 type event interface {
-	// handle is called by the event loop. An error ends the daemon.
+	// handle handles the event in the event loop. An error ends the daemon.
 	handle(d *daemon) error
 }
 
@@ -43,13 +43,9 @@
 	return d.loop(ctx, nodeEnded)
 }
 
-// startBackground starts what runs beside the node until ctx ends.
+// startBackground starts the goroutines that run until ctx ends.
 func (d *daemon) startBackground(ctx context.Context) {
-	d.goroutines.Go(func() {
-		if err := supervise.RunWatchdog(ctx, d.node.Alive); err != nil {
-			slog.Warn("watchdog notification failed", "err", err)
-		}
-	})
+	d.goroutines.Go(func() { runWatchdog(ctx, d.node.Alive) })
 	d.checkpointer.ownsFile.Store(d.predecessor == nil)
 	d.checkpointer.interval.Store(int64(d.cfg.Process.Checkpoint))
 	d.goroutines.Go(func() { d.saveCheckpoints(ctx) })
@@ -57,10 +53,20 @@
 	d.startMetrics(ctx)
 }
 
-// loop handles events until the node has ended.
+// runWatchdog notifies the supervisor's watchdog until ctx ends.
+func runWatchdog(ctx context.Context, isAlive func(context.Context) bool) {
+	if err := supervise.RunWatchdog(ctx, isAlive); err != nil {
+		slog.Warn("watchdog notification failed", "err", err)
+	}
+}
+
+// loop handles events until the node has ended. A channel that is closed, or has delivered its one event, is nil from
+// then on.
 func (d *daemon) loop(ctx context.Context, nodeEnded <-chan error) error {
-	stop, ready := ctx.Done(), d.node.Ready()
-	reloads, upgrades := d.opts.ReloadSignals, d.opts.UpgradeSignals
+	stop := ctx.Done()
+	ready := d.node.Ready()
+	reloads := d.opts.ReloadSignals
+	upgrades := d.opts.UpgradeSignals
 	for {
 		select {
 		case <-ready:
@@ -80,7 +86,7 @@
 			d.handleUpgradeSignal()
 		case <-stop:
 			stop = nil
-			d.advance(lifecycle.StopRequested{Cause: "asked to end"})
+			d.advance(lifecycle.StopRequested{Cause: "stop requested"})
 		case e := <-d.events:
 			if err := d.handleEvent(e, nodeEnded); err != nil {
 				return err
@@ -105,7 +111,7 @@
 		select {
 		case e := <-d.events:
 			if f, ok := e.(drainFinished); ok {
-				close(f.done) // without a checkpoint: the file is the predecessor's
+				close(f.done) // without a checkpoint: the predecessor has the file
 			}
 		case nodeErr := <-nodeEnded:
 			return errors.Join(err, nodeErr)
@@ -113,10 +119,10 @@
 	}
 }
 
-// nodeReady is called when every required service can serve for the first time.
+// nodeReady is called once, when every required service can serve.
 func (d *daemon) nodeReady() {
 	if d.predecessor != nil {
-		go d.requestCheckpoint() // nobody waits for it where this process ends before
+		go d.requestCheckpoint() // not waited for: it may outlast the event loop
 		return
 	}
 	d.servicesReady()
@@ -152,7 +158,8 @@
 	case lifecycle.LogTransition:
 		slog.Info("lifecycle transition", "from", a.From, "to", a.To, "cause", a.Cause)
 	case lifecycle.StartReload:
-		d.runningReloads, d.pendingReloads = d.pendingReloads, nil
+		d.runningReloads = d.pendingReloads
+		d.pendingReloads = nil
 		d.goroutines.Go(d.reload)
 	case lifecycle.SpawnSuccessor:
 		d.spawnSuccessor()
@@ -167,7 +174,7 @@
 	case lifecycle.ForwardReload:
 		d.successor.forwardReload()
 	case lifecycle.StartDrain:
-		answerEach(d.pendingReloads, errors.New("the daemon drains"))
+		answerEach(d.pendingReloads, errors.New("the daemon is draining"))
 		d.pendingReloads = nil
 		d.startDrain()
 	case lifecycle.NotifySupervisor:
@@ -191,17 +198,20 @@
 	return nil
 }
 
-// callInLoop calls do in the event loop, or here where that has ended, and returns after it.
-func (d *daemon) callInLoop(do func()) {
+// callInLoop calls a function in the event loop, or here where that has ended, and returns after it.
+func (d *daemon) callInLoop(call func()) {
 	done := make(chan struct{})
-	d.post(loopCall{func() { do(); close(done) }})
+	d.post(loopCall{func() {
+		call()
+		close(done)
+	}})
 	select {
 	case <-done:
 	case <-d.loopEnded:
 		select {
-		case <-done:
+		case <-done: // the loop's last event
 		default:
-			do()
+			call()
 		}
 	}
 }
--- a/internal/daemon/member.go
+++ b/internal/daemon/member.go
@@ -12,8 +12,8 @@
 )
 
 // member is this process's view of the fleet member that it runs: which coordinator's epoch is granted, which
-// commands it has run, and its desired state. One goroutine uses it: the event loop, or until that runs
-// whoever holds drainedDaemon.mu.
+// commands it has run, and its desired state. It is not safe for concurrent use: the event loop uses it, or before
+// that runs the holder of drainedDaemon.mu.
 type member struct {
 	store        *desiredstate.File
 	desiredState desiredstate.State
@@ -35,8 +35,8 @@
 	return m, nil
 }
 
-// load reads the desired state. One that can't be read is lost: the member rejects every coordinator until a claim says
-// that it knows of the loss.
+// load reads the desired state. One that can't be read is lost: the member rejects every coordinator until a claim with
+// the loss's token.
 func (m *member) load() {
 	loaded, err := m.store.Load()
 	if err != nil {
@@ -47,7 +47,8 @@
 		m.record(m.desiredState)
 		return
 	}
-	m.desiredState, m.isSaved = loaded, true
+	m.desiredState = loaded
+	m.isSaved = true
 	if loaded.LossToken != "" {
 		m.conditions.add(conditionOrders, "the epochs that were granted are lost")
 	}
@@ -62,19 +63,21 @@
 		m.conditions.add(conditionOrders, err.Error())
 		return &desiredstate.RejectedError{Code: desiredstate.CodeNotSaved, Text: err.Error()}
 	}
-	m.desiredState, m.isSaved = next, true
+	m.desiredState = next
+	m.isSaved = true
 	if next.LossToken == "" {
 		m.conditions.clear(conditionOrders)
 	}
 	return nil
 }
 
-// record replaces the desired state by next, which tells what has happened already, also where it can't be stored. A
-// process that finds the earlier one then recovers by what it observes.
+// record replaces the desired state by next, which has what happened already, also where it can't be stored. The next
+// process then finds the earlier one and recovers by what it observes.
 func (m *member) record(next desiredstate.State) {
 	if err := m.save(next); err != nil {
 		slog.Error("command outcome not saved", "err", err)
-		m.desiredState, m.isSaved = next, false
+		m.desiredState = next
+		m.isSaved = false
 	}
 }
 
@@ -94,8 +97,8 @@
 	return nil
 }
 
-// setDrained sets, for the operator and beside all epochs, whether the desired state is drained. Without a
-// state directory it can't be kept: the daemon drains all the same.
+// setDrained sets for the operator, regardless of epochs, whether the desired state is drained. Without a state
+// directory that can't be stored, and the daemon drains all the same.
 func (m *member) setDrained(isDrained bool) error {
 	if m.store.IsVolatile() && isDrained {
 		return nil
@@ -105,8 +108,12 @@
 
 // addStatus fills in what the status shows of the member.
 func (m *member) addStatus(s *manage.Status) {
-	s.Epoch, s.Owner, s.LostToken, s.IsVolatile = m.desiredState.Epoch, m.desiredState.Owner, m.desiredState.LossToken, m.store.IsVolatile()
-	s.LastCommand, s.DesiredState = m.desiredState.LastOutcome(), m.desiredState.Target
+	s.Epoch = m.desiredState.Epoch
+	s.Owner = m.desiredState.Owner
+	s.LostToken = m.desiredState.LossToken
+	s.IsVolatile = m.store.IsVolatile()
+	s.LastCommand = m.desiredState.LastOutcome()
+	s.DesiredState = m.desiredState.Target
 	if running := m.desiredState.Running; running != nil {
 		s.RunningCommand = running.ID
 	}
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -11,11 +11,11 @@
 	"lockflow/internal/node"
 )
 
-// metricsRetryInterval is the pause before the metrics' address is tried again.
+// metricsRetryInterval is the pause before the daemon listens at the metrics' address again.
 const metricsRetryInterval = 500 * time.Millisecond
 
-// startMetrics serves metrics until ctx ends, where an address is configured. An address that is in use is no
-// reason not to serve clients: during an upgrade the predecessor has it until its end.
+// startMetrics serves metrics until ctx ends, where an address is configured. It retries while the address is in use:
+// during an upgrade the predecessor has it until its end.
 func (d *daemon) startMetrics(ctx context.Context) {
 	address := d.cfg.Metrics
 	if address == "" {
@@ -31,12 +31,12 @@
 func (d *daemon) serveMetrics(ctx context.Context, address string, source metrics.Source) {
 	isFailureLogged := false
 	for ctx.Err() == nil {
-		l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
+		listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 		if err == nil {
-			slog.Info("serving metrics", "listen", l.Addr().String())
+			slog.Info("serving metrics", "listen", listener.Addr().String())
 			d.conditions.clear(conditionMetrics)
 			isFailureLogged = false
-			err = metrics.Serve(ctx, l, source)
+			err = metrics.Serve(ctx, listener, source)
 		}
 		if err != nil && !isFailureLogged {
 			isFailureLogged = true
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -8,7 +8,7 @@
 	"lockflow/internal/state"
 )
 
-// This file is the new process's side of a binary upgrade: it takes the place of its predecessor.
+// This file has the new process's side of a binary upgrade, in which it takes its predecessor's place.
 
 // receivedCheckpoint is the predecessor's checkpoint, or why there is none.
 type receivedCheckpoint struct {
@@ -18,7 +18,7 @@
 
 func (r receivedCheckpoint) handle(d *daemon) error { return d.takeOver(r) }
 
-// receivedFinalCheckpoint is what the predecessor left at its end; nil where that is not known.
+// receivedFinalCheckpoint is the final checkpoint of the predecessor, which has ended; nil where it sent none.
 type receivedFinalCheckpoint struct{ encoded []byte }
 
 func (r receivedFinalCheckpoint) handle(d *daemon) error {
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// requestCheckpoint tells the predecessor that this process could serve and waits for its checkpoint.
+// requestCheckpoint reports to the predecessor that this process could serve, and waits for its checkpoint.
 func (d *daemon) requestCheckpoint() {
 	encoded, err := d.predecessor.AwaitCheckpoint()
 	d.post(receivedCheckpoint{encoded, err})
@@ -47,7 +47,7 @@
 	}
 	d.takeOverDesiredState()
 	if err := d.listenControl(d, true); err != nil {
-		if received.err == nil { // the predecessor is there, and its socket works
+		if received.err == nil { // the predecessor runs and can go on with its own socket
 			return err
 		}
 		logControlSocket(err)
@@ -58,7 +58,9 @@
 	if err := d.predecessor.AnnounceTakeOver(); err != nil {
 		slog.Warn("upgrade: predecessor has ended", "err", err)
 	}
-	go func() { d.post(receivedFinalCheckpoint{d.predecessor.AwaitFinalCheckpoint()}) }()
+	go func() { // not waited for: the predecessor may outlive this process
+		d.post(receivedFinalCheckpoint{d.predecessor.AwaitFinalCheckpoint()})
+	}()
 	d.servicesReady()
 	return nil
 }
--- a/internal/daemon/requests.go
+++ b/internal/daemon/requests.go
@@ -19,13 +19,14 @@
 }
 
 func (r reloadRequest) handle(d *daemon) error {
-	switch s := d.machine.State(); {
-	case s == lifecycle.Draining || s == lifecycle.Ended:
-		r.answer <- fmt.Errorf("no reload: the daemon is %v", s)
+	current := d.machine.State()
+	if isEnding(current) {
+		r.answer <- fmt.Errorf("no reload: the daemon is %v", current)
 		return nil
-	case d.successor != nil && d.successor.phase == successorServing:
+	}
+	if d.hasServingSuccessor() {
 		r.answer <- errors.New("no reload: a successor has taken over; ask again")
-	default:
+	} else {
 		d.pendingReloads = append(d.pendingReloads, r.answer)
 	}
 	d.advance(lifecycle.ReloadRequested{Cause: r.cause})
@@ -40,9 +41,10 @@
 }
 
 func (r upgradeRequest) handle(d *daemon) error {
-	s := d.machine.State()
-	if s == lifecycle.Draining || s == lifecycle.HandingOver || s == lifecycle.Ended || len(d.pendingUpgrades) > 0 {
-		r.answer <- fmt.Errorf("no upgrade: the daemon is %v", s)
+	current := d.machine.State()
+	isUpgrading := current == lifecycle.HandingOver || len(d.pendingUpgrades) > 0
+	if isEnding(current) || isUpgrading {
+		r.answer <- fmt.Errorf("no upgrade: the daemon is %v", current)
 		return nil
 	}
 	if err := d.checkUpgrade(r.isCommand); err != nil {
@@ -55,6 +57,10 @@
 	return nil
 }
 
+func isEnding(state lifecycle.State) bool {
+	return state == lifecycle.Draining || state == lifecycle.Ended
+}
+
 // Reload implements manage.Daemon.
 func (d *daemon) Reload(ctx context.Context) error {
 	answer := make(chan error, 1)
@@ -73,7 +79,7 @@
 	return d.postAndWait(ctx, upgradeRequest{program: program, answer: answer}, answer)
 }
 
-// errEnded is the answer of a daemon that has ended. The next one knows the result of what was running.
+// errEnded is the answer of a daemon that has ended. What was running may have succeeded: the next process finds out.
 var errEnded = errors.New("the daemon has ended")
 
 // postAndWait posts an event and waits for its answer.
@@ -101,10 +107,12 @@
 	}
 }
 
-// answerAllRequests answers whoever waits for a reload or an upgrade.
+// answerAllRequests answers all requests of reloads and upgrades that wait.
 func (d *daemon) answerAllRequests(err error) {
 	answerEach(d.pendingReloads, err)
 	answerEach(d.runningReloads, err)
 	answerEach(d.pendingUpgrades, err)
-	d.pendingReloads, d.runningReloads, d.pendingUpgrades = nil, nil, nil
+	d.pendingReloads = nil
+	d.runningReloads = nil
+	d.pendingUpgrades = nil
 }
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -13,7 +13,7 @@
 )
 
 // applySettings replaces the configuration file by a command's and reloads it; inForce is the configuration
-// until then. On an error the file is as it was; isRolledBack tells that it was another one meanwhile.
+// until then. After an error the file is as it was; isRolledBack tells that it was replaced meanwhile.
 func (d *daemon) applySettings(inForce config.Config, operation desiredstate.Operation) (isRolledBack bool, err error) {
 	text := []byte(operation.Text)
 	next, err := d.opts.ParseConfig(text)
@@ -34,7 +34,7 @@
 		return false, fmt.Errorf("replacing the settings: %w", err)
 	}
 	if inForce.Hash == operation.Hash {
-		return false, nil // the file alone was another one
+		return false, nil // these settings are in force already: only the file differed
 	}
 	answer := make(chan error, 1)
 	err = d.postAndWait(context.Background(), reloadRequest{"order", answer}, answer)
@@ -48,45 +48,48 @@
 }
 
 // rollBackSettings restores the configuration file that a command has replaced, where the daemon can't start with
-// the new one. hash is that of the new one, or empty where it could not be read. It returns whether there is
-// another file to start with now.
-func rollBackSettings(m *member, o Options, hash string, cause error) bool {
+// the new one. hash is that of the new one, or empty where it could not be read. It returns whether the file is another
+// one now, so that the daemon may try to start with it.
+func rollBackSettings(m *member, opts Options, hash string, cause error) bool {
 	running := m.desiredState.Running
-	if running == nil || running.Kind != desiredstate.KindSettings || hash != "" && running.Hash != hash {
+	if running == nil || running.Kind != desiredstate.KindSettings {
+		return false
+	}
+	if hash != "" && running.Hash != hash {
 		return false
 	}
 	old, err := m.store.OldSettings()
 	if err == nil && desiredstate.Hash(old) == running.Hash {
-		return false // they were the same
+		return false // the command changed nothing
 	}
 	if err == nil {
-		err = desiredstate.ReplaceFile(o.ConfigPath, old)
+		err = desiredstate.ReplaceFile(opts.ConfigPath, old)
 	}
 	if err != nil {
 		slog.Error("settings rollback failed", "id", running.ID, "err", err)
 		return false
 	}
 	slog.Error("settings rolled back, the daemon can't start with a command's", "id", running.ID, "err", cause)
-	m.record(m.desiredState.Finish(fmt.Errorf("the daemon was cut, and could not start with it: %w", cause)))
+	m.record(m.desiredState.Finish(fmt.Errorf("the daemon was interrupted, and could not start with it: %w", cause)))
 	m.store.RemoveOldSettings()
 	return true
 }
 
 // rollBackUnreadableSettings is rollBackSettings where the configuration can't be read at all, so that the state
 // directory is known by the options alone.
-func rollBackUnreadableSettings(o Options, cause error) bool {
-	if o.StateDirectory == "" {
+func rollBackUnreadableSettings(opts Options, cause error) bool {
+	if opts.StateDirectory == "" {
 		return false
 	}
-	store, err := state.Open(o.StateDirectory, nil)
+	store, err := state.Open(opts.StateDirectory, nil)
 	if err != nil {
 		return false
 	}
 	defer store.Close() //nolint:errcheck // the lock alone, which ends with its file
-	m, err := openMember(o.StateDirectory, nil, &degradedConditions{})
+	m, err := openMember(opts.StateDirectory, nil, &degradedConditions{})
 	if err != nil {
 		return false
 	}
 	defer m.store.Close()
-	return rollBackSettings(m, o, "", cause)
+	return rollBackSettings(m, opts, "", cause)
 }
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -1,6 +1,7 @@
 package daemon
 
 import (
+	"errors"
 	"os"
 	"runtime"
 	"strconv"
@@ -47,10 +48,11 @@
 	d.member.addStatus(s)
 }
 
-// instanceStats returns the process's counts of itself.
+// instanceStats returns the statistics of this process.
 func (d *daemon) instanceStats() instancestats.Statistics {
 	stats := d.node.Statistics()
-	stats.Began, stats.MemoryKB = d.startedAt, residentMemoryKB()
+	stats.Began = d.startedAt
+	stats.MemoryKB = residentMemoryKB()
 	var usage unix.Rusage
 	if unix.Getrusage(unix.RUSAGE_SELF, &usage) == nil {
 		stats.CPU = time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
@@ -64,19 +66,29 @@
 	if err != nil {
 		return 0
 	}
-	return len(entries) - 1 // without the directory's own
+	return len(entries) - 1 // without that of the directory itself
 }
 
 // residentMemoryKB returns the resident memory (proc(5)) in kB, or what the Go runtime has from the system
 // where there is no /proc.
 func residentMemoryKB() int {
-	raw, err := os.ReadFile("/proc/self/statm")
-	if fields := strings.Fields(string(raw)); err == nil && len(fields) > 1 {
-		if pages, err := strconv.Atoi(fields[1]); err == nil {
-			return pages * os.Getpagesize() >> 10
-		}
+	if pages, err := residentPages(); err == nil {
+		return pages * os.Getpagesize() >> 10
 	}
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return int(stats.Sys >> 10)
 }
+
+// residentPages returns the second field of /proc/self/statm.
+func residentPages() (int, error) {
+	raw, err := os.ReadFile("/proc/self/statm")
+	if err != nil {
+		return 0, err
+	}
+	fields := strings.Fields(string(raw))
+	if len(fields) < 2 {
+		return 0, errors.New("/proc/self/statm has no resident pages")
+	}
+	return strconv.Atoi(fields[1])
+}
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -15,13 +15,13 @@
 	"lockflow/internal/upgrade"
 )
 
-// This file is the old process's side of a binary upgrade: it starts a successor and hands over to it.
+// This file has the old process's side of a binary upgrade, in which it starts a successor and hands over to it.
 
 // successorFraction is the part of what is left to spend that a successor gets while both processes serve:
-// requests go on coming over the old process's connections until it has closed them.
+// requests still arrive over the old process's connections until it has closed them.
 const successorFraction = 0.5
 
-// successorPhase is how far a successor has come.
+// successorPhase is what a successor has reached.
 type successorPhase int
 
 const (
@@ -40,11 +40,11 @@
 	isDetached     bool              // the daemon no longer handles its events
 }
 
-// successorEvent is what a successor did, or, with isLate or isConfirmed, that a time is over.
+// successorEvent is what a successor did, or, with isLate or isConfirmed, that one of its timers has fired.
 type successorEvent struct {
 	successor   *successor
 	event       upgrade.Event
-	isLate      bool // it has not accepted connections in time
+	isLate      bool // the time in which it had to accept connections is over
 	isConfirmed bool // its probation has ended
 }
 
@@ -63,7 +63,7 @@
 	slog.Info("upgrade: successor started", "program", program, "pid", s.PID())
 	d.successor = s
 	s.timer = time.AfterFunc(d.cfg.Process.Upgrade.Within, func() { d.post(successorEvent{successor: s, isLate: true}) })
-	go func() { // it may outlive this process
+	go func() { // not waited for: the successor may outlive this process
 		for e := range s.Events() {
 			d.post(successorEvent{successor: s, event: e})
 		}
@@ -105,7 +105,7 @@
 			s.Kill()
 		}
 	case e.isConfirmed:
-		if d.running != nil { // the successor has saved its outcome, and this process doesn't resume any more
+		if d.running != nil { // the successor has saved the outcome, and this process won't resume
 			d.answerCommand(desiredstate.Outcome{ID: d.running.id, Code: desiredstate.CodeOK})
 		}
 		d.advance(lifecycle.SuccessorConfirmed{})
@@ -119,6 +119,11 @@
 	return nil
 }
 
+// hasServingSuccessor tells whether a successor accepts connections in this process's place.
+func (d *daemon) hasServingSuccessor() bool {
+	return d.successor != nil && d.successor.phase == successorServing
+}
+
 func (d *daemon) successorEnded(s *successor) {
 	s.isDetached = true
 	if s.endCause == nil {
@@ -136,14 +141,15 @@
 	s := d.successor
 	d.checkpointer.ownsFile.Store(false) // the files are the successor's from now on
 	checkpoint := d.node.HandOver(successorFraction)
-	s.sentCheckpoint, s.phase = &checkpoint, successorHasCheckpoint
+	s.sentCheckpoint = &checkpoint
+	s.phase = successorHasCheckpoint
 	encoded, err := state.Encode(checkpoint)
 	if err != nil {
 		s.endCause = err
 		s.Kill()
 		return
 	}
-	go func() { // until the successor has read it
+	go func() { // not waited for: it ends when the successor has read the checkpoint or has ended
 		if err := s.SendCheckpoint(encoded); err != nil {
 			slog.Warn("upgrade: checkpoint not sent to successor", "err", err)
 			s.Kill()
@@ -180,10 +186,11 @@
 		d.reloadDesiredState()
 	}
 	cause = fmt.Errorf("the old process goes on: %w", cause)
-	if d.running != nil && (d.running.kind == desiredstate.KindProgram || d.running.kind == desiredstate.KindRestart) {
-		d.finishCommand(cause)
-	} else if d.running == nil {
+	switch {
+	case d.running == nil:
 		d.recoverCommand()
+	case d.running.isUpgrade():
+		d.finishCommand(cause)
 	}
 	answerEach(d.pendingUpgrades, cause)
 	d.pendingUpgrades = nil
@@ -212,7 +219,7 @@
 		if err := d.listenControl(d, true); err != nil {
 			logControlSocket(err)
 		}
-		go old.Shutdown() // it still answers who requested the upgrade
+		go old.Shutdown() // ends in a bounded time; it still answers the request of the upgrade
 	}
 }
 
@@ -230,7 +237,7 @@
 	}
 }
 
-// killSuccessor kills a successor that has not taken over: the daemon itself is to end.
+// killSuccessor kills a successor that has not taken over, as the daemon is to end.
 func (d *daemon) killSuccessor() {
 	s := d.successor
 	d.successor = nil
@@ -240,7 +247,7 @@
 		d.node.Rejoin(s.sentCheckpoint)
 	}
 	d.checkpointer.ownsFile.Store(true)
-	answerEach(d.pendingUpgrades, errors.New("the daemon was asked to end"))
+	answerEach(d.pendingUpgrades, errors.New("the daemon is stopping"))
 	d.pendingUpgrades = nil
 }
 
