--- a/internal/bulkhead/time_limiter.go
+++ b/internal/bulkhead/time_limiter.go
@@ -32,9 +32,9 @@
 	}
 }
 
-func (u *timeUse) add(now, took time.Duration) {
+func (u *timeUse) add(now, duration time.Duration) {
 	u.decay(now)
-	u.used += float64(took) / float64(smoothingTime)
+	u.used += float64(duration) / float64(smoothingTime)
 }
 
 // NewTimeLimiter creates a limiter of a total in seconds of a second.
@@ -52,9 +52,9 @@
 }
 
 // Record records that an owner has used some time.
-func (l *TimeLimiter) Record(now time.Duration, o Owner, took time.Duration) {
-	l.owners[o].add(now, took)
-	l.all.add(now, took)
+func (l *TimeLimiter) Record(now time.Duration, o Owner, duration time.Duration) {
+	l.owners[o].add(now, duration)
+	l.all.add(now, duration)
 }
 
 // Allows reports whether an owner may use more time now.
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -104,7 +104,7 @@
 	switch {
 	case source.hasMoved:
 		delay = pacer.MoveDelay()
-		w.lastHeard = w.lastHeard.Add(-moveTimeSpent)
+		w.lastReceived = w.lastReceived.Add(-moveTimeSpent)
 	case f.HasCachedList:
 		delay = pacer.FirstDelay()
 	}
--- a/internal/discovery/watch_stream.go
+++ b/internal/discovery/watch_stream.go
@@ -59,7 +59,7 @@
 		s.hasData = true
 		if hasText := len(bytes.TrimSpace(p[:n])) > 0; hasText || !s.isMidMessage {
 			s.isMidMessage = hasText
-			s.lastHeard = time.Now()
+			s.lastReceived = time.Now()
 			s.silenceTimer.Reset(s.silenceTimeout)
 		}
 	}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -33,13 +33,13 @@
 	silenceTimeout time.Duration
 	pacer          *Pacer
 	deliver        func(EndpointList)
-	lastHeard      time.Time
+	lastReceived   time.Time
 }
 
 func newWatcher(address string, revision int64, silenceTimeout time.Duration, pacer *Pacer, deliver func(EndpointList)) *watcher {
 	return &watcher{
 		pacer: pacer, url: "http://" + address + "/v1/servers?watch=1", revision: revision, silenceTimeout: silenceTimeout, deliver: deliver,
-		lastHeard: time.Now(),
+		lastReceived: time.Now(),
 		client: &http.Client{Transport: &http.Transport{
 			DialContext:       (&net.Dialer{Timeout: silenceTimeout}).DialContext,
 			DisableKeepAlives: true, DisableCompression: true,
@@ -55,7 +55,7 @@
 			return
 		case <-time.After(delay):
 		}
-		begun := time.Now()
+		startedAt := time.Now()
 		hasData, err := w.watch(ctx)
 		if ctx.Err() != nil {
 			return
@@ -64,7 +64,7 @@
 		if errors.Is(err, errRejected) {
 			nextDelay = w.pacer.RejectionDelay
 		}
-		delay = nextDelay(time.Since(begun), time.Since(w.lastHeard))
+		delay = nextDelay(time.Since(startedAt), time.Since(w.lastReceived))
 		if hasData {
 			slog.Warn("discovery watch ended", "rev", w.revision, "err", err)
 		} else {
--- a/internal/front/answer_stream.go
+++ b/internal/front/answer_stream.go
@@ -40,7 +40,7 @@
 		source: answer.Stream, writer: w, controller: http.NewResponseController(w), buffer: *buffer, idleTimeout: o.IdleTimeout,
 		rate: rateGuard{gracePeriod: o.IdleTimeout, minBytesPerSecond: o.MinBytesPerSecond},
 	}
-	buffered, err := s.readAhead()
+	buffered, err := s.bufferBeginning()
 	if err != nil && !errors.Is(err, io.EOF) {
 		s.source.Close()
 		s.writeBadGateway(front, r)
@@ -59,9 +59,9 @@
 // hasLength reports whether the length of the answer is known in advance.
 func (s *answerStream) hasLength() bool { return s.source.ContentLength >= 0 }
 
-// readAhead fills the buffer with the beginning of an answer of known length, so that one that breaks
+// bufferBeginning fills the buffer with the beginning of an answer of known length, so that one that breaks
 // off there can still be answered with an error status.
-func (s *answerStream) readAhead() (buffered int, err error) {
+func (s *answerStream) bufferBeginning() (buffered int, err error) {
 	if !s.hasLength() {
 		return 0, nil
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -25,9 +25,9 @@
 	newConnGracePeriod = 250 * time.Millisecond
 )
 
-// MaxTimeBeyondDeadline is the longest time that a request can be in the node in addition to its
+// MaxTimeAfterDeadline is the longest time that a request can be in the node in addition to its
 // deadline: while it is read and while its answer is written.
-const MaxTimeBeyondDeadline = requestReadTimeout + answerWriteTimeout
+const MaxTimeAfterDeadline = requestReadTimeout + answerWriteTimeout
 
 // RoutingTable maps requests to services. It must not be changed once it has been given to a Front.
 type RoutingTable struct {
--- a/internal/front/platform.go
+++ b/internal/front/platform.go
@@ -209,13 +209,13 @@
 	if text == "" {
 		return nil
 	}
-	seen := make(map[string]bool, 3)
+	observed := make(map[string]bool, 3)
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		number, err := protocol.ParseNumber(value)
 		isInteger := err == nil && number == math.Trunc(number)
-		ok := !seen[name]
-		seen[name] = true
+		ok := !observed[name]
+		observed[name] = true
 		switch name {
 		case "units":
 			ok = ok && err == nil && number > 0 && number <= rules.MaxUnitsByPlan[request.Plan]
--- a/internal/front/tunnel.go
+++ b/internal/front/tunnel.go
@@ -20,8 +20,8 @@
 	fromClient   *bufio.ReadWriter // client, with what net/http has read of it already
 	server       *upstream.Stream
 	idleTimeout  time.Duration
-	begunAt      time.Time
-	lastActivity atomic.Int64 // time.Duration since begunAt at the last read in either direction
+	startedAt    time.Time
+	lastActivity atomic.Int64 // time.Duration since startedAt at the last read in either direction
 }
 
 // serveTunnel takes over the client's connection and copies bytes in both directions until both sides have
@@ -53,7 +53,7 @@
 
 // run copies in both directions until both have ended.
 func (t *tunnel) run() {
-	t.begunAt = time.Now()
+	t.startedAt = time.Now()
 	var directions sync.WaitGroup
 	directions.Go(t.copyToServer)
 	t.copyToClient()
@@ -61,7 +61,7 @@
 }
 
 func (t *tunnel) copyToServer() {
-	err := t.copyOneWay(t.server, readFunc(func(p []byte) (int, error) {
+	err := t.copyDirection(t.server, readFunc(func(p []byte) (int, error) {
 		_ = t.client.SetReadDeadline(time.Now().Add(t.idleTimeout))
 		return t.fromClient.Read(p)
 	}))
@@ -72,7 +72,7 @@
 }
 
 func (t *tunnel) copyToClient() {
-	err := t.copyOneWay(writeFunc(func(p []byte) (int, error) {
+	err := t.copyDirection(writeFunc(func(p []byte) (int, error) {
 		_ = t.client.SetWriteDeadline(time.Now().Add(t.idleTimeout))
 		return t.client.Write(p)
 	}), t.server)
@@ -88,15 +88,15 @@
 	t.client.Close()
 }
 
-// copyOneWay copies until source has closed its side, which is no error. A read timeout ends the copy only
+// copyDirection copies until source has closed its side, which is no error. A read timeout ends the copy only
 // if the other direction has been idle as well.
-func (t *tunnel) copyOneWay(destination io.Writer, source io.Reader) error {
+func (t *tunnel) copyDirection(destination io.Writer, source io.Reader) error {
 	buffer := upstream.BodyBuffers.Get().(*[]byte)
 	defer upstream.BodyBuffers.Put(buffer)
 	for {
 		n, err := source.Read(*buffer)
 		if n > 0 {
-			t.lastActivity.Store(int64(time.Since(t.begunAt)))
+			t.lastActivity.Store(int64(time.Since(t.startedAt)))
 			if _, err := destination.Write((*buffer)[:n]); err != nil {
 				return err
 			}
@@ -114,7 +114,7 @@
 
 // isIdle reports whether neither side has sent anything for the idle timeout.
 func (t *tunnel) isIdle() bool {
-	return time.Since(t.begunAt)-time.Duration(t.lastActivity.Load()) >= t.idleTimeout
+	return time.Since(t.startedAt)-time.Duration(t.lastActivity.Load()) >= t.idleTimeout
 }
 
 // closeWrite closes the sending side of a connection; all of it if it has no TCP socket.
--- a/internal/h2/conn.go
+++ b/internal/h2/conn.go
@@ -142,9 +142,9 @@
 			events = c.machine.Handle(frame)
 		}
 		ended := c.deliver(events)
-		say := ended || c.isClosing || c.machine.HasOutput()
+		needsWrite := ended || c.isClosing || c.machine.HasOutput()
 		c.mu.Unlock()
-		if say {
+		if needsWrite {
 			c.wakeWriter()
 		}
 		if ended {
--- a/internal/h2/machine.go
+++ b/internal/h2/machine.go
@@ -276,7 +276,7 @@
 	case stream.isQueued && (how != EndBroken || m.offered >= stream.endOffset):
 		return MomentSent
 	case how != EndBroken || m.offered > stream.firstOffset:
-		return MomentBegun
+		return MomentStarted
 	}
 	return MomentUnsent
 }
--- a/internal/h2/machine_test.go
+++ b/internal/h2/machine_test.go
@@ -340,13 +340,13 @@
 		"broken in the first write": {func(peer *peer, _ uint32) *StreamError {
 			peer.m.PendingBytes() // handed to a write that has not returned
 			return one(peer.m.Break(io.EOF))
-		}, MomentBegun},
+		}, MomentStarted},
 		"broken after a part": {func(peer *peer, _ uint32) *StreamError {
 			peer.m.PendingBytes()
 			peer.m.Wrote(12)
 			return one(peer.m.Break(io.EOF))
-		}, MomentBegun},
-		"broken once all the window let go is written": {func(peer *peer, _ uint32) *StreamError { peer.write(); return one(peer.m.Break(io.EOF)) }, MomentBegun},
+		}, MomentStarted},
+		"broken once all the window let go is written": {func(peer *peer, _ uint32) *StreamError { peer.write(); return one(peer.m.Break(io.EOF)) }, MomentStarted},
 		"broken after all": {func(peer *peer, id uint32) *StreamError {
 			peer.write()
 			peer.w.WriteWindowUpdate(id, 1000)
@@ -361,7 +361,7 @@
 			n := len(peer.m.PendingBytes())
 			peer.m.Wrote(n - 1) // and no further write begins
 			return one(peer.m.Break(io.EOF))
-		}, MomentBegun},
+		}, MomentStarted},
 		"answered in part": {func(peer *peer, id uint32) *StreamError {
 			peer.write()
 			peer.head(id, false, ":status: 103")
@@ -374,7 +374,7 @@
 			event, _ := peer.m.Cancel(id)
 			return event.Err
 		}, MomentSent},
-		"given up while it waits for the window": {func(peer *peer, id uint32) *StreamError { event, _ := peer.m.Cancel(id); return event.Err }, MomentBegun},
+		"given up while it waits for the window": {func(peer *peer, id uint32) *StreamError { event, _ := peer.m.Cancel(id); return event.Err }, MomentStarted},
 	} {
 		t.Run(name, func(t *testing.T) {
 			peer := greeted(t, Limits{}, http2.Setting{ID: http2.SettingInitialWindowSize, Val: 100})
--- a/internal/h2/stream.go
+++ b/internal/h2/stream.go
@@ -156,9 +156,9 @@
 		if n > 0 {
 			s.conn.machine.Consumed(s.id, n)
 		}
-		say := s.conn.machine.HasOutput()
+		needsWrite := s.conn.machine.HasOutput()
 		s.conn.mu.Unlock()
-		if say {
+		if needsWrite {
 			s.conn.wakeWriter()
 		}
 		switch {
--- a/internal/h2/stream_outcome.go
+++ b/internal/h2/stream_outcome.go
@@ -12,7 +12,7 @@
 // The moments of a request, in their order.
 const (
 	MomentUnsent   Moment = iota // no byte of it has been written to the socket
-	MomentBegun                  // some have
+	MomentStarted                // some have
 	MomentSent                   // all have
 	MomentAnswered               // and some of an answer has come, be it of 1xx
 )
@@ -62,7 +62,7 @@
 		return NotProcessed
 	case end == EndGoAway, end == EndReset && code == http2.ErrCodeRefusedStream:
 		return Rejected
-	case moment == MomentBegun && startsAtLastByte:
+	case moment == MomentStarted && startsAtLastByte:
 		return NotProcessed
 	}
 	return MayBeProcessed
--- a/internal/limits/time_limiter.go
+++ b/internal/limits/time_limiter.go
@@ -63,10 +63,10 @@
 }
 
 // Record records that an owner has used some time.
-func (l *TimeLimiter) Record(owner bulkhead.Owner, took time.Duration) {
+func (l *TimeLimiter) Record(owner bulkhead.Owner, duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.limiter.Record(l.clock(), owner, took)
+	l.limiter.Record(l.clock(), owner, duration)
 }
 
 // Allows reports whether an owner may use more time now.
--- a/internal/node/account.go
+++ b/internal/node/account.go
@@ -49,8 +49,8 @@
 }
 
 // chargeModuleTime accounts for time that the service's decision module took.
-func (a *account) chargeModuleTime(took time.Duration) {
-	a.requests.ModuleTime.Record(a.requests.Owner, took)
+func (a *account) chargeModuleTime(duration time.Duration) {
+	a.requests.ModuleTime.Record(a.requests.Owner, duration)
 }
 
 // requestsInFlight is the number of requests that the service has accepted and not ended.
--- a/internal/node/limiter.go
+++ b/internal/node/limiter.go
@@ -192,5 +192,5 @@
 	for _, class := range cfg.Settings.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	return longest + front.MaxTimeBeyondDeadline
+	return longest + front.MaxTimeAfterDeadline
 }
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -81,7 +81,7 @@
 	n.front.Drain()
 	slog.Info("draining") // each answer from here on closes its connection
 	n.mu.Lock()
-	begun, times := time.Now(), n.cfg.Process.Drain
+	startedAt, times := time.Now(), n.cfg.Process.Drain
 	n.mu.Unlock()
 	steps := []struct {
 		at  time.Duration // since the drain began
@@ -92,7 +92,7 @@
 	}
 	for _, step := range steps {
 		select {
-		case <-time.After(time.Until(begun.Add(step.at))):
+		case <-time.After(time.Until(startedAt.Add(step.at))):
 			step.run()
 		case err := <-n.serviceFailures:
 			cancelServices()
@@ -106,7 +106,7 @@
 	cancelServices() // answers requests still in flight as failed
 	n.awaitServices()
 	n.shutDown()
-	slog.Info("drained", "took", time.Since(begun).Round(time.Millisecond))
+	slog.Info("drained", "took", time.Since(startedAt).Round(time.Millisecond))
 	select {
 	case err := <-n.serviceFailures:
 		return err
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -26,9 +26,9 @@
 
 // matches reports whether all conditions of a rule match a request.
 func (c *compiledRule) matches(host, path, method string, header http.Header) bool {
-	suffix, wild := strings.CutPrefix(c.Host, "*")
-	hostOK := c.Host == "" || !wild && c.Host == host ||
-		wild && len(host) > len(suffix) && strings.HasSuffix(host, suffix)
+	suffix, isWildcard := strings.CutPrefix(c.Host, "*")
+	hostOK := c.Host == "" || !isWildcard && c.Host == host ||
+		isWildcard && len(host) > len(suffix) && strings.HasSuffix(host, suffix)
 	pathOK := c.Path == path
 	if c.Path == "" {
 		pathOK = c.Prefix == "" || path == c.Prefix || strings.HasPrefix(path, c.Prefix+"/")
--- a/internal/route/rule.go
+++ b/internal/route/rule.go
@@ -84,11 +84,11 @@
 	if rule == "" {
 		return nil
 	}
-	host, wild := strings.CutPrefix(rule, "*.")
+	host, isWildcard := strings.CutPrefix(rule, "*.")
 	if err := checkCanonical(host, CanonicalHost); err != nil || host == "" {
 		return cmp.Or(err, fmt.Errorf("%q names no host", rule))
 	}
-	if wild && strings.HasPrefix(host, "[") {
+	if isWildcard && strings.HasPrefix(host, "[") {
 		return errors.New("a wildcard before an address")
 	}
 	return nil
--- a/internal/service/gate.go
+++ b/internal/service/gate.go
@@ -17,7 +17,7 @@
 	OnDecision func(isAdmitted bool)
 	// OnLateEnd is called once after a request was given up: with how its last attempt ended and the time
 	// since the request began, or at once with LateUnknown where no attempt is in flight. It may be nil.
-	OnLateEnd func(end LateEnd, took time.Duration)
+	OnLateEnd func(end LateEnd, duration time.Duration)
 	// Linger limits the time for which attempts go on after the request was given up; 0 does not.
 	Linger time.Duration
 
--- a/internal/service/lifecycle.go
+++ b/internal/service/lifecycle.go
@@ -29,7 +29,7 @@
 	defer endLifetime()
 	defer stop()
 	tasks.Go(func() { s.feed.Run(lifetime) })
-	tasks.Go(func() { s.upstream.Sweep(lifetime) })
+	tasks.Go(func() { s.upstream.WatchIdle(lifetime) })
 	if s.options.SharedHardLimits != nil {
 		tasks.Go(func() { s.tickLeaseHolders(lifetime) })
 	}
--- a/internal/service/server_age_test.go
+++ b/internal/service/server_age_test.go
@@ -160,7 +160,7 @@
 	}
 	for _, step := range append([]time.Duration{0}, -time.Hour, -5*time.Second, 5*time.Second, time.Hour) {
 		s := newServerStarts()
-		s.begun = begun
+		s.startedAt = begun
 		s.listReceived(begun.monotonic.Add(9*time.Second), nil)
 		now := after(10*time.Second, step)
 		boot := milliseconds(begun.wall + 6*time.Second) // 4 s ago, 3 s before the last list
--- a/internal/service/server_ages.go
+++ b/internal/service/server_ages.go
@@ -44,7 +44,7 @@
 	mu         sync.Mutex
 	byUID      map[string]serverStart
 	lastListAt time.Time // when discovery's latest message was applied; zero before the first
-	begun      clockReading
+	startedAt  clockReading
 }
 
 // clockReading is one moment by both clocks.
@@ -59,7 +59,7 @@
 }
 
 func newServerStarts() *serverStarts {
-	return &serverStarts{byUID: make(map[string]serverStart), begun: readClocks()}
+	return &serverStarts{byUID: make(map[string]serverStart), startedAt: readClocks()}
 }
 
 // resolve returns when a server started that is listed now with a boot time above 0. A server that was not listed, or
@@ -84,7 +84,7 @@
 // wasStepped reports whether the wall clock was stepped, and not back, since the process or its predecessor's service
 // began.
 func (s *serverStarts) wasStepped(now clockReading) bool {
-	drift := now.wall - s.begun.wall - now.monotonic.Sub(s.begun.monotonic)
+	drift := now.wall - s.startedAt.wall - now.monotonic.Sub(s.startedAt.monotonic)
 	return drift.Abs() > maxClockDrift
 }
 
--- a/internal/upstream/answer_reader.go
+++ b/internal/upstream/answer_reader.go
@@ -21,7 +21,7 @@
 	attempt     *http1Attempt // of a RelayedRequest; nil is none
 	bytesLeft   int
 	deadline    time.Time // of the attempt; zero is none
-	hasBegun    bool
+	isStarted   bool
 	isBounded   bool // the answer that has begun has a deadline
 	hasDeadline bool // the connection has a read deadline
 }
@@ -34,7 +34,7 @@
 	if r.bytesLeft == 0 {
 		return 0, errTooLong
 	}
-	if r.hasBegun && !r.isBounded {
+	if r.isStarted && !r.isBounded {
 		completeBy := time.Now().Add(answerCompletionTimeout)
 		if !r.deadline.IsZero() && r.deadline.Before(completeBy) {
 			completeBy = r.deadline
@@ -44,7 +44,7 @@
 	}
 	n, err := r.Conn.Read(b[:min(len(b), r.bytesLeft)])
 	r.bytesLeft -= n
-	r.hasBegun = r.hasBegun || n > 0
+	r.isStarted = r.isStarted || n > 0
 	return n, err
 }
 
@@ -61,5 +61,5 @@
 	if r.isBounded {
 		r.owner.readBy(r.deadline)
 	}
-	r.hasBegun, r.isBounded = false, false
+	r.isStarted, r.isBounded = false, false
 }
--- a/internal/upstream/buffered_request.go
+++ b/internal/upstream/buffered_request.go
@@ -132,7 +132,7 @@
 	outcome.classify(response.StatusCode, response.Header)
 	hasMore := c.reader.Buffered() > 0
 	if hasMore {
-		c.sawSecondAnswer.Store(true)
+		c.hasUnrequestedAnswer.Store(true)
 	}
 	return outcome, !response.Close && !hasMore
 }
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -9,7 +9,7 @@
 //
 // Over HTTP/1.1 an attempt has a connection of its own (serverConn), taken from its pool or dialed. Over HTTP/2
 // it has a stream of a connection that it shares with others (sharedConnections). Both are counted by the
-// limiters of Options and closed by Sweep, Evict, RetirePool or the attempt itself.
+// limiters of Options and closed by WatchIdle, Evict, RetirePool or the attempt itself.
 //
 // An Outcome tells what is known of the request: whether it was never sent, cannot have been processed, or may
 // have been. No request is sent a second time here; that is decided by the module. The ctx of an attempt may be
--- a/internal/upstream/http1_attempt.go
+++ b/internal/upstream/http1_attempt.go
@@ -45,8 +45,8 @@
 	clientErr        atomic.Pointer[error]
 	releaseOnce      sync.Once
 
-	mu        sync.Mutex // guards headBegun, and the read deadline before it is set
-	headBegun bool
+	mu            sync.Mutex // guards isHeadStarted, and the read deadline before it is set
+	isHeadStarted bool
 }
 
 // run makes the attempt.
@@ -182,11 +182,11 @@
 func (a *http1Attempt) beginHead() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.isUnbounded && !a.headBegun {
+	if a.isUnbounded && !a.isHeadStarted {
 		a.hasDeadline = true
 		a.conn.readBy(time.Now().Add(headTimeout))
 	}
-	a.headBegun = true
+	a.isHeadStarted = true
 }
 
 // awaitHead bounds the wait for a head to begin, where ctx has no deadline: it counts from now if the complete
@@ -194,7 +194,7 @@
 func (a *http1Attempt) awaitHead() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.headBegun || !a.isUnbounded {
+	if a.isHeadStarted || !a.isUnbounded {
 		return
 	}
 	if a.isSent.Load() {
@@ -241,7 +241,7 @@
 		return
 	}
 	a.mu.Lock()
-	a.headBegun, a.headBytesLeft = false, maxHeadBytes
+	a.isHeadStarted, a.headBytesLeft = false, maxHeadBytes
 	a.mu.Unlock()
 	a.awaitHead()
 }
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -8,12 +8,12 @@
 	"lockflow/internal/h2"
 )
 
-// sweepInterval is how often Sweep checks the idle connections.
-const sweepInterval = time.Second
+// idleCheckInterval is how often WatchIdle checks the idle connections.
+const idleCheckInterval = time.Second
 
-// Sweep closes idle connections that are too old or that the app server has closed, until ctx ends.
-func (u *Upstream) Sweep(ctx context.Context) {
-	ticker := time.NewTicker(sweepInterval)
+// WatchIdle closes idle connections that are too old or that the app server has closed, until ctx ends.
+func (u *Upstream) WatchIdle(ctx context.Context) {
+	ticker := time.NewTicker(idleCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -101,7 +101,7 @@
 				return nil, errServerRemoved
 			}
 			if conn, dialErr = u.dial(ctx, pool.Endpoint); dialErr != nil {
-				if !u.sawSecondAnswer.Load() {
+				if !u.hasUnrequestedAnswer.Load() {
 					quietPeriod = 0
 				}
 				continue
@@ -134,7 +134,7 @@
 	for i >= 0 && quietPeriod > 0 && pool.idle[i].lastAnswer.After(before) {
 		i--
 	}
-	if i < 0 && len(pool.idle) >= maxRestingConnections && !u.sawSecondAnswer.Load() {
+	if i < 0 && len(pool.idle) >= maxRestingConnections && !u.hasUnrequestedAnswer.Load() {
 		i = 0
 	}
 	if i < 0 {
--- a/internal/upstream/second_answer_test.go
+++ b/internal/upstream/second_answer_test.go
@@ -90,7 +90,7 @@
 		t.Errorf("written to %s, not %s", from, first)
 	}
 	server.answerRequest(goodAnswer)
-	server.upstream.sawSecondAnswer.Store(true)
+	server.upstream.hasUnrequestedAnswer.Store(true)
 	if outcome := server.upstream.AttemptHTTP1(t.Context(), server.pool, newMessage(t, nil)); outcome.Reason != control.NotSent || !errors.Is(outcome.Err, errDialLimit) {
 		t.Errorf("%d (%v)", outcome.Reason, outcome.Err)
 	}
--- a/internal/upstream/server_conn.go
+++ b/internal/upstream/server_conn.go
@@ -21,18 +21,18 @@
 // serverConn is a connection of HTTP/1.1 to an app server. One attempt uses it at a time.
 type serverConn struct {
 	*limits.Conn
-	rawConn         syscall.RawConn
-	isInterrupted   atomic.Bool // everything that waits for it has to end
-	answers         answerReader
-	reader          *bufio.Reader
-	writer          *bufio.Writer
-	idleSince       time.Time    // zero until it has been idle
-	lastAnswer      time.Time    // when its last answer ended; zero is none
-	sawSecondAnswer *atomic.Bool // that of its Upstream
+	rawConn              syscall.RawConn
+	isInterrupted        atomic.Bool // everything that waits for it has to end
+	answers              answerReader
+	reader               *bufio.Reader
+	writer               *bufio.Writer
+	idleSince            time.Time    // zero until it has been idle
+	lastAnswer           time.Time    // when its last answer ended; zero is none
+	hasUnrequestedAnswer *atomic.Bool // that of its Upstream
 }
 
 func (u *Upstream) newConn(conn *limits.Conn, rawConn syscall.RawConn) *serverConn {
-	created := &serverConn{Conn: conn, rawConn: rawConn, sawSecondAnswer: &u.sawSecondAnswer}
+	created := &serverConn{Conn: conn, rawConn: rawConn, hasUnrequestedAnswer: &u.hasUnrequestedAnswer}
 	created.answers = answerReader{Conn: conn.Conn, owner: created}
 	created.reader = bufio.NewReaderSize(&created.answers, connBufferBytes)
 	created.writer = bufio.NewWriterSize(conn.Conn, connBufferBytes)
@@ -80,7 +80,7 @@
 		n, err := syscall.Read(int(fd), probe[:])
 		isQuiet = errors.Is(err, syscall.EAGAIN)
 		if _, isTLS := c.Conn.Conn.(*tls.Conn); n > 0 && !isTLS { // over TLS it may be a record of TLS itself
-			c.sawSecondAnswer.Store(true)
+			c.hasUnrequestedAnswer.Store(true)
 		}
 	})
 	return err == nil && isQuiet
