--- a/internal/command/simulate_gather.go
+++ b/internal/command/simulate_gather.go
@@ -97,7 +97,7 @@
 	for _, r := range all {
 		fmt.Fprintf(t, "%s\t%.4f\t%.3f\t%.3f\t%v\t%.3f\t%.3f\t%.3f\t%.2f\t%v\t%.1f\t%d\t%.4f\t\n", r.World, r.Oracle, r.Learned/r.Oracle, r.Fixed/r.Oracle,
 			r.At.Round(time.Millisecond), r.P95/r.Oracle, r.None/r.Oracle, r.Plan/r.Oracle, r.Share, r.Took.Round(time.Millisecond), r.Looks, r.Stats.Changes,
-			r.Stats.Spent/float64(r.Queries))
+			r.Stats.ExploreCost/float64(r.Queries))
 	}
 	t.Flush()
 	for _, r := range all {
--- a/internal/front/scatter_gather.go
+++ b/internal/front/scatter_gather.go
@@ -159,8 +159,8 @@
 	}
 	setBody(calls, body)
 	run := &scattergather.Run{
-		Tree: g.Tree, Leaves: g.Leaves, By: g.Gatherers, Calls: calls,
-		Class: class, Arrived: arrived, Wait: timeout, Release: g.release,
+		Tree: g.Tree, Leaves: g.Leaves, Gatherers: g.Gatherers, Calls: calls,
+		Class: class, Arrived: arrived, Timeout: timeout, Release: g.release,
 	}
 	if g.Load != nil {
 		run.Load = g.Load()
@@ -188,7 +188,7 @@
 			releaseCalls(calls)
 			return nil, badRequest
 		}
-		if end := arrived.Add(timeout - scattergather.Ahead(timeout)); exchange.Deadline.After(end) {
+		if end := arrived.Add(timeout - scattergather.AttemptStopMargin(timeout)); exchange.Deadline.After(end) {
 			exchange.Deadline = end
 		}
 		exchange.Client = waitingClient(r)
@@ -240,7 +240,7 @@
 // writeMergedAnswer writes the outcome of a scatter-gather run to the client.
 func (f *Front) writeMergedAnswer(w http.ResponseWriter, r *http.Request, gather *ScatterGather, final scattergather.Final) {
 	switch final.Outcome {
-	case scattergather.EndedLeft:
+	case scattergather.EndedClientGone:
 		panic(http.ErrAbortHandler) // the client has left
 	case scattergather.EndedTooFew:
 		writeNodeAnswer(f, w, r, http.StatusServiceUnavailable, "Too few parts answered in time; trying again is harmless.",
@@ -248,7 +248,7 @@
 		return
 	case scattergather.EndedQuota:
 		writeNodeAnswer(f, w, r, http.StatusServiceUnavailable,
-			"The request was not run: the quota of a part, "+final.Part+", has no more; trying again is harmless.",
+			"The request was not run: the quota of a part, "+final.RejectedBy+", has no more; trying again is harmless.",
 			min(final.RetryAfter, gather.Gatherers[0].RetryAfter))
 		return
 	}
@@ -258,7 +258,7 @@
 	header["Content-Length"] = []string{strconv.Itoa(size)}
 	header["Via"] = []string{"1.1 " + hopheaders.Alias}
 	header["Cache-Control"] = []string{"no-store"} // a partial answer must not be reused
-	header[scattergather.HeaderParts] = []string{strconv.Itoa(final.Response.Present) + "/" + strconv.Itoa(final.Response.Of)}
+	header[scattergather.HeaderParts] = []string{strconv.Itoa(final.Response.Present) + "/" + strconv.Itoa(final.Response.Total)}
 	if len(final.Response.Missing) > 0 {
 		header[scattergather.HeaderMissing] = []string{strings.Join(final.Response.Missing, ", ")}
 	}
--- a/internal/metrics/gather.go
+++ b/internal/metrics/gather.go
@@ -26,15 +26,15 @@
 		for _, name := range scattergather.Outcomes {
 			p.add(&gathered, float64(s.Queries[name]), s.Name, name)
 		}
-		p.add(&gathers, float64(s.Open), s.Name)
+		p.add(&gathers, float64(s.InFlight), s.Name)
 		for i, part := range s.Parts {
-			p.add(&missed, float64(s.Missed[part]), s.Name, part)
-			if s.Usual[i] > 0 {
-				p.add(&usual, s.Usual[i].Seconds(), s.Name, part)
+			p.add(&missed, float64(s.MissingCounts[part]), s.Name, part)
+			if s.TypicalTimes[i] > 0 {
+				p.add(&usual, s.TypicalTimes[i].Seconds(), s.Name, part)
 			}
 		}
 		p.add(&waits, s.Deadline.Seconds(), s.Name)
-		p.add(&knows, oneIf(s.Known), s.Name)
+		p.add(&knows, oneIf(s.IsKnown), s.Name)
 		p.add(&explored, float64(s.Learned.Explored), s.Name)
 		p.add(&changed, float64(s.Learned.Changes), s.Name)
 		if h := s.Shared; h != nil {
--- a/internal/node/gatherers.go
+++ b/internal/node/gatherers.go
@@ -51,7 +51,7 @@
 	g := &gatherer{cfg: cfg, Gatherer: &scattergather.Gatherer{
 		Name: cfg.Name, Settings: waitPolicySettings(cfg), RetryAfter: cfg.RetryAfter, Counts: new(scattergather.Counts),
 	}}
-	if err := g.Settings.Check(); err != nil {
+	if err := g.Settings.Validate(); err != nil {
 		return nil, err
 	}
 	g.Model = waitpolicy.NewModel(g.Settings, waitpolicy.Options{Seed: rand.Uint64()})
@@ -122,7 +122,7 @@
 		return node
 	}
 	tree := gatherTree{root: build(name)}
-	tree.leaves = tree.root.Number() // sets the IDs
+	tree.leaves = tree.root.NumberParts() // sets the IDs
 	tree.gatherers = make([]*scattergather.Gatherer, len(byNode))
 	for node, g := range byNode {
 		tree.gatherers[node.ID] = g
--- a/internal/node/model_sharing.go
+++ b/internal/node/model_sharing.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("sharing: %w", err)
 	}
-	options := share.Options{Name: cfg.Name, Self: fmt.Sprintf("%016x", rand.Uint64()), Within: cfg.Within, Seed: rand.Uint64()}
+	options := share.Options{Gatherer: cfg.Name, InstanceID: fmt.Sprintf("%016x", rand.Uint64()), Timeout: cfg.Within, Seed: rand.Uint64()}
 	for _, address := range cfg.Addresses {
 		options.Stores = append(options.Stores, share.Store{Address: address, Username: cfg.Username, Password: password})
 	}
@@ -57,7 +57,7 @@
 			continue
 		}
 		used[sharer] = true
-		sharer.Use(g.Model)
+		sharer.SetModel(g.Model)
 		if sharer.cancel == nil && n.servicesContext != nil {
 			ctx, cancel := context.WithCancel(n.servicesContext)
 			sharer.cancel = cancel
--- a/internal/scattergather/call.go
+++ b/internal/scattergather/call.go
@@ -11,8 +11,8 @@
 	"lockflow/internal/upstream"
 )
 
-// quota tells whether an answer is a module's word that the customer has no more to spend.
-func quota(a service.Answer) bool {
+// isQuotaRejection tells whether an answer is a module's word that the customer has no more to spend.
+func isQuotaRejection(a service.Answer) bool {
 	if a.Kind != service.Rejected {
 		return false
 	}
@@ -23,8 +23,8 @@
 	return false
 }
 
-// read takes an answer in, to its end. Whatever is not a whole answer that can be merged holds nothing.
-func (c *Call) read(ctx context.Context, a service.Answer, m Merge) (Result, error) {
+// readResult takes an answer in, to its end. Whatever is not a whole answer that can be merged holds nothing.
+func (c *Call) readResult(ctx context.Context, a service.Answer, m Merge) (Result, error) {
 	s := a.Stream
 	if s != nil {
 		defer s.Close()
@@ -35,7 +35,7 @@
 	case len(encoding) > 0 && !strings.EqualFold(strings.Join(encoding, ","), "identity"):
 		return Result{}, fmt.Errorf("encoded as %q", encoding)
 	}
-	present, of, without, err := Inner(a.Header[HeaderParts], a.Header[HeaderMissing])
+	present, of, without, err := ParsePartsHeaders(a.Header[HeaderParts], a.Header[HeaderMissing])
 	if err != nil {
 		return Result{}, err
 	}
@@ -49,7 +49,7 @@
 	if err != nil {
 		return Result{}, err
 	}
-	return Result{Content: content, Present: present, Of: of, Without: without}, nil
+	return Result{Content: content, Present: present, Total: of, Missing: without}, nil
 }
 
 // readAll reads a stream to its end, until ctx ends.
--- a/internal/scattergather/merge.go
+++ b/internal/scattergather/merge.go
@@ -33,7 +33,7 @@
 	return "application/json"
 }
 
-const space = " \t\r\n"
+const whitespace = " \t\r\n"
 
 // Check gives what of a part's whole answer goes into the merged one, without its brackets or the
 // space around it; nothing is an answer without elements. An error is an answer that can't be merged:
@@ -46,20 +46,20 @@
 		for n, rest := 1, body; len(rest) > 0; n++ {
 			var line []byte
 			line, rest, _ = bytes.Cut(rest, []byte("\n"))
-			if line = bytes.Trim(line, space); len(line) > 0 && !json.Valid(line) {
+			if line = bytes.Trim(line, whitespace); len(line) > 0 && !json.Valid(line) {
 				return nil, fmt.Errorf("line %d is no JSON", n)
 			}
 		}
-		return bytes.Trim(body, space), nil
+		return bytes.Trim(body, whitespace), nil
 	}
 	if !json.Valid(body) {
 		return nil, errors.New("it is no JSON")
 	}
-	body = bytes.Trim(body, space)
+	body = bytes.Trim(body, whitespace)
 	if body[0] != '[' {
 		return nil, errors.New("it is no JSON array")
 	}
-	return bytes.Trim(body[1:len(body)-1], space), nil
+	return bytes.Trim(body[1:len(body)-1], whitespace), nil
 }
 
 // Join gives the merged answer as pieces to be written one after another, and their bytes in all.
@@ -103,9 +103,9 @@
 	maxMissingBytes = 8 << 10 // bytes of the names of those that it misses
 )
 
-// Inner reads what an answer says that it holds which another gatherer made; held equals of where it
+// ParsePartsHeaders reads what an answer says that it holds which another gatherer made; held equals of where it
 // says nothing. An error is one that can't be relied on.
-func Inner(parts, missing []string) (present, of int, without []string, err error) {
+func ParsePartsHeaders(parts, missing []string) (present, of int, without []string, err error) {
 	if len(parts) == 0 && len(missing) == 0 {
 		return 1, 1, nil, nil
 	}
@@ -118,12 +118,12 @@
 	if !ok || e1 != nil || e2 != nil || present < 0 || of < 1 || present > of || of > maxInnerParts {
 		return 0, 0, nil, fmt.Errorf("%s: %q", HeaderParts, parts[0])
 	}
-	if len(missing) == 1 && strings.Trim(missing[0], space) != "" {
+	if len(missing) == 1 && strings.Trim(missing[0], whitespace) != "" {
 		if len(missing[0]) > maxMissingBytes {
 			return 0, 0, nil, fmt.Errorf("%s: %d bytes", HeaderMissing, len(missing[0]))
 		}
 		for name := range strings.SplitSeq(missing[0], ",") {
-			name = strings.Trim(name, space)
+			name = strings.Trim(name, whitespace)
 			if name == "" || strings.ContainsFunc(name, func(c rune) bool { return c <= ' ' || c >= 0x7f }) {
 				return 0, 0, nil, fmt.Errorf("%s: %q", HeaderMissing, name)
 			}
--- a/internal/scattergather/merge_test.go
+++ b/internal/scattergather/merge_test.go
@@ -80,12 +80,12 @@
 			}
 			return []string{s}
 		}
-		held, of, without, err := Inner(field(c.parts), field(c.missing))
+		held, of, without, err := ParsePartsHeaders(field(c.parts), field(c.missing))
 		if got := fmt.Sprintf("%d/%d %v", held, of, without); err == nil && got != c.want || (err != nil) != (c.want == "") {
 			t.Errorf("%q without %q: %s, %v", c.parts, c.missing, got, err)
 		}
 	}
-	if _, _, _, err := Inner([]string{"1/1", "1/1"}, nil); err == nil {
+	if _, _, _, err := ParsePartsHeaders([]string{"1/1", "1/1"}, nil); err == nil {
 		t.Error("given twice")
 	}
 }
@@ -113,7 +113,7 @@
 					t.Fatalf("%q: %q", body, pieces)
 				}
 			}
-			if want := 2 + len(slices.DeleteFunc(strings.Split(string(c), "\n"), func(s string) bool { return strings.Trim(s, space) == "" })); n != want {
+			if want := 2 + len(slices.DeleteFunc(strings.Split(string(c), "\n"), func(s string) bool { return strings.Trim(s, whitespace) == "" })); n != want {
 				t.Errorf("%q: %d values, not %d", body, n, want)
 			}
 		}
@@ -156,7 +156,7 @@
 func TestClaims(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		root := drawTree(t, new(int), 2)
-		leaves := root.Number()
+		leaves := root.NumberParts()
 		q := Begin(root, len(leaves), 0, func(tree *Tree) Decider {
 			s := &waitpolicy.Settings{
 				MinShare: tree.MinShare, HalfLife: time.Second, Mode: waitpolicy.Fixed,
@@ -173,12 +173,12 @@
 			if i > 1000 {
 				t.Fatal("it waits for ever")
 			}
-			if place := rapid.IntRange(0, 2*len(leaves)).Draw(t, "who"); place < len(leaves) && came[leaves[place].Name].Of == 0 {
-				r := Result{Content: []byte(leaves[place].Name), Of: 1, Present: rapid.IntRange(0, 1).Draw(t, "holds")}
+			if place := rapid.IntRange(0, 2*len(leaves)).Draw(t, "who"); place < len(leaves) && came[leaves[place].Name].Total == 0 {
+				r := Result{Content: []byte(leaves[place].Name), Total: 1, Present: rapid.IntRange(0, 1).Draw(t, "holds")}
 				if rapid.IntRange(0, 3).Draw(t, "remote") == 0 && r.Present == 1 {
-					r.Of, r.Without = 3, []string{"x", "y"}
+					r.Total, r.Missing = 3, []string{"x", "y"}
 				}
-				q.Came(now, leaves[place], place, r)
+				q.LeafEnded(now, leaves[place], place, r)
 				came[leaves[place].Name] = r
 			} else {
 				now = max(now, step.Until)
@@ -198,11 +198,11 @@
 			if !ok || r.Present == 0 {
 				t.Fatalf("it claims %s", c)
 			}
-			all += r.Of - 1
+			all += r.Total - 1
 			w.Present -= r.Present
 		}
-		if w.Present != 0 || w.Of != all {
-			t.Fatalf("it claims %d more than it holds, of %d that are %d", w.Present, w.Of, all)
+		if w.Present != 0 || w.Total != all {
+			t.Fatalf("it claims %d more than it holds, of %d that are %d", w.Present, w.Total, all)
 		}
 		// Each leaf is held, or named, or within a gatherer that is.
 		for _, l := range leaves {
@@ -210,7 +210,7 @@
 				t.Fatalf("%s is there %d times: %q, without %q", l.Name, is, w.Contents, w.Missing)
 			}
 		}
-		if share := q.root.presentShare(); share < root.MinShare-shareEpsilon {
+		if share := q.root.presentShare(); share < root.MinShare-shareTolerance {
 			t.Fatalf("an answer of %g", share)
 		}
 	})
@@ -225,6 +225,6 @@
 		has := func(l Leaf) bool { return l.Name == leaf }
 		copied := *p.Inner
 		copied.Parts = slices.Clone(p.Inner.Parts)
-		return p.Name == part && slices.ContainsFunc(copied.Number(), has) || reaches(p.Inner, part, leaf)
+		return p.Name == part && slices.ContainsFunc(copied.NumberParts(), has) || reaches(p.Inner, part, leaf)
 	})
 }
--- a/internal/scattergather/run_test.go
+++ b/internal/scattergather/run_test.go
@@ -17,16 +17,16 @@
 	s := &waitpolicy.Settings{Parts: []waitpolicy.Part{{Name: "a"}, {Name: "b"}}, MinShare: 0.5}
 	g := &Gatherer{Settings: s, Model: waitpolicy.NewModel(s, waitpolicy.Options{}), Counts: new(Counts), Clock: func() time.Duration { return clock }}
 	tree := &Tree{Name: "t", Parts: []Part{{Name: "a", Weight: 1}, {Name: "b", Weight: 1}}, MinShare: 0.5}
-	leaves := tree.Number()
+	leaves := tree.NumberParts()
 	for range 2 {
 		clock += 4 * time.Hour
-		r := &Run{Tree: tree, Leaves: leaves, By: []*Gatherer{g}, Calls: make([]Call, 2), Class: "read", Arrived: time.Now(), Wait: time.Hour, cut: make([]bool, 2)}
-		r.begin()
-		r.query.Came(time.Second, leaves[0], 0, Result{Present: 1, Of: 1})
+		r := &Run{Tree: tree, Leaves: leaves, Gatherers: []*Gatherer{g}, Calls: make([]Call, 2), Class: "read", Arrived: time.Now(), Timeout: time.Hour, isAbandoned: make([]bool, 2)}
+		r.startDeciding()
+		r.query.LeafEnded(time.Second, leaves[0], 0, Result{Present: 1, Total: 1})
 		r.query.end(time.Second, r.query.root, waitpolicy.Answer)
-		r.learn()
-		r.observe(1, waitpolicy.Outcome{Took: 2 * time.Second})
-		r.observe(1, waitpolicy.Outcome{Took: 3 * time.Second}) // once only
+		r.observeEnded()
+		r.observe(1, waitpolicy.Outcome{Duration: 2 * time.Second})
+		r.observe(1, waitpolicy.Outcome{Duration: 3 * time.Second}) // once only
 	}
 	keys, all := g.Model.Sketches()
 	for i, k := range keys {
@@ -52,8 +52,8 @@
 		{waitpolicy.Settings{HalfLife: 3 * time.Second}, 8 * time.Second, 1500 * time.Millisecond},
 		{waitpolicy.Settings{HalfLife: 3 * time.Second}, 200 * time.Millisecond, 100 * time.Millisecond},
 	} {
-		r := &Run{By: []*Gatherer{{Settings: &c.s}}, Wait: c.wait}
-		if got := r.admits(); got != c.want {
+		r := &Run{Gatherers: []*Gatherer{{Settings: &c.s}}, Timeout: c.wait}
+		if got := r.admissionTimeout(); got != c.want {
 			t.Errorf("%+v: %v", c.s, got)
 		}
 	}
@@ -62,7 +62,7 @@
 // hasty answers with whatever there is, even nothing: how much is enough is not left to a decider alone.
 type hasty struct{}
 
-func (hasty) CameShare(time.Duration, int, float64) {}
+func (hasty) PartEnded(time.Duration, int, float64) {}
 
 func (hasty) Next(now time.Duration) waitpolicy.Step {
 	if now >= time.Second {
@@ -77,12 +77,12 @@
 	for come, want := range map[string]string{"a b c d": "a b c d/", "a b c": "a b c/d", "b c": "/", "b c d": "b c d/a", "a": "a/in d", "a b": "a/in d", "": "/"} {
 		in := &Tree{Name: "in", MinShare: 0.9, Parts: []Part{{Name: "b", Weight: 1}, {Name: "c", Weight: 1}}}
 		tree := &Tree{Name: "t", MinShare: 0.5, Parts: []Part{{Name: "a", Weight: 2}, {Name: "in", Weight: 1, Inner: in}, {Name: "d", Weight: 1}}}
-		leaves := tree.Number()
+		leaves := tree.NumberParts()
 		q := Begin(tree, len(leaves), 0, func(*Tree) Decider { return hasty{} })
 		tell := func(now time.Duration, late bool) {
 			for place, l := range leaves {
 				if strings.Contains(come, l.Name) != late {
-					q.Came(now, l, place, Result{Content: []byte(l.Name), Present: 1, Of: 1})
+					q.LeafEnded(now, l, place, Result{Content: []byte(l.Name), Present: 1, Total: 1})
 				}
 			}
 		}
--- a/internal/scattergather/tree.go
+++ b/internal/scattergather/tree.go
@@ -17,22 +17,22 @@
 
 // Part is what a gatherer asks: a service with servers, or another gatherer.
 type Part struct {
-	Name   string
-	Weight float64
-	Inner  *Tree // nil is a service
-	Leaf   int   // place among the services of the whole tree, of one
-	of     int   // services that it reaches
+	Name      string
+	Weight    float64
+	Inner     *Tree // nil is a service
+	Leaf      int   // place among the services of the whole tree, of one
+	leafCount int   // services that it reaches
 }
 
 // Leaf is a service of a tree, and the gatherer that asks it.
 type Leaf struct {
-	Name string
-	By   *Tree
-	Part int // of By
+	Name     string
+	Gatherer *Tree
+	Part     int // of By
 }
 
-// Number gives the gatherers and the services of a tree their places, and lists the latter.
-func (t *Tree) Number() (leaves []Leaf) {
+// NumberParts gives the gatherers and the services of a tree their places, and lists the latter.
+func (t *Tree) NumberParts() (leaves []Leaf) {
 	gatherers := 0
 	var down func(*Tree) int
 	down = func(t *Tree) int {
@@ -42,12 +42,12 @@
 		for i := range t.Parts {
 			p := &t.Parts[i]
 			if p.Inner != nil {
-				p.of = down(p.Inner)
+				p.leafCount = down(p.Inner)
 			} else {
-				p.Leaf, p.of = len(leaves), 1
+				p.Leaf, p.leafCount = len(leaves), 1
 				leaves = append(leaves, Leaf{p.Name, t, i})
 			}
-			sum += p.of
+			sum += p.leafCount
 		}
 		return sum
 	}
@@ -57,56 +57,56 @@
 
 // Decider decides for one query of one gatherer.
 type Decider interface {
-	// CameShare tells that a part has ended, and the share of what it stands for that it holds.
-	CameShare(now time.Duration, part int, share float64)
+	// PartEnded tells that a part has ended, and the share of what it stands for that it holds.
+	PartEnded(now time.Duration, part int, share float64)
 	Next(now time.Duration) waitpolicy.Step
 }
 
 // Result is what a service's answer came to. One that holds nothing is a part that is missing.
 type Result struct {
-	Content     []byte   // checked
-	Present, Of int      // parts that it says it holds, where it is of another gatherer; else 1 of 1
-	Without     []string // those that it doesn't
+	Content        []byte   // checked
+	Present, Total int      // parts that it says it holds, where it is of another gatherer; else 1 of 1
+	Missing        []string // those that it doesn't
 }
 
 // Ended is a part that has ended, or was given up, in the time of its gatherer's query.
 type Ended struct {
-	By    *Tree
-	Part  int
-	Took  time.Duration
-	Holds bool
-	Cut   bool // it was given up; nothing is known of it beyond that it took longer
+	Gatherer    *Tree
+	Part        int
+	Duration    time.Duration
+	HasContent  bool
+	IsAbandoned bool // it was given up; nothing is known of it beyond that it took longer
 }
 
 // Query is one query over a tree: what has come, and whether to wait on. It does no I/O, and is used
 // by one goroutine. Time counts from any moment.
 type Query struct {
-	root    *gathererState
-	by      map[*Tree]*gathererState
-	results []Result
-	began   time.Duration
-	ended   []Ended
+	root      *gathererState
+	states    map[*Tree]*gathererState
+	results   []Result
+	startedAt time.Duration
+	ended     []Ended
 }
 
 // gathererState is one gatherer in a query.
 type gathererState struct {
 	*Tree
 	Decider
-	up    *gathererState
-	place int // in up
-	came  []bool
-	share []float64 // held of each part
-	over  bool
-	kind  waitpolicy.Kind
+	outer        *gathererState
+	placeInOuter int // in up
+	hasEnded     []bool
+	shares       []float64 // held of each part
+	isFinished   bool
+	decision     waitpolicy.Kind
 }
 
 // Begin begins a query; decider gives each gatherer's own.
 func Begin(t *Tree, leaves int, now time.Duration, decider func(*Tree) Decider) *Query {
-	q := &Query{by: make(map[*Tree]*gathererState), results: make([]Result, leaves), began: now}
+	q := &Query{states: make(map[*Tree]*gathererState), results: make([]Result, leaves), startedAt: now}
 	var down func(*Tree, *gathererState, int) *gathererState
 	down = func(t *Tree, up *gathererState, place int) *gathererState {
-		a := &gathererState{Tree: t, Decider: decider(t), up: up, place: place, came: make([]bool, len(t.Parts)), share: make([]float64, len(t.Parts))}
-		q.by[t] = a
+		a := &gathererState{Tree: t, Decider: decider(t), outer: up, placeInOuter: place, hasEnded: make([]bool, len(t.Parts)), shares: make([]float64, len(t.Parts))}
+		q.states[t] = a
 		for i, p := range t.Parts {
 			if p.Inner != nil {
 				down(p.Inner, a, i)
@@ -118,68 +118,68 @@
 	return q
 }
 
-// Came takes the end of a service's part. What comes for a gatherer that has ended changes nothing.
-func (q *Query) Came(now time.Duration, leaf Leaf, place int, r Result) {
-	a := q.by[leaf.By]
-	if a.over || a.came[leaf.Part] {
+// LeafEnded takes the end of a service's part. What comes for a gatherer that has ended changes nothing.
+func (q *Query) LeafEnded(now time.Duration, leaf Leaf, place int, r Result) {
+	a := q.states[leaf.Gatherer]
+	if a.isFinished || a.hasEnded[leaf.Part] {
 		return
 	}
 	q.results[place] = r
 	share := 0.0
-	if r.Of > 0 {
-		share = float64(r.Present) / float64(r.Of)
+	if r.Total > 0 {
+		share = float64(r.Present) / float64(r.Total)
 	}
-	q.part(now, a, leaf.Part, share)
+	q.partEnded(now, a, leaf.Part, share)
 }
 
-func (q *Query) part(now time.Duration, a *gathererState, part int, share float64) {
-	a.came[part], a.share[part] = true, share
-	q.ended = append(q.ended, Ended{a.Tree, part, now - q.began, share > 0, false})
-	a.CameShare(now, part, share)
+func (q *Query) partEnded(now time.Duration, a *gathererState, part int, share float64) {
+	a.hasEnded[part], a.shares[part] = true, share
+	q.ended = append(q.ended, Ended{a.Tree, part, now - q.startedAt, share > 0, false})
+	a.PartEnded(now, part, share)
 }
 
 // presentShare is the share of the parts' weight that is held.
 func (a *gathererState) presentShare() float64 {
 	present, all := 0.0, 0.0
 	for i, p := range a.Parts {
-		present, all = present+p.Weight*a.share[i], all+p.Weight
+		present, all = present+p.Weight*a.shares[i], all+p.Weight
 	}
 	return present / all
 }
 
-// shareEpsilon is what sums of weights may be off by.
-const shareEpsilon = 1e-9
+// shareTolerance is what sums of weights may be off by.
+const shareTolerance = 1e-9
 
-func (a *gathererState) enough() bool {
+func (a *gathererState) isEnough() bool {
 	h := a.presentShare()
-	return h > 0 && h >= a.MinShare-shareEpsilon
+	return h > 0 && h >= a.MinShare-shareTolerance
 }
 
 // Next says what to do. Once it is not to wait, the answer is settled.
 func (q *Query) Next(now time.Duration) waitpolicy.Step {
 	s := q.next(now, q.root)
-	if q.root.over && q.root.kind == waitpolicy.Answer && !q.root.enough() {
-		q.root.kind = waitpolicy.Refuse
+	if q.root.isFinished && q.root.decision == waitpolicy.Answer && !q.root.isEnough() {
+		q.root.decision = waitpolicy.Refuse
 	}
-	if q.root.over {
-		s.Kind = q.root.kind
+	if q.root.isFinished {
+		s.Kind = q.root.decision
 	}
 	return s
 }
 
 func (q *Query) next(now time.Duration, a *gathererState) waitpolicy.Step {
-	if a.over {
-		return waitpolicy.Step{Kind: a.kind}
+	if a.isFinished {
+		return waitpolicy.Step{Kind: a.decision}
 	}
 	until := time.Duration(-1)
 	for i, p := range a.Parts {
-		if p.Inner == nil || a.came[i] {
+		if p.Inner == nil || a.hasEnded[i] {
 			continue
 		}
-		in := q.by[p.Inner]
+		in := q.states[p.Inner]
 		s := q.next(now, in)
 		if s.Kind != waitpolicy.Wait {
-			q.part(now, a, i, in.contributedShare())
+			q.partEnded(now, a, i, in.contributedShare())
 		} else if until < 0 || s.Until < until {
 			until = s.Until
 		}
@@ -192,12 +192,12 @@
 		return s
 	}
 	q.end(now, a, s.Kind)
-	return waitpolicy.Step{Kind: a.kind}
+	return waitpolicy.Step{Kind: a.decision}
 }
 
 // contributedShare is what of an inner gatherer's answer its outer one holds: nothing where it is refused.
 func (a *gathererState) contributedShare() float64 {
-	if a.kind != waitpolicy.Answer || !a.enough() {
+	if a.decision != waitpolicy.Answer || !a.isEnough() {
 		return 0
 	}
 	return a.presentShare()
@@ -206,18 +206,18 @@
 // end settles a gatherer. An inner one that still waits gives what it has, where that is enough.
 func (q *Query) end(now time.Duration, a *gathererState, kind waitpolicy.Kind) {
 	for i, p := range a.Parts {
-		if a.came[i] {
+		if a.hasEnded[i] {
 			continue
 		}
 		if p.Inner != nil {
-			in := q.by[p.Inner]
+			in := q.states[p.Inner]
 			q.end(now, in, waitpolicy.Answer)
-			a.share[i] = in.contributedShare()
+			a.shares[i] = in.contributedShare()
 		}
-		q.ended = append(q.ended, Ended{a.Tree, i, now - q.began, false, true})
+		q.ended = append(q.ended, Ended{a.Tree, i, now - q.startedAt, false, true})
 	}
-	if a.over, a.kind = true, kind; !a.enough() {
-		a.kind = waitpolicy.Refuse
+	if a.isFinished, a.decision = true, kind; !a.isEnough() {
+		a.decision = waitpolicy.Refuse
 	}
 }
 
@@ -230,9 +230,9 @@
 
 // Response is what a settled query's answer is made of.
 type Response struct {
-	Contents    [][]byte
-	Present, Of int
-	Missing     []string
+	Contents       [][]byte
+	Present, Total int
+	Missing        []string
 }
 
 // Answer gives what a query holds that has been settled with one.
@@ -244,16 +244,16 @@
 func (q *Query) collect(a *gathererState, under string, w *Response) {
 	for i, p := range a.Parts {
 		switch {
-		case a.share[i] == 0:
-			w.Of += p.of
+		case a.shares[i] == 0:
+			w.Total += p.leafCount
 			w.Missing = append(w.Missing, under+p.Name)
 		case p.Inner != nil:
-			q.collect(q.by[p.Inner], under+p.Name+"/", w)
+			q.collect(q.states[p.Inner], under+p.Name+"/", w)
 		default:
 			r := &q.results[p.Leaf]
 			w.Contents = append(w.Contents, r.Content)
-			w.Present, w.Of = w.Present+r.Present, w.Of+r.Of
-			for _, name := range r.Without {
+			w.Present, w.Total = w.Present+r.Present, w.Total+r.Total
+			for _, name := range r.Missing {
 				w.Missing = append(w.Missing, under+p.Name+"/"+name)
 			}
 		}
--- a/internal/simulation/waitpolicysim/rules.go
+++ b/internal/simulation/waitpolicysim/rules.go
@@ -199,7 +199,7 @@
 		if gone = until; first >= 0 {
 			gone = took[first]
 			told[first] = true
-			b.q.Came(b.now+gone, first, true)
+			b.q.PartCompleted(b.now+gone, first, true)
 		}
 	}
 	for p := range told {
@@ -216,7 +216,7 @@
 // learner ends queries by a model that learns from them.
 type learner struct {
 	byQuery
-	m        *waitpolicy.Model
+	model    *waitpolicy.Model
 	late     float64 // part of the late answers that are seen; the others are cut
 	censored bool    // false takes the censoring out: only what came in time is learned
 	seen     uint64
@@ -227,20 +227,20 @@
 func newLearner(w *world, o waitpolicy.Options) *learner {
 	s := normal(w)
 	l := &learner{censored: true}
-	l.s, l.m = s, waitpolicy.NewModel(s, o)
+	l.s, l.model = s, waitpolicy.NewModel(s, o)
 	l.begin = func(q *waitpolicy.Query, _ float64, now time.Duration) {
-		l.m.Begin(q, class, load, now, now+client+time.Millisecond)
+		l.model.Begin(q, class, load, now, now+client+time.Millisecond)
 	}
 	l.finished = func(e ending, took *[parts]time.Duration, now time.Duration) {
-		l.m.Done(&l.q, class, now+e.at)
+		l.model.Done(&l.q, class, now+e.at)
 		for p, t := range took {
 			l.seen++
 			late := float64(l.seen*0x9e3779b97f4a7c15>>40)/(1<<24) < l.late
 			switch {
 			case t <= e.at || late && t < client:
-				l.m.Observe(class, p, load, waitpolicy.Outcome{At: now + t, Took: t})
+				l.model.Observe(class, p, load, waitpolicy.Outcome{At: now + t, Duration: t})
 			case l.censored:
-				l.m.Observe(class, p, load, waitpolicy.Outcome{At: now + e.at, Took: e.at, Censored: true})
+				l.model.Observe(class, p, load, waitpolicy.Outcome{At: now + e.at, Duration: e.at, Censored: true})
 			}
 		}
 	}
--- a/internal/simulation/waitpolicysim/sharing.go
+++ b/internal/simulation/waitpolicysim/sharing.go
@@ -98,7 +98,7 @@
 	for i := range o.Instances {
 		l := newLearner(w, waitpolicy.Options{Seed: seed<<10 + uint64(i)})
 		g.learners = append(g.learners, l)
-		g.pools = append(g.pools, pool.New(pool.Options{Self: fmt.Sprint("i", i), Life: 12 * exchangeEvery, Every: exchangeEvery}))
+		g.pools = append(g.pools, pool.New(pool.Options{OwnID: fmt.Sprint("i", i), Lifetime: 12 * exchangeEvery, MergeInterval: exchangeEvery}))
 	}
 	if o.Liar > 0 {
 		lie := *w
@@ -125,23 +125,23 @@
 			l = g.liar
 		}
 		var err error
-		if values[i], err = l.m.Shared(); err != nil {
+		if values[i], err = l.model.Shared(); err != nil {
 			return err
 		}
 	}
 	for i, l := range g.learners {
 		if works {
-			g.pools[i].Answered(g.now)
+			g.pools[i].StoreReplied(g.now)
 			from := rng.IntN(n)
 			for k := range min(n, share.MaxMembersRead) {
 				j := (from + k) % n
-				if err := g.pools[i].Heard(g.now, fmt.Sprint("i", j), 0, values[j]); err != nil {
+				if err := g.pools[i].AddReport(g.now, fmt.Sprint("i", j), 0, values[j]); err != nil {
 					return err
 				}
 			}
 		}
-		keys, own := l.m.Sketches()
-		l.m.Fleet(g.pools[i].Merge(g.now, keys, own))
+		keys, own := l.model.Sketches()
+		l.model.SetFleet(g.pools[i].Merge(g.now, keys, own))
 	}
 	return nil
 }
--- a/internal/simulation/waitpolicysim/sim.go
+++ b/internal/simulation/waitpolicysim/sim.go
@@ -117,7 +117,7 @@
 	fixedSums := make([]float64, len(times))
 	worth := func(e ending) float64 {
 		if e.share == 0 {
-			return -s.Left * load * e.out
+			return -s.AbandonCost * load * e.out
 		}
 		return s.Value(e.share, e.out, load, e.at)
 	}
@@ -154,7 +154,7 @@
 	rep.Share /= n
 	rep.Took = time.Duration(float64(rep.Took) / n)
 	rep.Looks = float64(l.looks) / float64(o.Queries)
-	rep.Stats = l.m.Stats()
+	rep.Stats = l.model.Stats()
 	return rep, nil
 }
 
--- a/internal/simulation/waitpolicysim/sim_test.go
+++ b/internal/simulation/waitpolicysim/sim_test.go
@@ -32,8 +32,8 @@
 				if r.Plan < 0.985*r.Oracle {
 					t.Error("the plan is no good even by true distributions")
 				}
-				if r.Stats.Spent > 0.01*float64(n)+2 {
-					t.Errorf("exploring cost %g", r.Stats.Spent)
+				if r.Stats.ExploreCost > 0.01*float64(n)+2 {
+					t.Errorf("exploring cost %g", r.Stats.ExploreCost)
 				}
 			}
 		})
@@ -50,9 +50,9 @@
 		e := fixed(&shares, &took, deadline)
 		for _, d := range took {
 			if d <= e.at {
-				seen.Came[waitpolicy.Bucket(d)]++
+				seen.Answered[waitpolicy.Bucket(d)]++
 			} else if censored {
-				seen.Cut[waitpolicy.Bucket(e.at)]++
+				seen.Abandoned[waitpolicy.Bucket(e.at)]++
 			}
 		}
 		if i%200 == 199 {
@@ -139,7 +139,7 @@
 // waits is the mean time of answers by what an instance knows now, over the same queries each time.
 func waits(w *world, l *learner) (mean time.Duration) {
 	const n = 400
-	rng, f := rand.New(rand.NewPCG(5, 1)), l.m.For(class, load)
+	rng, f := rand.New(rand.NewPCG(5, 1)), l.model.Forecast(class, load)
 	b := byQuery{s: l.s, begin: func(q *waitpolicy.Query, _ float64, now time.Duration) { q.Begin(l.s, f, now, now+client) }}
 	for range n {
 		took, c := w.draw(rng, 0)
--- a/internal/testsupport/scattergathertest/faults_test.go
+++ b/internal/testsupport/scattergathertest/faults_test.go
@@ -195,7 +195,7 @@
 	}
 	for _, n := range f.nodes {
 		n.until("what others learned", func(s manage.Status) bool {
-			return s.ScatterGathers[0].Shared.Members > 0 && s.ScatterGathers[0].Open == 0
+			return s.ScatterGathers[0].Shared.Members > 0 && s.ScatterGathers[0].InFlight == 0
 		})
 	}
 }
--- a/internal/testsupport/scattergathertest/node_test.go
+++ b/internal/testsupport/scattergathertest/node_test.go
@@ -252,7 +252,7 @@
 	r.a.says(testkit.Reset)
 	r.is(r.ask("GET", "/x", ""), 503, "", "", "")
 	st := r.GathererStatus()[0]
-	if st.Queries["whole"] != 3 || st.Queries["partial"] != 9 || st.Queries["too_few"] != 1 || st.Missed["b"] != 10 || st.Missed["c"] > 1 {
+	if st.Queries["whole"] != 3 || st.Queries["partial"] != 9 || st.Queries["too_few"] != 1 || st.MissingCounts["b"] != 10 || st.MissingCounts["c"] > 1 {
 		t.Errorf("%+v", st)
 	}
 	r.idle()
@@ -295,7 +295,7 @@
 	testkit.Until(t, "it has left", func() bool { return r.GathererStatus()[0].Queries["left"] == 1 })
 	r.c.release()
 	r.idle()
-	testkit.Until(t, "nothing is open", func() bool { return r.GathererStatus()[0].Open == 0 })
+	testkit.Until(t, "nothing is open", func() bool { return r.GathererStatus()[0].InFlight == 0 })
 	if n := r.GathererStatus()[0].Learned.Queries; n != 4 { // else what one that explored may cost is never given back
 		t.Errorf("%d queries are settled", n)
 	}
@@ -411,7 +411,7 @@
 	close(stop)
 	clients.Wait()
 	st := r.GathererStatus()[0]
-	if st.Queries["whole"] < 100 || st.Queries["partial"]+st.Queries["too_few"] > st.Queries["whole"]/2 || st.Learned.Sketches == 0 || !st.Known {
+	if st.Queries["whole"] < 100 || st.Queries["partial"]+st.Queries["too_few"] > st.Queries["whole"]/2 || st.Learned.Sketches == 0 || !st.IsKnown {
 		t.Errorf("%+v", st)
 	}
 	before := r.Checkpoint()
--- a/internal/testsupport/scattergathertest/process_test.go
+++ b/internal/testsupport/scattergathertest/process_test.go
@@ -187,7 +187,7 @@
 	t.Helper()
 	for i := range 4 {
 		p.write(strings.Replace(text, `half_life = "400ms"`, fmt.Sprintf(`half_life = "%dms"`, 300+100*i), 1))
-		if s, err := p.client.Reload(context.Background()); err != nil || s.Generation != i+2 || !s.ScatterGathers[0].Known {
+		if s, err := p.client.Reload(context.Background()); err != nil || s.Generation != i+2 || !s.ScatterGathers[0].IsKnown {
 			t.Errorf("%+v, %v", s, err)
 		}
 	}
@@ -250,7 +250,7 @@
 		clients.Wait()
 	}
 	wave(60, low...)
-	low[0].until("enough is learned", func(s manage.Status) bool { return s.ScatterGathers[0].Known })
+	low[0].until("enough is learned", func(s manage.Status) bool { return s.ScatterGathers[0].IsKnown })
 	if c.refused+c.lost > 0 || c.whole == 0 {
 		t.Error(c.String())
 	}
@@ -279,14 +279,14 @@
 	learned := low[0].status().ScatterGathers[0].Learned.Sketches
 	low[0].kill()
 	low[0].start()
-	if g := low[0].status().ScatterGathers[0]; !g.Known || g.Learned.Sketches < learned {
+	if g := low[0].status().ScatterGathers[0]; !g.IsKnown || g.Learned.Sketches < learned {
 		t.Errorf("after a kill %+v", g)
 	}
 	old := low[1].status()
 	if _, err := low[1].client.Upgrade(context.Background(), ""); err != nil {
 		t.Fatal(err)
 	}
-	low[1].until("a successor that knows", func(s manage.Status) bool { return s.PID != old.PID && s.IsReady() && s.ScatterGathers[0].Known })
+	low[1].until("a successor that knows", func(s manage.Status) bool { return s.PID != old.PID && s.IsReady() && s.ScatterGathers[0].IsKnown })
 	reloads(t, low[2], text)
 	pools[4].release()
 	close(stop)
--- a/internal/waitpolicy/encode.go
+++ b/internal/waitpolicy/encode.go
@@ -32,31 +32,31 @@
 // Record is a sketch as it is written: of each of its counts the buckets that hold some, a byte for
 // the bucket and two for the count.
 type Record struct {
-	Class  string `cbor:"1,keyasint"`
-	Part   string `cbor:"2,keyasint"`
-	Load   int    `cbor:"3,keyasint"`
-	Came   []byte `cbor:"4,keyasint,omitempty"`
-	Failed []byte `cbor:"5,keyasint,omitempty"`
-	Cut    []byte `cbor:"6,keyasint,omitempty"`
+	Class     string `cbor:"1,keyasint"`
+	Part      string `cbor:"2,keyasint"`
+	Load      int    `cbor:"3,keyasint"`
+	Answered  []byte `cbor:"4,keyasint,omitempty"`
+	Failed    []byte `cbor:"5,keyasint,omitempty"`
+	Abandoned []byte `cbor:"6,keyasint,omitempty"`
 }
 
 // Key is what it is of.
 func (r *Record) Key() Key { return Key{r.Class, r.Part, r.Load} }
 
-// Common is what is known of how far the parts of a class go together.
-type Common struct {
+// ClassCorrelation is what is known of how far the parts of a class go together.
+type ClassCorrelation struct {
 	Class   string  `cbor:"1,keyasint"`
 	Pairs   float64 `cbor:"2,keyasint"`
 	Squares float64 `cbor:"3,keyasint"`
 }
 
-type state struct {
-	Version int      `cbor:"1,keyasint"`
-	Records []Record `cbor:"2,keyasint"`
-	Common  []Common `cbor:"3,keyasint,omitempty"`
+type storedState struct {
+	Version      int                `cbor:"1,keyasint"`
+	Records      []Record           `cbor:"2,keyasint"`
+	Correlations []ClassCorrelation `cbor:"3,keyasint,omitempty"`
 }
 
-func sparse(counts *[Buckets]float32) (b []byte) {
+func encodeCounts(counts *[Buckets]float32) (b []byte) {
 	for i, n := range counts {
 		if n := min(math.MaxUint16, math.Round(float64(n)*countUnit)); n >= 1 {
 			b = append(b, byte(i))
@@ -66,7 +66,7 @@
 	return b
 }
 
-func dense(b []byte, counts *[Buckets]float32) error {
+func decodeCounts(b []byte, counts *[Buckets]float32) error {
 	if len(b)%3 != 0 {
 		return errors.New("a count is cut")
 	}
@@ -89,29 +89,29 @@
 	case r.Load < 0 || r.Load > AllLoads:
 		return s, fmt.Errorf("load %d", r.Load)
 	}
-	if err := cmp.Or(dense(r.Came, &s.Came), dense(r.Failed, &s.Failed), dense(r.Cut, &s.Cut)); err != nil {
+	if err := cmp.Or(decodeCounts(r.Answered, &s.Answered), decodeCounts(r.Failed, &s.Failed), decodeCounts(r.Abandoned, &s.Abandoned)); err != nil {
 		return s, err
 	}
-	if n := s.Weight(); n > 2*longMemory {
+	if n := s.Weight(); n > 2*maxRemembered {
 		return s, fmt.Errorf("it counts %g, more than one remembers", n)
 	}
 	return s, nil
 }
 
 func record(k Key, s *Sketch) Record {
-	return Record{k.Class, k.Part, k.Load, sparse(&s.Came), sparse(&s.Failed), sparse(&s.Cut)}
+	return Record{k.Class, k.Part, k.Load, encodeCounts(&s.Answered), encodeCounts(&s.Failed), encodeCounts(&s.Abandoned)}
 }
 
-func encode(s state) ([]byte, error) {
+func encode(s storedState) ([]byte, error) {
 	s.Version = Version
 	raw, err := cbor.Marshal(s)
 	if err != nil {
 		return nil, fmt.Errorf("writing sketches: %w", err)
 	}
-	return signed(raw), nil
+	return withChecksum(raw), nil
 }
 
-func decode(raw []byte, maxBytes int) (s state, err error) {
+func decode(raw []byte, maxBytes int) (s storedState, err error) {
 	if len(raw) < len(magic)+4 || string(raw[:len(magic)]) != magic {
 		return s, errors.New("reading sketches: they are none")
 	}
@@ -123,28 +123,28 @@
 		return s, errors.New("reading sketches: they are damaged: their sum is another one")
 	}
 	if err := codec.Decoder.Unmarshal(body, &s); err != nil {
-		return state{}, fmt.Errorf("reading sketches: %w", err)
+		return storedState{}, fmt.Errorf("reading sketches: %w", err)
 	}
 	if s.Version != Version {
-		return state{}, fmt.Errorf("reading sketches: they are of version %d, not %d", s.Version, Version)
+		return storedState{}, fmt.Errorf("reading sketches: they are of version %d, not %d", s.Version, Version)
 	}
-	if len(s.Records) > MaxSketches || len(s.Common) > MaxClasses {
-		return state{}, fmt.Errorf("reading sketches: %d of %d classes are too many", len(s.Records), len(s.Common))
+	if len(s.Records) > MaxSketches || len(s.Correlations) > MaxClasses {
+		return storedState{}, fmt.Errorf("reading sketches: %d of %d classes are too many", len(s.Records), len(s.Correlations))
 	}
 	seen := make(map[Key]bool, len(s.Records))
 	for i := range s.Records {
 		r := &s.Records[i]
 		if _, err := r.Sketch(); err != nil {
-			return state{}, fmt.Errorf("reading sketches: number %d: %w", i, err)
+			return storedState{}, fmt.Errorf("reading sketches: number %d: %w", i, err)
 		}
 		if seen[r.Key()] {
-			return state{}, fmt.Errorf("reading sketches: number %d: it comes twice", i)
+			return storedState{}, fmt.Errorf("reading sketches: number %d: it comes twice", i)
 		}
 		seen[r.Key()] = true
 	}
-	for i, c := range s.Common {
-		if c.Class == "" || len(c.Class) > MaxNameBytes || !(c.Squares >= 0 && c.Squares < 1e6) || !(math.Abs(c.Pairs) <= c.Squares*(1+hair)) {
-			return state{}, fmt.Errorf("reading sketches: common factor number %d can't be", i)
+	for i, c := range s.Correlations {
+		if c.Class == "" || len(c.Class) > MaxNameBytes || !(c.Squares >= 0 && c.Squares < 1e6) || !(math.Abs(c.Pairs) <= c.Squares*(1+shareTolerance)) {
+			return storedState{}, fmt.Errorf("reading sketches: common factor number %d can't be", i)
 		}
 	}
 	return s, nil
@@ -160,11 +160,11 @@
 		order[i], weight[i] = i, all[i].Weight()
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(weight[b], weight[a]) })
-	var s state
+	var s storedState
 	size := len(magic) + 64
 	for _, i := range order {
 		r := record(keys[i], &all[i])
-		size += len(r.Class) + len(r.Part) + len(r.Came) + len(r.Failed) + len(r.Cut) + 32
+		size += len(r.Class) + len(r.Part) + len(r.Answered) + len(r.Failed) + len(r.Abandoned) + 32
 		if size > MaxSharedBytes {
 			break
 		}
@@ -182,18 +182,18 @@
 // Encode writes down what was learned here, for a successor or a next start.
 func (m *Model) Encode() ([]byte, error) {
 	keys, all := m.Sketches()
-	var s state
+	var s storedState
 	for i, k := range keys {
 		s.Records = append(s.Records, record(k, &all[i]))
 	}
 	m.mu.Lock()
 	for name, c := range m.classes {
-		if name != "" && math.Abs(c.pairs) <= c.squares {
-			s.Common = append(s.Common, Common{name, c.pairs, c.squares})
+		if name != "" && math.Abs(c.pairMoment) <= c.squareMoment {
+			s.Correlations = append(s.Correlations, ClassCorrelation{name, c.pairMoment, c.squareMoment})
 		}
 	}
 	m.mu.Unlock()
-	slices.SortFunc(s.Common, func(a, b Common) int { return cmp.Compare(a.Class, b.Class) })
+	slices.SortFunc(s.Correlations, func(a, b ClassCorrelation) int { return cmp.Compare(a.Class, b.Class) })
 	raw, err := encode(s)
 	if err == nil && len(raw) > MaxStateBytes {
 		return nil, fmt.Errorf("writing sketches: %d bytes are more than %d", len(raw), MaxStateBytes)
@@ -208,13 +208,13 @@
 	if err != nil {
 		return err
 	}
-	left := math.Exp2(-max(0, float64(ago)) / float64(forgetHalf))
+	left := math.Exp2(-max(0, float64(ago)) / float64(memoryHalfLife))
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for i := range s.Records {
 		r := &s.Records[i]
 		is := func(p Part) bool { return p.Name == r.Part }
-		if m.sketch[r.Key()] != nil || !slices.ContainsFunc(m.s.Parts, is) {
+		if m.histories[r.Key()] != nil || !slices.ContainsFunc(m.settings.Parts, is) {
 			continue
 		}
 		sketch, _ := r.Sketch() // it was read once
@@ -222,22 +222,22 @@
 			continue
 		}
 		m.class(r.Class)
-		l := m.at(r.Key())
-		l.long.Add(&sketch, left)
-		l.long.unit = 1
+		l := m.history(r.Key())
+		l.longTerm.Add(&sketch, left)
+		l.longTerm.unit = 1
 	}
-	for _, c := range s.Common {
-		if to := m.classes[c.Class]; to != nil && to.squares == 0 {
-			to.pairs, to.squares = c.Pairs*left, c.Squares*left
+	for _, c := range s.Correlations {
+		if to := m.classes[c.Class]; to != nil && to.squareMoment == 0 {
+			to.pairMoment, to.squareMoment = c.Pairs*left, c.Squares*left
 		}
 	}
 	for _, c := range m.classes {
-		c.fresh = [Loads]int{}
+		c.observationsLeft = [Loads]int{}
 	}
 	return nil
 }
 
-// signed puts before a body what shows that it is whole.
-func signed(body []byte) []byte {
+// withChecksum puts before a body what shows that it is whole.
+func withChecksum(body []byte) []byte {
 	return append(binary.BigEndian.AppendUint32([]byte(magic), codec.Sum(body)), body...)
 }
--- a/internal/waitpolicy/golden_test.go
+++ b/internal/waitpolicy/golden_test.go
@@ -29,14 +29,14 @@
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if len(s.Records) == 0 || name == "stored" && len(s.Common) == 0 {
-			t.Errorf("%s: it holds %d sketches and %d common factors", name, len(s.Records), len(s.Common))
+		if len(s.Records) == 0 || name == "stored" && len(s.Correlations) == 0 {
+			t.Errorf("%s: it holds %d sketches and %d common factors", name, len(s.Records), len(s.Correlations))
 		}
 		if again, err := encode(s); err != nil || !bytes.Equal(again, raw) {
 			t.Errorf("%s: it is not written as it was read: %v", name, err)
 		}
 		const head = len(magic) + 4
-		if err := testkit.RoundTrip("cbor", raw[head:], new(state)); err != nil {
+		if err := testkit.RoundTrip("cbor", raw[head:], new(storedState)); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -55,5 +55,5 @@
 
 // Every key of a sketch, those too that a short run leaves out.
 func TestGoldenSketchKeys(t *testing.T) {
-	testkit.GoldenSample(t, "cbor", "testdata/golden/sketches.cbor", &state{})
+	testkit.GoldenSample(t, "cbor", "testdata/golden/sketches.cbor", &storedState{})
 }
--- a/internal/waitpolicy/keys_test.go
+++ b/internal/waitpolicy/keys_test.go
@@ -7,4 +7,4 @@
 )
 
 // Stored and shared sketches have a written key for every field.
-func TestKeysAreWritten(t *testing.T) { testkit.RequireKeys(t, "cbor", state{}) }
+func TestKeysAreWritten(t *testing.T) { testkit.RequireKeys(t, "cbor", storedState{}) }
--- a/internal/waitpolicy/model_test.go
+++ b/internal/waitpolicy/model_test.go
@@ -15,9 +15,9 @@
 // teach has a model see a part's delays of a median, cut at a time.
 func teach(m *Model, rng *rand.Rand, n int, class string, part int, median, cut time.Duration) {
 	for range n {
-		o := Outcome{Took: time.Duration(float64(median) * math.Exp(0.5*rng.NormFloat64()))}
-		if o.Took > cut {
-			o = Outcome{Took: cut, Censored: true}
+		o := Outcome{Duration: time.Duration(float64(median) * math.Exp(0.5*rng.NormFloat64()))}
+		if o.Duration > cut {
+			o = Outcome{Duration: cut, Censored: true}
 		}
 		m.Observe(class, part, 0.5, o)
 	}
@@ -40,13 +40,13 @@
 	left := new(Sketch)
 	for range 20000 {
 		took := time.Duration(200 * math.Exp(0.6*rng.NormFloat64()) * float64(ms))
-		whole.Came[Bucket(took)]++
+		whole.Answered[Bucket(took)]++
 		if at := time.Duration(rng.IntN(400)+20) * ms; took > at {
-			cut.add(Outcome{Took: at, Censored: true}, 1e9, 0)
+			cut.add(Outcome{Duration: at, Censored: true}, 1e9, 0)
 			continue
 		}
-		cut.add(Outcome{Took: took}, 1e9, 0)
-		left.Came[Bucket(took)]++
+		cut.add(Outcome{Duration: took}, 1e9, 0)
+		left.Answered[Bucket(took)]++
 	}
 	for _, p := range []float64{0.1, 0.25, 0.5, 0.75} {
 		w, c, l := whole.Quantile(p), cut.Quantile(p), left.Quantile(p)
@@ -68,10 +68,10 @@
 			for seed := range uint64(50) {
 				m, rng := NewModel(parted(0.5, 1), Options{}), rand.New(rand.NewPCG(seed, 1))
 				to := time.Duration(times * float64(100*ms))
-				m.For("c", 0.5)
+				m.Forecast("c", 0.5)
 				for range 600 {
 					teach(m, rng, 1, "c", 0, 100*ms, cut)
-					m.For("c", 0.5)
+					m.Forecast("c", 0.5)
 				}
 				was, n := m.Stats().Changes, 0
 				for ; m.Stats().Changes == was && n < 1000; n++ {
@@ -79,7 +79,7 @@
 				}
 				worst, sum = max(worst, n), sum+n
 				teach(m, rng, 24, "c", 0, to, cut)
-				off += math.Log2(float64(m.For("c", 0.5).Quantile(0, 0.5)) / float64(to))
+				off += math.Log2(float64(m.Forecast("c", 0.5).Quantile(0, 0.5)) / float64(to))
 			}
 			if t.Logf("%s, cut at %v: told after %d at the most, %d in the mean", name, cut, worst, sum/50); worst > 40 {
 				t.Error("that is late")
@@ -92,7 +92,7 @@
 	m, rng := NewModel(parted(0.5, 1), Options{}), rand.New(rand.NewPCG(9, 1))
 	for range 100_000 {
 		teach(m, rng, 1, "c", 0, 100*ms, 150*ms)
-		m.For("c", 0.5)
+		m.Forecast("c", 0.5)
 	}
 	if n := m.Stats().Changes; n > 15 {
 		t.Errorf("%d changes told of what never changed", n)
@@ -104,14 +104,14 @@
 	m, rng := NewModel(parted(0.5, 1, 1), Options{}), rand.New(rand.NewPCG(1, 1))
 	at := time.Hour
 	for range 500 {
-		m.Observe("c", 0, 0, Outcome{At: at, Took: 3 * time.Second})
+		m.Observe("c", 0, 0, Outcome{At: at, Duration: 3 * time.Second})
 		at += time.Second
 	}
 	at += 24 * time.Hour
 	for range 6 {
-		m.Observe("c", 0, 0, Outcome{At: at, Took: time.Duration(90+rng.IntN(20)) * ms})
+		m.Observe("c", 0, 0, Outcome{At: at, Duration: time.Duration(90+rng.IntN(20)) * ms})
 	}
-	if d := m.For("c", 0).Quantile(0, 0.5); d > 150*ms {
+	if d := m.Forecast("c", 0).Quantile(0, 0.5); d > 150*ms {
 		t.Errorf("half within %v", d)
 	}
 }
@@ -131,13 +131,13 @@
 			end := 150 * ms // what comes later is cut
 			for p, d := range took {
 				if d <= end {
-					q.Came(now+d, p, true)
+					q.PartCompleted(now+d, p, true)
 				}
-				m.Observe("c", p, 0, Outcome{At: now, Took: min(d, end), Censored: d > end})
+				m.Observe("c", p, 0, Outcome{At: now, Duration: min(d, end), Censored: d > end})
 			}
 			m.Done(&q, "c", now+end)
 		}
-		if got := m.For("c", 0).Common(); math.Abs(got-rho) > 0.15 {
+		if got := m.Forecast("c", 0).Correlation(); math.Abs(got-rho) > 0.15 {
 			t.Errorf("a correlation of %g is learned as %.2f", rho, got)
 		}
 	}
@@ -150,18 +150,18 @@
 	for i := range 5000 {
 		now := time.Duration(i+1) * time.Second
 		m.Begin(&q, "c", 0, now, 0)
-		q.Came(now+10*ms, 0, true)
-		m.Observe("c", 0, 0, Outcome{Took: 10 * ms})
+		q.PartCompleted(now+10*ms, 0, true)
+		m.Observe("c", 0, 0, Outcome{Duration: 10 * ms})
 		at := now + 10*ms
 		step := q.Next(at)
 		for ; step.Kind == Wait; step = q.Next(at) {
 			at = step.Until
 		}
-		m.Observe("c", 1, 0, Outcome{Took: at - now, Censored: true}) // it never comes
+		m.Observe("c", 1, 0, Outcome{Duration: at - now, Censored: true}) // it never comes
 		m.Done(&q, "c", at)
 	}
 	s := m.Stats()
-	if s.Explored < 20 || s.Spent > 0.01*5000+2 {
+	if s.Explored < 20 || s.ExploreCost > 0.01*5000+2 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -173,12 +173,12 @@
 		name := strings.Repeat("c", i%300) + fmt.Sprint(i)
 		for p := range 20 {
 			for l := range Loads {
-				m.Observe(name, p, float64(l)/Loads, Outcome{Took: ms})
+				m.Observe(name, p, float64(l)/Loads, Outcome{Duration: ms})
 			}
 		}
-		m.Observe(name, 20, 0, Outcome{Took: ms})
-		m.Observe(name, -1, 0, Outcome{Took: ms})
-		m.For(name, 7)
+		m.Observe(name, 20, 0, Outcome{Duration: ms})
+		m.Observe(name, -1, 0, Outcome{Duration: ms})
+		m.Forecast(name, 7)
 	}
 	if st := m.Stats(); st.Classes > MaxClasses || st.Sketches > MaxSketches {
 		t.Errorf("%+v", st)
@@ -192,7 +192,7 @@
 	m, rng := NewModel(parted(0.5, 1, 1), Options{}), rand.New(rand.NewPCG(1, 1))
 	teach(m, rng, 300, class, 0, 100*ms, 200*ms)
 	teach(m, rng, 300, class, 1, 400*ms, 300*ms)
-	m.classes[class].pairs, m.classes[class].squares = 20, 50
+	m.classes[class].pairMoment, m.classes[class].squareMoment = 20, 50
 	return m
 }
 
@@ -208,13 +208,13 @@
 	}
 	for p := range 2 {
 		for _, share := range []float64{0.1, 0.25, 0.5} {
-			if a, b := old.For("c", 0.5).Quantile(p, share), next.For("c", 0.5).Quantile(p, share); a != b {
+			if a, b := old.Forecast("c", 0.5).Quantile(p, share), next.Forecast("c", 0.5).Quantile(p, share); a != b {
 				t.Errorf("part %d, %g: %v, and then %v", p, share, a, b)
 			}
 		}
 	}
-	if f := next.For("c", 0.5); f.Known() || math.Abs(f.Common()-0.4) > 1e-9 {
-		t.Errorf("%v, %g", f.Known(), f.Common())
+	if f := next.Forecast("c", 0.5); f.IsKnown() || math.Abs(f.Correlation()-0.4) > 1e-9 {
+		t.Errorf("%v, %g", f.IsKnown(), f.Correlation())
 	}
 	late := NewModel(parted(0.5, 1, 1), Options{})
 	if err := late.Restore(raw, 48*time.Hour); err != nil || late.Stats().Sketches > 0 {
@@ -240,9 +240,9 @@
 	raw, _ := taught("c").Encode()
 	f.Add(raw[len(magic)+4:])
 	f.Fuzz(func(t *testing.T, body []byte) {
-		s, err := decode(signed(body), MaxStateBytes)
+		s, err := decode(withChecksum(body), MaxStateBytes)
 		m := NewModel(parted(0.5, 1, 1), Options{})
-		if (m.Restore(signed(body), 0) == nil) != (err == nil) {
+		if (m.Restore(withChecksum(body), 0) == nil) != (err == nil) {
 			t.Fatal("read once, and once not")
 		}
 		for i := range s.Records {
@@ -255,6 +255,6 @@
 		} else if err := m.Restore(again, 0); err != nil {
 			t.Fatal(err)
 		}
-		m.For("c", 0)
+		m.Forecast("c", 0)
 	})
 }
--- a/internal/waitpolicy/pool/pool_test.go
+++ b/internal/waitpolicy/pool/pool_test.go
@@ -22,7 +22,7 @@
 	m := waitpolicy.NewModel(&waitpolicy.Settings{Parts: []waitpolicy.Part{{Name: "a"}}}, waitpolicy.Options{})
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for range n {
-		m.Observe("c", 0, 0.3, waitpolicy.Outcome{Took: time.Duration(float64(median) * math.Exp(0.6*rng.NormFloat64()))})
+		m.Observe("c", 0, 0.3, waitpolicy.Outcome{Duration: time.Duration(float64(median) * math.Exp(0.6*rng.NormFloat64()))})
 	}
 	raw, err := m.Shared()
 	if err != nil {
@@ -47,16 +47,16 @@
 			n      int
 			median time.Duration
 		}{"all slow": {600, 20 * time.Second}, "all at once": {600, ms / 2}, "a little slower": {600, 150 * ms}, "few slow ones": {7, 20 * time.Second}} {
-			p, honest := New(Options{Self: "x", Life: life, Every: every}), New(Options{Self: "x", Life: life, Every: every})
+			p, honest := New(Options{OwnID: "x", Lifetime: life, MergeInterval: every}), New(Options{OwnID: "x", Lifetime: life, MergeInterval: every})
 			for i := range n {
 				raw := told(t, uint64(i), 400, 100*ms)
-				if err := honest.Heard(0, fmt.Sprint(i), 0, raw); err != nil {
+				if err := honest.AddReport(0, fmt.Sprint(i), 0, raw); err != nil {
 					t.Fatal(err)
 				}
 				if i == 0 {
 					raw = told(t, 99, lie.n, lie.median)
 				}
-				if err := p.Heard(0, fmt.Sprint(i), 0, raw); err != nil {
+				if err := p.AddReport(0, fmt.Sprint(i), 0, raw); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -65,8 +65,8 @@
 			if r := half(b) / half(a); r < 0.9 || r > 1.1 {
 				t.Errorf("%d instances, one tells %s: %g ms, else %g", n, name, half(b), half(a))
 			}
-			if (lie.n > 100) != (p.Stats().Apart > 0) {
-				t.Errorf("%d instances, %s: %d left out", n, name, p.Stats().Apart)
+			if (lie.n > 100) != (p.Stats().Outliers > 0) {
+				t.Errorf("%d instances, %s: %d left out", n, name, p.Stats().Outliers)
 			}
 		}
 	}
@@ -75,29 +75,29 @@
 // Trust rises and falls by a quarter in each merge, whatever happens: a store that is lost, is emptied,
 // shows another half of the group, or comes back; and what is old ends.
 func TestTrustMovesBySteps(t *testing.T) {
-	p, rng := New(Options{Self: "x", Life: life, Every: every}), rand.New(rand.NewPCG(1, 1))
+	p, rng := New(Options{OwnID: "x", Lifetime: life, MergeInterval: every}), rand.New(rand.NewPCG(1, 1))
 	last, top, now := 0.0, 0.0, time.Duration(0)
 	raws := [][]byte{told(t, 1, 300, 100*ms), told(t, 2, 300, 110*ms), told(t, 3, 300, 400*ms)}
 	for range 2000 {
 		now += every + time.Duration(rng.IntN(2000)-1000)*ms
 		if works := int(now/(300*time.Second))%2 == 0; works {
-			p.Answered(now)
+			p.StoreReplied(now)
 			for i, raw := range raws {
 				if rng.IntN(2) == 0 {
-					if err := p.Heard(now, fmt.Sprint(i), time.Duration(rng.IntN(20))*time.Second, raw); err != nil {
+					if err := p.AddReport(now, fmt.Sprint(i), time.Duration(rng.IntN(20))*time.Second, raw); err != nil {
 						t.Fatal(err)
 					}
 				}
 			}
 		}
 		_, trust := p.Merge(now, nil, nil)
-		if math.Abs(trust-last) > trustStep+1e-9 || trust < 0 || trust > 1 {
+		if math.Abs(trust-last) > maxTrustStep+1e-9 || trust < 0 || trust > 1 {
 			t.Fatalf("at %v trust goes from %g to %g", now, last, trust)
 		}
 		last, top = trust, max(top, trust)
 	}
 	all, trust := p.Merge(now+2*life, nil, nil)
-	if top < 1 || len(all) > 0 || trust > 1-trustStep {
+	if top < 1 || len(all) > 0 || trust > 1-maxTrustStep {
 		t.Errorf("trust was %g; after all is over %d sketches are left, and trust of %g", top, len(all), trust)
 	}
 }
@@ -110,12 +110,12 @@
 	}
 	var want float64
 	for i, seed := range []uint64{0, 1, 2, 3} {
-		p := New(Options{Self: "8", Life: life, Every: every})
+		p := New(Options{OwnID: "8", Lifetime: life, MergeInterval: every})
 		for _, j := range rand.New(rand.NewPCG(seed, 1)).Perm(len(raws)) {
-			if err := p.Heard(0, fmt.Sprint(j), 0, raws[j]); err != nil {
+			if err := p.AddReport(0, fmt.Sprint(j), 0, raws[j]); err != nil {
 				t.Fatal(err)
 			}
-			if err := p.Heard(0, fmt.Sprint(j), time.Second, raws[0]); err != nil { // older than what is known
+			if err := p.AddReport(0, fmt.Sprint(j), time.Second, raws[0]); err != nil { // older than what is known
 				t.Fatal(err)
 			}
 		}
@@ -132,22 +132,22 @@
 }
 
 func TestNonsenseIsRefused(t *testing.T) {
-	p := New(Options{Self: "x", Life: life, Every: every})
+	p := New(Options{OwnID: "x", Lifetime: life, MergeInterval: every})
 	good := told(t, 1, 100, 100*ms)
-	if err := p.Heard(0, "a", 0, good); err != nil {
+	if err := p.AddReport(0, "a", 0, good); err != nil {
 		t.Fatal(err)
 	}
 	for i, bad := range [][]byte{nil, []byte("x"), good[:len(good)-1], append(good[:len(good):len(good)], 0)} {
-		if p.Heard(time.Second, "a", 0, bad) == nil || p.Heard(time.Second, "", 0, good) == nil {
+		if p.AddReport(time.Second, "a", 0, bad) == nil || p.AddReport(time.Second, "", 0, good) == nil {
 			t.Errorf("%d is taken", i)
 		}
 	}
 	for i := range 3 * MaxMembers {
-		if err := p.Heard(time.Duration(i)*ms, fmt.Sprint(i), 0, good); err != nil {
+		if err := p.AddReport(time.Duration(i)*ms, fmt.Sprint(i), 0, good); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if s := p.Stats(); s.Members != MaxMembers || s.Refused != 8 {
+	if s := p.Stats(); s.Members != MaxMembers || s.Rejected != 8 {
 		t.Errorf("%+v", s)
 	}
 	if all, _ := p.Merge(2*time.Second, nil, nil); half(all) == 0 {
--- a/internal/waitpolicy/query.go
+++ b/internal/waitpolicy/query.go
@@ -12,75 +12,75 @@
 	Refuse             // too little has come, and no more can in time
 )
 
-// Why says what a step follows from; for logs and counts.
-type Why uint8
+// Reason says what a step follows from; for logs and counts.
+type Reason uint8
 
 // The reasons of a step.
 const (
-	Complete      Why = iota // nothing is out any more
-	ExpectedValue            // by expected worth
-	Unknown                  // too little is known of a part that is out: it is waited for
-	Exploring                // waits longer than is worth it, to learn
-	BelowMinimum             // less has come than an answer needs
-	Time                     // the client's time, or the fixed one
+	Complete      Reason = iota // nothing is out any more
+	ExpectedValue               // by expected worth
+	Unknown                     // too little is known of a part that is out: it is waited for
+	Exploring                   // waits longer than is worth it, to learn
+	BelowMinimum                // less has come than an answer needs
+	Time                        // the client's time, or the fixed one
 )
 
-var whys = [...]string{"whole", "worth", "unknown", "exploring", "least", "time"}
+var reasonNames = [...]string{"whole", "worth", "unknown", "exploring", "least", "time"}
 
-func (w Why) String() string { return whys[w] }
+func (w Reason) String() string { return reasonNames[w] }
 
 // Step is what is to be done now.
 type Step struct {
-	Kind  Kind
-	Why   Why
-	Until time.Duration // with Wait: when to ask again, if nothing comes before
-	Share float64       // of the parts, by weight, that has come
+	Kind   Kind
+	Reason Reason
+	Until  time.Duration // with Wait: when to ask again, if nothing comes before
+	Share  float64       // of the parts, by weight, that has come
 }
 
 // Query is one query, from its begin to its answer. It is not safe for concurrent use. A used one can
 // begin again, which allocates nothing then.
 type Query struct {
-	s            *Settings
-	f            *Forecast
-	begin        time.Duration
-	last         time.Duration // by which it has answered
-	fixed        time.Duration // by which it answers with what has come, if that is enough
-	total        float64       // weight of all parts
-	arrivedShare float64       // share that has come
-	open         int           // parts that are out
-	parts        []partState
+	settings         *Settings
+	forecast         *Forecast
+	startedAt        time.Duration
+	latestAnswer     time.Duration // by which it has answered
+	fixedAnswer      time.Duration // by which it answers with what has come, if that is enough
+	totalWeight      float64       // weight of all parts
+	arrivedShare     float64       // share that has come
+	outstandingCount int           // parts that are out
+	parts            []partState
 	// The common factor's evidence: sum and count of the scores of what has come or failed.
-	scores float64
-	scored int
+	scoreSum   float64
+	scoreCount int
 
-	planned, replan time.Duration // what was planned last, and until when it holds whatever comes
+	plannedAnswer, replanAt time.Duration // what was planned last, and until when it holds whatever comes
 
-	explore  bool
-	wouldEnd time.Duration // when it would have answered without exploring; 0 is not yet
-	ended    time.Duration
-	done     bool
-	settled  bool
-	missing  []open // scratch
+	isExploring   bool
+	valueAnswerAt time.Duration // when it would have answered without exploring; 0 is not yet
+	endedAt       time.Duration
+	isDone        bool
+	isReported    bool
+	outstanding   []outstandingPart // scratch
 }
 
 type partState struct {
-	weight float64 // share of the whole
-	got    float64 // share of it that has come
-	took   time.Duration
-	is     uint8
+	weight       float64 // share of the whole
+	arrivedShare float64 // share of it that has come
+	duration     time.Duration
+	status       uint8
 }
 
 const (
-	isOut = iota
-	hasCome
-	hasFailed
+	partOutstanding = iota
+	partAnswered
+	partFailed
 )
 
-// unknownFor half-lives are waited for a part of which too little is known.
-const unknownFor = 3
+// unknownHalfLives half-lives are waited for a part of which too little is known.
+const unknownHalfLives = 3
 
-// farthest half-lives are waited in any mode but None: what comes then is worth next to nothing.
-const farthest = 8
+// maxHalfLives half-lives are waited in any mode but None: what comes then is worth next to nothing.
+const maxHalfLives = 8
 
 // Begin begins a query at a time, with what is known of the parts; it has to be answered by a
 // deadline, 0 is none.
@@ -92,107 +92,111 @@
 
 // Begin begins it anew.
 func (q *Query) Begin(s *Settings, f *Forecast, now, deadline time.Duration) {
-	parts, missing := q.parts[:0], q.missing[:0]
-	*q = Query{s: s, f: f, begin: now, open: len(s.Parts)}
+	parts, missing := q.parts[:0], q.outstanding[:0]
+	*q = Query{settings: s, forecast: f, startedAt: now, outstandingCount: len(s.Parts)}
 	for i := range s.Parts {
 		w := s.Parts[i].weight()
-		q.total += w
+		q.totalWeight += w
 		parts = append(parts, partState{weight: w})
 	}
 	for i := range parts {
-		parts[i].weight /= q.total
+		parts[i].weight /= q.totalWeight
 	}
 	if cap(missing) < len(parts) {
-		missing = make([]open, 0, len(parts))
+		missing = make([]outstandingPart, 0, len(parts))
 	}
-	q.parts, q.missing = parts, missing
-	q.last = now + edges[Buckets-2]
+	q.parts, q.outstanding = parts, missing
+	q.latestAnswer = now + edges[Buckets-2]
 	if s.Mode != None {
-		q.last = min(q.last, now+farthest*s.halfLife())
+		q.latestAnswer = min(q.latestAnswer, now+maxHalfLives*s.halfLife())
 	}
-	q.fixed = q.last
+	q.fixedAnswer = q.latestAnswer
 	if s.Mode == Fixed {
-		q.fixed = now + s.Fixed
-		q.last = max(q.last, q.fixed)
+		q.fixedAnswer = now + s.Fixed
+		q.latestAnswer = max(q.latestAnswer, q.fixedAnswer)
 	}
 	if deadline > 0 {
-		q.last = min(q.last, max(now, deadline-s.margin()))
-		q.fixed = min(q.fixed, q.last)
+		q.latestAnswer = min(q.latestAnswer, max(now, deadline-s.margin()))
+		q.fixedAnswer = min(q.fixedAnswer, q.latestAnswer)
 	}
 }
 
-// Last is the latest time of its answer.
-func (q *Query) Last() time.Duration { return q.last }
+// LatestAnswer is the latest time of its answer.
+func (q *Query) LatestAnswer() time.Duration { return q.latestAnswer }
 
-// Below is the deadline that a part is told which is a gatherer itself: early enough that what it
+// InnerDeadline is the deadline that a part is told which is a gatherer itself: early enough that what it
 // answers at the last moment is still taken.
-func (q *Query) Below() time.Duration { return max(q.begin, q.last-q.s.margin()) }
+func (q *Query) InnerDeadline() time.Duration {
+	return max(q.startedAt, q.latestAnswer-q.settings.margin())
+}
 
-// Came tells that a part has answered, or that it has ended without an answer.
-func (q *Query) Came(now time.Duration, part int, holds bool) {
+// PartCompleted tells that a part has answered, or that it has ended without an answer.
+func (q *Query) PartCompleted(now time.Duration, part int, holds bool) {
 	got := 0.0
 	if holds {
 		got = 1
 	}
-	q.CameShare(now, part, got)
+	q.PartEnded(now, part, got)
 }
 
-// CameShare tells that a part has answered with a share of what it stands for, as one does that is a
+// PartEnded tells that a part has answered with a share of what it stands for, as one does that is a
 // gatherer itself. What comes twice, after the answer, or from no part is not taken.
-func (q *Query) CameShare(now time.Duration, part int, share float64) {
-	if part < 0 || part >= len(q.parts) || q.parts[part].is != isOut || q.done {
+func (q *Query) PartEnded(now time.Duration, part int, share float64) {
+	if part < 0 || part >= len(q.parts) || q.parts[part].status != partOutstanding || q.isDone {
 		return
 	}
 	p := &q.parts[part]
-	p.took, p.is = now-q.begin, hasFailed
+	p.duration, p.status = now-q.startedAt, partFailed
 	if share > 0 {
-		p.is, p.got = hasCome, min(1, share)
-		q.arrivedShare += p.weight * p.got
+		p.status, p.arrivedShare = partAnswered, min(1, share)
+		q.arrivedShare += p.weight * p.arrivedShare
 	}
-	q.open--
-	if q.f != nil && part < len(q.f.parts) {
-		q.scores += q.f.parts[part].scoreAt(p.took)
-		q.scored++
+	q.outstandingCount--
+	if q.forecast != nil && part < len(q.forecast.parts) {
+		q.scoreSum += q.forecast.parts[part].scoreAt(p.duration)
+		q.scoreCount++
 	}
 }
 
-// Share is how much has come, by weight.
-func (q *Query) Share() float64 { return q.arrivedShare }
+// ArrivedShare is how much has come, by weight.
+func (q *Query) ArrivedShare() float64 { return q.arrivedShare }
 
 // Missing adds to a list the parts without an answer.
 func (q *Query) Missing(to []int) []int {
 	for i := range q.parts {
-		if q.parts[i].is != hasCome {
+		if q.parts[i].status != partAnswered {
 			to = append(to, i)
 		}
 	}
 	return to
 }
 
-// Out adds to a list the parts that have neither come nor failed: those that an answer cuts.
-func (q *Query) Out(to []int) []int {
+// Outstanding adds to a list the parts that have neither come nor failed: those that an answer cuts.
+func (q *Query) Outstanding(to []int) []int {
 	for i := range q.parts {
-		if q.parts[i].is == isOut {
+		if q.parts[i].status == partOutstanding {
 			to = append(to, i)
 		}
 	}
 	return to
 }
 
-// fewParts that are out are planned for anew with each one that comes; more of them now and then.
-const fewParts = 8
+// replanAlwaysParts that are out are planned for anew with each one that comes; more of them now and then.
+const replanAlwaysParts = 8
 
-const hair = 1e-9 // shares are sums
+const shareTolerance = 1e-9 // shares are sums
 
-func (q *Query) enough(share float64) bool { return share > hair && share >= q.s.MinShare-hair }
+func (q *Query) isEnough(share float64) bool {
+	return share > shareTolerance && share >= q.settings.MinShare-shareTolerance
+}
 
 // Next tells what to do at a time. Once it has told Answer or Refuse the query is over, and each
 // later call tells the same.
 func (q *Query) Next(now time.Duration) Step {
 	step := q.next(now)
 	step.Share = q.arrivedShare
-	if step.Kind != Wait && !q.done {
-		q.done, q.ended = true, now
+	if step.Kind != Wait && !q.isDone {
+		q.isDone, q.endedAt = true, now
 	}
 	return step
 }
@@ -200,57 +204,57 @@
 func (q *Query) next(now time.Duration) Step {
 	could := q.arrivedShare
 	for i := range q.parts {
-		if q.parts[i].is == isOut {
+		if q.parts[i].status == partOutstanding {
 			could += q.parts[i].weight
 		}
 	}
-	switch enough := q.enough(q.arrivedShare); {
-	case q.done && enough:
+	switch enough := q.isEnough(q.arrivedShare); {
+	case q.isDone && enough:
 		return Step{Kind: Answer}
-	case q.open == 0 && enough:
-		return Step{Kind: Answer, Why: Complete}
-	case q.done || !q.enough(could):
-		return Step{Kind: Refuse, Why: BelowMinimum}
-	case now >= q.last && enough:
-		return Step{Kind: Answer, Why: Time}
-	case now >= q.last:
-		return Step{Kind: Refuse, Why: Time}
+	case q.outstandingCount == 0 && enough:
+		return Step{Kind: Answer, Reason: Complete}
+	case q.isDone || !q.isEnough(could):
+		return Step{Kind: Refuse, Reason: BelowMinimum}
+	case now >= q.latestAnswer && enough:
+		return Step{Kind: Answer, Reason: Time}
+	case now >= q.latestAnswer:
+		return Step{Kind: Refuse, Reason: Time}
 	case !enough:
-		return Step{Kind: Wait, Why: BelowMinimum, Until: q.last}
-	case q.s.Mode == Fixed && now >= q.fixed:
-		return Step{Kind: Answer, Why: Time}
-	case q.s.Mode == Fixed:
-		return Step{Kind: Wait, Why: Time, Until: q.fixed}
-	case q.s.Mode == None:
-		return Step{Kind: Wait, Why: Time, Until: q.last}
+		return Step{Kind: Wait, Reason: BelowMinimum, Until: q.latestAnswer}
+	case q.settings.Mode == Fixed && now >= q.fixedAnswer:
+		return Step{Kind: Answer, Reason: Time}
+	case q.settings.Mode == Fixed:
+		return Step{Kind: Wait, Reason: Time, Until: q.fixedAnswer}
+	case q.settings.Mode == None:
+		return Step{Kind: Wait, Reason: Time, Until: q.latestAnswer}
 	}
-	if q.explore && q.wouldEnd > 0 {
-		return q.exploring(now)
+	if q.isExploring && q.valueAnswerAt > 0 {
+		return q.exploreStep(now)
 	}
-	until, known := q.planned, true
-	if q.open <= fewParts || q.planned == 0 || now >= min(q.planned, q.replan) {
+	until, known := q.plannedAnswer, true
+	if q.outstandingCount <= replanAlwaysParts || q.plannedAnswer == 0 || now >= min(q.plannedAnswer, q.replanAt) {
 		until, known = q.plan(now)
-		q.planned, q.replan = until, now+q.s.halfLife()/64
+		q.plannedAnswer, q.replanAt = until, now+q.settings.halfLife()/64
 	}
 	switch {
-	case !known && now < q.begin+unknownFor*q.s.halfLife():
-		return Step{Kind: Wait, Why: Unknown, Until: min(q.last, q.begin+unknownFor*q.s.halfLife())}
+	case !known && now < q.startedAt+unknownHalfLives*q.settings.halfLife():
+		return Step{Kind: Wait, Reason: Unknown, Until: min(q.latestAnswer, q.startedAt+unknownHalfLives*q.settings.halfLife())}
 	case !known:
-		return Step{Kind: Answer, Why: Unknown}
+		return Step{Kind: Answer, Reason: Unknown}
 	case until > now:
-		return Step{Kind: Wait, Why: ExpectedValue, Until: until}
-	case q.explore:
-		q.wouldEnd = max(now, 1)
-		return q.exploring(now)
+		return Step{Kind: Wait, Reason: ExpectedValue, Until: until}
+	case q.isExploring:
+		q.valueAnswerAt = max(now, 1)
+		return q.exploreStep(now)
 	}
-	return Step{Kind: Answer, Why: ExpectedValue}
+	return Step{Kind: Answer, Reason: ExpectedValue}
 }
 
-// exploring waits on beyond the end by worth, for a time after which an answer would not be worth
+// exploreStep waits on beyond the end by worth, for a time after which an answer would not be worth
 // waiting for whatever is learned.
-func (q *Query) exploring(now time.Duration) Step {
-	if until := min(q.last, q.wouldEnd+exploreFor*q.s.halfLife()); now < until {
-		return Step{Kind: Wait, Why: Exploring, Until: until}
+func (q *Query) exploreStep(now time.Duration) Step {
+	if until := min(q.latestAnswer, q.valueAnswerAt+exploreHalfLives*q.settings.halfLife()); now < until {
+		return Step{Kind: Wait, Reason: Exploring, Until: until}
 	}
-	return Step{Kind: Answer, Why: Exploring}
+	return Step{Kind: Answer, Reason: Exploring}
 }
--- a/internal/waitpolicy/query_test.go
+++ b/internal/waitpolicy/query_test.go
@@ -12,7 +12,7 @@
 const ms = time.Millisecond
 
 func parted(least float64, weights ...float64) *Settings {
-	s := &Settings{MinShare: least, HalfLife: 800 * ms, Margin: 10 * ms, Left: -1}
+	s := &Settings{MinShare: least, HalfLife: 800 * ms, Margin: 10 * ms, AbandonCost: -1}
 	for i, w := range weights {
 		s.Parts = append(s.Parts, Part{Name: string(rune('a' + i)), Weight: w})
 	}
@@ -22,20 +22,20 @@
 // lognormal forecasts parts of medians and spreads.
 func lognormal(common float64, sigma float64, medians ...time.Duration) *Forecast {
 	return KnownForecast(len(medians), 0.5, common, func(p int, d time.Duration) float64 {
-		return phi(math.Log(float64(d)/float64(medians[p])) / sigma)
+		return normalCDF(math.Log(float64(d)/float64(medians[p])) / sigma)
 	})
 }
 
 // answered checks what a query that is over holds: what came, and nothing that comes after.
 func answered(t *rapid.T, q *Query, now time.Duration, told []bool, share []float64) {
-	held, out, missing := q.Share(), q.Out(nil), q.Missing(nil)
+	held, out, missing := q.ArrivedShare(), q.Outstanding(nil), q.Missing(nil)
 	for i := range told {
-		q.Came(now, i, true)
+		q.PartCompleted(now, i, true)
 		if told[i] && slicesHas(out, i) || slicesHas(missing, i) != (!told[i] || share[i] == 0) {
 			t.Fatalf("part %d: told %v, out %v, missing %v", i, told[i], out, missing)
 		}
 	}
-	if q.Share() != held {
+	if q.ArrivedShare() != held {
 		t.Fatal("what came after the answer is in it")
 	}
 }
@@ -57,7 +57,7 @@
 		}
 		s.Mode = rapid.SampledFrom([]Mode{Learned, Learned, Fixed, None}).Draw(t, "mode")
 		s.Fixed = time.Duration(rapid.IntRange(1, 4000).Draw(t, "fixed")) * ms
-		s.Left = rapid.Float64Range(-1, 1).Draw(t, "left")
+		s.AbandonCost = rapid.Float64Range(-1, 1).Draw(t, "left")
 		f := lognormal(rapid.SampledFrom([]float64{0, 0.5, 0.9}).Draw(t, "common"), 0.6, medians...)
 		begin := time.Duration(rapid.IntRange(1, 1e6).Draw(t, "begin")) * ms
 		deadline := time.Duration(0)
@@ -65,9 +65,9 @@
 			deadline = begin + time.Duration(rapid.IntRange(0, 5000).Draw(t, "deadline"))*ms
 		}
 		q.Begin(s, f, begin, deadline)
-		q.explore = rapid.Bool().Draw(t, "explore")
-		if deadline > 0 && q.Last() > max(begin, deadline-s.Margin) || q.Below() > q.Last() {
-			t.Fatalf("answers by %v, parts told %v, the client waits until %v", q.Last(), q.Below(), deadline)
+		q.isExploring = rapid.Bool().Draw(t, "explore")
+		if deadline > 0 && q.LatestAnswer() > max(begin, deadline-s.Margin) || q.InnerDeadline() > q.LatestAnswer() {
+			t.Fatalf("answers by %v, parts told %v, the client waits until %v", q.LatestAnswer(), q.InnerDeadline(), deadline)
 		}
 		now, held, total := begin, 0.0, 0.0
 		for _, p := range s.Parts {
@@ -81,14 +81,14 @@
 			}
 			if step.Kind != Wait {
 				enough := step.Share > 1e-9 && step.Share >= s.MinShare-1e-9
-				if (step.Kind == Answer) != enough || now > q.Last() || step.Kind != q.Next(now+ms).Kind {
-					t.Fatalf("%v by %v at %v, %g of %g", step.Kind, step.Why, now-begin, step.Share, s.MinShare)
+				if (step.Kind == Answer) != enough || now > q.LatestAnswer() || step.Kind != q.Next(now+ms).Kind {
+					t.Fatalf("%v by %v at %v, %g of %g", step.Kind, step.Reason, now-begin, step.Share, s.MinShare)
 				}
 				answered(t, &q, now, told, share)
 				return
 			}
-			if step.Until <= now || step.Until > q.Last() {
-				t.Fatalf("at %v waits until %v of %v", now-begin, step.Until-begin, q.Last()-begin)
+			if step.Until <= now || step.Until > q.LatestAnswer() {
+				t.Fatalf("at %v waits until %v of %v", now-begin, step.Until-begin, q.LatestAnswer()-begin)
 			}
 			next, at := -1, step.Until
 			for i := range n {
@@ -99,8 +99,8 @@
 			if now = at; next >= 0 {
 				told[next] = true
 				held += s.Parts[next].Weight * share[next]
-				q.CameShare(now, next, share[next])
-				q.CameShare(now, next, 1) // twice is once
+				q.PartEnded(now, next, share[next])
+				q.PartEnded(now, next, 1) // twice is once
 			}
 		}
 	})
@@ -120,7 +120,7 @@
 	q := Begin(s, f, 0, deadline)
 	for i, at := range came {
 		if at >= 0 {
-			q.Came(at, i, true)
+			q.PartCompleted(at, i, true)
 		}
 	}
 	now := max(0, came[0])
@@ -150,7 +150,7 @@
 		"the client's time goes before":                                   {stop(s, f(0, .3, 50*ms, 300*ms), 200*ms, 50*ms, -1), 191 * ms},
 		"what is left behind counts": {
 			stop(s, f(0, 1, 50*ms, 800*ms), 0, 50*ms, -1),
-			stop(&Settings{Parts: s.Parts, MinShare: .5, HalfLife: 800 * ms, Left: 1}, f(0, 1, 50*ms, 800*ms), 0, 50*ms, -1),
+			stop(&Settings{Parts: s.Parts, MinShare: .5, HalfLife: 800 * ms, AbandonCost: 1}, f(0, 1, 50*ms, 800*ms), 0, 50*ms, -1),
 		},
 	} {
 		if tc.less >= tc.more {
@@ -163,12 +163,12 @@
 func TestFailuresAreNoAnswers(t *testing.T) {
 	s := parted(0.5, 1, 1, 1)
 	q := Begin(s, lognormal(0, .5, 100*ms, 100*ms, 100*ms), 0, 0)
-	q.Came(50*ms, 0, true)
-	q.Came(50*ms, 1, false)
-	if step := q.Next(50 * ms); step.Kind != Wait || step.Why != BelowMinimum {
+	q.PartCompleted(50*ms, 0, true)
+	q.PartCompleted(50*ms, 1, false)
+	if step := q.Next(50 * ms); step.Kind != Wait || step.Reason != BelowMinimum {
 		t.Errorf("%+v", step)
 	}
-	q.Came(60*ms, 2, false)
+	q.PartCompleted(60*ms, 2, false)
 	if step := q.Next(60 * ms); step.Kind != Refuse {
 		t.Errorf("a third is none of a half: %+v", step)
 	}
@@ -178,10 +178,10 @@
 		rng := rand.New(rand.NewPCG(1, 1))
 		for i := range 400 {
 			took := time.Duration(200*math.Exp(0.8*rng.NormFloat64())) * ms
-			m.Observe("c", 0, 0, Outcome{Took: 50 * ms})
-			m.Observe("c", 1, 0, Outcome{Took: took, Failed: i%10 < fails})
+			m.Observe("c", 0, 0, Outcome{Duration: 50 * ms})
+			m.Observe("c", 1, 0, Outcome{Duration: took, Failed: i%10 < fails})
 		}
-		return stop(m.s, m.For("c", 0), 0, 50*ms, -1)
+		return stop(m.settings, m.Forecast("c", 0), 0, 50*ms, -1)
 	}
 	if none, most := learn(0), learn(8); most >= none {
 		t.Errorf("waits %v for one that answers, %v for one that mostly fails", none, most)
@@ -202,7 +202,7 @@
 			f := lognormal(tc.common, 0.7, medians...)
 			q := Begin(s, f, 0, 0)
 			for i := range (tc.parts + 1) / 2 {
-				q.Came(90*ms, i, true)
+				q.PartCompleted(90*ms, i, true)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -218,7 +218,7 @@
 	m := NewModel(s, Options{Explore: -1})
 	for range 2000 {
 		for p := range 5 {
-			m.Observe("c", p, 0.5, Outcome{Took: 100 * ms})
+			m.Observe("c", p, 0.5, Outcome{Duration: 100 * ms})
 		}
 	}
 	var q Query
@@ -226,8 +226,8 @@
 	if n := testing.AllocsPerRun(100, func() {
 		m.Begin(&q, "c", 0.5, now, now+5*time.Second)
 		for p := range 4 {
-			q.Came(now+100*ms, p, true)
-			m.Observe("d", p, 0.5, Outcome{At: now, Took: 100 * ms})
+			q.PartCompleted(now+100*ms, p, true)
+			m.Observe("d", p, 0.5, Outcome{At: now, Duration: 100 * ms})
 		}
 		q.Next(now + 100*ms)
 		q.Next(now + 5*time.Second)
@@ -249,18 +249,18 @@
 		u := Begin(upper, f, 0, client)
 		play := func(deadline time.Duration) (at time.Duration, share float64) {
 			l := Begin(lower, f, 0, deadline)
-			l.Came(ms, 0, true)
-			l.Came(ms, 1, true)
+			l.PartCompleted(ms, 0, true)
+			l.PartCompleted(ms, 1, true)
 			at = l.Next(ms).Until
 			return at, l.Next(at).Share
 		}
-		at, share := play(u.Below())
-		u.Came(ms, 0, true)
-		u.CameShare(at, 1, share)
-		if step := u.Next(at); at > u.Last() || step.Kind != Answer || step.Why != Complete || math.Abs(step.Share-(0.5+0.5*2/3)) > 1e-9 {
-			t.Fatalf("the lower one answers at %v of %v: %+v", at, u.Last(), step)
+		at, share := play(u.InnerDeadline())
+		u.PartCompleted(ms, 0, true)
+		u.PartEnded(at, 1, share)
+		if step := u.Next(at); at > u.LatestAnswer() || step.Kind != Answer || step.Reason != Complete || math.Abs(step.Share-(0.5+0.5*2/3)) > 1e-9 {
+			t.Fatalf("the lower one answers at %v of %v: %+v", at, u.LatestAnswer(), step)
 		}
-		if at, _ := play(client + lower.Margin); at <= u.Last() {
+		if at, _ := play(client + lower.Margin); at <= u.LatestAnswer() {
 			t.Fatalf("told more time it answers at %v, in time: nothing is shown", at)
 		}
 	})
--- a/internal/waitpolicy/share/share_test.go
+++ b/internal/waitpolicy/share/share_test.go
@@ -40,7 +40,7 @@
 
 func start(t *testing.T, id string, stores ...*redistest.Server) instance {
 	t.Helper()
-	o := Options{Name: "district", Self: id, Every: 10 * time.Second, Within: testkit.Patience, Log: slog.New(slog.DiscardHandler)}
+	o := Options{Gatherer: "district", InstanceID: id, Interval: 10 * time.Second, Timeout: testkit.Patience, Log: slog.New(slog.DiscardHandler)}
 	for _, s := range stores {
 		o.Stores = append(o.Stores, Store{Address: s.Addr()})
 	}
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.pool = pool.New(pool.Options{Self: id, Life: time.Minute, Every: 1}) // trust is as quick as tests are
+	s.pool = pool.New(pool.Options{OwnID: id, Lifetime: time.Minute, MergeInterval: 1}) // trust is as quick as tests are
 	t.Cleanup(func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
@@ -62,7 +62,7 @@
 	rng := rand.New(rand.NewPCG(uint64(n), 1))
 	for range n {
 		for p := range settings.Parts {
-			i.m.Observe("c", p, 0, waitpolicy.Outcome{Took: time.Duration(float64(100*ms) * math.Exp(0.5*rng.NormFloat64()))})
+			i.m.Observe("c", p, 0, waitpolicy.Outcome{Duration: time.Duration(float64(100*ms) * math.Exp(0.5*rng.NormFloat64()))})
 		}
 	}
 }
@@ -88,9 +88,9 @@
 		}
 	}
 	round()
-	f := all[0].m.For("c", 0)
-	if q := f.Quantile(0, 0.5); !f.Known() || q < 80*ms || q > 130*ms {
-		t.Fatalf("knows %v: half within %v; %+v", f.Known(), q, all[0].Status())
+	f := all[0].m.Forecast("c", 0)
+	if q := f.Quantile(0, 0.5); !f.IsKnown() || q < 80*ms || q > 130*ms {
+		t.Fatalf("knows %v: half within %v; %+v", f.IsKnown(), q, all[0].Status())
 	}
 	for name, fault := range map[string]func(){
 		"dark": func() { s.Set(0, "", true) }, "refuses": func() { s.Set(0, "LOADING x", false) },
@@ -100,7 +100,7 @@
 		short, cancel := context.WithTimeout(ctx, 200*ms) // the dark one says nothing
 		all[0].Exchange(short)
 		cancel()
-		if f := all[0].m.For("c", 0); !f.Known() {
+		if f := all[0].m.Forecast("c", 0); !f.IsKnown() {
 			t.Errorf("%s: nothing is known at once", name)
 		}
 		s.Set(0, "", false)
@@ -125,8 +125,8 @@
 	s.Do("SET", "{lockflow:district}:gather:c", "lockflow gather\nrubbish")
 	s.Do("HSET", "{lockflow:district}:gather", "nobody", "1e99", "odd", "x", "far", "99999999999999999", "gone", fmt.Sprint(time.Now().UnixMilli()))
 	a.Exchange(ctx)
-	if f, st := a.m.For("c", 0), a.Status(); !f.Known() || st.Members != 1 || st.Refused != 1 || len(st.Failing) != 1 {
-		t.Errorf("%v %+v", f.Known(), st)
+	if f, st := a.m.Forecast("c", 0), a.Status(); !f.IsKnown() || st.Members != 1 || st.Rejected != 1 || len(st.Failing) != 1 {
+		t.Errorf("%v %+v", f.IsKnown(), st)
 	}
 	if left := s.Do("HGETALL", "{lockflow:district}:gather").([]any); len(left) != 8 { // a, b, c, gone
 		t.Errorf("%q", left)
--- a/internal/waitpolicy/sketch.go
+++ b/internal/waitpolicy/sketch.go
@@ -38,9 +38,9 @@
 	return doublings*perDouble + part + 1
 }
 
-// cutBucket is the one before which a part that was cut counts as out of all risk: the nearer end, as
+// abandonedBucket is the one before which a part that was cut counts as out of all risk: the nearer end, as
 // the times at which queries are cut lie at the ends of buckets.
-func cutBucket(d time.Duration) int {
+func abandonedBucket(d time.Duration) int {
 	i := Bucket(d)
 	if i > 0 && i < Buckets-1 && d-edges[i-1] > edges[i]-d {
 		i++
@@ -52,14 +52,14 @@
 // cut is no answer and no failure: it was at risk up to the bucket's begin, and no longer. Two sketches of the same
 // thing are merged by adding them, and what was cut stays cut.
 type Sketch struct {
-	Came, Failed, Cut [Buckets]float32
+	Answered, Failed, Abandoned [Buckets]float32
 }
 
 // Weight is how many it counts.
 func (s *Sketch) Weight() float64 {
 	var n float64
-	for i := range s.Came {
-		n += float64(s.Came[i]) + float64(s.Failed[i]) + float64(s.Cut[i])
+	for i := range s.Answered {
+		n += float64(s.Answered[i]) + float64(s.Failed[i]) + float64(s.Abandoned[i])
 	}
 	return n
 }
@@ -67,10 +67,10 @@
 // Add counts another's as well, each so many times.
 func (s *Sketch) Add(o *Sketch, times float64) {
 	f := float32(times)
-	for i := range s.Came {
-		s.Came[i] += f * o.Came[i]
+	for i := range s.Answered {
+		s.Answered[i] += f * o.Answered[i]
 		s.Failed[i] += f * o.Failed[i]
-		s.Cut[i] += f * o.Cut[i]
+		s.Abandoned[i] += f * o.Abandoned[i]
 	}
 }
 
@@ -80,10 +80,10 @@
 func (s *Sketch) Quantiles(shares []float64, to []time.Duration) {
 	risk, stay, q := s.Weight(), 1.0, 0
 	for i := 0; i < Buckets-1 && q < len(shares); i++ {
-		if risk -= float64(s.Cut[i]); risk <= 0 {
+		if risk -= float64(s.Abandoned[i]); risk <= 0 {
 			break
 		}
-		ends := float64(s.Came[i]) + float64(s.Failed[i])
+		ends := float64(s.Answered[i]) + float64(s.Failed[i])
 		if ends == 0 {
 			continue
 		}
@@ -114,7 +114,7 @@
 // Outcome is what became of one part of a query.
 type Outcome struct {
 	At       time.Duration // when it is known, by the clock that queries are told; 0 is not told
-	Took     time.Duration // until it came, failed or was cut
+	Duration time.Duration // until it came, failed or was cut
 	Censored bool          // it was cut, and it is not known how long it would have taken
 	Failed   bool          // it ended without an answer
 }
@@ -134,10 +134,10 @@
 		m.unit *= math.Exp2(min(30, float64(o.At-m.at)/float64(half)))
 	}
 	m.at = max(m.at, o.At)
-	i, to := Bucket(o.Took), &m.Came
+	i, to := Bucket(o.Duration), &m.Answered
 	switch {
 	case o.Censored:
-		i, to = cutBucket(o.Took), &m.Cut
+		i, to = abandonedBucket(o.Duration), &m.Abandoned
 	case o.Failed:
 		to = &m.Failed
 	}
@@ -148,14 +148,14 @@
 	}
 }
 
-// times is what the counts are multiplied by, so that one which was counted just now is 1.
-func (m *memory) times() float64 { return 1 / max(m.unit, 1) }
+// countScale is what the counts are multiplied by, so that one which was counted just now is 1.
+func (m *memory) countScale() float64 { return 1 / max(m.unit, 1) }
 
 func (s *Sketch) scale(f float64) {
 	by := float32(f)
-	for i := range s.Came {
-		s.Came[i] *= by
+	for i := range s.Answered {
+		s.Answered[i] *= by
 		s.Failed[i] *= by
-		s.Cut[i] *= by
+		s.Abandoned[i] *= by
 	}
 }
--- a/internal/waitpolicy/waitpolicy.go
+++ b/internal/waitpolicy/waitpolicy.go
@@ -28,9 +28,9 @@
 
 // What the settings are where they say nothing.
 const (
-	DefaultHalfLife = time.Second
-	DefaultMargin   = 10 * time.Millisecond
-	DefaultLeft     = 0.05
+	DefaultHalfLife    = time.Second
+	DefaultMargin      = 10 * time.Millisecond
+	DefaultAbandonCost = 0.05
 )
 
 // Part is one of those a query asks.
@@ -47,13 +47,13 @@
 	Mode     Mode
 	Fixed    time.Duration // with the mode Fixed
 	Margin   time.Duration // of the client's time, in which the answer is written; 0 is DefaultMargin
-	// Left is the worth lost with what is cut, for all parts and a full load: a cancel stops nothing
-	// at the servers, which do for nobody what others wait for. 0 is DefaultLeft, below 0 none.
-	Left float64
+	// AbandonCost is the worth lost with what is cut, for all parts and a full load: a cancel stops nothing
+	// at the servers, which do for nobody what others wait for. 0 is DefaultAbandonCost, below 0 none.
+	AbandonCost float64
 }
 
-// Check tells what can't be.
-func (s *Settings) Check() error {
+// Validate tells what can't be.
+func (s *Settings) Validate() error {
 	switch {
 	case len(s.Parts) == 0:
 		return errors.New("parts: there is none")
@@ -69,8 +69,8 @@
 		return fmt.Errorf("deadline: a fixed one of %v", s.Fixed)
 	case s.Margin < 0 || s.Margin > MaxMargin:
 		return fmt.Errorf("margin: %v is none of 0 to %v", s.Margin, MaxMargin)
-	case !(s.Left <= 1):
-		return fmt.Errorf("left: %g is above 1", s.Left)
+	case !(s.AbandonCost <= 1):
+		return fmt.Errorf("left: %g is above 1", s.AbandonCost)
 	}
 	seen := make(map[string]bool, len(s.Parts))
 	for i, p := range s.Parts {
@@ -101,11 +101,11 @@
 	return DefaultMargin
 }
 
-func (s *Settings) left() float64 {
-	if s.Left == 0 {
-		return DefaultLeft
+func (s *Settings) abandonCost() float64 {
+	if s.AbandonCost == 0 {
+		return DefaultAbandonCost
 	}
-	return max(0, s.Left)
+	return max(0, s.AbandonCost)
 }
 
 func (p *Part) weight() float64 {
@@ -115,17 +115,17 @@
 	return 1
 }
 
-// value is what a complete share c of an answer is worth at once: concave, as the first parts of a
+// valueOfShare is what a complete share c of an answer is worth at once: concave, as the first parts of a
 // list tell more than the last. It is a square, so that its mean needs the share's mean and variance only.
-func value(c float64) float64 { return c * (3 - c) / 2 }
+func valueOfShare(c float64) float64 { return c * (3 - c) / 2 }
 
 // Value is what an answer earns that comes after a time, with a share of the parts by weight in it
 // and another share cut while its servers were still at work, at a load of 0 to 1.
 func (s *Settings) Value(share, cut, load float64, after time.Duration) float64 {
-	return s.fall(after)*value(share) - s.left()*load*cut
+	return s.decay(after)*valueOfShare(share) - s.abandonCost()*load*cut
 }
 
-// fall is what is left of a worth after a time.
-func (s *Settings) fall(after time.Duration) float64 {
+// decay is what is left of a worth after a time.
+func (s *Settings) decay(after time.Duration) float64 {
 	return math.Exp2(-float64(after) / float64(s.halfLife()))
 }
