--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -83,8 +83,8 @@
 		return fmt.Errorf("finding the program's own file: %w", err)
 	}
 	r, err := fleet.Start(ctx, fleet.Options{
-		Program: program, Config: f.config, Dir: f.dir, Instances: f.instances, Told: f.told,
-		Host: f.host, Port: f.port, Within: f.within,
+		Program: program, Config: f.config, Dir: f.dir, Instances: f.instances, GroupSize: f.told,
+		Host: f.host, Port: f.port, StartTimeout: f.within,
 	})
 	if err != nil {
 		return err
@@ -107,9 +107,9 @@
 	case f.file != "":
 		return f.overRegions(ctx, e, what)
 	case f.dir != "":
-		members, err = fleet.InDir(f.dir)
+		members, err = fleet.MembersInDirectory(f.dir)
 	default:
-		members, err = fleet.InFile(f.sockets)
+		members, err = fleet.MembersInFile(f.sockets)
 	}
 	if err != nil {
 		return err
@@ -125,23 +125,23 @@
 			if text, err = os.ReadFile(f.config); err != nil {
 				return fmt.Errorf("fleet reload: %w", err)
 			}
-			if err := fleet.Check(f.config, text); err != nil {
+			if err := fleet.CheckSettings(f.config, text); err != nil {
 				return err
 			}
 		}
-		return f.change(ctx, e, what, fleet.Everywhere(members, text), nil)
+		return f.change(ctx, e, what, fleet.WithSettings(members, text), nil)
 	case "upgrade":
 		if f.program != "" && !filepath.IsAbs(f.program) {
 			return usage("fleet upgrade: program %q is no absolute path", f.program)
 		}
-		return f.change(ctx, e, what, fleet.Everywhere(members, nil), nil)
+		return f.change(ctx, e, what, fleet.WithSettings(members, nil), nil)
 	}
 	return usage("fleet: there is no %q: run, status, reload, upgrade, drain, serve", what)
 }
 
 // status prints what all members say; it fails where one says nothing or isn't ready.
 func (f *fleetFlags) status(ctx context.Context, e *Env, members []fleet.Member) error {
-	all := fleet.Ask(ctx, members)
+	all := fleet.PollStatus(ctx, members)
 	fine := true
 	for _, a := range all {
 		fine = fine && a.Status != nil && a.Status.IsAsDesired()
@@ -168,7 +168,7 @@
 	return nil
 }
 
-func printStatus(w io.Writer, all []fleet.Answer) {
+func printStatus(w io.Writer, all []fleet.StatusReply) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "member\tpid\tlife\tgeneration\tlisten\tservers up\theld\tstreams\tdescriptors\tMB\tdistrusts")
 	for _, a := range all {
--- a/internal/command/keys_test.go
+++ b/internal/command/keys_test.go
@@ -21,7 +21,7 @@
 	testkit.RequireKeys(t, "json",
 		config.Plan{}, findings{}, replayed{}, played{}, phase{}, eventlog.Sum{},
 		quotalease.HardLimit{}, []quotalease.Guarantee{}, map[string]fake.Counts{},
-		[]fleet.Answer{}, fleet.Progress{}, []fleet.MemberState{},
+		[]fleet.StatusReply{}, fleet.Progress{}, []fleet.MemberState{},
 		[]balancesim.Report{}, []fleetsim.Report{}, []fleetsim.QuotaReport{}, []rolloutsim.Report{},
 		[]waitpolicysim.Report{}, []waitpolicysim.ShareReport{},
 		[]measure.ProxyRow{}, []measure.ServersRow{}, []measure.BodiesRow{}, [][2]measure.ReloadRow{}, []measure.GatherRow{},
--- a/internal/command/rollout.go
+++ b/internal/command/rollout.go
@@ -98,7 +98,7 @@
 	if err != nil {
 		return err
 	}
-	placed, err := fleet.InRegions(file)
+	placed, err := fleet.MembersInRegions(file)
 	if err != nil {
 		return err
 	}
@@ -120,7 +120,7 @@
 		if f.resume || f.takeBack { // the journal knows
 			return f.change(ctx, e, what, placed, nil)
 		}
-		placed, order, err := fleet.Ordered(ctx, file, time.Now())
+		placed, order, err := fleet.PlanRegions(ctx, file, time.Now())
 		var c *fleet.ConflictError
 		if errors.As(err, &c) {
 			fmt.Fprintln(e.Err, c.Error())
@@ -136,13 +136,13 @@
 
 // change has a change of settings or of the program go over a fleet.
 func (f *fleetFlags) change(ctx context.Context, e *Env, what string, members []fleet.Placed, order [][]string) error {
-	j, err := fleet.OpenJournal(f.journalDir())
+	j, err := fleet.OpenRolloutLog(f.journalDir())
 	if err != nil {
 		return err
 	}
 	defer j.Close()
 	if f.killAt != 0 {
-		j.Each = func(n int, kept bool) {
+		j.OnWrite = func(n int, kept bool) {
 			if kept && n == f.killAt || !kept && n == -f.killAt {
 				_ = syscall.Kill(os.Getpid(), syscall.SIGKILL) // of itself: it can't fail
 				select {}                                      // it comes at once, but not to this line
@@ -158,27 +158,27 @@
 	}
 	if at != "" {
 		return fmt.Errorf("fleet %s: the change of %s is unfinished, %s: go on with --resume, or back with --take-back", what,
-			j.Change.Begun.Format(time.DateTime), at)
+			j.Change.StartedAt.Format(time.DateTime), at)
 	}
 	p := f.plan(f.within)
 	p.RegionOrder = order
 	var c *fleet.Change
 	if what == "upgrade" {
-		c, err = fleet.Program(ctx, members, p, f.program, f.journalDir())
+		c, err = fleet.NewProgramChange(ctx, members, p, f.program, f.journalDir())
 	} else {
 		known := map[string]string{}
 		if j.Change != nil {
 			known = j.Change.Texts
 		}
-		c, err = fleet.Settings(ctx, members, p, known)
+		c, err = fleet.NewSettingsChange(ctx, members, p, known)
 	}
-	if errors.Is(err, fleet.ErrSame) {
+	if errors.Is(err, fleet.ErrUnchanged) {
 		return f.again(ctx, e, members)
 	}
 	if err != nil {
 		return err
 	}
-	if u := c.Unknown(); len(u) > 0 {
+	if u := c.MembersWithoutOldSettings(); len(u) > 0 {
 		fmt.Fprintf(e.Err, "lockflow: what %s run is in no file any more: it can't be taken back there\n", strings.Join(u, ", "))
 	}
 	if err := j.Begin(c); err != nil {
@@ -208,20 +208,20 @@
 }
 
 // carry carries a journal's change out, and tells how it ended.
-func (f *fleetFlags) carry(ctx context.Context, e *Env, j *fleet.Journal) error {
-	w := fleet.Ways{Progress: e.Out, Resume: f.resume || f.takeBack, TakeBack: f.takeBack}
+func (f *fleetFlags) carry(ctx context.Context, e *Env, j *fleet.RolloutLog) error {
+	w := fleet.RolloutOptions{Progress: e.Out, Resume: f.resume || f.takeBack, RollBack: f.takeBack}
 	if f.json {
 		w.Progress = e.Err
 	}
 	if j.Change.Plan.ReadinessSuffices {
 		fmt.Fprintln(w.Progress, "unjudged: where too little is seen to judge by, readiness is enough")
 	}
-	out, err := fleet.Carry(ctx, j, w)
+	out, err := fleet.RunRollout(ctx, j, w)
 	if err != nil {
 		return err
 	}
 	if f.json {
-		if err := json.NewEncoder(e.Out).Encode(map[string]any{"result": out.Result, "why": out.Why, "members": out.Members}); err != nil {
+		if err := json.NewEncoder(e.Out).Encode(map[string]any{"result": out.Result, "why": out.Reason, "members": out.Members}); err != nil {
 			return err
 		}
 	}
@@ -235,7 +235,7 @@
 	}
 	if !f.json || out.Result != rollout.ResultDone {
 		if out.Result != rollout.ResultDone {
-			fmt.Fprintf(tell, "lockflow: %s: %s\n", out.Result, out.Why)
+			fmt.Fprintf(tell, "lockflow: %s: %s\n", out.Result, out.Reason)
 		}
 		for _, s := range []string{"changed", "changing", "taken back", "untouched", "between", "not taken back", "away"} {
 			if counts[s] > 0 {
@@ -246,7 +246,7 @@
 	switch {
 	case out.Result == rollout.ResultDone:
 		return nil
-	case out.Result == rollout.ResultRolledBack || !out.Touched:
+	case out.Result == rollout.ResultRolledBack || !out.HasCommanded:
 		return errTold
 	}
 	fmt.Fprintln(tell, "not all is taken back: see `lockflow fleet status`, then --resume or --take-back")
@@ -255,7 +255,7 @@
 
 // rollouts prints what the journal tells of the last change, where there is one.
 func printProgress(w io.Writer, p *fleet.Progress) {
-	fmt.Fprintf(w, "\nchange of %s, begun %s: %s", p.Kind, p.Begun.Format(time.DateTime), p.State)
+	fmt.Fprintf(w, "\nchange of %s, begun %s: %s", p.Kind, p.StartedAt.Format(time.DateTime), p.State)
 	if p.Stages > 0 {
 		fmt.Fprintf(w, ", stage %d of %d", p.Stage, p.Stages)
 	}
@@ -263,19 +263,19 @@
 		fmt.Fprintf(w, " of phase %d of %d", p.Phase, p.Phases)
 	}
 	fmt.Fprintf(w, ", epoch %d\n", p.Epoch)
-	for _, line := range [][2]string{{"why", p.Why}, {"cause", p.Cause}, {"judge", strings.TrimSpace(p.Verdict + " " + p.Told)}} {
+	for _, line := range [][2]string{{"why", p.Reason}, {"cause", p.RollbackCause}, {"judge", strings.TrimSpace(p.Verdict + " " + p.VerdictReason)}} {
 		if line[1] != "" {
 			fmt.Fprintf(w, "  %s: %s\n", line[0], line[1])
 		}
 	}
-	if len(p.Sides) > 0 {
+	if len(p.Measures) > 0 {
 		t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(t, "  measure\told\tnew\tnew - old\tharm from\t")
-		for _, m := range p.Sides {
+		for _, m := range p.Measures {
 			word := ""
-			if m.Worse {
+			if m.IsWorse {
 				word = "worse"
-			} else if !m.Enough {
+			} else if !m.IsEnough {
 				word = "too little"
 			}
 			fmt.Fprintf(t, "  %s\t%s\t%s\t%s to %s\t%.3g\t%s\n", m.Name, number(m.Old), number(m.New), number(m.Low), number(m.High), m.Margin, word)
@@ -286,7 +286,7 @@
 	for _, m := range p.Members {
 		counts[m.State]++
 		if m.State == "not taken back" || m.State == "between" || m.State == "away" {
-			fmt.Fprintf(w, "  %s: %s, runs %.12s\n", m.Member, m.State, m.Runs)
+			fmt.Fprintf(w, "  %s: %s, runs %.12s\n", m.Member, m.State, m.Version)
 		}
 	}
 	for _, s := range []string{"changed", "changing", "taken back", "untouched"} {
@@ -305,7 +305,7 @@
 
 // progress reads the journal of the fleet; a journal that can't be read is told and no reason to say nothing else.
 func (f *fleetFlags) progress(e *Env) *fleet.Progress {
-	p, err := fleet.Last(f.journalDir())
+	p, err := fleet.ReadProgress(f.journalDir())
 	if err != nil {
 		fmt.Fprintf(e.Err, "lockflow: %v\n", err)
 	}
--- a/internal/fleet/between.go
+++ b/internal/fleet/between.go
@@ -16,9 +16,9 @@
 	"lockflow/internal/regions/mixture"
 )
 
-// Between is the text of the settings that members run between old and new, where those two may not stand
+// IntermediateSettings is the text of the settings that members run between old and new, where those two may not stand
 // side by side: in every ceiling, cold budget and term the stricter of both. nil is none: they may.
-func Between(old, new []byte) ([]byte, error) {
+func IntermediateSettings(old, new []byte) ([]byte, error) {
 	a, err := asRegion("the old settings", old)
 	if err != nil {
 		return nil, err
@@ -30,7 +30,7 @@
 	if len(mixture.Phases(a, b)) == 0 {
 		return nil, nil
 	}
-	return meet(old, a, b)
+	return writeIntermediate(old, a, b)
 }
 
 // asRegion is what settings are as a region of no known members.
@@ -42,17 +42,17 @@
 	return fleetfile.Region{Config: cfg, Text: text}.Region(), nil
 }
 
-// meet writes the settings of mixture.Meet as a change of old's text, and holds the result against it.
-func meet(text []byte, old, new regions.Region) ([]byte, error) {
+// writeIntermediate writes the settings of mixture.Meet as a change of old's text, and holds the result against it.
+func writeIntermediate(text []byte, old, new regions.Region) ([]byte, error) {
 	want := mixture.Strictest(old, new)
-	change, without := changeTo(old, want)
+	change, without := settingsDifference(old, want)
 	var r tree.Reading
 	base, ok := r.Parse("the old settings", text)
 	if !ok {
 		return nil, r.Err()
 	}
 	for _, key := range without {
-		if has(base, key) {
+		if hasKey(base, key) {
 			list, _ := change[tree.Without].([]string)
 			change[tree.Without] = append(list, key)
 		}
@@ -89,8 +89,8 @@
 	return out, nil
 }
 
-// changeTo is what of a region's settings has to change to be as wanted, as a document, and the keys to leave out.
-func changeTo(old, want regions.Region) (change map[string]any, without []string) {
+// settingsDifference is what of a region's settings has to change to be as wanted, as a document, and the keys to leave out.
+func settingsDifference(old, want regions.Region) (change map[string]any, without []string) {
 	change = make(map[string]any)
 	set := func(v any, path ...string) {
 		at := change
@@ -138,7 +138,7 @@
 		if c == was[k] {
 			continue
 		}
-		for key, v := range terms(c) {
+		for key, v := range classTerms(c) {
 			set(v, "classes", c.Name, key)
 		}
 		if was[k].Idempotency == control.IdempotentWithKey && c.Idempotency != control.IdempotentWithKey {
@@ -148,7 +148,7 @@
 	return without
 }
 
-func terms(c control.Class) map[string]any {
+func classTerms(c control.Class) map[string]any {
 	t := map[string]any{"repeats": [...]string{"free", "keyed", "never"}[c.Idempotency], "deadline": c.Deadline.String(), "aim": c.LatencyObjective.String()}
 	if c.Idempotency == control.IdempotentWithKey {
 		t["key_scope"], t["repeat_window"] = [...]string{"all", "zone", "group"}[c.KeyScope], c.RepeatWindow.String()
@@ -156,7 +156,7 @@
 	return t
 }
 
-func has(t tree.Table, key string) bool {
+func hasKey(t tree.Table, key string) bool {
 	path := strings.Split(key, ".")
 	for _, k := range path[:len(path)-1] {
 		if !t.Has(k) {
--- a/internal/fleet/carry.go
+++ b/internal/fleet/carry.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	pollMembers = 250 * time.Millisecond // each member is asked so often at most
-	lookEvery   = time.Second            // the judge
-	tellEvery   = 2 * time.Second
-	callsMost   = 64 // to members at once
+	memberPollInterval = 250 * time.Millisecond // each member is asked so often at most
+	evaluationInterval = time.Second            // the judge
+	progressInterval   = 2 * time.Second
+	maxConcurrentCalls = 64 // to members at once
 )
 
 // Judge says whether the changed members do worse. It is canary.Judge's.
@@ -35,85 +35,85 @@
 	Verdict(now time.Duration) canary.Verdict
 }
 
-// Ways are how a change is carried out.
-type Ways struct {
+// RolloutOptions are how a change is carried out.
+type RolloutOptions struct {
 	Judge    Judge     // nil makes one by the plan
 	Progress io.Writer // a line for each thing that happens
 	Resume   bool      // goes on with what the journal holds
-	TakeBack bool      // takes all back instead
+	RollBack bool      // takes all back instead
 }
 
 // Outcome is how a change ended.
 type Outcome struct {
-	Result  rollout.Result
-	Why     string
-	Touched bool // some member was ordered to change
-	Members []MemberState
+	Result       rollout.Result
+	Reason       string
+	HasCommanded bool // some member was ordered to change
+	Members      []MemberState
 }
 
-// carrier carries a rollout's actions out. One goroutine uses it, but for calls to members.
-type carrier struct {
-	c       *Change
-	j       *Journal
-	r       *rollout.Rollout
-	ways    Ways
-	judge   Judge
-	began   time.Time
-	events  chan any
-	places  chan struct{}
-	members []manage.Client
-	asking  []bool
-	seen    []*manage.Status // the last that each said; nil is no answer
-	ordered []bool
-	known   programs
-	verdict canary.Verdict
-	looked  time.Duration
-	told    time.Duration
-	last    string // told last
-	within  time.Duration
-	end     *rollout.End
+// coordinator carries a rollout's actions out. One goroutine uses it, but for calls to members.
+type coordinator struct {
+	change         *Change
+	log            *RolloutLog
+	rollout        *rollout.Rollout
+	options        RolloutOptions
+	judge          Judge
+	startedAt      time.Time
+	events         chan any
+	callSlots      chan struct{}
+	clients        []manage.Client
+	isPolling      []bool
+	lastStatus     []*manage.Status // the last that each said; nil is no answer
+	isCommanded    []bool
+	programHashes  programHashes
+	verdict        canary.Verdict
+	lastEvaluated  time.Duration
+	lastProgress   time.Duration
+	lastState      string // told last
+	commandTimeout time.Duration
+	end            *rollout.End
 }
 
-// heard is what a member answered to a status, with when it was asked.
-type heard struct {
-	i     int
-	asked time.Duration
-	s     *manage.Status
+// statusReply is what a member answered to a status, with when it was asked.
+type statusReply struct {
+	member   int
+	polledAt time.Duration
+	status   *manage.Status
 }
 
-// Carry has a change go over its fleet, as the journal's coordinator. Once ctx ends it goes no further: what
+// RunRollout has a change go over its fleet, as the journal's coordinator. Once ctx ends it goes no further: what
 // is under way ends, and it can be resumed.
-func Carry(ctx context.Context, j *Journal, w Ways) (Outcome, error) {
-	if j.Change == nil {
+func RunRollout(ctx context.Context, log *RolloutLog, options RolloutOptions) (Outcome, error) {
+	if log.Change == nil {
 		return Outcome{}, errNoChange
 	}
 	var id [8]byte
 	rand.Read(id[:])
 	owner := hex.EncodeToString(id[:])
 	rng := mrand.New(mrand.NewPCG(mrand.Uint64(), mrand.Uint64()))
-	var r *rollout.Rollout
+	var state *rollout.Rollout
 	var err error
-	if w.Resume {
-		r, err = rollout.Resume(j.Change.Plan, owner, rng, j.Entries, w.TakeBack)
+	if options.Resume {
+		state, err = rollout.Resume(log.Change.Plan, owner, rng, log.Entries, options.RollBack)
 	} else {
-		r, err = rollout.New(j.Change.Plan, owner, rng)
+		state, err = rollout.New(log.Change.Plan, owner, rng)
 	}
 	if err != nil {
 		return Outcome{}, err
 	}
-	n := len(j.Change.Sockets)
-	c := &carrier{
-		c: j.Change, j: j, r: r, ways: w, judge: w.Judge, began: time.Now(), events: make(chan any, 4*n+16), places: make(chan struct{}, callsMost),
-		asking: make([]bool, n), seen: make([]*manage.Status, n), ordered: make([]bool, n), known: make(programs),
+	n := len(log.Change.Sockets)
+	c := &coordinator{
+		change: log.Change, log: log, rollout: state, options: options, judge: options.Judge, startedAt: time.Now(), events: make(chan any, 4*n+16), callSlots: make(chan struct{}, maxConcurrentCalls),
+		isPolling: make([]bool, n), lastStatus: make([]*manage.Status, n), isCommanded: make([]bool, n), programHashes: make(programHashes),
 	}
-	for _, s := range j.Change.Sockets {
-		c.members = append(c.members, manage.Client{Path: s})
+	for _, s := range log.Change.Sockets {
+		c.clients = append(c.clients, manage.Client{Path: s})
 	}
-	p := r.Plan()
-	c.within = p.MemberTimeout * 2 / 3
+	p := state.Plan()
+	c.commandTimeout = p.MemberTimeout * 2 / 3
 	if c.judge == nil {
 		stages := 0
-		for _, s := range r.StageSizes() {
+		for _, s := range state.StageSizes() {
 			stages += len(s)
 		}
 		warm := min(30*time.Second, p.MinBake/2)
@@ -122,115 +122,115 @@
 			Onset: min(time.Minute, max(p.MinBake/2, time.Second)),
 		})
 	}
-	if w.Progress == nil {
-		c.ways.Progress = io.Discard
+	if options.Progress == nil {
+		c.options.Progress = io.Discard
 	}
 	return c.run(ctx)
 }
 
-func (c *carrier) now() time.Duration { return time.Since(c.began) }
+func (c *coordinator) now() time.Duration { return time.Since(c.startedAt) }
 
-func (c *carrier) run(ctx context.Context) (Outcome, error) {
-	tick := time.NewTicker(pollMembers)
+func (c *coordinator) run(ctx context.Context) (Outcome, error) {
+	tick := time.NewTicker(memberPollInterval)
 	defer tick.Stop()
 	stop := ctx.Done()
-	c.ask(ctx)
+	c.pollMembers(ctx)
 	for c.end == nil {
 		select {
 		case <-tick.C:
-			c.ask(ctx)
-			c.look()
-			c.feed(ctx, rollout.Tick{})
+			c.pollMembers(ctx)
+			c.evaluate()
+			c.handle(ctx, rollout.Tick{})
 		case e := <-c.events:
-			if h, ok := e.(heard); ok {
-				e = c.hear(h)
+			if h, ok := e.(statusReply); ok {
+				e = c.handleStatus(h)
 			}
-			c.feed(ctx, e.(rollout.Event))
+			c.handle(ctx, e.(rollout.Event))
 		case <-stop:
 			stop = nil
-			c.feed(ctx, rollout.Stop{Cause: context.Cause(ctx).Error()})
+			c.handle(ctx, rollout.Stop{Cause: context.Cause(ctx).Error()})
 		}
-		c.tell()
+		c.updateProgress()
 	}
-	c.tell()
-	return Outcome{Result: c.end.Result, Why: c.end.Reason, Touched: c.r.HasCommanded(), Members: c.states()}, nil
+	c.updateProgress()
+	return Outcome{Result: c.end.Result, Reason: c.end.Reason, HasCommanded: c.rollout.HasCommanded(), Members: c.memberStates()}, nil
 }
 
 // call does something with a member and brings what came of it.
-func (c *carrier) call(ctx context.Context, within time.Duration, f func(ctx context.Context) any) {
+func (c *coordinator) call(ctx context.Context, timeout time.Duration, send func(ctx context.Context) any) {
 	go func() {
-		c.places <- struct{}{}
-		defer func() { <-c.places }()
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), within)
+		c.callSlots <- struct{}{}
+		defer func() { <-c.callSlots }()
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), timeout)
 		defer cancel()
-		c.events <- f(ctx)
+		c.events <- send(ctx)
 	}()
 }
 
-// ask asks all members that don't owe an answer.
-func (c *carrier) ask(ctx context.Context) {
-	for i, m := range c.members {
-		if c.asking[i] {
+// pollMembers asks all members that don't owe an answer.
+func (c *coordinator) pollMembers(ctx context.Context) {
+	for i, m := range c.clients {
+		if c.isPolling[i] {
 			continue
 		}
-		c.asking[i] = true
-		asked := c.now()
-		c.call(ctx, askWithin, func(ctx context.Context) any {
+		c.isPolling[i] = true
+		polledAt := c.now()
+		c.call(ctx, statusTimeout, func(ctx context.Context) any {
 			s, err := m.Status(ctx)
 			if err != nil {
-				return heard{i, asked, nil}
+				return statusReply{i, polledAt, nil}
 			}
-			return heard{i, asked, &s}
+			return statusReply{i, polledAt, &s}
 		})
 	}
 }
 
-// hear takes in what a member says of itself.
-func (c *carrier) hear(h heard) rollout.Event {
-	c.asking[h.i], c.seen[h.i] = false, h.s
-	if h.s == nil {
-		return rollout.MemberStatus{Member: h.i, PolledAt: h.asked}
+// handleStatus takes in what a member says of itself.
+func (c *coordinator) handleStatus(reply statusReply) rollout.Event {
+	c.isPolling[reply.member], c.lastStatus[reply.member] = false, reply.status
+	if reply.status == nil {
+		return rollout.MemberStatus{Member: reply.member, PolledAt: reply.polledAt}
 	}
-	s := h.s
-	up := s.IsReady() || c.c.Kind == desiredstate.KindSettings && s.IsAsDesired()
+	s := reply.status
+	isServing := s.IsReady() || c.change.Kind == desiredstate.KindSettings && s.IsAsDesired()
 	return rollout.MemberStatus{
-		Member: h.i, PolledAt: h.asked, IsServing: up, Version: c.c.runs(s, c.known), Epoch: s.Epoch, Owner: s.Owner, RunningCommand: s.RunningCommand,
-		LossToken: s.LostToken, Load: load(s),
+		Member: reply.member, PolledAt: reply.polledAt, IsServing: isServing, Version: c.change.version(s, c.programHashes), Epoch: s.Epoch, Owner: s.Owner, RunningCommand: s.RunningCommand,
+		LossToken: s.LostToken, Load: utilization(s),
 	}
 }
 
-// load is the share of a member's own bounds that is used, of the fullest: requests that it may hold, bytes,
+// utilization is the share of a member's own bounds that is used, of the fullest: requests that it may hold, bytes,
 // descriptors; -1 is unknown. How many attempts are let out is none of these: that bound follows its use.
-func load(s *manage.Status) float64 {
-	most := -1.0
+func utilization(s *manage.Status) float64 {
+	highest := -1.0
 	for _, one := range s.Services {
 		if one.Resources == nil {
 			continue
 		}
 		for _, u := range []limits.Usage{one.Resources.Requests, one.Resources.BufferedBytes, one.Resources.Descriptors} {
 			if u.Total > 0 {
-				most = max(most, float64(u.Used)/float64(u.Total))
+				highest = max(highest, float64(u.Used)/float64(u.Total))
 			}
 		}
 	}
-	return most
+	return highest
 }
 
-// look has the judge look.
-func (c *carrier) look() {
+// evaluate has the judge look.
+func (c *coordinator) evaluate() {
 	now := c.now()
-	if now-c.looked < min(lookEvery, max(c.r.Plan().MinBake/8, pollMembers)) {
+	if now-c.lastEvaluated < min(evaluationInterval, max(c.rollout.Plan().MinBake/8, memberPollInterval)) {
 		return
 	}
-	c.looked = now
+	c.lastEvaluated = now
 	c.judge.Observe(now, c.readings())
 }
 
-func (c *carrier) readings() []canary.Reading {
-	all := make([]canary.Reading, 0, len(c.seen))
-	for i, s := range c.seen {
-		r := canary.Reading{Member: c.c.Plan.Members[i].Name, IsServing: s != nil && s.IsReady(), Weight: 1}
-		switch changed, control := c.r.Side(i); {
+func (c *coordinator) readings() []canary.Reading {
+	all := make([]canary.Reading, 0, len(c.lastStatus))
+	for i, s := range c.lastStatus {
+		r := canary.Reading{Member: c.change.Plan.Members[i].Name, IsServing: s != nil && s.IsReady(), Weight: 1}
+		switch changed, control := c.rollout.Side(i); {
 		case changed:
 			r.Side = canary.SideNew
 		case control:
@@ -246,40 +246,40 @@
 	return all
 }
 
-// feed brings an event to the decider, and its actions to the members.
-func (c *carrier) feed(ctx context.Context, e rollout.Event) {
+// handle brings an event to the decider, and its actions to the members.
+func (c *coordinator) handle(ctx context.Context, event rollout.Event) {
 	if c.end != nil {
 		return
 	}
-	c.act(ctx, c.r.Handle(c.now(), e))
-	if _, ok := e.(rollout.Tick); ok && c.end == nil && c.r.IsBaking() {
+	c.execute(ctx, c.rollout.Handle(c.now(), event))
+	if _, ok := event.(rollout.Tick); ok && c.end == nil && c.rollout.IsBaking() {
 		c.verdict = c.judge.Verdict(c.now())
-		c.act(ctx, c.r.Handle(c.now(), rollout.StageJudged{Verdict: rollout.Verdict(c.verdict.Kind), Reason: c.verdict.Reason}))
+		c.execute(ctx, c.rollout.Handle(c.now(), rollout.StageJudged{Verdict: rollout.Verdict(c.verdict.Kind), Reason: c.verdict.Reason}))
 	}
 }
 
-func (c *carrier) act(ctx context.Context, all []rollout.Action) {
-	for _, a := range all {
+func (c *coordinator) execute(ctx context.Context, actions []rollout.Action) {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case rollout.Write:
-			if err := c.j.add(a.Entry); err != nil {
+			if err := c.log.append(a.Entry); err != nil {
 				slog.Error("rollout: a decision can't be written", "kind", a.Entry.Kind, "err", err)
-				for _, a := range c.r.Handle(c.now(), rollout.WriteFailed{Err: err}) {
+				for _, a := range c.rollout.Handle(c.now(), rollout.WriteFailed{Err: err}) {
 					if end, ok := a.(rollout.End); ok {
 						c.end = &end
 					}
 				}
 				return
 			}
-			c.say(a.Entry)
+			c.reportEntry(a.Entry)
 		case rollout.Watch:
 			c.verdict = canary.Verdict{}
 			c.judge.Begin(c.now(), c.readings())
 		case rollout.Claim:
-			c.claim(ctx, a)
+			c.sendClaim(ctx, a)
 		case rollout.Command:
-			c.ordered[a.Member] = c.ordered[a.Member] || !a.IsRestart
-			c.order(ctx, a)
+			c.isCommanded[a.Member] = c.isCommanded[a.Member] || !a.IsRestart
+			c.sendCommand(ctx, a)
 		case rollout.End:
 			c.end = &a
 			return
@@ -287,12 +287,12 @@
 	}
 }
 
-func (c *carrier) claim(ctx context.Context, a rollout.Claim) {
-	m := c.members[a.Member]
-	c.call(ctx, askWithin, func(ctx context.Context) any {
+func (c *coordinator) sendClaim(ctx context.Context, a rollout.Claim) {
+	m := c.clients[a.Member]
+	c.call(ctx, statusTimeout, func(ctx context.Context) any {
 		_, err := m.Claim(ctx, manage.Claim{Epoch: a.Epoch, Owner: a.Owner, LossToken: a.LossToken})
 		e := rollout.ClaimReplied{Member: a.Member, Epoch: a.Epoch}
-		if e.Reply = answered(err); e.Reply == rollout.ReplyStale {
+		if e.Reply = replyOf(err); e.Reply == rollout.ReplyStale {
 			if s, err := m.Status(ctx); err == nil {
 				e.NewestEpoch = s.Epoch
 			}
@@ -301,18 +301,18 @@
 	})
 }
 
-func (c *carrier) order(ctx context.Context, a rollout.Command) {
-	m := c.members[a.Member]
-	want, err := c.c.want(a.Member, a.Generation, a.IsRestart)
+func (c *coordinator) sendCommand(ctx context.Context, a rollout.Command) {
+	m := c.clients[a.Member]
+	operation, err := c.change.operation(a.Member, a.Generation, a.IsRestart)
 	if err != nil {
-		c.call(ctx, askWithin, func(context.Context) any {
+		c.call(ctx, statusTimeout, func(context.Context) any {
 			return rollout.CommandReplied{Member: a.Member, ID: a.ID, Epoch: a.Epoch, Reply: rollout.ReplyFailed, Err: err}
 		})
 		return
 	}
-	c.call(ctx, c.within, func(ctx context.Context) any {
-		_, err := m.RunCommand(ctx, manage.Command{Epoch: a.Epoch, Owner: a.Owner, ID: a.ID, Operation: want})
-		e := rollout.CommandReplied{Member: a.Member, ID: a.ID, Epoch: a.Epoch, Reply: answered(err), Err: err}
+	c.call(ctx, c.commandTimeout, func(ctx context.Context) any {
+		_, err := m.RunCommand(ctx, manage.Command{Epoch: a.Epoch, Owner: a.Owner, ID: a.ID, Operation: operation})
+		e := rollout.CommandReplied{Member: a.Member, ID: a.ID, Epoch: a.Epoch, Reply: replyOf(err), Err: err}
 		if e.Reply == rollout.ReplyStale {
 			// A member that has no memory of any epoch is no sign of a newer coordinator.
 			if s, err := m.Status(ctx); err == nil && s.Epoch < a.Epoch {
@@ -323,8 +323,8 @@
 	})
 }
 
-// answered tells what a member's answer to a claim or an order means.
-func answered(err error) rollout.Reply {
+// replyOf tells what a member's answer to a claim or an order means.
+func replyOf(err error) rollout.Reply {
 	switch {
 	case err == nil:
 		return rollout.ReplyOK
@@ -340,87 +340,87 @@
 	return rollout.ReplyUnknown // also busy: it is asked again
 }
 
-// say tells a decision in the log and to whoever watches.
-func (c *carrier) say(e rollout.Entry) {
-	slog.Info("rollout: "+string(e.Kind), "epoch", e.Epoch, "phase", e.Phase, "stage", e.Stage, "member", e.Member, "id", e.ID, "gen", e.Generation, "outcome", e.Outcome, "why", e.Reason)
-	w := c.ways.Progress
-	switch e.Kind {
+// reportEntry tells a decision in the log and to whoever watches.
+func (c *coordinator) reportEntry(entry rollout.Entry) {
+	slog.Info("rollout: "+string(entry.Kind), "epoch", entry.Epoch, "phase", entry.Phase, "stage", entry.Stage, "member", entry.Member, "id", entry.ID, "gen", entry.Generation, "outcome", entry.Outcome, "why", entry.Reason)
+	w := c.options.Progress
+	switch entry.Kind {
 	case rollout.EntryOwned:
-		fmt.Fprintf(w, "owns the fleet with epoch %d\n", e.Epoch)
+		fmt.Fprintf(w, "owns the fleet with epoch %d\n", entry.Epoch)
 	case rollout.EntryStage:
-		at, of := c.r.Stage()
+		at, of := c.rollout.Stage()
 		phase := ""
-		if p, all := c.r.Phase(); all > 1 {
+		if p, all := c.rollout.Phase(); all > 1 {
 			phase = fmt.Sprintf("phase %d of %d, ", p, all)
 		}
-		fmt.Fprintf(w, "%sstage %d of %d: %s", phase, at, of, names(e.Members))
-		if len(e.Controls) > 0 {
-			fmt.Fprintf(w, "; beside it, started again: %s", names(e.Controls))
+		fmt.Fprintf(w, "%sstage %d of %d: %s", phase, at, of, joinNames(entry.Members))
+		if len(entry.Controls) > 0 {
+			fmt.Fprintf(w, "; beside it, started again: %s", joinNames(entry.Controls))
 		}
 		fmt.Fprintln(w)
 	case rollout.EntryOutcome:
-		fmt.Fprintf(w, "%s: %s %s\n", e.Member, e.Outcome, e.Reason)
+		fmt.Fprintf(w, "%s: %s %s\n", entry.Member, entry.Outcome, entry.Reason)
 	case rollout.EntryVerdict:
-		fmt.Fprintf(w, "stage %d: %s: %s\n", e.Stage, e.Outcome, e.Reason)
+		fmt.Fprintf(w, "stage %d: %s: %s\n", entry.Stage, entry.Outcome, entry.Reason)
 	case rollout.EntryRollback:
-		fmt.Fprintf(w, "takes back: %s\n", e.Reason)
+		fmt.Fprintf(w, "takes back: %s\n", entry.Reason)
 	case rollout.EntryAbandoned:
-		fmt.Fprintf(w, "%s: not taken back: %s\n", e.Member, e.Reason)
+		fmt.Fprintf(w, "%s: not taken back: %s\n", entry.Member, entry.Reason)
 	}
 }
 
-func names(all []string) string {
+func joinNames(all []string) string {
 	if len(all) > 8 {
 		return fmt.Sprintf("%s and %d more", strings.Join(all[:7], ", "), len(all)-7)
 	}
 	return strings.Join(all, ", ")
 }
 
-// tell keeps what others are told of it: now and then, and when it changes.
-func (c *carrier) tell() {
+// updateProgress keeps what others are told of it: now and then, and when it changes.
+func (c *coordinator) updateProgress() {
 	now := c.now()
-	what := c.r.State() + c.r.Reason()
-	if c.end == nil && now-c.told < pollMembers || what == c.last && now-c.told < tellEvery && c.end == nil {
+	state := c.rollout.State() + c.rollout.Reason()
+	if c.end == nil && now-c.lastProgress < memberPollInterval || state == c.lastState && now-c.lastProgress < progressInterval && c.end == nil {
 		return
 	}
-	if what != c.last && c.end == nil {
-		slog.Info("rollout: "+c.r.State(), "why", c.r.Reason())
+	if state != c.lastState && c.end == nil {
+		slog.Info("rollout: "+c.rollout.State(), "why", c.rollout.Reason())
 	}
-	c.told, c.last = now, what
+	c.lastProgress, c.lastState = now, state
 	raw, err := json.Marshal(c.progress())
 	if err == nil {
-		err = c.j.Ledger.SetNote(raw)
+		err = c.log.Log.SetNote(raw)
 	}
 	if err != nil {
 		slog.Warn("rollout: what it is at can't be told", "err", err)
 	}
 }
 
-func (c *carrier) progress() Progress {
-	p := Progress{Begun: c.c.Begun, At: time.Now(), Kind: c.c.Kind, State: c.r.State(), Why: c.r.Reason(), Cause: c.r.RollbackCause(), Epoch: c.r.Epoch(), Members: c.states()}
-	p.Phase, p.Phases = c.r.Phase()
-	p.Stage, p.Stages = c.r.Stage()
+func (c *coordinator) progress() Progress {
+	p := Progress{StartedAt: c.change.StartedAt, UpdatedAt: time.Now(), Kind: c.change.Kind, State: c.rollout.State(), Reason: c.rollout.Reason(), RollbackCause: c.rollout.RollbackCause(), Epoch: c.rollout.Epoch(), Members: c.memberStates()}
+	p.Phase, p.Phases = c.rollout.Phase()
+	p.Stage, p.Stages = c.rollout.Stage()
 	if c.verdict.Reason != "" {
-		p.Verdict, p.Told = c.verdict.Kind.String(), c.verdict.Reason
+		p.Verdict, p.VerdictReason = c.verdict.Kind.String(), c.verdict.Reason
 	}
 	for _, m := range c.verdict.Measures {
-		p.Sides = append(p.Sides, Compared{m.Name, finite(m.Old), finite(m.New), finite(m.Low), finite(m.High), m.Margin, m.IsWorse, m.IsEnough})
+		p.Measures = append(p.Measures, MeasureResult{m.Name, finiteOrNil(m.Old), finiteOrNil(m.New), finiteOrNil(m.Low), finiteOrNil(m.High), m.Margin, m.IsWorse, m.IsEnough})
 	}
 	return p
 }
 
-func finite(v float64) *float64 {
+func finiteOrNil(v float64) *float64 {
 	if math.IsInf(v, 0) || math.IsNaN(v) {
 		return nil
 	}
 	return &v
 }
 
-// states are where the members are.
-func (c *carrier) states() []MemberState {
-	all := make([]MemberState, len(c.members))
-	for i, m := range c.c.Plan.Members {
-		all[i] = MemberState{m.Name, c.r.MemberState(i, c.ordered[i]), c.r.Version(i)}
+// memberStates are where the members are.
+func (c *coordinator) memberStates() []MemberState {
+	all := make([]MemberState, len(c.clients))
+	for i, m := range c.change.Plan.Members {
+		all[i] = MemberState{m.Name, c.rollout.MemberState(i, c.isCommanded[i]), c.rollout.Version(i)}
 	}
 	return all
 }
--- a/internal/fleet/change.go
+++ b/internal/fleet/change.go
@@ -23,20 +23,20 @@
 // Change is one change of a fleet with all that it takes to carry it out, and to take it back: it is what a
 // journal begins with, so that another coordinator can go on.
 type Change struct {
-	Form     int               `json:"form"`
-	Begun    time.Time         `json:"begun"`
-	Kind     desiredstate.Kind `json:"kind"` // KindSettings or KindProgram
-	Plan     rollout.Plan      `json:"plan"`
-	Sockets  []string          `json:"sockets"`            // of the plan's members, in its order
-	Texts    map[string]string `json:"texts,omitempty"`    // settings by hash
-	Programs map[string]string `json:"programs,omitempty"` // paths by the hash of what they hold
+	FormatVersion int               `json:"form"`
+	StartedAt     time.Time         `json:"begun"`
+	Kind          desiredstate.Kind `json:"kind"` // KindSettings or KindProgram
+	Plan          rollout.Plan      `json:"plan"`
+	Sockets       []string          `json:"sockets"`            // of the plan's members, in its order
+	Texts         map[string]string `json:"texts,omitempty"`    // settings by hash
+	Programs      map[string]string `json:"programs,omitempty"` // paths by the hash of what they hold
 }
 
-// form is that of Change. Another one is not read: what it means is not known.
-const form = 1
+// formatVersion is that of Change. Another one is not read: what it means is not known.
+const formatVersion = 1
 
-// again marks, in Member.Gens, a process that began after the change did and runs the same program.
-const again = " anew"
+// restartSuffix marks, in Member.Gens, a process that began after the change did and runs the same program.
+const restartSuffix = " anew"
 
 // Placed is a member with where it stands and what it is to run.
 type Placed struct {
@@ -46,8 +46,8 @@
 	Texts [][]byte
 }
 
-// Everywhere places members that all are to run one text; nil is what each one's own file holds.
-func Everywhere(members []Member, text []byte) []Placed {
+// WithSettings places members that all are to run one text; nil is what each one's own file holds.
+func WithSettings(members []Member, text []byte) []Placed {
 	all := make([]Placed, len(members))
 	for i, m := range members {
 		all[i] = Placed{Member: m, Texts: [][]byte{text}}
@@ -55,18 +55,18 @@
 	return all
 }
 
-// ErrSame is a change of settings after which every member runs what it runs.
-var ErrSame = errors.New("every member runs these settings already")
+// ErrUnchanged is a change of settings after which every member runs what it runs.
+var ErrUnchanged = errors.New("every member runs these settings already")
 
-// before asks all members, who have to be as wanted.
-func before(ctx context.Context, members []Placed, serving bool) ([]manage.Status, error) {
+// requireReady asks all members, who have to be as wanted.
+func requireReady(ctx context.Context, members []Placed, serving bool) ([]manage.Status, error) {
 	plain := make([]Member, len(members))
 	for i, m := range members {
 		plain[i] = m.Member
 	}
 	forgets := false
 	all := make([]manage.Status, len(members))
-	for i, a := range Ask(ctx, plain) {
+	for i, a := range PollStatus(ctx, plain) {
 		switch {
 		case a.Status == nil:
 			return nil, fmt.Errorf("member %s does not answer, nothing was changed: %s", a.Member, a.Error)
@@ -82,14 +82,14 @@
 	return all, nil
 }
 
-// Settings makes a change of settings. known are texts of earlier changes, by hash: what a member runs may be
+// NewSettingsChange makes a change of settings. known are texts of earlier changes, by hash: what a member runs may be
 // in no file any more.
-func Settings(ctx context.Context, members []Placed, p rollout.Plan, known map[string]string) (*Change, error) {
-	now, err := before(ctx, members, false)
+func NewSettingsChange(ctx context.Context, members []Placed, p rollout.Plan, known map[string]string) (*Change, error) {
+	now, err := requireReady(ctx, members, false)
 	if err != nil {
 		return nil, err
 	}
-	c := &Change{Form: form, Begun: time.Now(), Kind: desiredstate.KindSettings, Plan: p, Texts: make(map[string]string)}
+	c := &Change{FormatVersion: formatVersion, StartedAt: time.Now(), Kind: desiredstate.KindSettings, Plan: p, Texts: make(map[string]string)}
 	files := make(map[string]string)
 	for i, s := range now {
 		raw, err := os.ReadFile(s.ConfigPath)
@@ -104,12 +104,12 @@
 		}
 	}
 	if p.RegionOrder == nil {
-		if err := between(now, members, files); err != nil {
+		if err := addIntermediateSettings(now, members, files); err != nil {
 			return nil, err
 		}
 	}
 	// What runs at the start may be of a change that was cut: it is taken back to what the others run.
-	old := commonest(now, members)
+	old := mostCommonSettings(now, members)
 	same := true
 	for i, s := range now {
 		m := rollout.Member{Name: members[i].Name, Region: members[i].Region, Zone: members[i].Zone}
@@ -133,13 +133,13 @@
 		c.Sockets = append(c.Sockets, members[i].Client.Path)
 	}
 	if same {
-		return nil, ErrSame
+		return nil, ErrUnchanged
 	}
-	return c, c.check()
+	return c, c.validate()
 }
 
-// between gives members a generation more where the settings of both ends may not stand side by side.
-func between(now []manage.Status, members []Placed, files map[string]string) error {
+// addIntermediateSettings gives members a generation more where the settings of both ends may not stand side by side.
+func addIntermediateSettings(now []manage.Status, members []Placed, files map[string]string) error {
 	type pair struct{ old, new string }
 	mids := make(map[pair][]byte)
 	some := false
@@ -149,7 +149,7 @@
 		if _, known := mids[p]; known || !ok || p.old == p.new {
 			continue
 		}
-		mid, err := Between([]byte(text), members[i].Texts[0])
+		mid, err := IntermediateSettings([]byte(text), members[i].Texts[0])
 		if err != nil {
 			return fmt.Errorf("member %s: %w", members[i].Name, err)
 		}
@@ -171,8 +171,8 @@
 	return nil
 }
 
-// commonest is what most members of each region run that is not what they are to run.
-func commonest(now []manage.Status, members []Placed) map[string]string {
+// mostCommonSettings is what most members of each region run that is not what they are to run.
+func mostCommonSettings(now []manage.Status, members []Placed) map[string]string {
 	count := make(map[[2]string]int)
 	best := make(map[string]string)
 	for i, s := range now {
@@ -188,8 +188,8 @@
 	return best
 }
 
-// Unknown are members whose settings of the start are in no file: they can't be taken back.
-func (c *Change) Unknown() (names []string) {
+// MembersWithoutOldSettings are members whose settings of the start are in no file: they can't be taken back.
+func (c *Change) MembersWithoutOldSettings() (names []string) {
 	for _, m := range c.Plan.Members {
 		if _, ok := c.Texts[m.Versions[0]]; !ok && c.Kind == desiredstate.KindSettings {
 			names = append(names, m.Name)
@@ -198,14 +198,14 @@
 	return names
 }
 
-// Program makes a change of the program; path "" is the file that each member runs. Programs that are no
+// NewProgramChange makes a change of the program; path "" is the file that each member runs. Programs that are no
 // longer in the file that they were started from are kept in dir, so that they can be taken back to.
-func Program(ctx context.Context, members []Placed, p rollout.Plan, path, dir string) (*Change, error) {
-	now, err := before(ctx, members, true)
+func NewProgramChange(ctx context.Context, members []Placed, p rollout.Plan, path, dir string) (*Change, error) {
+	now, err := requireReady(ctx, members, true)
 	if err != nil {
 		return nil, err
 	}
-	c := &Change{Form: form, Begun: time.Now(), Kind: desiredstate.KindProgram, Plan: p, Programs: make(map[string]string)}
+	c := &Change{FormatVersion: formatVersion, StartedAt: time.Now(), Kind: desiredstate.KindProgram, Plan: p, Programs: make(map[string]string)}
 	files := make(map[string]string) // hashes by path
 	hash := func(path string) (string, error) {
 		if h, ok := files[path]; ok {
@@ -218,14 +218,14 @@
 	same := true
 	for i, s := range now {
 		name := members[i].Name
-		running, err := hashFile(exe(s.PID))
+		running, err := hashFile(executablePath(s.PID))
 		if err != nil {
 			return nil, fmt.Errorf("member %s: what it runs: %w", name, err)
 		}
 		if h, err := hash(s.Program); err == nil && h == running {
 			c.Programs[running] = s.Program
 		} else if _, ok := c.Programs[running]; !ok {
-			if c.Programs[running], err = keepProgram(exe(s.PID), dir, running); err != nil {
+			if c.Programs[running], err = saveProgram(executablePath(s.PID), dir, running); err != nil {
 				return nil, fmt.Errorf("member %s: keeping the program that it runs: %w", name, err)
 			}
 		}
@@ -248,13 +248,13 @@
 	if same {
 		c.Plan.IsRestart, c.Plan.HasControls = true, false
 		for i := range c.Plan.Members {
-			c.Plan.Members[i].Versions[1] += again
+			c.Plan.Members[i].Versions[1] += restartSuffix
 		}
 	}
-	return c, c.check()
+	return c, c.validate()
 }
 
-func exe(pid int) string { return fmt.Sprintf("/proc/%d/exe", pid) }
+func executablePath(pid int) string { return fmt.Sprintf("/proc/%d/exe", pid) }
 
 func hashFile(path string) (string, error) {
 	f, err := os.Open(path)
@@ -269,8 +269,8 @@
 	return hex.EncodeToString(h.Sum(nil)), nil
 }
 
-// keepProgram copies a program whose file is another one by now.
-func keepProgram(from, dir, hash string) (string, error) {
+// saveProgram copies a program whose file is another one by now.
+func saveProgram(from, dir, hash string) (string, error) {
 	to := filepath.Join(dir, "program-"+hash[:16])
 	if h, err := hashFile(to); err == nil && h == hash {
 		return filepath.Abs(to)
@@ -295,11 +295,11 @@
 	return filepath.Abs(to)
 }
 
-// check tells what in a change can't be carried out, also of one that was read.
-func (c *Change) check() error {
+// validate tells what in a change can't be carried out, also of one that was read.
+func (c *Change) validate() error {
 	switch {
-	case c.Form != form:
-		return fmt.Errorf("the change is of form %d, not %d", c.Form, form)
+	case c.FormatVersion != formatVersion:
+		return fmt.Errorf("the change is of form %d, not %d", c.FormatVersion, formatVersion)
 	case c.Kind != desiredstate.KindSettings && c.Kind != desiredstate.KindProgram:
 		return fmt.Errorf("the change is of no known kind, %q", c.Kind)
 	case len(c.Sockets) != len(c.Plan.Members):
@@ -313,14 +313,14 @@
 	return c.Plan.Validate()
 }
 
-// Check tells what in settings can't be used, before any member hears of them.
-func Check(name string, text []byte) error {
+// CheckSettings tells what in settings can't be used, before any member hears of them.
+func CheckSettings(name string, text []byte) error {
 	_, err := config.Parse(name, text)
 	return err
 }
 
-// want is what a member is ordered at a generation.
-func (c *Change) want(i, gen int, restart bool) (manage.Operation, error) {
+// operation is what a member is ordered at a generation.
+func (c *Change) operation(i, gen int, restart bool) (manage.Operation, error) {
 	id := c.Plan.Members[i].Versions[gen]
 	switch {
 	case restart:
@@ -332,40 +332,40 @@
 		}
 		return manage.Operation{Kind: desiredstate.KindSettings, Hash: id, Text: text}, nil
 	}
-	path, ok := c.Programs[strings.TrimSuffix(id, again)]
+	path, ok := c.Programs[strings.TrimSuffix(id, restartSuffix)]
 	if !ok {
 		return manage.Operation{}, fmt.Errorf("the program %.12s is in no file any more", id)
 	}
 	return manage.Operation{Kind: desiredstate.KindProgram, Path: path}, nil
 }
 
-// programs hashes what processes run, once for each.
-type programs map[process]string
+// programHashes hashes what processes run, once for each.
+type programHashes map[processKey]string
 
-type process struct {
+type processKey struct {
 	pid   int
 	since int64
 }
 
-// runs is what a member says it runs, as Member.Gens has it.
-func (c *Change) runs(s *manage.Status, known programs) string {
+// version is what a member says it runs, as Member.Gens has it.
+func (c *Change) version(s *manage.Status, known programHashes) string {
 	if c.Kind == desiredstate.KindSettings {
 		return s.ConfigHash
 	}
-	p := process{s.PID, s.StartedAt.UnixNano()}
+	p := processKey{s.PID, s.StartedAt.UnixNano()}
 	h, ok := known[p]
 	if !ok {
 		var err error
-		if h, err = hashFile(exe(s.PID)); err != nil {
+		if h, err = hashFile(executablePath(s.PID)); err != nil {
 			return "unknown: " + err.Error()
 		}
-		if len(known) > 4*membersMost {
+		if len(known) > 4*maxMembers {
 			clear(known)
 		}
 		known[p] = h
 	}
-	if c.Plan.IsRestart && s.StartedAt.After(c.Begun) {
-		h += again
+	if c.Plan.IsRestart && s.StartedAt.After(c.StartedAt) {
+		h += restartSuffix
 	}
 	return h
 }
--- a/internal/fleet/change_test.go
+++ b/internal/fleet/change_test.go
@@ -52,7 +52,7 @@
 		"terms and ceilings": {text(10, 10, keyed, 4), text(20, 20, never, 4), "never"},
 		"a larger group":     {text(10, 10, never, 4), text(20, 20, never, 5), "instances = 5"},
 	} {
-		got, err := Between(tc.old, tc.new)
+		got, err := IntermediateSettings(tc.old, tc.new)
 		if err != nil || (got == nil) != (tc.want == "") || !strings.Contains(strings.ReplaceAll(string(got), "'", `"`), tc.want) {
 			t.Errorf("%s: %s, %v", name, got, err)
 		}
@@ -68,7 +68,7 @@
 			return text(n("a"), n("b"), class, n("instances"))
 		}
 		old, new := draw("old"), draw("new")
-		mid, err := Between(old, new)
+		mid, err := IntermediateSettings(old, new)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -135,7 +135,7 @@
 		{rollout.Entry{Kind: rollout.EntryEnd, Outcome: string(rollout.ResultDone)}, ""},
 		{rollout.Entry{Kind: rollout.EntryEnd, Outcome: string(rollout.ResultStopped)}, "stopped"},
 	} {
-		j := Journal{Change: &Change{}, Entries: []rollout.Entry{c.last}}
+		j := RolloutLog{Change: &Change{}, Entries: []rollout.Entry{c.last}}
 		if got := j.Unfinished(); got != c.want {
 			t.Errorf("%+v: %q", c.last, got)
 		}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -23,10 +23,10 @@
 )
 
 const (
-	askWithin = 3 * time.Second // of a status
-	pollEvery = 20 * time.Millisecond
-	// membersMost bounds a list of members.
-	membersMost = 10000
+	statusTimeout = 3 * time.Second // of a status
+	pollInterval  = 20 * time.Millisecond
+	// maxMembers bounds a list of members.
+	maxMembers = 10000
 )
 
 // Member is one daemon of a fleet.
@@ -35,9 +35,9 @@
 	Client manage.Client
 }
 
-// InDir are the members that Run keeps under a directory, by number.
-func InDir(dir string) ([]Member, error) {
-	paths, err := filepath.Glob(filepath.Join(dir, "*", controlName))
+// MembersInDirectory are the members that Run keeps under a directory, by number.
+func MembersInDirectory(dir string) ([]Member, error) {
+	paths, err := filepath.Glob(filepath.Join(dir, "*", controlSocketName))
 	if err != nil {
 		return nil, fmt.Errorf("fleet directory: %w", err)
 	}
@@ -59,9 +59,9 @@
 	return all, nil
 }
 
-// InFile are the members whose control sockets a file names, a path a line; lines that begin with
+// MembersInFile are the members whose control sockets a file names, a path a line; lines that begin with
 // # are none.
-func InFile(path string) ([]Member, error) {
+func MembersInFile(path string) ([]Member, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("fleet file: %w", err)
@@ -79,8 +79,8 @@
 			return nil, fmt.Errorf("%s:%d: %q is no absolute path", path, n, line)
 		case slices.ContainsFunc(all, func(m Member) bool { return m.Name == line }):
 			return nil, fmt.Errorf("%s:%d: %q is given twice", path, n, line)
-		case len(all) == membersMost:
-			return nil, fmt.Errorf("%s:%d: more than %d members", path, n, membersMost)
+		case len(all) == maxMembers:
+			return nil, fmt.Errorf("%s:%d: more than %d members", path, n, maxMembers)
 		}
 		all = append(all, Member{line, manage.Client{Path: line}})
 	}
@@ -93,19 +93,19 @@
 	return all, nil
 }
 
-// Answer is what a member said of itself, or why it said nothing.
-type Answer struct {
+// StatusReply is what a member said of itself, or why it said nothing.
+type StatusReply struct {
 	Member string         `json:"member"`
 	Status *manage.Status `json:"status,omitempty"`
 	Error  string         `json:"error,omitempty"`
 }
 
-// Ask asks all members for their status, at once.
-func Ask(ctx context.Context, members []Member) []Answer {
-	all := make([]Answer, len(members))
-	var asked sync.WaitGroup
+// PollStatus asks all members for their status, at once.
+func PollStatus(ctx context.Context, members []Member) []StatusReply {
+	all := make([]StatusReply, len(members))
+	var polls sync.WaitGroup
 	for i, m := range members {
-		asked.Go(func() {
+		polls.Go(func() {
 			all[i].Member = m.Name
 			s, err := status(ctx, m)
 			if err != nil {
@@ -115,12 +115,12 @@
 			all[i].Status = &s
 		})
 	}
-	asked.Wait()
+	polls.Wait()
 	return all
 }
 
 func status(ctx context.Context, m Member) (manage.Status, error) {
-	ctx, cancel := context.WithTimeout(ctx, askWithin)
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	return m.Client.Status(ctx)
 }
@@ -141,7 +141,7 @@
 	if _, err := m.Client.Reload(ctx); err != nil {
 		return err
 	}
-	_, err := await(ctx, m, func(s manage.Status) bool { return s.IsReady() })
+	_, err := awaitStatus(ctx, m, func(s manage.Status) bool { return s.IsReady() })
 	return err
 }
 
@@ -160,10 +160,10 @@
 		return err
 	}
 	back := false
-	now, err := await(ctx, m, func(s manage.Status) bool {
+	now, err := awaitStatus(ctx, m, func(s manage.Status) bool {
 		// The old one says so itself once it has gone on without the new one.
 		back = s.PID == old.PID && s.IsReady() && s.SuccessorPID == 0
-		return back || s.PID != old.PID && s.IsReady() && ended(old.PID)
+		return back || s.PID != old.PID && s.IsReady() && hasEnded(old.PID)
 	})
 	if err == nil && back {
 		return fmt.Errorf("the new process did not last; process %d goes on", now.PID)
@@ -171,8 +171,8 @@
 	return err
 }
 
-// ended tells whether a process of this machine has ended.
-func ended(pid int) bool {
+// hasEnded tells whether a process of this machine has ended.
+func hasEnded(pid int) bool {
 	if errors.Is(syscall.Kill(pid, 0), syscall.ESRCH) {
 		return true
 	}
@@ -184,15 +184,15 @@
 	return strings.HasPrefix(rest, "Z")
 }
 
-// await asks a member again and again until it is as wanted.
-func await(ctx context.Context, m Member, is func(manage.Status) bool) (manage.Status, error) {
+// awaitStatus asks a member again and again until it is as wanted.
+func awaitStatus(ctx context.Context, m Member, is func(manage.Status) bool) (manage.Status, error) {
 	for {
 		s, err := status(ctx, m)
 		if err == nil && is(s) {
 			return s, nil
 		}
 		select {
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			if err == nil {
 				err = fmt.Errorf("it is %s", s.State)
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -19,7 +19,7 @@
 // What is kept and printed of a rollout is read and written under the keys of earlier builds; go test
 // ./internal/fleet -run Golden -update writes the files anew.
 func TestGoldenRolloutTypes(t *testing.T) {
-	for name, v := range map[string]any{"change": &Change{}, "record": &record{}, "progress": &Progress{}, "answers": &[]Answer{}} {
+	for name, v := range map[string]any{"change": &Change{}, "record": &logRecord{}, "progress": &Progress{}, "answers": &[]StatusReply{}} {
 		testkit.GoldenSample(t, "json", "testdata/golden/"+name+".json", v)
 	}
 }
@@ -32,7 +32,7 @@
 		made = makeJournal(t)
 	}
 	dir := unpackJournal(t, testkit.GoldenBytes(t, path, made))
-	j, err := OpenJournal(dir)
+	j, err := OpenRolloutLog(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,16 +41,16 @@
 	if j.Change == nil || len(j.Entries) != 1 || !reflect.DeepEqual(j.Entries[0], want.Entry) {
 		t.Fatalf("change %v, entries %+v", j.Change, j.Entries)
 	}
-	records := j.Ledger.Records()
-	for i, v := range []any{&Change{}, &record{}} {
+	records := j.Log.Records()
+	for i, v := range []any{&Change{}, &logRecord{}} {
 		if err := testkit.RoundTrip("json", records[i], v); err != nil {
 			t.Errorf("record %d: %v", i+1, err)
 		}
 	}
-	if err := testkit.RoundTrip("json", j.Ledger.Note(), &Progress{}); err != nil {
+	if err := testkit.RoundTrip("json", j.Log.Note(), &Progress{}); err != nil {
 		t.Error(err)
 	}
-	if p, err := Last(dir); err != nil || p == nil || p.Counts[string(want.Entry.Kind)] != 1 {
+	if p, err := ReadProgress(dir); err != nil || p == nil || p.Counts[string(want.Entry.Kind)] != 1 {
 		t.Errorf("%+v, %v", p, err)
 	}
 }
@@ -59,7 +59,7 @@
 func sampleChange() Change {
 	var c Change
 	testkit.Sample("json", &c)
-	c.Form, c.Kind = form, desiredstate.KindSettings
+	c.FormatVersion, c.Kind = formatVersion, desiredstate.KindSettings
 	c.Texts = map[string]string{desiredstate.Hash([]byte("new")): "new"}
 	p := &c.Plan
 	p.Members[0].Versions = []string{desiredstate.Hash([]byte("old")), desiredstate.Hash([]byte("new"))}
@@ -69,8 +69,8 @@
 	return c
 }
 
-func sampleRecord() record {
-	var r record
+func sampleRecord() logRecord {
+	var r logRecord
 	testkit.Sample("json", &r)
 	return r
 }
--- a/internal/fleet/kept.go
+++ b/internal/fleet/kept.go
@@ -17,8 +17,8 @@
 // What a keeper finds of instances that were started before it: it takes over those that run, and starts
 // the others as they are wanted.
 
-// lockDir keeps a second keeper out. The lock ends with the process.
-func lockDir(dir string) (*os.File, error) {
+// lockDirectory keeps a second keeper out. The lock ends with the process.
+func lockDirectory(dir string) (*os.File, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
@@ -39,13 +39,13 @@
 // prepare makes an instance's directory and file, and tells whether it runs already. The settings of one that
 // runs, or that was ordered others, are left.
 func (r *Run) prepare(i int, text []byte) (running bool, err error) {
-	dir := r.dir(i)
+	dir := r.directory(i)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return false, err
 	}
 	path := filepath.Join(dir, "lockflow.toml")
 	have, err := os.ReadFile(path)
-	if pid := r.holder(i); pid != 0 {
+	if pid := r.runningProcess(i); pid != 0 {
 		slog.Info("fleet: an instance runs already, and is kept", "instance", i, "pid", pid)
 		return true, nil
 	}
@@ -62,32 +62,32 @@
 // desiredState is what an instance has written of its orders; an empty one where it can't be read: the instance
 // itself tells that.
 func (r *Run) desiredState(i int) desiredstate.State {
-	b, err := desiredstate.ReadState(r.state(i))
+	b, err := desiredstate.ReadState(r.stateDirectory(i))
 	if err != nil {
 		slog.Warn("fleet: what is wanted of an instance is not known", "instance", i, "err", err)
 	}
 	return b
 }
 
-func (r *Run) state(i int) string { return filepath.Join(r.dir(i), "state") }
+func (r *Run) stateDirectory(i int) string { return filepath.Join(r.directory(i), "state") }
 
 // program is what an instance is started with: the last that it was ordered and that proved itself there.
 func (r *Run) program(i int) string {
 	p := r.desiredState(i).Program
-	if p == "" || p == r.opts.Program {
-		return r.opts.Program
+	if p == "" || p == r.options.Program {
+		return r.options.Program
 	}
 	if info, err := os.Stat(p); err != nil || info.IsDir() || info.Mode()&0o111 == 0 {
 		slog.Error("fleet: the program that an instance was ordered can't be run: it starts with this one", "instance", i, "program", p)
-		return r.opts.Program
+		return r.options.Program
 	}
 	return p
 }
 
-// holder is the process that runs as an instance, by the lock of its state directory, which lasts as long as
+// runningProcess is the process that runs as an instance, by the lock of its state directory, which lasts as long as
 // any process has it: also one that is stopped and doesn't answer. 0 is none.
-func (r *Run) holder(i int) int {
-	f, err := os.Open(filepath.Join(r.state(i), "lock"))
+func (r *Run) runningProcess(i int) int {
+	f, err := os.Open(filepath.Join(r.stateDirectory(i), "lock"))
 	if err != nil {
 		return 0
 	}
--- a/internal/fleet/keys_test.go
+++ b/internal/fleet/keys_test.go
@@ -8,5 +8,5 @@
 
 // The records of a rollout, and what is printed of a fleet, have a written key for every field.
 func TestKeysAreWritten(t *testing.T) {
-	testkit.RequireKeys(t, "json", Change{}, record{}, Progress{}, []Answer{})
+	testkit.RequireKeys(t, "json", Change{}, logRecord{}, Progress{}, []StatusReply{})
 }
--- a/internal/fleet/regional.go
+++ b/internal/fleet/regional.go
@@ -18,21 +18,21 @@
 
 // ConflictError is a change that would bring conflicts between regions: it is not begun.
 type ConflictError struct {
-	Why       string
+	Reason    string
 	Conflicts []regions.Conflict
 }
 
 func (c *ConflictError) Error() string {
 	var b strings.Builder
-	b.WriteString(c.Why)
+	b.WriteString(c.Reason)
 	for _, one := range c.Conflicts {
 		fmt.Fprintf(&b, "\n  %s: %s: %s", one.Kind, strings.Join(one.Regions, ", "), one.Why)
 	}
 	return b.String()
 }
 
-// ofFile are a fleet file's members, by region.
-func ofFile(f fleetfile.File) (all []Placed) {
+// membersOf are a fleet file's members, by region.
+func membersOf(f fleetfile.File) (all []Placed) {
 	for _, r := range f.All {
 		for _, m := range r.Members {
 			all = append(all, Placed{Member: Member{m.Socket, manage.Client{Path: m.Socket}}, Region: r.Name, Zone: m.Zone})
@@ -41,38 +41,38 @@
 	return all
 }
 
-// InRegions are the members that a fleet file names, with their regions.
-func InRegions(f fleetfile.File) ([]Placed, error) {
-	all := ofFile(f)
+// MembersInRegions are the members that a fleet file names, with their regions.
+func MembersInRegions(f fleetfile.File) ([]Placed, error) {
+	all := membersOf(f)
 	if len(all) == 0 {
 		return nil, fmt.Errorf("%s: it names no member", f.Path)
 	}
 	return all, nil
 }
 
-// Ordered makes of a fleet file what its members are to run, one generation after another, and the orders in
+// PlanRegions makes of a fleet file what its members are to run, one generation after another, and the orders in
 // which the regions change in each phase. What they run now is asked anew, and held against the file's
 // regions: a conflict that the change would bring, at its end or on the way, is a *ConflictError.
-func Ordered(ctx context.Context, f fleetfile.File, now time.Time) ([]Placed, [][]string, error) {
-	members, err := InRegions(f)
+func PlanRegions(ctx context.Context, f fleetfile.File, now time.Time) ([]Placed, [][]string, error) {
+	members, err := MembersInRegions(f)
 	if err != nil {
 		return nil, nil, err
 	}
-	said, err := before(ctx, members, false)
+	statuses, err := requireReady(ctx, members, false)
 	if err != nil {
 		return nil, nil, err
 	}
-	next := make(map[string]fleetfile.Region)
+	wanted := make(map[string]fleetfile.Region)
 	for _, r := range f.All {
-		next[r.Name] = r
+		wanted[r.Name] = r
 	}
-	old, new, texts, err := oldAndNew(f, members, said)
+	old, new, texts, err := currentAndNext(f, members, statuses)
 	if err != nil {
 		return nil, nil, err
 	}
-	waiving, again := f.Waiving(now), mixture.NewIncrementalCheck()
+	waiving, checkMixtures := f.Waiving(now), mixture.NewIncrementalCheck()
 	check := func(all []regions.Region) (left []regions.Conflict) {
-		for _, c := range again(all) {
+		for _, c := range checkMixtures(all) {
 			// A waiver names regions as the file does, and not by their generations.
 			if len(waiving.Left([]regions.Conflict{mixture.WithoutGenerations(c)})) > 0 {
 				left = append(left, c)
@@ -80,7 +80,7 @@
 		}
 		return left
 	}
-	if brought := lacking(check(new), check(old)); len(brought) > 0 {
+	if brought := newErrors(check(new), check(old)); len(brought) > 0 {
 		return nil, nil, &ConflictError{"the change would bring conflicts; nothing was changed", brought}
 	}
 	res := mixture.Order(old, new, check)
@@ -88,13 +88,13 @@
 		return nil, nil, &ConflictError{fmt.Sprintf("there is no order in which the regions can change: %s block each other; nothing was changed",
 			strings.Join(res.Cycle, ", ")), res.Blocked}
 	}
-	order := [][]string{whole(f, res.Order)}
+	order := [][]string{completeOrder(f, res.Order)}
 	between := make(map[string][]byte)
 	if len(res.Intermediate) > 0 {
-		order = [][]string{whole(f, res.IntermediateOrder), order[0]}
+		order = [][]string{completeOrder(f, res.IntermediateOrder), order[0]}
 		for _, r := range res.Intermediate {
 			i := slices.IndexFunc(old, func(o regions.Region) bool { return o.Name == r.Name })
-			if between[r.Name], err = meet(texts[r.Name], old[i], new[i]); err != nil {
+			if between[r.Name], err = writeIntermediate(texts[r.Name], old[i], new[i]); err != nil {
 				return nil, nil, fmt.Errorf("region %s: %w", r.Name, err)
 			}
 		}
@@ -107,17 +107,17 @@
 			}
 			members[i].Texts = append(members[i].Texts, first)
 		}
-		members[i].Texts = append(members[i].Texts, next[m.Region].Text)
+		members[i].Texts = append(members[i].Texts, wanted[m.Region].Text)
 	}
 	return members, order, nil
 }
 
-// oldAndNew gives the regions as their members run them now and as the file has them, and the text that each
+// currentAndNext gives the regions as their members run them now and as the file has them, and the text that each
 // region runs, by its name.
-func oldAndNew(f fleetfile.File, members []Placed, said []manage.Status) (old, new []regions.Region, texts map[string][]byte, err error) {
+func currentAndNext(f fleetfile.File, members []Placed, statuses []manage.Status) (old, new []regions.Region, texts map[string][]byte, err error) {
 	texts = make(map[string][]byte)
 	for _, r := range f.All {
-		text, err := inForce(members, said, r)
+		text, err := currentSettings(members, statuses, r)
 		if err != nil {
 			return nil, nil, nil, err
 		}
@@ -132,8 +132,8 @@
 	return old, new, texts, nil
 }
 
-// whole is an order with the regions that don't change behind the others.
-func whole(f fleetfile.File, order []string) []string {
+// completeOrder is an order with the regions that don't change behind the others.
+func completeOrder(f fleetfile.File, order []string) []string {
 	all := slices.Clone(order)
 	for _, r := range f.All {
 		if !slices.Contains(all, r.Name) {
@@ -143,8 +143,8 @@
 	return all
 }
 
-// lacking are errors of a list that another lacks.
-func lacking(all, known []regions.Conflict) (more []regions.Conflict) {
+// newErrors are errors of a list that another lacks.
+func newErrors(all, known []regions.Conflict) (more []regions.Conflict) {
 	for _, c := range all {
 		if c.Severity == regions.Error && !slices.ContainsFunc(known, func(k regions.Conflict) bool {
 			return k.Kind == c.Kind && slices.Equal(k.Regions, c.Regions) && slices.Equal(k.Rules, c.Rules)
@@ -155,24 +155,24 @@
 	return more
 }
 
-// inForce is the text that a region's members run, of those that don't run the new one yet. That some run
+// currentSettings is the text that a region's members run, of those that don't run the new one yet. That some run
 // another is a drift: it is told, and nothing is begun over it.
-func inForce(members []Placed, said []manage.Status, r fleetfile.Region) ([]byte, error) {
-	hash, who := "", ""
+func currentSettings(members []Placed, statuses []manage.Status, r fleetfile.Region) ([]byte, error) {
+	hash, first := "", ""
 	var text []byte
 	for i, m := range members {
 		if m.Region != r.Name {
 			continue
 		}
-		h := said[i].ConfigHash
+		h := statuses[i].ConfigHash
 		if h == r.Hash {
 			continue
 		}
 		if hash != "" && h != hash {
-			return nil, fmt.Errorf("region %s: members %s and %s run different settings, %.12s and %.12s; nothing was changed", r.Name, who, m.Name, hash, h)
+			return nil, fmt.Errorf("region %s: members %s and %s run different settings, %.12s and %.12s; nothing was changed", r.Name, first, m.Name, hash, h)
 		}
-		hash, who = h, m.Name
-		if raw, err := os.ReadFile(said[i].ConfigPath); err == nil && desiredstate.Hash(raw) == h {
+		hash, first = h, m.Name
+		if raw, err := os.ReadFile(statuses[i].ConfigPath); err == nil && desiredstate.Hash(raw) == h {
 			text = raw
 		}
 	}
@@ -180,7 +180,7 @@
 	case hash == "":
 		return r.Text, nil
 	case text == nil:
-		return nil, fmt.Errorf("region %s: member %s runs settings %.12s, which are in no file any more, so nothing can be checked against them", r.Name, who, hash)
+		return nil, fmt.Errorf("region %s: member %s runs settings %.12s, which are in no file any more, so nothing can be checked against them", r.Name, first, hash)
 	}
 	return text, nil
 }
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -20,34 +20,34 @@
 )
 
 const (
-	controlName  = "control.sock"
-	instancesMax = 1000
-	againFirst   = 500 * time.Millisecond // pause before an instance starts again; doubles
-	againMost    = 30 * time.Second
-	calm         = 20 * time.Second // after which it is the first again
-	followEvery  = 250 * time.Millisecond
+	controlSocketName = "control.sock"
+	maxInstances      = 1000
+	minRestartBackoff = 500 * time.Millisecond // pause before an instance starts again; doubles
+	maxRestartBackoff = 30 * time.Second
+	stableTime        = 20 * time.Second // after which it is the first again
+	lockPollInterval  = 250 * time.Millisecond
 )
 
 // Options are what a fleet is run with.
 type Options struct {
-	Program   string   // absolute
-	Env       []string // nil is this process's
-	Config    string   // each instance has a copy of it
-	Dir       string
-	Instances int
-	Told      int    // the group's size that instances are told; 0 is Instances
-	Host      string // on which they listen
-	Port      int    // of the first; the others follow; 0 is any
-	Within    time.Duration
+	Program      string   // absolute
+	Env          []string // nil is this process's
+	Config       string   // each instance has a copy of it
+	Dir          string
+	Instances    int
+	GroupSize    int    // the group's size that instances are told; 0 is Instances
+	Host         string // on which they listen
+	Port         int    // of the first; the others follow; 0 is any
+	StartTimeout time.Duration
 }
 
 // Run is a fleet of processes of this machine. Its methods are safe for concurrent use.
 type Run struct {
-	opts    Options
-	Members []Member
-	ctx     context.Context
-	stop    context.CancelFunc
-	parts   sync.WaitGroup
+	options     Options
+	Members     []Member
+	ctx         context.Context
+	stop        context.CancelFunc
+	supervisors sync.WaitGroup
 
 	lock *os.File // one keeper a directory
 
@@ -57,11 +57,11 @@
 
 // Start starts all instances and waits until they are ready.
 func Start(ctx context.Context, o Options) (*Run, error) {
-	if o.Instances < 1 || o.Instances > instancesMax {
-		return nil, fmt.Errorf("fleet: %d instances are none of 1 to %d", o.Instances, instancesMax)
+	if o.Instances < 1 || o.Instances > maxInstances {
+		return nil, fmt.Errorf("fleet: %d instances are none of 1 to %d", o.Instances, maxInstances)
 	}
-	if o.Told == 0 {
-		o.Told = o.Instances
+	if o.GroupSize == 0 {
+		o.GroupSize = o.Instances
 	}
 	raw, err := os.ReadFile(o.Config)
 	if err != nil {
@@ -73,27 +73,27 @@
 	if o.Dir, err = filepath.Abs(o.Dir); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	r := &Run{opts: o, addrs: make([]string, o.Instances)}
-	if r.lock, err = lockDir(o.Dir); err != nil {
+	r := &Run{options: o, addrs: make([]string, o.Instances)}
+	if r.lock, err = lockDirectory(o.Dir); err != nil {
 		return nil, err
 	}
 	r.ctx, r.stop = context.WithCancel(context.Background())
 	running := make([]bool, o.Instances)
 	for i := range o.Instances {
-		r.Members = append(r.Members, Member{strconv.Itoa(i), manage.Client{Path: filepath.Join(r.dir(i), controlName)}})
-		r.addrs[i] = net.JoinHostPort(o.Host, strconv.Itoa(port(o.Port, i)))
+		r.Members = append(r.Members, Member{strconv.Itoa(i), manage.Client{Path: filepath.Join(r.directory(i), controlSocketName)}})
+		r.addrs[i] = net.JoinHostPort(o.Host, strconv.Itoa(portOf(o.Port, i)))
 		if running[i], err = r.prepare(i, raw); err != nil {
 			_ = r.lock.Close() // nothing is written to it
 			return nil, fmt.Errorf("fleet: %w", err)
 		}
 	}
 	for i := range o.Instances {
-		r.parts.Go(func() { r.keep(i) })
+		r.supervisors.Go(func() { r.supervise(i) })
 	}
-	ready, cancel := context.WithTimeout(ctx, o.Within)
+	ready, cancel := context.WithTimeout(ctx, o.StartTimeout)
 	defer cancel()
 	for i, m := range r.Members {
-		s, err := await(ready, m, func(s manage.Status) bool { return s.IsAsDesired() })
+		s, err := awaitStatus(ready, m, func(s manage.Status) bool { return s.IsAsDesired() })
 		switch {
 		case err == nil && len(s.Listeners) > 0:
 			r.mu.Lock()
@@ -102,21 +102,21 @@
 		case err != nil && running[i]: // what others serve is not ended for it
 			slog.Warn("fleet: an instance that ran already does not serve", "instance", i, "err", err)
 		case err != nil:
-			_ = r.end(time.Second, func(i int) bool { return !running[i] }) // the error that came first counts
-			return nil, fmt.Errorf("fleet: instance %d: %w; its log is %s", i, err, filepath.Join(r.dir(i), "log"))
+			_ = r.stopInstances(time.Second, func(i int) bool { return !running[i] }) // the error that came first counts
+			return nil, fmt.Errorf("fleet: instance %d: %w; its log is %s", i, err, filepath.Join(r.directory(i), "log"))
 		}
 	}
 	return r, nil
 }
 
-func port(first, i int) int {
+func portOf(first, i int) int {
 	if first == 0 {
 		return 0
 	}
 	return first + i
 }
 
-func (r *Run) dir(i int) string { return filepath.Join(r.opts.Dir, strconv.Itoa(i)) }
+func (r *Run) directory(i int) string { return filepath.Join(r.options.Dir, strconv.Itoa(i)) }
 
 // Addr is where clients reach an instance.
 func (r *Run) Addr(i int) string {
@@ -125,22 +125,22 @@
 	return r.addrs[i]
 }
 
-// keep has an instance run until the fleet is stopped. One that is wanted drained runs too, as a process
+// supervise has an instance run until the fleet is stopped. One that is wanted drained runs too, as a process
 // that takes no clients and can be told to serve.
-func (r *Run) keep(i int) {
+func (r *Run) supervise(i int) {
 	pause, drained := time.Duration(0), false
 	for {
-		r.follow(i) // what an earlier keeper has started, or a successor
+		r.awaitProcessEnd(i) // what an earlier keeper has started, or a successor
 		if r.ctx.Err() != nil {
 			return
 		}
 		since := time.Now()
-		err := r.once(i)
-		r.follow(i)
+		err := r.runProcess(i)
+		r.awaitProcessEnd(i)
 		if r.ctx.Err() != nil {
 			return
 		}
-		if err == nil || time.Since(since) > calm { // one that was told to end is no failure
+		if err == nil || time.Since(since) > stableTime { // one that was told to end is no failure
 			pause = 0
 		}
 		was := drained
@@ -148,7 +148,7 @@
 			slog.Info("fleet: an instance is wanted drained, and is kept so", "instance", i)
 			continue
 		}
-		pause = min(max(2*pause, againFirst), againMost)
+		pause = min(max(2*pause, minRestartBackoff), maxRestartBackoff)
 		slog.Warn("fleet: an instance has ended and starts again", "instance", i, "in", pause, "err", err)
 		select {
 		case <-time.After(pause):
@@ -157,18 +157,18 @@
 	}
 }
 
-// once runs an instance's process to its end.
-func (r *Run) once(i int) error {
-	dir := r.dir(i)
+// runProcess runs an instance's process to its end.
+func (r *Run) runProcess(i int) error {
+	dir := r.directory(i)
 	log, err := os.OpenFile(filepath.Join(dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer log.Close() //nolint:errcheck // the process writes to it, not this one
 	cmd := exec.CommandContext(context.Background(), r.program(i), "serve", "--config", filepath.Join(dir, "lockflow.toml"), "--listen", r.Addr(i),
-		"--instances", strconv.Itoa(r.opts.Told), "--instance", strconv.Itoa(i%r.opts.Told), "--state", filepath.Join(dir, "state"),
-		"--pid-file", filepath.Join(dir, "pid"), "--control", filepath.Join(dir, controlName))
-	env := r.opts.Env
+		"--instances", strconv.Itoa(r.options.GroupSize), "--instance", strconv.Itoa(i%r.options.GroupSize), "--state", filepath.Join(dir, "state"),
+		"--pid-file", filepath.Join(dir, "pid"), "--control", filepath.Join(dir, controlSocketName))
+	env := r.options.Env
 	if env == nil {
 		env = os.Environ()
 	}
@@ -191,11 +191,11 @@
 	return cmd.Wait()
 }
 
-// follow waits while a process that is not this one's child runs as an instance.
-func (r *Run) follow(i int) {
-	for r.holder(i) != 0 {
+// awaitProcessEnd waits while a process that is not this one's child runs as an instance.
+func (r *Run) awaitProcessEnd(i int) {
+	for r.runningProcess(i) != 0 {
 		select {
-		case <-time.After(followEvery):
+		case <-time.After(lockPollInterval):
 		case <-r.ctx.Done():
 			return
 		}
@@ -203,10 +203,12 @@
 }
 
 // Stop drains all instances, and kills those that have not ended in time.
-func (r *Run) Stop(within time.Duration) error { return r.end(within, func(int) bool { return true }) }
+func (r *Run) Stop(timeout time.Duration) error {
+	return r.stopInstances(timeout, func(int) bool { return true })
+}
 
-// end is Stop of some instances; the others go on without a keeper.
-func (r *Run) end(within time.Duration, which func(i int) bool) error {
+// stopInstances is Stop of some instances; the others go on without a keeper.
+func (r *Run) stopInstances(timeout time.Duration, which func(i int) bool) error {
 	r.stop()
 	var ends sync.WaitGroup
 	errs := make([]error, len(r.Members))
@@ -215,28 +217,28 @@
 			continue
 		}
 		ends.Go(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), within)
+			ctx, cancel := context.WithTimeout(context.Background(), timeout)
 			defer cancel()
 			s, err := m.Client.Drain(ctx)
 			if err != nil { // it doesn't run, or doesn't hear
-				if s.PID = r.holder(i); s.PID <= 0 {
+				if s.PID = r.runningProcess(i); s.PID <= 0 {
 					return
 				}
 				_ = syscall.Kill(s.PID, syscall.SIGTERM) // one that has ended needs none
 			}
-			for !ended(s.PID) {
+			for !hasEnded(s.PID) {
 				select {
-				case <-time.After(pollEvery):
+				case <-time.After(pollInterval):
 				case <-ctx.Done():
 					_ = syscall.Kill(s.PID, syscall.SIGKILL) // as above
-					errs[i] = fmt.Errorf("instance %d did not end within %v and was killed", i, within)
+					errs[i] = fmt.Errorf("instance %d did not end within %v and was killed", i, timeout)
 					return
 				}
 			}
 		})
 	}
 	ends.Wait()
-	r.parts.Wait()
+	r.supervisors.Wait()
 	_ = r.lock.Close() // nothing is written to it
 	return errors.Join(errs...)
 }
--- a/internal/trials/measure/change.go
+++ b/internal/trials/measure/change.go
@@ -153,7 +153,7 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return nil, fmt.Errorf("measuring upgrades: %w", err)
 	}
-	run, err := fleet.Start(ctx, fleet.Options{Program: o.Program, Config: file, Dir: o.Dir, Instances: 1, Host: "127.0.0.1", Within: time.Minute})
+	run, err := fleet.Start(ctx, fleet.Options{Program: o.Program, Config: file, Dir: o.Dir, Instances: 1, Host: "127.0.0.1", StartTimeout: time.Minute})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/trials/measure/fleet.go
+++ b/internal/trials/measure/fleet.go
@@ -133,8 +133,8 @@
 	}
 	r.logProgress("%d instances start", o.Instances)
 	r.run, err = fleet.Start(ctx, fleet.Options{
-		Program: o.Program, Env: o.Env, Config: file, Dir: o.Dir, Instances: o.Instances, Told: o.GroupSize,
-		Host: "127.0.0.1", Within: time.Minute,
+		Program: o.Program, Env: o.Env, Config: file, Dir: o.Dir, Instances: o.Instances, GroupSize: o.GroupSize,
+		Host: "127.0.0.1", StartTimeout: time.Minute,
 	})
 	if err != nil {
 		return nil, err
@@ -144,7 +144,7 @@
 		return nil, err
 	}
 	r.play(ctx)
-	for _, a := range fleet.Ask(context.WithoutCancel(ctx), r.run.Members) {
+	for _, a := range fleet.PollStatus(context.WithoutCancel(ctx), r.run.Members) {
 		if a.Status != nil && len(a.Status.Services) > 0 && a.Status.Services[0].IsGroupSizeDoubted {
 			r.report.DegradedInstances++
 		}
@@ -165,7 +165,7 @@
 
 // idle measures what instances cost that nobody asks anything.
 func (r *fleetRig) idle(ctx context.Context) error {
-	before := fleet.Ask(ctx, r.run.Members)
+	before := fleet.PollStatus(ctx, r.run.Members)
 	used := make([]time.Duration, len(before))
 	for i, a := range before {
 		if a.Status == nil {
@@ -182,7 +182,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	all := fleet.Ask(ctx, r.run.Members)
+	all := fleet.PollStatus(ctx, r.run.Members)
 	seconds := time.Since(started).Seconds()
 	n := 0
 	for i, a := range all {
--- a/internal/trials/measure/rollout.go
+++ b/internal/trials/measure/rollout.go
@@ -183,7 +183,7 @@
 	if err := os.WriteFile(config, []byte(r.text), 0o600); err != nil {
 		return stop, err
 	}
-	r.run, err = fleet.Start(ctx, fleet.Options{Program: r.program[0], Config: config, Dir: r.options.Dir, Instances: r.options.Members, Host: "127.0.0.1", Within: time.Minute})
+	r.run, err = fleet.Start(ctx, fleet.Options{Program: r.program[0], Config: config, Dir: r.options.Dir, Instances: r.options.Members, Host: "127.0.0.1", StartTimeout: time.Minute})
 	if err != nil {
 		return stop, err
 	}
