--- a/cmd/lockflow/judged_test.go
+++ b/cmd/lockflow/judged_test.go
@@ -55,7 +55,7 @@
 			"harmless settings", 6, func(r *running) []string { return next(r, good) }, "--bake 1s --bake-most 2m", 0,
 			[]string{"stage 1: pass", "stage 2: pass", "stage 3: pass", "4 changed"},
 		},
-		{"harmless program", 6, another, "--bake 1s --bake-most 2m", 0, []string{"beside it, started again", "stage 2: pass", "stage 3: pass", "4 changed"}},
+		{"harmless program", 6, another, "--bake 1s --bake-most 2m", 0, []string{"restarted as controls", "stage 2: pass", "stage 3: pass", "4 changed"}},
 		{"slow answers", 6, func(r *running) []string { return next(r, slow) }, "--bake 1s --bake-most 1m", 1, []string{"stage 1: worse: ", "1 taken back", "3 untouched"}},
 		{"nothing to judge by", 0, func(r *running) []string { return next(r, good) }, "--bake 1s --bake-most 2s", 1, []string{"no evidence", "1 taken back", "3 untouched"}},
 		{"unjudged", 0, func(r *running) []string { return next(r, good) }, "--bake 200ms --bake-most 1s --unjudged", 0, []string{"4 changed"}},
--- a/internal/fleet/change_test.go
+++ b/internal/fleet/change_test.go
@@ -114,7 +114,7 @@
 		"another form":  {[]string{`{"form":2}`}, "form 2"},
 		"no kind":       {[]string{`{"form":1,"kind":"magic"}`}, "no known kind"},
 		"no socket":     {[]string{strings.Replace(fine, `"/s"`, ``, 1)}, "1 members and 0 sockets"},
-		"another text":  {[]string{strings.Replace(fine, `"x"`, `"y"`, 1)}, "are not what they were"},
+		"another text":  {[]string{strings.Replace(fine, `"x"`, `"y"`, 1)}, "do not have their hash"},
 		"no generation": {[]string{strings.Replace(fine, `"a",`, ``, 1)}, "1 generations"},
 		"a bad record":  {[]string{fine, "nonsense"}, "record 2"},
 	} {
@@ -131,7 +131,7 @@
 		last rollout.Entry
 		want string
 	}{
-		{rollout.Entry{Kind: rollout.EntryBake}, "it was cut at bake"},
+		{rollout.Entry{Kind: rollout.EntryBake}, "it was interrupted at bake"},
 		{rollout.Entry{Kind: rollout.EntryEnd, Outcome: string(rollout.ResultDone)}, ""},
 		{rollout.Entry{Kind: rollout.EntryEnd, Outcome: string(rollout.ResultStopped)}, "stopped"},
 	} {
--- /dev/null
+++ b/internal/fleet/instance.go
@@ -0,0 +1,118 @@
+package fleet
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"syscall"
+
+	"lockflow/internal/desiredstate"
+	"lockflow/internal/durable"
+)
+
+// Names in the directory of a fleet, and in that of an instance.
+const (
+	lockName          = "keeper.lock"
+	configName        = "lockflow.toml"
+	stateName         = "state"
+	logName           = "log"
+	pidName           = "pid"
+	controlSocketName = "control.sock"
+	stateLockName     = "lock" // in the state directory
+)
+
+// lockDirectory locks a directory against other supervisors. The lock ends with the process.
+func lockDirectory(dir string) (*os.File, error) {
+	if err := os.MkdirAll(dir, 0o700); err != nil {
+		return nil, fmt.Errorf("fleet: %w", err)
+	}
+	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
+	if err != nil {
+		return nil, fmt.Errorf("fleet: %w", err)
+	}
+	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+		_ = f.Close() // nothing was written
+		if errors.Is(err, syscall.EWOULDBLOCK) {
+			return nil, fmt.Errorf("fleet: another fleet run supervises the instances in %s", dir)
+		}
+		return nil, fmt.Errorf("fleet: locking %s: %w", f.Name(), err)
+	}
+	return f, nil
+}
+
+// prepare makes an instance's directory and configuration file, and tells whether the instance runs already. The file
+// remains as it is if the instance runs, or if a rollout's command has written it.
+func (r *Run) prepare(i int, text []byte) (isRunning bool, err error) {
+	dir := r.directory(i)
+	if err := os.MkdirAll(dir, 0o700); err != nil {
+		return false, err
+	}
+	path := filepath.Join(dir, configName)
+	current, err := os.ReadFile(path)
+	if pid := r.runningProcess(i); pid != 0 {
+		slog.Info("fleet: running instance taken over", "instance", i, "pid", pid)
+		return true, nil
+	}
+	if err == nil && string(current) != string(text) {
+		hash := desiredstate.Hash(current)
+		if wasCommanded(r.desiredState(i), hash) {
+			slog.Info("fleet: instance starts with the settings of its last command", "instance", i, "hash", hash)
+			return false, nil
+		}
+	}
+	return false, durable.ReplaceFile(path, text, 0o600)
+}
+
+// wasCommanded tells whether a rollout's command has given an instance the settings of a hash.
+func wasCommanded(state desiredstate.State, hash string) bool {
+	return hash == state.Target.Hash || state.Running != nil && hash == state.Running.Previous.Hash
+}
+
+// desiredState returns an instance's desired state, and an empty one if it can't be read: the instance reports that
+// itself once it runs.
+func (r *Run) desiredState(i int) desiredstate.State {
+	state, err := desiredstate.ReadState(r.stateDirectory(i))
+	if err != nil {
+		slog.Warn("fleet: desired state of an instance unreadable", "instance", i, "err", err)
+	}
+	return state
+}
+
+// stateDirectory returns an instance's state directory.
+func (r *Run) stateDirectory(i int) string { return filepath.Join(r.directory(i), stateName) }
+
+// program returns the program that an instance starts with: the last one that a command gave it and that has served.
+func (r *Run) program(i int) string {
+	path := r.desiredState(i).Program
+	if path == "" || path == r.options.Program {
+		return r.options.Program
+	}
+	if info, err := os.Stat(path); err != nil || info.IsDir() || info.Mode()&0o111 == 0 {
+		slog.Error("fleet: commanded program of an instance is not executable, the default one starts", "instance", i, "program", path)
+		return r.options.Program
+	}
+	return path
+}
+
+// runningProcess returns the id of the process that runs as an instance, 0 if there is none and -1 if it is not known
+// yet. It goes by the lock of the state directory, which a process holds also while it is stopped or does not answer.
+func (r *Run) runningProcess(i int) int {
+	f, err := os.Open(filepath.Join(r.stateDirectory(i), stateLockName))
+	if err != nil {
+		return 0
+	}
+	defer f.Close() //nolint:errcheck // only read
+	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_SH|syscall.LOCK_NB); !errors.Is(err, syscall.EWOULDBLOCK) {
+		return 0
+	}
+	raw, _ := os.ReadFile(f.Name())
+	pid, err := strconv.Atoi(strings.TrimSpace(string(raw)))
+	if err != nil {
+		return -1 // it has not written its id yet
+	}
+	return pid
+}
--- /dev/null
+++ b/internal/fleet/intermediate_settings.go
@@ -0,0 +1,204 @@
+package fleet
+
+import (
+	"bytes"
+	"fmt"
+	"reflect"
+	"strings"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"lockflow/control"
+	"lockflow/internal/config"
+	"lockflow/internal/config/tree"
+	"lockflow/internal/fleetfile"
+	"lockflow/internal/regions"
+	"lockflow/internal/regions/mixture"
+)
+
+// intermediateHeader is the first line of settings that this package writes.
+const intermediateHeader = "# between two settings that may not stand side by side; written by lockflow fleet\n"
+
+// IntermediateSettings returns settings that members have to run between old and new ones which may not be in force
+// together: the stricter of both in each hard limit, slow start and class. nil means that they may.
+func IntermediateSettings(old, new []byte) ([]byte, error) {
+	oldRegion, err := asRegion("the old settings", old)
+	if err != nil {
+		return nil, err
+	}
+	newRegion, err := asRegion("the new settings", new)
+	if err != nil {
+		return nil, err
+	}
+	if len(mixture.Phases(oldRegion, newRegion)) == 0 {
+		return nil, nil
+	}
+	return writeIntermediate(old, oldRegion, newRegion)
+}
+
+// asRegion returns settings as a region without members. name is their place in errors.
+func asRegion(name string, text []byte) (regions.Region, error) {
+	cfg, err := config.Parse(name, text)
+	if err != nil {
+		return regions.Region{}, err
+	}
+	return fleetfile.Region{Config: cfg, Text: text}.Region(), nil
+}
+
+// writeIntermediate writes the settings of mixture.Strictest as a change of the old text, and checks that they say so. It
+// returns nil if that changes nothing.
+func writeIntermediate(oldText []byte, old, new regions.Region) ([]byte, error) {
+	wanted := mixture.Strictest(old, new)
+	text, err := mergeDifference(oldText, settingsDifference(old, wanted))
+	if err != nil {
+		return nil, err
+	}
+	written, err := asRegion("the settings between", text)
+	if err != nil {
+		return nil, fmt.Errorf("the settings that have to come between can't be written: %w", err)
+	}
+	for i, service := range wanted.Services {
+		if !hasSameLimits(written.Services[i], service) || written.Instances != wanted.Instances {
+			return nil, fmt.Errorf("the settings that have to come between can't be written for service %s: change them in two steps, the stricter first", service.Name)
+		}
+	}
+	if bytes.Equal(text, oldText) {
+		return nil, nil
+	}
+	return text, nil
+}
+
+// hasSameLimits tells whether two services agree in what intermediate settings change.
+func hasSameLimits(a, b regions.Service) bool {
+	return a.SlowStart == b.SlowStart && reflect.DeepEqual(a.Plans, b.Plans) && reflect.DeepEqual(a.Classes, b.Classes)
+}
+
+// mergeDifference merges a difference into a text of settings.
+func mergeDifference(text []byte, diff difference) ([]byte, error) {
+	var r tree.Reading
+	base, ok := r.Parse("the old settings", text)
+	if !ok {
+		return nil, r.Err()
+	}
+	for _, key := range diff.removed {
+		if hasKey(base, key) {
+			list, _ := diff.document[tree.Without].([]string)
+			diff.document[tree.Without] = append(list, key)
+		}
+	}
+	raw, err := toml.Marshal(diff.document)
+	if err != nil {
+		return nil, fmt.Errorf("writing the settings between: %w", err)
+	}
+	change, ok := r.Parse("the settings between", raw)
+	if !ok {
+		return nil, r.Err()
+	}
+	merged, err := change.Over(base).Text()
+	if err == nil {
+		err = r.Err()
+	}
+	if err != nil {
+		return nil, fmt.Errorf("writing the settings between: %w", err)
+	}
+	return append([]byte(intermediateHeader), merged...), nil
+}
+
+// difference is a change of settings.
+type difference struct {
+	document map[string]any // tables and values to set
+	removed  []string       // keys to remove, with dots between their parts
+}
+
+// set sets the value at a path of keys.
+func (d *difference) set(value any, path ...string) {
+	table := d.document
+	for _, key := range path[:len(path)-1] {
+		if table[key] == nil {
+			table[key] = make(map[string]any)
+		}
+		table = table[key].(map[string]any)
+	}
+	table[path[len(path)-1]] = value
+}
+
+// settingsDifference returns the difference from a region's old settings to wanted ones.
+func settingsDifference(old, wanted regions.Region) difference {
+	diff := difference{document: make(map[string]any)}
+	if wanted.Instances != old.Instances {
+		diff.set(wanted.Instances, "process", "instances")
+	}
+	for i, service := range wanted.Services {
+		oldService := old.Services[i]
+		if service.SlowStart != oldService.SlowStart {
+			diff.set(service.SlowStart.WarmupTime.String(), "services", service.Name, "cold")
+			diff.set(service.SlowStart.InitialCapacity, "services", service.Name, "cold_from")
+			diff.set(service.SlowStart.OverloadMultiple, "services", service.Name, "fall_multiple")
+		}
+		diff.setPlans(oldService.Plans, service.Plans)
+		diff.setClasses(oldService.Classes, service.Classes)
+	}
+	return diff
+}
+
+// setPlans sets the rates of plans that have changed.
+func (d *difference) setPlans(old, plans []control.Plan) {
+	for i, p := range plans {
+		if p == old[i] {
+			continue
+		}
+		rates := map[string]float64{
+			"rate":          p.QuotaRate,
+			"ceiling_rate":  p.HardLimitRate,
+			"ceiling_burst": p.HardLimitBurst,
+			"ceiling_slack": p.HardLimitSlack,
+		}
+		for key, rate := range rates {
+			if rate > 0 || p.HardLimitRate > 0 && key != "rate" {
+				d.set(rate, "plans", p.Name, key)
+			}
+		}
+	}
+}
+
+// setClasses sets the terms of classes that have changed, and removes the keys that they have no more.
+func (d *difference) setClasses(old, classes []control.Class) {
+	for i, c := range classes {
+		if c == old[i] {
+			continue
+		}
+		for key, value := range classTerms(c) {
+			d.set(value, "classes", c.Name, key)
+		}
+		if old[i].Idempotency == control.IdempotentWithKey && c.Idempotency != control.IdempotentWithKey {
+			d.removed = append(d.removed, "classes."+c.Name+".key_scope", "classes."+c.Name+".repeat_window")
+		}
+	}
+}
+
+// classTerms returns a class's settings by key.
+func classTerms(c control.Class) map[string]any {
+	terms := map[string]any{
+		"repeats":  [...]string{"free", "keyed", "never"}[c.Idempotency],
+		"deadline": c.Deadline.String(),
+		"aim":      c.LatencyObjective.String(),
+	}
+	if c.Idempotency == control.IdempotentWithKey {
+		terms["key_scope"] = [...]string{"all", "zone", "group"}[c.KeyScope]
+		terms["repeat_window"] = c.RepeatWindow.String()
+	}
+	return terms
+}
+
+// hasKey tells whether a document has a key with dots between its parts.
+func hasKey(table tree.Table, key string) bool {
+	path := strings.Split(key, ".")
+	last := len(path) - 1
+	for _, part := range path[:last] {
+		if !table.Has(part) {
+			return false
+		}
+		table = table.Sub(part)
+	}
+	return table.Has(path[last])
+}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/members.go
@@ -1,7 +1,3 @@
-// Package fleet is the owner's tool for many daemons on one machine, or behind a file of control
-// sockets: it starts them, asks them all, and has a change go over them. How that goes is decided
-// in package rollout. It is no cluster manager: nothing of it runs while nobody calls it, but for
-// Run, which is the parent of those it starts.
 package fleet
 
 import (
@@ -18,24 +14,22 @@
 	"syscall"
 	"time"
 
-	"lockflow/internal/durable"
 	"lockflow/internal/manage"
 )
 
 const (
-	statusTimeout = 3 * time.Second // of a status
-	pollInterval  = 20 * time.Millisecond
-	// maxMembers bounds a list of members.
-	maxMembers = 10000
+	statusTimeout = 3 * time.Second       // of one call for a member's status
+	pollInterval  = 20 * time.Millisecond // while a state is awaited
+	maxMembers    = 10000                 // of a list of control sockets
 )
 
 // Member is one daemon of a fleet.
 type Member struct {
 	Name   string
-	Client manage.Client
+	Client manage.Client // of its control socket
 }
 
-// MembersInDirectory are the members that Run keeps under a directory, by number.
+// MembersInDirectory returns the instances that a Run supervises in a directory, by number.
 func MembersInDirectory(dir string) ([]Member, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*", controlSocketName))
 	if err != nil {
@@ -59,8 +53,8 @@
 	return all, nil
 }
 
-// MembersInFile are the members whose control sockets a file names, a path a line; lines that begin with
-// # are none.
+// MembersInFile returns the members whose control sockets a file lists, an absolute path a line. Empty lines and lines
+// that begin with # are ignored.
 func MembersInFile(path string) ([]Member, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -93,14 +87,14 @@
 	return all, nil
 }
 
-// StatusReply is what a member said of itself, or why it said nothing.
+// StatusReply is a member's status, or the error of the call for it.
 type StatusReply struct {
 	Member string         `json:"member"`
 	Status *manage.Status `json:"status,omitempty"`
 	Error  string         `json:"error,omitempty"`
 }
 
-// PollStatus asks all members for their status, at once.
+// PollStatus returns the status of all members, in their order. They are called concurrently.
 func PollStatus(ctx context.Context, members []Member) []StatusReply {
 	all := make([]StatusReply, len(members))
 	var polls sync.WaitGroup
@@ -119,76 +113,31 @@
 	return all
 }
 
+// status calls a member for its status.
 func status(ctx context.Context, m Member) (manage.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	return m.Client.Status(ctx)
 }
 
-// Reload has a member read its configuration again; with New, another one, which takes the place of the file.
-// A change of a whole fleet is a Rollout; this is for one member.
-type Reload struct {
-	New []byte // nil leaves the file
-}
-
-// Do reloads a member that is at before, and returns once it is ready again.
-func (r *Reload) Do(ctx context.Context, m Member, before manage.Status) error {
-	if r.New != nil {
-		if err := durable.ReplaceFile(before.ConfigPath, r.New, 0o600); err != nil {
-			return fmt.Errorf("replacing the configuration: %w", err)
-		}
-	}
-	if _, err := m.Client.Reload(ctx); err != nil {
-		return err
-	}
-	_, err := awaitStatus(ctx, m, func(s manage.Status) bool { return s.IsReady() })
-	return err
-}
-
-// Upgrade has a new process take a member's place.
-type Upgrade struct {
-	Program string // absolute; "" is the one that each runs
-}
-
-// Do upgrades a member. It returns once the old process has ended: until then it could still go on.
-func (u *Upgrade) Do(ctx context.Context, m Member, _ manage.Status) error {
-	old, err := status(ctx, m)
-	if err != nil {
-		return err
-	}
-	if _, err := m.Client.Upgrade(ctx, u.Program); err != nil {
-		return err
-	}
-	back := false
-	now, err := awaitStatus(ctx, m, func(s manage.Status) bool {
-		// The old one says so itself once it has gone on without the new one.
-		back = s.PID == old.PID && s.IsReady() && s.SuccessorPID == 0
-		return back || s.PID != old.PID && s.IsReady() && hasEnded(old.PID)
-	})
-	if err == nil && back {
-		return fmt.Errorf("the new process did not last; process %d goes on", now.PID)
-	}
-	return err
-}
-
-// hasEnded tells whether a process of this machine has ended.
+// hasEnded tells whether a process of this machine has ended, also if its parent has not waited for it.
 func hasEnded(pid int) bool {
 	if errors.Is(syscall.Kill(pid, 0), syscall.ESRCH) {
 		return true
 	}
-	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid)) // one that nobody has waited for
+	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return true
 	}
 	_, rest, _ := strings.Cut(string(raw), ") ")
-	return strings.HasPrefix(rest, "Z")
+	return strings.HasPrefix(rest, "Z") // a zombie
 }
 
-// awaitStatus asks a member again and again until it is as wanted.
-func awaitStatus(ctx context.Context, m Member, is func(manage.Status) bool) (manage.Status, error) {
+// awaitStatus polls a member until its status matches, or ctx is done. It returns the last status.
+func awaitStatus(ctx context.Context, m Member, matches func(manage.Status) bool) (manage.Status, error) {
 	for {
 		s, err := status(ctx, m)
-		if err == nil && is(s) {
+		if err == nil && matches(s) {
 			return s, nil
 		}
 		select {
--- /dev/null
+++ b/internal/fleet/program_change.go
@@ -0,0 +1,142 @@
+package fleet
+
+import (
+	"context"
+	"crypto/sha256"
+	"encoding/hex"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"time"
+
+	"lockflow/internal/desiredstate"
+	"lockflow/internal/manage"
+	"lockflow/internal/rollout"
+)
+
+// NewProgramChange returns a change of the members' program by a plan without members. An empty path is the file that
+// each member was started from. Programs that are in that file no longer are copied to dir, so that the change can be
+// rolled back. If every member runs its new program already, the change restarts all of them.
+func NewProgramChange(ctx context.Context, members []Placed, plan rollout.Plan, path, dir string) (*Change, error) {
+	statuses, err := requireReady(ctx, members, true)
+	if err != nil {
+		return nil, err
+	}
+	c := &Change{
+		FormatVersion: formatVersion,
+		StartedAt:     time.Now(),
+		Kind:          desiredstate.KindProgram,
+		Plan:          plan,
+		Programs:      make(map[string]string),
+	}
+	files := make(fileHashes)
+	isUnchanged := true
+	for i := range statuses {
+		running, err := c.addRunningProgram(&statuses[i], files, dir)
+		if err != nil {
+			return nil, fmt.Errorf("member %s: %w", members[i].Name, err)
+		}
+		newPath := path
+		if newPath == "" {
+			newPath = statuses[i].Program
+		}
+		next, err := files.hash(newPath)
+		if err != nil {
+			return nil, fmt.Errorf("the new program: %w", err)
+		}
+		if c.Programs[next] == "" || next != running {
+			c.Programs[next] = newPath
+		}
+		isUnchanged = isUnchanged && next == running
+		c.addMember(&members[i], []string{running, next})
+	}
+	c.Plan.HasControls = true
+	if isUnchanged {
+		c.Plan.IsRestart = true
+		c.Plan.HasControls = false
+		for i := range c.Plan.Members {
+			c.Plan.Members[i].Versions[1] += restartSuffix
+		}
+	}
+	return c, c.validate()
+}
+
+// addRunningProgram adds the program that a member runs, and returns its hash. It is copied to dir if the member's file
+// is another one by now.
+func (c *Change) addRunningProgram(status *manage.Status, files fileHashes, dir string) (string, error) {
+	executable := executablePath(status.PID)
+	running, err := hashFile(executable)
+	if err != nil {
+		return "", fmt.Errorf("what it runs: %w", err)
+	}
+	if hash, err := files.hash(status.Program); err == nil && hash == running {
+		c.Programs[running] = status.Program
+		return running, nil
+	}
+	if _, ok := c.Programs[running]; ok {
+		return running, nil
+	}
+	c.Programs[running], err = saveProgram(executable, dir, running)
+	if err != nil {
+		return "", fmt.Errorf("saving the program that it runs: %w", err)
+	}
+	return running, nil
+}
+
+// fileHashes are hashes of files by path, each computed once.
+type fileHashes map[string]string
+
+// hash returns the hash of a file.
+func (f fileHashes) hash(path string) (string, error) {
+	if hash, ok := f[path]; ok {
+		return hash, nil
+	}
+	hash, err := hashFile(path)
+	f[path] = hash
+	return hash, err
+}
+
+// executablePath is where the kernel has the program of a process, also of a file that was replaced.
+func executablePath(pid int) string { return fmt.Sprintf("/proc/%d/exe", pid) }
+
+// hashFile returns the SHA-256 of a file in hex.
+func hashFile(path string) (string, error) {
+	f, err := os.Open(path)
+	if err != nil {
+		return "", err
+	}
+	defer f.Close() //nolint:errcheck // only read
+	h := sha256.New()
+	if _, err := io.Copy(h, f); err != nil {
+		return "", err
+	}
+	return hex.EncodeToString(h.Sum(nil)), nil
+}
+
+// saveProgram copies a program into dir, and returns the copy's absolute path. A copy with the same hash is reused.
+func saveProgram(from, dir, hash string) (string, error) {
+	path := filepath.Join(dir, "program-"+hash[:16])
+	if saved, err := hashFile(path); err == nil && saved == hash {
+		return filepath.Abs(path)
+	}
+	in, err := os.Open(from)
+	if err != nil {
+		return "", err
+	}
+	defer in.Close() //nolint:errcheck // only read
+	out, err := os.CreateTemp(dir, "program")
+	if err != nil {
+		return "", err
+	}
+	defer os.Remove(out.Name()) //nolint:errcheck // after the rename there is nothing to remove
+	_, err = io.Copy(out, in)
+	if err = errors.Join(err, out.Chmod(0o700), out.Sync(), out.Close()); err != nil {
+		return "", err
+	}
+	if err := os.Rename(out.Name(), path); err != nil {
+		return "", err
+	}
+	return filepath.Abs(path)
+}
--- /dev/null
+++ b/internal/fleet/regions.go
@@ -0,0 +1,221 @@
+package fleet
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"os"
+	"slices"
+	"strings"
+	"time"
+
+	"lockflow/internal/config"
+	"lockflow/internal/desiredstate"
+	"lockflow/internal/fleetfile"
+	"lockflow/internal/manage"
+	"lockflow/internal/regions"
+	"lockflow/internal/regions/mixture"
+)
+
+// ConflictError rejects a change that would bring conflicts between regions. Nothing was changed.
+type ConflictError struct {
+	Reason    string
+	Conflicts []regions.Conflict
+}
+
+func (c *ConflictError) Error() string {
+	var b strings.Builder
+	b.WriteString(c.Reason)
+	for _, conflict := range c.Conflicts {
+		fmt.Fprintf(&b, "\n  %s: %s: %s", conflict.Kind, strings.Join(conflict.Regions, ", "), conflict.Why)
+	}
+	return b.String()
+}
+
+// MembersInRegions returns the members that a fleet file names, with their regions and without settings. It fails if
+// there are none.
+func MembersInRegions(f fleetfile.File) ([]Placed, error) {
+	var all []Placed
+	for _, r := range f.All {
+		for _, m := range r.Members {
+			member := Member{m.Socket, manage.Client{Path: m.Socket}}
+			all = append(all, Placed{Member: member, Region: r.Name, Zone: m.Zone})
+		}
+	}
+	if len(all) == 0 {
+		return nil, fmt.Errorf("%s: it names no member", f.Path)
+	}
+	return all, nil
+}
+
+// PlanRegions returns the members of a fleet file with their settings for each generation, and the order of the regions
+// for each phase. It polls the members for what they run now. A change that would bring a conflict between regions, at
+// its end or on its way, is a *ConflictError; waivers count as of now.
+func PlanRegions(ctx context.Context, f fleetfile.File, now time.Time) ([]Placed, [][]string, error) {
+	members, err := MembersInRegions(f)
+	if err != nil {
+		return nil, nil, err
+	}
+	statuses, err := requireReady(ctx, members, false)
+	if err != nil {
+		return nil, nil, err
+	}
+	change, err := newRegionsChange(f, members, statuses)
+	if err != nil {
+		return nil, nil, err
+	}
+	order, err := change.order(f, now)
+	if err != nil {
+		return nil, nil, err
+	}
+	intermediates, err := change.writeIntermediates(order.Intermediate)
+	if err != nil {
+		return nil, nil, err
+	}
+	wantedTexts := make(map[string][]byte)
+	for _, r := range f.All {
+		wantedTexts[r.Name] = r.Text
+	}
+	for i, m := range members {
+		if intermediates != nil {
+			members[i].Texts = append(members[i].Texts, intermediates[m.Region])
+		}
+		members[i].Texts = append(members[i].Texts, wantedTexts[m.Region])
+	}
+	phases := [][]string{completeOrder(f, order.Order)}
+	if intermediates != nil {
+		phases = [][]string{completeOrder(f, order.IntermediateOrder), phases[0]}
+	}
+	return members, phases, nil
+}
+
+// regionsChange is a change of several regions. The slices are in the order of the fleet file.
+type regionsChange struct {
+	old   []regions.Region  // as the members run them
+	new   []regions.Region  // as the file has them
+	texts map[string][]byte // settings that each region runs, by its name
+}
+
+// newRegionsChange returns the change from what members run to a fleet file.
+func newRegionsChange(f fleetfile.File, members []Placed, statuses []manage.Status) (*regionsChange, error) {
+	c := &regionsChange{texts: make(map[string][]byte)}
+	for _, r := range f.All {
+		text, err := currentSettings(members, statuses, r)
+		if err != nil {
+			return nil, err
+		}
+		cfg, err := config.Parse("what region "+r.Name+" runs", text)
+		if err != nil {
+			return nil, err
+		}
+		current := fleetfile.Region{
+			Name:      r.Name,
+			Listeners: r.Listeners,
+			Instances: r.Instances,
+			Members:   r.Members,
+			Config:    cfg,
+			Text:      text,
+		}
+		c.texts[r.Name] = text
+		c.old = append(c.old, current.Region())
+		c.new = append(c.new, r.Region())
+	}
+	return c, nil
+}
+
+// order returns an order in which the regions can change without a conflict, and else a *ConflictError.
+func (c *regionsChange) order(f fleetfile.File, now time.Time) (mixture.Result, error) {
+	waiving := f.Waiving(now)
+	checkMixtures := mixture.NewIncrementalCheck()
+	check := func(all []regions.Region) (remaining []regions.Conflict) {
+		for _, conflict := range checkMixtures(all) {
+			// A waiver names regions as the file does, without generations.
+			if len(waiving.Left([]regions.Conflict{mixture.WithoutGenerations(conflict)})) > 0 {
+				remaining = append(remaining, conflict)
+			}
+		}
+		return remaining
+	}
+	if conflicts := newErrors(check(c.new), check(c.old)); len(conflicts) > 0 {
+		return mixture.Result{}, &ConflictError{"the change would bring conflicts; nothing was changed", conflicts}
+	}
+	order := mixture.Order(c.old, c.new, check)
+	if order.Order == nil {
+		reason := fmt.Sprintf("there is no order in which the regions can change: %s block each other; nothing was changed", strings.Join(order.Cycle, ", "))
+		return mixture.Result{}, &ConflictError{reason, order.Blocked}
+	}
+	return order, nil
+}
+
+// writeIntermediates returns the settings of each region in the first of two phases, by its name: intermediate ones, or
+// those that it runs. nil means that one phase is enough.
+func (c *regionsChange) writeIntermediates(intermediate []regions.Region) (map[string][]byte, error) {
+	if len(intermediate) == 0 {
+		return nil, nil
+	}
+	texts := maps.Clone(c.texts)
+	for _, r := range intermediate {
+		i := slices.IndexFunc(c.old, func(old regions.Region) bool { return old.Name == r.Name })
+		text, err := writeIntermediate(c.texts[r.Name], c.old[i], c.new[i])
+		if err != nil {
+			return nil, fmt.Errorf("region %s: %w", r.Name, err)
+		}
+		if text != nil {
+			texts[r.Name] = text
+		}
+	}
+	return texts, nil
+}
+
+// completeOrder appends the regions that an order lacks, since they don't change.
+func completeOrder(f fleetfile.File, order []string) []string {
+	all := slices.Clone(order)
+	for _, r := range f.All {
+		if !slices.Contains(all, r.Name) {
+			all = append(all, r.Name)
+		}
+	}
+	return all
+}
+
+// newErrors returns the conflicts of severity Error that are not among known ones.
+func newErrors(all, known []regions.Conflict) (added []regions.Conflict) {
+	for _, c := range all {
+		isKnown := slices.ContainsFunc(known, func(k regions.Conflict) bool {
+			return k.Kind == c.Kind && slices.Equal(k.Regions, c.Regions) && slices.Equal(k.Rules, c.Rules)
+		})
+		if c.Severity == regions.Error && !isKnown {
+			added = append(added, c)
+		}
+	}
+	return added
+}
+
+// currentSettings returns the settings that a region's members run, of those that don't run the new ones yet. It fails if
+// they run different ones, or if these are in no file.
+func currentSettings(members []Placed, statuses []manage.Status, r fleetfile.Region) ([]byte, error) {
+	hash := ""
+	firstMember := "" // that runs hash
+	var text []byte
+	for i, m := range members {
+		current := statuses[i].ConfigHash
+		if m.Region != r.Name || current == r.Hash {
+			continue
+		}
+		if hash != "" && current != hash {
+			return nil, fmt.Errorf("region %s: members %s and %s run different settings, %.12s and %.12s; nothing was changed", r.Name, firstMember, m.Name, hash, current)
+		}
+		hash = current
+		firstMember = m.Name
+		if raw, err := os.ReadFile(statuses[i].ConfigPath); err == nil && desiredstate.Hash(raw) == current {
+			text = raw
+		}
+	}
+	switch {
+	case hash == "":
+		return r.Text, nil
+	case text == nil:
+		return nil, fmt.Errorf("region %s: member %s runs settings %.12s, which are in no file any more, so nothing can be checked against them", r.Name, firstMember, hash)
+	}
+	return text, nil
+}
--- /dev/null
+++ b/internal/fleet/rollout_log.go
@@ -0,0 +1,131 @@
+package fleet
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"log/slog"
+	"time"
+
+	"lockflow/internal/rollout"
+	"lockflow/internal/rolloutlog"
+)
+
+var errNoChange = errors.New("the rollout log has no change to resume")
+
+// logRecord is a record of the log after the first one of a change, which is the Change.
+type logRecord struct {
+	At    time.Time     `json:"at"`
+	Entry rollout.Entry `json:"entry"`
+}
+
+// RolloutLog is an open log with its newest change. It is for one goroutine.
+type RolloutLog struct {
+	Log     *rolloutlog.Log
+	Change  *Change         // nil is none
+	Entries []rollout.Entry // decisions on Change, in order
+
+	// OnWrite, if not nil, is called before each write of a change or decision and again after one that succeeded,
+	// with the write's number from 1 on. Tests end a coordinator there.
+	OnWrite func(number int, isWritten bool)
+	writes  int
+}
+
+// OpenRolloutLog opens the log in a directory. A damaged file is quarantined and logged; the versions that members
+// report are then all that is known. A newest change that can't be decoded is ignored.
+func OpenRolloutLog(dir string) (*RolloutLog, error) {
+	log, err := rolloutlog.Open(dir)
+	if err != nil {
+		return nil, err
+	}
+	l := &RolloutLog{Log: log}
+	if log.DamageError != nil {
+		slog.Error("rollout: damaged log quarantined, members' versions are polled instead", "err", log.DamageError, "aside", log.QuarantinedPath)
+	}
+	l.Change, l.Entries, err = decode(log.Records())
+	if err != nil { // its checksums are right: another program has written it
+		slog.Error("rollout: newest change of the log is unreadable and ignored", "err", err)
+	}
+	return l, nil
+}
+
+// Close closes the log, so that another process may open it.
+func (l *RolloutLog) Close() { l.Log.Close() }
+
+// decode decodes the records of a change; no records are no change.
+func decode(records [][]byte) (*Change, []rollout.Entry, error) {
+	if len(records) == 0 {
+		return nil, nil, nil
+	}
+	change := new(Change)
+	if err := json.Unmarshal(records[0], change); err != nil {
+		return nil, nil, fmt.Errorf("rollout log: its change: %w", err)
+	}
+	if err := change.validate(); err != nil {
+		return nil, nil, fmt.Errorf("rollout log: %w", err)
+	}
+	entries := make([]rollout.Entry, 0, len(records))
+	for i, raw := range records[1:] {
+		var r logRecord
+		if err := json.Unmarshal(raw, &r); err != nil {
+			return nil, nil, fmt.Errorf("rollout log: record %d: %w", i+2, err)
+		}
+		entries = append(entries, r.Entry)
+	}
+	return change, entries, nil
+}
+
+// Unfinished returns where the newest change has stopped, and "" if it is over or there is none.
+func (l *RolloutLog) Unfinished() string {
+	if l.Change == nil || len(l.Entries) == 0 {
+		return ""
+	}
+	last := l.Entries[len(l.Entries)-1]
+	if last.Kind != rollout.EntryEnd {
+		return "it was interrupted at " + string(last.Kind)
+	}
+	if result := rollout.Result(last.Outcome); !result.IsFinal() {
+		return string(result)
+	}
+	return ""
+}
+
+// Begin starts the records of a change.
+func (l *RolloutLog) Begin(change *Change) error {
+	raw, err := json.Marshal(change)
+	if err != nil {
+		return fmt.Errorf("rollout log: %w", err)
+	}
+	if err := l.write(func() error { return l.Log.Begin(raw) }); err != nil {
+		return err
+	}
+	l.Change = change
+	l.Entries = nil
+	return nil
+}
+
+// append stores a decision on the change.
+func (l *RolloutLog) append(entry rollout.Entry) error {
+	raw, err := json.Marshal(logRecord{time.Now(), entry})
+	if err != nil {
+		return fmt.Errorf("rollout log: %w", err)
+	}
+	if err := l.write(func() error { return l.Log.Append(raw) }); err != nil {
+		return err
+	}
+	l.Entries = append(l.Entries, entry)
+	return nil
+}
+
+// write runs a write and calls OnWrite around it.
+func (l *RolloutLog) write(do func() error) error {
+	l.writes++
+	if l.OnWrite != nil {
+		l.OnWrite(l.writes, false)
+	}
+	err := do()
+	if err == nil && l.OnWrite != nil {
+		l.OnWrite(l.writes, true)
+	}
+	return err
+}
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -20,42 +20,41 @@
 )
 
 const (
-	controlSocketName = "control.sock"
 	maxInstances      = 1000
-	minRestartBackoff = 500 * time.Millisecond // pause before an instance starts again; doubles
+	minRestartBackoff = 500 * time.Millisecond // before an instance starts again; doubles
 	maxRestartBackoff = 30 * time.Second
-	stableTime        = 20 * time.Second // after which it is the first again
+	stableTime        = 20 * time.Second // of an instance that has run so long, the backoff starts anew
 	lockPollInterval  = 250 * time.Millisecond
 )
 
-// Options are what a fleet is run with.
+// Options are what a fleet is started with.
 type Options struct {
-	Program      string   // absolute
+	Program      string   // absolute path
 	Env          []string // nil is this process's
-	Config       string   // each instance has a copy of it
-	Dir          string
+	Config       string   // path; each instance has a copy of the file
+	Dir          string   // for the instances' directories
 	Instances    int
-	GroupSize    int    // the group's size that instances are told; 0 is Instances
+	GroupSize    int    // that instances assume; 0 is Instances
 	Host         string // on which they listen
 	Port         int    // of the first; the others follow; 0 is any
 	StartTimeout time.Duration
 }
 
-// Run is a fleet of processes of this machine. Its methods are safe for concurrent use.
+// Run is a fleet of processes of this machine, which it supervises. Its methods are safe for concurrent use.
 type Run struct {
+	Members []Member // by number
+
 	options     Options
-	Members     []Member
-	ctx         context.Context
+	ctx         context.Context // done once the fleet stops
 	stop        context.CancelFunc
 	supervisors sync.WaitGroup
-
-	lock *os.File // one keeper a directory
+	lock        *os.File // of the directory
 
 	mu    sync.Mutex
-	addrs []string
+	addrs []string // by instance
 }
 
-// Start starts all instances and waits until they are ready.
+// Start starts all instances and waits until they are ready. Instances that run already are taken over.
 func Start(ctx context.Context, o Options) (*Run, error) {
 	if o.Instances < 1 || o.Instances > maxInstances {
 		return nil, fmt.Errorf("fleet: %d instances are none of 1 to %d", o.Instances, maxInstances)
@@ -63,11 +62,11 @@
 	if o.GroupSize == 0 {
 		o.GroupSize = o.Instances
 	}
-	raw, err := os.ReadFile(o.Config)
+	text, err := os.ReadFile(o.Config)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	if _, err := config.Parse(o.Config, raw); err != nil {
+	if _, err := config.Parse(o.Config, text); err != nil {
 		return nil, err
 	}
 	if o.Dir, err = filepath.Abs(o.Dir); err != nil {
@@ -78,11 +77,11 @@
 		return nil, err
 	}
 	r.ctx, r.stop = context.WithCancel(context.Background())
-	running := make([]bool, o.Instances)
+	isRunning := make([]bool, o.Instances)
 	for i := range o.Instances {
 		r.Members = append(r.Members, Member{strconv.Itoa(i), manage.Client{Path: filepath.Join(r.directory(i), controlSocketName)}})
 		r.addrs[i] = net.JoinHostPort(o.Host, strconv.Itoa(portOf(o.Port, i)))
-		if running[i], err = r.prepare(i, raw); err != nil {
+		if isRunning[i], err = r.prepare(i, text); err != nil {
 			_ = r.lock.Close() // nothing is written to it
 			return nil, fmt.Errorf("fleet: %w", err)
 		}
@@ -90,25 +89,35 @@
 	for i := range o.Instances {
 		r.supervisors.Go(func() { r.supervise(i) })
 	}
-	ready, cancel := context.WithTimeout(ctx, o.StartTimeout)
+	if err := r.awaitReady(ctx, isRunning); err != nil {
+		return nil, err
+	}
+	return r, nil
+}
+
+// awaitReady waits until all instances are as desired, and stores their addresses. An instance that ran before may fail
+// to be: the others go on serving. Any other failure ends the instances that this process has started.
+func (r *Run) awaitReady(ctx context.Context, wasRunning []bool) error {
+	ctx, cancel := context.WithTimeout(ctx, r.options.StartTimeout)
 	defer cancel()
 	for i, m := range r.Members {
-		s, err := awaitStatus(ready, m, func(s manage.Status) bool { return s.IsAsDesired() })
+		status, err := awaitStatus(ctx, m, func(s manage.Status) bool { return s.IsAsDesired() })
 		switch {
-		case err == nil && len(s.Listeners) > 0:
+		case err == nil && len(status.Listeners) > 0:
 			r.mu.Lock()
-			r.addrs[i] = s.Listeners[0] // it starts at the same address again
+			r.addrs[i] = status.Listeners[0] // a restart listens on the same address
 			r.mu.Unlock()
-		case err != nil && running[i]: // what others serve is not ended for it
-			slog.Warn("fleet: an instance that ran already does not serve", "instance", i, "err", err)
+		case err != nil && wasRunning[i]:
+			slog.Warn("fleet: instance taken over is not ready", "instance", i, "err", err)
 		case err != nil:
-			_ = r.stopInstances(time.Second, func(i int) bool { return !running[i] }) // the error that came first counts
-			return nil, fmt.Errorf("fleet: instance %d: %w; its log is %s", i, err, filepath.Join(r.directory(i), "log"))
+			_ = r.stopInstances(time.Second, func(i int) bool { return !wasRunning[i] }) // the first error counts
+			return fmt.Errorf("fleet: instance %d: %w; its log is %s", i, err, filepath.Join(r.directory(i), logName))
 		}
 	}
-	return r, nil
+	return nil
 }
 
+// portOf returns an instance's port; 0 is any.
 func portOf(first, i int) int {
 	if first == 0 {
 		return 0
@@ -116,72 +125,66 @@
 	return first + i
 }
 
+// directory returns an instance's directory.
 func (r *Run) directory(i int) string { return filepath.Join(r.options.Dir, strconv.Itoa(i)) }
 
-// Addr is where clients reach an instance.
+// Addr returns the address on which clients reach an instance.
 func (r *Run) Addr(i int) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.addrs[i]
 }
 
-// supervise has an instance run until the fleet is stopped. One that is wanted drained runs too, as a process
-// that takes no clients and can be told to serve.
+// supervise restarts an instance whenever it ends, until the fleet is stopped. An instance whose desired state is
+// drained runs too: its process takes no clients, and can be commanded to serve.
 func (r *Run) supervise(i int) {
-	pause, drained := time.Duration(0), false
+	backoff := time.Duration(0)
+	isDrained := false
 	for {
-		r.awaitProcessEnd(i) // what an earlier keeper has started, or a successor
+		r.awaitProcessEnd(i) // of one that an earlier supervisor has started, or of a successor
 		if r.ctx.Err() != nil {
 			return
 		}
-		since := time.Now()
+		startedAt := time.Now()
 		err := r.runProcess(i)
 		r.awaitProcessEnd(i)
 		if r.ctx.Err() != nil {
 			return
 		}
-		if err == nil || time.Since(since) > stableTime { // one that was told to end is no failure
-			pause = 0
+		if err == nil || time.Since(startedAt) > stableTime { // a process that exits without error was told to
+			backoff = 0
 		}
-		was := drained
-		if drained = r.desiredState(i).Target.Drained; drained && !was {
-			slog.Info("fleet: an instance is wanted drained, and is kept so", "instance", i)
+		wasDrained := isDrained
+		isDrained = r.desiredState(i).Target.Drained
+		if isDrained && !wasDrained {
+			slog.Info("fleet: instance drained by its desired state, restarting it drained", "instance", i)
 			continue
 		}
-		pause = min(max(2*pause, minRestartBackoff), maxRestartBackoff)
-		slog.Warn("fleet: an instance has ended and starts again", "instance", i, "in", pause, "err", err)
+		backoff = min(max(2*backoff, minRestartBackoff), maxRestartBackoff)
+		slog.Warn("fleet: instance ended, restarting", "instance", i, "in", backoff, "err", err)
 		select {
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		case <-r.ctx.Done():
 		}
 	}
 }
 
-// runProcess runs an instance's process to its end.
+// runProcess runs an instance's process until it ends.
 func (r *Run) runProcess(i int) error {
-	dir := r.directory(i)
-	log, err := os.OpenFile(filepath.Join(dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(filepath.Join(r.directory(i), logName), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	defer log.Close() //nolint:errcheck // the process writes to it, not this one
-	cmd := exec.CommandContext(context.Background(), r.program(i), "serve", "--config", filepath.Join(dir, "lockflow.toml"), "--listen", r.Addr(i),
-		"--instances", strconv.Itoa(r.options.GroupSize), "--instance", strconv.Itoa(i%r.options.GroupSize), "--state", filepath.Join(dir, "state"),
-		"--pid-file", filepath.Join(dir, "pid"), "--control", filepath.Join(dir, controlSocketName))
-	env := r.options.Env
-	if env == nil {
-		env = os.Environ()
-	}
-	cmd.Env = upgrade.Environment(env)
-	cmd.Stdout, cmd.Stderr = log, log
-	// What the terminal sends to this process is not theirs: they drain when they are told.
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
+	defer log.Close() //nolint:errcheck // only the process writes to it
+	cmd := r.command(i)
+	cmd.Stdout = log
+	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
 		return err
 	}
 	done := make(chan struct{})
 	defer close(done)
-	go func() { // one that can't be asked yet is told in this way
+	go func() { // a process that does not answer on its control socket yet is stopped too
 		select {
 		case <-r.ctx.Done():
 			_ = cmd.Process.Signal(syscall.SIGTERM) // one that has ended needs none
@@ -191,7 +194,28 @@
 	return cmd.Wait()
 }
 
-// awaitProcessEnd waits while a process that is not this one's child runs as an instance.
+// command returns the command that runs an instance. It has a process group of its own, so that signals of the terminal
+// end the fleet's supervisor only, which then drains the instances.
+func (r *Run) command(i int) *exec.Cmd {
+	dir := r.directory(i)
+	cmd := exec.CommandContext(context.Background(), r.program(i), "serve",
+		"--config", filepath.Join(dir, configName),
+		"--listen", r.Addr(i),
+		"--instances", strconv.Itoa(r.options.GroupSize),
+		"--instance", strconv.Itoa(i%r.options.GroupSize),
+		"--state", filepath.Join(dir, stateName),
+		"--pid-file", filepath.Join(dir, pidName),
+		"--control", filepath.Join(dir, controlSocketName))
+	env := r.options.Env
+	if env == nil {
+		env = os.Environ()
+	}
+	cmd.Env = upgrade.Environment(env)
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
+	return cmd
+}
+
+// awaitProcessEnd waits while a process that is not a child of this one runs as an instance.
 func (r *Run) awaitProcessEnd(i int) {
 	for r.runningProcess(i) != 0 {
 		select {
@@ -207,38 +231,42 @@
 	return r.stopInstances(timeout, func(int) bool { return true })
 }
 
-// stopInstances is Stop of some instances; the others go on without a keeper.
-func (r *Run) stopInstances(timeout time.Duration, which func(i int) bool) error {
+// stopInstances stops the matching instances. The others go on without a supervisor.
+func (r *Run) stopInstances(timeout time.Duration, matches func(i int) bool) error {
 	r.stop()
-	var ends sync.WaitGroup
+	var stops sync.WaitGroup
 	errs := make([]error, len(r.Members))
-	for i, m := range r.Members {
-		if !which(i) {
-			continue
+	for i := range r.Members {
+		if matches(i) {
+			stops.Go(func() { errs[i] = r.stopInstance(i, timeout) })
 		}
-		ends.Go(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), timeout)
-			defer cancel()
-			s, err := m.Client.Drain(ctx)
-			if err != nil { // it doesn't run, or doesn't hear
-				if s.PID = r.runningProcess(i); s.PID <= 0 {
-					return
-				}
-				_ = syscall.Kill(s.PID, syscall.SIGTERM) // one that has ended needs none
-			}
-			for !hasEnded(s.PID) {
-				select {
-				case <-time.After(pollInterval):
-				case <-ctx.Done():
-					_ = syscall.Kill(s.PID, syscall.SIGKILL) // as above
-					errs[i] = fmt.Errorf("instance %d did not end within %v and was killed", i, timeout)
-					return
-				}
-			}
-		})
-	}
-	ends.Wait()
+	}
+	stops.Wait()
 	r.supervisors.Wait()
 	_ = r.lock.Close() // nothing is written to it
 	return errors.Join(errs...)
 }
+
+// stopInstance drains an instance, and kills it after a timeout.
+func (r *Run) stopInstance(i int, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	defer cancel()
+	status, err := r.Members[i].Client.Drain(ctx)
+	pid := status.PID
+	if err != nil { // it does not run, or does not answer
+		pid = r.runningProcess(i)
+		if pid <= 0 {
+			return nil
+		}
+		_ = syscall.Kill(pid, syscall.SIGTERM) // one that has ended needs none
+	}
+	for !hasEnded(pid) {
+		select {
+		case <-time.After(pollInterval):
+		case <-ctx.Done():
+			_ = syscall.Kill(pid, syscall.SIGKILL) // as above
+			return fmt.Errorf("instance %d did not end within %v and was killed", i, timeout)
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/fleet/settings_change.go
@@ -0,0 +1,157 @@
+package fleet
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"slices"
+	"time"
+
+	"lockflow/internal/desiredstate"
+	"lockflow/internal/manage"
+	"lockflow/internal/rollout"
+)
+
+// NewSettingsChange returns a change of the members' settings by a plan without members. known are settings of earlier
+// changes by hash, for members whose settings are in no file any more. It returns ErrUnchanged if there is nothing to do,
+// and sets the members' nil Texts.
+func NewSettingsChange(ctx context.Context, members []Placed, plan rollout.Plan, known map[string]string) (*Change, error) {
+	statuses, err := requireReady(ctx, members, false)
+	if err != nil {
+		return nil, err
+	}
+	files, err := readSettings(members, statuses)
+	if err != nil {
+		return nil, err
+	}
+	if plan.RegionOrder == nil {
+		if err := addIntermediateSettings(statuses, members, files); err != nil {
+			return nil, err
+		}
+	}
+	c := &Change{
+		FormatVersion: formatVersion,
+		StartedAt:     time.Now(),
+		Kind:          desiredstate.KindSettings,
+		Plan:          plan,
+		Texts:         make(map[string]string),
+	}
+	// A member that runs the new settings already, after an interrupted change, is rolled back to what the others run.
+	oldSettings := prevailingSettings(statuses, members)
+	isUnchanged := true
+	for i, status := range statuses {
+		old := status.ConfigHash
+		if region := members[i].Region; members[i].hasText(old) && oldSettings[region] != "" {
+			old = oldSettings[region]
+		}
+		c.addText(old, files, known)
+		versions := []string{old}
+		for _, text := range members[i].Texts {
+			hash := desiredstate.Hash(text)
+			c.Texts[hash] = string(text)
+			versions = append(versions, hash)
+		}
+		isUnchanged = isUnchanged && status.ConfigHash == versions[len(versions)-1]
+		c.addMember(&members[i], versions)
+	}
+	if isUnchanged {
+		return nil, ErrUnchanged
+	}
+	return c, c.validate()
+}
+
+// addText adds the settings of a hash, if any of two sources has them.
+func (c *Change) addText(hash string, files, known map[string]string) {
+	if text, ok := files[hash]; ok {
+		c.Texts[hash] = text
+	} else if text, ok := known[hash]; ok {
+		c.Texts[hash] = text
+	}
+}
+
+// addMember adds a member to the plan.
+func (c *Change) addMember(m *Placed, versions []string) {
+	c.Plan.Members = append(c.Plan.Members, rollout.Member{Name: m.Name, Region: m.Region, Zone: m.Zone, Versions: versions})
+	c.Sockets = append(c.Sockets, m.Client.Path)
+}
+
+// hasText tells whether one of a member's new settings has a hash.
+func (m *Placed) hasText(hash string) bool {
+	return slices.ContainsFunc(m.Texts, func(text []byte) bool { return desiredstate.Hash(text) == hash })
+}
+
+// readSettings returns the settings in members' files by hash, and sets members' nil Texts to their own files'.
+func readSettings(members []Placed, statuses []manage.Status) (map[string]string, error) {
+	files := make(map[string]string)
+	for i, status := range statuses {
+		raw, err := os.ReadFile(status.ConfigPath)
+		if err != nil {
+			return nil, fmt.Errorf("member %s: reading its configuration: %w", members[i].Name, err)
+		}
+		files[desiredstate.Hash(raw)] = string(raw)
+		for k, text := range members[i].Texts {
+			if text == nil {
+				members[i].Texts[k] = raw
+			}
+		}
+	}
+	return files, nil
+}
+
+// settingsPair are the hashes of a member's old and new settings.
+type settingsPair struct{ old, new string }
+
+// addIntermediateSettings gives members another generation, if old and new settings of any may not be in force together.
+// Members that need none wait at their old settings meanwhile.
+func addIntermediateSettings(statuses []manage.Status, members []Placed, files map[string]string) error {
+	intermediates := make(map[settingsPair][]byte)
+	isAnyNeeded := false
+	for i, status := range statuses {
+		text, isFile := files[status.ConfigHash]
+		pair := settingsPair{status.ConfigHash, desiredstate.Hash(members[i].Texts[0])}
+		if _, isKnown := intermediates[pair]; isKnown || !isFile || pair.old == pair.new {
+			continue
+		}
+		intermediate, err := IntermediateSettings([]byte(text), members[i].Texts[0])
+		if err != nil {
+			return fmt.Errorf("member %s: %w", members[i].Name, err)
+		}
+		intermediates[pair] = intermediate
+		isAnyNeeded = isAnyNeeded || intermediate != nil
+	}
+	if !isAnyNeeded {
+		return nil
+	}
+	for i, status := range statuses {
+		intermediate := intermediates[settingsPair{status.ConfigHash, desiredstate.Hash(members[i].Texts[0])}]
+		if intermediate == nil {
+			intermediate = []byte(files[status.ConfigHash])
+			if len(intermediate) == 0 {
+				return fmt.Errorf("member %s runs settings %.12s, which are in no file any more", members[i].Name, status.ConfigHash)
+			}
+		}
+		members[i].Texts = [][]byte{intermediate, members[i].Texts[0]}
+	}
+	return nil
+}
+
+// prevailingSettings returns, by region, the hash of the settings that most members run of those that don't run the new
+// ones.
+func prevailingSettings(statuses []manage.Status, members []Placed) map[string]string {
+	type settings struct{ region, hash string }
+	counts := make(map[settings]int)
+	prevailing := make(map[string]string)
+	for i, status := range statuses {
+		if members[i].hasText(status.ConfigHash) {
+			continue
+		}
+		region := members[i].Region
+		current := settings{region, status.ConfigHash}
+		counts[current]++
+		best := prevailing[region]
+		if best == "" || counts[current] > counts[settings{region, best}] {
+			prevailing[region] = status.ConfigHash
+		}
+	}
+	return prevailing
+}
