--- a/control/admission.go
+++ b/control/admission.go
@@ -120,6 +120,15 @@
 	return elapsed
 }
 
+// countedUnits are a request's units in estimates over all customers. Guards against a client that names
+// any number where the settings have no maximum.
+func (c *Controller) countedUnits(units float64) float64 {
+	if c.settings.MaxUnits == 0 {
+		return 1
+	}
+	return units
+}
+
 func (c *Controller) reject(id string, cause Cause) {
 	c.emit(Reject{ID: id, RetryAfter: min(rejectRetryAfter, c.settings.MaxRetryAfter), Cause: cause})
 }
@@ -217,10 +226,7 @@
 // expectedTurnTime is the time in seconds that a request that joins the queues now waits and occupies
 // its slot. Guards against rejecting what fast servers finish at once, only as the limit is reached.
 func (c *Controller) expectedTurnTime() float64 {
-	queued := 0
-	for _, plan := range c.plans {
-		queued += len(plan.queue)
-	}
+	queued := c.countQueued()
 	return c.fleet.latency.mean * (1 + float64(queued+1)/math.Max(1, c.limiter.limit))
 }
 
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -13,6 +13,47 @@
 	retryDeadlineMargin = time.Millisecond // time before a request's deadline from which it is not retried
 )
 
+// dispatch starts attempts of queued requests while the concurrency limit allows.
+func (c *Controller) dispatch() {
+	for c.limiter.hasFreeSlot(c.now, c.slots.occupied(c.now)) {
+		req, srv := c.nextTurn(c.now, c)
+		if req == nil {
+			return
+		}
+		c.startAttempt(req, srv)
+	}
+	c.window.recordLimitReached()
+}
+
+// chooseServer makes the controller the scheduler's serverChooser.
+func (c *Controller) chooseServer(req *request) *server {
+	return c.selector.choose(c.now, c.rng, c.rateFraction, req)
+}
+
+// startAttempt sends a request to a server. The first attempt is charged to its account.
+func (c *Controller) startAttempt(req *request, srv *server) {
+	req.plan.remove(req)
+	var charged charge
+	if req.attempts == 0 {
+		charged = c.chargeFirstAttempt(req.account, req.units)
+	}
+	if req.repeatGroup == nil && req.hasIdempotencyKey() {
+		req.firstRunAt = c.now
+	}
+	if srv.inFlight == 0 {
+		srv.lastActivityAt = c.now
+	}
+	srv.slowStart.charge(c.countedUnits(req.units))
+	srv.outlier.recordAttempt()
+	c.recordAttemptStart(req, srv, charged)
+	send := Send{ID: req.id, Server: srv.Server}
+	// Guards against a connection that comes up when repeats run again.
+	if req.mayHaveRun && req.hasIdempotencyKey() {
+		send.WriteTimeout = req.repeatsDroppedUntil() - c.now
+	}
+	c.emit(send)
+}
+
 // handleStarted takes the start of a streamed answer. From then on its attempt occupies no slot, as its
 // length says nothing of the server.
 func (c *Controller) handleStarted(event ResponseStarted) {
@@ -41,8 +82,9 @@
 		c.recordReading(attempt.account, event.QuotaUsage, req.units)
 	}
 	c.recordOutcome(attempt, event)
-	if event.Load != nil {
-		c.recordLoadReport(attempt.server, event.Load)
+	if event.Load != nil && !event.Load.isPartial() {
+		c.recordLoadReport(c.now, attempt.server, event.Load)
+		c.window.recordUtilization(attempt.server.load.utilization)
 	}
 	switch {
 	case c.requests[req.id] != req: // it has its final answer
@@ -65,9 +107,7 @@
 
 // refundAttempt returns what was charged for an attempt that was not sent.
 func (c *Controller) refundAttempt(attempt *pendingAttempt) {
-	if attempt.server.slowStart.isActive && attempt.sentAt >= attempt.server.slowStart.startedAt {
-		attempt.server.slowStart.tokens += c.countedUnits(attempt.request.units)
-	}
+	attempt.server.slowStart.refund(c.countedUnits(attempt.request.units), attempt.sentAt)
 	if attempt.charge.units > 0 {
 		c.refund(attempt.account, attempt.charge)
 	}
@@ -83,12 +123,12 @@
 	case OK:
 		c.recordSuccess(attempt, event)
 	case RejectedByServer:
-		c.window.overloads++
+		c.window.recordOverload()
 	case TimedOut:
 		if !req.isStreaming { // else it is the length of the stream
 			srv.latency.add(c.now, elapsed)
 		}
-		c.window.overloads++
+		c.window.recordOverload()
 	}
 	if event.Reason.mayStillRun() {
 		runsFor := durationOf(math.Min(elapsed, maxAbandonedLatencies*c.fleet.latency.mean))
@@ -105,7 +145,7 @@
 func (c *Controller) recordSuccess(attempt *pendingAttempt, event AttemptResult) {
 	req := attempt.request
 	if !attempt.server.slowStart.isActive {
-		c.window.servedUnits += c.countedUnits(req.units)
+		c.window.recordServed(c.countedUnits(req.units))
 	}
 	if event.ActualUnits > 0 && c.settings.UnitsInResponse {
 		c.refill(attempt.account)
@@ -121,7 +161,7 @@
 	seconds := elapsed.Seconds()
 	attempt.server.latency.add(c.now, seconds)
 	objective := attempt.request.class.LatencyObjective.Seconds()
-	c.window.answers++
+	c.window.recordAnswer()
 	if c.rejectionProbability(attempt.account) == 0 {
 		attempt.request.plan.recordLateness((c.now - attempt.request.arrivedAt).Seconds() / objective)
 	}
@@ -130,9 +170,7 @@
 		return
 	}
 	c.fleet.latency.add(math.Min(seconds, objective), fleetEstimateGain)
-	c.window.latencySecondsSum += math.Min(seconds, objective)
-	c.window.latencyRatioSum += math.Min(1, seconds/objective)
-	c.window.latencyCount++
+	c.window.recordLatency(seconds, objective)
 }
 
 // retryOrEnd retries a request if idempotency, the attempt limit, the retry budget and the deadline
@@ -140,7 +178,7 @@
 // a storm of errors that uses it up while most servers still serve half of their requests.
 func (c *Controller) retryOrEnd(req *request, attempt *pendingAttempt, reason Reason) {
 	cost := retryCost(reason, c.now-attempt.sentAt, c.fleet.latency.mean)
-	isAllowed := reason != NotSent && c.canAttemptAgain(req) && req.canRunAgain(c.now)
+	isAllowed := reason != NotSent && c.allowsAttempt(req) && req.isRepeatable(c.now)
 	if !isAllowed || !c.retryBudget.covers(cost) {
 		c.endUnserved(req, CauseNoRetry)
 		return
@@ -166,8 +204,8 @@
 	return math.Min(1, math.Max(minRetryCost, cost))
 }
 
-// canAttemptAgain tells whether the deadline and the maximum number of attempts allow another one.
-func (c *Controller) canAttemptAgain(req *request) bool {
+// allowsAttempt tells whether the deadline and the maximum number of attempts allow another one.
+func (c *Controller) allowsAttempt(req *request) bool {
 	if c.now >= req.lastRetryAt() {
 		return false
 	}
