--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -140,7 +140,7 @@
 		return errTold
 	}
 	won := cfg.Routes[matches[0].Index]
-	class := won.As
+	class := won.RequestClass
 	if class == "" {
 		class = classOf(cfg, won.Service, method, path)
 	}
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -38,8 +38,8 @@
 			pid := set.String("pid-file", "", "`FILE` for the process id, which keeps a second daemon out")
 			var o config.Overrides
 			set.StringVar(&o.Listen, "listen", "", "`ADDRESS` in place of the file's listeners")
-			set.StringVar(&o.Control, "control", "", "`PATH` of the control socket in place of process.control")
-			set.StringVar(&o.State, "state", "", "`DIR` of the state in place of process.state")
+			set.StringVar(&o.ControlSocket, "control", "", "`PATH` of the control socket in place of process.control")
+			set.StringVar(&o.StateDir, "state", "", "`DIR` of the state in place of process.state")
 			set.IntVar(&o.Instances, "instances", 0, "`N` in the group, in place of process.instances")
 			set.IntVar(&o.Instance, "instance", 0, "`N` of this one, from 0; with --instances")
 			return func(ctx context.Context, e *Env, args []string) error {
@@ -77,7 +77,7 @@
 	return daemon.Run(ctx, daemon.Options{
 		LoadConfig:     func() (config.Config, error) { return over(config.Load(path)) },
 		ParseConfig:    func(text []byte) (config.Config, error) { return over(config.Parse(path, text)) },
-		StateDirectory: o.State, ApplyRuntimeLimits: tune, ConfigPath: path, PIDFilePath: pidFile, Program: program, Args: e.Args, Getenv: e.Getenv, ReloadSignals: e.Hup, UpgradeSignals: e.Usr2,
+		StateDirectory: o.StateDir, ApplyRuntimeLimits: tune, ConfigPath: path, PIDFilePath: pidFile, Program: program, Args: e.Args, Getenv: e.Getenv, ReloadSignals: e.Hup, UpgradeSignals: e.Usr2,
 	})
 }
 
--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -8,7 +8,7 @@
 	"lockflow/internal/route"
 )
 
-func class(name string, t tree.Table) control.Class {
+func readClass(name string, t tree.Table) control.Class {
 	k := control.Class{
 		Name: name, LatencyObjective: t.Span("aim", 2*time.Second, time.Millisecond, day),
 		Deadline:       t.Span("deadline", 0, time.Millisecond, day),
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -36,20 +36,20 @@
 
 // Process bounds what the process may use.
 type Process struct {
-	Cores       float64       `plan:"cores"`
-	MemoryMB    int           `plan:"memory_mb"`
-	Descriptors int           `plan:"descriptors"`
-	Drain       Drain         `plan:"drain"`
-	State       string        `plan:"state"`      // directory of what outlives the process; "" is none
-	Checkpoint  time.Duration `plan:"checkpoint"` // how often what was spent and learned is written there
-	Control     string        `plan:"control"`    // Unix socket by which the owner asks and tells; "" is none
-	Upgrade     Upgrade       `plan:"upgrade"`
-	EventLog    bool          `plan:"tally"` // whether what each service does is written to standard error, a line for each thing
+	Cores              float64       `plan:"cores"`
+	MemoryMB           int           `plan:"memory_mb"`
+	Descriptors        int           `plan:"descriptors"`
+	Drain              Drain         `plan:"drain"`
+	StateDir           string        `plan:"state"`      // directory of what outlives the process; "" is none
+	CheckpointInterval time.Duration `plan:"checkpoint"` // how often what was spent and learned is written there
+	ControlSocket      string        `plan:"control"`    // Unix socket by which the owner asks and tells; "" is none
+	Upgrade            Upgrade       `plan:"upgrade"`
+	EventLog           bool          `plan:"tally"` // whether what each service does is written to standard error, a line for each thing
 	// Of a process whose services share; zero where there is one service without parts.
 	Shared bool    `plan:"shared"`
 	Total  Amounts `plan:",inline"`
-	// Clients is how many descriptors are guaranteed to connections of clients.
-	Clients int64 `plan:"clients"`
+	// ClientDescriptors is how many descriptors are guaranteed to connections of clients.
+	ClientDescriptors int64 `plan:"clients"`
 }
 
 // Drain is when a node that is to end takes its steps, each counted from the signal.
@@ -61,14 +61,14 @@
 
 // Upgrade bounds the steps by which a new process takes a daemon's place.
 type Upgrade struct {
-	Within    time.Duration `plan:"within"`    // the new process has to be ready
-	Probation time.Duration `plan:"probation"` // for which the old one could still go on where the new one ends
+	ReadyTimeout time.Duration `plan:"within"`    // the new process has to be ready
+	Probation    time.Duration `plan:"probation"` // for which the old one could still go on where the new one ends
 }
 
 // Record is where a service's decisions are recorded.
 type Record struct {
-	Dir   string `plan:"dir"`   // "" is nowhere
-	Bytes int64  `plan:"bytes"` // of all files, before they are compressed
+	Dir      string `plan:"dir"`   // "" is nowhere
+	MaxBytes int64  `plan:"bytes"` // of all files, before they are compressed
 }
 
 // Amounts are parts of what a process has.
@@ -83,18 +83,18 @@
 // Route leads requests to a service.
 type Route struct {
 	route.Rule
-	As      string   `plan:"as"`      // the class that its requests have; "" is for the service's protocol to tell
-	Upgrade []string `plan:"upgrade"` // protocols that its requests may change to, in lower case
+	RequestClass string   `plan:"as"`      // the class that its requests have; "" is for the service's protocol to tell
+	Upgrade      []string `plan:"upgrade"` // protocols that its requests may change to, in lower case
 }
 
 // Servers is how a service's app servers are spoken to.
 type Servers struct {
-	Protocol    upstream.Protocol `plan:"protocol"`
-	Streams     int               `plan:"streams"`     // open at once on a connection of HTTP/2
-	Connections int               `plan:"connections"` // of HTTP/2 to one server
-	Age         time.Duration     `plan:"age"`         // from which on one is replaced; 0 is never
-	Again       time.Duration     `plan:"again"`       // until HTTP/2 is tried again at a server that turned out not to speak it
-	TLS         certs.Options     `plan:"t_l_s"`
+	Protocol           upstream.Protocol `plan:"protocol"`
+	MaxStreams         int               `plan:"streams"`     // open at once on a connection of HTTP/2
+	MaxConnections     int               `plan:"connections"` // of HTTP/2 to one server
+	MaxAge             time.Duration     `plan:"age"`         // from which on one is replaced; 0 is never
+	HTTP2RetryInterval time.Duration     `plan:"again"`       // until HTTP/2 is tried again at a server that turned out not to speak it
+	TLS                certs.Options     `plan:"t_l_s"`
 }
 
 // Counter is how a service's ceilings are shared over the group; its zero value shares none.
@@ -103,27 +103,27 @@
 	Name         string                          `plan:"name"`      // of what is counted there
 	Username     string                          `plan:"username"`
 	PasswordFile string                          `plan:"password_file"`
-	Within       time.Duration                   `plan:"within"` // a call has its answer
+	CallTimeout  time.Duration                   `plan:"within"` // a call has its answer
 	Rules        quotalease.Rules                `plan:"rules"`
-	Ceilings     map[string]quotalease.HardLimit `plan:"ceilings"` // by plan
+	HardLimits   map[string]quotalease.HardLimit `plan:"ceilings"` // by plan
 }
 
 // Service is one service.
 type Service struct {
-	Name       string                 `plan:"name"`
-	Seed       uint64                 `plan:"seed"`
-	Settings   control.Settings       `plan:",inline"`
-	Source     discovery.Source       `plan:"-"`
-	Known      discovery.EndpointList `plan:"-"`
-	Connect    time.Duration          `plan:"connect_timeout"`
-	Keepalive  time.Duration          `plan:"keepalive"`
-	Body       int64                  `plan:"body"`   // most bytes of a request's body; below zero is any number
-	Answer     int64                  `plan:"answer"` // and of an answer's
-	Servers    Servers                `plan:"servers"`
-	Counter    Counter                `plan:"counter"`
-	OnPanic    service.PanicPolicy    `plan:"on_panic"`
-	HTTP       *HTTP                  `plan:"h_t_t_p"` // what generic HTTP needs; nil is the platform's protocol
-	Record     Record                 `plan:"record"`
-	Required   bool                   `plan:"required"` // the node is ready only once this service is
-	Guaranteed Amounts                `plan:"guaranteed"`
+	Name             string                 `plan:"name"`
+	Seed             uint64                 `plan:"seed"`
+	Settings         control.Settings       `plan:",inline"`
+	Source           discovery.Source       `plan:"-"`
+	Known            discovery.EndpointList `plan:"-"`
+	ConnectTimeout   time.Duration          `plan:"connect_timeout"`
+	Keepalive        time.Duration          `plan:"keepalive"`
+	MaxBodyBytes     int64                  `plan:"body"`   // most bytes of a request's body; below zero is any number
+	MaxResponseBytes int64                  `plan:"answer"` // and of an answer's
+	Servers          Servers                `plan:"servers"`
+	Counter          Counter                `plan:"counter"`
+	OnPanic          service.PanicPolicy    `plan:"on_panic"`
+	HTTP             *HTTP                  `plan:"h_t_t_p"` // what generic HTTP needs; nil is the platform's protocol
+	Record           Record                 `plan:"record"`
+	Required         bool                   `plan:"required"` // the node is ready only once this service is
+	Guaranteed       Amounts                `plan:"guaranteed"`
 }
--- a/internal/config/counter_test.go
+++ b/internal/config/counter_test.go
@@ -35,7 +35,7 @@
 	}
 	got := c.Services[0].Counter
 	want := quotalease.Rules{Instances: 3, Term: time.Second, ReservationTime: 2 * time.Second, ResizeTime: 10 * time.Second, MaxDrift: 0.001}
-	if got.Rules != want || got.Name != "app" || len(got.Ceilings) != 1 || got.Ceilings["enterprise"] != (quotalease.HardLimit{Rate: 30, Burst: 60}) {
+	if got.Rules != want || got.Name != "app" || len(got.HardLimits) != 1 || got.HardLimits["enterprise"] != (quotalease.HardLimit{Rate: 30, Burst: 60}) {
 		t.Errorf("%+v", got)
 	}
 	for more, wrong := range map[string]string{
--- a/internal/config/divide.go
+++ b/internal/config/divide.go
@@ -6,16 +6,16 @@
 	"lockflow/internal/config/tree"
 )
 
-// dividedThing is what services have guaranteed parts of.
-type dividedThing struct {
-	key   string
-	total float64
-	read  func(tree.Table, string) float64
-	set   func(*Amounts, float64)
+// dividedResource is what services have guaranteed parts of.
+type dividedResource struct {
+	key      string
+	total    float64
+	readPart func(tree.Table, string) float64
+	setPart  func(*Amounts, float64)
 }
 
 // divide reads the parts of services that name one, and gives the others an even part of what is left.
-func (d *dividedThing) divide(c *Config, services []tree.Table) {
+func (d *dividedResource) divide(c *Config, services []tree.Table) {
 	left, unnamed := d.total, []int{}
 	for i, s := range services {
 		t := s.Sub("guaranteed")
@@ -23,27 +23,27 @@
 			unnamed = append(unnamed, i)
 			continue
 		}
-		v := d.read(t, d.key)
+		v := d.readPart(t, d.key)
 		if left -= v; left < 0 && left+v >= 0 {
 			t.Wrong(d.key, "the parts named up to here sum to %g, more than the %g that the process has for services", d.total-left, d.total)
 		}
-		d.set(&c.Services[i].Guaranteed, v)
+		d.setPart(&c.Services[i].Guaranteed, v)
 	}
 	for _, i := range unnamed {
 		even := math.Max(0, left) / float64(len(unnamed)+1)
 		if d.key != "module_time" {
 			even = math.Floor(even)
 		}
-		d.set(&c.Services[i].Guaranteed, even)
+		d.setPart(&c.Services[i].Guaranteed, even)
 	}
 }
 
-// divide reads the guaranteed parts. A service that names none of a thing has an even part of
+// divideResources reads the guaranteed parts. A service that names none of a thing has an even part of
 // what the others leave, as if there were one service more: that one's can only be borrowed.
-func (r *reader) divide(process tree.Table, c *Config, services []tree.Table) {
-	things := []dividedThing{
+func (r *reader) divideResources(process tree.Table, c *Config, services []tree.Table) {
+	things := []dividedResource{
 		{
-			"descriptors", float64(c.Process.Total.Descriptors - c.Process.Clients), integerReader(maxCount),
+			"descriptors", float64(c.Process.Total.Descriptors - c.Process.ClientDescriptors), integerReader(maxCount),
 			func(a *Amounts, v float64) { a.Descriptors = int64(v) },
 		},
 		{"held", float64(c.Process.Total.Requests), integerReader(maxCount), func(a *Amounts, v float64) { a.Requests = int64(v) }},
@@ -57,8 +57,8 @@
 			func(a *Amounts, v float64) { a.ModuleTime = v },
 		},
 	}
-	if c.Process.Clients > c.Process.Total.Descriptors {
-		process.Wrong("clients", "%d are more than the %d connections that %d descriptors leave", c.Process.Clients,
+	if c.Process.ClientDescriptors > c.Process.Total.Descriptors {
+		process.Wrong("clients", "%d are more than the %d connections that %d descriptors leave", c.Process.ClientDescriptors,
 			c.Process.Total.Descriptors, c.Process.Descriptors)
 		return
 	}
@@ -92,7 +92,7 @@
 	for i, s := range services {
 		t := s.Sub("guaranteed")
 		t.Done()
-		one := c.Services[i].holds()
+		one := c.Services[i].maxRequestBytes()
 		if t.Has("bytes") && c.Services[i].Guaranteed.Bytes < one {
 			t.Wrong("bytes", "it holds no single request: body and answer may have %d", one)
 		} else if one > c.Process.Total.Bytes {
--- a/internal/config/drain.go
+++ b/internal/config/drain.go
@@ -8,32 +8,32 @@
 
 // What PROTOCOL says of planned restarts.
 const (
-	comeFor   = 400 * time.Millisecond // for which new connections go on coming
-	killAfter = 700 * time.Millisecond // SIGKILL comes no sooner than this after the longest deadline
-	deadlines = 3 * time.Second        // of which no more than this is counted
+	lateConnectionTime = 400 * time.Millisecond // for which new connections go on coming
+	killAfter          = 700 * time.Millisecond // SIGKILL comes no sooner than this after the longest deadline
+	maxCountedDeadline = 3 * time.Second        // of which no more than this is counted
 )
 
 const (
-	goneAhead = 400 * time.Millisecond // of SIGKILL: the last answers are written and the process ends
-	starved   = 100 * time.Millisecond // by which a node that gets little CPU may take a connection late
-	maxAccept = time.Second
+	exitMargin  = 400 * time.Millisecond // of SIGKILL: the last answers are written and the process ends
+	acceptDelay = 100 * time.Millisecond // by which a node that gets little CPU may take a connection late
+	maxAccept   = time.Second
 )
 
 // PlatformDrain fits what PROTOCOL says of planned restarts to any deadlines.
-var PlatformDrain = platformDrain(deadlines)
+var PlatformDrain = platformDrain(maxCountedDeadline)
 
 // platformDrain fits it to a longest deadline. What could still come anew is let in, and what is held
 // has its time until the last moment from which the process is sure to be gone before SIGKILL.
 func platformDrain(longest time.Duration) Drain {
-	d := Drain{Idle: comeFor + starved}
-	d.Max = max(min(longest, deadlines)+killAfter-goneAhead, d.Idle)
+	d := Drain{Idle: lateConnectionTime + acceptDelay}
+	d.Max = max(min(longest, maxCountedDeadline)+killAfter-exitMargin, d.Idle)
 	// Half of what is left is for requests that came last.
 	d.Accept = min(maxAccept, (d.Idle+d.Max)/2)
 	return d
 }
 
-// longest is the longest deadline that a class has.
-func longest(s control.Settings) time.Duration {
+// longestDeadline is the longest deadline that a class has.
+func longestDeadline(s control.Settings) time.Duration {
 	var d time.Duration
 	for _, k := range s.Classes {
 		d = max(d, k.Deadline)
--- a/internal/config/endpoint_source.go
+++ b/internal/config/endpoint_source.go
@@ -5,7 +5,7 @@
 	"lockflow/internal/discovery"
 )
 
-func (r *reader) source(in tree.Table) discovery.Source {
+func (r *reader) readSource(in tree.Table) discovery.Source {
 	if !in.Has("source") {
 		in.Wrong("source", "it has to be said where the servers come from")
 		return discovery.Source{}
@@ -17,7 +17,7 @@
 	}
 	src.Address, src.Path = t.Str("address", ""), t.Str("path", "")
 	for i, one := range t.Tables("servers") {
-		src.Endpoints = append(src.Endpoints, server(one))
+		src.Endpoints = append(src.Endpoints, readServer(one))
 		for _, s := range src.Endpoints[:i] {
 			if s.UID == src.Endpoints[i].UID {
 				one.Wrong("uid", "%q is given twice", s.UID)
@@ -43,7 +43,7 @@
 	return src
 }
 
-func server(t tree.Table) discovery.Endpoint {
+func readServer(t tree.Table) discovery.Endpoint {
 	s := discovery.Endpoint{
 		UID: t.Str("uid", ""), Address: t.Str("endpoint", ""), Zone: t.Str("zone", ""),
 		Model: t.Str("model", ""), Group: int(t.Integer("group", 0, 0, maxCount)),
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -83,54 +83,54 @@
 
 // reader holds what further parts of a file refer to.
 type reader struct {
-	classes map[string]control.Class
-	plans   map[string]control.Plan
-	group   struct{ size, index int }
-	counted map[string]bool // names at counters
-	speaks  int             // the protocol of services that name none, among protocols
+	classes         map[string]control.Class
+	plans           map[string]control.Plan
+	group           struct{ size, index int }
+	counterNames    map[string]bool // names at counters
+	defaultProtocol int             // the protocol of services that name none, among protocols
 }
 
 // Read reads a document. What it gives is of use only where the document's reading has no problem.
 func Read(t tree.Table) Config {
-	r := &reader{classes: map[string]control.Class{}, plans: map[string]control.Plan{}, counted: map[string]bool{}}
+	r := &reader{classes: map[string]control.Class{}, plans: map[string]control.Plan{}, counterNames: map[string]bool{}}
 	var c Config
-	r.speaks = t.OneOf("protocol", protocols...)
+	r.defaultProtocol = t.OneOf("protocol", protocols...)
 	process := t.Sub("process")
-	c.Process = r.process(process)
-	c.Listeners = r.listeners(t)
+	c.Process = r.readProcess(process)
+	c.Listeners = r.readListeners(t)
 	if t.Has("metrics") {
 		m := t.Sub("metrics")
 		c.Metrics = m.Str("address", "")
 		checkAddress(m, "address", c.Metrics)
 		m.Done()
 	}
-	classNames, classes := t.Named("classes")
+	classNames, classes := t.NamedTables("classes")
 	for i, k := range classNames {
-		r.classes[k] = class(k, classes[i])
+		r.classes[k] = readClass(k, classes[i])
 	}
-	planNames, plans := t.Named("plans")
+	planNames, plans := t.NamedTables("plans")
 	for i, p := range planNames {
-		r.plans[p] = plan(p, plans[i])
+		r.plans[p] = readPlan(p, plans[i])
 	}
-	names, services := t.Named("services")
+	names, services := t.NamedTables("services")
 	if len(names) == 0 {
 		t.Wrong("services", "there is none")
 	}
 	if len(names) > maxServices {
 		t.Wrong("services", "%d are more than %d", len(names), maxServices)
 	}
-	names, services = r.gatherers(&c, names, services)
+	names, services = r.splitGathers(&c, names, services)
 	for i, name := range names {
-		c.Services = append(c.Services, r.service(name, services[i], classNames, planNames))
+		c.Services = append(c.Services, r.readService(name, services[i], classNames, planNames))
 	}
-	r.divide(process, &c, services)
-	r.routes(t, &c)
+	r.divideResources(process, &c, services)
+	r.readRoutes(t, &c)
 	t.Done()
 	return c
 }
 
-// path reads the place of a file: a whole one, as a daemon's own directory is nobody's concern.
-func path(t tree.Table, key string) string {
+// readPath reads the place of a file: a whole one, as a daemon's own directory is nobody's concern.
+func readPath(t tree.Table, key string) string {
 	v := t.Str(key, "")
 	if v != "" && !filepath.IsAbs(v) {
 		t.Wrong(key, "%q is no absolute path", v)
@@ -138,7 +138,7 @@
 	return v
 }
 
-func (r *reader) listeners(t tree.Table) []string {
+func (r *reader) readListeners(t tree.Table) []string {
 	var all []string
 	for _, l := range t.Tables("listeners") {
 		addr := l.Str("address", "")
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -128,7 +128,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p := c.Process; p.Cores != 2 || p.Descriptors != 512 || p.Total.Descriptors != 488 || p.Total.Bytes != 32<<20 || p.Clients != 200 || !p.Shared {
+	if p := c.Process; p.Cores != 2 || p.Descriptors != 512 || p.Total.Descriptors != 488 || p.Total.Bytes != 32<<20 || p.ClientDescriptors != 200 || !p.Shared {
 		t.Errorf("%+v", p)
 	}
 	byName := make(map[string]Service)
@@ -152,11 +152,11 @@
 	if r.Guaranteed.Descriptors != 100 || d.Guaranteed.Descriptors != 94 || r.Guaranteed.Requests != 40 || d.Guaranteed.Requests != 30 {
 		t.Errorf("%+v, %+v", r.Guaranteed, d.Guaranteed)
 	}
-	if d.OnPanic != service.RestartService || d.Required || d.Answer != 1<<20 || d.Source.Kind != discovery.Static || len(d.Source.Endpoints) != 2 ||
+	if d.OnPanic != service.RestartService || d.Required || d.MaxResponseBytes != 1<<20 || d.Source.Kind != discovery.Static || len(d.Source.Endpoints) != 2 ||
 		d.Source.Endpoints[0].UID != "127.0.0.1:9001" || d.Source.Endpoints[1].State != "draining" {
 		t.Errorf("%+v", d)
 	}
-	if r := c.Routes[1]; r.As != "roster-read" || r.Headers[0].Name != "X-Kind" || !r.Headers[0].Any || r.Headers[1].Value != "2" {
+	if r := c.Routes[1]; r.RequestClass != "roster-read" || r.Headers[0].Name != "X-Kind" || !r.Headers[0].Any || r.Headers[1].Value != "2" {
 		t.Errorf("%+v", r)
 	}
 	for _, s := range c.Services {
--- a/internal/config/gather.go
+++ b/internal/config/gather.go
@@ -38,7 +38,7 @@
 	Name         string        `plan:"name"`      // of what is shared there
 	Username     string        `plan:"username"`
 	PasswordFile string        `plan:"password_file"`
-	Within       time.Duration `plan:"within"` // a call has its answer
+	CallTimeout  time.Duration `plan:"within"` // a call has its answer
 }
 
 // Gather is a service that asks others and gives their answers as one. It has no servers and no
@@ -50,22 +50,22 @@
 	MinWeightFraction float64                  `plan:"least"` // share of the parts' weight below which there is no answer
 	HalfLife          time.Duration            `plan:"half_life"`
 	Deadline          string                   `plan:"deadline"`    // DeadlineLearned, DeadlineNone, or "" for Fixed
-	Fixed             time.Duration            `plan:"fixed"`       // from a query's arrival
+	FixedDeadline     time.Duration            `plan:"fixed"`       // from a query's arrival
 	Classes           map[string]control.Class `plan:"classes"`     // that its requests may have: those that are free to repeat
-	Body              int64                    `plan:"body"`        // most bytes of a request's body, which is held whole
+	MaxBodyBytes      int64                    `plan:"body"`        // most bytes of a request's body, which is held whole
 	TimeHeader        string                   `plan:"time_header"` // by which a client shortens its deadline; "" is none
-	RetryAfter        time.Duration            `plan:"retry_after"` // most that a refused client is told to wait; 0 tells none
+	MaxRetryAfter     time.Duration            `plan:"retry_after"` // most that a refused client is told to wait; 0 tells none
 	Share             GatherShare              `plan:"share"`
 }
 
-// gatherers takes the gathering services out of a file's: they have other keys, and no account.
-func (r *reader) gatherers(c *Config, names []string, services []tree.Table) (serviceNames []string, tables []tree.Table) {
+// splitGathers takes the gathering services out of a file's: they have other keys, and no account.
+func (r *reader) splitGathers(c *Config, names []string, services []tree.Table) (serviceNames []string, tables []tree.Table) {
 	for i, name := range names {
 		if !services[i].Has("gather") {
 			serviceNames, tables = append(serviceNames, name), append(tables, services[i])
 			continue
 		}
-		c.Gathers = append(c.Gathers, r.gather(name, services[i]))
+		c.Gathers = append(c.Gathers, r.readGather(name, services[i]))
 	}
 	if len(serviceNames) == 0 && len(names) > 0 {
 		services[0].Wrong("gather", "no service of the file has servers of its own")
@@ -73,12 +73,12 @@
 	return serviceNames, tables
 }
 
-func (r *reader) gather(name string, in tree.Table) Gather {
+func (r *reader) readGather(name string, in tree.Table) Gather {
 	g := Gather{
-		Name: name, Body: in.Size("body", 64<<10, 0, maxBodyBytes), TimeHeader: fieldName(in, "time_header"),
-		RetryAfter: in.Span("retry_after", time.Second, 0, day), Classes: make(map[string]control.Class),
+		Name: name, MaxBodyBytes: in.Size("body", 64<<10, 0, maxBodyBytes), TimeHeader: readHeaderName(in, "time_header"),
+		MaxRetryAfter: in.Span("retry_after", time.Second, 0, day), Classes: make(map[string]control.Class),
 	}
-	if in.Has("protocol") && protocols[in.OneOf("protocol", protocols...)] != "http" || !in.Has("protocol") && protocols[r.speaks] != "http" {
+	if in.Has("protocol") && protocols[in.OneOf("protocol", protocols...)] != "http" || !in.Has("protocol") && protocols[r.defaultProtocol] != "http" {
 		in.Wrong("protocol", `a gathering service speaks "http" only`)
 	}
 	read := control.Class{Name: ClassRead, Idempotency: control.Idempotent, LatencyObjective: defaultLatencyObjective, Deadline: defaultHTTPDeadline, PriorityWeight: 1}
@@ -106,7 +106,7 @@
 		if _, err := time.ParseDuration(v); err != nil {
 			t.Wrong("deadline", `%q is neither "learned", "none" nor a time such as "250ms"`, v)
 		}
-		g.Fixed = t.Span("deadline", time.Second, time.Millisecond, day)
+		g.FixedDeadline = t.Span("deadline", time.Second, time.Millisecond, day)
 	}
 	parts := t.Texts("parts")
 	if len(parts) == 0 {
@@ -121,9 +121,9 @@
 		}
 		g.Parts = append(g.Parts, GatherPart{p, 1})
 	}
-	r.weights(t, g.Parts)
+	r.readWeights(t, g.Parts)
 	if t.Has("share") {
-		g.Share = r.gatherShare(t.Sub("share"), name)
+		g.Share = r.readGatherShare(t.Sub("share"), name)
 	}
 	t.Done()
 	in.Done()
@@ -134,8 +134,8 @@
 	return !strings.ContainsFunc(s, func(c rune) bool { return c <= ' ' || c >= 0x7f })
 }
 
-// weights reads weights = [2, 1, 1], one for each part.
-func (r *reader) weights(t tree.Table, parts []GatherPart) {
+// readWeights reads weights = [2, 1, 1], one for each part.
+func (r *reader) readWeights(t tree.Table, parts []GatherPart) {
 	if !t.Has("weights") {
 		return
 	}
@@ -157,11 +157,11 @@
 	}
 }
 
-// gatherShare reads where learned deadlines are shared, by the words of a counter.
-func (r *reader) gatherShare(t tree.Table, name string) GatherShare {
+// readGatherShare reads where learned deadlines are shared, by the words of a counter.
+func (r *reader) readGatherShare(t tree.Table, name string) GatherShare {
 	s := GatherShare{
 		Addresses: t.Texts("addresses"), Name: t.Str("name", name), Username: t.Str("username", ""),
-		PasswordFile: path(t, "password_file"), Within: t.Span("within", 200*time.Millisecond, time.Millisecond, time.Minute),
+		PasswordFile: readPath(t, "password_file"), CallTimeout: t.Span("within", 200*time.Millisecond, time.Millisecond, time.Minute),
 	}
 	if len(s.Addresses) == 0 {
 		t.Wrong("addresses", "sharing needs one at least")
@@ -176,8 +176,8 @@
 	return s
 }
 
-// gatherer is the gathering service of a name, nil where none is.
-func (c *Config) gatherer(name string) *Gather {
+// findGather is the gathering service of a name, nil where none is.
+func (c *Config) findGather(name string) *Gather {
 	for i := range c.Gathers {
 		if c.Gathers[i].Name == name {
 			return &c.Gathers[i]
@@ -186,9 +186,9 @@
 	return nil
 }
 
-// gatherRoutes holds gathering services to the others: what they reach, and by which classes. It
+// checkGathers holds gathering services to the others: what they reach, and by which classes. It
 // tells which services are reached as parts, of those that are themselves reached.
-func (r *reader) gatherRoutes(root tree.Table, c *Config, reached map[string]bool) {
+func (r *reader) checkGathers(root tree.Table, c *Config, reached map[string]bool) {
 	gathers := make(map[string]*Gather)
 	for i := range c.Gathers {
 		gathers[c.Gathers[i].Name] = &c.Gathers[i]
@@ -197,8 +197,8 @@
 	for i := range c.Gathers {
 		g := &c.Gathers[i]
 		t := services.Sub(g.Name).Sub("gather")
-		w := walk{r: r, t: t, c: c, gathers: gathers, seen: make(map[string]string)}
-		w.down(g, nil)
+		w := gatherWalk{reader: r, table: t, config: c, gathers: gathers, reachedThrough: make(map[string]string)}
+		w.visit(g, nil)
 	}
 	// Guards against a part without a route of its own being taken for one that nothing reaches.
 	for changed := true; changed; {
@@ -221,56 +221,56 @@
 	}
 }
 
-// walk goes through all that a gathering service reaches.
-type walk struct {
-	r       *reader
-	t       tree.Table // the service's gather table, on which what is wrong is told
-	c       *Config
-	gathers map[string]*Gather
-	seen    map[string]string // by part, through which gatherer
-	wrong   bool
+// gatherWalk goes through all that a gathering service reaches.
+type gatherWalk struct {
+	reader         *reader
+	table          tree.Table // the service's gather table, on which what is wrong is told
+	config         *Config
+	gathers        map[string]*Gather
+	reachedThrough map[string]string // by part, through which gatherer
+	isInvalid      bool
 }
 
-func (w *walk) down(g *Gather, above []string) {
+func (w *gatherWalk) visit(g *Gather, above []string) {
 	above = append(above, g.Name)
 	for _, p := range g.Parts {
-		if w.wrong {
+		if w.isInvalid {
 			return
 		}
-		w.wrong = true
+		w.isInvalid = true
 		inner := w.gathers[p.Name]
-		i := slices.IndexFunc(w.c.Services, func(s Service) bool { return s.Name == p.Name })
-		by, twice := w.seen[p.Name]
+		i := slices.IndexFunc(w.config.Services, func(s Service) bool { return s.Name == p.Name })
+		by, twice := w.reachedThrough[p.Name]
 		switch {
 		case p.Name == g.Name:
-			w.t.Wrong("parts", "%q is the service itself", p.Name)
+			w.table.Wrong("parts", "%q is the service itself", p.Name)
 		case slices.Contains(above, p.Name):
-			w.t.Wrong("parts", "it goes round in a circle: %s", strings.Join(append(above, p.Name), " -> "))
+			w.table.Wrong("parts", "it goes round in a circle: %s", strings.Join(append(above, p.Name), " -> "))
 		case inner == nil && i < 0:
-			w.t.Wrong("parts", "%q is no service", p.Name)
+			w.table.Wrong("parts", "%q is no service", p.Name)
 		case twice:
-			w.t.Wrong("parts", "%q is reached twice, through %s and %s: its answer would be there twice", p.Name, by, g.Name)
+			w.table.Wrong("parts", "%q is reached twice, through %s and %s: its answer would be there twice", p.Name, by, g.Name)
 		case inner != nil && inner.Merge != g.Merge:
-			w.t.Wrong("parts", "%q merges by %q, and %s by %q", p.Name, inner.Merge, g.Name, g.Merge)
+			w.table.Wrong("parts", "%q merges by %q, and %s by %q", p.Name, inner.Merge, g.Name, g.Merge)
 		case inner != nil && len(above) == maxGatherDepth:
-			w.t.Wrong("parts", "more than %d gatherers above each other: %s", maxGatherDepth, strings.Join(append(above, p.Name), " -> "))
-		case inner == nil && w.c.Services[i].HTTP == nil:
-			w.t.Wrong("parts", `%q does not speak "http"`, p.Name)
-		case len(w.seen) == maxGatherParts:
-			w.t.Wrong("parts", "it reaches more than %d parts", maxGatherParts)
+			w.table.Wrong("parts", "more than %d gatherers above each other: %s", maxGatherDepth, strings.Join(append(above, p.Name), " -> "))
+		case inner == nil && w.config.Services[i].HTTP == nil:
+			w.table.Wrong("parts", `%q does not speak "http"`, p.Name)
+		case len(w.reachedThrough) == maxGatherParts:
+			w.table.Wrong("parts", "it reaches more than %d parts", maxGatherParts)
 		default:
-			w.wrong = false
-			w.seen[p.Name] = g.Name
+			w.isInvalid = false
+			w.reachedThrough[p.Name] = g.Name
 			if inner != nil {
-				w.down(inner, above)
+				w.visit(inner, above)
 			}
 		}
 	}
 }
 
-// leaves are the services with servers that a gathering one reaches over so many gatherers; a bound
+// leafServices are the services with servers that a gathering one reaches over so many gatherers; a bound
 // holds for those that go round in a circle.
-func (c *Config) leaves(g *Gather, deep int) (all []*Service) {
+func (c *Config) leafServices(g *Gather, deep int) (all []*Service) {
 	if deep == 0 {
 		return nil
 	}
@@ -282,16 +282,16 @@
 		}
 		for i := range c.Gathers {
 			if c.Gathers[i].Name == p.Name && p.Name != g.Name {
-				all = append(all, c.leaves(&c.Gathers[i], deep-1)...)
+				all = append(all, c.leafServices(&c.Gathers[i], deep-1)...)
 			}
 		}
 	}
 	return all
 }
 
-// scatters holds a route to what may scatter: only what is free to repeat, at every part.
-func (r *reader) scatters(t tree.Table, one Route, c *Config, g *Gather) {
-	key, class := "as", one.As
+// checkGatherRoute holds a route to what may scatter: only what is free to repeat, at every part.
+func (r *reader) checkGatherRoute(t tree.Table, one Route, c *Config, g *Gather) {
+	key, class := "as", one.RequestClass
 	if len(one.Upgrade) > 0 {
 		t.Wrong("upgrade", "not to a service that gathers")
 	}
@@ -315,7 +315,7 @@
 		}
 		return
 	}
-	for _, s := range c.leaves(g, maxGatherDepth) {
+	for _, s := range c.leafServices(g, maxGatherDepth) {
 		i := slices.IndexFunc(s.Settings.Classes, func(k control.Class) bool { return k.Name == class })
 		if i < 0 && s.HTTP != nil { // else that is told
 			t.Wrong(key, "its part %s has no class %q", s.Name, class)
--- a/internal/config/http.go
+++ b/internal/config/http.go
@@ -24,63 +24,63 @@
 	ClassWrite  = "write" // of all others
 	PlanDefault = "default"
 
-	onceSuffix = " (no key)" // of a keyed class, for requests without a key
+	withoutKeySuffix = " (no key)" // of a keyed class, for requests without a key
 
 	defaultLatencyObjective   = 2 * time.Second
 	defaultHTTPDeadline       = 30 * time.Second
 	defaultHTTPConnectTimeout = time.Second // the platform's networks are one data centre's
 	maxUnknownClients         = 1 << 20
-	maxIdle                   = time.Hour
-	minDuration               = 100 * time.Millisecond
+	maxIdleTimeout            = time.Hour
+	minIdleTimeout            = 100 * time.Millisecond
 )
 
 // HTTP is what a service of generic HTTP has beside what all have.
 type HTTP struct {
-	Once        map[string]string // of keyed classes, the one of requests that carry no key
-	Customers   customer.Options
-	TimeHeader  string
-	SendTime    bool
-	SendID      bool
-	Replay      int64
-	Idle        time.Duration
-	MinRate     int64
-	Rules       responseclass.Rules
-	Underscores bool
-	Tells       hopheaders.ForwardingFormat
+	ClassWithoutKey   map[string]string // of keyed classes, the one of requests that carry no key
+	Customers         customer.Options
+	TimeoutHeader     string
+	SendTimeLeft      bool
+	SendRequestID     bool
+	RetryBufferBytes  int64
+	IdleTimeout       time.Duration
+	MinBytesPerSecond int64
+	ResponseRules     responseclass.Rules
+	AllowUnderscores  bool
+	ForwardingHeaders hopheaders.ForwardingFormat
 }
 
-// holds is the most bytes that one request can take with its answer.
-func (s *Service) holds() int64 {
+// maxRequestBytes is the most bytes that one request can take with its answer.
+func (s *Service) maxRequestBytes() int64 {
 	if s.HTTP != nil {
-		return s.HTTP.Replay + s.Answer
+		return s.HTTP.RetryBufferBytes + s.MaxResponseBytes
 	}
-	return s.Body + s.Answer
+	return s.MaxBodyBytes + s.MaxResponseBytes
 }
 
-// http reads what only generic HTTP has, and completes the classes and plans.
-func (r *reader) http(t tree.Table, s *Service) {
+// readHTTP reads what only generic HTTP has, and completes the classes and plans.
+func (r *reader) readHTTP(t tree.Table, s *Service) {
 	h := &HTTP{
-		TimeHeader: fieldName(t, "time_header"), SendTime: t.Flag("send_time", false), SendID: t.Flag("send_id", false),
-		Replay: t.Size("replay", 64<<10, 0, maxBodyBytes), Idle: t.Span("idle", time.Minute, minDuration, maxIdle),
-		MinRate: t.Size("least_rate", 0, 0, 1<<30), Underscores: t.Flag("underscores", false), Rules: responseclass.DefaultRules(),
-		Tells: hopheaders.ForwardingFormat(t.OneOf("forwarded", "x-forwarded", "forwarded", "both", "none")),
+		TimeoutHeader: readHeaderName(t, "time_header"), SendTimeLeft: t.Flag("send_time", false), SendRequestID: t.Flag("send_id", false),
+		RetryBufferBytes: t.Size("replay", 64<<10, 0, maxBodyBytes), IdleTimeout: t.Span("idle", time.Minute, minIdleTimeout, maxIdleTimeout),
+		MinBytesPerSecond: t.Size("least_rate", 0, 0, 1<<30), AllowUnderscores: t.Flag("underscores", false), ResponseRules: responseclass.DefaultRules(),
+		ForwardingHeaders: hopheaders.ForwardingFormat(t.OneOf("forwarded", "x-forwarded", "forwarded", "both", "none")),
 	}
 	s.HTTP = h
 	if !t.Has("connect_timeout") {
-		s.Connect = defaultHTTPConnectTimeout
+		s.ConnectTimeout = defaultHTTPConnectTimeout
 	}
 	if !t.Has("body") {
-		s.Body = -1
+		s.MaxBodyBytes = -1
 	}
 	if t.Has("elsewhere") {
-		h.Rules.RetryStatuses = nil
+		h.ResponseRules.RetryStatuses = nil
 		for _, n := range t.List("elsewhere") {
 			v, ok := n.Value().(int64)
-			if !ok || v < 500 || v > 599 || slices.Contains(h.Rules.RetryStatuses, int(v)) {
+			if !ok || v < 500 || v > 599 || slices.Contains(h.ResponseRules.RetryStatuses, int(v)) {
 				t.WrongItem(n, "elsewhere", "it has to be a list of statuses from 500 to 599, none twice")
 				continue
 			}
-			h.Rules.RetryStatuses = append(h.Rules.RetryStatuses, int(v))
+			h.ResponseRules.RetryStatuses = append(h.ResponseRules.RetryStatuses, int(v))
 		}
 	}
 	for _, text := range t.Texts("never_ran") {
@@ -88,15 +88,15 @@
 		if err != nil {
 			t.Wrong("never_ran", "%v", err)
 		}
-		h.Rules.RejectionProofs = append(h.Rules.RejectionProofs, proof)
+		h.ResponseRules.RejectionProofs = append(h.ResponseRules.RejectionProofs, proof)
 	}
-	r.complete(s)
-	r.customers(t, s)
+	r.addDefaults(s)
+	r.readCustomers(t, s)
 }
 
-// complete gives a service the classes and the plan that it needs and the file doesn't have. A
+// addDefaults gives a service the classes and the plan that it needs and the file doesn't have. A
 // keyed class has a second one, of requests without a key: those must not run twice.
-func (r *reader) complete(s *Service) {
+func (r *reader) addDefaults(s *Service) {
 	set := &s.Settings
 	has := func(name string) bool {
 		return slices.ContainsFunc(set.Classes, func(k control.Class) bool { return k.Name == name })
@@ -114,12 +114,12 @@
 		if k.Idempotency != control.IdempotentWithKey {
 			continue
 		}
-		if s.HTTP.Once == nil {
-			s.HTTP.Once = make(map[string]string)
+		if s.HTTP.ClassWithoutKey == nil {
+			s.HTTP.ClassWithoutKey = make(map[string]string)
 		}
 		once := k
-		once.Name, once.Idempotency, once.KeyScope, once.RepeatWindow = k.Name+onceSuffix, control.NotIdempotent, 0, 0
-		s.HTTP.Once[k.Name] = once.Name
+		once.Name, once.Idempotency, once.KeyScope, once.RepeatWindow = k.Name+withoutKeySuffix, control.NotIdempotent, 0, 0
+		s.HTTP.ClassWithoutKey[k.Name] = once.Name
 		set.Classes = append(set.Classes, once)
 	}
 	if len(set.Plans) == 0 {
@@ -127,7 +127,7 @@
 	}
 }
 
-func (r *reader) customers(in tree.Table, s *Service) {
+func (r *reader) readCustomers(in tree.Table, s *Service) {
 	t := in.Sub("customers")
 	c := &s.HTTP.Customers
 	c.File = t.Str("file", "")
@@ -143,7 +143,7 @@
 	}
 	c.MaxUnknown = int(t.Integer("strangers", 4096, 0, maxUnknownClients))
 	for _, one := range t.Tables("by") {
-		if w, ok := way(one); ok {
+		if w, ok := readIdentifier(one); ok {
 			c.Identifiers = append(c.Identifiers, w)
 		}
 		one.Done()
@@ -162,15 +162,15 @@
 	t.Done()
 }
 
-// way reads one way to tell a customer: { header = "X-Key" }, query, cookie or address = true.
-func way(t tree.Table) (w customer.Identifier, ok bool) {
+// readIdentifier reads one way to tell a customer: { header = "X-Key" }, query, cookie or address = true.
+func readIdentifier(t tree.Table) (w customer.Identifier, ok bool) {
 	w.IsSecret = t.Flag("secret", false)
 	n := 0
 	for kind, key := range []string{"header", "query", "cookie"} {
 		if t.Has(key) {
 			w.Kind, w.Name, n = customer.Kind(kind), t.Str(key, ""), n+1
 			if key == "header" {
-				w.Name = fieldName(t, key)
+				w.Name = readHeaderName(t, key)
 			}
 			if w.Name == "" {
 				t.Wrong(key, "it names nothing")
@@ -186,8 +186,8 @@
 	return w, n == 1
 }
 
-// fieldName reads the name of a header field, in its canonical form.
-func fieldName(t tree.Table, key string) string {
+// readHeaderName reads the name of a header field, in its canonical form.
+func readHeaderName(t tree.Table, key string) string {
 	v := t.Str(key, "")
 	for _, b := range []byte(v) {
 		if b <= ' ' || b >= 0x7f || strings.IndexByte("\"(),/:;<=>?@[\\]{}", b) >= 0 {
@@ -198,8 +198,8 @@
 	return textproto.CanonicalMIMEHeaderKey(v)
 }
 
-// upgrades reads to which protocols a route's requests may change.
-func upgrades(t tree.Table) []string {
+// readUpgrades reads to which protocols a route's requests may change.
+func readUpgrades(t tree.Table) []string {
 	var all []string
 	for _, u := range t.Texts("upgrade") {
 		if u == "" || strings.ContainsAny(u, " ,\t") {
--- a/internal/config/http_test.go
+++ b/internal/config/http_test.go
@@ -17,8 +17,8 @@
 		t.Fatal(err)
 	}
 	s := c.Services[0]
-	if s.HTTP == nil || s.Body != -1 || len(s.Settings.Plans) != 1 || s.HTTP.Customers.DefaultPlan != PlanDefault ||
-		!reflect.DeepEqual(s.HTTP.Rules.RetryStatuses, []int{502, 503, 504}) {
+	if s.HTTP == nil || s.MaxBodyBytes != -1 || len(s.Settings.Plans) != 1 || s.HTTP.Customers.DefaultPlan != PlanDefault ||
+		!reflect.DeepEqual(s.HTTP.ResponseRules.RetryStatuses, []int{502, 503, 504}) {
 		t.Errorf("%+v, %+v", s, s.HTTP)
 	}
 	for i, want := range []control.Class{{Name: ClassRead, Idempotency: control.Idempotent}, {Name: ClassWrite, Idempotency: control.NotIdempotent}} {
@@ -39,7 +39,7 @@
 	}
 	s := c.Services[0]
 	h := s.HTTP
-	once := h.Once["checkout"]
+	once := h.ClassWithoutKey["checkout"]
 	var names []string
 	for _, k := range s.Settings.Classes {
 		names = append(names, k.Name)
@@ -51,7 +51,7 @@
 		t.Errorf("classes %s", got)
 	}
 	want := []customer.Identifier{{Kind: customer.Header, Name: "X-Api-Key", IsSecret: true}, {Kind: customer.Cookie, Name: "session", IsSecret: true}, {Kind: customer.Address}}
-	if !reflect.DeepEqual(h.Customers.Identifiers, want) || h.TimeHeader != "X-Timeout" || !h.SendID || h.MinRate != 64 || len(h.Rules.RejectionProofs) != 1 ||
+	if !reflect.DeepEqual(h.Customers.Identifiers, want) || h.TimeoutHeader != "X-Timeout" || !h.SendRequestID || h.MinBytesPerSecond != 64 || len(h.ResponseRules.RejectionProofs) != 1 ||
 		len(h.Customers.TrustedProxies) != 1 || !reflect.DeepEqual(c.Routes[1].Upgrade, []string{"websocket"}) {
 		t.Errorf("%+v", h)
 	}
--- a/internal/config/overrides.go
+++ b/internal/config/overrides.go
@@ -10,9 +10,9 @@
 // Overrides are what a command line says in place of the file, so that many instances share one
 // file. What is zero leaves the file's.
 type Overrides struct {
-	Listen              string
-	Control, State      string
-	Instances, Instance int // both, where Instances is not 0
+	Listen                  string
+	ControlSocket, StateDir string
+	Instances, Instance     int // both, where Instances is not 0
 }
 
 // Check tells what can't be used.
@@ -22,13 +22,13 @@
 			return fmt.Errorf("listen: %q is no host:port", o.Listen)
 		}
 	}
-	for name, path := range map[string]string{"control": o.Control, "state": o.State} {
+	for name, path := range map[string]string{"control": o.ControlSocket, "state": o.StateDir} {
 		if path != "" && !filepath.IsAbs(path) {
 			return fmt.Errorf("%s: %q is no absolute path", name, path)
 		}
 	}
-	if len(o.Control) > maxSocketPath {
-		return fmt.Errorf("control: %d bytes are more than the %d that the address of a Unix socket may have", len(o.Control), maxSocketPath)
+	if len(o.ControlSocket) > maxSocketPath {
+		return fmt.Errorf("control: %d bytes are more than the %d that the address of a Unix socket may have", len(o.ControlSocket), maxSocketPath)
 	}
 	switch {
 	case o.Instances == 0 && o.Instance != 0:
@@ -47,11 +47,11 @@
 	if o.Listen != "" {
 		c.Listeners = []string{o.Listen}
 	}
-	if o.Control != "" {
-		c.Process.Control = o.Control
+	if o.ControlSocket != "" {
+		c.Process.ControlSocket = o.ControlSocket
 	}
-	if o.State != "" {
-		c.Process.State = o.State
+	if o.StateDir != "" {
+		c.Process.StateDir = o.StateDir
 	}
 	if o.Instances > 0 {
 		for i := range c.Services {
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -76,11 +76,11 @@
 		if before.Replaces(after) {
 			effect = Replaced
 		}
-		for _, d := range differences(key, reflect.ValueOf(before.settled()), reflect.ValueOf(after.settled())) {
+		for _, d := range differences(key, reflect.ValueOf(before.withoutReloadable()), reflect.ValueOf(after.withoutReloadable())) {
 			p = append(p, Change{effect, d.What, d.From, d.To})
 		}
 		if !before.Source.Equal(after.Source) {
-			p = append(p, Change{Applied, key + ".source", describe(before.Source), describe(after.Source)})
+			p = append(p, Change{Applied, key + ".source", describeSource(before.Source), describeSource(after.Source)})
 		}
 		p = append(p, differences(key+".guaranteed", reflect.ValueOf(before.Guaranteed), reflect.ValueOf(after.Guaranteed))...)
 		p = append(p, differences(key+".required", reflect.ValueOf(before.Required), reflect.ValueOf(after.Required))...)
@@ -134,17 +134,19 @@
 	return m
 }
 
-// settled is the service without what can change while it runs.
-func (s Service) settled() Service {
+// withoutReloadable is the service without what can change while it runs.
+func (s Service) withoutReloadable() Service {
 	s.Source, s.Known, s.Guaranteed, s.Required, s.Seed = discovery.Source{}, discovery.EndpointList{}, Amounts{}, false, 0
 	return s
 }
 
 // Replaces tells whether a service of the same name has to be replaced by another one to
 // become o: what differs can't change while it runs.
-func (s Service) Replaces(o Service) bool { return !reflect.DeepEqual(s.settled(), o.settled()) }
+func (s Service) Replaces(o Service) bool {
+	return !reflect.DeepEqual(s.withoutReloadable(), o.withoutReloadable())
+}
 
-func describe(s discovery.Source) string {
+func describeSource(s discovery.Source) string {
 	switch s.Kind {
 	case discovery.Watch:
 		return "discovery at " + s.Address
@@ -161,8 +163,8 @@
 	noKey     = "-"       // it is compared elsewhere
 )
 
-// namedItems tells whether a list's items are known by their names: the first field's key is "name".
-func namedItems(list reflect.Type) bool {
+// haveNames tells whether a list's items are known by their names: the first field's key is "name".
+func haveNames(list reflect.Type) bool {
 	return list.Elem().Kind() == reflect.Struct && list.Elem().Field(0).Tag.Get(keyTag) == "name"
 }
 
@@ -186,15 +188,15 @@
 		}
 		return p
 	case reflect.Slice:
-		if namedItems(a.Type()) {
-			return differentItems(path, a, b)
+		if haveNames(a.Type()) {
+			return itemDifferences(path, a, b)
 		}
 	}
 	return Plan{{Applied, path, fmt.Sprint(a.Interface()), fmt.Sprint(b.Interface())}}
 }
 
-// differentItems compares lists of things that have names.
-func differentItems(path string, a, b reflect.Value) (p Plan) {
+// itemDifferences compares lists of things that have names.
+func itemDifferences(path string, a, b reflect.Value) (p Plan) {
 	items := func(list reflect.Value) map[string]reflect.Value {
 		m := make(map[string]reflect.Value)
 		for i := range list.Len() {
--- a/internal/config/plan_test.go
+++ b/internal/config/plan_test.go
@@ -96,7 +96,7 @@
 	walk = func(of reflect.Type) {
 		switch {
 		case seen[of]:
-		case of.Kind() == reflect.Slice && namedItems(of):
+		case of.Kind() == reflect.Slice && haveNames(of):
 			walk(of.Elem())
 		case of.Kind() == reflect.Struct:
 			seen[of] = true
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -48,8 +48,8 @@
 	Settings json.RawMessage `json:"Settings"`
 }
 
-// check reports addresses and limits that can't be used. A limit that is missing is none.
-func (f *platformFile) check() error {
+// validate reports addresses and limits that can't be used. A limit that is missing is none.
+func (f *platformFile) validate() error {
 	if f.Listen == "" || f.Discovery == "" {
 		return fmt.Errorf("listen and discovery must both be given")
 	}
@@ -74,7 +74,7 @@
 	}
 	s := Service{
 		Source: discovery.Source{Address: file.Discovery}, Required: true,
-		Body: protocol.MaxBodyBytes, Answer: protocol.MaxBodyBytes,
+		MaxBodyBytes: protocol.MaxBodyBytes, MaxResponseBytes: protocol.MaxBodyBytes,
 	}
 	c := Config{
 		Listeners: []string{file.Listen},
@@ -83,7 +83,7 @@
 			Descriptors: int(min(file.Limits.Sockets, math.MaxInt32)),
 		},
 	}
-	err := file.check()
+	err := file.validate()
 	if err != nil {
 		return c, err
 	}
@@ -106,13 +106,13 @@
 	// Lists that are pushed lie with an agent of this node's own; what has to be asked for is shared.
 	s.Source.IsOwnAgent = !s.Settings.ListOnRequest
 	s.Settings.ListOnRequest = false // on sockets a watch is always kept; nothing has to be asked for
-	if s.Keepalive, err = millis(paths, "limits.keepalive", 15*time.Second); err != nil {
+	if s.Keepalive, err = milliseconds(paths, "limits.keepalive", 15*time.Second); err != nil {
 		return c, err
 	}
-	if s.Connect, err = millis(paths, "limits.connect-timeout", 250*time.Millisecond); err != nil {
+	if s.ConnectTimeout, err = milliseconds(paths, "limits.connect-timeout", 250*time.Millisecond); err != nil {
 		return c, err
 	}
-	c.Process.Drain = platformDrain(longest(s.Settings))
+	c.Process.Drain = platformDrain(longestDeadline(s.Settings))
 	c.Services, c.Warnings = []Service{s}, wire.InvalidSettings(s.Settings)
 	return c, nil
 }
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// millis reads a span of the settings that is the node's own business.
-func millis(paths map[string]string, path string, missing time.Duration) (time.Duration, error) {
+// milliseconds reads a span of the settings that is the node's own business.
+func milliseconds(paths map[string]string, path string, missing time.Duration) (time.Duration, error) {
 	text, ok := paths[path]
 	if !ok {
 		return missing, nil
--- a/internal/config/process.go
+++ b/internal/config/process.go
@@ -7,7 +7,7 @@
 	"lockflow/internal/limits"
 )
 
-func (r *reader) process(t tree.Table) Process {
+func (r *reader) readProcess(t tree.Table) Process {
 	p := Process{Shared: true, Cores: t.Number("cores", 0, 0, 1024), MemoryMB: int(t.Integer("memory_mb", 0, 0, maxCount))}
 	p.Descriptors = int(t.Integer("descriptors", 1024, 64, maxCount))
 	p.Total = Amounts{
@@ -16,7 +16,7 @@
 		Bytes:       t.Size("bytes", 64<<20, 1, maxBytes), Dials: t.Integer("dials", 128, 1, maxCount),
 		ModuleTime: t.Number("module_time", 0.5, 0.001, 1024),
 	}
-	p.Clients = t.Integer("clients", p.Total.Descriptors/3, 1, maxCount)
+	p.ClientDescriptors = t.Integer("clients", p.Total.Descriptors/3, 1, maxCount)
 	r.group.size = int(t.Integer("instances", 1, 1, maxCount))
 	r.group.index = int(t.Integer("instance", 0, 0, maxCount))
 	if r.group.index >= r.group.size {
@@ -31,18 +31,18 @@
 		d.Wrong("accept", "idle, accept and most come in this order: %v, %v, %v", p.Drain.Idle, p.Drain.Accept, p.Drain.Max)
 	}
 	d.Done()
-	p.State, p.Control = path(t, "state"), path(t, "control")
-	if len(p.Control) > maxSocketPath {
-		t.Wrong("control", "%d bytes are more than the %d that the address of a Unix socket may have", len(p.Control), maxSocketPath)
+	p.StateDir, p.ControlSocket = readPath(t, "state"), readPath(t, "control")
+	if len(p.ControlSocket) > maxSocketPath {
+		t.Wrong("control", "%d bytes are more than the %d that the address of a Unix socket may have", len(p.ControlSocket), maxSocketPath)
 	}
-	p.Checkpoint = t.Span("checkpoint", time.Second, 10*time.Millisecond, day)
-	if t.Has("checkpoint") && p.State == "" {
+	p.CheckpointInterval = t.Span("checkpoint", time.Second, 10*time.Millisecond, day)
+	if t.Has("checkpoint") && p.StateDir == "" {
 		t.Wrong("checkpoint", "only with a state directory")
 	}
 	u := t.Sub("upgrade")
 	p.Upgrade = Upgrade{
-		Within:    u.Span("within", 15*time.Second, 10*time.Millisecond, day),
-		Probation: u.Span("probation", 2*time.Second, 0, day),
+		ReadyTimeout: u.Span("within", 15*time.Second, 10*time.Millisecond, day),
+		Probation:    u.Span("probation", 2*time.Second, 0, day),
 	}
 	u.Done()
 	t.Done()
--- a/internal/config/quota_counter.go
+++ b/internal/config/quota_counter.go
@@ -11,12 +11,12 @@
 	"lockflow/internal/quotalease"
 )
 
-// counter reads how a service's ceilings are shared. What can't be kept by its figures is wrong here,
+// readCounter reads how a service's ceilings are shared. What can't be kept by its figures is wrong here,
 // and not found out in service.
-func (r *reader) counter(t tree.Table, name string, plans []control.Plan) Counter {
+func (r *reader) readCounter(t tree.Table, name string, plans []control.Plan) Counter {
 	c := Counter{
-		Addresses: t.Texts("addresses"), Name: t.Str("name", name), Username: t.Str("username", ""), PasswordFile: path(t, "password_file"),
-		Within: t.Span("within", 200*time.Millisecond, time.Millisecond, quotalease.CallTimeout), Ceilings: make(map[string]quotalease.HardLimit),
+		Addresses: t.Texts("addresses"), Name: t.Str("name", name), Username: t.Str("username", ""), PasswordFile: readPath(t, "password_file"),
+		CallTimeout: t.Span("within", 200*time.Millisecond, time.Millisecond, quotalease.CallTimeout), HardLimits: make(map[string]quotalease.HardLimit),
 	}
 	c.Rules = quotalease.Rules{
 		Instances: max(1, r.group.size), Term: t.Span("term", time.Second, 10*time.Millisecond, time.Minute),
@@ -39,10 +39,10 @@
 		t.Wrong("name", "%q can't be a part of keys", c.Name)
 	}
 	// Guards against two that each have a part of the same ceiling.
-	if r.counted[c.Name] {
+	if r.counterNames[c.Name] {
 		t.Wrong("name", "another service counts as %q", c.Name)
 	}
-	r.counted[c.Name] = true
+	r.counterNames[c.Name] = true
 	if err := c.Rules.Validate(); err != nil {
 		t.Wrong("term", "%v", err)
 	}
@@ -51,14 +51,14 @@
 			continue
 		}
 		of := quotalease.HardLimit{Rate: p.HardLimitRate, Burst: p.HardLimitBurst}
-		c.Ceilings[p.Name] = of
+		c.HardLimits[p.Name] = of
 		if over := c.Rules.MaxExcess(of, time.Minute); over > maxOver {
 			b := c.Rules.Bound(of)
 			t.Wrong("over", "plan %s: a minute may hold %.4g + 60*%.4g units, which is %.1f%% more than %.4g + 60*%.4g, and not %.1f%%: its term is too long, or clocks too wrong",
 				p.Name, b.Burst, b.Rate, 100*over, of.Burst, of.Rate, 100*maxOver)
 		}
 	}
-	if len(c.Ceilings) == 0 {
+	if len(c.HardLimits) == 0 {
 		t.Wrong("addresses", "no plan of the service has a ceiling")
 	}
 	t.Done()
--- a/internal/config/quota_plan.go
+++ b/internal/config/quota_plan.go
@@ -5,7 +5,7 @@
 	"lockflow/internal/config/tree"
 )
 
-func plan(name string, t tree.Table) control.Plan {
+func readPlan(name string, t tree.Table) control.Plan {
 	p := control.Plan{
 		Name: name, Price: t.Number("price", 1, 0, maxNumber), QuotaRate: t.Number("rate", 0, 0, maxNumber),
 		QuotaBurst: t.Number("depth", 0, 0, maxNumber), MaxInFlight: int(t.Integer("open", 0, 0, maxCount)),
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -9,8 +9,8 @@
 	"lockflow/internal/service"
 )
 
-// routes reads the routes and holds them to the services.
-func (r *reader) routes(root tree.Table, c *Config) {
+// readRoutes reads the routes and holds them to the services.
+func (r *reader) readRoutes(root tree.Table, c *Config) {
 	byName := make(map[string]*Service)
 	for i := range c.Services {
 		byName[c.Services[i].Name] = &c.Services[i]
@@ -23,7 +23,7 @@
 	names := make(map[string]bool)
 	reached := make(map[string]bool)
 	for i, t := range tables {
-		one := Route{As: t.Str("as", "")}
+		one := Route{RequestClass: t.Str("as", "")}
 		one.Name, one.Service = t.Str("name", ""), t.Str("service", "")
 		if one.Name == "" {
 			one.Name = fmt.Sprintf("route-%d", i+1)
@@ -34,19 +34,19 @@
 		names[one.Name] = true
 		one.Host, one.Path, one.Prefix = t.Str("host", ""), t.Str("path", ""), t.Str("prefix", "")
 		one.Method, one.Class = t.Str("method", ""), t.Str("class", "")
-		one.Upgrade = upgrades(t)
+		one.Upgrade = readUpgrades(t)
 		for _, h := range t.Texts("headers") {
 			name, value, equal := strings.Cut(h, ":")
 			one.Headers = append(one.Headers, route.Header{Name: name, Value: strings.Trim(value, " \t"), Any: !equal})
 		}
-		if g := c.gatherer(one.Service); g != nil {
+		if g := c.findGather(one.Service); g != nil {
 			reached[one.Service] = true
-			r.scatters(t, one, c, g)
+			r.checkGatherRoute(t, one, c, g)
 		} else if s := byName[one.Service]; s == nil {
 			t.Wrong("service", "%q is no service", one.Service)
 		} else {
 			reached[one.Service] = true
-			servable(t, one, s)
+			checkRoute(t, one, s)
 		}
 		t.Done()
 		c.Routes, rules = append(c.Routes, one), append(rules, one.Rule)
@@ -55,7 +55,7 @@
 	for _, p := range problems {
 		tables[p.Index].Wrong(p.Key, "%v", p.Err)
 	}
-	r.gatherRoutes(root, c, reached)
+	r.checkGathers(root, c, reached)
 	for _, s := range c.Services {
 		if !reached[s.Name] {
 			root.Sub("services").Wrong(s.Name, "no route leads to it")
@@ -63,9 +63,9 @@
 	}
 }
 
-// servable looks whether a service could take any request of a route.
-func servable(t tree.Table, r Route, s *Service) {
-	name, key := r.As, "as"
+// checkRoute looks whether a service could take any request of a route.
+func checkRoute(t tree.Table, r Route, s *Service) {
+	name, key := r.RequestClass, "as"
 	if len(r.Upgrade) > 0 && s.HTTP == nil {
 		t.Wrong("upgrade", `only to a service of protocol = "http"`)
 	}
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -14,17 +14,17 @@
 	"lockflow/internal/upstream"
 )
 
-func (r *reader) service(name string, t tree.Table, classes, plans []string) Service {
-	speaks := r.speaks
+func (r *reader) readService(name string, t tree.Table, classes, plans []string) Service {
+	speaks := r.defaultProtocol
 	if t.Has("protocol") {
 		speaks = t.OneOf("protocol", protocols...)
 	}
 	s := Service{
 		Name: name, Required: t.Flag("required", true), OnPanic: service.PanicPolicy(t.OneOf("on_panic", "end", "restart")),
-		Connect:   t.Span("connect_timeout", 250*time.Millisecond, time.Millisecond, time.Minute),
-		Keepalive: t.Span("keepalive", 15*time.Second, 100*time.Millisecond, day),
-		Body:      t.Size("body", protocol.MaxBodyBytes, 0, maxBodyBytes),
-		Answer:    t.Size("answer", protocol.MaxBodyBytes, 1, maxResponseBytes),
+		ConnectTimeout:   t.Span("connect_timeout", 250*time.Millisecond, time.Millisecond, time.Minute),
+		Keepalive:        t.Span("keepalive", 15*time.Second, 100*time.Millisecond, day),
+		MaxBodyBytes:     t.Size("body", protocol.MaxBodyBytes, 0, maxBodyBytes),
+		MaxResponseBytes: t.Size("answer", protocol.MaxBodyBytes, 1, maxResponseBytes),
 	}
 	set := control.Settings{
 		SelfIndex: r.group.index, GroupSize: r.group.size, Zone: t.Str("zone", ""),
@@ -37,27 +37,27 @@
 	}
 	set.SupportsRetryAfter = set.MaxRetryAfter > 0
 	isGenericHTTP := protocols[speaks] == "http"
-	for _, k := range r.named(t, "classes", classes, isGenericHTTP) {
+	for _, k := range r.readNames(t, "classes", classes, isGenericHTTP) {
 		if c, ok := r.classes[k]; ok {
 			set.Classes = append(set.Classes, c)
 		}
 	}
-	for _, p := range r.named(t, "plans", plans, isGenericHTTP) {
+	for _, p := range r.readNames(t, "plans", plans, isGenericHTTP) {
 		if c, ok := r.plans[p]; ok {
 			set.Plans = append(set.Plans, c)
 		}
 	}
 	s.Settings = set
-	s.Servers = servers(t.Sub("servers"))
+	s.Servers = readServers(t.Sub("servers"))
 	if t.Has("counter") {
-		s.Counter = r.counter(t.Sub("counter"), name, set.Plans)
+		s.Counter = r.readCounter(t.Sub("counter"), name, set.Plans)
 	}
 	if isGenericHTTP {
-		r.http(t, &s)
+		r.readHTTP(t, &s)
 	}
-	s.Source = r.source(t)
+	s.Source = r.readSource(t)
 	rec := t.Sub("record")
-	s.Record = Record{Dir: path(rec, "dir"), Bytes: rec.Size("bytes", 64<<20, 1<<20, maxBytes)}
+	s.Record = Record{Dir: readPath(rec, "dir"), MaxBytes: rec.Size("bytes", 64<<20, 1<<20, maxBytes)}
 	if t.Has("record") && s.Record.Dir == "" {
 		rec.Wrong("dir", "it has to be said where the recordings go")
 	}
@@ -70,16 +70,16 @@
 	return s
 }
 
-// servers reads how a service's servers are spoken to.
-func servers(t tree.Table) Servers {
+// readServers reads how a service's servers are spoken to.
+func readServers(t tree.Table) Servers {
 	s := Servers{Protocol: upstream.Protocol(t.OneOf("protocol", discovery.Protocols...))}
-	s.Streams = int(t.Integer("streams", 100, 1, 10000))
-	s.Connections = int(t.Integer("connections", 2, 1, 100))
-	s.Age = t.Span("age", 0, 0, day)
-	s.Again = t.Span("again", time.Minute, 100*time.Millisecond, day)
+	s.MaxStreams = int(t.Integer("streams", 100, 1, 10000))
+	s.MaxConnections = int(t.Integer("connections", 2, 1, 100))
+	s.MaxAge = t.Span("age", 0, 0, day)
+	s.HTTP2RetryInterval = t.Span("again", time.Minute, 100*time.Millisecond, day)
 	if t.Has("tls") {
 		c := t.Sub("tls")
-		s.TLS = certs.Options{On: true, CA: path(c, "ca"), Cert: path(c, "cert"), Key: path(c, "key"), Name: c.Str("name", "")}
+		s.TLS = certs.Options{On: true, CA: readPath(c, "ca"), Cert: readPath(c, "cert"), Key: readPath(c, "key"), Name: c.Str("name", "")}
 		if (s.TLS.Cert == "") != (s.TLS.Key == "") {
 			c.Wrong("cert", "a certificate needs its key, and a key its certificate")
 		}
@@ -89,8 +89,8 @@
 	return s
 }
 
-// named reads which classes or plans a service has; all where it doesn't say, which may be none.
-func (r *reader) named(t tree.Table, key string, all []string, none bool) []string {
+// readNames reads which classes or plans a service has; all where it doesn't say, which may be none.
+func (r *reader) readNames(t tree.Table, key string, all []string, none bool) []string {
 	if !t.Has(key) {
 		if len(all) == 0 && !none {
 			t.Wrong(key, "the file has none")
--- a/internal/config/tree/merge.go
+++ b/internal/config/tree/merge.go
@@ -8,50 +8,50 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Without is the key of a change that lists what it leaves out of the base, each a dotted key; a table
+// RemovedKeys is the key of a change that lists what it leaves out of the base, each a dotted key; a table
 // of a named list is its key and name.
-const Without = "without"
+const RemovedKeys = "without"
 
-// Over gives what a change makes of a base, as one document: tables are merged by key; of the top
+// MergeOver gives what a change makes of a base, as one document: tables are merged by key; of the top
 // level's lists in named, tables are put in place of those of the same name, or come after the others;
 // any other value of the change stands in place of the base's. Each value keeps the file and line that
 // it was read at, and is as if nobody had read it. Neither of the two is changed.
-func (t Table) Over(base Table, named ...string) Table {
-	root := base.node.copied()
-	for _, key := range t.Texts(Without) {
-		if !drop(root, key, named) {
-			t.Wrong(Without, "%q is not in the base", key)
+func (t Table) MergeOver(base Table, named ...string) Table {
+	root := base.node.clone()
+	for _, key := range t.Texts(RemovedKeys) {
+		if !remove(root, key, named) {
+			t.Wrong(RemovedKeys, "%q is not in the base", key)
 		}
 	}
-	change := t.node.copied()
-	delete(change.table, Without)
+	change := t.node.clone()
+	delete(change.table, RemovedKeys)
 	for _, key := range named {
 		if c, b := change.table[key], root.table[key]; c != nil && b != nil && c.isList && b.isList {
-			b.array = byName(b.array, c.array)
+			b.array = mergeByName(b.array, c.array)
 			delete(change.table, key)
 		}
 	}
 	merge(root, change)
-	return Table{t.r, root, ""}
+	return Table{t.reading, root, ""}
 }
 
-func (n *Node) copied() *Node {
+func (n *Node) clone() *Node {
 	c := *n
 	c.read, c.merged, c.array, c.table = false, true, nil, nil
 	for _, item := range n.array {
-		c.array = append(c.array, item.copied())
+		c.array = append(c.array, item.clone())
 	}
 	if n.table != nil {
 		c.table = make(map[string]*Node, len(n.table))
 		for key, in := range n.table {
-			c.table[key] = in.copied()
+			c.table[key] = in.clone()
 		}
 	}
 	return &c
 }
 
-// drop takes a key out, if it is there.
-func drop(root *Node, key string, named []string) bool {
+// remove takes a key out, if it is there.
+func remove(root *Node, key string, named []string) bool {
 	first, rest, _ := strings.Cut(key, ".")
 	if in := root.table[first]; in != nil && slices.Contains(named, first) {
 		i := slices.IndexFunc(in.array, func(n *Node) bool { return n.name() == rest })
@@ -83,7 +83,7 @@
 	return ""
 }
 
-func byName(base, change []*Node) []*Node {
+func mergeByName(base, change []*Node) []*Node {
 	place := make(map[string]int, len(base))
 	for i, n := range base {
 		if name := n.name(); name != "" {
@@ -113,29 +113,29 @@
 
 // Text writes the document as TOML, with sorted keys: the same for documents that say the same.
 func (t Table) Text() ([]byte, error) {
-	raw, err := toml.Marshal(t.node.plain())
+	raw, err := toml.Marshal(t.node.plainValue())
 	if err != nil {
 		return nil, fmt.Errorf("writing a document: %w", err)
 	}
 	return raw, nil
 }
 
-// plain is the node as a library writes it.
-func (n *Node) plain() any {
+// plainValue is the node as a library writes it.
+func (n *Node) plainValue() any {
 	switch {
 	case n.table != nil:
 		m := make(map[string]any, len(n.table))
 		for key, in := range n.table {
-			m[key] = in.plain()
+			m[key] = in.plainValue()
 		}
 		return m
 	case n.isList:
 		all := make([]any, len(n.array))
 		for i, item := range n.array {
-			all[i] = item.plain()
+			all[i] = item.plainValue()
 		}
 		return all
-	case n.value == other{}:
+	case n.value == unsupported{}:
 		return "" // no key of ours is a time: reading has told it
 	}
 	return n.value
--- a/internal/config/tree/table.go
+++ b/internal/config/tree/table.go
@@ -13,16 +13,16 @@
 
 // Table reads a table key by key and notes which were read.
 type Table struct {
-	r    *Reading
-	node *Node
-	path string // dotted; "" is the document
+	reading *Reading
+	node    *Node
+	path    string // dotted; "" is the document
 }
 
 // Node is where it stands.
 func (t Table) Node() *Node { return t.node }
 
-// At is a key of the table's, dotted.
-func (t Table) At(key string) string { return strings.TrimPrefix(t.path+"."+key, ".") }
+// Path is a key of the table's, dotted.
+func (t Table) Path(key string) string { return strings.TrimPrefix(t.path+"."+key, ".") }
 
 // Wrong says what is wrong with a key; where it is not given, the table's line is told. The key "" is
 // the table itself.
@@ -38,9 +38,9 @@
 func (t Table) WrongItem(n *Node, key, format string, args ...any) {
 	at := t.path
 	if key != "" {
-		at = t.At(key)
+		at = t.Path(key)
 	}
-	t.r.Wrong(n.file, n.line, at, format, args...)
+	t.reading.Wrong(n.file, n.line, at, format, args...)
 }
 
 // Has tells whether a key is given.
@@ -94,11 +94,11 @@
 	if !ok {
 		return missing
 	}
-	return within(t, key, v, missing, lower, upper)
+	return bounded(t, key, v, missing, lower, upper)
 }
 
-// within gives a value that is within bounds; another one, or none, is wrong.
-func within[T cmp.Ordered](t Table, key string, v, missing, lower, upper T) T {
+// bounded gives a value that is within bounds; another one, or none, is wrong.
+func bounded[T cmp.Ordered](t Table, key string, v, missing, lower, upper T) T {
 	if !(v >= lower && v <= upper) { // also of no number
 		t.Wrong(key, "%v is not within %v and %v", v, lower, upper)
 		return missing
@@ -121,7 +121,7 @@
 		t.Wrong(key, "it has to be a number")
 		return missing
 	}
-	return within(t, key, v, missing, lower, upper)
+	return bounded(t, key, v, missing, lower, upper)
 }
 
 // Span reads a time such as "250ms" within bounds.
@@ -135,7 +135,7 @@
 		t.Wrong(key, `%q is no time such as "250ms"`, s)
 		return missing
 	}
-	return within(t, key, d, missing, lower, upper)
+	return bounded(t, key, d, missing, lower, upper)
 }
 
 var sizes = []struct {
@@ -218,18 +218,18 @@
 func (t Table) Sub(key string) Table {
 	n := t.node.table[key]
 	if n == nil {
-		return Table{t.r, &Node{file: t.node.file, line: t.node.line, table: map[string]*Node{}}, t.At(key)}
+		return Table{t.reading, &Node{file: t.node.file, line: t.node.line, table: map[string]*Node{}}, t.Path(key)}
 	}
 	n.read = true
 	if n.table == nil {
 		t.Wrong(key, "it has to be a table")
 		n = &Node{file: n.file, line: n.line, table: map[string]*Node{}}
 	}
-	return Table{t.r, n, t.At(key)}
+	return Table{t.reading, n, t.Path(key)}
 }
 
-// Named reads the tables in a table, by line; those of merged documents by name.
-func (t Table) Named(key string) (names []string, each []Table) {
+// NamedTables reads the tables in a table, by line; those of merged documents by name.
+func (t Table) NamedTables(key string) (names []string, each []Table) {
 	in := t.Sub(key)
 	for name := range in.node.table {
 		names = append(names, name)
@@ -268,14 +268,14 @@
 
 // Item is an item of a key's list, read as a table.
 func (t Table) Item(n *Node, key string, i int) (item Table, ok bool) {
-	path := fmt.Sprintf("%s[%d]", t.At(key), i+1)
+	path := fmt.Sprintf("%s[%d]", t.Path(key), i+1)
 	if n.table == nil {
-		t.r.Wrong(n.file, n.line, path, "it has to be a table")
+		t.reading.Wrong(n.file, n.line, path, "it has to be a table")
 	}
-	return Table{t.r, n, path}, n.table != nil
+	return Table{t.reading, n, path}, n.table != nil
 }
 
 // Empty is a document of the same reading that says nothing.
 func (t Table) Empty() Table {
-	return Table{t.r, &Node{file: t.node.file, line: 1, table: map[string]*Node{}}, ""}
+	return Table{t.reading, &Node{file: t.node.file, line: 1, table: map[string]*Node{}}, ""}
 }
--- a/internal/config/tree/tree.go
+++ b/internal/config/tree/tree.go
@@ -53,7 +53,7 @@
 	merged bool // of several documents: its keys come by name, as in the text that is written of it
 }
 
-type other struct{}
+type unsupported struct{}
 
 // File is the name of the file that it stands in.
 func (n *Node) File() string { return n.file }
@@ -219,11 +219,11 @@
 		}
 	case unstable.LocalDate:
 		var d toml.LocalDate
-		if n.value = any(other{}); d.UnmarshalText(v.Data) == nil {
+		if n.value = any(unsupported{}); d.UnmarshalText(v.Data) == nil {
 			n.value = d
 		}
 	default:
-		n.value = other{}
+		n.value = unsupported{}
 	}
 	return n
 }
--- a/internal/daemon/checkpoint.go
+++ b/internal/daemon/checkpoint.go
@@ -81,7 +81,7 @@
 		slog.Warn("checkpoint unreadable, hard limits start with their slack and servers as unknown", "err", err)
 		d.conditions.add(conditionLastCheckpoint, err.Error())
 	case !found:
-		slog.Info("no checkpoint of an earlier run", "dir", d.cfg.Process.State)
+		slog.Info("no checkpoint of an earlier run", "dir", d.cfg.Process.StateDir)
 	case err != nil, !checkpoint.Clean:
 		cause := "the last run did not end in order"
 		if err != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -178,7 +178,7 @@
 	if err := d.openPIDFile(); err != nil {
 		return err
 	}
-	directory := d.cfg.Process.State
+	directory := d.cfg.Process.StateDir
 	if directory != "" {
 		store, err := state.Open(directory, d.inheritedFile(filePrefixLock+directory))
 		if err != nil {
@@ -245,7 +245,7 @@
 // listenControl opens the control socket and has served answer on it; where it is open already and is not
 // to be taken over, served answers from now on.
 func (d *daemon) listenControl(served manage.Daemon, takeOver bool) (err error) {
-	path := d.cfg.Process.Control
+	path := d.cfg.Process.ControlSocket
 	if path == "" {
 		return nil
 	}
--- a/internal/daemon/drained.go
+++ b/internal/daemon/drained.go
@@ -36,7 +36,7 @@
 // runDrained waits until the daemon is requested to serve. It returns nil where ctx ends before, or the control
 // socket requests the end.
 func (d *daemon) runDrained(ctx context.Context) (*drainedDaemon, error) {
-	if d.cfg.Process.Control == "" {
+	if d.cfg.Process.ControlSocket == "" {
 		return nil, errors.New("it is wanted drained, and has no control socket by which it could be told to serve")
 	}
 	r := &drainedDaemon{d: d, serveRequested: make(chan struct{}), resumed: make(chan struct{})}
@@ -96,7 +96,7 @@
 	if d.cfg, err = d.opts.LoadConfig(); err != nil {
 		return err
 	}
-	if d.cfg.Process.State != old.State || d.cfg.Process.Control != old.Control {
+	if d.cfg.Process.StateDir != old.StateDir || d.cfg.Process.ControlSocket != old.ControlSocket {
 		return errors.New("process.state or process.control has changed while the daemon was drained: start it again")
 	}
 	return d.build()
@@ -260,8 +260,8 @@
 	if err != nil {
 		return err
 	}
-	if old := d.cfg.Process; old.State != next.Process.State || old.Control != next.Process.Control {
-		return fmt.Errorf("process.state and process.control can't change without a restart: %q, %q", next.Process.State, next.Process.Control)
+	if old := d.cfg.Process; old.StateDir != next.Process.StateDir || old.ControlSocket != next.Process.ControlSocket {
+		return fmt.Errorf("process.state and process.control can't change without a restart: %q, %q", next.Process.StateDir, next.Process.ControlSocket)
 	}
 	if err := desiredstate.ReplaceFile(d.opts.ConfigPath, []byte(operation.Text)); err != nil {
 		return fmt.Errorf("replacing the settings: %w", err)
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -51,7 +51,7 @@
 		}
 	})
 	d.checkpointer.ownsFile.Store(d.predecessor == nil)
-	d.checkpointer.interval.Store(int64(d.cfg.Process.Checkpoint))
+	d.checkpointer.interval.Store(int64(d.cfg.Process.CheckpointInterval))
 	d.goroutines.Go(func() { d.saveCheckpoints(ctx) })
 	d.goroutines.Go(func() { d.watchGroupSize(ctx) })
 	d.startMetrics(ctx)
@@ -229,7 +229,7 @@
 		d.conditions.add(conditionConfigFile, f.err.Error())
 	} else {
 		d.cfg = f.cfg
-		d.checkpointer.interval.Store(int64(f.cfg.Process.Checkpoint))
+		d.checkpointer.interval.Store(int64(f.cfg.Process.CheckpointInterval))
 		d.conditions.clear(conditionConfigFile)
 	}
 	answerEach(d.runningReloads, f.err)
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -22,7 +22,7 @@
 		return
 	}
 	var source metrics.Source = d.node
-	if d.cfg.Process.Control != "" {
+	if d.cfg.Process.ControlSocket != "" {
 		source = memberMetrics{d.node, d}
 	}
 	d.goroutines.Go(func() { d.serveMetrics(ctx, address, source) })
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -62,7 +62,7 @@
 	}
 	slog.Info("upgrade: successor started", "program", program, "pid", s.PID())
 	d.successor = s
-	s.timer = time.AfterFunc(d.cfg.Process.Upgrade.Within, func() { d.post(successorEvent{successor: s, isLate: true}) })
+	s.timer = time.AfterFunc(d.cfg.Process.Upgrade.ReadyTimeout, func() { d.post(successorEvent{successor: s, isLate: true}) })
 	go func() { // it may outlive this process
 		for e := range s.Events() {
 			d.post(successorEvent{successor: s, event: e})
@@ -101,7 +101,7 @@
 	case s.isDetached:
 	case e.isLate:
 		if s.phase != successorServing {
-			s.endCause = fmt.Errorf("process %d was not ready within %v", s.PID(), d.cfg.Process.Upgrade.Within)
+			s.endCause = fmt.Errorf("process %d was not ready within %v", s.PID(), d.cfg.Process.Upgrade.ReadyTimeout)
 			s.Kill()
 		}
 	case e.isConfirmed:
--- a/internal/fleet/between.go
+++ b/internal/fleet/between.go
@@ -53,8 +53,8 @@
 	}
 	for _, key := range without {
 		if has(base, key) {
-			list, _ := change[tree.Without].([]string)
-			change[tree.Without] = append(list, key)
+			list, _ := change[tree.RemovedKeys].([]string)
+			change[tree.RemovedKeys] = append(list, key)
 		}
 	}
 	raw, err := toml.Marshal(change)
@@ -65,7 +65,7 @@
 	if !ok {
 		return nil, r.Err()
 	}
-	out, err := over.Over(base).Text()
+	out, err := over.MergeOver(base).Text()
 	if err == nil {
 		err = r.Err()
 	}
--- a/internal/fleetfile/fleetfile.go
+++ b/internal/fleetfile/fleetfile.go
@@ -99,7 +99,7 @@
 	if hasBase {
 		base, hasBase = r.document(root, "base")
 	}
-	names, tables := root.Named("regions")
+	names, tables := root.NamedTables("regions")
 	switch {
 	case len(names) == 0:
 		root.Wrong("regions", "there is none")
@@ -200,10 +200,10 @@
 	case !basePlanned:
 		t.Wrong("config", "it has to be said what its members run")
 	case !change && hasBase:
-		one.over(t, base.Over(base.Empty(), routesKey), base)
+		one.over(t, base.MergeOver(base.Empty(), routesKey), base)
 	case change:
 		if doc, ok := r.document(t, "change"); ok && hasBase {
-			one.over(t, doc.Over(base, routesKey), base)
+			one.over(t, doc.MergeOver(base, routesKey), base)
 		}
 	}
 	t.Done()
--- a/internal/fleetfile/regions.go
+++ b/internal/fleetfile/regions.go
@@ -30,7 +30,7 @@
 		}
 	}
 	for i, rule := range one.Config.Routes {
-		route := regions.Route{Rule: rule.Rule, RequestClass: rule.As}
+		route := regions.Route{Rule: rule.Rule, RequestClass: rule.RequestClass}
 		if i < len(one.origins) {
 			route.Base = one.origins[i].base
 			route.Line = one.origins[i].line
--- a/internal/node/gatherers.go
+++ b/internal/node/gatherers.go
@@ -49,7 +49,7 @@
 // newGatherer makes a scatter-gather service; predecessor is the one that it replaces, or nil.
 func newGatherer(cfg config.Gather, predecessor *gatherer) (*gatherer, error) {
 	g := &gatherer{cfg: cfg, Gatherer: &scattergather.Gatherer{
-		Name: cfg.Name, Settings: waitPolicySettings(cfg), RetryAfter: cfg.RetryAfter, Counts: new(scattergather.Counts),
+		Name: cfg.Name, Settings: waitPolicySettings(cfg), RetryAfter: cfg.MaxRetryAfter, Counts: new(scattergather.Counts),
 	}}
 	if err := g.Settings.Check(); err != nil {
 		return nil, err
@@ -84,7 +84,7 @@
 }
 
 func waitPolicySettings(cfg config.Gather) *waitpolicy.Settings {
-	settings := &waitpolicy.Settings{MinShare: cfg.MinWeightFraction, HalfLife: cfg.HalfLife, Fixed: cfg.Fixed}
+	settings := &waitpolicy.Settings{MinShare: cfg.MinWeightFraction, HalfLife: cfg.HalfLife, Fixed: cfg.FixedDeadline}
 	switch cfg.Deadline {
 	case config.DeadlineNone:
 		settings.Mode = waitpolicy.None
@@ -136,7 +136,7 @@
 	tree := newGatherTree(name, gatherers)
 	target := &front.ScatterGather{
 		Tree: tree.root, Leaves: tree.leaves, Gatherers: tree.gatherers,
-		Deadlines: make(map[string]time.Duration), DefaultClass: config.ClassRead, MaxBodyBytes: cfg.Body, TimeoutHeader: cfg.TimeHeader,
+		Deadlines: make(map[string]time.Duration), DefaultClass: config.ClassRead, MaxBodyBytes: cfg.MaxBodyBytes, TimeoutHeader: cfg.TimeHeader,
 	}
 	for _, class := range cfg.Classes {
 		target.Deadlines[class.Name] = class.Deadline
@@ -144,9 +144,9 @@
 	var accounts []*account
 	for _, leaf := range tree.leaves {
 		s := services[leaf.Name]
-		target.Targets = append(target.Targets, front.Target{Service: s.Service, MaxBodyBytes: s.cfg.Body, Protocol: s.genericHTTP})
-		if s.cfg.Body >= 0 {
-			target.MaxBodyBytes = min(target.MaxBodyBytes, s.cfg.Body)
+		target.Targets = append(target.Targets, front.Target{Service: s.Service, MaxBodyBytes: s.cfg.MaxBodyBytes, Protocol: s.genericHTTP})
+		if s.cfg.MaxBodyBytes >= 0 {
+			target.MaxBodyBytes = min(target.MaxBodyBytes, s.cfg.MaxBodyBytes)
 		}
 		accounts = append(accounts, s.account)
 	}
--- a/internal/node/limiter.go
+++ b/internal/node/limiter.go
@@ -156,7 +156,7 @@
 	for _, r := range resources { // all are checked before any is changed
 		r.guarantees = make(map[*limits.Account]int64)
 		if r.resource == s.descriptors {
-			r.guarantees[s.clientDescriptors] = cfg.Process.Clients
+			r.guarantees[s.clientDescriptors] = cfg.Process.ClientDescriptors
 		}
 		if err := r.guarantee(services); err != nil {
 			return err
--- a/internal/node/model_sharing.go
+++ b/internal/node/model_sharing.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("sharing: %w", err)
 	}
-	options := share.Options{Name: cfg.Name, Self: fmt.Sprintf("%016x", rand.Uint64()), Within: cfg.Within, Seed: rand.Uint64()}
+	options := share.Options{Name: cfg.Name, Self: fmt.Sprintf("%016x", rand.Uint64()), Within: cfg.CallTimeout, Seed: rand.Uint64()}
 	for _, address := range cfg.Addresses {
 		options.Stores = append(options.Stores, share.Store{Address: address, Username: cfg.Username, Password: password})
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -80,7 +80,7 @@
 	} else {
 		n.limiter = newExclusiveLimiter(&cfg.Process)
 	}
-	if cfg.Process.Shared && cfg.Process.Control != "" {
+	if cfg.Process.Shared && cfg.Process.ControlSocket != "" {
 		n.statistics = &service.StatisticsCollector{}
 	}
 	if err := n.prepareFirstGeneration(&cfg); err != nil {
--- a/internal/node/routes.go
+++ b/internal/node/routes.go
@@ -11,7 +11,7 @@
 	table := &front.RoutingTable{}
 	if cfg.Routes == nil {
 		c := cfg.Services[0]
-		table.Targets = []front.Target{{Service: services[c.Name].Service, MaxBodyBytes: c.Body}}
+		table.Targets = []front.Target{{Service: services[c.Name].Service, MaxBodyBytes: c.MaxBodyBytes}}
 		return table
 	}
 	var rules []route.Rule
@@ -22,11 +22,11 @@
 			if gatherTargets[r.Service] == nil {
 				gatherTargets[r.Service] = gatherTarget(r.Service, gatherers, services)
 			}
-			table.Targets = append(table.Targets, front.Target{Class: r.As, ScatterGather: gatherTargets[r.Service]})
+			table.Targets = append(table.Targets, front.Target{Class: r.RequestClass, ScatterGather: gatherTargets[r.Service]})
 			continue
 		}
 		s := services[r.Service]
-		target := front.Target{Service: s.Service, Class: r.As, MaxBodyBytes: s.cfg.Body, UpgradeProtocols: r.Upgrade}
+		target := front.Target{Service: s.Service, Class: r.RequestClass, MaxBodyBytes: s.cfg.MaxBodyBytes, UpgradeProtocols: r.Upgrade}
 		if s.genericHTTP != nil {
 			target.Protocol = s.genericHTTP
 		}
--- a/internal/node/services.go
+++ b/internal/node/services.go
@@ -97,7 +97,7 @@
 		return false
 	}
 	was := &predecessor.cfg
-	return was.Connect == cfg.Connect && was.Keepalive == cfg.Keepalive && was.Answer == cfg.Answer && was.Servers == cfg.Servers &&
+	return was.ConnectTimeout == cfg.ConnectTimeout && was.Keepalive == cfg.Keepalive && was.MaxResponseBytes == cfg.MaxResponseBytes && was.Servers == cfg.Servers &&
 		(was.HTTP == nil) == (cfg.HTTP == nil)
 }
 
@@ -162,9 +162,9 @@
 func (n *Node) upstreamOptions(r *runningService) upstream.Options {
 	cfg := r.cfg
 	options := upstream.Options{
-		ConnectTimeout: cfg.Connect, KeepAliveTimeout: cfg.Keepalive, MaxBodyBytes: int(cfg.Answer), SocketLimiter: n.limiter.upstreamSockets(r.account), QuietPeriod: upstream.SecondAnswerDelay,
+		ConnectTimeout: cfg.ConnectTimeout, KeepAliveTimeout: cfg.Keepalive, MaxBodyBytes: int(cfg.MaxResponseBytes), SocketLimiter: n.limiter.upstreamSockets(r.account), QuietPeriod: upstream.SecondAnswerDelay,
 		HTTP2: upstream.HTTP2Options{
-			MaxStreams: cfg.Servers.Streams, MaxConnections: cfg.Servers.Connections, MaxConnectionAge: cfg.Servers.Age, FallbackPeriod: cfg.Servers.Again,
+			MaxStreams: cfg.Servers.MaxStreams, MaxConnections: cfg.Servers.MaxConnections, MaxConnectionAge: cfg.Servers.MaxAge, FallbackPeriod: cfg.Servers.HTTP2RetryInterval,
 			StartsAtLastByte: r.genericHTTP == nil,
 		},
 	}
@@ -191,11 +191,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	hardLimits := &service.SharedHardLimits{Rules: cfg.Rules, ByPlan: cfg.Ceilings, StoreNames: cfg.Addresses}
+	hardLimits := &service.SharedHardLimits{Rules: cfg.Rules, ByPlan: cfg.HardLimits, StoreNames: cfg.Addresses}
 	var clients []*leasestore.Client
 	for _, address := range cfg.Addresses {
 		client := leasestore.New(leasestore.Options{
-			Address: address, Username: cfg.Username, Password: password, KeyPrefix: cfg.Name, Timeout: cfg.Within, Rules: cfg.Rules,
+			Address: address, Username: cfg.Username, Password: password, KeyPrefix: cfg.Name, Timeout: cfg.CallTimeout, Rules: cfg.Rules,
 		})
 		clients = append(clients, client)
 		hardLimits.Stores = append(hardLimits.Stores, client)
@@ -209,7 +209,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return record.New(module, cfg.Settings, record.Options{Service: cfg.Name, Dir: cfg.Record.Dir, MaxBytes: cfg.Record.Bytes})
+	return record.New(module, cfg.Settings, record.Options{Service: cfg.Name, Dir: cfg.Record.Dir, MaxBytes: cfg.Record.MaxBytes})
 }
 
 // newGenericHTTP makes the protocol of a service of generic HTTP; nil where clients speak the platform's.
@@ -223,10 +223,10 @@
 		return nil, err
 	}
 	return front.NewGenericHTTP(front.GenericHTTPOptions{
-		Customers: customers, SafeClass: config.ClassRead, UnsafeClass: config.ClassWrite, ClassWithoutKey: http.Once,
-		TimeoutHeader: http.TimeHeader, SendTimeLeft: http.SendTime, SendRequestID: http.SendID, ForwardingHeaders: http.Tells, TrustedProxies: http.Customers.TrustedProxies,
-		RetryBufferBytes: int(http.Replay), MaxBufferedAnswerBytes: int(cfg.Answer), IdleTimeout: http.Idle, MinBytesPerSecond: http.MinRate,
-		ResponseRules: http.Rules, AllowUnderscores: http.Underscores,
+		Customers: customers, SafeClass: config.ClassRead, UnsafeClass: config.ClassWrite, ClassWithoutKey: http.ClassWithoutKey,
+		TimeoutHeader: http.TimeoutHeader, SendTimeLeft: http.SendTimeLeft, SendRequestID: http.SendRequestID, ForwardingHeaders: http.ForwardingHeaders, TrustedProxies: http.Customers.TrustedProxies,
+		RetryBufferBytes: int(http.RetryBufferBytes), MaxBufferedAnswerBytes: int(cfg.MaxResponseBytes), IdleTimeout: http.IdleTimeout, MinBytesPerSecond: http.MinBytesPerSecond,
+		ResponseRules: http.ResponseRules, AllowUnderscores: http.AllowUnderscores,
 	}), nil
 }
 
