--- a/internal/config/divide.go
+++ b/internal/config/divide.go
@@ -25,7 +25,7 @@
 		}
 		v := d.readPart(t, d.key)
 		if left -= v; left < 0 && left+v >= 0 {
-			t.Wrong(d.key, "the parts named up to here sum to %g, more than the %g that the process has for services", d.total-left, d.total)
+			t.Errorf(d.key, "the parts named up to here sum to %g, more than the %g that the process has for services", d.total-left, d.total)
 		}
 		d.setPart(&c.Services[i].Guaranteed, v)
 	}
@@ -58,7 +58,7 @@
 		},
 	}
 	if c.Process.ClientDescriptors > c.Process.Total.Descriptors {
-		process.Wrong("clients", "%d are more than the %d connections that %d descriptors leave", c.Process.ClientDescriptors,
+		process.Errorf("clients", "%d are more than the %d connections that %d descriptors leave", c.Process.ClientDescriptors,
 			c.Process.Total.Descriptors, c.Process.Descriptors)
 		return
 	}
@@ -71,7 +71,7 @@
 				c.Process.Total.Requests = capacity
 				thing.total = float64(capacity)
 			} else if c.Process.Total.Requests > capacity {
-				process.Wrong("held", "%d requests need as many connections of clients; the services' guaranteed connections leave %d",
+				process.Errorf("held", "%d requests need as many connections of clients; the services' guaranteed connections leave %d",
 					c.Process.Total.Requests, capacity)
 			}
 		}
@@ -94,9 +94,9 @@
 		t.Done()
 		one := c.Services[i].maxRequestBytes()
 		if t.Has("bytes") && c.Services[i].Guaranteed.Bytes < one {
-			t.Wrong("bytes", "it holds no single request: body and answer may have %d", one)
+			t.Errorf("bytes", "it holds no single request: body and answer may have %d", one)
 		} else if one > c.Process.Total.Bytes {
-			s.Wrong("answer", "body and answer of one request may have %d bytes, more than the %d of the process",
+			s.Errorf("answer", "body and answer of one request may have %d bytes, more than the %d of the process",
 				one, c.Process.Total.Bytes)
 		}
 	}
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -100,7 +100,7 @@
 	c.Listeners = r.readListeners(t)
 	if t.Has("metrics") {
 		m := t.Sub("metrics")
-		c.Metrics = m.Str("address", "")
+		c.Metrics = m.String("address", "")
 		checkAddress(m, "address", c.Metrics)
 		m.Done()
 	}
@@ -114,10 +114,10 @@
 	}
 	names, services := t.NamedTables("services")
 	if len(names) == 0 {
-		t.Wrong("services", "there is none")
+		t.Errorf("services", "there is none")
 	}
 	if len(names) > maxServices {
-		t.Wrong("services", "%d are more than %d", len(names), maxServices)
+		t.Errorf("services", "%d are more than %d", len(names), maxServices)
 	}
 	names, services = r.splitGathers(&c, names, services)
 	for i, name := range names {
@@ -131,9 +131,9 @@
 
 // readPath reads the place of a file: a whole one, as a daemon's own directory is nobody's concern.
 func readPath(t tree.Table, key string) string {
-	v := t.Str(key, "")
+	v := t.String(key, "")
 	if v != "" && !filepath.IsAbs(v) {
-		t.Wrong(key, "%q is no absolute path", v)
+		t.Errorf(key, "%q is no absolute path", v)
 	}
 	return v
 }
@@ -141,26 +141,26 @@
 func (r *reader) readListeners(t tree.Table) []string {
 	var all []string
 	for _, l := range t.Tables("listeners") {
-		addr := l.Str("address", "")
+		addr := l.String("address", "")
 		if name, inherited := strings.CutPrefix(addr, Inherited); !inherited {
 			checkAddress(l, "address", addr)
 		} else if name == "" {
-			l.Wrong("address", "%q names no socket that the supervisor passes on", addr)
+			l.Errorf("address", "%q names no socket that the supervisor passes on", addr)
 		}
 		if slices.Contains(all, addr) {
-			l.Wrong("address", "%q is given twice", addr)
+			l.Errorf("address", "%q is given twice", addr)
 		}
 		all = append(all, addr)
 		l.Done()
 	}
 	if len(all) == 0 {
-		t.Wrong("listeners", "there is none")
+		t.Errorf("listeners", "there is none")
 	}
 	return all
 }
 
 func checkAddress(t tree.Table, key, addr string) {
 	if _, port, err := net.SplitHostPort(addr); err != nil || port == "" {
-		t.Wrong(key, "%q is no host:port", addr)
+		t.Errorf(key, "%q is no host:port", addr)
 	}
 }
--- a/internal/config/gather.go
+++ b/internal/config/gather.go
@@ -68,7 +68,7 @@
 		c.Gathers = append(c.Gathers, r.readGather(name, services[i]))
 	}
 	if len(serviceNames) == 0 && len(names) > 0 {
-		services[0].Wrong("gather", "no service of the file has servers of its own")
+		services[0].Errorf("gather", "no service of the file has servers of its own")
 	}
 	return serviceNames, tables
 }
@@ -76,10 +76,10 @@
 func (r *reader) readGather(name string, in tree.Table) Gather {
 	g := Gather{
 		Name: name, MaxBodyBytes: in.Size("body", 64<<10, 0, maxBodyBytes), TimeHeader: readHeaderName(in, "time_header"),
-		MaxRetryAfter: in.Span("retry_after", time.Second, 0, day), Classes: make(map[string]control.Class),
+		MaxRetryAfter: in.Duration("retry_after", time.Second, 0, day), Classes: make(map[string]control.Class),
 	}
 	if in.Has("protocol") && protocols[in.OneOf("protocol", protocols...)] != "http" || !in.Has("protocol") && protocols[r.defaultProtocol] != "http" {
-		in.Wrong("protocol", `a gathering service speaks "http" only`)
+		in.Errorf("protocol", `a gathering service speaks "http" only`)
 	}
 	read := control.Class{Name: ClassRead, Idempotency: control.Idempotent, LatencyObjective: defaultLatencyObjective, Deadline: defaultHTTPDeadline, PriorityWeight: 1}
 	g.Classes[ClassRead] = read
@@ -93,31 +93,31 @@
 	t := in.Sub("gather")
 	g.Merge = Merges[t.OneOf("merge", Merges...)]
 	if !t.Has("merge") {
-		t.Wrong("merge", "it has to be said: one of %s", strings.Join(Merges, ", "))
+		t.Errorf("merge", "it has to be said: one of %s", strings.Join(Merges, ", "))
 	}
 	if g.MinWeightFraction = t.Number("least", 0.5, 0, 1); g.MinWeightFraction <= 0 {
-		t.Wrong("least", "%g is not above 0: an answer of nothing is none", g.MinWeightFraction)
+		t.Errorf("least", "%g is not above 0: an answer of nothing is none", g.MinWeightFraction)
 	}
-	g.HalfLife = t.Span("half_life", time.Second, time.Millisecond, maxHalfLife)
-	switch v := t.Str("deadline", DeadlineLearned); v {
+	g.HalfLife = t.Duration("half_life", time.Second, time.Millisecond, maxHalfLife)
+	switch v := t.String("deadline", DeadlineLearned); v {
 	case DeadlineLearned, DeadlineNone:
 		g.Deadline = v
 	default:
 		if _, err := time.ParseDuration(v); err != nil {
-			t.Wrong("deadline", `%q is neither "learned", "none" nor a time such as "250ms"`, v)
+			t.Errorf("deadline", `%q is neither "learned", "none" nor a time such as "250ms"`, v)
 		}
-		g.FixedDeadline = t.Span("deadline", time.Second, time.Millisecond, day)
+		g.FixedDeadline = t.Duration("deadline", time.Second, time.Millisecond, day)
 	}
 	parts := t.Texts("parts")
 	if len(parts) == 0 {
-		t.Wrong("parts", "there is none")
+		t.Errorf("parts", "there is none")
 	}
 	if len(parts) > maxGatherParts {
-		t.Wrong("parts", "%d are more than %d", len(parts), maxGatherParts)
+		t.Errorf("parts", "%d are more than %d", len(parts), maxGatherParts)
 	}
 	for _, p := range parts {
 		if strings.ContainsAny(p, ", \t\"/") || !isASCII(p) {
-			t.Wrong("parts", "%q can't be named in an answer's header: it has a comma, a space, a quote, a slash, or is not ASCII", p)
+			t.Errorf("parts", "%q can't be named in an answer's header: it has a comma, a space, a quote, a slash, or is not ASCII", p)
 		}
 		g.Parts = append(g.Parts, GatherPart{p, 1})
 	}
@@ -141,7 +141,7 @@
 	}
 	all := t.List("weights")
 	if len(all) != len(parts) {
-		t.Wrong("weights", "%d of them for %d parts", len(all), len(parts))
+		t.Errorf("weights", "%d of them for %d parts", len(all), len(parts))
 		return
 	}
 	for i, n := range all {
@@ -150,7 +150,7 @@
 			v, ok = float64(integer), true
 		}
 		if !ok || !(v > 0 && v <= maxNumber) {
-			t.WrongItem(n, "weights", "item %d has to be a number above 0, at most %g", i+1, maxNumber)
+			t.ItemErrorf(n, "weights", "item %d has to be a number above 0, at most %g", i+1, maxNumber)
 			continue
 		}
 		parts[i].Weight = v
@@ -160,17 +160,17 @@
 // readGatherShare reads where learned deadlines are shared, by the words of a counter.
 func (r *reader) readGatherShare(t tree.Table, name string) GatherShare {
 	s := GatherShare{
-		Addresses: t.Texts("addresses"), Name: t.Str("name", name), Username: t.Str("username", ""),
-		PasswordFile: readPath(t, "password_file"), CallTimeout: t.Span("within", 200*time.Millisecond, time.Millisecond, time.Minute),
+		Addresses: t.Texts("addresses"), Name: t.String("name", name), Username: t.String("username", ""),
+		PasswordFile: readPath(t, "password_file"), CallTimeout: t.Duration("within", 200*time.Millisecond, time.Millisecond, time.Minute),
 	}
 	if len(s.Addresses) == 0 {
-		t.Wrong("addresses", "sharing needs one at least")
+		t.Errorf("addresses", "sharing needs one at least")
 	}
 	for _, a := range s.Addresses {
 		checkAddress(t, "addresses", a)
 	}
 	if s.Name == "" || strings.ContainsAny(s.Name, "{} \t\r\n") {
-		t.Wrong("name", "%q can't be a part of keys", s.Name)
+		t.Errorf("name", "%q can't be a part of keys", s.Name)
 	}
 	t.Done()
 	return s
@@ -216,7 +216,7 @@
 	}
 	for _, g := range c.Gathers {
 		if !reached[g.Name] {
-			services.Wrong(g.Name, "no route leads to it")
+			services.Errorf(g.Name, "no route leads to it")
 		}
 	}
 }
@@ -243,21 +243,21 @@
 		by, twice := w.reachedThrough[p.Name]
 		switch {
 		case p.Name == g.Name:
-			w.table.Wrong("parts", "%q is the service itself", p.Name)
+			w.table.Errorf("parts", "%q is the service itself", p.Name)
 		case slices.Contains(above, p.Name):
-			w.table.Wrong("parts", "it goes round in a circle: %s", strings.Join(append(above, p.Name), " -> "))
+			w.table.Errorf("parts", "it goes round in a circle: %s", strings.Join(append(above, p.Name), " -> "))
 		case inner == nil && i < 0:
-			w.table.Wrong("parts", "%q is no service", p.Name)
+			w.table.Errorf("parts", "%q is no service", p.Name)
 		case twice:
-			w.table.Wrong("parts", "%q is reached twice, through %s and %s: its answer would be there twice", p.Name, by, g.Name)
+			w.table.Errorf("parts", "%q is reached twice, through %s and %s: its answer would be there twice", p.Name, by, g.Name)
 		case inner != nil && inner.Merge != g.Merge:
-			w.table.Wrong("parts", "%q merges by %q, and %s by %q", p.Name, inner.Merge, g.Name, g.Merge)
+			w.table.Errorf("parts", "%q merges by %q, and %s by %q", p.Name, inner.Merge, g.Name, g.Merge)
 		case inner != nil && len(above) == maxGatherDepth:
-			w.table.Wrong("parts", "more than %d gatherers above each other: %s", maxGatherDepth, strings.Join(append(above, p.Name), " -> "))
+			w.table.Errorf("parts", "more than %d gatherers above each other: %s", maxGatherDepth, strings.Join(append(above, p.Name), " -> "))
 		case inner == nil && w.config.Services[i].HTTP == nil:
-			w.table.Wrong("parts", `%q does not speak "http"`, p.Name)
+			w.table.Errorf("parts", `%q does not speak "http"`, p.Name)
 		case len(w.reachedThrough) == maxGatherParts:
-			w.table.Wrong("parts", "it reaches more than %d parts", maxGatherParts)
+			w.table.Errorf("parts", "it reaches more than %d parts", maxGatherParts)
 		default:
 			w.isInvalid = false
 			w.reachedThrough[p.Name] = g.Name
@@ -293,7 +293,7 @@
 func (r *reader) checkGatherRoute(t tree.Table, one Route, c *Config, g *Gather) {
 	key, class := "as", one.RequestClass
 	if len(one.Upgrade) > 0 {
-		t.Wrong("upgrade", "not to a service that gathers")
+		t.Errorf("upgrade", "not to a service that gathers")
 	}
 	if class == "" {
 		class = ClassRead
@@ -303,22 +303,22 @@
 			key = "service"
 		}
 		if one.Method != "" && !protocol.IsSafeMethod(one.Method) {
-			t.Wrong("method", "%s scatters only where the route names a class that is free to repeat (as = ...)", one.Method)
+			t.Errorf("method", "%s scatters only where the route names a class that is free to repeat (as = ...)", one.Method)
 			return
 		}
 	}
 	if _, ok := g.Classes[class]; !ok {
 		if _, there := r.classes[class]; there {
-			t.Wrong(key, `class %s is not free to repeat, and so can't scatter`, class)
+			t.Errorf(key, `class %s is not free to repeat, and so can't scatter`, class)
 		} else {
-			t.Wrong(key, "the file has no class %q", class)
+			t.Errorf(key, "the file has no class %q", class)
 		}
 		return
 	}
 	for _, s := range c.leafServices(g, maxGatherDepth) {
 		i := slices.IndexFunc(s.Settings.Classes, func(k control.Class) bool { return k.Name == class })
 		if i < 0 && s.HTTP != nil { // else that is told
-			t.Wrong(key, "its part %s has no class %q", s.Name, class)
+			t.Errorf(key, "its part %s has no class %q", s.Name, class)
 			return
 		}
 	}
--- a/internal/config/http.go
+++ b/internal/config/http.go
@@ -60,9 +60,9 @@
 // readHTTP reads what only generic HTTP has, and completes the classes and plans.
 func (r *reader) readHTTP(t tree.Table, s *Service) {
 	h := &HTTP{
-		TimeoutHeader: readHeaderName(t, "time_header"), SendTimeLeft: t.Flag("send_time", false), SendRequestID: t.Flag("send_id", false),
-		RetryBufferBytes: t.Size("replay", 64<<10, 0, maxBodyBytes), IdleTimeout: t.Span("idle", time.Minute, minIdleTimeout, maxIdleTimeout),
-		MinBytesPerSecond: t.Size("least_rate", 0, 0, 1<<30), AllowUnderscores: t.Flag("underscores", false), ResponseRules: responseclass.DefaultRules(),
+		TimeoutHeader: readHeaderName(t, "time_header"), SendTimeLeft: t.Bool("send_time", false), SendRequestID: t.Bool("send_id", false),
+		RetryBufferBytes: t.Size("replay", 64<<10, 0, maxBodyBytes), IdleTimeout: t.Duration("idle", time.Minute, minIdleTimeout, maxIdleTimeout),
+		MinBytesPerSecond: t.Size("least_rate", 0, 0, 1<<30), AllowUnderscores: t.Bool("underscores", false), ResponseRules: responseclass.DefaultRules(),
 		ForwardingHeaders: hopheaders.ForwardingFormat(t.OneOf("forwarded", "x-forwarded", "forwarded", "both", "none")),
 	}
 	s.HTTP = h
@@ -77,7 +77,7 @@
 		for _, n := range t.List("elsewhere") {
 			v, ok := n.Value().(int64)
 			if !ok || v < 500 || v > 599 || slices.Contains(h.ResponseRules.RetryStatuses, int(v)) {
-				t.WrongItem(n, "elsewhere", "it has to be a list of statuses from 500 to 599, none twice")
+				t.ItemErrorf(n, "elsewhere", "it has to be a list of statuses from 500 to 599, none twice")
 				continue
 			}
 			h.ResponseRules.RetryStatuses = append(h.ResponseRules.RetryStatuses, int(v))
@@ -86,7 +86,7 @@
 	for _, text := range t.Texts("never_ran") {
 		proof, err := responseclass.ParseProof(text)
 		if err != nil {
-			t.Wrong("never_ran", "%v", err)
+			t.Errorf("never_ran", "%v", err)
 		}
 		h.ResponseRules.RejectionProofs = append(h.ResponseRules.RejectionProofs, proof)
 	}
@@ -130,16 +130,16 @@
 func (r *reader) readCustomers(in tree.Table, s *Service) {
 	t := in.Sub("customers")
 	c := &s.HTTP.Customers
-	c.File = t.Str("file", "")
+	c.File = t.String("file", "")
 	if c.File != "" && !filepath.IsAbs(c.File) {
-		t.Wrong("file", "%q is no absolute path", c.File)
+		t.Errorf("file", "%q is no absolute path", c.File)
 	}
-	c.DefaultPlan = t.Str("default_plan", s.Settings.Plans[0].Name)
+	c.DefaultPlan = t.String("default_plan", s.Settings.Plans[0].Name)
 	if !slices.ContainsFunc(s.Settings.Plans, func(p control.Plan) bool { return p.Name == c.DefaultPlan }) {
-		t.Wrong("default_plan", "%q is no plan of the service", c.DefaultPlan)
+		t.Errorf("default_plan", "%q is no plan of the service", c.DefaultPlan)
 	}
 	if len(s.Settings.Plans) > 1 && !t.Has("default_plan") {
-		t.Wrong("default_plan", "it has to be said which of %d plans whoever has none has", len(s.Settings.Plans))
+		t.Errorf("default_plan", "it has to be said which of %d plans whoever has none has", len(s.Settings.Plans))
 	}
 	c.MaxUnknown = int(t.Integer("strangers", 4096, 0, maxUnknownClients))
 	for _, one := range t.Tables("by") {
@@ -154,7 +154,7 @@
 			p, err = netip.PrefixFrom(a, a.BitLen()), nil
 		}
 		if err != nil {
-			in.Wrong("trusted_proxies", "%q is neither an address nor a network", text)
+			in.Errorf("trusted_proxies", "%q is neither an address nor a network", text)
 			continue
 		}
 		c.TrustedProxies = append(c.TrustedProxies, p)
@@ -164,34 +164,34 @@
 
 // readIdentifier reads one way to tell a customer: { header = "X-Key" }, query, cookie or address = true.
 func readIdentifier(t tree.Table) (w customer.Identifier, ok bool) {
-	w.IsSecret = t.Flag("secret", false)
+	w.IsSecret = t.Bool("secret", false)
 	n := 0
 	for kind, key := range []string{"header", "query", "cookie"} {
 		if t.Has(key) {
-			w.Kind, w.Name, n = customer.Kind(kind), t.Str(key, ""), n+1
+			w.Kind, w.Name, n = customer.Kind(kind), t.String(key, ""), n+1
 			if key == "header" {
 				w.Name = readHeaderName(t, key)
 			}
 			if w.Name == "" {
-				t.Wrong(key, "it names nothing")
+				t.Errorf(key, "it names nothing")
 			}
 		}
 	}
-	if t.Flag("address", false) {
+	if t.Bool("address", false) {
 		w.Kind, n = customer.Address, n+1
 	}
 	if n != 1 {
-		t.Wrong("", "it has to name one of header, query, cookie or address = true")
+		t.Errorf("", "it has to name one of header, query, cookie or address = true")
 	}
 	return w, n == 1
 }
 
 // readHeaderName reads the name of a header field, in its canonical form.
 func readHeaderName(t tree.Table, key string) string {
-	v := t.Str(key, "")
+	v := t.String(key, "")
 	for _, b := range []byte(v) {
 		if b <= ' ' || b >= 0x7f || strings.IndexByte("\"(),/:;<=>?@[\\]{}", b) >= 0 {
-			t.Wrong(key, "%q is no name of a header", v)
+			t.Errorf(key, "%q is no name of a header", v)
 			return ""
 		}
 	}
@@ -203,7 +203,7 @@
 	var all []string
 	for _, u := range t.Texts("upgrade") {
 		if u == "" || strings.ContainsAny(u, " ,\t") {
-			t.Wrong("upgrade", "%q is no name of a protocol", u)
+			t.Errorf("upgrade", "%q is no name of a protocol", u)
 		}
 		all = append(all, strings.ToLower(u))
 	}
--- a/internal/config/process.go
+++ b/internal/config/process.go
@@ -20,29 +20,29 @@
 	r.group.size = int(t.Integer("instances", 1, 1, maxCount))
 	r.group.index = int(t.Integer("instance", 0, 0, maxCount))
 	if r.group.index >= r.group.size {
-		t.Wrong("instance", "%d is none of %d, counted from 0", r.group.index, r.group.size)
+		t.Errorf("instance", "%d is none of %d, counted from 0", r.group.index, r.group.size)
 	}
 	d := t.Sub("drain")
 	p.Drain = Drain{
-		Idle: d.Span("idle", PlatformDrain.Idle, 0, day), Accept: d.Span("accept", PlatformDrain.Accept, 0, day),
-		Max: d.Span("most", PlatformDrain.Max, 0, day),
+		Idle: d.Duration("idle", PlatformDrain.Idle, 0, day), Accept: d.Duration("accept", PlatformDrain.Accept, 0, day),
+		Max: d.Duration("most", PlatformDrain.Max, 0, day),
 	}
 	if p.Drain.Idle > p.Drain.Accept || p.Drain.Accept > p.Drain.Max {
-		d.Wrong("accept", "idle, accept and most come in this order: %v, %v, %v", p.Drain.Idle, p.Drain.Accept, p.Drain.Max)
+		d.Errorf("accept", "idle, accept and most come in this order: %v, %v, %v", p.Drain.Idle, p.Drain.Accept, p.Drain.Max)
 	}
 	d.Done()
 	p.StateDir, p.ControlSocket = readPath(t, "state"), readPath(t, "control")
 	if len(p.ControlSocket) > maxSocketPath {
-		t.Wrong("control", "%d bytes are more than the %d that the address of a Unix socket may have", len(p.ControlSocket), maxSocketPath)
+		t.Errorf("control", "%d bytes are more than the %d that the address of a Unix socket may have", len(p.ControlSocket), maxSocketPath)
 	}
-	p.CheckpointInterval = t.Span("checkpoint", time.Second, 10*time.Millisecond, day)
+	p.CheckpointInterval = t.Duration("checkpoint", time.Second, 10*time.Millisecond, day)
 	if t.Has("checkpoint") && p.StateDir == "" {
-		t.Wrong("checkpoint", "only with a state directory")
+		t.Errorf("checkpoint", "only with a state directory")
 	}
 	u := t.Sub("upgrade")
 	p.Upgrade = Upgrade{
-		ReadyTimeout: u.Span("within", 15*time.Second, 10*time.Millisecond, day),
-		Probation:    u.Span("probation", 2*time.Second, 0, day),
+		ReadyTimeout: u.Duration("within", 15*time.Second, 10*time.Millisecond, day),
+		Probation:    u.Duration("probation", 2*time.Second, 0, day),
 	}
 	u.Done()
 	t.Done()
--- a/internal/config/quota_plan.go
+++ b/internal/config/quota_plan.go
@@ -14,24 +14,24 @@
 		HardLimitBurst: t.Number("ceiling_burst", 0, 0, maxNumber), HardLimitSlack: t.Number("ceiling_slack", 0, 0, maxNumber),
 	}
 	if p.QuotaRate > 0 && p.QuotaBurst == 0 {
-		t.Wrong("depth", "a rate needs one: units that may be used at once")
+		t.Errorf("depth", "a rate needs one: units that may be used at once")
 	}
 	if t.Has("depth") && p.QuotaRate == 0 {
-		t.Wrong("depth", "only with a rate")
+		t.Errorf("depth", "only with a rate")
 	}
 	if p.HardLimitRate > 0 && p.HardLimitBurst == 0 {
-		t.Wrong("ceiling_burst", "a ceiling needs one")
+		t.Errorf("ceiling_burst", "a ceiling needs one")
 	}
 	for _, key := range []string{"ceiling_burst", "ceiling_slack"} {
 		if t.Has(key) && p.HardLimitRate == 0 {
-			t.Wrong(key, "only with a ceiling_rate")
+			t.Errorf(key, "only with a ceiling_rate")
 		}
 	}
 	if name == "" {
-		t.Wrong("", "a plan needs a name")
+		t.Errorf("", "a plan needs a name")
 	}
 	if p.HardLimitRate > 0 && p.QuotaRate > p.HardLimitRate {
-		t.Wrong("ceiling_rate", "%g is below the rate of %g", p.HardLimitRate, p.QuotaRate)
+		t.Errorf("ceiling_rate", "%g is below the rate of %g", p.HardLimitRate, p.QuotaRate)
 	}
 	t.Done()
 	return p
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -17,23 +17,23 @@
 	}
 	tables := root.Tables("routes")
 	if len(tables) == 0 {
-		root.Wrong("routes", "there is none: no request could reach a service")
+		root.Errorf("routes", "there is none: no request could reach a service")
 	}
 	var rules []route.Rule
 	names := make(map[string]bool)
 	reached := make(map[string]bool)
 	for i, t := range tables {
-		one := Route{RequestClass: t.Str("as", "")}
-		one.Name, one.Service = t.Str("name", ""), t.Str("service", "")
+		one := Route{RequestClass: t.String("as", "")}
+		one.Name, one.Service = t.String("name", ""), t.String("service", "")
 		if one.Name == "" {
 			one.Name = fmt.Sprintf("route-%d", i+1)
 		}
 		if names[one.Name] {
-			t.Wrong("name", "%q is given twice", one.Name)
+			t.Errorf("name", "%q is given twice", one.Name)
 		}
 		names[one.Name] = true
-		one.Host, one.Path, one.Prefix = t.Str("host", ""), t.Str("path", ""), t.Str("prefix", "")
-		one.Method, one.Class = t.Str("method", ""), t.Str("class", "")
+		one.Host, one.Path, one.Prefix = t.String("host", ""), t.String("path", ""), t.String("prefix", "")
+		one.Method, one.Class = t.String("method", ""), t.String("class", "")
 		one.Upgrade = readUpgrades(t)
 		for _, h := range t.Texts("headers") {
 			name, value, equal := strings.Cut(h, ":")
@@ -43,7 +43,7 @@
 			reached[one.Service] = true
 			r.checkGatherRoute(t, one, c, g)
 		} else if s := byName[one.Service]; s == nil {
-			t.Wrong("service", "%q is no service", one.Service)
+			t.Errorf("service", "%q is no service", one.Service)
 		} else {
 			reached[one.Service] = true
 			checkRoute(t, one, s)
@@ -53,12 +53,12 @@
 	}
 	_, problems := route.New(rules)
 	for _, p := range problems {
-		tables[p.Index].Wrong(p.Key, "%v", p.Err)
+		tables[p.Index].Errorf(p.Key, "%v", p.Err)
 	}
 	r.checkGathers(root, c, reached)
 	for _, s := range c.Services {
 		if !reached[s.Name] {
-			root.Sub("services").Wrong(s.Name, "no route leads to it")
+			root.Sub("services").Errorf(s.Name, "no route leads to it")
 		}
 	}
 }
@@ -67,7 +67,7 @@
 func checkRoute(t tree.Table, r Route, s *Service) {
 	name, key := r.RequestClass, "as"
 	if len(r.Upgrade) > 0 && s.HTTP == nil {
-		t.Wrong("upgrade", `only to a service of protocol = "http"`)
+		t.Errorf("upgrade", `only to a service of protocol = "http"`)
 	}
 	if s.HTTP != nil && name == "" { // its classes follow from the method
 		return
@@ -88,9 +88,9 @@
 			continue
 		}
 		if want := service.ClassMethod(k); s.HTTP == nil && r.Method != "" && r.Method != want {
-			t.Wrong("method", "can never be served: class %s is asked for by %s", name, want)
+			t.Errorf("method", "can never be served: class %s is asked for by %s", name, want)
 		}
 		return
 	}
-	t.Wrong(key, "can never be served: service %s has no class %q (as = ... names one)", s.Name, name)
+	t.Errorf(key, "can never be served: service %s has no class %q (as = ... names one)", s.Name, name)
 }
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -20,20 +20,20 @@
 		speaks = t.OneOf("protocol", protocols...)
 	}
 	s := Service{
-		Name: name, Required: t.Flag("required", true), OnPanic: service.PanicPolicy(t.OneOf("on_panic", "end", "restart")),
-		ConnectTimeout:   t.Span("connect_timeout", 250*time.Millisecond, time.Millisecond, time.Minute),
-		Keepalive:        t.Span("keepalive", 15*time.Second, 100*time.Millisecond, day),
+		Name: name, Required: t.Bool("required", true), OnPanic: service.PanicPolicy(t.OneOf("on_panic", "end", "restart")),
+		ConnectTimeout:   t.Duration("connect_timeout", 250*time.Millisecond, time.Millisecond, time.Minute),
+		Keepalive:        t.Duration("keepalive", 15*time.Second, 100*time.Millisecond, day),
 		MaxBodyBytes:     t.Size("body", protocol.MaxBodyBytes, 0, maxBodyBytes),
 		MaxResponseBytes: t.Size("answer", protocol.MaxBodyBytes, 1, maxResponseBytes),
 	}
 	set := control.Settings{
-		SelfIndex: r.group.index, GroupSize: r.group.size, Zone: t.Str("zone", ""),
-		DrainGrace: t.Span("drain_grace", 2*time.Second, 0, day), WarmupTime: t.Span("cold", 15*time.Second, 0, day),
-		InitialCapacity: t.Number("cold_from", 0.15, 0, 1), OverloadWindow: t.Span("fall", 2*time.Second, 0, day),
-		OverloadMultiple: t.Number("fall_multiple", 2.5, 0, maxNumber), MeterPeriod: t.Span("meter_period", 0, 0, day),
-		UnitsInResponse: t.Flag("cost_after", false), MaxUnits: t.Number("units_top", 0, 0, maxNumber),
-		MaxAttempts: int(t.Integer("attempts", 6, 1, 1000)), CanCancel: true, RetriesAreMarked: t.Flag("marks_retry", true),
-		MaxRetryAfter: t.Span("retry_after", time.Second, 0, day),
+		SelfIndex: r.group.index, GroupSize: r.group.size, Zone: t.String("zone", ""),
+		DrainGrace: t.Duration("drain_grace", 2*time.Second, 0, day), WarmupTime: t.Duration("cold", 15*time.Second, 0, day),
+		InitialCapacity: t.Number("cold_from", 0.15, 0, 1), OverloadWindow: t.Duration("fall", 2*time.Second, 0, day),
+		OverloadMultiple: t.Number("fall_multiple", 2.5, 0, maxNumber), MeterPeriod: t.Duration("meter_period", 0, 0, day),
+		UnitsInResponse: t.Bool("cost_after", false), MaxUnits: t.Number("units_top", 0, 0, maxNumber),
+		MaxAttempts: int(t.Integer("attempts", 6, 1, 1000)), CanCancel: true, RetriesAreMarked: t.Bool("marks_retry", true),
+		MaxRetryAfter: t.Duration("retry_after", time.Second, 0, day),
 	}
 	set.SupportsRetryAfter = set.MaxRetryAfter > 0
 	isGenericHTTP := protocols[speaks] == "http"
@@ -59,10 +59,10 @@
 	rec := t.Sub("record")
 	s.Record = Record{Dir: readPath(rec, "dir"), MaxBytes: rec.Size("bytes", 64<<20, 1<<20, maxBytes)}
 	if t.Has("record") && s.Record.Dir == "" {
-		rec.Wrong("dir", "it has to be said where the recordings go")
+		rec.Errorf("dir", "it has to be said where the recordings go")
 	}
 	if s.Record.Dir != "" && strings.ContainsAny(name, "/\\*?[") {
-		rec.Wrong("dir", "the service's name %q can't begin a file's", name)
+		rec.Errorf("dir", "the service's name %q can't begin a file's", name)
 	}
 	rec.Done()
 	t.Sub("guaranteed") // read by divide, once all are known
@@ -75,13 +75,13 @@
 	s := Servers{Protocol: upstream.Protocol(t.OneOf("protocol", discovery.Protocols...))}
 	s.MaxStreams = int(t.Integer("streams", 100, 1, 10000))
 	s.MaxConnections = int(t.Integer("connections", 2, 1, 100))
-	s.MaxAge = t.Span("age", 0, 0, day)
-	s.HTTP2RetryInterval = t.Span("again", time.Minute, 100*time.Millisecond, day)
+	s.MaxAge = t.Duration("age", 0, 0, day)
+	s.HTTP2RetryInterval = t.Duration("again", time.Minute, 100*time.Millisecond, day)
 	if t.Has("tls") {
 		c := t.Sub("tls")
-		s.TLS = certs.Options{On: true, CA: readPath(c, "ca"), Cert: readPath(c, "cert"), Key: readPath(c, "key"), Name: c.Str("name", "")}
+		s.TLS = certs.Options{On: true, CA: readPath(c, "ca"), Cert: readPath(c, "cert"), Key: readPath(c, "key"), Name: c.String("name", "")}
 		if (s.TLS.Cert == "") != (s.TLS.Key == "") {
-			c.Wrong("cert", "a certificate needs its key, and a key its certificate")
+			c.Errorf("cert", "a certificate needs its key, and a key its certificate")
 		}
 		c.Done()
 	}
@@ -93,17 +93,17 @@
 func (r *reader) readNames(t tree.Table, key string, all []string, none bool) []string {
 	if !t.Has(key) {
 		if len(all) == 0 && !none {
-			t.Wrong(key, "the file has none")
+			t.Errorf(key, "the file has none")
 		}
 		return all
 	}
 	names := t.Texts(key)
 	if len(names) == 0 {
-		t.Wrong(key, "there is none")
+		t.Errorf(key, "there is none")
 	}
 	for _, n := range names {
 		if !slices.Contains(all, n) {
-			t.Wrong(key, "%q is none of the file's", n)
+			t.Errorf(key, "%q is none of the file's", n)
 		}
 	}
 	return names
--- a/internal/config/tree/merge.go
+++ b/internal/config/tree/merge.go
@@ -20,7 +20,7 @@
 	root := base.node.clone()
 	for _, key := range t.Texts(RemovedKeys) {
 		if !remove(root, key, named) {
-			t.Wrong(RemovedKeys, "%q is not in the base", key)
+			t.Errorf(RemovedKeys, "%q is not in the base", key)
 		}
 	}
 	change := t.node.clone()
--- a/internal/config/tree/table.go
+++ b/internal/config/tree/table.go
@@ -24,23 +24,23 @@
 // Path is a key of the table's, dotted.
 func (t Table) Path(key string) string { return strings.TrimPrefix(t.path+"."+key, ".") }
 
-// Wrong says what is wrong with a key; where it is not given, the table's line is told. The key "" is
+// Errorf says what is wrong with a key; where it is not given, the table's line is told. The key "" is
 // the table itself.
-func (t Table) Wrong(key, format string, args ...any) {
+func (t Table) Errorf(key, format string, args ...any) {
 	n := t.node
 	if in := t.node.table[key]; in != nil {
 		n = in
 	}
-	t.WrongItem(n, key, format, args...)
+	t.ItemErrorf(n, key, format, args...)
 }
 
-// WrongItem says what is wrong with an item of a key's list.
-func (t Table) WrongItem(n *Node, key, format string, args ...any) {
+// ItemErrorf says what is wrong with an item of a key's list.
+func (t Table) ItemErrorf(n *Node, key, format string, args ...any) {
 	at := t.path
 	if key != "" {
 		at = t.Path(key)
 	}
-	t.reading.Wrong(n.file, n.line, at, format, args...)
+	t.reading.Errorf(n.file, n.line, at, format, args...)
 }
 
 // Has tells whether a key is given.
@@ -54,21 +54,21 @@
 	}
 	n.read = true
 	if v, ok = n.value.(T); !ok {
-		t.Wrong(key, "it has to be %s", want)
+		t.Errorf(key, "it has to be %s", want)
 	}
 	return v, ok
 }
 
-// Str reads a text.
-func (t Table) Str(key, missing string) string {
+// String reads a text.
+func (t Table) String(key, missing string) string {
 	if v, ok := get[string](t, key, "a text"); ok {
 		return v
 	}
 	return missing
 }
 
-// Flag reads true or false.
-func (t Table) Flag(key string, missing bool) bool {
+// Bool reads true or false.
+func (t Table) Bool(key string, missing bool) bool {
 	if v, ok := get[bool](t, key, "true or false"); ok {
 		return v
 	}
@@ -83,7 +83,7 @@
 	v, ok := get[string](t, key, "a text")
 	i := slices.Index(words, v)
 	if ok && i < 0 {
-		t.Wrong(key, "%q is none of %s", v, strings.Join(words, ", "))
+		t.Errorf(key, "%q is none of %s", v, strings.Join(words, ", "))
 	}
 	return max(i, 0)
 }
@@ -100,7 +100,7 @@
 // bounded gives a value that is within bounds; another one, or none, is wrong.
 func bounded[T cmp.Ordered](t Table, key string, v, missing, lower, upper T) T {
 	if !(v >= lower && v <= upper) { // also of no number
-		t.Wrong(key, "%v is not within %v and %v", v, lower, upper)
+		t.Errorf(key, "%v is not within %v and %v", v, lower, upper)
 		return missing
 	}
 	return v
@@ -118,21 +118,21 @@
 		v, ok = float64(i), true
 	}
 	if !ok {
-		t.Wrong(key, "it has to be a number")
+		t.Errorf(key, "it has to be a number")
 		return missing
 	}
 	return bounded(t, key, v, missing, lower, upper)
 }
 
-// Span reads a time such as "250ms" within bounds.
-func (t Table) Span(key string, missing, lower, upper time.Duration) time.Duration {
+// Duration reads a time such as "250ms" within bounds.
+func (t Table) Duration(key string, missing, lower, upper time.Duration) time.Duration {
 	s, ok := get[string](t, key, `a time such as "250ms"`)
 	if !ok {
 		return missing
 	}
 	d, err := time.ParseDuration(s)
 	if err != nil {
-		t.Wrong(key, `%q is no time such as "250ms"`, s)
+		t.Errorf(key, `%q is no time such as "250ms"`, s)
 		return missing
 	}
 	return bounded(t, key, d, missing, lower, upper)
@@ -163,11 +163,11 @@
 		}
 	}
 	if !ok {
-		t.Wrong(key, `it has to be a number of bytes or a size such as "16MiB"`)
+		t.Errorf(key, `it has to be a number of bytes or a size such as "16MiB"`)
 		return missing
 	}
 	if v < lower || v > upper {
-		t.Wrong(key, "%d bytes are not within %d and %d", v, lower, upper)
+		t.Errorf(key, "%d bytes are not within %d and %d", v, lower, upper)
 		return missing
 	}
 	return v
@@ -179,11 +179,11 @@
 	for i, n := range t.List(key) {
 		v, ok := n.value.(string)
 		if !ok {
-			t.WrongItem(n, key, "item %d has to be a text", i+1)
+			t.ItemErrorf(n, key, "item %d has to be a text", i+1)
 			continue
 		}
 		if slices.Contains(all, v) {
-			t.WrongItem(n, key, "%q is given twice", v)
+			t.ItemErrorf(n, key, "%q is given twice", v)
 		}
 		all = append(all, v)
 	}
@@ -198,7 +198,7 @@
 	}
 	n.read = true
 	if !n.isList {
-		t.Wrong(key, "it has to be a list")
+		t.Errorf(key, "it has to be a list")
 	}
 	return n.array
 }
@@ -222,7 +222,7 @@
 	}
 	n.read = true
 	if n.table == nil {
-		t.Wrong(key, "it has to be a table")
+		t.Errorf(key, "it has to be a table")
 		n = &Node{file: n.file, line: n.line, table: map[string]*Node{}}
 	}
 	return Table{t.reading, n, t.Path(key)}
@@ -251,7 +251,7 @@
 func (t Table) Done() {
 	for key, n := range t.node.table {
 		if !n.read {
-			t.WrongItem(n, key, "unknown key")
+			t.ItemErrorf(n, key, "unknown key")
 		}
 	}
 }
@@ -270,7 +270,7 @@
 func (t Table) Item(n *Node, key string, i int) (item Table, ok bool) {
 	path := fmt.Sprintf("%s[%d]", t.Path(key), i+1)
 	if n.table == nil {
-		t.reading.Wrong(n.file, n.line, path, "it has to be a table")
+		t.reading.Errorf(n.file, n.line, path, "it has to be a table")
 	}
 	return Table{t.reading, n, path}, n.table != nil
 }
--- a/internal/config/tree/tree.go
+++ b/internal/config/tree/tree.go
@@ -81,8 +81,8 @@
 	return r.problems
 }
 
-// Wrong notes what is wrong at a place; what follows there from the first is not told.
-func (r *Reading) Wrong(file string, line int, key, format string, args ...any) {
+// Errorf notes what is wrong at a place; what follows there from the first is not told.
+func (r *Reading) Errorf(file string, line int, key, format string, args ...any) {
 	if r.reported == nil {
 		r.reported = make(map[FieldError]bool)
 	}
@@ -112,7 +112,7 @@
 			line, _ = d.Position()
 			key = strings.Join(d.Key(), ".")
 		}
-		r.Wrong(name, line, key, "%s", strings.TrimPrefix(err.Error(), "toml: "))
+		r.Errorf(name, line, key, "%s", strings.TrimPrefix(err.Error(), "toml: "))
 		return nil
 	}
 	p := &parser{file: name, lines: []int{0}}
--- a/internal/fleetfile/fleetfile.go
+++ b/internal/fleetfile/fleetfile.go
@@ -110,21 +110,21 @@
 	names, tables := root.NamedTables("regions")
 	switch {
 	case len(names) == 0:
-		root.Wrong("regions", "there is none")
+		root.Errorf("regions", "there is none")
 	case len(names) > maxRegions:
-		root.Wrong("regions", "%d are more than %d", len(names), maxRegions)
+		root.Errorf("regions", "%d are more than %d", len(names), maxRegions)
 		return File{}, t.Err()
 	}
 	isBaseUsed := false
 	for i, name := range names {
 		if !validName(name) {
-			tables[i].Wrong("", "%q is no name: letters, digits, '-' and '_', at most %d", name, maxNameBytes)
+			tables[i].Errorf("", "%q is no name: letters, digits, '-' and '_', at most %d", name, maxNameBytes)
 		}
 		isBaseUsed = isBaseUsed || !tables[i].Has("config")
 		f.All = append(f.All, r.readRegion(name, tables[i], root.Has("base"), base, hasBase))
 	}
 	if root.Has("base") && !isBaseUsed && len(names) > 0 {
-		root.Wrong("base", "every region has a config of its own: nothing stands on it")
+		root.Errorf("base", "every region has a config of its own: nothing stands on it")
 	}
 	f.Waivers = readWaivers(root, names)
 	root.Done()
@@ -154,9 +154,9 @@
 
 // readFile reads the file that a key names; a relative path starts at the fleet file's directory.
 func (r *reader) readFile(t tree.Table, key string) (path string, raw []byte, ok bool) {
-	path = t.Str(key, "")
+	path = t.String(key, "")
 	if path == "" {
-		t.Wrong(key, "it has to name a file")
+		t.Errorf(key, "it has to name a file")
 		return "", nil, false
 	}
 	if !filepath.IsAbs(path) {
@@ -168,7 +168,7 @@
 		r.files[path] = got
 	}
 	if got.err != nil {
-		t.Wrong(key, "%v", got.err)
+		t.Errorf(key, "%v", got.err)
 	}
 	return path, got.raw, got.err == nil
 }
@@ -187,7 +187,7 @@
 	one := Region{Name: name, Listeners: t.Texts("listeners"), Instances: int(t.Integer("instances", 0, 1, 1<<20))}
 	for _, l := range one.Listeners {
 		if host, port, err := net.SplitHostPort(l); err != nil || host == "" || port == "" {
-			t.Wrong("listeners", "%q is no host:port", l)
+			t.Errorf("listeners", "%q is no host:port", l)
 		}
 	}
 	r.readMembers(name, t, &one)
@@ -195,7 +195,7 @@
 	hasChange := t.Has("change")
 	switch {
 	case hasConfig && hasChange:
-		t.Wrong("change", "not beside config: that is a whole configuration")
+		t.Errorf("change", "not beside config: that is a whole configuration")
 		t.Value("config")
 		t.Value("change")
 	case hasConfig:
@@ -206,10 +206,10 @@
 			}
 		}
 	case !hasBaseKey && hasChange:
-		t.Wrong("change", "there is no base that it could change")
+		t.Errorf("change", "there is no base that it could change")
 		t.Value("change")
 	case !hasBaseKey:
-		t.Wrong("config", "it has to be said what its members run")
+		t.Errorf("config", "it has to be said what its members run")
 	case !hasChange && hasBase:
 		one.setMerged(t, base.MergeOver(base.Empty(), routesKey), base)
 	case hasChange:
@@ -221,7 +221,7 @@
 	r.bytes += len(one.Text)
 	if r.bytes > maxBytes && !r.isTooLarge {
 		r.isTooLarge = true
-		t.Wrong("", "the configurations up to here have %d bytes together, more than %d", r.bytes, maxBytes)
+		t.Errorf("", "the configurations up to here have %d bytes together, more than %d", r.bytes, maxBytes)
 	}
 	one.Hash = desiredstate.Hash(one.Text)
 	one.Config.Hash = one.Hash
@@ -232,7 +232,7 @@
 func (one *Region) setMerged(t tree.Table, doc, base tree.Table) {
 	var err error
 	if one.Text, err = doc.Text(); err != nil {
-		t.Wrong("change", "%v", err)
+		t.Errorf("change", "%v", err)
 	}
 	one.readConfig(doc, base.Node().File())
 }
@@ -247,7 +247,7 @@
 
 // readMembers reads the members of a region, a list of control sockets.
 func (r *reader) readMembers(region string, t tree.Table, one *Region) {
-	zone := t.Str("zone", "")
+	zone := t.String("zone", "")
 	for i, n := range t.List("members") {
 		m, ok := readMember(t, n, i, zone)
 		if !ok {
@@ -256,15 +256,15 @@
 		socket := filepath.Clean(m.Socket)
 		switch other, isKnown := r.members[socket]; {
 		case !filepath.IsAbs(m.Socket):
-			t.WrongItem(n, "members", "%q is no absolute path", m.Socket)
+			t.ItemErrorf(n, "members", "%q is no absolute path", m.Socket)
 		case len(m.Socket) > maxSocketPath:
-			t.WrongItem(n, "members", "%d bytes are more than the %d that the address of a Unix socket may have", len(m.Socket), maxSocketPath)
+			t.ItemErrorf(n, "members", "%d bytes are more than the %d that the address of a Unix socket may have", len(m.Socket), maxSocketPath)
 		case isKnown && other == region:
-			t.WrongItem(n, "members", "%q is given twice", m.Socket)
+			t.ItemErrorf(n, "members", "%q is given twice", m.Socket)
 		case isKnown:
-			t.WrongItem(n, "members", "%q is a member of region %s too", m.Socket, other)
+			t.ItemErrorf(n, "members", "%q is a member of region %s too", m.Socket, other)
 		case len(r.members) >= maxMembers:
-			t.WrongItem(n, "members", "the regions have more than %d members", maxMembers)
+			t.ItemErrorf(n, "members", "the regions have more than %d members", maxMembers)
 			return
 		default:
 			r.members[socket] = region
@@ -273,7 +273,7 @@
 		}
 	}
 	if n := t.List("members"); len(n) == 0 {
-		t.Wrong("members", "the region is empty")
+		t.Errorf("members", "the region is empty")
 	}
 }
 
@@ -287,11 +287,11 @@
 		if !ok {
 			return Member{}, false
 		}
-		m := Member{Socket: item.Str("socket", ""), Zone: item.Str("zone", zone)}
+		m := Member{Socket: item.String("socket", ""), Zone: item.String("zone", zone)}
 		item.Done()
 		return m, true
 	}
-	t.WrongItem(n, "members", "item %d has to be a path or { socket, zone }", i+1)
+	t.ItemErrorf(n, "members", "item %d has to be a path or { socket, zone }", i+1)
 	return Member{}, false
 }
 
--- a/internal/fleetfile/waivers.go
+++ b/internal/fleetfile/waivers.go
@@ -36,7 +36,7 @@
 	var all []Waiver
 	tables := root.Tables("waivers")
 	if len(tables) > maxWaivers {
-		root.Wrong("waivers", "%d are more than %d", len(tables), maxWaivers)
+		root.Errorf("waivers", "%d are more than %d", len(tables), maxWaivers)
 		return nil
 	}
 	for _, t := range tables {
@@ -54,7 +54,7 @@
 		Kind:    waivableKinds[t.OneOf("kind", kinds...)],
 		Regions: t.Texts("regions"),
 		Rules:   t.Texts("rules"),
-		Reason:  strings.TrimSpace(t.Str("reason", "")),
+		Reason:  strings.TrimSpace(t.String("reason", "")),
 		Line:    t.Node().Line(),
 	}
 	isMissing := map[string]bool{
@@ -65,12 +65,12 @@
 	}
 	for key, missing := range isMissing {
 		if missing {
-			t.Wrong(key, "a waiver needs it")
+			t.Errorf(key, "a waiver needs it")
 		}
 	}
 	for _, name := range w.Regions {
 		if !slices.Contains(names, name) {
-			t.Wrong("regions", "%q is no region of this file", name)
+			t.Errorf("regions", "%q is no region of this file", name)
 		}
 	}
 	w.Until = readUntil(t)
@@ -82,7 +82,7 @@
 func readUntil(t tree.Table) time.Time {
 	switch v := t.Value("until").(type) {
 	case nil:
-		t.Wrong("until", "a waiver needs an end: the last day on which it waives, such as 2027-01-31")
+		t.Errorf("until", "a waiver needs an end: the last day on which it waives, such as 2027-01-31")
 	case toml.LocalDate:
 		return v.AsTime(time.UTC).AddDate(0, 0, 1)
 	case string:
@@ -90,9 +90,9 @@
 		if err == nil {
 			return day.AddDate(0, 0, 1)
 		}
-		t.Wrong("until", "%q is no date such as 2027-01-31", v)
+		t.Errorf("until", "%q is no date such as 2027-01-31", v)
 	default:
-		t.Wrong("until", "it has to be a date such as 2027-01-31")
+		t.Errorf("until", "it has to be a date such as 2027-01-31")
 	}
 	return time.Time{}
 }
