--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -176,7 +176,7 @@
 	if err := d.openPIDFile(); err != nil {
 		return err
 	}
-	directory := d.cfg.Process.State
+	directory := d.cfg.Process.StateDir
 	if directory != "" {
 		store, err := state.Open(directory, d.inheritedFile(filePrefixLock+directory))
 		if err != nil {
@@ -249,7 +249,7 @@
 // listenControl opens the control socket, on which served answers. Where it is open already and is not to be taken
 // over, served answers there from now on.
 func (d *daemon) listenControl(served manage.Daemon, takeOver bool) (err error) {
-	path := d.cfg.Process.Control
+	path := d.cfg.Process.ControlSocket
 	if path == "" {
 		return nil
 	}
