--- a/control/attempts.go
+++ b/control/attempts.go
@@ -135,7 +135,7 @@
 // recordSuccess takes an attempt that the server answered.
 func (c *Controller) recordSuccess(attempt *pendingAttempt, event AttemptResult) {
 	req := attempt.request
-	if !attempt.server.slowStart.isActive {
+	if !attempt.server.isWarmingUp() {
 		c.window.recordServed(c.countedUnits(req.units))
 	}
 	if event.ActualUnits > 0 && c.settings.UnitsInResponse {
@@ -157,7 +157,7 @@
 		attempt.request.plan.recordLateness((c.now - attempt.request.arrivedAt).Seconds() / objective)
 	}
 	// Guards against a limit that is cut because servers are warming up: they are slow with little load.
-	if attempt.server.slowStart.isActive {
+	if attempt.server.isWarmingUp() {
 		return
 	}
 	c.fleet.latency.add(math.Min(seconds, objective), fleetEstimateGain)
--- a/control/concurrency_limit.go
+++ b/control/concurrency_limit.go
@@ -43,53 +43,51 @@
 	l.limit = math.Max(minLimit, first*usable)
 }
 
-// update cuts the limit on overload in a window, and raises it if there was none and it was reached.
+// update cuts the limit on overload in a window, and raises it if there was none and it was reached. It
+// returns whether there was overload; the limit is not cut again soon after a cut.
 func (l *concurrencyLimiter) update(
 	now time.Duration, window *controlWindow, latency runningMean, minLimit float64,
-) {
+) (isOverloaded bool) {
 	l.idleLatency = math.Min(l.idleLatency*idleLatencyDrift, latency.mean)
 	if latency.count < minIdleLatencySamples || l.idleLatency == 0 {
 		l.idleLatency = latency.mean
 	}
-	overloadFraction := window.overloadFraction()
-	if l.isOverloaded(window, overloadFraction) {
-		window.wasCut = true
+	isOverloaded = l.isOverloaded(window)
+	if isOverloaded {
 		if now >= l.cutAt+durationOf(2*latency.mean) { // the answers are to attempts after the last cut
 			l.cutAt = now
 			l.limit *= limitDecreaseFactor
 		}
-	} else if overloadFraction <= overloadHoldFraction && window.limitReached {
+	} else if window.overloadFraction() <= overloadHoldFraction && window.limitReached {
 		l.limit *= limitIncreaseFactor
 	}
 	l.limit = math.Max(l.limit, minLimit)
+	return isOverloaded
 }
 
 // isOverloaded tells whether a window shows that servers have too much to do.
-func (l *concurrencyLimiter) isOverloaded(window *controlWindow, overloadFraction float64) bool {
+func (l *concurrencyLimiter) isOverloaded(window *controlWindow) bool {
 	// Guards, in a large group, against cutting for a few answers that are slow by chance or come from
 	// slow servers, to which others send no less; many answers are sure without load reports.
 	isSure := window.latencyCount >= sureAnswerCount || window.utilizationCount == 0
-	reportsAreFull := window.utilizationSum > window.utilizationCount*fullUtilization
-	if !isSure && !reportsAreFull {
+	if !isSure && !window.isUtilizedAbove(fullUtilization) {
 		return false
 	}
 	if l.isLate(window) {
 		return true
 	}
 	// Guards against servers that reject a plan though they have capacity: answers are not slow then.
-	isSlow := window.latencyCount == 0 ||
-		window.latencySecondsSum > window.latencyCount*overloadIdleLatencyFactor*l.idleLatency
-	return overloadFraction > overloadCutFraction && isSlow
+	isSlow := window.latencyCount == 0 || window.isSlowerThan(overloadIdleLatencyFactor, l.idleLatency)
+	return window.overloadFraction() > overloadCutFraction && isSlow
 }
 
 // isLate tells whether the mean latency of a window shows overload by itself.
 func (l *concurrencyLimiter) isLate(window *controlWindow) bool {
-	latencyRatio := window.latencyRatioSum / math.Max(1, window.latencyCount)
+	latencyRatio := window.meanLatencyRatio()
 	if latencyRatio > latencyHardCutFraction {
 		return true
 	}
-	isAboveIdle := window.latencySecondsSum > window.latencyCount*idleLatencyCutFactor*l.idleLatency
-	return latencyRatio > latencyCutFraction && isAboveIdle
+	return latencyRatio > latencyCutFraction && window.isSlowerThan(idleLatencyCutFactor, l.idleLatency)
 }
 
 // hasFreeSlot tells whether another attempt is within the limit. A fractional slot pauses after each
--- a/control/control_window.go
+++ b/control/control_window.go
@@ -26,6 +26,22 @@
 	return w.overloads / math.Max(1, w.overloads+w.answers)
 }
 
+// meanLatencyRatio is the mean of latency over objective, zero without answers.
+func (w *controlWindow) meanLatencyRatio() float64 {
+	return w.latencyRatioSum / math.Max(1, w.latencyCount)
+}
+
+// isSlowerThan tells whether the mean latency is above a multiple of another one.
+func (w *controlWindow) isSlowerThan(multiple, latencySeconds float64) bool {
+	return w.latencySecondsSum > w.latencyCount*multiple*latencySeconds
+}
+
+// isUtilizedAbove tells whether servers reported that more than a part of their cores is busy; false without
+// reports.
+func (w *controlWindow) isUtilizedAbove(fraction float64) bool {
+	return w.utilizationSum > w.utilizationCount*fraction
+}
+
 func (w *controlWindow) recordAnswer() { w.answers++ }
 
 func (w *controlWindow) recordOverload() { w.overloads++ }
--- a/control/doc.go
+++ b/control/doc.go
@@ -6,13 +6,17 @@
 // it does no I/O, and takes time with each event and its randomness from a seed, so that the same events lead to the
 // same actions. It is not safe for concurrent use. All of its state is bounded and expires.
 //
-// The path of a request:
+// The Controller keeps the clock and hands events on to one type for each concern, which take time and randomness as
+// arguments. In the order of a request's path:
 //
-//   - Admission: hard limit, quota and the metered rejection probability (admission.go, usage.go).
-//   - The queue of its plan, served by weighted round robin; shares are set by package sharecontrol.
-//   - The concurrency limit, cut on overload and raised without.
-//   - The choice of server: expected wait, outlier ejection and slow start.
-//   - The end of the attempt: an answer, a retry within the retry budget, or a rejection.
+//   - clientWaitEstimator (client_wait.go): how long the client has waited already.
+//   - admission (admission.go) with accountTable (accounts.go): token buckets of quotas and hard limits, and the
+//     metered rejection probability, by usageEstimator (usage.go, meter_clock.go, in_flight_quota.go).
+//   - scheduler (scheduler.go) with planQueue: weighted round robin; shares are set by package sharecontrol.
+//   - concurrencyLimiter (concurrency_limit.go): cut on overload and raised without, by a controlWindow.
+//   - endpointSelector (endpoint_choice.go) with serverFleet (endpoints.go): the server of the least expected wait,
+//     limited by outlierDetector (outlier.go) and slowStart (slow_start.go, throughput.go).
+//   - retryPolicy (retries.go): whether a failed attempt is followed by another one.
 //
 // A Checkpoint is what another controller can go on from, after a reload, an upgrade or a restart; an Image is the
 // complete state, for recordings. The files that decide are those that deploy/balancer.toml lists under policy; the
--- a/control/endpoint_choice.go
+++ b/control/endpoint_choice.go
@@ -38,8 +38,7 @@
 		if !srv.isUsable() || !req.isRepeatDroppedBy(srv, now) {
 			continue
 		}
-		load := srv.inFlight + srv.abandoned
-		if !srv.slowStart.allows(now, s.slowStart, load, rateFraction, s.fleet) {
+		if !srv.slowStart.allows(now, s.slowStart, srv.currentLoad(), rateFraction, s.fleet) {
 			continue
 		}
 		cost := s.expectedWait(now, srv, unknownPenalty, rng.Float64())
@@ -104,7 +103,7 @@
 		freshSamples := srv.latency.samples * decayFactor(now-srv.latency.updatedAt, latencyDecaySeconds)
 		latency += (srv.latency.seconds - fleetLatency) * freshSamples / (freshSamples + latencyPriorSamples)
 	}
-	if srv.slowStart.isActive { // it has no reports yet, and its budget is below its capacity
+	if srv.isWarmingUp() { // it has no reports yet, and its budget is below its capacity
 		slowdown = 1
 	}
 	if srv.load.reportedAt > 0 {
@@ -117,7 +116,7 @@
 		latency = math.Max(latency, (now - srv.lastActivityAt).Seconds())
 	}
 	latency *= 1 + utilizationPenalty*busy*busy*busy*busy
-	cost := latency * (float64(srv.inFlight+srv.abandoned) + 1)
+	cost := latency * (float64(srv.currentLoad()) + 1)
 	return cost * srv.outlier.costFactor(now) * (1 + tieBreakNoise*noise)
 }
 
--- a/control/fleet.go
+++ b/control/fleet.go
@@ -1,6 +1,9 @@
 package control
 
-import "math"
+import (
+	"math"
+	"time"
+)
 
 // fleetEstimate is what is known of all servers together, and of the requests to them.
 type fleetEstimate struct {
@@ -9,7 +12,7 @@
 	reportedLatency runningMean // seconds, by the same reports
 	warmThroughput  runningMean // units a second by servers that are not warming up
 	warmServers     runningMean // how many those were
-	peakThroughput  float64     // the highest of late that one of them could serve, by both means and its utilization
+	peakThroughput  float64     // the highest of late that one of them could serve
 	requestUnits    runningMean
 }
 
@@ -20,3 +23,10 @@
 	m.count++
 	m.mean += math.Max(minGain, 1/m.count) * (value - m.mean)
 }
+
+// decayFactor is the part of a quantity that is left after a time in which it decays exponentially.
+func decayFactor(elapsed time.Duration, timeConstantSeconds float64) float64 {
+	return math.Exp(-elapsed.Seconds() / timeConstantSeconds)
+}
+
+func durationOf(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
--- a/control/plan_queue.go
+++ b/control/plan_queue.go
@@ -15,9 +15,6 @@
 
 	firstReadingUsage  float64 // mean of first readings of its customers, in quotas
 	firstReadingExcess float64 // what of that is beyond the quota
-
-	nextRequest *request // first eligible request, and its server, during one turn
-	nextServer  *server
 }
 
 // recordLateness takes the latency of a request over its objective.
--- a/control/policy_files_test.go
+++ b/control/policy_files_test.go
@@ -13,9 +13,9 @@
 
 // bookkeepingFiles hold types, state and its storage, and decide nothing. Each file is either one of them or policy.
 var bookkeepingFiles = []string{
-	"account.go", "account_storage.go", "actions.go", "checkpoint.go", "doc.go", "events.go", "fleet.go",
-	"history.go", "image.go", "image_take.go", "request.go", "restore.go", "resume.go", "server.go",
-	"server_storage.go", "settings.go", "shift.go", "sharecontrol/state.go", "state.go",
+	"account.go", "account_storage.go", "actions.go", "checkpoint.go", "doc.go", "events.go",
+	"history.go", "image.go", "image_take.go", "request.go", "restore.go", "resume.go",
+	"server_storage.go", "settings.go", "shift.go", "sharecontrol/state.go",
 }
 
 // The files that decide, which both deploy files list alike, are there and are not just a few; each line has a limit.
--- a/control/scheduler.go
+++ b/control/scheduler.go
@@ -43,25 +43,26 @@
 
 // nextTurn is one step of the weighted round robin among the plans that have an eligible request: the
 // one that is farthest behind its share comes next. It returns nil if no plan has one.
-func (s *scheduler) nextTurn(now time.Duration, servers serverChooser) (*request, *server) {
+func (s *scheduler) nextTurn(now time.Duration, servers serverChooser) (next *request, srv *server) {
 	var best *planQueue
 	totalShare := 0.0
 	for _, plan := range s.plans {
-		plan.nextRequest, plan.nextServer = plan.nextEligible(now, servers)
-		if plan.nextRequest == nil {
+		eligible, chosen := plan.nextEligible(now, servers)
+		if eligible == nil {
 			continue
 		}
 		plan.deficit += plan.share
 		totalShare += plan.share
 		if best == nil || plan.deficit > best.deficit {
 			best = plan
+			next = eligible
+			srv = chosen
 		}
 	}
-	if best == nil {
-		return nil, nil
+	if best != nil {
+		best.deficit -= totalShare
 	}
-	best.deficit -= totalShare
-	return best.nextRequest, best.nextServer
+	return next, srv
 }
 
 // nextEligible is a plan's first request that may be sent now, and its server. Requests that wait for
--- a/control/server.go
+++ b/control/server.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// server is what a controller knows of one server. The fields of each part are touched by the part's own methods
-// only, but for restarts, checkpoints and images.
+// server is what a controller knows of one server. The fields of each part are touched by the part's own
+// methods only, but for restarts, checkpoints and images.
 type server struct {
 	Endpoint
 	isListed       bool
@@ -18,6 +18,12 @@
 
 func (s *server) isUsable() bool { return s.isListed && s.State == Active }
 
+// isWarmingUp tells whether the server is in its slow start.
+func (s *server) isWarmingUp() bool { return s.slowStart.isActive }
+
+// currentLoad is the attempts of this gateway that run at the server or are presumed to.
+func (s *server) currentLoad() int { return s.inFlight + s.abandoned }
+
 // bootTime is when a server started, 0 for long ago.
 func (s *server) bootTime() time.Duration {
 	if !s.HasStartedAt {
--- a/control/settings.go
+++ b/control/settings.go
@@ -33,8 +33,8 @@
 	LatencyObjective   time.Duration `cbor:"Aim" plan:"aim"`           // an answer within it has its full weight
 	Deadline           time.Duration `cbor:"Deadline" plan:"deadline"` // what a client waits at most, over all attempts of its own
 	Idempotency        Idempotency   `cbor:"Effect" plan:"repeats"`
-	KeyScope           KeyScope      `cbor:"KeyScope" plan:"key_scope"`         // with IdempotencyKeyed
-	RepeatWindow       time.Duration `cbor:"RepeatWindow" plan:"repeat_window"` // with IdempotencyKeyed: how long repeats are dropped
+	KeyScope           KeyScope      `cbor:"KeyScope" plan:"key_scope"`         // with IdempotentWithKey
+	RepeatWindow       time.Duration `cbor:"RepeatWindow" plan:"repeat_window"` // with IdempotentWithKey: how long repeats are dropped
 	PriorityWeight     float64       `cbor:"Worth" plan:"worth"`
 	LateWeightFraction float64       `cbor:"LateShare" plan:"late_share"` // part of the weight left for an answer after the objective
 	IsStreaming        bool          `cbor:"Stream" plan:"stream"`        // answers begin with a ResponseStarted event
--- a/control/throughput.go
+++ b/control/throughput.go
@@ -33,7 +33,7 @@
 	var warm, reporting, ejected float64
 	for _, srv := range f.sortedServers {
 		switch {
-		case !srv.isUsable() || srv.slowStart.isActive:
+		case !srv.isUsable() || srv.isWarmingUp():
 			continue
 		case srv.outlier.hasTripped():
 			ejected++
--- a/control/usage.go
+++ b/control/usage.go
@@ -68,6 +68,16 @@
 	d.requestedAt = now
 }
 
+// isNewReading tells whether a period that ended in a bin is later than the one read last.
+func (d *demandEstimate) isNewReading(endBin int64) bool {
+	return !d.isMetered || endBin >= d.readingEndBin+binsPerPeriod/2
+}
+
+func (d *demandEstimate) startReading(endBin int64) {
+	d.isMetered = true
+	d.readingEndBin = endBin
+}
+
 // addReading takes the usage of a metered period in which a part of the requests was rejected.
 func (d *demandEstimate) addReading(now time.Duration, used, period, quotaRate, rejected float64) {
 	decay := decayFactor(now-d.readingAt, readingDecaySeconds)
@@ -131,8 +141,7 @@
 }
 
 // recordReading takes a reading of the meter, 1 + percent of the quota, once for each period; units are
-// those of the request whose answer it came with. The rejected part is that of the metered period,
-// whatever the probability is now.
+// those of the request whose answer it came with.
 func (e *usageEstimator) recordReading(
 	now time.Duration, table *accountTable, account *customerAccount, reading int, units float64,
 ) {
@@ -147,27 +156,46 @@
 		e.meter.fit(&account.history.sent, used, units, local, bin)
 	}
 	end := e.meter.periodEndBin(bin)
-	if account.demand.isMetered && end < account.demand.readingEndBin+binsPerPeriod/2 {
+	if !account.demand.isNewReading(end) {
 		return
 	}
 	if !account.demand.isMetered {
 		plan.recordFirstReading(percent, units, period)
 	}
-	account.demand.isMetered = true
-	account.demand.readingEndBin = end
-	arrivals := account.history.arrivals.periodSum(end)
-	rejected := account.rejectionProbability(now, table.fillingSince)
+	account.addReading(now, table.fillingSince, table.rateFraction, meterReading{
+		percent:       percent,
+		usedUnits:     used,
+		periodSeconds: period,
+		endBin:        end,
+	})
+}
+
+// meterReading is the usage of one customer in one period of the meter, over all gateways.
+type meterReading struct {
+	percent       float64 // of the quota
+	usedUnits     float64 // the same in units
+	periodSeconds float64
+	endBin        int64 // bin in which the period ended
+}
+
+// addReading takes the reading of a period that has not been read. The rejected part is that of the metered
+// period, whatever the probability is now.
+func (a *customerAccount) addReading(now, since time.Duration, rateFraction float64, reading meterReading) {
+	plan := a.plan
+	a.demand.startReading(reading.endBin)
+	arrivals := a.history.arrivals.periodSum(reading.endBin)
+	rejected := a.rejectionProbability(now, since)
 	if arrivals > 0 {
-		rejected = account.history.rejections.periodSum(end) / arrivals
+		rejected = a.history.rejections.periodSum(reading.endBin) / arrivals
 	}
-	account.demand.addReading(now, used, period, plan.QuotaRate, rejected)
+	a.demand.addReading(now, reading.usedUnits, reading.periodSeconds, plan.QuotaRate, rejected)
 	if plan.QuotaRate == 0 {
-		account.inFlight.adjust(plan.MaxInFlight, account.fanOut, percent, rejected, arrivals)
+		a.inFlight.adjust(plan.MaxInFlight, a.fanOut, reading.percent, rejected, arrivals)
 		return
 	}
-	local := account.history.sent.periodSum(end)
-	charged := account.history.charged.periodSum(end)
-	account.usage.addReading(now, used, local, period, account.fanOut, plan.QuotaRate)
-	corrected := math.Max(-plan.QuotaBurst/2, account.quota.tokens+table.rateFraction*(charged-used))
-	account.quota.tokens = math.Min(table.rateFraction*plan.QuotaBurst, corrected)
+	local := a.history.sent.periodSum(reading.endBin)
+	charged := a.history.charged.periodSum(reading.endBin)
+	a.usage.addReading(now, reading.usedUnits, local, reading.periodSeconds, a.fanOut, plan.QuotaRate)
+	corrected := math.Max(-plan.QuotaBurst/2, a.quota.tokens+rateFraction*(charged-reading.usedUnits))
+	a.quota.tokens = math.Min(rateFraction*plan.QuotaBurst, corrected)
 }
