--- a/control/account.go
+++ b/control/account.go
@@ -2,6 +2,9 @@
 
 import "time"
 
+// accountKey is the key of a customer's account in an accountTable.
+func accountKey(plan, customer string) string { return plan + " " + customer }
+
 // customerAccount is what a controller knows of one customer of a plan. The fields of each part are touched by
 // the part's own methods only, but for checkpoints and images.
 type customerAccount struct {
--- a/control/account_storage.go
+++ b/control/account_storage.go
@@ -11,9 +11,6 @@
 // apart from each other. Each form is written by one method of the account, and has one method for each part of an
 // account that it is read into.
 
-// accountKey is the key of a customer's account in an accountTable.
-func accountKey(plan, customer string) string { return plan + " " + customer }
-
 // checkpoint is the stored form of an account for another controller. key is the account's in an accountTable.
 func (a *customerAccount) checkpoint(key string) CustomerCheckpoint {
 	plan := a.plan
--- a/control/accounts.go
+++ b/control/accounts.go
@@ -35,8 +35,8 @@
 // binAt is the bin of the histories in which a time lies.
 func (t *accountTable) binAt(now time.Duration) int64 { return int64(now / t.binDuration) }
 
-// find returns the refilled account of a plan's customer, opened at its first request.
-func (t *accountTable) find(
+// accountFor returns the refilled account of a plan's customer, opened at its first request.
+func (t *accountTable) accountFor(
 	now time.Duration, rng *rand.Rand, plan *planQueue, customer string, fanOut int,
 ) *customerAccount {
 	key := accountKey(plan.Name, customer)
--- a/control/accounts_test.go
+++ b/control/accounts_test.go
@@ -78,7 +78,7 @@
 func TestRefundUndoesACharge(t *testing.T) {
 	plan := &planQueue{Plan: Plan{Name: "low", QuotaRate: 10, QuotaBurst: 20, HardLimitRate: 10, HardLimitBurst: 20}}
 	table := newAccountTable(&Settings{MeterPeriod: time.Second})
-	account := table.find(time.Hour, rand.New(rand.NewPCG(1, 2)), plan, "x", 2)
+	account := table.accountFor(time.Hour, rand.New(rand.NewPCG(1, 2)), plan, "x", 2)
 	quota, hardLimit := account.quota.tokens, account.hardLimit.tokens
 	bin := table.binAt(time.Hour)
 	charged := account.chargeFirstAttempt(3, bin)
--- a/control/arrivals.go
+++ b/control/arrivals.go
@@ -6,8 +6,9 @@
 )
 
 const (
-	queueWaitFraction         = 0.4 // part of its latency objective that a request may be queued
-	inFlightQuotaWaitFraction = 0.7 // the same for plans with an in-flight quota
+	rejectRetryAfter          = time.Second // Retry-After of a rejection
+	queueWaitFraction         = 0.4         // part of its latency objective that a request may be queued
+	inFlightQuotaWaitFraction = 0.7         // the same for plans with an in-flight quota
 )
 
 // handleRequest admits a request to the queue of its plan, or rejects it.
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -29,7 +29,7 @@
 	req.plan.remove(req)
 	var charged charge
 	if req.attempts == 0 {
-		c.refill(req.account)
+		c.refillAccount(req.account)
 		charged = req.account.chargeFirstAttempt(req.units, c.currentBin())
 	}
 	if req.repeatGroup == nil && req.hasIdempotencyKey() {
@@ -45,9 +45,9 @@
 	c.emit(send)
 }
 
-// handleStarted takes the start of a streamed answer. From then on its attempt occupies no slot, as its
-// length says nothing of the server.
-func (c *Controller) handleStarted(event ResponseStarted) {
+// handleResponseStarted takes the start of a streamed answer. From then on its attempt occupies no slot, as
+// its length says nothing of the server.
+func (c *Controller) handleResponseStarted(event ResponseStarted) {
 	attempt := c.requests.attempts[attemptKey{id: event.ID, number: event.Attempt}]
 	if attempt == nil || attempt.request.isStreaming {
 		return
@@ -56,8 +56,8 @@
 	c.recordAnswer(attempt, event.Delay)
 }
 
-// handleResponse takes the end of an attempt.
-func (c *Controller) handleResponse(event AttemptResult) {
+// handleAttemptResult takes the end of an attempt.
+func (c *Controller) handleAttemptResult(event AttemptResult) {
 	attempt := c.requests.endAttempt(attemptKey{id: event.ID, number: event.Attempt})
 	if attempt == nil {
 		return
@@ -66,7 +66,7 @@
 	if event.Reason == NotSent {
 		c.refundAttempt(attempt)
 	} else {
-		c.reserveFractionalSlot(attempt)
+		c.pauseFractionalSlots(attempt)
 	}
 	if event.QuotaUsage > 0 && c.settings.MeterPeriod > 0 {
 		c.usage.recordReading(c.now, &c.accounts, attempt.account, event.QuotaUsage, req.units)
@@ -85,9 +85,9 @@
 	}
 }
 
-// reserveFractionalSlot keeps the slot of an attempt that ended from the next one for a time, where the
+// pauseFractionalSlots keeps the slot of an attempt that ended from the next one for a time, where the
 // concurrency limit or an in-flight quota has a fractional slot.
-func (c *Controller) reserveFractionalSlot(attempt *pendingAttempt) {
+func (c *Controller) pauseFractionalSlots(attempt *pendingAttempt) {
 	attempt.server.lastActivityAt = c.now
 	c.limiter.pauseAfter(c.now, c.requests.slots.occupied(c.now), c.fleet.latency.mean)
 	if account := attempt.account; account.plan.MaxInFlight > 0 {
@@ -99,7 +99,7 @@
 func (c *Controller) refundAttempt(attempt *pendingAttempt) {
 	attempt.server.slowStart.refund(c.countedUnits(attempt.request.units), attempt.sentAt)
 	if attempt.charge.units > 0 {
-		c.refill(attempt.account)
+		c.refillAccount(attempt.account)
 		attempt.account.refund(attempt.charge)
 	}
 }
@@ -139,7 +139,7 @@
 		c.window.recordServed(c.countedUnits(req.units))
 	}
 	if event.ActualUnits > 0 && c.settings.UnitsInResponse {
-		c.refill(attempt.account)
+		c.refillAccount(attempt.account)
 		attempt.account.chargeActualUnits(event.ActualUnits, req.units)
 	}
 	if !req.isStreaming {
--- a/control/checkpoint.go
+++ b/control/checkpoint.go
@@ -221,7 +221,7 @@
 		checkpoint.Servers = append(checkpoint.Servers, c.checkpointServer(srv))
 	}
 	for key, account := range c.accounts.byKey {
-		c.refill(account)
+		c.refillAccount(account)
 		checkpoint.Customers = append(checkpoint.Customers, account.checkpoint(key))
 	}
 	slices.SortFunc(checkpoint.Customers, compareCustomers)
--- a/control/concurrency_limit.go
+++ b/control/concurrency_limit.go
@@ -6,6 +6,10 @@
 )
 
 const (
+	slotsPerServer             = 2    // concurrency limit per usable server: initial and minimum
+	initialGroupSlotsPerServer = 8.0  // sum of a replica group's initial limits, per server
+	limitIncreaseFactor        = 1.25 // growth of the limit after a window without overload
+
 	minGroupSlotsPerServer    = 2.0   // sum of a replica group's minimum limits, per server
 	limitDecreaseFactor       = 0.5   // on overload, at most once a window
 	latencyCutFraction        = 0.18  // mean latency, as a part of the objective, that counts as overload
--- a/control/control_window.go
+++ b/control/control_window.go
@@ -1,6 +1,15 @@
 package control
 
-import "math"
+import (
+	"math"
+	"time"
+)
+
+const (
+	windowDuration      = time.Second     // between two updates of shares and concurrency limit
+	maxWindowExtension  = 4 * time.Second // by which a window with few answers may be longer
+	minAnswersPerWindow = 5               // with fewer answers the shares stay
+)
 
 // controlWindow is what is counted in one control window. Counts are floats as they enter quotients.
 type controlWindow struct {
--- a/control/controller.go
+++ b/control/controller.go
@@ -6,21 +6,8 @@
 	"time"
 )
 
-// Tuned constants that several files use; the others stand in the file that uses them.
-const (
-	tickPeriod                 = 100 * time.Millisecond // period of the timer that drives windows and watches
-	windowDuration             = time.Second            // control window of shares and concurrency limit
-	maxWindowExtension         = 4 * time.Second        // by which a window with few answers may be longer
-	slotsPerServer             = 2                      // concurrency limit per usable server: initial and floor
-	initialGroupSlotsPerServer = 8.0                    // sum of a replica group's initial limits, per server
-	limitIncreaseFactor        = 1.25                   // growth of the limit after a window without overload
-	minAnswersPerWindow        = 5                      // with fewer answers the shares stay
-	epsilon                    = 1e-9                   // keeps quotients finite
-	rejectRetryAfter           = time.Second            // Retry-After of a rejection
-	historyBins                = 80                     // length of an account's histories
-	serverLatencyGain          = 0.2                    // gain of a server's latency estimate
-	fleetEstimateGain          = 0.02                   // gain of estimates over all servers
-)
+// tickPeriod is the period of the timer that drives control windows and the endpoint watch.
+const tickPeriod = 100 * time.Millisecond
 
 // Controller decides for one gateway. It is not safe for concurrent use.
 type Controller struct {
@@ -112,13 +99,13 @@
 	}
 	switch e := event.(type) {
 	case EndpointList:
-		c.handleList(e)
+		c.handleEndpointList(e)
 	case Request:
 		c.handleRequest(e)
 	case ResponseStarted:
-		c.handleStarted(e)
+		c.handleResponseStarted(e)
 	case AttemptResult:
-		c.handleResponse(e)
+		c.handleAttemptResult(e)
 	case ClientGone:
 		if req := c.requests.byID[e.ID]; req != nil {
 			c.requests.remove(req)
@@ -145,9 +132,9 @@
 // ConcurrencyLimit is how many attempts may be in flight at once now.
 func (c *Controller) ConcurrencyLimit() float64 { return c.limiter.limit }
 
-// handleList takes a change of the endpoint list.
-func (c *Controller) handleList(event EndpointList) {
-	c.watch.handleList(c.now, c.rng, event.Kind)
+// handleEndpointList takes a change of the endpoint list.
+func (c *Controller) handleEndpointList(event EndpointList) {
+	c.watch.recordList(c.now, c.rng, event.Kind)
 	if event.Kind == ListFailed {
 		return
 	}
@@ -181,7 +168,7 @@
 // due.
 func (c *Controller) handleTick() {
 	c.emit(StartTimer{After: tickPeriod, Label: tickTimerLabel})
-	if c.watch.start(c.now) {
+	if c.watch.startIfDue(c.now) {
 		c.emit(WatchEndpoints{Active: true})
 	}
 	if c.isWindowDue() {
@@ -212,11 +199,13 @@
 
 // accountFor returns the refilled account of a plan's customer, opened at its first request.
 func (c *Controller) accountFor(plan *planQueue, customer string, fanOut int) *customerAccount {
-	return c.accounts.find(c.now, c.rng, plan, customer, fanOut)
+	return c.accounts.accountFor(c.now, c.rng, plan, customer, fanOut)
 }
 
-// refill brings an account up to now.
-func (c *Controller) refill(account *customerAccount) { c.accounts.refillAccount(c.now, account) }
+// refillAccount brings an account up to now.
+func (c *Controller) refillAccount(account *customerAccount) {
+	c.accounts.refillAccount(c.now, account)
+}
 
 func (c *Controller) currentBin() int64 { return c.accounts.binAt(c.now) }
 
--- a/control/endpoint_choice.go
+++ b/control/endpoint_choice.go
@@ -10,10 +10,7 @@
 	triedServerPenalty      = 4.0  // factor on the cost of a server that this request has tried
 	ejectedServerPenalty    = 1e6  // factor on the cost of an ejected server, the last choice
 	tieBreakNoise           = 0.02 // random part of a cost, so that gateways choose differently
-	latencyDecaySeconds     = 5.0  // time constant of the trust in an estimate without new samples
 	latencyPriorSamples     = 6.0  // recent samples that weigh as much as the fleet's latency
-	slowdownDecaySeconds    = 40.0 // time constant of a reported slowdown
-	minSlowdown             = 1.5  // below it, a server counts as fast as the fleet
 	utilizationDecaySeconds = 2.0  // time constant of a reported utilization
 	utilizationPenalty      = 3.0  // weight of the fourth power of the utilization
 	unknownServerPenalty    = 3.0  // factor on the cost of a server without a recent report
@@ -95,7 +92,7 @@
 func (s *endpointSelector) expectedWait(
 	now time.Duration, srv *server, unknownPenalty, noise float64,
 ) float64 {
-	fleetLatency := s.fleet.minLatency()
+	fleetLatency := s.fleet.positiveLatency()
 	latency := fleetLatency
 	slowdown := unknownPenalty
 	busy := s.fleet.utilization.mean
@@ -119,37 +116,3 @@
 	cost := latency * (float64(srv.currentLoad()) + 1)
 	return cost * srv.outlier.costFactor(now) * (1 + tieBreakNoise*noise)
 }
-
-// add takes the latency of an answer, or the time after which there was none.
-func (l *latencyEstimate) add(now time.Duration, seconds float64) {
-	if l.seconds == 0 {
-		l.seconds = seconds
-	}
-	l.seconds += serverLatencyGain * (seconds - l.seconds)
-	l.samples = 1 + l.samples*decayFactor(now-l.updatedAt, latencyDecaySeconds)
-	l.updatedAt = now
-}
-
-// isRecent tells whether the latest report still counts.
-func (l *loadEstimate) isRecent(now time.Duration) bool {
-	return l.reportedAt > 0 && now < l.reportedAt+durationOf(slowdownDecaySeconds)
-}
-
-// recordLoadReport takes a report, which covers the requests of all gateways. Its mean latency starts at
-// zero and follows slowly: it can show that a server is slow, but not that it is fast. Guards against a
-// server just started that all gateways find the fastest.
-func (f *serverFleet) recordLoadReport(now time.Duration, srv *server, report *LoadReport) {
-	reportedLatency := report.MeanLatencyMS / 1000
-	f.utilization.add(math.Min(1, report.Utilization), fleetEstimateGain)
-	f.reportedLatency.add(reportedLatency, fleetEstimateGain)
-	own := f.minLatency() / 2
-	srv.load.slowdown = (reportedLatency + own) / (f.reportedLatency.mean + own)
-	if srv.load.slowdown < minSlowdown {
-		srv.load.slowdown = 1
-	}
-	srv.load.utilization = math.Min(1, report.Utilization)
-	srv.load.reportedAt = now
-}
-
-// minLatency is the fleet's latency in seconds, or a small one where none is known.
-func (f *fleetEstimate) minLatency() float64 { return math.Max(f.latency.mean, 1e-3) }
--- a/control/endpoint_watch.go
+++ b/control/endpoint_watch.go
@@ -14,9 +14,9 @@
 	nextAttemptAt time.Duration
 }
 
-// handleList takes what a change of the list tells of its watch. After a failure the list is watched again
+// recordList takes what a change of the list tells of its watch. After a failure the list is watched again
 // at a random time, as all gateways see the same failure.
-func (w *endpointWatch) handleList(now time.Duration, rng *rand.Rand, kind ListKind) {
+func (w *endpointWatch) recordList(now time.Duration, rng *rand.Rand, kind ListKind) {
 	isFromWatch := kind != ListCached && kind != ListFailed
 	w.isActive = w.isRequired && isFromWatch
 	if kind == ListFailed {
@@ -24,8 +24,8 @@
 	}
 }
 
-// start tells whether the list has to be watched again now.
-func (w *endpointWatch) start(now time.Duration) bool {
+// startIfDue tells whether the list has to be watched again now.
+func (w *endpointWatch) startIfDue(now time.Duration) bool {
 	isEnded := w.isRequired && !w.isActive
 	if !isEnded || now < w.nextAttemptAt {
 		return false
--- a/control/endpoint_watch_test.go
+++ b/control/endpoint_watch_test.go
@@ -38,19 +38,19 @@
 func TestWatchIsStartedOnceInAnInterval(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	watch := endpointWatch{isRequired: true}
-	if !watch.start(time.Hour) || watch.start(time.Hour+rewatchInterval-1) || !watch.start(time.Hour+rewatchInterval) {
+	if !watch.startIfDue(time.Hour) || watch.startIfDue(time.Hour+rewatchInterval-1) || !watch.startIfDue(time.Hour+rewatchInterval) {
 		t.Error("a watch that does not answer is not started once in an interval")
 	}
-	watch.handleList(time.Hour, rng, ListComplete)
-	if watch.start(2 * time.Hour) {
+	watch.recordList(time.Hour, rng, ListComplete)
+	if watch.startIfDue(2 * time.Hour) {
 		t.Error("an active watch is started again")
 	}
-	watch.handleList(2*time.Hour, rng, ListFailed)
-	if watch.start(2*time.Hour+rewatchInterval/2-1) || !watch.start(2*time.Hour+rewatchInterval*3/2) {
+	watch.recordList(2*time.Hour, rng, ListFailed)
+	if watch.startIfDue(2*time.Hour+rewatchInterval/2-1) || !watch.startIfDue(2*time.Hour+rewatchInterval*3/2) {
 		t.Error("a failed watch is not started again within the interval, from a half to one and a half")
 	}
 	var pushed endpointWatch
-	if pushed.start(time.Hour) {
+	if pushed.startIfDue(time.Hour) {
 		t.Error("a list that comes by itself is watched")
 	}
 }
--- a/control/fleet.go
+++ b/control/fleet.go
@@ -5,6 +5,12 @@
 	"time"
 )
 
+const (
+	fleetEstimateGain = 0.02 // minimum gain of estimates over all servers
+	throughputGain    = 0.2  // minimum gain of estimates by control windows
+	epsilon           = 1e-9 // keeps quotients finite
+)
+
 // fleetEstimate is what is known of all servers together, and of the requests to them.
 type fleetEstimate struct {
 	latency         runningMean // seconds, of answers by servers that are not warming up
--- a/control/history.go
+++ b/control/history.go
@@ -6,6 +6,9 @@
 	"sort"
 )
 
+// historyBins is the number of bins that a history distinguishes.
+const historyBins = 80
+
 // history is the running sum of an amount over the latest bins of time. Only bins in which the sum changed are stored,
 // so that each of thousands of customers that come once costs one bin.
 type history struct {
--- /dev/null
+++ b/control/load_estimate_test.go
@@ -0,0 +1,56 @@
+package control
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+func TestLatencyEstimateBeginsWithTheFirstSample(t *testing.T) {
+	var latency latencyEstimate
+	latency.add(time.Second, 0.5)
+	if latency.seconds != 0.5 || latency.samples != 1 {
+		t.Errorf("%g s of %g samples after one of 0.5 s", latency.seconds, latency.samples)
+	}
+	latency.add(time.Second, 1)
+	if math.Abs(latency.seconds-0.6) > 1e-9 || latency.samples != 2 {
+		t.Errorf("%g s of %g samples after another of 1 s", latency.seconds, latency.samples)
+	}
+	latency.add(time.Minute, 1)
+	if latency.samples > 1.001 {
+		t.Errorf("%g samples, of which all but one are a minute old", latency.samples)
+	}
+}
+
+// Reports show that a server is slow, not that it is fast.
+func TestReportsRaiseTheCostOfSlowServersOnly(t *testing.T) {
+	fleet := warmFleet(3)
+	fleet.latency.add(0.01, fleetEstimateGain)
+	for range 20 {
+		for i, latency := range []float64{1, 10, 100} {
+			fleet.recordLoadReport(time.Second, fleet.sortedServers[i], &LoadReport{MeanLatencyMS: latency, Utilization: 1.5})
+		}
+	}
+	fast, slow := fleet.sortedServers[0].load, fleet.sortedServers[2].load
+	if fast.slowdown != 1 || slow.slowdown < 2 {
+		t.Errorf("slowdowns %g and %g of a fast and a slow server", fast.slowdown, slow.slowdown)
+	}
+	if fast.utilization != 1 {
+		t.Errorf("a utilization of %g is believed", fast.utilization)
+	}
+	end := time.Second + durationOf(slowdownDecaySeconds)
+	if !fast.isRecent(end-1) || fast.isRecent(end) {
+		t.Error("a report does not count for the time constant of a slowdown")
+	}
+}
+
+func TestReportsWithoutUtilizationOrLatencyArePartial(t *testing.T) {
+	for _, report := range []LoadReport{{Utilization: -1}, {MeanLatencyMS: -1}} {
+		if !report.isPartial() {
+			t.Errorf("%+v counts as complete", report)
+		}
+	}
+	if (&LoadReport{InFlight: -1, Queued: -1}).isPartial() {
+		t.Error("a report with utilization and latency counts as partial")
+	}
+}
--- a/control/meter_clock_test.go
+++ b/control/meter_clock_test.go
@@ -16,7 +16,7 @@
 	for i := 0; i < 3000; i++ {
 		gateway.now += 10 * ms
 		gateway.controller.now = gateway.now
-		gateway.controller.refill(account)
+		gateway.controller.refillAccount(account)
 		if i%7 == 0 && (i/300)%2 == 0 {
 			account.chargeFirstAttempt(1, gateway.controller.currentBin())
 			sent = append(sent, gateway.now)
--- a/control/outlier.go
+++ b/control/outlier.go
@@ -6,13 +6,14 @@
 )
 
 const (
-	ejectionFailures    = 3                // consecutive failures that eject a server
-	failureRateGain     = 0.15             // gain of a server's failure rate
-	failureRatePenalty  = 5.0              // weight of the square of the failure rate above one failure's
-	maxFailureRate      = 0.75             // failure rate above which errors count toward ejection
-	planRejectionTime   = 15 * time.Second // during which a server that rejected a plan is avoided for it
-	initialEjectionTime = time.Second      // doubles at each ejection without a success between
-	maxEjectionTime     = 8 * time.Second
+	ejectionFailures        = 3                // consecutive failures that eject a server
+	failureRateGain         = 0.15             // gain of a server's failure rate
+	failureRateDecaySeconds = 5.0              // time constant of a failure rate without new attempts
+	failureRatePenalty      = 5.0              // weight of the square of the failure rate above one failure's
+	maxFailureRate          = 0.75             // failure rate above which errors count toward ejection
+	planRejectionTime       = 15 * time.Second // during which a server that rejected a plan is avoided for it
+	initialEjectionTime     = time.Second      // doubles at each ejection without a success between
+	maxEjectionTime         = 8 * time.Second
 )
 
 // outlierDetector ejects a server that fails more than others do, for a time that doubles while it goes on.
@@ -70,7 +71,7 @@
 
 // currentFailureRate decays, as a server that is not chosen has no chance to do better.
 func (o *outlierDetector) currentFailureRate(now time.Duration) float64 {
-	return o.failureRate * decayFactor(now-o.failureRateAt, latencyDecaySeconds)
+	return o.failureRate * decayFactor(now-o.failureRateAt, failureRateDecaySeconds)
 }
 
 // recordOutcome takes the end of an attempt. Resets and errors trip the detector by their rate only.
--- a/control/restore.go
+++ b/control/restore.go
@@ -69,8 +69,8 @@
 	decay := math.Exp(-math.Max(0, (c.now-checkpoint.At).Seconds()) / maxAccountIdleTime.Seconds())
 	c.fleet.latency = runningMean{checkpoint.FleetLatency, checkpoint.LatencySamples * decay}
 	// The count keeps the first window from replacing the mean.
-	c.fleet.warmThroughput = runningMean{checkpoint.WarmThroughput * decay, 1 / serverLatencyGain}
-	c.fleet.warmServers = runningMean{checkpoint.WarmServers, 1 / serverLatencyGain}
+	c.fleet.warmThroughput = runningMean{checkpoint.WarmThroughput * decay, 1 / throughputGain}
+	c.fleet.warmServers = runningMean{checkpoint.WarmServers, 1 / throughputGain}
 	c.fleet.peakThroughput = checkpoint.PeakThroughput * decay
 	c.limiter.idleLatency = checkpoint.IdleLatency
 	c.clientWaits.minRetryGap = max(checkpoint.MinRetryGap, tickPeriod)
@@ -134,7 +134,7 @@
 		c.reclaimTokens(given)
 	}
 	for _, account := range c.accounts.byKey {
-		c.refill(account)
+		c.refillAccount(account)
 	}
 	c.accounts.rateFraction = 1
 	c.PredecessorEnded()
--- a/control/server.go
+++ b/control/server.go
@@ -49,17 +49,3 @@
 	s.load.reportedAt = 0
 	s.outlier.reset()
 }
-
-// latencyEstimate is a server's latency by attempts of this gateway.
-type latencyEstimate struct {
-	seconds   float64 // smoothed; 0 is none
-	updatedAt time.Duration
-	samples   float64 // decaying number of them
-}
-
-// loadEstimate is a server's load by its latest report.
-type loadEstimate struct {
-	slowdown    float64       // times the mean latency of all servers
-	utilization float64       // part of its cores that is busy
-	reportedAt  time.Duration // 0 is never
-}
--- a/control/throughput.go
+++ b/control/throughput.go
@@ -22,8 +22,8 @@
 
 // recordThroughput takes the units that servers which are not warming up have served in a control window.
 func (f *serverFleet) recordThroughput(now time.Duration, servedUnits, windowSeconds float64) {
-	f.warmThroughput.add(servedUnits/windowSeconds, serverLatencyGain)
-	f.warmServers.add(f.countWarm(now), serverLatencyGain)
+	f.warmThroughput.add(servedUnits/windowSeconds, throughputGain)
+	f.warmServers.add(f.countWarm(now), throughputGain)
 	f.updatePeakThroughput(windowSeconds)
 }
 
--- a/control/usage_test.go
+++ b/control/usage_test.go
@@ -21,7 +21,7 @@
 	gateway.controller.usage.meter.lagBins = 0
 	asks := func(n, refused int) { // what was asked and refused in the second to come
 		gateway.controller.now = gateway.now
-		gateway.controller.refill(account)
+		gateway.controller.refillAccount(account)
 		account.history.arrivals.add(float64(n))
 		account.history.rejections.add(float64(refused))
 		gateway.now += 1100 * ms
