--- a/control/accounts_test.go
+++ b/control/accounts_test.go
@@ -55,12 +55,12 @@
 		gateway.request(id, "job", "low", "comes on")
 		gateway.respond(id, OK, 0)
 	}
-	kept := make(map[string]int)
+	remaining := make(map[string]int)
 	for _, account := range gateway.controller.accounts.byKey {
-		kept[account.plan.Name]++
+		remaining[account.plan.Name]++
 	}
-	if kept["low"] > 2 || kept["slow"] != 100 || kept["capped"] != 100 {
-		t.Errorf("kept %v", kept)
+	if remaining["low"] > 2 || remaining["slow"] != 100 || remaining["capped"] != 100 {
+		t.Errorf("accounts left by plan: %v", remaining)
 	}
 }
 
--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -16,7 +16,7 @@
 	gateway.request("cheap", "cheap", "low", "x")
 	gateway.request("dear", "job", "low", "x")
 	if gateway.finalAnswers["cheap"] == nil || gateway.finalAnswers["dear"] != nil {
-		t.Error("the low-priority class did not yield to the high-priority one")
+		t.Error("the low-priority class was not shed for the high-priority one")
 	}
 }
 
@@ -34,7 +34,7 @@
 			gateway.handle(Request{ID: fmt.Sprint(i), Class: "job", Plan: "low", Customer: "c", Timeout: 3 * time.Second, Units: 1, FanOut: 4})
 		})
 		if got := gateway.controller.accounts.byKey["low c"].demand.isWellMetered(gateway.controller.now, gateway.controller.accounts.fillingSince); got != tc.want {
-			t.Errorf("a reading each %v for %v: covered %v", tc.gap, tc.life, got)
+			t.Errorf("a reading each %v for %v: well metered %v", tc.gap, tc.life, got)
 		}
 	}
 }
@@ -52,34 +52,34 @@
 		if refused {
 			plan = "rate"
 		}
-		ask := func(id string, units float64) {
+		send := func(id string, units float64) {
 			gateway.handle(Request{ID: id, Class: "job", Plan: plan, Customer: id, Units: units, FanOut: 1, Timeout: 6 * time.Second})
 			if n := len(gateway.sends); n > 0 && gateway.sends[n-1].ID == id {
 				gateway.now += 10 * ms
 				gateway.handle(AttemptResult{ID: id, Server: gateway.sends[n-1].Server, Reason: OK, IsFinal: true, Delay: 10 * ms})
 			}
 		}
-		ask("odd", units)
+		send("first", units)
 		gateway.advance(2 * time.Second)
-		cold := Endpoint{Server: 3, Zone: "z1", HasStartedAt: true, StartedAt: gateway.now - time.Second}
-		gateway.handle(EndpointList{Kind: ListPatch, Endpoints: []Endpoint{cold, {Server: 1, State: Gone}, {Server: 2, State: Gone}}})
+		warming := Endpoint{Server: 3, Zone: "z1", HasStartedAt: true, StartedAt: gateway.now - time.Second}
+		gateway.handle(EndpointList{Kind: ListPatch, Endpoints: []Endpoint{warming, {Server: 1, State: Gone}, {Server: 2, State: Gone}}})
 		srv := gateway.controller.fleet.servers[3]
 		srv.slowStart.tokens = 0
 		plan = "open"
-		ask("odd again", units)
+		send("second", units)
 		return shared{gateway.controller.fleet.requestUnits.mean, gateway.controller.window.servedUnits + gateway.controller.fleet.warmThroughput.mean, srv.slowStart.tokens}
 	}
 	for name, refused := range map[string]bool{"sent": false, "refused": true} {
-		// Of 30 the store of the second plan can't hold half.
-		if some, odd := play(30, refused), play(1e300, refused); some != odd {
-			t.Errorf("%s: of 30 units %+v, of many %+v", name, some, odd)
+		// The bucket of the second plan has less than half of 30.
+		if some, extreme := play(30, refused), play(1e300, refused); some != extreme {
+			t.Errorf("%s: of 30 units %+v, of many %+v", name, some, extreme)
 		}
 	}
 }
 
 // closedLoop has clients send requests without a pause, of a low-priority and a high-priority class in turn, to four
 // servers that take a time for each attempt. It counts what is served and rejected by class.
-func closedLoop(t *testing.T, clients int, takes, lasts time.Duration, cheap float64) (served, refused map[string]int) {
+func closedLoop(t *testing.T, clients int, attemptTime, duration time.Duration, cheap float64) (served, refused map[string]int) {
 	t.Helper()
 	settings := testSettings()
 	settings.GroupSize, settings.MeterPeriod = 1, 0
@@ -100,9 +100,9 @@
 	var out []due // by time, as all take the same
 	served, refused = make(map[string]int), make(map[string]int)
 	class := func(n int) string { return []string{"cheap", "dear"}[n%2] }
-	next, seen, idle := 0, 0, clients
+	next, handled, idle := 0, 0, clients
 	classOf := make(map[string]string)
-	for end := gateway.now + lasts; gateway.now < end; {
+	for end := gateway.now + duration; gateway.now < end; {
 		for ; idle > 0; idle-- {
 			id := fmt.Sprint(next)
 			classOf[id] = class(next)
@@ -111,13 +111,13 @@
 			if _, ok := gateway.finalAnswers[id]; ok {
 				refused[classOf[id]]++
 			}
-			for ; seen < len(gateway.sends); seen++ {
-				out = append(out, due{gateway.now + takes, AttemptResult{ID: gateway.sends[seen].ID, Server: gateway.sends[seen].Server, Reason: OK, IsFinal: true, Delay: takes}})
+			for ; handled < len(gateway.sends); handled++ {
+				out = append(out, due{gateway.now + attemptTime, AttemptResult{ID: gateway.sends[handled].ID, Server: gateway.sends[handled].Server, Reason: OK, IsFinal: true, Delay: attemptTime}})
 			}
 		}
 		if len(out) == 0 {
 			idle = clients // all were refused
-			gateway.advance(takes)
+			gateway.advance(attemptTime)
 			continue
 		}
 		gateway.advance(out[0].at - gateway.now)
@@ -126,8 +126,8 @@
 		gateway.handle(event)
 		served[classOf[event.ID]]++
 		idle = 1
-		for ; seen < len(gateway.sends); seen++ {
-			out = append(out, due{gateway.now + takes, AttemptResult{ID: gateway.sends[seen].ID, Server: gateway.sends[seen].Server, Reason: OK, IsFinal: true, Delay: takes}})
+		for ; handled < len(gateway.sends); handled++ {
+			out = append(out, due{gateway.now + attemptTime, AttemptResult{ID: gateway.sends[handled].ID, Server: gateway.sends[handled].Server, Reason: OK, IsFinal: true, Delay: attemptTime}})
 		}
 	}
 	return served, refused
@@ -146,7 +146,7 @@
 		t.Errorf("servers that take 300 ms: rejected %v", refused)
 	}
 	if _, refused := closedLoop(t, 64, time.Millisecond, 200*time.Millisecond, 5); refused["cheap"] > 0 {
-		t.Errorf("of equal worth: rejected %v", refused)
+		t.Errorf("of equal priority weight: rejected %v", refused)
 	}
 }
 
--- a/control/arrivals_test.go
+++ b/control/arrivals_test.go
@@ -12,21 +12,21 @@
 func TestOneSlowAnswerDoesNotRejectAllLater(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2)...)
 	gateway.request("slow", "job", "low", "")
-	gateway.advance(3 * time.Second) // past the aim, within the deadline
+	gateway.advance(3 * time.Second) // past the latency objective, within the deadline
 	gateway.respond("slow", OK, 0)
-	let := 0
+	admitted := 0
 	for i := range 40 {
 		id := fmt.Sprint("r", i)
 		gateway.request(id, "job", "low", "")
 		if gateway.attempts[id] > 0 {
-			let++
+			admitted++
 			gateway.advance(20 * ms)
 			gateway.respond(id, OK, 0)
 		}
 		gateway.advance(200 * ms)
 	}
-	if let < 39 {
-		t.Errorf("%d of 40 are admitted", let)
+	if admitted < 39 {
+		t.Errorf("%d of 40 are admitted", admitted)
 	}
 }
 
--- a/control/attempts_test.go
+++ b/control/attempts_test.go
@@ -10,7 +10,7 @@
 func TestAttemptNotSentIsRefunded(t *testing.T) {
 	for name, class := range map[string]Class{"safe": {Idempotency: Idempotent}, "keyed": {Idempotency: IdempotentWithKey, RepeatWindow: time.Minute}, "unsafe": {Idempotency: NotIdempotent}} {
 		for what, leaves := range map[string]bool{"left": true, "not sent": false} {
-			for what2, cold := range map[string]bool{"warm": false, "cold": true} {
+			for what2, isWarmingUp := range map[string]bool{"warm": false, "cold": true} {
 				t.Run(name+" "+what+" "+what2, func(t *testing.T) {
 					settings := testSettings()
 					class.Name, class.LatencyObjective, class.Deadline, class.PriorityWeight = "job", 2*time.Second, 6*time.Second, 1
@@ -18,33 +18,34 @@
 					settings.Plans = []Plan{{Name: "high", Price: 1, QuotaRate: 10, QuotaBurst: 10, HardLimitRate: 10, HardLimitBurst: 10, HardLimitSlack: 10, MaxInFlight: 4}}
 					endpoints := activeEndpoints(1)
 					gateway := newTestGateway(t, settings)
-					if cold {
+					if isWarmingUp {
 						endpoints[0].HasStartedAt, endpoints[0].StartedAt = true, gateway.now-time.Second
 					}
 					gateway.handle(EndpointList{Kind: ListComplete, Endpoints: endpoints})
 					controller, srv := gateway.controller, gateway.controller.fleet.servers[1]
 					srv.slowStart.tokens = 0.125
-					controller.limiter.limit, controller.fleet.latency.count = 0.5, 1 // a place that rests after each use
+					controller.limiter.limit = 0.5 // a slot that pauses after each use
+					controller.fleet.latency.count = 1
 					account := controller.accountFor(controller.scheduler.plans[0], "c", 2)
 					account.inFlight.limit = 0.5 // likewise
 					srv.outlier.consecutiveFailures = ejectionFailures
-					type books struct {
-						level, ceiling, tokens, own, charged, queued float64
-						open, inflight, out                          int
-						rests, next                                  time.Duration
-						probing                                      bool
+					type resources struct {
+						level, hardLimitTokens, tokens, own, charged, queued float64
+						open, inflight, out                                  int
+						rests, next                                          time.Duration
+						probing                                              bool
 					}
-					look := func() books {
+					inUse := func() resources {
 						bin := controller.currentBin() + 1
-						return books{
+						return resources{
 							account.quota.tokens, account.hardLimit.tokens, srv.slowStart.tokens, account.history.sent.periodSum(bin), account.history.charged.periodSum(bin), account.queuedUnits, account.inFlight.current, srv.inFlight, controller.requests.slots.inFlight,
 							controller.limiter.fractionalSlotFreeAt, account.inFlight.nextAttemptAt, srv.outlier.isProbing,
 						}
 					}
-					before := look()
+					before := inUse()
 					gateway.request("a", "job", "high", "c")
-					if len(gateway.sends) != 1 || look() == before {
-						t.Fatalf("%d sends, %+v", len(gateway.sends), look())
+					if len(gateway.sends) != 1 || inUse() == before {
+						t.Fatalf("%d sends, %+v", len(gateway.sends), inUse())
 					}
 					if leaves {
 						gateway.handle(ClientGone{ID: "a"})
@@ -52,7 +53,7 @@
 					event := AttemptResult{ID: "a", Server: 1, Reason: NotSent, IsFinal: leaves}
 					gateway.handle(event)
 					gateway.handle(event) // a second one is no attempt's
-					if after := look(); after != before {
+					if after := inUse(); after != before {
 						t.Errorf("before %+v, after %+v", before, after)
 					}
 					if end, ok := gateway.finalAnswers["a"].(Reject); !leaves && (!ok || end.Cause != CauseNoRetry) || leaves && gateway.finalAnswers["a"] != nil {
--- a/control/concurrency_limit_test.go
+++ b/control/concurrency_limit_test.go
@@ -15,8 +15,9 @@
 		t.Fatalf("%d in flight with three servers at start", len(gateway.sends))
 	}
 	gateway.controller.limiter.limit = 40
-	for i := 0; i < 10; i++ { // time-outs and refusals, many in each interval
-		gateway.controller.window.overloads, gateway.controller.window.answers = 5, 5
+	for i := 0; i < 10; i++ { // timeouts and rejections, many in each control window
+		gateway.controller.window.overloads = 5
+		gateway.controller.window.answers = 5
 		before := gateway.controller.limiter.limit
 		gateway.controller.endWindow(1)
 		if gateway.controller.limiter.limit < before/2 {
@@ -31,12 +32,15 @@
 // Guards against a few long requests that keep the limit at its minimum.
 func TestOneTimeoutDoesNotCutTheConcurrencyLimit(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2)...)
-	gateway.controller.limiter.limit, gateway.controller.window.overloads, gateway.controller.window.answers = 40, 1, 99
+	gateway.controller.limiter.limit = 40
+	gateway.controller.window.overloads = 1
+	gateway.controller.window.answers = 99
 	gateway.controller.endWindow(1)
 	if gateway.controller.limiter.limit < 40 {
 		t.Errorf("limit %g after one timeout in a hundred answers", gateway.controller.limiter.limit)
 	}
-	gateway.controller.window.overloads, gateway.controller.window.answers = 30, 70
+	gateway.controller.window.overloads = 30
+	gateway.controller.window.answers = 70
 	gateway.controller.endWindow(1)
 	if gateway.controller.limiter.limit != 20 {
 		t.Errorf("limit %g after thirty in a hundred", gateway.controller.limiter.limit)
@@ -59,20 +63,22 @@
 // Guards against limits below one that stop all work: the slot is used, and then pauses.
 func TestFractionalSlotPausesAndFlows(t *testing.T) {
 	gateway := newTestGateway(t, largeGroupSettings(), activeEndpoints(1)...)
-	gateway.controller.limiter.limit, gateway.controller.fleet.latency.mean, gateway.controller.limiter.idleLatency, gateway.controller.fleet.latency.count = 0.25, 0.1, 0.1, 100
+	gateway.controller.limiter.limit = 0.25
+	gateway.controller.limiter.idleLatency = 0.1
+	gateway.controller.fleet.latency = runningMean{mean: 0.1, count: 100}
 	gateway.request("a", "job", "high", "x")
 	gateway.request("b", "job", "high", "y")
 	if len(gateway.sends) != 1 {
-		t.Fatalf("%d sent with a quarter of a place", len(gateway.sends))
+		t.Fatalf("%d sent with a quarter of a slot", len(gateway.sends))
 	}
 	gateway.now += 100 * ms
 	gateway.respond("a", OK, 0)
 	if len(gateway.sends) != 1 {
-		t.Fatal("the place did not rest")
+		t.Fatal("the slot did not pause")
 	}
 	gateway.advance(450 * ms)
 	if len(gateway.sends) != 2 {
-		t.Error("the place rests for more than three times its use")
+		t.Error("the slot pauses for more than three times its use")
 	}
 }
 
@@ -84,19 +90,19 @@
 	settings.Classes = []Class{{Name: "write", LatencyObjective: 2 * time.Second, Deadline: 20 * time.Second, Idempotency: NotIdempotent, PriorityWeight: 1}}
 	settings.Plans = []Plan{{Name: "p", Price: 1}}
 	gateway := newTestGateway(t, settings, activeEndpoints(1, 2)...)
-	ask := func(id string, open bool) {
+	send := func(id string, open bool) {
 		gateway.handle(Request{ID: id, Class: "write", Plan: "p", Customer: "c", Timeout: 20 * time.Second, Units: 1, FanOut: 1, HasPendingBody: open})
 	}
 	for i := range 200 {
-		ask(fmt.Sprint("up-", i), true)
+		send(fmt.Sprint("up-", i), true)
 	}
 	if len(gateway.sends) != 200 {
 		t.Fatalf("%d of 200 were sent", len(gateway.sends))
 	}
 	gateway.advance(10 * time.Second)
-	ask("small", false)
+	send("small", false)
 	if len(gateway.sends) != 201 {
-		t.Fatal("an ordinary one waits for them")
+		t.Fatal("a request without a pending body waits for them")
 	}
 	for i, send := range gateway.sends[:200] {
 		why := []Reason{OK, TimedOut, ResetByPeer}[i%3]
@@ -125,16 +131,22 @@
 	}
 	gateway.controller.endWindow(1)
 	if gateway.controller.limiter.idleLatency < 0.015 || gateway.controller.limiter.idleLatency > 0.03 {
-		t.Errorf("idle time %g s after answers within 20 ms", gateway.controller.limiter.idleLatency)
+		t.Errorf("idle latency %g s after answers within 20 ms", gateway.controller.limiter.idleLatency)
 	}
 }
 
 // Guards against a second cut for answers to attempts from before the first.
 func TestConcurrencyLimitIsCutOncePerLatency(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2)...)
-	gateway.controller.limiter.limit, gateway.controller.fleet.latency.mean, gateway.controller.limiter.idleLatency, gateway.controller.fleet.latency.count = 80, 1.2, 0.1, 100
+	gateway.controller.limiter.limit = 80
+	gateway.controller.limiter.idleLatency = 0.1
+	gateway.controller.fleet.latency = runningMean{mean: 1.2, count: 100}
 	for i, want := range []float64{40, 40, 40, 20} {
-		gateway.controller.window.latencyCount, gateway.controller.window.answers, gateway.controller.window.latencyRatioSum, gateway.controller.window.latencySecondsSum = 10, 10, 7, 14
+		window := &gateway.controller.window
+		window.answers = 10
+		window.latencyCount = 10
+		window.latencyRatioSum = 7
+		window.latencySecondsSum = 14
 		gateway.controller.now = gateway.now + time.Duration(i)*time.Second
 		gateway.controller.endWindow(1)
 		if gateway.controller.limiter.limit != want {
@@ -175,7 +187,7 @@
 		gateway.advance(time.Second)
 	}
 	if gateway.controller.ConcurrencyLimit() >= 200 {
-		t.Errorf("the limit is %g after 200 answers that took 1.5 s of an aim of 2 s", gateway.controller.ConcurrencyLimit())
+		t.Errorf("the limit is %g after 200 answers that took 1.5 s of an objective of 2 s", gateway.controller.ConcurrencyLimit())
 	}
 }
 
--- a/control/endpoint_choice_test.go
+++ b/control/endpoint_choice_test.go
@@ -84,16 +84,16 @@
 		return report
 	}
 	group.serve(50)
-	full, room := 0, 0
+	full, spare := 0, 0
 	for id, n := range group.sent {
 		if id <= 4 {
 			full += n
 		} else {
-			room += n
+			spare += n
 		}
 	}
-	if full*4 > room {
-		t.Errorf("%d attempts at full servers, %d at others", full, room)
+	if full*4 > spare {
+		t.Errorf("%d attempts at full servers, %d at others", full, spare)
 	}
 }
 
--- a/control/endpoint_watch_test.go
+++ b/control/endpoint_watch_test.go
@@ -10,7 +10,7 @@
 	settings := testSettings()
 	settings.ListOnRequest, settings.MaxPollInterval = true, 10*time.Second
 	gateway := newTestGateway(t, settings, activeEndpoints(1)...)
-	follows := func() (n int) {
+	countWatches := func() (n int) {
 		for _, action := range gateway.actions {
 			if watch, ok := action.(WatchEndpoints); ok && watch.Active {
 				n++
@@ -19,19 +19,19 @@
 		return n
 	}
 	gateway.advance(200 * ms)
-	if follows() != 1 {
-		t.Fatalf("%d askings at start", follows())
+	if countWatches() != 1 {
+		t.Fatalf("%d watches at start", countWatches())
 	}
 	gateway.handle(EndpointList{Kind: ListFailed})
 	gateway.advance(5 * time.Second)
-	if follows() < 2 {
-		t.Error("no second asking after the first failed")
+	if countWatches() < 2 {
+		t.Error("no second watch after the first failed")
 	}
 	gateway.handle(EndpointList{Kind: ListComplete, Endpoints: activeEndpoints(1)})
-	n := follows()
+	n := countWatches()
 	gateway.advance(20 * time.Second)
-	if follows() != n {
-		t.Error("asked again while subscribed")
+	if countWatches() != n {
+		t.Error("watched again during a watch")
 	}
 }
 
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -19,10 +19,10 @@
 						RepeatWindow: deadline,
 					}}
 					group := []Endpoint{{Server: 1, Zone: "z1", Cell: 1, Size: 1}, {Server: 2, Zone: "z1", Cell: 1, Size: 1}}
-					others := []Endpoint{{Server: 3, Size: 1}, {Server: 4, Size: 1}, {Server: 5, Size: 1}} // in no zone
+					outside := []Endpoint{{Server: 3, Size: 1}, {Server: 4, Size: 1}, {Server: 5, Size: 1}} // in no zone
 					gateway := newTestGateway(t, settings, group[0])
 					gateway.handle(Request{ID: "r", Class: "put", Plan: "low", Customer: "x", Timeout: deadline, Units: 1, FanOut: 1})
-					gateway.handle(EndpointList{Kind: ListPatch, Endpoints: append([]Endpoint{{Server: 1, State: condition}}, others...)})
+					gateway.handle(EndpointList{Kind: ListPatch, Endpoints: append([]Endpoint{{Server: 1, State: condition}}, outside...)})
 					gateway.respond("r", ResetByPeer, 0)
 					if len(gateway.sends) != 1 {
 						t.Fatalf("sent again to %d", gateway.sends[1].Server)
--- a/control/extreme_settings_test.go
+++ b/control/extreme_settings_test.go
@@ -99,7 +99,7 @@
 }
 
 // stepAny is one step of such events.
-func (w *world) stepAny(comes bool) {
+func (w *world) stepAny(withArrivals bool) {
 	w.now += time.Duration(w.rng.IntN(10)) * ms
 	if w.rng.IntN(400) == 0 { // the gateway stood still
 		w.now += time.Duration(w.rng.IntN(3000)) * ms
@@ -121,11 +121,11 @@
 		}
 	}
 	switch k := w.rng.IntN(100); {
-	case k < 40 && comes:
+	case k < 40 && withArrivals:
 		w.arriveAny()
 	case k < 80 && len(w.inFlight) > 0:
 		w.outcome(w.rng.IntN(len(w.inFlight)))
-	case k < 84 && comes:
+	case k < 84 && withArrivals:
 		w.handle(w.list())
 	case k < 90:
 		w.handle(w.strayEvent())
@@ -169,9 +169,16 @@
 			}
 		}
 		controller := w.controller
-		if n := len(controller.requests.byID) + len(controller.requests.byTimer) + len(controller.requests.attempts) + controller.requests.slots.inFlight + controller.requests.slots.streaming; n != 0 || len(w.inFlight)+len(w.requests) != 0 {
-			t.Fatalf("seed %d: %d requests, %d labels, %d attempts, %d in flight, %d streams are left", seed, len(controller.requests.byID), len(controller.requests.byTimer),
-				len(controller.requests.attempts), controller.requests.slots.inFlight, controller.requests.slots.streaming)
+		if len(w.inFlight)+len(w.requests) != 0 {
+			t.Fatalf("seed %d: %d attempts and %d requests have not ended", seed, len(w.inFlight), len(w.requests))
+		}
+		requests := &controller.requests
+		if n := len(requests.byID) + len(requests.byTimer) + len(requests.attempts); n != 0 {
+			t.Fatalf("seed %d: %d requests, %d labels, %d attempts are left",
+				seed, len(requests.byID), len(requests.byTimer), len(requests.attempts))
+		}
+		if requests.slots.inFlight != 0 || requests.slots.streaming != 0 {
+			t.Fatalf("seed %d: %d slots, %d streams are left", seed, requests.slots.inFlight, requests.slots.streaming)
 		}
 		for _, plan := range controller.scheduler.plans {
 			if len(plan.queue) > 0 {
@@ -185,7 +192,7 @@
 		}
 		for _, srv := range controller.fleet.sortedServers {
 			if srv.inFlight != 0 || srv.abandoned < 0 {
-				t.Fatalf("seed %d: server %d has %d in flight, %d ghosts", seed, srv.Server, srv.inFlight, srv.abandoned)
+				t.Fatalf("seed %d: server %d has %d in flight, %d abandoned", seed, srv.Server, srv.inFlight, srv.abandoned)
 			}
 		}
 		if math.IsNaN(controller.limiter.limit+controller.fleet.latency.mean+controller.retries.budget.retries) || controller.limiter.limit < 0 {
--- a/control/gateway_test.go
+++ b/control/gateway_test.go
@@ -121,11 +121,11 @@
 }
 
 // serve sends a request every gap for a time d, and answers each attempt after 200 ms.
-func (g *testGateway) serve(d, gap time.Duration, used int, ask func(i int)) {
+func (g *testGateway) serve(d, gap time.Duration, used int, send func(i int)) {
 	g.t.Helper()
 	next, open := 0, len(g.sends)
 	for i, end := 0, g.now+d; g.now < end; i++ {
-		ask(i)
+		send(i)
 		g.advance(200 * ms)
 		for next = open; next < len(g.sends); next++ {
 			g.respond(g.sends[next].ID, OK, used)
--- a/control/golden_test.go
+++ b/control/golden_test.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := cbor.Marshal(goldenRun{run.Settings, controller.Image()})
+	second, err := cbor.Marshal(goldenRun{run.Settings, controller.Image()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 	if err := cbor.Unmarshal(raw, &want); err != nil {
 		t.Fatal(err)
 	}
-	if err := cbor.Unmarshal(again, &got); err != nil {
+	if err := cbor.Unmarshal(second, &got); err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, want) {
--- a/control/hand_over_test.go
+++ b/control/hand_over_test.go
@@ -50,19 +50,20 @@
 			pending.g.respond(pending.id, OK, 0)
 		}
 	}
-	var kept []reply
+	var remaining []reply
 	for _, pending := range c.inFlight {
 		if pending.g == c.newest() {
-			kept = append(kept, pending)
+			remaining = append(remaining, pending)
 		}
 	}
 	rest := c.gateways[0].controller.HandOver(c.newest().now, 1)
-	c.inFlight, c.gateways = kept, c.gateways[len(c.gateways)-1:]
+	c.inFlight = remaining
+	c.gateways = c.gateways[len(c.gateways)-1:]
 	c.newest().controller.ReclaimRates(c.newest().now, &rest)
 }
 
 // step lets a millisecond pass, in which the customer sends a request with the given probability.
-func (c *handOverChain) step(asks float64) {
+func (c *handOverChain) step(probability float64) {
 	now := c.newest().now + ms
 	for i := 0; i < len(c.inFlight); i++ {
 		if pending := c.inFlight[i]; pending.at <= now {
@@ -75,7 +76,7 @@
 	for _, gateway := range c.gateways {
 		gateway.advance(now - gateway.now)
 	}
-	if c.rng.Float64() < asks {
+	if c.rng.Float64() < probability {
 		c.requests++
 		gateway, id := c.gateways[c.rng.IntN(len(c.gateways))], fmt.Sprint("r", c.requests)
 		gateway.handle(Request{ID: id, Class: "job", Plan: "low", Customer: "x", Timeout: 5 * time.Second, Units: 1, FanOut: 1})
@@ -88,11 +89,12 @@
 
 // maxExcess is the largest excess of the units sent over a bucket that fills from start on.
 func (c *handOverChain) maxExcess(start time.Duration, rate, burst float64) float64 {
-	worst, level := math.Inf(-1), 0.0
+	worst, tokens := math.Inf(-1), 0.0
 	last := start
 	for _, at := range c.sent {
-		level = math.Min(burst, level+(at-last).Seconds()*rate) - 1
-		worst, last = math.Max(worst, -level), at
+		tokens = math.Min(burst, tokens+(at-last).Seconds()*rate) - 1
+		worst = math.Max(worst, -tokens)
+		last = at
 	}
 	return worst
 }
@@ -103,15 +105,15 @@
 	for seed := range uint64(40) {
 		chain := &handOverChain{t: t, set: hardLimitSettings(), rng: rand.New(rand.NewPCG(seed, 4))}
 		chain.gateways = []*testGateway{chain.newGateway(time.Hour)}
-		whole := seed%2 == 0 // each a reload; else an upgrade, with both serving for a while
+		isReload := seed%2 == 0 // each a reload; else an upgrade, with both serving for a while
 		start := chain.newest().now
 		for i := range 4000 {
-			chain.step([]float64{0.2, 0.2, 0, 0.02}[i/500%4]) // bursts, and pauses in which the store fills
+			chain.step([]float64{0.2, 0.2, 0, 0.02}[i/500%4]) // bursts, and pauses in which the bucket fills
 			switch {
 			case i%150 != 149:
 			case len(chain.gateways) > 1:
 				chain.endPredecessors()
-			case whole:
+			case isReload:
 				chain.handOver(1)
 				chain.endPredecessors()
 			default:
@@ -136,8 +138,8 @@
 // beyond it is available.
 func TestHandOverToChangedPlanKeepsWhatWasSpent(t *testing.T) {
 	for name, tc := range map[string]struct {
-		burst, depth          float64
-		wantCeiling, wantLeft float64 // after 40 of 60 and of 100 were spent
+		burst, depth             float64
+		wantHardLimit, wantQuota float64 // after 40 of 60 and of 100 were spent
 	}{
 		"the same":  {60, 100, 20, 60},
 		"more":      {90, 150, 50, 110},
@@ -158,8 +160,8 @@
 			successor.now = predecessor.now
 			successor.controller.Restore(successor.now, predecessor.controller.HandOver(predecessor.now, 1), TrustAll)
 			got := successor.controller.accounts.byKey["low x"]
-			if got.hardLimit.tokens != tc.wantCeiling || got.quota.tokens != tc.wantLeft {
-				t.Errorf("hard limit %g, level %g", got.hardLimit.tokens, got.quota.tokens)
+			if got.hardLimit.tokens != tc.wantHardLimit || got.quota.tokens != tc.wantQuota {
+				t.Errorf("hard limit %g, quota %g", got.hardLimit.tokens, got.quota.tokens)
 			}
 			if account.hardLimit.tokens != 0 || account.quota.tokens != 0 {
 				t.Errorf("the old one keeps %g and %g", account.hardLimit.tokens, account.quota.tokens)
@@ -172,23 +174,40 @@
 func TestEstimatesSurviveAHandOver(t *testing.T) {
 	settings := testSettings()
 	predecessor := newTestGateway(t, settings, activeEndpoints(1, 2, 3)...)
-	predecessor.controller.limiter.limit, predecessor.controller.fleet.latency.mean, predecessor.controller.usage.meter.lagBins, predecessor.controller.usage.meter.phaseBin = 37, 0.25, 12, 3
-	predecessor.controller.scheduler.plans[0].share, predecessor.controller.scheduler.plans[1].share = 0.25, 0.75
-	bad := predecessor.controller.fleet.servers[2]
-	bad.latency.seconds, bad.latency.updatedAt, bad.outlier.consecutiveFailures, bad.outlier.ejectedUntil = 3, predecessor.now, ejectionFailures, predecessor.now+time.Second
+	predecessor.controller.limiter.limit = 37
+	predecessor.controller.fleet.latency.mean = 0.25
+	predecessor.controller.usage.meter.lagBins = 12
+	predecessor.controller.usage.meter.phaseBin = 3
+	predecessor.controller.scheduler.plans[0].share = 0.25
+	predecessor.controller.scheduler.plans[1].share = 0.75
+	ejected := predecessor.controller.fleet.servers[2]
+	ejected.latency.seconds = 3
+	ejected.latency.updatedAt = predecessor.now
+	ejected.outlier.consecutiveFailures = ejectionFailures
+	ejected.outlier.ejectedUntil = predecessor.now + time.Second
 	checkpoint := predecessor.controller.HandOver(predecessor.now, 1)
 	checkpoint.Servers = append(checkpoint.Servers, ServerCheckpoint{Server: 99}) // is not listed any more
 	successor := newTestGateway(t, settings, append(activeEndpoints(1, 2), Endpoint{Server: 3, HasStartedAt: true, StartedAt: predecessor.now})...)
 	successor.now = predecessor.now
 	successor.controller.Restore(successor.now, checkpoint, TrustAll)
-	if successor.controller.fleet.latency.mean != 0.25 || successor.controller.usage.meter.lagBins != 12 || successor.controller.usage.meter.phaseBin != 3 || successor.controller.scheduler.plans[1].share != 0.75 {
-		t.Errorf("latency %g, lag %d, shares %g", successor.controller.fleet.latency.mean, successor.controller.usage.meter.lagBins, successor.controller.scheduler.plans[1].share)
+	controller := successor.controller
+	if got := controller.fleet.latency.mean; got != 0.25 {
+		t.Errorf("a fleet latency of %g", got)
 	}
-	if successor.controller.limiter.limit < 37*0.7 || successor.controller.limiter.limit > 37 {
-		t.Errorf("a limit of %g", successor.controller.limiter.limit)
+	if meter := &controller.usage.meter; meter.lagBins != 12 || meter.phaseBin != 3 {
+		t.Errorf("a meter lag of %d bins and a phase of %d", meter.lagBins, meter.phaseBin)
 	}
-	if !successor.controller.fleet.servers[2].outlier.isEjected(successor.controller.now) || successor.controller.fleet.servers[3].latency.seconds != 0 {
-		t.Error("the servers are not as they were")
+	if got := controller.scheduler.plans[1].share; got != 0.75 {
+		t.Errorf("a share of %g", got)
+	}
+	if limit := controller.limiter.limit; limit < 37*0.7 || limit > 37 {
+		t.Errorf("a limit of %g", limit)
+	}
+	if !controller.fleet.servers[2].outlier.isEjected(controller.now) {
+		t.Error("the ejected server is chosen again")
+	}
+	if got := controller.fleet.servers[3].latency.seconds; got != 0 {
+		t.Errorf("a server that started anew has a latency of %g s", got)
 	}
 	old := checkpoint
 	old.At -= time.Hour
--- a/control/hard_limit_test.go
+++ b/control/hard_limit_test.go
@@ -26,8 +26,8 @@
 		}
 		gateway.advance(10 * ms)
 	}
-	if most := 20*5 + 2 + 1; sent > most {
-		t.Errorf("%d units in 20 s, this gateway's part is %d", sent, most)
+	if maxUnits := 20*5 + 2 + 1; sent > maxUnits {
+		t.Errorf("%d units in 20 s, this gateway's part is %d", sent, maxUnits)
 	}
 	if sent < 80 {
 		t.Errorf("only %d units in 20 s", sent)
@@ -39,14 +39,14 @@
 func TestNewAccountHoldsNoMoreThanTheHardLimit(t *testing.T) {
 	settings := hardLimitSettings()
 	plan := settings.Plans[0]
-	for name, seen := range map[string]bool{"never seen": false, "forgotten": true} {
+	for name, wasEvicted := range map[string]bool{"never seen": false, "evicted": true} {
 		t.Run(name, func(t *testing.T) {
 			var list []uint32
 			for id := range uint32(200) {
 				list = append(list, id+1)
 			}
 			gateway := newTestGateway(t, settings, activeEndpoints(list...)...)
-			if seen {
+			if wasEvicted {
 				gateway.request("before", "job", plan.Name, "x")
 				gateway.respond("before", OK, 0)
 			}
@@ -55,10 +55,10 @@
 				gateway.request(fmt.Sprint("on", gateway.now), "job", plan.Name, "comes on")
 				gateway.respond(fmt.Sprint("on", gateway.now), OK, 0)
 			}
-			if gateway.controller.accounts.byKey[plan.Name+" x"] != nil {
-				t.Fatal("not forgotten")
+			if gateway.controller.accounts.byKey[accountKey(plan.Name, "x")] != nil {
+				t.Fatal("the account was not evicted")
 			}
-			before, begun := len(gateway.sends), gateway.now
+			before, start := len(gateway.sends), gateway.now
 			for i := range 400 {
 				id := fmt.Sprint(i)
 				if gateway.request(id, "job", plan.Name, "x"); gateway.attempts[id] > 0 {
@@ -66,7 +66,7 @@
 				}
 				gateway.advance(ms)
 			}
-			part := plan.HardLimitBurst/2 + (gateway.now-begun).Seconds()*plan.HardLimitRate/2 // g.ask spreads over two
+			part := plan.HardLimitBurst/2 + (gateway.now-start).Seconds()*plan.HardLimitRate/2 // the customer's fan-out is two
 			if n := float64(len(gateway.sends) - before); n > part+1 {
 				t.Errorf("%g units at once, of a part of %g", n, part)
 			}
@@ -92,7 +92,7 @@
 				}
 			}
 			many()
-			forgotten, sent, begun := 0, 0, gateway.now
+			evictions, sent, start := 0, 0, gateway.now
 			for round := range 60 {
 				for i := range 400 {
 					id := fmt.Sprint(round, " ", i)
@@ -103,11 +103,11 @@
 					}
 				}
 				gateway.now += windowDuration
-				if gateway.controller.Handle(gateway.now, TimerFired{}); gateway.controller.accounts.byKey[plan.Name+" x"] != nil {
+				if gateway.controller.Handle(gateway.now, TimerFired{}); gateway.controller.accounts.byKey[accountKey(plan.Name, "x")] != nil {
 					gateway.controller.accounts.evictIdle(gateway.controller.now)
 				}
-				if gateway.controller.accounts.byKey[plan.Name+" x"] == nil {
-					forgotten++
+				if gateway.controller.accounts.byKey[accountKey(plan.Name, "x")] == nil {
+					evictions++
 				}
 				if handsOver && round%10 == 0 {
 					given := gateway.controller.HandOver(gateway.now, 1)
@@ -118,9 +118,9 @@
 					many()
 				}
 			}
-			most := (initialSlackFraction*plan.HardLimitSlack + (gateway.now-begun).Seconds()*plan.HardLimitRate) / 2
-			if n := float64(sent) / 8; forgotten < 10 || n > most+1 {
-				t.Errorf("%g units of %g, forgotten %d times", n, most, forgotten)
+			maxUnits := (initialSlackFraction*plan.HardLimitSlack + (gateway.now-start).Seconds()*plan.HardLimitRate) / 2
+			if n := float64(sent) / 8; evictions < 10 || n > maxUnits+1 {
+				t.Errorf("%g units of %g, evicted %d times", n, maxUnits, evictions)
 			}
 		})
 	}
--- a/control/history_test.go
+++ b/control/history_test.go
@@ -55,10 +55,10 @@
 			if len(hist.sums) > historyBins+1 {
 				t.Fatalf("seed %d: %d steps", seed, len(hist.sums))
 			}
-			var again history
-			again.restore(hist.amounts(), now)
-			if again.advance(now); math.Abs(again.periodSum(now)-dense.over(now)) > 1e-9 {
-				t.Fatalf("seed %d: taken over, %g of the latest period, want %g", seed, again.periodSum(now), dense.over(now))
+			var repeated history
+			repeated.restore(hist.amounts(), now)
+			if repeated.advance(now); math.Abs(repeated.periodSum(now)-dense.over(now)) > 1e-9 {
+				t.Fatalf("seed %d: taken over, %g of the latest period, want %g", seed, repeated.periodSum(now), dense.over(now))
 			}
 		}
 	}
--- a/control/image_test.go
+++ b/control/image_test.go
@@ -25,7 +25,7 @@
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		if again := resumed.Image(); !reflect.DeepEqual(again, image) {
+		if resumedImage := resumed.Image(); !reflect.DeepEqual(resumedImage, image) {
 			t.Fatalf("seed %d: the image of what was resumed is another", seed)
 		}
 		other.controller = resumed
--- a/control/outlier_test.go
+++ b/control/outlier_test.go
@@ -78,7 +78,8 @@
 // that plan.
 func TestServersThatRejectOnePlanAreAvoidedForIt(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2, 3, 4)...)
-	gateway.controller.fleet.latency.mean, gateway.controller.limiter.idleLatency, gateway.controller.fleet.latency.count = 0.1, 0.1, 100
+	gateway.controller.limiter.idleLatency = 0.1
+	gateway.controller.fleet.latency = runningMean{mean: 0.1, count: 100}
 	before := gateway.controller.limiter.limit
 	refusals := 0
 	for i := 0; i < 30; i++ {
@@ -105,7 +106,7 @@
 		t.Errorf("two servers rejected the plan %d times in 6 s", refusals)
 	}
 	if gateway.controller.limiter.limit < before {
-		t.Errorf("the limit went from %g to %g on servers with room", before, gateway.controller.limiter.limit)
+		t.Errorf("the limit went from %g to %g on servers with capacity", before, gateway.controller.limiter.limit)
 	}
 }
 
@@ -122,7 +123,7 @@
 	gateway.handle(ClientGone{ID: "a"})
 	gateway.handle(AttemptResult{ID: "a", Server: 1, Reason: Cancelled, IsFinal: true})
 	if srv.outlier.isProbing || srv.outlier.consecutiveFailures != ejectionFailures {
-		t.Errorf("probing %v after %d strikes", srv.outlier.isProbing, srv.outlier.consecutiveFailures)
+		t.Errorf("probing %v after %d consecutive failures", srv.outlier.isProbing, srv.outlier.consecutiveFailures)
 	}
 }
 
--- a/control/policy_files_test.go
+++ b/control/policy_files_test.go
@@ -21,8 +21,8 @@
 // The files that decide, which both deploy files list alike, are there and are not just a few; each line has a limit.
 func TestPolicyFilesStayWithinLimits(t *testing.T) {
 	policy := policyFiles(t, "../deploy/balancer.toml")
-	if tally := policyFiles(t, "../deploy/tally.toml"); !slices.Equal(policy, tally) {
-		t.Errorf("deploy/tally.toml lists other policy files: %q, not %q", tally, policy)
+	if tallyPolicy := policyFiles(t, "../deploy/tally.toml"); !slices.Equal(policy, tallyPolicy) {
+		t.Errorf("deploy/tally.toml lists other policy files: %q, not %q", tallyPolicy, policy)
 	}
 	lines := 0
 	for _, name := range policy {
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -93,7 +93,7 @@
 			w.timers, w.due = append(w.timers, TimerFired{a.Label}), append(w.due, w.now+a.After)
 		case CancelAttempt:
 			if !w.set.CanCancel {
-				w.t.Fatal("withdrew where it is not permitted")
+				w.t.Fatal("cancelled where it is not permitted")
 			}
 		case CheckHealth:
 			if !w.set.HealthChecks {
@@ -276,7 +276,7 @@
 	w.handle(Request{
 		ID: id, Class: class.Name, Plan: request.plan, Customer: request.customer, Timeout: request.end - w.now,
 		Units: request.units, FanOut: 2 + w.rng.IntN(89),
-	}) // may change within a day; drawCeiling reckons with two at least
+	}) // may change within a day; chargeHardLimit presumes two at least
 }
 
 func play(t *testing.T, seed uint64, steps int) *world {
@@ -350,7 +350,8 @@
 	if n := len(gateway.controller.accounts.byKey); n > maxAccounts {
 		t.Errorf("%d customers remembered", n)
 	}
-	if n := len(gateway.controller.requests.byID) + len(gateway.controller.requests.byTimer) + len(gateway.controller.requests.attempts); n > 100 {
+	requests := &gateway.controller.requests
+	if n := len(requests.byID) + len(requests.byTimer) + len(requests.attempts); n > 100 {
 		t.Errorf("%d requests, labels and attempts held", n)
 	}
 	if n := len(gateway.controller.fleet.servers); n > 10 {
--- a/control/retries_test.go
+++ b/control/retries_test.go
@@ -11,11 +11,11 @@
 
 func TestRetriesFollowIdempotency(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		class Class
-		why   Reason
-		again bool // another attempt is sent
-		end   string
+		name      string
+		class     Class
+		why       Reason
+		isRetried bool // another attempt is sent
+		end       string
 	}{
 		{"free", Class{Idempotency: Idempotent}, Errored, true, ""},
 		{"unsafe maybe run", Class{Idempotency: NotIdempotent}, Errored, false, "control.Fail"},
@@ -31,7 +31,7 @@
 		gateway.request("a", "job", "low", "x")
 		gateway.now += 10 * ms
 		gateway.respond("a", tc.why, 0)
-		if again := gateway.attempts["a"] == 2; again != tc.again {
+		if isRetried := gateway.attempts["a"] == 2; isRetried != tc.isRetried {
 			t.Errorf("%s: sent %d times", tc.name, gateway.attempts["a"])
 		}
 		if got := fmt.Sprintf("%T", gateway.finalAnswers["a"]); tc.end != "" && got != tc.end {
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestKeyedRetryStaysInItsRepeatGroup(t *testing.T) {
+func TestRetryWithKeyStaysInItsRepeatGroup(t *testing.T) {
 	for scope, same := range map[KeyScope]func(a, b Endpoint) bool{
 		ScopeCell: func(a, b Endpoint) bool { return a.Cell == b.Cell },
 		ScopeZone: func(a, b Endpoint) bool { return a.Zone == b.Zone },
@@ -108,17 +108,17 @@
 		why Reason
 	}
 	var due []outcome
-	tries, seen, asked, failed := make(map[uint32]int), 0, 0, 0
+	tries, handled, requested, failed := make(map[uint32]int), 0, 0, 0
 	for len(gateway.finalAnswers) < 2000 {
-		for ; asked-len(gateway.finalAnswers) < 12; asked++ {
-			gateway.request(fmt.Sprint(asked), "job", "low", "x")
+		for ; requested-len(gateway.finalAnswers) < 12; requested++ {
+			gateway.request(fmt.Sprint(requested), "job", "low", "x")
 		}
-		for ; seen < len(gateway.sends); seen++ {
-			o := outcome{gateway.now + 50*ms, gateway.sends[seen].ID, OK}
-			if srv := gateway.sends[seen].Server; srv > 1 && rng.IntN(2) == 0 {
+		for ; handled < len(gateway.sends); handled++ {
+			o := outcome{gateway.now + 50*ms, gateway.sends[handled].ID, OK}
+			if srv := gateway.sends[handled].Server; srv > 1 && rng.IntN(2) == 0 {
 				o.at, o.why = gateway.now+ms, Errored
 			}
-			tries[gateway.sends[seen].Server]++
+			tries[gateway.sends[handled].Server]++
 			due = append(due, o)
 		}
 		first := 0
--- a/control/scheduler_test.go
+++ b/control/scheduler_test.go
@@ -9,12 +9,13 @@
 
 func TestSchedulerFollowsShares(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2)...)
-	gateway.controller.scheduler.plans[0].share, gateway.controller.scheduler.plans[1].share = 0.25, 0.75
+	gateway.controller.scheduler.plans[0].share = 0.25
+	gateway.controller.scheduler.plans[1].share = 0.75
 	for i := 0; i < 80; i++ {
 		gateway.request(fmt.Sprint("l", i), "job", "low", "a")
 		gateway.request(fmt.Sprint("h", i), "job", "high", "b")
 	}
-	for i := 0; i < 80; i++ { // keep the bound full
+	for i := 0; i < 80; i++ { // keep the concurrency limit reached
 		gateway.respond(gateway.sends[i].ID, OK, 0)
 	}
 	high := 0
@@ -30,7 +31,8 @@
 
 func TestSchedulerSkipsEmptyQueues(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2)...)
-	gateway.controller.scheduler.plans[0].share, gateway.controller.scheduler.plans[1].share = 0, 1
+	gateway.controller.scheduler.plans[0].share = 0
+	gateway.controller.scheduler.plans[1].share = 1
 	gateway.request("a", "job", "low", "x")
 	if len(gateway.sends) != 1 {
 		t.Errorf("%d sends for the only request", len(gateway.sends))
@@ -39,7 +41,9 @@
 
 func TestSharesStayWithFewAnswers(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1)...)
-	gateway.controller.scheduler.plans[0].meanLateness, gateway.controller.scheduler.plans[1].meanLateness, gateway.controller.window.answers = 3, 0.1, minAnswersPerWindow-1
+	gateway.controller.scheduler.plans[0].meanLateness = 3
+	gateway.controller.scheduler.plans[1].meanLateness = 0.1
+	gateway.controller.window.answers = minAnswersPerWindow - 1
 	gateway.controller.endWindow(1)
 	if gateway.controller.scheduler.plans[0].share != 0.5 {
 		t.Errorf("share %g after a window of four answers", gateway.controller.scheduler.plans[0].share)
@@ -54,7 +58,7 @@
 	gateway.serve(40*time.Second, 500*ms, 0, func(i int) {
 		plan := settings.Plans[i%2]
 		gateway.handle(Request{ID: fmt.Sprint(i), Class: "job", Plan: plan.Name, Customer: "c", Timeout: 3 * time.Second, Units: 1, FanOut: 9})
-		gateway.controller.scheduler.plans[1].recordLateness(1.8) // the dear plan is late
+		gateway.controller.scheduler.plans[1].recordLateness(1.8) // the high-priority plan is late
 	})
 	if share := gateway.controller.scheduler.plans[1].share; math.Abs(share-0.5) < 0.05 || share < 0.5 {
 		t.Errorf("the late high-priority plan has a share of %g", share)
--- a/control/slow_start_test.go
+++ b/control/slow_start_test.go
@@ -12,7 +12,7 @@
 	list := activeEndpoints(1, 2, 3, 4)
 	list[0].StartedAt, list[0].HasStartedAt = time.Hour-100*ms, true
 	gateway := newTestGateway(t, settings, list...)
-	cold, busy := 0, 0
+	warming, busy := 0, 0
 	for i := 0; i < 100; i++ {
 		from := len(gateway.sends)
 		for k := 0; k < 8; k++ {
@@ -24,7 +24,7 @@
 				here++
 			}
 		}
-		cold, busy = cold+here, max(busy, here)
+		warming, busy = warming+here, max(busy, here)
 		gateway.advance(20 * ms)
 		for k := 0; k < 8; k++ {
 			if id := fmt.Sprint(i, "-", k); gateway.finalAnswers[id] == nil {
@@ -32,8 +32,8 @@
 			}
 		}
 	}
-	if cold == 0 || busy > 1 {
-		t.Errorf("%d sends in 2 s to a server just started, %d at once", cold, busy)
+	if warming == 0 || busy > 1 {
+		t.Errorf("%d sends in 2 s to a server just started, %d at once", warming, busy)
 	}
 }
 
@@ -73,14 +73,14 @@
 		}
 		group := newGatewayGroup(t, n, list)
 		group.serve(10) // 2 s
-		cold, all := 0, 0
+		warming, all := 0, 0
 		for id, k := range group.sent {
 			if all += k; id >= 13 {
-				cold += k
+				warming += k
 			}
 		}
 		// Were the servers evenly used to the full by this, 2.5 times 0.2 of an even part would be the most.
-		if part := float64(cold) / 4 / (float64(all) / 16); all < 100 || part > 0.4 {
+		if part := float64(warming) / 4 / (float64(all) / 16); all < 100 || part > 0.4 {
 			t.Errorf("%d gateways: of %d requests a warming server is sent %.2f of an even part", n, all, part)
 		}
 	}
@@ -93,18 +93,18 @@
 	list := activeEndpoints(1, 2)
 	list[0].StartedAt, list[0].HasStartedAt = time.Hour-ms, true
 	gateway := newTestGateway(t, settings, list...)
-	cold := 0
+	warming := 0
 	for i := 0; i < 300; i++ {
 		id := fmt.Sprint(i)
 		gateway.request(id, "job", "low", "x")
 		gateway.advance(10 * ms)
 		if gateway.attempts[id] > 0 && gateway.sends[len(gateway.sends)-1].Server == 1 {
-			cold++
+			warming++
 			gateway.respond(id, OK, 0)
 		} // the warm server answers nothing, so its rate is not known
 	}
-	if cold > 1 {
-		t.Errorf("%d sends in 3 s from one of twelve gateways that knows no rate", cold)
+	if warming > 1 {
+		t.Errorf("%d sends in 3 s from one of twelve gateways that knows no rate", warming)
 	}
 }
 
--- a/control/usage_test.go
+++ b/control/usage_test.go
@@ -11,22 +11,22 @@
 	settings := testSettings()
 	settings.Plans[0].QuotaRate, settings.Plans[0].QuotaBurst = 1000, 20 // enough units for a reading to outweigh the prior
 	gateway := newTestGateway(t, settings, activeEndpoints(1, 2, 3)...)
-	account := gateway.controller.accountFor(gateway.controller.scheduler.plans[0], "x", 1000) // own tries tell next to nothing
+	account := gateway.controller.accountFor(gateway.controller.scheduler.plans[0], "x", 1000) // its requests here say next to nothing
 	read := func(pct int) float64 {
 		gateway.controller.now = gateway.now
-		account.quota.tokens = 0 // the store is empty enough for the chance to decide
+		account.quota.tokens = 0 // the bucket is empty enough for the rejection probability to decide
 		gateway.recordReading(account, pct+1, 1)
 		return account.rejectionProbability(gateway.controller.now, gateway.controller.accounts.fillingSince)
 	}
 	gateway.controller.usage.meter.lagBins = 0
-	asks := func(n, refused int) { // what was asked and refused in the second to come
+	recordRequests := func(arrivals, rejections int) { // of the second that follows
 		gateway.controller.now = gateway.now
 		gateway.controller.refillAccount(account)
-		account.history.arrivals.add(float64(n))
-		account.history.rejections.add(float64(refused))
+		account.history.arrivals.add(float64(arrivals))
+		account.history.rejections.add(float64(rejections))
 		gateway.now += 1100 * ms
 	}
-	asks(4000, 0)
+	recordRequests(4000, 0)
 	if probability := read(400); math.Abs(probability-0.75) > 0.01 {
 		t.Fatalf("d = %g after a first reading of 400%%", probability)
 	}
@@ -37,9 +37,9 @@
 		}
 	}
 	gateway.now += 900 * ms
-	asks(4000, 3000) // with three quarters refused, 200% is left
+	recordRequests(4000, 3000) // with three quarters rejected, 200% is left
 	if probability := read(200); math.Abs(probability-0.875) > 0.01 {
-		t.Errorf("d = %g after 200%% let through by a probability of 0.75", probability)
+		t.Errorf("d = %g after 200%% admitted by a probability of 0.75", probability)
 	}
 	for i := 0; i < 20; i++ {
 		gateway.now += time.Second
@@ -58,16 +58,16 @@
 		low, high float64
 	}{{401, 4, 0, 0.5}, {31, 30, 0.55, 1}} {
 		gateway := newTestGateway(t, largeGroupSettings(), activeEndpoints(1, 2, 3, 4)...)
-		asked := 0
+		requested := 0
 		gateway.serve(5*time.Minute, time.Duration(tc.gap)*time.Second, tc.used, func(i int) {
-			asked++
+			requested++
 			gateway.handle(Request{
 				ID: fmt.Sprint(i), Class: "job", Plan: "low", Customer: "c", Timeout: 3 * time.Second,
 				Units: 1, FanOut: 60,
 			})
 		})
-		if part := float64(len(gateway.sends)) / float64(asked); part < tc.low || part > tc.high {
-			t.Errorf("told %d%%: %.2f of the requests sent on, want %v to %v", tc.used-1, part, tc.low, tc.high)
+		if part := float64(len(gateway.sends)) / float64(requested); part < tc.low || part > tc.high {
+			t.Errorf("readings of %d%%: %.2f of the requests forwarded, want %v to %v", tc.used-1, part, tc.low, tc.high)
 		}
 	}
 }
@@ -85,9 +85,9 @@
 	n := 0
 	// refused is the part of many new customers that is; their answers tell nothing.
 	refused := func(plan string) float64 {
-		const asks = 500
+		const requests = 500
 		before := len(gateway.sends)
-		for range asks {
+		for range requests {
 			n++
 			id := fmt.Sprint("r", n)
 			gateway.request(id, "job", plan, fmt.Sprint("new", n))
@@ -99,7 +99,7 @@
 			}
 			gateway.advance(10 * ms)
 		}
-		return 1 - float64(len(gateway.sends)-before)/asks
+		return 1 - float64(len(gateway.sends)-before)/requests
 	}
 	read := func(plan int, customer string, pct int) {
 		gateway.controller.now = gateway.now
