--- a/internal/trials/regiontrial/checks.go
+++ b/internal/trials/regiontrial/checks.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// What a trial is held to, from what was seen alone.
+// The rules of a trial, checked from observations alone.
 
-// Look is what one member said of itself.
-type Look struct {
+// StatusRead is one status reply of a member.
+type StatusRead struct {
 	Member     string
-	From, To   time.Duration // it was asked, and had answered
+	From, To   time.Duration // request and reply
 	PID        int
 	Generation int // counted by the process
 	Hash       string
@@ -21,35 +21,35 @@
 	Owner      string
 }
 
-// Neighbours tells where two members certainly ran generations at one moment that are no neighbours. gens are
-// each member's hashes in the order of the change. Between two looks in a row that say the same process and
-// generation a member has run just that, so what is told is certain; what falls between looks isn't seen.
-func Neighbours(looks []Look, gens map[string][]string) (wrong []string) {
+// CheckNeighbours reports members that certainly ran generations at the same time that are no neighbours.
+// generations are each member's hashes in the order of the change. Between two consecutive status reads with the
+// same process and generation a member ran just that one, so reports are certain; changes between reads are missed.
+func CheckNeighbours(reads []StatusRead, generations map[string][]string) (wrong []string) {
 	type span struct {
 		member   string
 		from, to time.Duration
-		least    int // places of its hash in the member's generations
-		most     int
+		first    int // places of its hash in the member's generations
+		last     int
 	}
-	last := make(map[string]Look)
+	last := make(map[string]StatusRead)
 	var all []span
-	for _, l := range looks {
+	for _, l := range reads {
 		was, ok := last[l.Member]
 		last[l.Member] = l
 		if !ok || was.PID != l.PID || was.Generation != l.Generation || was.Hash != l.Hash {
 			continue
 		}
-		s := span{l.Member, was.To, l.From, -1, -1} // from the answer of one to the question of the other
-		for n, h := range gens[l.Member] {
+		s := span{l.Member, was.To, l.From, -1, -1} // from the reply of one to the request of the other
+		for n, h := range generations[l.Member] {
 			if h != l.Hash {
 				continue
 			}
-			if s.least < 0 {
-				s.least = n
+			if s.first < 0 {
+				s.first = n
 			}
-			s.most = n
+			s.last = n
 		}
-		if s.least >= 0 {
+		if s.first >= 0 {
 			all = append(all, s)
 		}
 	}
@@ -59,8 +59,8 @@
 		open = slices.DeleteFunc(open, func(o span) bool { return o.to < s.from })
 		for _, o := range open {
 			// A hash that a member has at several generations counts as the nearest.
-			if apart := max(s.least-o.most, o.least-s.most); apart > 1 && len(wrong) < wrongMost {
-				wrong = append(wrong, fmt.Sprintf("%v: %s ran generation %d beside %s at %d", s.from.Round(time.Millisecond), s.member, s.least, o.member, o.least))
+			if distance := max(s.first-o.last, o.first-s.last); distance > 1 && len(wrong) < maxReported {
+				wrong = append(wrong, fmt.Sprintf("%v: %s ran generation %d beside %s at %d", s.from.Round(time.Millisecond), s.member, s.first, o.member, o.first))
 			}
 		}
 		open = append(open, s)
@@ -68,13 +68,13 @@
 	return wrong
 }
 
-// wrongMost bounds what one check tells.
-const wrongMost = 20
+// maxReported bounds the violations that one check reports.
+const maxReported = 20
 
-// Owners tells where a member's granted epoch falls, or one epoch is of two owners.
-func Owners(looks []Look) (wrong []string) {
+// CheckOwners reports granted epochs of a member that decrease, and epochs with two owners.
+func CheckOwners(reads []StatusRead) (wrong []string) {
 	newest, of := make(map[string]uint64), make(map[uint64]string)
-	for _, l := range looks { // of one member in the order in which it answered
+	for _, l := range reads { // of one member in the order in which it answered
 		if l.Epoch < newest[l.Member] {
 			wrong = append(wrong, fmt.Sprintf("%s: epoch %d after %d", l.Member, l.Epoch, newest[l.Member]))
 		}
@@ -87,26 +87,26 @@
 		}
 		of[l.Epoch] = l.Owner
 	}
-	return wrong[:min(len(wrong), wrongMost)]
+	return wrong[:min(len(wrong), maxReported)]
 }
 
-// Log is what a member's log tells of coordinators.
-type Log struct {
+// MemberLog is what a member logged of coordinators.
+type MemberLog struct {
 	Grants, Orders int
 	Wrong          []string
 	epoch          uint64
 	owner          string
-	begun          map[string]bool
+	started        map[string]bool
 }
 
-// Read reads a log. An order under an older epoch than one granted before, or by another owner, is wrong. A
-// grant's own line may be lost with the process's end.
-func (g *Log) Read(member, log string, of map[uint64]string) {
+// Read reads a log. A command under an older epoch than one granted before, or by another owner, is a violation.
+// The line of a grant may be lost with the process.
+func (g *MemberLog) Read(member, log string, of map[uint64]string) {
 	for line := range strings.Lines(log) {
 		_, rest, ok := strings.Cut(line, `msg="`)
 		if _, id, interrupted := strings.Cut(rest, "nothing of it remains\" id="); interrupted {
 			id, _, _ = strings.Cut(id, " ")
-			delete(g.begun, id) // it may be begun again
+			delete(g.started, id) // it may be started again
 		}
 		grant := strings.HasPrefix(rest, "coordinator epoch granted")
 		if !ok || !grant && !strings.HasPrefix(rest, "command started") {
@@ -129,23 +129,23 @@
 			g.Grants++
 			continue
 		}
-		g.order(member, fields["id"])
+		g.addOrder(member, fields["id"])
 	}
 }
 
-// order counts an order that is begun; one that was begun before is wrong.
-func (g *Log) order(member, id string) {
+// addOrder counts a command that was started. One that was started before is a violation.
+func (g *MemberLog) addOrder(member, id string) {
 	g.Orders++
-	if g.begun == nil {
-		g.begun = make(map[string]bool)
+	if g.started == nil {
+		g.started = make(map[string]bool)
 	}
-	if g.begun[id] {
+	if g.started[id] {
 		g.Wrong = append(g.Wrong, fmt.Sprintf("%s: order %s is begun twice", member, id))
 	}
-	g.begun[id] = true
+	g.started[id] = true
 }
 
-// fieldsOf are the KEY=VALUE fields of a log line.
+// fieldsOf returns the KEY=VALUE fields of a log line.
 func fieldsOf(line string) map[string]string {
 	fields := make(map[string]string)
 	for f := range strings.FieldsSeq(line) {
@@ -156,30 +156,30 @@
 	return fields
 }
 
-// Beyond is by how much the requests of the worst stretch pass a rate and what may come at once. at is sorted.
-func Beyond(at []time.Duration, rate, burst float64) float64 {
-	worst, least := 0.0, 0.0
+// MaxExcess returns the largest excess of requests over rate and burst in any interval. at is sorted.
+func MaxExcess(at []time.Duration, rate, burst float64) float64 {
+	worst, minimum := 0.0, 0.0
 	for n, t := range at {
 		// In a stretch from request k to request n there are n-k+1; least is the smallest k - rate*t_k.
 		v := float64(n) - rate*t.Seconds()
-		if n == 0 || v < least {
-			least = v
+		if n == 0 || v < minimum {
+			minimum = v
 		}
-		worst = max(worst, v-least+1-burst)
+		worst = max(worst, v-minimum+1-burst)
 	}
 	return worst
 }
 
-// element is what a pool's servers answer of themselves.
+// element is the answer of one pool to a query.
 type element struct {
 	Pod string `json:"pod"`
 	ID  string `json:"id"`
 }
 
-// Holds tells whether a gathered answer, given by a region, holds exactly the parts that it claims.
-func Holds(region, id, parts, missing, body string) error {
-	var held, all int
-	if n, err := fmt.Sscanf(parts, "%d/%d", &held, &all); err != nil || n != 2 || all != regionCount || held < 1 || held > all {
+// CheckParts returns an error unless a gathered answer of a region has exactly the parts that it claims.
+func CheckParts(region, id, parts, missing, body string) error {
+	var claimed, all int
+	if n, err := fmt.Sscanf(parts, "%d/%d", &claimed, &all); err != nil || n != 2 || all != regionCount || claimed < 1 || claimed > all {
 		return fmt.Errorf("it claims %q of %d parts", parts, regionCount)
 	}
 	want := slices.Clone(regionNames)
@@ -195,7 +195,7 @@
 			want = slices.Delete(want, n, n+1)
 		}
 	}
-	if len(want) != held {
+	if len(want) != claimed {
 		return fmt.Errorf("it claims %s without %q", parts, missing)
 	}
 	var got []element
--- a/internal/trials/regiontrial/clients.go
+++ b/internal/trials/regiontrial/clients.go
@@ -18,38 +18,38 @@
 )
 
 const (
-	patience     = 4 * time.Second  // of a client that a fault explains; beyond each class's deadline
-	patienceMost = 30 * time.Second // of one that none does
-	pauseMost    = 16 * time.Millisecond
+	excusedReadTimeout = 4 * time.Second  // of a client that met a fault; above each class's deadline
+	maxReadTimeout     = 30 * time.Second // of one that met none
+	maxPause           = 16 * time.Millisecond
 )
 
-// client sends requests to one node over connections that it keeps, one at a time, and repeats none.
+// client sends requests to one node over persistent connections, one at a time, without retries.
 type client struct {
 	*run
 	node, number int
 	rng          *rand.Rand
-	made         int
+	requestCount int
 	conn         net.Conn
 	in           *bufio.Reader
-	since        time.Time // when the connection was asked for
+	dialedAt     time.Time // start of dialing the connection
 }
 
 func (r *run) client(node, n int) *client {
-	return &client{run: r, node: node, number: n, rng: rand.New(rand.NewPCG(r.o.Script.Seed, uint64(node*1000+n)))}
+	return &client{run: r, node: node, number: n, rng: rand.New(rand.NewPCG(r.options.Script.Seed, uint64(node*1000+n)))}
 }
 
-// request is one thing that a client wants.
+// request is one request of a client.
 type request struct {
 	id, method, path, customer string
 	body, answer               int64
 }
 
-// customers have ceilings over all regions; every client asks for each of them, beyond what they may.
+// customers have hard limits over all regions; every client sends requests of each, above their limits.
 var customers = []string{"gold-1", "silver-1"}
 
-func (c *client) draw() request {
-	c.made++
-	q := request{id: fmt.Sprintf("n%d-c%d-%d", c.node, c.number, c.made), method: http.MethodGet, path: "/visits", answer: int64(c.rng.IntN(3000))}
+func (c *client) drawRequest() request {
+	c.requestCount++
+	q := request{id: fmt.Sprintf("n%d-c%d-%d", c.node, c.number, c.requestCount), method: http.MethodGet, path: "/visits", answer: int64(c.rng.IntN(3000))}
 	switch n := c.rng.IntN(10); {
 	case n < 3:
 		q.method, q.path, q.body = http.MethodPost, "/write", int64(c.rng.IntN(2000))
@@ -63,58 +63,58 @@
 
 // work sends until ctx ends.
 func (c *client) work(ctx context.Context) {
-	defer c.leave()
+	defer c.closeConn()
 	for ctx.Err() == nil {
-		c.once(c.draw())
+		c.send(c.drawRequest())
 		select {
-		case <-time.After(time.Duration(c.rng.Int64N(int64(pauseMost)))):
+		case <-time.After(time.Duration(c.rng.Int64N(int64(maxPause)))):
 		case <-ctx.Done():
 		}
 	}
 }
 
-func (c *client) leave() {
+func (c *client) closeConn() {
 	if c.conn != nil {
 		c.conn.Close()
 		c.conn = nil
 	}
 }
 
-// waiting reads from the node as long as a client waits.
-type waiting struct {
+// patientReader reads from the node with a timeout that is longer for a client that met no fault.
+type patientReader struct {
 	*client
 	until time.Time
 }
 
-func (w *waiting) Read(b []byte) (int, error) {
+func (w *patientReader) Read(b []byte) (int, error) {
 	for {
-		w.conn.SetReadDeadline(time.Now().Add(patience))
+		w.conn.SetReadDeadline(time.Now().Add(excusedReadTimeout))
 		n, err := w.conn.Read(b)
-		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || w.ground.excused(w.node, w.since) || time.Now().After(w.until) {
+		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || w.fixture.isClientFaultPossible(w.node, w.dialedAt) || time.Now().After(w.until) {
 			return n, err
 		}
 	}
 }
 
-// once sends a request, notes what came of it, and gives the status; 0 is none.
-func (c *client) once(q request) int {
+// send sends a request, records its outcome, and returns the status; 0 is none.
+func (c *client) send(q request) int {
 	c.notes.Requested(q.id)
-	begun := time.Now()
+	started := time.Now()
 	resp, body, err := c.exchange(q) //nolint:bodyclose // exchange reads it to its end
 	if err != nil {
-		c.leave()
+		c.closeConn()
 		why := "unexplained: "
-		if c.ground.excused(c.node, c.since) {
+		if c.fixture.isClientFaultPossible(c.node, c.dialedAt) {
 			why = ""
 		}
-		c.notes.Broken(q.id, fmt.Sprintf("%s%s %s after %v, on a connection of %v: %v", why, q.method, q.path, time.Since(begun).Round(time.Millisecond),
-			time.Since(c.since).Round(time.Millisecond), err))
+		c.notes.Broken(q.id, fmt.Sprintf("%s%s %s after %v, on a connection of %v: %v", why, q.method, q.path, time.Since(started).Round(time.Millisecond),
+			time.Since(c.dialedAt).Round(time.Millisecond), err))
 		return 0
 	}
 	c.notes.Answered(q.id, strconv.Itoa(resp.StatusCode))
-	c.answered(c.node, q, resp, body, c.ground.excused(c.node, c.since))
+	c.answered(c.node, q, resp, body, c.fixture.isClientFaultPossible(c.node, c.dialedAt))
 	if resp.Close {
-		c.leave()
+		c.closeConn()
 	}
 	return resp.StatusCode
 }
@@ -122,16 +122,16 @@
 func (c *client) exchange(q request) (resp *http.Response, body string, err error) {
 	if c.conn != nil && c.in.Buffered() > 0 {
 		c.notes.Wrong("%s: %d bytes came behind an answer, before request %s", member(c.node), c.in.Buffered(), q.id)
-		c.leave()
+		c.closeConn()
 	}
 	if c.conn == nil {
-		c.since = time.Now()
-		if c.conn, err = (&net.Dialer{Timeout: patienceMost}).DialContext(context.Background(), "tcp", c.ground.client(c.node).Addr()); err != nil {
+		c.dialedAt = time.Now()
+		if c.conn, err = (&net.Dialer{Timeout: maxReadTimeout}).DialContext(context.Background(), "tcp", c.fixture.client(c.node).Addr()); err != nil {
 			return nil, "", err
 		}
 	}
-	c.in = bufio.NewReader(&waiting{c, time.Now().Add(patienceMost)})
-	c.conn.SetWriteDeadline(time.Now().Add(patienceMost))
+	c.in = bufio.NewReader(&patientReader{c, time.Now().Add(maxReadTimeout)})
+	c.conn.SetWriteDeadline(time.Now().Add(maxReadTimeout))
 	out := bufio.NewWriter(c.conn)
 	fmt.Fprintf(out, "%s %s?n=%d HTTP/1.1\r\nHost: trial.example\r\n%s: %s\r\n", q.method, q.path, q.answer, fieldID, q.id)
 	if q.customer != "" {
@@ -141,7 +141,7 @@
 		fmt.Fprintf(out, "Content-Length: %d\r\n", q.body)
 	}
 	out.WriteString("\r\n")
-	_, _ = io.Copy(out, fake.PatternReader(q.body)) // Flush tells
+	_, _ = io.Copy(out, fake.PatternReader(q.body)) // Flush returns the error
 	if err := out.Flush(); err != nil {
 		return nil, "", err
 	}
@@ -152,13 +152,13 @@
 	return resp, string(raw), err
 }
 
-// answered holds a final answer to what may be answered. excused tells that a fault on the client's side may
-// have broken the request off.
+// answered checks a final answer. excused tells that a fault on the client's side may have interrupted the
+// request.
 func (r *run) answered(node int, q request, resp *http.Response, body string, excused bool) {
 	r.mu.Lock()
 	r.status[resp.StatusCode]++
 	r.mu.Unlock()
-	region := regionNames[node/r.o.Each]
+	region := regionNames[node/r.options.NodesPerRegion]
 	parts, missing := resp.Header.Get("Lockflow-Parts"), resp.Header.Get("Lockflow-Missing")
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -168,7 +168,7 @@
 				r.partial++
 			}
 			r.mu.Unlock()
-			if err := Holds(region, q.id, parts, missing, body); err != nil || q.path == "/write" {
+			if err := CheckParts(region, q.id, parts, missing, body); err != nil || q.path == "/write" {
 				r.notes.Wrong("request %s for %s: %v", q.id, q.path, err)
 			}
 			return
@@ -177,7 +177,7 @@
 			r.notes.Wrong("request %s: a gathered answer that claims nothing: %.80q", q.id, body)
 			return
 		}
-		if _, ran := r.ran.Load(q.id); q.path == "/write" && !ran {
+		if _, ran := r.effects.Load(q.id); q.path == "/write" && !ran {
 			r.notes.Wrong("request %s: answered 200, and no server has had it", q.id)
 		}
 		var want strings.Builder
@@ -191,8 +191,8 @@
 			r.notes.Wrong("request %s: answered %d, and it came whole", q.id, resp.StatusCode)
 		}
 	case http.StatusInternalServerError:
-		if !r.failsNow.Load() || q.path != "/write" {
-			r.notes.Wrong("request %s: answered 500, which no server has said", q.id)
+		if !r.isHarmfulChangeActive.Load() || q.path != "/write" {
+			r.notes.Wrong("request %s: answered 500, which no server has sent", q.id)
 		}
 		r.mu.Lock()
 		r.harmed++
--- a/internal/trials/regiontrial/config.go
+++ b/internal/trials/regiontrial/config.go
@@ -19,59 +19,59 @@
 
 const regionCount = 3
 
-// Regions names them.
+// Regions returns the names of the regions.
 func Regions() []string { return regionNames }
 
-// Rates and bursts of the plans with a ceiling, in requests: the change lowers one of the two and raises the
+// Rates and bursts of the plans with a hard limit, in requests: the change lowers one of the two and raises the
 // other, so that neither end is the stricter and the change has to go through settings between.
 const (
 	unitsLow  = 8
 	unitsHigh = 16
 )
 
-// kind is one content of the whole fleet's settings.
+// kind is a version of the complete fleet's settings.
 type kind int
 
 const (
-	before      kind = iota // what all run at first
-	after                   // other gather settings, routes and ceilings
-	conflicting             // what comes through another region is gathered again: it would go round
+	before      kind = iota // the initial settings
+	after                   // other gather settings, routes and hard limits
+	conflicting             // a query from another region would be gathered again, in a loop
 	harmful                 // as after, with servers that fail every request
 )
 
-// part is a route by which a region takes its part of what another gathers.
-const part = "[[routes]]\nname = %q\nservice = \"here\"\npath = %q\nheaders = [\"Via\"]\n"
+// partRoute is a route for the part that a region contributes to another one's queries.
+const partRoute = "[[routes]]\nname = %q\nservice = \"here\"\npath = %q\nheaders = [\"Via\"]\n"
 
-// text is what a region runs.
-func (r *run) text(region int, k kind) string {
+// settingsText returns the settings of a region.
+func (r *run) settingsText(region int, k kind) string {
 	gold, silver := unitsLow, unitsHigh
 	names := []string{"here"}
-	var others, servers strings.Builder
+	var otherServices, servers strings.Builder
 	for i, name := range regionNames {
 		if i == region {
 			continue
 		}
 		names = append(names, name)
-		fmt.Fprintf(&others, "[services.%s]\nconnect_timeout = \"200ms\"\nidle = \"5s\"\nplans = [\"free\"]\nsource = { kind = \"static\", servers = [%s] }\n", name,
-			list(name, r.ground.entry(i)))
+		fmt.Fprintf(&otherServices, "[services.%s]\nconnect_timeout = \"200ms\"\nidle = \"5s\"\nplans = [\"free\"]\nsource = { kind = \"static\", servers = [%s] }\n", name,
+			list(name, r.fixture.entry(i)))
 	}
 	gather := fmt.Sprintf("parts = [%q, %q, %q]\nweights = [2, 1, 1]\nleast = 0.5\nhalf_life = \"300ms\"\ndeadline = \"learned\"\n", names[0], names[1], names[2])
 	routes := "[[routes]]\nname = \"list\"\nservice = \"app\"\npath = \"/list\"\n"
-	app := list("app-"+regionNames[region], r.ground.apps(region))
+	app := list("app-"+regionNames[region], r.fixture.apps(region))
 	if k != before {
 		gold, silver = unitsHigh, unitsLow
 		gather = fmt.Sprintf("parts = [%q, %q, %q]\nleast = 0.3\nhalf_life = \"200ms\"\ndeadline = \"400ms\"\n", names[1], names[0], names[2])
-		routes = strings.Replace(routes, "app", "district", 1) + fmt.Sprintf(part, "list-part", "/list")
+		routes = strings.Replace(routes, "app", "district", 1) + fmt.Sprintf(partRoute, "list-part", "/list")
 	}
 	if k != conflicting {
-		routes += fmt.Sprintf(part, "district-part", "/visits")
+		routes += fmt.Sprintf(partRoute, "district-part", "/visits")
 	}
 	if k == harmful {
 		app = list("failing", []string{r.failing.addr})
 	}
-	fmt.Fprint(&servers, others.String())
+	fmt.Fprint(&servers, otherServices.String())
 	return strings.NewReplacer("@instances", strconv.Itoa(r.nodes()), "@gold", strconv.Itoa(gold), "@silver", strconv.Itoa(silver),
-		"@app", app, "@customers", r.customers(), "@here", list("here-"+regionNames[region], []string{r.ground.pool(region)}),
+		"@app", app, "@customers", r.customersFile(), "@here", list("here-"+regionNames[region], []string{r.fixture.pool(region)}),
 		"@others", servers.String(), "@gather", gather, "@routes", routes).Replace(template)
 }
 
@@ -83,27 +83,27 @@
 	return strings.Join(all, ", ")
 }
 
-func (r *run) customers() string { return filepath.Join(r.o.Dir, "customers.csv") }
+func (r *run) customersFile() string { return filepath.Join(r.options.Dir, "customers.csv") }
 
-// fleet writes a fleet file with its regions' settings, and gives its path and their hashes.
-func (r *run) fleet(name string, k kind) (path string, hashes []string, err error) {
-	dir := filepath.Join(r.o.Dir, name)
+// writeFleetFile writes a fleet file with its regions' settings, and returns its path and their hashes.
+func (r *run) writeFleetFile(name string, k kind) (path string, hashes []string, err error) {
+	dir := filepath.Join(r.options.Dir, name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return "", nil, fmt.Errorf("a trial: %w", err)
 	}
 	var file strings.Builder
 	for i, region := range regionNames {
-		text := r.text(i, k)
+		text := r.settingsText(i, k)
 		hashes = append(hashes, desiredstate.Hash([]byte(text)))
 		if err := os.WriteFile(filepath.Join(dir, region+".toml"), []byte(text), 0o600); err != nil {
 			return "", nil, fmt.Errorf("a trial: %w", err)
 		}
 		var members []string
-		for n := range r.o.Each {
-			members = append(members, strconv.Quote(r.ground.control(i*r.o.Each+n).Addr()))
+		for n := range r.options.NodesPerRegion {
+			members = append(members, strconv.Quote(r.fixture.control(i*r.options.NodesPerRegion+n).Addr()))
 		}
 		fmt.Fprintf(&file, "[regions.%s]\nconfig = %q\nlisteners = [%q, %q]\nmembers = [%s]\nzone = %q\n", region, region+".toml",
-			r.ground.entry(i)[0], r.ground.entry(i)[1], strings.Join(members, ", "), region)
+			r.fixture.entry(i)[0], r.fixture.entry(i)[1], strings.Join(members, ", "), region)
 	}
 	file.WriteString("[[waivers]]\nkind = \"service\"\nregions = [\"north\", \"south\", \"east\"]\nrules = [\"list\", \"list-part\"]\n" +
 		"reason = \"the list is gathered from this change on\"\nuntil = 2099-12-31\n")
--- /dev/null
+++ b/internal/trials/regiontrial/fixture.go
@@ -0,0 +1,246 @@
+package regiontrial
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strconv"
+	"sync"
+	"time"
+
+	"lockflow/internal/manage"
+	"lockflow/internal/trials/faultnet"
+	"lockflow/internal/trials/faultnet/process"
+	"lockflow/internal/trials/faultnet/script"
+)
+
+// unusedAddr is an address without a listener.
+const unusedAddr = "127.0.0.1:1"
+
+// perRegion is how many links a region has: two to its listeners for other regions, two to its app's
+// servers, one to its pool. Those of nodes come first: to each, its clients' and its control socket's.
+const perRegion = 5
+
+// Links returns the number of links of a trial with each nodes a region.
+func Links(each int) int { return regionCount * (2*each + perRegion) }
+
+// Place returns a description of a link.
+func Place(each, n int) string {
+	nodes := regionCount * each
+	if n < 2*nodes {
+		return []string{"clients to ", "coordinators to "}[n%2] + member(n/2)
+	}
+	n -= 2 * nodes
+	region, at := regionNames[n/perRegion], n%perRegion
+	return [...]string{
+		"regions to the first listener of ", "regions to the second listener of ", region + " to app 0 of ", region + " to app 1 of ",
+		region + " to the pool of ",
+	}[at] + region
+}
+
+func member(i int) string { return fmt.Sprint("node-", i) }
+
+// fixture has the links and processes of a trial, and the faults that clients may have met.
+type fixture struct {
+	each  int
+	dir   string
+	links []*faultnet.Link
+	procs []*faultnet.Process
+
+	starts sync.WaitGroup
+	mu     sync.Mutex
+	faults []faultInterval // of each node's clients
+	kills  int
+}
+
+// faultInterval tells when faults affected the clients of one node.
+type faultInterval struct {
+	activeFaults int       // faults in force
+	lastEnd      time.Time // when one ended last
+}
+
+func (g *fixture) client(node int) *faultnet.Link  { return g.links[2*node] }
+func (g *fixture) control(node int) *faultnet.Link { return g.links[2*node+1] }
+func (g *fixture) regionLink(region, at int) *faultnet.Link {
+	return g.links[regionCount*2*g.each+region*perRegion+at]
+}
+
+func (g *fixture) entry(region int) []string {
+	return []string{g.regionLink(region, 0).Addr(), g.regionLink(region, 1).Addr()}
+}
+
+func (g *fixture) apps(region int) []string {
+	return []string{g.regionLink(region, 2).Addr(), g.regionLink(region, 3).Addr()}
+}
+func (g *fixture) pool(region int) string { return g.regionLink(region, 4).Addr() }
+
+func (g *fixture) socket(i int) string { return filepath.Join(g.dir, strconv.Itoa(i), "c.sock") }
+func (g *fixture) file(i int) string   { return filepath.Join(g.dir, strconv.Itoa(i), "lockflow.toml") }
+
+// redirectLinks leads a process's links to its address: its clients', and other regions' if it is one of the first.
+func (g *fixture) redirectLinks(i int, addr string) {
+	g.client(i).To(addr)
+	if at := i % g.each; at < 2 {
+		g.regionLink(i/g.each, at).To(addr)
+	}
+	if g.each == 1 {
+		g.regionLink(i, 1).To(addr)
+	}
+}
+
+// openLinks opens the links, to the fake servers of each region: two apps and a pool.
+func (g *fixture) openLinks(servers [][3]string) error {
+	var to []string
+	for i := range regionCount * g.each {
+		if err := os.MkdirAll(filepath.Join(g.dir, strconv.Itoa(i), "state"), 0o700); err != nil {
+			return fmt.Errorf("a trial: %w", err)
+		}
+		to = append(to, unusedAddr, g.socket(i))
+	}
+	for _, s := range servers {
+		to = append(to, unusedAddr, unusedAddr, s[0], s[1], s[2])
+	}
+	for _, addr := range to {
+		l, err := faultnet.Listen(addr)
+		if err != nil {
+			return err
+		}
+		g.links = append(g.links, l)
+	}
+	g.faults = make([]faultInterval, regionCount*g.each)
+	return nil
+}
+
+// start starts all processes and waits until they are ready.
+func (g *fixture) start(ctx context.Context, program string) error {
+	for i := range regionCount * g.each {
+		dir := filepath.Join(g.dir, strconv.Itoa(i))
+		state := filepath.Join(dir, "state")
+		g.procs = append(g.procs, &process.Process{Path: program, Log: filepath.Join(dir, "log"), State: state, Args: []string{
+			"serve", "--config", g.file(i),
+			"--control", g.socket(i), "--state", state,
+		}})
+		if err := g.procs[i].Start(); err != nil {
+			return err
+		}
+	}
+	for i := range g.procs {
+		if err := g.awaitReady(ctx, i); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (g *fixture) close() {
+	for _, p := range g.procs {
+		_ = p.Kill() // it may have ended already
+	}
+	for _, l := range g.links {
+		_ = l.Close() // the trial is over
+	}
+}
+
+// awaitReady waits until a process is ready, and leads its links to its listener.
+func (g *fixture) awaitReady(ctx context.Context, i int) error {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
+	defer cancel()
+	for {
+		s, err := manage.Client{Path: g.socket(i)}.Status(ctx)
+		if err == nil && s.PID == g.procs[i].PID() && s.IsReady() && len(s.Listeners) > 0 {
+			g.redirectLinks(i, s.Listeners[0])
+			return nil
+		}
+		if !g.procs[i].Runs() {
+			return fmt.Errorf("%s has ended: %w; %s", member(i), g.procs[i].Wait(), g.tail(i))
+		}
+		select {
+		case <-time.After(pollInterval):
+		case <-ctx.Done():
+			return fmt.Errorf("%s is not up: %w, %w; %s", member(i), ctx.Err(), err, g.tail(i))
+		}
+	}
+}
+
+// tail returns the end of a node's log.
+func (g *fixture) tail(i int) string {
+	raw, err := os.ReadFile(g.procs[i].Log)
+	if err != nil {
+		return err.Error()
+	}
+	return "its log ends with: " + string(raw[max(len(raw)-600, 0):])
+}
+
+// affectedNode returns the node whose clients a fault affects.
+func (g *fixture) affectedNode(e script.Entry) (node int, ok bool) {
+	if e.Kind.OfLink() {
+		return e.On / 2, e.On < 2*len(g.procs) && e.On%2 == 0
+	}
+	return e.On, e.Kind == script.Kill || e.Kind == script.Pause
+}
+
+// beforeStep records faults before they begin, so that clients that meet one find it recorded.
+func (g *fixture) beforeStep(st script.Step) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for _, e := range st.Begins {
+		if i, ok := g.affectedNode(e); ok {
+			g.faults[i].activeFaults++
+		}
+		if e.Kind == script.Kill {
+			g.kills++
+		}
+	}
+}
+
+// afterStep records the end of faults: that of a kill when clients can reach the new process.
+func (g *fixture) afterStep(ev faultnet.Event, wrong func(string, ...any)) {
+	for _, e := range ev.Step.Begins {
+		if e.Kind == script.Kill {
+			g.redirectLinks(e.On, unusedAddr) // the port may be another's by now
+		}
+	}
+	for _, e := range ev.Step.Ends {
+		i, ok := g.affectedNode(e)
+		if !ok {
+			continue
+		}
+		if e.Kind != script.Kill || !g.procs[i].Runs() {
+			g.noteFaultEnd(i)
+			continue
+		}
+		g.starts.Go(func() {
+			// If it is killed again meanwhile, the start after that counts.
+			starts := g.procs[i].Starts()
+			if err := g.awaitReady(context.Background(), i); err != nil && g.procs[i].Runs() && g.procs[i].Starts() == starts {
+				wrong("%v", err)
+			}
+			g.noteFaultEnd(i)
+		})
+	}
+}
+
+func (g *fixture) noteFaultEnd(i int) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.faults[i].activeFaults--
+	g.faults[i].lastEnd = time.Now()
+}
+
+// isClientFaultPossible tells whether a fault of the link to a node's clients or of its process may have
+// affected a connection since a time.
+func (g *fixture) isClientFaultPossible(node int, since time.Time) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	t := g.faults[node]
+	return t.activeFaults > 0 || t.lastEnd.After(since)
+}
+
+// Draw draws a script for a trial with each nodes a region.
+func Draw(seed uint64, each, faults int, duration time.Duration) faultnet.Script {
+	return faultnet.Draw(seed, faultnet.Spec{
+		Links: Links(each), Procs: regionCount * each, For: duration, Faults: faults,
+		ProcKinds: []script.Kind{script.Kill, script.Pause, script.Full, script.ReadOnly},
+	})
+}
