--- a/internal/trials/faultnet/trial/clients.go
+++ b/internal/trials/faultnet/trial/clients.go
@@ -1,59 +1,49 @@
 package trial
 
 import (
-	"bufio"
 	"context"
 	"errors"
 	"fmt"
 	"hash/crc32"
 	"io"
 	"math/rand/v2"
-	"net"
 	"net/http"
-	"os"
 	"strconv"
 	"time"
 
 	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/trials/faultnet/traffic"
 )
 
 const (
-	excusedReadTimeout     = 3 * time.Second  // explainedSide a client that a fault explains; beyond each class's deadline
-	maxReadTimeout         = 20 * time.Second // explainedSide one that none does
+	excusedReadTimeout     = 3 * time.Second  // of a client that may have met a fault; above each class's deadline
+	maxReadTimeout         = 20 * time.Second // of all other clients
 	maxPause               = 10 * time.Millisecond
-	maxBufferedAnswerBytes = 64 << 10 // an answer up to this size the node holds; it is a whole one or none
+	maxBufferedAnswerBytes = 64 << 10 // the node buffers answers up to this size, which are complete or missing
 )
 
-// client sends requests to one node over connections that it keeps, one at a time, and repeats
-// none.
+// client sends requests to one node over persistent connections, one at a time, without retries.
 type client struct {
 	*run
 	node, number int
 	rng          *rand.Rand
 	requestCount int
-	conn         net.Conn
-	in           *bufio.Reader
-	dialedAt     time.Time // when the connection was asked for
-	lastOutcome  string    // how the last request ended
+	conn         traffic.Conn
+	lastOutcome  string // of the latest request
 }
 
-// patientReader reads from the node as long as a client waits.
-type patientReader struct {
-	*client
-	until time.Time
-}
-
-func (w *patientReader) Read(b []byte) (int, error) {
-	for {
-		w.conn.SetReadDeadline(time.Now().Add(excusedReadTimeout))
-		n, err := w.conn.Read(b)
-		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || w.isClientFaultPossible(w.node, w.dialedAt) || time.Now().After(w.until) {
-			return n, err
-		}
+func (r *run) client(node, n int) *client {
+	c := &client{run: r, node: node, number: n, rng: rand.New(rand.NewPCG(r.options.Script.Seed, uint64(node*1000+n)))}
+	c.conn = traffic.Conn{
+		Addr:            func() string { return r.front(node) },
+		FaultTimeout:    excusedReadTimeout,
+		MaxTimeout:      maxReadTimeout,
+		IsFaultPossible: func(dialedAt time.Time) bool { return r.isClientFaultPossible(node, dialedAt) },
 	}
+	return c
 }
 
-// request is one thing that a client wants.
+// request is one request of a client.
 type request struct {
 	id, method, path, key string
 	body, answer          int64
@@ -77,7 +67,7 @@
 
 // work sends until ctx ends.
 func (c *client) work(ctx context.Context) {
-	defer c.closeConn()
+	defer c.conn.Close()
 	for ctx.Err() == nil {
 		c.send(c.drawRequest())
 		select {
@@ -87,14 +77,7 @@
 	}
 }
 
-func (c *client) closeConn() {
-	if c.conn != nil {
-		c.conn.Close()
-		c.conn = nil
-	}
-}
-
-// send sends a request and notes what came of it; it gives the server that answered well, or "".
+// send sends a request and records its outcome. It returns the server that served it, or "".
 func (c *client) send(q request) string {
 	c.notes.Requested(q.id)
 	sent := time.Now()
@@ -102,52 +85,34 @@
 	c.lastOutcome = fmt.Sprintf("%s %s: %d in %v, %v", q.id, q.path, status, time.Since(sent).Round(time.Millisecond), err)
 	if err == nil {
 		c.notes.Answered(q.id, strconv.Itoa(status))
-		c.answered(c.node, q, status, c.isClientFaultPossible(c.node, c.dialedAt))
+		c.answered(c.node, q, status, c.isClientFaultPossible(c.node, c.conn.DialedAt()))
 		return server
 	}
-	c.closeConn()
+	c.conn.Close()
 	why := "unexplained: "
 	switch {
-	case c.isClientFaultPossible(c.node, c.dialedAt):
+	case c.isClientFaultPossible(c.node, c.conn.DialedAt()):
 		why = ""
-	case errors.Is(err, errShort) && q.answer > maxBufferedAnswerBytes && c.isUpstreamFaultPossible(c.node, c.dialedAt):
+	case errors.Is(err, errShort) && q.answer > maxBufferedAnswerBytes && c.isUpstreamFaultPossible(c.node, c.conn.DialedAt()):
 		why = ""
 	}
 	c.notes.Broken(q.id, fmt.Sprintf("%s%s of %d bytes, answer of %d, after %v on a connection of %v: %v", why, q.method, q.body, q.answer,
-		time.Since(sent).Round(time.Millisecond), time.Since(c.dialedAt).Round(time.Millisecond), err))
+		time.Since(sent).Round(time.Millisecond), time.Since(c.conn.DialedAt()).Round(time.Millisecond), err))
 	return ""
 }
 
-// errShort is of an answer whose head came and whose body did not come whole.
+// errShort is returned for an answer with an incomplete body.
 var errShort = errors.New("the answer is short")
 
+// exchange sends a request and checks the content of its answer.
 func (c *client) exchange(q request) (status int, server string, err error) {
-	if c.conn != nil && c.in.Buffered() > 0 {
-		c.notes.Wrong("node %d: %d bytes came behind an answer, before request %s", c.node, c.in.Buffered(), q.id)
-		c.closeConn()
-	}
-	if c.conn == nil {
-		c.dialedAt = time.Now()
-		if c.conn, err = (&net.Dialer{Timeout: maxReadTimeout}).DialContext(context.Background(), "tcp", c.front(c.node)); err != nil {
-			return 0, "", err
-		}
-	}
-	c.in = bufio.NewReader(&patientReader{c, time.Now().Add(maxReadTimeout)})
-	c.conn.SetWriteDeadline(time.Now().Add(maxReadTimeout))
-	out := bufio.NewWriter(c.conn)
-	fmt.Fprintf(out, "%s %s?n=%d HTTP/1.1\r\nHost: trial.example\r\n%s: %s\r\n", q.method, q.path, q.answer, fieldID, q.id)
-	if q.key != "" {
-		fmt.Fprintf(out, "%s: %s\r\n", fieldKey, q.key)
-	}
-	if q.method == http.MethodPost {
-		fmt.Fprintf(out, "Content-Length: %d\r\n", q.body)
-	}
-	out.WriteString("\r\n")
-	_, _ = io.Copy(out, fake.PatternReader(q.body)) // Flush tells
-	if err := out.Flush(); err != nil {
-		return 0, "", err
+	if unread := c.conn.Unread(); unread > 0 {
+		c.notes.Wrong("node %d: %d bytes came behind an answer, before request %s", c.node, unread, q.id)
+		c.conn.Close()
 	}
-	resp, err := http.ReadResponse(c.in, &http.Request{Method: q.method}) //nolint:bodyclose // it is read to its end from a connection of our own
+	resp, err := c.conn.Send(traffic.Request{ //nolint:bodyclose // it is read to its end from a connection of our own
+		ID: q.id, Method: q.method, Path: q.path, Header: [2]string{fieldKey, q.key}, Body: q.body, Answer: q.answer,
+	})
 	if err != nil {
 		return 0, "", err
 	}
@@ -159,12 +124,12 @@
 	if resp.StatusCode == http.StatusOK {
 		want := crc32.NewIEEE()
 		_, _ = io.Copy(want, fake.PatternReader(q.answer))
-		if got := resp.Header.Get(fieldID); got != q.id || n != q.answer || sum.Sum32() != want.Sum32() {
+		if got := resp.Header.Get(traffic.IDField); got != q.id || n != q.answer || sum.Sum32() != want.Sum32() {
 			c.notes.Wrong("request %s: an answer to %q of %d bytes instead of %d, or with others in it", q.id, got, n, q.answer)
 		}
 	}
 	if resp.Close {
-		c.closeConn()
+		c.conn.Close()
 	}
 	return resp.StatusCode, resp.Header.Get(fieldServer), nil
 }
--- a/internal/trials/faultnet/trial/fault_interval.go
+++ b/internal/trials/faultnet/trial/sides.go
@@ -8,19 +8,13 @@
 	"lockflow/internal/trials/faultnet/script"
 )
 
-// side is what faults can explain: what clients of a node see by themselves, or the way beyond it.
+// side is the part of a node's connections that a fault affects: those to its clients, or those to its servers.
 type side struct {
 	node       int
 	isUpstream bool
 }
 
-// faultInterval is the faults of one side.
-type faultInterval struct {
-	activeFaults int       // in force
-	lastEnd      time.Time // when one ended last
-}
-
-// explainedSide gives the side that a fault explains what happens on; false where it explains nothing.
+// explainedSide returns the side that a fault affects. ok is false if it affects no requests.
 func (r *run) explainedSide(e script.Entry) (side, bool) {
 	switch {
 	case !e.Kind.OfLink():
@@ -33,16 +27,13 @@
 	return side{node: e.On / (2 + r.options.Servers), isUpstream: true}, true
 }
 
-// beforeStep notes faults ahead of their begin, so that whoever feels one finds it noted.
+// beforeStep records faults before they begin, so that clients that meet one find it recorded.
 func (r *run) beforeStep(st script.Step) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range st.Begins {
 		if s, ok := r.explainedSide(e); ok {
-			if r.sides[s] == nil {
-				r.sides[s] = &faultInterval{}
-			}
-			r.sides[s].activeFaults++
+			r.faults.Begin(s)
 		}
 		if e.Kind == script.Kill {
 			r.kills++
@@ -50,8 +41,7 @@
 	}
 }
 
-// afterStep notes the end of faults once they have ended: that of a kill when clients find the new
-// process.
+// afterStep records the end of faults: that of a kill when clients can reach the new process.
 func (r *run) afterStep(ev faultnet.Event) {
 	for _, e := range ev.Step.Begins {
 		if e.Kind == script.Kill {
@@ -65,43 +55,30 @@
 		}
 		if e.Kind == script.Kill && r.procs[e.On].Runs() {
 			r.starts.Go(func() {
-				// Where it is killed again meanwhile, the start after that counts.
+				// If it is killed again meanwhile, the start after that counts.
 				p := r.procs[e.On]
 				starts := p.Starts()
 				if err := r.awaitReady(context.Background(), e.On); err != nil && p.Runs() && p.Starts() == starts {
 					r.notes.Wrong("node %d: %v; %s", e.On, err, r.tail(e.On))
 				}
-				r.noteFaultEnd(s)
+				r.faults.End(s)
 			})
 			continue
 		}
-		r.noteFaultEnd(s)
+		r.faults.End(s)
 	}
 	if r.options.OnEvent != nil {
 		r.options.OnEvent(ev)
 	}
 }
 
-func (r *run) noteFaultEnd(s side) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.sides[s].activeFaults--
-	r.sides[s].lastEnd = time.Now()
-}
-
-// isClientFaultPossible tells whether a fault of a node's clients' way or of its process explains what has
-// befallen a connection since then; beyond is of the ways to its servers.
+// isClientFaultPossible tells whether a fault of the link to a node's clients or of its process may have
+// affected a connection since a time.
 func (r *run) isClientFaultPossible(node int, since time.Time) bool {
-	return r.isFaultPossible(side{node: node}, since)
+	return r.faults.IsPossible(side{node: node}, since)
 }
 
+// isUpstreamFaultPossible tells the same of a node's links to its servers.
 func (r *run) isUpstreamFaultPossible(node int, since time.Time) bool {
-	return r.isFaultPossible(side{node: node, isUpstream: true}, since)
-}
-
-func (r *run) isFaultPossible(s side, since time.Time) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	t := r.sides[s]
-	return t != nil && (t.activeFaults > 0 || t.lastEnd.After(since))
+	return r.faults.IsPossible(side{node: node, isUpstream: true}, since)
 }
--- a/internal/trials/faultnet/trial/trial.go
+++ b/internal/trials/faultnet/trial/trial.go
@@ -24,6 +24,7 @@
 	"lockflow/internal/trials/faultnet"
 	"lockflow/internal/trials/faultnet/history"
 	"lockflow/internal/trials/faultnet/process"
+	"lockflow/internal/trials/faultnet/traffic"
 )
 
 //go:embed config.toml
@@ -50,7 +51,7 @@
 	Broken         int           `json:"broken"`   // without one, as a fault of the client's way or of the process explains
 	Effects        int           `json:"effects"`
 	ControlCalls   int           `json:"asked"`   // status and reload, by the control sockets
-	ControlReplies int           `json:"told"`    // explainedSide them, answered
+	ControlReplies int           `json:"told"`    // of them, answered
 	OwnedEpochs    int           `json:"owned"`   // epochs that a coordinator has come to own
 	Orders         int           `json:"orders"`  // carried out, or told again
 	Kills          int           `json:"kills"`   //
@@ -97,10 +98,10 @@
 	links   []*faultnet.Link
 	procs   []*faultnet.Process
 	starts  sync.WaitGroup
+	faults  traffic.Faults[side]
 
 	mu             sync.Mutex
-	sides          map[side]*faultInterval
-	status         map[int]int // explainedSide answers
+	status         map[int]int // of answers
 	controlCalls   int
 	controlReplies int
 	kills          int
@@ -115,7 +116,7 @@
 // Run runs a trial of one script. It returns an error if the trial could not be run; violated rules
 // are in the report.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	r := &run{options: o, notes: &history.Exchanges{}, sides: make(map[side]*faultInterval), status: make(map[int]int)}
+	r := &run{options: o, notes: &history.Exchanges{}, status: make(map[int]int)}
 	player, err := faultnet.NewPlayer(o.Script, make([]*faultnet.Link, Links(o.Nodes, o.Servers)), make([]*faultnet.Process, o.Nodes))
 	if err != nil {
 		return nil, err
@@ -190,10 +191,6 @@
 	}
 }
 
-func (r *run) client(node, n int) *client {
-	return &client{run: r, node: node, number: n, rng: rand.New(rand.NewPCG(r.options.Script.Seed, uint64(node*1000+n)))}
-}
-
 // start starts all, and waits until it serves.
 func (r *run) start(ctx context.Context) (err error) {
 	if r.servers, err = startServers(r.options.Servers, serverWork, r.notes); err != nil {
@@ -295,7 +292,7 @@
 	r.checks++
 	c := r.client(i, r.options.Clients+r.checks) // with ids of its own
 	r.mu.Unlock()
-	defer c.closeConn()
+	defer c.conn.Close()
 	for well := make(map[string]bool); len(well) < 3; {
 		if q := c.drawRequest(); !well[q.path] && c.send(q) != "" {
 			well[q.path] = true
--- a/internal/trials/regiontrial/checks.go
+++ b/internal/trials/regiontrial/checks.go
@@ -160,7 +160,7 @@
 func MaxExcess(at []time.Duration, rate, burst float64) float64 {
 	worst, minimum := 0.0, 0.0
 	for n, t := range at {
-		// In a stretch from request k to request n there are n-k+1; least is the smallest k - rate*t_k.
+		// An interval from request k to request n has n-k+1 requests; minimum is the smallest k - rate*t_k.
 		v := float64(n) - rate*t.Seconds()
 		if n == 0 || v < minimum {
 			minimum = v
--- a/internal/trials/regiontrial/clients.go
+++ b/internal/trials/regiontrial/clients.go
@@ -1,20 +1,17 @@
 package regiontrial
 
 import (
-	"bufio"
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
-	"net"
 	"net/http"
-	"os"
 	"strconv"
 	"strings"
 	"time"
 
 	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/trials/faultnet/traffic"
 )
 
 const (
@@ -29,13 +26,18 @@
 	node, number int
 	rng          *rand.Rand
 	requestCount int
-	conn         net.Conn
-	in           *bufio.Reader
-	dialedAt     time.Time // start of dialing the connection
+	conn         traffic.Conn
 }
 
 func (r *run) client(node, n int) *client {
-	return &client{run: r, node: node, number: n, rng: rand.New(rand.NewPCG(r.options.Script.Seed, uint64(node*1000+n)))}
+	c := &client{run: r, node: node, number: n, rng: rand.New(rand.NewPCG(r.options.Script.Seed, uint64(node*1000+n)))}
+	c.conn = traffic.Conn{
+		Addr:            func() string { return r.fixture.client(node).Addr() },
+		FaultTimeout:    excusedReadTimeout,
+		MaxTimeout:      maxReadTimeout,
+		IsFaultPossible: func(dialedAt time.Time) bool { return r.fixture.isClientFaultPossible(node, dialedAt) },
+	}
+	return c
 }
 
 // request is one request of a client.
@@ -63,7 +65,7 @@
 
 // work sends until ctx ends.
 func (c *client) work(ctx context.Context) {
-	defer c.closeConn()
+	defer c.conn.Close()
 	for ctx.Err() == nil {
 		c.send(c.drawRequest())
 		select {
@@ -73,79 +75,39 @@
 	}
 }
 
-func (c *client) closeConn() {
-	if c.conn != nil {
-		c.conn.Close()
-		c.conn = nil
-	}
-}
-
-// patientReader reads from the node with a timeout that is longer for a client that met no fault.
-type patientReader struct {
-	*client
-	until time.Time
-}
-
-func (w *patientReader) Read(b []byte) (int, error) {
-	for {
-		w.conn.SetReadDeadline(time.Now().Add(excusedReadTimeout))
-		n, err := w.conn.Read(b)
-		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || w.fixture.isClientFaultPossible(w.node, w.dialedAt) || time.Now().After(w.until) {
-			return n, err
-		}
-	}
-}
-
 // send sends a request, records its outcome, and returns the status; 0 is none.
 func (c *client) send(q request) int {
 	c.notes.Requested(q.id)
 	started := time.Now()
 	resp, body, err := c.exchange(q) //nolint:bodyclose // exchange reads it to its end
 	if err != nil {
-		c.closeConn()
+		c.conn.Close()
 		why := "unexplained: "
-		if c.fixture.isClientFaultPossible(c.node, c.dialedAt) {
+		if c.fixture.isClientFaultPossible(c.node, c.conn.DialedAt()) {
 			why = ""
 		}
 		c.notes.Broken(q.id, fmt.Sprintf("%s%s %s after %v, on a connection of %v: %v", why, q.method, q.path, time.Since(started).Round(time.Millisecond),
-			time.Since(c.dialedAt).Round(time.Millisecond), err))
+			time.Since(c.conn.DialedAt()).Round(time.Millisecond), err))
 		return 0
 	}
 	c.notes.Answered(q.id, strconv.Itoa(resp.StatusCode))
-	c.answered(c.node, q, resp, body, c.fixture.isClientFaultPossible(c.node, c.dialedAt))
+	c.answered(c.node, q, resp, body, c.fixture.isClientFaultPossible(c.node, c.conn.DialedAt()))
 	if resp.Close {
-		c.closeConn()
+		c.conn.Close()
 	}
 	return resp.StatusCode
 }
 
+// exchange sends a request and reads its answer.
 func (c *client) exchange(q request) (resp *http.Response, body string, err error) {
-	if c.conn != nil && c.in.Buffered() > 0 {
-		c.notes.Wrong("%s: %d bytes came behind an answer, before request %s", member(c.node), c.in.Buffered(), q.id)
-		c.closeConn()
-	}
-	if c.conn == nil {
-		c.dialedAt = time.Now()
-		if c.conn, err = (&net.Dialer{Timeout: maxReadTimeout}).DialContext(context.Background(), "tcp", c.fixture.client(c.node).Addr()); err != nil {
-			return nil, "", err
-		}
-	}
-	c.in = bufio.NewReader(&patientReader{c, time.Now().Add(maxReadTimeout)})
-	c.conn.SetWriteDeadline(time.Now().Add(maxReadTimeout))
-	out := bufio.NewWriter(c.conn)
-	fmt.Fprintf(out, "%s %s?n=%d HTTP/1.1\r\nHost: trial.example\r\n%s: %s\r\n", q.method, q.path, q.answer, fieldID, q.id)
-	if q.customer != "" {
-		fmt.Fprintf(out, "%s: %s\r\n", fieldCustomer, q.customer)
-	}
-	if q.method == http.MethodPost {
-		fmt.Fprintf(out, "Content-Length: %d\r\n", q.body)
-	}
-	out.WriteString("\r\n")
-	_, _ = io.Copy(out, fake.PatternReader(q.body)) // Flush returns the error
-	if err := out.Flush(); err != nil {
-		return nil, "", err
+	if unread := c.conn.Unread(); unread > 0 {
+		c.notes.Wrong("%s: %d bytes came behind an answer, before request %s", member(c.node), unread, q.id)
+		c.conn.Close()
 	}
-	if resp, err = http.ReadResponse(c.in, &http.Request{Method: q.method}); err != nil {
+	resp, err = c.conn.Send(traffic.Request{
+		ID: q.id, Method: q.method, Path: q.path, Header: [2]string{fieldCustomer, q.customer}, Body: q.body, Answer: q.answer,
+	})
+	if err != nil {
 		return nil, "", err
 	}
 	raw, err := io.ReadAll(resp.Body)
@@ -182,7 +144,7 @@
 		}
 		var want strings.Builder
 		_, _ = io.Copy(&want, fake.PatternReader(q.answer))
-		if got := resp.Header.Get(fieldID); got != q.id || body != want.String() {
+		if got := resp.Header.Get(traffic.IDField); got != q.id || body != want.String() {
 			r.notes.Wrong("request %s: an answer to %q of %d bytes instead of %d, or with others in it", q.id, got, len(body), q.answer)
 		}
 	case 502, 503, 504, 429:
--- a/internal/trials/regiontrial/config.go
+++ b/internal/trials/regiontrial/config.go
@@ -67,7 +67,7 @@
 		routes += fmt.Sprintf(partRoute, "district-part", "/visits")
 	}
 	if k == harmful {
-		app = list("failing", []string{r.failing.addr})
+		app = list("failing", []string{r.failing.Addr})
 	}
 	fmt.Fprint(&servers, otherServices.String())
 	return strings.NewReplacer("@instances", strconv.Itoa(r.nodes()), "@gold", strconv.Itoa(gold), "@silver", strconv.Itoa(silver),
--- a/internal/trials/regiontrial/fixture.go
+++ b/internal/trials/regiontrial/fixture.go
@@ -13,6 +13,7 @@
 	"lockflow/internal/trials/faultnet"
 	"lockflow/internal/trials/faultnet/process"
 	"lockflow/internal/trials/faultnet/script"
+	"lockflow/internal/trials/faultnet/traffic"
 )
 
 // unusedAddr is an address without a listener.
@@ -49,17 +50,11 @@
 	procs []*faultnet.Process
 
 	starts sync.WaitGroup
+	faults traffic.Faults[int] // by the node whose clients they affect
 	mu     sync.Mutex
-	faults []faultInterval // of each node's clients
 	kills  int
 }
 
-// faultInterval tells when faults affected the clients of one node.
-type faultInterval struct {
-	activeFaults int       // faults in force
-	lastEnd      time.Time // when one ended last
-}
-
 func (g *fixture) client(node int) *faultnet.Link  { return g.links[2*node] }
 func (g *fixture) control(node int) *faultnet.Link { return g.links[2*node+1] }
 func (g *fixture) regionLink(region, at int) *faultnet.Link {
@@ -108,7 +103,6 @@
 		}
 		g.links = append(g.links, l)
 	}
-	g.faults = make([]faultInterval, regionCount*g.each)
 	return nil
 }
 
@@ -186,7 +180,7 @@
 	defer g.mu.Unlock()
 	for _, e := range st.Begins {
 		if i, ok := g.affectedNode(e); ok {
-			g.faults[i].activeFaults++
+			g.faults.Begin(i)
 		}
 		if e.Kind == script.Kill {
 			g.kills++
@@ -207,7 +201,7 @@
 			continue
 		}
 		if e.Kind != script.Kill || !g.procs[i].Runs() {
-			g.noteFaultEnd(i)
+			g.faults.End(i)
 			continue
 		}
 		g.starts.Go(func() {
@@ -216,25 +210,15 @@
 			if err := g.awaitReady(context.Background(), i); err != nil && g.procs[i].Runs() && g.procs[i].Starts() == starts {
 				wrong("%v", err)
 			}
-			g.noteFaultEnd(i)
+			g.faults.End(i)
 		})
 	}
 }
 
-func (g *fixture) noteFaultEnd(i int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.faults[i].activeFaults--
-	g.faults[i].lastEnd = time.Now()
-}
-
 // isClientFaultPossible tells whether a fault of the link to a node's clients or of its process may have
 // affected a connection since a time.
 func (g *fixture) isClientFaultPossible(node int, since time.Time) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	t := g.faults[node]
-	return t.activeFaults > 0 || t.lastEnd.After(since)
+	return g.faults.IsPossible(node, since)
 }
 
 // Draw draws a script for a trial with each nodes a region.
--- a/internal/trials/regiontrial/trial.go
+++ b/internal/trials/regiontrial/trial.go
@@ -20,6 +20,7 @@
 	"lockflow/internal/regions"
 	"lockflow/internal/trials/faultnet"
 	"lockflow/internal/trials/faultnet/history"
+	"lockflow/internal/trials/faultnet/traffic"
 )
 
 // Options are the options of a trial.
@@ -79,8 +80,8 @@
 	fixture               *fixture
 	notes                 *history.Exchanges
 	sent                  forwardedRequests
-	servers               []*server
-	failing               *server
+	servers               []*traffic.Server
+	failing               *traffic.Server
 	effects               sync.Map // ids of writes whose effect happened
 	isHarmfulChangeActive atomic.Bool
 	rng                   *rand.Rand
@@ -147,20 +148,20 @@
 	var addresses [][3]string
 	for _, name := range regionNames {
 		var addrs [3]string
-		for n, handle := range []func(string) (*server, error){
-			func(name string) (*server, error) { return listen(r.notes, r.app(name)) },
-			func(name string) (*server, error) { return listen(r.notes, r.app(name)) },
-			func(name string) (*server, error) { return listen(r.notes, r.pool(name)) },
+		for n, handle := range []func(string) (*traffic.Server, error){
+			func(name string) (*traffic.Server, error) { return startServer(r.notes, r.app(name)) },
+			func(name string) (*traffic.Server, error) { return startServer(r.notes, r.app(name)) },
+			func(name string) (*traffic.Server, error) { return startServer(r.notes, r.pool(name)) },
 		} {
 			s, err := handle(name)
 			if err != nil {
 				return nil, nil, err
 			}
-			r.servers, addrs[n] = append(r.servers, s), s.addr
+			r.servers, addrs[n] = append(r.servers, s), s.Addr
 		}
 		addresses = append(addresses, addrs)
 	}
-	if r.failing, err = listen(r.notes, fails); err != nil {
+	if r.failing, err = startServer(r.notes, fails); err != nil {
 		return nil, nil, err
 	}
 	r.servers = append(r.servers, r.failing)
@@ -202,7 +203,7 @@
 func (r *run) close() {
 	r.fixture.close()
 	for _, s := range r.servers {
-		s.close()
+		s.Close()
 	}
 }
 
@@ -357,7 +358,7 @@
 	defer cancel()
 	for i := range r.nodes() {
 		c := r.client(i, 1000+int(time.Since(r.began)/time.Millisecond)) // with ids of its own
-		defer c.closeConn()
+		defer c.conn.Close()
 		for well := make(map[string]bool); len(well) < 2; {
 			q := c.drawRequest()
 			if q.customer == "" && q.path != "/list" && !well[q.path] && c.send(q) == 200 {
