--- a/internal/service/answer.go
+++ b/internal/service/answer.go
@@ -8,7 +8,7 @@
 	"lockflow/internal/upstream"
 )
 
-// AnswerKind is who an answer is of, and what it says of a retry.
+// AnswerKind is the origin of an answer, and whether a retry is safe.
 type AnswerKind int8
 
 // The kinds of answers.
@@ -24,16 +24,16 @@
 	Status      int
 	Header      http.Header // of the server's response; must not be changed
 	Body        []byte
-	Stream      *upstream.Stream // the body where it streams; nil otherwise. Whoever takes the answer closes it.
+	Stream      *upstream.Stream // the body where it streams, which the receiver closes; nil otherwise
 	RetryAfter  time.Duration    // 0 gives no advice
 	Cause       control.Cause    // why the module rejected the request
 	LastAttempt control.Reason   // how the last attempt ended, in an answer of the node's own; 0 if there was none
 
-	replacement   *Service // not nil: the request has not begun, and is to be passed to this service
+	replacement   *Service // not nil: the request has not started, and has to be passed to this service
 	clientHasLeft bool     // Do is to report that the client has left
 }
 
-// discard closes an answer that nobody takes.
+// discard closes an answer that has no receiver.
 func (a Answer) discard() {
 	if a.Stream != nil {
 		go a.Stream.Close() // it posts to the loop, which may be the caller and must not wait for itself
--- a/internal/service/attempts.go
+++ b/internal/service/attempts.go
@@ -19,19 +19,25 @@
 	startedAt time.Time
 }
 
-// startAttempt carries out a Send: it gives an attempt to a worker. What can't be attempted is reported to
-// the module as an attempt that was not sent.
+// startAttempt carries out a Send: it gives an attempt to a worker. One that can't be made is reported to the
+// module as not sent.
 func (l *loop) startAttempt(a control.Send) {
 	x := l.exchanges[a.ID]
 	if x == nil {
-		l.pendingEvents = append(l.pendingEvents, control.AttemptResult{ID: a.ID, Server: a.Server, Reason: control.NotSent, IsFinal: true})
+		l.pendingEvents = append(l.pendingEvents, control.AttemptResult{
+			ID:      a.ID,
+			Server:  a.Server,
+			Reason:  control.NotSent,
+			IsFinal: true,
+		})
 		return
 	}
 	if x.deferSend(a) {
 		return
 	}
 	isAllowed := l.guardAttempt(x, a, time.Now())
-	number, pool := x.attemptCount, l.pools[a.Server]
+	number := x.attemptCount
+	pool := l.pools[a.Server]
 	x.attemptCount++
 	ctx, cancel := l.attemptContext(x, a)
 	attempt := upstream.NewAttempt(ctx, cancel, x)
@@ -43,7 +49,13 @@
 		if isPointless {
 			reason = control.NotSent
 		}
-		l.pendingEvents = append(l.pendingEvents, control.AttemptResult{ID: a.ID, Attempt: number, Server: a.Server, Reason: reason, IsFinal: x.isAnswered})
+		l.pendingEvents = append(l.pendingEvents, control.AttemptResult{
+			ID:      a.ID,
+			Attempt: number,
+			Server:  a.Server,
+			Reason:  reason,
+			IsFinal: x.isAnswered,
+		})
 		return
 	}
 	x.inFlight++
@@ -53,7 +65,15 @@
 	if l.groupSizeEstimator != nil {
 		l.attemptsInFlight[a.Server]++
 	}
-	l.dispatch(attemptJob{exchange: x, number: number, server: a.Server, place: l.places[a.Server], pool: pool, attempt: attempt, startedAt: time.Now()})
+	l.dispatch(attemptJob{
+		exchange:  x,
+		number:    number,
+		server:    a.Server,
+		place:     l.places[a.Server],
+		pool:      pool,
+		attempt:   attempt,
+		startedAt: time.Now(),
+	})
 }
 
 // attemptContext returns the context of an attempt. It ends at the exchange's deadline, or sooner if the
@@ -156,7 +176,12 @@
 		return
 	}
 	l.finish(x, a)
-	l.handle(control.ResponseStarted{ID: x.Request.ID, Attempt: job.number, Server: job.server, Delay: time.Since(job.startedAt)})
+	l.handle(control.ResponseStarted{
+		ID:      x.Request.ID,
+		Attempt: job.number,
+		Server:  job.server,
+		Delay:   time.Since(job.startedAt),
+	})
 }
 
 // attemptEnded handles the outcome of an attempt. One that is final answers its request; any other is
@@ -168,10 +193,16 @@
 	x.mayHaveRun = x.mayHaveRun || mayHaveRun(o.Reason)
 	x.repeats.attemptEnded(job, o.Reason)
 	response := control.AttemptResult{
-		ID: x.Request.ID, Attempt: job.number, Server: job.server, Reason: o.Reason, Delay: time.Since(job.startedAt),
+		ID:      x.Request.ID,
+		Attempt: job.number,
+		Server:  job.server,
+		Reason:  o.Reason,
+		Delay:   time.Since(job.startedAt),
 	}
 	if o.Header != nil {
-		response.QuotaUsage, response.ActualUnits, response.Load = o.QuotaUsage(), o.ActualUnits(l.maxUnitsByPlan[x.Request.Plan]), o.LoadReport()
+		response.QuotaUsage = o.QuotaUsage()
+		response.ActualUnits = o.ActualUnits(l.maxUnitsByPlan[x.Request.Plan])
+		response.Load = o.LoadReport()
 	}
 	l.observeAttemptEnd(job, &o, response.Load)
 	if o.HasClientLeft && !x.isAnswered {
@@ -204,7 +235,7 @@
 	return reason != control.RejectedByServer && reason != control.ConnectFailed && reason != control.NotSent
 }
 
-// observeAttemptEnd records and counts the end of an attempt where that is asked for.
+// observeAttemptEnd records and counts the end of an attempt where that is configured.
 func (l *loop) observeAttemptEnd(job attemptJob, o *upstream.Outcome, load *control.LoadReport) {
 	if l.recorder != nil {
 		l.recorder.attemptEnded(job, o, l.pools[job.server] != nil)
@@ -221,11 +252,12 @@
 // observeLoad gives the group size estimator the load report of an attempt that has ended: how many requests
 // the server has in flight beside those of this node.
 func (l *loop) observeLoad(server uint32, load *control.LoadReport) {
-	n := l.attemptsInFlight[server] - 1
-	if l.attemptsInFlight[server] = n; n <= 0 {
+	inFlight := l.attemptsInFlight[server] - 1
+	l.attemptsInFlight[server] = inFlight
+	if inFlight <= 0 {
 		delete(l.attemptsInFlight, server)
 	}
 	if load != nil && load.InFlight >= 0 {
-		l.groupSizeEstimator.AddReport(l.now(), load.InFlight, float64(n))
+		l.groupSizeEstimator.AddReport(l.now(), load.InFlight, float64(inFlight))
 	}
 }
--- a/internal/service/endpoints.go
+++ b/internal/service/endpoints.go
@@ -78,7 +78,8 @@
 // module of it. Servers that are no longer listed are forgotten.
 func (l *loop) updateEndpoints(kind control.ListKind, list discovery.EndpointList) {
 	event := control.EndpointList{Kind: kind}
-	isListed, now := make(map[string]bool), readClocks()
+	isListed := make(map[string]bool)
+	now := readClocks()
 	for i := range list.Endpoints {
 		target := &list.Endpoints[i]
 		id := l.serverID(target.UID)
@@ -92,8 +93,11 @@
 		l.updatePool(endpoint, target, startedAt)
 	}
 	for uid, id := range l.serverIDs {
-		listed, isNamed := isListed[uid]
-		if isNamed && !listed || !isNamed && kind != control.ListPatch {
+		remains, isNamed := isListed[uid]
+		if !isNamed {
+			remains = kind == control.ListPatch
+		}
+		if !remains {
 			l.forgetServer(uid, id)
 		}
 	}
@@ -133,7 +137,8 @@
 		Size:   target.Capacity,
 	}
 	if !startedAt.IsZero() {
-		endpoint.HasStartedAt, endpoint.StartedAt = true, l.clock.at(startedAt)
+		endpoint.HasStartedAt = true
+		endpoint.StartedAt = l.clock.at(startedAt)
 	}
 	return endpoint
 }
@@ -141,7 +146,8 @@
 // updatePool gives a server that takes new requests a connection pool to its current endpoint, and retires
 // the pool of one that does not, or that has moved.
 func (l *loop) updatePool(endpoint control.Endpoint, target *discovery.Endpoint, startedAt time.Time) {
-	id, isAvailable := endpoint.Server, endpoint.State == control.Active
+	id := endpoint.Server
+	isAvailable := endpoint.State == control.Active
 	if isAvailable { // an entry of any other state may hold no more than that
 		l.places[id] = serverPlace{endpoint.Zone, endpoint.Cell}
 		l.warmups.listed(id, startedAt)
--- a/internal/service/exchange.go
+++ b/internal/service/exchange.go
@@ -35,7 +35,7 @@
 	Forwarder Forwarder
 	Deadline  time.Time // when attempts are stopped
 	Gate      *Gate     // nil lets attempts start as the module decides
-	// Client is asked right before an attempt is written whether it still waits. Nil waits until Do's ctx ends.
+	// Client tells right before an attempt is written whether it still waits. A nil one waits until Do's ctx ends.
 	Client upstream.Client
 
 	clientContext context.Context // the ctx of Do, which ends when the client leaves; read by attempts
@@ -73,7 +73,7 @@
 	return !slices.ContainsFunc(x.attempts, (*upstream.Attempt).IsSent)
 }
 
-// surelyNeverRan reports whether the request cannot have run at a server. It is asked once all attempts are
+// surelyNeverRan reports whether the request cannot have run at a server. It is called once all attempts are
 // withdrawn.
 func (x *Exchange) surelyNeverRan() bool {
 	return !x.mayHaveRun && (x.inFlight == 0 || x.isUnwritten())
--- a/internal/service/gate.go
+++ b/internal/service/gate.go
@@ -9,33 +9,33 @@
 )
 
 // Gate defers the attempts of a request that is one of several until the module has admitted all of them, and
-// reports what becomes of it after it was given up. Its functions are called by the event loop and must not
-// wait.
+// reports how an attempt ends after the request was abandoned. The event loop calls its functions, which must
+// not block.
 type Gate struct {
 	// OnDecision is called once with whether the module has admitted the request; where it has not, its
 	// answer is available to Do. It may not be called where Do returns at once.
 	OnDecision func(isAdmitted bool)
-	// OnLateEnd is called once after a request was given up: with how its last attempt ended and the time
-	// since the request began, or at once with LateUnknown where no attempt is in flight. It may be nil.
+	// OnLateEnd is called once after the request was abandoned, with how its last attempt ended and the time
+	// since the request started; at once with LateUnknown where no attempt is in flight. It may be nil.
 	OnLateEnd func(end LateEnd, duration time.Duration)
-	// Linger limits the time for which attempts go on after the request was given up; 0 does not.
+	// Linger limits the time for which attempts go on after the request was abandoned; 0 is no limit.
 	Linger time.Duration
 
 	// The fields below belong to the event loop.
 
 	isNotified   bool // OnDecision was called
 	isOpen       bool
-	isAbandoned  bool // the request was given up
+	isAbandoned  bool // the client no longer waits for the request
 	loop         *loop
 	pendingSends []control.Send // deferred until the gate opens
 }
 
-// LateEnd is what became of an attempt of a request that was given up.
+// LateEnd is how an attempt of an abandoned request ended.
 type LateEnd uint8
 
 // The late ends.
 const (
-	LateUnknown LateEnd = iota // it was stopped first
+	LateUnknown LateEnd = iota // it was stopped before its end was known
 	LateServed
 	LateFailed
 )
@@ -45,7 +45,8 @@
 	if g == nil || g.isNotified {
 		return
 	}
-	g.isNotified, g.loop = true, l
+	g.isNotified = true
+	g.loop = l
 	g.OnDecision(isAdmitted)
 }
 
@@ -89,7 +90,11 @@
 	}
 	for _, a := range x.Gate.pendingSends {
 		l.pendingEvents = append(l.pendingEvents, control.AttemptResult{
-			ID: a.ID, Attempt: x.attemptCount, Server: a.Server, Reason: control.NotSent, IsFinal: x.isAnswered,
+			ID:      a.ID,
+			Attempt: x.attemptCount,
+			Server:  a.Server,
+			Reason:  control.NotSent,
+			IsFinal: x.isAnswered,
 		})
 		x.attemptCount++
 		x.attempts = append(x.attempts, nil)
@@ -97,7 +102,7 @@
 	x.Gate.pendingSends = nil
 }
 
-// abandonAttempts has the attempts of a request that was given up end within Gate.Linger.
+// abandonAttempts has the attempts of an abandoned request end within Gate.Linger.
 func (l *loop) abandonAttempts(x *Exchange) {
 	gate := x.Gate
 	if gate == nil {
@@ -118,7 +123,7 @@
 	}
 }
 
-// endedLate reports an attempt that ended after its request was given up.
+// endedLate reports an attempt that ended after its request was abandoned.
 func (x *Exchange) endedLate(o *upstream.Outcome) {
 	if x.Gate == nil || !x.Gate.isAbandoned {
 		return
--- a/internal/service/guard.go
+++ b/internal/service/guard.go
@@ -12,8 +12,8 @@
 // lateAnswerGrace is how long after its deadline a request may be answered before it counts as lost.
 const lateAnswerGrace = 500 * time.Millisecond
 
-// repeatGuard is what the loop itself knows of an exchange's attempts, beside its module, to judge whether another one
-// may begin.
+// repeatGuard is what the loop knows of an exchange's attempts, independently of its module, to check whether another
+// one may start.
 type repeatGuard struct {
 	firstRunAt time.Time   // when the first attempt that may have run was started; zero is none
 	place      serverPlace // of its server
@@ -22,11 +22,12 @@
 // attemptEnded notes an attempt that has ended.
 func (g *repeatGuard) attemptEnded(job attemptJob, reason control.Reason) {
 	if mayHaveRun(reason) && g.firstRunAt.IsZero() {
-		g.firstRunAt, g.place = job.startedAt, job.place
+		g.firstRunAt = job.startedAt
+		g.place = job.place
 	}
 }
 
-// allows tells whether an attempt at a server may follow, and why not.
+// allows reports whether an attempt at a server may follow, and otherwise why not.
 func (g *repeatGuard) allows(class *control.Class, place serverPlace, now time.Time) (why string, ok bool) {
 	if g.firstRunAt.IsZero() || class.Idempotency == control.Idempotent {
 		return "", true
@@ -52,10 +53,10 @@
 	cell int
 }
 
-// guardAttempt checks an attempt that the module has decided on, whatever it went by. One that could run a request
-// twice or beside itself, or is one too many, is not made.
+// guardAttempt checks an attempt that the module has decided on, by the loop's own knowledge. An attempt that could run
+// a request twice, while another is in flight, or that is one too many must not be made.
 func (l *loop) guardAttempt(x *Exchange, a control.Send, now time.Time) (ok bool) {
-	if x.isAnswered { // it is not made anyway
+	if x.isAnswered { // startAttempt makes none then
 		return true
 	}
 	if x.inFlight > 0 {
@@ -93,7 +94,7 @@
 		return
 	}
 	dueAt := x.Deadline
-	if x.startedAt.After(dueAt) { // its time was over when it was read
+	if x.startedAt.After(dueAt) { // its deadline had passed when it was read
 		dueAt = x.startedAt
 	}
 	if late := time.Since(dueAt); late > lateAnswerGrace {
@@ -103,15 +104,15 @@
 
 const (
 	warmupBuckets = 4  // of the overload window, in which attempts are counted
-	maxBudgetBase = 30 // attempts from which on the narrower slack holds
+	maxBudgetBase = 30 // attempts from which on the narrower slack applies
 
-	peakTime = time.Minute // for which a peak counts unless it is exceeded
+	peakTime = time.Minute // after which a lower rate replaces the peak
 )
 
-// warmupGuard counts the attempts at each server, and holds those at a server that warms up against what all nodes
+// warmupGuard counts the attempts at each server, and compares those at a server that is warming up with what all nodes
 // together may send it: the overload multiple of its present capacity over the overload window, and a slack for chance.
-// Its capacity is at least what this node's busiest warm server has borne lately, times the nodes. One node can't break
-// that alone unless its module is at fault. It is used by the loop's goroutine only.
+// Its full capacity is taken as the recent peak of this node's busiest warm server, times the nodes. One node can't
+// exceed that alone unless its module is at fault. The loop's goroutine alone uses it.
 type warmupGuard struct {
 	window          time.Duration // 0 counts nothing
 	nodes           float64
@@ -132,12 +133,16 @@
 
 func newWarmupGuard(s *control.Settings) warmupGuard {
 	return warmupGuard{
-		window: s.OverloadWindow, nodes: float64(s.GroupSize), multiple: s.OverloadMultiple, warmupTime: s.WarmupTime, initialCapacity: s.InitialCapacity,
-		servers: make(map[uint32]*attemptRate),
+		window:          s.OverloadWindow,
+		nodes:           float64(s.GroupSize),
+		multiple:        s.OverloadMultiple,
+		warmupTime:      s.WarmupTime,
+		initialCapacity: s.InitialCapacity,
+		servers:         make(map[uint32]*attemptRate),
 	}
 }
 
-// listed notes a server and when it started.
+// listed adds a server, or resets the counts of one that has restarted.
 func (g *warmupGuard) listed(server uint32, startedAt time.Time) {
 	rate := g.servers[server]
 	if rate == nil {
@@ -151,16 +156,18 @@
 
 func (g *warmupGuard) forget(server uint32) { delete(g.servers, server) }
 
-// attempt counts an attempt, and tells whether it stays within the budget, and why not.
+// attempt counts an attempt and reports whether it is within the budget, and otherwise why not.
 func (g *warmupGuard) attempt(server uint32, now time.Time) (why string, ok bool) {
 	rate := g.servers[server]
 	if rate == nil || g.window <= 0 {
 		return "", true
 	}
-	age, sent := now.Sub(rate.startedAt), rate.add(g.bucketOf(now))
+	age := now.Sub(rate.startedAt)
+	sent := rate.add(g.bucketOf(now))
 	if rate.startedAt.IsZero() || age >= g.warmupTime {
 		if sent >= g.peak || now.Sub(g.peakAt) > peakTime {
-			g.peak, g.peakAt = sent, now
+			g.peak = sent
+			g.peakAt = now
 		}
 		return "", true
 	}
@@ -172,7 +179,7 @@
 	return "", true
 }
 
-// budgetSlack is what chance may add to a number of attempts.
+// budgetSlack is how far a number of attempts may exceed its mean by chance.
 func budgetSlack(attempts float64) float64 {
 	if attempts < maxBudgetBase {
 		return 3 * math.Sqrt(attempts+3)
--- a/internal/service/handover.go
+++ b/internal/service/handover.go
@@ -13,7 +13,7 @@
 type State struct {
 	Checkpoint control.Checkpoint `cbor:"checkpoint"`
 	Servers    map[uint32]string  `cbor:"servers"` // the uid of each server number in Checkpoint
-	// Starts are when those of the servers started that did so at a known time, by uid.
+	// Starts are the starts of the servers that started at a known time, by uid.
 	Starts map[string]ServerStart `cbor:"starts,omitempty"`
 }
 
@@ -45,8 +45,8 @@
 	return state, ok
 }
 
-// Rejoin undoes HandOver, or ends the sharing that Restore began, after the other process has ended. Given is
-// what that was given, if it is known to have spent nothing of it, and nil otherwise.
+// Rejoin undoes HandOver, or ends the sharing that Restore has started, after the other process has ended. given is
+// the state that this was given, if it is known to have spent nothing of it, and nil otherwise.
 func (s *Service) Rejoin(given *State) {
 	l := s.currentLoop()
 	l.useStatefulModule(func(m StatefulModule) {
@@ -67,7 +67,7 @@
 	s.restoreFrom(func() (transfer, bool) { return transfer{State: state}, true }, trust)
 }
 
-// PredecessorEnded tells the service that the process whose place it has taken has ended.
+// PredecessorEnded reports that the process whose place this service has taken has ended.
 func (s *Service) PredecessorEnded() {
 	s.currentLoop().useStatefulModule(StatefulModule.PredecessorEnded)
 }
@@ -80,7 +80,11 @@
 		return false
 	}
 	done := make(chan struct{})
-	if !l.post(func() { use(module); close(done) }) {
+	isPosted := l.post(func() {
+		use(module)
+		close(done)
+	})
+	if !isPosted {
 		return false
 	}
 	select {
@@ -94,8 +98,9 @@
 // newState adds the uids of its servers to a checkpoint.
 func (l *loop) newState(checkpoint control.Checkpoint) State {
 	state := State{
-		Checkpoint: checkpoint, Servers: make(map[uint32]string, len(l.serverIDs)),
-		Starts: l.starts.export(l.clock, l.serverIDs),
+		Checkpoint: checkpoint,
+		Servers:    make(map[uint32]string, len(l.serverIDs)),
+		Starts:     l.starts.export(l.clock, l.serverIDs),
 	}
 	for uid, id := range l.serverIDs {
 		state.Servers[id] = uid
@@ -164,7 +169,8 @@
 		}
 	}
 	t.hardLimiter = l.detachHardLimiter(replacement, s.Unavailable())
-	l.replacement, l.transferredPools = replacement, t.pools
+	l.replacement = replacement
+	l.transferredPools = t.pools
 	return t
 }
 
@@ -222,7 +228,10 @@
 	if !s.AllowsMethod(class, x.Forwarder.Method()) {
 		return false
 	}
-	return class.Idempotency != control.IdempotentWithKey || slices.ContainsFunc(readBy, func(c control.Class) bool {
+	if class.Idempotency != control.IdempotentWithKey {
+		return true
+	}
+	return slices.ContainsFunc(readBy, func(c control.Class) bool {
 		return c.Name == class.Name && c.Idempotency == class.Idempotency
 	})
 }
--- a/internal/service/hard_limits.go
+++ b/internal/service/hard_limits.go
@@ -76,13 +76,16 @@
 // with the highest hash of its name and the customer (rendezvous hashing), so that adding or removing a
 // store moves the fewest customers.
 func (h *hardLimiter) storeFor(plan, customer string) (store int, key string) {
-	h.keyBuffer = append(append(append(h.keyBuffer[:0], plan...), '/'), customer...)
+	h.keyBuffer = append(h.keyBuffer[:0], plan...)
+	h.keyBuffer = append(h.keyBuffer, '/')
+	h.keyBuffer = append(h.keyBuffer, customer...)
 	n := len(h.keyBuffer)
 	var maxSum uint64
 	for i := 0; len(h.StoreNames) > 1 && i < len(h.StoreNames); i++ {
 		h.keyBuffer = append(h.keyBuffer[:n], h.StoreNames[i]...)
 		if sum := xxhash.Sum64(h.keyBuffer); i == 0 || sum > maxSum {
-			store, maxSum = i, sum
+			store = i
+			maxSum = sum
 		}
 	}
 	return store, h.holders[store].Key(h.keyBuffer[:n])
@@ -143,7 +146,7 @@
 	delete(h.undecided, a.RequestID)
 	isAdmitted := a.Kind == quotalease.Admit
 	switch {
-	case x == nil: // it went to the replacement of an earlier service
+	case x == nil: // the replacement of an earlier service has it
 		return
 	case x.isAnswered: // its client has left
 		if isAdmitted {
@@ -158,8 +161,7 @@
 	l.submit(x)
 }
 
-// leaseStoreAnswered handles the result of a call. One for a limiter that was transferred meanwhile comes too
-// late.
+// leaseStoreAnswered handles the result of a call. It is ignored where the limiter was transferred meanwhile.
 func (l *loop) leaseStoreAnswered(h *hardLimiter, store int, answer quotalease.StoreReply, err error) {
 	if l.hardLimiter != h {
 		return
@@ -236,7 +238,8 @@
 	if h == nil || l.hardLimiter == nil || !slices.Equal(h.StoreNames, l.hardLimiter.StoreNames) {
 		return
 	}
-	rules, newRules := h.Rules, l.hardLimiter.Rules
+	rules := h.Rules
+	newRules := l.hardLimiter.Rules
 	rules.Instances = newRules.Instances
 	if rules != newRules {
 		return
@@ -259,8 +262,8 @@
 	}
 }
 
-// reclaimLeases has a limiter that has resigned start anew, after the process that was to have its leases has
-// ended: that may not have got them. Requests that wait for units are rejected.
+// reclaimLeases has a limiter that has resigned start anew without leases, after the process that was to have
+// them has ended: that may or may not have used them. Requests that wait for units are rejected.
 func (l *loop) reclaimLeases() {
 	h := l.hardLimiter
 	if h == nil || !h.hasResigned {
@@ -278,13 +281,14 @@
 }
 
 // hardLimitStatus returns the state at each store.
-func (l *loop) hardLimitStatus() (all []HardLimitStatus) {
+func (l *loop) hardLimitStatus() []HardLimitStatus {
 	h := l.hardLimiter
 	if h == nil {
 		return nil
 	}
+	var statuses []HardLimitStatus
 	for i, holder := range h.holders {
-		all = append(all, HardLimitStatus{StoreName: h.StoreNames[i], Status: holder.Status(h.now())})
+		statuses = append(statuses, HardLimitStatus{StoreName: h.StoreNames[i], Status: holder.Status(h.now())})
 	}
-	return all
+	return statuses
 }
--- a/internal/service/lifecycle.go
+++ b/internal/service/lifecycle.go
@@ -10,11 +10,11 @@
 	"lockflow/control"
 )
 
-// The pause before a restart doubles with each restart in a row.
+// The backoff before a restart doubles with each restart in a row.
 const (
-	minRestartBackoff   = 200 * time.Millisecond // the first restart in a row is immediate, the second waits for this
+	minRestartBackoff   = 200 * time.Millisecond // of the second restart in a row; the first one is immediate
 	maxRestartBackoff   = 10 * time.Second
-	restartBackoffReset = time.Minute // a module that ran for longer begins a new row
+	restartBackoffReset = time.Minute // a module that ran for longer starts a new row
 )
 
 // Run serves until ctx ends or, once the service is retired, until nothing references it. Requests without
@@ -43,9 +43,10 @@
 	return s.runLoops(ctx)
 }
 
-// runLoops runs a loop after the other for as long as panics are to be followed by restarts.
+// runLoops runs one loop after another, as long as a panic is followed by a restart.
 func (s *Service) runLoops(ctx context.Context) error {
-	backoff, startedAt := time.Duration(0), time.Now()
+	backoff := time.Duration(0)
+	startedAt := time.Now()
 	for {
 		l := s.currentLoop()
 		l.run(ctx)
--- a/internal/service/loop.go
+++ b/internal/service/loop.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	eventQueueSize = 256 // events that wait for the loop before whoever posts one waits
-	maxIdleWorkers = 32  // workers that wait for an attempt; any more end
+	eventQueueSize = 256 // events that wait for the loop before post blocks
+	maxIdleWorkers = 32  // workers that wait for an attempt; further ones end
 )
 
-// loop is the event loop of a service. Its goroutine, run, alone touches the module and the fields below;
-// others post events to it. Exceptions are said.
+// loop is the event loop of a service. Its goroutine, run, alone uses the module and the fields below, but for those
+// that say otherwise; other goroutines post events to it.
 type loop struct {
 	module            Module
-	observeModuleTime func(time.Duration) // nil where nobody observes it
+	observeModuleTime func(time.Duration) // nil where it is not observed
 	upstream          *upstream.Upstream
 	defaultProtocol   upstream.Protocol // spoken to servers whose endpoint list entry names none
 	log               *slog.Logger
@@ -62,7 +62,7 @@
 	replacement      *Service
 	transferredPools map[string]*upstream.Pool
 
-	// What observes the loop; each is nil where nobody asked for it.
+	// Observers of the loop; each is nil where it is not configured.
 	openStreams        *Streams
 	groupSizeEstimator *groupsize.Estimator
 	attemptsInFlight   map[uint32]int // by server, for the estimator
@@ -143,8 +143,8 @@
 	}
 }
 
-// run executes events until ctx ends or the module panics. Exchanges without an answer are answered then: at
-// an orderly end as rejected where they surely never ran, otherwise as failed.
+// run executes events until ctx ends or the module panics. Exchanges without an answer are answered then: where
+// ctx has ended as rejected if they surely never ran, otherwise as failed.
 func (l *loop) run(ctx context.Context) {
 	if l.collector != nil { // a loop that never runs would never be removed
 		l.statistics = l.collector.addLoop(l.classes)
@@ -182,7 +182,7 @@
 	}
 }
 
-// shutDown ends the loop after its last event, or after a panic of the module with a value that is not nil.
+// shutDown ends the loop. panicValue is that of a panic of the module; nil where ctx has ended.
 func (l *loop) shutDown(panicValue any) {
 	if panicValue != nil {
 		l.err = fmt.Errorf("the decision module failed: %v\n%s", panicValue, debug.Stack())
@@ -202,9 +202,9 @@
 	l.cancelLifetime()
 }
 
-// answerAll answers all exchanges that have no answer and releases them, and returns how many those were. No
-// attempt that is not written by then is written any more. After a panic all are answered as failed: the
-// request that the module failed by must not be retried elsewhere.
+// answerAll answers and releases all exchanges, and returns how many had no answer. Attempts that are not written yet
+// are withdrawn. After a panic all are answered as failed: the request that has caused it must not be retried at another
+// node.
 func (l *loop) answerAll() (unanswered int) {
 	for _, x := range l.exchanges {
 		if !x.isAnswered {
@@ -240,7 +240,7 @@
 	}
 }
 
-// decide has the module handle an event, and measures the time of that where somebody observes it.
+// decide has the module handle an event, and measures the time of that where it is observed.
 func (l *loop) decide(e control.Event) []control.Action {
 	if l.isEnding {
 		return nil
@@ -265,7 +265,12 @@
 	case control.CancelAttempt:
 		l.cancelAttempt(a)
 	case control.Reject:
-		l.answerUnserved(l.exchanges[a.ID], Answer{Kind: Rejected, Status: http.StatusServiceUnavailable, RetryAfter: a.RetryAfter, Cause: a.Cause})
+		l.answerUnserved(l.exchanges[a.ID], Answer{
+			Kind:       Rejected,
+			Status:     http.StatusServiceUnavailable,
+			RetryAfter: a.RetryAfter,
+			Cause:      a.Cause,
+		})
 	case control.Fail:
 		l.failRequest(l.exchanges[a.ID])
 	case control.StartTimer:
--- a/internal/service/loop_requests.go
+++ b/internal/service/loop_requests.go
@@ -41,16 +41,17 @@
 // clientLeft ends a request whose client has left. An attempt that is written goes on: its work would not
 // stop, and the module learns from its outcome.
 func (l *loop) clientLeft(x *Exchange) {
-	// A request that was answered without having begun is not in this loop, and must not be answered again.
+	// A request that was answered before it started is not in this loop, and must not be answered again.
 	if x.isAnswered || l.exchanges[x.Request.ID] != x {
 		x.discardAnswer()
 		return
 	}
-	// The client may be there all the same: what it sent behind its request has withheld a retry. Its answer
+	// The client may still be connected: bytes that it has sent after its request withhold a retry too. Its answer
 	// says then that a retry is safe only where the request cannot have run.
 	answer := Answer{Kind: Rejected, Status: http.StatusServiceUnavailable, clientHasLeft: true}
 	if x.mayHaveRun {
-		answer.Kind, answer.Status = Failed, http.StatusBadGateway
+		answer.Kind = Failed
+		answer.Status = http.StatusBadGateway
 	}
 	l.answerUnserved(x, answer)
 	l.handle(control.ClientGone{ID: x.Request.ID})
@@ -115,8 +116,8 @@
 	l.refundUnsent(x)
 }
 
-// releaseIfEnded forgets an answered request that has no attempt in flight. Not sooner, as an outcome would
-// be taken for that of another request with the same id.
+// releaseIfEnded forgets an answered request that has no attempt in flight. While one is, its outcome could be taken
+// for that of another request with the same id.
 func (l *loop) releaseIfEnded(x *Exchange) {
 	if x.isAnswered && x.inFlight == 0 {
 		delete(l.exchanges, x.Request.ID)
--- a/internal/service/options.go
+++ b/internal/service/options.go
@@ -38,7 +38,7 @@
 	SharedUpstream  *upstream.Upstream     // connections of the service that this one replaces; nil creates new ones by Upstream
 	Source          discovery.Source       // of the endpoint list
 	CachedEndpoints discovery.EndpointList // the endpoint list as last received, perhaps outdated
-	Predecessor     *Service               // that this one will replace, whose clock and ages of servers go on; may be nil
+	Predecessor     *Service               // the service that this one replaces, for its clock and its servers' starts; may be nil
 
 	OnPanic   PanicPolicy
 	AnyMethod bool // requests of a class may come by any method, as in generic HTTP
--- a/internal/service/request_counts.go
+++ b/internal/service/request_counts.go
@@ -8,7 +8,7 @@
 	"lockflow/control"
 )
 
-// requestOutcome is what became of a request; an index of Outcomes.
+// requestOutcome is how a request ended; an index of Outcomes.
 type requestOutcome int
 
 const (
@@ -28,8 +28,14 @@
 
 // reasonIndex is the place of each reason in Reasons.
 var reasonIndex = map[control.Reason]int{
-	control.OK: 0, control.Errored: 1, control.RejectedByServer: 2, control.TimedOut: 3, control.ConnectFailed: 4,
-	control.ResetByPeer: 5, control.Cancelled: 6, control.NotSent: 7,
+	control.OK:               0,
+	control.Errored:          1,
+	control.RejectedByServer: 2,
+	control.TimedOut:         3,
+	control.ConnectFailed:    4,
+	control.ResetByPeer:      5,
+	control.Cancelled:        6,
+	control.NotSent:          7,
 }
 
 // ClassCounts count the outcomes of one class's requests. They only grow.
--- a/internal/service/server_ages.go
+++ b/internal/service/server_ages.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// maxUptime is the highest age of a server that is believed of the first list. What is beyond comes of a wall
-	// clock that was never set.
+	// maxUptime is the highest age that a server has by the first list. A higher one comes from a wall clock that was
+	// never set.
 	maxUptime = 10 * 365 * 24 * time.Hour
 
-	// maxListDelay is how much later than a server's start a list may first tell of it where lists come in time: a change
-	// counts as told 6 s after discovery has it, and discovery needs time to see it.
+	// maxListDelay is how long after its start a server is first listed at the latest, where lists arrive in time: clients
+	// get a change within 6 s after discovery has it, and discovery needs time to detect it.
 	maxListDelay = 10 * time.Second
 
-	// maxClockDrift is how far wall time and monotonic time may part before that is a step of the wall clock.
+	// maxClockDrift is how far wall time and monotonic time may differ without that being a step of the wall clock.
 	maxClockDrift = 500 * time.Millisecond
 
-	// maxBootMS bounds what can be a boot time at all; a figure beyond it tells none.
+	// maxBootMS is the largest valid boot time; a larger one counts as unknown.
 	maxBootMS = float64(math.MaxInt64 / int64(time.Millisecond))
 
-	// maxUnlistedStarts is how many servers that are not listed any more are remembered beside those that are.
+	// maxUnlistedStarts is how many servers that are no longer listed are remembered.
 	maxUnlistedStarts = 1024
 )
 
 // ServerStart is when a server started.
 type ServerStart struct {
-	BootMS    float64       `cbor:"boot"` // Unix time in ms, as the endpoint list tells it
+	BootMS    float64       `cbor:"boot"` // Unix time in ms, as in the endpoint list
 	StartedAt time.Duration `cbor:"at"`   // on the module's clock
 }
 
@@ -37,9 +37,9 @@
 	startedAt time.Time // with a monotonic reading
 }
 
-// serverStarts knows when servers started. The endpoint list tells wall time, and a wall clock may be stepped, so what
-// it tells is turned into an age once, when the start is first seen, and grows by the monotonic clock from then on. It
-// is safe for concurrent use: a service and its replacement share one.
+// serverStarts has the times at which servers started. The endpoint list has wall times, and a wall clock may be
+// stepped, so each is converted to an age once, when it is first listed; from then on the monotonic clock counts. It is
+// safe for concurrent use: a service and its replacement share one.
 type serverStarts struct {
 	mu         sync.Mutex
 	byUID      map[string]serverStart
@@ -63,9 +63,9 @@
 }
 
 // resolve returns when a server started that is listed now with a boot time above 0. A server that was not listed, or
-// was with another boot time, did not start before the last message that did not list it so. Lists may be late, and a
-// start that is told may lie before that message; it holds unless the wall clock was stepped or the start lies so far
-// back that it must have been.
+// with another boot time, did not start before the last message that did not list it so. As lists may be late, a start
+// that is a little before that message is accepted, unless the wall clock was stepped; an earlier one is moved to the
+// message.
 func (s *serverStarts) resolve(uid string, bootMS float64, now clockReading) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,16 +81,15 @@
 	return startedAt
 }
 
-// wasStepped reports whether the wall clock was stepped, and not back, since the process or its predecessor's service
-// began.
+// wasStepped reports whether the wall clock is off by a step since these starts were first recorded.
 func (s *serverStarts) wasStepped(now clockReading) bool {
 	drift := now.wall - s.startedAt.wall - now.monotonic.Sub(s.startedAt.monotonic)
 	return drift.Abs() > maxClockDrift
 }
 
-// startByWallClock is when a server started by the wall clock of now, with a monotonic reading. One that started in the
-// future has started now. So has one that started before any uptime, as far as no list tells more: its wall clock or
-// ours was never set, and a server that warms up for once too often is safe.
+// startByWallClock returns when a server started by the wall clock of now, with a monotonic reading. A start in the
+// future, or longer ago than any uptime, counts as now: a wall clock was never set, and it is safe to warm up a server
+// that needs no warm-up.
 func startByWallClock(bootMS float64, now clockReading) time.Time {
 	const nanosecondsPerMillisecond = float64(time.Millisecond)
 	age := float64(now.wall) - bootMS*nanosecondsPerMillisecond
@@ -100,7 +99,7 @@
 	return now.monotonic.Add(-time.Duration(age))
 }
 
-// listReceived notes that a message of discovery was applied, behind resolve of its servers, and forgets servers that
+// listReceived records that a message of discovery was applied, after resolve of its servers, and forgets servers that
 // are not listed where they are too many.
 func (s *serverStarts) listReceived(now time.Time, serverIDs map[string]uint32) {
 	s.mu.Lock()
@@ -129,8 +128,8 @@
 	return starts
 }
 
-// adopt takes over starts that an earlier process has seen and that are later than this one reckons, and reports
-// whether there are any: either process may have started with a wrong wall clock, and too young is safe.
+// adopt takes over an earlier process's starts that are later than this one's, and reports whether there are any: either
+// process may have started with a wrong wall clock, and it is safe to take a server as too young.
 func (s *serverStarts) adopt(starts map[string]ServerStart, clock moduleClock) (changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -56,10 +56,11 @@
 		starts:       newServerStarts(),
 	}
 	if p := options.Predecessor; p != nil {
-		s.clock, s.starts = p.clock, p.starts
+		s.clock = p.clock
+		s.starts = p.starts
 	}
-	// The service has its own copy of the one, and keeps nothing of the other alive.
-	s.options.CachedEndpoints, s.options.Predecessor = discovery.EndpointList{}, nil
+	s.options.CachedEndpoints = discovery.EndpointList{} // mergeEndpoints copies it
+	s.options.Predecessor = nil                          // so that it can be freed
 	if s.options.NewModule == nil {
 		s.options.NewModule = func() (Module, error) { return control.New(options.Settings, options.Seed) }
 	}
@@ -77,8 +78,8 @@
 	return s, nil
 }
 
-// newFeed creates the feed of a service's endpoint list. Its pauses are drawn apart from the module's random
-// numbers, as they follow the network's timing and the module's decisions have to be reproducible.
+// newFeed creates the feed of a service's endpoint list. It has random numbers of its own, as it draws them at times
+// that depend on the network, and the module's decisions have to be reproducible.
 func newFeed(options *Options, receive func(discovery.EndpointList)) *discovery.Feed {
 	pace := discovery.Pacer{
 		GroupSize: options.Settings.GroupSize,
--- a/internal/service/statistics.go
+++ b/internal/service/statistics.go
@@ -19,7 +19,7 @@
 }
 
 // loopStatistics are the statistics of one loop. Only the loop's goroutine counts, so that nothing is locked
-// and no two processors write to one cache line; the atomics are for those who read meanwhile.
+// and no two processors write to one cache line; the atomics are for concurrent readers.
 type loopStatistics struct {
 	classes          map[string]*classStatistics
 	rejected         atomic.Uint64
@@ -153,8 +153,8 @@
 	return cause == control.CauseHardLimit || cause == control.CauseQuota || cause == control.CauseProbability
 }
 
-// loopEnded counts the end of a loop. At an orderly end a request without an answer is a breach; after a panic
-// the panic is counted instead.
+// loopEnded counts the end of a loop. A request that had no answer by then is a breach; after a panic, the panic is
+// counted instead.
 func (s *loopStatistics) loopEnded(unanswered int, hasPanicked bool) {
 	if hasPanicked {
 		s.panics.Add(1)
--- a/internal/service/status.go
+++ b/internal/service/status.go
@@ -29,9 +29,10 @@
 	// ConcurrencyLimit is how many attempts the module lets be in flight at once; 0 where it does not say.
 	ConcurrencyLimit float64 `json:"bound"`
 	// GroupSizeRange is the smallest and the largest group size that the servers' load reports are consistent
-	// with, zero where there are too few; IsGroupSizeContradicted is whether the configured one is not.
-	GroupSizeRange          [2]float64 `json:"group"`
-	IsGroupSizeContradicted bool       `json:"group_doubts"`
+	// with, zero where there are too few reports.
+	GroupSizeRange [2]float64 `json:"group"`
+	// IsGroupSizeContradicted is whether the configured group size is outside that range.
+	IsGroupSizeContradicted bool `json:"group_doubts"`
 }
 
 // Status returns what the service is doing. Where the service has ended, only what does not depend on its
@@ -43,7 +44,11 @@
 	st.OpenStreams, st.CutStreams = s.options.Streams.Stats()
 	l := s.currentLoop()
 	done := make(chan struct{})
-	if l.post(func() { l.addStatus(&st); close(done) }) {
+	isPosted := l.post(func() {
+		l.addStatus(&st)
+		close(done)
+	})
+	if isPosted {
 		select {
 		case <-done:
 		case <-l.ended:
@@ -54,7 +59,9 @@
 
 // addStatus adds what the loop knows.
 func (l *loop) addStatus(st *Status) {
-	st.Requests, st.Servers, st.AvailableServers = len(l.exchanges), len(l.serverIDs), len(l.pools)
+	st.Requests = len(l.exchanges)
+	st.Servers = len(l.serverIDs)
+	st.AvailableServers = len(l.pools)
 	for _, x := range l.exchanges {
 		st.AttemptsInFlight += x.inFlight
 		if !x.isAnswered {
--- a/internal/service/timer_queue.go
+++ b/internal/service/timer_queue.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// minFiringInterval is the time between two firings of a timerQueue at least. Without it the process would
-// be woken for each of thousands of labels a second; a label that comes alone is on time.
+// minFiringInterval is the shortest time between two firings of a timerQueue, so that the process is not woken for
+// each of thousands of labels a second. A single label fires on time.
 const minFiringInterval = 2 * time.Millisecond
 
 // timerQueue are the timers that the module has armed: a heap of labels by due time, with one runtime timer
-// for the earliest. It has to be cheap, as most timers are armed for a request and of no use once that is
+// for the earliest. It has to be cheap, as most timers are armed for a request and have no effect once that is
 // answered. The zero value is empty. It is not safe for concurrent use.
 type timerQueue struct {
 	entries     []timerEntry // a binary min-heap by dueAt
@@ -38,11 +38,16 @@
 
 // reset sets the runtime timer to the earliest label, unless it fires no later.
 func (q *timerQueue) reset() {
+	if len(q.entries) == 0 {
+		return
+	}
 	earliestFiring := q.lastFiredAt.Add(minFiringInterval)
-	if len(q.entries) == 0 || q.isSet && (!q.entries[0].dueAt.Before(q.firesAt) || q.firesAt.Equal(earliestFiring)) {
+	dueAt := q.entries[0].dueAt
+	if q.isSet && (!dueAt.Before(q.firesAt) || q.firesAt.Equal(earliestFiring)) {
 		return
 	}
-	q.firesAt, q.isSet = q.entries[0].dueAt, true
+	q.firesAt = dueAt
+	q.isSet = true
 	if q.firesAt.Before(earliestFiring) {
 		q.firesAt = earliestFiring
 	}
@@ -65,7 +70,8 @@
 // timer has fired, until it returns false, which sets that timer anew.
 func (q *timerQueue) popDue(now time.Time) (label uint64, ok bool) {
 	if len(q.entries) == 0 || q.entries[0].dueAt.After(now) {
-		q.isSet, q.lastFiredAt = false, now
+		q.isSet = false
+		q.lastFiredAt = now
 		q.reset()
 		return 0, false
 	}
