--- a/internal/upstream/answer_reader.go
+++ b/internal/upstream/answer_reader.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	// maxHeadBytes is for an answer's head and framing, with the interim answers before it.
+	// maxHeadBytes limits an answer's head and framing, together with the interim answers before it.
 	maxHeadBytes = 32 << 10
-	// answerCompletionTimeout is from the first bytes of an answer to its last.
+	// answerCompletionTimeout is the time from the first bytes of an answer to its last.
 	answerCompletionTimeout = 300 * time.Millisecond
 )
 
-// answerReader reads the answer to a BufferedRequest: no more than its limit of bytes, and all of it soon after
-// the first. App servers write such an answer once it is complete, so one that does not end, or stops half way,
-// is a fault that is not waited for. For a RelayedRequest, http1Attempt sets the limits in its place.
+// answerReader reads the answer to a BufferedRequest with a limit of bytes, and of the time after the first of them:
+// app servers write such an answer once it is complete, so one that stops half way is a fault. For a RelayedRequest,
+// http1Attempt sets the limits in its place.
 type answerReader struct {
 	net.Conn
 	owner       *serverConn
 	attempt     *http1Attempt // of a RelayedRequest; nil is none
 	bytesLeft   int
 	deadline    time.Time // of the attempt; zero is none
-	isStarted   bool
-	isBounded   bool // the answer that has begun has a deadline
-	hasDeadline bool // the connection has a read deadline
+	isStarted   bool      // some of the answer has arrived
+	isBounded   bool      // its rest has a deadline
+	hasDeadline bool      // the connection has a read deadline
 }
 
 // Read implements io.Reader.
@@ -40,7 +40,8 @@
 			completeBy = r.deadline
 		}
 		r.owner.readBy(completeBy)
-		r.isBounded, r.hasDeadline = true, true
+		r.isBounded = true
+		r.hasDeadline = true
 	}
 	n, err := r.Conn.Read(b[:min(len(b), r.bytesLeft)])
 	r.bytesLeft -= n
@@ -61,5 +62,6 @@
 	if r.isBounded {
 		r.owner.readBy(r.deadline)
 	}
-	r.isStarted, r.isBounded = false, false
+	r.isStarted = false
+	r.isBounded = false
 }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -14,9 +14,9 @@
 	IsWaiting() bool
 }
 
-// Attempt is the context of one attempt, and the one place that decides whether it is sent. Who writes the
-// request calls Commit right before the first byte; who withdraws the attempt earlier can rely on it that no
-// byte is written. It is passed as the ctx of a request's Attempt method; any other ctx is always sent.
+// Attempt is the context of one attempt, and decides whether it is sent. The writer of the request calls Commit
+// right before the first byte; after a Withdraw before that, no byte is written. It is passed as the ctx of a
+// request's Attempt method; an attempt with any other ctx is always sent.
 type Attempt struct {
 	context.Context
 	cancel context.CancelFunc
@@ -94,8 +94,10 @@
 	switch state := a.state.Load(); state {
 	case attemptWithdrawn, attemptAbandoned:
 		return Outcome{
-			Reason: control.NotSent, Err: errWithdrawn,
-			HasClientLeft: state == attemptAbandoned, IsDialed: outcome.IsDialed,
+			Reason:        control.NotSent,
+			Err:           errWithdrawn,
+			HasClientLeft: state == attemptAbandoned,
+			IsDialed:      outcome.IsDialed,
 		}
 	}
 	return outcome
--- a/internal/upstream/buffered_request.go
+++ b/internal/upstream/buffered_request.go
@@ -81,7 +81,7 @@
 		setTimeLeft(request, deadline)
 	}
 	if err := conn.writeRequest(request, writeDeadline(ctx)); err != nil {
-		// An app server begins a request with its last byte: what breaks before has not run.
+		// An app server starts a request with its last byte: one that was not written completely has not run.
 		conn.interrupt()
 		return Outcome{Reason: control.ConnectFailed, Err: err}
 	}
@@ -158,7 +158,7 @@
 	defer response.Body.Close()
 	switch length := response.ContentLength; {
 	case response.StatusCode < http.StatusOK:
-		return nil, fmt.Errorf("the status was not asked for: %s", response.Status)
+		return nil, fmt.Errorf("unexpected status: %s", response.Status)
 	case length > int64(maxBytes):
 		return nil, fmt.Errorf("the answer has a body of %d bytes, more than %d", length, maxBytes)
 	case length >= 0:
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -32,7 +32,9 @@
 
 // connect makes a connection and counts it with both limiters. rawConn is its socket, also below TLS. agreed is
 // the offered protocol that TLS has negotiated; it is empty without TLS, and where the server doesn't negotiate.
-func (u *Upstream) connect(ctx context.Context, endpoint string, offered ...string) (conn *limits.Conn, rawConn syscall.RawConn, agreed string, err error) {
+func (u *Upstream) connect(
+	ctx context.Context, endpoint string, offered ...string,
+) (conn *limits.Conn, rawConn syscall.RawConn, agreed string, err error) {
 	if u.DialLimiter != nil {
 		if !u.DialLimiter.TryAcquire() {
 			return nil, nil, "", errDialLimit
@@ -59,15 +61,16 @@
 			dialed = secured
 		}
 	}
-	if conn = limits.Track(dialed, u.SocketLimiter); err != nil {
+	conn = limits.Track(dialed, u.SocketLimiter)
+	if err != nil {
 		conn.Close()
 		return nil, nil, "", err
 	}
 	return conn, rawConn, agreed, nil
 }
 
-// dialTCP makes a TCP connection. A shortage of this node's own, of descriptors or ports, says nothing of the server
-// and is outlasted, for no longer than a connection may take.
+// dialTCP makes a TCP connection. It retries after a shortage of this node's descriptors or ports, which is no fault of
+// the server, within the connect timeout.
 func (u *Upstream) dialTCP(ctx context.Context, endpoint string) (conn net.Conn, err error) {
 	dialer := net.Dialer{Timeout: u.ConnectTimeout, KeepAlive: -1}
 	err = shortage.Retry(ctx, u.ConnectTimeout, shortage.OfDial, func() (err error) {
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -2,14 +2,15 @@
 
 import (
 	"errors"
+	"slices"
 
 	"lockflow/internal/shortage"
 )
 
-// ErrAborted is how a Stream ends that was aborted from this side.
+// ErrAborted is the error of a Stream that was aborted by this node.
 var ErrAborted = errors.New("aborted")
 
-// Why an attempt was not sent, or not answered.
+// Errors of attempts that were not sent, or not answered.
 var (
 	errWithdrawn     = errors.New("withdrawn before it was sent")
 	errWriteDeadline = errors.New("the time to write the request is over")
@@ -20,8 +21,12 @@
 	errTooLong       = errors.New("the answer is too long")
 )
 
-// isNodeError reports whether a connection was missing for a reason that lies with this node: it tells nothing
-// about the app server.
+// nodeErrors are the errors whose cause is this node and not the app server.
+var nodeErrors = []error{errNoDescriptor, errDialLimit, errWriteDeadline}
+
+// isNodeError reports whether there was no connection because of this node, which indicates no fault of the app
+// server.
 func isNodeError(err error) bool {
-	return errors.Is(err, errNoDescriptor) || errors.Is(err, errDialLimit) || errors.Is(err, errWriteDeadline) || shortage.OfDial(err)
+	isOneOf := func(nodeError error) bool { return errors.Is(err, nodeError) }
+	return slices.ContainsFunc(nodeErrors, isOneOf) || shortage.OfDial(err)
 }
--- a/internal/upstream/http1_attempt.go
+++ b/internal/upstream/http1_attempt.go
@@ -45,8 +45,8 @@
 	clientErr        atomic.Pointer[error]
 	releaseOnce      sync.Once
 
-	mu            sync.Mutex // guards isHeadStarted, and the read deadline before it is set
-	isHeadStarted bool
+	mu            sync.Mutex // guards isHeadStarted, and the read deadline until it is true
+	isHeadStarted bool       // some of the current answer's head has arrived
 }
 
 // run makes the attempt.
@@ -84,9 +84,11 @@
 	}
 	a.inBody = true
 	a.request.Close = response.Close
-	outcome.Status, outcome.Header = response.StatusCode, response.Header
+	outcome.Status = response.StatusCode
+	outcome.Header = response.Header
 	if response.StatusCode == http.StatusSwitchingProtocols {
-		outcome.Reason, outcome.IsFinal = control.OK, true
+		outcome.Reason = control.OK
+		outcome.IsFinal = true
 		outcome.Stream = &Stream{streamingAttempt: a, http1: a, IsTunnel: true, ContentLength: -1}
 		return outcome, true
 	}
@@ -104,8 +106,8 @@
 	return outcome, true
 }
 
-// failedOutcome is the outcome of an attempt without an answer. What ends an attempt from outside shows on the
-// connection as an error of its own kind.
+// failedOutcome is the outcome of an attempt without an answer. Where the client or ctx has ended the attempt, the
+// connection's error has another form and is not the cause.
 func (a *http1Attempt) failedOutcome(ctx context.Context, outcome Outcome) Outcome {
 	switch clientErr := a.clientErr.Load(); {
 	case clientErr != nil:
@@ -169,7 +171,8 @@
 		return n, err
 	}
 	n, err := a.conn.Read(b[:min(len(b), a.headBytesLeft)])
-	if a.headBytesLeft -= n; n > 0 {
+	a.headBytesLeft -= n
+	if n > 0 {
 		a.beginHead()
 	}
 	if invalid := a.headScanner.Feed(b[:n]); invalid != nil {
@@ -178,7 +181,7 @@
 	return n, err
 }
 
-// beginHead bounds the time of a head that has begun, where ctx has no deadline.
+// beginHead bounds the time of a head whose first byte has arrived, where ctx has no deadline.
 func (a *http1Attempt) beginHead() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -218,7 +221,7 @@
 		case status >= http.StatusOK, a.isUpgrade(response):
 			return response, nil
 		case !isInterim(status) || interimAnswers >= maxInterimAnswers:
-			return nil, fmt.Errorf("the status was not asked for: %s", response.Status)
+			return nil, fmt.Errorf("unexpected status: %s", response.Status)
 		}
 		a.handleInterim(response)
 	}
@@ -226,8 +229,10 @@
 
 // isUpgrade reports whether the server switches to the protocol that the request offers.
 func (a *http1Attempt) isUpgrade(response *http.Response) bool {
-	return response.StatusCode == http.StatusSwitchingProtocols && a.UpgradeProtocol != "" && a.isSent.Load() &&
-		strings.EqualFold(response.Header.Get("Upgrade"), a.UpgradeProtocol)
+	if response.StatusCode != http.StatusSwitchingProtocols || a.UpgradeProtocol == "" || !a.isSent.Load() {
+		return false
+	}
+	return strings.EqualFold(response.Header.Get("Upgrade"), a.UpgradeProtocol)
 }
 
 // handleInterim processes an interim answer and prepares for the next one.
@@ -241,7 +246,8 @@
 		return
 	}
 	a.mu.Lock()
-	a.isHeadStarted, a.headBytesLeft = false, maxHeadBytes
+	a.isHeadStarted = false
+	a.headBytesLeft = maxHeadBytes
 	a.mu.Unlock()
 	a.awaitHead()
 }
@@ -260,6 +266,7 @@
 func (a *http1Attempt) isAborted() bool       { return a.conn.isInterrupted.Load() }
 func (a *http1Attempt) abort()                { a.conn.interrupt() }
 func (a *http1Attempt) hasClientFailed() bool { return a.clientErr.Load() != nil }
+
 func (a *http1Attempt) end(isComplete bool) {
 	a.release(isComplete && !a.request.Close && a.canReuseConnection())
 }
--- a/internal/upstream/http1_send.go
+++ b/internal/upstream/http1_send.go
@@ -16,7 +16,8 @@
 // sent by a goroutine that it starts.
 func (a *http1Attempt) sendRequest(ctx context.Context) Outcome {
 	_, hasDeadline := ctx.Deadline()
-	if a.isUnbounded = !hasDeadline; a.isUnbounded {
+	a.isUnbounded = !hasDeadline
+	if a.isUnbounded {
 		a.conn.writeBy(time.Now().Add(a.IdleTimeout))
 	}
 	writer := a.conn.writer
@@ -54,7 +55,7 @@
 	writer.WriteString("\r\n")
 }
 
-// writeOwnFields writes the fields that are this node's, not the client's.
+// writeOwnFields writes the fields that this node adds to the client's.
 func (a *http1Attempt) writeOwnFields(ctx context.Context, writer *bufio.Writer) {
 	if a.SendTimeLeft {
 		writer.WriteString(protocol.HeaderTimeLeft + ": ")
@@ -96,14 +97,15 @@
 func (a *http1Attempt) startBody() {
 	a.bodyEnded = make(chan struct{})
 	if a.ExpectContinue {
-		a.attemptEnded, a.continueReceived = make(chan struct{}), make(chan struct{})
+		a.attemptEnded = make(chan struct{})
+		a.continueReceived = make(chan struct{})
 	}
-	body := a.Body.NewReader() // before anything else can ask for one
+	body := a.Body.NewReader() // here, so that it precedes the reader of any later attempt
 	go a.sendBody(body)
 }
 
-// allowBody lets a body be sent that waits for a 100. Only the goroutine that reads the answer calls it, and
-// only the first call does anything.
+// allowBody starts sending a body that waits for a 100. Only the goroutine that reads the answer calls it, and
+// only the first call has an effect.
 func (a *http1Attempt) allowBody() {
 	if a.continueReceived == nil {
 		return
@@ -115,8 +117,8 @@
 	}
 }
 
-// sendBody sends the body as it comes. A fault of the client ends the attempt. One of the server is left to the
-// reading of the answer, which may have come before.
+// sendBody sends the body as it arrives. A fault of the client ends the attempt. One of the server is reported by the
+// reading of the answer, which may have arrived already.
 func (a *http1Attempt) sendBody(body *retrybuffer.Reader) {
 	defer close(a.bodyEnded)
 	if a.ExpectContinue && !awaitContinue(a.continueReceived, a.attemptEnded) {
--- a/internal/upstream/http2_attempt.go
+++ b/internal/upstream/http2_attempt.go
@@ -81,15 +81,20 @@
 	_, hasDeadline := ctx.Deadline()
 	a.isUnbounded = !hasDeadline
 	request := &h2.Request{
-		Method: a.RequestMethod, Scheme: scheme, Authority: a.Host, Path: a.Target, ContentLength: a.ContentLength,
-		MayBegin: func() bool { return Commit(ctx) },
+		Method:        a.RequestMethod,
+		Scheme:        scheme,
+		Authority:     a.Host,
+		Path:          a.Target,
+		ContentLength: a.ContentLength,
+		MayBegin:      func() bool { return Commit(ctx) },
 	}
 	if a.Body != nil {
 		if body, ok := a.inlineBody(); ok {
 			request.Body = body
 		} else {
 			// Decided once: a body that becomes complete between here and exchange would not be sent at all.
-			a.streamsBody, request.HasMoreBody = true, true
+			a.streamsBody = true
+			request.HasMoreBody = true
 		}
 	}
 	request.Header = a.requestHeader(ctx)
@@ -144,7 +149,8 @@
 	if err != nil {
 		return Outcome{Err: err}, false
 	}
-	outcome.Status, outcome.Header = answer.Status, answer.Header
+	outcome.Status = answer.Status
+	outcome.Header = answer.Header
 	length := a.answerLength(answer.Header)
 	a.extendReadDeadline()
 	if isBuffered, _ := a.bufferBody(&outcome, readerFunc(a.readBody), length); isBuffered {
@@ -224,7 +230,7 @@
 // extendReadDeadline bounds the next read of the answer's body.
 func (a *http2Attempt) extendReadDeadline() { a.stream.ReadBy(time.Now().Add(a.IdleTimeout)) }
 
-// sendBody sends the body as it comes. A fault of the client ends the attempt; one of the server is left to the
+// sendBody sends the body as it arrives. A fault of the client ends the attempt; one of the server is reported by the
 // reading of the answer.
 func (a *http2Attempt) sendBody(body *retrybuffer.Reader) {
 	if a.ExpectContinue && !awaitContinue(a.continueReceived, a.stream.Done()) {
@@ -277,10 +283,14 @@
 }
 
 func (a *http2Attempt) isAborted() bool       { return a.wasAborted.Load() }
-func (a *http2Attempt) abort()                { a.wasAborted.Store(true); a.stream.Abort() }
 func (a *http2Attempt) hasClientFailed() bool { return a.clientErr.Load() != nil }
 
-// end resets a stream that has not ended, and lets go of it.
+func (a *http2Attempt) abort() {
+	a.wasAborted.Store(true)
+	a.stream.Abort()
+}
+
+// end resets a stream that has not ended, and releases it.
 func (a *http2Attempt) end(bool) {
 	a.endOnce.Do(func() {
 		a.stopWatch()
--- a/internal/upstream/http2_send.go
+++ b/internal/upstream/http2_send.go
@@ -9,7 +9,7 @@
 	"lockflow/internal/protocol"
 )
 
-// reportHeaders are known to a server only at the end of a request, so that it may send them as trailers.
+// reportHeaders are fields whose values a server may know only at the end of a request, and then sends as trailers.
 var reportHeaders = [...]string{protocol.HeaderBackendLoad, protocol.HeaderQuotaUsed, protocol.HeaderTrueCost}
 
 // scheme is the value of the pseudo-header :scheme.
@@ -25,9 +25,13 @@
 func (s *sharedConnections) attemptBuffered(ctx context.Context, buffered *BufferedRequest) (Outcome, bool) {
 	message := buffered.Request
 	request := &h2.Request{
-		Method: message.Method, Scheme: s.scheme(), Authority: message.Host, Path: message.URL.RequestURI(),
-		Header: message.Header, Body: buffered.Body,
-		MayBegin: func() bool { return Commit(ctx) },
+		Method:    message.Method,
+		Scheme:    s.scheme(),
+		Authority: message.Host,
+		Path:      message.URL.RequestURI(),
+		Header:    message.Header,
+		Body:      buffered.Body,
+		MayBegin:  func() bool { return Commit(ctx) },
 	}
 	var event h2.Event
 	outcome, isDialed, ok := s.withConnection(ctx, func(conn *h2.Conn) (err error) {
@@ -54,7 +58,7 @@
 		switch {
 		case errors.Is(err, h2.ErrNotHTTP2) && s.protocol == ProtocolPreferHTTP2:
 			return outcome, isDialed, false
-		case errors.Is(err, errNoStream): // tells nothing about the app server
+		case errors.Is(err, errNoStream): // indicates no fault of the app server
 			return Outcome{Reason: control.NotSent, Err: err}, isDialed, true
 		case err != nil:
 			return unconnectedOutcome(err), isDialed, true
@@ -97,7 +101,8 @@
 		}
 	}
 	outcome.classify(answer.Status, answer.Header)
-	if outcome.Body = answer.Body; outcome.Body == nil {
+	outcome.Body = answer.Body
+	if outcome.Body == nil {
 		outcome.Body = []byte{}
 	}
 	return outcome
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -61,7 +61,8 @@
 	var oldest *serverConn
 	count := 0
 	u.closeIdleIf(func(conn *serverConn) bool {
-		if count++; oldest == nil || conn.idleSince.Before(oldest.idleSince) {
+		count++
+		if oldest == nil || conn.idleSince.Before(oldest.idleSince) {
 			oldest = conn
 		}
 		return false
@@ -80,10 +81,14 @@
 	count := 0
 	u.eachShared(func(s *sharedConnections) {
 		s.each(func(conn *h2.Conn) {
-			if idleSince, ok := conn.Idle(); ok {
-				if count++; oldest == nil || idleSince.Before(oldestSince) {
-					oldest, oldestSince = conn, idleSince
-				}
+			idleSince, ok := conn.Idle()
+			if !ok {
+				return
+			}
+			count++
+			if oldest == nil || idleSince.Before(oldestSince) {
+				oldest = conn
+				oldestSince = idleSince
 			}
 		})
 	})
--- a/internal/upstream/outcome.go
+++ b/internal/upstream/outcome.go
@@ -49,14 +49,22 @@
 	o.Header = header
 	switch {
 	case status == http.StatusOK:
-		o.Reason, o.Status, o.IsFinal = control.OK, http.StatusOK, true
-	case (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) && header.Get(protocol.HeaderUnprocessed) == "1":
+		o.Reason = control.OK
+		o.Status = http.StatusOK
+		o.IsFinal = true
+	case isUnprocessed(status, header):
 		o.Reason = control.RejectedByServer
 	default:
 		o.Reason = control.Errored
 	}
 }
 
+// isUnprocessed reports whether the server says that it has not processed the request.
+func isUnprocessed(status int, header http.Header) bool {
+	isUnavailable := status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
+	return isUnavailable && header.Get(protocol.HeaderUnprocessed) == "1"
+}
+
 // QuotaUsage returns 1 plus the reported usage of the customer's quota in percent, as the module counts it; 0 is
 // none reported.
 func (o *Outcome) QuotaUsage() int {
@@ -80,7 +88,14 @@
 // LoadReport returns the app server's load report, nil where there is none. Servers use one of two names for
 // each value; unknown names and impossible values are skipped.
 func (o *Outcome) LoadReport() *control.LoadReport {
-	unknown := control.LoadReport{InFlight: -1, Queued: -1, Utilization: -1, MeanLatencyMS: -1, RequestsPerSecond: -1, ErrorsPerSecond: -1}
+	unknown := control.LoadReport{
+		InFlight:          -1,
+		Queued:            -1,
+		Utilization:       -1,
+		MeanLatencyMS:     -1,
+		RequestsPerSecond: -1,
+		ErrorsPerSecond:   -1,
+	}
 	report := unknown
 	for pair := range strings.SplitSeq(o.Header.Get(protocol.HeaderBackendLoad), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -8,12 +8,12 @@
 	"lockflow/control"
 )
 
-// SecondAnswerDelay is the time after an answer in which a second one may come. A server without TCP_NODELAY
-// holds small writes back until the first one is acknowledged: 40 ms later, or with the next request.
+// SecondAnswerDelay is the time after an answer in which a second one may arrive. A server without TCP_NODELAY
+// delays small writes until the first one is acknowledged: 40 ms later, or with the next request.
 const SecondAnswerDelay = 50 * time.Millisecond
 
-// maxRestingConnections is how many connections to a server rest for their quiet period before one is used
-// again early.
+// maxRestingConnections is how many connections to a server may be in their quiet period before one is used
+// early.
 const maxRestingConnections = 4
 
 // Pool holds the connections to one app server at one address, so that those to a server that has gone are not
@@ -48,14 +48,16 @@
 func (u *Upstream) MergePool(pool, target *Pool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if pool = pool.owner(); pool == target.owner() {
+	pool = pool.owner()
+	if pool == target.owner() {
 		return
 	}
 	if _, ok := u.pools[target]; !ok { // a retired pool would never close them
 		return
 	}
 	target.idle = append(target.idle, pool.idle...)
-	pool.idle, pool.mergedInto = nil, target
+	pool.idle = nil
+	pool.mergedInto = target
 	delete(u.pools, pool)
 	target.shared.adopt(pool.shared)
 }
@@ -130,7 +132,8 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	pool = pool.owner()
-	i, before := len(pool.idle)-1, time.Now().Add(-quietPeriod)
+	i := len(pool.idle) - 1
+	before := time.Now().Add(-quietPeriod)
 	for i >= 0 && quietPeriod > 0 && pool.idle[i].lastAnswer.After(before) {
 		i--
 	}
--- a/internal/upstream/relayed_request.go
+++ b/internal/upstream/relayed_request.go
@@ -23,8 +23,11 @@
 	continueTimeout = time.Second
 )
 
-// BodyBuffers holds *[]byte of BodyWindowBytes, for bodies that are relayed as they come.
-var BodyBuffers = sync.Pool{New: func() any { buffer := make([]byte, BodyWindowBytes); return &buffer }}
+// BodyBuffers is a pool of *[]byte with BodyWindowBytes each, for bodies that are relayed as they arrive.
+var BodyBuffers = sync.Pool{New: func() any {
+	buffer := make([]byte, BodyWindowBytes)
+	return &buffer
+}}
 
 // InterimWriter forwards interim answers (1xx) to the client. It is called on the goroutine of an attempt.
 type InterimWriter interface {
@@ -48,7 +51,7 @@
 	MaxBufferedBytes int           // of an answer's body
 	IdleTimeout      time.Duration // for BodyWindowBytes of a body to be transferred
 	AnswerTimeout    time.Duration // from the last byte of the request to the first of the answer, where ctx has no deadline
-	SendTimeLeft     bool          // tells the server how long the node will wait
+	SendTimeLeft     bool          // adds a field with the time that the node will wait
 
 	InterimWriter InterimWriter // nil forwards no interim answers
 }
@@ -77,7 +80,13 @@
 	if !Commit(ctx) {
 		return upstream.releaseUnused(pool, conn)
 	}
-	attempt := &http1Attempt{RelayedRequest: r, upstream: upstream, pool: pool, conn: conn, headBytesLeft: maxHeadBytes}
+	attempt := &http1Attempt{
+		RelayedRequest: r,
+		upstream:       upstream,
+		pool:           pool,
+		conn:           conn,
+		headBytesLeft:  maxHeadBytes,
+	}
 	return attempt.run(ctx, lifetime)
 }
 
@@ -115,7 +124,7 @@
 	}
 }
 
-// copyBody passes a body to write as it comes, until it ends or either side fails.
+// copyBody passes a body to write as it arrives, until it ends or either side fails.
 func copyBody(body *retrybuffer.Reader, write func(piece []byte) error) (readErr, writeErr error) {
 	buffer := BodyBuffers.Get().(*[]byte)
 	defer BodyBuffers.Put(buffer)
@@ -145,7 +154,8 @@
 // zero where it is not known. isTruncated reports that some of the body was left unread.
 func (r *RelayedRequest) bufferBody(outcome *Outcome, body io.Reader, length int64) (isBuffered, isTruncated bool) {
 	meaning := r.ResponseRules.Classify(outcome.Status, outcome.Header)
-	outcome.Reason, outcome.IsFinal = meaning.Reason, meaning.IsFinal
+	outcome.Reason = meaning.Reason
+	outcome.IsFinal = meaning.IsFinal
 	switch {
 	case length == 0:
 	case length > 0 && length <= int64(r.MaxBufferedBytes) && !isEventStream(outcome.Header):
@@ -154,11 +164,14 @@
 			*outcome = Outcome{Reason: control.ResetByPeer, Err: err}
 		}
 	case !meaning.IsFinal:
-		// The request may be retried: the answer is for the case that no better one comes. If it is too long
+		// The request may be retried: this answer is for the case that no better one arrives. If it is too long
 		// the node writes an answer of its own.
 		read, err := io.ReadAll(io.LimitReader(body, int64(r.MaxBufferedBytes)+1))
-		if outcome.Body = read; err != nil || len(read) > r.MaxBufferedBytes {
-			outcome.Status, outcome.Body, isTruncated = 0, nil, true
+		outcome.Body = read
+		if err != nil || len(read) > r.MaxBufferedBytes {
+			outcome.Status = 0
+			outcome.Body = nil
+			isTruncated = true
 		}
 	default:
 		return false, false
--- a/internal/upstream/server_conn.go
+++ b/internal/upstream/server_conn.go
@@ -15,14 +15,14 @@
 
 const connBufferBytes = 4 << 10
 
-// expired is a deadline that is over.
-var expired = time.Unix(1, 0) //nolint:forbidigo // it is over by any clock
+// expired is a deadline in the past.
+var expired = time.Unix(1, 0) //nolint:forbidigo // in the past by any clock
 
 // serverConn is a connection of HTTP/1.1 to an app server. One attempt uses it at a time.
 type serverConn struct {
 	*limits.Conn
 	rawConn              syscall.RawConn
-	isInterrupted        atomic.Bool // everything that waits for it has to end
+	isInterrupted        atomic.Bool // all reads and writes fail from now on
 	answers              answerReader
 	reader               *bufio.Reader
 	writer               *bufio.Writer
@@ -39,7 +39,7 @@
 	return created
 }
 
-// interrupt ends everything that waits for the connection, for good.
+// interrupt ends all reads and writes of the connection, for good.
 func (c *serverConn) interrupt() {
 	c.isInterrupted.Store(true)
 	c.SetDeadline(expired)
--- a/internal/upstream/shared_connections.go
+++ b/internal/upstream/shared_connections.go
@@ -32,7 +32,7 @@
 	waiting     int        // attempts that wait for a stream or a connection
 	failedDials int
 	lastDialErr error
-	http1Until  time.Time // when HTTP/2 is tried again; until then the server is spoken to by HTTP/1.1
+	http1Until  time.Time // until then HTTP/1.1 is used; afterwards HTTP/2 is tried again
 	isRetired   bool
 }
 
@@ -61,14 +61,14 @@
 		return
 	}
 	u.mu.Lock()
-	var all []*sharedConnections
+	var shared []*sharedConnections
 	for pool := range u.pools {
 		if pool.shared != nil {
-			all = append(all, pool.shared)
+			shared = append(shared, pool.shared)
 		}
 	}
 	u.mu.Unlock()
-	for _, s := range all {
+	for _, s := range shared {
 		visit(s)
 	}
 }
@@ -89,8 +89,8 @@
 }
 
 // acquire returns a connection with a free stream, or waits for one as long as a connection may take to come
-// up. isDialed reports whether a connection was made for this attempt. The error is h2.ErrNotSpoken where the
-// server speaks HTTP/1.1, and errNoStream where no stream can be had.
+// up. isDialed reports whether a connection was made for this attempt. The error is h2.ErrNotHTTP2 where the
+// server speaks HTTP/1.1, and errNoStream where no stream is available in time.
 func (s *sharedConnections) acquire(ctx context.Context) (conn *h2.Conn, isDialed bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,7 +136,9 @@
 	}
 	options := &s.upstream.HTTP2
 	choice := h2.Choose(views, s.dialing, s.waiting, h2.Bounds{
-		MaxConnections: max(1, options.MaxConnections), MaxWaiting: max(1, options.MaxStreams), MaxAge: options.MaxConnectionAge,
+		MaxConnections: max(1, options.MaxConnections),
+		MaxWaiting:     max(1, options.MaxStreams),
+		MaxAge:         options.MaxConnectionAge,
 	})
 	if choice.Retire >= 0 {
 		s.connections[choice.Retire].Retire()
@@ -209,8 +211,13 @@
 	}
 	options := &s.upstream.HTTP2
 	return h2.Start(ctx, conn, h2.Options{
-		Limits:           h2.Limits{MaxStreams: options.MaxStreams, MaxBodyBytes: s.upstream.MaxBodyBytes, StartsAtLastByte: options.StartsAtLastByte},
-		PingAfterSilence: pingAfterSilence, OnChange: s.signal,
+		Limits: h2.Limits{
+			MaxStreams:       options.MaxStreams,
+			MaxBodyBytes:     s.upstream.MaxBodyBytes,
+			StartsAtLastByte: options.StartsAtLastByte,
+		},
+		PingAfterSilence: pingAfterSilence,
+		OnChange:         s.signal,
 	})
 }
 
@@ -286,7 +293,8 @@
 	}
 	source.mu.Lock()
 	connections := source.connections
-	source.connections, source.isRetired = nil, true
+	source.connections = nil
+	source.isRetired = true
 	source.mu.Unlock()
 	s.mu.Lock()
 	s.connections = append(s.connections, connections...)
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -36,7 +36,7 @@
 	isAborted() bool
 	abort()
 	hasClientFailed() bool
-	end(isComplete bool) // lets go of the connection; only the first call does anything
+	end(isComplete bool) // releases the connection; only the first call has an effect
 }
 
 // OnEnd sets a function that is called once, with how the attempt ended, when the stream is closed.
@@ -60,7 +60,8 @@
 	return n, err
 }
 
-// CopyTo sizes its pieces between these, and starts again with the smallest after one that took slowPieceTime.
+// CopyTo doubles its pieces from the smallest size to the largest, and goes back to the smallest after a piece that took
+// longer than slowPieceTime.
 const (
 	minPieceBytes = BodyWindowBytes
 	maxPieceBytes = 1 << 20
@@ -89,7 +90,8 @@
 		if err := afterPiece(n); err != nil {
 			return err
 		}
-		if pieceBytes = min(2*pieceBytes, maxPieceBytes); time.Since(started) > slowPieceTime {
+		pieceBytes = min(2*pieceBytes, maxPieceBytes)
+		if time.Since(started) > slowPieceTime {
 			pieceBytes = minPieceBytes
 		}
 	}
@@ -118,7 +120,7 @@
 	return n, err
 }
 
-// isServerAlive reports, after a copy that failed, whether the server's side is well: there is more of its
+// isServerAlive reports, after a copy that failed, whether the server's side works: there is more of its
 // answer, or may be.
 func (s *Stream) isServerAlive(tcp *net.TCPConn) bool {
 	if s.isAborted() {
@@ -177,7 +179,8 @@
 // Only the first call does anything.
 func (s *Stream) Close() {
 	s.mu.Lock()
-	readErr, onEnd := s.readErr, s.onEnd
+	readErr := s.readErr
+	onEnd := s.onEnd
 	if s.isEnded {
 		s.mu.Unlock()
 		return
