--- /dev/null
+++ b/internal/h2/choose_test.go
@@ -0,0 +1,41 @@
+package h2
+
+import (
+	"testing"
+	"time"
+)
+
+func TestChooseConnection(t *testing.T) {
+	bounds := Bounds{MaxConnections: 2, MaxWaiting: 3, MaxAge: time.Hour}
+	view := func(open, room int) View { return View{OpenStreams: open, FreeStreams: room, MaxStreams: open + room} }
+	old := func(w View) View { w.Age = 2 * time.Hour; return w }
+	ending := View{OpenStreams: 3, MaxStreams: 10, IsEnding: true}
+	for name, tc := range map[string]struct {
+		conns          []View
+		dialing, waits int
+		use            int
+		wait, dial     bool
+		retire         int
+	}{
+		"none yet":                       {nil, 0, 0, -1, true, true, -1},
+		"one is coming":                  {nil, 1, 1, -1, true, false, -1},
+		"one with room":                  {[]View{view(3, 1)}, 0, 0, 0, false, false, -1},
+		"the emptier of two":             {[]View{view(3, 1), view(2, 1)}, 0, 0, 1, false, false, -1},
+		"full: another":                  {[]View{view(4, 0)}, 0, 0, -1, true, true, -1},
+		"all full":                       {[]View{view(4, 0), view(4, 0)}, 0, 2, -1, true, false, -1},
+		"no place to wait":               {[]View{view(4, 0), view(4, 0)}, 0, 3, -1, false, false, -1},
+		"one that ends does not count":   {[]View{ending, view(4, 0)}, 0, 0, -1, true, true, -1},
+		"only ones that end":             {[]View{ending, ending}, 0, 0, -1, true, true, -1},
+		"the server allows none":         {[]View{view(0, 0)}, 0, 0, -1, false, false, -1},
+		"old, and nothing else":          {[]View{old(view(1, 5))}, 0, 0, 0, false, true, -1},
+		"old, while the next one comes":  {[]View{old(view(1, 5))}, 1, 0, 0, false, false, -1},
+		"old and full":                   {[]View{old(view(5, 0))}, 0, 0, -1, true, true, -1},
+		"old, and a young one":           {[]View{old(view(0, 5)), view(3, 1)}, 0, 0, 1, false, false, 0},
+		"old, and a young one with none": {[]View{old(view(0, 5)), view(3, 0)}, 0, 0, 0, false, true, -1},
+	} {
+		want := Choice{tc.use, tc.wait, tc.dial, tc.retire}
+		if got := Choose(tc.conns, tc.dialing, tc.waits, bounds); got != want {
+			t.Errorf("%s: %+v, not %+v", name, got, want)
+		}
+	}
+}
--- a/internal/h2/conn.go
+++ b/internal/h2/conn.go
@@ -9,15 +9,6 @@
 	"sync"
 	"syscall"
 	"time"
-
-	"golang.org/x/net/http2"
-	"golang.org/x/net/http2/hpack"
-)
-
-const (
-	writeTimeout      = 5 * time.Second        // one piece of what is to be written
-	cancelTimeout     = 250 * time.Millisecond // the reset of a stream that is given up
-	maxReadFrameBytes = 1 << 20                // of a frame that is read; more is an error of the server's
 )
 
 // Options configure a connection.
@@ -43,28 +34,38 @@
 	mu             sync.Mutex
 	machine        *Machine
 	receivers      map[uint32]eventReceiver
-	blockedWriters map[*Stream]bool // those whose writer waits for space
-	flushed        *sync.Cond       // more was written, or the connection has ended
-	lastRead       time.Time        // something came
-	idleSince      time.Time        // no stream is open since then
-	noiseReset     time.Time        // floods are counted from then on
-	isClosing      bool             // no further byte is written once what is pending is
+	blockedWriters map[*Stream]bool // streams whose writer waits for space
+	flushed        *sync.Cond       // signals that more was written, or that the connection has ended
+	lastRead       time.Time        // when something was received last
+	idleSince      time.Time        // since when no stream is open
+	noiseReset     time.Time        // when the count of noise frames was reset
+	isClosing      bool             // the connection ends once its streams have ended and the output is written
 	isWatched      bool             // checkSilence is scheduled
 	isWriting      bool             // a goroutine is writing to the socket
-	rawConn        syscall.RawConn  // of a socket; nil where there is none
+	rawConn        syscall.RawConn  // the socket; nil where bytes don't go to it as they are
 
-	wake        chan struct{} // there may be something to write
-	hasSettings chan struct{} // closed with the server's settings
+	wake        chan struct{} // signals the writing goroutine that there may be output
+	hasSettings chan struct{} // closed once the server's settings have arrived
 	done        chan struct{} // closed when the connection has ended
 }
 
-// Start starts HTTP/2 with prior knowledge on a connection and waits for the server's settings: before a request
-// is sent it is known that the server speaks HTTP/2, and what its limits are. A connection that fails is closed.
+// Start starts HTTP/2 with prior knowledge on a connection and waits for the server's settings, so that the protocol
+// and the server's limits are known before a request is sent. A connection that fails is closed; where the server
+// does not speak HTTP/2, the error wraps ErrNotHTTP2. Two goroutines run until the connection has ended.
 func Start(ctx context.Context, conn net.Conn, options Options) (*Conn, error) {
 	now := time.Now()
 	created := &Conn{
-		options: options, conn: conn, started: now, machine: New(options.Limits), receivers: make(map[uint32]eventReceiver), blockedWriters: make(map[*Stream]bool), lastRead: now, idleSince: now,
-		wake: make(chan struct{}, 1), hasSettings: make(chan struct{}), done: make(chan struct{}),
+		options:        options,
+		conn:           conn,
+		started:        now,
+		machine:        New(options.Limits),
+		receivers:      make(map[uint32]eventReceiver),
+		blockedWriters: make(map[*Stream]bool),
+		lastRead:       now,
+		idleSince:      now,
+		wake:           make(chan struct{}, 1),
+		hasSettings:    make(chan struct{}),
+		done:           make(chan struct{}),
 	}
 	created.flushed = sync.NewCond(&created.mu)
 	if under, ok := socket(conn); ok {
@@ -79,7 +80,7 @@
 	case <-created.done:
 		created.mu.Lock()
 		defer created.mu.Unlock()
-		if created.lastRead.Equal(now) { // it said nothing before it closed
+		if created.lastRead.Equal(now) { // the server has sent nothing before it closed the connection
 			return nil, fmt.Errorf("%w: %w", ErrNotHTTP2, created.machine.Err())
 		}
 		return nil, created.machine.Err()
@@ -89,7 +90,7 @@
 	}
 }
 
-// socket is the one below a connection whose bytes go to it as they are.
+// socket returns the socket of a connection whose bytes go to it as they are, so not of one with TLS.
 func socket(conn net.Conn) (syscall.Conn, bool) {
 	for {
 		if _, ok := conn.(*tls.Conn); ok {
@@ -106,190 +107,6 @@
 	}
 }
 
-// wakeWriter wakes the goroutine that writes.
-func (c *Conn) wakeWriter() {
-	select {
-	case c.wake <- struct{}{}:
-	default:
-	}
-}
-
-// read handles frames until the connection ends.
-func (c *Conn) read() {
-	counted := &countingConn{Conn: c.conn}
-	frames := http2.NewFramer(nil, counted)
-	frames.SetMaxReadFrameSize(maxReadFrameBytes)
-	frames.SetReuseFrames()
-	frames.ReadMetaHeaders = hpack.NewDecoder(defaultTableBytes, nil)
-	frames.MaxHeaderListSize = uint32(c.machine.MaxHeadBytes)
-	for first := true; ; first = false {
-		frame, err := frames.ReadFrame()
-		if first && counted.bytesRead > 0 && (err != nil || frame.Header().Type != http2.FrameSettings) {
-			err = ErrNotHTTP2
-		}
-		c.mu.Lock()
-		if counted.bytesRead > 0 {
-			c.lastRead = time.Now()
-		}
-		if c.lastRead.Sub(c.noiseReset) >= time.Second {
-			c.noiseReset = c.lastRead
-			c.machine.ResetNoise()
-		}
-		var events []Event
-		if err != nil {
-			events = c.machine.Unreadable(err)
-		} else {
-			events = c.machine.Handle(frame)
-		}
-		ended := c.deliver(events)
-		needsWrite := ended || c.isClosing || c.machine.HasOutput()
-		c.mu.Unlock()
-		if needsWrite {
-			c.wakeWriter()
-		}
-		if ended {
-			return
-		}
-	}
-}
-
-// countingConn counts the bytes that are read.
-type countingConn struct {
-	net.Conn
-	bytesRead int64
-}
-
-func (c *countingConn) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b)
-	c.bytesRead += int64(n)
-	return n, err
-}
-
-// eventReceiver receives the events of a stream in order, with Conn.mu locked. It must neither block nor call back.
-type eventReceiver interface{ receive(Event) }
-
-// endReceiver receives the one event of a stream whose answer is buffered.
-type endReceiver chan Event
-
-func (w endReceiver) receive(event Event) { w <- event }
-
-// deliver passes events to their receivers and records what has changed. c.mu is locked. It reports whether the
-// connection has ended.
-func (c *Conn) deliver(events []Event) (ended bool) {
-	for _, event := range events {
-		if receiver := c.receivers[event.ID]; receiver != nil {
-			if event.ends() {
-				delete(c.receivers, event.ID)
-			}
-			receiver.receive(event)
-		}
-	}
-	c.wakeBlockedWriters()
-	if c.machine.OpenStreams() == 0 && len(events) > 0 {
-		c.idleSince = time.Now()
-	}
-	if c.machine.HasSettings() {
-		select {
-		case <-c.hasSettings:
-		default:
-			close(c.hasSettings)
-		}
-	}
-	if c.machine.Err() != nil {
-		select {
-		case <-c.done:
-		default:
-			close(c.done)
-			c.flushed.Broadcast()
-		}
-	}
-	if c.options.OnChange != nil {
-		c.options.OnChange()
-	}
-	return c.machine.Err() != nil
-}
-
-// writeNow writes what the socket takes without blocking, which nearly always is everything; the writing goroutine
-// does the rest. So no goroutine is woken for each request, and none blocks past its own deadline on a server that
-// reads nothing.
-func (c *Conn) writeNow() {
-	if c.rawConn == nil {
-		c.wakeWriter()
-		return
-	}
-	c.mu.Lock()
-	if c.isWriting || c.machine.Err() != nil {
-		c.mu.Unlock()
-		c.wakeWriter()
-		return
-	}
-	c.isWriting = true
-	out := c.machine.PendingBytes()
-	c.mu.Unlock()
-	n := 0
-	if len(out) > 0 {
-		_ = c.rawConn.Write(func(fd uintptr) bool {
-			n, _ = syscall.Write(int(fd), out)
-			return true
-		})
-	}
-	c.wrote(max(n, 0))
-	c.mu.Lock()
-	more := c.machine.HasOutput() || c.isClosing || c.machine.Err() != nil // for all of which the writer did not go on meanwhile
-	c.mu.Unlock()
-	if more {
-		c.wakeWriter()
-	}
-}
-
-// wrote records that n bytes were written.
-func (c *Conn) wrote(n int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.isWriting = false
-	c.machine.Wrote(n)
-	c.wakeBlockedWriters()
-	c.flushed.Broadcast()
-}
-
-// wakeBlockedWriters wakes the streams whose writers wait for space. c.mu is locked.
-func (c *Conn) wakeBlockedWriters() {
-	for s := range c.blockedWriters {
-		delete(c.blockedWriters, s)
-		signal(s.writable)
-	}
-}
-
-// write writes the machine's output, until the connection has ended and all of it is written.
-func (c *Conn) write() {
-	defer c.conn.Close()
-	for {
-		c.mu.Lock()
-		var out []byte
-		if !c.isWriting { // otherwise whoever writes wakes this goroutine
-			out = c.machine.PendingBytes()
-		}
-		over := !c.isWriting && (c.machine.Err() != nil || c.machine.IsEnding() && c.machine.OpenStreams() == 0 && c.isClosing)
-		c.isWriting = c.isWriting || len(out) > 0
-		c.mu.Unlock()
-		if len(out) == 0 {
-			if over {
-				c.breakOff(net.ErrClosed)
-				return
-			}
-			<-c.wake
-			continue
-		}
-		_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-		n, err := c.conn.Write(out)
-		c.wrote(n)
-		if err != nil {
-			c.breakOff(fmt.Errorf("writing: %w", err))
-			return
-		}
-	}
-}
-
 // breakOff ends the connection from this side.
 func (c *Conn) breakOff(why error) {
 	c.mu.Lock()
@@ -301,12 +118,13 @@
 // open opens a stream and sends as much of its request as is available and can be written without blocking.
 func (c *Conn) open(request *Request, receiver eventReceiver) (id uint32, err error) {
 	c.mu.Lock()
-	if id, err = c.machine.OpenStream(request); err != nil {
+	id, err = c.machine.OpenStream(request)
+	if err != nil {
 		c.mu.Unlock()
 		return 0, err
 	}
 	if c.machine.OpenStreams() == 1 {
-		c.lastRead = time.Now() // the silence that counts begins with the first stream
+		c.lastRead = time.Now() // silence counts from the first stream on
 		c.startWatch()
 	}
 	c.receivers[id] = receiver
@@ -348,51 +166,17 @@
 	return <-receiver, nil
 }
 
-// awaitFlush waits until everything before an offset is written. A connection that doesn't even take a reset is
-// ended: the request must not still be running when another server gets it.
-func (c *Conn) awaitFlush(until int64) {
-	late := time.AfterFunc(cancelTimeout, func() { c.Close() })
-	defer late.Stop()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for c.machine.written < until && c.machine.Err() == nil {
-		c.flushed.Wait()
-	}
-}
-
-// startWatch schedules checkSilence while streams are open. c.mu is locked.
-func (c *Conn) startWatch() {
-	if c.options.PingAfterSilence > 0 && !c.isWatched {
-		c.isWatched = true
-		time.AfterFunc(c.options.PingAfterSilence, c.checkSilence)
-	}
-}
-
-// checkSilence pings a server that has been silent, and ends the connection if it does not answer.
-func (c *Conn) checkSilence() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.machine.Err() != nil || c.machine.OpenStreams() == 0 {
-		c.isWatched = false
-		return
-	}
-	switch silent := time.Since(c.lastRead); {
-	case silent >= 2*c.options.PingAfterSilence && c.machine.IsAwaitingPing():
-		c.deliver(c.machine.Break(fmt.Errorf("nothing heard for %v", silent)))
-		c.wakeWriter()
-		return
-	case silent >= c.options.PingAfterSilence:
-		c.machine.Ping()
-		c.wakeWriter()
-	}
-	time.AfterFunc(c.options.PingAfterSilence, c.checkSilence)
-}
-
 // View returns what Choose needs to know of the connection.
 func (c *Conn) View() View {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return View{OpenStreams: c.machine.OpenStreams(), FreeStreams: c.machine.FreeStreams(), MaxStreams: c.machine.StreamLimit(), IsEnding: c.machine.IsEnding(), Age: time.Since(c.started)}
+	return View{
+		OpenStreams: c.machine.OpenStreams(),
+		FreeStreams: c.machine.FreeStreams(),
+		MaxStreams:  c.machine.StreamLimit(),
+		IsEnding:    c.machine.IsEnding(),
+		Age:         time.Since(c.started),
+	}
 }
 
 // Idle returns since when no stream has been open; false where one is.
@@ -402,7 +186,7 @@
 	return c.idleSince, c.machine.OpenStreams() == 0
 }
 
-// Retire lets the connection take no more requests, and end with its last stream.
+// Retire has the connection take no more requests, and end with its last stream.
 func (c *Conn) Retire() {
 	c.mu.Lock()
 	c.machine.Retire()
--- /dev/null
+++ b/internal/h2/conn_write.go
@@ -0,0 +1,122 @@
+package h2
+
+import (
+	"fmt"
+	"net"
+	"syscall"
+	"time"
+)
+
+const (
+	writeTimeout  = 5 * time.Second        // of one write to the socket
+	cancelTimeout = 250 * time.Millisecond // until the reset of a cancelled stream is written
+)
+
+// wakeWriter wakes the goroutine that writes.
+func (c *Conn) wakeWriter() {
+	select {
+	case c.wake <- struct{}{}:
+	default:
+	}
+}
+
+// writeNow writes as much as the socket takes without blocking, which nearly always is everything; the writing goroutine
+// writes the rest. So no goroutine is woken for each request, and no caller blocks beyond its deadline on a server that
+// reads nothing.
+func (c *Conn) writeNow() {
+	if c.rawConn == nil {
+		c.wakeWriter()
+		return
+	}
+	c.mu.Lock()
+	if c.isWriting || c.machine.Err() != nil {
+		c.mu.Unlock()
+		c.wakeWriter()
+		return
+	}
+	c.isWriting = true
+	out := c.machine.PendingBytes()
+	c.mu.Unlock()
+	n := 0
+	if len(out) > 0 {
+		_ = c.rawConn.Write(func(fd uintptr) bool {
+			n, _ = syscall.Write(int(fd), out)
+			return true
+		})
+	}
+	c.wrote(max(n, 0))
+	c.mu.Lock()
+	needsWriter := c.machine.HasOutput() || c.isClosing || c.machine.Err() != nil // it has not gone on meanwhile
+	c.mu.Unlock()
+	if needsWriter {
+		c.wakeWriter()
+	}
+}
+
+// wrote records that n bytes were written.
+func (c *Conn) wrote(n int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.isWriting = false
+	c.machine.Wrote(n)
+	c.wakeBlockedWriters()
+	c.flushed.Broadcast()
+}
+
+// wakeBlockedWriters wakes the streams whose writers wait for space. c.mu is locked.
+func (c *Conn) wakeBlockedWriters() {
+	for s := range c.blockedWriters {
+		delete(c.blockedWriters, s)
+		signal(s.writable)
+	}
+}
+
+// isFinished reports whether the connection has ended, or is to end now that its last stream has. c.mu is locked.
+func (c *Conn) isFinished() bool {
+	if c.machine.Err() != nil {
+		return true
+	}
+	return c.isClosing && c.machine.IsEnding() && c.machine.OpenStreams() == 0
+}
+
+// write writes the machine's output, until the connection has ended and all of it is written.
+func (c *Conn) write() {
+	defer c.conn.Close()
+	for {
+		c.mu.Lock()
+		var out []byte
+		if !c.isWriting { // otherwise writeNow wakes this goroutine
+			out = c.machine.PendingBytes()
+		}
+		isOver := !c.isWriting && c.isFinished()
+		c.isWriting = c.isWriting || len(out) > 0
+		c.mu.Unlock()
+		if len(out) == 0 {
+			if isOver {
+				c.breakOff(net.ErrClosed)
+				return
+			}
+			<-c.wake
+			continue
+		}
+		_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+		n, err := c.conn.Write(out)
+		c.wrote(n)
+		if err != nil {
+			c.breakOff(fmt.Errorf("writing: %w", err))
+			return
+		}
+	}
+}
+
+// awaitFlush waits until everything before an offset is written. A connection on which a reset can't be written in time
+// is ended: the request must not still run when another server gets it.
+func (c *Conn) awaitFlush(until int64) {
+	closeTimer := time.AfterFunc(cancelTimeout, c.Close)
+	defer closeTimer.Stop()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for c.machine.written < until && c.machine.Err() == nil {
+		c.flushed.Wait()
+	}
+}
--- a/internal/h2/frames.go
+++ b/internal/h2/frames.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"math"
 	"net/http"
 	"strconv"
 
@@ -10,23 +11,23 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// What comes in: frames, and what they mean for streams and the connection.
+// This file handles received frames.
 
 // Unreadable handles an error of http2.Framer: no frame could be read.
 func (m *Machine) Unreadable(err error) []Event {
 	if m.connErr != nil {
 		return nil
 	}
-	var conn http2.ConnectionError
-	var one http2.StreamError
+	var connectionErr http2.ConnectionError
+	var streamErr http2.StreamError
 	switch {
-	case errors.As(err, &one):
-		if !m.isKnownStream(one.StreamID) {
-			return m.fail(http2.ErrCodeProtocol, "a frame on stream %d, which was not opened", one.StreamID)
+	case errors.As(err, &streamErr):
+		if !m.isKnownStream(streamErr.StreamID) {
+			return m.fail(http2.ErrCodeProtocol, "a frame on stream %d, which was not opened", streamErr.StreamID)
 		}
-		return m.endMalformed(one.StreamID, one.Code, err.Error())
-	case errors.As(err, &conn):
-		return m.fail(http2.ErrCode(conn), "a frame that can't be")
+		return m.endMalformed(streamErr.StreamID, streamErr.Code, err.Error())
+	case errors.As(err, &connectionErr):
+		return m.fail(http2.ErrCode(connectionErr), "an invalid frame")
 	case errors.Is(err, http2.ErrFrameTooLarge):
 		return m.fail(http2.ErrCodeFrameSize, "%v", err)
 	}
@@ -36,10 +37,11 @@
 // isKnownStream reports whether a stream has been opened, even if it is closed by now.
 func (m *Machine) isKnownStream(id uint32) bool { return id%2 == 1 && id < m.nextID }
 
-// endMalformed ends a stream whose answer can't be one; other streams go on (RFC 9113, 8.1.1).
+// endMalformed ends a stream whose answer is malformed; other streams go on (RFC 9113, 8.1.1).
 func (m *Machine) endMalformed(id uint32, code http2.ErrCode, why string) []Event {
-	if m.countNoise(); m.noiseFrames > maxNoiseFrames {
-		return m.fail(http2.ErrCodeEnhanceYourCalm, "too many frames that bring nothing")
+	m.countNoise()
+	if m.noiseFrames > maxNoiseFrames {
+		return m.fail(http2.ErrCodeEnhanceYourCalm, "too many frames without an answer")
 	}
 	stream := m.streams[id]
 	if stream == nil {
@@ -50,11 +52,11 @@
 	return []Event{event}
 }
 
-// countNoise counts a frame that brings no answer on. Guards against floods of pings, settings, resets
+// countNoise counts a frame that contributes to no answer. Guards against floods of pings, settings, resets
 // and empty frames, each of which costs this side something.
 func (m *Machine) countNoise() { m.noiseFrames++ }
 
-// ResetNoise resets the count of such frames. It is to be called once a second.
+// ResetNoise resets the count of frames that contribute to no answer. It is called once a second.
 func (m *Machine) ResetNoise() { m.noiseFrames = 0 }
 
 // Handle handles a frame, as http2.Framer reads it with ReadMetaHeaders set. It ignores frames after the end of
@@ -86,10 +88,10 @@
 	case *http2.PingFrame:
 		m.handlePing(f)
 	case *http2.PushPromiseFrame:
-		return m.fail(http2.ErrCodeProtocol, "a push that was declined")
+		return m.fail(http2.ErrCodeProtocol, "a push, which the settings have disabled")
 	}
 	if m.connErr == nil && (m.noiseFrames > maxNoiseFrames || m.output.Len() > 2*maxOutputBytes) {
-		events = append(events, m.fail(http2.ErrCodeEnhanceYourCalm, "too many frames that bring nothing")...)
+		events = append(events, m.fail(http2.ErrCodeEnhanceYourCalm, "too many frames without an answer")...)
 	}
 	return events
 }
@@ -114,36 +116,16 @@
 	}
 	m.hasSettings = true
 	before := m.initialWindow
-	if err := frame.ForeachSetting(func(setting http2.Setting) error {
-		if err := setting.Valid(); err != nil {
-			return err
-		}
-		switch setting.ID {
-		case http2.SettingEnablePush:
-			if setting.Val != 0 { // RFC 9113, 6.5.2
-				return http2.ConnectionError(http2.ErrCodeProtocol)
-			}
-		case http2.SettingMaxConcurrentStreams:
-			m.peerMaxStreams = setting.Val
-		case http2.SettingInitialWindowSize:
-			m.initialWindow = int64(setting.Val)
-		case http2.SettingMaxFrameSize:
-			m.maxFrameBytes = int(min(setting.Val, 1<<16)) // longer ones would hold others up
-		case http2.SettingHeaderTableSize:
-			m.encoder.SetMaxDynamicTableSize(min(setting.Val, defaultTableBytes))
-		case http2.SettingMaxHeaderListSize:
-			m.peerMaxHeadBytes = setting.Val
-		}
-		return nil
-	}); err != nil {
+	if err := frame.ForeachSetting(m.applySetting); err != nil {
 		code := http2.ErrCodeProtocol
-		if c := http2.ConnectionError(0); errors.As(err, &c) {
-			code = http2.ErrCode(c)
+		if connectionErr := http2.ConnectionError(0); errors.As(err, &connectionErr) {
+			code = http2.ErrCode(connectionErr)
 		}
-		return m.fail(code, "a setting that can't be")
+		return m.fail(code, "an invalid setting")
 	}
-	for _, stream := range m.streams { // it may fall below nothing (6.9.2)
-		if stream.sendWindow += m.initialWindow - before; stream.sendWindow > maxWindow {
+	for _, stream := range m.streams {
+		stream.sendWindow += m.initialWindow - before // may become negative (RFC 9113, 6.9.2)
+		if stream.sendWindow > maxWindow {
 			return m.fail(http2.ErrCodeFlowControl, "a window of more than 2^31-1")
 		}
 	}
@@ -152,9 +134,33 @@
 	return nil
 }
 
+func (m *Machine) applySetting(setting http2.Setting) error {
+	if err := setting.Valid(); err != nil {
+		return err
+	}
+	switch setting.ID {
+	case http2.SettingEnablePush:
+		if setting.Val != 0 { // RFC 9113, 6.5.2
+			return http2.ConnectionError(http2.ErrCodeProtocol)
+		}
+	case http2.SettingMaxConcurrentStreams:
+		m.peerMaxStreams = setting.Val
+	case http2.SettingInitialWindowSize:
+		m.initialWindow = int64(setting.Val)
+	case http2.SettingMaxFrameSize:
+		m.maxFrameBytes = int(min(setting.Val, maxSentFrameBytes))
+	case http2.SettingHeaderTableSize:
+		m.encoder.SetMaxDynamicTableSize(min(setting.Val, defaultTableBytes))
+	case http2.SettingMaxHeaderListSize:
+		m.peerMaxHeadBytes = setting.Val
+	}
+	return nil
+}
+
 func (m *Machine) handleWindowUpdate(frame *http2.WindowUpdateFrame) []Event {
 	if frame.StreamID == 0 {
-		if m.sendWindow += int64(frame.Increment); m.sendWindow > maxWindow {
+		m.sendWindow += int64(frame.Increment)
+		if m.sendWindow > maxWindow {
 			return m.fail(http2.ErrCodeFlowControl, "a window of more than 2^31-1")
 		}
 		m.sendWaiting()
@@ -164,7 +170,8 @@
 		return m.fail(http2.ErrCodeProtocol, "a window of stream %d, which was not opened", frame.StreamID)
 	}
 	if stream := m.streams[frame.StreamID]; stream != nil {
-		if stream.sendWindow += int64(frame.Increment); stream.sendWindow > maxWindow {
+		stream.sendWindow += int64(frame.Increment)
+		if stream.sendWindow > maxWindow {
 			return m.endMalformed(stream.id, http2.ErrCodeFlowControl, "a window of more than 2^31-1")
 		}
 		m.sendWaiting()
@@ -183,14 +190,16 @@
 	return []Event{m.endStream(stream, EndReset, frame.ErrCode, "")}
 }
 
-// handleGoAway ends the streams that the server has not taken. A last id may fall later, never rise
-// (RFC 9113, 6.8): those above the lowest were told to be sent elsewhere.
+// handleGoAway ends the streams that the server has not accepted. The last accepted id may fall later, never rise
+// (RFC 9113, 6.8): streams above the lowest one were reported as rejected, and may have been sent to another server.
 func (m *Machine) handleGoAway(frame *http2.GoAwayFrame) (events []Event) {
 	m.hasGoAway = true
 	m.lastAcceptedID = min(m.lastAcceptedID, frame.LastStreamID)
+	debugData := frame.DebugData()
+	detail := string(debugData[:min(len(debugData), maxDetailBytes)])
 	for id, stream := range m.streams {
 		if id > m.lastAcceptedID {
-			events = append(events, m.endStream(stream, EndGoAway, frame.ErrCode, string(frame.DebugData()[:min(len(frame.DebugData()), 100)])))
+			events = append(events, m.endStream(stream, EndGoAway, frame.ErrCode, detail))
 			m.frames.WriteRSTStream(id, http2.ErrCodeCancel)
 		}
 	}
@@ -206,34 +215,35 @@
 		return nil
 	}
 	stream.hasAnyHead = true
-	wrong := func(format string, args ...any) []Event {
+	malformed := func(format string, args ...any) []Event {
 		return m.endMalformed(stream.id, http2.ErrCodeProtocol, fmt.Sprintf(format, args...))
 	}
 	if frame.Truncated {
-		return wrong("a head of more than %d bytes", m.MaxHeadBytes)
+		return malformed("a head of more than %d bytes", m.MaxHeadBytes)
 	}
 	header := make(http.Header, len(frame.Fields))
 	for _, field := range frame.RegularFields() {
-		if own[field.Name] && field.Name != "host" {
-			return wrong("a field of HTTP/1.1's connections, %s", field.Name)
+		if connectionFields[field.Name] && field.Name != "host" {
+			return malformed("a field of HTTP/1.1's connections, %s", field.Name)
 		}
 		name := m.canonicalNames.of(field.Name, http.CanonicalHeaderKey)
 		header[name] = append(header[name], field.Value)
 	}
 	if stream.hasFinalHead { // trailers
 		if len(frame.PseudoFields()) > 0 || !frame.StreamEnded() {
-			return wrong("a second head")
+			return malformed("a second head")
 		}
 		stream.answer.Trailer = header
 		return m.endAnswered(stream)
 	}
 	status, err := statusOf(frame.PseudoFields())
 	if err != nil {
-		return wrong("%v", err)
+		return malformed("%v", err)
 	}
 	if status < 200 {
-		if stream.interimAnswers++; frame.StreamEnded() || stream.interimAnswers > maxInterimAnswers {
-			return wrong("an answer of 1xx that ends the stream, or too many")
+		stream.interimAnswers++
+		if frame.StreamEnded() || stream.interimAnswers > maxInterimAnswers {
+			return malformed("an answer of 1xx that ends the stream, or too many of them")
 		}
 		if stream.streamsAnswer {
 			return []Event{{ID: stream.id, Head: &Answer{Status: status, Header: header}}}
@@ -255,18 +265,21 @@
 	return int(status), nil
 }
 
-// finalHead takes the head of a final answer.
+// finalHead handles the head of a final answer.
 func (m *Machine) finalHead(stream *stream, status int, header http.Header, ended bool) []Event {
 	m.noiseFrames = 0
 	stream.hasFinalHead = true
-	stream.answer.Status, stream.answer.Header = status, header
+	stream.answer.Status = status
+	stream.answer.Header = header
 	stream.hasNoBody = stream.isHeadRequest || status == http.StatusNoContent || status == http.StatusNotModified
 	if lengths, isStated := header["Content-Length"]; isStated {
 		n, err := strconv.ParseUint(lengths[0], 10, 62)
 		if err != nil || len(lengths) > 1 {
 			return m.endMalformed(stream.id, http2.ErrCodeProtocol, fmt.Sprintf("Content-Length %q", lengths))
 		}
-		if stream.contentLength = int64(n); !stream.hasNoBody && !stream.streamsAnswer && stream.contentLength > int64(m.MaxBodyBytes) {
+		stream.contentLength = int64(n)
+		isBuffered := !stream.hasNoBody && !stream.streamsAnswer
+		if isBuffered && stream.contentLength > int64(m.MaxBodyBytes) {
 			return m.endMalformed(stream.id, http2.ErrCodeCancel, fmt.Sprintf("a body of %d bytes", n))
 		}
 	}
@@ -284,7 +297,7 @@
 	if !m.isKnownStream(frame.StreamID) {
 		return m.fail(http2.ErrCodeProtocol, "data on stream %d, which was not opened", frame.StreamID)
 	}
-	m.returnWindow(frame.Length) // with its padding, also where the stream has gone (6.9)
+	m.returnWindow(frame.Length) // with its padding, also where the stream has ended (RFC 9113, 6.9)
 	stream := m.streams[frame.StreamID]
 	if stream == nil {
 		return nil
@@ -293,7 +306,8 @@
 		stream.hasAnyHead = true
 		return m.endMalformed(stream.id, http2.ErrCodeProtocol, "data before a head")
 	}
-	if stream.windowBytes += int(frame.Length); stream.windowBytes > m.MaxBodyBytes+1 {
+	stream.windowBytes += int(frame.Length)
+	if stream.windowBytes > m.MaxBodyBytes+1 {
 		return m.endMalformed(stream.id, http2.ErrCodeFlowControl, "more than its window")
 	}
 	data := frame.Data()
@@ -301,19 +315,16 @@
 	if len(data) > 0 {
 		m.noiseFrames = 0
 		stream.bodyBytes += int64(len(data))
-		if stream.hasNoBody || stream.contentLength >= 0 && stream.bodyBytes > stream.contentLength || !stream.streamsAnswer && stream.bodyBytes > int64(m.MaxBodyBytes) {
+		if stream.bodyBytes > m.maxBodyBytesOf(stream) {
 			return m.endMalformed(stream.id, http2.ErrCodeProtocol, "a body of too many bytes")
 		}
 		if stream.streamsAnswer {
 			events = append(events, Event{ID: stream.id, Data: data})
 		} else {
-			if stream.answer.Body == nil && stream.contentLength > 0 {
-				stream.answer.Body = make([]byte, 0, stream.contentLength)
-			}
-			stream.answer.Body = append(stream.answer.Body, data...)
+			stream.buffer(data)
 		}
 	}
-	// Padding takes from the stream's window and brings nothing: it is given back.
+	// Padding takes from the stream's window and is not consumed by the caller: it is returned at once.
 	if pad := int(frame.Length) - len(data); pad > 0 && !frame.StreamEnded() {
 		stream.windowBytes -= pad
 		m.frames.WriteWindowUpdate(stream.id, uint32(pad))
@@ -324,11 +335,34 @@
 	return events
 }
 
-// endAnswered gives a stream's answer. Where the server did not wait for the rest of the request, the
+// maxBodyBytesOf returns how many bytes the body of a stream's answer may have.
+func (m *Machine) maxBodyBytesOf(stream *stream) int64 {
+	if stream.hasNoBody {
+		return 0
+	}
+	limit := int64(math.MaxInt64)
+	if stream.contentLength >= 0 {
+		limit = stream.contentLength
+	}
+	if !stream.streamsAnswer {
+		limit = min(limit, int64(m.MaxBodyBytes))
+	}
+	return limit
+}
+
+// buffer appends to the body of an answer that is buffered.
+func (s *stream) buffer(data []byte) {
+	if s.answer.Body == nil && s.contentLength > 0 {
+		s.answer.Body = make([]byte, 0, s.contentLength)
+	}
+	s.answer.Body = append(s.answer.Body, data...)
+}
+
+// endAnswered ends a stream with its complete answer. Where the server did not wait for the rest of the request, the
 // rest is not sent (RFC 9113, 8.1).
 func (m *Machine) endAnswered(stream *stream) []Event {
 	if stream.contentLength >= 0 && !stream.hasNoBody && stream.bodyBytes != stream.contentLength {
-		return m.endMalformed(stream.id, http2.ErrCodeProtocol, fmt.Sprintf("a body of %d bytes where %d were told", stream.bodyBytes, stream.contentLength))
+		return m.endMalformed(stream.id, http2.ErrCodeProtocol, fmt.Sprintf("a body of %d bytes, Content-Length %d", stream.bodyBytes, stream.contentLength))
 	}
 	m.noiseFrames = 0
 	delete(m.streams, stream.id)
--- a/internal/h2/machine.go
+++ b/internal/h2/machine.go
@@ -2,15 +2,15 @@
 //
 // Machine is one connection as a state machine without I/O: it handles frames and returns events and the bytes to
 // write. Conn runs a Machine on a socket with two goroutines, and is safe for concurrent use; Stream is a request
-// on it whose bodies pass through. OutcomeOf says what is known of a request whose stream ended without an
-// answer, and Choose which connection a request takes. Package upstream is the caller. No request is ever sent
-// again here.
+// on it whose bodies pass through. OutcomeOf tells what is known of a request whose stream ended without an
+// answer, and Choose which connection a request takes. Package upstream is the caller. No request is retried here.
 package h2
 
 import (
 	"bytes"
 	"errors"
 	"fmt"
+	"math"
 	"net/http"
 
 	"golang.org/x/net/http2"
@@ -23,13 +23,15 @@
 	maxWindow           = 1<<31 - 1
 	defaultFrameBytes   = 16 << 10
 	maxStreamID         = 1<<31 - 1
-	defaultTableBytes   = 4096 // of header compression, both ways
-	maxInterimAnswers   = 32   // answers of 1xx to one request
-	maxNoiseFrames      = 1000 // frames of a second that bring neither an answer nor a body on
-	bodyBytesPerNoise   = 1024 // bytes of a body that were let go, for which one such frame is forgiven
-	maxOutputBytes      = 1 << 20
-	maxCachedNames      = 200
-	maxUnreturnedWindow = 16 << 10 // of the connection's window, before it is given back
+	defaultTableBytes   = 4096     // of header compression, in both directions
+	maxInterimAnswers   = 32       // answers of 1xx to one request
+	maxNoiseFrames      = 1000     // frames in a second that contribute neither to an answer nor to sending a body
+	bodyBytesPerNoise   = 1024     // sent bytes of a body for which one noise frame is not counted
+	maxOutputBytes      = 1 << 20  // that are buffered before bodies wait
+	maxSentFrameBytes   = 1 << 16  // of a frame of a body; longer ones would delay other streams
+	maxCachedNames      = 200      // of header fields, for each direction
+	maxUnreturnedWindow = 16 << 10 // of the connection's window
+	maxDetailBytes      = 100      // of a GOAWAY's debug data in errors
 )
 
 // Limits bound what a connection keeps in memory.
@@ -38,7 +40,7 @@
 	MaxLifetimeStreams int // over the connection's lifetime; 0 is as many as there are ids
 	MaxHeadBytes       int // bytes of an answer's head or trailers, each field counted with 32 more
 	MaxBodyBytes       int // bytes of an answer's body
-	// StartsAtLastByte says that servers begin a request with its last byte and not with its head.
+	// StartsAtLastByte says that servers start a request with its last byte and not with its head.
 	StartsAtLastByte bool
 }
 
@@ -61,14 +63,17 @@
 // Request is what is sent on a stream. Its header is in net/http's form; fields that are a
 // connection's own (RFC 9113, 8.2.2) are left out.
 type Request struct {
-	Method, Scheme, Authority, Path string
-	Header                          http.Header
-	Body                            []byte
-	// HasMoreBody says that Feed brings more of the body. ContentLength is then that of all of it, below zero
-	// where it is not known.
+	Method    string
+	Scheme    string
+	Authority string
+	Path      string
+	Header    http.Header
+	Body      []byte
+	// HasMoreBody says that Feed adds to the body. ContentLength is then the length of the complete one, below
+	// zero where it is not known.
 	HasMoreBody   bool
 	ContentLength int64
-	// StreamsAnswer says that the answer comes in events and is not buffered: as much of it as its window allows
+	// StreamsAnswer says that the answer is passed on in events and not buffered: no more of it than its window
 	// is in transit until Consumed is called.
 	StreamsAnswer bool
 	// MayBegin, which may be nil, is called right before the request is written and decides whether it is.
@@ -98,48 +103,48 @@
 // ends reports whether the event is the end of a stream.
 func (e *Event) ends() bool { return e.Answer != nil || e.Err != nil }
 
-// Why a request was not sent.
+// Errors of a request that was not sent.
 var (
 	ErrNoStream    = errors.New("no stream is free")
-	ErrHeadTooLong = errors.New("a head that the server takes as too long")
-	ErrWithdrawn   = errors.New("it is not to begin any more")
+	ErrHeadTooLong = errors.New("the head exceeds the server's limit")
+	ErrWithdrawn   = errors.New("the request was withdrawn")
 )
 
 // Machine is the client's side of a connection. It is not safe for concurrent use.
 type Machine struct {
 	Limits
 	output      bytes.Buffer
-	frames      *http2.Framer // writes to out
+	frames      *http2.Framer // writes to output
 	headerBlock bytes.Buffer
-	encoder     *hpack.Encoder
-	writing     []byte // of out, what is being written
-	written     int64  // bytes that the socket has taken
-	offered     int64  // bytes that it may have taken: those of a write that has not returned too
+	encoder     *hpack.Encoder // writes to headerBlock
+	writing     []byte         // the part of the output that is being written
+	written     int64          // bytes that the socket has taken
+	offered     int64          // bytes that it may have taken, also by a write that has not returned
 
 	nextID         uint32 // the id of the next stream
 	streams        map[uint32]*stream
-	hasSettings    bool // the server's first settings have come
-	hasGoAway      bool // the server has said that it takes no more
+	hasSettings    bool // the server's first settings have arrived
+	hasGoAway      bool // the server accepts no more streams
 	lastAcceptedID uint32
-	isRetired      bool  // no more streams are to be opened
+	isRetired      bool  // this side opens no more streams
 	connErr        error // the connection's end; nil while it lasts
 
 	peerMaxStreams   uint32 // streams at once, by the server
-	sendWindow       int64  // that the server has for this side's data
+	sendWindow       int64  // of the connection, for data of this side
 	initialWindow    int64  // of each new stream
-	maxFrameBytes    int
+	maxFrameBytes    int    // of a frame that is sent
 	peerMaxHeadBytes uint32 // bytes of a request's head, by the server; 0 is any
-	unreturnedWindow uint32 // of this side's window of the connection
-	noiseFrames      int
-	sentPings        uint64 // sent
-	awaitedPing      uint64 // the ping whose answer is awaited; 0 is none
-	waitingStreams   []uint32
-
-	// Names in lower case by their form in net/http, and the other way round: a few, again and again.
-	lowerNames, canonicalNames nameCache
+	unreturnedWindow uint32 // of the connection, for data of the server
+	noiseFrames      int    // see countNoise
+	sentPings        uint64
+	awaitedPing      uint64   // the number of the ping whose answer is awaited; 0 is none
+	waitingStreams   []uint32 // whose bodies wait for a window or the socket
+
+	lowerNames     nameCache // names in lower case by their form in net/http
+	canonicalNames nameCache // the reverse
 }
 
-// nameCache are what names have become, so that the same ones are not made anew. Its zero value is
+// nameCache has converted names of header fields, so that frequent ones are not allocated again. Its zero value is
 // empty.
 type nameCache map[string]string
 
@@ -160,71 +165,82 @@
 type stream struct {
 	id               uint32
 	sendWindow       int64
-	unsentBody       []byte      // still to be sent
-	hasMoreBody      bool        // Feed will bring more
-	trailer          http.Header // that goes behind the body
-	isQueued         bool        // all of the request is in out, or was
-	streamsAnswer    bool        // its answer is told as it comes
-	unreturnedWindow int         // of its window, consumed and not given back
-	firstOffset      int64       // where in all that was written its first byte is
-	endOffset        int64       // and where its end is, once queued
-	hasFinalHead     bool        // the final head has come
+	unsentBody       []byte
+	hasMoreBody      bool        // Feed will add to the body
+	trailer          http.Header // sent after the body
+	isQueued         bool        // the complete request is in output, or was
+	streamsAnswer    bool        // the answer is passed on in events as it arrives
+	unreturnedWindow int         // of this side's window, consumed and not returned
+	firstOffset      int64       // of the request's first byte in the connection's output
+	endOffset        int64       // of its end, once isQueued
+	hasFinalHead     bool        // the head of the final answer has arrived
 	interimAnswers   int
-	contentLength    int64 // by Content-Length; below zero not told
-	hasAnyHead       bool  // some head has come, be it of 1xx
+	contentLength    int64 // of the answer's body; below zero it is not stated
+	hasAnyHead       bool  // some head has arrived, also of an interim answer
 	hasNoBody        bool  // the answer has no body: to HEAD, 204, 304
 	isHeadRequest    bool
 	windowBytes      int   // bytes of the answer that this side's window counts
-	bodyBytes        int64 // bytes of its body
+	bodyBytes        int64 // bytes of the answer's body
 	answer           Answer
 }
 
 // New makes the machine of a new connection; the first bytes to write are in PendingBytes.
 func New(limits Limits) *Machine {
 	machine := &Machine{
-		Limits: limits.orDefault(), nextID: 1, streams: make(map[uint32]*stream), peerMaxStreams: 1<<32 - 1,
-		sendWindow: defaultWindow, initialWindow: defaultWindow, maxFrameBytes: defaultFrameBytes, lastAcceptedID: maxStreamID,
+		Limits:         limits.orDefault(),
+		nextID:         1,
+		streams:        make(map[uint32]*stream),
+		lastAcceptedID: maxStreamID,
+		peerMaxStreams: math.MaxUint32,
+		sendWindow:     defaultWindow,
+		initialWindow:  defaultWindow,
+		maxFrameBytes:  defaultFrameBytes,
 	}
 	machine.frames = http2.NewFramer(&machine.output, nil)
 	machine.encoder = hpack.NewEncoder(&machine.headerBlock)
 	machine.output.WriteString(preface)
-	machine.frames.WriteSettings(http2.Setting{ID: http2.SettingEnablePush, Val: 0},
+	machine.frames.WriteSettings(
+		http2.Setting{ID: http2.SettingEnablePush, Val: 0},
 		http2.Setting{ID: http2.SettingInitialWindowSize, Val: uint32(machine.MaxBodyBytes + 1)},
-		http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: uint32(machine.MaxHeadBytes)})
-	// No stream is to wait for the connection's window because of others: each has its own.
-	if all := int64(machine.MaxStreams)*int64(machine.MaxBodyBytes+1) + maxUnreturnedWindow; all > defaultWindow {
-		machine.frames.WriteWindowUpdate(0, uint32(min(all, maxWindow)-defaultWindow))
+		http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: uint32(machine.MaxHeadBytes)},
+	)
+	// The connection's window has space for the windows of all streams, so that none waits because of others.
+	window := int64(machine.MaxStreams)*int64(machine.MaxBodyBytes+1) + maxUnreturnedWindow
+	if window > defaultWindow {
+		machine.frames.WriteWindowUpdate(0, uint32(min(window, maxWindow)-defaultWindow))
 	}
 	return machine
 }
 
-// returnWindow gives back what came of the connection's window. It is never far from full, as what
-// comes is taken in at once and has a bound of its own on each stream.
+// returnWindow returns n bytes of the connection's window to the server. It does so without regard to the streams,
+// which have windows of their own.
 func (m *Machine) returnWindow(n uint32) {
-	if m.unreturnedWindow += n; m.unreturnedWindow >= maxUnreturnedWindow {
+	m.unreturnedWindow += n
+	if m.unreturnedWindow >= maxUnreturnedWindow {
 		m.frames.WriteWindowUpdate(0, m.unreturnedWindow)
 		m.unreturnedWindow = 0
 	}
 }
 
-// HasSettings reports whether the server's settings have come.
+// HasSettings reports whether the server's settings have arrived.
 func (m *Machine) HasSettings() bool { return m.hasSettings }
 
-// Err is what ended the connection; nil while it lasts.
+// Err returns why the connection has ended; nil while it lasts.
 func (m *Machine) Err() error { return m.connErr }
 
-// OpenStreams is how many streams are open.
+// OpenStreams returns how many streams are open.
 func (m *Machine) OpenStreams() int { return len(m.streams) }
 
-// StreamLimit is how many streams may be open at once; 0 is a server that allows none.
+// StreamLimit returns how many streams may be open at once; 0 where the server allows none.
 func (m *Machine) StreamLimit() int { return int(min(uint32(m.MaxStreams), m.peerMaxStreams)) }
 
-// IsEnding reports that no more streams can be opened.
+// IsEnding reports whether no more streams can be opened.
 func (m *Machine) IsEnding() bool {
-	return m.connErr != nil || m.hasGoAway || m.isRetired || m.nextID > uint32(2*m.MaxLifetimeStreams-1)
+	hasNoIDs := m.nextID > uint32(2*m.MaxLifetimeStreams-1)
+	return m.connErr != nil || m.hasGoAway || m.isRetired || hasNoIDs
 }
 
-// FreeStreams is how many streams can be opened now.
+// FreeStreams returns how many streams can be opened now.
 func (m *Machine) FreeStreams() int {
 	if !m.hasSettings || m.IsEnding() {
 		return 0
@@ -267,8 +283,8 @@
 	}
 }
 
-// moment is how far a stream's request has gone, or will have where the connection goes on: what is
-// to be written can't be taken back.
+// moment returns how far a stream's request has gone, or will have where the connection goes on: output can't be
+// withdrawn.
 func (m *Machine) moment(stream *stream, how End) Moment {
 	switch {
 	case stream.hasAnyHead:
@@ -284,8 +300,12 @@
 // endStream ends a stream without an answer.
 func (m *Machine) endStream(stream *stream, how End, code http2.ErrCode, why string) Event {
 	delete(m.streams, stream.id)
-	at := m.moment(stream, how)
-	return Event{ID: stream.id, Err: &StreamError{Moment: at, End: how, Code: code, Detail: why}, Outcome: OutcomeOf(at, how, code, m.StartsAtLastByte)}
+	moment := m.moment(stream, how)
+	return Event{
+		ID:      stream.id,
+		Err:     &StreamError{Moment: moment, End: how, Code: code, Detail: why},
+		Outcome: OutcomeOf(moment, how, code, m.StartsAtLastByte),
+	}
 }
 
 // Cancel resets a stream. Its request may still reach the server until everything before OutputOffset is written.
@@ -326,14 +346,14 @@
 
 func (m *Machine) endConnection(code http2.ErrCode, why error) (events []Event) {
 	m.connErr = why
-	m.output.Reset() // no request goes out that is told not to have
+	m.output.Reset() // what is reported as unsent must not be sent
 	for _, stream := range m.streams {
 		events = append(events, m.endStream(stream, EndBroken, code, why.Error()))
 	}
 	return events
 }
 
-// fail ends the connection for an error of the server's, and says so (RFC 9113, 5.4.1).
+// fail ends the connection for an error of the server's, with a GOAWAY (RFC 9113, 5.4.1).
 func (m *Machine) fail(code http2.ErrCode, format string, args ...any) []Event {
 	events := m.endConnection(code, fmt.Errorf("%v: "+format, append([]any{code}, args...)...))
 	m.frames.WriteGoAway(0, code, nil)
--- a/internal/h2/sending.go
+++ b/internal/h2/sending.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"iter"
 	"net/http"
+	"slices"
 	"strconv"
 	"strings"
 
@@ -11,22 +12,17 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// What goes out on streams: requests and their bodies, as far as the windows let them.
+// This file sends requests and their bodies, as far as the flow-control windows allow.
 
-// OpenStream sends a request, as far as the windows let it go.
+// OpenStream sends a request, as far as the flow-control windows allow. The error wraps ErrNoStream, ErrHeadTooLong or
+// ErrWithdrawn; nothing was sent then.
 func (m *Machine) OpenStream(request *Request) (uint32, error) {
 	if m.FreeStreams() == 0 {
 		return 0, ErrNoStream
 	}
 	fields := m.fields(request)
-	if m.peerMaxHeadBytes > 0 { // before anything of it is in the table that both sides keep
-		size := uint32(0)
-		for field := range fields {
-			size += field.Size()
-		}
-		if size > m.peerMaxHeadBytes {
-			return 0, fmt.Errorf("%w: %d bytes, where the server takes %d", ErrHeadTooLong, size, m.peerMaxHeadBytes)
-		}
+	if err := m.checkHeadSize(fields); err != nil { // before encoding, which changes the compression table
+		return 0, err
 	}
 	if request.MayBegin != nil && !request.MayBegin() {
 		return 0, ErrWithdrawn
@@ -36,45 +32,73 @@
 		m.encoder.WriteField(field)
 	}
 	opened := &stream{
-		id: m.nextID, sendWindow: m.initialWindow, unsentBody: request.Body, hasMoreBody: request.HasMoreBody, streamsAnswer: request.StreamsAnswer, contentLength: -1,
-		firstOffset: m.offset(), isHeadRequest: request.Method == http.MethodHead,
+		id:            m.nextID,
+		sendWindow:    m.initialWindow,
+		unsentBody:    request.Body,
+		hasMoreBody:   request.HasMoreBody,
+		streamsAnswer: request.StreamsAnswer,
+		contentLength: -1,
+		firstOffset:   m.offset(),
+		isHeadRequest: request.Method == http.MethodHead,
 	}
-	bare := len(request.Body) == 0 && !request.HasMoreBody // the head is all of the request
+	isHeadOnly := len(request.Body) == 0 && !request.HasMoreBody
 	m.nextID += 2
 	m.streams[opened.id] = opened
-	m.writeBlock(opened.id, bare)
-	if bare {
-		opened.isQueued, opened.endOffset = true, m.offset()
+	m.writeBlock(opened.id, isHeadOnly)
+	if isHeadOnly {
+		opened.isQueued = true
+		opened.endOffset = m.offset()
 	} else {
 		m.send(opened)
 	}
 	return opened.id, nil
 }
 
-// writeBlock writes the head, or the trailers, that were encoded.
-func (m *Machine) writeBlock(id uint32, end bool) {
+// checkHeadSize returns an error if the server does not accept a head of this size.
+func (m *Machine) checkHeadSize(fields iter.Seq[hpack.HeaderField]) error {
+	if m.peerMaxHeadBytes == 0 {
+		return nil
+	}
+	size := uint32(0)
+	for field := range fields {
+		size += field.Size()
+	}
+	if size > m.peerMaxHeadBytes {
+		return fmt.Errorf("%w: %d bytes, more than %d", ErrHeadTooLong, size, m.peerMaxHeadBytes)
+	}
+	return nil
+}
+
+// writeBlock writes the head, or the trailers, that headerBlock holds.
+func (m *Machine) writeBlock(id uint32, endsStream bool) {
 	block := m.headerBlock.Bytes()
-	for first := true; first || len(block) > 0; first = false {
+	for isFirst := true; isFirst || len(block) > 0; isFirst = false {
 		part := block[:min(len(block), m.maxFrameBytes)]
 		block = block[len(part):]
-		if first {
-			m.frames.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: part, EndStream: end, EndHeaders: len(block) == 0})
-		} else {
+		if !isFirst {
 			m.frames.WriteContinuation(id, len(block) == 0, part)
+			continue
 		}
+		m.frames.WriteHeaders(http2.HeadersFrameParam{
+			StreamID:      id,
+			BlockFragment: part,
+			EndStream:     endsStream,
+			EndHeaders:    len(block) == 0,
+		})
 	}
 }
 
-// Feed adds to a request's body; end says that this is its last part, which trailers may follow. What can't be sent
-// yet is buffered: UnsentBytes says how much that is.
-func (m *Machine) Feed(id uint32, data []byte, end bool, trailer http.Header) {
+// Feed adds to a request's body; isLast says that this is its last part, which trailers may follow. Data that can't be
+// sent yet is buffered; UnsentBytes returns how much that is.
+func (m *Machine) Feed(id uint32, data []byte, isLast bool, trailer http.Header) {
 	stream := m.streams[id]
 	if stream == nil || !stream.hasMoreBody || m.connErr != nil {
 		return
 	}
 	stream.unsentBody = append(stream.unsentBody, data...)
-	if end {
-		stream.hasMoreBody, stream.trailer = false, trailer
+	if isLast {
+		stream.hasMoreBody = false
+		stream.trailer = trailer
 	}
 	m.send(stream)
 }
@@ -94,20 +118,29 @@
 	if stream == nil || m.connErr != nil {
 		return
 	}
-	if stream.unreturnedWindow += n; stream.unreturnedWindow > m.MaxBodyBytes/2 {
+	stream.unreturnedWindow += n
+	if stream.unreturnedWindow > m.MaxBodyBytes/2 {
 		stream.windowBytes -= stream.unreturnedWindow
 		m.frames.WriteWindowUpdate(id, uint32(stream.unreturnedWindow))
 		stream.unreturnedWindow = 0
 	}
 }
 
-// offset is where in all that is ever written the next byte comes.
+// offset returns the offset of the next byte of output, from the connection's first byte on.
 func (m *Machine) offset() int64 { return m.written + int64(len(m.writing)+m.output.Len()) }
 
-// own are the fields of one connection only; they say nothing in HTTP/2.
-var own = map[string]bool{"connection": true, "keep-alive": true, "proxy-connection": true, "transfer-encoding": true, "upgrade": true, "host": true}
+// connectionFields are the fields of a connection, which HTTP/2 does not have (RFC 9113, 8.2.2), and host, for which it
+// has :authority.
+var connectionFields = map[string]bool{
+	"connection":        true,
+	"keep-alive":        true,
+	"proxy-connection":  true,
+	"transfer-encoding": true,
+	"upgrade":           true,
+	"host":              true,
+}
 
-// fields are those of a request's head.
+// fields returns the fields of a request's head.
 func (m *Machine) fields(request *Request) iter.Seq[hpack.HeaderField] {
 	return func(yield func(hpack.HeaderField) bool) {
 		for _, field := range [...]hpack.HeaderField{
@@ -120,13 +153,13 @@
 				return
 			}
 		}
-		for k, values := range request.Header {
-			name := m.lowerNames.of(k, strings.ToLower)
-			if own[name] || name == "content-length" {
+		for canonicalName, values := range request.Header {
+			name := m.lowerNames.of(canonicalName, strings.ToLower)
+			if connectionFields[name] || name == "content-length" {
 				continue
 			}
 			for _, value := range values {
-				if unsentField(name, value) {
+				if isOmittedField(name, value) {
 					continue
 				}
 				if !yield(hpack.HeaderField{Name: name, Value: value}) {
@@ -140,28 +173,39 @@
 	}
 }
 
-// unsentField tells of a field that says nothing in HTTP/2, or is empty.
-func unsentField(name, value string) bool {
-	return name == "te" && value != "trailers" || name == "user-agent" && value == ""
+// isOmittedField reports whether a field has no meaning in HTTP/2 with this value.
+func isOmittedField(name, value string) bool {
+	switch name {
+	case "te":
+		return value != "trailers"
+	case "user-agent":
+		return value == ""
+	}
+	return false
 }
 
-// contentLength is what the head says of the body's length; below 0 it says nothing.
+// contentLength returns the value of Content-Length; below 0 the head has none.
 func (r *Request) contentLength() int64 {
 	if r.HasMoreBody {
 		return r.ContentLength
 	}
-	if len(r.Body) == 0 && r.Method != http.MethodPost && r.Method != http.MethodPut && r.Method != http.MethodPatch {
+	if len(r.Body) == 0 && !usuallyHasBody(r.Method) {
 		return -1
 	}
 	return int64(len(r.Body))
 }
 
-// send sends what the windows let go of a request's body.
+// usuallyHasBody reports whether a request of this method states an empty body too (RFC 9110, 8.6).
+func usuallyHasBody(method string) bool {
+	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
+}
+
+// send sends as much of a request's body as the flow-control windows allow.
 func (m *Machine) send(stream *stream) {
 	for !stream.isQueued && m.output.Len() < maxOutputBytes {
 		n := min(int64(len(stream.unsentBody)), int64(m.maxFrameBytes), stream.sendWindow, m.sendWindow)
-		last := int64(len(stream.unsentBody)) <= max(n, 0) && !stream.hasMoreBody
-		if n <= 0 && !last {
+		isLast := int64(len(stream.unsentBody)) <= max(n, 0) && !stream.hasMoreBody
+		if n <= 0 && !isLast {
 			break
 		}
 		n = max(n, 0)
@@ -169,41 +213,38 @@
 		stream.unsentBody = stream.unsentBody[n:]
 		stream.sendWindow -= n
 		m.sendWindow -= n
-		stream.isQueued = last
+		stream.isQueued = isLast
 		m.noiseFrames = max(0, m.noiseFrames-1-int(n)/bodyBytesPerNoise)
 		if len(part) > 0 || len(stream.trailer) == 0 {
-			m.frames.WriteData(stream.id, last && len(stream.trailer) == 0, part)
+			m.frames.WriteData(stream.id, isLast && len(stream.trailer) == 0, part)
 		}
-		if last && len(stream.trailer) > 0 {
-			m.headerBlock.Reset()
-			for k, vs := range stream.trailer {
-				for _, v := range vs {
-					m.encoder.WriteField(hpack.HeaderField{Name: m.lowerNames.of(k, strings.ToLower), Value: v})
-				}
-			}
-			m.writeBlock(stream.id, true)
+		if isLast && len(stream.trailer) > 0 {
+			m.writeTrailer(stream)
 		}
 		stream.endOffset = m.offset()
 	}
 	if len(stream.unsentBody) == 0 {
-		stream.unsentBody = nil // what has been sent is not kept for what comes
+		stream.unsentBody = nil // frees what has been sent
 	}
-	if !stream.isQueued && len(stream.unsentBody) > 0 && !contains(m.waitingStreams, stream.id) {
+	isWaiting := !stream.isQueued && len(stream.unsentBody) > 0
+	if isWaiting && !slices.Contains(m.waitingStreams, stream.id) {
 		m.waitingStreams = append(m.waitingStreams, stream.id)
 	}
 }
 
-// contains is a search of a list that holds at most as many as there are streams.
-func contains(ids []uint32, id uint32) bool {
-	for _, v := range ids {
-		if v == id {
-			return true
+// writeTrailer writes the trailer fields that end a request.
+func (m *Machine) writeTrailer(stream *stream) {
+	m.headerBlock.Reset()
+	for canonicalName, values := range stream.trailer {
+		name := m.lowerNames.of(canonicalName, strings.ToLower)
+		for _, value := range values {
+			m.encoder.WriteField(hpack.HeaderField{Name: name, Value: value})
 		}
 	}
-	return false
+	m.writeBlock(stream.id, true)
 }
 
-// sendWaiting goes on with all bodies that wait, in turn.
+// sendWaiting continues with all bodies that wait for a window or the socket, in their order.
 func (m *Machine) sendWaiting() {
 	waiting := m.waitingStreams
 	m.waitingStreams = nil
--- /dev/null
+++ b/internal/h2/server_faults_test.go
@@ -0,0 +1,180 @@
+package h2
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"golang.org/x/net/http2"
+)
+
+func goAway(c http2.ErrCode) string { return fmt.Sprintf("GOAWAY %v", c) }
+
+func reset(c http2.ErrCode) string { return fmt.Sprintf("RST 1 %v", c) }
+
+// serverFaults are what a server may not do, by the section of RFC 9113 that says so, and what the machine
+// makes of it: the connection ends with a code (GOAWAY), or the one stream does (RST).
+var serverFaults = []struct {
+	section, name string
+	do            func(p *peer)
+	want          string // "" is nothing: it goes on
+}{
+	{"3.4", "no settings first", func(p *peer) { p.machine.hasSettings = false; p.frameWriter.WritePing(false, [8]byte{}) }, goAway(http2.ErrCodeProtocol)},
+	{"3.4", "an ack first", func(p *peer) { p.machine.hasSettings = false; p.frameWriter.WriteSettingsAck() }, goAway(http2.ErrCodeProtocol)},
+	{"4.2", "a frame longer than was allowed", func(p *peer) {
+		p.machineInput.SetMaxReadFrameSize(100)
+		p.frameWriter.WriteData(1, false, make([]byte, 101))
+	}, goAway(http2.ErrCodeFrameSize)},
+	{"4.3", "a block that can't be decoded", func(p *peer) {
+		p.frameWriter.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: []byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}, EndHeaders: true})
+	}, goAway(http2.ErrCodeCompression)},
+	{"5.1", "data on an idle stream", func(p *peer) { p.frameWriter.WriteData(9, true, nil) }, goAway(http2.ErrCodeProtocol)},
+	{"5.1", "a head on an idle stream", func(p *peer) { p.head(9, true, ":status: 200") }, goAway(http2.ErrCodeProtocol)},
+	{"5.1", "a reset of an idle stream", func(p *peer) { p.frameWriter.WriteRSTStream(9, 0) }, goAway(http2.ErrCodeProtocol)},
+	{"5.1", "a window of an idle stream", func(p *peer) { p.frameWriter.WriteWindowUpdate(9, 1) }, goAway(http2.ErrCodeProtocol)},
+	{"5.1.1", "a stream of the server's", func(p *peer) { p.head(2, true, ":status: 200") }, goAway(http2.ErrCodeProtocol)},
+	{"5.5", "an unknown frame", func(p *peer) { p.frameWriter.WriteRawFrame(0xbe, 0, 1, []byte("x")) }, ""},
+	{"6.1", "data on stream 0", func(p *peer) { p.frameWriter.WriteData(0, false, []byte("x")) }, goAway(http2.ErrCodeProtocol)},
+	{"6.1", "padding beyond the frame", func(p *peer) { p.frameWriter.WriteRawFrame(http2.FrameData, http2.FlagDataPadded, 1, []byte{9, 1}) }, goAway(http2.ErrCodeProtocol)},
+	{"6.2", "a head on stream 0", func(p *peer) { p.head(0, true, ":status: 200") }, goAway(http2.ErrCodeProtocol)},
+	{"6.3", "a priority", func(p *peer) { p.frameWriter.WritePriority(1, http2.PriorityParam{StreamDep: 3, Weight: 2}) }, ""},
+	{"6.4", "a reset of stream 0", func(p *peer) { p.frameWriter.WriteRawFrame(http2.FrameRSTStream, 0, 0, make([]byte, 4)) }, goAway(http2.ErrCodeProtocol)},
+	{"6.4", "a reset of the wrong length", func(p *peer) { p.frameWriter.WriteRawFrame(http2.FrameRSTStream, 0, 1, make([]byte, 3)) }, goAway(http2.ErrCodeFrameSize)},
+	{"6.5", "settings on a stream", func(p *peer) { p.frameWriter.WriteRawFrame(http2.FrameSettings, 0, 1, nil) }, goAway(http2.ErrCodeProtocol)},
+	{"6.5", "settings of the wrong length", func(p *peer) { p.frameWriter.WriteRawFrame(http2.FrameSettings, 0, 0, make([]byte, 5)) }, goAway(http2.ErrCodeFrameSize)},
+	{"6.5", "an ack with settings", func(p *peer) {
+		p.frameWriter.WriteRawFrame(http2.FrameSettings, http2.FlagSettingsAck, 0, make([]byte, 6))
+	}, goAway(http2.ErrCodeFrameSize)},
+	{"6.5.2", "push enabled", func(p *peer) { p.frameWriter.WriteSettings(http2.Setting{ID: http2.SettingEnablePush, Val: 1}) }, goAway(http2.ErrCodeProtocol)},
+	{"6.5.2", "a window that can't be", func(p *peer) {
+		p.frameWriter.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1 << 31})
+	}, goAway(http2.ErrCodeFlowControl)},
+	{"6.5.2", "a frame size that can't be", func(p *peer) { p.frameWriter.WriteSettings(http2.Setting{ID: http2.SettingMaxFrameSize, Val: 100}) }, goAway(http2.ErrCodeProtocol)},
+	{"6.5.2", "an unknown setting", func(p *peer) { p.frameWriter.WriteSettings(http2.Setting{ID: 0x99, Val: 1}) }, ""},
+	{"6.6", "a push", func(p *peer) {
+		p.frameWriter.WritePushPromise(http2.PushPromiseParam{StreamID: 1, PromiseID: 2, BlockFragment: []byte{0x82}, EndHeaders: true})
+	}, goAway(http2.ErrCodeProtocol)},
+	{"6.7", "a ping on a stream", func(p *peer) { p.frameWriter.WriteRawFrame(http2.FramePing, 0, 1, make([]byte, 8)) }, goAway(http2.ErrCodeProtocol)},
+	{"6.7", "a ping of the wrong length", func(p *peer) { p.frameWriter.WriteRawFrame(http2.FramePing, 0, 0, make([]byte, 7)) }, goAway(http2.ErrCodeFrameSize)},
+	{"6.8", "goaway on a stream", func(p *peer) { p.frameWriter.WriteRawFrame(http2.FrameGoAway, 0, 1, make([]byte, 8)) }, goAway(http2.ErrCodeProtocol)},
+	{"6.9", "a window of nothing", func(p *peer) { p.frameWriter.WriteRawFrame(http2.FrameWindowUpdate, 0, 0, make([]byte, 4)) }, goAway(http2.ErrCodeProtocol)},
+	{"6.9", "a stream's window of nothing", func(p *peer) { p.frameWriter.WriteRawFrame(http2.FrameWindowUpdate, 0, 1, make([]byte, 4)) }, reset(http2.ErrCodeProtocol)},
+	{"6.9.1", "a window beyond 2^31-1", func(p *peer) { p.frameWriter.WriteWindowUpdate(0, maxWindow) }, goAway(http2.ErrCodeFlowControl)},
+	{"6.9.1", "a stream's window beyond 2^31-1", func(p *peer) { p.frameWriter.WriteWindowUpdate(1, maxWindow) }, reset(http2.ErrCodeFlowControl)},
+	{"6.9.2", "settings that take a window beyond 2^31-1", func(p *peer) {
+		p.frameWriter.WriteWindowUpdate(1, maxWindow-defaultWindow)
+		p.frameWriter.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: defaultWindow + 1})
+	}, goAway(http2.ErrCodeFlowControl)},
+	{"6.9", "more than the stream's window", func(p *peer) {
+		p.head(1, false, ":status: 200")
+		for range 9 {
+			p.frameWriter.WriteData(1, false, make([]byte, 8<<10))
+		}
+	}, reset(http2.ErrCodeFlowControl)},
+	{"6.10", "a continuation of nothing", func(p *peer) { p.frameWriter.WriteContinuation(1, true, nil) }, goAway(http2.ErrCodeProtocol)},
+	{"6.10", "a frame inside a block", func(p *peer) {
+		p.frameWriter.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: []byte{0x88}})
+		p.frameWriter.WritePing(false, [8]byte{})
+	}, goAway(http2.ErrCodeProtocol)},
+	{"8.1", "data before a head", func(p *peer) { p.frameWriter.WriteData(1, true, []byte("x")) }, reset(http2.ErrCodeProtocol)},
+	{"8.1", "a second head", func(p *peer) { p.head(1, false, ":status: 200"); p.head(1, false, "x: y") }, reset(http2.ErrCodeProtocol)},
+	{"8.1", "trailers with :status", func(p *peer) { p.head(1, false, ":status: 200"); p.head(1, true, ":status: 200") }, reset(http2.ErrCodeProtocol)},
+	{"8.1", "1xx that ends the stream", func(p *peer) { p.head(1, true, ":status: 103") }, reset(http2.ErrCodeProtocol)},
+	{"8.1.1", "more than Content-Length", func(p *peer) {
+		p.head(1, false, ":status: 200", "content-length: 2")
+		p.frameWriter.WriteData(1, true, []byte("abc"))
+	}, reset(http2.ErrCodeProtocol)},
+	{"8.1.1", "less than Content-Length", func(p *peer) {
+		p.head(1, false, ":status: 200", "content-length: 2")
+		p.frameWriter.WriteData(1, true, []byte("a"))
+	}, reset(http2.ErrCodeProtocol)},
+	{"8.1.1", "two lengths", func(p *peer) { p.head(1, false, ":status: 200", "content-length: 2", "content-length: 2") }, reset(http2.ErrCodeProtocol)},
+	{"8.1.1", "a length that is none", func(p *peer) { p.head(1, false, ":status: 200", "content-length: -2") }, reset(http2.ErrCodeProtocol)},
+	{"8.2.1", "a field in upper case", func(p *peer) { p.head(1, true, ":status: 200", "X-Upper: y") }, reset(http2.ErrCodeProtocol)},
+	{"8.2.1", "a field with a line's end", func(p *peer) { p.head(1, true, ":status: 200", "x: a\r\nb") }, reset(http2.ErrCodeProtocol)},
+	{"8.2.2", "connection", func(p *peer) { p.head(1, true, ":status: 200", "connection: close") }, reset(http2.ErrCodeProtocol)},
+	{"8.2.2", "transfer-encoding", func(p *peer) { p.head(1, true, ":status: 200", "transfer-encoding: chunked") }, reset(http2.ErrCodeProtocol)},
+	{"8.3", "a pseudo-field behind others", func(p *peer) { p.head(1, true, "x: y", ":status: 200") }, reset(http2.ErrCodeProtocol)},
+	{"8.3", "an unknown pseudo-field", func(p *peer) { p.head(1, true, ":status: 200", ":odd: y") }, reset(http2.ErrCodeProtocol)},
+	{"8.3", "a request's pseudo-field", func(p *peer) { p.head(1, true, ":path: /", ":status: 200") }, reset(http2.ErrCodeProtocol)},
+	{"8.3.2", "no status", func(p *peer) { p.head(1, true, "x: y") }, reset(http2.ErrCodeProtocol)},
+	{"8.3.2", "two statuses", func(p *peer) { p.head(1, true, ":status: 200", ":status: 200") }, reset(http2.ErrCodeProtocol)},
+	{"8.3.2", "a status of two digits", func(p *peer) { p.head(1, true, ":status: 20") }, reset(http2.ErrCodeProtocol)},
+	{"8.6", "101", func(p *peer) { p.head(1, false, ":status: 101") }, reset(http2.ErrCodeProtocol)},
+	{"10.5", "a head that is too long", func(p *peer) {
+		p.head(1, true, ":status: 200", "x: "+strings.Repeat("y", 2000), "z: "+strings.Repeat("y", 2000))
+	}, reset(http2.ErrCodeProtocol)},
+	{"10.5", "interim answers without an end", func(p *peer) {
+		for range maxInterimAnswers + 1 {
+			p.head(1, false, ":status: 103")
+		}
+	}, reset(http2.ErrCodeProtocol)},
+	{"10.5", "a flood of pings", func(p *peer) {
+		for range maxNoiseFrames + 1 {
+			p.frameWriter.WritePing(false, [8]byte{})
+		}
+	}, goAway(http2.ErrCodeEnhanceYourCalm)},
+	{"10.5", "a flood of settings", func(p *peer) {
+		for range maxNoiseFrames + 1 {
+			p.frameWriter.WriteSettings()
+		}
+	}, goAway(http2.ErrCodeEnhanceYourCalm)},
+	{"10.5", "a flood of empty data", func(p *peer) {
+		p.head(1, false, ":status: 200")
+		for range maxNoiseFrames + 1 {
+			p.frameWriter.WriteData(1, false, nil)
+		}
+	}, goAway(http2.ErrCodeEnhanceYourCalm)},
+	{"10.5", "a flood of resets", func(p *peer) {
+		for range maxNoiseFrames + 1 {
+			p.frameWriter.WriteRSTStream(1, 0)
+		}
+	}, goAway(http2.ErrCodeEnhanceYourCalm)},
+	{"10.5", "a body without an end", func(p *peer) {
+		p.head(1, false, ":status: 200")
+		for range 20 {
+			p.frameWriter.WriteData(1, false, make([]byte, 4<<10))
+		}
+	}, reset(http2.ErrCodeFlowControl)},
+	{"10.5", "a body that is told to be too long", func(p *peer) { p.head(1, false, ":status: 200", "content-length: 3000000000") }, reset(http2.ErrCodeCancel)},
+}
+
+// TestServerFaults checks that a fault of a server ends its stream or its connection, and nothing else.
+func TestServerFaults(t *testing.T) {
+	for _, tc := range serverFaults {
+		t.Run(tc.section+" "+tc.name, func(t *testing.T) {
+			peer := newReadyPeer(t, Limits{MaxHeadBytes: 3000, MaxBodyBytes: 60 << 10})
+			peer.open("")
+			peer.frames()
+			tc.do(peer)
+			peer.feed()
+			said := peer.frames()
+			kept := said[:0]
+			for _, f := range said {
+				if strings.HasPrefix(f, "RST") || strings.HasPrefix(f, "GOAWAY") {
+					kept = append(kept, f)
+				}
+			}
+			if got := strings.Join(kept, ", "); got != tc.want {
+				t.Errorf("it says %q, not %q (%v)", got, tc.want, peer.machine.Err())
+			}
+			switch {
+			case strings.HasPrefix(tc.want, "GOAWAY"):
+				if peer.machine.Err() == nil || peer.machine.FreeStreams() != 0 || peer.machine.OpenStreams() != 0 {
+					t.Errorf("it goes on: %v, %d open", peer.machine.Err(), peer.machine.OpenStreams())
+				}
+			case tc.want != "": // other streams are not touched
+				if len(peer.events) != 1 || peer.events[0].Err == nil || peer.events[0].Outcome != MayBeProcessed || peer.machine.Err() != nil {
+					t.Fatalf("%+v, %v", peer.events, peer.machine.Err())
+				}
+				fallthrough
+			default:
+				id := peer.open("")
+				peer.head(id, true, ":status: 204")
+				if e := peer.feed(); peer.machine.Err() != nil || len(e) == 0 || e[len(e)-1].Answer == nil {
+					t.Errorf("the next request: %+v, %v", e, peer.machine.Err())
+				}
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/h2/silence.go
@@ -0,0 +1,34 @@
+package h2
+
+import (
+	"fmt"
+	"time"
+)
+
+// startWatch schedules checkSilence while streams are open. c.mu is locked.
+func (c *Conn) startWatch() {
+	if c.options.PingAfterSilence > 0 && !c.isWatched {
+		c.isWatched = true
+		time.AfterFunc(c.options.PingAfterSilence, c.checkSilence)
+	}
+}
+
+// checkSilence pings a server that has been silent, and ends the connection if it does not answer.
+func (c *Conn) checkSilence() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.machine.Err() != nil || c.machine.OpenStreams() == 0 {
+		c.isWatched = false
+		return
+	}
+	switch silence := time.Since(c.lastRead); {
+	case silence >= 2*c.options.PingAfterSilence && c.machine.IsAwaitingPing():
+		c.deliver(c.machine.Break(fmt.Errorf("nothing received for %v", silence)))
+		c.wakeWriter()
+		return
+	case silence >= c.options.PingAfterSilence:
+		c.machine.Ping()
+		c.wakeWriter()
+	}
+	time.AfterFunc(c.options.PingAfterSilence, c.checkSilence)
+}
--- a/internal/h2/stream.go
+++ b/internal/h2/stream.go
@@ -10,9 +10,9 @@
 )
 
 // ErrAborted is the error of a stream that was aborted from this side.
-var ErrAborted = errors.New("broken off")
+var ErrAborted = errors.New("aborted")
 
-// Stream is a request whose body may still come and whose answer is read as it comes. One goroutine may call Head
+// Stream is a request whose body may still follow and whose answer is read as it arrives. One goroutine may call Head
 // and Read, another one Write and CloseWrite; the other methods may be called by any.
 type Stream struct {
 	conn           *Conn
@@ -29,18 +29,30 @@
 	// Guarded by the connection's mu.
 	heads []*Answer // that Head has not returned
 	data  []byte    // that Read has not returned
-	end   *Event
+	end   *Event    // nil while the stream goes on
 }
 
+// direction is an index of Stream.deadlines.
+type direction int
+
 const (
-	reading = iota
+	reading direction = iota
 	writing
 )
 
-// Open sends a request, and buffers up to maxUnsentBytes of its body.
+// Open sends a request, and buffers up to maxUnsentBytes of its body. Head calls onInterim, which may be nil, with the
+// status and header of each interim answer. After ErrNoStream nothing was sent.
 func (c *Conn) Open(request *Request, maxUnsentBytes int, onInterim func(int, http.Header)) (*Stream, error) {
 	request.StreamsAnswer = true
-	stream := &Stream{conn: c, maxUnsentBytes: maxUnsentBytes, onInterim: onInterim, readable: make(chan struct{}, 1), writable: make(chan struct{}, 1), aborted: make(chan struct{}), ended: make(chan struct{})}
+	stream := &Stream{
+		conn:           c,
+		maxUnsentBytes: maxUnsentBytes,
+		onInterim:      onInterim,
+		readable:       make(chan struct{}, 1),
+		writable:       make(chan struct{}, 1),
+		aborted:        make(chan struct{}),
+		ended:          make(chan struct{}),
+	}
 	id, err := c.open(request, stream)
 	if err != nil {
 		return nil, err
@@ -49,9 +61,10 @@
 	return stream, nil
 }
 
-func signal(bell chan struct{}) {
+// signal signals a channel that has space for one signal, unless it has one.
+func signal(channel chan struct{}) {
 	select {
-	case bell <- struct{}{}:
+	case channel <- struct{}{}:
 	default:
 	}
 }
@@ -71,44 +84,48 @@
 }
 
 // ReadBy sets the deadline of Head and Read, also of a call that is waiting; zero is none.
-func (s *Stream) ReadBy(t time.Time) { s.setDeadline(reading, t); signal(s.readable) }
+func (s *Stream) ReadBy(deadline time.Time) {
+	s.deadlines[reading].set(deadline)
+	signal(s.readable)
+}
 
 // WriteBy is ReadBy for Write.
-func (s *Stream) WriteBy(t time.Time) { s.setDeadline(writing, t); signal(s.writable) }
-
-func (s *Stream) setDeadline(side int, t time.Time) { s.deadlines[side].set(t) }
+func (s *Stream) WriteBy(deadline time.Time) {
+	s.deadlines[writing].set(deadline)
+	signal(s.writable)
+}
 
 // streamDeadline is a deadline that one goroutine sets and another waits for; its zero value is none. It keeps the
 // monotonic reading of the time, which Unix time has not, without an allocation for each deadline.
 type streamDeadline struct {
-	mu sync.Mutex
-	at time.Time
+	mu   sync.Mutex
+	time time.Time
 }
 
-func (d *streamDeadline) set(t time.Time) {
+func (d *streamDeadline) set(deadline time.Time) {
 	d.mu.Lock()
-	d.at = t
+	d.time = deadline
 	d.mu.Unlock()
 }
 
 func (d *streamDeadline) get() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.at
+	return d.time
 }
 
-// wait waits for a signal, the deadline, or the end of the stream.
-func (s *Stream) wait(bell chan struct{}, side int) error {
-	var late <-chan time.Time
-	if deadline := s.deadlines[side].get(); !deadline.IsZero() {
+// wait waits for a signal on a channel, for the deadline of its direction, or for Abort.
+func (s *Stream) wait(channel chan struct{}, direction direction) error {
+	var expired <-chan time.Time
+	if deadline := s.deadlines[direction].get(); !deadline.IsZero() {
 		timer := time.NewTimer(time.Until(deadline))
 		defer timer.Stop()
-		late = timer.C
+		expired = timer.C
 	}
 	select {
-	case <-bell:
+	case <-channel:
 		return nil
-	case <-late:
+	case <-expired:
 		return os.ErrDeadlineExceeded
 	case <-s.aborted:
 		return ErrAborted
@@ -122,7 +139,8 @@
 		s.conn.mu.Lock()
 		var answer *Answer
 		if len(s.heads) > 0 {
-			answer, s.heads = s.heads[0], s.heads[1:]
+			answer = s.heads[0]
+			s.heads = s.heads[1:]
 		}
 		end := s.end
 		s.conn.mu.Unlock()
@@ -214,7 +232,8 @@
 func (s *Stream) Write(p []byte) (int, error) {
 	for {
 		s.conn.mu.Lock()
-		hasEnded, hasSpace := s.end != nil, s.conn.machine.UnsentBytes(s.id) < s.maxUnsentBytes
+		hasEnded := s.end != nil
+		hasSpace := s.conn.machine.UnsentBytes(s.id) < s.maxUnsentBytes
 		switch {
 		case hasEnded:
 		case hasSpace:
--- a/internal/h2/stream_outcome.go
+++ b/internal/h2/stream_outcome.go
@@ -14,9 +14,10 @@
 	MomentUnsent   Moment = iota // no byte of it has been written to the socket
 	MomentStarted                // some have
 	MomentSent                   // all have
-	MomentAnswered               // and some of an answer has come, be it of 1xx
+	MomentAnswered               // and some of an answer has arrived, also of an interim one
 )
 
+// String returns the moment as errors show it.
 func (m Moment) String() string { return [...]string{"unsent", "begun", "sent", "answered"}[m] }
 
 // End is what ended a stream before its answer was complete.
@@ -25,12 +26,13 @@
 // The ends of a stream.
 const (
 	EndBroken    End = iota // the connection broke, or was ended for an error on it
-	EndReset                // the server reset the stream; the error code says more
+	EndReset                // the server reset the stream; the error code has its reason
 	EndGoAway               // the last id of a GOAWAY is below the stream's
-	EndCancelled            // this side gave it up
-	EndMalformed            // what came for it can't be an answer; this side reset it
+	EndCancelled            // this side cancelled it
+	EndMalformed            // the answer was malformed, and this side reset the stream
 )
 
+// String returns the end as errors show it.
 func (e End) String() string {
 	return [...]string{"broke", "reset", "above goaway", "cancelled", "malformed"}[e]
 }
@@ -39,21 +41,22 @@
 type StreamOutcome int
 
 const (
-	// MayBeProcessed is a request that the server may have begun.
+	// MayBeProcessed is a request that the server may have started to process.
 	MayBeProcessed StreamOutcome = iota
-	// NotProcessed is a request that the server can't have begun.
+	// NotProcessed is a request that the server can't have started to process.
 	NotProcessed
-	// Rejected is a request that the server says it has not begun.
+	// Rejected is a request that the server has reported as not processed.
 	Rejected
 )
 
-func (f StreamOutcome) String() string {
-	return [...]string{"may have run", "never ran", "turned away"}[f]
+// String returns the outcome in words.
+func (o StreamOutcome) String() string {
+	return [...]string{"may be processed", "not processed", "rejected"}[o]
 }
 
 // OutcomeOf returns what is known of a request, by the table in docs/http2.md. startsAtLastByte says that
-// servers begin a request with its last byte and not with its head. A server that has begun to answer a request
-// is not believed if it says that it has not begun it.
+// servers start a request with its last byte and not with its head. Where some of an answer has arrived, the
+// request may be processed whatever the server reports.
 func OutcomeOf(moment Moment, end End, code http2.ErrCode, startsAtLastByte bool) StreamOutcome {
 	switch {
 	case moment == MomentAnswered:
@@ -76,6 +79,7 @@
 	Detail string
 }
 
+// Error returns how the stream ended.
 func (e *StreamError) Error() string {
 	text := fmt.Sprintf("stream %v (request %v)", e.End, e.Moment)
 	if e.End == EndReset || e.Code != http2.ErrCodeNo {
--- /dev/null
+++ b/internal/h2/stream_outcome_test.go
@@ -0,0 +1,115 @@
+package h2
+
+import (
+	"io"
+	"strings"
+	"testing"
+
+	"golang.org/x/net/http2"
+)
+
+// TestOutcomeOf checks the table of docs/http2.md: what is known of a request by how far it went and what ended it.
+func TestOutcomeOf(t *testing.T) {
+	notProcessed, rejected, mayBeProcessed := NotProcessed, Rejected, MayBeProcessed
+	for _, tc := range []struct {
+		how  End
+		code http2.ErrCode
+		want [2][4]StreamOutcome // servers begin with the head, with the last byte; by moment
+	}{
+		{EndBroken, http2.ErrCodeNo, [2][4]StreamOutcome{{notProcessed, mayBeProcessed, mayBeProcessed, mayBeProcessed}, {notProcessed, notProcessed, mayBeProcessed, mayBeProcessed}}},
+		{EndBroken, http2.ErrCodeRefusedStream, [2][4]StreamOutcome{{notProcessed, mayBeProcessed, mayBeProcessed, mayBeProcessed}, {notProcessed, notProcessed, mayBeProcessed, mayBeProcessed}}},
+		{EndReset, http2.ErrCodeRefusedStream, [2][4]StreamOutcome{{notProcessed, rejected, rejected, mayBeProcessed}, {notProcessed, rejected, rejected, mayBeProcessed}}},
+		{EndReset, http2.ErrCodeNo, [2][4]StreamOutcome{{notProcessed, mayBeProcessed, mayBeProcessed, mayBeProcessed}, {notProcessed, notProcessed, mayBeProcessed, mayBeProcessed}}},
+		{EndReset, http2.ErrCodeInternal, [2][4]StreamOutcome{{notProcessed, mayBeProcessed, mayBeProcessed, mayBeProcessed}, {notProcessed, notProcessed, mayBeProcessed, mayBeProcessed}}},
+		{EndReset, http2.ErrCodeCancel, [2][4]StreamOutcome{{notProcessed, mayBeProcessed, mayBeProcessed, mayBeProcessed}, {notProcessed, notProcessed, mayBeProcessed, mayBeProcessed}}},
+		{EndReset, http2.ErrCodeEnhanceYourCalm, [2][4]StreamOutcome{{notProcessed, mayBeProcessed, mayBeProcessed, mayBeProcessed}, {notProcessed, notProcessed, mayBeProcessed, mayBeProcessed}}},
+		{EndGoAway, http2.ErrCodeNo, [2][4]StreamOutcome{{notProcessed, rejected, rejected, mayBeProcessed}, {notProcessed, rejected, rejected, mayBeProcessed}}},
+		{EndGoAway, http2.ErrCodeInternal, [2][4]StreamOutcome{{notProcessed, rejected, rejected, mayBeProcessed}, {notProcessed, rejected, rejected, mayBeProcessed}}},
+		{EndCancelled, http2.ErrCodeCancel, [2][4]StreamOutcome{{notProcessed, mayBeProcessed, mayBeProcessed, mayBeProcessed}, {notProcessed, notProcessed, mayBeProcessed, mayBeProcessed}}},
+		{EndMalformed, http2.ErrCodeProtocol, [2][4]StreamOutcome{{notProcessed, mayBeProcessed, mayBeProcessed, mayBeProcessed}, {notProcessed, notProcessed, mayBeProcessed, mayBeProcessed}}},
+	} {
+		for whole, by := range tc.want {
+			for m, want := range by {
+				if got := OutcomeOf(Moment(m), tc.how, tc.code, whole == 1); got != want {
+					t.Errorf("%v, %v, %v, whole %d: %v, not %v", Moment(m), tc.how, tc.code, whole, got, want)
+				}
+			}
+		}
+	}
+}
+
+// requestEnds are ends of a request with a body of 200 bytes at a server whose windows have 100, and how far the request
+// had gone by then.
+var requestEnds = map[string]struct {
+	end  func(peer *peer, id uint32) *StreamError
+	want Moment
+}{
+	"broken before anything is written": {func(peer *peer, _ uint32) *StreamError { return onlyError(peer.t, peer.machine.Break(io.EOF)) }, MomentUnsent},
+	"broken in the first write": {func(peer *peer, _ uint32) *StreamError {
+		peer.machine.PendingBytes() // handed to a write that has not returned
+		return onlyError(peer.t, peer.machine.Break(io.EOF))
+	}, MomentStarted},
+	"broken after a part": {func(peer *peer, _ uint32) *StreamError {
+		peer.machine.PendingBytes()
+		peer.machine.Wrote(12)
+		return onlyError(peer.t, peer.machine.Break(io.EOF))
+	}, MomentStarted},
+	"broken once all the window let go is written": {func(peer *peer, _ uint32) *StreamError {
+		peer.write()
+		return onlyError(peer.t, peer.machine.Break(io.EOF))
+	}, MomentStarted},
+	"broken after all": {func(peer *peer, id uint32) *StreamError {
+		peer.write()
+		peer.frameWriter.WriteWindowUpdate(id, 1000)
+		peer.feed()
+		peer.write()
+		return onlyError(peer.t, peer.machine.Break(io.EOF))
+	}, MomentSent},
+	"broken with the last bytes unwritten": {func(peer *peer, id uint32) *StreamError {
+		peer.write()
+		peer.frameWriter.WriteWindowUpdate(id, 1000)
+		peer.feed()
+		n := len(peer.machine.PendingBytes())
+		peer.machine.Wrote(n - 1) // and no further write begins
+		return onlyError(peer.t, peer.machine.Break(io.EOF))
+	}, MomentStarted},
+	"answered in part": {func(peer *peer, id uint32) *StreamError {
+		peer.write()
+		peer.head(id, false, ":status: 103")
+		peer.frameWriter.WriteRSTStream(id, http2.ErrCodeRefusedStream)
+		return onlyError(peer.t, peer.feed())
+	}, MomentAnswered},
+	"given up while its last bytes wait to be written": {func(peer *peer, id uint32) *StreamError {
+		peer.frameWriter.WriteWindowUpdate(id, 1000)
+		peer.feed()
+		event, _ := peer.machine.Cancel(id)
+		return event.Err
+	}, MomentSent},
+	"given up while it waits for the window": {func(peer *peer, id uint32) *StreamError { event, _ := peer.machine.Cancel(id); return event.Err }, MomentStarted},
+}
+
+// onlyError returns the error of the one event that there has to be.
+func onlyError(t testing.TB, events []Event) *StreamError {
+	t.Helper()
+	if len(events) != 1 || events[0].Err == nil {
+		t.Fatalf("%+v", events)
+	}
+	return events[0].Err
+}
+
+// TestMomentOfRequest checks how far a request counts as gone: by bytes that may have been written, and by those that will be.
+func TestMomentOfRequest(t *testing.T) {
+	for name, tc := range requestEnds {
+		t.Run(name, func(t *testing.T) {
+			peer := newReadyPeer(t, Limits{}, http2.Setting{ID: http2.SettingInitialWindowSize, Val: 100})
+			if event := tc.end(peer, peer.open(strings.Repeat("x", 200))); event.Moment != tc.want {
+				t.Errorf("%v, not %v", event.Moment, tc.want)
+			}
+			if peer.machine.Err() != nil {
+				if out := string(peer.machine.PendingBytes()); strings.Contains(out, "xxx") && peer.machine.offered == 0 {
+					t.Errorf("it goes on writing: %q", out)
+				}
+			}
+		})
+	}
+}
