--- a/internal/daemon/drained.go
+++ b/internal/daemon/drained.go
@@ -38,7 +38,7 @@
 // runDrained waits until the daemon is requested to serve. It returns nil where ctx ends before, or the control
 // socket requests the end.
 func (d *daemon) runDrained(ctx context.Context) (*drainedDaemon, error) {
-	if d.cfg.Process.Control == "" {
+	if d.cfg.Process.ControlSocket == "" {
 		return nil, errors.New("the desired state is drained, and there is no control socket by which serving could be requested")
 	}
 	r := &drainedDaemon{
@@ -108,7 +108,7 @@
 }
 
 // haveSameFiles tells whether the state directory and the control socket are the same.
-func haveSameFiles(a, b config.Process) bool { return a.State == b.State && a.Control == b.Control }
+func haveSameFiles(a, b config.Process) bool { return a.StateDir == b.StateDir && a.ControlSocket == b.ControlSocket }
 
 // awaitResume waits until resume has returned, and returns its error.
 func (r *drainedDaemon) awaitResume(ctx context.Context) error {
@@ -269,7 +269,7 @@
 		return err
 	}
 	if !haveSameFiles(d.cfg.Process, next.Process) {
-		return fmt.Errorf("process.state and process.control can't change without a restart: %q, %q", next.Process.State, next.Process.Control)
+		return fmt.Errorf("process.state and process.control can't change without a restart: %q, %q", next.Process.StateDir, next.Process.ControlSocket)
 	}
 	if err := desiredstate.ReplaceFile(d.opts.ConfigPath, []byte(operation.Text)); err != nil {
 		return fmt.Errorf("replacing the settings: %w", err)
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -47,7 +47,7 @@
 func (d *daemon) startBackground(ctx context.Context) {
 	d.goroutines.Go(func() { runWatchdog(ctx, d.node.Alive) })
 	d.checkpointer.ownsFile.Store(d.predecessor == nil)
-	d.checkpointer.interval.Store(int64(d.cfg.Process.Checkpoint))
+	d.checkpointer.interval.Store(int64(d.cfg.Process.CheckpointInterval))
 	d.goroutines.Go(func() { d.saveCheckpoints(ctx) })
 	d.goroutines.Go(func() { d.watchGroupSize(ctx) })
 	d.startMetrics(ctx)
@@ -239,7 +239,7 @@
 		d.conditions.add(conditionConfigFile, f.err.Error())
 	} else {
 		d.cfg = f.cfg
-		d.checkpointer.interval.Store(int64(f.cfg.Process.Checkpoint))
+		d.checkpointer.interval.Store(int64(f.cfg.Process.CheckpointInterval))
 		d.conditions.clear(conditionConfigFile)
 	}
 	answerEach(d.runningReloads, f.err)
--- /dev/null
+++ b/internal/fleet/members.go
@@ -0,0 +1,152 @@
+package fleet
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"syscall"
+	"time"
+
+	"lockflow/internal/manage"
+)
+
+const (
+	statusTimeout = 3 * time.Second       // of one call for a member's status
+	pollInterval  = 20 * time.Millisecond // while a state is awaited
+	maxMembers    = 10000                 // of a list of control sockets
+)
+
+// Member is one daemon of a fleet.
+type Member struct {
+	Name   string
+	Client manage.Client // of its control socket
+}
+
+// MembersInDirectory returns the instances that a Run supervises in a directory, by number.
+func MembersInDirectory(dir string) ([]Member, error) {
+	paths, err := filepath.Glob(filepath.Join(dir, "*", controlSocketName))
+	if err != nil {
+		return nil, fmt.Errorf("fleet directory: %w", err)
+	}
+	if len(paths) == 0 {
+		return nil, fmt.Errorf("fleet directory %s: there is no instance with a control socket", dir)
+	}
+	var all []Member
+	for _, p := range paths {
+		all = append(all, Member{filepath.Base(filepath.Dir(p)), manage.Client{Path: p}})
+	}
+	slices.SortFunc(all, func(a, b Member) int {
+		x, errX := strconv.Atoi(a.Name)
+		y, errY := strconv.Atoi(b.Name)
+		if errX == nil && errY == nil {
+			return x - y
+		}
+		return strings.Compare(a.Name, b.Name)
+	})
+	return all, nil
+}
+
+// MembersInFile returns the members whose control sockets a file lists, an absolute path a line. Empty lines and lines
+// that begin with # are ignored.
+func MembersInFile(path string) ([]Member, error) {
+	f, err := os.Open(path)
+	if err != nil {
+		return nil, fmt.Errorf("fleet file: %w", err)
+	}
+	defer f.Close() //nolint:errcheck // only read
+	var all []Member
+	lines := bufio.NewScanner(f)
+	for n := 1; lines.Scan(); n++ {
+		line := strings.TrimSpace(lines.Text())
+		if line == "" || strings.HasPrefix(line, "#") {
+			continue
+		}
+		switch {
+		case !filepath.IsAbs(line):
+			return nil, fmt.Errorf("%s:%d: %q is no absolute path", path, n, line)
+		case slices.ContainsFunc(all, func(m Member) bool { return m.Name == line }):
+			return nil, fmt.Errorf("%s:%d: %q is given twice", path, n, line)
+		case len(all) == maxMembers:
+			return nil, fmt.Errorf("%s:%d: more than %d members", path, n, maxMembers)
+		}
+		all = append(all, Member{line, manage.Client{Path: line}})
+	}
+	if err := lines.Err(); err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	if len(all) == 0 {
+		return nil, fmt.Errorf("%s: it names no member", path)
+	}
+	return all, nil
+}
+
+// StatusReply is a member's status, or the error of the call for it.
+type StatusReply struct {
+	Member string         `json:"member"`
+	Status *manage.Status `json:"status,omitempty"`
+	Error  string         `json:"error,omitempty"`
+}
+
+// PollStatus returns the status of all members, in their order. They are called concurrently.
+func PollStatus(ctx context.Context, members []Member) []StatusReply {
+	all := make([]StatusReply, len(members))
+	var polls sync.WaitGroup
+	for i, m := range members {
+		polls.Go(func() {
+			all[i].Member = m.Name
+			s, err := status(ctx, m)
+			if err != nil {
+				all[i].Error = err.Error()
+				return
+			}
+			all[i].Status = &s
+		})
+	}
+	polls.Wait()
+	return all
+}
+
+// status calls a member for its status.
+func status(ctx context.Context, m Member) (manage.Status, error) {
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
+	defer cancel()
+	return m.Client.Status(ctx)
+}
+
+// hasEnded tells whether a process of this machine has ended, also if its parent has not waited for it.
+func hasEnded(pid int) bool {
+	if errors.Is(syscall.Kill(pid, 0), syscall.ESRCH) {
+		return true
+	}
+	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
+	if err != nil {
+		return true
+	}
+	_, rest, _ := strings.Cut(string(raw), ") ")
+	return strings.HasPrefix(rest, "Z") // a zombie
+}
+
+// awaitStatus polls a member until its status matches, or ctx is done. It returns the last status.
+func awaitStatus(ctx context.Context, m Member, matches func(manage.Status) bool) (manage.Status, error) {
+	for {
+		s, err := status(ctx, m)
+		if err == nil && matches(s) {
+			return s, nil
+		}
+		select {
+		case <-time.After(pollInterval):
+		case <-ctx.Done():
+			if err == nil {
+				err = fmt.Errorf("it is %s", s.State)
+			}
+			return s, fmt.Errorf("not ready in time: %w", err)
+		}
+	}
+}
