--- a/internal/front/answer_stream.go
+++ b/internal/front/answer_stream.go
@@ -37,8 +37,12 @@
 	buffer := upstream.BodyBuffers.Get().(*[]byte)
 	defer upstream.BodyBuffers.Put(buffer)
 	s := &answerStream{
-		source: answer.Stream, writer: w, controller: http.NewResponseController(w), buffer: *buffer, idleTimeout: o.IdleTimeout,
-		rate: rateGuard{gracePeriod: o.IdleTimeout, minBytesPerSecond: o.MinBytesPerSecond},
+		source:      answer.Stream,
+		writer:      w,
+		controller:  http.NewResponseController(w),
+		buffer:      *buffer,
+		idleTimeout: o.IdleTimeout,
+		rate:        rateGuard{gracePeriod: o.IdleTimeout, minBytesPerSecond: o.MinBytesPerSecond},
 	}
 	buffered, err := s.bufferBeginning()
 	if err != nil && !errors.Is(err, io.EOF) {
@@ -94,12 +98,13 @@
 		s.writer.WriteHeader(answer.Status)
 		return nil
 	}
-	if trailerNames = s.source.TrailerNames(); len(trailerNames) > 0 {
+	trailerNames = s.source.TrailerNames()
+	if len(trailerNames) > 0 {
 		slices.Sort(trailerNames)
 		header["Trailer"] = trailerNames
 	}
 	s.writer.WriteHeader(answer.Status)
-	_ = s.controller.Flush() // the first bytes of an event stream may be long in coming
+	_ = s.controller.Flush() // the first bytes of an event stream may arrive much later
 	return trailerNames
 }
 
@@ -108,7 +113,8 @@
 // the rest of the body will not come or the client is too slow.
 func (s *answerStream) copyBody(buffered int, readErr error) error {
 	direct, _ := s.writer.(io.ReaderFrom)
-	n, err := buffered, readErr
+	n := buffered
+	err := readErr
 	for {
 		if n == 0 && err == nil {
 			n, err = s.source.Read(s.buffer)
--- a/internal/front/client_registry.go
+++ b/internal/front/client_registry.go
@@ -29,7 +29,7 @@
 	mu          sync.Mutex
 	connections map[net.Conn]*clientConn
 	isDraining  bool
-	empty       chan struct{} // closed when the last connection is gone; nil if nobody waits for that
+	empty       chan struct{} // closed when the last connection is gone; nil if no waitEmpty has been called
 }
 
 // clientConn is the connection of one client.
@@ -101,7 +101,8 @@
 	}
 	client.input = connInside[*inputConn](conn)
 	if limited := connInside[*limits.Conn](conn); limited != nil {
-		client.acceptedAt, client.queued = limited.AcceptedAt, limited.Queued
+		client.acceptedAt = limited.AcceptedAt
+		client.queued = limited.Queued
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,7 +170,8 @@
 	}
 	switch newState {
 	case http.StateActive:
-		client.idleSince, client.isNew = time.Time{}, false
+		client.idleSince = time.Time{}
+		client.isNew = false
 	case http.StateIdle:
 		client.idleSince = time.Now()
 		if client.input != nil {
@@ -187,8 +189,8 @@
 	}
 }
 
-// closeIf closes an idle connection if mayClose, which is told when bytes were first read of a request that
-// net/http has not reported (zero for none), allows it. The caller holds clientRegistry.mu.
+// closeIf closes an idle connection if mayClose allows it. That gets the time at which bytes were first read of a request
+// that net/http has not reported; zero for none. The caller holds clientRegistry.mu.
 func (c *clientConn) closeIf(mayClose func(readAt time.Time) bool) {
 	if c.input != nil {
 		c.input.closeUnlessRead(mayClose, c.close)
@@ -203,11 +205,14 @@
 	return readAt.IsZero() && !c.hasUnreadInput() && !c.hasUnacknowledgedOutput()
 }
 
-// canEvict reports whether closing an idle connection loses no request. One that was begun and not completed for the
-// grace period is none.
+// canEvict reports whether closing an idle connection loses no request. A request that is still incomplete after the
+// grace period may be lost.
 func (c *clientConn) canEvict(readAt time.Time) bool {
 	readable, ended := c.pollSocket()
-	return (!readable || ended) && (readAt.IsZero() || time.Since(readAt) >= newConnGracePeriod)
+	if readable && !ended {
+		return false
+	}
+	return readAt.IsZero() || time.Since(readAt) >= newConnGracePeriod
 }
 
 // hasUnreadInput reports whether an idle connection has input, or the client's close, that is about to
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -188,8 +188,8 @@
 	}
 	answer, ok := target.Service.Do(r.Context(), exchange)
 	if !ok && isStillConnected(r) {
-		// The request was not forwarded because of what the client sent behind it; the client is
-		// there, so it gets the answer.
+		// The request was not forwarded because of bytes that the client sent after it; the client is
+		// still connected, so it gets the answer.
 		w.Header().Set("Connection", "close")
 		ok = true
 	}
@@ -273,7 +273,7 @@
 	// A client that reads nothing must not block the handler forever.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerWriteTimeout))
 	header := w.Header()
-	// The node may have begun to drain after this request arrived. Checking now keeps clients from
+	// The node may have started to drain after this request arrived. Checking now keeps clients from
 	// sending another request on the same connection.
 	if f.isDraining.Load() {
 		header.Set("Connection", "close")
--- a/internal/front/generic_call.go
+++ b/internal/front/generic_call.go
@@ -35,7 +35,7 @@
 	discardDeadline atomic.Pointer[time.Time]
 	controller      *http.ResponseController
 	writer          http.ResponseWriter
-	hasAnswer       bool // writing of the final answer has begun
+	hasAnswer       bool // writing of the final answer has started
 
 	mu      sync.Mutex // serializes interim responses, and orders them before the final answer
 	isFinal bool       // no more interim responses may be written
@@ -59,7 +59,8 @@
 // server, and prepares to stream any other.
 func (o *GenericHTTP) ReadBody(w http.ResponseWriter, r *http.Request, exchange *service.Exchange) *BadRequest {
 	call := exchange.Forwarder.(*genericCall)
-	call.writer, call.controller = w, http.NewResponseController(w)
+	call.writer = w
+	call.controller = http.NewResponseController(w)
 	if r.ProtoAtLeast(1, 1) {
 		call.InterimWriter = call
 	}
@@ -70,8 +71,9 @@
 	call.ExpectContinue = len(r.Header["Expect"]) > 0 && r.ProtoAtLeast(1, 1)
 	call.bodyRate = rateGuard{gracePeriod: o.IdleTimeout, minBytesPerSecond: o.MinBytesPerSecond}
 	call.Body = retrybuffer.New(&limitedBody{r.Body, call}, o.RetryBufferBytes, call.setReadDeadline)
-	if call.ExpectContinue || call.ContentLength < 0 || call.ContentLength > int64(o.RetryBufferBytes) {
-		_ = call.controller.EnableFullDuplex() // the answer may begin before the body has been read
+	fitsRetryBuffer := call.ContentLength >= 0 && call.ContentLength <= int64(o.RetryBufferBytes)
+	if call.ExpectContinue || !fitsRetryBuffer {
+		_ = call.controller.EnableFullDuplex() // the answer may start before the body has been read
 		exchange.Request.HasPendingBody = true
 		return nil
 	}
@@ -126,8 +128,8 @@
 	clear(header)
 }
 
-// Finish stops reading the request. If an answer has been given before the body came to its end, it
-// reads and discards the rest for a moment: closing at once would reset the connection and could drop
+// Finish stops reading the request. If an answer has been written before the end of the body was read, it
+// reads and discards the rest for maxDiscardTime: closing at once would reset the connection and could drop
 // the answer before the client has read it.
 func (o *GenericHTTP) Finish(exchange *service.Exchange) {
 	call := exchange.Forwarder.(*genericCall)
@@ -144,7 +146,7 @@
 		_ = call.controller.SetReadDeadline(deadline)
 		body.Discard()
 	}
-	body.Close(func() { _ = call.controller.SetReadDeadline(time.Unix(1, 0)) }) //nolint:forbidigo // a deadline that is over by any clock
+	body.Close(func() { _ = call.controller.SetReadDeadline(time.Unix(1, 0)) }) //nolint:forbidigo // a deadline in the past by any clock
 }
 
 // endInterim ends the writing of interim responses.
--- a/internal/front/generic_http.go
+++ b/internal/front/generic_http.go
@@ -29,9 +29,10 @@
 type GenericHTTPOptions struct {
 	// Customers identifies the customer of a request. Nil treats all as anonymous.
 	Customers *customer.Directory
-	// SafeClass is the class of requests with a safe method (RFC 9110, 9.2.1) and UnsafeClass that
-	// of all others, if the route names no class.
-	SafeClass, UnsafeClass string
+	// SafeClass is the class of requests with a safe method (RFC 9110, 9.2.1), if the route names no class.
+	SafeClass string
+	// UnsafeClass is the class of requests with any other method, if the route names no class.
+	UnsafeClass string
 	// ClassWithoutKey maps a class that needs an idempotency key to the class of its requests that
 	// come without one.
 	ClassWithoutKey map[string]string
@@ -88,8 +89,11 @@
 		timeout = min(timeout, requested)
 	}
 	request := control.Request{
-		ID: strconv.FormatUint(o.ids.Add(1), 36), Class: class, Units: 1,
-		FanOut: target.Service.GroupSize, IsWrite: !protocol.IsSafeMethod(r.Method),
+		ID:      strconv.FormatUint(o.ids.Add(1), 36),
+		Class:   class,
+		Units:   1,
+		FanOut:  target.Service.GroupSize,
+		IsWrite: !protocol.IsSafeMethod(r.Method),
 	}
 	request.Customer, request.Plan = o.Customers.Identify(r, arrived)
 	call := &genericCall{maxBodyBytes: target.MaxBodyBytes, idleTimeout: o.IdleTimeout}
@@ -115,10 +119,12 @@
 // classOf returns the class of a request, which need not be one of the service.
 func (o *GenericHTTP) classOf(r *http.Request, target *Target) string {
 	class := target.Class
-	if class == "" {
-		if class = o.UnsafeClass; protocol.IsSafeMethod(r.Method) {
-			class = o.SafeClass
-		}
+	switch {
+	case class != "":
+	case protocol.IsSafeMethod(r.Method):
+		class = o.SafeClass
+	default:
+		class = o.UnsafeClass
 	}
 	if withoutKey, ok := o.ClassWithoutKey[class]; ok && r.Header.Get(protocol.HeaderIdempotencyKey) == "" {
 		class = withoutKey
@@ -142,25 +148,34 @@
 		peer.IsTrusted = hopheaders.IsTrusted(peer.Addr, o.TrustedProxies)
 	}
 	*relay = upstream.RelayedRequest{
-		RequestMethod: r.Method, Host: r.Host, Target: originForm(r.RequestURI),
-		Header:        hopheaders.ForwardRequest(r.Header, peer, o.ForwardingHeaders, o.AllowUnderscores),
-		ContentLength: r.ContentLength, ResponseRules: &o.ResponseRules, MaxBufferedBytes: o.MaxBufferedAnswerBytes,
-		IdleTimeout: o.IdleTimeout, AnswerTimeout: timeout, SendTimeLeft: o.SendTimeLeft,
+		RequestMethod:    r.Method,
+		Host:             r.Host,
+		Target:           originForm(r.RequestURI),
+		Header:           hopheaders.ForwardRequest(r.Header, peer, o.ForwardingHeaders, o.AllowUnderscores),
+		ContentLength:    r.ContentLength,
+		ResponseRules:    &o.ResponseRules,
+		MaxBufferedBytes: o.MaxBufferedAnswerBytes,
+		IdleTimeout:      o.IdleTimeout,
+		AnswerTimeout:    timeout,
+		SendTimeLeft:     o.SendTimeLeft,
 	}
 	if o.SendRequestID && len(relay.Header[requestIDHeader]) == 0 {
 		relay.Header[requestIDHeader] = []string{newRequestID()}
 	}
-	if len(r.TransferEncoding) > 0 {
+	isChunked := len(r.TransferEncoding) > 0
+	hasBody := isChunked || r.ContentLength != 0
+	switch {
+	case isChunked:
 		relay.ContentLength = -1
 		relay.Trailer = func() http.Header { return r.Trailer }
 		for name := range r.Trailer {
 			relay.TrailerNames = append(relay.TrailerNames, name)
 		}
 		slices.Sort(relay.TrailerNames)
-	} else if r.ContentLength == 0 && r.Header.Get("Content-Length") == "" {
+	case !hasBody && r.Header.Get("Content-Length") == "":
 		relay.ContentLength = -1 // the request has no Content-Length, so none is forwarded
 	}
-	if len(target.UpgradeProtocols) > 0 && r.ProtoAtLeast(1, 1) && r.ContentLength == 0 && len(r.TransferEncoding) == 0 {
+	if len(target.UpgradeProtocols) > 0 && r.ProtoAtLeast(1, 1) && !hasBody {
 		relay.UpgradeProtocol = requestedUpgrade(r.Header, target.UpgradeProtocols)
 	}
 }
--- a/internal/front/input_conn.go
+++ b/internal/front/input_conn.go
@@ -10,19 +10,20 @@
 	"time"
 )
 
-// inputConn is a client's connection, below all that looks at what is read. Others know of it at each moment whether a
-// request lies in the socket, was read from it, or neither: net/http reports a request only once it has parsed its head.
-// One goroutine at a time calls Read; the other methods are safe for concurrent use.
+// inputConn is a client's connection below all others that wrap it. It makes known at any time whether some of a request
+// was read from the socket: net/http reports a request only once it has parsed its head. One goroutine at a time calls
+// Read; the other methods are safe for concurrent use.
 type inputConn struct {
 	net.Conn
-	rawConn syscall.RawConn // nil where there is no socket
-	attempt func(fd uintptr) bool
-	// Of the call of Read in progress.
+	rawConn syscall.RawConn       // nil where there is no socket
+	attempt func(fd uintptr) bool // tryRead
+
+	// The call of Read in progress.
 	buffer []byte
 	count  int
 	err    error
 
-	mu       sync.Mutex // held while bytes go from the socket to the reader, and by who decides to close the connection
+	mu       sync.Mutex // held while bytes go from the socket to the reader, and while closing is decided on
 	readAt   time.Time  // when bytes were first read since the connection became idle; zero is none
 	isClosed bool       // nothing more is read
 }
@@ -54,7 +55,9 @@
 		}
 		return n, err
 	}
-	c.buffer, c.count, c.err = p, 0, nil
+	c.buffer = p
+	c.count = 0
+	c.err = nil
 	err := c.rawConn.Read(c.attempt)
 	c.buffer = nil
 	switch {
@@ -68,7 +71,7 @@
 	return c.count, nil
 }
 
-// tryRead reads what there is, and returns false where that is nothing.
+// tryRead reads what the socket has, and returns false where it has nothing.
 func (c *inputConn) tryRead(fd uintptr) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,14 +90,15 @@
 			c.err = os.NewSyscallError("read", err)
 			return true
 		}
-		if c.count = n; n > 0 {
+		c.count = n
+		if n > 0 {
 			c.noteInput()
 		}
 		return true
 	}
 }
 
-// noteInput notes that bytes were read. The caller holds mu.
+// noteInput records that bytes were read. The caller holds mu.
 func (c *inputConn) noteInput() {
 	if c.readAt.IsZero() {
 		c.readAt = time.Now()
@@ -112,16 +116,16 @@
 	return c.readAt
 }
 
-// becameIdle notes that what was read so far belongs to requests that have ended.
+// becameIdle records that all that was read so far belongs to requests that have ended.
 func (c *inputConn) becameIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.readAt = time.Time{}
 }
 
-// closeUnlessRead closes the connection unless mayClose, which is told when bytes were first read of a request that has
-// not been reported (zero for none), forbids it. Nothing is read from then on. closeConnection is called with no lock
-// held, as closing a socket waits for its reader.
+// closeUnlessRead closes the connection if mayClose allows it, and reads nothing from then on. mayClose gets the time at
+// which bytes were first read of a request that has not been reported; zero for none. closeConnection is called with no
+// lock held, as closing a socket waits for its reader.
 func (c *inputConn) closeUnlessRead(mayClose func(readAt time.Time) bool, closeConnection func()) {
 	c.mu.Lock()
 	isClosing := !c.isClosed && mayClose(c.readAt)
--- a/internal/front/lingering_conn.go
+++ b/internal/front/lingering_conn.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	maxLingerTime  = 500 * time.Millisecond // how long a closed connection is still read
-	maxLingerBytes = 256 << 10              // how much is read of it meanwhile
+	maxLingerTime  = 500 * time.Millisecond // for which a closed connection is still read
+	maxLingerBytes = 256 << 10              // that are read in that time
 )
 
 // lingeringConn is a client's connection with a lingering close (RFC 9112, 9.6). If a socket is closed
@@ -29,7 +29,9 @@
 // received all of the answer yet, only the sending side is closed first, and input is discarded until the
 // client closes or the limits are reached. An idle connection is closed at once.
 func (c *lingeringConn) Close() error {
-	if tcp := tcpConnOf(c.Conn); tcp != nil && c.isBusy.Load() && !c.isReset() && (hasUnread(tcp) || hasUnacknowledged(tcp)) {
+	tcp := tcpConnOf(c.Conn)
+	mayLinger := tcp != nil && c.isBusy.Load() && !c.isReset()
+	if mayLinger && (hasUnread(tcp) || hasUnacknowledged(tcp)) {
 		_ = tcp.CloseWrite()
 		_ = tcp.SetReadDeadline(time.Now().Add(maxLingerTime))
 		_, _ = io.CopyN(io.Discard, tcp, maxLingerBytes)
--- a/internal/front/node_answer.go
+++ b/internal/front/node_answer.go
@@ -13,16 +13,18 @@
 	"lockflow/internal/service"
 )
 
-// nodeAnswer returns status and text of an answer that no server gave.
+// nodeAnswer returns the status and text of an answer of the node itself.
 func nodeAnswer(answer service.Answer) (status int, text string) {
 	status = answer.Status
 	if answer.Kind == service.Rejected {
 		text = "The request was not run for want of room; trying again is harmless."
 		switch answer.LastAttempt { // after an attempt the reason is not the capacity of this node
 		case control.TimedOut:
-			status, text = http.StatusGatewayTimeout, "No server answered in time; trying again is harmless."
+			status = http.StatusGatewayTimeout
+			text = "No server answered in time; trying again is harmless."
 		case control.ResetByPeer, control.ConnectFailed, control.Errored, control.Cancelled:
-			status, text = http.StatusBadGateway, "No server gave a usable answer; trying again is harmless."
+			status = http.StatusBadGateway
+			text = "No server gave a usable answer; trying again is harmless."
 		}
 		return status, text
 	}
@@ -54,8 +56,10 @@
 	body := []byte(http.StatusText(status) + ". " + text + "\n")
 	header["Content-Type"] = []string{"text/plain; charset=utf-8"}
 	if strings.Contains(strings.Join(r.Header["Accept"], ","), "json") {
-		if encoded, err := json.Marshal(problem{"about:blank", http.StatusText(status), status, text}); err == nil {
-			body, header["Content-Type"] = encoded, []string{"application/problem+json"}
+		details := problem{Type: "about:blank", Title: http.StatusText(status), Status: status, Detail: text}
+		if encoded, err := json.Marshal(details); err == nil {
+			body = encoded
+			header["Content-Type"] = []string{"application/problem+json"}
 		}
 	}
 	header["Via"] = []string{"1.1 " + hopheaders.Alias}
--- a/internal/front/platform.go
+++ b/internal/front/platform.go
@@ -1,6 +1,7 @@
 package front
 
 import (
+	"cmp"
 	"fmt"
 	"io"
 	"math"
@@ -37,26 +38,23 @@
 		return nil, badRequest
 	}
 	request := control.Request{
-		ID: r.Header.Get(protocol.HeaderID), Plan: r.Header.Get(protocol.HeaderPlan), Units: 1, FanOut: 1,
-		IsRetry: r.Header.Get(protocol.HeaderRetry) == "1", IsWrite: r.Method != http.MethodGet,
+		ID:      r.Header.Get(protocol.HeaderID),
+		Plan:    r.Header.Get(protocol.HeaderPlan),
+		Units:   1,
+		FanOut:  1,
+		IsRetry: r.Header.Get(protocol.HeaderRetry) == "1",
+		IsWrite: r.Method != http.MethodGet,
 	}
 	if request.ID == "" || len(request.ID) > maxIDBytes {
 		return nil, newBadRequest(http.StatusBadRequest, "%s: none, or too long", protocol.HeaderID)
 	}
-	if request.Class = target.Class; request.Class == "" {
-		request.Class = firstSegment
-	}
+	request.Class = cmp.Or(target.Class, firstSegment)
 	class, ok := rules.Classes[request.Class]
 	if !ok {
 		return nil, newBadRequest(http.StatusNotFound, "unknown class %q", request.Class)
 	}
-	switch {
-	case !rules.AllowsMethod(class, r.Method):
-		return nil, newBadRequest(http.StatusMethodNotAllowed, "%s: not a method of class %s", r.Method, request.Class)
-	case class.Idempotency == control.Idempotent && r.ContentLength != 0:
-		return nil, newBadRequest(http.StatusBadRequest, "a body with %s", r.Method)
-	case class.Idempotency == control.IdempotentWithKey && r.Header.Get(protocol.HeaderIdempotencyKey) == "":
-		return nil, newBadRequest(http.StatusBadRequest, "%s: none", protocol.HeaderIdempotencyKey)
+	if badRequest := checkClass(r, rules, class); badRequest != nil {
+		return nil, badRequest
 	}
 	if rules.MaxUnitsByPlan[request.Plan] == 0 {
 		return nil, newBadRequest(http.StatusBadRequest, "%s: unknown plan %q", protocol.HeaderPlan, request.Plan)
@@ -72,12 +70,32 @@
 	if err := parseWeight(rules, &request, r.Header.Get(protocol.HeaderWeight)); err != nil {
 		return nil, newBadRequest(http.StatusBadRequest, "%s: %v", protocol.HeaderWeight, err)
 	}
-	exchange := &struct {
-		service.Exchange
-		upstream.BufferedRequest
-	}{service.Exchange{Request: request, Deadline: arrived.Add(timeLeft - service.DeadlineMargin)}, upstream.BufferedRequest{Request: forwardedRequest(r)}}
-	exchange.Forwarder = &exchange.BufferedRequest
-	return &exchange.Exchange, nil
+	call := &platformCall{
+		Exchange:        service.Exchange{Request: request, Deadline: arrived.Add(timeLeft - service.DeadlineMargin)},
+		BufferedRequest: upstream.BufferedRequest{Request: forwardedRequest(r)},
+	}
+	call.Forwarder = &call.BufferedRequest
+	return &call.Exchange, nil
+}
+
+// platformCall is one request of the platform's protocol: its exchange with the service and what is forwarded, in one
+// allocation.
+type platformCall struct {
+	service.Exchange
+	upstream.BufferedRequest
+}
+
+// checkClass rejects a request that its class does not allow.
+func checkClass(r *http.Request, rules *service.RequestRules, class control.Class) *BadRequest {
+	switch {
+	case !rules.AllowsMethod(class, r.Method):
+		return newBadRequest(http.StatusMethodNotAllowed, "%s: not a method of class %s", r.Method, class.Name)
+	case class.Idempotency == control.Idempotent && r.ContentLength != 0:
+		return newBadRequest(http.StatusBadRequest, "a body with %s", r.Method)
+	case class.Idempotency == control.IdempotentWithKey && r.Header.Get(protocol.HeaderIdempotencyKey) == "":
+		return newBadRequest(http.StatusBadRequest, "%s: none", protocol.HeaderIdempotencyKey)
+	}
+	return nil
 }
 
 // ReservedBytes returns the length of a request's body.
@@ -161,21 +179,32 @@
 	return nil
 }
 
+// addedHeaders is the number of fields that the node adds to a request.
+const addedHeaders = 2
+
 // forwardedRequest returns the request that app servers get.
 func forwardedRequest(r *http.Request) *http.Request {
 	target := url.URL{RawQuery: r.URL.RawQuery, ForceQuery: r.URL.ForceQuery}
 	// The path is forwarded byte for byte, because app servers identify a request by what its client sent.
 	// Package url would encode some bytes of it.
-	if target.Opaque, _, _ = strings.Cut(originForm(r.RequestURI), "?"); strings.HasPrefix(target.Opaque, "//") {
-		target.Opaque, target.Path, target.RawPath = "", r.URL.Path, r.URL.RawPath // an opaque // would be taken for an authority
+	target.Opaque, _, _ = strings.Cut(originForm(r.RequestURI), "?")
+	if strings.HasPrefix(target.Opaque, "//") { // package url would take an opaque one for an authority
+		target.Opaque = ""
+		target.Path = r.URL.Path
+		target.RawPath = r.URL.RawPath
 	}
 	forwarded := &http.Request{
-		Method: r.Method, Host: r.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, URL: &target,
-		Header: make(http.Header, len(r.Header)+2),
+		Method:     r.Method,
+		Host:       r.Host,
+		Proto:      "HTTP/1.1",
+		ProtoMajor: 1,
+		ProtoMinor: 1,
+		URL:        &target,
+		Header:     make(http.Header, len(r.Header)+addedHeaders),
 	}
-	for k, v := range r.Header {
-		if !protocol.IsInternalHeader(k) {
-			forwarded.Header[k] = v
+	for name, values := range r.Header {
+		if !protocol.IsInternalHeader(name) {
+			forwarded.Header[name] = values
 		}
 	}
 	hopheaders.DropNamed(forwarded.Header, r.Header)
@@ -196,12 +225,16 @@
 	}
 	value, err := protocol.ParseNumber(number)
 	timeLeft := value * float64(unit)
-	if !ok || err != nil || timeLeft <= 0 || timeLeft > float64(maxTimeLeft+timeLeftSlack) {
+	isInRange := timeLeft > 0 && timeLeft <= float64(maxTimeLeft+timeLeftSlack)
+	if !ok || err != nil || !isInRange {
 		return 0, fmt.Errorf("%q is no time", text)
 	}
 	return time.Duration(timeLeft), nil
 }
 
+// maxWeightNames is the number of names that parseWeight knows.
+const maxWeightNames = 3
+
 // parseWeight parses a list of name=number pairs into a request: its units, and the edge nodes that its
 // customer uses. Values out of range are rejected, because they would distort the quota accounting of
 // that customer.
@@ -209,27 +242,27 @@
 	if text == "" {
 		return nil
 	}
-	observed := make(map[string]bool, 3)
+	isGiven := make(map[string]bool, maxWeightNames)
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		number, err := protocol.ParseNumber(value)
 		isInteger := err == nil && number == math.Trunc(number)
-		ok := !observed[name]
-		observed[name] = true
+		isValid := true // of an unknown name any value is
 		switch name {
 		case "units":
-			ok = ok && err == nil && number > 0 && number <= rules.MaxUnitsByPlan[request.Plan]
+			isValid = err == nil && number > 0 && number <= rules.MaxUnitsByPlan[request.Plan]
 			request.Units = number
 		case "spread":
-			ok = ok && isInteger && number >= 1 && number <= float64(rules.GroupSize)
+			isValid = isInteger && number >= 1 && number <= float64(rules.GroupSize)
 			request.FanOut = int(number)
 		case "first":
-			ok = ok && isInteger && number >= 0 && number < float64(rules.GroupSize)
+			isValid = isInteger && number >= 0 && number < float64(rules.GroupSize)
 			request.FirstGateway = int(number)
 		}
-		if !ok {
+		if isGiven[name] || !isValid {
 			return fmt.Errorf("%s: %q", name, value)
 		}
+		isGiven[name] = true
 	}
 	return nil
 }
--- a/internal/front/rate_guard.go
+++ b/internal/front/rate_guard.go
@@ -26,7 +26,9 @@
 	if g.startedAt.IsZero() {
 		g.startedAt = now
 	}
-	if elapsed := now.Sub(g.startedAt); elapsed > g.gracePeriod && float64(g.totalBytes) < float64(g.minBytesPerSecond)*elapsed.Seconds() {
+	elapsed := now.Sub(g.startedAt)
+	isTooSlow := float64(g.totalBytes) < float64(g.minBytesPerSecond)*elapsed.Seconds()
+	if elapsed > g.gracePeriod && isTooSlow {
 		return errBelowMinRate
 	}
 	return nil
--- a/internal/front/scatter_gather.go
+++ b/internal/front/scatter_gather.go
@@ -1,6 +1,7 @@
 package front
 
 import (
+	"cmp"
 	"io"
 	"net/http"
 	"slices"
@@ -65,9 +66,7 @@
 	if badRequest := g.checkHead(r, routeClass); badRequest != nil {
 		return "", 0, badRequest
 	}
-	if class = routeClass; class == "" {
-		class = g.DefaultClass
-	}
+	class = cmp.Or(routeClass, g.DefaultClass)
 	deadline, ok := g.Deadlines[class]
 	if !ok {
 		return "", 0, newBadRequest(http.StatusNotFound, "no class %q in this service", class)
@@ -85,8 +84,7 @@
 		return badRequest
 	}
 	switch {
-	case r.Method == http.MethodConnect || r.Method == http.MethodTrace || r.Method == http.MethodOptions,
-		routeClass == "" && r.Method != http.MethodGet && r.Method != http.MethodHead:
+	case !allowsScatter(r.Method, routeClass):
 		return newBadRequest(http.StatusMethodNotAllowed, "%s is not served here", r.Method)
 	case r.ContentLength > g.MaxBodyBytes:
 		return newBodyTooLong(g.MaxBodyBytes).closing()
@@ -94,6 +92,19 @@
 	return checkExpect(r)
 }
 
+// allowsScatter reports whether a request of a method can be sent to several services. Without a class of the route it
+// has to be GET or HEAD.
+func allowsScatter(method, routeClass string) bool {
+	switch method {
+	case http.MethodGet, http.MethodHead:
+		return true
+	case http.MethodConnect, http.MethodTrace, http.MethodOptions:
+		return false
+	default:
+		return routeClass != ""
+	}
+}
+
 // limitTimeout returns the deadline of a class, or the timeout that a client asks for if that is shorter.
 func (g *ScatterGather) limitTimeout(r *http.Request, deadline time.Duration) (time.Duration, error) {
 	if g.TimeoutHeader == "" {
@@ -111,9 +122,11 @@
 	return min(deadline, requested), err
 }
 
-// conditionalHeaders ask for something other than the complete current answer. The answers of the parts
+// conditionalHeaders request something other than the complete current answer. The answers of the parts
 // to them could not be merged.
-var conditionalHeaders = []string{"If-None-Match", "If-Modified-Since", "If-Match", "If-Unmodified-Since", "If-Range", "Range", "Expect"}
+var conditionalHeaders = []string{
+	"If-None-Match", "If-Modified-Since", "If-Match", "If-Unmodified-Since", "If-Range", "Range", "Expect",
+}
 
 // partRequest returns the request that all parts get, without its body, which they share.
 func partRequest(r *http.Request) *http.Request {
@@ -129,15 +142,18 @@
 	delete(part.Header, "Content-Length")
 	delete(part.Header, protocol.HeaderTimeLeft) // each part gets its own
 	part.Header["Accept-Encoding"] = []string{"identity"}
-	part.ContentLength, part.TransferEncoding, part.Body, part.Trailer = 0, nil, http.NoBody, nil
+	part.ContentLength = 0
+	part.TransferEncoding = nil
+	part.Body = http.NoBody
+	part.Trailer = nil
 	return part
 }
 
 // handle serves one request. The services have been acquired for it.
 func (g *ScatterGather) handle(f *Front, w http.ResponseWriter, r *http.Request, routeClass string, arrived time.Time) {
-	started := false
+	isStarted := false // the run releases the services then
 	defer func() {
-		if !started {
+		if !isStarted {
 			g.release()
 		}
 	}()
@@ -159,13 +175,19 @@
 	}
 	setBody(calls, body)
 	run := &scattergather.Run{
-		Tree: g.Tree, Leaves: g.Leaves, Gatherers: g.Gatherers, Calls: calls,
-		Class: class, Arrived: arrived, Timeout: timeout, Release: g.release,
+		Tree:      g.Tree,
+		Leaves:    g.Leaves,
+		Gatherers: g.Gatherers,
+		Calls:     calls,
+		Class:     class,
+		Arrived:   arrived,
+		Timeout:   timeout,
+		Release:   g.release,
 	}
 	if g.Load != nil {
 		run.Load = g.Load()
 	}
-	started = true
+	isStarted = true
 	defer run.Done()
 	f.writeMergedAnswer(w, r, g, run.Do(r.Context()))
 }
@@ -195,7 +217,11 @@
 		if target.Service.Admit(exchange, bodyBytes) {
 			bodyBytes = 0
 		}
-		calls = append(calls, scattergather.Call{Service: target.Service, Exchange: exchange, MaxBytes: genericHTTP.MaxBufferedAnswerBytes})
+		calls = append(calls, scattergather.Call{
+			Service:  target.Service,
+			Exchange: exchange,
+			MaxBytes: genericHTTP.MaxBufferedAnswerBytes,
+		})
 	}
 	return calls, nil
 }
@@ -214,7 +240,8 @@
 	}
 	for _, call := range calls {
 		relay := &call.Exchange.Forwarder.(*genericCall).RelayedRequest
-		relay.Body, relay.ContentLength = retrybuffer.FromBytes(body), int64(len(body))
+		relay.Body = retrybuffer.FromBytes(body)
+		relay.ContentLength = int64(len(body))
 	}
 }
 
--- a/internal/front/tunnel.go
+++ b/internal/front/tunnel.go
@@ -44,7 +44,8 @@
 // writeUpgradeHead writes the head of the answer 101 to a client.
 func writeUpgradeHead(out *bufio.Writer, header http.Header, upgrade []string) error {
 	delete(header, "Content-Type")
-	header["Connection"], header["Upgrade"] = []string{"Upgrade"}, upgrade
+	header["Connection"] = []string{"Upgrade"}
+	header["Upgrade"] = upgrade
 	out.WriteString("HTTP/1.1 101 Switching Protocols\r\n")
 	_ = header.Write(out) // Flush returns its error
 	out.WriteString("\r\n")
@@ -129,9 +130,11 @@
 // readFunc is a function as an io.Reader.
 type readFunc func([]byte) (int, error)
 
+// Read implements io.Reader.
 func (f readFunc) Read(p []byte) (int, error) { return f(p) }
 
 // writeFunc is a function as an io.Writer.
 type writeFunc func([]byte) (int, error)
 
+// Write implements io.Writer.
 func (f writeFunc) Write(p []byte) (int, error) { return f(p) }
