--- /dev/null
+++ b/internal/scattergather/admission.go
@@ -0,0 +1,161 @@
+package scattergather
+
+import (
+	"context"
+	"time"
+
+	"lockflow/internal/waitpolicy"
+)
+
+// minAdmissionTimeout is how long the parts' modules may take to decide, if the client's timeout allows it.
+const minAdmissionTimeout = 250 * time.Millisecond
+
+// noLeaf stands for no leaf where one is expected.
+const noLeaf = -1
+
+// admission collects the decisions of the parts' modules on a query, before any part is sent anything.
+type admission struct {
+	*Run
+	contexts   []context.Context    // by leaf; nil is not called
+	cancels    []context.CancelFunc // by leaf; nil is not called
+	isDecided  []bool               // by leaf
+	isAdmitted []bool               // by leaf
+	answered   []*partEvent         // by leaf; nil has not ended
+	undecided  int                  // leaves
+	rejectedBy int                  // the first leaf that rejected the query for a quota, or noLeaf
+}
+
+func newAdmission(r *Run) *admission {
+	leaves := len(r.Calls)
+	return &admission{
+		Run:        r,
+		contexts:   make([]context.Context, leaves),
+		cancels:    make([]context.CancelFunc, leaves),
+		isDecided:  make([]bool, leaves),
+		isAdmitted: make([]bool, leaves),
+		answered:   make([]*partEvent, leaves),
+		undecided:  leaves,
+		rejectedBy: noLeaf,
+	}
+}
+
+// cancelAll ends all calls.
+func (a *admission) cancelAll() {
+	for _, cancel := range a.cancels {
+		if cancel != nil {
+			cancel()
+		}
+	}
+}
+
+// callLeaf requests admission from one leaf's module.
+func (a *admission) callLeaf(ctx context.Context, leaf int) {
+	a.contexts[leaf], a.cancels[leaf] = context.WithCancel(ctx)
+	a.mu.Lock()
+	a.references++
+	a.wasCalled[leaf] = true
+	a.mu.Unlock()
+	go a.call(a.contexts[leaf], leaf)
+}
+
+// callLastRejecting calls the leaf that rejected a query last, alone: if it rejects this one too, the others'
+// quotas are not charged.
+func (a *admission) callLastRejecting(ctx context.Context) {
+	leaf, ok := a.Gatherers[0].LastRejecting()
+	if !ok || leaf >= len(a.Calls) {
+		return
+	}
+	a.callLeaf(ctx, leaf)
+	timeout, cancel := context.WithTimeout(ctx, a.admissionTimeout()/2)
+	defer cancel()
+	hasMore := true
+	for hasMore && a.undecided == len(a.Calls) {
+		hasMore = a.awaitEvents(timeout)
+	}
+	if a.rejectedBy == noLeaf && a.isDecided[leaf] {
+		a.Gatherers[0].SetLastRejecting(noLeaf)
+	}
+}
+
+// callRemaining calls the leaves that were not called yet, unless the query was rejected.
+func (a *admission) callRemaining(ctx context.Context) {
+	for leaf := range a.Calls {
+		if a.contexts[leaf] == nil && a.rejectedBy == noLeaf {
+			a.callLeaf(ctx, leaf)
+		}
+	}
+}
+
+// await waits until all modules have decided, one has rejected the query, or the admission timeout is over.
+func (a *admission) await(ctx context.Context) {
+	timeout, cancel := context.WithTimeout(ctx, a.admissionTimeout())
+	defer cancel()
+	hasMore := true
+	for hasMore && a.undecided > 0 && a.rejectedBy == noLeaf {
+		hasMore = a.awaitEvents(timeout)
+	}
+}
+
+// awaitEvents processes the next events; false after a rejection or the timeout.
+func (a *admission) awaitEvents(timeout context.Context) bool {
+	select {
+	case <-a.hasResults:
+	case <-timeout.Done():
+		// On an overloaded machine both may be ready at once: events that arrived in time are processed.
+		if a.hasNoResults() {
+			return false
+		}
+	}
+	for _, event := range a.takeResults() {
+		a.process(event)
+	}
+	return a.rejectedBy == noLeaf
+}
+
+func (a *admission) process(event partEvent) {
+	leaf := event.leaf
+	if !a.isDecided[leaf] {
+		a.isDecided[leaf] = true
+		a.undecided--
+	}
+	if event.isAdmission {
+		a.isAdmitted[leaf] = true
+		return
+	}
+	a.answered[leaf] = &event
+	if isQuotaRejection(event.answer) && a.rejectedBy == noLeaf {
+		a.rejectedBy = leaf
+	}
+}
+
+// openGates starts the attempts of admitted calls, withdraws calls that are undecided, and hands those that
+// have ended to the query.
+func (a *admission) openGates() {
+	now := a.elapsed()
+	for leaf := range a.Calls {
+		switch {
+		case a.answered[leaf] != nil:
+			a.query.LeafEnded(now, a.Leaves[leaf], leaf, a.answered[leaf].result)
+		case a.isAdmitted[leaf]:
+			a.Calls[leaf].Exchange.OpenGate()
+		default:
+			a.cancels[leaf]()
+			a.query.LeafEnded(now, a.Leaves[leaf], leaf, Result{})
+		}
+	}
+}
+
+// admissionTimeout returns how long all modules may take to decide. It limits the delay by a hard limit whose
+// store does not reply to half of what the query waits for its parts without a deadline of the client, so that
+// no part is lost only because the process is overloaded.
+func (r *Run) admissionTimeout() time.Duration {
+	settings := r.Gatherers[0].Settings
+	maxTimeout := r.Timeout / 2
+	switch settings.Mode {
+	case waitpolicy.None:
+		return maxTimeout
+	case waitpolicy.Fixed:
+		return min(maxTimeout, max(minAdmissionTimeout, settings.Fixed/2))
+	}
+	return min(maxTimeout, max(minAdmissionTimeout, settings.HalfLife/2))
+}
--- a/internal/scattergather/call.go
+++ b/internal/scattergather/call.go
@@ -4,61 +4,145 @@
 	"context"
 	"fmt"
 	"io"
+	"net/http"
 	"strings"
+	"time"
 
 	"lockflow/control"
 	"lockflow/internal/service"
 	"lockflow/internal/upstream"
+	"lockflow/internal/waitpolicy"
 )
 
-// isQuotaRejection tells whether an answer is a module's word that the customer has no more to spend.
-func isQuotaRejection(a service.Answer) bool {
-	if a.Kind != service.Rejected {
+// partEvent is what happened to the call to a leaf: its module has admitted it, or it has ended.
+type partEvent struct {
+	leaf        int
+	isAdmission bool // the answer is still to come
+	answer      service.Answer
+	result      Result
+}
+
+// call has one service run its call, and delivers its admission and its result. ctx abandons it.
+func (r *Run) call(ctx context.Context, leaf int) {
+	call := &r.Calls[leaf]
+	gatherer := r.Gatherers[r.Leaves[leaf].Gatherer.ID]
+	call.Exchange.Gate = &service.Gate{
+		Linger: lateResultHalfLives * gatherer.Settings.HalfLife,
+		OnDecision: func(isAdmitted bool) {
+			if isAdmitted {
+				r.deliver(partEvent{leaf: leaf, isAdmission: true})
+			}
+		},
+		OnLateEnd: func(end service.LateEnd, duration time.Duration) {
+			r.observe(leaf, waitpolicy.Outcome{
+				Duration: duration,
+				Censored: end == service.LateUnknown,
+				Failed:   end == service.LateFailed,
+			})
+		},
+	}
+	answer, ok := call.Service.Do(ctx, call.Exchange)
+	var result Result
+	if ok {
+		result, _ = call.readResult(ctx, answer, r.Leaves[leaf].Gatherer.Merge)
+		if answer.Kind != service.Served {
+			answer.Body = nil
+		}
+	}
+	r.mu.Lock()
+	r.isReserved[leaf] = true
+	if result.Present == 0 || r.isFinished {
+		r.releaseReserved(leaf)
+	}
+	r.mu.Unlock()
+	if ok && !r.deliver(partEvent{leaf: leaf, answer: answer, result: result}) {
+		isEmpty := result.Present == 0
+		r.observe(leaf, waitpolicy.Outcome{Duration: r.elapsed(), Censored: ctx.Err() != nil && isEmpty, Failed: isEmpty})
+	}
+	r.removeReference()
+}
+
+// deliver queues an event for the query; false if the query has finished.
+func (r *Run) deliver(event partEvent) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.isFinished {
+		return false
+	}
+	r.results = append(r.results, event)
+	select {
+	case r.hasResults <- struct{}{}:
+	default:
+	}
+	return true
+}
+
+// takeResults returns the queued events and removes them.
+func (r *Run) takeResults() []partEvent {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	events := r.results
+	r.results = nil
+	return events
+}
+
+// hasNoResults reports whether no event is queued.
+func (r *Run) hasNoResults() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.results) == 0
+}
+
+// isQuotaRejection reports whether a module has rejected a call because its customer's quota is used up.
+func isQuotaRejection(answer service.Answer) bool {
+	if answer.Kind != service.Rejected {
 		return false
 	}
-	switch a.Cause {
+	switch answer.Cause {
 	case control.CauseHardLimit, control.CauseQuota, control.CauseProbability:
 		return true
 	}
 	return false
 }
 
-// readResult takes an answer in, to its end. Whatever is not a whole answer that can be merged holds nothing.
-func (c *Call) readResult(ctx context.Context, a service.Answer, m Merge) (Result, error) {
-	s := a.Stream
-	if s != nil {
-		defer s.Close()
-	}
-	switch encoding := a.Header["Content-Encoding"]; {
-	case a.Kind != service.Served || a.Header == nil || a.Status != 200:
-		return Result{}, fmt.Errorf("status %d", a.Status)
-	case len(encoding) > 0 && !strings.EqualFold(strings.Join(encoding, ","), "identity"):
+// readResult reads an answer to its end. An answer that is not complete or cannot be merged is an error.
+func (c *Call) readResult(ctx context.Context, answer service.Answer, merge Merge) (Result, error) {
+	stream := answer.Stream
+	if stream != nil {
+		defer stream.Close()
+	}
+	if answer.Kind != service.Served || answer.Header == nil || answer.Status != http.StatusOK {
+		return Result{}, fmt.Errorf("status %d", answer.Status)
+	}
+	encoding := answer.Header["Content-Encoding"]
+	if len(encoding) > 0 && !strings.EqualFold(strings.Join(encoding, ","), "identity") {
 		return Result{}, fmt.Errorf("encoded as %q", encoding)
 	}
-	present, of, without, err := ParsePartsHeaders(a.Header[HeaderParts], a.Header[HeaderMissing])
+	result, err := ParsePartsHeaders(answer.Header[HeaderParts], answer.Header[HeaderMissing])
 	if err != nil {
 		return Result{}, err
 	}
-	body := a.Body
-	if s != nil {
-		if body, err = readAll(ctx, s, c.MaxBytes); err != nil {
+	body := answer.Body
+	if stream != nil {
+		body, err = readAll(ctx, stream, c.MaxBytes)
+		if err != nil {
 			return Result{}, err
 		}
 	}
-	content, err := m.Check(body)
+	result.Content, err = merge.Check(body)
 	if err != nil {
 		return Result{}, err
 	}
-	return Result{Content: content, Present: present, Total: of, Missing: without}, nil
+	return result, nil
 }
 
-// readAll reads a stream to its end, until ctx ends.
-func readAll(ctx context.Context, s *upstream.Stream, maxBytes int) ([]byte, error) {
-	if s.IsTunnel || s.ContentLength > int64(maxBytes) {
-		return nil, fmt.Errorf("%d bytes are more than %d", s.ContentLength, maxBytes)
+// readAll reads a stream of at most maxBytes to its end. The stream is aborted when ctx ends.
+func readAll(ctx context.Context, stream *upstream.Stream, maxBytes int) ([]byte, error) {
+	if stream.IsTunnel || stream.ContentLength > int64(maxBytes) {
+		return nil, fmt.Errorf("%d bytes are more than %d", stream.ContentLength, maxBytes)
 	}
-	defer context.AfterFunc(ctx, s.Abort)()
-	body, err := io.ReadAll(io.LimitReader(s, int64(maxBytes)+1))
+	defer context.AfterFunc(ctx, stream.Abort)()
+	body, err := io.ReadAll(io.LimitReader(stream, int64(maxBytes)+1))
 	if err == nil && len(body) > maxBytes {
 		err = fmt.Errorf("more than %d bytes", maxBytes)
 	}
--- /dev/null
+++ b/internal/scattergather/headers.go
@@ -0,0 +1,81 @@
+package scattergather
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+// Headers of a merged answer that report which parts it contains.
+const (
+	HeaderParts   = "Lockflow-Parts"   // "2/3": parts in it, of parts that were queried
+	HeaderMissing = "Lockflow-Missing" // paths of the others, such as "pod-c, west/pod-d"
+)
+
+const (
+	maxInnerParts   = 10000   // parts that an answer may report
+	maxMissingBytes = 8 << 10 // length of HeaderMissing
+)
+
+// ParsePartsHeaders reads the values of HeaderParts and HeaderMissing of an answer, which another gatherer may have
+// merged. The result has no content; it is 1 of 1 where both headers are absent. An error is returned where they
+// contradict each other or exceed a limit.
+func ParsePartsHeaders(parts, missing []string) (Result, error) {
+	if len(parts) == 0 && len(missing) == 0 {
+		return Result{Present: 1, Total: 1}, nil
+	}
+	if len(parts) != 1 || len(missing) > 1 {
+		return Result{}, fmt.Errorf("%s: given %d times, and %s %d times", HeaderParts, len(parts), HeaderMissing, len(missing))
+	}
+	result, err := parseParts(parts[0])
+	if err != nil {
+		return Result{}, err
+	}
+	if len(missing) == 1 {
+		result.Missing, err = parseMissing(missing[0])
+		if err != nil {
+			return Result{}, err
+		}
+	}
+	// A name may stand for a gatherer with several parts, but every name stands for at least one.
+	absent := result.Total - result.Present
+	hasNames := len(result.Missing) > 0
+	if (absent > 0) != hasNames || len(result.Missing) > absent {
+		return Result{}, fmt.Errorf("%s: %s with %d missing by name", HeaderParts, parts[0], len(result.Missing))
+	}
+	return result, nil
+}
+
+// parseParts parses "present/total".
+func parseParts(value string) (Result, error) {
+	presentText, totalText, ok := strings.Cut(value, "/")
+	present, presentErr := strconv.Atoi(presentText)
+	total, totalErr := strconv.Atoi(totalText)
+	isNumeric := ok && presentErr == nil && totalErr == nil
+	isInRange := present >= 0 && present <= total && total >= 1 && total <= maxInnerParts
+	if !isNumeric || !isInRange {
+		return Result{}, fmt.Errorf("%s: %q", HeaderParts, value)
+	}
+	return Result{Present: present, Total: total}, nil
+}
+
+// parseMissing parses a list of names; whitespace alone is an empty one.
+func parseMissing(value string) (names []string, err error) {
+	if strings.Trim(value, whitespace) == "" {
+		return nil, nil
+	}
+	if len(value) > maxMissingBytes {
+		return nil, fmt.Errorf("%s: %d bytes", HeaderMissing, len(value))
+	}
+	for name := range strings.SplitSeq(value, ",") {
+		name = strings.Trim(name, whitespace)
+		if name == "" || strings.ContainsFunc(name, isOutsidePath) {
+			return nil, fmt.Errorf("%s: %q", HeaderMissing, name)
+		}
+		names = append(names, name)
+	}
+	return names, nil
+}
+
+// isOutsidePath reports whether a character cannot be part of a path: space, control and non-ASCII characters.
+func isOutsidePath(c rune) bool { return c <= ' ' || c >= 0x7f }
--- a/internal/scattergather/merge_test.go
+++ b/internal/scattergather/merge_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestInner(t *testing.T) {
+func TestParsePartsHeaders(t *testing.T) {
 	for _, c := range []struct{ parts, missing, want string }{
 		{"", "", "1/1 []"},
 		{"3/3", "", "3/3 []"},
@@ -80,17 +80,17 @@
 			}
 			return []string{s}
 		}
-		held, of, without, err := ParsePartsHeaders(field(c.parts), field(c.missing))
-		if got := fmt.Sprintf("%d/%d %v", held, of, without); err == nil && got != c.want || (err != nil) != (c.want == "") {
+		result, err := ParsePartsHeaders(field(c.parts), field(c.missing))
+		if got := fmt.Sprintf("%d/%d %v", result.Present, result.Total, result.Missing); err == nil && got != c.want || (err != nil) != (c.want == "") {
 			t.Errorf("%q without %q: %s, %v", c.parts, c.missing, got, err)
 		}
 	}
-	if _, _, _, err := ParsePartsHeaders([]string{"1/1", "1/1"}, nil); err == nil {
+	if _, err := ParsePartsHeaders([]string{"1/1", "1/1"}, nil); err == nil {
 		t.Error("given twice")
 	}
 }
 
-// What can be merged is so with anything else, and the whole is well formed and holds the sum.
+// A body that passes Check can be merged with any other, and the merged answer is valid and has all elements.
 func FuzzCheck(f *testing.F) {
 	for _, s := range []string{"[1,2]", "[]", "{\"a\":1}\n2", " [\"\\ud800\"] ", "[[[]]]"} {
 		f.Add([]byte(s))
@@ -120,22 +120,22 @@
 	})
 }
 
-// drawTree draws a tree so many levels deep at most; names counts what is named.
-func drawTree(t *rapid.T, names *int, deep int) *Tree {
+// drawTree draws a tree of limited depth; names counts the names that were given.
+func drawTree(t *rapid.T, names *int, maxDepth int) *Tree {
 	*names++
 	tree := &Tree{Name: fmt.Sprint("g", *names), MinShare: rapid.Float64Range(0.01, 1).Draw(t, "least")}
 	for range rapid.IntRange(1, 4).Draw(t, "parts") {
 		*names++
 		p := Part{Name: fmt.Sprint("p", *names), Weight: float64(rapid.IntRange(1, 3).Draw(t, "weight"))}
-		if deep > 0 && rapid.Bool().Draw(t, "inner") {
-			p.Inner = drawTree(t, names, deep-1)
+		if maxDepth > 0 && rapid.Bool().Draw(t, "inner") {
+			p.Inner = drawTree(t, names, maxDepth-1)
 		}
 		tree.Parts = append(tree.Parts, p)
 	}
 	return tree
 }
 
-// mentions counts how often an answer holds a leaf, names it, or names a gatherer that it is within.
+// mentions counts how often a response contains a leaf, names it, or names a gatherer above it.
 func (w *Response) mentions(root *Tree, leaf string) (n int) {
 	for _, c := range w.Contents {
 		if string(c) == leaf {
@@ -151,9 +151,9 @@
 	return n
 }
 
-// Whatever comes in whatever order, over trees of any form: an answer holds what it claims, counts add
-// up, each part is held or named once, and there is no answer of less than the least.
-func TestClaims(t *testing.T) {
+// Over any tree and any order of results: an answer contains what it claims, its counts add up, each part is in it
+// or named once, and there is no answer below MinShare.
+func TestAnswerClaimsWhatItContains(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		root := drawTree(t, new(int), 2)
 		leaves := root.NumberParts()
@@ -204,7 +204,7 @@
 		if w.Present != 0 || w.Total != all {
 			t.Fatalf("it claims %d more than it holds, of %d that are %d", w.Present, w.Total, all)
 		}
-		// Each leaf is held, or named, or within a gatherer that is.
+		// Each leaf is in the answer, or is named, or is below a gatherer that is.
 		for _, l := range leaves {
 			if is := w.mentions(root, l.Name); is != 1 {
 				t.Fatalf("%s is there %d times: %q, without %q", l.Name, is, w.Contents, w.Missing)
@@ -216,7 +216,7 @@
 	})
 }
 
-// reaches tells whether a part of a tree has a leaf under it.
+// reaches reports whether a part of a tree has a leaf below it.
 func reaches(t *Tree, part, leaf string) bool {
 	return slices.ContainsFunc(t.Parts, func(p Part) bool {
 		if p.Inner == nil {
--- a/internal/scattergather/run_test.go
+++ b/internal/scattergather/run_test.go
@@ -10,9 +10,9 @@
 	"lockflow/internal/waitpolicy"
 )
 
-// What was learned grows old by one clock over all queries: by half in two hours, whether a part came in
-// time or after it was given up.
-func TestForgets(t *testing.T) {
+// Models forget by one clock over all queries, half in two hours, whether a part has ended in time or after it
+// was abandoned.
+func TestModelForgetsByClock(t *testing.T) {
 	clock := time.Duration(0)
 	s := &waitpolicy.Settings{Parts: []waitpolicy.Part{{Name: "a"}, {Name: "b"}}, MinShare: 0.5}
 	g := &Gatherer{Settings: s, Model: waitpolicy.NewModel(s, waitpolicy.Options{}), Counts: new(Counts), Clock: func() time.Duration { return clock }}
@@ -39,16 +39,15 @@
 	}
 }
 
-// A query that waits for all its parts loses none to a process that is short of time, and one that does not
-// loses half of its own time at the most. What came before the time was over is heard, however late.
-func TestAdmits(t *testing.T) {
+// Admission takes at most half of the time that a query waits without a deadline of its client.
+func TestAdmissionTimeout(t *testing.T) {
 	for _, c := range []struct {
 		s          waitpolicy.Settings
 		wait, want time.Duration
 	}{
 		{waitpolicy.Settings{Mode: waitpolicy.None, HalfLife: time.Millisecond}, 8 * time.Second, 4 * time.Second},
 		{waitpolicy.Settings{Mode: waitpolicy.Fixed, Fixed: 2 * time.Second}, 8 * time.Second, time.Second},
-		{waitpolicy.Settings{Mode: waitpolicy.Fixed, Fixed: 20 * time.Millisecond}, 8 * time.Second, minAdmissionWait},
+		{waitpolicy.Settings{Mode: waitpolicy.Fixed, Fixed: 20 * time.Millisecond}, 8 * time.Second, minAdmissionTimeout},
 		{waitpolicy.Settings{HalfLife: 3 * time.Second}, 8 * time.Second, 1500 * time.Millisecond},
 		{waitpolicy.Settings{HalfLife: 3 * time.Second}, 200 * time.Millisecond, 100 * time.Millisecond},
 	} {
@@ -59,45 +58,45 @@
 	}
 }
 
-// hasty answers with whatever there is, even nothing: how much is enough is not left to a decider alone.
-type hasty struct{}
+// eagerDecider answers after a second with what there is, even nothing: the query itself has to check MinShare.
+type eagerDecider struct{}
 
-func (hasty) PartEnded(time.Duration, int, float64) {}
+func (eagerDecider) PartEnded(time.Duration, int, float64) {}
 
-func (hasty) Next(now time.Duration) waitpolicy.Step {
+func (eagerDecider) Next(now time.Duration) waitpolicy.Step {
 	if now >= time.Second {
 		return waitpolicy.Step{Kind: waitpolicy.Answer}
 	}
 	return waitpolicy.Step{Until: time.Second}
 }
 
-// What comes after the answer is settled, or after its gatherer is, is not merged; less than the least is no
-// answer, and an inner gatherer's less than its own least is none of its outer one's.
-func TestSettled(t *testing.T) {
-	for come, want := range map[string]string{"a b c d": "a b c d/", "a b c": "a b c/d", "b c": "/", "b c d": "b c d/a", "a": "a/in d", "a b": "a/in d", "": "/"} {
+// Results that arrive after the decision of the query or of their gatherer are not merged. There is no answer below
+// MinShare, and an inner gatherer below its MinShare contributes nothing.
+func TestLateResultsAreNotMerged(t *testing.T) {
+	for early, want := range map[string]string{"a b c d": "a b c d/", "a b c": "a b c/d", "b c": "/", "b c d": "b c d/a", "a": "a/in d", "a b": "a/in d", "": "/"} {
 		in := &Tree{Name: "in", MinShare: 0.9, Parts: []Part{{Name: "b", Weight: 1}, {Name: "c", Weight: 1}}}
 		tree := &Tree{Name: "t", MinShare: 0.5, Parts: []Part{{Name: "a", Weight: 2}, {Name: "in", Weight: 1, Inner: in}, {Name: "d", Weight: 1}}}
 		leaves := tree.NumberParts()
-		q := Begin(tree, len(leaves), 0, func(*Tree) Decider { return hasty{} })
-		tell := func(now time.Duration, late bool) {
-			for place, l := range leaves {
-				if strings.Contains(come, l.Name) != late {
-					q.LeafEnded(now, l, place, Result{Content: []byte(l.Name), Present: 1, Total: 1})
+		q := Begin(tree, len(leaves), 0, func(*Tree) Decider { return eagerDecider{} })
+		end := func(now time.Duration, late bool) {
+			for leaf, l := range leaves {
+				if strings.Contains(early, l.Name) != late {
+					q.LeafEnded(now, l, leaf, Result{Content: []byte(l.Name), Present: 1, Total: 1})
 				}
 			}
 		}
-		tell(0, false)
+		end(0, false)
 		step := q.Next(time.Second)
-		tell(2*time.Second, true)
+		end(2*time.Second, true)
 		got := "/"
 		if q.Next(2*time.Second).Kind != step.Kind {
-			t.Errorf("%q: it is settled anew", come)
+			t.Errorf("%q: it is decided again", early)
 		}
 		if w := q.Answer(); step.Kind == waitpolicy.Answer {
 			got = string(bytes.Join(w.Contents, []byte(" "))) + "/" + strings.Join(w.Missing, " ")
 		}
 		if got != want {
-			t.Errorf("%q: %s, not %s", come, got, want)
+			t.Errorf("%q: %s, not %s", early, got, want)
 		}
 	}
 }
