--- a/control/controller.go
+++ b/control/controller.go
@@ -16,13 +16,9 @@
 	minAnswersPerWindow        = 5                      // with fewer answers the shares stay
 	epsilon                    = 1e-9                   // keeps quotients finite
 	rejectRetryAfter           = time.Second            // Retry-After of a rejection
-	initialMeterLagBins        = 8                      // delay of readings assumed until it is learned
 	historyBins                = 80                     // length of an account's histories
-	initialSlackFraction       = 0.5                    // part of the slack that a new hard-limit bucket has
 	serverLatencyGain          = 0.2                    // gain of a server's latency estimate
 	fleetEstimateGain          = 0.02                   // gain of estimates over all servers
-	maxRetryBudget             = 20.0                   // retries that can be saved up
-	rewatchInterval            = 2 * time.Second        // between two requests to watch the endpoint list
 )
 
 // New returns a gateway's controller, whose randomness comes from seed; an error names a bad setting.
@@ -31,30 +27,26 @@
 		return nil, err
 	}
 	c := newController(settings, seed)
-	c.retryBudget.retries = maxRetryBudget
-	c.minRetryGap = rejectRetryAfter
-	c.meter.lagBins = initialMeterLagBins
 	c.fleet.requestUnits.mean = (1 + math.Max(1, settings.MaxUnits)) / 2 // until there are requests
-	for _, plan := range c.plans {
-		plan.share = 1 / float64(len(c.plans))
-	}
 	return c, nil
 }
 
-// handleList takes a change of the endpoint list. After a failure the list is watched again at a random
-// time, as all gateways see the same failure.
+// handleList takes a change of the endpoint list.
 func (c *Controller) handleList(event EndpointList) {
-	isFromWatch := event.Kind == ListPatch || event.Kind == ListComplete
-	c.isWatching = c.settings.ListOnRequest && isFromWatch
+	c.watch.handleList(c.now, c.rng, event.Kind)
 	if event.Kind == ListFailed {
-		c.nextWatchAt = c.now + rewatchInterval/2 + time.Duration(c.rng.Int64N(int64(rewatchInterval)))
 		return
 	}
-	c.mergeList(event)
-	if c.limiter.limit == 0 {
-		first := math.Min(slotsPerServer, initialGroupSlotsPerServer/float64(c.settings.GroupSize))
-		c.limiter.limit = math.Max(c.minConcurrencyLimit(), first*c.countServers((*server).isUsable))
-	}
+	c.fleet.merge(c.now, c.rng, event, &c.slowStartSettings)
+	c.limiter.open(c.settings.GroupSize, c.fleet.countServers((*server).isUsable), c.minConcurrencyLimit())
+}
+
+// minConcurrencyLimit is the lowest concurrency limit with the servers that are usable and not ejected.
+func (c *Controller) minConcurrencyLimit() float64 {
+	responsive := c.fleet.countServers(func(srv *server) bool {
+		return srv.isUsable() && !srv.outlier.hasTripped()
+	})
+	return minConcurrencyLimit(c.settings.GroupSize, responsive)
 }
 
 func (c *Controller) handleTimer(label uint64) {
@@ -62,7 +54,7 @@
 		c.handleTick()
 		return
 	}
-	req := c.requestsByTimer[label]
+	req := c.requests.byTimer[label]
 	if req == nil || !req.isQueued {
 		return
 	}
@@ -75,10 +67,8 @@
 // due.
 func (c *Controller) handleTick() {
 	c.emit(StartTimer{After: tickPeriod, Label: tickTimerLabel})
-	needsWatch := c.settings.ListOnRequest && !c.isWatching
-	if needsWatch && c.now >= c.nextWatchAt {
+	if c.watch.start(c.now) {
 		c.emit(WatchEndpoints{Active: true})
-		c.nextWatchAt = c.now + rewatchInterval
 	}
 	if c.isWindowDue() {
 		c.endWindow((c.now - c.windowEndsAt + windowDuration).Seconds())
@@ -92,6 +82,29 @@
 	if c.now < c.windowEndsAt {
 		return false
 	}
-	hasEnoughAnswers := c.window.answers+c.window.overloads >= minAnswersPerWindow
-	return hasEnoughAnswers || c.now >= c.windowEndsAt+maxWindowExtension
+	return c.window.hasEnoughAnswers() || c.now >= c.windowEndsAt+maxWindowExtension
+}
+
+// endWindow sets the concurrency limit and the shares of the next control window.
+func (c *Controller) endWindow(windowSeconds float64) {
+	c.limiter.update(c.now, &c.window, c.fleet.latency, c.minConcurrencyLimit())
+	c.scheduler.updateShares(&c.window)
+	c.fleet.recordThroughput(c.now, c.window.servedUnits, windowSeconds)
+	c.window = controlWindow{}
+	c.accounts.evictIdle(c.now)
+}
+
+// accountFor returns the refilled account of a plan's customer, opened at its first request.
+func (c *Controller) accountFor(plan *planQueue, customer string, fanOut int) *customerAccount {
+	return c.accounts.find(c.now, c.rng, plan, customer, fanOut)
+}
+
+// refill brings an account up to now.
+func (c *Controller) refill(account *customerAccount) { c.accounts.refillAccount(c.now, account) }
+
+func (c *Controller) currentBin() int64 { return c.accounts.binAt(c.now) }
+
+// armTimer has the request's one timer fire after a time.
+func (c *Controller) armTimer(req *request, after time.Duration) {
+	c.emit(StartTimer{After: max(after, 0), Label: c.requests.timerLabel(req)})
 }
--- a/control/server_storage.go
+++ b/control/server_storage.go
@@ -36,7 +36,7 @@
 		PlanRejectedUntil:   make(map[string]time.Duration),
 		SlowStartTokens:     srv.slowStart.tokens,
 	}
-	for _, abandoned := range c.slots.abandoned {
+	for _, abandoned := range c.requests.slots.abandoned {
 		if abandoned.server == srv {
 			saved.AbandonedUntil = append(saved.AbandonedUntil, abandoned.until)
 		}
@@ -51,7 +51,7 @@
 
 // restoreServer takes over the stored form of a server if it is of the same incarnation.
 func (c *Controller) restoreServer(saved *ServerCheckpoint, trust Trust) {
-	srv := c.servers[saved.Server]
+	srv := c.fleet.servers[saved.Server]
 	if srv == nil || !isSameIncarnation(srv.bootTime(), saved.StartedAt) {
 		return
 	}
@@ -79,7 +79,7 @@
 	outlier.ejectedUntil = min(saved.EjectedUntil, c.now+maxEjectionTime)
 	outlier.ejectionTime = min(saved.EjectionTime, maxEjectionTime)
 	for name, until := range saved.PlanRejectedUntil {
-		if plan := c.plansByName[name]; plan != nil {
+		if plan := c.scheduler.plansByName[name]; plan != nil {
 			outlier.planRejectedUntil[plan] = min(until, c.now+planRejectionTime)
 		}
 	}
@@ -90,11 +90,11 @@
 func (c *Controller) restoreAbandoned(srv *server, saved *ServerCheckpoint) {
 	until := c.now + durationOf(c.fleet.latency.mean)
 	for range min(saved.InFlight, maxRestoredAbandoned) {
-		c.slots.abandon(srv, until)
+		c.requests.slots.abandon(srv, until)
 	}
 	for i := range min(len(saved.AbandonedUntil), maxRestoredAbandoned) {
 		if until := saved.AbandonedUntil[i]; until > c.now {
-			c.slots.abandon(srv, min(until, c.now+maxAbandonedTime))
+			c.requests.slots.abandon(srv, min(until, c.now+maxAbandonedTime))
 		}
 	}
 }
@@ -136,21 +136,21 @@
 	var servers []*server
 	for i := range image.Servers {
 		saved := &image.Servers[i]
-		srv, err := saved.server(c.plans)
+		srv, err := saved.server(c.scheduler.plans)
 		if err != nil {
 			return nil, fmt.Errorf("server %d: %w", saved.Server, err)
 		}
 		servers = append(servers, srv)
 		if saved.IsTracked {
-			c.servers[srv.Server] = srv
-			c.sortedServers = append(c.sortedServers, srv)
+			c.fleet.servers[srv.Server] = srv
+			c.fleet.sortedServers = append(c.fleet.sortedServers, srv)
 		}
 	}
 	for _, saved := range image.Abandoned {
 		if !isIndex(saved.Server, len(servers)) {
 			return nil, fmt.Errorf("abandoned attempt: there is no server %d", saved.Server)
 		}
-		c.slots.abandoned = append(c.slots.abandoned, abandonedAttempt{servers[saved.Server], saved.Until})
+		c.requests.slots.abandoned = append(c.requests.slots.abandoned, abandonedAttempt{servers[saved.Server], saved.Until})
 	}
 	return servers, nil
 }
--- a/control/state.go
+++ b/control/state.go
@@ -4,15 +4,12 @@
 	"math"
 	"math/rand/v2"
 	"time"
-
-	"lockflow/control/sharecontrol"
 )
 
 // Controller decides for one gateway. It is not safe for concurrent use.
 type Controller struct {
-	settings          Settings
-	classes           map[string]*Class
-	maxPriorityWeight float64 // of all classes
+	settings Settings
+	classes  map[string]*Class
 
 	pcg *rand.PCG // source of rng
 	rng *rand.Rand
@@ -23,59 +20,27 @@
 	actions      []Action // that answer the present event
 
 	// Requests and their attempts.
-	requests         map[string]*request
-	requestsByTimer  map[uint64]*request
-	lastTimerLabel   uint64
-	attempts         map[attemptKey]*pendingAttempt
-	slots            attemptSlots
-	retryBudget      retryBudget
-	typicalDeadlines map[*Class]*typicalDeadline
-	minRetryGap      time.Duration // shortest observed time from a client's first attempt to its retry
+	requests    requestTable
+	retries     retryPolicy
+	clientWaits clientWaitEstimator
 
 	// Customers and their plans.
-	plans         []*planQueue
-	plansByName   map[string]*planQueue
-	accounts      map[string]*customerAccount // by plan and customer
-	meter         meterClock
-	fillingSince  time.Duration // time since which the buckets of accounts not opened yet fill
-	slackFraction float64       // part of its slack with which the bucket of a hard limit is opened
-	rateFraction  float64       // part of all rates that is this controller's; below one after HandOver
+	scheduler scheduler
+	accounts  accountTable
+	admission admission
+	usage     usageEstimator
 
 	// Servers.
-	servers       map[uint32]*server
-	sortedServers []*server // by number
-	fleet         fleetEstimate
-	isWatching    bool // the endpoint list
-	nextWatchAt   time.Duration
+	fleet             serverFleet
+	slowStartSettings slowStartSettings
+	selector          endpointSelector
+	watch             endpointWatch
 
 	// The control window.
-	window          controlWindow
-	windowEndsAt    time.Duration
-	limiter         concurrencyLimiter
-	shareController *sharecontrol.Controller
-	nextTick        time.Duration // not in use; images have a key for it
-}
-
-// concurrencyLimiter limits the attempts in flight.
-type concurrencyLimiter struct {
-	limit                float64
-	cutAt                time.Duration // of the latest cut
-	fractionalSlotFreeAt time.Duration // before, the part of the limit beyond a whole number is not used
-	idleLatency          float64       // seconds; latency of answers by servers with little load
-}
-
-// controlWindow is what is counted in one control window. Counts are floats as they enter quotients.
-type controlWindow struct {
-	wasCut            bool // the limit, or would have been but for a recent cut
-	limitReached      bool
-	latencyRatioSum   float64 // of latency over objective, one at most
-	latencySecondsSum float64
-	latencyCount      float64
-	answers           float64 // also by servers that are warming up
-	overloads         float64 // attempts that were rejected by a server or timed out
-	servedUnits       float64 // by servers that are not warming up
-	utilizationSum    float64 // of load reports
-	utilizationCount  float64
+	window       controlWindow
+	windowEndsAt time.Duration
+	limiter      concurrencyLimiter
+	nextTick     time.Duration // not in use; images have a key for it
 }
 
 // secondSeedMask makes the second seed of the random numbers differ from the first: 2^64 over the golden ratio.
@@ -84,34 +49,26 @@
 func newController(settings Settings, seed uint64) *Controller {
 	pcg := rand.NewPCG(seed, seed^secondSeedMask)
 	c := &Controller{
-		settings:         settings,
-		rateFraction:     1,
-		slackFraction:    initialSlackFraction,
-		pcg:              pcg,
-		rng:              rand.New(pcg),
-		classes:          make(map[string]*Class),
-		plansByName:      make(map[string]*planQueue),
-		requests:         make(map[string]*request),
-		typicalDeadlines: make(map[*Class]*typicalDeadline),
-		requestsByTimer:  make(map[uint64]*request),
-		attempts:         make(map[attemptKey]*pendingAttempt),
-		accounts:         make(map[string]*customerAccount),
-		servers:          make(map[uint32]*server),
+		settings:  settings,
+		pcg:       pcg,
+		rng:       rand.New(pcg),
+		classes:   make(map[string]*Class),
+		scheduler: newScheduler(settings.Plans),
+		requests:  newRequestTable(),
+		fleet:     serverFleet{servers: make(map[uint32]*server)},
 	}
+	c.slowStartSettings = newSlowStartSettings(&c.settings)
+	c.selector = endpointSelector{fleet: &c.fleet, slowStart: &c.slowStartSettings}
 	for i := range c.settings.Classes {
 		class := &c.settings.Classes[i]
 		c.classes[class.Name] = class
-		c.typicalDeadlines[class] = &typicalDeadline{}
-		c.maxPriorityWeight = math.Max(c.maxPriorityWeight, class.PriorityWeight)
-	}
-	prices := make([]float64, len(settings.Plans))
-	for i, plan := range settings.Plans {
-		queue := &planQueue{Plan: plan, index: i}
-		c.plans = append(c.plans, queue)
-		c.plansByName[plan.Name] = queue
-		prices[i] = plan.Price
 	}
-	c.shareController = sharecontrol.New(prices)
+	c.admission = newAdmission(&c.settings)
+	c.accounts = newAccountTable(&c.settings)
+	c.watch.isRequired = c.settings.ListOnRequest
+	c.usage = newUsageEstimator(&c.settings)
+	c.retries = newRetryPolicy(&c.settings)
+	c.clientWaits = newClientWaitEstimator(&c.settings)
 	return c
 }
 
@@ -136,8 +93,8 @@
 	case AttemptResult:
 		c.handleResponse(e)
 	case ClientGone:
-		if req := c.requests[e.ID]; req != nil {
-			c.removeRequest(req)
+		if req := c.requests.byID[e.ID]; req != nil {
+			c.requests.remove(req)
 		}
 	case TimerFired:
 		c.handleTimer(e.Label)
@@ -151,7 +108,7 @@
 // startClock starts the timer and the first window, at the first event.
 func (c *Controller) startClock() {
 	c.isStarted = true
-	c.fillingSince = c.now
+	c.accounts.fillingSince = c.now
 	c.windowEndsAt = c.now + windowDuration
 	c.emit(StartTimer{After: tickPeriod, Label: tickTimerLabel})
 }
--- a/internal/fleet/change_test.go
+++ b/internal/fleet/change_test.go
@@ -52,7 +52,7 @@
 		"terms and ceilings": {text(10, 10, keyed, 4), text(20, 20, never, 4), "never"},
 		"a larger group":     {text(10, 10, never, 4), text(20, 20, never, 5), "instances = 5"},
 	} {
-		got, err := Between(tc.old, tc.new)
+		got, err := IntermediateSettings(tc.old, tc.new)
 		if err != nil || (got == nil) != (tc.want == "") || !strings.Contains(strings.ReplaceAll(string(got), "'", `"`), tc.want) {
 			t.Errorf("%s: %s, %v", name, got, err)
 		}
@@ -68,7 +68,7 @@
 			return text(n("a"), n("b"), class, n("instances"))
 		}
 		old, new := draw("old"), draw("new")
-		mid, err := Between(old, new)
+		mid, err := IntermediateSettings(old, new)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -114,7 +114,7 @@
 		"another form":  {[]string{`{"form":2}`}, "form 2"},
 		"no kind":       {[]string{`{"form":1,"kind":"magic"}`}, "no known kind"},
 		"no socket":     {[]string{strings.Replace(fine, `"/s"`, ``, 1)}, "1 members and 0 sockets"},
-		"another text":  {[]string{strings.Replace(fine, `"x"`, `"y"`, 1)}, "are not what they were"},
+		"another text":  {[]string{strings.Replace(fine, `"x"`, `"y"`, 1)}, "do not have their hash"},
 		"no generation": {[]string{strings.Replace(fine, `"a",`, ``, 1)}, "1 generations"},
 		"a bad record":  {[]string{fine, "nonsense"}, "record 2"},
 	} {
@@ -131,11 +131,11 @@
 		last rollout.Entry
 		want string
 	}{
-		{rollout.Entry{Kind: rollout.EntryBake}, "it was cut at bake"},
+		{rollout.Entry{Kind: rollout.EntryBake}, "it was interrupted at bake"},
 		{rollout.Entry{Kind: rollout.EntryEnd, Outcome: string(rollout.ResultDone)}, ""},
 		{rollout.Entry{Kind: rollout.EntryEnd, Outcome: string(rollout.ResultStopped)}, "stopped"},
 	} {
-		j := Journal{Change: &Change{}, Entries: []rollout.Entry{c.last}}
+		j := RolloutLog{Change: &Change{}, Entries: []rollout.Entry{c.last}}
 		if got := j.Unfinished(); got != c.want {
 			t.Errorf("%+v: %q", c.last, got)
 		}
--- a/internal/rollout/ownership.go
+++ b/internal/rollout/ownership.go
@@ -16,7 +16,7 @@
 
 // claimOwnership claims an epoch until a majority has granted it, and then starts what the epoch is for.
 func (r *Rollout) claimOwnership() {
-	r.reason = "asks all members who owns them"
+	r.reason = "polls all members for their owner"
 	for i := range r.members {
 		if !r.members[i].isPolled {
 			return // the epoch that it has granted is not known
@@ -54,7 +54,8 @@
 	intact := 0
 	for i := range r.members {
 		m := &r.members[i]
-		m.hasGranted, m.isClaiming = false, false
+		m.hasGranted = false
+		m.isClaiming = false
 		if m.isServing && m.lossToken == "" {
 			intact++
 		}
@@ -81,7 +82,8 @@
 			m.command.sentAt = r.now
 		}
 		if m.isRestartDropped {
-			m.isRestartDropped, m.slotReservedUntil = false, r.now+r.plan.MemberTimeout
+			m.isRestartDropped = false
+			m.slotReservedUntil = r.now + r.plan.MemberTimeout
 		}
 	}
 	r.state = stateForward
@@ -109,7 +111,7 @@
 		case !m.isServing || m.hasGranted || m.isClaiming || r.now < m.nextClaimAt:
 		case m.lossToken != "" && !r.isMajorityIntact:
 			// It may have granted a newer epoch, and too few others could tell.
-		case m.lossToken != "" && m.lossSeenEpoch >= r.epoch:
+		case m.lossToken != "" && m.lossReadEpoch >= r.epoch:
 			if r.state != stateClaiming {
 				r.claimNewEpoch()
 				return
@@ -126,15 +128,18 @@
 		return // of an earlier attempt
 	}
 	m := &r.members[event.Member]
-	m.isClaiming, m.nextClaimAt = false, r.now+retryInterval
+	m.isClaiming = false
+	m.nextClaimAt = r.now + retryInterval
 	r.newestEpoch = max(r.newestEpoch, event.NewestEpoch)
 	switch event.Reply {
 	case ReplyOK:
-		m.hasGranted, m.lossToken = true, ""
+		m.hasGranted = true
+		m.lossToken = ""
 		// A command of an older epoch may be running: what the member ran before says nothing.
-		m.isUnsettled, m.lastReplyAt = true, r.now
+		m.isUnsettled = true
+		m.lastReplyAt = r.now
 	case ReplyUnsupported:
-		r.endUnowned(fmt.Sprintf("member %s knows of no ownership: it runs a program older than staged changes", r.name(event.Member)))
+		r.endUnowned(fmt.Sprintf("member %s knows of no ownership: its program is older than staged changes", r.name(event.Member)))
 	case ReplyStale:
 		r.handleStaleClaim(event)
 	case ReplyUngranted: // it has lost its state, and its next status has the token
@@ -172,12 +177,20 @@
 // that has granted the new one, and sent again under it where they are still wanted.
 func (r *Rollout) claimNewEpoch() {
 	r.reason = "claims a new epoch"
-	r.state, r.claimAttempts, r.nextClaimAt, r.claimDeadline = stateClaiming, 0, 0, r.now+r.claimTimeout()
+	r.state = stateClaiming
+	r.claimAttempts = 0
+	r.nextClaimAt = 0
+	r.claimDeadline = r.now + r.claimTimeout()
 	for i := range r.members {
 		m := &r.members[i]
-		m.hasGranted, m.isClaiming, m.nextClaimAt, m.mayHaveCopies = false, false, 0, false
+		m.hasGranted = false
+		m.isClaiming = false
+		m.nextClaimAt = 0
+		m.mayHaveCopies = false
 		if m.command != nil {
-			m.command.awaitsReply, m.command.isReplyLost, m.command.retryAt = false, true, 0
+			m.command.awaitsReply = false
+			m.command.isReplyLost = true
+			m.command.retryAt = 0
 		}
 	}
 }
--- a/internal/rollout/resume.go
+++ b/internal/rollout/resume.go
@@ -7,7 +7,7 @@
 )
 
 // rollbackByOperator is the cause of a rollback that the operator asked for.
-const rollbackByOperator = "taken back by the owner"
+const rollbackByOperator = "rollback requested by the operator"
 
 // Resume returns a coordinator that goes on with a change from the entries of its rollout log. What the members run
 // is not taken from the log: their statuses tell it. rollBack rolls the change back from wherever it is. It returns
@@ -23,17 +23,20 @@
 	}
 	for k, entry := range entries {
 		if err := r.replay(&entry, index); err != nil {
-			return nil, fmt.Errorf("entry %d of the journal, %s: %w", k+1, entry.Kind, err)
+			return nil, fmt.Errorf("entry %d of the rollout log, %s: %w", k+1, entry.Kind, err)
 		}
 	}
 	if r.result == ResultDone || r.result == ResultRolledBack || r.result == ResultRefused {
 		return nil, fmt.Errorf("the change is over: %s: %s", r.result, r.reason)
 	}
 	if rollBack && !r.isRollbackWanted {
-		r.isRollbackWanted, r.rollbackGeneration = true, r.phase-1
-		r.rollbackCause, r.isRollbackUnwritten = rollbackByOperator, true
+		r.isRollbackWanted = true
+		r.rollbackGeneration = r.phase - 1
+		r.rollbackCause = rollbackByOperator
+		r.isRollbackUnwritten = true
 	}
-	r.result, r.reason = "", ""
+	r.result = ""
+	r.reason = ""
 	r.restoreCommands()
 	return r, nil
 }
@@ -71,7 +74,9 @@
 		}
 		return r.replayOfMember(entry, &r.members[i])
 	case EntryRollback:
-		r.isRollbackWanted, r.rollbackCause, r.rollbackGeneration = true, entry.Reason, r.phase-1
+		r.isRollbackWanted = true
+		r.rollbackCause = entry.Reason
+		r.rollbackGeneration = r.phase - 1
 		for i := range r.members {
 			r.members[i].dropCommand()
 		}
@@ -81,10 +86,11 @@
 		}
 		r.rollbackGeneration = entry.Generation
 	case EntryEnd:
-		r.result, r.reason = Result(entry.Outcome), entry.Reason
+		r.result = Result(entry.Outcome)
+		r.reason = entry.Reason
 	case EntryOwned, EntryBake, EntryVerdict: // nothing follows from them
 	default:
-		return errors.New("it is of no known kind")
+		return errors.New("its kind is unknown")
 	}
 	return nil
 }
@@ -94,7 +100,9 @@
 	if !isPhase || entry.Stage < 1 || entry.Stage > len(r.phases[entry.Phase-1].stages) {
 		return fmt.Errorf("there is no stage %d of phase %d in its plan", entry.Stage, entry.Phase)
 	}
-	r.isPhaseKnown, r.phase, r.stage = true, entry.Phase, entry.Stage-1
+	r.isPhaseKnown = true
+	r.phase = entry.Phase
+	r.stage = entry.Stage - 1
 	return nil
 }
 
@@ -102,13 +110,14 @@
 	switch entry.Kind {
 	case EntryCommand:
 		if entry.Generation < 0 || entry.Generation > len(r.phases) || entry.ID == "" {
-			return errors.New("the order is none")
+			return errors.New("it has no valid command")
 		}
 		m.command = &command{id: entry.ID, generation: entry.Generation, isRestart: entry.IsRestart}
 		r.hasCommanded = true
 	case EntryOutcome:
 		if m.command != nil && m.command.id == entry.ID {
-			m.command, m.isSuspect = nil, m.isSuspect && entry.Outcome != outcomeDone
+			m.command = nil
+			m.isSuspect = m.isSuspect && entry.Outcome != outcomeDone
 		}
 	default: // an abandoned member is tried again
 	}
