--- /dev/null
+++ b/internal/waitpolicy/correlation.go
@@ -0,0 +1,41 @@
+package waitpolicy
+
+const (
+	// correlationKeep is the weight that the moments keep with each query.
+	correlationKeep = 1 - 1.0/256
+	// minSquareMoment is the moment below which no correlation is known.
+	minSquareMoment = 20
+	// maxCorrelation limits the correlation, as forecasts divide by its difference to 1.
+	maxCorrelation = 0.95
+)
+
+// correlation returns the correlation of the parts' normal scores.
+func (c *class) correlation() float64 {
+	if c.squareMoment < minSquareMoment {
+		return 0
+	}
+	return max(0, min(maxCorrelation, c.pairMoment/c.squareMoment))
+}
+
+// observeCorrelation adds the parts of a query to the moments, if all of them are known.
+func (c *class) observeCorrelation(q *Query) {
+	if q.forecast == nil || len(q.forecast.parts) != len(q.parts) || len(q.parts) < 2 {
+		return
+	}
+	var sum, squares float64
+	for i := range q.parts {
+		if !q.forecast.parts[i].isKnown {
+			return
+		}
+		outcome := Outcome{Duration: q.endedAt - q.startedAt, Censored: true}
+		if q.parts[i].status != partOutstanding {
+			outcome = Outcome{Duration: q.parts[i].duration}
+		}
+		score := q.forecast.parts[i].scoreOf(outcome)
+		sum += score
+		squares += score * score
+	}
+	n := float64(len(q.parts))
+	c.pairMoment = correlationKeep*c.pairMoment + (sum*sum-squares)/(n*(n-1))
+	c.squareMoment = correlationKeep*c.squareMoment + squares/n
+}
--- a/internal/waitpolicy/plan.go
+++ b/internal/waitpolicy/plan.go
@@ -5,97 +5,136 @@
 	"time"
 )
 
-// outstandingPart is a part that is out, while a plan is made.
-type outstandingPart struct {
-	curve                 *curve
-	weight                float64
-	outstanding, answered float64                       // now
-	scoreNow              float64                       // normal score now
-	inverseOutstanding    float64                       // 1/out
-	inverseStay           [len(quadratureNodes)]float64 // one over the chance to be still out now, by the common factor
-	// At the time that is looked at: the chance to have ended, the part of that which has come, the score.
-	endedProbability, answeredRatio, scoreThen, outstandingThen float64
-}
+// nodeCount is the number of nodes of the quadrature over the common factor.
+const nodeCount = 5
 
-// Nodes and weights of the mean over a normal distribution, exact to the ninth power (Gauss, Hermite).
+// Nodes and weights of the Gauss-Hermite quadrature of a mean over a standard normal distribution, exact for
+// polynomials up to the ninth degree.
 var (
-	quadratureNodes   = [...]float64{0, 1.355626179974266, -1.355626179974266, 2.856970013872806, -2.856970013872806}
-	quadratureWeights = [...]float64{0.5333333333333333, 0.2220759220056126, 0.2220759220056126, 0.0112574113277207, 0.0112574113277207}
+	quadratureNodes   = [nodeCount]float64{0, 1.355626179974266, -1.355626179974266, 2.856970013872806, -2.856970013872806}
+	quadratureWeights = [nodeCount]float64{0.5333333333333333, 0.2220759220056126, 0.2220759220056126, 0.0112574113277207, 0.0112574113277207}
 )
 
 const (
-	minCorrelation = 0.04 // correlation below which parts count as independent
-	// independentProbability is the chance that a part goes its own way in a query, whatever the others do: without it
-	// one that is far later than fits the others would be expected at each next moment.
+	// minCorrelation is the correlation below which parts count as independent.
+	minCorrelation = 0.04
+	// independentProbability is the probability that a part does not follow the common factor in a query. Without
+	// it a part that is far later than the others would be expected at each next moment.
 	independentProbability = 0.02
+	// minProbability is the smallest probability that is divided by.
+	minProbability = 1e-12
+	// partsPerStride is the number of outstanding parts for which a plan skips one more bucket.
+	partsPerStride = 32
 )
 
-// plan gives the time at which it is best to answer as far as is known now, if not all has ended
-// before; now is at once. It is looked at again on the way, as what does not come tells something too.
-func (q *Query) plan(now time.Duration) (until time.Duration, known bool) {
-	t := now - q.startedAt
-	cutNow, known := q.findOutstanding(t)
-	if !known {
+// outstandingPart is an outstanding part while a plan is made.
+type outstandingPart struct {
+	curve              *curve
+	weight             float64
+	outstanding        float64            // probability, now
+	answered           float64            // probability, now
+	scoreNow           float64            // normal score of the time now
+	inverseOutstanding float64            // 1/outstanding
+	inverseStay        [nodeCount]float64 // 1/probability of being outstanding now, by the common factor
+
+	// At the time that is evaluated.
+	endedProbability float64 // given that it is outstanding now
+	answeredRatio    float64 // of endedProbability
+	scoreThen        float64
+	outstandingThen  float64
+}
+
+// commonFactor is the distribution of what slows all parts at once, by quadrature nodes.
+type commonFactor struct {
+	count         int                // of nodes; 1 if the parts are independent
+	means         [nodeCount]float64 // in units of the parts' scores
+	probabilities [nodeCount]float64
+	narrow        float64 // 1/standard deviation of a part's score around the mean
+}
+
+// prospect is what is expected at a time, given the common factor.
+type prospect struct {
+	mean         float64 // of the share that has arrived
+	variance     float64 // of that share
+	allEnded     float64 // probability that no part is outstanding
+	outstandings float64 // mean weight of outstanding parts
+}
+
+// plan returns the time at which it is best to answer by what is known now, unless all parts have ended before;
+// a time that is not after now is at once. Long waits are planned again halfway, as parts that do not end are
+// evidence too. isKnown is false where there is no forecast for an outstanding part.
+func (q *Query) plan(now time.Duration) (until time.Duration, isKnown bool) {
+	elapsed := now - q.startedAt
+	outstandingWeight, isKnown := q.findOutstanding(elapsed)
+	if !isKnown {
 		return 0, false
 	}
-	var means [len(quadratureNodes)]float64 // of the common factor
-	var chances [len(quadratureNodes)]float64
-	n := q.commonFactor(&means, &chances)
-	narrow := 1 / math.Sqrt(1-q.forecast.correlation)
-
+	factor := q.commonFactor()
 	valueOfAll := q.valueOfAll()
-	cut := q.settings.abandonCost() * q.forecast.load
-	best, at := q.settings.decay(t)*valueOfShare(q.arrivedShare)-cut*cutNow, t
-	var allBefore, early [len(quadratureNodes)]float64
-	latest, before, fallBefore := q.latestAnswer-q.startedAt, t, q.settings.decay(t)
-	stride := 1 + len(q.outstanding)/32
-	for i := Bucket(t); i < Buckets-1 && before < latest; i += stride {
+	abandonCost := q.settings.abandonCost() * q.forecast.load
+	best := q.settings.decay(elapsed)*valueOfShare(q.arrivedShare) - abandonCost*outstandingWeight
+	bestAt := elapsed
+	var allEndedBefore, earlyValue [nodeCount]float64
+	latest := q.latestAnswer - q.startedAt
+	previous := elapsed
+	previousDecay := q.settings.decay(elapsed)
+	stride := 1 + len(q.outstanding)/partsPerStride
+	for i := Bucket(elapsed); i < Buckets-1 && previous < latest; i += stride {
 		end := min(edges[i], latest)
-		if end <= t {
+		if end <= elapsed {
 			continue
 		}
-		fall := q.settings.decay(end)
-		between := (fall + fallBefore) / 2
-		if between < best {
-			break // even the whole would be worth less
+		decay := q.settings.decay(end)
+		meanDecay := (decay + previousDecay) / 2
+		if meanDecay < best {
+			break // even a complete answer would be worth less
 		}
 		for j := range q.outstanding {
-			q.outstanding[j].evaluate(i, end, n > 1)
+			q.outstanding[j].evaluate(i, end, factor.count > 1)
 		}
 		expectedValue := 0.0
-		for k := range n {
-			mean, variance, all, still := q.arrivedShare, 0.0, 1.0, 0.0
-			for j := range q.outstanding {
-				o := &q.outstanding[j]
-				ended := o.endedProbability
-				if n > 1 {
-					ended = max(0, min(1, 1-((1-independentProbability)*(1-normalCDF((o.scoreThen-means[k])*narrow))+independentProbability*o.outstandingThen)*o.inverseStay[k]))
-				}
-				comes := ended * o.answeredRatio
-				mean += o.weight * comes
-				variance += o.weight * o.weight * comes * (1 - comes)
-				all *= ended
-				still += o.weight * (1 - ended)
-			}
-			early[k] += (all - allBefore[k]) * between * valueOfAll
-			allBefore[k] = all
-			expectedValue += chances[k] * (early[k] + fall*(squareMean(mean, variance)-all*valueOfAll) - cut*still)
+		for k := range factor.count {
+			then := q.prospect(&factor, k)
+			earlyValue[k] += (then.allEnded - allEndedBefore[k]) * meanDecay * valueOfAll
+			allEndedBefore[k] = then.allEnded
+			expectedValue += factor.probabilities[k] * (earlyValue[k] + decay*(meanValueOfShare(then.mean, then.variance)-then.allEnded*valueOfAll) - abandonCost*then.outstandings)
 		}
 		if expectedValue > best+shareTolerance {
-			best, at = expectedValue, end
+			best = expectedValue
+			bestAt = end
 		}
-		before, fallBefore = end, fall
+		previous = end
+		previousDecay = decay
 	}
-	until = q.startedAt + at
-	if far := q.settings.halfLife() / 64; until-now > 2*far {
-		until = now + max(far, (until-now)/2)
+	until = q.startedAt + bestAt
+	if short := q.settings.halfLife() / replanDivisor; until-now > 2*short {
+		until = now + max(short, (until-now)/2)
 	}
 	return until, true
 }
 
-// findOutstanding lists the parts that are out, with what is known of them at a time of the query, and gives their
-// weight; known is false where there is no forecast for one of them.
-func (q *Query) findOutstanding(t time.Duration) (weight float64, known bool) {
+// prospect returns what is expected at the time that the outstanding parts were evaluated for, given the k-th
+// value of the common factor.
+func (q *Query) prospect(factor *commonFactor, k int) prospect {
+	then := prospect{mean: q.arrivedShare, allEnded: 1}
+	for j := range q.outstanding {
+		o := &q.outstanding[j]
+		ended := o.endedProbability
+		if factor.count > 1 {
+			ended = max(0, min(1, 1-((1-independentProbability)*(1-normalCDF((o.scoreThen-factor.means[k])*factor.narrow))+independentProbability*o.outstandingThen)*o.inverseStay[k]))
+		}
+		answers := ended * o.answeredRatio
+		then.mean += o.weight * answers
+		then.variance += o.weight * o.weight * answers * (1 - answers)
+		then.allEnded *= ended
+		then.outstandings += o.weight * (1 - ended)
+	}
+	return then
+}
+
+// findOutstanding sets the outstanding parts and returns their weight. isKnown is false where there is no forecast
+// for one of them.
+func (q *Query) findOutstanding(elapsed time.Duration) (weight float64, isKnown bool) {
 	q.outstanding = q.outstanding[:0]
 	if q.forecast == nil || len(q.forecast.parts) != len(q.parts) {
 		return 0, false
@@ -110,71 +149,79 @@
 		}
 		weight += q.parts[i].weight
 		o := outstandingPart{curve: c, weight: q.parts[i].weight}
-		o.outstanding, o.answered = c.at(t)
-		o.scoreNow = c.scoreAt(t)
-		o.inverseOutstanding = 1 / max(o.outstanding, 1e-12)
+		o.outstanding, o.answered = c.at(elapsed)
+		o.scoreNow = c.scoreAt(elapsed)
+		o.inverseOutstanding = 1 / max(o.outstanding, minProbability)
 		q.outstanding = append(q.outstanding, o)
 	}
 	return weight, true
 }
 
-// valueOfAll is what all that is out would bring if waited for to its end.
+// valueOfAll returns the expected value of an answer, without decay, if all outstanding parts are waited for.
 func (q *Query) valueOfAll() float64 {
 	mean, variance := q.arrivedShare, 0.0
 	for i := range q.outstanding {
 		o := &q.outstanding[i]
 		p := 0.0
-		if ends := o.outstanding - o.curve.outstanding[Buckets-2]; ends > 1e-12 {
+		if ends := o.outstanding - o.curve.outstanding[Buckets-2]; ends > minProbability {
 			p = min(1, (o.curve.answered[Buckets-2]-o.answered)/ends)
 		}
 		mean += o.weight * p
 		variance += o.weight * o.weight * p * (1 - p)
 	}
-	return squareMean(mean, variance)
+	return meanValueOfShare(mean, variance)
 }
 
-// evaluate is what there is to know of the part at a time in or at the end of a bucket.
-func (o *outstandingPart) evaluate(i int, at time.Duration, scored bool) {
-	out, came := o.curve.outstanding[i], o.curve.answered[i]
-	if at < edges[i] {
-		out, came = o.curve.at(at)
+// evaluate sets what is expected of the part at a time in, or at the end of, a bucket. The scores are only set if
+// they are needed.
+func (o *outstandingPart) evaluate(bucket int, at time.Duration, needsScores bool) {
+	outstanding, answered := o.curve.outstanding[bucket], o.curve.answered[bucket]
+	if at < edges[bucket] {
+		outstanding, answered = o.curve.at(at)
 	}
-	o.endedProbability, o.answeredRatio = max(0, min(1, 1-out*o.inverseOutstanding)), 0
-	if ends := o.outstanding - out; ends > 1e-12 {
-		o.answeredRatio = min(1, (came-o.answered)/ends)
+	o.endedProbability = max(0, min(1, 1-outstanding*o.inverseOutstanding))
+	o.answeredRatio = 0
+	if ends := o.outstanding - outstanding; ends > minProbability {
+		o.answeredRatio = min(1, (answered-o.answered)/ends)
 	}
-	if scored {
-		o.scoreThen, o.outstandingThen = o.curve.scoreAt(at), out
+	if needsScores {
+		o.scoreThen = o.curve.scoreAt(at)
+		o.outstandingThen = outstanding
 	}
 }
 
-// squareMean is the mean of value over a share of which mean and variance are known.
-func squareMean(mean, variance float64) float64 { return (3*mean - mean*mean - variance) / 2 }
+// meanValueOfShare returns the mean of valueOfShare over a share of the given mean and variance.
+func meanValueOfShare(mean, variance float64) float64 { return (3*mean - mean*mean - variance) / 2 }
 
-// commonFactor gives what the common factor may be, in the unit of the scores, and with what chance: after
-// the scores of what has come, and after what is still out.
-func (q *Query) commonFactor(means, chances *[len(quadratureNodes)]float64) int {
-	rho := q.forecast.correlation
-	if rho < minCorrelation || len(q.parts) < 2 {
-		chances[0] = 1
-		return 1
+// commonFactor returns the distribution of the common factor, given the scores of the parts that have ended and
+// the parts that are still outstanding. It sets their inverseStay.
+func (q *Query) commonFactor() commonFactor {
+	correlation := q.forecast.correlation
+	factor := commonFactor{narrow: 1 / math.Sqrt(1-correlation)}
+	if correlation < minCorrelation || len(q.parts) < 2 {
+		factor.count = 1
+		factor.probabilities[0] = 1
+		return factor
 	}
-	own := 1 - rho
-	variance := 1 / (1 + float64(q.scoreCount)*rho/own)
-	mean := math.Sqrt(rho) / own * q.scoreSum * variance
-	spread, narrow, sum := math.Sqrt(variance), 1/math.Sqrt(own), 0.0
+	factor.count = nodeCount
+	own := 1 - correlation
+	variance := 1 / (1 + float64(q.scoreCount)*correlation/own)
+	mean := math.Sqrt(correlation) / own * q.scoreSum * variance
+	deviation := math.Sqrt(variance)
+	sum := 0.0
 	for k := range quadratureNodes {
-		means[k] = math.Sqrt(rho) * (mean + spread*quadratureNodes[k])
-		chances[k] = quadratureWeights[k]
+		factor.means[k] = math.Sqrt(correlation) * (mean + deviation*quadratureNodes[k])
+		factor.probabilities[k] = quadratureWeights[k]
 		for i := range q.outstanding {
-			stays := (1-independentProbability)*(1-normalCDF((q.outstanding[i].scoreNow-means[k])*narrow)) + independentProbability*q.outstanding[i].outstanding + 1e-15
-			q.outstanding[i].inverseStay[k] = 1 / stays
-			chances[k] *= stays
+			o := &q.outstanding[i]
+			stay := (1-independentProbability)*(1-normalCDF((o.scoreNow-factor.means[k])*factor.narrow)) + independentProbability*o.outstanding + 1e-15
+			o.inverseStay[k] = 1 / stay
+			factor.probabilities[k] *= stay
 		}
-		sum += chances[k]
+		sum += factor.probabilities[k]
 	}
-	for k := range chances {
-		chances[k] /= max(sum, 1e-300)
+	for k := range factor.probabilities {
+		factor.probabilities[k] /= max(sum, 1e-300)
 	}
-	return len(quadratureNodes)
+	return factor
 }
--- a/internal/waitpolicy/query.go
+++ b/internal/waitpolicy/query.go
@@ -2,153 +2,185 @@
 
 import "time"
 
-// Kind is what a query has to do.
+const (
+	// unknownHalfLives is how long a query waits, in half-lives of an answer's value, for a part of which too
+	// little is known.
+	unknownHalfLives = 3
+	// maxHalfLives is how long a query waits at most in any mode but None: what arrives later is worth next to
+	// nothing.
+	maxHalfLives = 8
+	// replanAlwaysParts is the number of outstanding parts up to which each arrival makes a new plan.
+	replanAlwaysParts = 8
+	// replanDivisor divides the half-life: a plan is made anew after that time.
+	replanDivisor = 64
+	// shareTolerance is the rounding error that sums of shares may have.
+	shareTolerance = 1e-9
+)
+
+// Kind is the kind of a Step.
 type Kind uint8
 
-// The kinds of step.
+// The kinds of steps.
 const (
-	Wait   Kind = iota // until a part comes, or Step.Until
-	Answer             // with what has come; what is missing is cut
-	Refuse             // too little has come, and no more can in time
+	Wait   Kind = iota // until a part ends, or Step.Until
+	Answer             // with what has arrived; outstanding parts are abandoned
+	Refuse             // too little has arrived, and no more can in time
 )
 
-// Reason says what a step follows from; for logs and counts.
+// Reason is why a step was chosen.
 type Reason uint8
 
-// The reasons of a step.
+// The reasons of steps.
 const (
-	Complete      Reason = iota // nothing is out any more
-	ExpectedValue               // by expected worth
-	Unknown                     // too little is known of a part that is out: it is waited for
+	Complete      Reason = iota // no part is outstanding
+	ExpectedValue               // waiting is expected to be worth more, or less, than answering
+	Unknown                     // too little is known of an outstanding part
 	Exploring                   // waits longer than is worth it, to learn
-	BelowMinimum                // less has come than an answer needs
-	Time                        // the client's time, or the fixed one
+	BelowMinimum                // less has arrived than an answer needs
+	Time                        // the client's deadline, or the fixed one
 )
 
-var reasonNames = [...]string{"whole", "worth", "unknown", "exploring", "least", "time"}
+var reasonNames = [...]string{
+	Complete:      "whole",
+	ExpectedValue: "worth",
+	Unknown:       "unknown",
+	Exploring:     "exploring",
+	BelowMinimum:  "least",
+	Time:          "time",
+}
 
-func (w Reason) String() string { return reasonNames[w] }
+func (r Reason) String() string { return reasonNames[r] }
 
-// Step is what is to be done now.
+// Step is what a query has to do now.
 type Step struct {
 	Kind   Kind
 	Reason Reason
-	Until  time.Duration // with Wait: when to ask again, if nothing comes before
-	Share  float64       // of the parts, by weight, that has come
+	Until  time.Duration // with Wait: when to call Next again, if no part ends before
+	Share  float64       // fraction of the parts' weight that has arrived
 }
 
-// Query is one query, from its begin to its answer. It is not safe for concurrent use. A used one can
-// begin again, which allocates nothing then.
+// Query is the state of one query from its begin to its decision. Begin reuses the memory of one that has ended.
+// It is not safe for concurrent use.
 type Query struct {
 	settings         *Settings
-	forecast         *Forecast
+	forecast         *Forecast // nil if nothing is known
 	startedAt        time.Duration
-	latestAnswer     time.Duration // by which it has answered
-	fixedAnswer      time.Duration // by which it answers with what has come, if that is enough
-	totalWeight      float64       // weight of all parts
-	arrivedShare     float64       // share that has come
-	outstandingCount int           // parts that are out
+	latestAnswer     time.Duration
+	fixedAnswer      time.Duration // in mode Fixed: when to answer with what has arrived, if it is enough
+	totalWeight      float64
+	arrivedShare     float64 // of totalWeight
+	outstandingCount int
 	parts            []partState
-	// The common factor's evidence: sum and count of the scores of what has come or failed.
+	// Evidence of the common factor: the scores of the parts that have ended.
 	scoreSum   float64
 	scoreCount int
 
-	plannedAnswer, replanAt time.Duration // what was planned last, and until when it holds whatever comes
+	plannedAnswer time.Duration // by the last plan; 0 is none
+	replanAt      time.Duration // until when the last plan is valid whatever arrives
 
 	isExploring   bool
-	valueAnswerAt time.Duration // when it would have answered without exploring; 0 is not yet
+	valueAnswerAt time.Duration // when the query would have answered without exploring; 0 is not yet
 	endedAt       time.Duration
 	isDone        bool
-	isReported    bool
-	outstanding   []outstandingPart // scratch
+	isReported    bool              // to Model.Done
+	outstanding   []outstandingPart // of the plan that is being made
 }
 
+// partState is the state of one part in a query.
 type partState struct {
-	weight       float64 // share of the whole
-	arrivedShare float64 // share of it that has come
+	weight       float64 // fraction of the total weight
+	arrivedShare float64 // fraction of the part's content
 	duration     time.Duration
-	status       uint8
+	status       partStatus
 }
 
+type partStatus uint8
+
 const (
-	partOutstanding = iota
+	partOutstanding partStatus = iota
 	partAnswered
 	partFailed
 )
 
-// unknownHalfLives half-lives are waited for a part of which too little is known.
-const unknownHalfLives = 3
-
-// maxHalfLives half-lives are waited in any mode but None: what comes then is worth next to nothing.
-const maxHalfLives = 8
-
-// Begin begins a query at a time, with what is known of the parts; it has to be answered by a
-// deadline, 0 is none.
-func Begin(s *Settings, f *Forecast, now, deadline time.Duration) *Query {
+// Begin begins a query. forecast may be nil. deadline is the client's; 0 is none.
+func Begin(settings *Settings, forecast *Forecast, now, deadline time.Duration) *Query {
 	q := new(Query)
-	q.Begin(s, f, now, deadline)
+	q.Begin(settings, forecast, now, deadline)
 	return q
 }
 
-// Begin begins it anew.
-func (q *Query) Begin(s *Settings, f *Forecast, now, deadline time.Duration) {
-	parts, missing := q.parts[:0], q.outstanding[:0]
-	*q = Query{settings: s, forecast: f, startedAt: now, outstandingCount: len(s.Parts)}
-	for i := range s.Parts {
-		w := s.Parts[i].weight()
-		q.totalWeight += w
-		parts = append(parts, partState{weight: w})
+// Begin begins another query with the same memory.
+func (q *Query) Begin(settings *Settings, forecast *Forecast, now, deadline time.Duration) {
+	parts := q.parts[:0]
+	outstanding := q.outstanding[:0]
+	*q = Query{settings: settings, forecast: forecast, startedAt: now, outstandingCount: len(settings.Parts)}
+	for i := range settings.Parts {
+		weight := settings.Parts[i].weight()
+		q.totalWeight += weight
+		parts = append(parts, partState{weight: weight})
 	}
 	for i := range parts {
 		parts[i].weight /= q.totalWeight
 	}
-	if cap(missing) < len(parts) {
-		missing = make([]outstandingPart, 0, len(parts))
+	if cap(outstanding) < len(parts) {
+		outstanding = make([]outstandingPart, 0, len(parts))
 	}
-	q.parts, q.outstanding = parts, missing
+	q.parts = parts
+	q.outstanding = outstanding
+	q.limitAnswer(now, deadline)
+}
+
+// limitAnswer sets the latest time of the answer.
+func (q *Query) limitAnswer(now, deadline time.Duration) {
+	settings := q.settings
 	q.latestAnswer = now + edges[Buckets-2]
-	if s.Mode != None {
-		q.latestAnswer = min(q.latestAnswer, now+maxHalfLives*s.halfLife())
+	if settings.Mode != None {
+		q.latestAnswer = min(q.latestAnswer, now+maxHalfLives*settings.halfLife())
 	}
 	q.fixedAnswer = q.latestAnswer
-	if s.Mode == Fixed {
-		q.fixedAnswer = now + s.Fixed
+	if settings.Mode == Fixed {
+		q.fixedAnswer = now + settings.Fixed
 		q.latestAnswer = max(q.latestAnswer, q.fixedAnswer)
 	}
 	if deadline > 0 {
-		q.latestAnswer = min(q.latestAnswer, max(now, deadline-s.margin()))
+		q.latestAnswer = min(q.latestAnswer, max(now, deadline-settings.margin()))
 		q.fixedAnswer = min(q.fixedAnswer, q.latestAnswer)
 	}
 }
 
-// LatestAnswer is the latest time of its answer.
+// LatestAnswer returns the latest time of the answer.
 func (q *Query) LatestAnswer() time.Duration { return q.latestAnswer }
 
-// InnerDeadline is the deadline that a part is told which is a gatherer itself: early enough that what it
-// answers at the last moment is still taken.
+// InnerDeadline returns the deadline for a part that is a gatherer itself: its answer at the last moment still
+// arrives in time.
 func (q *Query) InnerDeadline() time.Duration {
 	return max(q.startedAt, q.latestAnswer-q.settings.margin())
 }
 
-// PartCompleted tells that a part has answered, or that it has ended without an answer.
-func (q *Query) PartCompleted(now time.Duration, part int, holds bool) {
-	got := 0.0
-	if holds {
-		got = 1
+// PartCompleted records that a part has answered with all of its content, or has failed.
+func (q *Query) PartCompleted(now time.Duration, part int, hasContent bool) {
+	share := 0.0
+	if hasContent {
+		share = 1
 	}
-	q.PartEnded(now, part, got)
+	q.PartEnded(now, part, share)
 }
 
-// PartEnded tells that a part has answered with a share of what it stands for, as one does that is a
-// gatherer itself. What comes twice, after the answer, or from no part is not taken.
+// PartEnded records that a part has ended with a fraction of its content, 0 to 1; 0 is a failure. It is ignored
+// for a part that does not exist or has ended before, and after the query was decided.
 func (q *Query) PartEnded(now time.Duration, part int, share float64) {
-	if part < 0 || part >= len(q.parts) || q.parts[part].status != partOutstanding || q.isDone {
+	if q.isDone || part < 0 || part >= len(q.parts) {
 		return
 	}
 	p := &q.parts[part]
-	p.duration, p.status = now-q.startedAt, partFailed
+	if p.status != partOutstanding {
+		return
+	}
+	p.duration = now - q.startedAt
+	p.status = partFailed
 	if share > 0 {
-		p.status, p.arrivedShare = partAnswered, min(1, share)
+		p.status = partAnswered
+		p.arrivedShare = min(1, share)
 		q.arrivedShare += p.weight * p.arrivedShare
 	}
 	q.outstandingCount--
@@ -158,88 +190,94 @@
 	}
 }
 
-// ArrivedShare is how much has come, by weight.
+// ArrivedShare returns the fraction of the parts' weight that has arrived.
 func (q *Query) ArrivedShare() float64 { return q.arrivedShare }
 
-// Missing adds to a list the parts without an answer.
-func (q *Query) Missing(to []int) []int {
+// Missing appends the parts without content.
+func (q *Query) Missing(parts []int) []int {
 	for i := range q.parts {
 		if q.parts[i].status != partAnswered {
-			to = append(to, i)
+			parts = append(parts, i)
 		}
 	}
-	return to
+	return parts
 }
 
-// Outstanding adds to a list the parts that have neither come nor failed: those that an answer cuts.
-func (q *Query) Outstanding(to []int) []int {
+// Outstanding appends the parts that have not ended.
+func (q *Query) Outstanding(parts []int) []int {
 	for i := range q.parts {
 		if q.parts[i].status == partOutstanding {
-			to = append(to, i)
+			parts = append(parts, i)
 		}
 	}
-	return to
+	return parts
 }
 
-// replanAlwaysParts that are out are planned for anew with each one that comes; more of them now and then.
-const replanAlwaysParts = 8
-
-const shareTolerance = 1e-9 // shares are sums
-
 func (q *Query) isEnough(share float64) bool {
 	return share > shareTolerance && share >= q.settings.MinShare-shareTolerance
 }
 
-// Next tells what to do at a time. Once it has told Answer or Refuse the query is over, and each
-// later call tells the same.
+// Next returns what to do now. After a step other than Wait the query is decided, and all later steps are of the
+// same kind.
 func (q *Query) Next(now time.Duration) Step {
 	step := q.next(now)
 	step.Share = q.arrivedShare
 	if step.Kind != Wait && !q.isDone {
-		q.isDone, q.endedAt = true, now
+		q.isDone = true
+		q.endedAt = now
 	}
 	return step
 }
 
 func (q *Query) next(now time.Duration) Step {
-	could := q.arrivedShare
+	possibleShare := q.arrivedShare
 	for i := range q.parts {
 		if q.parts[i].status == partOutstanding {
-			could += q.parts[i].weight
+			possibleShare += q.parts[i].weight
 		}
 	}
-	switch enough := q.isEnough(q.arrivedShare); {
-	case q.isDone && enough:
+	switch isEnough := q.isEnough(q.arrivedShare); {
+	case q.isDone && isEnough:
 		return Step{Kind: Answer}
-	case q.outstandingCount == 0 && enough:
+	case q.outstandingCount == 0 && isEnough:
 		return Step{Kind: Answer, Reason: Complete}
-	case q.isDone || !q.isEnough(could):
+	case q.isDone || !q.isEnough(possibleShare):
 		return Step{Kind: Refuse, Reason: BelowMinimum}
-	case now >= q.latestAnswer && enough:
+	case now >= q.latestAnswer && isEnough:
 		return Step{Kind: Answer, Reason: Time}
 	case now >= q.latestAnswer:
 		return Step{Kind: Refuse, Reason: Time}
-	case !enough:
+	case !isEnough:
 		return Step{Kind: Wait, Reason: BelowMinimum, Until: q.latestAnswer}
-	case q.settings.Mode == Fixed && now >= q.fixedAnswer:
-		return Step{Kind: Answer, Reason: Time}
-	case q.settings.Mode == Fixed:
+	}
+	switch q.settings.Mode {
+	case Fixed:
+		if now >= q.fixedAnswer {
+			return Step{Kind: Answer, Reason: Time}
+		}
 		return Step{Kind: Wait, Reason: Time, Until: q.fixedAnswer}
-	case q.settings.Mode == None:
+	case None:
 		return Step{Kind: Wait, Reason: Time, Until: q.latestAnswer}
 	}
+	return q.nextLearned(now)
+}
+
+// nextLearned returns what to do in mode Learned, when what has arrived is enough for an answer.
+func (q *Query) nextLearned(now time.Duration) Step {
 	if q.isExploring && q.valueAnswerAt > 0 {
 		return q.exploreStep(now)
 	}
-	until, known := q.plannedAnswer, true
+	until, isKnown := q.plannedAnswer, true
 	if q.outstandingCount <= replanAlwaysParts || q.plannedAnswer == 0 || now >= min(q.plannedAnswer, q.replanAt) {
-		until, known = q.plan(now)
-		q.plannedAnswer, q.replanAt = until, now+q.settings.halfLife()/64
+		until, isKnown = q.plan(now)
+		q.plannedAnswer = until
+		q.replanAt = now + q.settings.halfLife()/replanDivisor
 	}
+	unknownUntil := q.startedAt + unknownHalfLives*q.settings.halfLife()
 	switch {
-	case !known && now < q.startedAt+unknownHalfLives*q.settings.halfLife():
-		return Step{Kind: Wait, Reason: Unknown, Until: min(q.latestAnswer, q.startedAt+unknownHalfLives*q.settings.halfLife())}
-	case !known:
+	case !isKnown && now < unknownUntil:
+		return Step{Kind: Wait, Reason: Unknown, Until: min(q.latestAnswer, unknownUntil)}
+	case !isKnown:
 		return Step{Kind: Answer, Reason: Unknown}
 	case until > now:
 		return Step{Kind: Wait, Reason: ExpectedValue, Until: until}
@@ -250,10 +288,11 @@
 	return Step{Kind: Answer, Reason: ExpectedValue}
 }
 
-// exploreStep waits on beyond the end by worth, for a time after which an answer would not be worth
-// waiting for whatever is learned.
+// exploreStep waits for exploreHalfLives more than is worth it: later answers are not worth waiting for whatever
+// is learned from them.
 func (q *Query) exploreStep(now time.Duration) Step {
-	if until := min(q.latestAnswer, q.valueAnswerAt+exploreHalfLives*q.settings.halfLife()); now < until {
+	until := min(q.latestAnswer, q.valueAnswerAt+exploreHalfLives*q.settings.halfLife())
+	if now < until {
 		return Step{Kind: Wait, Reason: Exploring, Until: until}
 	}
 	return Step{Kind: Answer, Reason: Exploring}
--- a/internal/waitpolicy/sketch.go
+++ b/internal/waitpolicy/sketch.go
@@ -6,56 +6,58 @@
 	"time"
 )
 
-// Delays fall into buckets of an eighth of a doubling, from 1 ms to a minute: 9 to 12% wide at the
-// most. Bucket i holds those under Edge(i) and not under Edge(i-1), the last all that are longer.
+// Durations are counted in buckets of an eighth of a doubling, 9 to 12% wide, from 1 ms to a minute. Bucket i has
+// those from Edge(i-1) on and below Edge(i); the last has all that are longer.
 const (
-	Buckets   = 129
-	perDouble = 8
-	minDelay  = time.Millisecond
+	Buckets            = 129
+	bucketsPerDoubling = 8
+	minDelay           = time.Millisecond
 )
 
-var edges = func() (all [Buckets]time.Duration) {
-	for i := range all {
-		all[i] = minDelay << (i / perDouble) * time.Duration(perDouble+i%perDouble) / perDouble
+var edges = func() (ends [Buckets]time.Duration) {
+	for i := range ends {
+		ends[i] = minDelay << (i / bucketsPerDoubling) * time.Duration(bucketsPerDoubling+i%bucketsPerDoubling) / bucketsPerDoubling
 	}
-	all[Buckets-1] = math.MaxInt64
-	return all
+	ends[Buckets-1] = math.MaxInt64
+	return ends
 }()
 
-// Edge is the end of a bucket.
-func Edge(i int) time.Duration { return edges[i] }
+// Edge returns the end of a bucket.
+func Edge(bucket int) time.Duration { return edges[bucket] }
 
-// Bucket is the one that a delay falls into.
-func Bucket(d time.Duration) int {
-	if d < minDelay {
+// Bucket returns the bucket of a duration.
+func Bucket(duration time.Duration) int {
+	if duration < minDelay {
 		return 0
 	}
-	doublings := bits.Len64(uint64(d/minDelay)) - 1
-	if doublings >= Buckets/perDouble {
+	doublings := bits.Len64(uint64(duration/minDelay)) - 1
+	if doublings >= Buckets/bucketsPerDoubling {
 		return Buckets - 1
 	}
-	part := int((d - minDelay<<doublings) * perDouble / (minDelay << doublings))
-	return doublings*perDouble + part + 1
+	part := int((duration - minDelay<<doublings) * bucketsPerDoubling / (minDelay << doublings))
+	return doublings*bucketsPerDoubling + part + 1
 }
 
-// abandonedBucket is the one before which a part that was cut counts as out of all risk: the nearer end, as
-// the times at which queries are cut lie at the ends of buckets.
-func abandonedBucket(d time.Duration) int {
-	i := Bucket(d)
-	if i > 0 && i < Buckets-1 && d-edges[i-1] > edges[i]-d {
+// abandonedBucket returns the bucket at whose begin a part that was abandoned after a duration is no longer at risk.
+// It is the one with the nearer edge, as queries plan their answers at the ends of buckets.
+func abandonedBucket(duration time.Duration) int {
+	i := Bucket(duration)
+	isInside := i > 0 && i < Buckets-1
+	if isInside && duration-edges[i-1] > edges[i]-duration {
 		i++
 	}
 	return i
 }
 
-// Sketch counts, by delay, answers, failures, and parts that were cut while nothing had come. What is
-// cut is no answer and no failure: it was at risk up to the bucket's begin, and no longer. Two sketches of the same
-// thing are merged by adding them, and what was cut stays cut.
+// Sketch counts the outcomes of a part by duration. An abandoned part is neither an answer nor a failure: it was at
+// risk up to the begin of its bucket. Sketches of the same part are merged by adding them.
 type Sketch struct {
-	Answered, Failed, Abandoned [Buckets]float32
+	Answered  [Buckets]float32
+	Failed    [Buckets]float32
+	Abandoned [Buckets]float32
 }
 
-// Weight is how many it counts.
+// Weight returns the number of outcomes.
 func (s *Sketch) Weight() float64 {
 	var n float64
 	for i := range s.Answered {
@@ -64,98 +66,60 @@
 	return n
 }
 
-// Add counts another's as well, each so many times.
-func (s *Sketch) Add(o *Sketch, times float64) {
-	f := float32(times)
+// Add adds the counts of another sketch, multiplied by a factor.
+func (s *Sketch) Add(other *Sketch, factor float64) {
+	f := float32(factor)
 	for i := range s.Answered {
-		s.Answered[i] += f * o.Answered[i]
-		s.Failed[i] += f * o.Failed[i]
-		s.Abandoned[i] += f * o.Abandoned[i]
+		s.Answered[i] += f * other.Answered[i]
+		s.Failed[i] += f * other.Failed[i]
+		s.Abandoned[i] += f * other.Abandoned[i]
 	}
 }
 
-// Quantiles sets each delay within which a share p of the parts is expected to have come or failed, by
-// the product of the chances to pass each bucket (Kaplan and Meier); Edge(Buckets-2) where it can't be
-// told. The shares rise.
-func (s *Sketch) Quantiles(shares []float64, to []time.Duration) {
-	risk, stay, q := s.Weight(), 1.0, 0
-	for i := 0; i < Buckets-1 && q < len(shares); i++ {
-		if risk -= float64(s.Abandoned[i]); risk <= 0 {
+// scale multiplies all counts by a factor.
+func (s *Sketch) scale(factor float64) {
+	f := float32(factor)
+	for i := range s.Answered {
+		s.Answered[i] *= f
+		s.Failed[i] *= f
+		s.Abandoned[i] *= f
+	}
+}
+
+// Quantiles sets quantiles to the durations within which the part ends with the given probabilities, which have to
+// increase, by the product of the probabilities to outlast each bucket (Kaplan and Meier). A quantile that is not
+// known is Edge(Buckets-2).
+func (s *Sketch) Quantiles(probabilities []float64, quantiles []time.Duration) {
+	atRisk, outstanding, q := s.Weight(), 1.0, 0
+	for i := 0; i < Buckets-1 && q < len(probabilities); i++ {
+		atRisk -= float64(s.Abandoned[i])
+		if atRisk <= 0 {
 			break
 		}
-		ends := float64(s.Answered[i]) + float64(s.Failed[i])
-		if ends == 0 {
+		ended := float64(s.Answered[i]) + float64(s.Failed[i])
+		if ended == 0 {
 			continue
 		}
-		next := stay * (1 - min(1, ends/risk))
-		for q < len(shares) && 1-next >= shares[q] {
+		next := outstanding * (1 - min(1, ended/atRisk))
+		for q < len(probabilities) && 1-next >= probabilities[q] {
 			from := time.Duration(0)
 			if i > 0 {
 				from = edges[i-1]
 			}
-			to[q] = from + time.Duration((shares[q]-1+stay)/(stay-next)*float64(edges[i]-from))
+			quantiles[q] = from + time.Duration((probabilities[q]-1+outstanding)/(outstanding-next)*float64(edges[i]-from))
 			q++
 		}
-		stay = next
-		risk -= ends
+		outstanding = next
+		atRisk -= ended
 	}
-	for ; q < len(shares); q++ {
-		to[q] = edges[Buckets-2]
+	for ; q < len(probabilities); q++ {
+		quantiles[q] = edges[Buckets-2]
 	}
 }
 
-// Quantile is one of Quantiles.
+// Quantile returns one of Quantiles.
 func (s *Sketch) Quantile(p float64) time.Duration {
-	var to [1]time.Duration
-	s.Quantiles([]float64{p}, to[:])
-	return to[0]
-}
-
-// Outcome is what became of one part of a query.
-type Outcome struct {
-	At       time.Duration // when it is known, by the clock that queries are told; 0 is not told
-	Duration time.Duration // until it came, failed or was cut
-	Censored bool          // it was cut, and it is not known how long it would have taken
-	Failed   bool          // it ended without an answer
-}
-
-// memory is a sketch that forgets: each new one weighs more than the last, so that none of the old
-// need be touched, and all are scaled back now and then.
-type memory struct {
-	Sketch
-	unit float64 // weight of one that is counted now; 0 where nothing is
-	at   time.Duration
-}
-
-// add counts one, and forgets by 1/keep of all, and by half in each span of time.
-func (m *memory) add(o Outcome, keep float64, half time.Duration) {
-	m.unit = max(m.unit, 1) / (1 - 1/keep)
-	if m.at > 0 && o.At > m.at && half > 0 {
-		m.unit *= math.Exp2(min(30, float64(o.At-m.at)/float64(half)))
-	}
-	m.at = max(m.at, o.At)
-	i, to := Bucket(o.Duration), &m.Answered
-	switch {
-	case o.Censored:
-		i, to = abandonedBucket(o.Duration), &m.Abandoned
-	case o.Failed:
-		to = &m.Failed
-	}
-	to[i] += float32(m.unit)
-	if m.unit > 1e6 {
-		m.scale(1 / m.unit)
-		m.unit = 1
-	}
-}
-
-// countScale is what the counts are multiplied by, so that one which was counted just now is 1.
-func (m *memory) countScale() float64 { return 1 / max(m.unit, 1) }
-
-func (s *Sketch) scale(f float64) {
-	by := float32(f)
-	for i := range s.Answered {
-		s.Answered[i] *= by
-		s.Failed[i] *= by
-		s.Abandoned[i] *= by
-	}
+	var quantile [1]time.Duration
+	s.Quantiles([]float64{p}, quantile[:])
+	return quantile[0]
 }
--- a/internal/waitpolicy/waitpolicy.go
+++ b/internal/waitpolicy/waitpolicy.go
@@ -1,6 +1,6 @@
-// Package waitpolicy decides for a query that was scattered over parts whether to go on waiting or to
-// answer with what has come, and learns from each answer, and from each that was not waited for, how
-// long the parts take. It does no I/O; time and randomness are told. docs/design/gather.md derives it.
+// Package waitpolicy decides for a scatter-gather query whether to wait for more of its parts or to answer with what
+// has arrived. It learns from each part's outcome how long the parts take, also from those that were abandoned. It
+// does no I/O; time and the seed of random numbers are arguments. docs/design/gather.md derives the decisions.
 package waitpolicy
 
 import (
@@ -17,42 +17,44 @@
 const (
 	Learned Mode = iota // as long as waiting is expected to be worth more than answering
 	Fixed               // for a fixed time
-	None                // for all parts, or the client's time
+	None                // for all parts, or until the client's deadline
 )
 
-// Bounds of what one gatherer is made of.
+// Limits of settings.
 const (
-	MaxParts  = 256
-	MaxMargin = time.Second
+	MaxParts      = 256
+	MaxMargin     = time.Second
+	maxPartWeight = 1e6
 )
 
-// What the settings are where they say nothing.
+// Defaults of settings.
 const (
 	DefaultHalfLife    = time.Second
 	DefaultMargin      = 10 * time.Millisecond
 	DefaultAbandonCost = 0.05
+	defaultPartWeight  = 1
 )
 
-// Part is one of those a query asks.
+// Part is a part that a gatherer queries.
 type Part struct {
 	Name   string
-	Weight float64 // of it in the completeness, over the sum of all; 0 is 1
+	Weight float64 // relative to the other parts'; 0 is 1
 }
 
-// Settings are of one gatherer. They are read only once a query has begun with them.
+// Settings configure the wait policy of one gatherer. They are read-only once a query has begun with them.
 type Settings struct {
 	Parts    []Part
-	MinShare float64       // share of the parts, by weight, without which there is no answer
-	HalfLife time.Duration // in which an answer's worth halves; 0 is DefaultHalfLife
+	MinShare float64       // fraction of the parts' weight that an answer needs, 0 to 1
+	HalfLife time.Duration // in which an answer loses half of its value; 0 is DefaultHalfLife
 	Mode     Mode
-	Fixed    time.Duration // with the mode Fixed
-	Margin   time.Duration // of the client's time, in which the answer is written; 0 is DefaultMargin
-	// AbandonCost is the worth lost with what is cut, for all parts and a full load: a cancel stops nothing
-	// at the servers, which do for nobody what others wait for. 0 is DefaultAbandonCost, below 0 none.
+	Fixed    time.Duration // in mode Fixed
+	Margin   time.Duration // of the client's deadline, for writing the answer; 0 is DefaultMargin
+	// AbandonCost is the value that is lost if all parts are abandoned at full load: servers that go on working on
+	// them delay other requests. 0 is DefaultAbandonCost; below 0 is none.
 	AbandonCost float64
 }
 
-// Validate tells what can't be.
+// Validate returns an error for the first setting that is out of range, which it names by its key.
 func (s *Settings) Validate() error {
 	switch {
 	case len(s.Parts) == 0:
@@ -72,17 +74,21 @@
 	case !(s.AbandonCost <= 1):
 		return fmt.Errorf("left: %g is above 1", s.AbandonCost)
 	}
-	seen := make(map[string]bool, len(s.Parts))
-	for i, p := range s.Parts {
+	return s.validateParts()
+}
+
+func (s *Settings) validateParts() error {
+	isNamed := make(map[string]bool, len(s.Parts))
+	for i, part := range s.Parts {
 		switch {
-		case p.Name == "" || len(p.Name) > MaxNameBytes:
-			return fmt.Errorf("parts.%d: a name of %d bytes; 1 to %d can be", i, len(p.Name), MaxNameBytes)
-		case seen[p.Name]:
-			return fmt.Errorf("parts.%d: %s is named twice", i, p.Name)
-		case !(p.Weight >= 0 && p.Weight <= 1e6):
-			return fmt.Errorf("parts.%d: a weight of %g", i, p.Weight)
+		case part.Name == "" || len(part.Name) > MaxNameBytes:
+			return fmt.Errorf("parts.%d: a name of %d bytes; 1 to %d can be", i, len(part.Name), MaxNameBytes)
+		case isNamed[part.Name]:
+			return fmt.Errorf("parts.%d: %s is named twice", i, part.Name)
+		case !(part.Weight >= 0 && part.Weight <= maxPartWeight):
+			return fmt.Errorf("parts.%d: a weight of %g", i, part.Weight)
 		}
-		seen[p.Name] = true
+		isNamed[part.Name] = true
 	}
 	return nil
 }
@@ -112,20 +118,21 @@
 	if p.Weight > 0 {
 		return p.Weight
 	}
-	return 1
+	return defaultPartWeight
 }
 
-// valueOfShare is what a complete share c of an answer is worth at once: concave, as the first parts of a
-// list tell more than the last. It is a square, so that its mean needs the share's mean and variance only.
-func valueOfShare(c float64) float64 { return c * (3 - c) / 2 }
+// valueOfShare returns the value of an answer with a fraction of the parts' weight, without delay. It is concave, as
+// the first parts are worth more than the last, and quadratic, so that its mean only needs the mean and the variance
+// of the share.
+func valueOfShare(share float64) float64 { return share * (3 - share) / 2 }
 
-// Value is what an answer earns that comes after a time, with a share of the parts by weight in it
-// and another share cut while its servers were still at work, at a load of 0 to 1.
-func (s *Settings) Value(share, cut, load float64, after time.Duration) float64 {
-	return s.decay(after)*valueOfShare(share) - s.abandonCost()*load*cut
+// Value returns the value of an answer after a time, with a fraction of the parts' weight in it and another one
+// abandoned, at a load of 0 to 1.
+func (s *Settings) Value(share, abandoned, load float64, after time.Duration) float64 {
+	return s.decay(after)*valueOfShare(share) - s.abandonCost()*load*abandoned
 }
 
-// decay is what is left of a worth after a time.
+// decay returns the fraction of its value that an answer has after a time.
 func (s *Settings) decay(after time.Duration) float64 {
 	return math.Exp2(-float64(after) / float64(s.halfLife()))
 }
