--- a/internal/waitpolicy/share/share.go
+++ b/internal/waitpolicy/share/share.go
@@ -1,6 +1,6 @@
-// Package share carries what instances have learned of a gatherer's parts over Redis servers: each
-// writes its own under its own name, for a time, and reads some of the others'. It runs beside the
-// queries and never in their way; without a server each instance goes on with what it knows itself.
+// Package share exchanges over Redis servers what instances have learned of a gatherer's parts. Each instance writes
+// its own sketches under its own ID, with a lifetime, and reads some of the others'. Queries never wait for it:
+// without a server each instance decides by its own sketches.
 package share
 
 import (
@@ -25,107 +25,165 @@
 
 var script = redis.NewScript(scriptSource)
 
-// Bounds and defaults.
+// Limits and defaults.
 const (
-	MaxStores         = 4
-	MaxMembersRead    = 16 // members in one exchange; others follow in the next
-	DefaultInterval   = 5 * time.Second
-	DefaultTimeout    = time.Second
-	lifetimeIntervals = 12 // exchanges after which what was told counts for nothing
+	MaxStores       = 4
+	MaxMembersRead  = 16 // in one exchange; the others follow in the next ones
+	DefaultInterval = 5 * time.Second
+	DefaultTimeout  = time.Second
 )
 
-// Store is one server.
+const (
+	// lifetimeIntervals is the lifetime of shared sketches, in intervals between exchanges.
+	lifetimeIntervals = 12
+	// jitterDivisor divides the interval between exchanges: the jitter in both directions.
+	jitterDivisor = 4
+	// maxReadOffset limits the random position from which on members are read.
+	maxReadOffset = 1 << 20
+	// memberFields is the number of strings for each member in a reply: ID, age in milliseconds, sketches.
+	memberFields = 3
+	// maxAgeMilliseconds limits the ages that are accepted.
+	maxAgeMilliseconds = 1 << 40
+	// jitterStream is the stream of random numbers, in addition to Options.Seed.
+	jitterStream = 0x7368617265
+)
+
+// errMalformedReply is wrapped by the errors of replies that cannot be read.
+var errMalformedReply = errors.New("malformed reply of a model store")
+
+// Store is a Redis server.
 type Store struct {
-	Address  string
+	Address  string // host:port
 	Username string
 	Password string
 }
 
-// Options are of one gatherer at one instance.
+// Options configure the sharing of one gatherer's model at one instance.
 type Options struct {
-	Stores     []Store
-	Gatherer   string        // of the gatherer, the same at all instances; keys begin with it
-	InstanceID string        // of the instance, its own in each process
-	Interval   time.Duration // between two exchanges, a quarter more or less; 0 is DefaultInterval
-	Timeout    time.Duration // that one call may take; 0 is DefaultTimeout
-	Seed       uint64
-	Log        *slog.Logger // nil is the default
+	Stores     []Store       // 1 to MaxStores
+	Gatherer   string        // the same at all instances; part of the keys
+	InstanceID string        // unique to the process
+	Interval   time.Duration // between two exchanges, with a jitter of a quarter; 0 is DefaultInterval
+	Timeout    time.Duration // of a call; 0 is DefaultTimeout
+	Seed       uint64        // of the jitter
+	Log        *slog.Logger  // nil is slog.Default
+}
+
+// validate returns an error for options that cannot be used.
+func (o *Options) validate() error {
+	if len(o.Stores) == 0 || len(o.Stores) > MaxStores {
+		return fmt.Errorf("sharing a wait policy: %d stores are not in the range 1 to %d", len(o.Stores), MaxStores)
+	}
+	if o.InstanceID == "" || len(o.InstanceID) > pool.MaxIDBytes {
+		return fmt.Errorf("sharing a wait policy: instance ID of %d bytes is not in the range 1 to %d", len(o.InstanceID), pool.MaxIDBytes)
+	}
+	return nil
+}
+
+// setDefaults replaces zero values.
+func (o *Options) setDefaults() {
+	if o.Interval <= 0 {
+		o.Interval = DefaultInterval
+	}
+	if o.Timeout <= 0 {
+		o.Timeout = DefaultTimeout
+	}
+	if o.Log == nil {
+		o.Log = slog.Default()
+	}
 }
 
-// Model is what learns; a *waitpolicy.Model is one.
+// Model is what is shared; a *waitpolicy.Model is one.
 type Model interface {
+	// Shared encodes the own sketches.
 	Shared() ([]byte, error)
+	// Sketches returns the own sketches.
 	Sketches() ([]waitpolicy.Key, []waitpolicy.Sketch)
-	SetFleet(all map[waitpolicy.Key]*waitpolicy.Sketch, trust float64)
+	// SetFleet sets the sketches of all other instances and the trust in them.
+	SetFleet(sketches map[waitpolicy.Key]*waitpolicy.Sketch, trust float64)
 }
 
-// Sharer exchanges what a model has learned. Its methods are safe for concurrent use.
+// Sharer shares a model. Its methods are safe for concurrent use, but for Exchange.
 type Sharer struct {
 	options    Options
 	log        *slog.Logger
 	rng        *rand.Rand
-	clients    []*redis.Client
-	lastErrors []error
+	clients    []*redis.Client // by store
+	lastErrors []error         // by store: of the last call
 	startedAt  time.Time
 
-	mu     sync.Mutex // what follows
+	mu     sync.Mutex
 	model  Model
 	pool   *pool.Pool
 	status Status
 }
 
-// Status is what an operator asks of it.
+// Status is the state of a sharer, and its counts since it was created.
 type Status struct {
 	pool.Stats
 	Exchanges uint64   `json:"exchanges"`
-	Failures  uint64   `json:"failures"`
-	Bytes     int      `json:"bytes"`   // written in the last exchange
-	Failing   []string `json:"failing"` // addresses whose last call failed
+	Failures  uint64   `json:"failures"` // calls
+	Bytes     int      `json:"bytes"`    // written in the last exchange
+	Failing   []string `json:"failing"`  // addresses whose last call failed
 }
 
-// New makes one that connects once it runs.
-func New(o Options, m Model) (*Sharer, error) {
-	if len(o.Stores) == 0 || len(o.Stores) > MaxStores {
-		return nil, fmt.Errorf("gather: %d stores; 1 to %d can be", len(o.Stores), MaxStores)
-	}
-	if o.InstanceID == "" || len(o.InstanceID) > pool.MaxIDBytes {
-		return nil, fmt.Errorf("gather: an instance's name of %d bytes; 1 to %d can be", len(o.InstanceID), pool.MaxIDBytes)
-	}
-	if o.Interval <= 0 {
-		o.Interval = DefaultInterval
-	}
-	if o.Timeout <= 0 {
-		o.Timeout = DefaultTimeout
-	}
-	if o.Log == nil {
-		o.Log = slog.Default()
+// New returns a sharer that connects when it runs.
+func New(options Options, model Model) (*Sharer, error) {
+	if err := options.validate(); err != nil {
+		return nil, err
 	}
+	options.setDefaults()
 	s := &Sharer{
-		options: o, log: o.Log, model: m, rng: rand.New(rand.NewPCG(o.Seed, 0x7368617265)), lastErrors: make([]error, len(o.Stores)), startedAt: time.Now(),
-		pool: pool.New(pool.Options{OwnID: o.InstanceID, Lifetime: lifetimeIntervals * o.Interval, MergeInterval: o.Interval}),
+		options:    options,
+		log:        options.Log,
+		model:      model,
+		rng:        rand.New(rand.NewPCG(options.Seed, jitterStream)),
+		lastErrors: make([]error, len(options.Stores)),
+		startedAt:  time.Now(),
+		pool: pool.New(pool.Options{
+			OwnID:         options.InstanceID,
+			Lifetime:      lifetimeIntervals * options.Interval,
+			MergeInterval: options.Interval,
+		}),
 	}
-	for _, at := range o.Stores {
-		s.clients = append(s.clients, redis.NewClient(&redis.Options{
-			Addr: at.Address, Username: at.Username, Password: at.Password, Protocol: 2, DisableIdentity: true,
-			MaxRetries: -1, PoolSize: 1, MaxActiveConns: 1, MaxIdleConns: 1, ContextTimeoutEnabled: true,
-			DialTimeout: o.Timeout, ReadTimeout: o.Timeout, WriteTimeout: o.Timeout, ConnMaxIdleTime: time.Minute, DialerRetries: 1,
-		}))
+	for _, store := range options.Stores {
+		s.clients = append(s.clients, newClient(store, options.Timeout))
 	}
 	return s, nil
 }
 
-// SetModel has another model take the place of the one there was, as after a reload.
-func (s *Sharer) SetModel(m Model) {
+func newClient(store Store, timeout time.Duration) *redis.Client {
+	return redis.NewClient(&redis.Options{
+		Addr:                  store.Address,
+		Username:              store.Username,
+		Password:              store.Password,
+		Protocol:              2,
+		DisableIdentity:       true,
+		MaxRetries:            -1, // the next exchange is the retry
+		DialerRetries:         1,
+		PoolSize:              1,
+		MaxActiveConns:        1,
+		MaxIdleConns:          1,
+		ConnMaxIdleTime:       time.Minute,
+		ContextTimeoutEnabled: true,
+		DialTimeout:           timeout,
+		ReadTimeout:           timeout,
+		WriteTimeout:          timeout,
+	})
+}
+
+// SetModel replaces the model, such as after a reload.
+func (s *Sharer) SetModel(model Model) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.model = m
+	s.model = model
 }
 
-// Run exchanges now and then until the context ends, and closes the connections.
+// Run makes an exchange in each interval until ctx ends, and closes the connections then.
 func (s *Sharer) Run(ctx context.Context) {
 	defer func() {
-		for _, c := range s.clients {
-			_ = c.Close() // a connection pool
+		for _, client := range s.clients {
+			_ = client.Close() // a connection pool
 		}
 	}()
 	timer := time.NewTimer(time.Duration(s.rng.Int64N(int64(s.options.Interval))))
@@ -137,88 +195,101 @@
 		case <-timer.C:
 		}
 		s.Exchange(ctx)
-		quarter := int64(s.options.Interval / 4)
-		timer.Reset(s.options.Interval + time.Duration(s.rng.Int64N(2*quarter+1)-quarter))
+		jitter := int64(s.options.Interval / jitterDivisor)
+		timer.Reset(s.options.Interval + time.Duration(s.rng.Int64N(2*jitter+1)-jitter))
 	}
 }
 
-// Exchange makes one exchange with each store, and tells the model what all others know. One is made
-// at a time: Run calls it.
+// Exchange writes the own sketches to all stores, reads others', and sets the model's fleet. Run calls it; only one
+// may run at a time.
 func (s *Sharer) Exchange(ctx context.Context) {
 	s.mu.Lock()
-	m := s.model
+	model := s.model
 	s.mu.Unlock()
-	value, err := m.Shared()
+	own, err := model.Shared()
 	if err != nil {
-		s.log.Error("gather: what was learned can't be written", "gatherer", s.options.Gatherer, "err", err)
+		s.log.Error("encoding the wait policy model for sharing failed", "gatherer", s.options.Gatherer, "err", err)
 		return
 	}
-	replies := make([][]string, len(s.clients))
-	errs := make([]error, len(s.clients))
-	var all sync.WaitGroup
-	begin := s.rng.IntN(1 << 20)
+	replies, errs := s.callStores(ctx, own)
+	sketches, trust := s.mergeReplies(model, len(own), replies, errs)
+	model.SetFleet(sketches, trust)
+	s.logErrors(ctx, errs)
+}
+
+// callStores calls all stores concurrently. Results are in the order of the stores.
+func (s *Sharer) callStores(ctx context.Context, own []byte) (replies [][]string, errs []error) {
+	replies = make([][]string, len(s.clients))
+	errs = make([]error, len(s.clients))
+	readOffset := s.rng.IntN(maxReadOffset)
+	var calls sync.WaitGroup
 	for i := range s.clients {
-		all.Go(func() { replies[i], errs[i] = s.callStore(ctx, i, value, begin) })
+		calls.Go(func() { replies[i], errs[i] = s.callStore(ctx, i, own, readOffset) })
 	}
-	all.Wait()
+	calls.Wait()
+	return replies, errs
+}
+
+// mergeReplies adds the replies to the pool and returns what all members have learned. It sets the errors of replies
+// that cannot be read.
+func (s *Sharer) mergeReplies(model Model, ownBytes int, replies [][]string, errs []error) (map[waitpolicy.Key]*waitpolicy.Sketch, float64) {
 	now := time.Since(s.startedAt)
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.status.Exchanges++
-	s.status.Bytes = len(value)
+	s.status.Bytes = ownBytes
 	s.status.Failing = nil
-	for i, raw := range replies {
+	for i, reply := range replies {
 		if errs[i] == nil {
 			s.pool.StoreReplied(now)
-			errs[i] = s.acceptReply(now, raw)
+			errs[i] = s.acceptReply(now, reply)
 		}
 		if errs[i] != nil {
 			s.status.Failures++
 			s.status.Failing = append(s.status.Failing, s.options.Stores[i].Address)
 		}
 	}
-	keys, own := m.Sketches()
-	fleet, trust := s.pool.Merge(now, keys, own)
-	s.mu.Unlock()
-	m.SetFleet(fleet, trust)
+	keys, sketches := model.Sketches()
+	return s.pool.Merge(now, keys, sketches)
+}
+
+// logErrors logs stores that have begun to fail, or to work again.
+func (s *Sharer) logErrors(ctx context.Context, errs []error) {
 	for i, err := range errs {
-		at := s.options.Stores[i].Address
-		switch was := s.lastErrors[i]; {
-		case err != nil && was == nil && ctx.Err() == nil:
-			s.log.Warn("gather: sharing what was learned failed", "gatherer", s.options.Gatherer, "store", at, "err", err)
-		case err == nil && was != nil:
-			s.log.Info("gather: sharing works again", "gatherer", s.options.Gatherer, "store", at)
+		address := s.options.Stores[i].Address
+		hadFailed := s.lastErrors[i] != nil
+		switch {
+		case err != nil && !hadFailed && ctx.Err() == nil:
+			s.log.Warn("sharing the wait policy model failed", "gatherer", s.options.Gatherer, "store", address, "err", err)
+		case err == nil && hadFailed:
+			s.log.Info("wait policy model shared again", "gatherer", s.options.Gatherer, "store", address)
 		}
 		s.lastErrors[i] = err
 	}
 }
 
-func (s *Sharer) callStore(ctx context.Context, store int, value []byte, begin int) ([]string, error) {
+// callStore writes the own sketches to a store and returns its reply: memberFields for each member.
+func (s *Sharer) callStore(ctx context.Context, store int, own []byte, readOffset int) ([]string, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.Timeout)
 	defer cancel()
 	prefix := "{lockflow:" + s.options.Gatherer + "}:gather"
-	raw, err := script.Run(ctx, s.clients[store], []string{prefix, prefix + ":"}, s.options.InstanceID, value,
-		(lifetimeIntervals * s.options.Interval).Milliseconds(), MaxMembersRead, begin).StringSlice()
+	lifetime := lifetimeIntervals * s.options.Interval
+	reply, err := script.Run(ctx, s.clients[store], []string{prefix, prefix + ":"},
+		s.options.InstanceID, own, lifetime.Milliseconds(), MaxMembersRead, readOffset).StringSlice()
 	if err != nil {
 		return nil, fmt.Errorf("store %s: %w", s.options.Stores[store].Address, err)
 	}
-	return raw, nil
+	return reply, nil
 }
 
-var errMalformedReply = errors.New("gather: a store's answer can't be read")
-
-// acceptReply has the pool take an answer. What one member told that can't be read costs the others nothing.
-func (s *Sharer) acceptReply(now time.Duration, raw []string) error {
-	if len(raw)%3 != 0 || len(raw) > 3*MaxMembersRead {
-		return fmt.Errorf("%w: %d values", errMalformedReply, len(raw))
+// acceptReply adds the members of a reply to the pool. It returns the first error; the other members are added.
+func (s *Sharer) acceptReply(now time.Duration, reply []string) error {
+	if len(reply)%memberFields != 0 || len(reply) > memberFields*MaxMembersRead {
+		return fmt.Errorf("%w: %d values", errMalformedReply, len(reply))
 	}
 	var first error
-	for ; len(raw) > 0; raw = raw[3:] {
-		age, err := strconv.ParseInt(raw[1], 10, 64)
-		if err != nil || age < 0 || age > 1<<40 {
-			err = fmt.Errorf("%w: an age of %q", errMalformedReply, raw[1])
-		} else {
-			err = s.pool.AddReport(now, raw[0], time.Duration(age)*time.Millisecond, []byte(raw[2]))
-		}
+	for ; len(reply) > 0; reply = reply[memberFields:] {
+		err := s.acceptMember(now, reply[0], reply[1], []byte(reply[2]))
 		if first == nil {
 			first = err
 		}
@@ -226,11 +297,19 @@
 	return first
 }
 
-// Status is how it stands.
+func (s *Sharer) acceptMember(now time.Duration, id, age string, report []byte) error {
+	milliseconds, err := strconv.ParseInt(age, 10, 64)
+	if err != nil || milliseconds < 0 || milliseconds > maxAgeMilliseconds {
+		return fmt.Errorf("%w: age %q", errMalformedReply, age)
+	}
+	return s.pool.AddReport(now, id, time.Duration(milliseconds)*time.Millisecond, report)
+}
+
+// Status returns the sharer's state and counts.
 func (s *Sharer) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	st := s.status
-	st.Stats = s.pool.Stats()
-	return st
+	status := s.status
+	status.Stats = s.pool.Stats()
+	return status
 }
--- a/internal/waitpolicy/share/share_test.go
+++ b/internal/waitpolicy/share/share_test.go
@@ -35,7 +35,7 @@
 
 type instance struct {
 	*Sharer
-	m *waitpolicy.Model
+	learned *waitpolicy.Model
 }
 
 func start(t *testing.T, id string, stores ...*redistest.Server) instance {
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.pool = pool.New(pool.Options{OwnID: id, Lifetime: time.Minute, MergeInterval: 1}) // trust is as quick as tests are
+	s.pool = pool.New(pool.Options{OwnID: id, Lifetime: time.Minute, MergeInterval: 1}) // trust changes at once
 	t.Cleanup(func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
@@ -58,25 +58,25 @@
 	return instance{s, m}
 }
 
-func (i instance) sees(n int) {
+func (i instance) observe(n int) {
 	rng := rand.New(rand.NewPCG(uint64(n), 1))
 	for range n {
 		for p := range settings.Parts {
-			i.m.Observe("c", p, 0, waitpolicy.Outcome{Duration: time.Duration(float64(100*ms) * math.Exp(0.5*rng.NormFloat64()))})
+			i.learned.Observe("c", p, 0, waitpolicy.Outcome{Duration: time.Duration(float64(100*ms) * math.Exp(0.5*rng.NormFloat64()))})
 		}
 	}
 }
 
-// One that has seen nothing knows from the others, over a server that runs the very script; in the time
-// that a server is dark, refuses or is replaced it goes on with what it knows, and finds back.
-func TestShares(t *testing.T) {
+// An instance without observations learns from the others, over a server that runs the script. While the server does
+// not reply, rejects calls or is replaced the instance uses what it has, and it recovers afterwards.
+func TestSharingSurvivesStoreFaults(t *testing.T) {
 	s := store(t)
 	ctx := t.Context()
 	var all []instance
 	for i := range 4 {
 		one := start(t, fmt.Sprint("i", i), s)
 		if i > 0 {
-			one.sees(200)
+			one.observe(200)
 		}
 		all = append(all, one)
 	}
@@ -88,19 +88,19 @@
 		}
 	}
 	round()
-	f := all[0].m.Forecast("c", 0)
+	f := all[0].learned.Forecast("c", 0)
 	if q := f.Quantile(0, 0.5); !f.IsKnown() || q < 80*ms || q > 130*ms {
 		t.Fatalf("knows %v: half within %v; %+v", f.IsKnown(), q, all[0].Status())
 	}
 	for name, fault := range map[string]func(){
-		"dark": func() { s.Set(0, "", true) }, "refuses": func() { s.Set(0, "LOADING x", false) },
+		"unresponsive": func() { s.Set(0, "", true) }, "rejects": func() { s.Set(0, "LOADING x", false) },
 		"cut": s.Cut, "replaced": s.Replace,
 	} {
 		fault()
-		short, cancel := context.WithTimeout(ctx, 200*ms) // the dark one says nothing
+		short, cancel := context.WithTimeout(ctx, 200*ms) // the unresponsive one does not reply
 		all[0].Exchange(short)
 		cancel()
-		if f := all[0].m.Forecast("c", 0); !f.IsKnown() {
+		if f := all[0].learned.Forecast("c", 0); !f.IsKnown() {
 			t.Errorf("%s: nothing is known at once", name)
 		}
 		s.Set(0, "", false)
@@ -114,18 +114,18 @@
 	}
 }
 
-// What is nonsense in the store costs nothing else: another's key, the members' hash, an age.
-func TestNonsenseInTheStore(t *testing.T) {
+// Malformed values in the store affect no other member: a value, the hash of members, an age.
+func TestMalformedValuesInStore(t *testing.T) {
 	s, ctx := store(t), t.Context()
 	a, b, c := start(t, "a", s), start(t, "b", s), start(t, "c", s)
-	b.sees(100)
-	c.sees(100)
+	b.observe(100)
+	c.observe(100)
 	b.Exchange(ctx)
 	c.Exchange(ctx)
 	s.Do("SET", "{lockflow:district}:gather:c", "lockflow gather\nrubbish")
 	s.Do("HSET", "{lockflow:district}:gather", "nobody", "1e99", "odd", "x", "far", "99999999999999999", "gone", fmt.Sprint(time.Now().UnixMilli()))
 	a.Exchange(ctx)
-	if f, st := a.m.Forecast("c", 0), a.Status(); !f.IsKnown() || st.Members != 1 || st.Rejected != 1 || len(st.Failing) != 1 {
+	if f, st := a.learned.Forecast("c", 0), a.Status(); !f.IsKnown() || st.Members != 1 || st.Rejected != 1 || len(st.Failing) != 1 {
 		t.Errorf("%v %+v", f.IsKnown(), st)
 	}
 	if left := s.Do("HGETALL", "{lockflow:district}:gather").([]any); len(left) != 8 { // a, b, c, gone
@@ -133,12 +133,12 @@
 	}
 }
 
-// Two stores: each member is heard over the one that is left.
+// With two stores, members are read over the one that works.
 func TestTwoStores(t *testing.T) {
 	one, two := store(t), store(t)
 	a, b := start(t, "a", one, two), start(t, "b", one, two)
 	one.Set(0, "READONLY x", false)
-	b.sees(100)
+	b.observe(100)
 	b.Exchange(t.Context())
 	a.Exchange(t.Context())
 	if st := a.Status(); st.Members != 1 || len(st.Failing) != 1 || st.Failing[0] != one.Addr() {
@@ -146,13 +146,13 @@
 	}
 }
 
-// A hundred members are read some at a time, and an answer is bounded.
-func TestManyMembers(t *testing.T) {
+// Of a hundred members some are read in each exchange.
+func TestMembersReadAreLimited(t *testing.T) {
 	s := store(t)
 	a := start(t, "a", s)
 	b := start(t, "b", s)
-	b.sees(50)
-	raw, _ := b.m.Shared()
+	b.observe(50)
+	raw, _ := b.learned.Shared()
 	for i := range 100 {
 		s.Do("SET", fmt.Sprintf("{lockflow:district}:gather:m%d", i), string(raw))
 		s.Do("HSET", "{lockflow:district}:gather", fmt.Sprintf("m%d", i), fmt.Sprint(time.Now().UnixMilli()))
