--- a/internal/config/tree/tree.go
+++ b/internal/config/tree/tree.go
@@ -53,7 +53,7 @@
 	merged bool // of several documents: its keys come by name, as in the text that is written of it
 }
 
-type other struct{}
+type unsupported struct{}
 
 // File is the name of the file that it stands in.
 func (n *Node) File() string { return n.file }
@@ -81,8 +81,8 @@
 	return r.problems
 }
 
-// Wrong notes what is wrong at a place; what follows there from the first is not told.
-func (r *Reading) Wrong(file string, line int, key, format string, args ...any) {
+// Errorf notes what is wrong at a place; what follows there from the first is not told.
+func (r *Reading) Errorf(file string, line int, key, format string, args ...any) {
 	if r.reported == nil {
 		r.reported = make(map[FieldError]bool)
 	}
@@ -112,7 +112,7 @@
 			line, _ = d.Position()
 			key = strings.Join(d.Key(), ".")
 		}
-		r.Wrong(name, line, key, "%s", strings.TrimPrefix(err.Error(), "toml: "))
+		r.Errorf(name, line, key, "%s", strings.TrimPrefix(err.Error(), "toml: "))
 		return nil
 	}
 	p := &parser{file: name, lines: []int{0}}
@@ -219,11 +219,11 @@
 		}
 	case unstable.LocalDate:
 		var d toml.LocalDate
-		if n.value = any(other{}); d.UnmarshalText(v.Data) == nil {
+		if n.value = any(unsupported{}); d.UnmarshalText(v.Data) == nil {
 			n.value = d
 		}
 	default:
-		n.value = other{}
+		n.value = unsupported{}
 	}
 	return n
 }
--- a/internal/node/model_sharing.go
+++ b/internal/node/model_sharing.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("sharing: %w", err)
 	}
-	options := share.Options{Gatherer: cfg.Name, InstanceID: fmt.Sprintf("%016x", rand.Uint64()), Timeout: cfg.Within, Seed: rand.Uint64()}
+	options := share.Options{Gatherer: cfg.Name, InstanceID: fmt.Sprintf("%016x", rand.Uint64()), Timeout: cfg.CallTimeout, Seed: rand.Uint64()}
 	for _, address := range cfg.Addresses {
 		options.Stores = append(options.Stores, share.Store{Address: address, Username: cfg.Username, Password: password})
 	}
