--- a/internal/waitpolicy/golden_test.go
+++ b/internal/waitpolicy/golden_test.go
@@ -7,8 +7,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// Sketches of an earlier build, which go test ./internal/waitpolicy -run Golden -update writes anew, are read, and
-// written to the same bytes again: those that a node stores, and those that it shares with others.
+// Stored and shared sketches of an earlier build are decoded, and encoded to the same bytes.
+// go test ./internal/waitpolicy -run Golden -update writes them anew.
 func TestGoldenSketches(t *testing.T) {
 	for name, c := range map[string]struct {
 		encode func(*Model) ([]byte, error)
@@ -20,7 +20,7 @@
 		var got []byte
 		if testkit.Updating() {
 			var err error
-			if got, err = c.encode(taught("c")); err != nil {
+			if got, err = c.encode(newTrainedModel("c")); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -42,9 +42,9 @@
 	}
 }
 
-// A model goes on from what an earlier build has stored.
+// A model is restored from what an earlier build has stored.
 func TestGoldenSketchesAreRestored(t *testing.T) {
-	next := NewModel(parted(0.5, 1, 1), Options{})
+	next := NewModel(newSettings(0.5, 1, 1), Options{})
 	if err := next.Restore(testkit.GoldenBytes(t, "testdata/golden/stored", nil), 0); err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 	}
 }
 
-// Every key of a sketch, those too that a short run leaves out.
+// Every key of a sketch, including those that are omitted if empty.
 func TestGoldenSketchKeys(t *testing.T) {
 	testkit.GoldenSample(t, "cbor", "testdata/golden/sketches.cbor", &storedState{})
 }
--- a/internal/waitpolicy/model_test.go
+++ b/internal/waitpolicy/model_test.go
@@ -12,12 +12,12 @@
 	"pgregory.net/rapid"
 )
 
-// teach has a model see a part's delays of a median, cut at a time.
-func teach(m *Model, rng *rand.Rand, n int, class string, part int, median, cut time.Duration) {
+// observe has a model observe n durations of a part with the given median, abandoned after a time.
+func observe(m *Model, rng *rand.Rand, n int, class string, part int, median, abandonedAfter time.Duration) {
 	for range n {
 		o := Outcome{Duration: time.Duration(float64(median) * math.Exp(0.5*rng.NormFloat64()))}
-		if o.Duration > cut {
-			o = Outcome{Duration: cut, Censored: true}
+		if o.Duration > abandonedAfter {
+			o = Outcome{Duration: abandonedAfter, Censored: true}
 		}
 		m.Observe(class, part, 0.5, o)
 	}
@@ -33,9 +33,9 @@
 	})
 }
 
-// What is learned where much was cut is what is learned where nothing was, as far as it was seen; with
-// the cut ones left out it is not.
-func TestCutIsNoAnswer(t *testing.T) {
+// A sketch with many abandoned parts has the quantiles of one with none, as far as they were observed; without
+// counting the abandoned ones it does not.
+func TestAbandonedPartsCountAsCensored(t *testing.T) {
 	whole, cut, rng := new(Sketch), new(memory), rand.New(rand.NewPCG(1, 1))
 	left := new(Sketch)
 	for range 20000 {
@@ -59,26 +59,26 @@
 	}
 }
 
-// A part that becomes three times as slow, or as fast, is told within 40 answers, and 24 later the
-// forecast is of the new; of what stays as it is few changes are told.
-func TestChangeIsNoticed(t *testing.T) {
+// A part that becomes three times as slow, or as fast, is detected within 40 outcomes, and 24 later the forecast has
+// adapted. Without a change there are few detections.
+func TestChangeIsDetected(t *testing.T) {
 	for name, times := range map[string]float64{"slower": 3, "faster": 1.0 / 3} {
 		for _, cut := range []time.Duration{time.Hour, 150 * ms} { // slower ones are mostly cut then
 			worst, sum, off := 0, 0, 0.0
 			for seed := range uint64(50) {
-				m, rng := NewModel(parted(0.5, 1), Options{}), rand.New(rand.NewPCG(seed, 1))
+				m, rng := NewModel(newSettings(0.5, 1), Options{}), rand.New(rand.NewPCG(seed, 1))
 				to := time.Duration(times * float64(100*ms))
 				m.Forecast("c", 0.5)
 				for range 600 {
-					teach(m, rng, 1, "c", 0, 100*ms, cut)
+					observe(m, rng, 1, "c", 0, 100*ms, cut)
 					m.Forecast("c", 0.5)
 				}
 				was, n := m.Stats().Changes, 0
 				for ; m.Stats().Changes == was && n < 1000; n++ {
-					teach(m, rng, 1, "c", 0, to, cut)
+					observe(m, rng, 1, "c", 0, to, cut)
 				}
 				worst, sum = max(worst, n), sum+n
-				teach(m, rng, 24, "c", 0, to, cut)
+				observe(m, rng, 24, "c", 0, to, cut)
 				off += math.Log2(float64(m.Forecast("c", 0.5).Quantile(0, 0.5)) / float64(to))
 			}
 			if t.Logf("%s, cut at %v: told after %d at the most, %d in the mean", name, cut, worst, sum/50); worst > 40 {
@@ -89,9 +89,9 @@
 			}
 		}
 	}
-	m, rng := NewModel(parted(0.5, 1), Options{}), rand.New(rand.NewPCG(9, 1))
+	m, rng := NewModel(newSettings(0.5, 1), Options{}), rand.New(rand.NewPCG(9, 1))
 	for range 100_000 {
-		teach(m, rng, 1, "c", 0, 100*ms, 150*ms)
+		observe(m, rng, 1, "c", 0, 100*ms, 150*ms)
 		m.Forecast("c", 0.5)
 	}
 	if n := m.Stats().Changes; n > 15 {
@@ -99,9 +99,9 @@
 	}
 }
 
-// What was slow yesterday is not held against it.
-func TestForgets(t *testing.T) {
-	m, rng := NewModel(parted(0.5, 1, 1), Options{}), rand.New(rand.NewPCG(1, 1))
+// Outcomes of the day before have no weight.
+func TestOldOutcomesAreForgotten(t *testing.T) {
+	m, rng := NewModel(newSettings(0.5, 1, 1), Options{}), rand.New(rand.NewPCG(1, 1))
 	at := time.Hour
 	for range 500 {
 		m.Observe("c", 0, 0, Outcome{At: at, Duration: 3 * time.Second})
@@ -116,10 +116,10 @@
 	}
 }
 
-// Parts that are slow together are told from parts of which one is.
-func TestCommonFactor(t *testing.T) {
+// The correlation of the parts is learned.
+func TestCorrelationIsLearned(t *testing.T) {
 	for _, rho := range []float64{0, 0.7} {
-		m, rng := NewModel(parted(0.2, 1, 1, 1, 1), Options{Explore: -1}), rand.New(rand.NewPCG(1, 1))
+		m, rng := NewModel(newSettings(0.2, 1, 1, 1, 1), Options{Explore: -1}), rand.New(rand.NewPCG(1, 1))
 		var q Query
 		for i := range 3000 {
 			now := time.Duration(i+1) * time.Second
@@ -143,9 +143,9 @@
 	}
 }
 
-// Exploring costs no more of the worth than its budget, and one query's worth.
+// Exploring costs no more of the answers' value than its budget and one query.
 func TestExploringIsBudgeted(t *testing.T) {
-	m := NewModel(parted(0.5, 1, 1), Options{Seed: 1})
+	m := NewModel(newSettings(0.5, 1, 1), Options{Seed: 1})
 	var q Query
 	for i := range 5000 {
 		now := time.Duration(i+1) * time.Second
@@ -166,8 +166,8 @@
 	}
 }
 
-func TestModelIsBounded(t *testing.T) {
-	s := parted(0.5, make([]float64, 20)...)
+func TestModelSizeIsLimited(t *testing.T) {
+	s := newSettings(0.5, make([]float64, 20)...)
 	m := NewModel(s, Options{})
 	for i := range 200 {
 		name := strings.Repeat("c", i%300) + fmt.Sprint(i)
@@ -188,21 +188,21 @@
 	}
 }
 
-func taught(class string) *Model {
-	m, rng := NewModel(parted(0.5, 1, 1), Options{}), rand.New(rand.NewPCG(1, 1))
-	teach(m, rng, 300, class, 0, 100*ms, 200*ms)
-	teach(m, rng, 300, class, 1, 400*ms, 300*ms)
+func newTrainedModel(class string) *Model {
+	m, rng := NewModel(newSettings(0.5, 1, 1), Options{}), rand.New(rand.NewPCG(1, 1))
+	observe(m, rng, 300, class, 0, 100*ms, 200*ms)
+	observe(m, rng, 300, class, 1, 400*ms, 300*ms)
 	m.classes[class].pairMoment, m.classes[class].squareMoment = 20, 50
 	return m
 }
 
-func TestStateThereAndBack(t *testing.T) {
-	old := taught("c")
+func TestEncodeAndRestore(t *testing.T) {
+	old := newTrainedModel("c")
 	raw, err := old.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := NewModel(parted(0.5, 1, 1, 1), Options{}) // with a new part
+	next := NewModel(newSettings(0.5, 1, 1, 1), Options{}) // with a new part
 	if err := next.Restore(raw, 0); err != nil {
 		t.Fatal(err)
 	}
@@ -216,7 +216,7 @@
 	if f := next.Forecast("c", 0.5); f.IsKnown() || math.Abs(f.Correlation()-0.4) > 1e-9 {
 		t.Errorf("%v, %g", f.IsKnown(), f.Correlation())
 	}
-	late := NewModel(parted(0.5, 1, 1), Options{})
+	late := NewModel(newSettings(0.5, 1, 1), Options{})
 	if err := late.Restore(raw, 48*time.Hour); err != nil || late.Stats().Sketches > 0 {
 		t.Errorf("two days later: %v, %+v", err, late.Stats())
 	}
@@ -235,13 +235,13 @@
 	}
 }
 
-// What is read has the shape of what is written, whatever was signed.
+// Whatever has a valid checksum, decoded records are valid, and can be encoded and restored.
 func FuzzDecode(f *testing.F) {
-	raw, _ := taught("c").Encode()
+	raw, _ := newTrainedModel("c").Encode()
 	f.Add(raw[len(magic)+4:])
 	f.Fuzz(func(t *testing.T, body []byte) {
 		s, err := decode(withChecksum(body), MaxStateBytes)
-		m := NewModel(parted(0.5, 1, 1), Options{})
+		m := NewModel(newSettings(0.5, 1, 1), Options{})
 		if (m.Restore(withChecksum(body), 0) == nil) != (err == nil) {
 			t.Fatal("read once, and once not")
 		}
--- a/internal/waitpolicy/query_test.go
+++ b/internal/waitpolicy/query_test.go
@@ -11,28 +11,28 @@
 
 const ms = time.Millisecond
 
-func parted(least float64, weights ...float64) *Settings {
-	s := &Settings{MinShare: least, HalfLife: 800 * ms, Margin: 10 * ms, AbandonCost: -1}
+func newSettings(minShare float64, weights ...float64) *Settings {
+	s := &Settings{MinShare: minShare, HalfLife: 800 * ms, Margin: 10 * ms, AbandonCost: -1}
 	for i, w := range weights {
 		s.Parts = append(s.Parts, Part{Name: string(rune('a' + i)), Weight: w})
 	}
 	return s
 }
 
-// lognormal forecasts parts of medians and spreads.
-func lognormal(common float64, sigma float64, medians ...time.Duration) *Forecast {
-	return KnownForecast(len(medians), 0.5, common, func(p int, d time.Duration) float64 {
+// lognormal returns the forecast of parts with lognormal durations.
+func lognormal(correlation float64, sigma float64, medians ...time.Duration) *Forecast {
+	return KnownForecast(len(medians), 0.5, correlation, func(p int, d time.Duration) float64 {
 		return normalCDF(math.Log(float64(d)/float64(medians[p])) / sigma)
 	})
 }
 
-// answered checks what a query that is over holds: what came, and nothing that comes after.
-func answered(t *rapid.T, q *Query, now time.Duration, told []bool, share []float64) {
+// requireAnswer checks that a decided query has what arrived before, and nothing that arrives later.
+func requireAnswer(t *rapid.T, q *Query, now time.Duration, hasEnded []bool, share []float64) {
 	held, out, missing := q.ArrivedShare(), q.Outstanding(nil), q.Missing(nil)
-	for i := range told {
+	for i := range hasEnded {
 		q.PartCompleted(now, i, true)
-		if told[i] && slicesHas(out, i) || slicesHas(missing, i) != (!told[i] || share[i] == 0) {
-			t.Fatalf("part %d: told %v, out %v, missing %v", i, told[i], out, missing)
+		if hasEnded[i] && slicesHas(out, i) || slicesHas(missing, i) != (!hasEnded[i] || share[i] == 0) {
+			t.Fatalf("part %d: ended %v, out %v, missing %v", i, hasEnded[i], out, missing)
 		}
 	}
 	if q.ArrivedShare() != held {
@@ -40,13 +40,13 @@
 	}
 }
 
-// Whatever comes whenever: one answer, by its last moment, that tells what it holds; refused only where
-// what came is too little; each look leads on in time, and there are boundedly many.
-func TestQueryKeepsItsTime(t *testing.T) {
+// Whatever arrives at any time: one answer by LatestAnswer with its share, refused only if that is too small; each
+// step waits for a later time, and their number is limited.
+func TestQueryAnswersInTime(t *testing.T) {
 	var q Query
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "parts")
-		s := parted(rapid.Float64Range(0, 1).Draw(t, "least"))
+		s := newSettings(rapid.Float64Range(0, 1).Draw(t, "least"))
 		medians := make([]time.Duration, n)
 		took, share := make([]time.Duration, n), make([]float64, n)
 		for i := range n {
@@ -67,24 +67,24 @@
 		q.Begin(s, f, begin, deadline)
 		q.isExploring = rapid.Bool().Draw(t, "explore")
 		if deadline > 0 && q.LatestAnswer() > max(begin, deadline-s.Margin) || q.InnerDeadline() > q.LatestAnswer() {
-			t.Fatalf("answers by %v, parts told %v, the client waits until %v", q.LatestAnswer(), q.InnerDeadline(), deadline)
+			t.Fatalf("answers by %v, inner deadline %v, the client waits until %v", q.LatestAnswer(), q.InnerDeadline(), deadline)
 		}
 		now, held, total := begin, 0.0, 0.0
 		for _, p := range s.Parts {
 			total += p.Weight
 		}
-		told := make([]bool, n)
-		for looks := 0; ; looks++ {
+		hasEnded := make([]bool, n)
+		for steps := 0; ; steps++ {
 			step := q.Next(now)
-			if math.Abs(step.Share-held/total) > 1e-9 || looks > 1000 {
-				t.Fatalf("look %d: share %g, %g came", looks, step.Share, held/total)
+			if math.Abs(step.Share-held/total) > 1e-9 || steps > 1000 {
+				t.Fatalf("step %d: share %g, %g arrived", steps, step.Share, held/total)
 			}
 			if step.Kind != Wait {
 				enough := step.Share > 1e-9 && step.Share >= s.MinShare-1e-9
 				if (step.Kind == Answer) != enough || now > q.LatestAnswer() || step.Kind != q.Next(now+ms).Kind {
 					t.Fatalf("%v by %v at %v, %g of %g", step.Kind, step.Reason, now-begin, step.Share, s.MinShare)
 				}
-				answered(t, &q, now, told, share)
+				requireAnswer(t, &q, now, hasEnded, share)
 				return
 			}
 			if step.Until <= now || step.Until > q.LatestAnswer() {
@@ -92,12 +92,12 @@
 			}
 			next, at := -1, step.Until
 			for i := range n {
-				if !told[i] && begin+took[i] <= at {
+				if !hasEnded[i] && begin+took[i] <= at {
 					next, at = i, max(now, begin+took[i])
 				}
 			}
 			if now = at; next >= 0 {
-				told[next] = true
+				hasEnded[next] = true
 				held += s.Parts[next].Weight * share[next]
 				q.PartEnded(now, next, share[next])
 				q.PartEnded(now, next, 1) // twice is once
@@ -115,15 +115,15 @@
 	return false
 }
 
-// stop is when a query answers if nothing more comes than what has by the given times.
-func stop(s *Settings, f *Forecast, deadline time.Duration, came ...time.Duration) time.Duration {
+// answerTime returns when a query answers if the first parts end at the given times and no others.
+func answerTime(s *Settings, f *Forecast, deadline time.Duration, ended ...time.Duration) time.Duration {
 	q := Begin(s, f, 0, deadline)
-	for i, at := range came {
+	for i, at := range ended {
 		if at >= 0 {
 			q.PartCompleted(at, i, true)
 		}
 	}
-	now := max(0, came[0])
+	now := max(0, ended[0])
 	for {
 		step := q.Next(now)
 		if step.Kind != Wait {
@@ -133,24 +133,24 @@
 	}
 }
 
-func TestWaitingIsWorthIt(t *testing.T) {
-	s, even := parted(0.5, 1, 1), parted(0.5, 1, 1, 1, 1)
+func TestQueryWaitsAsLongAsWorthIt(t *testing.T) {
+	s, even := newSettings(0.5, 1, 1), newSettings(0.5, 1, 1, 1, 1)
 	f := func(common, sigma float64, all ...time.Duration) *Forecast { return lognormal(common, sigma, all...) }
 	for name, tc := range map[string]struct{ less, more time.Duration }{
-		"a slow part is waited for less than a fast one": {stop(s, f(0, .3, 50*ms, 3000*ms), 0, 50*ms, -1), stop(s, f(0, .3, 50*ms, 300*ms), 0, 50*ms, -1)},
+		"a slow part is waited for less than a fast one": {answerTime(s, f(0, .3, 50*ms, 3000*ms), 0, 50*ms, -1), answerTime(s, f(0, .3, 50*ms, 300*ms), 0, 50*ms, -1)},
 		"a light one less than a heavy one": {
-			stop(parted(.5, 4, 1), f(0, 1, 50*ms, 500*ms), 0, 50*ms, -1),
-			stop(parted(.1, 1, 4), f(0, 1, 50*ms, 500*ms), 0, 50*ms, -1),
+			answerTime(newSettings(.5, 4, 1), f(0, 1, 50*ms, 500*ms), 0, 50*ms, -1),
+			answerTime(newSettings(.1, 1, 4), f(0, 1, 50*ms, 500*ms), 0, 50*ms, -1),
 		},
 		"a part that took long is waited for longer where all are slow at once": {
-			stop(even, f(0, 1, 100*ms, 100*ms, 100*ms, 100*ms), 0, 400*ms, 400*ms, 400*ms, -1),
-			stop(even, f(.9, 1, 100*ms, 100*ms, 100*ms, 100*ms), 0, 400*ms, 400*ms, 400*ms, -1),
+			answerTime(even, f(0, 1, 100*ms, 100*ms, 100*ms, 100*ms), 0, 400*ms, 400*ms, 400*ms, -1),
+			answerTime(even, f(.9, 1, 100*ms, 100*ms, 100*ms, 100*ms), 0, 400*ms, 400*ms, 400*ms, -1),
 		},
-		"one far later than fits the others is not waited for to the end": {stop(even, f(.9, 1, 100*ms, 100*ms, 100*ms, 100*ms), 0, 40*ms, 40*ms, 40*ms, -1), time.Second},
-		"the client's time goes before":                                   {stop(s, f(0, .3, 50*ms, 300*ms), 200*ms, 50*ms, -1), 191 * ms},
+		"one far later than fits the others is not waited for to the end": {answerTime(even, f(.9, 1, 100*ms, 100*ms, 100*ms, 100*ms), 0, 40*ms, 40*ms, 40*ms, -1), time.Second},
+		"the client's time goes before":                                   {answerTime(s, f(0, .3, 50*ms, 300*ms), 200*ms, 50*ms, -1), 191 * ms},
 		"what is left behind counts": {
-			stop(s, f(0, 1, 50*ms, 800*ms), 0, 50*ms, -1),
-			stop(&Settings{Parts: s.Parts, MinShare: .5, HalfLife: 800 * ms, AbandonCost: 1}, f(0, 1, 50*ms, 800*ms), 0, 50*ms, -1),
+			answerTime(s, f(0, 1, 50*ms, 800*ms), 0, 50*ms, -1),
+			answerTime(&Settings{Parts: s.Parts, MinShare: .5, HalfLife: 800 * ms, AbandonCost: 1}, f(0, 1, 50*ms, 800*ms), 0, 50*ms, -1),
 		},
 	} {
 		if tc.less >= tc.more {
@@ -159,9 +159,9 @@
 	}
 }
 
-// A part that fails is known to be lost at once, and one that fails often is not waited for as if it came.
+// A failed part is not waited for, and nor one that often fails.
 func TestFailuresAreNoAnswers(t *testing.T) {
-	s := parted(0.5, 1, 1, 1)
+	s := newSettings(0.5, 1, 1, 1)
 	q := Begin(s, lognormal(0, .5, 100*ms, 100*ms, 100*ms), 0, 0)
 	q.PartCompleted(50*ms, 0, true)
 	q.PartCompleted(50*ms, 1, false)
@@ -174,14 +174,14 @@
 	}
 	// Half of the second part's calls fail after 200 ms, as late as its answers.
 	learn := func(fails int) time.Duration {
-		m := NewModel(parted(0.5, 1, 1), Options{Explore: -1})
+		m := NewModel(newSettings(0.5, 1, 1), Options{Explore: -1})
 		rng := rand.New(rand.NewPCG(1, 1))
 		for i := range 400 {
 			took := time.Duration(200*math.Exp(0.8*rng.NormFloat64())) * ms
 			m.Observe("c", 0, 0, Outcome{Duration: 50 * ms})
 			m.Observe("c", 1, 0, Outcome{Duration: took, Failed: i%10 < fails})
 		}
-		return stop(m.settings, m.Forecast("c", 0), 0, 50*ms, -1)
+		return answerTime(m.settings, m.Forecast("c", 0), 0, 50*ms, -1)
 	}
 	if none, most := learn(0), learn(8); most >= none {
 		t.Errorf("waits %v for one that answers, %v for one that mostly fails", none, most)
@@ -194,7 +194,7 @@
 		common float64
 	}{"5": {5, 0}, "5common": {5, 0.7}, "64": {64, 0}, "256common": {256, 0.7}} {
 		b.Run(name, func(b *testing.B) {
-			s, medians := parted(0.3), make([]time.Duration, tc.parts)
+			s, medians := newSettings(0.3), make([]time.Duration, tc.parts)
 			for i := range tc.parts {
 				s.Parts = append(s.Parts, Part{Name: string(rune('a' + i))})
 				medians[i] = time.Duration(100+i) * ms
@@ -212,9 +212,9 @@
 	}
 }
 
-// A query allocates nothing once its like has been there: begun, looked at, ended, learned from.
+// A query allocates nothing with the memory of one of the same parts.
 func TestQueryAllocatesNothing(t *testing.T) {
-	s := parted(0.5, 1, 1, 1, 1, 1)
+	s := newSettings(0.5, 1, 1, 1, 1, 1)
 	m := NewModel(s, Options{Explore: -1})
 	for range 2000 {
 		for p := range 5 {
@@ -238,11 +238,10 @@
 	}
 }
 
-// A part that is a gatherer itself, told the time that Below gives, answers with what it holds before
-// the upper one's last moment, and counts by that; told the client's whole time it comes too late.
-func TestTwoLevels(t *testing.T) {
+// A part that is a gatherer itself answers in time with InnerDeadline as its deadline, and too late with the client's.
+func TestInnerGathererAnswersInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		upper, lower := parted(0.5, 1, 1), parted(0.1, 1, 1, 1)
+		upper, lower := newSettings(0.5, 1, 1), newSettings(0.1, 1, 1, 1)
 		upper.Mode, lower.Mode = None, None // both wait as long as they may
 		client := time.Duration(rapid.IntRange(100, 5000).Draw(t, "client")) * ms
 		f := lognormal(0, 0.5, 100*ms, 100*ms, 100*ms)
@@ -261,7 +260,7 @@
 			t.Fatalf("the lower one answers at %v of %v: %+v", at, u.LatestAnswer(), step)
 		}
 		if at, _ := play(client + lower.Margin); at <= u.LatestAnswer() {
-			t.Fatalf("told more time it answers at %v, in time: nothing is shown", at)
+			t.Fatalf("with more time it answers at %v, in time: nothing is shown", at)
 		}
 	})
 }
