--- a/internal/command/allowance.go
+++ b/internal/command/allowance.go
@@ -12,13 +12,13 @@
 	"lockflow/internal/quotalease"
 )
 
-func allowanceCommand() command {
+func quotaLeaseCommand() command {
 	return command{
-		name: "allowance", group: files, does: "tells what of a plan's ceiling holds, and what of it can be used, when a shared counter lends it",
+		name: "allowance", group: groupFiles, summary: "tells what of a plan's ceiling holds, and what of it can be used, when a shared counter lends it",
 		args:     "explain --config FILE --plan NAME [--instances N] [--units N] [--spread N] [--term TIME] [--pledge TIME] [--settle TIME] [--drift N] [--json]",
 		examples: []string{"lockflow allowance explain --config /etc/lockflow/lockflow.toml --plan enterprise --instances 40 --units 4"},
 		setup: func(set flags) func(context.Context, *Env, []string) error {
-			x := &explain{}
+			x := &leaseExplanation{}
 			set.StringVar(&x.file, "config", "", "`FILE` that has the plan")
 			set.StringVar(&x.plan, "plan", "", "`NAME` of the plan")
 			set.IntVar(&x.rules.Instances, "instances", 0, "`N` instances that a ceiling is divided over; the file's without it")
@@ -31,7 +31,7 @@
 			set.BoolVar(&x.json, "json", false, "prints JSON")
 			return func(_ context.Context, e *Env, args []string) error {
 				if len(args) != 1 || args[0] != "explain" || x.file == "" || x.plan == "" || !(x.units > 0) || x.spread < 0 {
-					return usage("allowance takes explain with --config and --plan, --units above 0, --spread of 0 or more, and nothing else")
+					return usageError("allowance takes explain with --config and --plan, --units above 0, --spread of 0 or more, and nothing else")
 				}
 				return x.run(e)
 			}
@@ -39,7 +39,7 @@
 	}
 }
 
-type explain struct {
+type leaseExplanation struct {
 	file, plan string
 	rules      quotalease.Rules
 	units      float64
@@ -47,19 +47,19 @@
 	json       bool
 }
 
-func (x *explain) run(e *Env) error {
+func (x *leaseExplanation) run(e *Env) error {
 	cfg, err := config.Load(x.file)
 	if err != nil {
 		return err
 	}
-	var ceiling quotalease.HardLimit
+	var limit quotalease.HardLimit
 	found := false
 	for _, s := range cfg.Services {
 		for _, p := range s.Settings.Plans {
 			if p.Name != x.plan {
 				continue
 			}
-			ceiling, found = quotalease.HardLimit{Rate: p.HardLimitRate, Burst: p.HardLimitBurst}, true
+			limit, found = quotalease.HardLimit{Rate: p.HardLimitRate, Burst: p.HardLimitBurst}, true
 			file := s.Counter.Rules
 			if file.Instances == 0 {
 				file = quotalease.Rules{Instances: s.Settings.GroupSize, Term: time.Second, ReservationTime: 2 * time.Second, ResizeTime: 10 * time.Second, MaxDrift: 0.001}
@@ -73,7 +73,7 @@
 	switch {
 	case !found:
 		return fmt.Errorf("%s: no plan %q", x.file, x.plan)
-	case ceiling.Rate == 0:
+	case limit.Rate == 0:
 		return fmt.Errorf("%s: plan %q has no ceiling", x.file, x.plan)
 	}
 	if x.spread == 0 || x.spread > x.rules.Instances {
@@ -82,13 +82,13 @@
 	if err := x.rules.Validate(); err != nil {
 		return err
 	}
-	promises := x.rules.Guarantees(ceiling, x.units, x.spread)
+	promises := x.rules.Guarantees(limit, x.units, x.spread)
 	if x.json {
-		return json.NewEncoder(e.Out).Encode(map[string]any{"ceiling": ceiling, "bound": x.rules.Bound(ceiling), "promises": promises})
+		return json.NewEncoder(e.Out).Encode(map[string]any{"ceiling": limit, "bound": x.rules.Bound(limit), "promises": promises})
 	}
-	fmt.Fprintf(e.Out, "plan %s: %g units a second, %g at once; %d instances, traffic through %d of them, requests of %g units\n", x.plan, ceiling.Rate,
-		ceiling.Burst, x.rules.Instances, x.spread, x.units)
-	b := x.rules.Bound(ceiling)
+	fmt.Fprintf(e.Out, "plan %s: %g units a second, %g at once; %d instances, traffic through %d of them, requests of %g units\n", x.plan, limit.Rate,
+		limit.Burst, x.rules.Instances, x.spread, x.units)
+	b := x.rules.Bound(limit)
 	fmt.Fprintf(e.Out, "in any window, whatever fails: %.4g units and %.4g a second; the rate by clocks wrong by %g, the units by a term of %v\n\n",
 		b.Burst, b.Rate, x.rules.MaxDrift, x.rules.Term)
 	w := tabwriter.NewWriter(e.Out, 0, 0, 2, ' ', 0)
--- a/internal/command/allowance_test.go
+++ b/internal/command/allowance_test.go
@@ -21,18 +21,18 @@
 		code  int
 		tells string
 	}{
-		"--plan enterprise --instances 40 --units 4":  {Fine, "the store of one part, 1.5 units, never fills up to one request"},
-		"--plan enterprise --instances 40 --spread 4": {Fine, "10.0%"},
-		"--plan enterprise":                           {Fine, "1 instances, traffic through 1"},
-		"--plan p":                                    {Failed, "has no ceiling"},
-		"--plan q":                                    {Failed, "no plan"},
-		"--plan enterprise --term 5s":                 {Failed, "term 5s, pledge 2s"},
-		"--plan enterprise --units 0":                 {Usage, "--units above 0"},
-		"":                                            {Usage, "takes explain with --config"},
-		"--plan enterprise --instances -1":            {Failed, "over -1 instances"},
-		"--plan enterprise --config /none/of/these":   {Failed, "none/of/these"},
-		"--plan enterprise --instances 40 --drift 0.005 --json": {Fine, `"case":"the counter answers"`},
-		"--plan enterprise --instances 40 --drift 0.5 --json":   {Failed, "drift 0.5"},
+		"--plan enterprise --instances 40 --units 4":  {ExitOK, "the store of one part, 1.5 units, never fills up to one request"},
+		"--plan enterprise --instances 40 --spread 4": {ExitOK, "10.0%"},
+		"--plan enterprise":                           {ExitOK, "1 instances, traffic through 1"},
+		"--plan p":                                    {ExitFailed, "has no ceiling"},
+		"--plan q":                                    {ExitFailed, "no plan"},
+		"--plan enterprise --term 5s":                 {ExitFailed, "term 5s, pledge 2s"},
+		"--plan enterprise --units 0":                 {ExitUsage, "--units above 0"},
+		"":                                            {ExitUsage, "takes explain with --config"},
+		"--plan enterprise --instances -1":            {ExitFailed, "over -1 instances"},
+		"--plan enterprise --config /none/of/these":   {ExitFailed, "none/of/these"},
+		"--plan enterprise --instances 40 --drift 0.005 --json": {ExitOK, `"case":"the counter answers"`},
+		"--plan enterprise --instances 40 --drift 0.5 --json":   {ExitFailed, "drift 0.5"},
 	} {
 		code, out, errs := run(t, nil, append([]string{"allowance", "explain", "--config", file}, strings.Fields(args)...)...)
 		if code != want.code || !strings.Contains(out+errs, want.tells) {
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -14,12 +14,12 @@
 	"lockflow/internal/route"
 )
 
-// errTold is a failure of which all has been printed.
-var errTold = errors.New("told")
+// errReported is a failure of which all has been printed.
+var errReported = errors.New("told")
 
 func checkCommand() command {
 	return command{
-		name: "check", group: files, does: "checks a configuration, or the regions of a fleet against each other",
+		name: "check", group: groupFiles, summary: "checks a configuration, or the regions of a fleet against each other",
 		args:     "FILE | --fleet FLEET.toml",
 		examples: []string{"lockflow check deploy/lockflow.toml", "lockflow check --fleet deploy/fleet.toml --json   # 0 none, 1 conflicts, 2 unusable input"},
 		setup: func(set flags) func(context.Context, *Env, []string) error {
@@ -30,7 +30,7 @@
 					return checkFleet(e, *fleet, *asJSON)
 				}
 				if len(args) != 1 || *fleet != "" {
-					return usage("check takes one file")
+					return usageError("check takes one file")
 				}
 				return check(e, args[0], *asJSON)
 			}
@@ -63,13 +63,13 @@
 			fmt.Fprintln(e.Err, p.Error())
 		}
 	}
-	return errTold
+	return errReported
 }
 
 func routeCommand() command {
 	var headers []string
 	return command{
-		name: "route", group: files, does: "tells which service a request is for, and why",
+		name: "route", group: groupFiles, summary: "tells which service a request is for, and why",
 		args: "--config FILE --host HOST --path PATH [--method METHOD] [--header 'K: V']...",
 		examples: []string{
 			"lockflow route --config deploy/lockflow.toml --host care.example --path /plans/7",
@@ -93,7 +93,7 @@
 					*path = e.Getenv("LOCKFLOW_CONFIG")
 				}
 				if *path == "" || *target == "" || len(args) > 0 {
-					return usage("route takes --config FILE and --path PATH")
+					return usageError("route takes --config FILE and --path PATH")
 				}
 				return findRoute(e, *path, *host, *target, *method, headers, *asJSON)
 			}
@@ -137,7 +137,7 @@
 			fmt.Fprintln(e.Out, `{"service":null,"route":null}`)
 		}
 		fmt.Fprintln(e.Err, "no route")
-		return errTold
+		return errReported
 	}
 	won := cfg.Routes[matches[0].Index]
 	class := won.As
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -23,21 +23,21 @@
 
 // Exit codes.
 const (
-	Fine   = 0
-	Failed = 1
-	Usage  = 2
-	Stuck  = 3 // a change was stopped and not wholly taken back
+	ExitOK     = 0
+	ExitFailed = 1
+	ExitUsage  = 2
+	ExitStuck  = 3 // a change was stopped and not wholly taken back
 )
 
 // Env is what a command is run with.
 type Env struct {
 	Getenv   func(string) string
 	Out, Err io.Writer
-	// Hup tells of each SIGHUP. Guards against one that ends the program: it is never left
+	// ReloadSignals tells of each SIGHUP. Guards against one that ends the program: it is never left
 	// to its default, also not while a node starts or drains.
-	Hup <-chan os.Signal
-	// Usr2 tells of each SIGUSR2, in the same way.
-	Usr2 <-chan os.Signal
+	ReloadSignals <-chan os.Signal
+	// UpgradeSignals tells of each SIGUSR2, in the same way.
+	UpgradeSignals <-chan os.Signal
 	// Args is the whole command line, for a new process that takes this one's place.
 	Args []string
 }
@@ -53,24 +53,24 @@
 
 // command is one of the program's.
 type command struct {
-	name, does string
-	group      string // of the list of commands
-	args       string // as its usage line shows them
-	examples   []string
-	setup      func(flags) func(ctx context.Context, e *Env, args []string) error
+	name, summary string
+	group         string // of the list of commands
+	args          string // as its usage line shows them
+	examples      []string
+	setup         func(flags) func(ctx context.Context, e *Env, args []string) error
 }
 
 // The groups of the list of commands.
 const (
-	running = "running"
-	files   = "files"
-	trying  = "trying"
+	groupRunning = "running"
+	groupFiles   = "files"
+	groupTrials  = "trying"
 )
 
 func commands() []command {
 	return []command{
 		serveCommand(), proxyCommand(), statusCommand(), upgradeCommand(), fleetCommand(), checkCommand(), planCommand(), routeCommand(),
-		allowanceCommand(), demoCommand(), replayCommand(), tallyCommand(), simulateCommand(), measureCommand(),
+		quotaLeaseCommand(), demoCommand(), replayCommand(), eventLogCommand(), simulateCommand(), measureCommand(),
 	}
 }
 
@@ -83,7 +83,7 @@
 	signal.Notify(hup, syscall.SIGHUP)
 	usr2 := make(chan os.Signal, 1)
 	signal.Notify(usr2, syscall.SIGUSR2)
-	return Run(ctx, &Env{Getenv: os.Getenv, Out: os.Stdout, Err: os.Stderr, Hup: hup, Usr2: usr2, Args: args}, args)
+	return Run(ctx, &Env{Getenv: os.Getenv, Out: os.Stdout, Err: os.Stderr, ReloadSignals: hup, UpgradeSignals: usr2, Args: args}, args)
 }
 
 // Run runs a command line in an environment. One without arguments makes no command tree: a node
@@ -92,13 +92,13 @@
 	if len(args) == 0 {
 		return e.exit(serveByEnvironment(ctx, e))
 	}
-	root := tree(e)
+	root := newRootCommand(e)
 	root.SetArgs(args)
 	return e.exit(root.ExecuteContext(ctx))
 }
 
-// tree is the program's commands, with help, completion and a version.
-func tree(e *Env) *cobra.Command {
+// newRootCommand is the program's commands, with help, completion and a version.
+func newRootCommand(e *Env) *cobra.Command {
 	var log logFlags
 	root := &cobra.Command{
 		Use:   "lockflow",
@@ -116,7 +116,7 @@
 	root.SetOut(e.Out)
 	root.SetErr(e.Err)
 	root.SetFlagErrorFunc(func(c *cobra.Command, err error) error {
-		return usage("%s: %v; see %s --help", strings.TrimPrefix(c.CommandPath(), "lockflow "), err, c.CommandPath())
+		return usageError("%s: %v; see %s --help", strings.TrimPrefix(c.CommandPath(), "lockflow "), err, c.CommandPath())
 	})
 	// An unknown command is an error of the root's arguments: cobra suggests the nearest.
 	root.Args = func(c *cobra.Command, args []string) error {
@@ -126,14 +126,14 @@
 			if s := c.SuggestionsFor(args[0]); len(s) > 0 {
 				near = "; did you mean " + strings.Join(s, " or ") + "?"
 			}
-			return usage("there is no command %q%s; lockflow help lists them", args[0], near)
+			return usageError("there is no command %q%s; lockflow help lists them", args[0], near)
 		}
 		return err
 	}
 	root.RunE = func(c *cobra.Command, _ []string) error { return c.Help() }
 	root.SuggestionsMinimumDistance = 2
-	root.AddGroup(&cobra.Group{ID: running, Title: "Running:"}, &cobra.Group{ID: files, Title: "Configuration files:"},
-		&cobra.Group{ID: trying, Title: "Trying and measuring:"})
+	root.AddGroup(&cobra.Group{ID: groupRunning, Title: "Running:"}, &cobra.Group{ID: groupFiles, Title: "Configuration files:"},
+		&cobra.Group{ID: groupTrials, Title: "Trying and measuring:"})
 	root.PersistentFlags().StringVar(&log.format, "log-format", "text", "`FORM` of log lines: text or json")
 	root.PersistentFlags().StringVar(&log.level, "log-level", "info", "`LEVEL` from which on lines are logged: debug, info, warn or error")
 	for _, c := range commands() {
@@ -144,7 +144,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			of, _, err := c.Root().Find(args)
 			if err != nil || of == nil || len(args) > 0 && of == c.Root() {
-				return usage("there is no command %q; lockflow help lists them", strings.Join(args, " "))
+				return usageError("there is no command %q; lockflow help lists them", strings.Join(args, " "))
 			}
 			of.InitDefaultHelpFlag()
 			return of.Help()
@@ -155,7 +155,7 @@
 
 func (c *command) cobra(e *Env) *cobra.Command {
 	cc := &cobra.Command{
-		Use: c.name + " " + c.args, Short: c.does, GroupID: c.group, Args: cobra.ArbitraryArgs, DisableFlagsInUseLine: true,
+		Use: c.name + " " + c.args, Short: c.summary, GroupID: c.group, Args: cobra.ArbitraryArgs, DisableFlagsInUseLine: true,
 		Example: "  " + strings.Join(c.examples, "\n  "),
 	}
 	cc.Flags().SortFlags = false
@@ -191,7 +191,7 @@
 	var o slog.HandlerOptions
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(l.level)); err != nil {
-		return usage("log-level: %q is none of debug, info, warn, error", l.level)
+		return usageError("log-level: %q is none of debug, info, warn, error", l.level)
 	}
 	o.Level = level
 	switch l.format {
@@ -200,7 +200,7 @@
 	case "json":
 		slog.SetDefault(slog.New(loglimit.Limit(slog.NewJSONHandler(w, &o))))
 	default:
-		return usage("log-format: %q is none of text, json", l.format)
+		return usageError("log-format: %q is none of text, json", l.format)
 	}
 	return nil
 }
@@ -209,30 +209,30 @@
 func (e *Env) exit(err error) int {
 	switch {
 	case err == nil:
-		return Fine
-	case errors.Is(err, errTold):
-		return Failed
+		return ExitOK
+	case errors.Is(err, errReported):
+		return ExitFailed
 	case errors.Is(err, errStuck):
-		return Stuck
+		return ExitStuck
 	case errors.Is(err, errUsage):
 		fmt.Fprintf(e.Err, "lockflow: %v\n", err)
-		return Usage
+		return ExitUsage
 	}
 	var problems config.FieldErrors
 	if errors.As(err, &problems) {
 		fmt.Fprintln(e.Err, problems.Error())
 		if errors.Is(err, errUnusable) {
-			return Usage
+			return ExitUsage
 		}
-		return Failed
+		return ExitFailed
 	}
 	slog.Error("lockflow ends", "err", err)
 	if errors.Is(err, errConfig) {
-		return Usage
+		return ExitUsage
 	}
-	return Failed
+	return ExitFailed
 }
 
-func usage(format string, args ...any) error {
+func usageError(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", errUsage, fmt.Sprintf(format, args...))
 }
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -25,7 +25,7 @@
 	var o, e bytes.Buffer
 	hup := make(chan os.Signal)
 	close(hup)
-	code = Run(context.Background(), &Env{Getenv: func(k string) string { return env[k] }, Out: &o, Err: &e, Hup: hup}, args)
+	code = Run(context.Background(), &Env{Getenv: func(k string) string { return env[k] }, Out: &o, Err: &e, ReloadSignals: hup}, args)
 	return code, o.String(), e.String()
 }
 
@@ -65,7 +65,7 @@
 		slog.SetDefault(slog.New(slog.NewTextHandler(&logged, nil)))
 		code, out, errs := run(t, map[string]string{"NODE_CONFIG": path})
 		slog.SetDefault(was)
-		if all := out + errs + logged.String(); code != Usage || !strings.Contains(all, tc.tells) || !strings.Contains(all, path) {
+		if all := out + errs + logged.String(); code != ExitUsage || !strings.Contains(all, tc.tells) || !strings.Contains(all, path) {
 			t.Errorf("%s: exit %d\n%s", tc.new, code, all)
 		}
 	}
@@ -94,44 +94,44 @@
 		code  int
 		tells string // somewhere in what is printed
 	}{
-		"help":               {[]string{"help"}, nil, Fine, "check       checks a configuration"},
-		"help of one":        {[]string{"help", "route"}, nil, Fine, "--host HOST"},
-		"help flag":          {[]string{"check", "--help"}, nil, Fine, "Examples:"},
-		"help of none":       {[]string{"help", "nope"}, nil, Usage, `"nope"`},
-		"no such command":    {[]string{"nope"}, nil, Usage, `"nope"`},
-		"a near miss":        {[]string{"serv"}, nil, Usage, "did you mean serve?"},
-		"version":            {[]string{"--version"}, nil, Fine, "lockflow "},
-		"log format":         {[]string{"check", example, "--log-format", "xml"}, nil, Usage, "text, json"},
-		"log level":          {[]string{"check", example, "--log-level", "loud"}, nil, Usage, "debug, info"},
-		"log as JSON":        {[]string{"serve", "--config", bad + "no", "--log-format", "json"}, nil, Failed, `"level":"ERROR"`},
-		"completion":         {[]string{"completion", "bash"}, nil, Fine, "__start_lockflow"},
-		"no such flag":       {[]string{"check", "--nope"}, nil, Usage, "nope"},
-		"check of none":      {[]string{"check"}, nil, Usage, "one file"},
-		"check of two":       {[]string{"check", bad, bad}, nil, Usage, "one file"},
-		"check":              {[]string{"check", example}, nil, Fine, "3 services, 5 routes"},
-		"check of a bad one": {[]string{"check", bad}, nil, Failed, bad + ":2: y: unknown key"},
-		"check of a lost":    {[]string{"check", bad + "no"}, nil, Failed, "no such file"},
-		"check as JSON":      {[]string{"check", bad, "--json"}, nil, Failed, `"key":"y"`},
-		"check a good as":    {[]string{"check", "--json", example}, nil, Fine, "[]"},
-		"serve of none":      {[]string{"serve"}, nil, Usage, "LOCKFLOW_CONFIG"},
-		"serve a bad one":    {[]string{"serve", "--config", bad}, nil, Failed, bad + ":1: x: unknown key"},
-		"serve by LOCKFLOW":  {nil, map[string]string{"LOCKFLOW_CONFIG": bad}, Failed, bad + ":1: x: unknown key"},
-		"both named":         {nil, map[string]string{"LOCKFLOW_CONFIG": bad, "NODE_CONFIG": bad}, Usage, "both"},
-		"route of none":      {[]string{"route"}, nil, Usage, "--config"},
-		"route":              {[]string{"route", "--config", example, "--host", "care.example", "--path", "/plans/7"}, nil, Fine, "documents"},
-		"no route":           {[]string{"route", "--config", example, "--host", "care.example", "--path", "/x"}, nil, Failed, "no route"},
-		"route of odd path":  {[]string{"route", "--config", example, "--path", "/a/../b"}, nil, Failed, ""},
-		"route odd header":   {[]string{"route", "--config", example, "--path", "/", "--header", "x"}, nil, Usage, "colon"},
-		"plan of one":        {[]string{"plan", example}, nil, Usage, "two files"},
-		"plan of the same":   {[]string{"plan", example, example}, nil, Fine, "nothing changes"},
-		"plan as JSON":       {[]string{"plan", example, example, "--json"}, nil, Fine, "[]"},
-		"plan of a change":   {[]string{"plan", example, moved}, nil, Fine, "discovery at 127.0.0.1:8500 -> discovery at 127.0.0.1:8600"},
-		"plan of a restart":  {[]string{"plan", example, grown}, nil, Failed, "need a restart"},
-		"plan of a bad one":  {[]string{"plan", example, bad}, nil, Failed, bad + ":1: x"},
-		"demo for too short": {[]string{"demo", "--for", "1ms"}, nil, Usage, "300ms"},
-		"measure of none":    {[]string{"measure"}, nil, Usage, "isolation, proxy"},
-		"measure of what":    {[]string{"measure", "luck"}, nil, Usage, "luck"},
-		"measure too many":   {[]string{"measure", "proxy", "--connections", "0"}, nil, Usage, "1000"},
+		"help":               {[]string{"help"}, nil, ExitOK, "check       checks a configuration"},
+		"help of one":        {[]string{"help", "route"}, nil, ExitOK, "--host HOST"},
+		"help flag":          {[]string{"check", "--help"}, nil, ExitOK, "Examples:"},
+		"help of none":       {[]string{"help", "nope"}, nil, ExitUsage, `"nope"`},
+		"no such command":    {[]string{"nope"}, nil, ExitUsage, `"nope"`},
+		"a near miss":        {[]string{"serv"}, nil, ExitUsage, "did you mean serve?"},
+		"version":            {[]string{"--version"}, nil, ExitOK, "lockflow "},
+		"log format":         {[]string{"check", example, "--log-format", "xml"}, nil, ExitUsage, "text, json"},
+		"log level":          {[]string{"check", example, "--log-level", "loud"}, nil, ExitUsage, "debug, info"},
+		"log as JSON":        {[]string{"serve", "--config", bad + "no", "--log-format", "json"}, nil, ExitFailed, `"level":"ERROR"`},
+		"completion":         {[]string{"completion", "bash"}, nil, ExitOK, "__start_lockflow"},
+		"no such flag":       {[]string{"check", "--nope"}, nil, ExitUsage, "nope"},
+		"check of none":      {[]string{"check"}, nil, ExitUsage, "one file"},
+		"check of two":       {[]string{"check", bad, bad}, nil, ExitUsage, "one file"},
+		"check":              {[]string{"check", example}, nil, ExitOK, "3 services, 5 routes"},
+		"check of a bad one": {[]string{"check", bad}, nil, ExitFailed, bad + ":2: y: unknown key"},
+		"check of a lost":    {[]string{"check", bad + "no"}, nil, ExitFailed, "no such file"},
+		"check as JSON":      {[]string{"check", bad, "--json"}, nil, ExitFailed, `"key":"y"`},
+		"check a good as":    {[]string{"check", "--json", example}, nil, ExitOK, "[]"},
+		"serve of none":      {[]string{"serve"}, nil, ExitUsage, "LOCKFLOW_CONFIG"},
+		"serve a bad one":    {[]string{"serve", "--config", bad}, nil, ExitFailed, bad + ":1: x: unknown key"},
+		"serve by LOCKFLOW":  {nil, map[string]string{"LOCKFLOW_CONFIG": bad}, ExitFailed, bad + ":1: x: unknown key"},
+		"both named":         {nil, map[string]string{"LOCKFLOW_CONFIG": bad, "NODE_CONFIG": bad}, ExitUsage, "both"},
+		"route of none":      {[]string{"route"}, nil, ExitUsage, "--config"},
+		"route":              {[]string{"route", "--config", example, "--host", "care.example", "--path", "/plans/7"}, nil, ExitOK, "documents"},
+		"no route":           {[]string{"route", "--config", example, "--host", "care.example", "--path", "/x"}, nil, ExitFailed, "no route"},
+		"route of odd path":  {[]string{"route", "--config", example, "--path", "/a/../b"}, nil, ExitFailed, ""},
+		"route odd header":   {[]string{"route", "--config", example, "--path", "/", "--header", "x"}, nil, ExitUsage, "colon"},
+		"plan of one":        {[]string{"plan", example}, nil, ExitUsage, "two files"},
+		"plan of the same":   {[]string{"plan", example, example}, nil, ExitOK, "nothing changes"},
+		"plan as JSON":       {[]string{"plan", example, example, "--json"}, nil, ExitOK, "[]"},
+		"plan of a change":   {[]string{"plan", example, moved}, nil, ExitOK, "discovery at 127.0.0.1:8500 -> discovery at 127.0.0.1:8600"},
+		"plan of a restart":  {[]string{"plan", example, grown}, nil, ExitFailed, "need a restart"},
+		"plan of a bad one":  {[]string{"plan", example, bad}, nil, ExitFailed, bad + ":1: x"},
+		"demo for too short": {[]string{"demo", "--for", "1ms"}, nil, ExitUsage, "300ms"},
+		"measure of none":    {[]string{"measure"}, nil, ExitUsage, "isolation, proxy"},
+		"measure of what":    {[]string{"measure", "luck"}, nil, ExitUsage, "luck"},
+		"measure too many":   {[]string{"measure", "proxy", "--connections", "0"}, nil, ExitUsage, "1000"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			code, out, errs := run(t, tc.env, tc.args...)
@@ -179,7 +179,7 @@
 		}
 		dir = kept
 	}
-	root := tree(&Env{Out: io.Discard, Err: io.Discard})
+	root := newRootCommand(&Env{Out: io.Discard, Err: io.Discard})
 	root.DisableAutoGenTag = true
 	day := time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 	if err := doc.GenManTree(root, &doc.GenManHeader{Title: "LOCKFLOW", Section: "1", Date: &day, Source: "lockflow"}, dir); err != nil {
@@ -204,7 +204,7 @@
 		Service, Route, Class, Host, Path string
 		Why                               []string
 	}
-	if err := json.Unmarshal([]byte(out), &got); code != Fine || err != nil {
+	if err := json.Unmarshal([]byte(out), &got); code != ExitOK || err != nil {
 		t.Fatalf("exit %d, %v: %s", code, err, out)
 	}
 	if got.Service != "notes" || got.Route != "write-notes" || got.Class != "note-write" || got.Host != "care.example" || got.Path != "/notes/4" ||
@@ -222,7 +222,7 @@
 			Results map[string]struct{ Calls, Served, Lost int }
 		}
 	}
-	if err := json.Unmarshal([]byte(out), &got); code != Fine || err != nil || !got.Fine || len(got.Phases) != 3 {
+	if err := json.Unmarshal([]byte(out), &got); code != ExitOK || err != nil || !got.Fine || len(got.Phases) != 3 {
 		t.Fatalf("exit %d, %v: %s%s", code, err, out, errs)
 	}
 	for i, p := range got.Phases {
@@ -247,12 +247,12 @@
 		"--quota clinic --instances 4 --policy module":       "clinic, 4 instances, module, mean of 1",
 		"--quota all --instances 2 --for 12s --json":         `"policy":"late use"`,
 	} {
-		if code, out, errs := run(t, nil, append([]string{"simulate"}, strings.Fields(args)...)...); code != Fine || !strings.Contains(out, tells) {
+		if code, out, errs := run(t, nil, append([]string{"simulate"}, strings.Fields(args)...)...); code != ExitOK || !strings.Contains(out, tells) {
 			t.Errorf("%s: exit %d\n%s%s", args, code, out, errs)
 		}
 	}
 	for _, args := range []string{"--day calm,tuesday", "--day calm --instances 0", "--quota moon", "--quota all --seeds 0", "--quota all --policy none"} {
-		if code, _, errs := run(t, nil, append([]string{"simulate"}, strings.Fields(args)...)...); code != Usage || errs == "" {
+		if code, _, errs := run(t, nil, append([]string{"simulate"}, strings.Fields(args)...)...); code != ExitUsage || errs == "" {
 			t.Errorf("%s: exit %d %s", args, code, errs)
 		}
 	}
--- a/internal/command/daemon_test.go
+++ b/internal/command/daemon_test.go
@@ -30,7 +30,7 @@
 	var out, errs bytes.Buffer
 	code := make(chan int, 1)
 	go func() {
-		code <- Run(ctx, &Env{Getenv: func(string) string { return "" }, Out: &out, Err: &errs, Hup: hup}, []string{"serve", "--config", file, "--pid-file", pid})
+		code <- Run(ctx, &Env{Getenv: func(string) string { return "" }, Out: &out, Err: &errs, ReloadSignals: hup}, []string{"serve", "--config", file, "--pid-file", pid})
 	}()
 	expect := func(want string) {
 		t.Helper()
@@ -53,7 +53,7 @@
 	}
 	stop()
 	expect("STOPPING=1")
-	if c := testkit.Next(t, code); c != Fine {
+	if c := testkit.Next(t, code); c != ExitOK {
 		t.Errorf("exit %d: %s", c, errs.String())
 	}
 	if _, err := os.Stat(pid); !os.IsNotExist(err) {
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -14,18 +14,18 @@
 
 func demoCommand() command {
 	return command{
-		name: "demo", group: trying, does: "runs a node of two services between stand-in peers and stalls one of them",
+		name: "demo", group: groupTrials, summary: "runs a node of two services between stand-in peers and stalls one of them",
 		args:     "[--for TIME] [--seed N] [--descriptors N] [--json]",
 		examples: []string{"lockflow demo", "lockflow demo --for 30s --descriptors 1024"},
 		setup: func(set flags) func(context.Context, *Env, []string) error {
 			d := &demo{}
-			set.DurationVar(&d.lasts, "for", 10*time.Second, "`TIME` that it lasts; the stall is its middle third")
+			set.DurationVar(&d.duration, "for", 10*time.Second, "`TIME` that it lasts; the stall is its middle third")
 			set.Uint64Var(&d.seed, "seed", 1, "`N` from which all chance comes")
 			set.IntVar(&d.descriptors, "descriptors", 256, "`N` that the node may hold")
 			set.BoolVar(&d.json, "json", false, "prints only the summary, as JSON")
 			return func(ctx context.Context, e *Env, args []string) error {
-				if len(args) > 0 || d.lasts < 300*time.Millisecond || d.lasts > time.Hour || d.descriptors < 192 || d.descriptors > 1<<16 {
-					return usage("demo takes --for from 300ms to 1h and --descriptors from 192 to 65536, and nothing else")
+				if len(args) > 0 || d.duration < 300*time.Millisecond || d.duration > time.Hour || d.descriptors < 192 || d.descriptors > 1<<16 {
+					return usageError("demo takes --for from 300ms to 1h and --descriptors from 192 to 65536, and nothing else")
 				}
 				return d.run(ctx, e)
 			}
@@ -34,7 +34,7 @@
 }
 
 type demo struct {
-	lasts       time.Duration
+	duration    time.Duration
 	seed        uint64
 	descriptors int
 	json        bool
@@ -62,19 +62,19 @@
 	if err := l.Ready(ctx); err != nil {
 		return err
 	}
-	say := e.Out
+	output := e.Out
 	if d.json {
-		say = io.Discard
+		output = io.Discard
 	}
-	fmt.Fprintf(say, "two services on %s, %d descriptors; the document servers stall in the middle third\n\n", l.Node.Addr(), d.descriptors)
-	fmt.Fprintf(say, "%-8s %-8s %-10s %7s %7s %8s %7s %6s %12s %12s\n", "time", "phase", "service", "calls/s", "served", "refused", "failed",
+	fmt.Fprintf(output, "two services on %s, %d descriptors; the document servers stall in the middle third\n\n", l.Node.Addr(), d.descriptors)
+	fmt.Fprintf(output, "%-8s %-8s %-10s %7s %7s %8s %7s %6s %12s %12s\n", "time", "phase", "service", "calls/s", "served", "refused", "failed",
 		"held", "descriptors", "bytes")
-	begun := time.Now()
+	startedAt := time.Now()
 	var phases []phase
 	for i, name := range []string{"before", "stalled", "after"} {
 		l.Pools["documents"].Stall(i == 1)
 		p := phase{Name: name}
-		p.Results = d.play(ctx, l, begun, name, uint64(i), say)
+		p.Results = d.play(ctx, l, startedAt, name, uint64(i), output)
 		p.P99 = make(map[string]float64)
 		for k, r := range p.Results {
 			p.P99[k] = float64(r.P(0.99).Microseconds()) / 1000
@@ -86,8 +86,8 @@
 }
 
 // play sends both services' calls for a third of the time, and prints what each second brings.
-func (d *demo) play(ctx context.Context, l *testbench.Lab, begun time.Time, name string, n uint64, say io.Writer) map[string]*fake.Result {
-	ctx, cancel := context.WithTimeout(ctx, d.lasts/3)
+func (d *demo) play(ctx context.Context, l *testbench.Lab, startedAt time.Time, name string, n uint64, output io.Writer) map[string]*fake.Result {
+	ctx, cancel := context.WithTimeout(ctx, d.duration/3)
 	defer cancel()
 	runs := []*fake.Run{
 		fake.Clients{Addr: l.Node.Addr(), Seed: d.seed + 10*n, Call: testbench.RosterCall, Every: 5 * time.Millisecond, Workers: 64}.Start(ctx),
@@ -114,7 +114,7 @@
 		for i, st := range l.Node.Status() {
 			k := demoKinds[len(demoKinds)-1-i] // by name, which is the other way round
 			a, b := last[k], now[k]
-			fmt.Fprintf(say, "%-8s %-8s %-10s %7d %7d %8d %7d %6d %6d of %-3d %12d\n", time.Since(begun).Round(100*time.Millisecond), name, k,
+			fmt.Fprintf(output, "%-8s %-8s %-10s %7d %7d %8d %7d %6d %6d of %-3d %12d\n", time.Since(startedAt).Round(100*time.Millisecond), name, k,
 				b.Calls-a.Calls, b.Served-a.Served, b.Refused-a.Refused, b.Failed-a.Failed, st.Requests,
 				st.Resources.Descriptors.Used, st.Resources.Descriptors.Guaranteed, st.Resources.BufferedBytes.Used)
 		}
@@ -163,7 +163,7 @@
 	}
 	if !fine {
 		fmt.Fprintln(e.Err, "not every request had exactly one final answer")
-		return errTold
+		return errReported
 	}
 	if !d.json {
 		fmt.Fprintln(e.Out, "\nevery request had exactly one final answer")
--- a/internal/command/golden_test.go
+++ b/internal/command/golden_test.go
@@ -40,7 +40,7 @@
 // What other commands print as JSON has the keys that earlier builds printed.
 func TestGoldenReports(t *testing.T) {
 	for name, v := range map[string]any{
-		"findings": &findings{}, "replayed": &replayed{}, "played": &played{}, "phase": &phase{}, "event-log": &eventlog.Sum{},
+		"findings": &findings{}, "replayed": &replayed{}, "played": &playedDay{}, "phase": &phase{}, "event-log": &eventlog.Sum{},
 		"balance": &balancesim.Report{}, "simulated": &fleetsim.Report{}, "simulated-quota": &fleetsim.QuotaReport{},
 		"simulated-rollout": &rolloutsim.Report{}, "simulated-gather": &waitpolicysim.Report{}, "simulated-share": &waitpolicysim.ShareReport{},
 		"measured-proxy": &measure.ProxyRow{}, "measured-servers": &measure.ServersRow{}, "measured-bodies": &measure.BodiesRow{},
--- a/internal/command/measure.go
+++ b/internal/command/measure.go
@@ -21,7 +21,7 @@
 
 func measureCommand() command {
 	return command{
-		name: "measure", group: trying, does: "repeats a measurement in which two runs are taken in turn",
+		name: "measure", group: groupTrials, summary: "repeats a measurement in which two runs are taken in turn",
 		args: "isolation|proxy|servers|bodies|balance|reload|upgrade|fleet|faults|soak|gather|rollout [--rounds N] [--for TIME] [--descriptors N] [--connections N,N...] [--json]",
 		examples: []string{
 			"lockflow measure isolation --descriptors 256    # one pool stalled, the other's service",
@@ -43,7 +43,7 @@
 		},
 		setup: func(set flags) func(context.Context, *Env, []string) error {
 			var m measureFlags
-			m.add(set)
+			m.addFlags(set)
 			return m.run
 		},
 	}
@@ -51,39 +51,39 @@
 
 // measureFlags are the flags of measure; each says which measurement it is of.
 type measureFlags struct {
-	rounds      int
-	lasts       time.Duration
-	descriptors int
-	crowd       int
-	connections string
-	protocol    string
-	sizes       string
-	ways        string
-	workers     int
-	memory      int
-	loads       string
-	serve       string
-	fleet       measure.FleetOptions
-	skew        versionskew.Options
-	faults      measure.FaultsOptions
-	script      *string
-	kinds       string
-	asJSON      bool
+	rounds         int
+	duration       time.Duration
+	descriptors    int
+	stalledClients int
+	connections    string
+	protocol       string
+	sizes          string
+	directions     string
+	workers        int
+	memory         int
+	loads          string
+	proxyServers   string
+	fleet          measure.FleetOptions
+	skew           versionskew.Options
+	faults         measure.FaultsOptions
+	script         *string
+	kinds          string
+	asJSON         bool
 }
 
-func (m *measureFlags) add(set flags) {
+func (m *measureFlags) addFlags(set flags) {
 	set.IntVar(&m.rounds, "rounds", 3, "`N` pairs of runs")
-	set.DurationVar(&m.lasts, "for", 4*time.Second, "`TIME` of each run")
+	set.DurationVar(&m.duration, "for", 4*time.Second, "`TIME` of each run")
 	set.IntVar(&m.descriptors, "descriptors", 256, "isolation: `N` that the node may hold")
-	set.IntVar(&m.crowd, "crowd", 400, "isolation: `N` clients of the pool that stalls")
+	set.IntVar(&m.stalledClients, "crowd", 400, "isolation: `N` clients of the pool that stalls")
 	set.StringVar(&m.connections, "connections", "1,8,64,256", "proxy, servers: `N,N...` of clients")
 	set.StringVar(&m.protocol, "protocol", "platform", "proxy: `NAME` of what the node speaks: platform or http")
 	set.StringVar(&m.sizes, "sizes", "1000000,100000000", "bodies: `N,N...` bytes of one")
-	set.StringVar(&m.ways, "ways", "down,up", "bodies: `WAY,WAY...` of them: down, up, both")
+	set.StringVar(&m.directions, "ways", "down,up", "bodies: `WAY,WAY...` of them: down, up, both")
 	set.IntVar(&m.workers, "workers", 4, "bodies: `N` at once each way")
 	set.IntVar(&m.memory, "memory", 64, "bodies: `MB` that the node is told it has")
 	set.StringVar(&m.loads, "loads", "0.5,0.8", "balance: `PART,PART...` of what all servers can do")
-	set.StringVar(&m.serve, "serve", "", "proxy: be the proxy over `ADDRESS,ADDRESS...` (used by the measurement itself)")
+	set.StringVar(&m.proxyServers, "serve", "", "proxy: be the proxy over `ADDRESS,ADDRESS...` (used by the measurement itself)")
 	set.IntVar(&m.fleet.Instances, "instances", 40, "fleet: `N` real processes")
 	set.IntVar(&m.fleet.GroupSize, "told", 0, "fleet: `N` that they are told the group has, where it is another")
 	set.DurationVar(&m.fleet.Every, "every", 400*time.Millisecond, "fleet: `TIME` from one disturbance to the next; 0 is none")
@@ -102,67 +102,67 @@
 // run takes the measurement that args name.
 func (m *measureFlags) run(ctx context.Context, e *Env, args []string) error {
 	if len(args) != 1 {
-		return usage("measure takes one of isolation, proxy, servers, bodies, balance, reload, upgrade, fleet, faults, change, soak, gather, rollout")
+		return usageError("measure takes one of isolation, proxy, servers, bodies, balance, reload, upgrade, fleet, faults, change, soak, gather, rollout")
 	}
 	what := args[0]
-	if m.rounds < 1 || m.lasts < 100*time.Millisecond ||
-		m.crowd < 1 || m.crowd > 10000 || m.descriptors < 192 || m.descriptors > 1<<16 {
-		return usage("measure %s: its flags are off; see lockflow measure --help", what)
+	if m.rounds < 1 || m.duration < 100*time.Millisecond ||
+		m.stalledClients < 1 || m.stalledClients > 10000 || m.descriptors < 192 || m.descriptors > 1<<16 {
+		return usageError("measure %s: its flags are off; see lockflow measure --help", what)
 	}
 	old := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	defer slog.SetDefault(old)
 	switch {
-	case what == "proxy" && m.serve != "":
-		return measure.ServeProxy(ctx, strings.Split(m.serve, ","), e.Err)
+	case what == "proxy" && m.proxyServers != "":
+		return measure.ServeProxy(ctx, strings.Split(m.proxyServers, ","), e.Err)
 	case what == "proxy":
 		if m.protocol != "platform" && m.protocol != "http" {
-			return usage("protocol: %q is neither platform nor http", m.protocol)
+			return usageError("protocol: %q is neither platform nor http", m.protocol)
 		}
-		return measureProxy(ctx, e, m.connections, m.protocol, m.rounds, m.lasts, m.asJSON)
+		return measureProxy(ctx, e, m.connections, m.protocol, m.rounds, m.duration, m.asJSON)
 	case what == "servers":
-		return measureServers(ctx, e, measure.ServersOptions{Rounds: m.rounds, Duration: m.lasts, Work: time.Millisecond, Progress: e.Err},
+		return measureServers(ctx, e, measure.ServersOptions{Rounds: m.rounds, Duration: m.duration, Work: time.Millisecond, Progress: e.Err},
 			m.connections, m.asJSON)
 	case what == "balance":
-		return measureBalance(ctx, e, balancesim.Options{Lasts: m.lasts, Seed: m.fleet.Seed}, m.loads, m.asJSON)
+		return measureBalance(ctx, e, balancesim.Options{Lasts: m.duration, Seed: m.fleet.Seed}, m.loads, m.asJSON)
 	case what == "bodies":
-		return measureBodies(ctx, e, measure.BodiesOptions{Workers: m.workers, Rounds: m.rounds, Duration: m.lasts, MemoryMB: m.memory, Progress: e.Err},
-			m.sizes, m.ways, m.asJSON)
+		return measureBodies(ctx, e, measure.BodiesOptions{Workers: m.workers, Rounds: m.rounds, Duration: m.duration, MemoryMB: m.memory, Progress: e.Err},
+			m.sizes, m.directions, m.asJSON)
 	case what == "reload":
 		return measureReloads(ctx, e, measure.ReloadOptions{
-			Rounds: m.rounds, Duration: m.lasts, Every: 150 * time.Millisecond, Clients: 48,
+			Rounds: m.rounds, Duration: m.duration, Every: 150 * time.Millisecond, Clients: 48,
 			Progress: e.Err,
 		}, m.asJSON)
 	case what == "upgrade" && m.skew.Previous != "":
 		m.skew.Rounds = m.rounds
 		return measureSkew(ctx, e, m.skew, m.asJSON)
 	case what == "upgrade":
-		return measureUpgrades(ctx, e, measure.UpgradeOptions{Upgrades: m.rounds, Every: m.lasts, Clients: 16, Progress: e.Err}, m.asJSON)
+		return measureUpgrades(ctx, e, measure.UpgradeOptions{Upgrades: m.rounds, Every: m.duration, Clients: 16, Progress: e.Err}, m.asJSON)
 	case what == "fleet":
-		m.fleet.Duration = m.lasts
+		m.fleet.Duration = m.duration
 		return measureFleet(ctx, e, m.fleet, m.asJSON)
 	case what == "faults" || what == "change":
-		m.faults.Duration, m.faults.Seed = m.lasts, m.fleet.Seed
+		m.faults.Duration, m.faults.Seed = m.duration, m.fleet.Seed
 		return measureFaults(ctx, e, m.faults, what == "change", *m.script, m.asJSON)
 	case what == "soak":
-		return measureSoak(ctx, e, soakOptions{nodes: m.faults.Processes, seeds: m.faults.Seeds, seed: m.fleet.Seed, lasts: m.lasts}, m.asJSON)
+		return measureSoak(ctx, e, soakOptions{nodes: m.faults.Processes, seeds: m.faults.Seeds, seed: m.fleet.Seed, duration: m.duration}, m.asJSON)
 	case what == "rollout":
 		return measureRollout(ctx, e, measure.RolloutOptions{Members: m.faults.Processes, Seed: m.fleet.Seed}, m.kinds, m.asJSON)
 	case what == "gather":
-		return measureGather(ctx, e, measure.GatherOptions{Rounds: m.rounds, Duration: m.lasts}, m.asJSON)
+		return measureGather(ctx, e, measure.GatherOptions{Rounds: m.rounds, Duration: m.duration}, m.asJSON)
 	case what == "isolation":
 		return measureIsolation(ctx, e, measure.IsolationOptions{
-			Descriptors: m.descriptors, Rounds: m.rounds, Duration: m.lasts, DocumentClients: m.crowd,
+			Descriptors: m.descriptors, Rounds: m.rounds, Duration: m.duration, DocumentClients: m.stalledClients,
 			Progress: e.Err,
 		}, m.asJSON)
 	}
-	return usage("there is no measurement %q: isolation, proxy, servers, bodies, balance, reload, upgrade, fleet, faults, change, soak, gather, rollout", what)
+	return usageError("there is no measurement %q: isolation, proxy, servers, bodies, balance, reload, upgrade, fleet, faults, change, soak, gather, rollout", what)
 }
 
-func measureProxy(ctx context.Context, e *Env, connections, protocol string, rounds int, lasts time.Duration, asJSON bool) error {
-	o := measure.ProxyOptions{Protocol: protocol, Rounds: rounds, Duration: lasts, Progress: e.Err}
+func measureProxy(ctx context.Context, e *Env, connections, protocol string, rounds int, duration time.Duration, asJSON bool) error {
+	o := measure.ProxyOptions{Protocol: protocol, Rounds: rounds, Duration: duration, Progress: e.Err}
 	var err error
-	if o.Connections, err = counts(connections); err != nil {
+	if o.Connections, err = parseConnections(connections); err != nil {
 		return err
 	}
 	if o.Program, err = os.Executable(); err != nil {
@@ -185,12 +185,12 @@
 	return nil
 }
 
-// counts reads the flag --connections.
-func counts(connections string) (all []int, err error) {
+// parseConnections reads the flag --connections.
+func parseConnections(connections string) (all []int, err error) {
 	for field := range strings.SplitSeq(connections, ",") {
 		n, err := strconv.Atoi(field)
 		if err != nil || n < 1 || n > 1000 {
-			return nil, usage("connections: %q is none of 1 to 1000", field)
+			return nil, usageError("connections: %q is none of 1 to 1000", field)
 		}
 		all = append(all, n)
 	}
@@ -198,7 +198,7 @@
 }
 
 func measureServers(ctx context.Context, e *Env, o measure.ServersOptions, connections string, asJSON bool) (err error) {
-	if o.Concurrency, err = counts(connections); err != nil {
+	if o.Concurrency, err = parseConnections(connections); err != nil {
 		return err
 	}
 	if o.Program, err = os.Executable(); err != nil {
@@ -222,22 +222,22 @@
 	return w.Flush()
 }
 
-func measureBodies(ctx context.Context, e *Env, o measure.BodiesOptions, sizes, ways string, asJSON bool) error {
+func measureBodies(ctx context.Context, e *Env, o measure.BodiesOptions, sizes, directions string, asJSON bool) error {
 	for field := range strings.SplitSeq(sizes, ",") {
 		n, err := strconv.ParseInt(field, 10, 64)
 		if err != nil || n < 1 || n > 1<<40 {
-			return usage("sizes: %q is none of 1 to 2^40", field)
+			return usageError("sizes: %q is none of 1 to 2^40", field)
 		}
 		o.Sizes = append(o.Sizes, n)
 	}
-	all := strings.Split(ways, ",")
+	all := strings.Split(directions, ",")
 	for _, w := range all {
 		if w != "down" && w != "up" && w != "both" {
-			return usage("ways: %q is none of down, up, both", w)
+			return usageError("ways: %q is none of down, up, both", w)
 		}
 	}
 	if o.Workers < 1 || o.Workers > 800 || o.MemoryMB < 16 {
-		return usage("bodies takes --workers from 1 to 800 and --memory from 16")
+		return usageError("bodies takes --workers from 1 to 800 and --memory from 16")
 	}
 	var err error
 	if o.Program, err = os.Executable(); err != nil {
@@ -269,7 +269,7 @@
 	for field := range strings.SplitSeq(loads, ",") {
 		load, err := strconv.ParseFloat(field, 64)
 		if err != nil || !(load > 0 && load <= 2) {
-			return usage("loads: %q is none from 0 to 2", field)
+			return usageError("loads: %q is none from 0 to 2", field)
 		}
 		o.Load = load
 		for _, c := range balancesim.Cases {
@@ -318,7 +318,7 @@
 
 func measureFleet(ctx context.Context, e *Env, o measure.FleetOptions, asJSON bool) error {
 	if o.Instances < 1 || o.Instances > 1000 || o.GroupSize < 0 || o.Rate < 1 || o.Servers < 1 || o.Work < time.Millisecond || o.Servers > 1000 || o.Rate > 100000 || o.Every < 0 || o.NewServerInterval < 0 {
-		return usage("measure fleet: its flags are off; see lockflow measure --help")
+		return usageError("measure fleet: its flags are off; see lockflow measure --help")
 	}
 	var err error
 	if o.Program, err = os.Executable(); err != nil {
@@ -341,7 +341,7 @@
 	}
 	if len(got.Wrong) > 0 {
 		fmt.Fprintf(e.Err, "the instances' files are left in %s\n", o.Dir)
-		return errTold
+		return errReported
 	}
 	return os.RemoveAll(o.Dir)
 }
--- a/internal/command/measurefaults.go
+++ b/internal/command/measurefaults.go
@@ -33,7 +33,7 @@
 	}
 	if o.Processes < 1 || o.Processes > 64 || change && o.Processes%3 > 0 || o.Seeds < 1 || o.Seeds > 100_000 || o.Faults < 0 || o.Faults > 10_000 ||
 		o.Shrinks < 0 || o.Shrinks > 10_000 {
-		return usage("measure %s: its flags are off; see lockflow measure --help", what)
+		return usageError("measure %s: its flags are off; see lockflow measure --help", what)
 	}
 	var err error
 	if file != "" {
@@ -72,7 +72,7 @@
 	}
 	if failing != "" {
 		fmt.Fprintf(e.Err, "the nodes' files are left in %s\n", o.Dir)
-		return errTold
+		return errReported
 	}
 	return os.RemoveAll(o.Dir)
 }
@@ -85,10 +85,10 @@
 	}
 	s, err := faultnet.Parse(string(raw))
 	if err != nil {
-		return nil, usage("%s: %v", file, err)
+		return nil, usageError("%s: %v", file, err)
 	}
 	if s.Procs != processes || s.Links != links {
-		return nil, usage("%s: a script of %d processes and %d links; %d processes have %d", file, s.Procs, s.Links, processes, links)
+		return nil, usageError("%s: a script of %d processes and %d links; %d processes have %d", file, s.Procs, s.Links, processes, links)
 	}
 	return &s, nil
 }
--- a/internal/command/measurerollout.go
+++ b/internal/command/measurerollout.go
@@ -19,12 +19,12 @@
 	for word := range strings.SplitSeq(kinds, ",") {
 		kind := desiredstate.Kind(strings.TrimSpace(word))
 		if kind != desiredstate.KindSettings && kind != desiredstate.KindProgram {
-			return usage("measure rollout: kinds: %q is neither %s nor %s", kind, desiredstate.KindSettings, desiredstate.KindProgram)
+			return usageError("measure rollout: kinds: %q is neither %s nor %s", kind, desiredstate.KindSettings, desiredstate.KindProgram)
 		}
 		o.Kinds = append(o.Kinds, kind)
 	}
 	if o.Members < 2 || o.Members > 64 {
-		return usage("measure rollout: processes: %d are none of 2 to 64", o.Members)
+		return usageError("measure rollout: processes: %d are none of 2 to 64", o.Members)
 	}
 	if o.Program, err = os.Executable(); err != nil {
 		return fmt.Errorf("finding the program's own file: %w", err)
@@ -60,7 +60,7 @@
 	}
 	if len(r.Wrong) > 0 {
 		fmt.Fprintf(e.Err, "the nodes' files are left in %s\n", o.Dir)
-		return errTold
+		return errReported
 	}
 	return os.RemoveAll(o.Dir)
 }
--- a/internal/command/measureskew.go
+++ b/internal/command/measureskew.go
@@ -23,13 +23,13 @@
 // measureSkew has another build and this program take each other's place under load.
 func measureSkew(ctx context.Context, e *Env, o versionskew.Options, asJSON bool) (err error) {
 	if o.Rounds > skewRoundsMax || o.Requests < 1 || o.Requests > skewRequestsLimit {
-		return usage("measure upgrade --previous takes --rounds from 1 to %d and --requests from 1 to %d", skewRoundsMax, skewRequestsLimit)
+		return usageError("measure upgrade --previous takes --rounds from 1 to %d and --requests from 1 to %d", skewRoundsMax, skewRequestsLimit)
 	}
 	if o.Previous, err = filepath.Abs(o.Previous); err != nil {
 		return fmt.Errorf("finding the previous build: %w", err)
 	}
 	if info, err := os.Stat(o.Previous); err != nil || info.IsDir() {
-		return usage("measure upgrade: --previous %s is no program", o.Previous)
+		return usageError("measure upgrade: --previous %s is no program", o.Previous)
 	}
 	if o.Current, err = os.Executable(); err != nil {
 		return fmt.Errorf("finding the program's own file: %w", err)
@@ -55,7 +55,7 @@
 	}
 	if len(report.Violations) > 0 {
 		_, _ = fmt.Fprintf(e.Err, "the daemon's files are left in %s\n", o.Dir)
-		return errTold
+		return errReported
 	}
 	return os.RemoveAll(o.Dir)
 }
--- a/internal/command/measuresoak.go
+++ b/internal/command/measuresoak.go
@@ -22,14 +22,14 @@
 type soakOptions struct {
 	nodes, seeds int
 	seed         uint64
-	lasts        time.Duration
+	duration     time.Duration
 }
 
 // measureSoak plays seed after seed, in the repository's directory, and goes on behind one that fails. What each of
 // those left is kept.
 func measureSoak(ctx context.Context, e *Env, o soakOptions, asJSON bool) error {
 	if o.nodes < 1 || o.nodes > 64 || o.seeds < 1 || o.seeds > 100_000 {
-		return usage("measure soak: its flags are off; see lockflow measure --help")
+		return usageError("measure soak: its flags are off; see lockflow measure --help")
 	}
 	directory, err := os.MkdirTemp("", "lockflow-soak-")
 	if err != nil {
@@ -43,7 +43,7 @@
 	for i := range o.seeds {
 		options := soak.Options{
 			Program: program, Dir: filepath.Join(directory, fmt.Sprint(i)), Nodes: o.nodes, Servers: o.nodes + 1, Clients: 4,
-			Disturbances: o.nodes + 2, Duration: o.lasts, Seed: o.seed + uint64(i),
+			Disturbances: o.nodes + 2, Duration: o.duration, Seed: o.seed + uint64(i),
 		}
 		report, err := playSoak(ctx, options)
 		if err != nil {
@@ -55,7 +55,7 @@
 		}
 	}
 	if hasFailed {
-		return errTold
+		return errReported
 	}
 	return os.RemoveAll(directory)
 }
--- a/internal/command/plan.go
+++ b/internal/command/plan.go
@@ -11,7 +11,7 @@
 
 func planCommand() command {
 	return command{
-		name: "plan", group: files, does: "tells what a change from one configuration, or fleet file, to another brings",
+		name: "plan", group: groupFiles, summary: "tells what a change from one configuration, or fleet file, to another brings",
 		args: "[--fleet] OLD NEW [--json]",
 		examples: []string{
 			"lockflow plan /etc/lockflow/lockflow.toml new.toml",
@@ -22,7 +22,7 @@
 			fleet := set.Bool("fleet", false, "the files name regions; tells the order in which these may change, and conflicts on the way")
 			return func(_ context.Context, e *Env, args []string) error {
 				if len(args) != 2 {
-					return usage("plan takes two files")
+					return usageError("plan takes two files")
 				}
 				if *fleet {
 					return planFleet(e, args[0], args[1], *asJSON)
@@ -54,7 +54,7 @@
 	} else {
 		w := tabwriter.NewWriter(e.Out, 0, 0, 2, ' ', 0)
 		for _, c := range p {
-			fmt.Fprintf(w, "%s\t%s\t%s\n", c.Effect, c.What, arrow(c))
+			fmt.Fprintf(w, "%s\t%s\t%s\n", c.Effect, c.What, formatValues(c))
 		}
 		if len(p) == 0 {
 			fmt.Fprintln(w, "nothing changes")
@@ -65,12 +65,12 @@
 	}
 	if n := len(p.Restarts()); n > 0 {
 		fmt.Fprintf(e.Err, "%d changes need a restart: a reload would be refused\n", n)
-		return errTold
+		return errReported
 	}
 	return nil
 }
 
-func arrow(c config.Change) string {
+func formatValues(c config.Change) string {
 	if c.From == "" && c.To == "" {
 		return ""
 	}
--- a/internal/command/proxy.go
+++ b/internal/command/proxy.go
@@ -14,7 +14,7 @@
 
 func proxyCommand() command {
 	return command{
-		name: "proxy", group: running, does: "serves ordinary HTTP from some app servers, with no configuration file",
+		name: "proxy", group: groupRunning, summary: "serves ordinary HTTP from some app servers, with no configuration file",
 		args: "--to ADDRESS[,ADDRESS...] [--listen ADDRESS] [--for TIME] [--print]",
 		examples: []string{
 			"lockflow proxy --listen 127.0.0.1:8080 --to 127.0.0.1:9001,127.0.0.1:9002",
@@ -23,21 +23,21 @@
 		setup: func(set flags) func(context.Context, *Env, []string) error {
 			listen := set.String("listen", "127.0.0.1:8080", "`ADDRESS` for clients")
 			to := set.StringSlice("to", nil, "`ADDRESS`es of the app servers")
-			lasts := set.Duration("for", 0, "`TIME` after which it drains and ends; 0 is never")
+			duration := set.Duration("for", 0, "`TIME` after which it drains and ends; 0 is never")
 			show := set.Bool("print", false, "prints the configuration and serves nothing")
 			return func(ctx context.Context, e *Env, args []string) error {
-				if len(args) > 0 || len(*to) == 0 || *lasts < 0 {
-					return usage("proxy takes the servers' addresses (--to) and nothing else beside its flags")
+				if len(args) > 0 || len(*to) == 0 || *duration < 0 {
+					return usageError("proxy takes the servers' addresses (--to) and nothing else beside its flags")
 				}
 				text, err := proxyConfig(*listen, *to)
 				if err != nil {
-					return usage("proxy: %v", err)
+					return usageError("proxy: %v", err)
 				}
 				if *show {
 					_, err := fmt.Fprint(e.Out, text)
 					return err
 				}
-				return serveProxy(ctx, e, text, *lasts)
+				return serveProxy(ctx, e, text, *duration)
 			}
 		},
 	}
@@ -59,20 +59,20 @@
 	return b.String(), nil
 }
 
-func serveProxy(ctx context.Context, e *Env, text string, lasts time.Duration) error {
+func serveProxy(ctx context.Context, e *Env, text string, duration time.Duration) error {
 	cfg, err := config.Parse("proxy", []byte(text))
 	if err != nil {
 		return err
 	}
-	tune(cfg)
+	applyRuntimeLimits(cfg)
 	n, err := node.New(cfg)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(e.Out, "listening on %s, serving from %d app servers\n", n.Addr(), len(cfg.Services[0].Source.Endpoints))
-	if lasts > 0 {
+	if duration > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, lasts)
+		ctx, cancel = context.WithTimeout(ctx, duration)
 		defer cancel()
 	}
 	return n.Run(ctx)
--- a/internal/command/regions.go
+++ b/internal/command/regions.go
@@ -20,15 +20,15 @@
 
 // findings is what is told of a fleet or of its change.
 type findings struct {
-	Conflicts []regions.Conflict `json:"conflicts"`
-	Order     []string           `json:"order"` // the steps of a change; "NAME (intermediate)" is the first of two
-	Circle    []string           `json:"circle,omitempty"`
-	Through   []through          `json:"through,omitempty"`
-	Passing   []regions.Conflict `json:"passing,omitempty"`
+	Conflicts    []regions.Conflict   `json:"conflicts"`
+	Order        []string             `json:"order"` // the steps of a change; "NAME (intermediate)" is the first of two
+	Cycle        []string             `json:"circle,omitempty"`
+	Intermediate []intermediateConfig `json:"through,omitempty"`
+	Transient    []regions.Conflict   `json:"passing,omitempty"`
 }
 
-// through is an intermediate configuration.
-type through struct {
+// intermediateConfig is an intermediate configuration.
+type intermediateConfig struct {
 	Region    string      `json:"region"`
 	Instances int         `json:"instances"` // that its members are to be told
 	Hash      string      `json:"hash"`
@@ -36,7 +36,7 @@
 	Changes   config.Plan `json:"changes"` // from what it runs
 }
 
-const intermediate = " (intermediate)"
+const intermediateSuffix = " (intermediate)"
 
 func loadFleet(path string) (fleetfile.File, error) {
 	f, err := fleetfile.Load(path)
@@ -54,12 +54,12 @@
 	}
 	found := findings{Conflicts: f.Waive(regions.Check(f.Regions()), time.Now())}
 	if !asJSON && len(found.Conflicts) == 0 {
-		fmt.Fprintf(e.Out, "%s: fine: %d regions, %d members\n", path, len(f.All), members(f))
+		fmt.Fprintf(e.Out, "%s: fine: %d regions, %d members\n", path, len(f.All), countMembers(f))
 	}
-	return found.tell(e, asJSON)
+	return found.report(e, asJSON)
 }
 
-func members(f fleetfile.File) (n int) {
+func countMembers(f fleetfile.File) (n int) {
 	for _, r := range f.All {
 		n += len(r.Members)
 	}
@@ -79,18 +79,18 @@
 	}
 	waiving, check := new.Waiving(time.Now()), mixture.NewIncrementalCheck()
 	left := func(all []regions.Region) []regions.Conflict {
-		var kept []regions.Conflict
+		var remaining []regions.Conflict
 		for _, c := range check(all) {
 			if len(waiving.Left([]regions.Conflict{mixture.WithoutGenerations(c)})) > 0 {
-				kept = append(kept, c)
+				remaining = append(remaining, c)
 			}
 		}
-		return kept
+		return remaining
 	}
 	is := new.Regions()
 	found := findings{Conflicts: left(is)}
 	r := mixture.Order(old.Regions(), is, left)
-	found.Circle, found.Passing = r.Cycle, r.Transient
+	found.Cycle, found.Transient = r.Cycle, r.Transient
 	found.Conflicts = append(append(found.Conflicts, r.Blocked...), waiving.Conflicts()...)
 	for _, mid := range r.Intermediate {
 		for _, one := range old.All {
@@ -101,17 +101,17 @@
 			if err != nil {
 				return err
 			}
-			found.Through = append(found.Through, through{mid.Name, mid.Instances, now.Hash, string(now.Text), config.Compare(one.Config, now.Config)})
+			found.Intermediate = append(found.Intermediate, intermediateConfig{mid.Name, mid.Instances, now.Hash, string(now.Text), config.Compare(one.Config, now.Config)})
 		}
 	}
 	for _, name := range r.IntermediateOrder {
-		found.Order = append(found.Order, name+intermediate)
+		found.Order = append(found.Order, name+intermediateSuffix)
 	}
 	found.Order = append(found.Order, r.Order...)
 	if !asJSON {
 		found.explain(e.Out, r)
 	}
-	return found.tell(e, asJSON)
+	return found.report(e, asJSON)
 }
 
 // explain prints the order, or why there is none.
@@ -133,19 +133,19 @@
 		fmt.Fprintf(w, "%d. %s\n", i+1, step)
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	for _, th := range f.Through {
+	for _, th := range f.Intermediate {
 		for _, c := range th.Changes {
-			fmt.Fprintf(t, "%s\t%s\t%s\n", th.Region+intermediate, c.What, arrow(c))
+			fmt.Fprintf(t, "%s\t%s\t%s\n", th.Region+intermediateSuffix, c.What, formatValues(c))
 		}
 	}
-	for _, c := range f.Passing {
+	for _, c := range f.Transient {
 		fmt.Fprintf(t, "passing\t%s\t%s\t%s\t%s\n", c.Kind, strings.Join(c.Regions, ", "), strings.Join(c.Rules, ", "), c.Why)
 	}
 	t.Flush()
 }
 
-// tell prints the conflicts; it fails where there are any.
-func (f findings) tell(e *Env, asJSON bool) error {
+// report prints the conflicts; it fails where there are any.
+func (f findings) report(e *Env, asJSON bool) error {
 	if asJSON {
 		if f.Conflicts == nil {
 			f.Conflicts = []regions.Conflict{}
@@ -169,7 +169,7 @@
 		}
 	}
 	if len(f.Conflicts) > 0 {
-		return errTold
+		return errReported
 	}
 	return nil
 }
--- a/internal/command/regions_test.go
+++ b/internal/command/regions_test.go
@@ -108,7 +108,7 @@
 			t.Errorf("%s: %v\n%s%s", name, err, out, errs)
 			continue
 		}
-		if strings.Join(kinds(got.Conflicts), " ") != tc.kinds || (code == Fine) != (tc.kinds == "") || code == Usage {
+		if strings.Join(kinds(got.Conflicts), " ") != tc.kinds || (code == ExitOK) != (tc.kinds == "") || code == ExitUsage {
 			t.Errorf("%s: exit %d\n%s%s", name, code, out, errs)
 		}
 		for _, c := range got.Conflicts {
@@ -116,7 +116,7 @@
 				t.Errorf("%s: %+v", name, c)
 			}
 		}
-		if code2, out, _ := run(t, nil, "check", "--fleet", path); code2 != code || len(got.Conflicts) > 0 && !strings.Contains(out, got.Conflicts[0].Why) || code == Fine && !strings.Contains(out, "fine: 2 regions, 8 members") {
+		if code2, out, _ := run(t, nil, "check", "--fleet", path); code2 != code || len(got.Conflicts) > 0 && !strings.Contains(out, got.Conflicts[0].Why) || code == ExitOK && !strings.Contains(out, "fine: 2 regions, 8 members") {
 			t.Errorf("%s: exit %d\n%s", name, code2, out)
 		}
 	}
@@ -145,11 +145,11 @@
 			t.Errorf("%s: %v\n%s%s", name, err, out, errs)
 			continue
 		}
-		all := []string{strings.Join(kinds(got.Conflicts), " "), strings.Join(got.Order, " "), strings.Join(got.Circle, " ")}
-		if !slices.Equal(all, []string{tc.kinds, tc.order, tc.circle}) || (code == Fine) != (tc.kinds == "") {
+		all := []string{strings.Join(kinds(got.Conflicts), " "), strings.Join(got.Order, " "), strings.Join(got.Cycle, " ")}
+		if !slices.Equal(all, []string{tc.kinds, tc.order, tc.circle}) || (code == ExitOK) != (tc.kinds == "") {
 			t.Errorf("%s: exit %d, %q\n%s%s", name, code, all, out, errs)
 		}
-		for _, th := range got.Through {
+		for _, th := range got.Intermediate {
 			if !strings.Contains(th.Text, "ceiling_rate = 40.0") || !strings.Contains(th.Text, "ceiling_burst = 50.0") || len(th.Changes) != 1 || len(th.Hash) != 64 {
 				t.Errorf("%s: %+v", name, th)
 			}
@@ -165,12 +165,12 @@
 	bad := fleetOf(t, "", "", "x = 1\n")
 	for _, args := range [][]string{{"check", "--fleet", bad}, {"check", "--fleet", bad + "no"}, {"plan", "--fleet", bad, bad}, {"plan", "--fleet", bad}, {"check", "--fleet", bad, bad}} {
 		code, out, errs := run(t, nil, args...)
-		if code != Usage || out != "" || !strings.Contains(errs, "lockflow: ") && !strings.Contains(errs, "fleet.toml:9: regions.south.x: unknown key") && !strings.Contains(errs, "fleet.toml:9: regions.north.x: unknown key") && !strings.Contains(errs, "no such file") {
+		if code != ExitUsage || out != "" || !strings.Contains(errs, "lockflow: ") && !strings.Contains(errs, "fleet.toml:9: regions.south.x: unknown key") && !strings.Contains(errs, "fleet.toml:9: regions.north.x: unknown key") && !strings.Contains(errs, "no such file") {
 			t.Errorf("%v: exit %d\n%s%s", args, code, out, errs)
 		}
 	}
 	code, out, errs := run(t, nil, "check", "--fleet", "../../deploy/fleet.toml")
-	if code != Fine || !strings.Contains(out, "2 regions") {
+	if code != ExitOK || !strings.Contains(out, "2 regions") {
 		t.Errorf("the example: exit %d\n%s%s", code, out, errs)
 	}
 }
--- a/internal/command/replay.go
+++ b/internal/command/replay.go
@@ -13,12 +13,12 @@
 	"lockflow/internal/record"
 )
 
-// stepsBefore is how many events are shown that led to a difference.
-const stepsBefore = 8
+// maxStepsBefore is how many events are shown that led to a difference.
+const maxStepsBefore = 8
 
 func replayCommand() command {
 	return command{
-		name: "replay", group: trying, does: "plays recordings of decisions again and verifies that they come out the same",
+		name: "replay", group: groupTrials, summary: "plays recordings of decisions again and verifies that they come out the same",
 		args: "FILE... [--steps] [--id ID] [--json]",
 		examples: []string{
 			"lockflow replay /var/lib/lockflow/record/rosters-*.lfrec",
@@ -30,21 +30,21 @@
 			asJSON := set.Bool("json", false, "prints a JSON object a file")
 			return func(ctx context.Context, e *Env, args []string) error {
 				if len(args) == 0 {
-					return usage("replay takes files of recordings")
+					return usageError("replay takes files of recordings")
 				}
-				p := &replayer{e: e, steps: *steps || *id != "", id: *id, json: *asJSON}
-				return p.files(ctx, args)
+				p := &replayer{env: e, steps: *steps || *id != "", id: *id, json: *asJSON}
+				return p.replayAll(ctx, args)
 			}
 		},
 	}
 }
 
 type replayer struct {
-	e      *Env
-	steps  bool
-	id     string
-	json   bool
-	differ bool
+	env            *Env
+	steps          bool
+	id             string
+	json           bool
+	hasDifferences bool
 }
 
 // replayed is what came of one file.
@@ -60,19 +60,19 @@
 
 var errDiffers = errors.New("other actions than were recorded")
 
-// files replays recordings one after another and prints what came of each; one that differs is an error.
-func (p *replayer) files(ctx context.Context, paths []string) error {
-	w := tabwriter.NewWriter(p.e.Out, 0, 0, 2, ' ', 0)
+// replayAll replays recordings one after another and prints what came of each; one that differs is an error.
+func (p *replayer) replayAll(ctx context.Context, paths []string) error {
+	w := tabwriter.NewWriter(p.env.Out, 0, 0, 2, ' ', 0)
 	if !p.steps && !p.json {
 		fmt.Fprintln(w, "service\tbegins\tevents\tactions' digest\tlost before\tsame\t")
 	}
 	for _, path := range paths {
-		r, err := p.file(ctx, path)
+		r, err := p.replayFile(ctx, path)
 		if err != nil {
 			return err
 		}
 		if p.json {
-			if err := json.NewEncoder(p.e.Out).Encode(r); err != nil {
+			if err := json.NewEncoder(p.env.Out).Encode(r); err != nil {
 				return err
 			}
 			continue
@@ -82,13 +82,13 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	if p.differ {
-		return errTold
+	if p.hasDifferences {
+		return errReported
 	}
 	return nil
 }
 
-func (p *replayer) file(ctx context.Context, path string) (replayed, error) {
+func (p *replayer) replayFile(ctx context.Context, path string) (replayed, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return replayed{}, fmt.Errorf("replaying: %w", err)
@@ -105,23 +105,23 @@
 	out.Lost = section.LostEvents
 	var before []string
 	out.Events, out.Digest, err = r.Replay(func(s record.Step) error {
-		if p.steps && (p.id == "" || about(s, p.id)) {
-			fmt.Fprintln(p.e.Out, line(s))
+		if p.steps && (p.id == "" || concerns(s, p.id)) {
+			fmt.Fprintln(p.env.Out, formatStep(s))
 		}
-		if len(before) == stepsBefore {
+		if len(before) == maxStepsBefore {
 			before = before[1:]
 		}
-		before = append(before, line(s))
+		before = append(before, formatStep(s))
 		if !s.IsAsRecorded {
 			return errDiffers
 		}
 		return ctx.Err()
 	})
 	if errors.Is(err, errDiffers) {
-		p.differ, out.Same, err = true, false, nil
-		fmt.Fprintf(p.e.Err, "%s: event %d comes out otherwise than it was recorded; what led there:\n", path, out.Events)
+		p.hasDifferences, out.Same, err = true, false, nil
+		fmt.Fprintf(p.env.Err, "%s: event %d comes out otherwise than it was recorded; what led there:\n", path, out.Events)
 		for _, l := range before {
-			fmt.Fprintln(p.e.Err, l)
+			fmt.Fprintln(p.env.Err, l)
 		}
 	}
 	if err != nil {
@@ -130,8 +130,8 @@
 	return out, err
 }
 
-// line is a step as a person reads it.
-func line(s record.Step) string {
+// formatStep is a step as a person reads it.
+func formatStep(s record.Step) string {
 	at := time.Unix(0, int64(s.Now)).UTC().Format("15:04:05.000000")
 	text := fmt.Sprintf("%s  %T %+v", at, s.Event, s.Event)
 	for _, a := range s.Actions {
@@ -140,8 +140,8 @@
 	return text
 }
 
-// about tells whether a step is of a request.
-func about(s record.Step, id string) bool {
+// concerns tells whether a step is of a request.
+func concerns(s record.Step, id string) bool {
 	switch e := s.Event.(type) {
 	case control.Request:
 		return e.ID == id
--- a/internal/command/rollout.go
+++ b/internal/command/rollout.go
@@ -23,67 +23,67 @@
 
 // rolloutFlags are the flags of what changes a fleet.
 type rolloutFlags struct {
-	stages, journal       string
-	batch, atOnce, killAt int
-	bake, bakeMost, pause time.Duration
-	resume, takeBack      bool
-	stay, unjudged        bool
+	stages, logDir                     string
+	batch, maxUnavailable, killAtWrite int
+	minBake, maxBake, pause            time.Duration
+	resume, rollBack                   bool
+	disableRollback, readinessSuffices bool
 }
 
-func (f *rolloutFlags) flags(set flags) {
+func (f *rolloutFlags) addFlags(set flags) {
 	set.StringVar(&f.stages, "stages", "1, 10%, 50%, 100%", "reload, upgrade: `LIST` of the parts that have changed at the end of each stage")
-	set.DurationVar(&f.bake, "bake", time.Minute, "reload, upgrade: `TIME` at least that a stage is watched")
-	set.DurationVar(&f.bakeMost, "bake-most", 30*time.Minute, "reload, upgrade: `TIME` at most; a stage that has shown too little by then stops the change")
-	set.IntVar(&f.atOnce, "at-once", 0, "reload, upgrade: `N` members that change at once at most; 0 is the root of all")
-	set.BoolVar(&f.unjudged, "unjudged", false, "reload, upgrade: where too little is seen to judge by, readiness is enough")
+	set.DurationVar(&f.minBake, "bake", time.Minute, "reload, upgrade: `TIME` at least that a stage is watched")
+	set.DurationVar(&f.maxBake, "bake-most", 30*time.Minute, "reload, upgrade: `TIME` at most; a stage that has shown too little by then stops the change")
+	set.IntVar(&f.maxUnavailable, "at-once", 0, "reload, upgrade: `N` members that change at once at most; 0 is the root of all")
+	set.BoolVar(&f.readinessSuffices, "unjudged", false, "reload, upgrade: where too little is seen to judge by, readiness is enough")
 	set.BoolVar(&f.resume, "resume", false, "reload, upgrade: goes on with the unfinished change of the journal")
-	set.BoolVar(&f.takeBack, "take-back", false, "reload, upgrade: takes the unfinished change of the journal back")
-	set.StringVar(&f.journal, "journal", "", "`DIR` of what was decided; DIR/rollout or FILE.rollout if it is not given")
+	set.BoolVar(&f.rollBack, "take-back", false, "reload, upgrade: takes the unfinished change of the journal back")
+	set.StringVar(&f.logDir, "journal", "", "`DIR` of what was decided; DIR/rollout or FILE.rollout if it is not given")
 	set.IntVar(&f.batch, "batch", 0, "reload, upgrade: the same as at-once")
 	set.DurationVar(&f.pause, "pause", 0, "reload, upgrade: the same as bake")
-	set.IntVar(&f.killAt, "kill-at", 0, "is for tests: the coordinator kills itself after write `N` of its journal, or before write -N")
+	set.IntVar(&f.killAtWrite, "kill-at", 0, "is for tests: the coordinator kills itself after write `N` of its journal, or before write -N")
 	_ = set.MarkHidden("kill-at") // fails for a flag that is not there alone
-	set.BoolVar(&f.stay, "no-rollback", false, "reload, upgrade: leaves what was changed where it does worse or fails")
+	set.BoolVar(&f.disableRollback, "no-rollback", false, "reload, upgrade: leaves what was changed where it does worse or fails")
 }
 
 func (f *rolloutFlags) check() error {
 	if f.batch > 0 {
-		f.atOnce = f.batch
+		f.maxUnavailable = f.batch
 	}
 	if f.pause > 0 {
-		f.bake = f.pause
+		f.minBake = f.pause
 	}
 	switch {
-	case f.atOnce < 0 || f.batch < 0 || f.pause < 0:
-		return usage("fleet: at-once, batch and pause: %d, %d and %v are off", f.atOnce, f.batch, f.pause)
-	case f.bake <= 0 || f.bakeMost < f.bake:
-		return usage("fleet: bake and bake-most: %v and %v are off", f.bake, f.bakeMost)
-	case f.resume && f.takeBack:
-		return usage("fleet: one of resume and take-back")
+	case f.maxUnavailable < 0 || f.batch < 0 || f.pause < 0:
+		return usageError("fleet: at-once, batch and pause: %d, %d and %v are off", f.maxUnavailable, f.batch, f.pause)
+	case f.minBake <= 0 || f.maxBake < f.minBake:
+		return usageError("fleet: bake and bake-most: %v and %v are off", f.minBake, f.maxBake)
+	case f.resume && f.rollBack:
+		return usageError("fleet: one of resume and take-back")
 	}
 	if _, err := rollout.ParseStages(f.stages); err != nil {
-		return usage("fleet: %v", err)
+		return usageError("fleet: %v", err)
 	}
 	return nil
 }
 
 func (f *rolloutFlags) plan(away time.Duration) rollout.Plan {
 	stages, _ := rollout.ParseStages(f.stages)
-	return rollout.Plan{Stages: stages, MaxUnavailable: f.atOnce, MinBake: f.bake, MaxBake: f.bakeMost, MemberTimeout: away, ReadinessSuffices: f.unjudged, DisableRollback: f.stay}
+	return rollout.Plan{Stages: stages, MaxUnavailable: f.maxUnavailable, MinBake: f.minBake, MaxBake: f.maxBake, MemberTimeout: away, ReadinessSuffices: f.readinessSuffices, DisableRollback: f.disableRollback}
 }
 
-// journalDir is where what is decided about a fleet is kept.
-func (f *fleetFlags) journalDir() string {
+// logDirectory is where what is decided about a fleet is kept.
+func (f *fleetFlags) logDirectory() string {
 	switch {
-	case f.journal != "":
-		return f.journal
+	case f.logDir != "":
+		return f.logDir
 	case f.dir != "":
 		return filepath.Join(f.dir, "rollout")
 	}
 	return f.sockets + f.file + ".rollout"
 }
 
-func count(all ...string) (n int) {
+func countSet(all ...string) (n int) {
 	for _, s := range all {
 		if s != "" {
 			n++
@@ -92,8 +92,8 @@
 	return n
 }
 
-// overRegions does something with all members that a fleet file names.
-func (f *fleetFlags) overRegions(ctx context.Context, e *Env, what string) error {
+// runOnRegions does something with all members that a fleet file names.
+func (f *fleetFlags) runOnRegions(ctx context.Context, e *Env, what string) error {
 	file, err := fleetfile.Load(f.file)
 	if err != nil {
 		return err
@@ -110,61 +110,61 @@
 	case "status":
 		return f.status(ctx, e, members)
 	case "drain", "serve":
-		return f.rest(ctx, e, members, what == "drain")
+		return f.setDrained(ctx, e, members, what == "drain")
 	case "upgrade":
-		return f.change(ctx, e, what, placed, nil)
+		return f.startChange(ctx, e, what, placed, nil)
 	case "reload":
 		if f.config != "" {
-			return usage("fleet reload takes one of --config and --fleet, whose regions name theirs")
+			return usageError("fleet reload takes one of --config and --fleet, whose regions name theirs")
 		}
-		if f.resume || f.takeBack { // the journal knows
-			return f.change(ctx, e, what, placed, nil)
+		if f.resume || f.rollBack { // the journal knows
+			return f.startChange(ctx, e, what, placed, nil)
 		}
 		placed, order, err := fleet.PlanRegions(ctx, file, time.Now())
 		var c *fleet.ConflictError
 		if errors.As(err, &c) {
 			fmt.Fprintln(e.Err, c.Error())
-			return errTold
+			return errReported
 		}
 		if err != nil {
 			return err
 		}
-		return f.change(ctx, e, what, placed, order)
+		return f.startChange(ctx, e, what, placed, order)
 	}
-	return usage("fleet: there is no %q: run, status, reload, upgrade, drain, serve", what)
+	return usageError("fleet: there is no %q: run, status, reload, upgrade, drain, serve", what)
 }
 
-// change has a change of settings or of the program go over a fleet.
-func (f *fleetFlags) change(ctx context.Context, e *Env, what string, members []fleet.Placed, order [][]string) error {
-	j, err := fleet.OpenRolloutLog(f.journalDir())
+// startChange has a change of settings or of the program go over a fleet.
+func (f *fleetFlags) startChange(ctx context.Context, e *Env, what string, members []fleet.Placed, order [][]string) error {
+	j, err := fleet.OpenRolloutLog(f.logDirectory())
 	if err != nil {
 		return err
 	}
 	defer j.Close()
-	if f.killAt != 0 {
-		j.OnWrite = func(n int, kept bool) {
-			if kept && n == f.killAt || !kept && n == -f.killAt {
+	if f.killAtWrite != 0 {
+		j.OnWrite = func(n int, isWritten bool) {
+			if isWritten && n == f.killAtWrite || !isWritten && n == -f.killAtWrite {
 				_ = syscall.Kill(os.Getpid(), syscall.SIGKILL) // of itself: it can't fail
 				select {}                                      // it comes at once, but not to this line
 			}
 		}
 	}
 	at := j.Unfinished()
-	if f.resume || f.takeBack {
+	if f.resume || f.rollBack {
 		if j.Change == nil {
-			return fmt.Errorf("fleet %s: the journal %s holds no change", what, f.journalDir())
+			return fmt.Errorf("fleet %s: the journal %s holds no change", what, f.logDirectory())
 		}
-		return f.carry(ctx, e, j)
+		return f.runRollout(ctx, e, j)
 	}
 	if at != "" {
 		return fmt.Errorf("fleet %s: the change of %s is unfinished, %s: go on with --resume, or back with --take-back", what,
 			j.Change.StartedAt.Format(time.DateTime), at)
 	}
-	p := f.plan(f.within)
+	p := f.plan(f.timeout)
 	p.RegionOrder = order
 	var c *fleet.Change
 	if what == "upgrade" {
-		c, err = fleet.NewProgramChange(ctx, members, p, f.program, f.journalDir())
+		c, err = fleet.NewProgramChange(ctx, members, p, f.program, f.logDirectory())
 	} else {
 		known := map[string]string{}
 		if j.Change != nil {
@@ -173,7 +173,7 @@
 		c, err = fleet.NewSettingsChange(ctx, members, p, known)
 	}
 	if errors.Is(err, fleet.ErrUnchanged) {
-		return f.again(ctx, e, members)
+		return f.reloadUnchanged(ctx, e, members)
 	}
 	if err != nil {
 		return err
@@ -184,16 +184,16 @@
 	if err := j.Begin(c); err != nil {
 		return err
 	}
-	return f.carry(ctx, e, j)
+	return f.runRollout(ctx, e, j)
 }
 
-// again has members read files anew that have not changed: certificates may have.
-func (f *fleetFlags) again(ctx context.Context, e *Env, members []fleet.Placed) error {
+// reloadUnchanged has members read files anew that have not changed: certificates may have.
+func (f *fleetFlags) reloadUnchanged(ctx context.Context, e *Env, members []fleet.Placed) error {
 	for _, m := range members {
-		within, cancel := context.WithTimeout(ctx, f.within)
-		s, err := m.Client.Status(within)
+		memberCtx, cancel := context.WithTimeout(ctx, f.timeout)
+		s, err := m.Client.Status(memberCtx)
 		if err == nil {
-			err = (&fleet.Reload{}).Do(within, m.Member, s)
+			err = (&fleet.Reload{}).Do(memberCtx, m.Member, s)
 		}
 		cancel()
 		if err != nil {
@@ -207,9 +207,9 @@
 	return json.NewEncoder(e.Out).Encode(map[string]any{"result": rollout.ResultDone, "why": "the settings are the same", "members": []string{}})
 }
 
-// carry carries a journal's change out, and tells how it ended.
-func (f *fleetFlags) carry(ctx context.Context, e *Env, j *fleet.RolloutLog) error {
-	w := fleet.RolloutOptions{Progress: e.Out, Resume: f.resume || f.takeBack, RollBack: f.takeBack}
+// runRollout carries a journal's change out, and tells how it ended.
+func (f *fleetFlags) runRollout(ctx context.Context, e *Env, j *fleet.RolloutLog) error {
+	w := fleet.RolloutOptions{Progress: e.Out, Resume: f.resume || f.rollBack, RollBack: f.rollBack}
 	if f.json {
 		w.Progress = e.Err
 	}
@@ -229,17 +229,17 @@
 	for _, m := range out.Members {
 		counts[m.State]++
 	}
-	tell := e.Err
+	output := e.Err
 	if out.Result == rollout.ResultDone {
-		tell = e.Out
+		output = e.Out
 	}
 	if !f.json || out.Result != rollout.ResultDone {
 		if out.Result != rollout.ResultDone {
-			fmt.Fprintf(tell, "lockflow: %s: %s\n", out.Result, out.Reason)
+			fmt.Fprintf(output, "lockflow: %s: %s\n", out.Result, out.Reason)
 		}
 		for _, s := range []string{"changed", "changing", "taken back", "untouched", "between", "not taken back", "away"} {
 			if counts[s] > 0 {
-				fmt.Fprintf(tell, "%d %s\n", counts[s], s)
+				fmt.Fprintf(output, "%d %s\n", counts[s], s)
 			}
 		}
 	}
@@ -247,9 +247,9 @@
 	case out.Result == rollout.ResultDone:
 		return nil
 	case out.Result == rollout.ResultRolledBack || !out.HasCommanded:
-		return errTold
+		return errReported
 	}
-	fmt.Fprintln(tell, "not all is taken back: see `lockflow fleet status`, then --resume or --take-back")
+	fmt.Fprintln(output, "not all is taken back: see `lockflow fleet status`, then --resume or --take-back")
 	return errStuck
 }
 
@@ -278,7 +278,7 @@
 			} else if !m.IsEnough {
 				word = "too little"
 			}
-			fmt.Fprintf(t, "  %s\t%s\t%s\t%s to %s\t%.3g\t%s\n", m.Name, number(m.Old), number(m.New), number(m.Low), number(m.High), m.Margin, word)
+			fmt.Fprintf(t, "  %s\t%s\t%s\t%s to %s\t%.3g\t%s\n", m.Name, formatOptional(m.Old), formatOptional(m.New), formatOptional(m.Low), formatOptional(m.High), m.Margin, word)
 		}
 		t.Flush()
 	}
@@ -296,20 +296,20 @@
 	}
 }
 
-func number(v *float64) string {
+func formatOptional(v *float64) string {
 	if v == nil {
 		return "?"
 	}
 	return fmt.Sprintf("%.4g", *v)
 }
 
-// progress reads the journal of the fleet; a journal that can't be read is told and no reason to say nothing else.
-func (f *fleetFlags) progress(e *Env) *fleet.Progress {
-	p, err := fleet.ReadProgress(f.journalDir())
+// readProgress reads the journal of the fleet; a journal that can't be read is told and no reason to say nothing else.
+func (f *fleetFlags) readProgress(e *Env) *fleet.Progress {
+	p, err := fleet.ReadProgress(f.logDirectory())
 	if err != nil {
 		fmt.Fprintf(e.Err, "lockflow: %v\n", err)
 	}
-	if _, statErr := os.Stat(f.journalDir()); statErr != nil {
+	if _, statErr := os.Stat(f.logDirectory()); statErr != nil {
 		return nil
 	}
 	return p
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	collectAt  = 400 // per cent by which the heap may grow: memory is there, CPU is scarce
-	memoryPart = 0.6 // of the memory limit that the heap may come to
+	gcPercent    = 400 // per cent by which the heap may grow: memory is there, CPU is scarce
+	heapFraction = 0.6 // of the memory limit that the heap may come to
 )
 
-// tallyKey is the variable that, where it is not empty, has each service write what it does.
-const tallyKey = "LOCKFLOW_TALLY"
+// eventLogVariable is the variable that, where it is not empty, has each service write what it does.
+const eventLogVariable = "LOCKFLOW_TALLY"
 
 func serveCommand() command {
 	return command{
-		name: "serve", group: running, does: "serves by a configuration; SIGHUP reads it again, SIGUSR2 upgrades, SIGTERM drains",
+		name: "serve", group: groupRunning, summary: "serves by a configuration; SIGHUP reads it again, SIGUSR2 upgrades, SIGTERM drains",
 		args: "[--config FILE] [--pid-file FILE] [--listen ADDRESS] [--instance N --instances N] [--control PATH] [--state DIR]",
 		examples: []string{
 			"lockflow serve --config deploy/lockflow.toml", "LOCKFLOW_CONFIG=deploy/lockflow.toml lockflow",
@@ -47,19 +47,19 @@
 					*path = e.Getenv("LOCKFLOW_CONFIG")
 				}
 				if *path == "" || len(args) > 0 {
-					return usage("serve takes one configuration: --config FILE, or LOCKFLOW_CONFIG")
+					return usageError("serve takes one configuration: --config FILE, or LOCKFLOW_CONFIG")
 				}
 				if err := o.Check(); err != nil {
-					return usage("serve: %v", err)
+					return usageError("serve: %v", err)
 				}
-				return serveOwn(ctx, e, *path, *pid, o)
+				return serveFile(ctx, e, *path, *pid, o)
 			}
 		},
 	}
 }
 
-// serveOwn serves by a file of our own form, as a daemon.
-func serveOwn(ctx context.Context, e *Env, path, pidFile string, o config.Overrides) error {
+// serveFile serves by a file of our own form, as a daemon.
+func serveFile(ctx context.Context, e *Env, path, pidFile string, o config.Overrides) error {
 	program, err := os.Executable()
 	if err != nil {
 		return fmt.Errorf("finding the program's own file: %w", err)
@@ -69,7 +69,7 @@
 	}
 	over := func(cfg config.Config, err error) (config.Config, error) {
 		if err == nil {
-			cfg.Process.EventLog = e.Getenv(tallyKey) != ""
+			cfg.Process.EventLog = e.Getenv(eventLogVariable) != ""
 			err = o.Apply(&cfg)
 		}
 		return cfg, err
@@ -77,7 +77,7 @@
 	return daemon.Run(ctx, daemon.Options{
 		LoadConfig:     func() (config.Config, error) { return over(config.Load(path)) },
 		ParseConfig:    func(text []byte) (config.Config, error) { return over(config.Parse(path, text)) },
-		StateDirectory: o.State, ApplyRuntimeLimits: tune, ConfigPath: path, PIDFilePath: pidFile, Program: program, Args: e.Args, Getenv: e.Getenv, ReloadSignals: e.Hup, UpgradeSignals: e.Usr2,
+		StateDirectory: o.State, ApplyRuntimeLimits: applyRuntimeLimits, ConfigPath: path, PIDFilePath: pidFile, Program: program, Args: e.Args, Getenv: e.Getenv, ReloadSignals: e.ReloadSignals, UpgradeSignals: e.UpgradeSignals,
 	})
 }
 
@@ -86,9 +86,9 @@
 	own, platform := e.Getenv("LOCKFLOW_CONFIG"), e.Getenv("NODE_CONFIG")
 	switch {
 	case own != "" && platform != "":
-		return usage("LOCKFLOW_CONFIG and NODE_CONFIG both name a configuration")
+		return usageError("LOCKFLOW_CONFIG and NODE_CONFIG both name a configuration")
 	case own != "":
-		return serveOwn(ctx, e, own, "", config.Overrides{})
+		return serveFile(ctx, e, own, "", config.Overrides{})
 	case platform == "":
 		return errors.New("NODE_CONFIG names no configuration file")
 	}
@@ -101,7 +101,7 @@
 func servePlatform(ctx context.Context, e *Env, path string) error {
 	cfg, err := loadPlatform(path)
 	if err != nil {
-		return badConfig(err)
+		return wrapConfigError(err)
 	}
 	for name, field := range map[string]*string{
 		"NODE_LISTEN":    &cfg.Listeners[0],
@@ -109,19 +109,19 @@
 	} {
 		if v := e.Getenv(name); v != "" {
 			if err := config.CheckAddress(v); err != nil {
-				return badConfig(fmt.Errorf("%s: %w", name, err))
+				return wrapConfigError(fmt.Errorf("%s: %w", name, err))
 			}
 			*field = v
 		}
 	}
-	cfg.Process.EventLog = e.Getenv(tallyKey) != ""
-	tune(cfg)
+	cfg.Process.EventLog = e.Getenv(eventLogVariable) != ""
+	applyRuntimeLimits(cfg)
 	n, err := node.New(cfg)
 	if err != nil {
-		return badConfig(fmt.Errorf("configuration %s: %w", path, err))
+		return wrapConfigError(fmt.Errorf("configuration %s: %w", path, err))
 	}
 	go func() {
-		for range e.Hup {
+		for range e.ReloadSignals {
 			cfg, err := loadPlatform(path)
 			if err == nil {
 				err = n.Reload(cfg)
@@ -137,23 +137,23 @@
 // loadPlatform reads the platform's configuration and logs what is doubtful in it.
 func loadPlatform(path string) (config.Config, error) {
 	cfg, err := config.LoadPlatform(path)
-	for _, doubt := range cfg.Warnings {
-		slog.Warn("settings", "file", path, "err", doubt)
+	for _, warning := range cfg.Warnings {
+		slog.Warn("settings", "file", path, "err", warning)
 	}
 	return cfg, err
 }
 
-// badConfig marks an error as one of the configuration that the platform handed over: starting again
+// wrapConfigError marks an error as one of the configuration that the platform handed over: starting again
 // with the same is of no use.
-func badConfig(err error) error { return fmt.Errorf("%w: %w", errConfig, err) }
+func wrapConfigError(err error) error { return fmt.Errorf("%w: %w", errConfig, err) }
 
-// tune sets the runtime to what the process may use.
-func tune(cfg config.Config) {
+// applyRuntimeLimits sets the runtime to what the process may use.
+func applyRuntimeLimits(cfg config.Config) {
 	if cores := cfg.Process.Cores; cores > 0 || !cfg.Process.Shared {
 		runtime.GOMAXPROCS(int(math.Max(1, math.Ceil(cores))))
 	}
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	if mb := cfg.Process.MemoryMB; mb > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(mb<<20)))
+		debug.SetMemoryLimit(int64(heapFraction * float64(mb<<20)))
 	}
 }
--- a/internal/command/simulate.go
+++ b/internal/command/simulate.go
@@ -18,13 +18,13 @@
 
 // What is played where nothing else is asked for; a day's load is as usual then, and its length its own.
 const (
-	usualLoad  = 0.7
-	usualLasts = 30 * time.Second
+	defaultLoad     = 0.7
+	defaultDuration = 30 * time.Second
 )
 
 func simulateCommand() command {
 	return command{
-		name: "simulate", group: trying, does: "plays a fleet in virtual time: a day by its name, a staged change, or one cold server and one ceiling",
+		name: "simulate", group: groupTrials, summary: "plays a fleet in virtual time: a day by its name, a staged change, or one cold server and one ceiling",
 		args: "[--day NAME,NAME...|all|mutations] [--instances N,N...] [--told N] [--lag TIME,TIME...] [--uneven] [--per-server N] [--load PART] [--seed N] [--quota NAME,NAME...|all] [--seeds N] [--why] [--rollout] [--json]",
 		examples: []string{
 			"lockflow simulate --day all --instances 2,8,80,300 --seed 7",
@@ -44,14 +44,14 @@
 			set.BoolVar(&o.Uneven, "uneven", false, "some instances get ten times as much as others")
 			set.IntVar(&o.Servers, "servers", 20, "`N` warm ones")
 			set.Float64Var(&o.PerServer, "per-server", 100, "`N` calls a second that a server bears")
-			set.Float64Var(&o.Load, "load", usualLoad, "`PART` of what the warm servers bear that clients ask for")
-			set.DurationVar(&o.Lasts, "for", usualLasts, "`TIME` that is played")
+			set.Float64Var(&o.Load, "load", defaultLoad, "`PART` of what the warm servers bear that clients ask for")
+			set.DurationVar(&o.Lasts, "for", defaultDuration, "`TIME` that is played")
 			set.Uint64Var(&o.Seed, "seed", 1, "`N` that everything follows from")
 			days := set.String("day", "", "`NAME,NAME...` of days, which hold the fleet to the five rules: "+strings.Join(fleetsim.DayNames, ", ")+"; or all, or mutations")
 			scattered, quotas := gatherFlag(set), quotaFlag(set)
 			asJSON := set.Bool("json", false, "prints the reports as a JSON list, with each second of the cold server")
-			var r rolloutPlay
-			r.add(set)
+			var r rolloutSimulation
+			r.addFlags(set)
 			return func(ctx context.Context, e *Env, args []string) error {
 				if len(args) > 0 {
 					return errSimulateUsage
@@ -59,16 +59,16 @@
 				if played, err := scattered(ctx, e, *instances, o.Seed, *asJSON); played {
 					return err
 				}
-				q := fleetsim.QuotaOptions{Seed: o.Seed, Load: o.Load / usualLoad, Lasts: otherThanUsual(o.Lasts)}
+				q := fleetsim.QuotaOptions{Seed: o.Seed, Load: o.Load / defaultLoad, Lasts: unlessDefault(o.Lasts)}
 				if played, err := quotas(ctx, e, *instances, q, *asJSON); played {
 					return err
 				}
-				if r.on && *days == "" {
+				if r.isEnabled && *days == "" {
 					r.seed = o.Seed
 					return r.play(ctx, e, *instances, *asJSON)
 				}
-				if *days != "" && !r.on {
-					d := fleetsim.DayOptions{GroupSize: o.GroupSize, Seed: o.Seed, Load: o.Load / usualLoad, Lasts: otherThanUsual(o.Lasts)}
+				if *days != "" && !r.isEnabled {
+					d := fleetsim.DayOptions{GroupSize: o.GroupSize, Seed: o.Seed, Load: o.Load / defaultLoad, Lasts: unlessDefault(o.Lasts)}
 					return playDays(ctx, e, *days, *instances, d, *asJSON)
 				}
 				return playFleets(ctx, e, o, *instances, *lags, *asJSON)
@@ -77,14 +77,14 @@
 	}
 }
 
-var errSimulateUsage = usage("simulate: its flags are off; it takes 12 s of play or more")
+var errSimulateUsage = usageError("simulate: its flags are off; it takes 12 s of play or more")
 
-// otherThanUsual is a time to play where one was asked for, else 0.
-func otherThanUsual(lasts time.Duration) time.Duration {
-	if lasts == usualLasts {
+// unlessDefault is a time to play where one was asked for, else 0.
+func unlessDefault(duration time.Duration) time.Duration {
+	if duration == defaultDuration {
 		return 0
 	}
-	return lasts
+	return duration
 }
 
 // playFleets plays a cold server and a ceiling for each number of instances and each lag of the news.
@@ -101,7 +101,7 @@
 		for field := range strings.SplitSeq(lags, ",") {
 			lag, err := time.ParseDuration(field)
 			if err != nil || lag < 0 {
-				return usage("simulate: lag: %q is no time", field)
+				return usageError("simulate: lag: %q is no time", field)
 			}
 			o.Instances, o.Lag = n, lag
 			fmt.Fprintf(e.Err, "playing %d instances, news up to %v late\n", n, lag)
@@ -136,22 +136,22 @@
 	for field := range strings.SplitSeq(list, ",") {
 		n, err := strconv.Atoi(field)
 		if err != nil || n < 1 || n > 10000 {
-			return nil, usage("simulate: instances: %q is none of 1 to 10000", field)
+			return nil, usageError("simulate: instances: %q is none of 1 to 10000", field)
 		}
 		all = append(all, n)
 	}
 	return all, nil
 }
 
-// played is a day's report, and with a mutation which guard was out and whether that was found.
-type played struct {
+// playedDay is a day's report, and with a mutation which guard was out and whether that was found.
+type playedDay struct {
 	fleetsim.DayReport
 	Mutation string          `json:"mutation,omitempty"`
 	Rule     fleetrules.Rule `json:"rule,omitempty"` // that the mutation breaks
 }
 
-// ok tells whether the day went as it has to: no rule broken, or the one whose guard is out.
-func (p *played) ok() bool {
+// isAsExpected tells whether the day went as it has to: no rule broken, or the one whose guard is out.
+func (p *playedDay) isAsExpected() bool {
 	if p.Mutation != "" {
 		return p.Broken[p.Rule] > 0
 	}
@@ -175,7 +175,7 @@
 		if todo[i].DayReport, err = fleetsim.Day(o); err != nil {
 			return err
 		}
-		if !todo[i].ok() {
+		if !todo[i].isAsExpected() {
 			wrong++
 		}
 		if ctx.Err() != nil {
@@ -196,12 +196,12 @@
 }
 
 // daysToPlay lists the days that names ask for at each size, and what they are played with.
-func daysToPlay(names string, sizes []int, o fleetsim.DayOptions) (todo []played, options []fleetsim.DayOptions, err error) {
+func daysToPlay(names string, sizes []int, o fleetsim.DayOptions) (todo []playedDay, options []fleetsim.DayOptions, err error) {
 	for _, n := range sizes {
 		if o.Instances = n; names == "mutations" {
 			for i := range fleetsim.Mutations {
 				m := &fleetsim.Mutations[i]
-				todo, options = append(todo, played{Mutation: m.Name, Rule: m.Rule}), append(options, m.Options(o))
+				todo, options = append(todo, playedDay{Mutation: m.Name, Rule: m.Rule}), append(options, m.Options(o))
 			}
 			continue
 		}
@@ -211,16 +211,16 @@
 		}
 		for _, name := range list {
 			if !slices.Contains(fleetsim.DayNames, name) {
-				return nil, nil, usage("simulate: day: %q is none of %s, all, mutations", name, strings.Join(fleetsim.DayNames, ", "))
+				return nil, nil, usageError("simulate: day: %q is none of %s, all, mutations", name, strings.Join(fleetsim.DayNames, ", "))
 			}
 			o.Day = name
-			todo, options = append(todo, played{}), append(options, o)
+			todo, options = append(todo, playedDay{}), append(options, o)
 		}
 	}
 	return todo, options, nil
 }
 
-func printDays(w io.Writer, all []played) {
+func printDays(w io.Writer, all []playedDay) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "day\tinstances\tservers\tfirst tries\ttries\tattempts\tserved\tbeyond quota\tfailed\thandshakes\tcold: worst of its limit\tbroken\t")
 	for i := range all {
@@ -235,11 +235,11 @@
 	t.Flush()
 	for i := range all {
 		switch r := &all[i]; {
-		case r.Mutation != "" && r.ok():
+		case r.Mutation != "" && r.isAsExpected():
 			fmt.Fprintf(w, "found: %s (%s): %v\n", r.Mutation, r.Rule, r.Breaches[0])
 		case r.Mutation != "":
 			fmt.Fprintf(w, "NOT FOUND: %s (%s)\n", r.Mutation, r.Rule)
-		case !r.ok():
+		case !r.isAsExpected():
 			fmt.Fprintf(w, "%s, %d instances, first broken: %v\n", r.Day, r.Instances, r.Breaches[0])
 		}
 	}
--- a/internal/command/simulate_quota.go
+++ b/internal/command/simulate_quota.go
@@ -29,13 +29,13 @@
 			return false, nil
 		}
 		if *seeds < 1 || *seeds > 100 {
-			return true, usage("simulate: seeds: %d is none of 1 to 100", *seeds)
+			return true, usageError("simulate: seeds: %d is none of 1 to 100", *seeds)
 		}
-		list, err := names("quota", *worlds, fleetsim.QuotaNames)
+		list, err := parseNames("quota", *worlds, fleetsim.QuotaNames)
 		if err != nil {
 			return true, err
 		}
-		policies, err := names("policy", *policy, policyNames())
+		policies, err := parseNames("policy", *policy, policyNames())
 		if err != nil {
 			return true, err
 		}
@@ -107,7 +107,7 @@
 	for i := range all {
 		r, more := &all[i], ""
 		if i%of == 0 && of > 1 {
-			more = fmt.Sprintf("%+.3f", over(all[i:i+of]))
+			more = fmt.Sprintf("%+.3f", priceAboveLowest(all[i:i+of]))
 		}
 		fmt.Fprintf(t, "%s\t%d\t%d\t%s\t%.2f\t%d\t%d\t%.3f\t%.3f\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t\n", r.World, r.Instances, r.Seed, r.Policy, r.Late, r.First, r.Tries,
 			r.Served, r.Price, more, r.Beyond, r.Refused, r.TriesRejectedWithCapacity, r.CallsRejectedWithCapacity, r.CallsLostWithCapacity)
@@ -123,8 +123,8 @@
 	}
 }
 
-// over is how much more the price of the first is than the lowest of the others.
-func over(group []fleetsim.QuotaReport) float64 {
+// priceAboveLowest is how much more the price of the first is than the lowest of the others.
+func priceAboveLowest(group []fleetsim.QuotaReport) float64 {
 	lowest := group[min(1, len(group)-1)].Price
 	for _, r := range group[1:] {
 		lowest = min(lowest, r.Price)
@@ -134,11 +134,11 @@
 
 func printSorts(w io.Writer, all []fleetsim.QuotaReport, of int) {
 	n := float64(len(all) / of)
-	served, price, more, room := 0.0, 0.0, 0.0, 0.0
+	served, price, more, withCapacity := 0.0, 0.0, 0.0, 0.0
 	sorts := map[string]map[string]*fleetsim.Cell{}
 	for i := 0; i < len(all); i += of {
 		r := &all[i]
-		served, price, more, room = served+r.Served/n, price+r.Price/n, more+over(all[i:i+of])/n, room+r.TriesRejectedWithCapacity/n
+		served, price, more, withCapacity = served+r.Served/n, price+r.Price/n, more+priceAboveLowest(all[i:i+of])/n, withCapacity+r.TriesRejectedWithCapacity/n
 		for sort, cells := range r.Cells {
 			if sorts[sort] == nil {
 				sorts[sort] = map[string]*fleetsim.Cell{}
@@ -154,7 +154,7 @@
 		}
 	}
 	fmt.Fprintf(w, "\n%s, %d instances, %s, mean of %.0f: served %.3f, price beyond quotas %.3f, %+.3f more than the lowest other, refused with room %.3f of the tries\n",
-		all[0].World, all[0].Instances, all[0].Policy, n, served, price, more, room)
+		all[0].World, all[0].Instances, all[0].Policy, n, served, price, more, withCapacity)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "sort\tof\ttries\toffered\tof the price\tbeyond, of its units\trefused\twith room\t")
 	for _, sort := range fleetsim.CellNames {
--- a/internal/command/simulate_rollout.go
+++ b/internal/command/simulate_rollout.go
@@ -13,28 +13,28 @@
 	"lockflow/internal/simulation/rolloutsim"
 )
 
-// rolloutPlay is simulate --rollout: staged changes in virtual time.
-type rolloutPlay struct {
-	on      bool
-	traffic string
-	harm    string
-	judge   string
-	without string
-	rate    float64
-	runs    int
-	every   time.Duration
-	seed    uint64
+// rolloutSimulation is simulate --rollout: staged changes in virtual time.
+type rolloutSimulation struct {
+	isEnabled     bool
+	traffic       string
+	harm          string
+	judge         string
+	without       string
+	rate          float64
+	runs          int
+	faultInterval time.Duration
+	seed          uint64
 }
 
-func (p *rolloutPlay) add(set flags) {
-	set.BoolVar(&p.on, "rollout", false, "plays staged changes, harmless ones and harmful ones, and how they are judged")
+func (p *rolloutSimulation) addFlags(set flags) {
+	set.BoolVar(&p.isEnabled, "rollout", false, "plays staged changes, harmless ones and harmful ones, and how they are judged")
 	set.StringVar(&p.traffic, "traffic", "all", "rollout: `NAME,NAME...` of how requests come: "+strings.Join(rolloutsim.Traffics, ", ")+"; or all")
 	set.StringVar(&p.harm, "harm", "none", "rollout: `NAME,NAME...` of what the change does: "+strings.Join(harmNames(), ", ")+"; or all")
 	set.StringVar(&p.judge, "judge", "evidence", "rollout: `NAME,NAME...` of who says when to stop: "+strings.Join(rolloutsim.Judges, ", ")+"; or all")
 	set.StringVar(&p.without, "without", "", "rollout: `NAME` of what the judge lacks: "+strings.Join(rolloutsim.MutationNames(), ", ")+"; or each")
 	set.Float64Var(&p.rate, "rate", 20, "rollout: `N` requests a second and instance")
 	set.IntVar(&p.runs, "runs", 100, "rollout: `N` that are played of each")
-	set.DurationVar(&p.every, "fault-every", time.Hour, "rollout: `TIME` between faults of the world")
+	set.DurationVar(&p.faultInterval, "fault-every", time.Hour, "rollout: `TIME` between faults of the world")
 }
 
 func harmNames() (all []string) {
@@ -44,34 +44,34 @@
 	return all
 }
 
-// names are those of a list, or all there are.
-func names(flag, list string, known []string) ([]string, error) {
+// parseNames are those of a list, or all there are.
+func parseNames(flag, list string, known []string) ([]string, error) {
 	if list == "all" {
 		return known, nil
 	}
 	all := strings.Split(list, ",")
 	for _, n := range all {
 		if !slices.Contains(known, n) {
-			return nil, usage("simulate: %s: %q is none of %s, all", flag, n, strings.Join(known, ", "))
+			return nil, usageError("simulate: %s: %q is none of %s, all", flag, n, strings.Join(known, ", "))
 		}
 	}
 	return all, nil
 }
 
-func (p *rolloutPlay) play(ctx context.Context, e *Env, instances string, asJSON bool) error {
+func (p *rolloutSimulation) play(ctx context.Context, e *Env, instances string, asJSON bool) error {
 	sizes, err := groupSizes(instances)
 	if err != nil {
 		return err
 	}
-	traffics, err := names("traffic", p.traffic, rolloutsim.Traffics)
+	traffics, err := parseNames("traffic", p.traffic, rolloutsim.Traffics)
 	if err != nil {
 		return err
 	}
-	harms, err := names("harm", p.harm, harmNames())
+	harms, err := parseNames("harm", p.harm, harmNames())
 	if err != nil {
 		return err
 	}
-	judges, err := names("judge", p.judge, rolloutsim.Judges)
+	judges, err := parseNames("judge", p.judge, rolloutsim.Judges)
 	if err != nil {
 		return err
 	}
@@ -84,7 +84,7 @@
 		fmt.Fprintf(e.Err, "playing %d rollouts over %d instances, %s traffic, harm: %s\n", o.Runs, o.Instances, o.Traffic, o.Harm.Name)
 		r, err := rolloutsim.Run(o)
 		if err != nil {
-			return usage("simulate: %v", err)
+			return usageError("simulate: %v", err)
 		}
 		if all = append(all, r); ctx.Err() != nil {
 			return ctx.Err()
@@ -98,8 +98,8 @@
 }
 
 // options lists every play: each size, traffic, harm and judge, without each thing.
-func (p *rolloutPlay) options(sizes []int, traffics, harms, judges, without []string) (all []rolloutsim.Options) {
-	o := rolloutsim.Options{Rate: p.rate, Runs: p.runs, FaultEvery: p.every, Seed: p.seed}
+func (p *rolloutSimulation) options(sizes []int, traffics, harms, judges, without []string) (all []rolloutsim.Options) {
+	o := rolloutsim.Options{Rate: p.rate, Runs: p.runs, FaultEvery: p.faultInterval, Seed: p.seed}
 	for _, o.Instances = range sizes {
 		for _, o.Traffic = range traffics {
 			for _, h := range harms {
--- a/internal/command/tally.go
+++ b/internal/command/tally.go
@@ -14,25 +14,25 @@
 	"lockflow/internal/eventlog"
 )
 
-func tallyCommand() command {
+func eventLogCommand() command {
 	return command{
-		name: "tally", group: trying, does: "adds up what the instances of a fleet wrote of themselves (LOCKFLOW_TALLY=1)",
+		name: "tally", group: groupTrials, summary: "adds up what the instances of a fleet wrote of themselves (LOCKFLOW_TALLY=1)",
 		args: "[--aim TIME] [--servers N] [--json] LOG...",
 		examples: []string{
 			"LOCKFLOW_TALLY=1 lockflow 2>n0.log", "lockflow tally --aim 2s logs/n*.log",
 			"lockflow tally --json logs/n*.log | jq '.servers[0]'",
 		},
 		setup: func(set flags) func(context.Context, *Env, []string) error {
-			aim := set.Duration("aim", 0, "`TIME` within which a served request is in time; any, if it is not given")
-			most := set.Int("servers", 10, "`N` servers shown, the slowest first")
+			objective := set.Duration("aim", 0, "`TIME` within which a served request is in time; any, if it is not given")
+			maxServers := set.Int("servers", 10, "`N` servers shown, the slowest first")
 			asJSON := set.Bool("json", false, "prints all of it as JSON")
 			return func(ctx context.Context, e *Env, args []string) error {
-				if len(args) == 0 || *aim < 0 || *most < 0 {
-					return usage("tally takes the logs of one instance each; see lockflow tally --help")
+				if len(args) == 0 || *objective < 0 || *maxServers < 0 {
+					return usageError("tally takes the logs of one instance each; see lockflow tally --help")
 				}
-				a := eventlog.Adder{AimMS: float64(*aim) / float64(time.Millisecond)}
+				a := eventlog.Adder{AimMS: float64(*objective) / float64(time.Millisecond)}
 				for _, path := range args {
-					if err := readTally(&a, path); err != nil {
+					if err := readEventLog(&a, path); err != nil {
 						return err
 					}
 					if ctx.Err() != nil {
@@ -46,14 +46,14 @@
 				if *asJSON {
 					return json.NewEncoder(e.Out).Encode(s)
 				}
-				printTally(e.Out, &s, *most)
+				printEventLog(e.Out, &s, *maxServers)
 				return nil
 			}
 		},
 	}
 }
 
-func readTally(a *eventlog.Adder, path string) error {
+func readEventLog(a *eventlog.Adder, path string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return fmt.Errorf("tally: %w", err)
@@ -65,21 +65,21 @@
 	return nil
 }
 
-// refusals are the causes shown, in the order of their columns.
-var refusals = []string{"no_turn", "no_further", "yields", "over_store", "by_chance", "over_ceiling", "too_late"}
+// rejectionCauses are the causes shown, in the order of their columns.
+var rejectionCauses = []string{"no_turn", "no_further", "yields", "over_store", "by_chance", "over_ceiling", "too_late"}
 
-func printTally(w io.Writer, s *eventlog.Sum, most int) {
+func printEventLog(w io.Writer, s *eventlog.Sum, maxServers int) {
 	fmt.Fprintf(w, "%d instances; %d lines of theirs can't be read\n\n", s.Instances, s.Skipped)
 	t := tabwriter.NewWriter(w, 0, 0, 1, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(t, "s\tserved\tin time\trefused\tfailed\t%s\tattempts\tturned away\ttimed out\tno connection\treset\terror\tdialed\tyoung\tms\tbound\tout\theld\tconns\tup\t\n",
-		strings.Join(refusals, "\t"))
+		strings.Join(rejectionCauses, "\t"))
 	for _, r := range s.Seconds {
 		n := 0
 		for _, k := range r.Attempts {
 			n += k
 		}
 		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t", r.At, r.Requests["served"], r.InTime, r.Requests["refused"], r.Requests["failed"])
-		for _, why := range refusals {
+		for _, why := range rejectionCauses {
 			fmt.Fprintf(t, "%d\t", r.Requests[why])
 		}
 		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", n, r.Attempts["turned_away"], r.Attempts["timed_out"],
@@ -88,7 +88,7 @@
 	t.Flush()
 	fmt.Fprintln(w)
 	fmt.Fprintln(t, "server\tattempts\tgood\tinstances\tms\ttold ms\ttold util\tmost out\tfirst at s\t")
-	for _, r := range s.Servers[:min(most, len(s.Servers))] {
+	for _, r := range s.Servers[:min(maxServers, len(s.Servers))] {
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%.0f\t%.0f\t%.2f\t%d\t%d\t\n", r.Server, r.Attempts, r.Reasons["ok"], r.From, r.TookMS, r.Told, r.Util, r.Most, r.First)
 	}
 	t.Flush()
