--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,5 +1,5 @@
-// Package command is the command line: it reads arguments, calls what does the work and
-// prints what came of it.
+// Package command is lockflow's command line. Each command reads its flags, calls the package that does the work, and
+// prints the result. cmd/lockflow is its caller.
 package command
 
 import (
@@ -21,52 +21,68 @@
 	"lockflow/internal/loglimit"
 )
 
-// Exit codes.
+// Exit codes of the program.
 const (
 	ExitOK     = 0
 	ExitFailed = 1
 	ExitUsage  = 2
-	ExitStuck  = 3 // a change was stopped and not wholly taken back
+	ExitStuck  = 3 // a change was stopped and not completely rolled back
 )
 
-// Env is what a command is run with.
+// Env is the environment that a command runs in.
 type Env struct {
-	Getenv   func(string) string
-	Out, Err io.Writer
-	// ReloadSignals tells of each SIGHUP. Guards against one that ends the program: it is never left
-	// to its default, also not while a node starts or drains.
+	Getenv func(string) string
+	Out    io.Writer
+	Err    io.Writer
+	// ReloadSignals receives each SIGHUP. The signal is never left to its default, which would end the program, also
+	// not while a node starts or drains.
 	ReloadSignals <-chan os.Signal
-	// UpgradeSignals tells of each SIGUSR2, in the same way.
+	// UpgradeSignals receives each SIGUSR2, in the same way.
 	UpgradeSignals <-chan os.Signal
-	// Args is the whole command line, for a new process that takes this one's place.
+	// Args is the complete command line, for a successor of this process.
 	Args []string
 }
 
-// errUsage is a mistake in how a command was called; what it is has been printed.
+// errUsage means that a command was called wrongly.
 var errUsage = errors.New("usage")
 
-// errConfig is a configuration of the platform's that can't be used.
+// errConfig means that the platform's configuration can't be used.
 var errConfig = errors.New("bad configuration")
 
-// flags says what a command's flags are. Their defaults and kinds are pflag's.
+// errReported is a failure that has been printed completely.
+var errReported = errors.New("told")
+
+// errStuck is a change of a fleet that was stopped and not completely rolled back, which has been printed.
+var errStuck = errors.New("stuck")
+
+// Limits of the descriptors that a node between fake peers may hold.
+const (
+	minDescriptors = 192
+	maxDescriptors = 1 << 16
+)
+
+// flags are the flags of a command.
 type flags = *pflag.FlagSet
 
-// command is one of the program's.
+// command is one of the program's commands.
 type command struct {
-	name, summary string
-	group         string // of the list of commands
-	args          string // as its usage line shows them
-	examples      []string
-	setup         func(flags) func(ctx context.Context, e *Env, args []string) error
+	name     string
+	summary  string
+	group    string // in the list of commands
+	args     string // in the usage line
+	examples []string
+	// setup declares the flags, and returns the function that runs the command with its arguments.
+	setup func(flags) func(ctx context.Context, e *Env, args []string) error
 }
 
-// The groups of the list of commands.
+// Groups in the list of commands.
 const (
 	groupRunning = "running"
 	groupFiles   = "files"
 	groupTrials  = "trying"
 )
 
+// commands returns all commands, in the order of the list.
 func commands() []command {
 	return []command{
 		serveCommand(), proxyCommand(), statusCommand(), upgradeCommand(), fleetCommand(), checkCommand(), planCommand(), routeCommand(),
@@ -74,8 +90,7 @@
 	}
 }
 
-// Main runs a command line, without the program's name, and gives its exit code. SIGTERM and
-// SIGINT end what runs.
+// Main runs a command line, without the program's name, and returns its exit code. SIGTERM and SIGINT end the command.
 func Main(args []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -86,8 +101,8 @@
 	return Run(ctx, &Env{Getenv: os.Getenv, Out: os.Stdout, Err: os.Stderr, ReloadSignals: hup, UpgradeSignals: usr2, Args: args}, args)
 }
 
-// Run runs a command line in an environment. One without arguments makes no command tree: a node
-// of the platform doesn't pay for what it never shows.
+// Run runs a command line in an environment, and returns its exit code. Without arguments, as on the platform, it builds
+// no command tree, which would cost memory and time for nothing.
 func Run(ctx context.Context, e *Env, args []string) int {
 	if len(args) == 0 {
 		return e.exit(serveByEnvironment(ctx, e))
@@ -97,7 +112,7 @@
 	return e.exit(root.ExecuteContext(ctx))
 }
 
-// newRootCommand is the program's commands, with help, completion and a version.
+// newRootCommand returns the command tree, with help, completion and a version.
 func newRootCommand(e *Env) *cobra.Command {
 	var log logFlags
 	root := &cobra.Command{
@@ -118,18 +133,7 @@
 	root.SetFlagErrorFunc(func(c *cobra.Command, err error) error {
 		return usageError("%s: %v; see %s --help", strings.TrimPrefix(c.CommandPath(), "lockflow "), err, c.CommandPath())
 	})
-	// An unknown command is an error of the root's arguments: cobra suggests the nearest.
-	root.Args = func(c *cobra.Command, args []string) error {
-		err := cobra.NoArgs(c, args)
-		if err != nil && len(args) > 0 {
-			near := ""
-			if s := c.SuggestionsFor(args[0]); len(s) > 0 {
-				near = "; did you mean " + strings.Join(s, " or ") + "?"
-			}
-			return usageError("there is no command %q%s; lockflow help lists them", args[0], near)
-		}
-		return err
-	}
+	root.Args = rejectUnknownCommand
 	root.RunE = func(c *cobra.Command, _ []string) error { return c.Help() }
 	root.SuggestionsMinimumDistance = 2
 	root.AddGroup(&cobra.Group{ID: groupRunning, Title: "Running:"}, &cobra.Group{ID: groupFiles, Title: "Configuration files:"},
@@ -140,31 +144,53 @@
 		root.AddCommand(c.cobra(e))
 	}
 	root.SetHelpCommand(&cobra.Command{
-		Use: "help [COMMAND]", Short: "tells more of a command, with examples",
-		RunE: func(c *cobra.Command, args []string) error {
-			of, _, err := c.Root().Find(args)
-			if err != nil || of == nil || len(args) > 0 && of == c.Root() {
-				return usageError("there is no command %q; lockflow help lists them", strings.Join(args, " "))
-			}
-			of.InitDefaultHelpFlag()
-			return of.Help()
-		},
+		Use:   "help [COMMAND]",
+		Short: "tells more of a command, with examples",
+		RunE:  showHelp,
 	})
 	return root
 }
 
+// rejectUnknownCommand returns an error for the root's arguments, which are no command, and suggests similar ones.
+func rejectUnknownCommand(c *cobra.Command, args []string) error {
+	err := cobra.NoArgs(c, args)
+	if err == nil || len(args) == 0 {
+		return err
+	}
+	suggestion := ""
+	if similar := c.SuggestionsFor(args[0]); len(similar) > 0 {
+		suggestion = "; did you mean " + strings.Join(similar, " or ") + "?"
+	}
+	return usageError("there is no command %q%s; lockflow help lists them", args[0], suggestion)
+}
+
+// showHelp prints the help of the command that args name.
+func showHelp(c *cobra.Command, args []string) error {
+	target, _, err := c.Root().Find(args)
+	if err != nil || target == nil || len(args) > 0 && target == c.Root() {
+		return usageError("there is no command %q; lockflow help lists them", strings.Join(args, " "))
+	}
+	target.InitDefaultHelpFlag()
+	return target.Help()
+}
+
+// cobra returns the command in cobra's form.
 func (c *command) cobra(e *Env) *cobra.Command {
-	cc := &cobra.Command{
-		Use: c.name + " " + c.args, Short: c.summary, GroupID: c.group, Args: cobra.ArbitraryArgs, DisableFlagsInUseLine: true,
-		Example: "  " + strings.Join(c.examples, "\n  "),
-	}
-	cc.Flags().SortFlags = false
-	run := c.setup(cc.Flags())
-	cc.RunE = func(cc *cobra.Command, args []string) error { return run(cc.Context(), e, args) }
-	return cc
+	cobraCommand := &cobra.Command{
+		Use:                   c.name + " " + c.args,
+		Short:                 c.summary,
+		GroupID:               c.group,
+		Args:                  cobra.ArbitraryArgs,
+		DisableFlagsInUseLine: true,
+		Example:               "  " + strings.Join(c.examples, "\n  "),
+	}
+	cobraCommand.Flags().SortFlags = false
+	run := c.setup(cobraCommand.Flags())
+	cobraCommand.RunE = func(running *cobra.Command, args []string) error { return run(running.Context(), e, args) }
+	return cobraCommand
 }
 
-// version is what the build knows of itself.
+// version returns the version, revision and Go version of the build.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -184,9 +210,13 @@
 	return v + ", " + info.GoVersion
 }
 
-// logFlags are how lines are logged.
-type logFlags struct{ format, level string }
+// logFlags are the flags of logging.
+type logFlags struct {
+	format string // text or json
+	level  string // as slog.Level names it
+}
 
+// set sets the default logger.
 func (l *logFlags) set(w io.Writer) error {
 	var o slog.HandlerOptions
 	var level slog.Level
@@ -205,7 +235,7 @@
 	return nil
 }
 
-// exit prints an error, where there is one, and gives its code.
+// exit prints an error that has not been printed, and returns its exit code.
 func (e *Env) exit(err error) int {
 	switch {
 	case err == nil:
@@ -233,6 +263,16 @@
 	return ExitFailed
 }
 
+// executable returns the path of this program.
+func executable() (string, error) {
+	path, err := os.Executable()
+	if err != nil {
+		return "", fmt.Errorf("finding the program's own file: %w", err)
+	}
+	return path, nil
+}
+
+// usageError returns an error for a command that was called wrongly.
 func usageError(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", errUsage, fmt.Sprintf(format, args...))
 }
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -12,9 +12,12 @@
 	"lockflow/internal/testsupport/testbench"
 )
 
+// demoCommand returns the command "demo".
 func demoCommand() command {
 	return command{
-		name: "demo", group: groupTrials, summary: "runs a node of two services between stand-in peers and stalls one of them",
+		name:     "demo",
+		group:    groupTrials,
+		summary:  "runs a node of two services between stand-in peers and stalls one of them",
 		args:     "[--for TIME] [--seed N] [--descriptors N] [--json]",
 		examples: []string{"lockflow demo", "lockflow demo --for 30s --descriptors 1024"},
 		setup: func(set flags) func(context.Context, *Env, []string) error {
@@ -24,7 +27,7 @@
 			set.IntVar(&d.descriptors, "descriptors", 256, "`N` that the node may hold")
 			set.BoolVar(&d.json, "json", false, "prints only the summary, as JSON")
 			return func(ctx context.Context, e *Env, args []string) error {
-				if len(args) > 0 || d.duration < 300*time.Millisecond || d.duration > time.Hour || d.descriptors < 192 || d.descriptors > 1<<16 {
+				if len(args) > 0 || d.duration < 300*time.Millisecond || d.duration > time.Hour || d.descriptors < minDescriptors || d.descriptors > maxDescriptors {
 					return usageError("demo takes --for from 300ms to 1h and --descriptors from 192 to 65536, and nothing else")
 				}
 				return d.run(ctx, e)
@@ -33,6 +36,7 @@
 	}
 }
 
+// demo is one run of the command "demo".
 type demo struct {
 	duration    time.Duration
 	seed        uint64
@@ -40,19 +44,20 @@
 	json        bool
 }
 
-// phase is a third of the demo.
+// phase is the result of a third of the demo.
 type phase struct {
 	Name    string                  `json:"phase"`
 	Results map[string]*fake.Result `json:"results"`
 	P99     map[string]float64      `json:"p99_ms"`
 }
 
-// demoKinds are the kinds of calls, in the order of tables.
+// demoKinds are the kinds of calls, in the order in which they are printed.
 var demoKinds = []string{"rosters", "documents"}
 
+// run runs the three phases and prints the summary.
 func (d *demo) run(ctx context.Context, e *Env) error {
 	old := slog.Default()
-	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil))) // the table is the report
+	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil))) // the printed tables are the report
 	defer slog.SetDefault(old)
 	l, err := testbench.Start(testbench.WithDescriptors(d.descriptors), testbench.DemoServers(d.seed))
 	if err != nil {
@@ -85,7 +90,7 @@
 	return d.summary(e, l, phases, stopped)
 }
 
-// play sends both services' calls for a third of the time, and prints what each second brings.
+// play sends the calls of a phase, and prints a line a second.
 func (d *demo) play(ctx context.Context, l *testbench.Lab, startedAt time.Time, name string, n uint64, output io.Writer) map[string]*fake.Result {
 	ctx, cancel := context.WithTimeout(ctx, d.duration/3)
 	defer cancel()
@@ -103,7 +108,7 @@
 			more = false
 		}
 		if !more {
-			break // the rest of a second is in the summary
+			break // the summary has the last part of a second
 		}
 		now := make(map[string]fake.Result)
 		for _, r := range runs {
@@ -112,7 +117,7 @@
 			}
 		}
 		for i, st := range l.Node.Status() {
-			k := demoKinds[len(demoKinds)-1-i] // by name, which is the other way round
+			k := demoKinds[len(demoKinds)-1-i] // services are sorted by name, which is the opposite order
 			a, b := last[k], now[k]
 			fmt.Fprintf(output, "%-8s %-8s %-10s %7d %7d %8d %7d %6d %6d of %-3d %12d\n", time.Since(startedAt).Round(100*time.Millisecond), name, k,
 				b.Calls-a.Calls, b.Served-a.Served, b.Refused-a.Refused, b.Failed-a.Failed, st.Requests,
@@ -129,7 +134,7 @@
 	return all
 }
 
-// summary prints what came of it all, and fails unless each request had exactly one answer.
+// summary prints the results of all phases, and fails unless each request had exactly one final answer.
 func (d *demo) summary(e *Env, l *testbench.Lab, phases []phase, stopped error) error {
 	fine := stopped == nil
 	for _, p := range phases {
--- a/internal/command/tally.go
+++ b/internal/command/event_log.go
@@ -14,10 +14,13 @@
 	"lockflow/internal/eventlog"
 )
 
+// eventLogCommand returns the command "tally".
 func eventLogCommand() command {
 	return command{
-		name: "tally", group: groupTrials, summary: "adds up what the instances of a fleet wrote of themselves (LOCKFLOW_TALLY=1)",
-		args: "[--aim TIME] [--servers N] [--json] LOG...",
+		name:    "tally",
+		group:   groupTrials,
+		summary: "adds up what the instances of a fleet wrote of themselves (LOCKFLOW_TALLY=1)",
+		args:    "[--aim TIME] [--servers N] [--json] LOG...",
 		examples: []string{
 			"LOCKFLOW_TALLY=1 lockflow 2>n0.log", "lockflow tally --aim 2s logs/n*.log",
 			"lockflow tally --json logs/n*.log | jq '.servers[0]'",
@@ -53,6 +56,7 @@
 	}
 }
 
+// readEventLog adds the event log of one instance, which its file is named after.
 func readEventLog(a *eventlog.Adder, path string) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -65,9 +69,10 @@
 	return nil
 }
 
-// rejectionCauses are the causes shown, in the order of their columns.
+// rejectionCauses are the causes of rejections that are printed, in the order of their columns.
 var rejectionCauses = []string{"no_turn", "no_further", "yields", "over_store", "by_chance", "over_ceiling", "too_late"}
 
+// printEventLog prints the sums by second, by server and by plan. maxServers limits the servers.
 func printEventLog(w io.Writer, s *eventlog.Sum, maxServers int) {
 	fmt.Fprintf(w, "%d instances; %d lines of theirs can't be read\n\n", s.Instances, s.Skipped)
 	t := tabwriter.NewWriter(w, 0, 0, 1, ' ', tabwriter.AlignRight)
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -2,36 +2,42 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
-	"io"
 	"os"
 	"path/filepath"
-	"strings"
-	"text/tabwriter"
 	"time"
 
 	"lockflow/internal/fleet"
-	"lockflow/internal/manage"
 )
 
-// drainTimeout is what instances get to end in order before they are killed.
+// drainTimeout is how long instances may drain before they are killed.
 const drainTimeout = 20 * time.Second
 
-// fleetFlags are the flags of all that fleet does.
+// fleetFlags are the flags of lockflow fleet.
 type fleetFlags struct {
-	dir, sockets, file         string
-	config, program, host      string
-	instances, groupSize, port int
-	timeout                    time.Duration
-	json                       bool
+	// Where the members are; one of these is given.
+	dir     string // of the instances of a fleet run
+	sockets string // file with control sockets
+	file    string // fleet file
+
+	config    string
+	program   string
+	host      string
+	port      int
+	instances int
+	groupSize int           // 0 is instances
+	timeout   time.Duration // of a member to be ready
+	json      bool
 	rolloutFlags
 }
 
+// fleetCommand returns the command "fleet".
 func fleetCommand() command {
 	return command{
-		name: "fleet", group: groupRunning, summary: "starts many instances on this machine, asks them, and has a change go over them",
-		args: "run|status|reload|upgrade|drain|serve [--dir DIR | --sockets FILE | --fleet FLEET.toml] [flags]",
+		name:    "fleet",
+		group:   groupRunning,
+		summary: "starts many instances on this machine, asks them, and has a change go over them",
+		args:    "run|status|reload|upgrade|drain|serve [--dir DIR | --sockets FILE | --fleet FLEET.toml] [flags]",
 		examples: []string{
 			"lockflow fleet run --config deploy/lockflow.toml --instances 4 --dir /run/lockflow --port 8080",
 			"lockflow fleet status --dir /run/lockflow",
@@ -73,18 +79,24 @@
 	}
 }
 
-// run runs a fleet until ctx ends.
+// run runs a fleet until ctx is done, and then drains it.
 func (f *fleetFlags) run(ctx context.Context, e *Env) error {
 	if f.config == "" || f.dir == "" || f.instances < 1 {
 		return usageError("fleet run takes --config FILE, --dir DIR and --instances N")
 	}
-	program, err := os.Executable()
+	program, err := executable()
 	if err != nil {
-		return fmt.Errorf("finding the program's own file: %w", err)
+		return err
 	}
 	r, err := fleet.Start(ctx, fleet.Options{
-		Program: program, Config: f.config, Dir: f.dir, Instances: f.instances, GroupSize: f.groupSize,
-		Host: f.host, Port: f.port, StartTimeout: f.timeout,
+		Program:      program,
+		Config:       f.config,
+		Dir:          f.dir,
+		Instances:    f.instances,
+		GroupSize:    f.groupSize,
+		Host:         f.host,
+		Port:         f.port,
+		StartTimeout: f.timeout,
 	})
 	if err != nil {
 		return err
@@ -97,7 +109,7 @@
 	return r.Stop(drainTimeout)
 }
 
-// runOnMembers does something with all members.
+// runOnMembers runs an operation on all members.
 func (f *fleetFlags) runOnMembers(ctx context.Context, e *Env, what string) error {
 	var members []fleet.Member
 	var err error
@@ -120,14 +132,9 @@
 	case "drain", "serve":
 		return f.setDrained(ctx, e, members, what == "drain")
 	case "reload":
-		var text []byte
-		if f.config != "" {
-			if text, err = os.ReadFile(f.config); err != nil {
-				return fmt.Errorf("fleet reload: %w", err)
-			}
-			if err := fleet.CheckSettings(f.config, text); err != nil {
-				return err
-			}
+		text, err := f.readConfig()
+		if err != nil {
+			return err
 		}
 		return f.startChange(ctx, e, what, fleet.WithSettings(members, text), nil)
 	case "upgrade":
@@ -139,133 +146,41 @@
 	return usageError("fleet: there is no %q: run, status, reload, upgrade, drain, serve", what)
 }
 
-// status prints what all members say; it fails where one says nothing or isn't ready.
-func (f *fleetFlags) status(ctx context.Context, e *Env, members []fleet.Member) error {
-	all := fleet.PollStatus(ctx, members)
-	fine := true
-	for _, a := range all {
-		fine = fine && a.Status != nil && a.Status.IsAsDesired()
-	}
-	fleets := countSet(f.dir, f.sockets, f.file) > 0
-	var change *fleet.Progress
-	if fleets {
-		change = f.readProgress(e)
-	}
-	if f.json {
-		var v any = all
-		if fleets {
-			v = map[string]any{"members": all, "rollout": change}
-		}
-		if err := json.NewEncoder(e.Out).Encode(v); err != nil {
-			return err
-		}
-	} else if printStatus(e.Out, all); change != nil {
-		printProgress(e.Out, change)
-	}
-	if !fine {
-		return errReported
+// readConfig reads and checks the new settings; nil is those of each member's own file.
+func (f *fleetFlags) readConfig() ([]byte, error) {
+	if f.config == "" {
+		return nil, nil
 	}
-	return nil
-}
-
-func printStatus(w io.Writer, all []fleet.StatusReply) {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "member\tpid\tlife\tgeneration\tlisten\tservers up\theld\tstreams\tdescriptors\tMB\tdistrusts")
-	for _, a := range all {
-		if a.Status == nil {
-			fmt.Fprintf(t, "%s\t-\tno answer\t\t\t\t\t\t\t\t%s\n", a.Member, a.Error)
-			continue
-		}
-		s := a.Status
-		up, servers, requests, streams := 0, 0, 0, 0
-		for _, one := range s.Services {
-			up, servers, requests, streams = up+one.AvailableServers, servers+one.Servers, requests+one.Requests, streams+one.OpenStreams
-		}
-		older := ""
-		if len(s.RetiredServices) > 0 {
-			older = fmt.Sprintf(" (+%d older)", len(s.RetiredServices))
-		}
-		fmt.Fprintf(t, "%s\t%d\t%s\t%d%s\t%s\t%d of %d\t%d\t%d\t%d\t%.1f\t%s\n", a.Member, s.PID, s.State, s.Generation, older,
-			strings.Join(s.Listeners, " "), up, servers, requests, streams, s.OpenDescriptors, float64(s.MemoryKB)/1024, strings.Join(s.DegradedConditions, "; "))
+	text, err := os.ReadFile(f.config)
+	if err != nil {
+		return nil, fmt.Errorf("fleet reload: %w", err)
 	}
-	t.Flush()
+	return text, fleet.CheckSettings(f.config, text)
 }
 
-// setDrained has all members end and stay drained, at once, also where they are kept or started again; or serve
-// again.
-func (f *fleetFlags) setDrained(ctx context.Context, e *Env, members []fleet.Member, drain bool) error {
-	fine := true
+// setDrained sets whether members are to stay drained, also after a restart. It goes on after a member that fails.
+func (f *fleetFlags) setDrained(ctx context.Context, e *Env, members []fleet.Member, isDrained bool) error {
+	hasFailed := false
 	for _, m := range members {
-		request, outcome := m.Client.Serve, "serves"
-		if drain {
-			request, outcome = m.Client.DrainAndStay, "drains"
+		request := m.Client.Serve
+		outcome := "serves"
+		if isDrained {
+			request = m.Client.DrainAndStay
+			outcome = "drains"
 		}
-		s, err := request(ctx)
+		status, err := request(ctx)
 		if err != nil {
-			fine = false
+			hasFailed = true
 			fmt.Fprintf(e.Err, "%s: %v\n", m.Name, err)
 			continue
 		}
-		if drain && s.IsVolatile {
+		if isDrained && status.IsVolatile {
 			outcome = "drains; without process.state it serves again where it is started again"
 		}
 		fmt.Fprintf(e.Out, "%s: %s\n", m.Name, outcome)
 	}
-	if !fine {
+	if hasFailed {
 		return errReported
 	}
 	return nil
 }
-
-func upgradeCommand() command {
-	return command{
-		name: "upgrade", group: groupRunning, summary: "has a new process take a running daemon's place, without a gap",
-		args:     "--control PATH [--program PATH] [--within TIME]",
-		examples: []string{"lockflow upgrade --control /run/lockflow/control.sock", "lockflow upgrade --control /run/lockflow/control.sock --program /usr/local/bin/lockflow-next"},
-		setup: func(set flags) func(context.Context, *Env, []string) error {
-			control := set.String("control", "", "`PATH` of the daemon's control socket")
-			program := set.String("program", "", "absolute `PATH` of the new program; the one that runs if it is not given")
-			timeout := set.Duration("within", 30*time.Second, "`TIME` in which all has to be done")
-			return func(ctx context.Context, e *Env, args []string) error {
-				if *control == "" || len(args) > 0 || *program != "" && !filepath.IsAbs(*program) || *timeout <= 0 {
-					return usageError("upgrade takes --control PATH, and as program an absolute path")
-				}
-				ctx, cancel := context.WithTimeout(ctx, *timeout)
-				defer cancel()
-				m := fleet.Member{Name: *control, Client: manage.Client{Path: *control}}
-				before, err := m.Client.Status(ctx)
-				if err != nil {
-					return err
-				}
-				if err := (&fleet.Upgrade{Program: *program}).Do(ctx, m, before); err != nil {
-					return err
-				}
-				now, err := m.Client.Status(ctx)
-				if err != nil {
-					return err
-				}
-				fmt.Fprintf(e.Out, "process %d has taken the place of process %d\n", now.PID, before.PID)
-				return nil
-			}
-		},
-	}
-}
-
-func statusCommand() command {
-	return command{
-		name: "status", group: groupRunning, summary: "tells what a running daemon does",
-		args:     "--control PATH [--json]",
-		examples: []string{"lockflow status --control /run/lockflow/control.sock --json"},
-		setup: func(set flags) func(context.Context, *Env, []string) error {
-			control := set.String("control", "", "`PATH` of the daemon's control socket")
-			var f fleetFlags
-			set.BoolVar(&f.json, "json", false, "prints JSON")
-			return func(ctx context.Context, e *Env, args []string) error {
-				if *control == "" || len(args) > 0 {
-					return usageError("status takes --control PATH")
-				}
-				return f.status(ctx, e, []fleet.Member{{Name: *control, Client: manage.Client{Path: *control}}})
-			}
-		},
-	}
-}
--- a/internal/command/measurefaults.go
+++ b/internal/command/measure_faults.go
@@ -15,7 +15,14 @@
 	"lockflow/internal/trials/regiontrial"
 )
 
-// faultFlags are those of measure faults.
+// Peers of a node under faults.
+const (
+	faultServers       = 2
+	faultClients       = 4
+	changeFaultClients = 3
+)
+
+// faultFlags declares the flags of measure faults and change, and returns that of the script's file.
 func faultFlags(set flags, o *measure.FaultsOptions) (file *string) {
 	set.IntVar(&o.Processes, "processes", 3, "faults, change, soak, rollout: `N` nodes; change: a third of them in each of three regions")
 	set.IntVar(&o.Seeds, "seeds", 20, "faults, change, soak: `N` scripts or plays, of --seed and those after it")
@@ -24,15 +31,30 @@
 	return set.String("script", "", "faults, change: `FILE` of a script that is tried instead of drawn ones")
 }
 
-// measureFaults measures faults, or with change a change under them.
-func measureFaults(ctx context.Context, e *Env, o measure.FaultsOptions, change bool, file string, asJSON bool) error {
-	o.Servers, o.Clients, o.Progress = 2, 4, e.Err
-	what, links := "faults", trial.Links(o.Processes, o.Servers)
-	if change {
-		o.Clients, what, links = 3, "change", regiontrial.Links(o.Processes/3)
-	}
-	if o.Processes < 1 || o.Processes > 64 || change && o.Processes%3 > 0 || o.Seeds < 1 || o.Seeds > 100_000 || o.Faults < 0 || o.Faults > 10_000 ||
-		o.Shrinks < 0 || o.Shrinks > 10_000 {
+// isValidFaults tells whether the flags are in range. A change needs three regions of the same size.
+func isValidFaults(o *measure.FaultsOptions, isChange bool) bool {
+	if isChange && o.Processes%3 > 0 {
+		return false
+	}
+	return o.Processes >= 1 && o.Processes <= 64 &&
+		o.Seeds >= 1 && o.Seeds <= 100_000 &&
+		o.Faults >= 0 && o.Faults <= 10_000 &&
+		o.Shrinks >= 0 && o.Shrinks <= 10_000
+}
+
+// measureFaults runs trials of nodes under faults, or of a change of regions under them.
+func measureFaults(ctx context.Context, e *Env, o measure.FaultsOptions, isChange bool, file string, asJSON bool) error {
+	what := "faults"
+	o.Progress = e.Err
+	o.Servers = faultServers
+	o.Clients = faultClients
+	links := trial.Links(o.Processes, o.Servers)
+	if isChange {
+		what = "change"
+		o.Clients = changeFaultClients
+		links = regiontrial.Links(o.Processes / 3)
+	}
+	if !isValidFaults(&o, isChange) {
 		return usageError("measure %s: its flags are off; see lockflow measure --help", what)
 	}
 	var err error
@@ -41,43 +63,55 @@
 			return err
 		}
 	}
-	if o.Program, err = os.Executable(); err != nil {
-		return fmt.Errorf("finding the program's own file: %w", err)
+	if o.Program, err = executable(); err != nil {
+		return err
 	}
 	if o.Dir, err = os.MkdirTemp("", "lockflow-"); err != nil {
 		return fmt.Errorf("measuring %s: %w", what, err)
 	}
-	var got any
-	var failing string
-	var print func()
-	if change {
-		rep, err := measure.Change(ctx, o)
-		if err != nil {
-			return err
-		}
-		got, failing, print = rep, rep.Failing, func() { printChange(e.Out, rep) }
+	var failure string
+	if isChange {
+		failure, err = runChangeTrial(ctx, e, o, asJSON)
 	} else {
-		rep, err := measure.Faults(ctx, o)
-		if err != nil {
-			return err
-		}
-		got, failing, print = rep, rep.Failing, func() { printFaults(e.Out, rep) }
+		failure, err = runFaultTrial(ctx, e, o, asJSON)
 	}
-	if asJSON {
-		if err := json.NewEncoder(e.Out).Encode(got); err != nil {
-			return err
-		}
-	} else {
-		print()
+	if err != nil {
+		return err
 	}
-	if failing != "" {
+	if failure != "" {
 		fmt.Fprintf(e.Err, "the nodes' files are left in %s\n", o.Dir)
 		return errReported
 	}
 	return os.RemoveAll(o.Dir)
 }
 
-// faultScript reads a script for so many processes and links.
+// runChangeTrial measures and prints changes under faults, and returns the first failure; "" is none.
+func runChangeTrial(ctx context.Context, e *Env, o measure.FaultsOptions, asJSON bool) (failure string, err error) {
+	report, err := measure.Change(ctx, o)
+	if err != nil {
+		return "", err
+	}
+	if asJSON {
+		return report.Failing, json.NewEncoder(e.Out).Encode(report)
+	}
+	printChange(e.Out, report)
+	return report.Failing, nil
+}
+
+// runFaultTrial measures and prints nodes under faults, and returns the first failure; "" is none.
+func runFaultTrial(ctx context.Context, e *Env, o measure.FaultsOptions, asJSON bool) (failure string, err error) {
+	report, err := measure.Faults(ctx, o)
+	if err != nil {
+		return "", err
+	}
+	if asJSON {
+		return report.Failing, json.NewEncoder(e.Out).Encode(report)
+	}
+	printFaults(e.Out, report)
+	return report.Failing, nil
+}
+
+// faultScript reads a script, which has to be for a number of processes and links.
 func faultScript(file string, processes, links int) (*faultnet.Script, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -93,6 +127,7 @@
 	return &s, nil
 }
 
+// printChange prints a line for each change, and the shortest script that fails.
 func printChange(w io.Writer, r *measure.ChangeReport) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "seed\tfaults\tnodes killed\tcoordinators' exits\tmore after\tnew at once\tdecisions\tepochs\torders\trequests\tserved\tbroken by the fault\t"+
@@ -108,15 +143,16 @@
 	}
 }
 
+// printFaults prints a line for each script, their sums, and the shortest script that fails.
 func printFaults(w io.Writer, r *measure.FaultsReport) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "seed\tfaults\tkills\tresets\tbytes lost\trequests\tserved\tanswered otherwise\tbroken by the fault\teffects\towner asked\ttold\tepochs owned\torders\tall back ms\twrong\t")
 	var sum trial.Report
-	var back time.Duration
+	var recoveryTime time.Duration
 	wrong := 0
-	row := func(seed string, x *trial.Report, back time.Duration, wrong int) {
+	row := func(seed string, x *trial.Report, recoveryTime time.Duration, wrong int) {
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", seed, x.Faults, x.Kills, x.Resets, x.Lost, x.Requests, x.Served,
-			x.Answered-x.Served, x.Broken, x.Effects, x.ControlCalls, x.ControlReplies, x.OwnedEpochs, x.Orders, back.Milliseconds(), wrong)
+			x.Answered-x.Served, x.Broken, x.Effects, x.ControlCalls, x.ControlReplies, x.OwnedEpochs, x.Orders, recoveryTime.Milliseconds(), wrong)
 	}
 	for _, x := range r.Rows {
 		row(fmt.Sprint(x.Seed), x, x.RecoveryTime, len(x.Wrong))
@@ -133,9 +169,10 @@
 		sum.ControlReplies += x.ControlReplies
 		sum.OwnedEpochs += x.OwnedEpochs
 		sum.Orders += x.Orders
-		back, wrong = max(back, x.RecoveryTime), wrong+len(x.Wrong)
+		recoveryTime = max(recoveryTime, x.RecoveryTime)
+		wrong += len(x.Wrong)
 	}
-	row("all", &sum, back, wrong)
+	row("all", &sum, recoveryTime, wrong)
 	t.Flush()
 	if r.Failing != "" {
 		fmt.Fprintf(w, "\nWRONG:\n%s\n\nthe least script that fails so or otherwise (lockflow measure faults --script FILE):\n%s", r.Failing, r.ShortestScript)
--- a/internal/command/measure_gather.go
+++ b/internal/command/measure_gather.go
@@ -4,15 +4,20 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"os"
 
 	"lockflow/internal/trials/measure"
 )
 
+// gatherWorkers is how many queries run at once.
+const gatherWorkers = 8
+
+// measureGather compares scatter-gather queries with the same calls made by the client.
 func measureGather(ctx context.Context, e *Env, o measure.GatherOptions, asJSON bool) (err error) {
-	o.Parts, o.Workers, o.Progress = []int{1, 3, 5, 16}, 8, e.Err
-	if o.Program, err = os.Executable(); err != nil {
-		return fmt.Errorf("finding the program's own file: %w", err)
+	o.Parts = []int{1, 3, 5, 16}
+	o.Workers = gatherWorkers
+	o.Progress = e.Err
+	if o.Program, err = executable(); err != nil {
+		return err
 	}
 	rows, err := measure.Gather(ctx, o)
 	if err != nil {
--- /dev/null
+++ b/internal/command/measure_rollout.go
@@ -0,0 +1,79 @@
+package command
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"maps"
+	"os"
+	"slices"
+	"strings"
+
+	"lockflow/internal/desiredstate"
+	"lockflow/internal/trials/measure"
+)
+
+// rolloutClients is how many clients send requests during a rollout.
+const rolloutClients = 2
+
+// measureRollout kills coordinators of staged changes at each write of their log, and checks how others go on.
+func measureRollout(ctx context.Context, e *Env, o measure.RolloutOptions, kinds string, asJSON bool) (err error) {
+	o.Clients = rolloutClients
+	o.Progress = e.Err
+	for word := range strings.SplitSeq(kinds, ",") {
+		kind := desiredstate.Kind(strings.TrimSpace(word))
+		if kind != desiredstate.KindSettings && kind != desiredstate.KindProgram {
+			return usageError("measure rollout: kinds: %q is neither %s nor %s", kind, desiredstate.KindSettings, desiredstate.KindProgram)
+		}
+		o.Kinds = append(o.Kinds, kind)
+	}
+	if o.Members < 2 || o.Members > 64 {
+		return usageError("measure rollout: processes: %d are none of 2 to 64", o.Members)
+	}
+	if o.Program, err = executable(); err != nil {
+		return err
+	}
+	if o.Dir, err = os.MkdirTemp("", "lockflow-"); err != nil {
+		return fmt.Errorf("measuring rollouts: %w", err)
+	}
+	r, err := measure.Rollout(ctx, o)
+	if err != nil {
+		return err
+	}
+	if asJSON {
+		if err := json.NewEncoder(e.Out).Encode(r); err != nil {
+			return err
+		}
+	} else {
+		printRolloutTrial(e.Out, r)
+	}
+	if len(r.Wrong) > 0 {
+		fmt.Fprintf(e.Err, "the nodes' files are left in %s\n", o.Dir)
+		return errReported
+	}
+	return os.RemoveAll(o.Dir)
+}
+
+// printRolloutTrial prints the ends of all changes, and the sums of what the coordinators did.
+func printRolloutTrial(w io.Writer, r *measure.RolloutReport) {
+	ends := make(map[string]int)
+	for _, row := range r.Rows {
+		ends[fmt.Sprintf("%s, %s: all %s", row.Kind, row.Recovery, row.State)]++
+	}
+	for _, end := range sortedKeys(ends) {
+		fmt.Fprintf(w, "%5d  %s\n", ends[end], end)
+	}
+	for _, kind := range sortedKeys(r.Writes) {
+		fmt.Fprintf(w, "%5d  writes of a change of %s\n", r.Writes[kind], kind)
+	}
+	fmt.Fprintf(w, "%5d  coordinators killed, %d claims, %d epochs owned, %d orders carried out or told again, %d of them restarts, %d begun\n",
+		r.Killed, r.Claims, r.Owned, r.Orders, r.Restarts, r.StartedCommands)
+	fmt.Fprintf(w, "%5d  requests, %d without an answer, %d with another one\n", r.Requests, r.Lost, r.Other)
+	for _, violation := range r.Wrong {
+		fmt.Fprintf(w, "WRONG: %s\n", violation)
+	}
+}
+
+// sortedKeys returns the keys of a map in order.
+func sortedKeys(m map[string]int) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/command/measureskew.go
+++ b/internal/command/measure_skew.go
@@ -13,17 +13,17 @@
 
 // Bounds of measure upgrade --previous.
 const (
-	skewRoundsMax     = 50
-	skewTimeout       = 30 * time.Minute
-	skewClients       = 8
-	skewRequests      = 1000 // answered between two changes, unless --requests says otherwise
-	skewRequestsLimit = 1_000_000
+	maxSkewRounds   = 50
+	skewTimeout     = 30 * time.Minute
+	skewClients     = 8
+	skewRequests    = 1000 // answered between two upgrades, by default
+	maxSkewRequests = 1_000_000
 )
 
-// measureSkew has another build and this program take each other's place under load.
+// measureSkew upgrades between another build and this one under load, in both directions.
 func measureSkew(ctx context.Context, e *Env, o versionskew.Options, asJSON bool) (err error) {
-	if o.Rounds > skewRoundsMax || o.Requests < 1 || o.Requests > skewRequestsLimit {
-		return usageError("measure upgrade --previous takes --rounds from 1 to %d and --requests from 1 to %d", skewRoundsMax, skewRequestsLimit)
+	if o.Rounds > maxSkewRounds || o.Requests < 1 || o.Requests > maxSkewRequests {
+		return usageError("measure upgrade --previous takes --rounds from 1 to %d and --requests from 1 to %d", maxSkewRounds, maxSkewRequests)
 	}
 	if o.Previous, err = filepath.Abs(o.Previous); err != nil {
 		return fmt.Errorf("finding the previous build: %w", err)
@@ -31,13 +31,15 @@
 	if info, err := os.Stat(o.Previous); err != nil || info.IsDir() {
 		return usageError("measure upgrade: --previous %s is no program", o.Previous)
 	}
-	if o.Current, err = os.Executable(); err != nil {
-		return fmt.Errorf("finding the program's own file: %w", err)
+	if o.Current, err = executable(); err != nil {
+		return err
 	}
 	if o.Dir, err = os.MkdirTemp("", "lockflow-"); err != nil {
 		return fmt.Errorf("trying two builds: %w", err)
 	}
-	o.Env, o.Clients, o.Progress = os.Environ(), skewClients, e.Err
+	o.Env = os.Environ()
+	o.Clients = skewClients
+	o.Progress = e.Err
 	ctx, cancel := context.WithTimeout(ctx, skewTimeout)
 	defer cancel()
 	report, err := versionskew.Run(ctx, o)
--- a/internal/command/measuresoak.go
+++ b/internal/command/measure_soak.go
@@ -18,15 +18,19 @@
 // soakPackage is the program that is built with faults, in the repository in which measure soak runs.
 const soakPackage = "lockflow/cmd/lockflow"
 
-// soakOptions are how measure soak plays.
+// soakClients is how many clients a soak test has.
+const soakClients = 4
+
+// soakOptions are the options of measure soak.
 type soakOptions struct {
-	nodes, seeds int
-	seed         uint64
-	duration     time.Duration
+	nodes    int
+	seeds    int           // how many
+	seed     uint64        // the first
+	duration time.Duration // of each seed
 }
 
-// measureSoak plays seed after seed, in the repository's directory, and goes on behind one that fails. What each of
-// those left is kept.
+// measureSoak runs a soak test for each seed, in the repository's directory, also after one that fails. The files of a
+// failed one are not removed.
 func measureSoak(ctx context.Context, e *Env, o soakOptions, asJSON bool) error {
 	if o.nodes < 1 || o.nodes > 64 || o.seeds < 1 || o.seeds > 100_000 {
 		return usageError("measure soak: its flags are off; see lockflow measure --help")
@@ -42,8 +46,14 @@
 	hasFailed := false
 	for i := range o.seeds {
 		options := soak.Options{
-			Program: program, Dir: filepath.Join(directory, fmt.Sprint(i)), Nodes: o.nodes, Servers: o.nodes + 1, Clients: 4,
-			Disturbances: o.nodes + 2, Duration: o.duration, Seed: o.seed + uint64(i),
+			Program:      program,
+			Dir:          filepath.Join(directory, fmt.Sprint(i)),
+			Nodes:        o.nodes,
+			Servers:      o.nodes + 1,
+			Clients:      soakClients,
+			Disturbances: o.nodes + 2,
+			Duration:     o.duration,
+			Seed:         o.seed + uint64(i),
 		}
 		report, err := playSoak(ctx, options)
 		if err != nil {
@@ -60,7 +70,7 @@
 	return os.RemoveAll(directory)
 }
 
-// playSoak plays one seed, and removes what it left unless something was wrong.
+// playSoak runs the soak test of one seed, and removes its files unless it failed.
 func playSoak(ctx context.Context, o soak.Options) (*soak.Report, error) {
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
 		return nil, err
@@ -72,6 +82,7 @@
 	return report, err
 }
 
+// printSoak prints the report of one seed.
 func printSoak(e *Env, r *soak.Report, directory string, asJSON bool) error {
 	if asJSON {
 		return json.NewEncoder(e.Out).Encode(r)
--- a/internal/command/plan.go
+++ b/internal/command/plan.go
@@ -9,10 +9,13 @@
 	"lockflow/internal/config"
 )
 
+// planCommand returns the command "plan".
 func planCommand() command {
 	return command{
-		name: "plan", group: groupFiles, summary: "tells what a change from one configuration, or fleet file, to another brings",
-		args: "[--fleet] OLD NEW [--json]",
+		name:    "plan",
+		group:   groupFiles,
+		summary: "tells what a change from one configuration, or fleet file, to another brings",
+		args:    "[--fleet] OLD NEW [--json]",
 		examples: []string{
 			"lockflow plan /etc/lockflow/lockflow.toml new.toml",
 			"lockflow plan --fleet old/fleet.toml new/fleet.toml --json   # 0 none, 1 conflicts, 2 unusable input",
@@ -33,7 +36,7 @@
 	}
 }
 
-// plan prints the changes; it fails where a reload would be refused.
+// plan prints the changes between two configurations. It fails if a reload would be rejected.
 func plan(e *Env, oldPath, newPath string, asJSON bool) error {
 	old, err := config.Load(oldPath)
 	if err != nil {
@@ -70,6 +73,7 @@
 	return nil
 }
 
+// formatValues formats the old and new value of a change.
 func formatValues(c config.Change) string {
 	if c.From == "" && c.To == "" {
 		return ""
--- a/internal/command/proxy.go
+++ b/internal/command/proxy.go
@@ -12,10 +12,13 @@
 	"lockflow/internal/node"
 )
 
+// proxyCommand returns the command "proxy".
 func proxyCommand() command {
 	return command{
-		name: "proxy", group: groupRunning, summary: "serves ordinary HTTP from some app servers, with no configuration file",
-		args: "--to ADDRESS[,ADDRESS...] [--listen ADDRESS] [--for TIME] [--print]",
+		name:    "proxy",
+		group:   groupRunning,
+		summary: "serves ordinary HTTP from some app servers, with no configuration file",
+		args:    "--to ADDRESS[,ADDRESS...] [--listen ADDRESS] [--for TIME] [--print]",
 		examples: []string{
 			"lockflow proxy --listen 127.0.0.1:8080 --to 127.0.0.1:9001,127.0.0.1:9002",
 			"lockflow proxy --to 127.0.0.1:9001 --print > lockflow.toml    # the file that does the same",
@@ -43,11 +46,11 @@
 	}
 }
 
-// proxyConfig is the configuration of a proxy.
-func proxyConfig(listen string, to []string) (string, error) {
+// proxyConfig returns the configuration of a proxy to some app servers.
+func proxyConfig(listen string, servers []string) (string, error) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[[listeners]]\naddress = %s\n\n[services.app.source]\nkind = \"static\"\n", strconv.Quote(listen))
-	for i, addr := range append([]string{listen}, to...) {
+	for i, addr := range append([]string{listen}, servers...) {
 		if _, port, err := net.SplitHostPort(addr); err != nil || port == "" {
 			return "", fmt.Errorf("%q is no host:port", addr)
 		}
@@ -59,6 +62,7 @@
 	return b.String(), nil
 }
 
+// serveProxy serves by a configuration for a time; 0 is until ctx is done.
 func serveProxy(ctx context.Context, e *Env, text string, duration time.Duration) error {
 	cfg, err := config.Parse("proxy", []byte(text))
 	if err != nil {
--- a/internal/command/allowance.go
+++ b/internal/command/quota_lease.go
@@ -12,9 +12,12 @@
 	"lockflow/internal/quotalease"
 )
 
+// quotaLeaseCommand returns the command "allowance".
 func quotaLeaseCommand() command {
 	return command{
-		name: "allowance", group: groupFiles, summary: "tells what of a plan's ceiling holds, and what of it can be used, when a shared counter lends it",
+		name:     "allowance",
+		group:    groupFiles,
+		summary:  "tells what of a plan's ceiling holds, and what of it can be used, when a shared counter lends it",
 		args:     "explain --config FILE --plan NAME [--instances N] [--units N] [--spread N] [--term TIME] [--pledge TIME] [--settle TIME] [--drift N] [--json]",
 		examples: []string{"lockflow allowance explain --config /etc/lockflow/lockflow.toml --plan enterprise --instances 40 --units 4"},
 		setup: func(set flags) func(context.Context, *Env, []string) error {
@@ -39,39 +42,64 @@
 	}
 }
 
+// leaseExplanation are the flags of the command "allowance".
 type leaseExplanation struct {
-	file, plan string
-	rules      quotalease.Rules
-	units      float64
-	spread     int
-	json       bool
+	file   string
+	plan   string
+	rules  quotalease.Rules // zeros are those of the file
+	units  float64          // of a request
+	spread int              // instances that the customer comes through; 0 is all
+	json   bool
 }
 
-func (x *leaseExplanation) run(e *Env) error {
-	cfg, err := config.Load(x.file)
-	if err != nil {
-		return err
-	}
-	var limit quotalease.HardLimit
-	found := false
+// Rules of a file without a shared counter.
+const (
+	defaultTerm            = time.Second
+	defaultReservationTime = 2 * time.Second
+	defaultResizeTime      = 10 * time.Second
+	defaultMaxDrift        = 0.001
+)
+
+// findLimit returns the plan's hard limit, and completes the rules by those of its service.
+func (x *leaseExplanation) findLimit(cfg *config.Config) (limit quotalease.HardLimit, isFound bool) {
 	for _, s := range cfg.Services {
 		for _, p := range s.Settings.Plans {
 			if p.Name != x.plan {
 				continue
 			}
-			limit, found = quotalease.HardLimit{Rate: p.HardLimitRate, Burst: p.HardLimitBurst}, true
-			file := s.Counter.Rules
-			if file.Instances == 0 {
-				file = quotalease.Rules{Instances: s.Settings.GroupSize, Term: time.Second, ReservationTime: 2 * time.Second, ResizeTime: 10 * time.Second, MaxDrift: 0.001}
+			limit = quotalease.HardLimit{Rate: p.HardLimitRate, Burst: p.HardLimitBurst}
+			isFound = true
+			rules := s.Counter.Rules
+			if rules.Instances == 0 {
+				rules = quotalease.Rules{
+					Instances:       s.Settings.GroupSize,
+					Term:            defaultTerm,
+					ReservationTime: defaultReservationTime,
+					ResizeTime:      defaultResizeTime,
+					MaxDrift:        defaultMaxDrift,
+				}
 			}
 			x.rules = quotalease.Rules{
-				Instances: cmp.Or(x.rules.Instances, file.Instances), Term: cmp.Or(x.rules.Term, file.Term),
-				ReservationTime: cmp.Or(x.rules.ReservationTime, file.ReservationTime), ResizeTime: cmp.Or(x.rules.ResizeTime, file.ResizeTime), MaxDrift: cmp.Or(x.rules.MaxDrift, file.MaxDrift),
+				Instances:       cmp.Or(x.rules.Instances, rules.Instances),
+				Term:            cmp.Or(x.rules.Term, rules.Term),
+				ReservationTime: cmp.Or(x.rules.ReservationTime, rules.ReservationTime),
+				ResizeTime:      cmp.Or(x.rules.ResizeTime, rules.ResizeTime),
+				MaxDrift:        cmp.Or(x.rules.MaxDrift, rules.MaxDrift),
 			}
 		}
 	}
+	return limit, isFound
+}
+
+// run prints what the rules guarantee of a plan's hard limit.
+func (x *leaseExplanation) run(e *Env) error {
+	cfg, err := config.Load(x.file)
+	if err != nil {
+		return err
+	}
+	limit, isFound := x.findLimit(&cfg)
 	switch {
-	case !found:
+	case !isFound:
 		return fmt.Errorf("%s: no plan %q", x.file, x.plan)
 	case limit.Rate == 0:
 		return fmt.Errorf("%s: plan %q has no ceiling", x.file, x.plan)
@@ -88,9 +116,9 @@
 	}
 	fmt.Fprintf(e.Out, "plan %s: %g units a second, %g at once; %d instances, traffic through %d of them, requests of %g units\n", x.plan, limit.Rate,
 		limit.Burst, x.rules.Instances, x.spread, x.units)
-	b := x.rules.Bound(limit)
+	bound := x.rules.Bound(limit)
 	fmt.Fprintf(e.Out, "in any window, whatever fails: %.4g units and %.4g a second; the rate by clocks wrong by %g, the units by a term of %v\n\n",
-		b.Burst, b.Rate, x.rules.MaxDrift, x.rules.Term)
+		bound.Burst, bound.Rate, x.rules.MaxDrift, x.rules.Term)
 	w := tabwriter.NewWriter(e.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "case\tbeyond in a minute\tuse\twhy")
 	for _, p := range promises {
--- a/internal/command/regions.go
+++ b/internal/command/regions.go
@@ -15,10 +15,10 @@
 	"lockflow/internal/regions/mixture"
 )
 
-// errUnusable is input that nothing can be told of; what is wrong with it is of type config.FieldErrors.
+// errUnusable means input that can't be checked; it wraps the config.FieldErrors.
 var errUnusable = errors.New("unusable")
 
-// findings is what is told of a fleet or of its change.
+// findings is the result of checking a fleet, or of planning its change.
 type findings struct {
 	Conflicts    []regions.Conflict   `json:"conflicts"`
 	Order        []string             `json:"order"` // the steps of a change; "NAME (intermediate)" is the first of two
@@ -27,17 +27,19 @@
 	Transient    []regions.Conflict   `json:"passing,omitempty"`
 }
 
-// intermediateConfig is an intermediate configuration.
+// intermediateConfig is a configuration that a region runs between its old and new one.
 type intermediateConfig struct {
 	Region    string      `json:"region"`
-	Instances int         `json:"instances"` // that its members are to be told
+	Instances int         `json:"instances"` // group size that its members assume
 	Hash      string      `json:"hash"`
 	Text      string      `json:"text"`
-	Changes   config.Plan `json:"changes"` // from what it runs
+	Changes   config.Plan `json:"changes"` // from the old one
 }
 
+// intermediateSuffix marks a step to intermediate settings.
 const intermediateSuffix = " (intermediate)"
 
+// loadFleet reads a fleet file; errors wrap errUnusable.
 func loadFleet(path string) (fleetfile.File, error) {
 	f, err := fleetfile.Load(path)
 	if err != nil {
@@ -46,7 +48,7 @@
 	return f, err
 }
 
-// checkFleet holds the regions of a fleet file against each other.
+// checkFleet prints the conflicts between the regions of a fleet file.
 func checkFleet(e *Env, path string, asJSON bool) error {
 	f, err := loadFleet(path)
 	if err != nil {
@@ -59,6 +61,7 @@
 	return found.report(e, asJSON)
 }
 
+// countMembers counts the members of all regions.
 func countMembers(f fleetfile.File) (n int) {
 	for _, r := range f.All {
 		n += len(r.Members)
@@ -66,8 +69,8 @@
 	return n
 }
 
-// planFleet looks at all that a change from one fleet file to another passes through. The new one's
-// waivers are for the mixtures too.
+// planFleet prints an order of the regions for a change from one fleet file to another, and the conflicts of the change
+// and of all mixtures on its way. The new file's waivers count for the mixtures too.
 func planFleet(e *Env, oldPath, newPath string, asJSON bool) error {
 	old, err := loadFleet(oldPath)
 	if err != nil {
@@ -77,32 +80,26 @@
 	if err != nil {
 		return err
 	}
-	waiving, check := new.Waiving(time.Now()), mixture.NewIncrementalCheck()
-	left := func(all []regions.Region) []regions.Conflict {
+	waiving := new.Waiving(time.Now())
+	checkMixtures := mixture.NewIncrementalCheck()
+	check := func(all []regions.Region) []regions.Conflict {
 		var remaining []regions.Conflict
-		for _, c := range check(all) {
+		for _, c := range checkMixtures(all) {
 			if len(waiving.Left([]regions.Conflict{mixture.WithoutGenerations(c)})) > 0 {
 				remaining = append(remaining, c)
 			}
 		}
 		return remaining
 	}
-	is := new.Regions()
-	found := findings{Conflicts: left(is)}
-	r := mixture.Order(old.Regions(), is, left)
-	found.Cycle, found.Transient = r.Cycle, r.Transient
-	found.Conflicts = append(append(found.Conflicts, r.Blocked...), waiving.Conflicts()...)
-	for _, mid := range r.Intermediate {
-		for _, one := range old.All {
-			if one.Name != mid.Name {
-				continue
-			}
-			now, err := one.Intermediate(mid)
-			if err != nil {
-				return err
-			}
-			found.Intermediate = append(found.Intermediate, intermediateConfig{mid.Name, mid.Instances, now.Hash, string(now.Text), config.Compare(one.Config, now.Config)})
-		}
+	newRegions := new.Regions()
+	found := findings{Conflicts: check(newRegions)}
+	r := mixture.Order(old.Regions(), newRegions, check)
+	found.Cycle = r.Cycle
+	found.Transient = r.Transient
+	found.Conflicts = append(found.Conflicts, r.Blocked...)
+	found.Conflicts = append(found.Conflicts, waiving.Conflicts()...)
+	if found.Intermediate, err = intermediateConfigs(old, r.Intermediate); err != nil {
+		return err
 	}
 	for _, name := range r.IntermediateOrder {
 		found.Order = append(found.Order, name+intermediateSuffix)
@@ -114,6 +111,30 @@
 	return found.report(e, asJSON)
 }
 
+// intermediateConfigs returns the configurations of regions with proposed settings.
+func intermediateConfigs(old fleetfile.File, proposed []regions.Region) ([]intermediateConfig, error) {
+	var all []intermediateConfig
+	for _, p := range proposed {
+		for _, region := range old.All {
+			if region.Name != p.Name {
+				continue
+			}
+			changed, err := region.Intermediate(p)
+			if err != nil {
+				return nil, err
+			}
+			all = append(all, intermediateConfig{
+				Region:    p.Name,
+				Instances: p.Instances,
+				Hash:      changed.Hash,
+				Text:      string(changed.Text),
+				Changes:   config.Compare(region.Config, changed.Config),
+			})
+		}
+	}
+	return all, nil
+}
+
 // explain prints the order, or why there is none.
 func (f findings) explain(w io.Writer, r mixture.Result) {
 	switch {
@@ -144,7 +165,7 @@
 	t.Flush()
 }
 
-// report prints the conflicts; it fails where there are any.
+// report prints the conflicts, and fails if there are any.
 func (f findings) report(e *Env, asJSON bool) error {
 	if asJSON {
 		if f.Conflicts == nil {
--- a/internal/command/replay.go
+++ b/internal/command/replay.go
@@ -13,13 +13,16 @@
 	"lockflow/internal/record"
 )
 
-// maxStepsBefore is how many events are shown that led to a difference.
+// maxStepsBefore is how many events before a difference are printed.
 const maxStepsBefore = 8
 
+// replayCommand returns the command "replay".
 func replayCommand() command {
 	return command{
-		name: "replay", group: groupTrials, summary: "plays recordings of decisions again and verifies that they come out the same",
-		args: "FILE... [--steps] [--id ID] [--json]",
+		name:    "replay",
+		group:   groupTrials,
+		summary: "plays recordings of decisions again and verifies that they come out the same",
+		args:    "FILE... [--steps] [--id ID] [--json]",
 		examples: []string{
 			"lockflow replay /var/lib/lockflow/record/rosters-*.lfrec",
 			"lockflow replay --steps --id 4f rosters-00001.lfrec    # what became of one request",
@@ -39,15 +42,16 @@
 	}
 }
 
+// replayer replays recordings and prints the results.
 type replayer struct {
 	env            *Env
-	steps          bool
-	id             string
+	steps          bool   // prints the steps
+	id             string // only those of this request; "" is all
 	json           bool
-	hasDifferences bool
+	hasDifferences bool // some actions were not as recorded
 }
 
-// replayed is what came of one file.
+// replayed is the result of one file.
 type replayed struct {
 	File    string    `json:"file"`
 	Service string    `json:"service"`
@@ -58,9 +62,10 @@
 	Same    bool      `json:"same"`
 }
 
+// errDiffers ends a replay at a difference.
 var errDiffers = errors.New("other actions than were recorded")
 
-// replayAll replays recordings one after another and prints what came of each; one that differs is an error.
+// replayAll replays recordings in turn and prints the result of each. It fails if one differs.
 func (p *replayer) replayAll(ctx context.Context, paths []string) error {
 	w := tabwriter.NewWriter(p.env.Out, 0, 0, 2, ' ', 0)
 	if !p.steps && !p.json {
@@ -88,6 +93,7 @@
 	return nil
 }
 
+// replayFile replays one recording up to its end or its first difference.
 func (p *replayer) replayFile(ctx context.Context, path string) (replayed, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -118,7 +124,9 @@
 		return ctx.Err()
 	})
 	if errors.Is(err, errDiffers) {
-		p.hasDifferences, out.Same, err = true, false, nil
+		p.hasDifferences = true
+		out.Same = false
+		err = nil
 		fmt.Fprintf(p.env.Err, "%s: event %d comes out otherwise than it was recorded; what led there:\n", path, out.Events)
 		for _, l := range before {
 			fmt.Fprintln(p.env.Err, l)
@@ -130,7 +138,7 @@
 	return out, err
 }
 
-// formatStep is a step as a person reads it.
+// formatStep formats an event and its actions.
 func formatStep(s record.Step) string {
 	at := time.Unix(0, int64(s.Now)).UTC().Format("15:04:05.000000")
 	text := fmt.Sprintf("%s  %T %+v", at, s.Event, s.Event)
@@ -140,7 +148,7 @@
 	return text
 }
 
-// concerns tells whether a step is of a request.
+// concerns tells whether a step is about the request with an id.
 func concerns(s record.Step, id string) bool {
 	switch e := s.Event.(type) {
 	case control.Request:
--- a/internal/command/rollout.go
+++ b/internal/command/rollout.go
@@ -7,10 +7,8 @@
 	"fmt"
 	"io"
 	"os"
-	"path/filepath"
 	"strings"
 	"syscall"
-	"text/tabwriter"
 	"time"
 
 	"lockflow/internal/fleet"
@@ -18,81 +16,7 @@
 	"lockflow/internal/rollout"
 )
 
-// errStuck is a change that was stopped and not wholly taken back; all has been printed.
-var errStuck = errors.New("stuck")
-
-// rolloutFlags are the flags of what changes a fleet.
-type rolloutFlags struct {
-	stages, logDir                     string
-	batch, maxUnavailable, killAtWrite int
-	minBake, maxBake, pause            time.Duration
-	resume, rollBack                   bool
-	disableRollback, readinessSuffices bool
-}
-
-func (f *rolloutFlags) addFlags(set flags) {
-	set.StringVar(&f.stages, "stages", "1, 10%, 50%, 100%", "reload, upgrade: `LIST` of the parts that have changed at the end of each stage")
-	set.DurationVar(&f.minBake, "bake", time.Minute, "reload, upgrade: `TIME` at least that a stage is watched")
-	set.DurationVar(&f.maxBake, "bake-most", 30*time.Minute, "reload, upgrade: `TIME` at most; a stage that has shown too little by then stops the change")
-	set.IntVar(&f.maxUnavailable, "at-once", 0, "reload, upgrade: `N` members that change at once at most; 0 is the root of all")
-	set.BoolVar(&f.readinessSuffices, "unjudged", false, "reload, upgrade: where too little is seen to judge by, readiness is enough")
-	set.BoolVar(&f.resume, "resume", false, "reload, upgrade: goes on with the unfinished change of the journal")
-	set.BoolVar(&f.rollBack, "take-back", false, "reload, upgrade: takes the unfinished change of the journal back")
-	set.StringVar(&f.logDir, "journal", "", "`DIR` of what was decided; DIR/rollout or FILE.rollout if it is not given")
-	set.IntVar(&f.batch, "batch", 0, "reload, upgrade: the same as at-once")
-	set.DurationVar(&f.pause, "pause", 0, "reload, upgrade: the same as bake")
-	set.IntVar(&f.killAtWrite, "kill-at", 0, "is for tests: the coordinator kills itself after write `N` of its journal, or before write -N")
-	_ = set.MarkHidden("kill-at") // fails for a flag that is not there alone
-	set.BoolVar(&f.disableRollback, "no-rollback", false, "reload, upgrade: leaves what was changed where it does worse or fails")
-}
-
-func (f *rolloutFlags) check() error {
-	if f.batch > 0 {
-		f.maxUnavailable = f.batch
-	}
-	if f.pause > 0 {
-		f.minBake = f.pause
-	}
-	switch {
-	case f.maxUnavailable < 0 || f.batch < 0 || f.pause < 0:
-		return usageError("fleet: at-once, batch and pause: %d, %d and %v are off", f.maxUnavailable, f.batch, f.pause)
-	case f.minBake <= 0 || f.maxBake < f.minBake:
-		return usageError("fleet: bake and bake-most: %v and %v are off", f.minBake, f.maxBake)
-	case f.resume && f.rollBack:
-		return usageError("fleet: one of resume and take-back")
-	}
-	if _, err := rollout.ParseStages(f.stages); err != nil {
-		return usageError("fleet: %v", err)
-	}
-	return nil
-}
-
-func (f *rolloutFlags) plan(away time.Duration) rollout.Plan {
-	stages, _ := rollout.ParseStages(f.stages)
-	return rollout.Plan{Stages: stages, MaxUnavailable: f.maxUnavailable, MinBake: f.minBake, MaxBake: f.maxBake, MemberTimeout: away, ReadinessSuffices: f.readinessSuffices, DisableRollback: f.disableRollback}
-}
-
-// logDirectory is where what is decided about a fleet is kept.
-func (f *fleetFlags) logDirectory() string {
-	switch {
-	case f.logDir != "":
-		return f.logDir
-	case f.dir != "":
-		return filepath.Join(f.dir, "rollout")
-	}
-	return f.sockets + f.file + ".rollout"
-}
-
-func countSet(all ...string) (n int) {
-	for _, s := range all {
-		if s != "" {
-			n++
-		}
-	}
-	return n
-}
-
-// runOnRegions does something with all members that a fleet file names.
+// runOnRegions runs an operation on all members of a fleet file.
 func (f *fleetFlags) runOnRegions(ctx context.Context, e *Env, what string) error {
 	file, err := fleetfile.Load(f.file)
 	if err != nil {
@@ -114,86 +38,100 @@
 	case "upgrade":
 		return f.startChange(ctx, e, what, placed, nil)
 	case "reload":
-		if f.config != "" {
-			return usageError("fleet reload takes one of --config and --fleet, whose regions name theirs")
-		}
-		if f.resume || f.rollBack { // the journal knows
-			return f.startChange(ctx, e, what, placed, nil)
-		}
-		placed, order, err := fleet.PlanRegions(ctx, file, time.Now())
-		var c *fleet.ConflictError
-		if errors.As(err, &c) {
-			fmt.Fprintln(e.Err, c.Error())
-			return errReported
-		}
-		if err != nil {
-			return err
-		}
-		return f.startChange(ctx, e, what, placed, order)
+		return f.reloadRegions(ctx, e, file, placed)
 	}
 	return usageError("fleet: there is no %q: run, status, reload, upgrade, drain, serve", what)
 }
 
-// startChange has a change of settings or of the program go over a fleet.
+// reloadRegions starts a change to the settings of a fleet file, or resumes one.
+func (f *fleetFlags) reloadRegions(ctx context.Context, e *Env, file fleetfile.File, members []fleet.Placed) error {
+	const what = "reload"
+	if f.config != "" {
+		return usageError("fleet reload takes one of --config and --fleet, whose regions name theirs")
+	}
+	if f.resume || f.rollBack { // by the rollout log
+		return f.startChange(ctx, e, what, members, nil)
+	}
+	planned, order, err := fleet.PlanRegions(ctx, file, time.Now())
+	var conflict *fleet.ConflictError
+	if errors.As(err, &conflict) {
+		fmt.Fprintln(e.Err, conflict.Error())
+		return errReported
+	}
+	if err != nil {
+		return err
+	}
+	return f.startChange(ctx, e, what, planned, order)
+}
+
+// startChange starts a change of settings or, for upgrade, of the program over a fleet, or resumes the unfinished one.
+// order has the regions of each phase; nil is one region.
 func (f *fleetFlags) startChange(ctx context.Context, e *Env, what string, members []fleet.Placed, order [][]string) error {
-	j, err := fleet.OpenRolloutLog(f.logDirectory())
+	log, err := fleet.OpenRolloutLog(f.logDirectory())
 	if err != nil {
 		return err
 	}
-	defer j.Close()
+	defer log.Close()
 	if f.killAtWrite != 0 {
-		j.OnWrite = func(n int, isWritten bool) {
-			if isWritten && n == f.killAtWrite || !isWritten && n == -f.killAtWrite {
-				_ = syscall.Kill(os.Getpid(), syscall.SIGKILL) // of itself: it can't fail
-				select {}                                      // it comes at once, but not to this line
-			}
-		}
+		log.OnWrite = f.killAt
 	}
-	at := j.Unfinished()
+	unfinished := log.Unfinished()
 	if f.resume || f.rollBack {
-		if j.Change == nil {
-			return fmt.Errorf("fleet %s: the journal %s holds no change", what, f.logDirectory())
+		if log.Change == nil {
+			return fmt.Errorf("fleet %s: the rollout log %s holds no change", what, f.logDirectory())
 		}
-		return f.runRollout(ctx, e, j)
+		return f.runRollout(ctx, e, log)
 	}
-	if at != "" {
+	if unfinished != "" {
 		return fmt.Errorf("fleet %s: the change of %s is unfinished, %s: go on with --resume, or back with --take-back", what,
-			j.Change.StartedAt.Format(time.DateTime), at)
-	}
-	p := f.plan(f.timeout)
-	p.RegionOrder = order
-	var c *fleet.Change
-	if what == "upgrade" {
-		c, err = fleet.NewProgramChange(ctx, members, p, f.program, f.logDirectory())
-	} else {
-		known := map[string]string{}
-		if j.Change != nil {
-			known = j.Change.Texts
-		}
-		c, err = fleet.NewSettingsChange(ctx, members, p, known)
+			log.Change.StartedAt.Format(time.DateTime), unfinished)
 	}
+	change, err := f.newChange(ctx, what, members, order, log)
 	if errors.Is(err, fleet.ErrUnchanged) {
 		return f.reloadUnchanged(ctx, e, members)
 	}
 	if err != nil {
 		return err
 	}
-	if u := c.MembersWithoutOldSettings(); len(u) > 0 {
-		fmt.Fprintf(e.Err, "lockflow: what %s run is in no file any more: it can't be taken back there\n", strings.Join(u, ", "))
+	if lost := change.MembersWithoutOldSettings(); len(lost) > 0 {
+		fmt.Fprintf(e.Err, "lockflow: what %s run is in no file any more: it can't be rolled back there\n", strings.Join(lost, ", "))
 	}
-	if err := j.Begin(c); err != nil {
+	if err := log.Begin(change); err != nil {
 		return err
 	}
-	return f.runRollout(ctx, e, j)
+	return f.runRollout(ctx, e, log)
+}
+
+// newChange returns a change by the flags.
+func (f *fleetFlags) newChange(ctx context.Context, what string, members []fleet.Placed, order [][]string, log *fleet.RolloutLog) (*fleet.Change, error) {
+	plan := f.plan(f.timeout)
+	plan.RegionOrder = order
+	if what == "upgrade" {
+		return fleet.NewProgramChange(ctx, members, plan, f.program, f.logDirectory())
+	}
+	knownSettings := map[string]string{}
+	if log.Change != nil {
+		knownSettings = log.Change.Texts
+	}
+	return fleet.NewSettingsChange(ctx, members, plan, knownSettings)
 }
 
-// reloadUnchanged has members read files anew that have not changed: certificates may have.
+// killAt kills this process at the write that --kill-at names.
+func (f *fleetFlags) killAt(number int, isWritten bool) {
+	if isWritten && number == f.killAtWrite || !isWritten && number == -f.killAtWrite {
+		_ = syscall.Kill(os.Getpid(), syscall.SIGKILL) // a process may always signal itself
+		select {}                                      // the signal may take a moment
+	}
+}
+
+// reloadUnchanged has members reload settings that have not changed: files that these name, such as certificates, may
+// have.
 func (f *fleetFlags) reloadUnchanged(ctx context.Context, e *Env, members []fleet.Placed) error {
 	for _, m := range members {
 		memberCtx, cancel := context.WithTimeout(ctx, f.timeout)
-		s, err := m.Client.Status(memberCtx)
+		status, err := m.Client.Status(memberCtx)
 		if err == nil {
-			err = (&fleet.Reload{}).Do(memberCtx, m.Member, s)
+			err = (&fleet.Reload{}).Do(memberCtx, m.Member, status)
 		}
 		cancel()
 		if err != nil {
@@ -207,110 +145,51 @@
 	return json.NewEncoder(e.Out).Encode(map[string]any{"result": rollout.ResultDone, "why": "the settings are the same", "members": []string{}})
 }
 
-// runRollout carries a journal's change out, and tells how it ended.
-func (f *fleetFlags) runRollout(ctx context.Context, e *Env, j *fleet.RolloutLog) error {
-	w := fleet.RolloutOptions{Progress: e.Out, Resume: f.resume || f.rollBack, RollBack: f.rollBack}
+// runRollout runs the change of a log, and prints how it ended.
+func (f *fleetFlags) runRollout(ctx context.Context, e *Env, log *fleet.RolloutLog) error {
+	options := fleet.RolloutOptions{Progress: e.Out, Resume: f.resume || f.rollBack, RollBack: f.rollBack}
 	if f.json {
-		w.Progress = e.Err
+		options.Progress = e.Err
 	}
-	if j.Change.Plan.ReadinessSuffices {
-		fmt.Fprintln(w.Progress, "unjudged: where too little is seen to judge by, readiness is enough")
+	if log.Change.Plan.ReadinessSuffices {
+		fmt.Fprintln(options.Progress, "unjudged: where too little is seen to judge by, readiness is enough")
 	}
-	out, err := fleet.RunRollout(ctx, j, w)
+	outcome, err := fleet.RunRollout(ctx, log, options)
 	if err != nil {
 		return err
 	}
 	if f.json {
-		if err := json.NewEncoder(e.Out).Encode(map[string]any{"result": out.Result, "why": out.Reason, "members": out.Members}); err != nil {
+		if err := json.NewEncoder(e.Out).Encode(map[string]any{"result": outcome.Result, "why": outcome.Reason, "members": outcome.Members}); err != nil {
 			return err
 		}
 	}
-	counts := make(map[string]int)
-	for _, m := range out.Members {
-		counts[m.State]++
-	}
-	output := e.Err
-	if out.Result == rollout.ResultDone {
-		output = e.Out
-	}
-	if !f.json || out.Result != rollout.ResultDone {
-		if out.Result != rollout.ResultDone {
-			fmt.Fprintf(output, "lockflow: %s: %s\n", out.Result, out.Reason)
-		}
-		for _, s := range []string{"changed", "changing", "taken back", "untouched", "between", "not taken back", "away"} {
-			if counts[s] > 0 {
-				fmt.Fprintf(output, "%d %s\n", counts[s], s)
-			}
-		}
+	isDone := outcome.Result == rollout.ResultDone
+	switch {
+	case isDone && !f.json:
+		printOutcome(e.Out, &outcome)
+	case !isDone:
+		fmt.Fprintf(e.Err, "lockflow: %s: %s\n", outcome.Result, outcome.Reason)
+		printOutcome(e.Err, &outcome)
 	}
 	switch {
-	case out.Result == rollout.ResultDone:
+	case isDone:
 		return nil
-	case out.Result == rollout.ResultRolledBack || !out.HasCommanded:
+	case outcome.Result == rollout.ResultRolledBack || !outcome.HasCommanded:
 		return errReported
 	}
-	fmt.Fprintln(output, "not all is taken back: see `lockflow fleet status`, then --resume or --take-back")
+	fmt.Fprintln(e.Err, "not all is rolled back: see `lockflow fleet status`, then --resume or --take-back")
 	return errStuck
 }
 
-// rollouts prints what the journal tells of the last change, where there is one.
-func printProgress(w io.Writer, p *fleet.Progress) {
-	fmt.Fprintf(w, "\nchange of %s, begun %s: %s", p.Kind, p.StartedAt.Format(time.DateTime), p.State)
-	if p.Stages > 0 {
-		fmt.Fprintf(w, ", stage %d of %d", p.Stage, p.Stages)
-	}
-	if p.Phases > 1 {
-		fmt.Fprintf(w, " of phase %d of %d", p.Phase, p.Phases)
-	}
-	fmt.Fprintf(w, ", epoch %d\n", p.Epoch)
-	for _, line := range [][2]string{{"why", p.Reason}, {"cause", p.RollbackCause}, {"judge", strings.TrimSpace(p.Verdict + " " + p.VerdictReason)}} {
-		if line[1] != "" {
-			fmt.Fprintf(w, "  %s: %s\n", line[0], line[1])
-		}
-	}
-	if len(p.Measures) > 0 {
-		t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-		fmt.Fprintln(t, "  measure\told\tnew\tnew - old\tharm from\t")
-		for _, m := range p.Measures {
-			word := ""
-			if m.IsWorse {
-				word = "worse"
-			} else if !m.IsEnough {
-				word = "too little"
-			}
-			fmt.Fprintf(t, "  %s\t%s\t%s\t%s to %s\t%.3g\t%s\n", m.Name, formatOptional(m.Old), formatOptional(m.New), formatOptional(m.Low), formatOptional(m.High), m.Margin, word)
-		}
-		t.Flush()
-	}
+// printOutcome prints how many members are in each state.
+func printOutcome(w io.Writer, outcome *fleet.Outcome) {
 	counts := make(map[string]int)
-	for _, m := range p.Members {
+	for _, m := range outcome.Members {
 		counts[m.State]++
-		if m.State == "not taken back" || m.State == "between" || m.State == "away" {
-			fmt.Fprintf(w, "  %s: %s, runs %.12s\n", m.Member, m.State, m.Version)
-		}
 	}
-	for _, s := range []string{"changed", "changing", "taken back", "untouched"} {
-		if counts[s] > 0 {
-			fmt.Fprintf(w, "  %d %s\n", counts[s], s)
+	for _, state := range []string{"changed", "changing", "taken back", "untouched", "between", "not taken back", "away"} {
+		if counts[state] > 0 {
+			fmt.Fprintf(w, "%d %s\n", counts[state], state)
 		}
 	}
 }
-
-func formatOptional(v *float64) string {
-	if v == nil {
-		return "?"
-	}
-	return fmt.Sprintf("%.4g", *v)
-}
-
-// readProgress reads the journal of the fleet; a journal that can't be read is told and no reason to say nothing else.
-func (f *fleetFlags) readProgress(e *Env) *fleet.Progress {
-	p, err := fleet.ReadProgress(f.logDirectory())
-	if err != nil {
-		fmt.Fprintf(e.Err, "lockflow: %v\n", err)
-	}
-	if _, statErr := os.Stat(f.logDirectory()); statErr != nil {
-		return nil
-	}
-	return p
-}
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"log/slog"
 	"math"
-	"os"
 	"path/filepath"
 	"runtime"
 	"runtime/debug"
@@ -17,17 +16,20 @@
 )
 
 const (
-	gcPercent    = 400 // per cent by which the heap may grow: memory is there, CPU is scarce
-	heapFraction = 0.6 // of the memory limit that the heap may come to
+	gcPercent    = 400 // as of debug.SetGCPercent: there is more memory than CPU time to spare
+	heapFraction = 0.6 // of the process's memory, for the Go runtime
 )
 
-// eventLogVariable is the variable that, where it is not empty, has each service write what it does.
+// eventLogVariable names the environment variable that switches event logs on, if it is not empty.
 const eventLogVariable = "LOCKFLOW_TALLY"
 
+// serveCommand returns the command "serve".
 func serveCommand() command {
 	return command{
-		name: "serve", group: groupRunning, summary: "serves by a configuration; SIGHUP reads it again, SIGUSR2 upgrades, SIGTERM drains",
-		args: "[--config FILE] [--pid-file FILE] [--listen ADDRESS] [--instance N --instances N] [--control PATH] [--state DIR]",
+		name:    "serve",
+		group:   groupRunning,
+		summary: "serves by a configuration; SIGHUP reads it again, SIGUSR2 upgrades, SIGTERM drains",
+		args:    "[--config FILE] [--pid-file FILE] [--listen ADDRESS] [--instance N --instances N] [--control PATH] [--state DIR]",
 		examples: []string{
 			"lockflow serve --config deploy/lockflow.toml", "LOCKFLOW_CONFIG=deploy/lockflow.toml lockflow",
 			"lockflow serve --config /etc/lockflow/lockflow.toml --pid-file /run/lockflow/pid",
@@ -58,16 +60,16 @@
 	}
 }
 
-// serveFile serves by a file of our own form, as a daemon.
+// serveFile serves by a TOML configuration, as a daemon.
 func serveFile(ctx context.Context, e *Env, path, pidFile string, o config.Overrides) error {
-	program, err := os.Executable()
+	program, err := executable()
 	if err != nil {
-		return fmt.Errorf("finding the program's own file: %w", err)
+		return err
 	}
 	if path, err = filepath.Abs(path); err != nil {
 		return fmt.Errorf("finding the configuration: %w", err)
 	}
-	over := func(cfg config.Config, err error) (config.Config, error) {
+	override := func(cfg config.Config, err error) (config.Config, error) {
 		if err == nil {
 			cfg.Process.EventLog = e.Getenv(eventLogVariable) != ""
 			err = o.Apply(&cfg)
@@ -75,13 +77,22 @@
 		return cfg, err
 	}
 	return daemon.Run(ctx, daemon.Options{
-		LoadConfig:     func() (config.Config, error) { return over(config.Load(path)) },
-		ParseConfig:    func(text []byte) (config.Config, error) { return over(config.Parse(path, text)) },
-		StateDirectory: o.State, ApplyRuntimeLimits: applyRuntimeLimits, ConfigPath: path, PIDFilePath: pidFile, Program: program, Args: e.Args, Getenv: e.Getenv, ReloadSignals: e.ReloadSignals, UpgradeSignals: e.UpgradeSignals,
+		LoadConfig:  func() (config.Config, error) { return override(config.Load(path)) },
+		ParseConfig: func(text []byte) (config.Config, error) { return override(config.Parse(path, text)) },
+
+		StateDirectory:     o.State,
+		ApplyRuntimeLimits: applyRuntimeLimits,
+		ConfigPath:         path,
+		PIDFilePath:        pidFile,
+		Program:            program,
+		Args:               e.Args,
+		Getenv:             e.Getenv,
+		ReloadSignals:      e.ReloadSignals,
+		UpgradeSignals:     e.UpgradeSignals,
 	})
 }
 
-// serveByEnvironment is what the program does without arguments.
+// serveByEnvironment serves by the configuration that the environment names, as the program does without arguments.
 func serveByEnvironment(ctx context.Context, e *Env) error {
 	own, platform := e.Getenv("LOCKFLOW_CONFIG"), e.Getenv("NODE_CONFIG")
 	switch {
@@ -95,9 +106,8 @@
 	return servePlatform(ctx, e, platform)
 }
 
-// servePlatform serves by the platform's configuration until ctx ends. At the start the
-// environment goes before the file; once that was read anew it goes before the environment,
-// and one that can't be used changes nothing.
+// servePlatform serves by the platform's configuration until ctx is done. At the start the environment overrides the
+// file; a reload uses the file alone, and changes nothing if it can't be used.
 func servePlatform(ctx context.Context, e *Env, path string) error {
 	cfg, err := loadPlatform(path)
 	if err != nil {
@@ -134,7 +144,7 @@
 	return n.Run(ctx)
 }
 
-// loadPlatform reads the platform's configuration and logs what is doubtful in it.
+// loadPlatform reads the platform's configuration and logs its warnings.
 func loadPlatform(path string) (config.Config, error) {
 	cfg, err := config.LoadPlatform(path)
 	for _, warning := range cfg.Warnings {
@@ -143,11 +153,10 @@
 	return cfg, err
 }
 
-// wrapConfigError marks an error as one of the configuration that the platform handed over: starting again
-// with the same is of no use.
+// wrapConfigError wraps an error of the platform's configuration in errConfig: a restart with the same file is no use.
 func wrapConfigError(err error) error { return fmt.Errorf("%w: %w", errConfig, err) }
 
-// applyRuntimeLimits sets the runtime to what the process may use.
+// applyRuntimeLimits sets the Go runtime's limits by the cores and the memory of the process.
 func applyRuntimeLimits(cfg config.Config) {
 	if cores := cfg.Process.Cores; cores > 0 || !cfg.Process.Shared {
 		runtime.GOMAXPROCS(int(math.Max(1, math.Ceil(cores))))
--- a/internal/command/simulate.go
+++ b/internal/command/simulate.go
@@ -16,16 +16,20 @@
 	"lockflow/internal/simulation/fleetsim"
 )
 
-// What is played where nothing else is asked for; a day's load is as usual then, and its length its own.
+// Defaults of flags that a named day does not take as given: its load is relative to defaultLoad, and its length is its
+// own at defaultDuration.
 const (
 	defaultLoad     = 0.7
 	defaultDuration = 30 * time.Second
 )
 
+// simulateCommand returns the command "simulate".
 func simulateCommand() command {
 	return command{
-		name: "simulate", group: groupTrials, summary: "plays a fleet in virtual time: a day by its name, a staged change, or one cold server and one ceiling",
-		args: "[--day NAME,NAME...|all|mutations] [--instances N,N...] [--told N] [--lag TIME,TIME...] [--uneven] [--per-server N] [--load PART] [--seed N] [--quota NAME,NAME...|all] [--seeds N] [--why] [--rollout] [--json]",
+		name:    "simulate",
+		group:   groupTrials,
+		summary: "plays a fleet in virtual time: a day by its name, a staged change, or one cold server and one ceiling",
+		args:    "[--day NAME,NAME...|all|mutations] [--instances N,N...] [--told N] [--lag TIME,TIME...] [--uneven] [--per-server N] [--load PART] [--seed N] [--quota NAME,NAME...|all] [--seeds N] [--why] [--rollout] [--json]",
 		examples: []string{
 			"lockflow simulate --day all --instances 2,8,80,300 --seed 7",
 			"lockflow simulate --day mutations --instances 40   # each guard taken out in turn; the checker has to find it",
@@ -77,9 +81,10 @@
 	}
 }
 
+// errSimulateUsage is the error for flags that do not fit.
 var errSimulateUsage = usageError("simulate: its flags are off; it takes 12 s of play or more")
 
-// unlessDefault is a time to play where one was asked for, else 0.
+// unlessDefault returns a duration that was given, and 0 for the default one.
 func unlessDefault(duration time.Duration) time.Duration {
 	if duration == defaultDuration {
 		return 0
@@ -87,7 +92,7 @@
 	return duration
 }
 
-// playFleets plays a cold server and a ceiling for each number of instances and each lag of the news.
+// playFleets simulates a server that warms up and a hard limit, for each group size and each lag of watch events.
 func playFleets(ctx context.Context, e *Env, o fleetsim.Options, instances, lags string, asJSON bool) error {
 	if o.GroupSize < 0 || o.Servers < 1 || o.Servers > 1000 || !(o.PerServer > 0) || !(o.Load > 0) || o.Lasts < 12*time.Second {
 		return errSimulateUsage
@@ -103,7 +108,8 @@
 			if err != nil || lag < 0 {
 				return usageError("simulate: lag: %q is no time", field)
 			}
-			o.Instances, o.Lag = n, lag
+			o.Instances = n
+			o.Lag = lag
 			fmt.Fprintf(e.Err, "playing %d instances, news up to %v late\n", n, lag)
 			r, err := fleetsim.Run(o)
 			if err != nil {
@@ -121,6 +127,7 @@
 	return nil
 }
 
+// printSimulated prints a line for each report.
 func printSimulated(w io.Writer, all []fleetsim.Report) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "instances\ttold\tnews late\tuneven\tcalls\tserved\tcold: worst of its limit\tof what it could\tceiling: units beyond\tpart of it used\t")
@@ -131,6 +138,7 @@
 	t.Flush()
 }
 
+// groupSizes reads the flag --instances.
 func groupSizes(list string) ([]int, error) {
 	var all []int
 	for field := range strings.SplitSeq(list, ",") {
@@ -143,14 +151,14 @@
 	return all, nil
 }
 
-// playedDay is a day's report, and with a mutation which guard was out and whether that was found.
+// playedDay is a day's report. With a mutation it names the guard that was disabled.
 type playedDay struct {
 	fleetsim.DayReport
 	Mutation string          `json:"mutation,omitempty"`
 	Rule     fleetrules.Rule `json:"rule,omitempty"` // that the mutation breaks
 }
 
-// isAsExpected tells whether the day went as it has to: no rule broken, or the one whose guard is out.
+// isAsExpected tells whether no rule was broken or, with a mutation, its own one.
 func (p *playedDay) isAsExpected() bool {
 	if p.Mutation != "" {
 		return p.Broken[p.Rule] > 0
@@ -158,7 +166,7 @@
 	return len(p.Broken) == 0
 }
 
-// playDays plays days at each size. A broken rule, or a guard taken out and not found, is an error.
+// playDays simulates days at each group size. It fails if a rule is broken, or a mutation is not detected.
 func playDays(ctx context.Context, e *Env, names, instances string, o fleetsim.DayOptions, asJSON bool) error {
 	sizes, err := groupSizes(instances)
 	if err != nil {
@@ -195,13 +203,15 @@
 	return nil
 }
 
-// daysToPlay lists the days that names ask for at each size, and what they are played with.
+// daysToPlay returns the days that names select, at each group size, and the options of each.
 func daysToPlay(names string, sizes []int, o fleetsim.DayOptions) (todo []playedDay, options []fleetsim.DayOptions, err error) {
 	for _, n := range sizes {
-		if o.Instances = n; names == "mutations" {
+		o.Instances = n
+		if names == "mutations" {
 			for i := range fleetsim.Mutations {
 				m := &fleetsim.Mutations[i]
-				todo, options = append(todo, playedDay{Mutation: m.Name, Rule: m.Rule}), append(options, m.Options(o))
+				todo = append(todo, playedDay{Mutation: m.Name, Rule: m.Rule})
+				options = append(options, m.Options(o))
 			}
 			continue
 		}
@@ -214,12 +224,14 @@
 				return nil, nil, usageError("simulate: day: %q is none of %s, all, mutations", name, strings.Join(fleetsim.DayNames, ", "))
 			}
 			o.Day = name
-			todo, options = append(todo, playedDay{}), append(options, o)
+			todo = append(todo, playedDay{})
+			options = append(options, o)
 		}
 	}
 	return todo, options, nil
 }
 
+// printDays prints a line for each day, and what was detected or broken.
 func printDays(w io.Writer, all []playedDay) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "day\tinstances\tservers\tfirst tries\ttries\tattempts\tserved\tbeyond quota\tfailed\thandshakes\tcold: worst of its limit\tbroken\t")
--- a/internal/command/simulate_gather.go
+++ b/internal/command/simulate_gather.go
@@ -13,8 +13,8 @@
 	"lockflow/internal/simulation/waitpolicysim"
 )
 
-// gatherFlag has simulate play scattered queries. What it gives plays them where the flag is set: the
-// ways to end queries in each world, and, for each number of instances, how fast those learn together.
+// gatherFlag declares --gather, and returns a function that simulates scatter-gather queries if it is given: the wait
+// policies in each world and, for each group size, how fast the instances learn together.
 func gatherFlag(set flags) func(ctx context.Context, e *Env, instances string, seed uint64, asJSON bool) (played bool, err error) {
 	names, _ := waitpolicysim.Worlds()
 	worlds := set.String("gather", "", "`NAME,NAME...` of worlds in which scattered queries are ended: "+strings.Join(names, ", ")+"; or all. "+
@@ -50,7 +50,7 @@
 	}
 }
 
-// playWorlds plays the ways to end queries in each world, and how fast so many instances learn together there.
+// playWorlds simulates wait policies in each world, and how fast instances learn together there.
 func playWorlds(ctx context.Context, e *Env, list []string, sizes []int, queries int, seed uint64) (all []waitpolicysim.Report, shared []waitpolicysim.ShareReport, err error) {
 	names, help := waitpolicysim.Worlds()
 	for _, name := range list {
@@ -76,7 +76,7 @@
 	return all, shared, nil
 }
 
-// playShared plays how fast so many instances learn together, for each size.
+// playShared simulates how fast instances learn together in a world, for each group size.
 func playShared(ctx context.Context, e *Env, world string, sizes []int, seed uint64) (all []waitpolicysim.ShareReport, err error) {
 	for _, n := range sizes {
 		fmt.Fprintf(e.Err, "playing %s: %d learn together\n", world, n)
@@ -91,6 +91,7 @@
 	return all, nil
 }
 
+// printGathered prints a line for each world, and one for each group size.
 func printGathered(w io.Writer, all []waitpolicysim.Report, shared []waitpolicysim.ShareReport) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "world\toracle earns\tof it: learned\tbest fixed\tat\tp95\tno deadline\tknows all, same plan\tparts in answers\ttook\tlooks\tchanges told\tspent to learn\t")
--- a/internal/command/simulate_quota.go
+++ b/internal/command/simulate_quota.go
@@ -16,8 +16,8 @@
 	"lockflow/internal/simulation/fleetsim"
 )
 
-// quotaFlag has simulate play worlds of quotas. What it gives plays them where the flag is set: the calm
-// day under the module and under policies that see the true state late, for each seed.
+// quotaFlag declares --quota, and returns a function that simulates worlds of quotas if it is given: the calm day under
+// the module and under policies that see the true state late, for each seed.
 func quotaFlag(set flags) func(ctx context.Context, e *Env, instances string, o fleetsim.QuotaOptions, asJSON bool) (played bool, err error) {
 	worlds := set.String("quota", "", "`NAME,NAME...` of worlds of quotas in which the calm day is played, by the module and by policies that see the true state late: "+
 		strings.Join(fleetsim.QuotaNames, ", ")+"; or all")
@@ -43,7 +43,8 @@
 		if err != nil {
 			return true, err
 		}
-		o.Late, o.Why = -1, *why
+		o.Late = -1
+		o.Why = *why
 		all, err := playQuotas(ctx, e, quotaPlays(o, list, sizes, *seeds, policies))
 		if err != nil {
 			return true, err
@@ -56,7 +57,7 @@
 	}
 }
 
-// quotaPlays lists every play: each world at each size with each seed under each policy.
+// quotaPlays returns the options of every simulation: each world at each group size with each seed under each policy.
 func quotaPlays(o fleetsim.QuotaOptions, worlds []string, sizes []int, seeds int, policies []string) (all []fleetsim.QuotaOptions) {
 	first := o.Seed
 	for _, o.World = range worlds {
@@ -72,6 +73,7 @@
 	return all
 }
 
+// policyNames returns the names of the policies.
 func policyNames() []string {
 	var names []string
 	for _, p := range fleetsim.Policies {
@@ -80,13 +82,15 @@
 	return names
 }
 
-// playQuotas plays as many at a time as there are processors; the reports are in the order asked for.
+// playQuotas runs simulations, as many at a time as there are processors. The reports are in the order of todo.
 func playQuotas(ctx context.Context, e *Env, todo []fleetsim.QuotaOptions) ([]fleetsim.QuotaReport, error) {
-	all, errs := make([]fleetsim.QuotaReport, len(todo)), make([]error, len(todo))
+	all := make([]fleetsim.QuotaReport, len(todo))
+	errs := make([]error, len(todo))
 	free := make(chan struct{}, runtime.GOMAXPROCS(0))
 	var playing sync.WaitGroup
 	for i, o := range todo {
-		if free <- struct{}{}; ctx.Err() != nil {
+		free <- struct{}{}
+		if ctx.Err() != nil {
 			break
 		}
 		fmt.Fprintf(e.Err, "playing %s with %d instances, seed %d, %s: %s\n", o.World, o.Instances, o.Seed, o.Policy, fleetsim.QuotaHelp(o.World))
@@ -99,15 +103,16 @@
 	return all, errors.Join(append(errs, ctx.Err())...)
 }
 
-// printQuotas prints a line for each play, with how much more the first policy's price is than the lowest of
-// the others', and then what came of each sort of tries under the first over all seeds of a world.
-func printQuotas(w io.Writer, all []fleetsim.QuotaReport, of int) {
+// printQuotas prints a line for each report, and then the results of each sort of tries under the first policy over all
+// seeds of a world. Reports are in groups of one for each policy.
+func printQuotas(w io.Writer, all []fleetsim.QuotaReport, policies int) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "world\tinstances\tseed\tpolicy\tlate s\tfirst tries\ttries\tserved\tbeyond: price\tmore than the lowest other\tof the units\trefused\twith room: of tries\tof requests\tnever sent on\t")
 	for i := range all {
-		r, more := &all[i], ""
-		if i%of == 0 && of > 1 {
-			more = fmt.Sprintf("%+.3f", priceAboveLowest(all[i:i+of]))
+		r := &all[i]
+		more := ""
+		if i%policies == 0 && policies > 1 {
+			more = fmt.Sprintf("%+.3f", priceAboveLowest(all[i:i+policies]))
 		}
 		fmt.Fprintf(t, "%s\t%d\t%d\t%s\t%.2f\t%d\t%d\t%.3f\t%.3f\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t\n", r.World, r.Instances, r.Seed, r.Policy, r.Late, r.First, r.Tries,
 			r.Served, r.Price, more, r.Beyond, r.Refused, r.TriesRejectedWithCapacity, r.CallsRejectedWithCapacity, r.CallsLostWithCapacity)
@@ -116,14 +121,14 @@
 	for from := 0; from < len(all); {
 		to := from
 		for to < len(all) && all[to].World == all[from].World && all[to].Instances == all[from].Instances {
-			to += of
+			to += policies
 		}
-		printSorts(w, all[from:to], of)
+		printSorts(w, all[from:to], policies)
 		from = to
 	}
 }
 
-// priceAboveLowest is how much more the price of the first is than the lowest of the others.
+// priceAboveLowest returns how much the price of the first policy exceeds the lowest of the others.
 func priceAboveLowest(group []fleetsim.QuotaReport) float64 {
 	lowest := group[min(1, len(group)-1)].Price
 	for _, r := range group[1:] {
@@ -132,43 +137,64 @@
 	return group[0].Price - lowest
 }
 
-func printSorts(w io.Writer, all []fleetsim.QuotaReport, of int) {
-	n := float64(len(all) / of)
-	served, price, more, withCapacity := 0.0, 0.0, 0.0, 0.0
-	sorts := map[string]map[string]*fleetsim.Cell{}
-	for i := 0; i < len(all); i += of {
+// quotaMeans are means over the seeds of a world.
+type quotaMeans struct {
+	served       float64
+	price        float64
+	priceAbove   float64                              // the lowest of the other policies
+	withCapacity float64                              // part of the tries that were rejected in spite of capacity
+	cells        map[string]map[string]*fleetsim.Cell // by sort and name; sums for counts
+}
+
+// meanQuotas returns the means of the first policy.
+func meanQuotas(all []fleetsim.QuotaReport, policies int) quotaMeans {
+	n := float64(len(all) / policies)
+	means := quotaMeans{cells: map[string]map[string]*fleetsim.Cell{}}
+	for i := 0; i < len(all); i += policies {
 		r := &all[i]
-		served, price, more, withCapacity = served+r.Served/n, price+r.Price/n, more+priceAboveLowest(all[i:i+of])/n, withCapacity+r.TriesRejectedWithCapacity/n
+		means.served += r.Served / n
+		means.price += r.Price / n
+		means.priceAbove += priceAboveLowest(all[i:i+policies]) / n
+		means.withCapacity += r.TriesRejectedWithCapacity / n
 		for sort, cells := range r.Cells {
-			if sorts[sort] == nil {
-				sorts[sort] = map[string]*fleetsim.Cell{}
+			if means.cells[sort] == nil {
+				means.cells[sort] = map[string]*fleetsim.Cell{}
 			}
 			for name, c := range cells {
-				sum := sorts[sort][name]
+				sum := means.cells[sort][name]
 				if sum == nil {
 					sum = &fleetsim.Cell{}
-					sorts[sort][name] = sum
+					means.cells[sort][name] = sum
 				}
 				sum.Add(c, n)
 			}
 		}
 	}
+	return means
+}
+
+// printSorts prints the means of one world and group size, and each sort of tries.
+func printSorts(w io.Writer, all []fleetsim.QuotaReport, policies int) {
+	means := meanQuotas(all, policies)
 	fmt.Fprintf(w, "\n%s, %d instances, %s, mean of %.0f: served %.3f, price beyond quotas %.3f, %+.3f more than the lowest other, refused with room %.3f of the tries\n",
-		all[0].World, all[0].Instances, all[0].Policy, n, served, price, more, withCapacity)
+		all[0].World, all[0].Instances, all[0].Policy, float64(len(all)/policies), means.served, means.price, means.priceAbove, means.withCapacity)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "sort\tof\ttries\toffered\tof the price\tbeyond, of its units\trefused\twith room\t")
 	for _, sort := range fleetsim.CellNames {
-		cells := sorts[sort]
+		cells := means.cells[sort]
 		for _, name := range slices.Sorted(maps.Keys(cells)) {
 			c := cells[name]
-			part := func(n int) string {
-				if c.Tries == 0 { // tells of refusals alone
-					return fmt.Sprint(n)
-				}
-				return fmt.Sprintf("%.3f", float64(n)/float64(c.Tries))
-			}
-			fmt.Fprintf(t, "%s\t%s\t%d\t%.3f\t%.3f\t%.3f\t%s\t%s\t\n", sort, name, c.Tries, c.Offered, c.Price, c.Beyond/max(1, c.Sent), part(c.Refused), part(c.RejectedWithCapacity))
+			fmt.Fprintf(t, "%s\t%s\t%d\t%.3f\t%.3f\t%.3f\t%s\t%s\t\n", sort, name, c.Tries, c.Offered, c.Price, c.Beyond/max(1, c.Sent),
+				formatShare(c.Refused, c.Tries), formatShare(c.RejectedWithCapacity, c.Tries))
 		}
 	}
 	t.Flush()
 }
+
+// formatShare formats a part of the tries; cells without tries have rejections alone, which are printed as they are.
+func formatShare(n, tries int) string {
+	if tries == 0 {
+		return fmt.Sprint(n)
+	}
+	return fmt.Sprintf("%.3f", float64(n)/float64(tries))
+}
--- a/internal/command/simulate_rollout.go
+++ b/internal/command/simulate_rollout.go
@@ -13,7 +13,7 @@
 	"lockflow/internal/simulation/rolloutsim"
 )
 
-// rolloutSimulation is simulate --rollout: staged changes in virtual time.
+// rolloutSimulation are the flags of simulate --rollout, which simulates staged changes.
 type rolloutSimulation struct {
 	isEnabled     bool
 	traffic       string
@@ -26,6 +26,7 @@
 	seed          uint64
 }
 
+// addFlags declares the flags with their defaults.
 func (p *rolloutSimulation) addFlags(set flags) {
 	set.BoolVar(&p.isEnabled, "rollout", false, "plays staged changes, harmless ones and harmful ones, and how they are judged")
 	set.StringVar(&p.traffic, "traffic", "all", "rollout: `NAME,NAME...` of how requests come: "+strings.Join(rolloutsim.Traffics, ", ")+"; or all")
@@ -37,6 +38,7 @@
 	set.DurationVar(&p.faultInterval, "fault-every", time.Hour, "rollout: `TIME` between faults of the world")
 }
 
+// harmNames returns the names of the harms that a change may do.
 func harmNames() (all []string) {
 	for _, h := range rolloutsim.Harms {
 		all = append(all, h.Name)
@@ -44,7 +46,7 @@
 	return all
 }
 
-// parseNames are those of a list, or all there are.
+// parseNames returns the names in a list, or all known ones for "all". flag is named in errors.
 func parseNames(flag, list string, known []string) ([]string, error) {
 	if list == "all" {
 		return known, nil
@@ -58,6 +60,7 @@
 	return all, nil
 }
 
+// play runs the simulations and prints their reports.
 func (p *rolloutSimulation) play(ctx context.Context, e *Env, instances string, asJSON bool) error {
 	sizes, err := groupSizes(instances)
 	if err != nil {
@@ -86,7 +89,8 @@
 		if err != nil {
 			return usageError("simulate: %v", err)
 		}
-		if all = append(all, r); ctx.Err() != nil {
+		all = append(all, r)
+		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 	}
@@ -97,7 +101,7 @@
 	return nil
 }
 
-// options lists every play: each size, traffic, harm and judge, without each thing.
+// options returns the options of every simulation: each size, traffic, harm, judge and mutation.
 func (p *rolloutSimulation) options(sizes []int, traffics, harms, judges, without []string) (all []rolloutsim.Options) {
 	o := rolloutsim.Options{Rate: p.rate, Runs: p.runs, FaultEvery: p.faultInterval, Seed: p.seed}
 	for _, o.Instances = range sizes {
@@ -115,6 +119,7 @@
 	return all
 }
 
+// printRollouts prints a line for each report.
 func printRollouts(w io.Writer, all []rolloutsim.Report) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "instances\ttraffic\tharm\tjudge\twithout\truns\tworse\tpart, 95%\tno evidence\tpassed\tat stage\tminutes\treached\tharmed\tharmed, 95%\t")
--- a/internal/rollout/bake.go
+++ b/internal/rollout/bake.go
@@ -33,7 +33,7 @@
 	case r.plan.ReadinessSuffices:
 		r.passStage("not judged, only ready: " + r.judgment.Reason)
 	case r.judgment.Verdict == VerdictNoEvidence || baked >= r.plan.MaxBake:
-		r.fail(fmt.Sprintf("stage %d has too little evidence after %v, which is no pass: %s", r.stage+1, baked, r.judgment.Reason))
+		r.fail(fmt.Sprintf("stage %d has no evidence after %v, which is no pass: %s", r.stage+1, baked, r.judgment.Reason))
 	default:
 		r.reason = "is watched: " + r.judgment.Reason
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -199,7 +199,7 @@
 	}{
 		"all well":      {nil, 0.3, always(VerdictPass), "", "watch +0 watch +1 watch +2 +3 done: 4 members changed"},
 		"worse":         {nil, 0.3, always(VerdictWorse), "", "watch +0 -0 taken back: stage 1 does worse: so it is"},
-		"no evidence":   {nil, 0.3, always(VerdictWait), "", "watch +0 -0 taken back: stage 1 has too little evidence after 20s, which is no pass: so it is"},
+		"no evidence":   {nil, 0.3, always(VerdictWait), "", "watch +0 -0 taken back: stage 1 has no evidence after 20s, which is no pass: so it is"},
 		"unjudged":      {func(p *Plan) { p.ReadinessSuffices = true }, 0.3, always(VerdictNoEvidence), "", "watch +0 watch +1 watch +2 +3 done: 4 members changed"},
 		"controls":      {func(p *Plan) { p.HasControls = true }, 0.3, always(VerdictPass), "", "watch +0 ~1 watch +1 ~2 watch +2 +3 done: 4 members changed"},
 		"no room":       {nil, 0.95, always(VerdictPass), "", "watch refused: the other members had no capacity for one member's work for 20s; nothing was changed"},
