--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -40,8 +40,8 @@
 			pid := set.String("pid-file", "", "`FILE` for the process id, which keeps a second daemon out")
 			var o config.Overrides
 			set.StringVar(&o.Listen, "listen", "", "`ADDRESS` in place of the file's listeners")
-			set.StringVar(&o.Control, "control", "", "`PATH` of the control socket in place of process.control")
-			set.StringVar(&o.State, "state", "", "`DIR` of the state in place of process.state")
+			set.StringVar(&o.ControlSocket, "control", "", "`PATH` of the control socket in place of process.control")
+			set.StringVar(&o.StateDir, "state", "", "`DIR` of the state in place of process.state")
 			set.IntVar(&o.Instances, "instances", 0, "`N` in the group, in place of process.instances")
 			set.IntVar(&o.Instance, "instance", 0, "`N` of this one, from 0; with --instances")
 			return func(ctx context.Context, e *Env, args []string) error {
@@ -80,7 +80,7 @@
 		LoadConfig:  func() (config.Config, error) { return override(config.Load(path)) },
 		ParseConfig: func(text []byte) (config.Config, error) { return override(config.Parse(path, text)) },
 
-		StateDirectory:     o.State,
+		StateDirectory:     o.StateDir,
 		ApplyRuntimeLimits: applyRuntimeLimits,
 		ConfigPath:         path,
 		PIDFilePath:        pidFile,
--- a/internal/fleet/intermediate_settings.go
+++ b/internal/fleet/intermediate_settings.go
@@ -82,8 +82,8 @@
 	}
 	for _, key := range diff.removed {
 		if hasKey(base, key) {
-			list, _ := diff.document[tree.Without].([]string)
-			diff.document[tree.Without] = append(list, key)
+			list, _ := diff.document[tree.RemovedKeys].([]string)
+			diff.document[tree.RemovedKeys] = append(list, key)
 		}
 	}
 	raw, err := toml.Marshal(diff.document)
@@ -94,7 +94,7 @@
 	if !ok {
 		return nil, r.Err()
 	}
-	merged, err := change.Over(base).Text()
+	merged, err := change.MergeOver(base).Text()
 	if err == nil {
 		err = r.Err()
 	}
