--- a/internal/command/simulate_rollout.go
+++ b/internal/command/simulate_rollout.go
@@ -103,7 +103,7 @@
 
 // options returns the options of every simulation: each size, traffic, harm, judge and mutation.
 func (p *rolloutSimulation) options(sizes []int, traffics, harms, judges, without []string) (all []rolloutsim.Options) {
-	o := rolloutsim.Options{Rate: p.rate, Runs: p.runs, FaultEvery: p.faultInterval, Seed: p.seed}
+	o := rolloutsim.Options{Rate: p.rate, Runs: p.runs, FaultInterval: p.faultInterval, Seed: p.seed}
 	for _, o.Instances = range sizes {
 		for _, o.Traffic = range traffics {
 			for _, h := range harms {
@@ -126,7 +126,7 @@
 	for i := range all {
 		r := &all[i]
 		fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%s\t%d\t%d\t%.4f-%.4f\t%d\t%d\t%s\t%.1f\t%.0f\t%.0f\t%.0f\t\n", r.Instances, r.Traffic, r.Harm, r.Judge, r.Without, r.Runs,
-			r.Worse, r.Low, r.High, r.NoEvidence, r.Passed, strings.Trim(fmt.Sprint(r.AtStage), "[]"), r.Minutes, r.Touched, r.Harmed, r.HarmedMost)
+			r.Worse, r.Low, r.High, r.NoEvidence, r.Passed, strings.Trim(fmt.Sprint(r.AtStage), "[]"), r.Minutes, r.Touched, r.Harmed, r.HarmedP95)
 	}
 	t.Flush()
 }
--- a/internal/simulation/rolloutsim/sim.go
+++ b/internal/simulation/rolloutsim/sim.go
@@ -36,16 +36,16 @@
 
 // Options say what is played. Zeros take the defaults named.
 type Options struct {
-	Instances  int           // 40
-	Traffic    string        // "even", "uneven" or "bursty"
-	Harm       Harm          // none
-	Judge      string        // "evidence"
-	Without    string        // a mutation's name
-	Rate       float64       // requests a second and instance: 20
-	FaultEvery time.Duration // between faults of the world: 1 h
-	Runs       int           // 100
-	Seed       uint64
-	Evidence   canary.Options
+	Instances     int           // 40
+	Traffic       string        // "even", "uneven" or "bursty"
+	Harm          Harm          // none
+	Judge         string        // "evidence"
+	Without       string        // a mutation's name
+	Rate          float64       // requests a second and instance: 20
+	FaultInterval time.Duration // between faults of the world: 1 h
+	Runs          int           // 100
+	Seed          uint64
+	JudgeOptions  canary.Options
 }
 
 // Report is what came of many rollouts.
@@ -65,12 +65,12 @@
 	Minutes    float64  `json:"minutes"`    // median, until it was over
 	Touched    float64  `json:"touched"`    // median requests that went to changed instances
 	Harmed     float64  `json:"harmed"`     // median requests lost by the change
-	HarmedMost float64  `json:"harmed_95"`  // 95th percentile
+	HarmedP95  float64  `json:"harmed_95"`  // 95th percentile
 	Reasons    []string `json:"reasons"`    // of the first few that were stopped
 }
 
-// decider is what a rollout asks.
-type decider interface {
+// judge is what a rollout asks.
+type judge interface {
 	Begin(now time.Duration, before []canary.Reading)
 	Observe(now time.Duration, all []canary.Reading)
 	Verdict(now time.Duration) canary.Verdict
@@ -79,9 +79,9 @@
 type outcome struct {
 	kind            canary.VerdictKind
 	stage           int
-	took            time.Duration
+	duration        time.Duration
 	touched, harmed float64
-	why             string
+	reason          string
 }
 
 // Run plays o.Runs rollouts on all cores.
@@ -101,8 +101,8 @@
 	if o.Rate == 0 {
 		o.Rate = 20
 	}
-	if o.FaultEvery == 0 {
-		o.FaultEvery = time.Hour
+	if o.FaultInterval == 0 {
+		o.FaultInterval = time.Hour
 	}
 	if o.Runs == 0 {
 		o.Runs = 100
@@ -111,10 +111,10 @@
 	if o.Without != "" && !known {
 		return Report{}, fmt.Errorf("there is no mutation %q", o.Without)
 	}
-	o.Evidence.Without = without
-	if !slices.Contains(Judges, o.Judge) || !slices.Contains(Traffics, o.Traffic) || o.Instances < 2 || !(o.Rate > 0) || o.FaultEvery < interval || o.Runs < 1 {
+	o.JudgeOptions.Without = without
+	if !slices.Contains(Judges, o.Judge) || !slices.Contains(Traffics, o.Traffic) || o.Instances < 2 || !(o.Rate > 0) || o.FaultInterval < interval || o.Runs < 1 {
 		return Report{}, fmt.Errorf("rolloutsim: %d instances, traffic %q, judge %q, rate %v, a fault every %v, %d runs: one of these is off",
-			o.Instances, o.Traffic, o.Judge, o.Rate, o.FaultEvery, o.Runs)
+			o.Instances, o.Traffic, o.Judge, o.Rate, o.FaultInterval, o.Runs)
 	}
 	all := make([]outcome, o.Runs)
 	var next atomic.Int64
@@ -122,16 +122,16 @@
 	for range min(o.Runs, runtime.GOMAXPROCS(0)) {
 		wg.Go(func() {
 			for i := int(next.Add(1)) - 1; i < o.Runs; i = int(next.Add(1)) - 1 {
-				all[i] = one(&o, o.Seed+uint64(i)*7919)
+				all[i] = playOne(&o, o.Seed+uint64(i)*7919)
 			}
 		})
 	}
 	wg.Wait()
-	return report(&o, all), nil
+	return newReport(&o, all), nil
 }
 
-// targets are how many are changed after each stage: 1, 10%, 50%, all.
-func targets(n int) []int {
+// stageTargets are how many are changed after each stage: 1, 10%, 50%, all.
+func stageTargets(n int) []int {
 	all := []int{1}
 	for _, p := range [...]float64{0.1, 0.5, 1} {
 		if t := int(math.Ceil(p * float64(n))); t > all[len(all)-1] {
@@ -142,95 +142,95 @@
 }
 
 const (
-	watchedBefore = 5 * time.Minute
-	lookEvery     = 3  // intervals
-	batchesOf     = 10 // in which a stage's members change
-	after         = 10 * time.Minute
+	observedBefore     = 5 * time.Minute
+	evaluationInterval = 3  // intervals
+	stageSteps         = 10 // in which a stage's members change
+	undetectedTime     = 10 * time.Minute
 )
 
-// one plays a rollout.
-func one(o *Options, seed uint64) outcome {
+// playOne plays a rollout.
+func playOne(o *Options, seed uint64) outcome {
 	w := newWorld(o, seed)
-	j := judge(o)
-	turns := w.turns()
-	for w.now < watchedBefore {
+	j := newJudge(o)
+	order := w.changeOrder()
+	for w.now < observedBefore {
 		j.Observe(w.now, w.step())
 	}
-	begun := w.now
+	startedAt := w.now
 	changed := 0
-	for stage, target := range targets(o.Instances) {
+	for stage, target := range stageTargets(o.Instances) {
 		j.Begin(w.now, w.readings)
 		controls := min(target-changed, 8, (o.Instances-target+1)/2)
-		batch := max(1, (target-changed+batchesOf-1)/batchesOf)
-		for looks := 1; ; looks++ {
+		batch := max(1, (target-changed+stageSteps-1)/stageSteps)
+		for evaluations := 1; ; evaluations++ {
 			for range min(batch, target-changed) {
-				w.change(w.all[turns[changed]], controls > 0)
+				w.change(w.instances[order[changed]], controls > 0)
 				controls--
 				changed++
 			}
 			j.Observe(w.now, w.step())
-			if looks%lookEvery != 0 || looks > 10*lookEvery && looks%(3*lookEvery) != 0 {
+			if evaluations%evaluationInterval != 0 || evaluations > 10*evaluationInterval && evaluations%(3*evaluationInterval) != 0 {
 				continue
 			}
-			v := j.Verdict(w.now)
-			if v.Kind == canary.KindWorse || v.Kind == canary.KindNoEvidence {
-				return outcome{v.Kind, stage + 1, w.now - begun, w.touched, w.harmed, v.Reason}
+			verdict := j.Verdict(w.now)
+			if verdict.Kind == canary.KindWorse || verdict.Kind == canary.KindNoEvidence {
+				return outcome{verdict.Kind, stage + 1, w.now - startedAt, w.touched, w.harmed, verdict.Reason}
 			}
-			if v.Kind == canary.KindPass && changed == target {
+			if verdict.Kind == canary.KindPass && changed == target {
 				break
 			}
 		}
 	}
-	took := w.now - begun
+	duration := w.now - startedAt
 	// What nobody has stopped goes on until somebody sees it: ten minutes.
-	for end := w.now + after; w.now < end; {
+	for end := w.now + undetectedTime; w.now < end; {
 		w.step()
 	}
-	return outcome{canary.KindPass, 0, took, w.touched, w.harmed, ""}
+	return outcome{canary.KindPass, 0, duration, w.touched, w.harmed, ""}
 }
 
-// judge is who decides about a rollout.
-func judge(o *Options) decider {
+// newJudge is who decides about a rollout.
+func newJudge(o *Options) judge {
 	switch o.Judge {
 	case "readiness":
-		return ready{}
+		return readinessJudge{}
 	case "threshold":
-		return &threshold{}
+		return &thresholdJudge{}
 	default:
-		return canary.NewJudge(o.Evidence)
+		return canary.NewJudge(o.JudgeOptions)
 	}
 }
 
-// turns is the order in which instances change. The first is one that gets half the mean or more, as one with few
+// changeOrder is the order in which instances change. The first is one that gets half the mean or more, as one with few
 // requests tells little.
-func (w *world) turns() []int {
-	turns := w.rng.Perm(len(w.all))
-	if i := slices.IndexFunc(turns, func(t int) bool { return w.all[t].share >= 0.5 }); i >= 0 {
-		turns[0], turns[i] = turns[i], turns[0]
+func (w *world) changeOrder() []int {
+	order := w.rng.Perm(len(w.instances))
+	if i := slices.IndexFunc(order, func(t int) bool { return w.instances[t].share >= 0.5 }); i >= 0 {
+		order[0], order[i] = order[i], order[0]
 	}
-	return turns
+	return order
 }
 
 // change restarts an instance with what is new, and a control at the same time and in the same zone.
 func (w *world) change(x *instance, control bool) {
 	w.restart(x, canary.SideNew, 0)
 	if control {
-		w.control(x)
+		w.restartControl(x)
 	}
 }
 
-// control restarts an old one beside a changed one: of the same zone where there is one, and with as much traffic.
-func (w *world) control(of *instance) {
+// restartControl restarts an old one beside a changed one: of the same zone where there is one, and with as much traffic.
+func (w *world) restartControl(of *instance) {
 	var pick *instance
-	far := func(x *instance) float64 {
+	distance := func(x *instance) float64 {
 		d := math.Abs(math.Log(x.share / of.share))
 		if x.zone != of.zone {
 			d += 100
 		}
 		return d
 	}
-	for _, x := range w.all {
-		if x.side == canary.SideOld && (pick == nil || far(x) < far(pick)) {
+	for _, x := range w.instances {
+		if x.side == canary.SideOld && (pick == nil || distance(x) < distance(pick)) {
 			pick = x
 		}
 	}
@@ -239,12 +239,12 @@
 	}
 }
 
-func report(o *Options, all []outcome) Report {
+func newReport(o *Options, all []outcome) Report {
 	r := Report{
 		Instances: o.Instances, Traffic: o.Traffic, Harm: o.Harm.Name, Judge: o.Judge, Without: o.Without, Runs: len(all),
-		AtStage: make([]int, len(targets(o.Instances))),
+		AtStage: make([]int, len(stageTargets(o.Instances))),
 	}
-	var took, touched, harmed []float64
+	var durations, touched, harmed []float64
 	for _, x := range all {
 		switch x.kind {
 		case canary.KindWorse:
@@ -257,16 +257,16 @@
 		if x.stage > 0 {
 			r.AtStage[x.stage-1]++
 			if len(r.Reasons) < 5 {
-				r.Reasons = append(r.Reasons, x.why)
+				r.Reasons = append(r.Reasons, x.reason)
 			}
 		}
-		took, touched, harmed = append(took, x.took.Minutes()), append(touched, x.touched), append(harmed, x.harmed)
+		durations, touched, harmed = append(durations, x.duration.Minutes()), append(touched, x.touched), append(harmed, x.harmed)
 	}
-	at := func(list []float64, p float64) float64 {
+	quantile := func(list []float64, p float64) float64 {
 		slices.Sort(list)
 		return list[min(len(list)-1, int(p*float64(len(list))))]
 	}
-	r.Minutes, r.Touched, r.Harmed, r.HarmedMost = at(took, 0.5), at(touched, 0.5), at(harmed, 0.5), at(harmed, 0.95)
+	r.Minutes, r.Touched, r.Harmed, r.HarmedP95 = quantile(durations, 0.5), quantile(touched, 0.5), quantile(harmed, 0.5), quantile(harmed, 0.95)
 	r.Low, r.High = Bounds(r.Worse, r.Runs)
 	return r
 }
--- a/internal/simulation/rolloutsim/sim_test.go
+++ b/internal/simulation/rolloutsim/sim_test.go
@@ -31,16 +31,16 @@
 		r := play(t, Options{Instances: 40, Traffic: "uneven", Harm: h, Runs: 4, Seed: 3})
 		at := 0 // the latest stage at which all have to be stopped
 		switch {
-		case h.Dose > 0:
+		case h.MinChangedShare > 0:
 			at = 2
-		case h.Crash > 0 || h.Hammer > 0:
+		case h.CrashInterval > 0 || h.FleetFailureShare > 0:
 			at = 3
 		}
 		stopped := 0
 		for _, n := range r.AtStage[:at+1] {
 			stopped += n
 		}
-		if stopped < 3 || h.Hammer == 0 && h.Crash == 0 && stopped < 4 {
+		if stopped < 3 || h.FleetFailureShare == 0 && h.CrashInterval == 0 && stopped < 4 {
 			t.Errorf("%s: %+v", h.Name, r)
 		}
 		if plain := play(t, Options{Instances: 40, Traffic: "uneven", Harm: h, Judge: "readiness", Runs: 2, Seed: 3}); plain.Passed < 2 || plain.Harmed < r.Harmed {
