--- /dev/null
+++ b/internal/simulation/rolloutsim/report.go
@@ -0,0 +1,91 @@
+package rolloutsim
+
+import (
+	"slices"
+
+	"lockflow/internal/canary"
+
+	"gonum.org/v1/gonum/stat/distuv"
+)
+
+// maxReasons is how many reasons a report lists.
+const maxReasons = 5
+
+// Report is the result of many rollouts.
+type Report struct {
+	Instances  int      `json:"instances"`
+	Traffic    string   `json:"traffic"`
+	Harm       string   `json:"harm"`
+	Judge      string   `json:"judge"`
+	Without    string   `json:"without,omitempty"`
+	Runs       int      `json:"runs"`
+	Worse      int      `json:"worse"`       // stopped as worse
+	NoEvidence int      `json:"no_evidence"` // stopped for lack of evidence
+	Passed     int      `json:"passed"`
+	Low        float64  `json:"worse_low"`  // lower 95% bound of the part that is stopped as worse, see Bounds
+	High       float64  `json:"worse_high"` // upper bound
+	AtStage    []int    `json:"at_stage"`   // number of stops of either kind, by stage from the first
+	Minutes    float64  `json:"minutes"`    // median duration
+	Touched    float64  `json:"touched"`    // median of requests to changed instances
+	Harmed     float64  `json:"harmed"`     // median of requests lost by the change
+	HarmedP95  float64  `json:"harmed_95"`  // 95th percentile of requests lost by the change
+	Reasons    []string `json:"reasons"`    // of the first few stops
+}
+
+// newReport returns the report of all outcomes.
+func newReport(o *Options, all []outcome) Report {
+	r := Report{
+		Instances: o.Instances,
+		Traffic:   o.Traffic,
+		Harm:      o.Harm.Name,
+		Judge:     o.Judge,
+		Without:   o.Without,
+		Runs:      len(all),
+		AtStage:   make([]int, len(stageTargets(o.Instances))),
+	}
+	var minutes, touched, harmed []float64
+	for _, x := range all {
+		switch x.kind {
+		case canary.KindWorse:
+			r.Worse++
+		case canary.KindNoEvidence:
+			r.NoEvidence++
+		default:
+			r.Passed++
+		}
+		if x.stage > 0 {
+			r.AtStage[x.stage-1]++
+			if len(r.Reasons) < maxReasons {
+				r.Reasons = append(r.Reasons, x.reason)
+			}
+		}
+		minutes = append(minutes, x.duration.Minutes())
+		touched = append(touched, x.touched)
+		harmed = append(harmed, x.harmed)
+	}
+	r.Minutes = quantile(minutes, 0.5)
+	r.Touched = quantile(touched, 0.5)
+	r.Harmed = quantile(harmed, 0.5)
+	r.HarmedP95 = quantile(harmed, 0.95)
+	r.Low, r.High = Bounds(r.Worse, r.Runs)
+	return r
+}
+
+// quantile returns a quantile of values, which it sorts.
+func quantile(values []float64, share float64) float64 {
+	slices.Sort(values)
+	return values[min(len(values)-1, int(share*float64(len(values))))]
+}
+
+// Bounds returns the 95% confidence interval of a probability of which count in total trials were observed
+// (Clopper-Pearson).
+func Bounds(count, total int) (low, high float64) {
+	low, high = 0, 1
+	if count > 0 {
+		low = distuv.Beta{Alpha: float64(count), Beta: float64(total - count + 1)}.Quantile(0.025)
+	}
+	if count < total {
+		high = distuv.Beta{Alpha: float64(count + 1), Beta: float64(total - count)}.Quantile(0.975)
+	}
+	return low, high
+}
