--- a/internal/canary/verdict.go
+++ b/internal/canary/verdict.go
@@ -43,7 +43,7 @@
 			found.unclear = append(found.unclear, fmt.Sprintf("%s: up to %.3g, margin %.3g", result.Name, result.High, result.Margin))
 		case result.Members > 0 && laterHalf.difference >= result.Margin:
 			result.IsEnough = false
-			found.recent = append(found.recent, fmt.Sprintf("%s lately: %.3g, margin %.3g", result.Name, laterHalf.difference, result.Margin))
+			found.recent = append(found.recent, fmt.Sprintf("%s in the later half: %.3g, margin %.3g", result.Name, laterHalf.difference, result.Margin))
 		}
 		found.measures = append(found.measures, result)
 	}
@@ -54,12 +54,12 @@
 	if !harm.isHarmed {
 		return found
 	}
-	found.unchangedHarm = fmt.Sprintf("those not changed have become worse with the stage (%s)", measureNames[harm.measure])
+	found.unchangedHarm = fmt.Sprintf("unchanged members do worse since the stage began (%s)", measureNames[harm.measure])
 	switch {
 	case found.measures[measureUnits].Low > 0:
-		found.worse = append(found.worse, found.unchangedHarm+", and the changed ones take more than their part")
+		found.worse = append(found.worse, found.unchangedHarm+", and the changed ones send more units")
 	case harm.isRepeated:
-		found.worse = append(found.worse, found.unchangedHarm+", as they did with an earlier one")
+		found.worse = append(found.worse, found.unchangedHarm+", as they did in an earlier stage")
 	}
 	return found
 }
@@ -73,13 +73,13 @@
 	case watched < j.options.MinBake:
 		return KindWait, fmt.Sprintf("watched for %v of %v", watched.Round(time.Second), j.options.MinBake)
 	case found.unchangedHarm != "":
-		return j.waitOrGiveUp(watched), found.unchangedHarm + "; nothing tells the change from the world"
+		return j.waitOrGiveUp(watched), found.unchangedHarm + "; the cause may be the change or the environment"
 	case found.crashEvidence >= minRareEvidence || found.breachEvidence >= minRareEvidence:
-		return j.waitOrGiveUp(watched), fmt.Sprintf("%d crashes and %d breaches of the new side are too many to go on and too few to blame it",
+		return j.waitOrGiveUp(watched), fmt.Sprintf("%d crashes and %d breaches of the new side are too many to pass and too few to show harm",
 			j.crashes.counts[sideIndexNew], j.breaches.counts[sideIndexNew])
 	case !j.hasOld():
 		if !j.areChangedMembersLive(now) {
-			return j.waitOrGiveUp(watched), "too few members tell anything"
+			return j.waitOrGiveUp(watched), "too few members report statistics"
 		}
 		return KindPass, "all are changed, and the fleet is as it was before the stage"
 	case len(found.unclear) > 0:
@@ -87,7 +87,7 @@
 	case len(found.recent) > 0:
 		return j.waitOrGiveUp(watched), strings.Join(found.recent, "; ")
 	case !j.areChangedMembersLive(now):
-		return j.waitOrGiveUp(watched), "too few of the changed members tell anything"
+		return j.waitOrGiveUp(watched), "too few changed members report statistics"
 	}
 	return KindPass, "no harm beyond the margins"
 }
--- a/internal/command/measure.go
+++ b/internal/command/measure.go
@@ -2,8 +2,11 @@
 
 import (
 	"context"
+	"encoding/json"
+	"fmt"
 	"io"
 	"log/slog"
+	"os"
 	"strings"
 	"time"
 
@@ -154,6 +157,24 @@
 	return usageError("there is no measurement %q: isolation, proxy, servers, bodies, balance, reload, upgrade, fleet, faults, change, soak, gather, rollout", name)
 }
 
+// finishTrial removes a trial's directory, unless the trial has failed: then it prints where the files of owner are.
+func finishTrial(e *Env, directory, owner string, hasFailed bool) error {
+	if !hasFailed {
+		return os.RemoveAll(directory)
+	}
+	fmt.Fprintf(e.Err, "the %s files are left in %s\n", owner, directory)
+	return errReported
+}
+
+// printReport prints a report as JSON, or as print does.
+func printReport(e *Env, report any, asJSON bool, print func(io.Writer)) error {
+	if asJSON {
+		return json.NewEncoder(e.Out).Encode(report)
+	}
+	print(e.Out)
+	return nil
+}
+
 // isValid tells whether the flags that several measurements share are in range.
 func (m *measureFlags) isValid() bool {
 	if m.rounds < 1 || m.duration < minMeasureTime {
--- a/internal/command/measure_faults.go
+++ b/internal/command/measure_faults.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"io"
 	"os"
@@ -78,11 +77,7 @@
 	if err != nil {
 		return err
 	}
-	if failure != "" {
-		fmt.Fprintf(e.Err, "the nodes' files are left in %s\n", o.Dir)
-		return errReported
-	}
-	return os.RemoveAll(o.Dir)
+	return finishTrial(e, o.Dir, "nodes'", failure != "")
 }
 
 // runChangeTrial measures and prints changes under faults, and returns the first failure; "" is none.
@@ -91,11 +86,7 @@
 	if err != nil {
 		return "", err
 	}
-	if asJSON {
-		return report.Failing, json.NewEncoder(e.Out).Encode(report)
-	}
-	printChange(e.Out, report)
-	return report.Failing, nil
+	return report.Failing, printReport(e, report, asJSON, func(w io.Writer) { printChange(w, report) })
 }
 
 // runFaultTrial measures and prints nodes under faults, and returns the first failure; "" is none.
@@ -104,11 +95,7 @@
 	if err != nil {
 		return "", err
 	}
-	if asJSON {
-		return report.Failing, json.NewEncoder(e.Out).Encode(report)
-	}
-	printFaults(e.Out, report)
-	return report.Failing, nil
+	return report.Failing, printReport(e, report, asJSON, func(w io.Writer) { printFaults(w, report) })
 }
 
 // faultScript reads a script, which has to be for a number of processes and links.
--- a/internal/command/measure_fleet.go
+++ b/internal/command/measure_fleet.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"io"
 	"maps"
@@ -38,22 +37,14 @@
 		return fmt.Errorf("measuring a fleet: %w", err)
 	}
 	o.Progress = e.Err
-	got, err := measure.Fleet(ctx, o)
+	report, err := measure.Fleet(ctx, o)
 	if err != nil {
 		return err
 	}
-	if asJSON {
-		if err := json.NewEncoder(e.Out).Encode(got); err != nil {
-			return err
-		}
-	} else {
-		printFleet(e.Out, got)
-	}
-	if len(got.Wrong) > 0 {
-		fmt.Fprintf(e.Err, "the instances' files are left in %s\n", o.Dir)
-		return errReported
+	if err := printReport(e, report, asJSON, func(w io.Writer) { printFleet(w, report) }); err != nil {
+		return err
 	}
-	return os.RemoveAll(o.Dir)
+	return finishTrial(e, o.Dir, "instances'", len(report.Wrong) > 0)
 }
 
 // printFleet prints a report as tables.
--- a/internal/command/measure_rollout.go
+++ b/internal/command/measure_rollout.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"io"
 	"maps"
@@ -37,22 +36,14 @@
 	if o.Dir, err = os.MkdirTemp("", "lockflow-"); err != nil {
 		return fmt.Errorf("measuring rollouts: %w", err)
 	}
-	r, err := measure.Rollout(ctx, o)
+	report, err := measure.Rollout(ctx, o)
 	if err != nil {
 		return err
 	}
-	if asJSON {
-		if err := json.NewEncoder(e.Out).Encode(r); err != nil {
-			return err
-		}
-	} else {
-		printRolloutTrial(e.Out, r)
-	}
-	if len(r.Wrong) > 0 {
-		fmt.Fprintf(e.Err, "the nodes' files are left in %s\n", o.Dir)
-		return errReported
+	if err := printReport(e, report, asJSON, func(w io.Writer) { printRolloutTrial(w, report) }); err != nil {
+		return err
 	}
-	return os.RemoveAll(o.Dir)
+	return finishTrial(e, o.Dir, "nodes'", len(report.Wrong) > 0)
 }
 
 // printRolloutTrial prints the ends of all changes, and the sums of what the coordinators did.
--- a/internal/command/measure_skew.go
+++ b/internal/command/measure_skew.go
@@ -55,9 +55,5 @@
 	if err != nil {
 		return err
 	}
-	if len(report.Violations) > 0 {
-		_, _ = fmt.Fprintf(e.Err, "the daemon's files are left in %s\n", o.Dir)
-		return errReported
-	}
-	return os.RemoveAll(o.Dir)
+	return finishTrial(e, o.Dir, "daemon's", len(report.Violations) > 0)
 }
