--- a/internal/command/plan.go
+++ b/internal/command/plan.go
@@ -9,10 +9,13 @@
 	"lockflow/internal/config"
 )
 
+// planCommand returns the command "plan".
 func planCommand() command {
 	return command{
-		name: "plan", group: files, does: "tells what a change from one configuration, or fleet file, to another brings",
-		args: "[--fleet] OLD NEW [--json]",
+		name:    "plan",
+		group:   groupFiles,
+		summary: "tells what a change from one configuration, or fleet file, to another brings",
+		args:    "[--fleet] OLD NEW [--json]",
 		examples: []string{
 			"lockflow plan /etc/lockflow/lockflow.toml new.toml",
 			"lockflow plan --fleet old/fleet.toml new/fleet.toml --json   # 0 none, 1 conflicts, 2 unusable input",
@@ -22,7 +25,7 @@
 			fleet := set.Bool("fleet", false, "the files name regions; tells the order in which these may change, and conflicts on the way")
 			return func(_ context.Context, e *Env, args []string) error {
 				if len(args) != 2 {
-					return usage("plan takes two files")
+					return usageError("plan takes two files")
 				}
 				if *fleet {
 					return planFleet(e, args[0], args[1], *asJSON)
@@ -33,7 +36,7 @@
 	}
 }
 
-// plan prints the changes; it fails where a reload would be refused.
+// plan prints the changes between two configurations. It fails if a reload would be rejected.
 func plan(e *Env, oldPath, newPath string, asJSON bool) error {
 	old, err := config.Load(oldPath)
 	if err != nil {
@@ -54,7 +57,7 @@
 	} else {
 		w := tabwriter.NewWriter(e.Out, 0, 0, 2, ' ', 0)
 		for _, c := range p {
-			fmt.Fprintf(w, "%s\t%s\t%s\n", c.Effect, c.What, arrow(c))
+			fmt.Fprintf(w, "%s\t%s\t%s\n", c.Effect, c.What, formatValues(c))
 		}
 		if len(p) == 0 {
 			fmt.Fprintln(w, "nothing changes")
@@ -65,12 +68,13 @@
 	}
 	if n := len(p.Restarts()); n > 0 {
 		fmt.Fprintf(e.Err, "%d changes need a restart: a reload would be refused\n", n)
-		return errTold
+		return errReported
 	}
 	return nil
 }
 
-func arrow(c config.Change) string {
+// formatValues formats the old and new value of a change.
+func formatValues(c config.Change) string {
 	if c.From == "" && c.To == "" {
 		return ""
 	}
