--- a/control/accounts.go
+++ b/control/accounts.go
@@ -8,7 +8,6 @@
 
 const (
 	initialSlackFraction = 0.5         // part of the slack that a new hard-limit bucket has
-	initialUsageFraction = 0.3         // part of its rate that an unmetered customer is assumed to use
 	maxAccountIdleTime   = time.Minute // after which an idle account with full buckets is evicted
 	maxAccounts          = 20000       // above half of it, eviction starts earlier
 )
@@ -54,15 +53,19 @@
 func (t *accountTable) open(
 	now time.Duration, rng *rand.Rand, plan *planQueue, fanOut int,
 ) *customerAccount {
-	account := &customerAccount{plan: plan, fanOut: math.Max(1, float64(fanOut)), updatedAt: now}
-	account.admissionRemainder = rng.Float64()
-	account.quota.tokens = t.rateFraction * plan.QuotaBurst
-	account.usage.rate = initialUsageFraction * plan.QuotaRate
+	account := &customerAccount{
+		plan:               plan,
+		fanOut:             math.Max(1, float64(fanOut)),
+		updatedAt:          now,
+		quota:              tokenBucket{tokens: t.rateFraction * plan.QuotaBurst},
+		admissionRemainder: rng.Float64(),
+		usage:              newUsageEstimate(plan.QuotaRate),
+	}
+	account.inFlight = newInFlightQuota(plan.MaxInFlight, account.fanOut)
 	// A gateway just started does not know what its predecessor has forwarded: the hard limit's
 	// bucket begins with the slack only and fills from the gateway's start.
 	filled := t.slackFraction*plan.HardLimitSlack + (now-t.fillingSince).Seconds()*plan.HardLimitRate
 	account.hardLimit.tokens = t.rateFraction * math.Min(plan.HardLimitBurst, filled) / account.fanOut
-	account.inFlight.limit = float64(plan.MaxInFlight) / account.fanOut
 	return account
 }
 
--- a/control/arrivals.go
+++ b/control/arrivals.go
@@ -1,9 +1,6 @@
 package control
 
-import (
-	"math"
-	"time"
-)
+import "time"
 
 const (
 	rejectRetryAfter          = time.Second // Retry-After of a rejection
@@ -98,10 +95,9 @@
 // nextTurnEstimate is what a request that joins the queues now has to expect. Guards against rejecting what
 // fast servers finish at once, only as the limit is reached.
 func (c *Controller) nextTurnEstimate() turnEstimate {
-	queued := c.scheduler.countQueued()
 	return turnEstimate{
 		hasFreeSlot: c.limiter.hasFreeSlot(c.now, c.requests.slots.occupied(c.now)),
-		seconds:     c.fleet.latency.mean * (1 + float64(queued+1)/math.Max(1, c.limiter.limit)),
+		seconds:     c.limiter.expectedTurnSeconds(c.scheduler.countQueued(), c.fleet.latency.mean),
 	}
 }
 
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -125,10 +125,8 @@
 		runsFor := durationOf(math.Min(elapsed, maxAbandonedLatencies*c.fleet.latency.mean))
 		c.requests.slots.abandon(srv, c.now+runsFor)
 	}
-	if event.Reason.mayHaveRun() && !req.mayHaveRun {
-		req.mayHaveRun = true
-		req.firstRunAt = attempt.sentAt
-		req.repeatGroup = srv
+	if event.Reason.mayHaveRun() {
+		req.recordPossibleRun(attempt.sentAt, srv)
 	}
 }
 
--- a/control/concurrency_limit.go
+++ b/control/concurrency_limit.go
@@ -103,6 +103,12 @@
 	return occupied < l.limit && now >= l.fractionalSlotFreeAt
 }
 
+// expectedTurnSeconds is the time that a request which joins so many queued ones waits and occupies its
+// slot, by the mean latency in seconds.
+func (l *concurrencyLimiter) expectedTurnSeconds(queued int, meanLatency float64) float64 {
+	return meanLatency * (1 + float64(queued+1)/math.Max(1, l.limit))
+}
+
 // pauseAfter holds the fractional slot back after an attempt that ended.
 func (l *concurrencyLimiter) pauseAfter(now time.Duration, occupied, latencySeconds float64) {
 	if fraction := l.limit - occupied; fraction > 0 && fraction < 1 {
--- a/control/extreme_settings_test.go
+++ b/control/extreme_settings_test.go
@@ -104,14 +104,7 @@
 	if w.rng.IntN(400) == 0 { // the gateway stood still
 		w.now += time.Duration(w.rng.IntN(3000)) * ms
 	}
-	for i := 0; i < len(w.due); i++ {
-		if w.due[i] <= w.now {
-			timer := w.timers[i]
-			w.timers, w.due = append(w.timers[:i], w.timers[i+1:]...), append(w.due[:i], w.due[i+1:]...)
-			w.handle(timer)
-			i = -1
-		}
-	}
+	w.fireTimers()
 	for i := 0; i < len(w.inFlight); i++ {
 		if attempt := w.inFlight[i]; w.now >= attempt.timesOutAt {
 			w.outcome(i)
@@ -135,11 +128,7 @@
 			w.handle(ClientGone{ID: id})
 		}
 	}
-	for id, request := range w.requests {
-		if w.now > request.end+16*ms {
-			w.t.Fatalf("%s has no answer %v after its end", id, w.now-request.end)
-		}
-	}
+	w.checkDeadlines()
 }
 
 // Whatever the settings are, and whatever comes twice, too late or with unknown references, each request has one
--- a/control/in_flight_quota.go
+++ b/control/in_flight_quota.go
@@ -7,6 +7,15 @@
 
 const minInFlightLimitFactor = 0.85 // of an in-flight limit, at one reading
 
+// newInFlightQuota returns an equal part of a quota for one of the gateways of a customer's fan-out.
+func newInFlightQuota(maxInFlight int, fanOut float64) inFlightQuota {
+	return inFlightQuota{limit: float64(maxInFlight) / fanOut}
+}
+
+func (q *inFlightQuota) startAttempt() { q.current++ }
+
+func (q *inFlightQuota) endAttempt() { q.current-- }
+
 // adjust moves this gateway's part of the quota by the maximum that a reading reports, in percent. A
 // limit below one is held by a pause after each attempt. The rejection probability comes last.
 func (q *inFlightQuota) adjust(maxInFlight int, fanOut, percent, rejected, arrivals float64) {
--- a/control/policy_files_test.go
+++ b/control/policy_files_test.go
@@ -14,7 +14,7 @@
 // bookkeepingFiles hold types, state and its storage, and decide nothing. Each file is either one of them or policy.
 var bookkeepingFiles = []string{
 	"account.go", "account_storage.go", "actions.go", "checkpoint.go", "doc.go", "events.go",
-	"history.go", "image.go", "image_take.go", "request.go", "restore.go", "resume.go",
+	"history.go", "image.go", "image_take.go", "restore.go", "resume.go",
 	"server_storage.go", "settings.go", "shift.go", "sharecontrol/state.go",
 }
 
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -5,6 +5,7 @@
 	"math/rand/v2"
 	"reflect"
 	"runtime"
+	"slices"
 	"sort"
 	"testing"
 	"time"
@@ -90,7 +91,8 @@
 		case Fail:
 			w.recordFinal(a.ID)
 		case StartTimer:
-			w.timers, w.due = append(w.timers, TimerFired{a.Label}), append(w.due, w.now+a.After)
+			w.timers = append(w.timers, TimerFired{a.Label})
+			w.due = append(w.due, w.now+a.After)
 		case CancelAttempt:
 			if !w.set.CanCancel {
 				w.t.Fatal("cancelled where it is not permitted")
@@ -217,16 +219,32 @@
 	w.handle(event)
 }
 
-func (w *world) step() {
-	w.now += time.Duration(w.rng.IntN(12)) * ms
+// fireTimers fires the timers that are due, and those due at once that they start.
+func (w *world) fireTimers() {
 	for i := 0; i < len(w.due); i++ {
-		if w.due[i] <= w.now {
-			timer := w.timers[i]
-			w.timers, w.due = append(w.timers[:i], w.timers[i+1:]...), append(w.due[:i], w.due[i+1:]...)
-			w.handle(timer)
-			i = -1
+		if w.due[i] > w.now {
+			continue
+		}
+		timer := w.timers[i]
+		w.timers = slices.Delete(w.timers, i, i+1)
+		w.due = slices.Delete(w.due, i, i+1)
+		w.handle(timer)
+		i = -1
+	}
+}
+
+// checkDeadlines fails if a request has no answer in time.
+func (w *world) checkDeadlines() {
+	for id, request := range w.requests {
+		if w.now > request.end+16*ms {
+			w.t.Fatalf("%s has no answer %v after its end", id, w.now-request.end)
 		}
 	}
+}
+
+func (w *world) step() {
+	w.now += time.Duration(w.rng.IntN(12)) * ms
+	w.fireTimers()
 	for i := 0; i < len(w.inFlight); i++ {
 		if w.now >= w.inFlight[i].timesOutAt {
 			w.outcome(i)
@@ -257,11 +275,7 @@
 			w.handle(ClientGone{ID: id})
 		}
 	}
-	for id, request := range w.requests {
-		if w.now > request.end+16*ms {
-			w.t.Fatalf("%s has no answer %v after its end", id, w.now-request.end)
-		}
-	}
+	w.checkDeadlines()
 }
 
 func (w *world) arrive() {
--- a/control/request.go
+++ b/control/request.go
@@ -28,6 +28,17 @@
 // repeatsDroppedUntil is the end of the time in which the repeat group drops repeats of what may have run.
 func (r *request) repeatsDroppedUntil() time.Duration { return r.firstRunAt + r.class.RepeatWindow }
 
+// recordPossibleRun notes that an attempt, sent at a time to a server, may have had an effect. The first one
+// that may have begins the repeat window and sets the repeat group.
+func (r *request) recordPossibleRun(sentAt time.Duration, srv *server) {
+	if r.mayHaveRun {
+		return
+	}
+	r.mayHaveRun = true
+	r.firstRunAt = sentAt
+	r.repeatGroup = srv
+}
+
 // attemptKey names an attempt: the first of a request is number 0.
 type attemptKey struct {
 	id     string
@@ -94,7 +105,7 @@
 	req.attempts++
 	req.inFlight++
 	req.triedServers = append(req.triedServers, srv.Server)
-	req.account.inFlight.current++
+	req.account.inFlight.startAttempt()
 	t.slots.inFlight++
 	if req.isStreaming { // from the start: its body is still to come
 		t.slots.streaming++
@@ -115,8 +126,8 @@
 	}
 	delete(t.attempts, key)
 	attempt.request.inFlight--
-	attempt.server.inFlight--
-	attempt.account.inFlight.current--
+	attempt.server.endAttempt()
+	attempt.account.inFlight.endAttempt()
 	t.slots.inFlight--
 	if attempt.request.isStreaming {
 		t.slots.streaming--
--- a/control/server.go
+++ b/control/server.go
@@ -42,6 +42,8 @@
 	s.inFlight++
 }
 
+func (s *server) endAttempt() { s.inFlight-- }
+
 // forgetIncarnation drops what was known of the server before it started anew.
 func (s *server) forgetIncarnation() {
 	s.latency.seconds = 0
--- a/control/usage.go
+++ b/control/usage.go
@@ -9,6 +9,7 @@
 	localUsageDecay         = 0.85 // part of the local and total usage that stays at each reading
 	localUsagePriorRequests = 3.0  // weight, in requests, of the prior that usage is spread evenly
 	minLocalFraction        = 0.05 // of a customer's usage
+	initialUsageFraction    = 0.3  // part of its rate that an unmetered customer is assumed to use
 	usageRateDecay          = 0.8  // part of the smoothed usage rate that stays at each reading
 	surgeShape              = 0.5  // shape of the prior of remote usage: small trusts local surges more
 	remoteRateDecaySeconds  = 4.0  // time constant with which a reading's remote rate decays
@@ -22,6 +23,11 @@
 	minMeteredFraction      = 0.5  // part of the recent periods that must have been read
 )
 
+// newUsageEstimate returns the estimate for a customer of whom nothing is known but its quota's rate.
+func newUsageEstimate(quotaRate float64) usageEstimate {
+	return usageEstimate{rate: initialUsageFraction * quotaRate}
+}
+
 // remoteUnits is the usage through other gateways in a time that ends now.
 func (u *usageEstimate) remoteUnits(now time.Duration, elapsedSeconds float64) float64 {
 	return elapsedSeconds * u.remoteRate * decayFactor(now-u.remoteRateAt, remoteRateDecaySeconds)
