--- a/internal/config/drain.go
+++ b/internal/config/drain.go
@@ -6,37 +6,37 @@
 	"lockflow/control"
 )
 
-// What PROTOCOL says of planned restarts.
+// The platform's schedule of planned restarts, from SIGTERM.
 const (
-	lateConnectionTime = 400 * time.Millisecond // for which new connections go on coming
-	killAfter          = 700 * time.Millisecond // SIGKILL comes no sooner than this after the longest deadline
-	maxCountedDeadline = 3 * time.Second        // of which no more than this is counted
+	lateConnectionTime = 400 * time.Millisecond // new connections may still arrive
+	killAfter          = 700 * time.Millisecond // SIGKILL comes this long after the longest deadline, or later
+	maxCountedDeadline = 3 * time.Second        // longer deadlines count as this
 )
 
 const (
-	exitMargin  = 400 * time.Millisecond // of SIGKILL: the last answers are written and the process ends
-	acceptDelay = 100 * time.Millisecond // by which a node that gets little CPU may take a connection late
+	exitMargin  = 400 * time.Millisecond // before SIGKILL, to write the last responses and exit
+	acceptDelay = 100 * time.Millisecond // by which a node short of CPU may accept a connection late
 	maxAccept   = time.Second
 )
 
-// PlatformDrain fits what PROTOCOL says of planned restarts to any deadlines.
+// PlatformDrain fits the platform's schedule for any deadlines.
 var PlatformDrain = platformDrain(maxCountedDeadline)
 
-// platformDrain fits it to a longest deadline. What could still come anew is let in, and what is held
-// has its time until the last moment from which the process is sure to be gone before SIGKILL.
+// platformDrain returns the drain that fits the platform's schedule for a longest deadline. Connections
+// that may still arrive are accepted, and requests in flight have until the last moment from which the
+// process is sure to exit before SIGKILL.
 func platformDrain(longest time.Duration) Drain {
 	d := Drain{Idle: lateConnectionTime + acceptDelay}
 	d.Max = max(min(longest, maxCountedDeadline)+killAfter-exitMargin, d.Idle)
-	// Half of what is left is for requests that came last.
-	d.Accept = min(maxAccept, (d.Idle+d.Max)/2)
+	d.Accept = min(maxAccept, (d.Idle+d.Max)/2) // the second half is for the requests accepted last
 	return d
 }
 
-// longestDeadline is the longest deadline that a class has.
-func longestDeadline(s control.Settings) time.Duration {
-	var d time.Duration
-	for _, k := range s.Classes {
-		d = max(d, k.Deadline)
+// longestDeadline returns the longest deadline of the classes.
+func longestDeadline(settings control.Settings) time.Duration {
+	var longest time.Duration
+	for _, class := range settings.Classes {
+		longest = max(longest, class.Deadline)
 	}
-	return d
+	return longest
 }
--- a/internal/config/endpoint_source.go
+++ b/internal/config/endpoint_source.go
@@ -5,57 +5,64 @@
 	"lockflow/internal/discovery"
 )
 
-func (r *reader) readSource(in tree.Table) discovery.Source {
-	if !in.Has("source") {
-		in.Errorf("source", "it has to be said where the servers come from")
+// readSource reads where a service's endpoints come from.
+func (r *reader) readSource(service tree.Table) discovery.Source {
+	if !service.Has("source") {
+		service.Errorf("source", "it has to be said where the servers come from")
 		return discovery.Source{}
 	}
-	t := in.Sub("source")
-	src := discovery.Source{Kind: discovery.Kind(t.OneOf("kind", "discovery", "file", "static"))}
+	t := service.Sub("source")
+	source := discovery.Source{Kind: discovery.Kind(t.OneOf("kind", "discovery", "file", "static"))}
 	if !t.Has("kind") {
 		t.Errorf("kind", `it has to be said: "discovery", "file" or "static"`)
 	}
-	src.Address, src.Path = t.String("address", ""), t.String("path", "")
-	for i, one := range t.Tables("servers") {
-		src.Endpoints = append(src.Endpoints, readServer(one))
-		for _, s := range src.Endpoints[:i] {
-			if s.UID == src.Endpoints[i].UID {
-				one.Errorf("uid", "%q is given twice", s.UID)
+	source.Address = t.String("address", "")
+	source.Path = t.String("path", "")
+	for i, table := range t.Tables("servers") {
+		source.Endpoints = append(source.Endpoints, readServer(table))
+		for _, other := range source.Endpoints[:i] {
+			if other.UID == source.Endpoints[i].UID {
+				table.Errorf("uid", "%q is given twice", other.UID)
 			}
 		}
 	}
 	for i, key := range []string{"address", "path", "servers"} {
-		mine := discovery.Kind(i) == src.Kind
-		if mine && !t.Has(key) && t.Has("kind") {
+		isOfKind := discovery.Kind(i) == source.Kind
+		if isOfKind && !t.Has(key) && t.Has("kind") {
 			t.Errorf(key, "this kind of source needs it")
 		}
-		if !mine && t.Has(key) && t.Has("kind") {
+		if !isOfKind && t.Has(key) && t.Has("kind") {
 			t.Errorf(key, "not with this kind of source")
 		}
 	}
-	if src.Kind == discovery.Watch && t.Has("address") {
-		checkAddress(t, "address", src.Address)
+	if source.Kind == discovery.Watch && t.Has("address") {
+		checkAddress(t, "address", source.Address)
 	}
-	if src.Kind == discovery.Static && t.Has("servers") && len(src.Endpoints) == 0 {
+	if source.Kind == discovery.Static && t.Has("servers") && len(source.Endpoints) == 0 {
 		t.Errorf("servers", "there is none")
 	}
 	t.Done()
-	return src
+	return source
 }
 
+// readServer reads one listed app server.
 func readServer(t tree.Table) discovery.Endpoint {
-	s := discovery.Endpoint{
-		UID: t.String("uid", ""), Address: t.String("endpoint", ""), Zone: t.String("zone", ""),
-		Model: t.String("model", ""), Group: int(t.Integer("group", 0, 0, maxCount)),
-		State: []string{"up", "draining"}[t.OneOf("state", "up", "draining")], Capacity: t.Number("capacity", 1, 0.001, maxNumber),
+	endpoint := discovery.Endpoint{
+		UID:      t.String("uid", ""),
+		Address:  t.String("endpoint", ""),
+		Zone:     t.String("zone", ""),
+		Model:    t.String("model", ""),
+		Group:    int(t.Integer("group", 0, 0, maxCount)),
+		State:    []string{"up", "draining"}[t.OneOf("state", "up", "draining")],
+		Capacity: t.Number("capacity", 1, 0.001, maxNumber),
 	}
-	if s.UID == "" {
-		s.UID = s.Address
+	if endpoint.UID == "" {
+		endpoint.UID = endpoint.Address
 	}
 	if t.Has("protocol") {
-		s.Protocol = discovery.Protocols[t.OneOf("protocol", discovery.Protocols...)]
+		endpoint.Protocol = discovery.Protocols[t.OneOf("protocol", discovery.Protocols...)]
 	}
-	checkAddress(t, "endpoint", s.Address)
+	checkAddress(t, "endpoint", endpoint.Address)
 	t.Done()
-	return s
+	return endpoint
 }
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -16,29 +16,29 @@
 	"lockflow/internal/shortage"
 )
 
-// Bounds of what a file may say.
+// Bounds of the values in a file.
 const (
-	maxFileBytes = desiredstate.MaxSettingsBytes
-	maxServices  = 5000
-	day          = 24 * time.Hour
-	maxNumber    = 1e9
-	maxCount     = 1 << 20
-	maxBytes     = 1 << 40
-	maxBodyBytes = 16 << 20
-
-	maxSocketPath    = 107 // unix(7): sun_path with its end
+	maxFileBytes     = desiredstate.MaxSettingsBytes
+	maxServices      = 5000
+	day              = 24 * time.Hour
+	maxNumber        = 1e9
+	maxCount         = 1 << 20
+	maxCores         = 1024
+	maxBytes         = 1 << 40
+	maxBodyBytes     = 16 << 20
 	maxResponseBytes = 16 << 20
+	maxSocketPath    = 107 // bytes; unix(7): sun_path without its final zero
 )
 
-// maxReadTime is for how long reading a file outlasts a shortage. A platform's node has to follow a new discovery within
-// 4 s of its signal.
+// maxReadTime is for how long reading a file is retried while descriptors or memory are short. A node of
+// the platform has to follow a new discovery service within 4 s of its signal.
 const maxReadTime = 3 * time.Second
 
-// Inherited begins an address that names a socket which the supervisor passes on.
+// Inherited is the prefix of a listener's address that names a socket which the supervisor passes on.
 const Inherited = "systemd:"
 
-// Load reads a file of our own form at path. An error is of type FieldErrors, with every one
-// found, or tells why the file can't be read.
+// Load reads the TOML file at path. An error is of type FieldErrors, with every one that was found, or says
+// why the file can't be read.
 func Load(path string) (Config, error) {
 	info, err := os.Stat(path)
 	if err == nil && info.Size() > maxFileBytes {
@@ -54,8 +54,8 @@
 	return Parse(path, raw)
 }
 
-// readFile reads a configuration's file, and outlasts a shortage of descriptors or memory: a start or a reload would
-// fail for it that nobody repeats.
+// readFile reads a configuration file, and retries while descriptors or memory are short: nobody would
+// repeat the start or the reload that failed for it.
 func readFile(path string) (raw []byte, err error) {
 	err = shortage.Retry(context.Background(), maxReadTime, shortage.OfResources, func() (err error) {
 		raw, err = os.ReadFile(path)
@@ -67,30 +67,31 @@
 	return raw, nil
 }
 
-// Parse reads a file's text; name is told in errors, which are of type FieldErrors.
+// Parse reads the text of a TOML file. Errors are of type FieldErrors and name the file by name.
 func Parse(name string, raw []byte) (Config, error) {
-	var r tree.Reading
+	var reading tree.Reading
 	var c Config
-	if t, ok := r.Parse(name, raw); ok {
-		c = Read(t)
+	if document, ok := reading.Parse(name, raw); ok {
+		c = Read(document)
 	}
-	if err := r.Err(); err != nil {
+	if err := reading.Err(); err != nil {
 		return Config{}, err
 	}
 	c.Hash = desiredstate.Hash(raw)
 	return c, nil
 }
 
-// reader holds what further parts of a file refer to.
+// reader holds what several parts of a file refer to.
 type reader struct {
 	classes         map[string]control.Class
 	plans           map[string]control.Plan
-	group           struct{ size, index int }
-	counterNames    map[string]bool // names at counters
-	defaultProtocol int             // the protocol of services that name none, among protocols
+	groupSize       int // of the replica group, and which of it this instance is
+	groupIndex      int
+	counterNames    map[string]bool
+	defaultProtocol int // of services that name none; an index of protocols
 }
 
-// Read reads a document. What it gives is of use only where the document's reading has no problem.
+// Read reads a document. The result is valid only if the document's reading has no errors.
 func Read(t tree.Table) Config {
 	r := &reader{classes: map[string]control.Class{}, plans: map[string]control.Plan{}, counterNames: map[string]bool{}}
 	var c Config
@@ -98,19 +99,14 @@
 	process := t.Sub("process")
 	c.Process = r.readProcess(process)
 	c.Listeners = r.readListeners(t)
-	if t.Has("metrics") {
-		m := t.Sub("metrics")
-		c.Metrics = m.String("address", "")
-		checkAddress(m, "address", c.Metrics)
-		m.Done()
-	}
+	c.Metrics = readMetrics(t)
 	classNames, classes := t.NamedTables("classes")
-	for i, k := range classNames {
-		r.classes[k] = readClass(k, classes[i])
+	for i, name := range classNames {
+		r.classes[name] = readClass(name, classes[i])
 	}
 	planNames, plans := t.NamedTables("plans")
-	for i, p := range planNames {
-		r.plans[p] = readPlan(p, plans[i])
+	for i, name := range planNames {
+		r.plans[name] = readPlan(name, plans[i])
 	}
 	names, services := t.NamedTables("services")
 	if len(names) == 0 {
@@ -129,38 +125,50 @@
 	return c
 }
 
-// readPath reads the place of a file: a whole one, as a daemon's own directory is nobody's concern.
+func readMetrics(root tree.Table) string {
+	if !root.Has("metrics") {
+		return ""
+	}
+	t := root.Sub("metrics")
+	address := t.String("address", "")
+	checkAddress(t, "address", address)
+	t.Done()
+	return address
+}
+
+// readPath reads the path of a file. It has to be absolute, as a daemon's working directory is arbitrary.
 func readPath(t tree.Table, key string) string {
-	v := t.String(key, "")
-	if v != "" && !filepath.IsAbs(v) {
-		t.Errorf(key, "%q is no absolute path", v)
+	path := t.String(key, "")
+	if path != "" && !filepath.IsAbs(path) {
+		t.Errorf(key, "%q is no absolute path", path)
 	}
-	return v
+	return path
 }
 
-func (r *reader) readListeners(t tree.Table) []string {
+func (r *reader) readListeners(root tree.Table) []string {
 	var all []string
-	for _, l := range t.Tables("listeners") {
-		addr := l.String("address", "")
-		if name, inherited := strings.CutPrefix(addr, Inherited); !inherited {
-			checkAddress(l, "address", addr)
+	for _, t := range root.Tables("listeners") {
+		address := t.String("address", "")
+		if name, isInherited := strings.CutPrefix(address, Inherited); !isInherited {
+			checkAddress(t, "address", address)
 		} else if name == "" {
-			l.Errorf("address", "%q names no socket that the supervisor passes on", addr)
+			t.Errorf("address", "%q names no socket that the supervisor passes on", address)
 		}
-		if slices.Contains(all, addr) {
-			l.Errorf("address", "%q is given twice", addr)
+		if slices.Contains(all, address) {
+			t.Errorf("address", "%q is given twice", address)
 		}
-		all = append(all, addr)
-		l.Done()
+		all = append(all, address)
+		t.Done()
 	}
 	if len(all) == 0 {
-		t.Errorf("listeners", "there is none")
+		root.Errorf("listeners", "there is none")
 	}
 	return all
 }
 
-func checkAddress(t tree.Table, key, addr string) {
-	if _, port, err := net.SplitHostPort(addr); err != nil || port == "" {
-		t.Errorf(key, "%q is no host:port", addr)
+// checkAddress reports an address that is not host:port.
+func checkAddress(t tree.Table, key, address string) {
+	if _, port, err := net.SplitHostPort(address); err != nil || port == "" {
+		t.Errorf(key, "%q is no host:port", address)
 	}
 }
--- /dev/null
+++ b/internal/config/guaranteed.go
@@ -0,0 +1,118 @@
+package config
+
+import (
+	"math"
+
+	"lockflow/internal/config/tree"
+)
+
+// dividedResource is a resource of the process of which services have guaranteed parts.
+type dividedResource struct {
+	key      string
+	total    float64
+	isWhole  bool // parts are integers
+	readPart func(tree.Table, string) float64
+	setPart  func(*Amounts, float64)
+}
+
+// divide reads the parts of services that name one, and gives each of the others an even part of the rest,
+// as if there were one service more: that one's part can only be borrowed.
+func (d *dividedResource) divide(c *Config, services []tree.Table) {
+	left := d.total
+	var unnamed []int
+	for i, service := range services {
+		t := service.Sub("guaranteed")
+		if !t.Has(d.key) {
+			unnamed = append(unnamed, i)
+			continue
+		}
+		part := d.readPart(t, d.key)
+		if left -= part; left < 0 && left+part >= 0 {
+			t.Errorf(d.key, "the parts named up to here sum to %g, more than the %g that the process has for services", d.total-left, d.total)
+		}
+		d.setPart(&c.Services[i].Guaranteed, part)
+	}
+	for _, i := range unnamed {
+		even := math.Max(0, left) / float64(len(unnamed)+1)
+		if d.isWhole {
+			even = math.Floor(even)
+		}
+		d.setPart(&c.Services[i].Guaranteed, even)
+	}
+}
+
+// divideResources reads the guaranteed parts of the process's resources.
+func (r *reader) divideResources(process tree.Table, c *Config, services []tree.Table) {
+	total := &c.Process.Total
+	if c.Process.ClientDescriptors > total.Descriptors {
+		process.Errorf("clients", "%d are more than the %d connections that %d descriptors leave", c.Process.ClientDescriptors,
+			total.Descriptors, c.Process.Descriptors)
+		return
+	}
+	descriptors := dividedResource{
+		key: "descriptors", total: float64(total.Descriptors - c.Process.ClientDescriptors), isWhole: true,
+		readPart: integerReader(maxCount), setPart: func(a *Amounts, part float64) { a.Descriptors = int64(part) },
+	}
+	descriptors.divide(c, services)
+	checkTotalRequests(process, c)
+	others := []dividedResource{
+		{
+			key: "held", total: float64(total.Requests), isWhole: true,
+			readPart: integerReader(maxCount), setPart: func(a *Amounts, part float64) { a.Requests = int64(part) },
+		},
+		{
+			key: "bytes", total: float64(total.Bytes), isWhole: true,
+			readPart: func(t tree.Table, key string) float64 { return float64(t.Size(key, 0, 0, maxBytes)) },
+			setPart:  func(a *Amounts, part float64) { a.Bytes = int64(part) },
+		},
+		{
+			key: "dials", total: float64(total.Dials), isWhole: true,
+			readPart: integerReader(maxCount), setPart: func(a *Amounts, part float64) { a.Dials = int64(part) },
+		},
+		{
+			key: "module_time", total: total.ModuleTime,
+			readPart: func(t tree.Table, key string) float64 { return t.Number(key, 0, 0, maxCores) },
+			setPart:  func(a *Amounts, part float64) { a.ModuleTime = part },
+		},
+	}
+	for _, resource := range others {
+		resource.divide(c, services)
+	}
+	checkBytes(c, services)
+}
+
+// checkTotalRequests bounds the requests in flight by the connections that the services' guaranteed ones
+// leave: each has a connection of its client, and with more of them the clients of other services might
+// have none.
+func checkTotalRequests(process tree.Table, c *Config) {
+	capacity := c.Process.Total.Descriptors
+	for _, service := range c.Services {
+		capacity -= service.Guaranteed.Descriptors
+	}
+	capacity = max(capacity, 1)
+	if c.Process.Total.Requests == 0 {
+		c.Process.Total.Requests = capacity
+	} else if c.Process.Total.Requests > capacity {
+		process.Errorf("held", "%d requests need as many connections of clients; the services' guaranteed connections leave %d",
+			c.Process.Total.Requests, capacity)
+	}
+}
+
+// checkBytes reports services whose parts, or the process's bytes, are too few for a single request.
+func checkBytes(c *Config, services []tree.Table) {
+	for i, service := range services {
+		t := service.Sub("guaranteed")
+		t.Done()
+		needed := c.Services[i].maxRequestBytes()
+		if t.Has("bytes") && c.Services[i].Guaranteed.Bytes < needed {
+			t.Errorf("bytes", "it holds no single request: body and answer may have %d", needed)
+		} else if needed > c.Process.Total.Bytes {
+			service.Errorf("answer", "body and answer of one request may have %d bytes, more than the %d of the process",
+				needed, c.Process.Total.Bytes)
+		}
+	}
+}
+
+func integerReader(limit int64) func(tree.Table, string) float64 {
+	return func(t tree.Table, key string) float64 { return float64(t.Integer(key, 0, 0, limit)) }
+}
--- a/internal/config/http.go
+++ b/internal/config/http.go
@@ -15,41 +15,42 @@
 	"lockflow/internal/responseclass"
 )
 
-// protocols are what a service's clients may speak; the first is what a file means that names none.
-var protocols = []string{"http", "platform"}
-
-// Classes and plan of a service of generic HTTP whose file has none of these names.
+// Classes and plan that a service of generic HTTP has by default.
 const (
 	ClassRead   = "read"  // of safe methods
 	ClassWrite  = "write" // of all others
 	PlanDefault = "default"
+)
 
-	withoutKeySuffix = " (no key)" // of a keyed class, for requests without a key
+// withoutKeySuffix is added to the name of a class of requests with an idempotency key, for the class of
+// those without one.
+const withoutKeySuffix = " (no key)"
 
+const (
 	defaultLatencyObjective   = 2 * time.Second
 	defaultHTTPDeadline       = 30 * time.Second
-	defaultHTTPConnectTimeout = time.Second // the platform's networks are one data centre's
+	defaultHTTPConnectTimeout = time.Second // servers may be in another data centre
 	maxUnknownClients         = 1 << 20
 	maxIdleTimeout            = time.Hour
 	minIdleTimeout            = 100 * time.Millisecond
 )
 
-// HTTP is what a service of generic HTTP has beside what all have.
+// HTTP is the settings that only services of generic HTTP have.
 type HTTP struct {
-	ClassWithoutKey   map[string]string // of keyed classes, the one of requests that carry no key
+	ClassWithoutKey   map[string]string // by class with an idempotency key: that of requests without one
 	Customers         customer.Options
-	TimeoutHeader     string
-	SendTimeLeft      bool
-	SendRequestID     bool
-	RetryBufferBytes  int64
+	TimeoutHeader     string // by which a client shortens its deadline; "" is none
+	SendTimeLeft      bool   // to servers, in a header
+	SendRequestID     bool   // to servers, in a header
+	RetryBufferBytes  int64  // of a request's body that are kept for a retry
 	IdleTimeout       time.Duration
-	MinBytesPerSecond int64
+	MinBytesPerSecond int64 // at which a client has to send and to read; 0 is any
 	ResponseRules     responseclass.Rules
-	AllowUnderscores  bool
+	AllowUnderscores  bool // in names of headers
 	ForwardingHeaders hopheaders.ForwardingFormat
 }
 
-// maxRequestBytes is the most bytes that one request can take with its answer.
+// maxRequestBytes is how many bytes one request and its response can take in memory.
 func (s *Service) maxRequestBytes() int64 {
 	if s.HTTP != nil {
 		return s.HTTP.RetryBufferBytes + s.MaxResponseBytes
@@ -57,30 +58,41 @@
 	return s.MaxBodyBytes + s.MaxResponseBytes
 }
 
-// readHTTP reads what only generic HTTP has, and completes the classes and plans.
+// readHTTP reads the settings that only generic HTTP has, and adds the default classes and plan.
 func (r *reader) readHTTP(t tree.Table, s *Service) {
-	h := &HTTP{
-		TimeoutHeader: readHeaderName(t, "time_header"), SendTimeLeft: t.Bool("send_time", false), SendRequestID: t.Bool("send_id", false),
-		RetryBufferBytes: t.Size("replay", 64<<10, 0, maxBodyBytes), IdleTimeout: t.Duration("idle", time.Minute, minIdleTimeout, maxIdleTimeout),
-		MinBytesPerSecond: t.Size("least_rate", 0, 0, 1<<30), AllowUnderscores: t.Bool("underscores", false), ResponseRules: responseclass.DefaultRules(),
+	s.HTTP = &HTTP{
+		TimeoutHeader:     readHeaderName(t, "time_header"),
+		SendTimeLeft:      t.Bool("send_time", false),
+		SendRequestID:     t.Bool("send_id", false),
+		RetryBufferBytes:  t.Size("replay", 64<<10, 0, maxBodyBytes),
+		IdleTimeout:       t.Duration("idle", time.Minute, minIdleTimeout, maxIdleTimeout),
+		MinBytesPerSecond: t.Size("least_rate", 0, 0, 1<<30),
+		AllowUnderscores:  t.Bool("underscores", false),
+		ResponseRules:     readResponseRules(t),
 		ForwardingHeaders: hopheaders.ForwardingFormat(t.OneOf("forwarded", "x-forwarded", "forwarded", "both", "none")),
 	}
-	s.HTTP = h
 	if !t.Has("connect_timeout") {
 		s.ConnectTimeout = defaultHTTPConnectTimeout
 	}
 	if !t.Has("body") {
 		s.MaxBodyBytes = -1
 	}
+	r.addDefaults(s)
+	r.readCustomers(t, s)
+}
+
+// readResponseRules reads which responses are retried elsewhere and which prove that a request never ran.
+func readResponseRules(t tree.Table) responseclass.Rules {
+	rules := responseclass.DefaultRules()
 	if t.Has("elsewhere") {
-		h.ResponseRules.RetryStatuses = nil
-		for _, n := range t.List("elsewhere") {
-			v, ok := n.Value().(int64)
-			if !ok || v < 500 || v > 599 || slices.Contains(h.ResponseRules.RetryStatuses, int(v)) {
-				t.ItemErrorf(n, "elsewhere", "it has to be a list of statuses from 500 to 599, none twice")
+		rules.RetryStatuses = nil
+		for _, item := range t.List("elsewhere") {
+			status, ok := item.Value().(int64)
+			if !ok || status < 500 || status > 599 || slices.Contains(rules.RetryStatuses, int(status)) {
+				t.ItemErrorf(item, "elsewhere", "it has to be a list of statuses from 500 to 599, none twice")
 				continue
 			}
-			h.ResponseRules.RetryStatuses = append(h.ResponseRules.RetryStatuses, int(v))
+			rules.RetryStatuses = append(rules.RetryStatuses, int(status))
 		}
 	}
 	for _, text := range t.Texts("never_ran") {
@@ -88,124 +100,145 @@
 		if err != nil {
 			t.Errorf("never_ran", "%v", err)
 		}
-		h.ResponseRules.RejectionProofs = append(h.ResponseRules.RejectionProofs, proof)
+		rules.RejectionProofs = append(rules.RejectionProofs, proof)
 	}
-	r.addDefaults(s)
-	r.readCustomers(t, s)
+	return rules
 }
 
-// addDefaults gives a service the classes and the plan that it needs and the file doesn't have. A
-// keyed class has a second one, of requests without a key: those must not run twice.
+// addDefaults adds the classes and the plan that generic HTTP needs and the file doesn't have. Each class
+// with an idempotency key gets a second one for requests without a key: those must not run twice.
 func (r *reader) addDefaults(s *Service) {
-	set := &s.Settings
-	has := func(name string) bool {
-		return slices.ContainsFunc(set.Classes, func(k control.Class) bool { return k.Name == name })
-	}
-	for _, k := range []control.Class{{Name: ClassRead, Idempotency: control.Idempotent}, {Name: ClassWrite, Idempotency: control.NotIdempotent}} {
-		k.LatencyObjective, k.Deadline, k.PriorityWeight = defaultLatencyObjective, defaultHTTPDeadline, 1
-		if own, ok := r.classes[k.Name]; ok {
-			k = own
-		}
-		if !has(k.Name) {
-			set.Classes = append(set.Classes, k)
-		}
-	}
-	for _, k := range slices.Clone(set.Classes) {
-		if k.Idempotency != control.IdempotentWithKey {
+	r.addDefaultClass(s, ClassRead, control.Idempotent)
+	r.addDefaultClass(s, ClassWrite, control.NotIdempotent)
+	for _, class := range slices.Clone(s.Settings.Classes) {
+		if class.Idempotency != control.IdempotentWithKey {
 			continue
 		}
+		withoutKey := class
+		withoutKey.Name = class.Name + withoutKeySuffix
+		withoutKey.Idempotency = control.NotIdempotent
+		withoutKey.KeyScope = 0
+		withoutKey.RepeatWindow = 0
 		if s.HTTP.ClassWithoutKey == nil {
 			s.HTTP.ClassWithoutKey = make(map[string]string)
 		}
-		once := k
-		once.Name, once.Idempotency, once.KeyScope, once.RepeatWindow = k.Name+withoutKeySuffix, control.NotIdempotent, 0, 0
-		s.HTTP.ClassWithoutKey[k.Name] = once.Name
-		set.Classes = append(set.Classes, once)
+		s.HTTP.ClassWithoutKey[class.Name] = withoutKey.Name
+		s.Settings.Classes = append(s.Settings.Classes, withoutKey)
 	}
-	if len(set.Plans) == 0 {
-		set.Plans = []control.Plan{{Name: PlanDefault, Price: 1}}
+	if len(s.Settings.Plans) == 0 {
+		s.Settings.Plans = []control.Plan{{Name: PlanDefault, Price: 1}}
 	}
 }
 
-func (r *reader) readCustomers(in tree.Table, s *Service) {
-	t := in.Sub("customers")
-	c := &s.HTTP.Customers
-	c.File = t.String("file", "")
-	if c.File != "" && !filepath.IsAbs(c.File) {
-		t.Errorf("file", "%q is no absolute path", c.File)
+// addDefaultClass adds a class to a service that has none of its name: the file's, or else one with defaults.
+func (r *reader) addDefaultClass(s *Service, name string, idempotency control.Idempotency) {
+	if slices.ContainsFunc(s.Settings.Classes, func(class control.Class) bool { return class.Name == name }) {
+		return
 	}
-	c.DefaultPlan = t.String("default_plan", s.Settings.Plans[0].Name)
-	if !slices.ContainsFunc(s.Settings.Plans, func(p control.Plan) bool { return p.Name == c.DefaultPlan }) {
-		t.Errorf("default_plan", "%q is no plan of the service", c.DefaultPlan)
+	class, ok := r.classes[name]
+	if !ok {
+		class = defaultClass(name, idempotency)
+	}
+	s.Settings.Classes = append(s.Settings.Classes, class)
+}
+
+func defaultClass(name string, idempotency control.Idempotency) control.Class {
+	return control.Class{
+		Name: name, Idempotency: idempotency, LatencyObjective: defaultLatencyObjective, Deadline: defaultHTTPDeadline, PriorityWeight: 1,
+	}
+}
+
+// readCustomers reads how requests are assigned to customers and these to plans.
+func (r *reader) readCustomers(service tree.Table, s *Service) {
+	t := service.Sub("customers")
+	options := &s.HTTP.Customers
+	options.File = t.String("file", "")
+	if options.File != "" && !filepath.IsAbs(options.File) {
+		t.Errorf("file", "%q is no absolute path", options.File)
+	}
+	options.DefaultPlan = t.String("default_plan", s.Settings.Plans[0].Name)
+	if !slices.ContainsFunc(s.Settings.Plans, func(plan control.Plan) bool { return plan.Name == options.DefaultPlan }) {
+		t.Errorf("default_plan", "%q is no plan of the service", options.DefaultPlan)
 	}
 	if len(s.Settings.Plans) > 1 && !t.Has("default_plan") {
 		t.Errorf("default_plan", "it has to be said which of %d plans whoever has none has", len(s.Settings.Plans))
 	}
-	c.MaxUnknown = int(t.Integer("strangers", 4096, 0, maxUnknownClients))
-	for _, one := range t.Tables("by") {
-		if w, ok := readIdentifier(one); ok {
-			c.Identifiers = append(c.Identifiers, w)
+	options.MaxUnknown = int(t.Integer("strangers", 4096, 0, maxUnknownClients))
+	for _, table := range t.Tables("by") {
+		if identifier, ok := readIdentifier(table); ok {
+			options.Identifiers = append(options.Identifiers, identifier)
 		}
-		one.Done()
+		table.Done()
 	}
-	for _, text := range in.Texts("trusted_proxies") {
-		p, err := netip.ParsePrefix(text)
-		if a, single := netip.ParseAddr(text); err != nil && single == nil {
-			p, err = netip.PrefixFrom(a, a.BitLen()), nil
+	options.TrustedProxies = readTrustedProxies(service)
+	t.Done()
+}
+
+func readTrustedProxies(t tree.Table) []netip.Prefix {
+	var proxies []netip.Prefix
+	for _, text := range t.Texts("trusted_proxies") {
+		prefix, err := netip.ParsePrefix(text)
+		if address, addressErr := netip.ParseAddr(text); err != nil && addressErr == nil {
+			prefix, err = netip.PrefixFrom(address, address.BitLen()), nil
 		}
 		if err != nil {
-			in.Errorf("trusted_proxies", "%q is neither an address nor a network", text)
+			t.Errorf("trusted_proxies", "%q is neither an address nor a network", text)
 			continue
 		}
-		c.TrustedProxies = append(c.TrustedProxies, p)
+		proxies = append(proxies, prefix)
 	}
-	t.Done()
+	return proxies
 }
 
-// readIdentifier reads one way to tell a customer: { header = "X-Key" }, query, cookie or address = true.
-func readIdentifier(t tree.Table) (w customer.Identifier, ok bool) {
-	w.IsSecret = t.Bool("secret", false)
-	n := 0
+// readIdentifier reads by what a customer is identified: { header = "X-Key" }, query, cookie or address = true.
+func readIdentifier(t tree.Table) (identifier customer.Identifier, ok bool) {
+	identifier.IsSecret = t.Bool("secret", false)
+	given := 0
 	for kind, key := range []string{"header", "query", "cookie"} {
-		if t.Has(key) {
-			w.Kind, w.Name, n = customer.Kind(kind), t.String(key, ""), n+1
-			if key == "header" {
-				w.Name = readHeaderName(t, key)
-			}
-			if w.Name == "" {
-				t.Errorf(key, "it names nothing")
-			}
+		if !t.Has(key) {
+			continue
+		}
+		given++
+		identifier.Kind = customer.Kind(kind)
+		if key == "header" {
+			identifier.Name = readHeaderName(t, key)
+		} else {
+			identifier.Name = t.String(key, "")
+		}
+		if identifier.Name == "" {
+			t.Errorf(key, "it names nothing")
 		}
 	}
 	if t.Bool("address", false) {
-		w.Kind, n = customer.Address, n+1
+		given++
+		identifier.Kind = customer.Address
 	}
-	if n != 1 {
+	if given != 1 {
 		t.Errorf("", "it has to name one of header, query, cookie or address = true")
 	}
-	return w, n == 1
+	return identifier, given == 1
 }
 
-// readHeaderName reads the name of a header field, in its canonical form.
+// readHeaderName reads the name of a header field and returns it in canonical form.
 func readHeaderName(t tree.Table, key string) string {
-	v := t.String(key, "")
-	for _, b := range []byte(v) {
+	name := t.String(key, "")
+	for _, b := range []byte(name) {
 		if b <= ' ' || b >= 0x7f || strings.IndexByte("\"(),/:;<=>?@[\\]{}", b) >= 0 {
-			t.Errorf(key, "%q is no name of a header", v)
+			t.Errorf(key, "%q is no name of a header", name)
 			return ""
 		}
 	}
-	return textproto.CanonicalMIMEHeaderKey(v)
+	return textproto.CanonicalMIMEHeaderKey(name)
 }
 
-// readUpgrades reads to which protocols a route's requests may change.
+// readUpgrades reads the protocols that a route's requests may switch to.
 func readUpgrades(t tree.Table) []string {
-	var all []string
-	for _, u := range t.Texts("upgrade") {
-		if u == "" || strings.ContainsAny(u, " ,\t") {
-			t.Errorf("upgrade", "%q is no name of a protocol", u)
+	var protocols []string
+	for _, name := range t.Texts("upgrade") {
+		if name == "" || strings.ContainsAny(name, " ,\t") {
+			t.Errorf("upgrade", "%q is no name of a protocol", name)
 		}
-		all = append(all, strings.ToLower(u))
+		protocols = append(protocols, strings.ToLower(name))
 	}
-	return all
+	return protocols
 }
--- a/internal/config/overrides.go
+++ b/internal/config/overrides.go
@@ -7,15 +7,16 @@
 	"path/filepath"
 )
 
-// Overrides are what a command line says in place of the file, so that many instances share one
-// file. What is zero leaves the file's.
+// Overrides are settings of the command line that take the place of the file's, so that several instances
+// share one file. Zero fields leave the file's settings.
 type Overrides struct {
-	Listen                  string
-	ControlSocket, StateDir string
-	Instances, Instance     int // both, where Instances is not 0
+	Listen              string // host:port
+	ControlSocket       string // absolute path
+	StateDir            string // absolute path
+	Instances, Instance int    // both, where Instances is not 0
 }
 
-// Check tells what can't be used.
+// Check returns an error for the first setting that can't be used.
 func (o Overrides) Check() error {
 	if o.Listen != "" {
 		if _, port, err := net.SplitHostPort(o.Listen); err != nil || port == "" {
@@ -30,16 +31,22 @@
 	if len(o.ControlSocket) > maxSocketPath {
 		return fmt.Errorf("control: %d bytes are more than the %d that the address of a Unix socket may have", len(o.ControlSocket), maxSocketPath)
 	}
-	switch {
-	case o.Instances == 0 && o.Instance != 0:
+	return o.checkInstance()
+}
+
+func (o Overrides) checkInstance() error {
+	if o.Instances == 0 && o.Instance != 0 {
 		return errors.New("instance: only with instances")
-	case o.Instances < 0 || o.Instances > maxCount || o.Instance < 0 || o.Instances > 0 && o.Instance >= o.Instances:
+	}
+	isValidSize := o.Instances >= 0 && o.Instances <= maxCount
+	isMember := o.Instances == 0 || o.Instance < o.Instances
+	if !isValidSize || o.Instance < 0 || !isMember {
 		return fmt.Errorf("instance: %d is none of %d, counted from 0", o.Instance, o.Instances)
 	}
 	return nil
 }
 
-// Apply puts them in the place of what a file says.
+// Apply replaces settings of c by those that are set; it changes nothing on an error.
 func (o Overrides) Apply(c *Config) error {
 	if err := o.Check(); err != nil {
 		return err
@@ -55,7 +62,9 @@
 	}
 	if o.Instances > 0 {
 		for i := range c.Services {
-			c.Services[i].Settings.GroupSize, c.Services[i].Settings.SelfIndex = o.Instances, o.Instance
+			settings := &c.Services[i].Settings
+			settings.GroupSize = o.Instances
+			settings.SelfIndex = o.Instance
 		}
 	}
 	return nil
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"math"
 	"net"
@@ -18,7 +19,12 @@
 	"lockflow/internal/wire"
 )
 
-// LoadPlatform reads the platform's JSON file at path (DEPLOY): one service, with no routes.
+const (
+	defaultPlatformKeepalive      = 15 * time.Second
+	defaultPlatformConnectTimeout = 250 * time.Millisecond
+)
+
+// LoadPlatform reads the platform's JSON file at path (DEPLOY). It has one service and no routes.
 func LoadPlatform(path string) (Config, error) {
 	raw, err := readFile(path)
 	if err != nil {
@@ -32,8 +38,8 @@
 	return c, nil
 }
 
-// platformFile is the platform's file. It has these keys in small letters; they are read in any case, and errors
-// name them as here.
+// platformFile is the platform's file. Its keys are in lower case; they are read in any case, and errors
+// name them as the tags do.
 type platformFile struct {
 	Name      string `json:"Name"`
 	Listen    string `json:"Listen"`
@@ -48,110 +54,133 @@
 	Settings json.RawMessage `json:"Settings"`
 }
 
-// validate reports addresses and limits that can't be used. A limit that is missing is none.
+// validate returns an error for addresses and limits that can't be used. A limit that is missing is none.
 func (f *platformFile) validate() error {
 	if f.Listen == "" || f.Discovery == "" {
-		return fmt.Errorf("listen and discovery must both be given")
+		return errors.New("listen and discovery must both be given")
 	}
-	for name, addr := range map[string]string{"listen": f.Listen, "discovery": f.Discovery} {
-		if err := CheckAddress(addr); err != nil {
+	for name, address := range map[string]string{"listen": f.Listen, "discovery": f.Discovery} {
+		if err := CheckAddress(address); err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
 	}
-	if l := f.Limits; l.Sockets != 0 && l.Sockets < limits.MinDescriptors {
-		return fmt.Errorf("limits.sockets: %g leaves no room for connections; %d is the least", l.Sockets, limits.MinDescriptors)
-	} else if l.MemoryMB < 0 || l.Cores < 0 {
-		return fmt.Errorf("limits: cores and memory_mb: %v and %v, of which one is negative", l.Cores, l.MemoryMB)
+	if sockets := f.Limits.Sockets; sockets != 0 && sockets < limits.MinDescriptors {
+		return fmt.Errorf("limits.sockets: %g leaves no room for connections; %d is the least", sockets, limits.MinDescriptors)
+	}
+	if f.Limits.MemoryMB < 0 || f.Limits.Cores < 0 {
+		return fmt.Errorf("limits: cores and memory_mb: %v and %v, of which one is negative", f.Limits.Cores, f.Limits.MemoryMB)
 	}
 	return nil
 }
 
-// ParsePlatform reads the text of such a file.
+// ParsePlatform reads the text of the platform's file.
 func ParsePlatform(raw []byte) (Config, error) {
 	var file platformFile
 	if err := json.Unmarshal(raw, &file); err != nil {
 		return Config{}, err
 	}
-	s := Service{
-		Source: discovery.Source{Address: file.Discovery}, Required: true,
-		MaxBodyBytes: protocol.MaxBodyBytes, MaxResponseBytes: protocol.MaxBodyBytes,
-	}
 	c := Config{
 		Listeners: []string{file.Listen},
 		Process: Process{
-			Cores: file.Limits.Cores, MemoryMB: int(math.Ceil(min(file.Limits.MemoryMB, math.MaxInt32))),
+			Cores:       file.Limits.Cores,
+			MemoryMB:    int(math.Ceil(min(file.Limits.MemoryMB, math.MaxInt32))),
 			Descriptors: int(min(file.Limits.Sockets, math.MaxInt32)),
 		},
 	}
-	err := file.validate()
+	if err := file.validate(); err != nil {
+		return c, err
+	}
+	s, err := file.service()
 	if err != nil {
 		return c, err
 	}
-	if s.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
-		return c, fmt.Errorf("seed: %w", err)
+	c.Process.Drain = platformDrain(longestDeadline(s.Settings))
+	c.Services = []Service{s}
+	c.Warnings = wire.InvalidSettings(s.Settings)
+	return c, nil
+}
+
+// service returns the one service of the platform's file.
+func (f *platformFile) service() (Service, error) {
+	s := Service{
+		Source:           discovery.Source{Address: f.Discovery},
+		Required:         true,
+		MaxBodyBytes:     protocol.MaxBodyBytes,
+		MaxResponseBytes: protocol.MaxBodyBytes,
+		Known:            f.knownEndpoints(),
 	}
-	// Guards against a node that does not start for a list which it is told anew at once.
-	if len(file.Known) > 0 {
-		if err := json.Unmarshal(file.Known, &s.Known); err != nil {
-			s.Known = discovery.EndpointList{Invalid: discovery.InvalidEntries{Count: 1, FirstError: fmt.Errorf("known: %w", err)}}
-		}
+	var err error
+	if s.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
+		return s, fmt.Errorf("seed: %w", err)
 	}
-	paths, err := flatten(file.Settings)
+	paths, err := flatten(f.Settings)
 	if err != nil {
-		return c, fmt.Errorf("settings: %w", err)
+		return s, fmt.Errorf("settings: %w", err)
 	}
 	if s.Settings, err = wire.Settings(paths); err != nil {
-		return c, fmt.Errorf("settings: %w", err)
+		return s, fmt.Errorf("settings: %w", err)
 	}
-	// Lists that are pushed lie with an agent of this node's own; what has to be asked for is shared.
+	// Lists that are pushed come from an agent of this node alone; a service that has to be polled is shared.
 	s.Source.IsOwnAgent = !s.Settings.ListOnRequest
-	s.Settings.ListOnRequest = false // on sockets a watch is always kept; nothing has to be asked for
-	if s.Keepalive, err = milliseconds(paths, "limits.keepalive", 15*time.Second); err != nil {
-		return c, err
+	s.Settings.ListOnRequest = false // over sockets the list is always watched
+	if s.Keepalive, err = milliseconds(paths, "limits.keepalive", defaultPlatformKeepalive); err != nil {
+		return s, err
 	}
-	if s.ConnectTimeout, err = milliseconds(paths, "limits.connect-timeout", 250*time.Millisecond); err != nil {
-		return c, err
+	s.ConnectTimeout, err = milliseconds(paths, "limits.connect-timeout", defaultPlatformConnectTimeout)
+	return s, err
+}
+
+// knownEndpoints returns the endpoint list to begin with. An invalid one does not prevent the start, as
+// discovery sends the list anyway.
+func (f *platformFile) knownEndpoints() (known discovery.EndpointList) {
+	if len(f.Known) == 0 {
+		return known
 	}
-	c.Process.Drain = platformDrain(longestDeadline(s.Settings))
-	c.Services, c.Warnings = []Service{s}, wire.InvalidSettings(s.Settings)
-	return c, nil
+	if err := json.Unmarshal(f.Known, &known); err != nil {
+		known = discovery.EndpointList{Invalid: discovery.InvalidEntries{Count: 1, FirstError: fmt.Errorf("known: %w", err)}}
+	}
+	return known
 }
 
-// CheckAddress tells what makes an address none that can be connected to or listened on: without DNS
-// there are no named ports either.
-func CheckAddress(addr string) error {
-	host, port, err := net.SplitHostPort(addr)
+// CheckAddress returns an error for an address that can't be connected to or listened on. The port has to
+// be a number: without name service there are no named ones.
+func CheckAddress(address string) error {
+	host, port, err := net.SplitHostPort(address)
 	if err != nil {
 		return err
 	}
 	if _, err := strconv.ParseUint(port, 10, 16); err != nil {
-		return fmt.Errorf("%q: the port is no number below 65536", addr)
+		return fmt.Errorf("%q: the port is no number below 65536", address)
 	}
-	if _, err := url.Parse("http://" + addr); err != nil {
-		return fmt.Errorf("%q: %q is no host", addr, host)
+	if _, err := url.Parse("http://" + address); err != nil {
+		return fmt.Errorf("%q: %q is no host", address, host)
 	}
 	return nil
 }
 
-// milliseconds reads a span of the settings that is the node's own business.
+// maxMilliseconds is the exclusive bound of a duration in the platform's settings.
+const maxMilliseconds = 1e9
+
+// milliseconds returns a duration among the settings that package control does not read.
 func milliseconds(paths map[string]string, path string, missing time.Duration) (time.Duration, error) {
 	text, ok := paths[path]
 	if !ok {
 		return missing, nil
 	}
 	v, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(v > 0 && v < 1e9) {
+	if err != nil || !(v > 0 && v < maxMilliseconds) {
 		return 0, fmt.Errorf("settings: %s: %q is no span in milliseconds", path, text)
 	}
 	return time.Duration(v * float64(time.Millisecond)), nil
 }
 
-// flatten turns nested JSON into the dotted paths that package wire reads.
+// flatten returns the values of nested JSON by dotted path, as package wire reads them. A list has its
+// length at its path with ".count"; lists of scalars are joined by commas.
 func flatten(raw json.RawMessage) (map[string]string, error) {
-	d := json.NewDecoder(bytes.NewReader(raw))
-	d.UseNumber()
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.UseNumber()
 	var tree map[string]any
-	if err := d.Decode(&tree); err != nil {
+	if err := decoder.Decode(&tree); err != nil {
 		return nil, err
 	}
 	paths := make(map[string]string)
@@ -159,27 +188,27 @@
 	return paths, nil
 }
 
-func flattenInto(paths map[string]string, prefix string, v any) {
-	switch v := v.(type) {
+func flattenInto(paths map[string]string, prefix string, value any) {
+	switch value := value.(type) {
 	case map[string]any:
-		for k, item := range v {
-			flattenInto(paths, strings.TrimPrefix(prefix+"."+k, "."), item)
+		for key, item := range value {
+			flattenInto(paths, strings.TrimPrefix(prefix+"."+key, "."), item)
 		}
 	case []any:
-		var plain []string
-		for i, item := range v {
-			if _, ok := item.(map[string]any); ok {
+		var scalars []string
+		for i, item := range value {
+			if _, isTable := item.(map[string]any); isTable {
 				flattenInto(paths, prefix+"."+strconv.Itoa(i), item)
 			} else {
-				plain = append(plain, fmt.Sprint(item))
+				scalars = append(scalars, fmt.Sprint(item))
 			}
 		}
-		paths[prefix+".count"] = strconv.Itoa(len(v))
-		if plain != nil {
-			paths[prefix] = strings.Join(plain, ",")
+		paths[prefix+".count"] = strconv.Itoa(len(value))
+		if scalars != nil {
+			paths[prefix] = strings.Join(scalars, ",")
 		}
 	case nil:
 	default:
-		paths[prefix] = fmt.Sprint(v)
+		paths[prefix] = fmt.Sprint(value)
 	}
 }
--- a/internal/config/quota_counter.go
+++ b/internal/config/quota_counter.go
@@ -11,56 +11,74 @@
 	"lockflow/internal/quotalease"
 )
 
-// readCounter reads how a service's ceilings are shared. What can't be kept by its figures is wrong here,
-// and not found out in service.
+// defaultCallTimeout is the timeout of a call to a Redis server.
+const defaultCallTimeout = 200 * time.Millisecond
+
+// readCounter reads how a service's hard limits are shared. Leases that could not keep to the limits are
+// reported here.
 func (r *reader) readCounter(t tree.Table, name string, plans []control.Plan) Counter {
 	c := Counter{
-		Addresses: t.Texts("addresses"), Name: t.String("name", name), Username: t.String("username", ""), PasswordFile: readPath(t, "password_file"),
-		CallTimeout: t.Duration("within", 200*time.Millisecond, time.Millisecond, quotalease.CallTimeout), HardLimits: make(map[string]quotalease.HardLimit),
+		Addresses:    t.Texts("addresses"),
+		Name:         t.String("name", name),
+		Username:     t.String("username", ""),
+		PasswordFile: readPath(t, "password_file"),
+		CallTimeout:  t.Duration("within", defaultCallTimeout, time.Millisecond, quotalease.CallTimeout),
+		HardLimits:   make(map[string]quotalease.HardLimit),
 	}
 	c.Rules = quotalease.Rules{
-		Instances: max(1, r.group.size), Term: t.Duration("term", time.Second, 10*time.Millisecond, time.Minute),
-		ReservationTime: t.Duration("pledge", 2*time.Second, 10*time.Millisecond, time.Hour), ResizeTime: t.Duration("settle", 10*time.Second, 10*time.Millisecond, day),
-		MaxDrift: t.Number("drift", 0.001, 0, 0.1),
+		Instances:       max(1, r.groupSize),
+		Term:            t.Duration("term", time.Second, 10*time.Millisecond, time.Minute),
+		ReservationTime: t.Duration("pledge", 2*time.Second, 10*time.Millisecond, time.Hour),
+		ResizeTime:      t.Duration("settle", 10*time.Second, 10*time.Millisecond, day),
+		MaxDrift:        t.Number("drift", 0.001, 0, 0.1),
 	}
-	maxOver := t.Number("over", 0.05, 0, 1)
+	maxExcess := t.Number("over", 0.05, 0, 1)
+	r.checkCounter(t, &c)
+	for _, plan := range plans {
+		if plan.HardLimitRate == 0 {
+			continue
+		}
+		limit := quotalease.HardLimit{Rate: plan.HardLimitRate, Burst: plan.HardLimitBurst}
+		c.HardLimits[plan.Name] = limit
+		if excess := c.Rules.MaxExcess(limit, time.Minute); excess > maxExcess {
+			bound := c.Rules.Bound(limit)
+			t.Errorf("over", "plan %s: a minute may hold %.4g + 60*%.4g units, which is %.1f%% more than %.4g + 60*%.4g, and not %.1f%%: its term is too long, or clocks too wrong",
+				plan.Name, bound.Burst, bound.Rate, 100*excess, limit.Burst, limit.Rate, 100*maxExcess)
+		}
+	}
+	if len(c.HardLimits) == 0 {
+		t.Errorf("addresses", "no plan of the service has a ceiling")
+	}
+	t.Done()
+	return c
+}
+
+// checkCounter reports addresses, names and rules that can't be used.
+func (r *reader) checkCounter(t tree.Table, c *Counter) {
 	if len(c.Addresses) == 0 {
 		t.Errorf("addresses", "a counter needs one at least")
 	}
-	for i, a := range c.Addresses {
-		if _, _, err := net.SplitHostPort(a); err != nil {
-			t.Errorf("addresses", "%q: %v", a, err)
+	for i, address := range c.Addresses {
+		if _, _, err := net.SplitHostPort(address); err != nil {
+			t.Errorf("addresses", "%q: %v", address, err)
 		}
-		if slices.Contains(c.Addresses[:i], a) {
-			t.Errorf("addresses", "%q is there twice", a)
+		if slices.Contains(c.Addresses[:i], address) {
+			t.Errorf("addresses", "%q is there twice", address)
 		}
 	}
-	if c.Name == "" || strings.ContainsAny(c.Name, "{} \t\r\n") {
-		t.Errorf("name", "%q can't be a part of keys", c.Name)
-	}
-	// Guards against two that each have a part of the same ceiling.
-	if r.counterNames[c.Name] {
+	checkKeyName(t, c.Name)
+	if r.counterNames[c.Name] { // both would have the complete hard limit
 		t.Errorf("name", "another service counts as %q", c.Name)
 	}
 	r.counterNames[c.Name] = true
 	if err := c.Rules.Validate(); err != nil {
 		t.Errorf("term", "%v", err)
 	}
-	for _, p := range plans {
-		if p.HardLimitRate == 0 {
-			continue
-		}
-		of := quotalease.HardLimit{Rate: p.HardLimitRate, Burst: p.HardLimitBurst}
-		c.HardLimits[p.Name] = of
-		if over := c.Rules.MaxExcess(of, time.Minute); over > maxOver {
-			b := c.Rules.Bound(of)
-			t.Errorf("over", "plan %s: a minute may hold %.4g + 60*%.4g units, which is %.1f%% more than %.4g + 60*%.4g, and not %.1f%%: its term is too long, or clocks too wrong",
-				p.Name, b.Burst, b.Rate, 100*over, of.Burst, of.Rate, 100*maxOver)
-		}
-	}
-	if len(c.HardLimits) == 0 {
-		t.Errorf("addresses", "no plan of the service has a ceiling")
+}
+
+// checkKeyName reports a name that can't be a part of the keys of a Redis server.
+func checkKeyName(t tree.Table, name string) {
+	if name == "" || strings.ContainsAny(name, "{} \t\r\n") {
+		t.Errorf("name", "%q can't be a part of keys", name)
 	}
-	t.Done()
-	return c
 }
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -9,11 +9,11 @@
 	"lockflow/internal/service"
 )
 
-// readRoutes reads the routes and holds them to the services.
+// readRoutes reads the routes and checks them against the services.
 func (r *reader) readRoutes(root tree.Table, c *Config) {
-	byName := make(map[string]*Service)
+	services := make(map[string]*Service)
 	for i := range c.Services {
-		byName[c.Services[i].Name] = &c.Services[i]
+		services[c.Services[i].Name] = &c.Services[i]
 	}
 	tables := root.Tables("routes")
 	if len(tables) == 0 {
@@ -23,74 +23,91 @@
 	names := make(map[string]bool)
 	reached := make(map[string]bool)
 	for i, t := range tables {
-		one := Route{RequestClass: t.String("as", "")}
-		one.Name, one.Service = t.String("name", ""), t.String("service", "")
-		if one.Name == "" {
-			one.Name = fmt.Sprintf("route-%d", i+1)
-		}
+		one := readRoute(t, i)
 		if names[one.Name] {
 			t.Errorf("name", "%q is given twice", one.Name)
 		}
 		names[one.Name] = true
-		one.Host, one.Path, one.Prefix = t.String("host", ""), t.String("path", ""), t.String("prefix", "")
-		one.Method, one.Class = t.String("method", ""), t.String("class", "")
-		one.Upgrade = readUpgrades(t)
-		for _, h := range t.Texts("headers") {
-			name, value, equal := strings.Cut(h, ":")
-			one.Headers = append(one.Headers, route.Header{Name: name, Value: strings.Trim(value, " \t"), Any: !equal})
-		}
-		if g := c.findGather(one.Service); g != nil {
+		if gather := c.findGather(one.Service); gather != nil {
 			reached[one.Service] = true
-			r.checkGatherRoute(t, one, c, g)
-		} else if s := byName[one.Service]; s == nil {
-			t.Errorf("service", "%q is no service", one.Service)
-		} else {
+			r.checkGatherRoute(t, one, c, gather)
+		} else if service := services[one.Service]; service != nil {
 			reached[one.Service] = true
-			checkRoute(t, one, s)
+			checkRoute(t, one, service)
+		} else {
+			t.Errorf("service", "%q is no service", one.Service)
 		}
 		t.Done()
-		c.Routes, rules = append(c.Routes, one), append(rules, one.Rule)
+		c.Routes = append(c.Routes, one)
+		rules = append(rules, one.Rule)
 	}
 	_, problems := route.New(rules)
-	for _, p := range problems {
-		tables[p.Index].Errorf(p.Key, "%v", p.Err)
+	for _, problem := range problems {
+		tables[problem.Index].Errorf(problem.Key, "%v", problem.Err)
 	}
 	r.checkGathers(root, c, reached)
-	for _, s := range c.Services {
-		if !reached[s.Name] {
-			root.Sub("services").Errorf(s.Name, "no route leads to it")
+	for _, service := range c.Services {
+		if !reached[service.Name] {
+			root.Sub("services").Errorf(service.Name, "no route leads to it")
 		}
 	}
 }
 
-// checkRoute looks whether a service could take any request of a route.
+// readRoute reads the route at an index of the file's list.
+func readRoute(t tree.Table, index int) Route {
+	one := Route{RequestClass: t.String("as", "")}
+	one.Name = t.String("name", "")
+	if one.Name == "" {
+		one.Name = fmt.Sprintf("route-%d", index+1)
+	}
+	one.Service = t.String("service", "")
+	one.Host = t.String("host", "")
+	one.Path = t.String("path", "")
+	one.Prefix = t.String("prefix", "")
+	one.Method = t.String("method", "")
+	one.Class = t.String("class", "")
+	one.Upgrade = readUpgrades(t)
+	for _, text := range t.Texts("headers") {
+		name, value, hasValue := strings.Cut(text, ":")
+		one.Headers = append(one.Headers, route.Header{Name: name, Value: strings.Trim(value, " \t"), Any: !hasValue})
+	}
+	return one
+}
+
+// checkRoute reports a route of which no request could be served by its service.
 func checkRoute(t tree.Table, r Route, s *Service) {
-	name, key := r.RequestClass, "as"
 	if len(r.Upgrade) > 0 && s.HTTP == nil {
 		t.Errorf("upgrade", `only to a service of protocol = "http"`)
 	}
-	if s.HTTP != nil && name == "" { // its classes follow from the method
+	if s.HTTP != nil && r.RequestClass == "" { // classes follow from the method
 		return
 	}
-	if name == "" {
-		name, key = r.Class, "class"
-	}
-	if name == "" {
-		if name, key = route.FirstSegment(r.Path+r.Prefix), "prefix"; r.Path != "" {
-			key = "path"
-		}
-	}
-	if name == "" || len(s.Settings.Classes) == 0 { // the latter has been told
+	name, key := classOfRoute(r)
+	if name == "" || len(s.Settings.Classes) == 0 { // a service without classes is reported elsewhere
 		return
 	}
-	for _, k := range s.Settings.Classes {
-		if k.Name != name {
+	for _, class := range s.Settings.Classes {
+		if class.Name != name {
 			continue
 		}
-		if want := service.ClassMethod(k); s.HTTP == nil && r.Method != "" && r.Method != want {
-			t.Errorf("method", "can never be served: class %s is asked for by %s", name, want)
+		method := service.ClassMethod(class)
+		if s.HTTP == nil && r.Method != "" && r.Method != method {
+			t.Errorf("method", "can never be served: class %s is asked for by %s", name, method)
 		}
 		return
 	}
 	t.Errorf(key, "can never be served: service %s has no class %q (as = ... names one)", s.Name, name)
 }
+
+// classOfRoute returns the class that a route's requests have, "" for several, and the key that decides it.
+func classOfRoute(r Route) (name, key string) {
+	switch {
+	case r.RequestClass != "":
+		return r.RequestClass, "as"
+	case r.Class != "":
+		return r.Class, "class"
+	case r.Path != "":
+		return route.FirstSegment(r.Path + r.Prefix), "path"
+	}
+	return route.FirstSegment(r.Path + r.Prefix), "prefix"
+}
