--- a/internal/config/guaranteed.go
+++ b/internal/config/guaranteed.go
@@ -8,11 +8,11 @@
 
 // dividedResource is a resource of the process of which services have guaranteed parts.
 type dividedResource struct {
-	key      string
-	total    float64
-	isWhole  bool // parts are integers
-	readPart func(tree.Table, string) float64
-	setPart  func(*Amounts, float64)
+	key       string
+	total     float64
+	isInteger bool // parts are integers
+	readPart  func(tree.Table, string) float64
+	setPart   func(*Amounts, float64)
 }
 
 // divide reads the parts of services that name one, and gives each of the others an even part of the rest,
@@ -34,7 +34,7 @@
 	}
 	for _, i := range unnamed {
 		even := math.Max(0, left) / float64(len(unnamed)+1)
-		if d.isWhole {
+		if d.isInteger {
 			even = math.Floor(even)
 		}
 		d.setPart(&c.Services[i].Guaranteed, even)
@@ -50,23 +50,23 @@
 		return
 	}
 	descriptors := dividedResource{
-		key: "descriptors", total: float64(total.Descriptors - c.Process.ClientDescriptors), isWhole: true,
+		key: "descriptors", total: float64(total.Descriptors - c.Process.ClientDescriptors), isInteger: true,
 		readPart: integerReader(maxCount), setPart: func(a *Amounts, part float64) { a.Descriptors = int64(part) },
 	}
 	descriptors.divide(c, services)
 	checkTotalRequests(process, c)
-	others := []dividedResource{
+	remaining := []dividedResource{
 		{
-			key: "held", total: float64(total.Requests), isWhole: true,
+			key: "held", total: float64(total.Requests), isInteger: true,
 			readPart: integerReader(maxCount), setPart: func(a *Amounts, part float64) { a.Requests = int64(part) },
 		},
 		{
-			key: "bytes", total: float64(total.Bytes), isWhole: true,
+			key: "bytes", total: float64(total.Bytes), isInteger: true,
 			readPart: func(t tree.Table, key string) float64 { return float64(t.Size(key, 0, 0, maxBytes)) },
 			setPart:  func(a *Amounts, part float64) { a.Bytes = int64(part) },
 		},
 		{
-			key: "dials", total: float64(total.Dials), isWhole: true,
+			key: "dials", total: float64(total.Dials), isInteger: true,
 			readPart: integerReader(maxCount), setPart: func(a *Amounts, part float64) { a.Dials = int64(part) },
 		},
 		{
@@ -75,7 +75,7 @@
 			setPart:  func(a *Amounts, part float64) { a.ModuleTime = part },
 		},
 	}
-	for _, resource := range others {
+	for _, resource := range remaining {
 		resource.divide(c, services)
 	}
 	checkBytes(c, services)
--- a/internal/config/tree/merge.go
+++ b/internal/config/tree/merge.go
@@ -8,14 +8,14 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// RemovedKeys is the key of a change that lists what it leaves out of the base, each a dotted key; a table
-// of a named list is its key and name.
+// RemovedKeys is the key of a change with the list of the dotted keys that it removes from the base. A table
+// of a list whose items have names is removed by the list's key and its name.
 const RemovedKeys = "without"
 
-// MergeOver gives what a change makes of a base, as one document: tables are merged by key; of the top
-// level's lists in named, tables are put in place of those of the same name, or come after the others;
-// any other value of the change stands in place of the base's. Each value keeps the file and line that
-// it was read at, and is as if nobody had read it. Neither of the two is changed.
+// MergeOver returns the base with a change applied to it, as one document. Tables are merged by key. In the
+// lists of the top level whose keys are in named, a table of the change replaces the one of its name, or is
+// appended. Any other value of the change replaces the base's. Each value keeps its file and line, and no
+// key counts as read. Neither document is changed.
 func (t Table) MergeOver(base Table, named ...string) Table {
 	root := base.node.clone()
 	for _, key := range t.Texts(RemovedKeys) {
@@ -26,7 +26,9 @@
 	change := t.node.clone()
 	delete(change.table, RemovedKeys)
 	for _, key := range named {
-		if c, b := change.table[key], root.table[key]; c != nil && b != nil && c.isList && b.isList {
+		c, b := change.table[key], root.table[key]
+		areLists := c != nil && b != nil && c.isList && b.isList
+		if areLists {
 			b.array = mergeByName(b.array, c.array)
 			delete(change.table, key)
 		}
@@ -37,7 +39,10 @@
 
 func (n *Node) clone() *Node {
 	c := *n
-	c.read, c.merged, c.array, c.table = false, true, nil, nil
+	c.read = false
+	c.merged = true
+	c.array = nil
+	c.table = nil
 	for _, item := range n.array {
 		c.array = append(c.array, item.clone())
 	}
@@ -50,7 +55,7 @@
 	return &c
 }
 
-// remove takes a key out, if it is there.
+// remove removes a dotted key and tells whether it was there.
 func remove(root *Node, key string, named []string) bool {
 	first, rest, _ := strings.Cut(key, ".")
 	if in := root.table[first]; in != nil && slices.Contains(named, first) {
@@ -111,7 +116,7 @@
 	}
 }
 
-// Text writes the document as TOML, with sorted keys: the same for documents that say the same.
+// Text returns the document as TOML with sorted keys, so that equal documents have equal texts.
 func (t Table) Text() ([]byte, error) {
 	raw, err := toml.Marshal(t.node.plainValue())
 	if err != nil {
@@ -120,7 +125,7 @@
 	return raw, nil
 }
 
-// plainValue is the node as a library writes it.
+// plainValue returns the node as the type that the TOML library encodes.
 func (n *Node) plainValue() any {
 	switch {
 	case n.table != nil:
@@ -136,7 +141,7 @@
 		}
 		return all
 	case n.value == unsupported{}:
-		return "" // no key of ours is a time: reading has told it
+		return "" // no key has a time: reading has recorded an error
 	}
 	return n.value
 }
--- a/internal/config/tree/table.go
+++ b/internal/config/tree/table.go
@@ -11,21 +11,22 @@
 	"time"
 )
 
-// Table reads a table key by key and notes which were read.
+// Table reads a table of a document key by key and records which keys were read. A missing key reads as
+// its fallback; for a value that can't be used an error is recorded, and it reads as the fallback too.
 type Table struct {
 	reading *Reading
 	node    *Node
 	path    string // dotted; "" is the document
 }
 
-// Node is where it stands.
+// Node returns the table's node.
 func (t Table) Node() *Node { return t.node }
 
-// Path is a key of the table's, dotted.
+// Path returns the dotted path of a key of the table.
 func (t Table) Path(key string) string { return strings.TrimPrefix(t.path+"."+key, ".") }
 
-// Errorf says what is wrong with a key; where it is not given, the table's line is told. The key "" is
-// the table itself.
+// Errorf records an error of a key, with the line of the table where the key is missing. The key "" is the
+// table itself.
 func (t Table) Errorf(key, format string, args ...any) {
 	n := t.node
 	if in := t.node.table[key]; in != nil {
@@ -34,7 +35,7 @@
 	t.ItemErrorf(n, key, format, args...)
 }
 
-// ItemErrorf says what is wrong with an item of a key's list.
+// ItemErrorf records an error of an item of a key's list.
 func (t Table) ItemErrorf(n *Node, key, format string, args ...any) {
 	at := t.path
 	if key != "" {
@@ -46,7 +47,7 @@
 // Has tells whether a key is given.
 func (t Table) Has(key string) bool { return t.node.table[key] != nil }
 
-// get is a key's value, if it is given; one of another type is wrong.
+// get returns the value of a key, and false where it is missing or, as an error, of another type.
 func get[T any](t Table, key, want string) (v T, ok bool) {
 	n := t.node.table[key]
 	if n == nil {
@@ -59,23 +60,23 @@
 	return v, ok
 }
 
-// String reads a text.
-func (t Table) String(key, missing string) string {
+// String reads a text. It is no fmt.Stringer.
+func (t Table) String(key, fallback string) string {
 	if v, ok := get[string](t, key, "a text"); ok {
 		return v
 	}
-	return missing
+	return fallback
 }
 
-// Bool reads true or false.
-func (t Table) Bool(key string, missing bool) bool {
+// Bool reads a boolean.
+func (t Table) Bool(key string, fallback bool) bool {
 	if v, ok := get[bool](t, key, "true or false"); ok {
 		return v
 	}
-	return missing
+	return fallback
 }
 
-// OneOf reads one of some words and gives its place among them.
+// OneOf reads one of several words and returns its index; 0 where the key is missing.
 func (t Table) OneOf(key string, words ...string) int {
 	if !t.Has(key) {
 		return 0
@@ -88,29 +89,30 @@
 	return max(i, 0)
 }
 
-// Integer reads a whole number within bounds.
-func (t Table) Integer(key string, missing, lower, upper int64) int64 {
+// Integer reads an integer between two bounds, inclusive.
+func (t Table) Integer(key string, fallback, lower, upper int64) int64 {
 	v, ok := get[int64](t, key, "a whole number")
 	if !ok {
-		return missing
+		return fallback
 	}
-	return bounded(t, key, v, missing, lower, upper)
+	return bounded(t, key, v, fallback, lower, upper)
 }
 
-// bounded gives a value that is within bounds; another one, or none, is wrong.
-func bounded[T cmp.Ordered](t Table, key string, v, missing, lower, upper T) T {
-	if !(v >= lower && v <= upper) { // also of no number
+// bounded returns a value that is between two bounds, inclusive; for any other it records an error and
+// returns the fallback.
+func bounded[T cmp.Ordered](t Table, key string, v, fallback, lower, upper T) T {
+	if !(v >= lower && v <= upper) { // also for NaN
 		t.Errorf(key, "%v is not within %v and %v", v, lower, upper)
-		return missing
+		return fallback
 	}
 	return v
 }
 
-// Number reads a number, whole or not, within bounds.
-func (t Table) Number(key string, missing, lower, upper float64) float64 {
+// Number reads a number between two bounds, inclusive.
+func (t Table) Number(key string, fallback, lower, upper float64) float64 {
 	n := t.node.table[key]
 	if n == nil {
-		return missing
+		return fallback
 	}
 	n.read = true
 	v, ok := n.value.(float64)
@@ -119,61 +121,70 @@
 	}
 	if !ok {
 		t.Errorf(key, "it has to be a number")
-		return missing
+		return fallback
 	}
-	return bounded(t, key, v, missing, lower, upper)
+	return bounded(t, key, v, fallback, lower, upper)
 }
 
-// Duration reads a time such as "250ms" within bounds.
-func (t Table) Duration(key string, missing, lower, upper time.Duration) time.Duration {
+// Duration reads a duration such as "250ms" between two bounds, inclusive.
+func (t Table) Duration(key string, fallback, lower, upper time.Duration) time.Duration {
 	s, ok := get[string](t, key, `a time such as "250ms"`)
 	if !ok {
-		return missing
+		return fallback
 	}
 	d, err := time.ParseDuration(s)
 	if err != nil {
 		t.Errorf(key, `%q is no time such as "250ms"`, s)
-		return missing
+		return fallback
 	}
-	return bounded(t, key, d, missing, lower, upper)
+	return bounded(t, key, d, fallback, lower, upper)
 }
 
-var sizes = []struct {
-	unit string
-	size int64
+// sizeUnits are the units of sizes, in bytes. "B" is the last, as it ends the others too.
+var sizeUnits = []struct {
+	name  string
+	bytes int64
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"B", 1}}
 
-// Size reads bytes: a whole number or a text such as "16MiB".
-func (t Table) Size(key string, missing, lower, upper int64) int64 {
+// parseSize returns the bytes of a text such as "16MiB".
+func parseSize(text string) (bytes int64, ok bool) {
+	for _, unit := range sizeUnits {
+		digits, hasUnit := strings.CutSuffix(text, unit.name)
+		if !hasUnit {
+			continue
+		}
+		count, err := strconv.ParseInt(strings.TrimSpace(digits), 10, 64)
+		if err != nil || count < 0 || count > math.MaxInt64/unit.bytes {
+			return 0, false
+		}
+		return count * unit.bytes, true
+	}
+	return 0, false
+}
+
+// Size reads a number of bytes between two bounds, inclusive: an integer or a text such as "16MiB".
+func (t Table) Size(key string, fallback, lower, upper int64) int64 {
 	n := t.node.table[key]
 	if n == nil {
-		return missing
+		return fallback
 	}
 	n.read = true
 	v, ok := n.value.(int64)
-	if s, isText := n.value.(string); isText {
-		for _, u := range sizes {
-			if digits, has := strings.CutSuffix(s, u.unit); has {
-				i, err := strconv.ParseInt(strings.TrimSpace(digits), 10, 64)
-				if ok = err == nil && i >= 0 && i <= math.MaxInt64/u.size; ok {
-					v = i * u.size
-				}
-				break
-			}
-		}
+	if text, isText := n.value.(string); isText {
+		v, ok = parseSize(text)
 	}
 	if !ok {
 		t.Errorf(key, `it has to be a number of bytes or a size such as "16MiB"`)
-		return missing
+		return fallback
 	}
 	if v < lower || v > upper {
 		t.Errorf(key, "%d bytes are not within %d and %d", v, lower, upper)
-		return missing
+		return fallback
 	}
 	return v
 }
 
-// Texts reads a list of texts, none twice.
+// Texts reads a list of distinct texts.
 func (t Table) Texts(key string) []string {
 	var all []string
 	for i, n := range t.List(key) {
@@ -190,7 +201,7 @@
 	return all
 }
 
-// List reads a list.
+// List reads a list of any values; it is empty where the key is missing.
 func (t Table) List(key string) []*Node {
 	n := t.node.table[key]
 	if n == nil {
@@ -203,7 +214,7 @@
 	return n.array
 }
 
-// Tables reads a list of tables.
+// Tables reads a list of tables; items of other types are recorded as errors and left out.
 func (t Table) Tables(key string) []Table {
 	var all []Table
 	for i, n := range t.List(key) {
@@ -214,7 +225,7 @@
 	return all
 }
 
-// Sub reads a table; one that is not given is empty.
+// Sub reads a table; it is empty where the key is missing.
 func (t Table) Sub(key string) Table {
 	n := t.node.table[key]
 	if n == nil {
@@ -228,7 +239,8 @@
 	return Table{t.reading, n, t.Path(key)}
 }
 
-// NamedTables reads the tables in a table, by line; those of merged documents by name.
+// NamedTables reads the tables in a table, in the order of their lines; those of merged documents in the
+// order of their names.
 func (t Table) NamedTables(key string) (names []string, each []Table) {
 	in := t.Sub(key)
 	for name := range in.node.table {
@@ -247,7 +259,7 @@
 	return names, each
 }
 
-// Done says which keys of the table nobody has read.
+// Done records an error for each key of the table that was not read.
 func (t Table) Done() {
 	for key, n := range t.node.table {
 		if !n.read {
@@ -256,7 +268,7 @@
 	}
 }
 
-// Value is a key's value, of whatever type it is; nil where it is not given, or a table or a list.
+// Value returns the value of a key, of any type; nil where it is missing, a table or a list.
 func (t Table) Value(key string) any {
 	n := t.node.table[key]
 	if n == nil {
@@ -266,7 +278,7 @@
 	return n.value
 }
 
-// Item is an item of a key's list, read as a table.
+// Item reads the i-th item of a key's list as a table.
 func (t Table) Item(n *Node, key string, i int) (item Table, ok bool) {
 	path := fmt.Sprintf("%s[%d]", t.Path(key), i+1)
 	if n.table == nil {
@@ -275,7 +287,7 @@
 	return Table{t.reading, n, path}, n.table != nil
 }
 
-// Empty is a document of the same reading that says nothing.
+// Empty returns an empty document of the same reading.
 func (t Table) Empty() Table {
 	return Table{t.reading, &Node{file: t.node.file, line: 1, table: map[string]*Node{}}, ""}
 }
--- a/internal/config/tree/tree.go
+++ b/internal/config/tree/tree.go
@@ -1,5 +1,5 @@
-// Package tree reads TOML documents so that everything wrong in one is told with its file, line and
-// key: also that a key is unknown, or that what a document says over another one can't be.
+// Package tree reads TOML documents and records all errors in them with their file, line and key, unknown
+// keys among them. It also merges a document that changes another into it.
 package tree
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// FieldError is one thing that is wrong in a file, and where.
+// FieldError is one error in a file, with its place.
 type FieldError struct {
 	File string
 	Line int    // from 1
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("%s:%d: %s: %s", p.File, p.Line, p.Key, p.Text)
 }
 
-// FieldErrors are all that is wrong in a file, by line.
+// FieldErrors are all errors in files, by file and line.
 type FieldErrors []FieldError
 
 func (ps FieldErrors) Error() string {
@@ -40,37 +40,39 @@
 	return strings.Join(lines, "\n")
 }
 
-// Node is a value of a TOML document with the line that it stands on.
+// Node is a value of a TOML document with its place: a table, a list or a scalar.
 type Node struct {
 	file  string
 	line  int
-	table map[string]*Node
-	array []*Node
-	// Of one that is neither: string, int64, float64, bool, toml.LocalDate, or other (a time).
+	table map[string]*Node // nil unless it is a table
+	array []*Node          // of a list
+	// value is that of a scalar: string, int64, float64, bool, toml.LocalDate, or unsupported.
 	value  any
 	isList bool
-	read   bool
-	merged bool // of several documents: its keys come by name, as in the text that is written of it
+	read   bool // by a Table; others are unknown keys
+	merged bool // from several documents: its keys are in the order of their names, as Text writes them
 }
 
+// unsupported is the value of a type that no key has: a time.
 type unsupported struct{}
 
-// File is the name of the file that it stands in.
+// File returns the name of the value's file.
 func (n *Node) File() string { return n.file }
 
-// Line is the line that it stands on, from 1.
+// Line returns the value's line, from 1.
 func (n *Node) Line() int { return n.line }
 
-// Value is a string, int64, float64, bool or toml.LocalDate; nil of a table or a list.
+// Value returns a string, int64, float64, bool or toml.LocalDate; nil for a table or a list.
 func (n *Node) Value() any { return n.value }
 
-// Reading collects what is wrong while documents are read. Its zero value is ready.
+// Reading collects the errors of the documents that are read with it. The zero value is ready for use. It is
+// not safe for concurrent use.
 type Reading struct {
 	problems FieldErrors
 	reported map[FieldError]bool // by place
 }
 
-// Err is of type FieldErrors, by file and line; nil where nothing is wrong.
+// Err returns all errors as FieldErrors, by file and line; nil where there are none.
 func (r *Reading) Err() error {
 	if r.problems == nil {
 		return nil
@@ -81,7 +83,8 @@
 	return r.problems
 }
 
-// Errorf notes what is wrong at a place; what follows there from the first is not told.
+// Errorf records an error at a place. Of several errors at one place only the first is recorded, as the
+// others mostly follow from it.
 func (r *Reading) Errorf(file string, line int, key, format string, args ...any) {
 	if r.reported == nil {
 		r.reported = make(map[FieldError]bool)
@@ -89,7 +92,7 @@
 	p := FieldError{file, line, key, fmt.Sprintf(format, args...)}
 	place := FieldError{File: file, Line: line, Key: key}
 	if key == "" {
-		place = p // a file as a whole may have several things wrong
+		place = p // a file as a whole may have several errors
 	}
 	if r.reported[place] {
 		return
@@ -98,7 +101,8 @@
 	r.problems = append(r.problems, p)
 }
 
-// Parse reads a document; name is told in problems. Of one that is no TOML only the first error is told.
+// Parse reads a document. Errors name it by name. Of a text that is no TOML only the first error is
+// recorded, and ok is false.
 func (r *Reading) Parse(name string, raw []byte) (t Table, ok bool) {
 	root := r.parse(name, raw)
 	return Table{r, root, ""}, root != nil
@@ -137,12 +141,12 @@
 	return root
 }
 
-// parser knows where lines begin. Guards against the parser's own count, which starts at the
-// top for each place asked for.
+// parser finds lines by their offsets: the library's own method counts from the top of the document for
+// each place.
 type parser struct {
 	unstable.Parser
 	file  string
-	lines []int // offsets
+	lines []int // offsets at which lines start
 }
 
 func (p *parser) line(n *unstable.Node) int {
@@ -153,7 +157,7 @@
 	return i
 }
 
-// open finds or makes the table of a header; one of an array is new.
+// open returns the table of a header, which may exist; that of an array is always new.
 func open(at *Node, p *parser, key unstable.Iterator, element bool) *Node {
 	for key.Next() {
 		k, line, last := string(key.Node().Data), p.line(key.Node()), key.IsLast()
@@ -179,7 +183,7 @@
 	return at
 }
 
-// put sets what a line of a key and a value says.
+// put sets the value of a line with a key and a value.
 func put(at *Node, p *parser, e *unstable.Node) {
 	key := e.Key()
 	for key.Next() {
