--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -54,26 +54,26 @@
 	res = buf
 	defer func() {
 		if p := recover(); p != nil {
-			res = wire.AppendBailOut(buf, in.Who, fmt.Sprint("panic: ", p))
+			res = wire.AppendBailOut(buf, in.Instance, fmt.Sprint("panic: ", p))
 		}
 	}()
 	switch {
 	case in.Open != nil:
-		delete(hosted, in.Who)
+		delete(hosted, in.Instance)
 		c, err := control.New(in.Open.Settings, in.Open.Seed)
 		if err != nil {
-			return wire.AppendBailOut(res, in.Who, err.Error())
+			return wire.AppendBailOut(res, in.Instance, err.Error())
 		}
-		hosted[in.Who] = c
+		hosted[in.Instance] = c
 	case in.PowerOff:
-		delete(hosted, in.Who)
+		delete(hosted, in.Instance)
 	default:
-		c := hosted[in.Who]
+		c := hosted[in.Instance]
 		if c == nil {
 			return res
 		}
 		for _, a := range c.Handle(now, in.Event) {
-			res = wire.AppendAction(res, in.Who, a)
+			res = wire.AppendAction(res, in.Instance, a)
 		}
 	}
 	return res
--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -28,21 +28,21 @@
 // Store holds what was read last. It is safe for concurrent use.
 type Store struct {
 	Options
-	now  atomic.Pointer[tls.Config]
-	seen map[string]os.FileInfo // the files as Load found them, by path
+	current     atomic.Pointer[tls.Config]
+	loadedFiles map[string]os.FileInfo // the files as Load found them, by path
 }
 
 // Load reads all files.
 func Load(o Options) (*Store, error) {
-	b := &Store{Options: o, seen: make(map[string]os.FileInfo)}
+	b := &Store{Options: o, loadedFiles: make(map[string]os.FileInfo)}
 	for _, path := range []string{o.CA, o.Cert, o.Key} {
-		b.seen[path], _ = os.Stat(path) // before it is read: a change from here on is one to follow
+		b.loadedFiles[path], _ = os.Stat(path) // before it is read: a change from here on is one to follow
 	}
-	return b, b.read()
+	return b, b.load()
 }
 
-// read puts what the files say in force, all of it or nothing.
-func (b *Store) read() error {
+// load puts what the files say in force, all of it or nothing.
+func (b *Store) load() error {
 	c := &tls.Config{MinVersion: tls.VersionTLS12}
 	if b.CA != "" {
 		raw, err := os.ReadFile(b.CA)
@@ -68,7 +68,7 @@
 		}
 		c.Certificates = []tls.Certificate{pair}
 	}
-	b.now.Store(c)
+	b.current.Store(c)
 	return nil
 }
 
@@ -81,7 +81,7 @@
 		go func() {
 			defer func() { done <- struct{}{} }()
 			if path != "" {
-				filewatch.Follow(ctx, path, every, b.seen[path], b.read, wrong)
+				filewatch.Follow(ctx, path, every, b.loadedFiles[path], b.load, wrong)
 			}
 		}()
 	}
@@ -96,7 +96,7 @@
 // Client does the handshake of a connection to an address and tells which of the protocols was
 // agreed on (ALPN); "" is a server that knows nothing of that.
 func (b *Store) Client(ctx context.Context, c net.Conn, address string, protocols []string) (*tls.Conn, string, error) {
-	t := b.now.Load().Clone()
+	t := b.current.Load().Clone()
 	t.NextProtos = protocols
 	if t.ServerName = b.Name; t.ServerName == "" {
 		host, _, err := net.SplitHostPort(address)
--- a/internal/command/tally.go
+++ b/internal/command/tally.go
@@ -30,7 +30,7 @@
 				if len(args) == 0 || *aim < 0 || *most < 0 {
 					return usage("tally takes the logs of one instance each; see lockflow tally --help")
 				}
-				a := eventlog.Adder{AimMS: float64(*aim) / float64(time.Millisecond)}
+				a := eventlog.Summer{LatencyObjectiveMS: float64(*aim) / float64(time.Millisecond)}
 				for _, path := range args {
 					if err := readTally(&a, path); err != nil {
 						return err
@@ -53,7 +53,7 @@
 	}
 }
 
-func readTally(a *eventlog.Adder, path string) error {
+func readTally(a *eventlog.Summer, path string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return fmt.Errorf("tally: %w", err)
@@ -78,18 +78,18 @@
 		for _, k := range r.Attempts {
 			n += k
 		}
-		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t", r.At, r.Requests["served"], r.InTime, r.Requests["refused"], r.Requests["failed"])
+		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t", r.Second, r.Requests["served"], r.InTime, r.Requests["refused"], r.Requests["failed"])
 		for _, why := range refusals {
 			fmt.Fprintf(t, "%d\t", r.Requests[why])
 		}
 		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", n, r.Attempts["turned_away"], r.Attempts["timed_out"],
-			r.Attempts["connect_failed"], r.Attempts["reset"], r.Attempts["error"], r.Dialed, r.Young, r.TookMS, r.Bound, r.Out, r.Held, r.Conns, r.Up)
+			r.Attempts["connect_failed"], r.Attempts["reset"], r.Attempts["error"], r.NewConnections, r.AtYoungServers, r.MeanAttemptMS, r.ConcurrencyLimit, r.AttemptsInFlight, r.AcceptedRequests, r.IdleConnections, r.AvailableServers)
 	}
 	t.Flush()
 	fmt.Fprintln(w)
 	fmt.Fprintln(t, "server\tattempts\tgood\tinstances\tms\ttold ms\ttold util\tmost out\tfirst at s\t")
 	for _, r := range s.Servers[:min(most, len(s.Servers))] {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%.0f\t%.0f\t%.2f\t%d\t%d\t\n", r.Server, r.Attempts, r.Reasons["ok"], r.From, r.TookMS, r.Told, r.Util, r.Most, r.First)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%.0f\t%.0f\t%.2f\t%d\t%d\t\n", r.Server, r.Attempts, r.Reasons["ok"], r.Instances, r.MeanAttemptMS, r.MeanReportedMS, r.MeanUtilization, r.PeakInFlight, r.FirstSecond)
 	}
 	t.Flush()
 	if len(s.Plans) == 0 {
@@ -98,7 +98,7 @@
 	fmt.Fprintln(w)
 	fmt.Fprintln(t, "plan\tcustomers\ttries\tsent inside\tsent beyond\trefused with room\trefused without\t")
 	for _, p := range s.Plans {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t\n", p.Plan, p.Customers, p.Tries, p.SentInside, p.SentBeyond, p.RefusedRoom, p.RefusedOver)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t\n", p.Plan, p.Customers, p.Requests, p.SentWithinQuota, p.SentOverQuota, p.RejectedWithinQuota, p.RejectedOverQuota)
 	}
 	t.Flush()
 }
--- a/internal/customer/customer.go
+++ b/internal/customer/customer.go
@@ -169,7 +169,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if _, known := d.unknown.Get(name); !known && d.unknown.Len() >= d.MaxUnknown {
-		if _, seen, ok := d.unknown.GetOldest(); ok && now.Sub(seen) < unknownIdleTime {
+		if _, lastUsed, ok := d.unknown.GetOldest(); ok && now.Sub(lastUsed) < unknownIdleTime {
 			return overflowName(name)
 		}
 	}
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -18,22 +18,22 @@
 	var one, two bytes.Buffer
 	w, v := NewWriter(&one), NewWriter(&two)
 	for _, x := range []*Writer{w, v} {
-		x.Plan(Plan{At: base, Name: "basic", Price: 1, Rate: 1, Depth: 3})
-		x.State(State{At: at(100), Bound: 4, Accepted: 1, Out: 1, Conns: 2, Listed: 5, Up: 4})
+		x.Plan(Plan{At: base, Name: "basic", Price: 1, QuotaRate: 1, QuotaBurst: 3})
+		x.State(State{At: at(100), ConcurrencyLimit: 4, AcceptedRequests: 1, AttemptsInFlight: 1, IdleConnections: 2, ListedServers: 5, AvailableServers: 4})
 	}
-	r := Request{At: base, Class: "read", Plan: "basic", Customer: 7, Spread: 2, Units: 2, Outcome: "served", Took: 300 * time.Millisecond, Sends: 1}
+	r := Request{At: base, Class: "read", Plan: "basic", Customer: 7, FanOut: 2, Units: 2, Outcome: "served", Duration: 300 * time.Millisecond, Attempts: 1}
 	w.Request(r)
-	w.Attempt(Attempt{At: base, Server: "s 1", Class: "read", Reason: "ok", Took: 300 * time.Millisecond, Age: time.Second, ServiceMS: 200, Util: 0.5, Queue: 0})
+	w.Attempt(Attempt{At: base, Server: "s 1", Class: "read", Reason: "ok", Duration: 300 * time.Millisecond, ServerAge: time.Second, ServiceMS: 200, Utilization: 0.5, QueueLength: 0})
 	r.At = at(100)
 	v.Request(r)
-	v.Attempt(Attempt{At: at(100), Server: "s 1", Class: "read", Reason: "ok", Took: 300 * time.Millisecond, Age: -time.Millisecond, Dialed: true, ServiceMS: -1, Util: -1, Queue: -1})
-	r.At, r.Outcome, r.Why, r.Sends = at(1900), "refused", "by_chance", 0
+	v.Attempt(Attempt{At: at(100), Server: "s 1", Class: "read", Reason: "ok", Duration: 300 * time.Millisecond, ServerAge: -time.Millisecond, IsOnNewConnection: true, ServiceMS: -1, Utilization: -1, QueueLength: -1})
+	r.At, r.Outcome, r.Cause, r.Attempts = at(1900), "refused", "by_chance", 0
 	v.Request(r)
-	r.At, r.Outcome, r.Why = at(2000), "refused", "over_store"
+	r.At, r.Outcome, r.Cause = at(2000), "refused", "over_store"
 	r.Units = 3
 	w.Request(r)
 
-	a := Adder{AimMS: 200}
+	a := Summer{LatencyObjectiveMS: 200}
 	for name, b := range map[string]*bytes.Buffer{"n0": &one, "n1": &two} {
 		if err := a.Read(name, b); err != nil {
 			t.Fatal(err)
@@ -44,21 +44,21 @@
 		t.Fatalf("%+v", s)
 	}
 	first := s.Seconds[0]
-	if first.Requests["served"] != 2 || first.InTime != 0 || first.Attempts["ok"] != 2 || first.Dialed != 1 || first.Young != 1 ||
-		first.TookMS != 300 || first.Bound != 4 || first.Up != 4 {
+	if first.Requests["served"] != 2 || first.InTime != 0 || first.Attempts["ok"] != 2 || first.NewConnections != 1 || first.AtYoungServers != 1 ||
+		first.MeanAttemptMS != 300 || first.ConcurrencyLimit != 4 || first.AvailableServers != 4 {
 		t.Errorf("%+v", first)
 	}
-	if x := s.Servers[0]; x.Server != "s_1" || x.From != 2 || x.Most != 2 || x.Told != 200 || x.Util != 0.5 {
+	if x := s.Servers[0]; x.Server != "s_1" || x.Instances != 2 || x.PeakInFlight != 2 || x.MeanReportedMS != 200 || x.MeanUtilization != 0.5 {
 		t.Errorf("%+v", x)
 	}
 	// 3 units at first, 2 sent; 1.1 at the second; 2.9 and 3 at the refusals.
-	if p := s.Plans[0]; p.Customers != 1 || p.SentInside != 2 || p.SentBeyond != 2 || p.RefusedRoom != 5 || p.RefusedOver != 0 {
+	if p := s.Plans[0]; p.Customers != 1 || p.SentWithinQuota != 2 || p.SentOverQuota != 2 || p.RejectedWithinQuota != 5 || p.RejectedOverQuota != 0 {
 		t.Errorf("%+v", p)
 	}
 }
 
 func TestLinesOfOthersAreNoTally(t *testing.T) {
-	a := Adder{}
+	a := Summer{}
 	log := "2026 INFO serving\ntally\ntally a 1\ntally x 1 2\ntally s 1 NaN 1 1 1 1 1 1\ntally r\x00\n"
 	if err := a.Read("n0", strings.NewReader(log)); err != nil {
 		t.Fatal(err)
@@ -95,7 +95,7 @@
 func FuzzRead(f *testing.F) {
 	f.Add("tally a 1 s-1 read 0 ok 1 -1 false true 2 3 4 0.5 0\ntally p 1 basic 1 1 3 1 0 0 0\ntally r 1 read basic 7 2 false 2 served - 3 1\n")
 	f.Fuzz(func(_ *testing.T, log string) {
-		a := Adder{}
+		a := Summer{}
 		_ = a.Read("n0", strings.NewReader(log))
 		a.Sum()
 	})
--- a/internal/eventlog/golden_test.go
+++ b/internal/eventlog/golden_test.go
@@ -15,19 +15,19 @@
 	at := time.Unix(1_790_000_000, 250_000_000)
 	var lines bytes.Buffer
 	w := NewWriter(&lines)
-	w.Plan(Plan{At: at, Name: "basic", Price: 0.5, Rate: 2, Depth: 10, OverCost: 0.25, HardLimitRate: 30, HardLimitBurst: 60, Slack: 6})
+	w.Plan(Plan{At: at, Name: "basic", Price: 0.5, QuotaRate: 2, QuotaBurst: 10, OverQuotaCost: 0.25, HardLimitRate: 30, HardLimitBurst: 60, HardLimitSlack: 6})
 	w.Attempt(Attempt{
-		At: at, Server: "s 1", Class: "read", N: 1, Reason: "ok", Took: 15 * time.Millisecond, Age: 3 * time.Second, Drains: true,
-		Dialed: true, Cost: 1.5, Used: 12, ServiceMS: 9.5, Util: 0.75, Queue: 2,
+		At: at, Server: "s 1", Class: "read", Number: 1, Reason: "ok", Duration: 15 * time.Millisecond, ServerAge: 3 * time.Second, IsServerDraining: true,
+		IsOnNewConnection: true, ActualUnits: 1.5, QuotaUsage: 12, ServiceMS: 9.5, Utilization: 0.75, QueueLength: 2,
 	})
 	w.Request(Request{
-		At: at, Class: "read", Plan: "basic", Customer: 77, Spread: 3, Repeat: true, Units: 1.25, Outcome: "refused", Why: "no_room",
-		Took: 16 * time.Millisecond, Sends: 2,
+		At: at, Class: "read", Plan: "basic", Customer: 77, FanOut: 3, IsRetry: true, Units: 1.25, Outcome: "refused", Cause: "no_room",
+		Duration: 16 * time.Millisecond, Attempts: 2,
 	})
-	w.State(State{At: at, Bound: 12.5, Accepted: 4, Out: 3, Conns: 5, Listed: 8, Up: 7})
+	w.State(State{At: at, ConcurrencyLimit: 12.5, AcceptedRequests: 4, AttemptsInFlight: 3, IdleConnections: 5, ListedServers: 8, AvailableServers: 7})
 
 	raw := testkit.GoldenBytes(t, "testdata/golden/lines", lines.Bytes())
-	var a Adder
+	var a Summer
 	if err := a.Read("one", bytes.NewReader(raw)); err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 	if s.Skipped > 0 || s.Instances != 1 || len(s.Seconds) != 1 || len(s.Servers) != 1 || len(s.Plans) != 1 {
 		t.Fatalf("%+v", s)
 	}
-	want := ServerSum{Server: "s_1", Attempts: 1, Reasons: map[string]int{"ok": 1}, From: 1, TookMS: 15, Told: 9.5, Util: 0.75, Most: 1}
+	want := ServerSum{Server: "s_1", Attempts: 1, Reasons: map[string]int{"ok": 1}, Instances: 1, MeanAttemptMS: 15, MeanReportedMS: 9.5, MeanUtilization: 0.75, PeakInFlight: 1}
 	if !reflect.DeepEqual(s.Servers[0], want) {
 		t.Errorf("%+v", s.Servers[0])
 	}
--- a/internal/eventlog/sum.go
+++ b/internal/eventlog/sum.go
@@ -11,51 +11,51 @@
 	"strings"
 )
 
-// young is the age, in ms, below which a server's process counts as just started.
-const young = 15000
+// youngServerMS is the age, in ms, below which a server's process counts as just started.
+const youngServerMS = 15000
 
 // maxLineBytes is the longest line of a log that is read; a longer one is none of ours.
 const maxLineBytes = 1 << 16
 
 // Second is what a whole fleet did in one second.
 type Second struct {
-	At       int            `json:"at"`       // s since the first request
-	Requests map[string]int `json:"requests"` // by outcome, and of those not served by why
-	InTime   int            `json:"in_time"`  // served within the aim that was asked for
-	Attempts map[string]int `json:"attempts"` // by reason
-	Dialed   int            `json:"dialed"`
-	Young    int            `json:"young"`   // attempts at servers that had just started
-	TookMS   float64        `json:"took_ms"` // mean of the attempts
-	Bound    float64        `json:"bound"`   // mean of the instances that told, as the next four
-	Out      float64        `json:"out"`
-	Held     float64        `json:"held"`
-	Conns    float64        `json:"conns"`
-	Up       float64        `json:"up"`
+	Second           int            `json:"at"`       // s since the first request
+	Requests         map[string]int `json:"requests"` // by outcome, and of those not served by why
+	InTime           int            `json:"in_time"`  // served within the aim that was asked for
+	Attempts         map[string]int `json:"attempts"` // by reason
+	NewConnections   int            `json:"dialed"`
+	AtYoungServers   int            `json:"young"`   // attempts at servers that had just started
+	MeanAttemptMS    float64        `json:"took_ms"` // mean of the attempts
+	ConcurrencyLimit float64        `json:"bound"`   // mean of the instances that told, as the next four
+	AttemptsInFlight float64        `json:"out"`
+	AcceptedRequests float64        `json:"held"`
+	IdleConnections  float64        `json:"conns"`
+	AvailableServers float64        `json:"up"`
 }
 
 // ServerSum is what a whole fleet sent to one server.
 type ServerSum struct {
-	Server   string         `json:"server"`
-	Attempts int            `json:"attempts"`
-	Reasons  map[string]int `json:"reasons"`
-	From     int            `json:"from"`       // instances that sent to it
-	TookMS   float64        `json:"took_ms"`    // mean of good ones
-	Told     float64        `json:"told_ms"`    // mean of what it told of its time, -1 for nothing
-	Util     float64        `json:"util"`       // the same of how busy it was
-	Most     int            `json:"most"`       // out at once, of all instances together
-	First    int            `json:"first_at_s"` // when it was first sent to
+	Server          string         `json:"server"`
+	Attempts        int            `json:"attempts"`
+	Reasons         map[string]int `json:"reasons"`
+	Instances       int            `json:"from"`       // instances that sent to it
+	MeanAttemptMS   float64        `json:"took_ms"`    // mean of good ones
+	MeanReportedMS  float64        `json:"told_ms"`    // mean of what it told of its time, -1 for nothing
+	MeanUtilization float64        `json:"util"`       // the same of how busy it was
+	PeakInFlight    int            `json:"most"`       // out at once, of all instances together
+	FirstSecond     int            `json:"first_at_s"` // when it was first sent to
 }
 
 // PlanSum is what one plan's customers asked and used, held against quotas as if one gateway had seen
 // all of it. Units are those of the requests' guesses.
 type PlanSum struct {
-	Plan        string  `json:"plan"`
-	Customers   int     `json:"customers"`
-	Tries       int     `json:"tries"`
-	SentInside  float64 `json:"sent_inside"`  // units
-	SentBeyond  float64 `json:"sent_beyond"`  // units
-	RefusedRoom float64 `json:"refused_room"` // units refused though the store held them
-	RefusedOver float64 `json:"refused_over"` // units refused that it did not hold
+	Plan                string  `json:"plan"`
+	Customers           int     `json:"customers"`
+	Requests            int     `json:"tries"`
+	SentWithinQuota     float64 `json:"sent_inside"`  // units
+	SentOverQuota       float64 `json:"sent_beyond"`  // units
+	RejectedWithinQuota float64 `json:"refused_room"` // units refused though the store held them
+	RejectedOverQuota   float64 `json:"refused_over"` // units refused that it did not hold
 }
 
 // Sum is a fleet's day.
@@ -67,45 +67,45 @@
 	Plans     []PlanSum   `json:"plans"`
 }
 
-// Adder adds up the logs of a fleet.
-type Adder struct {
-	AimMS    float64 // within which a served request is in time; 0 is any time
-	names    map[string]bool
-	skipped  int
-	attempts []attempt
-	requests []request
-	states   []state
-	plans    map[string]plan
+// Summer adds up the logs of a fleet.
+type Summer struct {
+	LatencyObjectiveMS float64 // within which a served request is in time; 0 is any time
+	instances          map[string]bool
+	skipped            int
+	attempts           []attempt
+	requests           []request
+	states             []state
+	plans              map[string]plan
 }
 
 type attempt struct {
-	at, took, age, told, util float64
-	server, from, reason      string
-	dialed                    bool
+	at, durationMS, serverAgeMS, reportedMS, utilization float64
+	server, instance, reason                             string
+	isOnNewConnection                                    bool
 }
 
 type request struct {
-	at, units, took          float64
-	plan, customer, out, why string
-	sends                    int
+	at, units, durationMS          float64
+	plan, customer, outcome, cause string
+	attempts                       int
 }
 
-type state struct{ at, bound, held, out, conns, up float64 }
+type state struct{ at, concurrencyLimit, acceptedRequests, attemptsInFlight, idleConnections, availableServers float64 }
 
-type plan struct{ rate, depth float64 }
+type plan struct{ quotaRate, quotaBurst float64 }
 
 // Read takes the log of one instance. Lines without the mark are passed over; one with it that can't
 // be read is counted.
-func (a *Adder) Read(instance string, r io.Reader) error {
+func (a *Summer) Read(instance string, r io.Reader) error {
 	if a.plans == nil {
-		a.plans, a.names = make(map[string]plan), make(map[string]bool)
+		a.plans, a.instances = make(map[string]plan), make(map[string]bool)
 	}
-	a.names[instance] = true
+	a.instances[instance] = true
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
-		_, line, ok := strings.Cut(lines.Text(), Mark)
-		if ok && !a.take(instance, strings.Fields(line)) {
+		_, line, ok := strings.Cut(lines.Text(), LinePrefix)
+		if ok && !a.addLine(instance, strings.Fields(line)) {
 			a.skipped++
 		}
 	}
@@ -120,7 +120,7 @@
 // hasID tells whether lines of a kind may end with a request's id.
 func hasID(kind string) bool { return kind == "a" || kind == "r" }
 
-func (a *Adder) take(instance string, f []string) bool {
+func (a *Summer) addLine(instance string, f []string) bool {
 	want := map[string]int{"a": 15, "r": 12, "s": 8, "p": 10}
 	if len(f) == 0 || len(f) != want[f[0]] && !(hasID(f[0]) && len(f) == want[f[0]]+1) {
 		return false
@@ -133,22 +133,22 @@
 	}
 	switch f[0] {
 	case "a":
-		one := attempt{at: num(1), server: f[2], from: instance, reason: f[5], took: num(6), age: num(7), dialed: f[9] == "true", told: num(12), util: num(13)}
+		one := attempt{at: num(1), server: f[2], instance: instance, reason: f[5], durationMS: num(6), serverAgeMS: num(7), isOnNewConnection: f[9] == "true", reportedMS: num(12), utilization: num(13)}
 		if ok {
 			a.attempts = append(a.attempts, one)
 		}
 	case "r":
-		one := request{at: num(1), plan: f[3], customer: f[4], units: num(7), out: f[8], why: f[9], took: num(10), sends: int(num(11))}
+		one := request{at: num(1), plan: f[3], customer: f[4], units: num(7), outcome: f[8], cause: f[9], durationMS: num(10), attempts: int(num(11))}
 		if ok {
 			a.requests = append(a.requests, one)
 		}
 	case "s":
-		one := state{at: num(1), bound: num(2), held: num(3), out: num(4), conns: num(5), up: num(7)}
+		one := state{at: num(1), concurrencyLimit: num(2), acceptedRequests: num(3), attemptsInFlight: num(4), idleConnections: num(5), availableServers: num(7)}
 		if ok {
 			a.states = append(a.states, one)
 		}
 	case "p":
-		one := plan{rate: num(4), depth: num(5)}
+		one := plan{quotaRate: num(4), quotaBurst: num(5)}
 		if ok {
 			a.plans[f[2]] = one
 		}
@@ -157,8 +157,8 @@
 }
 
 // Sum adds up what was read.
-func (a *Adder) Sum() Sum {
-	s := Sum{Instances: len(a.names), Skipped: a.skipped}
+func (a *Summer) Sum() Sum {
+	s := Sum{Instances: len(a.instances), Skipped: a.skipped}
 	if len(a.requests) == 0 && len(a.attempts) == 0 {
 		return s
 	}
@@ -177,44 +177,44 @@
 	return s
 }
 
-func (a *Adder) seconds(start float64) []Second {
+func (a *Summer) seconds(start float64) []Second {
 	by := make(map[int]*Second)
 	told := make(map[int]float64)
 	at := func(t float64) *Second {
 		i := int((t - start) / 1000)
 		if by[i] == nil {
-			by[i] = &Second{At: i, Requests: make(map[string]int), Attempts: make(map[string]int)}
+			by[i] = &Second{Second: i, Requests: make(map[string]int), Attempts: make(map[string]int)}
 		}
 		return by[i]
 	}
 	for _, r := range a.requests {
 		s := at(r.at)
-		s.Requests[r.out]++
-		if r.why != "-" {
-			s.Requests[r.why]++
+		s.Requests[r.outcome]++
+		if r.cause != "-" {
+			s.Requests[r.cause]++
 		}
-		if r.out == "served" && (a.AimMS == 0 || r.took <= a.AimMS) {
+		if r.outcome == "served" && (a.LatencyObjectiveMS == 0 || r.durationMS <= a.LatencyObjectiveMS) {
 			s.InTime++
 		}
 	}
 	for _, t := range a.attempts {
 		s := at(t.at)
 		s.Attempts[t.reason]++
-		if t.dialed {
-			s.Dialed++
+		if t.isOnNewConnection {
+			s.NewConnections++
 		}
-		if t.age >= 0 && t.age < young {
-			s.Young++
+		if t.serverAgeMS >= 0 && t.serverAgeMS < youngServerMS {
+			s.AtYoungServers++
 		}
-		s.TookMS += t.took
+		s.MeanAttemptMS += t.durationMS
 	}
 	for _, t := range a.states {
 		if t.at < start {
 			continue
 		}
 		s := at(t.at)
-		told[s.At]++
-		s.Bound, s.Out, s.Held, s.Conns, s.Up = s.Bound+t.bound, s.Out+t.out, s.Held+t.held, s.Conns+t.conns, s.Up+t.up
+		told[s.Second]++
+		s.ConcurrencyLimit, s.AttemptsInFlight, s.AcceptedRequests, s.IdleConnections, s.AvailableServers = s.ConcurrencyLimit+t.concurrencyLimit, s.AttemptsInFlight+t.attemptsInFlight, s.AcceptedRequests+t.acceptedRequests, s.IdleConnections+t.idleConnections, s.AvailableServers+t.availableServers
 	}
 	var all []Second
 	for i, s := range by {
@@ -222,47 +222,47 @@
 		for _, k := range s.Attempts {
 			n += k
 		}
-		s.TookMS /= float64(max(1, n))
+		s.MeanAttemptMS /= float64(max(1, n))
 		if k := told[i]; k > 0 {
-			s.Bound, s.Out, s.Held, s.Conns, s.Up = s.Bound/k, s.Out/k, s.Held/k, s.Conns/k, s.Up/k
+			s.ConcurrencyLimit, s.AttemptsInFlight, s.AcceptedRequests, s.IdleConnections, s.AvailableServers = s.ConcurrencyLimit/k, s.AttemptsInFlight/k, s.AcceptedRequests/k, s.IdleConnections/k, s.AvailableServers/k
 		}
 		all = append(all, *s)
 	}
-	slices.SortFunc(all, func(x, y Second) int { return cmp.Compare(x.At, y.At) })
+	slices.SortFunc(all, func(x, y Second) int { return cmp.Compare(x.Second, y.Second) })
 	return all
 }
 
-func (a *Adder) servers(start float64) []ServerSum {
+func (a *Summer) servers(start float64) []ServerSum {
 	by := make(map[string][]attempt)
 	for _, t := range a.attempts {
 		by[t.server] = append(by[t.server], t)
 	}
 	var all []ServerSum
 	for name, ts := range by {
-		s := ServerSum{Server: name, Attempts: len(ts), Reasons: make(map[string]int), First: int((ts[0].at - start) / 1000), Most: peakInFlight(ts), Told: -1, Util: -1}
+		s := ServerSum{Server: name, Attempts: len(ts), Reasons: make(map[string]int), FirstSecond: int((ts[0].at - start) / 1000), PeakInFlight: peakInFlight(ts), MeanReportedMS: -1, MeanUtilization: -1}
 		from := make(map[string]bool)
 		good, told, util, reports := 0.0, 0.0, 0.0, 0.0
 		for _, t := range ts {
 			s.Reasons[t.reason]++
-			from[t.from] = true
+			from[t.instance] = true
 			if t.reason == "ok" {
 				good++
-				s.TookMS += t.took
+				s.MeanAttemptMS += t.durationMS
 			}
-			if t.told >= 0 {
+			if t.reportedMS >= 0 {
 				reports++
-				told, util = told+t.told, util+t.util
+				told, util = told+t.reportedMS, util+t.utilization
 			}
 		}
-		s.From = len(from)
-		s.TookMS /= max(1, good)
+		s.Instances = len(from)
+		s.MeanAttemptMS /= max(1, good)
 		if reports > 0 {
-			s.Told, s.Util = told/reports, util/reports
+			s.MeanReportedMS, s.MeanUtilization = told/reports, util/reports
 		}
 		all = append(all, s)
 	}
 	slices.SortFunc(all, func(x, y ServerSum) int {
-		return cmp.Or(cmp.Compare(y.TookMS, x.TookMS), cmp.Compare(x.Server, y.Server))
+		return cmp.Or(cmp.Compare(y.MeanAttemptMS, x.MeanAttemptMS), cmp.Compare(x.Server, y.Server))
 	})
 	return all
 }
@@ -275,7 +275,7 @@
 	}
 	var ends []end
 	for _, t := range ts {
-		ends = append(ends, end{t.at, 1}, end{t.at + t.took, -1})
+		ends = append(ends, end{t.at, 1}, end{t.at + t.durationMS, -1})
 	}
 	slices.SortFunc(ends, func(x, y end) int { return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.by, y.by)) })
 	n, high := 0, 0
@@ -287,13 +287,13 @@
 }
 
 // quotas plays each customer's store, which no instance sees whole.
-func (a *Adder) quotas() []PlanSum {
+func (a *Summer) quotas() []PlanSum {
 	type store struct{ level, at float64 }
 	stores := make(map[string]*store)
 	by := make(map[string]*PlanSum)
 	for _, r := range a.requests {
 		p, ok := a.plans[r.plan]
-		if !ok || p.rate <= 0 {
+		if !ok || p.quotaRate <= 0 {
 			continue
 		}
 		s := by[r.plan]
@@ -304,23 +304,23 @@
 		key := r.plan + " " + r.customer
 		c := stores[key]
 		if c == nil {
-			c = &store{p.depth, r.at}
+			c = &store{p.quotaBurst, r.at}
 			stores[key] = c
 			s.Customers++
 		}
-		c.level, c.at = min(p.depth, c.level+(r.at-c.at)/1000*p.rate), r.at
-		s.Tries++
+		c.level, c.at = min(p.quotaBurst, c.level+(r.at-c.at)/1000*p.quotaRate), r.at
+		s.Requests++
 		inside := c.level >= r.units
 		switch {
-		case r.sends > 0 && inside:
+		case r.attempts > 0 && inside:
 			c.level -= r.units
-			s.SentInside += r.units
-		case r.sends > 0:
-			s.SentBeyond += r.units
+			s.SentWithinQuota += r.units
+		case r.attempts > 0:
+			s.SentOverQuota += r.units
 		case inside:
-			s.RefusedRoom += r.units
+			s.RejectedWithinQuota += r.units
 		default:
-			s.RefusedOver += r.units
+			s.RejectedOverQuota += r.units
 		}
 	}
 	var all []PlanSum
--- a/internal/service/event_recorder.go
+++ b/internal/service/event_recorder.go
@@ -36,8 +36,8 @@
 func newEventRecorder(writer *eventlog.Writer, plans []control.Plan) *eventRecorder {
 	for _, p := range plans {
 		writer.Plan(eventlog.Plan{
-			At: time.Now(), Name: p.Name, Price: p.Price, Rate: p.QuotaRate, Depth: p.QuotaBurst, OverCost: p.OverQuotaCost,
-			HardLimitRate: p.HardLimitRate, HardLimitBurst: p.HardLimitBurst, Slack: p.HardLimitSlack,
+			At: time.Now(), Name: p.Name, Price: p.Price, QuotaRate: p.QuotaRate, QuotaBurst: p.QuotaBurst, OverQuotaCost: p.OverQuotaCost,
+			HardLimitRate: p.HardLimitRate, HardLimitBurst: p.HardLimitBurst, HardLimitSlack: p.HardLimitSlack,
 		})
 	}
 	return &eventRecorder{writer: writer, causes: make(map[string]control.Cause), servers: make(map[uint32]listedServer)}
@@ -63,11 +63,11 @@
 func (r *eventRecorder) requestEnded(x *Exchange, a Answer) {
 	line := eventlog.Request{
 		At: x.startedAt, Class: x.Request.Class, Plan: x.Request.Plan, Customer: uint32(xxhash.Sum64String(x.Request.Customer)),
-		Spread: x.Request.FanOut, Repeat: x.Request.IsRetry, Units: x.Request.Units, Outcome: Outcomes[a.outcome()],
-		Took: time.Since(x.startedAt), Sends: x.attemptCount, ID: x.Request.ID,
+		FanOut: x.Request.FanOut, IsRetry: x.Request.IsRetry, Units: x.Request.Units, Outcome: Outcomes[a.outcome()],
+		Duration: time.Since(x.startedAt), Attempts: x.attemptCount, ID: x.Request.ID,
 	}
 	if cause, ok := r.causes[x.Request.ID]; ok {
-		line.Why = cause.String()
+		line.Cause = cause.String()
 	}
 	clear(r.causes)
 	r.writer.Request(line)
@@ -77,18 +77,18 @@
 func (r *eventRecorder) attemptEnded(job attemptJob, o *upstream.Outcome, isAvailable bool) {
 	server := r.servers[job.server]
 	line := eventlog.Attempt{
-		At: job.startedAt, Server: server.uid, Class: job.exchange.Request.Class, N: job.number,
-		Reason: Reasons[reasonIndex[o.Reason]], Took: time.Since(job.startedAt),
-		Age: unknownAge, Drains: !isAvailable, Dialed: o.IsDialed,
-		ServiceMS: unknownReport, Util: unknownReport, Queue: unknownReport, ID: job.exchange.Request.ID,
+		At: job.startedAt, Server: server.uid, Class: job.exchange.Request.Class, Number: job.number,
+		Reason: Reasons[reasonIndex[o.Reason]], Duration: time.Since(job.startedAt),
+		ServerAge: unknownAge, IsServerDraining: !isAvailable, IsOnNewConnection: o.IsDialed,
+		ServiceMS: unknownReport, Utilization: unknownReport, QueueLength: unknownReport, ID: job.exchange.Request.ID,
 	}
 	if !server.bootedAt.IsZero() {
-		line.Age = job.startedAt.Sub(server.bootedAt)
+		line.ServerAge = job.startedAt.Sub(server.bootedAt)
 	}
 	if o.Header != nil {
-		line.Cost, line.Used = o.ActualUnits(0), o.QuotaUsage()
+		line.ActualUnits, line.QuotaUsage = o.ActualUnits(0), o.QuotaUsage()
 		if load := o.LoadReport(); load != nil {
-			line.ServiceMS, line.Util, line.Queue = load.MeanLatencyMS, load.Utilization, load.Queued
+			line.ServiceMS, line.Utilization, line.QueueLength = load.MeanLatencyMS, load.Utilization, load.Queued
 		}
 	}
 	r.writer.Attempt(line)
@@ -101,10 +101,10 @@
 		return
 	}
 	r.lastStateAt = now
-	line := eventlog.State{At: now, Bound: l.concurrencyLimit(), Accepted: len(l.exchanges), Listed: len(l.serverIDs), Up: len(l.pools)}
+	line := eventlog.State{At: now, ConcurrencyLimit: l.concurrencyLimit(), AcceptedRequests: len(l.exchanges), ListedServers: len(l.serverIDs), AvailableServers: len(l.pools)}
 	for _, x := range l.exchanges {
-		line.Out += x.inFlight
+		line.AttemptsInFlight += x.inFlight
 	}
-	line.Conns, _ = l.upstream.CountIdle()
+	line.IdleConnections, _ = l.upstream.CountIdle()
 	r.writer.State(line)
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -10,10 +10,10 @@
 	"lockflow/control"
 )
 
-// open reads the start of an instance. Settings keys that are not known are
+// readOpen reads the start of an instance. Settings keys that are not known are
 // skipped; what the settings mean is for control.New to judge.
-func (d *Decoder) open(rest string) (Input, error) {
-	f := parse(rest)
+func (d *Decoder) readOpen(rest string) (Input, error) {
+	f := parseFields(rest)
 	m := make(map[string]string, len(f.keys))
 	for i, k := range f.keys {
 		m[k] = f.values[i]
@@ -23,8 +23,8 @@
 		return Input{}, d.fail("open_instance", err)
 	}
 	in := Input{
-		Who:  int(f.integer("who", true)),
-		Open: &Open{Seed: f.unsigned("salt", true), Settings: settings},
+		Instance: int(f.integer("who", true)),
+		Open:     &Open{Seed: f.unsigned("salt", true), Settings: settings},
 	}
 	if f.err != nil {
 		return in, d.fail("open_instance", f.err)
@@ -38,53 +38,53 @@
 func Settings(paths map[string]string) (control.Settings, error) { return readSettings(paths, true) }
 
 func readSettings(paths map[string]string, strict bool) (control.Settings, error) {
-	g := &facts{fields: &fields{}, m: paths, strict: strict}
+	g := &settingsReader{fields: &fields{}, byPath: paths, isStrict: strict}
 	for k, v := range paths {
 		g.keys, g.values = append(g.keys, k), append(g.values, v)
 	}
 	s := g.settings()
 	if strict {
-		g.check(&s)
+		g.validate(&s)
 	}
 	return s, g.err
 }
 
-// check names the first setting, by its path, that can't be whatever a module makes of it.
-func (g *facts) check(s *control.Settings) {
+// validate names the first setting, by its path, that can't be whatever a module makes of it.
+func (g *settingsReader) validate(s *control.Settings) {
 	for i, k := range s.Classes {
 		for name, v := range map[string]time.Duration{"aim": k.LatencyObjective, "deadline": k.Deadline} {
 			if v <= 0 {
-				g.bad(fmt.Sprintf("classes.%d.%s", i, name), fmt.Errorf("class %q: %v is not positive", k.Name, v))
+				g.fail(fmt.Sprintf("classes.%d.%s", i, name), fmt.Errorf("class %q: %v is not positive", k.Name, v))
 			}
 		}
 		if k.RepeatWindow < 0 {
-			g.bad(fmt.Sprintf("classes.%d.repeat-window", i), fmt.Errorf("class %q: %v is negative", k.Name, k.RepeatWindow))
+			g.fail(fmt.Sprintf("classes.%d.repeat-window", i), fmt.Errorf("class %q: %v is negative", k.Name, k.RepeatWindow))
 		}
 	}
 	if s.GroupSize < 1 {
-		g.bad("group-size", fmt.Errorf("%d is not positive", s.GroupSize))
+		g.fail("group-size", fmt.Errorf("%d is not positive", s.GroupSize))
 	}
 	if s.SelfIndex >= s.GroupSize {
-		g.bad("self-index", fmt.Errorf("%d is outside a group of %d", s.SelfIndex, s.GroupSize))
+		g.fail("self-index", fmt.Errorf("%d is outside a group of %d", s.SelfIndex, s.GroupSize))
 	}
 	if s.InitialCapacity > 1 {
-		g.bad("contract.cold-from", fmt.Errorf("%g is more than all of a server's capacity", s.InitialCapacity))
+		g.fail("contract.cold-from", fmt.Errorf("%g is more than all of a server's capacity", s.InitialCapacity))
 	}
 	// Guards against a request that means the one and is held to the terms of the other.
 	classes, plans := map[string]bool{}, map[string]bool{}
 	for i, k := range s.Classes {
-		g.names(classes, fmt.Sprintf("classes.%d.name", i), k.Name)
+		g.checkName(classes, fmt.Sprintf("classes.%d.name", i), k.Name)
 	}
 	for i, p := range s.Plans {
-		g.names(plans, fmt.Sprintf("tariffs.%d.name", i), p.Name)
+		g.checkName(plans, fmt.Sprintf("tariffs.%d.name", i), p.Name)
 	}
 	if len(s.Classes) == 0 {
-		g.bad("classes", errors.New("there are none"))
+		g.fail("classes", errors.New("there are none"))
 	}
-	if _, told := g.m["tariffs.count"]; len(s.Plans) == 0 && told {
+	if _, told := g.byPath["tariffs.count"]; len(s.Plans) == 0 && told {
 		s.Plans = []control.Plan{{Price: 1}} // of all customers: none is named, and none has a quota
 	} else if len(s.Plans) == 0 {
-		g.bad("tariffs", errors.New("there are none"))
+		g.fail("tariffs", errors.New("there are none"))
 	}
 }
 
@@ -113,64 +113,64 @@
 	return all
 }
 
-// names takes one name of a list, which has each once.
-func (g *facts) names(taken map[string]bool, path, name string) {
+// checkName takes one name of a list, which has each once.
+func (g *settingsReader) checkName(taken map[string]bool, path, name string) {
 	switch {
 	case name == "":
-		g.bad(path, errors.New("there is none"))
+		g.fail(path, errors.New("there is none"))
 	case taken[name]:
-		g.bad(path, fmt.Errorf("%q is given twice", name))
+		g.fail(path, fmt.Errorf("%q is given twice", name))
 	}
 	taken[name] = true
 }
 
-// facts reads settings by their path.
-type facts struct {
+// settingsReader reads settings by their path.
+type settingsReader struct {
 	*fields
-	m      map[string]string
-	strict bool // no figure may be one that makes no sense
+	byPath   map[string]string
+	isStrict bool // no figure may be one that makes no sense
 }
 
-func (g *facts) num(key string) float64 {
-	s, ok := g.m[key]
+func (g *settingsReader) number(key string) float64 {
+	s, ok := g.byPath[key]
 	if !ok || s == "" {
 		return 0
 	}
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil {
-		g.bad(key, err)
-	} else if g.strict && (!(v >= 0) || math.IsInf(v, 0)) { // no setting is below nothing
-		g.bad(key, fmt.Errorf("%g is negative or not finite", v))
+		g.fail(key, err)
+	} else if g.isStrict && (!(v >= 0) || math.IsInf(v, 0)) { // no setting is below nothing
+		g.fail(key, fmt.Errorf("%g is negative or not finite", v))
 	}
 	return v
 }
 
 // integer reads a whole number. Guards against a part of one cut off, which may leave what means no limit.
-func (g *facts) integer(key string) int {
-	v := g.num(key)
-	if g.strict && (v != math.Trunc(v) || v > math.MaxInt32) {
-		g.bad(key, fmt.Errorf("%g is no whole number, or too large", v))
+func (g *settingsReader) integer(key string) int {
+	v := g.number(key)
+	if g.isStrict && (v != math.Trunc(v) || v > math.MaxInt32) {
+		g.fail(key, fmt.Errorf("%g is no whole number, or too large", v))
 	}
 	return int(v)
 }
 
-func (g *facts) flag(key string) bool { return g.boolean(key) }
+func (g *settingsReader) flag(key string) bool { return g.boolean(key) }
 
-func (g *facts) settings() control.Settings {
+func (g *settingsReader) settings() control.Settings {
 	s := control.Settings{
-		SelfIndex: g.integer("self-index"), GroupSize: g.integer("group-size"), Zone: g.m["zone"],
-		ListOnRequest:   g.m["discovery"] == "on_request",
-		MaxPollInterval: g.ms("contract.ask-within", false), DrainGrace: g.ms("contract.drain-grace", false),
-		WarmupTime: g.ms("contract.cold", false), InitialCapacity: g.num("contract.cold-from"),
-		OverloadWindow: g.ms("contract.fall", false), OverloadMultiple: g.num("contract.fall-multiple"),
-		MeterPeriod: g.ms("domain.meter-period", false), UnitsInResponse: g.flag("domain.cost-after"),
-		MaxUnits: g.num("domain.units-top"), HasCounter: g.flag("domain.has-counter"),
-		PeerMessagesPerSecond: g.num("domain.inbox-per-s"),
+		SelfIndex: g.integer("self-index"), GroupSize: g.integer("group-size"), Zone: g.byPath["zone"],
+		ListOnRequest:   g.byPath["discovery"] == "on_request",
+		MaxPollInterval: g.milliseconds("contract.ask-within", false), DrainGrace: g.milliseconds("contract.drain-grace", false),
+		WarmupTime: g.milliseconds("contract.cold", false), InitialCapacity: g.number("contract.cold-from"),
+		OverloadWindow: g.milliseconds("contract.fall", false), OverloadMultiple: g.number("contract.fall-multiple"),
+		MeterPeriod: g.milliseconds("domain.meter-period", false), UnitsInResponse: g.flag("domain.cost-after"),
+		MaxUnits: g.number("domain.units-top"), HasCounter: g.flag("domain.has-counter"),
+		PeerMessagesPerSecond: g.number("domain.inbox-per-s"),
 		MaxAttempts:           g.integer("limits.send-cap"), MaxRequests: g.integer("limits.open-cap"),
 		CanCancel: g.flag("limits.may-cancel"), RetriesAreMarked: g.flag("clients.marks-retry"), HealthChecks: g.flag("limits.probes"),
 		PeerMessages: g.flag("limits.peer-messages"), HedgedRequests: g.flag("limits.second-copies"),
-		SupportsRetryAfter: g.flag("limits.retry-after"), MaxRetryAfter: g.ms("limits.max-retry-after", false),
-		CrossZonePrice: g.num("charges.cross-zone"),
+		SupportsRetryAfter: g.flag("limits.retry-after"), MaxRetryAfter: g.milliseconds("limits.max-retry-after", false),
+		CrossZonePrice: g.number("charges.cross-zone"),
 	}
 	for i := 0; i < g.count("classes"); i++ {
 		s.Classes = append(s.Classes, g.class(fmt.Sprintf("classes.%d.", i)))
@@ -182,22 +182,22 @@
 }
 
 // count reads the length of a list and holds it to what the settings could hold.
-func (g *facts) count(list string) int {
-	n := g.num(list + ".count")
+func (g *settingsReader) count(list string) int {
+	n := g.number(list + ".count")
 	if !(n >= 0 && n <= float64(len(g.keys))) {
-		g.bad(list+".count", fmt.Errorf("%g items cannot be in these settings", n))
+		g.fail(list+".count", fmt.Errorf("%g items cannot be in these settings", n))
 		return 0
 	}
 	return int(n)
 }
 
-func (g *facts) class(p string) control.Class {
+func (g *settingsReader) class(p string) control.Class {
 	c := control.Class{
-		Name: g.m[p+"name"], LatencyObjective: g.ms(p+"aim", false), Deadline: g.ms(p+"deadline", false),
-		RepeatWindow: g.ms(p+"repeat-window", false), PriorityWeight: g.num(p + "worth"),
-		LateWeightFraction: g.num(p + "late-share"), IsStreaming: g.flag(p + "stream"),
+		Name: g.byPath[p+"name"], LatencyObjective: g.milliseconds(p+"aim", false), Deadline: g.milliseconds(p+"deadline", false),
+		RepeatWindow: g.milliseconds(p+"repeat-window", false), PriorityWeight: g.number(p + "worth"),
+		LateWeightFraction: g.number(p + "late-share"), IsStreaming: g.flag(p + "stream"),
 	}
-	switch e := g.m[p+"effect"]; e {
+	switch e := g.byPath[p+"effect"]; e {
 	case "free":
 		c.Idempotency = control.Idempotent
 	case "guarded":
@@ -205,9 +205,9 @@
 	case "single_shot":
 		c.Idempotency = control.NotIdempotent
 	default:
-		g.bad(p+"effect", fmt.Errorf("unknown value %q", e))
+		g.fail(p+"effect", fmt.Errorf("unknown value %q", e))
 	}
-	switch k := g.m[p+"key-scope"]; k {
+	switch k := g.byPath[p+"key-scope"]; k {
 	case "", "all":
 		c.KeyScope = control.ScopeAll
 	case "zone":
@@ -215,16 +215,16 @@
 	case "cell":
 		c.KeyScope = control.ScopeCell
 	default:
-		g.bad(p+"key-scope", fmt.Errorf("unknown value %q", k))
+		g.fail(p+"key-scope", fmt.Errorf("unknown value %q", k))
 	}
 	return c
 }
 
-func (g *facts) plan(p string) control.Plan {
+func (g *settingsReader) plan(p string) control.Plan {
 	return control.Plan{
-		Name: g.m[p+"name"], Price: g.num(p + "value-factor"), QuotaRate: g.num(p + "quota-rate"),
-		QuotaBurst: g.num(p + "depth"), MaxInFlight: g.integer(p + "open"), OverQuotaCost: g.num(p + "overrun-cost"),
-		OverQuotaGain: g.num(p + "beyond-earns"), HardLimitRate: g.num(p + "cap-rate"),
-		HardLimitBurst: g.num(p + "hard-burst"), HardLimitSlack: g.num(p + "ceiling-slack"),
+		Name: g.byPath[p+"name"], Price: g.number(p + "value-factor"), QuotaRate: g.number(p + "quota-rate"),
+		QuotaBurst: g.number(p + "depth"), MaxInFlight: g.integer(p + "open"), OverQuotaCost: g.number(p + "overrun-cost"),
+		OverQuotaGain: g.number(p + "beyond-earns"), HardLimitRate: g.number(p + "cap-rate"),
+		HardLimitBurst: g.number(p + "hard-burst"), HardLimitSlack: g.number(p + "ceiling-slack"),
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -25,7 +25,7 @@
 // Input is one event of a batch for one instance: exactly one of Open,
 // PowerOff and Event is set.
 type Input struct {
-	Who      int
+	Instance int
 	Open     *Open
 	PowerOff bool
 	Event    control.Event
@@ -39,16 +39,16 @@
 
 // Decoder reads batches.
 type Decoder struct {
-	r    *bufio.Reader
-	line int
+	reader *bufio.Reader
+	line   int
 }
 
 // NewDecoder reads batches from r.
-func NewDecoder(r io.Reader) *Decoder { return &Decoder{r: bufio.NewReaderSize(r, 1<<20)} }
+func NewDecoder(r io.Reader) *Decoder { return &Decoder{reader: bufio.NewReaderSize(r, 1<<20)} }
 
-// next reads a line without its end; io.EOF only where no text was left.
-func (d *Decoder) next() (string, error) {
-	s, err := d.r.ReadString('\n')
+// readLine reads a line without its end; io.EOF only where no text was left.
+func (d *Decoder) readLine() (string, error) {
+	s, err := d.reader.ReadString('\n')
 	if err != nil && (!errors.Is(err, io.EOF) || s == "") {
 		return "", err
 	}
@@ -63,9 +63,9 @@
 // Next reads one batch. It gives io.EOF where the input ends between batches.
 func (d *Decoder) Next() (Batch, error) {
 	var b Batch
-	s, err := d.next()
+	s, err := d.readLine()
 	for err == nil && s == "" {
-		s, err = d.next()
+		s, err = d.readLine()
 	}
 	if err != nil {
 		return b, err
@@ -74,13 +74,13 @@
 	if name != "clock" {
 		return b, d.fail(name, fmt.Errorf("a batch begins with clock"))
 	}
-	f := parse(rest)
-	b.Now = f.ms("ts", true)
+	f := parseFields(rest)
+	b.Now = f.milliseconds("ts", true)
 	if f.err != nil {
 		return b, d.fail(name, f.err)
 	}
 	for {
-		if s, err = d.next(); errors.Is(err, io.EOF) {
+		if s, err = d.readLine(); errors.Is(err, io.EOF) {
 			return b, fmt.Errorf("line %d: input ended inside a batch", d.line)
 		} else if err != nil {
 			return b, err
@@ -89,7 +89,7 @@
 		if name == "end" {
 			return b, nil
 		}
-		in, known, err := d.event(name, rest)
+		in, known, err := d.readEvent(name, rest)
 		if err != nil {
 			return b, err
 		}
@@ -99,35 +99,35 @@
 	}
 }
 
-// event reads one event line; a name that is not known is skipped.
-func (d *Decoder) event(name, rest string) (in Input, known bool, err error) {
+// readEvent reads one event line; a name that is not known is skipped.
+func (d *Decoder) readEvent(name, rest string) (in Input, known bool, err error) {
 	if name == "open_instance" {
-		in, err = d.open(rest)
+		in, err = d.readOpen(rest)
 		return in, true, err
 	}
-	f := parse(rest)
+	f := parseFields(rest)
 	switch name {
 	case "power_off":
 		in.PowerOff = true
 	case "discovery":
-		in.Who = int(f.integer("who", true))
+		in.Instance = int(f.integer("who", true))
 		count := f.integer("members", false)
-		kind := listKind(f)
+		kind := readListKind(f)
 		if f.err != nil {
 			return in, true, d.fail(name, f.err)
 		}
-		members, err := d.members(count)
+		members, err := d.readEndpoints(count)
 		in.Event = control.EndpointList{Kind: kind, Endpoints: members}
 		return in, true, err
 	case "request":
-		in.Event = request(f)
+		in.Event = readRequest(f)
 	case "started":
 		in.Event = control.ResponseStarted{
 			ID: f.text("xid", true), Attempt: int(f.integer("n", false)),
-			Server: f.server(), Delay: f.ms("delay-seen", false),
+			Server: f.server(), Delay: f.milliseconds("delay-seen", false),
 		}
 	case "response":
-		in.Event = response(f)
+		in.Event = readResponse(f)
 	case "hangup":
 		in.Event = control.ClientGone{ID: f.text("xid", true)}
 	case "elapsed":
@@ -135,30 +135,30 @@
 	case "ping_result":
 		in.Event = control.HealthCheckResult{
 			Server: f.server(), Reason: control.Reason(f.integer("reason", true)),
-			Delay: f.ms("delay-seen", false), Load: load(f),
+			Delay: f.milliseconds("delay-seen", false), Load: readLoad(f),
 		}
 	case "peer":
 		in.Event = control.PeerMessage{From: int(f.integer("src", true)), Raw: f.bytes("raw")}
 	case "reckoned":
 		in.Event = control.CounterResult{
 			Name: f.unsigned("cname", true), Total: f.number("total", false),
-			Delay: f.ms("delay-seen", false), Reason: control.Reason(f.integer("reason", true)),
+			Delay: f.milliseconds("delay-seen", false), Reason: control.Reason(f.integer("reason", true)),
 		}
 	default:
 		return in, false, nil
 	}
-	in.Who = int(f.integer("who", true))
+	in.Instance = int(f.integer("who", true))
 	if f.err != nil {
 		return in, true, d.fail(name, f.err)
 	}
 	return in, true, nil
 }
 
-func request(f *fields) control.Request {
+func readRequest(f *fields) control.Request {
 	bits := f.unsigned("bitmap", false)
 	r := control.Request{
 		ID: f.text("xid", true), Class: f.text("class", true), Plan: f.text("terms", false),
-		Customer: f.text("client-id", false), Timeout: f.ms("ttl", true), Units: 1, FanOut: 1,
+		Customer: f.text("client-id", false), Timeout: f.milliseconds("ttl", true), Units: 1, FanOut: 1,
 		FirstGateway: int(f.number("set-start", false)), IsRetry: bits&2 != 0, IsWrite: bits&4 != 0,
 	}
 	if f.has("weight") {
@@ -170,16 +170,16 @@
 	return r
 }
 
-func response(f *fields) control.AttemptResult {
+func readResponse(f *fields) control.AttemptResult {
 	return control.AttemptResult{
 		ID: f.text("xid", true), Attempt: int(f.integer("n", false)), Server: f.server(),
 		Reason: control.Reason(f.integer("reason", true)), IsFinal: f.boolean("no-more"),
-		Delay: f.ms("delay-seen", false), ActualUnits: f.number("cost", false),
-		QuotaUsage: int(f.integer("use-pct", false)), Load: load(f),
+		Delay: f.milliseconds("delay-seen", false), ActualUnits: f.number("cost", false),
+		QuotaUsage: int(f.integer("use-pct", false)), Load: readLoad(f),
 	}
 }
 
-func listKind(f *fields) control.ListKind {
+func readListKind(f *fields) control.ListKind {
 	switch k := f.text("kind", true); k {
 	case "patch":
 		return control.ListPatch
@@ -190,16 +190,16 @@
 	case "broken":
 		return control.ListFailed
 	default:
-		f.bad("kind", fmt.Errorf("unknown value %q", k))
+		f.fail("kind", fmt.Errorf("unknown value %q", k))
 		return control.ListFailed
 	}
 }
 
-// members reads the item lines of a discovery event.
-func (d *Decoder) members(count int64) ([]control.Endpoint, error) {
+// readEndpoints reads the item lines of a discovery event.
+func (d *Decoder) readEndpoints(count int64) ([]control.Endpoint, error) {
 	var list []control.Endpoint
 	for ; count > 0; count-- {
-		s, err := d.next()
+		s, err := d.readLine()
 		if err != nil {
 			return nil, fmt.Errorf("line %d: input ended inside a list", d.line)
 		}
@@ -207,10 +207,10 @@
 		if name != "item" {
 			return nil, d.fail(name, fmt.Errorf("an item was expected"))
 		}
-		f := parse(rest)
+		f := parseFields(rest)
 		m := control.Endpoint{
 			Server: f.server(), Zone: f.text("area", false), Flavor: f.text("flavor", false),
-			Cell: int(f.integer("unit-group", false)), Size: f.number("size", false), StartedAt: f.ms("came-up", false),
+			Cell: int(f.integer("unit-group", false)), Size: f.number("size", false), StartedAt: f.milliseconds("came-up", false),
 		}
 		m.HasStartedAt = m.StartedAt != 0
 		switch c := f.text("condition", true); c {
@@ -221,7 +221,7 @@
 		case "off":
 			m.State = control.Gone
 		default:
-			f.bad("condition", fmt.Errorf("unknown value %q", c))
+			f.fail("condition", fmt.Errorf("unknown value %q", c))
 		}
 		if f.err != nil {
 			return nil, d.fail("item", f.err)
@@ -231,8 +231,8 @@
 	return list, nil
 }
 
-// load reads the report of a server; names that are not known are skipped.
-func load(f *fields) *control.LoadReport {
+// readLoad reads the report of a server; names that are not known are skipped.
+func readLoad(f *fields) *control.LoadReport {
 	s := f.text("pressure", false)
 	if s == "" {
 		return nil
@@ -250,9 +250,9 @@
 		if p == nil {
 			continue
 		}
-		v, err := number(value)
+		v, err := parseNumber(value)
 		if err != nil {
-			f.bad("pressure", err)
+			f.fail("pressure", err)
 			return nil
 		}
 		*p = v
@@ -266,7 +266,7 @@
 	err          error
 }
 
-func parse(s string) *fields {
+func parseFields(s string) *fields {
 	f := &fields{keys: make([]string, 0, 16), values: make([]string, 0, 16)}
 	for s != "" {
 		var pair string
@@ -276,7 +276,7 @@
 		}
 		k, v, found := strings.Cut(pair, "=")
 		if !found {
-			f.bad(k, fmt.Errorf("has no value"))
+			f.fail(k, fmt.Errorf("has no value"))
 			continue
 		}
 		f.keys, f.values = append(f.keys, k), append(f.values, v)
@@ -284,7 +284,7 @@
 	return f
 }
 
-func (f *fields) bad(key string, err error) {
+func (f *fields) fail(key string, err error) {
 	if f.err == nil {
 		f.err = fmt.Errorf("field %s: %w", key, err)
 	}
@@ -306,12 +306,12 @@
 		}
 	}
 	if needed {
-		f.bad(key, fmt.Errorf("is missing"))
+		f.fail(key, fmt.Errorf("is missing"))
 	}
 	return ""
 }
 
-func number(s string) (float64, error) {
+func parseNumber(s string) (float64, error) {
 	v, err := strconv.ParseFloat(s, 64)
 	if err == nil && (math.IsNaN(v) || math.IsInf(v, 0)) {
 		err = fmt.Errorf("%q is not finite", s)
@@ -324,23 +324,23 @@
 	if s == "" {
 		return 0
 	}
-	v, err := number(s)
+	v, err := parseNumber(s)
 	if err != nil {
-		f.bad(key, err)
+		f.fail(key, err)
 	}
 	return v
 }
 
-func (f *fields) ms(key string, needed bool) time.Duration {
+func (f *fields) milliseconds(key string, needed bool) time.Duration {
 	v := f.number(key, needed)
 	if math.Abs(v) > 1e12 {
-		f.bad(key, fmt.Errorf("%g ms is out of range", v))
+		f.fail(key, fmt.Errorf("%g ms is out of range", v))
 		return 0
 	}
-	return millis(v)
+	return milliseconds(v)
 }
 
-func millis(v float64) time.Duration {
+func milliseconds(v float64) time.Duration {
 	return time.Duration(math.Round(v*1000)) * time.Microsecond
 }
 
@@ -351,7 +351,7 @@
 	}
 	v, err := strconv.ParseInt(s, 10, 64)
 	if err != nil {
-		f.bad(key, err)
+		f.fail(key, err)
 	}
 	return v
 }
@@ -363,7 +363,7 @@
 	}
 	v, err := strconv.ParseUint(s, 10, 64)
 	if err != nil {
-		f.bad(key, err)
+		f.fail(key, err)
 	}
 	return v
 }
@@ -371,7 +371,7 @@
 func (f *fields) server() uint32 {
 	v := f.unsigned("server", true)
 	if v > math.MaxUint32 {
-		f.bad("server", fmt.Errorf("%d is out of range", v))
+		f.fail("server", fmt.Errorf("%d is out of range", v))
 	}
 	return uint32(v)
 }
@@ -383,7 +383,7 @@
 	case "", "0", "false":
 		return false
 	default:
-		f.bad(key, fmt.Errorf("%q is no bool", s))
+		f.fail(key, fmt.Errorf("%q is no bool", s))
 		return false
 	}
 }
@@ -395,7 +395,7 @@
 	}
 	b, err := hex.DecodeString(s)
 	if err != nil {
-		f.bad(key, err)
+		f.fail(key, err)
 	}
 	return b
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -31,7 +31,7 @@
 func TestSettings(t *testing.T) {
 	b := decode(t, batch(opening))
 	s := b.Inputs[0].Open.Settings
-	if b.Now != 10250*time.Microsecond || b.Inputs[0].Who != 3 || b.Inputs[0].Open.Seed != 77 {
+	if b.Now != 10250*time.Microsecond || b.Inputs[0].Instance != 3 || b.Inputs[0].Open.Seed != 77 {
 		t.Errorf("%+v", b)
 	}
 	k := s.Classes[0]
