--- a/internal/command/tally.go
+++ b/internal/command/tally.go
@@ -83,7 +83,7 @@
 			fmt.Fprintf(t, "%d\t", r.Requests[why])
 		}
 		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", n, r.Attempts["turned_away"], r.Attempts["timed_out"],
-			r.Attempts["connect_failed"], r.Attempts["reset"], r.Attempts["error"], r.NewConnections, r.AtYoungServers, r.MeanAttemptMS, r.ConcurrencyLimit, r.AttemptsInFlight, r.AcceptedRequests, r.IdleConnections, r.AvailableServers)
+			r.Attempts["connect_failed"], r.Attempts["reset"], r.Attempts["error"], r.NewConnections, r.AtStartingServers, r.MeanAttemptMS, r.ConcurrencyLimit, r.AttemptsInFlight, r.AcceptedRequests, r.IdleConnections, r.AvailableServers)
 	}
 	t.Flush()
 	fmt.Fprintln(w)
@@ -98,7 +98,7 @@
 	fmt.Fprintln(w)
 	fmt.Fprintln(t, "plan\tcustomers\ttries\tsent inside\tsent beyond\trefused with room\trefused without\t")
 	for _, p := range s.Plans {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t\n", p.Plan, p.Customers, p.Requests, p.SentWithinQuota, p.SentOverQuota, p.RejectedWithinQuota, p.RejectedOverQuota)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t\n", p.Plan, p.Customers, p.Requests, p.SentUnderQuota, p.SentOverQuota, p.RejectedUnderQuota, p.RejectedOverQuota)
 	}
 	t.Flush()
 }
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,6 +1,9 @@
-// Package eventlog writes what one instance did, a line for each thing, and adds up the lines of many.
-// No instance sees what a fleet does to a server: only their lines together tell. It is off unless
-// asked for, and is meant for finding a cause, not for good.
+// Package eventlog writes what one instance did, one event a line, and sums the lines of many instances.
+// No instance sees what a fleet does to a server: only the lines of all of them show it. Writing is off by
+// default and meant for finding the cause of a fault.
+//
+// A line is LinePrefix, a letter for the kind of event, and fields that are separated by spaces. Logs of
+// several builds are summed together, so the fields of a kind and their order don't change.
 package eventlog
 
 import (
@@ -10,112 +13,132 @@
 	"time"
 )
 
-// LinePrefix begins each line.
+// LinePrefix starts each line.
 const LinePrefix = "tally "
 
-// Attempt is one that has ended.
+// Kinds of lines.
+const (
+	attemptLine = 'a'
+	requestLine = 'r'
+	stateLine   = 's'
+	planLine    = 'p'
+)
+
+// Attempt is an attempt that has ended.
 type Attempt struct {
-	At                time.Time     // when it began
-	Server            string        // uid
-	Class             string        //
-	Number            int           // of the request's attempts, from 0
-	Reason            string        // as metrics name it
-	Duration          time.Duration //
-	ServerAge         time.Duration // of the server's process when the attempt began; -1 ms is long ago
-	IsServerDraining  bool          // the server was no longer up by the list when the attempt ended
-	IsOnNewConnection bool          // on a connection of its own making
-	ActualUnits       float64       // true units; 0 is not told
-	QuotaUsage        int           // 1 + per cent of the quota's rate; 0 is not told
-	// By the answer's report, below zero where it tells nothing.
+	At                time.Time // when it started
+	Server            string    // UID
+	Class             string
+	Number            int    // among the request's attempts, from 0
+	Reason            string // for its end, as in metrics
+	Duration          time.Duration
+	ServerAge         time.Duration // of the server's process when the attempt started; -1 ms is unknown or long
+	IsServerDraining  bool          // the server was not available when the attempt ended
+	IsOnNewConnection bool
+	ActualUnits       float64 // 0 is not reported
+	QuotaUsage        int     // 1 + per cent of the quota's rate; 0 is not reported
+	// ServiceMS, Utilization and QueueLength are from the server's load report; negative where it has none.
 	ServiceMS, Utilization, QueueLength float64
-	ID                                  string // of the request; "" is left out
+	ID                                  string // of the request; left out if empty
 }
 
-// Request is one that has its final answer.
+// Request is a request that has its final answer.
 type Request struct {
-	At          time.Time // when it came
-	Class, Plan string
-	Customer    uint32 // by which its requests are told from others', of no use to whoever has its name not
-	FanOut      int    // instances that it comes through
-	IsRetry     bool   // its client has asked before
-	Units       float64
-	Outcome     string // served, refused, failed, left
-	Cause       string // "" where it was served
-	Duration    time.Duration
-	Attempts    int
-	ID          string // "" is left out
+	At       time.Time // when it arrived
+	Class    string
+	Plan     string
+	Customer uint32 // a hash of the name, which tells customers apart without naming them
+	FanOut   int    // instances that the customer's requests come through
+	IsRetry  bool   // by the client
+	Units    float64
+	Outcome  string // served, refused, failed or left
+	Cause    string // "" where it was served
+	Duration time.Duration
+	Attempts int
+	ID       string // left out if empty
 }
 
-// State is what an instance has at a time; one is written a second.
+// State is the state of an instance at one moment; one is written every second.
 type State struct {
-	At                                 time.Time
-	ConcurrencyLimit                   float64
-	AcceptedRequests, AttemptsInFlight int // requests, attempts
-	IdleConnections                    int // idle connections to servers
-	ListedServers, AvailableServers    int // servers
+	At               time.Time
+	ConcurrencyLimit float64
+	AcceptedRequests int
+	AttemptsInFlight int
+	IdleConnections  int // to servers
+	ListedServers    int
+	AvailableServers int
 }
 
-// Plan is one of the settings, without which use says nothing; each is written at the start.
+// Plan is a plan of the settings, against which the use of its customers is judged; each is written at the
+// start.
 type Plan struct {
-	At                             time.Time
-	Name                           string
-	Price, QuotaRate, QuotaBurst   float64
-	OverQuotaCost                  float64
-	HardLimitRate                  float64
-	HardLimitBurst, HardLimitSlack float64
+	At             time.Time
+	Name           string
+	Price          float64
+	QuotaRate      float64 // units a second
+	QuotaBurst     float64 // units
+	OverQuotaCost  float64
+	HardLimitRate  float64 // units a second
+	HardLimitBurst float64 // units
+	HardLimitSlack float64 // units
 }
 
-// Writer writes lines. A nil one writes nothing. It is safe for concurrent use.
+// Writer writes lines. A nil Writer writes nothing. It is safe for concurrent use.
 type Writer struct {
 	mu        sync.Mutex
 	out       io.Writer
 	buffer    []byte
-	hasFailed bool // nothing more is tried
+	hasFailed bool // nothing more is written
 }
 
-// NewWriter writes to out, a line a call.
+// NewWriter returns a Writer that calls out once for each line.
 func NewWriter(out io.Writer) *Writer { return &Writer{out: out} }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 func unixMS(t time.Time) float64 { return float64(t.UnixMicro()) / 1000 }
 
-// Attempt writes one.
+// Attempt writes a line for an attempt.
 func (w *Writer) Attempt(a Attempt) {
 	if w == nil {
 		return
 	}
-	w.writeLine('a', unixMS(a.At), word(a.Server), word(a.Class), a.Number, word(a.Reason), milliseconds(a.Duration), milliseconds(a.ServerAge), a.IsServerDraining, a.IsOnNewConnection, a.ActualUnits, a.QuotaUsage, a.ServiceMS, a.Utilization, a.QueueLength, optionalWord(a.ID))
+	w.writeLine(attemptLine, unixMS(a.At), word(a.Server), word(a.Class), a.Number, word(a.Reason), milliseconds(a.Duration),
+		milliseconds(a.ServerAge), a.IsServerDraining, a.IsOnNewConnection, a.ActualUnits, a.QuotaUsage,
+		a.ServiceMS, a.Utilization, a.QueueLength, optionalWord(a.ID))
 }
 
-// Request writes one.
+// Request writes a line for a request.
 func (w *Writer) Request(r Request) {
 	if w == nil {
 		return
 	}
-	w.writeLine('r', unixMS(r.At), word(r.Class), word(r.Plan), int(r.Customer), r.FanOut, r.IsRetry, r.Units, word(r.Outcome), word(r.Cause), milliseconds(r.Duration), r.Attempts, optionalWord(r.ID))
+	w.writeLine(requestLine, unixMS(r.At), word(r.Class), word(r.Plan), int(r.Customer), r.FanOut, r.IsRetry, r.Units,
+		word(r.Outcome), word(r.Cause), milliseconds(r.Duration), r.Attempts, optionalWord(r.ID))
 }
 
-// State writes one.
+// State writes a line for a state.
 func (w *Writer) State(s State) {
 	if w == nil {
 		return
 	}
-	w.writeLine('s', unixMS(s.At), s.ConcurrencyLimit, s.AcceptedRequests, s.AttemptsInFlight, s.IdleConnections, s.ListedServers, s.AvailableServers)
+	w.writeLine(stateLine, unixMS(s.At), s.ConcurrencyLimit, s.AcceptedRequests, s.AttemptsInFlight, s.IdleConnections,
+		s.ListedServers, s.AvailableServers)
 }
 
-// Plan writes one.
+// Plan writes a line for a plan.
 func (w *Writer) Plan(p Plan) {
 	if w == nil {
 		return
 	}
-	w.writeLine('p', unixMS(p.At), word(p.Name), p.Price, p.QuotaRate, p.QuotaBurst, p.OverQuotaCost, p.HardLimitRate, p.HardLimitBurst, p.HardLimitSlack)
+	w.writeLine(planLine, unixMS(p.At), word(p.Name), p.Price, p.QuotaRate, p.QuotaBurst, p.OverQuotaCost, p.HardLimitRate,
+		p.HardLimitBurst, p.HardLimitSlack)
 }
 
-// optionalWord is a text that is left out where it is empty, as by builds that knew none.
+// optionalWord is a word that is left out if it is empty, as by builds that did not have the field.
 type optionalWord string
 
-// word is a word that holds no space: a word of a peer's must not end a field.
+// word is a text that is written without spaces, so that a text of a peer can't end a field.
 type word string
 
 func (w *Writer) writeLine(kind byte, fields ...any) {
@@ -124,43 +147,44 @@
 	if w.hasFailed {
 		return
 	}
-	b := append(append(w.buffer[:0], LinePrefix...), kind)
-	for _, f := range fields {
-		if f == optionalWord("") {
+	line := append(append(w.buffer[:0], LinePrefix...), kind)
+	for _, field := range fields {
+		if field == optionalWord("") {
 			continue
 		}
-		b = append(b, ' ')
-		switch f := f.(type) {
+		line = append(line, ' ')
+		switch field := field.(type) {
 		case float64:
-			b = strconv.AppendFloat(b, f, 'f', 3, 64)
+			line = strconv.AppendFloat(line, field, 'f', 3, 64)
 		case int:
-			b = strconv.AppendInt(b, int64(f), 10)
+			line = strconv.AppendInt(line, int64(field), 10)
 		case bool:
-			b = strconv.AppendBool(b, f)
+			line = strconv.AppendBool(line, field)
 		case word:
-			b = appendWord(b, string(f))
+			line = appendWord(line, string(field))
 		case optionalWord:
-			b = appendWord(b, string(f))
+			line = appendWord(line, string(field))
 		}
 	}
-	w.buffer = append(b, '\n')
-	// Guards against a full or closed log that would cost each request a failing call.
+	w.buffer = append(line, '\n')
+	// A full or closed log would cost each request a failing call, so the first error ends the writing.
 	_, err := w.out.Write(w.buffer)
 	w.hasFailed = err != nil
 }
 
 const maxWordBytes = 40
 
-func appendWord(b []byte, s string) []byte {
-	if s == "" {
-		return append(b, '-')
+// appendWord appends a text as one field: "-" if it is empty, and without spaces and unprintable bytes.
+func appendWord(line []byte, text string) []byte {
+	if text == "" {
+		return append(line, '-')
 	}
-	for i := 0; i < len(s) && i < maxWordBytes; i++ {
-		c := s[i]
+	for i := 0; i < len(text) && i < maxWordBytes; i++ {
+		c := text[i]
 		if c <= ' ' || c >= 0x7f {
 			c = '_'
 		}
-		b = append(b, c)
+		line = append(line, c)
 	}
-	return b
+	return line
 }
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -44,7 +44,7 @@
 		t.Fatalf("%+v", s)
 	}
 	first := s.Seconds[0]
-	if first.Requests["served"] != 2 || first.InTime != 0 || first.Attempts["ok"] != 2 || first.NewConnections != 1 || first.AtYoungServers != 1 ||
+	if first.Requests["served"] != 2 || first.InTime != 0 || first.Attempts["ok"] != 2 || first.NewConnections != 1 || first.AtStartingServers != 1 ||
 		first.MeanAttemptMS != 300 || first.ConcurrencyLimit != 4 || first.AvailableServers != 4 {
 		t.Errorf("%+v", first)
 	}
@@ -52,7 +52,7 @@
 		t.Errorf("%+v", x)
 	}
 	// 3 units at first, 2 sent; 1.1 at the second; 2.9 and 3 at the refusals.
-	if p := s.Plans[0]; p.Customers != 1 || p.SentWithinQuota != 2 || p.SentOverQuota != 2 || p.RejectedWithinQuota != 5 || p.RejectedOverQuota != 0 {
+	if p := s.Plans[0]; p.Customers != 1 || p.SentUnderQuota != 2 || p.SentOverQuota != 2 || p.RejectedUnderQuota != 5 || p.RejectedOverQuota != 0 {
 		t.Errorf("%+v", p)
 	}
 }
