--- a/internal/metrics/gather.go
+++ b/internal/metrics/gathers.go
@@ -2,9 +2,10 @@
 
 import "lockflow/internal/scattergather"
 
-// GatherSource is a Source with services that gather; *node.Node is one.
+// GatherSource is a Source with scatter-gather services; *node.Node is one.
 type GatherSource interface{ GathererStatus() []scattergather.Status }
 
+// Metrics of scatter-gather services.
 var (
 	gatherQueries          = family{"gather_queries_total", "counter", "Queries of a gathering service by how they ended.", []string{"service", "outcome"}}
 	gatherQueriesOpen      = family{"gather_queries_open", "gauge", "Queries of a gathering service that are under way.", []string{"service"}}
@@ -20,11 +21,11 @@
 	gatherTrust            = family{"gather_trust", "gauge", "In what other instances have learned, 0 to 1.", []string{"service"}}
 )
 
-// addGathers tells of services that gather.
-func (p *page) addGathers(of GatherSource) {
-	for _, s := range of.GathererStatus() {
-		for _, name := range scattergather.Outcomes {
-			p.add(&gatherQueries, float64(s.Queries[name]), s.Name, name)
+// addGathers adds the state of the scatter-gather services.
+func (p *page) addGathers(source GatherSource) {
+	for _, s := range source.GathererStatus() {
+		for _, outcome := range scattergather.Outcomes {
+			p.add(&gatherQueries, float64(s.Queries[outcome]), s.Name, outcome)
 		}
 		p.add(&gatherQueriesOpen, float64(s.InFlight), s.Name)
 		for i, part := range s.Parts {
@@ -37,10 +38,10 @@
 		p.add(&gatherKnown, oneIf(s.IsKnown), s.Name)
 		p.add(&gatherExplored, float64(s.Learned.Explored), s.Name)
 		p.add(&gatherChanges, float64(s.Learned.Changes), s.Name)
-		if h := s.Shared; h != nil {
-			p.add(&gatherMembers, float64(h.Members), s.Name)
-			p.add(&gatherExchanges, float64(h.Exchanges), s.Name)
-			p.add(&gatherExchangeFailures, float64(h.Failures), s.Name)
+		if shared := s.Shared; shared != nil {
+			p.add(&gatherMembers, float64(shared.Members), s.Name)
+			p.add(&gatherExchanges, float64(shared.Exchanges), s.Name)
+			p.add(&gatherExchangeFailures, float64(shared.Failures), s.Name)
 		}
 		p.add(&gatherTrust, s.Learned.Trust, s.Name)
 	}
