--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -46,7 +46,7 @@
 	if !found {
 		t.Fatal("the page has no table for whoever is paged")
 	}
-	metrics, logs := readPage(t, "../internal/metrics/metrics.go")+readPage(t, "../internal/metrics/gather.go"), readPage(t, "logs.md")
+	metrics, logs := readPage(t, "../internal/metrics/families.go")+readPage(t, "../internal/metrics/gathers.go"), readPage(t, "logs.md")
 	for _, match := range regexp.MustCompile("`lockflow_([a-z_]+)`").FindAllStringSubmatch(table, -1) {
 		if !strings.Contains(metrics, `"`+match[1]+`"`) {
 			t.Errorf("no metric lockflow_%s is exported", match[1])
