--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -1,5 +1,5 @@
-// Package certs holds what TLS to servers needs, from files that are followed: authorities, a
-// certificate of this side's own, and the name that servers have to show.
+// Package certs holds the TLS configuration of connections to app servers: certificate authorities, a client
+// certificate, and the name that servers have to prove. It follows the files that these are in.
 package certs
 
 import (
@@ -16,98 +16,110 @@
 	"lockflow/internal/filewatch"
 )
 
-// Options are where things are. The zero value is no TLS.
+// Options configure TLS. The zero value is no TLS. The tags are the keys of plans.
 type Options struct {
 	On   bool   `plan:"on"`
-	CA   string `plan:"c_a"`  // file of authorities in PEM; "" is the system's
-	Cert string `plan:"cert"` // file of this side's certificate, with those between it and its authority; "" is none
-	Key  string `plan:"key"`  // file of its key
+	CA   string `plan:"c_a"`  // PEM file of certificate authorities; "" is the system's
+	Cert string `plan:"cert"` // PEM file of the client certificate and its intermediate ones; "" is none
+	Key  string `plan:"key"`  // PEM file of its private key
 	Name string `plan:"name"` // that a server's certificate has to be for; "" is the host of its address
 }
 
-// Store holds what was read last. It is safe for concurrent use.
+// Store holds the configuration that was loaded last. It is safe for concurrent use, except that Follow must
+// not run twice at a time.
 type Store struct {
 	Options
 	current     atomic.Pointer[tls.Config]
-	loadedFiles map[string]os.FileInfo // the files as Load found them, by path
+	loadedFiles map[string]os.FileInfo // as Load found them, by path
 }
 
-// Load reads all files.
+// Load returns a Store with the configuration of the files.
 func Load(o Options) (*Store, error) {
-	b := &Store{Options: o, loadedFiles: make(map[string]os.FileInfo)}
+	s := &Store{Options: o, loadedFiles: make(map[string]os.FileInfo)}
 	for _, path := range []string{o.CA, o.Cert, o.Key} {
-		b.loadedFiles[path], _ = os.Stat(path) // before it is read: a change from here on is one to follow
+		s.loadedFiles[path], _ = os.Stat(path) // before it is read, so that Follow notices any later change
 	}
-	return b, b.load()
+	return s, s.load()
 }
 
-// load puts what the files say in force, all of it or nothing.
-func (b *Store) load() error {
-	c := &tls.Config{MinVersion: tls.VersionTLS12}
-	if b.CA != "" {
-		raw, err := os.ReadFile(b.CA)
+// load reads all files and puts the configuration in force. After an error the previous one stays in force.
+func (s *Store) load() error {
+	config := &tls.Config{MinVersion: tls.VersionTLS12}
+	if s.CA != "" {
+		pem, err := os.ReadFile(s.CA)
 		if err != nil {
 			return fmt.Errorf("authorities: %w", err)
 		}
-		c.RootCAs = x509.NewCertPool()
-		if !c.RootCAs.AppendCertsFromPEM(raw) {
-			return fmt.Errorf("authorities: %s: no certificate in it", b.CA)
+		config.RootCAs = x509.NewCertPool()
+		if !config.RootCAs.AppendCertsFromPEM(pem) {
+			return fmt.Errorf("authorities: %s: no certificate in it", s.CA)
 		}
 	}
-	if b.Cert != "" {
-		pair, err := tls.LoadX509KeyPair(b.Cert, b.Key)
+	if s.Cert != "" {
+		pair, err := s.loadCertificate()
 		if err != nil {
-			return fmt.Errorf("certificate: %s, %s: %w", b.Cert, b.Key, err)
+			return err
 		}
-		leaf, err := x509.ParseCertificate(pair.Certificate[0])
-		if err != nil {
-			return fmt.Errorf("certificate: %s: %w", b.Cert, err)
-		}
-		if time.Now().After(leaf.NotAfter) {
-			return fmt.Errorf("certificate: %s: it ended %s", b.Cert, leaf.NotAfter.Format(time.RFC3339))
-		}
-		c.Certificates = []tls.Certificate{pair}
+		config.Certificates = []tls.Certificate{pair}
 	}
-	b.current.Store(c)
+	s.current.Store(config)
 	return nil
 }
 
-// Follow reads the files again as they change, until ctx ends, looking at them every so often.
-// What can't be used is told to wrong, once for each text, and what was in force goes on.
-func (b *Store) Follow(ctx context.Context, every time.Duration, wrong func(error)) {
+// loadCertificate reads the client certificate, which must not have expired.
+func (s *Store) loadCertificate() (tls.Certificate, error) {
+	pair, err := tls.LoadX509KeyPair(s.Cert, s.Key)
+	if err != nil {
+		return pair, fmt.Errorf("certificate: %s, %s: %w", s.Cert, s.Key, err)
+	}
+	leaf, err := x509.ParseCertificate(pair.Certificate[0])
+	if err != nil {
+		return pair, fmt.Errorf("certificate: %s: %w", s.Cert, err)
+	}
+	if time.Now().After(leaf.NotAfter) {
+		return pair, fmt.Errorf("certificate: %s: it ended %s", s.Cert, leaf.NotAfter.Format(time.RFC3339))
+	}
+	return pair, nil
+}
+
+// Follow loads the files again when one has changed, until ctx ends. It polls them at each interval. Errors
+// are passed to report, each text once; the previous configuration stays in force. report may be called
+// from several goroutines at a time.
+func (s *Store) Follow(ctx context.Context, interval time.Duration, report func(error)) {
 	done := make(chan struct{})
-	files := []string{b.CA, b.Cert, b.Key}
-	for _, path := range files {
+	paths := []string{s.CA, s.Cert, s.Key}
+	for _, path := range paths {
 		go func() {
 			defer func() { done <- struct{}{} }()
 			if path != "" {
-				filewatch.Follow(ctx, path, every, b.loadedFiles[path], b.load, wrong)
+				filewatch.Follow(ctx, path, interval, s.loadedFiles[path], s.load, report)
 			}
 		}()
 	}
-	for range files {
+	for range paths {
 		<-done
 	}
 }
 
-// ErrProtocol says that a server agreed to none of the protocols that it was offered.
+// ErrProtocol means that a server agreed to none of the protocols that it was offered.
 var ErrProtocol = errors.New("the server agreed to no protocol that was offered")
 
-// Client does the handshake of a connection to an address and tells which of the protocols was
-// agreed on (ALPN); "" is a server that knows nothing of that.
-func (b *Store) Client(ctx context.Context, c net.Conn, address string, protocols []string) (*tls.Conn, string, error) {
-	t := b.current.Load().Clone()
-	t.NextProtos = protocols
-	if t.ServerName = b.Name; t.ServerName == "" {
+// Client performs the TLS handshake of a connection to an address and returns the protocol that was agreed
+// on (ALPN); it is empty for a server without ALPN. It does not close the connection after an error.
+func (s *Store) Client(ctx context.Context, c net.Conn, address string, protocols []string) (*tls.Conn, string, error) {
+	config := s.current.Load().Clone()
+	config.NextProtos = protocols
+	config.ServerName = s.Name
+	if config.ServerName == "" {
 		host, _, err := net.SplitHostPort(address)
 		if err != nil {
 			return nil, "", fmt.Errorf("the server's name: %w", err)
 		}
-		t.ServerName = host
+		config.ServerName = host
 	}
-	s := tls.Client(c, t)
-	if err := s.HandshakeContext(ctx); err != nil {
+	conn := tls.Client(c, config)
+	if err := conn.HandshakeContext(ctx); err != nil {
 		return nil, "", fmt.Errorf("handshake: %w", err)
 	}
-	return s, s.ConnectionState().NegotiatedProtocol, nil
+	return conn, conn.ConnectionState().NegotiatedProtocol, nil
 }
--- a/internal/filewatch/filewatch.go
+++ b/internal/filewatch/filewatch.go
@@ -1,5 +1,5 @@
-// Package filewatch tells when a file has changed, by looking at it: that works on every file system,
-// and for files that are put in place by a rename.
+// Package filewatch notices changes of a file by polling. That works on every file system, and for files
+// that are put in place by a rename.
 package filewatch
 
 import (
@@ -8,18 +8,19 @@
 	"time"
 )
 
-// Follow calls read at once and again whenever the file at path has changed, until ctx ends; where
-// seen is a file's state, that one counts as read. It looks every so often. What keeps the file
-// from being looked at or read is told to wrong, once for each text.
-func Follow(ctx context.Context, path string, interval time.Duration, loaded os.FileInfo, read func() error, report func(error)) {
+// Follow calls load at once and whenever the file at path has changed, until ctx ends. A file in the state
+// loaded counts as loaded; nil is none. The file is polled at each interval. Errors of polling and loading
+// are passed to report, each text once until the next successful load. All calls are from the goroutine of
+// Follow.
+func Follow(ctx context.Context, path string, interval time.Duration, loaded os.FileInfo, load func() error, report func(error)) {
 	reported := ""
-	t := time.NewTicker(interval)
-	defer t.Stop()
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		info, err := os.Stat(path)
-		// What is put in place by a rename is another file, also one of the same size and time.
-		if err == nil && (loaded == nil || !os.SameFile(loaded, info) || !info.ModTime().Equal(loaded.ModTime()) || info.Size() != loaded.Size()) {
-			if loaded, err = info, read(); err == nil {
+		if err == nil && hasChanged(loaded, info) {
+			loaded = info
+			if err = load(); err == nil {
 				reported = ""
 			}
 		}
@@ -30,7 +31,16 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
 	}
 }
+
+// hasChanged compares a file with its loaded state. A file that a rename has put in place is another one
+// even if size and time are the same.
+func hasChanged(loaded, info os.FileInfo) bool {
+	if loaded == nil || !os.SameFile(loaded, info) {
+		return true
+	}
+	return !info.ModTime().Equal(loaded.ModTime()) || info.Size() != loaded.Size()
+}
