--- a/control/account.go
+++ b/control/account.go
@@ -37,37 +37,6 @@
 	bin         int64   // of the histories in which they are
 }
 
-// usageEstimate is what is known of a customer's usage through this gateway and through others.
-type usageEstimate struct {
-	localUnits, totalUnits float64 // smoothed usage through this gateway, and over all
-	rate                   float64 // smoothed, units a second over all gateways
-	remoteRate             float64 // units a second through other gateways, presumed to go on since remoteRateAt
-	remoteRateAt           time.Duration
-	lastReadingUnits       float64 // usage of the last metered period
-}
-
-// demandEstimate is what is known of how much a customer asks for, from its requests here and from the meter.
-type demandEstimate struct {
-	requestedUnits float64 // decaying sum of the units requested here
-	requestedAt    time.Duration
-	meteredUnits   float64 // decaying sum of the usage of readings
-	demandSeconds  float64 // time of full demand in which that usage arose
-	meteredSeconds float64 // decaying sum of the metered periods
-	readingAt      time.Duration
-	isMetered      bool
-	readingEndBin  int64 // bin in which the last metered period ended
-}
-
-// inFlightQuota is this gateway's part of a quota of attempts in flight.
-type inFlightQuota struct {
-	current              int // attempts in flight
-	predecessor          int // attempts in flight of a predecessor that has not ended
-	limit                float64
-	nextAttemptAt        time.Duration // of a limit below one: no attempt before
-	hitLimit             bool          // since the last reading
-	rejectionProbability float64
-}
-
 // usageHistory counts a customer's units and requests by bin.
 type usageHistory struct {
 	sent       history // units of attempts
--- a/control/admission.go
+++ b/control/admission.go
@@ -111,7 +111,7 @@
 func (a *customerAccount) rejectionProbability(now, since time.Duration) float64 {
 	switch plan := a.plan; {
 	case !a.demand.isMetered:
-		return plan.unmeteredRejectionProbability(a.fanOut)
+		return plan.firstReadings.rejectionProbability(a.fanOut)
 	case plan.QuotaRate == 0:
 		return a.inFlight.rejectionProbability
 	default:
--- /dev/null
+++ b/control/demand_test.go
@@ -0,0 +1,67 @@
+package control
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+func TestReadingsWithRejectionsShowTheDemandBehindThem(t *testing.T) {
+	plan := &Plan{QuotaRate: 1000}
+	for _, tc := range []struct{ used, rejected, want float64 }{
+		{500, 0, 0},
+		{4000, 0, 0.75},
+		{2000, 0.75, 0.875}, // of what was asked for a quarter was admitted, and still twice the quota
+	} {
+		var demand demandEstimate
+		demand.addReading(time.Hour, tc.used, 1, plan.QuotaRate, tc.rejected)
+		got := demand.rejectionProbability(time.Hour, 0, 1e9, plan)
+		if math.Abs(got-tc.want) > 0.01 {
+			t.Errorf("rejection probability %g after %g units with %g rejected, want %g", got, tc.used, tc.rejected, tc.want)
+		}
+	}
+}
+
+func TestDemandIsWellMeteredWhileMostPeriodsAreRead(t *testing.T) {
+	var demand demandEstimate
+	start, now := time.Hour, time.Hour
+	for range 20 {
+		now += time.Second
+		demand.addReading(now, 1, 1, 10, 0)
+	}
+	if !demand.isWellMetered(now, start) {
+		t.Error("not well metered with a reading of each period")
+	}
+	if demand.isWellMetered(now+time.Minute, start) {
+		t.Error("well metered a minute after the last reading")
+	}
+}
+
+func TestAPeriodIsReadOnce(t *testing.T) {
+	var demand demandEstimate
+	if !demand.isNewReading(-100) {
+		t.Error("the first reading is not new")
+	}
+	demand.startReading(100)
+	for bin, want := range map[int64]bool{100: false, 104: false, 105: true, 110: true} {
+		if got := demand.isNewReading(bin); got != want {
+			t.Errorf("a period that ends in bin %d, after one that ended in 100, is new: %v", bin, got)
+		}
+	}
+}
+
+func TestFirstReadingsRejectByTheExcessOfAPlan(t *testing.T) {
+	var readings firstReadingEstimate
+	if got := readings.rejectionProbability(2); got != 0 {
+		t.Errorf("rejection probability %g without a reading", got)
+	}
+	for range 1000 {
+		readings.add(300, 0.5)
+	}
+	if got := readings.rejectionProbability(2); math.Abs(got-0.25) > 1e-6 {
+		t.Errorf("rejection probability %g of customers with half their usage beyond the quota, at one of two gateways", got)
+	}
+	if got := readings.rejectionProbability(1); got != 0 {
+		t.Errorf("rejection probability %g where no other gateway admits them", got)
+	}
+}
--- a/control/image_take.go
+++ b/control/image_take.go
@@ -181,8 +181,8 @@
 		LatenessSum:        p.latenessSum,
 		LatenessCount:      p.latenessCount,
 		MeanLateness:       p.meanLateness,
-		FirstReadingUsage:  p.firstReadingUsage,
-		FirstReadingExcess: p.firstReadingExcess,
+		FirstReadingUsage:  p.firstReadings.usage,
+		FirstReadingExcess: p.firstReadings.excess,
 	}
 }
 
--- a/control/in_flight_quota.go
+++ b/control/in_flight_quota.go
@@ -7,6 +7,16 @@
 
 const minInFlightLimitFactor = 0.85 // of an in-flight limit, at one reading
 
+// inFlightQuota is this gateway's part of a quota of attempts in flight.
+type inFlightQuota struct {
+	current              int // attempts in flight
+	predecessor          int // attempts in flight of a predecessor that has not ended
+	limit                float64
+	nextAttemptAt        time.Duration // of a limit below one: no attempt before
+	hitLimit             bool          // since the last reading
+	rejectionProbability float64
+}
+
 // newInFlightQuota returns an equal part of a quota for one of the gateways of a customer's fan-out.
 func newInFlightQuota(maxInFlight int, fanOut float64) inFlightQuota {
 	return inFlightQuota{limit: float64(maxInFlight) / fanOut}
--- a/control/plan_queue.go
+++ b/control/plan_queue.go
@@ -13,8 +13,7 @@
 	latenessCount float64
 	meanLateness  float64 // of the latest window with answers
 
-	firstReadingUsage  float64 // mean of first readings of its customers, in quotas
-	firstReadingExcess float64 // what of that is beyond the quota
+	firstReadings firstReadingEstimate
 }
 
 // recordLateness takes the latency of a request over its objective.
--- a/control/resume.go
+++ b/control/resume.go
@@ -194,8 +194,8 @@
 		plan.latenessSum = saved.LatenessSum
 		plan.latenessCount = saved.LatenessCount
 		plan.meanLateness = saved.MeanLateness
-		plan.firstReadingUsage = saved.FirstReadingUsage
-		plan.firstReadingExcess = saved.FirstReadingExcess
+		plan.firstReadings.usage = saved.FirstReadingUsage
+		plan.firstReadings.excess = saved.FirstReadingExcess
 		for _, index := range saved.Queue {
 			if !isIndex(index, len(requests)) {
 				return fmt.Errorf("plan %q: there is no request %d", plan.Name, index)
--- a/control/usage.go
+++ b/control/usage.go
@@ -14,15 +14,18 @@
 	surgeShape              = 0.5  // shape of the prior of remote usage: small trusts local surges more
 	remoteRateDecaySeconds  = 4.0  // time constant with which a reading's remote rate decays
 	unmeteredSeconds        = 2.0  // of usage that readings do not cover yet
-	readingWindowUnits      = 8.0  // units of quota over which readings are averaged
-	demandPriorShape        = 0.5  // shape of the prior of a customer's demand
-	demandPriorMean         = 0.8  // and its mean, as a part of the quota's rate
-	burstGrantFraction      = 0.5  // part of the burst granted over readingDecaySeconds
-	readingDecaySeconds     = 20.0 // time constant with which readings decay
-	planReadingWindow       = 30.0 // first readings over which a plan's estimate is averaged
-	minMeteredFraction      = 0.5  // part of the recent periods that must have been read
 )
 
+// usageEstimate is what is known of a customer's usage through this gateway and through others.
+type usageEstimate struct {
+	localUnits       float64 // smoothed usage through this gateway
+	totalUnits       float64 // the same over all
+	rate             float64 // smoothed, units a second over all gateways
+	remoteRate       float64 // units a second through other gateways, presumed to go on since remoteRateAt
+	remoteRateAt     time.Duration
+	lastReadingUnits float64 // usage of the last metered period
+}
+
 // newUsageEstimate returns the estimate for a customer of whom nothing is known but its quota's rate.
 func newUsageEstimate(quotaRate float64) usageEstimate {
 	return usageEstimate{rate: initialUsageFraction * quotaRate}
@@ -68,71 +71,6 @@
 	u.rate += (1 - usageRateDecay) * (used/period - u.rate)
 }
 
-// addRequest takes the units of a request here, whether it is admitted or not.
-func (d *demandEstimate) addRequest(now time.Duration, units float64) {
-	d.requestedUnits = d.requestedUnits*decayFactor(now-d.requestedAt, readingDecaySeconds) + units
-	d.requestedAt = now
-}
-
-// isNewReading tells whether a period that ended in a bin is later than the one read last.
-func (d *demandEstimate) isNewReading(endBin int64) bool {
-	return !d.isMetered || endBin >= d.readingEndBin+binsPerPeriod/2
-}
-
-func (d *demandEstimate) startReading(endBin int64) {
-	d.isMetered = true
-	d.readingEndBin = endBin
-}
-
-// addReading takes the usage of a metered period in which a part of the requests was rejected.
-func (d *demandEstimate) addReading(now time.Duration, used, period, quotaRate, rejected float64) {
-	decay := decayFactor(now-d.readingAt, readingDecaySeconds)
-	d.meteredSeconds = d.meteredSeconds*decay + period
-	decay *= math.Exp(-quotaRate * period / readingWindowUnits)
-	d.meteredUnits = d.meteredUnits*decay + used
-	d.demandSeconds = d.demandSeconds*decay + (1-rejected)*period
-	d.readingAt = now
-}
-
-// isWellMetered tells whether most of the recent periods since a time have been read.
-func (d *demandEstimate) isWellMetered(now, since time.Duration) bool {
-	possibleSeconds := readingDecaySeconds * (1 - decayFactor(now-since, readingDecaySeconds))
-	meteredSeconds := d.meteredSeconds * decayFactor(now-d.readingAt, readingDecaySeconds)
-	return meteredSeconds > minMeteredFraction*possibleSeconds
-}
-
-// rejectionProbability is 1-(1-d')*100/p, with p over the latest readings that amount to some units
-// and over requests here. Guards against readings of few requests, which are noise, and against old
-// ones where few periods are read: both count less against a prior of the demand.
-func (d *demandEstimate) rejectionProbability(now, since time.Duration, fanOut float64, plan *Plan) float64 {
-	decay := decayFactor(now-d.readingAt, readingDecaySeconds)
-	requested := d.requestedUnits * decayFactor(now-d.requestedAt, readingDecaySeconds)
-	observed := math.Min(readingDecaySeconds, (now-since).Seconds()) / fanOut
-	units := demandPriorShape + decay*d.meteredUnits + requested
-	demand := units / (demandPriorShape/(demandPriorMean*plan.QuotaRate) + decay*d.demandSeconds + observed)
-	allowed := plan.QuotaRate + burstGrantFraction*plan.QuotaBurst/readingDecaySeconds
-	return math.Min(maxRejectionProbability, math.Max(0, 1-allowed/demand))
-}
-
-// unmeteredRejectionProbability guards against customers far above their quota that one gateway after the
-// other admits as unmetered: they are rejected by as much as of the plan's usage lies beyond quotas.
-func (p *planQueue) unmeteredRejectionProbability(fanOut float64) float64 {
-	excess := (1 - 1/fanOut) * p.firstReadingExcess / math.Max(p.firstReadingUsage, epsilon)
-	return math.Min(maxRejectionProbability, excess)
-}
-
-// recordFirstReading takes a customer's first reading, in percent of its quota; it shows those who come
-// unmetered, whatever is rejected of others. One request above a quota does not count as excess.
-func (p *planQueue) recordFirstReading(percent, units, period float64) {
-	requestFraction := units / (p.QuotaRate * period)
-	if p.QuotaRate == 0 {
-		requestFraction = 1 / float64(p.MaxInFlight)
-	}
-	p.firstReadingUsage += (percent/100 - p.firstReadingUsage) / planReadingWindow
-	excess := math.Max(0, percent/100-1-requestFraction)
-	p.firstReadingExcess += (excess - p.firstReadingExcess) / planReadingWindow
-}
-
 // usageEstimator takes the readings of the fleet's meter into the accounts.
 type usageEstimator struct {
 	meterPeriod time.Duration // 0 is no meter
@@ -166,7 +104,7 @@
 		return
 	}
 	if !account.demand.isMetered {
-		plan.recordFirstReading(percent, units, period)
+		plan.firstReadings.add(percent, plan.quotaFraction(units, period))
 	}
 	account.addReading(now, table.fillingSince, table.rateFraction, meterReading{
 		percent:       percent,
--- a/control/usage_test.go
+++ b/control/usage_test.go
@@ -132,3 +132,45 @@
 	is("after a resume", "low", 2.75/4.5/2)
 	is("after a resume", "high", 2.75/4/2)
 }
+
+func TestLocalFractionGoesFromTheFanOutToWhatIsSeen(t *testing.T) {
+	estimate := newUsageEstimate(10)
+	if got := estimate.localFraction(4); got != 0.25 {
+		t.Errorf("a local fraction of %g with a fan-out of four and no reading", got)
+	}
+	if got := estimate.groupFactor(4, 10, false); got != 4 {
+		t.Errorf("a unit of an unmetered customer stands for %g", got)
+	}
+	for range 100 {
+		estimate.addReading(time.Hour, 100, 100, 1, 4, 10)
+	}
+	if got := estimate.localFraction(4); got < 0.99 {
+		t.Errorf("a local fraction of %g of a customer that comes here only", got)
+	}
+	for range 100 {
+		estimate.addReading(time.Hour, 100, 0, 1, 4, 10)
+	}
+	if got := estimate.localFraction(4); got != minLocalFraction {
+		t.Errorf("a local fraction of %g of a customer that does not come here", got)
+	}
+}
+
+func TestRemoteUsageGoesOnAfterItsReading(t *testing.T) {
+	var estimate usageEstimate
+	estimate.addReading(time.Hour, 20, 0, 1, 4, 10)
+	if got := estimate.currentRemoteRate(time.Hour); got != 0 {
+		t.Errorf("a remote rate of %g after one reading: the lower of two counts", got)
+	}
+	estimate.addReading(time.Hour, 20, 0, 1, 4, 10)
+	rate := estimate.currentRemoteRate(time.Hour)
+	if rate <= 5 || rate > 10 {
+		t.Errorf("a remote rate of %g, with a quota of 10 units a second", rate)
+	}
+	later := time.Hour + durationOf(remoteRateDecaySeconds)
+	if got := estimate.currentRemoteRate(later); math.Abs(got-rate/math.E) > 1e-9 {
+		t.Errorf("a remote rate of %g after the time constant, %g before", got, rate)
+	}
+	if got := estimate.remoteUnits(time.Hour, 0.5); got != rate/2 {
+		t.Errorf("%g units in half a second", got)
+	}
+}
