--- a/control/controller.go
+++ b/control/controller.go
@@ -51,9 +51,7 @@
 	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	c := newController(settings, seed)
-	c.fleet.requestUnits.mean = (1 + math.Max(1, settings.MaxUnits)) / 2 // until there are requests
-	return c, nil
+	return newController(settings, seed), nil
 }
 
 // secondSeedMask makes the second seed of the random numbers differ from the first: 2^64 over the golden
@@ -69,7 +67,7 @@
 		classes:   make(map[string]*Class),
 		scheduler: newScheduler(settings.Plans),
 		requests:  newRequestTable(),
-		fleet:     serverFleet{servers: make(map[uint32]*server)},
+		fleet:     newServerFleet(settings.MaxUnits),
 	}
 	c.slowStartSettings = newSlowStartSettings(&c.settings)
 	c.selector = endpointSelector{fleet: &c.fleet, slowStart: &c.slowStartSettings}
@@ -150,6 +148,7 @@
 	return minConcurrencyLimit(c.settings.GroupSize, responsive)
 }
 
+// handleTimer takes the timer of the tick, or that of a request: one that is queued still is ended.
 func (c *Controller) handleTimer(label uint64) {
 	if label == tickTimerLabel {
 		c.handleTick()
--- a/control/doc.go
+++ b/control/doc.go
@@ -11,11 +11,11 @@
 //
 //   - clientWaitEstimator (client_wait.go): how long the client has waited already.
 //   - admission (admission.go) with accountTable (accounts.go): token buckets of quotas and hard limits, and the
-//     metered rejection probability, by usageEstimator (usage.go, meter_clock.go, in_flight_quota.go).
+//     metered rejection probability, by usageEstimator (usage.go, demand.go, meter_clock.go, in_flight_quota.go).
 //   - scheduler (scheduler.go) with planQueue: weighted round robin; shares are set by package sharecontrol.
 //   - concurrencyLimiter (concurrency_limit.go): cut on overload and raised without, by a controlWindow.
-//   - endpointSelector (endpoint_choice.go) with serverFleet (endpoints.go): the server of the least expected wait,
-//     limited by outlierDetector (outlier.go) and slowStart (slow_start.go, throughput.go).
+//   - endpointSelector (endpoint_choice.go, load_estimate.go) with serverFleet (endpoints.go): the server of the
+//     least expected wait, limited by outlierDetector (outlier.go) and slowStart (slow_start.go, throughput.go).
 //   - retryPolicy (retries.go): whether a failed attempt is followed by another one.
 //
 // A Checkpoint is what another controller can go on from, after a reload, an upgrade or a restart; an Image is the
--- a/control/endpoint_choice.go
+++ b/control/endpoint_choice.go
@@ -7,14 +7,12 @@
 )
 
 const (
-	triedServerPenalty      = 4.0  // factor on the cost of a server that this request has tried
-	ejectedServerPenalty    = 1e6  // factor on the cost of an ejected server, the last choice
-	tieBreakNoise           = 0.02 // random part of a cost, so that gateways choose differently
-	latencyPriorSamples     = 6.0  // recent samples that weigh as much as the fleet's latency
-	utilizationDecaySeconds = 2.0  // time constant of a reported utilization
-	utilizationPenalty      = 3.0  // weight of the fourth power of the utilization
-	unknownServerPenalty    = 3.0  // factor on the cost of a server without a recent report
-	minReportingServers     = 4    // with fewer, servers without a report are preferred
+	triedServerPenalty   = 4.0  // factor on the cost of a server that this request has tried
+	ejectedServerPenalty = 1e6  // factor on the cost of an ejected server, the last choice
+	tieBreakNoise        = 0.02 // random part of a cost, so that gateways choose differently
+	utilizationPenalty   = 3.0  // weight of the fourth power of the utilization
+	unknownServerPenalty = 3.0  // factor on the cost of a server without a recent report
+	minReportingServers  = 4    // with fewer, servers without a report are preferred
 )
 
 // endpointSelector chooses the server of an attempt among those of a fleet.
@@ -93,21 +91,12 @@
 	now time.Duration, srv *server, unknownPenalty, noise float64,
 ) float64 {
 	fleetLatency := s.fleet.positiveLatency()
-	latency := fleetLatency
-	slowdown := unknownPenalty
-	busy := s.fleet.utilization.mean
-	if srv.latency.samples > 0 {
-		freshSamples := srv.latency.samples * decayFactor(now-srv.latency.updatedAt, latencyDecaySeconds)
-		latency += (srv.latency.seconds - fleetLatency) * freshSamples / (freshSamples + latencyPriorSamples)
-	}
+	latency := srv.latency.expectedSeconds(now, fleetLatency)
+	unknownSlowdown := unknownPenalty
 	if srv.isWarmingUp() { // it has no reports yet, and its budget is below its capacity
-		slowdown = 1
-	}
-	if srv.load.reportedAt > 0 {
-		since := now - srv.load.reportedAt
-		slowdown += (srv.load.slowdown - slowdown) * decayFactor(since, slowdownDecaySeconds)
-		busy += (srv.load.utilization - busy) * decayFactor(since, utilizationDecaySeconds)
+		unknownSlowdown = 1
 	}
+	slowdown, busy := srv.load.expected(now, unknownSlowdown, s.fleet.utilization.mean)
 	latency = math.Max(latency, fleetLatency*slowdown)
 	if srv.inFlight > 0 { // a silent server is at least as slow as its silence is long
 		latency = math.Max(latency, (now - srv.lastActivityAt).Seconds())
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -1,6 +1,7 @@
 package control
 
 import (
+	"math"
 	"math/rand/v2"
 	"sort"
 	"time"
@@ -13,6 +14,13 @@
 	fleetEstimate
 }
 
+// newServerFleet returns a fleet without servers, given the maximum units of one request; 0 is no maximum.
+func newServerFleet(maxUnits float64) serverFleet {
+	fleet := serverFleet{servers: make(map[uint32]*server)}
+	fleet.requestUnits.mean = (1 + math.Max(1, maxUnits)) / 2 // until there are requests
+	return fleet
+}
+
 // merge takes a change of the endpoint list, or the complete list, and drops servers that are gone.
 func (f *serverFleet) merge(
 	now time.Duration, rng *rand.Rand, event EndpointList, settings *slowStartSettings,
--- a/control/meter_clock.go
+++ b/control/meter_clock.go
@@ -40,9 +40,9 @@
 	return windowDuration / binsPerPeriod
 }
 
-// fit finds when the meter's periods end and how late they are reported: the pair under which the
-// units sent here fit the readings best. Guards against a period that is read many times or matched
-// with another's sends; holds for late readings of any cause.
+// fit takes a reading and finds when the meter's periods end and how late they are reported, whatever the
+// cause of the delay: the phase and lag under which the units sent here fit all readings best. Guards
+// against a period that is read many times, or matched with the sends of another.
 func (m *meterClock) fit(sent *history, used, units, localFraction float64, now int64) {
 	minMisfit := math.Inf(1)
 	var bestPhase, bestLag int64
