--- a/internal/bulkhead/bulkhead.go
+++ b/internal/bulkhead/bulkhead.go
@@ -6,7 +6,7 @@
 //
 //   - never more than the total is acquired;
 //   - the first quarter of a guaranteed part, the owner's reserve, is never lent: the owner gets it at once,
-//     whatever the others do;
+//     whatever other owners do;
 //   - the owner gets the rest of it within the maximum loan time of its first rejected attempt. That is the
 //     longest time that borrowers keep anything; until it has passed nothing more is lent;
 //   - no borrower gets all that can be lent: one may borrow at most twice what it leaves free (dynamic
@@ -19,8 +19,8 @@
 )
 
 const (
-	reserveDivisor = 4 // one over the part of a guaranteed part that is never lent
-	maxBorrowRatio = 2 // of what one owner may borrow to what that leaves free
+	reserveDivisor = 4 // a guaranteed part is divided by it for the owner's reserve
+	maxBorrowRatio = 2 // of what one owner has borrowed to what is free after that
 )
 
 // Owner identifies an owner at one Allocator or TimeLimiter.
@@ -28,8 +28,9 @@
 
 // share is what one owner has.
 type share struct {
-	guaranteed, used int64
-	isActive         bool // not removed
+	guaranteed int64
+	used       int64
+	isActive   bool // not removed
 }
 
 // reserve is what has to stay free for the owner.
@@ -42,12 +43,12 @@
 
 // Allocator allocates one resource to owners. The zero value has none of it. It is not safe for concurrent use.
 type Allocator struct {
-	total, used int64 // used is the sum over shares
-	reserved    int64 // the sum of reserves over shares
-	shares      []share
-	maxLoanTime time.Duration
-	// Nothing is lent before lendAfter, if hasLendAfter.
-	lendAfter    time.Duration
+	total        int64
+	used         int64 // the sum over shares
+	reserved     int64 // the sum of reserves over shares
+	shares       []share
+	maxLoanTime  time.Duration
+	lendAfter    time.Duration // nothing is lent before, if hasLendAfter
 	hasLendAfter bool
 }
 
@@ -74,7 +75,10 @@
 // RemoveOwner removes an owner. It releases what it still has as before; until then its number is not used
 // again.
 func (a *Allocator) RemoveOwner(o Owner) {
-	a.update(o, func(s *share) { s.guaranteed, s.isActive = 0, false })
+	a.update(o, func(s *share) {
+		s.guaranteed = 0
+		s.isActive = false
+	})
 }
 
 // SetGuarantees sets the total and the guaranteed parts; an owner that is not in the map has none. It changes
@@ -110,10 +114,11 @@
 	}
 	s := &a.shares[o]
 	after := share{guaranteed: s.guaranteed, used: s.used + n}
-	free := a.total - a.used - n - (a.reserved - s.reserve()) // beside the reserves of others
+	free := a.total - a.used - n - (a.reserved - s.reserve()) // without the reserves of other owners
 	if after.borrowed() == 0 {
 		if free < 0 { // a part of its guaranteed part is lent: nothing more is until all loans have ended
-			a.lendAfter, a.hasLendAfter = now+a.maxLoanTime, true
+			a.lendAfter = now + a.maxLoanTime
+			a.hasLendAfter = true
 			return false
 		}
 	} else if !a.canBorrow(now, &after, free) {
@@ -126,7 +131,8 @@
 
 // canBorrow reports whether an owner may have a share beyond its guaranteed part, with so much free after that.
 func (a *Allocator) canBorrow(now time.Duration, after *share, free int64) bool {
-	if a.hasLendAfter && now < a.lendAfter || free < 0 {
+	isLending := !a.hasLendAfter || now >= a.lendAfter
+	if !isLending || free < 0 {
 		return false
 	}
 	return after.borrowed() <= maxBorrowRatio*(free-after.reserve())
--- a/internal/bulkhead/time_limiter.go
+++ b/internal/bulkhead/time_limiter.go
@@ -8,17 +8,16 @@
 // smoothingTime is the time constant by which the use of time is averaged.
 const smoothingTime = time.Second
 
-// TimeLimiter divides processor time: how many seconds of each second each owner may use. It only reports who
-// has to wait, and interrupts nothing. An owner within its guaranteed part never has to, whatever the others
-// use; one beyond it has to only while all together use more than the total. It is not safe for concurrent
-// use.
+// TimeLimiter divides processor time: how many seconds per second each owner may use. It only reports which owners
+// have to wait, and interrupts nothing. An owner within its guaranteed part never has to, whatever other owners use;
+// one beyond it has to only while all owners together use more than the total. It is not safe for concurrent use.
 type TimeLimiter struct {
 	total  float64
 	owners []timeUse // by Owner
 	all    timeUse
 }
 
-// timeUse is an exponential average of used time, in seconds of a second.
+// timeUse is an exponential average of used time, in seconds per second.
 type timeUse struct {
 	guaranteed float64
 	used       float64
@@ -37,13 +36,13 @@
 	u.used += float64(duration) / float64(smoothingTime)
 }
 
-// NewTimeLimiter creates a limiter of a total in seconds of a second.
+// NewTimeLimiter creates a limiter of a total in seconds per second.
 func NewTimeLimiter(total float64) *TimeLimiter { return &TimeLimiter{total: total} }
 
-// SetTotal sets the total, in seconds of a second.
+// SetTotal sets the total, in seconds per second.
 func (l *TimeLimiter) SetTotal(total float64) { l.total = total }
 
-// SetGuaranteed sets an owner's guaranteed part, in seconds of a second. It adds an owner that is new.
+// SetGuaranteed sets an owner's guaranteed part, in seconds per second. It adds an owner that is new.
 func (l *TimeLimiter) SetGuaranteed(o Owner, guaranteed float64) {
 	for int(o) >= len(l.owners) {
 		l.owners = append(l.owners, timeUse{})
@@ -65,7 +64,7 @@
 	return owner.used <= owner.guaranteed || l.all.used <= l.total
 }
 
-// Used returns the average of what an owner uses, in seconds of a second.
+// Used returns the average use of an owner, in seconds per second.
 func (l *TimeLimiter) Used(now time.Duration, o Owner) float64 {
 	l.owners[o].decay(now)
 	return l.owners[o].used
--- a/internal/discovery/endpoint_list.go
+++ b/internal/discovery/endpoint_list.go
@@ -26,9 +26,10 @@
 	FirstError error // of the first such entry
 }
 
-func (o *InvalidEntries) record(err error) {
-	if o.Count++; o.FirstError == nil {
-		o.FirstError = err
+func (e *InvalidEntries) record(err error) {
+	e.Count++
+	if e.FirstError == nil {
+		e.FirstError = err
 	}
 }
 
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// decodeEndpoint decodes one entry. Of one that is invalid but tells that its server is not up, it keeps that.
+// decodeEndpoint decodes one entry. Of an invalid one for a server that is not up, it returns the uid and the state.
 func decodeEndpoint(raw json.RawMessage) (Endpoint, error) {
 	var endpoint Endpoint
 	err := json.Unmarshal(raw, &endpoint)
@@ -73,7 +74,9 @@
 		UID   string `json:"uid"`
 		State string `json:"state"`
 	}
-	if json.Unmarshal(raw, &stopped) == nil && stopped.UID != "" && stopped.State != "" && stopped.State != stateUp {
+	isIdentified := json.Unmarshal(raw, &stopped) == nil && stopped.UID != ""
+	isStopped := stopped.State != "" && stopped.State != stateUp
+	if isIdentified && isStopped {
 		return Endpoint{UID: stopped.UID, State: stopped.State}, nil
 	}
 	return Endpoint{}, err
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -1,4 +1,4 @@
-// Package discovery learns the endpoint list of a service: the app servers that may serve its requests. A Feed follows
+// Package discovery gets the endpoint list of a service: the app servers that may serve its requests. A Feed follows
 // a Source, which is a discovery of the platform's protocol, a file or the configuration itself, and delivers each list
 // and each change. Package service runs one Feed for each service; package config reads Sources.
 package discovery
@@ -27,33 +27,40 @@
 	hasMoved     bool               // SetSource has been called
 	isMoving     bool               // nothing has arrived from source since SetSource
 	revision     int64              // of the list that is known of source; 0 for none
-	cancelSource context.CancelFunc // makes Run go on to source
+	cancelSource context.CancelFunc // has Run follow source
 }
 
 // NewFeed makes a feed of a source. revision is that of the list which is known of it, 0 where none is. pacer delays
 // the calls to a discovery. Run calls deliver, on its own goroutine.
 func NewFeed(source Source, revision int64, pacer Pacer, deliver func(EndpointList)) *Feed {
 	return &Feed{
-		source: source, revision: revision, pacer: pacer, deliver: deliver,
-		silenceTimeout: watchSilenceTimeout, fileInterval: fileCheckInterval, cancelSource: func() {},
+		deliver:        deliver,
+		silenceTimeout: watchSilenceTimeout,
+		fileInterval:   fileCheckInterval,
+		pacer:          pacer,
+		source:         source,
+		revision:       revision,
+		cancelSource:   func() {},
 	}
 }
 
 // SetSource makes the feed follow another source at once. It may be called at any time, from any goroutine. While
-// nothing has arrived from a source, setting the same one again does nothing: a call that is cancelled again and again
-// would be answered too late.
+// nothing has arrived from a source, setting the same one again does nothing: a call that is cancelled repeatedly would
+// be answered too late.
 func (f *Feed) SetSource(source Source) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.isMoving && f.source.Equal(source) {
 		return
 	}
-	f.source, f.hasMoved, f.isMoving = source, true, true
-	f.revision = 0 // revisions of two discoveries can't be compared: the new one is asked for its complete list
+	f.source = source
+	f.hasMoved = true
+	f.isMoving = true
+	f.revision = 0 // revisions of two discoveries can't be compared: the new one has to send its complete list
 	f.cancelSource()
 }
 
-// sourceState is a source to follow, as it was when Run turned to it.
+// sourceState is a source to follow, as it was when Run started to.
 type sourceState struct {
 	Source
 	revision int64
--- a/internal/discovery/pacer.go
+++ b/internal/discovery/pacer.go
@@ -14,12 +14,12 @@
 
 // Deadlines of the protocol, and what follows from them.
 const (
-	missedEventDeadline = 6 * time.Second // an instance has to know a change so long after its watch was last heard
-	moveTimeSpent       = 2 * time.Second // the part of that which is over when an instance moves to another discovery
+	missedEventDeadline = 6 * time.Second // after the last message of its watch, in which an instance has to get a change
+	moveTimeSpent       = 2 * time.Second // of that, when an instance moves to another discovery
 	maxAnswerTime       = 2 * time.Second // a discovery answers a call in this time, or rejects it
 	deadlineMargin      = 300 * time.Millisecond
 
-	// maxCallDelay is the latest time, after a watch was last heard, of a call that is answered by the deadline.
+	// maxCallDelay is the latest time, after a watch's last message, of a call that is answered by the deadline.
 	maxCallDelay = missedEventDeadline - maxAnswerTime - deadlineMargin
 )
 
@@ -27,25 +27,25 @@
 const (
 	minRetryDelay       = 100 * time.Millisecond
 	maxMoveDelay        = time.Second
-	maxWindow           = 8 * time.Second // no group is spread over a longer window, however large
-	maxRejectionSpread  = 2 * time.Second // a window after a rejection has this width where the deadline is met or just missed
+	maxWindow           = 8 * time.Second // over which a group is spread, however large
+	maxRejectionSpread  = 2 * time.Second // width of a window after a rejection where the deadline is met or just missed
 	maxBackoffDoublings = 2
-	stableWatchTime     = 5 * time.Second // a watch that has lived so long resets the backoff
+	stableWatchTime     = 5 * time.Second // after which a watch resets the backoff
 )
 
-// Pacer delays the calls of one instance so that those of its whole replica group are spread over time. Without it a
-// discovery that all instances call at once rejects the greater part of them, is called by those again at once, and
-// works on calls that have timed out while no instance receives a list. Instances don't communicate: each draws its
-// delay from a window that grows with the size of the group, which gives the group a constant rate.
+// Pacer delays the calls of one instance so that those of its complete replica group are spread over time. Without it, a
+// discovery that all instances call at once rejects most of them, gets their retries at once, and works on calls that
+// have timed out while no instance receives a list. Instances don't communicate: each draws its delay from a window that
+// grows with the size of the group, which gives the group a constant rate.
 //
-// A Pacer is used from one goroutine.
+// A Pacer is not safe for concurrent use.
 type Pacer struct {
 	GroupSize int        // instances that call the same discovery; below two is one
 	Rand      *rand.Rand // nil always draws the shortest delay
 	failures  int        // in a row
 }
 
-// FirstDelay is the delay of the first call of an instance that knows a list.
+// FirstDelay is the delay of the first call of an instance that has a cached list.
 func (p *Pacer) FirstDelay() time.Duration {
 	return p.drawDelay(0, min(firstCallInterval*p.peers(), maxCallDelay))
 }
@@ -57,9 +57,9 @@
 }
 
 // RetryDelay is the delay of the next call after a watch, or an attempt at one, that lived for some time. silence is the
-// time since a watch was last heard. As long as a call can be answered by the deadline for missed events, the delay ends
-// in time for that. After it the time of the failed call counts instead: a discovery that can be reached again has
-// another missedEventDeadline from then on.
+// time since the last message of a watch. As long as a call can be answered by the deadline for missed events, the delay
+// ends in time for that. Afterwards the time of the failed call counts instead: a discovery that can be reached again
+// has another missedEventDeadline from then on.
 func (p *Pacer) RetryDelay(lived, silence time.Duration) time.Duration {
 	if lived >= stableWatchTime {
 		p.failures = 0
@@ -78,10 +78,10 @@
 }
 
 // RejectionDelay is the delay of the next call after one that the discovery rejected, because its answer would have
-// taken longer than maxAnswerTime. The call lasted for some time; silence is the time since a watch was last heard. A
-// call before the discovery has worked off what it has would be rejected again, which costs it work too. The first call
-// of all, and the first after a move, are retried as after any other failure: a discovery that has just started rejects
-// calls without being busy.
+// taken longer than maxAnswerTime. The call lasted for some time; silence is the time since the last message of a watch.
+// A call before the discovery has worked off its queue would be rejected too, which costs it work. The first call of all,
+// and the first after a move, are retried as after any other failure: a discovery that has just started rejects calls
+// without being busy.
 func (p *Pacer) RejectionDelay(lasted, silence time.Duration) time.Duration {
 	if p.failures == 0 || p.GroupSize <= 1 {
 		return p.RetryDelay(lasted, silence)
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -21,8 +21,8 @@
 	Endpoints  []Endpoint // with Static
 }
 
-// Equal tells whether two sources are the same.
-func (s Source) Equal(o Source) bool {
-	return s.Kind == o.Kind && s.Address == o.Address && s.IsOwnAgent == o.IsOwnAgent && s.Path == o.Path &&
-		slices.Equal(s.Endpoints, o.Endpoints)
+// Equal reports whether two sources are the same.
+func (s Source) Equal(other Source) bool {
+	isSamePlace := s.Kind == other.Kind && s.Address == other.Address && s.Path == other.Path
+	return isSamePlace && s.IsOwnAgent == other.IsOwnAgent && slices.Equal(s.Endpoints, other.Endpoints)
 }
--- a/internal/discovery/watch_stream.go
+++ b/internal/discovery/watch_stream.go
@@ -19,7 +19,7 @@
 	decoder      *json.Decoder // reads this stream
 	silenceTimer *time.Timer   // ends the watch
 	hasData      bool          // anything has arrived
-	isMidMessage bool          // a message has begun and not ended
+	isMidMessage bool          // a message has started and not ended
 	bytesRead    int64
 }
 
@@ -47,8 +47,8 @@
 	}
 }
 
-// Read reads for the decoder. It bounds a message by what arrived since the end of the previous one, and restarts the
-// silence timer. Heartbeats within a message don't restart it: one that was cut off would never end.
+// Read reads for the decoder. It limits a message by the bytes since the end of the previous one, and restarts the
+// silence timer. Heartbeats within a message don't restart it: a message that was cut off would keep the watch open.
 func (s *watchStream) Read(p []byte) (int, error) {
 	if s.bytesRead-s.decoder.InputOffset() > maxMessageBytes {
 		return 0, fmt.Errorf("a message of more than %d bytes", maxMessageBytes)
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -14,36 +14,43 @@
 	"lockflow/control"
 )
 
-// watchSilenceTimeout is one and a half times the interval of heartbeats, and longer than an answer takes. A watch that
-// is silent for so long is presumed broken.
+// watchSilenceTimeout is the time without data or heartbeat after which a watch is presumed broken: one and a half times
+// the interval of heartbeats, and longer than an answer takes.
 const watchSilenceTimeout = 3 * time.Second
 
-// How a call to a discovery failed, where that decides when the next one is made.
+// Errors of a call to a discovery that decide when the next one is made.
 var (
-	errSilent   = errors.New("it fell silent")
+	errSilent   = errors.New("no data or heartbeat in time")
 	errRejected = errors.New("discovery rejected the call")
 )
 
-// watcher keeps a watch on the endpoint list at one address, and opens it again when it breaks. It is used from one
-// goroutine.
+// watcher watches the endpoint list at one address, and opens a new watch when one breaks. It is not safe for concurrent
+// use.
 type watcher struct {
 	client         *http.Client
 	url            string
-	revision       int64 // of the last message that was applied; 0 asks for a complete list
+	revision       int64 // of the last message that was applied; 0 requests a complete list
 	silenceTimeout time.Duration
 	pacer          *Pacer
 	deliver        func(EndpointList)
-	lastReceived   time.Time
+	lastReceived   time.Time // when a message or heartbeat arrived last
 }
 
-func newWatcher(address string, revision int64, silenceTimeout time.Duration, pacer *Pacer, deliver func(EndpointList)) *watcher {
+func newWatcher(
+	address string, revision int64, silenceTimeout time.Duration, pacer *Pacer, deliver func(EndpointList),
+) *watcher {
 	return &watcher{
-		pacer: pacer, url: "http://" + address + "/v1/servers?watch=1", revision: revision, silenceTimeout: silenceTimeout, deliver: deliver,
-		lastReceived: time.Now(),
 		client: &http.Client{Transport: &http.Transport{
-			DialContext:       (&net.Dialer{Timeout: silenceTimeout}).DialContext,
-			DisableKeepAlives: true, DisableCompression: true,
+			DialContext:        (&net.Dialer{Timeout: silenceTimeout}).DialContext,
+			DisableKeepAlives:  true,
+			DisableCompression: true,
 		}},
+		url:            "http://" + address + "/v1/servers?watch=1",
+		revision:       revision,
+		silenceTimeout: silenceTimeout,
+		pacer:          pacer,
+		deliver:        deliver,
+		lastReceived:   time.Now(),
 	}
 }
 
@@ -137,9 +144,9 @@
 	return nil
 }
 
-// applyOlder handles a message of a revision before the one that is known. Either the discovery counts anew, and its
-// changes don't fit the list, or the message is late and its servers may have drained since. That a server is not up
-// holds in either case and is delivered; for the rest a complete list is needed.
+// applyOlder handles a message of a revision before the one that is known. Either the discovery has restarted its count,
+// and its changes don't fit the list, or the message is late and its servers may have drained since. That a server is
+// not up is true in either case and is delivered; the rest needs a complete list.
 func (w *watcher) applyOlder(list EndpointList) error {
 	w.revision = 0
 	list.IsComplete = false
--- a/internal/limits/conn.go
+++ b/internal/limits/conn.go
@@ -15,12 +15,13 @@
 // Conn is a connection that releases its descriptor when it is closed.
 type Conn struct {
 	net.Conn
-	// AcceptedAt is when a Listener accepted it, and Queued the time before in which it may have waited for that.
+	// AcceptedAt is when a Listener accepted it.
 	AcceptedAt time.Time
-	Queued     accept.Period
+	// Queued is the time before AcceptedAt in which it may have waited to be accepted.
+	Queued accept.Period
 
-	limiter ConnectionLimiter
-	once    sync.Once
+	limiter     ConnectionLimiter
+	releaseOnce sync.Once
 }
 
 // Track returns a connection, for which a descriptor was acquired, as one that releases it.
@@ -29,7 +30,7 @@
 // Close closes the connection and then releases its descriptor, once.
 func (c *Conn) Close() error {
 	err := c.Conn.Close()
-	c.once.Do(c.limiter.Release)
+	c.releaseOnce.Do(c.limiter.Release)
 	return err
 }
 
@@ -65,7 +66,8 @@
 	}
 	l.backlog.Unblock()
 	conn := Track(c, l.limiter)
-	conn.AcceptedAt, conn.Queued = time.Now(), l.backlog.QueuedDuring()
+	conn.AcceptedAt = time.Now()
+	conn.Queued = l.backlog.QueuedDuring()
 	return conn, nil
 }
 
--- a/internal/limits/request_limiter.go
+++ b/internal/limits/request_limiter.go
@@ -5,9 +5,10 @@
 // RequestLimiter limits the requests of one of several services: a slot and some bytes for each, and the time
 // of the service's module.
 type RequestLimiter struct {
-	Slots, Bytes *Account
-	ModuleTime   *TimeLimiter
-	Owner        bulkhead.Owner // of the service in ModuleTime
+	Slots      *Account // one for each request
+	Bytes      *Account // of requests and their answers
+	ModuleTime *TimeLimiter
+	Owner      bulkhead.Owner // of the service in ModuleTime
 }
 
 // Admit reserves a slot and bytes for a request; see service.RequestLimiter.
--- a/internal/limits/shared_resource.go
+++ b/internal/limits/shared_resource.go
@@ -19,8 +19,8 @@
 	accounts  []*Account // that are open
 }
 
-// NewSharedResource creates a resource of which there is nothing until SetGuarantees, and of which no account
-// keeps anything for longer than maxLoanTime.
+// NewSharedResource creates a resource with a total of 0 until SetGuarantees, of which no account keeps anything for
+// longer than maxLoanTime.
 func NewSharedResource(maxLoanTime time.Duration) *SharedResource {
 	return &SharedResource{allocator: bulkhead.New(0, maxLoanTime), clock: newClock()}
 }
@@ -104,7 +104,8 @@
 			continue
 		}
 		if borrowed := s.allocator.Borrowed(a.owner); borrowed > maxBorrowed {
-			maxBorrowed, recall = borrowed, a.recall
+			maxBorrowed = borrowed
+			recall = a.recall
 		}
 	}
 	return recall
@@ -188,7 +189,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Usage{
-		Used: s.allocator.Used(a.owner), Guaranteed: s.allocator.Guaranteed(a.owner), Total: s.allocator.Total(),
-		Denied: a.denied.Load(),
+		Used:       s.allocator.Used(a.owner),
+		Guaranteed: s.allocator.Guaranteed(a.owner),
+		Total:      s.allocator.Total(),
+		Denied:     a.denied.Load(),
 	}
 }
--- a/internal/limits/socket_limiter.go
+++ b/internal/limits/socket_limiter.go
@@ -28,9 +28,8 @@
 	limit              atomic.Int64
 	reservedForServers int64 // ReservedForServers, or half of a low limit
 
-	// Each closes one idle connection, if there is one; that of the app servers only beyond some to be kept.
-	evictClient func() bool
-	evictServer func(keep int) bool
+	evictClient func() bool         // closes one idle connection of a client, if there is one
+	evictServer func(keep int) bool // closes one idle connection to an app server, if there are more than keep
 }
 
 // NewSocketLimiter creates a limiter for a process's limit on descriptors; 0 is one that is not known.
@@ -71,7 +70,7 @@
 	}
 }
 
-// acquire acquires a descriptor beside some that are reserved.
+// acquire acquires a descriptor and leaves some that are reserved.
 func (s *SocketLimiter) acquire(reserved int64) bool {
 	for s.inUse.Add(1) > s.limit.Load()-reserved {
 		s.inUse.Add(-1)
@@ -95,4 +94,5 @@
 
 type clientLimiter struct{ *SocketLimiter }
 
+// TryAcquire acquires a descriptor for a connection of a client.
 func (s clientLimiter) TryAcquire() bool { return s.acquire(s.reservedForServers) }
--- a/internal/limits/time_limiter.go
+++ b/internal/limits/time_limiter.go
@@ -9,14 +9,15 @@
 
 // TimeLimiter divides the processor time of decision modules among services by a bulkhead.TimeLimiter.
 type TimeLimiter struct {
-	clock      func() time.Duration
-	mu         sync.Mutex
+	clock func() time.Duration
+
+	mu         sync.Mutex // guards the fields below
 	limiter    *bulkhead.TimeLimiter
-	freeOwners []bulkhead.Owner // closed, to be used again
+	freeOwners []bulkhead.Owner // that were closed, and are used first
 	nextOwner  bulkhead.Owner
 }
 
-// NewTimeLimiter creates a limiter of a total in seconds of a second.
+// NewTimeLimiter creates a limiter of a total in seconds per second.
 func NewTimeLimiter(total float64) *TimeLimiter {
 	return &TimeLimiter{limiter: bulkhead.NewTimeLimiter(total), clock: newClock()}
 }
@@ -33,7 +34,8 @@
 	defer l.mu.Unlock()
 	owner := l.nextOwner
 	if n := len(l.freeOwners); n > 0 {
-		owner, l.freeOwners = l.freeOwners[n-1], l.freeOwners[:n-1]
+		owner = l.freeOwners[n-1]
+		l.freeOwners = l.freeOwners[:n-1]
 	} else {
 		l.nextOwner++
 	}
@@ -48,14 +50,14 @@
 	l.freeOwners = append(l.freeOwners, owner)
 }
 
-// SetGuaranteed sets an owner's guaranteed part, in seconds of a second.
+// SetGuaranteed sets an owner's guaranteed part, in seconds per second.
 func (l *TimeLimiter) SetGuaranteed(owner bulkhead.Owner, guaranteed float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.limiter.SetGuaranteed(owner, guaranteed)
 }
 
-// SetTotal sets the total, in seconds of a second.
+// SetTotal sets the total, in seconds per second.
 func (l *TimeLimiter) SetTotal(total float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,7 +78,7 @@
 	return l.limiter.Allows(l.clock(), owner)
 }
 
-// Used returns the average of what an owner uses, in seconds of a second.
+// Used returns the average use of an owner, in seconds per second.
 func (l *TimeLimiter) Used(owner bulkhead.Owner) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/route/canonical_host.go
+++ b/internal/route/canonical_host.go
@@ -21,8 +21,8 @@
 	hasUpper := false
 	for i := range len(host) {
 		switch b := host[i]; {
-		case 'a' <= b && b <= 'z' || '0' <= b && b <= '9' || b == '-' || b == '_':
-		case 'A' <= b && b <= 'Z':
+		case isLower(b) || isDigit(b) || b == '-' || b == '_':
+		case isUpper(b):
 			hasUpper = true
 		case b == '.' && i > 0 && host[i-1] != '.':
 		default:
@@ -66,11 +66,11 @@
 	if s == "" {
 		return true
 	}
-	if s[0] != ':' || len(s) > 6 {
+	if s[0] != ':' || len(s) > len(":65535") {
 		return false
 	}
 	for _, b := range []byte(s[1:]) {
-		if b < '0' || b > '9' {
+		if !isDigit(b) {
 			return false
 		}
 	}
--- a/internal/route/canonical_path.go
+++ b/internal/route/canonical_path.go
@@ -52,7 +52,7 @@
 	if raw == "" || raw[0] != '/' {
 		return "", errNoPath
 	}
-	isCanonical := true // as far as decoding goes
+	isCanonical := true // nothing has to be decoded or removed
 	for i := range len(raw) {
 		switch b := raw[i]; {
 		case b == '%' || b == ';':
@@ -100,7 +100,7 @@
 
 // decodePath decodes a raw path and removes parameters.
 func decodePath(raw string) (string, error) {
-	const upper = "0123456789ABCDEF"
+	const upperHexDigits = "0123456789ABCDEF"
 	out := make([]byte, 0, len(raw))
 	inParameters := false // of the current segment
 	for i := 0; i < len(raw); i++ {
@@ -122,11 +122,10 @@
 			case v < ' ' || v == 0x7f:
 				return "", errInvalidByte
 			case inParameters:
-			case 'a' <= v && v <= 'z' || 'A' <= v && v <= 'Z' || '0' <= v && v <= '9' ||
-				v == '-' || v == '.' || v == '_' || v == '~':
+			case isUnreserved(v):
 				out = append(out, v)
 			default:
-				out = append(out, '%', upper[v>>4], upper[v&15])
+				out = append(out, '%', upperHexDigits[v>>4], upperHexDigits[v&15])
 			}
 			continue
 		}
@@ -137,9 +136,21 @@
 	return string(out), nil
 }
 
+func isLower(b byte) bool { return 'a' <= b && b <= 'z' }
+
+func isUpper(b byte) bool { return 'A' <= b && b <= 'Z' }
+
+func isDigit(b byte) bool { return '0' <= b && b <= '9' }
+
+// isUnreserved reports whether b is an unreserved character (RFC 3986, 2.3).
+func isUnreserved(b byte) bool {
+	return isLower(b) || isUpper(b) || isDigit(b) || strings.IndexByte("-._~", b) >= 0
+}
+
 // isHexDigit reports whether b is a hexadecimal digit in either case.
 func isHexDigit(b byte) bool {
-	return '0' <= b && b <= '9' || 'a' <= b && b <= 'f' || 'A' <= b && b <= 'F'
+	lower := b | 0x20 // letters differ by this bit from their upper case
+	return isDigit(b) || 'a' <= lower && lower <= 'f'
 }
 
 // hexValue returns the value of a hexadecimal digit.
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -13,27 +13,38 @@
 }
 
 // Explain returns the rules that match a request, by precedence, with descriptions of their conditions.
-// It is for people: unlike Find it checks all rules.
+// It is for operators: unlike Find it checks all rules.
 func (r *Router) Explain(host, path, method string, header http.Header) []Match {
-	var all []Match
+	var matches []Match
 	for _, c := range r.rules {
 		if c.matches(host, path, method, header) {
-			all = append(all, Match{c.index, c.describe()})
+			matches = append(matches, Match{c.index, c.describe()})
 		}
 	}
-	return all
+	return matches
 }
 
 // matches reports whether all conditions of a rule match a request.
 func (c *compiledRule) matches(host, path, method string, header http.Header) bool {
+	return c.matchesHost(host) && c.matchesPath(path) && c.matchesRest(path, method, header)
+}
+
+func (c *compiledRule) matchesHost(host string) bool {
+	if c.Host == "" {
+		return true
+	}
 	suffix, isWildcard := strings.CutPrefix(c.Host, "*")
-	hostOK := c.Host == "" || !isWildcard && c.Host == host ||
-		isWildcard && len(host) > len(suffix) && strings.HasSuffix(host, suffix)
-	pathOK := c.Path == path
-	if c.Path == "" {
-		pathOK = c.Prefix == "" || path == c.Prefix || strings.HasPrefix(path, c.Prefix+"/")
+	if !isWildcard {
+		return c.Host == host
+	}
+	return len(host) > len(suffix) && strings.HasSuffix(host, suffix)
+}
+
+func (c *compiledRule) matchesPath(path string) bool {
+	if c.Path != "" {
+		return c.Path == path
 	}
-	return hostOK && pathOK && c.matchesRest(path, method, header)
+	return c.Prefix == "" || path == c.Prefix || strings.HasPrefix(path, c.Prefix+"/")
 }
 
 // describe returns descriptions of a rule's conditions, by precedence.
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -22,7 +22,7 @@
 	prefixDepths uint64                     // bit n: there are prefixes of n segments; bit maxDepth: or more
 }
 
-const maxDepth = 63
+const maxDepth = 63 // the highest bit of bucket.prefixDepths
 
 // New returns a Router for rules. It reports all rules that cannot be used, not only the first; the
 // Router has the others.
@@ -33,12 +33,12 @@
 	for i, given := range rules {
 		c, key, err := compile(given, i)
 		if err != nil {
-			problems = append(problems, &RuleError{i, key, err})
+			problems = append(problems, &RuleError{Index: i, Key: key, Err: err})
 			continue
 		}
 		if earlier := byKey[c.key()]; earlier != nil {
 			err := fmt.Errorf("can never match: route %q has the same conditions", earlier.Name)
-			problems = append(problems, &RuleError{i, "name", err})
+			problems = append(problems, &RuleError{Index: i, Key: "name", Err: err})
 			continue
 		}
 		byKey[c.key()] = c
@@ -60,14 +60,16 @@
 	if host == "" {
 		return r.anyHost
 	}
-	in, name := r.exact, host
+	buckets := r.exact
+	name := host
 	if suffix, ok := strings.CutPrefix(host, "*"); ok {
-		in, name = r.wildcard, suffix
+		buckets = r.wildcard
+		name = suffix
 	}
-	if in[name] == nil {
-		in[name] = newBucket()
+	if buckets[name] == nil {
+		buckets[name] = newBucket()
 	}
-	return in[name]
+	return buckets[name]
 }
 
 // add adds a rule. Rules of the same path must be added by precedence.
--- a/internal/route/rule.go
+++ b/internal/route/rule.go
@@ -42,10 +42,11 @@
 	Err   error
 }
 
-func (p *RuleError) Error() string { return fmt.Sprintf("%s: %v", p.Key, p.Err) }
+// Error returns the cause and its key.
+func (e *RuleError) Error() string { return fmt.Sprintf("%s: %v", e.Key, e.Err) }
 
 // Unwrap returns the cause.
-func (p *RuleError) Unwrap() error { return p.Err }
+func (e *RuleError) Unwrap() error { return e.Err }
 
 // Ranks of exact hosts and paths: above those of all wildcards and prefixes.
 const (
@@ -110,7 +111,7 @@
 		if err := checkCanonical(c.Prefix, CanonicalPath); err != nil {
 			return "prefix", err
 		}
-		// The prefix /a matches whole segments, so it includes the paths below /a/.
+		// The prefix /a matches complete segments, so it includes the paths below /a/.
 		c.Prefix = strings.TrimSuffix(c.Prefix, "/")
 	}
 	return "", nil
@@ -139,16 +140,16 @@
 	byName := make(map[string]Header)
 	for _, h := range c.Headers {
 		h.Name = textproto.CanonicalMIMEHeaderKey(h.Name)
-		switch old, twice := byName[h.Name]; {
+		switch earlier, isRepeated := byName[h.Name]; {
 		case !validToken(h.Name):
 			return fmt.Errorf("%q is no name of a header", h.Name)
 		case h.Name == "Host" || h.Name == "Transfer-Encoding" || h.Name == "Trailer":
 			return fmt.Errorf("can never match: %s is not among the headers a request is told by", h.Name)
 		case !h.Any && (!httpguts.ValidHeaderFieldValue(h.Value) || strings.Trim(h.Value, " \t") != h.Value):
 			return fmt.Errorf("%s: can never match: %q is no value of a header", h.Name, h.Value)
-		case twice && !old.Any && !h.Any && old.Value != h.Value:
+		case isRepeated && h.Any: // any earlier condition implies it
+		case isRepeated && !earlier.Any && earlier.Value != h.Value:
 			return fmt.Errorf("%s: can never match: two values", h.Name)
-		case twice && h.Any: // any other condition implies it
 		default:
 			byName[h.Name] = h
 		}
@@ -230,16 +231,29 @@
 
 // matchesRest reports whether the conditions other than host and path match.
 func (c *compiledRule) matchesRest(path, method string, header http.Header) bool {
-	return (c.Method == "" || c.Method == method) && (c.Class == "" || c.Class == FirstSegment(path)) && c.headersMatch(header)
+	if c.Method != "" && c.Method != method {
+		return false
+	}
+	if c.Class != "" && c.Class != FirstSegment(path) {
+		return false
+	}
+	return c.matchesHeaders(header)
 }
 
-func (c *compiledRule) headersMatch(header http.Header) bool {
+func (c *compiledRule) matchesHeaders(header http.Header) bool {
 	for i := range c.Headers {
-		h := &c.Headers[i]
-		given := header[h.Name]
-		if len(given) == 0 || !h.Any && (len(given) != 1 || given[0] != h.Value) {
+		if !c.Headers[i].matches(header) {
 			return false
 		}
 	}
 	return true
 }
+
+// matches reports whether a header satisfies the condition.
+func (h *Header) matches(header http.Header) bool {
+	values := header[h.Name]
+	if h.Any {
+		return len(values) > 0
+	}
+	return len(values) == 1 && values[0] == h.Value
+}
--- a/internal/validation/validation.go
+++ b/internal/validation/validation.go
@@ -6,7 +6,7 @@
 //   - a CR that does not end a line (2.2)
 //   - a Transfer-Encoding in an HTTP/1.0 message (6.1)
 //
-// A Scanner is fed the bytes of a connection beside net/http; it changes nothing and does no I/O.
+// A Scanner is fed the bytes that net/http reads from a connection; it changes nothing and does no I/O.
 // Packages front and upstream scan the connections of clients and servers with it.
 package validation
 
@@ -40,13 +40,13 @@
 	inChunkSize       // the line with a chunk's size
 	inChunkEnd        // the empty line after a chunk's data
 	inTrailer         // the trailer section after the last chunk
-	stopped           // nothing is scanned any more
+	stopped           // the remaining bytes are ignored
 )
 
 // Scanner scans the bytes that one side of a connection sends, in order. Its zero value expects the
 // first byte of a request. It is not safe for concurrent use.
 type Scanner struct {
-	// ReadsAnswers makes it scan answers in place of requests. It stops after the head of the first
+	// ReadsAnswers has the Scanner scan answers in place of requests. It stops after the head of the first
 	// final answer, and after an upgrade.
 	ReadsAnswers bool
 
@@ -71,7 +71,10 @@
 }
 
 // Stop makes the scanner ignore all further bytes, as after an upgrade.
-func (s *Scanner) Stop() { s.state, s.bytesToSkip = stopped, 0 }
+func (s *Scanner) Stop() {
+	s.state = stopped
+	s.bytesToSkip = 0
+}
 
 // Reset makes the scanner expect a new message.
 func (s *Scanner) Reset() { *s = Scanner{ReadsAnswers: s.ReadsAnswers} }
@@ -96,20 +99,29 @@
 		if s.err == nil {
 			s.endLine()
 		}
-		s.lineLength, s.isTruncated, s.endsWithCR = 0, false, false
+		s.startLine()
 	}
 	return s.err
 }
 
+// startLine prepares for the next line.
+func (s *Scanner) startLine() {
+	s.lineLength = 0
+	s.isTruncated = false
+	s.endsWithCR = false
+}
+
 // appendToLine adds a part of the current line. A CR is valid only as its last byte.
 func (s *Scanner) appendToLine(p []byte) {
 	if len(p) == 0 {
 		return
 	}
-	if i := bytes.IndexByte(p, '\r'); s.endsWithCR || i >= 0 && i < len(p)-1 {
+	i := bytes.IndexByte(p, '\r')
+	if s.endsWithCR || i >= 0 && i < len(p)-1 {
 		s.err = ErrBareCR
 		return
-	} else if i >= 0 {
+	}
+	if i >= 0 {
 		s.endsWithCR = true
 		p = p[:i]
 	}
@@ -133,7 +145,8 @@
 	case inChunkSize:
 		s.readChunkSize(line)
 	case inChunkEnd:
-		if s.state = inChunkSize; len(line) > 0 {
+		s.state = inChunkSize
+		if len(line) > 0 {
 			s.err = ErrChunkSize
 		}
 	case inTrailer:
@@ -180,7 +193,8 @@
 	case !ok || len(name) != len("content-length") && len(name) != len("transfer-encoding"):
 	case strings.EqualFold(string(name), "content-length"):
 		n, ok := parseDigits(bytes.Trim(value, " \t"))
-		if !ok || s.isTruncated || s.contentLengthCount > 0 && n != s.contentLength {
+		isContradiction := s.contentLengthCount > 0 && n != s.contentLength
+		if !ok || s.isTruncated || isContradiction {
 			s.err = ErrContentLength
 		}
 		s.contentLength = n
@@ -226,8 +240,11 @@
 // endMessage expects the head of the next message; a body that is to be skipped comes first.
 func (s *Scanner) endMessage() {
 	s.state = inHead
-	s.hasStartLine, s.isHTTP10, s.isInterim = false, false, false
-	s.contentLength, s.contentLengthCount = 0, 0
+	s.hasStartLine = false
+	s.isHTTP10 = false
+	s.isInterim = false
+	s.contentLength = 0
+	s.contentLengthCount = 0
 	s.isChunked = false
 }
 
@@ -243,5 +260,6 @@
 		s.state = inTrailer
 		return
 	}
-	s.bytesToSkip, s.state = int64(n), inChunkEnd
+	s.bytesToSkip = int64(n)
+	s.state = inChunkEnd
 }
