--- a/control/controller.go
+++ b/control/controller.go
@@ -2,24 +2,49 @@
 
 import (
 	"math"
+	"math/rand/v2"
 	"time"
 )
 
-// Tuned constants that several files use; the others stand in the file that uses them.
-const (
-	tickPeriod                 = 100 * time.Millisecond // period of the timer that drives windows and watches
-	windowDuration             = time.Second            // control window of shares and concurrency limit
-	maxWindowExtension         = 4 * time.Second        // by which a window with few answers may be longer
-	slotsPerServer             = 2                      // concurrency limit per usable server: initial and floor
-	initialGroupSlotsPerServer = 8.0                    // sum of a replica group's initial limits, per server
-	limitIncreaseFactor        = 1.25                   // growth of the limit after a window without overload
-	minAnswersPerWindow        = 5                      // with fewer answers the shares stay
-	epsilon                    = 1e-9                   // keeps quotients finite
-	rejectRetryAfter           = time.Second            // Retry-After of a rejection
-	historyBins                = 80                     // length of an account's histories
-	serverLatencyGain          = 0.2                    // gain of a server's latency estimate
-	fleetEstimateGain          = 0.02                   // gain of estimates over all servers
-)
+// tickPeriod is the period of the timer that drives control windows and the endpoint watch.
+const tickPeriod = 100 * time.Millisecond
+
+// Controller decides for one gateway. It is not safe for concurrent use.
+type Controller struct {
+	settings Settings
+	classes  map[string]*Class
+
+	pcg *rand.PCG // source of rng
+	rng *rand.Rand
+
+	now          time.Duration
+	clockAdvance time.Duration // of the latest event at which the clock moved
+	isStarted    bool
+	actions      []Action // that answer the present event
+
+	// Requests and their attempts.
+	requests    requestTable
+	retries     retryPolicy
+	clientWaits clientWaitEstimator
+
+	// Customers and their plans.
+	scheduler scheduler
+	accounts  accountTable
+	admission admission
+	usage     usageEstimator
+
+	// Servers.
+	fleet             serverFleet
+	slowStartSettings slowStartSettings
+	selector          endpointSelector
+	watch             endpointWatch
+
+	// The control window.
+	window       controlWindow
+	windowEndsAt time.Duration
+	limiter      concurrencyLimiter
+	nextTick     time.Duration // not in use; images have a key for it
+}
 
 // New returns a gateway's controller, whose randomness comes from seed; an error names a bad setting.
 func New(settings Settings, seed uint64) (*Controller, error) {
@@ -31,9 +56,85 @@
 	return c, nil
 }
 
-// handleList takes a change of the endpoint list.
-func (c *Controller) handleList(event EndpointList) {
-	c.watch.handleList(c.now, c.rng, event.Kind)
+// secondSeedMask makes the second seed of the random numbers differ from the first: 2^64 over the golden
+// ratio.
+const secondSeedMask = 0x9e3779b97f4a7c15
+
+func newController(settings Settings, seed uint64) *Controller {
+	pcg := rand.NewPCG(seed, seed^secondSeedMask)
+	c := &Controller{
+		settings:  settings,
+		pcg:       pcg,
+		rng:       rand.New(pcg),
+		classes:   make(map[string]*Class),
+		scheduler: newScheduler(settings.Plans),
+		requests:  newRequestTable(),
+		fleet:     serverFleet{servers: make(map[uint32]*server)},
+	}
+	c.slowStartSettings = newSlowStartSettings(&c.settings)
+	c.selector = endpointSelector{fleet: &c.fleet, slowStart: &c.slowStartSettings}
+	for i := range c.settings.Classes {
+		class := &c.settings.Classes[i]
+		c.classes[class.Name] = class
+	}
+	c.admission = newAdmission(&c.settings)
+	c.accounts = newAccountTable(&c.settings)
+	c.watch.isRequired = c.settings.ListOnRequest
+	c.usage = newUsageEstimator(&c.settings)
+	c.retries = newRetryPolicy(&c.settings)
+	c.clientWaits = newClientWaitEstimator(&c.settings)
+	return c
+}
+
+// Handle takes an event and returns the actions that it leads to, in order. The slice is the controller's
+// own and valid until the next call. A time before that of an earlier event counts as that.
+func (c *Controller) Handle(now time.Duration, event Event) []Action {
+	c.actions = c.actions[:0]
+	if now > c.now {
+		c.clockAdvance = now - c.now
+		c.now = now
+	}
+	if !c.isStarted {
+		c.startClock()
+	}
+	switch e := event.(type) {
+	case EndpointList:
+		c.handleEndpointList(e)
+	case Request:
+		c.handleRequest(e)
+	case ResponseStarted:
+		c.handleResponseStarted(e)
+	case AttemptResult:
+		c.handleAttemptResult(e)
+	case ClientGone:
+		if req := c.requests.byID[e.ID]; req != nil {
+			c.requests.remove(req)
+		}
+	case TimerFired:
+		c.handleTimer(e.Label)
+	}
+	c.dispatch()
+	return c.actions
+}
+
+const tickTimerLabel = 0 // requests have labels from 1 on
+
+// startClock starts the timer and the first window, at the first event.
+func (c *Controller) startClock() {
+	c.isStarted = true
+	c.accounts.fillingSince = c.now
+	c.windowEndsAt = c.now + windowDuration
+	c.emit(StartTimer{After: tickPeriod, Label: tickTimerLabel})
+}
+
+func (c *Controller) emit(action Action) { c.actions = append(c.actions, action) }
+
+// ConcurrencyLimit is how many attempts may be in flight at once now.
+func (c *Controller) ConcurrencyLimit() float64 { return c.limiter.limit }
+
+// handleEndpointList takes a change of the endpoint list.
+func (c *Controller) handleEndpointList(event EndpointList) {
+	c.watch.recordList(c.now, c.rng, event.Kind)
 	if event.Kind == ListFailed {
 		return
 	}
@@ -67,7 +168,7 @@
 // due.
 func (c *Controller) handleTick() {
 	c.emit(StartTimer{After: tickPeriod, Label: tickTimerLabel})
-	if c.watch.start(c.now) {
+	if c.watch.startIfDue(c.now) {
 		c.emit(WatchEndpoints{Active: true})
 	}
 	if c.isWindowDue() {
@@ -87,7 +188,9 @@
 
 // endWindow sets the concurrency limit and the shares of the next control window.
 func (c *Controller) endWindow(windowSeconds float64) {
-	c.limiter.update(c.now, &c.window, c.fleet.latency, c.minConcurrencyLimit())
+	if c.limiter.update(c.now, &c.window, c.fleet.latency, c.minConcurrencyLimit()) {
+		c.window.wasCut = true
+	}
 	c.scheduler.updateShares(&c.window)
 	c.fleet.recordThroughput(c.now, c.window.servedUnits, windowSeconds)
 	c.window = controlWindow{}
@@ -96,11 +199,13 @@
 
 // accountFor returns the refilled account of a plan's customer, opened at its first request.
 func (c *Controller) accountFor(plan *planQueue, customer string, fanOut int) *customerAccount {
-	return c.accounts.find(c.now, c.rng, plan, customer, fanOut)
+	return c.accounts.accountFor(c.now, c.rng, plan, customer, fanOut)
 }
 
-// refill brings an account up to now.
-func (c *Controller) refill(account *customerAccount) { c.accounts.refillAccount(c.now, account) }
+// refillAccount brings an account up to now.
+func (c *Controller) refillAccount(account *customerAccount) {
+	c.accounts.refillAccount(c.now, account)
+}
 
 func (c *Controller) currentBin() int64 { return c.accounts.binAt(c.now) }
 
--- a/control/throughput.go
+++ b/control/throughput.go
@@ -22,8 +22,8 @@
 
 // recordThroughput takes the units that servers which are not warming up have served in a control window.
 func (f *serverFleet) recordThroughput(now time.Duration, servedUnits, windowSeconds float64) {
-	f.warmThroughput.add(servedUnits/windowSeconds, serverLatencyGain)
-	f.warmServers.add(f.countWarm(now), serverLatencyGain)
+	f.warmThroughput.add(servedUnits/windowSeconds, throughputGain)
+	f.warmServers.add(f.countWarm(now), throughputGain)
 	f.updatePeakThroughput(windowSeconds)
 }
 
@@ -33,7 +33,7 @@
 	var warm, reporting, ejected float64
 	for _, srv := range f.sortedServers {
 		switch {
-		case !srv.isUsable() || srv.slowStart.isActive:
+		case !srv.isUsable() || srv.isWarmingUp():
 			continue
 		case srv.outlier.hasTripped():
 			ejected++
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"log/slog"
 	"math"
-	"os"
 	"path/filepath"
 	"runtime"
 	"runtime/debug"
@@ -17,17 +16,20 @@
 )
 
 const (
-	collectAt  = 400 // per cent by which the heap may grow: memory is there, CPU is scarce
-	memoryPart = 0.6 // of the memory limit that the heap may come to
+	gcPercent    = 400 // as of debug.SetGCPercent: there is more memory than CPU time to spare
+	heapFraction = 0.6 // of the process's memory, for the Go runtime
 )
 
-// tallyKey is the variable that, where it is not empty, has each service write what it does.
-const tallyKey = "LOCKFLOW_TALLY"
+// eventLogVariable names the environment variable that switches event logs on, if it is not empty.
+const eventLogVariable = "LOCKFLOW_TALLY"
 
+// serveCommand returns the command "serve".
 func serveCommand() command {
 	return command{
-		name: "serve", group: running, does: "serves by a configuration; SIGHUP reads it again, SIGUSR2 upgrades, SIGTERM drains",
-		args: "[--config FILE] [--pid-file FILE] [--listen ADDRESS] [--instance N --instances N] [--control PATH] [--state DIR]",
+		name:    "serve",
+		group:   groupRunning,
+		summary: "serves by a configuration; SIGHUP reads it again, SIGUSR2 upgrades, SIGTERM drains",
+		args:    "[--config FILE] [--pid-file FILE] [--listen ADDRESS] [--instance N --instances N] [--control PATH] [--state DIR]",
 		examples: []string{
 			"lockflow serve --config deploy/lockflow.toml", "LOCKFLOW_CONFIG=deploy/lockflow.toml lockflow",
 			"lockflow serve --config /etc/lockflow/lockflow.toml --pid-file /run/lockflow/pid",
@@ -47,61 +49,69 @@
 					*path = e.Getenv("LOCKFLOW_CONFIG")
 				}
 				if *path == "" || len(args) > 0 {
-					return usage("serve takes one configuration: --config FILE, or LOCKFLOW_CONFIG")
+					return usageError("serve takes one configuration: --config FILE, or LOCKFLOW_CONFIG")
 				}
 				if err := o.Check(); err != nil {
-					return usage("serve: %v", err)
+					return usageError("serve: %v", err)
 				}
-				return serveOwn(ctx, e, *path, *pid, o)
+				return serveFile(ctx, e, *path, *pid, o)
 			}
 		},
 	}
 }
 
-// serveOwn serves by a file of our own form, as a daemon.
-func serveOwn(ctx context.Context, e *Env, path, pidFile string, o config.Overrides) error {
-	program, err := os.Executable()
+// serveFile serves by a TOML configuration, as a daemon.
+func serveFile(ctx context.Context, e *Env, path, pidFile string, o config.Overrides) error {
+	program, err := executable()
 	if err != nil {
-		return fmt.Errorf("finding the program's own file: %w", err)
+		return err
 	}
 	if path, err = filepath.Abs(path); err != nil {
 		return fmt.Errorf("finding the configuration: %w", err)
 	}
-	over := func(cfg config.Config, err error) (config.Config, error) {
+	override := func(cfg config.Config, err error) (config.Config, error) {
 		if err == nil {
-			cfg.Process.EventLog = e.Getenv(tallyKey) != ""
+			cfg.Process.EventLog = e.Getenv(eventLogVariable) != ""
 			err = o.Apply(&cfg)
 		}
 		return cfg, err
 	}
 	return daemon.Run(ctx, daemon.Options{
-		LoadConfig:     func() (config.Config, error) { return over(config.Load(path)) },
-		ParseConfig:    func(text []byte) (config.Config, error) { return over(config.Parse(path, text)) },
-		StateDirectory: o.StateDir, ApplyRuntimeLimits: tune, ConfigPath: path, PIDFilePath: pidFile, Program: program, Args: e.Args, Getenv: e.Getenv, ReloadSignals: e.Hup, UpgradeSignals: e.Usr2,
+		LoadConfig:  func() (config.Config, error) { return override(config.Load(path)) },
+		ParseConfig: func(text []byte) (config.Config, error) { return override(config.Parse(path, text)) },
+
+		StateDirectory:     o.StateDir,
+		ApplyRuntimeLimits: applyRuntimeLimits,
+		ConfigPath:         path,
+		PIDFilePath:        pidFile,
+		Program:            program,
+		Args:               e.Args,
+		Getenv:             e.Getenv,
+		ReloadSignals:      e.ReloadSignals,
+		UpgradeSignals:     e.UpgradeSignals,
 	})
 }
 
-// serveByEnvironment is what the program does without arguments.
+// serveByEnvironment serves by the configuration that the environment names, as the program does without arguments.
 func serveByEnvironment(ctx context.Context, e *Env) error {
 	own, platform := e.Getenv("LOCKFLOW_CONFIG"), e.Getenv("NODE_CONFIG")
 	switch {
 	case own != "" && platform != "":
-		return usage("LOCKFLOW_CONFIG and NODE_CONFIG both name a configuration")
+		return usageError("LOCKFLOW_CONFIG and NODE_CONFIG both name a configuration")
 	case own != "":
-		return serveOwn(ctx, e, own, "", config.Overrides{})
+		return serveFile(ctx, e, own, "", config.Overrides{})
 	case platform == "":
 		return errors.New("NODE_CONFIG names no configuration file")
 	}
 	return servePlatform(ctx, e, platform)
 }
 
-// servePlatform serves by the platform's configuration until ctx ends. At the start the
-// environment goes before the file; once that was read anew it goes before the environment,
-// and one that can't be used changes nothing.
+// servePlatform serves by the platform's configuration until ctx is done. At the start the environment overrides the
+// file; a reload uses the file alone, and changes nothing if it can't be used.
 func servePlatform(ctx context.Context, e *Env, path string) error {
 	cfg, err := loadPlatform(path)
 	if err != nil {
-		return badConfig(err)
+		return wrapConfigError(err)
 	}
 	for name, field := range map[string]*string{
 		"NODE_LISTEN":    &cfg.Listeners[0],
@@ -109,19 +119,19 @@
 	} {
 		if v := e.Getenv(name); v != "" {
 			if err := config.CheckAddress(v); err != nil {
-				return badConfig(fmt.Errorf("%s: %w", name, err))
+				return wrapConfigError(fmt.Errorf("%s: %w", name, err))
 			}
 			*field = v
 		}
 	}
-	cfg.Process.EventLog = e.Getenv(tallyKey) != ""
-	tune(cfg)
+	cfg.Process.EventLog = e.Getenv(eventLogVariable) != ""
+	applyRuntimeLimits(cfg)
 	n, err := node.New(cfg)
 	if err != nil {
-		return badConfig(fmt.Errorf("configuration %s: %w", path, err))
+		return wrapConfigError(fmt.Errorf("configuration %s: %w", path, err))
 	}
 	go func() {
-		for range e.Hup {
+		for range e.ReloadSignals {
 			cfg, err := loadPlatform(path)
 			if err == nil {
 				err = n.Reload(cfg)
@@ -134,26 +144,25 @@
 	return n.Run(ctx)
 }
 
-// loadPlatform reads the platform's configuration and logs what is doubtful in it.
+// loadPlatform reads the platform's configuration and logs its warnings.
 func loadPlatform(path string) (config.Config, error) {
 	cfg, err := config.LoadPlatform(path)
-	for _, doubt := range cfg.Warnings {
-		slog.Warn("settings", "file", path, "err", doubt)
+	for _, warning := range cfg.Warnings {
+		slog.Warn("settings", "file", path, "err", warning)
 	}
 	return cfg, err
 }
 
-// badConfig marks an error as one of the configuration that the platform handed over: starting again
-// with the same is of no use.
-func badConfig(err error) error { return fmt.Errorf("%w: %w", errConfig, err) }
+// wrapConfigError wraps an error of the platform's configuration in errConfig: a restart with the same file is no use.
+func wrapConfigError(err error) error { return fmt.Errorf("%w: %w", errConfig, err) }
 
-// tune sets the runtime to what the process may use.
-func tune(cfg config.Config) {
+// applyRuntimeLimits sets the Go runtime's limits by the cores and the memory of the process.
+func applyRuntimeLimits(cfg config.Config) {
 	if cores := cfg.Process.Cores; cores > 0 || !cfg.Process.Shared {
 		runtime.GOMAXPROCS(int(math.Max(1, math.Ceil(cores))))
 	}
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	if mb := cfg.Process.MemoryMB; mb > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(mb<<20)))
+		debug.SetMemoryLimit(int64(heapFraction * float64(mb<<20)))
 	}
 }
--- a/internal/trials/regiontrial/clients.go
+++ b/internal/trials/regiontrial/clients.go
@@ -1,55 +1,57 @@
 package regiontrial
 
 import (
-	"bufio"
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
-	"net"
 	"net/http"
-	"os"
 	"strconv"
 	"strings"
 	"time"
 
 	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/trials/faultnet/traffic"
 )
 
 const (
-	patience     = 4 * time.Second  // of a client that a fault explains; beyond each class's deadline
-	patienceMost = 30 * time.Second // of one that none does
-	pauseMost    = 16 * time.Millisecond
+	excusedReadTimeout = 4 * time.Second  // of a client that met a fault; above each class's deadline
+	maxReadTimeout     = 30 * time.Second // of one that met none
+	maxPause           = 16 * time.Millisecond
 )
 
-// client sends requests to one node over connections that it keeps, one at a time, and repeats none.
+// client sends requests to one node over persistent connections, one at a time, without retries.
 type client struct {
 	*run
 	node, number int
 	rng          *rand.Rand
-	made         int
-	conn         net.Conn
-	in           *bufio.Reader
-	since        time.Time // when the connection was asked for
+	requestCount int
+	conn         traffic.Conn
 }
 
 func (r *run) client(node, n int) *client {
-	return &client{run: r, node: node, number: n, rng: rand.New(rand.NewPCG(r.o.Script.Seed, uint64(node*1000+n)))}
+	c := &client{run: r, node: node, number: n, rng: rand.New(rand.NewPCG(r.options.Script.Seed, uint64(node*1000+n)))}
+	c.conn = traffic.Conn{
+		Addr:            func() string { return r.fixture.client(node).Addr() },
+		FaultTimeout:    excusedReadTimeout,
+		MaxTimeout:      maxReadTimeout,
+		IsFaultPossible: func(dialedAt time.Time) bool { return r.fixture.isClientFaultPossible(node, dialedAt) },
+	}
+	return c
 }
 
-// request is one thing that a client wants.
+// request is one request of a client.
 type request struct {
 	id, method, path, customer string
 	body, answer               int64
 }
 
-// customers have ceilings over all regions; every client asks for each of them, beyond what they may.
+// customers have hard limits over all regions; every client sends requests of each, above their limits.
 var customers = []string{"gold-1", "silver-1"}
 
-func (c *client) draw() request {
-	c.made++
-	q := request{id: fmt.Sprintf("n%d-c%d-%d", c.node, c.number, c.made), method: http.MethodGet, path: "/visits", answer: int64(c.rng.IntN(3000))}
+func (c *client) drawRequest() request {
+	c.requestCount++
+	q := request{id: fmt.Sprintf("n%d-c%d-%d", c.node, c.number, c.requestCount), method: http.MethodGet, path: "/visits", answer: int64(c.rng.IntN(3000))}
 	switch n := c.rng.IntN(10); {
 	case n < 3:
 		q.method, q.path, q.body = http.MethodPost, "/write", int64(c.rng.IntN(2000))
@@ -63,102 +65,62 @@
 
 // work sends until ctx ends.
 func (c *client) work(ctx context.Context) {
-	defer c.leave()
+	defer c.conn.Close()
 	for ctx.Err() == nil {
-		c.once(c.draw())
+		c.send(c.drawRequest())
 		select {
-		case <-time.After(time.Duration(c.rng.Int64N(int64(pauseMost)))):
+		case <-time.After(time.Duration(c.rng.Int64N(int64(maxPause)))):
 		case <-ctx.Done():
 		}
 	}
 }
 
-func (c *client) leave() {
-	if c.conn != nil {
-		c.conn.Close()
-		c.conn = nil
-	}
-}
-
-// waiting reads from the node as long as a client waits.
-type waiting struct {
-	*client
-	until time.Time
-}
-
-func (w *waiting) Read(b []byte) (int, error) {
-	for {
-		w.conn.SetReadDeadline(time.Now().Add(patience))
-		n, err := w.conn.Read(b)
-		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || w.ground.excused(w.node, w.since) || time.Now().After(w.until) {
-			return n, err
-		}
-	}
-}
-
-// once sends a request, notes what came of it, and gives the status; 0 is none.
-func (c *client) once(q request) int {
+// send sends a request, records its outcome, and returns the status; 0 is none.
+func (c *client) send(q request) int {
 	c.notes.Requested(q.id)
-	begun := time.Now()
+	started := time.Now()
 	resp, body, err := c.exchange(q) //nolint:bodyclose // exchange reads it to its end
 	if err != nil {
-		c.leave()
+		c.conn.Close()
 		why := "unexplained: "
-		if c.ground.excused(c.node, c.since) {
+		if c.fixture.isClientFaultPossible(c.node, c.conn.DialedAt()) {
 			why = ""
 		}
-		c.notes.Broken(q.id, fmt.Sprintf("%s%s %s after %v, on a connection of %v: %v", why, q.method, q.path, time.Since(begun).Round(time.Millisecond),
-			time.Since(c.since).Round(time.Millisecond), err))
+		c.notes.Broken(q.id, fmt.Sprintf("%s%s %s after %v, on a connection of %v: %v", why, q.method, q.path, time.Since(started).Round(time.Millisecond),
+			time.Since(c.conn.DialedAt()).Round(time.Millisecond), err))
 		return 0
 	}
 	c.notes.Answered(q.id, strconv.Itoa(resp.StatusCode))
-	c.answered(c.node, q, resp, body, c.ground.excused(c.node, c.since))
+	c.answered(c.node, q, resp, body, c.fixture.isClientFaultPossible(c.node, c.conn.DialedAt()))
 	if resp.Close {
-		c.leave()
+		c.conn.Close()
 	}
 	return resp.StatusCode
 }
 
+// exchange sends a request and reads its answer.
 func (c *client) exchange(q request) (resp *http.Response, body string, err error) {
-	if c.conn != nil && c.in.Buffered() > 0 {
-		c.notes.Wrong("%s: %d bytes came behind an answer, before request %s", member(c.node), c.in.Buffered(), q.id)
-		c.leave()
-	}
-	if c.conn == nil {
-		c.since = time.Now()
-		if c.conn, err = (&net.Dialer{Timeout: patienceMost}).DialContext(context.Background(), "tcp", c.ground.client(c.node).Addr()); err != nil {
-			return nil, "", err
-		}
-	}
-	c.in = bufio.NewReader(&waiting{c, time.Now().Add(patienceMost)})
-	c.conn.SetWriteDeadline(time.Now().Add(patienceMost))
-	out := bufio.NewWriter(c.conn)
-	fmt.Fprintf(out, "%s %s?n=%d HTTP/1.1\r\nHost: trial.example\r\n%s: %s\r\n", q.method, q.path, q.answer, fieldID, q.id)
-	if q.customer != "" {
-		fmt.Fprintf(out, "%s: %s\r\n", fieldCustomer, q.customer)
-	}
-	if q.method == http.MethodPost {
-		fmt.Fprintf(out, "Content-Length: %d\r\n", q.body)
-	}
-	out.WriteString("\r\n")
-	_, _ = io.Copy(out, fake.PatternReader(q.body)) // Flush tells
-	if err := out.Flush(); err != nil {
-		return nil, "", err
+	if unread := c.conn.Unread(); unread > 0 {
+		c.notes.Wrong("%s: %d bytes came behind an answer, before request %s", member(c.node), unread, q.id)
+		c.conn.Close()
 	}
-	if resp, err = http.ReadResponse(c.in, &http.Request{Method: q.method}); err != nil {
+	resp, err = c.conn.Send(traffic.Request{
+		ID: q.id, Method: q.method, Path: q.path, Header: [2]string{fieldCustomer, q.customer}, Body: q.body, Answer: q.answer,
+	})
+	if err != nil {
 		return nil, "", err
 	}
 	raw, err := io.ReadAll(resp.Body)
 	return resp, string(raw), err
 }
 
-// answered holds a final answer to what may be answered. excused tells that a fault on the client's side may
-// have broken the request off.
+// answered checks a final answer. excused tells that a fault on the client's side may have interrupted the
+// request.
 func (r *run) answered(node int, q request, resp *http.Response, body string, excused bool) {
 	r.mu.Lock()
 	r.status[resp.StatusCode]++
 	r.mu.Unlock()
-	region := regionNames[node/r.o.Each]
+	region := regionNames[node/r.options.NodesPerRegion]
 	parts, missing := resp.Header.Get("Lockflow-Parts"), resp.Header.Get("Lockflow-Missing")
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -168,7 +130,7 @@
 				r.partial++
 			}
 			r.mu.Unlock()
-			if err := Holds(region, q.id, parts, missing, body); err != nil || q.path == "/write" {
+			if err := CheckParts(region, q.id, parts, missing, body); err != nil || q.path == "/write" {
 				r.notes.Wrong("request %s for %s: %v", q.id, q.path, err)
 			}
 			return
@@ -177,12 +139,12 @@
 			r.notes.Wrong("request %s: a gathered answer that claims nothing: %.80q", q.id, body)
 			return
 		}
-		if _, ran := r.ran.Load(q.id); q.path == "/write" && !ran {
+		if _, ran := r.effects.Load(q.id); q.path == "/write" && !ran {
 			r.notes.Wrong("request %s: answered 200, and no server has had it", q.id)
 		}
 		var want strings.Builder
 		_, _ = io.Copy(&want, fake.PatternReader(q.answer))
-		if got := resp.Header.Get(fieldID); got != q.id || body != want.String() {
+		if got := resp.Header.Get(traffic.IDField); got != q.id || body != want.String() {
 			r.notes.Wrong("request %s: an answer to %q of %d bytes instead of %d, or with others in it", q.id, got, len(body), q.answer)
 		}
 	case 502, 503, 504, 429:
@@ -191,8 +153,8 @@
 			r.notes.Wrong("request %s: answered %d, and it came whole", q.id, resp.StatusCode)
 		}
 	case http.StatusInternalServerError:
-		if !r.failsNow.Load() || q.path != "/write" {
-			r.notes.Wrong("request %s: answered 500, which no server has said", q.id)
+		if !r.isHarmfulChangeActive.Load() || q.path != "/write" {
+			r.notes.Wrong("request %s: answered 500, which no server has sent", q.id)
 		}
 		r.mu.Lock()
 		r.harmed++
