--- a/internal/node/account.go
+++ b/internal/node/account.go
@@ -18,7 +18,7 @@
 	requests         limits.RequestLimiter
 	upstream         atomic.Pointer[upstream.Upstream] // nil until the service exists
 	streams          service.Streams
-	additionalOwners atomic.Int32 // services that own the account beside the first
+	additionalOwners atomic.Int32 // services that own the account, without the first one
 }
 
 // retain adds an owner.
@@ -43,8 +43,11 @@
 func (a *account) usage() *ResourceUsage {
 	r := &a.requests
 	return &ResourceUsage{
-		Descriptors: a.descriptors.Usage(), Requests: r.Slots.Usage(), BufferedBytes: r.Bytes.Usage(), Dials: a.dials.Usage(),
-		ModuleTime: r.ModuleTime.Used(r.Owner),
+		Descriptors:   a.descriptors.Usage(),
+		Requests:      r.Slots.Usage(),
+		BufferedBytes: r.Bytes.Usage(),
+		Dials:         a.dials.Usage(),
+		ModuleTime:    r.ModuleTime.Used(r.Owner),
 	}
 }
 
--- a/internal/node/gatherers.go
+++ b/internal/node/gatherers.go
@@ -24,7 +24,7 @@
 
 // prepareGatherers makes the scatter-gather services of a configuration. One whose configuration is
 // unchanged is used again; one that changes takes over the counts of its predecessor, and the model of the
-// parts that both have. Queries in flight end under the settings that they began with. Nothing in force
+// parts that both have. Queries in flight end under the settings that they started with. Nothing in force
 // changes. n.mu is held, or n is not shared yet.
 func (n *Node) prepareGatherers(cfg *config.Config) (map[string]*gatherer, error) {
 	if len(cfg.Gathers) == 0 {
@@ -49,7 +49,10 @@
 // newGatherer makes a scatter-gather service; predecessor is the one that it replaces, or nil.
 func newGatherer(cfg config.Gather, predecessor *gatherer) (*gatherer, error) {
 	g := &gatherer{cfg: cfg, Gatherer: &scattergather.Gatherer{
-		Name: cfg.Name, Settings: waitPolicySettings(cfg), RetryAfter: cfg.MaxRetryAfter, Counts: new(scattergather.Counts),
+		Name:       cfg.Name,
+		Settings:   waitPolicySettings(cfg),
+		RetryAfter: cfg.MaxRetryAfter,
+		Counts:     new(scattergather.Counts),
 	}}
 	if err := g.Settings.Validate(); err != nil {
 		return nil, err
@@ -135,8 +138,13 @@
 	cfg := gatherers[name].cfg
 	tree := newGatherTree(name, gatherers)
 	target := &front.ScatterGather{
-		Tree: tree.root, Leaves: tree.leaves, Gatherers: tree.gatherers,
-		Deadlines: make(map[string]time.Duration), DefaultClass: config.ClassRead, MaxBodyBytes: cfg.MaxBodyBytes, TimeoutHeader: cfg.TimeHeader,
+		Tree:          tree.root,
+		Leaves:        tree.leaves,
+		Gatherers:     tree.gatherers,
+		Deadlines:     make(map[string]time.Duration),
+		DefaultClass:  config.ClassRead,
+		MaxBodyBytes:  cfg.MaxBodyBytes,
+		TimeoutHeader: cfg.TimeHeader,
 	}
 	for _, class := range cfg.Classes {
 		target.Deadlines[class.Name] = class.Deadline
@@ -144,7 +152,11 @@
 	var accounts []*account
 	for _, leaf := range tree.leaves {
 		s := services[leaf.Name]
-		target.Targets = append(target.Targets, front.Target{Service: s.Service, MaxBodyBytes: s.cfg.MaxBodyBytes, Protocol: s.genericHTTP})
+		target.Targets = append(target.Targets, front.Target{
+			Service:      s.Service,
+			MaxBodyBytes: s.cfg.MaxBodyBytes,
+			Protocol:     s.genericHTTP,
+		})
 		if s.cfg.MaxBodyBytes >= 0 {
 			target.MaxBodyBytes = min(target.MaxBodyBytes, s.cfg.MaxBodyBytes)
 		}
--- a/internal/node/limiter.go
+++ b/internal/node/limiter.go
@@ -46,8 +46,10 @@
 	return &exclusiveLimiter{limits.NewSocketLimiter(process.Descriptors), limits.NewByteLimiter(maxBytes)}
 }
 
-func (e *exclusiveLimiter) clientSockets() limits.ConnectionLimiter           { return e.sockets.ForClients() }
-func (e *exclusiveLimiter) openAccount() *account                             { return nil }
+func (e *exclusiveLimiter) clientSockets() limits.ConnectionLimiter { return e.sockets.ForClients() }
+
+func (e *exclusiveLimiter) openAccount() *account { return nil }
+
 func (e *exclusiveLimiter) upstreamSockets(*account) limits.ConnectionLimiter { return e.sockets }
 
 func (e *exclusiveLimiter) requestLimiter(*account) service.RequestLimiter { return e.bytes }
@@ -59,10 +61,13 @@
 // sharedLimiter serves a process whose services share its resources: each has a guaranteed part of every
 // resource and may borrow what others leave unused.
 type sharedLimiter struct {
-	descriptors, slots, bytes, dials *limits.SharedResource
-	moduleTime                       *limits.TimeLimiter
-	clientDescriptors                *limits.Account
-	maxRequestTime                   time.Duration // the longest that a request may keep what it borrowed; never falls
+	descriptors       *limits.SharedResource
+	slots             *limits.SharedResource // one for each request in flight
+	bytes             *limits.SharedResource
+	dials             *limits.SharedResource
+	moduleTime        *limits.TimeLimiter
+	clientDescriptors *limits.Account
+	maxRequestTime    time.Duration // for which a request may keep what it borrowed; never falls
 }
 
 // makeSharedLimiter is newSharedLimiter; tests replace it.
@@ -70,8 +75,11 @@
 
 func newSharedLimiter(cfg *config.Config, f *front.Front) *sharedLimiter {
 	s := &sharedLimiter{
-		descriptors: limits.NewSharedResource(0), slots: limits.NewSharedResource(0), bytes: limits.NewSharedResource(0),
-		dials: limits.NewSharedResource(0), moduleTime: limits.NewTimeLimiter(cfg.Process.Total.ModuleTime),
+		descriptors: limits.NewSharedResource(0),
+		slots:       limits.NewSharedResource(0),
+		bytes:       limits.NewSharedResource(0),
+		dials:       limits.NewSharedResource(0),
+		moduleTime:  limits.NewTimeLimiter(cfg.Process.Total.ModuleTime),
 	}
 	s.clientDescriptors = s.descriptors.OpenAccount(f.Evict)
 	return s
@@ -86,7 +94,10 @@
 func (s *sharedLimiter) openAccount() *account {
 	a := &account{dials: s.dials.OpenAccount(nil)}
 	a.requests = limits.RequestLimiter{
-		Slots: s.slots.OpenAccount(nil), Bytes: s.bytes.OpenAccount(nil), ModuleTime: s.moduleTime, Owner: s.moduleTime.OpenOwner(),
+		Slots:      s.slots.OpenAccount(nil),
+		Bytes:      s.bytes.OpenAccount(nil),
+		ModuleTime: s.moduleTime,
+		Owner:      s.moduleTime.OpenOwner(),
 	}
 	// A request returns what it borrowed when it ends. A streamed answer has no such end: overdue ones are
 	// cut when their resources are recalled.
@@ -114,22 +125,30 @@
 func (s *sharedLimiter) guaranteedResources(total config.Amounts) []*guaranteedResource {
 	return []*guaranteedResource{
 		{
-			name: "descriptors", resource: s.descriptors, total: total.Descriptors,
+			name:      "descriptors",
+			resource:  s.descriptors,
+			total:     total.Descriptors,
 			accountOf: func(a *account) *limits.Account { return a.descriptors },
 			amountOf:  func(amounts config.Amounts) int64 { return amounts.Descriptors },
 		},
 		{
-			name: "held", resource: s.slots, total: total.Requests,
+			name:      "held",
+			resource:  s.slots,
+			total:     total.Requests,
 			accountOf: func(a *account) *limits.Account { return a.requests.Slots },
 			amountOf:  func(amounts config.Amounts) int64 { return amounts.Requests },
 		},
 		{
-			name: "bytes", resource: s.bytes, total: total.Bytes,
+			name:      "bytes",
+			resource:  s.bytes,
+			total:     total.Bytes,
 			accountOf: func(a *account) *limits.Account { return a.requests.Bytes },
 			amountOf:  func(amounts config.Amounts) int64 { return amounts.Bytes },
 		},
 		{
-			name: "dials", resource: s.dials, total: total.Dials,
+			name:      "dials",
+			resource:  s.dials,
+			total:     total.Dials,
 			accountOf: func(a *account) *limits.Account { return a.dials },
 			amountOf:  func(amounts config.Amounts) int64 { return amounts.Dials },
 		},
--- a/internal/node/listener.go
+++ b/internal/node/listener.go
@@ -10,7 +10,7 @@
 	"lockflow/internal/socketpoll"
 )
 
-// finalAcceptWait is how long a draining listener waits for a connection that is in its socket's queue already.
+// finalAcceptWait is how long a draining listener waits for a connection that is already in its socket's queue.
 // Tests raise it.
 var finalAcceptWait = 20 * time.Millisecond
 
@@ -37,7 +37,7 @@
 	for {
 		isDraining := q.listener.beginFinalAccept()
 		c, err := q.Listener.Accept()
-		if ne := net.Error(nil); !isDraining || !errors.As(err, &ne) || !ne.Timeout() {
+		if !isDraining || !isTimeout(err) {
 			return c, err
 		}
 		// An Accept that starts after its deadline doesn't look at the queue at all.
@@ -47,7 +47,12 @@
 	}
 }
 
-// hasPendingConnection tells whether a connection is in the queue.
+func isTimeout(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
+}
+
+// hasPendingConnection reports whether a connection is in the queue.
 func (l *listener) hasPendingConnection() bool {
 	raw, err := l.tcp.SyscallConn()
 	if err != nil {
@@ -56,11 +61,11 @@
 	return socketpoll.Poll(raw).IsReadable
 }
 
-// acceptGate keeps connections from being accepted while it is shut. Its zero value is open.
+// acceptGate holds back the accepting of connections while it is shut. Its zero value is open.
 type acceptGate struct {
 	mu       sync.Mutex
 	reopened chan struct{} // closed when the gate opens again; nil while it is open
-	isFinal  bool          // the queue is accepted, and then nothing more
+	isFinal  bool          // after the connections in the queue, no more is accepted
 }
 
 // reopening returns a channel that is closed when the gate opens again; nil while it is open.
@@ -102,7 +107,7 @@
 			}
 		}
 		c, err := l.Listener.Accept()
-		if ne := net.Error(nil); errors.As(err, &ne) && ne.Timeout() {
+		if isTimeout(err) {
 			continue
 		}
 		return c, err
@@ -122,7 +127,7 @@
 	l.tcp.SetDeadline(time.Now()) // wakes an Accept
 }
 
-// beginFinalAccept tells whether the listener drains, and bounds the Accept that then follows.
+// beginFinalAccept reports whether the listener drains, and bounds the Accept that then follows.
 func (l *listener) beginFinalAccept() bool {
 	l.gate.mu.Lock()
 	defer l.gate.mu.Unlock()
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -58,8 +58,15 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	tcp, _ := socket.(*net.TCPListener)
-	l := &listener{configuredAddress: address, tcp: tcp, cancel: cancel, done: ctx.Done(), serveEnded: make(chan struct{})}
-	l.Listener = limits.Listen(ctx, accept.Persistently(socketQueue{socket, l}, accept.Clients), n.limiter.clientSockets())
+	l := &listener{
+		configuredAddress: address,
+		tcp:               tcp,
+		cancel:            cancel,
+		done:              ctx.Done(),
+		serveEnded:        make(chan struct{}),
+	}
+	persistent := accept.Persistently(socketQueue{socket, l}, accept.Clients)
+	l.Listener = limits.Listen(ctx, persistent, n.limiter.clientSockets())
 	return l, nil
 }
 
@@ -108,7 +115,8 @@
 // accepted.
 func (n *Node) closeRemovedListeners() {
 	n.mu.Lock()
-	removed, timeout := n.removed, max(n.cfg.Process.Drain.Max, finalAnswerTime)
+	removed := n.removed
+	timeout := max(n.cfg.Process.Drain.Max, finalAnswerTime)
 	n.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -137,7 +145,8 @@
 		return
 	}
 	slog.Info("serving", "listen", l.Addr().String())
-	server, source := n.server, net.Listener(l)
+	server := n.server
+	source := net.Listener(l)
 	if n.cfg.Process.Shared { // a reload may add services of generic HTTP
 		source = front.ValidatingListener(l)
 	}
@@ -170,14 +179,14 @@
 	return l, nil
 }
 
-// Addr is the address of the first listener.
+// Addr returns the address of the first listener.
 func (n *Node) Addr() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.listeners[0].Addr().String()
 }
 
-// Addresses are those of all listeners, in the order of the configuration.
+// Addresses returns the addresses of all listeners, in the order of the configuration.
 func (n *Node) Addresses() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -198,14 +207,14 @@
 		if l.tcp == nil {
 			continue
 		}
-		f, err := duplicateSocket(l.tcp)
+		file, err := duplicateSocket(l.tcp)
 		if err != nil {
-			for _, f := range files {
-				_ = f.Close() // a copy of a socket
+			for _, duplicate := range files {
+				_ = duplicate.Close() // a copy of a socket
 			}
 			return nil, fmt.Errorf("passing on the listener of %s: %w", l.configuredAddress, err)
 		}
-		files[l.configuredAddress] = f
+		files[l.configuredAddress] = file
 	}
 	return files, nil
 }
--- a/internal/node/model_sharing.go
+++ b/internal/node/model_sharing.go
@@ -24,9 +24,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("sharing: %w", err)
 	}
-	options := share.Options{Gatherer: cfg.Name, InstanceID: fmt.Sprintf("%016x", rand.Uint64()), Timeout: cfg.CallTimeout, Seed: rand.Uint64()}
+	options := share.Options{
+		Gatherer:   cfg.Name,
+		InstanceID: fmt.Sprintf("%016x", rand.Uint64()),
+		Timeout:    cfg.CallTimeout,
+		Seed:       rand.Uint64(),
+	}
 	for _, address := range cfg.Addresses {
-		options.Stores = append(options.Stores, share.Store{Address: address, Username: cfg.Username, Password: password})
+		options.Stores = append(options.Stores, share.Store{
+			Address:  address,
+			Username: cfg.Username,
+			Password: password,
+		})
 	}
 	sharer, err := share.New(options, model)
 	if err != nil {
@@ -35,7 +44,7 @@
 	return &modelSharer{Sharer: sharer}, nil
 }
 
-// readPassword reads a password file, without its line ending; "" names none.
+// readPassword reads a password file, without its line ending. An empty path is no password.
 func readPassword(path string) (string, error) {
 	if path == "" {
 		return "", nil
@@ -65,7 +74,11 @@
 		}
 	}
 	for _, g := range old {
-		if sharer := g.sharer; sharer != nil && !used[sharer] && sharer.cancel != nil {
+		sharer := g.sharer
+		if sharer == nil || used[sharer] {
+			continue
+		}
+		if sharer.cancel != nil {
 			sharer.cancel()
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,9 +1,10 @@
 // Package node puts the parts of a process together from its configuration: listeners, the front that reads
 // requests, services, scatter-gather services, and the limits on resources that they share. It replaces the
-// configuration while the node runs (Reload), hands listeners and state to a successor, and drains. It takes no
+// configuration while the node runs (Reload), hands listeners and state to a successor, and drains. It makes no
 // decision about requests.
 //
-// Packages daemon, command and testbench make a Node; manage and metrics read its status. All methods of Node may be called from any goroutine; Run is called once.
+// Packages daemon, command and testbench make a Node; manage and metrics read its status. All methods of Node may be
+// called from any goroutine; Run is called once.
 package node
 
 import (
@@ -36,12 +37,12 @@
 	hasBeenReady atomic.Bool             // becameReady is closed or about to be
 
 	// OnDrained, where it is not nil, is called once in a drain, when nothing more will be spent and
-	// the services can still be asked for their state. It is set before Run.
+	// the services still report their state. It is set before Run.
 	OnDrained func()
 
 	reloadMu sync.Mutex // held during a reload, also while that waits; locked before mu
 
-	mu               sync.Mutex  // guards all below but the channels and tasks
+	mu               sync.Mutex  // guards all fields below but the channels and tasks
 	listeners        []*listener // in the order of the configuration
 	removed          []*listener // by the reload in progress; they drain
 	isShutDown       bool        // nothing new may listen or serve
@@ -58,7 +59,7 @@
 	tasks            sync.WaitGroup                       // goroutines of services, listeners and model sharers
 	serviceFailures  chan error                           // holds the first failure of a service, which ends the node
 	runningServices  int                                  // services that run, retired ones included
-	serviceEnded     *sync.Cond                           // runningServices has fallen
+	serviceEnded     *sync.Cond                           // signals that runningServices has decreased
 }
 
 // New makes an edge node and begins to listen.
@@ -68,10 +69,15 @@
 // that the configuration names (config.Inherited), and those of the configuration's addresses.
 func NewInheriting(cfg config.Config, inherited map[string]net.Listener) (*Node, error) {
 	n := &Node{
-		inherited: inherited, cfg: cfg, generation: 1,
-		services: make(map[string]*runningService), retired: make(map[*service.Service]*retiredService),
-		readyChanged: make(chan struct{}, 1), becameReady: make(chan struct{}),
-		serviceFailures: make(chan error, 1), listenerFailures: make(chan error, 1),
+		inherited:        inherited,
+		readyChanged:     make(chan struct{}, 1),
+		becameReady:      make(chan struct{}),
+		listenerFailures: make(chan error, 1),
+		generation:       1,
+		cfg:              cfg,
+		services:         make(map[string]*runningService),
+		retired:          make(map[*service.Service]*retiredService),
+		serviceFailures:  make(chan error, 1),
 	}
 	n.serviceEnded = sync.NewCond(&n.mu)
 	n.front = front.New(&front.RoutingTable{}, n.isReady)
@@ -89,10 +95,11 @@
 	if e, ok := n.limiter.(*exclusiveLimiter); ok {
 		e.sockets.OnEvict(n.front.Evict, n.services[cfg.Services[0].Name].Upstream().Evict)
 	}
-	var err error
-	if n.listeners, err = n.openListeners(cfg.Listeners, startListenTime); err != nil {
+	listeners, err := n.openListeners(cfg.Listeners, startListenTime)
+	if err != nil {
 		return nil, err
 	}
+	n.listeners = listeners
 	return n, nil
 }
 
@@ -116,7 +123,7 @@
 	return nil
 }
 
-// isReady tells whether every required service has been able to serve. A node that has been ready stays so:
+// isReady reports whether every required service has been able to serve. A node that has been ready remains so:
 // services that a later configuration adds don't stop the others.
 func (n *Node) isReady() bool {
 	if n.hasBeenReady.Load() {
@@ -146,14 +153,14 @@
 // Ready is closed once every required service has been able to serve.
 func (n *Node) Ready() <-chan struct{} { return n.becameReady }
 
-// Generation is the number of the configuration in force; the first is 1.
+// Generation returns the number of the configuration in force; the first is 1.
 func (n *Node) Generation() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.generation
 }
 
-// ServiceCount is the number of services in force.
+// ServiceCount returns the number of services in force.
 func (n *Node) ServiceCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -167,7 +174,7 @@
 	return maps.Clone(n.services)
 }
 
-// Alive tells whether all services take events before ctx ends.
+// Alive reports whether all services handle events before ctx ends.
 func (n *Node) Alive(ctx context.Context) bool {
 	for _, s := range n.currentServices() {
 		if !s.Alive(ctx) {
@@ -177,7 +184,7 @@
 	return true
 }
 
-// Statistics are what the services have counted since the process began; zero without a control socket.
+// Statistics returns what the services have counted since the process started; zero without a control socket.
 func (n *Node) Statistics() instancestats.Statistics { return n.statistics.Statistics() }
 
 // Status reports what each service is doing, sorted by name.
@@ -209,8 +216,8 @@
 	ModuleTime    float64      `json:"module_time"` // recent processor time of its decision module, in seconds per second
 }
 
-// requestCountsOf returns a service's counts, which go on over its generations. It begins anew where names that
-// come and go have left too many. n.mu is held, or n is not shared yet.
+// requestCountsOf returns a service's counts, which go on over its generations. All counts are dropped where there
+// are too many, as of services that were added and removed. n.mu is held, or n is not shared yet.
 func (n *Node) requestCountsOf(name string) *service.RequestCounts {
 	if n.requestCounts == nil || len(n.requestCounts) > maxCountedServices {
 		n.requestCounts = make(map[string]*service.RequestCounts)
@@ -221,7 +228,7 @@
 	return n.requestCounts[name]
 }
 
-// RequestCounts are those of all services, by name; empty without metrics.
+// RequestCounts returns the counts of all services, by name; empty without metrics.
 func (n *Node) RequestCounts() map[string]*service.RequestCounts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -47,8 +47,8 @@
 	n.services[n.cfg.Services[0].Name].SetSource(source)
 }
 
-// checkReload tells whether the node can take a configuration over, and waits for retired services where
-// there are too many. n.mu is held.
+// checkReload returns why the node can't put a configuration in force, and waits for retired services where there
+// are too many. n.mu is held.
 func (n *Node) checkReload(cfg *config.Config) error {
 	for _, change := range config.Compare(n.cfg, *cfg).Restarts() {
 		return fmt.Errorf("%s: %s can't become %s without a restart", change.What, change.From, change.To)
@@ -102,17 +102,22 @@
 	n.front.SetTable(routeTable(&cfg, next.services, next.gatherers))
 	changes.removed = n.retireReplacedServices(next.services)
 	n.shareModels(n.gatherers, next.gatherers)
-	n.services, n.gatherers, n.cfg = next.services, next.gatherers, cfg
+	n.services = next.services
+	n.gatherers = next.gatherers
+	n.cfg = cfg
 	n.setListeners(next.opened, cfg.Listeners)
-	n.notifyReadyChanged() // a service that was not ready may be gone
-	slog.Info("reloaded", "generation", n.generation, "services", len(next.services), "added", changes.added, "changed", changes.replaced,
-		"moved", changes.moved, "removed", changes.removed, "older", len(n.retired))
+	n.notifyReadyChanged() // a service that was not ready may have been removed
+	slog.Info("reloaded", "generation", n.generation, "services", len(next.services),
+		"added", changes.added, "changed", changes.replaced, "moved", changes.moved, "removed", changes.removed,
+		"older", len(n.retired))
 }
 
 // serviceChanges counts what a reload does to services.
 type serviceChanges struct {
-	added, replaced, removed int
-	moved                    int // to another source of endpoints
+	added    int
+	replaced int
+	removed  int
+	moved    int // to another source of endpoints
 }
 
 // startChangedServices starts services that are new or replace one in force, and moves those with another
@@ -155,7 +160,7 @@
 
 // replaceService starts a service in another's place. n.mu is held.
 func (n *Node) replaceService(current, next *runningService) {
-	if n.servicesContext == nil { // neither has begun
+	if n.servicesContext == nil { // neither runs yet
 		return
 	}
 	current.ReplaceWith(next.Service)
--- a/internal/node/retirement.go
+++ b/internal/node/retirement.go
@@ -17,13 +17,13 @@
 	*runningService
 	retiredAt  time.Time
 	replacedIn int  // generation of the reload that retired it
-	isReported bool // whether the log says that it is overdue
+	isReported bool // it was logged as overdue
 }
 
 // RetiredService is a service that a reload replaced or removed and that still has requests in flight.
 type RetiredService struct {
 	Service    string        `json:"service"`
-	Generation int           `json:"generation"` // generation in which it began
+	Generation int           `json:"generation"` // in which it started
 	RetiredFor time.Duration `json:"since_ns"`   // time since it was replaced or removed
 }
 
@@ -31,21 +31,29 @@
 func (n *Node) RetiredServices() []RetiredService {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	all := []RetiredService{}
+	services := []RetiredService{}
 	for _, s := range n.retired {
-		all = append(all, RetiredService{s.cfg.Name, s.generation, time.Since(s.retiredAt)})
+		services = append(services, RetiredService{
+			Service:    s.cfg.Name,
+			Generation: s.generation,
+			RetiredFor: time.Since(s.retiredAt),
+		})
 	}
-	return all
+	return services
 }
 
-// retire lets a service end once no request of it is in flight. n.mu is held.
+// retire has a service end once no request of it is in flight. n.mu is held.
 func (n *Node) retire(s *runningService) {
 	s.Retire()
 	if n.servicesContext == nil { // the service never ran
 		s.account.release()
 		return
 	}
-	n.retired[s.Service] = &retiredService{runningService: s, retiredAt: time.Now(), replacedIn: n.generation}
+	n.retired[s.Service] = &retiredService{
+		runningService: s,
+		retiredAt:      time.Now(),
+		replacedIn:     n.generation,
+	}
 }
 
 // retiredGenerations counts the reloads that retired services which have not ended. n.mu is held.
@@ -106,14 +114,15 @@
 	}
 }
 
-// reportOverdue logs each retired service once that has lived longer than any of its requests may. Services
+// reportOverdue logs each retired service once when it has run for longer than any of its requests may take. Services
 // of generic HTTP are left out: a streamed answer has no deadline.
 func (n *Node) reportOverdue() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, s := range n.retired {
 		retiredFor := time.Since(s.retiredAt)
-		if s.isReported || s.cfg.HTTP != nil || retiredFor <= maxRequestTime(s.cfg) {
+		isOverdue := s.cfg.HTTP == nil && retiredFor > maxRequestTime(s.cfg)
+		if s.isReported || !isOverdue {
 			continue
 		}
 		s.isReported = true
--- a/internal/node/routes.go
+++ b/internal/node/routes.go
@@ -22,11 +22,19 @@
 			if gatherTargets[r.Service] == nil {
 				gatherTargets[r.Service] = gatherTarget(r.Service, gatherers, services)
 			}
-			table.Targets = append(table.Targets, front.Target{Class: r.RequestClass, ScatterGather: gatherTargets[r.Service]})
+			table.Targets = append(table.Targets, front.Target{
+				Class:         r.RequestClass,
+				ScatterGather: gatherTargets[r.Service],
+			})
 			continue
 		}
 		s := services[r.Service]
-		target := front.Target{Service: s.Service, Class: r.RequestClass, MaxBodyBytes: s.cfg.MaxBodyBytes, UpgradeProtocols: r.Upgrade}
+		target := front.Target{
+			Service:          s.Service,
+			Class:            r.RequestClass,
+			MaxBodyBytes:     s.cfg.MaxBodyBytes,
+			UpgradeProtocols: r.Upgrade,
+		}
 		if s.genericHTTP != nil {
 			target.Protocol = s.genericHTTP
 		}
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// finalAnswerTime bounds the writing of the last answers. With the shortest deadlines no more than this is left
-// between the steps of the drain and SIGKILL.
+// finalAnswerTime limits the writing of the last answers. With the shortest deadlines no more time is left between
+// the steps of the drain and SIGKILL.
 const finalAnswerTime = 200 * time.Millisecond
 
 // Run serves until ctx ends, then drains. It returns once all that it started has ended. An error is a failure
@@ -75,20 +75,24 @@
 	}
 }
 
-// drain ends the node without losing a request. For some time clients may still come, and each answer closes
-// its connection; the node ends once all requests in flight are answered.
+// drain ends the node without losing a request. Until drainListeners, clients may still connect, and each answer
+// closes its connection; the node ends once all requests in flight are answered.
 func (n *Node) drain(cancelServices context.CancelFunc) error {
 	n.front.Drain()
 	slog.Info("draining") // each answer from here on closes its connection
 	n.mu.Lock()
-	startedAt, times := time.Now(), n.cfg.Process.Drain
+	startedAt := time.Now()
+	times := n.cfg.Process.Drain
 	n.mu.Unlock()
 	steps := []struct {
-		at  time.Duration // since the drain began
+		at  time.Duration // since the drain has started
 		run func()
 	}{
 		{times.Idle, n.front.CloseWhenIdle},
-		{times.Accept, func() { n.drainListeners(); n.awaitDisconnected(times.Max - times.Accept) }},
+		{times.Accept, func() {
+			n.drainListeners()
+			n.awaitDisconnected(times.Max - times.Accept)
+		}},
 	}
 	for _, step := range steps {
 		select {
@@ -125,15 +129,15 @@
 	n.front.CloseWhenIdle()
 }
 
-// awaitDisconnected waits, after drainListeners, until no client waits or is connected, or the time is over.
-// A client that then still waits in a socket found no free descriptor.
+// awaitDisconnected waits, after drainListeners, until no client waits or is connected, or the timeout. A client
+// that then still waits in a socket's queue has found no free descriptor.
 func (n *Node) awaitDisconnected(timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	n.mu.Lock()
-	all := slices.Concat(n.listeners, n.removed)
+	listeners := slices.Concat(n.listeners, n.removed)
 	n.mu.Unlock()
-	awaitListeners(ctx, all)
+	awaitListeners(ctx, listeners)
 	n.front.WaitDisconnected(ctx)
 }
 
--- a/internal/node/services.go
+++ b/internal/node/services.go
@@ -21,7 +21,7 @@
 	"lockflow/internal/upstream"
 )
 
-// certificateCheckInterval is the time between two looks at the TLS files of a service's servers.
+// certificateCheckInterval is the time between two checks of the TLS files of a service's servers for changes.
 const certificateCheckInterval = time.Second
 
 // runningService is a service in force, or retired, and the configuration that it was made from.
@@ -31,8 +31,8 @@
 	account          *account             // nil where services share nothing
 	genericHTTP      *front.GenericHTTP   // nil where clients speak the platform's protocol
 	leaseStores      []*leasestore.Client // that lend its hard limits; closed when it ends
-	generation       int                  // in which it began
-	predecessorEnded <-chan struct{}      // ended of the service that it replaced; nil where there is none
+	generation       int                  // in which it started
+	predecessorEnded <-chan struct{}      // the channel ended of the service that it replaced; nil where there is none
 	cancel           func()               // ends it with its requests in flight; nil until it runs
 	ended            chan struct{}        // closed when it and its predecessors have ended
 }
@@ -68,8 +68,8 @@
 	}
 }
 
-// newService makes a service. One that replaces a predecessor knows the predecessor's endpoints, and takes
-// over its connections where they would be made in the same way.
+// newService makes a service. One that replaces a predecessor takes over its endpoints, and its connections where
+// they would be made in the same way.
 func (n *Node) newService(cfg config.Service, predecessor *runningService, hasMetrics bool) (*runningService, error) {
 	r := &runningService{cfg: cfg, ended: make(chan struct{})}
 	sharesUpstream := canShareUpstream(cfg, predecessor)
@@ -91,14 +91,15 @@
 	return r, nil
 }
 
-// canShareUpstream tells whether a service would make connections just as its predecessor does.
+// canShareUpstream reports whether a service would make connections just as its predecessor does.
 func canShareUpstream(cfg config.Service, predecessor *runningService) bool {
 	if predecessor == nil || predecessor.account == nil {
 		return false
 	}
-	was := &predecessor.cfg
-	return was.ConnectTimeout == cfg.ConnectTimeout && was.Keepalive == cfg.Keepalive && was.MaxResponseBytes == cfg.MaxResponseBytes && was.Servers == cfg.Servers &&
-		(was.HTTP == nil) == (cfg.HTTP == nil)
+	previous := &predecessor.cfg
+	hasSameTimeouts := previous.ConnectTimeout == cfg.ConnectTimeout && previous.Keepalive == cfg.Keepalive
+	hasSameProtocol := previous.Servers == cfg.Servers && (previous.HTTP == nil) == (cfg.HTTP == nil)
+	return hasSameTimeouts && hasSameProtocol && previous.MaxResponseBytes == cfg.MaxResponseBytes
 }
 
 // buildService makes the service itself and what it needs: its protocol, TLS files and lease stores.
@@ -132,11 +133,20 @@
 
 // serviceOptions are the options that follow from a service's configuration and account alone.
 func (n *Node) serviceOptions(r *runningService, hasMetrics bool) service.Options {
-	cfg, account := r.cfg, r.account
+	cfg := r.cfg
+	account := r.account
 	options := service.Options{
-		Name: cfg.Name, AnyMethod: r.genericHTTP != nil, Settings: cfg.Settings, Seed: cfg.Seed, Source: cfg.Source, CachedEndpoints: cfg.Known,
-		OnPanic: cfg.OnPanic, OnReady: n.notifyReadyChanged, Protocol: cfg.Servers.Protocol, Limiter: n.limiter.requestLimiter(account),
-		Upstream: n.upstreamOptions(r),
+		Name:            cfg.Name,
+		Settings:        cfg.Settings,
+		Seed:            cfg.Seed,
+		Upstream:        n.upstreamOptions(r),
+		Protocol:        cfg.Servers.Protocol,
+		Source:          cfg.Source,
+		CachedEndpoints: cfg.Known,
+		OnPanic:         cfg.OnPanic,
+		AnyMethod:       r.genericHTTP != nil,
+		Limiter:         n.limiter.requestLimiter(account),
+		OnReady:         n.notifyReadyChanged,
 	}
 	if account != nil {
 		options.Seed = rand.Uint64() // only the platform's configuration has one
@@ -162,9 +172,16 @@
 func (n *Node) upstreamOptions(r *runningService) upstream.Options {
 	cfg := r.cfg
 	options := upstream.Options{
-		ConnectTimeout: cfg.ConnectTimeout, KeepAliveTimeout: cfg.Keepalive, MaxBodyBytes: int(cfg.MaxResponseBytes), SocketLimiter: n.limiter.upstreamSockets(r.account), QuietPeriod: upstream.SecondAnswerDelay,
+		ConnectTimeout:   cfg.ConnectTimeout,
+		KeepAliveTimeout: cfg.Keepalive,
+		MaxBodyBytes:     int(cfg.MaxResponseBytes),
+		SocketLimiter:    n.limiter.upstreamSockets(r.account),
+		QuietPeriod:      upstream.SecondAnswerDelay,
 		HTTP2: upstream.HTTP2Options{
-			MaxStreams: cfg.Servers.MaxStreams, MaxConnections: cfg.Servers.MaxConnections, MaxConnectionAge: cfg.Servers.MaxAge, FallbackPeriod: cfg.Servers.HTTP2RetryInterval,
+			MaxStreams:       cfg.Servers.MaxStreams,
+			MaxConnections:   cfg.Servers.MaxConnections,
+			MaxConnectionAge: cfg.Servers.MaxAge,
+			FallbackPeriod:   cfg.Servers.HTTP2RetryInterval,
 			StartsAtLastByte: r.genericHTTP == nil,
 		},
 	}
@@ -180,7 +197,9 @@
 	plans = slices.Clone(plans)
 	for i := range plans {
 		plan := &plans[i]
-		plan.HardLimitRate, plan.HardLimitBurst, plan.HardLimitSlack = 0, 0, 0
+		plan.HardLimitRate = 0
+		plan.HardLimitBurst = 0
+		plan.HardLimitSlack = 0
 	}
 	return plans
 }
@@ -195,7 +214,12 @@
 	var clients []*leasestore.Client
 	for _, address := range cfg.Addresses {
 		client := leasestore.New(leasestore.Options{
-			Address: address, Username: cfg.Username, Password: password, KeyPrefix: cfg.Name, Timeout: cfg.CallTimeout, Rules: cfg.Rules,
+			Address:   address,
+			Username:  cfg.Username,
+			Password:  password,
+			KeyPrefix: cfg.Name,
+			Timeout:   cfg.CallTimeout,
+			Rules:     cfg.Rules,
 		})
 		clients = append(clients, client)
 		hardLimits.Stores = append(hardLimits.Stores, client)
@@ -223,14 +247,25 @@
 		return nil, err
 	}
 	return front.NewGenericHTTP(front.GenericHTTPOptions{
-		Customers: customers, SafeClass: config.ClassRead, UnsafeClass: config.ClassWrite, ClassWithoutKey: http.ClassWithoutKey,
-		TimeoutHeader: http.TimeoutHeader, SendTimeLeft: http.SendTimeLeft, SendRequestID: http.SendRequestID, ForwardingHeaders: http.ForwardingHeaders, TrustedProxies: http.Customers.TrustedProxies,
-		RetryBufferBytes: int(http.RetryBufferBytes), MaxBufferedAnswerBytes: int(cfg.MaxResponseBytes), IdleTimeout: http.IdleTimeout, MinBytesPerSecond: http.MinBytesPerSecond,
-		ResponseRules: http.ResponseRules, AllowUnderscores: http.AllowUnderscores,
+		Customers:              customers,
+		SafeClass:              config.ClassRead,
+		UnsafeClass:            config.ClassWrite,
+		ClassWithoutKey:        http.ClassWithoutKey,
+		TimeoutHeader:          http.TimeoutHeader,
+		SendTimeLeft:           http.SendTimeLeft,
+		SendRequestID:          http.SendRequestID,
+		ForwardingHeaders:      http.ForwardingHeaders,
+		TrustedProxies:         http.Customers.TrustedProxies,
+		RetryBufferBytes:       int(http.RetryBufferBytes),
+		MaxBufferedAnswerBytes: int(cfg.MaxResponseBytes),
+		IdleTimeout:            http.IdleTimeout,
+		MinBytesPerSecond:      http.MinBytesPerSecond,
+		ResponseRules:          http.ResponseRules,
+		AllowUnderscores:       http.AllowUnderscores,
 	}), nil
 }
 
-// planChecker returns a function that tells whether a service has a plan of a name.
+// planChecker returns a function that reports whether a service has a plan of a name.
 func planChecker(cfg config.Service) func(string) bool {
 	return func(name string) bool {
 		return slices.ContainsFunc(cfg.Settings.Plans, func(plan control.Plan) bool { return plan.Name == name })
