--- a/internal/command/simulate_gather.go
+++ b/internal/command/simulate_gather.go
@@ -96,14 +96,14 @@
 	fmt.Fprintln(t, "world\toracle earns\tof it: learned\tbest fixed\tat\tp95\tno deadline\tknows all, same plan\tparts in answers\ttook\tlooks\tchanges told\tspent to learn\t")
 	for _, r := range all {
 		fmt.Fprintf(t, "%s\t%.4f\t%.3f\t%.3f\t%v\t%.3f\t%.3f\t%.3f\t%.2f\t%v\t%.1f\t%d\t%.4f\t\n", r.World, r.Oracle, r.Learned/r.Oracle, r.Fixed/r.Oracle,
-			r.At.Round(time.Millisecond), r.P95/r.Oracle, r.None/r.Oracle, r.Plan/r.Oracle, r.Share, r.Took.Round(time.Millisecond), r.Looks, r.Stats.Changes,
+			r.FixedTime.Round(time.Millisecond), r.P95/r.Oracle, r.None/r.Oracle, r.Plan/r.Oracle, r.ArrivedShare, r.MeanDuration.Round(time.Millisecond), r.StepsPerQuery, r.Stats.Changes,
 			r.Stats.ExploreCost/float64(r.Queries))
 	}
 	t.Flush()
 	for _, r := range all {
-		if r.Told > 0 {
-			fmt.Fprintf(w, "%s: with each query's common factor told the best is %.4f; learned earns %.3f of it, the oracle, which isn't told, %.3f\n", r.World, r.Told,
-				r.Learned/r.Told, r.Oracle/r.Told)
+		if r.CommonFactorOracle > 0 {
+			fmt.Fprintf(w, "%s: with each query's common factor told the best is %.4f; learned earns %.3f of it, the oracle, which isn't told, %.3f\n", r.World, r.CommonFactorOracle,
+				r.Learned/r.CommonFactorOracle, r.Oracle/r.CommonFactorOracle)
 		}
 	}
 	if len(shared) == 0 {
@@ -112,9 +112,9 @@
 	t = tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "\nworld\tinstances\tqueries of one until 0.9\tof the oracle, query 1\t2\t5\t10\t20\t40\t")
 	for _, r := range shared {
-		fmt.Fprintf(t, "%s\t%d\t%d\t", r.World, r.Instances, r.Until)
+		fmt.Fprintf(t, "%s\t%d\t%d\t", r.World, r.Instances, r.QueriesToConverge)
 		for _, i := range []int{1, 2, 5, 10, 20, 40} {
-			fmt.Fprintf(t, "%.3f\t", r.Worth[i-1])
+			fmt.Fprintf(t, "%.3f\t", r.Values[i-1])
 		}
 		fmt.Fprintln(t)
 	}
--- a/internal/simulation/waitpolicysim/rules.go
+++ b/internal/simulation/waitpolicysim/rules.go
@@ -8,74 +8,74 @@
 	"lockflow/internal/waitpolicy"
 )
 
-// ending is how a query ended.
-type ending struct {
-	at    time.Duration
-	share float64 // that had come
-	out   float64 // share that was cut
+// queryEnd is how a query ended.
+type queryEnd struct {
+	at             time.Duration
+	arrivedShare   float64 // that had come
+	abandonedShare float64 // share that was cut
 }
 
-// rule ends queries: at is the place of the query among all, 0 to 1.
-type rule interface {
-	end(at float64, took *[parts]time.Duration, common float64) ending
+// policy ends queries: at is the place of the query among all, 0 to 1.
+type policy interface {
+	end(at float64, took *[partCount]time.Duration, common float64) queryEnd
 }
 
-// fixed answers after a time with what has come, once that is enough, and at once with all.
-func fixed(shares *[parts]float64, took *[parts]time.Duration, after time.Duration) ending {
-	order := [parts]int{0, 1, 2, 3, 4}
+// endAfter answers after a time with what has come, once that is enough, and at once with all.
+func endAfter(shares *[partCount]float64, took *[partCount]time.Duration, after time.Duration) queryEnd {
+	order := [partCount]int{0, 1, 2, 3, 4}
 	slices.SortFunc(order[:], func(a, b int) int { return int(min(1, max(-1, took[a]-took[b]))) })
-	e := ending{out: 1}
+	e := queryEnd{abandonedShare: 1}
 	for _, p := range order {
-		if took[p] > after && e.share >= minShare-1e-9 || took[p] > client {
+		if took[p] > after && e.arrivedShare >= minShare-1e-9 || took[p] > clientDeadline {
 			break
 		}
-		e.share += shares[p]
-		e.out -= shares[p]
+		e.arrivedShare += shares[p]
+		e.abandonedShare -= shares[p]
 		e.at = took[p]
 	}
-	if e.out > 1e-9 {
-		e.at = max(e.at, min(after, client))
-		if e.share < minShare-1e-9 {
-			e.at = client
+	if e.abandonedShare > 1e-9 {
+		e.at = max(e.at, min(after, clientDeadline))
+		if e.arrivedShare < minShare-1e-9 {
+			e.at = clientDeadline
 		}
 	} else {
-		e.out = 0
+		e.abandonedShare = 0
 	}
 	return e
 }
 
-// exact is the best that can be done knowing the distributions, where parts don't depend on each
+// optimalPolicy is the best that can be done knowing the distributions, where parts don't depend on each
 // other: each moment and set of parts that are out is worth the better of answering and going on.
-type exact struct {
-	w      *world
-	s      *waitpolicy.Settings
-	shares [parts]float64
-	every  float64 // of the time, after which moving worlds are looked at anew
-	from   float64
-	made   bool
-	stop   [][1 << parts]bool
-	given  func(p int, at float64, d time.Duration) float64 // chance that a part has come
+type optimalPolicy struct {
+	world           *world
+	settings        *waitpolicy.Settings
+	shares          [partCount]float64
+	rebuildInterval float64 // of the time, after which moving worlds are looked at anew
+	builtAt         float64
+	isBuilt         bool
+	stops           [][1 << partCount]bool
+	answeredBy      func(p int, at float64, d time.Duration) float64 // chance that a part has come
 }
 
 const (
-	gridDouble = 24
-	gridSteps  = 13 * gridDouble
+	gridStepsPerDoubling = 24
+	gridSteps            = 13 * gridStepsPerDoubling
 )
 
 var grid = func() (all [gridSteps + 1]time.Duration) {
 	for i := range all {
-		all[i] = min(client, ms(math.Exp2(float64(i)/gridDouble)))
+		all[i] = min(clientDeadline, milliseconds(math.Exp2(float64(i)/gridStepsPerDoubling)))
 	}
 	return all
 }()
 
-func (x *exact) make(at float64) {
-	x.made, x.from = true, at
-	x.stop = make([][1 << parts]bool, gridSteps+1)
-	var chance [parts][gridSteps + 1]float64
-	for p := range parts {
+func (x *optimalPolicy) build(at float64) {
+	x.isBuilt, x.builtAt = true, at
+	x.stops = make([][1 << partCount]bool, gridSteps+1)
+	var chance [partCount][gridSteps + 1]float64
+	for p := range partCount {
 		for j, d := range grid {
-			chance[p][j] = x.given(p, at, d)
+			chance[p][j] = x.answeredBy(p, at, d)
 		}
 	}
 	share := x.shareOfSets()
@@ -83,25 +83,25 @@
 		if 1-share[set] < minShare-1e-9 {
 			return math.Inf(-1)
 		}
-		return x.s.Value(1-share[set], share[set], load, grid[j])
+		return x.settings.Value(1-share[set], share[set], load, grid[j])
 	}
-	var next, cur [1 << parts]float64
+	var next, cur [1 << partCount]float64
 	for set := range next {
 		next[set] = max(0, now(set, gridSteps))
-		x.stop[gridSteps][set] = true
+		x.stops[gridSteps][set] = true
 	}
 	for j := gridSteps - 1; j >= 0; j-- {
-		var comes [parts]float64
-		for p := range parts {
+		var comes [partCount]float64
+		for p := range partCount {
 			if left := 1 - chance[p][j]; left > 1e-12 {
 				comes[p] = (chance[p][j+1] - chance[p][j]) / left
 			}
 		}
-		meanOver(&next, &comes)
+		advanceValues(&next, &comes)
 		for set := range cur {
 			cur[set] = next[set]
 			if n := now(set, j); n >= cur[set] {
-				cur[set], x.stop[j][set] = n, true
+				cur[set], x.stops[j][set] = n, true
 			}
 		}
 		next = cur
@@ -109,9 +109,9 @@
 }
 
 // shareOfSets is the share of each set of parts.
-func (x *exact) shareOfSets() (share [1 << parts]float64) {
+func (x *optimalPolicy) shareOfSets() (share [1 << partCount]float64) {
 	for set := range share {
-		for p := range parts {
+		for p := range partCount {
 			if set>>p&1 == 1 {
 				share[set] += x.shares[p]
 			}
@@ -120,9 +120,9 @@
 	return share
 }
 
-// meanOver makes of each set's worth the mean over what comes of it, part after part.
-func meanOver(worth *[1 << parts]float64, comes *[parts]float64) {
-	for p := range parts {
+// advanceValues makes of each set's worth the mean over what comes of it, part after part.
+func advanceValues(worth *[1 << partCount]float64, comes *[partCount]float64) {
+	for p := range partCount {
 		for set := len(worth) - 1; set >= 0; set-- {
 			if set>>p&1 == 1 {
 				worth[set] = (1-comes[p])*worth[set] + comes[p]*worth[set&^(1<<p)]
@@ -131,21 +131,21 @@
 	}
 }
 
-func (x *exact) end(at float64, took *[parts]time.Duration, _ float64) ending {
-	if !x.made || x.w.moves && math.Floor(at/x.every) != math.Floor(x.from/x.every) {
-		x.make(at)
+func (x *optimalPolicy) end(at float64, took *[partCount]time.Duration, _ float64) queryEnd {
+	if !x.isBuilt || x.world.isChanging && math.Floor(at/x.rebuildInterval) != math.Floor(x.builtAt/x.rebuildInterval) {
+		x.build(at)
 	}
-	e := ending{}
+	e := queryEnd{}
 	for j, d := range grid {
 		set := 0
-		e.share, e.out = 0, 0
+		e.arrivedShare, e.abandonedShare = 0, 0
 		last := time.Duration(0)
-		for p := range parts {
+		for p := range partCount {
 			if took[p] > d {
 				set |= 1 << p
-				e.out += x.shares[p]
+				e.abandonedShare += x.shares[p]
 			} else {
-				e.share += x.shares[p]
+				e.arrivedShare += x.shares[p]
 				last = max(last, took[p])
 			}
 		}
@@ -153,7 +153,7 @@
 			e.at = last
 			return e
 		}
-		if x.stop[j][set] && e.share >= minShare-1e-9 || j == gridSteps {
+		if x.stops[j][set] && e.arrivedShare >= minShare-1e-9 || j == gridSteps {
 			// What has just come was there before the step's end.
 			e.at = d
 			if j > 0 && last > grid[j-1] {
@@ -165,32 +165,32 @@
 	return e
 }
 
-// byQuery ends queries by internal/waitpolicy, with what forecast tells.
-type byQuery struct {
-	s        *waitpolicy.Settings
-	q        waitpolicy.Query
-	begin    func(q *waitpolicy.Query, at float64, now time.Duration)
-	now      time.Duration // when the query begins
-	looks    int
-	finished func(e ending, took *[parts]time.Duration, now time.Duration)
+// queryPolicy ends queries by internal/waitpolicy, with what forecast tells.
+type queryPolicy struct {
+	settings  *waitpolicy.Settings
+	query     waitpolicy.Query
+	begin     func(q *waitpolicy.Query, at float64, now time.Duration)
+	startedAt time.Duration // when the query begins
+	steps     int
+	onEnd     func(e queryEnd, took *[partCount]time.Duration, now time.Duration)
 }
 
-func (b *byQuery) end(at float64, took *[parts]time.Duration, _ float64) ending {
-	b.now += 100 * time.Millisecond
-	b.begin(&b.q, at, b.now)
-	e, gone := ending{}, time.Duration(0)
-	var told [parts]bool
+func (b *queryPolicy) end(at float64, took *[partCount]time.Duration, _ float64) queryEnd {
+	b.startedAt += 100 * time.Millisecond
+	b.begin(&b.query, at, b.startedAt)
+	e, gone := queryEnd{}, time.Duration(0)
+	var told [partCount]bool
 	for {
-		b.looks++
-		step := b.q.Next(b.now + gone)
+		b.steps++
+		step := b.query.Next(b.startedAt + gone)
 		if step.Kind != waitpolicy.Wait {
-			e.at, e.share = gone, step.Share
+			e.at, e.arrivedShare = gone, step.Share
 			if step.Kind == waitpolicy.Refuse {
-				e.share = 0
+				e.arrivedShare = 0
 			}
 			break
 		}
-		first, until := -1, step.Until-b.now
+		first, until := -1, step.Until-b.startedAt
 		for p := range took {
 			if !told[p] && took[p] <= until && (first < 0 || took[p] < took[first]) {
 				first = p
@@ -199,72 +199,72 @@
 		if gone = until; first >= 0 {
 			gone = took[first]
 			told[first] = true
-			b.q.PartCompleted(b.now+gone, first, true)
+			b.query.PartCompleted(b.startedAt+gone, first, true)
 		}
 	}
 	for p := range told {
 		if !told[p] {
-			e.out += b.s.Parts[p].Weight
+			e.abandonedShare += b.settings.Parts[p].Weight
 		}
 	}
-	if b.finished != nil {
-		b.finished(e, took, b.now)
+	if b.onEnd != nil {
+		b.onEnd(e, took, b.startedAt)
 	}
 	return e
 }
 
 // learner ends queries by a model that learns from them.
 type learner struct {
-	byQuery
-	model    *waitpolicy.Model
-	late     float64 // part of the late answers that are seen; the others are cut
-	censored bool    // false takes the censoring out: only what came in time is learned
-	seen     uint64
+	queryPolicy
+	model        *waitpolicy.Model
+	lateFraction float64 // part of the late answers that are seen; the others are cut
+	usesCensored bool    // false takes the censoring out: only what came in time is learned
+	outcomes     uint64
 }
 
-const class = "list"
+const queryClass = "list"
 
 func newLearner(w *world, o waitpolicy.Options) *learner {
-	s := normal(w)
-	l := &learner{censored: true}
-	l.s, l.model = s, waitpolicy.NewModel(s, o)
+	s := normalizedSettings(w)
+	l := &learner{usesCensored: true}
+	l.settings, l.model = s, waitpolicy.NewModel(s, o)
 	l.begin = func(q *waitpolicy.Query, _ float64, now time.Duration) {
-		l.model.Begin(q, class, load, now, now+client+time.Millisecond)
+		l.model.Begin(q, queryClass, load, now, now+clientDeadline+time.Millisecond)
 	}
-	l.finished = func(e ending, took *[parts]time.Duration, now time.Duration) {
-		l.model.Done(&l.q, class, now+e.at)
+	l.onEnd = func(e queryEnd, took *[partCount]time.Duration, now time.Duration) {
+		l.model.Done(&l.query, queryClass, now+e.at)
 		for p, t := range took {
-			l.seen++
-			late := float64(l.seen*0x9e3779b97f4a7c15>>40)/(1<<24) < l.late
+			l.outcomes++
+			late := float64(l.outcomes*0x9e3779b97f4a7c15>>40)/(1<<24) < l.lateFraction
 			switch {
-			case t <= e.at || late && t < client:
-				l.model.Observe(class, p, load, waitpolicy.Outcome{At: now + t, Duration: t})
-			case l.censored:
-				l.model.Observe(class, p, load, waitpolicy.Outcome{At: now + e.at, Duration: e.at, Censored: true})
+			case t <= e.at || late && t < clientDeadline:
+				l.model.Observe(queryClass, p, load, waitpolicy.Outcome{At: now + t, Duration: t})
+			case l.usesCensored:
+				l.model.Observe(queryClass, p, load, waitpolicy.Outcome{At: now + e.at, Duration: e.at, Censored: true})
 			}
 		}
 	}
 	return l
 }
 
-// told is more than an oracle where parts are slow together: it knows each query's common factor too,
+// commonFactorOracle is more than an oracle where parts are slow together: it knows each query's common factor too,
 // and is the best that can be done then. No rule can earn more.
-type told struct {
-	w  *world
-	by map[int]*exact
+type commonFactorOracle struct {
+	world    *world
+	byFactor map[int]*optimalPolicy
 }
 
-func (o *told) end(at float64, took *[parts]time.Duration, common float64) ending {
+func (o *commonFactorOracle) end(at float64, took *[partCount]time.Duration, common float64) queryEnd {
 	const steps = 5 // of the factor, for each of its deviations
 	i := int(math.Round(steps * max(-4, min(4, common))))
-	x := o.by[i]
+	x := o.byFactor[i]
 	if x == nil {
 		z := float64(i) / steps
-		x = &exact{w: o.w, s: normal(o.w), shares: o.w.shares(), given: func(p int, at float64, d time.Duration) float64 {
-			score := quantile(o.w.chance(p, at, d))
-			return 1 - upper((score-math.Sqrt(o.w.common)*z)/math.Sqrt(1-o.w.common))
+		x = &optimalPolicy{world: o.world, settings: normalizedSettings(o.world), shares: o.world.shares(), answeredBy: func(p int, at float64, d time.Duration) float64 {
+			score := normalQuantile(o.world.answeredBy(p, at, d))
+			return 1 - upperTail((score-math.Sqrt(o.world.correlation)*z)/math.Sqrt(1-o.world.correlation))
 		}}
-		o.by[i] = x
+		o.byFactor[i] = x
 	}
 	return x.end(at, took, common)
 }
--- a/internal/simulation/waitpolicysim/sim_test.go
+++ b/internal/simulation/waitpolicysim/sim_test.go
@@ -16,17 +16,17 @@
 		t.Run(w.name, func(t *testing.T) {
 			t.Parallel()
 			n := 3000
-			if w.moves {
+			if w.isChanging {
 				n = 10_000
 			}
 			for seed := range uint64(1) {
-				r, err := Run(Options{World: w.name, Queries: n, Warm: 500, Seed: seed})
+				r, err := Run(Options{World: w.name, Queries: n, Warmup: 500, Seed: seed})
 				if err != nil {
 					t.Fatal(err)
 				}
 				t.Logf("oracle %.4f, of it learned %.3f, plan %.3f, fixed %.3f, p95 %.3f, none %.3f", r.Oracle, r.Learned/r.Oracle, r.Plan/r.Oracle,
 					r.Fixed/r.Oracle, r.P95/r.Oracle, r.None/r.Oracle)
-				if r.Learned < 0.95*r.Oracle || r.Learned <= r.None || r.Learned <= r.P95 || w.moves && r.Learned <= r.Fixed {
+				if r.Learned < 0.95*r.Oracle || r.Learned <= r.None || r.Learned <= r.P95 || w.isChanging && r.Learned <= r.Fixed {
 					t.Error("learned earns too little")
 				}
 				if r.Plan < 0.985*r.Oracle {
@@ -43,11 +43,11 @@
 // percentiles has queries answered at the 95th percentile of what their parts took, from what was seen
 // by that rule itself; it gives the deadlines of a thousand queries each.
 func percentiles(w *world, censored bool) (all []time.Duration) {
-	rng, shares, deadline := rand.New(rand.NewPCG(1, 1)), w.shares(), client
+	rng, shares, deadline := rand.New(rand.NewPCG(1, 1)), w.shares(), clientDeadline
 	var seen waitpolicy.Sketch
 	for i := range 8000 {
 		took, _ := w.draw(rng, 0)
-		e := fixed(&shares, &took, deadline)
+		e := endAfter(&shares, &took, deadline)
 		for _, d := range took {
 			if d <= e.at {
 				seen.Answered[waitpolicy.Bucket(d)]++
@@ -73,7 +73,7 @@
 // The ratchet: a deadline learned from what came in time cuts more each time, until next to nothing is
 // waited for. With what was cut counted as such it stays where it is.
 func TestRatchet(t *testing.T) {
-	w, _ := find("lognormal")
+	w, _ := findWorld("lognormal")
 	with, without := percentiles(w, true), percentiles(w, false)
 	t.Logf("with what was cut: %v", with)
 	t.Logf("without:           %v", without)
@@ -86,14 +86,14 @@
 	}
 	// A learner by worth which does not count what it cut thinks that all comes soon.
 	for name, least := range map[string]float64{"pareto": 0.99, "stalled": 0.5} {
-		w, _ := find(name)
+		w, _ := findWorld(name)
 		earned := func(censored bool) (sum float64) {
-			l, rng, s := newLearner(w, waitpolicy.Options{Seed: 1}), rand.New(rand.NewPCG(1, 2)), normal(w)
-			l.censored = censored
+			l, rng, s := newLearner(w, waitpolicy.Options{Seed: 1}), rand.New(rand.NewPCG(1, 2)), normalizedSettings(w)
+			l.usesCensored = censored
 			for range 3000 {
 				took, c := w.draw(rng, 0)
 				e := l.end(0, &took, c)
-				sum += s.Value(e.share, e.out, load, e.at)
+				sum += s.Value(e.arrivedShare, e.abandonedShare, load, e.at)
 			}
 			return sum / 3000
 		}
@@ -112,26 +112,26 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%+v: until %d, %.3f", o, r.Until, r.Worth)
+		t.Logf("%+v: until %d, %.3f", o, r.QueriesToConverge, r.Values)
 		return r
 	}
 	alone, four := play(ShareOptions{Instances: 1, Groups: 60}), play(ShareOptions{Instances: 4, Groups: 15})
-	if alone.Until < 0 || alone.Until > 12 || four.Until < 0 || four.Until >= alone.Until {
+	if alone.QueriesToConverge < 0 || alone.QueriesToConverge > 12 || four.QueriesToConverge < 0 || four.QueriesToConverge >= alone.QueriesToConverge {
 		t.Error("four don't learn sooner than one")
 	}
 	late := func(r ShareReport) (sum float64) {
-		for _, v := range r.Worth[6:] {
-			sum += v / float64(len(r.Worth)-6)
+		for _, v := range r.Values[6:] {
+			sum += v / float64(len(r.Values)-6)
 		}
 		return sum
 	}
 	honest := play(ShareOptions{Instances: 8, Groups: 6})
 	for _, liar := range []float64{0.02, 50} {
-		if lied := play(ShareOptions{Instances: 8, Groups: 6, Liar: liar}); late(lied) < late(honest)-0.05 {
+		if lied := play(ShareOptions{Instances: 8, Groups: 6, MisreportFactor: liar}); late(lied) < late(honest)-0.05 {
 			t.Errorf("one of eight that tells %g times as long costs %.3f of %.3f", liar, late(honest)-late(lied), late(honest))
 		}
 	}
-	if lost := play(ShareOptions{Instances: 8, Groups: 6, Lost: 6}); late(lost) < late(honest)-0.05 {
+	if lost := play(ShareOptions{Instances: 8, Groups: 6, LostFrom: 6}); late(lost) < late(honest)-0.05 {
 		t.Error("a lost store costs much")
 	}
 }
@@ -139,8 +139,10 @@
 // waits is the mean time of answers by what an instance knows now, over the same queries each time.
 func waits(w *world, l *learner) (mean time.Duration) {
 	const n = 400
-	rng, f := rand.New(rand.NewPCG(5, 1)), l.model.Forecast(class, load)
-	b := byQuery{s: l.s, begin: func(q *waitpolicy.Query, _ float64, now time.Duration) { q.Begin(l.s, f, now, now+client) }}
+	rng, f := rand.New(rand.NewPCG(5, 1)), l.model.Forecast(queryClass, load)
+	b := queryPolicy{settings: l.settings, begin: func(q *waitpolicy.Query, _ float64, now time.Duration) {
+		q.Begin(l.settings, f, now, now+clientDeadline)
+	}}
 	for range n {
 		took, c := w.draw(rng, 0)
 		mean += b.end(0, &took, c).at / n
@@ -152,7 +154,7 @@
 // answers changes by no more than a fifth while a store is found, lost, and found again.
 func TestNoJumps(t *testing.T) {
 	for _, others := range []float64{0.4, 1, 2.5} { // others see other times
-		w, _ := find("lognormal")
+		w, _ := findWorld("lognormal")
 		apart := *w
 		apart.delay = func(p int, at, s float64) time.Duration { return time.Duration(others * float64(w.delay(p, at, s))) }
 		g := newGroup(w, ShareOptions{Instances: 8}, 1)
