--- a/internal/canary/canary.go
+++ b/internal/canary/canary.go
@@ -27,6 +27,7 @@
 	KindNoEvidence                    // MaxBake is over, with neither shown; the stage does not pass
 )
 
+// String returns the kind as the rollout log stores it.
 func (k VerdictKind) String() string { return [...]string{"wait", "pass", "worse", "no evidence"}[k] }
 
 // Reading is one member's statistics at one time.
--- a/internal/canary/member.go
+++ b/internal/canary/member.go
@@ -82,7 +82,7 @@
 	m.isChangedInStage = true
 }
 
-// setBaseline sets a member's counts before the first stage from a reading of its whole process. What was observed of
+// setBaseline sets a member's counts before the first stage from a reading of its complete process. What was observed of
 // the member recently is preferred, if it is enough.
 func (m *member) setBaseline(statistics *instancestats.Statistics) {
 	if m.hasBaseline || !isPlausible(statistics, 0) {
--- a/internal/desiredstate/command.go
+++ b/internal/desiredstate/command.go
@@ -30,7 +30,7 @@
 	KindServe    Kind = "serve"    // ends a drain
 )
 
-// Claim asks a member to obey the owner of an epoch.
+// Claim requests that a member obey the owner of an epoch.
 type Claim struct {
 	Epoch uint64 `json:"epoch"` // above 0
 	Owner string `json:"owner"` // names one coordinator process
@@ -88,7 +88,7 @@
 }
 
 // Validate returns a RejectedError of CodeInvalid for a command that no coordinator can mean. It checks the hash
-// of settings, not what they say.
+// of settings, not their content.
 func (c *Command) Validate() error {
 	if err := (Claim{Epoch: c.Epoch, Owner: c.Owner}).Validate(); err != nil {
 		return err
--- a/internal/desiredstate/outcome.go
+++ b/internal/desiredstate/outcome.go
@@ -11,7 +11,7 @@
 // The codes. Those after CodeFailed are rejections: the member has done nothing.
 const (
 	CodeOK       Code = "ok"
-	CodeFailed   Code = "failed" // it ran and failed; the member is as before, except for what Outcome.Error says
+	CodeFailed   Code = "failed" // it ran and failed; the member is as before, except for what Outcome.Error reports
 	CodeStale    Code = "stale"  // the member has granted a newer epoch, or this one to another owner
 	CodeLost     Code = "lost"   // the member has lost which epochs it granted, and has to be claimed with its token
 	CodeBusy     Code = "busy"   // another command or an upgrade is running; retry
--- a/internal/desiredstate/state.go
+++ b/internal/desiredstate/state.go
@@ -14,7 +14,7 @@
 type State struct {
 	Epoch uint64 `json:"epoch"` // the newest that was granted; 0 is none. It only grows while LossToken is empty.
 	Owner string `json:"owner"` // of Epoch; "" if and only if Epoch is 0
-	// LossToken (key "lost"), where it is not empty, says that the epochs that were granted are lost. Claims need it.
+	// LossToken (key "lost"), if not empty, means that the epochs that were granted are lost. Claims need it.
 	LossToken string          `json:"lost,omitempty"`
 	Running   *RunningCommand `json:"doing,omitempty"` // nil where none is
 	Target    Target          `json:"wanted"`
--- a/internal/fleet/calls.go
+++ b/internal/fleet/calls.go
@@ -86,7 +86,7 @@
 	return highest
 }
 
-// sendClaim claims a member. If another coordinator owns it, the newest epoch is asked for too.
+// sendClaim claims a member. If another coordinator owns it, the newest epoch is polled too.
 func (c *coordinator) sendClaim(ctx context.Context, claim rollout.Claim) {
 	client := c.clients[claim.Member]
 	c.call(ctx, statusTimeout, func(ctx context.Context) any {
@@ -139,5 +139,5 @@
 	case strings.HasSuffix(err.Error(), "404 Not Found"): // a program from before commands existed
 		return rollout.ReplyUnsupported
 	}
-	return rollout.ReplyUnknown // also of a busy member, which is asked again
+	return rollout.ReplyUnknown // also of a busy member, which is sent the call again
 }
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -151,7 +151,7 @@
 		if r.ctx.Err() != nil {
 			return
 		}
-		if err == nil || time.Since(startedAt) > stableTime { // a process that exits without error was told to
+		if err == nil || time.Since(startedAt) > stableTime { // a process that exits without error was stopped
 			backoff = 0
 		}
 		wasDrained := isDrained
--- a/internal/rollout/actions.go
+++ b/internal/rollout/actions.go
@@ -1,13 +1,13 @@
 package rollout
 
-// Action is something for the caller to do. Actions after a Write are done once its entry is on the disk, and not at
+// Action is an action for the caller to execute. Actions after a Write are done once its entry is on the disk, and not at
 // all where it could not be written.
 type Action interface{ isAction() }
 
 // Write appends a decision to the rollout log.
 type Write struct{ Entry Entry }
 
-// Claim asks a member to grant an epoch. A ClaimReplied must follow.
+// Claim requests an epoch of a member. A ClaimReplied must follow.
 type Claim struct {
 	Member    int // index in Plan.Members
 	Epoch     uint64
@@ -15,8 +15,8 @@
 	LossToken string // of a member that has lost its state; read before Epoch was chosen
 }
 
-// Command asks a member to run a generation. A CommandReplied must follow. The same Command may come again: the
-// member does it once.
+// Command commands a member to run a generation. A CommandReplied must follow. The same Command may be sent again: the
+// member runs it once.
 type Command struct {
 	Member     int
 	ID         string
--- a/internal/rollout/bake.go
+++ b/internal/rollout/bake.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// beginBake begins the time for which a stage is watched after all of it has changed.
+// beginBake starts the time for which a stage is watched after all of its members have changed.
 func (r *Rollout) beginBake() {
 	r.isBaking = true
 	r.bakeStartedAt = r.now
@@ -12,7 +12,7 @@
 	r.reason = "is watched"
 }
 
-// evaluateStage passes or fails a stage that bakes. isHealthy says that all of its members run the new version now.
+// evaluateStage passes or fails a stage that bakes. isHealthy tells whether all of its members run the new version now.
 func (r *Rollout) evaluateStage(isHealthy bool) {
 	baked := r.now - r.bakeStartedAt
 	if r.hasJudgment && r.judgment.Verdict == VerdictWorse {
--- a/internal/rollout/commands.go
+++ b/internal/rollout/commands.go
@@ -113,7 +113,7 @@
 	m.isUnsettled = hasSucceeded
 	m.isSuspect = m.isSuspect && !hasSucceeded
 	switch {
-	case isRestart: // one that fails says nothing of the change
+	case isRestart: // a failed restart is no failure of the change
 		m.isControl = m.isControl || hasSucceeded
 		m.isPlannedControl = false
 	case hasSucceeded:
--- a/internal/rollout/doc.go
+++ b/internal/rollout/doc.go
@@ -1,4 +1,4 @@
-// Package rollout decides how a change goes over a fleet in stages: which member changes when, beside which controls,
+// Package rollout decides how a fleet changes in stages: which member changes when, beside which controls,
 // when a stage has passed, when the change is rolled back, and which coordinator may decide that.
 //
 // A Rollout is a state machine. Handle takes an event and the time, and returns the actions to be done, in order. It
--- a/internal/rollout/events.go
+++ b/internal/rollout/events.go
@@ -2,14 +2,13 @@
 
 import "time"
 
-// Event is something that has happened. The caller feeds every event to Rollout.Handle.
+// Event is an input of the state machine. The caller passes every event to Rollout.Handle.
 type Event interface{ isEvent() }
 
-// MemberStatus is what a member answered to a poll, or that it did not answer. The caller polls every member again
-// and again.
+// MemberStatus is a member's status, or the lack of a reply to a poll. The caller polls every member repeatedly.
 type MemberStatus struct {
 	Member         int           // index in Plan.Members
-	PolledAt       time.Duration // when the poll was sent: a status from before a reply says nothing of what follows it
+	PolledAt       time.Duration // when the poll was sent; a status from before a command's reply is outdated
 	IsServing      bool
 	Version        string  // what it runs, compared with Member.Versions
 	Epoch          uint64  // the newest that it has granted
@@ -24,9 +23,9 @@
 
 // The replies.
 const (
-	ReplyUnknown     Reply = iota // none came: it may have been done, or be done later
-	ReplyOK                       // done, or granted
-	ReplyFailed                   // the member says that it has not done it
+	ReplyUnknown     Reply = iota // no reply: the command may have run, or run later
+	ReplyOK                       // the command has succeeded, or the epoch is granted
+	ReplyFailed                   // the command has failed
 	ReplyStale                    // the member has granted a newer epoch, or this one to another owner
 	ReplyUngranted                // the member has granted an older epoch only: it has lost its state
 	ReplyUnsupported              // the member has no claims and commands
@@ -49,7 +48,7 @@
 	Err    error // of ReplyFailed
 }
 
-// Verdict is what a judge says of a stage.
+// Verdict is the judge's decision on a stage.
 type Verdict int
 
 // The verdicts.
@@ -71,13 +70,13 @@
 	Reason  string
 }
 
-// Tick says that time has passed.
+// Tick reports that time has passed.
 type Tick struct{}
 
-// Stop stops the coordinator: running commands end, nothing else is begun, and nothing is rolled back.
+// Stop stops the coordinator: running commands end, no other one is sent, and nothing is rolled back.
 type Stop struct{ Cause string }
 
-// WriteFailed says that a Write failed, so that no action after it was done.
+// WriteFailed reports that a Write failed, so that no action after it was executed.
 type WriteFailed struct{ Err error }
 
 func (MemberStatus) isEvent()   {}
--- a/internal/rollout/forward.go
+++ b/internal/rollout/forward.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// maxControls limits the unchanged members that restart beside a stage.
+	// maxControls limits the unchanged members that restart together with a stage's members.
 	maxControls = 3
 	// maxListedNames is how many members a reason names; of more it names one less, and counts the rest.
 	maxListedNames = 5
@@ -37,8 +37,8 @@
 	return false
 }
 
-// areAllSettled reports whether every member serves, has granted the epoch and says what it runs. It ends a rollout that
-// has waited too long for that.
+// areAllSettled reports whether every member serves, has granted the epoch and reports its version. It ends a rollout
+// that has waited too long for that.
 func (r *Rollout) areAllSettled() bool {
 	for i := range r.members {
 		m := &r.members[i]
@@ -88,7 +88,7 @@
 	return m.isServing && m.isIdle() && !r.runsGeneration(i, generation) && !r.runsGeneration(i, generation+1)
 }
 
-// rollForward does what may be done now of the phase.
+// rollForward executes the steps of the phase that are possible now.
 func (r *Rollout) rollForward() {
 	if !r.locatePhase() || r.endOnDrift(r.phase-1) {
 		return
@@ -115,7 +115,7 @@
 	}
 }
 
-// pendingMembers returns the members of the stages up to this one that have to change, or to come back.
+// pendingMembers returns the members of the stages up to this one that have to change, or to serve again.
 func (r *Rollout) pendingMembers(p *phase) []int {
 	var pending []int
 	for _, stage := range p.stages[:r.stage+1] {
@@ -163,7 +163,7 @@
 	r.emit(Watch{r.phase, r.stage + 1})
 }
 
-// chooseControls chooses members of later stages that restart beside this one, as many as it changes at most.
+// chooseControls chooses members of later stages that restart together with this one's, at most as many as it changes.
 func (r *Rollout) chooseControls(p *phase) []int {
 	for i := range r.members {
 		r.members[i].isControl = false
@@ -227,8 +227,8 @@
 	return true
 }
 
-// waitForSlot waits until fewer members are unavailable or, at a limit of 0, until the others have capacity for one
-// member's work. It reports whether that has not taken too long.
+// waitForSlot waits until fewer members are unavailable or, at a limit of 0, until the other members have capacity for
+// one member's work. It reports whether that has not taken too long.
 func (r *Rollout) waitForSlot(limit int) bool {
 	if limit > 0 {
 		r.waitsForCapacity = false
--- a/internal/rollout/member.go
+++ b/internal/rollout/member.go
@@ -19,7 +19,7 @@
 	isServing        bool
 	servingSince     time.Duration // while isServing
 	unavailableSince time.Duration // while not isServing
-	version          string        // that it said last that it runs
+	version          string        // that it reported last
 	load             float64       // share of its capacity in use; below 0 is unknown
 
 	lossToken     string // set while it has lost what it granted
@@ -30,11 +30,11 @@
 
 	command      *command      // nil is none
 	commandCount int           // commands for the generation that it is to run
-	lastReplyAt  time.Duration // a status that was polled before says nothing of what it runs now
+	lastReplyAt  time.Duration // a status that was polled before is outdated
 	isUnsettled  bool          // it has run a command or granted an epoch, and no status since shows it without a command
-	// mayHaveCopies says that a command of this epoch was sent more than once, so that a copy may still arrive.
+	// mayHaveCopies means that a command of this epoch was sent more than once, so that a copy may still arrive.
 	mayHaveCopies bool
-	// isSuspect says that a command was dropped which may run late: version says nothing until another has run.
+	// isSuspect means that a command was dropped which may run late: version is not certain until another has run.
 	isSuspect         bool
 	isRestartDropped  bool          // a restart was dropped with its epoch; its slot is reserved once the next is owned
 	slotReservedUntil time.Duration // it counts as unavailable until then
--- a/internal/rollout/ownership.go
+++ b/internal/rollout/ownership.go
@@ -110,7 +110,7 @@
 		switch {
 		case !m.isServing || m.hasGranted || m.isClaiming || r.now < m.nextClaimAt:
 		case m.lossToken != "" && !r.isMajorityIntact:
-			// It may have granted a newer epoch, and too few others could tell.
+			// It may have granted a newer epoch, and too few other members would know of it.
 		case m.lossToken != "" && m.lossReadEpoch >= r.epoch:
 			if r.state != stateClaiming {
 				r.claimNewEpoch()
@@ -135,7 +135,7 @@
 	case ReplyOK:
 		m.hasGranted = true
 		m.lossToken = ""
-		// A command of an older epoch may be running: what the member ran before says nothing.
+		// A command of an older epoch may be running: the version that the member reported before is not certain.
 		m.isUnsettled = true
 		m.lastReplyAt = r.now
 	case ReplyUnsupported:
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -24,7 +24,7 @@
 	Versions []string `json:"gens"`
 }
 
-// Plan is how a change goes over a fleet. A zero duration, count or list of stages stands for its default.
+// Plan is how a fleet changes. A zero duration, count or list of stages stands for its default.
 type Plan struct {
 	Members []Member `json:"members"` // each with as many versions
 	// RegionOrder has, by phase, the regions that change one after another, each in stages of its own. The last
@@ -38,7 +38,7 @@
 	MaxBake        time.Duration `json:"bake_most"` // a stage without a verdict until then fails
 	// MemberTimeout is how long a member may be unavailable or owe a reply; then it counts as failed.
 	MemberTimeout     time.Duration `json:"away"`
-	HasControls       bool          `json:"controls"`         // unchanged members restart beside those that change
+	HasControls       bool          `json:"controls"`         // unchanged members restart together with those that change
 	ReadinessSuffices bool          `json:"unjudged"`         // a stage without evidence passes if its members serve
 	IsRestart         bool          `json:"same,omitempty"`   // both ends are the same version, restarted: nothing to roll back to
 	DisableRollback   bool          `json:"noback,omitempty"` // a failed change stays as it is
@@ -64,7 +64,7 @@
 	}
 }
 
-// Validate returns an error that says what in the plan can't be carried out.
+// Validate returns an error for a plan that can't be run.
 func (p *Plan) Validate() error {
 	if err := p.validateMembers(); err != nil {
 		return err
--- a/internal/rollout/resume.go
+++ b/internal/rollout/resume.go
@@ -6,11 +6,11 @@
 	"math/rand/v2"
 )
 
-// rollbackByOperator is the cause of a rollback that the operator asked for.
+// rollbackByOperator is the cause of a rollback that the operator requested.
 const rollbackByOperator = "rollback requested by the operator"
 
 // Resume returns a coordinator that goes on with a change from the entries of its rollout log. What the members run
-// is not taken from the log: their statuses tell it. rollBack rolls the change back from wherever it is. It returns
+// is not taken from the log: their statuses report it. rollBack rolls the change back from wherever it is. It returns
 // an error where the change is over, or the entries do not fit the plan.
 func Resume(plan Plan, owner string, rng *rand.Rand, entries []Entry, rollBack bool) (*Rollout, error) {
 	r, err := New(plan, owner, rng)
--- a/internal/rollout/rollback.go
+++ b/internal/rollout/rollback.go
@@ -36,7 +36,7 @@
 	r.claimNewEpoch()
 }
 
-// rollBack does what may be done now of the rollback to one generation.
+// rollBack executes the steps of the rollback to one generation that are possible now.
 func (r *Rollout) rollBack() {
 	if !r.isRollbackPhaseStarted {
 		r.isRollbackPhaseStarted = true
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -170,7 +170,7 @@
 	m.isServing = true
 	m.version = status.Version
 	m.load = status.Load
-	// The version says nothing yet where a command runs, which may be another coordinator's.
+	// The version is not certain while a command runs, which may be another coordinator's.
 	m.isUnsettled = status.RunningCommand != "" && m.command == nil
 }
 
@@ -182,7 +182,7 @@
 	return r.epoch > 0 && status.Owner != "" && status.Owner != r.owner
 }
 
-// advance does what may be done now.
+// advance executes the steps that are possible now.
 func (r *Rollout) advance() {
 	if r.state == stateEnded {
 		return
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -66,10 +66,10 @@
 // Plan returns the plan with its defaults filled in.
 func (r *Rollout) Plan() Plan { return r.plan }
 
-// Version returns what a member said last that it runs; "" where it has not said so yet.
+// Version returns the version that a member reported last; "" is none yet.
 func (r *Rollout) Version(i int) string { return r.members[i].version }
 
-// MemberState returns the name of a member's state. wasCommanded says that the member was ever sent a command to
+// MemberState returns the name of a member's state. wasCommanded tells whether the member was ever sent a command to
 // change.
 func (r *Rollout) MemberState(i int, wasCommanded bool) string {
 	m, versions := &r.members[i], r.plan.Members[i].Versions
--- a/internal/rolloutlog/log.go
+++ b/internal/rolloutlog/log.go
@@ -1,5 +1,5 @@
 // Package rolloutlog is the write-ahead log of a rollout's coordinator: each decision is on the disk before it is
-// acted on. Package fleet writes it and reads it; measurements and tests read it beside a coordinator that runs.
+// acted on. Package fleet writes it and reads it; measurements and tests read it while a coordinator runs.
 //
 // A log is a directory with a database (bbolt) and a lock file. One process may write it at a time; others may read,
 // also meanwhile. A log holds the last rollouts, each with its records, in the order in which they were written, and
