--- a/internal/canary/compare.go
+++ b/internal/canary/compare.go
@@ -98,7 +98,7 @@
 		c.hasEarlierChanged = c.hasEarlierChanged || !m.isChangedInStage && m.side == SideNew
 	}
 	for _, m := range c.judge.order {
-		if m.implausibleReadings >= maxImplausibleReadings {
+		if m.isExcluded() {
 			c.result.LeftOut++
 			continue
 		}
@@ -117,13 +117,16 @@
 	}
 }
 
+// dependsOnAge tells whether the measure depends on the age of a process, as memory and its growth do.
+func (c *comparison) dependsOnAge() bool { return c.measure >= measureMemory }
+
 // baselineRatio returns a member's measure before the first stage as numerator and denominator; zeros are no baseline.
 func (c *comparison) baselineRatio(m *member) (numerator, denominator float64) {
 	if !m.hasBaseline || c.judge.options.Without.Baseline {
 		return 0, 0
 	}
 	numerator, denominator = measureRatio(c.countedMeasure, &m.baseline, c.judge.slowBucket)
-	if c.measure >= measureMemory {
+	if c.dependsOnAge() {
 		numerator *= maxBatches
 		denominator *= maxBatches
 	}
@@ -134,11 +137,13 @@
 func (c *comparison) isIncomparable(m *member) bool {
 	// Without controls of this stage, processes that it started are still warming up and have no equals.
 	isJustStarted := m.side == SideNew && m.isChangedInStage && m.isNewProcess
-	if isJustStarted && c.hasEarlierChanged && !c.hasStageControls && !c.judge.options.Without.Control {
+	needsControl := !c.hasStageControls && !c.judge.options.Without.Control
+	if isJustStarted && needsControl && c.hasEarlierChanged {
 		return true
 	}
 	// Memory depends on a process's age: members changed in this stage are compared with its controls alone.
-	return c.measure >= measureMemory && c.hasStageControls && m.side != SideOld && !m.isChangedInStage
+	isOfEarlierStage := m.side != SideOld && !m.isChangedInStage
+	return c.dependsOnAge() && c.hasStageControls && isOfEarlierStage
 }
 
 // estimateVariances estimates the variance of each member from the members that aren't changed. It returns false
@@ -192,7 +197,8 @@
 	mean, levels := c.baselines()
 	sides = c.judge.estimateMembers(c.measure, c.members, c.windows, levels, mean, c.memberVariances)
 	// The memory of a process that has just started grows; only controls of the same age compare with it.
-	if c.measure >= measureMemory && c.hasStageControls && !c.judge.options.Without.Control && len(sides[SideControl]) == 0 {
+	usesControls := c.hasStageControls && !c.judge.options.Without.Control
+	if c.dependsOnAge() && usesControls && len(sides[SideControl]) == 0 {
 		return sides, false
 	}
 	// A baseline helps only if members still differ as they did then; after a fault of one zone they don't.
@@ -315,7 +321,10 @@
 				continue
 			}
 			// Adjacent batches are correlated, which their residuals do not show: the variance counts twice.
-			e = estimate{growth.lines[i].slope * readingsPerHour, 2 * growth.residualSum / float64(growth.degreesOfFreedom) / growth.lines[i].sxx * readingsPerHour * readingsPerHour}
+			e = estimate{
+				mean:     growth.lines[i].slope * readingsPerHour,
+				variance: 2 * growth.residualSum / float64(growth.degreesOfFreedom) / growth.lines[i].sxx * readingsPerHour * readingsPerHour,
+			}
 		case isRelative(measure):
 			scale := max(baselines[i].mean/mean, 1e-9)
 			e = estimate{numerator/denominator/scale - 1, (variances[i]/denominator + baselines[i].variance) / (scale * scale)}
@@ -429,5 +438,8 @@
 	warmingDifference := control.mean - old.mean
 	oldVariance := old.variance + warmingDifference*warmingDifference
 	controlWeight := oldVariance / (oldVariance + control.variance)
-	return estimate{controlWeight*control.mean + (1-controlWeight)*old.mean, oldVariance * control.variance / (oldVariance + control.variance)}
+	return estimate{
+		mean:     controlWeight*control.mean + (1-controlWeight)*old.mean,
+		variance: oldVariance * control.variance / (oldVariance + control.variance),
+	}
 }
--- a/internal/canary/judge.go
+++ b/internal/canary/judge.go
@@ -199,7 +199,8 @@
 func (j *Judge) observeMember(now time.Duration, m *member, r *Reading) {
 	isNew := m.side == SideNew
 	if !r.IsServing {
-		if m.isServing && m.hasLast && j.stage > 0 && !m.isCrashCounted {
+		wasServing := m.isServing && m.hasLast
+		if wasServing && j.stage > 0 && !m.isCrashCounted {
 			j.crashes.add(isNew)
 			m.isCrashCounted = true
 		}
--- a/internal/canary/member.go
+++ b/internal/canary/member.go
@@ -82,6 +82,9 @@
 	m.isChangedInStage = true
 }
 
+// isExcluded tells whether the member's readings of this stage are not used, since too many were implausible.
+func (m *member) isExcluded() bool { return m.implausibleReadings >= maxImplausibleReadings }
+
 // setBaseline sets a member's counts before the first stage from a reading of its complete process. What was observed of
 // the member recently is preferred, if it is enough.
 func (m *member) setBaseline(statistics *instancestats.Statistics) {
@@ -146,8 +149,10 @@
 	b.readings++
 	for measure := range countedMeasures {
 		numerator, denominator := measureRatio(measure, statistics, slowBucket)
-		switch rate := rates[measure]; {
-		case math.IsNaN(rate) || math.IsInf(rate, 0) || isRelative(measure) && rate <= 0: // the fleet had no requests
+		rate := rates[measure]
+		switch {
+		case math.IsNaN(rate) || math.IsInf(rate, 0): // the fleet had no requests
+		case isRelative(measure) && rate <= 0:
 		case isRelative(measure):
 			b.numerator[measure] += numerator
 			b.denominator[measure] += denominator * rate
--- a/internal/canary/unchanged.go
+++ b/internal/canary/unchanged.go
@@ -74,7 +74,7 @@
 	current := u.current.window(false)
 	var previousNumerator, previousDenominator, numerator, denominator float64
 	for _, m := range j.order {
-		if m.isChangedInStage || m.implausibleReadings >= maxImplausibleReadings {
+		if m.isChangedInStage || m.isExcluded() {
 			continue
 		}
 		if m.previousTotals.denominator[measure] > 0 && m.totals.denominator[measure] > 0 {
--- a/internal/canary/verdict.go
+++ b/internal/canary/verdict.go
@@ -111,11 +111,13 @@
 		crashEvidence = 0
 	}
 	if limit := 1 / (crashAlarmShare * j.options.MaxFalseAlarms); crashEvidence >= limit {
-		worse = append(worse, fmt.Sprintf("crashes: %d in %v of the new, %d in %v of the old", j.crashes.counts[sideIndexNew], j.crashes.exposure[sideIndexNew].Round(time.Second),
+		worse = append(worse, fmt.Sprintf("crashes: %d in %v of the new, %d in %v of the old",
+			j.crashes.counts[sideIndexNew], j.crashes.exposure[sideIndexNew].Round(time.Second),
 			j.crashes.counts[sideIndexOld], j.crashes.exposure[sideIndexOld].Round(time.Second)))
 	}
 	if limit := 1 / (breachAlarmShare * j.options.MaxFalseAlarms); breachEvidence >= limit {
-		worse = append(worse, fmt.Sprintf("breaches: in %d intervals of the new, %d of the old", j.breaches.counts[sideIndexNew], j.breaches.counts[sideIndexOld]))
+		worse = append(worse, fmt.Sprintf("breaches: in %d intervals of the new, %d of the old",
+			j.breaches.counts[sideIndexNew], j.breaches.counts[sideIndexOld]))
 	}
 	return crashEvidence, breachEvidence, worse
 }
@@ -174,7 +176,7 @@
 		}
 		changed++
 		isRead := m.hasLast && now-m.lastAt <= 2*j.options.WarmUp
-		if m.isServing && isRead && m.implausibleReadings < maxImplausibleReadings {
+		if m.isServing && isRead && !m.isExcluded() {
 			live++
 		}
 	}
--- a/internal/command/daemon.go
+++ b/internal/command/daemon.go
@@ -23,30 +23,36 @@
 			program := set.String("program", "", "absolute `PATH` of the new program; the one that runs if it is not given")
 			timeout := set.Duration("within", 30*time.Second, "`TIME` in which all has to be done")
 			return func(ctx context.Context, e *Env, args []string) error {
-				if *control == "" || len(args) > 0 || *program != "" && !filepath.IsAbs(*program) || *timeout <= 0 {
+				isProgramValid := *program == "" || filepath.IsAbs(*program)
+				if *control == "" || len(args) > 0 || !isProgramValid || *timeout <= 0 {
 					return usageError("upgrade takes --control PATH, and as program an absolute path")
 				}
 				ctx, cancel := context.WithTimeout(ctx, *timeout)
 				defer cancel()
-				m := fleet.Member{Name: *control, Client: manage.Client{Path: *control}}
-				before, err := m.Client.Status(ctx)
-				if err != nil {
-					return err
-				}
-				if err := (&fleet.Upgrade{Program: *program}).Do(ctx, m, before); err != nil {
-					return err
-				}
-				now, err := m.Client.Status(ctx)
-				if err != nil {
-					return err
-				}
-				fmt.Fprintf(e.Out, "process %d has taken the place of process %d\n", now.PID, before.PID)
-				return nil
+				return upgradeDaemon(ctx, e, *control, *program)
 			}
 		},
 	}
 }
 
+// upgradeDaemon upgrades a daemon, and returns once its successor serves. An empty program is the one that runs.
+func upgradeDaemon(ctx context.Context, e *Env, control, program string) error {
+	m := fleet.Member{Name: control, Client: manage.Client{Path: control}}
+	before, err := m.Client.Status(ctx)
+	if err != nil {
+		return err
+	}
+	if err := (&fleet.Upgrade{Program: program}).Do(ctx, m, before); err != nil {
+		return err
+	}
+	now, err := m.Client.Status(ctx)
+	if err != nil {
+		return err
+	}
+	fmt.Fprintf(e.Out, "process %d has taken the place of process %d\n", now.PID, before.PID)
+	return nil
+}
+
 // statusCommand returns the command "status".
 func statusCommand() command {
 	return command{
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -27,7 +27,7 @@
 			set.IntVar(&d.descriptors, "descriptors", 256, "`N` that the node may hold")
 			set.BoolVar(&d.json, "json", false, "prints only the summary, as JSON")
 			return func(ctx context.Context, e *Env, args []string) error {
-				if len(args) > 0 || d.duration < 300*time.Millisecond || d.duration > time.Hour || d.descriptors < minDescriptors || d.descriptors > maxDescriptors {
+				if len(args) > 0 || !d.isValid() {
 					return usageError("demo takes --for from 300ms to 1h and --descriptors from 192 to 65536, and nothing else")
 				}
 				return d.run(ctx, e)
@@ -44,6 +44,20 @@
 	json        bool
 }
 
+// Limits of the demo's duration.
+const (
+	minDemoTime = 300 * time.Millisecond
+	maxDemoTime = time.Hour
+)
+
+// isValid tells whether the flags are in range.
+func (d *demo) isValid() bool {
+	if d.duration < minDemoTime || d.duration > maxDemoTime {
+		return false
+	}
+	return d.descriptors >= minDescriptors && d.descriptors <= maxDescriptors
+}
+
 // phase is the result of a third of the demo.
 type phase struct {
 	Name    string                  `json:"phase"`
--- a/internal/command/quota_lease.go
+++ b/internal/command/quota_lease.go
@@ -33,7 +33,7 @@
 			set.Float64Var(&x.rules.MaxDrift, "drift", 0, "part by which a clock's rate may be wrong; the file's or 0.001 without it")
 			set.BoolVar(&x.json, "json", false, "prints JSON")
 			return func(_ context.Context, e *Env, args []string) error {
-				if len(args) != 1 || args[0] != "explain" || x.file == "" || x.plan == "" || !(x.units > 0) || x.spread < 0 {
+				if len(args) != 1 || args[0] != "explain" || !x.isValid() {
 					return usageError("allowance takes explain with --config and --plan, --units above 0, --spread of 0 or more, and nothing else")
 				}
 				return x.run(e)
@@ -52,6 +52,11 @@
 	json   bool
 }
 
+// isValid tells whether the flags that are needed are given, and in range.
+func (x *leaseExplanation) isValid() bool {
+	return x.file != "" && x.plan != "" && x.units > 0 && x.spread >= 0
+}
+
 // Rules of a file without a shared counter.
 const (
 	defaultTerm            = time.Second
--- a/internal/command/simulate.go
+++ b/internal/command/simulate.go
@@ -92,9 +92,21 @@
 	return duration
 }
 
+// isValidFleetSimulation tells whether the flags are in range.
+func isValidFleetSimulation(o *fleetsim.Options) bool {
+	return o.GroupSize >= 0 &&
+		o.Servers >= 1 && o.Servers <= 1000 &&
+		o.PerServer > 0 &&
+		o.Load > 0 &&
+		o.Lasts >= minFleetPlay
+}
+
+// minFleetPlay is the shortest time that is simulated.
+const minFleetPlay = 12 * time.Second
+
 // playFleets simulates a server that warms up and a hard limit, for each group size and each lag of watch events.
 func playFleets(ctx context.Context, e *Env, o fleetsim.Options, instances, lags string, asJSON bool) error {
-	if o.GroupSize < 0 || o.Servers < 1 || o.Servers > 1000 || !(o.PerServer > 0) || !(o.Load > 0) || o.Lasts < 12*time.Second {
+	if !isValidFleetSimulation(&o) {
 		return errSimulateUsage
 	}
 	var all []fleetsim.Report
--- a/internal/fleet/reload.go
+++ b/internal/fleet/reload.go
@@ -43,8 +43,15 @@
 	}
 	isOldServing := false
 	now, err := awaitStatus(ctx, m, func(s manage.Status) bool {
-		isOldServing = s.PID == old.PID && s.IsReady() && s.SuccessorPID == 0
-		return isOldServing || s.PID != old.PID && s.IsReady() && hasEnded(old.PID)
+		isOldServing = false
+		if !s.IsReady() {
+			return false
+		}
+		if s.PID != old.PID {
+			return hasEnded(old.PID)
+		}
+		isOldServing = s.SuccessorPID == 0
+		return isOldServing
 	})
 	if err == nil && isOldServing {
 		return fmt.Errorf("the new process did not last; process %d goes on", now.PID)
--- a/internal/fleetfile/fleetfile.go
+++ b/internal/fleetfile/fleetfile.go
@@ -297,7 +297,14 @@
 
 // validName tells whether a name has letters, digits, '-' and '_' only, and a length up to maxNameBytes.
 func validName(s string) bool {
-	return s != "" && len(s) <= maxNameBytes && strings.IndexFunc(s, func(r rune) bool {
-		return !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_')
-	}) < 0
+	return s != "" && len(s) <= maxNameBytes && !strings.ContainsFunc(s, isInvalidInName)
+}
+
+// isInvalidInName tells whether a character may not be in a name.
+func isInvalidInName(r rune) bool {
+	switch {
+	case r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r >= '0' && r <= '9':
+		return false
+	}
+	return r != '-' && r != '_'
 }
--- a/internal/rollout/actions.go
+++ b/internal/rollout/actions.go
@@ -56,5 +56,10 @@
 
 // IsFinal reports whether the rollout is over, and not only its coordinator.
 func (r Result) IsFinal() bool {
-	return r == ResultDone || r == ResultRolledBack || r == ResultRefused || r == ResultStuck
+	switch r {
+	case ResultDone, ResultRolledBack, ResultRefused, ResultStuck:
+		return true
+	case ResultStopped, ResultSuperseded:
+	}
+	return false
 }
--- a/internal/rollout/capacity.go
+++ b/internal/rollout/capacity.go
@@ -21,7 +21,10 @@
 	if m.isAbandoned {
 		return false
 	}
-	return !m.isIdle() || m.isSuspect || now < m.slotReservedUntil || !m.isServing && s == stateForward
+	if !m.isServing && s == stateForward {
+		return true
+	}
+	return !m.isIdle() || m.isSuspect || now < m.slotReservedUntil
 }
 
 // unavailableLimit returns how many members may be unavailable at once: MaxUnavailable, or as many as the others have
--- a/internal/rollout/commands.go
+++ b/internal/rollout/commands.go
@@ -50,7 +50,10 @@
 func (r *Rollout) resendCommands() {
 	for i := range r.members {
 		m := &r.members[i]
-		if m.command != nil && !m.command.awaitsReply && m.hasGranted && r.now >= m.command.retryAt {
+		if m.command == nil || m.command.awaitsReply {
+			continue
+		}
+		if m.hasGranted && r.now >= m.command.retryAt {
 			m.command.awaitsReply = true
 			r.emit(r.commandAction(i))
 		}
--- a/internal/rollout/forward.go
+++ b/internal/rollout/forward.go
@@ -85,7 +85,10 @@
 
 func (r *Rollout) hasDrifted(i, generation int) bool {
 	m := &r.members[i]
-	return m.isServing && m.isIdle() && !r.runsGeneration(i, generation) && !r.runsGeneration(i, generation+1)
+	if !m.isServing || !m.isIdle() {
+		return false
+	}
+	return !r.runsGeneration(i, generation) && !r.runsGeneration(i, generation+1)
 }
 
 // rollForward executes the steps of the phase that are possible now.
@@ -121,7 +124,8 @@
 	for _, stage := range p.stages[:r.stage+1] {
 		for _, i := range stage {
 			m := &r.members[i]
-			if !r.runsGeneration(i, r.phase) || !m.isServing || !m.isIdle() || m.isSuspect {
+			isSettled := m.isServing && m.isIdle() && !m.isSuspect
+			if !isSettled || !r.runsGeneration(i, r.phase) {
 				pending = append(pending, i)
 			}
 		}
@@ -261,6 +265,7 @@
 	for i := range r.members {
 		m := &r.members[i]
 		isRestarting := m.command != nil && m.command.isRestart
+		canRestart := m.isServing && m.hasGranted && m.command == nil
 		switch {
 		case isRestarting && r.isLost(i):
 			// It may still restart, and does nothing else: its slot stays reserved for that long.
@@ -272,7 +277,7 @@
 		case !m.isPlannedControl:
 		case r.now-r.stepStartedAt >= 2*r.plan.MemberTimeout || !m.isServing && r.isLost(i):
 			m.isPlannedControl = false
-		case m.isServing && m.hasGranted && m.command == nil && r.unavailableCount(i) < limit:
+		case canRestart && r.unavailableCount(i) < limit:
 			if r.fence(i) {
 				return true
 			}
--- a/internal/rollout/ownership.go
+++ b/internal/rollout/ownership.go
@@ -107,8 +107,11 @@
 func (r *Rollout) claimMembers() {
 	for i := range r.members {
 		m := &r.members[i]
+		if m.hasGranted || m.isClaiming {
+			continue
+		}
 		switch {
-		case !m.isServing || m.hasGranted || m.isClaiming || r.now < m.nextClaimAt:
+		case !m.isServing || r.now < m.nextClaimAt:
 		case m.lossToken != "" && !r.isMajorityIntact:
 			// It may have granted a newer epoch, and too few other members would know of it.
 		case m.lossToken != "" && m.lossReadEpoch >= r.epoch:
--- a/internal/rollout/rollback.go
+++ b/internal/rollout/rollback.go
@@ -82,7 +82,8 @@
 	if m.isAbandoned {
 		return true
 	}
-	return r.runsGeneration(i, r.rollbackGeneration) && m.isIdle() && (!m.isSuspect || r.plan.IsRestart)
+	isVersionCertain := m.isIdle() && (!m.isSuspect || r.plan.IsRestart)
+	return isVersionCertain && r.runsGeneration(i, r.rollbackGeneration)
 }
 
 // finishRollbackPhase goes on to the generation before. With an abandoned member it ends instead: two neighbouring
