--- a/internal/canary/judge_test.go
+++ b/internal/canary/judge_test.go
@@ -12,30 +12,30 @@
 	"pgregory.net/rapid"
 )
 
-// crew is a fleet that all counts alike but for what a test changes.
-type crew struct {
-	j   *Judge
-	rng *rand.Rand
-	now time.Duration
-	all []Reading
+// testFleet is a fleet whose members count the same, except for what a test changes.
+type testFleet struct {
+	judge    *Judge
+	rng      *rand.Rand
+	now      time.Duration
+	readings []Reading
 
-	before map[string]instancestats.Statistics // kept by tests that want them
+	previous map[string]instancestats.Statistics // statistics of the last observation, for tests that need them
 }
 
-func newCrew(n int, seed uint64) *crew {
-	c := &crew{j: NewJudge(Options{}), rng: rand.New(rand.NewPCG(seed, 1)), before: make(map[string]instancestats.Statistics)}
+func newTestFleet(n int, seed uint64) *testFleet {
+	c := &testFleet{judge: NewJudge(Options{}), rng: rand.New(rand.NewPCG(seed, 1)), previous: make(map[string]instancestats.Statistics)}
 	for i := range n {
-		c.all = append(c.all, Reading{Member: fmt.Sprint(i), IsServing: true, Statistics: instancestats.Statistics{Began: time.Unix(1, 0)}})
+		c.readings = append(c.readings, Reading{Member: fmt.Sprint(i), IsServing: true, Statistics: instancestats.Statistics{Began: time.Unix(1, 0)}})
 	}
 	return c
 }
 
-// run plays intervals of 10 s with a hook for each.
-func (c *crew) run(intervals int, each func(i int, r *Reading)) {
+// observe observes intervals of 10 s. each, if not nil, changes a member's reading before it is observed.
+func (c *testFleet) observe(intervals int, each func(i int, r *Reading)) {
 	for range intervals {
 		c.now += 10 * time.Second
-		for i := range c.all {
-			f := &c.all[i].Statistics
+		for i := range c.readings {
+			f := &c.readings[i].Statistics
 			n := 150 + c.rng.IntN(100)
 			f.Requests += uint64(n)
 			f.OfferedWeight += float64(n)
@@ -47,54 +47,55 @@
 				f.Delays.Add(time.Duration(20+c.rng.IntN(10)) * time.Millisecond)
 			}
 			if each != nil {
-				each(i, &c.all[i])
+				each(i, &c.readings[i])
 			}
 		}
-		c.j.Observe(c.now, c.all)
+		c.judge.Observe(c.now, c.readings)
 	}
 }
 
-// stage begins one with members from..to changed and as many controls after them.
-func (c *crew) stage(from, to, controls int) {
-	c.j.Begin(c.now, c.all)
+// beginStage begins a stage that changes members from to to, with controls after them.
+func (c *testFleet) beginStage(from, to, controls int) {
+	c.judge.Begin(c.now, c.readings)
 	for i := from; i < to+controls; i++ {
-		c.all[i].Side, c.all[i].Statistics = SideNew, instancestats.Statistics{Began: time.Unix(2, int64(c.now))}
+		c.readings[i].Side, c.readings[i].Statistics = SideNew, instancestats.Statistics{Began: time.Unix(2, int64(c.now))}
 		if i >= to {
-			c.all[i].Side = SideControl
+			c.readings[i].Side = SideControl
 		}
 	}
 }
 
-func fails(r *Reading, n int) {
+func addFailures(r *Reading, n int) {
 	r.Statistics.Failed += uint64(n)
 	r.Statistics.Served -= float64(n)
 }
 
-// verdicts are what one of twelve does once it is changed, for how many intervals, and what has to come of it.
-var verdicts = []struct {
+// verdictCases have what members of a fleet of twelve do after one of them has changed, over some intervals of 10 s, and
+// the verdict that has to follow.
+var verdictCases = []struct {
 	name string
 	want VerdictKind
 	run  int
-	each func(c *crew, i int, r *Reading)
+	each func(c *testFleet, i int, r *Reading)
 }{
 	{"alike", KindPass, 60, nil},
 	{"too early", KindWait, 20, nil},
-	{"fails", KindWorse, 20, func(_ *crew, _ int, r *Reading) {
+	{"fails", KindWorse, 20, func(_ *testFleet, _ int, r *Reading) {
 		if r.Side == SideNew {
-			fails(r, 20)
+			addFailures(r, 20)
 		}
 	}},
-	{"the world fails", KindPass, 60, func(c *crew, _ int, r *Reading) {
+	{"the world fails", KindPass, 60, func(c *testFleet, _ int, r *Reading) {
 		if c.now > 8*time.Minute {
-			fails(r, 20)
+			addFailures(r, 20)
 		}
 	}},
-	{"cold ones fail, control too", KindPass, 60, func(c *crew, _ int, r *Reading) {
+	{"cold ones fail, control too", KindPass, 60, func(c *testFleet, _ int, r *Reading) {
 		if r.Side != SideOld && c.now < 7*time.Minute {
-			fails(r, 4)
+			addFailures(r, 4)
 		}
 	}},
-	{"nonsense of an old one", KindPass, 60, func(c *crew, i int, r *Reading) {
+	{"nonsense of an old one", KindPass, 60, func(c *testFleet, i int, r *Reading) {
 		switch i {
 		case 5:
 			r.Statistics.OfferedWeight = math.NaN()
@@ -104,49 +105,49 @@
 			r.Statistics.Units = -1
 		}
 	}},
-	{"nonsense of the new one", KindNoEvidence, 400, func(_ *crew, i int, r *Reading) {
+	{"nonsense of the new one", KindNoEvidence, 400, func(_ *testFleet, i int, r *Reading) {
 		if i == 0 && r.Side == SideNew {
 			r.Statistics.Served = math.NaN()
 		}
 	}},
-	{"nobody asks the new one", KindNoEvidence, 400, func(_ *crew, _ int, r *Reading) {
+	{"nobody asks the new one", KindNoEvidence, 400, func(_ *testFleet, _ int, r *Reading) {
 		if r.Side == SideNew {
 			r.Statistics = instancestats.Statistics{Began: r.Statistics.Began, MemoryKB: 100000}
 		}
 	}},
-	{"the new one crashes", KindWorse, 30, func(c *crew, _ int, r *Reading) {
+	{"the new one crashes", KindWorse, 30, func(c *testFleet, _ int, r *Reading) {
 		if r.Side == SideNew && c.now%time.Minute == 0 {
 			r.Statistics = instancestats.Statistics{Began: time.Unix(3, int64(c.now))}
 		}
 	}},
-	{"all crash", KindWait, 20, func(c *crew, _ int, r *Reading) {
+	{"all crash", KindWait, 20, func(c *testFleet, _ int, r *Reading) {
 		if c.now == 6*time.Minute {
 			r.Statistics = instancestats.Statistics{Began: time.Unix(3, int64(c.now))}
 		}
 	}},
-	{"others are harmed, and the new one takes more", KindWorse, 60, func(_ *crew, _ int, r *Reading) {
+	{"others are harmed, and the new one takes more", KindWorse, 60, func(_ *testFleet, _ int, r *Reading) {
 		if r.Side == SideNew {
 			r.Statistics.Units += 12
 		}
-		fails(r, 6)
+		addFailures(r, 6)
 	}},
-	{"others are harmed, nothing tells by whom", KindNoEvidence, 400, func(_ *crew, _ int, r *Reading) { fails(r, 10) }},
+	{"others are harmed, nothing tells by whom", KindNoEvidence, 400, func(_ *testFleet, _ int, r *Reading) { addFailures(r, 10) }},
 }
 
 func TestVerdicts(t *testing.T) {
-	for _, c := range verdicts {
+	for _, c := range verdictCases {
 		t.Run(c.name, func(t *testing.T) {
-			f := newCrew(12, 1)
-			f.run(30, nil)
-			f.stage(0, 1, 1)
+			f := newTestFleet(12, 1)
+			f.observe(30, nil)
+			f.beginStage(0, 1, 1)
 			last := Verdict{}
 			for range c.run {
-				f.run(1, func(i int, r *Reading) {
+				f.observe(1, func(i int, r *Reading) {
 					if c.each != nil {
 						c.each(f, i, r)
 					}
 				})
-				if last = f.j.Verdict(f.now); last.Kind != KindWait {
+				if last = f.judge.Verdict(f.now); last.Kind != KindWait {
 					break
 				}
 			}
@@ -157,10 +158,10 @@
 	}
 }
 
-// Whatever members tell, the judge neither panics nor passes a changed one that tells nonsense.
-func TestNonsenseIsBounded(t *testing.T) {
+// Whatever statistics members report, the judge neither panics nor passes a changed member with implausible ones.
+func TestImplausibleReadingsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newCrew(4, 2)
+		f := newTestFleet(4, 2)
 		any := rapid.Custom(func(t *rapid.T) instancestats.Statistics {
 			v := rapid.OneOf(rapid.Float64(), rapid.Just(math.NaN()), rapid.Just(math.Inf(1)), rapid.Float64Range(0, 1e6))
 			n := rapid.OneOf(rapid.Uint64(), rapid.Uint64Range(0, 1e6))
@@ -170,24 +171,25 @@
 				MemoryKB: rapid.Int().Draw(t, "memory"), Began: time.Unix(rapid.Int64Range(0, 2).Draw(t, "began"), 0),
 			}
 		})
-		f.run(5, nil)
-		f.stage(0, 1, 1)
+		f.observe(5, nil)
+		f.beginStage(0, 1, 1)
 		for range rapid.IntRange(1, 40).Draw(t, "intervals") {
 			f.now += 10 * time.Second
-			for i := range f.all {
-				f.all[i].Statistics = any.Draw(t, "figures")
-				f.all[i].IsServing = rapid.Bool().Draw(t, "up")
+			for i := range f.readings {
+				f.readings[i].Statistics = any.Draw(t, "figures")
+				f.readings[i].IsServing = rapid.Bool().Draw(t, "up")
 			}
-			f.j.Observe(f.now, f.all)
-			if v := f.j.Verdict(f.now); v.Kind == KindPass {
+			f.judge.Observe(f.now, f.readings)
+			if v := f.judge.Verdict(f.now); v.Kind == KindPass {
 				t.Fatalf("%+v", v)
 			}
 		}
 	})
 }
 
-// A random walk crosses a bound for any number of looks in less than its part, and one for one look in far more.
-func TestWidthHoldsAtEveryLook(t *testing.T) {
+// A random walk crosses the sequential bound with less than its probability over all looks, and the bound for a single
+// look far more often.
+func TestBoundHoldsAtEveryLook(t *testing.T) {
 	const walks, alpha = 2000, 0.05
 	crossed := map[bool]int{}
 	for seed := range uint64(walks) {
@@ -208,7 +210,7 @@
 	}
 }
 
-// Looking at crashes after each, under a rate that is usual, raises an alarm in less than its part.
+// Crashes at the usual rate, evaluated after each one, raise an alarm with less than its probability.
 func TestCrashesAtTheUsualRate(t *testing.T) {
 	const runs, limit = 20000, 100
 	n := 0
--- a/internal/fleet/change_test.go
+++ b/internal/fleet/change_test.go
@@ -14,8 +14,8 @@
 	"lockflow/internal/rollout"
 )
 
-// text is a configuration with figures of two plans and a class.
-func text(rate1, rate2 int, class string, instances int) []byte {
+// settingsOf returns a configuration with the hard limits of two plans, a class and a group size.
+func settingsOf(rate1, rate2 int, class string, instances int) []byte {
 	return fmt.Appendf(nil, `protocol = "platform"
 [process]
 instances = %d
@@ -39,18 +39,18 @@
 `, instances, class, rate1, rate2)
 }
 
-const keyed, never = "repeats = \"keyed\"\nkey_scope = \"group\"\nrepeat_window = \"30s\"", `repeats = "never"`
+const withKey, notIdempotent = "repeats = \"keyed\"\nkey_scope = \"group\"\nrepeat_window = \"30s\"", `repeats = "never"`
 
-func TestBetween(t *testing.T) {
+func TestIntermediateSettings(t *testing.T) {
 	for name, tc := range map[string]struct {
 		old, new []byte
 		want     string
 	}{
-		"more in all":        {text(10, 10, never, 4), text(20, 20, never, 4), ""},
-		"less in all":        {text(20, 20, never, 4), text(10, 10, never, 4), ""},
-		"more and less":      {text(10, 20, never, 4), text(20, 10, never, 4), "ceiling_rate = 10"},
-		"terms and ceilings": {text(10, 10, keyed, 4), text(20, 20, never, 4), "never"},
-		"a larger group":     {text(10, 10, never, 4), text(20, 20, never, 5), "instances = 5"},
+		"more in all":        {settingsOf(10, 10, notIdempotent, 4), settingsOf(20, 20, notIdempotent, 4), ""},
+		"less in all":        {settingsOf(20, 20, notIdempotent, 4), settingsOf(10, 10, notIdempotent, 4), ""},
+		"more and less":      {settingsOf(10, 20, notIdempotent, 4), settingsOf(20, 10, notIdempotent, 4), "ceiling_rate = 10"},
+		"terms and ceilings": {settingsOf(10, 10, withKey, 4), settingsOf(20, 20, notIdempotent, 4), "never"},
+		"a larger group":     {settingsOf(10, 10, notIdempotent, 4), settingsOf(20, 20, notIdempotent, 5), "instances = 5"},
 	} {
 		got, err := IntermediateSettings(tc.old, tc.new)
 		if err != nil || (got == nil) != (tc.want == "") || !strings.Contains(strings.ReplaceAll(string(got), "'", `"`), tc.want) {
@@ -59,13 +59,13 @@
 	}
 }
 
-// Whatever both ends are: where settings between are written, none of the three steps needs others between.
-func TestBetweenIsSafe(t *testing.T) {
+// Whatever old and new settings are: no step to, from or without intermediate settings needs others.
+func TestIntermediateSettingsAreSafe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(which string) []byte {
-			class := rapid.SampledFrom([]string{keyed, never, `repeats = "free"`, strings.Replace(keyed, "30s", "9s", 1)}).Draw(t, which)
+			class := rapid.SampledFrom([]string{withKey, notIdempotent, `repeats = "free"`, strings.Replace(withKey, "30s", "9s", 1)}).Draw(t, which)
 			n := func(what string) int { return rapid.IntRange(1, 4).Draw(t, which+what) }
-			return text(n("a"), n("b"), class, n("instances"))
+			return settingsOf(n("a"), n("b"), class, n("instances"))
 		}
 		old, new := draw("old"), draw("new")
 		mid, err := IntermediateSettings(old, new)
@@ -101,7 +101,7 @@
 	})
 }
 
-// What a journal holds counts only as a whole.
+// Records of a rollout log count only if all of them can be decoded.
 func TestDecode(t *testing.T) {
 	fine := fmt.Sprintf(`{"form":1,"kind":"settings","plan":{"members":[{"name":"0","gens":["a","b"]}]},"sockets":["/s"],"texts":{%q:"x"}}`, desiredstate.Hash([]byte("x")))
 	for name, tc := range map[string]struct {
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -16,22 +16,22 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// What is kept and printed of a rollout is read and written under the keys of earlier builds; go test
-// ./internal/fleet -run Golden -update writes the files anew.
+// What is stored and printed of a rollout has the keys of earlier builds; go test ./internal/fleet -run Golden -update
+// writes the files anew.
 func TestGoldenRolloutTypes(t *testing.T) {
 	for name, v := range map[string]any{"change": &Change{}, "record": &logRecord{}, "progress": &Progress{}, "answers": &[]StatusReply{}} {
 		testkit.GoldenSample(t, "json", "testdata/golden/"+name+".json", v)
 	}
 }
 
-// The journal of an earlier build's coordinator is read, and its records are written to the same bytes again.
-func TestGoldenJournal(t *testing.T) {
+// The rollout log of an earlier build is read, and its records are encoded to the same bytes again.
+func TestGoldenRolloutLog(t *testing.T) {
 	const path = "testdata/golden/rollout.db.gz"
 	var made []byte
 	if testkit.Updating() {
-		made = makeJournal(t)
+		made = writeSampleLog(t)
 	}
-	dir := unpackJournal(t, testkit.GoldenBytes(t, path, made))
+	dir := unpackLog(t, testkit.GoldenBytes(t, path, made))
 	j, err := OpenRolloutLog(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 	}
 }
 
-// sampleChange is a sample that a journal takes for a change.
+// sampleChange returns a change that is valid.
 func sampleChange() Change {
 	var c Change
 	testkit.Sample("json", &c)
@@ -75,8 +75,8 @@
 	return r
 }
 
-// makeJournal writes a journal as a coordinator does, and packs its file.
-func makeJournal(t *testing.T) []byte {
+// writeSampleLog writes a log as a coordinator does, and returns its compressed file.
+func writeSampleLog(t *testing.T) []byte {
 	dir := t.TempDir()
 	l, err := rolloutlog.Open(dir)
 	if err != nil {
@@ -112,7 +112,7 @@
 	return packed.Bytes()
 }
 
-func unpackJournal(t *testing.T, packed []byte) (dir string) {
+func unpackLog(t *testing.T, packed []byte) (dir string) {
 	z, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulation/rolloutsim/sim_test.go
+++ b/internal/simulation/rolloutsim/sim_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func play(t *testing.T, o Options) Report {
+func simulate(t *testing.T, o Options) Report {
 	t.Helper()
 	r, err := Run(o)
 	if err != nil {
@@ -14,21 +14,21 @@
 	return r
 }
 
-// The short form of docs/rollout-figures.md.
+// A short form of the simulations in docs/rollout-figures.md.
 func TestHarmlessChangesPass(t *testing.T) {
 	for _, traffic := range Traffics {
-		if r := play(t, Options{Instances: 4, Traffic: traffic, Runs: 40, Seed: 11}); r.Worse > 0 || r.Passed < 38 {
+		if r := simulate(t, Options{Instances: 4, Traffic: traffic, Runs: 40, Seed: 11}); r.Worse > 0 || r.Passed < 38 {
 			t.Errorf("%+v", r)
 		}
 	}
-	if r := play(t, Options{Instances: 40, Traffic: "uneven", Runs: 4, Seed: 11}); r.Passed < 4 {
+	if r := simulate(t, Options{Instances: 40, Traffic: "uneven", Runs: 4, Seed: 11}); r.Passed < 4 {
 		t.Errorf("%+v", r)
 	}
 }
 
 func TestHarmfulChangesStop(t *testing.T) {
 	for _, h := range Harms[1:] {
-		r := play(t, Options{Instances: 40, Traffic: "uneven", Harm: h, Runs: 4, Seed: 3})
+		r := simulate(t, Options{Instances: 40, Traffic: "uneven", Harm: h, Runs: 4, Seed: 3})
 		at := 0 // the latest stage at which all have to be stopped
 		switch {
 		case h.MinChangedShare > 0:
@@ -43,19 +43,19 @@
 		if stopped < 3 || h.FleetFailureShare == 0 && h.CrashInterval == 0 && stopped < 4 {
 			t.Errorf("%s: %+v", h.Name, r)
 		}
-		if plain := play(t, Options{Instances: 40, Traffic: "uneven", Harm: h, Judge: "readiness", Runs: 2, Seed: 3}); plain.Passed < 2 || plain.Harmed < r.Harmed {
+		if plain := simulate(t, Options{Instances: 40, Traffic: "uneven", Harm: h, Judge: "readiness", Runs: 2, Seed: 3}); plain.Passed < 2 || plain.Harmed < r.Harmed {
 			t.Errorf("readiness alone: %+v", plain)
 		}
 	}
 }
 
-// Without each of its guards the judge stops what is harmless.
+// Without any one of its guards the judge stops harmless changes.
 func TestGuardsAreNeeded(t *testing.T) {
 	for _, c := range []struct {
 		without         string
 		instances, runs int
 	}{{"request as unit", 4, 12}, {"no before", 4, 30}, {"no control", 40, 2}, {"one look", 40, 12}} {
-		r := play(t, Options{Instances: c.instances, Traffic: "uneven", Runs: c.runs, Seed: 7, Without: c.without})
+		r := simulate(t, Options{Instances: c.instances, Traffic: "uneven", Runs: c.runs, Seed: 7, Without: c.without})
 		if 12*r.Worse < c.runs {
 			t.Errorf("%+v", r)
 		}
@@ -64,7 +64,7 @@
 
 func TestSameSeedSamePlay(t *testing.T) {
 	o := Options{Instances: 12, Traffic: "bursty", Harm: Harms[6], Runs: 3, Seed: 9}
-	if a, b := play(t, o), play(t, o); !reflect.DeepEqual(a, b) {
+	if a, b := simulate(t, o), simulate(t, o); !reflect.DeepEqual(a, b) {
 		t.Errorf("%+v\n%+v", a, b)
 	}
 	if _, err := Run(Options{Instances: 1}); err == nil {
