--- a/internal/command/event_log.go
+++ b/internal/command/event_log.go
@@ -33,7 +33,7 @@
 				if len(args) == 0 || *objective < 0 || *maxServers < 0 {
 					return usageError("tally takes the logs of one instance each; see lockflow tally --help")
 				}
-				a := eventlog.Adder{AimMS: float64(*objective) / float64(time.Millisecond)}
+				a := eventlog.Summer{LatencyObjectiveMS: float64(*objective) / float64(time.Millisecond)}
 				for _, path := range args {
 					if err := readEventLog(&a, path); err != nil {
 						return err
@@ -57,7 +57,7 @@
 }
 
 // readEventLog adds the event log of one instance, which its file is named after.
-func readEventLog(a *eventlog.Adder, path string) error {
+func readEventLog(a *eventlog.Summer, path string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return fmt.Errorf("tally: %w", err)
@@ -83,18 +83,18 @@
 		for _, k := range r.Attempts {
 			n += k
 		}
-		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t", r.At, r.Requests["served"], r.InTime, r.Requests["refused"], r.Requests["failed"])
+		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t", r.Second, r.Requests["served"], r.InTime, r.Requests["refused"], r.Requests["failed"])
 		for _, why := range rejectionCauses {
 			fmt.Fprintf(t, "%d\t", r.Requests[why])
 		}
 		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", n, r.Attempts["turned_away"], r.Attempts["timed_out"],
-			r.Attempts["connect_failed"], r.Attempts["reset"], r.Attempts["error"], r.Dialed, r.Young, r.TookMS, r.Bound, r.Out, r.Held, r.Conns, r.Up)
+			r.Attempts["connect_failed"], r.Attempts["reset"], r.Attempts["error"], r.NewConnections, r.AtStartingServers, r.MeanAttemptMS, r.ConcurrencyLimit, r.AttemptsInFlight, r.AcceptedRequests, r.IdleConnections, r.AvailableServers)
 	}
 	t.Flush()
 	fmt.Fprintln(w)
 	fmt.Fprintln(t, "server\tattempts\tgood\tinstances\tms\ttold ms\ttold util\tmost out\tfirst at s\t")
 	for _, r := range s.Servers[:min(maxServers, len(s.Servers))] {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%.0f\t%.0f\t%.2f\t%d\t%d\t\n", r.Server, r.Attempts, r.Reasons["ok"], r.From, r.TookMS, r.Told, r.Util, r.Most, r.First)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%.0f\t%.0f\t%.2f\t%d\t%d\t\n", r.Server, r.Attempts, r.Reasons["ok"], r.Instances, r.MeanAttemptMS, r.MeanReportedMS, r.MeanUtilization, r.PeakInFlight, r.FirstSecond)
 	}
 	t.Flush()
 	if len(s.Plans) == 0 {
@@ -103,7 +103,7 @@
 	fmt.Fprintln(w)
 	fmt.Fprintln(t, "plan\tcustomers\ttries\tsent inside\tsent beyond\trefused with room\trefused without\t")
 	for _, p := range s.Plans {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t\n", p.Plan, p.Customers, p.Tries, p.SentInside, p.SentBeyond, p.RefusedRoom, p.RefusedOver)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t\n", p.Plan, p.Customers, p.Requests, p.SentUnderQuota, p.SentOverQuota, p.RejectedUnderQuota, p.RejectedOverQuota)
 	}
 	t.Flush()
 }
