--- a/internal/rollout/commands.go
+++ b/internal/rollout/commands.go
@@ -50,7 +50,10 @@
 func (r *Rollout) resendCommands() {
 	for i := range r.members {
 		m := &r.members[i]
-		if m.command != nil && !m.command.awaitsReply && m.hasGranted && r.now >= m.command.retryAt {
+		if m.command == nil || m.command.awaitsReply {
+			continue
+		}
+		if m.hasGranted && r.now >= m.command.retryAt {
 			m.command.awaitsReply = true
 			r.emit(r.commandAction(i))
 		}
@@ -113,7 +116,7 @@
 	m.isUnsettled = hasSucceeded
 	m.isSuspect = m.isSuspect && !hasSucceeded
 	switch {
-	case isRestart: // one that fails says nothing of the change
+	case isRestart: // a failed restart is no failure of the change
 		m.isControl = m.isControl || hasSucceeded
 		m.isPlannedControl = false
 	case hasSucceeded:
