--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -77,76 +77,112 @@
 	}
 }
 
-// closedLoop has clients send requests without a pause, of a low-priority and a high-priority class in turn, to four
-// servers that take a time for each attempt. It counts what is served and rejected by class.
-func closedLoop(t *testing.T, clients int, attemptTime, duration time.Duration, cheap float64) (served, refused map[string]int) {
+// closedLoop is clients that send requests without a pause, of a low-priority and a high-priority class in turn, to four
+// servers that take a time for each attempt.
+type closedLoop struct {
+	gateway     *testGateway
+	attemptTime time.Duration
+	results     []attemptEnd // of attempts in flight, by time, as all take the same
+	handled     int          // sends whose results are known
+	requests    int
+	classes     map[string]string // by request
+	served      map[string]int    // requests by class
+	rejected    map[string]int
+}
+
+type attemptEnd struct {
+	at     time.Duration
+	result AttemptResult
+}
+
+// runClosedLoop counts what is served and rejected by class in a duration.
+func runClosedLoop(
+	t *testing.T, clients int, attemptTime, duration time.Duration, cheapWeight float64,
+) (served, rejected map[string]int) {
 	t.Helper()
 	settings := testSettings()
-	settings.GroupSize, settings.MeterPeriod = 1, 0
+	settings.GroupSize = 1
+	settings.MeterPeriod = 0
 	settings.Classes = []Class{
-		{Name: "cheap", LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: cheap},
-		{Name: "dear", LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 5},
+		{Name: "cheap", LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: cheapWeight},
+		{Name: "important", LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 5},
 	}
 	settings.Plans = []Plan{{Name: "low", Price: 1, QuotaRate: 1e6, QuotaBurst: 1e6}}
 	var servers []Endpoint
 	for i := range 4 {
 		servers = append(servers, Endpoint{Server: uint32(i + 1), State: Active, Size: 1})
 	}
-	gateway := newTestGateway(t, settings, servers...)
-	type due struct {
-		at  time.Duration
-		end AttemptResult
+	loop := &closedLoop{
+		gateway:     newTestGateway(t, settings, servers...),
+		attemptTime: attemptTime,
+		classes:     make(map[string]string),
+		served:      make(map[string]int),
+		rejected:    make(map[string]int),
 	}
-	var out []due // by time, as all take the same
-	served, refused = make(map[string]int), make(map[string]int)
-	class := func(n int) string { return []string{"cheap", "dear"}[n%2] }
-	next, handled, idle := 0, 0, clients
-	classOf := make(map[string]string)
-	for end := gateway.now + duration; gateway.now < end; {
-		for ; idle > 0; idle-- {
-			id := fmt.Sprint(next)
-			classOf[id] = class(next)
-			next++
-			gateway.handle(Request{ID: id, Class: classOf[id], Plan: "low", Customer: id, Timeout: 6 * time.Second, Units: 1, FanOut: 1})
-			if _, ok := gateway.finalAnswers[id]; ok {
-				refused[classOf[id]]++
-			}
-			for ; handled < len(gateway.sends); handled++ {
-				out = append(out, due{gateway.now + attemptTime, AttemptResult{ID: gateway.sends[handled].ID, Server: gateway.sends[handled].Server, Reason: OK, IsFinal: true, Delay: attemptTime}})
-			}
-		}
-		if len(out) == 0 {
-			idle = clients // all were refused
-			gateway.advance(attemptTime)
-			continue
+	idle := clients
+	for end := loop.gateway.now + duration; loop.gateway.now < end; {
+		for range idle {
+			loop.send()
 		}
-		gateway.advance(out[0].at - gateway.now)
-		event := out[0].end
-		out = out[1:]
-		gateway.handle(event)
-		served[classOf[event.ID]]++
 		idle = 1
-		for ; handled < len(gateway.sends); handled++ {
-			out = append(out, due{gateway.now + attemptTime, AttemptResult{ID: gateway.sends[handled].ID, Server: gateway.sends[handled].Server, Reason: OK, IsFinal: true, Delay: attemptTime}})
+		if len(loop.results) == 0 { // all were rejected
+			idle = clients
+			loop.gateway.advance(attemptTime)
+			continue
 		}
+		loop.answer()
+	}
+	return loop.served, loop.rejected
+}
+
+// send sends the next request.
+func (l *closedLoop) send() {
+	id := fmt.Sprint(l.requests)
+	class := []string{"cheap", "important"}[l.requests%2]
+	l.classes[id] = class
+	l.requests++
+	l.gateway.handle(Request{ID: id, Class: class, Plan: "low", Customer: id, Timeout: 6 * time.Second, Units: 1, FanOut: 1})
+	if _, ok := l.gateway.finalAnswers[id]; ok {
+		l.rejected[class]++
+	}
+	l.startAttempts()
+}
+
+// answer ends the oldest attempt.
+func (l *closedLoop) answer() {
+	l.gateway.advance(l.results[0].at - l.gateway.now)
+	result := l.results[0].result
+	l.results = l.results[1:]
+	l.gateway.handle(result)
+	l.served[l.classes[result.ID]]++
+	l.startAttempts()
+}
+
+// startAttempts has the servers take what was sent.
+func (l *closedLoop) startAttempts() {
+	for ; l.handled < len(l.gateway.sends); l.handled++ {
+		send := l.gateway.sends[l.handled]
+		l.results = append(l.results, attemptEnd{
+			at:     l.gateway.now + l.attemptTime,
+			result: AttemptResult{ID: send.ID, Server: send.Server, Reason: OK, IsFinal: true, Delay: l.attemptTime},
+		})
 	}
-	return served, refused
 }
 
 // A class of low priority weight is not rejected while servers are so fast that a turn takes a small part of its
 // latency objective; it is shed where a turn takes long.
 func TestFastServersRejectNothing(t *testing.T) {
 	for _, clients := range []int{8, 64, 256} {
-		served, refused := closedLoop(t, clients, time.Millisecond, 200*time.Millisecond, 1)
-		if refused["cheap"]+refused["dear"] > 0 || served["cheap"] < served["dear"]/2 || served["cheap"] == 0 {
-			t.Errorf("%d clients: served %v, rejected %v", clients, served, refused)
+		served, rejected := runClosedLoop(t, clients, time.Millisecond, 200*time.Millisecond, 1)
+		if rejected["cheap"]+rejected["important"] > 0 || served["cheap"] < served["important"]/2 || served["cheap"] == 0 {
+			t.Errorf("%d clients: served %v, rejected %v", clients, served, rejected)
 		}
 	}
-	if _, refused := closedLoop(t, 64, 300*time.Millisecond, 4*time.Second, 1); refused["cheap"] == 0 || refused["dear"] > 0 {
-		t.Errorf("servers that take 300 ms: rejected %v", refused)
+	if _, rejected := runClosedLoop(t, 64, 300*time.Millisecond, 4*time.Second, 1); rejected["cheap"] == 0 || rejected["important"] > 0 {
+		t.Errorf("servers that take 300 ms: rejected %v", rejected)
 	}
-	if _, refused := closedLoop(t, 64, time.Millisecond, 200*time.Millisecond, 5); refused["cheap"] > 0 {
-		t.Errorf("of equal priority weight: rejected %v", refused)
+	if _, rejected := runClosedLoop(t, 64, time.Millisecond, 200*time.Millisecond, 5); rejected["cheap"] > 0 {
+		t.Errorf("of equal priority weight: rejected %v", rejected)
 	}
 }
 
--- a/control/attempts_test.go
+++ b/control/attempts_test.go
@@ -5,66 +5,105 @@
 	"time"
 )
 
+// usedResources is what an attempt takes of a customer, a server and the limits.
+type usedResources struct {
+	quotaTokens, hardLimitTokens, slowStartTokens float64
+	sentUnits, chargedUnits, queuedUnits          float64
+	ofCustomer, atServer, inFlight                int
+	slotFreeAt, nextAttemptAt                     time.Duration
+	isProbing                                     bool
+}
+
+func newUsedResources(controller *Controller, account *customerAccount, srv *server) usedResources {
+	bin := controller.currentBin() + 1
+	return usedResources{
+		quotaTokens:     account.quota.tokens,
+		hardLimitTokens: account.hardLimit.tokens,
+		slowStartTokens: srv.slowStart.tokens,
+		sentUnits:       account.history.sent.periodSum(bin),
+		chargedUnits:    account.history.charged.periodSum(bin),
+		queuedUnits:     account.queuedUnits,
+		ofCustomer:      account.inFlight.current,
+		atServer:        srv.inFlight,
+		inFlight:        controller.requests.slots.inFlight,
+		slotFreeAt:      controller.limiter.fractionalSlotFreeAt,
+		nextAttemptAt:   account.inFlight.nextAttemptAt,
+		isProbing:       srv.outlier.isProbing,
+	}
+}
+
 // An attempt that is not sent leaves nothing behind, whether its client has left before or the node could not send
 // it: no slot, no charge and no failure of the server.
 func TestAttemptNotSentIsRefunded(t *testing.T) {
-	for name, class := range map[string]Class{"safe": {Idempotency: Idempotent}, "keyed": {Idempotency: IdempotentWithKey, RepeatWindow: time.Minute}, "unsafe": {Idempotency: NotIdempotent}} {
-		for what, leaves := range map[string]bool{"left": true, "not sent": false} {
-			for what2, isWarmingUp := range map[string]bool{"warm": false, "cold": true} {
-				t.Run(name+" "+what+" "+what2, func(t *testing.T) {
-					settings := testSettings()
-					class.Name, class.LatencyObjective, class.Deadline, class.PriorityWeight = "job", 2*time.Second, 6*time.Second, 1
-					settings.Classes = []Class{class}
-					settings.Plans = []Plan{{Name: "high", Price: 1, QuotaRate: 10, QuotaBurst: 10, HardLimitRate: 10, HardLimitBurst: 10, HardLimitSlack: 10, MaxInFlight: 4}}
-					endpoints := activeEndpoints(1)
-					gateway := newTestGateway(t, settings)
-					if isWarmingUp {
-						endpoints[0].HasStartedAt, endpoints[0].StartedAt = true, gateway.now-time.Second
-					}
-					gateway.handle(EndpointList{Kind: ListComplete, Endpoints: endpoints})
-					controller, srv := gateway.controller, gateway.controller.fleet.servers[1]
-					srv.slowStart.tokens = 0.125
-					controller.limiter.limit = 0.5 // a slot that pauses after each use
-					controller.fleet.latency.count = 1
-					account := controller.accountFor(controller.scheduler.plans[0], "c", 2)
-					account.inFlight.limit = 0.5 // likewise
-					srv.outlier.consecutiveFailures = ejectionFailures
-					type resources struct {
-						level, hardLimitTokens, tokens, own, charged, queued float64
-						open, inflight, out                                  int
-						rests, next                                          time.Duration
-						probing                                              bool
-					}
-					inUse := func() resources {
-						bin := controller.currentBin() + 1
-						return resources{
-							account.quota.tokens, account.hardLimit.tokens, srv.slowStart.tokens, account.history.sent.periodSum(bin), account.history.charged.periodSum(bin), account.queuedUnits, account.inFlight.current, srv.inFlight, controller.requests.slots.inFlight,
-							controller.limiter.fractionalSlotFreeAt, account.inFlight.nextAttemptAt, srv.outlier.isProbing,
-						}
-					}
-					before := inUse()
-					gateway.request("a", "job", "high", "c")
-					if len(gateway.sends) != 1 || inUse() == before {
-						t.Fatalf("%d sends, %+v", len(gateway.sends), inUse())
-					}
-					if leaves {
-						gateway.handle(ClientGone{ID: "a"})
-					}
-					event := AttemptResult{ID: "a", Server: 1, Reason: NotSent, IsFinal: leaves}
-					gateway.handle(event)
-					gateway.handle(event) // a second one is no attempt's
-					if after := inUse(); after != before {
-						t.Errorf("before %+v, after %+v", before, after)
-					}
-					if end, ok := gateway.finalAnswers["a"].(Reject); !leaves && (!ok || end.Cause != CauseNoRetry) || leaves && gateway.finalAnswers["a"] != nil {
-						t.Errorf("its end: %+v", gateway.finalAnswers["a"])
-					}
-					gateway.request("b", "job", "high", "c")
-					if len(gateway.sends) != 2 || gateway.sends[1].ID != "b" {
-						t.Errorf("the next one was not sent: %+v", gateway.sends)
-					}
+	for name, class := range map[string]Class{
+		"idempotent":     {Idempotency: Idempotent},
+		"with key":       {Idempotency: IdempotentWithKey, RepeatWindow: time.Minute},
+		"not idempotent": {Idempotency: NotIdempotent},
+	} {
+		class.Name = "job"
+		class.LatencyObjective = 2 * time.Second
+		class.Deadline = 6 * time.Second
+		class.PriorityWeight = 1
+		for end, clientLeaves := range map[string]bool{"client gone": true, "not sent": false} {
+			for state, isWarmingUp := range map[string]bool{"warm": false, "warming up": true} {
+				t.Run(name+", "+end+", "+state, func(t *testing.T) {
+					checkAttemptNotSent(t, class, clientLeaves, isWarmingUp)
 				})
 			}
 		}
 	}
 }
+
+func checkAttemptNotSent(t *testing.T, class Class, clientLeaves, isWarmingUp bool) {
+	t.Helper()
+	settings := testSettings()
+	settings.Classes = []Class{class}
+	settings.Plans = []Plan{{
+		Name: "high", Price: 1, QuotaRate: 10, QuotaBurst: 10, HardLimitRate: 10, HardLimitBurst: 10, HardLimitSlack: 10, MaxInFlight: 4,
+	}}
+	endpoints := activeEndpoints(1)
+	gateway := newTestGateway(t, settings)
+	if isWarmingUp {
+		endpoints[0].HasStartedAt = true
+		endpoints[0].StartedAt = gateway.now - time.Second
+	}
+	gateway.handle(EndpointList{Kind: ListComplete, Endpoints: endpoints})
+	controller := gateway.controller
+	srv := controller.fleet.servers[1]
+	srv.slowStart.tokens = 0.125
+	controller.limiter.limit = 0.5 // a slot that pauses after each use
+	controller.fleet.latency.count = 1
+	account := controller.accountFor(controller.scheduler.plans[0], "c", 2)
+	account.inFlight.limit = 0.5 // likewise
+	srv.outlier.consecutiveFailures = ejectionFailures
+
+	before := newUsedResources(controller, account, srv)
+	gateway.request("a", "job", "high", "c")
+	if len(gateway.sends) != 1 {
+		t.Fatalf("%d sends", len(gateway.sends))
+	}
+	if newUsedResources(controller, account, srv) == before {
+		t.Fatalf("an attempt takes nothing of %+v", before)
+	}
+	if clientLeaves {
+		gateway.handle(ClientGone{ID: "a"})
+	}
+	event := AttemptResult{ID: "a", Server: 1, Reason: NotSent, IsFinal: clientLeaves}
+	gateway.handle(event)
+	gateway.handle(event) // a second one is no attempt's
+	if after := newUsedResources(controller, account, srv); after != before {
+		t.Errorf("before %+v, after %+v", before, after)
+	}
+	final := gateway.finalAnswers["a"]
+	if clientLeaves {
+		if final != nil {
+			t.Errorf("the client has left and has the final answer %+v", final)
+		}
+	} else if reject, ok := final.(Reject); !ok || reject.Cause != CauseNoRetry {
+		t.Errorf("the final answer is %+v", final)
+	}
+	gateway.request("b", "job", "high", "c")
+	if len(gateway.sends) != 2 || gateway.sends[1].ID != "b" {
+		t.Errorf("the next one was not sent: %+v", gateway.sends)
+	}
+}
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -119,18 +119,8 @@
 	case request.attempts >= w.set.MaxAttempts:
 		w.t.Fatalf("%s was sent more than %d times", send.ID, w.set.MaxAttempts)
 	}
-	if request.mayHaveRun && request.class.Idempotency == NotIdempotent {
-		w.t.Fatalf("%s may have run and was sent again", send.ID)
-	}
-	if request.mayHaveRun && request.class.Idempotency == IdempotentWithKey {
-		first, srv := w.members[request.firstServer], w.members[send.Server]
-		if w.now > request.firstRunAt+request.class.RepeatWindow || request.class.KeyScope == ScopeCell && first.Cell != srv.Cell ||
-			request.class.KeyScope == ScopeZone && first.Zone != srv.Zone {
-			w.t.Fatalf("%s may have run and was sent again outside its group or window", send.ID)
-		}
-		if send.WriteTimeout <= 0 || w.now+send.WriteTimeout > request.firstRunAt+request.class.RepeatWindow {
-			w.t.Fatalf("%s may have run, and be written again %v from now, behind its window", send.ID, send.WriteTimeout)
-		}
+	if request.mayHaveRun {
+		w.checkRepeat(request, send)
 	}
 	if request.attempts == 0 && request.plan == "ceil" {
 		w.chargeHardLimit(request)
@@ -144,14 +134,37 @@
 	request.inFlight++
 }
 
+// checkRepeat holds an attempt to the rules of a request that may have run before.
+func (w *world) checkRepeat(request *openRequest, send Send) {
+	class := request.class
+	switch class.Idempotency {
+	case NotIdempotent:
+		w.t.Fatalf("%s may have run and was sent again", send.ID)
+	case IdempotentWithKey:
+		first := w.members[request.firstServer]
+		srv := w.members[send.Server]
+		isOutsideCell := class.KeyScope == ScopeCell && first.Cell != srv.Cell
+		isOutsideZone := class.KeyScope == ScopeZone && first.Zone != srv.Zone
+		windowEnd := request.firstRunAt + class.RepeatWindow
+		if w.now > windowEnd || isOutsideCell || isOutsideZone {
+			w.t.Fatalf("%s may have run and was sent again outside its group or window", send.ID)
+		}
+		if send.WriteTimeout <= 0 || w.now+send.WriteTimeout > windowEnd {
+			w.t.Fatalf("%s may have run, and be written again %v from now, behind its window", send.ID, send.WriteTimeout)
+		}
+	}
+}
+
 // chargeHardLimit holds this gateway to its part of the hard limit with part of the slack.
 func (w *world) chargeHardLimit(request *openRequest) {
 	plan := w.set.Plans[3]
 	if _, known := w.hardLimitTokens[request.customer]; !known {
-		w.hardLimitTokens[request.customer], w.hardLimitAt[request.customer] = plan.HardLimitSlack/2, time.Hour
+		w.hardLimitTokens[request.customer] = plan.HardLimitSlack / 2
+		w.hardLimitAt[request.customer] = time.Hour
 	}
 	tokens := w.hardLimitTokens[request.customer] + (w.now-w.hardLimitAt[request.customer]).Seconds()*plan.HardLimitRate/2
-	w.hardLimitTokens[request.customer], w.hardLimitAt[request.customer] = min(tokens, plan.HardLimitBurst/2)-request.units, w.now
+	w.hardLimitTokens[request.customer] = min(tokens, plan.HardLimitBurst/2) - request.units
+	w.hardLimitAt[request.customer] = w.now
 	if w.hardLimitTokens[request.customer] < -1e-6 {
 		w.t.Fatalf("the part of a hard limit fell to %g", w.hardLimitTokens[request.customer])
 	}
@@ -212,8 +225,10 @@
 		request.inFlight--
 		if why == OK {
 			delete(w.requests, attempt.id)
-		} else if why != RejectedByServer && why != ConnectFailed && why != NotSent && !request.mayHaveRun {
-			request.mayHaveRun, request.firstRunAt, request.firstServer = true, attempt.sentAt, attempt.server
+		} else if neverRan := why == RejectedByServer || why == ConnectFailed || why == NotSent; !neverRan && !request.mayHaveRun {
+			request.mayHaveRun = true
+			request.firstRunAt = attempt.sentAt
+			request.firstServer = attempt.server
 		}
 	}
 	w.handle(event)
