--- a/control/endpoint_choice_test.go
+++ b/control/endpoint_choice_test.go
@@ -44,7 +44,7 @@
 // Guards against gateways that each find out by their own requests, one every few seconds, which servers are slow.
 func TestServerThatReportsHighLatencyIsChosenLess(t *testing.T) {
 	group := newGatewayGroup(t, 40, activeEndpoints(1, 2, 3, 4, 5, 6, 7, 8))
-	group.load = func(id uint32) *LoadReport {
+	group.loadReport = func(id uint32) *LoadReport {
 		if id == 1 {
 			return loadReport(2000, 0.7)
 		}
@@ -60,7 +60,7 @@
 // zero.
 func TestServerWithZeroReportedLatencyDoesNotAttractAll(t *testing.T) {
 	group := newGatewayGroup(t, 40, activeEndpoints(1, 2, 3, 4, 5, 6, 7, 8))
-	group.load = func(id uint32) *LoadReport {
+	group.loadReport = func(id uint32) *LoadReport {
 		if id == 1 {
 			return loadReport(1, 0.7)
 		}
@@ -76,7 +76,7 @@
 // first.
 func TestBusyServerIsChosenLess(t *testing.T) {
 	group := newGatewayGroup(t, 40, activeEndpoints(1, 2, 3, 4, 5, 6, 7, 8))
-	group.load = func(id uint32) *LoadReport {
+	group.loadReport = func(id uint32) *LoadReport {
 		report := loadReport(300, 0.5)
 		if id <= 4 {
 			report.Utilization = 1
--- a/control/extreme_settings_test.go
+++ b/control/extreme_settings_test.go
@@ -79,7 +79,7 @@
 
 // arriveAny is a request of any kind, or one with the ID of another that has no final answer.
 func (w *world) arriveAny() {
-	class, plan := w.set.Classes[w.rng.IntN(len(w.set.Classes))], w.set.Plans[w.rng.IntN(len(w.set.Plans))]
+	class, plan := w.settings.Classes[w.rng.IntN(len(w.settings.Classes))], w.settings.Plans[w.rng.IntN(len(w.settings.Plans))]
 	w.lastID++
 	id := fmt.Sprint("r", w.lastID)
 	request := &openRequest{
@@ -88,7 +88,7 @@
 	}
 	event := Request{
 		ID: id, Class: class.Name, Plan: plan.Name, Customer: request.customer, Timeout: request.end - w.now, Units: request.units,
-		FanOut: 1 + w.rng.IntN(w.set.GroupSize), IsRetry: w.rng.IntN(5) == 0, HasPendingBody: w.rng.IntN(10) == 0,
+		FanOut: 1 + w.rng.IntN(w.settings.GroupSize), IsRetry: w.rng.IntN(5) == 0, HasPendingBody: w.rng.IntN(10) == 0,
 		IsOverCapacity: w.rng.IntN(30) == 0, IsOverHardLimit: w.rng.IntN(30) == 0,
 	}
 	w.requests[id] = request
@@ -138,16 +138,16 @@
 	for seed := uint64(1); seed <= 300; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		w := &world{
-			t: t, rng: rng, set: extremeSettings(rng), now: time.Hour, members: map[uint32]*Endpoint{}, isInactive: map[uint32]bool{},
+			t: t, rng: rng, settings: extremeSettings(rng), now: time.Hour, members: map[uint32]*Endpoint{}, isInactive: map[uint32]bool{},
 			requests: map[string]*openRequest{},
 		}
-		w.set.CanCancel, w.set.HealthChecks = false, false
+		w.settings.CanCancel, w.settings.HealthChecks = false, false
 		var err error
-		if w.controller, err = New(w.set, seed); err != nil {
+		if w.controller, err = New(w.settings, seed); err != nil {
 			t.Fatal(err)
 		}
-		if w.set.MaxAttempts == 0 { // no limit; world holds to one
-			w.set.MaxAttempts = math.MaxInt
+		if w.settings.MaxAttempts == 0 { // no limit; world holds to one
+			w.settings.MaxAttempts = math.MaxInt
 		}
 		for range 600 {
 			w.stepAny(true)
--- a/control/gateway_test.go
+++ b/control/gateway_test.go
@@ -170,46 +170,46 @@
 
 // gatewayGroup is a group of controllers that get requests in turn; each attempt is answered after 300 ms.
 type gatewayGroup struct {
-	t     *testing.T
-	gates []*testGateway
-	sent  map[uint32]int // attempts by server
-	load  func(server uint32) *LoadReport
+	t          *testing.T
+	gateways   []*testGateway
+	sent       map[uint32]int // attempts by server
+	loadReport func(server uint32) *LoadReport
 }
 
 func newGatewayGroup(t *testing.T, n int, members []Endpoint) *gatewayGroup {
-	group := &gatewayGroup{t: t, sent: map[uint32]int{}, load: func(uint32) *LoadReport { return nil }}
+	group := &gatewayGroup{t: t, sent: map[uint32]int{}, loadReport: func(uint32) *LoadReport { return nil }}
 	for i := range n {
 		settings := testSettings()
 		settings.GroupSize, settings.SelfIndex = n, i
 		settings.WarmupTime, settings.InitialCapacity, settings.OverloadWindow, settings.OverloadMultiple = 15*time.Second, 0.15, 2*time.Second, 2.5
-		ctl, err := New(settings, uint64(100+i))
+		controller, err := New(settings, uint64(100+i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		gateway := &testGateway{t: t, controller: ctl, now: time.Hour, finalAnswers: map[string]Action{}, attempts: map[string]int{}, timers: map[uint64]time.Duration{}}
+		gateway := &testGateway{t: t, controller: controller, now: time.Hour, finalAnswers: map[string]Action{}, attempts: map[string]int{}, timers: map[uint64]time.Duration{}}
 		gateway.handle(EndpointList{Kind: ListCached, Endpoints: members})
-		group.gates = append(group.gates, gateway)
+		group.gateways = append(group.gateways, gateway)
 	}
 	return group
 }
 
 // burst sends the gateways together up to 16 requests.
-func (c *gatewayGroup) burst() {
-	for i, gateway := range c.gates {
-		for k := range max(1, 16/len(c.gates)) {
+func (g *gatewayGroup) burst() {
+	for i, gateway := range g.gateways {
+		for k := range max(1, 16/len(g.gateways)) {
 			gateway.request(fmt.Sprint(i, "-", k, "-", gateway.now, "-", len(gateway.actions)), "job", "high", fmt.Sprint("x", i, "-", k))
 		}
 	}
 }
 
 // answer answers what is out after 200 ms.
-func (c *gatewayGroup) answer() {
+func (g *gatewayGroup) answer() {
 	const step = 200 * ms
-	for _, gateway := range c.gates {
+	for _, gateway := range g.gateways {
 		gateway.advance(step)
 		for _, send := range gateway.sends {
-			c.sent[send.Server]++
-			gateway.handle(AttemptResult{ID: send.ID, Server: send.Server, Reason: OK, IsFinal: true, Delay: step, Load: c.load(send.Server)})
+			g.sent[send.Server]++
+			gateway.handle(AttemptResult{ID: send.ID, Server: send.Server, Reason: OK, IsFinal: true, Delay: step, Load: g.loadReport(send.Server)})
 			gateway.finalAnswers[send.ID] = send
 		}
 		gateway.sends = gateway.sends[:0]
@@ -217,18 +217,18 @@
 }
 
 // serve sends each gateway one request in each step of 200 ms, for a number of steps.
-func (c *gatewayGroup) serve(steps int) {
+func (g *gatewayGroup) serve(steps int) {
 	const step = 200 * ms
 	for range steps {
-		for i, gateway := range c.gates {
+		for i, gateway := range g.gateways {
 			open := len(gateway.sends)
-			for k := range max(1, 16/len(c.gates)) {
+			for k := range max(1, 16/len(g.gateways)) {
 				gateway.request(fmt.Sprint(i, "-", k, "-", gateway.now), "job", "high", fmt.Sprint("x", i))
 			}
 			gateway.advance(step)
 			for _, send := range gateway.sends[open:] {
-				c.sent[send.Server]++
-				gateway.handle(AttemptResult{ID: send.ID, Server: send.Server, Reason: OK, IsFinal: true, Delay: step, Load: c.load(send.Server)})
+				g.sent[send.Server]++
+				gateway.handle(AttemptResult{ID: send.ID, Server: send.Server, Reason: OK, IsFinal: true, Delay: step, Load: g.loadReport(send.Server)})
 				gateway.finalAnswers[send.ID] = send
 			}
 		}
--- a/control/golden_test.go
+++ b/control/golden_test.go
@@ -82,7 +82,7 @@
 		w.step()
 		image = w.controller.Image()
 	}
-	raw, err := cbor.Marshal(goldenRun{w.set, image})
+	raw, err := cbor.Marshal(goldenRun{w.settings, image})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/control/hand_over_test.go
+++ b/control/hand_over_test.go
@@ -12,24 +12,24 @@
 // low that sends requests to all that have not ended.
 type handOverChain struct {
 	t        *testing.T
-	set      Settings
+	settings Settings
 	rng      *rand.Rand
 	gateways []*testGateway
 	sent     []time.Duration // of each unit
-	inFlight []reply
+	inFlight []pendingReply
 	requests int
 }
 
-type reply struct {
-	g  *testGateway
-	id string
-	at time.Duration
+type pendingReply struct {
+	gateway *testGateway
+	id      string
+	at      time.Duration
 }
 
 func (c *handOverChain) newest() *testGateway { return c.gateways[len(c.gateways)-1] }
 
 func (c *handOverChain) newGateway(now time.Duration) *testGateway {
-	gateway := newTestGateway(c.t, c.set, activeEndpoints(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20)...)
+	gateway := newTestGateway(c.t, c.settings, activeEndpoints(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20)...)
 	gateway.now = now
 	return gateway
 }
@@ -45,14 +45,14 @@
 // endPredecessors ends all gateways but the newest.
 func (c *handOverChain) endPredecessors() {
 	for _, pending := range c.inFlight {
-		if pending.g != c.newest() {
-			pending.g.now = c.newest().now
-			pending.g.respond(pending.id, OK, 0)
+		if pending.gateway != c.newest() {
+			pending.gateway.now = c.newest().now
+			pending.gateway.respond(pending.id, OK, 0)
 		}
 	}
-	var remaining []reply
+	var remaining []pendingReply
 	for _, pending := range c.inFlight {
-		if pending.g == c.newest() {
+		if pending.gateway == c.newest() {
 			remaining = append(remaining, pending)
 		}
 	}
@@ -68,8 +68,8 @@
 	for i := 0; i < len(c.inFlight); i++ {
 		if pending := c.inFlight[i]; pending.at <= now {
 			c.inFlight = append(c.inFlight[:i], c.inFlight[i+1:]...)
-			pending.g.now = max(pending.g.now, pending.at)
-			pending.g.respond(pending.id, OK, 0)
+			pending.gateway.now = max(pending.gateway.now, pending.at)
+			pending.gateway.respond(pending.id, OK, 0)
 			i--
 		}
 	}
@@ -82,7 +82,7 @@
 		gateway.handle(Request{ID: id, Class: "job", Plan: "low", Customer: "x", Timeout: 5 * time.Second, Units: 1, FanOut: 1})
 		if gateway.attempts[id] > 0 {
 			c.sent = append(c.sent, now)
-			c.inFlight = append(c.inFlight, reply{gateway, id, now + time.Duration(1+c.rng.IntN(40))*ms})
+			c.inFlight = append(c.inFlight, pendingReply{gateway, id, now + time.Duration(1+c.rng.IntN(40))*ms})
 		}
 	}
 }
@@ -103,7 +103,7 @@
 // requests within it rejected.
 func TestHardLimitHoldsOverManyHandOvers(t *testing.T) {
 	for seed := range uint64(40) {
-		chain := &handOverChain{t: t, set: hardLimitSettings(), rng: rand.New(rand.NewPCG(seed, 4))}
+		chain := &handOverChain{t: t, settings: hardLimitSettings(), rng: rand.New(rand.NewPCG(seed, 4))}
 		chain.gateways = []*testGateway{chain.newGateway(time.Hour)}
 		isReload := seed%2 == 0 // each a reload; else an upgrade, with both serving for a while
 		start := chain.newest().now
@@ -123,7 +123,7 @@
 		if over := chain.maxExcess(start, 30, 60); over > initialSlackFraction*6+1 {
 			t.Errorf("seed %d: %.1f units beyond the hard limit", seed, over)
 		}
-		one := &handOverChain{t: t, set: chain.set, rng: rand.New(rand.NewPCG(seed, 4))} // that never hands over
+		one := &handOverChain{t: t, settings: chain.settings, rng: rand.New(rand.NewPCG(seed, 4))} // that never hands over
 		one.gateways = []*testGateway{one.newGateway(time.Hour)}
 		for i := range 4000 {
 			one.step([]float64{0.2, 0.2, 0, 0.02}[i/500%4])
@@ -221,8 +221,8 @@
 
 // Reloads that come faster than control windows end do not keep the limit from growing.
 func TestConcurrencyLimitGrowsOverManyHandOvers(t *testing.T) {
-	chain := &handOverChain{t: t, set: hardLimitSettings(), rng: rand.New(rand.NewPCG(1, 4))}
-	chain.set.Plans = []Plan{{Name: "low", Price: 1}}
+	chain := &handOverChain{t: t, settings: hardLimitSettings(), rng: rand.New(rand.NewPCG(1, 4))}
+	chain.settings.Plans = []Plan{{Name: "low", Price: 1}}
 	chain.gateways = []*testGateway{chain.newGateway(time.Hour)}
 	first := chain.newest().controller.limiter.limit
 	for i := range 6000 {
--- a/control/history_test.go
+++ b/control/history_test.go
@@ -12,19 +12,19 @@
 	sum  [historyBins]float64
 }
 
-func (d *denseHistory) at(b int64) int64 { return (b%historyBins + historyBins) % historyBins }
+func (d *denseHistory) index(b int64) int64 { return (b%historyBins + historyBins) % historyBins }
 
-func (d *denseHistory) roll(b int64) {
-	top := d.sum[d.at(d.last)]
+func (d *denseHistory) advance(b int64) {
+	top := d.sum[d.index(d.last)]
 	for i := max(d.last+1, b-historyBins+1); i <= b; i++ {
-		d.sum[d.at(i)] = top
+		d.sum[d.index(i)] = top
 	}
 	d.last = max(d.last, b)
 }
 
-func (d *denseHistory) over(end int64) float64 {
+func (d *denseHistory) periodSum(end int64) float64 {
 	lo := max(end-binsPerPeriod-1, d.last-historyBins+1)
-	return d.sum[d.at(max(end-1, lo))] - d.sum[d.at(lo)]
+	return d.sum[d.index(max(end-1, lo))] - d.sum[d.index(lo)]
 }
 
 // Whatever is added and whenever, a history gives the sums of one with all of its bins, and never stores more of
@@ -39,16 +39,16 @@
 		for range 400 {
 			now += r.Int64N(pause)
 			hist.advance(now)
-			dense.roll(now)
+			dense.advance(now)
 			if r.IntN(3) > 0 {
 				v := float64(r.IntN(4)) - 0.5
 				hist.add(v)
-				dense.sum[dense.at(dense.last)] += v
+				dense.sum[dense.index(dense.last)] += v
 			}
 			window := hist.window()
 			for range 5 {
 				end := now - r.Int64N(100)
-				if got, also, want := hist.periodSum(end), window.periodSum(end), dense.over(end); math.Abs(got-want) > 1e-9 || also != got {
+				if got, also, want := hist.periodSum(end), window.periodSum(end), dense.periodSum(end); math.Abs(got-want) > 1e-9 || also != got {
 					t.Fatalf("seed %d: %g and %g up to bin %d of %d, want %g", seed, got, also, end, now, want)
 				}
 			}
@@ -57,8 +57,8 @@
 			}
 			var repeated history
 			repeated.restore(hist.amounts(), now)
-			if repeated.advance(now); math.Abs(repeated.periodSum(now)-dense.over(now)) > 1e-9 {
-				t.Fatalf("seed %d: taken over, %g of the latest period, want %g", seed, repeated.periodSum(now), dense.over(now))
+			if repeated.advance(now); math.Abs(repeated.periodSum(now)-dense.periodSum(now)) > 1e-9 {
+				t.Fatalf("seed %d: taken over, %g of the latest period, want %g", seed, repeated.periodSum(now), dense.periodSum(now))
 			}
 		}
 	}
--- a/control/image_test.go
+++ b/control/image_test.go
@@ -21,7 +21,7 @@
 		}
 		one, other := play(t, seed, steps), play(t, seed, steps)
 		image := other.controller.Image()
-		resumed, err := Resume(other.set, image)
+		resumed, err := Resume(other.settings, image)
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
@@ -71,7 +71,7 @@
 	} {
 		image := w.controller.Image()
 		spoil(&image)
-		if controller, err := Resume(w.set, image); err == nil || controller != nil {
+		if controller, err := Resume(w.settings, image); err == nil || controller != nil {
 			t.Errorf("%s: resumed", name)
 		}
 	}
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -15,7 +15,7 @@
 type world struct {
 	t               *testing.T
 	rng             *rand.Rand
-	set             Settings
+	settings        Settings
 	controller      *Controller
 	now             time.Duration
 	log             []string
@@ -24,7 +24,7 @@
 	requests        map[string]*openRequest
 	inFlight        []openAttempt
 	timers          []TimerFired
-	due             []time.Duration
+	timersDueAt     []time.Duration
 	lastID          int
 	hardLimitTokens map[string]float64
 	hardLimitAt     map[string]time.Duration
@@ -92,13 +92,13 @@
 			w.recordFinal(a.ID)
 		case StartTimer:
 			w.timers = append(w.timers, TimerFired{a.Label})
-			w.due = append(w.due, w.now+a.After)
+			w.timersDueAt = append(w.timersDueAt, w.now+a.After)
 		case CancelAttempt:
-			if !w.set.CanCancel {
+			if !w.settings.CanCancel {
 				w.t.Fatal("cancelled where it is not permitted")
 			}
 		case CheckHealth:
-			if !w.set.HealthChecks {
+			if !w.settings.HealthChecks {
 				w.t.Fatal("probed where it is not permitted")
 			}
 		case SendPeerMessage, AddToCounter:
@@ -116,8 +116,8 @@
 		w.t.Fatalf("%s went to server %d, which is draining or gone", send.ID, send.Server)
 	case request.inFlight > 0:
 		w.t.Fatalf("%s has two attempts out", send.ID)
-	case request.attempts >= w.set.MaxAttempts:
-		w.t.Fatalf("%s was sent more than %d times", send.ID, w.set.MaxAttempts)
+	case request.attempts >= w.settings.MaxAttempts:
+		w.t.Fatalf("%s was sent more than %d times", send.ID, w.settings.MaxAttempts)
 	}
 	if request.mayHaveRun {
 		w.checkRepeat(request, send)
@@ -157,7 +157,7 @@
 
 // chargeHardLimit holds this gateway to its part of the hard limit with part of the slack.
 func (w *world) chargeHardLimit(request *openRequest) {
-	plan := w.set.Plans[3]
+	plan := w.settings.Plans[3]
 	if _, known := w.hardLimitTokens[request.customer]; !known {
 		w.hardLimitTokens[request.customer] = plan.HardLimitSlack / 2
 		w.hardLimitAt[request.customer] = time.Hour
@@ -236,13 +236,13 @@
 
 // fireTimers fires the timers that are due, and those due at once that they start.
 func (w *world) fireTimers() {
-	for i := 0; i < len(w.due); i++ {
-		if w.due[i] > w.now {
+	for i := 0; i < len(w.timersDueAt); i++ {
+		if w.timersDueAt[i] > w.now {
 			continue
 		}
 		timer := w.timers[i]
 		w.timers = slices.Delete(w.timers, i, i+1)
-		w.due = slices.Delete(w.due, i, i+1)
+		w.timersDueAt = slices.Delete(w.timersDueAt, i, i+1)
 		w.handle(timer)
 		i = -1
 	}
@@ -295,9 +295,9 @@
 
 func (w *world) arrive() {
 	w.lastID++
-	class := w.set.Classes[w.rng.IntN(len(w.set.Classes))]
+	class := w.settings.Classes[w.rng.IntN(len(w.settings.Classes))]
 	request := &openRequest{
-		class: class, plan: w.set.Plans[w.rng.IntN(4)].Name, customer: fmt.Sprint("k", w.rng.IntN(6)),
+		class: class, plan: w.settings.Plans[w.rng.IntN(4)].Name, customer: fmt.Sprint("k", w.rng.IntN(6)),
 		units: float64(1 + w.rng.IntN(3)), end: w.now + time.Duration(300+w.rng.IntN(3000))*ms,
 	}
 	id := fmt.Sprint("r", w.lastID)
@@ -312,11 +312,11 @@
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
 	w := &world{
-		t: t, rng: rng, set: randomSettings(rng), now: time.Hour, members: map[uint32]*Endpoint{},
+		t: t, rng: rng, settings: randomSettings(rng), now: time.Hour, members: map[uint32]*Endpoint{},
 		isInactive: map[uint32]bool{}, requests: map[string]*openRequest{}, hardLimitTokens: map[string]float64{},
 		hardLimitAt: map[string]time.Duration{},
 	}
-	controller, err := New(w.set, seed)
+	controller, err := New(w.settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/control/slow_start_test.go
+++ b/control/slow_start_test.go
@@ -44,8 +44,8 @@
 		list := activeEndpoints(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)
 		group := newGatewayGroup(t, n, list)
 		group.serve(20)
-		fresh := Endpoint{Server: 13, Size: 1, HasStartedAt: true, StartedAt: group.gates[0].now}
-		for _, gateway := range group.gates {
+		fresh := Endpoint{Server: 13, Size: 1, HasStartedAt: true, StartedAt: group.gateways[0].now}
+		for _, gateway := range group.gateways {
 			gateway.handle(EndpointList{Kind: ListPatch, Endpoints: []Endpoint{fresh}})
 		}
 		clear(group.sent)
@@ -133,9 +133,9 @@
 				perServer += float64(n) / warm
 			}
 			for i := range list[1:] {
-				list[1+i].HasStartedAt, list[1+i].StartedAt = true, group.gates[0].now
+				list[1+i].HasStartedAt, list[1+i].StartedAt = true, group.gateways[0].now
 			}
-			for _, gateway := range group.gates {
+			for _, gateway := range group.gateways {
 				gateway.handle(EndpointList{Kind: ListPatch, Endpoints: list[1:]})
 			}
 			for age := 2 * time.Second; age <= 10*time.Second; age += 2 * time.Second {
