--- a/internal/trials/measure/rollout.go
+++ b/internal/trials/measure/rollout.go
@@ -26,8 +26,8 @@
 	"lockflow/internal/rolloutlog"
 )
 
-// rolloutRecoveries are the recoveries after a coordinator was killed: another one resumes or rolls back, also with that one
-// wasKilled too at one of its first writes.
+// rolloutRecoveries are the ways to recover from a killed coordinator: another one resumes or rolls back, which may
+// be killed too at one of its first writes.
 var rolloutRecoveries = []string{"resume", "take-back", "resume, killed again", "take-back, killed again"}
 
 // RolloutOptions are the options of killing coordinators of staged changes.
