--- a/control/account_storage.go
+++ b/control/account_storage.go
@@ -7,67 +7,29 @@
 	"time"
 )
 
-// An account has two stored forms, CustomerCheckpoint and CustomerImage, whose keys and order of fields are fixed
-// apart from each other. Each form is written by one method of the account, and has one method for each part of an
-// account that it is read into.
+// An account has two stored forms, CustomerCheckpoint and CustomerImage. It is converted to and from an image only; a
+// checkpoint gets the fields that both forms share from there.
+var (
+	imageToCheckpoint = newSharedFields[CustomerImage, CustomerCheckpoint]()
+	checkpointToImage = newSharedFields[CustomerCheckpoint, CustomerImage]()
+)
 
 // checkpoint is the stored form of an account for another controller. key is the account's in an accountTable.
 func (a *customerAccount) checkpoint(key string) CustomerCheckpoint {
 	plan := a.plan
-	return CustomerCheckpoint{
-		ID:                       key[len(plan.Name)+1:],
-		Plan:                     plan.Name,
-		FanOut:                   a.fanOut,
-		QuotaBurst:               plan.QuotaBurst,
-		QuotaTokens:              a.quota.tokens,
-		HardLimitBurst:           plan.HardLimitBurst,
-		HardLimitTokens:          a.hardLimit.tokens,
-		InFlight:                 a.inFlight.current + a.inFlight.predecessor,
-		InFlightLimit:            a.inFlight.limit,
-		OpenRejectionProbability: a.inFlight.rejectionProbability,
-		RemoteRate:               a.usage.remoteRate,
-		RemoteRateAt:             a.usage.remoteRateAt,
-		LastReadingUnits:         a.usage.lastReadingUnits,
-		LocalUnits:               a.usage.localUnits,
-		TotalUnits:               a.usage.totalUnits,
-		UsageRate:                a.usage.rate,
-		IsMetered:                a.demand.isMetered,
-		ReadingAt:                a.demand.readingAt,
-		ReadingEndBin:            a.demand.readingEndBin,
-		RequestedUnits:           a.demand.requestedUnits,
-		RequestedAt:              a.demand.requestedAt,
-		MeteredUnits:             a.demand.meteredUnits,
-		DemandSeconds:            a.demand.demandSeconds,
-		MeteredSeconds:           a.demand.meteredSeconds,
-		Sent:                     a.history.sent.amounts(),
-		Charged:                  a.history.charged.amounts(),
-		Arrivals:                 a.history.arrivals.amounts(),
-		Rejections:               a.history.rejections.amounts(),
-	}
-}
-
-func (saved *CustomerCheckpoint) usage() usageEstimate {
-	return usageEstimate{
-		localUnits:       saved.LocalUnits,
-		totalUnits:       saved.TotalUnits,
-		rate:             saved.UsageRate,
-		remoteRate:       saved.RemoteRate,
-		remoteRateAt:     saved.RemoteRateAt,
-		lastReadingUnits: saved.LastReadingUnits,
-	}
-}
-
-func (saved *CustomerCheckpoint) demand() demandEstimate {
-	return demandEstimate{
-		requestedUnits: saved.RequestedUnits,
-		requestedAt:    saved.RequestedAt,
-		meteredUnits:   saved.MeteredUnits,
-		demandSeconds:  saved.DemandSeconds,
-		meteredSeconds: saved.MeteredSeconds,
-		readingAt:      saved.ReadingAt,
-		isMetered:      saved.IsMetered,
-		readingEndBin:  saved.ReadingEndBin,
-	}
+	image := a.imageWithoutHistory()
+	var checkpoint CustomerCheckpoint
+	imageToCheckpoint.copy(&checkpoint, &image)
+	checkpoint.ID = key[len(plan.Name)+1:]
+	checkpoint.Plan = plan.Name
+	checkpoint.QuotaBurst = plan.QuotaBurst
+	checkpoint.HardLimitBurst = plan.HardLimitBurst
+	checkpoint.InFlight = a.inFlight.current + a.inFlight.predecessor
+	checkpoint.Sent = a.history.sent.amounts()
+	checkpoint.Charged = a.history.charged.amounts()
+	checkpoint.Arrivals = a.history.arrivals.amounts()
+	checkpoint.Rejections = a.history.rejections.amounts()
+	return checkpoint
 }
 
 // usageHistory is the history of bins up to the current one.
@@ -100,8 +62,10 @@
 	account := c.accountFor(plan, saved.ID, int(saved.FanOut))
 	account.inFlight.rejectionProbability = saved.OpenRejectionProbability
 	account.inFlight.limit = saved.inFlightLimit(plan, account.fanOut)
-	account.usage = saved.usage()
-	account.demand = saved.demand()
+	var image CustomerImage
+	checkpointToImage.copy(&image, saved)
+	account.usage = image.usage()
+	account.demand = image.demand()
 	if period == c.settings.MeterPeriod {
 		account.history = saved.usageHistory(c.currentBin())
 	} else {
@@ -127,6 +91,20 @@
 
 // image is the stored form of an account for this controller, without its key and whether it is tracked.
 func (a *customerAccount) image() CustomerImage {
+	image := a.imageWithoutHistory()
+	image.SentBin = a.history.sent.currentBin
+	image.ChargedBin = a.history.charged.currentBin
+	image.ArrivalsBin = a.history.arrivals.currentBin
+	image.RejectionsBin = a.history.rejections.currentBin
+	image.Sent = slices.Clone(a.history.sent.sums)
+	image.Charged = slices.Clone(a.history.charged.sums)
+	image.Arrivals = slices.Clone(a.history.arrivals.sums)
+	image.Rejections = slices.Clone(a.history.rejections.sums)
+	return image
+}
+
+// imageWithoutHistory is image without the history.
+func (a *customerAccount) imageWithoutHistory() CustomerImage {
 	return CustomerImage{
 		Plan:                     a.plan.index,
 		FanOut:                   a.fanOut,
@@ -155,14 +133,6 @@
 		MeteredUnits:             a.demand.meteredUnits,
 		DemandSeconds:            a.demand.demandSeconds,
 		MeteredSeconds:           a.demand.meteredSeconds,
-		SentBin:                  a.history.sent.currentBin,
-		ChargedBin:               a.history.charged.currentBin,
-		ArrivalsBin:              a.history.arrivals.currentBin,
-		RejectionsBin:            a.history.rejections.currentBin,
-		Sent:                     slices.Clone(a.history.sent.sums),
-		Charged:                  slices.Clone(a.history.charged.sums),
-		Arrivals:                 slices.Clone(a.history.arrivals.sums),
-		Rejections:               slices.Clone(a.history.rejections.sums),
 	}
 }
 
--- a/control/checkpoint.go
+++ b/control/checkpoint.go
@@ -65,7 +65,7 @@
 	Misfit   []float64     `cbor:"miss"`
 }
 
-// TypicalDeadlineState is the deadline that most first attempts of a class come with.
+// TypicalDeadlineState is the deadline that most first attempts of a class have.
 type TypicalDeadlineState struct {
 	Class    string        `cbor:"class"`
 	Deadline time.Duration `cbor:"ttl"`
@@ -296,7 +296,7 @@
 	return states
 }
 
-// isFinite tells whether no number of a checkpoint is infinite or NaN: their sum would be so too.
+// isFinite reports whether no number of a checkpoint is infinite or NaN: their sum would be so too.
 func (c *Checkpoint) isFinite() bool {
 	window := &c.Window
 	sum := c.SlackFraction + c.RateFraction + c.ConcurrencyLimit + c.UsableServers + c.FleetLatency + c.IdleLatency +
--- a/control/image_take.go
+++ b/control/image_take.go
@@ -49,7 +49,7 @@
 		TypicalDeadlines:     c.typicalDeadlineStates(),
 	}
 	references := c.indexTracked()
-	// What refers to others comes before them: an attempt may be the last to refer to a request, and both to a server
+	// In this order: an attempt may be the only one to refer to a request, and both the only ones to refer to a server
 	// or a customer.
 	c.imageAttempts(&image, references)
 	c.imageRequests(&image, references)
@@ -59,14 +59,14 @@
 	return image
 }
 
-// imageReferences gives all that an image refers to an index, in the order in which it is first met.
+// imageReferences are the indexes of all that an image refers to, in the order of the first reference.
 type imageReferences struct {
 	servers   indexer[*server]
 	customers indexer[*customerAccount]
 	requests  indexer[*request]
 }
 
-// indexTracked gives what the controller tracks the first indexes, in a fixed order.
+// indexTracked returns references in which all that the controller tracks has the first indexes, in a fixed order.
 func (c *Controller) indexTracked() *imageReferences {
 	references := &imageReferences{}
 	for _, srv := range c.fleet.sortedServers {
@@ -186,7 +186,7 @@
 	}
 }
 
-// indexer gives each item an index, in the order in which index is first called with them.
+// indexer assigns each item an index, in the order of the first calls of index.
 type indexer[T comparable] struct {
 	indexes map[T]int
 	items   []T
--- a/control/policy_files_test.go
+++ b/control/policy_files_test.go
@@ -15,7 +15,7 @@
 var bookkeepingFiles = []string{
 	"account.go", "account_storage.go", "actions.go", "checkpoint.go", "doc.go", "events.go",
 	"history.go", "image.go", "image_take.go", "request.go", "restore.go", "resume.go",
-	"server_storage.go", "settings.go", "shift.go", "sharecontrol/state.go",
+	"server_storage.go", "settings.go", "shared_fields.go", "shift.go", "sharecontrol/state.go",
 }
 
 // The files that decide, which both deploy files list alike, are there and are not just a few; each line has a limit.
--- a/control/restore.go
+++ b/control/restore.go
@@ -75,7 +75,7 @@
 	c.limiter.idleLatency = checkpoint.IdleLatency
 	c.clientWaits.minRetryGap = max(checkpoint.MinRetryGap, tickPeriod)
 	c.retries.budget.retries = math.Max(0, math.Min(maxRetryBudget, checkpoint.RetryBudget))
-	// The limit is one for so many servers; there may be others now.
+	// The limit was for another number of servers.
 	usable := c.fleet.countServers((*server).isUsable)
 	if checkpoint.ConcurrencyLimit > 0 && checkpoint.UsableServers > 0 && usable > 0 {
 		limit := checkpoint.ConcurrencyLimit * math.Min(1, usable/checkpoint.UsableServers)
@@ -83,7 +83,8 @@
 	}
 }
 
-// restoreWindow goes on with a window. Guards against reloads faster than a window, in which nothing would be learned.
+// restoreWindow continues a window. Guards against reloads at shorter intervals than a window, in which nothing would be
+// learned.
 func (c *Controller) restoreWindow(saved *WindowState) {
 	if saved.EndsAt > c.now-maxWindowExtension && saved.EndsAt <= c.now+windowDuration {
 		c.windowEndsAt = saved.EndsAt
@@ -92,14 +93,14 @@
 	}
 }
 
-// isUsable tells whether the state is one of a meter clock with this period.
+// isUsable reports whether the state is one of a meter clock with this period.
 func (m *MeterState) isUsable(period time.Duration) bool {
 	isPhase := m.PhaseBin >= 0 && m.PhaseBin < binsPerPeriod
 	isLag := m.LagBins >= 0 && m.LagBins < maxMeterLagBins
 	return m.Period == period && m.hasMisfits() && isPhase && isLag
 }
 
-// hasMisfits tells whether there is a misfit for each phase and lag.
+// hasMisfits reports whether there is a misfit for each phase and lag.
 func (m *MeterState) hasMisfits() bool { return len(m.Misfit) == binsPerPeriod*maxMeterLagBins }
 
 // restoreShares takes the shares over if the plans are the same.
--- a/control/resume.go
+++ b/control/resume.go
@@ -235,5 +235,5 @@
 	return nil
 }
 
-// isIndex tells whether i is an index in a list of this length.
+// isIndex reports whether i is an index in a list of this length.
 func isIndex(i, length int) bool { return i >= 0 && i < length }
--- a/control/server_storage.go
+++ b/control/server_storage.go
@@ -15,7 +15,7 @@
 	maxStartDifference = time.Second
 )
 
-// isSameIncarnation tells whether two start times are of one incarnation of a server; 0 is long ago.
+// isSameIncarnation reports whether two start times are of one incarnation of a server; 0 is long ago.
 func isSameIncarnation(a, b time.Duration) bool {
 	return a == b || a != 0 && b != 0 && (a-b).Abs() <= maxStartDifference
 }
@@ -71,7 +71,7 @@
 	c.restoreAbandoned(srv, saved)
 }
 
-// restoreOutlier takes over what a checkpoint knows of a server's failures, with no end later than one set now.
+// restoreOutlier takes over a server's failures and ejection, with no end later than one set now.
 func (c *Controller) restoreOutlier(outlier *outlierDetector, saved *ServerCheckpoint) {
 	outlier.failureRate = saved.FailureRate
 	outlier.failureRateAt = saved.FailureRateAt
