--- a/internal/simulation/waitpolicysim/sharing.go
+++ b/internal/simulation/waitpolicysim/sharing.go
@@ -12,136 +12,201 @@
 	"lockflow/internal/waitpolicy/share"
 )
 
-// ShareOptions say how many instances learn together. What is zero has a default.
+const (
+	// exchangeInterval is the time between two exchanges.
+	exchangeInterval = 5 * time.Second
+	// lifetimeIntervals is the lifetime of reports, in intervals between exchanges.
+	lifetimeIntervals = 12
+
+	defaultSharedQueries = 40
+	minSharedQueries     = 5
+	maxInstances         = 1000
+	// defaultTotalInstances is the number of instances in all groups.
+	defaultTotalInstances = 200
+	minGroups             = 2
+	// A group has converged with the first of convergedQueries in a row that earn convergedValue of the oracle's.
+	convergedQueries = 5
+	convergedValue   = 0.9
+	// misreportQueries is the number of queries from which a misreporting instance learns.
+	misreportQueries = 600
+)
+
+// Streams of random numbers, in addition to the seed.
+const (
+	sharedStream    = 0x73686172
+	misreportStream = 0x6c6965
+)
+
+// ShareOptions configure RunShared. Zero values have defaults.
 type ShareOptions struct {
 	World            string
-	Instances        int // 1: alone
-	Queries          int // of each; 40
-	ExchangeInterval int // queries of each between two exchanges; 1
-	Groups           int // of so many instances that are played; as many as make 200 in all
+	Instances        int // in a group; 1 does not share
+	Queries          int // of each instance; 40
+	ExchangeInterval int // queries of each instance between two exchanges; 1
+	Groups           int // 200 instances in all
 	Seed             uint64
-	// MisreportFactor has the last instance of each group tell the others what it does not see: all delays so
-	// many times as long. 0 is none.
+	// MisreportFactor has the last instance of each group share durations that are longer by a factor; 0 is none.
 	MisreportFactor float64
-	// LostFrom is the query from which on no exchange works; 0 is never.
-	LostFrom int
+	LostFrom        int // query from which on no store replies; 0 is never
 }
 
-// ShareReport is how fast they learned: of each instance's queries the mean worth, over the oracle's.
+// ShareReport is how fast instances learn together.
 type ShareReport struct {
-	World             string    `json:"world"`
-	Instances         int       `json:"instances"`
-	Groups            int       `json:"groups"`
-	Values            []float64 `json:"worth"` // of the first query, the second, and so on
-	QueriesToConverge int       `json:"until"` // queries of one instance until 90% of the oracle's, or -1
+	World     string `json:"world"`
+	Instances int    `json:"instances"`
+	Groups    int    `json:"groups"`
+	// Values are the mean values of an instance's first query, its second and so on, as fractions of the oracle's.
+	Values            []float64 `json:"worth"`
+	QueriesToConverge int       `json:"until"` // queries before 90% of the oracle's value, or -1
 }
 
-// RunShared plays groups of instances that share what they learn.
-func RunShared(o ShareOptions) (ShareReport, error) {
-	w, err := findWorld(o.World)
+// RunShared simulates groups of instances that share their models.
+func RunShared(options ShareOptions) (ShareReport, error) {
+	w, err := findWorld(options.World)
 	if err != nil {
 		return ShareReport{}, err
 	}
-	if o.Instances < 1 || o.Instances > 1000 {
-		return ShareReport{}, fmt.Errorf("gathersim: %d instances; 1 to 1000 can be", o.Instances)
+	if options.Instances < 1 || options.Instances > maxInstances {
+		return ShareReport{}, fmt.Errorf("gathersim: %d instances; 1 to %d can be", options.Instances, maxInstances)
 	}
-	o.Queries, o.ExchangeInterval = max(5, cmp.Or(o.Queries, 40)), cmp.Or(o.ExchangeInterval, 1)
-	o.Groups = cmp.Or(o.Groups, max(2, 200/o.Instances))
-	rep := ShareReport{World: w.name, Instances: o.Instances, Groups: o.Groups, Values: make([]float64, o.Queries), QueriesToConverge: -1}
-	best := make([]float64, len(rep.Values))
-	know, s := newOracle(w), normalizedSettings(w)
-	for g := range o.Groups {
-		seed := o.Seed<<20 + uint64(g)
-		rng := rand.New(rand.NewPCG(seed, 0x73686172))
-		group := newGroup(w, o, seed)
-		for i := range rep.Values {
-			for _, l := range group.learners {
-				took, common := w.draw(rng, 0)
-				e := l.end(0, &took, common)
-				rep.Values[i] += s.Value(e.arrivedShare, e.abandonedShare, load, e.at)
-				e = know.end(0, &took, common)
-				best[i] += s.Value(e.arrivedShare, e.abandonedShare, load, e.at)
-			}
-			if o.Instances > 1 && (i+1)%o.ExchangeInterval == 0 {
-				if err := group.exchange(rng, o.LostFrom == 0 || i < o.LostFrom); err != nil {
-					return rep, err
-				}
-			}
+	options.Queries = max(minSharedQueries, cmp.Or(options.Queries, defaultSharedQueries))
+	options.ExchangeInterval = cmp.Or(options.ExchangeInterval, 1)
+	options.Groups = cmp.Or(options.Groups, max(minGroups, defaultTotalInstances/options.Instances))
+	report := ShareReport{
+		World:             w.name,
+		Instances:         options.Instances,
+		Groups:            options.Groups,
+		Values:            make([]float64, options.Queries),
+		QueriesToConverge: -1,
+	}
+	oracleValues := make([]float64, options.Queries)
+	oracle := newOracle(w)
+	for number := range options.Groups {
+		g := newGroup(w, options, options.Seed<<20+uint64(number))
+		if err := g.run(oracle, report.Values, oracleValues); err != nil {
+			return report, err
 		}
 	}
-	for i := range rep.Values {
-		rep.Values[i] /= best[i]
+	for i := range report.Values {
+		report.Values[i] /= oracleValues[i]
 	}
-	// The first from which on five in turn are there: one may be by chance.
-	for i := range len(rep.Values) - 5 {
-		if slices.Min(rep.Values[i:i+5]) >= 0.9 {
-			rep.QueriesToConverge = i
+	for i := range len(report.Values) - convergedQueries {
+		if slices.Min(report.Values[i:i+convergedQueries]) >= convergedValue {
+			report.QueriesToConverge = i
 			break
 		}
 	}
-	return rep, nil
+	return report, nil
 }
 
-// group are instances that share.
+// group is a group of instances that share their models.
 type group struct {
 	options      ShareOptions
+	world        *world
+	rng          *rand.Rand
 	learners     []*learner
-	pools        []*pool.Pool
-	misreporting *learner // whose knowledge the last one tells instead of its own
+	pools        []*pool.Pool // by instance
+	misreporting *learner     // whose model the last instance shares instead of its own; nil is none
 	now          time.Duration
 }
 
-const exchangeInterval = 5 * time.Second
+func newGroup(w *world, options ShareOptions, seed uint64) *group {
+	g := &group{options: options, world: w, rng: rand.New(rand.NewPCG(seed, sharedStream))}
+	for i := range options.Instances {
+		g.learners = append(g.learners, newLearner(w, waitpolicy.Options{Seed: seed<<10 + uint64(i)}))
+		g.pools = append(g.pools, pool.New(pool.Options{
+			OwnID:         instanceID(i),
+			Lifetime:      lifetimeIntervals * exchangeInterval,
+			MergeInterval: exchangeInterval,
+		}))
+	}
+	if options.MisreportFactor > 0 {
+		g.misreporting = newMisreporting(w, options.MisreportFactor, seed)
+	}
+	return g
+}
+
+func instanceID(i int) string { return fmt.Sprint("i", i) }
 
-func newGroup(w *world, o ShareOptions, seed uint64) *group {
-	g := &group{options: o}
-	for i := range o.Instances {
-		l := newLearner(w, waitpolicy.Options{Seed: seed<<10 + uint64(i)})
-		g.learners = append(g.learners, l)
-		g.pools = append(g.pools, pool.New(pool.Options{OwnID: fmt.Sprint("i", i), Lifetime: 12 * exchangeInterval, MergeInterval: exchangeInterval}))
+// newMisreporting returns a learner that has learned from durations that are longer by a factor.
+func newMisreporting(w *world, factor float64, seed uint64) *learner {
+	slower := *w
+	slower.delay = func(part int, progress, score float64) time.Duration {
+		return milliseconds(float64(w.delay(part, progress, score)) / float64(time.Millisecond) * factor)
 	}
-	if o.MisreportFactor > 0 {
-		lie := *w
-		lie.delay = func(p int, at, s float64) time.Duration {
-			return milliseconds(float64(w.delay(p, at, s)) / float64(time.Millisecond) * o.MisreportFactor)
+	l := newLearner(&slower, waitpolicy.Options{Seed: seed})
+	rng := rand.New(rand.NewPCG(seed, misreportStream))
+	for range misreportQueries {
+		durations, commonFactor := slower.draw(rng, 0)
+		l.end(0, &durations, commonFactor)
+	}
+	return l
+}
+
+// run runs all queries of the group, and adds the values of its instances and of the oracle by query.
+func (g *group) run(oracle policy, values, oracleValues []float64) error {
+	settings := normalizedSettings(g.world)
+	for i := range values {
+		for _, l := range g.learners {
+			durations, factor := g.world.draw(g.rng, 0)
+			end := l.end(0, &durations, factor)
+			values[i] += settings.Value(end.arrivedShare, end.abandonedShare, load, end.at)
+			end = oracle.end(0, &durations, factor)
+			oracleValues[i] += settings.Value(end.arrivedShare, end.abandonedShare, load, end.at)
 		}
-		g.misreporting = newLearner(&lie, waitpolicy.Options{Seed: seed})
-		rng := rand.New(rand.NewPCG(seed, 0x6c6965))
-		for range 600 {
-			took, common := lie.draw(rng, 0)
-			g.misreporting.end(0, &took, common)
+		if g.options.Instances > 1 && (i+1)%g.options.ExchangeInterval == 0 {
+			isStoreAvailable := g.options.LostFrom == 0 || i < g.options.LostFrom
+			if err := g.exchange(g.rng, isStoreAvailable); err != nil {
+				return err
+			}
 		}
 	}
-	return g
+	return nil
 }
 
-// exchange has each instance write what it knows and read some of the others', as share.Sharer does.
-func (g *group) exchange(rng *rand.Rand, works bool) error {
+// exchange has each instance write its model and read some of the others', as share.Sharer does.
+func (g *group) exchange(rng *rand.Rand, isStoreAvailable bool) error {
 	g.now += exchangeInterval
-	n := len(g.learners)
-	values := make([][]byte, n)
+	reports, err := g.reports()
+	if err != nil {
+		return err
+	}
 	for i, l := range g.learners {
-		if i == n-1 && g.misreporting != nil {
+		if isStoreAvailable {
+			if err := g.read(g.pools[i], reports, rng.IntN(len(reports))); err != nil {
+				return err
+			}
+		}
+		keys, sketches := l.model.Sketches()
+		l.model.SetFleet(g.pools[i].Merge(g.now, keys, sketches))
+	}
+	return nil
+}
+
+// reports returns what each instance writes.
+func (g *group) reports() ([][]byte, error) {
+	reports := make([][]byte, len(g.learners))
+	for i, l := range g.learners {
+		if i == len(g.learners)-1 && g.misreporting != nil {
 			l = g.misreporting
 		}
-		var err error
-		if values[i], err = l.model.Shared(); err != nil {
-			return err
+		report, err := l.model.Shared()
+		if err != nil {
+			return nil, err
 		}
+		reports[i] = report
 	}
-	for i, l := range g.learners {
-		if works {
-			g.pools[i].StoreReplied(g.now)
-			from := rng.IntN(n)
-			for k := range min(n, share.MaxMembersRead) {
-				j := (from + k) % n
-				if err := g.pools[i].AddReport(g.now, fmt.Sprint("i", j), 0, values[j]); err != nil {
-					return err
-				}
-			}
+	return reports, nil
+}
+
+// read adds as many reports to an instance's pool as one exchange reads, from an offset on.
+func (g *group) read(p *pool.Pool, reports [][]byte, offset int) error {
+	p.StoreReplied(g.now)
+	for i := range min(len(reports), share.MaxMembersRead) {
+		member := (offset + i) % len(reports)
+		if err := p.AddReport(g.now, instanceID(member), 0, reports[member]); err != nil {
+			return err
 		}
-		keys, own := l.model.Sketches()
-		l.model.SetFleet(g.pools[i].Merge(g.now, keys, own))
 	}
 	return nil
 }
--- a/internal/simulation/waitpolicysim/sim.go
+++ b/internal/simulation/waitpolicysim/sim.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"math"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -10,158 +9,166 @@
 	"lockflow/internal/waitpolicy"
 )
 
-// Options say what is played. What is zero has a default.
+// Defaults of Options.
+const (
+	defaultQueries = 20_000
+	defaultWarmup  = 2000
+)
+
+// Fixed times that are compared: from shortestFixedTime on, each longer than the one before by a factor.
+const (
+	shortestFixedTime = 20.0 // ms
+	fixedTimeFactor   = 1.05
+)
+
+// runStream is the stream of a run's random numbers, in addition to Options.Seed.
+const runStream = 0x67617468
+
+// Options configure Run. Zero values have defaults.
 type Options struct {
 	World        string
 	Queries      int     // 20,000
-	Warmup       int     // of them that are not counted; 2,000
-	LateFraction float64 // part of the late answers of cut parts that are seen; 0
+	Warmup       int     // queries that are not counted; 2,000
+	LateFraction float64 // of abandoned parts whose outcomes are observed; 0
 	Seed         uint64
 }
 
-// Report is what each way earned: the mean worth of a query, 1 for a whole answer at once.
+// Report is what each policy earned: the mean value of a query, where a complete answer without delay is 1.
 type Report struct {
 	World              string           `json:"world"`
 	Queries            int              `json:"queries"`
-	IsChanging         bool             `json:"moves"`          // the world changes while it is played
-	Oracle             float64          `json:"oracle"`         // knows the distributions at each moment
-	Learned            float64          `json:"learned"`        // and knows nothing at the begin
-	None               float64          `json:"none"`           // waits for all, or the client's time
+	IsChanging         bool             `json:"moves"`          // the world's distributions change
+	Oracle             float64          `json:"oracle"`         // knows the distributions
+	Learned            float64          `json:"learned"`        // knows nothing at the begin
+	None               float64          `json:"none"`           // waits for all parts, or the client's deadline
 	Fixed              float64          `json:"fixed"`          // the best fixed time, chosen afterwards
 	FixedTime          time.Duration    `json:"at_ns"`          // that time
-	P95                float64          `json:"p95"`            // of the last 500 queries' parts, late ones known too
-	Plan               float64          `json:"plan"`           // as learned, but knows the distributions
-	CommonFactorOracle float64          `json:"told,omitempty"` // knows each query's common factor: no rule can earn more
-	ArrivedShare       float64          `json:"share"`          // of the parts in learned answers
-	MeanDuration       time.Duration    `json:"took_ns"`        // mean of learned answers
-	StepsPerQuery      float64          `json:"looks"`          // a query, at whether to wait
+	P95                float64          `json:"p95"`            // of the parts of the last 500 queries, with late ones
+	Plan               float64          `json:"plan"`           // decides as Learned, but knows the distributions
+	CommonFactorOracle float64          `json:"told,omitempty"` // knows each query's common factor: the maximum
+	ArrivedShare       float64          `json:"share"`          // mean of learned answers
+	MeanDuration       time.Duration    `json:"took_ns"`        // of learned answers
+	StepsPerQuery      float64          `json:"looks"`          // of the learned policy
 	Stats              waitpolicy.Stats `json:"stats"`
 }
 
-// percentilePolicy answers at the 95th percentile of what the parts took lately.
-type percentilePolicy struct {
-	shares    [partCount]float64
-	durations [500 * partCount]time.Duration
-	count     int
-	deadline  time.Duration
+// Indices of the policies of a run.
+const (
+	oracleIndex = iota
+	learnedIndex
+	planIndex
+	p95Index
+	commonFactorIndex // only if the parts are correlated
+)
+
+// run is the state of Run.
+type run struct {
+	world      *world
+	settings   *waitpolicy.Settings
+	weights    [partCount]float64
+	policies   []policy
+	values     []float64 // sums, by policy
+	fixedTimes []time.Duration
+	fixed      []float64 // sums of values, by fixed time
+	counted    int       // queries
+	report     Report
 }
 
-func (r *percentilePolicy) end(_ float64, took *[partCount]time.Duration, _ float64) queryEnd {
-	if r.count%(50*partCount) == 0 {
-		all := slices.Clone(r.durations[:min(r.count, len(r.durations))])
-		slices.Sort(all)
-		if r.deadline = clientDeadline; len(all) > 0 {
-			r.deadline = min(clientDeadline, all[len(all)*95/100])
-		}
+// Run simulates the queries of one world.
+func Run(options Options) (Report, error) {
+	w, err := findWorld(options.World)
+	if err != nil {
+		return Report{}, err
 	}
-	for _, t := range took {
-		r.durations[r.count%len(r.durations)] = t
-		r.count++
+	options.Queries = cmp.Or(options.Queries, defaultQueries)
+	options.Warmup = min(cmp.Or(options.Warmup, defaultWarmup), options.Queries/2)
+	rng := rand.New(rand.NewPCG(options.Seed, runStream))
+	learned := newLearner(w, waitpolicy.Options{Seed: options.Seed})
+	learned.lateFraction = options.LateFraction
+	r := newRun(w, learned)
+	r.report.Queries = options.Queries
+	for i := range options.Queries {
+		progress := float64(i) / float64(options.Queries)
+		durations, factor := w.draw(rng, progress)
+		r.play(progress, &durations, factor, i >= options.Warmup)
 	}
-	return endAfter(&r.shares, took, r.deadline)
+	r.summarize()
+	r.report.StepsPerQuery = float64(learned.steps) / float64(options.Queries)
+	r.report.Stats = learned.model.Stats()
+	return r.report, nil
 }
 
-func newOracle(w *world) policy {
-	s := w.settings(waitpolicy.Learned)
-	if w.correlation == 0 {
-		return &optimalPolicy{world: w, settings: s, shares: w.shares(), rebuildInterval: 1.0 / 100, answeredBy: w.answeredBy}
+func newRun(w *world, learned *learner) *run {
+	weights := w.shares()
+	r := &run{
+		world:      w,
+		settings:   normalizedSettings(w),
+		weights:    weights,
+		policies:   []policy{newOracle(w), learned, newPlanner(w), &percentilePolicy{weights: weights}},
+		fixedTimes: fixedTimes(),
+		report:     Report{World: w.name, IsChanging: w.isChanging},
 	}
-	return newPlanner(w)
+	if w.correlation > 0 {
+		r.policies = append(r.policies, &commonFactorOracle{world: w, byFactor: make(map[int]*optimalPolicy)})
+	}
+	r.values = make([]float64, len(r.policies))
+	r.fixed = make([]float64, len(r.fixedTimes))
+	return r
 }
 
-// newPlanner ends queries by internal/waitpolicy, knowing the distributions.
-func newPlanner(w *world) *queryPolicy {
-	s := normalizedSettings(w)
-	b := &queryPolicy{settings: s}
-	var f *waitpolicy.Forecast
-	from := 0.0
-	b.begin = func(q *waitpolicy.Query, at float64, now time.Duration) {
-		if f == nil || w.isChanging && math.Floor(at*100) != math.Floor(from*100) {
-			from = at
-			f = waitpolicy.KnownForecast(partCount, load, w.correlation, func(p int, d time.Duration) float64 { return w.answeredBy(p, at, d) })
+// play has each policy end one query. Queries of the warm-up are not counted.
+func (r *run) play(progress float64, durations *[partCount]time.Duration, factor float64, isCounted bool) {
+	for i, p := range r.policies {
+		end := p.end(progress, durations, factor)
+		if !isCounted {
+			continue
+		}
+		r.values[i] += r.value(end)
+		if i == learnedIndex {
+			r.report.ArrivedShare += end.arrivedShare
+			r.report.MeanDuration += end.at
 		}
-		q.Begin(s, f, now, now+clientDeadline+time.Millisecond)
 	}
-	return b
+	if !isCounted {
+		return
+	}
+	r.counted++
+	for i, timeout := range r.fixedTimes {
+		r.fixed[i] += r.value(endAfter(&r.weights, durations, timeout))
+	}
 }
 
-// normalizedSettings are settings whose weights are shares.
-func normalizedSettings(w *world) *waitpolicy.Settings {
-	s := w.settings(waitpolicy.Learned)
-	for p, share := range w.shares() {
-		s.Parts[p].Weight = share
+// value returns the value of a query. One without an answer only costs what was abandoned.
+func (r *run) value(end queryEnd) float64 {
+	if end.arrivedShare == 0 {
+		return -r.settings.AbandonCost * load * end.abandonedShare
 	}
-	return s
+	return r.settings.Value(end.arrivedShare, end.abandonedShare, load, end.at)
 }
 
-// Run plays one world.
-func Run(o Options) (Report, error) {
-	w, err := findWorld(o.World)
-	if err != nil {
-		return Report{}, err
-	}
-	o.Queries = cmp.Or(o.Queries, 20_000)
-	o.Warmup = min(cmp.Or(o.Warmup, 2000), o.Queries/2)
-	rep := Report{World: w.name, Queries: o.Queries, IsChanging: w.isChanging}
-	rng := rand.New(rand.NewPCG(o.Seed, 0x67617468))
-	s, shares := normalizedSettings(w), w.shares()
-	l := newLearner(w, waitpolicy.Options{Seed: o.Seed})
-	l.lateFraction = o.LateFraction
-	p := newPlanner(w)
-	rules := []policy{newOracle(w), l, p, &percentilePolicy{shares: shares}}
-	if w.correlation > 0 {
-		rules = append(rules, &commonFactorOracle{w, make(map[int]*optimalPolicy)})
-	}
-	sums := make([]float64, len(rules))
-	times := fixedTimes()
-	fixedSums := make([]float64, len(times))
-	worth := func(e queryEnd) float64 {
-		if e.arrivedShare == 0 {
-			return -s.AbandonCost * load * e.abandonedShare
-		}
-		return s.Value(e.arrivedShare, e.abandonedShare, load, e.at)
-	}
-	counted := 0
-	for i := range o.Queries {
-		at := float64(i) / float64(o.Queries)
-		took, common := w.draw(rng, at)
-		if counts := i >= o.Warmup; counts {
-			counted++
-		}
-		for r, one := range rules {
-			e := one.end(at, &took, common)
-			if i >= o.Warmup {
-				sums[r] += worth(e)
-				if r == 1 {
-					rep.ArrivedShare += e.arrivedShare
-					rep.MeanDuration += e.at
-				}
-			}
-		}
-		if i >= o.Warmup {
-			for j, t := range times {
-				fixedSums[j] += worth(endAfter(&shares, &took, t))
-			}
-		}
-	}
-	n := float64(counted)
-	best := slices.Index(fixedSums, slices.Max(fixedSums))
-	rep.Oracle, rep.Learned, rep.Plan, rep.P95 = sums[0]/n, sums[1]/n, sums[2]/n, sums[3]/n
-	if w.correlation > 0 {
-		rep.CommonFactorOracle = sums[4] / n
+// summarize sets the report's means.
+func (r *run) summarize() {
+	queries := float64(r.counted)
+	report := &r.report
+	report.Oracle = r.values[oracleIndex] / queries
+	report.Learned = r.values[learnedIndex] / queries
+	report.Plan = r.values[planIndex] / queries
+	report.P95 = r.values[p95Index] / queries
+	if r.world.correlation > 0 {
+		report.CommonFactorOracle = r.values[commonFactorIndex] / queries
 	}
-	rep.None, rep.Fixed, rep.FixedTime = fixedSums[len(times)-1]/n, fixedSums[best]/n, times[best]
-	rep.ArrivedShare /= n
-	rep.MeanDuration = time.Duration(float64(rep.MeanDuration) / n)
-	rep.StepsPerQuery = float64(l.steps) / float64(o.Queries)
-	rep.Stats = l.model.Stats()
-	return rep, nil
+	best := slices.Index(r.fixed, slices.Max(r.fixed))
+	report.None = r.fixed[len(r.fixed)-1] / queries
+	report.Fixed = r.fixed[best] / queries
+	report.FixedTime = r.fixedTimes[best]
+	report.ArrivedShare /= queries
+	report.MeanDuration = time.Duration(float64(report.MeanDuration) / queries)
 }
 
-// fixedTimes are those of which the best is chosen; the last is the client's.
-func fixedTimes() (all []time.Duration) {
-	for d := 20.0; d < float64(clientDeadline/time.Millisecond); d *= 1.05 {
-		all = append(all, milliseconds(d))
+// fixedTimes returns the fixed times that are compared; the last is the client's deadline.
+func fixedTimes() (times []time.Duration) {
+	for t := shortestFixedTime; t < float64(clientDeadline/time.Millisecond); t *= fixedTimeFactor {
+		times = append(times, milliseconds(t))
 	}
-	return append(all, clientDeadline)
+	return append(times, clientDeadline)
 }
--- a/internal/simulation/waitpolicysim/sim_test.go
+++ b/internal/simulation/waitpolicysim/sim_test.go
@@ -9,8 +9,8 @@
 	"lockflow/internal/waitpolicy"
 )
 
-// What is learned earns within 5% of what is earned by one who knows each distribution, more than no
-// deadline and a percentile, and more than any fixed one where the world changes.
+// The learned policy earns at least 95% of what the oracle does, more than no deadline and a percentile, and more
+// than any fixed time in a changing world.
 func TestLearnedIsNearTheOracle(t *testing.T) {
 	for _, w := range worlds {
 		t.Run(w.name, func(t *testing.T) {
@@ -40,9 +40,9 @@
 	}
 }
 
-// percentiles has queries answered at the 95th percentile of what their parts took, from what was seen
-// by that rule itself; it gives the deadlines of a thousand queries each.
-func percentiles(w *world, censored bool) (all []time.Duration) {
+// learnedPercentiles has queries answered at the 95th percentile of their parts' durations, as observed by that
+// policy itself. It returns the deadline after each thousand queries.
+func learnedPercentiles(w *world, censored bool) (all []time.Duration) {
 	rng, shares, deadline := rand.New(rand.NewPCG(1, 1)), w.shares(), clientDeadline
 	var seen waitpolicy.Sketch
 	for i := range 8000 {
@@ -70,11 +70,11 @@
 	return all
 }
 
-// The ratchet: a deadline learned from what came in time cuts more each time, until next to nothing is
-// waited for. With what was cut counted as such it stays where it is.
-func TestRatchet(t *testing.T) {
+// A deadline that is learned from the parts in time alone abandons more and more of them. With abandoned parts counted
+// as censored it is stable.
+func TestCensoringKeepsDeadlineStable(t *testing.T) {
 	w, _ := findWorld("lognormal")
-	with, without := percentiles(w, true), percentiles(w, false)
+	with, without := learnedPercentiles(w, true), learnedPercentiles(w, false)
 	t.Logf("with what was cut: %v", with)
 	t.Logf("without:           %v", without)
 	last := len(with) - 1
@@ -84,7 +84,7 @@
 	if !slices.IsSortedFunc(without, func(a, b time.Duration) int { return int(b - a) }) || 2*without[last] > with[last] {
 		t.Error("without what was cut nothing is shown")
 	}
-	// A learner by worth which does not count what it cut thinks that all comes soon.
+	// A learner that does not count abandoned parts expects all to answer soon.
 	for name, least := range map[string]float64{"pareto": 0.99, "stalled": 0.5} {
 		w, _ := findWorld(name)
 		earned := func(censored bool) (sum float64) {
@@ -104,7 +104,7 @@
 	}
 }
 
-// More that learn together know sooner; one that lies costs them little, and a store that is lost next to nothing.
+// Instances learn faster together. A misreporting one costs them little, and the loss of the store next to nothing.
 func TestLearnTogether(t *testing.T) {
 	play := func(o ShareOptions) ShareReport {
 		o.World, o.Queries, o.Seed = "pareto", 16, 1
@@ -136,10 +136,10 @@
 	}
 }
 
-// waits is the mean time of answers by what an instance knows now, over the same queries each time.
-func waits(w *world, l *learner) (mean time.Duration) {
+// meanAnswerTime returns the mean duration of answers by an instance's current model, over the same queries each time.
+func meanAnswerTime(w *world, l *learner) (mean time.Duration) {
 	const n = 400
-	rng, f := rand.New(rand.NewPCG(5, 1)), l.model.Forecast(queryClass, load)
+	rng, f := rand.New(rand.NewPCG(5, 1)), l.model.Forecast(className, load)
 	b := queryPolicy{settings: l.settings, begin: func(q *waitpolicy.Query, _ float64, now time.Duration) {
 		q.Begin(l.settings, f, now, now+clientDeadline)
 	}}
@@ -150,17 +150,17 @@
 	return mean
 }
 
-// What others know comes and goes without a jump: from one exchange to the next the mean time of
-// answers changes by no more than a fifth while a store is found, lost, and found again.
-func TestNoJumps(t *testing.T) {
-	for _, others := range []float64{0.4, 1, 2.5} { // others see other times
+// From one exchange to the next the mean duration of answers changes by no more than a fifth, while a store is found,
+// lost, and found again.
+func TestSharingChangesDeadlinesGradually(t *testing.T) {
+	for _, factor := range []float64{0.4, 1, 2.5} { // of the other instances' durations
 		w, _ := findWorld("lognormal")
-		apart := *w
-		apart.delay = func(p int, at, s float64) time.Duration { return time.Duration(others * float64(w.delay(p, at, s))) }
+		slower := *w
+		slower.delay = func(p int, at, s float64) time.Duration { return time.Duration(factor * float64(w.delay(p, at, s))) }
 		g := newGroup(w, ShareOptions{Instances: 8}, 1)
 		rng := rand.New(rand.NewPCG(1, 1))
 		for i, l := range g.learners {
-			of := &apart
+			of := &slower
 			if i == 0 {
 				of = w
 			}
@@ -169,16 +169,16 @@
 				l.end(0, &took, c)
 			}
 		}
-		last, worst := waits(w, g.learners[0]), 1.0
+		last, worst := meanAnswerTime(w, g.learners[0]), 1.0
 		for round := range 60 {
 			if err := g.exchange(rng, round/20 != 1); err != nil {
 				t.Fatal(err)
 			}
-			now := waits(w, g.learners[0])
+			now := meanAnswerTime(w, g.learners[0])
 			worst = max(worst, float64(now)/float64(last), float64(last)/float64(now))
 			last = now
 		}
-		if t.Logf("others see %g times as long: by %.2f at the most", others, worst); worst > 1.2 {
+		if t.Logf("others see %g times as long: by %.2f at the most", factor, worst); worst > 1.2 {
 			t.Error("the deadline jumps")
 		}
 	}
--- a/internal/simulation/waitpolicysim/world.go
+++ b/internal/simulation/waitpolicysim/world.go
@@ -1,6 +1,6 @@
-// Package waitpolicysim plays scattered queries in virtual time and compares ways to end them: what was
-// learned by internal/waitpolicy, an oracle that knows how long the parts take, fixed times, a percentile,
-// and none. Only the parts are a model; everything follows from the seed.
+// Package waitpolicysim simulates scatter-gather queries in virtual time and compares policies to end them: the
+// learned one of internal/waitpolicy, an oracle that knows how long the parts take, fixed times, a percentile, and
+// none. Only the durations of the parts are modelled. A run is determined by its seed.
 package waitpolicysim
 
 import (
@@ -12,40 +12,51 @@
 	"lockflow/internal/waitpolicy"
 )
 
-// What every world has, where it says nothing else.
+// What all worlds have in common.
 const (
-	halfLife       = 800 * time.Millisecond
-	minShare       = 0.6
-	clientDeadline = 5 * time.Second // that a query has
-	load           = 0.5
+	halfLife       = 800 * time.Millisecond // of an answer's value
+	minShare       = 0.6                    // of the parts' weight, for an answer
+	clientDeadline = 5 * time.Second
+	load           = 0.5 // utilization of the parts
 	partCount      = 5
+	margin         = time.Millisecond // of the client's deadline
+	// shareTolerance is the rounding error that sums of shares may have.
+	shareTolerance = 1e-9
+	// maxMilliseconds limits durations.
+	maxMilliseconds = 1e9
 )
 
-// never is of a part that doesn't answer.
+// never is the duration of a part that does not answer.
 const never = time.Duration(math.MaxInt64)
 
-// world is how long parts take. delay is the quantile of part p at query i of n: of what a standard
-// normal score stands for. Scores of one query's parts are correlated by common.
+// world is a distribution of the parts' durations.
 type world struct {
-	name, help  string
-	weights     []float64
-	correlation float64
-	isChanging  bool // the distributions change: with each query, or now and then
-	delay       func(p int, at, score float64) time.Duration
+	name        string
+	help        string
+	weights     []float64 // by part; nil is equal
+	correlation float64   // of the scores of a query's parts
+	isChanging  bool      // delay depends on progress
+	// delay returns the duration of a part for a standard normal score, at a point of the run from 0 to 1. It
+	// increases with the score.
+	delay func(part int, progress, score float64) time.Duration
 }
 
 func milliseconds(f float64) time.Duration {
-	return time.Duration(min(f, 1e9) * float64(time.Millisecond))
+	return time.Duration(min(f, maxMilliseconds) * float64(time.Millisecond))
 }
 
+// lognormal returns the duration for a score, of a distribution with the given median in milliseconds.
 func lognormal(median, sigma, score float64) time.Duration {
 	return milliseconds(median * math.Exp(sigma*score))
 }
 
+// upperTail returns the probability of a larger standard normal score.
 func upperTail(score float64) float64 { return math.Erfc(score/math.Sqrt2) / 2 }
 
+// normalQuantile returns the standard normal quantile of a probability.
 func normalQuantile(p float64) float64 { return math.Sqrt2 * math.Erfinv(2*p-1) }
 
+// medians are the parts' median durations in milliseconds.
 var medians = [partCount]float64{100, 130, 160, 200, 260}
 
 var worlds = []world{
@@ -120,10 +131,11 @@
 	},
 }
 
-// Worlds are the names and what they stand for.
+// Worlds returns the names of the worlds and a description of each.
 func Worlds() (names, help []string) {
 	for _, w := range worlds {
-		names, help = append(names, w.name), append(help, w.help)
+		names = append(names, w.name)
+		help = append(help, w.help)
 	}
 	return names, help
 }
@@ -137,54 +149,72 @@
 	return nil, fmt.Errorf("gathersim: there is no world %q", name)
 }
 
+// settings returns the wait policy's settings.
 func (w *world) settings(mode waitpolicy.Mode) *waitpolicy.Settings {
-	s := &waitpolicy.Settings{MinShare: minShare, HalfLife: halfLife, Mode: mode, Margin: time.Millisecond}
-	for p := range partCount {
-		part := waitpolicy.Part{Name: fmt.Sprintf("part-%d", p)}
+	s := &waitpolicy.Settings{MinShare: minShare, HalfLife: halfLife, Mode: mode, Margin: margin}
+	for i := range partCount {
+		part := waitpolicy.Part{Name: fmt.Sprintf("part-%d", i)}
 		if w.weights != nil {
-			part.Weight = w.weights[p]
+			part.Weight = w.weights[i]
 		}
 		s.Parts = append(s.Parts, part)
 	}
 	return s
 }
 
-func (w *world) shares() (all [partCount]float64) {
+// normalizedSettings returns the settings of a learned policy, with weights whose sum is 1.
+func normalizedSettings(w *world) *waitpolicy.Settings {
+	s := w.settings(waitpolicy.Learned)
+	for i, share := range w.shares() {
+		s.Parts[i].Weight = share
+	}
+	return s
+}
+
+// shares returns the parts' weights with a sum of 1.
+func (w *world) shares() (shares [partCount]float64) {
 	sum := 0.0
-	for p := range all {
-		all[p] = 1
+	for i := range shares {
+		shares[i] = 1
 		if w.weights != nil {
-			all[p] = w.weights[p]
+			shares[i] = w.weights[i]
 		}
-		sum += all[p]
+		sum += shares[i]
 	}
-	for p := range all {
-		all[p] /= sum
+	for i := range shares {
+		shares[i] /= sum
 	}
-	return all
+	return shares
 }
 
-// draw gives what the parts take in a query, and the common factor that they share.
-func (w *world) draw(rng *rand.Rand, at float64) (took [partCount]time.Duration, common float64) {
-	common = rng.NormFloat64()
-	for p := range took {
-		score := math.Sqrt(w.correlation)*common + math.Sqrt(1-w.correlation)*rng.NormFloat64()
-		took[p] = w.delay(p, at, score)
+// draw returns the durations of a query's parts, and the common factor of their scores.
+func (w *world) draw(rng *rand.Rand, progress float64) (durations [partCount]time.Duration, factor float64) {
+	factor = rng.NormFloat64()
+	for i := range durations {
+		score := math.Sqrt(w.correlation)*factor + math.Sqrt(1-w.correlation)*rng.NormFloat64()
+		durations[i] = w.delay(i, progress, score)
 	}
-	return took, common
+	return durations, factor
 }
 
-// answeredBy is that a part has answered after a time: its delay's quantile turned round.
-func (w *world) answeredBy(p int, at float64, d time.Duration) float64 {
-	low, high := -9.0, 9.0
-	if w.delay(p, at, high) <= d {
+// Range and number of bisections of scores in answeredBy.
+const (
+	maxBisectedScore = 9.0
+	bisections       = 50
+)
+
+// answeredBy returns the probability that a part has answered after a duration, by bisection of its delay.
+func (w *world) answeredBy(part int, progress float64, duration time.Duration) float64 {
+	low, high := -maxBisectedScore, maxBisectedScore
+	if w.delay(part, progress, high) <= duration {
 		return 1
 	}
-	for range 50 {
-		if mid := (low + high) / 2; w.delay(p, at, mid) <= d {
-			low = mid
+	for range bisections {
+		middle := (low + high) / 2
+		if w.delay(part, progress, middle) <= duration {
+			low = middle
 		} else {
-			high = mid
+			high = middle
 		}
 	}
 	return 1 - upperTail(low)
