--- a/internal/command/measurefaults.go
+++ b/internal/command/measurefaults.go
@@ -98,9 +98,9 @@
 	fmt.Fprintln(t, "seed\tfaults\tnodes killed\tcoordinators' exits\tmore after\tnew at once\tdecisions\tepochs\torders\trequests\tserved\tbroken by the fault\t"+
 		"gathered\tpartial\teffects\tmetered\tbeyond\tharmed\tat members\tharm stopped s\ttook s\twrong\t")
 	for _, x := range r.Rows {
-		fmt.Fprintf(t, "%d\t%d\t%d\t%v\t%d\t%v\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%d\t%d\t%.1f\t%.1f\t%d\t\n", x.Seed, x.Faults, x.Kills, x.Runs, x.Again,
-			x.Changed, x.Decisions, x.Owned, x.Orders, x.Requests, x.Served, x.Broken, x.Gathered, x.Partial, x.Effects, x.Metered, x.Beyond, x.Harmed,
-			x.HarmedAt, x.HarmedTook.Seconds(), x.Took.Seconds(), len(x.Wrong))
+		fmt.Fprintf(t, "%d\t%d\t%d\t%v\t%d\t%v\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%d\t%d\t%.1f\t%.1f\t%d\t\n", x.Seed, x.Faults, x.NodesKilled, x.ExitCodes, x.CoordinatorsAfterFaults,
+			x.ChangedUnderFaults, x.Decisions, x.Epochs, x.Commands, x.Requests, x.Served, x.Broken, x.GatherResults, x.PartialResults, x.Effects, x.LimitedRequests, x.MaxExcess, x.FailedByHarm,
+			x.HarmedMembers, x.HarmDuration.Seconds(), x.Duration.Seconds(), len(x.Violations))
 	}
 	t.Flush()
 	if r.Failing != "" {
--- a/internal/trials/measure/faults.go
+++ b/internal/trials/measure/faults.go
@@ -68,14 +68,14 @@
 	each := o.Processes / len(regiontrial.Regions())
 	rows, shortest, failing, err := overSeeds(ctx, o, "change", func(seed uint64) faultnet.Script { return regiontrial.Draw(seed, each, o.Faults, o.Duration) },
 		func(dir string, s faultnet.Script) (*regiontrial.Report, []string, error) {
-			got, err := regiontrial.Run(ctx, regiontrial.Options{Program: o.Program, Dir: dir, Each: each, Clients: o.Clients, Script: s, Bake: time.Second})
+			got, err := regiontrial.Run(ctx, regiontrial.Options{Program: o.Program, Dir: dir, NodesPerRegion: each, Clients: o.Clients, Script: s, Bake: time.Second})
 			if err != nil {
 				return nil, nil, err
 			}
-			fmt.Fprintf(o.Progress, "seed %d: %d faults, coordinators %v, %d requests, %d wrong, %v\n", s.Seed, got.Faults, got.Runs, got.Requests, len(got.Wrong),
-				got.Took.Round(time.Second))
-			return got, got.Wrong, nil
-		}, func(n int) string { return regiontrial.Place(each, n) })
+			fmt.Fprintf(o.Progress, "seed %d: %d faults, coordinators %v, %d requests, %d wrong, %v\n", s.Seed, got.Faults, got.ExitCodes, got.Requests, len(got.Violations),
+				got.Duration.Round(time.Second))
+			return got, got.Violations, nil
+		}, func(n int) string { return regiontrial.LinkName(each, n) })
 	return &ChangeReport{rows, shortest, failing}, err
 }
 
--- a/internal/trials/regiontrial/change.go
+++ b/internal/trials/regiontrial/change.go
@@ -22,28 +22,28 @@
 
 // Exit codes of a change.
 const (
-	exitDone  = 0
-	exitBack  = 1
-	exitStuck = 3
-	killed    = -1
+	exitDone       = 0
+	exitRolledBack = 1
+	exitStuck      = 3
+	killed         = -1
 )
 
-// ended is how a coordinator's process came to its end.
-type ended struct {
-	code int
-	said string
+// coordinatorResult is how a coordinator's process came to its end.
+type coordinatorResult struct {
+	exitCode int
+	output   string
 }
 
-// coordinate runs the real command over the fleet, and kills it once it has told of so many decisions; 0 is
+// runCoordinator runs the real command over the fleet, and kills it once it has told of so many decisions; 0 is
 // never. Each line of a decision comes after it was written.
-func (r *run) coordinate(ctx context.Context, kill int, args ...string) (e ended, err error) {
-	ctx, cancel := context.WithTimeout(ctx, changeWithin)
+func (r *run) runCoordinator(ctx context.Context, kill int, args ...string) (e coordinatorResult, err error) {
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	cmd := exec.CommandContext(ctx, r.o.Program, append([]string{"fleet", "reload"}, args...)...)
+	cmd := exec.CommandContext(ctx, r.options.Program, append([]string{"fleet", "reload"}, args...)...)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	var out bytes.Buffer
 	var mu sync.Mutex // of out
-	cmd.Stdout = writer(func(b []byte) (int, error) {
+	cmd.Stdout = writerFunc(func(b []byte) (int, error) {
 		mu.Lock()
 		defer mu.Unlock()
 		return out.Write(b)
@@ -67,26 +67,26 @@
 		}
 	}
 	_ = cmd.Wait() // ProcessState tells how it ended
-	e = ended{cmd.ProcessState.ExitCode(), out.String()}
+	e = coordinatorResult{cmd.ProcessState.ExitCode(), out.String()}
 	r.mu.Lock()
 	r.decisions += decisions
-	if e.code == killed && ctx.Err() == nil {
+	if e.exitCode == killed && ctx.Err() == nil {
 		r.coordinatorsKilled++
 	}
 	r.mu.Unlock()
 	if ctx.Err() != nil {
-		return e, fmt.Errorf("a coordinator did not end within %v: ...%s", changeWithin, e.said[max(len(e.said)-2000, 0):])
+		return e, fmt.Errorf("a coordinator did not end within %v: ...%s", changeTimeout, e.output[max(len(e.output)-2000, 0):])
 	}
 	return e, nil
 }
 
-type writer func([]byte) (int, error)
+type writerFunc func([]byte) (int, error)
 
-func (w writer) Write(b []byte) (int, error) { return w(b) }
+func (w writerFunc) Write(b []byte) (int, error) { return w(b) }
 
-// journal reads what a coordinator has begun; nil is nothing.
-func (r *run) journal(name string) (*fleet.Change, error) {
-	records, _, err := rolloutlog.Read(filepath.Join(r.o.Dir, name))
+// readRolloutLog reads what a coordinator has begun; nil is nothing.
+func (r *run) readRolloutLog(name string) (*fleet.Change, error) {
+	records, _, err := rolloutlog.Read(filepath.Join(r.options.Dir, name))
 	if err != nil || len(records) == 0 {
 		return nil, err
 	}
@@ -97,9 +97,9 @@
 	return c, nil
 }
 
-// generations notes what the members of a journal's change run at each step: these are wanted.
-func (r *run) generations(name string) error {
-	c, err := r.journal(name)
+// recordGenerations notes what the members of a journal's change run at each step: these are wanted.
+func (r *run) recordGenerations(name string) error {
+	c, err := r.readRolloutLog(name)
 	if err != nil || c == nil {
 		return err
 	}
@@ -107,90 +107,90 @@
 	defer r.mu.Unlock()
 	for i, m := range c.Plan.Members {
 		// A coordinator that begins in the midst of another's change knows fewer of its generations.
-		if n := member(i); len(m.Versions) > len(r.gens[n]) {
-			r.gens[n] = m.Versions
+		if n := memberName(i); len(m.Versions) > len(r.generations[n]) {
+			r.generations[n] = m.Versions
 		}
 		for _, h := range m.Versions {
-			r.notes.WantGeneration(h)
+			r.exchanges.WantGeneration(h)
 		}
 	}
 	return nil
 }
 
-// flags of a change, with a journal by name.
-func (r *run) flags(fleetFile, journal string, more ...string) []string {
-	return append([]string{"--fleet", fleetFile, "--journal", filepath.Join(r.o.Dir, journal), "--within", "20s", "--stages", "1, 50%, 100%"}, more...)
+// changeFlags of a change, with a journal by name.
+func (r *run) changeFlags(fleetFile, journal string, more ...string) []string {
+	return append([]string{"--fleet", fleetFile, "--journal", filepath.Join(r.options.Dir, journal), "--within", "20s", "--stages", "1, 50%, 100%"}, more...)
 }
 
-// refuse has a change asked for that would bring a conflict: it has to be refused with a request that shows
+// checkRejected has a change asked for that would bring a conflict: it has to be refused with a request that shows
 // it, before anything is changed.
-func (r *run) refuse(ctx context.Context, file string) error {
+func (r *run) checkRejected(ctx context.Context, file string) error {
 	for {
-		e, err := r.coordinate(ctx, 0, r.flags(file, "refused", "--unjudged", "--bake", "100ms")...)
+		e, err := r.runCoordinator(ctx, 0, r.changeFlags(file, "refused", "--unjudged", "--bake", "100ms")...)
 		if err != nil {
 			return err
 		}
-		c, err := r.journal("refused")
+		c, err := r.readRolloutLog("refused")
 		if err != nil {
 			return err
 		}
-		if c != nil || e.code != exitBack || !strings.Contains(e.said, "nothing was changed") {
-			r.notes.Wrong("a change with a conflict: exit %d, begun %v: %s", e.code, c != nil, e.said)
+		if c != nil || e.exitCode != exitRolledBack || !strings.Contains(e.output, "nothing was changed") {
+			r.exchanges.Wrong("a change with a conflict: exit %d, begun %v: %s", e.exitCode, c != nil, e.output)
 		}
-		if strings.Contains(e.said, "does not answer") || strings.Contains(e.said, "member ") && !strings.Contains(e.said, "loop") {
+		if strings.Contains(e.output, "does not answer") || strings.Contains(e.output, "member ") && !strings.Contains(e.output, "loop") {
 			select { // a fault keeps it from looking: again
-			case <-time.After(retryEvery):
+			case <-time.After(retryInterval):
 				continue
 			case <-ctx.Done():
 				return ctx.Err()
 			}
 		}
-		if !strings.Contains(e.said, "loop: ") || !strings.Contains(e.said, "/visits") {
-			r.notes.Wrong("a change with a conflict is refused without saying why: %s", e.said)
+		if !strings.Contains(e.output, "loop: ") || !strings.Contains(e.output, "/visits") {
+			r.exchanges.Wrong("a change with a conflict is refused without saying why: %s", e.output)
 		}
 		return nil
 	}
 }
 
-// begin starts a change until a coordinator has come so far as to write it, and is killed after some
+// startChange starts a change until a coordinator has come so far as to write it, and is killed after some
 // decisions.
-func (r *run) begin(ctx context.Context, file string, kill int, more ...string) (e ended, err error) {
+func (r *run) startChange(ctx context.Context, file string, kill int, more ...string) (e coordinatorResult, err error) {
 	for {
-		if e, err = r.coordinate(ctx, kill, r.flags(file, "journal", more...)...); err != nil {
+		if e, err = r.runCoordinator(ctx, kill, r.changeFlags(file, "journal", more...)...); err != nil {
 			return e, err
 		}
-		c, err := r.journal("journal")
+		c, err := r.readRolloutLog("journal")
 		if err != nil {
 			return e, err
 		}
 		if c != nil {
 			return e, nil
 		}
-		if e.code != exitBack && e.code != killed || !strings.Contains(e.said, "member ") {
-			r.notes.Wrong("a change could not be begun: exit %d: %s", e.code, e.said)
+		if e.exitCode != exitRolledBack && e.exitCode != killed || !strings.Contains(e.output, "member ") {
+			r.exchanges.Wrong("a change could not be begun: exit %d: %s", e.exitCode, e.output)
 			return e, nil
 		}
 		select { // a member did not answer
-		case <-time.After(retryEvery):
+		case <-time.After(retryInterval):
 		case <-ctx.Done():
 			return e, ctx.Err()
 		}
 	}
 }
 
-// state is what all members run: one kind, or neither.
-func (r *run) state(ctx context.Context, hashes map[kind][]string) (k kind, one bool, told string) {
-	counts := make(map[kind]int)
+// commonConfig is what all members run: one kind, or neither.
+func (r *run) commonConfig(ctx context.Context, hashes map[configKind][]string) (k configKind, one bool, told string) {
+	counts := make(map[configKind]int)
 	for i := range r.nodes() {
-		s, err := manage.Client{Path: r.ground.socket(i)}.Status(ctx)
-		raw, fileErr := os.ReadFile(r.ground.file(i))
-		told += fmt.Sprintf(" %s %.8s", member(i), s.ConfigHash)
+		s, err := manage.Client{Path: r.fixture.socketPath(i)}.Status(ctx)
+		raw, fileErr := os.ReadFile(r.fixture.configPath(i))
+		told += fmt.Sprintf(" %s %.8s", memberName(i), s.ConfigHash)
 		if err != nil || fileErr != nil || !s.IsReady() || desiredstate.Hash(raw) != s.ConfigHash {
 			told += fmt.Sprintf(" (%s, its file %.8s; %v, %v)", s.State, desiredstate.Hash(raw), err, fileErr)
 			continue
 		}
 		for k, h := range hashes {
-			if h[i/r.o.Each] == s.ConfigHash {
+			if h[i/r.options.NodesPerRegion] == s.ConfigHash {
 				counts[k]++
 			}
 		}
--- a/internal/trials/regiontrial/checks.go
+++ b/internal/trials/regiontrial/checks.go
@@ -10,8 +10,8 @@
 
 // What a trial is held to, from what was seen alone.
 
-// Look is what one member said of itself.
-type Look struct {
+// StatusRead is what one member said of itself.
+type StatusRead struct {
 	Member     string
 	From, To   time.Duration // it was asked, and had answered
 	PID        int
@@ -21,17 +21,17 @@
 	Owner      string
 }
 
-// Neighbours tells where two members certainly ran generations at one moment that are no neighbours. gens are
+// CheckNeighbours tells where two members certainly ran generations at one moment that are no neighbours. gens are
 // each member's hashes in the order of the change. Between two looks in a row that say the same process and
 // generation a member has run just that, so what is told is certain; what falls between looks isn't seen.
-func Neighbours(looks []Look, gens map[string][]string) (wrong []string) {
+func CheckNeighbours(looks []StatusRead, gens map[string][]string) (wrong []string) {
 	type span struct {
 		member   string
 		from, to time.Duration
 		least    int // places of its hash in the member's generations
 		most     int
 	}
-	last := make(map[string]Look)
+	last := make(map[string]StatusRead)
 	var all []span
 	for _, l := range looks {
 		was, ok := last[l.Member]
@@ -59,7 +59,7 @@
 		open = slices.DeleteFunc(open, func(o span) bool { return o.to < s.from })
 		for _, o := range open {
 			// A hash that a member has at several generations counts as the nearest.
-			if apart := max(s.least-o.most, o.least-s.most); apart > 1 && len(wrong) < wrongMost {
+			if apart := max(s.least-o.most, o.least-s.most); apart > 1 && len(wrong) < maxViolations {
 				wrong = append(wrong, fmt.Sprintf("%v: %s ran generation %d beside %s at %d", s.from.Round(time.Millisecond), s.member, s.least, o.member, o.least))
 			}
 		}
@@ -68,11 +68,11 @@
 	return wrong
 }
 
-// wrongMost bounds what one check tells.
-const wrongMost = 20
+// maxViolations bounds what one check tells.
+const maxViolations = 20
 
-// Owners tells where a member's granted epoch falls, or one epoch is of two owners.
-func Owners(looks []Look) (wrong []string) {
+// CheckOwners tells where a member's granted epoch falls, or one epoch is of two owners.
+func CheckOwners(looks []StatusRead) (wrong []string) {
 	newest, of := make(map[string]uint64), make(map[uint64]string)
 	for _, l := range looks { // of one member in the order in which it answered
 		if l.Epoch < newest[l.Member] {
@@ -87,26 +87,26 @@
 		}
 		of[l.Epoch] = l.Owner
 	}
-	return wrong[:min(len(wrong), wrongMost)]
+	return wrong[:min(len(wrong), maxViolations)]
 }
 
-// Log is what a member's log tells of coordinators.
-type Log struct {
-	Grants, Orders int
-	Wrong          []string
-	epoch          uint64
-	owner          string
-	begun          map[string]bool
+// MemberLog is what a member's log tells of coordinators.
+type MemberLog struct {
+	Grants, Commands int
+	Violations       []string
+	lastEpoch        uint64
+	lastOwner        string
+	startedCommands  map[string]bool
 }
 
 // Read reads a log. An order under an older epoch than one granted before, or by another owner, is wrong. A
 // grant's own line may be lost with the process's end.
-func (g *Log) Read(member, log string, of map[uint64]string) {
+func (g *MemberLog) Read(member, log string, of map[uint64]string) {
 	for line := range strings.Lines(log) {
 		_, rest, ok := strings.Cut(line, `msg="`)
 		if _, id, interrupted := strings.Cut(rest, "nothing of it remains\" id="); interrupted {
 			id, _, _ = strings.Cut(id, " ")
-			delete(g.begun, id) // it may be begun again
+			delete(g.startedCommands, id) // it may be begun again
 		}
 		grant := strings.HasPrefix(rest, "coordinator epoch granted")
 		if !ok || !grant && !strings.HasPrefix(rest, "command started") {
@@ -117,32 +117,32 @@
 		if _, err := fmt.Sscan(fields["epoch"], &epoch); err != nil || fields["owner"] == "" {
 			continue // cut by a kill
 		}
-		if epoch < g.epoch || epoch == g.epoch && g.owner != fields["owner"] {
-			g.Wrong = append(g.Wrong, fmt.Sprintf("%s: epoch %d of %s after %d of %s: %s", member, epoch, fields["owner"], g.epoch, g.owner, strings.TrimSpace(rest)))
+		if epoch < g.lastEpoch || epoch == g.lastEpoch && g.lastOwner != fields["owner"] {
+			g.Violations = append(g.Violations, fmt.Sprintf("%s: epoch %d of %s after %d of %s: %s", member, epoch, fields["owner"], g.lastEpoch, g.lastOwner, strings.TrimSpace(rest)))
 		}
-		g.epoch, g.owner = epoch, fields["owner"]
-		if o, ok := of[epoch]; ok && o != g.owner {
-			g.Wrong = append(g.Wrong, fmt.Sprintf("%s: epoch %d of %s is of %s elsewhere", member, epoch, g.owner, o))
+		g.lastEpoch, g.lastOwner = epoch, fields["owner"]
+		if o, ok := of[epoch]; ok && o != g.lastOwner {
+			g.Violations = append(g.Violations, fmt.Sprintf("%s: epoch %d of %s is of %s elsewhere", member, epoch, g.lastOwner, o))
 		}
-		of[epoch] = g.owner
+		of[epoch] = g.lastOwner
 		if grant {
 			g.Grants++
 			continue
 		}
-		g.order(member, fields["id"])
+		g.countCommand(member, fields["id"])
 	}
 }
 
-// order counts an order that is begun; one that was begun before is wrong.
-func (g *Log) order(member, id string) {
-	g.Orders++
-	if g.begun == nil {
-		g.begun = make(map[string]bool)
+// countCommand counts an order that is begun; one that was begun before is wrong.
+func (g *MemberLog) countCommand(member, id string) {
+	g.Commands++
+	if g.startedCommands == nil {
+		g.startedCommands = make(map[string]bool)
 	}
-	if g.begun[id] {
-		g.Wrong = append(g.Wrong, fmt.Sprintf("%s: order %s is begun twice", member, id))
+	if g.startedCommands[id] {
+		g.Violations = append(g.Violations, fmt.Sprintf("%s: order %s is begun twice", member, id))
 	}
-	g.begun[id] = true
+	g.startedCommands[id] = true
 }
 
 // fieldsOf are the KEY=VALUE fields of a log line.
@@ -156,8 +156,8 @@
 	return fields
 }
 
-// Beyond is by how much the requests of the worst stretch pass a rate and what may come at once. at is sorted.
-func Beyond(at []time.Duration, rate, burst float64) float64 {
+// MaxExcess is by how much the requests of the worst stretch pass a rate and what may come at once. at is sorted.
+func MaxExcess(at []time.Duration, rate, burst float64) float64 {
 	worst, least := 0.0, 0.0
 	for n, t := range at {
 		// In a stretch from request k to request n there are n-k+1; least is the smallest k - rate*t_k.
@@ -170,14 +170,14 @@
 	return worst
 }
 
-// element is what a pool's servers answer of themselves.
-type element struct {
+// partResult is what a pool's servers answer of themselves.
+type partResult struct {
 	Pod string `json:"pod"`
 	ID  string `json:"id"`
 }
 
-// Holds tells whether a gathered answer, given by a region, holds exactly the parts that it claims.
-func Holds(region, id, parts, missing, body string) error {
+// CheckGatherResult tells whether a gathered answer, given by a region, holds exactly the parts that it claims.
+func CheckGatherResult(region, id, parts, missing, body string) error {
 	var held, all int
 	if n, err := fmt.Sscanf(parts, "%d/%d", &held, &all); err != nil || n != 2 || all != regionCount || held < 1 || held > all {
 		return fmt.Errorf("it claims %q of %d parts", parts, regionCount)
@@ -198,7 +198,7 @@
 	if len(want) != held {
 		return fmt.Errorf("it claims %s without %q", parts, missing)
 	}
-	var got []element
+	var got []partResult
 	if err := json.Unmarshal([]byte(body), &got); err != nil {
 		return fmt.Errorf("its body: %w", err)
 	}
--- a/internal/trials/regiontrial/checks_test.go
+++ b/internal/trials/regiontrial/checks_test.go
@@ -15,14 +15,14 @@
 func TestNeighboursAreFound(t *testing.T) {
 	gens := map[string][]string{"a": {"a0", "a1", "a2"}, "b": {"b0", "b0", "b2"}, "c": {"c0", "c1", "c2"}}
 	// runs is a member at a hash from one time to another, by looks of 2 ms.
-	runs := func(member, hash string, generation int, from, to time.Duration) (all []Look) {
+	runs := func(member, hash string, generation int, from, to time.Duration) (all []StatusRead) {
 		for at := from; at < to; at += 10 * ms {
-			all = append(all, Look{member, at, at + 2*ms, 7, generation, hash, 1, "x"})
+			all = append(all, StatusRead{member, at, at + 2*ms, 7, generation, hash, 1, "x"})
 		}
 		return all
 	}
 	for name, tc := range map[string]struct {
-		looks []Look
+		looks []StatusRead
 		wrong int
 	}{
 		"in turn":           {slices.Concat(runs("a", "a0", 1, 0, 100*ms), runs("a", "a1", 2, 100*ms, 200*ms), runs("c", "c0", 1, 0, 150*ms), runs("c", "c1", 2, 150*ms, 200*ms)), 0},
@@ -31,19 +31,19 @@
 		"one waits a phase": {slices.Concat(runs("b", "b0", 1, 0, 100*ms), runs("a", "a1", 2, 0, 50*ms), runs("a", "a2", 3, 50*ms, 100*ms)), 0},
 		"one never changed": {slices.Concat(runs("a", "a0", 1, 0, 100*ms), runs("b", "b2", 2, 0, 100*ms)), 1},
 		"not at one time":   {slices.Concat(runs("a", "a0", 1, 0, 50*ms), runs("c", "c2", 3, 60*ms, 100*ms)), 0},
-		"a process between": {[]Look{{Member: "a", To: 1, PID: 1, Hash: "a0"}, {Member: "a", From: 99, To: 100, PID: 2, Hash: "a0"}, {Member: "c", To: 1, PID: 1, Hash: "c2"}, {Member: "c", From: 99, To: 100, PID: 1, Hash: "c2"}}, 0},
+		"a process between": {[]StatusRead{{Member: "a", To: 1, PID: 1, Hash: "a0"}, {Member: "a", From: 99, To: 100, PID: 2, Hash: "a0"}, {Member: "c", To: 1, PID: 1, Hash: "c2"}, {Member: "c", From: 99, To: 100, PID: 1, Hash: "c2"}}, 0},
 	} {
-		if got := Neighbours(tc.looks, gens); (len(got) > 0) != (tc.wrong > 0) {
+		if got := CheckNeighbours(tc.looks, gens); (len(got) > 0) != (tc.wrong > 0) {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
 }
 
 func TestOwnersAreFound(t *testing.T) {
-	owned := func(all ...Look) int { return len(Owners(all)) }
-	if owned(Look{Member: "a", Epoch: 1, Owner: "x"}, Look{Member: "b", Epoch: 2, Owner: "y"}, Look{Member: "a", Epoch: 2, Owner: "y"}) != 0 ||
-		owned(Look{Member: "a", Epoch: 2, Owner: "y"}, Look{Member: "a", Epoch: 1, Owner: "x"}) != 1 ||
-		owned(Look{Member: "a", Epoch: 2, Owner: "y"}, Look{Member: "b", Epoch: 2, Owner: "x"}) != 1 {
+	owned := func(all ...StatusRead) int { return len(CheckOwners(all)) }
+	if owned(StatusRead{Member: "a", Epoch: 1, Owner: "x"}, StatusRead{Member: "b", Epoch: 2, Owner: "y"}, StatusRead{Member: "a", Epoch: 2, Owner: "y"}) != 0 ||
+		owned(StatusRead{Member: "a", Epoch: 2, Owner: "y"}, StatusRead{Member: "a", Epoch: 1, Owner: "x"}) != 1 ||
+		owned(StatusRead{Member: "a", Epoch: 2, Owner: "y"}, StatusRead{Member: "b", Epoch: 2, Owner: "x"}) != 1 {
 		t.Error("owners")
 	}
 }
@@ -62,9 +62,9 @@
 		"is of z":          fmt.Sprintf(grant, 9, "q"),
 		"epoch 4 of x aft": fmt.Sprintf(grant+grant, 5, "y", 4, "x"),
 	} {
-		var g Log
+		var g MemberLog
 		g.Read("a", log, map[uint64]string{9: "z"})
-		if all := strings.Join(g.Wrong, "\n"); (want == "") != (all == "") || !strings.Contains(all, want) {
+		if all := strings.Join(g.Violations, "\n"); (want == "") != (all == "") || !strings.Contains(all, want) {
 			t.Errorf("%q: %q", want, all)
 		}
 	}
@@ -75,10 +75,10 @@
 	for i := range 100 {
 		even = append(even, time.Duration(i)*100*ms)
 	}
-	if v := Beyond(even, 10, 1); v > 1e-9 {
+	if v := MaxExcess(even, 10, 1); v > 1e-9 {
 		t.Errorf("%g beyond 10 a second at 10 a second", v)
 	}
-	if v := Beyond(slices.Concat(even[:50], slices.Repeat([]time.Duration{even[50]}, 8), even[50:]), 10, 5); v < 3.9 || v > 4.1 {
+	if v := MaxExcess(slices.Concat(even[:50], slices.Repeat([]time.Duration{even[50]}, 8), even[50:]), 10, 5); v < 3.9 || v > 4.1 {
 		t.Errorf("%g beyond, with 8 more at once and 5 that may", v)
 	}
 }
@@ -108,7 +108,7 @@
 		{"2/3", "east", strings.Replace(body("north", "south"), "7", "8", 1), false},
 		{"2/3", "east", "[", false},
 	} {
-		if err := Holds("south", "7", tc.parts, tc.missing, tc.body); (err == nil) != tc.well {
+		if err := CheckGatherResult("south", "7", tc.parts, tc.missing, tc.body); (err == nil) != tc.well {
 			t.Errorf("%s without %q, %s: %v", tc.parts, tc.missing, tc.body, err)
 		}
 	}
--- a/internal/trials/regiontrial/config.go
+++ b/internal/trials/regiontrial/config.go
@@ -29,21 +29,21 @@
 	unitsHigh = 16
 )
 
-// kind is one content of the whole fleet's settings.
-type kind int
+// configKind is one content of the whole fleet's settings.
+type configKind int
 
 const (
-	before      kind = iota // what all run at first
-	after                   // other gather settings, routes and ceilings
-	conflicting             // what comes through another region is gathered again: it would go round
-	harmful                 // as after, with servers that fail every request
+	oldConfig         configKind = iota // what all run at first
+	newConfig                           // other gather settings, routes and ceilings
+	conflictingConfig                   // what comes through another region is gathered again: it would go round
+	harmfulConfig                       // as after, with servers that fail every request
 )
 
-// part is a route by which a region takes its part of what another gathers.
-const part = "[[routes]]\nname = %q\nservice = \"here\"\npath = %q\nheaders = [\"Via\"]\n"
+// partRoute is a route by which a region takes its part of what another gathers.
+const partRoute = "[[routes]]\nname = %q\nservice = \"here\"\npath = %q\nheaders = [\"Via\"]\n"
 
-// text is what a region runs.
-func (r *run) text(region int, k kind) string {
+// regionConfig is what a region runs.
+func (r *run) regionConfig(region int, k configKind) string {
 	gold, silver := unitsLow, unitsHigh
 	names := []string{"here"}
 	var others, servers strings.Builder
@@ -53,29 +53,29 @@
 		}
 		names = append(names, name)
 		fmt.Fprintf(&others, "[services.%s]\nconnect_timeout = \"200ms\"\nidle = \"5s\"\nplans = [\"free\"]\nsource = { kind = \"static\", servers = [%s] }\n", name,
-			list(name, r.ground.entry(i)))
+			serverList(name, r.fixture.entryAddresses(i)))
 	}
 	gather := fmt.Sprintf("parts = [%q, %q, %q]\nweights = [2, 1, 1]\nleast = 0.5\nhalf_life = \"300ms\"\ndeadline = \"learned\"\n", names[0], names[1], names[2])
 	routes := "[[routes]]\nname = \"list\"\nservice = \"app\"\npath = \"/list\"\n"
-	app := list("app-"+regionNames[region], r.ground.apps(region))
-	if k != before {
+	app := serverList("app-"+regionNames[region], r.fixture.appAddresses(region))
+	if k != oldConfig {
 		gold, silver = unitsHigh, unitsLow
 		gather = fmt.Sprintf("parts = [%q, %q, %q]\nleast = 0.3\nhalf_life = \"200ms\"\ndeadline = \"400ms\"\n", names[1], names[0], names[2])
-		routes = strings.Replace(routes, "app", "district", 1) + fmt.Sprintf(part, "list-part", "/list")
+		routes = strings.Replace(routes, "app", "district", 1) + fmt.Sprintf(partRoute, "list-part", "/list")
 	}
-	if k != conflicting {
-		routes += fmt.Sprintf(part, "district-part", "/visits")
+	if k != conflictingConfig {
+		routes += fmt.Sprintf(partRoute, "district-part", "/visits")
 	}
-	if k == harmful {
-		app = list("failing", []string{r.failing.addr})
+	if k == harmfulConfig {
+		app = serverList("failing", []string{r.failingServer.addr})
 	}
 	fmt.Fprint(&servers, others.String())
 	return strings.NewReplacer("@instances", strconv.Itoa(r.nodes()), "@gold", strconv.Itoa(gold), "@silver", strconv.Itoa(silver),
-		"@app", app, "@customers", r.customers(), "@here", list("here-"+regionNames[region], []string{r.ground.pool(region)}),
+		"@app", app, "@customers", r.customersPath(), "@here", serverList("here-"+regionNames[region], []string{r.fixture.poolAddress(region)}),
 		"@others", servers.String(), "@gather", gather, "@routes", routes).Replace(template)
 }
 
-func list(name string, addrs []string) string {
+func serverList(name string, addrs []string) string {
 	var all []string
 	for i, a := range addrs {
 		all = append(all, fmt.Sprintf("{ uid = \"%s-%d\", endpoint = %q }", name, i, a))
@@ -83,27 +83,27 @@
 	return strings.Join(all, ", ")
 }
 
-func (r *run) customers() string { return filepath.Join(r.o.Dir, "customers.csv") }
+func (r *run) customersPath() string { return filepath.Join(r.options.Dir, "customers.csv") }
 
-// fleet writes a fleet file with its regions' settings, and gives its path and their hashes.
-func (r *run) fleet(name string, k kind) (path string, hashes []string, err error) {
-	dir := filepath.Join(r.o.Dir, name)
+// writeFleet writes a fleet file with its regions' settings, and gives its path and their hashes.
+func (r *run) writeFleet(name string, k configKind) (path string, hashes []string, err error) {
+	dir := filepath.Join(r.options.Dir, name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return "", nil, fmt.Errorf("a trial: %w", err)
 	}
 	var file strings.Builder
 	for i, region := range regionNames {
-		text := r.text(i, k)
+		text := r.regionConfig(i, k)
 		hashes = append(hashes, desiredstate.Hash([]byte(text)))
 		if err := os.WriteFile(filepath.Join(dir, region+".toml"), []byte(text), 0o600); err != nil {
 			return "", nil, fmt.Errorf("a trial: %w", err)
 		}
 		var members []string
-		for n := range r.o.Each {
-			members = append(members, strconv.Quote(r.ground.control(i*r.o.Each+n).Addr()))
+		for n := range r.options.NodesPerRegion {
+			members = append(members, strconv.Quote(r.fixture.controlLink(i*r.options.NodesPerRegion+n).Addr()))
 		}
 		fmt.Fprintf(&file, "[regions.%s]\nconfig = %q\nlisteners = [%q, %q]\nmembers = [%s]\nzone = %q\n", region, region+".toml",
-			r.ground.entry(i)[0], r.ground.entry(i)[1], strings.Join(members, ", "), region)
+			r.fixture.entryAddresses(i)[0], r.fixture.entryAddresses(i)[1], strings.Join(members, ", "), region)
 	}
 	file.WriteString("[[waivers]]\nkind = \"service\"\nregions = [\"north\", \"south\", \"east\"]\nrules = [\"list\", \"list-part\"]\n" +
 		"reason = \"the list is gathered from this change on\"\nuntil = 2099-12-31\n")
--- a/internal/trials/regiontrial/trial_test.go
+++ b/internal/trials/regiontrial/trial_test.go
@@ -39,12 +39,12 @@
 	}
 	t.Setenv(role, "1")
 	s := regiontrial.Draw(11, 2, 12, 2*time.Second)
-	rep, err := regiontrial.Run(context.Background(), regiontrial.Options{Program: program, Dir: dir, Each: 2, Clients: 3, Script: s, Bake: time.Second})
+	rep, err := regiontrial.Run(context.Background(), regiontrial.Options{Program: program, Dir: dir, NodesPerRegion: 2, Clients: 3, Script: s, Bake: time.Second})
 	if err != nil {
 		t.Fatalf("%v\n%v", err, s)
 	}
 	t.Logf("%+v", *rep)
-	if len(rep.Wrong) > 0 || rep.Gathered == 0 || rep.Effects == 0 || rep.Orders == 0 || rep.Metered == 0 || rep.Killed == 0 || rep.Phases != 2 || rep.HarmedAt != 1 {
+	if len(rep.Violations) > 0 || rep.GatherResults == 0 || rep.Effects == 0 || rep.Commands == 0 || rep.LimitedRequests == 0 || rep.CoordinatorsKilled == 0 || rep.Phases != 2 || rep.HarmedMembers != 1 {
 		t.Errorf("%v", s)
 	}
 }
