--- a/internal/trials/regiontrial/checks.go
+++ b/internal/trials/regiontrial/checks.go
@@ -8,12 +8,10 @@
 	"time"
 )
 
-// What a trial is held to, from what was seen alone.
-
-// StatusRead is what one member said of itself.
+// StatusRead is a status that a member reported. Times are since the start of the trial.
 type StatusRead struct {
 	Member     string
-	From, To   time.Duration // it was asked, and had answered
+	From, To   time.Duration // of the request and of the response
 	PID        int
 	Generation int // counted by the process
 	Hash       string
@@ -21,198 +19,161 @@
 	Owner      string
 }
 
-// CheckNeighbours tells where two members certainly ran generations at one moment that are no neighbours. gens are
-// each member's hashes in the order of the change. Between two looks in a row that say the same process and
-// generation a member has run just that, so what is told is certain; what falls between looks isn't seen.
-func CheckNeighbours(looks []StatusRead, gens map[string][]string) (wrong []string) {
-	type span struct {
-		member   string
-		from, to time.Duration
-		least    int // places of its hash in the member's generations
-		most     int
-	}
-	last := make(map[string]StatusRead)
-	var all []span
-	for _, l := range looks {
-		was, ok := last[l.Member]
-		last[l.Member] = l
-		if !ok || was.PID != l.PID || was.Generation != l.Generation || was.Hash != l.Hash {
-			continue
-		}
-		s := span{l.Member, was.To, l.From, -1, -1} // from the answer of one to the question of the other
-		for n, h := range gens[l.Member] {
-			if h != l.Hash {
-				continue
-			}
-			if s.least < 0 {
-				s.least = n
-			}
-			s.most = n
-		}
-		if s.least >= 0 {
-			all = append(all, s)
-		}
-	}
-	slices.SortFunc(all, func(a, b span) int { return int(a.from - b.from) })
-	var open []span
-	for _, s := range all {
-		open = slices.DeleteFunc(open, func(o span) bool { return o.to < s.from })
-		for _, o := range open {
-			// A hash that a member has at several generations counts as the nearest.
-			if apart := max(s.least-o.most, o.least-s.most); apart > 1 && len(wrong) < maxViolations {
-				wrong = append(wrong, fmt.Sprintf("%v: %s ran generation %d beside %s at %d", s.from.Round(time.Millisecond), s.member, s.least, o.member, o.least))
-			}
-		}
-		open = append(open, s)
-	}
-	return wrong
+// isSameRun tells whether a member ran one generation from an earlier read to this one.
+func (s *StatusRead) isSameRun(earlier *StatusRead) bool {
+	return s.PID == earlier.PID && s.Generation == earlier.Generation && s.Hash == earlier.Hash
 }
 
-// maxViolations bounds what one check tells.
+// maxViolations bounds the violations that one check returns.
 const maxViolations = 20
 
-// CheckOwners tells where a member's granted epoch falls, or one epoch is of two owners.
-func CheckOwners(looks []StatusRead) (wrong []string) {
-	newest, of := make(map[string]uint64), make(map[uint64]string)
-	for _, l := range looks { // of one member in the order in which it answered
-		if l.Epoch < newest[l.Member] {
-			wrong = append(wrong, fmt.Sprintf("%s: epoch %d after %d", l.Member, l.Epoch, newest[l.Member]))
-		}
-		newest[l.Member] = max(newest[l.Member], l.Epoch)
-		if l.Epoch == 0 {
-			continue
-		}
-		if o, ok := of[l.Epoch]; ok && o != l.Owner {
-			wrong = append(wrong, fmt.Sprintf("epoch %d is of two owners, %s and %s", l.Epoch, o, l.Owner))
-		}
-		of[l.Epoch] = l.Owner
-	}
-	return wrong[:min(len(wrong), maxViolations)]
+// generationSpan is a time in which a member certainly ran one generation.
+type generationSpan struct {
+	member      string
+	from, to    time.Duration
+	first, last int // positions of its hash among the member's generations; there may be several
 }
 
-// MemberLog is what a member's log tells of coordinators.
-type MemberLog struct {
-	Grants, Commands int
-	Violations       []string
-	lastEpoch        uint64
-	lastOwner        string
-	startedCommands  map[string]bool
+// distance returns how many generations two spans are apart at least.
+func (s *generationSpan) distance(other *generationSpan) int {
+	return max(s.first-other.last, other.first-s.last)
 }
 
-// Read reads a log. An order under an older epoch than one granted before, or by another owner, is wrong. A
-// grant's own line may be lost with the process's end.
-func (g *MemberLog) Read(member, log string, of map[uint64]string) {
-	for line := range strings.Lines(log) {
-		_, rest, ok := strings.Cut(line, `msg="`)
-		if _, id, interrupted := strings.Cut(rest, "nothing of it remains\" id="); interrupted {
-			id, _, _ = strings.Cut(id, " ")
-			delete(g.startedCommands, id) // it may be begun again
+// CheckNeighbours returns where two members certainly ran generations at one moment that don't follow each
+// other. generations are each member's hashes in the order of the change. Between two successive reads with
+// the same process and generation a member has run just that one. What happens between other reads is not
+// checked.
+func CheckNeighbours(reads []StatusRead, generations map[string][]string) (violations []string) {
+	spans := generationSpans(reads, generations)
+	slices.SortFunc(spans, func(a, b generationSpan) int { return int(a.from - b.from) })
+	var open []generationSpan
+	for _, span := range spans {
+		open = slices.DeleteFunc(open, func(other generationSpan) bool { return other.to < span.from })
+		for _, other := range open {
+			if span.distance(&other) > 1 && len(violations) < maxViolations {
+				violations = append(violations, fmt.Sprintf("%v: %s ran generation %d beside %s at %d",
+					span.from.Round(time.Millisecond), span.member, span.first, other.member, other.first))
+			}
 		}
-		grant := strings.HasPrefix(rest, "coordinator epoch granted")
-		if !ok || !grant && !strings.HasPrefix(rest, "command started") {
+		open = append(open, span)
+	}
+	return violations
+}
+
+func generationSpans(reads []StatusRead, generations map[string][]string) (spans []generationSpan) {
+	last := make(map[string]StatusRead)
+	for _, read := range reads {
+		earlier, ok := last[read.Member]
+		last[read.Member] = read
+		if !ok || !read.isSameRun(&earlier) {
 			continue
 		}
-		var epoch uint64
-		fields := fieldsOf(rest)
-		if _, err := fmt.Sscan(fields["epoch"], &epoch); err != nil || fields["owner"] == "" {
-			continue // cut by a kill
-		}
-		if epoch < g.lastEpoch || epoch == g.lastEpoch && g.lastOwner != fields["owner"] {
-			g.Violations = append(g.Violations, fmt.Sprintf("%s: epoch %d of %s after %d of %s: %s", member, epoch, fields["owner"], g.lastEpoch, g.lastOwner, strings.TrimSpace(rest)))
-		}
-		g.lastEpoch, g.lastOwner = epoch, fields["owner"]
-		if o, ok := of[epoch]; ok && o != g.lastOwner {
-			g.Violations = append(g.Violations, fmt.Sprintf("%s: epoch %d of %s is of %s elsewhere", member, epoch, g.lastOwner, o))
-		}
-		of[epoch] = g.lastOwner
-		if grant {
-			g.Grants++
+		own := generations[read.Member]
+		first := slices.Index(own, read.Hash)
+		if first < 0 {
 			continue
 		}
-		g.countCommand(member, fields["id"])
-	}
-}
-
-// countCommand counts an order that is begun; one that was begun before is wrong.
-func (g *MemberLog) countCommand(member, id string) {
-	g.Commands++
-	if g.startedCommands == nil {
-		g.startedCommands = make(map[string]bool)
-	}
-	if g.startedCommands[id] {
-		g.Violations = append(g.Violations, fmt.Sprintf("%s: order %s is begun twice", member, id))
+		span := generationSpan{member: read.Member, from: earlier.To, to: read.From, first: first, last: first}
+		for i, hash := range own {
+			if hash == read.Hash {
+				span.last = i
+			}
+		}
+		spans = append(spans, span)
 	}
-	g.startedCommands[id] = true
+	return spans
 }
 
-// fieldsOf are the KEY=VALUE fields of a log line.
-func fieldsOf(line string) map[string]string {
-	fields := make(map[string]string)
-	for f := range strings.FieldsSeq(line) {
-		if k, v, ok := strings.Cut(f, "="); ok {
-			fields[k] = strings.Trim(v, `"`)
+// CheckOwners returns where a member's granted epoch falls, or one epoch has two owners. The reads of each
+// member are in their order.
+func CheckOwners(reads []StatusRead) (violations []string) {
+	newest := make(map[string]uint64)
+	owners := make(map[uint64]string)
+	for _, read := range reads {
+		if read.Epoch < newest[read.Member] {
+			violations = append(violations, fmt.Sprintf("%s: epoch %d after %d", read.Member, read.Epoch, newest[read.Member]))
+		}
+		newest[read.Member] = max(newest[read.Member], read.Epoch)
+		if read.Epoch == 0 {
+			continue
+		}
+		if owner, ok := owners[read.Epoch]; ok && owner != read.Owner {
+			violations = append(violations, fmt.Sprintf("epoch %d is of two owners, %s and %s", read.Epoch, owner, read.Owner))
 		}
+		owners[read.Epoch] = read.Owner
 	}
-	return fields
+	return violations[:min(len(violations), maxViolations)]
 }
 
-// MaxExcess is by how much the requests of the worst stretch pass a rate and what may come at once. at is sorted.
-func MaxExcess(at []time.Duration, rate, burst float64) float64 {
-	worst, least := 0.0, 0.0
-	for n, t := range at {
-		// In a stretch from request k to request n there are n-k+1; least is the smallest k - rate*t_k.
+// MaxExcess returns by how many requests any interval exceeds a rate a second and a burst. times are sorted.
+func MaxExcess(times []time.Duration, rate, burst float64) float64 {
+	excess, lowest := 0.0, 0.0
+	for n, t := range times {
+		// The interval from request k to request n has n-k+1 requests; lowest is the smallest k - rate*t_k.
 		v := float64(n) - rate*t.Seconds()
-		if n == 0 || v < least {
-			least = v
+		if n == 0 || v < lowest {
+			lowest = v
 		}
-		worst = max(worst, v-least+1-burst)
+		excess = max(excess, v-lowest+1-burst)
 	}
-	return worst
+	return excess
 }
 
-// partResult is what a pool's servers answer of themselves.
+// partResult is what a pool's server answers.
 type partResult struct {
 	Pod string `json:"pod"`
 	ID  string `json:"id"`
 }
 
-// CheckGatherResult tells whether a gathered answer, given by a region, holds exactly the parts that it claims.
+// CheckGatherResult returns an error unless a gathered result of a region has exactly the parts that its
+// headers claim. parts is "N/ALL", missing is a list with commas.
 func CheckGatherResult(region, id, parts, missing, body string) error {
-	var held, all int
-	if n, err := fmt.Sscanf(parts, "%d/%d", &held, &all); err != nil || n != 2 || all != regionCount || held < 1 || held > all {
-		return fmt.Errorf("it claims %q of %d parts", parts, regionCount)
+	expected, err := expectedParts(region, parts, missing)
+	if err != nil {
+		return err
+	}
+	var results []partResult
+	if err := json.Unmarshal([]byte(body), &results); err != nil {
+		return fmt.Errorf("its body: %w", err)
+	}
+	var pods []string
+	for _, result := range results {
+		if result.ID != id {
+			return fmt.Errorf("it holds what is of request %q", result.ID)
+		}
+		pods = append(pods, result.Pod)
+	}
+	slices.Sort(pods)
+	slices.Sort(expected)
+	if !slices.Equal(pods, expected) {
+		return fmt.Errorf("it claims the parts of %v and holds those of %v", expected, pods)
 	}
-	want := slices.Clone(regionNames)
+	return nil
+}
+
+// expectedParts returns the parts that the headers of a gathered result claim.
+func expectedParts(region, parts, missing string) ([]string, error) {
+	var count, all int
+	n, err := fmt.Sscanf(parts, "%d/%d", &count, &all)
+	isValidCount := count >= 1 && count <= all && all == regionCount
+	if err != nil || n != 2 || !isValidCount {
+		return nil, fmt.Errorf("it claims %q of %d parts", parts, regionCount)
+	}
+	expected := slices.Clone(regionNames)
 	if missing != "" {
 		for name := range strings.SplitSeq(missing, ",") {
 			if name = strings.TrimSpace(name); name == "here" {
 				name = region
 			}
-			n := slices.Index(want, name)
-			if n < 0 {
-				return fmt.Errorf("%q is missing, which is no part, or twice", name)
+			i := slices.Index(expected, name)
+			if i < 0 {
+				return nil, fmt.Errorf("%q is missing, which is no part, or twice", name)
 			}
-			want = slices.Delete(want, n, n+1)
+			expected = slices.Delete(expected, i, i+1)
 		}
 	}
-	if len(want) != held {
-		return fmt.Errorf("it claims %s without %q", parts, missing)
-	}
-	var got []partResult
-	if err := json.Unmarshal([]byte(body), &got); err != nil {
-		return fmt.Errorf("its body: %w", err)
+	if len(expected) != count {
+		return nil, fmt.Errorf("it claims %s without %q", parts, missing)
 	}
-	var pods []string
-	for _, e := range got {
-		if e.ID != id {
-			return fmt.Errorf("it holds what is of request %q", e.ID)
-		}
-		pods = append(pods, e.Pod)
-	}
-	slices.Sort(pods)
-	slices.Sort(want)
-	if !slices.Equal(pods, want) {
-		return fmt.Errorf("it claims the parts of %v and holds those of %v", want, pods)
-	}
-	return nil
+	return expected, nil
 }
--- a/internal/trials/regiontrial/checks_test.go
+++ b/internal/trials/regiontrial/checks_test.go
@@ -13,8 +13,8 @@
 // Each check below finds what it is for, and nothing where all is well: here, neighbours that run settings
 // more than a phase apart.
 func TestNeighboursAreFound(t *testing.T) {
-	gens := map[string][]string{"a": {"a0", "a1", "a2"}, "b": {"b0", "b0", "b2"}, "c": {"c0", "c1", "c2"}}
-	// runs is a member at a hash from one time to another, by looks of 2 ms.
+	generations := map[string][]string{"a": {"a0", "a1", "a2"}, "b": {"b0", "b0", "b2"}, "c": {"c0", "c1", "c2"}}
+	// runs is a member at a hash from one time to another, by status reads of 2 ms.
 	runs := func(member, hash string, generation int, from, to time.Duration) (all []StatusRead) {
 		for at := from; at < to; at += 10 * ms {
 			all = append(all, StatusRead{member, at, at + 2*ms, 7, generation, hash, 1, "x"})
@@ -22,7 +22,7 @@
 		return all
 	}
 	for name, tc := range map[string]struct {
-		looks []StatusRead
+		reads []StatusRead
 		wrong int
 	}{
 		"in turn":           {slices.Concat(runs("a", "a0", 1, 0, 100*ms), runs("a", "a1", 2, 100*ms, 200*ms), runs("c", "c0", 1, 0, 150*ms), runs("c", "c1", 2, 150*ms, 200*ms)), 0},
@@ -33,7 +33,7 @@
 		"not at one time":   {slices.Concat(runs("a", "a0", 1, 0, 50*ms), runs("c", "c2", 3, 60*ms, 100*ms)), 0},
 		"a process between": {[]StatusRead{{Member: "a", To: 1, PID: 1, Hash: "a0"}, {Member: "a", From: 99, To: 100, PID: 2, Hash: "a0"}, {Member: "c", To: 1, PID: 1, Hash: "c2"}, {Member: "c", From: 99, To: 100, PID: 1, Hash: "c2"}}, 0},
 	} {
-		if got := CheckNeighbours(tc.looks, gens); (len(got) > 0) != (tc.wrong > 0) {
+		if got := CheckNeighbours(tc.reads, generations); (len(got) > 0) != (tc.wrong > 0) {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
--- a/internal/trials/regiontrial/fakes.go
+++ b/internal/trials/regiontrial/fakes.go
@@ -16,50 +16,55 @@
 	"lockflow/internal/trials/faultnet/history"
 )
 
-// Fields of requests and answers between clients and stand-ins.
+// Headers of requests and responses between clients and fake servers.
 const (
-	fieldID       = "X-Trial-Id"
-	fieldCustomer = "X-Customer"
+	headerID       = "X-Trial-Id"
+	headerCustomer = "X-Customer"
 )
 
-// workTime is what a stand-in takes for a request.
+// workTime is how long a fake server works on a request.
 const workTime = 2 * time.Millisecond
 
-// fakeServer is a stand-in: a region's app, its pool, or one that fails everything.
+// fakeServer is a fake app server: a region's app, its pool, or one that fails every request.
 type fakeServer struct {
 	addr    string
 	http    *http.Server
 	stopped chan struct{}
 }
 
-// limitedRequests notes what stand-ins were sent of customers with a ceiling. It is safe for concurrent use.
+// limitedRequests records when fake servers received requests of customers with a hard limit. It is safe for
+// concurrent use.
 type limitedRequests struct {
 	mu        sync.Mutex
 	startedAt time.Time
-	times     map[string][]time.Duration
+	times     map[string][]time.Duration // since startedAt, by customer
 }
 
-func (s *limitedRequests) record(customer string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.times == nil {
-		s.times = make(map[string][]time.Duration)
+func (l *limitedRequests) record(customer string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.times == nil {
+		l.times = make(map[string][]time.Duration)
 	}
-	if len(s.times[customer]) < history.MaxEntries {
-		s.times[customer] = append(s.times[customer], time.Since(s.startedAt))
+	if len(l.times[customer]) < history.MaxEntries {
+		l.times[customer] = append(l.times[customer], time.Since(l.startedAt))
 	}
 }
 
-func startServer(notes *history.Exchanges, handle http.HandlerFunc) (*fakeServer, error) {
+func startServer(exchanges *history.Exchanges, handle http.HandlerFunc) (*fakeServer, error) {
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("a stand-in: %w", err)
+		return nil, fmt.Errorf("a fake server: %w", err)
+	}
+	s := &fakeServer{
+		addr:    l.Addr().String(),
+		http:    &http.Server{Handler: handle, ReadHeaderTimeout: time.Minute},
+		stopped: make(chan struct{}),
 	}
-	s := &fakeServer{addr: l.Addr().String(), http: &http.Server{Handler: handle, ReadHeaderTimeout: time.Minute}, stopped: make(chan struct{})}
 	go func() {
 		defer close(s.stopped)
 		if err := s.http.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			notes.Wrong("a stand-in has ended: %v", err)
+			exchanges.Wrong("a fake server has ended: %v", err)
 		}
 	}()
 	return s, nil
@@ -70,33 +75,33 @@
 	<-s.stopped
 }
 
-// poolHandler answers queries with one element.
+// poolHandler answers queries with one result that names the region.
 func (r *run) poolHandler(region string) http.HandlerFunc {
-	return func(w http.ResponseWriter, q *http.Request) {
+	return func(w http.ResponseWriter, request *http.Request) {
 		time.Sleep(workTime)
-		_ = json.NewEncoder(w).Encode([]partResult{{region, q.Header.Get(fieldID)}})
+		_ = json.NewEncoder(w).Encode([]partResult{{region, request.Header.Get(headerID)}})
 	}
 }
 
-// appHandler answers with bytes, and notes writes as effects.
+// appHandler answers with as many bytes as requested, and records writes as effects.
 func (r *run) appHandler(region string) http.HandlerFunc {
-	return func(w http.ResponseWriter, q *http.Request) {
-		if _, err := io.Copy(io.Discard, q.Body); err != nil {
-			return // it did not come whole: nothing has happened
+	return func(w http.ResponseWriter, request *http.Request) {
+		if _, err := io.Copy(io.Discard, request.Body); err != nil {
+			return // the body is incomplete, so the write has no effect
 		}
-		if c := q.Header.Get(fieldCustomer); c != "" {
-			r.limited.record(c)
+		if customer := request.Header.Get(headerCustomer); customer != "" {
+			r.limited.record(customer)
 		}
-		id := q.Header.Get(fieldID)
-		if q.Method == http.MethodPost {
+		id := request.Header.Get(headerID)
+		if request.Method == http.MethodPost {
 			r.exchanges.Effect(id, region)
 			r.effects.Store(id, true)
 		}
 		time.Sleep(workTime)
-		n, _ := strconv.ParseInt(q.URL.Query().Get("n"), 10, 64)
-		w.Header().Set(fieldID, id)
-		w.Header().Set("Content-Length", strconv.FormatInt(n, 10))
-		_, _ = io.Copy(w, fake.PatternReader(n)) // a client that left is its own doing
+		bytes, _ := strconv.ParseInt(request.URL.Query().Get("n"), 10, 64)
+		w.Header().Set(headerID, id)
+		w.Header().Set("Content-Length", strconv.FormatInt(bytes, 10))
+		_, _ = io.Copy(w, fake.PatternReader(bytes)) // fails where the client is gone
 	}
 }
 
--- a/internal/trials/regiontrial/fixture.go
+++ b/internal/trials/regiontrial/fixture.go
@@ -15,235 +15,222 @@
 	"lockflow/internal/trials/faultnet/script"
 )
 
-// deadAddress is an address at which nobody listens.
+// deadAddress is an address on which nobody listens.
 const deadAddress = "127.0.0.1:1"
 
-// linksPerRegion is how many links a region has: two to its listeners for other regions, two to its app's
-// servers, one to its pool. Those of nodes come first: to each, its clients' and its control socket's.
-const linksPerRegion = 5
+// maxLogTail is how many bytes of a node's log an error quotes.
+const maxLogTail = 600
 
-// Links is how many links a trial has whose regions have so many nodes each.
-func Links(each int) int { return regionCount * (2*each + linksPerRegion) }
-
-// LinkName names a link by its number.
-func LinkName(each, n int) string {
-	nodes := regionCount * each
-	if n < 2*nodes {
-		return []string{"clients to ", "coordinators to "}[n%2] + memberName(n/2)
-	}
-	n -= 2 * nodes
-	region, at := regionNames[n/linksPerRegion], n%linksPerRegion
-	return [...]string{
-		"regions to the first listener of ", "regions to the second listener of ", region + " to app 0 of ", region + " to app 1 of ",
-		region + " to the pool of ",
-	}[at] + region
-}
-
-func memberName(i int) string { return fmt.Sprint("node-", i) }
-
-// fixture is what a trial stands on: links, processes, and which faults explain what is seen.
+// fixture is the links and the processes of a trial, and the faults in force.
 type fixture struct {
 	nodesPerRegion int
 	dir            string
 	links          []*faultnet.Link
 	processes      []*faultnet.Process
 
-	starts sync.WaitGroup
+	starts sync.WaitGroup // of processes that were killed
 	mu     sync.Mutex
-	faults []clientFaults // of each node's clients
+	faults []clientFaults // by node
 	kills  int
 }
 
-// clientFaults is what faults can explain at one node's clients.
+// clientFaults is the faults that the clients of one node can observe.
 type clientFaults struct {
-	active  int       // in force
-	lastEnd time.Time // when one ended last
+	active  int
+	lastEnd time.Time
 }
 
-func (g *fixture) clientLink(node int) *faultnet.Link  { return g.links[2*node] }
-func (g *fixture) controlLink(node int) *faultnet.Link { return g.links[2*node+1] }
-func (g *fixture) regionLink(region, at int) *faultnet.Link {
-	return g.links[regionCount*2*g.nodesPerRegion+region*linksPerRegion+at]
+func (f *fixture) nodes() int { return regionCount * f.nodesPerRegion }
+
+func (f *fixture) clientLink(node int) *faultnet.Link {
+	return f.links[linksPerNode*node+clientLinkIndex]
 }
 
-func (g *fixture) entryAddresses(region int) []string {
-	return []string{g.regionLink(region, 0).Addr(), g.regionLink(region, 1).Addr()}
+func (f *fixture) controlLink(node int) *faultnet.Link {
+	return f.links[linksPerNode*node+controlLinkIndex]
 }
 
-func (g *fixture) appAddresses(region int) []string {
-	return []string{g.regionLink(region, 2).Addr(), g.regionLink(region, 3).Addr()}
+func (f *fixture) regionLink(region, index int) *faultnet.Link {
+	return f.links[linksPerNode*f.nodes()+region*linksPerRegion+index]
 }
-func (g *fixture) poolAddress(region int) string { return g.regionLink(region, 4).Addr() }
 
-func (g *fixture) socketPath(i int) string { return filepath.Join(g.dir, strconv.Itoa(i), "c.sock") }
+func (f *fixture) entryAddresses(region int) []string {
+	return []string{f.regionLink(region, firstEntryLink).Addr(), f.regionLink(region, secondEntryLink).Addr()}
+}
 
-func (g *fixture) configPath(i int) string {
-	return filepath.Join(g.dir, strconv.Itoa(i), "lockflow.toml")
+func (f *fixture) appAddresses(region int) []string {
+	return []string{f.regionLink(region, firstAppLink).Addr(), f.regionLink(region, secondAppLink).Addr()}
 }
 
-// routeTo leads to a process what is to reach it: its clients, and other regions if it is one of the first.
-func (g *fixture) routeTo(i int, addr string) {
-	g.clientLink(i).To(addr)
-	if at := i % g.nodesPerRegion; at < 2 {
-		g.regionLink(i/g.nodesPerRegion, at).To(addr)
+func (f *fixture) poolAddress(region int) string { return f.regionLink(region, poolLink).Addr() }
+
+func (f *fixture) nodeDir(node int) string    { return filepath.Join(f.dir, strconv.Itoa(node)) }
+func (f *fixture) socketPath(node int) string { return filepath.Join(f.nodeDir(node), "c.sock") }
+func (f *fixture) configPath(node int) string { return filepath.Join(f.nodeDir(node), "lockflow.toml") }
+
+// routeTo points the links to a node at an address: that of its clients, and those of other regions if it is
+// one of its region's entry nodes.
+func (f *fixture) routeTo(node int, address string) {
+	f.clientLink(node).To(address)
+	if index := node % f.nodesPerRegion; index < entryNodes {
+		f.regionLink(node/f.nodesPerRegion, firstEntryLink+index).To(address)
 	}
-	if g.nodesPerRegion == 1 {
-		g.regionLink(i, 1).To(addr)
+	if f.nodesPerRegion == 1 {
+		f.regionLink(node, secondEntryLink).To(address)
 	}
 }
 
-// openLinks makes the links, to the stand-ins of each region: two apps and a pool.
-func (g *fixture) openLinks(standins [][3]string) error {
-	var to []string
-	for i := range regionCount * g.nodesPerRegion {
-		if err := os.MkdirAll(filepath.Join(g.dir, strconv.Itoa(i), "state"), 0o700); err != nil {
+// regionFakes is the addresses of a region's fake servers.
+type regionFakes struct{ firstApp, secondApp, pool string }
+
+// openLinks opens the links, those of each region to its fake servers.
+func (f *fixture) openLinks(fakes []regionFakes) error {
+	var targets []string
+	for node := range f.nodes() {
+		if err := os.MkdirAll(filepath.Join(f.nodeDir(node), "state"), 0o700); err != nil {
 			return fmt.Errorf("a trial: %w", err)
 		}
-		to = append(to, deadAddress, g.socketPath(i))
+		targets = append(targets, deadAddress, f.socketPath(node))
 	}
-	for _, s := range standins {
-		to = append(to, deadAddress, deadAddress, s[0], s[1], s[2])
+	for _, region := range fakes {
+		targets = append(targets, deadAddress, deadAddress, region.firstApp, region.secondApp, region.pool)
 	}
-	for _, addr := range to {
-		l, err := faultnet.Listen(addr)
+	for _, target := range targets {
+		link, err := faultnet.Listen(target)
 		if err != nil {
 			return err
 		}
-		g.links = append(g.links, l)
+		f.links = append(f.links, link)
 	}
-	g.faults = make([]clientFaults, regionCount*g.nodesPerRegion)
+	f.faults = make([]clientFaults, f.nodes())
 	return nil
 }
 
-// startNodes starts all processes, and waits until they are up.
-func (g *fixture) startNodes(ctx context.Context, program string) error {
-	for i := range regionCount * g.nodesPerRegion {
-		dir := filepath.Join(g.dir, strconv.Itoa(i))
+// startNodes starts all processes and waits until they are ready.
+func (f *fixture) startNodes(ctx context.Context, program string) error {
+	for node := range f.nodes() {
+		dir := f.nodeDir(node)
 		state := filepath.Join(dir, "state")
-		g.processes = append(g.processes, &process.Process{Path: program, Log: filepath.Join(dir, "log"), State: state, Args: []string{
-			"serve", "--config", g.configPath(i),
-			"--control", g.socketPath(i), "--state", state,
-		}})
-		if err := g.processes[i].Start(); err != nil {
+		f.processes = append(f.processes, &process.Process{
+			Path: program, Log: filepath.Join(dir, "log"), State: state,
+			Args: []string{"serve", "--config", f.configPath(node), "--control", f.socketPath(node), "--state", state},
+		})
+		if err := f.processes[node].Start(); err != nil {
 			return err
 		}
 	}
-	for i := range g.processes {
-		if err := g.awaitReady(ctx, i); err != nil {
+	for node := range f.processes {
+		if err := f.awaitReady(ctx, node); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (g *fixture) close() {
-	for _, p := range g.processes {
-		_ = p.Kill() // one that has ended already is well
+func (f *fixture) close() {
+	for _, p := range f.processes {
+		_ = p.Kill() // fails for one that has ended
 	}
-	for _, l := range g.links {
-		_ = l.Close() // the trial is over
+	for _, link := range f.links {
+		_ = link.Close() // the trial is over
 	}
 }
 
-// awaitReady waits until a process has come up, and leads the links to where it listens.
-func (g *fixture) awaitReady(ctx context.Context, i int) error {
+// awaitReady waits until a node's process is ready, and points the links at its listener.
+func (f *fixture) awaitReady(ctx context.Context, node int) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for {
-		s, err := manage.Client{Path: g.socketPath(i)}.Status(ctx)
-		if err == nil && s.PID == g.processes[i].PID() && s.IsReady() && len(s.Listeners) > 0 {
-			g.routeTo(i, s.Listeners[0])
+		status, err := manage.Client{Path: f.socketPath(node)}.Status(ctx)
+		isCurrent := err == nil && status.PID == f.processes[node].PID()
+		if isCurrent && status.IsReady() && len(status.Listeners) > 0 {
+			f.routeTo(node, status.Listeners[0])
 			return nil
 		}
-		if !g.processes[i].Runs() {
-			return fmt.Errorf("%s has ended: %w; %s", memberName(i), g.processes[i].Wait(), g.logTail(i))
+		if !f.processes[node].Runs() {
+			return fmt.Errorf("%s has ended: %w; %s", memberName(node), f.processes[node].Wait(), f.logTail(node))
 		}
 		select {
 		case <-time.After(readyPollInterval):
 		case <-ctx.Done():
-			return fmt.Errorf("%s is not up: %w, %w; %s", memberName(i), ctx.Err(), err, g.logTail(i))
+			return fmt.Errorf("%s is not up: %w, %w; %s", memberName(node), ctx.Err(), err, f.logTail(node))
 		}
 	}
 }
 
-// logTail is the end of a node's log.
-func (g *fixture) logTail(i int) string {
-	raw, err := os.ReadFile(g.processes[i].Log)
+// logTail returns the end of a node's log.
+func (f *fixture) logTail(node int) string {
+	log, err := os.ReadFile(f.processes[node].Log)
 	if err != nil {
 		return err.Error()
 	}
-	return "its log ends with: " + string(raw[max(len(raw)-600, 0):])
+	return "its log ends with: " + string(log[max(len(log)-maxLogTail, 0):])
 }
 
-// affectedNode gives the node whose clients a fault reaches.
-func (g *fixture) affectedNode(e script.Entry) (node int, ok bool) {
+// affectedNode returns the node whose clients can observe a fault.
+func (f *fixture) affectedNode(e script.Entry) (node int, ok bool) {
 	if e.Kind.OfLink() {
-		return e.On / 2, e.On < 2*len(g.processes) && e.On%2 == 0
+		isClientLink := e.On < linksPerNode*len(f.processes) && e.On%linksPerNode == clientLinkIndex
+		return e.On / linksPerNode, isClientLink
 	}
 	return e.On, e.Kind == script.Kill || e.Kind == script.Pause
 }
 
-// recordBegins notes faults ahead of their begin, so that whoever feels one finds it noted.
-func (g *fixture) recordBegins(st script.Step) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for _, e := range st.Begins {
-		if i, ok := g.affectedNode(e); ok {
-			g.faults[i].active++
+// recordBegins records the faults of a step before they start, so that a client that observes one finds it
+// recorded.
+func (f *fixture) recordBegins(step script.Step) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, e := range step.Begins {
+		if node, ok := f.affectedNode(e); ok {
+			f.faults[node].active++
 		}
 		if e.Kind == script.Kill {
-			g.kills++
+			f.kills++
 		}
 	}
 }
 
-// recordEnds notes the end of faults once they have ended: that of a kill when clients find the new process.
-func (g *fixture) recordEnds(ev faultnet.Event, wrong func(string, ...any)) {
-	for _, e := range ev.Step.Begins {
+// recordEnds records the end of a step's faults: that of a kill when the new process is ready for clients.
+func (f *fixture) recordEnds(event faultnet.Event, reportViolation func(string, ...any)) {
+	for _, e := range event.Step.Begins {
 		if e.Kind == script.Kill {
-			g.routeTo(e.On, deadAddress) // the port may be another's by now
+			f.routeTo(e.On, deadAddress) // the port may be another process's by now
 		}
 	}
-	for _, e := range ev.Step.Ends {
-		i, ok := g.affectedNode(e)
+	for _, e := range event.Step.Ends {
+		node, ok := f.affectedNode(e)
 		if !ok {
 			continue
 		}
-		if e.Kind != script.Kill || !g.processes[i].Runs() {
-			g.endFault(i)
+		if e.Kind != script.Kill || !f.processes[node].Runs() {
+			f.endFault(node)
 			continue
 		}
-		g.starts.Go(func() {
-			// Where it is killed again meanwhile, the start after that counts.
-			starts := g.processes[i].Starts()
-			if err := g.awaitReady(context.Background(), i); err != nil && g.processes[i].Runs() && g.processes[i].Starts() == starts {
-				wrong("%v", err)
+		f.starts.Go(func() {
+			// If it is killed again meanwhile, the start after that counts.
+			starts := f.processes[node].Starts()
+			err := f.awaitReady(context.Background(), node)
+			if err != nil && f.processes[node].Runs() && f.processes[node].Starts() == starts {
+				reportViolation("%v", err)
 			}
-			g.endFault(i)
+			f.endFault(node)
 		})
 	}
 }
 
-func (g *fixture) endFault(i int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.faults[i].active--
-	g.faults[i].lastEnd = time.Now()
-}
-
-// isExcused tells whether a fault of a node's clients' way or of its process explains what has befallen a
-// connection since then.
-func (g *fixture) isExcused(node int, since time.Time) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	t := g.faults[node]
-	return t.active > 0 || t.lastEnd.After(since)
+func (f *fixture) endFault(node int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.faults[node].active--
+	f.faults[node].lastEnd = time.Now()
 }
 
-// Draw draws a script for a trial of so many nodes a region.
-func Draw(seed uint64, each, faults int, lasts time.Duration) faultnet.Script {
-	return faultnet.Draw(seed, faultnet.Spec{
-		Links: Links(each), Procs: regionCount * each, For: lasts, Faults: faults,
-		ProcKinds: []script.Kind{script.Kill, script.Pause, script.Full, script.ReadOnly},
-	})
+// isExcused tells whether a fault of a node or of its clients' link explains a failure of a connection that
+// was opened at a time.
+func (f *fixture) isExcused(node int, since time.Time) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	faults := f.faults[node]
+	return faults.active > 0 || faults.lastEnd.After(since)
 }
