--- a/internal/service/event_recorder.go
+++ b/internal/service/event_recorder.go
@@ -36,8 +36,15 @@
 func newEventRecorder(writer *eventlog.Writer, plans []control.Plan) *eventRecorder {
 	for _, p := range plans {
 		writer.Plan(eventlog.Plan{
-			At: time.Now(), Name: p.Name, Price: p.Price, QuotaRate: p.QuotaRate, QuotaBurst: p.QuotaBurst, OverQuotaCost: p.OverQuotaCost,
-			HardLimitRate: p.HardLimitRate, HardLimitBurst: p.HardLimitBurst, HardLimitSlack: p.HardLimitSlack,
+			At:             time.Now(),
+			Name:           p.Name,
+			Price:          p.Price,
+			QuotaRate:      p.QuotaRate,
+			QuotaBurst:     p.QuotaBurst,
+			OverQuotaCost:  p.OverQuotaCost,
+			HardLimitRate:  p.HardLimitRate,
+			HardLimitBurst: p.HardLimitBurst,
+			HardLimitSlack: p.HardLimitSlack,
 		})
 	}
 	return &eventRecorder{writer: writer, causes: make(map[string]control.Cause), servers: make(map[uint32]listedServer)}
@@ -62,9 +69,17 @@
 // requestEnded writes the final answer of a request.
 func (r *eventRecorder) requestEnded(x *Exchange, a Answer) {
 	line := eventlog.Request{
-		At: x.startedAt, Class: x.Request.Class, Plan: x.Request.Plan, Customer: uint32(xxhash.Sum64String(x.Request.Customer)),
-		FanOut: x.Request.FanOut, IsRetry: x.Request.IsRetry, Units: x.Request.Units, Outcome: Outcomes[a.outcome()],
-		Duration: time.Since(x.startedAt), Attempts: x.attemptCount, ID: x.Request.ID,
+		At:       x.startedAt,
+		Class:    x.Request.Class,
+		Plan:     x.Request.Plan,
+		Customer: uint32(xxhash.Sum64String(x.Request.Customer)),
+		FanOut:   x.Request.FanOut,
+		IsRetry:  x.Request.IsRetry,
+		Units:    x.Request.Units,
+		Outcome:  Outcomes[a.outcome()],
+		Duration: time.Since(x.startedAt),
+		Attempts: x.attemptCount,
+		ID:       x.Request.ID,
 	}
 	if cause, ok := r.causes[x.Request.ID]; ok {
 		line.Cause = cause.String()
@@ -77,18 +92,30 @@
 func (r *eventRecorder) attemptEnded(job attemptJob, o *upstream.Outcome, isAvailable bool) {
 	server := r.servers[job.server]
 	line := eventlog.Attempt{
-		At: job.startedAt, Server: server.uid, Class: job.exchange.Request.Class, Number: job.number,
-		Reason: Reasons[reasonIndex[o.Reason]], Duration: time.Since(job.startedAt),
-		ServerAge: unknownAge, IsServerDraining: !isAvailable, IsOnNewConnection: o.IsDialed,
-		ServiceMS: unknownReport, Utilization: unknownReport, QueueLength: unknownReport, ID: job.exchange.Request.ID,
+		At:                job.startedAt,
+		Server:            server.uid,
+		Class:             job.exchange.Request.Class,
+		Number:            job.number,
+		Reason:            Reasons[reasonIndex[o.Reason]],
+		Duration:          time.Since(job.startedAt),
+		ServerAge:         unknownAge,
+		IsServerDraining:  !isAvailable,
+		IsOnNewConnection: o.IsDialed,
+		ServiceMS:         unknownReport,
+		Utilization:       unknownReport,
+		QueueLength:       unknownReport,
+		ID:                job.exchange.Request.ID,
 	}
 	if !server.bootedAt.IsZero() {
 		line.ServerAge = job.startedAt.Sub(server.bootedAt)
 	}
 	if o.Header != nil {
-		line.ActualUnits, line.QuotaUsage = o.ActualUnits(0), o.QuotaUsage()
+		line.ActualUnits = o.ActualUnits(0)
+		line.QuotaUsage = o.QuotaUsage()
 		if load := o.LoadReport(); load != nil {
-			line.ServiceMS, line.Utilization, line.QueueLength = load.MeanLatencyMS, load.Utilization, load.Queued
+			line.ServiceMS = load.MeanLatencyMS
+			line.Utilization = load.Utilization
+			line.QueueLength = load.Queued
 		}
 	}
 	r.writer.Attempt(line)
@@ -101,7 +128,13 @@
 		return
 	}
 	r.lastStateAt = now
-	line := eventlog.State{At: now, ConcurrencyLimit: l.concurrencyLimit(), AcceptedRequests: len(l.exchanges), ListedServers: len(l.serverIDs), AvailableServers: len(l.pools)}
+	line := eventlog.State{
+		At:               now,
+		ConcurrencyLimit: l.concurrencyLimit(),
+		AcceptedRequests: len(l.exchanges),
+		ListedServers:    len(l.serverIDs),
+		AvailableServers: len(l.pools),
+	}
 	for _, x := range l.exchanges {
 		line.AttemptsInFlight += x.inFlight
 	}
--- a/internal/trials/measure/faults.go
+++ b/internal/trials/measure/faults.go
@@ -72,10 +72,10 @@
 			if err != nil {
 				return nil, nil, err
 			}
-			fmt.Fprintf(o.Progress, "seed %d: %d faults, coordinators %v, %d requests, %d wrong, %v\n", s.Seed, got.Faults, got.ExitCodes, got.Requests, len(got.Violations),
+			fmt.Fprintf(o.Progress, "seed %d: %d faults, coordinators %v, %d requests, %d wrong, %v\n", s.Seed, got.Faults, got.ExitCodes, got.Requests, len(got.Wrong),
 				got.Duration.Round(time.Second))
-			return got, got.Violations, nil
-		}, func(n int) string { return regiontrial.LinkName(each, n) })
+			return got, got.Wrong, nil
+		}, func(n int) string { return regiontrial.Place(each, n) })
 	return &ChangeReport{rows, shortest, failing}, err
 }
 
--- a/internal/trials/regiontrial/checks.go
+++ b/internal/trials/regiontrial/checks.go
@@ -8,10 +8,12 @@
 	"time"
 )
 
-// StatusRead is a status that a member reported. Times are since the start of the trial.
+// The rules of a trial, checked from observations alone.
+
+// StatusRead is one status reply of a member.
 type StatusRead struct {
 	Member     string
-	From, To   time.Duration // of the request and of the response
+	From, To   time.Duration // request and reply
 	PID        int
 	Generation int // counted by the process
 	Hash       string
@@ -19,161 +21,198 @@
 	Owner      string
 }
 
-// isSameRun tells whether a member ran one generation from an earlier read to this one.
-func (s *StatusRead) isSameRun(earlier *StatusRead) bool {
-	return s.PID == earlier.PID && s.Generation == earlier.Generation && s.Hash == earlier.Hash
+// CheckNeighbours reports members that certainly ran generations at the same time that are no neighbours.
+// generations are each member's hashes in the order of the change. Between two consecutive status reads with the
+// same process and generation a member ran just that one, so reports are certain; changes between reads are missed.
+func CheckNeighbours(reads []StatusRead, generations map[string][]string) (wrong []string) {
+	type span struct {
+		member   string
+		from, to time.Duration
+		first    int // places of its hash in the member's generations
+		last     int
+	}
+	last := make(map[string]StatusRead)
+	var all []span
+	for _, l := range reads {
+		was, ok := last[l.Member]
+		last[l.Member] = l
+		if !ok || was.PID != l.PID || was.Generation != l.Generation || was.Hash != l.Hash {
+			continue
+		}
+		s := span{l.Member, was.To, l.From, -1, -1} // from the reply of one to the request of the other
+		for n, h := range generations[l.Member] {
+			if h != l.Hash {
+				continue
+			}
+			if s.first < 0 {
+				s.first = n
+			}
+			s.last = n
+		}
+		if s.first >= 0 {
+			all = append(all, s)
+		}
+	}
+	slices.SortFunc(all, func(a, b span) int { return int(a.from - b.from) })
+	var open []span
+	for _, s := range all {
+		open = slices.DeleteFunc(open, func(o span) bool { return o.to < s.from })
+		for _, o := range open {
+			// A hash that a member has at several generations counts as the nearest.
+			if distance := max(s.first-o.last, o.first-s.last); distance > 1 && len(wrong) < maxReported {
+				wrong = append(wrong, fmt.Sprintf("%v: %s ran generation %d beside %s at %d", s.from.Round(time.Millisecond), s.member, s.first, o.member, o.first))
+			}
+		}
+		open = append(open, s)
+	}
+	return wrong
 }
 
-// maxViolations bounds the violations that one check returns.
-const maxViolations = 20
+// maxReported bounds the violations that one check reports.
+const maxReported = 20
 
-// generationSpan is a time in which a member certainly ran one generation.
-type generationSpan struct {
-	member      string
-	from, to    time.Duration
-	first, last int // positions of its hash among the member's generations; there may be several
+// CheckOwners reports granted epochs of a member that decrease, and epochs with two owners.
+func CheckOwners(reads []StatusRead) (wrong []string) {
+	newest, of := make(map[string]uint64), make(map[uint64]string)
+	for _, l := range reads { // of one member in the order in which it answered
+		if l.Epoch < newest[l.Member] {
+			wrong = append(wrong, fmt.Sprintf("%s: epoch %d after %d", l.Member, l.Epoch, newest[l.Member]))
+		}
+		newest[l.Member] = max(newest[l.Member], l.Epoch)
+		if l.Epoch == 0 {
+			continue
+		}
+		if o, ok := of[l.Epoch]; ok && o != l.Owner {
+			wrong = append(wrong, fmt.Sprintf("epoch %d is of two owners, %s and %s", l.Epoch, o, l.Owner))
+		}
+		of[l.Epoch] = l.Owner
+	}
+	return wrong[:min(len(wrong), maxReported)]
 }
 
-// distance returns how many generations two spans are apart at least.
-func (s *generationSpan) distance(other *generationSpan) int {
-	return max(s.first-other.last, other.first-s.last)
+// MemberLog is what a member logged of coordinators.
+type MemberLog struct {
+	Grants, Orders int
+	Wrong          []string
+	epoch          uint64
+	owner          string
+	started        map[string]bool
 }
 
-// CheckNeighbours returns where two members certainly ran generations at one moment that don't follow each
-// other. generations are each member's hashes in the order of the change. Between two successive reads with
-// the same process and generation a member has run just that one. What happens between other reads is not
-// checked.
-func CheckNeighbours(reads []StatusRead, generations map[string][]string) (violations []string) {
-	spans := generationSpans(reads, generations)
-	slices.SortFunc(spans, func(a, b generationSpan) int { return int(a.from - b.from) })
-	var open []generationSpan
-	for _, span := range spans {
-		open = slices.DeleteFunc(open, func(other generationSpan) bool { return other.to < span.from })
-		for _, other := range open {
-			if span.distance(&other) > 1 && len(violations) < maxViolations {
-				violations = append(violations, fmt.Sprintf("%v: %s ran generation %d beside %s at %d",
-					span.from.Round(time.Millisecond), span.member, span.first, other.member, other.first))
-			}
+// Read reads a log. A command under an older epoch than one granted before, or by another owner, is a violation.
+// The line of a grant may be lost with the process.
+func (g *MemberLog) Read(member, log string, of map[uint64]string) {
+	for line := range strings.Lines(log) {
+		_, rest, ok := strings.Cut(line, `msg="`)
+		if _, id, interrupted := strings.Cut(rest, "nothing of it remains\" id="); interrupted {
+			id, _, _ = strings.Cut(id, " ")
+			delete(g.started, id) // it may be started again
 		}
-		open = append(open, span)
-	}
-	return violations
-}
-
-func generationSpans(reads []StatusRead, generations map[string][]string) (spans []generationSpan) {
-	last := make(map[string]StatusRead)
-	for _, read := range reads {
-		earlier, ok := last[read.Member]
-		last[read.Member] = read
-		if !ok || !read.isSameRun(&earlier) {
+		grant := strings.HasPrefix(rest, "coordinator epoch granted")
+		if !ok || !grant && !strings.HasPrefix(rest, "command started") {
 			continue
 		}
-		own := generations[read.Member]
-		first := slices.Index(own, read.Hash)
-		if first < 0 {
-			continue
+		var epoch uint64
+		fields := fieldsOf(rest)
+		if _, err := fmt.Sscan(fields["epoch"], &epoch); err != nil || fields["owner"] == "" {
+			continue // cut by a kill
 		}
-		span := generationSpan{member: read.Member, from: earlier.To, to: read.From, first: first, last: first}
-		for i, hash := range own {
-			if hash == read.Hash {
-				span.last = i
-			}
+		if epoch < g.epoch || epoch == g.epoch && g.owner != fields["owner"] {
+			g.Wrong = append(g.Wrong, fmt.Sprintf("%s: epoch %d of %s after %d of %s: %s", member, epoch, fields["owner"], g.epoch, g.owner, strings.TrimSpace(rest)))
+		}
+		g.epoch, g.owner = epoch, fields["owner"]
+		if o, ok := of[epoch]; ok && o != g.owner {
+			g.Wrong = append(g.Wrong, fmt.Sprintf("%s: epoch %d of %s is of %s elsewhere", member, epoch, g.owner, o))
 		}
-		spans = append(spans, span)
+		of[epoch] = g.owner
+		if grant {
+			g.Grants++
+			continue
+		}
+		g.addOrder(member, fields["id"])
 	}
-	return spans
 }
 
-// CheckOwners returns where a member's granted epoch falls, or one epoch has two owners. The reads of each
-// member are in their order.
-func CheckOwners(reads []StatusRead) (violations []string) {
-	newest := make(map[string]uint64)
-	owners := make(map[uint64]string)
-	for _, read := range reads {
-		if read.Epoch < newest[read.Member] {
-			violations = append(violations, fmt.Sprintf("%s: epoch %d after %d", read.Member, read.Epoch, newest[read.Member]))
-		}
-		newest[read.Member] = max(newest[read.Member], read.Epoch)
-		if read.Epoch == 0 {
-			continue
-		}
-		if owner, ok := owners[read.Epoch]; ok && owner != read.Owner {
-			violations = append(violations, fmt.Sprintf("epoch %d is of two owners, %s and %s", read.Epoch, owner, read.Owner))
+// addOrder counts a command that was started. One that was started before is a violation.
+func (g *MemberLog) addOrder(member, id string) {
+	g.Orders++
+	if g.started == nil {
+		g.started = make(map[string]bool)
+	}
+	if g.started[id] {
+		g.Wrong = append(g.Wrong, fmt.Sprintf("%s: order %s is begun twice", member, id))
+	}
+	g.started[id] = true
+}
+
+// fieldsOf returns the KEY=VALUE fields of a log line.
+func fieldsOf(line string) map[string]string {
+	fields := make(map[string]string)
+	for f := range strings.FieldsSeq(line) {
+		if k, v, ok := strings.Cut(f, "="); ok {
+			fields[k] = strings.Trim(v, `"`)
 		}
-		owners[read.Epoch] = read.Owner
 	}
-	return violations[:min(len(violations), maxViolations)]
+	return fields
 }
 
-// MaxExcess returns by how many requests any interval exceeds a rate a second and a burst. times are sorted.
-func MaxExcess(times []time.Duration, rate, burst float64) float64 {
-	excess, lowest := 0.0, 0.0
-	for n, t := range times {
-		// The interval from request k to request n has n-k+1 requests; lowest is the smallest k - rate*t_k.
+// MaxExcess returns the largest excess of requests over rate and burst in any interval. at is sorted.
+func MaxExcess(at []time.Duration, rate, burst float64) float64 {
+	worst, minimum := 0.0, 0.0
+	for n, t := range at {
+		// An interval from request k to request n has n-k+1 requests; minimum is the smallest k - rate*t_k.
 		v := float64(n) - rate*t.Seconds()
-		if n == 0 || v < lowest {
-			lowest = v
+		if n == 0 || v < minimum {
+			minimum = v
 		}
-		excess = max(excess, v-lowest+1-burst)
+		worst = max(worst, v-minimum+1-burst)
 	}
-	return excess
+	return worst
 }
 
-// partResult is what a pool's server answers.
-type partResult struct {
+// element is the answer of one pool to a query.
+type element struct {
 	Pod string `json:"pod"`
 	ID  string `json:"id"`
 }
 
-// CheckGatherResult returns an error unless a gathered result of a region has exactly the parts that its
-// headers claim. parts is "N/ALL", missing is a list with commas.
-func CheckGatherResult(region, id, parts, missing, body string) error {
-	expected, err := expectedParts(region, parts, missing)
-	if err != nil {
-		return err
-	}
-	var results []partResult
-	if err := json.Unmarshal([]byte(body), &results); err != nil {
-		return fmt.Errorf("its body: %w", err)
-	}
-	var pods []string
-	for _, result := range results {
-		if result.ID != id {
-			return fmt.Errorf("it holds what is of request %q", result.ID)
-		}
-		pods = append(pods, result.Pod)
-	}
-	slices.Sort(pods)
-	slices.Sort(expected)
-	if !slices.Equal(pods, expected) {
-		return fmt.Errorf("it claims the parts of %v and holds those of %v", expected, pods)
-	}
-	return nil
-}
-
-// expectedParts returns the parts that the headers of a gathered result claim.
-func expectedParts(region, parts, missing string) ([]string, error) {
-	var count, all int
-	n, err := fmt.Sscanf(parts, "%d/%d", &count, &all)
-	isValidCount := count >= 1 && count <= all && all == regionCount
-	if err != nil || n != 2 || !isValidCount {
-		return nil, fmt.Errorf("it claims %q of %d parts", parts, regionCount)
+// CheckParts returns an error unless a gathered answer of a region has exactly the parts that it claims.
+func CheckParts(region, id, parts, missing, body string) error {
+	var claimed, all int
+	if n, err := fmt.Sscanf(parts, "%d/%d", &claimed, &all); err != nil || n != 2 || all != regionCount || claimed < 1 || claimed > all {
+		return fmt.Errorf("it claims %q of %d parts", parts, regionCount)
 	}
-	expected := slices.Clone(regionNames)
+	want := slices.Clone(regionNames)
 	if missing != "" {
 		for name := range strings.SplitSeq(missing, ",") {
 			if name = strings.TrimSpace(name); name == "here" {
 				name = region
 			}
-			i := slices.Index(expected, name)
-			if i < 0 {
-				return nil, fmt.Errorf("%q is missing, which is no part, or twice", name)
+			n := slices.Index(want, name)
+			if n < 0 {
+				return fmt.Errorf("%q is missing, which is no part, or twice", name)
 			}
-			expected = slices.Delete(expected, i, i+1)
+			want = slices.Delete(want, n, n+1)
 		}
 	}
-	if len(expected) != count {
-		return nil, fmt.Errorf("it claims %s without %q", parts, missing)
+	if len(want) != claimed {
+		return fmt.Errorf("it claims %s without %q", parts, missing)
+	}
+	var got []element
+	if err := json.Unmarshal([]byte(body), &got); err != nil {
+		return fmt.Errorf("its body: %w", err)
 	}
-	return expected, nil
+	var pods []string
+	for _, e := range got {
+		if e.ID != id {
+			return fmt.Errorf("it holds what is of request %q", e.ID)
+		}
+		pods = append(pods, e.Pod)
+	}
+	slices.Sort(pods)
+	slices.Sort(want)
+	if !slices.Equal(pods, want) {
+		return fmt.Errorf("it claims the parts of %v and holds those of %v", want, pods)
+	}
+	return nil
 }
--- a/internal/trials/regiontrial/clients.go
+++ b/internal/trials/regiontrial/clients.go
@@ -1,88 +1,71 @@
 package regiontrial
 
 import (
-	"bufio"
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
-	"net"
 	"net/http"
-	"os"
 	"strconv"
+	"strings"
 	"time"
 
 	"lockflow/internal/testsupport/fake"
+	"lockflow/internal/trials/faultnet/traffic"
 )
 
 const (
-	readTimeout = 4 * time.Second  // of a client whose wait a fault explains; longer than each class's deadline
-	maxReadTime = 30 * time.Second // of any other client
-	maxPause    = 16 * time.Millisecond
+	excusedReadTimeout = 4 * time.Second  // of a client that met a fault; above each class's deadline
+	maxReadTimeout     = 30 * time.Second // of one that met none
+	maxPause           = 16 * time.Millisecond
 )
 
-// Paths of requests.
-const (
-	pathVisits = "/visits" // gathered
-	pathList   = "/list"   // gathered with the new settings
-	pathWrite  = "/write"
-)
-
-// client sends requests to one node, one at a time over persistent connections, and retries none. It belongs
-// to one goroutine.
+// client sends requests to one node over persistent connections, one at a time, without retries.
 type client struct {
 	*run
 	node, number int
 	rng          *rand.Rand
 	requestCount int
-	conn         net.Conn // nil if it is not connected
-	reader       *bufio.Reader
-	connectedAt  time.Time // when the connection was requested
+	conn         traffic.Conn
 }
 
-func (r *run) client(node, number int) *client {
-	seed := rand.NewPCG(r.options.Script.Seed, uint64(node*1000+number))
-	return &client{run: r, node: node, number: number, rng: rand.New(seed)}
+func (r *run) client(node, n int) *client {
+	c := &client{run: r, node: node, number: n, rng: rand.New(rand.NewPCG(r.options.Script.Seed, uint64(node*1000+n)))}
+	c.conn = traffic.Conn{
+		Addr:            func() string { return r.fixture.client(node).Addr() },
+		FaultTimeout:    excusedReadTimeout,
+		MaxTimeout:      maxReadTimeout,
+		IsFaultPossible: func(dialedAt time.Time) bool { return r.fixture.isClientFaultPossible(node, dialedAt) },
+	}
+	return c
 }
 
 // request is one request of a client.
 type request struct {
-	id, method, path string
-	customer         string // "" has no hard limit
-	bodyBytes        int64
-	responseBytes    int64
+	id, method, path, customer string
+	body, answer               int64
 }
 
-// customers have hard limits over all regions. The clients' requests for each of them exceed these.
+// customers have hard limits over all regions; every client sends requests of each, above their limits.
 var customers = []string{"gold-1", "silver-1"}
 
 func (c *client) drawRequest() request {
 	c.requestCount++
-	q := request{
-		id:            fmt.Sprintf("n%d-c%d-%d", c.node, c.number, c.requestCount),
-		method:        http.MethodGet,
-		path:          pathVisits,
-		responseBytes: int64(c.rng.IntN(3000)),
-	}
+	q := request{id: fmt.Sprintf("n%d-c%d-%d", c.node, c.number, c.requestCount), method: http.MethodGet, path: "/visits", answer: int64(c.rng.IntN(3000))}
 	switch n := c.rng.IntN(10); {
 	case n < 3:
-		q.method = http.MethodPost
-		q.path = pathWrite
-		q.bodyBytes = int64(c.rng.IntN(2000))
+		q.method, q.path, q.body = http.MethodPost, "/write", int64(c.rng.IntN(2000))
 	case n < 5:
-		q.method = http.MethodPost
-		q.path = pathWrite
-		q.customer = customers[n-3]
+		q.method, q.path, q.customer = http.MethodPost, "/write", customers[n-3]
 	case n < 7:
-		q.path = pathList
+		q.path = "/list"
 	}
 	return q
 }
 
-// sendUntilDone sends requests until ctx ends.
-func (c *client) sendUntilDone(ctx context.Context) {
-	defer c.disconnect()
+// work sends until ctx ends.
+func (c *client) work(ctx context.Context) {
+	defer c.conn.Close()
 	for ctx.Err() == nil {
 		c.send(c.drawRequest())
 		select {
@@ -92,97 +75,91 @@
 	}
 }
 
-func (c *client) disconnect() {
-	if c.conn != nil {
-		c.conn.Close()
-		c.conn = nil
-	}
-}
-
-// patientReader reads from the node until a deadline, or until a fault explains that nothing arrives.
-type patientReader struct {
-	*client
-	deadline time.Time
-}
-
-func (p *patientReader) Read(b []byte) (int, error) {
-	for {
-		p.conn.SetReadDeadline(time.Now().Add(readTimeout))
-		n, err := p.conn.Read(b)
-		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-			return n, err
-		}
-		if p.fixture.isExcused(p.node, p.connectedAt) || time.Now().After(p.deadline) {
-			return n, err
-		}
-	}
-}
-
-// send sends a request, checks and records its outcome, and returns the status; 0 is none.
+// send sends a request, records its outcome, and returns the status; 0 is none.
 func (c *client) send(q request) int {
-	c.exchanges.Requested(q.id)
-	startedAt := time.Now()
-	response, body, err := c.exchange(q) //nolint:bodyclose // exchange reads it to its end
+	c.notes.Requested(q.id)
+	started := time.Now()
+	resp, body, err := c.exchange(q) //nolint:bodyclose // exchange reads it to its end
 	if err != nil {
-		c.disconnect()
-		prefix := unexplainedPrefix + ": "
-		if c.fixture.isExcused(c.node, c.connectedAt) {
-			prefix = ""
+		c.conn.Close()
+		why := "unexplained: "
+		if c.fixture.isClientFaultPossible(c.node, c.conn.DialedAt()) {
+			why = ""
 		}
-		c.exchanges.Broken(q.id, fmt.Sprintf("%s%s %s after %v, on a connection of %v: %v", prefix, q.method, q.path,
-			time.Since(startedAt).Round(time.Millisecond), time.Since(c.connectedAt).Round(time.Millisecond), err))
+		c.notes.Broken(q.id, fmt.Sprintf("%s%s %s after %v, on a connection of %v: %v", why, q.method, q.path, time.Since(started).Round(time.Millisecond),
+			time.Since(c.conn.DialedAt()).Round(time.Millisecond), err))
 		return 0
 	}
-	c.exchanges.Answered(q.id, strconv.Itoa(response.StatusCode))
-	c.checkResponse(q, response, body)
-	if response.Close {
-		c.disconnect()
+	c.notes.Answered(q.id, strconv.Itoa(resp.StatusCode))
+	c.answered(c.node, q, resp, body, c.fixture.isClientFaultPossible(c.node, c.conn.DialedAt()))
+	if resp.Close {
+		c.conn.Close()
 	}
-	return response.StatusCode
+	return resp.StatusCode
 }
 
-// exchange sends a request and reads its complete response.
-func (c *client) exchange(q request) (response *http.Response, body string, err error) {
-	if c.conn != nil && c.reader.Buffered() > 0 {
-		c.exchanges.Wrong("%s: %d bytes came behind an answer, before request %s", memberName(c.node), c.reader.Buffered(), q.id)
-		c.disconnect()
-	}
-	if c.conn == nil {
-		if err := c.connect(); err != nil {
-			return nil, "", err
-		}
-	}
-	deadline := time.Now().Add(maxReadTime)
-	c.reader = bufio.NewReader(&patientReader{c, deadline})
-	c.conn.SetWriteDeadline(deadline)
-	if err := q.write(c.conn); err != nil {
-		return nil, "", err
+// exchange sends a request and reads its answer.
+func (c *client) exchange(q request) (resp *http.Response, body string, err error) {
+	if unread := c.conn.Unread(); unread > 0 {
+		c.notes.Wrong("%s: %d bytes came behind an answer, before request %s", member(c.node), unread, q.id)
+		c.conn.Close()
 	}
-	if response, err = http.ReadResponse(c.reader, &http.Request{Method: q.method}); err != nil {
+	resp, err = c.conn.Send(traffic.Request{
+		ID: q.id, Method: q.method, Path: q.path, Header: [2]string{fieldCustomer, q.customer}, Body: q.body, Answer: q.answer,
+	})
+	if err != nil {
 		return nil, "", err
 	}
-	raw, err := io.ReadAll(response.Body)
-	return response, string(raw), err
-}
-
-func (c *client) connect() (err error) {
-	c.connectedAt = time.Now()
-	dialer := net.Dialer{Timeout: maxReadTime}
-	c.conn, err = dialer.DialContext(context.Background(), "tcp", c.fixture.clientLink(c.node).Addr())
-	return err
+	raw, err := io.ReadAll(resp.Body)
+	return resp, string(raw), err
 }
 
-// write writes a request in HTTP/1.1.
-func (q *request) write(w io.Writer) error {
-	out := bufio.NewWriter(w)
-	fmt.Fprintf(out, "%s %s?n=%d HTTP/1.1\r\nHost: trial.example\r\n%s: %s\r\n", q.method, q.path, q.responseBytes, headerID, q.id)
-	if q.customer != "" {
-		fmt.Fprintf(out, "%s: %s\r\n", headerCustomer, q.customer)
-	}
-	if q.method == http.MethodPost {
-		fmt.Fprintf(out, "Content-Length: %d\r\n", q.bodyBytes)
+// answered checks a final answer. excused tells that a fault on the client's side may have interrupted the
+// request.
+func (r *run) answered(node int, q request, resp *http.Response, body string, excused bool) {
+	r.mu.Lock()
+	r.status[resp.StatusCode]++
+	r.mu.Unlock()
+	region := regionNames[node/r.options.NodesPerRegion]
+	parts, missing := resp.Header.Get("Lockflow-Parts"), resp.Header.Get("Lockflow-Missing")
+	switch resp.StatusCode {
+	case http.StatusOK:
+		if parts != "" {
+			r.mu.Lock()
+			if r.gathered++; missing != "" {
+				r.partial++
+			}
+			r.mu.Unlock()
+			if err := CheckParts(region, q.id, parts, missing, body); err != nil || q.path == "/write" {
+				r.notes.Wrong("request %s for %s: %v", q.id, q.path, err)
+			}
+			return
+		}
+		if q.path == "/visits" {
+			r.notes.Wrong("request %s: a gathered answer that claims nothing: %.80q", q.id, body)
+			return
+		}
+		if _, ran := r.effects.Load(q.id); q.path == "/write" && !ran {
+			r.notes.Wrong("request %s: answered 200, and no server has had it", q.id)
+		}
+		var want strings.Builder
+		_, _ = io.Copy(&want, fake.PatternReader(q.answer))
+		if got := resp.Header.Get(traffic.IDField); got != q.id || body != want.String() {
+			r.notes.Wrong("request %s: an answer to %q of %d bytes instead of %d, or with others in it", q.id, got, len(body), q.answer)
+		}
+	case 502, 503, 504, 429:
+	case 400, 408:
+		if !excused {
+			r.notes.Wrong("request %s: answered %d, and it came whole", q.id, resp.StatusCode)
+		}
+	case http.StatusInternalServerError:
+		if !r.isHarmfulChangeActive.Load() || q.path != "/write" {
+			r.notes.Wrong("request %s: answered 500, which no server has sent", q.id)
+		}
+		r.mu.Lock()
+		r.harmed++
+		r.mu.Unlock()
+	default:
+		r.notes.Wrong("request %s: answered %d by %s", q.id, resp.StatusCode, member(node))
 	}
-	out.WriteString("\r\n")
-	_, _ = io.Copy(out, fake.PatternReader(q.bodyBytes)) // Flush returns its error
-	return out.Flush()
 }
--- a/internal/trials/regiontrial/config.go
+++ b/internal/trials/regiontrial/config.go
@@ -14,126 +14,102 @@
 //go:embed config.toml
 var template string
 
-// regionNames are the regions of a trial, in the order of a gathered result.
+// regionNames are the regions of a trial, in the order of a gathered answer.
 var regionNames = []string{"north", "south", "east"}
 
 const regionCount = 3
 
-// Regions returns the names of the regions of a trial. The slice must not be changed.
+// Regions returns the names of the regions.
 func Regions() []string { return regionNames }
 
-// Rates (a second) and bursts of the plans with a hard limit, in requests. The change lowers one of the two
-// plans and raises the other, so that neither end is the stricter and the change needs intermediate settings.
+// Rates and bursts of the plans with a hard limit, in requests: the change lowers one of the two and raises the
+// other, so that neither end is the stricter and the change has to go through settings between.
 const (
 	unitsLow  = 8
 	unitsHigh = 16
 )
 
-// configKind is one configuration of the complete fleet.
-type configKind int
+// kind is a version of the complete fleet's settings.
+type kind int
 
 const (
-	oldConfig         configKind = iota // all run it at first
-	newConfig                           // other gather settings, routes and hard limits
-	conflictingConfig                   // what arrives through another region is gathered again, which loops
-	harmfulConfig                       // as newConfig, with a server that fails every request
+	before      kind = iota // the initial settings
+	after                   // other gather settings, routes and hard limits
+	conflicting             // a query from another region would be gathered again, in a loop
+	harmful                 // as after, with servers that fail every request
 )
 
-// configKinds are all kinds, by the names of their directories.
-var configKinds = map[string]configKind{
-	"before": oldConfig, "after": newConfig, "conflicting": conflictingConfig, "harmful": harmfulConfig,
-}
-
-// fleetConfig is a fleet file and the hashes of its regions' configurations.
-type fleetConfig struct {
-	file   string   // path
-	hashes []string // by region
-}
-
-// partRoute is a route by which a region accepts its part of what another gathers. The arguments are a name
-// and a path.
+// partRoute is a route for the part that a region contributes to another one's queries.
 const partRoute = "[[routes]]\nname = %q\nservice = \"here\"\npath = %q\nheaders = [\"Via\"]\n"
 
-// regionConfig returns the configuration of a region.
-func (r *run) regionConfig(region int, kind configKind) string {
+// settingsText returns the settings of a region.
+func (r *run) settingsText(region int, k kind) string {
+	gold, silver := unitsLow, unitsHigh
 	names := []string{"here"}
-	var peers strings.Builder
+	var otherServices, servers strings.Builder
 	for i, name := range regionNames {
 		if i == region {
 			continue
 		}
 		names = append(names, name)
-		fmt.Fprintf(&peers, "[services.%s]\nconnect_timeout = \"200ms\"\nidle = \"5s\"\nplans = [\"free\"]\nsource = { kind = \"static\", servers = [%s] }\n", name,
-			serverList(name, r.fixture.entryAddresses(i)))
+		fmt.Fprintf(&otherServices, "[services.%s]\nconnect_timeout = \"200ms\"\nidle = \"5s\"\nplans = [\"free\"]\nsource = { kind = \"static\", servers = [%s] }\n", name,
+			list(name, r.fixture.entry(i)))
 	}
-	gold, silver := unitsLow, unitsHigh
 	gather := fmt.Sprintf("parts = [%q, %q, %q]\nweights = [2, 1, 1]\nleast = 0.5\nhalf_life = \"300ms\"\ndeadline = \"learned\"\n", names[0], names[1], names[2])
 	routes := "[[routes]]\nname = \"list\"\nservice = \"app\"\npath = \"/list\"\n"
-	if kind != oldConfig {
+	app := list("app-"+regionNames[region], r.fixture.apps(region))
+	if k != before {
 		gold, silver = unitsHigh, unitsLow
 		gather = fmt.Sprintf("parts = [%q, %q, %q]\nleast = 0.3\nhalf_life = \"200ms\"\ndeadline = \"400ms\"\n", names[1], names[0], names[2])
 		routes = strings.Replace(routes, "app", "district", 1) + fmt.Sprintf(partRoute, "list-part", "/list")
 	}
-	if kind != conflictingConfig {
+	if k != conflicting {
 		routes += fmt.Sprintf(partRoute, "district-part", "/visits")
 	}
-	app := serverList("app-"+regionNames[region], r.fixture.appAddresses(region))
-	if kind == harmfulConfig {
-		app = serverList("failing", []string{r.failingServer.addr})
+	if k == harmful {
+		app = list("failing", []string{r.failing.Addr})
 	}
-	return strings.NewReplacer(
-		"@instances", strconv.Itoa(r.nodes()),
-		"@gold", strconv.Itoa(gold),
-		"@silver", strconv.Itoa(silver),
-		"@app", app,
-		"@customers", r.customersPath(),
-		"@here", serverList("here-"+regionNames[region], []string{r.fixture.poolAddress(region)}),
-		"@others", peers.String(),
-		"@gather", gather,
-		"@routes", routes,
-	).Replace(template)
+	fmt.Fprint(&servers, otherServices.String())
+	return strings.NewReplacer("@instances", strconv.Itoa(r.nodes()), "@gold", strconv.Itoa(gold), "@silver", strconv.Itoa(silver),
+		"@app", app, "@customers", r.customersFile(), "@here", list("here-"+regionNames[region], []string{r.fixture.pool(region)}),
+		"@others", servers.String(), "@gather", gather, "@routes", routes).Replace(template)
 }
 
-// serverList returns static servers as items of a TOML list. Their UIDs start with a name.
-func serverList(name string, addresses []string) string {
-	var servers []string
-	for i, address := range addresses {
-		servers = append(servers, fmt.Sprintf("{ uid = \"%s-%d\", endpoint = %q }", name, i, address))
+func list(name string, addrs []string) string {
+	var all []string
+	for i, a := range addrs {
+		all = append(all, fmt.Sprintf("{ uid = \"%s-%d\", endpoint = %q }", name, i, a))
 	}
-	return strings.Join(servers, ", ")
+	return strings.Join(all, ", ")
 }
 
-func (r *run) customersPath() string { return filepath.Join(r.options.Dir, "customers.csv") }
-
-// fleetWaivers lets the change move the route "list" of all regions to another service.
-const fleetWaivers = "[[waivers]]\nkind = \"service\"\nregions = [\"north\", \"south\", \"east\"]\nrules = [\"list\", \"list-part\"]\n" +
-	"reason = \"the list is gathered from this change on\"\nuntil = 2099-12-31\n"
+func (r *run) customersFile() string { return filepath.Join(r.options.Dir, "customers.csv") }
 
-// writeFleet writes a fleet file and its regions' configurations into a directory of a name.
-func (r *run) writeFleet(name string, kind configKind) (config fleetConfig, err error) {
+// writeFleetFile writes a fleet file with its regions' settings, and returns its path and their hashes.
+func (r *run) writeFleetFile(name string, k kind) (path string, hashes []string, err error) {
 	dir := filepath.Join(r.options.Dir, name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return config, fmt.Errorf("a trial: %w", err)
+		return "", nil, fmt.Errorf("a trial: %w", err)
 	}
 	var file strings.Builder
 	for i, region := range regionNames {
-		text := r.regionConfig(i, kind)
-		config.hashes = append(config.hashes, desiredstate.Hash([]byte(text)))
+		text := r.settingsText(i, k)
+		hashes = append(hashes, desiredstate.Hash([]byte(text)))
 		if err := os.WriteFile(filepath.Join(dir, region+".toml"), []byte(text), 0o600); err != nil {
-			return config, fmt.Errorf("a trial: %w", err)
+			return "", nil, fmt.Errorf("a trial: %w", err)
 		}
 		var members []string
 		for n := range r.options.NodesPerRegion {
-			members = append(members, strconv.Quote(r.fixture.controlLink(i*r.options.NodesPerRegion+n).Addr()))
+			members = append(members, strconv.Quote(r.fixture.control(i*r.options.NodesPerRegion+n).Addr()))
 		}
-		listeners := r.fixture.entryAddresses(i)
 		fmt.Fprintf(&file, "[regions.%s]\nconfig = %q\nlisteners = [%q, %q]\nmembers = [%s]\nzone = %q\n", region, region+".toml",
-			listeners[0], listeners[1], strings.Join(members, ", "), region)
+			r.fixture.entry(i)[0], r.fixture.entry(i)[1], strings.Join(members, ", "), region)
 	}
-	file.WriteString(fleetWaivers)
-	config.file = filepath.Join(dir, "fleet.toml")
-	if err := os.WriteFile(config.file, []byte(file.String()), 0o600); err != nil {
-		return config, fmt.Errorf("a trial: %w", err)
+	file.WriteString("[[waivers]]\nkind = \"service\"\nregions = [\"north\", \"south\", \"east\"]\nrules = [\"list\", \"list-part\"]\n" +
+		"reason = \"the list is gathered from this change on\"\nuntil = 2099-12-31\n")
+	path = filepath.Join(dir, "fleet.toml")
+	if err := os.WriteFile(path, []byte(file.String()), 0o600); err != nil {
+		return "", nil, fmt.Errorf("a trial: %w", err)
 	}
-	return config, nil
+	return path, hashes, nil
 }
--- a/internal/trials/regiontrial/fixture.go
+++ b/internal/trials/regiontrial/fixture.go
@@ -13,224 +13,218 @@
 	"lockflow/internal/trials/faultnet"
 	"lockflow/internal/trials/faultnet/process"
 	"lockflow/internal/trials/faultnet/script"
+	"lockflow/internal/trials/faultnet/traffic"
 )
 
-// deadAddress is an address on which nobody listens.
-const deadAddress = "127.0.0.1:1"
+// unusedAddr is an address without a listener.
+const unusedAddr = "127.0.0.1:1"
 
-// maxLogTail is how many bytes of a node's log an error quotes.
-const maxLogTail = 600
+// perRegion is how many links a region has: two to its listeners for other regions, two to its app's
+// servers, one to its pool. Those of nodes come first: to each, its clients' and its control socket's.
+const perRegion = 5
 
-// fixture is the links and the processes of a trial, and the faults in force.
-type fixture struct {
-	nodesPerRegion int
-	dir            string
-	links          []*faultnet.Link
-	processes      []*faultnet.Process
+// Links returns the number of links of a trial with each nodes a region.
+func Links(each int) int { return regionCount * (2*each + perRegion) }
 
-	starts sync.WaitGroup // of processes that were killed
-	mu     sync.Mutex
-	faults []clientFaults // by node
-	kills  int
-}
-
-// clientFaults is the faults that the clients of one node can observe.
-type clientFaults struct {
-	active  int
-	lastEnd time.Time
+// Place returns a description of a link.
+func Place(each, n int) string {
+	nodes := regionCount * each
+	if n < 2*nodes {
+		return []string{"clients to ", "coordinators to "}[n%2] + member(n/2)
+	}
+	n -= 2 * nodes
+	region, at := regionNames[n/perRegion], n%perRegion
+	return [...]string{
+		"regions to the first listener of ", "regions to the second listener of ", region + " to app 0 of ", region + " to app 1 of ",
+		region + " to the pool of ",
+	}[at] + region
 }
 
-func (f *fixture) nodes() int { return regionCount * f.nodesPerRegion }
+func member(i int) string { return fmt.Sprint("node-", i) }
 
-func (f *fixture) clientLink(node int) *faultnet.Link {
-	return f.links[linksPerNode*node+clientLinkIndex]
-}
+// fixture has the links and processes of a trial, and the faults that clients may have met.
+type fixture struct {
+	each  int
+	dir   string
+	links []*faultnet.Link
+	procs []*faultnet.Process
 
-func (f *fixture) controlLink(node int) *faultnet.Link {
-	return f.links[linksPerNode*node+controlLinkIndex]
+	starts sync.WaitGroup
+	faults traffic.Faults[int] // by the node whose clients they affect
+	mu     sync.Mutex
+	kills  int
 }
 
-func (f *fixture) regionLink(region, index int) *faultnet.Link {
-	return f.links[linksPerNode*f.nodes()+region*linksPerRegion+index]
+func (g *fixture) client(node int) *faultnet.Link  { return g.links[2*node] }
+func (g *fixture) control(node int) *faultnet.Link { return g.links[2*node+1] }
+func (g *fixture) regionLink(region, at int) *faultnet.Link {
+	return g.links[regionCount*2*g.each+region*perRegion+at]
 }
 
-func (f *fixture) entryAddresses(region int) []string {
-	return []string{f.regionLink(region, firstEntryLink).Addr(), f.regionLink(region, secondEntryLink).Addr()}
+func (g *fixture) entry(region int) []string {
+	return []string{g.regionLink(region, 0).Addr(), g.regionLink(region, 1).Addr()}
 }
 
-func (f *fixture) appAddresses(region int) []string {
-	return []string{f.regionLink(region, firstAppLink).Addr(), f.regionLink(region, secondAppLink).Addr()}
+func (g *fixture) apps(region int) []string {
+	return []string{g.regionLink(region, 2).Addr(), g.regionLink(region, 3).Addr()}
 }
+func (g *fixture) pool(region int) string { return g.regionLink(region, 4).Addr() }
 
-func (f *fixture) poolAddress(region int) string { return f.regionLink(region, poolLink).Addr() }
+func (g *fixture) socket(i int) string { return filepath.Join(g.dir, strconv.Itoa(i), "c.sock") }
+func (g *fixture) file(i int) string   { return filepath.Join(g.dir, strconv.Itoa(i), "lockflow.toml") }
 
-func (f *fixture) nodeDir(node int) string    { return filepath.Join(f.dir, strconv.Itoa(node)) }
-func (f *fixture) socketPath(node int) string { return filepath.Join(f.nodeDir(node), "c.sock") }
-func (f *fixture) configPath(node int) string { return filepath.Join(f.nodeDir(node), "lockflow.toml") }
-
-// routeTo points the links to a node at an address: that of its clients, and those of other regions if it is
-// one of its region's entry nodes.
-func (f *fixture) routeTo(node int, address string) {
-	f.clientLink(node).To(address)
-	if index := node % f.nodesPerRegion; index < entryNodes {
-		f.regionLink(node/f.nodesPerRegion, firstEntryLink+index).To(address)
+// redirectLinks leads a process's links to its address: its clients', and other regions' if it is one of the first.
+func (g *fixture) redirectLinks(i int, addr string) {
+	g.client(i).To(addr)
+	if at := i % g.each; at < 2 {
+		g.regionLink(i/g.each, at).To(addr)
 	}
-	if f.nodesPerRegion == 1 {
-		f.regionLink(node, secondEntryLink).To(address)
+	if g.each == 1 {
+		g.regionLink(i, 1).To(addr)
 	}
 }
 
-// regionFakes is the addresses of a region's fake servers.
-type regionFakes struct{ firstApp, secondApp, pool string }
-
-// openLinks opens the links, those of each region to its fake servers.
-func (f *fixture) openLinks(fakes []regionFakes) error {
-	var targets []string
-	for node := range f.nodes() {
-		if err := os.MkdirAll(filepath.Join(f.nodeDir(node), "state"), 0o700); err != nil {
+// openLinks opens the links, to the fake servers of each region: two apps and a pool.
+func (g *fixture) openLinks(servers [][3]string) error {
+	var to []string
+	for i := range regionCount * g.each {
+		if err := os.MkdirAll(filepath.Join(g.dir, strconv.Itoa(i), "state"), 0o700); err != nil {
 			return fmt.Errorf("a trial: %w", err)
 		}
-		targets = append(targets, deadAddress, f.socketPath(node))
+		to = append(to, unusedAddr, g.socket(i))
 	}
-	for _, region := range fakes {
-		targets = append(targets, deadAddress, deadAddress, region.firstApp, region.secondApp, region.pool)
+	for _, s := range servers {
+		to = append(to, unusedAddr, unusedAddr, s[0], s[1], s[2])
 	}
-	for _, target := range targets {
-		link, err := faultnet.Listen(target)
+	for _, addr := range to {
+		l, err := faultnet.Listen(addr)
 		if err != nil {
 			return err
 		}
-		f.links = append(f.links, link)
+		g.links = append(g.links, l)
 	}
-	f.faults = make([]clientFaults, f.nodes())
 	return nil
 }
 
-// startNodes starts all processes and waits until they are ready.
-func (f *fixture) startNodes(ctx context.Context, program string) error {
-	for node := range f.nodes() {
-		dir := f.nodeDir(node)
+// start starts all processes and waits until they are ready.
+func (g *fixture) start(ctx context.Context, program string) error {
+	for i := range regionCount * g.each {
+		dir := filepath.Join(g.dir, strconv.Itoa(i))
 		state := filepath.Join(dir, "state")
-		f.processes = append(f.processes, &process.Process{
-			Path: program, Log: filepath.Join(dir, "log"), State: state,
-			Args: []string{"serve", "--config", f.configPath(node), "--control", f.socketPath(node), "--state", state},
-		})
-		if err := f.processes[node].Start(); err != nil {
+		g.procs = append(g.procs, &process.Process{Path: program, Log: filepath.Join(dir, "log"), State: state, Args: []string{
+			"serve", "--config", g.file(i),
+			"--control", g.socket(i), "--state", state,
+		}})
+		if err := g.procs[i].Start(); err != nil {
 			return err
 		}
 	}
-	for node := range f.processes {
-		if err := f.awaitReady(ctx, node); err != nil {
+	for i := range g.procs {
+		if err := g.awaitReady(ctx, i); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (f *fixture) close() {
-	for _, p := range f.processes {
-		_ = p.Kill() // fails for one that has ended
+func (g *fixture) close() {
+	for _, p := range g.procs {
+		_ = p.Kill() // it may have ended already
 	}
-	for _, link := range f.links {
-		_ = link.Close() // the trial is over
+	for _, l := range g.links {
+		_ = l.Close() // the trial is over
 	}
 }
 
-// awaitReady waits until a node's process is ready, and points the links at its listener.
-func (f *fixture) awaitReady(ctx context.Context, node int) error {
+// awaitReady waits until a process is ready, and leads its links to its listener.
+func (g *fixture) awaitReady(ctx context.Context, i int) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for {
-		status, err := manage.Client{Path: f.socketPath(node)}.Status(ctx)
-		isCurrent := err == nil && status.PID == f.processes[node].PID()
-		if isCurrent && status.IsReady() && len(status.Listeners) > 0 {
-			f.routeTo(node, status.Listeners[0])
+		s, err := manage.Client{Path: g.socket(i)}.Status(ctx)
+		if err == nil && s.PID == g.procs[i].PID() && s.IsReady() && len(s.Listeners) > 0 {
+			g.redirectLinks(i, s.Listeners[0])
 			return nil
 		}
-		if !f.processes[node].Runs() {
-			return fmt.Errorf("%s has ended: %w; %s", memberName(node), f.processes[node].Wait(), f.logTail(node))
+		if !g.procs[i].Runs() {
+			return fmt.Errorf("%s has ended: %w; %s", member(i), g.procs[i].Wait(), g.tail(i))
 		}
 		select {
-		case <-time.After(readyPollInterval):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
-			return fmt.Errorf("%s is not up: %w, %w; %s", memberName(node), ctx.Err(), err, f.logTail(node))
+			return fmt.Errorf("%s is not up: %w, %w; %s", member(i), ctx.Err(), err, g.tail(i))
 		}
 	}
 }
 
-// logTail returns the end of a node's log.
-func (f *fixture) logTail(node int) string {
-	log, err := os.ReadFile(f.processes[node].Log)
+// tail returns the end of a node's log.
+func (g *fixture) tail(i int) string {
+	raw, err := os.ReadFile(g.procs[i].Log)
 	if err != nil {
 		return err.Error()
 	}
-	return "its log ends with: " + string(log[max(len(log)-maxLogTail, 0):])
+	return "its log ends with: " + string(raw[max(len(raw)-600, 0):])
 }
 
-// affectedNode returns the node whose clients can observe a fault.
-func (f *fixture) affectedNode(e script.Entry) (node int, ok bool) {
+// affectedNode returns the node whose clients a fault affects.
+func (g *fixture) affectedNode(e script.Entry) (node int, ok bool) {
 	if e.Kind.OfLink() {
-		isClientLink := e.On < linksPerNode*len(f.processes) && e.On%linksPerNode == clientLinkIndex
-		return e.On / linksPerNode, isClientLink
+		return e.On / 2, e.On < 2*len(g.procs) && e.On%2 == 0
 	}
 	return e.On, e.Kind == script.Kill || e.Kind == script.Pause
 }
 
-// recordBegins records the faults of a step before they start, so that a client that observes one finds it
-// recorded.
-func (f *fixture) recordBegins(step script.Step) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, e := range step.Begins {
-		if node, ok := f.affectedNode(e); ok {
-			f.faults[node].active++
+// beforeStep records faults before they begin, so that clients that meet one find it recorded.
+func (g *fixture) beforeStep(st script.Step) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for _, e := range st.Begins {
+		if i, ok := g.affectedNode(e); ok {
+			g.faults.Begin(i)
 		}
 		if e.Kind == script.Kill {
-			f.kills++
+			g.kills++
 		}
 	}
 }
 
-// recordEnds records the end of a step's faults: that of a kill when the new process is ready for clients.
-func (f *fixture) recordEnds(event faultnet.Event, reportViolation func(string, ...any)) {
-	for _, e := range event.Step.Begins {
+// afterStep records the end of faults: that of a kill when clients can reach the new process.
+func (g *fixture) afterStep(ev faultnet.Event, wrong func(string, ...any)) {
+	for _, e := range ev.Step.Begins {
 		if e.Kind == script.Kill {
-			f.routeTo(e.On, deadAddress) // the port may be another process's by now
+			g.redirectLinks(e.On, unusedAddr) // the port may be another's by now
 		}
 	}
-	for _, e := range event.Step.Ends {
-		node, ok := f.affectedNode(e)
+	for _, e := range ev.Step.Ends {
+		i, ok := g.affectedNode(e)
 		if !ok {
 			continue
 		}
-		if e.Kind != script.Kill || !f.processes[node].Runs() {
-			f.endFault(node)
+		if e.Kind != script.Kill || !g.procs[i].Runs() {
+			g.faults.End(i)
 			continue
 		}
-		f.starts.Go(func() {
+		g.starts.Go(func() {
 			// If it is killed again meanwhile, the start after that counts.
-			starts := f.processes[node].Starts()
-			err := f.awaitReady(context.Background(), node)
-			if err != nil && f.processes[node].Runs() && f.processes[node].Starts() == starts {
-				reportViolation("%v", err)
+			starts := g.procs[i].Starts()
+			if err := g.awaitReady(context.Background(), i); err != nil && g.procs[i].Runs() && g.procs[i].Starts() == starts {
+				wrong("%v", err)
 			}
-			f.endFault(node)
+			g.faults.End(i)
 		})
 	}
 }
 
-func (f *fixture) endFault(node int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.faults[node].active--
-	f.faults[node].lastEnd = time.Now()
+// isClientFaultPossible tells whether a fault of the link to a node's clients or of its process may have
+// affected a connection since a time.
+func (g *fixture) isClientFaultPossible(node int, since time.Time) bool {
+	return g.faults.IsPossible(node, since)
 }
 
-// isExcused tells whether a fault of a node or of its clients' link explains a failure of a connection that
-// was opened at a time.
-func (f *fixture) isExcused(node int, since time.Time) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	faults := f.faults[node]
-	return faults.active > 0 || faults.lastEnd.After(since)
+// Draw draws a script for a trial with each nodes a region.
+func Draw(seed uint64, each, faults int, duration time.Duration) faultnet.Script {
+	return faultnet.Draw(seed, faultnet.Spec{
+		Links: Links(each), Procs: regionCount * each, For: duration, Faults: faults,
+		ProcKinds: []script.Kind{script.Kill, script.Pause, script.Full, script.ReadOnly},
+	})
 }
--- a/internal/trials/regiontrial/trial.go
+++ b/internal/trials/regiontrial/trial.go
@@ -1,6 +1,6 @@
-// Package regiontrial tries a staged change over three regions of real processes that gather from each
-// other. Clients send requests, faults occur on all links and processes, and coordinators are killed. What
-// was observed is checked against the rules that hold whatever happens.
+// Package regiontrial rolls a staged change out over three regions of real processes that send
+// scatter-gather queries to each other, with clients at work and faults on every link between them. It kills
+// the change's coordinators and checks the observations against rules that hold under any fault.
 package regiontrial
 
 import (
@@ -8,238 +8,444 @@
 	"errors"
 	"fmt"
 	"math/rand/v2"
-	"net/http"
 	"os"
 	"slices"
+	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"lockflow/internal/fleetfile"
+	"lockflow/internal/manage"
 	"lockflow/internal/regions"
 	"lockflow/internal/trials/faultnet"
 	"lockflow/internal/trials/faultnet/history"
+	"lockflow/internal/trials/faultnet/traffic"
 )
 
-// Options configure a trial.
+// Options are the options of a trial.
 type Options struct {
-	Program        string // absolute path of the node's program
-	Dir            string // for the nodes' files; its path is short, and it is empty
-	NodesPerRegion int
-	Clients        int // of each node
+	Program        string // absolute
+	Dir            string // for the nodes' files; short and empty
+	NodesPerRegion int    // nodes of each of the three regions
+	Clients        int    // of each node
 	Script         faultnet.Script
-	Bake           time.Duration // of each stage of the harmful change
+	Bake           time.Duration // of a stage of the harmful change
 }
 
-// Timeouts and intervals of a trial. No timeout is expected to expire.
+// Report is the result of one script.
+type Report struct {
+	Seed               uint64        `json:"seed"`
+	Faults             int           `json:"faults"`
+	Kills              int           `json:"kills"` // of nodes
+	KilledCoordinators int           `json:"coordinators_killed"`
+	ExitCodes          []int         `json:"runs"`      // exit codes of coordinators under faults; -1 is killed
+	ExtraCoordinators  int           `json:"again"`     // coordinators that were started after all faults had ended
+	Phases             int           `json:"phases"`    // of the change
+	Changed            bool          `json:"changed"`   // all members ran the new settings when the faults ended
+	Decisions          int           `json:"decisions"` // logged by all coordinators
+	Epochs             int           `json:"epochs"`    // granted by some member
+	Orders             int           `json:"orders"`    // started by members
+	Requests           int           `json:"requests"`
+	Served             int           `json:"served"`
+	Broken             int           `json:"broken"`   // without an answer because of a fault
+	Gathered           int           `json:"gathered"` // answers of queries
+	Partial            int           `json:"partial"`  // of them, with a missing part
+	Effects            int           `json:"effects"`
+	Metered            int           `json:"metered"` // requests of customers with a hard limit that fake servers received
+	MaxExcess          float64       `json:"beyond"`  // largest excess over the hard limit, in requests
+	StatusReads        int           `json:"looks"`
+	HarmedRequests     int           `json:"harmed"`         // requests that the harmful change failed
+	HarmedMembers      int           `json:"harmed_at"`      // members that ran it
+	RollbackDuration   time.Duration `json:"harmed_took_ns"` // until it was stopped and rolled back
+	Duration           time.Duration `json:"took_ns"`
+	Wrong              []string      `json:"wrong"`
+}
+
+// Timeouts, intervals and limits of a trial.
 const (
-	startTimeout      = 40 * time.Second
-	recoveryTimeout   = 40 * time.Second
-	changeTimeout     = 4 * time.Minute
-	readyPollInterval = 2 * time.Millisecond
-	statusInterval    = 10 * time.Millisecond
-	statusTimeout     = 2 * time.Second
-	retryInterval     = 50 * time.Millisecond
+	startTimeout    = 40 * time.Second
+	recoveryTimeout = 40 * time.Second
+	changeTimeout   = 4 * time.Minute
+	pollInterval    = 2 * time.Millisecond
+	statusInterval  = 10 * time.Millisecond
+	statusTimeout   = 2 * time.Second
+	retryInterval   = 50 * time.Millisecond
+	maxStatusReads  = 500_000
 )
 
-// maxStatusReads bounds the status reads that are recorded.
-const maxStatusReads = 500_000
-
-// coordinatorSeed separates the random numbers of the coordinators' kills from the script's.
-const coordinatorSeed = 0xa70ce
-
-// run is one trial.
+// run is the state of a running trial.
 type run struct {
-	options       Options
-	fixture       *fixture
-	exchanges     *history.Exchanges
-	limited       limitedRequests
-	fakes         []*fakeServer
-	failingServer *fakeServer
-	effects       sync.Map    // IDs of writes that had their effect
-	isHarmRunning atomic.Bool // the harmful change has started
-	rng           *rand.Rand
-	startedAt     time.Time
-	configs       map[configKind]fleetConfig
-
-	mu                 sync.Mutex
-	statusCounts       map[int]int // of final answers
-	gatherResults      int
-	partialResults     int
-	failedByHarm       int
-	decisions          int
-	coordinatorsKilled int
-	generations        map[string][]string // hashes in the order of the change, by member
-	statusReads        []StatusRead
+	options               Options
+	fixture               *fixture
+	notes                 *history.Exchanges
+	sent                  forwardedRequests
+	servers               []*traffic.Server
+	failing               *traffic.Server
+	effects               sync.Map // ids of writes whose effect happened
+	isHarmfulChangeActive atomic.Bool
+	rng                   *rand.Rand
+	began                 time.Time
+
+	mu                  sync.Mutex
+	status              map[int]int // of answers
+	gathered            int
+	partial             int
+	harmed              int
+	decisions           int
+	coordinatorsKilled  int
+	generationsByMember map[string][]string // of the change, by member
+	statusReads         []StatusRead
 }
 
 func (r *run) nodes() int { return regionCount * r.options.NodesPerRegion }
 
-// Run runs a trial. It returns an error where the trial could not be run; violations are in the report.
+// Run runs a trial of one script. It returns an error if the trial could not be run; violated rules are in
+// the report.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	r := &run{
-		options:      o,
-		fixture:      &fixture{nodesPerRegion: o.NodesPerRegion, dir: o.Dir},
-		exchanges:    &history.Exchanges{},
-		rng:          rand.New(rand.NewPCG(o.Script.Seed, coordinatorSeed)),
-		startedAt:    time.Now(),
-		configs:      make(map[configKind]fleetConfig),
-		statusCounts: make(map[int]int),
-		generations:  make(map[string][]string),
+		options: o, fixture: &fixture{each: o.NodesPerRegion, dir: o.Dir}, notes: &history.Exchanges{}, status: make(map[int]int), generationsByMember: make(map[string][]string),
+		rng: rand.New(rand.NewPCG(o.Script.Seed, 0xa70ce)), began: time.Now(),
 	}
 	player, err := faultnet.NewPlayer(o.Script, make([]*faultnet.Link, Links(o.NodesPerRegion)), make([]*faultnet.Process, r.nodes()))
 	if err != nil {
 		return nil, err
 	}
 	defer r.close()
-	if err := r.setUp(ctx); err != nil {
+	rep := &Report{Seed: o.Script.Seed, Faults: len(o.Script.Entries)}
+	hashes, files, err := r.start(ctx)
+	if err != nil {
 		return nil, err
 	}
-	player.Links = r.fixture.links
-	player.Procs = r.fixture.processes
-	player.Before = r.fixture.recordBegins
-	player.Done = func(event faultnet.Event) { r.fixture.recordEnds(event, r.exchanges.Wrong) }
+	player.Links, player.Procs, player.Before = r.fixture.links, r.fixture.procs, r.fixture.beforeStep
+	player.Done = func(ev faultnet.Event) { r.fixture.afterStep(ev, r.notes.Wrong) }
 
-	stopWork := r.startWork(ctx)
-	report := &Report{Seed: o.Script.Seed, Faults: len(o.Script.Entries)}
-	err = r.changeUnderFaults(ctx, player, report)
+	working, stop := context.WithCancel(ctx)
+	defer stop()
+	var all sync.WaitGroup
+	for i := range r.nodes() {
+		for n := range o.Clients {
+			c := r.client(i, n)
+			all.Go(func() { c.work(working) })
+		}
+		all.Go(func() { r.readStatus(working, i) })
+	}
+	err = r.underFaults(ctx, player, rep, hashes, files)
 	if err == nil {
-		err = r.finishChange(ctx, report)
+		err = r.afterFaults(ctx, rep, hashes, files)
 	}
-	stopWork()
-	if err = errors.Join(err, ctx.Err()); err != nil { // a trial that was cut short shows nothing
+	stop()
+	all.Wait()
+	if err = errors.Join(err, ctx.Err()); err != nil { // an interrupted trial proves nothing
 		return nil, err
 	}
-	r.fillReport(report)
-	return report, nil
+	r.judge(rep)
+	return rep, nil
 }
 
-// startWork starts the clients and the reads of statuses. The function that it returns ends them.
-func (r *run) startWork(ctx context.Context) (stop func()) {
-	ctx, cancel := context.WithCancel(ctx)
-	var work sync.WaitGroup
-	for node := range r.nodes() {
-		for n := range r.options.Clients {
-			c := r.client(node, n)
-			work.Go(func() { c.sendUntilDone(ctx) })
+// start starts all servers and nodes with the old settings, and writes the fleet files.
+func (r *run) start(ctx context.Context) (hashes map[kind][]string, files map[kind]string, err error) {
+	var addresses [][3]string
+	for _, name := range regionNames {
+		var addrs [3]string
+		for n, handle := range []func(string) (*traffic.Server, error){
+			func(name string) (*traffic.Server, error) { return startServer(r.notes, r.app(name)) },
+			func(name string) (*traffic.Server, error) { return startServer(r.notes, r.app(name)) },
+			func(name string) (*traffic.Server, error) { return startServer(r.notes, r.pool(name)) },
+		} {
+			s, err := handle(name)
+			if err != nil {
+				return nil, nil, err
+			}
+			r.servers, addrs[n] = append(r.servers, s), s.Addr
 		}
-		work.Go(func() { r.readStatuses(ctx, node) })
+		addresses = append(addresses, addrs)
 	}
-	return func() {
-		cancel()
-		work.Wait()
+	if r.failing, err = startServer(r.notes, fails); err != nil {
+		return nil, nil, err
+	}
+	r.servers = append(r.servers, r.failing)
+	if err := r.fixture.openLinks(addresses); err != nil {
+		return nil, nil, err
+	}
+	if err := os.WriteFile(r.customersFile(), []byte("gold-1,gold\nsilver-1,silver\n"), 0o600); err != nil {
+		return nil, nil, fmt.Errorf("a trial: %w", err)
+	}
+	hashes, files = make(map[kind][]string), make(map[kind]string)
+	for k, name := range map[kind]string{before: "before", after: "after", conflicting: "conflicting", harmful: "harmful"} {
+		if files[k], hashes[k], err = r.writeFleetFile(name, k); err != nil {
+			return nil, nil, err
+		}
+	}
+	for k := range files {
+		f, err := fleetfile.Load(files[k])
+		if err != nil {
+			return nil, nil, err
+		}
+		found := slices.DeleteFunc(f.Waive(regions.Check(f.Regions()), time.Now()), func(c regions.Conflict) bool { return c.Severity != regions.Error })
+		if (len(found) > 0) != (k == conflicting) {
+			r.notes.Wrong("%s: %d conflicts: %+v", files[k], len(found), found)
+		}
+	}
+	for i := range r.nodes() {
+		r.notes.WantGeneration(hashes[before][i/r.options.NodesPerRegion])
+		if err := os.WriteFile(r.fixture.file(i), []byte(r.settingsText(i/r.options.NodesPerRegion, before)), 0o600); err != nil {
+			return nil, nil, fmt.Errorf("a trial: %w", err)
+		}
 	}
+	r.sent.started = time.Now()
+	if err := r.fixture.start(ctx, r.options.Program); err != nil {
+		return nil, nil, err
+	}
+	return hashes, files, r.awaitServing(ctx)
 }
 
-// setUp starts fake servers and nodes with the old settings, writes all fleet files, and waits until all
-// nodes serve.
-func (r *run) setUp(ctx context.Context) error {
-	fakes, err := r.startFakes()
-	if err != nil {
-		return err
-	}
-	if err := r.fixture.openLinks(fakes); err != nil {
-		return err
+func (r *run) close() {
+	r.fixture.close()
+	for _, s := range r.servers {
+		s.Close()
 	}
-	if err := os.WriteFile(r.customersPath(), []byte("gold-1,gold\nsilver-1,silver\n"), 0o600); err != nil {
-		return fmt.Errorf("a trial: %w", err)
+}
+
+// underFaults checks that the conflicting change is rejected and rolls the valid one out while the script
+// runs. The coordinator is killed twice; in between another one, with a rollout log of its own, is killed too.
+func (r *run) underFaults(ctx context.Context, player *faultnet.Player, rep *Report, hashes map[kind][]string, files map[kind]string) error {
+	// The intermediate settings are known once they are in a rollout log, before any command is sent.
+	for _, h := range hashes[after] {
+		r.notes.WantGeneration(h)
 	}
-	for name, kind := range configKinds {
-		if r.configs[kind], err = r.writeFleet(name, kind); err != nil {
+	played := make(chan error, 1)
+	go func() {
+		_, err := player.Play(ctx)
+		played <- err
+	}()
+	err := func() error {
+		if err := r.expectRejection(ctx, files[conflicting]); err != nil {
 			return err
 		}
-	}
-	for kind, config := range r.configs {
-		if err := r.checkConflicts(kind, config.file); err != nil {
+		soft := []string{"--unjudged", "--bake", "100ms", "--bake-most", "5s"}
+		e, err := r.startChange(ctx, files[after], 2+r.rng.IntN(12), soft...)
+		if err != nil {
 			return err
 		}
-	}
-	for node := range r.nodes() {
-		region := node / r.options.NodesPerRegion
-		r.exchanges.WantGeneration(r.configs[oldConfig].hashes[region])
-		if err := os.WriteFile(r.fixture.configPath(node), []byte(r.regionConfig(region, oldConfig)), 0o600); err != nil {
-			return fmt.Errorf("a trial: %w", err)
+		rep.ExitCodes = append(rep.ExitCodes, e.exitCode)
+		second := r.flags(files[after], "second", soft...)
+		for _, step := range []struct {
+			kill int
+			args []string
+		}{{2 + r.rng.IntN(12), second}, {2 + r.rng.IntN(16), r.flags(files[after], "journal", "--resume")}, {0, r.flags(files[after], "journal", "--resume")}} {
+			if e, err = r.runCoordinator(ctx, step.kill, step.args...); err != nil {
+				return err
+			}
+			rep.ExitCodes = append(rep.ExitCodes, e.exitCode)
+			if e.exitCode != exitCompleted && e.exitCode != exitRolledBack && e.exitCode != exitUndecided && e.exitCode != exitKilled {
+				r.notes.Wrong("a coordinator: exit %d: %s", e.exitCode, e.output)
+			}
 		}
+		return nil
+	}()
+	if playErr := <-played; err == nil && playErr != nil {
+		err = fmt.Errorf("carrying the script out: %w", playErr)
 	}
-	r.limited.startedAt = time.Now()
-	if err := r.fixture.startNodes(ctx, r.options.Program); err != nil {
-		return err
+	r.fixture.starts.Wait()
+	for _, name := range []string{"journal", "second"} {
+		err = errors.Join(err, r.noteGenerations(name))
 	}
-	return r.awaitServing(ctx)
+	return err
 }
 
-// startFakes starts the fake servers and returns those of each region.
-func (r *run) startFakes() ([]regionFakes, error) {
-	var all []regionFakes
-	for _, name := range regionNames {
-		var addresses []string
-		for _, handler := range []func(string) http.HandlerFunc{r.appHandler, r.appHandler, r.poolHandler} {
-			server, err := startServer(r.exchanges, handler(name))
-			if err != nil {
-				return nil, err
+// afterFaults checks the end of the change, completes it if necessary, and runs a harmful change.
+func (r *run) afterFaults(ctx context.Context, rep *Report, hashes map[kind][]string, files map[kind]string) error {
+	if err := r.awaitServing(ctx); err != nil {
+		r.notes.Wrong("%v", err)
+		return ctx.Err()
+	}
+	var outputs []string
+	last := rep.ExitCodes[len(rep.ExitCodes)-1]
+	for tries := 0; ; tries++ {
+		k, isUniform, description := r.fleetState(ctx, hashes)
+		if isUniform && (k == before || k == after) && (tries > 0 || last != exitUndecided) {
+			rep.Changed, rep.ExtraCoordinators = k == after, tries
+			if tries == 0 && last == exitCompleted && !rep.Changed {
+				r.notes.Wrong("the change ended with %v, and all run the old settings", rep.ExitCodes)
 			}
-			r.fakes = append(r.fakes, server)
-			addresses = append(addresses, server.addr)
+			break
+		}
+		if tries == 0 && last != exitUndecided {
+			r.notes.Wrong("the change ended with %v, and members run different settings:%s", rep.ExitCodes, description)
+		}
+		if tries == 4 {
+			r.notes.Wrong("the members do not all come to one state:%s; %s", description, strings.Join(outputs, "\n"))
+			return nil
+		}
+		// A member that the second coordinator left at one of its own generations runs settings that the first
+		// one's rollout log doesn't have: the first one ends undecided, and the second one's log rolls it back.
+		recovery := [][]string{{"journal", "--resume"}, {"second", "--take-back"}, {"journal", "--resume"}, {"journal", "--take-back"}}[tries]
+		what, err := r.resumeChange(ctx, files[after], recovery[0], recovery[1])
+		if err != nil {
+			return err
 		}
-		all = append(all, regionFakes{firstApp: addresses[0], secondApp: addresses[1], pool: addresses[2]})
+		outputs = append(outputs, what)
 	}
-	var err error
-	if r.failingServer, err = startServer(r.exchanges, failAll); err != nil {
-		return nil, err
+	if !rep.Changed {
+		if changed, err := r.changeWithoutFaults(ctx, hashes, files); err != nil || !changed {
+			return err
+		}
 	}
-	r.fakes = append(r.fakes, r.failingServer)
-	return all, nil
+	return r.runHarmfulChange(ctx, rep, hashes, files)
 }
 
-// checkConflicts checks that the regions of a fleet file conflict only in the kind that is meant to.
-func (r *run) checkConflicts(kind configKind, file string) error {
-	fleet, err := fleetfile.Load(file)
-	if err != nil {
-		return err
+// resumeChange runs a coordinator with a flag for the change of a rollout log, if it has one, and returns a
+// description of the outcome.
+func (r *run) resumeChange(ctx context.Context, file, journal, flag string) (description string, err error) {
+	if c, err := r.readRolloutLog(journal); err != nil || c == nil {
+		return fmt.Sprintf("%s: no change was started, %v", journal, err), nil
 	}
-	conflicts := fleet.Waive(regions.Check(fleet.Regions()), time.Now())
-	conflicts = slices.DeleteFunc(conflicts, func(c regions.Conflict) bool { return c.Severity != regions.Error })
-	if (len(conflicts) > 0) != (kind == conflictingConfig) {
-		r.exchanges.Wrong("%s: %d conflicts: %+v", file, len(conflicts), conflicts)
+	e, err := r.runCoordinator(ctx, 0, r.flags(file, journal, flag)...)
+	if err != nil {
+		return "", err
 	}
-	return nil
+	return fmt.Sprintf("%s %s: exit %d: %s", journal, flag, e.exitCode, e.output[max(len(e.output)-1500, 0):]), nil
 }
 
-func (r *run) close() {
-	r.fixture.close()
-	for _, server := range r.fakes {
-		server.close()
+// changeWithoutFaults rolls the change out without faults.
+func (r *run) changeWithoutFaults(ctx context.Context, hashes map[kind][]string, files map[kind]string) (changed bool, err error) {
+	e, err := r.runCoordinator(ctx, 0, r.flags(files[after], "journal", "--unjudged", "--bake", "100ms", "--bake-most", "5s")...)
+	if err != nil {
+		return false, err
 	}
+	if err := r.noteGenerations("journal"); err != nil {
+		return false, err
+	}
+	if k, isUniform, description := r.fleetState(ctx, hashes); e.exitCode != exitCompleted || !isUniform || k != after {
+		r.notes.Wrong("without faults the change ends with %d:%s: %s", e.exitCode, description, e.output[max(len(e.output)-1500, 0):])
+		return false, nil
+	}
+	return true, nil
 }
 
-// firstProbeClient is the number of the first client of awaitServing, above those of other clients, so that
-// its requests have IDs of their own.
-const firstProbeClient = 1000
+// runHarmfulChange rolls out a harmful change, which has to be stopped and rolled back, and counts the members
+// that ran it.
+func (r *run) runHarmfulChange(ctx context.Context, rep *Report, hashes map[kind][]string, files map[kind]string) error {
+	for _, h := range hashes[harmful] {
+		r.notes.WantGeneration(h)
+	}
+	r.isHarmfulChangeActive.Store(true)
+	started := time.Now()
+	e, err := r.runCoordinator(ctx, 0, r.flags(files[harmful], "harmful", "--bake", r.options.Bake.String(), "--bake-most", "40s")...)
+	if err != nil {
+		return err
+	}
+	rep.RollbackDuration = time.Since(started)
+	if k, isUniform, description := r.fleetState(ctx, hashes); e.exitCode != exitRolledBack || !isUniform || k != after || !strings.Contains(e.output, "1 taken back") {
+		r.notes.Wrong("a harmful change ends with %d:%s: %s", e.exitCode, description, e.output[max(len(e.output)-1500, 0):])
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	reached := make(map[string]bool)
+	for _, l := range r.statusReads {
+		if slices.Contains(hashes[harmful], l.Hash) {
+			reached[l.Member] = true
+		}
+	}
+	rep.HarmedMembers = len(reached)
+	return nil
+}
 
-// awaitServing waits until each node answers a query and a write with status 200.
+// awaitServing waits until each node has served a query and a write.
 func (r *run) awaitServing(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
-	for node := range r.nodes() {
-		if err := r.awaitNode(ctx, node); err != nil {
-			return err
+	for i := range r.nodes() {
+		c := r.client(i, 1000+int(time.Since(r.began)/time.Millisecond)) // with ids of its own
+		defer c.conn.Close()
+		for well := make(map[string]bool); len(well) < 2; {
+			q := c.drawRequest()
+			if q.customer == "" && q.path != "/list" && !well[q.path] && c.send(q) == 200 {
+				well[q.path] = true
+			}
+			if ctx.Err() != nil {
+				return fmt.Errorf("%s serves only %v: %w; %s", member(i), well, ctx.Err(), r.fixture.tail(i))
+			}
 		}
 	}
 	return nil
 }
 
-func (r *run) awaitNode(ctx context.Context, node int) error {
-	c := r.client(node, firstProbeClient+int(time.Since(r.startedAt)/time.Millisecond))
-	defer c.disconnect()
-	for served := make(map[string]bool); len(served) < 2; {
-		q := c.drawRequest()
-		isProbe := q.customer == "" && q.path != pathList && !served[q.path]
-		if isProbe && c.send(q) == http.StatusOK {
-			served[q.path] = true
+// readStatus reads a member's status, without the links, until ctx ends.
+func (r *run) readStatus(ctx context.Context, i int) {
+	c := manage.Client{Path: r.fixture.socket(i)}
+	for ctx.Err() == nil {
+		callCtx, cancel := context.WithTimeout(ctx, statusTimeout)
+		from := time.Since(r.began)
+		s, err := c.Status(callCtx)
+		to := time.Since(r.began)
+		cancel()
+		if err == nil {
+			r.notes.Reported(member(i), s.ConfigHash)
+			r.mu.Lock()
+			if len(r.statusReads) < maxStatusReads {
+				r.statusReads = append(r.statusReads, StatusRead{member(i), from, to, s.PID, s.Generation, s.ConfigHash, s.Epoch, s.Owner})
+			}
+			r.mu.Unlock()
 		}
-		if ctx.Err() != nil {
-			return fmt.Errorf("%s serves only %v: %w; %s", memberName(node), served, ctx.Err(), r.fixture.logTail(node))
+		select {
+		case <-time.After(statusInterval):
+		case <-ctx.Done():
 		}
 	}
-	return nil
 }
+
+// judge checks all observations against the rules.
+func (r *run) judge(rep *Report) {
+	for i, p := range r.fixture.procs {
+		if !p.Runs() {
+			r.notes.Wrong("%s has ended by itself: %v; %s", member(i), p.Wait(), r.fixture.tail(i))
+		}
+	}
+	for _, g := range r.generationsByMember {
+		rep.Phases = max(rep.Phases, len(g)-1)
+	}
+	wrong := append(CheckNeighbours(r.statusReads, r.generationsByMember), CheckOwners(r.statusReads)...)
+	owners := make(map[uint64]string)
+	for _, l := range r.statusReads {
+		if l.Epoch > 0 {
+			owners[l.Epoch] = l.Owner
+		}
+	}
+	for i, p := range r.fixture.procs {
+		raw, err := os.ReadFile(p.Log)
+		if err != nil {
+			r.notes.Wrong("%s: %v", member(i), err)
+		}
+		var g MemberLog
+		g.Read(member(i), string(raw), owners)
+		wrong = append(wrong, g.Wrong...)
+		rep.Orders += g.Orders
+	}
+	for _, c := range customers {
+		at := slices.Clone(r.sent.times[c])
+		slices.Sort(at)
+		rep.Metered += len(at)
+		// The change switches between two limits; the larger one holds for all. A bucket starts with its burst at most.
+		excess := MaxExcess(at, unitsHigh, unitsHigh)
+		if rep.MaxExcess = max(rep.MaxExcess, excess); excess > float64(slack(r.nodes())) {
+			wrong = append(wrong, fmt.Sprintf("customer %s: %.1f requests beyond its hard limit", c, excess))
+		}
+	}
+	rep.Wrong = append(wrong, r.notes.Check(func(why string) bool { return !strings.HasPrefix(why, "unexplained") })...)
+	rep.Requests, _ = r.notes.Counts()
+	rep.Effects = r.notes.Effects()
+	rep.Served, rep.Gathered, rep.Partial, rep.HarmedRequests = r.status[200], r.gathered, r.partial, r.harmed
+	for s, n := range r.status {
+		_ = s
+		rep.Broken += n
+	}
+	rep.Broken = rep.Requests - rep.Broken
+	rep.KilledCoordinators, rep.Decisions, rep.Kills, rep.Epochs, rep.StatusReads = r.coordinatorsKilled, r.decisions, r.fixture.kills, len(owners), len(r.statusReads)
+	rep.Duration = time.Since(r.began)
+}
+
+// slack is the allowed excess over hard limits, in requests: an account that is charged at several instances at
+// once is counted in parts, each of which may be rounded up.
+func slack(nodes int) int { return nodes }
--- a/internal/trials/regiontrial/trial_test.go
+++ b/internal/trials/regiontrial/trial_test.go
@@ -44,7 +44,7 @@
 		t.Fatalf("%v\n%v", err, s)
 	}
 	t.Logf("%+v", *rep)
-	if len(rep.Violations) > 0 || rep.GatherResults == 0 || rep.Effects == 0 || rep.Commands == 0 || rep.LimitedRequests == 0 || rep.CoordinatorsKilled == 0 || rep.Phases != 2 || rep.HarmedMembers != 1 {
+	if len(rep.Wrong) > 0 || rep.Gathered == 0 || rep.Effects == 0 || rep.Orders == 0 || rep.Metered == 0 || rep.KilledCoordinators == 0 || rep.Phases != 2 || rep.HarmedMembers != 1 {
 		t.Errorf("%v", s)
 	}
 }
