--- a/cmd/lockplot/main.go
+++ b/cmd/lockplot/main.go
@@ -58,15 +58,15 @@
 		p.Legend.Add(name, l)
 		return nil
 	}
-	if err := line("it bears over 2 s", all[0], func(pt fleetsim.Point) float64 { return pt.Limit }, 0); err != nil {
+	if err := line("it bears over 2 s", all[0], func(pt fleetsim.Point) float64 { return pt.OverloadLimit }, 0); err != nil {
 		return err
 	}
-	if err := line("it can do", all[0], func(pt fleetsim.Point) float64 { return pt.Can }, 1); err != nil {
+	if err := line("it can do", all[0], func(pt fleetsim.Point) float64 { return pt.Capacity }, 1); err != nil {
 		return err
 	}
 	for i, r := range all {
 		name := fmt.Sprintf("%d instances, told %d, news up to %v late", r.Instances, r.GroupSize, r.Lag)
-		if err := line(name, r, func(pt fleetsim.Point) float64 { return pt.Sent }, i+2); err != nil {
+		if err := line(name, r, func(pt fleetsim.Point) float64 { return pt.SentCalls }, i+2); err != nil {
 			return err
 		}
 	}
--- a/internal/command/measure.go
+++ b/internal/command/measure.go
@@ -132,7 +132,7 @@
 	case "bodies":
 		return m.runBodies(ctx, e)
 	case "balance":
-		return measureBalance(ctx, e, balancesim.Options{Lasts: m.duration, Seed: m.fleet.Seed}, m.loads, m.asJSON)
+		return measureBalance(ctx, e, balancesim.Options{Duration: m.duration, Seed: m.fleet.Seed}, m.loads, m.asJSON)
 	case "reload":
 		o := measure.ReloadOptions{Rounds: m.rounds, Duration: m.duration, Every: reloadInterval, Clients: reloadClients, Progress: e.Err}
 		return measureReloads(ctx, e, o, m.asJSON)
--- a/internal/command/measure_balance.go
+++ b/internal/command/measure_balance.go
@@ -17,8 +17,8 @@
 
 // measureBalance plays policies of choosing a server at each load, in virtual time.
 func measureBalance(ctx context.Context, e *Env, o balancesim.Options, loads string, asJSON bool) error {
-	if o.Lasts < minBalanceTime {
-		o.Lasts = time.Minute
+	if o.Duration < minBalanceTime {
+		o.Duration = time.Minute
 	}
 	var all []balancesim.Report
 	w := tabwriter.NewWriter(e.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -36,7 +36,7 @@
 					return err
 				}
 				all = append(all, r)
-				fmt.Fprintf(w, "%.2f\t%s\t%s\t%.4f\t%.4f\t%.4f\t%.0f\t%.0f\t%.3f\t\n", load, c.Name, p, r.Served, r.Failed, r.Refused, r.P50, r.P99, r.Extra)
+				fmt.Fprintf(w, "%.2f\t%s\t%s\t%.4f\t%.4f\t%.4f\t%.0f\t%.0f\t%.3f\t\n", load, c.Name, p, r.Served, r.Failed, r.Refused, r.P50, r.P99, r.RetriesPerCall)
 			}
 			if ctx.Err() != nil {
 				return ctx.Err()
--- a/internal/command/simulate.go
+++ b/internal/command/simulate.go
@@ -45,11 +45,11 @@
 			instances := set.String("instances", "40,400", "`N,N...` that there are")
 			lags := set.String("lag", "0s,2s", "`TIME,TIME...` by which the last instance learns of the cold server")
 			set.IntVar(&o.GroupSize, "told", 0, "`N` that they are told there are, where it is another")
-			set.BoolVar(&o.Uneven, "uneven", false, "some instances get ten times as much as others")
+			set.BoolVar(&o.IsUneven, "uneven", false, "some instances get ten times as much as others")
 			set.IntVar(&o.Servers, "servers", 20, "`N` warm ones")
-			set.Float64Var(&o.PerServer, "per-server", 100, "`N` calls a second that a server bears")
+			set.Float64Var(&o.ServerRate, "per-server", 100, "`N` calls a second that a server bears")
 			set.Float64Var(&o.Load, "load", defaultLoad, "`PART` of what the warm servers bear that clients ask for")
-			set.DurationVar(&o.Lasts, "for", defaultDuration, "`TIME` that is played")
+			set.DurationVar(&o.Duration, "for", defaultDuration, "`TIME` that is played")
 			set.Uint64Var(&o.Seed, "seed", 1, "`N` that everything follows from")
 			days := set.String("day", "", "`NAME,NAME...` of days, which hold the fleet to the five rules: "+strings.Join(fleetsim.DayNames, ", ")+"; or all, or mutations")
 			scattered, quotas := gatherFlag(set), quotaFlag(set)
@@ -63,7 +63,7 @@
 				if played, err := scattered(ctx, e, *instances, o.Seed, *asJSON); played {
 					return err
 				}
-				q := fleetsim.QuotaOptions{Seed: o.Seed, Load: o.Load / defaultLoad, Lasts: unlessDefault(o.Lasts)}
+				q := fleetsim.QuotaOptions{Seed: o.Seed, Load: o.Load / defaultLoad, Duration: unlessDefault(o.Duration)}
 				if played, err := quotas(ctx, e, *instances, q, *asJSON); played {
 					return err
 				}
@@ -72,7 +72,7 @@
 					return r.play(ctx, e, *instances, *asJSON)
 				}
 				if *days != "" && !r.isEnabled {
-					d := fleetsim.DayOptions{GroupSize: o.GroupSize, Seed: o.Seed, Load: o.Load / defaultLoad, Lasts: unlessDefault(o.Lasts)}
+					d := fleetsim.DayOptions{GroupSize: o.GroupSize, Seed: o.Seed, Load: o.Load / defaultLoad, Duration: unlessDefault(o.Duration)}
 					return playDays(ctx, e, *days, *instances, d, *asJSON)
 				}
 				return playFleets(ctx, e, o, *instances, *lags, *asJSON)
@@ -94,7 +94,7 @@
 
 // playFleets simulates a server that warms up and a hard limit, for each group size and each lag of watch events.
 func playFleets(ctx context.Context, e *Env, o fleetsim.Options, instances, lags string, asJSON bool) error {
-	if o.GroupSize < 0 || o.Servers < 1 || o.Servers > 1000 || !(o.PerServer > 0) || !(o.Load > 0) || o.Lasts < 12*time.Second {
+	if o.GroupSize < 0 || o.Servers < 1 || o.Servers > 1000 || !(o.ServerRate > 0) || !(o.Load > 0) || o.Duration < 12*time.Second {
 		return errSimulateUsage
 	}
 	var all []fleetsim.Report
@@ -109,7 +109,7 @@
 				return usageError("simulate: lag: %q is no time", field)
 			}
 			o.Instances = n
-			o.Lag = lag
+			o.NotificationLag = lag
 			fmt.Fprintf(e.Err, "playing %d instances, news up to %v late\n", n, lag)
 			r, err := fleetsim.Run(o)
 			if err != nil {
@@ -133,7 +133,7 @@
 	fmt.Fprintln(t, "instances\ttold\tnews late\tuneven\tcalls\tserved\tcold: worst of its limit\tof what it could\tceiling: units beyond\tpart of it used\t")
 	for _, r := range all {
 		fmt.Fprintf(t, "%d\t%d\t%v\t%v\t%d\t%.3f\t%.2f\t%.2f\t%.1f\t%.2f\t\n", r.Instances, r.GroupSize, r.Lag, r.Uneven, r.Calls, r.Served, r.MaxWarmUpOverload, r.WarmUpShare,
-			r.Over, r.Used)
+			r.MaxOverHardLimit, r.HardLimitUse)
 	}
 	t.Flush()
 }
@@ -241,8 +241,8 @@
 		if len(r.Broken) > 0 {
 			broken = fmt.Sprint(r.Broken)[len("map"):]
 		}
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%.3f\t%.3f\t%.4f\t%.3f\t%.2f\t%s\t\n", r.Day, r.Instances, r.Servers, r.First, r.Tries, r.Attempts,
-			r.Served, r.Beyond, r.Failed, r.Handshakes, r.MaxWarmUpOverload, broken)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%.3f\t%.3f\t%.4f\t%.3f\t%.2f\t%s\t\n", r.Day, r.Instances, r.Servers, r.Calls, r.Requests, r.Attempts,
+			r.Served, r.OverQuotaFraction, r.FailedFraction, r.Handshakes, r.MaxWarmUpOverload, broken)
 	}
 	t.Flush()
 	for i := range all {
--- a/internal/command/simulate_quota.go
+++ b/internal/command/simulate_quota.go
@@ -43,8 +43,8 @@
 		if err != nil {
 			return true, err
 		}
-		o.Late = -1
-		o.Why = *why
+		o.PolicyDelay = -1
+		o.ExplainsAdmission = *why
 		all, err := playQuotas(ctx, e, quotaPlays(o, list, sizes, *seeds, policies))
 		if err != nil {
 			return true, err
@@ -114,8 +114,8 @@
 		if i%policies == 0 && policies > 1 {
 			more = fmt.Sprintf("%+.3f", priceAboveLowest(all[i:i+policies]))
 		}
-		fmt.Fprintf(t, "%s\t%d\t%d\t%s\t%.2f\t%d\t%d\t%.3f\t%.3f\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t\n", r.World, r.Instances, r.Seed, r.Policy, r.Late, r.First, r.Tries,
-			r.Served, r.Price, more, r.Beyond, r.Refused, r.TriesRejectedWithCapacity, r.CallsRejectedWithCapacity, r.CallsLostWithCapacity)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%s\t%.2f\t%d\t%d\t%.3f\t%.3f\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t\n", r.World, r.Instances, r.Seed, r.Policy, r.DelaySeconds, r.Calls, r.Requests,
+			r.Served, r.OverQuotaPrice, more, r.OverQuotaFraction, r.RejectedFraction, r.RequestsRejectedWithCapacity, r.CallsRejectedWithCapacity, r.CallsLostWithCapacity)
 	}
 	t.Flush()
 	for from := 0; from < len(all); {
@@ -130,11 +130,11 @@
 
 // priceAboveLowest returns how much the price of the first policy exceeds the lowest of the others.
 func priceAboveLowest(group []fleetsim.QuotaReport) float64 {
-	lowest := group[min(1, len(group)-1)].Price
+	lowest := group[min(1, len(group)-1)].OverQuotaPrice
 	for _, r := range group[1:] {
-		lowest = min(lowest, r.Price)
+		lowest = min(lowest, r.OverQuotaPrice)
 	}
-	return group[0].Price - lowest
+	return group[0].OverQuotaPrice - lowest
 }
 
 // quotaMeans are means over the seeds of a world.
@@ -153,9 +153,9 @@
 	for i := 0; i < len(all); i += policies {
 		r := &all[i]
 		means.served += r.Served / n
-		means.price += r.Price / n
+		means.price += r.OverQuotaPrice / n
 		means.priceAbove += priceAboveLowest(all[i:i+policies]) / n
-		means.withCapacity += r.TriesRejectedWithCapacity / n
+		means.withCapacity += r.RequestsRejectedWithCapacity / n
 		for sort, cells := range r.Cells {
 			if means.cells[sort] == nil {
 				means.cells[sort] = map[string]*fleetsim.Cell{}
@@ -184,8 +184,8 @@
 		cells := means.cells[sort]
 		for _, name := range slices.Sorted(maps.Keys(cells)) {
 			c := cells[name]
-			fmt.Fprintf(t, "%s\t%s\t%d\t%.3f\t%.3f\t%.3f\t%s\t%s\t\n", sort, name, c.Tries, c.Offered, c.Price, c.Beyond/max(1, c.Sent),
-				formatShare(c.Refused, c.Tries), formatShare(c.RejectedWithCapacity, c.Tries))
+			fmt.Fprintf(t, "%s\t%s\t%d\t%.3f\t%.3f\t%.3f\t%s\t%s\t\n", sort, name, c.Requests, c.OfferedWeight, c.OverQuotaPrice, c.OverQuotaUnits/max(1, c.ForwardedUnits),
+				formatShare(c.Rejections, c.Requests), formatShare(c.RejectedWithCapacity, c.Requests))
 		}
 	}
 	t.Flush()
--- a/internal/simulation/balancesim/sim_test.go
+++ b/internal/simulation/balancesim/sim_test.go
@@ -9,7 +9,7 @@
 // Without any report of load the module's choice is no worse than the plain ones where one server is
 // slow or fails, and the same seed gives the same run.
 func TestModuleAvoidsTrouble(t *testing.T) {
-	o := Options{Load: 0.5, Lasts: 25 * time.Second, Seed: 3}
+	o := Options{Load: 0.5, Duration: 25 * time.Second, Seed: 3}
 	for _, c := range Cases {
 		t.Run(c.Name, func(t *testing.T) {
 			got := make(map[string]Report)
--- a/internal/simulation/fleetrules/rules.go
+++ b/internal/simulation/fleetrules/rules.go
@@ -35,11 +35,11 @@
 
 // Terms are the figures of the rules.
 type Terms struct {
-	AnswerGrace  time.Duration // past a client's time, in which an answer still counts
-	DrainGrace   time.Duration // after an instance was told
-	Fall         time.Duration // span over which a cold server's work is counted
-	FallMultiple float64       // times what it can do at that moment
-	MeanWork     float64       // s of one core that a request takes on average; 0 leaves chance no room
+	AnswerGrace      time.Duration // past a client's time, in which an answer still counts
+	DrainGrace       time.Duration // after an instance was told
+	OverloadWindow   time.Duration // span over which a cold server's work is counted
+	OverloadMultiple float64       // times what it can do at that moment
+	MeanWork         float64       // s of one core that a request takes on average; 0 leaves chance no room
 }
 
 // Breach is a rule broken once.
@@ -60,9 +60,9 @@
 type Server struct {
 	Zone string
 	Cell int
-	// Can is the work, in s of one core each second, that it can do at a time, and whether it is
+	// Capacity is the work, in s of one core each second, that it can do at a time, and whether it is
 	// still cold then. Nil is a server that is warm.
-	Can func(at time.Duration) (work float64, warmingUp bool)
+	Capacity func(at time.Duration) (work float64, warmingUp bool)
 }
 
 // Checker holds a fleet to the rules.
@@ -71,8 +71,8 @@
 
 	servers           map[uint32]*server
 	requests          map[string]*request
-	nodes             map[int]map[uint32]time.Duration // when each was told that a server drains or is gone
-	stores            map[string]*store
+	notifications     map[int]map[uint32]time.Duration // when each was told that a server drains or is gone
+	hardLimits        map[string]*hardLimitBucket
 	counts            map[Rule]int
 	breaches          []Breach
 	maxWarmUpOverload float64
@@ -81,39 +81,39 @@
 type server struct {
 	Server
 	work         []work // of late, while cold
-	sum          float64
+	totalWork    float64
 	notifiedWork float64 // of the sum, by instances that knew of its start
-	fell         bool
+	isOverloaded bool
 }
 
 type work struct {
 	at       time.Duration
-	s        float64
+	seconds  float64
 	notified bool
 }
 
 type request struct {
-	node     int
-	class    *control.Class
-	until    time.Duration
-	answered bool
-	excused  bool // nothing is owed: its client left, or its instance was killed
-	out      int  // attempts that have come whole and not ended
-	mayRun   bool
-	cell     Server        // of the first attempt that may have run
-	first    time.Duration // its send
+	node        int
+	class       *control.Class
+	deadline    time.Duration
+	answered    bool
+	excused     bool // nothing is owed: its client left, or its instance was killed
+	inFlight    int  // attempts that have come whole and not ended
+	mayRun      bool
+	firstServer Server        // of the first attempt that may have run
+	firstSentAt time.Duration // its send
 }
 
-type store struct {
-	level float64
-	at    time.Duration
+type hardLimitBucket struct {
+	tokens float64
+	at     time.Duration
 }
 
 // New makes a checker.
 func New(t Terms) *Checker {
 	return &Checker{
 		Terms: t, servers: map[uint32]*server{}, requests: map[string]*request{},
-		nodes: map[int]map[uint32]time.Duration{}, stores: map[string]*store{}, counts: map[Rule]int{},
+		notifications: map[int]map[uint32]time.Duration{}, hardLimits: map[string]*hardLimitBucket{}, counts: map[Rule]int{},
 	}
 }
 
@@ -143,10 +143,10 @@
 // Notified notes that an instance was notified, or counts as notified, that a server drains or is gone; or, where
 // it is up, that it may be sent to.
 func (c *Checker) Notified(at time.Duration, node int, id uint32, up bool) {
-	m := c.nodes[node]
+	m := c.notifications[node]
 	if m == nil {
 		m = map[uint32]time.Duration{}
-		c.nodes[node] = m
+		c.notifications[node] = m
 	}
 	if _, is := m[id]; up {
 		delete(m, id)
@@ -157,31 +157,31 @@
 
 // Taken notes a request that an instance has taken, of a client that waits for so long.
 func (c *Checker) Taken(at time.Duration, node int, id string, class *control.Class, ttl time.Duration) {
-	c.requests[id] = &request{node: node, class: class, until: at + ttl}
+	c.requests[id] = &request{node: node, class: class, deadline: at + ttl}
 }
 
 // Sent notes an attempt at the moment in which it is sent. first is whether it is the request's first,
 // which draws its units from the customer's ceiling.
 func (c *Checker) Sent(at time.Duration, node int, id string, to uint32, first bool, plan *control.Plan, customer string, units float64) {
-	if notifiedAt, ok := c.nodes[node][to]; ok && at > notifiedAt+c.Terms.DrainGrace {
+	if notifiedAt, ok := c.notifications[node][to]; ok && at > notifiedAt+c.Terms.DrainGrace {
 		c.breach(Breach{Drain, at, node, id, to, fmt.Sprintf("sent %.2f s after it was told that the server drains or is gone", (at - notifiedAt).Seconds())})
 	}
 	if r := c.requests[id]; r != nil {
-		c.again(at, node, id, to, r)
-		r.out++
+		c.checkRetry(at, node, id, to, r)
+		r.inFlight++
 	}
 	if first && plan.HardLimitRate > 0 {
-		c.draw(at, node, id, plan, customer, units)
+		c.chargeHardLimit(at, node, id, plan, customer, units)
 	}
 }
 
-// again holds an attempt against those before it.
-func (c *Checker) again(at time.Duration, node int, id string, to uint32, r *request) {
+// checkRetry holds an attempt against those before it.
+func (c *Checker) checkRetry(at time.Duration, node int, id string, to uint32, r *request) {
 	bad := func(what string) { c.breach(Breach{Twice, at, node, id, to, what}) }
 	if r.answered {
 		bad("sent after its final answer")
 	}
-	if r.out > 0 {
+	if r.inFlight > 0 {
 		bad("sent while an attempt is out")
 	}
 	if !r.mayRun {
@@ -192,9 +192,9 @@
 	case k.Idempotency == control.NotIdempotent:
 		bad("sent again after an attempt that may have run")
 	case k.Idempotency != control.IdempotentWithKey || s == nil:
-	case at > r.first+k.RepeatWindow:
-		bad(fmt.Sprintf("repeated %.2f s after the first that may have run", (at - r.first).Seconds()))
-	case k.KeyScope == control.ScopeCell && s.Cell != r.cell.Cell, k.KeyScope == control.ScopeZone && s.Zone != r.cell.Zone:
+	case at > r.firstSentAt+k.RepeatWindow:
+		bad(fmt.Sprintf("repeated %.2f s after the first that may have run", (at - r.firstSentAt).Seconds()))
+	case k.KeyScope == control.ScopeCell && s.Cell != r.firstServer.Cell, k.KeyScope == control.ScopeZone && s.Zone != r.firstServer.Zone:
 		bad("repeated at a server of another group")
 	}
 }
@@ -205,9 +205,9 @@
 	if r == nil {
 		return
 	}
-	r.out--
+	r.inFlight--
 	if s := c.servers[to]; mayRun && !r.mayRun && s != nil {
-		r.mayRun, r.first, r.cell = true, sent, s.Server
+		r.mayRun, r.firstSentAt, r.firstServer = true, sent, s.Server
 	}
 }
 
@@ -220,11 +220,11 @@
 	switch {
 	case r.answered:
 		c.breach(Breach{Answer, at, node, id, 0, "answered twice"})
-	case !r.excused && at > r.until+c.Terms.AnswerGrace:
-		c.breach(Breach{Answer, at, node, id, 0, fmt.Sprintf("answered %.3f s past its client's time", (at - r.until).Seconds())})
+	case !r.excused && at > r.deadline+c.Terms.AnswerGrace:
+		c.breach(Breach{Answer, at, node, id, 0, fmt.Sprintf("answered %.3f s past its client's time", (at - r.deadline).Seconds())})
 	}
 	k := r.class
-	if refused && k.Idempotency != control.Idempotent && (r.mayRun || r.out > 0) && !(k.Idempotency == control.IdempotentWithKey && k.KeyScope == control.ScopeAll) {
+	if refused && k.Idempotency != control.Idempotent && (r.mayRun || r.inFlight > 0) && !(k.Idempotency == control.IdempotentWithKey && k.KeyScope == control.ScopeAll) {
 		c.breach(Breach{Twice, at, node, id, 0, "refused, as if trying again were harmless, though it may have run"})
 	}
 	r.answered = true
@@ -248,42 +248,42 @@
 			c.breach(Breach{Answer, at, node, id, 0, "its instance ended without an answer"})
 		}
 	}
-	delete(c.nodes, node)
+	delete(c.notifications, node)
 }
 
 // Arrived notes work that has reached a server, turned away or not, from an instance that had or
 // had not been told of the server's start.
 func (c *Checker) Arrived(at time.Duration, id uint32, s float64, notified bool) {
 	v := c.servers[id]
-	if v == nil || v.Can == nil {
+	if v == nil || v.Capacity == nil {
 		return
 	}
-	can, warmingUp := v.Can(at)
+	can, warmingUp := v.Capacity(at)
 	if !warmingUp {
-		v.work, v.sum, v.notifiedWork = nil, 0, 0
+		v.work, v.totalWork, v.notifiedWork = nil, 0, 0
 		return
 	}
 	v.work = append(v.work, work{at, s, notified})
 	v.add(s, notified)
-	for v.work[0].at <= at-c.Terms.Fall {
-		v.add(-v.work[0].s, v.work[0].notified)
+	for v.work[0].at <= at-c.Terms.OverloadWindow {
+		v.add(-v.work[0].seconds, v.work[0].notified)
 		v.work = v.work[1:]
 	}
 	limit := c.Terms.warmUpLimit(can)
-	c.maxWarmUpOverload = math.Max(c.maxWarmUpOverload, v.sum/limit)
-	if v.sum <= limit || v.fell {
+	c.maxWarmUpOverload = math.Max(c.maxWarmUpOverload, v.totalWork/limit)
+	if v.totalWork <= limit || v.isOverloaded {
 		return
 	}
-	v.fell = true // the first fall is what counts, whoever it is due to
-	if v.notifiedWork > notifiedFraction*v.sum {
-		c.breach(Breach{WarmingUp, at, -1, "", id, fmt.Sprintf("sent %.1f times what it can do at that moment", v.sum/(can*c.Terms.Fall.Seconds()))})
+	v.isOverloaded = true // the first fall is what counts, whoever it is due to
+	if v.notifiedWork > notifiedFraction*v.totalWork {
+		c.breach(Breach{WarmingUp, at, -1, "", id, fmt.Sprintf("sent %.1f times what it can do at that moment", v.totalWork/(can*c.Terms.OverloadWindow.Seconds()))})
 	}
 }
 
 // warmUpLimit is the work at which a server that is warming up is overloaded: beyond what it can do the times that it bears, what
 // chance brings of N requests of mean work, 2 roots of N and 2.
 func (t *Terms) warmUpLimit(can float64) float64 {
-	work := t.FallMultiple * can * t.Fall.Seconds()
+	work := t.OverloadMultiple * can * t.OverloadWindow.Seconds()
 	if t.MeanWork <= 0 {
 		return work
 	}
@@ -291,29 +291,29 @@
 }
 
 func (s *server) add(work float64, notified bool) {
-	if s.sum += work; notified {
+	if s.totalWork += work; notified {
 		s.notifiedWork += work
 	}
 }
 
-// draw takes a request's units from its customer's ceiling, which all instances share.
-func (c *Checker) draw(at time.Duration, node int, id string, p *control.Plan, customer string, units float64) {
-	q := c.stores[customer]
+// chargeHardLimit takes a request's units from its customer's ceiling, which all instances share.
+func (c *Checker) chargeHardLimit(at time.Duration, node int, id string, p *control.Plan, customer string, units float64) {
+	q := c.hardLimits[customer]
 	if q == nil {
-		q = &store{level: p.HardLimitBurst, at: at}
-		c.stores[customer] = q
+		q = &hardLimitBucket{tokens: p.HardLimitBurst, at: at}
+		c.hardLimits[customer] = q
 	}
-	q.level = math.Min(p.HardLimitBurst, q.level+(at-q.at).Seconds()*p.HardLimitRate) - units
+	q.tokens = math.Min(p.HardLimitBurst, q.tokens+(at-q.at).Seconds()*p.HardLimitRate) - units
 	q.at = at
-	if q.level < -p.HardLimitSlack {
-		c.breach(Breach{HardLimit, at, node, id, 0, fmt.Sprintf("customer %s is %.1f units beyond its ceiling", customer, -q.level)})
+	if q.tokens < -p.HardLimitSlack {
+		c.breach(Breach{HardLimit, at, node, id, 0, fmt.Sprintf("customer %s is %.1f units beyond its ceiling", customer, -q.tokens)})
 	}
 }
 
 // Close ends the day: what is still owed by then and overdue was never answered.
 func (c *Checker) Close(at time.Duration) {
 	for id, r := range c.requests {
-		if !r.answered && !r.excused && at > r.until+c.Terms.AnswerGrace {
+		if !r.answered && !r.excused && at > r.deadline+c.Terms.AnswerGrace {
 			c.breach(Breach{Answer, at, r.node, id, 0, "never answered"})
 		}
 	}
--- a/internal/simulation/fleetrules/rules_test.go
+++ b/internal/simulation/fleetrules/rules_test.go
@@ -108,29 +108,33 @@
 	"drained, back up":  {"", func(c *Checker) { c.Notified(0, 1, 1, false); c.Notified(s, 1, 1, true); send(c, 3*s, 1, true) }},
 	"another was told":  {"", func(c *Checker) { c.Notified(0, 2, 1, false); send(c, 3*s, 1, true) }},
 	"cold, within": {"", func(c *Checker) {
-		c.Started(9, Server{Can: cold})
+		c.Started(9, Server{Capacity: cold})
 		c.Arrived(0, 9, 4, true)
 		c.Arrived(3*s, 9, 4, true)
 	}},
 	"cold, beyond": {WarmingUp, func(c *Checker) {
-		c.Started(9, Server{Can: cold})
+		c.Started(9, Server{Capacity: cold})
 		c.Arrived(0, 9, 4, true)
 		c.Arrived(s, 9, 4, true)
 		c.Arrived(s, 9, 4, true)
 	}},
-	"cold, by untold ones": {"", func(c *Checker) { c.Started(9, Server{Can: cold}); c.Arrived(0, 9, 4, true); c.Arrived(s, 9, 4, false) }},
+	"cold, by untold ones": {"", func(c *Checker) {
+		c.Started(9, Server{Capacity: cold})
+		c.Arrived(0, 9, 4, true)
+		c.Arrived(s, 9, 4, false)
+	}},
 	"cold, by chance": {"", func(c *Checker) { // N is 8: 8 + 2 root 8 + 2 requests of 1.25 s make 19.6 s
-		c.Terms.MeanWork, c.Terms.FallMultiple = 1.25, 5
-		c.Started(9, Server{Can: cold})
+		c.Terms.MeanWork, c.Terms.OverloadMultiple = 1.25, 5
+		c.Started(9, Server{Capacity: cold})
 		c.Arrived(0, 9, 19.5, true)
 	}},
 	"cold, beyond chance": {WarmingUp, func(c *Checker) {
-		c.Terms.MeanWork, c.Terms.FallMultiple = 1.25, 5
-		c.Started(9, Server{Can: cold})
+		c.Terms.MeanWork, c.Terms.OverloadMultiple = 1.25, 5
+		c.Started(9, Server{Capacity: cold})
 		c.Arrived(0, 9, 19.6, true)
 	}},
 	"cold, fell by untold ones first": {"", func(c *Checker) {
-		c.Started(9, Server{Can: cold})
+		c.Started(9, Server{Capacity: cold})
 		c.Arrived(0, 9, 6, false)
 		c.Arrived(s, 9, 60, true)
 	}},
@@ -153,7 +157,7 @@
 func TestRules(t *testing.T) {
 	for name, tc := range histories {
 		t.Run(name, func(t *testing.T) {
-			c := New(Terms{AnswerGrace: 100 * time.Millisecond, DrainGrace: 2 * s, Fall: 2 * s, FallMultiple: 2.5})
+			c := New(Terms{AnswerGrace: 100 * time.Millisecond, DrainGrace: 2 * s, OverloadWindow: 2 * s, OverloadMultiple: 2.5})
 			c.Started(1, Server{Cell: 1})
 			c.Started(2, Server{Cell: 1})
 			c.Started(3, Server{Cell: 2})
--- a/internal/simulation/fleetsim/acceptance_test.go
+++ b/internal/simulation/fleetsim/acceptance_test.go
@@ -18,7 +18,7 @@
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprint(instances, "/", seed), func(t *testing.T) {
 				t.Parallel()
-				r := day(t, DayOptions{Day: "throng", Instances: instances, Lasts: 25 * time.Second, Seed: seed})
+				r := day(t, DayOptions{Day: "throng", Instances: instances, Duration: 25 * time.Second, Seed: seed})
 				if len(r.Broken) > 0 || r.MaxWarmUpOverload == 0 || r.Served < 0.5 {
 					t.Errorf("%+v", r)
 				}
@@ -43,7 +43,7 @@
 				t.Parallel()
 				plan := days[which]
 				plan.settings = func(s *control.Settings) { set(&s.Classes[1]) }
-				r, err := play(DayOptions{Day: which, Instances: 24, Lasts: 15 * time.Second, Seed: 6}, plan)
+				r, err := play(DayOptions{Day: which, Instances: 24, Duration: 15 * time.Second, Seed: 6}, plan)
 				if err != nil || len(r.Broken) > 0 {
 					t.Errorf("%v %+v", err, r)
 				}
@@ -73,8 +73,8 @@
 			plan := days["split"]
 			plan.settings = func(s *control.Settings) { tc.are(&s.Classes[1]) }
 			o := DayOptions{
-				Day: "split", Instances: 24, Lasts: 15 * time.Second, Seed: 6,
-				Mutation: &Mutation{settings: func(_ *world, n *node) { tc.taken(&n.set.Classes[1]) }},
+				Day: "split", Instances: 24, Duration: 15 * time.Second, Seed: 6,
+				Mutation: &Mutation{settings: func(_ *world, n *node) { tc.taken(&n.settings.Classes[1]) }},
 			}
 			if r, err := play(o, plan); err != nil || r.Broken[fleetrules.Twice] == 0 {
 				t.Errorf("%v %+v", err, r)
@@ -90,9 +90,9 @@
 		for _, instances := range []int{8, 80, 300} {
 			t.Run(fmt.Sprint(which, "/", instances), func(t *testing.T) {
 				t.Parallel()
-				r := day(t, DayOptions{Day: which, Instances: instances, Lasts: 20 * time.Second, Seed: 7})
-				if r.Rejecting > 0.1 || len(r.Broken) > 0 {
-					t.Errorf("%.2f of them reject all: %+v", r.Rejecting, r)
+				r := day(t, DayOptions{Day: which, Instances: instances, Duration: 20 * time.Second, Seed: 7})
+				if r.RejectingFraction > 0.1 || len(r.Broken) > 0 {
+					t.Errorf("%.2f of them reject all: %+v", r.RejectingFraction, r)
 				}
 				for name, part := range r.Plans {
 					if part < 0.5 {
@@ -110,12 +110,12 @@
 	for _, name := range QuotaNames {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			o := QuotaOptions{World: name, Policy: ByModule, Instances: 100, Lasts: 15 * time.Second, Seed: 5}
+			o := QuotaOptions{World: name, Policy: ByModule, Instances: 100, Duration: 15 * time.Second, Seed: 5}
 			module := quotas(t, o)
-			o.Policy, o.Late = LateStore, -1
+			o.Policy, o.PolicyDelay = LateStore, -1
 			late := quotas(t, o)
-			if module.Price > late.Price+0.1 {
-				t.Errorf("price %.3f, the late-seeing policy's %.3f", module.Price, late.Price)
+			if module.OverQuotaPrice > late.OverQuotaPrice+0.1 {
+				t.Errorf("price %.3f, the late-seeing policy's %.3f", module.OverQuotaPrice, late.OverQuotaPrice)
 			}
 		})
 	}
--- a/internal/simulation/fleetsim/attempts.go
+++ b/internal/simulation/fleetsim/attempts.go
@@ -13,57 +13,57 @@
 func (w *world) send(i int, a control.Send) {
 	t := w.nodes[i].inFlight[a.ID]
 	if t == nil { // its client has left meanwhile
-		w.tell(i, control.AttemptResult{ID: a.ID, Server: a.Server, Reason: control.NotSent, IsFinal: true})
+		w.deliver(i, control.AttemptResult{ID: a.ID, Server: a.Server, Reason: control.NotSent, IsFinal: true})
 		return
 	}
 	w.nodes[i].rejectedInRow = 0
-	n := t.sends
-	t.sends++
+	n := t.attempts
+	t.attempts++
 	sent := w.Now()
-	w.rep.Attempts++
-	h, life := w.byID[a.Server], w.nodes[i].life
+	w.result.Attempts++
+	h, life := w.byID[a.Server], w.nodes[i].incarnation
 	ended := func(why control.Reason, ran, delivered bool) {
 		if delivered {
-			w.check.Ended(a.ID, sent, h.id, ran)
-			w.plan.quotas.ended(t.call.cust)
+			w.checker.Ended(a.ID, sent, h.id, ran)
+			w.script.quotas.endAttempt(t.call.customer)
 		}
-		if w.nodes[i].life == life && !w.nodes[i].down {
-			w.ended(i, a.ID, n, h, why)
+		if w.nodes[i].incarnation == life && !w.nodes[i].down {
+			w.endAttempt(i, a.ID, n, h, why)
 		}
 	}
 	end := func(after time.Duration, why control.Reason, ran, delivered bool) {
 		w.After(after, func() { ended(why, ran, delivered) })
 	}
-	after, connected := w.reach(i, h, t.until)
+	after, connected := w.openConnection(i, h, t.deadline)
 	if !connected { // nothing was written
 		end(after, control.ConnectFailed, false, false)
 		return
 	}
-	work := w.comes(i, h, t, a.ID, n)
+	work := w.arriveAtServer(i, h, t, a.ID, n)
 	switch {
-	case h.state == hostDraining || h.inFlight >= dayCores+dayQueue:
+	case h.state == hostDraining || h.inFlight >= dayCores+maxServerQueue:
 		end(after+time.Millisecond, control.RejectedByServer, false, true)
 		return
-	case h.bad && w.plan.failing && w.rng.Float64() < 0.8:
+	case h.isFaulty && w.script.isFailing && w.rng.Float64() < 0.8:
 		end(after+2*time.Millisecond, control.Errored, true, true)
 		return
 	}
-	done := w.serve(h, work) + after
-	draw, hl := w.rng.Float64(), h.life
+	done := w.serveWork(h, work) + after
+	draw, hl := w.rng.Float64(), h.incarnation
 	switch {
-	case draw < w.plan.reset:
-		end(time.Duration(w.rng.Float64()*float64(min(done, t.until-w.Now()))), control.ResetByPeer, true, true)
-		if w.o.Mutation.hidden {
-			w.check.Sent(w.Now(), i, a.ID, h.id, false, &w.rules.Plans[t.call.cust.plan], t.call.cust.name, t.call.units)
+	case draw < w.script.resetFraction:
+		end(time.Duration(w.rng.Float64()*float64(min(done, t.deadline-w.Now()))), control.ResetByPeer, true, true)
+		if w.options.Mutation.resendsResets {
+			w.checker.Sent(w.Now(), i, a.ID, h.id, false, &w.rules.Plans[t.call.customer.plan], t.call.customer.name, t.call.units)
 		}
-	case w.Now()+done >= t.until:
-		end(t.until-w.Now(), control.TimedOut, true, true)
-	case draw < w.plan.reset+w.plan.lost+w.plan.spoilt:
+	case w.Now()+done >= t.deadline:
+		end(t.deadline-w.Now(), control.TimedOut, true, true)
+	case draw < w.script.resetFraction+w.script.lostFraction+w.script.corruptFraction:
 		end(done, control.ResetByPeer, true, true)
 	default:
 		w.After(done, func() {
 			why := control.OK
-			if h.life != hl { // its process ended under the request
+			if h.incarnation != hl { // its process ended under the request
 				why = control.ResetByPeer
 			}
 			ended(why, true, true)
@@ -71,115 +71,115 @@
 	}
 }
 
-// comes has a whole attempt come to a server, and draws its work.
-func (w *world) comes(i int, h *host, t *try, id string, n int) (work float64) {
+// arriveAtServer has a whole attempt come to a server, and draws its work.
+func (w *world) arriveAtServer(i int, h *host, t *clientRequest, id string, n int) (work float64) {
 	c := t.call
-	plan := &w.rules.Plans[c.cust.plan]
-	w.check.Sent(w.Now(), i, id, h.id, n == 0, plan, c.cust.name, c.units)
-	if n == 0 && w.plan.quotas == nil {
-		w.spend(c, plan)
+	plan := &w.rules.Plans[c.customer.plan]
+	w.checker.Sent(w.Now(), i, id, h.id, n == 0, plan, c.customer.name, c.units)
+	if n == 0 && w.script.quotas == nil {
+		w.chargeQuota(c, plan)
 	}
-	w.plan.quotas.sent(i, t)
+	w.script.quotas.recordForwarded(i, t)
 	work = dayWork * w.rng.ExpFloat64()
-	if w.o.Mutation.twoCopies {
-		w.check.Sent(w.Now(), i, id, h.id, false, plan, c.cust.name, c.units)
+	if w.options.Mutation.sendsTwice {
+		w.checker.Sent(w.Now(), i, id, h.id, false, plan, c.customer.name, c.units)
 	}
-	w.arrived(i, h, work)
+	w.recordWork(i, h, work)
 	return work
 }
 
-// reach is how long it takes to connect to a server, or until that is given up.
-func (w *world) reach(i int, h *host, until time.Duration) (after time.Duration, connected bool) {
+// openConnection is how long it takes to connect to a server, or until that is given up.
+func (w *world) openConnection(i int, h *host, until time.Duration) (after time.Duration, connected bool) {
 	switch {
 	case h.state == hostGone:
 		return time.Millisecond, false
-	case h.state == hostSilent || w.Now() < h.cutUntil:
+	case h.state == hostSilent || w.Now() < h.disconnectedUntil:
 		return min(connectTime, until-w.Now()), false
 	}
-	after = w.connect(i, h)
-	if len(h.conns) > dayConns || after > connectTime {
-		delete(h.conns, i)
+	after = w.connectDelay(i, h)
+	if len(h.connections) > maxServerConnections || after > connectTime {
+		delete(h.connections, i)
 		return min(after, connectTime), false
 	}
 	return after, true
 }
 
-// connect is how long it takes until a request may be written to a server.
-func (w *world) connect(i int, h *host) time.Duration {
-	last, ok := h.conns[i]
-	h.conns[i] = w.Now()
-	if ok && w.Now()-last < idleConn {
+// connectDelay is how long it takes until a request may be written to a server.
+func (w *world) connectDelay(i int, h *host) time.Duration {
+	last, ok := h.connections[i]
+	h.connections[i] = w.Now()
+	if ok && w.Now()-last < idleConnectionTime {
 		return 500 * time.Microsecond
 	}
-	w.dialed++
-	for k, at := range h.conns {
-		if w.Now()-at >= idleConn {
-			delete(h.conns, k)
+	w.newConnections++
+	for k, at := range h.connections {
+		if w.Now()-at >= idleConnectionTime {
+			delete(h.connections, k)
 		}
 	}
-	w.arrived(i, h, handshake)
-	if w.plan.slowUp > 0 && w.rng.Float64() < w.plan.slowUp {
+	w.recordWork(i, h, handshakeWork)
+	if w.script.slowConnectFraction > 0 && w.rng.Float64() < w.script.slowConnectFraction {
 		return time.Duration(w.rng.Float64() * float64(maxSlowConnect))
 	}
 	return 3 * time.Millisecond
 }
 
-// arrived books work that has reached a server.
-func (w *world) arrived(i int, h *host, work float64) {
-	knows := false
-	if life, ok := w.nodes[i].knows[h.id]; ok {
-		knows = life == h.life
+// recordWork books work that has reached a server.
+func (w *world) recordWork(i int, h *host, work float64) {
+	isKnown := false
+	if life, ok := w.nodes[i].knownIncarnations[h.id]; ok {
+		isKnown = life == h.incarnation
 	}
-	w.check.Arrived(w.Now(), h.id, work, knows)
+	w.checker.Arrived(w.Now(), h.id, work, isKnown)
 }
 
-// serve has a server work; it gives how long the answer takes.
-func (w *world) serve(h *host, work float64) time.Duration {
-	core := soonest(h.free[:])
-	speed := warmthAt(w.Now() - h.bootAt)
-	if h.bad && !w.plan.failing {
+// serveWork has a server work; it gives how long the answer takes.
+func (w *world) serveWork(h *host, work float64) time.Duration {
+	core := firstFreeCore(h.coreFreeAt[:])
+	speed := warmthAt(w.Now() - h.bootedAt)
+	if h.isFaulty && !w.script.isFailing {
 		speed /= 5
 	}
-	took := time.Duration(work / speed * float64(time.Second))
-	from := max(w.Now(), h.free[core])
-	h.free[core] = from + took
-	h.mean += 0.1 * (took.Seconds() - h.mean)
+	duration := time.Duration(work / speed * float64(time.Second))
+	from := max(w.Now(), h.coreFreeAt[core])
+	h.coreFreeAt[core] = from + duration
+	h.smoothedTime += 0.1 * (duration.Seconds() - h.smoothedTime)
 	h.inFlight++
-	life := h.life
-	w.At(h.free[core], func() {
-		if h.life == life {
+	life := h.incarnation
+	w.At(h.coreFreeAt[core], func() {
+		if h.incarnation == life {
 			h.inFlight--
 		}
 	})
-	return h.free[core] - w.Now()
+	return h.coreFreeAt[core] - w.Now()
 }
 
-// load is what a server tells of itself, as of some time ago.
-func (w *world) load(h *host) *control.LoadReport {
-	if h.reportAt == 0 || w.Now()-h.reportAt >= reportEvery {
-		h.busy += 0.5 * (math.Min(1, float64(h.inFlight)/dayCores) - h.busy)
-		h.report = control.LoadReport{MeanLatencyMS: 1000 * h.mean, Utilization: h.busy, Queued: math.Max(0, float64(h.inFlight-dayCores)), InFlight: -1, RequestsPerSecond: -1, ErrorsPerSecond: -1}
+// loadReport is what a server tells of itself, as of some time ago.
+func (w *world) loadReport(h *host) *control.LoadReport {
+	if h.reportAt == 0 || w.Now()-h.reportAt >= loadReportInterval {
+		h.smoothedUtilization += 0.5 * (math.Min(1, float64(h.inFlight)/dayCores) - h.smoothedUtilization)
+		h.report = control.LoadReport{MeanLatencyMS: 1000 * h.smoothedTime, Utilization: h.smoothedUtilization, Queued: math.Max(0, float64(h.inFlight-dayCores)), InFlight: -1, RequestsPerSecond: -1, ErrorsPerSecond: -1}
 		h.reportAt = w.Now()
 	}
 	l := h.report
 	return &l
 }
 
-// ended brings an attempt's end to its instance.
-func (w *world) ended(i int, id string, n int, h *host, why control.Reason) {
+// endAttempt brings an attempt's end to its instance.
+func (w *world) endAttempt(i int, id string, n int, h *host, why control.Reason) {
 	t := w.nodes[i].inFlight[id]
 	e := control.AttemptResult{ID: id, Attempt: n, Server: h.id, Reason: why, IsFinal: t == nil}
 	if why == control.OK || why == control.RejectedByServer || why == control.Errored {
-		e.Load = w.load(h)
+		e.Load = w.loadReport(h)
 		if t != nil {
-			e.QuotaUsage = w.reportedUsage(i, t.call.cust)
+			e.QuotaUsage = w.reportedUsage(i, t.call.customer)
 		}
 	}
 	if why == control.OK && t != nil {
-		if e.ActualUnits, e.IsFinal = t.call.cost, true; w.plan.quotas == nil {
+		if e.ActualUnits, e.IsFinal = t.call.actualUnits, true; w.script.quotas == nil {
 			e.ActualUnits = math.Max(1, t.call.units+float64(w.rng.IntN(3)-1))
 		}
-		w.answer(i, id, "served")
+		w.finish(i, id, "served")
 	}
-	w.tell(i, e)
+	w.deliver(i, e)
 }
--- a/internal/simulation/fleetsim/days.go
+++ b/internal/simulation/fleetsim/days.go
@@ -14,20 +14,20 @@
 
 // dayPlan is what a day does to the world.
 type dayPlan struct {
-	does   string // one line of help
+	help   string // one line of help
 	script func(w *world)
 
-	bad         float64       // part of the servers that are bad from the start
-	failing     bool          // they fail at once; else they are slow
-	lost, reset float64       // part of the answers that are lost, and of attempts whose connection is reset
-	spoilt      float64       // part of the answers that can't be read
-	leave       float64       // part of the requests whose client leaves early
-	eager       bool          // clients come again at once, and more often
-	late        time.Duration // by which lists come later than usual
-	slowUp      float64       // part of new connections that come up late, up to 1 s
-	lingers     bool          // some servers drain for long
-	fresh       bool          // customers are ever new
-	quotas      *quotaDay     // customers are those of a world of quotas
+	faultyFraction              float64       // part of the servers that are bad from the start
+	isFailing                   bool          // they fail at once; else they are slow
+	lostFraction, resetFraction float64       // part of the answers that are lost, and of attempts whose connection is reset
+	corruptFraction             float64       // part of the answers that can't be read
+	leavingFraction             float64       // part of the requests whose client leaves early
+	retriesAtOnce               bool          // clients come again at once, and more often
+	listDelay                   time.Duration // by which lists come later than usual
+	slowConnectFraction         float64       // part of new connections that come up late, up to 1 s
+	hasLongDrains               bool          // some servers drain for long
+	hasFreshCustomers           bool          // customers are ever new
+	quotas                      *quotaDay     // customers are those of a world of quotas
 	// settings changes what the settings of this day name; nil leaves the usual ones.
 	settings func(s *control.Settings)
 }
@@ -37,22 +37,22 @@
 
 // days are the scripts. A part p of the day is w.part(p).
 var days = map[string]dayPlan{
-	"calm": {does: "no fault; a burst of half as much again", script: func(w *world) {
-		w.At(w.part(0.4), func() { w.arrivalRate *= 1.5 })
-		w.At(w.part(0.6), func() { w.arrivalRate /= 1.5 })
+	"calm": {help: "no fault; a burst of half as much again", script: func(w *world) {
+		w.At(w.timeAt(0.4), func() { w.arrivalRate *= 1.5 })
+		w.At(w.timeAt(0.6), func() { w.arrivalRate /= 1.5 })
 	}},
-	"roll": {does: "half of the servers replaced while all instances restart and discovery moves", script: func(w *world) {
-		w.replace(0.5, 0.15, 0.75)
+	"roll": {help: "half of the servers replaced while all instances restart and discovery moves", script: func(w *world) {
+		w.replaceServers(0.5, 0.15, 0.75)
 		tenth := max(1, len(w.nodes)/10)
 		for i := range w.nodes {
-			at := w.part(0.2 + 0.6*float64(i/tenth)/10)
+			at := w.timeAt(0.2 + 0.6*float64(i/tenth)/10)
 			w.At(at, func() { w.terminate(i) })
 		}
-		w.At(w.part(0.45), func() { w.listsSilentUntil = w.Now() + 4*time.Second }) // the new one has to be asked first
+		w.At(w.timeAt(0.45), func() { w.listsSilentUntil = w.Now() + 4*time.Second }) // the new one has to be asked first
 	}},
-	"herd": {does: "seven in ten instances killed at once during a release", bad: 1.0 / 8, failing: true, script: func(w *world) {
-		w.replace(0.5, 0.3, 0.7)
-		w.At(w.part(0.45), func() {
+	"herd": {help: "seven in ten instances killed at once during a release", faultyFraction: 1.0 / 8, isFailing: true, script: func(w *world) {
+		w.replaceServers(0.5, 0.3, 0.7)
+		w.At(w.timeAt(0.45), func() {
 			for i := range w.nodes {
 				if w.rng.Float64() < 0.7 {
 					w.kill(i)
@@ -61,62 +61,64 @@
 			}
 		})
 	}},
-	"zone": {does: "a third of the servers lost for 5 s and back cold; some are slow", bad: 1.0 / 8, script: func(w *world) {
-		w.At(w.part(0.3), func() { w.loseZone(5 * time.Second) })
-		w.At(w.part(0.7), func() { w.cut(3*time.Second, 3) })
+	"zone": {help: "a third of the servers lost for 5 s and back cold; some are slow", faultyFraction: 1.0 / 8, script: func(w *world) {
+		w.At(w.timeAt(0.3), func() { w.loseZone(5 * time.Second) })
+		w.At(w.timeAt(0.7), func() { w.disconnectServers(3*time.Second, 3) })
 	}},
 	"split": {
-		does: "a fifth of the servers silent, lists late, no meter, answers lost", lost: 0.01, reset: 0.01, late: 2500 * time.Millisecond,
+		help: "a fifth of the servers silent, lists late, no meter, answers lost", lostFraction: 0.01, resetFraction: 0.01, listDelay: 2500 * time.Millisecond,
 		script: func(w *world) {
-			w.At(w.part(0.3), func() {
-				w.cut(6*time.Second, 5)
+			w.At(w.timeAt(0.3), func() {
+				w.disconnectServers(6*time.Second, 5)
 				w.meterDown = true
 			})
-			w.At(w.part(0.3)+6*time.Second, func() { w.meterDown = false })
-			w.replace(0.2, 0.4, 0.6)
+			w.At(w.timeAt(0.3)+6*time.Second, func() { w.meterDown = false })
+			w.replaceServers(0.2, 0.4, 0.6)
 		},
 	},
 	"join": {
-		does: "six in ten servers replaced in a quarter of the day; clients leave early or come again at once", spoilt: 0.005, leave: 0.03, eager: true, slowUp: 0.05, lingers: true,
+		help: "six in ten servers replaced in a quarter of the day; clients leave early or come again at once", corruptFraction: 0.005, leavingFraction: 0.03, retriesAtOnce: true, slowConnectFraction: 0.05, hasLongDrains: true,
 		script: func(w *world) {
-			w.replace(0.6, 0.25, 0.5)
-			w.At(w.part(0.35), w.deafen)
+			w.replaceServers(0.6, 0.25, 0.5)
+			w.At(w.timeAt(0.35), w.silenceWatches)
 		},
 	},
-	"throng": {does: "new servers join and others come back cold under a burst", spoilt: 0.005, script: func(w *world) {
+	"throng": {help: "new servers join and others come back cold under a burst", corruptFraction: 0.005, script: func(w *world) {
 		for i, h := range w.hosts {
 			if i%4 == 0 {
-				w.At(w.part(0.25), func() { h.state = hostSilent })
-				w.At(w.part(0.35), func() { w.reboot(h) })
+				w.At(w.timeAt(0.25), func() { h.state = hostSilent })
+				w.At(w.timeAt(0.35), func() { w.reboot(h) })
 			}
 		}
-		w.At(w.part(0.35), func() {
+		w.At(w.timeAt(0.35), func() {
 			w.arrivalRate *= 2
 			for i := range len(w.hosts) / 4 {
 				w.boot(fmt.Sprintf("z%d", i%dayZones), i/dayCellSize)
 			}
 		})
-		w.At(w.part(0.85), func() { w.arrivalRate /= 2 })
+		w.At(w.timeAt(0.85), func() { w.arrivalRate /= 2 })
 	}},
-	"long": {does: "servers and customers ever new", fresh: true, script: func(w *world) {
+	"long": {help: "servers and customers ever new", hasFreshCustomers: true, script: func(w *world) {
 		for k := range 8 {
-			w.replace(0.25, float64(k)/8, float64(k)/8+0.1)
+			w.replaceServers(0.25, float64(k)/8, float64(k)/8+0.1)
 		}
 	}},
 }
 
 // DayHelp says what a day does.
-func DayHelp(name string) string { return days[name].does }
+func DayHelp(name string) string { return days[name].help }
 
-func (w *world) part(p float64) time.Duration { return time.Duration(p * float64(w.o.Lasts)) }
+func (w *world) timeAt(p float64) time.Duration {
+	return time.Duration(p * float64(w.options.Duration))
+}
 
-// replace has a part of the servers that are up when it begins replaced by new ones, in steps between
+// replaceServers has a part of the servers that are up when it begins replaced by new ones, in steps between
 // two parts of the day: the new one is listed, then the old one drains, then it is gone.
-func (w *world) replace(part, from, to float64) {
-	w.At(w.part(from), func() {
+func (w *world) replaceServers(part, from, to float64) {
+	w.At(w.timeAt(from), func() {
 		var old []*host
 		for _, h := range w.hosts {
-			if h.state == hostUp && !h.bad && !h.leaving {
+			if h.state == hostUp && !h.isFaulty && !h.isLeaving {
 				old = append(old, h)
 			}
 		}
@@ -124,48 +126,48 @@
 		old = old[:int(part*float64(len(old)))]
 		const steps = 8
 		for i, h := range old {
-			h.leaving = true
-			w.After(w.part(to-from)*time.Duration(i*steps/len(old))/steps, func() {
+			h.isLeaving = true
+			w.After(w.timeAt(to-from)*time.Duration(i*steps/len(old))/steps, func() {
 				w.boot(h.zone, h.cell)
 				w.After(1500*time.Millisecond, func() { w.drain(h) })
-				stays := 6 * time.Second
-				if w.plan.lingers && i%3 == 0 { // it outlives whoever never hears of its drain
-					stays = 14 * time.Second
+				remaining := 6 * time.Second
+				if w.script.hasLongDrains && i%3 == 0 { // it outlives whoever never hears of its drain
+					remaining = 14 * time.Second
 				}
-				w.After(stays, func() { w.remove(h) })
+				w.After(remaining, func() { w.remove(h) })
 			})
 		}
 	})
 }
 
 // loseZone has a zone's servers vanish and come back cold.
-func (w *world) loseZone(lasts time.Duration) {
+func (w *world) loseZone(duration time.Duration) {
 	for _, h := range w.hosts {
 		if h.zone == "z0" && h.state == hostUp {
 			h.state = hostSilent
-			w.After(lasts, func() { w.reboot(h) })
+			w.After(duration, func() { w.reboot(h) })
 		}
 	}
 }
 
-// deafen has six in ten watches fall silent: their instances learn nothing until they have noticed and
+// silenceWatches has six in ten watches fall silent: their instances learn nothing until they have noticed and
 // opened new ones.
-func (w *world) deafen() {
+func (w *world) silenceWatches() {
 	for _, n := range w.nodes {
 		if w.rng.Float64() < 0.6 {
-			n.deafSince, n.deafUntil = w.Now(), w.Now()+watchSilence
-			if w.o.Mutation.deaf {
-				n.deafUntil = 24 * time.Hour
+			n.watchSilentSince, n.watchSilentUntil = w.Now(), w.Now()+watchSilence
+			if w.options.Mutation.keepsSilentWatches {
+				n.watchSilentUntil = 24 * time.Hour
 			}
 		}
 	}
 }
 
-// cut takes one of so many servers off the network for a while; they go on working.
-func (w *world) cut(lasts time.Duration, of int) {
+// disconnectServers takes one of so many servers off the network for a while; they go on working.
+func (w *world) disconnectServers(duration time.Duration, of int) {
 	for i, h := range w.hosts {
 		if i%of == 0 && h.state == hostUp {
-			h.cutUntil = w.Now() + lasts
+			h.disconnectedUntil = w.Now() + duration
 		}
 	}
 }
@@ -177,15 +179,15 @@
 	Rule fleetrules.Rule // that it breaks
 	Day  string
 
-	settings  func(w *world, n *node)
-	list      func(w *world, m []listed) []listed
-	noTimer   bool // a request's own timers never come
-	twoCopies bool // an attempt goes out twice
-	twoEnds   bool // a final answer is given twice
-	allFails  bool // what has failed is refused, as if it were harmless
-	drops     bool // an instance that is told to end drops what it holds
-	deaf      bool // a watch that has fallen silent is not opened anew
-	hidden    bool // the transport sends what was reset once more, by itself
+	settings           func(w *world, n *node)
+	list               func(w *world, m []listed) []listed
+	dropsTimers        bool // a request's own timers never come
+	sendsTwice         bool // an attempt goes out twice
+	answersTwice       bool // a final answer is given twice
+	rejectsFailures    bool // what has failed is refused, as if it were harmless
+	dropsInFlight      bool // an instance that is told to end drops what it holds
+	keepsSilentWatches bool // a watch that has fallen silent is not opened anew
+	resendsResets      bool // the transport sends what was reset once more, by itself
 
 	// Load is how much more is asked than usual, and Instances how many there have to be at the least, where the
 	// rule needs it to show. Zero is as usual.
@@ -204,30 +206,30 @@
 
 // Mutations are the guards that can be taken out, by name.
 var Mutations = []Mutation{
-	{Name: "the group's size is taken as 1", Rule: fleetrules.WarmingUp, Day: "join", Instances: 120, settings: func(_ *world, n *node) { n.set.GroupSize, n.set.SelfIndex = 1, 0 }},
-	{Name: "a cold server is held able to do all from its start", Rule: fleetrules.WarmingUp, Day: "herd", settings: func(_ *world, n *node) { n.set.InitialCapacity, n.set.OverloadMultiple = 1, 50 }},
+	{Name: "the group's size is taken as 1", Rule: fleetrules.WarmingUp, Day: "join", Instances: 120, settings: func(_ *world, n *node) { n.settings.GroupSize, n.settings.SelfIndex = 1, 0 }},
+	{Name: "a cold server is held able to do all from its start", Rule: fleetrules.WarmingUp, Day: "herd", settings: func(_ *world, n *node) { n.settings.InitialCapacity, n.settings.OverloadMultiple = 1, 50 }},
 	{Name: "drains are not heard", Rule: fleetrules.Drain, Day: "join", list: func(_ *world, m []listed) []listed {
 		var up []listed
 		for _, one := range m {
-			if one.up {
+			if one.isUp {
 				up = append(up, one)
 			}
 		}
 		return up
 	}},
-	{Name: "a silent watch is not opened anew", Rule: fleetrules.Drain, Day: "join", deaf: true},
-	{Name: "a repeat may go to any server", Rule: fleetrules.Twice, Day: "split", settings: func(_ *world, n *node) { n.set.Classes[1].KeyScope = 0 }},
-	{Name: "a repeat may go at any time", Rule: fleetrules.Twice, Day: "split", Load: 2, settings: func(_ *world, n *node) { n.set.Classes[1].RepeatWindow = time.Hour }},
-	{Name: "an attempt goes out twice", Rule: fleetrules.Twice, Day: "calm", twoCopies: true},
-	{Name: "the transport sends again what was reset", Rule: fleetrules.Twice, Day: "split", hidden: true},
-	{Name: "what may have run is refused", Rule: fleetrules.Twice, Day: "split", Load: 3, allFails: true},
+	{Name: "a silent watch is not opened anew", Rule: fleetrules.Drain, Day: "join", keepsSilentWatches: true},
+	{Name: "a repeat may go to any server", Rule: fleetrules.Twice, Day: "split", settings: func(_ *world, n *node) { n.settings.Classes[1].KeyScope = 0 }},
+	{Name: "a repeat may go at any time", Rule: fleetrules.Twice, Day: "split", Load: 2, settings: func(_ *world, n *node) { n.settings.Classes[1].RepeatWindow = time.Hour }},
+	{Name: "an attempt goes out twice", Rule: fleetrules.Twice, Day: "calm", sendsTwice: true},
+	{Name: "the transport sends again what was reset", Rule: fleetrules.Twice, Day: "split", resendsResets: true},
+	{Name: "what may have run is refused", Rule: fleetrules.Twice, Day: "split", Load: 3, rejectsFailures: true},
 	{Name: "neither ceiling nor quota is looked at", Rule: fleetrules.HardLimit, Day: "calm", Load: 2, settings: func(_ *world, n *node) {
-		n.set.Plans[1].HardLimitRate, n.set.Plans[1].QuotaRate = 0, 0
+		n.settings.Plans[1].HardLimitRate, n.settings.Plans[1].QuotaRate = 0, 0
 	}},
 	{Name: "each instance grants the whole ceiling", Rule: fleetrules.HardLimit, Day: "calm", Load: 2, settings: func(_ *world, n *node) { n.grantsFullHardLimit = true }},
-	{Name: "a request's timers never come", Rule: fleetrules.Answer, Day: "zone", Load: 4, noTimer: true},
-	{Name: "a final answer is given twice", Rule: fleetrules.Answer, Day: "calm", twoEnds: true},
-	{Name: "what is held at an end is dropped", Rule: fleetrules.Answer, Day: "roll", drops: true},
+	{Name: "a request's timers never come", Rule: fleetrules.Answer, Day: "zone", Load: 4, dropsTimers: true},
+	{Name: "a final answer is given twice", Rule: fleetrules.Answer, Day: "calm", answersTwice: true},
+	{Name: "what is held at an end is dropped", Rule: fleetrules.Answer, Day: "roll", dropsInFlight: true},
 }
 
 func stream(seed uint64, name uint64) *rand.Rand {
--- a/internal/simulation/fleetsim/days_test.go
+++ b/internal/simulation/fleetsim/days_test.go
@@ -25,8 +25,8 @@
 		for _, name := range DayNames {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				r := day(t, DayOptions{Day: name, Instances: n, Lasts: 20 * time.Second, Seed: 4})
-				if len(r.Broken) > 0 || r.Served < 0.5 || r.First < 100 {
+				r := day(t, DayOptions{Day: name, Instances: n, Duration: 20 * time.Second, Seed: 4})
+				if len(r.Broken) > 0 || r.Served < 0.5 || r.Calls < 100 {
 					t.Errorf("%d instances: %+v", n, r)
 				}
 				if starved := meanStarved(t, name, n); starved > 0.15 {
@@ -58,8 +58,8 @@
 	const seeds = 8
 	sum := 0.0
 	for seed := range uint64(seeds) {
-		r := day(t, DayOptions{Day: name, Instances: instances, Lasts: 20 * time.Second, Seed: 1 + seed})
-		if sum += r.Starved; len(r.Broken) > 0 {
+		r := day(t, DayOptions{Day: name, Instances: instances, Duration: 20 * time.Second, Seed: 1 + seed})
+		if sum += r.StarvedFraction; len(r.Broken) > 0 {
 			t.Errorf("%d instances, seed %d: %+v", instances, 1+seed, r)
 		}
 	}
@@ -68,7 +68,7 @@
 
 // Nor where hundreds of instances are killed at once and clients come again and again, in a short form.
 func TestThreeHundredInstancesKeepTheRules(t *testing.T) {
-	r := day(t, DayOptions{Day: "herd", Instances: 300, Lasts: 10 * time.Second, Load: 2, Seed: 4})
+	r := day(t, DayOptions{Day: "herd", Instances: 300, Duration: 10 * time.Second, Load: 2, Seed: 4})
 	if len(r.Broken) > 0 || r.Served < 0.5 || r.MaxWarmUpOverload == 0 {
 		t.Errorf("%+v", r)
 	}
@@ -76,7 +76,7 @@
 
 // The same seed gives the same day, whatever map order a run meets; another seed gives another.
 func TestSameSeedSameDay(t *testing.T) {
-	o := DayOptions{Day: "split", Instances: 12, Lasts: 12 * time.Second, Seed: 5}
+	o := DayOptions{Day: "split", Instances: 12, Duration: 12 * time.Second, Seed: 5}
 	a, b := day(t, o), day(t, o)
 	if !reflect.DeepEqual(a, b) {
 		t.Errorf("%+v\n%+v", a, b)
@@ -96,7 +96,7 @@
 	for _, m := range Mutations {
 		t.Run(m.Name, func(t *testing.T) {
 			t.Parallel()
-			o := m.Options(DayOptions{Instances: 40, Lasts: 20 * time.Second, Seed: 4})
+			o := m.Options(DayOptions{Instances: 40, Duration: 20 * time.Second, Seed: 4})
 			without := o
 			without.Mutation = nil
 			if r := day(t, without); len(r.Broken) > 0 {
@@ -111,15 +111,15 @@
 
 // A report's sums don't hang on the order of a map.
 func TestSumsAreTheSame(t *testing.T) {
-	w := &world{rules: control.Settings{Classes: make([]control.Class, 2)}, check: fleetrules.New(fleetrules.Terms{}), customers: map[*dayCustomer]*weightTotals{}}
+	w := &world{rules: control.Settings{Classes: make([]control.Class, 2)}, checker: fleetrules.New(fleetrules.Terms{}), customers: map[*dayCustomer]*weightTotals{}}
 	for i := range 50 {
 		asked := 1 / float64(i+1)
 		w.customers[&dayCustomer{name: fmt.Sprint(i)}] = &weightTotals{offered: asked}
 		w.totalWeight.offered += asked
 	}
-	first := w.report().Starved
+	first := w.report().StarvedFraction
 	for range 20 {
-		if again := w.report().Starved; again != first {
+		if again := w.report().StarvedFraction; again != first {
 			t.Fatalf("%v and %v", again, first)
 		}
 	}
--- a/internal/simulation/fleetsim/decisions_amd64_test.go
+++ b/internal/simulation/fleetsim/decisions_amd64_test.go
@@ -41,7 +41,7 @@
 	"join":  (*pinnedDay).playNamed,
 	"long":  (*pinnedDay).playNamed,
 	"single-shot": func(p *pinnedDay) error {
-		mutation := &Mutation{settings: func(_ *world, n *node) { n.set.Classes[1].Idempotency = control.NotIdempotent }}
+		mutation := &Mutation{settings: func(_ *world, n *node) { n.settings.Classes[1].Idempotency = control.NotIdempotent }}
 		return p.play(DayOptions{Day: "split", Mutation: mutation, Load: 2}, days["split"])
 	},
 	"hand-over": func(p *pinnedDay) error {
@@ -91,7 +91,7 @@
 		return nil, err
 	}
 	for _, n := range p.world.nodes {
-		p.noteError(p.state.AddImage(n.c.Image()))
+		p.noteError(p.state.AddImage(n.controller.Image()))
 	}
 	return p, p.err
 }
@@ -99,13 +99,13 @@
 func (p *pinnedDay) playNamed() error { return p.play(DayOptions{Day: p.day}, days[p.day]) }
 
 func (p *pinnedDay) play(o DayOptions, plan dayPlan) error {
-	o.Instances, o.Seed, o.Lasts, o.observe = p.instances, p.seed, decisionLasts, p.observe
+	o.Instances, o.Seed, o.Duration, o.observe = p.instances, p.seed, decisionLasts, p.observe
 	_, err := play(o, plan)
 	return err
 }
 
 func (p *pinnedDay) playQuotas() error {
-	_, err := Quotas(QuotaOptions{World: p.day, Policy: ByModule, Instances: p.instances, Seed: p.seed, Lasts: decisionLasts, observe: p.observe})
+	_, err := Quotas(QuotaOptions{World: p.day, Policy: ByModule, Instances: p.instances, Seed: p.seed, Duration: decisionLasts, observe: p.observe})
 	return err
 }
 
@@ -116,7 +116,7 @@
 	p.actions += len(actions)
 	p.decided.AddActions(w.Now(), instance, actions)
 	if p.events%imageEvery == 0 {
-		p.noteError(p.state.AddImage(w.nodes[instance].c.Image()))
+		p.noteError(p.state.AddImage(w.nodes[instance].controller.Image()))
 	}
 	if response, ok := event.(control.AttemptResult); ok && response.QuotaUsage > 0 {
 		p.features["metered use told"] = true
@@ -141,11 +141,11 @@
 		return
 	}
 	kind := "attempt"
-	if t.sends > 0 {
+	if t.attempts > 0 {
 		kind = "retry"
 	}
-	p.features[kind+" of a "+effectNames[n.set.Classes[t.call.class].Idempotency]+" request"] = true
-	if warmthAt(w.Now()-w.byID[a.Server].bootAt) < 1 {
+	p.features[kind+" of a "+effectNames[n.settings.Classes[t.call.class].Idempotency]+" request"] = true
+	if warmthAt(w.Now()-w.byID[a.Server].bootedAt) < 1 {
 		p.features["attempt at a cold server"] = true
 	}
 }
@@ -153,22 +153,22 @@
 // handOverAll is a day's script: half of the servers start cold while every instance hands over to a
 // successor, one after another.
 func (p *pinnedDay) handOverAll(w *world) {
-	w.replace(0.5, 0.1, 0.5)
+	w.replaceServers(0.5, 0.1, 0.5)
 	for i := range w.nodes {
-		w.At(w.part(0.2+0.6*float64(i)/float64(len(w.nodes))), func() { p.handOver(w, i) })
+		w.At(w.timeAt(0.2+0.6*float64(i)/float64(len(w.nodes))), func() { p.handOver(w, i) })
 	}
 }
 
 // handOver has an instance hand half of what it may spend to a successor, and the rest a second later. Every
 // other successor doesn't trust what it is handed to be exact.
 func (p *pinnedDay) handOver(w *world, instance int) {
-	now, old := w.Now()+firstUse, w.nodes[instance].c
+	now, old := w.Now()+firstUse, w.nodes[instance].controller
 	given := old.HandOver(now, 0.5)
 	p.noteError(p.state.AddCheckpoint(given))
 	p.features["hand-over"] = true
 	w.kill(instance)
 	w.start(instance)
-	successor := w.nodes[instance].c
+	successor := w.nodes[instance].controller
 	if instance%2 == 0 {
 		successor.Restore(now, given, control.TrustAll)
 		p.features["restored exactly"] = true
--- a/internal/simulation/fleetsim/hard_test.go
+++ b/internal/simulation/fleetsim/hard_test.go
@@ -16,13 +16,13 @@
 	}{
 		"all servers gone at once, others later": {func(w *world) {
 			old := append([]*host(nil), w.hosts...)
-			w.At(w.part(0.3), func() {
+			w.At(w.timeAt(0.3), func() {
 				for _, h := range old {
 					w.drain(h)
 					w.After(2*time.Second, func() { w.remove(h) })
 				}
 			})
-			w.At(w.part(0.5), func() {
+			w.At(w.timeAt(0.5), func() {
 				for _, h := range old {
 					w.boot(h.zone, h.cell)
 				}
@@ -31,47 +31,47 @@
 		// Little is served: with no warm server to go by, all together send each cold one a unit a second.
 		"an empty list for 3 s, then all cold": {func(w *world) {
 			for _, h := range w.hosts {
-				h.bootAt = 0
+				h.bootedAt = 0
 				w.register(h)
 				w.At(3*time.Second, func() { w.announce(h, true) })
 			}
 		}, 0.08},
-		"all servers silent for 4 s": {func(w *world) { w.At(w.part(0.3), func() { w.cut(4*time.Second, 1) }) }, 0.4},
+		"all servers silent for 4 s": {func(w *world) { w.At(w.timeAt(0.3), func() { w.disconnectServers(4*time.Second, 1) }) }, 0.4},
 		"lists never come": {func(w *world) {
 			w.listsSilentUntil = never
-			w.replace(0.4, 0.2, 0.6)
+			w.replaceServers(0.4, 0.2, 0.6)
 		}, 0.5},
 		"two restarts within a second": {func(w *world) {
 			for _, at := range []time.Duration{0, 600 * time.Millisecond} {
-				w.At(w.part(0.4)+at, func() {
+				w.At(w.timeAt(0.4)+at, func() {
 					for i := range w.nodes {
 						w.kill(i)
 						w.After(300*time.Millisecond, func() { w.start(i) })
 					}
 				})
 			}
-			w.replace(0.3, 0.3, 0.5)
+			w.replaceServers(0.3, 0.3, 0.5)
 		}, 0.6},
 		"told to end twice, and killed meanwhile": {func(w *world) {
 			for i := range w.nodes {
-				w.At(w.part(0.3), func() { w.terminate(i) })
-				w.At(w.part(0.3)+time.Second, func() { w.terminate(i) })
+				w.At(w.timeAt(0.3), func() { w.terminate(i) })
+				w.At(w.timeAt(0.3)+time.Second, func() { w.terminate(i) })
 				if i%3 == 0 {
-					w.At(w.part(0.3)+2*time.Second, func() { w.kill(i) })
-					w.At(w.part(0.3)+2200*time.Millisecond, func() { w.start(i) })
+					w.At(w.timeAt(0.3)+2*time.Second, func() { w.kill(i) })
+					w.At(w.timeAt(0.3)+2200*time.Millisecond, func() { w.start(i) })
 				}
 			}
 		}, 0.3},
 		"every server back under its id with a new start": {func(w *world) {
 			for i, h := range w.hosts {
-				w.At(w.part(0.3)+time.Duration(i)*200*time.Millisecond, func() { w.reboot(h) })
+				w.At(w.timeAt(0.3)+time.Duration(i)*200*time.Millisecond, func() { w.reboot(h) })
 			}
 		}, 0.5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for _, n := range []int{1, 3, 40} {
-				r, err := play(DayOptions{Day: "hard", Instances: n, Lasts: 15 * time.Second, Seed: 2}, dayPlan{script: tc.script})
+				r, err := play(DayOptions{Day: "hard", Instances: n, Duration: 15 * time.Second, Seed: 2}, dayPlan{script: tc.script})
 				if err != nil || len(r.Broken) > 0 || r.Served < tc.least {
 					t.Errorf("%d instances: %v %+v", n, err, r)
 				}
@@ -87,7 +87,7 @@
 		instances, told int
 		want            fleetrules.Rule
 	}{{120, 1, fleetrules.WarmingUp}, {40, 40, ""}, {40, 160, ""}} {
-		r := day(t, DayOptions{Day: "join", Instances: tc.instances, GroupSize: tc.told, Lasts: 15 * time.Second, Seed: 4, Load: 2})
+		r := day(t, DayOptions{Day: "join", Instances: tc.instances, GroupSize: tc.told, Duration: 15 * time.Second, Seed: 4, Load: 2})
 		if tc.want == "" && len(r.Broken) > 0 || tc.want != "" && r.Broken[tc.want] == 0 || r.Served < 0.4 {
 			t.Errorf("told %d: %+v", tc.told, r)
 		}
--- a/internal/simulation/fleetsim/quota_bound_test.go
+++ b/internal/simulation/fleetsim/quota_bound_test.go
@@ -19,7 +19,7 @@
 	depth             float64
 	again             string        // which instances start again
 	from, to          time.Duration // that are counted, in whole periods of the meter
-	world             quotaWorld
+	world             quotaDeployment
 }
 
 const (
@@ -56,15 +56,15 @@
 		d.x, d.heavy = 0, 0
 	}
 	f := &d.world
-	f.units = unitsOf(pick(int(oneUnit), int(byClass), int(bySize), int(guessed)))
-	f.maxUnits = map[unitsOf]float64{oneUnit: 1, byClass: 2, bySize: 4, guessed: 4}[f.units]
-	f.guessCV, f.skew, f.shift, f.otherNodeFraction = span{0, 0.6}, span{0, 1}, span{4, 15}, span{0, 0.7}
-	f.use, f.heavy, f.heavyX = span{d.usual, d.usual}, span{d.heavy, d.heavy}, span{d.x, d.x}
-	f.meter = seconds(0.5 + 1.5*r.Float64())
+	f.units = unitsKind(pick(int(oneUnit), int(byClass), int(bySize), int(guessed)))
+	f.maxUnits = map[unitsKind]float64{oneUnit: 1, byClass: 2, bySize: 4, guessed: 4}[f.units]
+	f.guessCV, f.skew, f.shiftInterval, f.otherNodeFraction = valueRange{0, 0.6}, valueRange{0, 1}, valueRange{4, 15}, valueRange{0, 0.7}
+	f.usageFraction, f.heavy, f.heavyMultiple = valueRange{d.usual, d.usual}, valueRange{d.heavy, d.heavy}, valueRange{d.x, d.x}
+	f.meterPeriod = seconds(0.5 + 1.5*r.Float64())
 	late := 0.2 + 1.3*r.Float64()
-	f.late = span{late, late}
+	f.meterDelay = valueRange{late, late}
 	// All is well within what the servers can do: it is quotas that refuse.
-	can := math.Max(4, perNode*float64(instances)) * dayCores / dayWork
+	can := math.Max(4, serversPerNode*float64(instances)) * dayCores / dayWork
 	rate := math.Min(math.Pow(most, r.Float64()), 0.3*can*f.meanCost()/math.Max(1, d.x))
 	d.depth = f.maxUnits + 4*rate*r.Float64()*r.Float64()
 	load, calm := 0.25, (1-d.heavy)*d.usual
@@ -72,28 +72,28 @@
 		load = 0.15
 	}
 	plan := quotaPlan{
-		name: "plan", price: 1, overCost: 0.5 + 0.7*r.Float64(), rate: span{rate, rate}, spread: span{1, 1},
-		share: load * (d.heavy + calm) / (d.heavy*d.x + calm) / quotaOffered,
+		name: "plan", price: 1, overCost: 0.5 + 0.7*r.Float64(), rate: valueRange{rate, rate}, fanOut: valueRange{1, 1},
+		share: load * (d.heavy + calm) / (d.heavy*d.x + calm) / quotaOfferedFraction,
 	}
 	if r.IntN(2) == 0 && d.depth >= f.maxUnits*float64(d.spread) { // each may send two of the largest at once
-		plan.hardLimit = span{2, 2}
+		plan.hardLimit = valueRange{2, 2}
 	}
 	f.plans = []quotaPlan{plan}
-	d.from = f.meter + seconds(late) + boundLearn
+	d.from = f.meterPeriod + seconds(late) + boundLearn
 	switch again {
 	case "a third":
 		d.from += boundAgain + termGrace + 500*time.Millisecond
 	case "all":
 		d.from += boundAgain + time.Second
 	}
-	d.from = (d.from + f.meter - 1) / f.meter * f.meter
-	d.to = d.from + (boundSpan+f.meter-1)/f.meter*f.meter
+	d.from = (d.from + f.meterPeriod - 1) / f.meterPeriod * f.meterPeriod
+	d.to = d.from + (boundSpan+f.meterPeriod-1)/f.meterPeriod*f.meterPeriod
 	return d
 }
 
 // script has the drawn depth and sets take the place of the world's, and instances start again.
 func (d *boundDraw) script(w *world) {
-	q := w.plan.quotas
+	q := w.script.quotas
 	p := &q.plans[0]
 	p.QuotaBurst = d.depth
 	if p.HardLimitRate > 0 {
@@ -101,10 +101,10 @@
 		p.HardLimitSlack = math.Max(0.1*p.HardLimitBurst, d.world.maxUnits)
 	}
 	w.rules = w.settings(0)
-	for _, c := range w.custs {
-		c.spread = d.spread
-		c.demand.shift(q.skew, c.spread)
-		q.truth[c].level, q.singleGateway[c].level, q.rough[c].level = d.depth, d.depth, d.depth
+	for _, c := range w.drawnCustomers {
+		c.fanOut = d.spread
+		c.demand.drawWeights(q.skew, c.fanOut)
+		q.accounts[c].tokens, q.singleGateway[c].tokens, q.guessedAccounts[c].tokens = d.depth, d.depth, d.depth
 	}
 	w.At(boundAgain, func() {
 		for i := range w.nodes {
@@ -182,18 +182,18 @@
 
 // holds plays the draw and holds it to its bounds.
 func (d boundDraw) holds(t *testing.T, seed uint64) {
-	q, r, err := playQuotas(QuotaOptions{Policy: ByModule, Instances: d.instances, Lasts: d.to, Load: 1, Seed: seed}, &d.world, dayPlan{script: d.script})
+	q, r, err := playQuotas(QuotaOptions{Policy: ByModule, Instances: d.instances, Duration: d.to, Load: 1, Seed: seed}, &d.world, dayPlan{script: d.script})
 	if err != nil {
 		t.Fatal(err)
 	}
 	sent, heavy := 0.0, 0.0
-	for c, l := range q.truth {
+	for c, l := range q.accounts {
 		if c.demand.kind != heavyKind {
 			continue
 		}
 		heavy++
-		for i := d.from / d.world.meter; i < d.to/d.world.meter && int(i) < len(l.uses); i++ {
-			sent += l.uses[i].units
+		for i := d.from / d.world.meterPeriod; i < d.to/d.world.meterPeriod && int(i) < len(l.usages); i++ {
+			sent += l.usages[i].units
 		}
 	}
 	if most := d.most(heavy); d.heavy > 0 && (heavy == 0 || sent > most) {
@@ -206,11 +206,11 @@
 		t.Errorf("of what is inside %.2f is served", r.Served)
 	}
 	// Where the rate gives a period less than some requests, readings of calm customers are beyond it too.
-	most, holds := 0.05, d.world.plans[0].rate[0]*d.world.meter.Seconds()/d.world.meanCost()
+	most, holds := 0.05, d.world.plans[0].rate[0]*d.world.meterPeriod.Seconds()/d.world.meanCost()
 	if holds < 4 {
 		most = 0.12
 	}
-	if c := r.Cells["refused"]["by_chance"]; d.heavy == 0 && c != nil && float64(c.Refused) > most*float64(r.Tries) {
-		t.Errorf("of %d tries %d are refused by chance with nobody beyond", r.Tries, c.Refused)
+	if c := r.Cells["refused"]["by_chance"]; d.heavy == 0 && c != nil && float64(c.Rejections) > most*float64(r.Requests) {
+		t.Errorf("of %d tries %d are refused by chance with nobody beyond", r.Requests, c.Rejections)
 	}
 }
--- a/internal/simulation/fleetsim/quota_day.go
+++ b/internal/simulation/fleetsim/quota_day.go
@@ -13,8 +13,8 @@
 // The calm day in a world of quotas: its customers, and what one gateway that saw all would have done.
 
 const (
-	quotaOffered = 0.45 // part of the servers' capacity that is asked for inside quotas
-	dayBurst     = 1.5  // the most by which a day's script raises what is asked
+	quotaOfferedFraction = 0.45 // part of the servers' capacity that is asked for inside quotas
+	maxScriptedBurst     = 1.5  // the most by which a day's script raises what is asked
 )
 
 // Policy decides on quotas.
@@ -34,14 +34,14 @@
 
 // QuotaOptions say what is played.
 type QuotaOptions struct {
-	World     string
-	Policy    Policy
-	Late      time.Duration // by which a late-seeing policy sees; below 0 is a meter period and the meter's lateness, or 2 s without a meter
-	Instances int
-	Lasts     time.Duration // 25 s
-	Load      float64       // times what is asked usually; 1
-	Seed      uint64
-	Why       bool // tells by what the module let a try in, which takes three times as long
+	World             string
+	Policy            Policy
+	PolicyDelay       time.Duration // by which a late-seeing policy sees; below 0 is a meter period and the meter's lateness, or 2 s without a meter
+	Instances         int
+	Duration          time.Duration // 25 s
+	Load              float64       // times what is asked usually; 1
+	Seed              uint64
+	ExplainsAdmission bool // tells by what the module let a try in, which takes three times as long
 
 	observe observer // nil observes nothing
 }
@@ -49,52 +49,52 @@
 // QuotaReport is what came of a day in a world of quotas. Worth is counted in parts of what one gateway
 // that saw all first tries would let in.
 type QuotaReport struct {
-	World                     string                  `json:"world"`
-	Policy                    Policy                  `json:"policy"`
-	Instances                 int                     `json:"instances"`
-	Seed                      uint64                  `json:"seed"`
-	Late                      float64                 `json:"late_s"` // of the meter, or of what the late-seeing policy sees
-	First                     int                     `json:"first_tries"`
-	Tries                     int                     `json:"tries"`
-	Served                    float64                 `json:"served"` // worth of tries inside quotas that were answered, with late_share after the aim
-	Price                     float64                 `json:"price"`  // over_cost times the worth of the tries beyond
-	Beyond                    float64                 `json:"beyond"` // part of the units sent on
-	Excess                    float64                 `json:"excess"` // units of first tries beyond what one gateway would let in, over those within
-	Refused                   float64                 `json:"refused"`
-	TriesRejectedWithCapacity float64                 `json:"refused_with_room"`          // part of the tries, refused while half of the quota was unused
-	CallsRejectedWithCapacity float64                 `json:"requests_refused_with_room"` // part of the requests with such a try
-	CallsLostWithCapacity     float64                 `json:"requests_lost_with_room"`    // and that were never sent on
-	Broken                    map[fleetrules.Rule]int `json:"broken"`
+	World                        string                  `json:"world"`
+	Policy                       Policy                  `json:"policy"`
+	Instances                    int                     `json:"instances"`
+	Seed                         uint64                  `json:"seed"`
+	DelaySeconds                 float64                 `json:"late_s"` // of the meter, or of what the late-seeing policy sees
+	Calls                        int                     `json:"first_tries"`
+	Requests                     int                     `json:"tries"`
+	Served                       float64                 `json:"served"` // worth of tries inside quotas that were answered, with late_share after the aim
+	OverQuotaPrice               float64                 `json:"price"`  // over_cost times the worth of the tries beyond
+	OverQuotaFraction            float64                 `json:"beyond"` // part of the units sent on
+	Excess                       float64                 `json:"excess"` // units of first tries beyond what one gateway would let in, over those within
+	RejectedFraction             float64                 `json:"refused"`
+	RequestsRejectedWithCapacity float64                 `json:"refused_with_room"`          // part of the tries, refused while half of the quota was unused
+	CallsRejectedWithCapacity    float64                 `json:"requests_refused_with_room"` // part of the requests with such a try
+	CallsLostWithCapacity        float64                 `json:"requests_lost_with_room"`    // and that were never sent on
+	Broken                       map[fleetrules.Rule]int `json:"broken"`
 	// Cells are the same by plan, by spread and by what was so at a try, in the order of CellNames.
 	Cells map[string]map[string]*Cell `json:"cells"`
 }
 
 // Cell is what came of the tries of a sort.
 type Cell struct {
-	Tries                int     `json:"tries"`
-	Sent                 float64 `json:"sent"`   // units
-	Beyond               float64 `json:"beyond"` // units
-	Price                float64 `json:"price"`  // a part of the whole price
-	Refused              int     `json:"refused"`
+	Requests             int     `json:"tries"`
+	ForwardedUnits       float64 `json:"sent"`   // units
+	OverQuotaUnits       float64 `json:"beyond"` // units
+	OverQuotaPrice       float64 `json:"price"`  // a part of the whole price
+	Rejections           int     `json:"refused"`
 	RejectedWithCapacity int     `json:"refused_with_room"`
-	Offered              float64 `json:"offered"` // worth, as a part of all
+	OfferedWeight        float64 `json:"offered"` // worth, as a part of all
 }
 
-// place is a customer at an instance.
-type place struct {
+// nodeCustomer is a customer at an instance.
+type nodeCustomer struct {
 	node int
 	cust *dayCustomer
 }
 
-// known is what an instance could know of a customer.
-type known struct {
-	sent   bool
-	read   bool
-	readAt time.Duration
-	grants []grant // by the late-seeing policy
+// customerKnowledge is what an instance could know of a customer.
+type customerKnowledge struct {
+	hasForwarded bool
+	hasReading   bool
+	lastReading  time.Duration
+	admissions   []admission // by the late-seeing policy
 }
 
-type grant struct {
+type admission struct {
 	id    string
 	at    time.Duration
 	units float64
@@ -102,30 +102,30 @@
 
 // quotaDay is a day's part that worlds of quotas add. Its methods do nothing on nil.
 type quotaDay struct {
-	w                    *world
-	f                    *quotaWorld
+	world                *world
+	deployment           *quotaDeployment
 	policy               Policy
-	why                  bool
-	late                 time.Duration // of the meter
-	sees                 time.Duration // by which the late-seeing policy sees
+	explainsAdmission    bool
+	meterDelay           time.Duration // of the meter
+	policyDelay          time.Duration // by which the late-seeing policy sees
 	plans                []control.Plan
 	rates                []float64
-	cv                   float64
+	guessCV              float64
 	skew                 float64
-	other                float64 // part of the retries through another node
-	truth                map[*dayCustomer]*quotaAccount
-	rough                map[*dayCustomer]*quotaAccount // as the true ones, of guesses alone
+	otherNodeFraction    float64 // part of the retries through another node
+	accounts             map[*dayCustomer]*quotaAccount
+	guessedAccounts      map[*dayCustomer]*quotaAccount // as the true ones, of guesses alone
 	singleGateway        map[*dayCustomer]*quotaAccount // of first tries, at one gateway that saw all
-	known                map[place]*known
-	rep                  QuotaReport
+	known                map[nodeCustomer]*customerKnowledge
+	result               QuotaReport
 	offeredWeight        float64
-	good                 float64 // served inside
-	price                float64
-	units                float64 // sent on
+	servedWeight         float64 // served inside
+	overQuotaPrice       float64
+	forwardedUnits       float64 // sent on
 	excess               struct{ in, over float64 }
-	luck                 *rand.Rand // of the late-seeing policy
-	beyond               float64
-	refs                 int
+	policyRand           *rand.Rand // of the late-seeing policy
+	overQuotaUnits       float64
+	rejections           int
 	rejectedWithCapacity int
 	calls                struct{ rejectedWithCapacity, lost int }
 }
@@ -133,7 +133,7 @@
 // Quotas plays the calm day in a world of quotas. The same options give the same report, and two policies
 // see the same first tries.
 func Quotas(o QuotaOptions) (QuotaReport, error) {
-	f := quotaWorlds[o.World]
+	f := quotaDeployments[o.World]
 	if f == nil {
 		return QuotaReport{}, fmt.Errorf("there is no world of quotas %q; there are %v", o.World, QuotaNames)
 	}
@@ -146,20 +146,20 @@
 }
 
 // playQuotas plays a day's script in a world of quotas.
-func playQuotas(o QuotaOptions, f *quotaWorld, p dayPlan) (*quotaDay, QuotaReport, error) {
-	q := &quotaDay{f: f, policy: o.Policy, why: o.Why && o.Policy == ByModule, truth: map[*dayCustomer]*quotaAccount{}, singleGateway: map[*dayCustomer]*quotaAccount{}, rough: map[*dayCustomer]*quotaAccount{}, known: map[place]*known{}}
+func playQuotas(o QuotaOptions, f *quotaDeployment, p dayPlan) (*quotaDay, QuotaReport, error) {
+	q := &quotaDay{deployment: f, policy: o.Policy, explainsAdmission: o.ExplainsAdmission && o.Policy == ByModule, accounts: map[*dayCustomer]*quotaAccount{}, singleGateway: map[*dayCustomer]*quotaAccount{}, guessedAccounts: map[*dayCustomer]*quotaAccount{}, known: map[nodeCustomer]*customerKnowledge{}}
 	r := stream(o.Seed, 3)
-	q.plans, q.rates = f.terms(r)
-	q.late = time.Duration(f.late.draw(r) * float64(time.Second))
-	q.luck = stream(o.Seed, 4)
-	q.cv, q.skew, q.other = f.guessCV.draw(r), f.skew.draw(r), f.otherNodeFraction.draw(r)
-	if q.sees = o.Late; o.Late < 0 {
-		if q.sees = f.meter + q.late; f.meter == 0 {
-			q.sees = 2 * time.Second
+	q.plans, q.rates = f.drawPlans(r)
+	q.meterDelay = time.Duration(f.meterDelay.draw(r) * float64(time.Second))
+	q.policyRand = stream(o.Seed, 4)
+	q.guessCV, q.skew, q.otherNodeFraction = f.guessCV.draw(r), f.skew.draw(r), f.otherNodeFraction.draw(r)
+	if q.policyDelay = o.PolicyDelay; o.PolicyDelay < 0 {
+		if q.policyDelay = f.meterPeriod + q.meterDelay; f.meterPeriod == 0 {
+			q.policyDelay = 2 * time.Second
 		}
 	}
 	p.quotas = q
-	day, err := play(DayOptions{Day: "calm", Instances: o.Instances, Lasts: o.Lasts, Load: o.Load, Seed: o.Seed, observe: o.observe}, p)
+	day, err := play(DayOptions{Day: "calm", Instances: o.Instances, Duration: o.Duration, Load: o.Load, Seed: o.Seed, observe: o.observe}, p)
 	if err != nil {
 		return nil, QuotaReport{}, err
 	}
@@ -173,7 +173,7 @@
 	if q == nil {
 		return
 	}
-	s.Plans, s.MeterPeriod, s.UnitsInResponse, s.MaxUnits = append([]control.Plan(nil), q.plans...), q.f.meter, q.f.units == guessed, q.f.maxUnits
+	s.Plans, s.MeterPeriod, s.UnitsInResponse, s.MaxUnits = append([]control.Plan(nil), q.plans...), q.deployment.meterPeriod, q.deployment.units == guessed, q.deployment.maxUnits
 	if q.policy != ByModule { // the module has no quota to keep then, and hears of none
 		s.MeterPeriod = 0
 		for i := range s.Plans {
@@ -182,110 +182,110 @@
 	}
 }
 
-// people draws the customers of each plan until they ask its share.
-func (q *quotaDay) people(w *world) {
-	q.w = w
-	inside := quotaOffered * float64(len(w.hosts)) * dayCores / dayWork
-	cost := q.f.meanCost()
+// drawCustomers draws the customers of each plan until they ask its share.
+func (q *quotaDay) drawCustomers(w *world) {
+	q.world = w
+	inside := quotaOfferedFraction * float64(len(w.hosts)) * dayCores / dayWork
+	cost := q.deployment.meanCost()
 	r := w.clientRand
-	full, heavy, spiky := q.f.full.draw(r), q.f.heavy.draw(r), q.f.spiky.draw(r)
+	full, heavy, spiky := q.deployment.full.draw(r), q.deployment.heavy.draw(r), q.deployment.spiky.draw(r)
 	n := 0
-	for p, terms := range q.f.plans {
+	for p, terms := range q.deployment.plans {
 		rate := q.rates[p] / cost
 		for offered := 0.0; offered < terms.share*inside; n++ {
-			d := &demand{rng: stream(w.o.Seed, uint64(1000+n)), kind: calmKind, usual: q.f.use.draw(r)}
-			part := d.usual
+			d := &demand{rng: stream(w.options.Seed, uint64(1000+n)), kind: calmKind, usualRate: q.deployment.usageFraction.draw(r)}
+			part := d.usualRate
 			switch x := r.Float64(); {
 			case x < full:
-				d.kind, d.usual = fullKind, 0.95
-				part = d.usual
+				d.kind, d.usualRate = fullKind, 0.95
+				part = d.usualRate
 			case x < full+heavy:
-				d.kind, d.usual = heavyKind, q.f.heavyX.draw(r)
+				d.kind, d.usualRate = heavyKind, q.deployment.heavyMultiple.draw(r)
 				part = 1
 			case x < full+heavy+spiky:
-				d.kind, d.spike = spikyKind, q.f.spikeX.draw(r)
-				for at := q.f.spikeEvery.draw(r) * r.Float64(); at < w.o.Lasts.Seconds(); at += q.f.spikeEvery.draw(r) {
-					ends := at + q.f.spikeLasts.draw(r)
+				d.kind, d.spikeRate = spikyKind, q.deployment.spikeMultiple.draw(r)
+				for at := q.deployment.spikeInterval.draw(r) * r.Float64(); at < w.options.Duration.Seconds(); at += q.deployment.spikeInterval.draw(r) {
+					ends := at + q.deployment.spikeDuration.draw(r)
 					d.spikes = append(d.spikes, [2]time.Duration{seconds(at), seconds(ends)})
 				}
 			}
 			offered += part * rate
-			d.usual, d.spike = d.usual*rate, d.spike*rate
-			c := &dayCustomer{name: fmt.Sprintf("q%d", n), plan: p, first: r.IntN(w.o.Instances), spread: q.spread(&q.plans[p], terms, r), demand: d}
-			w.custs = append(w.custs, c)
-			q.truth[c], q.singleGateway[c], q.rough[c] = newQuotaAccount(&q.plans[p], q.f.meter), newQuotaAccount(&q.plans[p], 0), newQuotaAccount(&q.plans[p], 0)
-			q.shift(c)
+			d.usualRate, d.spikeRate = d.usualRate*rate, d.spikeRate*rate
+			c := &dayCustomer{name: fmt.Sprintf("q%d", n), plan: p, firstNode: r.IntN(w.options.Instances), fanOut: q.drawFanOut(&q.plans[p], terms, r), demand: d}
+			w.drawnCustomers = append(w.drawnCustomers, c)
+			q.accounts[c], q.singleGateway[c], q.guessedAccounts[c] = newQuotaAccount(&q.plans[p], q.deployment.meterPeriod), newQuotaAccount(&q.plans[p], 0), newQuotaAccount(&q.plans[p], 0)
+			q.shiftWeights(c)
 			w.At(200*time.Millisecond, func() { q.arrive(c) })
 		}
 	}
-	w.arrivalRate = w.o.Load
+	w.arrivalRate = w.options.Load
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// spread draws the size of a customer's set: two at least, and of a plan with a ceiling no more than
+// drawFanOut draws the size of a customer's set: two at least, and of a plan with a ceiling no more than
 // each may send two of the largest requests at once.
-func (q *quotaDay) spread(p *control.Plan, t quotaPlan, r *rand.Rand) int {
-	n := t.spread.draw(r) * float64(q.w.o.Instances)
+func (q *quotaDay) drawFanOut(p *control.Plan, t quotaPlan, r *rand.Rand) int {
+	n := t.fanOut.draw(r) * float64(q.world.options.Instances)
 	if p.HardLimitRate > 0 {
-		n = math.Min(n, p.HardLimitBurst/(2*q.f.maxUnits))
+		n = math.Min(n, p.HardLimitBurst/(2*q.deployment.maxUnits))
 	}
-	return min(max(int(n), 2), q.w.o.Instances)
+	return min(max(int(n), 2), q.world.options.Instances)
 }
 
-func (q *quotaDay) shift(c *dayCustomer) {
-	c.demand.shift(q.skew, c.spread)
-	q.w.After(seconds(q.f.shift.draw(c.demand.rng)), func() { q.shift(c) })
+func (q *quotaDay) shiftWeights(c *dayCustomer) {
+	c.demand.drawWeights(q.skew, c.fanOut)
+	q.world.After(seconds(q.deployment.shiftInterval.draw(c.demand.rng)), func() { q.shiftWeights(c) })
 }
 
 // arrive has a customer's first tries come: each moment at which one could come at the most is thinned
 // to what is asked then.
 func (q *quotaDay) arrive(c *dayCustomer) {
-	w, d := q.w, c.demand
-	if w.Now() >= w.o.Lasts {
+	w, d := q.world, c.demand
+	if w.Now() >= w.options.Duration {
 		return
 	}
-	maxRate := math.Max(d.usual, d.spike) * dayBurst * w.o.Load
-	if rate, _ := d.at(w.Now()); d.rng.Float64()*maxRate < rate*w.arrivalRate {
-		q.firstTry(c)
+	maxRate := math.Max(d.usualRate, d.spikeRate) * maxScriptedBurst * w.options.Load
+	if rate, _ := d.rateAt(w.Now()); d.rng.Float64()*maxRate < rate*w.arrivalRate {
+		q.startCall(c)
 	}
 	w.After(seconds(d.rng.ExpFloat64()/maxRate), func() { q.arrive(c) })
 }
 
-// firstTry is a first try.
-func (q *quotaDay) firstTry(cust *dayCustomer) {
-	w, d := q.w, cust.demand
-	c := &call{at: w.Now(), cust: cust, class: d.rng.IntN(2)}
-	c.units, c.cost = q.f.request(c.class, q.cv, d.rng)
+// startCall is a first try.
+func (q *quotaDay) startCall(cust *dayCustomer) {
+	w, d := q.world, cust.demand
+	c := &call{arrivedAt: w.Now(), customer: cust, class: d.rng.IntN(2)}
+	c.units, c.actualUnits = q.deployment.drawUnits(c.class, q.guessCV, d.rng)
 	p := &q.plans[cust.plan]
-	c.weight = w.rules.Classes[c.class].PriorityWeight * p.Price * c.cost
-	one, took := q.singleGateway[cust], seconds(dayWork*d.rng.ExpFloat64())
-	if c.inside = one.send(w.Now(), c.units); c.inside {
-		one.settle(w.Now(), c.cost-c.units)
-		one.began(w.Now())
-		w.After(took, func() { one.ended(w.Now()) })
-		w.count(c, c.weight, 0)
+	c.weight = w.rules.Classes[c.class].PriorityWeight * p.Price * c.actualUnits
+	one, duration := q.singleGateway[cust], seconds(dayWork*d.rng.ExpFloat64())
+	if c.isUnderQuota = one.charge(w.Now(), c.units); c.isUnderQuota {
+		one.settle(w.Now(), c.actualUnits-c.units)
+		one.beginAttempt(w.Now())
+		w.After(duration, func() { one.endAttempt(w.Now()) })
+		w.countWeight(c, c.weight, 0)
 		q.offeredWeight += c.weight
 		q.excess.in += c.units
 	} else {
 		q.excess.over += c.units
 	}
-	c.node = (cust.first + d.place(d.rng)) % len(w.nodes)
-	w.rep.First++
-	w.try(c)
+	c.node = (cust.firstNode + d.chooseNode(d.rng)) % len(w.nodes)
+	w.result.Calls++
+	w.sendRequest(c)
 }
 
-// at is the instance that a try comes to: a retry's mostly the same as before.
-func (q *quotaDay) at(c *call) int {
-	if c.tries > 0 && q.w.clientRand.Float64() < q.other {
-		c.node = (c.cust.first + c.cust.demand.place(q.w.clientRand)) % len(q.w.nodes)
+// nodeFor is the instance that a try comes to: a retry's mostly the same as before.
+func (q *quotaDay) nodeFor(c *call) int {
+	if c.requests > 0 && q.world.clientRand.Float64() < q.otherNodeFraction {
+		c.node = (c.customer.firstNode + c.customer.demand.chooseNode(q.world.clientRand)) % len(q.world.nodes)
 	}
 	return c.node
 }
 
 // Add adds another's counts, and its parts as one of n.
 func (c *Cell) Add(o *Cell, n float64) {
-	c.Tries, c.Refused, c.RejectedWithCapacity = c.Tries+o.Tries, c.Refused+o.Refused, c.RejectedWithCapacity+o.RejectedWithCapacity
-	c.Sent, c.Beyond = c.Sent+o.Sent, c.Beyond+o.Beyond
-	c.Price, c.Offered = c.Price+o.Price/n, c.Offered+o.Offered/n
+	c.Requests, c.Rejections, c.RejectedWithCapacity = c.Requests+o.Requests, c.Rejections+o.Rejections, c.RejectedWithCapacity+o.RejectedWithCapacity
+	c.ForwardedUnits, c.OverQuotaUnits = c.ForwardedUnits+o.ForwardedUnits, c.OverQuotaUnits+o.OverQuotaUnits
+	c.OverQuotaPrice, c.OfferedWeight = c.OverQuotaPrice+o.OverQuotaPrice/n, c.OfferedWeight+o.OfferedWeight/n
 }
--- a/internal/simulation/fleetsim/quota_judge.go
+++ b/internal/simulation/fleetsim/quota_judge.go
@@ -13,113 +13,113 @@
 // CellNames are the sorts of tries that a report tells apart.
 var CellNames = []string{"plan", "spread", "customer", "known here", "customer known here", "try", "node", "let in", "lacks", "guesses", "refused"}
 
-const nodeYoung = 5 * time.Second
+const nodeStartPeriod = 5 * time.Second
 
-func (q *quotaDay) here(i int, c *dayCustomer) *known {
-	k := q.known[place{i, c}]
+func (q *quotaDay) knownAt(i int, c *dayCustomer) *customerKnowledge {
+	k := q.known[nodeCustomer{i, c}]
 	if k == nil {
-		k = &known{}
-		q.known[place{i, c}] = k
+		k = &customerKnowledge{}
+		q.known[nodeCustomer{i, c}] = k
 	}
 	return k
 }
 
-// cell is where what comes of a sort of tries is booked.
-func (q *quotaDay) cell(sort, name string) *Cell {
-	if q.rep.Cells == nil {
-		q.rep.Cells = map[string]map[string]*Cell{}
+// cellOf is where what comes of a sort of tries is booked.
+func (q *quotaDay) cellOf(sort, name string) *Cell {
+	if q.result.Cells == nil {
+		q.result.Cells = map[string]map[string]*Cell{}
 	}
-	if q.rep.Cells[sort] == nil {
-		q.rep.Cells[sort] = map[string]*Cell{}
+	if q.result.Cells[sort] == nil {
+		q.result.Cells[sort] = map[string]*Cell{}
 	}
-	c := q.rep.Cells[sort][name]
+	c := q.result.Cells[sort][name]
 	if c == nil {
 		c = &Cell{}
-		q.rep.Cells[sort][name] = c
+		q.result.Cells[sort][name] = c
 	}
 	return c
 }
 
-// tried sorts a try by what is so at its arrival, and tells whether it gets to the module at all.
-func (q *quotaDay) tried(i int, t *try) bool {
+// admitRequest sorts a try by what is so at its arrival, and tells whether it gets to the module at all.
+func (q *quotaDay) admitRequest(i int, t *clientRequest) bool {
 	if q == nil {
 		return true
 	}
-	now, c := q.w.Now(), t.call.cust
-	k := q.here(i, c)
-	_, how := c.demand.at(now)
+	now, c := q.world.Now(), t.call.customer
+	k := q.knownAt(i, c)
+	_, how := c.demand.rateAt(now)
 	met := "never asked"
-	switch age := now - k.readAt; {
-	case k.read && age <= 3*time.Second:
+	switch age := now - k.lastReading; {
+	case k.hasReading && age <= 3*time.Second:
 		met = "read within 3 s"
-	case k.read && age <= 10*time.Second:
+	case k.hasReading && age <= 10*time.Second:
 		met = "read within 10 s"
-	case k.read:
+	case k.hasReading:
 		met = "read longer ago"
-	case k.sent:
+	case k.hasForwarded:
 		met = "sent on, not read"
 	}
 	turn := "first"
-	if t.call.tries > 1 {
+	if t.call.requests > 1 {
 		turn = "repeat"
 	}
 	age := "older"
-	if now < nodeYoung {
-		age = fmt.Sprintf("first %v", nodeYoung)
+	if now < nodeStartPeriod {
+		age = fmt.Sprintf("first %v", nodeStartPeriod)
 	}
 	width := "over half of the group"
-	switch n := len(q.w.nodes); {
-	case c.spread <= 15:
+	switch n := len(q.world.nodes); {
+	case c.fanOut <= 15:
 		width = "to 15 nodes"
-	case 2*c.spread <= n:
+	case 2*c.fanOut <= n:
 		width = "to half of the group"
 	}
 	t.cells = []*Cell{
-		q.cell("plan", q.plans[c.plan].Name), q.cell("spread", width), q.cell("customer", string(how)), q.cell("known here", met), q.cell("customer known here", string(how)+": "+met),
-		q.cell("try", turn), q.cell("node", age),
+		q.cellOf("plan", q.plans[c.plan].Name), q.cellOf("spread", width), q.cellOf("customer", string(how)), q.cellOf("known here", met), q.cellOf("customer known here", string(how)+": "+met),
+		q.cellOf("try", turn), q.cellOf("node", age),
 	}
 	for _, one := range t.cells {
-		one.Tries++
+		one.Requests++
 	}
-	if c := t.call; c.tries == 1 && c.inside {
+	if c := t.call; c.requests == 1 && c.isUnderQuota {
 		for _, one := range t.cells {
-			one.Offered += c.weight
+			one.OfferedWeight += c.weight
 		}
 	}
-	if q.why && k.read {
-		t.admissionRemainder, t.read = q.admissionRemainder(i, c), true
+	if q.explainsAdmission && k.hasReading {
+		t.admissionRemainder, t.hasReading = q.admissionRemainder(i, c), true
 	}
-	lets := true
+	isAdmitted := true
 	switch q.policy {
 	case LateStore:
-		if lets = q.holds(now, k, c, t.call.units); lets {
-			k.grants = append(k.grants, grant{t.id, now, t.call.units})
+		if isAdmitted = q.hasUnusedQuota(now, k, c, t.call.units); isAdmitted {
+			k.admissions = append(k.admissions, admission{t.id, now, t.call.units})
 		}
 	case LateUse:
-		lets = q.luck.Float64() < q.admissionProbability(now, c, t.call.units)
+		isAdmitted = q.policyRand.Float64() < q.admissionProbability(now, c, t.call.units)
 	}
-	q.truth[c].try(now, t.call.units)
-	t.why = control.CauseQuota
-	return lets
+	q.accounts[c].recordRequest(now, t.call.units)
+	t.rejectionCause = control.CauseQuota
+	return isAdmitted
 }
 
-// holds tells whether the true state as it was, less what this instance has let in since, has room.
-func (q *quotaDay) holds(now time.Duration, k *known, c *dayCustomer, units float64) bool {
-	was, plan := q.truth[c].was(now-q.sees), &q.plans[c.plan]
-	for len(k.grants) > 0 && k.grants[0].at < now-q.sees {
-		k.grants = k.grants[1:]
+// hasUnusedQuota tells whether the true state as it was, less what this instance has let in since, has room.
+func (q *quotaDay) hasUnusedQuota(now time.Duration, k *customerKnowledge, c *dayCustomer, units float64) bool {
+	was, plan := q.accounts[c].stateAt(now-q.policyDelay), &q.plans[c.plan]
+	for len(k.admissions) > 0 && k.admissions[0].at < now-q.policyDelay {
+		k.admissions = k.admissions[1:]
 	}
-	for _, g := range k.grants {
-		was.level -= g.units
-		was.out++
+	for _, g := range k.admissions {
+		was.tokens -= g.units
+		was.inFlight++
 	}
-	return (plan.QuotaRate == 0 || was.level >= units) && (plan.MaxInFlight == 0 || was.out < plan.MaxInFlight)
+	return (plan.QuotaRate == 0 || was.tokens >= units) && (plan.MaxInFlight == 0 || was.inFlight < plan.MaxInFlight)
 }
 
 // admissionRemainder is what the module's chance has over of a customer at an instance. A draw changes it.
 func (q *quotaDay) admissionRemainder(i int, c *dayCustomer) float64 {
 	key := q.plans[c.plan].Name + " " + c.name
-	for _, one := range q.w.nodes[i].c.Image().Customers {
+	for _, one := range q.world.nodes[i].controller.Image().Customers {
 		if one.Key == key {
 			return one.AdmissionRemainder
 		}
@@ -127,13 +127,13 @@
 	return -1
 }
 
-// letIn tells by what a try was let in. One that has waited counts as let in by chance where another of its
+// admissionReason tells by what a try was let in. One that has waited counts as let in by chance where another of its
 // customer was drawn for meanwhile.
-func (q *quotaDay) letIn(i int, t *try) string {
+func (q *quotaDay) admissionReason(i int, t *clientRequest) string {
 	switch {
-	case !t.read:
+	case !t.hasReading:
 		return "not read here"
-	case math.Abs(q.admissionRemainder(i, t.call.cust)-t.admissionRemainder) < epsilon:
+	case math.Abs(q.admissionRemainder(i, t.call.customer)-t.admissionRemainder) < epsilon:
 		return "by the store, or at no chance"
 	}
 	return "by chance"
@@ -142,13 +142,13 @@
 // admissionProbability thins what was asked to the rate and what the store would give over twice the time by which it
 // is seen late; and to half of the open limit, as attempts come by chance.
 func (q *quotaDay) admissionProbability(now time.Duration, c *dayCustomer, units float64) float64 {
-	plan, span := &q.plans[c.plan], max(q.sees, 500*time.Millisecond)
-	was := q.truth[c].was(now - q.sees)
-	before := q.truth[c].was(now - q.sees - span)
-	offered, tries := (was.offered-before.offered)/span.Seconds(), float64(was.tries-before.tries)/span.Seconds()
+	plan, span := &q.plans[c.plan], max(q.policyDelay, 500*time.Millisecond)
+	was := q.accounts[c].stateAt(now - q.policyDelay)
+	before := q.accounts[c].stateAt(now - q.policyDelay - span)
+	offered, tries := (was.offered-before.offered)/span.Seconds(), float64(was.requests-before.requests)/span.Seconds()
 	p := 1.0
 	if plan.QuotaRate > 0 {
-		p = math.Max(0, plan.QuotaRate+(was.level-units)/(2*span.Seconds())) / math.Max(epsilon, offered)
+		p = math.Max(0, plan.QuotaRate+(was.tokens-units)/(2*span.Seconds())) / math.Max(epsilon, offered)
 	}
 	if plan.MaxInFlight > 0 {
 		p = math.Min(p, 0.5*float64(plan.MaxInFlight)/math.Max(epsilon, tries*dayWork))
@@ -156,83 +156,83 @@
 	return p
 }
 
-// sent books a try's first attempt that has come whole, began each.
-func (q *quotaDay) sent(i int, t *try) {
+// recordForwarded books a try's first attempt that has come whole, began each.
+func (q *quotaDay) recordForwarded(i int, t *clientRequest) {
 	if q == nil {
 		return
 	}
-	now, c, p := q.w.Now(), t.call, &q.plans[t.call.cust.plan]
-	l := q.truth[c.cust]
-	if !t.sent {
-		t.sent, c.sent = true, true
-		lacks := l.lacks(now, c.units)
-		t.inside = l.send(now, c.units)
+	now, c, p := q.world.Now(), t.call, &q.plans[t.call.customer.plan]
+	l := q.accounts[c.customer]
+	if !t.isForwarded {
+		t.isForwarded, c.isForwarded = true, true
+		lacks := l.missingQuota(now, c.units)
+		t.isUnderQuota = l.charge(now, c.units)
 		rough := "beyond too"
-		if q.rough[c.cust].send(now, c.units) {
+		if q.guessedAccounts[c.customer].charge(now, c.units) {
 			rough = "inside without settling"
 		}
-		q.here(i, c.cust).sent = true
-		q.units += c.units
-		if !t.inside {
-			q.price += p.OverQuotaCost * c.weight
-			q.beyond += c.units
-			t.cells = append(t.cells, q.cell("lacks", lacks), q.cell("guesses", rough))
+		q.knownAt(i, c.customer).hasForwarded = true
+		q.forwardedUnits += c.units
+		if !t.isUnderQuota {
+			q.overQuotaPrice += p.OverQuotaCost * c.weight
+			q.overQuotaUnits += c.units
+			t.cells = append(t.cells, q.cellOf("lacks", lacks), q.cellOf("guesses", rough))
 		}
-		if q.why {
-			t.cells = append(t.cells, q.cell("let in", q.letIn(i, t)))
+		if q.explainsAdmission {
+			t.cells = append(t.cells, q.cellOf("let in", q.admissionReason(i, t)))
 		}
 		for _, one := range t.cells {
-			if one.Sent += c.units; !t.inside {
-				one.Beyond += c.units
-				one.Price += p.OverQuotaCost * c.weight
+			if one.ForwardedUnits += c.units; !t.isUnderQuota {
+				one.OverQuotaUnits += c.units
+				one.OverQuotaPrice += p.OverQuotaCost * c.weight
 			}
 		}
 	}
-	l.began(now)
-	q.rough[c.cust].began(now)
+	l.beginAttempt(now)
+	q.guessedAccounts[c.customer].beginAttempt(now)
 }
 
-func (q *quotaDay) ended(c *dayCustomer) {
+func (q *quotaDay) endAttempt(c *dayCustomer) {
 	if q != nil {
-		q.truth[c].ended(q.w.Now())
-		q.rough[c].ended(q.w.Now())
+		q.accounts[c].endAttempt(q.world.Now())
+		q.guessedAccounts[c].endAttempt(q.world.Now())
 	}
 }
 
-// answered books a good answer.
-func (q *quotaDay) answered(t *try) {
-	if q == nil || !t.inside {
+// recordServed books a good answer.
+func (q *quotaDay) recordServed(t *clientRequest) {
+	if q == nil || !t.isUnderQuota {
 		return
 	}
-	c, k := t.call, &q.w.rules.Classes[t.call.class]
-	q.truth[c.cust].settle(q.w.Now(), c.cost-c.units)
-	if c.done {
+	c, k := t.call, &q.world.rules.Classes[t.call.class]
+	q.accounts[c.customer].settle(q.world.Now(), c.actualUnits-c.units)
+	if c.isServed {
 		return
 	}
 	weight := c.weight
-	if q.w.Now()-c.at > k.LatencyObjective {
+	if q.world.Now()-c.arrivedAt > k.LatencyObjective {
 		weight *= k.LateWeightFraction
 	}
-	q.good += weight
+	q.servedWeight += weight
 }
 
-// refused books a try that is refused.
-func (q *quotaDay) refused(i int, t *try) {
+// recordRejection books a try that is refused.
+func (q *quotaDay) recordRejection(i int, t *clientRequest) {
 	if q == nil {
 		return
 	}
-	q.refs++
-	k := q.here(i, t.call.cust)
-	for n, g := range k.grants {
+	q.rejections++
+	k := q.knownAt(i, t.call.customer)
+	for n, g := range k.admissions {
 		if g.id == t.id {
-			k.grants = append(k.grants[:n:n], k.grants[n+1:]...)
+			k.admissions = append(k.admissions[:n:n], k.admissions[n+1:]...)
 			break
 		}
 	}
-	hasCapacity := q.truth[t.call.cust].hasCapacity(q.w.Now())
-	cells := append(t.cells[:len(t.cells):len(t.cells)], q.cell("refused", t.why.String()))
+	hasCapacity := q.accounts[t.call.customer].hasCapacity(q.world.Now())
+	cells := append(t.cells[:len(t.cells):len(t.cells)], q.cellOf("refused", t.rejectionCause.String()))
 	for _, one := range cells {
-		if one.Refused++; hasCapacity {
+		if one.Rejections++; hasCapacity {
 			one.RejectedWithCapacity++
 		}
 	}
@@ -242,8 +242,8 @@
 	if q.rejectedWithCapacity++; !t.call.rejectedWithCapacity {
 		t.call.rejectedWithCapacity = true
 		q.calls.rejectedWithCapacity++
-		q.w.At(q.w.o.Lasts+dayDeadline, func() {
-			if !t.call.sent {
+		q.world.At(q.world.options.Duration+dayDeadline, func() {
+			if !t.call.isForwarded {
 				q.calls.lost++
 			}
 		})
@@ -255,31 +255,31 @@
 	if q.policy != ByModule {
 		return 0
 	}
-	used := q.truth[c].reportedUsage(q.w.Now(), q.late)
+	used := q.accounts[c].reportedUsage(q.world.Now(), q.meterDelay)
 	if used > 0 {
-		k := q.here(i, c)
-		k.read, k.readAt = true, q.w.Now()
+		k := q.knownAt(i, c)
+		k.hasReading, k.lastReading = true, q.world.Now()
 	}
 	return used
 }
 
 func (q *quotaDay) report(day DayReport) QuotaReport {
-	r := q.rep
-	r.Instances, r.Seed, r.First, r.Tries, r.Broken = day.Instances, day.Seed, day.First, day.Tries, day.Broken
-	if r.Late = q.late.Seconds(); q.policy != ByModule {
-		r.Late = q.sees.Seconds()
-	} else if q.f.meter == 0 {
-		r.Late = 0
+	r := q.result
+	r.Instances, r.Seed, r.Calls, r.Requests, r.Broken = day.Instances, day.Seed, day.Calls, day.Requests, day.Broken
+	if r.DelaySeconds = q.meterDelay.Seconds(); q.policy != ByModule {
+		r.DelaySeconds = q.policyDelay.Seconds()
+	} else if q.deployment.meterPeriod == 0 {
+		r.DelaySeconds = 0
 	}
 	per := func(n int, of int) float64 { return float64(n) / math.Max(1, float64(of)) }
-	r.Served, r.Price, r.Beyond = q.good/math.Max(1, q.offeredWeight), q.price/math.Max(1, q.offeredWeight), q.beyond/math.Max(1, q.units)
+	r.Served, r.OverQuotaPrice, r.OverQuotaFraction = q.servedWeight/math.Max(1, q.offeredWeight), q.overQuotaPrice/math.Max(1, q.offeredWeight), q.overQuotaUnits/math.Max(1, q.forwardedUnits)
 	r.Excess = q.excess.over / math.Max(1, q.excess.in)
-	r.Refused, r.TriesRejectedWithCapacity = per(q.refs, r.Tries), per(q.rejectedWithCapacity, r.Tries)
-	r.CallsRejectedWithCapacity, r.CallsLostWithCapacity = per(q.calls.rejectedWithCapacity, r.First), per(q.calls.lost, r.First)
+	r.RejectedFraction, r.RequestsRejectedWithCapacity = per(q.rejections, r.Requests), per(q.rejectedWithCapacity, r.Requests)
+	r.CallsRejectedWithCapacity, r.CallsLostWithCapacity = per(q.calls.rejectedWithCapacity, r.Calls), per(q.calls.lost, r.Calls)
 	for _, sort := range r.Cells {
 		for _, c := range sort {
-			c.Price /= math.Max(epsilon, q.price)
-			c.Offered /= math.Max(epsilon, q.offeredWeight)
+			c.OverQuotaPrice /= math.Max(epsilon, q.overQuotaPrice)
+			c.OfferedWeight /= math.Max(epsilon, q.offeredWeight)
 		}
 	}
 	return r
--- a/internal/simulation/fleetsim/quota_test.go
+++ b/internal/simulation/fleetsim/quota_test.go
@@ -22,26 +22,26 @@
 func TestQuotasAreBooked(t *testing.T) {
 	const s = time.Second
 	w := &world{rules: control.Settings{Classes: []control.Class{{LatencyObjective: 3 * s, LateWeightFraction: 0.5}}}}
-	cust := &dayCustomer{name: "c", spread: 1, demand: &demand{kind: calmKind}}
+	cust := &dayCustomer{name: "c", fanOut: 1, demand: &demand{kind: calmKind}}
 	q := &quotaDay{
-		w: w, policy: ByModule, f: &quotaWorld{units: guessed, meter: s}, late: s / 2, known: map[place]*known{}, offeredWeight: 100,
+		world: w, policy: ByModule, deployment: &quotaDeployment{units: guessed, meterPeriod: s}, meterDelay: s / 2, known: map[nodeCustomer]*customerKnowledge{}, offeredWeight: 100,
 		plans: []control.Plan{{Name: "p", QuotaRate: 2, QuotaBurst: 4, MaxInFlight: 2, OverQuotaCost: 0.5}},
 	}
-	q.truth = map[*dayCustomer]*quotaAccount{cust: newQuotaAccount(&q.plans[0], s)}
-	q.rough = map[*dayCustomer]*quotaAccount{cust: newQuotaAccount(&q.plans[0], 0)}
-	tried := func(at time.Duration, units, cost, worth float64) *try {
-		tr := &try{call: &call{at: at, cust: cust, units: units, cost: cost, weight: worth, tries: 1}}
+	q.accounts = map[*dayCustomer]*quotaAccount{cust: newQuotaAccount(&q.plans[0], s)}
+	q.guessedAccounts = map[*dayCustomer]*quotaAccount{cust: newQuotaAccount(&q.plans[0], 0)}
+	tried := func(at time.Duration, units, cost, worth float64) *clientRequest {
+		tr := &clientRequest{call: &call{arrivedAt: at, customer: cust, units: units, actualUnits: cost, weight: worth, requests: 1}}
 		w.At(at, func() {
-			q.tried(0, tr)
-			q.sent(0, tr)
+			q.admitRequest(0, tr)
+			q.recordForwarded(0, tr)
 		})
 		return tr
 	}
-	ends := func(at time.Duration, tr *try) {
+	ends := func(at time.Duration, tr *clientRequest) {
 		w.At(at, func() {
-			q.ended(cust)
-			q.answered(tr)
-			tr.call.done = true
+			q.endAttempt(cust)
+			q.recordServed(tr)
+			tr.call.isServed = true
 		})
 	}
 	for _, tc := range []struct {
@@ -60,14 +60,14 @@
 		tr := tried(tc.at, tc.units, tc.cost, tc.worth)
 		ends(tc.ends, tr)
 		w.At(tc.at+1, func() {
-			if tr.inside != tc.inside {
-				t.Errorf("at %v: inside is %v", tc.at, tr.inside)
+			if tr.isUnderQuota != tc.inside {
+				t.Errorf("at %v: inside is %v", tc.at, tr.isUnderQuota)
 			}
 		})
 	}
-	refused := &try{call: &call{cust: cust}, why: control.CauseProbability}
+	refused := &clientRequest{call: &call{customer: cust}, rejectionCause: control.CauseProbability}
 	for _, at := range []time.Duration{6 * s, 11 * s, 12 * s} { // two are out, none, none
-		w.At(at, func() { q.refused(0, refused) })
+		w.At(at, func() { q.recordRejection(0, refused) })
 	}
 	for at, want := range map[time.Duration]int{s: 0, 3 * s / 2: 1 + 300, 5 * s / 2: 1 + 200, 7 * s: 1 + 100, 8 * s: 1} {
 		w.At(at, func() {
@@ -77,18 +77,18 @@
 		})
 	}
 	w.Run(time.Minute)
-	r := q.report(DayReport{First: 6, Tries: 10})
+	r := q.report(DayReport{Calls: 6, Requests: 10})
 	want := 0.5 * (40 + 30 + 6) / 100
-	if math.Abs(r.Price-want) > 1e-9 || math.Abs(r.Beyond-5.0/12) > 1e-9 || r.Refused != 0.3 || r.TriesRejectedWithCapacity != 0.2 || r.CallsRejectedWithCapacity != 1.0/6 {
+	if math.Abs(r.OverQuotaPrice-want) > 1e-9 || math.Abs(r.OverQuotaFraction-5.0/12) > 1e-9 || r.RejectedFraction != 0.3 || r.RequestsRejectedWithCapacity != 0.2 || r.CallsRejectedWithCapacity != 1.0/6 {
 		t.Errorf("%+v", r)
 	}
 	if worth := 20 + 10 + 0.5*10; r.Served != worth/100 { // the last came after its aim
 		t.Errorf("served %v", r.Served)
 	}
-	if c := r.Cells["lacks"]; c["units"].Beyond != 4 || c["a place"].Beyond != 1 || r.Cells["refused"]["by_chance"].RejectedWithCapacity != 2 {
+	if c := r.Cells["lacks"]; c["units"].OverQuotaUnits != 4 || c["a place"].OverQuotaUnits != 1 || r.Cells["refused"]["by_chance"].RejectedWithCapacity != 2 {
 		t.Errorf("%+v", c)
 	}
-	if c := r.Cells["guesses"]; c["inside without settling"].Beyond != 1 || c["beyond too"].Beyond != 4 {
+	if c := r.Cells["guesses"]; c["inside without settling"].OverQuotaUnits != 1 || c["beyond too"].OverQuotaUnits != 4 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -99,17 +99,17 @@
 	for _, name := range QuotaNames {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			o := QuotaOptions{World: name, Policy: LateStore, Instances: 12, Lasts: 10 * time.Second, Seed: 3}
+			o := QuotaOptions{World: name, Policy: LateStore, Instances: 12, Duration: 10 * time.Second, Seed: 3}
 			now := quotas(t, o)
-			if o.Late = -1; now.Price > 0.05 || now.Served < 0.8 || len(now.Broken) > 0 {
+			if o.PolicyDelay = -1; now.OverQuotaPrice > 0.05 || now.Served < 0.8 || len(now.Broken) > 0 {
 				t.Errorf("at once: %+v", now)
 			}
-			if late := quotas(t, o); late.First != now.First || late.Price < now.Price+0.01 {
+			if late := quotas(t, o); late.Calls != now.Calls || late.OverQuotaPrice < now.OverQuotaPrice+0.01 {
 				t.Errorf("late: %+v", late)
 			}
 			o.Policy = ByModule
 			r := quotas(t, o)
-			if r.First != now.First || r.Served < 0.6 || r.Price <= 0 || len(r.Broken) > 0 {
+			if r.Calls != now.Calls || r.Served < 0.6 || r.OverQuotaPrice <= 0 || len(r.Broken) > 0 {
 				t.Errorf("module: %+v", r)
 			}
 			if again := quotas(t, o); !reflect.DeepEqual(r, again) {
--- a/internal/simulation/fleetsim/servers.go
+++ b/internal/simulation/fleetsim/servers.go
@@ -11,7 +11,7 @@
 // App servers and the lists that tell of them.
 
 func (w *world) newHost(zone string, cell int, boot time.Duration) *host {
-	h := &host{id: uint32(len(w.hosts) + 1), zone: zone, cell: cell, bootAt: boot, conns: map[int]time.Duration{}}
+	h := &host{id: uint32(len(w.hosts) + 1), zone: zone, cell: cell, bootedAt: boot, connections: map[int]time.Duration{}}
 	w.hosts = append(w.hosts, h)
 	w.byID[h.id] = h
 	w.register(h)
@@ -19,8 +19,8 @@
 }
 
 func (w *world) register(h *host) {
-	boot := h.bootAt
-	w.check.Started(h.id, fleetrules.Server{Zone: h.zone, Cell: h.cell, Can: func(at time.Duration) (float64, bool) {
+	boot := h.bootedAt
+	w.checker.Started(h.id, fleetrules.Server{Zone: h.zone, Cell: h.cell, Capacity: func(at time.Duration) (float64, bool) {
 		warm := warmthAt(at - boot)
 		return warm * dayCores, warm < 1
 	}})
@@ -35,30 +35,30 @@
 // boot starts a new server, which is listed a little later.
 func (w *world) boot(zone string, cell int) {
 	h := w.newHost(zone, cell, w.Now())
-	w.After(addNotice, func() { w.announce(h, true) })
+	w.After(listDelayOfStart, func() { w.announce(h, true) })
 }
 
 func (w *world) reboot(h *host) {
-	h.state, h.bootAt, h.life, h.inFlight = hostUp, w.Now(), h.life+1, 0
-	clear(h.conns)
-	h.free = [dayCores]time.Duration{}
+	h.state, h.bootedAt, h.incarnation, h.inFlight = hostUp, w.Now(), h.incarnation+1, 0
+	clear(h.connections)
+	h.coreFreeAt = [dayCores]time.Duration{}
 	w.register(h)
-	w.After(addNotice, func() { w.announce(h, true) })
+	w.After(listDelayOfStart, func() { w.announce(h, true) })
 }
 
 func (w *world) drain(h *host) {
 	if h.state == hostUp {
 		h.state = hostDraining
 	}
-	w.After(goneNotice/2, func() { w.announce(h, false) })
+	w.After(listDelayOfEnd/2, func() { w.announce(h, false) })
 }
 
 func (w *world) remove(h *host) {
 	h.state = hostGone
-	h.life++
+	h.incarnation++
 }
 
-func (w *world) entry(h *host) listed {
+func (w *world) endpointOf(h *host) listed {
 	up := h.state == hostUp || h.state == hostSilent
 	m := control.Endpoint{Server: h.id, State: control.Active, Zone: h.zone, Cell: h.cell, Size: 1}
 	if !up {
@@ -67,8 +67,8 @@
 			m.State = control.Gone
 		}
 	}
-	if h.bootAt > -time.Hour {
-		m.HasStartedAt, m.StartedAt = true, h.bootAt+firstUse
+	if h.bootedAt > -time.Hour {
+		m.HasStartedAt, m.StartedAt = true, h.bootedAt+firstUse
 	}
 	return listed{m, up}
 }
@@ -76,21 +76,21 @@
 // announce sends a change to every instance's agent, which has it a little later each, or as late as
 // lists are on this day. By maxNotificationDelay it counts as told either way.
 func (w *world) announce(h *host, up bool) {
-	e, life, seen := w.entry(h), h.life, w.Now()
+	e, life, changedAt := w.endpointOf(h), h.incarnation, w.Now()
 	for i := range w.nodes {
-		arrives := seen + time.Duration(w.rng.Int64N(int64(400*time.Millisecond))) + w.plan.late
-		arrives = max(arrives, w.listsSilentUntil, w.nodes[i].deafUntil)
-		notifiedAt := min(arrives, seen+maxNotificationDelay)
-		if n := w.nodes[i]; seen < n.deafUntil {
-			notifiedAt = min(notifiedAt, max(seen, n.deafSince+maxNotificationDelay))
+		arrives := changedAt + time.Duration(w.rng.Int64N(int64(400*time.Millisecond))) + w.script.listDelay
+		arrives = max(arrives, w.listsSilentUntil, w.nodes[i].watchSilentUntil)
+		notifiedAt := min(arrives, changedAt+maxNotificationDelay)
+		if n := w.nodes[i]; changedAt < n.watchSilentUntil {
+			notifiedAt = min(notifiedAt, max(changedAt, n.watchSilentSince+maxNotificationDelay))
 		}
 		if !up {
-			w.At(notifiedAt, func() { w.check.Notified(w.Now(), i, h.id, false) })
+			w.At(notifiedAt, func() { w.checker.Notified(w.Now(), i, h.id, false) })
 		}
 		w.At(arrives, func() {
 			if n := w.nodes[i]; !n.down {
-				n.knows[h.id] = life
-				w.list(i, control.ListPatch, []listed{e})
+				n.knownIncarnations[h.id] = life
+				w.sendList(i, control.ListPatch, []listed{e})
 			}
 		})
 	}
--- a/internal/simulation/fleetsim/sim_test.go
+++ b/internal/simulation/fleetsim/sim_test.go
@@ -25,18 +25,18 @@
 		leastUsed      float64
 	}{
 		"as told":               {Options{Instances: 40}, true, true, 0.97, 0.5},
-		"late news":             {Options{Instances: 40, Lag: 5 * time.Second}, true, true, 0.97, 0.5},
-		"uneven":                {Options{Instances: 40, Lag: 2 * time.Second, Uneven: true}, true, true, 0.97, 0.2},
+		"late news":             {Options{Instances: 40, NotificationLag: 5 * time.Second}, true, true, 0.97, 0.5},
+		"uneven":                {Options{Instances: 40, NotificationLag: 2 * time.Second, IsUneven: true}, true, true, 0.97, 0.2},
 		"20 told, 40 real":      {Options{Instances: 40, GroupSize: 20}, true, false, 0.97, 0.5},
 		"40 told, 3 real":       {Options{Instances: 3, GroupSize: 40}, true, true, 0.85, 0.05},
-		"the size is ignored":   {Options{Instances: 40, GroupSize: 1, PerServer: 10, Load: 0.95}, false, false, 0, 0.5},
-		"slow servers, as told": {Options{Instances: 40, PerServer: 10, Load: 0.95}, true, true, 0, 0.5},
+		"the size is ignored":   {Options{Instances: 40, GroupSize: 1, ServerRate: 10, Load: 0.95}, false, false, 0, 0.5},
+		"slow servers, as told": {Options{Instances: 40, ServerRate: 10, Load: 0.95}, true, true, 0, 0.5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tc.o.Seed = 3
 			r := run(t, tc.o)
 			r.Trace = nil
-			if r.MaxWarmUpOverload <= 1 != tc.holdsC || r.Over <= ceilSlack != tc.holdsL || r.Served < tc.leastServed || r.Used < tc.leastUsed {
+			if r.MaxWarmUpOverload <= 1 != tc.holdsC || r.MaxOverHardLimit <= hardLimitSlack != tc.holdsL || r.Served < tc.leastServed || r.HardLimitUse < tc.leastUsed {
 				t.Errorf("%+v", r)
 			}
 		})
@@ -44,7 +44,7 @@
 }
 
 func TestSameSeedSameRun(t *testing.T) {
-	o := Options{Instances: 10, Seed: 5, Lasts: 12 * time.Second}
+	o := Options{Instances: 10, Seed: 5, Duration: 12 * time.Second}
 	if a, b := run(t, o), run(t, o); !reflect.DeepEqual(a, b) {
 		t.Errorf("%+v\n%+v", a, b)
 	}
