--- a/internal/daemon/drained.go
+++ b/internal/daemon/drained.go
@@ -108,7 +108,9 @@
 }
 
 // haveSameFiles tells whether the state directory and the control socket are the same.
-func haveSameFiles(a, b config.Process) bool { return a.StateDir == b.StateDir && a.ControlSocket == b.ControlSocket }
+func haveSameFiles(a, b config.Process) bool {
+	return a.StateDir == b.StateDir && a.ControlSocket == b.ControlSocket
+}
 
 // awaitResume waits until resume has returned, and returns its error.
 func (r *drainedDaemon) awaitResume(ctx context.Context) error {
