--- a/internal/bulkhead/bulkhead.go
+++ b/internal/bulkhead/bulkhead.go
@@ -38,7 +38,7 @@
 	return max(0, (s.guaranteed+reserveDivisor-1)/reserveDivisor-s.used)
 }
 
-// borrowed is what the owner has beyond its guaranteed part.
+// borrowed is what the owner has in excess of its guaranteed part.
 func (s *share) borrowed() int64 { return max(0, s.used-s.guaranteed) }
 
 // Allocator allocates one resource to owners. The zero value has none of it. It is not safe for concurrent use.
@@ -72,8 +72,8 @@
 	return Owner(len(a.shares) - 1)
 }
 
-// RemoveOwner removes an owner. It releases what it still has as before; until then its number is not used
-// again.
+// RemoveOwner removes an owner. It releases what it still has as before; until then its number is not
+// reused.
 func (a *Allocator) RemoveOwner(o Owner) {
 	a.update(o, func(s *share) {
 		s.guaranteed = 0
@@ -83,7 +83,7 @@
 
 // SetGuarantees sets the total and the guaranteed parts; an owner that is not in the map has none. It changes
 // nothing and returns an error where a part is below zero or they add up to more than the total. What is
-// acquired beyond a new limit stays so until it is released.
+// acquired in excess of a new limit remains so until it is released.
 func (a *Allocator) SetGuarantees(total int64, guaranteed map[Owner]int64) error {
 	sum := int64(0)
 	for o, part := range guaranteed {
@@ -129,7 +129,7 @@
 	return true
 }
 
-// canBorrow reports whether an owner may have a share beyond its guaranteed part, with so much free after that.
+// canBorrow reports whether an owner may have a share in excess of its guaranteed part, with so much free after that.
 func (a *Allocator) canBorrow(now time.Duration, after *share, free int64) bool {
 	isLending := !a.hasLendAfter || now >= a.lendAfter
 	if !isLending || free < 0 {
@@ -150,7 +150,7 @@
 // Guaranteed returns an owner's guaranteed part.
 func (a *Allocator) Guaranteed(o Owner) int64 { return a.shares[o].guaranteed }
 
-// Borrowed returns what an owner has acquired beyond its guaranteed part.
+// Borrowed returns what an owner has acquired in excess of its guaranteed part.
 func (a *Allocator) Borrowed(o Owner) int64 { return a.shares[o].borrowed() }
 
 // Free returns what no owner has acquired.
--- a/internal/bulkhead/time_limiter.go
+++ b/internal/bulkhead/time_limiter.go
@@ -10,7 +10,7 @@
 
 // TimeLimiter divides processor time: how many seconds per second each owner may use. It only reports which owners
 // have to wait, and interrupts nothing. An owner within its guaranteed part never has to, whatever other owners use;
-// one beyond it has to only while all owners together use more than the total. It is not safe for concurrent use.
+// one above it has to only while all owners together use more than the total. It is not safe for concurrent use.
 type TimeLimiter struct {
 	total  float64
 	owners []timeUse // by Owner
--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,5 +1,5 @@
-// Package codec has what the forms of all stored data share: a CBOR decoder with bounds, as what is read may come from
-// anybody, and a checksum. It is safe for concurrent use.
+// Package codec has what the forms of all stored data share: a CBOR decoder with bounds, as input is not
+// trusted, and a checksum. It is safe for concurrent use.
 package codec
 
 import (
--- a/internal/daemon/checkpoint.go
+++ b/internal/daemon/checkpoint.go
@@ -125,7 +125,7 @@
 	return d.successor.SendFinalCheckpoint(encoded)
 }
 
-// saveFinalCheckpoint is called in a drain once nothing more will be spent: what is left goes to the successor, or to
+// saveFinalCheckpoint is called in a drain once nothing more will be spent: what is left is sent to the successor, or saved in
 // the file for the next start.
 func (d *daemon) saveFinalCheckpoint() {
 	d.checkpointer.stop()
--- a/internal/daemon/commands.go
+++ b/internal/daemon/commands.go
@@ -24,7 +24,7 @@
 	waiters     []chan error // each has space for the outcome
 }
 
-// isUpgrade tells whether the command starts a new process.
+// isUpgrade reports whether the command starts a new process.
 func (r *runningCommand) isUpgrade() bool {
 	return r.kind == desiredstate.KindProgram || r.kind == desiredstate.KindRestart
 }
@@ -88,7 +88,7 @@
 type commandFinished struct {
 	command      *runningCommand
 	err          error
-	isRolledBack bool // the configuration file is again the one in force
+	isRolledBack bool // the configuration file was restored to the one in force
 }
 
 func (f commandFinished) handle(d *daemon) error {
@@ -249,7 +249,7 @@
 	d.answerCommand(d.member.desiredState.LastOutcome())
 }
 
-// interruptedOutcome is the outcome of a command of which nothing remains: it starts anew when it is sent again.
+// interruptedOutcome is the outcome of a command of which nothing remains: it starts anew when it is retried.
 func interruptedOutcome(id string) desiredstate.Outcome {
 	return desiredstate.Outcome{ID: id, Code: desiredstate.CodeBusy, Error: "order " + id + " was interrupted: ask again"}
 }
@@ -283,7 +283,7 @@
 }
 
 // recoverCommand ends the command that the desired state says is running where the process that ran it has ended: as
-// succeeded where its effect is found, else as interrupted. A command to serve goes on.
+// succeeded where its effect is found, else as interrupted. A command to serve continues.
 func (d *daemon) recoverCommand() {
 	m := d.member
 	stored := m.desiredState.Running
--- a/internal/daemon/conditions.go
+++ b/internal/daemon/conditions.go
@@ -15,7 +15,7 @@
 	conditionMetrics        = "metrics"
 	conditionOrders         = "orders"
 	conditionStateDirectory = "state directory"
-	// conditionGroupSizePrefix goes before a service's name.
+	// conditionGroupSizePrefix is followed by a service's name.
 	conditionGroupSizePrefix = "size of the group, by the servers of "
 )
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -94,7 +94,7 @@
 	return d.run(ctx)
 }
 
-// isDesiredDrained tells whether the desired state is drained. A successor builds first: it was started by
+// isDesiredDrained reports whether the desired state is drained. A successor builds first: it was started by
 // a process that serves.
 func (d *daemon) isDesiredDrained() bool {
 	return d.predecessor == nil && d.member.desiredState.Target.Drained
@@ -233,7 +233,7 @@
 	return listeners, nil
 }
 
-// takeListeners returns the predecessor's listeners at configured addresses. It closes others: the configuration has
+// takeListeners returns the predecessor's listeners at configured addresses. It closes all other ones: the configuration has
 // changed since the predecessor read it.
 func (d *daemon) takeListeners(configured map[string]bool) (map[string]net.Listener, error) {
 	listeners, err := d.predecessor.TakeListeners(filePrefixListener)
--- a/internal/daemon/drained.go
+++ b/internal/daemon/drained.go
@@ -17,7 +17,7 @@
 )
 
 // drainedDaemon is a daemon whose desired state is drained: it has its files locked and answers on its control socket,
-// so that it can be claimed and commanded, and has no listeners. After a restart it is drained again.
+// so that it can be claimed and commanded, and has no listeners. It remains drained after a restart.
 type drainedDaemon struct {
 	daemon         *daemon
 	stopRequested  chan struct{} // has space for one request
@@ -90,7 +90,7 @@
 	}
 }
 
-// resume reads the configuration again and builds the node.
+// resume reloads the configuration and builds the node.
 func (r *drainedDaemon) resume() (err error) {
 	defer func() {
 		r.resumeErr = err
@@ -107,8 +107,10 @@
 	return d.build()
 }
 
-// haveSameFiles tells whether the state directory and the control socket are the same.
-func haveSameFiles(a, b config.Process) bool { return a.StateDir == b.StateDir && a.ControlSocket == b.ControlSocket }
+// haveSameFiles reports whether the state directory and the control socket are the same.
+func haveSameFiles(a, b config.Process) bool {
+	return a.StateDir == b.StateDir && a.ControlSocket == b.ControlSocket
+}
 
 // awaitResume waits until resume has returned, and returns its error.
 func (r *drainedDaemon) awaitResume(ctx context.Context) error {
@@ -163,7 +165,7 @@
 // Upgrade implements manage.Daemon.
 func (r *drainedDaemon) Upgrade(context.Context, string) error { return errIsDrained }
 
-// Drain implements manage.Daemon: the process ends. Its supervisor may start it again; it is drained then as
+// Drain implements manage.Daemon: the process ends. Its supervisor may restart it; it is drained then as
 // long as that is the desired state.
 func (r *drainedDaemon) Drain(bool) error {
 	r.mu.Lock()
--- a/internal/daemon/groupsize.go
+++ b/internal/daemon/groupsize.go
@@ -12,7 +12,7 @@
 const groupSizeInterval = 2 * time.Second
 
 // watchGroupSize logs when the load reports of a service's servers begin to contradict the configured group size, and
-// when they agree again, until ctx ends.
+// when that ends, until ctx ends.
 func (d *daemon) watchGroupSize(ctx context.Context) {
 	ticker := time.NewTicker(groupSizeInterval)
 	defer ticker.Stop()
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -146,7 +146,7 @@
 
 // advance passes an event to the state machine and carries out the actions that it returns.
 func (d *daemon) advance(e lifecycle.Event) {
-	// The machine reuses its slice, and an action may advance it again.
+	// The machine reuses its slice, and an action may advance it too.
 	actions := append([]lifecycle.Action(nil), d.machine.Handle(e)...)
 	for _, a := range actions {
 		d.perform(a)
@@ -216,7 +216,7 @@
 	}
 }
 
-// reload reads the configuration again and puts it in force.
+// reload reads the configuration and puts it in force.
 func (d *daemon) reload() {
 	cfg, err := d.opts.LoadConfig()
 	if err == nil {
--- a/internal/daemon/member.go
+++ b/internal/daemon/member.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// save replaces the desired state by next once next is stored; where that fails it stays as it was.
+// save replaces the desired state by next once next is stored; where that fails it is unchanged.
 func (m *member) save(next desiredstate.State) error {
 	if m.isSaved && reflect.DeepEqual(m.desiredState, next) {
 		return nil
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -11,7 +11,7 @@
 	"lockflow/internal/node"
 )
 
-// metricsRetryInterval is the pause before the daemon listens at the metrics' address again.
+// metricsRetryInterval is the pause before another attempt to listen at the metrics' address.
 const metricsRetryInterval = 500 * time.Millisecond
 
 // startMetrics serves metrics until ctx ends, where an address is configured. It retries while the address is in use:
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -32,8 +32,8 @@
 	d.post(receivedCheckpoint{encoded, err})
 }
 
-// takeOver accepts connections, beside the predecessor until that has drained. An error ends this process, and the
-// predecessor goes on.
+// takeOver accepts connections, together with the predecessor until that has drained. An error ends this process, and
+// the predecessor continues.
 func (d *daemon) takeOver(received receivedCheckpoint) error {
 	checkpoint, err := state.Decode(received.encoded)
 	if received.err != nil {
--- a/internal/daemon/requests.go
+++ b/internal/daemon/requests.go
@@ -8,11 +8,11 @@
 	"lockflow/internal/lifecycle"
 )
 
-// upgradeCausePrefix goes before the program's path in the cause of an upgrade that was requested by the control
+// upgradeCausePrefix precedes the program's path in the cause of an upgrade that was requested by the control
 // socket.
 const upgradeCausePrefix = "control socket: "
 
-// reloadRequest requests a reload; its result goes to answer, which has space for it.
+// reloadRequest requests a reload; its result is sent to answer, which has space for it.
 type reloadRequest struct {
 	cause  string
 	answer chan error
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// upgradeRequest requests an upgrade to a program; its result goes to answer, which has space for it.
+// upgradeRequest requests an upgrade to a program; its result is sent to answer, which has space for it.
 type upgradeRequest struct {
 	program   string
 	isCommand bool // by the command that runs
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -13,7 +13,7 @@
 )
 
 // applySettings replaces the configuration file by a command's and reloads it; inForce is the configuration
-// until then. After an error the file is as it was; isRolledBack tells that it was replaced meanwhile.
+// until then. After an error the file is as it was; isRolledBack reports that it was replaced meanwhile.
 func (d *daemon) applySettings(inForce config.Config, operation desiredstate.Operation) (isRolledBack bool, err error) {
 	text := []byte(operation.Text)
 	next, err := d.opts.ParseConfig(text)
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// hasServingSuccessor tells whether a successor accepts connections in this process's place.
+// hasServingSuccessor reports whether a successor accepts connections in this process's place.
 func (d *daemon) hasServingSuccessor() bool {
 	return d.successor != nil && d.successor.phase == successorServing
 }
@@ -171,7 +171,7 @@
 	s.timer = time.AfterFunc(probation, func() { d.post(successorEvent{successor: s, isConfirmed: true}) })
 }
 
-// resumeAlone goes on without the successor, which has ended or could not be started.
+// resumeAlone continues without the successor, which has ended or could not be started.
 func (d *daemon) resumeAlone() {
 	s := d.successor
 	d.successor = nil
@@ -211,8 +211,8 @@
 	}
 }
 
-// reclaimFiles records this process's id where the successor may have recorded its own, and opens the control
-// socket again where the successor had replaced it.
+// reclaimFiles records this process's id where the successor may have recorded its own, and reopens the control
+// socket where the successor had replaced it.
 func (d *daemon) reclaimFiles() {
 	d.recordProcessID()
 	if old := d.controlServer; !old.OwnsSocket() {
--- a/internal/discovery/endpoint_list.go
+++ b/internal/discovery/endpoint_list.go
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// EndpointState returns the state as the decision module knows it. A server in an unknown state gets no new requests.
+// EndpointState returns the state in the decision module's terms. A server in an unknown state gets no new requests.
 func (e *Endpoint) EndpointState() control.EndpointState {
 	switch e.State {
 	case stateUp:
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -45,7 +45,7 @@
 }
 
 // SetSource makes the feed follow another source at once. It may be called at any time, from any goroutine. While
-// nothing has arrived from a source, setting the same one again does nothing: a call that is cancelled repeatedly would
+// nothing has arrived from a source, setting the same one does nothing: a call that is cancelled repeatedly would
 // be answered too late.
 func (f *Feed) SetSource(source Source) {
 	f.mu.Lock()
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -16,7 +16,7 @@
 	maxFileBytes      = 4 << 20
 )
 
-// followFile delivers the list in a file, and again when the file has changed, until ctx ends. An unreadable or
+// followFile delivers the list in a file, also each time that the file changes, until ctx ends. An unreadable or
 // invalid file leaves the previous list in force and is logged once.
 func (f *Feed) followFile(ctx context.Context, path string) {
 	read := func() error {
--- a/internal/discovery/pacer.go
+++ b/internal/discovery/pacer.go
@@ -58,7 +58,7 @@
 
 // RetryDelay is the delay of the next call after a watch, or an attempt at one, that lived for some time. silence is the
 // time since the last message of a watch. As long as a call can be answered by the deadline for missed events, the delay
-// ends in time for that. Afterwards the time of the failed call counts instead: a discovery that can be reached again
+// ends in time for that. Afterwards the time of the failed call counts instead: a discovery that has become reachable
 // has another missedEventDeadline from then on.
 func (p *Pacer) RetryDelay(lived, silence time.Duration) time.Duration {
 	if lived >= stableWatchTime {
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -8,11 +8,11 @@
 // The kinds of source.
 const (
 	Watch  Kind = iota // a discovery of the platform's protocol, which is watched
-	File               // a file that holds an EndpointList as JSON, read again as it changes
+	File               // a file that holds an EndpointList as JSON, reloaded when it changes
 	Static             // the configuration itself
 )
 
-// Source is where a service's endpoint list comes from.
+// Source is the origin of a service's endpoint list.
 type Source struct {
 	Kind       Kind
 	Address    string     // with Watch: host and port
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -80,11 +80,11 @@
 	}
 }
 
-// watch opens one watch and reads it until it ends. hasData tells whether anything arrived.
+// watch opens one watch and reads it until it ends. hasData reports whether anything arrived.
 func (w *watcher) watch(ctx context.Context) (hasData bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	// Ends a call whose connection never comes up, and a watch that stops without an end: a heartbeat is due every 2 s.
+	// Ends a call whose connection is never made, and a watch that stops without an end: a heartbeat is due every 2 s.
 	silenceTimer := time.AfterFunc(w.silenceTimeout, func() { cancel(errSilent) })
 	defer silenceTimer.Stop()
 	response, err := w.call(ctx)
@@ -133,7 +133,7 @@
 	return fmt.Errorf("%w: %w", errRejected, err)
 }
 
-// apply delivers one message of a watch. With an error the watch has to be opened again: from the revision of the last
+// apply delivers one message of a watch. With an error the watch has to be reopened: from the revision of the last
 // message that was applied, or for a complete list.
 func (w *watcher) apply(list EndpointList, isFirst bool) error {
 	if list.Revision < w.revision && !(list.IsComplete && isFirst) {
--- a/internal/front/answer_stream.go
+++ b/internal/front/answer_stream.go
@@ -110,7 +110,7 @@
 
 // copyBody copies the body. The buffer holds its first bytes, and readErr is the error with which
 // reading them ended. It returns errClientGone if the client accepts no more, and any other error if
-// the rest of the body will not come or the client is too slow.
+// the rest of the body will not arrive or the client is too slow.
 func (s *answerStream) copyBody(buffered int, readErr error) error {
 	direct, _ := s.writer.(io.ReaderFrom)
 	n := buffered
--- a/internal/front/client_registry.go
+++ b/internal/front/client_registry.go
@@ -39,7 +39,7 @@
 	input     *inputConn      // inside conn; nil if there is none
 	idleSince time.Time       // zero while a request is open; guarded by clientRegistry.mu
 	isNew     bool            // no complete head has been received yet; guarded by clientRegistry.mu
-	isShut    atomic.Bool     // the node has closed the connection: no further request is started on it
+	isShut    atomic.Bool     // the node has closed the connection: no more requests are started on it
 
 	// When the connection was accepted, and the time before in which it may have waited for that; used for its first
 	// request only, by the goroutine that serves the connection.
@@ -51,7 +51,7 @@
 func (c *clientConn) isClosed() bool { return c != nil && c.isShut.Load() }
 
 // IsWaiting reports whether the client has not closed its side of the connection. It polls the socket,
-// because net/http reads at most one byte beyond a request and misses a close that follows pipelined
+// because net/http reads at most one byte after a request and misses a close that follows pipelined
 // requests. Without a socket the client is assumed to be there.
 func (c *clientConn) IsWaiting() bool {
 	_, ended := c.pollSocket()
@@ -89,7 +89,7 @@
 // clientKey is the context key of a request's *clientConn.
 type clientKey struct{}
 
-// register is the http.Server's ConnContext. It adds the connection and lets requests find it in their
+// register is the http.Server's ConnContext. It adds the connection and makes requests find it in their
 // context.
 func (s *clientRegistry) register(ctx context.Context, conn net.Conn) context.Context {
 	client := &clientConn{conn: conn, idleSince: time.Now(), isNew: true}
@@ -114,7 +114,7 @@
 }
 
 // arrivalOf returns when a request arrived that was read now. The first one of a connection that could not be accepted
-// at once may have waited in the socket's queue: its client's time has run since its last byte came.
+// at once may have waited in the socket's queue: its client's time counts from the arrival of its last byte.
 func (c *clientConn) arrivalOf(now time.Time) time.Time {
 	queued := c.queued
 	c.queued = accept.Period{}
@@ -259,7 +259,7 @@
 	return oldest.isClosed()
 }
 
-// isEvictable reports whether a connection is idle, and silent beyond the grace period if it is new.
+// isEvictable reports whether a connection is idle, and silent for longer than the grace period if it is new.
 func (c *clientConn) isEvictable() bool {
 	if c.idleSince.IsZero() || c.isClosed() {
 		return false
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -40,7 +40,7 @@
 // Target is the destination of a route.
 type Target struct {
 	Service *service.Service
-	// Class of the target's requests. Empty lets the protocol determine it.
+	// Class of the target's requests. If it is empty, the protocol determines it.
 	Class string
 	// MaxBodyBytes limits a request's body. A negative value means no limit.
 	MaxBodyBytes int64
@@ -211,7 +211,7 @@
 }
 
 // findTarget returns the target of a request, with its services acquired: a service that a reload
-// removes still serves the requests that came before.
+// removes still serves the requests that arrived before.
 func (f *Front) findTarget(r *http.Request) (*Target, string, *BadRequest) {
 	for {
 		table := f.table.Load()
--- a/internal/front/generic_http.go
+++ b/internal/front/generic_http.go
@@ -132,7 +132,7 @@
 	return class
 }
 
-// requestedTimeout returns the timeout that a client asks for; empty for none.
+// requestedTimeout returns the timeout that a client requests; empty for none.
 func (o *GenericHTTP) requestedTimeout(r *http.Request) string {
 	if o.TimeoutHeader == "" {
 		return ""
@@ -180,8 +180,8 @@
 	}
 }
 
-// requestedUpgrade returns the protocol that a request asks to upgrade to (RFC 9110, 7.8); empty if it
-// asks for none or for one that is not allowed.
+// requestedUpgrade returns the protocol that a request offers to upgrade to (RFC 9110, 7.8); empty if it
+// offers none or for one that is not allowed.
 func requestedUpgrade(header http.Header, allowed []string) string {
 	values := header["Upgrade"]
 	if len(values) != 1 || !slices.Contains(allowed, strings.ToLower(values[0])) {
--- a/internal/front/platform.go
+++ b/internal/front/platform.go
@@ -167,8 +167,8 @@
 }
 
 // checkFraming rejects a body without a Content-Length, and one that is too long. net/http drops the
-// length of a request that also has a Transfer-Encoding, so accepting one could let a second request
-// be smuggled in the body.
+// length of a request that also has a Transfer-Encoding, so accepting one would enable a second request
+// to be smuggled in the body.
 func checkFraming(r *http.Request, maxBodyBytes int64) *BadRequest {
 	switch {
 	case len(r.TransferEncoding) > 0 || r.ContentLength < 0:
@@ -232,7 +232,7 @@
 	return time.Duration(timeLeft), nil
 }
 
-// maxWeightNames is the number of names that parseWeight knows.
+// maxWeightNames is the number of names that parseWeight accepts.
 const maxWeightNames = 3
 
 // parseWeight parses a list of name=number pairs into a request: its units, and the edge nodes that its
--- a/internal/front/scatter_gather.go
+++ b/internal/front/scatter_gather.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// limitTimeout returns the deadline of a class, or the timeout that a client asks for if that is shorter.
+// limitTimeout returns the deadline of a class, or the timeout that a client requests if that is shorter.
 func (g *ScatterGather) limitTimeout(r *http.Request, deadline time.Duration) (time.Duration, error) {
 	if g.TimeoutHeader == "" {
 		return deadline, nil
--- a/internal/h2/choose.go
+++ b/internal/h2/choose.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// View is what Choose knows of a connection.
+// View is the state of a connection, for Choose.
 type View struct {
 	OpenStreams int
 	FreeStreams int  // that can be opened now
--- a/internal/h2/conn_write.go
+++ b/internal/h2/conn_write.go
@@ -21,7 +21,7 @@
 }
 
 // writeNow writes as much as the socket takes without blocking, which nearly always is everything; the writing goroutine
-// writes the rest. So no goroutine is woken for each request, and no caller blocks beyond its deadline on a server that
+// writes the rest. So no goroutine is woken for each request, and no caller blocks past its deadline on a server that
 // reads nothing.
 func (c *Conn) writeNow() {
 	if c.rawConn == nil {
--- a/internal/h2/machine.go
+++ b/internal/h2/machine.go
@@ -80,7 +80,7 @@
 	MayBegin func() bool
 }
 
-// Answer is a complete answer, or the head of one that goes on.
+// Answer is a complete answer, or the head of one that is streamed.
 type Answer struct {
 	Status  int
 	Header  http.Header
@@ -144,7 +144,7 @@
 	canonicalNames nameCache // the reverse
 }
 
-// nameCache has converted names of header fields, so that frequent ones are not allocated again. Its zero value is
+// nameCache has converted names of header fields, so that frequent ones are not allocated for each request. Its zero value is
 // empty.
 type nameCache map[string]string
 
@@ -204,7 +204,7 @@
 		http2.Setting{ID: http2.SettingInitialWindowSize, Val: uint32(machine.MaxBodyBytes + 1)},
 		http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: uint32(machine.MaxHeadBytes)},
 	)
-	// The connection's window has space for the windows of all streams, so that none waits because of others.
+	// The connection's window has space for the windows of all streams, so that none waits because of another one.
 	window := int64(machine.MaxStreams)*int64(machine.MaxBodyBytes+1) + maxUnreturnedWindow
 	if window > defaultWindow {
 		machine.frames.WriteWindowUpdate(0, uint32(min(window, maxWindow)-defaultWindow))
@@ -283,7 +283,7 @@
 	}
 }
 
-// moment returns how far a stream's request has gone, or will have where the connection goes on: output can't be
+// moment returns how far a stream's request has gone, or will have where the connection remains: output can't be
 // withdrawn.
 func (m *Machine) moment(stream *stream, how End) Moment {
 	switch {
--- a/internal/h2/stream.go
+++ b/internal/h2/stream.go
@@ -29,7 +29,7 @@
 	// Guarded by the connection's mu.
 	heads []*Answer // that Head has not returned
 	data  []byte    // that Read has not returned
-	end   *Event    // nil while the stream goes on
+	end   *Event    // nil until then
 }
 
 // direction is an index of Stream.deadlines.
@@ -132,7 +132,7 @@
 	}
 }
 
-// Head waits for the head of the answer. It may be called again after a timeout. An error of the stream is a
+// Head waits for the head of the answer. It may be retried after a timeout. An error of the stream is a
 // *StreamError.
 func (s *Stream) Head() (*Answer, error) {
 	for {
@@ -220,7 +220,7 @@
 // Done is closed when the stream has ended.
 func (s *Stream) Done() <-chan struct{} { return s.ended }
 
-// Ended returns how the stream ended; nil while it goes on.
+// Ended returns how the stream ended; nil until then.
 func (s *Stream) Ended() *Event {
 	s.conn.mu.Lock()
 	defer s.conn.mu.Unlock()
--- a/internal/lifecycle/actions.go
+++ b/internal/lifecycle/actions.go
@@ -22,14 +22,14 @@
 // YieldToSuccessor stops accepting connections: the successor accepts them.
 type YieldToSuccessor struct{}
 
-// ResumeAlone goes on without the successor: it takes back the part that was sent and, after YieldToSuccessor,
-// accepts connections again.
+// ResumeAlone continues without the successor: it reclaims the part that was sent and, after YieldToSuccessor,
+// resumes accepting connections.
 type ResumeAlone struct{}
 
 // KillSuccessor kills the successor; no event of it has to be reported after that.
 type KillSuccessor struct{}
 
-// ForwardReload has the successor reload: a request to this process is meant for the one that goes on.
+// ForwardReload has the successor reload: a request to this process is meant for the one that remains.
 type ForwardReload struct{}
 
 // StartDrain starts the drain. Its end has to be reported as Finished.
--- a/internal/lifecycle/events.go
+++ b/internal/lifecycle/events.go
@@ -9,7 +9,7 @@
 // ServicesReady reports that every required service has been able to serve.
 type ServicesReady struct{}
 
-// ReloadRequested requests that the configuration is read again.
+// ReloadRequested requests a reload of the configuration.
 type ReloadRequested struct{ Cause string }
 
 // ReloadFinished reports the end of a reload; Err is nil where the new configuration is in force.
@@ -30,7 +30,7 @@
 // SuccessorLost reports that the successor has ended, or was killed for exceeding its time.
 type SuccessorLost struct{ Err error }
 
-// PredecessorEnded reports that the process whose place this one took has ended.
+// PredecessorEnded reports that the process that this one replaces has ended.
 type PredecessorEnded struct{}
 
 // StopRequested requests the daemon's end.
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -6,7 +6,7 @@
 //	    any of them -> draining -> ended
 //
 // A daemon that was ready serves by the old configuration while it reloads. It serves too while it hands over to a
-// successor process; where that is lost before the end of its probation, the daemon goes on as before.
+// successor process; where that is lost before the end of its probation, the daemon continues as before.
 package lifecycle
 
 import "fmt"
@@ -37,12 +37,12 @@
 	areServicesReady bool           // every required service has been able to serve
 	pendingReload    string         // cause of a reload that is to start later; empty for none
 	pendingUpgrade   string         // cause of an upgrade that is to start later; empty for none
-	hasPredecessor   bool           // the process whose place this one took still runs
+	hasPredecessor   bool           // the process that this one replaces still runs
 	successor        successorPhase // noSuccessor unless HandingOver
 	actions          []Action       // that Handle returns
 }
 
-// successorPhase is how far a successor has come.
+// successorPhase is what a successor has reached.
 type successorPhase int
 
 const (
@@ -193,7 +193,7 @@
 		}
 		m.pendingReload = cause
 	case Starting, Reloading:
-		// One more reload serves all requests that come meanwhile.
+		// One more reload serves all requests that arrive meanwhile.
 		m.pendingReload = cause
 	case Draining:
 		m.transition(Draining, "no reload while draining: "+cause)
--- a/internal/limits/shared_resource.go
+++ b/internal/limits/shared_resource.go
@@ -32,7 +32,7 @@
 	s.allocator.SetMaxLoanTime(maxLoanTime)
 }
 
-// SetGuarantees sets the total and the guaranteed parts of accounts; others have none. The error is that of
+// SetGuarantees sets the total and the guaranteed parts of accounts; all other accounts have none. The error is that of
 // bulkhead.Allocator.SetGuarantees, after which nothing has changed.
 func (s *SharedResource) SetGuarantees(total int64, guaranteed map[*Account]int64) error {
 	s.mu.Lock()
--- a/internal/limits/socket_limiter.go
+++ b/internal/limits/socket_limiter.go
@@ -5,7 +5,7 @@
 const (
 	processDescriptors = 24 // of the process itself: listener, discovery, log, poller and the runtime's
 
-	// ReservedForServers is how many connections are left to app servers where clients use all others.
+	// ReservedForServers is how many connections are left to app servers where clients use all other ones.
 	ReservedForServers = 64
 
 	// MinDescriptors is the lowest limit on descriptors that allows one client and one app server.
@@ -52,7 +52,7 @@
 	return max(descriptors, MinDescriptors) - processDescriptors
 }
 
-// SetLimit sets how many connections may be open; connections beyond it stay open.
+// SetLimit sets how many connections may be open; connections above it remain open.
 func (s *SocketLimiter) SetLimit(n int) { s.limit.Store(int64(n)) }
 
 // InUse returns how many descriptors are acquired.
--- a/internal/manage/client.go
+++ b/internal/manage/client.go
@@ -28,8 +28,8 @@
 	return c.call(ctx, http.MethodGet, "status", nil)
 }
 
-// Reload has the daemon read its configuration again, and waits until it is in force. After a RejectedError the
-// daemon goes on by the old one.
+// Reload has the daemon reload its configuration, and waits until it is in force. After a RejectedError the
+// daemon continues with the old one.
 func (c Client) Reload(ctx context.Context) (Status, error) {
 	return c.call(ctx, http.MethodPost, "reload", nil)
 }
@@ -45,7 +45,7 @@
 	return c.call(ctx, http.MethodPost, "drain", nil)
 }
 
-// DrainAndStay is Drain after which the daemon doesn't serve again before Serve, also where it is started again.
+// DrainAndStay is Drain after which the daemon doesn't serve before Serve, also after a restart.
 func (c Client) DrainAndStay(ctx context.Context) (Status, error) {
 	return c.call(ctx, http.MethodPost, "drain", drainRequest{Keep: true})
 }
@@ -60,14 +60,14 @@
 	return c.call(ctx, http.MethodPost, "claim", claim)
 }
 
-// RunCommand has the daemon run a command once, and waits for its outcome. Without an answer the caller sends it again
+// RunCommand has the daemon run a command once, and waits for its outcome. Without an answer the caller retries it
 // with the same id. After a command that replaces the process the status is the old one's.
 func (c Client) RunCommand(ctx context.Context, command Command) (Status, error) {
 	return c.call(ctx, http.MethodPost, "order", command)
 }
 
 // RejectedError is a daemon's answer that it did not do what was requested. For a claim or a command, errors.Is with
-// ErrStale and so on tells its kind.
+// ErrStale and so on finds its kind.
 type RejectedError struct {
 	Message string
 	Code    desiredstate.Code // of package desiredstate; empty for other requests
@@ -89,7 +89,7 @@
 	ErrBusy     error = RejectedError{Code: desiredstate.CodeBusy}     // the caller may retry
 	ErrInvalid  error = RejectedError{Code: desiredstate.CodeInvalid}  // a retry gets the same answer
 	ErrNotSaved error = RejectedError{Code: desiredstate.CodeNotSaved} // the member could not store it; nothing was done
-	// ErrFailed is the outcome of a command that ran and failed: sent again by its id, it has the same outcome.
+	// ErrFailed is the outcome of a command that ran and failed: retried by its id, it has the same outcome.
 	ErrFailed error = RejectedError{Code: desiredstate.CodeFailed}
 )
 
@@ -125,7 +125,7 @@
 	return decodeAnswer(response)
 }
 
-// encodeBody returns body as JSON, nothing for nil. It doesn't escape HTML, which would lengthen settings beyond
+// encodeBody returns body as JSON, nothing for nil. It doesn't escape HTML, which could make settings longer than
 // maxCommandSize.
 func encodeBody(body any) ([]byte, error) {
 	if body == nil {
--- a/internal/manage/server.go
+++ b/internal/manage/server.go
@@ -32,7 +32,7 @@
 	Reload(ctx context.Context) error
 	// Upgrade returns once a new process of program (empty for the one that runs) serves, or why none does.
 	Upgrade(ctx context.Context, program string) error
-	// Drain has the daemon drain and end, and doesn't wait for that; with keep it doesn't serve again before Serve,
+	// Drain has the daemon drain and end, and doesn't wait for that; with keep it doesn't serve before Serve,
 	// also after a restart.
 	Drain(keep bool) error
 	// Serve undoes Drain with keep.
@@ -83,7 +83,7 @@
 func (s *Server) SetDaemon(d Daemon) { s.daemon.Store(&d) }
 
 // Close answers the requests in flight, ends the server and removes the socket, where that is still its own. Requests
-// come first: a drain may have ended the daemon before its own request was answered.
+// are first: a drain may have ended the daemon before its own request was answered.
 func (s *Server) Close() {
 	if s == nil {
 		return
@@ -92,7 +92,7 @@
 	s.httpServer.Close()
 	<-s.done
 	if s.OwnsSocket() {
-		_ = os.Remove(s.path) // one that stays is replaced by the next daemon: no process serves it
+		_ = os.Remove(s.path) // the next daemon replaces one that remains: no process serves it
 	}
 }
 
--- a/internal/manage/status.go
+++ b/internal/manage/status.go
@@ -2,9 +2,9 @@
 // Unix socket that the owner alone may open, with JSON in both directions.
 //
 //	GET  /v1/status
-//	POST /v1/reload            reads the configuration again; answers once it is in force or rejected
+//	POST /v1/reload            reloads the configuration; answers once it is in force or rejected
 //	POST /v1/upgrade           {"program": PATH}; answers once a new process serves, or can't
-//	POST /v1/drain             {"keep": true}; answers at once; with keep it doesn't serve again until serve
+//	POST /v1/drain             {"keep": true}; answers at once; with keep it doesn't serve until serve
 //	POST /v1/serve             undoes a drain with keep; answers once that is stored
 //	POST /v1/claim             desiredstate.Claim: which coordinator's commands are accepted
 //	POST /v1/order             desiredstate.Command; answers with its outcome
@@ -84,7 +84,7 @@
 
 // drainRequest is the body of /v1/drain.
 type drainRequest struct {
-	Keep bool `json:"keep"` // it doesn't serve again before /v1/serve
+	Keep bool `json:"keep"` // it doesn't serve before /v1/serve
 }
 
 // errorAnswer is the body of an answer with a status of 400 or above.
--- a/internal/node/account.go
+++ b/internal/node/account.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// chargeModuleTime accounts for time that the service's decision module took.
+// chargeModuleTime accounts for the time of the service's decision module.
 func (a *account) chargeModuleTime(duration time.Duration) {
 	a.requests.ModuleTime.Record(a.requests.Owner, duration)
 }
--- a/internal/node/gatherers.go
+++ b/internal/node/gatherers.go
@@ -23,7 +23,7 @@
 }
 
 // prepareGatherers makes the scatter-gather services of a configuration. One whose configuration is
-// unchanged is used again; one that changes takes over the counts of its predecessor, and the model of the
+// unchanged is reused; one that changes takes over the counts of its predecessor, and the model of the
 // parts that both have. Queries in flight end under the settings that they started with. Nothing in force
 // changes. n.mu is held, or n is not shared yet.
 func (n *Node) prepareGatherers(cfg *config.Config) (map[string]*gatherer, error) {
--- a/internal/node/limiter.go
+++ b/internal/node/limiter.go
@@ -59,7 +59,7 @@
 }
 
 // sharedLimiter serves a process whose services share its resources: each has a guaranteed part of every
-// resource and may borrow what others leave unused.
+// resource and may borrow what other services leave unused.
 type sharedLimiter struct {
 	descriptors       *limits.SharedResource
 	slots             *limits.SharedResource // one for each request in flight
--- a/internal/node/listener.go
+++ b/internal/node/listener.go
@@ -22,7 +22,7 @@
 	tcp               *net.TCPListener   // nil where it is of another kind: it can't be paused, drained or handed over
 	cancel            context.CancelFunc // closes done
 	done              <-chan struct{}
-	serveEnded        chan struct{} // closed when the front knows all connections that were accepted
+	serveEnded        chan struct{} // closed when the front has received all connections that were accepted
 	gate              acceptGate
 }
 
@@ -40,7 +40,7 @@
 		if !isDraining || !isTimeout(err) {
 			return c, err
 		}
-		// An Accept that starts after its deadline doesn't look at the queue at all.
+		// An Accept that starts after its deadline doesn't check the queue at all.
 		if !q.listener.hasPendingConnection() {
 			return nil, net.ErrClosed
 		}
@@ -64,11 +64,11 @@
 // acceptGate holds back the accepting of connections while it is shut. Its zero value is open.
 type acceptGate struct {
 	mu       sync.Mutex
-	reopened chan struct{} // closed when the gate opens again; nil while it is open
+	reopened chan struct{} // closed when the gate reopens; nil while it is open
 	isFinal  bool          // after the connections in the queue, no more is accepted
 }
 
-// reopening returns a channel that is closed when the gate opens again; nil while it is open.
+// reopening returns a channel that is closed when the gate reopens; nil while it is open.
 func (g *acceptGate) reopening() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -220,7 +220,7 @@
 }
 
 // duplicateSocket returns a listener's socket as a file that may be passed to another process. The file of
-// net.TCPListener.File would not do: asking it for its descriptor puts the socket into blocking mode in every
+// net.TCPListener.File is not usable: getting its descriptor puts the socket into blocking mode in every
 // process that has it, and an Accept then waits in the kernel, where neither a deadline nor Close ends it.
 func duplicateSocket(l *net.TCPListener) (*os.File, error) {
 	raw, err := l.SyscallConn()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -124,7 +124,7 @@
 }
 
 // isReady reports whether every required service has been able to serve. A node that has been ready remains so:
-// services that a later configuration adds don't stop the others.
+// services that a later configuration adds don't stop earlier ones.
 func (n *Node) isReady() bool {
 	if n.hasBeenReady.Load() {
 		return true
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -10,7 +10,7 @@
 
 // Reload puts another configuration in force in one step or, with an error, leaves the current one in force.
 // Requests are served under the configuration that accepted them. A service whose configuration is unchanged
-// goes on undisturbed, also where only its source or its guarantees change. One that changes otherwise is
+// continues undisturbed, also where only its source or its guarantees change. One that changes otherwise is
 // replaced by one that takes over its quotas and what it learned, and one that is removed ends once no request
 // of it is in flight. Of the platform's configuration only the address of discovery is taken over.
 //
@@ -23,7 +23,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.cfg.Process.Shared != cfg.Process.Shared {
-		return errors.New("the platform's configuration and one of our own can't take each other's place")
+		return errors.New("a reload can't change between the platform's configuration and a configuration file")
 	}
 	if !cfg.Process.Shared {
 		n.reloadPlatform(&cfg)
--- a/internal/node/retirement.go
+++ b/internal/node/retirement.go
@@ -66,7 +66,7 @@
 }
 
 // awaitRetired waits while too many reloads have left retired services, for as long as a request of these
-// may be in flight. It bounds the state of reloads that come faster than requests end. n.mu is held, and
+// may be in flight. It bounds the state of reloads that are faster than requests end. n.mu is held, and
 // released while it waits.
 func (n *Node) awaitRetired() error {
 	if n.retiredGenerations() < maxRetiredGenerations {
@@ -87,7 +87,7 @@
 }
 
 // cancelOverdueStreams cancels retired services of generic HTTP that are overdue: only streamed answers,
-// which have no deadline, can be left in them. It returns how long the others may still take. n.mu is held.
+// which have no deadline, can be left in them. It returns how long the other services may still take. n.mu is held.
 func (n *Node) cancelOverdueStreams() time.Duration {
 	longest := retiredCheckInterval // time for the cancelled ones to end
 	for _, s := range n.retired {
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -141,7 +141,7 @@
 	n.front.WaitDisconnected(ctx)
 }
 
-// shutDown gives the last answers finalAnswerTime to be written, and stops listening.
+// shutDown waits for up to finalAnswerTime until the last answers are written, and stops listening.
 func (n *Node) shutDown() {
 	n.mu.Lock()
 	n.isShutDown = true
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -22,13 +22,13 @@
 // Checkpoint returns what the node has spent and learned.
 func (n *Node) Checkpoint() state.Checkpoint { return n.collectState((*service.Service).Checkpoint) }
 
-// HandOver is Checkpoint that gives a fraction (0 to 1) of the quotas left to another process, until Rejoin.
+// HandOver is Checkpoint that hands over a fraction (0 to 1) of the remaining quotas to another process, until Rejoin.
 func (n *Node) HandOver(fraction float64) state.Checkpoint {
 	return n.collectState(func(s *service.Service) (service.State, bool) { return s.HandOver(fraction) })
 }
 
 // Restore takes over what another node, or an earlier run, has spent and learned. It is called before the first
-// client comes.
+// client connects.
 func (n *Node) Restore(checkpoint state.Checkpoint, trust control.Trust) {
 	n.mu.Lock()
 	n.generation = max(n.generation, checkpoint.Generation)
--- a/internal/record/digest.go
+++ b/internal/record/digest.go
@@ -8,7 +8,7 @@
 	"lockflow/control"
 )
 
-// actionCode tells the types of actions in a digest. The numbers are part of what recordings hold.
+// actionCode identifies the type of an action in a digest. The numbers are part of what recordings hold.
 type actionCode = byte
 
 const (
@@ -20,7 +20,7 @@
 	codeDisconnect
 	codeLogLine
 	codeAddToCounter
-	codeRareAction // all others, with a text
+	codeRareAction // any other action, with a text
 )
 
 // Digest appends actions to buffer in a form of their own, and returns it: equal actions give equal bytes. The form is
@@ -65,8 +65,8 @@
 	return append(buffer, text...)
 }
 
-// rareActionText is the text by which Digest tells an action without a form of its own. It is part of
-// what recordings hold, so it stays as it is whatever the types and fields are called.
+// rareActionText is the text that Digest appends for an action without a form of its own. It is stored in recordings,
+// so it must not change with the names of types and fields.
 func rareActionText(action control.Action) string {
 	switch a := action.(type) {
 	case control.CheckHealth:
--- a/internal/record/event.go
+++ b/internal/record/event.go
@@ -9,7 +9,7 @@
 	"lockflow/internal/codec"
 )
 
-// eventKind is the number by which recordings tell the types of events.
+// eventKind identifies the type of an event in recordings.
 type eventKind uint8
 
 // The kinds. Their numbers are stored.
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -34,7 +34,7 @@
 	maxQueuedBatches = 64 // that wait for the writer
 )
 
-// Options says where a service's recording goes.
+// Options configures a service's recording.
 type Options struct {
 	Service  string
 	Dir      string // is made where it is missing
@@ -124,8 +124,8 @@
 	return cbor.Marshal(recordedEvent{Now: now, Kind: kind, Body: body, Digest: xxhash.Sum64(m.digest)})
 }
 
-// Restore, ReclaimRates, HandOver and PredecessorEnded change the controller without an event. The section could not be
-// replayed beyond them, so another one begins.
+// Restore, ReclaimRates, HandOver and PredecessorEnded change the controller without an event. The section can't be
+// replayed past them, so another one begins.
 
 // Restore is Controller.Restore.
 func (m *Module) Restore(now time.Duration, checkpoint control.Checkpoint, trust control.Trust) {
--- a/internal/record/section_writer.go
+++ b/internal/record/section_writer.go
@@ -98,7 +98,7 @@
 	w.file = nil
 }
 
-// createFile creates a section's file, after it has removed the service's oldest files beyond the limit.
+// createFile creates a section's file, after it has removed the oldest files above the service's limit.
 func (w *sectionWriter) createFile() (*os.File, error) {
 	files, err := filepath.Glob(filepath.Join(w.options.Dir, w.options.Service+"-*"+Suffix))
 	if err != nil {
--- a/internal/route/canonical_host.go
+++ b/internal/route/canonical_host.go
@@ -5,7 +5,7 @@
 const maxHostBytes = 255 // RFC 1035, 2.3.4
 
 // CanonicalHost returns the form of an authority that routes are matched against: in lower case, without
-// port and without a trailing dot. An empty authority stays empty and matches only rules for any host.
+// port and without a trailing dot. An empty authority remains empty and matches only rules for any host.
 func CanonicalHost(authority string) (string, error) {
 	if strings.HasPrefix(authority, "[") {
 		return canonicalIPv6Host(authority)
--- a/internal/route/canonical_rule.go
+++ b/internal/route/canonical_rule.go
@@ -5,7 +5,7 @@
 // CanonicalRule is a rule in the form that a Router matches and orders it by. It is immutable.
 type CanonicalRule struct{ rule *compiledRule }
 
-// Canonicalize returns a rule in canonical form. A rule that New would reject gives a *RuleError.
+// Canonicalize returns a rule in canonical form. The error for a rule that New would reject is a *RuleError.
 func Canonicalize(given Rule) (CanonicalRule, error) {
 	c, key, err := compile(given, 0)
 	if err != nil {
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -25,7 +25,7 @@
 const maxDepth = 63 // the highest bit of bucket.prefixDepths
 
 // New returns a Router for rules. It reports all rules that cannot be used, not only the first; the
-// Router has the others.
+// Router has all other ones.
 func New(rules []Rule) (*Router, []*RuleError) {
 	r := &Router{exact: make(map[string]*bucket), wildcard: make(map[string]*bucket), anyHost: newBucket()}
 	var problems []*RuleError
--- a/internal/route/rule.go
+++ b/internal/route/rule.go
@@ -62,7 +62,7 @@
 	valueConditions int    // number of conditions on headers with a value
 }
 
-// compile brings a rule into its canonical form. An error comes with the key of the rule that causes it.
+// compile brings a rule into its canonical form. With an error it returns the key of the rule that causes it.
 func compile(given Rule, index int) (c *compiledRule, key string, err error) {
 	c = &compiledRule{Rule: given, index: index}
 	if err := checkHost(c.Host); err != nil {
--- a/internal/service/answer.go
+++ b/internal/service/answer.go
@@ -25,7 +25,7 @@
 	Header      http.Header // of the server's response; must not be changed
 	Body        []byte
 	Stream      *upstream.Stream // the body where it streams, which the receiver closes; nil otherwise
-	RetryAfter  time.Duration    // 0 gives no advice
+	RetryAfter  time.Duration    // 0 is no advice
 	Cause       control.Cause    // why the module rejected the request
 	LastAttempt control.Reason   // how the last attempt ended, in an answer of the node's own; 0 if there was none
 
--- a/internal/service/attempts.go
+++ b/internal/service/attempts.go
@@ -19,7 +19,7 @@
 	startedAt time.Time
 }
 
-// startAttempt carries out a Send: it gives an attempt to a worker. One that can't be made is reported to the
+// startAttempt carries out a Send: it passes an attempt to a worker. One that can't be made is reported to the
 // module as not sent.
 func (l *loop) startAttempt(a control.Send) {
 	x := l.exchanges[a.ID]
@@ -77,7 +77,7 @@
 }
 
 // attemptContext returns the context of an attempt. It ends at the exchange's deadline, or sooner if the
-// module says so; where the request's body is still to come, whose time has limits of its own, it ends with
+// module says so; where the rest of the request's body is still to arrive, which has time limits of its own, it ends with
 // the loop only.
 func (l *loop) attemptContext(x *Exchange, a control.Send) (ctx context.Context, cancel context.CancelFunc) {
 	deadline := x.Deadline
@@ -107,7 +107,7 @@
 	}
 }
 
-// dispatch gives an attempt to an idle worker, or to a new one where none is idle.
+// dispatch passes an attempt to an idle worker, or to a new one where none is idle.
 func (l *loop) dispatch(job attemptJob) {
 	select {
 	case l.jobs <- job:
@@ -148,7 +148,7 @@
 	return l.post(func() { l.attemptEnded(job, o) })
 }
 
-// startStream reports a response whose body is still to come; false where the loop has ended. The attempt
+// startStream reports a response whose body is still to arrive; false where the loop has ended. The attempt
 // ends when the stream does, which whoever serves the client reads and closes.
 func (l *loop) startStream(job attemptJob, o upstream.Outcome) bool {
 	l.openStreams.add(o.Stream, job.exchange.Deadline)
@@ -249,8 +249,8 @@
 	}
 }
 
-// observeLoad gives the group size estimator the load report of an attempt that has ended: how many requests
-// the server has in flight beside those of this node.
+// observeLoad passes the group size estimator the load report of an attempt that has ended: how many requests
+// the server has in flight in addition to those of this node.
 func (l *loop) observeLoad(server uint32, load *control.LoadReport) {
 	inFlight := l.attemptsInFlight[server] - 1
 	l.attemptsInFlight[server] = inFlight
--- a/internal/service/clock.go
+++ b/internal/service/clock.go
@@ -19,7 +19,7 @@
 	return c.startedAt.Add(moduleTime - unixTime(c.startedAt))
 }
 
-// unixTime is the wall time of a moment, for what is told in wall time: a clock's origin, and boot times of servers.
+// unixTime is the wall time of a moment, for values in wall time: a clock's origin, and boot times of servers.
 func unixTime(t time.Time) time.Duration {
 	return time.Duration(t.UnixNano()) //nolint:forbidigo // callers keep the time.Time for spans
 }
--- a/internal/service/doc.go
+++ b/internal/service/doc.go
@@ -8,5 +8,5 @@
 // Attempts run on workers of their own and post how they ended. A service that is replaced by a reload
 // transfers its state to its replacement and serves what it has accepted until nothing is left.
 //
-// Unless said otherwise, exported types are safe for concurrent use.
+// Unless documented otherwise, exported types are safe for concurrent use.
 package service
--- a/internal/service/endpoints.go
+++ b/internal/service/endpoints.go
@@ -10,7 +10,7 @@
 )
 
 // SetSource has the service follow another source of its endpoint list. What the module has learned of a
-// server stays with it if the new source lists the same uid.
+// server is retained if the new source lists the same uid.
 func (s *Service) SetSource(source discovery.Source) {
 	s.log.Info("endpoint list source changed", "address", source.Address, "file", source.Path)
 	s.feed.SetSource(source)
@@ -143,7 +143,7 @@
 	return endpoint
 }
 
-// updatePool gives a server that takes new requests a connection pool to its current endpoint, and retires
+// updatePool makes a connection pool to the current endpoint of a server that takes new requests, and retires
 // the pool of one that does not, or that has moved.
 func (l *loop) updatePool(endpoint control.Endpoint, target *discovery.Endpoint, startedAt time.Time) {
 	id := endpoint.Server
@@ -167,7 +167,7 @@
 	}
 }
 
-// protocolOf is the protocol that is spoken to a server.
+// protocolOf returns the protocol for a server.
 func (l *loop) protocolOf(target *discovery.Endpoint) upstream.Protocol {
 	if target.Protocol == "" {
 		return l.defaultProtocol
@@ -175,7 +175,7 @@
 	return upstream.Protocol(slices.Index(discovery.Protocols, target.Protocol))
 }
 
-// forgetServer drops what the loop has of a server that is no longer listed. Its id is not used again.
+// forgetServer drops what the loop has of a server that is no longer listed. Its id is not reused.
 func (l *loop) forgetServer(uid string, id uint32) {
 	l.retirePool(id)
 	delete(l.serverIDs, uid)
--- a/internal/service/exchange.go
+++ b/internal/service/exchange.go
@@ -19,9 +19,9 @@
 	// Method returns the request's method.
 	Method() string
 	// Attempt makes one attempt at a server and returns when that has ended, at the latest when ctx does. A
-	// streaming response goes on until lifetime ends.
+	// streaming response continues until lifetime ends.
 	Attempt(ctx, lifetime context.Context, connections *upstream.Upstream, pool *upstream.Pool) upstream.Outcome
-	// IsBodyPending reports whether a part of the request is still to come from its client. The time of an
+	// IsBodyPending reports whether a part of the request is still to arrive from its client. The time of an
 	// attempt then counts from its arrival.
 	IsBodyPending() bool
 	// CanRetry reports whether the complete request is available for another attempt.
@@ -34,8 +34,8 @@
 	Request   control.Request // the service sets its Timeout
 	Forwarder Forwarder
 	Deadline  time.Time // when attempts are stopped
-	Gate      *Gate     // nil lets attempts start as the module decides
-	// Client tells right before an attempt is written whether it still waits. A nil one waits until Do's ctx ends.
+	Gate      *Gate     // nil starts attempts as the module decides
+	// Client reports right before an attempt is written whether it still waits. A nil one waits until Do's ctx ends.
 	Client upstream.Client
 
 	clientContext context.Context // the ctx of Do, which ends when the client leaves; read by attempts
@@ -52,7 +52,7 @@
 	startedAt    time.Time
 	isAnswered   bool                // or its client has left
 	attemptCount int                 // attempts that the module has decided on
-	inFlight     int                 // attempts whose outcome has not come
+	inFlight     int                 // attempts without an outcome yet
 	mayHaveRun   bool                // by an attempt that has ended; one in flight may have run too
 	attempts     []*upstream.Attempt // by number; nil is one that was never made
 	lastReason   control.Reason      // how the last attempt ended; 0 is none yet
@@ -63,7 +63,7 @@
 }
 
 // IsWaiting reports whether the client still waits for the answer. Package net/http notices a client that has
-// left with a delay, and not at all where it has sent more than this request; Client tells sooner.
+// left with a delay, and not at all where it has sent more than this request; Client reports it sooner.
 func (x *Exchange) IsWaiting() bool {
 	return x.clientContext.Err() == nil && (x.Client == nil || x.Client.IsWaiting())
 }
@@ -105,7 +105,7 @@
 	}
 }
 
-// discardAnswer discards an answer that came when the client had left.
+// discardAnswer discards an answer to a client that has left.
 func (x *Exchange) discardAnswer() {
 	select {
 	case a := <-x.answer:
--- a/internal/service/guard.go
+++ b/internal/service/guard.go
@@ -12,7 +12,7 @@
 // lateAnswerGrace is how long after its deadline a request may be answered before it counts as lost.
 const lateAnswerGrace = 500 * time.Millisecond
 
-// repeatGuard is what the loop knows of an exchange's attempts, independently of its module, to check whether another
+// repeatGuard has the loop's record of an exchange's attempts, independently of its module, to check whether another
 // one may start.
 type repeatGuard struct {
 	firstRunAt time.Time   // when the first attempt that may have run was started; zero is none
@@ -110,7 +110,7 @@
 )
 
 // warmupGuard counts the attempts at each server, and compares those at a server that is warming up with what all nodes
-// together may send it: the overload multiple of its present capacity over the overload window, and a slack for chance.
+// together may send it: the overload multiple of its present capacity over the overload window, and a statistical slack.
 // Its full capacity is taken as the recent peak of this node's busiest warm server, times the nodes. One node can't
 // exceed that alone unless its module is at fault. The loop's goroutine alone uses it.
 type warmupGuard struct {
@@ -179,7 +179,7 @@
 	return "", true
 }
 
-// budgetSlack is how far a number of attempts may exceed its mean by chance.
+// budgetSlack is how far a number of attempts may exceed its mean by random variation.
 func budgetSlack(attempts float64) float64 {
 	if attempts < maxBudgetBase {
 		return 3 * math.Sqrt(attempts+3)
--- a/internal/service/handover.go
+++ b/internal/service/handover.go
@@ -34,7 +34,7 @@
 	return state, ok
 }
 
-// HandOver is Checkpoint and gives a part, from 0 to 1, of the tokens that are left to another process; see
+// HandOver is Checkpoint that hands over a part, from 0 to 1, of the remaining tokens to another process; see
 // control.Controller.HandOver. The shared hard limits are given to it completely.
 func (s *Service) HandOver(part float64) (state State, ok bool) {
 	l := s.currentLoop()
@@ -130,8 +130,8 @@
 }
 
 // ReplaceWith has a service that does not run yet take this one's place: it starts with all tokens that are
-// left and with what was learned. This one goes on serving what it has accepted; requests that it has not
-// begun by then go to the replacement.
+// left and with what was learned. This one still serves what it has accepted; requests that it has not
+// started by then are passed to the replacement.
 func (s *Service) ReplaceWith(replacement *Service) {
 	// A service that was retired and ended before its loop got to the transfer would end with what it has
 	// spent, and the replacement would start with full token buckets.
@@ -157,7 +157,7 @@
 }
 
 // transferTo takes from a loop of this service what its replacement gets, and directs requests that have not
-// begun there. It is called by the loop.
+// started there. It is called by the loop.
 func (s *Service) transferTo(replacement *Service, l *loop, module StatefulModule) transfer {
 	t := transfer{State: l.newState(module.HandOver(l.now(), 1))}
 	if s.upstream == replacement.upstream {
@@ -206,7 +206,7 @@
 	})
 }
 
-// adoptPools merges transferred connections into the loop's pools of the same endpoints, and closes others.
+// adoptPools merges transferred connections into the loop's pools of the same endpoints, and closes all other ones.
 func (l *loop) adoptPools(pools map[string]*upstream.Pool) {
 	for uid, pool := range pools {
 		if own := l.pools[l.serverIDs[uid]]; own != nil && own.Endpoint == pool.Endpoint {
--- a/internal/service/loop.go
+++ b/internal/service/loop.go
@@ -17,16 +17,16 @@
 
 const (
 	eventQueueSize = 256 // events that wait for the loop before post blocks
-	maxIdleWorkers = 32  // workers that wait for an attempt; further ones end
+	maxIdleWorkers = 32  // workers that wait for an attempt; more than that end
 )
 
 // loop is the event loop of a service. Its goroutine, run, alone uses the module and the fields below, but for those
-// that say otherwise; other goroutines post events to it.
+// documented otherwise; other goroutines post events to it.
 type loop struct {
 	module            Module
 	observeModuleTime func(time.Duration) // nil where it is not observed
 	upstream          *upstream.Upstream
-	defaultProtocol   upstream.Protocol // spoken to servers whose endpoint list entry names none
+	defaultProtocol   upstream.Protocol // for servers whose endpoint list entry has none
 	log               *slog.Logger
 	clock             moduleClock
 	starts            *serverStarts
@@ -57,7 +57,7 @@
 	jobs        chan attemptJob // unbuffered: only an idle worker receives; used by any goroutine
 	idleWorkers atomic.Int32    // used by any goroutine
 
-	// Set once a replacement has taken this service's place: requests that have not begun go there, and the
+	// Set once a replacement has taken this service's place: requests that have not started are passed there, and the
 	// pools that were transferred, by uid, are its to retire.
 	replacement      *Service
 	transferredPools map[string]*upstream.Pool
@@ -119,7 +119,7 @@
 // now is the module's time.
 func (l *loop) now() time.Duration { return l.clock.now() }
 
-// concurrencyLimit is how many attempts the module lets be in flight at once; 0 where it does not report it.
+// concurrencyLimit is how many attempts the module allows in flight at once; 0 where it does not report it.
 func (l *loop) concurrencyLimit() float64 {
 	if m, ok := l.module.(concurrencyLimiter); ok {
 		return m.ConcurrencyLimit()
--- a/internal/service/loop_requests.go
+++ b/internal/service/loop_requests.go
@@ -8,7 +8,7 @@
 )
 
 // begin accepts a client's request. It rejects one whose id another accepted request has. A request that
-// arrives after a replacement has taken the service's place goes there, as the tokens that are left are
+// arrives after a replacement has taken the service's place is passed there, as the remaining tokens are
 // there, if the replacement has its class and plan too.
 func (l *loop) begin(x *Exchange) {
 	if l.replacement != nil && l.replacement.accepts(x, l.classes) {
@@ -38,10 +38,10 @@
 	}
 }
 
-// clientLeft ends a request whose client has left. An attempt that is written goes on: its work would not
+// clientLeft ends a request whose client has left. An attempt that is written continues: its work would not
 // stop, and the module learns from its outcome.
 func (l *loop) clientLeft(x *Exchange) {
-	// A request that was answered before it started is not in this loop, and must not be answered again.
+	// A request that was answered before it started is not in this loop, and must not be answered twice.
 	if x.isAnswered || l.exchanges[x.Request.ID] != x {
 		x.discardAnswer()
 		return
--- a/internal/service/module.go
+++ b/internal/service/module.go
@@ -25,12 +25,12 @@
 	PredecessorEnded()
 }
 
-// concurrencyLimiter is a Module that reports how many attempts it lets be in flight at once.
+// concurrencyLimiter is a Module that reports how many attempts it allows in flight at once.
 type concurrencyLimiter interface {
 	ConcurrencyLimit() float64
 }
 
-// The loop asks at run time whether a module has these methods; that of the node has to keep them.
+// The loop checks at run time whether a module has these methods; control.Controller must have them.
 var (
 	_ StatefulModule     = (*control.Controller)(nil)
 	_ concurrencyLimiter = (*control.Controller)(nil)
--- a/internal/service/options.go
+++ b/internal/service/options.go
@@ -34,14 +34,14 @@
 	Seed     uint64 // for the module's random numbers
 
 	Upstream        upstream.Options
-	Protocol        upstream.Protocol      // spoken to servers whose endpoint list entry names none
+	Protocol        upstream.Protocol      // for servers whose endpoint list entry has none
 	SharedUpstream  *upstream.Upstream     // connections of the service that this one replaces; nil creates new ones by Upstream
 	Source          discovery.Source       // of the endpoint list
 	CachedEndpoints discovery.EndpointList // the endpoint list as last received, perhaps outdated
 	Predecessor     *Service               // the service that this one replaces, for its clock and its servers' starts; may be nil
 
 	OnPanic   PanicPolicy
-	AnyMethod bool // requests of a class may come by any method, as in generic HTTP
+	AnyMethod bool // requests of a class may have any method, as in generic HTTP
 
 	Limiter           RequestLimiter         // nil limits nothing
 	Streams           *Streams               // where open response streams are registered; may be nil
@@ -50,7 +50,7 @@
 	EventLog          *eventlog.Writer       // may be nil
 	EstimateGroupSize bool                   // estimate the group size from load reports
 	OnReady           func()                 // called once, when the first server is available; may be nil
-	ObserveModuleTime func(time.Duration)    // called with the time that the module took for an event; may be nil
+	ObserveModuleTime func(time.Duration)    // called with the duration of each event in the module; may be nil
 	SharedHardLimits  *SharedHardLimits      // hard limits leased from lease stores; nil leaves them to the module
 	NewModule         func() (Module, error) // nil creates a control.Controller of Settings
 }
--- a/internal/service/request_rules.go
+++ b/internal/service/request_rules.go
@@ -14,7 +14,7 @@
 	Classes        map[string]control.Class // by name
 	MaxUnitsByPlan map[string]float64       // units of one request, above 0
 	GroupSize      int                      // of the replica group; a customer's fan-out does not exceed it
-	AnyMethod      bool                     // requests of a class may come by any method
+	AnyMethod      bool                     // requests of a class may have any method
 }
 
 func newRequestRules(settings control.Settings, anyMethod bool) RequestRules {
@@ -33,7 +33,7 @@
 	return rules
 }
 
-// AllowsMethod reports whether a class's requests may come by a method.
+// AllowsMethod reports whether a class's requests may have a method.
 func (r *RequestRules) AllowsMethod(class control.Class, method string) bool {
 	return r.AnyMethod || ClassMethod(class) == method
 }
@@ -46,12 +46,12 @@
 	case configured > 0:
 		return configured
 	case plan.QuotaRate > 0 || plan.HardLimitRate > 0:
-		return min(max(1, plan.QuotaBurst, plan.HardLimitBurst), maxUnlimitedUnits) // a request that gives no figure has one unit
+		return min(max(1, plan.QuotaBurst, plan.HardLimitBurst), maxUnlimitedUnits) // a request without a number has one unit
 	}
 	return maxUnlimitedUnits
 }
 
-// ClassMethod is the method that the platform's protocol has a class's requests come by: GET for a class that
+// ClassMethod is the method of a class's requests in the platform's protocol: GET for a class that
 // is idempotent without a key, POST for any other.
 func ClassMethod(class control.Class) string {
 	if class.Idempotency == control.Idempotent {
--- a/internal/service/requests.go
+++ b/internal/service/requests.go
@@ -64,7 +64,7 @@
 		select {
 		case a := <-x.answer:
 			return a, !a.clientHasLeft
-		default: // every request that has begun is answered before the loop ends
+		default: // every request that has started is answered before the loop ends
 			return s.Unavailable(), true
 		}
 	}
--- a/internal/service/server_ages.go
+++ b/internal/service/server_ages.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// maxUptime is the highest age that a server has by the first list. A higher one comes from a wall clock that was
+	// maxUptime is the highest age that a server has by the first list. A higher one is due to a wall clock that was
 	// never set.
 	maxUptime = 10 * 365 * 24 * time.Hour
 
@@ -129,7 +129,7 @@
 }
 
 // adopt takes over an earlier process's starts that are later than this one's, and reports whether there are any: either
-// process may have started with a wrong wall clock, and it is safe to take a server as too young.
+// process may have started with a wrong wall clock, and it is safe to underestimate the age of a server.
 func (s *serverStarts) adopt(starts map[string]ServerStart, clock moduleClock) (changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/service/statistics.go
+++ b/internal/service/statistics.go
@@ -132,7 +132,7 @@
 		class.offered.Add(1)
 	}
 	// Deadline is DeadlineMargin before the client's. The body of a stream, and of a request whose own body
-	// is still to come, has time limits of its own.
+	// is still to arrive, has time limits of its own.
 	if a.Status != 0 && !x.Request.HasPendingBody && now.Sub(x.Deadline) > DeadlineMargin {
 		s.deadlineBreaches.Add(1)
 	}
--- a/internal/service/status.go
+++ b/internal/service/status.go
@@ -26,7 +26,7 @@
 	HTTP2 *upstream.HTTP2Status `json:"http2,omitempty"`
 	// HardLimits is the state at each lease store; empty where no hard limit is shared.
 	HardLimits []HardLimitStatus `json:"shared,omitempty"`
-	// ConcurrencyLimit is how many attempts the module lets be in flight at once; 0 where it does not say.
+	// ConcurrencyLimit is how many attempts the module allows in flight at once; 0 where it does not report it.
 	ConcurrencyLimit float64 `json:"bound"`
 	// GroupSizeRange is the smallest and the largest group size that the servers' load reports are consistent
 	// with, zero where there are too few reports.
@@ -57,7 +57,7 @@
 	return st
 }
 
-// addStatus adds what the loop knows.
+// addStatus adds the state of the loop.
 func (l *loop) addStatus(st *Status) {
 	st.Requests = len(l.exchanges)
 	st.Servers = len(l.serverIDs)
--- a/internal/state/checkpoint.go
+++ b/internal/state/checkpoint.go
@@ -1,7 +1,7 @@
 // Package state encodes what a node has spent and learned, and stores it in the daemon's state
 // directory: for a successor process during a binary upgrade, and for the next start.
 //
-// What is decoded may come from another version of the program, from a truncated or damaged file, or from
+// Decoded data may originate from another version of the program, from a truncated or damaged file, or from
 // an untrusted writer: size, checksum and version are checked before anything of it is used. Package node
 // builds checkpoints; package daemon stores them and hands them over. Encode and Decode are safe for
 // concurrent use; a Store is not.
@@ -48,7 +48,7 @@
 	ScatterGathers map[string][]byte `cbor:"gathers,omitempty"`
 }
 
-// Errors of Decode and Load, beside VersionError, for errors.Is.
+// Errors of Decode and Load, in addition to VersionError, for errors.Is.
 var (
 	ErrNotState = errors.New("not a state file")
 	ErrDamaged  = errors.New("damaged, the checksum differs")
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -77,7 +77,7 @@
 // Directory returns the path given to Open.
 func (s *Store) Directory() string { return s.directory }
 
-// LockFile returns the locked file, which remains the store's. The lock lasts as long as any process has
+// LockFile returns the locked file, which remains the store's. It is locked as long as any process has
 // the file open.
 func (s *Store) LockFile() *os.File { return s.lock }
 
@@ -116,7 +116,7 @@
 
 // Consume loads the checkpoint of the last run and saves it as not clean, so that a crash before the next
 // Save is not mistaken for a graceful shutdown. The returned checkpoint is Clean only where that save
-// succeeded; where it failed, the error comes with a usable checkpoint. found is false where there is no
+// succeeded; where it failed, a usable checkpoint is returned with the error. found is false where there is no
 // checkpoint, as at the first start.
 func (s *Store) Consume() (c Checkpoint, found bool, err error) {
 	c, err = s.Load()
--- a/internal/supervise/notify.go
+++ b/internal/supervise/notify.go
@@ -26,7 +26,7 @@
 // NotifyReady notifies that the daemon serves, also at the end of a reload.
 func NotifyReady(status string) error { return Notify(daemon.SdNotifyReady, "STATUS="+status) }
 
-// NotifyReloading notifies that a reload has begun, with the monotonic time that systemd asks for.
+// NotifyReloading notifies that a reload has started, with the monotonic time that systemd requires.
 func NotifyReloading() error {
 	return Notify(daemon.SdNotifyReloading, daemon.SdNotifyMonotonicUsec())
 }
--- a/internal/upgrade/message.go
+++ b/internal/upgrade/message.go
@@ -23,7 +23,7 @@
 const EnvironmentVariable = "LOCKFLOW_SUCCEEDS"
 
 // protocolVersion is the version of the messages. A successor of another version ends at once, and its predecessor
-// goes on.
+// continues.
 const protocolVersion = 1
 
 // maxMessageSize is the largest body of a message, in bytes.
--- a/internal/upgrade/predecessor.go
+++ b/internal/upgrade/predecessor.go
@@ -87,7 +87,7 @@
 }
 
 // AwaitCheckpoint reports that this process could serve and waits for the predecessor's checkpoint. After an error
-// the predecessor has ended or sent something else, and no checkpoint will come.
+// the predecessor has ended or sent something else, and there will be no checkpoint.
 func (p *Predecessor) AwaitCheckpoint() ([]byte, error) {
 	checkpoint, err := p.requestCheckpoint()
 	if err != nil {
--- a/internal/upgrade/successor.go
+++ b/internal/upgrade/successor.go
@@ -26,7 +26,7 @@
 // Event is something that a successor did.
 type Event int
 
-// The events, in the order in which they come. Ended is always the last one.
+// The events, in their order. Ended is always the last one.
 const (
 	Prepared Event = iota // it could serve, and waits for a checkpoint
 	TookOver              // it accepts connections
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -32,14 +32,14 @@
 	attemptAbandoned              // nothing will be written, as the client no longer waits
 )
 
-// NewAttempt makes an attempt that lasts as long as ctx, which cancel ends.
+// NewAttempt makes an attempt that ends with ctx, which cancel ends.
 func NewAttempt(ctx context.Context, cancel context.CancelFunc, client Client) *Attempt {
 	return &Attempt{Context: ctx, cancel: cancel, client: client}
 }
 
 type attemptKey struct{}
 
-// Value implements context.Context. It lets Commit find the attempt from contexts that are derived from it.
+// Value implements context.Context. Commit uses it to find the attempt from contexts that are derived from it.
 func (a *Attempt) Value(key any) any {
 	if key == (attemptKey{}) {
 		return a
@@ -66,7 +66,7 @@
 	return a.state.CompareAndSwap(attemptPending, next) && next == attemptCommitted
 }
 
-// Withdraw ends an attempt that has not been written, so that it never is. Any other one goes on. A nil attempt
+// Withdraw ends an attempt that has not been written, so that it never is. Any other one continues. A nil attempt
 // is allowed.
 func (a *Attempt) Withdraw() {
 	if a != nil && a.state.CompareAndSwap(attemptPending, attemptWithdrawn) {
--- a/internal/upstream/buffered_request.go
+++ b/internal/upstream/buffered_request.go
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// readOutcome reads one answer and reports whether the connection can be used again. An answer that is
+// readOutcome reads one answer and reports whether the connection can be reused. An answer that is
 // incomplete, malformed or too long counts as a reset: the request may have run.
 func (c *serverConn) readOutcome(request *http.Request, maxBodyBytes int) (outcome Outcome, isReusable bool) {
 	response, err := readHead(c.reader, request) //nolint:bodyclose // readBody closes it
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -17,7 +17,7 @@
 	alpnHTTP2 = "h2"
 )
 
-// dial makes a connection that speaks HTTP/1.1.
+// dial makes a connection for HTTP/1.1.
 func (u *Upstream) dial(ctx context.Context, endpoint string) (*serverConn, error) {
 	conn, rawConn, agreed, err := u.connect(ctx, endpoint, alpnHTTP1)
 	if err != nil {
--- a/internal/upstream/http1_send.go
+++ b/internal/upstream/http1_send.go
@@ -33,7 +33,7 @@
 	before := writer.Buffered()
 	if err := writer.Flush(); err != nil {
 		outcome := Outcome{Reason: control.ResetByPeer, Err: err}
-		// Where the system has taken no byte, the server has seen none.
+		// Where the system has accepted no byte, the server has received none.
 		if writer.Buffered() == before && before < connBufferBytes {
 			outcome.Reason = control.ConnectFailed
 		}
--- a/internal/upstream/http2_attempt.go
+++ b/internal/upstream/http2_attempt.go
@@ -26,7 +26,7 @@
 	stream      *h2.Stream
 	stopWatch   func() bool // stops waiting for the context that ends the attempt
 	isUnbounded bool        // ctx has no deadline: the wait for the answer counts from the last byte of the body
-	trailers    http.Header // of the answer: the announced names, and the values once they have come
+	trailers    http.Header // of the answer: the announced names, and the values once they have arrived
 
 	streamsBody      bool          // the body does not go with the head
 	continueReceived chan struct{} // closed once a body that waits for a 100 may be sent; nil where none does
--- a/internal/upstream/http2_send.go
+++ b/internal/upstream/http2_send.go
@@ -21,7 +21,7 @@
 }
 
 // attemptBuffered makes an attempt over a shared connection. It returns false, and has sent nothing, where the
-// server speaks HTTP/1.1.
+// server supports HTTP/1.1 only.
 func (s *sharedConnections) attemptBuffered(ctx context.Context, buffered *BufferedRequest) (Outcome, bool) {
 	message := buffered.Request
 	request := &h2.Request{
@@ -50,7 +50,7 @@
 }
 
 // withConnection calls send with a connection that has a free stream. Where nothing is sent, the outcome has the
-// error; ok is false where the server speaks HTTP/1.1.
+// error; ok is false where the server supports HTTP/1.1 only.
 func (s *sharedConnections) withConnection(ctx context.Context, send func(*h2.Conn) error) (outcome Outcome, isDialed, ok bool) {
 	for {
 		conn, isNew, err := s.acquire(ctx)
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -95,7 +95,7 @@
 	if oldest == nil || count <= minIdle {
 		return false
 	}
-	oldest.Retire() // a request that has just been given this connection goes on
+	oldest.Retire() // a request that has just got this connection continues
 	return true
 }
 
--- a/internal/upstream/outcome.go
+++ b/internal/upstream/outcome.go
@@ -19,7 +19,7 @@
 	Reason        control.Reason
 	Err           error // why there is no answer
 	Status        int   // of an answer that can be forwarded to the client; 0 is none
-	IsFinal       bool  // the answer goes to the client, even if the request could be retried
+	IsFinal       bool  // the answer is sent to the client, even if the request could be retried
 	Header        http.Header
 	Body          []byte
 	Stream        *Stream // the rest of an answer that is not buffered, for the caller to close; nil where Body is complete
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -23,7 +23,7 @@
 	Protocol   Protocol
 	idle       []*serverConn      // the most recently used one last; nil for good once the pool is retired
 	mergedInto *Pool              // the pool that has taken over all connections; nil is none
-	shared     *sharedConnections // nil where only HTTP/1.1 is spoken
+	shared     *sharedConnections // nil where only HTTP/1.1 is used
 }
 
 // owner returns the pool that has the connections of p. Upstream.mu is locked.
@@ -126,7 +126,7 @@
 
 // popIdle takes the most recently used idle connection that has rested for the quiet period. Where all rest and
 // there are enough it takes the one that has rested longest, unless servers are known to send second answers.
-// Such an answer may come some milliseconds late: once the next request is written, nothing on the wire
+// Such an answer may arrive some milliseconds late: once the next request is written, nothing on the wire
 // distinguishes it from that request's answer.
 func (u *Upstream) popIdle(pool *Pool, quietPeriod time.Duration) *serverConn {
 	u.mu.Lock()
@@ -156,7 +156,7 @@
 }
 
 // releaseUnused returns a connection to its pool on which nothing was written, and the outcome of its attempt.
-// The connection stays as it was: making another one would burden the server, whose idle timeout goes on.
+// The connection is unchanged: making another one would burden the server, whose idle timeout continues.
 func (u *Upstream) releaseUnused(pool *Pool, conn *serverConn) Outcome {
 	outcome := Outcome{Reason: control.NotSent, Err: errWithdrawn, IsDialed: conn.idleSince.IsZero()}
 	if outcome.IsDialed {
--- a/internal/upstream/relayed_request.go
+++ b/internal/upstream/relayed_request.go
@@ -59,14 +59,14 @@
 // Method returns the request's method.
 func (r *RelayedRequest) Method() string { return r.RequestMethod }
 
-// IsBodyPending reports whether a part of the body is still to come from the client.
+// IsBodyPending reports whether a part of the body is still to arrive from the client.
 func (r *RelayedRequest) IsBodyPending() bool { return r.Body != nil && !r.Body.HasEnded() }
 
 // CanRetry reports whether the complete body is available for another attempt.
 func (r *RelayedRequest) CanRetry() bool { return r.Body == nil || r.Body.CanRetry() }
 
 // Attempt makes one attempt and returns once it has an answer's head, at the latest when ctx ends. An answer
-// that is not buffered goes on as Outcome.Stream, until lifetime ends.
+// that is not buffered continues as Outcome.Stream, until lifetime ends.
 func (r *RelayedRequest) Attempt(ctx, lifetime context.Context, upstream *Upstream, pool *Pool) Outcome {
 	if shared := upstream.sharedConnectionsOf(pool); shared != nil {
 		if outcome, ok := shared.attemptRelayed(ctx, lifetime, r); ok {
@@ -144,7 +144,7 @@
 	}
 }
 
-// isClientError reports whether an error in reading a body comes from the client, not from this node having
+// isClientError reports whether an error in reading a body is due to the client, not from this node having
 // closed the body.
 func isClientError(err error) bool {
 	return !errors.Is(err, retrybuffer.ErrGone) && !errors.Is(err, retrybuffer.ErrClosed)
--- a/internal/upstream/server_conn.go
+++ b/internal/upstream/server_conn.go
@@ -54,7 +54,7 @@
 	return c.Conn.Close()
 }
 
-// readBy sets when reads time out. It doesn't undo an interrupt that comes at the same time.
+// readBy sets when reads time out. It doesn't undo a concurrent interrupt.
 func (c *serverConn) readBy(deadline time.Time) {
 	c.SetReadDeadline(deadline)
 	if c.isInterrupted.Load() {
@@ -62,7 +62,7 @@
 	}
 }
 
-// writeBy sets when writes time out. It doesn't undo an interrupt that comes at the same time.
+// writeBy sets when writes time out. It doesn't undo a concurrent interrupt.
 func (c *serverConn) writeBy(deadline time.Time) {
 	c.SetWriteDeadline(deadline)
 	if c.isInterrupted.Load() {
@@ -71,8 +71,8 @@
 }
 
 // isQuiet reports whether an idle connection is open and has nothing to read. A request that is written on a
-// connection that the server has closed would count as reset, and bytes that came after the last answer would
-// be taken for the next one. A server's TLS tickets come before its first answer and are read with it.
+// connection that the server has closed would count as reset, and bytes that arrived after the last answer would
+// be taken for the next one. A server's TLS tickets precede its first answer and are read with it.
 func (c *serverConn) isQuiet() bool {
 	isQuiet := false
 	err := c.rawConn.Control(func(fd uintptr) {
@@ -88,7 +88,7 @@
 
 // wasReset reports whether the connection is closed in both directions, although this side has not closed it.
 // The system reports a reset only once, to whichever side of the attempt reads or writes first; to the other
-// one it looks like the end of the answer.
+// one it appears to be the end of the answer.
 func (c *serverConn) wasReset() (isClosed bool) {
 	_ = c.rawConn.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
--- a/internal/upstream/shared_connections.go
+++ b/internal/upstream/shared_connections.go
@@ -24,7 +24,7 @@
 	upstream  *Upstream
 	endpoint  string
 	protocol  Protocol
-	available chan struct{} // signalled when a stream may be available; each attempt that it wakes signals again
+	available chan struct{} // signalled when a stream may be available; each attempt that it wakes signals the next one
 
 	mu          sync.Mutex // guards what follows
 	connections []*h2.Conn // at most HTTP2Options.MaxConnections, and those that are ending
@@ -32,11 +32,11 @@
 	waiting     int        // attempts that wait for a stream or a connection
 	failedDials int
 	lastDialErr error
-	http1Until  time.Time // until then HTTP/1.1 is used; afterwards HTTP/2 is tried again
+	http1Until  time.Time // until then HTTP/1.1 is used; afterwards HTTP/2 is retried
 	isRetired   bool
 }
 
-// newSharedConnections makes those of a pool; nil where only HTTP/1.1 is spoken.
+// newSharedConnections makes those of a pool; nil where only HTTP/1.1 is used.
 func (u *Upstream) newSharedConnections(endpoint string, protocol Protocol) *sharedConnections {
 	if protocol == ProtocolHTTP1 {
 		return nil
@@ -45,7 +45,7 @@
 	return &sharedConnections{upstream: u, endpoint: endpoint, protocol: protocol, available: make(chan struct{}, 1)}
 }
 
-// sharedConnectionsOf returns those of a pool; nil where only HTTP/1.1 is spoken.
+// sharedConnectionsOf returns those of a pool; nil where only HTTP/1.1 is used.
 func (u *Upstream) sharedConnectionsOf(pool *Pool) *sharedConnections {
 	if !u.usesHTTP2.Load() {
 		return nil
@@ -90,7 +90,7 @@
 
 // acquire returns a connection with a free stream, or waits for one as long as a connection may take to come
 // up. isDialed reports whether a connection was made for this attempt. The error is h2.ErrNotHTTP2 where the
-// server speaks HTTP/1.1, and errNoStream where no stream is available in time.
+// server supports HTTP/1.1 only, and errNoStream where no stream is available in time.
 func (s *sharedConnections) acquire(ctx context.Context) (conn *h2.Conn, isDialed bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,7 +166,7 @@
 		return nil
 	}
 	s.signalNext()
-	if s.dialing > 0 && len(s.connections) == 0 { // counts as a connection that never came up
+	if s.dialing > 0 && len(s.connections) == 0 { // counts as a connection that could not be made
 		return context.Cause(ctx)
 	}
 	return errNoStream
@@ -193,7 +193,7 @@
 	s.signal()
 }
 
-// connect makes a connection that speaks HTTP/2.
+// connect makes a connection for HTTP/2.
 func (s *sharedConnections) connect() (*h2.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.upstream.ConnectTimeout)
 	defer cancel()
@@ -308,10 +308,10 @@
 	Streams         int `json:"streams"`  // open on them
 	FreeStreams     int `json:"room"`     // on connections that take requests
 	Waiting         int `json:"waiting"`  // attempts that wait for a stream or a connection
-	FallbackServers int `json:"fellback"` // servers that are spoken to by HTTP/1.1 for a time
+	FallbackServers int `json:"fellback"` // servers for which HTTP/1.1 is used for a time
 }
 
-// HTTP2Status counts the connections of HTTP/2; nil where no server may be spoken to by HTTP/2.
+// HTTP2Status counts the connections of HTTP/2; nil where HTTP/2 is used for no server.
 func (u *Upstream) HTTP2Status() *HTTP2Status {
 	if !u.usesHTTP2.Load() {
 		return nil
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -23,12 +23,12 @@
 	bytesRead int64         // of the body; used by the reading goroutine only
 
 	mu      sync.Mutex // guards what follows
-	readErr error      // with which reading ended; io.EOF is a complete answer, nil one that goes on
+	readErr error      // with which reading ended; io.EOF is a complete answer, nil one that is not complete
 	isEnded bool
 	onEnd   func(Outcome)
 }
 
-// streamingAttempt is an attempt whose answer goes on.
+// streamingAttempt is an attempt whose answer is streamed.
 type streamingAttempt interface {
 	readBody(p []byte) (int, error)
 	hasBuffered() bool
@@ -52,7 +52,7 @@
 	n, err = s.readBody(p)
 	s.bytesRead += int64(n)
 	if err != nil {
-		if s.isAborted() { // otherwise it would look like a timeout, which a tunnel may survive
+		if s.isAborted() { // otherwise it would be taken for a timeout, which a tunnel may survive
 			err = ErrAborted
 		}
 		s.setReadErr(err)
@@ -60,7 +60,7 @@
 	return n, err
 }
 
-// CopyTo doubles its pieces from the smallest size to the largest, and goes back to the smallest after a piece that took
+// CopyTo doubles its pieces from the smallest size to the largest, and returns to the smallest after a piece that lasted
 // longer than slowPieceTime.
 const (
 	minPieceBytes = BodyWindowBytes
@@ -175,7 +175,7 @@
 	}
 }
 
-// Close ends the attempt. A connection with a complete answer goes back to its pool, any other one is closed.
+// Close ends the attempt. A connection with a complete answer is returned to its pool, any other one is closed.
 // Only the first call does anything.
 func (s *Stream) Close() {
 	s.mu.Lock()
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -15,7 +15,7 @@
 
 // Options configure an Upstream.
 type Options struct {
-	ConnectTimeout   time.Duration            // for a connection to come up, its TLS handshake included
+	ConnectTimeout   time.Duration            // for a connection to be made, its TLS handshake included
 	KeepAliveTimeout time.Duration            // after which the app servers close idle connections
 	SocketLimiter    limits.ConnectionLimiter // counts each connection
 	DialLimiter      limits.ConnectionLimiter // counts each connection until it is up; nil counts none
@@ -25,7 +25,7 @@
 	TLS              *certs.Store // nil connects without TLS
 }
 
-// Protocol is the protocol that is spoken to an app server. The values follow the order of
+// Protocol is the protocol for an app server. The values follow the order of
 // discovery.Protocols.
 type Protocol int
 
@@ -41,16 +41,16 @@
 	MaxStreams       int           // open at once on a connection, even if the server allows more
 	MaxConnections   int           // to one server, without those that are ending
 	MaxConnectionAge time.Duration // after which a connection is replaced; 0 is never
-	FallbackPeriod   time.Duration // for which HTTP/1.1 is spoken to a server that turned out not to speak HTTP/2
+	FallbackPeriod   time.Duration // for which HTTP/1.1 is used for a server that turned out not to support HTTP/2
 	StartsAtLastByte bool          // servers begin a request with its last byte, not with its head
 }
 
-// Upstream makes attempts at the app servers of a service. It never sends a request again by itself, as
-// net/http's Transport would, and it knows whether the last byte of a request was written.
+// Upstream makes attempts at the app servers of a service. It never retries a request by itself, as
+// net/http's Transport would, and it records whether the last byte of a request was written.
 type Upstream struct {
 	Options
 	maxIdleTime          time.Duration
-	hasUnrequestedAnswer atomic.Bool // a server has sent an answer that no request asked for
+	hasUnrequestedAnswer atomic.Bool // a server has sent an answer without a request
 	usesHTTP2            atomic.Bool // some pool may speak HTTP/2, or did
 
 	mu    sync.Mutex // guards pools, and the idle list and mergedInto of every Pool
--- a/internal/upstream/write_deadline.go
+++ b/internal/upstream/write_deadline.go
@@ -12,7 +12,7 @@
 type writeDeadlineKey struct{}
 
 // WithWriteDeadline returns a ctx whose attempt is written completely by the deadline or not at all. An attempt
-// whose connection comes up later is not sent.
+// whose connection is made later is not sent.
 func WithWriteDeadline(ctx context.Context, deadline time.Time) context.Context {
 	return context.WithValue(ctx, writeDeadlineKey{}, deadline)
 }
@@ -29,7 +29,7 @@
 	return !deadline.IsZero() && !time.Now().Before(deadline)
 }
 
-// setTimeLeft has a request tell the server how long its answer is waited for.
+// setTimeLeft adds to a request how long its answer is waited for.
 func setTimeLeft(request *http.Request, deadline time.Time) {
 	request.Header.Set(protocol.HeaderTimeLeft, formatTimeLeft(timeUntil(deadline)))
 }
--- a/internal/validation/validation.go
+++ b/internal/validation/validation.go
@@ -66,11 +66,11 @@
 	isHTTP10           bool
 	isInterim          bool // an answer with a 1xx status other than 101
 	contentLength      int64
-	contentLengthCount int // Content-Length fields seen
+	contentLengthCount int // Content-Length fields so far
 	isChunked          bool
 }
 
-// Stop makes the scanner ignore all further bytes, as after an upgrade.
+// Stop makes the scanner ignore all following bytes, as after an upgrade.
 func (s *Scanner) Stop() {
 	s.state = stopped
 	s.bytesToSkip = 0
@@ -79,7 +79,7 @@
 // Reset makes the scanner expect a new message.
 func (s *Scanner) Reset() { *s = Scanner{ReadsAnswers: s.ReadsAnswers} }
 
-// Feed scans the next bytes. After an error it returns the same error for all further bytes, because
+// Feed scans the next bytes. After an error it returns the same error for all following bytes, because
 // the end of the malformed message is unknown.
 func (s *Scanner) Feed(p []byte) error {
 	for len(p) > 0 && s.err == nil && s.state != stopped {
@@ -237,7 +237,7 @@
 	}
 }
 
-// endMessage expects the head of the next message; a body that is to be skipped comes first.
+// endMessage expects the head of the next message; a body that is to be skipped precedes it.
 func (s *Scanner) endMessage() {
 	s.state = inHead
 	s.hasStartLine = false
