--- a/internal/manage/server.go
+++ b/internal/manage/server.go
@@ -55,6 +55,7 @@
 // ServedError is the error of Listen where another daemon serves the socket.
 type ServedError struct{ Path string }
 
+// Error names the socket.
 func (e *ServedError) Error() string { return e.Path + ": another daemon serves it" }
 
 // Listen makes the control socket at path and serves d on it. It replaces a socket that no process serves, and with
--- a/internal/state/checkpoint.go
+++ b/internal/state/checkpoint.go
@@ -57,6 +57,7 @@
 // VersionError is the error of Decode for a checkpoint of another Version.
 type VersionError struct{ Version int }
 
+// Error names both versions.
 func (e VersionError) Error() string {
 	return fmt.Sprintf("it is of version %d, not %d", e.Version, Version)
 }
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -31,6 +31,7 @@
 	ProcessID string // as the other process has recorded it
 }
 
+// Error names the directory and the other process.
 func (e *LockedError) Error() string {
 	return fmt.Sprintf("state directory %s: another daemon has it: process %s", e.Directory, e.ProcessID)
 }
--- a/internal/upgrade/predecessor.go
+++ b/internal/upgrade/predecessor.go
@@ -20,6 +20,7 @@
 // ProtocolError is the error of Join where the predecessor's messages are of another version.
 type ProtocolError struct{ Version int }
 
+// Error names both versions.
 func (e ProtocolError) Error() string {
 	return fmt.Sprintf("the old process has protocol version %d, this one %d", e.Version, protocolVersion)
 }
