--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -31,6 +31,7 @@
 	ProcessID string // as the other process has recorded it
 }
 
+// Error names the directory and the other process.
 func (e *LockedError) Error() string {
 	return fmt.Sprintf("state directory %s: another daemon has it: process %s", e.Directory, e.ProcessID)
 }
@@ -77,7 +78,7 @@
 // Directory returns the path given to Open.
 func (s *Store) Directory() string { return s.directory }
 
-// LockFile returns the locked file, which remains the store's. The lock lasts as long as any process has
+// LockFile returns the locked file, which remains the store's. It is locked as long as any process has
 // the file open.
 func (s *Store) LockFile() *os.File { return s.lock }
 
@@ -116,7 +117,7 @@
 
 // Consume loads the checkpoint of the last run and saves it as not clean, so that a crash before the next
 // Save is not mistaken for a graceful shutdown. The returned checkpoint is Clean only where that save
-// succeeded; where it failed, the error comes with a usable checkpoint. found is false where there is no
+// succeeded; where it failed, a usable checkpoint is returned with the error. found is false where there is no
 // checkpoint, as at the first start.
 func (s *Store) Consume() (c Checkpoint, found bool, err error) {
 	c, err = s.Load()
--- a/internal/supervise/pidfile.go
+++ b/internal/supervise/pidfile.go
@@ -25,6 +25,7 @@
 	ProcessID string // as the other process has recorded it
 }
 
+// Error names the file and the other process.
 func (e *RunningError) Error() string {
 	return fmt.Sprintf("%s: another daemon runs: process %s", e.Path, e.ProcessID)
 }
