--- /dev/null
+++ b/internal/testsupport/fake/client_worker.go
@@ -0,0 +1,296 @@
+package fake
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+)
+
+const (
+	// maxLinks limits the connections of a worker.
+	maxLinks    = 4
+	dialTimeout = 5 * time.Second
+	// answerGrace is added to the deadline of an attempt: an answer is late, not lost, on a busy machine.
+	answerGrace = 10 * time.Second
+	// maxAbortDelay limits the time until a client abandons an attempt.
+	maxAbortDelay = 20 * time.Millisecond
+)
+
+var (
+	errUnread  = errors.New("the connection was closed before the request was read")
+	errAborted = errors.New("the client left")
+	errNoConn  = errors.New("no connection came up")
+)
+
+// worker is one client.
+type worker struct {
+	run *Run
+	rng *rand.Rand
+	*link
+	links map[string]*link // by address
+}
+
+// link is a worker's connection to one address.
+type link struct {
+	addr string
+	conn net.Conn // nil is not connected
+	in   *bufio.Reader
+	used bool // the connection has had an answer
+}
+
+func (r *Run) worker(i int) *worker {
+	w := &worker{
+		run:   r,
+		rng:   rand.New(rand.NewPCG(r.Seed, uint64(i)+firstWorkerStream)),
+		links: make(map[string]*link),
+	}
+	w.useLink(r.Addr)
+	return w
+}
+
+// useLink sends the next attempt to an address.
+func (w *worker) useLink(addr string) {
+	w.link = w.links[addr]
+	if w.link != nil {
+		return
+	}
+	if len(w.links) >= maxLinks {
+		w.evictLink()
+	}
+	w.link = &link{addr: addr}
+	w.links[addr] = w.link
+}
+
+// evictLink closes any one of the worker's connections.
+func (w *worker) evictLink() {
+	for addr, l := range w.links {
+		l.hangUp()
+		delete(w.links, addr)
+		return
+	}
+}
+
+// close closes all of the worker's connections.
+func (w *worker) close() {
+	for _, l := range w.links {
+		l.hangUp()
+	}
+}
+
+func (l *link) hangUp() {
+	if l.conn != nil {
+		l.conn.Close()
+		l.conn = nil
+	}
+}
+
+// connect establishes the connection, if there is none.
+func (l *link) connect() error {
+	if l.conn != nil {
+		return nil
+	}
+	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(context.Background(), "tcp", l.addr)
+	if err != nil {
+		return fmt.Errorf("%w: %w", errNoConn, err)
+	}
+	l.conn = conn
+	l.in = bufio.NewReader(conn)
+	l.used = false
+	return nil
+}
+
+// isRejection reports whether a status says that a request was not executed.
+func isRejection(status int) bool {
+	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
+}
+
+// call makes a call with all its attempts.
+func (w *worker) call(c Call) {
+	startedAt := time.Now()
+	w.run.count(c.Kind, func(s *Result) { s.Calls++ })
+	for number := 0; ; number++ {
+		status, retryAfter := w.attempt(c, number)
+		if status == http.StatusOK {
+			w.run.count(c.Kind, func(s *Result) {
+				s.Served++
+				s.Durations.Add(time.Since(startedAt))
+			})
+			return
+		}
+		if !w.mayRetry(c, number, status) {
+			return
+		}
+		pause := max(w.run.RetryPause, retryAfter)
+		if w.run.RetryTimeout > 0 && time.Since(startedAt)+pause > w.run.RetryTimeout {
+			return
+		}
+		time.Sleep(pause)
+	}
+}
+
+// mayRetry reports whether a call is retried after an attempt that was not served. A client with a single address does
+// not retry without an answer.
+func (w *worker) mayRetry(c Call, number, status int) bool {
+	if number >= w.run.Retries || status == 0 && w.run.PickAddress == nil {
+		return false
+	}
+	return !c.RetryOnlyRejected || isRejection(status)
+}
+
+// attempt sends one request and returns its status, 0 without an answer, and the Retry-After.
+func (w *worker) attempt(c Call, number int) (status int, retryAfter time.Duration) {
+	if w.run.PickAddress != nil {
+		w.useLink(w.run.PickAddress(w.rng, c, w.addr))
+	}
+	id := fmt.Sprintf("%x-%x", w.run.Seed, w.run.next.Add(1))
+	w.run.count(c.Kind, func(s *Result) { s.Attempts++ })
+	sent := time.Now()
+	isAborted := w.run.AbortFraction > 0 && w.rng.Float64() < w.run.AbortFraction
+	reply, err := w.exchange(c, id, number, isAborted)
+	// The node may close a connection between two requests. If that crosses a request that it has not read, the
+	// client sends it again with the same ID (PROTOCOL).
+	if errors.Is(err, errUnread) {
+		w.run.count(c.Kind, func(s *Result) { s.Resent++ })
+		reply, err = w.exchange(c, id, number, isAborted)
+	}
+	duration := time.Since(sent)
+	if w.run.ConnPerAttempt {
+		w.hangUp()
+	}
+	if w.run.OnAnswer != nil {
+		w.run.OnAnswer(Answer{Sent: sent, Duration: duration, Status: reply.status, IsUnconnected: errors.Is(err, errNoConn)})
+	}
+	w.run.count(c.Kind, func(s *Result) {
+		if err != nil {
+			w.countError(s, err, sent)
+			return
+		}
+		s.countAnswer(reply.status, strings.HasSuffix(reply.body, " "+id))
+		if duration > c.Deadline {
+			s.Late++
+		}
+	})
+	return reply.status, reply.retryAfter
+}
+
+// countError counts an attempt without an answer.
+func (w *worker) countError(s *Result, err error, sent time.Time) {
+	switch {
+	case errors.Is(err, errAborted):
+		s.Aborted++
+	case errors.Is(err, errNoConn) && w.run.PickAddress != nil: // the client uses another address
+		s.Unconnected++
+	case w.run.WasKilled != nil && w.run.WasKilled(w.addr, sent):
+		s.Killed++
+	default:
+		s.Lost++
+	}
+}
+
+// countAnswer counts an answer. isOwn is whether its body names the request.
+func (r *Result) countAnswer(status int, isOwn bool) {
+	switch {
+	case status == http.StatusOK && !isOwn:
+		r.Wrong++
+	case status == http.StatusOK:
+	case isRejection(status):
+		r.Rejected++
+	default:
+		r.Failed++
+	}
+}
+
+// reply is a complete answer; the zero value is none.
+type reply struct {
+	status     int
+	retryAfter time.Duration
+	body       string
+}
+
+// exchange writes a request on the worker's connection and reads its answer. The connection is closed after an error.
+func (w *worker) exchange(c Call, id string, number int, isAborted bool) (received reply, err error) {
+	if err := w.connect(); err != nil {
+		return reply{}, err
+	}
+	defer func() {
+		if err != nil {
+			w.hangUp()
+		}
+	}()
+	w.conn.SetDeadline(time.Now().Add(c.Deadline + answerGrace))
+	_, err = io.WriteString(w.conn, requestText(c, id, number))
+	if err == nil && isAborted {
+		time.Sleep(time.Duration(w.rng.Int64N(int64(maxAbortDelay))))
+		return reply{}, errAborted
+	}
+	if err == nil {
+		_, err = w.in.Peek(1)
+	}
+	if err != nil {
+		return reply{}, w.requestError(err)
+	}
+	w.used = true
+	return w.readReply(c.Method)
+}
+
+// readReply reads an answer, and closes the connection if that says so.
+func (l *link) readReply(method string) (reply, error) {
+	response, err := http.ReadResponse(l.in, &http.Request{Method: method})
+	if err != nil {
+		return reply{}, err
+	}
+	defer response.Body.Close()
+	raw, err := io.ReadAll(response.Body)
+	if response.Close {
+		l.hangUp()
+	}
+	if err != nil {
+		return reply{}, err
+	}
+	received := reply{status: response.StatusCode, body: string(raw)}
+	if seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil {
+		received.retryAfter = time.Duration(seconds * float64(time.Second))
+	}
+	return received, nil
+}
+
+// requestError wraps an error before the first byte of an answer: errUnread if the connection had been used before
+// and has not timed out.
+func (l *link) requestError(err error) error {
+	var networkError net.Error
+	isTimeout := errors.As(err, &networkError) && networkError.Timeout()
+	if l.used && !isTimeout {
+		return fmt.Errorf("%w: %w", errUnread, err)
+	}
+	return err
+}
+
+// requestText returns a request as it is sent (PROTOCOL).
+func requestText(c Call, id string, attempt int) string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "%s %s?account=%016x HTTP/1.1\r\nHost: %s\r\nX-Correlation-Id: %s\r\nX-Tariff: %s\r\nX-Time-Left: %dm\r\n",
+		c.Method, c.Path, c.Customer, c.Host, id, c.Plan, c.Deadline.Milliseconds())
+	fmt.Fprintf(&b, "X-Weight: units=%d,spread=%d,first=%d\r\n", max(c.Units, 1), max(c.Spread, 1), c.First)
+	if attempt > 0 {
+		b.WriteString("X-Repeat: 1\r\n")
+	}
+	if c.Key != "" {
+		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", c.Key)
+	}
+	for _, line := range c.Headers {
+		b.WriteString(line + "\r\n")
+	}
+	if c.Method != http.MethodGet {
+		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(c.Body))
+	}
+	b.WriteString("\r\n" + c.Body)
+	return b.String()
+}
--- /dev/null
+++ b/internal/testsupport/fake/server_overload.go
@@ -0,0 +1,51 @@
+package fake
+
+import "time"
+
+// arrival is a request that was received while the server warmed up.
+type arrival struct {
+	at    time.Time
+	units float64
+}
+
+// Collapsed reports whether the server has collapsed, and the maximum of received units over what it can bear.
+func (r *Running) Collapsed() (hasCollapsed bool, maxOverload float64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.hasCollapsed, r.maxOverload
+}
+
+// speed returns the fraction of its full speed that the server has reached. r.mu is locked.
+func (r *Running) speed(now time.Time) float64 {
+	if r.WarmUp <= 0 {
+		return 1
+	}
+	return min(1, r.InitialSpeed+(1-r.InitialSpeed)*now.Sub(r.started).Seconds()/r.WarmUp.Seconds())
+}
+
+// canCollapse reports whether overload is measured now. r.mu is locked.
+func (r *Running) canCollapse(now time.Time) bool {
+	isConfigured := r.OverloadWindow > 0 && r.OverloadFactor > 0 && r.Cores > 0
+	return isConfigured && r.speed(now) < 1
+}
+
+// recordLoad records a request's units and reports whether the server has not collapsed. r.mu is locked.
+func (r *Running) recordLoad(now time.Time, units float64) bool {
+	if !r.canCollapse(now) {
+		return !r.hasCollapsed
+	}
+	r.arrived = append(r.arrived, arrival{at: now, units: units})
+	for len(r.arrived) > 0 && now.Sub(r.arrived[0].at) > r.OverloadWindow {
+		r.arrived = r.arrived[1:]
+	}
+	received := 0.0
+	for _, a := range r.arrived {
+		received += a.units
+	}
+	capacity := r.OverloadWindow.Seconds() * r.speed(now) * float64(r.Cores) / r.Work.Seconds()
+	r.maxOverload = max(r.maxOverload, received/(r.OverloadFactor*capacity))
+	if received > r.OverloadFactor*capacity && len(r.arrived) > 1 { // a single request is never too much
+		r.hasCollapsed = true
+	}
+	return !r.hasCollapsed
+}
--- a/internal/testsupport/fake/times.go
+++ b/internal/testsupport/fake/times.go
@@ -6,24 +6,24 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Times are times by an HDR histogram: quantiles to three digits in bounded memory, from 1 us to
-// 10 min. Its zero value is empty. It is not safe for concurrent use.
-type Times struct{ histogram *hdrhistogram.Histogram }
-
 const (
 	maxTime    = 10 * time.Minute
 	timeDigits = 3
 )
 
-// Add takes a time in; one that is longer than 10 min counts as that.
-func (t *Times) Add(d time.Duration) {
+// Times is an HDR histogram of durations from 1 us to 10 min: quantiles to three digits in bounded memory. The zero
+// value is empty. It is not safe for concurrent use.
+type Times struct{ histogram *hdrhistogram.Histogram }
+
+// Add adds a duration; a longer one than 10 min counts as 10 min.
+func (t *Times) Add(duration time.Duration) {
 	if t.histogram == nil {
 		t.histogram = hdrhistogram.New(1, maxTime.Microseconds(), timeDigits)
 	}
-	_ = t.histogram.RecordValue(max(1, min(d, maxTime).Microseconds())) // within its range
+	_ = t.histogram.RecordValue(max(1, min(duration, maxTime).Microseconds())) // within its range
 }
 
-// Count is how many times there are.
+// Count returns the number of durations.
 func (t *Times) Count() int {
 	if t.histogram == nil {
 		return 0
@@ -31,10 +31,10 @@
 	return int(t.histogram.TotalCount())
 }
 
-// Quantile is the time that the given part of them, from 0 to 1, doesn't exceed; 0 where there are none.
-func (t *Times) Quantile(part float64) time.Duration {
+// Quantile returns the duration that a fraction of them, from 0 to 1, does not exceed; 0 if there are none.
+func (t *Times) Quantile(fraction float64) time.Duration {
 	if t.histogram == nil {
 		return 0
 	}
-	return time.Duration(t.histogram.ValueAtPercentile(100*part)) * time.Microsecond
+	return time.Duration(t.histogram.ValueAtPercentile(100*fraction)) * time.Microsecond
 }
