--- a/internal/testsupport/fake/discovery.go
+++ b/internal/testsupport/fake/discovery.go
@@ -10,93 +10,104 @@
 	"time"
 )
 
-// heartbeat is how often a watch on which nothing changes has an empty line (PROTOCOL: 2 s).
-const heartbeat = time.Second
+// heartbeatInterval is how often a watch without changes sends an empty line (PROTOCOL: 2 s).
+const heartbeatInterval = time.Second
 
-// Entry is an app server as discovery lists it (PROTOCOL).
+// States of servers in discovery (PROTOCOL).
+const (
+	stateUp      = "up"
+	stateRemoved = "removed"
+)
+
+// Entry is an app server in discovery (PROTOCOL).
 type Entry struct {
 	UID      string  `json:"uid"`
-	Endpoint string  `json:"endpoint"`
+	Endpoint string  `json:"endpoint"` // host:port
 	Zone     string  `json:"az"`
 	Model    string  `json:"model"`
 	Group    int     `json:"pod_group"`
 	State    string  `json:"state"`
 	Capacity float64 `json:"capacity_hint"`
-	BootMS   float64 `json:"boot_ms"`
+	BootMS   float64 `json:"boot_ms"` // Unix time in milliseconds; 0 is not known
 }
 
-// Entry is the server as discovery lists it, up. One that starts cold tells when it started.
+// Entry returns the server's entry, with the state up. Only a server that warms up reports when it has started.
 func (r *Running) Entry() Entry {
-	e := Entry{UID: r.UID, Endpoint: r.Addr(), Zone: r.Zone, Group: r.Place, State: "up", Capacity: 1}
+	entry := Entry{UID: r.UID, Endpoint: r.Addr(), Zone: r.Zone, Group: r.Place, State: stateUp, Capacity: 1}
 	if r.WarmUp > 0 {
-		e.BootMS = float64(r.started.UnixMilli())
+		entry.BootMS = float64(r.started.UnixMilli())
 	}
-	return e
+	return entry
 }
 
-// Discovery serves the list of servers and its changes. Its methods are safe for concurrent
-// use.
+// Discovery serves the endpoint list and its watches. Its methods are safe for concurrent use.
 type Discovery struct {
 	listener net.Listener
 	http     *http.Server
 
-	mu      sync.Mutex
-	lag     func() time.Duration // of each watch; nil is none
-	rev     int
-	changes []change // the log, from the first version on
-	silent  bool
-	changed chan struct{} // closed at each change
-	closed  chan struct{}
+	mu       sync.Mutex
+	lag      func() time.Duration // of each watch; nil is none
+	revision int
+	changes  []change // of all revisions
+	isSilent bool
+	changed  chan struct{} // closed at each change
+	closed   chan struct{}
 }
 
+// change is the change of one entry in a revision.
 type change struct {
-	rev   int
-	entry Entry
+	revision int
+	entry    Entry
 }
 
-// StartDiscovery starts one with an empty list.
+// StartDiscovery starts a discovery with an empty list on a free port of the loopback address.
 func StartDiscovery() (*Discovery, error) {
-	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", loopbackAddress)
 	if err != nil {
 		return nil, fmt.Errorf("starting discovery: %w", err)
 	}
-	d := &Discovery{listener: l, rev: 1, changed: make(chan struct{}), closed: make(chan struct{})}
+	d := &Discovery{listener: listener, revision: 1, changed: make(chan struct{}), closed: make(chan struct{})}
 	d.http = &http.Server{Handler: http.HandlerFunc(d.serve)}
-	go d.http.Serve(l) //nolint:errcheck // ends with its listener
+	go d.http.Serve(listener) //nolint:errcheck // ends with its listener
 	return d, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that the discovery listens on.
 func (d *Discovery) Addr() string { return d.listener.Addr().String() }
 
-// Close ends it with all its watches.
+// Close ends the discovery with all its watches.
 func (d *Discovery) Close() {
 	close(d.closed)
 	d.http.Close()
 }
 
-// Publish lists servers, or changes of them; a removed one has that state.
+// Publish adds or changes entries in a new revision. An entry with the state "removed" is removed.
 func (d *Discovery) Publish(entries ...Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.rev++
-	for _, e := range entries {
-		d.changes = append(d.changes, change{d.rev, e})
+	d.revision++
+	for _, entry := range entries {
+		d.changes = append(d.changes, change{revision: d.revision, entry: entry})
 	}
+	d.notify()
+}
+
+// notify wakes all watches. d.mu is locked.
+func (d *Discovery) notify() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// SetLag has each watch that begins from now on tell its news later, by what lag gives for it. lag
-// is called by many goroutines.
+// SetLag delays the changes of each watch that begins from now on by what lag returns for it. lag is called
+// concurrently.
 func (d *Discovery) SetLag(lag func() time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.lag = lag
 }
 
-// currentLag is by how much a new watch is late.
-func (d *Discovery) currentLag() time.Duration {
+// newLag returns the lag of a new watch.
+func (d *Discovery) newLag() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.lag == nil {
@@ -105,75 +116,83 @@
 	return d.lag()
 }
 
-// SetSilent has it say nothing more, on open watches too, or go on.
-func (d *Discovery) SetSilent(silent bool) {
+// SetSilent has the discovery send nothing, also on open watches, or send again.
+func (d *Discovery) SetSilent(isSilent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.silent = silent
-	close(d.changed)
-	d.changed = make(chan struct{})
+	d.isSilent = isSilent
+	d.notify()
 }
 
+// message is a line of a watch.
 type message struct {
-	Rev     int     `json:"rev"`
-	All     bool    `json:"all"`
-	Targets []Entry `json:"targets"`
+	Revision int     `json:"rev"`
+	IsAll    bool    `json:"all"` // the complete list, not a change
+	Targets  []Entry `json:"targets"`
+}
+
+// update is what a watch has to send.
+type update struct {
+	message  message
+	changed  chan struct{} // closed at the next change
+	isSilent bool
 }
 
-// since is what changed after a version; the whole list where that is none of its versions.
-func (d *Discovery) since(from int) (message, chan struct{}, bool) {
+// updateSince returns the changes after a revision, or the complete list if there is no such revision.
+func (d *Discovery) updateSince(revision int) update {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	m := message{Rev: d.rev, All: from <= 0 || from > d.rev, Targets: []Entry{}}
-	last := make(map[string]Entry)
+	m := message{Revision: d.revision, IsAll: revision <= 0 || revision > d.revision, Targets: []Entry{}}
+	latest := make(map[string]Entry) // by UID
 	var order []string
 	for _, c := range d.changes {
-		if !m.All && c.rev <= from {
+		if !m.IsAll && c.revision <= revision {
 			continue
 		}
-		if _, ok := last[c.entry.UID]; !ok {
+		if _, ok := latest[c.entry.UID]; !ok {
 			order = append(order, c.entry.UID)
 		}
-		last[c.entry.UID] = c.entry
+		latest[c.entry.UID] = c.entry
 	}
 	for _, uid := range order {
-		if e := last[uid]; !m.All || e.State != "removed" {
-			m.Targets = append(m.Targets, e)
+		if entry := latest[uid]; !m.IsAll || entry.State != stateRemoved {
+			m.Targets = append(m.Targets, entry)
 		}
 	}
-	return m, d.changed, d.silent
+	return update{message: m, changed: d.changed, isSilent: d.isSilent}
 }
 
-func (d *Discovery) serve(w http.ResponseWriter, q *http.Request) {
-	from := 0
-	_, _ = fmt.Sscanf(q.URL.Query().Get("from"), "%d", &from) // 0 where there is none
-	beat := time.NewTicker(heartbeat)
-	defer beat.Stop()
-	lag := d.currentLag()
-	for first := true; ; first = false {
-		m, news, silent := d.since(from)
-		if !silent && (first || m.Rev > from) {
-			if json.NewEncoder(w).Encode(m) != nil {
+// serve answers a poll or a watch.
+func (d *Discovery) serve(w http.ResponseWriter, request *http.Request) {
+	revision := 0
+	_, _ = fmt.Sscanf(request.URL.Query().Get("from"), "%d", &revision) // 0 without it
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
+	lag := d.newLag()
+	for isFirst := true; ; isFirst = false {
+		u := d.updateSince(revision)
+		if !u.isSilent && (isFirst || u.message.Revision > revision) {
+			if json.NewEncoder(w).Encode(u.message) != nil {
 				return
 			}
-			from = m.Rev
+			revision = u.message.Revision
 		}
 		w.(http.Flusher).Flush()
-		if q.URL.Query().Get("watch") == "" {
+		if request.URL.Query().Get("watch") == "" {
 			return
 		}
 		select {
-		case <-news:
+		case <-u.changed:
 			select {
 			case <-time.After(lag):
-			case <-q.Context().Done():
+			case <-request.Context().Done():
 				return
 			}
-		case <-beat.C:
-			if !silent {
+		case <-heartbeat.C:
+			if !u.isSilent {
 				w.Write([]byte("\n"))
 			}
-		case <-q.Context().Done():
+		case <-request.Context().Done():
 			return
 		case <-d.closed:
 			return
