--- a/control/extreme_settings_test.go
+++ b/control/extreme_settings_test.go
@@ -99,19 +99,12 @@
 }
 
 // stepAny is one step of such events.
-func (w *world) stepAny(comes bool) {
+func (w *world) stepAny(withArrivals bool) {
 	w.now += time.Duration(w.rng.IntN(10)) * ms
 	if w.rng.IntN(400) == 0 { // the gateway stood still
 		w.now += time.Duration(w.rng.IntN(3000)) * ms
 	}
-	for i := 0; i < len(w.due); i++ {
-		if w.due[i] <= w.now {
-			timer := w.timers[i]
-			w.timers, w.due = append(w.timers[:i], w.timers[i+1:]...), append(w.due[:i], w.due[i+1:]...)
-			w.handle(timer)
-			i = -1
-		}
-	}
+	w.fireTimers()
 	for i := 0; i < len(w.inFlight); i++ {
 		if attempt := w.inFlight[i]; w.now >= attempt.timesOutAt {
 			w.outcome(i)
@@ -121,11 +114,11 @@
 		}
 	}
 	switch k := w.rng.IntN(100); {
-	case k < 40 && comes:
+	case k < 40 && withArrivals:
 		w.arriveAny()
 	case k < 80 && len(w.inFlight) > 0:
 		w.outcome(w.rng.IntN(len(w.inFlight)))
-	case k < 84 && comes:
+	case k < 84 && withArrivals:
 		w.handle(w.list())
 	case k < 90:
 		w.handle(w.strayEvent())
@@ -135,11 +128,7 @@
 			w.handle(ClientGone{ID: id})
 		}
 	}
-	for id, request := range w.requests {
-		if w.now > request.end+16*ms {
-			w.t.Fatalf("%s has no answer %v after its end", id, w.now-request.end)
-		}
-	}
+	w.checkDeadlines()
 }
 
 // Whatever the settings are, and whatever comes twice, too late or with unknown references, each request has one
@@ -169,9 +158,16 @@
 			}
 		}
 		controller := w.controller
-		if n := len(controller.requests.byID) + len(controller.requests.byTimer) + len(controller.requests.attempts) + controller.requests.slots.inFlight + controller.requests.slots.streaming; n != 0 || len(w.inFlight)+len(w.requests) != 0 {
-			t.Fatalf("seed %d: %d requests, %d labels, %d attempts, %d in flight, %d streams are left", seed, len(controller.requests.byID), len(controller.requests.byTimer),
-				len(controller.requests.attempts), controller.requests.slots.inFlight, controller.requests.slots.streaming)
+		if len(w.inFlight)+len(w.requests) != 0 {
+			t.Fatalf("seed %d: %d attempts and %d requests have not ended", seed, len(w.inFlight), len(w.requests))
+		}
+		requests := &controller.requests
+		if n := len(requests.byID) + len(requests.byTimer) + len(requests.attempts); n != 0 {
+			t.Fatalf("seed %d: %d requests, %d labels, %d attempts are left",
+				seed, len(requests.byID), len(requests.byTimer), len(requests.attempts))
+		}
+		if requests.slots.inFlight != 0 || requests.slots.streaming != 0 {
+			t.Fatalf("seed %d: %d slots, %d streams are left", seed, requests.slots.inFlight, requests.slots.streaming)
 		}
 		for _, plan := range controller.scheduler.plans {
 			if len(plan.queue) > 0 {
@@ -185,7 +181,7 @@
 		}
 		for _, srv := range controller.fleet.sortedServers {
 			if srv.inFlight != 0 || srv.abandoned < 0 {
-				t.Fatalf("seed %d: server %d has %d in flight, %d ghosts", seed, srv.Server, srv.inFlight, srv.abandoned)
+				t.Fatalf("seed %d: server %d has %d in flight, %d abandoned", seed, srv.Server, srv.inFlight, srv.abandoned)
 			}
 		}
 		if math.IsNaN(controller.limiter.limit+controller.fleet.latency.mean+controller.retries.budget.retries) || controller.limiter.limit < 0 {
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -27,7 +27,7 @@
 			set.IntVar(&d.descriptors, "descriptors", 256, "`N` that the node may hold")
 			set.BoolVar(&d.json, "json", false, "prints only the summary, as JSON")
 			return func(ctx context.Context, e *Env, args []string) error {
-				if len(args) > 0 || d.duration < 300*time.Millisecond || d.duration > time.Hour || d.descriptors < minDescriptors || d.descriptors > maxDescriptors {
+				if len(args) > 0 || !d.isValid() {
 					return usageError("demo takes --for from 300ms to 1h and --descriptors from 192 to 65536, and nothing else")
 				}
 				return d.run(ctx, e)
@@ -44,6 +44,20 @@
 	json        bool
 }
 
+// Limits of the demo's duration.
+const (
+	minDemoTime = 300 * time.Millisecond
+	maxDemoTime = time.Hour
+)
+
+// isValid tells whether the flags are in range.
+func (d *demo) isValid() bool {
+	if d.duration < minDemoTime || d.duration > maxDemoTime {
+		return false
+	}
+	return d.descriptors >= minDescriptors && d.descriptors <= maxDescriptors
+}
+
 // phase is the result of a third of the demo.
 type phase struct {
 	Name    string                  `json:"phase"`
@@ -82,7 +96,7 @@
 		p.Results = d.play(ctx, l, startedAt, name, uint64(i), output)
 		p.P99 = make(map[string]float64)
 		for k, r := range p.Results {
-			p.P99[k] = float64(r.P(0.99).Microseconds()) / 1000
+			p.P99[k] = float64(r.Quantile(0.99).Microseconds()) / 1000
 		}
 		phases = append(phases, p)
 	}
@@ -95,8 +109,8 @@
 	ctx, cancel := context.WithTimeout(ctx, d.duration/3)
 	defer cancel()
 	runs := []*fake.Run{
-		fake.Clients{Addr: l.Node.Addr(), Seed: d.seed + 10*n, Call: testbench.RosterCall, Every: 5 * time.Millisecond, Workers: 64}.Start(ctx),
-		fake.Clients{Addr: l.Node.Addr(), Seed: d.seed + 10*n + 1, Call: testbench.DocumentCall, Every: 10 * time.Millisecond, Workers: 256}.Start(ctx),
+		fake.Clients{Addr: l.Node.Addr(), Seed: d.seed + 10*n, Call: testbench.RosterCall, Interval: 5 * time.Millisecond, Workers: 64}.Start(ctx),
+		fake.Clients{Addr: l.Node.Addr(), Seed: d.seed + 10*n + 1, Call: testbench.DocumentCall, Interval: 10 * time.Millisecond, Workers: 256}.Start(ctx),
 	}
 	last := make(map[string]fake.Result)
 	tick := time.NewTicker(time.Second)
@@ -112,7 +126,7 @@
 		}
 		now := make(map[string]fake.Result)
 		for _, r := range runs {
-			for k, v := range r.SoFar() {
+			for k, v := range r.Snapshot() {
 				now[k] = v
 			}
 		}
@@ -120,7 +134,7 @@
 			k := demoKinds[len(demoKinds)-1-i] // services are sorted by name, which is the opposite order
 			a, b := last[k], now[k]
 			fmt.Fprintf(output, "%-8s %-8s %-10s %7d %7d %8d %7d %6d %6d of %-3d %12d\n", time.Since(startedAt).Round(100*time.Millisecond), name, k,
-				b.Calls-a.Calls, b.Served-a.Served, b.Refused-a.Refused, b.Failed-a.Failed, st.Requests,
+				b.Calls-a.Calls, b.Served-a.Served, b.Rejected-a.Rejected, b.Failed-a.Failed, st.Requests,
 				st.Resources.Descriptors.Used, st.Resources.Descriptors.Guaranteed, st.Resources.BufferedBytes.Used)
 		}
 		last = now
@@ -144,8 +158,8 @@
 	}
 	tallies := make(map[string]fake.Counts)
 	for _, k := range demoKinds {
-		tallies[k] = l.Pools[k].Tally.Counts()
-		fine = fine && tallies[k].Twice == 0 && tallies[k].MostAtOne <= 1
+		tallies[k] = l.Pools[k].Executions.Counts()
+		fine = fine && tallies[k].DuplicateEffects == 0 && tallies[k].MaxInFlight <= 1
 	}
 	if d.json {
 		if err := json.NewEncoder(e.Out).Encode(map[string]any{"fine": fine, "phases": phases, "servers": tallies}); err != nil {
@@ -157,13 +171,13 @@
 		for _, k := range demoKinds {
 			for _, p := range phases {
 				if r := p.Results[k]; r != nil {
-					fmt.Fprintf(e.Out, "%-10s %-8s %7d %7.1f%% %9s %9s %8d %8d %6d %6d\n", k, p.Name, r.Calls, 100*r.Share(),
-						r.P(0.5).Round(100*time.Microsecond), r.P(0.99).Round(100*time.Microsecond), r.Refused, r.Failed, r.Lost, r.Wrong)
+					fmt.Fprintf(e.Out, "%-10s %-8s %7d %7.1f%% %9s %9s %8d %8d %6d %6d\n", k, p.Name, r.Calls, 100*r.ServedFraction(),
+						r.Quantile(0.5).Round(100*time.Microsecond), r.Quantile(0.99).Round(100*time.Microsecond), r.Rejected, r.Failed, r.Lost, r.Wrong)
 				}
 			}
 			c := tallies[k]
 			fmt.Fprintf(e.Out, "%-10s servers: %d attempts, %d requests ran, %d more than once, %d effects twice\n", k, c.Attempts, c.Requests,
-				c.Again, c.Twice)
+				c.Repeated, c.DuplicateEffects)
 		}
 	}
 	if !fine {
--- a/internal/rollout/rollback.go
+++ b/internal/rollout/rollback.go
@@ -36,7 +36,7 @@
 	r.claimNewEpoch()
 }
 
-// rollBack does what may be done now of the rollback to one generation.
+// rollBack executes the steps of the rollback to one generation that are possible now.
 func (r *Rollout) rollBack() {
 	if !r.isRollbackPhaseStarted {
 		r.isRollbackPhaseStarted = true
@@ -82,7 +82,8 @@
 	if m.isAbandoned {
 		return true
 	}
-	return r.runsGeneration(i, r.rollbackGeneration) && m.isIdle() && (!m.isSuspect || r.plan.IsRestart)
+	isVersionCertain := m.isIdle() && (!m.isSuspect || r.plan.IsRestart)
+	return isVersionCertain && r.runsGeneration(i, r.rollbackGeneration)
 }
 
 // finishRollbackPhase goes on to the generation before. With an abandoned member it ends instead: two neighbouring
--- a/internal/simulation/fleetsim/days.go
+++ b/internal/simulation/fleetsim/days.go
@@ -22,7 +22,7 @@
 	lostFraction, resetFraction float64       // part of the answers that are lost, and of attempts whose connection is reset
 	corruptFraction             float64       // part of the answers that can't be read
 	leavingFraction             float64       // part of the requests whose client leaves early
-	retriesAtOnce               bool          // clients come again at once, and more often
+	retriesImmediately          bool          // clients come again at once, and more often
 	listDelay                   time.Duration // by which lists come later than usual
 	slowConnectFraction         float64       // part of new connections that come up late, up to 1 s
 	hasLongDrains               bool          // some servers drain for long
@@ -77,7 +77,7 @@
 		},
 	},
 	"join": {
-		help: "six in ten servers replaced in a quarter of the day; clients leave early or come again at once", corruptFraction: 0.005, leavingFraction: 0.03, retriesAtOnce: true, slowConnectFraction: 0.05, hasLongDrains: true,
+		help: "six in ten servers replaced in a quarter of the day; clients leave early or come again at once", corruptFraction: 0.005, leavingFraction: 0.03, retriesImmediately: true, slowConnectFraction: 0.05, hasLongDrains: true,
 		script: func(w *world) {
 			w.replaceServers(0.6, 0.25, 0.5)
 			w.At(w.timeAt(0.35), w.silenceWatches)
--- a/internal/simulation/fleetsim/instances.go
+++ b/internal/simulation/fleetsim/instances.go
@@ -87,7 +87,7 @@
 	n.down = true
 	n.incarnation++
 	for _, id := range slices.Sorted(maps.Keys(n.inFlight)) {
-		w.retryLater(n.inFlight[id].call, w.script.retriesAtOnce)
+		w.retryLater(n.inFlight[id].call, w.script.retriesImmediately)
 	}
 	n.inFlight = nil
 }
@@ -179,12 +179,12 @@
 		}
 	case "failed":
 		if w.failedRequests++; t.call.class == 0 {
-			w.retryLater(t.call, w.script.retriesAtOnce)
+			w.retryLater(t.call, w.script.retriesImmediately)
 		}
 	default:
 		w.countRejection(w.nodes[i])
 		w.script.quotas.recordRejection(i, t)
-		w.retryLater(t.call, w.script.retriesAtOnce)
+		w.retryLater(t.call, w.script.retriesImmediately)
 	}
 }
 
