--- a/internal/simulation/fleetsim/attempts.go
+++ b/internal/simulation/fleetsim/attempts.go
@@ -7,12 +7,12 @@
 	"lockflow/control"
 )
 
-// Attempts on their way to servers and back.
+// Attempts, from a node to a server and back.
 
-// send has an attempt go to its server.
+// send carries an attempt to its server and schedules its end.
 func (w *world) send(i int, a control.Send) {
 	t := w.nodes[i].inFlight[a.ID]
-	if t == nil { // its client has left meanwhile
+	if t == nil { // its client is gone
 		w.deliver(i, control.AttemptResult{ID: a.ID, Server: a.Server, Reason: control.NotSent, IsFinal: true})
 		return
 	}
@@ -35,7 +35,7 @@
 		w.After(after, func() { ended(why, ran, delivered) })
 	}
 	after, connected := w.openConnection(i, h, t.deadline)
-	if !connected { // nothing was written
+	if !connected { // no byte of the request was written
 		end(after, control.ConnectFailed, false, false)
 		return
 	}
@@ -63,7 +63,7 @@
 	default:
 		w.After(done, func() {
 			why := control.OK
-			if h.incarnation != hl { // its process ended under the request
+			if h.incarnation != hl { // its process ended during the request
 				why = control.ResetByPeer
 			}
 			ended(why, true, true)
@@ -71,7 +71,7 @@
 	}
 }
 
-// arriveAtServer has a whole attempt come to a server, and draws its work.
+// arriveAtServer records that an attempt has arrived completely at a server, and draws its work in seconds of a core.
 func (w *world) arriveAtServer(i int, h *host, t *clientRequest, id string, n int) (work float64) {
 	c := t.call
 	plan := &w.rules.Plans[c.customer.plan]
@@ -88,7 +88,7 @@
 	return work
 }
 
-// openConnection is how long it takes to connect to a server, or until that is given up.
+// openConnection returns how long connecting to a server takes, or how long until that fails.
 func (w *world) openConnection(i int, h *host, until time.Duration) (after time.Duration, connected bool) {
 	switch {
 	case h.state == hostGone:
@@ -104,7 +104,7 @@
 	return after, true
 }
 
-// connectDelay is how long it takes until a request may be written to a server.
+// connectDelay returns how long it takes until a request can be written to a server.
 func (w *world) connectDelay(i int, h *host) time.Duration {
 	last, ok := h.connections[i]
 	h.connections[i] = w.Now()
@@ -124,7 +124,7 @@
 	return 3 * time.Millisecond
 }
 
-// recordWork books work that has reached a server.
+// recordWork records work that has arrived at a server.
 func (w *world) recordWork(i int, h *host, work float64) {
 	isKnown := false
 	if life, ok := w.nodes[i].knownIncarnations[h.id]; ok {
@@ -133,7 +133,7 @@
 	w.checker.Arrived(w.Now(), h.id, work, isKnown)
 }
 
-// serveWork has a server work; it gives how long the answer takes.
+// serveWork schedules work at a server and returns how long the response takes.
 func (w *world) serveWork(h *host, work float64) time.Duration {
 	core := firstFreeCore(h.coreFreeAt[:])
 	speed := warmthAt(w.Now() - h.bootedAt)
@@ -154,7 +154,7 @@
 	return h.coreFreeAt[core] - w.Now()
 }
 
-// loadReport is what a server tells of itself, as of some time ago.
+// loadReport returns the load report of a server, which is renewed at intervals.
 func (w *world) loadReport(h *host) *control.LoadReport {
 	if h.reportAt == 0 || w.Now()-h.reportAt >= loadReportInterval {
 		h.smoothedUtilization += 0.5 * (math.Min(1, float64(h.inFlight)/dayCores) - h.smoothedUtilization)
@@ -165,7 +165,7 @@
 	return &l
 }
 
-// endAttempt brings an attempt's end to its instance.
+// endAttempt delivers the end of an attempt to its node.
 func (w *world) endAttempt(i int, id string, n int, h *host, why control.Reason) {
 	t := w.nodes[i].inFlight[id]
 	e := control.AttemptResult{ID: id, Attempt: n, Server: h.id, Reason: why, IsFinal: t == nil}
--- a/internal/simulation/fleetsim/clients.go
+++ b/internal/simulation/fleetsim/clients.go
@@ -11,8 +11,8 @@
 
 // Customers, their calls and their quotas.
 
-// drawCustomers draws the customers. Most use a part of their quota, some nearly all of it, and some ask
-// for several times as much.
+// drawCustomers draws the customers. Most use a part of their quota, some nearly all of it, and some
+// request several times as much.
 func (w *world) drawCustomers() {
 	if w.script.quotas != nil {
 		w.script.quotas.drawCustomers(w)
@@ -35,7 +35,7 @@
 		case x < 0.25:
 			part = 0.95
 		}
-		rate := part * set.Plans[c.plan].QuotaRate / 2.5 // units of a request, on average
+		rate := part * set.Plans[c.plan].QuotaRate / 2.5 // divided by the mean units of a request
 		sum += rate
 		offered += math.Min(part, 1) * set.Plans[c.plan].QuotaRate / 2.5
 		w.drawnCustomers, w.demandSums = append(w.drawnCustomers, c), append(w.demandSums, sum)
@@ -43,7 +43,7 @@
 	w.arrivalRate = sum * w.options.Load
 }
 
-// arrive has a first try come, and the next one later.
+// arrive starts a call, and schedules the next one.
 func (w *world) arrive() {
 	if w.Now() >= w.options.Duration {
 		return
@@ -51,7 +51,7 @@
 	x := w.clientRand.Float64() * w.demandSums[len(w.demandSums)-1]
 	k, _ := slices.BinarySearch(w.demandSums, x)
 	cust := w.drawnCustomers[min(k, len(w.drawnCustomers)-1)]
-	if w.script.hasFreshCustomers && w.clientRand.Float64() < 0.5 { // it comes this once
+	if w.script.hasFreshCustomers && w.clientRand.Float64() < 0.5 { // a customer with one call only
 		w.freshCustomers++
 		cust = &dayCustomer{name: fmt.Sprintf("f%d", w.freshCustomers), fanOut: cust.fanOut, plan: cust.plan, firstNode: cust.firstNode}
 	}
@@ -79,7 +79,7 @@
 	return q
 }
 
-// chargeQuota takes what is sent on from the true quota and meters it.
+// chargeQuota charges a forwarded call to the customer's true quota and its meter.
 func (w *world) chargeQuota(c *call, p *control.Plan) {
 	q := w.quotaOf(c.customer, p)
 	q.forwarded = math.Min(p.QuotaBurst, q.forwarded+(w.Now()-q.forwardedAt).Seconds()*p.QuotaRate)
@@ -99,7 +99,7 @@
 	m.current += c.units
 }
 
-// roll brings a meter to a period.
+// roll advances a meter to a period.
 func (m *meter) roll(period int) {
 	for ; m.period < period; m.period++ {
 		m.periodUnits = append(m.periodUnits, m.current)
@@ -109,8 +109,8 @@
 	}
 }
 
-// reportedUsage is what an answer tells of a customer's use: 1 and the percent of its rate in the last period
-// that the meter has summed; 0 where it tells nothing.
+// reportedUsage returns the quota usage that a response reports: 1 + per cent of the rate in the last period
+// that the meter has summed; 0 is no report.
 func (w *world) reportedUsage(i int, c *dayCustomer) int {
 	if w.script.quotas != nil {
 		return w.script.quotas.reportedUsage(i, c)
@@ -126,7 +126,7 @@
 	return 1 + int(math.Round(100*m.periodUnits[len(m.periodUnits)-meterLagPeriods]/w.rules.Plans[c.plan].QuotaRate))
 }
 
-// chooseNode draws the instance that a try comes to.
+// chooseNode draws the node that a request arrives at.
 func (w *world) chooseNode(c *call) int {
 	if w.script.quotas != nil {
 		return w.script.quotas.nodeFor(c)
@@ -138,7 +138,7 @@
 	return (c.customer.firstNode + k) % len(w.nodes)
 }
 
-// sendRequest has a call come to an instance of its customer's set that is up.
+// sendRequest sends a request of a call to a running node among those of its customer.
 func (w *world) sendRequest(c *call) {
 	left := c.arrivedAt + dayDeadline - w.Now()
 	if left < 10*time.Millisecond {
@@ -187,7 +187,7 @@
 	w.deliver(i, r)
 }
 
-// retryLater has a client come again after a while, for a few times.
+// retryLater schedules a client's retry, up to a few.
 func (w *world) retryLater(c *call, eager bool) {
 	maxTries, wait := 4, 100*time.Millisecond+time.Duration(w.clientRand.Int64N(int64(700*time.Millisecond)))
 	if eager {
--- a/internal/simulation/fleetsim/days.go
+++ b/internal/simulation/fleetsim/days.go
@@ -9,33 +9,33 @@
 	"lockflow/internal/simulation/fleetrules"
 )
 
-// A day's script: what happens to servers, instances, lists, the meter and clients, by its name.
-// Times are parts of the day's length, so that a short form plays the same.
+// Scripts of days: what happens to servers, nodes, endpoint lists, the meter and clients. Times are fractions
+// of the day, so that a shorter day has the same events.
 
-// dayPlan is what a day does to the world.
+// dayPlan is the script of a day. Fractions are 0 by default.
 type dayPlan struct {
 	help   string // one line of help
 	script func(w *world)
 
-	faultyFraction              float64       // part of the servers that are bad from the start
-	isFailing                   bool          // they fail at once; else they are slow
-	lostFraction, resetFraction float64       // part of the answers that are lost, and of attempts whose connection is reset
-	corruptFraction             float64       // part of the answers that can't be read
-	leavingFraction             float64       // part of the requests whose client leaves early
-	retriesImmediately          bool          // clients come again at once, and more often
-	listDelay                   time.Duration // by which lists come later than usual
-	slowConnectFraction         float64       // part of new connections that come up late, up to 1 s
-	hasLongDrains               bool          // some servers drain for long
-	hasFreshCustomers           bool          // customers are ever new
-	quotas                      *quotaDay     // customers are those of a world of quotas
-	// settings changes what the settings of this day name; nil leaves the usual ones.
+	faultyFraction              float64       // of the servers, from the start
+	isFailing                   bool          // faulty servers fail at once; otherwise they are slow
+	lostFraction, resetFraction float64       // of responses, and of attempts
+	corruptFraction             float64       // of responses
+	leavingFraction             float64       // of requests whose client disconnects early
+	retriesImmediately          bool          // clients retry sooner and more often
+	listDelay                   time.Duration // added to that of endpoint lists
+	slowConnectFraction         float64       // of new connections, which take up to maxSlowConnect
+	hasLongDrains               bool          // some servers drain longer
+	hasFreshCustomers           bool          // half of the calls are of customers with one call only
+	quotas                      *quotaDay     // customers and quotas of a deployment; nil has those of world
+	// settings changes the settings of this day; nil leaves them.
 	settings func(s *control.Settings)
 }
 
-// DayNames are the long days that Day plays, in the order of the fleet test. It plays the short day "throng" too.
+// DayNames are the days of the fleet test, in its order. Day plays "throng" too.
 var DayNames = []string{"calm", "roll", "herd", "zone", "split", "join", "long"}
 
-// days are the scripts. A part p of the day is w.part(p).
+// days are the scripts by name.
 var days = map[string]dayPlan{
 	"calm": {help: "no fault; a burst of half as much again", script: func(w *world) {
 		w.At(w.timeAt(0.4), func() { w.arrivalRate *= 1.5 })
@@ -48,7 +48,7 @@
 			at := w.timeAt(0.2 + 0.6*float64(i/tenth)/10)
 			w.At(at, func() { w.terminate(i) })
 		}
-		w.At(w.timeAt(0.45), func() { w.listsSilentUntil = w.Now() + 4*time.Second }) // the new one has to be asked first
+		w.At(w.timeAt(0.45), func() { w.listsSilentUntil = w.Now() + 4*time.Second }) // the new discovery service has to be connected first
 	}},
 	"herd": {help: "seven in ten instances killed at once during a release", faultyFraction: 1.0 / 8, isFailing: true, script: func(w *world) {
 		w.replaceServers(0.5, 0.3, 0.7)
@@ -105,15 +105,15 @@
 	}},
 }
 
-// DayHelp says what a day does.
+// DayHelp describes a day in one line.
 func DayHelp(name string) string { return days[name].help }
 
 func (w *world) timeAt(p float64) time.Duration {
 	return time.Duration(p * float64(w.options.Duration))
 }
 
-// replaceServers has a part of the servers that are up when it begins replaced by new ones, in steps between
-// two parts of the day: the new one is listed, then the old one drains, then it is gone.
+// replaceServers replaces a fraction of the available servers by new ones, in steps between two fractions of
+// the day: the new server is listed, then the old one drains, then it is gone.
 func (w *world) replaceServers(part, from, to float64) {
 	w.At(w.timeAt(from), func() {
 		var old []*host
@@ -131,7 +131,7 @@
 				w.boot(h.zone, h.cell)
 				w.After(1500*time.Millisecond, func() { w.drain(h) })
 				remaining := 6 * time.Second
-				if w.script.hasLongDrains && i%3 == 0 { // it outlives whoever never hears of its drain
+				if w.script.hasLongDrains && i%3 == 0 { // longer than a node that was never notified may send to it
 					remaining = 14 * time.Second
 				}
 				w.After(remaining, func() { w.remove(h) })
@@ -140,7 +140,7 @@
 	})
 }
 
-// loseZone has a zone's servers vanish and come back cold.
+// loseZone makes a zone's servers silent for some time, and then restarts them.
 func (w *world) loseZone(duration time.Duration) {
 	for _, h := range w.hosts {
 		if h.zone == "z0" && h.state == hostUp {
@@ -150,8 +150,8 @@
 	}
 }
 
-// silenceWatches has six in ten watches fall silent: their instances learn nothing until they have noticed and
-// opened new ones.
+// silenceWatches makes six in ten watches silent: their nodes are not notified until they have detected that
+// and opened new ones.
 func (w *world) silenceWatches() {
 	for _, n := range w.nodes {
 		if w.rng.Float64() < 0.6 {
@@ -163,7 +163,8 @@
 	}
 }
 
-// disconnectServers takes one of so many servers off the network for a while; they go on working.
+// disconnectServers disconnects one server of every so many from the network for some time. They continue to
+// work.
 func (w *world) disconnectServers(duration time.Duration, of int) {
 	for i, h := range w.hosts {
 		if i%of == 0 && h.state == hostUp {
@@ -172,30 +173,30 @@
 	}
 }
 
-// Mutation takes one guard out, between an instance's module and the world. The checker has to find
-// the rule that then breaks on the day.
+// Mutation removes one safeguard between a node's module and the world. The checker has to find that the
+// rule is then broken on the day.
 type Mutation struct {
 	Name string
-	Rule fleetrules.Rule // that it breaks
+	Rule fleetrules.Rule // that is broken
 	Day  string
 
 	settings           func(w *world, n *node)
 	list               func(w *world, m []listed) []listed
-	dropsTimers        bool // a request's own timers never come
-	sendsTwice         bool // an attempt goes out twice
-	answersTwice       bool // a final answer is given twice
-	rejectsFailures    bool // what has failed is refused, as if it were harmless
-	dropsInFlight      bool // an instance that is told to end drops what it holds
-	keepsSilentWatches bool // a watch that has fallen silent is not opened anew
-	resendsResets      bool // the transport sends what was reset once more, by itself
-
-	// Load is how much more is asked than usual, and Instances how many there have to be at the least, where the
-	// rule needs it to show. Zero is as usual.
+	dropsTimers        bool // timers of requests never fire
+	sendsTwice         bool // attempts are sent twice
+	answersTwice       bool // final answers are given twice
+	rejectsFailures    bool // failed requests are answered as rejected, as if a retry were harmless
+	dropsInFlight      bool // a node that is terminated drops its requests in flight
+	keepsSilentWatches bool // silent watches are not replaced
+	resendsResets      bool // the transport resends attempts whose connection was reset
+
+	// Load and Instances are the load and the smallest number of nodes at which the broken rule shows; 0 is
+	// the default.
 	Load      float64
 	Instances int
 }
 
-// Options are those under which the mutation has to be found.
+// Options returns the options under which the mutation has to be found.
 func (m *Mutation) Options(o DayOptions) DayOptions {
 	o.Day, o.Mutation, o.Instances = m.Day, m, max(o.Instances, m.Instances)
 	if m.Load > 0 {
@@ -204,7 +205,7 @@
 	return o
 }
 
-// Mutations are the guards that can be taken out, by name.
+// Mutations are all mutations.
 var Mutations = []Mutation{
 	{Name: "the group's size is taken as 1", Rule: fleetrules.WarmingUp, Day: "join", Instances: 120, settings: func(_ *world, n *node) { n.settings.GroupSize, n.settings.SelfIndex = 1, 0 }},
 	{Name: "a cold server is held able to do all from its start", Rule: fleetrules.WarmingUp, Day: "herd", settings: func(_ *world, n *node) { n.settings.InitialCapacity, n.settings.OverloadMultiple = 1, 50 }},
--- a/internal/simulation/fleetsim/instances.go
+++ b/internal/simulation/fleetsim/instances.go
@@ -9,7 +9,7 @@
 	"lockflow/control"
 )
 
-// Instances: their starts, ends and lists.
+// Nodes: their starts, ends, endpoint lists and decisions.
 
 func (w *world) settings(i int) control.Settings {
 	s := control.Settings{
@@ -32,8 +32,7 @@
 	return s
 }
 
-// start has an instance begin, or begin again, with the list that it had last; its agent has the
-// present one.
+// start starts or restarts a node, with the current endpoint list from its agent.
 func (w *world) start(i int) {
 	n := w.nodes[i]
 	n.settings, n.grantsFullHardLimit = w.settings(i), false
@@ -42,7 +41,7 @@
 	}
 	c, err := control.New(n.settings, w.options.Seed*1_000_003+uint64(i)*1009+uint64(n.incarnation))
 	if err != nil {
-		panic(fmt.Sprintf("the settings of a day: %v", err)) // ours, and the same each time
+		panic(fmt.Sprintf("the settings of a day: %v", err)) // the settings are constant
 	}
 	n.controller, n.down, n.closing, n.inFlight, n.knownIncarnations, n.watchSilentUntil = c, false, false, map[string]*clientRequest{}, map[uint32]int{}, 0
 	n.rejectedInRow = 0
@@ -51,7 +50,7 @@
 	for _, h := range w.hosts {
 		e := w.endpointOf(h)
 		if h.bootedAt > w.Now()-listDelayOfStart && h.bootedAt >= 0 {
-			continue // nobody lists it yet
+			continue // not listed yet
 		}
 		n.knownIncarnations[h.id] = h.incarnation
 		if !e.isUp {
@@ -75,7 +74,7 @@
 	w.deliver(i, e)
 }
 
-// kill ends an instance without warning: clients of what it held learn of it and may come again.
+// kill ends a node without warning; the clients of its requests in flight may retry.
 func (w *world) kill(i int) { w.endNode(i, false) }
 
 func (w *world) endNode(i int, owed bool) {
@@ -92,8 +91,8 @@
 	n.inFlight = nil
 }
 
-// terminate is a planned restart: requests go on coming for a moment; what is held at the end of the
-// grace is answered as failed.
+// terminate restarts a node as planned: requests arrive for a moment still; those in flight at the end of
+// the grace period fail.
 func (w *world) terminate(i int) {
 	n := w.nodes[i]
 	life, grace := n.incarnation, termGrace
@@ -116,7 +115,7 @@
 	})
 }
 
-// deliver brings an event to an instance and does what it answers.
+// deliver has a node's module handle an event and performs its actions.
 func (w *world) deliver(i int, e control.Event) {
 	n := w.nodes[i]
 	if n.down {
@@ -155,7 +154,7 @@
 	}
 }
 
-// finish gives a client its final answer.
+// finish gives a client its final answer: served, refused or failed.
 func (w *world) finish(i int, id, how string) {
 	t := w.nodes[i].inFlight[id]
 	if t == nil {
@@ -188,7 +187,7 @@
 	}
 }
 
-// countRejection notes that an instance has rejected a request, and marks one that rejects all that it gets.
+// countRejection counts a rejection, and marks a node that rejects all requests.
 func (w *world) countRejection(n *node) {
 	if n.rejectedInRow == 0 {
 		n.rejectingSince = w.Now()
--- a/internal/simulation/fleetsim/servers.go
+++ b/internal/simulation/fleetsim/servers.go
@@ -8,7 +8,7 @@
 	"lockflow/internal/simulation/fleetrules"
 )
 
-// App servers and the lists that tell of them.
+// App servers and the endpoint lists with them.
 
 func (w *world) newHost(zone string, cell int, boot time.Duration) *host {
 	h := &host{id: uint32(len(w.hosts) + 1), zone: zone, cell: cell, bootedAt: boot, connections: map[int]time.Duration{}}
@@ -26,13 +26,13 @@
 	}})
 }
 
-// warmthAt is the part of its speed that a server has some time after its start: no more than the
-// settings promise.
+// warmthAt returns the fraction of its full speed that a server has some time after its start, as the
+// settings assume.
 func warmthAt(since time.Duration) float64 {
 	return math.Min(1, 0.15+0.85*since.Seconds()/15)
 }
 
-// boot starts a new server, which is listed a little later.
+// boot starts a new server, which is listed some time later.
 func (w *world) boot(zone string, cell int) {
 	h := w.newHost(zone, cell, w.Now())
 	w.After(listDelayOfStart, func() { w.announce(h, true) })
@@ -73,8 +73,8 @@
 	return listed{m, up}
 }
 
-// announce sends a change to every instance's agent, which has it a little later each, or as late as
-// lists are on this day. By maxNotificationDelay it counts as told either way.
+// announce sends a watch event to every node's agent, each with a delay of its own and the one of this day.
+// After maxNotificationDelay a node counts as notified in any case.
 func (w *world) announce(h *host, up bool) {
 	e, life, changedAt := w.endpointOf(h), h.incarnation, w.Now()
 	for i := range w.nodes {
--- a/internal/simulation/fleetsim/sim.go
+++ b/internal/simulation/fleetsim/sim.go
@@ -1,6 +1,8 @@
-// Package fleetsim plays a fleet of decision modules in virtual time against one server that has
-// just started and one customer with a ceiling. The modules are the real ones; servers, news and
-// clients are a model. Everything follows from the seed.
+// Package fleetsim simulates fleets of nodes in virtual time. The decision modules are the real ones; servers,
+// discovery and clients are a model. All results follow from the seed.
+//
+// Run simulates one warming-up server and one customer with a hard limit, Day a day with faults, and Quotas
+// a day of customers with quotas.
 package fleetsim
 
 import (
@@ -13,7 +15,7 @@
 	"lockflow/internal/simulation/vtime"
 )
 
-// Figures of the model that no option changes.
+// Constants of the model of Run.
 const (
 	latencyObjective = time.Second
 	deadline         = 3 * time.Second
@@ -22,67 +24,67 @@
 	overloadWindow   = 2 * time.Second
 	overloadMultiple = 2.5
 	cores            = 4
-	joinsAt          = 10 * time.Second // when the cold server starts
-	customers        = 2000             // without a ceiling
+	joinsAt          = 10 * time.Second // when the warming-up server starts
+	customers        = 2000             // without a hard limit
 	hardLimitRate    = 30.0
 	hardLimitBurst   = 60.0
 	hardLimitSlack   = 6.0
 )
 
-// Options say what is played. What is zero has a default.
+// Options configure Run. Zero fields have the defaults given.
 type Options struct {
-	Instances       int           // that there are
-	GroupSize       int           // that they are configured with; 0 is as many as there are
-	NotificationLag time.Duration // by which the last instance learns of the cold server; the others before, evenly
-	IsUneven        bool          // some instances get ten times as much as others
+	Instances       int           // of the fleet
+	GroupSize       int           // that nodes are configured with; Instances
+	NotificationLag time.Duration // after which the last node is notified of the warming-up server; the others are before, evenly
+	IsUneven        bool          // some nodes receive ten times the load of others
 	Servers         int           // warm ones; 20
-	ServerRate      float64       // calls a second that one bears; 100
-	Load            float64       // part of what all warm servers bear that clients ask for; 0.7
-	HardLimitLoad   float64       // times its ceiling that the customer asks for; 3
+	ServerRate      float64       // calls a second that a warm server can serve; 100
+	Load            float64       // offered, as a fraction of what all warm servers can serve; 0.7
+	HardLimitLoad   float64       // offered by the customer, in multiples of its hard limit; 3
 	Duration        time.Duration // 30 s
 	Seed            uint64
 }
 
-// Report is what came of it.
+// Report is the result of Run.
 type Report struct {
 	Instances         int           `json:"instances"`
 	GroupSize         int           `json:"told"`
 	Lag               time.Duration `json:"lag_ns"`
 	Uneven            bool          `json:"uneven"`
 	Calls             int           `json:"calls"`
-	Served            float64       `json:"served"`     // part of the calls without a ceiling
-	MaxWarmUpOverload float64       `json:"cold"`       // most that the cold server was sent in 2 s, over its limit
-	WarmUpShare       float64       `json:"cold_share"` // what it was sent while cold, over what it could have done
-	MaxOverHardLimit  float64       `json:"over"`       // most units of the customer beyond its ceiling
-	HardLimitUse      float64       `json:"used"`       // units of the customer over what the ceiling gave
+	Served            float64       `json:"served"`     // fraction of the calls without a hard limit
+	MaxWarmUpOverload float64       `json:"cold"`       // largest load of the warming-up server in overloadWindow, relative to its limit
+	WarmUpShare       float64       `json:"cold_share"` // load of that server while warming up, relative to its capacity
+	MaxOverHardLimit  float64       `json:"over"`       // largest excess of the customer over its hard limit, in units
+	HardLimitUse      float64       `json:"used"`       // units that the customer used, relative to its hard limit
 	Trace             []Point       `json:"trace,omitempty"`
 }
 
-// Point is a second of the cold server's life.
+// Point is one second of the warming-up server. Numbers are of calls a second.
 type Point struct {
 	Second        float64 `json:"second"`
-	SentCalls     float64 `json:"sent"`  // calls in it
-	Capacity      float64 `json:"can"`   // that it could do in it
-	OverloadLimit float64 `json:"limit"` // that it bears
+	SentCalls     float64 `json:"sent"`  // received
+	Capacity      float64 `json:"can"`   // of the server
+	OverloadLimit float64 `json:"limit"` // beyond which the server is overloaded
 }
 
-// sim is one run.
+// sim is the state of Run.
 type sim struct {
 	vtime.Clock
 	options Options
 	rng     *rand.Rand
 
 	controllers []*control.Controller
-	weights     []float64 // running sums
+	weights     []float64 // running sums, of the nodes' shares
 	servers     []*server
-	lastID      int // ids given
+	lastID      int // of a call
 
 	result       Report
 	plainCalls   int
 	served       int
-	recentSends  []time.Duration // at the cold server, of the last 2 s
-	sent         map[int]int     // at the cold server, by second
-	tokens       float64         // of the customer's true store
+	recentSends  []time.Duration // at the warming-up server, within overloadWindow
+	sent         map[int]int     // at the warming-up server, by second
+	tokens       float64         // in the customer's true bucket
 	tokensAt     time.Duration
 	limitedUnits float64
 	pending      map[string]pendingCall
@@ -93,14 +95,14 @@
 	attempts     int
 }
 
-// server is a model of one: cores that work one call after another, at a speed that grows.
+// server is an app server: cores that serve one call after another, at a speed that grows while warming up.
 type server struct {
 	coreFreeAt [cores]time.Duration
-	startedAt  time.Duration // when it started, where cold
+	startedAt  time.Duration // of a warming-up server
 	warmingUp  bool
 }
 
-// warmth is the part of its speed that a server has at a time.
+// warmth returns the fraction of its full speed that a server has at a time.
 func (s *server) warmth(now time.Duration) float64 {
 	if !s.warmingUp {
 		return 1
@@ -108,7 +110,7 @@
 	return math.Min(1, warmUpInitial+(1-warmUpInitial)*(now-s.startedAt).Seconds()/warmUpTime.Seconds())
 }
 
-// Run plays a fleet.
+// Run simulates a fleet with one warming-up server and one customer with a hard limit.
 func Run(o Options) (Report, error) {
 	if o.GroupSize == 0 {
 		o.GroupSize = o.Instances
@@ -140,7 +142,7 @@
 		s.weights = append(s.weights, sum)
 	}
 	for g := range s.controllers {
-		// They did not all start in the same moment.
+		// Nodes do not all start at the same moment.
 		s.At(time.Duration(s.rng.Int64N(int64(100*time.Millisecond))), func() { s.deliver(g, control.EndpointList{Kind: control.ListComplete, Endpoints: members}) })
 		learns := joinsAt + time.Duration(float64(o.NotificationLag)*float64(g+1)/float64(o.Instances))
 		endpoint := control.Endpoint{Server: uint32(o.Servers + 1), Size: 1, HasStartedAt: true, StartedAt: joinsAt}
@@ -174,7 +176,7 @@
 	}
 }
 
-// deliver brings an event to an instance and does what it answers.
+// deliver has a node's module handle an event and performs its actions.
 func (s *sim) deliver(g int, e control.Event) {
 	for _, a := range append([]control.Action(nil), s.controllers[g].Handle(s.Now()+time.Hour, shiftStarts(e))...) {
 		switch a := a.(type) {
@@ -190,7 +192,8 @@
 	}
 }
 
-// shiftStarts puts a list on the modules' clock, which is an hour ahead: a start at 0 is long ago.
+// shiftStarts converts the start times of a list to the modules' clock, which is an hour ahead, so that a start
+// at 0 is long ago.
 func shiftStarts(e control.Event) control.Event {
 	l, ok := e.(control.EndpointList)
 	if !ok {
@@ -204,7 +207,7 @@
 	return l
 }
 
-// arrive has a call come, and the next one of its kind later.
+// arrive starts a call, and schedules the next one of its kind.
 func (s *sim) arrive(hasHardLimit bool) {
 	rate := s.options.Load * s.options.ServerRate * float64(s.options.Servers)
 	r := control.Request{Class: "read", Timeout: deadline, Units: 1, FanOut: s.options.GroupSize}
@@ -223,7 +226,7 @@
 	s.At(s.Now()+time.Duration(s.rng.ExpFloat64()/rate*float64(time.Second)), func() { s.arrive(hasHardLimit) })
 }
 
-// instance draws one by its weight.
+// instance draws a node by its weight.
 func (s *sim) instance() int {
 	x := s.rng.Float64() * s.weights[len(s.weights)-1]
 	lo, hi := 0, len(s.weights)-1
@@ -237,7 +240,7 @@
 	return lo
 }
 
-// send has a server take an attempt.
+// send carries an attempt to a server and schedules its end.
 func (s *sim) send(g int, a control.Send) {
 	p := s.pending[a.ID]
 	n := p.attempts
@@ -257,7 +260,7 @@
 	work := cores / s.options.ServerRate * (0.5 + s.rng.Float64()) / to.warmth(s.Now())
 	from := max(s.Now(), to.coreFreeAt[core])
 	done := from + time.Duration(work*float64(time.Second))
-	if done > s.Now()+deadline { // its client will have left: it times out
+	if done > s.Now()+deadline { // it times out
 		s.At(s.Now()+deadline, func() { s.endAttempt(g, a, n, control.TimedOut) })
 		return
 	}
@@ -265,7 +268,7 @@
 	s.At(done, func() { s.endAttempt(g, a, n, control.OK) })
 }
 
-// firstFreeCore is the core that is free first.
+// firstFreeCore returns the core that is free first.
 func firstFreeCore(free []time.Duration) int {
 	core := 0
 	for i := range free {
@@ -284,7 +287,7 @@
 	if w := to.warmth(s.Now()); w < 1 {
 		s.sent[int((s.Now()-joinsAt).Seconds())]++
 		can := overloadWindow.Seconds() * w * s.options.ServerRate
-		if len(s.recentSends) > 1 { // one is never too much
+		if len(s.recentSends) > 1 { // a single request never counts as overload
 			s.result.MaxWarmUpOverload = math.Max(s.result.MaxWarmUpOverload, float64(len(s.recentSends))/(overloadMultiple*can))
 		}
 	}
