--- a/internal/simulation/fleetsim/quota_account.go
+++ b/internal/simulation/fleetsim/quota_account.go
@@ -7,21 +7,21 @@
 	"lockflow/control"
 )
 
-// quotaAccount is a customer's quota as it truly is over the whole group, from its start on, and its meter.
+// quotaAccount is the true state of a customer's quota over the complete group, and its meter.
 type quotaAccount struct {
 	plan     *control.Plan
 	tokens   float64
 	at       time.Duration
 	inFlight int     // attempts
-	offered  float64 // units of all tries so far
+	offered  float64 // units of all requests so far
 	requests int
 
-	history []accountState // after each change
+	history []accountState // states after each change
 	period  time.Duration
-	usages  []periodUsage // by period
+	usages  []periodUsage // by period of the meter
 }
 
-// accountState is a store's level and the attempts out at a time, and what was asked until then.
+// accountState is the state of a quota at one time, and what was requested until then.
 type accountState struct {
 	at       time.Duration
 	tokens   float64
@@ -30,10 +30,10 @@
 	requests int
 }
 
-// periodUsage is what a period is metered with.
+// periodUsage is the usage in one period of the meter.
 type periodUsage struct {
 	units       float64
-	maxInFlight int // attempts out at once
+	maxInFlight int // attempts at one time
 }
 
 func newQuotaAccount(p *control.Plan, period time.Duration) *quotaAccount {
@@ -45,12 +45,12 @@
 	a.at = now
 }
 
-// recordState keeps the state that has just changed.
+// recordState adds the current state to the history.
 func (a *quotaAccount) recordState() {
 	a.history = append(a.history, accountState{a.at, a.tokens, a.inFlight, a.offered, a.requests})
 }
 
-// recordRequest books a try that comes to an instance.
+// recordRequest records a request that arrives at a node.
 func (a *quotaAccount) recordRequest(now time.Duration, units float64) {
 	a.refill(now)
 	a.offered += units
@@ -58,8 +58,8 @@
 	a.recordState()
 }
 
-// charge books a try that is sent on for the first time, of so many units. Inside the quota it takes
-// them; beyond it takes nothing.
+// charge records a request that is forwarded for the first time. It takes its units if it is within the quota,
+// and nothing otherwise.
 func (a *quotaAccount) charge(now time.Duration, units float64) (inside bool) {
 	a.refill(now)
 	if inside = a.hasQuota(units); inside && a.plan.QuotaRate > 0 {
@@ -72,7 +72,7 @@
 	return inside
 }
 
-// missingQuota tells what a try that is beyond the quota lacks.
+// missingQuota describes what a request over its quota lacks.
 func (a *quotaAccount) missingQuota(now time.Duration, units float64) string {
 	a.refill(now)
 	switch open := a.plan.MaxInFlight > 0 && a.inFlight >= a.plan.MaxInFlight; {
@@ -88,7 +88,7 @@
 	return (a.plan.QuotaRate == 0 || a.tokens >= units) && (a.plan.MaxInFlight == 0 || a.inFlight < a.plan.MaxInFlight)
 }
 
-// beginAttempt and ended book an attempt of a try, also a further one.
+// beginAttempt records the start of an attempt, also of a retry.
 func (a *quotaAccount) beginAttempt(now time.Duration) {
 	a.refill(now)
 	a.inFlight++
@@ -105,7 +105,7 @@
 	a.recordState()
 }
 
-// settle takes what a try inside the quota cost more than was taken for it, or gives it back.
+// settle charges the units that a request within the quota used beyond those charged, or refunds them.
 func (a *quotaAccount) settle(now time.Duration, more float64) {
 	if a.plan.QuotaRate == 0 {
 		return
@@ -115,13 +115,13 @@
 	a.recordState()
 }
 
-// hasCapacity tells whether half of the quota is unused.
+// hasCapacity tells whether at least half of the quota is unused.
 func (a *quotaAccount) hasCapacity(now time.Duration) bool {
 	a.refill(now)
 	return (a.plan.QuotaRate == 0 || a.tokens >= a.plan.QuotaBurst/2) && (a.plan.MaxInFlight == 0 || 2*a.inFlight <= a.plan.MaxInFlight)
 }
 
-// stateAt is the state as it was at a time; before the start the store was full.
+// stateAt returns the state at an earlier time; before the start the bucket was full.
 func (a *quotaAccount) stateAt(at time.Duration) accountState {
 	for i := len(a.history) - 1; i >= 0; i-- {
 		if s := a.history[i]; s.at <= at {
@@ -132,7 +132,7 @@
 	return accountState{at: at, tokens: a.plan.QuotaBurst}
 }
 
-// currentUsage is the period of a time; none without a meter.
+// currentUsage returns the usage of the current period; nil without a meter.
 func (a *quotaAccount) currentUsage(now time.Duration) *periodUsage {
 	if a.period == 0 {
 		return nil
@@ -143,8 +143,8 @@
 	return &a.usages[len(a.usages)-1]
 }
 
-// reportedUsage is what the meter tells of the last period that it has added up: 1 and the percent of the rate,
-// or of the open limit where there is no rate. 0 is nothing.
+// reportedUsage returns what the meter reports of the last period that it has summed: 1 + per cent of the
+// rate, or of the in-flight quota where there is no rate; 0 is no report.
 func (a *quotaAccount) reportedUsage(now, late time.Duration) int {
 	a.currentUsage(now)
 	if a.period == 0 || now < late+a.period {
--- a/internal/simulation/fleetsim/quota_day.go
+++ b/internal/simulation/fleetsim/quota_day.go
@@ -10,88 +10,88 @@
 	"lockflow/internal/simulation/fleetrules"
 )
 
-// The calm day in a world of quotas: its customers, and what one gateway that saw all would have done.
+// The calm day with the customers and quotas of a deployment, compared with a single gateway for all requests.
 
 const (
-	quotaOfferedFraction = 0.45 // part of the servers' capacity that is asked for inside quotas
-	maxScriptedBurst     = 1.5  // the most by which a day's script raises what is asked
+	quotaOfferedFraction = 0.45 // load within quotas, as a fraction of the servers' capacity
+	maxScriptedBurst     = 1.5  // largest factor by which a day's script raises the load
 )
 
-// Policy decides on quotas.
+// Policy is what decides on quotas.
 type Policy string
 
-// The policies: that of the module, and two that see late how each customer truly stands over the whole
-// group, which no node can. One lets in what the store held then, less what the same instance has let in
-// since. The other thins what was asked then to the rate and a part of the store.
+// The policies: the module, and two that know the true state of each quota over the complete group with a
+// delay, which no node can. LateStore admits what the bucket had then, less what the same node has admitted
+// since. LateUse admits with the probability that limits what was requested then to the quota.
 const (
 	ByModule  Policy = "module"
 	LateStore Policy = "late store"
 	LateUse   Policy = "late use"
 )
 
-// Policies are all of them, in the order of reports.
+// Policies are all policies, in the order of reports.
 var Policies = []Policy{ByModule, LateStore, LateUse}
 
-// QuotaOptions say what is played.
+// QuotaOptions configure Quotas.
 type QuotaOptions struct {
 	World             string
 	Policy            Policy
-	PolicyDelay       time.Duration // by which a late-seeing policy sees; below 0 is a meter period and the meter's lateness, or 2 s without a meter
+	PolicyDelay       time.Duration // of LateStore and LateUse; negative is a meter period and the meter's delay, or 2 s without a meter
 	Instances         int
-	Duration          time.Duration // 25 s
-	Load              float64       // times what is asked usually; 1
+	Duration          time.Duration // 25 s if it is 0
+	Load              float64       // in multiples of the usual load; 1
 	Seed              uint64
-	ExplainsAdmission bool // tells by what the module let a try in, which takes three times as long
+	ExplainsAdmission bool // counts by what the module admitted requests; takes three times as long
 
-	observe observer // nil observes nothing
+	observe observer // may be nil
 }
 
-// QuotaReport is what came of a day in a world of quotas. Worth is counted in parts of what one gateway
-// that saw all first tries would let in.
+// QuotaReport is the result of Quotas. Weights are fractions of what a single gateway for all calls would
+// admit.
 type QuotaReport struct {
 	World                        string                  `json:"world"`
 	Policy                       Policy                  `json:"policy"`
 	Instances                    int                     `json:"instances"`
 	Seed                         uint64                  `json:"seed"`
-	DelaySeconds                 float64                 `json:"late_s"` // of the meter, or of what the late-seeing policy sees
+	DelaySeconds                 float64                 `json:"late_s"` // of the meter, or of the policy
 	Calls                        int                     `json:"first_tries"`
 	Requests                     int                     `json:"tries"`
-	Served                       float64                 `json:"served"` // worth of tries inside quotas that were answered, with late_share after the aim
-	OverQuotaPrice               float64                 `json:"price"`  // over_cost times the worth of the tries beyond
-	OverQuotaFraction            float64                 `json:"beyond"` // part of the units sent on
-	Excess                       float64                 `json:"excess"` // units of first tries beyond what one gateway would let in, over those within
+	Served                       float64                 `json:"served"` // weight of requests within quotas that were served; late ones count by late_share
+	OverQuotaPrice               float64                 `json:"price"`  // over_cost times the weight of the requests over quotas
+	OverQuotaFraction            float64                 `json:"beyond"` // of the forwarded units
+	Excess                       float64                 `json:"excess"` // units of calls that a single gateway would reject, relative to the others
 	RejectedFraction             float64                 `json:"refused"`
-	RequestsRejectedWithCapacity float64                 `json:"refused_with_room"`          // part of the tries, refused while half of the quota was unused
-	CallsRejectedWithCapacity    float64                 `json:"requests_refused_with_room"` // part of the requests with such a try
-	CallsLostWithCapacity        float64                 `json:"requests_lost_with_room"`    // and that were never sent on
+	RequestsRejectedWithCapacity float64                 `json:"refused_with_room"`          // fraction of the requests, rejected while half of the quota was unused
+	CallsRejectedWithCapacity    float64                 `json:"requests_refused_with_room"` // fraction of the calls with such a request
+	CallsLostWithCapacity        float64                 `json:"requests_lost_with_room"`    // and of those that were never forwarded
 	Broken                       map[fleetrules.Rule]int `json:"broken"`
-	// Cells are the same by plan, by spread and by what was so at a try, in the order of CellNames.
+	// Cells are the same numbers by sort of request (CellNames) and by value.
 	Cells map[string]map[string]*Cell `json:"cells"`
 }
 
-// Cell is what came of the tries of a sort.
+// Cell is the result of the requests of one sort and value.
 type Cell struct {
 	Requests             int     `json:"tries"`
 	ForwardedUnits       float64 `json:"sent"`   // units
 	OverQuotaUnits       float64 `json:"beyond"` // units
-	OverQuotaPrice       float64 `json:"price"`  // a part of the whole price
+	OverQuotaPrice       float64 `json:"price"`  // fraction of the total
 	Rejections           int     `json:"refused"`
 	RejectedWithCapacity int     `json:"refused_with_room"`
-	OfferedWeight        float64 `json:"offered"` // worth, as a part of all
+	OfferedWeight        float64 `json:"offered"` // fraction of the total
 }
 
-// nodeCustomer is a customer at an instance.
+// nodeCustomer is a customer at one node.
 type nodeCustomer struct {
 	node int
 	cust *dayCustomer
 }
 
-// customerKnowledge is what an instance could know of a customer.
+// customerKnowledge is what one node can know of a customer.
 type customerKnowledge struct {
 	hasForwarded bool
 	hasReading   bool
 	lastReading  time.Duration
-	admissions   []admission // by the late-seeing policy
+	admissions   []admission // with LateStore
 }
 
 type admission struct {
@@ -100,38 +100,38 @@
 	units float64
 }
 
-// quotaDay is a day's part that worlds of quotas add. Its methods do nothing on nil.
+// quotaDay is the part of a day that Quotas adds. Its methods do nothing on nil.
 type quotaDay struct {
 	world                *world
 	deployment           *quotaDeployment
 	policy               Policy
 	explainsAdmission    bool
 	meterDelay           time.Duration // of the meter
-	policyDelay          time.Duration // by which the late-seeing policy sees
+	policyDelay          time.Duration // of the policy
 	plans                []control.Plan
 	rates                []float64
 	guessCV              float64
 	skew                 float64
-	otherNodeFraction    float64 // part of the retries through another node
+	otherNodeFraction    float64 // of retries
 	accounts             map[*dayCustomer]*quotaAccount
-	guessedAccounts      map[*dayCustomer]*quotaAccount // as the true ones, of guesses alone
-	singleGateway        map[*dayCustomer]*quotaAccount // of first tries, at one gateway that saw all
+	guessedAccounts      map[*dayCustomer]*quotaAccount // charged by guesses alone
+	singleGateway        map[*dayCustomer]*quotaAccount // of a single gateway for all calls
 	known                map[nodeCustomer]*customerKnowledge
 	result               QuotaReport
 	offeredWeight        float64
-	servedWeight         float64 // served inside
+	servedWeight         float64 // within quotas
 	overQuotaPrice       float64
-	forwardedUnits       float64 // sent on
+	forwardedUnits       float64 // of all forwarded requests
 	excess               struct{ in, over float64 }
-	policyRand           *rand.Rand // of the late-seeing policy
+	policyRand           *rand.Rand // of LateUse
 	overQuotaUnits       float64
 	rejections           int
 	rejectedWithCapacity int
 	calls                struct{ rejectedWithCapacity, lost int }
 }
 
-// Quotas plays the calm day in a world of quotas. The same options give the same report, and two policies
-// see the same first tries.
+// Quotas simulates the calm day with the customers and quotas of a deployment. The same options give the same
+// report, and all policies have the same calls.
 func Quotas(o QuotaOptions) (QuotaReport, error) {
 	f := quotaDeployments[o.World]
 	if f == nil {
@@ -145,7 +145,7 @@
 	return rep, err
 }
 
-// playQuotas plays a day's script in a world of quotas.
+// playQuotas simulates a day by its script with the quotas of a deployment.
 func playQuotas(o QuotaOptions, f *quotaDeployment, p dayPlan) (*quotaDay, QuotaReport, error) {
 	q := &quotaDay{deployment: f, policy: o.Policy, explainsAdmission: o.ExplainsAdmission && o.Policy == ByModule, accounts: map[*dayCustomer]*quotaAccount{}, singleGateway: map[*dayCustomer]*quotaAccount{}, guessedAccounts: map[*dayCustomer]*quotaAccount{}, known: map[nodeCustomer]*customerKnowledge{}}
 	r := stream(o.Seed, 3)
@@ -168,13 +168,13 @@
 	return q, rep, nil
 }
 
-// settings are what the instances are told.
+// settings changes the settings of the nodes.
 func (q *quotaDay) settings(s *control.Settings) {
 	if q == nil {
 		return
 	}
 	s.Plans, s.MeterPeriod, s.UnitsInResponse, s.MaxUnits = append([]control.Plan(nil), q.plans...), q.deployment.meterPeriod, q.deployment.units == guessed, q.deployment.maxUnits
-	if q.policy != ByModule { // the module has no quota to keep then, and hears of none
+	if q.policy != ByModule { // the module then has no quota and no meter
 		s.MeterPeriod = 0
 		for i := range s.Plans {
 			s.Plans[i].QuotaRate, s.Plans[i].QuotaBurst, s.Plans[i].MaxInFlight = 0, 0, 0
@@ -182,7 +182,7 @@
 	}
 }
 
-// drawCustomers draws the customers of each plan until they ask its share.
+// drawCustomers draws customers of each plan until their load is its share.
 func (q *quotaDay) drawCustomers(w *world) {
 	q.world = w
 	inside := quotaOfferedFraction * float64(len(w.hosts)) * dayCores / dayWork
@@ -223,8 +223,8 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// drawFanOut draws the size of a customer's set: two at least, and of a plan with a ceiling no more than
-// each may send two of the largest requests at once.
+// drawFanOut draws the number of a customer's nodes: at least two, and with a hard limit at most so many that
+// each can forward two of the largest requests at once.
 func (q *quotaDay) drawFanOut(p *control.Plan, t quotaPlan, r *rand.Rand) int {
 	n := t.fanOut.draw(r) * float64(q.world.options.Instances)
 	if p.HardLimitRate > 0 {
@@ -238,8 +238,7 @@
 	q.world.After(seconds(q.deployment.shiftInterval.draw(c.demand.rng)), func() { q.shiftWeights(c) })
 }
 
-// arrive has a customer's first tries come: each moment at which one could come at the most is thinned
-// to what is asked then.
+// arrive starts a customer's calls: arrivals at the largest rate are thinned to the current rate.
 func (q *quotaDay) arrive(c *dayCustomer) {
 	w, d := q.world, c.demand
 	if w.Now() >= w.options.Duration {
@@ -252,7 +251,7 @@
 	w.After(seconds(d.rng.ExpFloat64()/maxRate), func() { q.arrive(c) })
 }
 
-// startCall is a first try.
+// startCall starts a call, which the single gateway decides on too.
 func (q *quotaDay) startCall(cust *dayCustomer) {
 	w, d := q.world, cust.demand
 	c := &call{arrivedAt: w.Now(), customer: cust, class: d.rng.IntN(2)}
@@ -275,7 +274,7 @@
 	w.sendRequest(c)
 }
 
-// nodeFor is the instance that a try comes to: a retry's mostly the same as before.
+// nodeFor returns the node that a request arrives at; that of a retry is mostly the one before.
 func (q *quotaDay) nodeFor(c *call) int {
 	if c.requests > 0 && q.world.clientRand.Float64() < q.otherNodeFraction {
 		c.node = (c.customer.firstNode + c.customer.demand.chooseNode(q.world.clientRand)) % len(q.world.nodes)
@@ -283,7 +282,7 @@
 	return c.node
 }
 
-// Add adds another's counts, and its parts as one of n.
+// Add adds the counts of another cell, and its fractions divided by n.
 func (c *Cell) Add(o *Cell, n float64) {
 	c.Requests, c.Rejections, c.RejectedWithCapacity = c.Requests+o.Requests, c.Rejections+o.Rejections, c.RejectedWithCapacity+o.RejectedWithCapacity
 	c.ForwardedUnits, c.OverQuotaUnits = c.ForwardedUnits+o.ForwardedUnits, c.OverQuotaUnits+o.OverQuotaUnits
--- a/internal/simulation/fleetsim/quota_judge.go
+++ b/internal/simulation/fleetsim/quota_judge.go
@@ -8,9 +8,9 @@
 	"lockflow/control"
 )
 
-// What a world of quotas books, tells and reports; and the policy that sees true stores late.
+// What Quotas records and reports, and the decisions of the late policies.
 
-// CellNames are the sorts of tries that a report tells apart.
+// CellNames are the sorts by which a report counts requests.
 var CellNames = []string{"plan", "spread", "customer", "known here", "customer known here", "try", "node", "let in", "lacks", "guesses", "refused"}
 
 const nodeStartPeriod = 5 * time.Second
@@ -24,7 +24,7 @@
 	return k
 }
 
-// cellOf is where what comes of a sort of tries is booked.
+// cellOf returns the cell of a sort and value.
 func (q *quotaDay) cellOf(sort, name string) *Cell {
 	if q.result.Cells == nil {
 		q.result.Cells = map[string]map[string]*Cell{}
@@ -40,7 +40,7 @@
 	return c
 }
 
-// admitRequest sorts a try by what is so at its arrival, and tells whether it gets to the module at all.
+// admitRequest sorts a request that arrives at a node, and tells whether the policy passes it to the module.
 func (q *quotaDay) admitRequest(i int, t *clientRequest) bool {
 	if q == nil {
 		return true
@@ -103,7 +103,8 @@
 	return isAdmitted
 }
 
-// hasUnusedQuota tells whether the true state as it was, less what this instance has let in since, has room.
+// hasUnusedQuota tells whether the true quota before the policy's delay, less what this node has admitted since,
+// suffices for a request.
 func (q *quotaDay) hasUnusedQuota(now time.Duration, k *customerKnowledge, c *dayCustomer, units float64) bool {
 	was, plan := q.accounts[c].stateAt(now-q.policyDelay), &q.plans[c.plan]
 	for len(k.admissions) > 0 && k.admissions[0].at < now-q.policyDelay {
@@ -116,7 +117,8 @@
 	return (plan.QuotaRate == 0 || was.tokens >= units) && (plan.MaxInFlight == 0 || was.inFlight < plan.MaxInFlight)
 }
 
-// admissionRemainder is what the module's chance has over of a customer at an instance. A draw changes it.
+// admissionRemainder returns the remainder of the module's error diffusion for a customer at a node, which each
+// probabilistic admission changes; -1 is none.
 func (q *quotaDay) admissionRemainder(i int, c *dayCustomer) float64 {
 	key := q.plans[c.plan].Name + " " + c.name
 	for _, one := range q.world.nodes[i].controller.Image().Customers {
@@ -127,8 +129,8 @@
 	return -1
 }
 
-// admissionReason tells by what a try was let in. One that has waited counts as let in by chance where another of its
-// customer was drawn for meanwhile.
+// admissionReason describes by what a request was admitted. One that has waited counts as admitted by
+// probability if another of its customer was meanwhile.
 func (q *quotaDay) admissionReason(i int, t *clientRequest) string {
 	switch {
 	case !t.hasReading:
@@ -139,8 +141,8 @@
 	return "by chance"
 }
 
-// admissionProbability thins what was asked to the rate and what the store would give over twice the time by which it
-// is seen late; and to half of the open limit, as attempts come by chance.
+// admissionProbability returns the probability that limits what was requested before the delay to the rate and
+// the bucket over twice the delay, and to half of the in-flight quota.
 func (q *quotaDay) admissionProbability(now time.Duration, c *dayCustomer, units float64) float64 {
 	plan, span := &q.plans[c.plan], max(q.policyDelay, 500*time.Millisecond)
 	was := q.accounts[c].stateAt(now - q.policyDelay)
@@ -156,7 +158,7 @@
 	return p
 }
 
-// recordForwarded books a try's first attempt that has come whole, began each.
+// recordForwarded records an attempt that has arrived completely at a server, and charges the first of a request.
 func (q *quotaDay) recordForwarded(i int, t *clientRequest) {
 	if q == nil {
 		return
@@ -199,7 +201,7 @@
 	}
 }
 
-// recordServed books a good answer.
+// recordServed records a request that was served.
 func (q *quotaDay) recordServed(t *clientRequest) {
 	if q == nil || !t.isUnderQuota {
 		return
@@ -216,7 +218,7 @@
 	q.servedWeight += weight
 }
 
-// recordRejection books a try that is refused.
+// recordRejection records a request that was rejected.
 func (q *quotaDay) recordRejection(i int, t *clientRequest) {
 	if q == nil {
 		return
@@ -250,7 +252,7 @@
 	}
 }
 
-// reportedUsage is what an answer tells an instance of a customer's use.
+// reportedUsage returns the quota usage that a response reports to a node.
 func (q *quotaDay) reportedUsage(i int, c *dayCustomer) int {
 	if q.policy != ByModule {
 		return 0
--- a/internal/simulation/fleetsim/quota_world.go
+++ b/internal/simulation/fleetsim/quota_world.go
@@ -9,55 +9,55 @@
 	"lockflow/control"
 )
 
-// Worlds of quotas: what customers ask, in plans of what terms, and how their use is metered. Each
-// is a table of ranges, from which a seed draws a deployment and its customers.
+// Deployments of quotas: the load of customers, the terms of their plans, and the meter of their usage. Each is
+// a table of ranges, from which a seed draws the values.
 
-// valueRange is a range that is drawn from evenly; its zero value is a figure of none.
+// valueRange is a range from which values are drawn evenly; the zero value means that there is none.
 type valueRange [2]float64
 
 func (s valueRange) draw(r *rand.Rand) float64 { return s[0] + (s[1]-s[0])*r.Float64() }
 
-// unitsKind tells how a request's units come about.
+// unitsKind is how the units of a request are determined.
 type unitsKind int
 
 const (
 	oneUnit unitsKind = iota
-	byClass           // an update takes two
-	bySize            // known at its arrival
-	guessed           // by its size, of which a guess is known; an answer tells the true units
+	byClass           // an update has two
+	bySize            // known at arrival
+	guessed           // by size, of which a guess is known at arrival; the response has the true units
 )
 
-// quotaPlan are a plan's terms.
+// quotaPlan is the terms of a plan.
 type quotaPlan struct {
 	name        string
-	share       float64 // of what is asked inside quotas
+	share       float64 // of the load within quotas
 	price       float64
-	overCost    float64    // part of its worth that a try beyond the quota costs
-	rate        valueRange // units a second; where there is an open limit alone, what demand goes by
-	burst       valueRange // s of the rate that its store holds
-	maxInFlight valueRange // times the attempts that the rate keeps out on idle servers; none has no such limit
-	hasNoRate   bool       // and no rate
-	hardLimit   valueRange // times rate and burst; none has no ceiling
-	fanOut      valueRange // part of the group that a customer comes through
+	overCost    float64    // of a request over its quota, as a fraction of its weight
+	rate        valueRange // units a second, by which demand is drawn too
+	burst       valueRange // bucket, in seconds of the rate
+	maxInFlight valueRange // in multiples of the attempts that the rate has in flight at idle servers
+	hasNoRate   bool       // maxInFlight is the only limit
+	hardLimit   valueRange // in multiples of rate and burst
+	fanOut      valueRange // of the group, as a fraction
 }
 
-// quotaDeployment is one customer's world.
+// quotaDeployment is the quotas and the customers of one deployment.
 type quotaDeployment struct {
 	help     string // one line of help
 	units    unitsKind
-	maxUnits float64    // units of a request
-	guessCV  valueRange // error of a guess, as the deviation of its logarithm
-	// Parts of the customers that ask nearly all of their quota, far more than it, and far more in spikes.
+	maxUnits float64    // of a request
+	guessCV  valueRange // standard deviation of the logarithm of a guess
+	// Fractions of the customers that request nearly all of their quota, far more, and far more in spikes.
 	full, heavy, spiky                          valueRange
-	usageFraction, heavyMultiple, spikeMultiple valueRange // of their rate that the others ask, and that those do
-	spikeDuration, spikeInterval                valueRange // s
-	skew, shiftInterval, otherNodeFraction      valueRange // deviation of a set's weights, as logarithms; s between their shifts; part of the retries through another node
+	usageFraction, heavyMultiple, spikeMultiple valueRange // in multiples of the quota's rate, for all others and these two
+	spikeDuration, spikeInterval                valueRange // in seconds
+	skew, shiftInterval, otherNodeFraction      valueRange // standard deviation of the logarithms of the nodes' weights; seconds until these change; fraction of retries
 	meterPeriod                                 time.Duration
-	meterDelay                                  valueRange // s by which a period is told after its end
+	meterDelay                                  valueRange // seconds from the end of a period to its report
 	plans                                       []quotaPlan
 }
 
-// QuotaNames are the worlds that Quotas plays.
+// QuotaNames are the deployments that Quotas simulates.
 var QuotaNames = []string{"clinic", "library", "archive", "cableway", "kiosk"}
 
 var quotaDeployments = map[string]*quotaDeployment{
@@ -111,10 +111,10 @@
 	},
 }
 
-// QuotaHelp says what a world is.
+// QuotaHelp describes a deployment in one line.
 func QuotaHelp(name string) string { return quotaDeployments[name].help }
 
-// drawUnits draws a request's units: those it is told to take, and the true ones.
+// drawUnits draws the units of a request: those known at arrival, and the true ones.
 func (f *quotaDeployment) drawUnits(class int, cv float64, r *rand.Rand) (units, cost float64) {
 	switch f.units {
 	case byClass:
@@ -130,7 +130,7 @@
 	return units, cost
 }
 
-// meanCost is the units of a request on average.
+// meanCost returns the mean of the true units of a request.
 func (f *quotaDeployment) meanCost() float64 {
 	r, sum := stream(1, 7), 0.0
 	const draws = 4096
@@ -141,7 +141,7 @@
 	return sum / draws
 }
 
-// drawPlans draws the plans as a deployment has them, and the rate that demand goes by in each.
+// drawPlans draws the plans, and the rate by which the demand for each is drawn.
 func (f *quotaDeployment) drawPlans(r *rand.Rand) (plans []control.Plan, rates []float64) {
 	for _, t := range f.plans {
 		rate := t.rate.draw(r)
@@ -163,7 +163,7 @@
 	return plans, rates
 }
 
-// demandKind is how a customer asks.
+// demandKind is the pattern of a customer's load.
 type demandKind string
 
 const (
@@ -174,21 +174,21 @@
 	inSpike   demandKind = "spiky, in a spike"
 )
 
-// demand is what a customer of a world of quotas asks.
+// demand is the load of one customer.
 type demand struct {
-	rng       *rand.Rand // its own, so that two policies see the same first tries
+	rng       *rand.Rand // its own, so that all policies have the same calls
 	kind      demandKind
 	usualRate float64 // requests a second
-	spikeRate float64 // and in a spike
+	spikeRate float64 // the same in a spike
 	spikes    [][2]time.Duration
-	weights   []float64 // running sums over its set
+	weights   []float64 // running sums, by node
 }
 
 func (d *demand) inSpike(at time.Duration) bool {
 	return slices.ContainsFunc(d.spikes, func(s [2]time.Duration) bool { return s[0] <= at && at < s[1] })
 }
 
-// rateAt is what it asks at a time, and how it asks then.
+// rateAt returns the requests a second at a time, and their pattern.
 func (d *demand) rateAt(at time.Duration) (float64, demandKind) {
 	if d.inSpike(at) {
 		return d.spikeRate, inSpike
@@ -196,7 +196,7 @@
 	return d.usualRate, d.kind
 }
 
-// drawWeights draws the weights of its set.
+// drawWeights draws the weights of the customer's nodes.
 func (d *demand) drawWeights(skew float64, spread int) {
 	d.weights = make([]float64, spread)
 	sum := 0.0
@@ -206,7 +206,7 @@
 	}
 }
 
-// chooseNode draws one of its set.
+// chooseNode draws the index of a node by its weight.
 func (d *demand) chooseNode(r *rand.Rand) int {
 	k, _ := slices.BinarySearch(d.weights, r.Float64()*d.weights[len(d.weights)-1])
 	return min(k, len(d.weights)-1)
--- a/internal/simulation/fleetsim/world.go
+++ b/internal/simulation/fleetsim/world.go
@@ -14,56 +14,56 @@
 	"lockflow/internal/simulation/vtime"
 )
 
-// Figures of the days' world that no option changes. Works and aims are those of a service whose
-// calls take a quarter of a second and whose clients wait for ten.
+// Constants of the simulated days: a service whose requests take a quarter of a second and whose clients wait
+// for ten.
 const (
-	dayWork              = 0.25 // s of one core, on average
+	dayWork              = 0.25 // mean of a request, in seconds of a core
 	dayLatencyObjective  = 3 * time.Second
 	dayDeadline          = 10 * time.Second
-	dayRepeatWindow      = time.Second // in which a cell's servers drop repeats
+	dayRepeatWindow      = time.Second // within which a cell's servers drop repeats
 	dayCores             = 4
-	maxServerQueue       = 80 // requests that a server holds beyond its cores
+	maxServerQueue       = 80 // requests beyond its cores
 	maxServerConnections = 400
 	dayCellSize          = 6
 	dayZones             = 3
-	serversPerNode       = 0.6 // servers for each instance
-	offeredFraction      = 0.5 // part of the servers' capacity that is asked for inside quotas
+	serversPerNode       = 0.6 // servers for each node
+	offeredFraction      = 0.5 // load within quotas, as a fraction of the servers' capacity
 	handshakeWork        = 1e-3
 	idleConnectionTime   = 15 * time.Second
 	connectTime          = 250 * time.Millisecond
-	listDelayOfStart     = time.Second             // until a new server is listed
-	listDelayOfEnd       = 2 * time.Second         // until a drain or an end is
-	maxNotificationDelay = 6 * time.Second         // after which news counts as told, from its time or from when a watch fell silent
-	watchSilence         = 3200 * time.Millisecond // until a silent watch is noticed and a new one has said what was missed
-	maxSlowConnect       = time.Second             // until a connection is up that comes up late
+	listDelayOfStart     = time.Second             // from a server's start until it is listed
+	listDelayOfEnd       = 2 * time.Second         // from a server's drain or end until that is listed
+	maxNotificationDelay = 6 * time.Second         // after a change, or since a watch is silent, when a node counts as notified
+	watchSilence         = 3200 * time.Millisecond // until a silent watch is detected and a new one has sent what was missed
+	maxSlowConnect       = time.Second             // of a slow connection
 	loadReportInterval   = 400 * time.Millisecond
-	meterLagPeriods      = 2 // periods of a second: the one before the last that ended is told
+	meterLagPeriods      = 2 // of a second each; the period before the last complete one is reported
 	termGrace            = 3 * time.Second
 	maxUnits             = 4
 
-	rejectedAllMin = 15 // requests rejected in a row, over so long or more, are all that an instance gets
+	rejectedAllMin = 15 // consecutive rejections over rejectedAllFor that count as rejecting all requests
 	rejectedAllFor = 4 * time.Second
 
-	firstUse = time.Hour // on the modules' clock
+	firstUse = time.Hour // of the modules' clock, at the start of a day
 )
 
-// DayOptions say what is played.
+// DayOptions configure Day. Zero fields have the defaults given.
 type DayOptions struct {
 	Day       string
 	Instances int
-	GroupSize int           // size of the group that they are told; 0 is as many as there are
-	Duration  time.Duration // 25 s; the long day 120 s
-	Load      float64       // times what is asked usually, which is half of what the servers can do; 1
+	GroupSize int           // that nodes are configured with; Instances
+	Duration  time.Duration // 25 s; 120 s for the long day
+	Load      float64       // in multiples of half of the servers' capacity; 1
 	Seed      uint64
-	Mutation  *Mutation // nil takes no guard out
+	Mutation  *Mutation // nil is none
 
-	observe observer // nil observes nothing
+	observe observer // may be nil
 }
 
-// observer sees each event that an instance's controller handles, and the actions that answer it.
+// observer is called with each event that a node's module handles, and its actions.
 type observer func(w *world, instance int, event control.Event, actions []control.Action)
 
-// DayReport is what came of a day.
+// DayReport is the result of a day. Weight is that of priorities, prices and units.
 type DayReport struct {
 	Day               string                  `json:"day"`
 	Instances         int                     `json:"instances"`
@@ -72,16 +72,16 @@
 	Calls             int                     `json:"first_tries"`
 	Requests          int                     `json:"tries"`
 	Attempts          int                     `json:"attempts"`
-	Served            float64                 `json:"served"`     // part of the worth asked inside quotas that was answered within its aim
-	Classes           map[string]float64      `json:"classes"`    // the same of each class
-	Thirds            [3]float64              `json:"thirds"`     // and of each third of the day
-	Plans             map[string]float64      `json:"plans"`      // and of each plan
-	RejectingFraction float64                 `json:"rejecting"`  // part of the instances that rejected all that they got for 4 s
-	StarvedFraction   float64                 `json:"starved"`    // part of that worth whose customers were served under a tenth of theirs
-	OverQuotaFraction float64                 `json:"beyond"`     // part of the units sent on that were beyond quotas
-	FailedFraction    float64                 `json:"failed"`     // part of the tries
-	Handshakes        float64                 `json:"handshakes"` // for each first try
-	MaxWarmUpOverload float64                 `json:"cold"`       // the most a cold server was sent, over its limit
+	Served            float64                 `json:"served"`     // fraction of the weight offered within quotas that was served within the latency objective
+	Classes           map[string]float64      `json:"classes"`    // the same by class
+	Thirds            [3]float64              `json:"thirds"`     // by third of the day
+	Plans             map[string]float64      `json:"plans"`      // by plan
+	RejectingFraction float64                 `json:"rejecting"`  // fraction of the nodes that rejected all requests for rejectedAllFor
+	StarvedFraction   float64                 `json:"starved"`    // fraction of that weight of customers that were served less than a tenth of theirs
+	OverQuotaFraction float64                 `json:"beyond"`     // fraction of the forwarded units
+	FailedFraction    float64                 `json:"failed"`     // fraction of the requests
+	Handshakes        float64                 `json:"handshakes"` // new connections to servers for each call
+	MaxWarmUpOverload float64                 `json:"cold"`       // largest load of a warming-up server relative to its limit
 	Broken            map[fleetrules.Rule]int `json:"broken"`
 	Breaches          []fleetrules.Breach     `json:"breaches,omitempty"`
 }
@@ -91,11 +91,11 @@
 const (
 	hostUp hostState = iota
 	hostDraining
-	hostSilent // its machine is lost: nothing answers
+	hostSilent // its machine is lost: no packet is answered
 	hostGone   // its process has ended: connections are refused
 )
 
-// host is an app server of the model.
+// host is a simulated app server.
 type host struct {
 	id                  uint32
 	zone                string
@@ -104,51 +104,51 @@
 	isLeaving           bool
 	isFaulty            bool
 	disconnectedUntil   time.Duration
-	bootedAt            time.Duration // cold since; negative is long ago
-	incarnation         int           // counts its starts: work of an earlier one is lost
+	bootedAt            time.Duration // start; negative is long ago
+	incarnation         int           // number of its starts; work of an earlier one is lost
 	coreFreeAt          [dayCores]time.Duration
 	inFlight            int
-	connections         map[int]time.Duration // last use by instance
-	smoothedUtilization float64               // smoothed part of its cores
+	connections         map[int]time.Duration // last use, by node
+	smoothedUtilization float64               // fraction of its cores
 	smoothedTime        float64
 	report              control.LoadReport
 	reportAt            time.Duration
 }
 
-// listed is an entry of the list, and whether it says up.
+// listed is an endpoint of the list, and whether it is listed as available.
 type listed struct {
 	control.Endpoint
 	isUp bool
 }
 
-// node is an instance.
+// node is a simulated node.
 type node struct {
 	controller          *control.Controller
 	settings            control.Settings
 	grantsFullHardLimit bool
-	incarnation         int // counts its starts
+	incarnation         int // number of its starts
 	down                bool
 	closing             bool
 	inFlight            map[string]*clientRequest
-	knownIncarnations   map[uint32]int // the life of each server of which it was told
-	watchSilentSince    time.Duration  // its watch has fallen silent
-	watchSilentUntil    time.Duration  // and is open anew; 0 is never silent
+	knownIncarnations   map[uint32]int // by server, as it was notified
+	watchSilentSince    time.Duration  // since when its watch is silent
+	watchSilentUntil    time.Duration  // when a new watch is open; 0 is never silent
 
-	rejectedInRow  int           // requests rejected with no attempt in between
-	rejectingSince time.Duration // the first of them
-	hasRejectedAll bool          // they were rejectedAllMin or more over rejectedAllFor, once
+	rejectedInRow  int           // consecutive rejections, without an attempt
+	rejectingSince time.Duration // the first of these
+	hasRejectedAll bool          // it has rejected all requests at some time
 }
 
-// customer is a client's name with its demand.
+// dayCustomer is a customer and the nodes that its requests arrive at.
 type dayCustomer struct {
 	name              string
 	plan              int
 	firstNode, fanOut int
-	preferredNode     int     // the instance of its set that gets a fifth of its tries
-	demand            *demand // in a world of quotas
+	preferredNode     int     // among its nodes; it receives a fifth of the requests
+	demand            *demand // with Quotas
 }
 
-// call is a client's request over all its tries.
+// call is a client's call with all its requests: the first and its retries.
 type call struct {
 	arrivedAt    time.Duration
 	customer     *dayCustomer
@@ -159,25 +159,25 @@
 	weight       float64
 	isServed     bool
 
-	// In a world of quotas: its true units, its instance, whether a try was sent on, and whether one was refused with room.
+	// With Quotas only. rejectedWithCapacity tells that a request was rejected while half of the quota was unused.
 	actualUnits          float64
 	node                 int
 	isForwarded          bool
 	rejectedWithCapacity bool
 }
 
-// clientRequest is one request at an instance.
+// clientRequest is one request at a node.
 type clientRequest struct {
 	id       string
 	call     *call
 	deadline time.Duration
 	attempts int
 
-	// In a world of quotas: whether it was sent on, and inside its quota; what sorts it is of; why it is refused.
+	// With Quotas only: whether it was forwarded, and within its quota; the cells that count it.
 	isForwarded, isUnderQuota bool
 	cells                     []*Cell
 	rejectionCause            control.Cause
-	admissionRemainder        float64 // what the module's chance had over, where it had read of the customer
+	admissionRemainder        float64 // of the module's error diffusion, if hasReading
 	hasReading                bool
 }
 
@@ -185,8 +185,8 @@
 	vtime.Clock
 	options        DayOptions
 	script         dayPlan
-	rules          control.Settings // as they are, whatever a mutation tells an instance
-	rng            *rand.Rand       // of the world; clients have their own, so that two variants see the same arrivals
+	rules          control.Settings // without the mutation
+	rng            *rand.Rand       // of the world; clients have their own, so that all variants have the same arrivals
 	clientRand     *rand.Rand
 	checker        *fleetrules.Checker
 	result         DayReport
@@ -194,16 +194,16 @@
 	hosts          []*host
 	byID           map[uint32]*host
 	drawnCustomers []*dayCustomer
-	demandSums     []float64 // of customers' demand
+	demandSums     []float64 // running sums of the customers' demand
 	freshCustomers int
-	arrivalRate    float64 // first tries a second
+	arrivalRate    float64 // calls a second
 	lastID         int
-	quotas         map[string]*quota // true stores of the quotas, of first tries and of what is sent
+	quotas         map[string]*quota // true quotas, by customer
 	meters         map[string]*meter
 
 	listsSilentUntil time.Duration
 	meterDown        bool
-	totalWeight      weightTotals // of all
+	totalWeight      weightTotals // of all customers
 	classes          [2]weightTotals
 	plans            []weightTotals
 	thirds           [3]weightTotals
@@ -222,15 +222,15 @@
 type meter struct {
 	period      int
 	current     float64
-	periodUnits []float64 // by period, of the last ones
+	periodUnits []float64 // of the last periods
 }
 
-// weightTotals is what was asked inside quotas, and what of it was served in time.
+// weightTotals is the weight offered within quotas, and what of it was served in time.
 type weightTotals struct{ offered, served float64 }
 
 func (w *weightTotals) servedFraction() float64 { return w.served / math.Max(1, w.offered) }
 
-// countWeight books a first try's worth, asked or served, wherever it belongs.
+// countWeight adds the weight of a call, offered or served, to all totals that it belongs to.
 func (w *world) countWeight(c *call, offered, served float64) {
 	third := min(2, int(3*c.arrivedAt/w.options.Duration))
 	own := w.customers[c.customer]
@@ -244,8 +244,8 @@
 	}
 }
 
-// Day plays a day of a fleet in virtual time, with the real module in each instance, and holds it to
-// the five rules. The same options give the same report.
+// Day simulates a day of a fleet with the real module in each node, and checks it against the rules of package
+// fleetrules. The same options give the same report.
 func Day(o DayOptions) (DayReport, error) {
 	p, err := dayOf(o.Day)
 	if err != nil {
@@ -254,7 +254,7 @@
 	return play(o, p)
 }
 
-// play plays a day's script.
+// play simulates a day by its script.
 func play(o DayOptions, p dayPlan) (DayReport, error) {
 	if o.Instances < 1 || o.GroupSize < 0 || o.Load < 0 {
 		return DayReport{}, fmt.Errorf("simulating %q: %d instances, %d told", o.Day, o.Instances, o.GroupSize)
@@ -315,7 +315,7 @@
 		r.Thirds[i] = w.thirds[i].servedFraction()
 	}
 	byName := func(a, b *dayCustomer) int { return strings.Compare(a.name, b.name) }
-	for _, cust := range slices.SortedFunc(maps.Keys(w.customers), byName) { // a sum of another order is another in its last digit
+	for _, cust := range slices.SortedFunc(maps.Keys(w.customers), byName) { // a fixed order, so that rounding is the same each time
 		if c := w.customers[cust]; c.servedFraction() < 0.1 {
 			r.StarvedFraction += c.offered / math.Max(1, w.totalWeight.offered)
 		}
