--- a/internal/simulation/balancesim/sim.go
+++ b/internal/simulation/balancesim/sim.go
@@ -1,7 +1,6 @@
-// Package balancesim plays one node in virtual time before app servers that tell nothing of their
-// load, and compares the decision module's choice of server with round robin and with least in
-// flight. The module is the real one; servers and clients are a model. Everything follows from the
-// seed.
+// Package balancesim simulates one node in virtual time with app servers that send no load reports, and compares
+// the decision module's choice of server with round robin and with least in flight. The module is the real one;
+// servers and clients are a model. All results follow from the seed.
 package balancesim
 
 import (
@@ -17,32 +16,32 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Figures of the model that no option changes.
+// Constants of the model.
 const (
 	servers         = 8
 	cores           = 4
-	meanWork        = 20 * time.Millisecond // of a call on one core of a server of speed 1
+	meanWork        = 20 * time.Millisecond // of a call, on one core of a server of speed 1
 	deadline        = 5 * time.Second
-	maxAttempts     = 3 // of one call
+	maxAttempts     = 3 // of a call
 	faultsStart     = 10 * time.Second
 	fastFailureTime = time.Millisecond
 )
 
-// Case is a set of servers and what happens to one of them, from 10 s on.
+// Case is a set of servers and the fault of the first of them, from faultsStart on.
 type Case struct {
 	Name   string
 	Speeds [servers]float64
-	// Trouble of the first server; the others have none.
-	SlowDown        float64       // times slower
-	Status          int           // that it answers at once: 500 goes to the client, 503 may be tried elsewhere
-	FailingFraction float64       // of its calls that it answers so
-	DownTime        time.Duration // of each Cycle, in which it refuses connections
+	// Faults of the first server.
+	SlowDown        float64       // factor of its service times; 0 is none
+	Status          int           // that it answers at once: 500 is final, 503 may be retried at another server
+	FailingFraction float64       // of its calls that it answers with Status
+	DownTime        time.Duration // of each Cycle, during which it refuses connections
 	Cycle           time.Duration
 }
 
 var equalSpeeds = [servers]float64{1, 1, 1, 1, 1, 1, 1, 1}
 
-// Cases are what is played.
+// Cases are all cases.
 var Cases = []Case{
 	{Name: "equal", Speeds: equalSpeeds},
 	{Name: "unequal, 1 to 8", Speeds: [servers]float64{0.5, 0.5, 1, 1, 2, 2, 4, 4}},
@@ -53,31 +52,31 @@
 	{Name: "one flaps, down 1 s of 3", Speeds: equalSpeeds, DownTime: time.Second, Cycle: 3 * time.Second},
 }
 
-// Policies are what is compared, in this order.
+// Policies are the policies that are compared, in this order.
 var Policies = []string{"module", "round robin", "least in flight"}
 
-// Options say what is played.
+// Options configure Run.
 type Options struct {
-	Load     float64 // part of what all servers can do
+	Load     float64 // fraction of the capacity of all servers
 	Duration time.Duration
 	Seed     uint64
 }
 
-// Report is what came of a case under a policy, from the trouble's begin on.
+// Report is the result of a case under a policy, from faultsStart on.
 type Report struct {
 	Case           string  `json:"case"`
 	Policy         string  `json:"policy"`
 	Calls          int     `json:"calls"`
-	Served         float64 `json:"served"` // part of the calls
-	Failed         float64 `json:"failed"` // answered by 5xx, cut or too late
+	Served         float64 `json:"served"` // fraction of the calls
+	Failed         float64 `json:"failed"` // fraction that was answered with 5xx, reset or too late
 	Refused        float64 `json:"refused"`
-	P50            float64 `json:"p50_ms"` // of the served
+	P50            float64 `json:"p50_ms"` // of served calls
 	P99            float64 `json:"p99_ms"`
-	RetriesPerCall float64 `json:"extra"` // further attempts a call
+	RetriesPerCall float64 `json:"extra"` // attempts after the first, for each call
 }
 
-// balancer chooses servers. It is told of calls and of how attempts end; it sends and gives up
-// through the sim.
+// balancer chooses servers. It is called for new calls and for the ends of attempts, and sends attempts and
+// finishes calls by methods of sim.
 type balancer interface {
 	arrive(id int)
 	endAttempt(c *call, server, n int, why control.Reason, final bool)
@@ -94,7 +93,7 @@
 	lastID    int
 	result    Report
 	latencies []float64
-	outcomes  [3]int // served, failed, refused
+	outcomes  [3]int // by outcome
 	attempts  int
 }
 
@@ -107,7 +106,7 @@
 	tried     [servers]bool
 }
 
-// Run plays one case under one policy.
+// Run simulates one case under one policy.
 func Run(c Case, policy string, o Options) (Report, error) {
 	s := &sim{options: o, testCase: c, rng: rand.New(rand.NewPCG(o.Seed, 31)), calls: make(map[int]*call)}
 	s.result = Report{Case: c.Name, Policy: policy}
@@ -130,7 +129,7 @@
 	return s.report(), nil
 }
 
-// arrive has a call come, and another one later.
+// arrive starts a call, and schedules the next one.
 func (s *sim) arrive() {
 	rate := 0.0
 	for _, v := range s.testCase.Speeds {
@@ -145,7 +144,7 @@
 	s.After(time.Duration(s.rng.ExpFloat64()/(rate*s.options.Load)*float64(time.Second)), s.arrive)
 }
 
-// send has a server take an attempt.
+// send carries an attempt to a server and schedules its end.
 func (s *sim) send(c *call, to int) {
 	n := c.attempts
 	c.attempts++
@@ -187,7 +186,7 @@
 	}
 }
 
-// The ends of a call.
+// Outcomes of a call.
 const (
 	served = iota
 	failed
@@ -219,8 +218,8 @@
 	return r
 }
 
-// simplePolicy is a policy without a memory but for what is in flight: it sends at once, and once more
-// elsewhere what may be.
+// simplePolicy is a policy that has no state but the attempts in flight: it sends each call at once, and retries
+// where that is allowed.
 type simplePolicy struct {
 	sim      *sim
 	choose   func(*simplePolicy, *call) int
@@ -229,7 +228,7 @@
 }
 
 func fewestInFlight(p *simplePolicy, c *call) int {
-	best, at := -1, p.sim.rng.IntN(servers) // ties by chance
+	best, at := -1, p.sim.rng.IntN(servers) // random order among equals
 	for i := range servers {
 		k := (at + i) % servers
 		if !c.tried[k] && (best < 0 || p.inFlight[k] < p.inFlight[best]) {
@@ -259,7 +258,7 @@
 	}
 }
 
-// module is the decision module with what an ordinary service has.
+// module is the decision module with the settings of a service of generic HTTP.
 type module struct {
 	sim        *sim
 	controller *control.Controller
@@ -301,7 +300,7 @@
 	}
 }
 
-// giveUp ends a call: one that was sent has failed, whatever the module calls it.
+// giveUp finishes a call that the module rejects or fails; one that was sent counts as failed in any case.
 func (m *module) giveUp(id string) {
 	c := m.sim.calls[callNumber(id)]
 	switch {
@@ -314,7 +313,7 @@
 }
 
 func callNumber(id string) (n int) {
-	_, _ = fmt.Sscan(id, &n) // our own
+	_, _ = fmt.Sscan(id, &n) // the ID was made by arrive
 	return n
 }
 
--- a/internal/simulation/fleetrules/rules.go
+++ b/internal/simulation/fleetrules/rules.go
@@ -1,7 +1,7 @@
-// Package fleetrules holds what a whole fleet did against the five rules: one final answer each, in
-// time; no effect twice; drains kept; cold servers not pushed over; ceilings kept. It is told what
-// came in, what went out and how it ended, and knows nothing of how an instance decides. A Checker
-// is not safe for concurrent use; its times only move forward.
+// Package fleetrules checks the actions of a complete fleet against the five rules: one final answer each, in
+// time; no effect twice; draining servers get nothing new; warming-up servers are not overloaded; hard limits
+// are kept. It is passed what arrived, what was sent and how it ended, and is independent of how nodes decide.
+// A Checker is not safe for concurrent use, and its calls are in the order of their times.
 package fleetrules
 
 import (
@@ -14,39 +14,39 @@
 	"lockflow/control"
 )
 
-// Rule names one of the five.
+// Rule is one of the five rules.
 type Rule string
 
 // The rules. The values are what reports carry: "cold" is a server that is warming up, "ceiling" a hard limit.
 const (
-	Answer    Rule = "answer"  // one final answer each, in time
-	Twice     Rule = "twice"   // no effect twice
-	Drain     Rule = "drain"   // nothing new to a server that drains or is gone
-	WarmingUp Rule = "cold"    // no server that is warming up overloaded
-	HardLimit Rule = "ceiling" // no customer beyond its hard limit
+	Answer    Rule = "answer"  // one final answer for each request, in time
+	Twice     Rule = "twice"   // no effect of a request twice
+	Drain     Rule = "drain"   // no attempt to a server that is draining or gone
+	WarmingUp Rule = "cold"    // no overload of a server that is warming up
+	HardLimit Rule = "ceiling" // no customer above its hard limit
 )
 
-// notifiedFraction is the part of the work sent to a server that is warming up that must have come from instances that
-// knew of its start, for the fleet to be at fault.
+// notifiedFraction is the fraction of the work sent to a warming-up server that has to be from nodes notified of
+// its start for an overload to be a breach.
 const notifiedFraction = 2.0 / 3
 
-// maxBreaches is how many breaches a Checker stores; those after them are only counted.
+// maxBreaches is how many breaches a Checker stores; further ones are only counted.
 const maxBreaches = 100
 
-// Terms are the figures of the rules.
+// Terms are the tolerances of the rules.
 type Terms struct {
-	AnswerGrace      time.Duration // past a client's time, in which an answer still counts
-	DrainGrace       time.Duration // after an instance was told
-	OverloadWindow   time.Duration // span over which a cold server's work is counted
-	OverloadMultiple float64       // times what it can do at that moment
-	MeanWork         float64       // s of one core that a request takes on average; 0 leaves chance no room
+	AnswerGrace      time.Duration // after a client's deadline, in which an answer is in time
+	DrainGrace       time.Duration // after a node was notified
+	OverloadWindow   time.Duration // over which the work of a warming-up server is summed
+	OverloadMultiple float64       // of its capacity at that moment, above which it is overloaded
+	MeanWork         float64       // of a request, in seconds of a core; 0 allows no random deviation
 }
 
-// Breach is a rule broken once.
+// Breach is one violation of a rule.
 type Breach struct {
 	Rule   Rule          `json:"rule"`
 	At     time.Duration `json:"at_ns"`
-	Node   int           `json:"node"`             // -1 is the fleet
+	Node   int           `json:"node"`             // -1 is the complete fleet
 	ID     string        `json:"id,omitempty"`     // of the request
 	Server uint32        `json:"server,omitempty"` // 0 is none
 	What   string        `json:"what"`
@@ -56,22 +56,22 @@
 	return fmt.Sprintf("%s at %.3f s, node %d, request %q, server %d: %s", b.Rule, b.At.Seconds(), b.Node, b.ID, b.Server, b.What)
 }
 
-// Server is what the checker has to know of one.
+// Server is what the checker needs of a server.
 type Server struct {
 	Zone string
 	Cell int
-	// Capacity is the work, in s of one core each second, that it can do at a time, and whether it is
-	// still cold then. Nil is a server that is warm.
+	// Capacity returns the capacity at a time, in seconds of a core a second, and whether the server is warming
+	// up then. Nil is a warm server.
 	Capacity func(at time.Duration) (work float64, warmingUp bool)
 }
 
-// Checker holds a fleet to the rules.
+// Checker checks a fleet against the rules.
 type Checker struct {
 	Terms Terms
 
 	servers           map[uint32]*server
 	requests          map[string]*request
-	notifications     map[int]map[uint32]time.Duration // when each was told that a server drains or is gone
+	notifications     map[int]map[uint32]time.Duration // by node: when it was notified that a server is draining or gone
 	hardLimits        map[string]*hardLimitBucket
 	counts            map[Rule]int
 	breaches          []Breach
@@ -80,9 +80,9 @@
 
 type server struct {
 	Server
-	work         []work // of late, while cold
+	work         []work // within the overload window, while warming up
 	totalWork    float64
-	notifiedWork float64 // of the sum, by instances that knew of its start
+	notifiedWork float64 // from nodes that were notified of its start
 	isOverloaded bool
 }
 
@@ -97,11 +97,11 @@
 	class       *control.Class
 	deadline    time.Duration
 	answered    bool
-	excused     bool // nothing is owed: its client left, or its instance was killed
-	inFlight    int  // attempts that have come whole and not ended
+	excused     bool // needs no answer: its client is gone, or its node was killed
+	inFlight    int  // attempts that have arrived completely and not ended
 	mayRun      bool
 	firstServer Server        // of the first attempt that may have run
-	firstSentAt time.Duration // its send
+	firstSentAt time.Duration // of that attempt
 }
 
 type hardLimitBucket struct {
@@ -109,7 +109,7 @@
 	at     time.Duration
 }
 
-// New makes a checker.
+// New returns a Checker.
 func New(t Terms) *Checker {
 	return &Checker{
 		Terms: t, servers: map[uint32]*server{}, requests: map[string]*request{},
@@ -123,10 +123,10 @@
 	}
 }
 
-// Broken is how often each rule was broken; none where it is empty.
+// Broken returns the number of breaches by rule; it has no entry for a rule without any.
 func (c *Checker) Broken() map[Rule]int { return c.counts }
 
-// Breaches are the first of them, in the order of their time.
+// Breaches returns the first breaches, by time.
 func (c *Checker) Breaches() []Breach {
 	slices.SortFunc(c.breaches, func(a, b Breach) int {
 		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Rule, b.Rule), cmp.Compare(a.ID, b.ID))
@@ -134,14 +134,14 @@
 	return c.breaches
 }
 
-// MaxWarmUpOverload is the largest ratio of the work sent to a server while it was warming up to its limit.
+// MaxWarmUpOverload returns the largest load of a warming-up server relative to its limit.
 func (c *Checker) MaxWarmUpOverload() float64 { return c.maxWarmUpOverload }
 
-// Started tells of a server that has started, at a time, or anew.
+// Started records that a server has started or restarted.
 func (c *Checker) Started(id uint32, s Server) { c.servers[id] = &server{Server: s} }
 
-// Notified notes that an instance was notified, or counts as notified, that a server drains or is gone; or, where
-// it is up, that it may be sent to.
+// Notified records that a node was notified, or counts as notified, that a server is draining or gone, or with
+// up that it is available.
 func (c *Checker) Notified(at time.Duration, node int, id uint32, up bool) {
 	m := c.notifications[node]
 	if m == nil {
@@ -155,13 +155,13 @@
 	}
 }
 
-// Taken notes a request that an instance has taken, of a client that waits for so long.
+// Taken records a request that has arrived at a node, of a client that waits for ttl.
 func (c *Checker) Taken(at time.Duration, node int, id string, class *control.Class, ttl time.Duration) {
 	c.requests[id] = &request{node: node, class: class, deadline: at + ttl}
 }
 
-// Sent notes an attempt at the moment in which it is sent. first is whether it is the request's first,
-// which draws its units from the customer's ceiling.
+// Sent records an attempt when it is sent. first tells that it is the request's first, which is charged to the
+// customer's hard limit.
 func (c *Checker) Sent(at time.Duration, node int, id string, to uint32, first bool, plan *control.Plan, customer string, units float64) {
 	if notifiedAt, ok := c.notifications[node][to]; ok && at > notifiedAt+c.Terms.DrainGrace {
 		c.breach(Breach{Drain, at, node, id, to, fmt.Sprintf("sent %.2f s after it was told that the server drains or is gone", (at - notifiedAt).Seconds())})
@@ -175,7 +175,7 @@
 	}
 }
 
-// checkRetry holds an attempt against those before it.
+// checkRetry checks an attempt against those before it.
 func (c *Checker) checkRetry(at time.Duration, node int, id string, to uint32, r *request) {
 	bad := func(what string) { c.breach(Breach{Twice, at, node, id, to, what}) }
 	if r.answered {
@@ -199,7 +199,7 @@
 	}
 }
 
-// Ended notes how an attempt ended that was sent at a time: whether it may have run.
+// Ended records the end of an attempt that was sent at a time, and whether the request may have run.
 func (c *Checker) Ended(id string, sent time.Duration, to uint32, mayRun bool) {
 	r := c.requests[id]
 	if r == nil {
@@ -211,7 +211,7 @@
 	}
 }
 
-// Answered notes a final answer; refused is one after which the client may try again.
+// Answered records a final answer; refused tells the client that it may retry.
 func (c *Checker) Answered(at time.Duration, node int, id string, refused bool) {
 	r := c.requests[id]
 	if r == nil {
@@ -230,15 +230,15 @@
 	r.answered = true
 }
 
-// Left notes that a request's client has left: nothing more is owed.
+// Left records that a request's client is gone, so that it needs no answer.
 func (c *Checker) Left(id string) {
 	if r := c.requests[id]; r != nil {
 		r.excused = true
 	}
 }
 
-// Killed notes that an instance has died without warning, or, where it ended by itself and owed
-// what it held, that it has ended.
+// Killed records that a node was killed without warning or, with owed, that it has ended by itself, which it may
+// only after it has answered all requests.
 func (c *Checker) Killed(at time.Duration, node int, owed bool) {
 	for id, r := range c.requests {
 		if r.node != node || r.answered || r.excused {
@@ -251,8 +251,8 @@
 	delete(c.notifications, node)
 }
 
-// Arrived notes work that has reached a server, turned away or not, from an instance that had or
-// had not been told of the server's start.
+// Arrived records work that has arrived at a server, rejected or not. notified tells whether its node was
+// notified of the server's start. s is in seconds of a core.
 func (c *Checker) Arrived(at time.Duration, id uint32, s float64, notified bool) {
 	v := c.servers[id]
 	if v == nil || v.Capacity == nil {
@@ -274,14 +274,14 @@
 	if v.totalWork <= limit || v.isOverloaded {
 		return
 	}
-	v.isOverloaded = true // the first fall is what counts, whoever it is due to
+	v.isOverloaded = true // only the first overload counts, whichever nodes caused it
 	if v.notifiedWork > notifiedFraction*v.totalWork {
 		c.breach(Breach{WarmingUp, at, -1, "", id, fmt.Sprintf("sent %.1f times what it can do at that moment", v.totalWork/(can*c.Terms.OverloadWindow.Seconds()))})
 	}
 }
 
-// warmUpLimit is the work at which a server that is warming up is overloaded: beyond what it can do the times that it bears, what
-// chance brings of N requests of mean work, 2 roots of N and 2.
+// warmUpLimit returns the work above which a warming-up server is overloaded: a multiple of its capacity, and
+// for N requests of mean work a random deviation of 2*sqrt(N)+2 requests.
 func (t *Terms) warmUpLimit(can float64) float64 {
 	work := t.OverloadMultiple * can * t.OverloadWindow.Seconds()
 	if t.MeanWork <= 0 {
@@ -296,7 +296,7 @@
 	}
 }
 
-// chargeHardLimit takes a request's units from its customer's ceiling, which all instances share.
+// chargeHardLimit charges a request to its customer's hard limit, which all nodes share.
 func (c *Checker) chargeHardLimit(at time.Duration, node int, id string, p *control.Plan, customer string, units float64) {
 	q := c.hardLimits[customer]
 	if q == nil {
@@ -310,7 +310,7 @@
 	}
 }
 
-// Close ends the day: what is still owed by then and overdue was never answered.
+// Close records the end of the day: requests that are overdue then were never answered.
 func (c *Checker) Close(at time.Duration) {
 	for id, r := range c.requests {
 		if !r.answered && !r.excused && at > r.deadline+c.Terms.AnswerGrace {
--- a/internal/simulation/fleetsim/quota_judge.go
+++ b/internal/simulation/fleetsim/quota_judge.go
@@ -40,44 +40,60 @@
 	return c
 }
 
-// admitRequest sorts a request that arrives at a node, and tells whether the policy passes it to the module.
-func (q *quotaDay) admitRequest(i int, t *clientRequest) bool {
-	if q == nil {
-		return true
-	}
+// cellsOf returns the cells that count a request at its arrival.
+func (q *quotaDay) cellsOf(t *clientRequest, k *customerKnowledge) []*Cell {
 	now, c := q.world.Now(), t.call.customer
-	k := q.knownAt(i, c)
-	_, how := c.demand.rateAt(now)
-	met := "never asked"
-	switch age := now - k.lastReading; {
-	case k.hasReading && age <= 3*time.Second:
-		met = "read within 3 s"
-	case k.hasReading && age <= 10*time.Second:
-		met = "read within 10 s"
-	case k.hasReading:
-		met = "read longer ago"
-	case k.hasForwarded:
-		met = "sent on, not read"
-	}
-	turn := "first"
+	_, pattern := c.demand.rateAt(now)
+	knowledge := k.describe(now)
+	attempt := "first"
 	if t.call.requests > 1 {
-		turn = "repeat"
+		attempt = "repeat"
 	}
 	age := "older"
 	if now < nodeStartPeriod {
 		age = fmt.Sprintf("first %v", nodeStartPeriod)
 	}
-	width := "over half of the group"
+	fanOut := "over half of the group"
 	switch n := len(q.world.nodes); {
 	case c.fanOut <= 15:
-		width = "to 15 nodes"
+		fanOut = "to 15 nodes"
 	case 2*c.fanOut <= n:
-		width = "to half of the group"
+		fanOut = "to half of the group"
 	}
-	t.cells = []*Cell{
-		q.cellOf("plan", q.plans[c.plan].Name), q.cellOf("spread", width), q.cellOf("customer", string(how)), q.cellOf("known here", met), q.cellOf("customer known here", string(how)+": "+met),
-		q.cellOf("try", turn), q.cellOf("node", age),
+	return []*Cell{
+		q.cellOf("plan", q.plans[c.plan].Name),
+		q.cellOf("spread", fanOut),
+		q.cellOf("customer", string(pattern)),
+		q.cellOf("known here", knowledge),
+		q.cellOf("customer known here", string(pattern)+": "+knowledge),
+		q.cellOf("try", attempt),
+		q.cellOf("node", age),
 	}
+}
+
+// describe returns how recent a node's knowledge of a customer is.
+func (k *customerKnowledge) describe(now time.Duration) string {
+	switch age := now - k.lastReading; {
+	case k.hasReading && age <= 3*time.Second:
+		return "read within 3 s"
+	case k.hasReading && age <= 10*time.Second:
+		return "read within 10 s"
+	case k.hasReading:
+		return "read longer ago"
+	case k.hasForwarded:
+		return "sent on, not read"
+	}
+	return "never asked"
+}
+
+// admitRequest sorts a request that arrives at a node, and tells whether the policy passes it to the module.
+func (q *quotaDay) admitRequest(i int, t *clientRequest) bool {
+	if q == nil {
+		return true
+	}
+	now, c := q.world.Now(), t.call.customer
+	k := q.knownAt(i, c)
+	t.cells = q.cellsOf(t, k)
 	for _, one := range t.cells {
 		one.Requests++
 	}
