--- a/internal/shortage/shortage.go
+++ b/internal/shortage/shortage.go
@@ -1,5 +1,5 @@
-// Package shortage tells errors of the system that pass by themselves, a lack of descriptors, ports, memory or buffers,
-// from those that a later call gives again, and has calls outlast them.
+// Package shortage tells apart errors of system calls that are transient, a lack of descriptors, ports, memory or
+// buffers, from permanent ones, and retries calls that fail with transient ones.
 package shortage
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Bounds of the backoff between two calls. A shortage may pass at once, and many wait for the same.
+// Bounds of the backoff between two calls.
 const (
 	minBackoff = 2 * time.Millisecond
 	maxBackoff = 50 * time.Millisecond
@@ -19,14 +19,14 @@
 var (
 	// of the process's or the system's descriptors, of memory and buffers
 	resourceErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR}
-	// of local ports, as connect(2) tells it; bind(2) tells a wrong address so
+	// of local ports, as connect(2) returns it; bind(2) returns it for an invalid address
 	portErrors = []error{syscall.EADDRNOTAVAIL, syscall.EAGAIN}
 )
 
 // OfResources reports whether an error is one of a shortage of descriptors, memory or buffers on this machine.
 func OfResources(err error) bool { return isAny(err, resourceErrors) }
 
-// OfDial reports whether an error of making a connection is one of a shortage on this machine, of ports too. It tells
+// OfDial reports whether an error of connecting is one of a shortage on this machine, of ports too. It says
 // nothing about the peer.
 func OfDial(err error) bool { return OfResources(err) || isAny(err, portErrors) }
 
@@ -37,10 +37,10 @@
 // Retry calls a function until it fails with no shortage, or limit has passed or ctx has ended, and returns its last
 // error.
 func Retry(ctx context.Context, limit time.Duration, isShortage func(error) bool, call func() error) error {
-	begun, backoff := time.Now(), minBackoff
+	started, backoff := time.Now(), minBackoff
 	for {
 		err := call()
-		if err == nil || !isShortage(err) || time.Since(begun)+backoff > limit {
+		if err == nil || !isShortage(err) || time.Since(started)+backoff > limit {
 			return err
 		}
 		select {
--- a/internal/simulation/decisiondigest/decisiondigest.go
+++ b/internal/simulation/decisiondigest/decisiondigest.go
@@ -33,17 +33,17 @@
 
 const (
 	tagSend tag = iota + 1
-	tagWithdraw
-	tagRefuse
+	tagCancelAttempt
+	tagReject
 	tagFail
-	tagArm
-	tagProbe
+	tagStartTimer
+	tagCheckHealth
 	tagDisconnect
-	tagFollow
-	tagSnapshot
-	tagSay
-	tagCount
-	tagRemark
+	tagWatchEndpoints
+	tagFetchEndpoints
+	tagSendPeerMessage
+	tagAddToCounter
+	tagLogLine
 )
 
 // stateEncoding writes floats in all their 64 bits, and map keys and fields sorted.
@@ -105,40 +105,40 @@
 		d.duration(a.Timeout)
 		d.duration(a.WriteTimeout)
 	case control.CancelAttempt:
-		d.begin(tagWithdraw, a.ID)
+		d.begin(tagCancelAttempt, a.ID)
 		d.integer(int64(a.Attempt))
 	case control.Reject:
-		d.begin(tagRefuse, a.ID)
+		d.begin(tagReject, a.ID)
 		d.duration(a.RetryAfter)
 		d.text(a.Cause.String())
 	case control.Fail:
 		d.begin(tagFail, a.ID)
 		d.text(a.Cause.String())
 	case control.StartTimer:
-		d.begin(tagArm, "")
+		d.begin(tagStartTimer, "")
 		d.duration(a.After)
 		d.unsigned(a.Label)
 	case control.CheckHealth:
-		d.begin(tagProbe, "")
+		d.begin(tagCheckHealth, "")
 		d.integer(int64(a.Server))
 	case control.Disconnect:
 		d.begin(tagDisconnect, "")
 		d.integer(int64(a.Server))
 	case control.WatchEndpoints:
-		d.begin(tagFollow, fmt.Sprint(a.Active))
+		d.begin(tagWatchEndpoints, fmt.Sprint(a.Active))
 	case control.FetchEndpoints:
-		d.begin(tagSnapshot, "")
+		d.begin(tagFetchEndpoints, "")
 	case control.SendPeerMessage:
-		d.begin(tagSay, "")
+		d.begin(tagSendPeerMessage, "")
 		d.integer(int64(a.To))
 		d.bytes(a.Raw)
 	case control.AddToCounter:
-		d.begin(tagCount, "")
+		d.begin(tagAddToCounter, "")
 		d.unsigned(a.Name)
 		d.float(a.Add)
 		d.duration(a.Lifetime)
 	case control.LogLine:
-		d.begin(tagRemark, a.Text)
+		d.begin(tagLogLine, a.Text)
 	default:
 		panic(fmt.Sprintf("decisiondigest: no canonical form of %T", action))
 	}
