--- a/internal/bulkhead/bulkhead_test.go
+++ b/internal/bulkhead/bulkhead_test.go
@@ -186,7 +186,7 @@
 		delete(g.rejectedSince, o)
 		return
 	}
-	if since, again := g.rejectedSince[o]; !again {
+	if since, isRepeated := g.rejectedSince[o]; !isRepeated {
 		g.rejectedSince[o] = g.now
 	} else if g.now >= since+maxLoanTime {
 		t.Fatalf("%d more than %d of a guaranteed %d rejected for %v", n, used, guaranteed, g.now-since)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -130,10 +130,10 @@
 		t.Fatal(err)
 	}
 	r.awaitStatus("the new process", func(s manage.Status) bool { return s.SuccessorPID != 0 })
-	beside := r.status().SuccessorPID
+	successorPID := r.status().SuccessorPID
 	r.process.Process.Signal(syscall.SIGHUP)
 	r.process.Process.Signal(syscall.SIGTERM)
-	testkit.Until(t, "both ends", func() bool { return hasEnded(old.PID) && hasEnded(beside) })
+	testkit.Until(t, "both ends", func() bool { return hasEnded(old.PID) && hasEnded(successorPID) })
 	if _, err := os.Stat(r.directory + "/pid"); !os.IsNotExist(err) {
 		t.Errorf("the pid file is left: %v", err)
 	}
@@ -146,7 +146,7 @@
 // empty and the status lists a degraded condition.
 func TestHardLimitOverRestarts(t *testing.T) {
 	r := startDaemon(t, "")
-	begun := time.Now()
+	startedAt := time.Now()
 	served := r.sendRequests(60)
 	for i, kill := range []bool{true, true, false, true} {
 		pid := r.status().PID
@@ -158,14 +158,14 @@
 		}
 		testkit.Until(t, "the end", func() bool { return hasEnded(pid) })
 		r.start("")
-		if doubts := r.status().DegradedConditions; (len(doubts) > 0) != kill {
-			t.Errorf("start %d: it distrusts %v", i, doubts)
+		if conditions := r.status().DegradedConditions; (len(conditions) > 0) != kill {
+			t.Errorf("start %d: it distrusts %v", i, conditions)
 		}
 		served += r.sendRequests(60)
 	}
 	// The first start's slack and what the rate gave, the client's own time included.
-	if most := 2 + 50*time.Since(begun).Seconds() + 1; float64(served) > most {
-		t.Errorf("%d units, at most %.0f were due", served, most)
+	if maxServed := 2 + 50*time.Since(startedAt).Seconds() + 1; float64(served) > maxServed {
+		t.Errorf("%d units, at most %.0f were due", served, maxServed)
 	}
 }
 
@@ -178,8 +178,8 @@
 	}
 	t.Cleanup(counter.Close)
 	b := quotalease.Rules{Instances: 1, Term: 200 * time.Millisecond, MaxDrift: 0.001}.Bound(quotalease.HardLimit{Rate: 50, Burst: 50})
-	ceiling := &fake.HardLimitMonitor{Rate: b.Rate, Burst: b.Burst}
-	r := startDaemonWith(t, "", ceiling, "[services.a]", fmt.Sprintf("[services.a]\ncounter = { addresses = [%q], term = \"200ms\", pledge = \"400ms\", "+
+	monitor := &fake.HardLimitMonitor{Rate: b.Rate, Burst: b.Burst}
+	r := startDaemonWith(t, "", monitor, "[services.a]", fmt.Sprintf("[services.a]\ncounter = { addresses = [%q], term = \"200ms\", pledge = \"400ms\", "+
 		"settle = \"500ms\", over = 0.5 }", counter.Addr()))
 	more := func() {
 		t.Helper()
@@ -214,7 +214,7 @@
 	r.awaitStatus("a counter that lends", func(s manage.Status) bool {
 		return len(s.Services[0].HardLimits) == 1 && s.Services[0].HardLimits[0].CanBorrow
 	})
-	worst, units := ceiling.MaxExcess()
+	worst, units := monitor.MaxExcess()
 	if t.Logf("%.0f units, %.1f beyond the bound", units, worst); worst > 0 || counter.Calls() == 0 {
 		t.Errorf("%.1f units beyond the bound; %d calls", worst, counter.Calls())
 	}
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -125,13 +125,13 @@
 
 // startDaemonWith is startDaemon with servers that check a hard limit, and with old replaced by new in the
 // configuration.
-func startDaemonWith(t *testing.T, successorFault string, ceiling *fake.HardLimitMonitor, old, new string) *daemonProcess {
+func startDaemonWith(t *testing.T, successorFault string, monitor *fake.HardLimitMonitor, old, new string) *daemonProcess {
 	t.Helper()
 	r := &daemonProcess{t: t, directory: testkit.ShortDir(t)}
 	var servers []fake.Server
 	group := &fake.Group{Window: 15 * time.Second}
 	for i := range 3 {
-		servers = append(servers, fake.Server{UID: fmt.Sprint("s", i), Group: group, Work: 2 * time.Millisecond, HardLimit: ceiling})
+		servers = append(servers, fake.Server{UID: fmt.Sprint("s", i), Group: group, Work: 2 * time.Millisecond, HardLimit: monitor})
 	}
 	var err error
 	if r.pool, err = testbench.StartPool(servers); err != nil {
--- a/internal/discovery/pacer_test.go
+++ b/internal/discovery/pacer_test.go
@@ -23,8 +23,8 @@
 // call makes a call; isAnswered is whether it was answered in time, after some time either way.
 func (d *simulatedDiscovery) call() (isAnswered bool, after time.Duration) {
 	d.busyUntil = max(d.busyUntil, d.Now()) + d.serviceTime
-	if took := d.busyUntil - d.Now(); took <= d.maxWait {
-		return true, took
+	if elapsed := d.busyUntil - d.Now(); elapsed <= d.maxWait {
+		return true, elapsed
 	}
 	d.busyUntil -= d.serviceTime / 2 // a rejection costs time too
 	if d.rejectsAtOnce {
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -220,8 +220,8 @@
 				f.SetSource(Source{Address: "discovery:1"})
 				moved := time.Now()
 				for _, later := range []time.Duration{0, 900 * time.Millisecond, 1900 * time.Millisecond} {
-					again := time.AfterFunc(later, func() { f.SetSource(Source{Address: "discovery:1"}) })
-					defer again.Stop()
+					timer := time.AfterFunc(later, func() { f.SetSource(Source{Address: "discovery:1"}) })
+					defer timer.Stop()
 				}
 				_, delivered := playScript(t, f, nil)
 				if late := delivered.Sub(moved); late > missedEventDeadline-moveTimeSpent {
@@ -240,8 +240,8 @@
 	} {
 		for _, group := range []int{1, 3, 40, 300} {
 			for _, at := range []time.Duration{500 * time.Millisecond, 2500 * time.Millisecond, watchSilenceTimeout, watchSilenceTimeout + minRetryDelay/2} {
-				for way, to := range map[string][]string{"once": {"discovery:1"}, "twice": {"discovery:1", "discovery:1"}, "and back": {"discovery:1", "old:1"}} {
-					t.Run(fmt.Sprint(name, " ", group, " ", at, " ", way), func(t *testing.T) {
+				for move, to := range map[string][]string{"once": {"discovery:1"}, "twice": {"discovery:1", "discovery:1"}, "and back": {"discovery:1", "old:1"}} {
+					t.Run(fmt.Sprint(name, " ", group, " ", at, " ", move), func(t *testing.T) {
 						synctest.Test(t, func(t *testing.T) { checkMove(t, old, group, at, to) })
 					})
 				}
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -221,10 +221,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		here, there := net.Pipe()
 		opened := make(chan time.Duration, 10)
-		begun := time.Now()
+		startedAt := time.Now()
 		w := newWatcher("agent", 41, watchSilenceTimeout, &Pacer{}, func(EndpointList) {})
 		w.client.Transport = &http.Transport{DisableKeepAlives: true, DialContext: func(context.Context, string, string) (net.Conn, error) {
-			opened <- time.Since(begun)
+			opened <- time.Since(startedAt)
 			if len(opened) > 1 {
 				return nil, errors.New("nobody")
 			}
@@ -287,8 +287,8 @@
 		var delivered []EndpointList
 		w := newWatcher("a:1", 41, testkit.WaitTimeout, &Pacer{}, func(l EndpointList) { delivered = append(delivered, l) })
 		w.client.Transport = bodyTransport(in)
-		if heard, err := w.watch(t.Context()); !heard || err != nil || w.revision != 45 || !reflect.DeepEqual(delivered, want) {
-			t.Errorf("cut at %s: %v, %v, delivered %+v", name, heard, err, delivered)
+		if hasData, err := w.watch(t.Context()); !hasData || err != nil || w.revision != 45 || !reflect.DeepEqual(delivered, want) {
+			t.Errorf("cut at %s: %v, %v, delivered %+v", name, hasData, err, delivered)
 		}
 	}
 }
--- a/internal/front/client_departure_test.go
+++ b/internal/front/client_departure_test.go
@@ -70,8 +70,8 @@
 					strings.HasPrefix(got, "HTTP") && !departure.floods, strings.HasSuffix(got, "200"):
 					t.Errorf("the client that was not forwarded got %q", got)
 				}
-				if seen := strings.Join(node.app.Requests(), " "); strings.Contains(seen, "left") || strings.Contains(seen, "behind") {
-					t.Errorf("the server saw %.200s", seen)
+				if received := strings.Join(node.app.Requests(), " "); strings.Contains(received, "left") || strings.Contains(received, "behind") {
+					t.Errorf("the server saw %.200s", received)
 				}
 			})
 		}
--- a/internal/front/client_registry_test.go
+++ b/internal/front/client_registry_test.go
@@ -41,8 +41,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				heard := 0
-				m, f, _, stop := startFront(t, func(r control.Request) []control.Action { heard++; return rejectRequest(r) }, nil, nil)
+				received := 0
+				m, f, _, stop := startFront(t, func(r control.Request) []control.Action { received++; return rejectRequest(r) }, nil, nil)
 				defer stop()
 				client, server := net.Pipe()
 				conn := &connWithReadHook{Conn: server}
@@ -50,8 +50,8 @@
 				defer client.Close()
 				in := bufio.NewReader(client)
 				io.WriteString(client, completeRequest)
-				if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable || heard != 1 {
-					t.Fatalf("%v, %v; heard of %d", resp, err, heard)
+				if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable || received != 1 {
+					t.Fatalf("%v, %v; heard of %d", resp, err, received)
 				}
 				synctest.Wait()
 				conn.afterRead = func() { close(f) }
@@ -59,7 +59,7 @@
 				if resp, err := http.ReadResponse(in, nil); err == nil {
 					t.Errorf("answered %v", resp)
 				}
-				if synctest.Wait(); heard != 1 {
+				if synctest.Wait(); received != 1 {
 					t.Error("a request was begun whose client has no connection any more")
 				}
 			})
@@ -204,8 +204,8 @@
 				io.WriteString(c, completeRequest)
 				io.ReadFull(c, make([]byte, takes))
 				synctest.Wait()
-				if held := s.Status().Requests; held != 0 {
-					t.Errorf("the service holds %d", held)
+				if inFlight := s.Status().Requests; inFlight != 0 {
+					t.Errorf("the service holds %d", inFlight)
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), answerWriteTimeout+time.Second)
 				defer cancel()
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -104,20 +104,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				heard := 0
-				m, _, _, stop := startFront(t, func(control.Request) []control.Action { heard++; return nil }, nil, nil)
+				received := 0
+				m, _, _, stop := startFront(t, func(control.Request) []control.Action { received++; return nil }, nil, nil)
 				defer stop()
-				c, begun := m.dial(), time.Now()
+				c, startedAt := m.dial(), time.Now()
 				defer c.Close()
 				go io.WriteString(c, text)
 				raw, _ := io.ReadAll(c) // up to the close
-				if took := time.Since(begun); took > 3*time.Second || took < requestReadTimeout {
-					t.Errorf("closed after %v", took)
+				if elapsed := time.Since(startedAt); elapsed > 3*time.Second || elapsed < requestReadTimeout {
+					t.Errorf("closed after %v", elapsed)
 				}
 				if text := string(raw); text != "" && !strings.HasPrefix(text, "HTTP/1.1 4") {
 					t.Errorf("answered %q", text)
 				}
-				if heard > 0 {
+				if received > 0 {
 					t.Error("the module heard of it")
 				}
 			})
@@ -159,14 +159,14 @@
 			"GET /read?account=0000000000000001 HTTP/1.1\r\n" + requestHeaders + "\r\n",
 			"POST /write?account=0000000000000001 HTTP/1.1\r\n" + requestHeaders + "Content-Length: 9\r\n\r\nhalf",
 		} {
-			c, begun := m.dial(), time.Now()
+			c, startedAt := m.dial(), time.Now()
 			go io.WriteString(c, head)
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") != "1" || time.Since(begun) > 0 {
-				t.Errorf("%s %v after %v", resp.Status, resp.Header, time.Since(begun))
+			if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") != "1" || time.Since(startedAt) > 0 {
+				t.Errorf("%s %v after %v", resp.Status, resp.Header, time.Since(startedAt))
 			}
 			c.Close()
 		}
--- a/internal/front/read_close_race_test.go
+++ b/internal/front/read_close_race_test.go
@@ -57,9 +57,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			held := heldReadListener{LingeringListener(socket), make(chan struct{}, 1), make(chan struct{})}
+			listener := heldReadListener{LingeringListener(socket), make(chan struct{}, 1), make(chan struct{})}
 			server := f.Server()
-			go server.Serve(held)
+			go server.Serve(listener)
 			defer server.Close()
 			client, err := net.Dial("tcp", socket.Addr().String())
 			if err != nil {
@@ -68,9 +68,9 @@
 			defer client.Close()
 			testkit.Until(t, "the connection", func() bool { _, ended := setOnlyConnection(f, false, time.Now().Add(-time.Minute)); return !ended })
 			io.WriteString(client, completeRequest)
-			testkit.Next(t, held.wasRead)
+			testkit.Next(t, listener.wasRead)
 			closeConnections(f)
-			close(held.release)
+			close(listener.release)
 			if resp, err := http.ReadResponse(bufio.NewReader(client), nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
 				t.Errorf("%v, %v", resp, err)
 			}
--- a/internal/front/slow_request_test.go
+++ b/internal/front/slow_request_test.go
@@ -13,7 +13,7 @@
 
 // The deadline of a client counts from the last byte of its request, however slowly that came (PROTOCOL, "Figures").
 func TestDeadlineCountsFromLastByte(t *testing.T) {
-	const told = time.Second
+	const timeLeft = time.Second
 	head := "POST /write?account=0000000000000001 HTTP/1.1\r\n" + strings.Replace(requestHeaders, "15000m", "1000m", 1) + "Content-Length: 4\r\n\r\n"
 	for name, pieces := range map[string][]string{
 		"at once":      {head + "body"},
@@ -24,8 +24,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				var heard []time.Duration
-				m, _, _, stop := startFront(t, func(r control.Request) []control.Action { heard = append(heard, r.Timeout); return rejectRequest(r) }, nil, nil)
+				var received []time.Duration
+				m, _, _, stop := startFront(t, func(r control.Request) []control.Action {
+					received = append(received, r.Timeout)
+					return rejectRequest(r)
+				}, nil, nil)
 				defer stop()
 				client := m.dial()
 				defer client.Close()
@@ -37,8 +40,8 @@
 					io.WriteString(client, piece)
 				}
 				synctest.Wait()
-				if len(heard) != 1 || heard[0] != told-service.DeadlineMargin {
-					t.Errorf("the module heard of %v", heard)
+				if len(received) != 1 || received[0] != timeLeft-service.DeadlineMargin {
+					t.Errorf("the module heard of %v", received)
 				}
 			})
 		})
--- a/internal/h2/choose_test.go
+++ b/internal/h2/choose_test.go
@@ -7,7 +7,7 @@
 
 func TestChooseConnection(t *testing.T) {
 	bounds := Bounds{MaxConnections: 2, MaxWaiting: 3, MaxAge: time.Hour}
-	view := func(open, room int) View { return View{OpenStreams: open, FreeStreams: room, MaxStreams: open + room} }
+	view := func(open, free int) View { return View{OpenStreams: open, FreeStreams: free, MaxStreams: open + free} }
 	old := func(w View) View { w.Age = 2 * time.Hour; return w }
 	ending := View{OpenStreams: 3, MaxStreams: 10, IsEnding: true}
 	for name, tc := range map[string]struct {
--- a/internal/h2/conn_test.go
+++ b/internal/h2/conn_test.go
@@ -38,11 +38,11 @@
 // one whose server answers pings is not, however long its answer takes.
 func TestSilentServerIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		begun := time.Now()
+		startedAt := time.Now()
 		conn := pipe(t, Options{PingAfterSilence: 5 * time.Second}, func(far net.Conn, _ *http2.Framer) { io.Copy(io.Discard, far); far.Close() })
 		event, err := conn.Do(t.Context(), get)
-		if took := time.Since(begun); err != nil || event.Err == nil || event.Err.End != EndBroken || event.Outcome != MayBeProcessed || took != 10*time.Second {
-			t.Errorf("%+v, %v after %v", event, err, took)
+		if elapsed := time.Since(startedAt); err != nil || event.Err == nil || event.Err.End != EndBroken || event.Outcome != MayBeProcessed || elapsed != 10*time.Second {
+			t.Errorf("%+v, %v after %v", event, err, elapsed)
 		}
 		<-conn.Done()
 
@@ -75,10 +75,10 @@
 		conn := pipe(t, Options{}, func(far net.Conn, _ *http2.Framer) { <-stop; far.Close() })
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		begun := time.Now()
+		startedAt := time.Now()
 		event, err := conn.Do(ctx, get)
-		if took := time.Since(begun); err != nil || event.Err == nil || event.Outcome != MayBeProcessed || took != time.Second+cancelTimeout {
-			t.Errorf("%+v, %v after %v", event, err, took)
+		if elapsed := time.Since(startedAt); err != nil || event.Err == nil || event.Outcome != MayBeProcessed || elapsed != time.Second+cancelTimeout {
+			t.Errorf("%+v, %v after %v", event, err, elapsed)
 		}
 		<-conn.Done()
 		if _, err := conn.Do(t.Context(), get); !errors.Is(err, ErrNoStream) {
--- a/internal/h2/server_faults_test.go
+++ b/internal/h2/server_faults_test.go
@@ -148,14 +148,14 @@
 			peer.frames()
 			tc.do(peer)
 			peer.feed()
-			said := peer.frames()
-			kept := said[:0]
-			for _, f := range said {
+			frames := peer.frames()
+			ends := frames[:0]
+			for _, f := range frames {
 				if strings.HasPrefix(f, "RST") || strings.HasPrefix(f, "GOAWAY") {
-					kept = append(kept, f)
+					ends = append(ends, f)
 				}
 			}
-			if got := strings.Join(kept, ", "); got != tc.want {
+			if got := strings.Join(ends, ", "); got != tc.want {
 				t.Errorf("it says %q, not %q (%v)", got, tc.want, peer.machine.Err())
 			}
 			switch {
--- a/internal/h2/stream_outcome_test.go
+++ b/internal/h2/stream_outcome_test.go
@@ -28,10 +28,10 @@
 		{EndCancelled, http2.ErrCodeCancel, [2][4]StreamOutcome{{notProcessed, mayBeProcessed, mayBeProcessed, mayBeProcessed}, {notProcessed, notProcessed, mayBeProcessed, mayBeProcessed}}},
 		{EndMalformed, http2.ErrCodeProtocol, [2][4]StreamOutcome{{notProcessed, mayBeProcessed, mayBeProcessed, mayBeProcessed}, {notProcessed, notProcessed, mayBeProcessed, mayBeProcessed}}},
 	} {
-		for whole, by := range tc.want {
+		for atLastByte, by := range tc.want {
 			for m, want := range by {
-				if got := OutcomeOf(Moment(m), tc.how, tc.code, whole == 1); got != want {
-					t.Errorf("%v, %v, %v, whole %d: %v, not %v", Moment(m), tc.how, tc.code, whole, got, want)
+				if got := OutcomeOf(Moment(m), tc.how, tc.code, atLastByte == 1); got != want {
+					t.Errorf("%v, %v, %v, whole %d: %v, not %v", Moment(m), tc.how, tc.code, atLastByte, got, want)
 				}
 			}
 		}
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -196,16 +196,16 @@
 // nothing follows the end.
 func TestInvariantsInEveryReachableState(t *testing.T) {
 	first := []environment{{}, {machine: NewSuccessor()}}
-	seen := make(map[string]bool)
+	visited := make(map[string]bool)
 	key := func(w environment) string { w.machine.actions = nil; return fmt.Sprintf("%+v", w) }
 	todo := slices.Clone(first)
 	for len(todo) > 0 {
 		w := todo[0]
 		todo = todo[1:]
-		if seen[key(w)] {
+		if visited[key(w)] {
 			continue
 		}
-		seen[key(w)] = true
+		visited[key(w)] = true
 		events := []Event{Listening{}, ServicesReady{}, ReloadRequested{"x"}, UpgradeRequested{"x"}, StopRequested{"x"}, PredecessorEnded{}}
 		if w.isReloading {
 			events = append(events, ReloadFinished{}, ReloadFinished{errors.New("bad")})
@@ -230,8 +230,8 @@
 			}
 		}
 	}
-	if len(seen) < 60 {
-		t.Errorf("only %d states", len(seen))
+	if len(visited) < 60 {
+		t.Errorf("only %d states", len(visited))
 	}
 }
 
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -95,10 +95,10 @@
 }
 
 func TestRequestLimiterAdmitsWithinEachLimit(t *testing.T) {
-	held, bytes := NewSharedResource(time.Minute), NewSharedResource(time.Minute)
-	r := &RequestLimiter{Slots: held.OpenAccount(nil), Bytes: bytes.OpenAccount(nil), ModuleTime: NewTimeLimiter(0.5)}
+	slots, bytes := NewSharedResource(time.Minute), NewSharedResource(time.Minute)
+	r := &RequestLimiter{Slots: slots.OpenAccount(nil), Bytes: bytes.OpenAccount(nil), ModuleTime: NewTimeLimiter(0.5)}
 	r.Owner = r.ModuleTime.OpenOwner()
-	if err := errors.Join(held.SetGuarantees(2, map[*Account]int64{r.Slots: 2}), bytes.SetGuarantees(100, map[*Account]int64{r.Bytes: 100})); err != nil {
+	if err := errors.Join(slots.SetGuarantees(2, map[*Account]int64{r.Slots: 2}), bytes.SetGuarantees(100, map[*Account]int64{r.Bytes: 100})); err != nil {
 		t.Fatal(err)
 	}
 	back, ok := r.Admit(60)
--- a/internal/manage/server_test.go
+++ b/internal/manage/server_test.go
@@ -63,8 +63,8 @@
 	if _, err := c.RunCommand(ctx, Command{Epoch: 7, Owner: "a", ID: "s/1", Operation: Operation{Kind: desiredstate.KindSettings, Text: text}}); err != nil || <-f.calls != fmt.Sprint("s/1 settings ", len(text)) {
 		t.Errorf("%v", err)
 	}
-	for want, ask := range map[string]func() (Status, error){"drain true": func() (Status, error) { return c.DrainAndStay(ctx) }, "serve": func() (Status, error) { return c.Serve(ctx) }} {
-		if _, err := ask(); err != nil || <-f.calls != want {
+	for want, call := range map[string]func() (Status, error){"drain true": func() (Status, error) { return c.DrainAndStay(ctx) }, "serve": func() (Status, error) { return c.Serve(ctx) }} {
+		if _, err := call(); err != nil || <-f.calls != want {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
@@ -194,11 +194,11 @@
 		t.Error("an answer after the end")
 	}
 	e, c = begin()
-	asked := make(chan error)
-	go func() { _, err := c.Reload(context.Background()); asked <- err }()
+	statusErrors := make(chan error)
+	go func() { _, err := c.Reload(context.Background()); statusErrors <- err }()
 	<-e.calls
 	e.server.Close()
-	if err := <-asked; err == nil {
+	if err := <-statusErrors; err == nil {
 		t.Error("an answer that never came")
 	}
 	close(e.endReload)
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -118,8 +118,8 @@
 		socket = &failingUntil{Listener: l}
 		return socket
 	})
-	told := make(chan string, 1)
-	a := testkit.NewApp(t, func(_ http.ResponseWriter, q *http.Request) { told <- q.Header.Get(protocol.HeaderTimeLeft) })
+	results := make(chan string, 1)
+	a := testkit.NewApp(t, func(_ http.ResponseWriter, q *http.Request) { results <- q.Header.Get(protocol.HeaderTimeLeft) })
 	r.setEndpoints(endpointOf(a, "s-1", 0))
 	socket.failFor(queued + 100*time.Millisecond)
 	r.wait("a failure of accept", socket.hasFailed)
@@ -129,7 +129,7 @@
 	if resp, _ := r.do(request); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
 	}
-	text := testkit.Next(t, told)
+	text := testkit.Next(t, results)
 	left, err := time.ParseDuration(text + "s")
 	if err != nil || left > time.Second-queued+50*time.Millisecond || left < 100*time.Millisecond {
 		t.Errorf("%q are left of 1000m after %v in the queue (%v)", text, queued, err)
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -79,7 +79,7 @@
 	in := bufio.NewReader(c)
 	request := []byte("GET /roster-read/week?account=0000000000000001 HTTP/1.1\r\nHost: care.example\r\nX-Correlation-Id: id-1\r\nX-Tariff: enterprise\r\n" +
 		"X-Time-Left: 5000m\r\nX-Weight: units=1,spread=1,first=0\r\n\r\n")
-	ask := func() {
+	send := func() {
 		if _, err := c.Write(request); err != nil {
 			b.Fatal(err)
 		}
@@ -97,14 +97,14 @@
 		}
 	}
 	for range 200 {
-		ask()
+		send()
 	}
 	var before, after syscall.Rusage
 	rusage(b, &before)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		ask()
+		send()
 	}
 	b.StopTimer()
 	rusage(b, &after)
--- a/internal/node/drain_requests_test.go
+++ b/internal/node/drain_requests_test.go
@@ -21,18 +21,18 @@
 	})
 	r.setEndpoints(endpointOf(a, "s-1", 0))
 	answers := make(chan *http.Response, 2)
-	ask := func(id string) {
+	send := func(id string) {
 		resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", id))
 		answers <- resp
 	}
-	go ask("before")
+	go send("before")
 	testkit.Next(t, arrived)
 	r.stop()
 	r.wait("draining", r.isDraining)
 	if resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "")); resp.StatusCode != 400 || !resp.Close {
 		t.Errorf("a bad request: %s, close %v", resp.Status, resp.Close)
 	}
-	go ask("after")
+	go send("after")
 	testkit.Next(t, arrived)
 	close(finish)
 	for range 2 {
--- a/internal/node/drain_steps_test.go
+++ b/internal/node/drain_steps_test.go
@@ -97,7 +97,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- n.Run(ctx) }()
 	synctest.Wait()
-	begun := time.Now()
+	startedAt := time.Now()
 	answered := c.startClient(t, listener, cfg.Process.Drain)
 	terminate()
 	if err := <-ended; err != nil {
@@ -106,8 +106,8 @@
 	for _, conn := range listener.serverEnds { // as the process's end does
 		conn.Close()
 	}
-	if took, kill := time.Since(begun), min(time.Duration(c.deadline)*time.Millisecond, 3*time.Second)+700*time.Millisecond; took >= kill {
-		t.Errorf("it took %v, and SIGKILL may come after %v", took, kill)
+	if elapsed, kill := time.Since(startedAt), min(time.Duration(c.deadline)*time.Millisecond, 3*time.Second)+700*time.Millisecond; elapsed >= kill {
+		t.Errorf("it took %v, and SIGKILL may come after %v", elapsed, kill)
 	}
 	if c.readsLate() {
 		<-answered
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -54,8 +54,8 @@
 }
 
 // ChargeModuleTime books time as that of a service's module.
-func ChargeModuleTime(n *Node, name string, took time.Duration) {
+func ChargeModuleTime(n *Node, name string, elapsed time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.services[name].account.chargeModuleTime(took)
+	n.services[name].account.chargeModuleTime(elapsed)
 }
--- a/internal/node/flood_test.go
+++ b/internal/node/flood_test.go
@@ -90,7 +90,7 @@
 		r := newTestNodeWithConfig(t, cfg)
 		cfg.Listeners = []string{r.node.Addr()}
 		var idle []net.Conn
-		begun := time.Now()
+		startedAt := time.Now()
 		for range cfg.Process.Descriptors {
 			client := r.dial()
 			healthOver(t, client)
@@ -104,8 +104,8 @@
 		if resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1")); resp.StatusCode != http.StatusOK {
 			t.Errorf("a request: %d", resp.StatusCode)
 		}
-		if took := time.Since(begun); took > restedTooLong {
-			t.Errorf("ready after %v", took)
+		if elapsed := time.Since(startedAt); elapsed > restedTooLong {
+			t.Errorf("ready after %v", elapsed)
 		}
 		r.stop()
 		if err := testkit.Next(t, r.ended); err != nil {
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -164,15 +164,15 @@
 // its final answer comes on the channel.
 func (r *testNode) holdRequest() <-chan int {
 	r.t.Helper()
-	asked := make(chan struct{})
+	accepted := make(chan struct{})
 	silent := testkit.Never(r.t)
-	a := testkit.NewApp(r.t, func(w http.ResponseWriter, q *http.Request) { close(asked); silent(w, q) })
+	a := testkit.NewApp(r.t, func(w http.ResponseWriter, q *http.Request) { close(accepted); silent(w, q) })
 	r.setEndpoints(endpointOf(a, "s-1", 0))
 	answered := make(chan int, 1)
 	go func() {
 		resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1"))
 		answered <- resp.StatusCode
 	}()
-	testkit.Next(r.t, asked)
+	testkit.Next(r.t, accepted)
 	return answered
 }
--- a/internal/node/http2_test.go
+++ b/internal/node/http2_test.go
@@ -28,7 +28,7 @@
 // limits, one of which speaks HTTP/1.1 only, while the node is reloaded: by both sides' counts each
 // has one final answer and none has two effects.
 func TestUpdatesOverFaultyHTTP2RunOnce(t *testing.T) {
-	tally, group := &fake.Executions{}, &fake.Group{Window: 15 * time.Second}
+	executions, group := &fake.Executions{}, &fake.Group{Window: 15 * time.Second}
 	faults := fake.HTTP2Faults{Refuse: 0.02, Reset: 0.01, Error: 0.01, Lower: 0.02, GoAway: 0.01, CutRead: 0.2, CutSent: 0.2}
 	var text strings.Builder
 	text.WriteString(configHeader + "[services.a]\nservers = { protocol = \"http/2 or 1.1\", streams = 16 }\n[services.a.source]\nkind = \"static\"\n")
@@ -36,14 +36,14 @@
 		fmt.Fprintf(&text, "[[services.a.source.servers]]\nuid = %q\nendpoint = %q\ngroup = 1\n", uid, addr)
 	}
 	for i := range 3 {
-		s, err := fake.HTTP2Server{UID: fmt.Sprint("s", i), Executions: tally, Group: group, Faults: faults, Seed: uint64(i), Streams: 10}.Start()
+		s, err := fake.HTTP2Server{UID: fmt.Sprint("s", i), Executions: executions, Group: group, Faults: faults, Seed: uint64(i), Streams: 10}.Start()
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(s.Close)
 		entry(s.UID, s.Addr())
 	}
-	old, err := fake.Server{UID: "old", Executions: tally, Group: group}.Start()
+	old, err := fake.Server{UID: "old", Executions: executions, Group: group}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 	if s.Lost+s.Wrong > 0 || s.Served < s.Calls/2 {
 		t.Errorf("%+v", *s)
 	}
-	if c := tally.Counts(); c.DuplicateEffects > 0 || c.MaxInFlight > 1 || c.Requests < s.Served {
+	if c := executions.Counts(); c.DuplicateEffects > 0 || c.MaxInFlight > 1 || c.Requests < s.Served {
 		t.Errorf("%+v, served %d", c, s.Served)
 	}
 	testkit.Until(t, "what was replaced has ended", func() bool { return node.RunningServices(l.Node) == 1 })
@@ -81,14 +81,14 @@
 // each server is spoken to as it speaks once the time to try again is over. The load keeps all of
 // them busy: while others idle, one that has failed is left alone for long.
 func TestRollingProtocolUpgradeOfServersRunsUpdatesOnce(t *testing.T) {
-	tally, group := &fake.Executions{}, &fake.Group{Window: 15 * time.Second}
+	executions, group := &fake.Executions{}, &fake.Group{Window: 15 * time.Second}
 	var text strings.Builder
 	text.WriteString(configHeader + "[services.a]\nservers = { protocol = \"http/2 or 1.1\", again = \"100ms\" }\n[services.a.source]\nkind = \"static\"\n")
 	var servers [3]*fake.Running
-	begin := func(i int, addr string, speaks bool) {
+	begin := func(i int, addr string, isHTTP2 bool) {
 		t.Helper()
 		s, err := fake.Server{
-			UID: fmt.Sprint("s", i), Executions: tally, Group: group, HTTP2: speaks, Listen: addr, Seed: uint64(i),
+			UID: fmt.Sprint("s", i), Executions: executions, Group: group, HTTP2: isHTTP2, Listen: addr, Seed: uint64(i),
 			Work: 4 * time.Millisecond, Cores: 1,
 		}.Start()
 		if err != nil {
@@ -107,25 +107,25 @@
 	defer stop()
 	run := idempotentUpdates(l.Node.Addr(), 4, 16).Start(ctx)
 	testkit.Until(t, "a server that is fallen back on", func() bool { return l.Node.Status()[0].HTTP2.FallbackServers == len(servers) })
-	for _, speaks := range []bool{true, false, true} {
+	for _, isHTTP2 := range []bool{true, false, true} {
 		for i, s := range servers {
 			s.Close()
-			begin(i, s.Addr(), speaks)
+			begin(i, s.Addr(), isHTTP2)
 			testkit.Until(t, "requests as the new one speaks", func() bool {
 				one, two := servers[i].RequestsByVersion()
-				return speaks && two > 20 || !speaks && one > 20
+				return isHTTP2 && two > 20 || !isHTTP2 && one > 20
 			})
 		}
 		testkit.Until(t, "connections as the servers speak", func() bool {
 			h := l.Node.Status()[0].HTTP2
-			return speaks && h.Connections >= len(servers) && h.FallbackServers == 0 || !speaks && h.Connections == 0
+			return isHTTP2 && h.Connections >= len(servers) && h.FallbackServers == 0 || !isHTTP2 && h.Connections == 0
 		})
 	}
 	stop()
 	if s := run.Wait()["update"]; s.Lost+s.Wrong > 0 || s.Served < s.Calls/2 {
 		t.Errorf("%+v", *s)
 	}
-	if c := tally.Counts(); c.DuplicateEffects > 0 || c.MaxInFlight > 1 {
+	if c := executions.Counts(); c.DuplicateEffects > 0 || c.MaxInFlight > 1 {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/node/platform_settings_test.go
+++ b/internal/node/platform_settings_test.go
@@ -177,7 +177,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, odd := range map[string]jsonObject{
+	for name, variant := range map[string]jsonObject{
 		"no depth": {"quota-rate": 5}, "a depth below one": {"quota-rate": 5, "depth": 0.4}, "no rate": {"depth": 5}, "nothing": {},
 		"no burst": {"cap-rate": 5}, "no ceiling's rate": {"hard-burst": 5}, "huge": {"quota-rate": 1e300, "depth": 1e300, "cap-rate": 1e300, "hard-burst": 1e300, "open": 1e9},
 		"tiny": {"quota-rate": 1e-300, "depth": 1e-300, "cap-rate": 1e-300, "hard-burst": 1e-300, "ceiling-slack": 1e-300},
@@ -189,8 +189,8 @@
 			if err := json.Unmarshal(raw, &o); err != nil {
 				t.Fatal(err)
 			}
-			odd["name"] = "odd"
-			o["settings"].(jsonObject)["tariffs"] = append(o["settings"].(jsonObject)["tariffs"].([]any), odd)
+			variant["name"] = "odd"
+			o["settings"].(jsonObject)["tariffs"] = append(o["settings"].(jsonObject)["tariffs"].([]any), variant)
 			raw, err := json.Marshal(o)
 			if err != nil {
 				t.Fatal(err)
@@ -275,7 +275,7 @@
 	r := newTestNode(t)
 	a := testkit.NewApp(t, testkit.Served)
 	good := fmt.Sprintf(`{"uid":"s-1","endpoint":%q,"az":"z1","state":"up","capacity_hint":1.0,"boot_ms":0,"later":{"a":[1]}}`, a.Addr())
-	tell := func(line string) {
+	send := func(line string) {
 		t.Helper()
 		r.rev++
 		r.agent.Lines <- strings.Replace(line, "REV", fmt.Sprint(r.rev), 1) + "\n"
@@ -294,7 +294,7 @@
 		`{"rev":REV,"targets":[{"uid":"s-9","state":"removed"},{"uid":"s-9","state":"draining"}],"targets":[]}`,
 		`{"targets":[],"all":false,"all":true,"rev":1,"rev":REV,"targets":[` + good + `]}`,
 	} {
-		tell(line)
+		send(line)
 		if s := r.status(); s.AvailableServers != up[i] {
 			t.Errorf("behind %s: %d up, not %d", line, s.AvailableServers, up[i])
 		}
--- a/internal/node/random_settings_test.go
+++ b/internal/node/random_settings_test.go
@@ -162,7 +162,7 @@
 		}
 		cfg.Process.Drain = config.Drain{}
 		set := cfg.Services[0].Settings
-		var asks []randomRequest
+		var requests []randomRequest
 		for range rapid.IntRange(1, 8).Draw(rt, "requests") {
 			a := randomRequest{
 				class: rapid.IntRange(0, len(set.Classes)-1).Draw(rt, "class"), plan: rapid.IntRange(0, len(set.Plans)-1).Draw(rt, "plan"),
@@ -174,7 +174,7 @@
 				lastAction = neverAnswer
 			}
 			a.script = rapid.SliceOfN(rapid.IntRange(answerOK, lastAction), 0, 6).Draw(rt, "does")
-			asks = append(asks, a)
+			requests = append(requests, a)
 		}
 		if ok := t.Run("", func(t *testing.T) {
 			r := newTestNodeWithConfig(t, cfg)
@@ -185,7 +185,7 @@
 			defer conn.Close()
 			_ = conn.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 			in := bufio.NewReader(conn)
-			for _, a := range asks {
+			for _, a := range requests {
 				next++
 				id := fmt.Sprint("id-", next)
 				if a.send(t, apps, &set, id, conn, in) == http.StatusOK {
@@ -194,7 +194,7 @@
 			}
 			testkit.Until(t, "no request in flight", func() bool { return r.status().Requests == 0 })
 		}); !ok {
-			rt.Fatalf("settings %s, requests %+v", raw, asks)
+			rt.Fatalf("settings %s, requests %+v", raw, requests)
 		}
 	})
 	if served < next/10 {
--- a/internal/node/reload_listeners_test.go
+++ b/internal/node/reload_listeners_test.go
@@ -18,14 +18,14 @@
 	l := labtest.Begin(t, twoServicesConfig, twoServerPools(0))
 	first := l.Node.Addr()
 	c, in := dial(t, l)
-	ask := func(c net.Conn, in *bufio.Reader, id string) {
+	send := func(c net.Conn, in *bufio.Reader, id string) {
 		t.Helper()
 		writeRequest(c, "x", "/one", id, "", 0)
 		if status, body := readAnswer(t, in); status != 200 {
 			t.Errorf("%s: %d %q", id, status, body)
 		}
 	}
-	ask(c, in, "id-1")
+	send(c, in, "id-1")
 	more := strings.Replace(twoServicesConfig, `address = "127.0.0.1:0"`, "address = \"127.0.0.1:0\"\n[[listeners]]\naddress = \"localhost:0\"", 1)
 	if err := l.Reload(more); err != nil || l.Node.Addr() != first {
 		t.Fatalf("%v, %s for %s", err, l.Node.Addr(), first)
@@ -38,9 +38,9 @@
 		d.Close()
 		t.Error("the address that is gone takes connections")
 	}
-	ask(c, in, "id-2")
+	send(c, in, "id-2")
 	c, in = dial(t, l)
-	ask(c, in, "id-3")
+	send(c, in, "id-3")
 	if n, g := l.Node.Status()[0].Resources.Descriptors.Total, l.Node.Generation(); n != 600-24 || g != 3 {
 		t.Errorf("%d descriptors in generation %d", n, g)
 	}
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -169,7 +169,7 @@
 			if events += n; err != nil {
 				t.Fatalf("seed %d, %s: after %d events: %v", seed, path, n, err)
 			}
-			if _, again, _ := replayAll(raw); again != sum {
+			if _, repeated, _ := replayAll(raw); repeated != sum {
 				t.Fatalf("seed %d: two replays differ", seed)
 			}
 		}
@@ -204,12 +204,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole, _, err := replayAll(raw)
-	if err != nil || whole < 1000 {
-		t.Fatalf("%d events, %v", whole, err)
+	eventCount, _, err := replayAll(raw)
+	if err != nil || eventCount < 1000 {
+		t.Fatalf("%d events, %v", eventCount, err)
 	}
-	if n, _, err := replayAll(raw[:len(raw)/2]); err != nil || n == 0 || n >= whole {
-		t.Errorf("cut off: %d of %d events, %v", n, whole, err)
+	if n, _, err := replayAll(raw[:len(raw)/2]); err != nil || n == 0 || n >= eventCount {
+		t.Errorf("cut off: %d of %d events, %v", n, eventCount, err)
 	}
 	for _, bad := range [][]byte{nil, []byte("noise"), raw[:20]} {
 		if _, _, err := replayAll(bad); err == nil {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -200,8 +200,8 @@
 			t.Errorf("%q: %q, %v, not %q", in, got, err, want)
 		}
 		if err == nil {
-			if again, err := CanonicalPath(got); err != nil || again != got {
-				t.Errorf("%q: its form %q has the form %q, %v", in, got, again, err)
+			if repeated, err := CanonicalPath(got); err != nil || repeated != got {
+				t.Errorf("%q: its form %q has the form %q, %v", in, got, repeated, err)
 			}
 		}
 	}
@@ -218,8 +218,8 @@
 		if err != nil {
 			return
 		}
-		if again, err := CanonicalPath(got); err != nil || again != got {
-			t.Fatalf("%q: %q, then %q, %v", raw, got, again, err)
+		if repeated, err := CanonicalPath(got); err != nil || repeated != got {
+			t.Fatalf("%q: %q, then %q, %v", raw, got, repeated, err)
 		}
 		for i, s := range strings.Split(got, "/") {
 			decoded := s
@@ -353,10 +353,10 @@
 		case 1, 2:
 			r.Prefix = path + pick("", "/")
 		}
-		seen := map[string]bool{}
+		isKnown := map[string]bool{}
 		for range rng.IntN(3) {
-			if name := pick("A", "B", "C"); !seen[name] {
-				seen[name] = true
+			if name := pick("A", "B", "C"); !isKnown[name] {
+				isKnown[name] = true
 				r.Headers = append(r.Headers, Header{Name: name, Value: pick("1", "2")})
 				if rng.IntN(2) == 0 {
 					r.Headers[len(r.Headers)-1] = Header{Name: name, Any: true}
--- a/internal/service/attempts_test.go
+++ b/internal/service/attempts_test.go
@@ -69,8 +69,8 @@
 			t.Run(fmt.Sprint(from, to), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					var before, after []control.Request
-					startClass := func(e control.Idempotency, seen *[]control.Request) *Service {
-						o := Options{Settings: testSettings(), NewModule: func() (Module, error) { return statefulRecorder{seen}, nil }}
+					startClass := func(e control.Idempotency, received *[]control.Request) *Service {
+						o := Options{Settings: testSettings(), NewModule: func() (Module, error) { return statefulRecorder{received}, nil }}
 						o.Settings.Classes[0].Idempotency, o.Settings.Classes[0].RepeatWindow = e, time.Second
 						s, _ := startService(t, o)
 						return s
@@ -82,7 +82,7 @@
 					x.Forwarder.(*upstream.BufferedRequest).Request.Method = http.MethodPost
 					go original.Do(ctx, x)
 					synctest.Wait()
-					if stays := from != to && to == control.IdempotentWithKey; len(before)+len(after) != 1 || len(before) == 1 != stays {
+					if isRetained := from != to && to == control.IdempotentWithKey; len(before)+len(after) != 1 || len(before) == 1 != isRetained {
 						t.Errorf("heard of %d before, %d after", len(before), len(after))
 					}
 					cancelClient()
--- a/internal/service/deadlines_test.go
+++ b/internal/service/deadlines_test.go
@@ -72,10 +72,10 @@
 // check has a request come whose client waits for some time.
 func (d deadlineTest) check(t *testing.T, idempotency control.Idempotency, wait time.Duration) {
 	s, others := d.start(t, idempotency)
-	begun, sent := time.Now(), 0
+	startedAt, sent := time.Now(), 0
 	a := <-doWithin(s, "id-1", wait, func(ctx context.Context) upstream.Outcome { sent++; return d.attempt(ctx) })
-	if took, by := time.Since(begun), max(wait, d.loopIsBusy); took > by {
-		t.Errorf("answered after %v", took)
+	if elapsed, by := time.Since(startedAt), max(wait, d.loopIsBusy); elapsed > by {
+		t.Errorf("answered after %v", elapsed)
 	}
 	if a.Kind == Served || a.Kind == Failed && sent == 0 || a.Status < 500 {
 		t.Errorf("%+v with %d sent", a, sent)
--- a/internal/service/endpoint_changes_test.go
+++ b/internal/service/endpoint_changes_test.go
@@ -36,12 +36,12 @@
 }
 
 // changeOf is an endpoint list that replaces the server s-1 by another one in some way.
-func changeOf(way, other string) discovery.EndpointList {
+func changeOf(kind, other string) discovery.EndpointList {
 	up := discovery.Endpoint{UID: "s-2", Address: other, State: "up", Capacity: 1}
-	l := discovery.EndpointList{Revision: 2, IsComplete: way == "whole", Endpoints: []discovery.Endpoint{up}}
-	switch way {
+	l := discovery.EndpointList{Revision: 2, IsComplete: kind == "whole", Endpoints: []discovery.Endpoint{up}}
+	switch kind {
 	case "draining", "removed":
-		l.Endpoints = append(l.Endpoints, discovery.Endpoint{UID: "s-1", State: way})
+		l.Endpoints = append(l.Endpoints, discovery.Endpoint{UID: "s-1", State: kind})
 	case "moved":
 		up.UID = "s-1"
 		l.Endpoints[0] = up
@@ -54,11 +54,11 @@
 // connection gets nothing of it. The request goes to another server, as it has not run, and so does the next
 // one.
 func TestServerDrainingOrGoneGetsNoWaitingRequest(t *testing.T) {
-	check := func(t *testing.T, way, place, class, by string) {
+	check := func(t *testing.T, kind, place, class, by string) {
 		r := newDepartureTest(t, class, by, time.Minute)
 		other := startBothProtocols(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("other")) })
 		goOn, answers := r.waitAt(place, r.newExchange("drained"))
-		r.service.receiveEndpoints(changeOf(way, other))
+		r.service.receiveEndpoints(changeOf(kind, other))
 		r.awaitClientLeft(&Exchange{isAnswered: true}) // the list came before
 		goOn()
 		if a := testkit.Next(t, answers); a.Status != http.StatusOK {
@@ -71,11 +71,11 @@
 			t.Errorf("the server saw %v", r.requestsSeen)
 		}
 	}
-	for _, way := range []string{"draining", "removed", "whole", "moved"} {
+	for _, kind := range []string{"draining", "removed", "whole", "moved"} {
 		for _, place := range []string{"its turn", "its gate", "its worker", "its connection"} {
 			for _, class := range []string{"safe", "keyed", "unsafe"} {
 				for _, by := range []string{"whole", "whole over HTTP/2", "relay", "relay over HTTP/2"} {
-					t.Run(fmt.Sprint(way, " ", place, " ", class, " ", by), func(t *testing.T) { check(t, way, place, class, by) })
+					t.Run(fmt.Sprint(kind, " ", place, " ", class, " ", by), func(t *testing.T) { check(t, kind, place, class, by) })
 				}
 			}
 		}
@@ -90,16 +90,16 @@
 		for when, dials := range map[time.Duration]int{time.Hour: 2, -time.Hour: 1} {
 			t.Run(fmt.Sprint(class, " ", when), func(t *testing.T) {
 				r := newDepartureTest(t, class, "whole", time.Minute)
-				ask := func(id string) {
+				send := func(id string) {
 					if a, ok := r.service.Do(t.Context(), r.newExchange(id)); !ok || a.Status != http.StatusOK {
 						t.Fatalf("%s: %+v, %v", id, a, ok)
 					}
 				}
-				ask("one")
+				send("one")
 				up := r.service.Endpoints().Endpoints[0]
 				up.StartedAtMS = float64(time.Now().Add(when).UnixMilli())
 				r.service.receiveEndpoints(discovery.EndpointList{Revision: 2, Endpoints: []discovery.Endpoint{up}})
-				ask("two")
+				send("two")
 				if n := r.connectionCount(); n != dials {
 					t.Errorf("%d connections, of %d", n, dials)
 				}
--- a/internal/service/guard_test.go
+++ b/internal/service/guard_test.go
@@ -18,8 +18,8 @@
 // A repeat is allowed only where it can't run a request twice, whatever the module goes by.
 func TestRepeatGuard(t *testing.T) {
 	const window = 5 * time.Second
-	begun := time.Now()
-	home, sameZone, elsewhere := serverPlace{"z1", 1}, serverPlace{"z1", 2}, serverPlace{"z2", 3}
+	startedAt := time.Now()
+	home, sameZone, otherZone := serverPlace{"z1", 1}, serverPlace{"z1", 2}, serverPlace{"z2", 3}
 	for _, tc := range []struct {
 		idempotency control.Idempotency
 		scope       control.KeyScope
@@ -28,33 +28,33 @@
 		at          serverPlace
 		isAllowed   bool
 	}{
-		{control.Idempotent, 0, control.ResetByPeer, time.Minute, elsewhere, true},
-		{control.NotIdempotent, 0, control.ConnectFailed, 0, elsewhere, true},
-		{control.NotIdempotent, 0, control.RejectedByServer, 0, elsewhere, true},
-		{control.NotIdempotent, 0, control.NotSent, 0, elsewhere, true},
+		{control.Idempotent, 0, control.ResetByPeer, time.Minute, otherZone, true},
+		{control.NotIdempotent, 0, control.ConnectFailed, 0, otherZone, true},
+		{control.NotIdempotent, 0, control.RejectedByServer, 0, otherZone, true},
+		{control.NotIdempotent, 0, control.NotSent, 0, otherZone, true},
 		{control.NotIdempotent, 0, control.ResetByPeer, 0, home, false},
 		{control.NotIdempotent, 0, control.TimedOut, 0, home, false},
 		{control.NotIdempotent, 0, control.Errored, 0, home, false},
 		{control.NotIdempotent, 0, control.Cancelled, 0, home, false},
-		{control.IdempotentWithKey, control.ScopeAll, control.ResetByPeer, window, elsewhere, true},
+		{control.IdempotentWithKey, control.ScopeAll, control.ResetByPeer, window, otherZone, true},
 		{control.IdempotentWithKey, control.ScopeAll, control.ResetByPeer, window + 1, home, false},
 		{control.IdempotentWithKey, control.ScopeZone, control.ResetByPeer, 0, sameZone, true},
-		{control.IdempotentWithKey, control.ScopeZone, control.ResetByPeer, 0, elsewhere, false},
+		{control.IdempotentWithKey, control.ScopeZone, control.ResetByPeer, 0, otherZone, false},
 		{control.IdempotentWithKey, control.ScopeCell, control.ResetByPeer, 0, home, true},
 		{control.IdempotentWithKey, control.ScopeCell, control.ResetByPeer, 0, sameZone, false},
 	} {
 		class := control.Class{Idempotency: tc.idempotency, KeyScope: tc.scope, RepeatWindow: window}
 		var g repeatGuard
-		g.attemptEnded(attemptJob{startedAt: begun, place: home}, tc.reason)
-		g.attemptEnded(attemptJob{startedAt: begun.Add(time.Second), place: elsewhere}, control.ResetByPeer) // the first one counts
+		g.attemptEnded(attemptJob{startedAt: startedAt, place: home}, tc.reason)
+		g.attemptEnded(attemptJob{startedAt: startedAt.Add(time.Second), place: otherZone}, control.ResetByPeer) // the first one counts
 		if mayHaveRun(tc.reason) {
-			if why, ok := g.allows(&class, tc.at, begun.Add(tc.after)); ok != tc.isAllowed {
+			if why, ok := g.allows(&class, tc.at, startedAt.Add(tc.after)); ok != tc.isAllowed {
 				t.Errorf("%+v: allowed %v, %s", tc, ok, why)
 			}
 		}
 		g = repeatGuard{}
-		g.attemptEnded(attemptJob{startedAt: begun, place: home}, tc.reason)
-		if why, ok := g.allows(&class, tc.at, begun.Add(tc.after)); ok != tc.isAllowed {
+		g.attemptEnded(attemptJob{startedAt: startedAt, place: home}, tc.reason)
+		if why, ok := g.allows(&class, tc.at, startedAt.Add(tc.after)); ok != tc.isAllowed {
 			t.Errorf("%+v: allowed %v, %s", tc, ok, why)
 		}
 	}
@@ -85,7 +85,7 @@
 // Attempts at a server that warms up are held against the busiest warm one.
 func TestWarmupGuard(t *testing.T) {
 	settings := control.Settings{GroupSize: 1, OverloadWindow: 2 * time.Second, OverloadMultiple: 2, WarmupTime: 10 * time.Second, InitialCapacity: 0.2}
-	begun := time.Now()
+	startedAt := time.Now()
 	for _, tc := range []struct {
 		warm, cold int // attempts
 		age        time.Duration
@@ -101,18 +101,18 @@
 		t.Run(fmt.Sprint(tc), func(t *testing.T) {
 			g := newWarmupGuard(&settings)
 			g.listed(1, time.Time{})
-			g.listed(2, begun.Add(-tc.age))
+			g.listed(2, startedAt.Add(-tc.age))
 			for range tc.warm {
-				g.attempt(1, begun)
+				g.attempt(1, startedAt)
 			}
 			isAllowed := true
 			for range tc.cold {
-				_, isAllowed = g.attempt(2, begun)
+				_, isAllowed = g.attempt(2, startedAt)
 			}
 			if isAllowed != tc.isAllowed {
 				t.Errorf("allowed: %v", isAllowed)
 			}
-			if _, ok := g.attempt(2, begun.Add(3*time.Second)); !ok {
+			if _, ok := g.attempt(2, startedAt.Add(3*time.Second)); !ok {
 				t.Error("attempts before the window count")
 			}
 		})
@@ -122,8 +122,8 @@
 // A repeat of what may have run at a server that has left the list meanwhile is judged by where that server was.
 func TestGuardRemembersPlaceOfRemovedServer(t *testing.T) {
 	before := invariant.Violations(invariant.UnsafeRetry)
-	asked, release, repeated := make(chan struct{}), make(chan struct{}), make(chan struct{})
-	first := testkit.NewApp(t, func(w http.ResponseWriter, r *http.Request) { close(asked); <-release; testkit.Reset(w, r) })
+	requested, release, repeated := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	first := testkit.NewApp(t, func(w http.ResponseWriter, r *http.Request) { close(requested); <-release; testkit.Reset(w, r) })
 	second := testkit.NewApp(t, func(http.ResponseWriter, *http.Request) { close(repeated) })
 	endpoint := func(uid string, app *testkit.App) discovery.Endpoint {
 		return discovery.Endpoint{UID: uid, Address: app.Addr(), State: "up", Group: 7}
@@ -153,7 +153,7 @@
 	x.Forwarder = &upstream.BufferedRequest{Request: message}
 	done := make(chan struct{})
 	go func() { s.Do(t.Context(), x); close(done) }()
-	testkit.Next(t, asked)
+	testkit.Next(t, requested)
 	s.receiveEndpoints(discovery.EndpointList{IsComplete: true, Endpoints: []discovery.Endpoint{endpoint("s-2", second)}})
 	s.Status() // a round through the loop
 	close(release)
--- a/internal/service/hard_limits_test.go
+++ b/internal/service/hard_limits_test.go
@@ -93,9 +93,9 @@
 // decided on it. The charge of a request whose client leaves before it is sent is refunded.
 func TestSharedHardLimitDecidesBeforeModule(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var seen []control.Request
+		var received []control.Request
 		store := &memoryLeaseStore{}
-		s := startSharedLimitService(t, store, 1, &seen)
+		s := startSharedLimitService(t, store, 1, &received)
 		for range 20 { // until the holder's part is reserved, and the store's bucket full
 			time.Sleep(time.Second)
 		}
@@ -112,23 +112,23 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 		synctest.Wait()
-		if len(seen) != 5 || seen[4].IsOverHardLimit {
-			t.Fatalf("%+v", seen)
+		if len(received) != 5 || received[4].IsOverHardLimit {
+			t.Fatalf("%+v", received)
 		}
 		a, ok := s.Do(t.Context(), newExchangeOfUnits("b", 4))
-		if !ok || a.Kind != Rejected || a.Status != http.StatusServiceUnavailable || a.RetryAfter != time.Second || !seen[5].IsOverHardLimit {
-			t.Errorf("%+v, %+v", a, seen)
+		if !ok || a.Kind != Rejected || a.Status != http.StatusServiceUnavailable || a.RetryAfter != time.Second || !received[5].IsOverHardLimit {
+			t.Errorf("%+v, %+v", a, received)
 		}
 		leave()
 		synctest.Wait()
 		if st := s.Status().HardLimits[0]; st.LeasedUnits < 15.9 {
 			t.Errorf("of 20 units that nobody spent %g are there", st.LeasedUnits)
 		}
-		again, gone := context.WithCancel(t.Context())
-		go s.Do(again, newExchangeOfUnits("c", 4))
+		retryContext, gone := context.WithCancel(t.Context())
+		go s.Do(retryContext, newExchangeOfUnits("c", 4))
 		synctest.Wait()
-		if n := len(seen); n != 7 || seen[6].IsOverHardLimit {
-			t.Errorf("%+v", seen[6:])
+		if n := len(received); n != 7 || received[6].IsOverHardLimit {
+			t.Errorf("%+v", received[6:])
 		}
 		gone()
 	})
@@ -138,19 +138,19 @@
 // part, once its reservation has expired, and makes calls no faster than it should.
 func TestSharedHardLimitWithoutLeaseStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var seen []control.Request
+		var received []control.Request
 		store := &memoryLeaseStore{}
-		s := startSharedLimitService(t, store, 2, &seen)
+		s := startSharedLimitService(t, store, 2, &received)
 		time.Sleep(10 * time.Second)
 		store.mu.Lock()
 		store.isDown = true
 		store.mu.Unlock()
-		begun := s.Status().HardLimits[0].Calls
+		callsBefore := s.Status().HardLimits[0].Calls
 		time.Sleep(60 * time.Second)
 		synctest.Wait()
 		st := s.Status().HardLimits[0]
-		if st.CanBorrow || !st.UsesOwnQuota || st.ReservedFraction != 0 || st.Calls-begun > 200 {
-			t.Errorf("%+v, %d calls while it was away", st, st.Calls-begun)
+		if st.CanBorrow || !st.UsesOwnQuota || st.ReservedFraction != 0 || st.Calls-callsBefore > 200 {
+			t.Errorf("%+v, %d calls while it was away", st, st.Calls-callsBefore)
 		}
 		ctx, leave := context.WithCancel(t.Context())
 		defer leave()
@@ -159,13 +159,13 @@
 			synctest.Wait()
 		}
 		over := 0
-		for _, r := range seen {
+		for _, r := range received {
 			if r.IsOverHardLimit {
 				over++
 			}
 		}
-		if len(seen) != 4 || over != 2 {
-			t.Errorf("%d of %d are over", over, len(seen))
+		if len(received) != 4 || over != 2 {
+			t.Errorf("%d of %d are over", over, len(received))
 		}
 		leave()
 		synctest.Wait()
@@ -205,8 +205,8 @@
 		// A process that hands over to another has no part any more.
 		st = replacement.Status().HardLimits[0]
 		replacement.Rejoin(nil) // it has not handed over: nothing changes
-		if again := replacement.Status().HardLimits[0]; again != st {
-			t.Errorf("%+v, not %+v", again, st)
+		if status := replacement.Status().HardLimits[0]; status != st {
+			t.Errorf("%+v, not %+v", status, st)
 		}
 		replacement.HandOver(0.5)
 		if st := replacement.Status().HardLimits[0]; st.UsesOwnQuota || st.ReservedFraction != 0 {
--- a/internal/service/retry_departure_test.go
+++ b/internal/service/retry_departure_test.go
@@ -22,9 +22,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := startService(t, Options{NewModule: func() (Module, error) { return moduleFunc(retryAlways), nil }})
 		synctest.Wait()
-		written, asked := 0, 0
+		written, polled := 0, 0
 		x := newExchange("id-1")
-		x.Client = clientFunc(func() bool { asked++; return asked == 1 })
+		x.Client = clientFunc(func() bool { polled++; return polled == 1 })
 		x.Forwarder = &scriptedForwarder{attempt: func(ctx context.Context) upstream.Outcome {
 			if !upstream.Commit(ctx) {
 				return upstream.Outcome{Reason: control.NotSent}
@@ -35,8 +35,8 @@
 		if a, ok := s.Do(t.Context(), x); ok {
 			t.Errorf("its client is told %+v", a)
 		}
-		if synctest.Wait(); written != 1 || asked != 2 || s.Status().Requests != 0 {
-			t.Errorf("%d attempts were written, its client was asked for %d times, %d requests are held", written, asked, s.Status().Requests)
+		if synctest.Wait(); written != 1 || polled != 2 || s.Status().Requests != 0 {
+			t.Errorf("%d attempts were written, its client was asked for %d times, %d requests are held", written, polled, s.Status().Requests)
 		}
 	})
 }
--- a/internal/service/server_age_test.go
+++ b/internal/service/server_age_test.go
@@ -40,38 +40,38 @@
 		ages, newModule := newAgeRecorder()
 		s, _ := startService(t, Options{NewModule: newModule})
 		synctest.Wait()
-		tell := func(uid string, boot float64) {
+		list := func(uid string, boot float64) {
 			s.receiveEndpoints(discovery.EndpointList{Endpoints: []discovery.Endpoint{{UID: uid, Address: "127.0.0.1:1", State: "up", StartedAtMS: boot}}})
 			synctest.Wait()
 		}
 		time.Sleep(3 * time.Second)
-		tell("s-2", bootMS(time.Hour))
+		list("s-2", bootMS(time.Hour))
 		if age := ages[2]; age != 3*time.Second {
 			t.Errorf("a new server by a clock an hour ahead is %v old", age)
 		}
 		time.Sleep(2 * time.Second)
-		tell("s-1", bootMS(time.Hour))
+		list("s-1", bootMS(time.Hour))
 		if age := ages[1]; age != 2*time.Second {
 			t.Errorf("a server that started again by a clock an hour ahead is %v old", age)
 		}
 		time.Sleep(2 * time.Second)
-		ahead := bootMS(-time.Hour)
-		tell("s-3", ahead)
+		future := bootMS(-time.Hour)
+		list("s-3", future)
 		if age := ages[3]; age != 0 {
 			t.Errorf("a new server by a clock an hour behind is %v old", age)
 		}
 		time.Sleep(time.Second)
-		tell("s-3", ahead)
+		list("s-3", future)
 		if age := ages[3]; age != time.Second {
 			t.Errorf("a second later it is %v old", age)
 		}
 		time.Sleep(4 * time.Second)
-		tell("s-4", bootMS(time.Second))
+		list("s-4", bootMS(time.Second))
 		if age := ages[4]; age != time.Second {
 			t.Errorf("a server that started a second ago is %v old", age)
 		}
 		time.Sleep(time.Second)
-		tell("s-5", 1)
+		list("s-5", 1)
 		if age := ages[5]; age < 0 || age > time.Second {
 			t.Errorf("a new server that started in 1970 is %v old", age)
 		}
@@ -154,16 +154,16 @@
 
 // A start that a late list tells holds, unless the wall clock was stepped since the service began.
 func TestStartBeforeLastListHoldsWithoutClockStep(t *testing.T) {
-	begun := readClocks()
+	startedAt := readClocks()
 	after := func(d, step time.Duration) clockReading {
-		return clockReading{begun.monotonic.Add(d), begun.wall + d + step}
+		return clockReading{startedAt.monotonic.Add(d), startedAt.wall + d + step}
 	}
 	for _, step := range append([]time.Duration{0}, -time.Hour, -5*time.Second, 5*time.Second, time.Hour) {
 		s := newServerStarts()
-		s.startedAt = begun
-		s.listReceived(begun.monotonic.Add(9*time.Second), nil)
+		s.startedAt = startedAt
+		s.listReceived(startedAt.monotonic.Add(9*time.Second), nil)
 		now := after(10*time.Second, step)
-		boot := milliseconds(begun.wall + 6*time.Second) // 4 s ago, 3 s before the last list
+		boot := milliseconds(startedAt.wall + 6*time.Second) // 4 s ago, 3 s before the last list
 		age := now.monotonic.Sub(s.resolve("s-1", boot, now))
 		if step == 0 && age.Round(time.Millisecond) != 4*time.Second || step != 0 && (age < 0 || age > time.Second) {
 			t.Errorf("a step of %v: the server is %v old", step, age)
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -17,10 +17,10 @@
 func TestRejectionIsImmediate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := startService(t, Options{NewModule: moduleOf(moduleFunc(rejectAll))})
-		begun := time.Now()
+		startedAt := time.Now()
 		a, ok := s.Do(context.Background(), newExchange("id-1"))
-		if !ok || a.Status != http.StatusServiceUnavailable || a.RetryAfter != time.Second || time.Since(begun) > 0 {
-			t.Errorf("%+v, %v after %v", a, ok, time.Since(begun))
+		if !ok || a.Status != http.StatusServiceUnavailable || a.RetryAfter != time.Second || time.Since(startedAt) > 0 {
+			t.Errorf("%+v, %v after %v", a, ok, time.Since(startedAt))
 		}
 	})
 }
@@ -221,15 +221,15 @@
 
 // TestServerIDsAreNeverReused checks that a server that is listed again has a new number.
 func TestServerIDsAreNeverReused(t *testing.T) {
-	seen := make(map[uint32]bool)
+	serverIDs := make(map[uint32]bool)
 	s := &Service{upstream: upstream.New(upstream.Options{}), starts: newServerStarts()}
 	l := s.newLoop(moduleFunc(func(e control.Event) []control.Action {
 		if e, ok := e.(control.EndpointList); ok {
 			for _, m := range e.Endpoints {
-				if m.State == control.Active && seen[m.Server] {
+				if m.State == control.Active && serverIDs[m.Server] {
 					t.Errorf("id %d again", m.Server)
 				}
-				seen[m.Server] = true
+				serverIDs[m.Server] = true
 			}
 		}
 		return nil
--- a/internal/service/shutdown_test.go
+++ b/internal/service/shutdown_test.go
@@ -107,13 +107,13 @@
 		s, end := startStoppableService(t, Options{NewModule: moduleOf(moduleFunc(sendToFirstServer))})
 		synctest.Wait() // it knows its server
 		const n = 30    // enough that a random choice between answers and the end would lose some
-		come := make(chan struct{})
+		arrived := make(chan struct{})
 		served := make(chan Answer, n)
 		do := func(id string) {
 			x := newExchange(id)
 			x.Forwarder = &scriptedForwarder{attempt: func(ctx context.Context) upstream.Outcome {
 				select {
-				case <-come:
+				case <-arrived:
 				case <-ctx.Done():
 				}
 				return upstream.Outcome{Reason: control.OK, Status: http.StatusOK, IsFinal: true, Header: http.Header{}}
@@ -125,10 +125,10 @@
 			go do(fmt.Sprint("id-", i))
 		}
 		synctest.Wait()
-		held, goOn := make(chan struct{}), make(chan struct{})
-		s.Post(func() { close(held); <-goOn })
-		<-held
-		close(come)
+		started, goOn := make(chan struct{}), make(chan struct{})
+		s.Post(func() { close(started); <-goOn })
+		<-started
+		close(arrived)
 		synctest.Wait() // all are in the event queue
 		end.stop()
 		close(goOn)
--- a/internal/service/statistics_test.go
+++ b/internal/service/statistics_test.go
@@ -37,10 +37,10 @@
 	var collector StatisticsCollector
 	const class = "read"
 	for name, tc := range map[string]struct {
-		took, left time.Duration // since it began; until its deadline
-		answer     Answer
-		cause      control.Cause
-		want       string // of asked, served, and the counts that are 1
+		elapsed, left time.Duration // since it began; until its deadline
+		answer        Answer
+		cause         control.Cause
+		want          string // of asked, served, and the counts that are 1
 	}{
 		"served":         {time.Millisecond, time.Second, Answer{Status: 200}, 0, "asked served delays"},
 		"late":           {2 * time.Second, time.Second, Answer{Status: 200}, 0, "asked late delays"},
@@ -56,7 +56,7 @@
 			before := collector.Statistics()
 			loop := collector.addLoop([]control.Class{{Name: class, PriorityWeight: 2.5, LatencyObjective: time.Second}})
 			now := time.Now()
-			x := &Exchange{Request: control.Request{Class: class, Units: 1.5}, Deadline: now.Add(tc.left), startedAt: now.Add(-tc.took)}
+			x := &Exchange{Request: control.Request{Class: class, Units: 1.5}, Deadline: now.Add(tc.left), startedAt: now.Add(-tc.elapsed)}
 			loop.attemptStarted(x.Request.Units)
 			tc.answer.Cause = tc.cause
 			loop.requestEnded(x, tc.answer)
--- a/internal/service/unbegun_requests_test.go
+++ b/internal/service/unbegun_requests_test.go
@@ -21,8 +21,8 @@
 	}{{"twice", "held", false}, {"handed over", "late", true}} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				var seen []control.Request
-				s, _ := startService(t, Options{NewModule: func() (Module, error) { return statefulRecorder{&seen}, nil }})
+				var received []control.Request
+				s, _ := startService(t, Options{NewModule: func() (Module, error) { return statefulRecorder{&received}, nil }})
 				accepted := make(chan Answer, 1)
 				go func() {
 					a, _ := s.Do(context.Background(), newExchange("held"))
@@ -44,17 +44,17 @@
 					t.Errorf("%+v", a)
 				}
 				close(busy)
-				within, cancel := context.WithTimeout(context.Background(), time.Second)
+				ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 				defer cancel()
-				if !s.Alive(within) {
+				if !s.Alive(ctx) {
 					t.Fatal("its loop stands still")
 				}
 				l := s.currentLoop()
 				s.Post(func() {
 					l.answerUnserved(l.exchanges["held"], Answer{Kind: Rejected, Status: http.StatusServiceUnavailable})
 				})
-				if a := <-accepted; a.Kind != Rejected || len(seen) != 1 {
-					t.Errorf("%+v; the module heard of %d", a, len(seen))
+				if a := <-accepted; a.Kind != Rejected || len(received) != 1 {
+					t.Errorf("%+v; the module heard of %d", a, len(received))
 				}
 			})
 		})
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again, err := Encode(s); err != nil || !bytes.Equal(again, raw) {
+	if encoded, err := Encode(s); err != nil || !bytes.Equal(encoded, raw) {
 		t.Errorf("it is not written as it was read: %v", err)
 	}
 	if err := testkit.RoundTrip("cbor", raw[headerSize:], new(Checkpoint)); err != nil {
--- a/internal/upgrade/processes_test.go
+++ b/internal/upgrade/processes_test.go
@@ -150,15 +150,15 @@
 }
 
 func TestJoinRejectsBadEnvironment(t *testing.T) {
-	for told, want := range map[string]string{
+	for variable, want := range map[string]string{
 		"":                             "",
 		"{":                            "unexpected end",
 		`{"version":2,"conn":3}`:       "version 2",
 		`{"version":1,"conn":1048575}`: "bad file descriptor",
 	} {
-		p, err := Join(func(string) string { return told })
+		p, err := Join(func(string) string { return variable })
 		if want == "" && (p != nil || err != nil) || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
-			t.Errorf("%q: %v, %v", told, p, err)
+			t.Errorf("%q: %v, %v", variable, p, err)
 		}
 	}
 }
--- a/internal/upstream/interrupted_attempt_test.go
+++ b/internal/upstream/interrupted_attempt_test.go
@@ -41,10 +41,10 @@
 		const left = time.Second
 		ctx, cancel := context.WithTimeout(context.Background(), left)
 		defer cancel()
-		begun := time.Now()
+		startedAt := time.Now()
 		outcome := upstream.attemptOn(ctx, pool, conn, newMessage(t, make([]byte, 64<<10)))
-		if took := time.Since(begun); took != left || outcome.Reason != control.ConnectFailed {
-			t.Errorf("%d (%v) after %v", outcome.Reason, outcome.Err, took)
+		if elapsed := time.Since(startedAt); elapsed != left || outcome.Reason != control.ConnectFailed {
+			t.Errorf("%d (%v) after %v", outcome.Reason, outcome.Err, elapsed)
 		}
 		if n := sockets.InUse(); n != 0 {
 			t.Errorf("%d connections left open", n)
@@ -119,8 +119,8 @@
 				sockets.TryAcquire()
 				conn := newTestUpstream(testkit.WaitTimeout, sockets).newConn(limits.Track(near, sockets), nil)
 				defer conn.Close()
-				begun := time.Now()
-				conn.answers.start(begun.Add(time.Hour), maxHeadBytes)
+				startedAt := time.Now()
+				conn.answers.start(startedAt.Add(time.Hour), maxHeadBytes)
 				go far.Write([]byte("HT"))
 				for range reads {
 					if _, err := conn.answers.Read(make([]byte, 1)); err != nil {
@@ -130,8 +130,8 @@
 				if conn.interrupt(); reads > 1 {
 					conn.answers.awaitNext()
 				}
-				if _, err := conn.answers.Read(make([]byte, 1)); err == nil || time.Since(begun) > 0 {
-					t.Errorf("%v after %v", err, time.Since(begun))
+				if _, err := conn.answers.Read(make([]byte, 1)); err == nil || time.Since(startedAt) > 0 {
+					t.Errorf("%v after %v", err, time.Since(startedAt))
 				}
 			})
 		})
--- a/internal/upstream/late_connection_test.go
+++ b/internal/upstream/late_connection_test.go
@@ -23,7 +23,7 @@
 // neither on a connection that comes up later nor on an idle one. That is no fault of the server, and the
 // connection serves the next request.
 func TestConnectionUpAfterWriteDeadlineIsNotWritten(t *testing.T) {
-	for name, speaks := range map[string]Protocol{"HTTP/1.1": ProtocolHTTP1, "HTTP/2": ProtocolHTTP2} {
+	for name, protocol := range map[string]Protocol{"HTTP/1.1": ProtocolHTTP1, "HTTP/2": ProtocolHTTP2} {
 		t.Run(name, func(t *testing.T) {
 			app, err := fake.Server{UID: "s", HTTP2: true}.Start()
 			if err != nil {
@@ -36,7 +36,7 @@
 				ConnectTimeout: testkit.WaitTimeout, KeepAliveTimeout: 2 * testkit.WaitTimeout, SocketLimiter: sockets, DialLimiter: dials,
 				HTTP2: HTTP2Options{MaxConnections: 1, MaxStreams: 10, MaxConnectionAge: time.Hour, FallbackPeriod: time.Minute, StartsAtLastByte: true},
 			})
-			pool := upstream.NewPool(app.Addr(), speaks)
+			pool := upstream.NewPool(app.Addr(), protocol)
 			t.Cleanup(func() { upstream.RetirePool(pool) })
 			try := func(by time.Time) Outcome {
 				ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
@@ -78,7 +78,7 @@
 // connection is up, or before it is begun: a connection may take long, and sends to the server have to have
 // stopped.
 func TestRemovedServerIsNotWrittenTo(t *testing.T) {
-	for name, speaks := range map[string]Protocol{"HTTP/1.1": ProtocolHTTP1, "HTTP/2": ProtocolHTTP2} {
+	for name, protocol := range map[string]Protocol{"HTTP/1.1": ProtocolHTTP1, "HTTP/2": ProtocolHTTP2} {
 		for when, before := range map[string]bool{"before": true, "meanwhile": false} {
 			t.Run(name+" "+when, func(t *testing.T) {
 				app, err := fake.Server{UID: "s", HTTP2: true}.Start()
@@ -94,7 +94,7 @@
 					DialLimiter: dialHook(func() { dials++; upstream.RetirePool(pool) }),
 					HTTP2:       HTTP2Options{MaxConnections: 1, MaxStreams: 10, MaxConnectionAge: time.Hour, FallbackPeriod: time.Minute, StartsAtLastByte: true},
 				})
-				pool = upstream.NewPool(app.Addr(), speaks)
+				pool = upstream.NewPool(app.Addr(), protocol)
 				if before {
 					upstream.RetirePool(pool)
 				}
@@ -126,19 +126,19 @@
 func TestFailedDialsLeaveNothingBehind(t *testing.T) {
 	const short, attempts = 50 * time.Millisecond, 100
 	address := testkit.FullBacklogAddress(t)
-	for name, within := range map[string]struct{ connect, attempt time.Duration }{
+	for name, timeouts := range map[string]struct{ connect, attempt time.Duration }{
 		"the time of a connection": {short, testkit.WaitTimeout},
 		"the time of an attempt":   {testkit.WaitTimeout, short},
 	} {
 		t.Run(name, func(t *testing.T) {
 			sockets, dials := limits.NewSocketLimiter(1024), &dialCount{}
-			upstream := New(Options{ConnectTimeout: within.connect, KeepAliveTimeout: testkit.WaitTimeout, SocketLimiter: sockets, DialLimiter: dials})
+			upstream := New(Options{ConnectTimeout: timeouts.connect, KeepAliveTimeout: testkit.WaitTimeout, SocketLimiter: sockets, DialLimiter: dials})
 			pool := upstream.NewPool(address, ProtocolHTTP1)
-			begun := time.Now()
+			startedAt := time.Now()
 			var all sync.WaitGroup
 			for range attempts {
 				all.Go(func() {
-					ctx, cancel := context.WithTimeout(t.Context(), within.attempt)
+					ctx, cancel := context.WithTimeout(t.Context(), timeouts.attempt)
 					defer cancel()
 					if outcome := upstream.AttemptHTTP1(ctx, pool, newMessage(t, nil)); outcome.Reason != control.ConnectFailed {
 						t.Errorf("%d (%v)", outcome.Reason, outcome.Err)
@@ -146,8 +146,8 @@
 				})
 			}
 			all.Wait()
-			if took := time.Since(begun); took > testkit.WaitTimeout/2 {
-				t.Errorf("given up after %v", took)
+			if elapsed := time.Since(startedAt); elapsed > testkit.WaitTimeout/2 {
+				t.Errorf("given up after %v", elapsed)
 			}
 			if descriptors, coming := sockets.InUse(), dials.open.Load(); descriptors != 0 || coming != 0 {
 				t.Errorf("%d descriptors and %d dials are left", descriptors, coming)
--- a/internal/upstream/time_left_test.go
+++ b/internal/upstream/time_left_test.go
@@ -20,12 +20,12 @@
 // TestAttemptSendsTimeLeft checks that each attempt tells its server the time that is left when it is written:
 // after a connection that came up late, and after an earlier attempt.
 func TestAttemptSendsTimeLeft(t *testing.T) {
-	for name, speaks := range map[string]Protocol{"HTTP/1.1": ProtocolHTTP1, "HTTP/2": ProtocolHTTP2} {
+	for name, version := range map[string]Protocol{"HTTP/1.1": ProtocolHTTP1, "HTTP/2": ProtocolHTTP2} {
 		t.Run(name, func(t *testing.T) {
 			const late = 100 * time.Millisecond
-			heard := make(chan string, 2)
+			received := make(chan string, 2)
 			server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				heard <- r.Header.Get(protocol.HeaderTimeLeft)
+				received <- r.Header.Get(protocol.HeaderTimeLeft)
 				time.Sleep(late)
 				w.WriteHeader(http.StatusInternalServerError)
 			}))
@@ -39,10 +39,10 @@
 				ConnectTimeout: testkit.WaitTimeout, KeepAliveTimeout: 2 * testkit.WaitTimeout, SocketLimiter: limits.NewSocketLimiter(1024), DialLimiter: connections,
 				HTTP2: HTTP2Options{MaxConnections: 1, MaxStreams: 10, MaxConnectionAge: time.Hour, FallbackPeriod: time.Minute, StartsAtLastByte: true},
 			})
-			pool := upstream.NewPool(server.Listener.Addr().String(), speaks)
+			pool := upstream.NewPool(server.Listener.Addr().String(), version)
 			t.Cleanup(func() { upstream.RetirePool(pool) })
-			begun := time.Now()
-			deadline := begun.Add(testkit.WaitTimeout)
+			startedAt := time.Now()
+			deadline := startedAt.Add(testkit.WaitTimeout)
 			ctx, cancel := context.WithDeadline(t.Context(), deadline)
 			defer cancel()
 			request := newUpdate("id", "body")
@@ -50,7 +50,7 @@
 				if outcome := request.Attempt(ctx, nil, upstream, pool); outcome.Reason != control.Errored {
 					t.Fatalf("attempt %d: %d (%v)", n, outcome.Reason, outcome.Err)
 				}
-				text := testkit.Next(t, heard)
+				text := testkit.Next(t, received)
 				left, err := strconv.Atoi(strings.TrimSuffix(text, "m"))
 				maxLeft := testkit.WaitTimeout - time.Duration(n)*late
 				if err != nil || time.Duration(left)*time.Millisecond > maxLeft || left < 1 {
