--- a/internal/upstream/answer_test.go
+++ b/internal/upstream/answer_test.go
@@ -16,6 +16,53 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
+// rawAnswers are answers of servers, and the outcomes of attempts that get them.
+var rawAnswers = map[string]struct {
+	answer string // "" is an endpoint that refuses connections
+	want   control.Reason
+	reset  control.Reason // where the connection is reset behind the answer; 0 is the same
+}{
+	"served":                       {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", control.OK, 0},
+	"served in chunks":             {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", control.OK, 0},
+	"after an interim one":         {"HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", control.OK, 0},
+	"error":                        {"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", control.Errored, 0},
+	"not found":                    {"HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", control.Errored, 0},
+	"503 of no account":            {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", control.Errored, 0},
+	"504 marked otherwise":         {"HTTP/1.1 504 No\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n", control.Errored, 0},
+	"503 turned away":              {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", control.RejectedByServer, 0},
+	"504 turned away":              {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", control.RejectedByServer, 0},
+	"500 marked":                   {"HTTP/1.1 500 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", control.Errored, 0},
+	"hung up":                      {" ", control.ResetByPeer, 0},
+	"no HTTP":                      {"what?\r\n\r\n", control.ResetByPeer, 0},
+	"cut short":                    {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", control.ResetByPeer, 0},
+	"a chunk cut short":            {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok", control.ResetByPeer, 0},
+	"too large":                    {"HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537), control.ResetByPeer, 0},
+	"an endless head":              {"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", 200000), control.ResetByPeer, 0},
+	"no stated length":             {"HTTP/1.1 200 OK\r\n\r\nok", control.OK, control.ResetByPeer},
+	"the same of HTTP/1.0":         {"HTTP/1.0 200 OK\r\n\r\nok", control.OK, control.ResetByPeer},
+	"the same, turned away":        {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n\r\n", control.RejectedByServer, control.ResetByPeer},
+	"the same, too large":          {"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 65537), control.ResetByPeer, 0},
+	"turned away, cut":             {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 1\r\n\r\n", control.ResetByPeer, 0},
+	"turned away, cut in its head": {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n", control.ResetByPeer, 0},
+	"a head alone":                 {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", control.ResetByPeer, 0},
+	"the last chunk lost":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", control.ResetByPeer, 0},
+	"of HTTP/1.0":                  {"HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok", control.OK, 0},
+	"204 with a body":              {"HTTP/1.1 204 No Content\r\n\r\nok", control.Errored, 0},
+	"304 with a body":              {"HTTP/1.1 304 Not Modified\r\nContent-Length: 2\r\n\r\nok", control.Errored, 0},
+	"two lengths":                  {"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nok", control.ResetByPeer, 0},
+	"an odd chunk":                 {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\nzz\r\n", control.ResetByPeer, 0},
+	"more behind":                  {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\noknoise", control.OK, 0},
+	"a second copy":                {strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", 2), control.OK, 0},
+	"interim without end":          {strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 9000), control.ResetByPeer, 0},
+	"switched":                     {"HTTP/1.1 101 Switching Protocols\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", control.ResetByPeer, 0},
+	"half a line ahead":            {"HTTP/1.1 2HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", control.ResetByPeer, 0},
+	"most of a line ahead":         {"HTTP/1.1 200 OHTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\nok", control.ResetByPeer, 0},
+	"a line ahead":                 {"noise\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", control.ResetByPeer, 0},
+	"a field cut ahead":            {"HTTP/1.1 200 OK\r\nContent-LenHTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\nok", control.ResetByPeer, 0},
+	"an end of a line ahead":       {"\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", control.ResetByPeer, 0},
+	"refused":                      {"", control.ConnectFailed, 0},
+}
+
 // TestOutcomeByAnswer checks the outcome of well-formed and malformed answers, with and without a reset of the
 // connection after them.
 func TestOutcomeByAnswer(t *testing.T) {
@@ -24,51 +71,7 @@
 		t.Fatal(err)
 	}
 	refusing.Close()
-	for name, tc := range map[string]struct {
-		answer string // "" is an endpoint that refuses connections
-		want   control.Reason
-		reset  control.Reason // where the connection is reset behind the answer; 0 is the same
-	}{
-		"served":                       {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", control.OK, 0},
-		"served in chunks":             {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", control.OK, 0},
-		"after an interim one":         {"HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", control.OK, 0},
-		"error":                        {"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", control.Errored, 0},
-		"not found":                    {"HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", control.Errored, 0},
-		"503 of no account":            {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", control.Errored, 0},
-		"504 marked otherwise":         {"HTTP/1.1 504 No\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n", control.Errored, 0},
-		"503 turned away":              {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", control.RejectedByServer, 0},
-		"504 turned away":              {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", control.RejectedByServer, 0},
-		"500 marked":                   {"HTTP/1.1 500 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", control.Errored, 0},
-		"hung up":                      {" ", control.ResetByPeer, 0},
-		"no HTTP":                      {"what?\r\n\r\n", control.ResetByPeer, 0},
-		"cut short":                    {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", control.ResetByPeer, 0},
-		"a chunk cut short":            {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok", control.ResetByPeer, 0},
-		"too large":                    {"HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537), control.ResetByPeer, 0},
-		"an endless head":              {"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", 200000), control.ResetByPeer, 0},
-		"no stated length":             {"HTTP/1.1 200 OK\r\n\r\nok", control.OK, control.ResetByPeer},
-		"the same of HTTP/1.0":         {"HTTP/1.0 200 OK\r\n\r\nok", control.OK, control.ResetByPeer},
-		"the same, turned away":        {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n\r\n", control.RejectedByServer, control.ResetByPeer},
-		"the same, too large":          {"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 65537), control.ResetByPeer, 0},
-		"turned away, cut":             {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 1\r\n\r\n", control.ResetByPeer, 0},
-		"turned away, cut in its head": {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n", control.ResetByPeer, 0},
-		"a head alone":                 {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", control.ResetByPeer, 0},
-		"the last chunk lost":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", control.ResetByPeer, 0},
-		"of HTTP/1.0":                  {"HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok", control.OK, 0},
-		"204 with a body":              {"HTTP/1.1 204 No Content\r\n\r\nok", control.Errored, 0},
-		"304 with a body":              {"HTTP/1.1 304 Not Modified\r\nContent-Length: 2\r\n\r\nok", control.Errored, 0},
-		"two lengths":                  {"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nok", control.ResetByPeer, 0},
-		"an odd chunk":                 {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\nzz\r\n", control.ResetByPeer, 0},
-		"more behind":                  {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\noknoise", control.OK, 0},
-		"a second copy":                {strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", 2), control.OK, 0},
-		"interim without end":          {strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 9000), control.ResetByPeer, 0},
-		"switched":                     {"HTTP/1.1 101 Switching Protocols\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", control.ResetByPeer, 0},
-		"half a line ahead":            {"HTTP/1.1 2HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", control.ResetByPeer, 0},
-		"most of a line ahead":         {"HTTP/1.1 200 OHTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\nok", control.ResetByPeer, 0},
-		"a line ahead":                 {"noise\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", control.ResetByPeer, 0},
-		"a field cut ahead":            {"HTTP/1.1 200 OK\r\nContent-LenHTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\nok", control.ResetByPeer, 0},
-		"an end of a line ahead":       {"\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", control.ResetByPeer, 0},
-		"refused":                      {"", control.ConnectFailed, 0},
-	} {
+	for name, tc := range rawAnswers {
 		for end, reset := range map[string]bool{"": false, ", reset": true} {
 			t.Run(name+end, func(t *testing.T) {
 				endpoint, want := refusing.Addr().String(), tc.want
--- a/internal/upstream/faulty_server_test.go
+++ b/internal/upstream/faulty_server_test.go
@@ -40,40 +40,10 @@
 	for i := range 12 {
 		id, body := fmt.Sprint("r", i), strings.Repeat("x", random.IntN(400))
 		all.Go(func() {
-			buffered := newUpdate(id, body)
-			knownRuns := 0 // attempts that ran and were reported as possibly run
-			for try := 0; try < 30; try++ {
-				ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-				outcome := buffered.Attempt(ctx, ctx, upstream, pool)
-				cancel()
-				ran := server.Executions.Runs(id) - knownRuns
-				var end *h2.StreamError
-				errors.As(outcome.Err, &end)
-				switch outcome.Reason {
-				case control.OK, control.Errored:
-					if ran != 1 || outcome.Reason == control.OK && string(outcome.Body) != "s "+id {
-						report("%s: %v %q, and it ran %d times", id, outcome.Reason, outcome.Body, ran)
-					}
-					return
-				case control.RejectedByServer, control.ConnectFailed, control.NotSent:
-					if ran != 0 {
-						report("%s: told that it never ran (%v, %v), and it ran", id, outcome.Reason, outcome.Err)
-						return
-					}
-				case control.ResetByPeer:
-					// Only a request that was sent completely, and got nothing but the end of its connection, may
-					// have run as far as the node knows.
-					if ran == 0 && (end == nil || end.End != h2.EndBroken || end.Moment != h2.MomentSent) {
-						report("%s: it never ran, which could be known: %v", id, outcome.Err)
-					}
-					if knownRuns += ran; !trusting {
-						return
-					}
-				default:
-					report("%s: %v, %v", id, outcome.Reason, outcome.Err)
-					return
-				}
+			attempt := func(ctx context.Context, update *BufferedRequest) Outcome {
+				return update.Attempt(ctx, ctx, upstream, pool)
 			}
+			sendUpdate(id, body, server, trusting, attempt, report)
 		})
 	}
 	all.Wait()
@@ -84,6 +54,47 @@
 	return wrong
 }
 
+// sendUpdate sends one update, and retries it as playFaultyServer says. It reports what violates the rules.
+func sendUpdate(
+	id, body string, server *fake.RunningHTTP2, trusting bool,
+	attempt func(context.Context, *BufferedRequest) Outcome, report func(format string, args ...any),
+) {
+	buffered := newUpdate(id, body)
+	knownRuns := 0 // attempts that ran and were reported as possibly run
+	for try := 0; try < 30; try++ {
+		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+		outcome := attempt(ctx, buffered)
+		cancel()
+		ran := server.Executions.Runs(id) - knownRuns
+		var end *h2.StreamError
+		errors.As(outcome.Err, &end)
+		switch outcome.Reason {
+		case control.OK, control.Errored:
+			if ran != 1 || outcome.Reason == control.OK && string(outcome.Body) != "s "+id {
+				report("%s: %v %q, and it ran %d times", id, outcome.Reason, outcome.Body, ran)
+			}
+			return
+		case control.RejectedByServer, control.ConnectFailed, control.NotSent:
+			if ran != 0 {
+				report("%s: told that it never ran (%v, %v), and it ran", id, outcome.Reason, outcome.Err)
+				return
+			}
+		case control.ResetByPeer:
+			// Only a request that was sent completely, and got nothing but the end of its connection, may
+			// have run as far as the node knows.
+			if ran == 0 && (end == nil || end.End != h2.EndBroken || end.Moment != h2.MomentSent) {
+				report("%s: it never ran, which could be known: %v", id, outcome.Err)
+			}
+			if knownRuns += ran; !trusting {
+				return
+			}
+		default:
+			report("%s: %v, %v", id, outcome.Reason, outcome.Err)
+			return
+		}
+	}
+}
+
 // TestUpdatesRunOnceOnFaultyServer checks that no update runs twice, and that an update which has not run is
 // known not to have, at a server that closes at any byte, refuses streams, goes away and changes its limits.
 func TestUpdatesRunOnceOnFaultyServer(t *testing.T) {
--- a/internal/upstream/shared_connections_test.go
+++ b/internal/upstream/shared_connections_test.go
@@ -161,6 +161,34 @@
 	}
 }
 
+// startTLSServer starts a server that stores the protocol of its latest request and counts its connections.
+func startTLSServer(hasHTTP2 bool, dials *atomic.Int64, proto *atomic.Value) *httptest.Server {
+	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		proto.Store(r.Proto)
+		testkit.Served(w, r)
+	}))
+	server.EnableHTTP2 = hasHTTP2
+	server.Config.ErrorLog = log.New(io.Discard, "", 0)
+	server.Config.ConnState = func(_ net.Conn, state http.ConnState) {
+		if state == http.StateNew {
+			dials.Add(1)
+		}
+	}
+	server.StartTLS()
+	return server
+}
+
+// writeAuthority writes a server's certificate as that of an authority, and returns the file's path.
+func writeAuthority(t *testing.T, server *httptest.Server) string {
+	t.Helper()
+	authority := filepath.Join(t.TempDir(), "ca")
+	encoded := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: server.Certificate().Raw})
+	if err := os.WriteFile(authority, encoded, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return authority
+}
+
 // TestProtocolNegotiationOverTLS checks that the protocol is negotiated over TLS, that connections are reused and
 // shared as without it, and that a server with another name is rejected.
 func TestProtocolNegotiationOverTLS(t *testing.T) {
@@ -181,23 +209,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			var dials atomic.Int64
 			var proto atomic.Value
-			server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				proto.Store(r.Proto)
-				testkit.Served(w, r)
-			}))
-			server.EnableHTTP2 = tc.h2
-			server.Config.ErrorLog = log.New(io.Discard, "", 0)
-			server.Config.ConnState = func(_ net.Conn, state http.ConnState) {
-				if state == http.StateNew {
-					dials.Add(1)
-				}
-			}
-			server.StartTLS()
+			server := startTLSServer(tc.h2, &dials, &proto)
 			defer server.Close()
-			authority := filepath.Join(t.TempDir(), "ca")
-			if err := os.WriteFile(authority, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: server.Certificate().Raw}), 0o600); err != nil {
-				t.Fatal(err)
-			}
+			authority := writeAuthority(t, server)
 			certificates, err := certs.Load(certs.Options{CA: authority, Name: "example.com"})
 			if err != nil {
 				t.Fatal(err)
