--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -215,8 +215,8 @@
 		return len(s.Services[0].HardLimits) == 1 && s.Services[0].HardLimits[0].CanBorrow
 	})
 	worst, units := ceiling.MaxExcess()
-	if t.Logf("%.0f units, %.1f beyond the bound", units, worst); worst > 0 || counter.Calls() == 0 {
-		t.Errorf("%.1f units beyond the bound; %d calls", worst, counter.Calls())
+	if t.Logf("%.0f units, %.1f beyond the bound", units, worst); worst > 0 || counter.ScriptRuns() == 0 {
+		t.Errorf("%.1f units beyond the bound; %d calls", worst, counter.ScriptRuns())
 	}
 }
 
--- a/internal/leasestore/golden_test.go
+++ b/internal/leasestore/golden_test.go
@@ -23,7 +23,7 @@
 
 	now := time.Unix(1_700_000_000, 0)
 	s := redistest.New()
-	s.Clock(func() time.Time { return now })
+	s.SetClock(func() time.Time { return now })
 	id := eval(t, s, &quotalease.StoreCall{HolderID: "x"}).StoreID
 	var last quotalease.StoreCall
 	for step := range 5 { // a part that is pledged for a time comes to hold units
--- a/internal/leasestore/leasestore_test.go
+++ b/internal/leasestore/leasestore_test.go
@@ -45,7 +45,7 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		now := time.Unix(1_700_000_000, 0)
 		s := redistest.New()
-		s.Clock(func() time.Time { return now })
+		s.SetClock(func() time.Time { return now })
 		id := eval(t, s, &quotalease.StoreCall{HolderID: "x"}).StoreID
 		c := quotalease.NewStore(rules, id)
 		c.Handle(time.Duration(now.UnixMicro())*time.Microsecond, quotalease.StoreCall{HolderID: "x"})
@@ -131,20 +131,20 @@
 		return c.Call(context.Background(), &quotalease.StoreCall{HolderID: "i", Seq: 7})
 	}
 	a, err := call()
-	if err != nil || a.StoreID == "" || a.Seq != 7 || a.IsLending || s.Calls() != 1 {
-		t.Fatalf("%+v, %v, %d calls", a, err, s.Calls())
+	if err != nil || a.StoreID == "" || a.Seq != 7 || a.IsLending || s.ScriptRuns() != 1 {
+		t.Fatalf("%+v, %v, %d calls", a, err, s.ScriptRuns())
 	}
 	for _, text := range []string{
 		"LOADING Redis is loading the dataset in memory", "READONLY You can't write against a read only replica.",
 		"MOVED 3999 127.0.0.1:6381", "NOAUTH Authentication required.", "OOM command not allowed when used memory > 'maxmemory'.",
 	} {
-		s.Set(0, text, false)
+		s.SetFaults(0, text, false)
 		if _, err := call(); err == nil || !strings.Contains(err.Error(), strings.Fields(text)[0]) {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
-	s.Set(0, "", false)
-	if n := s.Calls(); n != 1 {
+	s.SetFaults(0, "", false)
+	if n := s.ScriptRuns(); n != 1 {
 		t.Errorf("%d calls", n)
 	}
 	s.Replace()
@@ -157,7 +157,7 @@
 	if err != nil || b.StoreID == a.StoreID {
 		t.Errorf("after it was replaced: %+v, %v", b, err)
 	}
-	s.Set(0, "", true)
+	s.SetFaults(0, "", true)
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	if _, err := c.Call(ctx, &quotalease.StoreCall{}); err == nil {
@@ -167,7 +167,7 @@
 
 func TestPassword(t *testing.T) {
 	s, c := start(t)
-	s.Require("secret")
+	s.SetPassword("secret")
 	if _, err := c.Call(t.Context(), &quotalease.StoreCall{}); err == nil || !strings.Contains(err.Error(), "NOAUTH") {
 		t.Errorf("without: %v", err)
 	}
--- a/internal/node/shared_hard_limits_test.go
+++ b/internal/node/shared_hard_limits_test.go
@@ -138,15 +138,15 @@
 	f.awaitStatus(t, "a counter that lends", leasesUnits)
 	f.awaitUnits(t, 100)
 	for _, injectFault := range []func(){
-		func() { f.firstStore.Set(0, "", true) },
-		func() { f.firstStore.Set(0, "LOADING Redis is loading the dataset in memory", false) },
-		func() { f.firstStore.Set(2*time.Second, "", false) },
+		func() { f.firstStore.SetFaults(0, "", true) },
+		func() { f.firstStore.SetFaults(0, "LOADING Redis is loading the dataset in memory", false) },
+		func() { f.firstStore.SetFaults(2*time.Second, "", false) },
 	} {
 		injectFault()
-		f.firstStore.Cut()
+		f.firstStore.CloseConns()
 		f.awaitStatus(t, "parts of its own", usesOwnQuota)
 		f.awaitUnits(t, 30)
-		f.firstStore.Set(0, "", false)
+		f.firstStore.SetFaults(0, "", false)
 		f.awaitStatus(t, "a counter that lends again", leasesUnits)
 		f.awaitUnits(t, 30)
 	}
@@ -171,7 +171,7 @@
 	f.awaitStatus(t, "counters that lend", leasesUnits)
 	f.awaitUnits(t, 200)
 	for _, c := range f.stores {
-		if c.Calls() == 0 {
+		if c.ScriptRuns() == 0 {
 			t.Error("a counter was not asked")
 		}
 	}
@@ -197,7 +197,7 @@
 		f.awaitUnits(t, 20)
 	}
 	f.awaitStatus(t, "another counter that lends", leasesUnits)
-	if f.stores[1].Calls() == 0 {
+	if f.stores[1].ScriptRuns() == 0 {
 		t.Error("the other counter was not asked")
 	}
 }
--- a/internal/testsupport/redistest/redistest.go
+++ b/internal/testsupport/redistest/redistest.go
@@ -82,12 +82,12 @@
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
-	s.Cut()
+	s.CloseConns()
 	s.all.Wait()
 }
 
-// Cut ends all connections.
-func (s *Server) Cut() {
+// CloseConns ends all connections.
+func (s *Server) CloseConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -103,33 +103,33 @@
 	s.db = make(map[string]entry)
 	clear(s.scripts)
 	s.mu.Unlock()
-	s.Cut()
+	s.CloseConns()
 }
 
-// Set changes how it behaves: answers come so late, all commands are refused with a text (such as
+// SetFaults changes how it behaves: answers come so late, all commands are refused with a text (such as
 // "LOADING Redis is loading"), or none is answered.
-func (s *Server) Set(late time.Duration, refuse string, dark bool) {
+func (s *Server) SetFaults(late time.Duration, refuse string, dark bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.late, s.refuse, s.dark = late, refuse, dark
 }
 
-// Require has it take commands only after AUTH with a password.
-func (s *Server) Require(password string) {
+// SetPassword has it take commands only after AUTH with a password.
+func (s *Server) SetPassword(password string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.auth = password
 }
 
-// Clock has it show another time.
-func (s *Server) Clock(now func() time.Time) {
+// SetClock has it show another time.
+func (s *Server) SetClock(now func() time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.clock = now
 }
 
-// Calls is how many scripts it has run.
-func (s *Server) Calls() int {
+// ScriptRuns is how many scripts it has run.
+func (s *Server) ScriptRuns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
