--- a/internal/leasestore/leasestore_test.go
+++ b/internal/leasestore/leasestore_test.go
@@ -138,12 +138,12 @@
 		"LOADING Redis is loading the dataset in memory", "READONLY You can't write against a read only replica.",
 		"MOVED 3999 127.0.0.1:6381", "NOAUTH Authentication required.", "OOM command not allowed when used memory > 'maxmemory'.",
 	} {
-		s.SetFaults(0, text, false)
+		s.SetFaults(redistest.Faults{Error: text})
 		if _, err := call(); err == nil || !strings.Contains(err.Error(), strings.Fields(text)[0]) {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
-	s.SetFaults(0, "", false)
+	s.SetFaults(redistest.Faults{})
 	if n := s.ScriptRuns(); n != 1 {
 		t.Errorf("%d calls", n)
 	}
@@ -157,7 +157,7 @@
 	if err != nil || b.StoreID == a.StoreID {
 		t.Errorf("after it was replaced: %+v, %v", b, err)
 	}
-	s.SetFaults(0, "", true)
+	s.SetFaults(redistest.Faults{IsSilent: true})
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	if _, err := c.Call(ctx, &quotalease.StoreCall{}); err == nil {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -142,7 +142,7 @@
 	if n := sum(scrape(t, h)["lockflow_counter_calls_total"], "service=a"); n < 2 {
 		t.Errorf("%g calls", n)
 	}
-	counter.SetFaults(0, "", true)
+	counter.SetFaults(redistest.Faults{IsSilent: true})
 	counter.CloseConns()
 	testkit.Until(t, "a part of its own", func() bool { return sum(scrape(t, h)["lockflow_counter_own_part"]) == 1 })
 	if f := scrape(t, Handler(labtest.Begin(t, testkit.Small, nil).Node))["lockflow_counter_lends"]; f != nil {
--- a/internal/node/shared_hard_limits_test.go
+++ b/internal/node/shared_hard_limits_test.go
@@ -138,15 +138,17 @@
 	f.awaitStatus(t, "a counter that lends", leasesUnits)
 	f.awaitUnits(t, 100)
 	for _, injectFault := range []func(){
-		func() { f.firstStore.SetFaults(0, "", true) },
-		func() { f.firstStore.SetFaults(0, "LOADING Redis is loading the dataset in memory", false) },
-		func() { f.firstStore.SetFaults(2*time.Second, "", false) },
+		func() { f.firstStore.SetFaults(redistest.Faults{IsSilent: true}) },
+		func() {
+			f.firstStore.SetFaults(redistest.Faults{Error: "LOADING Redis is loading the dataset in memory"})
+		},
+		func() { f.firstStore.SetFaults(redistest.Faults{Delay: 2 * time.Second}) },
 	} {
 		injectFault()
 		f.firstStore.CloseConns()
 		f.awaitStatus(t, "parts of its own", usesOwnQuota)
 		f.awaitUnits(t, 30)
-		f.firstStore.SetFaults(0, "", false)
+		f.firstStore.SetFaults(redistest.Faults{})
 		f.awaitStatus(t, "a counter that lends again", leasesUnits)
 		f.awaitUnits(t, 30)
 	}
--- a/internal/testsupport/redistest/command.go
+++ b/internal/testsupport/redistest/command.go
@@ -8,143 +8,168 @@
 	"time"
 )
 
-// Do runs one command and gives its reply: nil, an error, an int, a string or a list of those.
+const microsecondsPerSecond = 1e6
+
+var (
+	errArgs      = errors.New("ERR wrong number of arguments")
+	errWrongType = errors.New("WRONGTYPE Operation against a key holding the wrong kind of value")
+)
+
+// minArguments are the known commands with their minimum numbers of arguments.
+var minArguments = map[string]int{
+	"TIME": 0, "INFO": 0, "GET": 1, "SET": 2, "DEL": 1, "HGET": 2, "HMGET": 2, "HGETALL": 1, "HSET": 3, "HDEL": 2, "PEXPIRE": 2,
+}
+
+// Do runs one command and returns its reply: nil, an error, an int, a string or a list of those.
 func (s *Server) Do(args ...string) any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch strings.ToUpper(args[0]) {
 	case "PING":
 		return status("PONG")
-	case "EVAL", "EVALSHA":
-		return s.eval(strings.EqualFold(args[0], "EVALSHA"), args[1:])
+	case "EVAL":
+		return s.eval(false, args[1:])
+	case "EVALSHA":
+		return s.eval(true, args[1:])
 	}
 	return s.run(args)
 }
 
-// get finds what has not ended.
-func (s *Server) get(key string) (entry, bool) {
-	e, ok := s.db[key]
-	if ok && !e.ends.IsZero() && !s.clock().Before(e.ends) {
-		delete(s.db, key)
+// get returns the value of a key, which it removes if it has expired.
+func (s *Server) get(key string) (value entry, ok bool) {
+	value, ok = s.data[key]
+	if ok && !value.expiresAt.IsZero() && !s.now().Before(value.expiresAt) {
+		delete(s.data, key)
 		return entry{}, false
 	}
-	return e, ok
+	return value, ok
 }
 
-var errArgs = errors.New("ERR wrong number of arguments")
-
-// run runs a command on the data.
+// run runs a command, other than a script. s.mu is locked.
 func (s *Server) run(args []string) any {
 	name, args := strings.ToUpper(args[0]), args[1:]
-	minArguments := map[string]int{"TIME": 0, "INFO": 0, "GET": 1, "SET": 2, "DEL": 1, "HGET": 2, "HMGET": 2, "HGETALL": 1, "HSET": 3, "HDEL": 2, "PEXPIRE": 2}
-	n, ok := minArguments[name]
+	required, isKnown := minArguments[name]
 	switch {
-	case !ok:
+	case !isKnown:
 		return fmt.Errorf("ERR unknown command '%s'", name)
-	case len(args) < n:
+	case len(args) < required:
 		return errArgs
 	case name == "TIME":
-		us := s.clock().UnixMicro()
-		return []any{strconv.FormatInt(us/1e6, 10), strconv.FormatInt(us%1e6, 10)}
+		microseconds := s.now().UnixMicro()
+		return []any{strconv.FormatInt(microseconds/microsecondsPerSecond, 10), strconv.FormatInt(microseconds%microsecondsPerSecond, 10)}
 	case name == "INFO":
 		return "# Server\r\nredis_version:7.2.4\r\nrun_id:" + s.runID + "\r\ntcp_port:6379\r\n"
 	}
+	return s.runOnKey(name, args)
+}
+
+// runOnKey runs a command whose first argument is a key.
+func (s *Server) runOnKey(name string, args []string) any {
 	key := args[0]
-	e, is := s.get(key)
-	if hashes := strings.HasPrefix(name, "H"); is && (hashes || name == "GET") && hashes != (e.hash != nil) {
-		return errors.New("WRONGTYPE Operation against a key holding the wrong kind of value")
+	value, exists := s.get(key)
+	needsHash := strings.HasPrefix(name, "H")
+	if exists && (needsHash || name == "GET") && needsHash != (value.hash != nil) {
+		return errWrongType
 	}
 	switch name {
 	case "GET":
-		if !is {
+		if !exists {
 			return nil
 		}
-		return e.text
+		return value.text
 	case "SET":
 		return s.set(args)
 	case "DEL":
-		delete(s.db, key)
-		return map[bool]int{true: 1}[is]
+		delete(s.data, key)
+		return map[bool]int{true: 1}[exists]
 	case "PEXPIRE":
-		return s.pexpire(args, e, is)
+		return s.pexpire(args, value, exists)
 	}
-	return s.runHash(name, args, e, is)
+	return s.runOnHash(name, args, value, exists)
 }
 
-// set is SET KEY VALUE [PX MILLISECONDS].
+// set runs SET KEY VALUE [PX MILLISECONDS].
 func (s *Server) set(args []string) any {
-	e := entry{text: args[1]}
-	if len(args) == 4 && strings.EqualFold(args[2], "PX") {
-		ms, err := strconv.ParseInt(args[3], 10, 64)
-		if err != nil || ms <= 0 {
+	value := entry{text: args[1]}
+	hasExpiry := len(args) == 4 && strings.EqualFold(args[2], "PX")
+	switch {
+	case hasExpiry:
+		milliseconds, err := strconv.ParseInt(args[3], 10, 64)
+		if err != nil || milliseconds <= 0 {
 			return errors.New("ERR invalid expire time in 'set' command")
 		}
-		e.ends = s.clock().Add(time.Duration(ms) * time.Millisecond)
-	} else if len(args) != 2 {
+		value.expiresAt = s.now().Add(time.Duration(milliseconds) * time.Millisecond)
+	case len(args) != 2:
 		return errors.New("ERR syntax error")
 	}
-	s.db[args[0]] = e
+	s.data[args[0]] = value
 	return status("OK")
 }
 
-// pexpire is PEXPIRE KEY MILLISECONDS of what the key has, if it is there.
-func (s *Server) pexpire(args []string, e entry, is bool) any {
-	ms, err := strconv.ParseInt(args[1], 10, 64)
+// pexpire runs PEXPIRE KEY MILLISECONDS.
+func (s *Server) pexpire(args []string, value entry, exists bool) any {
+	milliseconds, err := strconv.ParseInt(args[1], 10, 64)
 	if err != nil {
 		return errors.New("ERR value is not an integer or out of range")
 	}
-	if !is {
+	if !exists {
 		return 0
 	}
-	e.ends = s.clock().Add(time.Duration(ms) * time.Millisecond)
-	s.db[args[0]] = e
+	value.expiresAt = s.now().Add(time.Duration(milliseconds) * time.Millisecond)
+	s.data[args[0]] = value
 	return 1
 }
 
-// runHash runs a command on a hash: what the key has, if it is there.
-func (s *Server) runHash(name string, args []string, e entry, is bool) any {
-	key := args[0]
+// runOnHash runs a command on a hash.
+func (s *Server) runOnHash(name string, args []string, value entry, exists bool) any {
+	key, fields := args[0], args[1:]
 	switch name {
 	case "HGET":
-		if v, ok := e.hash[args[1]]; ok {
-			return v
-		}
-		return nil
+		return fieldReply(value.hash, fields[0])
 	case "HMGET":
-		all := []any{}
-		for _, f := range args[1:] {
-			if v, ok := e.hash[f]; ok {
-				all = append(all, v)
-			} else {
-				all = append(all, nil)
-			}
+		replies := []any{}
+		for _, field := range fields {
+			replies = append(replies, fieldReply(value.hash, field))
 		}
-		return all
+		return replies
 	case "HGETALL":
-		all := []any{}
-		for f, v := range e.hash {
-			all = append(all, f, v)
+		replies := []any{}
+		for field, text := range value.hash {
+			replies = append(replies, field, text)
 		}
-		return all
+		return replies
 	case "HSET":
-		if len(args)%2 == 0 {
-			return errArgs
-		}
-		if e.hash == nil {
-			e.hash = make(map[string]string)
-		}
-		for i := 1; i < len(args); i += 2 {
-			e.hash[args[i]] = args[i+1]
-		}
-		s.db[key] = e
-		return len(args) / 2
+		return s.hset(key, fields, value)
 	default: // HDEL
-		for _, f := range args[1:] {
-			delete(e.hash, f)
+		for _, field := range fields {
+			delete(value.hash, field)
 		}
-		if is && len(e.hash) == 0 {
-			delete(s.db, key)
+		if exists && len(value.hash) == 0 {
+			delete(s.data, key)
 		}
 		return 1
 	}
 }
+
+// fieldReply returns the reply for one field of a hash: nil if it does not exist.
+func fieldReply(hash map[string]string, field string) any {
+	if text, ok := hash[field]; ok {
+		return text
+	}
+	return nil
+}
+
+// hset runs HSET KEY {FIELD TEXT}.
+func (s *Server) hset(key string, pairs []string, value entry) any {
+	if len(pairs)%2 != 0 {
+		return errArgs
+	}
+	if value.hash == nil {
+		value.hash = make(map[string]string)
+	}
+	for i := 0; i < len(pairs); i += 2 {
+		value.hash[pairs[i]] = pairs[i+1]
+	}
+	s.data[key] = value
+	return len(pairs) / 2
+}
--- a/internal/testsupport/redistest/connection.go
+++ b/internal/testsupport/redistest/connection.go
@@ -8,43 +8,55 @@
 	"time"
 )
 
-func (s *Server) serve(c net.Conn) {
+// Replies to AUTH, and without it, as Redis sends them.
+var (
+	errWrongPassword = errors.New("WRONGPASS invalid username-password pair or user is disabled.") //nolint:revive,staticcheck // the text that Redis sends
+	errNoAuth        = errors.New("NOAUTH Authentication required.")                               //nolint:revive,staticcheck // the text that Redis sends
+)
+
+// serve answers the commands of one connection.
+func (s *Server) serve(conn net.Conn) {
 	defer func() {
-		c.Close()
+		conn.Close()
 		s.mu.Lock()
-		delete(s.conns, c)
+		delete(s.conns, conn)
 		s.mu.Unlock()
 	}()
-	in, known := bufio.NewReader(c), false
+	in := bufio.NewReader(conn)
+	isAuthenticated := false
 	for {
-		args, err := read(in)
+		args, err := readCommand(in)
 		if err != nil {
 			return
 		}
 		s.mu.Lock()
-		late, refuse, dark, auth := s.late, s.refuse, s.dark, s.auth
+		faults, password := s.faults, s.password
 		s.mu.Unlock()
-		if dark {
+		if faults.IsSilent {
 			continue
 		}
-		time.Sleep(late)
+		time.Sleep(faults.Delay)
 		var reply any
-		switch name := strings.ToUpper(args[0]); {
-		case refuse != "":
-			reply = errors.New(refuse)
-		case name == "AUTH":
-			if known = args[len(args)-1] == auth; known {
-				reply = status("OK")
-			} else {
-				reply = errors.New("WRONGPASS invalid username-password pair or user is disabled.") //nolint:revive,staticcheck // the text that Redis sends
-			}
-		case auth != "" && !known:
-			reply = errors.New("NOAUTH Authentication required.") //nolint:revive,staticcheck // the text that Redis sends
+		switch {
+		case faults.Error != "":
+			reply = errors.New(faults.Error)
+		case strings.EqualFold(args[0], "AUTH"):
+			isAuthenticated = args[len(args)-1] == password
+			reply = authReply(isAuthenticated)
+		case password != "" && !isAuthenticated:
+			reply = errNoAuth
 		default:
 			reply = s.Do(args...)
 		}
-		if _, err := c.Write(encode(nil, reply)); err != nil {
+		if _, err := conn.Write(appendReply(nil, reply)); err != nil {
 			return
 		}
 	}
 }
+
+func authReply(isAuthenticated bool) any {
+	if isAuthenticated {
+		return status("OK")
+	}
+	return errWrongPassword
+}
--- a/internal/testsupport/redistest/redistest.go
+++ b/internal/testsupport/redistest/redistest.go
@@ -1,6 +1,6 @@
-// Package redistest is a stand-in for a Redis server, for tests: as much of RESP 2 and of the commands
-// as a counter's script takes, with the script run by a Lua of its own. It can be slow, cut off,
-// replaced by an empty one, set back to an older state, refuse all, or show another time.
+// Package redistest is a fake Redis server for tests: as much of RESP 2 and of the commands as the scripts of lease
+// and model stores use, with scripts run by an embedded Lua interpreter. It can be slow, unresponsive, replaced by an
+// empty server, restored to an older state, reject all commands, or show another time.
 package redistest
 
 import (
@@ -14,154 +14,161 @@
 	lua "github.com/yuin/gopher-lua"
 )
 
-// Server is a stand-in. Its methods are safe for concurrent use.
+// Faults are the faults of a server. The zero value is none.
+type Faults struct {
+	Delay    time.Duration // before each reply
+	Error    string        // reply to all commands, such as "LOADING Redis is loading"; empty is none
+	IsSilent bool          // commands are read and not answered
+}
+
+// Server is a fake Redis server. Its methods are safe for concurrent use.
 type Server struct {
-	l   net.Listener
-	all sync.WaitGroup
-
-	mu      sync.Mutex
-	db      map[string]entry
-	runID   string
-	starts  int
-	scripts map[string]*lua.FunctionProto
-	clock   func() time.Time
-	late    time.Duration
-	refuse  string
-	dark    bool // what comes is taken and not answered
-	auth    string
-	conns   map[net.Conn]bool
-	calls   int
-	closed  bool
+	listener   net.Listener
+	goroutines sync.WaitGroup
+
+	mu         sync.Mutex
+	data       map[string]entry // by key
+	runID      string
+	starts     int                           // number of run IDs so far
+	scripts    map[string]*lua.FunctionProto // by SHA-1
+	now        func() time.Time
+	faults     Faults
+	password   string // empty is none
+	conns      map[net.Conn]bool
+	scriptRuns int
+	isClosed   bool
 }
 
+// entry is the value of a key: a string, or a hash if that is not nil.
 type entry struct {
-	text string
-	hash map[string]string
-	ends time.Time // zero is never
+	text      string
+	hash      map[string]string
+	expiresAt time.Time // zero is never
 }
 
-// Start starts a server on a loopback address of its own.
+// Start starts a server on a free port of the loopback address.
 func Start() (*Server, error) {
-	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("starting a counter's stand-in: %w", err)
+		return nil, fmt.Errorf("starting a fake Redis server: %w", err)
 	}
 	s := New()
-	s.l = l
-	s.all.Go(func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			s.mu.Lock()
-			if s.closed {
-				c.Close()
-			}
-			s.conns[c] = true
-			s.mu.Unlock()
-			s.all.Go(func() { s.serve(c) })
-		}
-	})
+	s.listener = listener
+	s.goroutines.Go(s.accept)
 	return s, nil
 }
 
-// New makes a server that does not listen: Do has it run commands.
+// New returns a server that does not listen. Do runs commands on it.
 func New() *Server {
-	s := &Server{clock: time.Now, conns: make(map[net.Conn]bool), scripts: make(map[string]*lua.FunctionProto)}
+	s := &Server{now: time.Now, conns: make(map[net.Conn]bool), scripts: make(map[string]*lua.FunctionProto)}
 	s.Replace()
 	return s
 }
 
-// Addr is where it listens.
-func (s *Server) Addr() string { return s.l.Addr().String() }
+func (s *Server) accept() {
+	for {
+		conn, err := s.listener.Accept()
+		if err != nil {
+			return
+		}
+		s.mu.Lock()
+		if s.isClosed {
+			conn.Close()
+		}
+		s.conns[conn] = true
+		s.mu.Unlock()
+		s.goroutines.Go(func() { s.serve(conn) })
+	}
+}
+
+// Addr returns the address that the server listens on.
+func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Close ends it.
+// Close ends the server with all its connections.
 func (s *Server) Close() {
-	s.l.Close()
+	s.listener.Close()
 	s.mu.Lock()
-	s.closed = true
+	s.isClosed = true
 	s.mu.Unlock()
 	s.CloseConns()
-	s.all.Wait()
+	s.goroutines.Wait()
 }
 
-// CloseConns ends all connections.
+// CloseConns closes all connections.
 func (s *Server) CloseConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.conns {
-		c.Close()
+	for conn := range s.conns {
+		conn.Close()
 	}
 }
 
-// Replace puts an empty server in its place, with another run id, and ends the connections.
+// Replace replaces the server by an empty one with another run ID, and closes the connections.
 func (s *Server) Replace() {
 	s.mu.Lock()
 	s.starts++
 	s.runID = fmt.Sprintf("%040d", s.starts)
-	s.db = make(map[string]entry)
+	s.data = make(map[string]entry)
 	clear(s.scripts)
 	s.mu.Unlock()
 	s.CloseConns()
 }
 
-// SetFaults changes how it behaves: answers come so late, all commands are refused with a text (such as
-// "LOADING Redis is loading"), or none is answered.
-func (s *Server) SetFaults(late time.Duration, refuse string, dark bool) {
+// SetFaults replaces the server's faults.
+func (s *Server) SetFaults(faults Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.late, s.refuse, s.dark = late, refuse, dark
+	s.faults = faults
 }
 
-// SetPassword has it take commands only after AUTH with a password.
+// SetPassword has the server require AUTH with a password.
 func (s *Server) SetPassword(password string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.auth = password
+	s.password = password
 }
 
-// SetClock has it show another time.
+// SetClock sets the server's clock. now is called with the server locked.
 func (s *Server) SetClock(now func() time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.clock = now
+	s.now = now
 }
 
-// ScriptRuns is how many scripts it has run.
+// ScriptRuns returns the number of scripts that were run.
 func (s *Server) ScriptRuns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calls
+	return s.scriptRuns
 }
 
-// Size is how many keys it holds.
+// Size returns the number of keys.
 func (s *Server) Size() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for k := range s.db {
-		s.get(k)
+	for key := range s.data {
+		s.get(key) // removes it if it has expired
 	}
-	return len(s.db)
+	return len(s.data)
 }
 
-// Snapshot gives a call that sets all data back to what it is now.
+// Snapshot returns a function that restores all data to what it is now.
 func (s *Server) Snapshot() (restore func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	old := copied(s.db)
+	snapshot := clone(s.data)
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.db = copied(old)
+		s.data = clone(snapshot)
 	}
 }
 
-func copied(db map[string]entry) map[string]entry {
-	all := make(map[string]entry, len(db))
-	for k, e := range db {
+func clone(data map[string]entry) map[string]entry {
+	cloned := make(map[string]entry, len(data))
+	for key, e := range data {
 		e.hash = maps.Clone(e.hash)
-		all[k] = e
+		cloned[key] = e
 	}
-	return all
+	return cloned
 }
--- a/internal/testsupport/redistest/resp.go
+++ b/internal/testsupport/redistest/resp.go
@@ -8,19 +8,28 @@
 	"strings"
 )
 
-// read reads a command: an array of bulk strings.
-func read(in *bufio.Reader) ([]string, error) {
-	n, err := length(in, '*')
-	if err != nil || n < 1 || n > 1<<20 {
+// Limits of a command.
+const (
+	maxArguments     = 1 << 20
+	maxArgumentBytes = 1 << 20
+)
+
+// status is a simple string reply.
+type status string
+
+// readCommand reads a command: an array of bulk strings.
+func readCommand(in *bufio.Reader) ([]string, error) {
+	n, err := readLength(in, '*')
+	if err != nil || n < 1 || n > maxArguments {
 		return nil, fmt.Errorf("an array of %d: %w", n, err)
 	}
 	args := make([]string, n)
 	for i := range args {
-		size, err := length(in, '$')
-		if err != nil || size < 0 || size > 1<<20 {
+		size, err := readLength(in, '$')
+		if err != nil || size < 0 || size > maxArgumentBytes {
 			return nil, fmt.Errorf("a string of %d: %w", size, err)
 		}
-		raw := make([]byte, size+2)
+		raw := make([]byte, size+len("\r\n"))
 		if _, err := io.ReadFull(in, raw); err != nil {
 			return nil, err
 		}
@@ -29,37 +38,37 @@
 	return args, nil
 }
 
-func length(in *bufio.Reader, kind byte) (int, error) {
+// readLength reads the line that begins an array or a bulk string.
+func readLength(in *bufio.Reader, kind byte) (int, error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
 		return 0, err
 	}
 	if line[0] != kind {
-		return 0, fmt.Errorf("%q where %q was due", line, kind)
+		return 0, fmt.Errorf("%q in place of %q", line, kind)
 	}
 	return strconv.Atoi(strings.TrimRight(line[1:], "\r\n"))
 }
 
-type status string
-
-func encode(b []byte, reply any) []byte {
-	switch v := reply.(type) {
+// appendReply appends the encoding of a reply, as Do returns it.
+func appendReply(encoded []byte, reply any) []byte {
+	switch reply := reply.(type) {
 	case nil:
-		return append(b, "$-1\r\n"...)
+		return append(encoded, "$-1\r\n"...)
 	case error:
-		return append(b, "-"+v.Error()+"\r\n"...)
+		return append(encoded, "-"+reply.Error()+"\r\n"...)
 	case status:
-		return append(b, "+"+string(v)+"\r\n"...)
+		return append(encoded, "+"+string(reply)+"\r\n"...)
 	case int:
-		return append(b, ":"+strconv.Itoa(v)+"\r\n"...)
+		return append(encoded, ":"+strconv.Itoa(reply)+"\r\n"...)
 	case string:
-		return append(b, "$"+strconv.Itoa(len(v))+"\r\n"+v+"\r\n"...)
+		return append(encoded, "$"+strconv.Itoa(len(reply))+"\r\n"+reply+"\r\n"...)
 	case []any:
-		b = append(b, "*"+strconv.Itoa(len(v))+"\r\n"...)
-		for _, e := range v {
-			b = encode(b, e)
+		encoded = append(encoded, "*"+strconv.Itoa(len(reply))+"\r\n"...)
+		for _, item := range reply {
+			encoded = appendReply(encoded, item)
 		}
-		return b
+		return encoded
 	}
 	panic(fmt.Sprintf("a reply of %T", reply))
 }
--- a/internal/testsupport/redistest/script.go
+++ b/internal/testsupport/redistest/script.go
@@ -11,100 +11,128 @@
 	lua "github.com/yuin/gopher-lua"
 )
 
-// eval runs a script as one command.
-func (s *Server) eval(bySum bool, args []string) any {
+var errNoScript = errors.New("NOSCRIPT No matching script. Please use EVAL.") //nolint:revive,staticcheck // the text that Redis sends
+
+// lineBreaks replaces the line breaks of errors, which end an error reply.
+var lineBreaks = strings.NewReplacer("\n", " ", "\r", " ")
+
+// eval runs a script: args are its source, or its SHA-1 with isHash, the number of keys, the keys and the arguments.
+// s.mu is locked.
+func (s *Server) eval(isHash bool, args []string) any {
 	if len(args) < 2 {
 		return errors.New("ERR wrong number of arguments for 'eval' command")
 	}
-	sum := args[0]
-	if !bySum {
-		h := sha1.Sum([]byte(args[0]))
-		sum = hex.EncodeToString(h[:])
-		if s.scripts[sum] == nil {
-			l := lua.NewState()
-			f, err := l.LoadString(args[0])
-			l.Close()
-			if err != nil {
-				return fmt.Errorf("ERR Error compiling script: %w", err)
-			}
-			s.scripts[sum] = f.Proto
+	hash := args[0]
+	if !isHash {
+		var err error
+		hash, err = s.load(args[0])
+		if err != nil {
+			return err
 		}
 	}
-	proto := s.scripts[sum]
-	if proto == nil {
-		return errors.New("NOSCRIPT No matching script. Please use EVAL.") //nolint:revive,staticcheck // the text that Redis sends
+	script := s.scripts[hash]
+	if script == nil {
+		return errNoScript
 	}
-	n, err := strconv.Atoi(args[1])
-	if err != nil || n < 0 || n > len(args)-2 {
+	keyCount, err := strconv.Atoi(args[1])
+	if err != nil || keyCount < 0 || keyCount > len(args)-2 {
 		return errors.New("ERR Number of keys can't be greater than number of args")
 	}
-	s.calls++
-	l := lua.NewState()
-	defer l.Close()
-	list := func(all []string) *lua.LTable {
-		t := l.NewTable()
-		for _, a := range all {
-			t.Append(lua.LString(a))
-		}
-		return t
+	s.scriptRuns++
+	return s.runScript(script, args[2:2+keyCount], args[2+keyCount:])
+}
+
+// load compiles a script, if it is not known, and returns its SHA-1.
+func (s *Server) load(source string) (hash string, err error) {
+	sum := sha1.Sum([]byte(source))
+	hash = hex.EncodeToString(sum[:])
+	if s.scripts[hash] != nil {
+		return hash, nil
 	}
-	l.SetGlobal("KEYS", list(args[2:2+n]))
-	l.SetGlobal("ARGV", list(args[2+n:]))
-	r := l.NewTable()
-	r.RawSetString("call", l.NewFunction(func(l *lua.LState) int {
-		var command []string
-		for i := 1; i <= l.GetTop(); i++ {
-			command = append(command, l.CheckString(i))
-		}
-		reply := s.run(command)
-		if err, is := reply.(error); is {
-			l.RaiseError("%s", err.Error())
-		}
-		l.Push(toLua(l, reply))
-		return 1
-	}))
-	l.SetGlobal("redis", r)
-	l.Push(l.NewFunctionFromProto(proto))
-	if err := l.PCall(0, 1, nil); err != nil {
-		return fmt.Errorf("ERR Error running script: %s", strings.ReplaceAll(strings.ReplaceAll(err.Error(), "\n", " "), "\r", " "))
+	state := lua.NewState()
+	defer state.Close()
+	function, err := state.LoadString(source)
+	if err != nil {
+		return "", fmt.Errorf("ERR Error compiling script: %w", err)
+	}
+	s.scripts[hash] = function.Proto
+	return hash, nil
+}
+
+// runScript runs a script in an interpreter of its own.
+func (s *Server) runScript(script *lua.FunctionProto, keys, args []string) any {
+	state := lua.NewState()
+	defer state.Close()
+	state.SetGlobal("KEYS", newTable(state, keys))
+	state.SetGlobal("ARGV", newTable(state, args))
+	library := state.NewTable()
+	library.RawSetString("call", state.NewFunction(s.callFromScript))
+	state.SetGlobal("redis", library)
+	state.Push(state.NewFunctionFromProto(script))
+	if err := state.PCall(0, 1, nil); err != nil {
+		return fmt.Errorf("ERR Error running script: %s", lineBreaks.Replace(err.Error()))
+	}
+	return fromLua(state.Get(-1))
+}
+
+// callFromScript is redis.call.
+func (s *Server) callFromScript(state *lua.LState) int {
+	var command []string
+	for i := 1; i <= state.GetTop(); i++ {
+		command = append(command, state.CheckString(i))
+	}
+	reply := s.run(command)
+	if err, isError := reply.(error); isError {
+		state.RaiseError("%s", err.Error())
+	}
+	state.Push(toLua(state, reply))
+	return 1
+}
+
+func newTable(state *lua.LState, items []string) *lua.LTable {
+	table := state.NewTable()
+	for _, item := range items {
+		table.Append(lua.LString(item))
 	}
-	return fromLua(l.Get(-1))
+	return table
 }
 
-func toLua(l *lua.LState, reply any) lua.LValue {
-	switch v := reply.(type) {
+// toLua converts a reply to a value of a script.
+func toLua(state *lua.LState, reply any) lua.LValue {
+	switch reply := reply.(type) {
 	case nil:
 		return lua.LFalse
 	case int:
-		return lua.LNumber(v)
+		return lua.LNumber(reply)
 	case string:
-		return lua.LString(v)
+		return lua.LString(reply)
 	case status:
-		t := l.NewTable()
-		t.RawSetString("ok", lua.LString(v))
-		return t
+		table := state.NewTable()
+		table.RawSetString("ok", lua.LString(reply))
+		return table
 	case []any:
-		t := l.NewTable()
-		for i, e := range v {
-			t.RawSetInt(i+1, toLua(l, e))
+		table := state.NewTable()
+		for i, item := range reply {
+			table.RawSetInt(i+1, toLua(state, item))
 		}
-		return t
+		return table
 	}
 	panic(fmt.Sprintf("a reply of %T", reply))
 }
 
-func fromLua(v lua.LValue) any {
-	switch v := v.(type) {
+// fromLua converts a script's result to a reply.
+func fromLua(value lua.LValue) any {
+	switch value := value.(type) {
 	case lua.LString:
-		return string(v)
+		return string(value)
 	case lua.LNumber:
-		return int(v) // as Redis does: the rest of a number is lost
+		return int(value) // truncated, as Redis does
 	case *lua.LTable:
-		all := []any{}
-		for i := 1; i <= v.Len(); i++ {
-			all = append(all, fromLua(v.RawGetInt(i)))
+		items := []any{}
+		for i := 1; i <= value.Len(); i++ {
+			items = append(items, fromLua(value.RawGetInt(i)))
 		}
-		return all
+		return items
 	}
 	return nil
 }
--- a/internal/waitpolicy/share/share_test.go
+++ b/internal/waitpolicy/share/share_test.go
@@ -93,7 +93,7 @@
 		t.Fatalf("knows %v: half within %v; %+v", f.IsKnown(), q, all[0].Status())
 	}
 	for name, fault := range map[string]func(){
-		"unresponsive": func() { s.SetFaults(0, "", true) }, "rejects": func() { s.SetFaults(0, "LOADING x", false) },
+		"unresponsive": func() { s.SetFaults(redistest.Faults{IsSilent: true}) }, "rejects": func() { s.SetFaults(redistest.Faults{Error: "LOADING x"}) },
 		"cut": s.CloseConns, "replaced": s.Replace,
 	} {
 		fault()
@@ -103,7 +103,7 @@
 		if f := all[0].learned.Forecast("c", 0); !f.IsKnown() {
 			t.Errorf("%s: nothing is known at once", name)
 		}
-		s.SetFaults(0, "", false)
+		s.SetFaults(redistest.Faults{})
 		round()
 		if st := all[0].Status(); len(st.Failing) > 0 || st.Members != 3 || st.Trust < 0.5 {
 			t.Errorf("%s, and back: %+v", name, st)
@@ -137,7 +137,7 @@
 func TestTwoStores(t *testing.T) {
 	one, two := store(t), store(t)
 	a, b := start(t, "a", one, two), start(t, "b", one, two)
-	one.SetFaults(0, "READONLY x", false)
+	one.SetFaults(redistest.Faults{Error: "READONLY x"})
 	b.observe(100)
 	b.Exchange(t.Context())
 	a.Exchange(t.Context())
