--- a/control/golden_test.go
+++ b/control/golden_test.go
@@ -43,7 +43,7 @@
 // A controller that an earlier build has written an image of is resumed, and its image has the same keys and values.
 func TestGoldenImageOfARun(t *testing.T) {
 	var raw []byte
-	if testkit.Updating() {
+	if testkit.IsUpdating() {
 		raw = runImage(t)
 	}
 	raw = testkit.GoldenBytes(t, filepath.Join(goldenDir, "run.cbor"), raw)
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -147,7 +147,7 @@
 	golden := func(name, got string) {
 		t.Helper()
 		path := filepath.Join("testdata", "help", name)
-		if testkit.Updating() {
+		if testkit.IsUpdating() {
 			if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 				t.Fatal(err)
 			}
@@ -173,7 +173,7 @@
 // The man pages under docs/man are those of the commands as they are.
 func TestManPages(t *testing.T) {
 	dir, kept := t.TempDir(), filepath.Join("..", "..", "docs", "man")
-	if testkit.Updating() {
+	if testkit.IsUpdating() {
 		if err := os.MkdirAll(kept, 0o755); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -105,7 +105,7 @@
 }
 
 // play sends the calls of a phase, and prints a line a second.
-func (d *demo) play(ctx context.Context, l *testbench.Lab, startedAt time.Time, name string, n uint64, output io.Writer) map[string]*fake.Result {
+func (d *demo) play(ctx context.Context, l *testbench.Bench, startedAt time.Time, name string, n uint64, output io.Writer) map[string]*fake.Result {
 	ctx, cancel := context.WithTimeout(ctx, d.duration/3)
 	defer cancel()
 	runs := []*fake.Run{
@@ -149,7 +149,7 @@
 }
 
 // summary prints the results of all phases, and fails unless each request had exactly one final answer.
-func (d *demo) summary(e *Env, l *testbench.Lab, phases []phase, stopped error) error {
+func (d *demo) summary(e *Env, l *testbench.Bench, phases []phase, stopped error) error {
 	fine := stopped == nil
 	for _, p := range phases {
 		for _, r := range p.Results {
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -28,7 +28,7 @@
 func TestGoldenRolloutLog(t *testing.T) {
 	const path = "testdata/golden/rollout.db.gz"
 	var made []byte
-	if testkit.Updating() {
+	if testkit.IsUpdating() {
 		made = writeSampleLog(t)
 	}
 	dir := unpackLog(t, testkit.GoldenBytes(t, path, made))
--- a/internal/metrics/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -10,7 +10,7 @@
 	"lockflow/internal/node"
 	"lockflow/internal/scattergather"
 	"lockflow/internal/service"
-	"lockflow/internal/testsupport/testbench/labtest"
+	"lockflow/internal/testsupport/testbench/benchtest"
 	"lockflow/internal/testsupport/testkit"
 )
 
@@ -34,7 +34,7 @@
 // lines are sorted.
 func TestGoldenMetrics(t *testing.T) {
 	text := strings.Replace(testkit.Small, "[process]", "[metrics]\naddress = \"127.0.0.1:0\"\n[process]", 1)
-	s := sampled{counts: labtest.Begin(t, text, nil).Node.RequestCounts()}
+	s := sampled{counts: benchtest.Begin(t, text, nil).Node.RequestCounts()}
 	testkit.Sample("json", &s.status)
 	testkit.Sample("json", &s.gathering)
 	testkit.Sample("json", &s.member)
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -16,7 +16,7 @@
 	"lockflow/internal/testsupport/fake"
 	"lockflow/internal/testsupport/redistest"
 	"lockflow/internal/testsupport/testbench"
-	"lockflow/internal/testsupport/testbench/labtest"
+	"lockflow/internal/testsupport/testbench/benchtest"
 	"lockflow/internal/testsupport/testkit"
 )
 
@@ -55,7 +55,7 @@
 // nothing is counted.
 func TestMetricsAgreeWithTallies(t *testing.T) {
 	text := strings.Replace(testbench.WithDescriptors(256), "[process]", "[metrics]\naddress = \"127.0.0.1:0\"\n[process]", 1)
-	l := labtest.Begin(t, text, testbench.DemoServers(1))
+	l := benchtest.Begin(t, text, testbench.DemoServers(1))
 	h := Handler(l.Node)
 	ctx, stop := context.WithTimeout(context.Background(), 600*time.Millisecond)
 	defer stop()
@@ -83,7 +83,7 @@
 	if r.Served == 0 || sum(all["lockflow_attempts_bound"], "service=rosters") <= 0 || sum(all["lockflow_part_guaranteed"], "service=rosters", "limit=held") != 60 {
 		t.Errorf("%d served, %v", r.Served, all["lockflow_attempts_bound"])
 	}
-	if off := labtest.Begin(t, testbench.WithDescriptors(256), testbench.DemoServers(1)); len(off.Node.RequestCounts()) > 0 {
+	if off := benchtest.Begin(t, testbench.WithDescriptors(256), testbench.DemoServers(1)); len(off.Node.RequestCounts()) > 0 {
 		t.Error("counted without being asked")
 	}
 }
@@ -97,7 +97,7 @@
 	t.Cleanup(app.Close)
 	text := strings.Replace(testkit.Small, "[services.a]", "[services.a]\nservers = { protocol = \"http/2\" }", 1)
 	text = strings.Replace(text, "127.0.0.1:1\"", app.Addr()+"\"", 1)
-	l := labtest.Begin(t, text, nil)
+	l := benchtest.Begin(t, text, nil)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	run := fake.Clients{Addr: l.Node.Addr(), Seed: 1, Workers: 2, Call: func(*rand.Rand) fake.Call {
@@ -118,7 +118,7 @@
 	if room := sum(all["lockflow_server_streams"], "state=room"); room != 7 {
 		t.Errorf("room for %g streams", room)
 	}
-	if f := scrape(t, Handler(labtest.Begin(t, testkit.Small, nil).Node))["lockflow_server_streams"]; f != nil {
+	if f := scrape(t, Handler(benchtest.Begin(t, testkit.Small, nil).Node))["lockflow_server_streams"]; f != nil {
 		t.Errorf("over HTTP/1.1: %v", f)
 	}
 }
@@ -133,7 +133,7 @@
 	text := strings.Replace(testkit.Small, "[plans.p]", "[plans.p]\nceiling_rate = 10\nceiling_burst = 10", 1)
 	text = strings.Replace(text, "[services.a]", "[services.a]\ncounter = { addresses = [\""+counter.Addr()+
 		"\"], term = \"50ms\", pledge = \"100ms\", settle = \"100ms\" }", 1)
-	l := labtest.Begin(t, text, nil)
+	l := benchtest.Begin(t, text, nil)
 	h := Handler(l.Node)
 	testkit.Until(t, "a counter that lends", func() bool {
 		all := scrape(t, h)
@@ -145,13 +145,13 @@
 	counter.SetFaults(redistest.Faults{IsSilent: true})
 	counter.CloseConns()
 	testkit.Until(t, "a part of its own", func() bool { return sum(scrape(t, h)["lockflow_counter_own_part"]) == 1 })
-	if f := scrape(t, Handler(labtest.Begin(t, testkit.Small, nil).Node))["lockflow_counter_lends"]; f != nil {
+	if f := scrape(t, Handler(benchtest.Begin(t, testkit.Small, nil).Node))["lockflow_counter_lends"]; f != nil {
 		t.Errorf("with nothing shared: %v", f)
 	}
 }
 
 func TestServeEnds(t *testing.T) {
-	l := labtest.Begin(t, testbench.WithDescriptors(256), testbench.DemoServers(1))
+	l := benchtest.Begin(t, testbench.WithDescriptors(256), testbench.DemoServers(1))
 	srv := httptest.NewServer(nil) // only for its listener
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
--- a/internal/node/fixtures_test.go
+++ b/internal/node/fixtures_test.go
@@ -90,7 +90,7 @@
 	return resp.StatusCode, string(body)
 }
 
-func dial(t *testing.T, l *testbench.Lab) (net.Conn, *bufio.Reader) {
+func dial(t *testing.T, l *testbench.Bench) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", l.Node.Addr())
 	if err != nil {
--- a/internal/node/http2_test.go
+++ b/internal/node/http2_test.go
@@ -10,7 +10,7 @@
 
 	"lockflow/internal/node"
 	"lockflow/internal/testsupport/fake"
-	"lockflow/internal/testsupport/testbench/labtest"
+	"lockflow/internal/testsupport/testbench/benchtest"
 	"lockflow/internal/testsupport/testkit"
 )
 
@@ -51,7 +51,7 @@
 	entry("old", old.Addr())
 	text.WriteString("[[routes]]\nservice = \"a\"\nprefix = \"/\"\nas = \"write\"\n")
 
-	l := labtest.Begin(t, text.String(), nil)
+	l := benchtest.Begin(t, text.String(), nil)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	run := idempotentUpdates(l.Node.Addr(), 3, 24).Start(ctx)
@@ -102,7 +102,7 @@
 		fmt.Fprintf(&text, "[[services.a.source.servers]]\nuid = %q\nendpoint = %q\ngroup = 1\n", servers[i].UID, servers[i].Addr())
 	}
 	text.WriteString("[[routes]]\nservice = \"a\"\nprefix = \"/\"\nas = \"write\"\n")
-	l := labtest.Begin(t, text.String(), nil)
+	l := benchtest.Begin(t, text.String(), nil)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	run := idempotentUpdates(l.Node.Addr(), 4, 16).Start(ctx)
--- a/internal/node/isolation_test.go
+++ b/internal/node/isolation_test.go
@@ -9,14 +9,14 @@
 	"lockflow/internal/node"
 	"lockflow/internal/testsupport/fake"
 	"lockflow/internal/testsupport/testbench"
-	"lockflow/internal/testsupport/testbench/labtest"
+	"lockflow/internal/testsupport/testbench/benchtest"
 	"lockflow/internal/testsupport/testkit"
 )
 
 // runRostersBesideDocuments plays a steady stream of roster calls beside many patient document clients, and
 // tells what became of the rosters.
 func runRostersBesideDocuments(t *testing.T, descriptors int, stall bool) *fake.Result {
-	l := labtest.Begin(t, testbench.Patient(descriptors), testbench.DemoServers(7))
+	l := benchtest.Begin(t, testbench.Patient(descriptors), testbench.DemoServers(7))
 	l.Pools["documents"].Stall(stall)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/node/limiter_test.go
+++ b/internal/node/limiter_test.go
@@ -11,12 +11,12 @@
 	"lockflow/internal/node"
 	"lockflow/internal/testsupport/fake"
 	"lockflow/internal/testsupport/testbench"
-	"lockflow/internal/testsupport/testbench/labtest"
+	"lockflow/internal/testsupport/testbench/benchtest"
 	"lockflow/internal/testsupport/testkit"
 )
 
 // startLoad has clients request a path without a pause until stop, which returns their results.
-func startLoad(l *testbench.Lab, path string, workers int) (stop func() *fake.Result) {
+func startLoad(l *testbench.Bench, path string, workers int) (stop func() *fake.Result) {
 	ctx, cancel := context.WithCancel(context.Background())
 	run := fake.Clients{Addr: l.Node.Addr(), Seed: 77, Workers: workers, RetryPause: 5 * time.Millisecond, Call: func(rng *rand.Rand) fake.Call {
 		time.Sleep(5 * time.Millisecond)
@@ -29,7 +29,7 @@
 }
 
 // checkOthersServed sends some requests to the other service one after another; all have to be served.
-func checkOthersServed(t *testing.T, l *testbench.Lab) {
+func checkOthersServed(t *testing.T, l *testbench.Bench) {
 	t.Helper()
 	c, in := dial(t, l)
 	for i := range 20 {
@@ -42,7 +42,7 @@
 
 // A service that holds all the bytes that it may leaves the other its own.
 func TestBufferedBytesAreBoundedByService(t *testing.T) {
-	l := labtest.Begin(t, strings.Replace(twoServicesConfig, "[process]\n", "[process]\nbytes = \"1MiB\"\n", 1), twoServerPools(0)) // 8 requests
+	l := benchtest.Begin(t, strings.Replace(twoServicesConfig, "[process]\n", "[process]\nbytes = \"1MiB\"\n", 1), twoServerPools(0)) // 8 requests
 	l.Pools["a"].Stall(true)
 	stop := startLoad(l, "/one", 30)
 	testkit.Until(t, "requests turned away", func() bool { return l.Node.Status()[0].Resources.BufferedBytes.Denied > 10 })
@@ -59,7 +59,7 @@
 
 // A module that uses up the module time of all services is throttled, and no other is.
 func TestModuleTimeIsBoundedByService(t *testing.T) {
-	l := labtest.Begin(t, twoServicesConfig, twoServerPools(0))
+	l := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
 	c, in := dial(t, l)
 	writeRequest(c, "h", "/one", "before", "", 0)
 	if status, _ := readAnswer(t, in); status != 200 {
@@ -83,7 +83,7 @@
 	for i := range 8 {
 		text = strings.Replace(text, "NAME", fmt.Sprint("s", i), 1)
 	}
-	l := labtest.Begin(t, text, twoServerPools(0))
+	l := benchtest.Begin(t, text, twoServerPools(0))
 	stop := startLoad(l, "/one", 30)
 	testkit.Until(t, "dials refused", func() bool { return l.Node.Status()[0].Resources.Dials.Denied > 0 })
 	if d := l.Node.Status()[0].Resources.Dials; d.Used > d.Total-2 {
--- a/internal/node/reload_listeners_test.go
+++ b/internal/node/reload_listeners_test.go
@@ -8,14 +8,14 @@
 	"strings"
 	"testing"
 
-	"lockflow/internal/testsupport/testbench/labtest"
+	"lockflow/internal/testsupport/testbench/benchtest"
 	"lockflow/internal/testsupport/testkit"
 )
 
 // Listeners and what the process may use change in a reload: a new address takes clients, one
 // that is gone takes none, and a connection that came by it goes on.
 func TestReloadChangesListenersAndLimits(t *testing.T) {
-	l := labtest.Begin(t, twoServicesConfig, twoServerPools(0))
+	l := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
 	first := l.Node.Addr()
 	c, in := dial(t, l)
 	ask := func(c net.Conn, in *bufio.Reader, id string) {
@@ -50,7 +50,7 @@
 // answers as soon as descriptors are free, and then nobody listens there.
 func TestReloadAnswersQueueOfRemovedListener(t *testing.T) {
 	text := strings.NewReplacer("descriptors = 512\nclients = 200", "descriptors = 64\nclients = 4", `most = "1s"`, `most = "30s"`).Replace(twoServicesConfig)
-	l := labtest.Begin(t, text, twoServerPools(0))
+	l := benchtest.Begin(t, text, twoServerPools(0))
 	first := l.Node.Addr()
 	l.Pools["a"].Stall(true)
 	var clients []*bufio.Reader
@@ -80,7 +80,7 @@
 
 // A reload after the node's end opens no listener, whose clients nobody would serve.
 func TestReloadAfterShutdownOpensNoListener(t *testing.T) {
-	l := labtest.Begin(t, twoServicesConfig, twoServerPools(0))
+	l := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
 	first := l.Node.Addr()
 	if err := l.Stop(); err != nil {
 		t.Fatal(err)
--- a/internal/node/reload_load_test.go
+++ b/internal/node/reload_load_test.go
@@ -14,13 +14,13 @@
 	"lockflow/internal/node"
 	"lockflow/internal/testsupport/fake"
 	"lockflow/internal/testsupport/testbench"
-	"lockflow/internal/testsupport/testbench/labtest"
+	"lockflow/internal/testsupport/testbench/benchtest"
 	"lockflow/internal/testsupport/testkit"
 )
 
 // randomConfig draws a configuration: which service a path leads to, its source of endpoints, its guarantees, its
 // settings, and whether there is a third service.
-func randomConfig(rng *rand.Rand, l *testbench.Lab, file string) string {
+func randomConfig(rng *rand.Rand, l *testbench.Bench, file string) string {
 	var b strings.Builder
 	b.WriteString(configHeader)
 	for _, name := range []string{"a", "b"} {
@@ -62,7 +62,7 @@
 }
 
 func checkRandomReloads(t *testing.T, seed uint64) {
-	l := labtest.Begin(t, twoServicesConfig, twoServerPools(5*time.Millisecond))
+	l := benchtest.Begin(t, twoServicesConfig, twoServerPools(5*time.Millisecond))
 	file := writeServerLists(t, l)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -94,7 +94,7 @@
 }
 
 // writeServerLists writes the servers of each pool into a file, named by the prefix that it returns and the pool.
-func writeServerLists(t *testing.T, l *testbench.Lab) (prefix string) {
+func writeServerLists(t *testing.T, l *testbench.Bench) (prefix string) {
 	t.Helper()
 	prefix = filepath.Join(t.TempDir(), "servers-")
 	for name, p := range l.Pools {
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -13,14 +13,14 @@
 	"lockflow/internal/node"
 	"lockflow/internal/testsupport/fake"
 	"lockflow/internal/testsupport/testbench"
-	"lockflow/internal/testsupport/testbench/labtest"
+	"lockflow/internal/testsupport/testbench/benchtest"
 	"lockflow/internal/testsupport/testkit"
 )
 
 // A request whose body still arrives when its service is removed is served by that service,
 // which then ends; the next one on the same connection finds no route.
 func TestRemovedServiceEndsRequestWhoseBodyIsArriving(t *testing.T) {
-	l := labtest.Begin(t, twoServicesConfig, twoServerPools(0))
+	l := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
 	c, in := dial(t, l)
 	writeRequest(c, "care.example", "/two", "id-1", "half", 8)
 	// Its head has been read once something is booked for it.
@@ -45,7 +45,7 @@
 
 // What the module learned of servers stays when only their source moves.
 func TestReloadOfSourceKeepsServerState(t *testing.T) {
-	l := labtest.Begin(t, twoServicesConfig, twoServerPools(0))
+	l := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
 	c, in := dial(t, l)
 	writeRequest(c, "x", "/one", "id-1", "", 0)
 	readAnswer(t, in)
@@ -76,7 +76,7 @@
 
 // A reload that can't be done returns an error and changes nothing.
 func TestInvalidReloadChangesNothing(t *testing.T) {
-	l := labtest.Begin(t, twoServicesConfig, twoServerPools(0))
+	l := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -104,7 +104,7 @@
 // are made in another way makes them anew.
 func TestReloadKeepsConnectionsOfChangedService(t *testing.T) {
 	for change, want := range map[string]int{"attempts = 3": 1, `keepalive = "9s"`: 0} {
-		l := labtest.Begin(t, twoServicesConfig, twoServerPools(0))
+		l := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
 		c, in := dial(t, l)
 		writeRequest(c, "x", "/one", "id-1", "", 0)
 		if status, _ := readAnswer(t, in); status != 200 {
@@ -171,7 +171,7 @@
 
 // A configuration may grow to 500 services and 5,000 routes while the node serves.
 func TestReloadToManyServicesAndRoutes(t *testing.T) {
-	l := labtest.Begin(t, twoServicesConfig, twoServerPools(0))
+	l := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
 	if err := l.Reload(manyServicesConfig(500, 5000)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/routing_test.go
+++ b/internal/node/routing_test.go
@@ -9,14 +9,14 @@
 
 	"lockflow/internal/node"
 	"lockflow/internal/testsupport/testbench"
-	"lockflow/internal/testsupport/testbench/labtest"
+	"lockflow/internal/testsupport/testbench/benchtest"
 	"lockflow/internal/testsupport/testkit"
 )
 
 // One connection may ask one service and then another, under different hosts; the same customer
 // and the same id in two services are two requests.
 func TestOneConnectionReachesSeveralServices(t *testing.T) {
-	l := labtest.Begin(t, strings.Replace(twoServicesConfig, "service = \"b\"\nprefix = \"/two\"\nas = \"write\"", "service = \"b\"\nhost = \"b.example\"\nas = \"read\"", 1), twoServerPools(0))
+	l := benchtest.Begin(t, strings.Replace(twoServicesConfig, "service = \"b\"\nprefix = \"/two\"\nas = \"write\"", "service = \"b\"\nhost = \"b.example\"\nas = \"read\"", 1), twoServerPools(0))
 	c, in := dial(t, l)
 	for i := range 6 {
 		host, want := "a.example", "a"
@@ -51,7 +51,7 @@
 
 // Two services may share a server: each has its own connections to it.
 func TestServicesKeepOwnConnectionsToSharedServer(t *testing.T) {
-	l := labtest.Begin(t, strings.Replace(twoServicesConfig, "@b", "@a", 1), twoServerPools(0))
+	l := benchtest.Begin(t, strings.Replace(twoServicesConfig, "@b", "@a", 1), twoServerPools(0))
 	c, in := dial(t, l)
 	for i, path := range []string{"/one", "/two", "/one", "/two"} {
 		length := i % 2
@@ -69,7 +69,7 @@
 
 // A request whose path or host is ambiguous is rejected and reaches no service.
 func TestAmbiguousRequestTargetsAreRejected(t *testing.T) {
-	l := labtest.Begin(t, twoServicesConfig, twoServerPools(0))
+	l := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
 	for target, want := range map[string]int{
 		"/one": 200, "/one/": 200, "/one;v=1": 200, "/on%65": 200, "http://care.example/one": 200, "HTTP://CARE.EXAMPLE:1/one": 200,
 		"/onex": 404, "/": 404, "/ONE": 404,
@@ -145,7 +145,7 @@
 
 // A server that drains, by its list, gets nothing new, whichever source tells so.
 func TestDrainingServerOfDiscoveryGetsNoRequests(t *testing.T) {
-	l := labtest.Begin(t, twoServicesConfig, twoServerPools(0))
+	l := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
 	c, in := dial(t, l)
 	drains := l.Pools["a"].Servers[0]
 	e := drains.Entry()
--- a/internal/node/shared_hard_limits_test.go
+++ b/internal/node/shared_hard_limits_test.go
@@ -12,13 +12,13 @@
 	"lockflow/internal/testsupport/fake"
 	"lockflow/internal/testsupport/redistest"
 	"lockflow/internal/testsupport/testbench"
-	"lockflow/internal/testsupport/testbench/labtest"
+	"lockflow/internal/testsupport/testbench/benchtest"
 	"lockflow/internal/testsupport/testkit"
 )
 
 // sharedFleet is nodes that share an enterprise customer's ceiling by counters.
 type sharedFleet struct {
-	nodes       []*testbench.Lab
+	nodes       []*testbench.Bench
 	firstStore  *redistest.Server // the first of counters
 	hardLimit   *fake.HardLimitMonitor
 	configs     []string
@@ -72,7 +72,7 @@
 as = "read"
 `, rate, burst, f.stores[at].Addr(), app.Addr())
 		f.configs = append(f.configs, text)
-		f.nodes = append(f.nodes, labtest.Begin(t, text, nil))
+		f.nodes = append(f.nodes, benchtest.Begin(t, text, nil))
 	}
 	return f
 }
--- a/internal/testsupport/testbench/labtest/labtest.go
+++ b/internal/testsupport/testbench/benchtest/benchtest.go
@@ -1,5 +1,5 @@
-// Package labtest runs a lab for the length of a test.
-package labtest
+// Package benchtest runs a lab for the length of a test.
+package benchtest
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 )
 
 // Begin starts a lab that the end of a test stops, and waits until its node is ready.
-func Begin(t testing.TB, text string, servers map[string][]fake.Server) *testbench.Lab {
+func Begin(t testing.TB, text string, servers map[string][]fake.Server) *testbench.Bench {
 	t.Helper()
 	l, err := testbench.Start(text, servers)
 	if err != nil {
--- a/internal/testsupport/testbench/testbench.go
+++ b/internal/testsupport/testbench/testbench.go
@@ -14,8 +14,8 @@
 	"lockflow/internal/testsupport/fake"
 )
 
-// Lab is a node with the app servers and the discovery of each of its services.
-type Lab struct {
+// Bench is a node with the app servers and the discovery of each of its services.
+type Bench struct {
 	Node  *node.Node
 	Pools map[string]*Pool // by service
 
@@ -79,8 +79,8 @@
 
 // Start starts servers for each service and a node of the configuration in text, in which
 // @NAME stands for the address of that service's discovery.
-func Start(text string, servers map[string][]fake.Server) (*Lab, error) {
-	l := &Lab{Pools: make(map[string]*Pool), text: text, done: make(chan error, 1), stop: func() {}}
+func Start(text string, servers map[string][]fake.Server) (*Bench, error) {
+	l := &Bench{Pools: make(map[string]*Pool), text: text, done: make(chan error, 1), stop: func() {}}
 	for name, s := range servers {
 		p, err := StartPool(s)
 		if err != nil {
@@ -104,7 +104,7 @@
 }
 
 // Ready waits until every service of the node has a server to send to.
-func (l *Lab) Ready(ctx context.Context) error {
+func (l *Bench) Ready(ctx context.Context) error {
 	for {
 		ready := true
 		for _, s := range l.Node.Status() {
@@ -122,7 +122,7 @@
 }
 
 // Config reads a configuration in which @NAME stands for the address of a service's discovery.
-func (l *Lab) Config(text string) (config.Config, error) {
+func (l *Bench) Config(text string) (config.Config, error) {
 	for name, p := range l.Pools {
 		text = strings.ReplaceAll(text, "@"+name+`"`, p.Discovery.Addr()+`"`)
 	}
@@ -130,7 +130,7 @@
 }
 
 // Reload has the node take another configuration.
-func (l *Lab) Reload(text string) error {
+func (l *Bench) Reload(text string) error {
 	cfg, err := l.Config(text)
 	if err != nil {
 		return err
@@ -140,7 +140,7 @@
 
 // Stop drains the node and ends everything. Only its first call does anything; each gives the
 // error with which the node ended.
-func (l *Lab) Stop() error {
+func (l *Bench) Stop() error {
 	l.once.Do(func() {
 		l.stop()
 		for _, p := range l.Pools {
@@ -152,7 +152,7 @@
 	return l.err
 }
 
-func (l *Lab) closePools() {
+func (l *Bench) closePools() {
 	for _, p := range l.Pools {
 		p.Close()
 	}
--- a/internal/testsupport/testbench/testbench_test.go
+++ b/internal/testsupport/testbench/testbench_test.go
@@ -7,11 +7,11 @@
 
 	"lockflow/internal/testsupport/fake"
 	"lockflow/internal/testsupport/testbench"
-	"lockflow/internal/testsupport/testbench/labtest"
+	"lockflow/internal/testsupport/testbench/benchtest"
 )
 
 // play sends calls of both services at a rate for a while.
-func play(l *testbench.Lab, lasts time.Duration, clients ...fake.Clients) map[string]*fake.Result {
+func play(l *testbench.Bench, lasts time.Duration, clients ...fake.Clients) map[string]*fake.Result {
 	ctx, cancel := context.WithTimeout(context.Background(), lasts)
 	defer cancel()
 	var runs []*fake.Run
@@ -29,7 +29,7 @@
 }
 
 func TestDemoServes(t *testing.T) {
-	l := labtest.Begin(t, testbench.Demo, testbench.DemoServers(1))
+	l := benchtest.Begin(t, testbench.Demo, testbench.DemoServers(1))
 	got := play(l, time.Second, fake.Clients{Call: testbench.RosterCall, Interval: 10 * time.Millisecond, Workers: 32, Seed: 1},
 		fake.Clients{Call: testbench.DocumentCall, Interval: 20 * time.Millisecond, Workers: 32, Seed: 2})
 	for kind, r := range got {
--- a/internal/testsupport/testkit/golden.go
+++ b/internal/testsupport/testkit/golden.go
@@ -20,8 +20,8 @@
 // keys still came from names of Go fields.
 var update = flag.Bool("update", false, "writes golden files anew")
 
-// Updating tells whether golden files are to be written anew.
-func Updating() bool { return *update }
+// IsUpdating tells whether golden files are to be written anew.
+func IsUpdating() bool { return *update }
 
 // GoldenBytes gives what a golden file holds. With -update it is got that is written there first; without, got may
 // be nil, and is compared to the file where it is not.
--- a/internal/testsupport/testkit/keys.go
+++ b/internal/testsupport/testkit/keys.go
@@ -28,7 +28,7 @@
 
 // MissingKeys lists the fields that RequireKeys fails for, sorted.
 func MissingKeys(format string, roots ...any) []string {
-	w := keyWalk{format: format, visited: make(map[reflect.Type]bool)}
+	w := keyChecker{format: format, visited: make(map[reflect.Type]bool)}
 	for _, root := range roots {
 		w.visit(reflect.TypeOf(root), fmt.Sprintf("%T", root))
 	}
@@ -36,13 +36,13 @@
 	return w.missing
 }
 
-type keyWalk struct {
+type keyChecker struct {
 	format  string
 	visited map[reflect.Type]bool
 	missing []string
 }
 
-func (w *keyWalk) visit(t reflect.Type, path string) {
+func (w *keyChecker) visit(t reflect.Type, path string) {
 	if w.visited[t] || w.encodesItself(t) {
 		return
 	}
@@ -60,7 +60,7 @@
 	}
 }
 
-func (w *keyWalk) encodesItself(t reflect.Type) bool {
+func (w *keyChecker) encodesItself(t reflect.Type) bool {
 	if t.Kind() == reflect.Interface {
 		return false
 	}
@@ -72,8 +72,8 @@
 	return false
 }
 
-func (w *keyWalk) fields(t reflect.Type) {
-	array := isArray(t, w.format)
+func (w *keyChecker) fields(t reflect.Type) {
+	array := isEncodedAsArray(t, w.format)
 	for i := range t.NumField() {
 		f := t.Field(i)
 		tag := f.Tag.Get(w.format)
@@ -93,8 +93,8 @@
 	}
 }
 
-// isArray tells whether a struct is encoded by the order of its fields, without keys.
-func isArray(t reflect.Type, format string) bool {
+// isEncodedAsArray tells whether a struct is encoded by the order of its fields, without keys.
+func isEncodedAsArray(t reflect.Type, format string) bool {
 	f, ok := t.FieldByName("_")
 	return ok && strings.Contains(f.Tag.Get(format), ",toarray")
 }
--- a/internal/testsupport/testkit/testkit.go
+++ b/internal/testsupport/testkit/testkit.go
@@ -142,19 +142,19 @@
 // App is an app server that notes what it is asked.
 type App struct {
 	*httptest.Server
-	mu       sync.Mutex
-	requests []string        // method, URI and key of each request
-	from     map[string]bool // addresses of connections
+	mu              sync.Mutex
+	requests        []string        // method, URI and key of each request
+	clientAddresses map[string]bool // addresses of connections
 }
 
 // NewApp starts one, until the test ends.
 func NewApp(t testing.TB, serve http.HandlerFunc) *App {
-	a := &App{from: make(map[string]bool)}
+	a := &App{clientAddresses: make(map[string]bool)}
 	a.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		r.Body = io.NopCloser(strings.NewReader(string(body)))
 		a.mu.Lock()
-		a.from[r.RemoteAddr] = true
+		a.clientAddresses[r.RemoteAddr] = true
 		a.requests = append(a.requests, strings.TrimSpace(fmt.Sprint(r.Method, " ", r.RequestURI, " ", r.Header.Get(protocol.HeaderIdempotencyKey), " ", string(body))))
 		a.mu.Unlock()
 		serve(w, r)
@@ -174,7 +174,7 @@
 func (a *App) Dials() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return len(a.from)
+	return len(a.clientAddresses)
 }
 
 // Count is how many requests it has been asked so far.
--- a/internal/waitpolicy/golden_test.go
+++ b/internal/waitpolicy/golden_test.go
@@ -18,7 +18,7 @@
 		"shared": {(*Model).Shared, MaxSharedBytes},
 	} {
 		var got []byte
-		if testkit.Updating() {
+		if testkit.IsUpdating() {
 			var err error
 			if got, err = c.encode(newTrainedModel("c")); err != nil {
 				t.Fatal(err)
