--- a/internal/node/isolation_test.go
+++ b/internal/node/isolation_test.go
@@ -16,7 +16,7 @@
 // runRostersBesideDocuments plays a steady stream of roster calls beside many patient document clients, and
 // tells what became of the rosters.
 func runRostersBesideDocuments(t *testing.T, descriptors int, stall bool) *fake.Result {
-	l := benchtest.Begin(t, testbench.Patient(descriptors), testbench.DemoServers(7))
+	l := benchtest.Begin(t, testbench.WithLongDeadlines(descriptors), testbench.DemoServers(7))
 	l.Pools["documents"].Stall(stall)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/testsupport/testbench/benchtest/benchtest.go
+++ b/internal/testsupport/testbench/benchtest/benchtest.go
@@ -1,4 +1,4 @@
-// Package benchtest runs a lab for the length of a test.
+// Package benchtest runs a test bench for the duration of a test.
 package benchtest
 
 import (
@@ -10,22 +10,22 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// Begin starts a lab that the end of a test stops, and waits until its node is ready.
+// Begin starts a bench, as testbench.Start does, and waits until its node is ready. It is stopped when the test ends.
 func Begin(t testing.TB, text string, servers map[string][]fake.Server) *testbench.Bench {
 	t.Helper()
-	l, err := testbench.Start(text, servers)
+	bench, err := testbench.Start(text, servers)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		if err := l.Stop(); err != nil {
+		if err := bench.Stop(); err != nil {
 			t.Error(err)
 		}
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
 	defer cancel()
-	if err := l.Ready(ctx); err != nil {
+	if err := bench.Ready(ctx); err != nil {
 		t.Fatal(err)
 	}
-	return l
+	return bench
 }
--- a/internal/testsupport/testbench/generic_http.go
+++ b/internal/testsupport/testbench/generic_http.go
@@ -10,7 +10,7 @@
 	"lockflow/internal/testsupport/fake"
 )
 
-// GenericHTTP is a node of one service, app, that serves generic HTTP from origins.
+// GenericHTTP is a node with one service, app, that serves generic HTTP from origins.
 type GenericHTTP struct {
 	Node    *node.Node
 	Origins []*fake.Origin
@@ -20,67 +20,67 @@
 	err  error
 }
 
-// StartGenericHTTP starts origins and a node before them. process and service are further lines of the
-// configuration's [process] and [services.app], more is what stands behind it all; @origins stands
-// for the list of the origins as static servers.
+// StartGenericHTTP starts origins and a node. process and service are lines of the configuration's sections [process]
+// and [services.app]; more is the end of the configuration. In them @origins is replaced by the list of the origins as
+// static servers.
 func StartGenericHTTP(origins []*fake.Origin, process, service, more string) (*GenericHTTP, error) {
-	o := &GenericHTTP{done: make(chan error, 1), stop: func() {}}
-	for _, one := range origins {
-		if err := one.Start(); err != nil {
-			o.closeOrigins()
+	g := &GenericHTTP{done: make(chan error, 1), stop: func() {}}
+	for _, origin := range origins {
+		if err := origin.Start(); err != nil {
+			g.closeOrigins()
 			return nil, err
 		}
-		o.Origins = append(o.Origins, one)
+		g.Origins = append(g.Origins, origin)
 	}
-	cfg, err := o.Config(process, service, more)
+	cfg, err := g.Config(process, service, more)
 	if err == nil {
-		o.Node, err = node.New(cfg)
+		g.Node, err = node.New(cfg)
 	}
 	if err != nil {
-		o.closeOrigins()
+		g.closeOrigins()
 		return nil, fmt.Errorf("starting the node: %w", err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	o.stop = stop
-	go func() { o.done <- o.Node.Run(ctx) }()
-	return o, nil
+	g.stop = stop
+	go func() { g.done <- g.Node.Run(ctx) }()
+	return g, nil
 }
 
-// Config is a configuration of the node as StartGenericHTTP has it.
-func (o *GenericHTTP) Config(process, service, more string) (config.Config, error) {
+// Config parses the configuration of StartGenericHTTP. Without more it has a route that allows upgrades.
+func (g *GenericHTTP) Config(process, service, more string) (config.Config, error) {
 	if more == "" {
 		more = "[[routes]]\nservice = \"app\"\nupgrade = [\"echo\", \"websocket\"]\n"
 	}
 	text := "[process]\n" + process + "\n[[listeners]]\naddress = \"127.0.0.1:0\"\n[services.app]\n" + service +
 		"\nsource = { kind = \"static\", servers = @origins }\n" + more
-	return config.Parse("lab.toml", []byte(strings.ReplaceAll(text, "@origins", o.list())))
+	return config.Parse("lab.toml", []byte(strings.ReplaceAll(text, "@origins", g.staticServers())))
 }
 
-func (o *GenericHTTP) list() string {
-	var list []string
-	for _, one := range o.Origins {
-		list = append(list, fmt.Sprintf("{ endpoint = %q }", one.Addr()))
+func (g *GenericHTTP) staticServers() string {
+	var servers []string
+	for _, origin := range g.Origins {
+		servers = append(servers, fmt.Sprintf("{ endpoint = %q }", origin.Addr()))
 	}
-	return "[" + strings.Join(list, ", ") + "]"
+	return "[" + strings.Join(servers, ", ") + "]"
 }
 
-// Stop drains the node and ends everything. Further calls do nothing; each gives the error with
-// which the node ended.
-func (o *GenericHTTP) Stop() error {
-	if o.done != nil {
-		o.stop()
-		o.err = <-o.done
-		o.done = nil
-		o.closeOrigins()
+// Stop drains the node and ends the origins. It returns the node's error. Later calls only return it again. It is not
+// safe for concurrent use.
+func (g *GenericHTTP) Stop() error {
+	if g.done != nil {
+		g.stop()
+		g.err = <-g.done
+		g.done = nil
+		g.closeOrigins()
 	}
-	return o.err
+	return g.err
 }
 
-// Drain has the node begin to drain; Stop waits for the end.
-func (o *GenericHTTP) Drain() { o.stop() }
+// Drain begins to drain the node. Stop waits for the end.
+func (g *GenericHTTP) Drain() { g.stop() }
 
-func (o *GenericHTTP) closeOrigins() {
-	for _, one := range o.Origins {
-		one.Close()
+func (g *GenericHTTP) closeOrigins() {
+	for _, origin := range g.Origins {
+		origin.Close()
 	}
 }
--- a/internal/testsupport/testbench/scenario.go
+++ b/internal/testsupport/testbench/scenario.go
@@ -11,19 +11,22 @@
 	"lockflow/internal/testsupport/fake"
 )
 
-// Demo is the configuration of a node with two services, rosters and documents, on one host.
-// @rosters and @documents stand for their discoveries; its limits are for 256 descriptors.
+// Demo is the configuration of a node with two services, rosters and documents, for Start. Its limits are for 256
+// descriptors.
 //
 //go:embed demo.toml
 var Demo string
 
-// DemoServers are the app servers of Demo: fast ones, so that a few seconds show something.
+// repeatWindow is the repeat window of the roster servers.
+const repeatWindow = 15 * time.Second
+
+// DemoServers returns the app servers of Demo by service. They are fast, so that a short run has many requests.
 func DemoServers(seed uint64) map[string][]fake.Server {
-	pods := []*fake.Group{{Window: 15 * time.Second}, {Window: 15 * time.Second}}
+	groups := []*fake.Group{{Window: repeatWindow}, {Window: repeatWindow}}
 	var rosters, documents []fake.Server
 	for i := range 4 {
 		rosters = append(rosters, fake.Server{
-			UID: fmt.Sprint("roster-", i+1), Place: i % 2, Group: pods[i%2],
+			UID: fmt.Sprint("roster-", i+1), Place: i % 2, Group: groups[i%2],
 			Work: 10 * time.Millisecond, Cores: 4, Queue: 64, Seed: seed + uint64(i),
 		})
 	}
@@ -36,8 +39,7 @@
 	return map[string][]fake.Server{"rosters": rosters, "documents": documents}
 }
 
-// RosterCall makes a call to the roster service of Demo: a read or an update with a key of
-// its own.
+// RosterCall returns a call to the roster service of Demo: a read, or an update with an idempotency key.
 func RosterCall(rng *rand.Rand) fake.Call {
 	c := fake.Call{
 		Kind: "rosters", Host: "care.example", Method: "GET", Path: "/roster-read/week",
@@ -49,7 +51,7 @@
 	return c
 }
 
-// DocumentCall makes a call to the document service of Demo.
+// DocumentCall returns a call to the document service of Demo.
 func DocumentCall(rng *rand.Rand) fake.Call {
 	return fake.Call{
 		Kind: "documents", Host: "care.example", Method: "GET", Path: "/docs/plan-" + strconv.Itoa(rng.IntN(1000)),
@@ -57,14 +59,14 @@
 	}
 }
 
-// WithDescriptors is Demo for another number of descriptors.
+// WithDescriptors returns Demo for another number of descriptors.
 func WithDescriptors(n int) string {
 	return strings.Replace(Demo, "descriptors = 256", fmt.Sprintf("descriptors = %d", n), 1)
 }
 
-// Patient is Demo for another number of descriptors, with documents whose clients wait long
-// and so hold for long what they get.
-func Patient(descriptors int) string {
+// WithLongDeadlines returns Demo for another number of descriptors, with long deadlines for documents, so that their
+// clients use their resources for long.
+func WithLongDeadlines(descriptors int) string {
 	return strings.Replace(WithDescriptors(descriptors), "[classes.doc-read]\naim = \"500ms\"\ndeadline = \"2s\"",
 		"[classes.doc-read]\naim = \"10s\"\ndeadline = \"20s\"", 1)
 }
--- a/internal/testsupport/testbench/testbench.go
+++ b/internal/testsupport/testbench/testbench.go
@@ -1,5 +1,4 @@
-// Package testbench puts a node between stand-in peers on loopback addresses: the demo, tests and
-// measurements run in it.
+// Package testbench runs a node between fake peers on loopback addresses, for the demo, tests and measurements.
 package testbench
 
 import (
@@ -19,24 +18,23 @@
 	Node  *node.Node
 	Pools map[string]*Pool // by service
 
-	text string
 	stop context.CancelFunc
 	done chan error
 	once sync.Once
 	err  error
 }
 
-// Pool is what stands behind one service.
+// Pool has the fake peers of one service.
 type Pool struct {
 	Discovery  *fake.Discovery
 	Servers    []*fake.Running
-	Executions *fake.Executions
+	Executions *fake.Executions // of all servers
 }
 
-// Stall has all servers of the pool hold what they get, or go on.
-func (p *Pool) Stall(stalled bool) {
+// Stall stalls or resumes all servers.
+func (p *Pool) Stall(isStalled bool) {
 	for _, s := range p.Servers {
-		if stalled {
+		if isStalled {
 			s.Stall()
 		} else {
 			s.Resume()
@@ -44,7 +42,7 @@
 	}
 }
 
-// Close ends the pool's servers and discovery.
+// Close ends the servers and the discovery.
 func (p *Pool) Close() {
 	for _, s := range p.Servers {
 		s.Close()
@@ -54,14 +52,14 @@
 	}
 }
 
-// StartPool starts servers and a discovery that lists them. Those without a tally share one.
+// StartPool starts servers and a discovery with their entries. Those without Executions share one.
 func StartPool(servers []fake.Server) (*Pool, error) {
-	p := &Pool{Executions: &fake.Executions{}}
-	var err error
-	if p.Discovery, err = fake.StartDiscovery(); err != nil {
+	discovery, err := fake.StartDiscovery()
+	if err != nil {
 		return nil, err
 	}
-	var list []fake.Entry
+	p := &Pool{Discovery: discovery, Executions: &fake.Executions{}}
+	var entries []fake.Entry
 	for _, s := range servers {
 		if s.Executions == nil {
 			s.Executions = p.Executions
@@ -71,46 +69,47 @@
 			p.Close()
 			return nil, err
 		}
-		p.Servers, list = append(p.Servers, r), append(list, r.Entry())
+		p.Servers = append(p.Servers, r)
+		entries = append(entries, r.Entry())
 	}
-	p.Discovery.Publish(list...)
+	p.Discovery.Publish(entries...)
 	return p, nil
 }
 
-// Start starts servers for each service and a node of the configuration in text, in which
-// @NAME stands for the address of that service's discovery.
+// Start starts the servers of each service, and a node with the configuration in text. In it @NAME is replaced by the
+// address of the discovery of service NAME.
 func Start(text string, servers map[string][]fake.Server) (*Bench, error) {
-	l := &Bench{Pools: make(map[string]*Pool), text: text, done: make(chan error, 1), stop: func() {}}
+	b := &Bench{Pools: make(map[string]*Pool), done: make(chan error, 1), stop: func() {}}
 	for name, s := range servers {
 		p, err := StartPool(s)
 		if err != nil {
-			l.closePools()
+			b.closePools()
 			return nil, err
 		}
-		l.Pools[name] = p
+		b.Pools[name] = p
 	}
-	cfg, err := l.Config(text)
+	cfg, err := b.Config(text)
 	if err == nil {
-		l.Node, err = node.New(cfg)
+		b.Node, err = node.New(cfg)
 	}
 	if err != nil {
-		l.closePools()
+		b.closePools()
 		return nil, fmt.Errorf("starting the node: %w", err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	l.stop = stop
-	go func() { l.done <- l.Node.Run(ctx) }()
-	return l, nil
+	b.stop = stop
+	go func() { b.done <- b.Node.Run(ctx) }()
+	return b, nil
 }
 
-// Ready waits until every service of the node has a server to send to.
-func (l *Bench) Ready(ctx context.Context) error {
+// Ready waits until every service of the node has a server, or ctx ends.
+func (b *Bench) Ready(ctx context.Context) error {
 	for {
-		ready := true
-		for _, s := range l.Node.Status() {
-			ready = ready && s.Ready
+		isReady := true
+		for _, s := range b.Node.Status() {
+			isReady = isReady && s.Ready
 		}
-		if ready {
+		if isReady {
 			return nil
 		}
 		select {
@@ -121,39 +120,38 @@
 	}
 }
 
-// Config reads a configuration in which @NAME stands for the address of a service's discovery.
-func (l *Bench) Config(text string) (config.Config, error) {
-	for name, p := range l.Pools {
+// Config parses a configuration, in which @NAME is replaced as Start does.
+func (b *Bench) Config(text string) (config.Config, error) {
+	for name, p := range b.Pools {
 		text = strings.ReplaceAll(text, "@"+name+`"`, p.Discovery.Addr()+`"`)
 	}
 	return config.Parse("lab.toml", []byte(text))
 }
 
-// Reload has the node take another configuration.
-func (l *Bench) Reload(text string) error {
-	cfg, err := l.Config(text)
+// Reload has the node load another configuration, in which @NAME is replaced as Start does.
+func (b *Bench) Reload(text string) error {
+	cfg, err := b.Config(text)
 	if err != nil {
 		return err
 	}
-	return l.Node.Reload(cfg)
+	return b.Node.Reload(cfg)
 }
 
-// Stop drains the node and ends everything. Only its first call does anything; each gives the
-// error with which the node ended.
-func (l *Bench) Stop() error {
-	l.once.Do(func() {
-		l.stop()
-		for _, p := range l.Pools {
+// Stop drains the node and ends the bench. It returns the node's error. Later calls only return it again.
+func (b *Bench) Stop() error {
+	b.once.Do(func() {
+		b.stop()
+		for _, p := range b.Pools {
 			p.Stall(false)
 		}
-		l.err = <-l.done
-		l.closePools()
+		b.err = <-b.done
+		b.closePools()
 	})
-	return l.err
+	return b.err
 }
 
-func (l *Bench) closePools() {
-	for _, p := range l.Pools {
+func (b *Bench) closePools() {
+	for _, p := range b.Pools {
 		p.Close()
 	}
 }
--- a/internal/testsupport/testbench/testbench_test.go
+++ b/internal/testsupport/testbench/testbench_test.go
@@ -10,9 +10,9 @@
 	"lockflow/internal/testsupport/testbench/benchtest"
 )
 
-// play sends calls of both services at a rate for a while.
-func play(l *testbench.Bench, lasts time.Duration, clients ...fake.Clients) map[string]*fake.Result {
-	ctx, cancel := context.WithTimeout(context.Background(), lasts)
+// play runs clients for a duration and returns their results by kind.
+func play(l *testbench.Bench, duration time.Duration, clients ...fake.Clients) map[string]*fake.Result {
+	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
 	var runs []*fake.Run
 	for i, c := range clients {
@@ -33,7 +33,7 @@
 	got := play(l, time.Second, fake.Clients{Call: testbench.RosterCall, Interval: 10 * time.Millisecond, Workers: 32, Seed: 1},
 		fake.Clients{Call: testbench.DocumentCall, Interval: 20 * time.Millisecond, Workers: 32, Seed: 2})
 	for kind, r := range got {
-		// Where the cores are busy with other work, calls come in bursts, of which the bound turns some away.
+		// On a busy machine calls arrive in bursts, of which the concurrency limit rejects some.
 		if r.Served < r.Calls/4 || r.Calls == 0 || r.Lost+r.Wrong > 0 {
 			t.Errorf("%s: %+v", kind, *r)
 		}
--- a/internal/testsupport/testkit/backlog.go
+++ b/internal/testsupport/testkit/backlog.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// FullBacklogAddress listens on a loopback address on which no further connection comes up: its backlog is
-// full, and nobody accepts from it. It listens until the test ends.
+// FullBacklogAddress returns a loopback address that accepts no connection: its listener's backlog is full. The
+// listener is closed when the test ends.
 func FullBacklogAddress(t *testing.T) string {
 	t.Helper()
 	const maxBacklog = 10 // more than any system makes of a backlog of 0
--- a/internal/testsupport/testkit/golden.go
+++ b/internal/testsupport/testkit/golden.go
@@ -14,17 +14,15 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// update has tests write their golden files anew: go test ./internal/NAME -run Golden -update. What is stored
-// or sent then changes its form: nodes of earlier builds have to be able to read it, or its version goes up.
-// The files under testdata/golden were first written by this command on the build of commit d0af8e2, in which
-// keys still came from names of Go fields.
+// update has tests write their golden files anew: go test ./internal/NAME -run Golden -update. If a file changes, earlier
+// builds have to be able to read the new encoding, or its version has to be increased.
 var update = flag.Bool("update", false, "writes golden files anew")
 
-// IsUpdating tells whether golden files are to be written anew.
+// IsUpdating reports whether golden files are written anew.
 func IsUpdating() bool { return *update }
 
-// GoldenBytes gives what a golden file holds. With -update it is got that is written there first; without, got may
-// be nil, and is compared to the file where it is not.
+// GoldenBytes returns the content of a golden file. With -update, got is written to it first. Otherwise the test fails
+// if got is not nil and differs from the file.
 func GoldenBytes(t testing.TB, path string, got []byte) []byte {
 	t.Helper()
 	if *update && got != nil {
@@ -45,8 +43,8 @@
 	return want
 }
 
-// GoldenSample checks a type against the golden file of its Sample: the sample is written to the same bytes, and
-// what is read from the file, with no key unknown, is written to them again. v is a pointer to a zero value.
+// GoldenSample checks a type against the golden file of its Sample: the sample is encoded to the same bytes, and they are
+// decoded, with no unknown key, to a value that is encoded to them. v is a pointer to a zero value.
 func GoldenSample(t testing.TB, format, path string, v any) {
 	t.Helper()
 	sample := reflect.New(reflect.TypeOf(v).Elem()).Interface()
@@ -61,18 +59,18 @@
 	}
 }
 
-// RoundTrip reads raw into what v points to and writes that again. An error is a key that the type does not know,
-// or one that it drops or changes.
+// RoundTrip decodes raw into what v points to, and encodes that. It returns an error for keys that the type does not
+// know, drops or changes.
 func RoundTrip(format string, raw []byte, v any) error {
 	if err := decode(format, raw, v); err != nil {
 		return fmt.Errorf("reading %T: %w", v, err)
 	}
-	again, err := encode(format, v)
+	encoded, err := encode(format, v)
 	if err != nil {
 		return fmt.Errorf("writing %T again: %w", v, err)
 	}
-	if !bytes.Equal(again, raw) {
-		return fmt.Errorf("%T is not written as it was read: %s", v, firstDifference(again, raw))
+	if !bytes.Equal(encoded, raw) {
+		return fmt.Errorf("%T is not written as it was read: %s", v, firstDifference(encoded, raw))
 	}
 	return nil
 }
@@ -109,7 +107,7 @@
 	return fmt.Errorf("format %q is not known", format)
 }
 
-// firstDifference shows two texts from a little before the place where they part.
+// firstDifference describes the first difference of two texts, with some context.
 func firstDifference(got, want []byte) string {
 	const before, shown = 24, 64
 	i := 0
--- a/internal/testsupport/testkit/keys.go
+++ b/internal/testsupport/testkit/keys.go
@@ -8,17 +8,17 @@
 	"testing"
 )
 
-// marshalers are, by format, the methods by which a type encodes itself: its fields give no keys.
+// marshalers are, by format, the methods with which a type encodes itself, so that its fields have no keys.
 var marshalers = map[string][]string{
 	"cbor": {"MarshalCBOR", "MarshalBinary"},
 	"json": {"MarshalJSON", "MarshalText"},
 	"toml": {"MarshalText"},
 }
 
-// RequireKeys fails a test where an encoded type has an exported field whose key is not written in a tag of
-// the format ("cbor", "json" or "toml"): a rename of the field would change what is stored or sent. roots are
-// values of the types that are handed to the encoder or decoder; whatever they reach through pointers, slices,
-// arrays, maps, nested and embedded structs is checked with them.
+// RequireKeys fails a test if an encoded type has an exported field without a key in a tag of the format ("cbor", "json"
+// or "toml"): a rename of the field would change what is stored or sent. roots are values of the types that are passed
+// to the encoder or decoder. All types that they reach through pointers, slices, arrays, maps, nested and embedded
+// structs are checked too.
 func RequireKeys(t testing.TB, format string, roots ...any) {
 	t.Helper()
 	for _, missing := range MissingKeys(format, roots...) {
@@ -26,7 +26,7 @@
 	}
 }
 
-// MissingKeys lists the fields that RequireKeys fails for, sorted.
+// MissingKeys returns the fields for which RequireKeys fails, sorted.
 func MissingKeys(format string, roots ...any) []string {
 	w := keyChecker{format: format, visited: make(map[reflect.Type]bool)}
 	for _, root := range roots {
@@ -36,6 +36,7 @@
 	return w.missing
 }
 
+// keyChecker checks each type once.
 type keyChecker struct {
 	format  string
 	visited map[reflect.Type]bool
@@ -93,7 +94,7 @@
 	}
 }
 
-// isEncodedAsArray tells whether a struct is encoded by the order of its fields, without keys.
+// isEncodedAsArray reports whether a struct is encoded by the order of its fields, without keys.
 func isEncodedAsArray(t reflect.Type, format string) bool {
 	f, ok := t.FieldByName("_")
 	return ok && strings.Contains(f.Tag.Get(format), ",toarray")
--- a/internal/testsupport/testkit/sample.go
+++ b/internal/testsupport/testkit/sample.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// sampleDepth bounds how deep samples of types that contain themselves go.
+// sampleDepth limits the samples of recursive types.
 const sampleDepth = 12
 
-// sampleStart is the earliest time in samples, in seconds since 1970.
+// sampleStart is the earliest time in samples, in Unix seconds.
 const sampleStart = 1_790_000_000
 
-// Sample fills what v points to: every exported field that the format encodes has a value that is not zero, lists
-// and maps have one item. Values follow from the keys by which a field is reached, neither from its Go name nor from
-// its place, so that a type whose fields were renamed or moved has the same sample as before.
+// Sample sets every exported field that the format encodes, of what v points to, to a value that is not zero. Lists and
+// maps have one item. A value depends on the keys by which its field is reached, not on its Go name or position, so that
+// the sample of a type does not change when fields are renamed or moved.
 func Sample(format string, v any) {
 	sampler{format}.fill(reflect.ValueOf(v).Elem(), "", 0)
 }
--- a/internal/testsupport/testkit/testkit.go
+++ b/internal/testsupport/testkit/testkit.go
@@ -1,5 +1,5 @@
-// Package testkit holds what the tests of several packages share: small peers that a test
-// tells what to do, and waiting for events with a bound.
+// Package testkit has what the tests of several packages share: scripted peers, waits with a timeout, golden files, and
+// checks of encoded types.
 package testkit
 
 import (
@@ -19,10 +19,13 @@
 	"lockflow/internal/protocol"
 )
 
-// WaitTimeout bounds every wait of the tests; nothing is expected to come near it.
+// WaitTimeout limits every wait of a test. Nothing is expected to take nearly as long.
 const WaitTimeout = 30 * time.Second
 
-// Small is a configuration of one service whose server is always listed and never there.
+// channelCapacity is the capacity of the channels of fakes.
+const channelCapacity = 100
+
+// Small is a configuration of one service with a static server that does not exist.
 const Small = `
 protocol = "platform"
 [process]
@@ -39,20 +42,20 @@
 as = "read"
 `
 
-// Next takes what comes next on a channel; nothing in time fails the test.
+// Next receives the next value of a channel. The test fails if there is none in time.
 func Next[T any](t testing.TB, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
 	case <-time.After(WaitTimeout):
-		t.Fatal("nothing came")
+		t.Fatal("nothing was received in time")
 		panic("unreachable")
 	}
 }
 
-// Supervisor is a stand-in for systemd's side of the notify protocol (sd_notify(3)), named by
-// NOTIFY_SOCKET until the test ends. It gives what it is told.
+// Supervisor is a fake of systemd's side of the notify protocol (sd_notify(3)), which NOTIFY_SOCKET names until the test
+// ends. It returns the messages.
 func Supervisor(t testing.TB) <-chan string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "notify")
@@ -62,21 +65,21 @@
 	}
 	t.Cleanup(func() { c.Close() })
 	t.Setenv("NOTIFY_SOCKET", path)
-	told := make(chan string, 100)
+	messages := make(chan string, channelCapacity)
 	go func() {
 		for raw := make([]byte, 4096); ; {
 			n, err := c.Read(raw)
 			if err != nil {
 				return
 			}
-			told <- string(raw[:n])
+			messages <- string(raw[:n])
 		}
 	}()
-	return told
+	return messages
 }
 
-// ShortDir is a directory whose path leaves room for that of a Unix socket, whatever the test's name. What
-// a process of the test that is just ending writes into it fails nothing.
+// ShortDir returns a temporary directory with a path that is short enough for a Unix socket in it, whatever the test's
+// name. It is removed when the test ends.
 func ShortDir(t testing.TB) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "lf")
@@ -91,28 +94,28 @@
 	return dir
 }
 
-// Until asks again and again whether something is so; never in time fails the test.
-func Until(t testing.TB, what string, is func() bool) {
+// Until polls a condition until it is true. The test fails if it is not in time.
+func Until(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(WaitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if is() {
+		if condition() {
 			return
 		}
 	}
 	t.Fatalf("%s: not in time", what)
 }
 
-// Agent is a discovery that tells what a test has it tell.
+// Agent is a fake discovery that sends what a test has it send.
 type Agent struct {
 	*httptest.Server
-	Polled chan string   // the query of each watch
-	Lines  chan string   // a line each; "" ends the watch
-	quit   chan struct{} // closed at the end of the test
+	Polled chan string   // the request URI of each watch
+	Lines  chan string   // to send; "" ends the watch
+	quit   chan struct{} // closed when the test ends
 }
 
-// NewAgent starts one, until the test ends.
+// NewAgent starts an agent, which is closed when the test ends.
 func NewAgent(t testing.TB) *Agent {
-	a := &Agent{Polled: make(chan string, 100), Lines: make(chan string, 100), quit: make(chan struct{})}
+	a := &Agent{Polled: make(chan string, channelCapacity), Lines: make(chan string, channelCapacity), quit: make(chan struct{})}
 	a.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		a.Polled <- r.URL.RequestURI()
 		w.WriteHeader(http.StatusOK)
@@ -136,10 +139,10 @@
 	return a
 }
 
-// Addr is where it listens.
+// Addr returns the address that it listens on.
 func (a *Agent) Addr() string { return a.Listener.Addr().String() }
 
-// App is an app server that notes what it is asked.
+// App is a fake app server that records its requests.
 type App struct {
 	*httptest.Server
 	mu              sync.Mutex
@@ -147,7 +150,7 @@
 	clientAddresses map[string]bool // addresses of connections
 }
 
-// NewApp starts one, until the test ends.
+// NewApp starts an app server with a handler, which is closed when the test ends.
 func NewApp(t testing.TB, serve http.HandlerFunc) *App {
 	a := &App{clientAddresses: make(map[string]bool)}
 	a.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -163,32 +166,32 @@
 	return a
 }
 
-// Requests are what it has been asked so far.
+// Requests returns method, URI, idempotency key and body of each request so far.
 func (a *App) Requests() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.requests)
 }
 
-// Dials is how many connections requests have come on.
+// Dials returns the number of connections with requests so far.
 func (a *App) Dials() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.clientAddresses)
 }
 
-// Count is how many requests it has been asked so far.
+// Count returns the number of requests so far.
 func (a *App) Count() int { return len(a.Requests()) }
 
-// Addr is where it listens.
+// Addr returns the address that it listens on.
 func (a *App) Addr() string { return a.Listener.Addr().String() }
 
-// Served answers 200 and names the request.
+// Served answers 200 with the ID of the request.
 func Served(w http.ResponseWriter, r *http.Request) {
 	io.WriteString(w, "served "+r.Header.Get(protocol.HeaderID))
 }
 
-// Hijack takes a request's connection over.
+// Hijack takes over the connection of a request.
 func Hijack(w http.ResponseWriter) net.Conn {
 	c, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
@@ -197,16 +200,16 @@
 	return c
 }
 
-// Reset ends a request's connection with no answer.
+// Reset closes the connection of a request without an answer.
 func Reset(w http.ResponseWriter, _ *http.Request) { Hijack(w).Close() }
 
-// Never answers only when the test ends.
+// Never returns a handler that blocks until the client leaves or the test ends.
 func Never(t testing.TB) http.HandlerFunc {
-	over := make(chan struct{})
-	t.Cleanup(func() { close(over) })
+	testEnded := make(chan struct{})
+	t.Cleanup(func() { close(testEnded) })
 	return func(_ http.ResponseWriter, r *http.Request) {
 		select {
-		case <-over:
+		case <-testEnded:
 		case <-r.Context().Done():
 		}
 	}
--- a/internal/trials/measure/isolation.go
+++ b/internal/trials/measure/isolation.go
@@ -75,7 +75,7 @@
 }
 
 func stalledRun(ctx context.Context, o IsolationOptions, stall bool, seed uint64) (s Served, parts []string, err error) {
-	l, err := testbench.Start(testbench.Patient(o.Descriptors), testbench.DemoServers(seed))
+	l, err := testbench.Start(testbench.WithLongDeadlines(o.Descriptors), testbench.DemoServers(seed))
 	if err != nil {
 		return s, nil, err
 	}
