--- a/internal/upgrade/predecessor.go
+++ b/internal/upgrade/predecessor.go
@@ -20,6 +20,7 @@
 // ProtocolError is the error of Join where the predecessor's messages are of another version.
 type ProtocolError struct{ Version int }
 
+// Error names both versions.
 func (e ProtocolError) Error() string {
 	return fmt.Sprintf("the old process has protocol version %d, this one %d", e.Version, protocolVersion)
 }
@@ -87,7 +88,7 @@
 }
 
 // AwaitCheckpoint reports that this process could serve and waits for the predecessor's checkpoint. After an error
-// the predecessor has ended or sent something else, and no checkpoint will come.
+// the predecessor has ended or sent something else, and there will be no checkpoint.
 func (p *Predecessor) AwaitCheckpoint() ([]byte, error) {
 	checkpoint, err := p.requestCheckpoint()
 	if err != nil {
