--- a/internal/node/shared_hard_limits_test.go
+++ b/internal/node/shared_hard_limits_test.go
@@ -12,13 +12,13 @@
 	"lockflow/internal/testsupport/fake"
 	"lockflow/internal/testsupport/redistest"
 	"lockflow/internal/testsupport/testbench"
-	"lockflow/internal/testsupport/testbench/labtest"
+	"lockflow/internal/testsupport/testbench/benchtest"
 	"lockflow/internal/testsupport/testkit"
 )
 
 // sharedFleet is nodes that share an enterprise customer's ceiling by counters.
 type sharedFleet struct {
-	nodes       []*testbench.Lab
+	nodes       []*testbench.Bench
 	firstStore  *redistest.Server // the first of counters
 	hardLimit   *fake.HardLimitMonitor
 	configs     []string
@@ -72,7 +72,7 @@
 as = "read"
 `, rate, burst, f.stores[at].Addr(), app.Addr())
 		f.configs = append(f.configs, text)
-		f.nodes = append(f.nodes, labtest.Begin(t, text, nil))
+		f.nodes = append(f.nodes, benchtest.Begin(t, text, nil))
 	}
 	return f
 }
@@ -138,15 +138,17 @@
 	f.awaitStatus(t, "a counter that lends", leasesUnits)
 	f.awaitUnits(t, 100)
 	for _, injectFault := range []func(){
-		func() { f.firstStore.Set(0, "", true) },
-		func() { f.firstStore.Set(0, "LOADING Redis is loading the dataset in memory", false) },
-		func() { f.firstStore.Set(2*time.Second, "", false) },
+		func() { f.firstStore.SetFaults(redistest.Faults{IsSilent: true}) },
+		func() {
+			f.firstStore.SetFaults(redistest.Faults{Error: "LOADING Redis is loading the dataset in memory"})
+		},
+		func() { f.firstStore.SetFaults(redistest.Faults{Delay: 2 * time.Second}) },
 	} {
 		injectFault()
-		f.firstStore.Cut()
+		f.firstStore.CloseConns()
 		f.awaitStatus(t, "parts of its own", usesOwnQuota)
 		f.awaitUnits(t, 30)
-		f.firstStore.Set(0, "", false)
+		f.firstStore.SetFaults(redistest.Faults{})
 		f.awaitStatus(t, "a counter that lends again", leasesUnits)
 		f.awaitUnits(t, 30)
 	}
@@ -171,7 +173,7 @@
 	f.awaitStatus(t, "counters that lend", leasesUnits)
 	f.awaitUnits(t, 200)
 	for _, c := range f.stores {
-		if c.Calls() == 0 {
+		if c.ScriptRuns() == 0 {
 			t.Error("a counter was not asked")
 		}
 	}
@@ -197,7 +199,7 @@
 		f.awaitUnits(t, 20)
 	}
 	f.awaitStatus(t, "another counter that lends", leasesUnits)
-	if f.stores[1].Calls() == 0 {
+	if f.stores[1].ScriptRuns() == 0 {
 		t.Error("the other counter was not asked")
 	}
 }
