--- a/internal/regions/bench_test.go
+++ b/internal/regions/bench_test.go
@@ -12,7 +12,7 @@
 	"lockflow/internal/route"
 )
 
-// fleet makes regions of so many rules, of which own are the region's.
+// fleet returns regions with so many rules each, own of which no other region has.
 func fleet(regions, rules, own int) (all []Region) {
 	one := func(i int) Route {
 		r := Route{Rule: route.Rule{Name: fmt.Sprint("r", i), Service: fmt.Sprint("s", i%20), Host: fmt.Sprintf("h%d.example", i%200), Prefix: fmt.Sprintf("/p%d/q%d", i/200, i%200)}, Base: true}
@@ -57,14 +57,14 @@
 	return all
 }
 
-// edited is a region with one rule that leads elsewhere.
+// edited returns a region with one rule that leads to another service.
 func edited(r Region, rule, to int) Region {
 	r.Routes = append([]Route(nil), r.Routes...)
 	r.Routes[rule].Service = fmt.Sprint("s", to)
 	return r
 }
 
-// cpu is what the process has used, which is what counts where others keep the cores busy.
+// cpu returns the CPU time of the process, which other processes on busy cores affect less than the elapsed time.
 func cpu() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
@@ -79,7 +79,7 @@
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkCheck looks at all regions from nothing, and tells what the index takes beside what it was given.
+// BenchmarkCheck builds an index of all regions, and reports its memory without that of the regions.
 func BenchmarkCheck(b *testing.B) {
 	for _, own := range []int{0, 20, 1000} {
 		for _, n := range []int{2, 10, 50} {
@@ -101,7 +101,7 @@
 	}
 }
 
-// BenchmarkReplace looks at one region anew, of which one rule is edited.
+// BenchmarkReplace replaces a region of which one rule is edited.
 func BenchmarkReplace(b *testing.B) {
 	for _, rule := range []int{5, 10, 0} { // one host's, any host's, all requests'
 		for _, n := range []int{2, 10, 50} {
@@ -121,12 +121,12 @@
 	}
 }
 
-// BenchmarkPairwise holds each rule of one region against each of another, as is plain.
+// BenchmarkPairwise compares each rule of one region with each of another, as a simple solution would.
 func BenchmarkPairwise(b *testing.B) {
 	for _, n := range []int{100, 1000} {
 		b.Run(fmt.Sprintf("rules=%d", n), func(b *testing.B) {
 			all := fleet(2, n, 20)
-			p, q := plainOf(b, all[0]), plainOf(b, edited(all[1], 5, 7))
+			p, q := newReference(b, all[0]), newReference(b, edited(all[1], 5, 7))
 			x := NewIndex(all)
 			for b.Loop() {
 				for _, one := range x.regions[0].rules {
@@ -139,7 +139,7 @@
 							a.method = http.MethodGet
 						}
 						w := x.minimalRequest(a)
-						differ(p.treat(w), q.treat(w))
+						conflictKinds(p.handle(w), q.handle(w))
 					}
 				}
 			}
--- a/internal/regions/mixture/mixture_test.go
+++ b/internal/regions/mixture/mixture_test.go
@@ -16,9 +16,9 @@
 	"lockflow/internal/route"
 )
 
-// obvious is a check by the plain way: routes by their prefix, and sums. It gives all that regions.Check
-// would of such small fleets, or close to it.
-func obvious(all []regions.Region) (found []regions.Conflict) {
+// referenceCheck is a simple check of small fleets: routes by their prefix, and sums of hard limits. It finds
+// nearly all that regions.Check does.
+func referenceCheck(all []regions.Region) (found []regions.Conflict) {
 	sums, most := map[string]float64{}, map[string]float64{}
 	for i, a := range all {
 		for _, s := range a.Services {
@@ -64,8 +64,8 @@
 	return found
 }
 
-// region reads "north 4/8 gold=30 /x=app:read.free:2s ...": members of instances, ceilings, routes.
-func region(text string) regions.Region {
+// parseRegion parses "north 4/8 gold=30 /x=app:read.free:2s ...": members of instances, hard limits, routes.
+func parseRegion(text string) regions.Region {
 	f := strings.Fields(text)
 	r := regions.Region{Name: f[0], Listeners: []string{f[0] + ":80"}}
 	if _, err := fmt.Sscanf(f[1], "%d/%d", &r.Members, &r.Instances); err != nil {
@@ -101,9 +101,9 @@
 	return r
 }
 
-func fleet(text string) (all []regions.Region) {
+func parseFleet(text string) (all []regions.Region) {
 	for _, line := range strings.Split(text, "|") {
-		all = append(all, region(line))
+		all = append(all, parseRegion(line))
 	}
 	return all
 }
@@ -122,8 +122,8 @@
 		"terms that cross":                  {"n 1/1 /x=a:w.free:1s|s 1/1 /x=a:w.free:1s", "n 1/1 /x=a:w.never:9s|s 1/1 /x=a:w.never:9s", "n s", "n", "n s"},
 		"ceilings swap":                     {"n 1/4 a=12 b=8|s 1/4 a=8 b=12|w 1/3 a=8 b=8", "n 1/4 a=8 b=12|s 1/4 a=12 b=8|w 1/3 a=8 b=8", "n s", "n s", "n s"},
 	} {
-		r := Order(fleet(tc.old), fleet(tc.new), regions.Check)
-		if again := Order(fleet(tc.old), fleet(tc.new), NewIncrementalCheck()); !reflect.DeepEqual(r, again) {
+		r := Order(parseFleet(tc.old), parseFleet(tc.new), regions.Check)
+		if again := Order(parseFleet(tc.old), parseFleet(tc.new), NewIncrementalCheck()); !reflect.DeepEqual(r, again) {
 			t.Errorf("%s: incremental check %+v\nand not %+v", name, again, r)
 		}
 		if name == "one route of one" && len(r.Transient) != 1 {
@@ -136,8 +136,8 @@
 	}
 }
 
-// draw draws a fleet of a few regions.
-func draw(t *rapid.T, n int, tag string) (all []regions.Region) {
+// drawFleet draws a fleet of a few regions.
+func drawFleet(t *rapid.T, n int, tag string) (all []regions.Region) {
 	for i := range n {
 		text := fmt.Sprintf("r%d %d/%d", i, rapid.IntRange(2, 3).Draw(t, tag+"members"), rapid.IntRange(3, 12).Draw(t, tag+"instances"))
 		for _, plan := range []string{"g", "h"} {
@@ -146,28 +146,28 @@
 		if rapid.IntRange(0, 3).Draw(t, tag+"route") > 0 {
 			text += " /x=" + rapid.SampledFrom([]string{"app:k", "app:k", "b:k", "app:k.never:2s", "app:k.never"}).Draw(t, tag+"x")
 		}
-		all = append(all, region(text))
+		all = append(all, parseRegion(text))
 	}
 	return all
 }
 
-// An order is found where, and only where, one of all orders will do; what is returned was one of them.
+// An order is found if and only if one of all orders has no new conflict, and it is one of these.
 func TestOrderAgainstAll(t *testing.T) {
 	found, circles := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 4).Draw(t, "n")
-		old, new := draw(t, n, "old"), draw(t, n, "new")
+		old, new := drawFleet(t, n, "old"), drawFleet(t, n, "new")
 		for i := range new {
 			if rapid.Bool().Draw(t, "same") {
 				new[i] = old[i]
 			}
 		}
-		r := Order(old, new, obvious)
+		r := Order(old, new, referenceCheck)
 		if len(r.Order) > 0 {
 			found++
 		}
 		ends := map[string]bool{}
-		for _, c := range append(obvious(old), obvious(new)...) {
+		for _, c := range append(referenceCheck(old), referenceCheck(new)...) {
 			ends[conflictKey(c)] = true
 		}
 		from := old
@@ -176,13 +176,13 @@
 			for _, m := range r.Intermediate {
 				mid[slices.IndexFunc(mid, func(o regions.Region) bool { return o.Name == m.Name })] = m
 			}
-			if why := walk(old, mid, r.IntermediateOrder, ends, old, new); why != "" {
+			if why := firstViolation(old, mid, r.IntermediateOrder, ends, old, new); why != "" {
 				t.Fatalf("to the intermediate: %s", why)
 			}
 			from = mid
 		}
 		if r.Order != nil {
-			if why := walk(from, new, r.Order, ends, old, new); why != "" {
+			if why := firstViolation(from, new, r.Order, ends, old, new); why != "" {
 				t.Fatalf("%v: %s", r.Order, why)
 			}
 		}
@@ -195,7 +195,7 @@
 				}
 			}
 			permute(names, 0, func(order []string) {
-				if why := walk(old, new, order, ends, old, new); why == "" && len(r.Intermediate) == 0 {
+				if why := firstViolation(old, new, order, ends, old, new); why == "" && len(r.Intermediate) == 0 {
 					t.Fatalf("%v will do", order)
 				}
 			})
@@ -225,8 +225,8 @@
 	}
 }
 
-// total is what regions let through of a plan, a second.
-func total(all []regions.Region, plan string) (sum float64) {
+// totalRate returns what regions admit of a plan, in units a second.
+func totalRate(all []regions.Region, plan string) (sum float64) {
 	for _, r := range all {
 		for _, s := range r.Services {
 			if p, ok := findByName(s.Plans, plan, planName); ok {
@@ -237,8 +237,8 @@
 	return sum
 }
 
-// walk has regions change one member after another, and tells the first error that no end has.
-func walk(old, new []regions.Region, order []string, ends map[string]bool, whole ...[]regions.Region) string {
+// firstViolation changes regions one member after another, and returns the first error that neither end has.
+func firstViolation(old, new []regions.Region, order []string, ends map[string]bool, whole ...[]regions.Region) string {
 	now := slices.Clone(old)
 	for _, name := range order {
 		i := slices.IndexFunc(now, func(r regions.Region) bool { return r.Name == name })
@@ -256,11 +256,11 @@
 				for j := range all {
 					in[all[j].Name] = &all[j]
 				}
-				for _, c := range obvious(all) {
+				for _, c := range referenceCheck(all) {
 					if ends[conflictKey(c)] || c.Severity != regions.Error || c.Kind == regions.ServiceKind && len(WithoutGenerations(c).Regions) == 1 {
 						continue
 					}
-					if c.Kind == regions.HardLimitKind && (total(all, c.Rules[0]) <= total(whole[0], c.Rules[0])*1.0001 || total(all, c.Rules[0]) <= total(whole[1], c.Rules[0])*1.0001) {
+					if c.Kind == regions.HardLimitKind && (totalRate(all, c.Rules[0]) <= totalRate(whole[0], c.Rules[0])*1.0001 || totalRate(all, c.Rules[0]) <= totalRate(whole[1], c.Rules[0])*1.0001) {
 						continue
 					}
 					if c.Kind == regions.TermsKind {
@@ -279,8 +279,8 @@
 	return ""
 }
 
-// sums are what a group of members may do together, or one of them as far as nothing is to be added.
-func sums(r regions.Region, members int) map[string]float64 {
+// groupSums returns what so many members of a region admit together, by what is limited.
+func groupSums(r regions.Region, members int) map[string]float64 {
 	all := make(map[string]float64)
 	for _, s := range r.Services {
 		for _, p := range s.Plans {
@@ -309,7 +309,7 @@
 	return all
 }
 
-// Whatever part of a region has changed, by phases, all sums are within those of one end.
+// In each phase, whichever members of a region have changed, all sums are within those of one end.
 func TestPhasesHoldSums(t *testing.T) {
 	// settings draws figures; like, where it is not nil, are those of settings that most are the same as.
 	settings := func(t *rapid.T, like []int) (r regions.Region, drawn []int) {
@@ -346,7 +346,7 @@
 			a, b := all[i], all[i+1]
 			most := max(a.Members, b.Members)
 			within := func(end regions.Region, left, changed int) bool {
-				one, two, top := sums(a, left), sums(b, changed), sums(end, end.Members)
+				one, two, top := groupSums(a, left), groupSums(b, changed), groupSums(end, end.Members)
 				for k := range top {
 					if one[k]+two[k] > top[k]+1e-9 {
 						return false
--- a/internal/regions/regions_test.go
+++ b/internal/regions/regions_test.go
@@ -16,7 +16,7 @@
 	"pgregory.net/rapid"
 )
 
-// The universe that the reference goes through: whatever rules drawn below tell apart is in it.
+// The requests that the reference goes through: they include all that the rules drawn below tell apart.
 var (
 	someHosts   = []string{"", "y", "a.x", "b.x", "b.a.x", "c.a.x"}
 	someMethods = []string{"GET", "HEAD", "POST", "PATCH", "OPTIONS"}
@@ -45,15 +45,15 @@
 	}
 }
 
-// plain treats requests as one region's node does, by the real router.
-type plain struct {
+// reference handles requests as the nodes of one region do, by the real router.
+type reference struct {
 	Region
 	router *route.Router
-	by     map[string]Service
+	services     map[string]Service
 }
 
-func plainOf(t interface{ Fatalf(string, ...any) }, r Region) *plain {
-	p := &plain{Region: r, by: make(map[string]Service)}
+func newReference(t interface{ Fatalf(string, ...any) }, r Region) *reference {
+	p := &reference{Region: r, services: make(map[string]Service)}
 	var rules []route.Rule
 	for _, one := range r.Routes {
 		rules = append(rules, one.Rule)
@@ -63,25 +63,25 @@
 		t.Fatalf("%v", problems)
 	}
 	for _, s := range r.Services {
-		p.by[s.Name] = s
+		p.services[s.Name] = s
 	}
 	return p
 }
 
-type treated struct {
+type handled struct {
 	rule, service, class, gather string
-	taken                        bool
+	isAccepted                        bool
 	terms                        *control.Class
 }
 
-func (p *plain) treat(w *Witness) (got treated) {
+func (p *reference) handle(w *Witness) (got handled) {
 	i, ok := p.router.Find(w.Host, w.Path, w.Method, w.Headers)
 	if !ok {
 		return
 	}
 	one := p.Routes[i]
-	s := p.by[one.Service]
-	got = treated{rule: one.Name, service: one.Service, class: one.RequestClass, taken: true}
+	s := p.services[one.Service]
+	got = handled{rule: one.Name, service: one.Service, class: one.RequestClass, isAccepted: true}
 	if one.RequestClass == "" && s.GenericHTTP {
 		got.class = "write"
 		if slices.Contains([]string{"GET", "HEAD", "OPTIONS"}, w.Method) {
@@ -97,21 +97,21 @@
 	}
 	if s.Gather != "" {
 		got.gather = s.Gather
-		got.taken = got.terms == nil || got.terms.Idempotency == control.Idempotent
-		got.taken = got.taken && (w.Method == "GET" || w.Method == "HEAD" || one.RequestClass != "" && w.Method != "OPTIONS")
+		got.isAccepted = got.terms == nil || got.terms.Idempotency == control.Idempotent
+		got.isAccepted = got.isAccepted && (w.Method == "GET" || w.Method == "HEAD" || one.RequestClass != "" && w.Method != "OPTIONS")
 	}
 	if len(s.Classes) > 0 {
-		got.taken = got.taken && got.terms != nil && (s.GenericHTTP || (got.terms.Idempotency == control.Idempotent) == (w.Method == "GET") && (w.Method == "GET" || w.Method == "POST"))
+		got.isAccepted = got.isAccepted && got.terms != nil && (s.GenericHTTP || (got.terms.Idempotency == control.Idempotent) == (w.Method == "GET") && (w.Method == "GET" || w.Method == "POST"))
 	}
 	return got
 }
 
-// differ gives the kinds by which two regions treat a request differently.
-func differ(a, b treated) (kinds []Kind) {
-	if a.taken != b.taken {
+// conflictKinds returns the kinds by which two regions handle a request differently.
+func conflictKinds(a, b handled) (kinds []Kind) {
+	if a.isAccepted != b.isAccepted {
 		kinds = append(kinds, CoverageKind)
 	}
-	if a.taken && b.taken && (a.service != b.service || a.gather != b.gather) {
+	if a.isAccepted && b.isAccepted && (a.service != b.service || a.gather != b.gather) {
 		kinds = append(kinds, ServiceKind)
 	}
 	if a.terms != nil && b.terms != nil && (a.service == b.service || a.class == b.class) {
@@ -173,7 +173,7 @@
 		}
 		r.Routes = append(r.Routes, one)
 	}
-	for { // what can't be used is left out, as a file with it would not load
+	for { // rules that package route rejects are left out, as a file with them would not load
 		var rules []route.Rule
 		for _, one := range r.Routes {
 			rules = append(rules, one.Rule)
@@ -201,42 +201,42 @@
 	return all
 }
 
-func line(k Kind, a, b, ra, rb string) string { return fmt.Sprint(k, " ", a, " ", b, " ", ra, " ", rb) }
+func conflictLine(k Kind, a, b, ra, rb string) string { return fmt.Sprint(k, " ", a, " ", b, " ", ra, " ", rb) }
 
-// lookAt notes the conflicts that a request shows, and the rules that treat it.
-func lookAt(w *Witness, plains []*plain, want, alive map[string]bool) {
-	var got []treated
+// recordExpected records the conflicts that a request shows, and the rules that handle it.
+func recordExpected(w *Witness, plains []*reference, want, alive map[string]bool) {
+	var got []handled
 	for _, p := range plains {
-		got = append(got, p.treat(w))
+		got = append(got, p.handle(w))
 		alive[p.Name+got[len(got)-1].rule] = true
 	}
 	for i := range got {
 		for j := range i {
-			for _, k := range differ(got[j], got[i]) {
-				want[line(k, plains[j].Name, plains[i].Name, got[j].rule, got[i].rule)] = true
+			for _, k := range conflictKinds(got[j], got[i]) {
+				want[conflictLine(k, plains[j].Name, plains[i].Name, got[j].rule, got[i].rule)] = true
 			}
 		}
 	}
-	for _, l := range plainLoops(plains, w) {
+	for _, l := range expectedLoops(plains, w) {
 		want[l] = true
 	}
 }
 
-// TestAgainstReference holds the decider against a look at every request of a small universe: nothing is
-// missed, and nothing told that real routers do not show.
+// TestAgainstReference compares the conflicts with those that every request of a small universe shows by the
+// real routers: none is missed, and no other is reported.
 func TestAgainstReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := drawRegions(t)
-		var plains []*plain
+		var plains []*reference
 		for _, r := range all {
-			plains = append(plains, plainOf(t, r))
+			plains = append(plains, newReference(t, r))
 		}
 		want, alive := make(map[string]bool), make(map[string]bool)
-		everyRequest(func(w *Witness) { lookAt(w, plains, want, alive) })
+		everyRequest(func(w *Witness) { recordExpected(w, plains, want, alive) })
 		for _, p := range plains {
 			for _, one := range p.Routes {
 				if !alive[p.Name+one.Name] {
-					want[line(DeadKind, p.Name, "", one.Name, "")] = true
+					want[conflictLine(DeadKind, p.Name, "", one.Name, "")] = true
 				}
 			}
 		}
@@ -245,22 +245,22 @@
 			w := c.Witness
 			switch c.Kind {
 			case DeadKind:
-				l := line(DeadKind, c.Regions[0], "", c.Rules[0], "")
+				l := conflictLine(DeadKind, c.Regions[0], "", c.Rules[0], "")
 				if !want[l] {
 					t.Fatalf("%+v: false", c)
 				}
 				delete(want, l)
 			case LoopKind:
-				l := walk(plains, c)
+				l := followLoop(plains, c)
 				if l == "" {
 					t.Fatalf("%+v: it does not go round", c)
 				}
 				delete(want, l)
 			default:
-				a := plains[slices.IndexFunc(all, func(r Region) bool { return r.Name == c.Regions[0] })].treat(w)
-				b := plains[slices.IndexFunc(all, func(r Region) bool { return r.Name == c.Regions[1] })].treat(w)
-				l := line(c.Kind, c.Regions[0], c.Regions[1], a.rule, b.rule)
-				if !slices.Contains(differ(a, b), c.Kind) || !want[l] {
+				a := plains[slices.IndexFunc(all, func(r Region) bool { return r.Name == c.Regions[0] })].handle(w)
+				b := plains[slices.IndexFunc(all, func(r Region) bool { return r.Name == c.Regions[1] })].handle(w)
+				l := conflictLine(c.Kind, c.Regions[0], c.Regions[1], a.rule, b.rule)
+				if !slices.Contains(conflictKinds(a, b), c.Kind) || !want[l] {
 					t.Fatalf("%+v: false: %+v, %+v", c, a, b)
 				}
 				delete(want, l)
@@ -270,13 +270,13 @@
 			t.Fatalf("missed: %v\n%+v", want, all)
 		}
 
-		orderAndReplace(t, x, all)
+		checkOrderAndReplace(t, x, all)
 	})
 }
 
-// orderAndReplace checks that the order of regions means nothing, and that one that is replaced by another gives
-// what a look at all gives.
-func orderAndReplace(t *rapid.T, x *Index, all []Region) {
+// checkOrderAndReplace checks that the conflicts do not depend on the order of the regions, and that a replacement
+// gives the same as a new index.
+func checkOrderAndReplace(t *rapid.T, x *Index, all []Region) {
 	told := Check(all)
 	turned := slices.Clone(all)
 	slices.Reverse(turned)
@@ -292,17 +292,17 @@
 	}
 }
 
-// plainLoops gives the least region of each circle that a request goes round in, with its rule there.
-func plainLoops(all []*plain, w *Witness) (found []string) {
+// expectedLoops returns the first region of each cycle in which a request loops, with its rule there.
+func expectedLoops(all []*reference, w *Witness) (found []string) {
 	next := make([][]int, len(all))
 	rules := make([]string, len(all))
 	for i, p := range all {
-		got := p.treat(w)
-		if rules[i] = got.rule; !got.taken || got.gather != "" && w.Method == "HEAD" { // goes on as GET
+		got := p.handle(w)
+		if rules[i] = got.rule; !got.isAccepted || got.gather != "" && w.Method == "HEAD" { // goes on as GET
 			continue
 		}
-		for _, to := range p.by[got.service].Destinations {
-			if j := slices.IndexFunc(all, func(q *plain) bool { return q.Listeners[0] == to }); j >= 0 {
+		for _, to := range p.services[got.service].Destinations {
+			if j := slices.IndexFunc(all, func(q *reference) bool { return q.Listeners[0] == to }); j >= 0 {
 				next[i] = append(next[i], j)
 			}
 		}
@@ -319,19 +319,19 @@
 			queue = queue[1:]
 		}
 		if reach[i] {
-			found = append(found, line(LoopKind, all[i].Name, "", rules[i], ""))
+			found = append(found, conflictLine(LoopKind, all[i].Name, "", rules[i], ""))
 		}
 	}
 	return found
 }
 
-// walk goes round with a loop's witness, one way or the other.
-func walk(all []*plain, c Conflict) string {
+// followLoop follows a loop's witness around the cycle in either direction; "" where it does not loop.
+func followLoop(all []*reference, c Conflict) string {
 	n := len(c.Regions)
 	leads := func(i, j int) bool {
-		p := all[slices.IndexFunc(all, func(p *plain) bool { return p.Name == c.Regions[i] })]
-		got := p.treat(c.Witness)
-		return got.taken && !(got.gather != "" && c.Witness.Method == "HEAD") && got.rule == c.Rules[i] && slices.Contains(p.by[got.service].Destinations, c.Regions[j]+":80")
+		p := all[slices.IndexFunc(all, func(p *reference) bool { return p.Name == c.Regions[i] })]
+		got := p.handle(c.Witness)
+		return got.isAccepted && !(got.gather != "" && c.Witness.Method == "HEAD") && got.rule == c.Rules[i] && slices.Contains(p.services[got.service].Destinations, c.Regions[j]+":80")
 	}
 	forth, back := true, true
 	for i := range n {
@@ -340,5 +340,5 @@
 	if !forth && !back {
 		return ""
 	}
-	return line(LoopKind, c.Regions[0], "", c.Rules[0], "")
+	return conflictLine(LoopKind, c.Regions[0], "", c.Rules[0], "")
 }
--- a/internal/regions/sums_test.go
+++ b/internal/regions/sums_test.go
@@ -10,8 +10,9 @@
 	"lockflow/internal/route"
 )
 
-// summed gives what is told of sums of regions made from: name, told, members.
-func summed(change func(i int, r *Region), sizes ...[2]int) (told []Conflict) {
+// conflictsOfSums returns the conflicts of regions with the sizes given: the group size that each is told, and its
+// members.
+func conflictsOfSums(change func(i int, r *Region), sizes ...[2]int) (told []Conflict) {
 	var all []Region
 	for i, s := range sizes {
 		r := Region{Name: string(rune('a' + i)), Instances: s[0], Members: s[1], Services: []Service{{
@@ -67,7 +68,7 @@
 		"another view of it": {cold(func(i int, s *Service) { s.SlowStart.InitialCapacity += 0.85 * float64(i) }), two, "cold error it falls at 0.375"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			told := summed(tc.change, tc.sizes...)
+			told := conflictsOfSums(tc.change, tc.sizes...)
 			if len(told) > 1 || len(told) != min(1, len(tc.want)) {
 				t.Fatalf("%v", told)
 			}
@@ -81,7 +82,7 @@
 	}
 }
 
-// TestLoops goes round by headers that do not all go on.
+// TestLoops checks loops that depend on headers, some of which are not forwarded.
 func TestLoops(t *testing.T) {
 	rule := func(name, service string, h ...route.Header) Route {
 		return Route{Rule: route.Rule{Name: name, Service: service, Headers: h}}
@@ -124,7 +125,7 @@
 	}
 }
 
-// TestBounds holds that what is cut off, or not looked at, is told.
+// TestBounds checks that omitted and undecided conflicts are reported.
 func TestBounds(t *testing.T) {
 	all := []Region{{Name: "a"}, {Name: "b"}}
 	for i := range maxReported + 5 {
