--- a/internal/regions/regions_test.go
+++ b/internal/regions/regions_test.go
@@ -48,8 +48,8 @@
 // reference handles requests as the nodes of one region do, by the real router.
 type reference struct {
 	Region
-	router *route.Router
-	services     map[string]Service
+	router   *route.Router
+	services map[string]Service
 }
 
 func newReference(t interface{ Fatalf(string, ...any) }, r Region) *reference {
@@ -70,7 +70,7 @@
 
 type handled struct {
 	rule, service, class, gather string
-	isAccepted                        bool
+	isAccepted                   bool
 	terms                        *control.Class
 }
 
@@ -201,7 +201,9 @@
 	return all
 }
 
-func conflictLine(k Kind, a, b, ra, rb string) string { return fmt.Sprint(k, " ", a, " ", b, " ", ra, " ", rb) }
+func conflictLine(k Kind, a, b, ra, rb string) string {
+	return fmt.Sprint(k, " ", a, " ", b, " ", ra, " ", rb)
+}
 
 // recordExpected records the conflicts that a request shows, and the rules that handle it.
 func recordExpected(w *Witness, plains []*reference, want, alive map[string]bool) {
