--- a/internal/trials/faultnet/link/conn.go
+++ b/internal/trials/faultnet/link/conn.go
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// conn is one connection with what it leads to.
+// conn is one proxied connection: the accepted client side and the dialed server side.
 type conn struct {
 	link *Link
 	from net.Conn
-	to   net.Conn      // once up is closed
-	up   chan struct{} // closed when to is there, or never will be
-	over chan struct{} // closed when all ends
+	to   net.Conn      // valid once up is closed; nil if the dial failed
+	up   chan struct{} // closed when the dial has succeeded or failed
+	over chan struct{} // closed when the connection ends
 
-	mu    sync.Mutex
+	mu    sync.Mutex // guards ended, and to until up is closed
 	ended bool
 }
 
-// piece is what came at once, or the end of a direction.
+// piece is the result of one read: a chunk of bytes, the end of a direction, or both.
 type piece struct {
 	data []byte
-	at   time.Time
-	end  error
+	at   time.Time // when it was read
+	end  error     // the read error that ended the direction; io.EOF for a regular close
 }
 
-// end ends the connection at once; hard has both sides see a reset.
+// end closes both sides immediately. If hard is set, both peers see a TCP reset.
 func (c *conn) end(hard bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -37,24 +37,24 @@
 	}
 	c.ended = true
 	close(c.over)
-	for _, x := range []net.Conn{c.from, c.to} {
-		if x == nil {
+	for _, side := range []net.Conn{c.from, c.to} {
+		if side == nil {
 			continue
 		}
-		if tcp, ok := x.(*net.TCPConn); ok && hard {
+		if tcp, ok := side.(*net.TCPConn); ok && hard {
 			_ = tcp.SetLinger(0)
 		}
-		x.Close()
+		side.Close()
 	}
 }
 
-// reset is end(hard) by a fault.
+// reset resets the connection because of a fault and counts it.
 func (c *conn) reset() {
 	c.link.add(func(n *Counts) { n.Resets++ })
 	c.end(true)
 }
 
-// run carries both directions until they have ended.
+// run copies both directions until they have ended.
 func (c *conn) run() {
 	defer c.end(false)
 	var both sync.WaitGroup
@@ -73,11 +73,12 @@
 	both.Wait()
 }
 
-// dial reaches what the link leads to, once the way there isn't cut or held.
+// dial connects to the link's target once the forward direction is neither cut nor held. It reports
+// whether the connection is established; on failure the client's connection is reset.
 func (c *conn) dial() bool {
 	for {
 		r := c.link.now()
-		if w := &r.directions[0]; !w.cut && !w.hold {
+		if forth := &r.directions[0]; !forth.cut && !forth.hold {
 			break
 		}
 		select {
@@ -112,12 +113,12 @@
 	return true
 }
 
-// read takes bytes as they come; what isn't written yet is bounded by the channel.
+// read queues what it reads from one side. The channel's capacity bounds the bytes in flight.
 func (c *conn) read(from net.Conn, to chan<- piece) {
 	for {
-		p := piece{data: make([]byte, chunk)}
-		n, err := from.Read(p.data)
-		p.data, p.at, p.end = p.data[:n], time.Now(), err
+		data := make([]byte, chunk)
+		n, err := from.Read(data)
+		p := piece{data: data[:n], at: time.Now(), end: err}
 		select {
 		case to <- p:
 		case <-c.over:
@@ -129,17 +130,18 @@
 	}
 }
 
-// writer is one way of a connection, to its end.
+// writer delivers one direction of a connection.
 type writer struct {
 	*conn
-	direction int
+	direction int // 0 is from client to server, 1 from server to client
 	to        net.Conn
-	of        *rules // in force
-	passed    int    // bytes since those are
-	lost      bool   // bytes are: what follows them can't be delivered any more
+	of        *rules // the rules last applied
+	passed    int    // bytes delivered since the current reset rule took effect
+	lost      bool   // bytes were dropped, so that later bytes can't be delivered any more
 }
 
-// write brings one way's bytes to their end as the rules have it, and tells it of the way's end.
+// write delivers the queued bytes of one direction according to the rules in force, then closes
+// that direction.
 func (c *conn) write(direction int, to net.Conn, from <-chan piece) {
 	w := &writer{conn: c, direction: direction, to: to}
 	for {
@@ -159,7 +161,7 @@
 	}
 }
 
-// pass writes a piece, or loses it; false once the connection has ended.
+// pass delivers or drops a piece. It returns false once the connection has ended.
 func (w *writer) pass(p *piece) bool {
 	for first := true; first || len(p.data) > 0; first = false {
 		r, ok := w.due(w.direction, p.at, len(p.data) > 0)
@@ -178,7 +180,7 @@
 			return true
 		}
 		if rule.cut || w.lost {
-			// The end of a direction vanishes as its bytes do.
+			// A cut drops the end of a direction as it drops its bytes.
 			w.lost = true
 			w.lose(len(p.data))
 			return true
@@ -193,18 +195,24 @@
 	return true
 }
 
-// follow takes the rules that are in force now.
+// follow applies the current rules. The byte count of a reset goes on if that rule is unchanged.
 func (w *writer) follow(r *rules) {
 	if r == w.of {
 		return
 	}
-	if w.of == nil || !r.directions[w.direction].reset || !w.of.directions[w.direction].reset || r.directions[w.direction].after != w.of.directions[w.direction].after {
+	if w.of == nil || !r.directions[w.direction].sameReset(&w.of.directions[w.direction]) {
 		w.passed = 0
 	}
 	w.of = r
 }
 
-// writeSome writes as much of a piece as a way lets through at once; false once the connection has ended.
+// sameReset reports whether both rules reset a connection after the same number of bytes.
+func (w *directionRules) sameReset(other *directionRules) bool {
+	return w.reset && other.reset && w.after == other.after
+}
+
+// writeSome writes as much of a piece as the rule allows at once. It returns false once the
+// connection has ended.
 func (w *writer) writeSome(p *piece, r *rules, rule *directionRules) bool {
 	n := len(p.data)
 	if rule.limit != nil {
@@ -232,7 +240,7 @@
 	return true
 }
 
-// count counts bytes that passed.
+// count adds n delivered bytes to the link's counts.
 func (w *writer) count(n int) {
 	w.link.add(func(s *Counts) {
 		if w.direction == 0 {
@@ -243,9 +251,10 @@
 	})
 }
 
-// finish ends the way with what its begin ended with.
+// finish passes the end of a direction on: a half-close for io.EOF, a reset for any other error.
 func (w *writer) finish(end error) {
-	if w.lost { // what a stack would tell again and again arrives once the fault is over
+	if w.lost {
+		// After a loss a TCP stack would retransmit until the fault is over.
 		w.healed()
 		w.end(true)
 		return
@@ -257,7 +266,7 @@
 	w.end(true)
 }
 
-// healed waits until nothing vanishes any more, or the connection has ended.
+// healed waits until no rule drops bytes any more, or the connection has ended.
 func (c *conn) healed() {
 	for {
 		r := c.link.now()
@@ -274,14 +283,14 @@
 
 func (c *conn) lose(n int) { c.link.add(func(s *Counts) { s.Lost += int64(n) }) }
 
-// due waits until what came at a time is to go on: while the way is held, and as long as it is
-// late. It gives the rules in force then; false is the connection's end.
+// due waits until bytes read at the given time may be delivered: while the direction is held, and
+// for its delay. It returns the rules in force at that time, or false once the connection has ended.
 func (c *conn) due(direction int, at time.Time, data bool) (*rules, bool) {
 	for {
 		r := c.link.now()
 		w := &r.directions[direction]
 		if w.cut || direction == 1 && data && (r.lost || r.blackhole) {
-			return r, true // what vanishes need not wait
+			return r, true // dropped bytes need no delay
 		}
 		var after <-chan time.Time
 		if !w.hold {
@@ -300,18 +309,18 @@
 	}
 }
 
-// wait takes n bytes of a slow way's rate; false where the rules have changed meanwhile, or the
-// connection has ended.
+// wait reserves n bytes of the rate limit and waits for them. It returns false, without the
+// reservation, if the rules have changed or the connection has ended meanwhile.
 func (c *conn) wait(r *rules, w *directionRules, n int) bool {
-	turn := w.limit.ReserveN(time.Now(), n)
-	t := time.NewTimer(turn.Delay())
-	defer t.Stop()
+	reservation := w.limit.ReserveN(time.Now(), n)
+	timer := time.NewTimer(reservation.Delay())
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-r.changed:
 	case <-c.over:
 	}
-	turn.Cancel()
+	reservation.Cancel()
 	return false
 }
--- a/internal/trials/faultnet/link/link.go
+++ b/internal/trials/faultnet/link/link.go
@@ -1,5 +1,5 @@
-// Package link puts a proxy on loopback between whoever dials and what is dialled, over TCP or Unix
-// sockets, that obeys faults in either direction.
+// Package link is a loopback proxy between a client and a server, over TCP or Unix sockets, that
+// injects network faults in either direction.
 package link
 
 import (
@@ -18,13 +18,13 @@
 	"lockflow/internal/trials/faultnet/script"
 )
 
-// Link is a listener whose connections lead on to another address. Its methods are safe for
+// Link is a proxy that forwards its connections to another address. Its methods are safe for
 // concurrent use.
 type Link struct {
-	to   string
-	addr string
-	dir  string // of a Unix socket's path
-	hold int    // a socket that keeps the TCP port while the listener is closed; -1 is none
+	to   string // target address
+	addr string // listening address
+	dir  string // directory of a Unix socket; "" for TCP
+	hold int    // descriptor of the socket that reserves the TCP port; -1 is none
 
 	mu       sync.Mutex
 	listener net.Listener // nil while connections are refused
@@ -35,45 +35,45 @@
 	all      sync.WaitGroup
 }
 
-// Counts are what a link has seen so far.
+// Counts are the totals of a link since it was started.
 type Counts struct {
-	Conns  int   // taken
-	Failed int   // of them, for which what is dialled could not be reached
-	Resets int   // of them, by a fault
-	Forth  int64 // bytes that were delivered
-	Back   int64
-	Lost   int64 // bytes that vanished, either way
+	Conns  int   // accepted connections
+	Failed int   // accepted connections whose target could not be dialed
+	Resets int   // connections reset by a fault
+	Forth  int64 // bytes delivered from client to server
+	Back   int64 // bytes delivered from server to client
+	Lost   int64 // bytes dropped in either direction
 }
 
-// rules are the faults in force, summed up: what a connection has to know. They are not changed
-// once they are in force.
+// rules combine the faults in force. They are immutable once they are in force.
 type rules struct {
-	directions [2]directionRules
-	lost       bool          // answers are thrown away, and the connection reset
-	blackhole  bool          // the same, and then silence
-	refuse     bool          //
-	changed    chan struct{} // closed once other rules are in force
+	directions [2]directionRules // client to server, server to client
+	lost       bool              // drop responses and reset the connection
+	blackhole  bool              // drop responses and keep the connection open
+	refuse     bool              // refuse new connections
+	changed    chan struct{}     // closed once other rules are in force
 }
 
+// directionRules are the rules of one direction.
 type directionRules struct {
-	cut, hold bool
-	delay     time.Duration
-	limit     *rate.Limiter // over all connections; nil is none
-	reset     bool
-	after     int // bytes since it is in force
+	cut   bool
+	hold  bool
+	delay time.Duration
+	limit *rate.Limiter // bytes a second, shared by all connections; nil is unlimited
+	reset bool
+	after int // bytes delivered before a reset
 }
 
-// burst is how many bytes a slow link lets through at once, and the size of what is read at once
-// from any.
 const (
-	burst    = 64
-	chunk    = 16 << 10
-	buffered = 16 // chunks of one direction
-	dialTime = 5 * time.Second
+	burst            = 64       // bytes a rate-limited direction delivers at once
+	chunk            = 16 << 10 // bytes read at once
+	buffered         = 16       // chunks queued in one direction
+	dialTime         = 5 * time.Second
+	acceptRetryDelay = 10 * time.Millisecond
 )
 
-// Listen starts a link to an address: host:port, or the path of a Unix socket, which has a /. What
-// is dialled need not be there yet.
+// Listen starts a link to an address: host:port, or the path of a Unix socket, which contains a
+// slash. The target may start later than the link.
 func Listen(to string) (*Link, error) {
 	l := &Link{to: to, hold: -1, rules: &rules{changed: make(chan struct{})}, conns: make(map[*conn]bool)}
 	var err error
@@ -88,7 +88,7 @@
 		err = l.open()
 	}
 	if err != nil {
-		_ = l.Close() // the error that came first counts
+		_ = l.Close() // the first error is the one reported
 		return nil, fmt.Errorf("a link to %s: %w", to, err)
 	}
 	return l, nil
@@ -96,18 +96,18 @@
 
 func (l *Link) unix() bool { return strings.Contains(l.to, "/") }
 
-// Addr is what is dialled instead of the link's end; it stays the same.
+// Addr returns the address at which the link listens; it never changes.
 func (l *Link) Addr() string { return l.addr }
 
-// To leads new connections to another address of the same kind, as where a process starts again
-// on a port of its own.
+// To changes the target of new connections to another address of the same network, for example
+// when a process restarts on a new port.
 func (l *Link) To(to string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.to = to
 }
 
-// Counts tells what went through so far.
+// Counts returns the link's totals.
 func (l *Link) Counts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,8 +120,8 @@
 	f(&l.counts)
 }
 
-// Set has exactly these faults in force. Bytes of resets are counted anew, those of other faults go
-// on.
+// Set replaces the faults in force. The byte count of a reset starts again unless that fault is
+// unchanged; rate limits that are unchanged keep their tokens.
 func (l *Link) Set(all ...script.Fault) error {
 	r := &rules{changed: make(chan struct{})}
 	for _, f := range all {
@@ -137,8 +137,8 @@
 			r.refuse = true
 		}
 		for i, direction := range []script.Direction{script.Forth, script.Back} {
-			if w := &r.directions[i]; f.Direction.Has(direction) {
-				w.add(f)
+			if f.Direction.Has(direction) {
+				r.directions[i].add(f)
 			}
 		}
 	}
@@ -147,10 +147,8 @@
 	if l.closed {
 		return net.ErrClosed
 	}
-	for i := range r.directions { // so that a slow link's rest isn't forgotten at each change of another fault
-		if now, was := r.directions[i].limit, l.rules.directions[i].limit; now != nil && was != nil && now.Limit() == was.Limit() {
-			r.directions[i].limit = was
-		}
+	for i := range r.directions {
+		r.directions[i].keepLimiter(&l.rules.directions[i])
 	}
 	close(l.rules.changed)
 	l.rules = r
@@ -165,9 +163,21 @@
 	return l.open()
 }
 
-// Heal ends all faults. A connection that lost bytes stays dumb.
+// Heal ends all faults. A connection that lost bytes never delivers any again.
 func (l *Link) Heal() error { return l.Set() }
 
+// keepLimiter reuses the limiter of the previous rules if the rate is unchanged, so that a change of
+// another fault doesn't refill it.
+func (w *directionRules) keepLimiter(previous *directionRules) {
+	if w.limit == nil || previous.limit == nil {
+		return
+	}
+	if w.limit.Limit() == previous.limit.Limit() {
+		w.limit = previous.limit
+	}
+}
+
+// add merges a fault into the rules of one direction.
 func (w *directionRules) add(f script.Fault) {
 	switch f.Kind {
 	case script.Cut:
@@ -182,12 +192,13 @@
 		}
 	case script.Reset:
 		if !w.reset || f.Bytes < w.after {
-			w.reset, w.after = true, f.Bytes
+			w.reset = true
+			w.after = f.Bytes
 		}
 	}
 }
 
-// Break resets all connections that are there.
+// Break resets all open connections.
 func (l *Link) Break() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -197,7 +208,7 @@
 	}
 }
 
-// Close ends the link with all its connections and waits for them.
+// Close closes the listener and all connections and waits for their goroutines.
 func (l *Link) Close() error {
 	l.mu.Lock()
 	l.closed = true
@@ -221,7 +232,7 @@
 	return err
 }
 
-// open takes connections, from now on. The caller holds mu, or nobody else knows the link yet.
+// open starts accepting connections. The caller holds mu or has the only reference to the link.
 func (l *Link) open() error {
 	var at net.Listener
 	var err error
@@ -240,8 +251,8 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			if err != nil { // out of descriptors, or so
-				time.Sleep(10 * time.Millisecond)
+			if err != nil { // for example, out of descriptors
+				time.Sleep(acceptRetryDelay)
 				continue
 			}
 			l.take(c)
@@ -250,6 +261,7 @@
 	return nil
 }
 
+// take starts proxying an accepted connection.
 func (l *Link) take(from net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -268,14 +280,14 @@
 	})
 }
 
-// now is the rules in force.
+// now returns the rules in force.
 func (l *Link) now() *rules {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rules
 }
 
-// target is where new connections lead.
+// target returns the network and address that new connections are forwarded to.
 func (l *Link) target() (network, addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/trials/faultnet/link/link_test.go
+++ b/internal/trials/faultnet/link/link_test.go
@@ -19,11 +19,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// rig is a server that answers each line with itself, a link to it and a client.
+// rig is an echo server, a link to it and a client.
 type rig struct {
 	*Link
 	t     *testing.T
-	got   chan string // what the server was asked, or "end"
+	got   chan string // what the server received, or "end" for a closed connection
 	conns []net.Conn
 }
 
@@ -113,7 +113,7 @@
 	}
 }
 
-// echo has text go there and back.
+// echo sends a text and expects the same text back.
 func (r *rig) echo(c net.Conn, text string) {
 	r.t.Helper()
 	r.say(c, text)
@@ -132,7 +132,7 @@
 	testkit.Until(r.t, what, func() bool { return is(r.Counts()) })
 }
 
-// ended tells how a connection has ended for the client: eof or reset.
+// ended returns how a connection has ended for the client: eof or reset.
 func (r *rig) ended(c net.Conn) string {
 	r.t.Helper()
 	_, err := io.Copy(io.Discard, c)
@@ -152,7 +152,8 @@
 	}
 }
 
-// With no fault bytes go both ways, an end of one way leaves the other, and a reset comes through.
+// Without faults bytes flow in both directions, a half-close leaves the other direction open, and a
+// reset is passed on.
 func TestPlain(t *testing.T) {
 	each(t, func(t *testing.T, r *rig) {
 		c := r.conn()
@@ -167,8 +168,8 @@
 			none = r.dir + "/none"
 		}
 		r.To(none)
-		if c, err := r.dial(); err == nil { // else the reset came while it was still being dialled
-			r.ended(c) // at once, where nothing is there to lead to
+		if c, err := r.dial(); err == nil { // otherwise the reset arrived during the dial
+			r.ended(c) // immediately, as the target is gone
 		} else if !errors.Is(err, syscall.ECONNRESET) {
 			t.Error(err)
 		}
@@ -176,7 +177,8 @@
 	})
 }
 
-// A cut lets bytes vanish and the connection stay; what lost some stays dumb after it, either way.
+// A cut drops bytes and keeps the connection; a connection that lost bytes delivers none afterwards,
+// in either direction.
 func TestCut(t *testing.T) {
 	each(t, func(t *testing.T, r *rig) {
 		forth, back, spared := r.conn(), r.conn(), r.conn()
@@ -205,15 +207,15 @@
 		if n := r.Counts(); n.Resets != 0 {
 			t.Errorf("%+v", n)
 		}
-		forth.Close() // its end is found out, as nothing is cut any more
+		forth.Close() // the close is passed on, as nothing is cut any more
 		for got := ""; got != "end"; {
 			got = testkit.Next(t, r.got)
 		}
 	})
 }
 
-// What is held comes once the fault ends; what is late comes later, in order, and not one after
-// the other; what is slow comes at its rate.
+// Held bytes are delivered once the fault ends; delayed bytes arrive in order, with their delays
+// overlapping; a rate limit delivers bytes at its rate.
 func TestTimes(t *testing.T) {
 	each(t, func(t *testing.T, r *rig) {
 		c := r.conn()
@@ -236,18 +238,18 @@
 		if b, err := io.ReadAll(io.LimitReader(c, 164)); len(b) != 164 {
 			t.Errorf("%q, %v", b, err)
 		}
-		if took := time.Since(begun); took < 60*time.Millisecond { // 20 late, 100 bytes beyond the burst at 2000 a second
+		if took := time.Since(begun); took < 60*time.Millisecond { // a delay of 20 ms, and 100 bytes beyond the burst at 2000 a second
 			t.Errorf("in %v", took)
 		}
 	})
 }
 
-// A reset comes at a byte of one way, an answer is lost after the request has gone through, and
-// new connections are refused while old ones stay.
+// A connection is reset after a number of bytes of one direction, a response is lost after its
+// request was delivered, and new connections are refused while old ones stay open.
 func TestBreaks(t *testing.T) {
 	each(t, func(t *testing.T, r *rig) {
 		want := "reset"
-		if r.dir != "" { // a Unix socket knows no reset
+		if r.dir != "" { // Unix sockets have no reset
 			want = "eof"
 		}
 		for _, f := range []struct {
@@ -300,7 +302,7 @@
 	})
 }
 
-// What waits in a link is bounded: a writer finds no room once the far end does not read.
+// The bytes buffered in a link are bounded: a writer blocks once the other end does not read.
 func TestBound(t *testing.T) {
 	r := newRig(t, "tcp")
 	r.set(script.Fault{Kind: script.Hold})
--- a/internal/trials/faultnet/link/port.go
+++ b/internal/trials/faultnet/link/port.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// holdPort binds a loopback port and never listens on it. A connection to it is refused, and
-// nobody else is given it, so a listener beside it can go and come back at the same address.
+// holdPort reserves a loopback port by binding it without listening. Connections to it are refused
+// and the kernel assigns it to no other socket, so a listener can close and reopen at this address.
 func holdPort() (fd int, addr string, err error) {
 	fd, err = unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -25,7 +25,7 @@
 		at, err = unix.Getsockname(fd)
 	}
 	if err != nil {
-		_ = unix.Close(fd) // the error that came first counts
+		_ = unix.Close(fd) // the first error is the one reported
 		return -1, "", fmt.Errorf("a socket that holds a port: %w", err)
 	}
 	return fd, fmt.Sprintf("127.0.0.1:%d", at.(*unix.SockaddrInet4).Port), nil
@@ -33,14 +33,20 @@
 
 func closePort(fd int) error { return unix.Close(fd) }
 
-// listenOnReservedPort listens on a port that is held.
+// listenOnReservedPort listens on a port reserved by holdPort.
 func listenOnReservedPort(addr string) (net.Listener, error) {
-	lc := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		var err error
-		if e := raw.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }); e != nil {
-			return e
-		}
+	config := net.ListenConfig{Control: reusePort}
+	return config.Listen(context.Background(), "tcp4", addr)
+}
+
+// reusePort sets SO_REUSEPORT on a socket before it is bound.
+func reusePort(_, _ string, raw syscall.RawConn) error {
+	var optionErr error
+	err := raw.Control(func(fd uintptr) {
+		optionErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+	})
+	if err != nil {
 		return err
-	}}
-	return lc.Listen(context.Background(), "tcp4", addr)
+	}
+	return optionErr
 }
