--- a/internal/trials/faultnet/script/script.go
+++ b/internal/trials/faultnet/script/script.go
@@ -1,6 +1,7 @@
-// Package script has faults between processes as data: what befalls which link or process from
-// when to when. The same seed draws the same script; a script prints itself in a form that Parse
-// reads back, and Shrink shortens it to the least that still fails. It does no I/O.
+// Package script describes faults of links and processes as data: which fault is in force where,
+// and from when to when. The same seed draws the same script; Parse reads the text of
+// Script.String, and Shrink reduces a script to a small one that still fails. The package does no
+// I/O.
 package script
 
 import (
@@ -11,28 +12,30 @@
 	"time"
 )
 
-// Kind is what a fault does.
+// Kind is the kind of a fault.
 type Kind uint8
 
-// Faults of links, then of processes.
+// The kinds of faults: those of links, then those of processes.
 const (
-	Cut       Kind = iota // bytes vanish in silence, connections stay; one that lost bytes stays dumb for good
-	Hold                  // bytes wait until the fault ends, as TCP brings them after a short cut
-	Late                  // each byte comes Delay later
-	Slow                  // Rate bytes a second, over all connections of the link
-	Reset                 // a connection is reset once Bytes of it have passed since the fault began
-	Lost                  // what is asked goes through whole, the answer is thrown away and the connection reset
-	Blackhole             // the same, but then there is silence instead of a reset
-	Refuse                // new connections are refused, those that are there stay
-
-	Kill     // SIGKILL at the begin, a start with the same arguments at the end
+	Cut       Kind = iota // bytes are dropped silently; a connection that lost bytes never delivers any again
+	Hold                  // bytes are delivered once the fault ends, as by TCP after a short outage
+	Late                  // each byte is delivered Delay later
+	Slow                  // Rate bytes a second, shared by all connections of the link
+	Reset                 // a connection is reset once Bytes bytes of it were delivered since the fault began
+	Lost                  // requests are delivered, responses are dropped and the connection is reset
+	Blackhole             // requests are delivered, responses are dropped and the connection stays open
+	Refuse                // new connections are refused, open ones stay
+
+	Kill     // SIGKILL at the begin, a restart with the same arguments at the end
 	Pause    // SIGSTOP at the begin, SIGCONT at the end
 	Full     // no file of the process can grow
-	ReadOnly // its state directory can be read and not written
-	Clock    // its wall clock is Delay ahead, where it takes that from us
-	kinds
+	ReadOnly // the state directory of the process is read-only
+	Clock    // the wall clock of the process is Delay ahead, if the process supports an offset
+	kinds    // number of kinds
 )
 
+// kindNames are the names of the kinds in a script's text.
+
 var kindNames = [kinds]string{"cut", "hold", "late", "slow", "reset", "lost", "mute", "refuse", "kill", "pause", "full", "readonly", "clock"}
 
 func (k Kind) String() string {
@@ -42,20 +45,20 @@
 	return fmt.Sprintf("kind(%d)", uint8(k))
 }
 
-// OfLink tells whether links have such faults; processes have the others.
+// OfLink reports whether the fault is one of links rather than of processes.
 func (k Kind) OfLink() bool { return k < Kill }
 
-// directed tells whether the fault has a way.
+// directed reports whether the fault has a Direction.
 func (k Kind) directed() bool { return k <= Reset }
 
 // Direction is a direction of a link.
 type Direction uint8
 
-// Both ways, from whoever dials to what is dialled, or from there.
+// The directions of a link.
 const (
-	Both Direction = iota
-	Forth
-	Back
+	Both  Direction = iota
+	Forth           // from client to server
+	Back            // from server to client
 )
 
 var directionNames = [...]string{"both", "forth", "back"}
@@ -67,44 +70,47 @@
 	return fmt.Sprintf("way(%d)", uint8(w))
 }
 
-// Has tells whether it is or contains the way w (Forth or Back).
+// Has reports whether w is or includes the direction other, which is Forth or Back.
 func (w Direction) Has(other Direction) bool { return w == Both || w == other }
 
-// Fault is one thing that goes wrong.
+// Fault is a kind of fault with its parameters. Parameters that the kind doesn't use are zero.
 type Fault struct {
 	Kind      Kind
-	Direction Direction     // of Cut to Reset
-	Delay     time.Duration // of Late; of Clock, where it may be negative
+	Direction Direction     // of Cut, Hold, Late, Slow and Reset
+	Delay     time.Duration // of Late, where it is positive, and of Clock
 	Rate      int           // of Slow: bytes a second
 	Bytes     int           // of Reset
 }
 
 // Entry is a fault with its place and time.
 type Entry struct {
-	On       int           // number of the link or process
-	From, To time.Duration // since the script began; From < To
+	On   int           // index of the link or process
+	From time.Duration // since the script began
+	To   time.Duration // since the script began; later than From
 	Fault
 }
 
-// Script is a set of faults in order of their begin. The zero value has none.
+// Script is a list of faults ordered by From. The zero value has none.
 type Script struct {
-	Seed         uint64 // that it was drawn from
-	Links, Procs int    // how many there are of each
-	For          time.Duration
-	Entries      []Entry
+	Seed    uint64        // the seed it was drawn from
+	Links   int           // number of links
+	Procs   int           // number of processes
+	For     time.Duration // duration of the script
+	Entries []Entry
 }
 
-// Spec says what Draw draws from.
+// Spec is the input of Draw.
 type Spec struct {
-	Links, Procs int
-	For          time.Duration // the length of the whole; no fault lasts longer
-	Faults       int           // how many; 0 is one for each link and process, and one more
-	LinkKinds    []Kind        // nil is all
-	ProcKinds    []Kind        // nil is Kill and Pause, which every process has
-	MinDuration  time.Duration // that a fault lasts; 0 is a twentieth of For
+	Links       int           // number of links
+	Procs       int           // number of processes
+	For         time.Duration // duration of the script
+	Faults      int           // number of faults; 0 is one more than there are links and processes
+	LinkKinds   []Kind        // kinds to draw from; nil is all
+	ProcKinds   []Kind        // kinds to draw from; nil is Kill and Pause, which every process supports
+	MinDuration time.Duration // of a fault; 0 is a twentieth of For
 }
 
-// Draw gives the script of a seed. It has no faults where there are no links and no processes.
+// Draw returns the script of a seed, which has no faults if there are no links and no processes.
 func Draw(seed uint64, o Spec) Script {
 	s := Script{Seed: seed, Links: max(o.Links, 0), Procs: max(o.Procs, 0), For: max(o.For, 20*step)}
 	rng := rand.New(rand.NewPCG(seed, 0xfa017))
@@ -129,39 +135,46 @@
 	minDuration = min(max(minDuration.Round(step), step), s.For/2)
 	for range n {
 		var e Entry
-		if at := rng.IntN(places); at < s.Links {
-			e.On, e.Kind = at, o.LinkKinds[rng.IntN(len(o.LinkKinds))]
+		if place := rng.IntN(places); place < s.Links {
+			e.On = place
+			e.Kind = o.LinkKinds[rng.IntN(len(o.LinkKinds))]
 		} else {
-			e.On, e.Kind = at-s.Links, o.ProcKinds[rng.IntN(len(o.ProcKinds))]
+			e.On = place - s.Links
+			e.Kind = o.ProcKinds[rng.IntN(len(o.ProcKinds))]
 		}
 		e.From = draw(rng, 0, s.For-minDuration)
 		e.To = e.From + draw(rng, minDuration, s.For-e.From)
-		if e.Kind.directed() {
-			e.Direction = Direction(rng.IntN(3))
-		}
-		switch e.Kind {
-		case Late:
-			e.Delay = draw(rng, step, s.For/4)
-		case Slow:
-			e.Rate = 1 << (6 + rng.IntN(10)) // 64 bytes a second to 32 KiB
-		case Reset:
-			e.Bytes = rng.IntN(1 << rng.IntN(13)) // small ones often: in the midst of a head
-		case Clock:
-			e.Delay = draw(rng, step, 2*time.Hour)
-			if rng.IntN(2) == 0 {
-				e.Delay = -e.Delay
-			}
-		}
+		e.drawParameters(rng, s.For)
 		s.Entries = append(s.Entries, e)
 	}
 	s.sort()
 	return s
 }
 
-// step is the grain of drawn times, so that scripts are short to read.
+// drawParameters draws the parameters that the fault's kind uses; duration is that of the script.
+func (f *Fault) drawParameters(rng *rand.Rand, duration time.Duration) {
+	if f.Kind.directed() {
+		f.Direction = Direction(rng.IntN(len(directionNames)))
+	}
+	switch f.Kind {
+	case Late:
+		f.Delay = draw(rng, step, duration/4)
+	case Slow:
+		f.Rate = 1 << (6 + rng.IntN(10)) // 64 bytes a second to 32 KiB
+	case Reset:
+		f.Bytes = rng.IntN(1 << rng.IntN(13)) // mostly small: in the middle of a message's head
+	case Clock:
+		f.Delay = draw(rng, step, 2*time.Hour)
+		if rng.IntN(2) == 0 {
+			f.Delay = -f.Delay
+		}
+	}
+}
+
+// step is the granularity of drawn times, which keeps scripts readable.
 const step = time.Millisecond
 
-// draw is a time from least to most, in whole steps.
+// draw returns a duration between shortest and longest, in whole steps.
 func draw(rng *rand.Rand, shortest, longest time.Duration) time.Duration {
 	if longest <= shortest {
 		return shortest
@@ -173,7 +186,7 @@
 	slices.SortStableFunc(s.Entries, func(a, b Entry) int { return cmp.Compare(a.From, b.From) })
 }
 
-// Check tells what is wrong with a script; Parse and the player refuse such.
+// Check returns an error that names the first invalid figure of a script, or nil.
 func (s Script) Check() error {
 	if s.Links < 0 || s.Procs < 0 || s.For < 0 {
 		return fmt.Errorf("%d links, %d processes, for %v", s.Links, s.Procs, s.For)
@@ -191,60 +204,87 @@
 			return fmt.Errorf("fault %d: %v on number %d of %d", i+1, e.Kind, e.On, n)
 		case e.From < 0 || e.To <= e.From || e.To > s.For:
 			return fmt.Errorf("fault %d: from %v to %v in %v", i+1, e.From, e.To, s.For)
-		case !e.Kind.directed() && e.Direction != Both,
-			e.Kind == Late && e.Delay <= 0, e.Kind == Slow && e.Rate <= 0, e.Bytes < 0,
-			e.Kind != Late && e.Kind != Clock && e.Delay != 0, e.Kind != Slow && e.Rate != 0, e.Kind != Reset && e.Bytes != 0:
+		case !e.hasValidParameters():
 			return fmt.Errorf("fault %d: its figures are off: %v", i+1, e)
 		}
 	}
 	return nil
 }
 
-// Step is a moment at which faults begin or end.
+// hasValidParameters reports whether the parameters are in range, and zero where the kind doesn't
+// use them.
+func (f Fault) hasValidParameters() bool {
+	if !f.Kind.directed() && f.Direction != Both {
+		return false
+	}
+	switch f.Kind {
+	case Late:
+		return f.Delay > 0 && f.Rate == 0 && f.Bytes == 0
+	case Slow:
+		return f.Delay == 0 && f.Rate > 0 && f.Bytes == 0
+	case Reset:
+		return f.Delay == 0 && f.Rate == 0 && f.Bytes >= 0
+	case Clock:
+		return f.Rate == 0 && f.Bytes == 0
+	default:
+		return f.Delay == 0 && f.Rate == 0 && f.Bytes == 0
+	}
+}
+
+// Step is a time at which faults begin or end.
 type Step struct {
 	At     time.Duration
 	Begins []Entry
 	Ends   []Entry
-	Links  map[int][]Fault // in force from now on, of each link that changes; none: it is healed
+	Links  map[int][]Fault // the faults in force from At on, of each link that changes; empty is healed
 	Procs  map[int][]Fault // the same of processes
 }
 
-// Steps gives the moments of a script in order; after the last one nothing is in force.
+// Steps returns the steps of a script in order of time. No fault is in force after the last one.
 func (s Script) Steps() []Step {
-	var at []time.Duration
+	var times []time.Duration
 	for _, e := range s.Entries {
-		at = append(at, e.From, e.To)
-	}
-	slices.Sort(at)
-	at = slices.Compact(at)
-	steps := make([]Step, 0, len(at))
-	for _, t := range at {
-		st := Step{At: t, Links: make(map[int][]Fault), Procs: make(map[int][]Fault)}
-		side := func(e Entry) map[int][]Fault {
-			if e.Kind.OfLink() {
-				return st.Links
-			}
-			return st.Procs
+		times = append(times, e.From, e.To)
+	}
+	slices.Sort(times)
+	times = slices.Compact(times)
+	steps := make([]Step, 0, len(times))
+	for _, at := range times {
+		steps = append(steps, s.stepAt(at))
+	}
+	return steps
+}
+
+// stepAt returns the step at a time at which at least one fault begins or ends.
+func (s Script) stepAt(at time.Duration) Step {
+	step := Step{At: at, Links: make(map[int][]Fault), Procs: make(map[int][]Fault)}
+	for _, e := range s.Entries {
+		switch at {
+		case e.From:
+			step.Begins = append(step.Begins, e)
+		case e.To:
+			step.Ends = append(step.Ends, e)
+		default:
+			continue
 		}
-		for _, e := range s.Entries {
-			switch t {
-			case e.From:
-				st.Begins = append(st.Begins, e)
-			case e.To:
-				st.Ends = append(st.Ends, e)
-			default:
-				continue
-			}
-			side(e)[e.On] = nil
+		step.faultsLike(e)[e.On] = nil
+	}
+	for _, e := range s.Entries {
+		if at < e.From || at >= e.To {
+			continue
 		}
-		for _, e := range s.Entries {
-			if m := side(e); e.From <= t && t < e.To {
-				if _, changes := m[e.On]; changes {
-					m[e.On] = append(m[e.On], e.Fault)
-				}
-			}
+		faults := step.faultsLike(e)
+		if _, changes := faults[e.On]; changes {
+			faults[e.On] = append(faults[e.On], e.Fault)
 		}
-		steps = append(steps, st)
 	}
-	return steps
+	return step
+}
+
+// faultsLike returns the map, of links or of processes, that the entry belongs to.
+func (s *Step) faultsLike(e Entry) map[int][]Fault {
+	if e.Kind.OfLink() {
+		return s.Links
+	}
+	return s.Procs
 }
--- a/internal/trials/faultnet/script/script_test.go
+++ b/internal/trials/faultnet/script/script_test.go
@@ -11,8 +11,8 @@
 
 var every = Spec{Links: 3, Procs: 2, For: 4 * time.Second, Faults: 12, ProcKinds: []Kind{Kill, Pause, Full, ReadOnly, Clock}}
 
-// The same seed gives the same script, that is well and reads itself back; its steps are in order,
-// and leave nothing in force.
+// The same seed draws the same script, which is valid and equals its parsed text; its steps are in
+// order and leave no fault in force.
 func TestDraw(t *testing.T) {
 	seen := make(map[Kind]bool)
 	rapid.Check(t, func(t *rapid.T) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// What is no script is one error that names the line.
+// An invalid text is rejected with one error that names the line.
 func TestParse(t *testing.T) {
 	const head = "faults seed=1 links=1 procs=1 for=2s\n"
 	for _, tc := range []struct{ text, want string }{
@@ -107,13 +107,13 @@
 	})
 }
 
-// A script is shortened to the two faults that matter, as short and mild as still fails, in the
-// bound of runs and the same each time.
+// A script is reduced to the two faults that matter, as short and mild as still fail, within the
+// limit of runs and deterministically.
 func TestShrink(t *testing.T) {
 	o := every
 	o.Faults = 40
 	for seed := range uint64(50) {
-		// It fails where a fault that lets back bytes vanish overlaps a kill of process 1.
+		// It fails if a fault that drops bytes from server to client overlaps a kill of process 1.
 		fails := func(s Script) bool {
 			for _, a := range s.Entries {
 				for _, b := range s.Entries {
--- a/internal/trials/faultnet/script/shrink.go
+++ b/internal/trials/faultnet/script/shrink.go
@@ -5,18 +5,17 @@
 	"time"
 )
 
-// shrinkRuns is how often Shrink tries a script at most.
+// shrinkRuns is the maximum number of scripts that Shrink runs.
 const shrinkRuns = 200
 
-// Shrink gives the least script it finds that still fails; s itself has to. It tries scripts one
-// after another, always the same for the same answers, and at most 200 of them.
+// Shrink returns a smaller script that still fails, or s, which has to fail, if it finds none. It
+// runs at most 200 scripts, one after another; the result is deterministic if fails is.
 func Shrink(s Script, fails func(Script) bool) Script { return ShrinkWithRuns(s, shrinkRuns, fails) }
 
-// ShrinkWithRuns is Shrink with a bound of its own on the scripts tried. First faults are left out,
-// halves before single ones (delta debugging), then those that are left are made shorter and
-// milder.
+// ShrinkWithRuns is Shrink with a limit on the number of scripts it runs. It first removes faults,
+// halves before single ones (delta debugging), then shortens and weakens the remaining ones.
 func ShrinkWithRuns(s Script, runs int, fails func(Script) bool) Script {
-	sh := shrinker{s, runs, fails}
+	sh := shrinker{script: s, runs: runs, fails: fails}
 	sh.leaveOut()
 	for sh.runs > 0 && sh.reduceFaults() {
 	}
@@ -24,29 +23,29 @@
 	return sh.script
 }
 
-// shrinker is the least script so far that fails, and how many more may be tried.
+// shrinker is the state of a reduction.
 type shrinker struct {
-	script Script
-	runs   int
+	script Script // the smallest script so far that fails
+	runs   int    // remaining runs
 	fails  func(Script) bool
 }
 
-// try takes other faults if the script still fails with them.
-func (sh *shrinker) try(e []Entry) bool {
+// try replaces the script's entries if the script still fails with them, and reports whether it did.
+func (sh *shrinker) try(entries []Entry) bool {
 	if sh.runs <= 0 {
 		return false
 	}
 	sh.runs--
-	c := sh.script
-	c.Entries = e
-	if !sh.fails(c) {
+	candidate := sh.script
+	candidate.Entries = entries
+	if !sh.fails(candidate) {
 		return false
 	}
-	sh.script = c
+	sh.script = candidate
 	return true
 }
 
-// leaveOut leaves out what it can, until nothing more goes.
+// leaveOut removes entries until none can be removed any more or no runs remain.
 func (sh *shrinker) leaveOut() {
 	for before := -1; before != len(sh.script.Entries) && sh.runs > 0; {
 		before = len(sh.script.Entries)
@@ -61,18 +60,19 @@
 	}
 }
 
-// reduceFaults makes each fault as mild as it goes, and tells whether one has become milder.
+// reduceFaults applies every reduction to every fault while the script still fails, and reports
+// whether any was applied.
 func (sh *shrinker) reduceFaults() (isReduced bool) {
 	for i := range sh.script.Entries {
-		for _, less := range reductions {
+		for _, reduce := range reductions {
 			for sh.runs > 0 {
-				e, ok := less(sh.script.Entries[i])
+				reduced, ok := reduce(sh.script.Entries[i])
 				if !ok {
 					break
 				}
-				all := slices.Clone(sh.script.Entries)
-				all[i] = e
-				if !sh.try(all) {
+				entries := slices.Clone(sh.script.Entries)
+				entries[i] = reduced
+				if !sh.try(entries) {
 					break
 				}
 				isReduced = true
@@ -82,60 +82,80 @@
 	return isReduced
 }
 
-// reductions are the ways in which one fault can be less. Each falls to an end: times to a step, places
-// to the script's begin, rates and bytes to figures at which they hardly count.
-var reductions = []func(Entry) (Entry, bool){
-	endEarlier(2), beginLater(2), endEarlier(8), beginLater(8),
-	func(e Entry) (Entry, bool) { // one way only
-		if !e.Kind.directed() || e.Direction != Both {
-			return e, false
-		}
-		e.Direction = Back
-		return e, true
-	},
-	func(e Entry) (Entry, bool) {
-		if !e.Kind.directed() || e.Direction != Both {
-			return e, false
-		}
-		e.Direction = Forth
-		return e, true
-	},
-	func(e Entry) (Entry, bool) {
-		d := (e.Delay / 2).Truncate(step)
-		if d == 0 || d == e.Delay {
-			return e, false
-		}
-		e.Delay = d
-		return e, true
-	},
-	func(e Entry) (Entry, bool) {
-		if e.Kind != Slow || e.Rate >= 1<<20 {
-			return e, false
-		}
-		e.Rate *= 2
-		return e, true
-	},
-	func(e Entry) (Entry, bool) {
-		if e.Kind != Reset || e.Bytes >= 1<<16 {
-			return e, false
-		}
-		e.Bytes = max(2*e.Bytes, 1)
-		return e, true
-	},
+// The limits of reductions, at which a fault has hardly any effect.
+const (
+	maxReducedRate  = 1 << 20 // bytes a second
+	maxReducedBytes = 1 << 16
+)
+
+// reduction returns a milder form of a fault, or false if there is none.
+type reduction func(Entry) (Entry, bool)
+
+// reductions are all reductions, in the order in which they are tried. Each ends after a bounded
+// number of applications.
+var reductions = []reduction{
+	endEarlier(2),
+	beginLater(2),
+	endEarlier(8),
+	beginLater(8),
+	limitDirection(Back),
+	limitDirection(Forth),
+	halveDelay,
+	doubleRate,
+	doubleBytes,
 }
 
-// endEarlier has a fault end a part of its time sooner.
-func endEarlier(part time.Duration) func(Entry) (Entry, bool) {
+// endEarlier ends a fault earlier by a fraction, 1/divisor, of its duration.
+func endEarlier(divisor time.Duration) reduction {
 	return func(e Entry) (Entry, bool) {
-		e.To -= max(((e.To - e.From) / part).Truncate(step), step)
+		e.To -= max(((e.To - e.From) / divisor).Truncate(step), step)
 		return e, e.To-e.From >= step
 	}
 }
 
-// beginLater has it begin a part of its time later.
-func beginLater(part time.Duration) func(Entry) (Entry, bool) {
+// beginLater begins a fault later by a fraction, 1/divisor, of its duration.
+func beginLater(divisor time.Duration) reduction {
 	return func(e Entry) (Entry, bool) {
-		e.From += max(((e.To - e.From) / part).Truncate(step), step)
+		e.From += max(((e.To - e.From) / divisor).Truncate(step), step)
 		return e, e.To-e.From >= step
 	}
 }
+
+// limitDirection limits a fault of both directions to one.
+func limitDirection(direction Direction) reduction {
+	return func(e Entry) (Entry, bool) {
+		if !e.Kind.directed() || e.Direction != Both {
+			return e, false
+		}
+		e.Direction = direction
+		return e, true
+	}
+}
+
+// halveDelay halves the delay of a late fault or the offset of a clock.
+func halveDelay(e Entry) (Entry, bool) {
+	delay := (e.Delay / 2).Truncate(step)
+	if delay == 0 || delay == e.Delay {
+		return e, false
+	}
+	e.Delay = delay
+	return e, true
+}
+
+// doubleRate doubles the rate of a slow link.
+func doubleRate(e Entry) (Entry, bool) {
+	if e.Kind != Slow || e.Rate >= maxReducedRate {
+		return e, false
+	}
+	e.Rate *= 2
+	return e, true
+}
+
+// doubleBytes doubles the bytes before a reset.
+func doubleBytes(e Entry) (Entry, bool) {
+	if e.Kind != Reset || e.Bytes >= maxReducedBytes {
+		return e, false
+	}
+	e.Bytes = max(2*e.Bytes, 1)
+	return e, true
+}
--- a/internal/trials/faultnet/script/text.go
+++ b/internal/trials/faultnet/script/text.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// String is the script as Parse reads it: a line of the whole, then one for each fault.
+// String returns the script in the form that Parse reads: a header line, then a line for each fault.
 //
 //	faults seed=7 links=2 procs=1 for=4s
 //	link 0 120ms..900ms cut back
@@ -46,11 +46,11 @@
 	return text
 }
 
-// maxTextBytes bounds what Parse reads.
+// maxTextBytes is the maximum size of a script's text.
 const maxTextBytes = 1 << 20
 
-// Parse reads a script that String has printed, or that was written by hand; empty lines and what
-// follows a # don't count. An error names the line.
+// Parse reads a script in the form of Script.String. Empty lines and comments, which begin with #,
+// are ignored. An error names the line.
 func Parse(text string) (Script, error) {
 	var s Script
 	if len(text) > maxTextBytes {
@@ -67,14 +67,10 @@
 		}
 		var err error
 		if !headed {
-			headed, err = true, s.head(words)
+			headed = true
+			err = s.head(words)
 		} else {
-			var e Entry
-			if e, err = entry(words); err == nil {
-				s.Entries = append(s.Entries, e)
-				// The place of a fault that is off is told here, where the line is known.
-				err = Script{Links: s.Links, Procs: s.Procs, For: s.For, Entries: []Entry{e}}.Check()
-			}
+			err = s.addEntry(words)
 		}
 		if err != nil {
 			return Script{}, fmt.Errorf("line %d: %w", n, err)
@@ -87,27 +83,28 @@
 	return s, nil
 }
 
-// headForm is how a script begins.
+// headForm is the form of a script's header line, for errors.
 const headForm = "faults seed=.. links=.. procs=.. for=.."
 
+// head parses the header line.
 func (s *Script) head(words []string) (err error) {
 	if words[0] != "faults" || len(words) != 5 {
 		return fmt.Errorf("%q is not %s", strings.Join(words, " "), headForm)
 	}
 	for i, key := range []string{"seed", "links", "procs", "for"} {
-		k, v, _ := strings.Cut(words[i+1], "=")
-		if k != key {
+		name, value, _ := strings.Cut(words[i+1], "=")
+		if name != key {
 			return fmt.Errorf("%q instead of %s=", words[i+1], key)
 		}
 		switch key {
 		case "seed":
-			s.Seed, err = strconv.ParseUint(v, 10, 64)
+			s.Seed, err = strconv.ParseUint(value, 10, 64)
 		case "links":
-			s.Links, err = strconv.Atoi(v)
+			s.Links, err = strconv.Atoi(value)
 		case "procs":
-			s.Procs, err = strconv.Atoi(v)
+			s.Procs, err = strconv.Atoi(value)
 		case "for":
-			s.For, err = time.ParseDuration(v)
+			s.For, err = time.ParseDuration(value)
 		}
 		if err != nil {
 			return fmt.Errorf("%s: %w", key, err)
@@ -116,6 +113,18 @@
 	return Script{Links: s.Links, Procs: s.Procs, For: s.For}.Check()
 }
 
+// addEntry parses and checks the line of one fault.
+func (s *Script) addEntry(words []string) error {
+	e, err := entry(words)
+	if err != nil {
+		return err
+	}
+	s.Entries = append(s.Entries, e)
+	// Checked here rather than at the end, so that the error names the line.
+	return Script{Links: s.Links, Procs: s.Procs, For: s.For, Entries: []Entry{e}}.Check()
+}
+
+// entry parses the line of one fault.
 func entry(words []string) (e Entry, err error) {
 	if len(words) < 4 || words[0] != "link" && words[0] != "proc" {
 		return e, fmt.Errorf("%q is not link or proc, number, from..to, fault", strings.Join(words, " "))
@@ -123,8 +132,8 @@
 	if e.On, err = strconv.Atoi(words[1]); err != nil {
 		return e, err
 	}
-	from, to, two := strings.Cut(words[2], "..")
-	if !two {
+	from, to, isRange := strings.Cut(words[2], "..")
+	if !isRange {
 		return e, fmt.Errorf("%q is not from..to", words[2])
 	}
 	if e.From, err = time.ParseDuration(from); err != nil {
@@ -136,34 +145,41 @@
 	if e.Kind = index(kindNames[:], words[3], kinds); e.Kind == kinds || e.Kind.OfLink() != (words[0] == "link") {
 		return e, fmt.Errorf("a %s has no fault %q", words[0], words[3])
 	}
-	rest := words[4:]
-	if e.Kind.directed() {
-		if len(rest) == 0 {
-			return e, fmt.Errorf("%v needs a way: both, forth or back", e.Kind)
+	err = e.parseParameters(words[4:])
+	return e, err
+}
+
+// parseParameters parses the words after the fault's kind: its direction and its figure, if any.
+func (f *Fault) parseParameters(words []string) (err error) {
+	if f.Kind.directed() {
+		if len(words) == 0 {
+			return fmt.Errorf("%v needs a way: both, forth or back", f.Kind)
 		}
-		if e.Direction = index(directionNames[:], rest[0], Back+1); e.Direction > Back {
-			return e, fmt.Errorf("%q is none of both, forth, back", rest[0])
+		if f.Direction = index(directionNames[:], words[0], Back+1); f.Direction > Back {
+			return fmt.Errorf("%q is none of both, forth, back", words[0])
 		}
-		rest = rest[1:]
+		words = words[1:]
 	}
 	wantedFigures := 0
-	if e.Kind == Late || e.Kind == Slow || e.Kind == Reset || e.Kind == Clock {
+	switch f.Kind {
+	case Late, Slow, Reset, Clock:
 		wantedFigures = 1
 	}
-	if len(rest) != wantedFigures {
-		return e, fmt.Errorf("%v takes %d figures, not %d", e.Kind, wantedFigures, len(rest))
+	if len(words) != wantedFigures {
+		return fmt.Errorf("%v takes %d figures, not %d", f.Kind, wantedFigures, len(words))
 	}
-	switch e.Kind {
+	switch f.Kind {
 	case Late, Clock:
-		e.Delay, err = time.ParseDuration(rest[0])
+		f.Delay, err = time.ParseDuration(words[0])
 	case Slow:
-		e.Rate, err = strconv.Atoi(rest[0])
+		f.Rate, err = strconv.Atoi(words[0])
 	case Reset:
-		e.Bytes, err = strconv.Atoi(rest[0])
+		f.Bytes, err = strconv.Atoi(words[0])
 	}
-	return e, err
+	return err
 }
 
+// index returns the index of a name, or none if it is not in the list.
 func index[T ~uint8](names []string, name string, none T) T {
 	for i, n := range names {
 		if n == name {
