--- a/internal/trials/faultnet/faultbuild/faultbuild.go
+++ b/internal/trials/faultnet/faultbuild/faultbuild.go
@@ -1,7 +1,6 @@
-// Package faultbuild builds programs of this repository whose system calls fail and whose wall clock is stepped, on
-// demand and while they run. The program's own source is what it always is: an overlay of the build (go build
-// -overlay) changes packages syscall and time of the toolchain's standard library, from the toolchain's own source.
-// It is used by tests and measurements only.
+// Package faultbuild builds programs of this repository in which system calls can be made to fail and the wall clock
+// can be stepped while they run. The program's source is unchanged: a build overlay (go build -overlay) replaces files
+// of packages syscall and time with edited copies of the toolchain's own. It is used by tests and measurements only.
 package faultbuild
 
 import (
@@ -19,25 +18,28 @@
 //go:embed overlay/zfault_linux.go.txt
 var faultSource string
 
-// edit replaces one text of a file of the standard library, which has to be there once.
-type edit struct{ old, new string }
+// edit replaces a text that has to occur exactly once in a file of the standard library.
+type edit struct {
+	old string
+	new string
+}
 
-// insertAfter inserts a line after a function's first one.
+// insertAfter returns the edit that inserts a line after a function's signature.
 func insertAfter(signature, line string) edit {
-	return edit{signature + "\n", signature + "\n\t" + line + "\n"}
+	return edit{old: signature + "\n", new: signature + "\n\t" + line + "\n"}
 }
 
-// failing is the edit by which a function fails as the table says.
+// failing returns the edit that makes a function fail according to the fault table.
 func failing(signature, call, result string) edit {
 	return insertAfter(signature, "if e := faultFor("+call+"); e != 0 {\n\t\treturn "+result+"\n\t}")
 }
 
-// failingTransfer is failing for a read or a write.
+// failingTransfer is failing for a read or a write, which may also be short.
 func failingTransfer(signature, socketCall, fileCall string) edit {
 	return insertAfter(signature, "if e := faultTransfer("+socketCall+", "+fileCall+", fd, &p); e != 0 {\n\t\treturn -1, e\n\t}")
 }
 
-// edits are what is changed in the standard library, by file.
+// edits are the edits of the standard library, by file relative to GOROOT/src.
 var edits = map[string][]edit{
 	"syscall/zsyscall_linux_" + runtime.GOARCH + ".go": {
 		failing("func accept4(s int, rsa *RawSockaddrAny, addrlen *_Socklen, flags int) (fd int, err error) {", "faultAccept", "-1, e"),
@@ -62,8 +64,8 @@
 	},
 }
 
-// Build builds the program of a package, such as ./cmd/lockflow in the current directory, as the file out. The
-// overlay's files are written to directory, which exists; the toolchain's cache keeps what it has compiled.
+// Build builds the program of a package, such as ./cmd/lockflow in the current directory, as the file out. It writes
+// the overlay's files to directory, which must exist, and uses the toolchain's build cache.
 func Build(ctx context.Context, pkg, out, directory string) error {
 	overlay, err := writeOverlay(ctx, directory)
 	if err != nil {
@@ -76,7 +78,8 @@
 	return nil
 }
 
-// writeOverlay writes the changed files of the standard library and the overlay that names them.
+// writeOverlay writes the edited files of the standard library and the overlay file that lists them, and returns the
+// path of the latter.
 func writeOverlay(ctx context.Context, directory string) (path string, err error) {
 	output, err := exec.CommandContext(ctx, "go", "env", "GOROOT").Output()
 	if err != nil {
@@ -94,12 +97,9 @@
 		if err != nil {
 			return "", err
 		}
-		text := string(raw)
-		for _, change := range changes {
-			if n := strings.Count(text, change.old); n != 1 {
-				return "", fmt.Errorf("%s has %d times, not once: %q", name, n, change.old)
-			}
-			text = strings.Replace(text, change.old, change.new, 1)
+		text, err := apply(changes, name, string(raw))
+		if err != nil {
+			return "", err
 		}
 		if err := write(name, text); err != nil {
 			return "", err
@@ -115,3 +115,14 @@
 	path = filepath.Join(directory, "overlay.json")
 	return path, os.WriteFile(path, raw, 0o600)
 }
+
+// apply applies edits to the text of the named file.
+func apply(changes []edit, name, text string) (string, error) {
+	for _, change := range changes {
+		if n := strings.Count(text, change.old); n != 1 {
+			return "", fmt.Errorf("%s has %d times, not once: %q", name, n, change.old)
+		}
+		text = strings.Replace(text, change.old, change.new, 1)
+	}
+	return text, nil
+}
--- a/internal/trials/faultnet/faultbuild/faultbuild_test.go
+++ b/internal/trials/faultnet/faultbuild/faultbuild_test.go
@@ -32,8 +32,8 @@
 }
 `
 
-// A program that was built with faults has its wall clock stepped and its calls fail while it runs, and its
-// monotonic clock goes on.
+// The wall clock of a program built with faults is stepped and its calls fail while it runs; its monotonic clock is
+// unaffected.
 func TestBuiltProgramObeysTable(t *testing.T) {
 	dir := t.TempDir()
 	source, program := filepath.Join(dir, "probe.go"), filepath.Join(dir, "probe")
