--- a/internal/ci/naming/naming.go
+++ b/internal/ci/naming/naming.go
@@ -1,6 +1,5 @@
 // Package naming finds declared names that hold a plain word where docs/glossary.md has a term of the
-// field. Its test holds the packages that are finished to none of them, and all others to the number
-// that they have, so that it only falls. Only tests use it.
+// field. Its test holds that no package has one. Only tests use it.
 package naming
 
 import (
--- a/internal/ci/naming/naming_test.go
+++ b/internal/ci/naming/naming_test.go
@@ -4,17 +4,13 @@
 	"os"
 	"path/filepath"
 	"slices"
-	"strconv"
-	"strings"
 	"testing"
 )
 
 const root = "../../.."
 
-// TestNoPackageGainsPlainWords holds each package to the number that testdata/left.txt allows it, and
-// those that it doesn't list, which are finished or new, to none.
-func TestNoPackageGainsPlainWords(t *testing.T) {
-	allowed := readLeft(t)
+// TestNoPackageHasPlainWords holds that no package declares a name with a plain word.
+func TestNoPackageHasPlainWords(t *testing.T) {
 	directories, err := Packages(root)
 	if err != nil {
 		t.Fatal(err)
@@ -27,17 +23,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(findings) <= allowed[directory] {
-			continue
-		}
-		t.Errorf("%s: %d declared names hold a plain word, %d are allowed", directory, len(findings), allowed[directory])
 		for _, finding := range findings {
-			t.Log(finding)
-		}
-	}
-	for directory := range allowed {
-		if !slices.Contains(directories, directory) {
-			t.Errorf("testdata/left.txt lists %s, which is no package", directory)
+			t.Error(finding)
 		}
 	}
 }
@@ -83,28 +70,3 @@
 		t.Errorf("found %v, want %v", names, want)
 	}
 }
-
-// readLeft reads the packages that are not finished: a path and a number a line.
-func readLeft(t *testing.T) map[string]int {
-	t.Helper()
-	text, err := os.ReadFile("testdata/left.txt")
-	if err != nil {
-		t.Fatal(err)
-	}
-	left := map[string]int{}
-	for line := range strings.Lines(string(text)) {
-		fields := strings.Fields(line)
-		if len(fields) == 0 {
-			continue
-		}
-		if len(fields) != 2 {
-			t.Fatalf("testdata/left.txt: line %q isn't a path and a number", line)
-		}
-		number, err := strconv.Atoi(fields[1])
-		if err != nil {
-			t.Fatal(err)
-		}
-		left[fields[0]] = number
-	}
-	return left
-}
