--- a/internal/daemon/checkpoint.go
+++ b/internal/daemon/checkpoint.go
@@ -88,7 +88,7 @@
 		if err != nil {
 			cause = err.Error()
 		}
-		slog.Warn("no clean checkpoint, hard limits start empty and slow starts anew", "cause", cause, "age", age)
+		slog.Warn("no clean checkpoint, hard limits start empty and servers warm up as if unseen", "cause", cause, "age", age)
 		d.conditions.add(conditionLastSpending, cause)
 		d.node.Restore(checkpoint, control.TrustEstimates)
 	default: // the last run ended by a graceful shutdown
