--- a/internal/quotalease/account.go
+++ b/internal/quotalease/account.go
@@ -31,7 +31,7 @@
 	id       uint64
 	units    float64
 	deadline time.Duration
-	isInCall bool // the current call asks for its units
+	isInCall bool // the current call requests its units
 }
 
 // account returns the refilled account of a customer, which it adds if it is not known.
@@ -77,8 +77,8 @@
 	}
 }
 
-// refill adds to the own tokens what the time since the last refill gives, as far as the holder did not reserve
-// it for a store, and removes expired leases.
+// refill adds own tokens for the time since the last refill, without the time for which the own quota was reserved
+// for a store, and removes expired leases.
 func (h *Holder) refill(now time.Duration, a *account) {
 	instances := h.effectiveInstances(now)
 	if a.refilledAt < h.resizedAt && !h.disabled.resizeDelay { // part of the time was before the change
--- a/internal/quotalease/holder.go
+++ b/internal/quotalease/holder.go
@@ -89,7 +89,7 @@
 	isCalling           bool                     // the call with lastSeq has neither been answered nor failed
 	consecutiveFailures int
 	nextCallAt          time.Duration // earliest
-	nextKeepAliveAt     time.Duration // when a call is made even if there is nothing to ask for
+	nextKeepAliveAt     time.Duration // when a call is made even if it has no requests and returns
 
 	needUnits     []*account    // to borrow for with the next call
 	calledFor     []*account    // that the current call borrows for
--- a/internal/quotalease/holder_calls.go
+++ b/internal/quotalease/holder_calls.go
@@ -41,7 +41,7 @@
 }
 
 // addReservation reserves the own quota for the store. The reservation counts from the store's own time,
-// however late the call arrives. Nothing is reserved for a store whose replies come too late to be of use.
+// however late the call arrives. Nothing is reserved for a store whose replies arrive too late to be of use.
 func (h *Holder) addReservation(now time.Duration, call *StoreCall) {
 	expiresAt := h.storeTimeReceivedAt + maxDuration(h.rules.ReservationTime, h.rules.MaxDrift)
 	isStoreUsable := h.storeID != "" && h.lastCallDuration <= CallTimeout
@@ -175,7 +175,7 @@
 	return actions
 }
 
-// CallFailed reports that the current call has failed, such as by a closed connection: no reply will come.
+// CallFailed reports that the current call has failed, such as by a closed connection: no reply will arrive.
 func (h *Holder) CallFailed(now time.Duration) []Action {
 	if !h.isCalling {
 		return nil
--- a/internal/quotalease/messages.go
+++ b/internal/quotalease/messages.go
@@ -17,7 +17,7 @@
 	Returns          []LeaseReturn
 }
 
-// LeaseRequest asks for units of a customer's hard limit.
+// LeaseRequest requests units of a customer's hard limit.
 type LeaseRequest struct {
 	Key      string // the customer
 	Limit    HardLimit
@@ -25,7 +25,7 @@
 	MinUnits float64 // a smaller grant is of no use
 }
 
-// LeaseReturn gives back the units of a grant that were not spent and never will be.
+// LeaseReturn returns the units of a grant that were not spent and never will be.
 type LeaseReturn struct {
 	Key   string // the customer
 	Token uint64 // the grant's
--- a/internal/quotalease/quotalease.go
+++ b/internal/quotalease/quotalease.go
@@ -1,7 +1,7 @@
 // Package quotalease divides a customer's hard limit over a group of instances. Each instance has an equal part
 // of it, which it spends itself or reserves for a lease store for a short time. A store lends what is reserved
-// for it, for a short term, to any instance that asks. No part is ever in two hands, so that the hard limit is
-// kept with any number of stores, whatever they forget and whoever can reach them.
+// for it, for a short term, to any instance that requests it. No part is ever used by two of them, so that the
+// hard limit is observed with any number of stores, also if they lose their state or the network is partitioned.
 //
 // Store and Holder are state machines without I/O: their methods take the time and what was received, and
 // return what is to be done. In any window of length w all instances together forward no more units of a
@@ -69,20 +69,21 @@
 
 // MaxExcess returns by how much a window may exceed the limit, as a fraction of what the limit allows in it.
 func (r Rules) MaxExcess(limit HardLimit, window time.Duration) float64 {
-	bound, seconds := r.Bound(limit), window.Seconds()
+	bound := r.Bound(limit)
+	seconds := window.Seconds()
 	return (bound.Burst+bound.Rate*seconds)/(limit.Burst+limit.Rate*seconds) - 1
 }
 
-// Guarantee is what holds of a hard limit in one case, in a window of a minute.
+// Guarantee is the guarantee for a hard limit in one case, in a window of a minute.
 type Guarantee struct {
 	Case        string  `json:"case"`
-	Excess      float64 `json:"over"` // most by which the limit may be exceeded, as a fraction of it
+	Excess      float64 `json:"over"` // maximum by which the limit may be exceeded, as a fraction of it
 	Utilization float64 `json:"use"`  // fraction of the limit's rate that can be used
 	Reason      string  `json:"why"`
 }
 
-// Guarantees returns what holds of a limit in each case, for requests of the given units and traffic that
-// comes evenly through fanOut of the instances.
+// Guarantees returns the guarantees for a limit in each case, for requests of the given units and traffic that
+// arrives evenly through fanOut of the instances.
 func (r Rules) Guarantees(limit HardLimit, units float64, fanOut int) []Guarantee {
 	excess := r.MaxExcess(limit, time.Minute)
 	instances := float64(r.Instances)
--- a/internal/scattergather/call.go
+++ b/internal/scattergather/call.go
@@ -17,7 +17,7 @@
 // partEvent is what happened to the call to a leaf: its module has admitted it, or it has ended.
 type partEvent struct {
 	leaf        int
-	isAdmission bool // the answer is still to come
+	isAdmission bool // the answer has not arrived yet
 	answer      service.Answer
 	result      Result
 }
--- a/internal/scattergather/counts.go
+++ b/internal/scattergather/counts.go
@@ -53,8 +53,8 @@
 	isLogged    bool
 }
 
-// RecordMissing records for each part whether an answer has it, and logs a part that is missing again and again
-// and its return.
+// RecordMissing records for each part whether an answer has it, and logs a part that is missing in consecutive
+// answers, and its return.
 func (c *Counts) RecordMissing(service string, parts []waitpolicy.Part, hasPart func(part int) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/scattergather/decision.go
+++ b/internal/scattergather/decision.go
@@ -80,7 +80,8 @@
 // conclude ends a query that is decided.
 func (r *Run) conclude(kind waitpolicy.Kind, now time.Duration) Final {
 	r.endModels(now)
-	root, gatherer := r.query.root, r.Gatherers[0]
+	root := r.query.root
+	gatherer := r.Gatherers[0]
 	hasContent := func(part int) bool { return root.shares[part] >= 1-shareTolerance }
 	gatherer.Counts.RecordMissing(r.Tree.Name, gatherer.Settings.Parts, hasContent)
 	if kind != waitpolicy.Answer {
--- a/internal/scattergather/tree.go
+++ b/internal/scattergather/tree.go
@@ -15,7 +15,7 @@
 	Parts    []Part
 	Merge    Merge
 	MinShare float64 // fraction of the parts' weight that an answer needs
-	ID       int     // index among the gatherers of the whole tree; the root's is 0
+	ID       int     // index among all gatherers of the tree; the root's is 0
 }
 
 // Part is what a gatherer queries: a service, or another gatherer.
@@ -23,7 +23,7 @@
 	Name      string
 	Weight    float64
 	Inner     *Tree // nil for a service
-	Leaf      int   // of a service: its index among the leaves of the whole tree
+	Leaf      int   // of a service: its index among all leaves of the tree
 	leafCount int   // leaves below it
 }
 
@@ -71,7 +71,8 @@
 
 // presentShare returns the fraction of the parts' weight that has arrived.
 func (g *gathererState) presentShare() float64 {
-	present, all := 0.0, 0.0
+	present := 0.0
+	all := 0.0
 	for i, p := range g.Parts {
 		present += p.Weight * g.shares[i]
 		all += p.Weight
--- a/internal/testsupport/fake/origin_answer.go
+++ b/internal/testsupport/fake/origin_answer.go
@@ -32,6 +32,7 @@
 	remaining int64
 }
 
+// Write writes data up to the limit; an error is returned if it is reached.
 func (l *limitedWriter) Write(data []byte) (int, error) {
 	n, err := l.writer.Write(data[:min(int64(len(data)), l.remaining)])
 	l.remaining -= int64(n)
--- a/internal/testsupport/fake/pattern.go
+++ b/internal/testsupport/fake/pattern.go
@@ -21,6 +21,7 @@
 	length int64
 }
 
+// Read reads the next bytes of Pattern.
 func (p *patternReader) Read(buffer []byte) (int, error) {
 	if p.offset >= p.length {
 		return 0, io.EOF
--- a/internal/testsupport/fake/server_requests.go
+++ b/internal/testsupport/fake/server_requests.go
@@ -24,7 +24,8 @@
 
 // ServeHTTP serves a request of the platform's protocol. It is executed even if its client has left.
 func (r *Running) ServeHTTP(w http.ResponseWriter, request *http.Request) {
-	id, key := request.Header.Get("X-Correlation-Id"), request.Header.Get("Idempotency-Key")
+	id := request.Header.Get("X-Correlation-Id")
+	key := request.Header.Get("Idempotency-Key")
 	if id == "" {
 		w.WriteHeader(http.StatusNotFound)
 		return
--- a/internal/testsupport/redistest/command.go
+++ b/internal/testsupport/redistest/command.go
@@ -122,7 +122,8 @@
 
 // runOnHash runs a command on a hash.
 func (s *Server) runOnHash(name string, args []string, value entry, exists bool) any {
-	key, fields := args[0], args[1:]
+	key := args[0]
+	fields := args[1:]
 	switch name {
 	case "HGET":
 		return fieldReply(value.hash, fields[0])
--- a/internal/testsupport/redistest/connection.go
+++ b/internal/testsupport/redistest/connection.go
@@ -30,7 +30,8 @@
 			return
 		}
 		s.mu.Lock()
-		faults, password := s.faults, s.password
+		faults := s.faults
+		password := s.password
 		s.mu.Unlock()
 		if faults.IsSilent {
 			continue
--- a/internal/testsupport/testbench/scenario.go
+++ b/internal/testsupport/testbench/scenario.go
@@ -46,7 +46,10 @@
 		Customer: rng.Uint64N(200), Plan: "standard", Deadline: 2 * time.Second,
 	}
 	if rng.IntN(2) == 0 {
-		c.Method, c.Path, c.Body, c.Key = "POST", "/visit-update", "swap", strconv.FormatUint(rng.Uint64(), 16)
+		c.Method = "POST"
+		c.Path = "/visit-update"
+		c.Body = "swap"
+		c.Key = strconv.FormatUint(rng.Uint64(), 16)
 	}
 	return c
 }
--- a/internal/waitpolicy/forecast.go
+++ b/internal/waitpolicy/forecast.go
@@ -28,12 +28,14 @@
 // (Kaplan and Meier), in which answers and failures compete and an abandoned part is at risk until it was abandoned.
 func (c *curve) estimate(s *Sketch) {
 	atRisk := s.Weight()
-	outstanding, answered := 1.0, 0.0
+	outstanding := 1.0
+	answered := 0.0
 	c.isKnown = atRisk >= knownWeight
 	for i := range c.outstanding {
 		atRisk = max(0, atRisk-float64(s.Abandoned[i]))
 		total := atRisk + priorWeight
-		answers, failures := float64(s.Answered[i])+priorWeight*priorHazard, float64(s.Failed[i])
+		answers := float64(s.Answered[i]) + priorWeight*priorHazard
+		failures := float64(s.Failed[i])
 		if i == Buckets-1 {
 			answers = total - failures // the last bucket has no end
 		}
@@ -52,9 +54,13 @@
 	if i == Buckets-1 {
 		return c.outstanding[i-1], c.answered[i-1]
 	}
-	lowOutstanding, lowAnswered, from := 1.0, 0.0, time.Duration(0)
+	lowOutstanding := 1.0
+	lowAnswered := 0.0
+	from := time.Duration(0)
 	if i > 0 {
-		lowOutstanding, lowAnswered, from = c.outstanding[i-1], c.answered[i-1], edges[i-1]
+		lowOutstanding = c.outstanding[i-1]
+		lowAnswered = c.answered[i-1]
+		from = edges[i-1]
 	}
 	f := float64(duration-from) / float64(edges[i]-from)
 	return lowOutstanding + f*(c.outstanding[i]-lowOutstanding), lowAnswered + f*(c.answered[i]-lowAnswered)
--- a/internal/waitpolicy/model.go
+++ b/internal/waitpolicy/model.go
@@ -139,7 +139,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	className = classKey(className)
-	class, bucket := m.class(className), loadBucket(load)
+	class := m.class(className)
+	bucket := loadBucket(load)
 	partName := m.settings.Parts[part].Name
 	atLoad := m.history(Key{Class: className, Part: partName, Load: bucket})
 	atAllLoads := m.history(Key{Class: className, Part: partName, Load: AllLoads})
@@ -160,7 +161,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	className = classKey(className)
-	class, bucket := m.class(className), loadBucket(load)
+	class := m.class(className)
+	bucket := loadBucket(load)
 	if class.forecasts[bucket] == nil || class.observationsLeft[bucket] <= 0 {
 		class.forecasts[bucket], class.observationsLeft[bucket] = m.newForecast(className, class, bucket)
 	}
--- a/internal/waitpolicy/plan.go
+++ b/internal/waitpolicy/plan.go
@@ -87,7 +87,7 @@
 		decay := q.settings.decay(end)
 		meanDecay := (decay + previousDecay) / 2
 		if meanDecay < best {
-			break // even a complete answer would be worth less
+			break // even a complete answer would have a lower value
 		}
 		for j := range q.outstanding {
 			q.outstanding[j].evaluate(i, end, factor.count > 1)
--- a/internal/waitpolicy/query.go
+++ b/internal/waitpolicy/query.go
@@ -6,8 +6,8 @@
 	// unknownHalfLives is how long a query waits, in half-lives of an answer's value, for a part of which too
 	// little is known.
 	unknownHalfLives = 3
-	// maxHalfLives is how long a query waits at most in any mode but None: what arrives later is worth next to
-	// nothing.
+	// maxHalfLives is how long a query waits at most in any mode but None: a later answer has next to no
+	// value.
 	maxHalfLives = 8
 	// replanAlwaysParts is the number of outstanding parts up to which each arrival makes a new plan.
 	replanAlwaysParts = 8
@@ -33,9 +33,9 @@
 // The reasons of steps.
 const (
 	Complete      Reason = iota // no part is outstanding
-	ExpectedValue               // waiting is expected to be worth more, or less, than answering
+	ExpectedValue               // by the expected values of waiting and answering
 	Unknown                     // too little is known of an outstanding part
-	Exploring                   // waits longer than is worth it, to learn
+	Exploring                   // waits beyond the best time, to learn
 	BelowMinimum                // less has arrived than an answer needs
 	Time                        // the client's deadline, or the fixed one
 )
@@ -49,6 +49,7 @@
 	Time:          "time",
 }
 
+// String returns the name of the reason in logs and counts.
 func (r Reason) String() string { return reasonNames[r] }
 
 // Step is what a query has to do now.
@@ -267,7 +268,8 @@
 	if q.isExploring && q.valueAnswerAt > 0 {
 		return q.exploreStep(now)
 	}
-	until, isKnown := q.plannedAnswer, true
+	until := q.plannedAnswer
+	isKnown := true
 	if q.outstandingCount <= replanAlwaysParts || q.plannedAnswer == 0 || now >= min(q.plannedAnswer, q.replanAt) {
 		until, isKnown = q.plan(now)
 		q.plannedAnswer = until
@@ -288,8 +290,7 @@
 	return Step{Kind: Answer, Reason: ExpectedValue}
 }
 
-// exploreStep waits for exploreHalfLives more than is worth it: later answers are not worth waiting for whatever
-// is learned from them.
+// exploreStep waits for exploreHalfLives beyond the best time: later answers cost more than is learned from them.
 func (q *Query) exploreStep(now time.Duration) Step {
 	until := min(q.latestAnswer, q.valueAnswerAt+exploreHalfLives*q.settings.halfLife())
 	if now < until {
--- a/internal/waitpolicy/sketch.go
+++ b/internal/waitpolicy/sketch.go
@@ -90,7 +90,9 @@
 // increase, by the product of the probabilities to outlast each bucket (Kaplan and Meier). A quantile that is not
 // known is Edge(Buckets-2).
 func (s *Sketch) Quantiles(probabilities []float64, quantiles []time.Duration) {
-	atRisk, outstanding, q := s.Weight(), 1.0, 0
+	atRisk := s.Weight()
+	outstanding := 1.0
+	q := 0
 	for i := 0; i < Buckets-1 && q < len(probabilities); i++ {
 		atRisk -= float64(s.Abandoned[i])
 		if atRisk <= 0 {
--- a/internal/waitpolicy/waitpolicy.go
+++ b/internal/waitpolicy/waitpolicy.go
@@ -15,7 +15,7 @@
 
 // The modes of waiting.
 const (
-	Learned Mode = iota // as long as waiting is expected to be worth more than answering
+	Learned Mode = iota // as long as the expected value of waiting is higher than that of answering
 	Fixed               // for a fixed time
 	None                // for all parts, or until the client's deadline
 )
@@ -122,7 +122,7 @@
 }
 
 // valueOfShare returns the value of an answer with a fraction of the parts' weight, without delay. It is concave, as
-// the first parts are worth more than the last, and quadratic, so that its mean only needs the mean and the variance
+// the first parts have a higher value than the last, and quadratic, so that its mean only needs the mean and the variance
 // of the share.
 func valueOfShare(share float64) float64 { return share * (3 - share) / 2 }
 
