--- a/internal/simulation/fleetsim/instances.go
+++ b/internal/simulation/fleetsim/instances.go
@@ -43,7 +43,12 @@
 	if err != nil {
 		panic(fmt.Sprintf("the settings of a day: %v", err)) // the settings are constant
 	}
-	n.controller, n.down, n.closing, n.inFlight, n.knownIncarnations, n.watchSilentUntil = c, false, false, map[string]*clientRequest{}, map[uint32]int{}, 0
+	n.controller = c
+	n.down = false
+	n.closing = false
+	n.inFlight = map[string]*clientRequest{}
+	n.knownIncarnations = map[uint32]int{}
+	n.watchSilentUntil = 0
 	n.rejectedInRow = 0
 	n.incarnation++
 	var now []listed
--- a/internal/simulation/fleetsim/quota_day.go
+++ b/internal/simulation/fleetsim/quota_day.go
@@ -152,7 +152,9 @@
 	q.plans, q.rates = f.drawPlans(r)
 	q.meterDelay = time.Duration(f.meterDelay.draw(r) * float64(time.Second))
 	q.policyRand = stream(o.Seed, 4)
-	q.guessCV, q.skew, q.otherNodeFraction = f.guessCV.draw(r), f.skew.draw(r), f.otherNodeFraction.draw(r)
+	q.guessCV = f.guessCV.draw(r)
+	q.skew = f.skew.draw(r)
+	q.otherNodeFraction = f.otherNodeFraction.draw(r)
 	if q.policyDelay = o.PolicyDelay; o.PolicyDelay < 0 {
 		if q.policyDelay = f.meterPeriod + q.meterDelay; f.meterPeriod == 0 {
 			q.policyDelay = 2 * time.Second
@@ -173,11 +175,16 @@
 	if q == nil {
 		return
 	}
-	s.Plans, s.MeterPeriod, s.UnitsInResponse, s.MaxUnits = append([]control.Plan(nil), q.plans...), q.deployment.meterPeriod, q.deployment.units == guessed, q.deployment.maxUnits
+	s.Plans = append([]control.Plan(nil), q.plans...)
+	s.MeterPeriod = q.deployment.meterPeriod
+	s.UnitsInResponse = q.deployment.units == guessed
+	s.MaxUnits = q.deployment.maxUnits
 	if q.policy != ByModule { // the module then has no quota and no meter
 		s.MeterPeriod = 0
 		for i := range s.Plans {
-			s.Plans[i].QuotaRate, s.Plans[i].QuotaBurst, s.Plans[i].MaxInFlight = 0, 0, 0
+			s.Plans[i].QuotaRate = 0
+			s.Plans[i].QuotaBurst = 0
+			s.Plans[i].MaxInFlight = 0
 		}
 	}
 }
@@ -213,7 +220,9 @@
 			d.usualRate, d.spikeRate = d.usualRate*rate, d.spikeRate*rate
 			c := &dayCustomer{name: fmt.Sprintf("q%d", n), plan: p, firstNode: r.IntN(w.options.Instances), fanOut: q.drawFanOut(&q.plans[p], terms, r), demand: d}
 			w.drawnCustomers = append(w.drawnCustomers, c)
-			q.accounts[c], q.singleGateway[c], q.guessedAccounts[c] = newQuotaAccount(&q.plans[p], q.deployment.meterPeriod), newQuotaAccount(&q.plans[p], 0), newQuotaAccount(&q.plans[p], 0)
+			q.accounts[c] = newQuotaAccount(&q.plans[p], q.deployment.meterPeriod)
+			q.singleGateway[c] = newQuotaAccount(&q.plans[p], 0)
+			q.guessedAccounts[c] = newQuotaAccount(&q.plans[p], 0)
 			q.shiftWeights(c)
 			w.At(200*time.Millisecond, func() { q.arrive(c) })
 		}
@@ -284,7 +293,9 @@
 
 // Add adds the counts of another cell, and its fractions divided by n.
 func (c *Cell) Add(o *Cell, n float64) {
-	c.Requests, c.Rejections, c.RejectedWithCapacity = c.Requests+o.Requests, c.Rejections+o.Rejections, c.RejectedWithCapacity+o.RejectedWithCapacity
+	c.Requests += o.Requests
+	c.Rejections += o.Rejections
+	c.RejectedWithCapacity += o.RejectedWithCapacity
 	c.ForwardedUnits, c.OverQuotaUnits = c.ForwardedUnits+o.ForwardedUnits, c.OverQuotaUnits+o.OverQuotaUnits
 	c.OverQuotaPrice, c.OfferedWeight = c.OverQuotaPrice+o.OverQuotaPrice/n, c.OfferedWeight+o.OfferedWeight/n
 }
--- a/internal/simulation/fleetsim/quota_judge.go
+++ b/internal/simulation/fleetsim/quota_judge.go
@@ -283,14 +283,20 @@
 
 func (q *quotaDay) report(day DayReport) QuotaReport {
 	r := q.result
-	r.Instances, r.Seed, r.Calls, r.Requests, r.Broken = day.Instances, day.Seed, day.Calls, day.Requests, day.Broken
+	r.Instances = day.Instances
+	r.Seed = day.Seed
+	r.Calls = day.Calls
+	r.Requests = day.Requests
+	r.Broken = day.Broken
 	if r.DelaySeconds = q.meterDelay.Seconds(); q.policy != ByModule {
 		r.DelaySeconds = q.policyDelay.Seconds()
 	} else if q.deployment.meterPeriod == 0 {
 		r.DelaySeconds = 0
 	}
 	per := func(n int, of int) float64 { return float64(n) / math.Max(1, float64(of)) }
-	r.Served, r.OverQuotaPrice, r.OverQuotaFraction = q.servedWeight/math.Max(1, q.offeredWeight), q.overQuotaPrice/math.Max(1, q.offeredWeight), q.overQuotaUnits/math.Max(1, q.forwardedUnits)
+	r.Served = q.servedWeight / math.Max(1, q.offeredWeight)
+	r.OverQuotaPrice = q.overQuotaPrice / math.Max(1, q.offeredWeight)
+	r.OverQuotaFraction = q.overQuotaUnits / math.Max(1, q.forwardedUnits)
 	r.Excess = q.excess.over / math.Max(1, q.excess.in)
 	r.RejectedFraction, r.RequestsRejectedWithCapacity = per(q.rejections, r.Requests), per(q.rejectedWithCapacity, r.Requests)
 	r.CallsRejectedWithCapacity, r.CallsLostWithCapacity = per(q.calls.rejectedWithCapacity, r.Calls), per(q.calls.lost, r.Calls)
--- a/internal/simulation/fleetsim/servers.go
+++ b/internal/simulation/fleetsim/servers.go
@@ -39,7 +39,10 @@
 }
 
 func (w *world) reboot(h *host) {
-	h.state, h.bootedAt, h.incarnation, h.inFlight = hostUp, w.Now(), h.incarnation+1, 0
+	h.state = hostUp
+	h.bootedAt = w.Now()
+	h.incarnation++
+	h.inFlight = 0
 	clear(h.connections)
 	h.coreFreeAt = [dayCores]time.Duration{}
 	w.register(h)
--- a/internal/simulation/fleetsim/world.go
+++ b/internal/simulation/fleetsim/world.go
@@ -299,7 +299,9 @@
 
 func (w *world) report() DayReport {
 	r := w.result
-	r.Served, r.Classes, r.Plans = w.totalWeight.servedFraction(), map[string]float64{}, map[string]float64{}
+	r.Served = w.totalWeight.servedFraction()
+	r.Classes = map[string]float64{}
+	r.Plans = map[string]float64{}
 	for i := range w.classes {
 		r.Classes[w.rules.Classes[i].Name] = w.classes[i].servedFraction()
 	}
