--- a/internal/testsupport/testkit/keys.go
+++ b/internal/testsupport/testkit/keys.go
@@ -8,17 +8,17 @@
 	"testing"
 )
 
-// marshalers are, by format, the methods by which a type encodes itself: its fields give no keys.
+// marshalers are, by format, the methods with which a type encodes itself, so that its fields have no keys.
 var marshalers = map[string][]string{
 	"cbor": {"MarshalCBOR", "MarshalBinary"},
 	"json": {"MarshalJSON", "MarshalText"},
 	"toml": {"MarshalText"},
 }
 
-// RequireKeys fails a test where an encoded type has an exported field whose key is not written in a tag of
-// the format ("cbor", "json" or "toml"): a rename of the field would change what is stored or sent. roots are
-// values of the types that are handed to the encoder or decoder; whatever they reach through pointers, slices,
-// arrays, maps, nested and embedded structs is checked with them.
+// RequireKeys fails a test if an encoded type has an exported field without a key in a tag of the format ("cbor", "json"
+// or "toml"): a rename of the field would change what is stored or sent. roots are values of the types that are passed
+// to the encoder or decoder. All types that they reach through pointers, slices, arrays, maps, nested and embedded
+// structs are checked too.
 func RequireKeys(t testing.TB, format string, roots ...any) {
 	t.Helper()
 	for _, missing := range MissingKeys(format, roots...) {
@@ -26,9 +26,9 @@
 	}
 }
 
-// MissingKeys lists the fields that RequireKeys fails for, sorted.
+// MissingKeys returns the fields for which RequireKeys fails, sorted.
 func MissingKeys(format string, roots ...any) []string {
-	w := keyWalk{format: format, visited: make(map[reflect.Type]bool)}
+	w := keyChecker{format: format, visited: make(map[reflect.Type]bool)}
 	for _, root := range roots {
 		w.visit(reflect.TypeOf(root), fmt.Sprintf("%T", root))
 	}
@@ -36,13 +36,14 @@
 	return w.missing
 }
 
-type keyWalk struct {
+// keyChecker checks each type once.
+type keyChecker struct {
 	format  string
 	visited map[reflect.Type]bool
 	missing []string
 }
 
-func (w *keyWalk) visit(t reflect.Type, path string) {
+func (w *keyChecker) visit(t reflect.Type, path string) {
 	if w.visited[t] || w.encodesItself(t) {
 		return
 	}
@@ -60,7 +61,7 @@
 	}
 }
 
-func (w *keyWalk) encodesItself(t reflect.Type) bool {
+func (w *keyChecker) encodesItself(t reflect.Type) bool {
 	if t.Kind() == reflect.Interface {
 		return false
 	}
@@ -72,8 +73,8 @@
 	return false
 }
 
-func (w *keyWalk) fields(t reflect.Type) {
-	array := isArray(t, w.format)
+func (w *keyChecker) fields(t reflect.Type) {
+	array := isEncodedAsArray(t, w.format)
 	for i := range t.NumField() {
 		f := t.Field(i)
 		tag := f.Tag.Get(w.format)
@@ -93,8 +94,8 @@
 	}
 }
 
-// isArray tells whether a struct is encoded by the order of its fields, without keys.
-func isArray(t reflect.Type, format string) bool {
+// isEncodedAsArray reports whether a struct is encoded by the order of its fields, without keys.
+func isEncodedAsArray(t reflect.Type, format string) bool {
 	f, ok := t.FieldByName("_")
 	return ok && strings.Contains(f.Tag.Get(format), ",toarray")
 }
