--- a/internal/daemon/checkpoint.go
+++ b/internal/daemon/checkpoint.go
@@ -125,8 +125,8 @@
 	return d.successor.SendFinalCheckpoint(encoded)
 }
 
-// saveFinalCheckpoint is called in a drain once nothing more will be spent: what is left is sent to the successor, or saved in
-// the file for the next start.
+// saveFinalCheckpoint is called in a drain once nothing more will be spent: what is left is sent to the successor, or
+// saved in the file for the next start.
 func (d *daemon) saveFinalCheckpoint() {
 	d.checkpointer.stop()
 	if d.hasServingSuccessor() {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -27,17 +27,22 @@
 
 // Options are what a daemon is run with.
 type Options struct {
-	LoadConfig         func() (config.Config, error)            // reads and checks the configuration file, also for each reload
-	ParseConfig        func(text []byte) (config.Config, error) // checks a text that is to replace the file's
-	ApplyRuntimeLimits func(config.Config)                      // sets the Go runtime's limits to those of a configuration in force
-	ConfigPath         string                                   // of the configuration file, for the status and for commands that replace it
-	PIDFilePath        string                                   // empty for none
-	StateDirectory     string                                   // where it is known without the file; else empty
-	Program            string                                   // path of this executable, which an upgrade starts by default
-	Args               []string                                 // of this process, without the program's name; a successor gets the same
-	Getenv             func(string) string
-	ReloadSignals      <-chan os.Signal // each requests a reload
-	UpgradeSignals     <-chan os.Signal // each requests an upgrade
+	// LoadConfig reads and checks the configuration file, also for each reload.
+	LoadConfig func() (config.Config, error)
+	// ParseConfig checks a text that is to replace the configuration file's.
+	ParseConfig func(text []byte) (config.Config, error)
+	// ApplyRuntimeLimits sets the Go runtime's limits to those of a configuration in force.
+	ApplyRuntimeLimits func(config.Config)
+
+	ConfigPath     string   // of the configuration file, for the status and for commands that replace it
+	PIDFilePath    string   // empty for none
+	StateDirectory string   // where it is known without the configuration file; else empty
+	Program        string   // path of this executable, which an upgrade starts by default
+	Args           []string // of this process, without the program's name; a successor gets the same
+	Getenv         func(string) string
+
+	ReloadSignals  <-chan os.Signal // each requests a reload
+	UpgradeSignals <-chan os.Signal // each requests an upgrade
 }
 
 // maxQueuedEvents is how many posted events wait for the event loop before a poster blocks.
@@ -227,14 +232,15 @@
 	}
 	for name := range listeners {
 		if !configured[config.Inherited+name] {
-			return nil, fmt.Errorf("the supervisor passed a socket %q on that no listener names (address = %q)", name, config.Inherited+name)
+			return nil, fmt.Errorf("the supervisor passed a socket %q on that no listener names (address = %q)",
+				name, config.Inherited+name)
 		}
 	}
 	return listeners, nil
 }
 
-// takeListeners returns the predecessor's listeners at configured addresses. It closes all other ones: the configuration has
-// changed since the predecessor read it.
+// takeListeners returns the predecessor's listeners at configured addresses. It closes all other ones: the
+// configuration has changed since the predecessor read it.
 func (d *daemon) takeListeners(configured map[string]bool) (map[string]net.Listener, error) {
 	listeners, err := d.predecessor.TakeListeners(filePrefixListener)
 	for address, listener := range listeners {
--- a/internal/daemon/drained.go
+++ b/internal/daemon/drained.go
@@ -251,7 +251,8 @@
 	if err := m.save(next); err != nil {
 		return true, err
 	}
-	slog.Info("command started while drained", "id", command.ID, "epoch", command.Epoch, "owner", command.Owner, "kind", operation.Kind)
+	slog.Info("command started while drained",
+		"id", command.ID, "epoch", command.Epoch, "owner", command.Owner, "kind", operation.Kind)
 	switch operation.Kind {
 	case desiredstate.KindServe:
 		close(r.serveRequested)
@@ -271,7 +272,8 @@
 		return err
 	}
 	if !haveSameFiles(d.cfg.Process, next.Process) {
-		return fmt.Errorf("process.state and process.control can't change without a restart: %q, %q", next.Process.StateDir, next.Process.ControlSocket)
+		return fmt.Errorf("process.state and process.control can't change without a restart: %q, %q",
+			next.Process.StateDir, next.Process.ControlSocket)
 	}
 	if err := desiredstate.ReplaceFile(d.opts.ConfigPath, []byte(operation.Text)); err != nil {
 		return fmt.Errorf("replacing the settings: %w", err)
--- a/internal/front/generic_answer.go
+++ b/internal/front/generic_answer.go
@@ -11,7 +11,9 @@
 
 // WriteAnswer writes the final answer to the client. If a streamed answer breaks off, the connection is
 // aborted, so that the client does not take a part for the complete answer.
-func (o *GenericHTTP) WriteAnswer(front *Front, w http.ResponseWriter, r *http.Request, exchange *service.Exchange, answer service.Answer) {
+func (o *GenericHTTP) WriteAnswer(
+	front *Front, w http.ResponseWriter, r *http.Request, exchange *service.Exchange, answer service.Answer,
+) {
 	call := exchange.Forwarder.(*genericCall)
 	call.endInterim()
 	call.hasAnswer = true
--- a/internal/front/generic_call.go
+++ b/internal/front/generic_call.go
@@ -146,7 +146,8 @@
 		_ = call.controller.SetReadDeadline(deadline)
 		body.Discard()
 	}
-	body.Close(func() { _ = call.controller.SetReadDeadline(time.Unix(1, 0)) }) //nolint:forbidigo // a deadline in the past by any clock
+	past := time.Unix(1, 0) //nolint:forbidigo // a deadline in the past by any clock
+	body.Close(func() { _ = call.controller.SetReadDeadline(past) })
 }
 
 // endInterim ends the writing of interim responses.
--- a/internal/front/generic_http.go
+++ b/internal/front/generic_http.go
@@ -71,7 +71,9 @@
 }
 
 // ReadRequest checks the head of a request and prepares to forward it.
-func (o *GenericHTTP) ReadRequest(r *http.Request, target *Target, _ string, arrived time.Time) (*service.Exchange, *BadRequest) {
+func (o *GenericHTTP) ReadRequest(
+	r *http.Request, target *Target, _ string, arrived time.Time,
+) (*service.Exchange, *BadRequest) {
 	if badRequest := o.checkHead(r, target); badRequest != nil {
 		return nil, badRequest
 	}
--- a/internal/front/node_answer.go
+++ b/internal/front/node_answer.go
@@ -51,7 +51,9 @@
 
 // writeNodeAnswer writes an answer of the node itself, as JSON if the client accepts that, else as
 // text. A retryAfter of 0 sends no Retry-After.
-func writeNodeAnswer(front *Front, w http.ResponseWriter, r *http.Request, status int, text string, retryAfter time.Duration) {
+func writeNodeAnswer(
+	front *Front, w http.ResponseWriter, r *http.Request, status int, text string, retryAfter time.Duration,
+) {
 	header := w.Header()
 	body := []byte(http.StatusText(status) + ". " + text + "\n")
 	header["Content-Type"] = []string{"text/plain; charset=utf-8"}
--- a/internal/front/platform.go
+++ b/internal/front/platform.go
@@ -29,7 +29,9 @@
 type platformProtocol struct{}
 
 // ReadRequest checks the head of a request and prepares to forward it.
-func (platformProtocol) ReadRequest(r *http.Request, target *Target, firstSegment string, arrived time.Time) (*service.Exchange, *BadRequest) {
+func (platformProtocol) ReadRequest(
+	r *http.Request, target *Target, firstSegment string, arrived time.Time,
+) (*service.Exchange, *BadRequest) {
 	rules := &target.Service.RequestRules
 	if badRequest := checkFraming(r, target.MaxBodyBytes); badRequest != nil {
 		return nil, badRequest.closing()
@@ -124,7 +126,9 @@
 func (platformProtocol) Finish(*service.Exchange) {}
 
 // WriteAnswer writes the final answer to the client.
-func (platformProtocol) WriteAnswer(front *Front, w http.ResponseWriter, _ *http.Request, _ *service.Exchange, answer service.Answer) {
+func (platformProtocol) WriteAnswer(
+	front *Front, w http.ResponseWriter, _ *http.Request, _ *service.Exchange, answer service.Answer,
+) {
 	front.writeAnswer(w, answer)
 }
 
@@ -153,7 +157,8 @@
 
 // singleValueHeaders are the headers of the protocol that may be given only once.
 var singleValueHeaders = []string{
-	protocol.HeaderID, protocol.HeaderPlan, protocol.HeaderTimeLeft, protocol.HeaderWeight, protocol.HeaderRetry, protocol.HeaderIdempotencyKey,
+	protocol.HeaderID, protocol.HeaderPlan, protocol.HeaderTimeLeft,
+	protocol.HeaderWeight, protocol.HeaderRetry, protocol.HeaderIdempotencyKey,
 }
 
 // checkSingleValues rejects a header of the protocol with two values: app servers could use the other one.
--- a/internal/front/scatter_gather.go
+++ b/internal/front/scatter_gather.go
@@ -62,7 +62,9 @@
 
 // readRequest checks the head of a request. routeClass is the class that its route names, which may be
 // empty. It returns the class of the request and its timeout.
-func (g *ScatterGather) readRequest(r *http.Request, routeClass string) (class string, timeout time.Duration, badRequest *BadRequest) {
+func (g *ScatterGather) readRequest(
+	r *http.Request, routeClass string,
+) (class string, timeout time.Duration, badRequest *BadRequest) {
 	if badRequest := g.checkHead(r, routeClass); badRequest != nil {
 		return "", 0, badRequest
 	}
@@ -194,7 +196,9 @@
 
 // newCalls makes the request of each part and reserves memory for it. A part without capacity rejects
 // its request, so that its answer is missing.
-func (g *ScatterGather) newCalls(r *http.Request, class string, arrived time.Time, timeout time.Duration) ([]scattergather.Call, *BadRequest) {
+func (g *ScatterGather) newCalls(
+	r *http.Request, class string, arrived time.Time, timeout time.Duration,
+) ([]scattergather.Call, *BadRequest) {
 	calls := make([]scattergather.Call, 0, len(g.Targets))
 	bodyBytes := r.ContentLength // of the shared body, reserved by the first part that has capacity
 	if bodyBytes < 0 {
@@ -285,7 +289,8 @@
 	header["Content-Length"] = []string{strconv.Itoa(size)}
 	header["Via"] = []string{"1.1 " + hopheaders.Alias}
 	header["Cache-Control"] = []string{"no-store"} // a partial answer must not be reused
-	header[scattergather.HeaderParts] = []string{strconv.Itoa(final.Response.Present) + "/" + strconv.Itoa(final.Response.Total)}
+	partCounts := strconv.Itoa(final.Response.Present) + "/" + strconv.Itoa(final.Response.Total)
+	header[scattergather.HeaderParts] = []string{partCounts}
 	if len(final.Response.Missing) > 0 {
 		header[scattergather.HeaderMissing] = []string{strings.Join(final.Response.Missing, ", ")}
 	}
--- a/internal/h2/frames.go
+++ b/internal/h2/frames.go
@@ -362,7 +362,8 @@
 // rest is not sent (RFC 9113, 8.1).
 func (m *Machine) endAnswered(stream *stream) []Event {
 	if stream.contentLength >= 0 && !stream.hasNoBody && stream.bodyBytes != stream.contentLength {
-		return m.endMalformed(stream.id, http2.ErrCodeProtocol, fmt.Sprintf("a body of %d bytes, Content-Length %d", stream.bodyBytes, stream.contentLength))
+		detail := fmt.Sprintf("a body of %d bytes, Content-Length %d", stream.bodyBytes, stream.contentLength)
+		return m.endMalformed(stream.id, http2.ErrCodeProtocol, detail)
 	}
 	m.noiseFrames = 0
 	delete(m.streams, stream.id)
--- a/internal/h2/machine.go
+++ b/internal/h2/machine.go
@@ -144,8 +144,8 @@
 	canonicalNames nameCache // the reverse
 }
 
-// nameCache has converted names of header fields, so that frequent ones are not allocated for each request. Its zero value is
-// empty.
+// nameCache has converted names of header fields, so that frequent ones are not allocated for each request. Its zero
+// value is empty.
 type nameCache map[string]string
 
 func (n *nameCache) of(name string, convert func(string) string) string {
--- a/internal/manage/handler.go
+++ b/internal/manage/handler.go
@@ -100,8 +100,9 @@
 	}
 	defer func() { <-h.commandReads }()
 	connection := http.NewResponseController(w)
-	_ = connection.SetReadDeadline(time.Now().Add(commandReadTimeout)) // fails for a closed connection, as reading does
-	defer connection.SetReadDeadline(time.Time{})                      //nolint:errcheck // the command may take longer than its body
+	// It fails for a closed connection, as reading does.
+	_ = connection.SetReadDeadline(time.Now().Add(commandReadTimeout))
+	defer connection.SetReadDeadline(time.Time{}) //nolint:errcheck // the command may take longer than its body
 	return decodeBody(w, r, "order", maxCommandSize, command)
 }
 
--- a/internal/node/routes.go
+++ b/internal/node/routes.go
@@ -7,7 +7,9 @@
 )
 
 // routeTable maps the routes of a configuration to their targets.
-func routeTable(cfg *config.Config, services map[string]*runningService, gatherers map[string]*gatherer) *front.RoutingTable {
+func routeTable(
+	cfg *config.Config, services map[string]*runningService, gatherers map[string]*gatherer,
+) *front.RoutingTable {
 	table := &front.RoutingTable{}
 	if cfg.Routes == nil {
 		c := cfg.Services[0]
--- a/internal/node/services.go
+++ b/internal/node/services.go
@@ -233,7 +233,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return record.New(module, cfg.Settings, record.Options{Service: cfg.Name, Dir: cfg.Record.Dir, MaxBytes: cfg.Record.MaxBytes})
+	return record.New(module, cfg.Settings, record.Options{
+		Service:  cfg.Name,
+		Dir:      cfg.Record.Dir,
+		MaxBytes: cfg.Record.MaxBytes,
+	})
 }
 
 // newGenericHTTP makes the protocol of a service of generic HTTP; nil where clients speak the platform's.
--- a/internal/service/guard.go
+++ b/internal/service/guard.go
@@ -60,11 +60,13 @@
 		return true
 	}
 	if x.inFlight > 0 {
-		invariant.Violated(invariant.ParallelAttempt, x.Request.ID, fmt.Sprintf("attempt %d while %d are in flight", x.attemptCount, x.inFlight))
+		why := fmt.Sprintf("attempt %d while %d are in flight", x.attemptCount, x.inFlight)
+		invariant.Violated(invariant.ParallelAttempt, x.Request.ID, why)
 		return false
 	}
 	if l.maxAttempts > 0 && x.attemptCount >= l.maxAttempts {
-		invariant.Violated(invariant.TooManyAttempts, x.Request.ID, fmt.Sprintf("attempt %d of %d", x.attemptCount+1, l.maxAttempts))
+		why := fmt.Sprintf("attempt %d of %d", x.attemptCount+1, l.maxAttempts)
+		invariant.Violated(invariant.TooManyAttempts, x.Request.ID, why)
 		return false
 	}
 	if class := l.classOf(x); class != nil {
@@ -174,7 +176,9 @@
 	fraction := g.initialCapacity + (1-g.initialCapacity)*age.Seconds()/g.warmupTime.Seconds()
 	allowed := g.multiple * fraction * g.peak * g.nodes
 	if limit := allowed + budgetSlack(allowed); sent > limit {
-		return fmt.Sprintf("%.0f attempts within %v at a server that started %v ago, more than %.1f", sent, g.window, age, limit), false
+		why = fmt.Sprintf("%.0f attempts within %v at a server that started %v ago, more than %.1f",
+			sent, g.window, age, limit)
+		return why, false
 	}
 	return "", true
 }
--- a/internal/upstream/http2_send.go
+++ b/internal/upstream/http2_send.go
@@ -51,7 +51,9 @@
 
 // withConnection calls send with a connection that has a free stream. Where nothing is sent, the outcome has the
 // error; ok is false where the server supports HTTP/1.1 only.
-func (s *sharedConnections) withConnection(ctx context.Context, send func(*h2.Conn) error) (outcome Outcome, isDialed, ok bool) {
+func (s *sharedConnections) withConnection(
+	ctx context.Context, send func(*h2.Conn) error,
+) (outcome Outcome, isDialed, ok bool) {
 	for {
 		conn, isNew, err := s.acquire(ctx)
 		isDialed = isDialed || isNew
