--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -63,8 +63,17 @@
 		{StopRequested{"SIGTERM"}, ""},
 		{ReloadRequested{"SIGHUP"}, ""},
 	},
-	"a bad file":   {{ReloadRequested{"SIGHUP"}, "ready>reloading RELOADING load"}, {ReloadFinished{errBadFile}, "reloading>ready READY"}},
-	"many reloads": {{ReloadRequested{"1"}, "ready>reloading RELOADING load"}, {ReloadRequested{"2"}, ""}, {ReloadRequested{"3"}, ""}, {ReloadFinished{}, "reloading>ready READY ready>reloading RELOADING load"}, {ReloadFinished{}, "reloading>ready READY"}},
+	"a bad file": {
+		{ReloadRequested{"SIGHUP"}, "ready>reloading RELOADING load"},
+		{ReloadFinished{errBadFile}, "reloading>ready READY"},
+	},
+	"many reloads": {
+		{ReloadRequested{"1"}, "ready>reloading RELOADING load"},
+		{ReloadRequested{"2"}, ""},
+		{ReloadRequested{"3"}, ""},
+		{ReloadFinished{}, "reloading>ready READY ready>reloading RELOADING load"},
+		{ReloadFinished{}, "reloading>ready READY"},
+	},
 	"stop in a reload": {
 		{ReloadRequested{"1"}, "ready>reloading RELOADING load"},
 		{StopRequested{"SIGTERM"}, "reloading>draining STOPPING drain"},
--- a/internal/manage/server_test.go
+++ b/internal/manage/server_test.go
@@ -60,11 +60,13 @@
 		t.Error(err)
 	}
 	text := strings.Repeat("# \"<\n", 1<<20)
-	if _, err := c.RunCommand(ctx, Command{Epoch: 7, Owner: "a", ID: "s/1", Operation: Operation{Kind: desiredstate.KindSettings, Text: text}}); err != nil || <-f.calls != fmt.Sprint("s/1 settings ", len(text)) {
+	operation := Operation{Kind: desiredstate.KindSettings, Text: text}
+	_, err = c.RunCommand(ctx, Command{Epoch: 7, Owner: "a", ID: "s/1", Operation: operation})
+	if err != nil || <-f.calls != fmt.Sprint("s/1 settings ", len(text)) {
 		t.Errorf("%v", err)
 	}
-	for want, call := range map[string]func() (Status, error){"drain true": func() (Status, error) { return c.DrainAndStay(ctx) }, "serve": func() (Status, error) { return c.Serve(ctx) }} {
-		if _, err := call(); err != nil || <-f.calls != want {
+	for want, call := range map[string]func(context.Context) (Status, error){"drain true": c.DrainAndStay, "serve": c.Serve} {
+		if _, err := call(ctx); err != nil || <-f.calls != want {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
--- a/internal/state/checkpoint_test.go
+++ b/internal/state/checkpoint_test.go
@@ -25,7 +25,13 @@
 		Servers: []control.ServerCheckpoint{{Server: 3, Latency: 0.1, PlanRejectedUntil: map[string]time.Duration{"p": time.Second}}},
 	}
 	for i := range customers {
-		c.Customers = append(c.Customers, control.CustomerCheckpoint{ID: fmt.Sprint(i), Plan: "p", QuotaTokens: -1.5, FanOut: 2, Sent: []control.BinAmount{{Bin: 9, Amount: 2}}})
+		c.Customers = append(c.Customers, control.CustomerCheckpoint{
+			ID:          fmt.Sprint(i),
+			Plan:        "p",
+			QuotaTokens: -1.5,
+			FanOut:      2,
+			Sent:        []control.BinAmount{{Bin: 9, Amount: 2}},
+		})
 	}
 	return Checkpoint{Version: Version, TakenAt: time.Unix(1e9, 0).UTC(), Generation: 4, Services: map[string]service.State{
 		"a": {Checkpoint: c, Servers: map[uint32]string{3: "s-3"}},
@@ -66,7 +72,8 @@
 	if _, err := Decode(append(bytes.Clone(raw), 0)); err == nil {
 		t.Error("a byte more")
 	}
-	if _, err := Decode(withChecksum([]byte{0xa1, 0x67, 'v', 'e', 'r', 's', 'i', 'o', 'n', 2})); !errors.Is(err, VersionError{2}) || !strings.Contains(err.Error(), "version 2, not 1") {
+	otherVersion := withChecksum([]byte{0xa1, 0x67, 'v', 'e', 'r', 's', 'i', 'o', 'n', 2})
+	if _, err := Decode(otherVersion); !errors.Is(err, VersionError{2}) || !strings.Contains(err.Error(), "version 2, not 1") {
 		t.Errorf("another version: %v", err)
 	}
 }
