--- a/internal/trials/soak/client.go
+++ b/internal/trials/soak/client.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	maxPause     = 30 * time.Millisecond  // between two requests of a client
-	maxRest      = 600 * time.Millisecond // of a client that rests now and then
-	badInputTime = 3 * time.Second        // in which a node ends a request that stops in the middle
-	answerWait   = lateSlack + time.Second
+	maxPause     = 30 * time.Millisecond   // between two requests of a client
+	maxRest      = 600 * time.Millisecond  // of the occasional longer pause
+	badInputTime = 3 * time.Second         // within which a node ends an incomplete request
+	answerWait   = lateSlack + time.Second // after a deadline
 )
 
-// client sends requests to one node, one at a time, over a connection that it keeps.
+// client sends requests to one node, one at a time, over a persistent connection. It is not safe for concurrent use.
 type client struct {
 	play   *play
 	node   *node
 	number int
 	rng    *rand.Rand
-	made   int
+	made   int // number of requests drawn so far
 
-	conn     net.Conn // nil is none
-	in       *bufio.Reader
-	openedAt time.Time
-	used     int // requests on conn
+	conn     net.Conn      // nil is none
+	in       *bufio.Reader // of conn
+	openedAt time.Time     // of conn
+	used     int           // number of requests sent on conn
 }
 
 func newClient(p *play, n *node, number int) *client {
 	return &client{play: p, node: n, number: number, rng: rand.New(rand.NewPCG(p.Seed, uint64(1000+n.index*100+number)))}
 }
 
-// run sends until ctx ends.
+// run sends requests until ctx ends.
 func (c *client) run(ctx context.Context) {
 	defer c.disconnect()
 	for ctx.Err() == nil {
@@ -58,6 +58,7 @@
 	}
 }
 
+// disconnect closes the connection, if any.
 func (c *client) disconnect() {
 	if c.conn != nil {
 		c.conn.Close()
@@ -69,21 +70,27 @@
 func (c *client) draw() (*request, []byte) {
 	c.made++
 	r := &request{
-		id: fmt.Sprintf("%s-c%d-%d", c.node.name, c.number, c.made), node: c.node.name,
-		class: classes[c.rng.IntN(len(classes))], isCapped: c.rng.IntN(8) == 0,
+		id:       fmt.Sprintf("%s-c%d-%d", c.node.name, c.number, c.made),
+		node:     c.node.name,
+		class:    classes[c.rng.IntN(len(classes))],
+		isCapped: c.rng.IntN(8) == 0,
 	}
-	plan, account := "open", fmt.Sprintf("%016x", c.number+1)
+	plan := "open"
+	account := fmt.Sprintf("%016x", c.number+1)
 	if r.isCapped {
-		plan, account = "capped", fmt.Sprintf("%016x", 999)
+		plan = "capped"
+		account = fmt.Sprintf("%016x", cappedAccount)
 	}
-	var text strings.Builder
-	method, length := http.MethodGet, 0
+	method := http.MethodGet
+	length := 0
 	if r.class.effect != "free" {
-		method, length = http.MethodPost, c.rng.IntN(300)
+		method = http.MethodPost
+		length = c.rng.IntN(maxSmallBody)
 		if c.rng.IntN(20) == 0 {
-			length = c.rng.IntN(60 << 10)
+			length = c.rng.IntN(maxLargeBody)
 		}
 	}
+	var text strings.Builder
 	fmt.Fprintf(&text, "%s /%s?account=%s HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: %s\r\nX-Tariff: %s\r\nX-Time-Left: %dm\r\n",
 		method, r.class.name, account, r.id, plan, r.class.deadline.Milliseconds())
 	fmt.Fprintf(&text, "X-Weight: units=1,spread=%d,first=0\r\n", c.play.Nodes)
@@ -97,7 +104,15 @@
 	return r, []byte(text.String())
 }
 
-// connect opens a connection where there is none. It fails while the node is down or ends.
+// Parameters of drawn requests.
+const (
+	cappedAccount = 999 // the account that all requests of the capped plan share
+	maxSmallBody  = 300 // bytes
+	maxLargeBody  = 60 << 10
+)
+
+// connect opens a connection if there is none, and reports whether there is one. It fails while the node is down, and
+// doesn't dial once the node has been shutting down for newConnections.
 func (c *client) connect() bool {
 	if c.conn != nil {
 		return true
@@ -109,12 +124,15 @@
 	if err != nil {
 		return false
 	}
-	c.conn, c.in, c.openedAt, c.used = conn, bufio.NewReader(conn), time.Now(), 0
+	c.conn = conn
+	c.in = bufio.NewReader(conn)
+	c.openedAt = time.Now()
+	c.used = 0
 	return true
 }
 
-// request sends a request and waits for its answer. Where its connection, on which others came before, is closed with
-// no answer, it is sent once more on a new one.
+// request sends a request and waits for its answer. If a reused connection is closed without an answer, it sends the
+// request a second time on a new one.
 func (c *client) request() {
 	r, text := c.draw()
 	for range 2 {
@@ -128,9 +146,10 @@
 	}
 }
 
-// exchange sends a request once. It returns false where it is to be sent once more.
+// exchange sends a request once. It returns false if the request has to be sent again.
 func (c *client) exchange(r *request, text []byte) (done bool) {
-	started, isFirst := time.Now(), c.used == 0
+	started := time.Now()
+	isFirst := c.used == 0
 	c.used++
 	c.play.journal.sending(r)
 	if err := c.write(r, text); err != nil {
@@ -157,7 +176,7 @@
 	return true
 }
 
-// write writes a request, in pieces now and then.
+// write writes a request, occasionally in two parts with a pause between them.
 func (c *client) write(r *request, text []byte) error {
 	_ = c.conn.SetWriteDeadline(time.Now().Add(time.Second))
 	if c.rng.IntN(20) == 0 {
@@ -175,21 +194,28 @@
 	return nil
 }
 
-// withoutAnswer judges a request whose connection ended, or stayed silent, with no byte of an answer.
+// withoutAnswer judges a request whose connection ended, or timed out, without a byte of an answer. It returns false if
+// the request has to be sent again.
 func (c *client) withoutAnswer(r *request, started time.Time, isFirst bool, err error) (done bool) {
-	j, now := c.play.journal, time.Now()
+	j := c.play.journal
+	now := time.Now()
 	excuse := c.node.excuse(started, now)
-	var timeout net.Error
-	isSilent := errors.As(err, &timeout) && timeout.Timeout()
-	if !isSilent && !j.wasForwarded(r) && (!isFirst || r.sentAt.IsZero()) {
-		return excuse != "" // it crossed the close of a connection between requests
+	isSentOnNewConn := isFirst && !r.sentAt.IsZero()
+	if !isTimeout(err) && !j.wasForwarded(r) && !isSentOnNewConn {
+		return excuse != "" // the node closed the idle connection while the request was on its way
 	}
 	j.unanswered(r, excuse, fmt.Sprintf("%v after %v, first of its connection %v (opened %v before)",
 		err, now.Sub(started).Round(time.Millisecond), isFirst, started.Sub(c.openedAt).Round(time.Millisecond)))
 	return true
 }
 
-// leave sends a request and closes the connection a moment later.
+// isTimeout reports whether an error is a network timeout.
+func isTimeout(err error) bool {
+	var netError net.Error
+	return errors.As(err, &netError) && netError.Timeout()
+}
+
+// leave sends a request and closes the connection shortly after, without waiting for the answer.
 func (c *client) leave() {
 	if !c.connect() {
 		return
@@ -203,7 +229,7 @@
 	c.disconnect()
 }
 
-// stopMidway sends a part of a request and waits until the node ends it.
+// stopMidway sends an incomplete request and waits until the node closes the connection or answers.
 func (c *client) stopMidway() {
 	c.disconnect()
 	if !c.connect() {
@@ -218,8 +244,7 @@
 	}
 	_ = c.conn.SetReadDeadline(started.Add(badInputTime + c.play.journal.slack))
 	_, err := c.conn.Read(make([]byte, 1))
-	var timeout net.Error
-	if errors.As(err, &timeout) && timeout.Timeout() && c.node.excuse(started, time.Now()) == "" {
+	if isTimeout(err) && c.node.excuse(started, time.Now()) == "" {
 		c.play.journal.wrong("%s (%s): it stopped in the middle and has no error after %v", r.id, r.node, time.Since(started))
 	}
 }
--- a/internal/trials/soak/disturbances.go
+++ b/internal/trials/soak/disturbances.go
@@ -12,33 +12,35 @@
 	"lockflow/internal/trials/faultnet/script"
 )
 
-// maxDisturbanceTime bounds the duration of one disturbance.
+// maxDisturbanceTime is the range from which the duration of a disturbance is drawn, above a tenth of it.
 const maxDisturbanceTime = 1500 * time.Millisecond
 
-// disturbances draws disturbances and plays them, several at once.
+// disturbances draws disturbances and runs them concurrently.
 type disturbances struct {
 	play *play
 	rng  *rand.Rand
 
 	mu     sync.Mutex
-	counts map[string]int
-	list   []string
-	busy   map[string]bool // what a disturbance has now, and no other may have
+	counts map[string]int  // by kind
+	list   []string        // a line for each disturbance
+	busy   map[string]bool // the places of running disturbances; each has at most one
 	active sync.WaitGroup
 }
 
-// disturbance is one that was drawn: it holds on until ctx ends or its time is over.
+// disturbance is one drawn disturbance.
 type disturbance struct {
-	kind, place string
-	duration    time.Duration
-	play        func(ctx context.Context, t *disturbance) error
+	kind     string
+	place    string // what it disturbs
+	duration time.Duration
+	// play applies the disturbance and ends it after its duration, or earlier if ctx ends.
+	play func(ctx context.Context, t *disturbance) error
 }
 
 func newDisturbances(p *play, rng *rand.Rand) *disturbances {
 	return &disturbances{play: p, rng: rng, counts: make(map[string]int), busy: make(map[string]bool)}
 }
 
-// run begins disturbances at random for the time of the play, and returns once all have ended.
+// run begins disturbances at random times during Options.Duration, and returns once all have ended.
 func (t *disturbances) run(ctx context.Context) {
 	sleep(ctx, calmTime)
 	playing, cancel := context.WithTimeout(ctx, t.play.Duration)
@@ -50,7 +52,7 @@
 	t.active.Wait()
 }
 
-// begin plays a disturbance beside others, unless its place is taken.
+// begin starts a disturbance unless one is running at its place.
 func (t *disturbances) begin(ctx context.Context, one disturbance) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -70,6 +72,7 @@
 	})
 }
 
+// draw draws a disturbance.
 func (t *disturbances) draw() disturbance {
 	duration := maxDisturbanceTime/10 + time.Duration(t.rng.Int64N(int64(maxDisturbanceTime)))
 	n := t.play.nodes[t.rng.IntN(len(t.play.nodes))]
@@ -84,18 +87,26 @@
 	case 4:
 		return t.drawOfLink(n, s, duration)
 	case 5:
-		return disturbance{"discovery is silent", n.name + " discovery", 2 * duration, func(ctx context.Context, t *disturbance) error {
-			defer n.beginMissingListEvents("discovery is silent")()
-			n.silence(true)
-			sleep(ctx, t.duration)
-			n.silence(false)
-			return nil
-		}}
+		return silentDiscovery(n, 2*duration)
 	default:
 		return t.drawOfServer(s, duration)
 	}
 }
 
+// silentDiscovery returns a disturbance during which the discovery servers of a node send no events.
+func silentDiscovery(n *node, duration time.Duration) disturbance {
+	const kind = "discovery is silent"
+	return disturbance{kind, n.name + " discovery", duration, func(ctx context.Context, t *disturbance) error {
+		defer n.beginMissingListEvents(kind)()
+		n.silence(true)
+		sleep(ctx, t.duration)
+		n.silence(false)
+		return nil
+	}}
+}
+
+// drawOfProcess draws a disturbance of a node's process: killed, suspended, moved to another discovery server or
+// terminated.
 func (t *disturbances) drawOfProcess(n *node, duration time.Duration) disturbance {
 	place := n.name + " process"
 	switch t.rng.IntN(6) {
@@ -121,12 +132,13 @@
 	return disturbance{"end", place, 0, func(ctx context.Context, _ *disturbance) error { return n.terminate(ctx) }}
 }
 
-// suspensionTime is for how long a node may be held up.
+// suspensionTime is how long a node is suspended.
 const suspensionTime = 150 * time.Millisecond
 
-// clockSteps are by how much wall clocks are stepped.
+// clockSteps are the offsets by which wall clocks are stepped.
 var clockSteps = []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour}
 
+// drawOfClock draws a step of a node's wall clock.
 func (t *disturbances) drawOfClock(n *node, duration time.Duration) disturbance {
 	step := clockSteps[t.rng.IntN(len(clockSteps))]
 	return disturbance{"clock " + step.String(), n.name + " clock", duration, func(ctx context.Context, t *disturbance) error {
@@ -142,9 +154,10 @@
 	name         string
 	call         faultbuild.Call
 	errno        syscall.Errno
-	breaksClient bool // it may break the connection of a client
+	breaksClient bool // whether it may break the connection of a client
 }
 
+// callFaults are the faults of system calls that are drawn.
 var callFaults = []callFault{
 	{"accept ENOBUFS", faultbuild.Accept, syscall.ENOBUFS, false},
 	{"accept ENETDOWN", faultbuild.Accept, syscall.ENETDOWN, false},
@@ -168,15 +181,21 @@
 	{"write ENOBUFS", faultbuild.SocketWrite, syscall.ENOBUFS, true},
 }
 
+// isRetriedAtOnce reports whether callers retry the call immediately after the fault.
+func (f *callFault) isRetriedAtOnce() bool {
+	return f.errno == syscall.EINTR || f.errno == syscall.ECONNABORTED
+}
+
+// drawOfCalls draws a fault of a node's system calls.
 func (t *disturbances) drawOfCalls(n *node, duration time.Duration) disturbance {
 	fault := callFaults[t.rng.IntN(len(callFaults))]
 	interval := 1 + t.rng.IntN(7)
-	// A call that is repeated at once, as behind EINTR, must not fail each time.
-	if fault.breaksClient || fault.errno == syscall.EINTR || fault.errno == syscall.ECONNABORTED {
+	// A call that is retried at once must not fail each time.
+	if fault.breaksClient || fault.isRetriedAtOnce() {
 		interval = 5 + t.rng.IntN(40)
 	}
 	return disturbance{fault.name, n.name + " calls", duration, func(ctx context.Context, t *disturbance) error {
-		defer n.beginMissingListEvents(fault.name)() // a call to discovery may be what fails
+		defer n.beginMissingListEvents(fault.name)() // calls to discovery may fail too
 		if fault.breaksClient {
 			end := n.begin(fault.name)
 			defer end()
@@ -188,8 +207,8 @@
 	}}
 }
 
-// linkFaults befall the way between a node and an app server. None of them delays bytes, as the judge goes by when
-// they come.
+// linkFaults are the faults of the link between a node and an app server. None of them delays bytes, as the journal
+// judges attempts by their time of arrival.
 var linkFaults = []script.Fault{
 	{Kind: script.Cut},
 	{Kind: script.Lost},
@@ -199,8 +218,10 @@
 	{Kind: script.Reset, Direction: script.Back, Bytes: 30},
 }
 
+// drawOfLink draws a fault of the link between a node and an app server.
 func (t *disturbances) drawOfLink(n *node, s *server, duration time.Duration) disturbance {
-	fault, link := linkFaults[t.rng.IntN(len(linkFaults))], n.linkTo(s)
+	fault := linkFaults[t.rng.IntN(len(linkFaults))]
+	link := n.linkTo(s)
 	return disturbance{"link " + fault.Kind.String(), n.name + " to " + s.uid, duration, func(ctx context.Context, t *disturbance) error {
 		if err := link.Set(fault); err != nil {
 			return err
@@ -211,21 +232,26 @@
 	}}
 }
 
+// drawOfServer draws a disturbance of an app server: not listed as up, restarted or misbehaving.
 func (t *disturbances) drawOfServer(s *server, duration time.Duration) disturbance {
 	p := t.play
 	switch t.rng.IntN(4) {
 	case 0:
 		state := []string{"draining", "removed"}[t.rng.IntN(2)]
 		return disturbance{state, s.uid, 2 * duration, func(ctx context.Context, t *disturbance) error {
-			if err := p.list(s, func() error { s.setState(state, time.Now()); return nil }); err != nil {
-				return err
-			}
+			s.setState(state, time.Now())
+			p.publish(s)
 			sleep(ctx, drainGrace+t.duration)
-			return p.list(s, func() error { s.setState("up", time.Now()); return nil })
+			s.setState("up", time.Now())
+			p.publish(s)
+			return nil
 		}}
 	case 1:
 		return disturbance{"restart cold", s.uid, warmupTime / 3, func(ctx context.Context, t *disturbance) error {
-			err := p.list(s, func() error { return s.restart(time.Now()) })
+			err := s.restart(time.Now())
+			if err == nil {
+				p.publish(s)
+			}
 			sleep(ctx, t.duration)
 			return err
 		}}
@@ -239,20 +265,16 @@
 	}}
 }
 
-// list changes an app server and publishes it to all discoveries.
-func (p *play) list(s *server, change func() error) error {
-	if err := change(); err != nil {
-		return err
-	}
+// publish updates the links to an app server and its entry in all discovery servers.
+func (p *play) publish(s *server) {
 	for _, n := range p.nodes {
 		link := n.linkTo(s)
 		link.To(s.address())
 		n.publish(s)
 	}
-	return nil
 }
 
-// silence has the node's discoveries say nothing, or go on.
+// silence stops or resumes the events of the node's discovery servers.
 func (n *node) silence(silent bool) {
 	for _, d := range n.discoveries {
 		d.SetSilent(silent)
--- a/internal/trials/soak/journal.go
+++ b/internal/trials/soak/journal.go
@@ -9,37 +9,36 @@
 	"time"
 )
 
-// Slack of what is judged, for the time that a busy machine takes.
+// Tolerances of the rules.
 const (
-	lateSlack    = 500 * time.Millisecond // after a deadline, in which an answer earns nothing and is not lost
+	lateSlack    = 500 * time.Millisecond // after a deadline, within which an answer counts as late but not as lost
 	timeSlack    = 150 * time.Millisecond // of the deadline that an attempt carries, and of the grace time of a drain
-	goneSlack    = 100 * time.Millisecond // after a client's close, in which an attempt may begin
-	defaultSlack = 150 * time.Millisecond // of the judge's own clock readings
-	maxListDelay = 6 * time.Second        // after which a change counts as told whatever befell the watch (PROTOCOL)
-	maxWrong     = 40                     // that are told of one play
-
+	goneSlack    = 100 * time.Millisecond // after a client's close, within which an attempt may begin
+	defaultSlack = 150 * time.Millisecond // of the journal's own clock readings
+	maxListDelay = 6 * time.Second        // after which a node counts as notified, even if its watch is broken (PROTOCOL)
+	maxWrong     = 40                     // violations reported by a run
 )
 
-// journal notes what clients and app servers saw. It is safe for concurrent use.
+// journal records what clients and app servers observe and checks it against the rules. It is safe for concurrent use.
 type journal struct {
-	// missedListEvents tells whether a node may have learned late, between two times, what discovery lists.
+	// missedListEvents reports whether a node may have missed endpoint list events between two times.
 	missedListEvents func(node string, from, to time.Time) bool
 
 	slack time.Duration // see Options.Slack
 
 	mu        sync.Mutex
 	started   time.Time
-	requests  map[string]*request
-	keys      map[string]time.Time // when a cell first ran a key; it drops repeats within the window
+	requests  map[string]*request  // by id
+	keys      map[string]time.Time // by cell and idempotency key: when the cell first ran it; repeats within the window are dropped
 	hard      hardLimit
 	slowStart map[*server]*warmupLoad
-	errors    []string
-	excused   int
-	resent    int
-	left      int
-	attempts  int
-	effects   int
-	statuses  map[int]int
+	errors    []string    // the violations, at most maxWrong
+	excused   int         // requests without an answer that a disturbance explains
+	resent    int         // requests sent again
+	left      int         // requests whose client closed early
+	attempts  int         // attempts that reached app servers
+	effects   int         // executions by app servers
+	statuses  map[int]int // number of final answers by HTTP status
 }
 
 // request is one request of a client.
@@ -47,32 +46,32 @@
 	id       string
 	class    class
 	node     string
-	sentAt   time.Time // its last byte
+	sentAt   time.Time // when its last byte was sent; zero if it was not
 	deadline time.Time
-	leftAt   time.Time // when its client closed; zero is not
+	leftAt   time.Time // when its client closed early; zero if it did not
 	attempts []attempt
-	effects  []string
-	isCapped bool
+	effects  []string // where and when app servers ran it
+	isCapped bool     // whether it is of the plan with a hard limit
 }
 
-// attempt is one that came to an app server.
+// attempt is an attempt that reached an app server.
 type attempt struct {
 	at     time.Time
 	server string
 	mayRun bool
 }
 
-// hardLimit is a bucket that all nodes share: what all customers' requests of the capped plan drew of it.
+// hardLimit is the token bucket of the capped plan, which all nodes share.
 type hardLimit struct {
 	tokens float64
 	at     time.Time
 }
 
-// warmupLoad is what came to a server since it started cold.
+// warmupLoad is the load of a server that is warming up.
 type warmupLoad struct {
 	startedAt time.Time
-	times     []time.Time
-	reported  bool
+	times     []time.Time // when attempts arrived, within the last fallTime
+	reported  bool        // whether an overload was reported
 }
 
 func newJournal(slack time.Duration) *journal {
@@ -80,13 +79,17 @@
 		slack = defaultSlack
 	}
 	return &journal{
-		slack:   slack,
-		started: time.Now(), requests: make(map[string]*request), keys: make(map[string]time.Time),
-		slowStart: make(map[*server]*warmupLoad), statuses: make(map[int]int), hard: hardLimit{hardBurst, time.Now()},
+		slack:     slack,
+		started:   time.Now(),
+		requests:  make(map[string]*request),
+		keys:      make(map[string]time.Time),
+		slowStart: make(map[*server]*warmupLoad),
+		statuses:  make(map[int]int),
+		hard:      hardLimit{tokens: hardBurst, at: time.Now()},
 	}
 }
 
-// wrong notes a violation.
+// wrong records a violation.
 func (j *journal) wrong(format string, args ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -100,22 +103,23 @@
 	}
 }
 
-// sending notes a request right before its first byte is written, with the time that its client gives it.
+// sending records a request before its first byte is sent.
 func (j *journal) sending(r *request) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	r.sentAt = time.Time{} // it may be sent once more
+	r.sentAt = time.Time{} // reset if the request is sent again
 	j.requests[r.id] = r
 }
 
-// sent notes that the last byte of a request is written.
+// sent records that the last byte of a request was sent, from which its deadline counts.
 func (j *journal) sent(r *request, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	r.sentAt, r.deadline = at, at.Add(r.class.deadline)
+	r.sentAt = at
+	r.deadline = at.Add(r.class.deadline)
 }
 
-// leaves notes that a client is about to close.
+// leaves records that a client is about to close its connection early.
 func (j *journal) leaves(r *request) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -123,17 +127,19 @@
 	j.left++
 }
 
-// wasForwarded tells whether an app server has seen a request.
+// wasForwarded reports whether an attempt of a request has reached an app server.
 func (j *journal) wasForwarded(r *request) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return len(r.attempts) > 0
 }
 
-// attempt notes one that came to an app server at some time, with the time that it told.
+// attempt records an attempt that reached an app server, and checks it. timeLeft is the value of its deadline header;
+// mayRun is whether the server runs it.
 func (j *journal) attempt(s *server, id string, at time.Time, timeLeft string, mayRun bool) {
 	s.mu.Lock()
-	drainedAt, startedAt := s.drainedAt, s.startedAt
+	drainedAt := s.drainedAt
+	startedAt := s.startedAt
 	s.mu.Unlock()
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -143,27 +149,33 @@
 		j.addWrong("%s: an attempt of %q, which no client sent", s.uid, id)
 		return
 	}
+	j.checkAttempt(s, r, drainedAt, at, timeLeft)
+	if len(r.attempts) == 0 && r.isCapped {
+		j.draw(r, at)
+	}
+	r.attempts = append(r.attempts, attempt{at: at, server: s.uid, mayRun: mayRun})
+	j.load(s, startedAt, at)
+}
+
+// checkAttempt checks an attempt against the drain of its server, the close of its client and its deadline. The caller
+// holds mu.
+func (j *journal) checkAttempt(s *server, r *request, drainedAt, at time.Time, timeLeft string) {
 	if !drainedAt.IsZero() && at.Sub(drainedAt) > drainGrace+j.listDelay(r.node, drainedAt, at)+timeSlack+j.slack {
-		j.addWrong("%s (%s, %s): sent to %s, which drains since %v", id, r.class.name, r.node, s.uid, at.Sub(drainedAt))
+		j.addWrong("%s (%s, %s): sent to %s, which drains since %v", r.id, r.class.name, r.node, s.uid, at.Sub(drainedAt))
 	}
 	if !r.leftAt.IsZero() && at.Sub(r.leftAt) > goneSlack+j.slack {
-		j.addWrong("%s (%s, %s): an attempt at %s begins %v after its client has left", id, r.class.name, r.node, s.uid, at.Sub(r.leftAt))
+		j.addWrong("%s (%s, %s): an attempt at %s begins %v after its client has left", r.id, r.class.name, r.node, s.uid, at.Sub(r.leftAt))
 	}
 	var left float64
 	if _, err := fmt.Sscanf(timeLeft, "%fm", &left); err == nil && !r.sentAt.IsZero() {
 		reported := time.Duration(left * float64(time.Millisecond))
 		if more := reported - r.deadline.Sub(at); more > timeSlack+j.slack {
-			j.addWrong("%s (%s, %s): %s is told %v more than is left", id, r.class.name, r.node, s.uid, more)
+			j.addWrong("%s (%s, %s): %s is told %v more than is left", r.id, r.class.name, r.node, s.uid, more)
 		}
 	}
-	if len(r.attempts) == 0 && r.isCapped {
-		j.draw(r, at)
-	}
-	r.attempts = append(r.attempts, attempt{at, s.uid, mayRun})
-	j.load(s, startedAt, at)
 }
 
-// listDelay is how much later than discovery has it a change counts as told to a node.
+// listDelay returns the time after a change of the endpoint list from which a node counts as notified of it.
 func (j *journal) listDelay(node string, from, to time.Time) time.Duration {
 	if j.missedListEvents(node, from.Add(-maxListDelay), to) {
 		return maxListDelay
@@ -171,7 +183,7 @@
 	return 0
 }
 
-// draw takes a unit out of the hard limit's bucket.
+// draw draws a unit from the hard limit's bucket. The caller holds mu.
 func (j *journal) draw(r *request, at time.Time) {
 	j.hard.tokens = math.Min(hardBurst, j.hard.tokens+hardRate*at.Sub(j.hard.at).Seconds()) - 1
 	j.hard.at = at
@@ -180,7 +192,7 @@
 	}
 }
 
-// load counts a request at a cold server.
+// load records the load of a server that is warming up, and checks it. The caller holds mu.
 func (j *journal) load(s *server, startedAt, at time.Time) {
 	if startedAt.IsZero() || at.Sub(startedAt) > warmupTime {
 		return
@@ -203,7 +215,7 @@
 	}
 }
 
-// effect notes that a server runs a request, unless its cell has run its key within the window.
+// effect records that a server runs a request, unless its cell has run the idempotency key within the window.
 func (j *journal) effect(s *server, id, key string, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -225,7 +237,8 @@
 	}
 }
 
-// answered notes a final answer.
+// answered records a final answer and checks it. excuse is the disturbance that explains a failed read of the request, if
+// any.
 func (j *journal) answered(r *request, status int, body, excuse string, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -240,13 +253,13 @@
 		j.addWrong("%s (%s, %s): served and never forwarded", r.id, r.class.name, r.node)
 	case (status == 429 || status == 503) && r.class.effect == "single_shot" && len(r.effects) > 0:
 		j.addWrong("%s (%s, %s): told %d, that a repeat is harmless, and has run at %v", r.id, r.class.name, r.node, status, r.effects)
-	case (status == 400 || status == 408) && excuse != "": // reading the request has failed
+	case (status == 400 || status == 408) && excuse != "": // the node failed to read the request
 	case status != 200 && status != 429 && status < 500:
 		j.addWrong("%s (%s, %s): answered %d %q", r.id, r.class.name, r.node, status, body)
 	}
 }
 
-// unanswered notes that a request will get no answer; excuse tells what explains it, and is empty where nothing does.
+// unanswered records that a request will get no answer. It is a violation unless a disturbance, the excuse, explains it.
 func (j *journal) unanswered(r *request, excuse, why string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -257,18 +270,25 @@
 	j.addWrong("%s (%s, %s): no answer: %s; forwarded to %v", r.id, r.class.name, r.node, why, r.attempts)
 }
 
+// resend records that a request is sent again.
 func (j *journal) resend() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.resent++
 }
 
-// judge sums up.
+// judge returns the totals and violations as a report.
 func (j *journal) judge() *Report {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return &Report{
-		Requests: len(j.requests), Statuses: j.statuses, Excused: j.excused, Resent: j.resent, Left: j.left,
-		Attempts: j.attempts, Effects: j.effects, Wrong: slices.Clone(j.errors),
+		Requests: len(j.requests),
+		Statuses: j.statuses,
+		Excused:  j.excused,
+		Resent:   j.resent,
+		Left:     j.left,
+		Attempts: j.attempts,
+		Effects:  j.effects,
+		Wrong:    slices.Clone(j.errors),
 	}
 }
--- a/internal/trials/soak/journal_test.go
+++ b/internal/trials/soak/journal_test.go
@@ -16,7 +16,7 @@
 	return j, &server{journal: j, uid: "s-0"}, r
 }
 
-// journalCase is what a journal notes of a request, and how much of it is wrong.
+// journalCase is a sequence of observations of a request and the number of violations in it.
 type journalCase struct {
 	class class
 	play  func(j *journal, s *server, r *request)
@@ -90,7 +90,7 @@
 	}, 1},
 	"cold server": {readClass, func(j *journal, s *server, r *request) {
 		s.startedAt = r.sentAt
-		for i := range 80 { // of 37.5 and a slack of 12.6
+		for i := range 80 { // the limit is 37.5 and a slack of 12.6
 			one := &request{id: fmt.Sprint("c-", i), class: readClass}
 			j.sending(one)
 			j.attempt(s, one.id, r.sentAt.Add(time.Millisecond), "", true)
@@ -98,7 +98,7 @@
 	}, 1},
 }
 
-// Each rule's violation is found, and what is allowed passes.
+// The violation of each rule is found, and allowed observations pass.
 func TestJournalFindsViolations(t *testing.T) {
 	for name, tc := range journalCases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/trials/soak/node.go
+++ b/internal/trials/soak/node.go
@@ -22,7 +22,8 @@
 	"lockflow/internal/trials/faultnet/process"
 )
 
-// node is a real node with its own discovery and its own connections to the app servers.
+// node is a real node process with discovery servers and links to the app servers of its own. It is safe for concurrent
+// use, but only one of kill, terminate and move may run at a time.
 type node struct {
 	play        *play
 	index       int
@@ -31,22 +32,24 @@
 	dir         string
 	process     *process.Process
 	table       *faultbuild.Table
-	discoveries [2]*fake.Discovery // of which it follows one
+	discoveries [2]*fake.Discovery // discovery servers, of which it watches one
 	links       []*faultnet.Link   // to each app server
 
 	mu                sync.Mutex
-	following         int       // the discovery that it follows
-	endingAt          time.Time // of SIGTERM to the life that runs; zero is none
-	disturbances      []span    // in which its clients may miss an answer
-	missingListEvents []span    // in which its watch may be broken or silent
+	following         int       // index of the discovery server that it watches
+	endingAt          time.Time // when SIGTERM was sent to the running process; zero if it was not
+	disturbances      []span    // during which its clients may get no answer
+	missingListEvents []span    // during which its watch may be broken or silent
 }
 
-// span is a time with a disturbance; a zero end is none yet.
+// span is the period of a disturbance.
 type span struct {
-	from, to time.Time
-	why      string
+	from time.Time
+	to   time.Time // zero while the disturbance goes on
+	why  string    // the disturbance
 }
 
+// newNode creates a node, which start starts.
 func newNode(p *play, index int, dir string) (*node, error) {
 	n := &node{play: p, index: index, name: fmt.Sprint("n", index), dir: dir}
 	var err error
@@ -69,8 +72,9 @@
 		return nil, err
 	}
 	n.process = &process.Process{
-		Path: p.Program, Log: n.logPath(),
-		Env: []string{"NODE_CONFIG=" + n.configPath(), "NODE_LISTEN=" + n.address, "LOCKFLOW_TALLY=1", n.table.Environment()},
+		Path: p.Program,
+		Log:  n.logPath(),
+		Env:  []string{"NODE_CONFIG=" + n.configPath(), "NODE_LISTEN=" + n.address, "LOCKFLOW_TALLY=1", n.table.Environment()},
 	}
 	for _, s := range p.servers {
 		n.publish(s)
@@ -78,13 +82,13 @@
 	return n, n.writeConfiguration()
 }
 
-// Ports of nodes lie below those that the system gives to connections: a node listens at its own in all its lives.
+// The ports of nodes, below the kernel's ephemeral range, so that a restarted node can listen on its port again.
 const (
 	firstPort = 12_000
 	lastPort  = 30_000
 )
 
-// freeAddress returns an address at which nobody listens.
+// freeAddress returns a loopback address on which no process listens.
 func freeAddress() (string, error) {
 	var lastErr error
 	for range 100 {
@@ -101,6 +105,7 @@
 func (n *node) configPath() string { return filepath.Join(n.dir, "config.json") }
 func (n *node) logPath() string    { return filepath.Join(n.dir, "log") }
 
+// writeConfiguration writes the configuration file with the discovery server that the node watches.
 func (n *node) writeConfiguration() error {
 	n.mu.Lock()
 	discovery := n.discoveries[n.following].Addr()
@@ -108,11 +113,17 @@
 	return os.WriteFile(n.configPath(), configuration(n.index, n.play.Nodes, discovery), 0o600)
 }
 
-// publish updates the entry of a server in both discoveries.
+// publish updates the entry of an app server in both discovery servers.
 func (n *node) publish(s *server) {
 	s.mu.Lock()
 	entry := fake.Entry{
-		UID: s.uid, Endpoint: n.linkTo(s).Addr(), Zone: fmt.Sprint("z", s.cell%2), Model: "m", Group: s.cell, State: s.state, Capacity: 1,
+		UID:      s.uid,
+		Endpoint: n.linkTo(s).Addr(),
+		Zone:     fmt.Sprint("z", s.cell%2),
+		Model:    "m",
+		Group:    s.cell,
+		State:    s.state,
+		Capacity: 1,
 	}
 	if !s.startedAt.IsZero() {
 		entry.BootMS = float64(s.startedAt.UnixMilli())
@@ -123,6 +134,7 @@
 	}
 }
 
+// linkTo returns the link to an app server of the run.
 func (n *node) linkTo(s *server) *faultnet.Link {
 	for i := range n.play.servers {
 		if n.play.servers[i] == s {
@@ -132,6 +144,7 @@
 	panic("no such server")
 }
 
+// start starts the process.
 func (n *node) start() error {
 	n.mu.Lock()
 	n.endingAt = time.Time{}
@@ -139,7 +152,10 @@
 	return n.process.Start()
 }
 
-// awaitReady waits until the node answers its health check.
+// readyPollInterval is the interval between two health checks of a starting node.
+const readyPollInterval = 5 * time.Millisecond
+
+// awaitReady waits until the node passes its health check, for at most readyTimeout.
 func (n *node) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -159,19 +175,20 @@
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("it is not ready within %v", readyTimeout)
-		case <-time.After(5 * time.Millisecond):
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
 
-// begin notes that a disturbance begins that may cost clients an answer; end ends it.
+// begin records the begin of a disturbance that excuses missing answers, and end its end.
 func (n *node) begin(why string) (end func()) { return n.beginSpan(&n.disturbances, why) }
 
-// beginMissingListEvents notes that the node may learn late what discovery lists; end ends it.
+// beginMissingListEvents records the begin of a disturbance that may delay endpoint list events, and end its end.
 func (n *node) beginMissingListEvents(why string) (end func()) {
 	return n.beginSpan(&n.missingListEvents, why)
 }
 
+// beginSpan appends a span that begins now, and end ends it.
 func (n *node) beginSpan(spans *[]span, why string) (end func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -184,14 +201,15 @@
 	}
 }
 
-// excuse returns the disturbance that explains a request without an answer between two times; empty for none.
+// excuse returns the disturbance that explains a missing answer to a request between two times, or "".
 func (n *node) excuse(from, to time.Time) string { return n.findSpan(&n.disturbances, from, to) }
 
-// missedListEvents tells whether the node's watch may have been broken or silent between two times.
+// missedListEvents reports whether the node's watch may have been broken or silent between two times.
 func (n *node) missedListEvents(from, to time.Time) bool {
 	return n.findSpan(&n.missingListEvents, from, to) != ""
 }
 
+// findSpan returns the disturbance of the first span that overlaps the time between from and to, or "".
 func (n *node) findSpan(spans *[]span, from, to time.Time) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -203,18 +221,18 @@
 	return ""
 }
 
-// ending returns when the life that runs was told to end; zero is not.
+// ending returns when SIGTERM was sent to the running process, or zero if it was not.
 func (n *node) ending() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.endingAt
 }
 
-// newConnections is for how long after SIGTERM clients open connections (PROTOCOL).
+// newConnections is how long after SIGTERM clients still open connections (PROTOCOL).
 const newConnections = 250 * time.Millisecond
 
-// terminate ends the node in order and starts it again. A life that is still there when the platform would kill it is
-// killed; what it owes is lost.
+// terminate sends SIGTERM and starts the node again. A process that still runs when the platform would kill it is killed;
+// requests that it has not answered are lost, and count as violations.
 func (n *node) terminate(ctx context.Context) error {
 	n.mu.Lock()
 	n.endingAt = time.Now()
@@ -244,7 +262,7 @@
 	return n.restart(ctx)
 }
 
-// restart starts the node again. Nobody is owed an answer until it is ready.
+// restart starts the node again. Until it is ready, missing answers are excused.
 func (n *node) restart(ctx context.Context) error {
 	end := n.begin("starting")
 	defer end()
@@ -255,7 +273,7 @@
 	return n.awaitReady(ctx)
 }
 
-// move has the node follow its other discovery (SIGHUP).
+// move makes the node watch its other discovery server, by SIGHUP.
 func (n *node) move() error {
 	defer n.beginMissingListEvents("new discovery")()
 	n.mu.Lock()
@@ -267,6 +285,7 @@
 	return n.process.Signal(syscall.SIGHUP)
 }
 
+// injected returns the number of failed system calls.
 func (n *node) injected() (sum int) {
 	for call := faultbuild.Accept; call <= faultbuild.Open; call++ {
 		sum += n.table.Injected(call)
@@ -274,7 +293,10 @@
 	return sum
 }
 
-// finish ends the node and reads its log for what it knows of itself.
+// violationMarks are the texts of log lines that are violations.
+var violationMarks = []string{"invariant violated", "panic", "fatal error", "DATA RACE", "decision module failed"}
+
+// finish stops the node and reports the violations that it has logged.
 func (n *node) finish() {
 	if !n.process.Runs() {
 		n.play.journal.wrong("%s has ended by itself: %v", n.name, n.process.Wait())
@@ -286,12 +308,12 @@
 		n.play.journal.wrong("%s: %v", n.name, err)
 		return
 	}
-	defer file.Close() //nolint:errcheck // it was read
+	defer file.Close() //nolint:errcheck // only read
 	for lines := bufio.NewScanner(file); lines.Scan(); {
 		if n.play.Slack > 0 && strings.Contains(lines.Text(), "rule="+invariant.LateAnswer.String()) {
-			continue // the node had to wait for a processor
+			continue // the node may have waited for a processor
 		}
-		for _, mark := range []string{"invariant violated", "panic", "fatal error", "DATA RACE", "decision module failed"} {
+		for _, mark := range violationMarks {
 			if strings.Contains(lines.Text(), mark) {
 				n.play.journal.wrong("%s logs: %s", n.name, lines.Text())
 			}
@@ -299,15 +321,16 @@
 	}
 }
 
+// close kills the process and closes its discovery servers, links and fault table.
 func (n *node) close() {
-	_ = n.process.Kill() // it may have ended
+	_ = n.process.Kill() // may have exited already
 	for _, d := range n.discoveries {
 		if d != nil {
 			d.Close()
 		}
 	}
-	for _, l := range n.links {
-		_ = l.Close() // of loopback
+	for _, link := range n.links {
+		_ = link.Close() // loopback only
 	}
-	_ = n.table.Close() // shared memory
+	_ = n.table.Close() // no longer used
 }
--- a/internal/trials/soak/server.go
+++ b/internal/trials/soak/server.go
@@ -15,32 +15,33 @@
 	"lockflow/internal/protocol"
 )
 
-// behaviour is how an app server treats requests.
+// behaviour is how an app server responds to requests.
 type behaviour int32
 
 // The behaviours.
 const (
-	behaves       behaviour = iota
-	hangs                   // takes requests and never answers
-	fails                   // runs them and answers 500
-	rejects                 // answers that it has not run them
-	breaksOff               // runs them and resets the connection
-	breaksMidway            // resets it in the middle of the answer
-	hasNoLength             // answers with no length, ended by the connection's end
-	answersTwice            // a second answer comes some milliseconds late
-	closesQuickly           // closes connections soon after an answer
-	behaviours
+	behaves       behaviour = iota // runs requests and answers 200
+	hangs                          // runs requests and never answers
+	fails                          // runs requests and answers 500
+	rejects                        // answers 503, marked as not processed
+	breaksOff                      // runs requests and resets the connection
+	breaksMidway                   // resets the connection in the middle of the answer
+	hasNoLength                    // answers without a length; the end of the connection ends the body
+	answersTwice                   // sends a second answer some milliseconds after the first
+	closesQuickly                  // closes the connection shortly after the answer
+	behaviours                     // number of behaviours
 )
 
+// behaviourNames are the names of the behaviours in the list of disturbances.
 var behaviourNames = [behaviours]string{"well", "hangs", "fails", "rejects", "breaks off", "breaks midway", "no length", "answers twice", "closes quickly"}
 
-// serviceTime is how long an app server works on a request.
+// serviceTime is the time in which an app server runs a request.
 const serviceTime = 8 * time.Millisecond
 
-// capacity is how many requests a second a warm app server bears.
+// capacity is the capacity of a warm app server in requests a second.
 const capacity = 100.0
 
-// server is a stand-in for one app server, under a uid that outlasts its restarts.
+// server is a fake app server, whose uid stays the same across restarts.
 type server struct {
 	journal *journal
 	uid     string
@@ -50,9 +51,9 @@
 	mu        sync.Mutex
 	listener  net.Listener
 	http      *http.Server
-	startedAt time.Time // zero is long ago
-	state     string    // as discovery lists it
-	drainedAt time.Time // when it was listed as not up; zero is not
+	startedAt time.Time // of the last restart; zero is a warm server
+	state     string    // its state in the endpoint list
+	drainedAt time.Time // since when it is not listed as up; zero if it is
 }
 
 func newServer(j *journal, index int) (*server, error) {
@@ -60,27 +61,29 @@
 	return s, s.listen()
 }
 
-// listen begins a life of the server, at an address of its own.
+// listen starts an HTTP server on a new address.
 func (s *server) listen() error {
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		return fmt.Errorf("an app server: %w", err)
 	}
-	life := &http.Server{Handler: http.HandlerFunc(s.serve), ReadHeaderTimeout: time.Minute, IdleTimeout: keepAlive}
+	httpServer := &http.Server{Handler: http.HandlerFunc(s.serve), ReadHeaderTimeout: time.Minute, IdleTimeout: keepAlive}
 	s.mu.Lock()
-	s.listener, s.http = l, life
+	s.listener = l
+	s.http = httpServer
 	s.mu.Unlock()
-	go life.Serve(l) //nolint:errcheck // ends with close
+	go httpServer.Serve(l) //nolint:errcheck // returns an error after close
 	return nil
 }
 
+// close closes the listener and all connections.
 func (s *server) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.http.Close()
 }
 
-// restart ends the server with all its connections and begins it anew, cold.
+// restart closes the server with all its connections and starts it again, warming up.
 func (s *server) restart(now time.Time) error {
 	s.close()
 	if err := s.listen(); err != nil {
@@ -88,34 +91,39 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.startedAt, s.state, s.drainedAt = now, "up", time.Time{}
+	s.startedAt = now
+	s.state = "up"
+	s.drainedAt = time.Time{}
 	return nil
 }
 
-// setState lists the server as up or not.
+// setState sets the server's state in the endpoint list; publish makes it known.
 func (s *server) setState(state string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.state, s.drainedAt = state, time.Time{}
+	s.state = state
+	s.drainedAt = time.Time{}
 	if state != "up" {
 		s.drainedAt = now
 	}
 }
 
+// address returns the address on which the server listens.
 func (s *server) address() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.listener.Addr().String()
 }
 
-// serve takes one request: the node's attempt has come whole with the end of its body.
+// serve handles one attempt, which counts once its body has been read completely.
 func (s *server) serve(w http.ResponseWriter, r *http.Request) {
 	headAt := time.Now()
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
-		return // it did not come whole
+		return // the attempt is incomplete
 	}
 	how := behaviour(s.how.Load())
-	id, key := r.Header.Get(protocol.HeaderID), r.Header.Get(protocol.HeaderIdempotencyKey)
+	id := r.Header.Get(protocol.HeaderID)
+	key := r.Header.Get(protocol.HeaderIdempotencyKey)
 	if how == rejects {
 		s.journal.attempt(s, id, headAt, r.Header.Get(protocol.HeaderTimeLeft), false)
 		w.Header().Set(protocol.HeaderUnprocessed, "1")
@@ -132,7 +140,7 @@
 	s.answer(w, how, id)
 }
 
-// answer answers a request that has run.
+// answer answers a request that was run.
 func (s *server) answer(w http.ResponseWriter, how behaviour, id string) {
 	body := answerTo(id, s.uid)
 	switch how {
@@ -152,7 +160,7 @@
 	}
 }
 
-// answerRaw writes an answer that net/http would not.
+// answerRaw writes an answer that net/http can't produce.
 func (s *server) answerRaw(conn net.Conn, how behaviour, body string) {
 	head := "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n"
 	switch how {
@@ -171,9 +179,9 @@
 		_, _ = io.WriteString(conn, head+body)
 		time.Sleep(serviceTime)
 		_, _ = io.WriteString(conn, strings.Replace(head+body, " 200 OK", " 200 Twice", 1))
-		time.Sleep(100 * time.Millisecond) // the node may take it for the next request's
+		time.Sleep(100 * time.Millisecond) // the node may mistake it for the answer to the next request
 	}
 }
 
-// answerTo is the body of the answer of a server to a request.
+// answerTo returns the body of a server's answer to a request.
 func answerTo(id, uid string) string { return "done " + id + " by " + uid }
--- a/internal/trials/soak/settings.go
+++ b/internal/trials/soak/settings.go
@@ -5,13 +5,16 @@
 	"time"
 )
 
-// class is a class of requests as the nodes' settings name it.
+// class is a class of requests, in the words of the nodes' settings.
 type class struct {
-	name, effect, scope string
-	deadline, window    time.Duration
+	name     string
+	effect   string // "free", "guarded" or "single_shot"
+	scope    string // of idempotency keys: "cell" or "all"
+	deadline time.Duration
+	window   time.Duration // within which an idempotency key protects a request
 }
 
-// The classes: one that may be repeated at will, one with a key, and one that may not be repeated.
+// The classes of requests: idempotent, idempotent with a key, and not idempotent.
 var (
 	readClass           = class{name: "read", effect: "free", scope: "all", deadline: 600 * time.Millisecond, window: time.Second}
 	idempotencyKeyClass = class{name: "keyed", effect: "guarded", scope: "cell", deadline: 900 * time.Millisecond, window: 2 * time.Second}
@@ -19,25 +22,26 @@
 	classes             = []class{readClass, idempotencyKeyClass, notIdempotentClass}
 )
 
-// Terms of the settings that the judge needs.
+// Terms of the settings by which the journal judges.
 const (
 	longestDeadline = 900 * time.Millisecond
-	killDelay       = longestDeadline + 700*time.Millisecond // from SIGTERM to SIGKILL at the soonest (PROTOCOL)
+	killDelay       = longestDeadline + 700*time.Millisecond // minimum time from SIGTERM to SIGKILL (PROTOCOL)
 	drainGrace      = time.Second
 	warmupTime      = 6 * time.Second
-	initialCapacity = 0.15
-	fallTime        = time.Second
-	fallMultiple    = 2.5
+	initialCapacity = 0.15        // fraction of a warm server's capacity
+	fallTime        = time.Second // over which the load of a warming-up server is measured
+	fallMultiple    = 2.5         // of its capacity, above which a warming-up server is overloaded
 	keepAlive       = 4 * time.Second
 	hardRate        = 40.0 // units a second of one customer over all nodes
-	hardBurst       = 60.0
-	hardSlack       = 10.0
+	hardBurst       = 60.0 // units
+	hardSlack       = 10.0 // units
 	cells           = 3
 )
 
+// milliseconds converts a duration to the unit of the settings.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// settings are those of node number index of a group, as PROTOCOL and DEPLOY give them.
+// settings returns the settings of a node by its index in a group of nodes, in the form of PROTOCOL and DEPLOY.
 func settings(index, group int) map[string]any {
 	var classList []map[string]any
 	for _, c := range classes {
@@ -69,7 +73,7 @@
 	}
 }
 
-// configuration is the file of a node, with the discovery that it follows.
+// configuration returns the configuration file of a node; discovery is the address of its discovery server.
 func configuration(index, group int, discovery string) []byte {
 	raw, err := json.Marshal(map[string]any{
 		"name": "n", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d27a5be964",
@@ -78,7 +82,7 @@
 		"settings": settings(index, group),
 	})
 	if err != nil {
-		panic(err) // of values of this file alone
+		panic(err) // impossible: all values can be marshaled
 	}
 	return raw
 }
--- a/internal/trials/soak/soak.go
+++ b/internal/trials/soak/soak.go
@@ -1,11 +1,11 @@
-// Package soak plays disturbances that overlap in time with real processes of the platform's node, over real sockets, and
-// judges what comes of it by the rules that hold under any of them. Nodes are built by package faultbuild, so that their
-// system calls fail and their wall clocks are stepped while they run; they are told to end, killed, held up and moved to
-// another discovery; their app servers drain, restart cold, hang, fail and break off; their connections to these are cut;
-// their discovery is silent; and their clients leave early, stop in the middle and send when a connection is closed.
+// Package soak runs real node processes over real sockets under faults that overlap in time, and checks the rules that
+// hold under any of them. Nodes are built by package faultbuild, so that their system calls fail and their wall clocks
+// are stepped while they run. They are terminated, killed, suspended and moved to another discovery server; their app
+// servers drain, restart, hang, fail and reset connections; the links to these are cut; discovery goes silent; and
+// clients close early, send incomplete requests and reuse connections that are being closed.
 //
-// All that is judged was seen from outside, by clients and app servers, or stands in a node's own count of broken
-// invariants (package invariant). It is used by tests and measurements only.
+// The checks use only what clients and app servers observe, and the violations that a node logs itself (package
+// invariant). The package is used by tests and measurements only.
 package soak
 
 import (
@@ -18,45 +18,44 @@
 	"time"
 )
 
-// Options say what is played.
+// Options are the parameters of a run.
 type Options struct {
-	Program      string // built by faultbuild.Build; absolute
-	Dir          string // for the nodes' files; it exists and is empty
-	Nodes        int
-	Servers      int
-	Clients      int // of each node
-	Disturbances int // that begin in each second
-	Duration     time.Duration
+	Program      string        // absolute path of a program built by faultbuild.Build
+	Dir          string        // existing empty directory for the nodes' files
+	Nodes        int           // number of nodes
+	Servers      int           // number of app servers
+	Clients      int           // number of clients of each node
+	Disturbances int           // mean number drawn in a second
+	Duration     time.Duration // during which disturbances begin
 	Seed         uint64
-	// Slack is what the judge adds to each time limit for its own clock readings, and the time that a process waits for a
-	// processor on a busy machine; 0 is 150 ms, with which the nodes' own word of late answers counts too.
+	// Slack is added to each time limit that is checked, for inexact clock readings and for the time that a process waits
+	// for a processor on a busy machine. 0 is 150 ms; only then do late answers that the nodes log count as violations.
 	Slack time.Duration
 }
 
-// Report is what came of one play.
+// Report is the result of a run.
 type Report struct {
 	Seed            uint64         `json:"seed"`
 	Requests        int            `json:"requests"`
-	Statuses        map[int]int    `json:"statuses"` // of final answers
-	Excused         int            `json:"excused"`  // without an answer, as a disturbance of the node or the client itself explains
-	Resent          int            `json:"resent"`   // on a new connection, as the one before was closed between requests
-	Left            int            `json:"left"`     // by their clients
-	Attempts        int            `json:"attempts"` // that came to app servers
-	Effects         int            `json:"effects"`
-	Disturbances    map[string]int `json:"disturbances"` // by kind
-	Injected        int            `json:"injected"`     // system calls that were made to fail
-	Starts          int            `json:"starts"`       // of nodes
-	Wrong           []string       `json:"wrong"`
-	DisturbanceList []string       `json:"-"`
+	Statuses        map[int]int    `json:"statuses"`     // number of final answers by HTTP status
+	Excused         int            `json:"excused"`      // requests without an answer that a disturbance of their node explains
+	Resent          int            `json:"resent"`       // requests sent again because their connection was closed between requests
+	Left            int            `json:"left"`         // requests whose client closed early
+	Attempts        int            `json:"attempts"`     // attempts that reached app servers
+	Effects         int            `json:"effects"`      // executions by app servers
+	Disturbances    map[string]int `json:"disturbances"` // number by kind
+	Injected        int            `json:"injected"`     // failed system calls
+	Starts          int            `json:"starts"`       // of node processes
+	Wrong           []string       `json:"wrong"`        // violations of the rules
+	DisturbanceList []string       `json:"-"`            // a line for each disturbance, in order of begin
 }
 
-// Bounds of what a play waits for.
 const (
-	readyTimeout = 30 * time.Second // of a node
-	calmTime     = time.Second      // without disturbances, before and after them
+	readyTimeout = 30 * time.Second // from a node's start to a successful health check
+	calmTime     = time.Second      // without disturbances at the begin and the end of a run
 )
 
-// play is one run.
+// play is the state of a run.
 type play struct {
 	Options
 	journal      *journal
@@ -66,7 +65,7 @@
 	tasks        sync.WaitGroup
 }
 
-// Run plays one seed. The error is of what could not be played; what went wrong in it is in the report.
+// Run runs one seed. It returns an error if the run could not start or was cancelled; violations are in the report.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	p := &play{Options: o, journal: newJournal(o.Slack)}
 	p.journal.missedListEvents = p.missedListEvents
@@ -98,7 +97,7 @@
 	return p.report(), ctx.Err()
 }
 
-// start starts app servers and nodes, and waits until all nodes are ready.
+// start starts the app servers and nodes, and waits until all nodes are ready.
 func (p *play) start(ctx context.Context) error {
 	for i := range p.Servers {
 		s, err := newServer(p.journal, i)
@@ -131,7 +130,7 @@
 	return nil
 }
 
-// missedListEvents tells whether the watch of a node may have been broken or silent between two times.
+// missedListEvents reports whether a node may have missed endpoint list events between two times.
 func (p *play) missedListEvents(name string, from, to time.Time) bool {
 	for _, n := range p.nodes {
 		if n.name == name {
@@ -141,6 +140,7 @@
 	return false
 }
 
+// close kills the nodes and closes the app servers.
 func (p *play) close() {
 	for _, n := range p.nodes {
 		n.close()
@@ -150,9 +150,12 @@
 	}
 }
 
+// report returns the results, once all tasks have ended.
 func (p *play) report() *Report {
 	r := p.journal.judge()
-	r.Seed, r.Disturbances, r.DisturbanceList = p.Seed, p.disturbances.counts, p.disturbances.list
+	r.Seed = p.Seed
+	r.Disturbances = p.disturbances.counts
+	r.DisturbanceList = p.disturbances.list
 	for _, n := range p.nodes {
 		r.Injected += n.injected()
 		r.Starts += n.process.Starts()
@@ -160,7 +163,7 @@
 	return r
 }
 
-// sleep waits for a time, or until ctx ends.
+// sleep waits for a duration or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/trials/soak/soak_test.go
+++ b/internal/trials/soak/soak_test.go
@@ -10,11 +10,11 @@
 	"lockflow/internal/trials/faultnet/faultbuild"
 )
 
-// busySlack is for a machine on which all other tests run beside: what the short form finds is what no wait for a processor
-// explains. lockflow measure soak judges more sharply.
+// busySlack is for a machine that runs all other tests concurrently, so that a violation found here can't be explained by
+// a wait for a processor. lockflow measure soak uses a smaller slack.
 const busySlack = 3 * time.Second
 
-// Overlapping disturbances break no rule. LOCKFLOW_SOAK_SEED plays another seed; lockflow measure soak plays many, longer.
+// Overlapping disturbances break no rule. LOCKFLOW_SOAK_SEED runs another seed; lockflow measure soak runs many, longer.
 func TestOverlappingDisturbancesBreakNoRule(t *testing.T) {
 	seed := uint64(1)
 	if text := os.Getenv("LOCKFLOW_SOAK_SEED"); text != "" {
