--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -1,5 +1,5 @@
-// Package accept keeps listeners accepting through the errors of accept(2). Such an error is that of one
-// connection, or of a shortage that passes: only a closed listener has ended.
+// Package accept retries accept(2) after errors. Such an error concerns one connection or a temporary shortage of
+// resources, so that only a closed listener ends the loop.
 package accept
 
 import (
@@ -13,14 +13,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bounds of the backoff between two calls that fail. The first is next to nothing, as the error may be that of
-// one connection, behind which others wait; the last is far below a request's deadline.
+// The bounds of the backoff after a failed call. The minimum is short, as the error may concern only one connection
+// while others are queued; the maximum is far below a request's deadline.
 const (
 	minBackoff = time.Millisecond
 	maxBackoff = 100 * time.Millisecond
 )
 
-// Purpose is what a listener is for, as metrics name it.
+// Purpose is the purpose of a listener, as a label of metrics.
 type Purpose string
 
 // The purposes of the process's listeners.
@@ -30,7 +30,7 @@
 	Metrics Purpose = "metrics"
 )
 
-// Listener accepts connections until it is closed. Accept and Close may be called concurrently.
+// Listener is a net.Listener that retries failed accepts until it is closed. It is safe for concurrent use.
 type Listener struct {
 	net.Listener
 	purpose   Purpose
@@ -39,14 +39,14 @@
 	closeOnce sync.Once
 }
 
-// Persistently wraps a listener so that Accept fails only once the listener is closed (net.ErrClosed), or with a
-// timeout where a deadline was set.
+// Persistently wraps a listener so that Accept fails only with net.ErrClosed once the listener is closed, or with a
+// timeout if a deadline was set.
 func Persistently(l net.Listener, purpose Purpose) *Listener {
 	return &Listener{Listener: l, purpose: purpose, closed: make(chan struct{})}
 }
 
-// Accept returns the next connection. After any error but the end of the listener and a timeout it logs and
-// counts the error and calls accept again, after a backoff that doubles.
+// Accept returns the next connection. It logs and counts errors other than the close of the listener and a timeout,
+// and retries after an exponential backoff.
 func (l *Listener) Accept() (net.Conn, error) {
 	backoff := minBackoff
 	for {
@@ -66,17 +66,17 @@
 	}
 }
 
-// Backlog tells for how long connections may have waited. Whoever takes the connections unblocks it.
+// Backlog returns the record of the time during which accepts failed. The caller of Accept has to call its Unblock.
 func (l *Listener) Backlog() *Backlog { return &l.backlog }
 
-// Close closes the listener and ends an Accept that waits.
+// Close closes the listener and interrupts the backoff of Accept.
 func (l *Listener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
-// isFinal reports whether an error is not one of accept(2): the listener is closed, or its deadline has passed.
-// A connection's own ETIMEDOUT, which calls itself a timeout too, is none.
+// isFinal reports whether the listener is closed or its deadline has passed, so that Accept must not be retried.
+// A connection's ETIMEDOUT is not final, although its Timeout method returns true too.
 func isFinal(err error) bool {
 	if errors.Is(err, net.ErrClosed) {
 		return true
@@ -86,7 +86,7 @@
 	return !errors.As(err, &errno) && errors.As(err, &netError) && netError.Timeout()
 }
 
-// errnoName is the name of an error of the system, such as ENOBUFS; "other" for any other error.
+// errnoName returns the name of a system error, such as ENOBUFS, or "other" for any other error.
 func errnoName(err error) string {
 	var errno syscall.Errno
 	if errors.As(err, &errno) {
--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// scriptedListener fails with one error after another, then until it is closed with the last one.
+// scriptedListener returns its errors in turn, and the last one repeatedly until it is closed.
 type scriptedListener struct {
 	net.Listener
 	mu     sync.Mutex
--- a/internal/accept/backlog.go
+++ b/internal/accept/backlog.go
@@ -5,21 +5,24 @@
 	"time"
 )
 
-// Backlog tells for how long connections may have waited in a socket's queue before they were accepted. Its zero value
-// is ready; it is safe for concurrent use.
+// Backlog records when connections were not accepted, and so may have waited in the socket's queue. The zero value is
+// ready to use. It is safe for concurrent use.
 type Backlog struct {
 	mu      sync.Mutex
 	blocked Period
 }
 
-// maxQueueTime is for how long a queue is accepted behind a time in which nothing was.
+// maxQueueTime is the assumed maximum time in which the connections queued while blocked are accepted.
 const maxQueueTime = time.Second
 
-// Period is a time from From to To. The zero one is none.
-type Period struct{ From, To time.Time }
+// Period is the time from From to To. The zero value is no period.
+type Period struct {
+	From time.Time
+	To   time.Time
+}
 
-// Block notes that connections are not accepted from now on, for want of a descriptor or as accept fails. Further calls
-// before Unblock change nothing.
+// Block records that no connections are accepted from now on, for lack of descriptors or because accept fails. Further
+// calls before Unblock have no effect.
 func (b *Backlog) Block() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -28,7 +31,7 @@
 	}
 }
 
-// Unblock notes that a connection was accepted. Without a Block before it, it changes nothing.
+// Unblock records that a connection was accepted. Without a preceding Block it has no effect.
 func (b *Backlog) Unblock() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -37,8 +40,8 @@
 	}
 }
 
-// QueuedDuring returns the time during which a connection that is accepted now may have waited: the latest in which none
-// was, as long as the queue that came of it may not be empty yet.
+// QueuedDuring returns the period during which a connection that is accepted now may have been queued: the last period
+// without accepts, as long as connections queued in it may remain. It returns the zero Period if there is none.
 func (b *Backlog) QueuedDuring() Period {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/accept/failures.go
+++ b/internal/accept/failures.go
@@ -5,21 +5,23 @@
 	"sync"
 )
 
-// failure is one kind of failed accept.
+// failure is a kind of failed accept.
 type failure struct {
 	purpose Purpose
 	errno   string
 }
 
-// failureCounts counts failures. Their kinds are bounded by the purposes and the system's errors.
+// failureCounts counts failures by kind. The number of kinds is bounded by the purposes and the system's errors. It is
+// safe for concurrent use.
 type failureCounts struct {
 	mu     sync.Mutex
 	counts map[failure]uint64
 }
 
-// failures are those of the process.
+// failures are the counts of this process.
 var failures failureCounts
 
+// add counts a failure.
 func (f *failureCounts) add(kind failure) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -29,14 +31,15 @@
 	f.counts[kind]++
 }
 
+// snapshot returns a copy of the counts.
 func (f *failureCounts) snapshot() map[failure]uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return maps.Clone(f.counts)
 }
 
-// EachFailure calls f with how often accept has failed in this process, by what the listener is for and the
-// error's name. It is safe for concurrent use.
+// EachFailure calls f for each kind of failure with the number of failed accepts in this process, by the listener's
+// purpose and the error's name. It is safe for concurrent use.
 func EachFailure(f func(purpose Purpose, errno string, count uint64)) {
 	for kind, count := range failures.snapshot() {
 		f(kind.purpose, kind.errno, count)
--- a/internal/loglimit/logs.go
+++ b/internal/loglimit/logs.go
@@ -1,5 +1,5 @@
-// Package loglimit keeps lines that somebody else can cause, a client above all, from filling the
-// log: of each text only so many a second are written, and the next one tells how many were not.
+// Package loglimit rate-limits log lines, so that clients can't fill the log with lines that they
+// cause. The next line of a limited text carries the number of suppressed ones.
 package loglimit
 
 import (
@@ -12,79 +12,84 @@
 )
 
 const (
-	perSecond = 1  // lines of one text, once the burst is used up
-	burst     = 20 // lines of one text at once
-	maxTexts  = 512
+	perSecond = 1   // lines of one text, once the burst is used up
+	burst     = 20  // lines of one text at once
+	maxTexts  = 512 // texts with a limiter
 )
 
-// Suppressed is the key under which a line tells how many of its text were left out before it.
+// Suppressed is the key of the number of lines with the same text that were suppressed before a line.
 const Suppressed = "suppressed"
 
 // Limit wraps a handler so that of each text (level and message) at most a burst of 20 lines and
-// then one a second pass; debug lines pass all, since somebody has asked for them. It is safe
-// for concurrent use. It keeps 512 texts at most: texts are the program's own, not a client's;
-// beyond that number it forgets all and begins anew.
+// then one a second pass. Debug lines are not limited, as an operator has enabled them. The handler
+// is safe for concurrent use. It has limiters for at most 512 texts and discards all of them beyond
+// that number; texts are constants of the program, so this is not expected.
 func Limit(h slog.Handler) slog.Handler {
-	return &limited{Handler: h, texts: &texts{of: make(map[string]*text)}}
+	return &limited{Handler: h, texts: &texts{byKey: make(map[string]*text)}}
 }
 
+// limited is a handler that shares its limiters with the handlers derived from it.
 type limited struct {
 	slog.Handler
 	texts *texts
 }
 
+// texts are the limiters by level and message. It is safe for concurrent use.
 type texts struct {
-	mu sync.Mutex
-	of map[string]*text
+	mu    sync.Mutex
+	byKey map[string]*text
 }
 
+// text is the limiter of one text.
 type text struct {
-	limit *rate.Limiter
-	left  int64 // out since the last one that passed
+	limit      *rate.Limiter
+	suppressed int64 // lines since the last one that passed
 }
 
-// pass tells whether a line may be written at a time, and how many of its text were left out.
-func (t *texts) pass(key string, at time.Time) (left int64, ok bool) {
+// pass reports whether a line of a text may be written at a time, and if so, how many lines of the
+// text were suppressed before it.
+func (t *texts) pass(key string, at time.Time) (suppressed int64, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	one := t.of[key]
-	if one == nil {
-		if len(t.of) >= maxTexts {
-			clear(t.of)
+	entry := t.byKey[key]
+	if entry == nil {
+		if len(t.byKey) >= maxTexts {
+			clear(t.byKey)
 		}
-		one = &text{limit: rate.NewLimiter(perSecond, burst)}
-		t.of[key] = one
+		entry = &text{limit: rate.NewLimiter(perSecond, burst)}
+		t.byKey[key] = entry
 	}
-	if !one.limit.AllowN(at, 1) {
-		one.left++
+	if !entry.limit.AllowN(at, 1) {
+		entry.suppressed++
 		return 0, false
 	}
-	left, one.left = one.left, 0
-	return left, true
+	suppressed = entry.suppressed
+	entry.suppressed = 0
+	return suppressed, true
 }
 
-// Handle writes a line, or counts it as left out.
+// Handle writes a line, or suppresses and counts it.
 func (l *limited) Handle(ctx context.Context, r slog.Record) error {
 	if r.Level < slog.LevelInfo {
 		return l.Handler.Handle(ctx, r)
 	}
-	left, ok := l.texts.pass(r.Level.String()+r.Message, r.Time)
+	suppressed, ok := l.texts.pass(r.Level.String()+r.Message, r.Time)
 	if !ok {
 		return nil
 	}
-	if left > 0 {
+	if suppressed > 0 {
 		r = r.Clone()
-		r.AddAttrs(slog.Int64(Suppressed, left))
+		r.AddAttrs(slog.Int64(Suppressed, suppressed))
 	}
 	return l.Handler.Handle(ctx, r)
 }
 
-// WithAttrs is Limit of a handler with further attributes; both count together.
+// WithAttrs returns a handler with additional attributes that shares the limiters.
 func (l *limited) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &limited{l.Handler.WithAttrs(attrs), l.texts}
+	return &limited{Handler: l.Handler.WithAttrs(attrs), texts: l.texts}
 }
 
-// WithGroup is Limit of a handler with a group; both count together.
+// WithGroup returns a handler with a group that shares the limiters.
 func (l *limited) WithGroup(name string) slog.Handler {
-	return &limited{l.Handler.WithGroup(name), l.texts}
+	return &limited{Handler: l.Handler.WithGroup(name), texts: l.texts}
 }
--- a/internal/loglimit/logs_test.go
+++ b/internal/loglimit/logs_test.go
@@ -20,7 +20,7 @@
 		if n := len(lines()); n != burst {
 			t.Errorf("%d lines of a flood, not %d", n, burst)
 		}
-		log.Error("bad client") // of another level: another text
+		log.Error("bad client") // another level is another text
 		log.Info("other")
 		if n := len(lines()); n != burst+2 {
 			t.Errorf("a flood keeps others out: %d lines", n)
@@ -41,7 +41,7 @@
 		for i := range 3 * maxTexts {
 			log.Info(strings.Repeat("x", i))
 		}
-		if n := len(log.Handler().(*limited).texts.of); n > maxTexts {
+		if n := len(log.Handler().(*limited).texts.byKey); n > maxTexts {
 			t.Errorf("%d texts are kept", n)
 		}
 	})
--- a/internal/simulation/vtime/vtime.go
+++ b/internal/simulation/vtime/vtime.go
@@ -1,4 +1,4 @@
-// Package vtime plays what is due in the order of its time, with no clock: simulations run on it.
+// Package vtime is a discrete-event scheduler with virtual time, on which simulations run.
 package vtime
 
 import (
@@ -6,50 +6,55 @@
 	"time"
 )
 
-// Clock holds what is due. Its zero value is at time 0 with nothing due. It is not safe for
-// concurrent use.
+// Clock is a virtual clock with a queue of scheduled events. The zero value is at time 0 without
+// events. It is not safe for concurrent use.
 type Clock struct {
 	now   time.Duration
-	seq   uint64
+	seq   uint64 // number of events scheduled so far
 	queue queue
 }
 
-// Now is the time of what is being played.
+// Now returns the virtual time: that of the event that runs or ran last.
 func (c *Clock) Now() time.Duration { return c.now }
 
-// At has something done at a time; what is due before now is due now. Of what is due at the same
-// time the first that was told is done first.
+// At schedules an event at a time, or now if that time has passed. Events of the same time run in
+// the order in which they were scheduled.
 func (c *Clock) At(t time.Duration, do func()) {
 	c.seq++
-	heap.Push(&c.queue, happening{max(t, c.now), c.seq, do})
+	heap.Push(&c.queue, event{at: max(t, c.now), seq: c.seq, do: do})
 }
 
-// After has something done so much later.
+// After schedules an event after a duration.
 func (c *Clock) After(d time.Duration, do func()) { c.At(c.now+d, do) }
 
-// Run plays all that is due up to a time.
+// Run runs all events up to and including a time, also those that they schedule.
 func (c *Clock) Run(until time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].at <= until {
-		h := heap.Pop(&c.queue).(happening)
-		c.now = h.at
-		h.do()
+		next := heap.Pop(&c.queue).(event)
+		c.now = next.at
+		next.do()
 	}
 }
 
-type happening struct {
+// event is a scheduled event.
+type event struct {
 	at  time.Duration
-	seq uint64
+	seq uint64 // orders events of the same time
 	do  func()
 }
 
-type queue []happening
+// queue is a heap of events by time, then by sequence number.
+type queue []event
 
 func (q queue) Len() int { return len(q) }
 func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
+	if q[i].at != q[j].at {
+		return q[i].at < q[j].at
+	}
+	return q[i].seq < q[j].seq
 }
 func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(happening)) }
+func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
 func (q *queue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
--- a/internal/simulation/vtime/vtime_test.go
+++ b/internal/simulation/vtime/vtime_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Everything is played once, at its time, in order; what is due late or beyond the end is not lost
-// or played early.
+// Each event runs once, at its time and in order; events that are late or after the end are neither
+// lost nor run early.
 func TestOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c Clock
