--- a/internal/simulation/fleetrules/rules.go
+++ b/internal/simulation/fleetrules/rules.go
@@ -1,7 +1,7 @@
-// Package fleetrules checks the actions of a complete fleet against the five rules: one final answer each, in
-// time; no effect twice; draining servers get nothing new; warming-up servers are not overloaded; hard limits
-// are kept. It is passed what arrived, what was sent and how it ended, and is independent of how nodes decide.
-// A Checker is not safe for concurrent use, and its calls are in the order of their times.
+// Package fleetrules checks the actions of a complete fleet against the five rules: one final answer for each
+// request, in time; no duplicate effects; no new attempts to draining servers; no overload of warming-up servers;
+// hard limits are kept. Its input is the requests that arrived, their attempts and their results, whichever way nodes
+// decide. A Checker is not safe for concurrent use, and must be called in the order of the events' times.
 package fleetrules
 
 import (
@@ -17,51 +17,52 @@
 // Rule is one of the five rules.
 type Rule string
 
-// The rules. The values are what reports carry: "cold" is a server that is warming up, "ceiling" a hard limit.
+// The rules. Their values are the names in reports, where "cold" is a warming-up server and "ceiling" a hard limit.
 const (
 	Answer    Rule = "answer"  // one final answer for each request, in time
-	Twice     Rule = "twice"   // no effect of a request twice
+	Twice     Rule = "twice"   // no duplicate effects of a request
 	Drain     Rule = "drain"   // no attempt to a server that is draining or gone
 	WarmingUp Rule = "cold"    // no overload of a server that is warming up
 	HardLimit Rule = "ceiling" // no customer above its hard limit
 )
 
-// notifiedFraction is the fraction of the work sent to a warming-up server that has to be from nodes notified of
-// its start for an overload to be a breach.
+// notifiedFraction is the fraction of a warming-up server's work that must come from nodes notified of its start for
+// an overload to be a breach.
 const notifiedFraction = 2.0 / 3
 
-// maxBreaches is how many breaches a Checker stores; further ones are only counted.
+// maxBreaches is the maximum number of breaches that a Checker stores; further ones are only counted.
 const maxBreaches = 100
 
 // Terms are the tolerances of the rules.
 type Terms struct {
-	AnswerGrace      time.Duration // after a client's deadline, in which an answer is in time
-	DrainGrace       time.Duration // after a node was notified
+	AnswerGrace      time.Duration // after a client's deadline, within which an answer is still in time
+	DrainGrace       time.Duration // after a node was notified of a drain, within which it may still send
 	OverloadWindow   time.Duration // over which the work of a warming-up server is summed
-	OverloadMultiple float64       // of its capacity at that moment, above which it is overloaded
+	OverloadMultiple float64       // of a warming-up server's current capacity, above which it is overloaded
 	MeanWork         float64       // of a request, in seconds of a core; 0 allows no random deviation
 }
 
 // Breach is one violation of a rule.
 type Breach struct {
 	Rule   Rule          `json:"rule"`
-	At     time.Duration `json:"at_ns"`
+	At     time.Duration `json:"at_ns"`            // since the begin of the day
 	Node   int           `json:"node"`             // -1 is the complete fleet
-	ID     string        `json:"id,omitempty"`     // of the request
+	ID     string        `json:"id,omitempty"`     // of the request; "" is none
 	Server uint32        `json:"server,omitempty"` // 0 is none
-	What   string        `json:"what"`
+	What   string        `json:"what"`             // a description
 }
 
+// String returns the breach as one line.
 func (b Breach) String() string {
 	return fmt.Sprintf("%s at %.3f s, node %d, request %q, server %d: %s", b.Rule, b.At.Seconds(), b.Node, b.ID, b.Server, b.What)
 }
 
-// Server is what the checker needs of a server.
+// Server describes a server to a Checker.
 type Server struct {
 	Zone string
 	Cell int
 	// Capacity returns the capacity at a time, in seconds of a core a second, and whether the server is warming
-	// up then. Nil is a warm server.
+	// up at that time. Nil is a warm server.
 	Capacity func(at time.Duration) (work float64, warmingUp bool)
 }
 
@@ -69,64 +70,74 @@
 type Checker struct {
 	Terms Terms
 
-	servers           map[uint32]*server
-	requests          map[string]*request
-	notifications     map[int]map[uint32]time.Duration // by node: when it was notified that a server is draining or gone
-	hardLimits        map[string]*hardLimitBucket
+	servers           map[uint32]*server               // by id
+	requests          map[string]*request              // by id
+	notifications     map[int]map[uint32]time.Duration // by node and server: when it was notified that the server is draining or gone
+	hardLimits        map[string]*hardLimitBucket      // by customer
 	counts            map[Rule]int
 	breaches          []Breach
 	maxWarmUpOverload float64
 }
 
+// server is the state of a server since its last start.
 type server struct {
 	Server
-	work         []work // within the overload window, while warming up
-	totalWork    float64
-	notifiedWork float64 // from nodes that were notified of its start
-	isOverloaded bool
+	work         []work  // within the overload window, while warming up
+	totalWork    float64 // sum of work, in seconds of a core
+	notifiedWork float64 // part of totalWork from nodes that were notified of the server's start
+	isOverloaded bool    // whether it was overloaded since its start
 }
 
+// work is the work of one attempt.
 type work struct {
 	at       time.Duration
-	seconds  float64
-	notified bool
+	seconds  float64 // of a core
+	notified bool    // whether its node was notified of the server's start
 }
 
+// request is the state of a request.
 type request struct {
 	node        int
 	class       *control.Class
 	deadline    time.Duration
 	answered    bool
-	excused     bool // needs no answer: its client is gone, or its node was killed
-	inFlight    int  // attempts that have arrived completely and not ended
-	mayRun      bool
+	excused     bool          // needs no answer: its client is gone, or its node was killed
+	inFlight    int           // attempts sent and not ended
+	mayRun      bool          // whether an attempt that has ended may have run
 	firstServer Server        // of the first attempt that may have run
 	firstSentAt time.Duration // of that attempt
 }
 
+// hardLimitBucket is the token bucket of a customer's hard limit, as all nodes share it.
 type hardLimitBucket struct {
 	tokens float64
-	at     time.Duration
+	at     time.Duration // when tokens was computed
 }
 
 // New returns a Checker.
 func New(t Terms) *Checker {
 	return &Checker{
-		Terms: t, servers: map[uint32]*server{}, requests: map[string]*request{},
-		notifications: map[int]map[uint32]time.Duration{}, hardLimits: map[string]*hardLimitBucket{}, counts: map[Rule]int{},
+		Terms:         t,
+		servers:       map[uint32]*server{},
+		requests:      map[string]*request{},
+		notifications: map[int]map[uint32]time.Duration{},
+		hardLimits:    map[string]*hardLimitBucket{},
+		counts:        map[Rule]int{},
 	}
 }
 
+// breach counts a breach, and stores it unless maxBreaches are stored.
 func (c *Checker) breach(b Breach) {
-	if c.counts[b.Rule]++; len(c.breaches) < maxBreaches {
+	c.counts[b.Rule]++
+	if len(c.breaches) < maxBreaches {
 		c.breaches = append(c.breaches, b)
 	}
 }
 
-// Broken returns the number of breaches by rule; it has no entry for a rule without any.
+// Broken returns the number of breaches by rule; rules without breaches have no entry.
 func (c *Checker) Broken() map[Rule]int { return c.counts }
 
-// Breaches returns the first breaches, by time.
+// Breaches returns the stored breaches, at most 100, sorted by time.
 func (c *Checker) Breaches() []Breach {
 	slices.SortFunc(c.breaches, func(a, b Breach) int {
 		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Rule, b.Rule), cmp.Compare(a.ID, b.ID))
@@ -140,31 +151,35 @@
 // Started records that a server has started or restarted.
 func (c *Checker) Started(id uint32, s Server) { c.servers[id] = &server{Server: s} }
 
-// Notified records that a node was notified, or counts as notified, that a server is draining or gone, or with
-// up that it is available.
+// Notified records that a node was notified, or counts as notified, that a server is available (up), or that it is
+// draining or gone.
 func (c *Checker) Notified(at time.Duration, node int, id uint32, up bool) {
-	m := c.notifications[node]
-	if m == nil {
-		m = map[uint32]time.Duration{}
-		c.notifications[node] = m
+	notifiedAt := c.notifications[node]
+	if notifiedAt == nil {
+		notifiedAt = map[uint32]time.Duration{}
+		c.notifications[node] = notifiedAt
 	}
-	if _, is := m[id]; up {
-		delete(m, id)
-	} else if !is {
-		m[id] = at
+	if up {
+		delete(notifiedAt, id)
+		return
+	}
+	if _, isNotified := notifiedAt[id]; !isNotified {
+		notifiedAt[id] = at
 	}
 }
 
-// Taken records a request that has arrived at a node, of a client that waits for ttl.
+// Taken records a request that has arrived at a node and whose client waits for ttl.
 func (c *Checker) Taken(at time.Duration, node int, id string, class *control.Class, ttl time.Duration) {
 	c.requests[id] = &request{node: node, class: class, deadline: at + ttl}
 }
 
-// Sent records an attempt when it is sent. first tells that it is the request's first, which is charged to the
-// customer's hard limit.
+// Sent records an attempt that a node sends. The first attempt of a request is charged to the customer's hard limit.
 func (c *Checker) Sent(at time.Duration, node int, id string, to uint32, first bool, plan *control.Plan, customer string, units float64) {
 	if notifiedAt, ok := c.notifications[node][to]; ok && at > notifiedAt+c.Terms.DrainGrace {
-		c.breach(Breach{Drain, at, node, id, to, fmt.Sprintf("sent %.2f s after it was told that the server drains or is gone", (at - notifiedAt).Seconds())})
+		c.breach(Breach{
+			Rule: Drain, At: at, Node: node, ID: id, Server: to,
+			What: fmt.Sprintf("sent %.2f s after it was told that the server drains or is gone", (at - notifiedAt).Seconds()),
+		})
 	}
 	if r := c.requests[id]; r != nil {
 		c.checkRetry(at, node, id, to, r)
@@ -175,31 +190,45 @@
 	}
 }
 
-// checkRetry checks an attempt against those before it.
+// checkRetry checks an attempt against the previous ones of its request.
 func (c *Checker) checkRetry(at time.Duration, node int, id string, to uint32, r *request) {
-	bad := func(what string) { c.breach(Breach{Twice, at, node, id, to, what}) }
+	report := func(what string) {
+		c.breach(Breach{Rule: Twice, At: at, Node: node, ID: id, Server: to, What: what})
+	}
 	if r.answered {
-		bad("sent after its final answer")
+		report("sent after its final answer")
 	}
 	if r.inFlight > 0 {
-		bad("sent while an attempt is out")
+		report("sent while an attempt is out")
 	}
 	if !r.mayRun {
 		return
 	}
-	s := c.servers[to]
-	switch k := r.class; {
-	case k.Idempotency == control.NotIdempotent:
-		bad("sent again after an attempt that may have run")
-	case k.Idempotency != control.IdempotentWithKey || s == nil:
-	case at > r.firstSentAt+k.RepeatWindow:
-		bad(fmt.Sprintf("repeated %.2f s after the first that may have run", (at - r.firstSentAt).Seconds()))
-	case k.KeyScope == control.ScopeCell && s.Cell != r.firstServer.Cell, k.KeyScope == control.ScopeZone && s.Zone != r.firstServer.Zone:
-		bad("repeated at a server of another group")
+	target := c.servers[to]
+	switch class := r.class; {
+	case class.Idempotency == control.NotIdempotent:
+		report("sent again after an attempt that may have run")
+	case class.Idempotency != control.IdempotentWithKey || target == nil:
+	case at > r.firstSentAt+class.RepeatWindow:
+		report(fmt.Sprintf("repeated %.2f s after the first that may have run", (at - r.firstSentAt).Seconds()))
+	case !sharesKeys(class.KeyScope, &target.Server, &r.firstServer):
+		report("repeated at a server of another group")
+	}
+}
+
+// sharesKeys reports whether two servers recognize each other's idempotency keys of a scope.
+func sharesKeys(scope control.KeyScope, a, b *Server) bool {
+	switch scope {
+	case control.ScopeCell:
+		return a.Cell == b.Cell
+	case control.ScopeZone:
+		return a.Zone == b.Zone
+	default:
+		return true
 	}
 }
 
-// Ended records the end of an attempt that was sent at a time, and whether the request may have run.
+// Ended records the end of an attempt that was sent at a time, and whether the server may have run it.
 func (c *Checker) Ended(id string, sent time.Duration, to uint32, mayRun bool) {
 	r := c.requests[id]
 	if r == nil {
@@ -207,11 +236,13 @@
 	}
 	r.inFlight--
 	if s := c.servers[to]; mayRun && !r.mayRun && s != nil {
-		r.mayRun, r.firstSentAt, r.firstServer = true, sent, s.Server
+		r.mayRun = true
+		r.firstSentAt = sent
+		r.firstServer = s.Server
 	}
 }
 
-// Answered records a final answer; refused tells the client that it may retry.
+// Answered records a final answer. refused is whether the answer lets the client retry.
 func (c *Checker) Answered(at time.Duration, node int, id string, refused bool) {
 	r := c.requests[id]
 	if r == nil {
@@ -219,102 +250,127 @@
 	}
 	switch {
 	case r.answered:
-		c.breach(Breach{Answer, at, node, id, 0, "answered twice"})
+		c.breach(Breach{Rule: Answer, At: at, Node: node, ID: id, What: "answered twice"})
 	case !r.excused && at > r.deadline+c.Terms.AnswerGrace:
-		c.breach(Breach{Answer, at, node, id, 0, fmt.Sprintf("answered %.3f s past its client's time", (at - r.deadline).Seconds())})
+		c.breach(Breach{
+			Rule: Answer, At: at, Node: node, ID: id,
+			What: fmt.Sprintf("answered %.3f s past its client's time", (at - r.deadline).Seconds()),
+		})
 	}
-	k := r.class
-	if refused && k.Idempotency != control.Idempotent && (r.mayRun || r.inFlight > 0) && !(k.Idempotency == control.IdempotentWithKey && k.KeyScope == control.ScopeAll) {
-		c.breach(Breach{Twice, at, node, id, 0, "refused, as if trying again were harmless, though it may have run"})
+	mayHaveRun := r.mayRun || r.inFlight > 0
+	if refused && mayHaveRun && !isRetryHarmless(r.class) {
+		c.breach(Breach{Rule: Twice, At: at, Node: node, ID: id, What: "refused, as if trying again were harmless, though it may have run"})
 	}
 	r.answered = true
 }
 
-// Left records that a request's client is gone, so that it needs no answer.
+// isRetryHarmless reports whether clients may retry requests of a class that may have run.
+func isRetryHarmless(class *control.Class) bool {
+	if class.Idempotency == control.IdempotentWithKey {
+		return class.KeyScope == control.ScopeAll
+	}
+	return class.Idempotency == control.Idempotent
+}
+
+// Left records that the client of a request has closed its connection, so that the request needs no answer.
 func (c *Checker) Left(id string) {
 	if r := c.requests[id]; r != nil {
 		r.excused = true
 	}
 }
 
-// Killed records that a node was killed without warning or, with owed, that it has ended by itself, which it may
-// only after it has answered all requests.
+// Killed records that a node has ended. owed is whether it ended by itself, which it may do only after it has answered
+// all requests; otherwise it was killed without warning.
 func (c *Checker) Killed(at time.Duration, node int, owed bool) {
 	for id, r := range c.requests {
 		if r.node != node || r.answered || r.excused {
 			continue
 		}
-		if r.excused = true; owed {
-			c.breach(Breach{Answer, at, node, id, 0, "its instance ended without an answer"})
+		r.excused = true
+		if owed {
+			c.breach(Breach{Rule: Answer, At: at, Node: node, ID: id, What: "its instance ended without an answer"})
 		}
 	}
 	delete(c.notifications, node)
 }
 
-// Arrived records work that has arrived at a server, rejected or not. notified tells whether its node was
-// notified of the server's start. s is in seconds of a core.
-func (c *Checker) Arrived(at time.Duration, id uint32, s float64, notified bool) {
-	v := c.servers[id]
-	if v == nil || v.Capacity == nil {
+// wholeFleet is the node of a breach that the nodes caused together.
+const wholeFleet = -1
+
+// Arrived records work that has arrived at a server, rejected or not, in seconds of a core. notified is whether the
+// node that sent it was notified of the server's start.
+func (c *Checker) Arrived(at time.Duration, id uint32, seconds float64, notified bool) {
+	s := c.servers[id]
+	if s == nil || s.Capacity == nil {
 		return
 	}
-	can, warmingUp := v.Capacity(at)
+	capacity, warmingUp := s.Capacity(at)
 	if !warmingUp {
-		v.work, v.totalWork, v.notifiedWork = nil, 0, 0
+		s.work = nil
+		s.totalWork = 0
+		s.notifiedWork = 0
 		return
 	}
-	v.work = append(v.work, work{at, s, notified})
-	v.add(s, notified)
-	for v.work[0].at <= at-c.Terms.OverloadWindow {
-		v.add(-v.work[0].seconds, v.work[0].notified)
-		v.work = v.work[1:]
+	s.work = append(s.work, work{at: at, seconds: seconds, notified: notified})
+	s.add(seconds, notified)
+	for s.work[0].at <= at-c.Terms.OverloadWindow {
+		s.add(-s.work[0].seconds, s.work[0].notified)
+		s.work = s.work[1:]
 	}
-	limit := c.Terms.warmUpLimit(can)
-	c.maxWarmUpOverload = math.Max(c.maxWarmUpOverload, v.totalWork/limit)
-	if v.totalWork <= limit || v.isOverloaded {
+	limit := c.Terms.warmUpLimit(capacity)
+	c.maxWarmUpOverload = math.Max(c.maxWarmUpOverload, s.totalWork/limit)
+	if s.totalWork <= limit || s.isOverloaded {
 		return
 	}
-	v.isOverloaded = true // only the first overload counts, whichever nodes caused it
-	if v.notifiedWork > notifiedFraction*v.totalWork {
-		c.breach(Breach{WarmingUp, at, -1, "", id, fmt.Sprintf("sent %.1f times what it can do at that moment", v.totalWork/(can*c.Terms.OverloadWindow.Seconds()))})
+	s.isOverloaded = true // only the first overload counts, whichever nodes caused it
+	if s.notifiedWork > notifiedFraction*s.totalWork {
+		c.breach(Breach{
+			Rule: WarmingUp, At: at, Node: wholeFleet, Server: id,
+			What: fmt.Sprintf("sent %.1f times what it can do at that moment", s.totalWork/(capacity*c.Terms.OverloadWindow.Seconds())),
+		})
 	}
 }
 
-// warmUpLimit returns the work above which a warming-up server is overloaded: a multiple of its capacity, and
-// for N requests of mean work a random deviation of 2*sqrt(N)+2 requests.
-func (t *Terms) warmUpLimit(can float64) float64 {
-	work := t.OverloadMultiple * can * t.OverloadWindow.Seconds()
+// warmUpLimit returns the work, in seconds of a core, above which a warming-up server is overloaded: a multiple of its
+// capacity, plus a random deviation of 2*sqrt(N)+2 requests, where N is the number of requests of mean work in it.
+func (t *Terms) warmUpLimit(capacity float64) float64 {
+	work := t.OverloadMultiple * capacity * t.OverloadWindow.Seconds()
 	if t.MeanWork <= 0 {
 		return work
 	}
 	return work + t.MeanWork*(2*math.Sqrt(work/t.MeanWork)+2)
 }
 
+// add adds work to the sums, or removes it if it is negative.
 func (s *server) add(work float64, notified bool) {
-	if s.totalWork += work; notified {
+	s.totalWork += work
+	if notified {
 		s.notifiedWork += work
 	}
 }
 
 // chargeHardLimit charges a request to its customer's hard limit, which all nodes share.
 func (c *Checker) chargeHardLimit(at time.Duration, node int, id string, p *control.Plan, customer string, units float64) {
-	q := c.hardLimits[customer]
-	if q == nil {
-		q = &hardLimitBucket{tokens: p.HardLimitBurst, at: at}
-		c.hardLimits[customer] = q
+	bucket := c.hardLimits[customer]
+	if bucket == nil {
+		bucket = &hardLimitBucket{tokens: p.HardLimitBurst, at: at}
+		c.hardLimits[customer] = bucket
 	}
-	q.tokens = math.Min(p.HardLimitBurst, q.tokens+(at-q.at).Seconds()*p.HardLimitRate) - units
-	q.at = at
-	if q.tokens < -p.HardLimitSlack {
-		c.breach(Breach{HardLimit, at, node, id, 0, fmt.Sprintf("customer %s is %.1f units beyond its ceiling", customer, -q.tokens)})
+	bucket.tokens = math.Min(p.HardLimitBurst, bucket.tokens+(at-bucket.at).Seconds()*p.HardLimitRate) - units
+	bucket.at = at
+	if bucket.tokens < -p.HardLimitSlack {
+		c.breach(Breach{
+			Rule: HardLimit, At: at, Node: node, ID: id,
+			What: fmt.Sprintf("customer %s is %.1f units beyond its ceiling", customer, -bucket.tokens),
+		})
 	}
 }
 
-// Close records the end of the day: requests that are overdue then were never answered.
+// Close records the end of the day. Requests without an answer whose deadline has passed are breaches.
 func (c *Checker) Close(at time.Duration) {
 	for id, r := range c.requests {
 		if !r.answered && !r.excused && at > r.deadline+c.Terms.AnswerGrace {
-			c.breach(Breach{Answer, at, r.node, id, 0, "never answered"})
+			c.breach(Breach{Rule: Answer, At: at, Node: r.node, ID: id, What: "never answered"})
 		}
 	}
 }
--- a/internal/simulation/fleetrules/rules_test.go
+++ b/internal/simulation/fleetrules/rules_test.go
@@ -10,7 +10,7 @@
 
 const s = time.Second
 
-// What the histories below are made of.
+// The classes and plans of the histories below.
 var (
 	readClass  = &control.Class{Name: "read", Idempotency: control.Idempotent}
 	onceClass  = &control.Class{Name: "once", Idempotency: control.NotIdempotent}
@@ -27,7 +27,7 @@
 
 func cold(time.Duration) (float64, bool) { return 1, true }
 
-// histories are what happens, by name, and the rule that it breaks; "" is none.
+// histories are sequences of events by name, with the rule that each breaks; "" is none.
 var histories = map[string]struct {
 	want Rule
 	does func(c *Checker)
@@ -123,7 +123,7 @@
 		c.Arrived(0, 9, 4, true)
 		c.Arrived(s, 9, 4, false)
 	}},
-	"cold, by chance": {"", func(c *Checker) { // N is 8: 8 + 2 root 8 + 2 requests of 1.25 s make 19.6 s
+	"cold, by chance": {"", func(c *Checker) { // N is 8, so the limit is 8 + 2*sqrt(8) + 2 requests of 1.25 s: 19.6 s
 		c.Terms.MeanWork, c.Terms.OverloadMultiple = 1.25, 5
 		c.Started(9, Server{Capacity: cold})
 		c.Arrived(0, 9, 19.5, true)
