--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -147,3 +147,24 @@
 	}
 	return imported
 }
+
+// TestPagesHaveNoConflictMarkers holds that no merge left its markers in a page.
+func TestPagesHaveNoConflictMarkers(t *testing.T) {
+	marker := regexp.MustCompile(`(?m)^(<<<<<<<|=======|>>>>>>>)( |$)`)
+	pages := 0
+	for _, pattern := range []string{"../*.md", "*.md", "*/*.md"} {
+		names, err := filepath.Glob(pattern)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, name := range names {
+			pages++
+			if found := marker.FindString(readPage(t, name)); found != "" {
+				t.Errorf("%s has a line that begins with %q", name, found)
+			}
+		}
+	}
+	if pages < 30 {
+		t.Fatalf("only %d pages are found", pages)
+	}
+}
