--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -65,7 +65,8 @@
 func TestAcceptGoesOnAfterErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		errs := []error{syscall.ENETDOWN, syscall.ETIMEDOUT, syscall.ENOBUFS, errors.New("of no number"), nil}
-		inner, before := &scriptedListener{errs: errs}, counted()
+		inner := &scriptedListener{errs: errs}
+		before := counted()
 		conn, err := Persistently(inner, Metrics).Accept()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/simulation/fleetrules/rules.go
+++ b/internal/simulation/fleetrules/rules.go
@@ -294,8 +294,8 @@
 	delete(c.notifications, node)
 }
 
-// wholeFleet is the node of a breach that the nodes caused together.
-const wholeFleet = -1
+// completeFleet is the node of a breach that the nodes caused together.
+const completeFleet = -1
 
 // Arrived records work that has arrived at a server, rejected or not, in seconds of a core. notified is whether the
 // node that sent it was notified of the server's start.
@@ -325,7 +325,7 @@
 	s.isOverloaded = true // only the first overload counts, whichever nodes caused it
 	if s.notifiedWork > notifiedFraction*s.totalWork {
 		c.breach(Breach{
-			Rule: WarmingUp, At: at, Node: wholeFleet, Server: id,
+			Rule: WarmingUp, At: at, Node: completeFleet, Server: id,
 			What: fmt.Sprintf("sent %.1f times what it can do at that moment", s.totalWork/(capacity*c.Terms.OverloadWindow.Seconds())),
 		})
 	}
--- a/internal/simulation/fleetrules/rules_test.go
+++ b/internal/simulation/fleetrules/rules_test.go
@@ -124,12 +124,14 @@
 		c.Arrived(s, 9, 4, false)
 	}},
 	"cold, by chance": {"", func(c *Checker) { // N is 8, so the limit is 8 + 2*sqrt(8) + 2 requests of 1.25 s: 19.6 s
-		c.Terms.MeanWork, c.Terms.OverloadMultiple = 1.25, 5
+		c.Terms.MeanWork = 1.25
+		c.Terms.OverloadMultiple = 5
 		c.Started(9, Server{Capacity: cold})
 		c.Arrived(0, 9, 19.5, true)
 	}},
 	"cold, beyond chance": {WarmingUp, func(c *Checker) {
-		c.Terms.MeanWork, c.Terms.OverloadMultiple = 1.25, 5
+		c.Terms.MeanWork = 1.25
+		c.Terms.OverloadMultiple = 5
 		c.Started(9, Server{Capacity: cold})
 		c.Arrived(0, 9, 19.6, true)
 	}},
--- a/internal/simulation/vtime/vtime_test.go
+++ b/internal/simulation/vtime/vtime_test.go
@@ -13,11 +13,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var c Clock
 		var played []time.Duration
-		told, until := 0, time.Duration(rapid.IntRange(0, 100).Draw(t, "until"))
+		scheduled := 0
+		until := time.Duration(rapid.IntRange(0, 100).Draw(t, "until"))
 		var add func(depth int)
 		add = func(depth int) {
 			at := time.Duration(rapid.IntRange(0, 120).Draw(t, "at"))
-			told++
+			scheduled++
 			c.At(at, func() {
 				if c.Now() < at {
 					t.Fatalf("due at %v, played at %v", at, c.Now())
@@ -41,8 +42,8 @@
 			t.Fatal("played beyond the end")
 		}
 		c.Run(time.Hour)
-		if len(played) != told {
-			t.Fatalf("%d played of %d", len(played), told)
+		if len(played) != scheduled {
+			t.Fatalf("%d played of %d", len(played), scheduled)
 		}
 	})
 }
--- a/internal/trials/soak/disturbances.go
+++ b/internal/trials/soak/disturbances.go
@@ -181,8 +181,8 @@
 	{"write ENOBUFS", faultbuild.SocketWrite, syscall.ENOBUFS, true},
 }
 
-// isRetriedAtOnce reports whether callers retry the call immediately after the fault.
-func (f *callFault) isRetriedAtOnce() bool {
+// isRetriedImmediately reports whether callers retry the call immediately after the fault.
+func (f *callFault) isRetriedImmediately() bool {
 	return f.errno == syscall.EINTR || f.errno == syscall.ECONNABORTED
 }
 
@@ -190,8 +190,8 @@
 func (t *disturbances) drawOfCalls(n *node, duration time.Duration) disturbance {
 	fault := callFaults[t.rng.IntN(len(callFaults))]
 	interval := 1 + t.rng.IntN(7)
-	// A call that is retried at once must not fail each time.
-	if fault.breaksClient || fault.isRetriedAtOnce() {
+	// A call that is retried immediately must not fail each time.
+	if fault.breaksClient || fault.isRetriedImmediately() {
 		interval = 5 + t.rng.IntN(40)
 	}
 	return disturbance{fault.name, n.name + " calls", duration, func(ctx context.Context, t *disturbance) error {
