--- a/internal/trials/faultnet/link/conn.go
+++ b/internal/trials/faultnet/link/conn.go
@@ -11,13 +11,13 @@
 
 // conn is one proxied connection: the accepted client side and the dialed server side.
 type conn struct {
-	link *Link
-	from net.Conn
-	to   net.Conn      // valid once up is closed; nil if the dial failed
-	up   chan struct{} // closed when the dial has succeeded or failed
-	over chan struct{} // closed when the connection ends
+	link   *Link
+	client net.Conn
+	server net.Conn      // valid once dialed is closed; nil if the dial failed
+	dialed chan struct{} // closed when the dial has succeeded or failed
+	done   chan struct{} // closed when the connection ends
 
-	mu    sync.Mutex // guards ended, and to until up is closed
+	mu    sync.Mutex // guards ended, and server until dialed is closed
 	ended bool
 }
 
@@ -36,8 +36,8 @@
 		return
 	}
 	c.ended = true
-	close(c.over)
-	for _, side := range []net.Conn{c.from, c.to} {
+	close(c.done)
+	for _, side := range []net.Conn{c.client, c.server} {
 		if side == nil {
 			continue
 		}
@@ -58,17 +58,17 @@
 func (c *conn) run() {
 	defer c.end(false)
 	var both sync.WaitGroup
-	queues := [2]chan piece{make(chan piece, buffered), make(chan piece, buffered)}
-	both.Go(func() { c.read(c.from, queues[0]) })
+	queues := [2]chan piece{make(chan piece, maxQueuedChunks), make(chan piece, maxQueuedChunks)}
+	both.Go(func() { c.read(c.client, queues[0]) })
 	both.Go(func() {
 		if !c.dial() {
-			close(c.up)
+			close(c.dialed)
 			return
 		}
-		close(c.up)
-		both.Go(func() { c.read(c.to, queues[1]) })
-		both.Go(func() { c.write(0, c.to, queues[0]) })
-		c.write(1, c.from, queues[1])
+		close(c.dialed)
+		both.Go(func() { c.read(c.server, queues[1]) })
+		both.Go(func() { c.write(0, c.server, queues[0]) })
+		c.write(1, c.client, queues[1])
 	})
 	both.Wait()
 }
@@ -83,15 +83,15 @@
 		}
 		select {
 		case <-r.changed:
-		case <-c.over:
+		case <-c.done:
 			return false
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), dialTime)
+	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	go func() {
 		select {
-		case <-c.over:
+		case <-c.done:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -109,19 +109,19 @@
 		to.Close()
 		return false
 	}
-	c.to = to
+	c.server = to
 	return true
 }
 
 // read queues what it reads from one side. The channel's capacity bounds the bytes in flight.
 func (c *conn) read(from net.Conn, to chan<- piece) {
 	for {
-		data := make([]byte, chunk)
+		data := make([]byte, chunkBytes)
 		n, err := from.Read(data)
 		p := piece{data: data[:n], at: time.Now(), end: err}
 		select {
 		case to <- p:
-		case <-c.over:
+		case <-c.done:
 			return
 		}
 		if err != nil {
@@ -133,11 +133,11 @@
 // writer delivers one direction of a connection.
 type writer struct {
 	*conn
-	direction int // 0 is from client to server, 1 from server to client
-	to        net.Conn
-	of        *rules // the rules last applied
-	passed    int    // bytes delivered since the current reset rule took effect
-	lost      bool   // bytes were dropped, so that later bytes can't be delivered any more
+	direction  int // 0 is from client to server, 1 from server to client
+	to         net.Conn
+	applied    *rules // the rules last applied
+	delivered  int    // bytes delivered since the current reset rule took effect
+	hasDropped bool   // bytes were dropped, so that later bytes can't be delivered any more
 }
 
 // write delivers the queued bytes of one direction according to the rules in force, then closes
@@ -148,7 +148,7 @@
 		var p piece
 		select {
 		case p = <-from:
-		case <-c.over:
+		case <-c.done:
 			return
 		}
 		if !w.pass(&p) {
@@ -170,18 +170,18 @@
 		}
 		w.follow(r)
 		rule := &r.directions[w.direction]
-		if w.direction == 1 && len(p.data) > 0 && (r.lost || r.blackhole) && !w.lost {
+		if w.direction == 1 && len(p.data) > 0 && (r.lost || r.blackhole) && !w.hasDropped {
 			w.lose(len(p.data))
 			if r.lost {
 				w.reset()
 				return false
 			}
-			w.lost = true
+			w.hasDropped = true
 			return true
 		}
-		if rule.cut || w.lost {
+		if rule.cut || w.hasDropped {
 			// A cut drops the end of a direction as it drops its bytes.
-			w.lost = true
+			w.hasDropped = true
 			w.lose(len(p.data))
 			return true
 		}
@@ -197,18 +197,18 @@
 
 // follow applies the current rules. The byte count of a reset goes on if that rule is unchanged.
 func (w *writer) follow(r *rules) {
-	if r == w.of {
+	if r == w.applied {
 		return
 	}
-	if w.of == nil || !r.directions[w.direction].sameReset(&w.of.directions[w.direction]) {
-		w.passed = 0
+	if w.applied == nil || !r.directions[w.direction].sameReset(&w.applied.directions[w.direction]) {
+		w.delivered = 0
 	}
-	w.of = r
+	w.applied = r
 }
 
 // sameReset reports whether both rules reset a connection after the same number of bytes.
 func (w *directionRules) sameReset(other *directionRules) bool {
-	return w.reset && other.reset && w.after == other.after
+	return w.reset && other.reset && w.resetAfter == other.resetAfter
 }
 
 // writeSome writes as much of a piece as the rule allows at once. It returns false once the
@@ -216,10 +216,10 @@
 func (w *writer) writeSome(p *piece, r *rules, rule *directionRules) bool {
 	n := len(p.data)
 	if rule.limit != nil {
-		n = min(n, burst)
+		n = min(n, burstBytes)
 	}
 	if rule.reset {
-		n = min(n, rule.after-w.passed)
+		n = min(n, rule.resetAfter-w.delivered)
 	}
 	if rule.limit != nil && n > 0 && !w.wait(r, rule, n) {
 		return true // the rules have changed
@@ -230,10 +230,10 @@
 			return false
 		}
 		p.data = p.data[n:]
-		w.passed += n
+		w.delivered += n
 		w.count(n)
 	}
-	if rule.reset && w.passed >= rule.after {
+	if rule.reset && w.delivered >= rule.resetAfter {
 		w.reset()
 		return false
 	}
@@ -253,7 +253,7 @@
 
 // finish passes the end of a direction on: a half-close for io.EOF, a reset for any other error.
 func (w *writer) finish(end error) {
-	if w.lost {
+	if w.hasDropped {
 		// After a loss a TCP stack would retransmit until the fault is over.
 		w.healed()
 		w.end(true)
@@ -275,7 +275,7 @@
 		}
 		select {
 		case <-r.changed:
-		case <-c.over:
+		case <-c.done:
 			return
 		}
 	}
@@ -303,7 +303,7 @@
 		select {
 		case <-after:
 		case <-r.changed:
-		case <-c.over:
+		case <-c.done:
 			return nil, false
 		}
 	}
@@ -319,7 +319,7 @@
 	case <-timer.C:
 		return true
 	case <-r.changed:
-	case <-c.over:
+	case <-c.done:
 	}
 	reservation.Cancel()
 	return false
--- a/internal/trials/faultnet/link/link.go
+++ b/internal/trials/faultnet/link/link.go
@@ -21,10 +21,10 @@
 // Link is a proxy that forwards its connections to another address. Its methods are safe for
 // concurrent use.
 type Link struct {
-	to   string // target address
-	addr string // listening address
-	dir  string // directory of a Unix socket; "" for TCP
-	hold int    // descriptor of the socket that reserves the TCP port; -1 is none
+	targetAddr   string // target address
+	addr         string // listening address
+	socketDir    string // directory of a Unix socket; "" for TCP
+	reservedPort int    // descriptor of the socket that reserves the TCP port; -1 is none
 
 	mu       sync.Mutex
 	listener net.Listener // nil while connections are refused
@@ -56,33 +56,33 @@
 
 // directionRules are the rules of one direction.
 type directionRules struct {
-	cut   bool
-	hold  bool
-	delay time.Duration
-	limit *rate.Limiter // bytes a second, shared by all connections; nil is unlimited
-	reset bool
-	after int // bytes delivered before a reset
+	cut        bool
+	hold       bool
+	delay      time.Duration
+	limit      *rate.Limiter // bytes a second, shared by all connections; nil is unlimited
+	reset      bool
+	resetAfter int // bytes delivered before a reset
 }
 
 const (
-	burst            = 64       // bytes a rate-limited direction delivers at once
-	chunk            = 16 << 10 // bytes read at once
-	buffered         = 16       // chunks queued in one direction
-	dialTime         = 5 * time.Second
+	burstBytes       = 64       // bytes a rate-limited direction delivers at once
+	chunkBytes       = 16 << 10 // bytes read at once
+	maxQueuedChunks  = 16       // chunks queued in one direction
+	dialTimeout      = 5 * time.Second
 	acceptRetryDelay = 10 * time.Millisecond
 )
 
 // Listen starts a link to an address: host:port, or the path of a Unix socket, which contains a
 // slash. The target may start later than the link.
 func Listen(to string) (*Link, error) {
-	l := &Link{to: to, hold: -1, rules: &rules{changed: make(chan struct{})}, conns: make(map[*conn]bool)}
+	l := &Link{targetAddr: to, reservedPort: -1, rules: &rules{changed: make(chan struct{})}, conns: make(map[*conn]bool)}
 	var err error
 	if l.unix() {
-		if l.dir, err = os.MkdirTemp("", "lf"); err == nil {
-			l.addr = filepath.Join(l.dir, "s")
+		if l.socketDir, err = os.MkdirTemp("", "lf"); err == nil {
+			l.addr = filepath.Join(l.socketDir, "s")
 		}
 	} else {
-		l.hold, l.addr, err = holdPort()
+		l.reservedPort, l.addr, err = reservePort()
 	}
 	if err == nil {
 		err = l.open()
@@ -94,7 +94,7 @@
 	return l, nil
 }
 
-func (l *Link) unix() bool { return strings.Contains(l.to, "/") }
+func (l *Link) unix() bool { return strings.Contains(l.targetAddr, "/") }
 
 // Addr returns the address at which the link listens; it never changes.
 func (l *Link) Addr() string { return l.addr }
@@ -104,7 +104,7 @@
 func (l *Link) To(to string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.to = to
+	l.targetAddr = to
 }
 
 // Counts returns the link's totals.
@@ -188,12 +188,12 @@
 		w.delay += f.Delay
 	case script.Slow:
 		if w.limit == nil || rate.Limit(f.Rate) < w.limit.Limit() {
-			w.limit = rate.NewLimiter(rate.Limit(f.Rate), burst)
+			w.limit = rate.NewLimiter(rate.Limit(f.Rate), burstBytes)
 		}
 	case script.Reset:
-		if !w.reset || f.Bytes < w.after {
+		if !w.reset || f.Bytes < w.resetAfter {
 			w.reset = true
-			w.after = f.Bytes
+			w.resetAfter = f.Bytes
 		}
 	}
 }
@@ -222,12 +222,12 @@
 	}
 	l.mu.Unlock()
 	l.all.Wait()
-	if l.hold >= 0 {
-		err = errors.Join(err, closePort(l.hold))
-		l.hold = -1
+	if l.reservedPort >= 0 {
+		err = errors.Join(err, releasePort(l.reservedPort))
+		l.reservedPort = -1
 	}
-	if l.dir != "" {
-		err = errors.Join(err, os.RemoveAll(l.dir))
+	if l.socketDir != "" {
+		err = errors.Join(err, os.RemoveAll(l.socketDir))
 	}
 	return err
 }
@@ -270,7 +270,7 @@
 		return
 	}
 	l.counts.Conns++
-	c := &conn{link: l, from: from, over: make(chan struct{}), up: make(chan struct{})}
+	c := &conn{link: l, client: from, done: make(chan struct{}), dialed: make(chan struct{})}
 	l.conns[c] = true
 	l.all.Go(func() {
 		c.run()
@@ -292,7 +292,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.unix() {
-		return "unix", l.to
+		return "unix", l.targetAddr
 	}
-	return "tcp", l.to
+	return "tcp", l.targetAddr
 }
--- a/internal/trials/faultnet/link/link_test.go
+++ b/internal/trials/faultnet/link/link_test.go
@@ -164,8 +164,8 @@
 			t.Errorf("%q, %v", b, err)
 		}
 		none := "127.0.0.1:1"
-		if r.dir != "" {
-			none = r.dir + "/none"
+		if r.socketDir != "" {
+			none = r.socketDir + "/none"
 		}
 		r.To(none)
 		if c, err := r.dial(); err == nil { // otherwise the reset arrived during the dial
@@ -249,7 +249,7 @@
 func TestBreaks(t *testing.T) {
 	each(t, func(t *testing.T, r *rig) {
 		want := "reset"
-		if r.dir != "" { // Unix sockets have no reset
+		if r.socketDir != "" { // Unix sockets have no reset
 			want = "eof"
 		}
 		for _, f := range []struct {
--- a/internal/trials/faultnet/link/port.go
+++ b/internal/trials/faultnet/link/port.go
@@ -9,9 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// holdPort reserves a loopback port by binding it without listening. Connections to it are refused
+// reservePort reserves a loopback port by binding it without listening. Connections to it are refused
 // and the kernel assigns it to no other socket, so a listener can close and reopen at this address.
-func holdPort() (fd int, addr string, err error) {
+func reservePort() (fd int, addr string, err error) {
 	fd, err = unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return -1, "", fmt.Errorf("a socket that holds a port: %w", err)
@@ -31,9 +31,10 @@
 	return fd, fmt.Sprintf("127.0.0.1:%d", at.(*unix.SockaddrInet4).Port), nil
 }
 
-func closePort(fd int) error { return unix.Close(fd) }
+// releasePort ends a reservation.
+func releasePort(fd int) error { return unix.Close(fd) }
 
-// listenOnReservedPort listens on a port reserved by holdPort.
+// listenOnReservedPort listens on a port reserved by reservePort.
 func listenOnReservedPort(addr string) (net.Listener, error) {
 	config := net.ListenConfig{Control: reusePort}
 	return config.Listen(context.Background(), "tcp4", addr)
