--- a/internal/trials/soak/disturbances.go
+++ b/internal/trials/soak/disturbances.go
@@ -190,7 +190,7 @@
 func (t *disturbances) drawOfCalls(n *node, duration time.Duration) disturbance {
 	fault := callFaults[t.rng.IntN(len(callFaults))]
 	interval := 1 + t.rng.IntN(7)
-	// A call that is retried at once must not fail each time.
+	// A call that is retried immediately must not fail each time.
 	if fault.breaksClient || fault.isRetriedImmediately() {
 		interval = 5 + t.rng.IntN(40)
 	}
