--- a/internal/quotalease/world_test.go
+++ b/internal/quotalease/world_test.go
@@ -22,7 +22,7 @@
 	disabled  protections
 	starts    int
 
-	meanDelay, tail float64 // s; fraction of calls that take up to maxTailDelay
+	meanDelay, tail float64 // s; mean, and fraction of calls that take up to 4 s
 	loss            float64
 	weight          func(node int) float64 // of the traffic
 	demand          float64                // units a second
--- a/internal/trials/faultnet/trial/owners.go
+++ b/internal/trials/faultnet/trial/owners.go
@@ -28,7 +28,7 @@
 type owner struct {
 	*run
 	name   string
-	number int // explainedSide its client in the history
+	number int // of its client in the history
 	rng    *rand.Rand
 	round  int
 }
@@ -178,7 +178,7 @@
 func (w *owner) mayRefuse(i int, r manage.RejectedError) {
 	switch r.Code {
 	case desiredstate.CodeBusy, desiredstate.CodeNotSaved:
-	case "": // explainedSide no order: it ends, or cannot be read
+	case "": // of no command: the node ends, or the request was malformed
 	default:
 		w.notes.Wrong("node %d refuses an owner: %s: %s", i, r.Code, r.Message)
 	}
--- a/internal/trials/faultnet/trial/trial.go
+++ b/internal/trials/faultnet/trial/trial.go
@@ -36,7 +36,7 @@
 	Dir     string // for the nodes' files; short and empty
 	Nodes   int
 	Servers int
-	Clients int // explainedSide each node
+	Clients int // of each node
 	Script  faultnet.Script
 	OnEvent func(faultnet.Event) // may be nil
 }
@@ -110,7 +110,7 @@
 
 	ownership history.History
 	texts     []string // the settings of each node
-	undecided string   // explainedSide Report
+	undecided string   // of Report
 }
 
 // Run runs a trial of one script. It returns an error if the trial could not be run; violated rules
--- a/internal/trials/measure/bodies.go
+++ b/internal/trials/measure/bodies.go
@@ -31,7 +31,7 @@
 type Flow struct {
 	MBs        float64 `json:"mb_s"`      // megabytes of 10^6 bytes a second
 	CPU        float64 `json:"cpu_ms_mb"` // of the process, in ms a megabyte
-	Memory     float64 `json:"memory_mb"` // peakMB that was resident, in 2^20 bytes
+	Memory     float64 `json:"memory_mb"` // peak resident memory, in 2^20 bytes
 	Incomplete int64   `json:"bad"`       // incomplete bodies
 	Refused    int64   `json:"refused"`   // answers of 503, after which a client retries
 	Bodies     int64   `json:"bodies"`    // complete bodies
