--- a/internal/trials/measure/fleet.go
+++ b/internal/trials/measure/fleet.go
@@ -139,7 +139,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer r.run.Stop(5 * time.Second) //nolint:errcheck // what was measured stands
+	defer r.run.Stop(5 * time.Second) //nolint:errcheck // the measurement is complete
 	if err := r.idle(ctx); err != nil {
 		return nil, err
 	}
--- a/internal/trials/measure/isolation.go
+++ b/internal/trials/measure/isolation.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return s, nil, err
 	}
-	defer l.Stop() //nolint:errcheck // what was measured stands
+	defer l.Stop() //nolint:errcheck // the measurement is complete
 	if err := l.Ready(ctx); err != nil {
 		return s, nil, err
 	}
