--- a/internal/upstream/answer_test.go
+++ b/internal/upstream/answer_test.go
@@ -17,10 +17,10 @@
 )
 
 // rawAnswers are answers of servers, and the outcomes of attempts that get them.
-var rawAnswers = map[string]struct {
-	answer string // "" is an endpoint that refuses connections
-	want   control.Reason
-	reset  control.Reason // where the connection is reset behind the answer; 0 is the same
+var rawResponses = map[string]struct {
+	response string // "" is an endpoint that refuses connections
+	want     control.Reason
+	reset    control.Reason // where the connection is reset behind the answer; 0 is the same
 }{
 	"served":                       {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", control.OK, 0},
 	"served in chunks":             {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", control.OK, 0},
@@ -65,18 +65,18 @@
 
 // TestOutcomeByAnswer checks the outcome of well-formed and malformed answers, with and without a reset of the
 // connection after them.
-func TestOutcomeByAnswer(t *testing.T) {
+func TestOutcomeByResponse(t *testing.T) {
 	refusing, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	refusing.Close()
-	for name, tc := range rawAnswers {
+	for name, tc := range rawResponses {
 		for end, reset := range map[string]bool{"": false, ", reset": true} {
 			t.Run(name+end, func(t *testing.T) {
 				endpoint, want := refusing.Addr().String(), tc.want
-				if tc.answer != "" {
-					endpoint = startRawServer(t, tc.answer, reset)
+				if tc.response != "" {
+					endpoint = startRawServer(t, tc.response, reset)
 				}
 				if reset && tc.reset != 0 {
 					want = tc.reset
@@ -84,7 +84,7 @@
 				upstream := newTestUpstream(testkit.WaitTimeout, limits.NewSocketLimiter(1024))
 				ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
 				defer cancel()
-				if outcome := upstream.AttemptHTTP1(ctx, upstream.NewPool(endpoint, ProtocolHTTP1), newMessage(t, []byte("body"))); outcome.Reason != want {
+				if outcome := upstream.AttemptHTTP1(ctx, upstream.NewPool(endpoint, ProtocolHTTP1), newPOSTRequest(t, []byte("body"))); outcome.Reason != want {
 					t.Errorf("%d (%v), not %d", outcome.Reason, outcome.Err, want)
 				} else if outcome.Reason == control.OK && string(outcome.Body) != "ok" {
 					t.Errorf("body %q", outcome.Body)
@@ -116,7 +116,7 @@
 
 // TestIncompleteAnswerIsReset checks that an answer which stops half way, or states that it is too long, counts as
 // a reset as soon as that is known, although the connection stays open: the attempt doesn't wait for its deadline.
-func TestIncompleteAnswerIsReset(t *testing.T) {
+func TestIncompleteResponseIsReset(t *testing.T) {
 	for name, text := range map[string]string{
 		"in its head":       "HTTP/1.1 200 OK\r\nContent-Le",
 		"in its body":       "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
@@ -137,7 +137,7 @@
 			upstream := newTestUpstream(testkit.WaitTimeout, sockets)
 			ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
 			defer cancel()
-			outcome := upstream.AttemptHTTP1(ctx, upstream.NewPool(app.Listener.Addr().String(), ProtocolHTTP1), newMessage(t, nil))
+			outcome := upstream.AttemptHTTP1(ctx, upstream.NewPool(app.Listener.Addr().String(), ProtocolHTTP1), newPOSTRequest(t, nil))
 			if outcome.Reason != control.ResetByPeer || ctx.Err() != nil {
 				t.Errorf("%d (%v)", outcome.Reason, outcome.Err)
 			}
@@ -149,29 +149,29 @@
 }
 
 // TestInterimAnswerStartsNoTimeout checks that the answer after an interim one may take its time.
-func TestInterimAnswerStartsNoTimeout(t *testing.T) {
+func TestInterimResponseStartsNoTimeout(t *testing.T) {
 	t.Parallel()
 	app := testkit.NewApp(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusEarlyHints)
-		time.Sleep(answerCompletionTimeout + answerCompletionTimeout/3) // has to pass
+		time.Sleep(responseCompletionTimeout + responseCompletionTimeout/3) // has to pass
 		io.WriteString(w, "ok")
 	})
 	upstream := newTestUpstream(testkit.WaitTimeout, limits.NewSocketLimiter(1024))
 	ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
 	defer cancel()
-	if outcome := upstream.AttemptHTTP1(ctx, upstream.NewPool(app.Listener.Addr().String(), ProtocolHTTP1), newMessage(t, nil)); outcome.Reason != control.OK || string(outcome.Body) != "ok" {
+	if outcome := upstream.AttemptHTTP1(ctx, upstream.NewPool(app.Listener.Addr().String(), ProtocolHTTP1), newPOSTRequest(t, nil)); outcome.Reason != control.OK || string(outcome.Body) != "ok" {
 		t.Errorf("%d (%v) %q", outcome.Reason, outcome.Err, outcome.Body)
 	}
 }
 
 // TestAnswerTimeoutEndsWithItsAnswer checks that the deadline of an answer doesn't apply to the next attempt on its
 // connection.
-func TestAnswerTimeoutEndsWithItsAnswer(t *testing.T) {
+func TestCompletionTimeoutEndsWithItsResponse(t *testing.T) {
 	t.Parallel()
 	requests := 0
 	app := testkit.NewApp(t, func(w http.ResponseWriter, _ *http.Request) {
 		if requests++; requests > 1 {
-			time.Sleep(answerCompletionTimeout + answerCompletionTimeout/3) // has to pass
+			time.Sleep(responseCompletionTimeout + responseCompletionTimeout/3) // has to pass
 		}
 		io.WriteString(w, "o")
 		w.(http.Flusher).Flush() // a chunk of its own, so that there is a rest to wait for
@@ -181,7 +181,7 @@
 	pool := upstream.NewPool(app.Listener.Addr().String(), ProtocolHTTP1)
 	for range 2 {
 		ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
-		if outcome := upstream.AttemptHTTP1(ctx, pool, newMessage(t, nil)); outcome.Reason != control.OK || string(outcome.Body) != "ok" {
+		if outcome := upstream.AttemptHTTP1(ctx, pool, newPOSTRequest(t, nil)); outcome.Reason != control.OK || string(outcome.Body) != "ok" {
 			t.Errorf("%d (%v) %q", outcome.Reason, outcome.Err, outcome.Body)
 		}
 		cancel()
@@ -197,7 +197,7 @@
 func (c oneByteConn) Read(p []byte) (int, error) { return iotest.OneByteReader(c.Conn).Read(p) }
 
 // TestAnswersInPieces checks that answers in every form of HTTP/1.1 are read however they are cut into pieces.
-func TestAnswersInPieces(t *testing.T) {
+func TestResponsesSplitIntoPieces(t *testing.T) {
 	for name, tc := range map[string]struct {
 		text string
 		want control.Reason
@@ -214,11 +214,11 @@
 		"rejected":            {"HTTP/1.1 503 No\r\nx-unprocessed: 1\r\nContent-Length: 0\r\n\r\n", control.RejectedByServer},
 	} {
 		t.Run(name, func(t *testing.T) {
-			near, far := net.Pipe()
+			clientEnd, serverEnd := net.Pipe()
 			go func() {
-				defer far.Close()
-				if _, err := far.Read(make([]byte, connBufferBytes)); err == nil {
-					_, _ = io.WriteString(far, tc.text) // an end that comes early shows in the outcome
+				defer serverEnd.Close()
+				if _, err := serverEnd.Read(make([]byte, connBufferBytes)); err == nil {
+					_, _ = io.WriteString(serverEnd, tc.text) // an end that comes early shows in the outcome
 				}
 			}()
 			sockets := limits.NewSocketLimiter(1024)
@@ -228,7 +228,7 @@
 			defer cancel()
 			pool := upstream.NewPool("", ProtocolHTTP1)
 			defer upstream.RetirePool(pool)
-			outcome := upstream.attemptOn(ctx, pool, upstream.newConn(limits.Track(oneByteConn{near}, sockets), nil), newMessage(t, nil))
+			outcome := upstream.attemptOn(ctx, pool, upstream.newConn(limits.Track(oneByteConn{clientEnd}, sockets), nil), newPOSTRequest(t, nil))
 			if outcome.Reason != tc.want || tc.want == control.OK && string(outcome.Body) != "ok" {
 				t.Errorf("%d (%v) %q", outcome.Reason, outcome.Err, outcome.Body)
 			}
--- a/internal/upstream/buffered_request.go
+++ b/internal/upstream/buffered_request.go
@@ -38,19 +38,19 @@
 			return outcome
 		}
 	}
-	message := *r.Request
-	message.ContentLength = int64(len(r.Body))
-	message.Body = http.NoBody
+	httpRequest := *r.Request
+	httpRequest.ContentLength = int64(len(r.Body))
+	httpRequest.Body = http.NoBody
 	if len(r.Body) > 0 {
-		message.Body = io.NopCloser(bytes.NewReader(r.Body))
+		httpRequest.Body = io.NopCloser(bytes.NewReader(r.Body))
 	}
-	return upstream.AttemptHTTP1(ctx, pool, &message)
+	return upstream.AttemptHTTP1(ctx, pool, &httpRequest)
 }
 
 // AttemptHTTP1 makes one attempt over HTTP/1.1, whatever the pool's protocol is, and returns when it has ended,
 // at the latest when ctx does.
 func (u *Upstream) AttemptHTTP1(ctx context.Context, pool *Pool, request *http.Request) Outcome {
-	conn, err := u.acquireQuiet(ctx, pool, u.QuietPeriod)
+	conn, err := u.acquireAfterQuietPeriod(ctx, pool, u.QuietPeriod)
 	if err != nil {
 		return unconnectedOutcome(err)
 	}
@@ -66,12 +66,12 @@
 // attemptOn makes an attempt on a connection, and returns that to its pool or closes it.
 func (u *Upstream) attemptOn(ctx context.Context, pool *Pool, conn *serverConn, request *http.Request) Outcome {
 	deadline, hasDeadline := ctx.Deadline()
-	conn.answers.start(deadline, u.MaxBodyBytes+maxHeadBytes)
+	conn.responses.start(deadline, u.MaxBodyBytes+maxHeadBytes)
 	// A peer may neither read nor write: both directions end with ctx.
-	stopWatch := context.AfterFunc(ctx, conn.interrupt)
+	stopContextWatch := context.AfterFunc(ctx, conn.interrupt)
 	isReusable := false
 	defer func() {
-		if stopWatch() && isReusable {
+		if stopContextWatch() && isReusable {
 			u.release(pool, conn)
 		} else {
 			conn.Close()
@@ -119,7 +119,7 @@
 	response, err := readHead(c.reader, request) //nolint:bodyclose // readBody closes it
 	for err == nil && isInterim(response.StatusCode) {
 		if c.reader.Buffered() == 0 {
-			c.answers.awaitNext()
+			c.responses.resetAfterInterim()
 		}
 		response, err = readHead(c.reader, request) //nolint:bodyclose // readBody closes it, and an interim answer has none
 	}
@@ -132,7 +132,7 @@
 	outcome.classify(response.StatusCode, response.Header)
 	hasMore := c.reader.Buffered() > 0
 	if hasMore {
-		c.hasUnrequestedAnswer.Store(true)
+		c.hasUnsolicitedResponse.Store(true)
 	}
 	return outcome, !response.Close && !hasMore
 }
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -19,11 +19,11 @@
 
 // dial makes a connection for HTTP/1.1.
 func (u *Upstream) dial(ctx context.Context, endpoint string) (*serverConn, error) {
-	conn, rawConn, agreed, err := u.connect(ctx, endpoint, alpnHTTP1)
+	conn, rawConn, negotiated, err := u.connect(ctx, endpoint, alpnHTTP1)
 	if err != nil {
 		return nil, err
 	}
-	if agreed != "" && agreed != alpnHTTP1 {
+	if negotiated != "" && negotiated != alpnHTTP1 {
 		conn.Close()
 		return nil, certs.ErrProtocol
 	}
@@ -34,7 +34,7 @@
 // the offered protocol that TLS has negotiated; it is empty without TLS, and where the server doesn't negotiate.
 func (u *Upstream) connect(
 	ctx context.Context, endpoint string, offered ...string,
-) (conn *limits.Conn, rawConn syscall.RawConn, agreed string, err error) {
+) (conn *limits.Conn, rawConn syscall.RawConn, negotiated string, err error) {
 	if u.DialLimiter != nil {
 		if !u.DialLimiter.TryAcquire() {
 			return nil, nil, "", errDialLimit
@@ -56,9 +56,9 @@
 	}
 	rawConn, err = dialed.(*net.TCPConn).SyscallConn()
 	if u.TLS != nil && err == nil {
-		var secured *tls.Conn
-		if secured, agreed, err = u.TLS.Client(ctx, dialed, endpoint, offered); err == nil {
-			dialed = secured
+		var tlsConn *tls.Conn
+		if tlsConn, negotiated, err = u.TLS.Client(ctx, dialed, endpoint, offered); err == nil {
+			dialed = tlsConn
 		}
 	}
 	conn = limits.Track(dialed, u.SocketLimiter)
@@ -66,7 +66,7 @@
 		conn.Close()
 		return nil, nil, "", err
 	}
-	return conn, rawConn, agreed, nil
+	return conn, rawConn, negotiated, nil
 }
 
 // dialTCP makes a TCP connection. It retries after a shortage of this node's descriptors or ports, which is no fault of
--- a/internal/upstream/faulty_server_test.go
+++ b/internal/upstream/faulty_server_test.go
@@ -20,7 +20,7 @@
 // playFaultyServer sends updates concurrently to a server with random faults. An update is retried only where
 // its outcome says that it has not run or, if trusting, also where its stream broke. It returns what violates
 // the rules.
-func playFaultyServer(t *testing.T, seed uint64, trusting bool) (wrong []string) {
+func runUpdatesOnFaultyServer(t *testing.T, seed uint64, retriesBrokenStreams bool) (violations []string) {
 	random := rand.New(rand.NewPCG(seed, 77))
 	faults := fake.HTTP2Faults{Refuse: 0.1, Reset: 0.05, Error: 0.05, Lower: 0.1, GoAway: 0.1, CutRead: 0.3, CutSent: 0.3}
 	server, err := fake.HTTP2Server{UID: "s", Seed: seed, Faults: faults, Streams: uint32(1 + random.IntN(8))}.Start()
@@ -33,30 +33,30 @@
 	var mu sync.Mutex
 	report := func(format string, args ...any) {
 		mu.Lock()
-		wrong = append(wrong, fmt.Sprintf(format, args...))
+		violations = append(violations, fmt.Sprintf(format, args...))
 		mu.Unlock()
 	}
-	var all sync.WaitGroup
+	var updates sync.WaitGroup
 	for i := range 12 {
 		id, body := fmt.Sprint("r", i), strings.Repeat("x", random.IntN(400))
-		all.Go(func() {
+		updates.Go(func() {
 			attempt := func(ctx context.Context, update *BufferedRequest) Outcome {
 				return update.Attempt(ctx, ctx, upstream, pool)
 			}
-			sendUpdate(id, body, server, trusting, attempt, report)
+			sendUpdate(id, body, server, retriesBrokenStreams, attempt, report)
 		})
 	}
-	all.Wait()
+	updates.Wait()
 	upstream.RetirePool(pool)
 	if counts := server.Executions.Counts(); counts.DuplicateEffects > 0 || counts.Repeated > 0 || counts.MaxInFlight > 1 {
 		report("%+v", counts)
 	}
-	return wrong
+	return violations
 }
 
 // sendUpdate sends one update, and retries it as playFaultyServer says. It reports what violates the rules.
 func sendUpdate(
-	id, body string, server *fake.RunningHTTP2, trusting bool,
+	id, body string, server *fake.RunningHTTP2, retriesBrokenStreams bool,
 	attempt func(context.Context, *BufferedRequest) Outcome, report func(format string, args ...any),
 ) {
 	buffered := newUpdate(id, body)
@@ -85,7 +85,7 @@
 			if ran == 0 && (end == nil || end.End != h2.EndBroken || end.Moment != h2.MomentSent) {
 				report("%s: it never ran, which could be known: %v", id, outcome.Err)
 			}
-			if knownRuns += ran; !trusting {
+			if knownRuns += ran; !retriesBrokenStreams {
 				return
 			}
 		default:
@@ -103,8 +103,8 @@
 		seeds = n
 	}
 	for seed := range uint64(seeds) {
-		if wrong := playFaultyServer(t, seed, false); len(wrong) > 0 {
-			t.Fatalf("seed %d: %s", seed, strings.Join(wrong, "\n"))
+		if violations := runUpdatesOnFaultyServer(t, seed, false); len(violations) > 0 {
+			t.Fatalf("seed %d: %s", seed, strings.Join(violations, "\n"))
 		}
 	}
 }
@@ -113,7 +113,7 @@
 // whose stream broke.
 func TestFaultyServerFindsRetriesOfBrokenStreams(t *testing.T) {
 	for seed := range uint64(100) {
-		if len(playFaultyServer(t, seed, true)) > 0 {
+		if len(runUpdatesOnFaultyServer(t, seed, true)) > 0 {
 			return
 		}
 	}
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -44,7 +44,7 @@
 }
 
 // newMessage makes a POST request with a body.
-func newMessage(t *testing.T, body []byte) *http.Request {
+func newPOSTRequest(t *testing.T, body []byte) *http.Request {
 	req, err := http.NewRequest(http.MethodPost, "http://origin.svc/visit-update", bytes.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/upstream/http1_attempt.go
+++ b/internal/upstream/http1_attempt.go
@@ -18,30 +18,30 @@
 )
 
 const (
-	maxInterimAnswers = 32              // to one request
-	headTimeout       = 5 * time.Second // from the first byte of an answer's head to its last, where ctx has no deadline
+	maxInterimResponses = 32              // to one request
+	headTimeout         = 5 * time.Second // from the first byte of an answer's head to its last, where ctx has no deadline
 )
 
 // http1Attempt is one attempt of a RelayedRequest over HTTP/1.1. The goroutine of the attempt writes the head
 // and reads the answer; a second one sends a body that does not go with the head, and ends with the attempt.
 type http1Attempt struct {
 	*RelayedRequest
-	upstream      *Upstream
-	pool          *Pool
-	conn          *serverConn
-	stopWatch     func() bool // stops waiting for the context that ends the attempt
-	request       http.Request
-	response      *http.Response // whose body is read; nil for a tunnel
-	headScanner   validation.Scanner
-	headBytesLeft int
-	inBody        bool // the heads have been read
-	isUnbounded   bool // ctx has no deadline: the wait for the answer counts from the last byte of the body
-	hasDeadline   bool // the connection has some deadline
+	upstream             *Upstream
+	pool                 *Pool
+	conn                 *serverConn
+	stopContextWatch     func() bool // stops waiting for the context that ends the attempt
+	request              http.Request
+	response             *http.Response // whose body is read; nil for a tunnel
+	headScanner          validation.Scanner
+	headBytesLeft        int
+	isReadingBody        bool // the heads have been read
+	lacksContextDeadline bool // ctx has no deadline: the wait for the answer counts from the last byte of the body
+	hasConnDeadline      bool // the connection has some deadline
 
-	bodyEnded        chan struct{} // closed once no more of the body is sent; nil where it went with the head
+	bodySendEnded    chan struct{} // closed once no more of the body is sent; nil where it went with the head
 	continueReceived chan struct{} // closed once a body that waits for a 100 may be sent; nil where none does
 	attemptEnded     chan struct{} // closed with the attempt; nil where no body waits for a 100
-	isSent           atomic.Bool   // the complete request is written
+	isRequestWritten atomic.Bool   // the complete request is written
 	clientErr        atomic.Pointer[error]
 	releaseOnce      sync.Once
 
@@ -53,13 +53,13 @@
 func (a *http1Attempt) run(ctx, lifetime context.Context) Outcome {
 	a.request.Method = a.RequestMethod
 	a.headScanner.ReadsAnswers = true
-	a.conn.answers.start(time.Time{}, maxHeadBytes)
-	a.conn.answers.attempt = a
-	a.stopWatch = context.AfterFunc(ctx, a.conn.interrupt)
+	a.conn.responses.start(time.Time{}, maxHeadBytes)
+	a.conn.responses.attempt = a
+	a.stopContextWatch = context.AfterFunc(ctx, a.conn.interrupt)
 	outcome, isStreaming := a.exchange(ctx)
 	switch {
-	case isStreaming && a.stopWatch():
-		a.stopWatch = context.AfterFunc(lifetime, a.conn.interrupt)
+	case isStreaming && a.stopContextWatch():
+		a.stopContextWatch = context.AfterFunc(lifetime, a.conn.interrupt)
 		return outcome
 	case isStreaming: // ctx ended at this moment
 		outcome = Outcome{Err: context.Cause(ctx)}
@@ -82,7 +82,7 @@
 	if err != nil {
 		return Outcome{Reason: control.ResetByPeer, Err: err}, false
 	}
-	a.inBody = true
+	a.isReadingBody = true
 	a.request.Close = response.Close
 	outcome.Status = response.StatusCode
 	outcome.Header = response.Header
@@ -127,14 +127,14 @@
 
 // canReuseConnection reports whether the request is written and nothing else is on the connection.
 func (a *http1Attempt) canReuseConnection() bool {
-	if a.bodyEnded != nil {
+	if a.bodySendEnded != nil {
 		select {
-		case <-a.bodyEnded:
+		case <-a.bodySendEnded:
 		default:
 			return false
 		}
 	}
-	return a.isSent.Load() && a.conn.reader.Buffered() == 0
+	return a.isRequestWritten.Load() && a.conn.reader.Buffered() == 0
 }
 
 // release returns the connection to its pool or closes it. Only the first call does anything.
@@ -143,13 +143,13 @@
 		if a.attemptEnded != nil {
 			close(a.attemptEnded)
 		}
-		isRunning := a.stopWatch()
-		a.conn.answers.attempt = nil
+		isRunning := a.stopContextWatch()
+		a.conn.responses.attempt = nil
 		if !isRunning || !canReuse {
 			a.conn.Close()
 			return
 		}
-		if a.hasDeadline || a.bodyEnded != nil {
+		if a.hasConnDeadline || a.bodySendEnded != nil {
 			a.conn.SetDeadline(time.Time{})
 		}
 		a.upstream.release(a.pool, a.conn)
@@ -157,12 +157,12 @@
 }
 
 // readAnswer reads from the connection for its answerReader.
-func (a *http1Attempt) readAnswer(b []byte) (int, error) {
+func (a *http1Attempt) readResponseBytes(b []byte) (int, error) {
 	if a.headBytesLeft <= 0 {
-		return 0, errTooLong
+		return 0, errResponseTooLong
 	}
-	if a.inBody {
-		a.hasDeadline = true
+	if a.isReadingBody {
+		a.hasConnDeadline = true
 		a.conn.readBy(time.Now().Add(a.IdleTimeout))
 		n, err := a.conn.Read(b)
 		if errors.Is(err, io.EOF) && a.response != nil && a.conn.wasReset() {
@@ -173,7 +173,7 @@
 	n, err := a.conn.Read(b[:min(len(b), a.headBytesLeft)])
 	a.headBytesLeft -= n
 	if n > 0 {
-		a.beginHead()
+		a.startHeadTimeout()
 	}
 	if invalid := a.headScanner.Feed(b[:n]); invalid != nil {
 		return 0, fmt.Errorf("the answer's head: %w", invalid)
@@ -182,11 +182,11 @@
 }
 
 // beginHead bounds the time of a head whose first byte has arrived, where ctx has no deadline.
-func (a *http1Attempt) beginHead() {
+func (a *http1Attempt) startHeadTimeout() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.isUnbounded && !a.isHeadStarted {
-		a.hasDeadline = true
+	if a.lacksContextDeadline && !a.isHeadStarted {
+		a.hasConnDeadline = true
 		a.conn.readBy(time.Now().Add(headTimeout))
 	}
 	a.isHeadStarted = true
@@ -194,13 +194,13 @@
 
 // awaitHead bounds the wait for a head to begin, where ctx has no deadline: it counts from now if the complete
 // request is written.
-func (a *http1Attempt) awaitHead() {
+func (a *http1Attempt) setHeadDeadline() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.isHeadStarted || !a.isUnbounded {
+	if a.isHeadStarted || !a.lacksContextDeadline {
 		return
 	}
-	if a.isSent.Load() {
+	if a.isRequestWritten.Load() {
 		a.conn.readBy(time.Now().Add(a.AnswerTimeout))
 	} else {
 		a.conn.readBy(time.Time{}) // sendBody has deadlines of its own
@@ -209,10 +209,10 @@
 
 // readFinalHead reads heads up to that of the final answer, or of a switch to another protocol.
 func (a *http1Attempt) readFinalHead() (*http.Response, error) {
-	for interimAnswers := 0; ; interimAnswers++ {
+	for interimResponses := 0; ; interimResponses++ {
 		response, err := readHead(a.conn.reader, &a.request)
 		if err != nil {
-			if !a.isSent.Load() && a.bodyEnded != nil && a.clientErr.Load() == nil {
+			if !a.isRequestWritten.Load() && a.bodySendEnded != nil && a.clientErr.Load() == nil {
 				err = fmt.Errorf("while the body was sent: %w", err)
 			}
 			return nil, err
@@ -220,7 +220,7 @@
 		switch status := response.StatusCode; {
 		case status >= http.StatusOK, a.isUpgrade(response):
 			return response, nil
-		case !isInterim(status) || interimAnswers >= maxInterimAnswers:
+		case !isInterim(status) || interimResponses >= maxInterimResponses:
 			return nil, fmt.Errorf("unexpected status: %s", response.Status)
 		}
 		a.handleInterim(response)
@@ -229,7 +229,7 @@
 
 // isUpgrade reports whether the server switches to the protocol that the request offers.
 func (a *http1Attempt) isUpgrade(response *http.Response) bool {
-	if response.StatusCode != http.StatusSwitchingProtocols || a.UpgradeProtocol == "" || !a.isSent.Load() {
+	if response.StatusCode != http.StatusSwitchingProtocols || a.UpgradeProtocol == "" || !a.isRequestWritten.Load() {
 		return false
 	}
 	return strings.EqualFold(response.Header.Get("Upgrade"), a.UpgradeProtocol)
@@ -249,7 +249,7 @@
 	a.isHeadStarted = false
 	a.headBytesLeft = maxHeadBytes
 	a.mu.Unlock()
-	a.awaitHead()
+	a.setHeadDeadline()
 }
 
 // The methods below implement streamingAttempt.
--- a/internal/upstream/http1_send.go
+++ b/internal/upstream/http1_send.go
@@ -16,30 +16,30 @@
 // sent by a goroutine that it starts.
 func (a *http1Attempt) sendRequest(ctx context.Context) Outcome {
 	_, hasDeadline := ctx.Deadline()
-	a.isUnbounded = !hasDeadline
-	if a.isUnbounded {
+	a.lacksContextDeadline = !hasDeadline
+	if a.lacksContextDeadline {
 		a.conn.writeBy(time.Now().Add(a.IdleTimeout))
 	}
 	writer := a.conn.writer
 	a.writeRequestLine(writer)
 	_ = a.Header.Write(writer) // Flush returns the error
-	a.writeOwnFields(ctx, writer)
+	a.writeAddedFields(ctx, writer)
 	inline := a.writeBodyFields(writer)
 	if a.ExpectContinue {
 		writer.WriteString("Expect: 100-continue\r\n")
 	}
 	writer.WriteString("\r\n")
 	writer.Write(inline)
-	before := writer.Buffered()
+	bytesBuffered := writer.Buffered()
 	if err := writer.Flush(); err != nil {
 		outcome := Outcome{Reason: control.ResetByPeer, Err: err}
 		// Where the system has accepted no byte, the server has received none.
-		if writer.Buffered() == before && before < connBufferBytes {
+		if writer.Buffered() == bytesBuffered && bytesBuffered < connBufferBytes {
 			outcome.Reason = control.ConnectFailed
 		}
 		return outcome
 	}
-	if !a.isSent.Load() {
+	if !a.isRequestWritten.Load() {
 		a.startBody()
 	}
 	return Outcome{}
@@ -56,7 +56,7 @@
 }
 
 // writeOwnFields writes the fields that this node adds to the client's.
-func (a *http1Attempt) writeOwnFields(ctx context.Context, writer *bufio.Writer) {
+func (a *http1Attempt) writeAddedFields(ctx context.Context, writer *bufio.Writer) {
 	if a.SendTimeLeft {
 		writer.WriteString(protocol.HeaderTimeLeft + ": ")
 		writer.WriteString(formatTimeLeft(a.timeLeft(ctx)))
@@ -77,7 +77,7 @@
 		if a.ContentLength == 0 { // stated by the client, as for a POST without a body
 			writer.WriteString("Content-Length: 0\r\n")
 		}
-		a.isSent.Store(true)
+		a.isRequestWritten.Store(true)
 	case a.ContentLength < 0:
 		writer.WriteString("Transfer-Encoding: chunked\r\n")
 		if len(a.TrailerNames) > 0 {
@@ -86,7 +86,7 @@
 	default:
 		writer.WriteString("Content-Length: " + strconv.FormatInt(a.ContentLength, 10) + "\r\n")
 		if body, ok := a.inlineBody(); ok {
-			a.isSent.Store(true)
+			a.isRequestWritten.Store(true)
 			return body
 		}
 	}
@@ -95,7 +95,7 @@
 
 // startBody starts the goroutine that sends the body.
 func (a *http1Attempt) startBody() {
-	a.bodyEnded = make(chan struct{})
+	a.bodySendEnded = make(chan struct{})
 	if a.ExpectContinue {
 		a.attemptEnded = make(chan struct{})
 		a.continueReceived = make(chan struct{})
@@ -120,7 +120,7 @@
 // sendBody sends the body as it arrives. A fault of the client ends the attempt. One of the server is reported by the
 // reading of the answer, which may have arrived already.
 func (a *http1Attempt) sendBody(body *retrybuffer.Reader) {
-	defer close(a.bodyEnded)
+	defer close(a.bodySendEnded)
 	if a.ExpectContinue && !awaitContinue(a.continueReceived, a.attemptEnded) {
 		return
 	}
@@ -138,8 +138,8 @@
 	if a.ContentLength < 0 && a.writeLastChunk() != nil {
 		return
 	}
-	a.isSent.Store(true)
-	a.awaitHead()
+	a.isRequestWritten.Store(true)
+	a.setHeadDeadline()
 }
 
 // writePiece writes one piece of the body, as a chunk where the length is not known.
--- a/internal/upstream/http2_attempt.go
+++ b/internal/upstream/http2_attempt.go
@@ -23,14 +23,14 @@
 // the answer; a second one sends a body that does not go with the head, and ends with the stream.
 type http2Attempt struct {
 	*RelayedRequest
-	stream      *h2.Stream
-	stopWatch   func() bool // stops waiting for the context that ends the attempt
-	isUnbounded bool        // ctx has no deadline: the wait for the answer counts from the last byte of the body
-	trailers    http.Header // of the answer: the announced names, and the values once they have arrived
+	stream               *h2.Stream
+	stopContextWatch     func() bool // stops waiting for the context that ends the attempt
+	lacksContextDeadline bool        // ctx has no deadline: the wait for the answer counts from the last byte of the body
+	trailers             http.Header // of the answer: the announced names, and the values once they have arrived
 
 	streamsBody      bool          // the body does not go with the head
 	continueReceived chan struct{} // closed once a body that waits for a 100 may be sent; nil where none does
-	closeOnce        sync.Once     // closes continueReceived
+	continueOnce     sync.Once     // closes continueReceived
 	endOnce          sync.Once
 	clientErr        atomic.Pointer[error]
 	wasAborted       atomic.Bool
@@ -59,11 +59,11 @@
 
 // run makes the attempt on its stream.
 func (a *http2Attempt) run(ctx, lifetime context.Context) Outcome {
-	a.stopWatch = context.AfterFunc(ctx, a.abort)
+	a.stopContextWatch = context.AfterFunc(ctx, a.abort)
 	outcome, isStreaming := a.exchange()
 	switch {
-	case isStreaming && a.stopWatch():
-		a.stopWatch = context.AfterFunc(lifetime, a.abort)
+	case isStreaming && a.stopContextWatch():
+		a.stopContextWatch = context.AfterFunc(lifetime, a.abort)
 	case isStreaming: // ctx ended at this moment
 		outcome = a.failedOutcome(ctx, ErrAborted)
 		a.end(false)
@@ -79,7 +79,7 @@
 // newRequest makes the request's head, with a body that is complete and small.
 func (a *http2Attempt) newRequest(ctx context.Context, scheme string) *h2.Request {
 	_, hasDeadline := ctx.Deadline()
-	a.isUnbounded = !hasDeadline
+	a.lacksContextDeadline = !hasDeadline
 	request := &h2.Request{
 		Method:        a.RequestMethod,
 		Scheme:        scheme,
@@ -130,7 +130,7 @@
 			a.InterimWriter.WriteInterim(status, header)
 		}
 	case a.continueReceived != nil:
-		a.closeOnce.Do(func() { close(a.continueReceived) })
+		a.continueOnce.Do(func() { close(a.continueReceived) })
 	}
 }
 
@@ -143,15 +143,15 @@
 		}
 		go a.sendBody(a.Body.NewReader())
 	} else {
-		a.awaitHead()
+		a.setHeadDeadline()
 	}
-	answer, err := a.stream.Head()
+	response, err := a.stream.Head()
 	if err != nil {
 		return Outcome{Err: err}, false
 	}
-	outcome.Status = answer.Status
-	outcome.Header = answer.Header
-	length := a.answerLength(answer.Header)
+	outcome.Status = response.Status
+	outcome.Header = response.Header
+	length := a.responseLength(response.Header)
 	a.extendReadDeadline()
 	if isBuffered, _ := a.bufferBody(&outcome, readerFunc(a.readBody), length); isBuffered {
 		return outcome, false
@@ -162,7 +162,7 @@
 
 // answerLength returns the length of the answer's body, below zero where it is not known, and takes the names of
 // its trailer out of the header.
-func (a *http2Attempt) answerLength(header http.Header) int64 {
+func (a *http2Attempt) responseLength(header http.Header) int64 {
 	length := int64(-1)
 	if lengths := header["Content-Length"]; len(lengths) > 0 {
 		length, _ = strconv.ParseInt(lengths[0], 10, 64) // the connection has checked it
@@ -221,8 +221,8 @@
 }
 
 // awaitHead bounds the wait for the answer from now on, where ctx has no deadline.
-func (a *http2Attempt) awaitHead() {
-	if a.isUnbounded {
+func (a *http2Attempt) setHeadDeadline() {
+	if a.lacksContextDeadline {
 		a.stream.ReadBy(time.Now().Add(a.AnswerTimeout))
 	}
 }
@@ -256,7 +256,7 @@
 		trailer = a.Trailer()
 	}
 	a.stream.CloseWrite(trailer)
-	a.awaitHead()
+	a.setHeadDeadline()
 }
 
 // writePiece writes one piece of the body.
@@ -293,7 +293,7 @@
 // end resets a stream that has not ended, and releases it.
 func (a *http2Attempt) end(bool) {
 	a.endOnce.Do(func() {
-		a.stopWatch()
+		a.stopContextWatch()
 		a.stream.Abort()
 		a.stream.Close()
 	})
--- a/internal/upstream/http2_send.go
+++ b/internal/upstream/http2_send.go
@@ -23,13 +23,13 @@
 // attemptBuffered makes an attempt over a shared connection. It returns false, and has sent nothing, where the
 // server supports HTTP/1.1 only.
 func (s *sharedConnections) attemptBuffered(ctx context.Context, buffered *BufferedRequest) (Outcome, bool) {
-	message := buffered.Request
+	httpRequest := buffered.Request
 	request := &h2.Request{
-		Method:    message.Method,
+		Method:    httpRequest.Method,
 		Scheme:    s.scheme(),
-		Authority: message.Host,
-		Path:      message.URL.RequestURI(),
-		Header:    message.Header,
+		Authority: httpRequest.Host,
+		Path:      httpRequest.URL.RequestURI(),
+		Header:    httpRequest.Header,
 		Body:      buffered.Body,
 		MayBegin:  func() bool { return Commit(ctx) },
 	}
@@ -37,7 +37,7 @@
 	outcome, isDialed, ok := s.withConnection(ctx, func(conn *h2.Conn) (err error) {
 		// The time left counts from here: the wait for a connection is over.
 		if deadline, hasDeadline := ctx.Deadline(); hasDeadline {
-			setTimeLeft(message, deadline)
+			setTimeLeft(httpRequest, deadline)
 		}
 		event, err = conn.Do(ctx, request)
 		return err
@@ -81,7 +81,7 @@
 // eventOutcome is the outcome of an attempt whose stream ended with an event.
 func eventOutcome(ctx context.Context, event h2.Event) (outcome Outcome) {
 	if event.Err == nil {
-		return answeredOutcome(event.Answer)
+		return responseOutcome(event.Answer)
 	}
 	outcome = Outcome{Reason: control.ResetByPeer, Err: event.Err}
 	switch unprocessed := unprocessedReason(event); {
@@ -96,14 +96,14 @@
 }
 
 // answeredOutcome is the outcome of an attempt with a complete answer.
-func answeredOutcome(answer *h2.Answer) (outcome Outcome) {
+func responseOutcome(response *h2.Answer) (outcome Outcome) {
 	for _, name := range reportHeaders {
-		if values := answer.Trailer[name]; len(values) > 0 && len(answer.Header[name]) == 0 {
-			answer.Header[name] = values
+		if values := response.Trailer[name]; len(values) > 0 && len(response.Header[name]) == 0 {
+			response.Header[name] = values
 		}
 	}
-	outcome.classify(answer.Status, answer.Header)
-	outcome.Body = answer.Body
+	outcome.classify(response.Status, response.Header)
+	outcome.Body = response.Body
 	if outcome.Body == nil {
 		outcome.Body = []byte{}
 	}
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -28,7 +28,7 @@
 
 // isUsable reports whether an idle connection can take a request.
 func (u *Upstream) isUsable(conn *serverConn) bool {
-	return conn.isQuiet() && time.Since(conn.idleSince) < u.maxIdleTime
+	return conn.isOpenAndEmpty() && time.Since(conn.idleSince) < u.maxIdleTime
 }
 
 // CloseIdleBefore closes a pool's idle connections that were last used before some time.
--- a/internal/upstream/idle_test.go
+++ b/internal/upstream/idle_test.go
@@ -23,7 +23,7 @@
 		t.Helper()
 		ctx, cancel := context.WithTimeout(WithWriteDeadline(t.Context(), time.Now()), testkit.WaitTimeout)
 		defer cancel()
-		if outcome := server.upstream.AttemptHTTP1(ctx, server.pool, newMessage(t, nil)); outcome.Reason != control.NotSent {
+		if outcome := server.upstream.AttemptHTTP1(ctx, server.pool, newPOSTRequest(t, nil)); outcome.Reason != control.NotSent {
 			t.Fatalf("%d (%v)", outcome.Reason, outcome.Err)
 		}
 	}
@@ -35,7 +35,7 @@
 		t.Errorf("%v younger", conn.idleSince.Sub(idleSince))
 	}
 	server.startRequest()
-	server.answerRequest(goodAnswer)
+	server.respond(okResponse)
 	if all := idleConnections(server.upstream); len(all) != 1 || all[0] != conn {
 		t.Error("one that nothing was asked on was not used")
 	}
@@ -45,10 +45,10 @@
 // closed or that is too old: the next request would end as a reset.
 func TestIdleConnectionIsReusedWhileOpen(t *testing.T) {
 	var hijack bool
-	var from []string
+	var clientAddresses []string
 	conns := make(map[string]net.Conn)
 	app := testkit.NewApp(t, func(w http.ResponseWriter, r *http.Request) {
-		from = append(from, r.RemoteAddr)
+		clientAddresses = append(clientAddresses, r.RemoteAddr)
 		if !hijack {
 			testkit.Served(w, r)
 			return
@@ -60,33 +60,33 @@
 	sockets := limits.NewSocketLimiter(1024)
 	upstream := newTestUpstream(2*testkit.WaitTimeout, sockets)
 	pool := upstream.NewPool(app.Listener.Addr().String(), ProtocolHTTP1)
-	try := func() {
+	attempt := func() {
 		t.Helper()
 		ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
 		defer cancel()
-		if outcome := upstream.AttemptHTTP1(ctx, pool, newMessage(t, nil)); outcome.Reason != control.OK {
+		if outcome := upstream.AttemptHTTP1(ctx, pool, newPOSTRequest(t, nil)); outcome.Reason != control.OK {
 			t.Fatalf("%d (%v)", outcome.Reason, outcome.Err)
 		}
 	}
-	try()
+	attempt()
 	hijack = true
-	try()
-	if from[0] != from[1] {
+	attempt()
+	if clientAddresses[0] != clientAddresses[1] {
 		t.Error("an open connection was not used again")
 	}
 	idle := pool.idle[0]
-	conns[from[1]].Close()
-	for end := time.Now().Add(testkit.WaitTimeout); idle.isQuiet() && time.Now().Before(end); {
+	conns[clientAddresses[1]].Close()
+	for end := time.Now().Add(testkit.WaitTimeout); idle.isOpenAndEmpty() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	hijack = false
-	try()
-	if from[2] == from[1] {
+	attempt()
+	if clientAddresses[2] == clientAddresses[1] {
 		t.Error("a closed connection was used again")
 	}
 	upstream.maxIdleTime = 0 // all have idled for too long
-	try()
-	if from[3] == from[2] {
+	attempt()
+	if clientAddresses[3] == clientAddresses[2] {
 		t.Error("an old connection was used again")
 	}
 	if n := sockets.InUse(); n != 1 {
@@ -100,7 +100,7 @@
 	sockets := limits.NewSocketLimiter(0)
 	sockets.SetLimit(0)
 	upstream := newTestUpstream(testkit.WaitTimeout, sockets)
-	if outcome := upstream.AttemptHTTP1(context.Background(), upstream.NewPool(app.Listener.Addr().String(), ProtocolHTTP1), newMessage(t, nil)); outcome.Reason != control.NotSent || app.Count() > 0 {
+	if outcome := upstream.AttemptHTTP1(context.Background(), upstream.NewPool(app.Listener.Addr().String(), ProtocolHTTP1), newPOSTRequest(t, nil)); outcome.Reason != control.NotSent || app.Count() > 0 {
 		t.Errorf("%d (%v)", outcome.Reason, outcome.Err)
 	}
 }
@@ -115,7 +115,7 @@
 	upstream := newTestUpstream(2*testkit.WaitTimeout, sockets)
 	for _, next := range []*testkit.App{app, other, app} {
 		ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
-		if outcome := upstream.AttemptHTTP1(ctx, upstream.NewPool(next.Listener.Addr().String(), ProtocolHTTP1), newMessage(t, nil)); outcome.Reason != control.OK {
+		if outcome := upstream.AttemptHTTP1(ctx, upstream.NewPool(next.Listener.Addr().String(), ProtocolHTTP1), newPOSTRequest(t, nil)); outcome.Reason != control.OK {
 			t.Errorf("%d (%v)", outcome.Reason, outcome.Err)
 		}
 		cancel()
--- a/internal/upstream/interrupted_attempt_test.go
+++ b/internal/upstream/interrupted_attempt_test.go
@@ -26,10 +26,10 @@
 	certs := cert.TLS.Certificates
 	cert.Close()
 	synctest.Test(t, func(t *testing.T) {
-		near, far := net.Pipe()
-		defer far.Close()
-		go tls.Server(far, &tls.Config{Certificates: certs, SessionTicketsDisabled: true}).Handshake() // and reads no more
-		tlsConn := tls.Client(near, &tls.Config{InsecureSkipVerify: true})
+		clientEnd, serverEnd := net.Pipe()
+		defer serverEnd.Close()
+		go tls.Server(serverEnd, &tls.Config{Certificates: certs, SessionTicketsDisabled: true}).Handshake() // and reads no more
+		tlsConn := tls.Client(clientEnd, &tls.Config{InsecureSkipVerify: true})
 		if err := tlsConn.Handshake(); err != nil {
 			t.Fatal(err)
 		}
@@ -38,12 +38,12 @@
 		upstream := newTestUpstream(testkit.WaitTimeout, sockets)
 		pool := upstream.NewPool("", ProtocolHTTP1)
 		conn := upstream.newConn(limits.Track(tlsConn, sockets), nil)
-		const left = time.Second
-		ctx, cancel := context.WithTimeout(context.Background(), left)
+		const timeout = time.Second
+		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
 		startedAt := time.Now()
-		outcome := upstream.attemptOn(ctx, pool, conn, newMessage(t, make([]byte, 64<<10)))
-		if elapsed := time.Since(startedAt); elapsed != left || outcome.Reason != control.ConnectFailed {
+		outcome := upstream.attemptOn(ctx, pool, conn, newPOSTRequest(t, make([]byte, 64<<10)))
+		if elapsed := time.Since(startedAt); elapsed != timeout || outcome.Reason != control.ConnectFailed {
 			t.Errorf("%d (%v) after %v", outcome.Reason, outcome.Err, elapsed)
 		}
 		if n := sockets.InUse(); n != 0 {
@@ -59,10 +59,10 @@
 	for _, size := range []int{0, 1, connBufferBytes, 64 << 10} {
 		total := 0
 		for _, tc := range []struct {
-			name   string
-			before int // of the last byte
-			breaks bool
-			want   control.Reason
+			name        string
+			unreadBytes int // of the last byte
+			breaks      bool
+			want        control.Reason
 		}{
 			{"all", 0, false, control.TimedOut}, // counts the request's bytes too
 			{"broken behind the last", 0, true, control.ResetByPeer},
@@ -73,32 +73,32 @@
 		} {
 			t.Run(fmt.Sprintf("%d bytes, %s", size, tc.name), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					near, far := net.Pipe()
+					clientEnd, serverEnd := net.Pipe()
 					sockets := limits.NewSocketLimiter(1024)
 					sockets.TryAcquire()
 					upstream := newTestUpstream(testkit.WaitTimeout, sockets)
 					ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 					defer cancel()
-					ends := make(chan Outcome, 1)
-					req := newMessage(t, make([]byte, size))
+					outcomes := make(chan Outcome, 1)
+					req := newPOSTRequest(t, make([]byte, size))
 					go func() {
-						ends <- upstream.attemptOn(ctx, upstream.NewPool("", ProtocolHTTP1), upstream.newConn(limits.Track(near, sockets), nil), req)
+						outcomes <- upstream.attemptOn(ctx, upstream.NewPool("", ProtocolHTTP1), upstream.newConn(limits.Track(clientEnd, sockets), nil), req)
 					}()
 					if total == 0 {
-						far.SetReadDeadline(time.Now().Add(time.Millisecond))
-						n, _ := io.Copy(io.Discard, far)
+						serverEnd.SetReadDeadline(time.Now().Add(time.Millisecond))
+						n, _ := io.Copy(io.Discard, serverEnd)
 						total = int(n)
-						far.SetReadDeadline(time.Time{})
-					} else if _, err := io.CopyN(io.Discard, far, int64(total-tc.before)); err != nil {
+						serverEnd.SetReadDeadline(time.Time{})
+					} else if _, err := io.CopyN(io.Discard, serverEnd, int64(total-tc.unreadBytes)); err != nil {
 						t.Fatal(err)
 					}
 					if tc.breaks {
-						far.Close()
+						serverEnd.Close()
 					}
-					if outcome := <-ends; outcome.Reason != tc.want {
+					if outcome := <-outcomes; outcome.Reason != tc.want {
 						t.Errorf("%d (%v), not %d", outcome.Reason, outcome.Err, tc.want)
 					}
-					if _, err := far.Write([]byte("x")); err == nil || sockets.InUse() != 0 {
+					if _, err := serverEnd.Write([]byte("x")); err == nil || sockets.InUse() != 0 {
 						t.Error("not closed")
 					}
 				})
@@ -113,24 +113,24 @@
 	for name, reads := range map[string]int{"as an answer goes on": 1, "behind an interim one": 2} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				near, far := net.Pipe()
-				defer far.Close()
+				clientEnd, serverEnd := net.Pipe()
+				defer serverEnd.Close()
 				sockets := limits.NewSocketLimiter(1024)
 				sockets.TryAcquire()
-				conn := newTestUpstream(testkit.WaitTimeout, sockets).newConn(limits.Track(near, sockets), nil)
+				conn := newTestUpstream(testkit.WaitTimeout, sockets).newConn(limits.Track(clientEnd, sockets), nil)
 				defer conn.Close()
 				startedAt := time.Now()
-				conn.answers.start(startedAt.Add(time.Hour), maxHeadBytes)
-				go far.Write([]byte("HT"))
+				conn.responses.start(startedAt.Add(time.Hour), maxHeadBytes)
+				go serverEnd.Write([]byte("HT"))
 				for range reads {
-					if _, err := conn.answers.Read(make([]byte, 1)); err != nil {
+					if _, err := conn.responses.Read(make([]byte, 1)); err != nil {
 						t.Fatal(err)
 					}
 				}
 				if conn.interrupt(); reads > 1 {
-					conn.answers.awaitNext()
+					conn.responses.resetAfterInterim()
 				}
-				if _, err := conn.answers.Read(make([]byte, 1)); err == nil || time.Since(startedAt) > 0 {
+				if _, err := conn.responses.Read(make([]byte, 1)); err == nil || time.Since(startedAt) > 0 {
 					t.Errorf("%v after %v", err, time.Since(startedAt))
 				}
 			})
@@ -155,14 +155,14 @@
 	upstream := newTestUpstream(testkit.WaitTimeout, limits.NewSocketLimiter(1024))
 	ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
 	defer cancel()
-	if outcome := upstream.AttemptHTTP1(ctx, upstream.NewPool(listener.Addr().String(), ProtocolHTTP1), newMessage(t, make([]byte, 64<<20))); outcome.Reason != control.ConnectFailed {
+	if outcome := upstream.AttemptHTTP1(ctx, upstream.NewPool(listener.Addr().String(), ProtocolHTTP1), newPOSTRequest(t, make([]byte, 64<<20))); outcome.Reason != control.ConnectFailed {
 		t.Errorf("%d (%v)", outcome.Reason, outcome.Err)
 	}
 }
 
 // TestAttemptAtSilentServerEndsAtItsDeadline checks that a server which reads or answers nothing delays an
 // attempt no longer than its deadline, and that the outcome fits what the server can still read of it.
-func TestAttemptAtSilentServerEndsAtItsDeadline(t *testing.T) {
+func TestAttemptAtUnresponsiveServerEndsAtItsDeadline(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0") // accepts in the kernel only
 	if err != nil {
 		t.Fatal(err)
@@ -180,7 +180,7 @@
 			upstream := newTestUpstream(testkit.WaitTimeout, sockets)
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			if outcome := upstream.AttemptHTTP1(ctx, upstream.NewPool(listener.Addr().String(), ProtocolHTTP1), newMessage(t, tc.body)); outcome.Reason != tc.want {
+			if outcome := upstream.AttemptHTTP1(ctx, upstream.NewPool(listener.Addr().String(), ProtocolHTTP1), newPOSTRequest(t, tc.body)); outcome.Reason != tc.want {
 				t.Errorf("%d (%v), not %d", outcome.Reason, outcome.Err, tc.want)
 			}
 			if n := sockets.InUse(); n != 0 {
@@ -217,7 +217,7 @@
 		cancel()
 	}()
 	upstream := newTestUpstream(testkit.WaitTimeout, limits.NewSocketLimiter(1024))
-	if outcome := upstream.AttemptHTTP1(ctx, upstream.NewPool(app.Listener.Addr().String(), ProtocolHTTP1), newMessage(t, nil)); outcome.Reason != control.Cancelled {
+	if outcome := upstream.AttemptHTTP1(ctx, upstream.NewPool(app.Listener.Addr().String(), ProtocolHTTP1), newPOSTRequest(t, nil)); outcome.Reason != control.Cancelled {
 		t.Errorf("%d (%v)", outcome.Reason, outcome.Err)
 	}
 }
--- a/internal/upstream/late_connection_test.go
+++ b/internal/upstream/late_connection_test.go
@@ -38,26 +38,26 @@
 			})
 			pool := upstream.NewPool(app.Addr(), protocol)
 			t.Cleanup(func() { upstream.RetirePool(pool) })
-			try := func(by time.Time) Outcome {
+			attempt := func(writeDeadline time.Time) Outcome {
 				ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
 				defer cancel()
-				if !by.IsZero() {
-					ctx = WithWriteDeadline(ctx, by)
+				if !writeDeadline.IsZero() {
+					ctx = WithWriteDeadline(ctx, writeDeadline)
 				}
 				return newUpdate("id", "body").Attempt(ctx, nil, upstream, pool)
 			}
 			dials.readyAt = time.Now().Add(10 * time.Millisecond)
-			if outcome := try(dials.readyAt); outcome.Reason != control.NotSent {
+			if outcome := attempt(dials.readyAt); outcome.Reason != control.NotSent {
 				t.Errorf("%d (%v) over a new connection", outcome.Reason, outcome.Err)
 			}
-			if outcome := try(time.Now()); outcome.Reason != control.NotSent {
+			if outcome := attempt(time.Now()); outcome.Reason != control.NotSent {
 				t.Errorf("%d (%v) over an idle one", outcome.Reason, outcome.Err)
 			}
-			if one, two := app.RequestsByVersion(); one+two != 0 {
-				t.Errorf("%d were written", one+two)
+			if http1Requests, http2Requests := app.RequestsByVersion(); http1Requests+http2Requests != 0 {
+				t.Errorf("%d were written", http1Requests+http2Requests)
 			}
-			for _, by := range []time.Time{time.Now().Add(time.Hour), {}} {
-				if outcome := try(by); outcome.Reason != control.OK {
+			for _, writeDeadline := range []time.Time{time.Now().Add(time.Hour), {}} {
+				if outcome := attempt(writeDeadline); outcome.Reason != control.OK {
 					t.Errorf("%d (%v) in time", outcome.Reason, outcome.Err)
 				}
 			}
@@ -79,7 +79,7 @@
 // stopped.
 func TestRemovedServerIsNotWrittenTo(t *testing.T) {
 	for name, protocol := range map[string]Protocol{"HTTP/1.1": ProtocolHTTP1, "HTTP/2": ProtocolHTTP2} {
-		for when, before := range map[string]bool{"before": true, "meanwhile": false} {
+		for when, removedBefore := range map[string]bool{"before": true, "meanwhile": false} {
 			t.Run(name+" "+when, func(t *testing.T) {
 				app, err := fake.Server{UID: "s", HTTP2: true}.Start()
 				if err != nil {
@@ -95,7 +95,7 @@
 					HTTP2:       HTTP2Options{MaxConnections: 1, MaxStreams: 10, MaxConnectionAge: time.Hour, FallbackPeriod: time.Minute, StartsAtLastByte: true},
 				})
 				pool = upstream.NewPool(app.Addr(), protocol)
-				if before {
+				if removedBefore {
 					upstream.RetirePool(pool)
 				}
 				ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
@@ -103,11 +103,11 @@
 				if outcome := newUpdate("id", "body").Attempt(ctx, nil, upstream, pool); outcome.Reason != control.ConnectFailed && outcome.Reason != control.NotSent {
 					t.Errorf("%d (%v)", outcome.Reason, outcome.Err)
 				}
-				if one, two := app.RequestsByVersion(); one+two != 0 {
-					t.Errorf("%d were written", one+two)
+				if http1Requests, http2Requests := app.RequestsByVersion(); http1Requests+http2Requests != 0 {
+					t.Errorf("%d were written", http1Requests+http2Requests)
 				}
 				testkit.Until(t, "the place back", func() bool { return sockets.InUse() == 0 })
-				if before && dials > 0 {
+				if removedBefore && dials > 0 {
 					t.Errorf("%d connections for a server that has left", dials)
 				}
 			})
@@ -124,11 +124,11 @@
 // TestFailedDialsLeaveNothingBehind checks that connections which never come up end with the connect timeout or
 // the attempt's deadline, whichever is shorter, and leave no descriptor, dial or goroutine behind.
 func TestFailedDialsLeaveNothingBehind(t *testing.T) {
-	const short, attempts = 50 * time.Millisecond, 100
+	const shortTimeout, attempts = 50 * time.Millisecond, 100
 	address := testkit.FullBacklogAddress(t)
 	for name, timeouts := range map[string]struct{ connect, attempt time.Duration }{
-		"the time of a connection": {short, testkit.WaitTimeout},
-		"the time of an attempt":   {testkit.WaitTimeout, short},
+		"the time of a connection": {shortTimeout, testkit.WaitTimeout},
+		"the time of an attempt":   {testkit.WaitTimeout, shortTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			sockets, dials := limits.NewSocketLimiter(1024), &dialCount{}
@@ -140,7 +140,7 @@
 				all.Go(func() {
 					ctx, cancel := context.WithTimeout(t.Context(), timeouts.attempt)
 					defer cancel()
-					if outcome := upstream.AttemptHTTP1(ctx, pool, newMessage(t, nil)); outcome.Reason != control.ConnectFailed {
+					if outcome := upstream.AttemptHTTP1(ctx, pool, newPOSTRequest(t, nil)); outcome.Reason != control.ConnectFailed {
 						t.Errorf("%d (%v)", outcome.Reason, outcome.Err)
 					}
 				})
@@ -149,8 +149,8 @@
 			if elapsed := time.Since(startedAt); elapsed > testkit.WaitTimeout/2 {
 				t.Errorf("given up after %v", elapsed)
 			}
-			if descriptors, coming := sockets.InUse(), dials.open.Load(); descriptors != 0 || coming != 0 {
-				t.Errorf("%d descriptors and %d dials are left", descriptors, coming)
+			if descriptors, dialing := sockets.InUse(), dials.open.Load(); descriptors != 0 || dialing != 0 {
+				t.Errorf("%d descriptors and %d dials are left", descriptors, dialing)
 			}
 		})
 	}
--- a/internal/upstream/many_connections_test.go
+++ b/internal/upstream/many_connections_test.go
@@ -12,14 +12,14 @@
 )
 
 // settingsOfOneStream is a SETTINGS frame that allows one stream at a time (RFC 9113, 6.5).
-const settingsOfOneStream = "\x00\x00\x06\x04\x00\x00\x00\x00\x00\x00\x03\x00\x00\x00\x01"
+const singleStreamSettings = "\x00\x00\x06\x04\x00\x00\x00\x00\x00\x00\x03\x00\x00\x00\x01"
 
 // TestAttemptsUseEveryAllowedConnection checks that attempts open as many connections to one server as its
 // options allow, also where that is more than a few.
 func TestAttemptsUseEveryAllowedConnection(t *testing.T) {
 	const connections = 20
 	address := serveConnections(t, func(conn net.Conn) { // takes requests and answers none
-		if _, err := io.WriteString(conn, settingsOfOneStream); err == nil {
+		if _, err := io.WriteString(conn, singleStreamSettings); err == nil {
 			_, _ = io.Copy(io.Discard, conn) // ends with the connection
 		}
 	})
--- a/internal/upstream/nodelay_test.go
+++ b/internal/upstream/nodelay_test.go
@@ -11,7 +11,7 @@
 
 // TestServersAreSentSmallWritesAtOnce checks that the system holds no small write back: a request's last byte would
 // come late, and a close over unread bytes would drop it.
-func TestServersAreSentSmallWritesAtOnce(t *testing.T) {
+func TestServerConnectionsSetNoDelay(t *testing.T) {
 	app := testkit.NewApp(t, testkit.Served)
 	upstream := newTestUpstream(testkit.WaitTimeout, limits.NewSocketLimiter(1024))
 	for name, offered := range map[string]string{"HTTP/1.1": alpnHTTP1, "HTTP/2": alpnHTTP2} {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -14,7 +14,7 @@
 
 // maxRestingConnections is how many connections to a server may be in their quiet period before one is used
 // early.
-const maxRestingConnections = 4
+const maxConnectionsInQuietPeriod = 4
 
 // Pool holds the connections to one app server at one address, so that those to a server that has gone are not
 // used for the next one at its address.
@@ -59,7 +59,7 @@
 	pool.idle = nil
 	pool.mergedInto = target
 	delete(u.pools, pool)
-	target.shared.adopt(pool.shared)
+	target.shared.mergeFrom(pool.shared)
 }
 
 // RetirePool closes a pool's idle connections. Those in use are closed when they are released.
@@ -85,12 +85,12 @@
 
 // acquire returns the most recently used idle connection that is still usable, or else a new one.
 func (u *Upstream) acquire(ctx context.Context, pool *Pool) (*serverConn, error) {
-	return u.acquireQuiet(ctx, pool, 0)
+	return u.acquireAfterQuietPeriod(ctx, pool, 0)
 }
 
 // acquireQuiet is acquire among the connections that have had no answer for a quiet period. Where no new one can
 // be made it uses one that still rests, unless servers are known to send second answers.
-func (u *Upstream) acquireQuiet(ctx context.Context, pool *Pool, quietPeriod time.Duration) (*serverConn, error) {
+func (u *Upstream) acquireAfterQuietPeriod(ctx context.Context, pool *Pool, quietPeriod time.Duration) (*serverConn, error) {
 	var dialErr error
 	for {
 		conn := u.popIdle(pool, quietPeriod)
@@ -103,7 +103,7 @@
 				return nil, errServerRemoved
 			}
 			if conn, dialErr = u.dial(ctx, pool.Endpoint); dialErr != nil {
-				if !u.hasUnrequestedAnswer.Load() {
+				if !u.hasUnsolicitedResponse.Load() {
 					quietPeriod = 0
 				}
 				continue
@@ -134,10 +134,10 @@
 	pool = pool.owner()
 	i := len(pool.idle) - 1
 	before := time.Now().Add(-quietPeriod)
-	for i >= 0 && quietPeriod > 0 && pool.idle[i].lastAnswer.After(before) {
+	for i >= 0 && quietPeriod > 0 && pool.idle[i].lastResponseEnd.After(before) {
 		i--
 	}
-	if i < 0 && len(pool.idle) >= maxRestingConnections && !u.hasUnrequestedAnswer.Load() {
+	if i < 0 && len(pool.idle) >= maxConnectionsInQuietPeriod && !u.hasUnsolicitedResponse.Load() {
 		i = 0
 	}
 	if i < 0 {
@@ -151,7 +151,7 @@
 // release returns a connection to its pool after an answer.
 func (u *Upstream) release(pool *Pool, conn *serverConn) {
 	conn.idleSince = time.Now()
-	conn.lastAnswer = conn.idleSince
+	conn.lastResponseEnd = conn.idleSince
 	u.addIdle(pool, conn)
 }
 
--- a/internal/upstream/relayed_request.go
+++ b/internal/upstream/relayed_request.go
@@ -153,9 +153,9 @@
 // bufferBody classifies an answer by its head, and reads its body where that is to be buffered. length is below
 // zero where it is not known. isTruncated reports that some of the body was left unread.
 func (r *RelayedRequest) bufferBody(outcome *Outcome, body io.Reader, length int64) (isBuffered, isTruncated bool) {
-	meaning := r.ResponseRules.Classify(outcome.Status, outcome.Header)
-	outcome.Reason = meaning.Reason
-	outcome.IsFinal = meaning.IsFinal
+	classification := r.ResponseRules.Classify(outcome.Status, outcome.Header)
+	outcome.Reason = classification.Reason
+	outcome.IsFinal = classification.IsFinal
 	switch {
 	case length == 0:
 	case length > 0 && length <= int64(r.MaxBufferedBytes) && !isEventStream(outcome.Header):
@@ -163,7 +163,7 @@
 		if _, err := io.ReadFull(body, outcome.Body); err != nil {
 			*outcome = Outcome{Reason: control.ResetByPeer, Err: err}
 		}
-	case !meaning.IsFinal:
+	case !classification.IsFinal:
 		// The request may be retried: this answer is for the case that no better one arrives. If it is too long
 		// the node writes an answer of its own.
 		read, err := io.ReadAll(io.LimitReader(body, int64(r.MaxBufferedBytes)+1))
--- a/internal/upstream/relayed_request_test.go
+++ b/internal/upstream/relayed_request_test.go
@@ -67,7 +67,7 @@
 					}
 				}()
 			}
-			<-outcome.Stream.http1.bodyEnded
+			<-outcome.Stream.http1.bodySendEnded
 			from.Close()
 			if _, err := outcome.Stream.Read(got); errors.Is(err, io.EOF) == reset {
 				t.Errorf("%v", err)
--- a/internal/upstream/scripted_server_test.go
+++ b/internal/upstream/scripted_server_test.go
@@ -13,16 +13,16 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-const goodAnswer, strayAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil"
+const okResponse, secondResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil"
 
 // scriptedServer is an app server whose answers the test writes, with an Upstream that sends it requests.
 type scriptedServer struct {
-	t        *testing.T
-	upstream *Upstream
-	pool     *Pool
-	requests chan receivedRequest
-	answers  chan string
-	outcomes chan Outcome
+	t         *testing.T
+	upstream  *Upstream
+	pool      *Pool
+	requests  chan receivedRequest
+	responses chan string
+	outcomes  chan Outcome
 }
 
 // receivedRequest is the connection of a request that a scriptedServer has read.
@@ -39,7 +39,7 @@
 	t.Cleanup(func() { listener.Close() })
 	s := &scriptedServer{
 		t: t, upstream: newTestUpstream(2*testkit.WaitTimeout, limits.NewSocketLimiter(1024)),
-		requests: make(chan receivedRequest), answers: make(chan string), outcomes: make(chan Outcome, 1),
+		requests: make(chan receivedRequest), responses: make(chan string), outcomes: make(chan Outcome, 1),
 	}
 	s.pool = s.upstream.NewPool(listener.Addr().String(), ProtocolHTTP1)
 	t.Cleanup(func() { s.upstream.RetirePool(s.pool) })
@@ -56,7 +56,7 @@
 						return
 					}
 					s.requests <- receivedRequest{conn, conn.RemoteAddr().String()}
-					io.WriteString(conn, <-s.answers)
+					io.WriteString(conn, <-s.responses)
 				}
 			}()
 		}
@@ -70,15 +70,15 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
 		defer cancel()
-		s.outcomes <- s.upstream.AttemptHTTP1(ctx, s.pool, newMessage(s.t, nil))
+		s.outcomes <- s.upstream.AttemptHTTP1(ctx, s.pool, newPOSTRequest(s.t, nil))
 	}()
 	return testkit.Next(s.t, s.requests)
 }
 
 // answerRequest writes the answer to the running attempt, which has to succeed.
-func (s *scriptedServer) answerRequest(text string) {
+func (s *scriptedServer) respond(text string) {
 	s.t.Helper()
-	s.answers <- text
+	s.responses <- text
 	if outcome := testkit.Next(s.t, s.outcomes); outcome.Reason != control.OK || string(outcome.Body) != "ok" {
 		s.t.Errorf("%d (%v) %q", outcome.Reason, outcome.Err, outcome.Body)
 	}
@@ -88,7 +88,7 @@
 func (s *scriptedServer) waitIdle(n int) {
 	s.t.Helper()
 	testkit.Until(s.t, "what came to idle connections", func() bool {
-		s.upstream.closeIdleIf(func(conn *serverConn) bool { return !conn.isQuiet() })
+		s.upstream.closeIdleIf(func(conn *serverConn) bool { return !conn.isOpenAndEmpty() })
 		idle, _ := s.upstream.CountIdle()
 		return idle == n
 	})
--- a/internal/upstream/second_answer_test.go
+++ b/internal/upstream/second_answer_test.go
@@ -18,55 +18,55 @@
 // TestRequestAvoidsConnectionWithPossibleSecondAnswer checks that a request isn't written on a connection where
 // a second answer to the last one may still come, even the first that a server sends: it would be taken for the
 // request's own.
-func TestRequestAvoidsConnectionWithPossibleSecondAnswer(t *testing.T) {
-	for name, isTogether := range map[string]bool{"with its answer": true, "some milliseconds later": false} {
+func TestRequestAvoidsConnectionWithPossibleSecondResponse(t *testing.T) {
+	for name, inOneWrite := range map[string]bool{"with its answer": true, "some milliseconds later": false} {
 		t.Run(name, func(t *testing.T) {
 			server := newScriptedServer(t)
 			server.upstream.QuietPeriod = testkit.WaitTimeout
 			first := server.startRequest()
-			server.answerRequest(goodAnswer + map[bool]string{true: strayAnswer}[isTogether])
+			server.respond(okResponse + map[bool]string{true: secondResponse}[inOneWrite])
 			second := server.startRequest()
 			if second.clientAddress == first.clientAddress {
 				t.Error("written where a second answer may still come")
 			}
-			if !isTogether {
-				io.WriteString(first, strayAnswer)
+			if !inOneWrite {
+				io.WriteString(first, secondResponse)
 			}
-			server.answerRequest(goodAnswer)
+			server.respond(okResponse)
 			server.waitIdle(1)
 			// Now that it is known of servers, none is used that rests, however many do.
 			used := map[string]bool{second.clientAddress: true}
-			for range maxRestingConnections {
+			for range maxConnectionsInQuietPeriod {
 				next := server.startRequest()
 				if used[next.clientAddress] {
 					t.Error("written where a second answer may still come")
 				}
 				used[next.clientAddress] = true
-				server.answerRequest(goodAnswer)
+				server.respond(okResponse)
 			}
 			// What has rested is used again.
 			server.upstream.QuietPeriod = 0
 			if next := server.startRequest(); !used[next.clientAddress] {
 				t.Error("one that has rested was not used again")
 			}
-			server.answerRequest(goodAnswer)
+			server.respond(okResponse)
 		})
 	}
 }
 
 // TestRestingConnectionsAreBounded checks that a limited number of connections rest as long as no server sends
 // second answers: the next request takes the one that has rested longest.
-func TestRestingConnectionsAreBounded(t *testing.T) {
+func TestConnectionsInQuietPeriodAreBounded(t *testing.T) {
 	server := newScriptedServer(t)
 	server.upstream.QuietPeriod = testkit.WaitTimeout
-	var from []string
-	for range 2 * maxRestingConnections {
-		from = append(from, server.startRequest().clientAddress)
-		server.answerRequest(goodAnswer)
+	var addresses []string
+	for range 2 * maxConnectionsInQuietPeriod {
+		addresses = append(addresses, server.startRequest().clientAddress)
+		server.respond(okResponse)
 	}
-	for i, f := range from {
-		if j := slices.Index(from, f); j != i%maxRestingConnections {
-			t.Errorf("request %d went where %d had gone, of %q", i, j, from)
+	for i, address := range addresses {
+		if j := slices.Index(addresses, address); j != i%maxConnectionsInQuietPeriod {
+			t.Errorf("request %d went where %d had gone, of %q", i, j, addresses)
 		}
 	}
 }
@@ -80,46 +80,46 @@
 // TestRestingConnectionIsUsedWhereDialsFail checks that a request takes a resting connection where no new one
 // can be made, unless servers are known to send second answers: it would fail although its server has a good
 // connection open.
-func TestRestingConnectionIsUsedWhereDialsFail(t *testing.T) {
+func TestConnectionInQuietPeriodIsUsedWhenDialsFail(t *testing.T) {
 	server := newScriptedServer(t)
 	server.upstream.QuietPeriod = testkit.WaitTimeout
 	first := server.startRequest().clientAddress
-	server.answerRequest(goodAnswer)
+	server.respond(okResponse)
 	server.upstream.DialLimiter = rejectedDials{}
-	if from := server.startRequest().clientAddress; from != first {
-		t.Errorf("written to %s, not %s", from, first)
+	if address := server.startRequest().clientAddress; address != first {
+		t.Errorf("written to %s, not %s", address, first)
 	}
-	server.answerRequest(goodAnswer)
-	server.upstream.hasUnrequestedAnswer.Store(true)
-	if outcome := server.upstream.AttemptHTTP1(t.Context(), server.pool, newMessage(t, nil)); outcome.Reason != control.NotSent || !errors.Is(outcome.Err, errDialLimit) {
+	server.respond(okResponse)
+	server.upstream.hasUnsolicitedResponse.Store(true)
+	if outcome := server.upstream.AttemptHTTP1(t.Context(), server.pool, newPOSTRequest(t, nil)); outcome.Reason != control.NotSent || !errors.Is(outcome.Err, errDialLimit) {
 		t.Errorf("%d (%v)", outcome.Reason, outcome.Err)
 	}
 }
 
 // TestDelayedSecondAnswerIsSeenAfterQuietPeriod checks that a second answer which the server's system holds back
 // until the first one is acknowledged (no TCP_NODELAY) has come when the quiet period ends.
-func TestDelayedSecondAnswerIsSeenAfterQuietPeriod(t *testing.T) {
+func TestDelayedSecondResponseIsSeenAfterQuietPeriod(t *testing.T) {
 	server := newScriptedServer(t)
 	var conn receivedRequest
 	for range 50 { // then this system no longer acknowledges at once
 		conn = server.startRequest()
 		conn.Conn.(*net.TCPConn).SetNoDelay(false)
-		server.answerRequest(goodAnswer)
+		server.respond(okResponse)
 	}
-	io.WriteString(conn, strayAnswer)
+	io.WriteString(conn, secondResponse)
 	server.upstream.QuietPeriod = SecondAnswerDelay
 	time.Sleep(SecondAnswerDelay) // has to pass
 	if next := server.startRequest(); next.clientAddress == conn.clientAddress {
 		t.Error("written where a second answer was still to come")
 	}
-	server.answerRequest(goodAnswer)
+	server.respond(okResponse)
 }
 
 // TestExtraBytesAreNotNextAnswer checks that bytes after an answer, before or after its connection becomes idle,
 // are never read as the next answer.
-func TestExtraBytesAreNotNextAnswer(t *testing.T) {
-	const good, noise = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil"
-	first := make(chan net.Conn, 1)
+func TestExtraBytesAreNotNextResponse(t *testing.T) {
+	const okResponse, extraResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil"
+	firstConn := make(chan net.Conn, 1)
 	requests := 0
 	app := testkit.NewApp(t, func(w http.ResponseWriter, _ *http.Request) {
 		if requests++; requests > 1 {
@@ -127,14 +127,14 @@
 			return
 		}
 		conn := testkit.Hijack(w)
-		io.WriteString(conn, good)
-		first <- conn
+		io.WriteString(conn, okResponse)
+		firstConn <- conn
 	})
 	upstream := newTestUpstream(2*testkit.WaitTimeout, limits.NewSocketLimiter(1024))
 	pool := upstream.NewPool(app.Listener.Addr().String(), ProtocolHTTP1)
 	for i := range 2 {
 		ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
-		outcome := upstream.AttemptHTTP1(ctx, pool, newMessage(t, nil))
+		outcome := upstream.AttemptHTTP1(ctx, pool, newPOSTRequest(t, nil))
 		cancel()
 		if outcome.Reason != control.OK || string(outcome.Body) != "ok" {
 			t.Errorf("%d (%v) %q", outcome.Reason, outcome.Err, outcome.Body)
@@ -142,12 +142,12 @@
 		if i > 0 {
 			break
 		}
-		conn := testkit.Next(t, first)
+		conn := testkit.Next(t, firstConn)
 		defer conn.Close()
 		idle := idleConnections(upstream)[0]
-		io.WriteString(conn, noise)
+		io.WriteString(conn, extraResponse)
 		// isQuiet reads a byte; one has to be left for the next attempt to find.
-		for end := time.Now().Add(testkit.WaitTimeout); idle.isQuiet() && time.Now().Before(end); {
+		for end := time.Now().Add(testkit.WaitTimeout); idle.isOpenAndEmpty() && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 	}
--- a/internal/upstream/server_conn.go
+++ b/internal/upstream/server_conn.go
@@ -21,20 +21,20 @@
 // serverConn is a connection of HTTP/1.1 to an app server. One attempt uses it at a time.
 type serverConn struct {
 	*limits.Conn
-	rawConn              syscall.RawConn
-	isInterrupted        atomic.Bool // all reads and writes fail from now on
-	answers              answerReader
-	reader               *bufio.Reader
-	writer               *bufio.Writer
-	idleSince            time.Time    // zero until it has been idle
-	lastAnswer           time.Time    // when its last answer ended; zero is none
-	hasUnrequestedAnswer *atomic.Bool // that of its Upstream
+	rawConn                syscall.RawConn
+	isInterrupted          atomic.Bool // all reads and writes fail from now on
+	responses              responseReader
+	reader                 *bufio.Reader
+	writer                 *bufio.Writer
+	idleSince              time.Time    // zero until it has been idle
+	lastResponseEnd        time.Time    // when its last answer ended; zero is none
+	hasUnsolicitedResponse *atomic.Bool // that of its Upstream
 }
 
 func (u *Upstream) newConn(conn *limits.Conn, rawConn syscall.RawConn) *serverConn {
-	created := &serverConn{Conn: conn, rawConn: rawConn, hasUnrequestedAnswer: &u.hasUnrequestedAnswer}
-	created.answers = answerReader{Conn: conn.Conn, owner: created}
-	created.reader = bufio.NewReaderSize(&created.answers, connBufferBytes)
+	created := &serverConn{Conn: conn, rawConn: rawConn, hasUnsolicitedResponse: &u.hasUnsolicitedResponse}
+	created.responses = responseReader{Conn: conn.Conn, owner: created}
+	created.reader = bufio.NewReaderSize(&created.responses, connBufferBytes)
 	created.writer = bufio.NewWriterSize(conn.Conn, connBufferBytes)
 	return created
 }
@@ -73,17 +73,17 @@
 // isQuiet reports whether an idle connection is open and has nothing to read. A request that is written on a
 // connection that the server has closed would count as reset, and bytes that arrived after the last answer would
 // be taken for the next one. A server's TLS tickets precede its first answer and are read with it.
-func (c *serverConn) isQuiet() bool {
-	isQuiet := false
+func (c *serverConn) isOpenAndEmpty() bool {
+	isOpenAndEmpty := false
 	err := c.rawConn.Control(func(fd uintptr) {
 		var probe [1]byte
 		n, err := syscall.Read(int(fd), probe[:])
-		isQuiet = errors.Is(err, syscall.EAGAIN)
+		isOpenAndEmpty = errors.Is(err, syscall.EAGAIN)
 		if _, isTLS := c.Conn.Conn.(*tls.Conn); n > 0 && !isTLS { // over TLS it may be a record of TLS itself
-			c.hasUnrequestedAnswer.Store(true)
+			c.hasUnsolicitedResponse.Store(true)
 		}
 	})
-	return err == nil && isQuiet
+	return err == nil && isOpenAndEmpty
 }
 
 // wasReset reports whether the connection is closed in both directions, although this side has not closed it.
--- a/internal/upstream/shared_connections.go
+++ b/internal/upstream/shared_connections.go
@@ -16,7 +16,7 @@
 	pingAfterSilence = 5 * time.Second
 	// usualConnections is the number of connections to one server up to which acquire needs no memory from
 	// the heap.
-	usualConnections = 8
+	stackViewCapacity = 8
 )
 
 // sharedConnections are the connections of HTTP/2 to one server, on which attempts share. A nil one has none.
@@ -130,7 +130,7 @@
 // choose decides which connection an attempt takes, and retires or dials one where that is due. s.mu is locked.
 func (s *sharedConnections) choose() h2.Choice {
 	s.removeEnded()
-	views := make([]h2.View, 0, usualConnections)
+	views := make([]h2.View, 0, stackViewCapacity)
 	for _, conn := range s.connections {
 		views = append(views, conn.View())
 	}
@@ -201,11 +201,11 @@
 	if s.protocol == ProtocolHTTP2 {
 		offered = offered[:1]
 	}
-	conn, _, agreed, err := s.upstream.connect(ctx, s.endpoint, offered...)
+	conn, _, negotiated, err := s.upstream.connect(ctx, s.endpoint, offered...)
 	if err != nil {
 		return nil, err
 	}
-	if s.upstream.TLS != nil && agreed != alpnHTTP2 { // without waiting for the server's first frame
+	if s.upstream.TLS != nil && negotiated != alpnHTTP2 { // without waiting for the server's first frame
 		conn.Close()
 		return nil, fmt.Errorf("%w: %w", h2.ErrNotHTTP2, certs.ErrProtocol)
 	}
@@ -287,7 +287,7 @@
 }
 
 // adopt takes over the connections of source, which lead to the same server.
-func (s *sharedConnections) adopt(source *sharedConnections) {
+func (s *sharedConnections) mergeFrom(source *sharedConnections) {
 	if s == nil || source == nil {
 		return
 	}
--- a/internal/upstream/shared_connections_test.go
+++ b/internal/upstream/shared_connections_test.go
@@ -193,12 +193,12 @@
 // shared as without it, and that a server with another name is rejected.
 func TestProtocolNegotiationOverTLS(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		speaks Protocol
-		h2     bool // the server's
-		want   control.Reason
-		proto  string
-		dials  int64
+		name           string
+		protocol       Protocol
+		serverHasHTTP2 bool // the server's
+		want           control.Reason
+		proto          string
+		dials          int64
 	}{
 		{"HTTP/2", ProtocolHTTP2, true, control.OK, "HTTP/2.0", 1},
 		{"HTTP/2 where there is none", ProtocolHTTP2, false, control.ConnectFailed, "", 3},
@@ -209,7 +209,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			var dials atomic.Int64
 			var proto atomic.Value
-			server := startTLSServer(tc.h2, &dials, &proto)
+			server := startTLSServer(tc.serverHasHTTP2, &dials, &proto)
 			defer server.Close()
 			authority := writeAuthority(t, server)
 			certificates, err := certs.Load(certs.Options{CA: authority, Name: "example.com"})
@@ -218,7 +218,7 @@
 			}
 			upstream := newHTTP2Upstream(HTTP2Options{})
 			upstream.TLS = certificates
-			pool := upstream.NewPool(server.Listener.Addr().String(), tc.speaks)
+			pool := upstream.NewPool(server.Listener.Addr().String(), tc.protocol)
 			for i := range 3 {
 				outcome := newUpdate(fmt.Sprint(i), "swap").Attempt(t.Context(), t.Context(), upstream, pool)
 				if outcome.Reason != tc.want || tc.want == control.OK && proto.Load() != tc.proto {
@@ -232,7 +232,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if outcome := newUpdate("other", "").Attempt(t.Context(), t.Context(), upstream, upstream.NewPool(pool.Endpoint, tc.speaks)); outcome.Reason != control.ConnectFailed {
+			if outcome := newUpdate("other", "").Attempt(t.Context(), t.Context(), upstream, upstream.NewPool(pool.Endpoint, tc.protocol)); outcome.Reason != control.ConnectFailed {
 				t.Errorf("another name: %v, %v", outcome.Reason, outcome.Err)
 			}
 			upstream.RetirePool(pool)
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -101,7 +101,7 @@
 
 // copyPiece copies size bytes. It records an error of the server's side.
 func (s *Stream) copyPiece(destination io.ReaderFrom, tcp *net.TCPConn, size int64) (int64, error) {
-	s.http1.hasDeadline = true
+	s.http1.hasConnDeadline = true
 	s.http1.conn.readBy(time.Now().Add(s.http1.IdleTimeout))
 	n, err := destination.ReadFrom(&io.LimitedReader{R: tcp, N: size})
 	s.bytesRead += n
--- a/internal/upstream/time_left_test.go
+++ b/internal/upstream/time_left_test.go
@@ -22,11 +22,11 @@
 func TestAttemptSendsTimeLeft(t *testing.T) {
 	for name, version := range map[string]Protocol{"HTTP/1.1": ProtocolHTTP1, "HTTP/2": ProtocolHTTP2} {
 		t.Run(name, func(t *testing.T) {
-			const late = 100 * time.Millisecond
+			const delay = 100 * time.Millisecond
 			received := make(chan string, 2)
 			server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				received <- r.Header.Get(protocol.HeaderTimeLeft)
-				time.Sleep(late)
+				time.Sleep(delay)
 				w.WriteHeader(http.StatusInternalServerError)
 			}))
 			server.Config.Protocols = new(http.Protocols)
@@ -34,9 +34,9 @@
 			server.Config.Protocols.SetUnencryptedHTTP2(true)
 			server.Start()
 			t.Cleanup(server.Close)
-			connections := &delayedDials{readyAt: time.Now().Add(late)}
+			dials := &delayedDials{readyAt: time.Now().Add(delay)}
 			upstream := New(Options{
-				ConnectTimeout: testkit.WaitTimeout, KeepAliveTimeout: 2 * testkit.WaitTimeout, SocketLimiter: limits.NewSocketLimiter(1024), DialLimiter: connections,
+				ConnectTimeout: testkit.WaitTimeout, KeepAliveTimeout: 2 * testkit.WaitTimeout, SocketLimiter: limits.NewSocketLimiter(1024), DialLimiter: dials,
 				HTTP2: HTTP2Options{MaxConnections: 1, MaxStreams: 10, MaxConnectionAge: time.Hour, FallbackPeriod: time.Minute, StartsAtLastByte: true},
 			})
 			pool := upstream.NewPool(server.Listener.Addr().String(), version)
@@ -52,7 +52,7 @@
 				}
 				text := testkit.Next(t, received)
 				left, err := strconv.Atoi(strings.TrimSuffix(text, "m"))
-				maxLeft := testkit.WaitTimeout - time.Duration(n)*late
+				maxLeft := testkit.WaitTimeout - time.Duration(n)*delay
 				if err != nil || time.Duration(left)*time.Millisecond > maxLeft || left < 1 {
 					t.Errorf("attempt %d tells %q, with at most %v left", n, text, maxLeft)
 				}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -49,9 +49,9 @@
 // net/http's Transport would, and it records whether the last byte of a request was written.
 type Upstream struct {
 	Options
-	maxIdleTime          time.Duration
-	hasUnrequestedAnswer atomic.Bool // a server has sent an answer without a request
-	usesHTTP2            atomic.Bool // some pool may speak HTTP/2, or did
+	maxIdleTime            time.Duration
+	hasUnsolicitedResponse atomic.Bool // a server has sent an answer without a request
+	usesHTTP2              atomic.Bool // some pool may speak HTTP/2, or did
 
 	mu    sync.Mutex // guards pools, and the idle list and mergedInto of every Pool
 	pools map[*Pool]struct{}
