--- a/internal/upstream/answer_reader.go
+++ b/internal/upstream/answer_reader.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	// maxHeadBytes limits an answer's head and framing, together with the interim answers before it.
+	// maxHeadBytes limits the head and framing of a response, including interim responses before it.
 	maxHeadBytes = 32 << 10
-	// answerCompletionTimeout is the time from the first bytes of an answer to its last.
+	// responseCompletionTimeout is the time limit from the first byte of a response to its last.
 	responseCompletionTimeout = 300 * time.Millisecond
 )
 
-// answerReader reads the answer to a BufferedRequest with a limit of bytes, and of the time after the first of them:
-// app servers write such an answer once it is complete, so one that stops half way is a fault. For a RelayedRequest,
-// http1Attempt sets the limits in its place.
+// responseReader reads the response to a BufferedRequest. It limits the number of bytes and the time after the first
+// of them: app servers write such a response once it is complete, so one that stalls half way is a fault. For a
+// RelayedRequest, http1Attempt enforces the limits instead.
 type responseReader struct {
 	net.Conn
 	owner                 *serverConn
-	attempt               *http1Attempt // of a RelayedRequest; nil is none
+	attempt               *http1Attempt // attempt of a RelayedRequest; nil for a BufferedRequest
 	bytesLeft             int
-	deadline              time.Time // of the attempt; zero is none
-	isStarted             bool      // some of the answer has arrived
-	hasCompletionDeadline bool      // its rest has a deadline
+	deadline              time.Time // deadline of the attempt; zero is none
+	isStarted             bool      // part of the response has arrived
+	hasCompletionDeadline bool      // the read deadline covers the rest of the response
 	hasConnDeadline       bool      // the connection has a read deadline
 }
 
@@ -49,7 +49,7 @@
 	return n, err
 }
 
-// start prepares for the answer to the next attempt, which ends at deadline.
+// start prepares for the response to the next attempt, which ends at deadline.
 func (r *responseReader) start(deadline time.Time, maxBytes int) {
 	if r.hasConnDeadline {
 		r.SetReadDeadline(time.Time{})
@@ -57,7 +57,7 @@
 	*r = responseReader{Conn: r.Conn, owner: r.owner, bytesLeft: maxBytes, deadline: deadline}
 }
 
-// awaitNext prepares for the answer after an interim one.
+// resetAfterInterim prepares for the response that follows an interim one.
 func (r *responseReader) resetAfterInterim() {
 	if r.hasCompletionDeadline {
 		r.owner.readBy(r.deadline)
--- a/internal/upstream/buffered_request.go
+++ b/internal/upstream/buffered_request.go
@@ -14,7 +14,7 @@
 	"lockflow/control"
 )
 
-// BufferedRequest is a request of the platform's protocol: it is complete in memory, and so will its answer be.
+// BufferedRequest is a request of the platform's protocol: both the request and its response are complete in memory.
 // At most one of its attempts runs at a time.
 type BufferedRequest struct {
 	Request *http.Request // without its body
@@ -24,14 +24,14 @@
 // Method returns the request's method.
 func (r *BufferedRequest) Method() string { return r.Request.Method }
 
-// IsBodyPending reports false: the body is complete.
+// IsBodyPending returns false: the body is complete.
 func (r *BufferedRequest) IsBodyPending() bool { return false }
 
-// CanRetry reports true: the request is complete in memory.
+// CanRetry returns true: the request is complete in memory.
 func (r *BufferedRequest) CanRetry() bool { return true }
 
-// Attempt makes one attempt and returns when it has ended, at the latest when ctx does. It sets headers of its
-// own in the request.
+// Attempt makes one attempt and returns when it has ended, at the latest when ctx ends. It sets headers of its own
+// in the request.
 func (r *BufferedRequest) Attempt(ctx, _ context.Context, upstream *Upstream, pool *Pool) Outcome {
 	if shared := upstream.sharedConnectionsOf(pool); shared != nil {
 		if outcome, ok := shared.attemptBuffered(ctx, r); ok {
@@ -47,8 +47,8 @@
 	return upstream.AttemptHTTP1(ctx, pool, &httpRequest)
 }
 
-// AttemptHTTP1 makes one attempt over HTTP/1.1, whatever the pool's protocol is, and returns when it has ended,
-// at the latest when ctx does.
+// AttemptHTTP1 makes one attempt over HTTP/1.1, whatever the pool's protocol is. It returns when the attempt has
+// ended, at the latest when ctx ends.
 func (u *Upstream) AttemptHTTP1(ctx context.Context, pool *Pool, request *http.Request) Outcome {
 	conn, err := u.acquireAfterQuietPeriod(ctx, pool, u.QuietPeriod)
 	if err != nil {
@@ -63,11 +63,11 @@
 	return outcome
 }
 
-// attemptOn makes an attempt on a connection, and returns that to its pool or closes it.
+// attemptOn makes an attempt on a connection, then returns the connection to its pool or closes it.
 func (u *Upstream) attemptOn(ctx context.Context, pool *Pool, conn *serverConn, request *http.Request) Outcome {
 	deadline, hasDeadline := ctx.Deadline()
 	conn.responses.start(deadline, u.MaxBodyBytes+maxHeadBytes)
-	// A peer may neither read nor write: both directions end with ctx.
+	// The peer may stop both reading and writing, so both directions are interrupted when ctx ends.
 	stopContextWatch := context.AfterFunc(ctx, conn.interrupt)
 	isReusable := false
 	defer func() {
@@ -81,7 +81,7 @@
 		setTimeLeft(request, deadline)
 	}
 	if err := conn.writeRequest(request, writeDeadline(ctx)); err != nil {
-		// An app server starts a request with its last byte: one that was not written completely has not run.
+		// An app server starts a request at its last byte, so a request that was not written completely has not run.
 		conn.interrupt()
 		return Outcome{Reason: control.ConnectFailed, Err: err}
 	}
@@ -96,7 +96,7 @@
 	return outcome
 }
 
-// writeRequest writes a complete request by the deadline; a zero one is none.
+// writeRequest writes a complete request by the deadline; a zero deadline is none.
 func (c *serverConn) writeRequest(request *http.Request, deadline time.Time) error {
 	if !deadline.IsZero() {
 		c.writeBy(deadline)
@@ -113,15 +113,15 @@
 	return nil
 }
 
-// readOutcome reads one answer and reports whether the connection can be reused. An answer that is
-// incomplete, malformed or too long counts as a reset: the request may have run.
+// readOutcome reads one response and reports whether the connection can be reused. A response that is incomplete,
+// malformed or too long counts as a reset: the request may have run.
 func (c *serverConn) readOutcome(request *http.Request, maxBodyBytes int) (outcome Outcome, isReusable bool) {
 	response, err := readHead(c.reader, request) //nolint:bodyclose // readBody closes it
 	for err == nil && isInterim(response.StatusCode) {
 		if c.reader.Buffered() == 0 {
 			c.responses.resetAfterInterim()
 		}
-		response, err = readHead(c.reader, request) //nolint:bodyclose // readBody closes it, and an interim answer has none
+		response, err = readHead(c.reader, request) //nolint:bodyclose // readBody closes it, and an interim response has none
 	}
 	if err == nil {
 		outcome.Body, err = readBody(response, maxBodyBytes)
@@ -137,13 +137,13 @@
 	return outcome, !response.Close && !hasMore
 }
 
-// isInterim reports whether a status is followed by another answer (RFC 9110, 15.2).
+// isInterim reports whether a response of this status is followed by another response (RFC 9110, 15.2).
 func isInterim(status int) bool {
 	return status < http.StatusOK && status != http.StatusSwitchingProtocols
 }
 
-// readHead reads the head of an answer. It rejects a head that follows the beginning of another one's status
-// line: the status would be that of the first answer, and everything else that of the second.
+// readHead reads the head of a response. It rejects a head that follows the beginning of another response's status
+// line, because it would combine the status of the first response with the rest of the second.
 func readHead(reader *bufio.Reader, request *http.Request) (*http.Response, error) {
 	response, err := http.ReadResponse(reader, request)
 	if err == nil && strings.Contains(response.Status, "HTTP/") {
@@ -152,8 +152,8 @@
 	return response, err
 }
 
-// readBody reads the body of an answer and closes it. A body without a stated length ends with its connection,
-// unless that is reset.
+// readBody reads the body of a response and closes it. A body of unstated length ends with its connection, unless
+// that is reset.
 func readBody(response *http.Response, maxBytes int) ([]byte, error) {
 	defer response.Body.Close()
 	switch length := response.ContentLength; {
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -11,13 +11,13 @@
 	"lockflow/internal/shortage"
 )
 
-// Names of protocols in TLS (ALPN, RFC 7301).
+// Protocol names in TLS (ALPN, RFC 7301).
 const (
 	alpnHTTP1 = "http/1.1"
 	alpnHTTP2 = "h2"
 )
 
-// dial makes a connection for HTTP/1.1.
+// dial establishes an HTTP/1.1 connection.
 func (u *Upstream) dial(ctx context.Context, endpoint string) (*serverConn, error) {
 	conn, rawConn, negotiated, err := u.connect(ctx, endpoint, alpnHTTP1)
 	if err != nil {
@@ -30,8 +30,8 @@
 	return u.newConn(conn, rawConn), nil
 }
 
-// connect makes a connection and counts it with both limiters. rawConn is its socket, also below TLS. agreed is
-// the offered protocol that TLS has negotiated; it is empty without TLS, and where the server doesn't negotiate.
+// connect establishes a connection and counts it with both limiters. rawConn is its socket, below TLS if there is
+// any. negotiated is the protocol chosen by ALPN; it is empty without TLS or if the server does not negotiate.
 func (u *Upstream) connect(
 	ctx context.Context, endpoint string, offered ...string,
 ) (conn *limits.Conn, rawConn syscall.RawConn, negotiated string, err error) {
@@ -44,7 +44,7 @@
 	if !u.SocketLimiter.TryAcquire() {
 		return nil, nil, "", errNoDescriptor
 	}
-	if u.TLS != nil { // the handshake is part of the time to connect
+	if u.TLS != nil { // ConnectTimeout includes the handshake
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, u.ConnectTimeout)
 		defer cancel()
@@ -69,8 +69,8 @@
 	return conn, rawConn, negotiated, nil
 }
 
-// dialTCP makes a TCP connection. It retries after a shortage of this node's descriptors or ports, which is no fault of
-// the server, within the connect timeout.
+// dialTCP establishes a TCP connection. Within the connect timeout it retries when this node is short of descriptors
+// or ports, which is no failure of the server.
 func (u *Upstream) dialTCP(ctx context.Context, endpoint string) (conn net.Conn, err error) {
 	dialer := net.Dialer{Timeout: u.ConnectTimeout, KeepAlive: -1}
 	err = shortage.Retry(ctx, u.ConnectTimeout, shortage.OfDial, func() (err error) {
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -7,10 +7,10 @@
 	"lockflow/internal/shortage"
 )
 
-// ErrAborted is the error of a Stream that was aborted by this node.
+// ErrAborted is the error of a Stream that this node has aborted.
 var ErrAborted = errors.New("aborted")
 
-// Errors of attempts that were not sent, or not answered.
+// Errors of attempts that were not sent or got no response.
 var (
 	errWithdrawn       = errors.New("withdrawn before it was sent")
 	errWriteDeadline   = errors.New("the time to write the request is over")
@@ -21,11 +21,11 @@
 	errResponseTooLong = errors.New("the answer is too long")
 )
 
-// nodeErrors are the errors whose cause is this node and not the app server.
+// nodeErrors are the errors caused by this node and not by the app server.
 var nodeErrors = []error{errNoDescriptor, errDialLimit, errWriteDeadline}
 
-// isNodeError reports whether there was no connection because of this node, which indicates no fault of the app
-// server.
+// isNodeError reports whether a connection failed because of this node. Such an error does not count as a failure
+// of the app server.
 func isNodeError(err error) bool {
 	isOneOf := func(nodeError error) bool { return errors.Is(err, nodeError) }
 	return slices.ContainsFunc(nodeErrors, isOneOf) || shortage.OfDial(err)
--- a/internal/upstream/http1_attempt.go
+++ b/internal/upstream/http1_attempt.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	maxInterimResponses = 32              // to one request
-	headTimeout         = 5 * time.Second // from the first byte of an answer's head to its last, where ctx has no deadline
+	maxInterimResponses = 32              // limit for one request
+	headTimeout         = 5 * time.Second // limit from the first byte of a response head to its last, if ctx has no deadline
 )
 
-// http1Attempt is one attempt of a RelayedRequest over HTTP/1.1. The goroutine of the attempt writes the head
-// and reads the answer; a second one sends a body that does not go with the head, and ends with the attempt.
+// http1Attempt is one attempt of a RelayedRequest over HTTP/1.1. The goroutine of the attempt writes the head and
+// reads the response. A second goroutine sends a body that is not written with the head; it ends with the attempt.
 type http1Attempt struct {
 	*RelayedRequest
 	upstream             *Upstream
@@ -31,22 +31,22 @@
 	conn                 *serverConn
 	stopContextWatch     func() bool // stops waiting for the context that ends the attempt
 	request              http.Request
-	response             *http.Response // whose body is read; nil for a tunnel
+	response             *http.Response // response whose body is read; nil for a tunnel
 	headScanner          validation.Scanner
 	headBytesLeft        int
-	isReadingBody        bool // the heads have been read
-	lacksContextDeadline bool // ctx has no deadline: the wait for the answer counts from the last byte of the body
-	hasConnDeadline      bool // the connection has some deadline
+	isReadingBody        bool // the final head has been read
+	lacksContextDeadline bool // ctx has no deadline: AnswerTimeout applies, from the last byte of the request
+	hasConnDeadline      bool // a deadline is set on the connection
 
-	bodySendEnded    chan struct{} // closed once no more of the body is sent; nil where it went with the head
-	continueReceived chan struct{} // closed once a body that waits for a 100 may be sent; nil where none does
-	attemptEnded     chan struct{} // closed with the attempt; nil where no body waits for a 100
-	isRequestWritten atomic.Bool   // the complete request is written
+	bodySendEnded    chan struct{} // closed when sending of the body has ended; nil if the body was written with the head
+	continueReceived chan struct{} // closed when a body that waits for a 100 may be sent; nil if it does not wait
+	attemptEnded     chan struct{} // closed when the attempt ends; nil if no body waits for a 100
+	isRequestWritten atomic.Bool   // the request has been written completely
 	clientErr        atomic.Pointer[error]
 	releaseOnce      sync.Once
 
-	mu            sync.Mutex // guards isHeadStarted, and the read deadline until it is true
-	isHeadStarted bool       // some of the current answer's head has arrived
+	mu            sync.Mutex // guards isHeadStarted, and the read deadline until isHeadStarted is true
+	isHeadStarted bool       // part of the current response's head has arrived
 }
 
 // run makes the attempt.
@@ -72,8 +72,8 @@
 	return outcome
 }
 
-// exchange sends the request and reads the answer as far as it is buffered. isStreaming reports that there is
-// more of it.
+// exchange sends the request and reads the response as far as it is buffered. isStreaming reports that the response
+// continues as a stream.
 func (a *http1Attempt) exchange(ctx context.Context) (outcome Outcome, isStreaming bool) {
 	if outcome := a.sendRequest(ctx); outcome.Err != nil {
 		return outcome, false
@@ -106,8 +106,8 @@
 	return outcome, true
 }
 
-// failedOutcome is the outcome of an attempt without an answer. Where the client or ctx has ended the attempt, the
-// connection's error has another form and is not the cause.
+// failedOutcome returns the outcome of an attempt without a response. If the client or ctx ended the attempt, the
+// connection's error is only a consequence and does not determine the reason.
 func (a *http1Attempt) failedOutcome(ctx context.Context, outcome Outcome) Outcome {
 	switch clientErr := a.clientErr.Load(); {
 	case clientErr != nil:
@@ -125,7 +125,7 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// canReuseConnection reports whether the request is written and nothing else is on the connection.
+// canReuseConnection reports whether the request has been written completely and no unread bytes remain.
 func (a *http1Attempt) canReuseConnection() bool {
 	if a.bodySendEnded != nil {
 		select {
@@ -137,7 +137,7 @@
 	return a.isRequestWritten.Load() && a.conn.reader.Buffered() == 0
 }
 
-// release returns the connection to its pool or closes it. Only the first call does anything.
+// release returns the connection to its pool or closes it. Calls after the first have no effect.
 func (a *http1Attempt) release(canReuse bool) {
 	a.releaseOnce.Do(func() {
 		if a.attemptEnded != nil {
@@ -156,7 +156,7 @@
 	})
 }
 
-// readAnswer reads from the connection for its answerReader.
+// readResponseBytes reads from the connection on behalf of its responseReader.
 func (a *http1Attempt) readResponseBytes(b []byte) (int, error) {
 	if a.headBytesLeft <= 0 {
 		return 0, errResponseTooLong
@@ -181,7 +181,7 @@
 	return n, err
 }
 
-// beginHead bounds the time of a head whose first byte has arrived, where ctx has no deadline.
+// startHeadTimeout limits the time for the rest of a head whose first byte has arrived, if ctx has no deadline.
 func (a *http1Attempt) startHeadTimeout() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -192,8 +192,8 @@
 	a.isHeadStarted = true
 }
 
-// awaitHead bounds the wait for a head to begin, where ctx has no deadline: it counts from now if the complete
-// request is written.
+// setHeadDeadline limits the wait for the first byte of a head, if ctx has no deadline. The time starts now if the
+// request has been written completely.
 func (a *http1Attempt) setHeadDeadline() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -203,11 +203,11 @@
 	if a.isRequestWritten.Load() {
 		a.conn.readBy(time.Now().Add(a.AnswerTimeout))
 	} else {
-		a.conn.readBy(time.Time{}) // sendBody has deadlines of its own
+		a.conn.readBy(time.Time{}) // sendBody sets write deadlines of its own
 	}
 }
 
-// readFinalHead reads heads up to that of the final answer, or of a switch to another protocol.
+// readFinalHead reads heads up to that of the final response, or of a switch to another protocol.
 func (a *http1Attempt) readFinalHead() (*http.Response, error) {
 	for interimResponses := 0; ; interimResponses++ {
 		response, err := readHead(a.conn.reader, &a.request)
@@ -235,7 +235,7 @@
 	return strings.EqualFold(response.Header.Get("Upgrade"), a.UpgradeProtocol)
 }
 
-// handleInterim processes an interim answer and prepares for the next one.
+// handleInterim processes an interim response and prepares for the next response.
 func (a *http1Attempt) handleInterim(response *http.Response) {
 	if response.StatusCode == http.StatusContinue {
 		a.allowBody()
--- a/internal/upstream/http1_send.go
+++ b/internal/upstream/http1_send.go
@@ -12,8 +12,8 @@
 	"lockflow/internal/retrybuffer"
 )
 
-// sendRequest writes the request's head, together with a body that is complete and small. Any other body is
-// sent by a goroutine that it starts.
+// sendRequest writes the request's head, together with the body if that is complete and small. It starts a goroutine
+// that sends any other body.
 func (a *http1Attempt) sendRequest(ctx context.Context) Outcome {
 	_, hasDeadline := ctx.Deadline()
 	a.lacksContextDeadline = !hasDeadline
@@ -33,7 +33,7 @@
 	bytesBuffered := writer.Buffered()
 	if err := writer.Flush(); err != nil {
 		outcome := Outcome{Reason: control.ResetByPeer, Err: err}
-		// Where the system has accepted no byte, the server has received none.
+		// If the system has accepted no byte, the server has received none.
 		if writer.Buffered() == bytesBuffered && bytesBuffered < connBufferBytes {
 			outcome.Reason = control.ConnectFailed
 		}
@@ -55,7 +55,7 @@
 	writer.WriteString("\r\n")
 }
 
-// writeOwnFields writes the fields that this node adds to the client's.
+// writeAddedFields writes the header fields that this node adds to the client's.
 func (a *http1Attempt) writeAddedFields(ctx context.Context, writer *bufio.Writer) {
 	if a.SendTimeLeft {
 		writer.WriteString(protocol.HeaderTimeLeft + ": ")
@@ -69,12 +69,12 @@
 	}
 }
 
-// writeBodyFields writes the fields that frame the body. It returns a body that is to be written with the head,
-// after which the request is complete.
+// writeBodyFields writes the header fields that frame the body. If it returns a body, that is to be written with the
+// head and completes the request.
 func (a *http1Attempt) writeBodyFields(writer *bufio.Writer) (inline []byte) {
 	switch {
 	case a.Body == nil:
-		if a.ContentLength == 0 { // stated by the client, as for a POST without a body
+		if a.ContentLength == 0 { // sent by the client, for example in a POST without a body
 			writer.WriteString("Content-Length: 0\r\n")
 		}
 		a.isRequestWritten.Store(true)
@@ -100,12 +100,12 @@
 		a.attemptEnded = make(chan struct{})
 		a.continueReceived = make(chan struct{})
 	}
-	body := a.Body.NewReader() // here, so that it precedes the reader of any later attempt
+	body := a.Body.NewReader() // created here so that it precedes the reader of any later attempt
 	go a.sendBody(body)
 }
 
-// allowBody starts sending a body that waits for a 100. Only the goroutine that reads the answer calls it, and
-// only the first call has an effect.
+// allowBody lets sendBody send a body that waits for a 100. It must be called only from the goroutine that reads the
+// response. Calls after the first have no effect.
 func (a *http1Attempt) allowBody() {
 	if a.continueReceived == nil {
 		return
@@ -117,8 +117,8 @@
 	}
 }
 
-// sendBody sends the body as it arrives. A fault of the client ends the attempt. One of the server is reported by the
-// reading of the answer, which may have arrived already.
+// sendBody sends the body as it arrives. A client error ends the attempt. A server error is reported by the goroutine
+// that reads the response, since the response may have arrived already.
 func (a *http1Attempt) sendBody(body *retrybuffer.Reader) {
 	defer close(a.bodySendEnded)
 	if a.ExpectContinue && !awaitContinue(a.continueReceived, a.attemptEnded) {
@@ -142,7 +142,7 @@
 	a.setHeadDeadline()
 }
 
-// writePiece writes one piece of the body, as a chunk where the length is not known.
+// writePiece writes one piece of the body, as a chunk if the length is unknown.
 func (a *http1Attempt) writePiece(piece []byte) error {
 	writer := a.conn.writer
 	a.conn.writeBy(time.Now().Add(a.IdleTimeout))
@@ -156,7 +156,7 @@
 	return writer.Flush()
 }
 
-// writeLastChunk ends a body in chunks, with its trailer.
+// writeLastChunk ends a chunked body, including its trailer.
 func (a *http1Attempt) writeLastChunk() error {
 	writer := a.conn.writer
 	writer.WriteString("0\r\n")
--- a/internal/upstream/http2_attempt.go
+++ b/internal/upstream/http2_attempt.go
@@ -19,25 +19,25 @@
 	"lockflow/internal/retrybuffer"
 )
 
-// http2Attempt is one attempt of a RelayedRequest over a stream of HTTP/2. The goroutine of the attempt reads
-// the answer; a second one sends a body that does not go with the head, and ends with the stream.
+// http2Attempt is one attempt of a RelayedRequest over an HTTP/2 stream. The goroutine of the attempt reads the
+// response. A second goroutine sends a body that is not written with the head; it ends with the stream.
 type http2Attempt struct {
 	*RelayedRequest
 	stream               *h2.Stream
 	stopContextWatch     func() bool // stops waiting for the context that ends the attempt
-	lacksContextDeadline bool        // ctx has no deadline: the wait for the answer counts from the last byte of the body
-	trailers             http.Header // of the answer: the announced names, and the values once they have arrived
+	lacksContextDeadline bool        // ctx has no deadline: AnswerTimeout applies, from the last byte of the request
+	trailers             http.Header // trailers of the response: announced names, with their values once they have arrived
 
-	streamsBody      bool          // the body does not go with the head
-	continueReceived chan struct{} // closed once a body that waits for a 100 may be sent; nil where none does
+	streamsBody      bool          // the body is not written with the head
+	continueReceived chan struct{} // closed when a body that waits for a 100 may be sent; nil if it does not wait
 	continueOnce     sync.Once     // closes continueReceived
 	endOnce          sync.Once
 	clientErr        atomic.Pointer[error]
 	wasAborted       atomic.Bool
-	bodyTimedOut     atomic.Bool // the server did not take the body in time
+	bodyTimedOut     atomic.Bool // the server did not accept the body in time
 }
 
-// attemptRelayed makes an attempt over a shared connection. It returns false, and has sent nothing, where the
+// attemptRelayed makes an attempt over a shared connection. It returns false, without having sent anything, if the
 // attempt has to be made over HTTP/1.1.
 func (s *sharedConnections) attemptRelayed(ctx, lifetime context.Context, request *RelayedRequest) (Outcome, bool) {
 	if request.UpgradeProtocol != "" && s.protocol == ProtocolPreferHTTP2 { // HTTP/2 has no upgrades
@@ -76,7 +76,7 @@
 	return outcome
 }
 
-// newRequest makes the request's head, with a body that is complete and small.
+// newRequest creates the head of the request, with the body if that is complete and small.
 func (a *http2Attempt) newRequest(ctx context.Context, scheme string) *h2.Request {
 	_, hasDeadline := ctx.Deadline()
 	a.lacksContextDeadline = !hasDeadline
@@ -92,7 +92,8 @@
 		if body, ok := a.inlineBody(); ok {
 			request.Body = body
 		} else {
-			// Decided once: a body that becomes complete between here and exchange would not be sent at all.
+			// Decided only once: if exchange checked again, a body that became complete in between would not be
+			// sent at all.
 			a.streamsBody = true
 			request.HasMoreBody = true
 		}
@@ -101,11 +102,11 @@
 	return request
 }
 
-// requestHeader returns the client's header with the fields that are this node's.
+// requestHeader returns the client's header with the fields that this node adds.
 func (a *http2Attempt) requestHeader(ctx context.Context) http.Header {
 	header := a.Header
 	set := func(name, value string) {
-		if a.Header != nil && len(header) == len(a.Header) { // attempts share the client's header
+		if a.Header != nil && len(header) == len(a.Header) { // cloned because attempts share the client's header
 			header = maps.Clone(a.Header)
 		}
 		header[name] = []string{value}
@@ -122,7 +123,7 @@
 	return header
 }
 
-// handleInterim processes an interim answer.
+// handleInterim processes an interim response.
 func (a *http2Attempt) handleInterim(status int, header http.Header) {
 	switch {
 	case status != http.StatusContinue:
@@ -134,8 +135,8 @@
 	}
 }
 
-// exchange sends the body and reads the answer as far as it is buffered. isStreaming reports that there is more
-// of it.
+// exchange sends the body and reads the response as far as it is buffered. isStreaming reports that the response
+// continues as a stream.
 func (a *http2Attempt) exchange() (outcome Outcome, isStreaming bool) {
 	if a.streamsBody {
 		if a.ExpectContinue {
@@ -160,21 +161,21 @@
 	return outcome, true
 }
 
-// answerLength returns the length of the answer's body, below zero where it is not known, and takes the names of
-// its trailer out of the header.
+// responseLength returns the length of the response's body, negative if unknown. It moves the announced trailer names
+// out of the header.
 func (a *http2Attempt) responseLength(header http.Header) int64 {
 	length := int64(-1)
 	if lengths := header["Content-Length"]; len(lengths) > 0 {
-		length, _ = strconv.ParseInt(lengths[0], 10, 64) // the connection has checked it
+		length, _ = strconv.ParseInt(lengths[0], 10, 64) // validated by the connection
 	}
 	if event := a.stream.Ended(); event != nil && event.Err == nil && !a.stream.HasMore() {
-		return 0 // there is no body, whatever the header says
+		return 0 // there is no body, whatever the header states
 	}
 	a.recordTrailerNames(header)
 	return length
 }
 
-// recordTrailerNames moves the announced names of trailer fields out of a header.
+// recordTrailerNames moves the announced names of trailer fields from a header to the trailers.
 func (a *http2Attempt) recordTrailerNames(header http.Header) {
 	for _, names := range header["Trailer"] {
 		for name := range strings.SplitSeq(names, ",") {
@@ -193,13 +194,13 @@
 	a.trailers[name] = values
 }
 
-// readerFunc is an io.Reader that calls itself.
+// readerFunc adapts a function to io.Reader.
 type readerFunc func([]byte) (int, error)
 
 // Read implements io.Reader.
 func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
 
-// failedOutcome is the outcome of an attempt without an answer.
+// failedOutcome returns the outcome of an attempt without a response.
 func (a *http2Attempt) failedOutcome(ctx context.Context, err error) Outcome {
 	if clientErr := a.clientErr.Load(); clientErr != nil {
 		return clientFailure(*clientErr, errors.Is(*clientErr, os.ErrDeadlineExceeded))
@@ -220,18 +221,18 @@
 	return outcome
 }
 
-// awaitHead bounds the wait for the answer from now on, where ctx has no deadline.
+// setHeadDeadline limits the wait for the response, starting now, if ctx has no deadline.
 func (a *http2Attempt) setHeadDeadline() {
 	if a.lacksContextDeadline {
 		a.stream.ReadBy(time.Now().Add(a.AnswerTimeout))
 	}
 }
 
-// extendReadDeadline bounds the next read of the answer's body.
+// extendReadDeadline limits the time of the next read of the response's body.
 func (a *http2Attempt) extendReadDeadline() { a.stream.ReadBy(time.Now().Add(a.IdleTimeout)) }
 
-// sendBody sends the body as it arrives. A fault of the client ends the attempt; one of the server is reported by the
-// reading of the answer.
+// sendBody sends the body as it arrives. A client error ends the attempt. A server error is reported by the goroutine
+// that reads the response.
 func (a *http2Attempt) sendBody(body *retrybuffer.Reader) {
 	if a.ExpectContinue && !awaitContinue(a.continueReceived, a.stream.Done()) {
 		return
@@ -290,7 +291,7 @@
 	a.stream.Abort()
 }
 
-// end resets a stream that has not ended, and releases it.
+// end resets the stream if it has not ended, and releases it.
 func (a *http2Attempt) end(bool) {
 	a.endOnce.Do(func() {
 		a.stopContextWatch()
--- a/internal/upstream/http2_send.go
+++ b/internal/upstream/http2_send.go
@@ -9,10 +9,10 @@
 	"lockflow/internal/protocol"
 )
 
-// reportHeaders are fields whose values a server may know only at the end of a request, and then sends as trailers.
+// reportHeaders are the fields whose values a server may know only at the end of a request and then sends as trailers.
 var reportHeaders = [...]string{protocol.HeaderBackendLoad, protocol.HeaderQuotaUsed, protocol.HeaderTrueCost}
 
-// scheme is the value of the pseudo-header :scheme.
+// scheme returns the value of the pseudo-header :scheme.
 func (s *sharedConnections) scheme() string {
 	if s.upstream.TLS != nil {
 		return "https"
@@ -20,7 +20,7 @@
 	return "http"
 }
 
-// attemptBuffered makes an attempt over a shared connection. It returns false, and has sent nothing, where the
+// attemptBuffered makes an attempt over a shared connection. It returns false, without having sent anything, if the
 // server supports HTTP/1.1 only.
 func (s *sharedConnections) attemptBuffered(ctx context.Context, buffered *BufferedRequest) (Outcome, bool) {
 	httpRequest := buffered.Request
@@ -35,7 +35,7 @@
 	}
 	var event h2.Event
 	outcome, isDialed, ok := s.withConnection(ctx, func(conn *h2.Conn) (err error) {
-		// The time left counts from here: the wait for a connection is over.
+		// The time left is computed here, after the wait for a connection.
 		if deadline, hasDeadline := ctx.Deadline(); hasDeadline {
 			setTimeLeft(httpRequest, deadline)
 		}
@@ -49,8 +49,8 @@
 	return outcome, ok
 }
 
-// withConnection calls send with a connection that has a free stream. Where nothing is sent, the outcome has the
-// error; ok is false where the server supports HTTP/1.1 only.
+// withConnection calls send with a connection that has a free stream. If nothing is sent, the outcome holds the
+// error. ok is false if the server supports HTTP/1.1 only.
 func (s *sharedConnections) withConnection(
 	ctx context.Context, send func(*h2.Conn) error,
 ) (outcome Outcome, isDialed, ok bool) {
@@ -60,7 +60,7 @@
 		switch {
 		case errors.Is(err, h2.ErrNotHTTP2) && s.protocol == ProtocolPreferHTTP2:
 			return outcome, isDialed, false
-		case errors.Is(err, errNoStream): // indicates no fault of the app server
+		case errors.Is(err, errNoStream): // not a failure of the app server
 			return Outcome{Reason: control.NotSent, Err: err}, isDialed, true
 		case err != nil:
 			return unconnectedOutcome(err), isDialed, true
@@ -78,7 +78,7 @@
 	}
 }
 
-// eventOutcome is the outcome of an attempt whose stream ended with an event.
+// eventOutcome returns the outcome of an attempt whose stream has ended with an event.
 func eventOutcome(ctx context.Context, event h2.Event) (outcome Outcome) {
 	if event.Err == nil {
 		return responseOutcome(event.Answer)
@@ -95,7 +95,7 @@
 	return outcome
 }
 
-// answeredOutcome is the outcome of an attempt with a complete answer.
+// responseOutcome returns the outcome of an attempt with a complete response.
 func responseOutcome(response *h2.Answer) (outcome Outcome) {
 	for _, name := range reportHeaders {
 		if values := response.Trailer[name]; len(values) > 0 && len(response.Header[name]) == 0 {
@@ -110,7 +110,7 @@
 	return outcome
 }
 
-// unprocessedReason is the reason of an attempt whose request is known not to have run; 0 for any other.
+// unprocessedReason returns the reason of an attempt whose request is known not to have run; 0 for any other.
 func unprocessedReason(event h2.Event) control.Reason {
 	switch {
 	case event.Err == nil:
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -8,10 +8,10 @@
 	"lockflow/internal/h2"
 )
 
-// idleCheckInterval is how often WatchIdle checks the idle connections.
+// idleCheckInterval is the interval between two checks of the idle connections by WatchIdle.
 const idleCheckInterval = time.Second
 
-// WatchIdle closes idle connections that are too old or that the app server has closed, until ctx ends.
+// WatchIdle closes idle connections that are too old or that the app server has closed. It returns when ctx ends.
 func (u *Upstream) WatchIdle(ctx context.Context) {
 	ticker := time.NewTicker(idleCheckInterval)
 	defer ticker.Stop()
@@ -31,7 +31,7 @@
 	return conn.isOpenAndEmpty() && time.Since(conn.idleSince) < u.maxIdleTime
 }
 
-// CloseIdleBefore closes a pool's idle connections that were last used before some time.
+// CloseIdleBefore closes a pool's idle connections that were last used before a given time.
 func (u *Upstream) CloseIdleBefore(pool *Pool, before time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -45,7 +45,7 @@
 	})
 }
 
-// CountIdle returns the number of idle connections, and of the pools that are not retired.
+// CountIdle returns the number of idle connections and the number of pools that are not retired.
 func (u *Upstream) CountIdle() (idle, pools int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -55,8 +55,8 @@
 	return idle, len(u.pools)
 }
 
-// Evict closes the connection that has been idle longest, where there are more than minIdle, and reports
-// whether it has closed one.
+// Evict closes the connection that has been idle longest if more than minIdle are idle. It reports whether it has
+// closed one.
 func (u *Upstream) Evict(minIdle int) bool {
 	var oldest *serverConn
 	count := 0
@@ -74,7 +74,7 @@
 	return true
 }
 
-// evictHTTP2 is Evict among the connections of HTTP/2.
+// evictHTTP2 does the same as Evict for HTTP/2 connections.
 func (u *Upstream) evictHTTP2(minIdle int) bool {
 	var oldest *h2.Conn
 	var oldestSince time.Time
@@ -95,11 +95,11 @@
 	if oldest == nil || count <= minIdle {
 		return false
 	}
-	oldest.Retire() // a request that has just got this connection continues
+	oldest.Retire() // a request that has just acquired this connection still completes
 	return true
 }
 
-// closeIdleIf closes the idle connections that match.
+// closeIdleIf closes the idle connections for which matches returns true.
 func (u *Upstream) closeIdleIf(matches func(*serverConn) bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/upstream/outcome.go
+++ b/internal/upstream/outcome.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	maxUsagePercent = 10000 // what a server may report of a customer's quota
-	maxLoadValue    = 1e6   // of any number in a load report
+	maxUsagePercent = 10000 // upper bound of a reported quota usage
+	maxLoadValue    = 1e6   // upper bound of any number in a load report
 )
 
-// Outcome is how an attempt ended.
+// Outcome is the result of an attempt.
 type Outcome struct {
 	Reason        control.Reason
-	Err           error // why there is no answer
-	Status        int   // of an answer that can be forwarded to the client; 0 is none
-	IsFinal       bool  // the answer is sent to the client, even if the request could be retried
+	Err           error // why there is no response
+	Status        int   // status of a response that can be forwarded to the client; 0 is none
+	IsFinal       bool  // the response is sent to the client, even if the request could be retried
 	Header        http.Header
 	Body          []byte
-	Stream        *Stream // the rest of an answer that is not buffered, for the caller to close; nil where Body is complete
-	IsDialed      bool    // a connection was made for the attempt, or tried to be
-	HasClientLeft bool    // nothing was sent, as the client no longer waits
+	Stream        *Stream // rest of a response that is not buffered, closed by the caller; nil if Body is complete
+	IsDialed      bool    // a connection was dialed for the attempt, whether or not that succeeded
+	HasClientLeft bool    // nothing was sent because the client no longer waits
 }
 
-// unconnectedOutcome is the outcome of an attempt that got no connection.
+// unconnectedOutcome returns the outcome of an attempt that got no connection.
 func unconnectedOutcome(err error) Outcome {
 	if isNodeError(err) {
 		return Outcome{Reason: control.NotSent, Err: err}
@@ -35,7 +35,7 @@
 	return Outcome{Reason: control.ConnectFailed, Err: err, IsDialed: true}
 }
 
-// clientFailure is the outcome of an attempt that ended as the client's body could not be read.
+// clientFailure returns the outcome of an attempt that ended because the client's body could not be read.
 func clientFailure(err error, isTimeout bool) Outcome {
 	outcome := Outcome{Reason: control.Cancelled, Err: err, Status: http.StatusBadRequest, IsFinal: true}
 	if isTimeout {
@@ -44,7 +44,7 @@
 	return outcome
 }
 
-// classify sets what a complete answer of the platform's protocol means.
+// classify sets the outcome of a complete response of the platform's protocol.
 func (o *Outcome) classify(status int, header http.Header) {
 	o.Header = header
 	switch {
@@ -59,14 +59,14 @@
 	}
 }
 
-// isUnprocessed reports whether the server says that it has not processed the request.
+// isUnprocessed reports whether the server states that it has not processed the request.
 func isUnprocessed(status int, header http.Header) bool {
 	isUnavailable := status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 	return isUnavailable && header.Get(protocol.HeaderUnprocessed) == "1"
 }
 
-// QuotaUsage returns 1 plus the reported usage of the customer's quota in percent, as the module counts it; 0 is
-// none reported.
+// QuotaUsage returns 1 plus the reported usage of the customer's quota in percent, which is the encoding that the
+// module expects; 0 means that none was reported.
 func (o *Outcome) QuotaUsage() int {
 	percent, err := strconv.Atoi(o.Header.Get(protocol.HeaderQuotaUsed))
 	if err != nil || percent < 0 || percent > maxUsagePercent {
@@ -75,8 +75,8 @@
 	return percent + 1
 }
 
-// ActualUnits returns the reported units that the request has used, of which it can have maxUnits; 0 is none
-// reported.
+// ActualUnits returns the units that the server reports for the request, which must not exceed maxUnits; 0 means
+// that none were reported.
 func (o *Outcome) ActualUnits(maxUnits float64) float64 {
 	units, err := protocol.ParseNumber(o.Header.Get(protocol.HeaderTrueCost))
 	if err != nil || units < 0 || units > maxUnits {
@@ -85,8 +85,8 @@
 	return units
 }
 
-// LoadReport returns the app server's load report, nil where there is none. Servers use one of two names for
-// each value; unknown names and impossible values are skipped.
+// LoadReport returns the app server's load report, or nil if there is none. Servers use one of two names for each
+// value. Unknown names and values out of range are skipped.
 func (o *Outcome) LoadReport() *control.LoadReport {
 	unknown := control.LoadReport{
 		InFlight:          -1,
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -8,25 +8,26 @@
 	"lockflow/control"
 )
 
-// SecondAnswerDelay is the time after an answer in which a second one may arrive. A server without TCP_NODELAY
-// delays small writes until the first one is acknowledged: 40 ms later, or with the next request.
+// SecondAnswerDelay is how long after a response a second one may arrive. The system of a server that does not set
+// TCP_NODELAY delays small writes until the previous one is acknowledged, which happens after 40 ms or with the
+// next request.
 const SecondAnswerDelay = 50 * time.Millisecond
 
-// maxRestingConnections is how many connections to a server may be in their quiet period before one is used
-// early.
+// maxConnectionsInQuietPeriod is the number of connections to a server that may be in their quiet period before a
+// request uses one of them early.
 const maxConnectionsInQuietPeriod = 4
 
-// Pool holds the connections to one app server at one address, so that those to a server that has gone are not
-// used for the next one at its address.
+// Pool holds the connections to one app server at one address. A server that later gets the same address has a pool
+// of its own, so that it is not sent requests over its predecessor's connections.
 type Pool struct {
 	Endpoint   string
 	Protocol   Protocol
-	idle       []*serverConn      // the most recently used one last; nil for good once the pool is retired
-	mergedInto *Pool              // the pool that has taken over all connections; nil is none
-	shared     *sharedConnections // nil where only HTTP/1.1 is used
+	idle       []*serverConn      // in order of use, most recent last; permanently nil once the pool is retired
+	mergedInto *Pool              // pool that has taken over all connections; nil if not merged
+	shared     *sharedConnections // nil if only HTTP/1.1 is used
 }
 
-// owner returns the pool that has the connections of p. Upstream.mu is locked.
+// owner returns the pool that holds the connections of p, following merges. Upstream.mu must be locked.
 func (p *Pool) owner() *Pool {
 	for p.mergedInto != nil {
 		p = p.mergedInto
@@ -34,7 +35,7 @@
 	return p
 }
 
-// NewPool makes a pool of connections to one server.
+// NewPool creates a pool of connections to one server.
 func (u *Upstream) NewPool(endpoint string, protocol Protocol) *Pool {
 	pool := &Pool{Endpoint: endpoint, Protocol: protocol, shared: u.newSharedConnections(endpoint, protocol)}
 	u.mu.Lock()
@@ -43,8 +44,8 @@
 	return pool
 }
 
-// MergePool moves the connections of pool to target, including those in use once they are released. Both belong
-// to this Upstream and to one app server at one address. The first may still be used.
+// MergePool moves the connections of pool to target, including those in use once they are released. Both pools must
+// belong to this Upstream and to one app server at one address. The merged pool may still be used.
 func (u *Upstream) MergePool(pool, target *Pool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -52,7 +53,7 @@
 	if pool == target.owner() {
 		return
 	}
-	if _, ok := u.pools[target]; !ok { // a retired pool would never close them
+	if _, ok := u.pools[target]; !ok { // a retired target would never close them
 		return
 	}
 	target.idle = append(target.idle, pool.idle...)
@@ -62,7 +63,7 @@
 	target.shared.mergeFrom(pool.shared)
 }
 
-// RetirePool closes a pool's idle connections. Those in use are closed when they are released.
+// RetirePool closes a pool's idle connections. Connections in use are closed when they are released.
 func (u *Upstream) RetirePool(pool *Pool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -74,8 +75,9 @@
 	pool.shared.retire()
 }
 
-// isRetired reports whether a pool is retired. An attempt that starts as its server leaves the endpoint list
-// would otherwise be written once its connection is up, after sends to the server have to have stopped.
+// isRetired reports whether a pool is retired. Without this check, an attempt that starts while its server leaves
+// the endpoint list would be written once its connection is established, although requests to the server must have
+// stopped by then.
 func (u *Upstream) isRetired(pool *Pool) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -83,13 +85,14 @@
 	return !ok
 }
 
-// acquire returns the most recently used idle connection that is still usable, or else a new one.
+// acquire returns the most recently used idle connection that is still usable, or a new one if there is none.
 func (u *Upstream) acquire(ctx context.Context, pool *Pool) (*serverConn, error) {
 	return u.acquireAfterQuietPeriod(ctx, pool, 0)
 }
 
-// acquireQuiet is acquire among the connections that have had no answer for a quiet period. Where no new one can
-// be made it uses one that still rests, unless servers are known to send second answers.
+// acquireAfterQuietPeriod is like acquire, but takes only connections whose last response ended at least a quiet
+// period ago. If no new connection can be made, it takes one that is still in its quiet period, unless servers are
+// known to send second responses.
 func (u *Upstream) acquireAfterQuietPeriod(ctx context.Context, pool *Pool, quietPeriod time.Duration) (*serverConn, error) {
 	var dialErr error
 	for {
@@ -124,10 +127,10 @@
 	}
 }
 
-// popIdle takes the most recently used idle connection that has rested for the quiet period. Where all rest and
-// there are enough it takes the one that has rested longest, unless servers are known to send second answers.
-// Such an answer may arrive some milliseconds late: once the next request is written, nothing on the wire
-// distinguishes it from that request's answer.
+// popIdle removes and returns the most recently used idle connection whose quiet period is over. If all are in their
+// quiet period and there are at least maxConnectionsInQuietPeriod, it takes the least recently used one, unless
+// servers are known to send second responses. A second response may arrive some milliseconds late: once the next
+// request is written, nothing on the wire distinguishes it from the response to that request.
 func (u *Upstream) popIdle(pool *Pool, quietPeriod time.Duration) *serverConn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -148,15 +151,16 @@
 	return conn
 }
 
-// release returns a connection to its pool after an answer.
+// release returns a connection to its pool after a response.
 func (u *Upstream) release(pool *Pool, conn *serverConn) {
 	conn.idleSince = time.Now()
 	conn.lastResponseEnd = conn.idleSince
 	u.addIdle(pool, conn)
 }
 
-// releaseUnused returns a connection to its pool on which nothing was written, and the outcome of its attempt.
-// The connection is unchanged: making another one would burden the server, whose idle timeout continues.
+// releaseUnused returns a connection on which nothing was written to its pool, and returns the outcome of the
+// attempt. The connection keeps its idle time, since the server's idle timeout continues. Closing it instead would
+// cost the server another connection.
 func (u *Upstream) releaseUnused(pool *Pool, conn *serverConn) Outcome {
 	outcome := Outcome{Reason: control.NotSent, Err: errWithdrawn, IsDialed: conn.idleSince.IsZero()}
 	if outcome.IsDialed {
@@ -166,7 +170,7 @@
 	return outcome
 }
 
-// addIdle adds a connection to its pool, and closes it if that is retired.
+// addIdle adds a connection to its pool, or closes it if the pool is retired.
 func (u *Upstream) addIdle(pool *Pool, conn *serverConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/upstream/relayed_request.go
+++ b/internal/upstream/relayed_request.go
@@ -15,57 +15,58 @@
 )
 
 const (
-	// BodyWindowBytes is how much of a body is in transit at once, in each direction.
+	// BodyWindowBytes is the number of bytes of a body that are in transit at once in each direction.
 	BodyWindowBytes = 32 << 10
-	// maxInlineBodyBytes is the size up to which a complete body is written together with its head.
+	// maxInlineBodyBytes is the maximum size of a complete body that is written together with its head.
 	maxInlineBodyBytes = 4 << 10
-	// continueTimeout is how long a 100 is waited for before the body is sent without it (RFC 9110, 10.1.1).
+	// continueTimeout is how long the node waits for a 100 (Continue) before it sends the body without it (RFC 9110,
+	// 10.1.1).
 	continueTimeout = time.Second
 )
 
-// BodyBuffers is a pool of *[]byte with BodyWindowBytes each, for bodies that are relayed as they arrive.
+// BodyBuffers is a pool of *[]byte of BodyWindowBytes each, for bodies that are relayed as they arrive.
 var BodyBuffers = sync.Pool{New: func() any {
 	buffer := make([]byte, BodyWindowBytes)
 	return &buffer
 }}
 
-// InterimWriter forwards interim answers (1xx) to the client. It is called on the goroutine of an attempt.
+// InterimWriter forwards interim responses (1xx) to the client. It is called on the goroutine of an attempt.
 type InterimWriter interface {
 	WriteInterim(status int, header http.Header)
 }
 
-// RelayedRequest is a request of generic HTTP (RFC 9110, 9112). Its fields do not change once the first attempt
+// RelayedRequest is a request of generic HTTP (RFC 9110, 9112). Its fields must not change once the first attempt
 // has started. At most one of its attempts runs at a time.
 type RelayedRequest struct {
 	// RequestMethod, Target and Host are forwarded unchanged.
 	RequestMethod, Target, Host string
 	Header                      http.Header
-	Trailer                     func() http.Header // valid once the body has been read completely; nil is none
-	TrailerNames                []string           // that the client has announced
-	Body                        *retrybuffer.Body  // nil is none
-	ContentLength               int64              // of the body; below zero it is sent in chunks
-	ExpectContinue              bool               // the body waits for a 100
-	UpgradeProtocol             string             // that the connection may switch to; "" is none
+	Trailer                     func() http.Header // valid once the body has been read completely; nil if there is none
+	TrailerNames                []string           // trailer names announced by the client
+	Body                        *retrybuffer.Body  // nil if there is none
+	ContentLength               int64              // length of the body; negative if it is sent in chunks
+	ExpectContinue              bool               // the body is sent only after a 100 (Continue) or continueTimeout
+	UpgradeProtocol             string             // protocol that the connection may switch to; "" is none
 
 	ResponseRules    *responseclass.Rules
-	MaxBufferedBytes int           // of an answer's body
-	IdleTimeout      time.Duration // for BodyWindowBytes of a body to be transferred
-	AnswerTimeout    time.Duration // from the last byte of the request to the first of the answer, where ctx has no deadline
-	SendTimeLeft     bool          // adds a field with the time that the node will wait
+	MaxBufferedBytes int           // limit of a buffered response body
+	IdleTimeout      time.Duration // limit for transferring BodyWindowBytes of a body
+	AnswerTimeout    time.Duration // limit from the last byte of the request to the first of the response, if ctx has no deadline
+	SendTimeLeft     bool          // adds a header field with the time that the node will wait
 
-	InterimWriter InterimWriter // nil forwards no interim answers
+	InterimWriter InterimWriter // nil discards interim responses
 }
 
 // Method returns the request's method.
 func (r *RelayedRequest) Method() string { return r.RequestMethod }
 
-// IsBodyPending reports whether a part of the body is still to arrive from the client.
+// IsBodyPending reports whether part of the body has yet to arrive from the client.
 func (r *RelayedRequest) IsBodyPending() bool { return r.Body != nil && !r.Body.HasEnded() }
 
 // CanRetry reports whether the complete body is available for another attempt.
 func (r *RelayedRequest) CanRetry() bool { return r.Body == nil || r.Body.CanRetry() }
 
-// Attempt makes one attempt and returns once it has an answer's head, at the latest when ctx ends. An answer
+// Attempt makes one attempt and returns once it has the head of a response, at the latest when ctx ends. A response
 // that is not buffered continues as Outcome.Stream, until lifetime ends.
 func (r *RelayedRequest) Attempt(ctx, lifetime context.Context, upstream *Upstream, pool *Pool) Outcome {
 	if shared := upstream.sharedConnectionsOf(pool); shared != nil {
@@ -90,7 +91,7 @@
 	return attempt.run(ctx, lifetime)
 }
 
-// timeLeft is how long the answer is waited for.
+// timeLeft returns how long the node will wait for the response.
 func (r *RelayedRequest) timeLeft(ctx context.Context) time.Duration {
 	if deadline, ok := ctx.Deadline(); ok {
 		return timeUntil(deadline)
@@ -107,7 +108,8 @@
 	return body, ok && len(body) <= maxInlineBodyBytes
 }
 
-// awaitContinue waits until a body that expects a 100 may be sent. It reports false where the attempt has ended.
+// awaitContinue waits until a body that expects a 100 (Continue) may be sent. It returns false if the attempt has
+// ended.
 func awaitContinue(received, ended <-chan struct{}) bool {
 	timer := time.NewTimer(continueTimeout)
 	defer timer.Stop()
@@ -124,7 +126,7 @@
 	}
 }
 
-// copyBody passes a body to write as it arrives, until it ends or either side fails.
+// copyBody passes a body to write as it arrives, until the body ends or either side fails.
 func copyBody(body *retrybuffer.Reader, write func(piece []byte) error) (readErr, writeErr error) {
 	buffer := BodyBuffers.Get().(*[]byte)
 	defer BodyBuffers.Put(buffer)
@@ -144,14 +146,14 @@
 	}
 }
 
-// isClientError reports whether an error in reading a body is due to the client, not from this node having
-// closed the body.
+// isClientError reports whether an error from reading a body was caused by the client, and not by this node, which
+// may have closed the body or replaced its reader.
 func isClientError(err error) bool {
 	return !errors.Is(err, retrybuffer.ErrGone) && !errors.Is(err, retrybuffer.ErrClosed)
 }
 
-// bufferBody classifies an answer by its head, and reads its body where that is to be buffered. length is below
-// zero where it is not known. isTruncated reports that some of the body was left unread.
+// bufferBody classifies a response by its head, and reads its body if it is to be buffered. length is negative if
+// unknown. isTruncated reports that part of the body was left unread.
 func (r *RelayedRequest) bufferBody(outcome *Outcome, body io.Reader, length int64) (isBuffered, isTruncated bool) {
 	classification := r.ResponseRules.Classify(outcome.Status, outcome.Header)
 	outcome.Reason = classification.Reason
@@ -164,8 +166,8 @@
 			*outcome = Outcome{Reason: control.ResetByPeer, Err: err}
 		}
 	case !classification.IsFinal:
-		// The request may be retried: this answer is for the case that no better one arrives. If it is too long
-		// the node writes an answer of its own.
+		// The request may be retried: this response is used only if no better one arrives. If it is too long, the node
+		// sends a response of its own instead.
 		read, err := io.ReadAll(io.LimitReader(body, int64(r.MaxBufferedBytes)+1))
 		outcome.Body = read
 		if err != nil || len(read) > r.MaxBufferedBytes {
--- a/internal/upstream/server_conn.go
+++ b/internal/upstream/server_conn.go
@@ -15,10 +15,10 @@
 
 const connBufferBytes = 4 << 10
 
-// expired is a deadline in the past.
+// expired is a deadline that has already passed.
 var expired = time.Unix(1, 0) //nolint:forbidigo // in the past by any clock
 
-// serverConn is a connection of HTTP/1.1 to an app server. One attempt uses it at a time.
+// serverConn is an HTTP/1.1 connection to an app server. One attempt uses it at a time.
 type serverConn struct {
 	*limits.Conn
 	rawConn                syscall.RawConn
@@ -26,9 +26,9 @@
 	responses              responseReader
 	reader                 *bufio.Reader
 	writer                 *bufio.Writer
-	idleSince              time.Time    // zero until it has been idle
-	lastResponseEnd        time.Time    // when its last answer ended; zero is none
-	hasUnsolicitedResponse *atomic.Bool // that of its Upstream
+	idleSince              time.Time    // zero until the connection is idle for the first time
+	lastResponseEnd        time.Time    // when the last response ended; zero is none
+	hasUnsolicitedResponse *atomic.Bool // the flag of the connection's Upstream
 }
 
 func (u *Upstream) newConn(conn *limits.Conn, rawConn syscall.RawConn) *serverConn {
@@ -39,14 +39,14 @@
 	return created
 }
 
-// interrupt ends all reads and writes of the connection, for good.
+// interrupt permanently ends all reads and writes of the connection.
 func (c *serverConn) interrupt() {
 	c.isInterrupted.Store(true)
 	c.SetDeadline(expired)
 }
 
-// Close closes the connection. TLS would first send its close_notify, and wait for seconds on a peer that
-// reads nothing: an interrupted connection sends none.
+// Close closes the connection. tls.Conn.Close would first send a close_notify and block for seconds if the peer does
+// not read, so an interrupted connection sends none.
 func (c *serverConn) Close() error {
 	if tlsConn, ok := c.Conn.Conn.(*tls.Conn); ok && c.isInterrupted.Load() {
 		tlsConn.NetConn().Close()
@@ -54,7 +54,7 @@
 	return c.Conn.Close()
 }
 
-// readBy sets when reads time out. It doesn't undo a concurrent interrupt.
+// readBy sets the read deadline. It does not undo a concurrent interrupt.
 func (c *serverConn) readBy(deadline time.Time) {
 	c.SetReadDeadline(deadline)
 	if c.isInterrupted.Load() {
@@ -62,7 +62,7 @@
 	}
 }
 
-// writeBy sets when writes time out. It doesn't undo a concurrent interrupt.
+// writeBy sets the write deadline. It does not undo a concurrent interrupt.
 func (c *serverConn) writeBy(deadline time.Time) {
 	c.SetWriteDeadline(deadline)
 	if c.isInterrupted.Load() {
@@ -70,25 +70,25 @@
 	}
 }
 
-// isQuiet reports whether an idle connection is open and has nothing to read. A request that is written on a
-// connection that the server has closed would count as reset, and bytes that arrived after the last answer would
-// be taken for the next one. A server's TLS tickets precede its first answer and are read with it.
+// isOpenAndEmpty reports whether an idle connection is open and has no unread bytes. A request written on a
+// connection that the server has closed would count as reset, and bytes that arrived after the last response would
+// be read as the next one. A server's TLS session tickets precede its first response and are read with it.
 func (c *serverConn) isOpenAndEmpty() bool {
 	isOpenAndEmpty := false
 	err := c.rawConn.Control(func(fd uintptr) {
 		var probe [1]byte
 		n, err := syscall.Read(int(fd), probe[:])
 		isOpenAndEmpty = errors.Is(err, syscall.EAGAIN)
-		if _, isTLS := c.Conn.Conn.(*tls.Conn); n > 0 && !isTLS { // over TLS it may be a record of TLS itself
+		if _, isTLS := c.Conn.Conn.(*tls.Conn); n > 0 && !isTLS { // over TLS the byte may belong to a record of TLS itself
 			c.hasUnsolicitedResponse.Store(true)
 		}
 	})
 	return err == nil && isOpenAndEmpty
 }
 
-// wasReset reports whether the connection is closed in both directions, although this side has not closed it.
-// The system reports a reset only once, to whichever side of the attempt reads or writes first; to the other
-// one it appears to be the end of the answer.
+// wasReset reports whether the connection is closed in both directions although this side has not closed it. The
+// system reports a reset only once, to whichever goroutine of the attempt reads or writes first; to the other
+// goroutine it looks like the end of the response.
 func (c *serverConn) wasReset() (isClosed bool) {
 	_ = c.rawConn.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
--- a/internal/upstream/shared_connections.go
+++ b/internal/upstream/shared_connections.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	// pingAfterSilence is how long a connection with open streams may be silent before it is pinged.
+	// pingAfterSilence is how long a connection with open streams may receive nothing before it is pinged.
 	pingAfterSilence = 5 * time.Second
-	// usualConnections is the number of connections to one server up to which acquire needs no memory from
-	// the heap.
+	// stackViewCapacity is the number of connections to one server up to which acquire allocates no heap memory.
 	stackViewCapacity = 8
 )
 
-// sharedConnections are the connections of HTTP/2 to one server, on which attempts share. A nil one has none.
+// sharedConnections holds the HTTP/2 connections to one server, which attempts share. A nil *sharedConnections holds
+// none.
 type sharedConnections struct {
 	upstream  *Upstream
 	endpoint  string
 	protocol  Protocol
 	available chan struct{} // signalled when a stream may be available; each attempt that it wakes signals the next one
 
-	mu          sync.Mutex // guards what follows
-	connections []*h2.Conn // at most HTTP2Options.MaxConnections, and those that are ending
-	dialing     int        // connections that are being made
+	mu          sync.Mutex // guards the fields below
+	connections []*h2.Conn // at most HTTP2Options.MaxConnections, plus those that are ending
+	dialing     int        // connections that are being established
 	waiting     int        // attempts that wait for a stream or a connection
 	failedDials int
 	lastDialErr error
-	http1Until  time.Time // until then HTTP/1.1 is used; afterwards HTTP/2 is retried
+	http1Until  time.Time // HTTP/1.1 is used until then; afterwards HTTP/2 is retried
 	isRetired   bool
 }
 
-// newSharedConnections makes those of a pool; nil where only HTTP/1.1 is used.
+// newSharedConnections creates the HTTP/2 connections of a pool; nil if only HTTP/1.1 is used.
 func (u *Upstream) newSharedConnections(endpoint string, protocol Protocol) *sharedConnections {
 	if protocol == ProtocolHTTP1 {
 		return nil
@@ -45,7 +45,7 @@
 	return &sharedConnections{upstream: u, endpoint: endpoint, protocol: protocol, available: make(chan struct{}, 1)}
 }
 
-// sharedConnectionsOf returns those of a pool; nil where only HTTP/1.1 is used.
+// sharedConnectionsOf returns the HTTP/2 connections of a pool; nil if only HTTP/1.1 is used.
 func (u *Upstream) sharedConnectionsOf(pool *Pool) *sharedConnections {
 	if !u.usesHTTP2.Load() {
 		return nil
@@ -55,7 +55,7 @@
 	return pool.owner().shared
 }
 
-// eachShared visits the connections of HTTP/2 to every server.
+// eachShared calls visit with the HTTP/2 connections of every server.
 func (u *Upstream) eachShared(visit func(*sharedConnections)) {
 	if !u.usesHTTP2.Load() {
 		return
@@ -73,7 +73,7 @@
 	}
 }
 
-// signal wakes one attempt that waits.
+// signal wakes one waiting attempt.
 func (s *sharedConnections) signal() {
 	select {
 	case s.available <- struct{}{}:
@@ -81,24 +81,24 @@
 	}
 }
 
-// signalNext wakes the next attempt, if any waits. s.mu is locked.
+// signalNext wakes the next attempt, if any is waiting. s.mu must be locked.
 func (s *sharedConnections) signalNext() {
 	if s.waiting > 0 {
 		s.signal()
 	}
 }
 
-// acquire returns a connection with a free stream, or waits for one as long as a connection may take to come
-// up. isDialed reports whether a connection was made for this attempt. The error is h2.ErrNotHTTP2 where the
-// server supports HTTP/1.1 only, and errNoStream where no stream is available in time.
+// acquire returns a connection with a free stream. If there is none, it waits at most the connect timeout for one.
+// isDialed reports whether a connection was dialed for this attempt. The error is h2.ErrNotHTTP2 if the server
+// supports HTTP/1.1 only, and errNoStream if no stream becomes available in time.
 func (s *sharedConnections) acquire(ctx context.Context) (conn *h2.Conn, isDialed bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	failedBefore := s.failedDials
-	var waitContext context.Context // made for the first wait
+	var waitContext context.Context // created at the first wait
 	for {
 		switch {
-		case s.isRetired: // the attempt started as its server left the endpoint list
+		case s.isRetired: // the attempt started while its server left the endpoint list
 			return nil, isDialed, errServerRemoved
 		case time.Now().Before(s.http1Until):
 			s.signal()
@@ -127,7 +127,7 @@
 	}
 }
 
-// choose decides which connection an attempt takes, and retires or dials one where that is due. s.mu is locked.
+// choose decides which connection an attempt takes, and retires or dials one if that is due. s.mu must be locked.
 func (s *sharedConnections) choose() h2.Choice {
 	s.removeEnded()
 	views := make([]h2.View, 0, stackViewCapacity)
@@ -150,7 +150,7 @@
 	return choice
 }
 
-// wait waits until a stream may be available. s.mu is locked, and unlocked meanwhile.
+// wait blocks until a stream may be available. s.mu must be locked; it is unlocked while wait blocks.
 func (s *sharedConnections) wait(ctx context.Context) error {
 	s.waiting++
 	s.mu.Unlock()
@@ -166,13 +166,13 @@
 		return nil
 	}
 	s.signalNext()
-	if s.dialing > 0 && len(s.connections) == 0 { // counts as a connection that could not be made
+	if s.dialing > 0 && len(s.connections) == 0 { // counts as a failed connection
 		return context.Cause(ctx)
 	}
 	return errNoStream
 }
 
-// dial makes a connection for whichever attempts wait. Its goroutine ends within the connect timeout.
+// dial establishes a connection for the waiting attempts. Its goroutine ends within the connect timeout.
 func (s *sharedConnections) dial() {
 	conn, err := s.connect()
 	s.mu.Lock()
@@ -193,7 +193,7 @@
 	s.signal()
 }
 
-// connect makes a connection for HTTP/2.
+// connect establishes an HTTP/2 connection.
 func (s *sharedConnections) connect() (*h2.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.upstream.ConnectTimeout)
 	defer cancel()
@@ -205,7 +205,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if s.upstream.TLS != nil && negotiated != alpnHTTP2 { // without waiting for the server's first frame
+	if s.upstream.TLS != nil && negotiated != alpnHTTP2 { // no need to wait for the server's first frame
 		conn.Close()
 		return nil, fmt.Errorf("%w: %w", h2.ErrNotHTTP2, certs.ErrProtocol)
 	}
@@ -221,8 +221,8 @@
 	})
 }
 
-// removeEnded removes connections that have ended, and ends those that take no more requests and have none.
-// s.mu is locked.
+// removeEnded removes connections that have ended, and ends those that take no more requests and have no open
+// stream. s.mu must be locked.
 func (s *sharedConnections) removeEnded() {
 	active := s.connections[:0]
 	for _, conn := range s.connections {
@@ -246,7 +246,7 @@
 	return n
 }
 
-// closeIdle ends the connections that have been idle for some time, and removes those that have ended.
+// closeIdle ends the connections that have been idle for at least minIdleTime, and removes those that have ended.
 func (s *sharedConnections) closeIdle(minIdleTime time.Duration) {
 	s.each(func(conn *h2.Conn) {
 		if idleSince, ok := conn.Idle(); ok && time.Since(idleSince) >= minIdleTime {
@@ -260,7 +260,7 @@
 	}
 }
 
-// each visits every connection.
+// each calls visit with every connection.
 func (s *sharedConnections) each(visit func(*h2.Conn)) {
 	if s == nil {
 		return
@@ -272,7 +272,7 @@
 	}
 }
 
-// retire ends all connections, each with its last stream.
+// retire ends all connections, each once its last stream has ended.
 func (s *sharedConnections) retire() {
 	if s == nil {
 		return
@@ -286,7 +286,7 @@
 	s.connections = nil
 }
 
-// adopt takes over the connections of source, which lead to the same server.
+// mergeFrom takes over the connections of source, which lead to the same server.
 func (s *sharedConnections) mergeFrom(source *sharedConnections) {
 	if s == nil || source == nil {
 		return
@@ -301,17 +301,17 @@
 	s.mu.Unlock()
 }
 
-// HTTP2Status counts the connections of HTTP/2 of an Upstream. Two JSON keys are older than the terms: room is
-// the free streams, fellback the servers of the fallback.
+// HTTP2Status holds the counts of HTTP/2 connections of an Upstream. Two JSON keys predate the current terms: room
+// is the number of free streams, fellback the number of servers in their fallback period.
 type HTTP2Status struct {
 	Connections     int `json:"connections"`
-	Streams         int `json:"streams"`  // open on them
-	FreeStreams     int `json:"room"`     // on connections that take requests
+	Streams         int `json:"streams"`  // open streams
+	FreeStreams     int `json:"room"`     // on connections that accept requests
 	Waiting         int `json:"waiting"`  // attempts that wait for a stream or a connection
-	FallbackServers int `json:"fellback"` // servers for which HTTP/1.1 is used for a time
+	FallbackServers int `json:"fellback"` // servers for which HTTP/1.1 is used temporarily
 }
 
-// HTTP2Status counts the connections of HTTP/2; nil where HTTP/2 is used for no server.
+// HTTP2Status returns the counts of HTTP/2 connections; nil if HTTP/2 is used for no server.
 func (u *Upstream) HTTP2Status() *HTTP2Status {
 	if !u.usesHTTP2.Load() {
 		return nil
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -12,47 +12,47 @@
 	"lockflow/control"
 )
 
-// Stream is the rest of an answer that is not buffered, or a tunnel. One goroutine reads it, and one may write
-// to a tunnel; Abort and Close may be called by any.
+// Stream is the rest of a response that is not buffered, or a tunnel. Only one goroutine may read it, and only one
+// may write to a tunnel; Abort and Close may be called from any goroutine.
 type Stream struct {
-	ContentLength int64 // of the body; below zero it is not known
-	IsTunnel      bool  // the connection has switched to another protocol: bytes go in both directions
+	ContentLength int64 // length of the body; negative if unknown
+	IsTunnel      bool  // the connection has switched to another protocol and carries bytes in both directions
 
 	streamingAttempt
-	http1     *http1Attempt // the attempt; nil over HTTP/2
-	bytesRead int64         // of the body; used by the reading goroutine only
+	http1     *http1Attempt // nil over HTTP/2
+	bytesRead int64         // bytes of the body; used by the reading goroutine only
 
-	mu      sync.Mutex // guards what follows
-	readErr error      // with which reading ended; io.EOF is a complete answer, nil one that is not complete
+	mu      sync.Mutex // guards the fields below
+	readErr error      // error that ended reading; io.EOF after a complete response, nil before the end
 	isEnded bool
 	onEnd   func(Outcome)
 }
 
-// streamingAttempt is an attempt whose answer is streamed.
+// streamingAttempt is an attempt whose response is streamed.
 type streamingAttempt interface {
 	readBody(p []byte) (int, error)
 	hasBuffered() bool
-	trailer() http.Header // the announced names, and the values once the body has been read
+	trailer() http.Header // announced names, with their values once the body has been read
 	isAborted() bool
 	abort()
 	hasClientFailed() bool
-	end(isComplete bool) // releases the connection; only the first call has an effect
+	end(isComplete bool) // releases the connection; calls after the first have no effect
 }
 
-// OnEnd sets a function that is called once, with how the attempt ended, when the stream is closed.
+// OnEnd sets a function that is called once with the outcome of the attempt when the stream is closed.
 func (s *Stream) OnEnd(callback func(Outcome)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.onEnd = callback
 }
 
-// Read implements io.Reader. io.EOF is the end of a complete answer; any other error means that it is not
-// complete, ErrAborted that it was aborted here. Each call takes the idle timeout of the request at most.
+// Read implements io.Reader. io.EOF marks the end of a complete response. Any other error means that the response is
+// incomplete, and ErrAborted that this node aborted it. Each call takes at most the request's idle timeout.
 func (s *Stream) Read(p []byte) (n int, err error) {
 	n, err = s.readBody(p)
 	s.bytesRead += int64(n)
 	if err != nil {
-		if s.isAborted() { // otherwise it would be taken for a timeout, which a tunnel may survive
+		if s.isAborted() { // otherwise reported as a timeout, after which a tunnel may continue
 			err = ErrAborted
 		}
 		s.setReadErr(err)
@@ -60,18 +60,18 @@
 	return n, err
 }
 
-// CopyTo doubles its pieces from the smallest size to the largest, and returns to the smallest after a piece that lasted
-// longer than slowPieceTime.
+// CopyTo doubles the size of its pieces from minPieceBytes up to maxPieceBytes, and returns to minPieceBytes after a
+// piece that took longer than slowPieceTime.
 const (
 	minPieceBytes = BodyWindowBytes
 	maxPieceBytes = 1 << 20
 	slowPieceTime = time.Second
 )
 
-// CopyTo copies the rest of a body of known length to a client's connection, where the system can do so without
-// copying it through this process (splice(2)); otherwise it returns errors.ErrUnsupported. It calls beforePiece
-// before each piece, which has to be copied within the idle timeout of the request, and afterPiece with its
-// length after it. An error of the client's side does not count as a failure of the server.
+// CopyTo copies the rest of a body of known length to a client's connection if the system can do so without
+// copying it through user space (splice(2)); otherwise it returns errors.ErrUnsupported. It calls beforePiece
+// before each piece and afterPiece with the length after each piece. Each piece must be copied within the request's
+// idle timeout. An error on the client's side does not count as a failure of the server.
 func (s *Stream) CopyTo(destination io.ReaderFrom, beforePiece func(), afterPiece func(n int64) error) error {
 	if s.http1 == nil {
 		return errors.ErrUnsupported
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// copyPiece copies size bytes. It records an error of the server's side.
+// copyPiece copies size bytes. It records errors on the server's side as the stream's read error.
 func (s *Stream) copyPiece(destination io.ReaderFrom, tcp *net.TCPConn, size int64) (int64, error) {
 	s.http1.hasConnDeadline = true
 	s.http1.conn.readBy(time.Now().Add(s.http1.IdleTimeout))
@@ -120,8 +120,8 @@
 	return n, err
 }
 
-// isServerAlive reports, after a copy that failed, whether the server's side works: there is more of its
-// answer, or may be.
+// isServerAlive reports, after a failed copy, whether the server's side still works: more of its response has
+// arrived, or may still arrive.
 func (s *Stream) isServerAlive(tcp *net.TCPConn) bool {
 	if s.isAborted() {
 		return false
@@ -138,7 +138,7 @@
 	s.mu.Unlock()
 }
 
-// HasBuffered reports whether Read returns without waiting.
+// HasBuffered reports whether Read would return without blocking.
 func (s *Stream) HasBuffered() bool { return s.hasBuffered() }
 
 // TrailerNames returns the names of the trailer fields that the server has announced.
@@ -149,24 +149,24 @@
 	return names
 }
 
-// Trailer returns the trailer fields, once Read has returned io.EOF.
+// Trailer returns the trailer fields. It is valid once Read has returned io.EOF.
 func (s *Stream) Trailer() http.Header { return s.trailer() }
 
-// Write sends bytes through a tunnel. Each call takes the idle timeout of the request at most.
+// Write sends bytes through a tunnel. Each call takes at most the request's idle timeout.
 func (s *Stream) Write(p []byte) (int, error) {
 	s.http1.conn.writeBy(time.Now().Add(s.http1.IdleTimeout))
 	return s.http1.conn.Write(p)
 }
 
-// CloseWrite ends the client's direction of a tunnel.
+// CloseWrite closes the direction from the client to the server in a tunnel.
 func (s *Stream) CloseWrite() {
 	if conn, ok := s.http1.conn.Conn.Conn.(interface{ CloseWrite() error }); ok { // TCP and TLS
 		_ = conn.CloseWrite() // a broken connection shows in reading
 	}
 }
 
-// Abort ends the stream: its reader gets ErrAborted. It never waits. It does nothing to a stream that has been
-// closed, whose connection may serve the next request.
+// Abort ends the stream, so that its reader gets ErrAborted. It never blocks. It has no effect on a closed stream,
+// whose connection may already serve another request.
 func (s *Stream) Abort() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -175,8 +175,8 @@
 	}
 }
 
-// Close ends the attempt. A connection with a complete answer is returned to its pool, any other one is closed.
-// Only the first call does anything.
+// Close ends the attempt. A connection whose response is complete returns to its pool; any other is closed. Calls
+// after the first have no effect.
 func (s *Stream) Close() {
 	s.mu.Lock()
 	readErr := s.readErr
@@ -194,8 +194,8 @@
 	}
 }
 
-// closedOutcome is the outcome of the attempt. It is a success also where the client has left, as the server has
-// answered.
+// closedOutcome returns the outcome of the attempt. If the client has failed, the outcome is still a success,
+// because the server has responded.
 func (s *Stream) closedOutcome(readErr error) Outcome {
 	switch {
 	case readErr == nil || errors.Is(readErr, io.EOF) || s.hasClientFailed():
