--- a/internal/upstream/answer_test.go
+++ b/internal/upstream/answer_test.go
@@ -16,11 +16,11 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// rawAnswers are answers of servers, and the outcomes of attempts that get them.
+// rawResponses are responses of servers, with the outcomes of attempts that receive them.
 var rawResponses = map[string]struct {
-	response string // "" is an endpoint that refuses connections
+	response string // "" stands for an endpoint that refuses connections
 	want     control.Reason
-	reset    control.Reason // where the connection is reset behind the answer; 0 is the same
+	reset    control.Reason // the outcome if the connection is reset after the response; 0 is want
 }{
 	"served":                       {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", control.OK, 0},
 	"served in chunks":             {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", control.OK, 0},
@@ -63,7 +63,7 @@
 	"refused":                      {"", control.ConnectFailed, 0},
 }
 
-// TestOutcomeByAnswer checks the outcome of well-formed and malformed answers, with and without a reset of the
+// TestOutcomeByResponse checks the outcomes of well-formed and malformed responses, with and without a reset of the
 // connection after them.
 func TestOutcomeByResponse(t *testing.T) {
 	refusing, err := net.Listen("tcp", "127.0.0.1:0")
@@ -94,7 +94,8 @@
 	}
 }
 
-// TestReportHeaders checks what is read from a server's report headers, and that impossible values are skipped.
+// TestReportHeaders checks which values are read from a server's report headers, and that values out of range are
+// skipped.
 func TestReportHeaders(t *testing.T) {
 	outcome := Outcome{Header: http.Header{
 		protocol.HeaderQuotaUsed: {"85"}, protocol.HeaderTrueCost: {"3"},
@@ -114,8 +115,8 @@
 	}
 }
 
-// TestIncompleteAnswerIsReset checks that an answer which stops half way, or states that it is too long, counts as
-// a reset as soon as that is known, although the connection stays open: the attempt doesn't wait for its deadline.
+// TestIncompleteResponseIsReset checks that a response which stops half way, or states a length above the limit, counts
+// as a reset as soon as that is known, although the connection stays open: the attempt must not wait for its deadline.
 func TestIncompleteResponseIsReset(t *testing.T) {
 	for name, text := range map[string]string{
 		"in its head":       "HTTP/1.1 200 OK\r\nContent-Le",
@@ -148,12 +149,13 @@
 	}
 }
 
-// TestInterimAnswerStartsNoTimeout checks that the answer after an interim one may take its time.
+// TestInterimResponseStartsNoTimeout checks that an interim response does not start the completion timeout of the
+// response that follows it.
 func TestInterimResponseStartsNoTimeout(t *testing.T) {
 	t.Parallel()
 	app := testkit.NewApp(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusEarlyHints)
-		time.Sleep(responseCompletionTimeout + responseCompletionTimeout/3) // has to pass
+		time.Sleep(responseCompletionTimeout + responseCompletionTimeout/3) // exceeds the completion timeout
 		io.WriteString(w, "ok")
 	})
 	upstream := newTestUpstream(testkit.WaitTimeout, limits.NewSocketLimiter(1024))
@@ -164,17 +166,17 @@
 	}
 }
 
-// TestAnswerTimeoutEndsWithItsAnswer checks that the deadline of an answer doesn't apply to the next attempt on its
-// connection.
+// TestCompletionTimeoutEndsWithItsResponse checks that the completion deadline of a response does not apply to the next
+// attempt on the same connection.
 func TestCompletionTimeoutEndsWithItsResponse(t *testing.T) {
 	t.Parallel()
 	requests := 0
 	app := testkit.NewApp(t, func(w http.ResponseWriter, _ *http.Request) {
 		if requests++; requests > 1 {
-			time.Sleep(responseCompletionTimeout + responseCompletionTimeout/3) // has to pass
+			time.Sleep(responseCompletionTimeout + responseCompletionTimeout/3) // exceeds the completion timeout
 		}
 		io.WriteString(w, "o")
-		w.(http.Flusher).Flush() // a chunk of its own, so that there is a rest to wait for
+		w.(http.Flusher).Flush() // a separate chunk, so that the rest of the response is read under the completion deadline
 		io.WriteString(w, "k")
 	})
 	upstream := newTestUpstream(2*testkit.WaitTimeout, limits.NewSocketLimiter(1024))
@@ -196,7 +198,8 @@
 
 func (c oneByteConn) Read(p []byte) (int, error) { return iotest.OneByteReader(c.Conn).Read(p) }
 
-// TestAnswersInPieces checks that answers in every form of HTTP/1.1 are read however they are cut into pieces.
+// TestResponsesSplitIntoPieces checks that responses in every form of HTTP/1.1 are read correctly when they arrive one
+// byte at a time.
 func TestResponsesSplitIntoPieces(t *testing.T) {
 	for name, tc := range map[string]struct {
 		text string
@@ -218,7 +221,7 @@
 			go func() {
 				defer serverEnd.Close()
 				if _, err := serverEnd.Read(make([]byte, connBufferBytes)); err == nil {
-					_, _ = io.WriteString(serverEnd, tc.text) // an end that comes early shows in the outcome
+					_, _ = io.WriteString(serverEnd, tc.text) // an early end of the connection shows in the outcome
 				}
 			}()
 			sockets := limits.NewSocketLimiter(1024)
--- a/internal/upstream/faulty_server_test.go
+++ b/internal/upstream/faulty_server_test.go
@@ -17,9 +17,9 @@
 	"lockflow/internal/testsupport/fake"
 )
 
-// playFaultyServer sends updates concurrently to a server with random faults. An update is retried only where
-// its outcome says that it has not run or, if trusting, also where its stream broke. It returns what violates
-// the rules.
+// runUpdatesOnFaultyServer sends updates concurrently to a server with random faults and returns the violations it
+// finds. An update is retried only if its outcome states that it has not run or, with retriesBrokenStreams, also if
+// its stream broke.
 func runUpdatesOnFaultyServer(t *testing.T, seed uint64, retriesBrokenStreams bool) (violations []string) {
 	random := rand.New(rand.NewPCG(seed, 77))
 	faults := fake.HTTP2Faults{Refuse: 0.1, Reset: 0.05, Error: 0.05, Lower: 0.1, GoAway: 0.1, CutRead: 0.3, CutSent: 0.3}
@@ -54,7 +54,7 @@
 	return violations
 }
 
-// sendUpdate sends one update, and retries it as playFaultyServer says. It reports what violates the rules.
+// sendUpdate sends one update, with retries according to runUpdatesOnFaultyServer, and reports violations.
 func sendUpdate(
 	id, body string, server *fake.RunningHTTP2, retriesBrokenStreams bool,
 	attempt func(context.Context, *BufferedRequest) Outcome, report func(format string, args ...any),
@@ -80,8 +80,8 @@
 				return
 			}
 		case control.ResetByPeer:
-			// Only a request that was sent completely, and got nothing but the end of its connection, may
-			// have run as far as the node knows.
+			// Only a request that was sent completely, and then saw nothing but the end of its connection, may have run as
+			// far as the node can know.
 			if ran == 0 && (end == nil || end.End != h2.EndBroken || end.Moment != h2.MomentSent) {
 				report("%s: it never ran, which could be known: %v", id, outcome.Err)
 			}
@@ -95,8 +95,8 @@
 	}
 }
 
-// TestUpdatesRunOnceOnFaultyServer checks that no update runs twice, and that an update which has not run is
-// known not to have, at a server that closes at any byte, refuses streams, goes away and changes its limits.
+// TestUpdatesRunOnceOnFaultyServer checks that no update runs twice, and that an update which has not run is reported
+// as not run, with a server that closes connections at any byte, refuses streams, sends GOAWAY and changes its limits.
 func TestUpdatesRunOnceOnFaultyServer(t *testing.T) {
 	seeds := 300
 	if n, err := strconv.Atoi(os.Getenv("LOCKFLOW_SEEDS")); err == nil {
@@ -109,8 +109,8 @@
 	}
 }
 
-// TestFaultyServerFindsRetriesOfBrokenStreams checks that the test above finds a client which retries requests
-// whose stream broke.
+// TestFaultyServerFindsRetriesOfBrokenStreams checks that the test above detects a client which retries requests whose
+// stream broke.
 func TestFaultyServerFindsRetriesOfBrokenStreams(t *testing.T) {
 	for seed := range uint64(100) {
 		if len(runUpdatesOnFaultyServer(t, seed, true)) > 0 {
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -16,14 +16,14 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// newTestUpstream makes an Upstream whose idle connections are evicted at the limit of sockets.
+// newTestUpstream creates an Upstream whose idle connections are evicted when the limit of sockets is reached.
 func newTestUpstream(keepalive time.Duration, sockets *limits.SocketLimiter) *Upstream {
 	upstream := New(Options{ConnectTimeout: testkit.WaitTimeout, KeepAliveTimeout: keepalive, SocketLimiter: sockets})
 	sockets.OnEvict(nil, upstream.Evict)
 	return upstream
 }
 
-// newHTTP2Upstream makes an Upstream for HTTP/2, with defaults for what options leave out.
+// newHTTP2Upstream creates an Upstream for HTTP/2, with defaults for options that are zero.
 func newHTTP2Upstream(options HTTP2Options) *Upstream {
 	options.FallbackPeriod = time.Minute
 	if options.MaxConnections == 0 {
@@ -36,14 +36,14 @@
 	return New(Options{ConnectTimeout: 5 * time.Second, KeepAliveTimeout: time.Minute, SocketLimiter: limits.NewSocketLimiter(1000), HTTP2: options})
 }
 
-// idleConnections returns the idle connections of HTTP/1.1.
+// idleConnections returns the idle HTTP/1.1 connections.
 func idleConnections(upstream *Upstream) []*serverConn {
 	var all []*serverConn
 	upstream.closeIdleIf(func(conn *serverConn) bool { all = append(all, conn); return false })
 	return all
 }
 
-// newMessage makes a POST request with a body.
+// newPOSTRequest creates a POST request with a body.
 func newPOSTRequest(t *testing.T, body []byte) *http.Request {
 	req, err := http.NewRequest(http.MethodPost, "http://origin.svc/visit-update", bytes.NewReader(body))
 	if err != nil {
@@ -52,7 +52,7 @@
 	return req
 }
 
-// newUpdate makes a request of the platform's protocol with an idempotency key.
+// newUpdate creates a request of the platform's protocol with an idempotency key.
 func newUpdate(id string, body string) *BufferedRequest {
 	req, err := http.NewRequest(http.MethodPost, "http://origin.svc/visit-update?account=1", nil)
 	if err != nil {
@@ -73,8 +73,8 @@
 	return server
 }
 
-// startRawServer starts an app server that answers each request with the same bytes and closes or resets the
-// connection, and returns its address.
+// startRawServer starts an app server that sends the same bytes in response to each request and then closes or resets
+// the connection. It returns the server's address.
 func startRawServer(t *testing.T, answer string, reset bool) string {
 	app := testkit.NewApp(t, func(w http.ResponseWriter, _ *http.Request) {
 		conn := testkit.Hijack(w)
@@ -87,7 +87,7 @@
 	return app.Listener.Addr().String()
 }
 
-// serveConnections listens until the test ends, serves each connection, and returns the address.
+// serveConnections listens until the test ends, calls serve for each connection, and returns the address.
 func serveConnections(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/upstream/idle_test.go
+++ b/internal/upstream/idle_test.go
@@ -13,8 +13,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// TestUnusedConnectionKeepsItsIdleTime checks that a connection on which an attempt wrote nothing needs no quiet
-// period and keeps its age, as the server's idle timeout goes on.
+// TestUnusedConnectionKeepsItsIdleTime checks that a connection on which an attempt wrote nothing needs no quiet period
+// and keeps its idle time, since the server's idle timeout continues.
 func TestUnusedConnectionKeepsItsIdleTime(t *testing.T) {
 	const age = time.Second
 	server := newScriptedServer(t)
@@ -27,7 +27,7 @@
 			t.Fatalf("%d (%v)", outcome.Reason, outcome.Err)
 		}
 	}
-	attemptLate() // over a new one
+	attemptLate() // over a new connection
 	conn := idleConnections(server.upstream)[0]
 	conn.idleSince = conn.idleSince.Add(-age)
 	idleSince := conn.idleSince
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestIdleConnectionIsReusedWhileOpen checks that an idle connection is reused, but not one that the server has
-// closed or that is too old: the next request would end as a reset.
+// TestIdleConnectionIsReusedWhileOpen checks that an idle connection is reused, unless the server has closed it or it
+// is too old: the next request on such a connection would end as a reset.
 func TestIdleConnectionIsReusedWhileOpen(t *testing.T) {
 	var hijack bool
 	var clientAddresses []string
@@ -84,7 +84,7 @@
 	if clientAddresses[2] == clientAddresses[1] {
 		t.Error("a closed connection was used again")
 	}
-	upstream.maxIdleTime = 0 // all have idled for too long
+	upstream.maxIdleTime = 0 // every idle connection is now too old
 	attempt()
 	if clientAddresses[3] == clientAddresses[2] {
 		t.Error("an old connection was used again")
@@ -94,7 +94,7 @@
 	}
 }
 
-// TestMissingDescriptorIsNotServerFault checks that an attempt without a descriptor counts as not sent.
+// TestMissingDescriptorIsNotServerFault checks that an attempt that gets no file descriptor counts as not sent.
 func TestMissingDescriptorIsNotServerFault(t *testing.T) {
 	app := testkit.NewApp(t, testkit.Served)
 	sockets := limits.NewSocketLimiter(0)
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestIdleConnectionIsEvictedAtSocketLimit checks that an idle connection is closed for a new one at the limit of
-// sockets.
+// TestIdleConnectionIsEvictedAtSocketLimit checks that at the limit of sockets an idle connection is closed to make room
+// for a new one.
 func TestIdleConnectionIsEvictedAtSocketLimit(t *testing.T) {
 	app := testkit.NewApp(t, testkit.Served)
 	other := testkit.NewApp(t, testkit.Served)
--- a/internal/upstream/interrupted_attempt_test.go
+++ b/internal/upstream/interrupted_attempt_test.go
@@ -18,8 +18,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// TestAttemptOverTLSEndsAtItsDeadline checks that an attempt over TLS ends at its deadline while its server reads
-// nothing: it doesn't wait to send a close_notify.
+// TestAttemptOverTLSEndsAtItsDeadline checks that an attempt over TLS ends at its deadline if the server stops reading:
+// closing the connection must not block on sending a close_notify.
 func TestAttemptOverTLSEndsAtItsDeadline(t *testing.T) {
 	cert := httptest.NewUnstartedServer(nil)
 	cert.StartTLS()
@@ -28,7 +28,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		clientEnd, serverEnd := net.Pipe()
 		defer serverEnd.Close()
-		go tls.Server(serverEnd, &tls.Config{Certificates: certs, SessionTicketsDisabled: true}).Handshake() // and reads no more
+		go tls.Server(serverEnd, &tls.Config{Certificates: certs, SessionTicketsDisabled: true}).Handshake() // reads nothing after the handshake
 		tlsConn := tls.Client(clientEnd, &tls.Config{InsecureSkipVerify: true})
 		if err := tlsConn.Handshake(); err != nil {
 			t.Fatal(err)
@@ -52,19 +52,19 @@
 	})
 }
 
-// TestOutcomeByLastByteSent checks that an attempt which ends before the last byte of its request was sent has
-// not run, and that it may have run after that byte, however the request is cut into writes. Its connection is
-// closed by then.
+// TestOutcomeByLastByteSent checks that an attempt that ends before the last byte of its request was sent counts as not
+// run, and that one that ends after that byte may have run, however the request is split into writes. In both cases the
+// connection is closed.
 func TestOutcomeByLastByteSent(t *testing.T) {
 	for _, size := range []int{0, 1, connBufferBytes, 64 << 10} {
 		total := 0
 		for _, tc := range []struct {
 			name        string
-			unreadBytes int // of the last byte
+			unreadBytes int // bytes of the request that the server does not read
 			breaks      bool
 			want        control.Reason
 		}{
-			{"all", 0, false, control.TimedOut}, // counts the request's bytes too
+			{"all", 0, false, control.TimedOut}, // also measures the size of the request
 			{"broken behind the last", 0, true, control.ResetByPeer},
 			{"broken before the last", 1, true, control.ConnectFailed},
 			{"silent before the last", 1, false, control.ConnectFailed},
@@ -107,8 +107,8 @@
 	}
 }
 
-// TestInterruptOutlastsLaterDeadlines checks that an interrupt between two reads of an answer is not undone by
-// the deadline of that answer.
+// TestInterruptOutlastsLaterDeadlines checks that the read deadline of a response does not undo an interrupt between two
+// reads of that response.
 func TestInterruptOutlastsLaterDeadlines(t *testing.T) {
 	for name, reads := range map[string]int{"as an answer goes on": 1, "behind an interim one": 2} {
 		t.Run(name, func(t *testing.T) {
@@ -160,10 +160,10 @@
 	}
 }
 
-// TestAttemptAtSilentServerEndsAtItsDeadline checks that a server which reads or answers nothing delays an
-// attempt no longer than its deadline, and that the outcome fits what the server can still read of it.
+// TestAttemptAtUnresponsiveServerEndsAtItsDeadline checks that a server which does not read or does not respond delays an
+// attempt no longer than its deadline, and that the outcome agrees with what the server can still read of the request.
 func TestAttemptAtUnresponsiveServerEndsAtItsDeadline(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0") // accepts in the kernel only
+	listener, err := net.Listen("tcp", "127.0.0.1:0") // connections are accepted by the kernel only
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -186,7 +186,7 @@
 			if n := sockets.InUse(); n != 0 {
 				t.Errorf("%d connections left open", n)
 			}
-			// What the system had taken comes all the same, once the peer reads: a request that can be begun may yet run.
+			// Bytes that the system has accepted still arrive once the peer reads, so a request that is complete may still run.
 			conn, err := listener.Accept()
 			if err != nil {
 				t.Fatal(err)
@@ -204,12 +204,12 @@
 	}
 }
 
-// TestCancelledAttempt checks the outcome of an attempt that is cancelled while it waits for its answer.
+// TestCancelledAttempt checks the outcome of an attempt that is cancelled while it waits for its response.
 func TestCancelledAttempt(t *testing.T) {
 	received := make(chan struct{})
 	app := testkit.NewApp(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(received)
-		<-r.Context().Done() // the edge node closes its connection
+		<-r.Context().Done() // ends when the node closes its connection
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
--- a/internal/upstream/late_connection_test.go
+++ b/internal/upstream/late_connection_test.go
@@ -13,15 +13,15 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// delayedDials is a limiter that delays connections until a time.
+// delayedDials is a dial limiter that blocks dials until readyAt.
 type delayedDials struct{ readyAt time.Time }
 
 func (c *delayedDials) TryAcquire() bool { time.Sleep(time.Until(c.readyAt)); return true }
 func (c *delayedDials) Release()         {}
 
-// TestConnectionUpAfterWriteDeadlineIsNotWritten checks that an attempt is not written after its write deadline,
-// neither on a connection that comes up later nor on an idle one. That is no fault of the server, and the
-// connection serves the next request.
+// TestConnectionUpAfterWriteDeadlineIsNotWritten checks that an attempt is not written after its write deadline, neither
+// on a connection that was established too late nor on an idle one. This does not count as a failure of the server, and
+// the connection serves the next request.
 func TestConnectionUpAfterWriteDeadlineIsNotWritten(t *testing.T) {
 	for name, protocol := range map[string]Protocol{"HTTP/1.1": ProtocolHTTP1, "HTTP/2": ProtocolHTTP2} {
 		t.Run(name, func(t *testing.T) {
@@ -68,15 +68,14 @@
 	}
 }
 
-// dialHook is a limiter that calls a function before each new connection.
+// dialHook is a dial limiter that calls a function before each dial.
 type dialHook func()
 
 func (f dialHook) TryAcquire() bool { f(); return true }
 func (f dialHook) Release()         {}
 
-// TestRemovedServerIsNotWrittenTo checks that an attempt is not written if its server is removed before the
-// connection is up, or before it is begun: a connection may take long, and sends to the server have to have
-// stopped.
+// TestRemovedServerIsNotWrittenTo checks that an attempt is not written if its server is removed before the attempt
+// starts or while the connection is being established: a dial may take long, and requests to a removed server must stop.
 func TestRemovedServerIsNotWrittenTo(t *testing.T) {
 	for name, protocol := range map[string]Protocol{"HTTP/1.1": ProtocolHTTP1, "HTTP/2": ProtocolHTTP2} {
 		for when, removedBefore := range map[string]bool{"before": true, "meanwhile": false} {
@@ -115,14 +114,14 @@
 	}
 }
 
-// dialCount is a limiter that counts the connections that are being made.
+// dialCount is a dial limiter that counts the dials in progress.
 type dialCount struct{ open atomic.Int64 }
 
 func (d *dialCount) TryAcquire() bool { d.open.Add(1); return true }
 func (d *dialCount) Release()         { d.open.Add(-1) }
 
-// TestFailedDialsLeaveNothingBehind checks that connections which never come up end with the connect timeout or
-// the attempt's deadline, whichever is shorter, and leave no descriptor, dial or goroutine behind.
+// TestFailedDialsLeaveNothingBehind checks that dials which never succeed end with the connect timeout or the attempt's
+// deadline, whichever is earlier, and leak no descriptor, dial slot or goroutine.
 func TestFailedDialsLeaveNothingBehind(t *testing.T) {
 	const shortTimeout, attempts = 50 * time.Millisecond, 100
 	address := testkit.FullBacklogAddress(t)
--- a/internal/upstream/leak_test.go
+++ b/internal/upstream/leak_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain checks that no test leaves a goroutine behind.
+// TestMain checks that the tests leak no goroutines.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/upstream/many_connections_test.go
+++ b/internal/upstream/many_connections_test.go
@@ -11,16 +11,16 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// settingsOfOneStream is a SETTINGS frame that allows one stream at a time (RFC 9113, 6.5).
+// singleStreamSettings is a SETTINGS frame that allows one stream at a time (RFC 9113, 6.5).
 const singleStreamSettings = "\x00\x00\x06\x04\x00\x00\x00\x00\x00\x00\x03\x00\x00\x00\x01"
 
-// TestAttemptsUseEveryAllowedConnection checks that attempts open as many connections to one server as its
-// options allow, also where that is more than a few.
+// TestAttemptsUseEveryAllowedConnection checks that attempts open as many connections to one server as the options
+// allow, even if that exceeds stackViewCapacity.
 func TestAttemptsUseEveryAllowedConnection(t *testing.T) {
 	const connections = 20
-	address := serveConnections(t, func(conn net.Conn) { // takes requests and answers none
+	address := serveConnections(t, func(conn net.Conn) { // reads requests and never responds
 		if _, err := io.WriteString(conn, singleStreamSettings); err == nil {
-			_, _ = io.Copy(io.Discard, conn) // ends with the connection
+			_, _ = io.Copy(io.Discard, conn) // returns when the connection ends
 		}
 	})
 	upstream := newHTTP2Upstream(HTTP2Options{MaxConnections: connections, MaxStreams: connections})
--- a/internal/upstream/nodelay_test.go
+++ b/internal/upstream/nodelay_test.go
@@ -9,8 +9,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// TestServersAreSentSmallWritesAtOnce checks that the system holds no small write back: a request's last byte would
-// come late, and a close over unread bytes would drop it.
+// TestServerConnectionsSetNoDelay checks that TCP_NODELAY is set, so that the system does not delay small writes: the
+// last byte of a request would arrive late, and closing a connection with unread bytes would drop it.
 func TestServerConnectionsSetNoDelay(t *testing.T) {
 	app := testkit.NewApp(t, testkit.Served)
 	upstream := newTestUpstream(testkit.WaitTimeout, limits.NewSocketLimiter(1024))
--- a/internal/upstream/relayed_request_test.go
+++ b/internal/upstream/relayed_request_test.go
@@ -19,8 +19,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// TestResetIsNotEndOfBody checks that an answer without a length is incomplete if its connection is reset. The
-// system reports the reset once, here to the goroutine that sends the body.
+// TestResetIsNotEndOfBody checks that a response without a length counts as incomplete if its connection is reset. The
+// system reports a reset only once, in this test to the goroutine that sends the body.
 func TestResetIsNotEndOfBody(t *testing.T) {
 	for name, reset := range map[string]bool{"ended": false, "reset": true} {
 		t.Run(name, func(t *testing.T) {
@@ -76,7 +76,7 @@
 	}
 }
 
-// TestPartialStatusLineIsRejected checks that the status of one answer isn't combined with the rest of another.
+// TestPartialStatusLineIsRejected checks that the status of one response is not combined with the rest of another.
 func TestPartialStatusLineIsRejected(t *testing.T) {
 	upstream := newTestUpstream(testkit.WaitTimeout, limits.NewSocketLimiter(1024))
 	pool := upstream.NewPool(startRawServer(t, "HTTP/1.1 200 OHTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\nok", false), ProtocolHTTP1)
@@ -86,7 +86,7 @@
 	}
 }
 
-// TestBodyCompletedAfterHeadIsSent checks that a body is sent that becomes complete just after the head was made.
+// TestBodyCompletedAfterHeadIsSent checks that a body is sent if it becomes complete just after the head was created.
 func TestBodyCompletedAfterHeadIsSent(t *testing.T) {
 	server := startHTTP2(t, fake.HTTP2Server{UID: "s"})
 	upstream := newHTTP2Upstream(HTTP2Options{})
--- a/internal/upstream/scripted_server_test.go
+++ b/internal/upstream/scripted_server_test.go
@@ -15,7 +15,7 @@
 
 const okResponse, secondResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil"
 
-// scriptedServer is an app server whose answers the test writes, with an Upstream that sends it requests.
+// scriptedServer is an app server whose responses are written by the test, with an Upstream that sends requests to it.
 type scriptedServer struct {
 	t         *testing.T
 	upstream  *Upstream
@@ -75,7 +75,7 @@
 	return testkit.Next(s.t, s.requests)
 }
 
-// answerRequest writes the answer to the running attempt, which has to succeed.
+// respond writes the response to the running attempt, which must succeed.
 func (s *scriptedServer) respond(text string) {
 	s.t.Helper()
 	s.responses <- text
@@ -84,7 +84,7 @@
 	}
 }
 
-// waitIdle waits until there are n idle connections, and closes those to which bytes have come.
+// waitIdle waits until exactly n idle connections remain, and closes those that have received unsolicited bytes.
 func (s *scriptedServer) waitIdle(n int) {
 	s.t.Helper()
 	testkit.Until(s.t, "what came to idle connections", func() bool {
--- a/internal/upstream/second_answer_test.go
+++ b/internal/upstream/second_answer_test.go
@@ -15,9 +15,9 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// TestRequestAvoidsConnectionWithPossibleSecondAnswer checks that a request isn't written on a connection where
-// a second answer to the last one may still come, even the first that a server sends: it would be taken for the
-// request's own.
+// TestRequestAvoidsConnectionWithPossibleSecondResponse checks that no request is written on a connection where a second
+// response to the previous request may still arrive, even before any server has been seen to send one: it would be read
+// as the response to the new request.
 func TestRequestAvoidsConnectionWithPossibleSecondResponse(t *testing.T) {
 	for name, inOneWrite := range map[string]bool{"with its answer": true, "some milliseconds later": false} {
 		t.Run(name, func(t *testing.T) {
@@ -34,7 +34,8 @@
 			}
 			server.respond(okResponse)
 			server.waitIdle(1)
-			// Now that it is known of servers, none is used that rests, however many do.
+			// Servers are now known to send second responses, so no connection in its quiet period is used, however many
+			// there are.
 			used := map[string]bool{second.clientAddress: true}
 			for range maxConnectionsInQuietPeriod {
 				next := server.startRequest()
@@ -44,7 +45,7 @@
 				used[next.clientAddress] = true
 				server.respond(okResponse)
 			}
-			// What has rested is used again.
+			// Connections whose quiet period is over are used again.
 			server.upstream.QuietPeriod = 0
 			if next := server.startRequest(); !used[next.clientAddress] {
 				t.Error("one that has rested was not used again")
@@ -54,8 +55,8 @@
 	}
 }
 
-// TestRestingConnectionsAreBounded checks that a limited number of connections rest as long as no server sends
-// second answers: the next request takes the one that has rested longest.
+// TestConnectionsInQuietPeriodAreBounded checks that the number of connections in their quiet period is limited as long
+// as no server sends second responses: the next request takes the one whose quiet period started first.
 func TestConnectionsInQuietPeriodAreBounded(t *testing.T) {
 	server := newScriptedServer(t)
 	server.upstream.QuietPeriod = testkit.WaitTimeout
@@ -71,15 +72,15 @@
 	}
 }
 
-// rejectedDials is a limiter that admits no new connection.
+// rejectedDials is a dial limiter that rejects every dial.
 type rejectedDials struct{}
 
 func (rejectedDials) TryAcquire() bool { return false }
 func (rejectedDials) Release()         {}
 
-// TestRestingConnectionIsUsedWhereDialsFail checks that a request takes a resting connection where no new one
-// can be made, unless servers are known to send second answers: it would fail although its server has a good
-// connection open.
+// TestConnectionInQuietPeriodIsUsedWhenDialsFail checks that a request takes a connection in its quiet period if no new
+// one can be made, unless servers are known to send second responses. Otherwise the request would fail although a
+// working connection to its server is open.
 func TestConnectionInQuietPeriodIsUsedWhenDialsFail(t *testing.T) {
 	server := newScriptedServer(t)
 	server.upstream.QuietPeriod = testkit.WaitTimeout
@@ -96,27 +97,27 @@
 	}
 }
 
-// TestDelayedSecondAnswerIsSeenAfterQuietPeriod checks that a second answer which the server's system holds back
-// until the first one is acknowledged (no TCP_NODELAY) has come when the quiet period ends.
+// TestDelayedSecondResponseIsSeenAfterQuietPeriod checks that a second response has arrived by the end of the quiet
+// period if the server's system delays it until the first one is acknowledged (no TCP_NODELAY).
 func TestDelayedSecondResponseIsSeenAfterQuietPeriod(t *testing.T) {
 	server := newScriptedServer(t)
 	var conn receivedRequest
-	for range 50 { // then this system no longer acknowledges at once
+	for range 50 { // after that, this system delays acknowledgements
 		conn = server.startRequest()
 		conn.Conn.(*net.TCPConn).SetNoDelay(false)
 		server.respond(okResponse)
 	}
 	io.WriteString(conn, secondResponse)
 	server.upstream.QuietPeriod = SecondAnswerDelay
-	time.Sleep(SecondAnswerDelay) // has to pass
+	time.Sleep(SecondAnswerDelay) // the quiet period has to end
 	if next := server.startRequest(); next.clientAddress == conn.clientAddress {
 		t.Error("written where a second answer was still to come")
 	}
 	server.respond(okResponse)
 }
 
-// TestExtraBytesAreNotNextAnswer checks that bytes after an answer, before or after its connection becomes idle,
-// are never read as the next answer.
+// TestExtraBytesAreNotNextResponse checks that bytes after a response, whether they arrive before or after its connection
+// becomes idle, are never read as the next response.
 func TestExtraBytesAreNotNextResponse(t *testing.T) {
 	const okResponse, extraResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil"
 	firstConn := make(chan net.Conn, 1)
@@ -146,7 +147,7 @@
 		defer conn.Close()
 		idle := idleConnections(upstream)[0]
 		io.WriteString(conn, extraResponse)
-		// isQuiet reads a byte; one has to be left for the next attempt to find.
+		// isOpenAndEmpty consumes a byte; the rest must stay unread for the next attempt to find.
 		for end := time.Now().Add(testkit.WaitTimeout); idle.isOpenAndEmpty() && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
--- a/internal/upstream/shared_connections_test.go
+++ b/internal/upstream/shared_connections_test.go
@@ -25,8 +25,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// TestRequestsShareHTTP2Connections checks that many concurrent requests share few connections, within the
-// server's limit of streams.
+// TestRequestsShareHTTP2Connections checks that many concurrent requests share few connections, within the server's
+// limit of streams.
 func TestRequestsShareHTTP2Connections(t *testing.T) {
 	server := startHTTP2(t, fake.HTTP2Server{UID: "s", Streams: 50})
 	upstream := newHTTP2Upstream(HTTP2Options{MaxStreams: 100, MaxConnections: 2})
@@ -47,11 +47,11 @@
 	testkit.Until(t, "all descriptors back", func() bool { return upstream.SocketLimiter.(*limits.SocketLimiter).InUse() == 0 })
 }
 
-// TestAttemptWithoutFreeStreamEndsAtOnce checks that an attempt ends as not sent, without waiting, where the
-// server allows no streams.
+// TestAttemptWithoutFreeStreamEndsAtOnce checks that an attempt ends as not sent, without waiting, if the server allows
+// no streams.
 func TestAttemptWithoutFreeStreamEndsAtOnce(t *testing.T) {
 	address := serveConnections(t, func(conn net.Conn) {
-		io.WriteString(conn, "\x00\x00\x06\x04\x00\x00\x00\x00\x00\x00\x03\x00\x00\x00\x00") // settings: no streams
+		io.WriteString(conn, "\x00\x00\x06\x04\x00\x00\x00\x00\x00\x00\x03\x00\x00\x00\x00") // SETTINGS frame that allows no streams
 		io.Copy(io.Discard, conn)
 	})
 	upstream := newHTTP2Upstream(HTTP2Options{})
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestFallbackToHTTP1 checks that HTTP/1.1 is spoken for a time to a server that doesn't speak HTTP/2, and only
-// where that is allowed.
+// TestFallbackToHTTP1 checks that HTTP/1.1 is used for the fallback period with a server that does not support HTTP/2,
+// and only if the protocol setting allows it.
 func TestFallbackToHTTP1(t *testing.T) {
 	app := testkit.NewApp(t, testkit.Served)
 	upstream := newHTTP2Upstream(HTTP2Options{})
@@ -92,7 +92,7 @@
 	}
 	requests := func() (n int) {
 		for _, request := range app.Requests() {
-			if !strings.HasPrefix(request, "PRI") { // the beginning of HTTP/2, as HTTP/1.1 reads it
+			if !strings.HasPrefix(request, "PRI") { // the HTTP/2 connection preface, parsed as an HTTP/1.1 request
 				n++
 			}
 		}
@@ -101,7 +101,7 @@
 	if n := requests(); n != 3 {
 		t.Errorf("%d requests", n)
 	}
-	pool.shared.http1Until = time.Now() // the time is over, and the server still as it was
+	pool.shared.http1Until = time.Now() // the fallback period is over, and the server still supports HTTP/1.1 only
 	if outcome := newUpdate("4", "swap").Attempt(t.Context(), t.Context(), upstream, pool); outcome.Reason != control.OK || app.Dials() != 3 {
 		t.Errorf("%v, %v; %d connections", outcome.Reason, outcome.Err, app.Dials())
 	}
@@ -128,7 +128,7 @@
 		go func() {
 			defer conn.Close()
 			b := make([]byte, 64)
-			n, _ := target.Read(b) // the settings; what comes then waits
+			n, _ := target.Read(b) // the settings; later frames are held back until resume is closed
 			conn.Write(b[:n])
 			<-resume
 			io.Copy(conn, target)
@@ -140,7 +140,7 @@
 				return
 			}
 			target.Write(b[:n])
-			if all += n; all > 300 { // a request has come
+			if all += n; all > 300 { // more than the preface and settings: a request has arrived
 				select {
 				case received <- struct{}{}:
 				default:
@@ -161,7 +161,7 @@
 	}
 }
 
-// startTLSServer starts a server that stores the protocol of its latest request and counts its connections.
+// startTLSServer starts a server that records the protocol of its latest request and counts its connections.
 func startTLSServer(hasHTTP2 bool, dials *atomic.Int64, proto *atomic.Value) *httptest.Server {
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		proto.Store(r.Proto)
@@ -178,7 +178,7 @@
 	return server
 }
 
-// writeAuthority writes a server's certificate as that of an authority, and returns the file's path.
+// writeAuthority writes a server's certificate to a file as a certificate authority, and returns the file's path.
 func writeAuthority(t *testing.T, server *httptest.Server) string {
 	t.Helper()
 	authority := filepath.Join(t.TempDir(), "ca")
@@ -189,13 +189,13 @@
 	return authority
 }
 
-// TestProtocolNegotiationOverTLS checks that the protocol is negotiated over TLS, that connections are reused and
-// shared as without it, and that a server with another name is rejected.
+// TestProtocolNegotiationOverTLS checks that the protocol is negotiated over TLS, that connections are reused and shared
+// as they are without TLS, and that a server whose certificate has another name is rejected.
 func TestProtocolNegotiationOverTLS(t *testing.T) {
 	for _, tc := range []struct {
 		name           string
 		protocol       Protocol
-		serverHasHTTP2 bool // the server's
+		serverHasHTTP2 bool // whether the server supports HTTP/2
 		want           control.Reason
 		proto          string
 		dials          int64
--- a/internal/upstream/time_left_test.go
+++ b/internal/upstream/time_left_test.go
@@ -17,8 +17,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// TestAttemptSendsTimeLeft checks that each attempt tells its server the time that is left when it is written:
-// after a connection that came up late, and after an earlier attempt.
+// TestAttemptSendsTimeLeft checks that each attempt sends the time left at the moment it is written: after a connection
+// that was slow to establish, and after an earlier attempt.
 func TestAttemptSendsTimeLeft(t *testing.T) {
 	for name, version := range map[string]Protocol{"HTTP/1.1": ProtocolHTTP1, "HTTP/2": ProtocolHTTP2} {
 		t.Run(name, func(t *testing.T) {
@@ -61,15 +61,15 @@
 	}
 }
 
-// TestRequestWrittenTooSlowlyIsAborted checks that a request which its server reads too slowly is aborted at its
-// write deadline, so that it never arrives completely.
+// TestRequestWrittenTooSlowlyIsAborted checks that a request that its server reads too slowly is aborted at its write
+// deadline, so that it never arrives completely.
 func TestRequestWrittenTooSlowlyIsAborted(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	const size = 64 << 20 // more than what two machines keep for a connection
+	const size = 64 << 20 // more than the socket buffers of both ends hold
 	ended, received := make(chan struct{}), make(chan int64, 1)
 	go func() {
 		conn, err := listener.Accept()
@@ -77,7 +77,7 @@
 			return
 		}
 		defer conn.Close()
-		select { // it takes nothing until the attempt has ended, or ought to have
+		select { // nothing is read until the attempt has ended, or should have
 		case <-ended:
 		case <-time.After(2 * time.Second):
 		}
