--- a/internal/upstream/buffered_request.go
+++ b/internal/upstream/buffered_request.go
@@ -147,7 +147,7 @@
 func readHead(reader *bufio.Reader, request *http.Request) (*http.Response, error) {
 	response, err := http.ReadResponse(reader, request)
 	if err == nil && strings.Contains(response.Status, "HTTP/") {
-		return nil, fmt.Errorf("the answer follows a partial status line: %s", response.Status)
+		return nil, fmt.Errorf("response follows a partial status line: %s", response.Status)
 	}
 	return response, err
 }
@@ -158,9 +158,9 @@
 	defer response.Body.Close()
 	switch length := response.ContentLength; {
 	case response.StatusCode < http.StatusOK:
-		return nil, fmt.Errorf("unexpected status: %s", response.Status)
+		return nil, fmt.Errorf("unexpected response status: %s", response.Status)
 	case length > int64(maxBytes):
-		return nil, fmt.Errorf("the answer has a body of %d bytes, more than %d", length, maxBytes)
+		return nil, fmt.Errorf("response body too long: %d bytes, limit %d", length, maxBytes)
 	case length >= 0:
 		body := make([]byte, length)
 		_, err := io.ReadFull(response.Body, body)
@@ -168,7 +168,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, int64(maxBytes)+1))
 	if err == nil && len(body) > maxBytes {
-		err = fmt.Errorf("the answer has a body of more than %d bytes", maxBytes)
+		err = fmt.Errorf("response body too long: more than %d bytes", maxBytes)
 	}
 	return body, err
 }
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -12,13 +12,13 @@
 
 // Errors of attempts that were not sent or got no response.
 var (
-	errWithdrawn       = errors.New("withdrawn before it was sent")
-	errWriteDeadline   = errors.New("the time to write the request is over")
-	errServerRemoved   = errors.New("the server has been removed from the endpoint list")
-	errNoDescriptor    = errors.New("no descriptor is available for a connection")
-	errDialLimit       = errors.New("too many connections are being made")
-	errNoStream        = errors.New("no HTTP/2 stream is available")
-	errResponseTooLong = errors.New("the answer is too long")
+	errWithdrawn       = errors.New("attempt withdrawn before it was sent")
+	errWriteDeadline   = errors.New("write deadline passed before the request was sent")
+	errServerRemoved   = errors.New("server removed from the endpoint list")
+	errNoDescriptor    = errors.New("no file descriptor available for a connection")
+	errDialLimit       = errors.New("too many connections are being established")
+	errNoStream        = errors.New("no HTTP/2 stream available")
+	errResponseTooLong = errors.New("response too long")
 )
 
 // nodeErrors are the errors caused by this node and not by the app server.
--- a/internal/upstream/faulty_server_test.go
+++ b/internal/upstream/faulty_server_test.go
@@ -71,25 +71,25 @@
 		switch outcome.Reason {
 		case control.OK, control.Errored:
 			if ran != 1 || outcome.Reason == control.OK && string(outcome.Body) != "s "+id {
-				report("%s: %v %q, and it ran %d times", id, outcome.Reason, outcome.Body, ran)
+				report("%s: %v, body %q, ran %d times", id, outcome.Reason, outcome.Body, ran)
 			}
 			return
 		case control.RejectedByServer, control.ConnectFailed, control.NotSent:
 			if ran != 0 {
-				report("%s: told that it never ran (%v, %v), and it ran", id, outcome.Reason, outcome.Err)
+				report("%s: reported as not run (%v, %v), but it ran", id, outcome.Reason, outcome.Err)
 				return
 			}
 		case control.ResetByPeer:
 			// Only a request that was sent completely, and then saw nothing but the end of its connection, may have run as
 			// far as the node can know.
 			if ran == 0 && (end == nil || end.End != h2.EndBroken || end.Moment != h2.MomentSent) {
-				report("%s: it never ran, which could be known: %v", id, outcome.Err)
+				report("%s: reported as possibly run, but could be known not to have run: %v", id, outcome.Err)
 			}
 			if knownRuns += ran; !retriesBrokenStreams {
 				return
 			}
 		default:
-			report("%s: %v, %v", id, outcome.Reason, outcome.Err)
+			report("%s: unexpected outcome %v, %v", id, outcome.Reason, outcome.Err)
 			return
 		}
 	}
@@ -117,5 +117,5 @@
 			return
 		}
 	}
-	t.Error("100 seeds, and no update ran twice")
+	t.Error("no update ran twice with 100 seeds")
 }
--- a/internal/upstream/http1_attempt.go
+++ b/internal/upstream/http1_attempt.go
@@ -176,7 +176,7 @@
 		a.startHeadTimeout()
 	}
 	if invalid := a.headScanner.Feed(b[:n]); invalid != nil {
-		return 0, fmt.Errorf("the answer's head: %w", invalid)
+		return 0, fmt.Errorf("response head: %w", invalid)
 	}
 	return n, err
 }
@@ -213,7 +213,7 @@
 		response, err := readHead(a.conn.reader, &a.request)
 		if err != nil {
 			if !a.isRequestWritten.Load() && a.bodySendEnded != nil && a.clientErr.Load() == nil {
-				err = fmt.Errorf("while the body was sent: %w", err)
+				err = fmt.Errorf("while sending the request body: %w", err)
 			}
 			return nil, err
 		}
@@ -221,7 +221,7 @@
 		case status >= http.StatusOK, a.isUpgrade(response):
 			return response, nil
 		case !isInterim(status) || interimResponses >= maxInterimResponses:
-			return nil, fmt.Errorf("unexpected status: %s", response.Status)
+			return nil, fmt.Errorf("unexpected response status: %s", response.Status)
 		}
 		a.handleInterim(response)
 	}
--- a/internal/upstream/idle_test.go
+++ b/internal/upstream/idle_test.go
@@ -24,7 +24,7 @@
 		ctx, cancel := context.WithTimeout(WithWriteDeadline(t.Context(), time.Now()), testkit.WaitTimeout)
 		defer cancel()
 		if outcome := server.upstream.AttemptHTTP1(ctx, server.pool, newPOSTRequest(t, nil)); outcome.Reason != control.NotSent {
-			t.Fatalf("%d (%v)", outcome.Reason, outcome.Err)
+			t.Fatalf("reason %d (%v)", outcome.Reason, outcome.Err)
 		}
 	}
 	attemptLate() // over a new connection
@@ -32,12 +32,12 @@
 	conn.idleSince = conn.idleSince.Add(-age)
 	idleSince := conn.idleSince
 	if attemptLate(); conn.idleSince != idleSince {
-		t.Errorf("%v younger", conn.idleSince.Sub(idleSince))
+		t.Errorf("idle time reduced by %v", conn.idleSince.Sub(idleSince))
 	}
 	server.startRequest()
 	server.respond(okResponse)
 	if all := idleConnections(server.upstream); len(all) != 1 || all[0] != conn {
-		t.Error("one that nothing was asked on was not used")
+		t.Error("an idle connection without an earlier request was not reused")
 	}
 }
 
@@ -65,14 +65,14 @@
 		ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
 		defer cancel()
 		if outcome := upstream.AttemptHTTP1(ctx, pool, newPOSTRequest(t, nil)); outcome.Reason != control.OK {
-			t.Fatalf("%d (%v)", outcome.Reason, outcome.Err)
+			t.Fatalf("reason %d (%v)", outcome.Reason, outcome.Err)
 		}
 	}
 	attempt()
 	hijack = true
 	attempt()
 	if clientAddresses[0] != clientAddresses[1] {
-		t.Error("an open connection was not used again")
+		t.Error("an open connection was not reused")
 	}
 	idle := pool.idle[0]
 	conns[clientAddresses[1]].Close()
@@ -82,15 +82,15 @@
 	hijack = false
 	attempt()
 	if clientAddresses[2] == clientAddresses[1] {
-		t.Error("a closed connection was used again")
+		t.Error("a closed connection was reused")
 	}
 	upstream.maxIdleTime = 0 // every idle connection is now too old
 	attempt()
 	if clientAddresses[3] == clientAddresses[2] {
-		t.Error("an old connection was used again")
+		t.Error("a connection past its idle time was reused")
 	}
 	if n := sockets.InUse(); n != 1 {
-		t.Errorf("%d connections open, not the last alone", n)
+		t.Errorf("%d connections open, want only the last one", n)
 	}
 }
 
@@ -101,7 +101,7 @@
 	sockets.SetLimit(0)
 	upstream := newTestUpstream(testkit.WaitTimeout, sockets)
 	if outcome := upstream.AttemptHTTP1(context.Background(), upstream.NewPool(app.Listener.Addr().String(), ProtocolHTTP1), newPOSTRequest(t, nil)); outcome.Reason != control.NotSent || app.Count() > 0 {
-		t.Errorf("%d (%v)", outcome.Reason, outcome.Err)
+		t.Errorf("reason %d (%v)", outcome.Reason, outcome.Err)
 	}
 }
 
@@ -116,11 +116,11 @@
 	for _, next := range []*testkit.App{app, other, app} {
 		ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
 		if outcome := upstream.AttemptHTTP1(ctx, upstream.NewPool(next.Listener.Addr().String(), ProtocolHTTP1), newPOSTRequest(t, nil)); outcome.Reason != control.OK {
-			t.Errorf("%d (%v)", outcome.Reason, outcome.Err)
+			t.Errorf("reason %d (%v)", outcome.Reason, outcome.Err)
 		}
 		cancel()
 		if n := sockets.InUse(); n != 1 {
-			t.Errorf("%d connections open", n)
+			t.Errorf("%d connections open, want 1", n)
 		}
 	}
 }
--- a/internal/upstream/interrupted_attempt_test.go
+++ b/internal/upstream/interrupted_attempt_test.go
@@ -44,10 +44,10 @@
 		startedAt := time.Now()
 		outcome := upstream.attemptOn(ctx, pool, conn, newPOSTRequest(t, make([]byte, 64<<10)))
 		if elapsed := time.Since(startedAt); elapsed != timeout || outcome.Reason != control.ConnectFailed {
-			t.Errorf("%d (%v) after %v", outcome.Reason, outcome.Err, elapsed)
+			t.Errorf("reason %d (%v) after %v", outcome.Reason, outcome.Err, elapsed)
 		}
 		if n := sockets.InUse(); n != 0 {
-			t.Errorf("%d connections left open", n)
+			t.Errorf("%d connections still open, want 0", n)
 		}
 	})
 }
@@ -65,7 +65,7 @@
 			want        control.Reason
 		}{
 			{"all", 0, false, control.TimedOut}, // also measures the size of the request
-			{"broken behind the last", 0, true, control.ResetByPeer},
+			{"broken after the last", 0, true, control.ResetByPeer},
 			{"broken before the last", 1, true, control.ConnectFailed},
 			{"silent before the last", 1, false, control.ConnectFailed},
 			{"broken in the middle", size/2 + 1, true, control.ConnectFailed},
@@ -96,10 +96,10 @@
 						serverEnd.Close()
 					}
 					if outcome := <-outcomes; outcome.Reason != tc.want {
-						t.Errorf("%d (%v), not %d", outcome.Reason, outcome.Err, tc.want)
+						t.Errorf("reason %d (%v), want %d", outcome.Reason, outcome.Err, tc.want)
 					}
 					if _, err := serverEnd.Write([]byte("x")); err == nil || sockets.InUse() != 0 {
-						t.Error("not closed")
+						t.Error("connection not closed")
 					}
 				})
 			})
@@ -110,7 +110,7 @@
 // TestInterruptOutlastsLaterDeadlines checks that the read deadline of a response does not undo an interrupt between two
 // reads of that response.
 func TestInterruptOutlastsLaterDeadlines(t *testing.T) {
-	for name, reads := range map[string]int{"as an answer goes on": 1, "behind an interim one": 2} {
+	for name, reads := range map[string]int{"within a response": 1, "after an interim response": 2} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				clientEnd, serverEnd := net.Pipe()
@@ -131,7 +131,7 @@
 					conn.responses.resetAfterInterim()
 				}
 				if _, err := conn.responses.Read(make([]byte, 1)); err == nil || time.Since(startedAt) > 0 {
-					t.Errorf("%v after %v", err, time.Since(startedAt))
+					t.Errorf("read returned %v after %v, want an error at once", err, time.Since(startedAt))
 				}
 			})
 		})
@@ -156,7 +156,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
 	defer cancel()
 	if outcome := upstream.AttemptHTTP1(ctx, upstream.NewPool(listener.Addr().String(), ProtocolHTTP1), newPOSTRequest(t, make([]byte, 64<<20))); outcome.Reason != control.ConnectFailed {
-		t.Errorf("%d (%v)", outcome.Reason, outcome.Err)
+		t.Errorf("reason %d (%v)", outcome.Reason, outcome.Err)
 	}
 }
 
@@ -172,8 +172,8 @@
 		body []byte
 		want control.Reason
 	}{
-		"takes nothing":   {make([]byte, 64<<20), control.ConnectFailed},
-		"answers nothing": {[]byte("body"), control.TimedOut},
+		"reads nothing":  {make([]byte, 64<<20), control.ConnectFailed},
+		"never responds": {[]byte("body"), control.TimedOut},
 	} {
 		t.Run(name, func(t *testing.T) {
 			sockets := limits.NewSocketLimiter(1024)
@@ -181,10 +181,10 @@
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
 			if outcome := upstream.AttemptHTTP1(ctx, upstream.NewPool(listener.Addr().String(), ProtocolHTTP1), newPOSTRequest(t, tc.body)); outcome.Reason != tc.want {
-				t.Errorf("%d (%v), not %d", outcome.Reason, outcome.Err, tc.want)
+				t.Errorf("reason %d (%v), want %d", outcome.Reason, outcome.Err, tc.want)
 			}
 			if n := sockets.InUse(); n != 0 {
-				t.Errorf("%d connections left open", n)
+				t.Errorf("%d connections still open, want 0", n)
 			}
 			// Bytes that the system has accepted still arrive once the peer reads, so a request that is complete may still run.
 			conn, err := listener.Accept()
@@ -198,7 +198,7 @@
 				_, err = io.Copy(io.Discard, req.Body)
 			}
 			if isComplete := err == nil; isComplete != (tc.want == control.TimedOut) {
-				t.Errorf("the request came whole: %v (%v)", isComplete, err)
+				t.Errorf("request arrived completely: %v (%v)", isComplete, err)
 			}
 		})
 	}
@@ -218,6 +218,6 @@
 	}()
 	upstream := newTestUpstream(testkit.WaitTimeout, limits.NewSocketLimiter(1024))
 	if outcome := upstream.AttemptHTTP1(ctx, upstream.NewPool(app.Listener.Addr().String(), ProtocolHTTP1), newPOSTRequest(t, nil)); outcome.Reason != control.Cancelled {
-		t.Errorf("%d (%v)", outcome.Reason, outcome.Err)
+		t.Errorf("reason %d (%v)", outcome.Reason, outcome.Err)
 	}
 }
--- a/internal/upstream/late_connection_test.go
+++ b/internal/upstream/late_connection_test.go
@@ -48,21 +48,21 @@
 			}
 			dials.readyAt = time.Now().Add(10 * time.Millisecond)
 			if outcome := attempt(dials.readyAt); outcome.Reason != control.NotSent {
-				t.Errorf("%d (%v) over a new connection", outcome.Reason, outcome.Err)
+				t.Errorf("reason %d (%v) over a new connection", outcome.Reason, outcome.Err)
 			}
 			if outcome := attempt(time.Now()); outcome.Reason != control.NotSent {
-				t.Errorf("%d (%v) over an idle one", outcome.Reason, outcome.Err)
+				t.Errorf("reason %d (%v) over an idle connection", outcome.Reason, outcome.Err)
 			}
 			if http1Requests, http2Requests := app.RequestsByVersion(); http1Requests+http2Requests != 0 {
-				t.Errorf("%d were written", http1Requests+http2Requests)
+				t.Errorf("%d requests written, want 0", http1Requests+http2Requests)
 			}
 			for _, writeDeadline := range []time.Time{time.Now().Add(time.Hour), {}} {
 				if outcome := attempt(writeDeadline); outcome.Reason != control.OK {
-					t.Errorf("%d (%v) in time", outcome.Reason, outcome.Err)
+					t.Errorf("reason %d (%v) before the deadline", outcome.Reason, outcome.Err)
 				}
 			}
 			if n := sockets.InUse(); n != 1 {
-				t.Errorf("%d connections", n)
+				t.Errorf("%d connections open, want 1", n)
 			}
 		})
 	}
@@ -100,14 +100,14 @@
 				ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
 				defer cancel()
 				if outcome := newUpdate("id", "body").Attempt(ctx, nil, upstream, pool); outcome.Reason != control.ConnectFailed && outcome.Reason != control.NotSent {
-					t.Errorf("%d (%v)", outcome.Reason, outcome.Err)
+					t.Errorf("reason %d (%v)", outcome.Reason, outcome.Err)
 				}
 				if http1Requests, http2Requests := app.RequestsByVersion(); http1Requests+http2Requests != 0 {
-					t.Errorf("%d were written", http1Requests+http2Requests)
+					t.Errorf("%d requests written, want 0", http1Requests+http2Requests)
 				}
-				testkit.Until(t, "the place back", func() bool { return sockets.InUse() == 0 })
+				testkit.Until(t, "release of the socket", func() bool { return sockets.InUse() == 0 })
 				if removedBefore && dials > 0 {
-					t.Errorf("%d connections for a server that has left", dials)
+					t.Errorf("%d connections dialed to a removed server", dials)
 				}
 			})
 		}
@@ -126,8 +126,8 @@
 	const shortTimeout, attempts = 50 * time.Millisecond, 100
 	address := testkit.FullBacklogAddress(t)
 	for name, timeouts := range map[string]struct{ connect, attempt time.Duration }{
-		"the time of a connection": {shortTimeout, testkit.WaitTimeout},
-		"the time of an attempt":   {testkit.WaitTimeout, shortTimeout},
+		"connect timeout":  {shortTimeout, testkit.WaitTimeout},
+		"attempt deadline": {testkit.WaitTimeout, shortTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			sockets, dials := limits.NewSocketLimiter(1024), &dialCount{}
@@ -140,16 +140,16 @@
 					ctx, cancel := context.WithTimeout(t.Context(), timeouts.attempt)
 					defer cancel()
 					if outcome := upstream.AttemptHTTP1(ctx, pool, newPOSTRequest(t, nil)); outcome.Reason != control.ConnectFailed {
-						t.Errorf("%d (%v)", outcome.Reason, outcome.Err)
+						t.Errorf("reason %d (%v)", outcome.Reason, outcome.Err)
 					}
 				})
 			}
 			all.Wait()
 			if elapsed := time.Since(startedAt); elapsed > testkit.WaitTimeout/2 {
-				t.Errorf("given up after %v", elapsed)
+				t.Errorf("attempts ended only after %v", elapsed)
 			}
 			if descriptors, dialing := sockets.InUse(), dials.open.Load(); descriptors != 0 || dialing != 0 {
-				t.Errorf("%d descriptors and %d dials are left", descriptors, dialing)
+				t.Errorf("%d descriptors and %d dials not released", descriptors, dialing)
 			}
 		})
 	}
--- a/internal/upstream/many_connections_test.go
+++ b/internal/upstream/many_connections_test.go
@@ -31,7 +31,7 @@
 	for range connections {
 		attempts.Go(func() {
 			if outcome := newUpdate("id", "").Attempt(ctx, ctx, upstream, pool); outcome.Reason != control.Cancelled {
-				t.Errorf("%v, %v", outcome.Reason, outcome.Err)
+				t.Errorf("reason %v, %v", outcome.Reason, outcome.Err)
 			}
 		})
 	}
--- a/internal/upstream/relayed_request_test.go
+++ b/internal/upstream/relayed_request_test.go
@@ -47,7 +47,7 @@
 			}
 			outcome := request.Attempt(context.Background(), context.Background(), upstream, upstream.NewPool(listener.Addr().String(), ProtocolHTTP1))
 			if outcome.Stream == nil {
-				t.Fatalf("%+v", outcome)
+				t.Fatalf("outcome without a stream: %+v", outcome)
 			}
 			defer outcome.Stream.Close()
 			got := make([]byte, 4)
@@ -70,7 +70,7 @@
 			<-outcome.Stream.http1.bodySendEnded
 			from.Close()
 			if _, err := outcome.Stream.Read(got); errors.Is(err, io.EOF) == reset {
-				t.Errorf("%v", err)
+				t.Errorf("read returned %v", err)
 			}
 		})
 	}
@@ -82,7 +82,7 @@
 	pool := upstream.NewPool(startRawServer(t, "HTTP/1.1 200 OHTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\nok", false), ProtocolHTTP1)
 	request := &RelayedRequest{RequestMethod: http.MethodGet, Target: "/x", Host: "h", ContentLength: -1, ResponseRules: &responseclass.Rules{}, MaxBufferedBytes: 100, IdleTimeout: testkit.WaitTimeout, AnswerTimeout: testkit.WaitTimeout}
 	if outcome := request.Attempt(t.Context(), t.Context(), upstream, pool); outcome.Reason != control.ResetByPeer || outcome.Status != 0 {
-		t.Errorf("%+v", outcome)
+		t.Errorf("outcome %+v, want a reset without a status", outcome)
 	}
 }
 
@@ -100,7 +100,7 @@
 	attempt := &http2Attempt{RelayedRequest: request}
 	streamRequest := attempt.newRequest(ctx, "http")
 	if b, err := io.ReadAll(request.Body.NewReader()); err != nil || string(b) != "body" || !streamRequest.HasMoreBody {
-		t.Fatalf("%q, %v, more %v", b, err, streamRequest.HasMoreBody)
+		t.Fatalf("body %q, %v, HasMoreBody %v", b, err, streamRequest.HasMoreBody)
 	}
 	conn, _, err := upstream.sharedConnectionsOf(pool).acquire(ctx)
 	if err != nil {
@@ -111,7 +111,7 @@
 	}
 	defer context.AfterFunc(ctx, attempt.abort)()
 	if outcome, _ := attempt.exchange(); outcome.Status != 200 || server.Executions.Runs("a") != 1 {
-		t.Errorf("%+v, ran %d times", outcome, server.Executions.Runs("a"))
+		t.Errorf("outcome %+v, request ran %d times", outcome, server.Executions.Runs("a"))
 	}
 	upstream.RetirePool(pool)
 }
--- a/internal/upstream/scripted_server_test.go
+++ b/internal/upstream/scripted_server_test.go
@@ -80,14 +80,14 @@
 	s.t.Helper()
 	s.responses <- text
 	if outcome := testkit.Next(s.t, s.outcomes); outcome.Reason != control.OK || string(outcome.Body) != "ok" {
-		s.t.Errorf("%d (%v) %q", outcome.Reason, outcome.Err, outcome.Body)
+		s.t.Errorf("reason %d (%v), body %q", outcome.Reason, outcome.Err, outcome.Body)
 	}
 }
 
 // waitIdle waits until exactly n idle connections remain, and closes those that have received unsolicited bytes.
 func (s *scriptedServer) waitIdle(n int) {
 	s.t.Helper()
-	testkit.Until(s.t, "what came to idle connections", func() bool {
+	testkit.Until(s.t, "the expected number of idle connections", func() bool {
 		s.upstream.closeIdleIf(func(conn *serverConn) bool { return !conn.isOpenAndEmpty() })
 		idle, _ := s.upstream.CountIdle()
 		return idle == n
--- a/internal/upstream/second_answer_test.go
+++ b/internal/upstream/second_answer_test.go
@@ -19,7 +19,7 @@
 // response to the previous request may still arrive, even before any server has been seen to send one: it would be read
 // as the response to the new request.
 func TestRequestAvoidsConnectionWithPossibleSecondResponse(t *testing.T) {
-	for name, inOneWrite := range map[string]bool{"with its answer": true, "some milliseconds later": false} {
+	for name, inOneWrite := range map[string]bool{"with the response": true, "some milliseconds later": false} {
 		t.Run(name, func(t *testing.T) {
 			server := newScriptedServer(t)
 			server.upstream.QuietPeriod = testkit.WaitTimeout
@@ -27,7 +27,7 @@
 			server.respond(okResponse + map[bool]string{true: secondResponse}[inOneWrite])
 			second := server.startRequest()
 			if second.clientAddress == first.clientAddress {
-				t.Error("written where a second answer may still come")
+				t.Error("request written on a connection where a second response may still arrive")
 			}
 			if !inOneWrite {
 				io.WriteString(first, secondResponse)
@@ -40,7 +40,7 @@
 			for range maxConnectionsInQuietPeriod {
 				next := server.startRequest()
 				if used[next.clientAddress] {
-					t.Error("written where a second answer may still come")
+					t.Error("request written on a connection where a second response may still arrive")
 				}
 				used[next.clientAddress] = true
 				server.respond(okResponse)
@@ -48,7 +48,7 @@
 			// Connections whose quiet period is over are used again.
 			server.upstream.QuietPeriod = 0
 			if next := server.startRequest(); !used[next.clientAddress] {
-				t.Error("one that has rested was not used again")
+				t.Error("no connection whose quiet period is over was reused")
 			}
 			server.respond(okResponse)
 		})
@@ -67,7 +67,7 @@
 	}
 	for i, address := range addresses {
 		if j := slices.Index(addresses, address); j != i%maxConnectionsInQuietPeriod {
-			t.Errorf("request %d went where %d had gone, of %q", i, j, addresses)
+			t.Errorf("request %d used the same connection as request %d, of %q", i, j, addresses)
 		}
 	}
 }
@@ -88,12 +88,12 @@
 	server.respond(okResponse)
 	server.upstream.DialLimiter = rejectedDials{}
 	if address := server.startRequest().clientAddress; address != first {
-		t.Errorf("written to %s, not %s", address, first)
+		t.Errorf("request came from %s, want %s", address, first)
 	}
 	server.respond(okResponse)
 	server.upstream.hasUnsolicitedResponse.Store(true)
 	if outcome := server.upstream.AttemptHTTP1(t.Context(), server.pool, newPOSTRequest(t, nil)); outcome.Reason != control.NotSent || !errors.Is(outcome.Err, errDialLimit) {
-		t.Errorf("%d (%v)", outcome.Reason, outcome.Err)
+		t.Errorf("reason %d (%v)", outcome.Reason, outcome.Err)
 	}
 }
 
@@ -111,7 +111,7 @@
 	server.upstream.QuietPeriod = SecondAnswerDelay
 	time.Sleep(SecondAnswerDelay) // the quiet period has to end
 	if next := server.startRequest(); next.clientAddress == conn.clientAddress {
-		t.Error("written where a second answer was still to come")
+		t.Error("request written on a connection with a pending second response")
 	}
 	server.respond(okResponse)
 }
@@ -138,7 +138,7 @@
 		outcome := upstream.AttemptHTTP1(ctx, pool, newPOSTRequest(t, nil))
 		cancel()
 		if outcome.Reason != control.OK || string(outcome.Body) != "ok" {
-			t.Errorf("%d (%v) %q", outcome.Reason, outcome.Err, outcome.Body)
+			t.Errorf("reason %d (%v), body %q", outcome.Reason, outcome.Err, outcome.Body)
 		}
 		if i > 0 {
 			break
--- a/internal/upstream/shared_connections_test.go
+++ b/internal/upstream/shared_connections_test.go
@@ -35,16 +35,16 @@
 	for i := range 80 {
 		all.Go(func() {
 			if outcome := newUpdate(fmt.Sprint(i), "swap").Attempt(t.Context(), t.Context(), upstream, pool); outcome.Reason != control.OK || outcome.LoadReport() == nil {
-				t.Errorf("%v, %v", outcome.Reason, outcome.Err)
+				t.Errorf("reason %v, %v", outcome.Reason, outcome.Err)
 			}
 		})
 	}
 	all.Wait()
 	if opened, maxOpen := server.Dials(); opened > 2 || maxOpen > 2 {
-		t.Errorf("%d connections, %d at once", opened, maxOpen)
+		t.Errorf("%d connections, %d at once; want at most 2", opened, maxOpen)
 	}
 	upstream.RetirePool(pool)
-	testkit.Until(t, "all descriptors back", func() bool { return upstream.SocketLimiter.(*limits.SocketLimiter).InUse() == 0 })
+	testkit.Until(t, "release of all sockets", func() bool { return upstream.SocketLimiter.(*limits.SocketLimiter).InUse() == 0 })
 }
 
 // TestAttemptWithoutFreeStreamEndsAtOnce checks that an attempt ends as not sent, without waiting, if the server allows
@@ -58,7 +58,7 @@
 	started := time.Now()
 	outcome := newUpdate("a", "").Attempt(t.Context(), t.Context(), upstream, upstream.NewPool(address, ProtocolHTTP2))
 	if outcome.Reason != control.NotSent || !errors.Is(outcome.Err, errNoStream) || time.Since(started) > upstream.ConnectTimeout/2 {
-		t.Errorf("%v, %v after %v", outcome.Reason, outcome.Err, time.Since(started))
+		t.Errorf("reason %v, %v after %v", outcome.Reason, outcome.Err, time.Since(started))
 	}
 }
 
@@ -69,7 +69,7 @@
 	pool := upstream.NewPool(server.Addr(), ProtocolHTTP2)
 	upstream.RetirePool(pool)
 	if outcome := newUpdate("a", "").Attempt(t.Context(), t.Context(), upstream, pool); outcome.Reason != control.ConnectFailed || !errors.Is(outcome.Err, errServerRemoved) || upstream.SocketLimiter.(*limits.SocketLimiter).InUse() != 0 {
-		t.Errorf("%v, %v", outcome.Reason, outcome.Err)
+		t.Errorf("reason %v, %v", outcome.Reason, outcome.Err)
 	}
 }
 
@@ -81,14 +81,14 @@
 	pool := upstream.NewPool(app.Addr(), ProtocolPreferHTTP2)
 	for i := range 3 {
 		if outcome := newUpdate(fmt.Sprint(i), "swap").Attempt(t.Context(), t.Context(), upstream, pool); outcome.Reason != control.OK {
-			t.Errorf("%v, %v", outcome.Reason, outcome.Err)
+			t.Errorf("reason %v, %v", outcome.Reason, outcome.Err)
 		}
 	}
 	if n := app.Dials(); n != 2 {
-		t.Errorf("%d connections: one to try, one to use", n)
+		t.Errorf("%d connections, want 2: the HTTP/2 attempt and the HTTP/1.1 connection", n)
 	}
 	if got := upstream.HTTP2Status(); *got != (HTTP2Status{FallbackServers: 1}) {
-		t.Errorf("%+v", *got)
+		t.Errorf("status %+v", *got)
 	}
 	requests := func() (n int) {
 		for _, request := range app.Requests() {
@@ -99,17 +99,17 @@
 		return n
 	}
 	if n := requests(); n != 3 {
-		t.Errorf("%d requests", n)
+		t.Errorf("%d requests, want 3", n)
 	}
 	pool.shared.http1Until = time.Now() // the fallback period is over, and the server still supports HTTP/1.1 only
 	if outcome := newUpdate("4", "swap").Attempt(t.Context(), t.Context(), upstream, pool); outcome.Reason != control.OK || app.Dials() != 3 {
-		t.Errorf("%v, %v; %d connections", outcome.Reason, outcome.Err, app.Dials())
+		t.Errorf("reason %v, %v; %d connections", outcome.Reason, outcome.Err, app.Dials())
 	}
 	if upstream = newHTTP2Upstream(HTTP2Options{}); upstream.HTTP2Status() != nil {
-		t.Error("connections that nobody asked for")
+		t.Error("HTTP/2 status present although no pool uses HTTP/2")
 	}
 	if outcome := newUpdate("5", "swap").Attempt(t.Context(), t.Context(), upstream, upstream.NewPool(app.Addr(), ProtocolHTTP2)); outcome.Reason != control.ConnectFailed || requests() != 4 {
-		t.Errorf("%v, %v; %d requests", outcome.Reason, outcome.Err, requests())
+		t.Errorf("reason %v, %v; %d requests", outcome.Reason, outcome.Err, requests())
 	}
 }
 
@@ -153,11 +153,11 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { <-received; cancel() }()
 	if outcome := newUpdate("late", strings.Repeat("x", 400)).Attempt(ctx, ctx, upstream, pool); outcome.Reason != control.Cancelled {
-		t.Errorf("%v, %v", outcome.Reason, outcome.Err)
+		t.Errorf("reason %v, %v", outcome.Reason, outcome.Err)
 	}
 	close(resume)
 	if outcome := newUpdate("next", "").Attempt(t.Context(), t.Context(), upstream, pool); outcome.Reason != control.OK || outcome.IsDialed {
-		t.Errorf("%v, %v, dialed %v", outcome.Reason, outcome.Err, outcome.IsDialed)
+		t.Errorf("reason %v, %v, dialed %v", outcome.Reason, outcome.Err, outcome.IsDialed)
 	}
 }
 
@@ -201,9 +201,9 @@
 		dials          int64
 	}{
 		{"HTTP/2", ProtocolHTTP2, true, control.OK, "HTTP/2.0", 1},
-		{"HTTP/2 where there is none", ProtocolHTTP2, false, control.ConnectFailed, "", 3},
-		{"either, HTTP/2", ProtocolPreferHTTP2, true, control.OK, "HTTP/2.0", 1},
-		{"either, HTTP/1.1", ProtocolPreferHTTP2, false, control.OK, "HTTP/1.1", 2},
+		{"HTTP/2 not supported", ProtocolHTTP2, false, control.ConnectFailed, "", 3},
+		{"prefer HTTP/2, supported", ProtocolPreferHTTP2, true, control.OK, "HTTP/2.0", 1},
+		{"prefer HTTP/2, not supported", ProtocolPreferHTTP2, false, control.OK, "HTTP/1.1", 2},
 		{"HTTP/1.1", ProtocolHTTP1, true, control.OK, "HTTP/1.1", 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -222,21 +222,21 @@
 			for i := range 3 {
 				outcome := newUpdate(fmt.Sprint(i), "swap").Attempt(t.Context(), t.Context(), upstream, pool)
 				if outcome.Reason != tc.want || tc.want == control.OK && proto.Load() != tc.proto {
-					t.Errorf("%v, %v over %v", outcome.Reason, outcome.Err, proto.Load())
+					t.Errorf("reason %v, %v over %v", outcome.Reason, outcome.Err, proto.Load())
 				}
 			}
 			if n := dials.Load(); n != tc.dials {
-				t.Errorf("%d connections", n)
+				t.Errorf("%d connections dialed", n)
 			}
 			upstream.TLS, err = certs.Load(certs.Options{CA: authority, Name: "other.example"})
 			if err != nil {
 				t.Fatal(err)
 			}
 			if outcome := newUpdate("other", "").Attempt(t.Context(), t.Context(), upstream, upstream.NewPool(pool.Endpoint, tc.protocol)); outcome.Reason != control.ConnectFailed {
-				t.Errorf("another name: %v, %v", outcome.Reason, outcome.Err)
+				t.Errorf("certificate with another name: reason %v, %v", outcome.Reason, outcome.Err)
 			}
 			upstream.RetirePool(pool)
-			testkit.Until(t, "all descriptors back", func() bool { return upstream.SocketLimiter.(*limits.SocketLimiter).InUse() == 0 })
+			testkit.Until(t, "release of all sockets", func() bool { return upstream.SocketLimiter.(*limits.SocketLimiter).InUse() == 0 })
 		})
 	}
 }
--- a/internal/upstream/time_left_test.go
+++ b/internal/upstream/time_left_test.go
@@ -48,13 +48,13 @@
 			request := newUpdate("id", "body")
 			for n := 1; n <= 2; n++ {
 				if outcome := request.Attempt(ctx, nil, upstream, pool); outcome.Reason != control.Errored {
-					t.Fatalf("attempt %d: %d (%v)", n, outcome.Reason, outcome.Err)
+					t.Fatalf("attempt %d: reason %d (%v)", n, outcome.Reason, outcome.Err)
 				}
 				text := testkit.Next(t, received)
 				left, err := strconv.Atoi(strings.TrimSuffix(text, "m"))
 				maxLeft := testkit.WaitTimeout - time.Duration(n)*delay
 				if err != nil || time.Duration(left)*time.Millisecond > maxLeft || left < 1 {
-					t.Errorf("attempt %d tells %q, with at most %v left", n, text, maxLeft)
+					t.Errorf("attempt %d sent time left %q, want at most %v", n, text, maxLeft)
 				}
 			}
 		})
@@ -92,9 +92,9 @@
 	outcome := newUpdate("id", strings.Repeat("x", size)).Attempt(WithWriteDeadline(ctx, time.Now().Add(100*time.Millisecond)), nil, upstream, pool)
 	close(ended)
 	if outcome.Reason != control.ConnectFailed {
-		t.Errorf("%d (%v)", outcome.Reason, outcome.Err)
+		t.Errorf("reason %d (%v)", outcome.Reason, outcome.Err)
 	}
 	if n := testkit.Next(t, received); n >= size {
-		t.Errorf("%d bytes came", n)
+		t.Errorf("%d bytes arrived, want an incomplete request", n)
 	}
 }
