--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -7,25 +7,25 @@
 	"lockflow/internal/shortage"
 )
 
-// ErrAborted is the error of a Stream that was aborted by this node.
+// ErrAborted is the error of a Stream that this node has aborted.
 var ErrAborted = errors.New("aborted")
 
-// Errors of attempts that were not sent, or not answered.
+// Errors of attempts that were not sent or got no response.
 var (
-	errWithdrawn     = errors.New("withdrawn before it was sent")
-	errWriteDeadline = errors.New("the time to write the request is over")
-	errServerRemoved = errors.New("the server has been removed from the endpoint list")
-	errNoDescriptor  = errors.New("no descriptor is available for a connection")
-	errDialLimit     = errors.New("too many connections are being made")
-	errNoStream      = errors.New("no HTTP/2 stream is available")
-	errTooLong       = errors.New("the answer is too long")
+	errWithdrawn       = errors.New("attempt withdrawn before it was sent")
+	errWriteDeadline   = errors.New("write deadline passed before the request was sent")
+	errServerRemoved   = errors.New("server removed from the endpoint list")
+	errNoDescriptor    = errors.New("no file descriptor available for a connection")
+	errDialLimit       = errors.New("too many connections are being established")
+	errNoStream        = errors.New("no HTTP/2 stream available")
+	errResponseTooLong = errors.New("response too long")
 )
 
-// nodeErrors are the errors whose cause is this node and not the app server.
+// nodeErrors are the errors caused by this node and not by the app server.
 var nodeErrors = []error{errNoDescriptor, errDialLimit, errWriteDeadline}
 
-// isNodeError reports whether there was no connection because of this node, which indicates no fault of the app
-// server.
+// isNodeError reports whether a connection failed because of this node. Such an error does not count as a failure
+// of the app server.
 func isNodeError(err error) bool {
 	isOneOf := func(nodeError error) bool { return errors.Is(err, nodeError) }
 	return slices.ContainsFunc(nodeErrors, isOneOf) || shortage.OfDial(err)
--- a/internal/upstream/faulty_server_test.go
+++ b/internal/upstream/faulty_server_test.go
@@ -17,10 +17,10 @@
 	"lockflow/internal/testsupport/fake"
 )
 
-// playFaultyServer sends updates concurrently to a server with random faults. An update is retried only where
-// its outcome says that it has not run or, if trusting, also where its stream broke. It returns what violates
-// the rules.
-func playFaultyServer(t *testing.T, seed uint64, trusting bool) (wrong []string) {
+// runUpdatesOnFaultyServer sends updates concurrently to a server with random faults and returns the violations it
+// finds. An update is retried only if its outcome states that it has not run or, with retriesBrokenStreams, also if
+// its stream broke.
+func runUpdatesOnFaultyServer(t *testing.T, seed uint64, retriesBrokenStreams bool) (violations []string) {
 	random := rand.New(rand.NewPCG(seed, 77))
 	faults := fake.HTTP2Faults{Refuse: 0.1, Reset: 0.05, Error: 0.05, Lower: 0.1, GoAway: 0.1, CutRead: 0.3, CutSent: 0.3}
 	server, err := fake.HTTP2Server{UID: "s", Seed: seed, Faults: faults, Streams: uint32(1 + random.IntN(8))}.Start()
@@ -33,30 +33,30 @@
 	var mu sync.Mutex
 	report := func(format string, args ...any) {
 		mu.Lock()
-		wrong = append(wrong, fmt.Sprintf(format, args...))
+		violations = append(violations, fmt.Sprintf(format, args...))
 		mu.Unlock()
 	}
-	var all sync.WaitGroup
+	var updates sync.WaitGroup
 	for i := range 12 {
 		id, body := fmt.Sprint("r", i), strings.Repeat("x", random.IntN(400))
-		all.Go(func() {
+		updates.Go(func() {
 			attempt := func(ctx context.Context, update *BufferedRequest) Outcome {
 				return update.Attempt(ctx, ctx, upstream, pool)
 			}
-			sendUpdate(id, body, server, trusting, attempt, report)
+			sendUpdate(id, body, server, retriesBrokenStreams, attempt, report)
 		})
 	}
-	all.Wait()
+	updates.Wait()
 	upstream.RetirePool(pool)
 	if counts := server.Executions.Counts(); counts.DuplicateEffects > 0 || counts.Repeated > 0 || counts.MaxInFlight > 1 {
 		report("%+v", counts)
 	}
-	return wrong
+	return violations
 }
 
-// sendUpdate sends one update, and retries it as playFaultyServer says. It reports what violates the rules.
+// sendUpdate sends one update, with retries according to runUpdatesOnFaultyServer, and reports violations.
 func sendUpdate(
-	id, body string, server *fake.RunningHTTP2, trusting bool,
+	id, body string, server *fake.RunningHTTP2, retriesBrokenStreams bool,
 	attempt func(context.Context, *BufferedRequest) Outcome, report func(format string, args ...any),
 ) {
 	buffered := newUpdate(id, body)
@@ -71,51 +71,51 @@
 		switch outcome.Reason {
 		case control.OK, control.Errored:
 			if ran != 1 || outcome.Reason == control.OK && string(outcome.Body) != "s "+id {
-				report("%s: %v %q, and it ran %d times", id, outcome.Reason, outcome.Body, ran)
+				report("%s: %v, body %q, ran %d times", id, outcome.Reason, outcome.Body, ran)
 			}
 			return
 		case control.RejectedByServer, control.ConnectFailed, control.NotSent:
 			if ran != 0 {
-				report("%s: told that it never ran (%v, %v), and it ran", id, outcome.Reason, outcome.Err)
+				report("%s: reported as not run (%v, %v), but it ran", id, outcome.Reason, outcome.Err)
 				return
 			}
 		case control.ResetByPeer:
-			// Only a request that was sent completely, and got nothing but the end of its connection, may
-			// have run as far as the node knows.
+			// Only a request that was sent completely, and then saw nothing but the end of its connection, may have run as
+			// far as the node can know.
 			if ran == 0 && (end == nil || end.End != h2.EndBroken || end.Moment != h2.MomentSent) {
-				report("%s: it never ran, which could be known: %v", id, outcome.Err)
+				report("%s: reported as possibly run, but could be known not to have run: %v", id, outcome.Err)
 			}
-			if knownRuns += ran; !trusting {
+			if knownRuns += ran; !retriesBrokenStreams {
 				return
 			}
 		default:
-			report("%s: %v, %v", id, outcome.Reason, outcome.Err)
+			report("%s: unexpected outcome %v, %v", id, outcome.Reason, outcome.Err)
 			return
 		}
 	}
 }
 
-// TestUpdatesRunOnceOnFaultyServer checks that no update runs twice, and that an update which has not run is
-// known not to have, at a server that closes at any byte, refuses streams, goes away and changes its limits.
+// TestUpdatesRunOnceOnFaultyServer checks that no update runs twice, and that an update which has not run is reported
+// as not run, with a server that closes connections at any byte, refuses streams, sends GOAWAY and changes its limits.
 func TestUpdatesRunOnceOnFaultyServer(t *testing.T) {
 	seeds := 300
 	if n, err := strconv.Atoi(os.Getenv("LOCKFLOW_SEEDS")); err == nil {
 		seeds = n
 	}
 	for seed := range uint64(seeds) {
-		if wrong := playFaultyServer(t, seed, false); len(wrong) > 0 {
-			t.Fatalf("seed %d: %s", seed, strings.Join(wrong, "\n"))
+		if violations := runUpdatesOnFaultyServer(t, seed, false); len(violations) > 0 {
+			t.Fatalf("seed %d: %s", seed, strings.Join(violations, "\n"))
 		}
 	}
 }
 
-// TestFaultyServerFindsRetriesOfBrokenStreams checks that the test above finds a client which retries requests
-// whose stream broke.
+// TestFaultyServerFindsRetriesOfBrokenStreams checks that the test above detects a client which retries requests whose
+// stream broke.
 func TestFaultyServerFindsRetriesOfBrokenStreams(t *testing.T) {
 	for seed := range uint64(100) {
-		if len(playFaultyServer(t, seed, true)) > 0 {
+		if len(runUpdatesOnFaultyServer(t, seed, true)) > 0 {
 			return
 		}
 	}
-	t.Error("100 seeds, and no update ran twice")
+	t.Error("no update ran twice with 100 seeds")
 }
--- a/internal/upstream/http2_send.go
+++ b/internal/upstream/http2_send.go
@@ -9,10 +9,10 @@
 	"lockflow/internal/protocol"
 )
 
-// reportHeaders are fields whose values a server may know only at the end of a request, and then sends as trailers.
+// reportHeaders are the fields whose values a server may know only at the end of a request and then sends as trailers.
 var reportHeaders = [...]string{protocol.HeaderBackendLoad, protocol.HeaderQuotaUsed, protocol.HeaderTrueCost}
 
-// scheme is the value of the pseudo-header :scheme.
+// scheme returns the value of the pseudo-header :scheme.
 func (s *sharedConnections) scheme() string {
 	if s.upstream.TLS != nil {
 		return "https"
@@ -20,24 +20,24 @@
 	return "http"
 }
 
-// attemptBuffered makes an attempt over a shared connection. It returns false, and has sent nothing, where the
+// attemptBuffered makes an attempt over a shared connection. It returns false, without having sent anything, if the
 // server supports HTTP/1.1 only.
 func (s *sharedConnections) attemptBuffered(ctx context.Context, buffered *BufferedRequest) (Outcome, bool) {
-	message := buffered.Request
+	httpRequest := buffered.Request
 	request := &h2.Request{
-		Method:    message.Method,
+		Method:    httpRequest.Method,
 		Scheme:    s.scheme(),
-		Authority: message.Host,
-		Path:      message.URL.RequestURI(),
-		Header:    message.Header,
+		Authority: httpRequest.Host,
+		Path:      httpRequest.URL.RequestURI(),
+		Header:    httpRequest.Header,
 		Body:      buffered.Body,
 		MayBegin:  func() bool { return Commit(ctx) },
 	}
 	var event h2.Event
 	outcome, isDialed, ok := s.withConnection(ctx, func(conn *h2.Conn) (err error) {
-		// The time left counts from here: the wait for a connection is over.
+		// The time left is computed here, after the wait for a connection.
 		if deadline, hasDeadline := ctx.Deadline(); hasDeadline {
-			setTimeLeft(message, deadline)
+			setTimeLeft(httpRequest, deadline)
 		}
 		event, err = conn.Do(ctx, request)
 		return err
@@ -49,8 +49,8 @@
 	return outcome, ok
 }
 
-// withConnection calls send with a connection that has a free stream. Where nothing is sent, the outcome has the
-// error; ok is false where the server supports HTTP/1.1 only.
+// withConnection calls send with a connection that has a free stream. If nothing is sent, the outcome holds the
+// error. ok is false if the server supports HTTP/1.1 only.
 func (s *sharedConnections) withConnection(
 	ctx context.Context, send func(*h2.Conn) error,
 ) (outcome Outcome, isDialed, ok bool) {
@@ -60,7 +60,7 @@
 		switch {
 		case errors.Is(err, h2.ErrNotHTTP2) && s.protocol == ProtocolPreferHTTP2:
 			return outcome, isDialed, false
-		case errors.Is(err, errNoStream): // indicates no fault of the app server
+		case errors.Is(err, errNoStream): // not a failure of the app server
 			return Outcome{Reason: control.NotSent, Err: err}, isDialed, true
 		case err != nil:
 			return unconnectedOutcome(err), isDialed, true
@@ -78,10 +78,10 @@
 	}
 }
 
-// eventOutcome is the outcome of an attempt whose stream ended with an event.
+// eventOutcome returns the outcome of an attempt whose stream has ended with an event.
 func eventOutcome(ctx context.Context, event h2.Event) (outcome Outcome) {
 	if event.Err == nil {
-		return answeredOutcome(event.Answer)
+		return responseOutcome(event.Answer)
 	}
 	outcome = Outcome{Reason: control.ResetByPeer, Err: event.Err}
 	switch unprocessed := unprocessedReason(event); {
@@ -95,22 +95,22 @@
 	return outcome
 }
 
-// answeredOutcome is the outcome of an attempt with a complete answer.
-func answeredOutcome(answer *h2.Answer) (outcome Outcome) {
+// responseOutcome returns the outcome of an attempt with a complete response.
+func responseOutcome(response *h2.Answer) (outcome Outcome) {
 	for _, name := range reportHeaders {
-		if values := answer.Trailer[name]; len(values) > 0 && len(answer.Header[name]) == 0 {
-			answer.Header[name] = values
+		if values := response.Trailer[name]; len(values) > 0 && len(response.Header[name]) == 0 {
+			response.Header[name] = values
 		}
 	}
-	outcome.classify(answer.Status, answer.Header)
-	outcome.Body = answer.Body
+	outcome.classify(response.Status, response.Header)
+	outcome.Body = response.Body
 	if outcome.Body == nil {
 		outcome.Body = []byte{}
 	}
 	return outcome
 }
 
-// unprocessedReason is the reason of an attempt whose request is known not to have run; 0 for any other.
+// unprocessedReason returns the reason of an attempt whose request is known not to have run; 0 for any other.
 func unprocessedReason(event h2.Event) control.Reason {
 	switch {
 	case event.Err == nil:
--- a/internal/upstream/idle_test.go
+++ b/internal/upstream/idle_test.go
@@ -13,8 +13,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// TestUnusedConnectionKeepsItsIdleTime checks that a connection on which an attempt wrote nothing needs no quiet
-// period and keeps its age, as the server's idle timeout goes on.
+// TestUnusedConnectionKeepsItsIdleTime checks that a connection on which an attempt wrote nothing needs no quiet period
+// and keeps its idle time, since the server's idle timeout continues.
 func TestUnusedConnectionKeepsItsIdleTime(t *testing.T) {
 	const age = time.Second
 	server := newScriptedServer(t)
@@ -23,32 +23,32 @@
 		t.Helper()
 		ctx, cancel := context.WithTimeout(WithWriteDeadline(t.Context(), time.Now()), testkit.WaitTimeout)
 		defer cancel()
-		if outcome := server.upstream.AttemptHTTP1(ctx, server.pool, newMessage(t, nil)); outcome.Reason != control.NotSent {
-			t.Fatalf("%d (%v)", outcome.Reason, outcome.Err)
+		if outcome := server.upstream.AttemptHTTP1(ctx, server.pool, newPOSTRequest(t, nil)); outcome.Reason != control.NotSent {
+			t.Fatalf("reason %d (%v)", outcome.Reason, outcome.Err)
 		}
 	}
-	attemptLate() // over a new one
+	attemptLate() // over a new connection
 	conn := idleConnections(server.upstream)[0]
 	conn.idleSince = conn.idleSince.Add(-age)
 	idleSince := conn.idleSince
 	if attemptLate(); conn.idleSince != idleSince {
-		t.Errorf("%v younger", conn.idleSince.Sub(idleSince))
+		t.Errorf("idle time reduced by %v", conn.idleSince.Sub(idleSince))
 	}
 	server.startRequest()
-	server.answerRequest(goodAnswer)
+	server.respond(okResponse)
 	if all := idleConnections(server.upstream); len(all) != 1 || all[0] != conn {
-		t.Error("one that nothing was asked on was not used")
+		t.Error("an idle connection without an earlier request was not reused")
 	}
 }
 
-// TestIdleConnectionIsReusedWhileOpen checks that an idle connection is reused, but not one that the server has
-// closed or that is too old: the next request would end as a reset.
+// TestIdleConnectionIsReusedWhileOpen checks that an idle connection is reused, unless the server has closed it or it
+// is too old: the next request on such a connection would end as a reset.
 func TestIdleConnectionIsReusedWhileOpen(t *testing.T) {
 	var hijack bool
-	var from []string
+	var clientAddresses []string
 	conns := make(map[string]net.Conn)
 	app := testkit.NewApp(t, func(w http.ResponseWriter, r *http.Request) {
-		from = append(from, r.RemoteAddr)
+		clientAddresses = append(clientAddresses, r.RemoteAddr)
 		if !hijack {
 			testkit.Served(w, r)
 			return
@@ -60,53 +60,53 @@
 	sockets := limits.NewSocketLimiter(1024)
 	upstream := newTestUpstream(2*testkit.WaitTimeout, sockets)
 	pool := upstream.NewPool(app.Listener.Addr().String(), ProtocolHTTP1)
-	try := func() {
+	attempt := func() {
 		t.Helper()
 		ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
 		defer cancel()
-		if outcome := upstream.AttemptHTTP1(ctx, pool, newMessage(t, nil)); outcome.Reason != control.OK {
-			t.Fatalf("%d (%v)", outcome.Reason, outcome.Err)
+		if outcome := upstream.AttemptHTTP1(ctx, pool, newPOSTRequest(t, nil)); outcome.Reason != control.OK {
+			t.Fatalf("reason %d (%v)", outcome.Reason, outcome.Err)
 		}
 	}
-	try()
+	attempt()
 	hijack = true
-	try()
-	if from[0] != from[1] {
-		t.Error("an open connection was not used again")
+	attempt()
+	if clientAddresses[0] != clientAddresses[1] {
+		t.Error("an open connection was not reused")
 	}
 	idle := pool.idle[0]
-	conns[from[1]].Close()
-	for end := time.Now().Add(testkit.WaitTimeout); idle.isQuiet() && time.Now().Before(end); {
+	conns[clientAddresses[1]].Close()
+	for end := time.Now().Add(testkit.WaitTimeout); idle.isOpenAndEmpty() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	hijack = false
-	try()
-	if from[2] == from[1] {
-		t.Error("a closed connection was used again")
+	attempt()
+	if clientAddresses[2] == clientAddresses[1] {
+		t.Error("a closed connection was reused")
 	}
-	upstream.maxIdleTime = 0 // all have idled for too long
-	try()
-	if from[3] == from[2] {
-		t.Error("an old connection was used again")
+	upstream.maxIdleTime = 0 // every idle connection is now too old
+	attempt()
+	if clientAddresses[3] == clientAddresses[2] {
+		t.Error("a connection past its idle time was reused")
 	}
 	if n := sockets.InUse(); n != 1 {
-		t.Errorf("%d connections open, not the last alone", n)
+		t.Errorf("%d connections open, want only the last one", n)
 	}
 }
 
-// TestMissingDescriptorIsNotServerFault checks that an attempt without a descriptor counts as not sent.
+// TestMissingDescriptorIsNotServerFault checks that an attempt that gets no file descriptor counts as not sent.
 func TestMissingDescriptorIsNotServerFault(t *testing.T) {
 	app := testkit.NewApp(t, testkit.Served)
 	sockets := limits.NewSocketLimiter(0)
 	sockets.SetLimit(0)
 	upstream := newTestUpstream(testkit.WaitTimeout, sockets)
-	if outcome := upstream.AttemptHTTP1(context.Background(), upstream.NewPool(app.Listener.Addr().String(), ProtocolHTTP1), newMessage(t, nil)); outcome.Reason != control.NotSent || app.Count() > 0 {
-		t.Errorf("%d (%v)", outcome.Reason, outcome.Err)
+	if outcome := upstream.AttemptHTTP1(context.Background(), upstream.NewPool(app.Listener.Addr().String(), ProtocolHTTP1), newPOSTRequest(t, nil)); outcome.Reason != control.NotSent || app.Count() > 0 {
+		t.Errorf("reason %d (%v)", outcome.Reason, outcome.Err)
 	}
 }
 
-// TestIdleConnectionIsEvictedAtSocketLimit checks that an idle connection is closed for a new one at the limit of
-// sockets.
+// TestIdleConnectionIsEvictedAtSocketLimit checks that at the limit of sockets an idle connection is closed to make room
+// for a new one.
 func TestIdleConnectionIsEvictedAtSocketLimit(t *testing.T) {
 	app := testkit.NewApp(t, testkit.Served)
 	other := testkit.NewApp(t, testkit.Served)
@@ -115,12 +115,12 @@
 	upstream := newTestUpstream(2*testkit.WaitTimeout, sockets)
 	for _, next := range []*testkit.App{app, other, app} {
 		ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
-		if outcome := upstream.AttemptHTTP1(ctx, upstream.NewPool(next.Listener.Addr().String(), ProtocolHTTP1), newMessage(t, nil)); outcome.Reason != control.OK {
-			t.Errorf("%d (%v)", outcome.Reason, outcome.Err)
+		if outcome := upstream.AttemptHTTP1(ctx, upstream.NewPool(next.Listener.Addr().String(), ProtocolHTTP1), newPOSTRequest(t, nil)); outcome.Reason != control.OK {
+			t.Errorf("reason %d (%v)", outcome.Reason, outcome.Err)
 		}
 		cancel()
 		if n := sockets.InUse(); n != 1 {
-			t.Errorf("%d connections open", n)
+			t.Errorf("%d connections open, want 1", n)
 		}
 	}
 }
--- a/internal/upstream/interrupted_attempt_test.go
+++ b/internal/upstream/interrupted_attempt_test.go
@@ -18,18 +18,18 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// TestAttemptOverTLSEndsAtItsDeadline checks that an attempt over TLS ends at its deadline while its server reads
-// nothing: it doesn't wait to send a close_notify.
+// TestAttemptOverTLSEndsAtItsDeadline checks that an attempt over TLS ends at its deadline if the server stops reading:
+// closing the connection must not block on sending a close_notify.
 func TestAttemptOverTLSEndsAtItsDeadline(t *testing.T) {
 	cert := httptest.NewUnstartedServer(nil)
 	cert.StartTLS()
 	certs := cert.TLS.Certificates
 	cert.Close()
 	synctest.Test(t, func(t *testing.T) {
-		near, far := net.Pipe()
-		defer far.Close()
-		go tls.Server(far, &tls.Config{Certificates: certs, SessionTicketsDisabled: true}).Handshake() // and reads no more
-		tlsConn := tls.Client(near, &tls.Config{InsecureSkipVerify: true})
+		clientEnd, serverEnd := net.Pipe()
+		defer serverEnd.Close()
+		go tls.Server(serverEnd, &tls.Config{Certificates: certs, SessionTicketsDisabled: true}).Handshake() // reads nothing after the handshake
+		tlsConn := tls.Client(clientEnd, &tls.Config{InsecureSkipVerify: true})
 		if err := tlsConn.Handshake(); err != nil {
 			t.Fatal(err)
 		}
@@ -38,34 +38,34 @@
 		upstream := newTestUpstream(testkit.WaitTimeout, sockets)
 		pool := upstream.NewPool("", ProtocolHTTP1)
 		conn := upstream.newConn(limits.Track(tlsConn, sockets), nil)
-		const left = time.Second
-		ctx, cancel := context.WithTimeout(context.Background(), left)
+		const timeout = time.Second
+		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
 		startedAt := time.Now()
-		outcome := upstream.attemptOn(ctx, pool, conn, newMessage(t, make([]byte, 64<<10)))
-		if elapsed := time.Since(startedAt); elapsed != left || outcome.Reason != control.ConnectFailed {
-			t.Errorf("%d (%v) after %v", outcome.Reason, outcome.Err, elapsed)
+		outcome := upstream.attemptOn(ctx, pool, conn, newPOSTRequest(t, make([]byte, 64<<10)))
+		if elapsed := time.Since(startedAt); elapsed != timeout || outcome.Reason != control.ConnectFailed {
+			t.Errorf("reason %d (%v) after %v", outcome.Reason, outcome.Err, elapsed)
 		}
 		if n := sockets.InUse(); n != 0 {
-			t.Errorf("%d connections left open", n)
+			t.Errorf("%d connections still open, want 0", n)
 		}
 	})
 }
 
-// TestOutcomeByLastByteSent checks that an attempt which ends before the last byte of its request was sent has
-// not run, and that it may have run after that byte, however the request is cut into writes. Its connection is
-// closed by then.
+// TestOutcomeByLastByteSent checks that an attempt that ends before the last byte of its request was sent counts as not
+// run, and that one that ends after that byte may have run, however the request is split into writes. In both cases the
+// connection is closed.
 func TestOutcomeByLastByteSent(t *testing.T) {
 	for _, size := range []int{0, 1, connBufferBytes, 64 << 10} {
 		total := 0
 		for _, tc := range []struct {
-			name   string
-			before int // of the last byte
-			breaks bool
-			want   control.Reason
+			name        string
+			unreadBytes int // bytes of the request that the server does not read
+			breaks      bool
+			want        control.Reason
 		}{
-			{"all", 0, false, control.TimedOut}, // counts the request's bytes too
-			{"broken behind the last", 0, true, control.ResetByPeer},
+			{"all", 0, false, control.TimedOut}, // also measures the size of the request
+			{"broken after the last", 0, true, control.ResetByPeer},
 			{"broken before the last", 1, true, control.ConnectFailed},
 			{"silent before the last", 1, false, control.ConnectFailed},
 			{"broken in the middle", size/2 + 1, true, control.ConnectFailed},
@@ -73,33 +73,33 @@
 		} {
 			t.Run(fmt.Sprintf("%d bytes, %s", size, tc.name), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					near, far := net.Pipe()
+					clientEnd, serverEnd := net.Pipe()
 					sockets := limits.NewSocketLimiter(1024)
 					sockets.TryAcquire()
 					upstream := newTestUpstream(testkit.WaitTimeout, sockets)
 					ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 					defer cancel()
-					ends := make(chan Outcome, 1)
-					req := newMessage(t, make([]byte, size))
+					outcomes := make(chan Outcome, 1)
+					req := newPOSTRequest(t, make([]byte, size))
 					go func() {
-						ends <- upstream.attemptOn(ctx, upstream.NewPool("", ProtocolHTTP1), upstream.newConn(limits.Track(near, sockets), nil), req)
+						outcomes <- upstream.attemptOn(ctx, upstream.NewPool("", ProtocolHTTP1), upstream.newConn(limits.Track(clientEnd, sockets), nil), req)
 					}()
 					if total == 0 {
-						far.SetReadDeadline(time.Now().Add(time.Millisecond))
-						n, _ := io.Copy(io.Discard, far)
+						serverEnd.SetReadDeadline(time.Now().Add(time.Millisecond))
+						n, _ := io.Copy(io.Discard, serverEnd)
 						total = int(n)
-						far.SetReadDeadline(time.Time{})
-					} else if _, err := io.CopyN(io.Discard, far, int64(total-tc.before)); err != nil {
+						serverEnd.SetReadDeadline(time.Time{})
+					} else if _, err := io.CopyN(io.Discard, serverEnd, int64(total-tc.unreadBytes)); err != nil {
 						t.Fatal(err)
 					}
 					if tc.breaks {
-						far.Close()
+						serverEnd.Close()
 					}
-					if outcome := <-ends; outcome.Reason != tc.want {
-						t.Errorf("%d (%v), not %d", outcome.Reason, outcome.Err, tc.want)
+					if outcome := <-outcomes; outcome.Reason != tc.want {
+						t.Errorf("reason %d (%v), want %d", outcome.Reason, outcome.Err, tc.want)
 					}
-					if _, err := far.Write([]byte("x")); err == nil || sockets.InUse() != 0 {
-						t.Error("not closed")
+					if _, err := serverEnd.Write([]byte("x")); err == nil || sockets.InUse() != 0 {
+						t.Error("connection not closed")
 					}
 				})
 			})
@@ -107,31 +107,31 @@
 	}
 }
 
-// TestInterruptOutlastsLaterDeadlines checks that an interrupt between two reads of an answer is not undone by
-// the deadline of that answer.
+// TestInterruptOutlastsLaterDeadlines checks that the read deadline of a response does not undo an interrupt between two
+// reads of that response.
 func TestInterruptOutlastsLaterDeadlines(t *testing.T) {
-	for name, reads := range map[string]int{"as an answer goes on": 1, "behind an interim one": 2} {
+	for name, reads := range map[string]int{"within a response": 1, "after an interim response": 2} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				near, far := net.Pipe()
-				defer far.Close()
+				clientEnd, serverEnd := net.Pipe()
+				defer serverEnd.Close()
 				sockets := limits.NewSocketLimiter(1024)
 				sockets.TryAcquire()
-				conn := newTestUpstream(testkit.WaitTimeout, sockets).newConn(limits.Track(near, sockets), nil)
+				conn := newTestUpstream(testkit.WaitTimeout, sockets).newConn(limits.Track(clientEnd, sockets), nil)
 				defer conn.Close()
 				startedAt := time.Now()
-				conn.answers.start(startedAt.Add(time.Hour), maxHeadBytes)
-				go far.Write([]byte("HT"))
+				conn.responses.start(startedAt.Add(time.Hour), maxHeadBytes)
+				go serverEnd.Write([]byte("HT"))
 				for range reads {
-					if _, err := conn.answers.Read(make([]byte, 1)); err != nil {
+					if _, err := conn.responses.Read(make([]byte, 1)); err != nil {
 						t.Fatal(err)
 					}
 				}
 				if conn.interrupt(); reads > 1 {
-					conn.answers.awaitNext()
+					conn.responses.resetAfterInterim()
 				}
-				if _, err := conn.answers.Read(make([]byte, 1)); err == nil || time.Since(startedAt) > 0 {
-					t.Errorf("%v after %v", err, time.Since(startedAt))
+				if _, err := conn.responses.Read(make([]byte, 1)); err == nil || time.Since(startedAt) > 0 {
+					t.Errorf("read returned %v after %v, want an error at once", err, time.Since(startedAt))
 				}
 			})
 		})
@@ -155,15 +155,15 @@
 	upstream := newTestUpstream(testkit.WaitTimeout, limits.NewSocketLimiter(1024))
 	ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
 	defer cancel()
-	if outcome := upstream.AttemptHTTP1(ctx, upstream.NewPool(listener.Addr().String(), ProtocolHTTP1), newMessage(t, make([]byte, 64<<20))); outcome.Reason != control.ConnectFailed {
-		t.Errorf("%d (%v)", outcome.Reason, outcome.Err)
+	if outcome := upstream.AttemptHTTP1(ctx, upstream.NewPool(listener.Addr().String(), ProtocolHTTP1), newPOSTRequest(t, make([]byte, 64<<20))); outcome.Reason != control.ConnectFailed {
+		t.Errorf("reason %d (%v)", outcome.Reason, outcome.Err)
 	}
 }
 
-// TestAttemptAtSilentServerEndsAtItsDeadline checks that a server which reads or answers nothing delays an
-// attempt no longer than its deadline, and that the outcome fits what the server can still read of it.
-func TestAttemptAtSilentServerEndsAtItsDeadline(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0") // accepts in the kernel only
+// TestAttemptAtUnresponsiveServerEndsAtItsDeadline checks that a server which does not read or does not respond delays an
+// attempt no longer than its deadline, and that the outcome agrees with what the server can still read of the request.
+func TestAttemptAtUnresponsiveServerEndsAtItsDeadline(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0") // connections are accepted by the kernel only
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -172,21 +172,21 @@
 		body []byte
 		want control.Reason
 	}{
-		"takes nothing":   {make([]byte, 64<<20), control.ConnectFailed},
-		"answers nothing": {[]byte("body"), control.TimedOut},
+		"reads nothing":  {make([]byte, 64<<20), control.ConnectFailed},
+		"never responds": {[]byte("body"), control.TimedOut},
 	} {
 		t.Run(name, func(t *testing.T) {
 			sockets := limits.NewSocketLimiter(1024)
 			upstream := newTestUpstream(testkit.WaitTimeout, sockets)
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			if outcome := upstream.AttemptHTTP1(ctx, upstream.NewPool(listener.Addr().String(), ProtocolHTTP1), newMessage(t, tc.body)); outcome.Reason != tc.want {
-				t.Errorf("%d (%v), not %d", outcome.Reason, outcome.Err, tc.want)
+			if outcome := upstream.AttemptHTTP1(ctx, upstream.NewPool(listener.Addr().String(), ProtocolHTTP1), newPOSTRequest(t, tc.body)); outcome.Reason != tc.want {
+				t.Errorf("reason %d (%v), want %d", outcome.Reason, outcome.Err, tc.want)
 			}
 			if n := sockets.InUse(); n != 0 {
-				t.Errorf("%d connections left open", n)
+				t.Errorf("%d connections still open, want 0", n)
 			}
-			// What the system had taken comes all the same, once the peer reads: a request that can be begun may yet run.
+			// Bytes that the system has accepted still arrive once the peer reads, so a request that is complete may still run.
 			conn, err := listener.Accept()
 			if err != nil {
 				t.Fatal(err)
@@ -198,18 +198,18 @@
 				_, err = io.Copy(io.Discard, req.Body)
 			}
 			if isComplete := err == nil; isComplete != (tc.want == control.TimedOut) {
-				t.Errorf("the request came whole: %v (%v)", isComplete, err)
+				t.Errorf("request arrived completely: %v (%v)", isComplete, err)
 			}
 		})
 	}
 }
 
-// TestCancelledAttempt checks the outcome of an attempt that is cancelled while it waits for its answer.
+// TestCancelledAttempt checks the outcome of an attempt that is cancelled while it waits for its response.
 func TestCancelledAttempt(t *testing.T) {
 	received := make(chan struct{})
 	app := testkit.NewApp(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(received)
-		<-r.Context().Done() // the edge node closes its connection
+		<-r.Context().Done() // ends when the node closes its connection
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
@@ -217,7 +217,7 @@
 		cancel()
 	}()
 	upstream := newTestUpstream(testkit.WaitTimeout, limits.NewSocketLimiter(1024))
-	if outcome := upstream.AttemptHTTP1(ctx, upstream.NewPool(app.Listener.Addr().String(), ProtocolHTTP1), newMessage(t, nil)); outcome.Reason != control.Cancelled {
-		t.Errorf("%d (%v)", outcome.Reason, outcome.Err)
+	if outcome := upstream.AttemptHTTP1(ctx, upstream.NewPool(app.Listener.Addr().String(), ProtocolHTTP1), newPOSTRequest(t, nil)); outcome.Reason != control.Cancelled {
+		t.Errorf("reason %d (%v)", outcome.Reason, outcome.Err)
 	}
 }
--- a/internal/upstream/second_answer_test.go
+++ b/internal/upstream/second_answer_test.go
@@ -15,111 +15,112 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// TestRequestAvoidsConnectionWithPossibleSecondAnswer checks that a request isn't written on a connection where
-// a second answer to the last one may still come, even the first that a server sends: it would be taken for the
-// request's own.
-func TestRequestAvoidsConnectionWithPossibleSecondAnswer(t *testing.T) {
-	for name, isTogether := range map[string]bool{"with its answer": true, "some milliseconds later": false} {
+// TestRequestAvoidsConnectionWithPossibleSecondResponse checks that no request is written on a connection where a second
+// response to the previous request may still arrive, even before any server has been seen to send one: it would be read
+// as the response to the new request.
+func TestRequestAvoidsConnectionWithPossibleSecondResponse(t *testing.T) {
+	for name, inOneWrite := range map[string]bool{"with the response": true, "some milliseconds later": false} {
 		t.Run(name, func(t *testing.T) {
 			server := newScriptedServer(t)
 			server.upstream.QuietPeriod = testkit.WaitTimeout
 			first := server.startRequest()
-			server.answerRequest(goodAnswer + map[bool]string{true: strayAnswer}[isTogether])
+			server.respond(okResponse + map[bool]string{true: secondResponse}[inOneWrite])
 			second := server.startRequest()
 			if second.clientAddress == first.clientAddress {
-				t.Error("written where a second answer may still come")
+				t.Error("request written on a connection where a second response may still arrive")
 			}
-			if !isTogether {
-				io.WriteString(first, strayAnswer)
+			if !inOneWrite {
+				io.WriteString(first, secondResponse)
 			}
-			server.answerRequest(goodAnswer)
+			server.respond(okResponse)
 			server.waitIdle(1)
-			// Now that it is known of servers, none is used that rests, however many do.
+			// Servers are now known to send second responses, so no connection in its quiet period is used, however many
+			// there are.
 			used := map[string]bool{second.clientAddress: true}
-			for range maxRestingConnections {
+			for range maxConnectionsInQuietPeriod {
 				next := server.startRequest()
 				if used[next.clientAddress] {
-					t.Error("written where a second answer may still come")
+					t.Error("request written on a connection where a second response may still arrive")
 				}
 				used[next.clientAddress] = true
-				server.answerRequest(goodAnswer)
+				server.respond(okResponse)
 			}
-			// What has rested is used again.
+			// Connections whose quiet period is over are used again.
 			server.upstream.QuietPeriod = 0
 			if next := server.startRequest(); !used[next.clientAddress] {
-				t.Error("one that has rested was not used again")
+				t.Error("no connection whose quiet period is over was reused")
 			}
-			server.answerRequest(goodAnswer)
+			server.respond(okResponse)
 		})
 	}
 }
 
-// TestRestingConnectionsAreBounded checks that a limited number of connections rest as long as no server sends
-// second answers: the next request takes the one that has rested longest.
-func TestRestingConnectionsAreBounded(t *testing.T) {
+// TestConnectionsInQuietPeriodAreBounded checks that the number of connections in their quiet period is limited as long
+// as no server sends second responses: the next request takes the one whose quiet period started first.
+func TestConnectionsInQuietPeriodAreBounded(t *testing.T) {
 	server := newScriptedServer(t)
 	server.upstream.QuietPeriod = testkit.WaitTimeout
-	var from []string
-	for range 2 * maxRestingConnections {
-		from = append(from, server.startRequest().clientAddress)
-		server.answerRequest(goodAnswer)
+	var addresses []string
+	for range 2 * maxConnectionsInQuietPeriod {
+		addresses = append(addresses, server.startRequest().clientAddress)
+		server.respond(okResponse)
 	}
-	for i, f := range from {
-		if j := slices.Index(from, f); j != i%maxRestingConnections {
-			t.Errorf("request %d went where %d had gone, of %q", i, j, from)
+	for i, address := range addresses {
+		if j := slices.Index(addresses, address); j != i%maxConnectionsInQuietPeriod {
+			t.Errorf("request %d used the same connection as request %d, of %q", i, j, addresses)
 		}
 	}
 }
 
-// rejectedDials is a limiter that admits no new connection.
+// rejectedDials is a dial limiter that rejects every dial.
 type rejectedDials struct{}
 
 func (rejectedDials) TryAcquire() bool { return false }
 func (rejectedDials) Release()         {}
 
-// TestRestingConnectionIsUsedWhereDialsFail checks that a request takes a resting connection where no new one
-// can be made, unless servers are known to send second answers: it would fail although its server has a good
-// connection open.
-func TestRestingConnectionIsUsedWhereDialsFail(t *testing.T) {
+// TestConnectionInQuietPeriodIsUsedWhenDialsFail checks that a request takes a connection in its quiet period if no new
+// one can be made, unless servers are known to send second responses. Otherwise the request would fail although a
+// working connection to its server is open.
+func TestConnectionInQuietPeriodIsUsedWhenDialsFail(t *testing.T) {
 	server := newScriptedServer(t)
 	server.upstream.QuietPeriod = testkit.WaitTimeout
 	first := server.startRequest().clientAddress
-	server.answerRequest(goodAnswer)
+	server.respond(okResponse)
 	server.upstream.DialLimiter = rejectedDials{}
-	if from := server.startRequest().clientAddress; from != first {
-		t.Errorf("written to %s, not %s", from, first)
+	if address := server.startRequest().clientAddress; address != first {
+		t.Errorf("request came from %s, want %s", address, first)
 	}
-	server.answerRequest(goodAnswer)
-	server.upstream.hasUnrequestedAnswer.Store(true)
-	if outcome := server.upstream.AttemptHTTP1(t.Context(), server.pool, newMessage(t, nil)); outcome.Reason != control.NotSent || !errors.Is(outcome.Err, errDialLimit) {
-		t.Errorf("%d (%v)", outcome.Reason, outcome.Err)
+	server.respond(okResponse)
+	server.upstream.hasUnsolicitedResponse.Store(true)
+	if outcome := server.upstream.AttemptHTTP1(t.Context(), server.pool, newPOSTRequest(t, nil)); outcome.Reason != control.NotSent || !errors.Is(outcome.Err, errDialLimit) {
+		t.Errorf("reason %d (%v)", outcome.Reason, outcome.Err)
 	}
 }
 
-// TestDelayedSecondAnswerIsSeenAfterQuietPeriod checks that a second answer which the server's system holds back
-// until the first one is acknowledged (no TCP_NODELAY) has come when the quiet period ends.
-func TestDelayedSecondAnswerIsSeenAfterQuietPeriod(t *testing.T) {
+// TestDelayedSecondResponseIsSeenAfterQuietPeriod checks that a second response has arrived by the end of the quiet
+// period if the server's system delays it until the first one is acknowledged (no TCP_NODELAY).
+func TestDelayedSecondResponseIsSeenAfterQuietPeriod(t *testing.T) {
 	server := newScriptedServer(t)
 	var conn receivedRequest
-	for range 50 { // then this system no longer acknowledges at once
+	for range 50 { // after that, this system delays acknowledgements
 		conn = server.startRequest()
 		conn.Conn.(*net.TCPConn).SetNoDelay(false)
-		server.answerRequest(goodAnswer)
+		server.respond(okResponse)
 	}
-	io.WriteString(conn, strayAnswer)
+	io.WriteString(conn, secondResponse)
 	server.upstream.QuietPeriod = SecondAnswerDelay
-	time.Sleep(SecondAnswerDelay) // has to pass
+	time.Sleep(SecondAnswerDelay) // the quiet period has to end
 	if next := server.startRequest(); next.clientAddress == conn.clientAddress {
-		t.Error("written where a second answer was still to come")
+		t.Error("request written on a connection with a pending second response")
 	}
-	server.answerRequest(goodAnswer)
+	server.respond(okResponse)
 }
 
-// TestExtraBytesAreNotNextAnswer checks that bytes after an answer, before or after its connection becomes idle,
-// are never read as the next answer.
-func TestExtraBytesAreNotNextAnswer(t *testing.T) {
-	const good, noise = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil"
-	first := make(chan net.Conn, 1)
+// TestExtraBytesAreNotNextResponse checks that bytes after a response, whether they arrive before or after its connection
+// becomes idle, are never read as the next response.
+func TestExtraBytesAreNotNextResponse(t *testing.T) {
+	const okResponse, extraResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil"
+	firstConn := make(chan net.Conn, 1)
 	requests := 0
 	app := testkit.NewApp(t, func(w http.ResponseWriter, _ *http.Request) {
 		if requests++; requests > 1 {
@@ -127,27 +128,27 @@
 			return
 		}
 		conn := testkit.Hijack(w)
-		io.WriteString(conn, good)
-		first <- conn
+		io.WriteString(conn, okResponse)
+		firstConn <- conn
 	})
 	upstream := newTestUpstream(2*testkit.WaitTimeout, limits.NewSocketLimiter(1024))
 	pool := upstream.NewPool(app.Listener.Addr().String(), ProtocolHTTP1)
 	for i := range 2 {
 		ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
-		outcome := upstream.AttemptHTTP1(ctx, pool, newMessage(t, nil))
+		outcome := upstream.AttemptHTTP1(ctx, pool, newPOSTRequest(t, nil))
 		cancel()
 		if outcome.Reason != control.OK || string(outcome.Body) != "ok" {
-			t.Errorf("%d (%v) %q", outcome.Reason, outcome.Err, outcome.Body)
+			t.Errorf("reason %d (%v), body %q", outcome.Reason, outcome.Err, outcome.Body)
 		}
 		if i > 0 {
 			break
 		}
-		conn := testkit.Next(t, first)
+		conn := testkit.Next(t, firstConn)
 		defer conn.Close()
 		idle := idleConnections(upstream)[0]
-		io.WriteString(conn, noise)
-		// isQuiet reads a byte; one has to be left for the next attempt to find.
-		for end := time.Now().Add(testkit.WaitTimeout); idle.isQuiet() && time.Now().Before(end); {
+		io.WriteString(conn, extraResponse)
+		// isOpenAndEmpty consumes a byte; the rest must stay unread for the next attempt to find.
+		for end := time.Now().Add(testkit.WaitTimeout); idle.isOpenAndEmpty() && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 	}
--- a/internal/upstream/shared_connections_test.go
+++ b/internal/upstream/shared_connections_test.go
@@ -25,8 +25,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// TestRequestsShareHTTP2Connections checks that many concurrent requests share few connections, within the
-// server's limit of streams.
+// TestRequestsShareHTTP2Connections checks that many concurrent requests share few connections, within the server's
+// limit of streams.
 func TestRequestsShareHTTP2Connections(t *testing.T) {
 	server := startHTTP2(t, fake.HTTP2Server{UID: "s", Streams: 50})
 	upstream := newHTTP2Upstream(HTTP2Options{MaxStreams: 100, MaxConnections: 2})
@@ -35,30 +35,30 @@
 	for i := range 80 {
 		all.Go(func() {
 			if outcome := newUpdate(fmt.Sprint(i), "swap").Attempt(t.Context(), t.Context(), upstream, pool); outcome.Reason != control.OK || outcome.LoadReport() == nil {
-				t.Errorf("%v, %v", outcome.Reason, outcome.Err)
+				t.Errorf("reason %v, %v", outcome.Reason, outcome.Err)
 			}
 		})
 	}
 	all.Wait()
 	if opened, maxOpen := server.Dials(); opened > 2 || maxOpen > 2 {
-		t.Errorf("%d connections, %d at once", opened, maxOpen)
+		t.Errorf("%d connections, %d at once; want at most 2", opened, maxOpen)
 	}
 	upstream.RetirePool(pool)
-	testkit.Until(t, "all descriptors back", func() bool { return upstream.SocketLimiter.(*limits.SocketLimiter).InUse() == 0 })
+	testkit.Until(t, "release of all sockets", func() bool { return upstream.SocketLimiter.(*limits.SocketLimiter).InUse() == 0 })
 }
 
-// TestAttemptWithoutFreeStreamEndsAtOnce checks that an attempt ends as not sent, without waiting, where the
-// server allows no streams.
+// TestAttemptWithoutFreeStreamEndsAtOnce checks that an attempt ends as not sent, without waiting, if the server allows
+// no streams.
 func TestAttemptWithoutFreeStreamEndsAtOnce(t *testing.T) {
 	address := serveConnections(t, func(conn net.Conn) {
-		io.WriteString(conn, "\x00\x00\x06\x04\x00\x00\x00\x00\x00\x00\x03\x00\x00\x00\x00") // settings: no streams
+		io.WriteString(conn, "\x00\x00\x06\x04\x00\x00\x00\x00\x00\x00\x03\x00\x00\x00\x00") // SETTINGS frame that allows no streams
 		io.Copy(io.Discard, conn)
 	})
 	upstream := newHTTP2Upstream(HTTP2Options{})
 	started := time.Now()
 	outcome := newUpdate("a", "").Attempt(t.Context(), t.Context(), upstream, upstream.NewPool(address, ProtocolHTTP2))
 	if outcome.Reason != control.NotSent || !errors.Is(outcome.Err, errNoStream) || time.Since(started) > upstream.ConnectTimeout/2 {
-		t.Errorf("%v, %v after %v", outcome.Reason, outcome.Err, time.Since(started))
+		t.Errorf("reason %v, %v after %v", outcome.Reason, outcome.Err, time.Since(started))
 	}
 }
 
@@ -69,47 +69,47 @@
 	pool := upstream.NewPool(server.Addr(), ProtocolHTTP2)
 	upstream.RetirePool(pool)
 	if outcome := newUpdate("a", "").Attempt(t.Context(), t.Context(), upstream, pool); outcome.Reason != control.ConnectFailed || !errors.Is(outcome.Err, errServerRemoved) || upstream.SocketLimiter.(*limits.SocketLimiter).InUse() != 0 {
-		t.Errorf("%v, %v", outcome.Reason, outcome.Err)
+		t.Errorf("reason %v, %v", outcome.Reason, outcome.Err)
 	}
 }
 
-// TestFallbackToHTTP1 checks that HTTP/1.1 is spoken for a time to a server that doesn't speak HTTP/2, and only
-// where that is allowed.
+// TestFallbackToHTTP1 checks that HTTP/1.1 is used for the fallback period with a server that does not support HTTP/2,
+// and only if the protocol setting allows it.
 func TestFallbackToHTTP1(t *testing.T) {
 	app := testkit.NewApp(t, testkit.Served)
 	upstream := newHTTP2Upstream(HTTP2Options{})
 	pool := upstream.NewPool(app.Addr(), ProtocolPreferHTTP2)
 	for i := range 3 {
 		if outcome := newUpdate(fmt.Sprint(i), "swap").Attempt(t.Context(), t.Context(), upstream, pool); outcome.Reason != control.OK {
-			t.Errorf("%v, %v", outcome.Reason, outcome.Err)
+			t.Errorf("reason %v, %v", outcome.Reason, outcome.Err)
 		}
 	}
 	if n := app.Dials(); n != 2 {
-		t.Errorf("%d connections: one to try, one to use", n)
+		t.Errorf("%d connections, want 2: the HTTP/2 attempt and the HTTP/1.1 connection", n)
 	}
 	if got := upstream.HTTP2Status(); *got != (HTTP2Status{FallbackServers: 1}) {
-		t.Errorf("%+v", *got)
+		t.Errorf("status %+v", *got)
 	}
 	requests := func() (n int) {
 		for _, request := range app.Requests() {
-			if !strings.HasPrefix(request, "PRI") { // the beginning of HTTP/2, as HTTP/1.1 reads it
+			if !strings.HasPrefix(request, "PRI") { // the HTTP/2 connection preface, parsed as an HTTP/1.1 request
 				n++
 			}
 		}
 		return n
 	}
 	if n := requests(); n != 3 {
-		t.Errorf("%d requests", n)
+		t.Errorf("%d requests, want 3", n)
 	}
-	pool.shared.http1Until = time.Now() // the time is over, and the server still as it was
+	pool.shared.http1Until = time.Now() // the fallback period is over, and the server still supports HTTP/1.1 only
 	if outcome := newUpdate("4", "swap").Attempt(t.Context(), t.Context(), upstream, pool); outcome.Reason != control.OK || app.Dials() != 3 {
-		t.Errorf("%v, %v; %d connections", outcome.Reason, outcome.Err, app.Dials())
+		t.Errorf("reason %v, %v; %d connections", outcome.Reason, outcome.Err, app.Dials())
 	}
 	if upstream = newHTTP2Upstream(HTTP2Options{}); upstream.HTTP2Status() != nil {
-		t.Error("connections that nobody asked for")
+		t.Error("HTTP/2 status present although no pool uses HTTP/2")
 	}
 	if outcome := newUpdate("5", "swap").Attempt(t.Context(), t.Context(), upstream, upstream.NewPool(app.Addr(), ProtocolHTTP2)); outcome.Reason != control.ConnectFailed || requests() != 4 {
-		t.Errorf("%v, %v; %d requests", outcome.Reason, outcome.Err, requests())
+		t.Errorf("reason %v, %v; %d requests", outcome.Reason, outcome.Err, requests())
 	}
 }
 
@@ -128,7 +128,7 @@
 		go func() {
 			defer conn.Close()
 			b := make([]byte, 64)
-			n, _ := target.Read(b) // the settings; what comes then waits
+			n, _ := target.Read(b) // the settings; later frames are held back until resume is closed
 			conn.Write(b[:n])
 			<-resume
 			io.Copy(conn, target)
@@ -140,7 +140,7 @@
 				return
 			}
 			target.Write(b[:n])
-			if all += n; all > 300 { // a request has come
+			if all += n; all > 300 { // more than the preface and settings: a request has arrived
 				select {
 				case received <- struct{}{}:
 				default:
@@ -153,15 +153,15 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { <-received; cancel() }()
 	if outcome := newUpdate("late", strings.Repeat("x", 400)).Attempt(ctx, ctx, upstream, pool); outcome.Reason != control.Cancelled {
-		t.Errorf("%v, %v", outcome.Reason, outcome.Err)
+		t.Errorf("reason %v, %v", outcome.Reason, outcome.Err)
 	}
 	close(resume)
 	if outcome := newUpdate("next", "").Attempt(t.Context(), t.Context(), upstream, pool); outcome.Reason != control.OK || outcome.IsDialed {
-		t.Errorf("%v, %v, dialed %v", outcome.Reason, outcome.Err, outcome.IsDialed)
+		t.Errorf("reason %v, %v, dialed %v", outcome.Reason, outcome.Err, outcome.IsDialed)
 	}
 }
 
-// startTLSServer starts a server that stores the protocol of its latest request and counts its connections.
+// startTLSServer starts a server that records the protocol of its latest request and counts its connections.
 func startTLSServer(hasHTTP2 bool, dials *atomic.Int64, proto *atomic.Value) *httptest.Server {
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		proto.Store(r.Proto)
@@ -178,7 +178,7 @@
 	return server
 }
 
-// writeAuthority writes a server's certificate as that of an authority, and returns the file's path.
+// writeAuthority writes a server's certificate to a file as a certificate authority, and returns the file's path.
 func writeAuthority(t *testing.T, server *httptest.Server) string {
 	t.Helper()
 	authority := filepath.Join(t.TempDir(), "ca")
@@ -189,27 +189,27 @@
 	return authority
 }
 
-// TestProtocolNegotiationOverTLS checks that the protocol is negotiated over TLS, that connections are reused and
-// shared as without it, and that a server with another name is rejected.
+// TestProtocolNegotiationOverTLS checks that the protocol is negotiated over TLS, that connections are reused and shared
+// as they are without TLS, and that a server whose certificate has another name is rejected.
 func TestProtocolNegotiationOverTLS(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		speaks Protocol
-		h2     bool // the server's
-		want   control.Reason
-		proto  string
-		dials  int64
+		name           string
+		protocol       Protocol
+		serverHasHTTP2 bool // whether the server supports HTTP/2
+		want           control.Reason
+		proto          string
+		dials          int64
 	}{
 		{"HTTP/2", ProtocolHTTP2, true, control.OK, "HTTP/2.0", 1},
-		{"HTTP/2 where there is none", ProtocolHTTP2, false, control.ConnectFailed, "", 3},
-		{"either, HTTP/2", ProtocolPreferHTTP2, true, control.OK, "HTTP/2.0", 1},
-		{"either, HTTP/1.1", ProtocolPreferHTTP2, false, control.OK, "HTTP/1.1", 2},
+		{"HTTP/2 not supported", ProtocolHTTP2, false, control.ConnectFailed, "", 3},
+		{"prefer HTTP/2, supported", ProtocolPreferHTTP2, true, control.OK, "HTTP/2.0", 1},
+		{"prefer HTTP/2, not supported", ProtocolPreferHTTP2, false, control.OK, "HTTP/1.1", 2},
 		{"HTTP/1.1", ProtocolHTTP1, true, control.OK, "HTTP/1.1", 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var dials atomic.Int64
 			var proto atomic.Value
-			server := startTLSServer(tc.h2, &dials, &proto)
+			server := startTLSServer(tc.serverHasHTTP2, &dials, &proto)
 			defer server.Close()
 			authority := writeAuthority(t, server)
 			certificates, err := certs.Load(certs.Options{CA: authority, Name: "example.com"})
@@ -218,25 +218,25 @@
 			}
 			upstream := newHTTP2Upstream(HTTP2Options{})
 			upstream.TLS = certificates
-			pool := upstream.NewPool(server.Listener.Addr().String(), tc.speaks)
+			pool := upstream.NewPool(server.Listener.Addr().String(), tc.protocol)
 			for i := range 3 {
 				outcome := newUpdate(fmt.Sprint(i), "swap").Attempt(t.Context(), t.Context(), upstream, pool)
 				if outcome.Reason != tc.want || tc.want == control.OK && proto.Load() != tc.proto {
-					t.Errorf("%v, %v over %v", outcome.Reason, outcome.Err, proto.Load())
+					t.Errorf("reason %v, %v over %v", outcome.Reason, outcome.Err, proto.Load())
 				}
 			}
 			if n := dials.Load(); n != tc.dials {
-				t.Errorf("%d connections", n)
+				t.Errorf("%d connections dialed", n)
 			}
 			upstream.TLS, err = certs.Load(certs.Options{CA: authority, Name: "other.example"})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if outcome := newUpdate("other", "").Attempt(t.Context(), t.Context(), upstream, upstream.NewPool(pool.Endpoint, tc.speaks)); outcome.Reason != control.ConnectFailed {
-				t.Errorf("another name: %v, %v", outcome.Reason, outcome.Err)
+			if outcome := newUpdate("other", "").Attempt(t.Context(), t.Context(), upstream, upstream.NewPool(pool.Endpoint, tc.protocol)); outcome.Reason != control.ConnectFailed {
+				t.Errorf("certificate with another name: reason %v, %v", outcome.Reason, outcome.Err)
 			}
 			upstream.RetirePool(pool)
-			testkit.Until(t, "all descriptors back", func() bool { return upstream.SocketLimiter.(*limits.SocketLimiter).InUse() == 0 })
+			testkit.Until(t, "release of all sockets", func() bool { return upstream.SocketLimiter.(*limits.SocketLimiter).InUse() == 0 })
 		})
 	}
 }
