--- a/internal/upstream/http2_attempt.go
+++ b/internal/upstream/http2_attempt.go
@@ -30,7 +30,7 @@
 
 	streamsBody      bool          // the body is not written with the head
 	continueReceived chan struct{} // closed when a body that waits for a 100 may be sent; nil if it does not wait
-	continueOnce     sync.Once     // closes continueReceived
+	closeOnce     sync.Once     // closes continueReceived
 	endOnce          sync.Once
 	clientErr        atomic.Pointer[error]
 	wasAborted       atomic.Bool
@@ -131,7 +131,7 @@
 			a.InterimWriter.WriteInterim(status, header)
 		}
 	case a.continueReceived != nil:
-		a.continueOnce.Do(func() { close(a.continueReceived) })
+		a.closeOnce.Do(func() { close(a.continueReceived) })
 	}
 }
 
