--- a/internal/front/answer_stream.go
+++ b/internal/front/answer_stream.go
@@ -19,7 +19,7 @@
 // the setup costs more than it saves.
 const minDirectBytes = 256 << 10
 
-var errClientGone = errors.New("the client takes no more of the answer")
+var errClientDisconnected = errors.New("the client takes no more of the answer")
 
 // answerStream copies the body of an answer from a server to a client as it arrives.
 type answerStream struct {
@@ -44,7 +44,7 @@
 		idleTimeout: o.IdleTimeout,
 		rate:        rateGuard{gracePeriod: o.IdleTimeout, minBytesPerSecond: o.MinBytesPerSecond},
 	}
-	buffered, err := s.bufferBeginning()
+	buffered, err := s.bufferPrefix()
 	if err != nil && !errors.Is(err, io.EOF) {
 		s.source.Close()
 		s.writeBadGateway(front, r)
@@ -54,7 +54,7 @@
 	switch err := s.copyBody(buffered, err); {
 	case err == nil:
 		s.writeTrailer(trailerNames)
-	case errors.Is(err, errClientGone):
+	case errors.Is(err, errClientDisconnected):
 	default:
 		s.abort(r)
 	}
@@ -65,7 +65,7 @@
 
 // bufferBeginning fills the buffer with the beginning of an answer of known length, so that one that breaks
 // off there can still be answered with an error status.
-func (s *answerStream) bufferBeginning() (buffered int, err error) {
+func (s *answerStream) bufferPrefix() (buffered int, err error) {
 	if !s.hasLength() {
 		return 0, nil
 	}
@@ -121,7 +121,7 @@
 		}
 		if n > 0 {
 			if !s.write(s.buffer[:n]) {
-				return errClientGone
+				return errClientDisconnected
 			}
 			// If the server has more ready, it is the client that is slow.
 			if rateErr := s.rate.record(time.Now(), n); rateErr != nil && s.source.HasBuffered() {
--- a/internal/front/background_read_test.go
+++ b/internal/front/background_read_test.go
@@ -14,7 +14,7 @@
 
 // Guards against the close of a connection behind the first byte of a request: net/http reads one byte while it handles the
 // request before, to notice a client that leaves. That byte is input of the next request, which gets its answer.
-func TestConnectionIsNotClosedBehindByteReadInBackground(t *testing.T) {
+func TestConnectionStaysOpenAfterBackgroundReadOfNextRequest(t *testing.T) {
 	for name, closeConnections := range map[string]func(*Front){
 		"drain":    (*Front).CloseWhenIdle,
 		"eviction": func(f *Front) { f.Evict() },
@@ -32,7 +32,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			listener := heldReadListener{LingeringListener(socket), make(chan struct{}, 1), make(chan struct{})}
+			listener := delayedReadListener{LingeringListener(socket), make(chan struct{}, 1), make(chan struct{})}
 			close(listener.release) // nothing is held
 			server := f.Server()
 			go server.Serve(listener)
--- a/internal/front/bad_request.go
+++ b/internal/front/bad_request.go
@@ -20,7 +20,7 @@
 }
 
 // closing marks the connection as not reusable after the answer.
-func (b *BadRequest) closing() *BadRequest {
+func (b *BadRequest) withConnectionClose() *BadRequest {
 	b.closeConnection = true
 	return b
 }
@@ -35,7 +35,7 @@
 	if isTimeout(err) || errors.Is(err, errBelowMinRate) {
 		status = http.StatusRequestTimeout
 	}
-	return newBadRequest(status, "reading the body: %v", err).closing()
+	return newBadRequest(status, "reading the body: %v", err).withConnectionClose()
 }
 
 // checkMessage rejects a request whose bytes on the connection were not valid HTTP/1.1.
@@ -45,7 +45,7 @@
 		return nil
 	}
 	if err := conn.validationError(); err != nil {
-		return newBadRequest(http.StatusBadRequest, "%v", err).closing()
+		return newBadRequest(http.StatusBadRequest, "%v", err).withConnectionClose()
 	}
 	return nil
 }
--- a/internal/front/client_conn.go
+++ b/internal/front/client_conn.go
@@ -15,13 +15,13 @@
 
 // clientConn is the connection of one client.
 type clientConn struct {
-	conn      net.Conn        // inside the lingeringConn that net/http has, if that is used
-	lingering *lingeringConn  // around conn; nil if it is not used
-	rawConn   syscall.RawConn // the socket; nil if there is none
-	input     *inputConn      // inside conn; nil if there is none
-	idleSince time.Time       // zero while a request is open; guarded by clientRegistry.mu
-	isNew     bool            // no complete head has been received yet; guarded by clientRegistry.mu
-	isShut    atomic.Bool     // the node has closed the connection: no more requests are started on it
+	conn         net.Conn        // inside the lingeringConn that net/http has, if that is used
+	lingering    *lingeringConn  // around conn; nil if it is not used
+	rawConn      syscall.RawConn // the socket; nil if there is none
+	input        *inputConn      // inside conn; nil if there is none
+	idleSince    time.Time       // zero while a request is open; guarded by clientRegistry.mu
+	isNew        bool            // no complete head has been received yet; guarded by clientRegistry.mu
+	closedByNode atomic.Bool     // the node has closed the connection: no more requests are started on it
 
 	// When the connection was accepted, and the time before in which it may have waited for that; used for its first
 	// request only, by the goroutine that serves the connection.
@@ -30,18 +30,18 @@
 }
 
 // isClosed reports whether the node has closed the connection. It is false for a nil connection.
-func (c *clientConn) isClosed() bool { return c != nil && c.isShut.Load() }
+func (c *clientConn) isClosed() bool { return c != nil && c.closedByNode.Load() }
 
 // IsWaiting reports whether the client has not closed its side of the connection. It polls the socket,
 // because net/http reads at most one byte after a request and misses a close that follows pipelined
 // requests. Without a socket the client is assumed to be there.
 func (c *clientConn) IsWaiting() bool {
-	_, ended := c.pollSocket()
-	return !ended
+	_, peerClosed := c.pollSocket()
+	return !peerClosed
 }
 
 // pollSocket reports whether the socket has bytes to read, and whether the client has closed its side.
-func (c *clientConn) pollSocket() (readable, ended bool) {
+func (c *clientConn) pollSocket() (readable, peerClosed bool) {
 	if c.rawConn == nil {
 		return false, false
 	}
@@ -60,12 +60,12 @@
 
 // IsWaiting reports whether the client is connected and has not sent so much that a close would be hidden.
 func (c sequentialClient) IsWaiting() bool {
-	readable, ended := c.pollSocket()
+	readable, peerClosed := c.pollSocket()
 	unreadBytes := 0
 	if readable {
 		_ = c.rawConn.Control(func(fd uintptr) { unreadBytes, _ = unix.IoctlGetInt(int(fd), unix.TIOCINQ) })
 	}
-	return !ended && unreadBytes < maxUnreadBytes
+	return !peerClosed && unreadBytes < maxUnreadBytes
 }
 
 // arrivalOf returns when a request arrived that was read now. The first one of a connection that could not be accepted
@@ -118,9 +118,9 @@
 
 // closeIf closes an idle connection if mayClose allows it. That gets the time at which bytes were first read of a request
 // that net/http has not reported; zero for none. The caller holds clientRegistry.mu.
-func (c *clientConn) closeIf(mayClose func(readAt time.Time) bool) {
+func (c *clientConn) closeIf(mayClose func(firstReadAt time.Time) bool) {
 	if c.input != nil {
-		c.input.closeUnlessRead(mayClose, c.close)
+		c.input.closeIfAllowed(mayClose, c.close)
 	} else if mayClose(time.Time{}) {
 		c.close()
 	}
@@ -128,8 +128,8 @@
 
 // canCloseCleanly reports whether closing an idle connection loses nothing: neither a request that has
 // arrived, was read or is about to be, nor a part of the last answer that is still on its way.
-func (c *clientConn) canCloseCleanly(readAt time.Time) bool {
-	return readAt.IsZero() && !c.hasUnreadInput() && !c.hasUnacknowledgedOutput()
+func (c *clientConn) canCloseWithoutLoss(firstReadAt time.Time) bool {
+	return firstReadAt.IsZero() && !c.hasUnreadInput() && !c.hasUnacknowledgedOutput()
 }
 
 // hasUnreadInput reports whether an idle connection has input, or the client's close, that is about to
@@ -159,7 +159,7 @@
 
 // close closes an idle connection. The caller holds clientRegistry.mu.
 func (c *clientConn) close() {
-	if !c.isShut.Swap(true) {
+	if !c.closedByNode.Swap(true) {
 		c.conn.Close()
 	}
 }
--- a/internal/front/client_departure_test.go
+++ b/internal/front/client_departure_test.go
@@ -22,39 +22,39 @@
 	"lockflow/internal/upstream"
 )
 
-// departures are the ways in which a client ends its connection, or fills it without doing so.
-var departures = []struct {
+// disconnects are the ways in which a client ends its connection, or fills it without doing so.
+var disconnects = []struct {
 	name   string
-	depart func(*net.TCPConn)
+	apply  func(*net.TCPConn)
 	floods bool // the client's close cannot be seen behind what it has sent
 	stays  bool // the client waits for an answer
 }{
-	{name: "closes", depart: func(c *net.TCPConn) { c.Close() }},
-	{name: "half-closes", depart: func(c *net.TCPConn) { c.CloseWrite() }},
-	{name: "resets", depart: func(c *net.TCPConn) { c.SetLinger(0); c.Close() }},
-	{name: "floods and closes", depart: func(c *net.TCPConn) { flood(c); c.Close() }, floods: true},
-	{name: "floods and half-closes", depart: func(c *net.TCPConn) { flood(c); c.CloseWrite() }, floods: true},
-	{name: "floods and stays", depart: flood, floods: true, stays: true},
+	{name: "closes", apply: func(c *net.TCPConn) { c.Close() }},
+	{name: "half-closes", apply: func(c *net.TCPConn) { c.CloseWrite() }},
+	{name: "resets", apply: func(c *net.TCPConn) { c.SetLinger(0); c.Close() }},
+	{name: "floods and closes", apply: func(c *net.TCPConn) { flood(c); c.Close() }, floods: true},
+	{name: "floods and half-closes", apply: func(c *net.TCPConn) { flood(c); c.CloseWrite() }, floods: true},
+	{name: "floods and stays", apply: flood, floods: true, stays: true},
 }
 
 // A client sends two requests, the first of which is longer than what net/http reads ahead, and leaves while
 // the first is queued. Neither request may be forwarded, although net/http sees no more than the first byte
 // of the second. The same holds for a client that has filled the receive buffer, which hides its close.
-func TestDepartedClientBehindPipelinedRequestIsNotForwarded(t *testing.T) {
+func TestRequestsOfDisconnectedPipeliningClientAreNotForwarded(t *testing.T) {
 	for _, class := range []control.Class{
 		{Idempotency: control.Idempotent},
 		{Idempotency: control.IdempotentWithKey, RepeatWindow: time.Minute},
 		{Idempotency: control.NotIdempotent},
 	} {
-		for _, departure := range departures {
-			t.Run(fmt.Sprint(departure.name, " effect ", class.Idempotency), func(t *testing.T) {
-				node := startDepartureNode(t, class)
+		for _, disconnect := range disconnects {
+			t.Run(fmt.Sprint(disconnect.name, " effect ", class.Idempotency), func(t *testing.T) {
+				node := startTestNode(t, class)
 				first := []net.Conn{node.send("f0"), node.send("f1")} // the plan's whole in-flight quota
 				testkit.Until(t, "two at the server", func() bool { return node.app.Count() == 2 })
 				client := node.send("left", "behind")
 				testkit.Until(t, "its place in the queue", func() bool { return node.service.Status().Requests == 3 })
-				departure.depart(client)
-				testkit.Until(t, "its end to be there", func() bool { return node.connectedClients() == 2 })
+				disconnect.apply(client)
+				testkit.Until(t, "its end to be there", func() bool { return node.waitingClients() == 2 })
 				node.openGate()
 				for _, conn := range first {
 					if got := readStatusLine(conn); got != "HTTP/1.1 200" {
@@ -66,8 +66,8 @@
 					t.Errorf("the next one: %q", got)
 				}
 				switch got := readStatusLine(client); {
-				case departure.stays && got != "HTTP/1.1 503",
-					strings.HasPrefix(got, "HTTP") && !departure.floods, strings.HasSuffix(got, "200"):
+				case disconnect.stays && got != "HTTP/1.1 503",
+					strings.HasPrefix(got, "HTTP") && !disconnect.floods, strings.HasSuffix(got, "200"):
 					t.Errorf("the client that was not forwarded got %q", got)
 				}
 				if received := strings.Join(node.app.Requests(), " "); strings.Contains(received, "left") || strings.Contains(received, "behind") {
@@ -80,7 +80,7 @@
 
 // departureNode is a front over a service with two places in flight and one server, which answers the
 // requests whose IDs begin with "f" once its gate is open.
-type departureNode struct {
+type testNode struct {
 	t        *testing.T
 	class    control.Class
 	app      *testkit.App
@@ -90,10 +90,10 @@
 	address  string
 }
 
-func startDepartureNode(t *testing.T, class control.Class) *departureNode {
+func startTestNode(t *testing.T, class control.Class) *testNode {
 	t.Helper()
 	gate := make(chan struct{})
-	n := &departureNode{t: t, openGate: sync.OnceFunc(func() { close(gate) })}
+	n := &testNode{t: t, openGate: sync.OnceFunc(func() { close(gate) })}
 	n.app = testkit.NewApp(t, func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/job/f") {
 			<-gate
@@ -109,7 +109,7 @@
 }
 
 // startService runs the service until the test ends.
-func (n *departureNode) startService() {
+func (n *testNode) startService() {
 	n.t.Helper()
 	ready := make(chan struct{})
 	settings := control.Settings{
@@ -139,7 +139,7 @@
 }
 
 // startFront serves clients until the test ends.
-func (n *departureNode) startFront() {
+func (n *testNode) startFront() {
 	n.t.Helper()
 	target := Target{Service: n.service, Class: "job", MaxBodyBytes: 1 << 20}
 	n.front = New(&RoutingTable{Targets: []Target{target}}, func() bool { return true })
@@ -155,7 +155,7 @@
 }
 
 // send sends requests with the IDs on a new connection.
-func (n *departureNode) send(ids ...string) *net.TCPConn {
+func (n *testNode) send(ids ...string) *net.TCPConn {
 	n.t.Helper()
 	conn, err := net.Dial("tcp", n.address)
 	if err != nil {
@@ -173,7 +173,7 @@
 }
 
 // request is a request of 9000 bytes and more: in its body, or in a header if its class has no bodies.
-func (n *departureNode) request(id string) string {
+func (n *testNode) request(id string) string {
 	long := strings.Repeat("x", 9000)
 	if n.class.Idempotency == control.Idempotent {
 		return fmt.Sprintf("GET /job/%s?account=00000000b4d65521 HTTP/1.1\r\nHost: h\r\n%s: %s\r\n%s: p\r\n%s: 60000m\r\nX-More: %s\r\n\r\n",
@@ -184,7 +184,7 @@
 }
 
 // connectedClients counts the clients that the front takes to be there.
-func (n *departureNode) connectedClients() int {
+func (n *testNode) waitingClients() int {
 	n.front.clients.mu.Lock()
 	defer n.front.clients.mu.Unlock()
 	count := 0
@@ -220,7 +220,7 @@
 
 // The departure of a client is noticed at once while its request is queued, whatever the form of the request
 // and also long after the read timeout; a client that stays is not taken to have left.
-func TestClientDepartureIsNoticed(t *testing.T) {
+func TestClientDisconnectIsDetected(t *testing.T) {
 	const get, post = "GET /read?account=0000000000000001 HTTP/1.", "POST /write?account=0000000000000001 HTTP/1.1\r\n" + requestHeaders
 	long := strings.Repeat("x", 1<<16)
 	for name, parts := range map[string][]string{
@@ -236,34 +236,34 @@
 	} {
 		for _, late := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, ", late ", late), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { testDeparture(t, parts, late) })
+				synctest.Test(t, func(t *testing.T) { testDisconnect(t, parts, late) })
 			})
 		}
 	}
 }
 
 // testDeparture sends a request in parts, and leaves: at once, or long after the read timeout.
-func testDeparture(t *testing.T, parts []string, late bool) {
-	m, _, s, stop := startFront(t, keepQueued, nil, nil)
+func testDisconnect(t *testing.T, parts []string, late bool) {
+	listener, _, service, stop := startFront(t, keepQueued, nil, nil)
 	defer stop()
-	c := m.dial()
-	defer c.Close()
-	go io.Copy(io.Discard, c) // it reads what it is sent
+	client := listener.dial()
+	defer client.Close()
+	go io.Copy(io.Discard, client) // it reads what it is sent
 	for _, p := range parts {
-		io.WriteString(c, p)
+		io.WriteString(client, p)
 		synctest.Wait()
 	}
-	if s.Status().Unanswered != 1 {
-		t.Fatalf("%+v", s.Status())
+	if service.Status().Unanswered != 1 {
+		t.Fatalf("%+v", service.Status())
 	}
 	if late {
 		time.Sleep(3 * requestReadTimeout)
-		if s.Status().Unanswered != 1 {
+		if service.Status().Unanswered != 1 {
 			t.Error("taken to have left")
 		}
 	}
-	c.Close()
-	if synctest.Wait(); s.Status().Unanswered != 0 {
+	client.Close()
+	if synctest.Wait(); service.Status().Unanswered != 0 {
 		t.Error("it still waits")
 	}
 }
--- a/internal/front/client_registry.go
+++ b/internal/front/client_registry.go
@@ -19,11 +19,11 @@
 // is active, so the node may close the connection in between; forwarding that request would run it
 // without anybody to receive the answer.
 type clientRegistry struct {
-	mu          sync.Mutex
-	connections map[net.Conn]*clientConn
-	isDraining  bool
-	isEnding    bool          // the process ends: beginShutdown was called
-	empty       chan struct{} // closed when the last connection is gone; nil if no waitEmpty has been called
+	mu             sync.Mutex
+	connections    map[net.Conn]*clientConn
+	isDraining     bool
+	isShuttingDown bool          // the process ends: beginShutdown was called
+	empty          chan struct{} // closed when the last connection is gone; nil if no waitEmpty has been called
 }
 
 // clientKey is the context key of a request's *clientConn.
@@ -40,8 +40,8 @@
 	if tcp := tcpConnOf(conn); tcp != nil {
 		client.rawConn, _ = tcp.SyscallConn()
 	}
-	client.input = connInside[*inputConn](conn)
-	if limited := connInside[*limits.Conn](conn); limited != nil {
+	client.input = findWrappedConn[*inputConn](conn)
+	if limited := findWrappedConn[*limits.Conn](conn); limited != nil {
 		client.acceptedAt = limited.AcceptedAt
 		client.queued = limited.Queued
 		client.idleSince = client.silentSince(client.idleSince)
@@ -99,7 +99,7 @@
 			client.input.becameIdle()
 		}
 		if s.isDraining {
-			client.closeIf(client.canCloseCleanly)
+			client.closeIf(client.canCloseWithoutLoss)
 		}
 	case http.StateClosed, http.StateHijacked:
 		delete(s.connections, conn)
@@ -118,7 +118,7 @@
 	s.isDraining = true
 	for _, c := range s.connections {
 		if !c.idleSince.IsZero() && !c.isNew {
-			c.closeIf(c.canCloseCleanly)
+			c.closeIf(c.canCloseWithoutLoss)
 		}
 	}
 }
--- a/internal/front/client_registry_test.go
+++ b/internal/front/client_registry_test.go
@@ -34,7 +34,7 @@
 
 // If the node closes a connection after net/http has read a request and before it reports the connection as
 // active, the request is not started: the client can safely retry it.
-func TestServeHTTPBeginsNothingOnClosedConnection(t *testing.T) {
+func TestServeHTTPStartsNoRequestOnClosedConnection(t *testing.T) {
 	for name, close := range map[string]func(*Front){
 		"closes idle": (*Front).CloseWhenIdle,
 		"evicts":      func(f *Front) { f.Evict() },
@@ -101,23 +101,23 @@
 }
 
 // gatedListener is a listener whose connections are read only once it is open.
-type gatedListener struct {
+type blockedReadListener struct {
 	net.Listener
-	open chan struct{}
+	readsAllowed chan struct{}
 }
 
-func (l gatedListener) Accept() (net.Conn, error) {
+func (l blockedReadListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
-	return gatedConn{c, l.open}, err
+	return blockedReadConn{c, l.readsAllowed}, err
 }
 
-type gatedConn struct {
+type blockedReadConn struct {
 	net.Conn
-	open chan struct{}
+	readsAllowed chan struct{}
 }
 
-func (c gatedConn) Read(p []byte) (int, error) { <-c.open; return c.Conn.Read(p) }
-func (c gatedConn) NetConn() net.Conn          { return c.Conn }
+func (c blockedReadConn) Read(p []byte) (int, error) { <-c.readsAllowed; return c.Conn.Read(p) }
+func (c blockedReadConn) NetConn() net.Conn          { return c.Conn }
 
 // Evict spares a connection, new or idle, that has a request which nobody has read yet: it is answered. A
 // silent connection is closed, and so is one whose client has closed its side.
@@ -133,7 +133,7 @@
 			{name: "asks and goes", sends: true, departs: true},
 		} {
 			t.Run(fmt.Sprint(tc.name, ", new ", isNew), func(t *testing.T) {
-				f, client, openGate := dialGated(t)
+				f, client, allowReads := dialWithBlockedReads(t)
 				if tc.sends {
 					io.WriteString(client, completeRequest)
 				}
@@ -147,7 +147,7 @@
 				if f.Evict() == tc.wantIsAnswered {
 					t.Error("evicted a connection with a request, or none")
 				}
-				openGate()
+				allowReads()
 				client.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 				resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 				if tc.wantIsAnswered && (err != nil || resp.StatusCode != http.StatusServiceUnavailable) || !tc.wantIsAnswered && err == nil {
@@ -159,7 +159,7 @@
 }
 
 // dialGated connects a client to a front that reads nothing of it until openGate is called.
-func dialGated(t *testing.T) (f *Front, client *net.TCPConn, openGate func()) {
+func dialWithBlockedReads(t *testing.T) (f *Front, client *net.TCPConn, allowReads func()) {
 	t.Helper()
 	_, f, _, stop := startFront(t, rejectRequest, nil, nil)
 	t.Cleanup(stop)
@@ -167,16 +167,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	gated := gatedListener{listener, make(chan struct{})}
+	blocked := blockedReadListener{listener, make(chan struct{})}
 	server := f.Server()
-	go server.Serve(gated)
+	go server.Serve(blocked)
 	t.Cleanup(func() { server.Close() })
 	conn, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	return f, conn.(*net.TCPConn), func() { close(gated.open) }
+	return f, conn.(*net.TCPConn), func() { close(blocked.readsAllowed) }
 }
 
 // setOnlyConnection sets the state of the front's connection, if there is one yet, and polls its socket. Without
@@ -194,15 +194,15 @@
 // A client that does not read its answer, or only a part of it, occupies nothing in the service, and its
 // connection for a limited time.
 func TestClientThatReadsNoAnswerIsDisconnected(t *testing.T) {
-	for _, takes := range []int{0, 5} {
-		t.Run(fmt.Sprint(takes), func(t *testing.T) {
+	for _, bytesRead := range []int{0, 5} {
+		t.Run(fmt.Sprint(bytesRead), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				m, f, s, stop := startFront(t, rejectRequest, nil, nil)
 				defer stop()
 				c := m.dial()
 				defer c.Close()
 				io.WriteString(c, completeRequest)
-				io.ReadFull(c, make([]byte, takes))
+				io.ReadFull(c, make([]byte, bytesRead))
 				synctest.Wait()
 				if inFlight := s.Status().Requests; inFlight != 0 {
 					t.Errorf("the service holds %d", inFlight)
@@ -218,20 +218,20 @@
 }
 
 // idleGatedConn is a connection whose next request, once it is idle, is not read until resume is closed.
-type idleGatedConn struct {
+type blockedWhenIdleConn struct {
 	net.Conn
 	isIdle atomic.Bool
 	resume chan struct{}
 }
 
-func (c *idleGatedConn) NetConn() net.Conn { return c.Conn }
+func (c *blockedWhenIdleConn) NetConn() net.Conn { return c.Conn }
 
-func (c *idleGatedConn) SetReadDeadline(t time.Time) error {
+func (c *blockedWhenIdleConn) SetReadDeadline(t time.Time) error {
 	c.isIdle.Store(time.Until(t) > clientIdleTimeout/2)
 	return c.Conn.SetReadDeadline(t)
 }
 
-func (c *idleGatedConn) Read(p []byte) (int, error) {
+func (c *blockedWhenIdleConn) Read(p []byte) (int, error) {
 	if c.isIdle.Load() {
 		<-c.resume
 	}
@@ -257,7 +257,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &idleGatedConn{Conn: server, resume: make(chan struct{})}
+	c := &blockedWhenIdleConn{Conn: server, resume: make(chan struct{})}
 	m.conns <- c
 	in := bufio.NewReader(client)
 	for i := range 2 {
--- a/internal/front/eviction.go
+++ b/internal/front/eviction.go
@@ -8,14 +8,14 @@
 	newConnGracePeriod = 250 * time.Millisecond
 
 	// endGracePeriod is the same while the process ends. Other clients then have finalAnswerTime of package node left.
-	endGracePeriod = 25 * time.Millisecond
+	shutdownGracePeriod = 25 * time.Millisecond
 )
 
 // beginShutdown makes connections evictable sooner, as the process is about to end all of them.
 func (s *clientRegistry) beginShutdown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.isEnding = true
+	s.isShuttingDown = true
 }
 
 // evict closes one connection, so that another client gets its descriptor: one that lingers and is not needed any more,
@@ -29,10 +29,10 @@
 // closeLingering closes one lingering connection that can be closed without loss. The caller holds s.mu.
 func (s *clientRegistry) closeLingering() bool {
 	for _, c := range s.connections {
-		if c.lingering == nil || !c.lingering.canStopLingering(s.isEnding) {
+		if c.lingering == nil || !c.lingering.canStopLingering(s.isShuttingDown) {
 			continue
 		}
-		if !c.isShut.Swap(true) {
+		if !c.closedByNode.Swap(true) {
 			c.lingering.stopLingering()
 			return true
 		}
@@ -49,21 +49,21 @@
 		if !s.isEvictable(c) || oldest != nil && !c.isEvictedBefore(oldest) {
 			continue
 		}
-		if s.canEvict(c, c.input.inputSince()) {
+		if s.canEvict(c, c.input.pendingInputSince()) {
 			oldest = c
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	oldest.closeIf(func(readAt time.Time) bool { return s.canEvict(oldest, readAt) })
+	oldest.closeIf(func(firstReadAt time.Time) bool { return s.canEvict(oldest, firstReadAt) })
 	return oldest.isClosed()
 }
 
 // gracePeriod is how long a connection may be silent or a request incomplete. The caller holds s.mu.
 func (s *clientRegistry) gracePeriod() time.Duration {
-	if s.isEnding {
-		return endGracePeriod
+	if s.isShuttingDown {
+		return shutdownGracePeriod
 	}
 	return newConnGracePeriod
 }
@@ -80,15 +80,15 @@
 // canEvict reports whether closing an idle connection loses no request and no answer. A request that is still incomplete
 // after the grace period may be lost, and so may an answer that its client has not received for as long as a closed
 // connection would linger. The caller holds s.mu.
-func (s *clientRegistry) canEvict(c *clientConn, readAt time.Time) bool {
-	readable, ended := c.pollSocket()
-	if readable && !ended {
+func (s *clientRegistry) canEvict(c *clientConn, firstReadAt time.Time) bool {
+	readable, peerClosed := c.pollSocket()
+	if readable && !peerClosed {
 		return false
 	}
-	if !ended && c.hasUndeliveredOutput(s.isEnding) && time.Since(c.idleSince) < maxLingerTime {
+	if !peerClosed && c.hasUndeliveredOutput(s.isShuttingDown) && time.Since(c.idleSince) < maxLingerTime {
 		return false
 	}
-	return readAt.IsZero() || time.Since(readAt) >= s.gracePeriod()
+	return firstReadAt.IsZero() || time.Since(firstReadAt) >= s.gracePeriod()
 }
 
 // isEvictedBefore orders connections for eviction: new ones first, then by the time they became idle.
--- a/internal/front/eviction_test.go
+++ b/internal/front/eviction_test.go
@@ -51,8 +51,8 @@
 
 // Guards against clients that wait in the listener's queue while a connection lingers whose client has its answer: it is
 // evicted, and its client sees a clean end.
-func TestEvictClosesLingeringConnectionOfReceivedAnswer(t *testing.T) {
-	client, server := connectBy(t, dialTCP)
+func TestEvictClosesLingeringConnectionAfterAnswerIsReceived(t *testing.T) {
+	client, server := connectWith(t, dialTCP)
 	io.WriteString(client, "GET /next")
 	testkit.Until(t, "the beginning of a request", func() bool { return hasUnread(server) })
 	c := newLingeringClient(t, client, server, 100)
@@ -68,8 +68,8 @@
 
 // Guards against the loss of an answer by eviction: a lingering connection whose client has not received all of it stays,
 // also while the process ends, and a request that the client sends behind it does no harm.
-func TestEvictSparesLingeringConnectionOfUnreceivedAnswer(t *testing.T) {
-	client, server := connectSmall(t)
+func TestEvictSparesLingeringConnectionUntilAnswerIsReceived(t *testing.T) {
+	client, server := connectWithSmallBuffers(t)
 	c := newLingeringClient(t, client, server, answerBytes)
 	if c.front.Evict() {
 		t.Error("evicted")
@@ -87,7 +87,7 @@
 }
 
 // Guards against descriptors that net/http keeps for its wait behind a request that it has not read completely.
-func TestEvictClosesConnectionBehindTooLongHead(t *testing.T) {
+func TestEvictClosesConnectionAfterTooLongHead(t *testing.T) {
 	_, f, _, stop := startFront(t, rejectRequest, nil, nil)
 	defer stop()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -110,13 +110,13 @@
 // Guards against the loss of an answer by eviction: an idle connection whose client has not received all of the last answer
 // stays while a closed one would linger, and a request that the client sends behind it does no harm. After that time it is
 // evicted, so that clients that never read keep no descriptor.
-func TestEvictSparesIdleConnectionOfUnreceivedAnswer(t *testing.T) {
+func TestEvictSparesIdleConnectionUntilAnswerIsReceived(t *testing.T) {
 	for name, idleFor := range map[string]time.Duration{"lately idle": 0, "idle for longer": maxLingerTime} {
 		t.Run(name, func(t *testing.T) {
 			_, f, _, stop := startFront(t, rejectRequest, nil, nil)
 			defer stop()
-			client, server := connectSmall(t)
-			writeAhead(t, server)
+			client, server := connectWithSmallBuffers(t)
+			writeToSendBuffer(t, server)
 			conn := &lingeringConn{Conn: server}
 			f.clients.register(t.Context(), conn)
 			f.clients.trackState(conn, http.StateActive)
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -30,11 +30,11 @@
 	once   sync.Once
 }
 
-func (m *pipeListener) Accept() (net.Conn, error) {
+func (l *pipeListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-m.conns:
+	case c := <-l.conns:
 		return c, nil
-	case <-m.closed:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
@@ -68,7 +68,7 @@
 func (fullLimiter) Admit(int64) (func(), bool) { return nil, false }
 
 // startFront runs a front over one service with a scripted module until stop is called.
-func startFront(t *testing.T, module scriptedModule, parts service.RequestLimiter, router *route.Router) (m *pipeListener, f *Front, s *service.Service, stop func()) {
+func startFront(t *testing.T, module scriptedModule, limiter service.RequestLimiter, router *route.Router) (listener *pipeListener, f *Front, s *service.Service, stop func()) {
 	t.Helper()
 	settings := control.Settings{
 		GroupSize: 1, MaxRetryAfter: time.Second, Plans: []control.Plan{{Name: "p"}},
@@ -78,19 +78,19 @@
 		},
 	}
 	s, err := service.New(service.Options{
-		Settings: settings, Limiter: parts, Upstream: upstream.Options{SocketLimiter: limits.NewSocketLimiter(100)},
+		Settings: settings, Limiter: limiter, Upstream: upstream.Options{SocketLimiter: limits.NewSocketLimiter(100)},
 		Source: discovery.Source{Kind: discovery.Static}, NewModule: func() (service.Module, error) { return module, nil },
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	m = &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
+	listener = &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 	f = New(&RoutingTable{Router: router, Targets: []Target{{Service: s, MaxBodyBytes: 1 << 16}}}, func() bool { return true })
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { _ = s.Run(ctx) }() // what the tests look at is what clients get
 	srv := f.Server()
-	go srv.Serve(m)
-	return m, f, s, func() { srv.Close(); cancel() }
+	go srv.Serve(listener)
+	return listener, f, s, func() { srv.Close(); cancel() }
 }
 
 const requestHeaders = "Host: h\r\nX-Correlation-Id: id-1\r\nX-Tariff: p\r\nX-Time-Left: 15000m\r\nIdempotency-Key: k\r\n"
@@ -218,15 +218,15 @@
 }
 
 // Finish flushes an answer that was given before the end of the body, and writes nothing if there was none.
-func TestGenericHTTPFinishFlushesOnlyGivenAnswers(t *testing.T) {
-	for _, given := range []bool{false, true} {
+func TestFinishFlushesOnlyWrittenAnswers(t *testing.T) {
+	for _, answerWritten := range []bool{false, true} {
 		w := httptest.NewRecorder()
-		x := &genericCall{writer: w, controller: http.NewResponseController(w), hasAnswer: given}
-		x.Forwarder = x
-		x.Body = retrybuffer.New(strings.NewReader("the rest"), 0, func() {})
-		(&GenericHTTP{}).Finish(&x.Exchange)
-		if w.Flushed != given {
-			t.Errorf("given %v: flushed %v", given, w.Flushed)
+		call := &genericCall{writer: w, controller: http.NewResponseController(w), hasAnswer: answerWritten}
+		call.Forwarder = call
+		call.Body = retrybuffer.New(strings.NewReader("the rest"), 0, func() {})
+		(&GenericHTTP{}).Finish(&call.Exchange)
+		if w.Flushed != answerWritten {
+			t.Errorf("given %v: flushed %v", answerWritten, w.Flushed)
 		}
 	}
 }
@@ -236,14 +236,14 @@
 	f.Add("480m", "units=2,spread=3,first=1")
 	f.Add("1e3u", "units=0x1p-2,first=2,=,,")
 	f.Add("-0m", "spread=1e0,units=1_0")
-	terms := &service.RequestRules{GroupSize: 3, MaxUnitsByPlan: map[string]float64{"": 4}}
-	f.Fuzz(func(t *testing.T, left, text string) {
-		if d, err := parseTimeLeft(left, time.Second); err == nil && (d < 0 || d > time.Second+timeLeftSlack) {
-			t.Errorf("%q: %v", left, d)
+	rules := &service.RequestRules{GroupSize: 3, MaxUnitsByPlan: map[string]float64{"": 4}}
+	f.Fuzz(func(t *testing.T, timeLeft, weight string) {
+		if d, err := parseTimeLeft(timeLeft, time.Second); err == nil && (d < 0 || d > time.Second+timeLeftTolerance) {
+			t.Errorf("%q: %v", timeLeft, d)
 		}
-		e := control.Request{Units: 1, FanOut: 1}
-		if parseWeight(terms, &e, text) == nil && !(e.Units > 0 && e.Units <= 4 && e.FanOut >= 1 && e.FanOut <= 3 && e.FirstGateway >= 0 && e.FirstGateway < 3) {
-			t.Errorf("%q: %+v", text, e)
+		got := control.Request{Units: 1, FanOut: 1}
+		if parseWeight(rules, &got, weight) == nil && !(got.Units > 0 && got.Units <= 4 && got.FanOut >= 1 && got.FanOut <= 3 && got.FirstGateway >= 0 && got.FirstGateway < 3) {
+			t.Errorf("%q: %+v", weight, got)
 		}
 	})
 }
--- a/internal/front/generic_answer.go
+++ b/internal/front/generic_answer.go
@@ -15,7 +15,7 @@
 	front *Front, w http.ResponseWriter, r *http.Request, exchange *service.Exchange, answer service.Answer,
 ) {
 	call := exchange.Forwarder.(*genericCall)
-	call.endInterim()
+	call.closeInterim()
 	call.hasAnswer = true
 	if answer.Stream != nil {
 		defer answer.Stream.Close()
--- a/internal/front/generic_call.go
+++ b/internal/front/generic_call.go
@@ -37,8 +37,8 @@
 	writer          http.ResponseWriter
 	hasAnswer       bool // writing of the final answer has started
 
-	mu      sync.Mutex // serializes interim responses, and orders them before the final answer
-	isFinal bool       // no more interim responses may be written
+	mu            sync.Mutex // serializes interim responses, and orders them before the final answer
+	interimClosed bool       // no more interim responses may be written
 }
 
 var _ upstream.InterimWriter = (*genericCall)(nil)
@@ -118,7 +118,7 @@
 func (c *genericCall) WriteInterim(status int, interim http.Header) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.isFinal {
+	if c.interimClosed {
 		return
 	}
 	header := c.writer.Header()
@@ -133,7 +133,7 @@
 // the answer before the client has read it.
 func (o *GenericHTTP) Finish(exchange *service.Exchange) {
 	call := exchange.Forwarder.(*genericCall)
-	call.endInterim()
+	call.closeInterim()
 	body := call.Body
 	if body == nil {
 		return
@@ -151,8 +151,8 @@
 }
 
 // endInterim ends the writing of interim responses.
-func (c *genericCall) endInterim() {
+func (c *genericCall) closeInterim() {
 	c.mu.Lock()
-	c.isFinal = true
+	c.interimClosed = true
 	c.mu.Unlock()
 }
--- a/internal/front/generic_http.go
+++ b/internal/front/generic_http.go
@@ -59,7 +59,7 @@
 // It is safe for concurrent use.
 type GenericHTTP struct {
 	GenericHTTPOptions
-	ids atomic.Uint64 // last request ID given to the service
+	lastID atomic.Uint64 // last request ID given to the service
 }
 
 // NewGenericHTTP returns the protocol of one service.
@@ -91,7 +91,7 @@
 		timeout = min(timeout, requested)
 	}
 	request := control.Request{
-		ID:      strconv.FormatUint(o.ids.Add(1), 36),
+		ID:      strconv.FormatUint(o.lastID.Add(1), 36),
 		Class:   class,
 		Units:   1,
 		FanOut:  target.Service.GroupSize,
@@ -99,7 +99,7 @@
 	}
 	request.Customer, request.Plan = o.Customers.Identify(r, arrived)
 	call := &genericCall{maxBodyBytes: target.MaxBodyBytes, idleTimeout: o.IdleTimeout}
-	o.setRelay(&call.RelayedRequest, r, target, timeout)
+	o.setRelayedRequest(&call.RelayedRequest, r, target, timeout)
 	call.Exchange = service.Exchange{Request: request, Forwarder: call, Deadline: arrived.Add(timeout)}
 	return &call.Exchange, nil
 }
@@ -113,7 +113,7 @@
 		return newBadRequest(http.StatusMethodNotAllowed, "%s is not served here", r.Method)
 	}
 	if target.MaxBodyBytes >= 0 && r.ContentLength > target.MaxBodyBytes {
-		return newBodyTooLong(target.MaxBodyBytes).closing()
+		return newBodyTooLong(target.MaxBodyBytes).withConnectionClose()
 	}
 	return checkExpect(r)
 }
@@ -143,7 +143,7 @@
 }
 
 // setRelay fills in what is forwarded of a request.
-func (o *GenericHTTP) setRelay(relay *upstream.RelayedRequest, r *http.Request, target *Target, timeout time.Duration) {
+func (o *GenericHTTP) setRelayedRequest(relay *upstream.RelayedRequest, r *http.Request, target *Target, timeout time.Duration) {
 	peer := hopheaders.Peer{Host: r.Host, Proto: "http"}
 	if address, err := netip.ParseAddrPort(r.RemoteAddr); err == nil {
 		peer.Addr = address.Addr()
--- a/internal/front/input_conn.go
+++ b/internal/front/input_conn.go
@@ -15,8 +15,8 @@
 // Read; the other methods are safe for concurrent use.
 type inputConn struct {
 	net.Conn
-	rawConn syscall.RawConn       // nil where there is no socket
-	attempt func(fd uintptr) bool // tryRead
+	rawConn     syscall.RawConn       // nil where there is no socket
+	tryReadFunc func(fd uintptr) bool // tryRead
 
 	// The call of Read in progress.
 	buffer []byte
@@ -24,7 +24,7 @@
 	err    error
 
 	mu                sync.Mutex // held while bytes go from the socket to the reader, and while closing is decided on
-	readAt            time.Time  // when bytes were first read since the connection became idle; zero is none
+	firstReadAt       time.Time  // when bytes were first read since the connection became idle; zero is none
 	nextRequestReadAt time.Time  // when a byte of the next request was read during the one before; zero is none
 	isIdle            bool       // no request has been reported since becameIdle
 	isClosed          bool       // nothing more is read
@@ -35,14 +35,14 @@
 const backgroundReadBytes = 1
 
 // withInput returns a connection that has an inputConn inside: conn itself where it has one.
-func withInput(conn net.Conn) net.Conn {
-	if connInside[*inputConn](conn) != nil {
+func withInputConn(conn net.Conn) net.Conn {
+	if findWrappedConn[*inputConn](conn) != nil {
 		return conn
 	}
 	c := &inputConn{Conn: conn}
 	if tcp := tcpConnOf(conn); tcp != nil {
 		c.rawConn, _ = tcp.SyscallConn()
-		c.attempt = c.tryRead
+		c.tryReadFunc = c.tryRead
 	}
 	return c
 }
@@ -57,7 +57,7 @@
 		n, err := c.Conn.Read(p)
 		if n > 0 {
 			c.mu.Lock()
-			c.noteInput(len(p))
+			c.recordInput(len(p))
 			c.mu.Unlock()
 		}
 		return n, err
@@ -65,7 +65,7 @@
 	c.buffer = p
 	c.count = 0
 	c.err = nil
-	err := c.rawConn.Read(c.attempt)
+	err := c.rawConn.Read(c.tryReadFunc)
 	c.buffer = nil
 	switch {
 	case err != nil: // a deadline, or the connection is closed
@@ -83,8 +83,8 @@
 func (c *inputConn) limitPartialRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.isIdle && !c.readAt.IsZero() {
-		c.SetReadDeadline(c.readAt.Add(requestReadTimeout))
+	if c.isIdle && !c.firstReadAt.IsZero() {
+		c.SetReadDeadline(c.firstReadAt.Add(requestReadTimeout))
 	}
 }
 
@@ -109,16 +109,16 @@
 		}
 		c.count = n
 		if n > 0 {
-			c.noteInput(len(c.buffer))
+			c.recordInput(len(c.buffer))
 		}
 		return true
 	}
 }
 
 // noteInput records that bytes were read into a buffer of some length. The caller holds mu.
-func (c *inputConn) noteInput(bufferBytes int) {
-	if c.readAt.IsZero() {
-		c.readAt = time.Now()
+func (c *inputConn) recordInput(bufferBytes int) {
+	if c.firstReadAt.IsZero() {
+		c.firstReadAt = time.Now()
 	}
 	if bufferBytes == backgroundReadBytes {
 		c.nextRequestReadAt = time.Now()
@@ -127,20 +127,20 @@
 
 // inputSince returns when bytes were first read of a request that has not been reported; zero for none. A nil inputConn
 // has read none.
-func (c *inputConn) inputSince() time.Time {
+func (c *inputConn) pendingInputSince() time.Time {
 	if c == nil {
 		return time.Time{}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.readAt
+	return c.firstReadAt
 }
 
 // becameIdle records that all that was read so far belongs to requests that have ended, but for a byte of the next one.
 func (c *inputConn) becameIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.readAt = c.nextRequestReadAt
+	c.firstReadAt = c.nextRequestReadAt
 	c.nextRequestReadAt = time.Time{}
 	c.isIdle = true
 }
@@ -155,9 +155,9 @@
 // closeUnlessRead closes the connection if mayClose allows it, and reads nothing from then on. mayClose gets the time at
 // which bytes were first read of a request that has not been reported; zero for none. closeConnection is called with no
 // lock held, as closing a socket waits for its reader.
-func (c *inputConn) closeUnlessRead(mayClose func(readAt time.Time) bool, closeConnection func()) {
+func (c *inputConn) closeIfAllowed(mayClose func(firstReadAt time.Time) bool, closeConnection func()) {
 	c.mu.Lock()
-	isClosing := !c.isClosed && mayClose(c.readAt)
+	isClosing := !c.isClosed && mayClose(c.firstReadAt)
 	c.isClosed = c.isClosed || isClosing
 	c.mu.Unlock()
 	if isClosing {
--- a/internal/front/lingering_conn.go
+++ b/internal/front/lingering_conn.go
@@ -33,7 +33,7 @@
 // client closes, the limits are reached or the connection is evicted. An idle connection is closed at once.
 func (c *lingeringConn) Close() error {
 	tcp := tcpConnOf(c.Conn)
-	mayLinger := tcp != nil && c.isBusy.Load() && !c.isReset()
+	mayLinger := tcp != nil && c.isBusy.Load() && !c.mustReset()
 	if mayLinger && (hasUnread(tcp) || hasUnacknowledged(tcp)) {
 		_ = c.closeSending(tcp)
 		_ = tcp.SetReadDeadline(time.Now().Add(maxLingerTime))
@@ -46,7 +46,7 @@
 // completely, waits, and then calls Close.
 func (c *lingeringConn) CloseWrite() error {
 	tcp := tcpConnOf(c.Conn)
-	if tcp == nil || c.isReset() {
+	if tcp == nil || c.mustReset() {
 		return nil
 	}
 	return c.closeSending(tcp)
@@ -56,7 +56,7 @@
 func (c *lingeringConn) closeSending(tcp *net.TCPConn) error {
 	err := tcp.CloseWrite()
 	c.isLingering.Store(true)
-	if limited := connInside[*limits.Conn](c.Conn); limited != nil {
+	if limited := findWrappedConn[*limits.Conn](c.Conn); limited != nil {
 		limited.NotifyEvictable()
 	}
 	return err
@@ -80,9 +80,9 @@
 }
 
 // isReset reports whether the close has to reset the connection.
-func (c *lingeringConn) isReset() bool {
+func (c *lingeringConn) mustReset() bool {
 	conn, ok := c.Conn.(*validatingConn)
-	return ok && conn.isReset.Load()
+	return ok && conn.mustReset.Load()
 }
 
 // ReadFrom implements io.ReaderFrom by that of the wrapped connection, if it has one.
@@ -152,5 +152,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return &lingeringConn{Conn: withInput(conn)}, nil
+	return &lingeringConn{Conn: withInputConn(conn)}, nil
 }
--- a/internal/front/platform.go
+++ b/internal/front/platform.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	maxIDBytes    = 128                   // limit of a request ID
-	timeLeftSlack = 50 * time.Millisecond // by which a client's time left may exceed its class's deadline
-	customerCount = 1 << 33               // customer numbers are below it
+	maxIDBytes          = 128                   // limit of a request ID
+	timeLeftTolerance   = 50 * time.Millisecond // by which a client's time left may exceed its class's deadline
+	customerNumberLimit = 1 << 33               // customer numbers are below it
 )
 
 // platformProtocol is the Protocol of the platform (PROTOCOL): the query and headers name customer, plan
@@ -34,7 +34,7 @@
 ) (*service.Exchange, *BadRequest) {
 	rules := &target.Service.RequestRules
 	if badRequest := checkFraming(r, target.MaxBodyBytes); badRequest != nil {
-		return nil, badRequest.closing()
+		return nil, badRequest.withConnectionClose()
 	}
 	if badRequest := checkSingleValues(r.Header); badRequest != nil {
 		return nil, badRequest
@@ -109,7 +109,7 @@
 	startedAt := time.Now()
 	body := make([]byte, r.ContentLength)
 	if _, err := io.ReadFull(r.Body, body); err != nil {
-		return newBadRequest(http.StatusBadRequest, "reading the body: %v", err).closing()
+		return newBadRequest(http.StatusBadRequest, "reading the body: %v", err).withConnectionClose()
 	}
 	exchange.Forwarder.(*upstream.BufferedRequest).Body = body
 	exchange.Deadline = exchange.Deadline.Add(time.Since(startedAt))
@@ -152,7 +152,7 @@
 // isCustomerNumber reports whether s is a customer's number: 16 hexadecimal digits below customerCount.
 func isCustomerNumber(s string) bool {
 	n, err := strconv.ParseUint(s, 16, 64)
-	return err == nil && len(s) == 16 && n < customerCount
+	return err == nil && len(s) == 16 && n < customerNumberLimit
 }
 
 // singleValueHeaders are the headers of the protocol that may be given only once.
@@ -230,7 +230,7 @@
 	}
 	value, err := protocol.ParseNumber(number)
 	timeLeft := value * float64(unit)
-	isInRange := timeLeft > 0 && timeLeft <= float64(maxTimeLeft+timeLeftSlack)
+	isInRange := timeLeft > 0 && timeLeft <= float64(maxTimeLeft+timeLeftTolerance)
 	if !ok || err != nil || !isInRange {
 		return 0, fmt.Errorf("%q is no time", text)
 	}
@@ -247,7 +247,7 @@
 	if text == "" {
 		return nil
 	}
-	isGiven := make(map[string]bool, maxWeightNames)
+	seen := make(map[string]bool, maxWeightNames)
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		number, err := protocol.ParseNumber(value)
@@ -264,10 +264,10 @@
 			isValid = isInteger && number >= 0 && number < float64(rules.GroupSize)
 			request.FirstGateway = int(number)
 		}
-		if isGiven[name] || !isValid {
+		if seen[name] || !isValid {
 			return fmt.Errorf("%s: %q", name, value)
 		}
-		isGiven[name] = true
+		seen[name] = true
 	}
 	return nil
 }
--- a/internal/front/read_close_race_test.go
+++ b/internal/front/read_close_race_test.go
@@ -13,23 +13,23 @@
 
 // heldReadListener accepts connections with a lingering close whose bytes, once read from the socket, reach net/http
 // only when released.
-type heldReadListener struct {
+type delayedReadListener struct {
 	net.Listener
 	wasRead chan struct{} // has a value once a held read has bytes
 	release chan struct{} // closed to let them through
 }
 
-func (l heldReadListener) Accept() (net.Conn, error) {
+func (l delayedReadListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
-	return &heldReadConn{conn, l}, err
+	return &delayedReadConn{conn, l}, err
 }
 
-type heldReadConn struct {
+type delayedReadConn struct {
 	net.Conn
-	listener heldReadListener
+	listener delayedReadListener
 }
 
-func (c *heldReadConn) Read(p []byte) (int, error) {
+func (c *delayedReadConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
 		select {
@@ -41,11 +41,11 @@
 	return n, err
 }
 
-func (c *heldReadConn) NetConn() net.Conn { return c.Conn }
+func (c *delayedReadConn) NetConn() net.Conn { return c.Conn }
 
 // A connection is not closed, by a drain or an eviction, once a request was read from its socket, also before net/http
 // knows of it: the request gets its answer.
-func TestConnectionIsNotClosedBehindReadRequest(t *testing.T) {
+func TestConnectionStaysOpenAfterRequestWasRead(t *testing.T) {
 	for name, closeConnections := range map[string]func(*Front){
 		"drain":    func(f *Front) { f.Drain(); f.CloseWhenIdle() },
 		"eviction": func(f *Front) { f.Evict() },
@@ -57,7 +57,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			listener := heldReadListener{LingeringListener(socket), make(chan struct{}, 1), make(chan struct{})}
+			listener := delayedReadListener{LingeringListener(socket), make(chan struct{}, 1), make(chan struct{})}
 			server := f.Server()
 			go server.Serve(listener)
 			defer server.Close()
--- a/internal/front/scatter_gather.go
+++ b/internal/front/scatter_gather.go
@@ -86,17 +86,17 @@
 		return badRequest
 	}
 	switch {
-	case !allowsScatter(r.Method, routeClass):
+	case !isScatterAllowed(r.Method, routeClass):
 		return newBadRequest(http.StatusMethodNotAllowed, "%s is not served here", r.Method)
 	case r.ContentLength > g.MaxBodyBytes:
-		return newBodyTooLong(g.MaxBodyBytes).closing()
+		return newBodyTooLong(g.MaxBodyBytes).withConnectionClose()
 	}
 	return checkExpect(r)
 }
 
 // allowsScatter reports whether a request of a method can be sent to several services. Without a class of the route it
 // has to be GET or HEAD.
-func allowsScatter(method, routeClass string) bool {
+func isScatterAllowed(method, routeClass string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead:
 		return true
@@ -262,7 +262,7 @@
 	case err != nil:
 		return nil, newBodyReadError(err)
 	case int64(len(body)) > g.MaxBodyBytes:
-		return nil, newBodyTooLong(g.MaxBodyBytes).closing()
+		return nil, newBodyTooLong(g.MaxBodyBytes).withConnectionClose()
 	}
 	_ = controller.SetReadDeadline(time.Time{})
 	return body, nil
--- a/internal/front/unacknowledged_answer_test.go
+++ b/internal/front/unacknowledged_answer_test.go
@@ -15,8 +15,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// dialSmall connects a client whose segments and buffer are small: most of a long answer stays on the server's side.
-func dialSmall(t *testing.T, address string) net.Conn {
+// dialWithSmallBuffers connects a client whose segments and buffer are small: most of a long answer stays on the server's side.
+func dialWithSmallBuffers(t *testing.T, address string) net.Conn {
 	t.Helper()
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
@@ -33,14 +33,14 @@
 	return client
 }
 
-// connectSmall returns both ends of a connection made by dialSmall.
-func connectSmall(t *testing.T) (client net.Conn, server *net.TCPConn) {
+// connectWithSmallBuffers returns both ends of a connection made by dialWithSmallBuffers.
+func connectWithSmallBuffers(t *testing.T) (client net.Conn, server *net.TCPConn) {
 	t.Helper()
-	return connectBy(t, dialSmall)
+	return connectWith(t, dialWithSmallBuffers)
 }
 
-// connectBy returns both ends of a connection.
-func connectBy(t *testing.T, dial func(t *testing.T, address string) net.Conn) (client net.Conn, server *net.TCPConn) {
+// connectWith returns both ends of a connection.
+func connectWith(t *testing.T, dial func(t *testing.T, address string) net.Conn) (client net.Conn, server *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -58,8 +58,8 @@
 
 const answerBytes = 32 << 10
 
-// writeAhead writes an answer that fits in the server's send buffer.
-func writeAhead(t *testing.T, server *net.TCPConn) {
+// writeToSendBuffer writes an answer that fits in the server's send buffer.
+func writeToSendBuffer(t *testing.T, server *net.TCPConn) {
 	t.Helper()
 	server.SetWriteBuffer(1 << 20)
 	server.SetWriteDeadline(time.Now().Add(testkit.WaitTimeout))
@@ -87,12 +87,12 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	client := dialSmall(t, listener.Addr().String())
+	client := dialWithSmallBuffers(t, listener.Addr().String())
 	conn, err := LingeringListener(listener).Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	writeAhead(t, tcpConnOf(conn))
+	writeToSendBuffer(t, tcpConnOf(conn))
 	conn.(*lingeringConn).isBusy.Store(true)
 	raw, err := tcpConnOf(conn).SyscallConn()
 	if err != nil {
@@ -116,8 +116,8 @@
 		t.Run(name, func(t *testing.T) {
 			_, f, _, stop := startFront(t, rejectRequest, nil, nil)
 			defer stop()
-			client, server := connectSmall(t)
-			writeAhead(t, server)
+			client, server := connectWithSmallBuffers(t)
+			writeToSendBuffer(t, server)
 			conn := &lingeringConn{Conn: server}
 			f.clients.register(t.Context(), conn)
 			f.clients.trackState(conn, http.StateActive)
--- a/internal/front/validating_conn.go
+++ b/internal/front/validating_conn.go
@@ -13,9 +13,9 @@
 // repairs messages that another HTTP parser could read differently, which enables request smuggling.
 type validatingConn struct {
 	net.Conn
-	scanner  validation.Scanner    // used by Read only
-	firstErr atomic.Pointer[error] // of the scanner; nil for none
-	isReset  atomic.Bool           // resetOnClose was called
+	scanner   validation.Scanner    // used by Read only
+	firstErr  atomic.Pointer[error] // of the scanner; nil for none
+	mustReset atomic.Bool           // resetOnClose was called
 }
 
 // Read implements net.Conn. Only one goroutine of net/http calls it at a time.
@@ -40,21 +40,21 @@
 }
 
 // connInside returns the connection of a type that is conn or is wrapped by it; the type's zero value if there is none.
-func connInside[T net.Conn](conn net.Conn) (none T) {
+func findWrappedConn[T net.Conn](conn net.Conn) (zero T) {
 	for {
 		if found, ok := conn.(T); ok {
 			return found
 		}
 		wrapper, ok := conn.(interface{ NetConn() net.Conn })
 		if !ok {
-			return none
+			return zero
 		}
 		conn = wrapper.NetConn()
 	}
 }
 
 // tcpConnOf returns the TCP connection inside conn; nil if there is none.
-func tcpConnOf(conn net.Conn) *net.TCPConn { return connInside[*net.TCPConn](conn) }
+func tcpConnOf(conn net.Conn) *net.TCPConn { return findWrappedConn[*net.TCPConn](conn) }
 
 // NetConn returns the wrapped connection.
 func (c *validatingConn) NetConn() net.Conn { return c.Conn }
@@ -71,7 +71,7 @@
 // resetOnClose makes Close reset the connection, so that a client that takes the end of the connection
 // for the end of the answer sees that the answer is incomplete.
 func (c *validatingConn) resetOnClose() {
-	c.isReset.Store(true)
+	c.mustReset.Store(true)
 	if tcp := tcpConnOf(c.Conn); tcp != nil {
 		_ = tcp.SetLinger(0)
 	}
@@ -90,7 +90,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &validatingConn{Conn: withInput(conn)}, nil
+	return &validatingConn{Conn: withInputConn(conn)}, nil
 }
 
 // validatingConnOf returns the connection of a request; nil if it is not scanned.
--- a/internal/retrybuffer/retrybuffer_test.go
+++ b/internal/retrybuffer/retrybuffer_test.go
@@ -55,7 +55,7 @@
 }
 
 // If an attempt ends while it waits for the client, the bytes of its read go to the next one.
-func TestAbandonedReadIsLeftToNextReader(t *testing.T) {
+func TestBytesReadByReplacedReaderGoToNextReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		in, out := io.Pipe()
 		b := New(in, 4, nil)
--- a/internal/socketpoll/socketpoll_test.go
+++ b/internal/socketpoll/socketpoll_test.go
@@ -6,7 +6,7 @@
 )
 
 // pair returns the two ends of a connection.
-func pair(t *testing.T) (here, there *net.TCPConn) {
+func tcpPair(t *testing.T) (local, peer *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -42,17 +42,17 @@
 }
 
 func TestPoll(t *testing.T) {
-	here, there := pair(t)
-	awaitState(t, here, State{})
-	there.Write([]byte("x"))
-	awaitState(t, here, State{IsReadable: true})
-	there.CloseWrite()
-	awaitState(t, here, State{IsReadable: true, IsHalfShut: true})
-	here.Close()
-	awaitState(t, here, State{})
+	local, peer := tcpPair(t)
+	awaitState(t, local, State{})
+	peer.Write([]byte("x"))
+	awaitState(t, local, State{IsReadable: true})
+	peer.CloseWrite()
+	awaitState(t, local, State{IsReadable: true, IsHalfShut: true})
+	local.Close()
+	awaitState(t, local, State{})
 
-	here, there = pair(t)
-	there.SetLinger(0)
-	there.Close()
-	awaitState(t, here, State{IsReadable: true, IsHalfShut: true, IsBroken: true})
+	local, peer = tcpPair(t)
+	peer.SetLinger(0)
+	peer.Close()
+	awaitState(t, local, State{IsReadable: true, IsHalfShut: true, IsBroken: true})
 }
