--- a/internal/front/answer_stream.go
+++ b/internal/front/answer_stream.go
@@ -11,12 +11,12 @@
 	"lockflow/internal/upstream"
 )
 
-// maxUnsentBytes is how much of an answer of known length is read before its head is written. net/http
-// would buffer about as much anyway.
+// maxUnsentBytes is how many bytes of an answer of known length are read before its head is written.
+// net/http would buffer about as many anyway.
 const maxUnsentBytes = 4 << 10
 
-// minDirectBytes is the length from which an answer is copied from socket to socket. For shorter ones
-// the setup costs more than it saves.
+// minDirectBytes is the length above which an answer is copied directly from socket to socket. For
+// shorter answers the setup costs more than it saves.
 const minDirectBytes = 256 << 10
 
 var errClientDisconnected = errors.New("the client takes no more of the answer")
@@ -28,11 +28,11 @@
 	controller  *http.ResponseController
 	buffer      []byte
 	idleTimeout time.Duration
-	rate        rateGuard // of the client
+	rate        rateGuard // enforces the client's minimum read rate
 }
 
-// streamAnswer writes an answer to the client while its body arrives. It panics with
-// http.ErrAbortHandler if the answer breaks off.
+// streamAnswer writes an answer to the client while its body arrives from the server. It panics with
+// http.ErrAbortHandler if the answer is truncated.
 func (o *GenericHTTP) streamAnswer(front *Front, w http.ResponseWriter, r *http.Request, answer service.Answer) {
 	buffer := upstream.BodyBuffers.Get().(*[]byte)
 	defer upstream.BodyBuffers.Put(buffer)
@@ -63,8 +63,8 @@
 // hasLength reports whether the length of the answer is known in advance.
 func (s *answerStream) hasLength() bool { return s.source.ContentLength >= 0 }
 
-// bufferBeginning fills the buffer with the beginning of an answer of known length, so that one that breaks
-// off there can still be answered with an error status.
+// bufferPrefix reads up to maxUnsentBytes of an answer of known length into the buffer. If the server
+// fails within them, the client can still get an error status.
 func (s *answerStream) bufferPrefix() (buffered int, err error) {
 	if !s.hasLength() {
 		return 0, nil
@@ -77,7 +77,7 @@
 	return buffered, err
 }
 
-// writeBadGateway answers instead of a server whose answer broke off before any of it was written.
+// writeBadGateway writes a 502 in place of an answer that was truncated before any of it was written.
 func (s *answerStream) writeBadGateway(front *Front, r *http.Request) {
 	header := s.writer.Header()
 	connection := header["Connection"]
@@ -108,9 +108,9 @@
 	return trailerNames
 }
 
-// copyBody copies the body. The buffer holds its first bytes, and readErr is the error with which
-// reading them ended. It returns errClientGone if the client accepts no more, and any other error if
-// the rest of the body will not arrive or the client is too slow.
+// copyBody copies the body to the client. The buffer holds the first buffered bytes of the body, and
+// readErr is the error with which reading them ended. It returns errClientDisconnected if a write to
+// the client fails, and another error if the rest of the body cannot be read or the client is too slow.
 func (s *answerStream) copyBody(buffered int, readErr error) error {
 	direct, _ := s.writer.(io.ReaderFrom)
 	n := buffered
@@ -123,7 +123,7 @@
 			if !s.write(s.buffer[:n]) {
 				return errClientDisconnected
 			}
-			// If the server has more ready, it is the client that is slow.
+			// If more bytes from the server are already buffered, the client is the slow side.
 			if rateErr := s.rate.record(time.Now(), n); rateErr != nil && s.source.HasBuffered() {
 				err = rateErr
 			}
@@ -141,8 +141,8 @@
 	}
 }
 
-// write writes a part of the body, and flushes it if no more is ready. It returns false if the client
-// has gone.
+// write writes a part of the body. If the length of the body is unknown and no more of it is buffered, it
+// also flushes. It returns false if the client has disconnected.
 func (s *answerStream) write(p []byte) bool {
 	s.extendWriteDeadline()
 	if _, err := s.writer.Write(p); err != nil {
@@ -155,7 +155,7 @@
 }
 
 // copyDirect copies the rest of the body from socket to socket. It returns io.EOF if it has copied all
-// of it, and nil if that is not possible, or not yet.
+// of it, and nil if a direct copy is not possible, or not possible yet.
 func (s *answerStream) copyDirect(destination io.ReaderFrom) error {
 	recordBytes := func(n int64) error { return s.rate.record(time.Now(), int(n)) }
 	err := s.source.CopyTo(destination, s.extendWriteDeadline, recordBytes)
@@ -168,7 +168,7 @@
 	return err
 }
 
-// extendWriteDeadline bounds the next write: a client that reads nothing must not block it forever.
+// extendWriteDeadline limits the next write, so that a client that reads nothing does not block it forever.
 func (s *answerStream) extendWriteDeadline() {
 	_ = s.controller.SetWriteDeadline(time.Now().Add(s.idleTimeout))
 }
@@ -186,13 +186,13 @@
 	}
 }
 
-// abort closes the client's connection in the middle of an answer. It does not return.
+// abort closes the client's connection in the middle of an answer. It panics with http.ErrAbortHandler.
 func (s *answerStream) abort(r *http.Request) {
 	// In HTTP/1.0 the end of the connection is the end of the answer, so only a reset shows that the
 	// answer is incomplete.
 	if conn := validatingConnOf(r); conn != nil && !s.hasLength() && !r.ProtoAtLeast(1, 1) {
 		conn.resetOnClose()
 	}
-	s.source.Close() // first, because net/http may wait while it unwinds the handler
+	s.source.Close() // before the panic, because net/http may wait while it unwinds the handler
 	panic(http.ErrAbortHandler)
 }
--- a/internal/front/background_read_test.go
+++ b/internal/front/background_read_test.go
@@ -12,8 +12,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// Guards against the close of a connection behind the first byte of a request: net/http reads one byte while it handles the
-// request before, to notice a client that leaves. That byte is input of the next request, which gets its answer.
+// Guards against closing a connection after the first byte of a request was read: while net/http handles a request, it
+// reads one byte in the background to detect a disconnect. That byte belongs to the next request, which must be answered.
 func TestConnectionStaysOpenAfterBackgroundReadOfNextRequest(t *testing.T) {
 	for name, closeConnections := range map[string]func(*Front){
 		"drain":    (*Front).CloseWhenIdle,
@@ -33,7 +33,7 @@
 				t.Fatal(err)
 			}
 			listener := delayedReadListener{LingeringListener(socket), make(chan struct{}, 1), make(chan struct{})}
-			close(listener.release) // nothing is held
+			close(listener.release) // no read is delayed
 			server := f.Server()
 			go server.Serve(listener)
 			defer server.Close()
@@ -43,7 +43,7 @@
 			testkit.Next(t, isHandled)
 			testkit.Next(t, listener.wasRead)
 			io.WriteString(client, completeRequest[:1])
-			testkit.Next(t, listener.wasRead) // in the background
+			testkit.Next(t, listener.wasRead) // by the background read
 			answer <- struct{}{}
 			if resp, err := http.ReadResponse(in, nil); err != nil || resp.Close {
 				t.Fatalf("%v, %v", resp, err)
--- a/internal/front/bad_request.go
+++ b/internal/front/bad_request.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// BadRequest is a request that cannot be served because of a mistake of its client.
+// BadRequest describes why a request is invalid and how it is answered.
 type BadRequest struct {
 	status          int
-	text            string // explains the mistake to the client
+	text            string // explains the error to the client
 	closeConnection bool   // the end of the request is unknown, so the connection cannot be reused
 }
 
@@ -19,7 +19,7 @@
 	return &BadRequest{status: status, text: fmt.Sprintf(format, args...)}
 }
 
-// closing marks the connection as not reusable after the answer.
+// withConnectionClose marks the connection as not reusable after the answer.
 func (b *BadRequest) withConnectionClose() *BadRequest {
 	b.closeConnection = true
 	return b
@@ -29,7 +29,7 @@
 	return newBadRequest(http.StatusRequestEntityTooLarge, "a body of more than %d bytes", maxBytes)
 }
 
-// newBodyReadError reports that the body of a request could not be read to its end.
+// newBodyReadError returns the BadRequest for a body that could not be read completely.
 func newBodyReadError(err error) *BadRequest {
 	status := http.StatusBadRequest
 	if isTimeout(err) || errors.Is(err, errBelowMinRate) {
@@ -38,7 +38,7 @@
 	return newBadRequest(status, "reading the body: %v", err).withConnectionClose()
 }
 
-// checkMessage rejects a request whose bytes on the connection were not valid HTTP/1.1.
+// checkMessage rejects a request on a connection whose bytes were not valid HTTP/1.1.
 func checkMessage(r *http.Request) *BadRequest {
 	conn := validatingConnOf(r)
 	if conn == nil {
--- a/internal/front/client_conn.go
+++ b/internal/front/client_conn.go
@@ -15,16 +15,16 @@
 
 // clientConn is the connection of one client.
 type clientConn struct {
-	conn         net.Conn        // inside the lingeringConn that net/http has, if that is used
-	lingering    *lingeringConn  // around conn; nil if it is not used
+	conn         net.Conn        // the connection that net/http uses, without its lingeringConn if it has one
+	lingering    *lingeringConn  // the wrapper around conn; nil if there is none
 	rawConn      syscall.RawConn // the socket; nil if there is none
-	input        *inputConn      // inside conn; nil if there is none
+	input        *inputConn      // the inputConn wrapped by conn; nil if there is none
 	idleSince    time.Time       // zero while a request is open; guarded by clientRegistry.mu
 	isNew        bool            // no complete head has been received yet; guarded by clientRegistry.mu
-	closedByNode atomic.Bool     // the node has closed the connection: no more requests are started on it
+	closedByNode atomic.Bool     // the node has closed the connection, so no more requests are started on it
 
-	// When the connection was accepted, and the time before in which it may have waited for that; used for its first
-	// request only, by the goroutine that serves the connection.
+	// acceptedAt is when the connection was accepted, and queued the period before in which it may have waited in the
+	// listener's queue. They are used for the first request only, by the goroutine that serves the connection.
 	acceptedAt time.Time
 	queued     accept.Period
 }
@@ -33,14 +33,14 @@
 func (c *clientConn) isClosed() bool { return c != nil && c.closedByNode.Load() }
 
 // IsWaiting reports whether the client has not closed its side of the connection. It polls the socket,
-// because net/http reads at most one byte after a request and misses a close that follows pipelined
-// requests. Without a socket the client is assumed to be there.
+// because net/http reads at most one byte after a request and therefore misses a close that follows
+// pipelined requests. Without a socket the client is assumed to be connected.
 func (c *clientConn) IsWaiting() bool {
 	_, peerClosed := c.pollSocket()
 	return !peerClosed
 }
 
-// pollSocket reports whether the socket has bytes to read, and whether the client has closed its side.
+// pollSocket reports whether the socket is readable, and whether the client has closed its side of the connection.
 func (c *clientConn) pollSocket() (readable, peerClosed bool) {
 	if c.rawConn == nil {
 		return false, false
@@ -49,16 +49,16 @@
 	return state.IsReadable, state.IsHalfShut || state.IsBroken
 }
 
-// maxUnreadBytes is how much a client that sends one request at a time may have sent behind it. It is
-// less than the usual receive buffer of a socket.
+// maxUnreadBytes limits how much unread input a client that must send one request at a time may have
+// sent after its request. It is less than the usual receive buffer of a socket.
 const maxUnreadBytes = 32 << 10
 
-// sequentialClient is a client that has sent a complete request and whose protocol forbids to send
-// another one before the answer. A client that fills the receive buffer and then closes cannot be
-// seen to close, so a client with much unread input is assumed to have left.
+// sequentialClient is a client that has sent a complete request and whose protocol forbids sending
+// another one before the answer. If a client fills the receive buffer and then closes, the node cannot
+// detect the close, so a client with maxUnreadBytes of unread input is assumed to have disconnected.
 type sequentialClient struct{ *clientConn }
 
-// IsWaiting reports whether the client is connected and has not sent so much that a close would be hidden.
+// IsWaiting reports whether the client is connected and has sent so little that a close would be detected.
 func (c sequentialClient) IsWaiting() bool {
 	readable, peerClosed := c.pollSocket()
 	unreadBytes := 0
@@ -68,8 +68,9 @@
 	return !peerClosed && unreadBytes < maxUnreadBytes
 }
 
-// arrivalOf returns when a request arrived that was read now. The first one of a connection that could not be accepted
-// at once may have waited in the socket's queue: its client's time counts from the arrival of its last byte.
+// arrivalOf returns the arrival time of a request whose head has just been read. The first request of a connection that
+// could not be accepted at once may have waited in the listener's queue; its deadline counts from the arrival of its
+// last byte.
 func (c *clientConn) arrivalOf(now time.Time) time.Time {
 	queued := c.queued
 	c.queued = accept.Period{}
@@ -89,8 +90,8 @@
 	return lastByteAt
 }
 
-// lastReceivedAt returns when the client's last byte arrived; before the first one, when the connection came up. It is
-// false where the system does not tell.
+// lastReceivedAt returns when the client's last byte arrived, or when the connection was established if none has
+// arrived. It returns false if the kernel does not report the time.
 func (c *clientConn) lastReceivedAt(now time.Time) (time.Time, bool) {
 	if c.rawConn == nil {
 		return time.Time{}, false
@@ -104,8 +105,9 @@
 	return now.Add(-time.Duration(info.Last_data_recv) * time.Millisecond), true
 }
 
-// silentSince returns since when a connection that was accepted now has sent nothing: one that may have waited in the
-// socket's queue, since it came up.
+// silentSince returns the time since which a connection that was accepted now has sent nothing. For a connection that
+// may have waited in the listener's queue, it is the time of the last received byte, or of the connection's
+// establishment.
 func (c *clientConn) silentSince(now time.Time) time.Time {
 	if c.queued.From.IsZero() {
 		return now
@@ -116,8 +118,9 @@
 	return now
 }
 
-// closeIf closes an idle connection if mayClose allows it. That gets the time at which bytes were first read of a request
-// that net/http has not reported; zero for none. The caller holds clientRegistry.mu.
+// closeIf closes an idle connection if mayClose returns true. The argument of mayClose is the time at which the first
+// bytes were read of a request that net/http has not reported yet; zero if there is none. The caller holds
+// clientRegistry.mu.
 func (c *clientConn) closeIf(mayClose func(firstReadAt time.Time) bool) {
 	if c.input != nil {
 		c.input.closeIfAllowed(mayClose, c.close)
@@ -126,29 +129,29 @@
 	}
 }
 
-// canCloseCleanly reports whether closing an idle connection loses nothing: neither a request that has
-// arrived, was read or is about to be, nor a part of the last answer that is still on its way.
+// canCloseWithoutLoss reports whether closing an idle connection loses neither a request, whether it has
+// been read or only received, nor a part of the last answer that the client has not acknowledged.
 func (c *clientConn) canCloseWithoutLoss(firstReadAt time.Time) bool {
 	return firstReadAt.IsZero() && !c.hasUnreadInput() && !c.hasUnacknowledgedOutput()
 }
 
-// hasUnreadInput reports whether an idle connection has input, or the client's close, that is about to
-// be read. Closing the socket then would reset the connection and drop what the client has not yet
-// read of the answer before.
+// hasUnreadInput reports whether an idle connection has unread input, or an unread close by the client.
+// Closing the socket in that state would reset the connection and drop the part of the last answer that
+// the client has not read yet.
 func (c *clientConn) hasUnreadInput() bool {
 	tcp := tcpConnOf(c.conn)
 	return tcp != nil && hasUnread(tcp)
 }
 
-// hasUnacknowledgedOutput reports whether a part of the last answer is still on its way to the client.
-// A request that arrives after a close would reset the connection and drop that part.
+// hasUnacknowledgedOutput reports whether the client has not acknowledged all of the last answer. A
+// request that arrives after a close would reset the connection and drop the unacknowledged part.
 func (c *clientConn) hasUnacknowledgedOutput() bool {
 	tcp := tcpConnOf(c.conn)
 	return tcp != nil && hasUnacknowledged(tcp)
 }
 
-// hasUndeliveredOutput is hasUnacknowledgedOutput or, if onlyUnsent is set, reports whether a part of the last answer has
-// not been sent to the client yet.
+// hasUndeliveredOutput reports whether a part of the last answer has not been sent to the client yet or, unless onlyUnsent
+// is set, has not been acknowledged by it.
 func (c *clientConn) hasUndeliveredOutput(onlyUnsent bool) bool {
 	if !onlyUnsent {
 		return c.hasUnacknowledgedOutput()
--- a/internal/front/client_departure_test.go
+++ b/internal/front/client_departure_test.go
@@ -22,12 +22,12 @@
 	"lockflow/internal/upstream"
 )
 
-// disconnects are the ways in which a client ends its connection, or fills it without doing so.
+// disconnects lists the ways in which a client closes its connection, or fills the receive buffer without closing.
 var disconnects = []struct {
 	name   string
 	apply  func(*net.TCPConn)
-	floods bool // the client's close cannot be seen behind what it has sent
-	stays  bool // the client waits for an answer
+	floods bool // the client's unread input hides its close
+	stays  bool // the client stays connected and waits for an answer
 }{
 	{name: "closes", apply: func(c *net.TCPConn) { c.Close() }},
 	{name: "half-closes", apply: func(c *net.TCPConn) { c.CloseWrite() }},
@@ -37,9 +37,9 @@
 	{name: "floods and stays", apply: flood, floods: true, stays: true},
 }
 
-// A client sends two requests, the first of which is longer than what net/http reads ahead, and leaves while
-// the first is queued. Neither request may be forwarded, although net/http sees no more than the first byte
-// of the second. The same holds for a client that has filled the receive buffer, which hides its close.
+// A client sends two requests, the first of which is longer than the read buffer of net/http, and disconnects
+// while the first is queued. Neither request may be forwarded, although net/http reads only the first byte of
+// the second. The same holds for a client that has filled the receive buffer, which hides its close.
 func TestRequestsOfDisconnectedPipeliningClientAreNotForwarded(t *testing.T) {
 	for _, class := range []control.Class{
 		{Idempotency: control.Idempotent},
@@ -49,7 +49,7 @@
 		for _, disconnect := range disconnects {
 			t.Run(fmt.Sprint(disconnect.name, " effect ", class.Idempotency), func(t *testing.T) {
 				node := startTestNode(t, class)
-				first := []net.Conn{node.send("f0"), node.send("f1")} // the plan's whole in-flight quota
+				first := []net.Conn{node.send("f0"), node.send("f1")} // use up the plan's in-flight quota
 				testkit.Until(t, "two at the server", func() bool { return node.app.Count() == 2 })
 				client := node.send("left", "behind")
 				testkit.Until(t, "its place in the queue", func() bool { return node.service.Status().Requests == 3 })
@@ -78,8 +78,8 @@
 	}
 }
 
-// departureNode is a front over a service with two places in flight and one server, which answers the
-// requests whose IDs begin with "f" once its gate is open.
+// testNode is a front with a service that has an in-flight quota of two and one server. The server answers
+// requests whose IDs begin with "f" only after openGate is called.
 type testNode struct {
 	t        *testing.T
 	class    control.Class
@@ -100,7 +100,7 @@
 		}
 		io.WriteString(w, "ok")
 	})
-	t.Cleanup(n.openGate) // before the server's shutdown, which waits for its handlers
+	t.Cleanup(n.openGate) // runs before the shutdown of the server, which waits for its handlers
 	class.Name, class.LatencyObjective, class.Deadline, class.PriorityWeight = "job", time.Minute, time.Minute, 1
 	n.class = class
 	n.startService()
@@ -154,7 +154,7 @@
 	n.t.Cleanup(func() { server.Close(); stop() })
 }
 
-// send sends requests with the IDs on a new connection.
+// send sends one request for each ID on a new connection.
 func (n *testNode) send(ids ...string) *net.TCPConn {
 	n.t.Helper()
 	conn, err := net.Dial("tcp", n.address)
@@ -172,7 +172,7 @@
 	return conn.(*net.TCPConn)
 }
 
-// request is a request of 9000 bytes and more: in its body, or in a header if its class has no bodies.
+// request returns a request with a body of 9000 bytes, or with a header of that size if the node's class allows no body.
 func (n *testNode) request(id string) string {
 	long := strings.Repeat("x", 9000)
 	if n.class.Idempotency == control.Idempotent {
@@ -183,7 +183,7 @@
 		id, protocol.HeaderID, id, protocol.HeaderPlan, protocol.HeaderTimeLeft, protocol.HeaderIdempotencyKey, id, long)
 }
 
-// connectedClients counts the clients that the front takes to be there.
+// waitingClients returns the number of clients that the front considers connected.
 func (n *testNode) waitingClients() int {
 	n.front.clients.mu.Lock()
 	defer n.front.clients.mu.Unlock()
@@ -196,7 +196,7 @@
 	return count
 }
 
-// readStatusLine reads the beginning of an answer, as long as "HTTP/1.1 200"; zeros stand for what is missing.
+// readStatusLine reads the first bytes of an answer, up to the length of "HTTP/1.1 200". Missing bytes are zero.
 func readStatusLine(conn net.Conn) string {
 	conn.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 	line := make([]byte, len("HTTP/1.1 200"))
@@ -204,7 +204,7 @@
 	return string(line)
 }
 
-// flood sends until the socket buffers are full.
+// flood writes until the socket buffers are full.
 func flood(c *net.TCPConn) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -218,8 +218,8 @@
 	}
 }
 
-// The departure of a client is noticed at once while its request is queued, whatever the form of the request
-// and also long after the read timeout; a client that stays is not taken to have left.
+// While a request is queued, a disconnect of its client is detected at once, whatever the form of the request
+// and also long after the read timeout. A client that stays connected is not considered disconnected.
 func TestClientDisconnectIsDetected(t *testing.T) {
 	const get, post = "GET /read?account=0000000000000001 HTTP/1.", "POST /write?account=0000000000000001 HTTP/1.1\r\n" + requestHeaders
 	long := strings.Repeat("x", 1<<16)
@@ -242,13 +242,13 @@
 	}
 }
 
-// testDeparture sends a request in parts, and leaves: at once, or long after the read timeout.
+// testDisconnect sends a request in parts, and disconnects at once or, if late is set, long after the read timeout.
 func testDisconnect(t *testing.T, parts []string, late bool) {
 	listener, _, service, stop := startFront(t, keepQueued, nil, nil)
 	defer stop()
 	client := listener.dial()
 	defer client.Close()
-	go io.Copy(io.Discard, client) // it reads what it is sent
+	go io.Copy(io.Discard, client) // the client reads what the server sends
 	for _, p := range parts {
 		io.WriteString(client, p)
 		synctest.Wait()
--- a/internal/front/client_registry.go
+++ b/internal/front/client_registry.go
@@ -16,21 +16,21 @@
 //
 // Invariant: the node closes a connection only while no request on it has started, and a request on a
 // closed connection is never started. net/http reads a request before it reports that the connection
-// is active, so the node may close the connection in between; forwarding that request would run it
-// without anybody to receive the answer.
+// is active, so the node may close the connection in between; if that request were forwarded, it would
+// run without a client to receive the answer.
 type clientRegistry struct {
 	mu             sync.Mutex
 	connections    map[net.Conn]*clientConn
 	isDraining     bool
-	isShuttingDown bool          // the process ends: beginShutdown was called
-	empty          chan struct{} // closed when the last connection is gone; nil if no waitEmpty has been called
+	isShuttingDown bool          // beginShutdown was called: the process is about to end
+	empty          chan struct{} // closed when the last connection is removed; nil unless waitEmpty is waiting
 }
 
 // clientKey is the context key of a request's *clientConn.
 type clientKey struct{}
 
-// register is the http.Server's ConnContext. It adds the connection and makes requests find it in their
-// context.
+// register is the http.Server's ConnContext. It adds the connection and stores its clientConn in the
+// context of its requests.
 func (s *clientRegistry) register(ctx context.Context, conn net.Conn) context.Context {
 	client := &clientConn{conn: conn, idleSince: time.Now(), isNew: true}
 	if l, ok := conn.(*lingeringConn); ok {
@@ -55,13 +55,13 @@
 	return context.WithValue(ctx, clientKey{}, client)
 }
 
-// clientOf returns the connection of a request; nil if it did not arrive over one.
+// clientOf returns the connection of a request; nil if the request did not arrive over a registered connection.
 func clientOf(r *http.Request) *clientConn {
 	c, _ := r.Context().Value(clientKey{}).(*clientConn)
 	return c
 }
 
-// waitingClient returns the client that waits for the answer to a request; nil if there is no connection.
+// waitingClient returns the client that waits for the answer to a request; nil if clientOf returns nil.
 func waitingClient(r *http.Request) upstream.Client {
 	if c := clientOf(r); c != nil {
 		return c
@@ -69,13 +69,13 @@
 	return nil
 }
 
-// isStillConnected reports whether the client of a request is there to receive an answer.
+// isStillConnected reports whether the client of a request is still connected to receive an answer.
 func isStillConnected(r *http.Request) bool {
 	client := clientOf(r)
 	return r.Context().Err() == nil && client != nil && client.IsWaiting()
 }
 
-// trackState is the http.Server's ConnState. net/http reports StateActive before it calls the handler.
+// trackState is the http.Server's ConnState hook. net/http reports StateActive before it calls the handler.
 func (s *clientRegistry) trackState(conn net.Conn, newState http.ConnState) {
 	if l, ok := conn.(*lingeringConn); ok && newState != http.StateClosed {
 		l.isBusy.Store(newState == http.StateActive)
@@ -110,8 +110,9 @@
 	}
 }
 
-// closeWhenIdle closes the idle connections, and from now on each that becomes idle, unless closing
-// would lose a request or a part of an answer: those are closed by their next answer or a later call.
+// closeWhenIdle closes the idle connections, and closes each other connection when it becomes idle. It
+// spares a connection if closing it would lose a request or a part of an answer; such a connection is
+// closed after its next answer or by a later call.
 func (s *clientRegistry) closeWhenIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,7 +124,7 @@
 	}
 }
 
-// waitEmpty waits until no connection is left. It returns false if ctx ended first.
+// waitEmpty waits until no connection is left. It returns false if ctx ends first.
 func (s *clientRegistry) waitEmpty(ctx context.Context) bool {
 	s.mu.Lock()
 	if len(s.connections) == 0 {
--- a/internal/front/client_registry_test.go
+++ b/internal/front/client_registry_test.go
@@ -16,7 +16,7 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// connWithReadHook is a connection that calls afterRead when it has read bytes and before its reader gets them.
+// connWithReadHook is a connection that calls afterRead after it has read bytes and before Read returns them.
 type connWithReadHook struct {
 	net.Conn
 	afterRead func()
@@ -32,8 +32,8 @@
 
 const completeRequest = "GET /read?account=0000000000000001 HTTP/1.1\r\n" + requestHeaders + "\r\n"
 
-// If the node closes a connection after net/http has read a request and before it reports the connection as
-// active, the request is not started: the client can safely retry it.
+// If the node closes a connection after net/http has read a request and before net/http reports the connection
+// as active, the request is not started, so the client can safely retry it.
 func TestServeHTTPStartsNoRequestOnClosedConnection(t *testing.T) {
 	for name, close := range map[string]func(*Front){
 		"closes idle": (*Front).CloseWhenIdle,
@@ -67,8 +67,8 @@
 	}
 }
 
-// A connection with an open request is not closed, even if it had not sent anything when the node began to
-// shut down. After its answer it is.
+// A connection with an open request is not closed until the request is answered, even if the client had sent
+// nothing when the node began to shut down.
 func TestCloseWhenIdleKeepsConnectionsWithOpenRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var f *Front
@@ -100,7 +100,7 @@
 	})
 }
 
-// gatedListener is a listener whose connections are read only once it is open.
+// blockedReadListener is a listener whose connections are not read until readsAllowed is closed.
 type blockedReadListener struct {
 	net.Listener
 	readsAllowed chan struct{}
@@ -119,8 +119,8 @@
 func (c blockedReadConn) Read(p []byte) (int, error) { <-c.readsAllowed; return c.Conn.Read(p) }
 func (c blockedReadConn) NetConn() net.Conn          { return c.Conn }
 
-// Evict spares a connection, new or idle, that has a request which nobody has read yet: it is answered. A
-// silent connection is closed, and so is one whose client has closed its side.
+// Evict spares a connection, new or idle, that has an unread request, and the request is answered. It closes a
+// connection without input, and one whose client has closed its side.
 func TestEvictSparesConnectionsWithUnreadRequests(t *testing.T) {
 	for _, isNew := range []bool{true, false} {
 		for _, tc := range []struct {
@@ -158,7 +158,7 @@
 	}
 }
 
-// dialGated connects a client to a front that reads nothing of it until openGate is called.
+// dialWithBlockedReads connects a client to a front that reads nothing from it until allowReads is called.
 func dialWithBlockedReads(t *testing.T) (f *Front, client *net.TCPConn, allowReads func()) {
 	t.Helper()
 	_, f, _, stop := startFront(t, rejectRequest, nil, nil)
@@ -179,8 +179,8 @@
 	return f, conn.(*net.TCPConn), func() { close(blocked.readsAllowed) }
 }
 
-// setOnlyConnection sets the state of the front's connection, if there is one yet, and polls its socket. Without
-// one it reports a state that no client is in.
+// setOnlyConnection sets the state of the front's only connection and polls its socket. If there is no connection
+// yet, it returns a combination that no test client produces.
 func setOnlyConnection(f *Front, isNew bool, idleSince time.Time) (readable, ended bool) {
 	f.clients.mu.Lock()
 	defer f.clients.mu.Unlock()
@@ -191,8 +191,8 @@
 	return false, true
 }
 
-// A client that does not read its answer, or only a part of it, occupies nothing in the service, and its
-// connection for a limited time.
+// A client that does not read its answer, or reads only a part of it, occupies nothing in the service and is
+// disconnected after a limited time.
 func TestClientThatReadsNoAnswerIsDisconnected(t *testing.T) {
 	for _, bytesRead := range []int{0, 5} {
 		t.Run(fmt.Sprint(bytesRead), func(t *testing.T) {
@@ -217,7 +217,7 @@
 	}
 }
 
-// idleGatedConn is a connection whose next request, once it is idle, is not read until resume is closed.
+// blockedWhenIdleConn is a connection that, once it is idle, is not read until resume is closed.
 type blockedWhenIdleConn struct {
 	net.Conn
 	isIdle atomic.Bool
@@ -238,7 +238,7 @@
 	return c.Conn.Read(p)
 }
 
-// A request that has arrived and has not been read when the node begins to shut down is answered.
+// A request that has arrived but has not been read when the node begins to shut down is answered.
 func TestCloseWhenIdleAnswersUnreadRequest(t *testing.T) {
 	m, f, _, stop := startFront(t, rejectRequest, nil, nil)
 	defer stop()
--- a/internal/front/eviction.go
+++ b/internal/front/eviction.go
@@ -3,30 +3,32 @@
 import "time"
 
 const (
-	// newConnGracePeriod is how long a new connection may stay silent, and a request incomplete, before the
-	// connection can be evicted.
+	// newConnGracePeriod is how long a new connection may send nothing, or a request may stay incomplete, before
+	// the connection can be evicted.
 	newConnGracePeriod = 250 * time.Millisecond
 
-	// endGracePeriod is the same while the process ends. Other clients then have finalAnswerTime of package node left.
+	// shutdownGracePeriod replaces newConnGracePeriod during shutdown, when the clients in the listener's queue have only
+	// finalAnswerTime of package node left.
 	shutdownGracePeriod = 25 * time.Millisecond
 )
 
-// beginShutdown makes connections evictable sooner, as the process is about to end all of them.
+// beginShutdown makes connections evictable sooner, because the process is about to close all of them.
 func (s *clientRegistry) beginShutdown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.isShuttingDown = true
 }
 
-// evict closes one connection, so that another client gets its descriptor: one that lingers and is not needed any more,
-// else an idle one. It returns false if there is none.
+// evict closes one connection, so that another client can use its file descriptor: a lingering connection whose answer
+// has been delivered or, if there is none, an idle connection. It returns false if no connection can be closed.
 func (s *clientRegistry) evict() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.closeLingering() || s.closeOldestIdle()
 }
 
-// closeLingering closes one lingering connection that can be closed without loss. The caller holds s.mu.
+// closeLingering closes one lingering connection whose answer has been delivered. It returns false if there is none. The
+// caller holds s.mu.
 func (s *clientRegistry) closeLingering() bool {
 	for _, c := range s.connections {
 		if c.lingering == nil || !c.lingering.canStopLingering(s.isShuttingDown) {
@@ -40,9 +42,9 @@
 	return false
 }
 
-// closeOldestIdle closes one connection: the oldest new one whose grace period is over, else the one
-// that has been idle for longest. Connections with unread input are spared, because that may be a
-// request. It returns false if there is nothing to close. The caller holds s.mu.
+// closeOldestIdle closes one connection: the oldest new connection whose grace period is over or, if
+// there is none, the connection that has been idle for longest. It spares connections with unread input,
+// because the input may be a request. It returns false if it closes none. The caller holds s.mu.
 func (s *clientRegistry) closeOldestIdle() bool {
 	var oldest *clientConn
 	for _, c := range s.connections {
@@ -60,7 +62,7 @@
 	return oldest.isClosed()
 }
 
-// gracePeriod is how long a connection may be silent or a request incomplete. The caller holds s.mu.
+// gracePeriod returns how long a new connection may send nothing, or a request may stay incomplete. The caller holds s.mu.
 func (s *clientRegistry) gracePeriod() time.Duration {
 	if s.isShuttingDown {
 		return shutdownGracePeriod
@@ -68,7 +70,7 @@
 	return newConnGracePeriod
 }
 
-// isEvictable reports whether a connection is idle, and silent for longer than the grace period if it is new. The caller
+// isEvictable reports whether a connection is idle and, if it is new, has sent nothing for the grace period. The caller
 // holds s.mu.
 func (s *clientRegistry) isEvictable(c *clientConn) bool {
 	if c.idleSince.IsZero() || c.isClosed() {
@@ -77,9 +79,9 @@
 	return !c.isNew || time.Since(c.idleSince) >= s.gracePeriod()
 }
 
-// canEvict reports whether closing an idle connection loses no request and no answer. A request that is still incomplete
-// after the grace period may be lost, and so may an answer that its client has not received for as long as a closed
-// connection would linger. The caller holds s.mu.
+// canEvict reports whether an idle connection may be closed, which must not lose a request or an answer. There are two
+// exceptions: a request that is still incomplete after the grace period, and an answer that the client has not received
+// within maxLingerTime, the time for which a closed connection would linger. The caller holds s.mu.
 func (s *clientRegistry) canEvict(c *clientConn, firstReadAt time.Time) bool {
 	readable, peerClosed := c.pollSocket()
 	if readable && !peerClosed {
@@ -91,7 +93,7 @@
 	return firstReadAt.IsZero() || time.Since(firstReadAt) >= s.gracePeriod()
 }
 
-// isEvictedBefore orders connections for eviction: new ones first, then by the time they became idle.
+// isEvictedBefore orders connections for eviction: new connections first, then by the time since which they are idle.
 func (c *clientConn) isEvictedBefore(other *clientConn) bool {
 	if c.isNew != other.isNew {
 		return c.isNew
--- a/internal/front/eviction_test.go
+++ b/internal/front/eviction_test.go
@@ -12,7 +12,7 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// dialTCP connects a client that ends with the test.
+// dialTCP connects a client, which is closed when the test ends.
 func dialTCP(t *testing.T, address string) net.Conn {
 	t.Helper()
 	client, err := net.Dial("tcp", address)
@@ -24,14 +24,14 @@
 	return client
 }
 
-// lingeringClient is a client whose answer was written, and whose connection the node has begun to close.
+// lingeringClient is a client whose answer the node has written and whose connection the node has begun to close.
 type lingeringClient struct {
 	net.Conn
 	front  *Front
-	closed chan struct{} // closed when the node's end is
+	closed chan struct{} // closed when the node has closed the connection
 }
 
-// newLingeringClient has a connection linger behind an answer.
+// newLingeringClient makes the node write an answer of the given length on a connection and begin a lingering close.
 func newLingeringClient(t *testing.T, client net.Conn, server *net.TCPConn, answer int) *lingeringClient {
 	t.Helper()
 	_, f, _, stop := startFront(t, rejectRequest, nil, nil)
@@ -49,8 +49,8 @@
 	return &lingeringClient{client, f, closed}
 }
 
-// Guards against clients that wait in the listener's queue while a connection lingers whose client has its answer: it is
-// evicted, and its client sees a clean end.
+// Guards against clients that wait in the listener's queue for the descriptor of a lingering connection whose client has
+// already received the answer. The connection is evicted, and its client gets the answer and a close without a reset.
 func TestEvictClosesLingeringConnectionAfterAnswerIsReceived(t *testing.T) {
 	client, server := connectWith(t, dialTCP)
 	io.WriteString(client, "GET /next")
@@ -66,8 +66,8 @@
 	}
 }
 
-// Guards against the loss of an answer by eviction: a lingering connection whose client has not received all of it stays,
-// also while the process ends, and a request that the client sends behind it does no harm.
+// Guards against the loss of an answer by eviction: a lingering connection whose client has not received the complete
+// answer is not evicted, even during shutdown, and a request that the client sends meanwhile does not reset it.
 func TestEvictSparesLingeringConnectionUntilAnswerIsReceived(t *testing.T) {
 	client, server := connectWithSmallBuffers(t)
 	c := newLingeringClient(t, client, server, answerBytes)
@@ -86,7 +86,8 @@
 	testkit.Next(t, c.closed)
 }
 
-// Guards against descriptors that net/http keeps for its wait behind a request that it has not read completely.
+// Guards against descriptors that stay in use while net/http waits before it closes the connection of a request that it
+// has not read completely.
 func TestEvictClosesConnectionAfterTooLongHead(t *testing.T) {
 	_, f, _, stop := startFront(t, rejectRequest, nil, nil)
 	defer stop()
@@ -104,12 +105,12 @@
 		t.Fatalf("%v, %v", resp, err)
 	}
 	testkit.Until(t, "the eviction", f.Evict)
-	f.WaitDisconnected(t.Context()) // net/http goes on waiting, without a descriptor
+	f.WaitDisconnected(t.Context()) // net/http still waits, but the descriptor is free
 }
 
-// Guards against the loss of an answer by eviction: an idle connection whose client has not received all of the last answer
-// stays while a closed one would linger, and a request that the client sends behind it does no harm. After that time it is
-// evicted, so that clients that never read keep no descriptor.
+// Guards against the loss of an answer by eviction: an idle connection whose client has not received the complete last
+// answer is not evicted for maxLingerTime, and a request that the client sends meanwhile does not reset it. After that time
+// it is evicted, so that clients that never read do not keep descriptors in use.
 func TestEvictSparesIdleConnectionUntilAnswerIsReceived(t *testing.T) {
 	for name, idleFor := range map[string]time.Duration{"lately idle": 0, "idle for longer": maxLingerTime} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -18,54 +18,54 @@
 const (
 	maxHeadBytes       = 16 << 10
 	clientIdleTimeout  = 10 * time.Second
-	requestReadTimeout = 2 * time.Second // for a request's head and body
+	requestReadTimeout = 2 * time.Second // for reading a request's head and body
 	answerWriteTimeout = 2 * time.Second // for writing a buffered answer
 )
 
-// MaxTimeAfterDeadline is the longest time that a request can be in the node in addition to its
-// deadline: while it is read and while its answer is written.
+// MaxTimeAfterDeadline is the longest time that the node can spend on a request in addition to its
+// deadline: reading the request and writing the answer.
 const MaxTimeAfterDeadline = requestReadTimeout + answerWriteTimeout
 
-// RoutingTable maps requests to services. It must not be changed once it has been given to a Front.
+// RoutingTable maps requests to services. It must not be modified after it has been passed to a Front.
 type RoutingTable struct {
-	// Router matches requests to rules. Nil sends all requests to the first target.
+	// Router matches requests to rules. If it is nil, all requests go to the first target.
 	Router *route.Router
-	// Targets are in the order of the router's rules.
+	// Targets holds the target of each of the router's rules, in the order of the rules.
 	Targets []Target
 }
 
 // Target is the destination of a route.
 type Target struct {
 	Service *service.Service
-	// Class of the target's requests. If it is empty, the protocol determines it.
+	// Class is the class of the target's requests. If it is empty, the protocol determines the class.
 	Class string
 	// MaxBodyBytes limits a request's body. A negative value means no limit.
 	MaxBodyBytes int64
-	// Protocol that clients use. Nil is the platform's protocol.
+	// Protocol is the protocol that clients use. Nil means the platform's protocol.
 	Protocol Protocol
-	// UpgradeProtocols are the protocols that requests may upgrade to, in lower case.
+	// UpgradeProtocols lists the protocols that a connection may be upgraded to, in lower case.
 	UpgradeProtocols []string
-	// ScatterGather is set for a scatter-gather service. Of the other fields such a target uses
-	// Class only.
+	// ScatterGather is set for a scatter-gather service. Such a target uses none of the other fields
+	// except Class.
 	ScatterGather *ScatterGather
 }
 
-// Protocol is what differs between the ways in which clients use services: how a request is read,
-// which customer it belongs to, and how its answer is written.
+// Protocol defines how clients talk to a service: how a request is read, which customer it belongs
+// to, and how its answer is written.
 type Protocol interface {
-	// ReadRequest reads all of a request but its body. firstSegment is the first segment of its
-	// path. A request that is not valid must not reach the service.
+	// ReadRequest validates the head of a request. firstSegment is the first segment of the request's
+	// path. A request for which it returns a BadRequest does not reach the service.
 	ReadRequest(r *http.Request, target *Target, firstSegment string, arrived time.Time) (*service.Exchange, *BadRequest)
 	// ReservedBytes returns how much memory to reserve for a request while it is served, in
 	// addition to its answer.
 	ReservedBytes(r *http.Request) int64
-	// ReadBody reads the part of the body that has to be there before the service gets the request.
+	// ReadBody reads the part of the body that must be buffered before the service gets the request.
 	ReadBody(w http.ResponseWriter, r *http.Request, exchange *service.Exchange) *BadRequest
-	// Finish releases what ReadBody began. The request is not read after it.
+	// Finish releases the resources that ReadBody allocated. The request is not read any more afterwards.
 	Finish(exchange *service.Exchange)
 	// WriteAnswer writes the final answer to the client.
 	WriteAnswer(front *Front, w http.ResponseWriter, r *http.Request, exchange *service.Exchange, answer service.Answer)
-	// WriteBadRequest reports a client's mistake to it.
+	// WriteBadRequest writes the error answer for an invalid request to the client.
 	WriteBadRequest(front *Front, w http.ResponseWriter, r *http.Request, badRequest *BadRequest)
 }
 
@@ -76,8 +76,8 @@
 	return t.Protocol
 }
 
-// tryAcquire keeps the services behind a target from shutting down until they are released. It
-// returns false if one of them has shut down already.
+// tryAcquire keeps the services of the target from shutting down until they are released. It returns
+// false if one of them has already shut down.
 func (t *Target) tryAcquire() bool {
 	if t.ScatterGather != nil {
 		return t.ScatterGather.tryAcquire()
@@ -87,29 +87,29 @@
 
 // Front handles the requests of all clients. It is safe for concurrent use.
 type Front struct {
-	isReady    func() bool // whether load balancers may send requests to the node
+	isReady    func() bool // reports whether load balancers may send requests to the node
 	table      atomic.Pointer[RoutingTable]
 	isDraining atomic.Bool
 
 	clients clientRegistry
 }
 
-// New returns a Front with a routing table. isReady reports whether the node is ready for requests;
-// the health check depends on it.
+// New returns a Front that uses the given routing table. isReady reports whether the node is ready for
+// requests; while it returns false, the health check fails.
 func New(table *RoutingTable, isReady func() bool) *Front {
 	f := &Front{isReady: isReady}
 	f.table.Store(table)
 	return f
 }
 
-// SetTable replaces the routing table for all requests whose head is read from now on.
+// SetTable replaces the routing table for all requests that are routed after the call.
 func (f *Front) SetTable(table *RoutingTable) { f.table.Store(table) }
 
-// Drain makes each answer close its connection from now on, and the health check fail.
+// Drain makes every following answer close its connection, and makes the health check fail.
 func (f *Front) Drain() { f.isDraining.Store(true) }
 
-// Server returns the HTTP server for clients. Its timeouts bound how long a client may take to send
-// a request; handlers lift the read timeout once the request is complete.
+// Server returns the HTTP server for clients. Its timeouts limit how long a client may take to send a
+// request; handlers clear the read deadline once the request is complete.
 func (f *Front) Server() *http.Server {
 	return &http.Server{
 		Handler:           f,
@@ -119,27 +119,29 @@
 		ReadTimeout:       requestReadTimeout,
 		ConnState:         f.clients.trackState,
 		ConnContext:       f.clients.register,
-		// Without it net/http would answer OPTIONS * with a 200 that no app server sent.
+		// Otherwise net/http would itself answer OPTIONS * with a 200, without asking an app server.
 		DisableGeneralOptionsHandler: true,
 		ErrorLog:                     slog.NewLogLogger(slog.Default().With("from", "net/http").Handler(), slog.LevelWarn),
 	}
 }
 
-// Evict closes one client connection to free its descriptor: one that lingers behind an answer that its client
-// has received, else the oldest new one that has been silent for too long, else the one that has been idle for
-// longest. It returns false if there is none.
+// Evict closes one client connection to free its file descriptor. It prefers a lingering connection whose client has
+// received the answer, then the oldest new connection that has sent no request within the grace period, then the
+// connection that has been idle for longest. It returns false if no connection can be closed.
 func (f *Front) Evict() bool { return f.clients.evict() }
 
-// BeginShutdown makes Evict close connections sooner, as the process is about to end all of them.
+// BeginShutdown makes Evict close connections sooner, because the process is about to close all of them.
 func (f *Front) BeginShutdown() { f.clients.beginShutdown() }
 
-// CloseWhenIdle closes the connections without an open request, and from now on each that becomes
-// idle. It replaces http.Server's Shutdown and SetKeepAlivesEnabled: Shutdown may close a connection
-// after its request has been read and forwarded, and SetKeepAlivesEnabled may drop such a request.
+// CloseWhenIdle closes the connections without an open request, and closes each other connection when
+// it becomes idle. It is used instead of http.Server's Shutdown and SetKeepAlivesEnabled: Shutdown may
+// close a connection after a request on it has been read and forwarded, and SetKeepAlivesEnabled may
+// drop such a request.
 func (f *Front) CloseWhenIdle() { f.clients.closeWhenIdle() }
 
-// WaitDisconnected waits, after CloseWhenIdle, until no client is connected. It returns false if ctx
-// ended first. Connections that have been upgraded to another protocol are not waited for.
+// WaitDisconnected waits until no client is connected; CloseWhenIdle must have been called before. It
+// returns false if ctx ends first. It does not wait for connections that have been upgraded to another
+// protocol.
 func (f *Front) WaitDisconnected(ctx context.Context) bool { return f.clients.waitEmpty(ctx) }
 
 // ServeHTTP handles one client request until its final answer has been written.
@@ -147,7 +149,7 @@
 	arrived := time.Now()
 	client := clientOf(r)
 	if client.isClosed() {
-		// Nothing has been forwarded, so the client can safely retry; but it has no answer.
+		// The request has not been forwarded, so the client can safely retry it, but it gets no answer.
 		invariant.Violated(invariant.ClosedUnanswered, r.Header.Get(protocol.HeaderID), "its connection was closed as idle")
 		panic(http.ErrAbortHandler)
 	}
@@ -183,26 +185,26 @@
 		}
 		defer clientProtocol.Finish(exchange)
 	} else if r.ContentLength != 0 {
-		// The decision module will reject this request, so its body is not read. Closing the
-		// connection keeps net/http from reading a slow body before it sends the answer.
+		// The decision module will reject this request, so its body is not read. "Connection: close"
+		// keeps net/http from reading a slow body before it sends the answer.
 		w.Header().Set("Connection", "close")
 	}
 	answer, ok := target.Service.Do(r.Context(), exchange)
 	if !ok && isStillConnected(r) {
-		// The request was not forwarded because of bytes that the client sent after it; the client is
-		// still connected, so it gets the answer.
+		// The request was not forwarded because the client sent so many bytes after it that a disconnect
+		// could not have been detected. The client turns out to be connected, so it gets the answer.
 		w.Header().Set("Connection", "close")
 		ok = true
 	}
 	if !ok {
-		// If the handler just returned, net/http would send a 200, which a client that has closed
-		// only its sending side would take for the answer.
+		// If the handler returned normally, net/http would send a 200, and a client that has closed
+		// only its sending side would take it for the answer.
 		panic(http.ErrAbortHandler)
 	}
 	clientProtocol.WriteAnswer(f, w, r, exchange, answer)
 }
 
-// serveHealthCheck answers the node's own health check.
+// serveHealthCheck answers a health check of the node itself.
 func (f *Front) serveHealthCheck(w http.ResponseWriter) {
 	status := http.StatusOK
 	if !f.isReady() || f.isDraining.Load() {
@@ -211,8 +213,8 @@
 	f.writeAnswer(w, service.Answer{Status: status})
 }
 
-// findTarget returns the target of a request, with its services acquired: a service that a reload
-// removes still serves the requests that arrived before.
+// findTarget returns the target of a request after acquiring its services, so that a service that a
+// reload removes still serves the requests that arrived before.
 func (f *Front) findTarget(r *http.Request) (*Target, string, *BadRequest) {
 	for {
 		table := f.table.Load()
@@ -250,10 +252,10 @@
 	return &t.Targets[index], route.FirstSegment(path), nil
 }
 
-// firstSegmentOf returns the first segment of the path of a request that no rules are matched with.
-// It is decoded after the split, because it may contain an encoded slash.
+// firstSegmentOf returns the decoded first segment of a URL's path. It is used without a Router. The
+// path is split before it is decoded, because the segment may contain an encoded slash.
 func firstSegmentOf(u *url.URL) string {
-	if u.RawPath != "" { // it always is if a slash is encoded
+	if u.RawPath != "" { // RawPath is always set if a slash is encoded
 		if first, err := url.PathUnescape(route.FirstSegment(u.RawPath)); err == nil {
 			return first
 		}
@@ -261,7 +263,7 @@
 	return route.FirstSegment(u.Path)
 }
 
-// writeBadRequest reports a client's mistake in the form of the platform's protocol.
+// writeBadRequest writes the error answer for an invalid request in the format of the platform's protocol.
 func (f *Front) writeBadRequest(w http.ResponseWriter, badRequest *BadRequest) {
 	if badRequest.closeConnection {
 		w.Header().Set("Connection", "close")
@@ -269,12 +271,12 @@
 	f.writeAnswer(w, service.Answer{Status: badRequest.status, Body: []byte(badRequest.text + "\n")})
 }
 
-// writeAnswer writes a buffered answer in the form of the platform's protocol.
+// writeAnswer writes a buffered answer in the format of the platform's protocol.
 func (f *Front) writeAnswer(w http.ResponseWriter, answer service.Answer) {
 	// A client that reads nothing must not block the handler forever.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerWriteTimeout))
 	header := w.Header()
-	// The node may have started to drain after this request arrived. Checking now keeps clients from
+	// The node may have started to drain after this request arrived. Checking here keeps clients from
 	// sending another request on the same connection.
 	if f.isDraining.Load() {
 		header.Set("Connection", "close")
@@ -285,12 +287,12 @@
 		}
 	}
 	if header.Get("Content-Type") == "" {
-		header["Content-Type"] = nil // keeps net/http from guessing it from the body
+		header["Content-Type"] = nil // keeps net/http from guessing the type from the body
 	}
 	if answer.RetryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(answer.RetryAfter.Seconds(), 'f', -1, 64))
 	}
 	header.Set("Content-Length", strconv.Itoa(len(answer.Body)))
 	w.WriteHeader(answer.Status)
-	_, _ = w.Write(answer.Body) // a departed client is noticed by its context
+	_, _ = w.Write(answer.Body) // the request's context reports a disconnected client
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -47,7 +47,7 @@
 	return client
 }
 
-// scriptedModule is a decision module that returns a test's actions for each request.
+// scriptedModule is a decision module that calls a function of the test for the actions on each request.
 type scriptedModule func(control.Request) []control.Action
 
 func (s scriptedModule) Handle(_ time.Duration, e control.Event) []control.Action {
@@ -67,7 +67,7 @@
 
 func (fullLimiter) Admit(int64) (func(), bool) { return nil, false }
 
-// startFront runs a front over one service with a scripted module until stop is called.
+// startFront runs a front with one service, which uses a scripted module, until stop is called.
 func startFront(t *testing.T, module scriptedModule, limiter service.RequestLimiter, router *route.Router) (listener *pipeListener, f *Front, s *service.Service, stop func()) {
 	t.Helper()
 	settings := control.Settings{
@@ -87,7 +87,7 @@
 	listener = &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 	f = New(&RoutingTable{Router: router, Targets: []Target{{Service: s, MaxBodyBytes: 1 << 16}}}, func() bool { return true })
 	ctx, cancel := context.WithCancel(context.Background())
-	go func() { _ = s.Run(ctx) }() // what the tests look at is what clients get
+	go func() { _ = s.Run(ctx) }() // the tests check only what clients receive
 	srv := f.Server()
 	go srv.Serve(listener)
 	return listener, f, s, func() { srv.Close(); cancel() }
@@ -95,7 +95,7 @@
 
 const requestHeaders = "Host: h\r\nX-Correlation-Id: id-1\r\nX-Tariff: p\r\nX-Time-Left: 15000m\r\nIdempotency-Key: k\r\n"
 
-// Every client is answered or disconnected within 3 s, whatever part of a request it has sent.
+// Every client is answered or disconnected within 3 s, even if it sends nothing or only a part of a request.
 func TestServerDisconnectsSlowClients(t *testing.T) {
 	for name, text := range map[string]string{
 		"silent":      "",
@@ -110,7 +110,7 @@
 				c, startedAt := m.dial(), time.Now()
 				defer c.Close()
 				go io.WriteString(c, text)
-				raw, _ := io.ReadAll(c) // up to the close
+				raw, _ := io.ReadAll(c) // until the server closes the connection
 				if elapsed := time.Since(startedAt); elapsed > 3*time.Second || elapsed < requestReadTimeout {
 					t.Errorf("closed after %v", elapsed)
 				}
@@ -125,7 +125,7 @@
 	}
 }
 
-// A request may be queued for longer than the read timeout, and the departure of its client is still noticed.
+// A request may be queued for longer than the read timeout, and a disconnect of its client is still detected.
 func TestQueuedRequestOutlivesReadTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m, _, s, stop := startFront(t, keepQueued, nil, nil)
@@ -145,7 +145,7 @@
 	})
 }
 
-// A request beyond the capacity is rejected at once, even if its body has not arrived.
+// A request over capacity is rejected at once, even if its body has not arrived.
 func TestOverCapacityRequestIsRejectedBeforeItsBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m, _, _, stop := startFront(t, func(r control.Request) []control.Action {
@@ -173,7 +173,7 @@
 	})
 }
 
-// The routing table may be replaced between two requests of a connection.
+// The routing table may be replaced between two requests on the same connection.
 func TestSetTableAppliesToNextRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		router, _ := route.New([]route.Rule{{Prefix: "/read"}})
@@ -217,7 +217,7 @@
 	}
 }
 
-// Finish flushes an answer that was given before the end of the body, and writes nothing if there was none.
+// Finish flushes an answer that was written before the body was read completely, and writes nothing if there was none.
 func TestFinishFlushesOnlyWrittenAnswers(t *testing.T) {
 	for _, answerWritten := range []bool{false, true} {
 		w := httptest.NewRecorder()
@@ -231,7 +231,7 @@
 	}
 }
 
-// Whatever a client sends, the parsed values are within what the settings allow.
+// Whatever a client sends, the parsed values are within the limits of the settings.
 func FuzzParseTimeLeftAndWeight(f *testing.F) {
 	f.Add("480m", "units=2,spread=3,first=1")
 	f.Add("1e3u", "units=0x1p-2,first=2,=,,")
--- a/internal/front/generic_answer.go
+++ b/internal/front/generic_answer.go
@@ -9,8 +9,8 @@
 	"lockflow/internal/service"
 )
 
-// WriteAnswer writes the final answer to the client. If a streamed answer breaks off, the connection is
-// aborted, so that the client does not take a part for the complete answer.
+// WriteAnswer writes the final answer to the client. If a streamed answer is truncated, the connection is
+// aborted, so that the client does not take the part for the complete answer.
 func (o *GenericHTTP) WriteAnswer(
 	front *Front, w http.ResponseWriter, r *http.Request, exchange *service.Exchange, answer service.Answer,
 ) {
@@ -28,7 +28,7 @@
 	header := w.Header()
 	hopheaders.ForwardAnswer(header, answer.Header)
 	if len(header["Content-Type"]) == 0 {
-		header["Content-Type"] = nil // keeps net/http from guessing it from the body
+		header["Content-Type"] = nil // keeps net/http from guessing the type from the body
 	}
 	if front.isDraining.Load() || call.Body != nil && !call.Body.HasEnded() {
 		header.Set("Connection", "close")
@@ -48,17 +48,17 @@
 func writeBufferedAnswer(w http.ResponseWriter, r *http.Request, answer service.Answer) {
 	header := w.Header()
 	if r.Method == http.MethodHead || answer.Status == http.StatusNotModified {
-		if length := answer.Header["Content-Length"]; len(length) > 0 { // that a GET would get
+		if length := answer.Header["Content-Length"]; len(length) > 0 { // the length that a GET would get
 			header["Content-Length"] = length
 		}
 	} else if answer.Status != http.StatusNoContent {
 		header["Content-Length"] = []string{strconv.Itoa(len(answer.Body))}
 	}
 	w.WriteHeader(answer.Status)
-	_, _ = w.Write(answer.Body) // a departed client is noticed by its context
+	_, _ = w.Write(answer.Body) // the request's context reports a disconnected client
 }
 
-// WriteBadRequest reports a client's mistake to it.
+// WriteBadRequest writes the error answer for an invalid request to the client.
 func (*GenericHTTP) WriteBadRequest(front *Front, w http.ResponseWriter, r *http.Request, badRequest *BadRequest) {
 	writeBadRequestAnswer(front, w, r, badRequest)
 }
--- a/internal/front/generic_call.go
+++ b/internal/front/generic_call.go
@@ -17,12 +17,12 @@
 // relayBufferBytes is the memory for the buffers of a body that is streamed, in both directions.
 const relayBufferBytes = 2 * upstream.BodyWindowBytes
 
-// maxDiscardTime is how long the rest of a body is read after the answer.
+// maxDiscardTime is how long the rest of a body is read and discarded after the answer.
 const maxDiscardTime = time.Second
 
 var errBodyTooLong = errors.New("a body of too many bytes")
 
-// genericCall is one request of generic HTTP: its exchange with the service, what is
+// genericCall is one request of generic HTTP: its exchange with the service, the request that is
 // forwarded, and the state of its body and its interim responses.
 type genericCall struct {
 	service.Exchange
@@ -31,11 +31,11 @@
 	idleTimeout  time.Duration
 
 	bodyRate rateGuard
-	// discardDeadline is the time after which the body is not read any more; nil for none.
+	// discardDeadline is the time until which the rest of the body is read and discarded; nil before Finish sets it.
 	discardDeadline atomic.Pointer[time.Time]
 	controller      *http.ResponseController
 	writer          http.ResponseWriter
-	hasAnswer       bool // writing of the final answer has started
+	hasAnswer       bool // the node has started to write the final answer
 
 	mu            sync.Mutex // serializes interim responses, and orders them before the final answer
 	interimClosed bool       // no more interim responses may be written
@@ -43,8 +43,8 @@
 
 var _ upstream.InterimWriter = (*genericCall)(nil)
 
-// ReservedBytes returns the memory for a request's body: all of a short one, else the retry buffer and
-// the buffers for streaming.
+// ReservedBytes returns the memory for a request's body: the length of a body that fits in the retry
+// buffer, or the size of the retry buffer and of the buffers for streaming.
 func (o *GenericHTTP) ReservedBytes(r *http.Request) int64 {
 	switch n := r.ContentLength; {
 	case n == 0:
@@ -56,7 +56,7 @@
 }
 
 // ReadBody buffers a body that fits in the retry buffer, so that a slow client does not occupy a
-// server, and prepares to stream any other.
+// server, and prepares any other body for streaming.
 func (o *GenericHTTP) ReadBody(w http.ResponseWriter, r *http.Request, exchange *service.Exchange) *BadRequest {
 	call := exchange.Forwarder.(*genericCall)
 	call.writer = w
@@ -65,7 +65,7 @@
 		call.InterimWriter = call
 	}
 	if r.ContentLength == 0 {
-		_ = call.controller.SetReadDeadline(time.Time{}) // net/http keeps reading, to notice when the client leaves
+		_ = call.controller.SetReadDeadline(time.Time{}) // net/http keeps reading, to detect that the client disconnects
 		return nil
 	}
 	call.ExpectContinue = len(r.Header["Expect"]) > 0 && r.ProtoAtLeast(1, 1)
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// setReadDeadline limits the next read of the body.
+// setReadDeadline sets the deadline for the next read of the body.
 func (c *genericCall) setReadDeadline() {
 	deadline := time.Now().Add(c.idleTimeout)
 	if discardDeadline := c.discardDeadline.Load(); discardDeadline != nil {
@@ -108,13 +108,13 @@
 		return 0, errBodyTooLong
 	}
 	if errors.Is(err, io.EOF) {
-		// net/http keeps reading, to notice when the client leaves: the body's deadline must not end that.
+		// net/http keeps reading, to detect that the client disconnects; the body's deadline must not stop it.
 		_ = b.call.controller.SetReadDeadline(time.Time{})
 	}
 	return n, err
 }
 
-// WriteInterim writes a 1xx response, unless the final answer is due.
+// WriteInterim writes a 1xx response, unless closeInterim has been called.
 func (c *genericCall) WriteInterim(status int, interim http.Header) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,9 +128,9 @@
 	clear(header)
 }
 
-// Finish stops reading the request. If an answer has been written before the end of the body was read, it
-// reads and discards the rest for maxDiscardTime: closing at once would reset the connection and could drop
-// the answer before the client has read it.
+// Finish stops reading the request. If an answer was written before the body was read completely, it reads
+// and discards the rest of the body for up to maxDiscardTime: closing the connection at once would reset it
+// and could drop the answer before the client has read it.
 func (o *GenericHTTP) Finish(exchange *service.Exchange) {
 	call := exchange.Forwarder.(*genericCall)
 	call.closeInterim()
@@ -138,7 +138,7 @@
 	if body == nil {
 		return
 	}
-	// Without an answer nothing may be flushed: net/http would write the head of a 200.
+	// If no answer has been written, Flush must not be called: net/http would write the head of a 200.
 	if call.hasAnswer && !body.HasEnded() && body.Err() == nil {
 		_ = call.controller.Flush()
 		deadline := time.Now().Add(maxDiscardTime)
@@ -150,7 +150,7 @@
 	body.Close(func() { _ = call.controller.SetReadDeadline(past) })
 }
 
-// endInterim ends the writing of interim responses.
+// closeInterim makes WriteInterim discard all further interim responses.
 func (c *genericCall) closeInterim() {
 	c.mu.Lock()
 	c.interimClosed = true
--- a/internal/front/generic_http.go
+++ b/internal/front/generic_http.go
@@ -24,30 +24,30 @@
 
 const requestIDHeader = "X-Request-Id"
 
-// GenericHTTPOptions configure generic HTTP of one service. Where a configuration key has another word,
-// the comment names it.
+// GenericHTTPOptions configures generic HTTP for one service. Where the name of a configuration key
+// differs from the field's name, the field's comment gives it.
 type GenericHTTPOptions struct {
-	// Customers identifies the customer of a request. Nil treats all as anonymous.
+	// Customers identifies the customer of a request. If it is nil, all requests are anonymous.
 	Customers *customer.Directory
 	// SafeClass is the class of requests with a safe method (RFC 9110, 9.2.1), if the route names no class.
 	SafeClass string
 	// UnsafeClass is the class of requests with any other method, if the route names no class.
 	UnsafeClass string
-	// ClassWithoutKey maps a class that needs an idempotency key to the class of its requests that
-	// come without one.
+	// ClassWithoutKey maps a class that needs an idempotency key to the class that requests without a
+	// key get instead.
 	ClassWithoutKey map[string]string
 
 	// TimeoutHeader is the request header by which a client shortens its deadline; empty for none.
 	TimeoutHeader string
-	// SendTimeLeft sends servers the time until the deadline.
+	// SendTimeLeft adds a header with the time left until the deadline to forwarded requests.
 	SendTimeLeft bool
-	// SendRequestID sends servers a request ID: the client's, or a random one.
+	// SendRequestID adds a random request ID to forwarded requests whose client sent none.
 	SendRequestID bool
 
-	RetryBufferBytes       int           // limit of a request body that is buffered for a retry (key replay)
-	MaxBufferedAnswerBytes int           // limit of an answer that is buffered, a longer one is streamed (key answer)
+	RetryBufferBytes       int           // maximum size of a request body that is buffered for a retry (key replay)
+	MaxBufferedAnswerBytes int           // maximum size of a buffered answer, longer ones are streamed (key answer)
 	IdleTimeout            time.Duration // limit for one read or write of a body
-	MinBytesPerSecond      int64         // required of a client on average over a body, 0 for no limit (key least_rate)
+	MinBytesPerSecond      int64         // minimum average rate of a client over a body, 0 for no limit (key least_rate)
 
 	ResponseRules     responseclass.Rules
 	AllowUnderscores  bool                        // forward header fields whose names contain underscores
@@ -59,10 +59,10 @@
 // It is safe for concurrent use.
 type GenericHTTP struct {
 	GenericHTTPOptions
-	lastID atomic.Uint64 // last request ID given to the service
+	lastID atomic.Uint64 // numeric value of the last request ID given to the service
 }
 
-// NewGenericHTTP returns the protocol of one service.
+// NewGenericHTTP returns the generic HTTP protocol of one service.
 func NewGenericHTTP(o GenericHTTPOptions) *GenericHTTP {
 	if o.Customers == nil {
 		o.Customers = customer.New(customer.Options{})
@@ -104,7 +104,7 @@
 	return &call.Exchange, nil
 }
 
-// checkHead rejects what the protocol does not forward.
+// checkHead rejects requests that the protocol does not forward.
 func (o *GenericHTTP) checkHead(r *http.Request, target *Target) *BadRequest {
 	if badRequest := checkMessage(r); badRequest != nil {
 		return badRequest
@@ -118,7 +118,7 @@
 	return checkExpect(r)
 }
 
-// classOf returns the class of a request, which need not be one of the service.
+// classOf returns the class of a request. The service need not have that class.
 func (o *GenericHTTP) classOf(r *http.Request, target *Target) string {
 	class := target.Class
 	switch {
@@ -134,7 +134,7 @@
 	return class
 }
 
-// requestedTimeout returns the timeout that a client requests; empty for none.
+// requestedTimeout returns the value of the client's timeout header; empty if there is none.
 func (o *GenericHTTP) requestedTimeout(r *http.Request) string {
 	if o.TimeoutHeader == "" {
 		return ""
@@ -142,7 +142,7 @@
 	return r.Header.Get(o.TimeoutHeader)
 }
 
-// setRelay fills in what is forwarded of a request.
+// setRelayedRequest fills in the request that is forwarded to servers.
 func (o *GenericHTTP) setRelayedRequest(relay *upstream.RelayedRequest, r *http.Request, target *Target, timeout time.Duration) {
 	peer := hopheaders.Peer{Host: r.Host, Proto: "http"}
 	if address, err := netip.ParseAddrPort(r.RemoteAddr); err == nil {
@@ -182,8 +182,8 @@
 	}
 }
 
-// requestedUpgrade returns the protocol that a request offers to upgrade to (RFC 9110, 7.8); empty if it
-// offers none or for one that is not allowed.
+// requestedUpgrade returns the protocol that a request offers to upgrade to (RFC 9110, 7.8). It returns an
+// empty string if the request offers none, several, or one that is not allowed.
 func requestedUpgrade(header http.Header, allowed []string) string {
 	values := header["Upgrade"]
 	if len(values) != 1 || !slices.Contains(allowed, strings.ToLower(values[0])) {
@@ -199,8 +199,8 @@
 	return ""
 }
 
-// originForm returns a request target in the form that servers get (RFC 9112, 3.2.1): without scheme
-// and authority, and otherwise unchanged.
+// originForm returns a request target in the origin form in which servers get it (RFC 9112, 3.2.1):
+// without scheme and authority, and otherwise unchanged.
 func originForm(target string) string {
 	if strings.HasPrefix(target, "/") || target == "*" {
 		return target
@@ -216,7 +216,7 @@
 	return rest[end:]
 }
 
-// parseTimeout parses the timeout of a client: a duration such as "1.5s" or "800ms", or a number of seconds.
+// parseTimeout parses the timeout that a client requests: a duration such as "1.5s" or "800ms", or a number of seconds.
 func parseTimeout(text string) (time.Duration, error) {
 	timeout, err := time.ParseDuration(text)
 	if err != nil {
--- a/internal/front/input_conn.go
+++ b/internal/front/input_conn.go
@@ -10,31 +10,31 @@
 	"time"
 )
 
-// inputConn is a client's connection below all others that wrap it. It makes known at any time whether some of a request
-// was read from the socket: net/http reports a request only once it has parsed its head. One goroutine at a time calls
-// Read; the other methods are safe for concurrent use.
+// inputConn is the innermost wrapper of a client's connection. It records when bytes of a request were first read from the
+// socket, because net/http reports a request only once it has parsed its head. Read must not be called concurrently; the
+// other methods are safe for concurrent use.
 type inputConn struct {
 	net.Conn
-	rawConn     syscall.RawConn       // nil where there is no socket
-	tryReadFunc func(fd uintptr) bool // tryRead
+	rawConn     syscall.RawConn       // nil if there is no socket
+	tryReadFunc func(fd uintptr) bool // tryRead as a method value, created once
 
-	// The call of Read in progress.
+	// Argument and results of the call of Read in progress.
 	buffer []byte
 	count  int
 	err    error
 
-	mu                sync.Mutex // held while bytes go from the socket to the reader, and while closing is decided on
-	firstReadAt       time.Time  // when bytes were first read since the connection became idle; zero is none
-	nextRequestReadAt time.Time  // when a byte of the next request was read during the one before; zero is none
-	isIdle            bool       // no request has been reported since becameIdle
-	isClosed          bool       // nothing more is read
+	mu                sync.Mutex // held during reads from the socket and while closeIfAllowed decides
+	firstReadAt       time.Time  // when bytes were first read since the connection became idle; zero if none were
+	nextRequestReadAt time.Time  // when a byte of the next request was read during the current one; zero if none was
+	isIdle            bool       // becameActive has not been called since becameIdle
+	isClosed          bool       // closeIfAllowed has decided to close: nothing more is read
 }
 
-// backgroundReadBytes is the length of the reads by which net/http notices, while it handles a request, that a client
-// leaves. What they read belongs to the next request; requests themselves are read through a larger buffer.
+// backgroundReadBytes is the buffer length of the reads with which net/http detects a client's disconnect while it handles
+// a request. A byte that they read belongs to the next request; requests themselves are read through a larger buffer.
 const backgroundReadBytes = 1
 
-// withInput returns a connection that has an inputConn inside: conn itself where it has one.
+// withInputConn wraps conn in an inputConn. If conn wraps an inputConn already, it returns conn itself.
 func withInputConn(conn net.Conn) net.Conn {
 	if findWrappedConn[*inputConn](conn) != nil {
 		return conn
@@ -68,7 +68,7 @@
 	err := c.rawConn.Read(c.tryReadFunc)
 	c.buffer = nil
 	switch {
-	case err != nil: // a deadline, or the connection is closed
+	case err != nil: // the read timed out or the connection is closed
 		return 0, err
 	case c.err != nil:
 		return 0, &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: c.err}
@@ -78,8 +78,8 @@
 	return c.count, nil
 }
 
-// limitPartialRequest bounds the time for the rest of a request of which some was read. net/http does so only once it has
-// four bytes, and before that allows as much time as to an idle connection.
+// limitPartialRequest limits the time for the rest of a request of which bytes were read. net/http applies its limit only
+// after the first four bytes of a further request; until then it uses the timeout for idle connections.
 func (c *inputConn) limitPartialRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,7 +88,7 @@
 	}
 }
 
-// tryRead reads what the socket has, and returns false where it has nothing.
+// tryRead reads from the socket without waiting. It returns false if there is nothing to read.
 func (c *inputConn) tryRead(fd uintptr) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,7 +115,7 @@
 	}
 }
 
-// noteInput records that bytes were read into a buffer of some length. The caller holds mu.
+// recordInput records that bytes were read into a buffer of length bufferBytes. The caller holds mu.
 func (c *inputConn) recordInput(bufferBytes int) {
 	if c.firstReadAt.IsZero() {
 		c.firstReadAt = time.Now()
@@ -125,8 +125,8 @@
 	}
 }
 
-// inputSince returns when bytes were first read of a request that has not been reported; zero for none. A nil inputConn
-// has read none.
+// pendingInputSince returns when the first bytes were read of a request that net/http has not reported yet; zero if there
+// are none. For a nil inputConn it returns zero.
 func (c *inputConn) pendingInputSince() time.Time {
 	if c == nil {
 		return time.Time{}
@@ -136,7 +136,8 @@
 	return c.firstReadAt
 }
 
-// becameIdle records that all that was read so far belongs to requests that have ended, but for a byte of the next one.
+// becameIdle records that the requests read so far have ended. Only a byte that a background read has read belongs to the
+// next request.
 func (c *inputConn) becameIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -145,16 +146,16 @@
 	c.isIdle = true
 }
 
-// becameActive records that a request was reported.
+// becameActive records that net/http has reported a request.
 func (c *inputConn) becameActive() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.isIdle = false
 }
 
-// closeUnlessRead closes the connection if mayClose allows it, and reads nothing from then on. mayClose gets the time at
-// which bytes were first read of a request that has not been reported; zero for none. closeConnection is called with no
-// lock held, as closing a socket waits for its reader.
+// closeIfAllowed calls closeConnection if mayClose returns true; nothing more is read then. The argument of mayClose is the
+// time at which the first bytes were read of a request that net/http has not reported yet; zero if there are none.
+// closeConnection is called without mu held, because closing a socket waits for its reader, which may need mu.
 func (c *inputConn) closeIfAllowed(mayClose func(firstReadAt time.Time) bool, closeConnection func()) {
 	c.mu.Lock()
 	isClosing := !c.isClosed && mayClose(c.firstReadAt)
--- a/internal/front/lingering_conn.go
+++ b/internal/front/lingering_conn.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	maxLingerTime  = 500 * time.Millisecond // for which a closed connection is still read
-	maxLingerBytes = 256 << 10              // that are read in that time
-	finBytes       = 1                      // by which the end of a stream counts in a socket's output
+	maxLingerTime  = 500 * time.Millisecond // how long a closed connection is still read
+	maxLingerBytes = 256 << 10              // limit of the input that is discarded before the connection is closed
+	finBytes       = 1                      // what a FIN adds to the kernel's count of unacknowledged bytes
 )
 
 // lingeringConn is a client's connection with a lingering close (RFC 9112, 9.6). If a socket is closed
-// while it has unread input, such as pipelined requests or the rest of a malformed one, the kernel
-// resets the connection and the client may lose the part of the answer that it has not read yet. Input
-// that is read while the connection lingers is discarded.
+// while it has unread input, such as pipelined requests or the rest of a malformed request, the kernel
+// resets the connection and the client may lose the part of the answer that it has not read yet.
+// Therefore the connection is still read for a while, and its input discarded, before it is closed.
 type lingeringConn struct {
 	net.Conn
 	isBusy      atomic.Bool // a request has started since the connection was last idle
-	isLingering atomic.Bool // the sending side is closed, and the connection stays only for its answer's sake
+	isLingering atomic.Bool // the sending side is closed; the connection stays open only until the answer is delivered
 }
 
-// Close closes the connection. If it is busy and the client has sent more than was read, or has not
-// received all of the answer yet, only the sending side is closed first, and input is discarded until the
-// client closes, the limits are reached or the connection is evicted. An idle connection is closed at once.
+// Close closes the connection. If it is busy, and has unread input or the client has not received all of
+// the answer yet, Close first closes only the sending side and discards input until the client closes, a
+// limit is reached or the connection is evicted. An idle connection is closed at once.
 func (c *lingeringConn) Close() error {
 	tcp := tcpConnOf(c.Conn)
 	mayLinger := tcp != nil && c.isBusy.Load() && !c.mustReset()
@@ -42,8 +42,8 @@
 	return c.Conn.Close()
 }
 
-// CloseWrite closes the sending side. net/http calls it after an answer to a request that it has not read
-// completely, waits, and then calls Close.
+// CloseWrite closes the sending side. net/http calls it after the answer to a request that it has not read
+// completely, then waits, and then calls Close.
 func (c *lingeringConn) CloseWrite() error {
 	tcp := tcpConnOf(c.Conn)
 	if tcp == nil || c.mustReset() {
@@ -52,7 +52,7 @@
 	return c.closeSending(tcp)
 }
 
-// closeSending closes the sending side, after which the connection may be evicted.
+// closeSending closes the sending side. After that the connection may be evicted.
 func (c *lingeringConn) closeSending(tcp *net.TCPConn) error {
 	err := tcp.CloseWrite()
 	c.isLingering.Store(true)
@@ -62,8 +62,8 @@
 	return err
 }
 
-// canStopLingering reports whether closing a lingering connection loses nothing of its answer: the client's system
-// has acknowledged all of it or, if onlySent is set, all of it was sent to the client.
+// canStopLingering reports whether closing a lingering connection loses no part of its answer: the client's kernel has
+// acknowledged all of the answer or, if onlySent is set, all of the answer has been sent.
 func (c *lingeringConn) canStopLingering(onlySent bool) bool {
 	if !c.isLingering.Load() {
 		return false
@@ -72,20 +72,20 @@
 	return outputBytes(tcp, unix.SIOCOUTQ) <= finBytes || onlySent && outputBytes(tcp, unix.SIOCOUTQNSD) == 0
 }
 
-// stopLingering closes a lingering connection. It discards the input first, as far as it is there, over which the close
-// would reset the connection.
+// stopLingering closes a lingering connection. It first discards the unread input, because closing a socket with unread
+// input would reset the connection.
 func (c *lingeringConn) stopLingering() {
 	discardUnread(tcpConnOf(c.Conn))
 	c.Conn.Close()
 }
 
-// isReset reports whether the close has to reset the connection.
+// mustReset reports whether Close must reset the connection.
 func (c *lingeringConn) mustReset() bool {
 	conn, ok := c.Conn.(*validatingConn)
 	return ok && conn.mustReset.Load()
 }
 
-// ReadFrom implements io.ReaderFrom by that of the wrapped connection, if it has one.
+// ReadFrom implements io.ReaderFrom. It uses the wrapped connection's ReadFrom, if there is one.
 func (c *lingeringConn) ReadFrom(r io.Reader) (int64, error) {
 	if inner, ok := c.Conn.(io.ReaderFrom); ok {
 		return inner.ReadFrom(r)
@@ -96,7 +96,7 @@
 // NetConn returns the wrapped connection.
 func (c *lingeringConn) NetConn() net.Conn { return c.Conn }
 
-// hasUnread reports whether a socket has input, or the peer's close, that has not been read.
+// hasUnread reports whether a socket has unread input, or an unread close by the peer.
 func hasUnread(c *net.TCPConn) bool {
 	rawConn, err := c.SyscallConn()
 	if err != nil {
@@ -106,12 +106,12 @@
 	return state.IsReadable && !state.IsBroken
 }
 
-// hasUnacknowledged reports whether the peer has not acknowledged all that was written to a socket. A
-// reset would drop that part.
+// hasUnacknowledged reports whether the peer has not acknowledged all bytes written to a socket. A reset
+// would drop the unacknowledged bytes.
 func hasUnacknowledged(c *net.TCPConn) bool { return outputBytes(c, unix.SIOCOUTQ) > 0 }
 
-// outputBytes returns how many bytes a socket has of those written to it, by a request of ioctl(2): SIOCOUTQ counts the
-// unacknowledged ones, SIOCOUTQNSD those that have not been sent. It is 0 for a socket that is closed.
+// outputBytes returns how many of the bytes written to a socket its send queue still holds. The ioctl(2) request SIOCOUTQ
+// counts the unacknowledged bytes, SIOCOUTQNSD the unsent ones. The result is 0 for a closed socket.
 func outputBytes(c *net.TCPConn, request uint) (count int) {
 	rawConn, err := c.SyscallConn()
 	if err != nil {
@@ -121,7 +121,7 @@
 	return count
 }
 
-// discardUnread reads what a socket has for its reader, up to maxLingerBytes, without waiting.
+// discardUnread reads and discards a socket's unread input, up to about maxLingerBytes, without waiting.
 func discardUnread(c *net.TCPConn) {
 	rawConn, err := c.SyscallConn()
 	if err != nil {
@@ -139,8 +139,8 @@
 	})
 }
 
-// LingeringListener wraps a listener so that its connections have a lingering close. It goes around a
-// ValidatingListener, if both are used.
+// LingeringListener wraps a listener so that its connections have a lingering close. If a
+// ValidatingListener is used as well, LingeringListener must wrap it.
 func LingeringListener(listener net.Listener) net.Listener { return lingerListener{listener} }
 
 // lingerListener accepts connections as *lingeringConn.
--- a/internal/front/lingering_conn_test.go
+++ b/internal/front/lingering_conn_test.go
@@ -11,8 +11,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// A busy connection with unread input lingers until its client closes; one that is idle, or whose answer must
-// be seen to be incomplete, is reset at once.
+// A busy connection with unread input lingers until its client closes. A connection that is idle, or whose
+// client must detect that the answer is incomplete, is reset at once.
 func TestLingeringConnClose(t *testing.T) {
 	for name, tc := range map[string]struct {
 		busy, cut bool
--- a/internal/front/node_answer.go
+++ b/internal/front/node_answer.go
@@ -18,7 +18,7 @@
 	status = answer.Status
 	if answer.Kind == service.Rejected {
 		text = "The request was not run for want of room; trying again is harmless."
-		switch answer.LastAttempt { // after an attempt the reason is not the capacity of this node
+		switch answer.LastAttempt { // if an attempt was made, the cause is not the capacity of this node
 		case control.TimedOut:
 			status = http.StatusGatewayTimeout
 			text = "No server answered in time; trying again is harmless."
@@ -49,8 +49,8 @@
 	Detail string `json:"detail,omitempty"`
 }
 
-// writeNodeAnswer writes an answer of the node itself, as JSON if the client accepts that, else as
-// text. A retryAfter of 0 sends no Retry-After.
+// writeNodeAnswer writes an answer of the node itself, as JSON if the client accepts JSON, otherwise as
+// text. If retryAfter is 0, the answer has no Retry-After.
 func writeNodeAnswer(
 	front *Front, w http.ResponseWriter, r *http.Request, status int, text string, retryAfter time.Duration,
 ) {
@@ -68,7 +68,7 @@
 	if status == http.StatusMethodNotAllowed {
 		header["Allow"] = []string{"GET, HEAD, OPTIONS, POST, PUT, PATCH, DELETE"}
 	}
-	if retryAfter > 0 { // RFC 9110, 10.2.3: in seconds
+	if retryAfter > 0 { // Retry-After is in seconds (RFC 9110, 10.2.3)
 		header["Retry-After"] = []string{strconv.FormatFloat(math.Ceil(retryAfter.Seconds()), 'f', 0, 64)}
 	}
 	if front.isDraining.Load() {
@@ -78,11 +78,11 @@
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerWriteTimeout))
 	w.WriteHeader(status)
 	if r.Method != http.MethodHead {
-		_, _ = w.Write(body) // a departed client is noticed by its context
+		_, _ = w.Write(body) // the request's context reports a disconnected client
 	}
 }
 
-// writeBadRequestAnswer reports a client's mistake to it in an answer of the node itself.
+// writeBadRequestAnswer writes the error answer for an invalid request, in the format of the node's own answers.
 func writeBadRequestAnswer(front *Front, w http.ResponseWriter, r *http.Request, badRequest *BadRequest) {
 	if badRequest.closeConnection {
 		w.Header().Set("Connection", "close")
--- a/internal/front/partial_request_test.go
+++ b/internal/front/partial_request_test.go
@@ -10,11 +10,12 @@
 	"time"
 )
 
-// maxPartialRequestTime is within which clients that stop in the middle of a request are owed an error or a close.
+// partialRequestTimeLimit is the time within which a client that stops in the middle of a request must get an error or a
+// close.
 const partialRequestTimeLimit = 3 * time.Second
 
-// Guards against connections that stay open behind the first bytes of a request: net/http waits for the first four bytes
-// of a further request as for an idle connection.
+// Guards against connections that stay open after the first bytes of a request: until net/http has four bytes of a further
+// request, it applies the timeout for idle connections.
 func TestConnectionIsClosedAfterFirstBytesOfNextRequest(t *testing.T) {
 	for sent := 1; sent <= 5; sent++ {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/front/platform.go
+++ b/internal/front/platform.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	maxIDBytes          = 128                   // limit of a request ID
-	timeLeftTolerance   = 50 * time.Millisecond // by which a client's time left may exceed its class's deadline
-	customerNumberLimit = 1 << 33               // customer numbers are below it
+	maxIDBytes          = 128                   // maximum length of a request ID
+	timeLeftTolerance   = 50 * time.Millisecond // how much a client's time left may exceed the deadline of its class
+	customerNumberLimit = 1 << 33               // customer numbers are less than this
 )
 
-// platformProtocol is the Protocol of the platform (PROTOCOL): the query and headers name customer, plan
-// and deadline, the path names the class, and bodies are buffered.
+// platformProtocol is the Protocol of the platform (PROTOCOL): the query and headers name the customer,
+// plan and deadline, the path names the class, and bodies are buffered.
 type platformProtocol struct{}
 
 // ReadRequest checks the head of a request and prepares to forward it.
@@ -80,14 +80,14 @@
 	return &call.Exchange, nil
 }
 
-// platformCall is one request of the platform's protocol: its exchange with the service and what is forwarded, in one
-// allocation.
+// platformCall is one request of the platform's protocol: its exchange with the service and the request that is forwarded,
+// in one allocation.
 type platformCall struct {
 	service.Exchange
 	upstream.BufferedRequest
 }
 
-// checkClass rejects a request that its class does not allow.
+// checkClass rejects a request whose method, body or lack of an idempotency key its class does not allow.
 func checkClass(r *http.Request, rules *service.RequestRules, class control.Class) *BadRequest {
 	switch {
 	case !rules.AllowsMethod(class, r.Method):
@@ -100,11 +100,11 @@
 	return nil
 }
 
-// ReservedBytes returns the length of a request's body.
+// ReservedBytes returns the length of a request's body, which is buffered.
 func (platformProtocol) ReservedBytes(r *http.Request) int64 { return r.ContentLength }
 
 // ReadBody reads a request's body. The client's deadline counts from the last byte of the request
-// (PROTOCOL, "Figures"), so it is extended by the time that the body takes.
+// (PROTOCOL, "Figures"), so the deadline is extended by the time that reading the body takes.
 func (platformProtocol) ReadBody(w http.ResponseWriter, r *http.Request, exchange *service.Exchange) *BadRequest {
 	startedAt := time.Now()
 	body := make([]byte, r.ContentLength)
@@ -116,13 +116,13 @@
 	if client := clientOf(r); client != nil {
 		exchange.Client = sequentialClient{client}
 	}
-	// net/http keeps reading while the request is in the node, to notice when the client leaves: the
-	// read timeout of the request must not end that.
+	// net/http keeps reading while the request is in the node, to detect that the client disconnects;
+	// the read timeout of the request must not stop it.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	return nil
 }
 
-// Finish does nothing: the body has been read completely.
+// Finish does nothing, because ReadBody has read the body completely.
 func (platformProtocol) Finish(*service.Exchange) {}
 
 // WriteAnswer writes the final answer to the client.
@@ -132,14 +132,14 @@
 	front.writeAnswer(w, answer)
 }
 
-// WriteBadRequest reports a client's mistake to it.
+// WriteBadRequest writes the error answer for an invalid request to the client.
 func (platformProtocol) WriteBadRequest(front *Front, w http.ResponseWriter, _ *http.Request, badRequest *BadRequest) {
 	front.writeBadRequest(w, badRequest)
 }
 
-// customerOf returns the customer that a query names; empty if it names none or several.
+// customerOf returns the customer that a URL's query names; empty if it names none or several.
 func customerOf(u *url.URL) string {
-	// The fast path for what nearly all clients send needs no map of values.
+	// Nearly all clients send only this parameter; this fast path avoids building a map of values.
 	if account, ok := strings.CutPrefix(u.RawQuery, "account="); ok && !strings.ContainsAny(account, "&;%+") {
 		return strings.ToLower(account)
 	}
@@ -149,19 +149,20 @@
 	return ""
 }
 
-// isCustomerNumber reports whether s is a customer's number: 16 hexadecimal digits below customerCount.
+// isCustomerNumber reports whether s is a customer number: 16 hexadecimal digits with a value below customerNumberLimit.
 func isCustomerNumber(s string) bool {
 	n, err := strconv.ParseUint(s, 16, 64)
 	return err == nil && len(s) == 16 && n < customerNumberLimit
 }
 
-// singleValueHeaders are the headers of the protocol that may be given only once.
+// singleValueHeaders lists the protocol's headers that a request may contain only once.
 var singleValueHeaders = []string{
 	protocol.HeaderID, protocol.HeaderPlan, protocol.HeaderTimeLeft,
 	protocol.HeaderWeight, protocol.HeaderRetry, protocol.HeaderIdempotencyKey,
 }
 
-// checkSingleValues rejects a header of the protocol with two values: app servers could use the other one.
+// checkSingleValues rejects a request that repeats one of the protocol's headers, because the node and an app server
+// could use different values.
 func checkSingleValues(header http.Header) *BadRequest {
 	for _, name := range singleValueHeaders {
 		if len(header[name]) > 1 {
@@ -171,9 +172,9 @@
 	return nil
 }
 
-// checkFraming rejects a body without a Content-Length, and one that is too long. net/http drops the
-// length of a request that also has a Transfer-Encoding, so accepting one would enable a second request
-// to be smuggled in the body.
+// checkFraming rejects a body that has no Content-Length or is too long. net/http drops the
+// Content-Length of a request that also has a Transfer-Encoding, so accepting such a request would allow
+// a second request to be smuggled in the body.
 func checkFraming(r *http.Request, maxBodyBytes int64) *BadRequest {
 	switch {
 	case len(r.TransferEncoding) > 0 || r.ContentLength < 0:
@@ -184,16 +185,16 @@
 	return nil
 }
 
-// addedHeaders is the number of fields that the node adds to a request.
+// addedHeaders is the number of header fields that the node adds to a forwarded request.
 const addedHeaders = 2
 
-// forwardedRequest returns the request that app servers get.
+// forwardedRequest returns the request that is sent to app servers.
 func forwardedRequest(r *http.Request) *http.Request {
 	target := url.URL{RawQuery: r.URL.RawQuery, ForceQuery: r.URL.ForceQuery}
-	// The path is forwarded byte for byte, because app servers identify a request by what its client sent.
-	// Package url would encode some bytes of it.
+	// The path is forwarded byte for byte, because app servers identify a request by the bytes that its
+	// client sent. Package url would encode some of them.
 	target.Opaque, _, _ = strings.Cut(originForm(r.RequestURI), "?")
-	if strings.HasPrefix(target.Opaque, "//") { // package url would take an opaque one for an authority
+	if strings.HasPrefix(target.Opaque, "//") { // package url would take an opaque path that begins with "//" for an authority
 		target.Opaque = ""
 		target.Path = r.URL.Path
 		target.RawPath = r.URL.RawPath
@@ -214,13 +215,13 @@
 	}
 	hopheaders.DropNamed(forwarded.Header, r.Header)
 	if forwarded.Header.Get("User-Agent") == "" {
-		forwarded.Header["User-Agent"] = []string{""} // keeps net/http from adding its own
+		forwarded.Header["User-Agent"] = []string{""} // keeps net/http from adding its own User-Agent
 	}
 	return forwarded
 }
 
-// parseTimeLeft parses a number with the unit m (milliseconds) or u (microseconds). More than
-// maxTimeLeft and a slack is an error.
+// parseTimeLeft parses a number with the unit m (milliseconds) or u (microseconds). It returns an error if
+// the time exceeds maxTimeLeft by more than timeLeftTolerance.
 func parseTimeLeft(text string, maxTimeLeft time.Duration) (time.Duration, error) {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(text, "m")
@@ -237,12 +238,11 @@
 	return time.Duration(timeLeft), nil
 }
 
-// maxWeightNames is the number of names that parseWeight accepts.
+// maxWeightNames is the number of names that parseWeight interprets.
 const maxWeightNames = 3
 
-// parseWeight parses a list of name=number pairs into a request: its units, and the edge nodes that its
-// customer uses. Values out of range are rejected, because they would distort the quota accounting of
-// that customer.
+// parseWeight parses a list of name=number pairs and sets a request's units, fan-out and first gateway.
+// Values out of range are rejected, because they would distort the quota accounting of the customer.
 func parseWeight(rules *service.RequestRules, request *control.Request, text string) error {
 	if text == "" {
 		return nil
@@ -252,7 +252,7 @@
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		number, err := protocol.ParseNumber(value)
 		isInteger := err == nil && number == math.Trunc(number)
-		isValid := true // of an unknown name any value is
+		isValid := true // any value of an unknown name is valid
 		switch name {
 		case "units":
 			isValid = err == nil && number > 0 && number <= rules.MaxUnitsByPlan[request.Plan]
--- a/internal/front/rate_guard.go
+++ b/internal/front/rate_guard.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// errBelowMinRate reports a body that moves too slowly.
+// errBelowMinRate reports that a body is transferred too slowly.
 var errBelowMinRate = errors.New("slower than the least rate")
 
-// rateGuard enforces a minimum rate on the transfer of a body, as the average over all of it. Its zero
+// rateGuard enforces a minimum average rate on the transfer of a body, measured from its start. Its zero
 // value allows any rate. It is not safe for concurrent use.
 type rateGuard struct {
-	gracePeriod       time.Duration // from the start, in which any rate is allowed
+	gracePeriod       time.Duration // time from the start during which any rate is allowed
 	minBytesPerSecond int64         // 0 for no limit
 	startedAt         time.Time
 	totalBytes        int64
 }
 
-// record counts n bytes that have been transferred by now. It returns errBelowMinRate if that is too slow.
+// record adds n bytes that have been transferred by the time now. It returns errBelowMinRate if the average rate is too low.
 func (g *rateGuard) record(now time.Time, n int) error {
 	g.totalBytes += int64(n)
 	if g.minBytesPerSecond == 0 {
--- a/internal/front/read_close_race_test.go
+++ b/internal/front/read_close_race_test.go
@@ -11,12 +11,12 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// heldReadListener accepts connections with a lingering close whose bytes, once read from the socket, reach net/http
-// only when released.
+// delayedReadListener accepts connections with a lingering close. Bytes that were read from their sockets reach net/http
+// only after release is closed.
 type delayedReadListener struct {
 	net.Listener
-	wasRead chan struct{} // has a value once a held read has bytes
-	release chan struct{} // closed to let them through
+	wasRead chan struct{} // gets a value when a read from the socket has returned bytes
+	release chan struct{} // closed to pass the bytes on
 }
 
 func (l delayedReadListener) Accept() (net.Conn, error) {
@@ -43,8 +43,8 @@
 
 func (c *delayedReadConn) NetConn() net.Conn { return c.Conn }
 
-// A connection is not closed, by a drain or an eviction, once a request was read from its socket, also before net/http
-// knows of it: the request gets its answer.
+// Once a request has been read from a socket, neither a drain nor an eviction closes the connection, even if net/http has
+// not got the bytes yet. The request is answered.
 func TestConnectionStaysOpenAfterRequestWasRead(t *testing.T) {
 	for name, closeConnections := range map[string]func(*Front){
 		"drain":    func(f *Front) { f.Drain(); f.CloseWhenIdle() },
--- a/internal/front/scatter_gather.go
+++ b/internal/front/scatter_gather.go
@@ -16,31 +16,31 @@
 	"lockflow/internal/upstream"
 )
 
-// maxTimeLeft is longer than the deadline of any class.
+// maxTimeLeft is the limit for a time left sent by another node. It is longer than the deadline of any class.
 const maxTimeLeft = 24 * time.Hour
 
-// mergedIdleTimeout limits the writing of one window of a merged answer.
+// mergedIdleTimeout is the time limit for writing one window of a merged answer.
 const mergedIdleTimeout = time.Minute
 
 // ScatterGather is a service that sends each request to several services, its parts, and merges their
-// answers into one. It must not be changed once it is in a RoutingTable.
+// answers into one. It must not be modified once it is in a RoutingTable.
 type ScatterGather struct {
 	Tree      *scattergather.Tree
 	Leaves    []scattergather.Leaf
 	Gatherers []*scattergather.Gatherer // indexed by the IDs of trees
 	Targets   []Target                  // indexed like Leaves; all use generic HTTP
 	Deadlines map[string]time.Duration  // by class
-	// DefaultClass is the class of requests whose route names none; they have to be GET or HEAD.
+	// DefaultClass is the class of requests whose route names no class. Such requests must be GET or HEAD.
 	DefaultClass string
 	MaxBodyBytes int64
 	// TimeoutHeader is the request header by which a client shortens its deadline; empty for none.
 	TimeoutHeader string
-	// Load returns the fraction of the parts' capacity that is in use. Nil if that is not known.
+	// Load returns the fraction of the parts' capacity that is in use. It is nil if the fraction is unknown.
 	Load func() float64
 }
 
-// tryAcquire keeps all services of the tree from shutting down until release. It returns false, with
-// none acquired, if one of them has shut down already.
+// tryAcquire keeps all services of the tree from shutting down until release is called. If one of them
+// has already shut down, it returns false and acquires none.
 func (g *ScatterGather) tryAcquire() bool {
 	for i := range g.Targets {
 		if !g.Targets[i].Service.TryAcquire() {
@@ -94,8 +94,8 @@
 	return checkExpect(r)
 }
 
-// allowsScatter reports whether a request of a method can be sent to several services. Without a class of the route it
-// has to be GET or HEAD.
+// isScatterAllowed reports whether a request with the given method can be sent to several services. If its route names no
+// class, the method must be GET or HEAD.
 func isScatterAllowed(method, routeClass string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead:
@@ -107,7 +107,7 @@
 	}
 }
 
-// limitTimeout returns the deadline of a class, or the timeout that a client requests if that is shorter.
+// limitTimeout returns the shorter of the deadline of a class and the timeout that the client requests.
 func (g *ScatterGather) limitTimeout(r *http.Request, deadline time.Duration) (time.Duration, error) {
 	if g.TimeoutHeader == "" {
 		return deadline, nil
@@ -124,13 +124,13 @@
 	return min(deadline, requested), err
 }
 
-// conditionalHeaders request something other than the complete current answer. The answers of the parts
-// to them could not be merged.
+// conditionalHeaders lists the headers that request something other than the complete current answer.
+// They are removed, because the parts' answers to such requests could not be merged.
 var conditionalHeaders = []string{
 	"If-None-Match", "If-Modified-Since", "If-Match", "If-Unmodified-Since", "If-Range", "Range", "Expect",
 }
 
-// partRequest returns the request that all parts get, without its body, which they share.
+// partRequest returns the request that is sent to every part, without the body, which the parts share.
 func partRequest(r *http.Request) *http.Request {
 	part := new(http.Request)
 	*part = *r
@@ -142,7 +142,7 @@
 		delete(part.Header, name)
 	}
 	delete(part.Header, "Content-Length")
-	delete(part.Header, protocol.HeaderTimeLeft) // each part gets its own
+	delete(part.Header, protocol.HeaderTimeLeft) // each part gets its own time left
 	part.Header["Accept-Encoding"] = []string{"identity"}
 	part.ContentLength = 0
 	part.TransferEncoding = nil
@@ -151,9 +151,9 @@
 	return part
 }
 
-// handle serves one request. The services have been acquired for it.
+// handle serves one request. The caller has acquired the services.
 func (g *ScatterGather) handle(f *Front, w http.ResponseWriter, r *http.Request, routeClass string, arrived time.Time) {
-	isStarted := false // the run releases the services then
+	isStarted := false // once the run has started, it releases the services
 	defer func() {
 		if !isStarted {
 			g.release()
@@ -194,13 +194,13 @@
 	f.writeMergedAnswer(w, r, g, run.Do(r.Context()))
 }
 
-// newCalls makes the request of each part and reserves memory for it. A part without capacity rejects
-// its request, so that its answer is missing.
+// newCalls creates the call to each part and reserves memory for it. A part without capacity rejects its
+// request, so its answer will be missing from the merged answer.
 func (g *ScatterGather) newCalls(
 	r *http.Request, class string, arrived time.Time, timeout time.Duration,
 ) ([]scattergather.Call, *BadRequest) {
 	calls := make([]scattergather.Call, 0, len(g.Targets))
-	bodyBytes := r.ContentLength // of the shared body, reserved by the first part that has capacity
+	bodyBytes := r.ContentLength // size of the shared body, reserved at the first part that has capacity
 	if bodyBytes < 0 {
 		bodyBytes = g.MaxBodyBytes
 	}
@@ -230,14 +230,14 @@
 	return calls, nil
 }
 
-// releaseCalls releases the memory of calls that will not run.
+// releaseCalls releases the memory reserved for calls that will not run.
 func releaseCalls(calls []scattergather.Call) {
 	for _, call := range calls {
 		call.Exchange.Release()
 	}
 }
 
-// setBody makes all calls send the same body, if there is one.
+// setBody sets the body that all calls send, unless it is empty.
 func setBody(calls []scattergather.Call, body []byte) {
 	if len(body) == 0 {
 		return
@@ -253,7 +253,7 @@
 func (g *ScatterGather) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *BadRequest) {
 	controller := http.NewResponseController(w)
 	if r.ContentLength == 0 {
-		_ = controller.SetReadDeadline(time.Time{}) // net/http keeps reading, to notice when the client leaves
+		_ = controller.SetReadDeadline(time.Time{}) // net/http keeps reading, to detect that the client disconnects
 		return nil, nil
 	}
 	_ = controller.SetReadDeadline(time.Now().Add(requestReadTimeout))
@@ -272,7 +272,7 @@
 func (f *Front) writeMergedAnswer(w http.ResponseWriter, r *http.Request, gather *ScatterGather, final scattergather.Final) {
 	switch final.Outcome {
 	case scattergather.EndedClientGone:
-		panic(http.ErrAbortHandler) // the client has left
+		panic(http.ErrAbortHandler) // the client has disconnected
 	case scattergather.EndedTooFew:
 		writeNodeAnswer(f, w, r, http.StatusServiceUnavailable, "Too few parts answered in time; trying again is harmless.",
 			min(time.Second, gather.Gatherers[0].RetryAfter))
@@ -304,11 +304,11 @@
 		return
 	}
 	for _, piece := range pieces {
-		// Each window has its own deadline: a client that reads nothing must not block the handler.
+		// Each window has its own deadline, so that a client that reads nothing does not block the handler.
 		for window := range slices.Chunk(piece, upstream.BodyWindowBytes) {
 			_ = controller.SetWriteDeadline(time.Now().Add(mergedIdleTimeout))
 			if _, err := w.Write(window); err != nil {
-				return // the client has left
+				return // the client has disconnected
 			}
 		}
 	}
--- a/internal/front/slow_request_test.go
+++ b/internal/front/slow_request_test.go
@@ -11,7 +11,7 @@
 	"lockflow/internal/service"
 )
 
-// The deadline of a client counts from the last byte of its request, however slowly that came (PROTOCOL, "Figures").
+// The deadline of a client counts from the last byte of its request, however slowly the request arrives (PROTOCOL, "Figures").
 func TestDeadlineCountsFromLastByte(t *testing.T) {
 	const timeLeft = time.Second
 	head := "POST /write?account=0000000000000001 HTTP/1.1\r\n" + strings.Replace(requestHeaders, "15000m", "1000m", 1) + "Content-Length: 4\r\n\r\n"
--- a/internal/front/tunnel.go
+++ b/internal/front/tunnel.go
@@ -14,17 +14,17 @@
 	"lockflow/internal/upstream"
 )
 
-// tunnel copies bytes in both directions after an upgrade to another protocol.
+// tunnel copies bytes between a client and a server after an upgrade to another protocol.
 type tunnel struct {
 	client       net.Conn
-	fromClient   *bufio.ReadWriter // client, with what net/http has read of it already
+	fromClient   *bufio.ReadWriter // reads client, beginning with the bytes that net/http has already buffered
 	server       *upstream.Stream
 	idleTimeout  time.Duration
 	startedAt    time.Time
 	lastActivity atomic.Int64 // time.Duration since startedAt at the last read in either direction
 }
 
-// serveTunnel takes over the client's connection and copies bytes in both directions until both sides have
+// serveTunnel hijacks the client's connection and copies bytes in both directions until both sides have
 // closed, one of them fails, or neither has sent anything for the idle timeout.
 func (o *GenericHTTP) serveTunnel(w http.ResponseWriter, answer service.Answer) {
 	client, buffered, err := http.NewResponseController(w).Hijack()
@@ -41,13 +41,13 @@
 	t.run()
 }
 
-// writeUpgradeHead writes the head of the answer 101 to a client.
+// writeUpgradeHead writes the head of a 101 answer to a client.
 func writeUpgradeHead(out *bufio.Writer, header http.Header, upgrade []string) error {
 	delete(header, "Content-Type")
 	header["Connection"] = []string{"Upgrade"}
 	header["Upgrade"] = upgrade
 	out.WriteString("HTTP/1.1 101 Switching Protocols\r\n")
-	_ = header.Write(out) // Flush returns its error
+	_ = header.Write(out) // Flush returns the error of a failed write
 	out.WriteString("\r\n")
 	return out.Flush()
 }
@@ -89,8 +89,8 @@
 	t.client.Close()
 }
 
-// copyDirection copies until source has closed its side, which is no error. A read timeout ends the copy only
-// if the other direction has been idle as well.
+// copyDirection copies until source has closed its side, and then returns nil. A read timeout ends the copy
+// only if the other direction has been idle as well.
 func (t *tunnel) copyDirection(destination io.Writer, source io.Reader) error {
 	buffer := upstream.BodyBuffers.Get().(*[]byte)
 	defer upstream.BodyBuffers.Put(buffer)
@@ -118,22 +118,22 @@
 	return time.Since(t.startedAt)-time.Duration(t.lastActivity.Load()) >= t.idleTimeout
 }
 
-// closeWrite closes the sending side of a connection; all of it if it has no TCP socket.
+// closeWrite closes the sending side of a connection, or the whole connection if it has no TCP socket.
 func closeWrite(conn net.Conn) {
 	if tcp := tcpConnOf(conn); tcp != nil {
-		_ = tcp.CloseWrite() // a broken connection is noticed by reading
+		_ = tcp.CloseWrite() // reads report a broken connection
 	} else {
 		conn.Close()
 	}
 }
 
-// readFunc is a function as an io.Reader.
+// readFunc adapts a function to io.Reader.
 type readFunc func([]byte) (int, error)
 
 // Read implements io.Reader.
 func (f readFunc) Read(p []byte) (int, error) { return f(p) }
 
-// writeFunc is a function as an io.Writer.
+// writeFunc adapts a function to io.Writer.
 type writeFunc func([]byte) (int, error)
 
 // Write implements io.Writer.
--- a/internal/front/unacknowledged_answer_test.go
+++ b/internal/front/unacknowledged_answer_test.go
@@ -15,7 +15,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// dialWithSmallBuffers connects a client whose segments and buffer are small: most of a long answer stays on the server's side.
+// dialWithSmallBuffers connects a client with small segments and a small receive buffer, so that most of a long answer stays
+// in the server's send buffer.
 func dialWithSmallBuffers(t *testing.T, address string) net.Conn {
 	t.Helper()
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -39,7 +40,7 @@
 	return connectWith(t, dialWithSmallBuffers)
 }
 
-// connectWith returns both ends of a connection.
+// connectWith returns both ends of a connection made by dial.
 func connectWith(t *testing.T, dial func(t *testing.T, address string) net.Conn) (client net.Conn, server *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -58,7 +59,7 @@
 
 const answerBytes = 32 << 10
 
-// writeToSendBuffer writes an answer that fits in the server's send buffer.
+// writeToSendBuffer writes answerBytes, which fit in the server's send buffer.
 func writeToSendBuffer(t *testing.T, server *net.TCPConn) {
 	t.Helper()
 	server.SetWriteBuffer(1 << 20)
@@ -80,7 +81,7 @@
 }
 
 // A client that sends another request while its connection is being closed, and before it has read its answer,
-// still gets all of that answer.
+// still gets the complete answer.
 func TestLingeringConnDeliversAnswerBeforeLateRequest(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -109,8 +110,9 @@
 	testkit.Next(t, closed)
 }
 
-// CloseWhenIdle does not close a connection while a part of an answer is on its way, whether the connection is
-// idle already or becomes idle later: its next request is answered. After the complete answer it is closed.
+// CloseWhenIdle does not close a connection while a part of an answer is unacknowledged, whether the connection is
+// already idle or becomes idle later, and the next request can still be read. Once the answer is acknowledged, a
+// further call closes the connection.
 func TestCloseWhenIdleWaitsForUnacknowledgedAnswer(t *testing.T) {
 	for name, isIdle := range map[string]bool{"is idle": true, "becomes idle": false} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/front/validating_conn.go
+++ b/internal/front/validating_conn.go
@@ -9,12 +9,13 @@
 	"lockflow/internal/validation"
 )
 
-// validatingConn is a client's connection that scans what net/http reads from it. net/http silently
-// repairs messages that another HTTP parser could read differently, which enables request smuggling.
+// validatingConn is a client's connection that validates the bytes that net/http reads from it. net/http
+// silently repairs messages that another HTTP parser could interpret differently, which enables request
+// smuggling.
 type validatingConn struct {
 	net.Conn
 	scanner   validation.Scanner    // used by Read only
-	firstErr  atomic.Pointer[error] // of the scanner; nil for none
+	firstErr  atomic.Pointer[error] // first error of the scanner; nil if there is none
 	mustReset atomic.Bool           // resetOnClose was called
 }
 
@@ -30,8 +31,8 @@
 	return n, err
 }
 
-// ReadFrom implements io.ReaderFrom. It uses the TCP socket's own, if there is one, which can copy from
-// another socket inside the kernel.
+// ReadFrom implements io.ReaderFrom. If there is a TCP socket, it uses the socket's ReadFrom, which can
+// copy from another socket inside the kernel.
 func (c *validatingConn) ReadFrom(r io.Reader) (int64, error) {
 	if tcp := tcpConnOf(c.Conn); tcp != nil {
 		return tcp.ReadFrom(r)
@@ -39,7 +40,7 @@
 	return io.Copy(struct{ io.Writer }{c.Conn}, r)
 }
 
-// connInside returns the connection of a type that is conn or is wrapped by it; the type's zero value if there is none.
+// findWrappedConn returns the connection of type T that is conn itself or is wrapped by it; T's zero value if there is none.
 func findWrappedConn[T net.Conn](conn net.Conn) (zero T) {
 	for {
 		if found, ok := conn.(T); ok {
@@ -53,14 +54,14 @@
 	}
 }
 
-// tcpConnOf returns the TCP connection inside conn; nil if there is none.
+// tcpConnOf returns the TCP connection that is conn itself or is wrapped by it; nil if there is none.
 func tcpConnOf(conn net.Conn) *net.TCPConn { return findWrappedConn[*net.TCPConn](conn) }
 
 // NetConn returns the wrapped connection.
 func (c *validatingConn) NetConn() net.Conn { return c.Conn }
 
-// validationError returns the first violation found on the connection, which may be in a request behind
-// the current one. No request of the connection is served after it.
+// validationError returns the first violation found on the connection, which may be in a request after
+// the current one. No further request on the connection is served.
 func (c *validatingConn) validationError() error {
 	if err := c.firstErr.Load(); err != nil {
 		return *err
@@ -69,7 +70,7 @@
 }
 
 // resetOnClose makes Close reset the connection, so that a client that takes the end of the connection
-// for the end of the answer sees that the answer is incomplete.
+// for the end of the answer detects that the answer is incomplete.
 func (c *validatingConn) resetOnClose() {
 	c.mustReset.Store(true)
 	if tcp := tcpConnOf(c.Conn); tcp != nil {
@@ -77,8 +78,8 @@
 	}
 }
 
-// ValidatingListener wraps a listener so that its connections are scanned for malformed requests. A
-// Front with a service of generic HTTP needs it.
+// ValidatingListener wraps a listener so that its connections are scanned for malformed requests. It is
+// required for a Front with a service of generic HTTP.
 func ValidatingListener(listener net.Listener) net.Listener { return validatingConnListener{listener} }
 
 // validatingConnListener accepts connections as *validatingConn.
@@ -93,7 +94,7 @@
 	return &validatingConn{Conn: withInputConn(conn)}, nil
 }
 
-// validatingConnOf returns the connection of a request; nil if it is not scanned.
+// validatingConnOf returns the validatingConn of a request; nil if its connection is not scanned.
 func validatingConnOf(r *http.Request) *validatingConn {
 	if c := clientOf(r); c != nil {
 		conn, _ := c.conn.(*validatingConn)
--- a/internal/responseclass/responseclass.go
+++ b/internal/responseclass/responseclass.go
@@ -1,9 +1,9 @@
-// Package responseclass classifies the answers of app servers in generic HTTP: with which reason
-// the attempt ends for the decision module, and whether the answer is final. Package upstream calls it
-// for each answer. It does no I/O; all functions are safe for concurrent use.
+// Package responseclass classifies the answers of app servers in generic HTTP: it determines the reason
+// with which the attempt ends for the decision module, and whether the answer is final. Package upstream
+// calls it for each answer. It does no I/O; all functions are safe for concurrent use.
 //
 // The table shows all ways in which an attempt can end, including those without an answer, which package
-// upstream classifies itself. "Failure" says whether it counts as a failure of the server.
+// upstream classifies itself. "Failure" says whether the result counts as a failure of the server.
 //
 //	result of the attempt        reason            may have run  failure  the client gets
 //	no connection                ConnectFailed     no            yes      (502)
@@ -34,18 +34,18 @@
 	"lockflow/control"
 )
 
-// Client and server error statuses; only an answer with one can prove that a request was rejected.
+// Range of the client and server error statuses. Only an answer with such a status can prove that a request was rejected.
 const (
 	minErrorStatus = 400
 	maxErrorStatus = 599
 )
 
-// Proof is a property of an answer which proves that the server did not process the request. Its
+// Proof is a property of an answer that proves that the server did not process the request. Its
 // configuration key is never_ran.
 type Proof struct {
-	Status int    // 0 for any
+	Status int    // 0 for any status
 	Header string // canonical name; empty for any answer
-	Value  string // of Header; empty for any
+	Value  string // value of Header; empty for any value
 }
 
 // ParseProof parses a status ("503"), a header ("X-Unprocessed") or a header and its value
@@ -76,23 +76,23 @@
 	return len(values) > 0 && (p.Value == "" || slices.Contains(values, p.Value))
 }
 
-// Rules determine how the answers of a service are classified. With the zero value no status allows a
+// Rules determines how the answers of a service are classified. With the zero value no answer allows a
 // retry.
 type Rules struct {
 	RetryStatuses   []int   // 5xx statuses that allow a retry (configuration key elsewhere)
 	RejectionProofs []Proof // for answers with a status from 400 to 599 (configuration key never_ran)
 }
 
-// DefaultRules returns the rules of a service that does not configure any.
+// DefaultRules returns the rules of a service whose configuration has none.
 func DefaultRules() Rules { return Rules{RetryStatuses: []int{502, 503, 504}} }
 
-// Classification is the meaning of an answer.
+// Classification is the result of classifying an answer.
 type Classification struct {
-	Reason  control.Reason // with which the attempt ends for the decision module
-	IsFinal bool           // the client gets the answer, even if a retry were possible
+	Reason  control.Reason // reason with which the attempt ends for the decision module
+	IsFinal bool           // the client gets the answer, even if a retry would be possible
 }
 
-// Classify returns the meaning of a final answer with a status and headers.
+// Classify classifies a final (not 1xx) answer by its status and headers.
 func (r *Rules) Classify(status int, h http.Header) Classification {
 	if status < minErrorStatus {
 		return Classification{control.OK, true}
--- a/internal/retrybuffer/retrybuffer.go
+++ b/internal/retrybuffer/retrybuffer.go
@@ -2,7 +2,7 @@
 // as long as no attempt has read beyond the buffer. The rest is read from the client once, at the pace of
 // the attempt, so a body of any size takes no more memory than the buffer.
 //
-// Package front makes a Body of each request of generic HTTP; package upstream reads it, with a
+// Package front creates a Body for the request body in generic HTTP; package upstream reads it, with a
 // new Reader for each attempt.
 package retrybuffer
 
@@ -12,7 +12,7 @@
 	"sync"
 )
 
-// Errors of reading a body.
+// Errors returned by reads of a body.
 var (
 	// ErrGone reports that the Reader has been replaced, or that the beginning of the body is no longer
 	// buffered.
@@ -21,48 +21,48 @@
 	ErrClosed = errors.New("the body is closed")
 )
 
-// errTooLong reports bytes beyond the length given to Fill.
+// errTooLong reports that a body is longer than the length passed to Fill.
 var errTooLong = errors.New("more than the length that was told")
 
-// discardBytes is the size of the buffer for discarding the rest of a body.
+// discardBytes is the size of the buffer into which Discard reads the rest of a body.
 const discardBytes = 16 << 10
 
-// Body is a request's body. Only its latest Reader can be used. An earlier one may still be in a read
-// that waits for the client; the bytes of that read go to the latest. It is safe for concurrent use.
+// Body is a request's body. Only its latest Reader can be used. An earlier Reader may still be in a read
+// that waits for the client; the latest Reader gets the bytes of that read. Body is safe for concurrent use.
 type Body struct {
 	source     io.Reader
 	beforeRead func() // called before each read of source; may be nil
-	limit      int    // bytes that are buffered
+	limit      int    // maximum number of buffered bytes
 
 	mu        sync.Mutex
 	changed   sync.Cond // signals any change of the fields below
 	buffered  []byte    // the first totalRead bytes of the body, unless isDropped
-	pooled    *[]byte   // the buffer from bufferPool in which buffered began; nil for none
+	pooled    *[]byte   // the buffer from bufferPool that buffered initially used; nil if there is none
 	isDropped bool      // the body is longer than the buffer, or has been discarded
 	totalRead int64     // bytes read from source
-	err       error     // with which source ended; io.EOF at the end of the body
-	isReading bool      // a goroutine is in a read of source, without mu
+	err       error     // error with which source ended; io.EOF at the end of the body
+	isReading bool      // a goroutine is reading from source, without holding mu
 	isClosed  bool
 	current   *Reader
 }
 
-// FromBytes returns a body that is complete already. It does not copy the bytes, which several bodies may
-// share.
+// FromBytes returns a Body that is already complete. It does not copy the bytes; several bodies may share
+// them.
 func FromBytes(complete []byte) *Body {
 	b := New(nil, len(complete), nil)
 	b.buffered, b.totalRead, b.err = complete, int64(len(complete)), io.EOF
 	return b
 }
 
-// New returns a body that is read from source and of which up to limit bytes are buffered. beforeRead is
-// called before each read of source; it may be nil.
+// New returns a Body that reads from source and buffers up to limit bytes. beforeRead is called before
+// each read of source; it may be nil.
 func New(source io.Reader, limit int, beforeRead func()) *Body {
 	b := &Body{source: source, limit: limit, beforeRead: beforeRead}
 	b.changed.L = &b.mu
 	return b
 }
 
-// Fill reads a body of a known length, which must not exceed the limit, to its end.
+// Fill reads and buffers a complete body of a known length, which must not exceed the limit.
 func (b *Body) Fill(length int64) error {
 	if length > int64(b.limit) {
 		return ErrGone
@@ -73,7 +73,7 @@
 	buffer := make([]byte, length)
 	n, err := io.ReadFull(b.source, buffer)
 	if err == nil {
-		// net/http has to see the end of the body before it watches for the departure of the client.
+		// net/http must reach the end of the body before it starts to detect a disconnect of the client.
 		var one [1]byte
 		if extra, end := b.source.Read(one[:]); extra > 0 || !errors.Is(end, io.EOF) {
 			err = errTooLong
@@ -88,7 +88,7 @@
 	return err
 }
 
-// Complete returns the body. It returns false if a part has not been read yet or is not buffered.
+// Complete returns the complete body. It returns false if a part has not been read yet or is no longer buffered.
 func (b *Body) Complete() ([]byte, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -102,14 +102,14 @@
 	return errors.Is(b.err, io.EOF)
 }
 
-// CanRetry reports whether a retry could send the body from its beginning.
+// CanRetry reports whether a retry can send the body from its beginning.
 func (b *Body) CanRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return !b.isDropped && !b.isClosed && (b.err == nil || errors.Is(b.err, io.EOF))
 }
 
-// Err returns the error with which the body ended early; nil if it has not.
+// Err returns the error with which reading of the body failed; nil if it has not failed.
 func (b *Body) Err() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -119,8 +119,8 @@
 	return b.err
 }
 
-// NewReader returns a reader of the body from its first byte, for one attempt. It replaces all readers
-// before it.
+// NewReader returns a Reader of the body from its first byte, for one attempt. It replaces all earlier
+// Readers.
 func (b *Body) NewReader() *Reader {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -159,7 +159,7 @@
 			continue
 		}
 		n, err := b.readSource(p)
-		if r != b.current { // the bytes are buffered for the current one
+		if r != b.current { // the bytes are buffered for the current Reader
 			continue
 		}
 		r.offset += int64(n)
@@ -179,7 +179,7 @@
 	b.mu.Lock()
 	b.isReading = false
 	b.totalRead += int64(n)
-	// A read that began for a Reader which has since been replaced is buffered beyond the limit.
+	// The bytes of a read for a Reader that has meanwhile been replaced are buffered even beyond the limit.
 	if !b.isDropped {
 		if len(b.buffered)+n <= b.limit || reader != b.current {
 			b.appendBuffered(p[:n])
@@ -194,7 +194,7 @@
 
 const pooledBytes = 64 << 10
 
-// bufferPool holds buffers of pooledBytes. A body that outgrows the limit returns its buffer early.
+// bufferPool holds buffers of pooledBytes. A body that exceeds its limit returns its buffer early.
 var bufferPool = sync.Pool{New: func() any { b := make([]byte, 0, pooledBytes); return &b }}
 
 // appendBuffered adds bytes to the buffer. The caller holds mu.
@@ -215,8 +215,8 @@
 	}
 }
 
-// Discard reads the rest of the body and discards it, until it ends or a read fails. It replaces all
-// readers.
+// Discard reads and discards the rest of the body, until the body ends or a read fails. It replaces all
+// Readers.
 func (b *Body) Discard() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -233,8 +233,8 @@
 	}
 }
 
-// Close ends all reading and returns once no read of source is in progress. interrupt must make such a
-// read return; it may be nil.
+// Close makes all reads fail and returns once no read of source is in progress. interrupt must make a read
+// in progress return; it may be nil.
 func (b *Body) Close(interrupt func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/retrybuffer/retrybuffer_test.go
+++ b/internal/retrybuffer/retrybuffer_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Whenever attempts begin and stop, each reads the body from its first byte, or gets ErrGone; and that only
+// Wherever earlier attempts stopped, each attempt reads the body from its first byte. It gets ErrGone only
 // after an attempt has read beyond the buffer.
 func TestEachReaderReadsFromFirstByte(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -54,7 +54,7 @@
 	})
 }
 
-// If an attempt ends while it waits for the client, the bytes of its read go to the next one.
+// If an attempt is replaced while it waits for bytes from the client, the next attempt gets the bytes of its read.
 func TestBytesReadByReplacedReaderGoToNextReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		in, out := io.Pipe()
--- a/internal/socketpoll/socketpoll.go
+++ b/internal/socketpoll/socketpoll.go
@@ -1,4 +1,4 @@
-// Package socketpoll asks the system, without waiting, what a socket has for its reader.
+// Package socketpoll queries, without blocking, whether a socket is readable and whether its peer has closed it.
 package socketpoll
 
 import (
@@ -8,17 +8,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// State is what a socket has.
+// State is the state of a socket.
 type State struct {
-	IsReadable bool // there is something to read: bytes, a connection to be accepted, or the peer's end
+	IsReadable bool // a read or accept would not block: there are bytes, a connection to accept, or the peer's close
 	IsHalfShut bool // the peer has closed its sending side
-	IsBroken   bool // the connection has ended in both directions, or failed
+	IsBroken   bool // the connection is closed in both directions or has failed
 }
 
-// Poll returns the state of a socket. A signal that interrupts the call is no answer, so it is made again. A socket that
-// is closed on this side, or of which the system tells nothing, has the zero State.
+// Poll returns the state of a socket. It repeats the system call if a signal interrupts it. For a socket that is closed on
+// this side, and if the system call fails, it returns the zero State.
 func Poll(socket syscall.RawConn) (state State) {
-	_ = socket.Control(func(fd uintptr) { // it fails where the socket is closed
+	_ = socket.Control(func(fd uintptr) { // Control fails if the socket is closed
 		polled := [1]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN | unix.POLLRDHUP}}
 		n, err := unix.Poll(polled[:], 0)
 		for errors.Is(err, unix.EINTR) {
--- a/internal/socketpoll/socketpoll_test.go
+++ b/internal/socketpoll/socketpoll_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// pair returns the two ends of a connection.
+// tcpPair returns both ends of a TCP connection.
 func tcpPair(t *testing.T) (local, peer *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -25,7 +25,7 @@
 	return accepted.(*net.TCPConn), dialed.(*net.TCPConn)
 }
 
-// awaitState polls until a socket has a state.
+// awaitState polls a socket until it has the given state.
 func awaitState(t *testing.T, conn *net.TCPConn, want State) {
 	t.Helper()
 	raw, err := conn.SyscallConn()
