--- a/internal/front/answer_stream.go
+++ b/internal/front/answer_stream.go
@@ -19,7 +19,7 @@
 // shorter answers the setup costs more than it saves.
 const minDirectBytes = 256 << 10
 
-var errClientDisconnected = errors.New("the client takes no more of the answer")
+var errClientDisconnected = errors.New("the client has disconnected")
 
 // answerStream copies the body of an answer from a server to a client as it arrives.
 type answerStream struct {
--- a/internal/front/background_read_test.go
+++ b/internal/front/background_read_test.go
@@ -46,14 +46,14 @@
 			testkit.Next(t, listener.wasRead) // by the background read
 			answer <- struct{}{}
 			if resp, err := http.ReadResponse(in, nil); err != nil || resp.Close {
-				t.Fatalf("%v, %v", resp, err)
+				t.Fatalf("answer to the first request: %v, error %v; want one that keeps the connection open", resp, err)
 			}
-			testkit.Until(t, "the connection to be idle", func() bool { return hasIdleConnection(f) })
+			testkit.Until(t, "an idle connection", func() bool { return hasIdleConnection(f) })
 			closeConnections(f)
 			go func() { <-isHandled; close(answer) }()
 			io.WriteString(client, completeRequest[1:])
 			if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-				t.Errorf("the next request: %v, %v", resp, err)
+				t.Errorf("answer to the next request: %v, error %v; want status 503", resp, err)
 			}
 		})
 	}
--- a/internal/front/client_departure_test.go
+++ b/internal/front/client_departure_test.go
@@ -47,31 +47,31 @@
 		{Idempotency: control.NotIdempotent},
 	} {
 		for _, disconnect := range disconnects {
-			t.Run(fmt.Sprint(disconnect.name, " effect ", class.Idempotency), func(t *testing.T) {
+			t.Run(fmt.Sprint(disconnect.name, ", idempotency ", class.Idempotency), func(t *testing.T) {
 				node := startTestNode(t, class)
 				first := []net.Conn{node.send("f0"), node.send("f1")} // use up the plan's in-flight quota
-				testkit.Until(t, "two at the server", func() bool { return node.app.Count() == 2 })
+				testkit.Until(t, "arrival of two requests at the server", func() bool { return node.app.Count() == 2 })
 				client := node.send("left", "behind")
-				testkit.Until(t, "its place in the queue", func() bool { return node.service.Status().Requests == 3 })
+				testkit.Until(t, "queueing of the client's request", func() bool { return node.service.Status().Requests == 3 })
 				disconnect.apply(client)
-				testkit.Until(t, "its end to be there", func() bool { return node.waitingClients() == 2 })
+				testkit.Until(t, "detection of the disconnect", func() bool { return node.waitingClients() == 2 })
 				node.openGate()
 				for _, conn := range first {
 					if got := readStatusLine(conn); got != "HTTP/1.1 200" {
-						t.Errorf("one before it: %q", got)
+						t.Errorf("answer to an earlier request: %q, want HTTP/1.1 200", got)
 					}
 				}
-				testkit.Until(t, "its end", func() bool { return node.service.Status().Requests == 0 })
+				testkit.Until(t, "end of all requests", func() bool { return node.service.Status().Requests == 0 })
 				if got := readStatusLine(node.send("next")); got != "HTTP/1.1 200" {
-					t.Errorf("the next one: %q", got)
+					t.Errorf("answer to the next request: %q, want HTTP/1.1 200", got)
 				}
 				switch got := readStatusLine(client); {
 				case disconnect.stays && got != "HTTP/1.1 503",
 					strings.HasPrefix(got, "HTTP") && !disconnect.floods, strings.HasSuffix(got, "200"):
-					t.Errorf("the client that was not forwarded got %q", got)
+					t.Errorf("answer to the client whose requests must not be forwarded: %q", got)
 				}
 				if received := strings.Join(node.app.Requests(), " "); strings.Contains(received, "left") || strings.Contains(received, "behind") {
-					t.Errorf("the server saw %.200s", received)
+					t.Errorf("requests at the server: %.200s; those of the disconnected client must not be among them", received)
 				}
 			})
 		}
@@ -224,15 +224,15 @@
 	const get, post = "GET /read?account=0000000000000001 HTTP/1.", "POST /write?account=0000000000000001 HTTP/1.1\r\n" + requestHeaders
 	long := strings.Repeat("x", 1<<16)
 	for name, parts := range map[string][]string{
-		"plain":             {get + "1\r\n" + requestHeaders + "\r\n"},
-		"HTTP/1.0":          {get + "0\r\n" + requestHeaders + "\r\n"},
-		"kept HTTP/1.0":     {get + "0\r\nConnection: keep-alive\r\n" + requestHeaders + "\r\n"},
-		"closes":            {get + "1\r\nConnection: close\r\n" + requestHeaders + "\r\n"},
-		"no body":           {post + "Content-Length: 0\r\n\r\n"},
-		"a long body":       {post + "Content-Length: 65536\r\n\r\n" + long},
-		"a body in pieces":  {post + "Content-Length: 65536\r\n\r\n" + long[:1], long[1:40000], long[40000:]},
-		"expects to go on":  {post + "Expect: 100-continue\r\nContent-Length: 65536\r\n\r\n", long},
-		"expects, no pause": {post + "Expect: 100-continue\r\nContent-Length: 65536\r\n\r\n" + long},
+		"plain":                {get + "1\r\n" + requestHeaders + "\r\n"},
+		"HTTP/1.0":             {get + "0\r\n" + requestHeaders + "\r\n"},
+		"HTTP/1.0 keep-alive":  {get + "0\r\nConnection: keep-alive\r\n" + requestHeaders + "\r\n"},
+		"closes":               {get + "1\r\nConnection: close\r\n" + requestHeaders + "\r\n"},
+		"no body":              {post + "Content-Length: 0\r\n\r\n"},
+		"long body":            {post + "Content-Length: 65536\r\n\r\n" + long},
+		"body in pieces":       {post + "Content-Length: 65536\r\n\r\n" + long[:1], long[1:40000], long[40000:]},
+		"Expect, body later":   {post + "Expect: 100-continue\r\nContent-Length: 65536\r\n\r\n", long},
+		"Expect, body at once": {post + "Expect: 100-continue\r\nContent-Length: 65536\r\n\r\n" + long},
 	} {
 		for _, late := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, ", late ", late), func(t *testing.T) {
@@ -254,16 +254,16 @@
 		synctest.Wait()
 	}
 	if service.Status().Unanswered != 1 {
-		t.Fatalf("%+v", service.Status())
+		t.Fatalf("status %+v, want 1 unanswered request", service.Status())
 	}
 	if late {
 		time.Sleep(3 * requestReadTimeout)
 		if service.Status().Unanswered != 1 {
-			t.Error("taken to have left")
+			t.Error("the connected client was considered disconnected")
 		}
 	}
 	client.Close()
 	if synctest.Wait(); service.Status().Unanswered != 0 {
-		t.Error("it still waits")
+		t.Error("the request of the disconnected client is still unanswered")
 	}
 }
--- a/internal/front/client_registry_test.go
+++ b/internal/front/client_registry_test.go
@@ -36,8 +36,8 @@
 // as active, the request is not started, so the client can safely retry it.
 func TestServeHTTPStartsNoRequestOnClosedConnection(t *testing.T) {
 	for name, close := range map[string]func(*Front){
-		"closes idle": (*Front).CloseWhenIdle,
-		"evicts":      func(f *Front) { f.Evict() },
+		"close when idle": (*Front).CloseWhenIdle,
+		"evicts":          func(f *Front) { f.Evict() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -51,16 +51,16 @@
 				in := bufio.NewReader(client)
 				io.WriteString(client, completeRequest)
 				if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable || received != 1 {
-					t.Fatalf("%v, %v; heard of %d", resp, err, received)
+					t.Fatalf("first request: answer %v, error %v, %d requests at the module; want status 503 and 1", resp, err, received)
 				}
 				synctest.Wait()
 				conn.afterRead = func() { close(f) }
 				io.WriteString(client, completeRequest)
 				if resp, err := http.ReadResponse(in, nil); err == nil {
-					t.Errorf("answered %v", resp)
+					t.Errorf("a request on a closed connection was answered: %v", resp)
 				}
 				if synctest.Wait(); received != 1 {
-					t.Error("a request was begun whose client has no connection any more")
+					t.Error("a request on a closed connection was started")
 				}
 			})
 		})
@@ -87,15 +87,15 @@
 		for _, c := range []net.Conn{first, silent} {
 			ctx, cancel := context.WithCancel(t.Context())
 			if cancel(); f.WaitDisconnected(ctx) {
-				t.Error("gone, with clients connected")
+				t.Error("WaitDisconnected returned true while clients were connected")
 			}
 			io.WriteString(c, completeRequest)
 			if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || !resp.Close {
-				t.Errorf("%v, %v", resp, err)
+				t.Errorf("answer %v, error %v; want an answer that closes the connection", resp, err)
 			}
 		}
 		if !f.WaitDisconnected(t.Context()) {
-			t.Error("not gone")
+			t.Error("clients are still connected after their answers")
 		}
 	})
 }
@@ -129,8 +129,8 @@
 			wantIsAnswered bool
 		}{
 			{name: "asks", sends: true, wantIsAnswered: true},
-			{name: "is silent"},
-			{name: "asks and goes", sends: true, departs: true},
+			{name: "no input"},
+			{name: "asks and closes", sends: true, departs: true},
 		} {
 			t.Run(fmt.Sprint(tc.name, ", new ", isNew), func(t *testing.T) {
 				f, client, allowReads := dialWithBlockedReads(t)
@@ -140,18 +140,18 @@
 				if tc.departs {
 					client.CloseWrite()
 				}
-				testkit.Until(t, "its connection and its bytes", func() bool {
+				testkit.Until(t, "the connection with its input", func() bool {
 					readable, ended := setOnlyConnection(f, isNew, time.Now().Add(-time.Second))
 					return readable == tc.sends && ended == tc.departs
 				})
 				if f.Evict() == tc.wantIsAnswered {
-					t.Error("evicted a connection with a request, or none")
+					t.Error("a connection with a request was evicted, or one without a request was not")
 				}
 				allowReads()
 				client.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 				resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 				if tc.wantIsAnswered && (err != nil || resp.StatusCode != http.StatusServiceUnavailable) || !tc.wantIsAnswered && err == nil {
-					t.Errorf("%v, %v", resp, err)
+					t.Errorf("answer %v, error %v; want status 503 if the connection had a request, else an error", resp, err)
 				}
 			})
 		}
@@ -205,12 +205,12 @@
 				io.ReadFull(c, make([]byte, bytesRead))
 				synctest.Wait()
 				if inFlight := s.Status().Requests; inFlight != 0 {
-					t.Errorf("the service holds %d", inFlight)
+					t.Errorf("%d requests are still in the service", inFlight)
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), answerWriteTimeout+time.Second)
 				defer cancel()
 				if !f.WaitDisconnected(ctx) {
-					t.Error("its connection stays")
+					t.Error("the connection is still open after the write timeout")
 				}
 			})
 		})
@@ -263,13 +263,13 @@
 	for i := range 2 {
 		io.WriteString(client, completeRequest)
 		if i == 1 {
-			testkit.Until(t, "the request", func() bool { return c.isIdle.Load() && hasUnread(tcpConnOf(server)) })
+			testkit.Until(t, "arrival of the request", func() bool { return c.isIdle.Load() && hasUnread(tcpConnOf(server)) })
 			f.Drain()
 			f.CloseWhenIdle()
 			close(c.resume)
 		}
 		if resp, err := http.ReadResponse(in, nil); err != nil || resp.Close != (i == 1) {
-			t.Fatalf("request %d: %v, %v", i, resp, err)
+			t.Fatalf("request %d: answer %v, error %v; only the second answer must close the connection", i, resp, err)
 		}
 	}
 }
--- a/internal/front/eviction_test.go
+++ b/internal/front/eviction_test.go
@@ -54,15 +54,15 @@
 func TestEvictClosesLingeringConnectionAfterAnswerIsReceived(t *testing.T) {
 	client, server := connectWith(t, dialTCP)
 	io.WriteString(client, "GET /next")
-	testkit.Until(t, "the beginning of a request", func() bool { return hasUnread(server) })
+	testkit.Until(t, "arrival of the beginning of a request", func() bool { return hasUnread(server) })
 	c := newLingeringClient(t, client, server, 100)
 	testkit.Until(t, "the eviction", c.front.Evict)
 	testkit.Next(t, c.closed)
 	if c.front.Evict() {
-		t.Error("evicted twice")
+		t.Error("the connection was evicted twice")
 	}
 	if got, err := io.ReadAll(client); err != nil || len(got) != 100 {
-		t.Errorf("%d bytes of the answer, %v", len(got), err)
+		t.Errorf("received %d bytes of the answer, error %v; want 100 bytes", len(got), err)
 	}
 }
 
@@ -72,15 +72,15 @@
 	client, server := connectWithSmallBuffers(t)
 	c := newLingeringClient(t, client, server, answerBytes)
 	if c.front.Evict() {
-		t.Error("evicted")
+		t.Error("the connection was evicted")
 	}
 	c.front.BeginShutdown()
 	if c.front.Evict() {
-		t.Error("evicted while the process ends")
+		t.Error("the connection was evicted during shutdown")
 	}
 	io.WriteString(client, completeRequest)
 	if got, err := io.ReadAll(client); err != nil || len(got) != answerBytes {
-		t.Errorf("%d bytes of the answer, %v", len(got), err)
+		t.Errorf("received %d bytes of the answer, error %v; want all of it", len(got), err)
 	}
 	client.Close()
 	testkit.Next(t, c.closed)
@@ -102,7 +102,7 @@
 	io.WriteString(client, "GET / HTTP/1.1\r\nHost: h\r\nX-Long: "+strings.Repeat("x", 2*maxHeadBytes)+"\r\n")
 	resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 	if err != nil || resp.StatusCode != http.StatusRequestHeaderFieldsTooLarge {
-		t.Fatalf("%v, %v", resp, err)
+		t.Fatalf("answer %v, error %v; want status 431", resp, err)
 	}
 	testkit.Until(t, "the eviction", f.Evict)
 	f.WaitDisconnected(t.Context()) // net/http still waits, but the descriptor is free
@@ -112,7 +112,7 @@
 // answer is not evicted for maxLingerTime, and a request that the client sends meanwhile does not reset it. After that time
 // it is evicted, so that clients that never read do not keep descriptors in use.
 func TestEvictSparesIdleConnectionUntilAnswerIsReceived(t *testing.T) {
-	for name, idleFor := range map[string]time.Duration{"lately idle": 0, "idle for longer": maxLingerTime} {
+	for name, idleFor := range map[string]time.Duration{"just idle": 0, "idle for maxLingerTime": maxLingerTime} {
 		t.Run(name, func(t *testing.T) {
 			_, f, _, stop := startFront(t, rejectRequest, nil, nil)
 			defer stop()
@@ -124,14 +124,14 @@
 			f.clients.trackState(conn, http.StateIdle)
 			setOnlyConnection(f, false, time.Now().Add(-idleFor))
 			if isEvicted := f.Evict(); isEvicted != (idleFor > 0) {
-				t.Fatalf("evicted %v", isEvicted)
+				t.Fatalf("Evict returned %v", isEvicted)
 			}
 			if idleFor > 0 {
 				return
 			}
 			io.WriteString(client, completeRequest)
 			if n, err := io.ReadFull(client, make([]byte, answerBytes)); err != nil {
-				t.Errorf("%d bytes of the answer, %v", n, err)
+				t.Errorf("received %d bytes of the answer, error %v", n, err)
 			}
 		})
 	}
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -112,13 +112,13 @@
 				go io.WriteString(c, text)
 				raw, _ := io.ReadAll(c) // until the server closes the connection
 				if elapsed := time.Since(startedAt); elapsed > 3*time.Second || elapsed < requestReadTimeout {
-					t.Errorf("closed after %v", elapsed)
+					t.Errorf("the connection was closed after %v, want between the read timeout and 3 s", elapsed)
 				}
 				if text := string(raw); text != "" && !strings.HasPrefix(text, "HTTP/1.1 4") {
-					t.Errorf("answered %q", text)
+					t.Errorf("answer %q, want none or a status 4xx", text)
 				}
 				if received > 0 {
-					t.Error("the module heard of it")
+					t.Error("the decision module got the incomplete request")
 				}
 			})
 		})
@@ -135,12 +135,12 @@
 		time.Sleep(5 * requestReadTimeout)
 		synctest.Wait()
 		if st := s.Status(); st.Unanswered != 1 {
-			t.Errorf("%+v", st)
+			t.Errorf("status %+v, want 1 unanswered request", st)
 		}
 		c.Close()
 		synctest.Wait()
 		if st := s.Status(); st.Unanswered != 0 || st.Requests != 0 {
-			t.Errorf("after the hang-up: %+v", st)
+			t.Errorf("status after the disconnect: %+v, want no requests", st)
 		}
 	})
 }
@@ -150,7 +150,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		m, _, _, stop := startFront(t, func(r control.Request) []control.Action {
 			if !r.IsOverCapacity {
-				t.Error("the module was not told that there is no room")
+				t.Error("IsOverCapacity is not set in the request to the decision module")
 			}
 			return rejectRequest(r)
 		}, fullLimiter{}, nil)
@@ -166,7 +166,7 @@
 				t.Fatal(err)
 			}
 			if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") != "1" || time.Since(startedAt) > 0 {
-				t.Errorf("%s %v after %v", resp.Status, resp.Header, time.Since(startedAt))
+				t.Errorf("status %s, header %v after %v; want 503 with Retry-After 1 at once", resp.Status, resp.Header, time.Since(startedAt))
 			}
 			c.Close()
 		}
@@ -196,7 +196,7 @@
 			}
 			io.Copy(io.Discard, resp.Body)
 			if resp.StatusCode != want {
-				t.Errorf("request %d: %s, not %d", i+1, resp.Status, want)
+				t.Errorf("request %d: status %s, want %d", i+1, resp.Status, want)
 			}
 		}
 	})
@@ -212,7 +212,7 @@
 			t.Fatal(err)
 		}
 		if got := customerOf(r.URL); got != want {
-			t.Errorf("%q: %q, not %q", query, got, want)
+			t.Errorf("query %q: customer %q, want %q", query, got, want)
 		}
 	}
 }
@@ -226,7 +226,7 @@
 		call.Body = retrybuffer.New(strings.NewReader("the rest"), 0, func() {})
 		(&GenericHTTP{}).Finish(&call.Exchange)
 		if w.Flushed != answerWritten {
-			t.Errorf("given %v: flushed %v", answerWritten, w.Flushed)
+			t.Errorf("answer written %v: flushed %v", answerWritten, w.Flushed)
 		}
 	}
 }
@@ -239,11 +239,11 @@
 	rules := &service.RequestRules{GroupSize: 3, MaxUnitsByPlan: map[string]float64{"": 4}}
 	f.Fuzz(func(t *testing.T, timeLeft, weight string) {
 		if d, err := parseTimeLeft(timeLeft, time.Second); err == nil && (d < 0 || d > time.Second+timeLeftTolerance) {
-			t.Errorf("%q: %v", timeLeft, d)
+			t.Errorf("time left %q: %v is out of range", timeLeft, d)
 		}
 		got := control.Request{Units: 1, FanOut: 1}
 		if parseWeight(rules, &got, weight) == nil && !(got.Units > 0 && got.Units <= 4 && got.FanOut >= 1 && got.FanOut <= 3 && got.FirstGateway >= 0 && got.FirstGateway < 3) {
-			t.Errorf("%q: %+v", weight, got)
+			t.Errorf("weight %q: a value is out of range: %+v", weight, got)
 		}
 	})
 }
--- a/internal/front/lingering_conn_test.go
+++ b/internal/front/lingering_conn_test.go
@@ -17,7 +17,7 @@
 	for name, tc := range map[string]struct {
 		busy, cut bool
 		err       error
-	}{"answered": {true, false, nil}, "cut off": {true, true, syscall.ECONNRESET}, "rests": {false, false, syscall.ECONNRESET}} {
+	}{"answered": {true, false, nil}, "answer truncated": {true, true, syscall.ECONNRESET}, "rests": {false, false, syscall.ECONNRESET}} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
@@ -35,7 +35,7 @@
 				t.Fatal(err)
 			}
 			io.WriteString(client, "more")
-			testkit.Until(t, "its bytes", func() bool { return hasUnread(tcpConnOf(c)) })
+			testkit.Until(t, "arrival of the client's input", func() bool { return hasUnread(tcpConnOf(c)) })
 			c.(*lingeringConn).isBusy.Store(tc.busy)
 			if tc.cut {
 				c.(*lingeringConn).Conn.(*validatingConn).resetOnClose()
@@ -46,7 +46,7 @@
 				testkit.Next(t, closed)
 			}
 			if _, err := io.ReadAll(client); !errors.Is(err, tc.err) {
-				t.Errorf("its client sees %v", err)
+				t.Errorf("error of the client's read: %v", err)
 			}
 			client.Close()
 			testkit.Next(t, closed)
--- a/internal/front/partial_request_test.go
+++ b/internal/front/partial_request_test.go
@@ -27,14 +27,14 @@
 			in := bufio.NewReader(client)
 			io.WriteString(client, completeRequest)
 			if resp, err := http.ReadResponse(in, nil); err != nil || resp.Close {
-				t.Fatalf("%v, %v", resp, err)
+				t.Fatalf("answer to the first request: %v, error %v; want one that keeps the connection open", resp, err)
 			}
 			time.Sleep(time.Second) // the connection is idle
 			startedAt := time.Now()
 			io.WriteString(client, completeRequest[:sent])
 			_, err := in.ReadByte()
 			if took := time.Since(startedAt); took > partialRequestTimeLimit {
-				t.Errorf("%d bytes: %v after %v", sent, err, took)
+				t.Errorf("after %d bytes of the next request: read error %v only after %v", sent, err, took)
 			}
 		})
 	}
--- a/internal/front/read_close_race_test.go
+++ b/internal/front/read_close_race_test.go
@@ -72,7 +72,7 @@
 			closeConnections(f)
 			close(listener.release)
 			if resp, err := http.ReadResponse(bufio.NewReader(client), nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-				t.Errorf("%v, %v", resp, err)
+				t.Errorf("answer %v, error %v; want status 503", resp, err)
 			}
 		})
 	}
--- a/internal/front/slow_request_test.go
+++ b/internal/front/slow_request_test.go
@@ -16,11 +16,11 @@
 	const timeLeft = time.Second
 	head := "POST /write?account=0000000000000001 HTTP/1.1\r\n" + strings.Replace(requestHeaders, "15000m", "1000m", 1) + "Content-Length: 4\r\n\r\n"
 	for name, pieces := range map[string][]string{
-		"at once":      {head + "body"},
-		"a slow head":  {head[:30], head[30:] + "body"},
-		"a slow body":  {head, "bo", "dy"},
-		"both":         {head[:9], head[9:30], head[30:] + "b", "od", "y"},
-		"its last end": {head + "bod", "y"},
+		"at once":   {head + "body"},
+		"slow head": {head[:30], head[30:] + "body"},
+		"slow body": {head, "bo", "dy"},
+		"both":      {head[:9], head[9:30], head[30:] + "b", "od", "y"},
+		"last byte": {head + "bod", "y"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -41,7 +41,7 @@
 				}
 				synctest.Wait()
 				if len(received) != 1 || received[0] != timeLeft-service.DeadlineMargin {
-					t.Errorf("the module heard of %v", received)
+					t.Errorf("timeouts at the decision module: %v, want one, of the time left minus DeadlineMargin", received)
 				}
 			})
 		})
--- a/internal/front/unacknowledged_answer_test.go
+++ b/internal/front/unacknowledged_answer_test.go
@@ -101,10 +101,10 @@
 	}
 	closed := make(chan struct{})
 	go func() { conn.Close(); close(closed) }()
-	testkit.Until(t, "the close", func() bool { return tcpState(raw) != unix.BPF_TCP_ESTABLISHED })
+	testkit.Until(t, "closing of the sending side", func() bool { return tcpState(raw) != unix.BPF_TCP_ESTABLISHED })
 	io.WriteString(client, completeRequest)
 	if got, err := io.ReadAll(client); err != nil || len(got) != answerBytes {
-		t.Errorf("%d bytes of the answer, %v", len(got), err)
+		t.Errorf("received %d bytes of the answer, error %v; want all of it", len(got), err)
 	}
 	client.Close()
 	testkit.Next(t, closed)
@@ -131,20 +131,20 @@
 				f.clients.trackState(conn, http.StateIdle)
 			}
 			if !hasUnacknowledged(server) {
-				t.Fatal("its connection is closed, or its client has all of the answer")
+				t.Fatal("the connection was closed, or the client has already acknowledged the complete answer")
 			}
 			io.WriteString(client, completeRequest)
 			if n, err := io.ReadFull(client, make([]byte, answerBytes)); err != nil {
-				t.Errorf("%d bytes of the answer, %v", n, err)
+				t.Errorf("received %d bytes of the answer, error %v", n, err)
 			}
 			request, err := http.ReadRequest(bufio.NewReader(server))
 			if err != nil || request.URL.Path != "/read" {
-				t.Errorf("the next request: %v, %v", request, err)
+				t.Errorf("next request: %v, error %v; want path /read", request, err)
 			}
 			testkit.Until(t, "the client's acknowledgement", func() bool { return !hasUnacknowledged(server) })
 			f.CloseWhenIdle()
 			if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-				t.Errorf("behind its answer its client sees %v", err)
+				t.Errorf("error of the client's read after the answer: %v, want EOF", err)
 			}
 		})
 	}
--- a/internal/responseclass/responseclass_test.go
+++ b/internal/responseclass/responseclass_test.go
@@ -41,12 +41,12 @@
 		{599, nil, Classification{control.OK, true}},
 	} {
 		if got := rules.Classify(tc.status, tc.h); got != tc.want {
-			t.Errorf("%d %v: %+v, not %+v", tc.status, tc.h, got, tc.want)
+			t.Errorf("status %d, header %v: %+v, want %+v", tc.status, tc.h, got, tc.want)
 		}
 	}
 	for _, bad := range []string{"", "200", "600", ": x", "two words: x"} {
 		if p, err := ParseProof(bad); err == nil {
-			t.Errorf("%q is read as %+v", bad, p)
+			t.Errorf("ParseProof(%q) returned %+v, want an error", bad, p)
 		}
 	}
 }
--- a/internal/retrybuffer/retrybuffer.go
+++ b/internal/retrybuffer/retrybuffer.go
@@ -16,7 +16,7 @@
 var (
 	// ErrGone reports that the Reader has been replaced, or that the beginning of the body is no longer
 	// buffered.
-	ErrGone = errors.New("the beginning of the body is not held any more")
+	ErrGone = errors.New("the beginning of the body is no longer buffered")
 	// ErrClosed reports that the body has been closed.
 	ErrClosed = errors.New("the body is closed")
 )
--- a/internal/retrybuffer/retrybuffer_test.go
+++ b/internal/retrybuffer/retrybuffer_test.go
@@ -31,25 +31,25 @@
 		for range rapid.IntRange(1, 6).Draw(t, "attempts") {
 			canRetry := b.CanRetry()
 			if canRetry != (maxRead <= limit) {
-				t.Fatalf("%d of %d bytes were read, %d are held: again %v", maxRead, len(body), limit, canRetry)
+				t.Fatalf("%d of %d bytes were read with a limit of %d: CanRetry is %v", maxRead, len(body), limit, canRetry)
 			}
 			r := b.NewReader()
 			p := make([]byte, rapid.IntRange(0, len(body)+1).Draw(t, "reads"))
 			n, err := io.ReadFull(r, p)
 			if !canRetry {
 				if n > 0 || !errors.Is(err, ErrGone) && len(p) > 0 {
-					t.Fatalf("%d bytes, %v, of a body that is gone", n, err)
+					t.Fatalf("read %d bytes, error %v; want ErrGone", n, err)
 				}
 				continue
 			}
 			if !bytes.Equal(p[:n], body[:n]) || n != min(len(p), len(body)) {
-				t.Fatalf("read %q of %q", p[:n], body)
+				t.Fatalf("read %q, want the beginning of %q", p[:n], body)
 			}
 			maxRead = max(maxRead, n)
 		}
 		b.Discard()
 		if !b.HasEnded() {
-			t.Fatal("not ended")
+			t.Fatal("the body has not ended after Discard")
 		}
 	})
 }
@@ -74,16 +74,16 @@
 		synctest.Wait()
 		first, other := <-got, <-got
 		if first != ErrGone.Error() && other != ErrGone.Error() || first != "beyond what is held" && other != "beyond what is held" {
-			t.Errorf("%q, %q", first, other)
+			t.Errorf("results of the reads: %q and %q, want ErrGone for the replaced reader and the bytes for the other", first, other)
 		}
 		go read(second)
 		synctest.Wait()
 		b.Close(func() { in.CloseWithError(errors.New("interrupted")) })
 		if s := <-got; s != ErrClosed.Error() && !strings.Contains(s, "closed pipe") {
-			t.Errorf("after Close: %q", s)
+			t.Errorf("read during Close: %q, want ErrClosed or a closed pipe", s)
 		}
 		if b.CanRetry() {
-			t.Error("a closed body can't be sent again")
+			t.Error("CanRetry is true for a closed body")
 		}
 	})
 }
@@ -98,6 +98,6 @@
 func TestFillOfTruncatedBody(t *testing.T) {
 	b := New(strings.NewReader("abc"), 100, nil)
 	if err := b.Fill(5); !errors.Is(err, io.ErrUnexpectedEOF) || b.CanRetry() || b.Err() == nil {
-		t.Errorf("%v, again %v", err, b.CanRetry())
+		t.Errorf("Fill: error %v, CanRetry %v; want io.ErrUnexpectedEOF and false", err, b.CanRetry())
 	}
 }
--- a/internal/socketpoll/socketpoll_test.go
+++ b/internal/socketpoll/socketpoll_test.go
@@ -38,7 +38,7 @@
 			return
 		}
 	}
-	t.Errorf("%+v, not %+v", got, want)
+	t.Errorf("state %+v, want %+v", got, want)
 }
 
 func TestPoll(t *testing.T) {
