--- a/internal/front/client_departure_test.go
+++ b/internal/front/client_departure_test.go
@@ -24,17 +24,17 @@
 
 // disconnects lists the ways in which a client closes its connection, or fills the receive buffer without closing.
 var disconnects = []struct {
-	name   string
-	apply  func(*net.TCPConn)
-	floods bool // the client's unread input hides its close
-	stays  bool // the client stays connected and waits for an answer
+	name           string
+	apply          func(*net.TCPConn)
+	hidesClose     bool // the client's unread input hides its close
+	staysConnected bool // the client stays connected and waits for an answer
 }{
 	{name: "closes", apply: func(c *net.TCPConn) { c.Close() }},
 	{name: "half-closes", apply: func(c *net.TCPConn) { c.CloseWrite() }},
 	{name: "resets", apply: func(c *net.TCPConn) { c.SetLinger(0); c.Close() }},
-	{name: "floods and closes", apply: func(c *net.TCPConn) { flood(c); c.Close() }, floods: true},
-	{name: "floods and half-closes", apply: func(c *net.TCPConn) { flood(c); c.CloseWrite() }, floods: true},
-	{name: "floods and stays", apply: flood, floods: true, stays: true},
+	{name: "floods and closes", apply: func(c *net.TCPConn) { flood(c); c.Close() }, hidesClose: true},
+	{name: "floods and half-closes", apply: func(c *net.TCPConn) { flood(c); c.CloseWrite() }, hidesClose: true},
+	{name: "floods and stays", apply: flood, hidesClose: true, staysConnected: true},
 }
 
 // A client sends two requests, the first of which is longer than the read buffer of net/http, and disconnects
@@ -66,8 +66,8 @@
 					t.Errorf("answer to the next request: %q, want HTTP/1.1 200", got)
 				}
 				switch got := readStatusLine(client); {
-				case disconnect.stays && got != "HTTP/1.1 503",
-					strings.HasPrefix(got, "HTTP") && !disconnect.floods, strings.HasSuffix(got, "200"):
+				case disconnect.staysConnected && got != "HTTP/1.1 503",
+					strings.HasPrefix(got, "HTTP") && !disconnect.hidesClose, strings.HasSuffix(got, "200"):
 					t.Errorf("answer to the client whose requests must not be forwarded: %q", got)
 				}
 				if received := strings.Join(node.app.Requests(), " "); strings.Contains(received, "left") || strings.Contains(received, "behind") {
@@ -243,7 +243,7 @@
 }
 
 // testDisconnect sends a request in parts, and disconnects at once or, if late is set, long after the read timeout.
-func testDisconnect(t *testing.T, parts []string, late bool) {
+func testDisconnect(t *testing.T, parts []string, isLate bool) {
 	listener, _, service, stop := startFront(t, keepQueued, nil, nil)
 	defer stop()
 	client := listener.dial()
@@ -256,7 +256,7 @@
 	if service.Status().Unanswered != 1 {
 		t.Fatalf("status %+v, want 1 unanswered request", service.Status())
 	}
-	if late {
+	if isLate {
 		time.Sleep(3 * requestReadTimeout)
 		if service.Status().Unanswered != 1 {
 			t.Error("the connected client was considered disconnected")
--- a/internal/front/client_registry.go
+++ b/internal/front/client_registry.go
@@ -31,7 +31,7 @@
 
 // register is the http.Server's ConnContext. It adds the connection and stores its clientConn in the
 // context of its requests.
-func (s *clientRegistry) register(ctx context.Context, conn net.Conn) context.Context {
+func (r *clientRegistry) register(ctx context.Context, conn net.Conn) context.Context {
 	client := &clientConn{conn: conn, idleSince: time.Now(), isNew: true}
 	if l, ok := conn.(*lingeringConn); ok {
 		client.conn = l.Conn
@@ -46,12 +46,12 @@
 		client.queued = limited.Queued
 		client.idleSince = client.silentSince(client.idleSince)
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.connections == nil {
-		s.connections = make(map[net.Conn]*clientConn)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.connections == nil {
+		r.connections = make(map[net.Conn]*clientConn)
 	}
-	s.connections[conn] = client
+	r.connections[conn] = client
 	return context.WithValue(ctx, clientKey{}, client)
 }
 
@@ -76,13 +76,13 @@
 }
 
 // trackState is the http.Server's ConnState hook. net/http reports StateActive before it calls the handler.
-func (s *clientRegistry) trackState(conn net.Conn, newState http.ConnState) {
+func (r *clientRegistry) trackState(conn net.Conn, newState http.ConnState) {
 	if l, ok := conn.(*lingeringConn); ok && newState != http.StateClosed {
 		l.isBusy.Store(newState == http.StateActive)
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	client := s.connections[conn]
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	client := r.connections[conn]
 	if client == nil {
 		return
 	}
@@ -98,14 +98,14 @@
 		if client.input != nil {
 			client.input.becameIdle()
 		}
-		if s.isDraining {
+		if r.isDraining {
 			client.closeIf(client.canCloseWithoutLoss)
 		}
 	case http.StateClosed, http.StateHijacked:
-		delete(s.connections, conn)
-		if len(s.connections) == 0 && s.empty != nil {
-			close(s.empty)
-			s.empty = nil
+		delete(r.connections, conn)
+		if len(r.connections) == 0 && r.empty != nil {
+			close(r.empty)
+			r.empty = nil
 		}
 	}
 }
@@ -113,11 +113,11 @@
 // closeWhenIdle closes the idle connections, and closes each other connection when it becomes idle. It
 // spares a connection if closing it would lose a request or a part of an answer; such a connection is
 // closed after its next answer or by a later call.
-func (s *clientRegistry) closeWhenIdle() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.isDraining = true
-	for _, c := range s.connections {
+func (r *clientRegistry) closeWhenIdle() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.isDraining = true
+	for _, c := range r.connections {
 		if !c.idleSince.IsZero() && !c.isNew {
 			c.closeIf(c.canCloseWithoutLoss)
 		}
@@ -125,17 +125,17 @@
 }
 
 // waitEmpty waits until no connection is left. It returns false if ctx ends first.
-func (s *clientRegistry) waitEmpty(ctx context.Context) bool {
-	s.mu.Lock()
-	if len(s.connections) == 0 {
-		s.mu.Unlock()
+func (r *clientRegistry) waitEmpty(ctx context.Context) bool {
+	r.mu.Lock()
+	if len(r.connections) == 0 {
+		r.mu.Unlock()
 		return true
 	}
-	if s.empty == nil {
-		s.empty = make(chan struct{})
+	if r.empty == nil {
+		r.empty = make(chan struct{})
 	}
-	empty := s.empty
-	s.mu.Unlock()
+	empty := r.empty
+	r.mu.Unlock()
 	select {
 	case <-empty:
 		return true
--- a/internal/front/client_registry_test.go
+++ b/internal/front/client_registry_test.go
@@ -42,11 +42,11 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				received := 0
-				m, f, _, stop := startFront(t, func(r control.Request) []control.Action { received++; return rejectRequest(r) }, nil, nil)
+				listener, f, _, stop := startFront(t, func(r control.Request) []control.Action { received++; return rejectRequest(r) }, nil, nil)
 				defer stop()
 				client, server := net.Pipe()
 				conn := &connWithReadHook{Conn: server}
-				m.conns <- conn
+				listener.conns <- conn
 				defer client.Close()
 				in := bufio.NewReader(client)
 				io.WriteString(client, completeRequest)
@@ -72,7 +72,7 @@
 func TestCloseWhenIdleKeepsConnectionsWithOpenRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var f *Front
-		m, f, _, stop := startFront(t, func(r control.Request) []control.Action {
+		listener, f, _, stop := startFront(t, func(r control.Request) []control.Action {
 			f.CloseWhenIdle()
 			if f.Evict() {
 				t.Error("evicted a connection with an open request")
@@ -80,7 +80,7 @@
 			return rejectRequest(r)
 		}, nil, nil)
 		defer stop()
-		first, silent := m.dial(), m.dial()
+		first, silent := listener.dial(), listener.dial()
 		synctest.Wait() // both are accepted
 		f.Drain()
 		f.CloseWhenIdle()
@@ -124,25 +124,25 @@
 func TestEvictSparesConnectionsWithUnreadRequests(t *testing.T) {
 	for _, isNew := range []bool{true, false} {
 		for _, tc := range []struct {
-			name           string
-			sends, departs bool
-			wantIsAnswered bool
+			name                      string
+			sendsRequest, closesWrite bool
+			wantIsAnswered            bool
 		}{
-			{name: "asks", sends: true, wantIsAnswered: true},
+			{name: "asks", sendsRequest: true, wantIsAnswered: true},
 			{name: "no input"},
-			{name: "asks and closes", sends: true, departs: true},
+			{name: "asks and closes", sendsRequest: true, closesWrite: true},
 		} {
 			t.Run(fmt.Sprint(tc.name, ", new ", isNew), func(t *testing.T) {
 				f, client, allowReads := dialWithBlockedReads(t)
-				if tc.sends {
+				if tc.sendsRequest {
 					io.WriteString(client, completeRequest)
 				}
-				if tc.departs {
+				if tc.closesWrite {
 					client.CloseWrite()
 				}
 				testkit.Until(t, "the connection with its input", func() bool {
 					readable, ended := setOnlyConnection(f, isNew, time.Now().Add(-time.Second))
-					return readable == tc.sends && ended == tc.departs
+					return readable == tc.sendsRequest && ended == tc.closesWrite
 				})
 				if f.Evict() == tc.wantIsAnswered {
 					t.Error("a connection with a request was evicted, or one without a request was not")
@@ -197,9 +197,9 @@
 	for _, bytesRead := range []int{0, 5} {
 		t.Run(fmt.Sprint(bytesRead), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				m, f, s, stop := startFront(t, rejectRequest, nil, nil)
+				listener, f, s, stop := startFront(t, rejectRequest, nil, nil)
 				defer stop()
-				c := m.dial()
+				c := listener.dial()
 				defer c.Close()
 				io.WriteString(c, completeRequest)
 				io.ReadFull(c, make([]byte, bytesRead))
@@ -240,7 +240,7 @@
 
 // A request that has arrived but has not been read when the node begins to shut down is answered.
 func TestCloseWhenIdleAnswersUnreadRequest(t *testing.T) {
-	m, f, _, stop := startFront(t, rejectRequest, nil, nil)
+	listener, f, _, stop := startFront(t, rejectRequest, nil, nil)
 	defer stop()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -258,7 +258,7 @@
 		t.Fatal(err)
 	}
 	c := &blockedWhenIdleConn{Conn: server, resume: make(chan struct{})}
-	m.conns <- c
+	listener.conns <- c
 	in := bufio.NewReader(client)
 	for i := range 2 {
 		io.WriteString(client, completeRequest)
--- a/internal/front/eviction.go
+++ b/internal/front/eviction.go
@@ -13,25 +13,25 @@
 )
 
 // beginShutdown makes connections evictable sooner, because the process is about to close all of them.
-func (s *clientRegistry) beginShutdown() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.isShuttingDown = true
+func (r *clientRegistry) beginShutdown() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.isShuttingDown = true
 }
 
 // evict closes one connection, so that another client can use its file descriptor: a lingering connection whose answer
 // has been delivered or, if there is none, an idle connection. It returns false if no connection can be closed.
-func (s *clientRegistry) evict() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.closeLingering() || s.closeOldestIdle()
+func (r *clientRegistry) evict() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.closeLingering() || r.closeOldestIdle()
 }
 
 // closeLingering closes one lingering connection whose answer has been delivered. It returns false if there is none. The
 // caller holds s.mu.
-func (s *clientRegistry) closeLingering() bool {
-	for _, c := range s.connections {
-		if c.lingering == nil || !c.lingering.canStopLingering(s.isShuttingDown) {
+func (r *clientRegistry) closeLingering() bool {
+	for _, c := range r.connections {
+		if c.lingering == nil || !c.lingering.canStopLingering(r.isShuttingDown) {
 			continue
 		}
 		if !c.closedByNode.Swap(true) {
@@ -45,26 +45,26 @@
 // closeOldestIdle closes one connection: the oldest new connection whose grace period is over or, if
 // there is none, the connection that has been idle for longest. It spares connections with unread input,
 // because the input may be a request. It returns false if it closes none. The caller holds s.mu.
-func (s *clientRegistry) closeOldestIdle() bool {
+func (r *clientRegistry) closeOldestIdle() bool {
 	var oldest *clientConn
-	for _, c := range s.connections {
-		if !s.isEvictable(c) || oldest != nil && !c.isEvictedBefore(oldest) {
+	for _, c := range r.connections {
+		if !r.isEvictable(c) || oldest != nil && !c.isEvictedBefore(oldest) {
 			continue
 		}
-		if s.canEvict(c, c.input.pendingInputSince()) {
+		if r.canEvict(c, c.input.pendingInputSince()) {
 			oldest = c
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	oldest.closeIf(func(firstReadAt time.Time) bool { return s.canEvict(oldest, firstReadAt) })
+	oldest.closeIf(func(firstReadAt time.Time) bool { return r.canEvict(oldest, firstReadAt) })
 	return oldest.isClosed()
 }
 
 // gracePeriod returns how long a new connection may send nothing, or a request may stay incomplete. The caller holds s.mu.
-func (s *clientRegistry) gracePeriod() time.Duration {
-	if s.isShuttingDown {
+func (r *clientRegistry) gracePeriod() time.Duration {
+	if r.isShuttingDown {
 		return shutdownGracePeriod
 	}
 	return newConnGracePeriod
@@ -72,25 +72,25 @@
 
 // isEvictable reports whether a connection is idle and, if it is new, has sent nothing for the grace period. The caller
 // holds s.mu.
-func (s *clientRegistry) isEvictable(c *clientConn) bool {
+func (r *clientRegistry) isEvictable(c *clientConn) bool {
 	if c.idleSince.IsZero() || c.isClosed() {
 		return false
 	}
-	return !c.isNew || time.Since(c.idleSince) >= s.gracePeriod()
+	return !c.isNew || time.Since(c.idleSince) >= r.gracePeriod()
 }
 
 // canEvict reports whether an idle connection may be closed, which must not lose a request or an answer. There are two
 // exceptions: a request that is still incomplete after the grace period, and an answer that the client has not received
 // within maxLingerTime, the time for which a closed connection would linger. The caller holds s.mu.
-func (s *clientRegistry) canEvict(c *clientConn, firstReadAt time.Time) bool {
+func (r *clientRegistry) canEvict(c *clientConn, firstReadAt time.Time) bool {
 	readable, peerClosed := c.pollSocket()
 	if readable && !peerClosed {
 		return false
 	}
-	if !peerClosed && c.hasUndeliveredOutput(s.isShuttingDown) && time.Since(c.idleSince) < maxLingerTime {
+	if !peerClosed && c.hasUndeliveredOutput(r.isShuttingDown) && time.Since(c.idleSince) < maxLingerTime {
 		return false
 	}
-	return firstReadAt.IsZero() || time.Since(firstReadAt) >= s.gracePeriod()
+	return firstReadAt.IsZero() || time.Since(firstReadAt) >= r.gracePeriod()
 }
 
 // isEvictedBefore orders connections for eviction: new connections first, then by the time since which they are idle.
--- a/internal/front/eviction_test.go
+++ b/internal/front/eviction_test.go
@@ -32,7 +32,7 @@
 }
 
 // newLingeringClient makes the node write an answer of the given length on a connection and begin a lingering close.
-func newLingeringClient(t *testing.T, client net.Conn, server *net.TCPConn, answer int) *lingeringClient {
+func newLingeringClient(t *testing.T, client net.Conn, server *net.TCPConn, answerLength int) *lingeringClient {
 	t.Helper()
 	_, f, _, stop := startFront(t, rejectRequest, nil, nil)
 	t.Cleanup(stop)
@@ -40,7 +40,7 @@
 	f.clients.register(t.Context(), conn)
 	f.clients.trackState(conn, http.StateActive)
 	server.SetWriteBuffer(1 << 20)
-	if _, err := server.Write(make([]byte, answer)); err != nil {
+	if _, err := server.Write(make([]byte, answerLength)); err != nil {
 		t.Fatal(err)
 	}
 	closed := make(chan struct{})
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -38,12 +38,12 @@
 		return nil, net.ErrClosed
 	}
 }
-func (m *pipeListener) Close() error   { m.once.Do(func() { close(m.closed) }); return nil }
-func (m *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *pipeListener) Close() error   { l.once.Do(func() { close(l.closed) }); return nil }
+func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (m *pipeListener) dial() net.Conn {
+func (l *pipeListener) dial() net.Conn {
 	client, server := net.Pipe()
-	m.conns <- server
+	l.conns <- server
 	return client
 }
 
@@ -105,9 +105,9 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				received := 0
-				m, _, _, stop := startFront(t, func(control.Request) []control.Action { received++; return nil }, nil, nil)
+				listener, _, _, stop := startFront(t, func(control.Request) []control.Action { received++; return nil }, nil, nil)
 				defer stop()
-				c, startedAt := m.dial(), time.Now()
+				c, startedAt := listener.dial(), time.Now()
 				defer c.Close()
 				go io.WriteString(c, text)
 				raw, _ := io.ReadAll(c) // until the server closes the connection
@@ -128,9 +128,9 @@
 // A request may be queued for longer than the read timeout, and a disconnect of its client is still detected.
 func TestQueuedRequestOutlivesReadTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m, _, s, stop := startFront(t, keepQueued, nil, nil)
+		listener, _, s, stop := startFront(t, keepQueued, nil, nil)
 		defer stop()
-		c := m.dial()
+		c := listener.dial()
 		go io.WriteString(c, "POST /write?account=0000000000000001 HTTP/1.1\r\n"+requestHeaders+"Content-Length: 4\r\n\r\nswap")
 		time.Sleep(5 * requestReadTimeout)
 		synctest.Wait()
@@ -148,7 +148,7 @@
 // A request over capacity is rejected at once, even if its body has not arrived.
 func TestOverCapacityRequestIsRejectedBeforeItsBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m, _, _, stop := startFront(t, func(r control.Request) []control.Action {
+		listener, _, _, stop := startFront(t, func(r control.Request) []control.Action {
 			if !r.IsOverCapacity {
 				t.Error("IsOverCapacity is not set in the request to the decision module")
 			}
@@ -159,7 +159,7 @@
 			"GET /read?account=0000000000000001 HTTP/1.1\r\n" + requestHeaders + "\r\n",
 			"POST /write?account=0000000000000001 HTTP/1.1\r\n" + requestHeaders + "Content-Length: 9\r\n\r\nhalf",
 		} {
-			c, startedAt := m.dial(), time.Now()
+			c, startedAt := listener.dial(), time.Now()
 			go io.WriteString(c, head)
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err != nil {
@@ -177,9 +177,9 @@
 func TestSetTableAppliesToNextRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		router, _ := route.New([]route.Rule{{Prefix: "/read"}})
-		m, f, s, stop := startFront(t, rejectRequest, nil, router)
+		listener, f, s, stop := startFront(t, rejectRequest, nil, router)
 		defer stop()
-		c := m.dial()
+		c := listener.dial()
 		defer c.Close()
 		in := bufio.NewReader(c)
 		for i, want := range []int{503, 404, 503} {
--- a/internal/front/lingering_conn_test.go
+++ b/internal/front/lingering_conn_test.go
@@ -15,8 +15,8 @@
 // client must detect that the answer is incomplete, is reset at once.
 func TestLingeringConnClose(t *testing.T) {
 	for name, tc := range map[string]struct {
-		busy, cut bool
-		err       error
+		isActive, mustReset bool
+		err                 error
 	}{"answered": {true, false, nil}, "answer truncated": {true, true, syscall.ECONNRESET}, "rests": {false, false, syscall.ECONNRESET}} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -36,8 +36,8 @@
 			}
 			io.WriteString(client, "more")
 			testkit.Until(t, "arrival of the client's input", func() bool { return hasUnread(tcpConnOf(c)) })
-			c.(*lingeringConn).isBusy.Store(tc.busy)
-			if tc.cut {
+			c.(*lingeringConn).isBusy.Store(tc.isActive)
+			if tc.mustReset {
 				c.(*lingeringConn).Conn.(*validatingConn).resetOnClose()
 			}
 			closed := make(chan struct{})
--- a/internal/front/partial_request_test.go
+++ b/internal/front/partial_request_test.go
@@ -19,10 +19,10 @@
 func TestConnectionIsClosedAfterFirstBytesOfNextRequest(t *testing.T) {
 	for sent := 1; sent <= 5; sent++ {
 		synctest.Test(t, func(t *testing.T) {
-			m, _, _, stop := startFront(t, rejectRequest, nil, nil)
+			listener, _, _, stop := startFront(t, rejectRequest, nil, nil)
 			defer stop()
 			client, server := net.Pipe()
-			m.conns <- &lingeringConn{Conn: withInputConn(server)}
+			listener.conns <- &lingeringConn{Conn: withInputConn(server)}
 			defer client.Close()
 			in := bufio.NewReader(client)
 			io.WriteString(client, completeRequest)
--- a/internal/front/slow_request_test.go
+++ b/internal/front/slow_request_test.go
@@ -25,12 +25,12 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var received []time.Duration
-				m, _, _, stop := startFront(t, func(r control.Request) []control.Action {
+				listener, _, _, stop := startFront(t, func(r control.Request) []control.Action {
 					received = append(received, r.Timeout)
 					return rejectRequest(r)
 				}, nil, nil)
 				defer stop()
-				client := m.dial()
+				client := listener.dial()
 				defer client.Close()
 				go io.Copy(io.Discard, client)
 				for i, piece := range pieces {
