--- a/internal/front/eviction.go
+++ b/internal/front/eviction.go
@@ -28,7 +28,7 @@
 }
 
 // closeLingering closes one lingering connection whose answer has been delivered. It returns false if there is none. The
-// caller holds s.mu.
+// caller holds r.mu.
 func (r *clientRegistry) closeLingering() bool {
 	for _, c := range r.connections {
 		if c.lingering == nil || !c.lingering.canStopLingering(r.isShuttingDown) {
@@ -44,7 +44,7 @@
 
 // closeOldestIdle closes one connection: the oldest new connection whose grace period is over or, if
 // there is none, the connection that has been idle for longest. It spares connections with unread input,
-// because the input may be a request. It returns false if it closes none. The caller holds s.mu.
+// because the input may be a request. It returns false if it closes none. The caller holds r.mu.
 func (r *clientRegistry) closeOldestIdle() bool {
 	var oldest *clientConn
 	for _, c := range r.connections {
@@ -62,7 +62,7 @@
 	return oldest.isClosed()
 }
 
-// gracePeriod returns how long a new connection may send nothing, or a request may stay incomplete. The caller holds s.mu.
+// gracePeriod returns how long a new connection may send nothing, or a request may stay incomplete. The caller holds r.mu.
 func (r *clientRegistry) gracePeriod() time.Duration {
 	if r.isShuttingDown {
 		return shutdownGracePeriod
@@ -71,7 +71,7 @@
 }
 
 // isEvictable reports whether a connection is idle and, if it is new, has sent nothing for the grace period. The caller
-// holds s.mu.
+// holds r.mu.
 func (r *clientRegistry) isEvictable(c *clientConn) bool {
 	if c.idleSince.IsZero() || c.isClosed() {
 		return false
@@ -81,7 +81,7 @@
 
 // canEvict reports whether an idle connection may be closed, which must not lose a request or an answer. There are two
 // exceptions: a request that is still incomplete after the grace period, and an answer that the client has not received
-// within maxLingerTime, the time for which a closed connection would linger. The caller holds s.mu.
+// within maxLingerTime, the time for which a closed connection would linger. The caller holds r.mu.
 func (r *clientRegistry) canEvict(c *clientConn, firstReadAt time.Time) bool {
 	readable, peerClosed := c.pollSocket()
 	if readable && !peerClosed {
