--- a/internal/front/background_read_test.go
+++ b/internal/front/background_read_test.go
@@ -12,9 +12,9 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// Guards against the close of a connection behind the first byte of a request: net/http reads one byte while it handles the
-// request before, to notice a client that leaves. That byte is input of the next request, which gets its answer.
-func TestConnectionIsNotClosedBehindByteReadInBackground(t *testing.T) {
+// Guards against closing a connection after the first byte of a request was read: while net/http handles a request, it
+// reads one byte in the background to detect a disconnect. That byte belongs to the next request, which must be answered.
+func TestConnectionStaysOpenAfterBackgroundReadOfNextRequest(t *testing.T) {
 	for name, closeConnections := range map[string]func(*Front){
 		"drain":    (*Front).CloseWhenIdle,
 		"eviction": func(f *Front) { f.Evict() },
@@ -32,8 +32,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			listener := heldReadListener{LingeringListener(socket), make(chan struct{}, 1), make(chan struct{})}
-			close(listener.release) // nothing is held
+			listener := delayedReadListener{LingeringListener(socket), make(chan struct{}, 1), make(chan struct{})}
+			close(listener.release) // no read is delayed
 			server := f.Server()
 			go server.Serve(listener)
 			defer server.Close()
@@ -43,17 +43,17 @@
 			testkit.Next(t, isHandled)
 			testkit.Next(t, listener.wasRead)
 			io.WriteString(client, completeRequest[:1])
-			testkit.Next(t, listener.wasRead) // in the background
+			testkit.Next(t, listener.wasRead) // by the background read
 			answer <- struct{}{}
 			if resp, err := http.ReadResponse(in, nil); err != nil || resp.Close {
-				t.Fatalf("%v, %v", resp, err)
+				t.Fatalf("answer to the first request: %v, error %v; want one that keeps the connection open", resp, err)
 			}
-			testkit.Until(t, "the connection to be idle", func() bool { return hasIdleConnection(f) })
+			testkit.Until(t, "an idle connection", func() bool { return hasIdleConnection(f) })
 			closeConnections(f)
 			go func() { <-isHandled; close(answer) }()
 			io.WriteString(client, completeRequest[1:])
 			if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-				t.Errorf("the next request: %v, %v", resp, err)
+				t.Errorf("answer to the next request: %v, error %v; want status 503", resp, err)
 			}
 		})
 	}
--- a/internal/front/client_departure_test.go
+++ b/internal/front/client_departure_test.go
@@ -22,65 +22,65 @@
 	"lockflow/internal/upstream"
 )
 
-// departures are the ways in which a client ends its connection, or fills it without doing so.
-var departures = []struct {
-	name   string
-	depart func(*net.TCPConn)
-	floods bool // the client's close cannot be seen behind what it has sent
-	stays  bool // the client waits for an answer
+// disconnects lists the ways in which a client closes its connection, or fills the receive buffer without closing.
+var disconnects = []struct {
+	name           string
+	apply          func(*net.TCPConn)
+	hidesClose     bool // the client's unread input hides its close
+	staysConnected bool // the client stays connected and waits for an answer
 }{
-	{name: "closes", depart: func(c *net.TCPConn) { c.Close() }},
-	{name: "half-closes", depart: func(c *net.TCPConn) { c.CloseWrite() }},
-	{name: "resets", depart: func(c *net.TCPConn) { c.SetLinger(0); c.Close() }},
-	{name: "floods and closes", depart: func(c *net.TCPConn) { flood(c); c.Close() }, floods: true},
-	{name: "floods and half-closes", depart: func(c *net.TCPConn) { flood(c); c.CloseWrite() }, floods: true},
-	{name: "floods and stays", depart: flood, floods: true, stays: true},
+	{name: "closes", apply: func(c *net.TCPConn) { c.Close() }},
+	{name: "half-closes", apply: func(c *net.TCPConn) { c.CloseWrite() }},
+	{name: "resets", apply: func(c *net.TCPConn) { c.SetLinger(0); c.Close() }},
+	{name: "floods and closes", apply: func(c *net.TCPConn) { flood(c); c.Close() }, hidesClose: true},
+	{name: "floods and half-closes", apply: func(c *net.TCPConn) { flood(c); c.CloseWrite() }, hidesClose: true},
+	{name: "floods and stays", apply: flood, hidesClose: true, staysConnected: true},
 }
 
-// A client sends two requests, the first of which is longer than what net/http reads ahead, and leaves while
-// the first is queued. Neither request may be forwarded, although net/http sees no more than the first byte
-// of the second. The same holds for a client that has filled the receive buffer, which hides its close.
-func TestDepartedClientBehindPipelinedRequestIsNotForwarded(t *testing.T) {
+// A client sends two requests, the first of which is longer than the read buffer of net/http, and disconnects
+// while the first is queued. Neither request may be forwarded, although net/http reads only the first byte of
+// the second. The same holds for a client that has filled the receive buffer, which hides its close.
+func TestRequestsOfDisconnectedPipeliningClientAreNotForwarded(t *testing.T) {
 	for _, class := range []control.Class{
 		{Idempotency: control.Idempotent},
 		{Idempotency: control.IdempotentWithKey, RepeatWindow: time.Minute},
 		{Idempotency: control.NotIdempotent},
 	} {
-		for _, departure := range departures {
-			t.Run(fmt.Sprint(departure.name, " effect ", class.Idempotency), func(t *testing.T) {
-				node := startDepartureNode(t, class)
-				first := []net.Conn{node.send("f0"), node.send("f1")} // the plan's whole in-flight quota
-				testkit.Until(t, "two at the server", func() bool { return node.app.Count() == 2 })
+		for _, disconnect := range disconnects {
+			t.Run(fmt.Sprint(disconnect.name, ", idempotency ", class.Idempotency), func(t *testing.T) {
+				node := startTestNode(t, class)
+				first := []net.Conn{node.send("f0"), node.send("f1")} // use up the plan's in-flight quota
+				testkit.Until(t, "arrival of two requests at the server", func() bool { return node.app.Count() == 2 })
 				client := node.send("left", "behind")
-				testkit.Until(t, "its place in the queue", func() bool { return node.service.Status().Requests == 3 })
-				departure.depart(client)
-				testkit.Until(t, "its end to be there", func() bool { return node.connectedClients() == 2 })
+				testkit.Until(t, "queueing of the client's request", func() bool { return node.service.Status().Requests == 3 })
+				disconnect.apply(client)
+				testkit.Until(t, "detection of the disconnect", func() bool { return node.waitingClients() == 2 })
 				node.openGate()
 				for _, conn := range first {
 					if got := readStatusLine(conn); got != "HTTP/1.1 200" {
-						t.Errorf("one before it: %q", got)
+						t.Errorf("answer to an earlier request: %q, want HTTP/1.1 200", got)
 					}
 				}
-				testkit.Until(t, "its end", func() bool { return node.service.Status().Requests == 0 })
+				testkit.Until(t, "end of all requests", func() bool { return node.service.Status().Requests == 0 })
 				if got := readStatusLine(node.send("next")); got != "HTTP/1.1 200" {
-					t.Errorf("the next one: %q", got)
+					t.Errorf("answer to the next request: %q, want HTTP/1.1 200", got)
 				}
 				switch got := readStatusLine(client); {
-				case departure.stays && got != "HTTP/1.1 503",
-					strings.HasPrefix(got, "HTTP") && !departure.floods, strings.HasSuffix(got, "200"):
-					t.Errorf("the client that was not forwarded got %q", got)
+				case disconnect.staysConnected && got != "HTTP/1.1 503",
+					strings.HasPrefix(got, "HTTP") && !disconnect.hidesClose, strings.HasSuffix(got, "200"):
+					t.Errorf("answer to the client whose requests must not be forwarded: %q", got)
 				}
 				if received := strings.Join(node.app.Requests(), " "); strings.Contains(received, "left") || strings.Contains(received, "behind") {
-					t.Errorf("the server saw %.200s", received)
+					t.Errorf("requests at the server: %.200s; those of the disconnected client must not be among them", received)
 				}
 			})
 		}
 	}
 }
 
-// departureNode is a front over a service with two places in flight and one server, which answers the
-// requests whose IDs begin with "f" once its gate is open.
-type departureNode struct {
+// testNode is a front with a service that has an in-flight quota of two and one server. The server answers
+// requests whose IDs begin with "f" only after openGate is called.
+type testNode struct {
 	t        *testing.T
 	class    control.Class
 	app      *testkit.App
@@ -90,17 +90,17 @@
 	address  string
 }
 
-func startDepartureNode(t *testing.T, class control.Class) *departureNode {
+func startTestNode(t *testing.T, class control.Class) *testNode {
 	t.Helper()
 	gate := make(chan struct{})
-	n := &departureNode{t: t, openGate: sync.OnceFunc(func() { close(gate) })}
+	n := &testNode{t: t, openGate: sync.OnceFunc(func() { close(gate) })}
 	n.app = testkit.NewApp(t, func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/job/f") {
 			<-gate
 		}
 		io.WriteString(w, "ok")
 	})
-	t.Cleanup(n.openGate) // before the server's shutdown, which waits for its handlers
+	t.Cleanup(n.openGate) // runs before the shutdown of the server, which waits for its handlers
 	class.Name, class.LatencyObjective, class.Deadline, class.PriorityWeight = "job", time.Minute, time.Minute, 1
 	n.class = class
 	n.startService()
@@ -109,7 +109,7 @@
 }
 
 // startService runs the service until the test ends.
-func (n *departureNode) startService() {
+func (n *testNode) startService() {
 	n.t.Helper()
 	ready := make(chan struct{})
 	settings := control.Settings{
@@ -139,7 +139,7 @@
 }
 
 // startFront serves clients until the test ends.
-func (n *departureNode) startFront() {
+func (n *testNode) startFront() {
 	n.t.Helper()
 	target := Target{Service: n.service, Class: "job", MaxBodyBytes: 1 << 20}
 	n.front = New(&RoutingTable{Targets: []Target{target}}, func() bool { return true })
@@ -154,8 +154,8 @@
 	n.t.Cleanup(func() { server.Close(); stop() })
 }
 
-// send sends requests with the IDs on a new connection.
-func (n *departureNode) send(ids ...string) *net.TCPConn {
+// send sends one request for each ID on a new connection.
+func (n *testNode) send(ids ...string) *net.TCPConn {
 	n.t.Helper()
 	conn, err := net.Dial("tcp", n.address)
 	if err != nil {
@@ -172,8 +172,8 @@
 	return conn.(*net.TCPConn)
 }
 
-// request is a request of 9000 bytes and more: in its body, or in a header if its class has no bodies.
-func (n *departureNode) request(id string) string {
+// request returns a request with a body of 9000 bytes, or with a header of that size if the node's class allows no body.
+func (n *testNode) request(id string) string {
 	long := strings.Repeat("x", 9000)
 	if n.class.Idempotency == control.Idempotent {
 		return fmt.Sprintf("GET /job/%s?account=00000000b4d65521 HTTP/1.1\r\nHost: h\r\n%s: %s\r\n%s: p\r\n%s: 60000m\r\nX-More: %s\r\n\r\n",
@@ -183,8 +183,8 @@
 		id, protocol.HeaderID, id, protocol.HeaderPlan, protocol.HeaderTimeLeft, protocol.HeaderIdempotencyKey, id, long)
 }
 
-// connectedClients counts the clients that the front takes to be there.
-func (n *departureNode) connectedClients() int {
+// waitingClients returns the number of clients that the front considers connected.
+func (n *testNode) waitingClients() int {
 	n.front.clients.mu.Lock()
 	defer n.front.clients.mu.Unlock()
 	count := 0
@@ -196,7 +196,7 @@
 	return count
 }
 
-// readStatusLine reads the beginning of an answer, as long as "HTTP/1.1 200"; zeros stand for what is missing.
+// readStatusLine reads the first bytes of an answer, up to the length of "HTTP/1.1 200". Missing bytes are zero.
 func readStatusLine(conn net.Conn) string {
 	conn.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 	line := make([]byte, len("HTTP/1.1 200"))
@@ -204,7 +204,7 @@
 	return string(line)
 }
 
-// flood sends until the socket buffers are full.
+// flood writes until the socket buffers are full.
 func flood(c *net.TCPConn) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -218,52 +218,52 @@
 	}
 }
 
-// The departure of a client is noticed at once while its request is queued, whatever the form of the request
-// and also long after the read timeout; a client that stays is not taken to have left.
-func TestClientDepartureIsNoticed(t *testing.T) {
+// While a request is queued, a disconnect of its client is detected at once, whatever the form of the request
+// and also long after the read timeout. A client that stays connected is not considered disconnected.
+func TestClientDisconnectIsDetected(t *testing.T) {
 	const get, post = "GET /read?account=0000000000000001 HTTP/1.", "POST /write?account=0000000000000001 HTTP/1.1\r\n" + requestHeaders
 	long := strings.Repeat("x", 1<<16)
 	for name, parts := range map[string][]string{
-		"plain":             {get + "1\r\n" + requestHeaders + "\r\n"},
-		"HTTP/1.0":          {get + "0\r\n" + requestHeaders + "\r\n"},
-		"kept HTTP/1.0":     {get + "0\r\nConnection: keep-alive\r\n" + requestHeaders + "\r\n"},
-		"closes":            {get + "1\r\nConnection: close\r\n" + requestHeaders + "\r\n"},
-		"no body":           {post + "Content-Length: 0\r\n\r\n"},
-		"a long body":       {post + "Content-Length: 65536\r\n\r\n" + long},
-		"a body in pieces":  {post + "Content-Length: 65536\r\n\r\n" + long[:1], long[1:40000], long[40000:]},
-		"expects to go on":  {post + "Expect: 100-continue\r\nContent-Length: 65536\r\n\r\n", long},
-		"expects, no pause": {post + "Expect: 100-continue\r\nContent-Length: 65536\r\n\r\n" + long},
+		"plain":                {get + "1\r\n" + requestHeaders + "\r\n"},
+		"HTTP/1.0":             {get + "0\r\n" + requestHeaders + "\r\n"},
+		"HTTP/1.0 keep-alive":  {get + "0\r\nConnection: keep-alive\r\n" + requestHeaders + "\r\n"},
+		"closes":               {get + "1\r\nConnection: close\r\n" + requestHeaders + "\r\n"},
+		"no body":              {post + "Content-Length: 0\r\n\r\n"},
+		"long body":            {post + "Content-Length: 65536\r\n\r\n" + long},
+		"body in pieces":       {post + "Content-Length: 65536\r\n\r\n" + long[:1], long[1:40000], long[40000:]},
+		"Expect, body later":   {post + "Expect: 100-continue\r\nContent-Length: 65536\r\n\r\n", long},
+		"Expect, body at once": {post + "Expect: 100-continue\r\nContent-Length: 65536\r\n\r\n" + long},
 	} {
 		for _, late := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, ", late ", late), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { testDeparture(t, parts, late) })
+				synctest.Test(t, func(t *testing.T) { testDisconnect(t, parts, late) })
 			})
 		}
 	}
 }
 
-// testDeparture sends a request in parts, and leaves: at once, or long after the read timeout.
-func testDeparture(t *testing.T, parts []string, late bool) {
-	m, _, s, stop := startFront(t, keepQueued, nil, nil)
+// testDisconnect sends a request in parts, and disconnects at once or, if late is set, long after the read timeout.
+func testDisconnect(t *testing.T, parts []string, isLate bool) {
+	listener, _, service, stop := startFront(t, keepQueued, nil, nil)
 	defer stop()
-	c := m.dial()
-	defer c.Close()
-	go io.Copy(io.Discard, c) // it reads what it is sent
+	client := listener.dial()
+	defer client.Close()
+	go io.Copy(io.Discard, client) // the client reads what the server sends
 	for _, p := range parts {
-		io.WriteString(c, p)
+		io.WriteString(client, p)
 		synctest.Wait()
 	}
-	if s.Status().Unanswered != 1 {
-		t.Fatalf("%+v", s.Status())
+	if service.Status().Unanswered != 1 {
+		t.Fatalf("status %+v, want 1 unanswered request", service.Status())
 	}
-	if late {
+	if isLate {
 		time.Sleep(3 * requestReadTimeout)
-		if s.Status().Unanswered != 1 {
-			t.Error("taken to have left")
+		if service.Status().Unanswered != 1 {
+			t.Error("the connected client was considered disconnected")
 		}
 	}
-	c.Close()
-	if synctest.Wait(); s.Status().Unanswered != 0 {
-		t.Error("it still waits")
+	client.Close()
+	if synctest.Wait(); service.Status().Unanswered != 0 {
+		t.Error("the request of the disconnected client is still unanswered")
 	}
 }
--- a/internal/front/client_registry.go
+++ b/internal/front/client_registry.go
@@ -16,22 +16,22 @@
 //
 // Invariant: the node closes a connection only while no request on it has started, and a request on a
 // closed connection is never started. net/http reads a request before it reports that the connection
-// is active, so the node may close the connection in between; forwarding that request would run it
-// without anybody to receive the answer.
+// is active, so the node may close the connection in between; if that request were forwarded, it would
+// run without a client to receive the answer.
 type clientRegistry struct {
-	mu          sync.Mutex
-	connections map[net.Conn]*clientConn
-	isDraining  bool
-	isEnding    bool          // the process ends: beginShutdown was called
-	empty       chan struct{} // closed when the last connection is gone; nil if no waitEmpty has been called
+	mu             sync.Mutex
+	connections    map[net.Conn]*clientConn
+	isDraining     bool
+	isShuttingDown bool          // beginShutdown was called: the process is about to end
+	empty          chan struct{} // closed when the last connection is removed; nil unless waitEmpty is waiting
 }
 
 // clientKey is the context key of a request's *clientConn.
 type clientKey struct{}
 
-// register is the http.Server's ConnContext. It adds the connection and makes requests find it in their
-// context.
-func (s *clientRegistry) register(ctx context.Context, conn net.Conn) context.Context {
+// register is the http.Server's ConnContext. It adds the connection and stores its clientConn in the
+// context of its requests.
+func (r *clientRegistry) register(ctx context.Context, conn net.Conn) context.Context {
 	client := &clientConn{conn: conn, idleSince: time.Now(), isNew: true}
 	if l, ok := conn.(*lingeringConn); ok {
 		client.conn = l.Conn
@@ -40,28 +40,28 @@
 	if tcp := tcpConnOf(conn); tcp != nil {
 		client.rawConn, _ = tcp.SyscallConn()
 	}
-	client.input = connInside[*inputConn](conn)
-	if limited := connInside[*limits.Conn](conn); limited != nil {
+	client.input = findWrappedConn[*inputConn](conn)
+	if limited := findWrappedConn[*limits.Conn](conn); limited != nil {
 		client.acceptedAt = limited.AcceptedAt
 		client.queued = limited.Queued
 		client.idleSince = client.silentSince(client.idleSince)
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.connections == nil {
-		s.connections = make(map[net.Conn]*clientConn)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.connections == nil {
+		r.connections = make(map[net.Conn]*clientConn)
 	}
-	s.connections[conn] = client
+	r.connections[conn] = client
 	return context.WithValue(ctx, clientKey{}, client)
 }
 
-// clientOf returns the connection of a request; nil if it did not arrive over one.
+// clientOf returns the connection of a request; nil if the request did not arrive over a registered connection.
 func clientOf(r *http.Request) *clientConn {
 	c, _ := r.Context().Value(clientKey{}).(*clientConn)
 	return c
 }
 
-// waitingClient returns the client that waits for the answer to a request; nil if there is no connection.
+// waitingClient returns the client that waits for the answer to a request; nil if clientOf returns nil.
 func waitingClient(r *http.Request) upstream.Client {
 	if c := clientOf(r); c != nil {
 		return c
@@ -69,20 +69,20 @@
 	return nil
 }
 
-// isStillConnected reports whether the client of a request is there to receive an answer.
+// isStillConnected reports whether the client of a request is still connected to receive an answer.
 func isStillConnected(r *http.Request) bool {
 	client := clientOf(r)
 	return r.Context().Err() == nil && client != nil && client.IsWaiting()
 }
 
-// trackState is the http.Server's ConnState. net/http reports StateActive before it calls the handler.
-func (s *clientRegistry) trackState(conn net.Conn, newState http.ConnState) {
+// trackState is the http.Server's ConnState hook. net/http reports StateActive before it calls the handler.
+func (r *clientRegistry) trackState(conn net.Conn, newState http.ConnState) {
 	if l, ok := conn.(*lingeringConn); ok && newState != http.StateClosed {
 		l.isBusy.Store(newState == http.StateActive)
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	client := s.connections[conn]
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	client := r.connections[conn]
 	if client == nil {
 		return
 	}
@@ -98,43 +98,44 @@
 		if client.input != nil {
 			client.input.becameIdle()
 		}
-		if s.isDraining {
-			client.closeIf(client.canCloseCleanly)
+		if r.isDraining {
+			client.closeIf(client.canCloseWithoutLoss)
 		}
 	case http.StateClosed, http.StateHijacked:
-		delete(s.connections, conn)
-		if len(s.connections) == 0 && s.empty != nil {
-			close(s.empty)
-			s.empty = nil
+		delete(r.connections, conn)
+		if len(r.connections) == 0 && r.empty != nil {
+			close(r.empty)
+			r.empty = nil
 		}
 	}
 }
 
-// closeWhenIdle closes the idle connections, and from now on each that becomes idle, unless closing
-// would lose a request or a part of an answer: those are closed by their next answer or a later call.
-func (s *clientRegistry) closeWhenIdle() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.isDraining = true
-	for _, c := range s.connections {
+// closeWhenIdle closes the idle connections, and closes each other connection when it becomes idle. It
+// spares a connection if closing it would lose a request or a part of an answer; such a connection is
+// closed after its next answer or by a later call.
+func (r *clientRegistry) closeWhenIdle() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.isDraining = true
+	for _, c := range r.connections {
 		if !c.idleSince.IsZero() && !c.isNew {
-			c.closeIf(c.canCloseCleanly)
+			c.closeIf(c.canCloseWithoutLoss)
 		}
 	}
 }
 
-// waitEmpty waits until no connection is left. It returns false if ctx ended first.
-func (s *clientRegistry) waitEmpty(ctx context.Context) bool {
-	s.mu.Lock()
-	if len(s.connections) == 0 {
-		s.mu.Unlock()
+// waitEmpty waits until no connection is left. It returns false if ctx ends first.
+func (r *clientRegistry) waitEmpty(ctx context.Context) bool {
+	r.mu.Lock()
+	if len(r.connections) == 0 {
+		r.mu.Unlock()
 		return true
 	}
-	if s.empty == nil {
-		s.empty = make(chan struct{})
+	if r.empty == nil {
+		r.empty = make(chan struct{})
 	}
-	empty := s.empty
-	s.mu.Unlock()
+	empty := r.empty
+	r.mu.Unlock()
 	select {
 	case <-empty:
 		return true
--- a/internal/front/read_close_race_test.go
+++ b/internal/front/read_close_race_test.go
@@ -11,25 +11,25 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// heldReadListener accepts connections with a lingering close whose bytes, once read from the socket, reach net/http
-// only when released.
-type heldReadListener struct {
+// delayedReadListener accepts connections with a lingering close. Bytes that were read from their sockets reach net/http
+// only after release is closed.
+type delayedReadListener struct {
 	net.Listener
-	wasRead chan struct{} // has a value once a held read has bytes
-	release chan struct{} // closed to let them through
+	wasRead chan struct{} // gets a value when a read from the socket has returned bytes
+	release chan struct{} // closed to pass the bytes on
 }
 
-func (l heldReadListener) Accept() (net.Conn, error) {
+func (l delayedReadListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
-	return &heldReadConn{conn, l}, err
+	return &delayedReadConn{conn, l}, err
 }
 
-type heldReadConn struct {
+type delayedReadConn struct {
 	net.Conn
-	listener heldReadListener
+	listener delayedReadListener
 }
 
-func (c *heldReadConn) Read(p []byte) (int, error) {
+func (c *delayedReadConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
 		select {
@@ -41,11 +41,11 @@
 	return n, err
 }
 
-func (c *heldReadConn) NetConn() net.Conn { return c.Conn }
+func (c *delayedReadConn) NetConn() net.Conn { return c.Conn }
 
-// A connection is not closed, by a drain or an eviction, once a request was read from its socket, also before net/http
-// knows of it: the request gets its answer.
-func TestConnectionIsNotClosedBehindReadRequest(t *testing.T) {
+// Once a request has been read from a socket, neither a drain nor an eviction closes the connection, even if net/http has
+// not got the bytes yet. The request is answered.
+func TestConnectionStaysOpenAfterRequestWasRead(t *testing.T) {
 	for name, closeConnections := range map[string]func(*Front){
 		"drain":    func(f *Front) { f.Drain(); f.CloseWhenIdle() },
 		"eviction": func(f *Front) { f.Evict() },
@@ -57,7 +57,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			listener := heldReadListener{LingeringListener(socket), make(chan struct{}, 1), make(chan struct{})}
+			listener := delayedReadListener{LingeringListener(socket), make(chan struct{}, 1), make(chan struct{})}
 			server := f.Server()
 			go server.Serve(listener)
 			defer server.Close()
@@ -72,7 +72,7 @@
 			closeConnections(f)
 			close(listener.release)
 			if resp, err := http.ReadResponse(bufio.NewReader(client), nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-				t.Errorf("%v, %v", resp, err)
+				t.Errorf("answer %v, error %v; want status 503", resp, err)
 			}
 		})
 	}
--- a/internal/front/unacknowledged_answer_test.go
+++ b/internal/front/unacknowledged_answer_test.go
@@ -15,8 +15,9 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// dialSmall connects a client whose segments and buffer are small: most of a long answer stays on the server's side.
-func dialSmall(t *testing.T, address string) net.Conn {
+// dialWithSmallBuffers connects a client with small segments and a small receive buffer, so that most of a long answer stays
+// in the server's send buffer.
+func dialWithSmallBuffers(t *testing.T, address string) net.Conn {
 	t.Helper()
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
@@ -33,14 +34,14 @@
 	return client
 }
 
-// connectSmall returns both ends of a connection made by dialSmall.
-func connectSmall(t *testing.T) (client net.Conn, server *net.TCPConn) {
+// connectWithSmallBuffers returns both ends of a connection made by dialWithSmallBuffers.
+func connectWithSmallBuffers(t *testing.T) (client net.Conn, server *net.TCPConn) {
 	t.Helper()
-	return connectBy(t, dialSmall)
+	return connectWith(t, dialWithSmallBuffers)
 }
 
-// connectBy returns both ends of a connection.
-func connectBy(t *testing.T, dial func(t *testing.T, address string) net.Conn) (client net.Conn, server *net.TCPConn) {
+// connectWith returns both ends of a connection made by dial.
+func connectWith(t *testing.T, dial func(t *testing.T, address string) net.Conn) (client net.Conn, server *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -58,8 +59,8 @@
 
 const answerBytes = 32 << 10
 
-// writeAhead writes an answer that fits in the server's send buffer.
-func writeAhead(t *testing.T, server *net.TCPConn) {
+// writeToSendBuffer writes answerBytes, which fit in the server's send buffer.
+func writeToSendBuffer(t *testing.T, server *net.TCPConn) {
 	t.Helper()
 	server.SetWriteBuffer(1 << 20)
 	server.SetWriteDeadline(time.Now().Add(testkit.WaitTimeout))
@@ -80,19 +81,19 @@
 }
 
 // A client that sends another request while its connection is being closed, and before it has read its answer,
-// still gets all of that answer.
+// still gets the complete answer.
 func TestLingeringConnDeliversAnswerBeforeLateRequest(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	client := dialSmall(t, listener.Addr().String())
+	client := dialWithSmallBuffers(t, listener.Addr().String())
 	conn, err := LingeringListener(listener).Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	writeAhead(t, tcpConnOf(conn))
+	writeToSendBuffer(t, tcpConnOf(conn))
 	conn.(*lingeringConn).isBusy.Store(true)
 	raw, err := tcpConnOf(conn).SyscallConn()
 	if err != nil {
@@ -100,24 +101,25 @@
 	}
 	closed := make(chan struct{})
 	go func() { conn.Close(); close(closed) }()
-	testkit.Until(t, "the close", func() bool { return tcpState(raw) != unix.BPF_TCP_ESTABLISHED })
+	testkit.Until(t, "closing of the sending side", func() bool { return tcpState(raw) != unix.BPF_TCP_ESTABLISHED })
 	io.WriteString(client, completeRequest)
 	if got, err := io.ReadAll(client); err != nil || len(got) != answerBytes {
-		t.Errorf("%d bytes of the answer, %v", len(got), err)
+		t.Errorf("received %d bytes of the answer, error %v; want all of it", len(got), err)
 	}
 	client.Close()
 	testkit.Next(t, closed)
 }
 
-// CloseWhenIdle does not close a connection while a part of an answer is on its way, whether the connection is
-// idle already or becomes idle later: its next request is answered. After the complete answer it is closed.
+// CloseWhenIdle does not close a connection while a part of an answer is unacknowledged, whether the connection is
+// already idle or becomes idle later, and the next request can still be read. Once the answer is acknowledged, a
+// further call closes the connection.
 func TestCloseWhenIdleWaitsForUnacknowledgedAnswer(t *testing.T) {
 	for name, isIdle := range map[string]bool{"is idle": true, "becomes idle": false} {
 		t.Run(name, func(t *testing.T) {
 			_, f, _, stop := startFront(t, rejectRequest, nil, nil)
 			defer stop()
-			client, server := connectSmall(t)
-			writeAhead(t, server)
+			client, server := connectWithSmallBuffers(t)
+			writeToSendBuffer(t, server)
 			conn := &lingeringConn{Conn: server}
 			f.clients.register(t.Context(), conn)
 			f.clients.trackState(conn, http.StateActive)
@@ -129,20 +131,20 @@
 				f.clients.trackState(conn, http.StateIdle)
 			}
 			if !hasUnacknowledged(server) {
-				t.Fatal("its connection is closed, or its client has all of the answer")
+				t.Fatal("the connection was closed, or the client has already acknowledged the complete answer")
 			}
 			io.WriteString(client, completeRequest)
 			if n, err := io.ReadFull(client, make([]byte, answerBytes)); err != nil {
-				t.Errorf("%d bytes of the answer, %v", n, err)
+				t.Errorf("received %d bytes of the answer, error %v", n, err)
 			}
 			request, err := http.ReadRequest(bufio.NewReader(server))
 			if err != nil || request.URL.Path != "/read" {
-				t.Errorf("the next request: %v, %v", request, err)
+				t.Errorf("next request: %v, error %v; want path /read", request, err)
 			}
 			testkit.Until(t, "the client's acknowledgement", func() bool { return !hasUnacknowledged(server) })
 			f.CloseWhenIdle()
 			if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-				t.Errorf("behind its answer its client sees %v", err)
+				t.Errorf("error of the client's read after the answer: %v, want EOF", err)
 			}
 		})
 	}
