--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -51,39 +51,39 @@
 
 func (l *scriptedListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// counted returns the failures of the test's listeners so far, by errno.
-func counted() map[string]uint64 {
-	all := make(map[string]uint64)
+// countFailures returns the failures of the test's listeners so far, by errno.
+func countFailures() map[string]uint64 {
+	counts := make(map[string]uint64)
 	EachFailure(func(purpose Purpose, errno string, count uint64) {
 		if purpose == Metrics {
-			all[errno] = count
+			counts[errno] = count
 		}
 	})
-	return all
+	return counts
 }
 
-func TestAcceptGoesOnAfterErrors(t *testing.T) {
+func TestAcceptRetriesAfterErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		errs := []error{syscall.ENETDOWN, syscall.ETIMEDOUT, syscall.ENOBUFS, errors.New("of no number"), nil}
 		inner := &scriptedListener{errs: errs}
-		before := counted()
+		before := countFailures()
 		conn, err := Persistently(inner, Metrics).Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		conn.Close()
-		if took := inner.calls[4].Sub(inner.calls[0]); took != 15*minBackoff {
-			t.Errorf("four failures took %v", took)
+		if elapsed := inner.calls[4].Sub(inner.calls[0]); elapsed != 15*minBackoff {
+			t.Errorf("four failures took %v", elapsed)
 		}
 		for _, errno := range []string{"ENETDOWN", "ETIMEDOUT", "ENOBUFS", "other"} {
-			if n := counted()[errno] - before[errno]; n != 1 {
+			if n := countFailures()[errno] - before[errno]; n != 1 {
 				t.Errorf("%s was counted %d times", errno, n)
 			}
 		}
 	})
 }
 
-func TestBackoffIsBoundedAndEndsWithClose(t *testing.T) {
+func TestBackoffIsBoundedAndEndsOnClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		inner := &scriptedListener{errs: []error{syscall.EMFILE}}
 		l := Persistently(inner, Clients)
@@ -106,7 +106,7 @@
 	})
 }
 
-func TestDeadlineOfListenerPassesThrough(t *testing.T) {
+func TestAcceptReturnsListenerDeadlineError(t *testing.T) {
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/accept/backlog_test.go
+++ b/internal/accept/backlog_test.go
@@ -8,7 +8,7 @@
 
 // Guards against a queue's time that is forgotten with each accept: while connections are accepted one by one, those that
 // remain have been queued since accepting was blocked first.
-func TestBacklogLastsOverSingleAccepts(t *testing.T) {
+func TestBacklogPeriodOutlastsSingleAccepts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var b Backlog
 		startedAt := time.Now()
--- a/internal/bulkhead/bulkhead_test.go
+++ b/internal/bulkhead/bulkhead_test.go
@@ -9,30 +9,30 @@
 
 const maxLoanTime = 10 * time.Second
 
-// fataler is a test, or one of the many runs of a property.
-type fataler interface {
+// testingT is a test, or one of the many runs of a property.
+type testingT interface {
 	Helper()
 	Fatal(...any)
 }
 
-func newAllocator(t fataler, total int64, guaranteed ...int64) (*Allocator, []Owner) {
+func newAllocator(t testingT, total int64, guaranteed ...int64) (*Allocator, []Owner) {
 	t.Helper()
-	l := New(total, maxLoanTime)
+	a := New(total, maxLoanTime)
 	var owners []Owner
 	parts := make(map[Owner]int64)
 	for _, g := range guaranteed {
-		o := l.AddOwner()
+		o := a.AddOwner()
 		owners, parts[o] = append(owners, o), g
 	}
-	if err := l.SetGuarantees(total, parts); err != nil {
+	if err := a.SetGuarantees(total, parts); err != nil {
 		t.Fatal(err)
 	}
-	return l, owners
+	return a, owners
 }
 
 // acquireAll has an owner acquire one by one until it is rejected, and returns how many it got.
-func acquireAll(l *Allocator, o Owner) (n int64) {
-	for l.TryAcquire(0, o, 1) {
+func acquireAll(a *Allocator, o Owner) (n int64) {
+	for a.TryAcquire(0, o, 1) {
 		n++
 	}
 	return n
@@ -62,35 +62,35 @@
 	}
 }
 
-func TestSetGuaranteesKeepsWhatIsAcquired(t *testing.T) {
-	l, o := newAllocator(t, 10, 5, 5)
-	if err := l.SetGuarantees(10, map[Owner]int64{o[0]: 6, o[1]: 5}); err == nil {
+func TestSetGuaranteesKeepsAcquiredUnits(t *testing.T) {
+	a, o := newAllocator(t, 10, 5, 5)
+	if err := a.SetGuarantees(10, map[Owner]int64{o[0]: 6, o[1]: 5}); err == nil {
 		t.Error("parts of more than there is")
 	}
-	if err := l.SetGuarantees(10, map[Owner]int64{o[0]: -1}); err == nil {
+	if err := a.SetGuarantees(10, map[Owner]int64{o[0]: -1}); err == nil {
 		t.Error("a part below zero")
 	}
-	if l.Guaranteed(o[0]) != 5 || l.Guaranteed(o[1]) != 5 {
+	if a.Guaranteed(o[0]) != 5 || a.Guaranteed(o[1]) != 5 {
 		t.Error("a bad division changed something")
 	}
-	acquireAll(l, o[0])
-	before := l.Used(o[0])
-	if err := l.SetGuarantees(2, map[Owner]int64{o[1]: 2}); err != nil {
+	acquireAll(a, o[0])
+	before := a.Used(o[0])
+	if err := a.SetGuarantees(2, map[Owner]int64{o[1]: 2}); err != nil {
 		t.Fatal(err)
 	}
-	if l.Used(o[0]) != before || l.TryAcquire(0, o[0], 1) || l.TryAcquire(0, o[1], 1) {
+	if a.Used(o[0]) != before || a.TryAcquire(0, o[0], 1) || a.TryAcquire(0, o[1], 1) {
 		t.Error("more was taken than there is now")
 	}
-	l.Release(o[0], before)
-	if !l.TryAcquire(0, o[1], 1) {
+	a.Release(o[0], before)
+	if !a.TryAcquire(0, o[1], 1) {
 		t.Error("a guaranteed part is not there")
 	}
-	l.RemoveOwner(o[1])
-	if got := l.AddOwner(); got == o[1] {
+	a.RemoveOwner(o[1])
+	if got := a.AddOwner(); got == o[1] {
 		t.Error("a place with something taken went to another owner")
 	}
-	l.Release(o[1], 1)
-	if got := l.AddOwner(); got != o[1] {
+	a.Release(o[1], 1)
+	if got := a.AddOwner(); got != o[1] {
 		t.Errorf("a free place was not used again: %d", got)
 	}
 }
@@ -105,10 +105,10 @@
 // guaranteeTest has owners acquire and release in any order, and checks an allocator's guarantees.
 type guaranteeTest struct {
 	*Allocator
-	owners []Owner
-	total  int64
-	now    time.Duration
-	out    []acquisition
+	owners      []Owner
+	total       int64
+	now         time.Duration
+	outstanding []acquisition
 	// rejectedSince is when an owner was first rejected within its guaranteed part.
 	rejectedSince map[Owner]time.Duration
 }
@@ -116,10 +116,10 @@
 func drawGuaranteeTest(t *rapid.T) *guaranteeTest {
 	n := rapid.IntRange(2, 7).Draw(t, "owners")
 	total := rapid.Int64Range(20, 2019).Draw(t, "total")
-	left, guaranteed := total, []int64(nil)
+	remaining, guaranteed := total, []int64(nil)
 	for range n {
-		part := rapid.Int64Range(0, left/2).Draw(t, "guaranteed")
-		guaranteed, left = append(guaranteed, part), left-part
+		part := rapid.Int64Range(0, remaining/2).Draw(t, "guaranteed")
+		guaranteed, remaining = append(guaranteed, part), remaining-part
 	}
 	a, owners := newAllocator(t, total, guaranteed...)
 	return &guaranteeTest{Allocator: a, owners: owners, total: total, rejectedSince: make(map[Owner]time.Duration)}
@@ -127,15 +127,15 @@
 
 // releaseDue releases what is due by now.
 func (g *guaranteeTest) releaseDue() {
-	left := g.out[:0]
-	for _, acquired := range g.out {
+	remaining := g.outstanding[:0]
+	for _, acquired := range g.outstanding {
 		if acquired.releasedAt <= g.now {
 			g.Release(acquired.owner, acquired.n)
 		} else {
-			left = append(left, acquired)
+			remaining = append(remaining, acquired)
 		}
 	}
-	g.out = left
+	g.outstanding = remaining
 }
 
 // drawOwner draws an owner, the first of them most often.
@@ -156,7 +156,7 @@
 	used := g.Used(o)
 	ok := g.TryAcquire(g.now, o, n)
 	if ok {
-		g.out = append(g.out, acquisition{o, n, g.now + time.Duration(rapid.Int64Range(0, int64(maxLoanTime)-1).Draw(t, "for"))})
+		g.outstanding = append(g.outstanding, acquisition{o, n, g.now + time.Duration(rapid.Int64Range(0, int64(maxLoanTime)-1).Draw(t, "for"))})
 	}
 	g.checkTotal(t)
 	g.checkGuaranteed(t, o, used, n, ok)
@@ -175,11 +175,11 @@
 // checkGuaranteed checks an attempt of an owner, which had so much, to acquire n.
 func (g *guaranteeTest) checkGuaranteed(t *rapid.T, o Owner, used, n int64, ok bool) {
 	guaranteed := g.Guaranteed(o)
-	isOwn := used+n <= guaranteed
+	isGuaranteed := used+n <= guaranteed
 	if !ok && used+n <= guaranteed/4 {
 		t.Fatalf("%d more than %d of a guaranteed %d were rejected", n, used, guaranteed)
 	}
-	if !isOwn {
+	if !isGuaranteed {
 		return
 	}
 	if ok {
@@ -206,9 +206,9 @@
 	})
 }
 
-// TestNothingIsLentAfterARejectedGuarantee checks that after an owner was rejected within its guaranteed part
+// TestNothingIsLentAfterRejectionWithinGuarantee checks that after an owner was rejected within its guaranteed part
 // nothing is lent for the maximum loan time, also where much is released meanwhile.
-func TestNothingIsLentAfterARejectedGuarantee(t *testing.T) {
+func TestNothingIsLentAfterRejectionWithinGuarantee(t *testing.T) {
 	a, owners := newAllocator(t, 100, 0, 50, 0)
 	first, guaranteed, second := owners[0], owners[1], owners[2]
 	lent := acquireAll(a, first)
@@ -228,9 +228,9 @@
 	}
 }
 
-// TestNoBorrowerStarvesTheRest checks that however much one owner borrows, others still find some to borrow,
+// TestNoBorrowerStarvesOthers checks that however much one owner borrows, others still find some to borrow,
 // and that with time all have about the same.
-func TestNoBorrowerStarvesTheRest(t *testing.T) {
+func TestNoBorrowerStarvesOthers(t *testing.T) {
 	const total = 10000
 	for _, n := range []int{2, 3, 10, 50} {
 		a, owners := newAllocator(t, total, make([]int64, n)...)
@@ -247,10 +247,10 @@
 			releaseHalf(a, owners)
 			acquireInTurn(a, owners)
 		}
-		even := int64(total / n)
+		evenShare := int64(total / n)
 		for i, o := range owners {
-			if a.Used(o) < even/2 || a.Used(o) > 2*even {
-				t.Errorf("%d borrowers: number %d has %d, an even part being %d", n, i, a.Used(o), even)
+			if a.Used(o) < evenShare/2 || a.Used(o) > 2*evenShare {
+				t.Errorf("%d borrowers: number %d has %d, an even part being %d", n, i, a.Used(o), evenShare)
 			}
 		}
 	}
@@ -267,33 +267,33 @@
 
 // acquireInTurn has owners acquire one each in turn until none can.
 func acquireInTurn(a *Allocator, owners []Owner) {
-	for more := true; more; {
-		more = false
+	for anyAcquired := true; anyAcquired; {
+		anyAcquired = false
 		for _, o := range owners {
-			more = a.TryAcquire(0, o, 1) || more
+			anyAcquired = a.TryAcquire(0, o, 1) || anyAcquired
 		}
 	}
 }
 
-func TestTimeLimiterRestrainsOnlyOwnersBeyondTheirPart(t *testing.T) {
-	p := NewTimeLimiter(0.5)
-	p.SetGuaranteed(0, 0.2)
-	p.SetGuaranteed(1, 0.2)
+func TestTimeLimiterThrottlesOnlyOwnersOverGuarantee(t *testing.T) {
+	limiter := NewTimeLimiter(0.5)
+	limiter.SetGuaranteed(0, 0.2)
+	limiter.SetGuaranteed(1, 0.2)
 	ms := time.Millisecond
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * ms {
-		p.Record(now, 0, 1*ms) // 0.1 s a second
-		p.Record(now, 1, 9*ms) // 0.9
-		if !p.Allows(now, 0) {
+		limiter.Record(now, 0, 1*ms) // 0.1 s a second
+		limiter.Record(now, 1, 9*ms) // 0.9
+		if !limiter.Allows(now, 0) {
 			t.Fatalf("at %v the one within its part was held back", now)
 		}
 	}
-	if p.Allows(10*time.Second, 1) {
+	if limiter.Allows(10*time.Second, 1) {
 		t.Error("the one that uses most is not held back")
 	}
-	if u := p.Used(10*time.Second, 1); u < 0.8 || u > 1 {
-		t.Errorf("used %g", u)
+	if used := limiter.Used(10*time.Second, 1); used < 0.8 || used > 1 {
+		t.Errorf("used %g", used)
 	}
-	if !p.Allows(11*time.Second, 1) || p.Used(20*time.Second, 1) > 0.001 {
+	if !limiter.Allows(11*time.Second, 1) || limiter.Used(20*time.Second, 1) > 0.001 {
 		t.Error("what was used long ago still counts")
 	}
 }
--- a/internal/limits/conn.go
+++ b/internal/limits/conn.go
@@ -60,12 +60,12 @@
 // Listen wraps a listener. Once ctx has ended, Accept no longer waits for a descriptor.
 func Listen(ctx context.Context, l net.Listener, limiter ConnectionLimiter) *Listener {
 	backlog := &accept.Backlog{}
-	if persistent, ok := l.(*accept.Listener); ok {
-		backlog = persistent.Backlog()
+	if retrying, ok := l.(*accept.Listener); ok {
+		backlog = retrying.Backlog()
 	}
 	availability := &Signal{}
-	if awaited, ok := limiter.(AwaitedLimiter); ok {
-		availability = awaited.Availability()
+	if awaitable, ok := limiter.(AwaitedLimiter); ok {
+		availability = awaitable.Availability()
 	}
 	return &Listener{Listener: l, ctx: ctx, limiter: limiter, backlog: backlog, availability: availability}
 }
--- a/internal/limits/conn_test.go
+++ b/internal/limits/conn_test.go
@@ -13,24 +13,24 @@
 
 func (c closeNotifier) Close() error { c.onClose(); return nil }
 
-// TestConnReleasesAfterClosingItsDescriptor checks that a descriptor is released once it is closed and not
+// TestConnReleasesDescriptorAfterClose checks that a descriptor is released once it is closed and not
 // before, when another connection would be one too many.
-func TestConnReleasesAfterClosingItsDescriptor(t *testing.T) {
+func TestConnReleasesDescriptorAfterClose(t *testing.T) {
 	s := NewSocketLimiter(1024)
 	if !s.TryAcquire() {
 		t.Fatal("no room")
 	}
-	during := -1
-	c := Track(closeNotifier{onClose: func() { during = s.InUse() }}, s)
+	inUseDuringClose := -1
+	c := Track(closeNotifier{onClose: func() { inUseDuringClose = s.InUse() }}, s)
 	c.Close()
-	if c.Close(); during != 0 || s.InUse() != 0 {
-		t.Errorf("%d booked during the second close, %d after it", during, s.InUse())
+	if c.Close(); inUseDuringClose != 0 || s.InUse() != 0 {
+		t.Errorf("%d booked during the second close, %d after it", inUseDuringClose, s.InUse())
 	}
 	if !s.TryAcquire() {
 		t.Fatal("no room")
 	}
-	c = Track(closeNotifier{onClose: func() { during = s.InUse() }}, s)
-	if c.Close(); during != 1 {
-		t.Errorf("%d booked while it closes", during)
+	c = Track(closeNotifier{onClose: func() { inUseDuringClose = s.InUse() }}, s)
+	if c.Close(); inUseDuringClose != 1 {
+		t.Errorf("%d booked while it closes", inUseDuringClose)
 	}
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -40,14 +40,14 @@
 // account needs its guaranteed part, and that idle units within a part stay.
 func TestIdleLoansAreEvictedForGuaranteedParts(t *testing.T) {
 	_, a, idle := newSharedResource(t, 100, 50, 50)
-	taken := 0
+	acquired := 0
 	for a[0].TryAcquire() {
-		taken++
+		acquired++
 	}
-	if taken <= 50 || taken > 80 {
-		t.Fatalf("%d taken", taken)
+	if acquired <= 50 || acquired > 80 {
+		t.Fatalf("%d taken", acquired)
 	}
-	*idle[0] = taken // all idle
+	*idle[0] = acquired // all idle
 	for i := range 50 {
 		if !a[1].TryAcquire() {
 			t.Fatalf("number %d of the 50 guaranteed was refused", i+1)
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestBorrowerEvictsOnlyItsOwnIdle checks that a borrower that needs more evicts its own idle units only.
-func TestBorrowerEvictsOnlyItsOwnIdle(t *testing.T) {
+// TestBorrowerEvictsOnlyOwnIdleUnits checks that a borrower that needs more evicts its own idle units only.
+func TestBorrowerEvictsOnlyOwnIdleUnits(t *testing.T) {
 	_, a, idle := newSharedResource(t, 12, 4, 4)
 	n := 0
 	for a[0].TryAcquire() {
@@ -79,9 +79,9 @@
 	}
 }
 
-// TestClosedAccountReleasesToNobody checks that the owner number of a closed account is not used again before
+// TestOwnerOfClosedAccountIsNotReusedBeforeRelease checks that the owner number of a closed account is not used again before
 // it has released everything.
-func TestClosedAccountReleasesToNobody(t *testing.T) {
+func TestOwnerOfClosedAccountIsNotReusedBeforeRelease(t *testing.T) {
 	s, a, _ := newSharedResource(t, 10, 5, 5)
 	a[0].TryAcquire()
 	a[0].Close()
@@ -102,7 +102,7 @@
 	if err := errors.Join(slots.SetGuarantees(2, map[*Account]int64{r.Slots: 2}), bytes.SetGuarantees(100, map[*Account]int64{r.Bytes: 100})); err != nil {
 		t.Fatal(err)
 	}
-	back, ok := r.Admit(60)
+	release, ok := r.Admit(60)
 	if !ok {
 		t.Fatal("not admitted")
 	}
@@ -115,7 +115,7 @@
 	if _, ok := r.Admit(0); ok || r.Slots.Usage().Denied != 1 {
 		t.Error("admitted over the requests")
 	}
-	back()
+	release()
 	if u := r.Bytes.Usage(); u.Used != 10 {
 		t.Errorf("%+v", u)
 	}
@@ -126,23 +126,23 @@
 }
 
 func TestTimeLimiterReusesClosedOwners(t *testing.T) {
-	p := NewTimeLimiter(1)
-	a := p.OpenOwner()
-	p.SetGuaranteed(a, 0.5)
-	p.CloseOwner(a)
-	if b := p.OpenOwner(); b != a {
-		t.Errorf("a closed place was not used again: %d", b)
+	limiter := NewTimeLimiter(1)
+	owner := limiter.OpenOwner()
+	limiter.SetGuaranteed(owner, 0.5)
+	limiter.CloseOwner(owner)
+	if reused := limiter.OpenOwner(); reused != owner {
+		t.Errorf("a closed place was not used again: %d", reused)
 	}
-	if p.OpenOwner() == a {
+	if limiter.OpenOwner() == owner {
 		t.Error("a place was given twice")
 	}
 }
 
 func TestSharedResourceIsSafeForConcurrentUse(t *testing.T) {
 	s, a, _ := newSharedResource(t, 64, 16, 16)
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	for i := range 8 {
-		all.Go(func() {
+		workers.Go(func() {
 			for range 2000 {
 				if a[i%2].TryAcquire() {
 					a[i%2].Release()
@@ -150,7 +150,7 @@
 			}
 		})
 	}
-	all.Wait()
+	workers.Wait()
 	if s.allocator.Free() != 64 {
 		t.Errorf("%d free", s.allocator.Free())
 	}
@@ -183,7 +183,7 @@
 // Guards against clients that wait in the socket's queue for longer than there is no descriptor: a listener takes the
 // next one at once when a descriptor is released or may be evicted, and not with its next attempt.
 func TestListenerAcceptsOnceDescriptorIsAvailable(t *testing.T) {
-	for name, freeOne := range map[string]func(s *SocketLimiter, evictable *atomic.Bool, open *Conn){
+	for name, makeAvailable := range map[string]func(s *SocketLimiter, evictable *atomic.Bool, open *Conn){
 		"released": func(_ *SocketLimiter, _ *atomic.Bool, open *Conn) { open.Close() },
 		"evictable": func(_ *SocketLimiter, evictable *atomic.Bool, open *Conn) {
 			evictable.Store(true)
@@ -213,9 +213,9 @@
 				go func() { _, _ = l.Accept(); accepted <- time.Now() }()
 				time.Sleep(acquireRetryInterval * 3 / 2)
 				queue <- nopConn{}
-				freedAt := time.Now()
-				freeOne(s, &evictable, first.(*Conn))
-				if took := (<-accepted).Sub(freedAt); took != 0 {
+				availableAt := time.Now()
+				makeAvailable(s, &evictable, first.(*Conn))
+				if took := (<-accepted).Sub(availableAt); took != 0 {
 					t.Errorf("accepted %v later", took)
 				}
 			})
@@ -237,7 +237,7 @@
 
 // Guards against clients that wait beside free descriptors: connections to app servers that are open, idle ones too, take
 // the descriptors that are reserved for them, and none of the clients'. Those beyond are evicted for a client.
-func TestOpenServerConnectionsLeaveClientsTheirDescriptors(t *testing.T) {
+func TestServerConnectionsUseOnlyReservedDescriptors(t *testing.T) {
 	for _, limit := range []int{MinDescriptors, MinDescriptors + 1, 40, 128, 152, 1024} {
 		for _, beyondReserve := range []int{0, 5} {
 			s := NewSocketLimiter(limit)
@@ -268,9 +268,9 @@
 	}
 }
 
-// TestLowDescriptorLimitsLeaveBothSidesOne checks that a low limit on descriptors is kept, and leaves at least
+// TestLowDescriptorLimitsAllowClientAndServer checks that a low limit on descriptors is kept, and leaves at least
 // one connection to either side.
-func TestLowDescriptorLimitsLeaveBothSidesOne(t *testing.T) {
+func TestLowDescriptorLimitsAllowClientAndServer(t *testing.T) {
 	for _, limit := range []int{MinDescriptors, 40, 64, 128, 151, 152, 1024} {
 		s := NewSocketLimiter(limit)
 		clients, servers := 0, 0
--- a/internal/quotalease/account.go
+++ b/internal/quotalease/account.go
@@ -81,10 +81,10 @@
 // for a store, and removes expired leases.
 func (h *Holder) refill(now time.Duration, a *account) {
 	instances := h.effectiveInstances(now)
-	if a.refilledAt < h.resizedAt && !h.disabled.resizeDelay { // part of the time was before the change
+	if a.refilledAt < h.resizeCompleteAt && !h.disabled.resizeDelay { // part of the time was before the change
 		instances = max(instances, h.previousInstances)
 	}
-	own := a.limit.times(1 / float64(instances))
+	own := a.limit.scaledBy(1 / float64(instances))
 	if a.refilledAt < h.ownQuotaFrom && !h.disabled.exclusiveReservation {
 		a.ownTokens = 0
 		a.refilledAt = h.ownQuotaFrom
--- a/internal/quotalease/bucket.go
+++ b/internal/quotalease/bucket.go
@@ -15,8 +15,8 @@
 	minBucketIdleTime     = 10 * time.Minute
 )
 
-// beforeAll is a time before all times of a store's clock.
-const beforeAll time.Duration = -1 << 62
+// distantPast is a time before all times of a store's clock.
+const distantPast time.Duration = -1 << 62
 
 // bucket is the token bucket of one customer at the store.
 type bucket struct {
@@ -52,7 +52,7 @@
 	}
 	isFirst := len(s.reservedMinima) == 0 && since == now
 	if isFirst && fraction > 0 && !s.disabled.emptyStart {
-		s.reservedMinima = append(s.reservedMinima, reservedMinimum{since: beforeAll, fraction: 0})
+		s.reservedMinima = append(s.reservedMinima, reservedMinimum{since: distantPast, fraction: 0})
 	}
 	s.reservedMinima = append(s.reservedMinima, reservedMinimum{since: since, fraction: fraction})
 }
--- a/internal/quotalease/holder.go
+++ b/internal/quotalease/holder.go
@@ -13,20 +13,20 @@
 
 // Limits and targets of a holder. None of them affects what Rules guarantees.
 const (
-	maxQueueTime       = 300 * time.Millisecond // of a request that waits for units
-	maxQueuedRequests  = 64                     // for each customer
-	maxAccounts        = 200_000
-	maxLeases          = 8   // for each customer, not counting those that one reply brings
-	maxPendingCalls    = 16  // calls whose replies are still accepted
-	maxCallEntries     = 256 // customers to borrow for, and returns, in one call
-	evictionSample     = 8   // accounts
-	prefetchFraction   = 0.2 // of a term's demand, borrowed in advance
-	idleReturnFraction = 0.4 // of a term without a request, after which leases are returned
-	demandTimeConstant = time.Second
-	accountIdleTime    = time.Minute // after which an account may be removed
-	cleanupInterval    = time.Minute
-	maxCallBackoff     = time.Second
-	maxBackoffDoubling = 7 // of TickInterval
+	maxQueueTime        = 300 * time.Millisecond // of a request that waits for units
+	maxQueuedRequests   = 64                     // for each customer
+	maxAccounts         = 200_000
+	maxLeases           = 8   // for each customer, not counting those that one reply brings
+	maxPendingCalls     = 16  // calls whose replies are still accepted
+	maxCallEntries      = 256 // customers to borrow for, and returns, in one call
+	evictionSample      = 8   // accounts
+	prefetchFraction    = 0.2 // of a term's demand, borrowed in advance
+	idleReturnFraction  = 0.4 // of a term without a request, after which leases are returned
+	demandTimeConstant  = time.Second
+	accountIdleTime     = time.Minute // after which an account may be removed
+	cleanupInterval     = time.Minute
+	maxCallBackoff      = time.Second
+	maxBackoffDoublings = 7 // of TickInterval
 	// keepAliveDivisor divides the reservation time, so that several calls in sequence may fail before a
 	// reservation ends.
 	keepAliveDivisor = 5
@@ -71,10 +71,10 @@
 
 	instances         int           // group size
 	previousInstances int           // before the last change
-	resizedAt         time.Duration // when all instances know the group size
+	resizeCompleteAt  time.Duration // when all instances know the group size
 
 	storeID             string        // empty if not known yet
-	storeSince          time.Duration // when the store became the current one
+	storeSwitchedAt     time.Duration // when the store became the current one
 	storeTime           time.Duration // in the latest reply
 	storeTimeReceivedAt time.Duration
 	storeIsLending      bool
@@ -82,21 +82,21 @@
 	reservableFrom      time.Duration // from when the own quota can be reserved for this store
 	lastToken           uint64        // the largest that the store has granted
 
-	lastSeq             uint64
-	lastAnsweredSeq     uint64
-	lastSeqOfOtherStore uint64                   // calls up to this one were for another store
-	pendingCalls        map[uint64]time.Duration // when each was made, by Seq
-	isCalling           bool                     // the call with lastSeq has neither been answered nor failed
-	consecutiveFailures int
-	nextCallAt          time.Duration // earliest
-	nextKeepAliveAt     time.Duration // when a call is made even if it has no requests and returns
-
-	needUnits     []*account    // to borrow for with the next call
-	calledFor     []*account    // that the current call borrows for
-	active        []*account    // with leases or queued requests
-	returns       []LeaseReturn // for the next calls
-	nextCleanupAt time.Duration
-	actions       []Action // returned last; its memory is reused
+	lastSeq                uint64
+	lastAnsweredSeq        uint64
+	lastSeqToPreviousStore uint64                   // calls up to this one were for another store
+	pendingCalls           map[uint64]time.Duration // when each was made, by Seq
+	isCalling              bool                     // the call with lastSeq has neither been answered nor failed
+	consecutiveFailures    int
+	nextCallAt             time.Duration // earliest
+	nextKeepAliveAt        time.Duration // when a call is made even if it has no requests and returns
+
+	needUnits      []*account    // to borrow for with the next call
+	accountsInCall []*account    // that the current call borrows for
+	active         []*account    // with leases or queued requests
+	returns        []LeaseReturn // for the next calls
+	nextCleanupAt  time.Duration
+	actions        []Action // returned last; its memory is reused
 
 	disabled protections
 }
@@ -120,7 +120,7 @@
 // effectiveInstances returns the group size to divide by, which is the larger one until a change is known
 // everywhere.
 func (h *Holder) effectiveInstances(now time.Duration) int {
-	if now < h.resizedAt && !h.disabled.resizeDelay {
+	if now < h.resizeCompleteAt && !h.disabled.resizeDelay {
 		return max(h.instances, h.previousInstances)
 	}
 	return h.instances
@@ -136,7 +136,7 @@
 	}
 	h.previousInstances = h.effectiveInstances(now)
 	h.instances = instances
-	h.resizedAt = now + h.rules.ResizeTime
+	h.resizeCompleteAt = now + h.rules.ResizeTime
 }
 
 // Resign stops the holder from spending or reserving its own quota for good. Another instance may have the
--- a/internal/quotalease/holder_calls.go
+++ b/internal/quotalease/holder_calls.go
@@ -72,7 +72,7 @@
 			call.Requests = append(call.Requests, request)
 		}
 	}
-	h.calledFor = append(h.calledFor[:0], h.needUnits[:n]...)
+	h.accountsInCall = append(h.accountsInCall[:0], h.needUnits[:n]...)
 	h.needUnits = slices.Delete(h.needUnits, 0, n)
 }
 
@@ -89,7 +89,7 @@
 // than the current one, is ignored.
 func (h *Holder) HandleReply(now time.Duration, reply StoreReply) []Action {
 	calledAt, ok := h.pendingCalls[reply.Seq]
-	if !ok || reply.Seq <= h.lastSeqOfOtherStore {
+	if !ok || reply.Seq <= h.lastSeqToPreviousStore {
 		return nil
 	}
 	delete(h.pendingCalls, reply.Seq)
@@ -114,7 +114,7 @@
 	if reply.Seq == h.lastSeq {
 		h.isCalling = false
 		h.consecutiveFailures = 0
-		actions = h.decideCalled(now, actions)
+		actions = h.decideRequestsInCall(now, actions)
 	}
 	return h.callIfDue(now, actions)
 }
@@ -123,9 +123,9 @@
 // last one has ended. Leases of the last one remain valid but cannot be returned.
 func (h *Holder) switchStore(now time.Duration, storeID string) {
 	h.storeID = storeID
-	h.storeSince = now
+	h.storeSwitchedAt = now
 	h.lastToken = 0
-	h.lastSeqOfOtherStore = h.lastSeq
+	h.lastSeqToPreviousStore = h.lastSeq
 	h.returns = nil
 	for _, a := range h.active {
 		for i := range a.leases {
@@ -138,16 +138,16 @@
 	}
 }
 
-// decideCalled decides on the requests that the latest call was made for: there will be no more units for them.
-func (h *Holder) decideCalled(now time.Duration, actions []Action) []Action {
-	for _, a := range h.calledFor {
+// decideRequestsInCall decides on the requests that the latest call was made for: there will be no more units for them.
+func (h *Holder) decideRequestsInCall(now time.Duration, actions []Action) []Action {
+	for _, a := range h.accountsInCall {
 		h.refill(now, a)
 		actions = h.decideQueue(a, actions, func(r queuedRequest) bool { return r.isInCall })
 		for i := range a.queue {
 			a.queue[i].isInCall = false
 		}
 	}
-	h.calledFor = h.calledFor[:0]
+	h.accountsInCall = h.accountsInCall[:0]
 	return actions
 }
 
@@ -187,7 +187,7 @@
 func (h *Holder) failCall(now time.Duration, actions []Action) []Action {
 	h.isCalling = false
 	h.consecutiveFailures++
-	h.nextCallAt = now + min(maxCallBackoff, TickInterval<<min(h.consecutiveFailures, maxBackoffDoubling))
-	actions = h.decideCalled(now, actions)
+	h.nextCallAt = now + min(maxCallBackoff, TickInterval<<min(h.consecutiveFailures, maxBackoffDoublings))
+	actions = h.decideRequestsInCall(now, actions)
 	return h.callIfDue(now, actions)
 }
--- a/internal/quotalease/holder_status.go
+++ b/internal/quotalease/holder_status.go
@@ -28,7 +28,7 @@
 		s.ReservedFraction = 1 / float64(h.effectiveInstances(now))
 	}
 	if h.storeID != "" {
-		s.SecondsAtStore = (now - h.storeSince).Seconds()
+		s.SecondsAtStore = (now - h.storeSwitchedAt).Seconds()
 	}
 	for _, a := range h.active {
 		h.refill(now, a)
--- a/internal/quotalease/quotalease.go
+++ b/internal/quotalease/quotalease.go
@@ -30,7 +30,7 @@
 }
 
 // times returns a fraction of the limit.
-func (l HardLimit) times(fraction float64) HardLimit {
+func (l HardLimit) scaledBy(fraction float64) HardLimit {
 	return HardLimit{Rate: fraction * l.Rate, Burst: fraction * l.Burst}
 }
 
@@ -89,7 +89,7 @@
 	instances := float64(r.Instances)
 	withoutStore := min(1, float64(fanOut)/instances)
 	reason := "each instance that it comes through has its own part of the rate and of the store"
-	if own := limit.times(1 / instances); own.Burst < units {
+	if own := limit.scaledBy(1 / instances); own.Burst < units {
 		withoutStore = 0
 		reason = fmt.Sprintf("the store of one part, %.3g units, never fills up to one request", own.Burst)
 	}
--- a/internal/shortage/shortage.go
+++ b/internal/shortage/shortage.go
@@ -24,14 +24,14 @@
 )
 
 // OfResources reports whether an error is one of a shortage of descriptors, memory or buffers on this machine.
-func OfResources(err error) bool { return isAny(err, resourceErrors) }
+func OfResources(err error) bool { return isAnyOf(err, resourceErrors) }
 
 // OfDial reports whether an error of connecting is one of a shortage on this machine, of ports too. It says
 // nothing about the peer.
-func OfDial(err error) bool { return OfResources(err) || isAny(err, portErrors) }
+func OfDial(err error) bool { return OfResources(err) || isAnyOf(err, portErrors) }
 
-func isAny(err error, all []error) bool {
-	return slices.ContainsFunc(all, func(one error) bool { return errors.Is(err, one) })
+func isAnyOf(err error, targets []error) bool {
+	return slices.ContainsFunc(targets, func(target error) bool { return errors.Is(err, target) })
 }
 
 // Retry calls a function until it fails with no shortage, or limit has passed or ctx has ended, and returns its last
--- a/internal/shortage/shortage_test.go
+++ b/internal/shortage/shortage_test.go
@@ -40,16 +40,16 @@
 		}); err != nil || calls != 5 {
 			t.Errorf("%v after %d calls", err, calls)
 		}
-		other := errors.New("another error")
-		if err := Retry(t.Context(), time.Second, OfResources, func() error { return other }); !errors.Is(err, other) {
+		permanentError := errors.New("another error")
+		if err := Retry(t.Context(), time.Second, OfResources, func() error { return permanentError }); !errors.Is(err, permanentError) {
 			t.Error(err)
 		}
-		begun := time.Now()
+		startedAt := time.Now()
 		if err := Retry(t.Context(), time.Second, OfResources, func() error { return syscall.ENFILE }); !errors.Is(err, syscall.ENFILE) {
 			t.Error(err)
 		}
-		if took := time.Since(begun); took > time.Second || took < time.Second-maxBackoff {
-			t.Errorf("the last call came after %v", took)
+		if elapsed := time.Since(startedAt); elapsed > time.Second || elapsed < time.Second-maxBackoff {
+			t.Errorf("the last call came after %v", elapsed)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 		defer cancel()
