--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -1,5 +1,5 @@
-// Package accept retries accept(2) after errors. Such an error concerns one connection or a temporary shortage of
-// resources, so that only a closed listener ends the loop.
+// Package accept retries accept(2) after errors. Such an error is due to one connection or to a temporary shortage of
+// resources, so it must not end the accept loop; only closing the listener does.
 package accept
 
 import (
@@ -13,14 +13,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// The bounds of the backoff after a failed call. The minimum is short, as the error may concern only one connection
-// while others are queued; the maximum is far below a request's deadline.
+// The bounds of the backoff after a failed call. The minimum is short because the error may concern only one connection
+// while others are queued. The maximum is far below a request's deadline.
 const (
 	minBackoff = time.Millisecond
 	maxBackoff = 100 * time.Millisecond
 )
 
-// Purpose is the purpose of a listener, as a label of metrics.
+// Purpose is the purpose of a listener. It is used as a metrics label.
 type Purpose string
 
 // The purposes of the process's listeners.
@@ -39,14 +39,14 @@
 	closeOnce sync.Once
 }
 
-// Persistently wraps a listener so that Accept fails only with net.ErrClosed once the listener is closed, or with a
-// timeout if a deadline was set.
+// Persistently wraps a listener so that Accept retries after errors. Accept fails only with net.ErrClosed after the
+// listener has been closed, or with a timeout error after a deadline of the listener has passed.
 func Persistently(l net.Listener, purpose Purpose) *Listener {
 	return &Listener{Listener: l, purpose: purpose, closed: make(chan struct{})}
 }
 
-// Accept returns the next connection. It logs and counts errors other than the close of the listener and a timeout,
-// and retries after an exponential backoff.
+// Accept returns the next connection. Unless the listener is closed or its deadline has passed, it logs and counts an
+// error and retries after an exponential backoff.
 func (l *Listener) Accept() (net.Conn, error) {
 	backoff := minBackoff
 	for {
@@ -66,7 +66,8 @@
 	}
 }
 
-// Backlog returns the record of the time during which accepts failed. The caller of Accept has to call its Unblock.
+// Backlog returns the record of the periods during which accepts failed. The caller of Accept must call its Unblock
+// method after each accepted connection.
 func (l *Listener) Backlog() *Backlog { return &l.backlog }
 
 // Close closes the listener and interrupts the backoff of Accept.
--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -15,7 +15,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// scriptedListener returns its errors in turn, and the last one repeatedly until it is closed.
+// scriptedListener is a listener whose Accept returns the given errors in turn, and the last one repeatedly until it is
+// closed. A nil error stands for a connection.
 type scriptedListener struct {
 	net.Listener
 	mu     sync.Mutex
@@ -51,7 +52,7 @@
 
 func (l *scriptedListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// countFailures returns the failures of the test's listeners so far, by errno.
+// countFailures returns the number of failures of the listeners with purpose Metrics so far, by error name.
 func countFailures() map[string]uint64 {
 	counts := make(map[string]uint64)
 	EachFailure(func(purpose Purpose, errno string, count uint64) {
--- a/internal/accept/backlog.go
+++ b/internal/accept/backlog.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Backlog records when connections were not accepted, and so may have waited in the socket's queue. The zero value is
-// ready to use. It is safe for concurrent use.
+// Backlog records the period during which no connections were accepted, so that they may have waited in the socket's
+// queue. The zero value is ready to use. It is safe for concurrent use.
 type Backlog struct {
 	mu      sync.Mutex
 	blocked Period
 }
 
-// maxQueueTime is the assumed maximum time in which the connections queued while blocked are accepted.
+// maxQueueTime is the assumed maximum time that it takes to accept all connections queued during a blocked period.
 const maxQueueTime = time.Second
 
-// Period is the time from From to To. The zero value is no period.
+// Period is the time from From to To. The zero value means that there is no period.
 type Period struct {
 	From time.Time
 	To   time.Time
 }
 
 // Block records that no connections are accepted from now on, for lack of descriptors or because accept fails. Further
-// calls before Unblock have no effect. Soon after an Unblock it continues the period before, in which connections may be
-// queued that have not been accepted yet.
+// calls before Unblock have no effect. A call within maxQueueTime of an Unblock resumes the previous period, because
+// connections queued in it may not have been accepted yet.
 func (b *Backlog) Block() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -47,8 +47,8 @@
 	}
 }
 
-// QueuedDuring returns the period during which a connection that is accepted now may have been queued: the last period
-// without accepts, as long as connections queued in it may remain. It returns the zero Period if there is none.
+// QueuedDuring returns the period during which a connection that is accepted now may have been queued. That is the last
+// period without accepts, until maxQueueTime after its end. It returns the zero Period if there is none.
 func (b *Backlog) QueuedDuring() Period {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/accept/backlog_test.go
+++ b/internal/accept/backlog_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against a queue's time that is forgotten with each accept: while connections are accepted one by one, those that
-// remain have been queued since accepting was blocked first.
+// TestBacklogPeriodOutlastsSingleAccepts checks that the blocked period does not restart with each accept. While connections
+// are accepted one by one, the remaining ones have been queued since accepting was first blocked.
 func TestBacklogPeriodOutlastsSingleAccepts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var b Backlog
--- a/internal/accept/failures.go
+++ b/internal/accept/failures.go
@@ -5,20 +5,20 @@
 	"sync"
 )
 
-// failure is a kind of failed accept.
+// failure is a kind of failed accept, by the listener's purpose and the error's name.
 type failure struct {
 	purpose Purpose
 	errno   string
 }
 
-// failureCounts counts failures by kind. The number of kinds is bounded by the purposes and the system's errors. It is
-// safe for concurrent use.
+// failureCounts counts failures by kind. The number of kinds is bounded by the number of purposes times the number of
+// system errors. It is safe for concurrent use.
 type failureCounts struct {
 	mu     sync.Mutex
 	counts map[failure]uint64
 }
 
-// failures are the counts of this process.
+// failures counts the failed accepts of this process.
 var failures failureCounts
 
 // add counts a failure.
--- a/internal/bulkhead/bulkhead.go
+++ b/internal/bulkhead/bulkhead.go
@@ -1,16 +1,17 @@
 // Package bulkhead decides how much of a bounded resource (descriptors, accepted requests, bytes, dials) each
-// of several owners may have. It does no I/O and takes the time as an argument; package limits applies its
+// of several owners may use. It does no I/O and takes the time as an argument; package limits applies its
 // decisions to the resources of a process.
 //
-// Each owner has a guaranteed part and may borrow what is unused. An Allocator guarantees that
+// Each owner has a guaranteed part and may borrow unused units beyond it. An Allocator guarantees that
 //
-//   - never more than the total is acquired;
+//   - no more than the total is ever acquired;
 //   - the first quarter of a guaranteed part, the owner's reserve, is never lent: the owner gets it at once,
 //     whatever other owners do;
-//   - the owner gets the rest of it within the maximum loan time of its first rejected attempt. That is the
-//     longest time that borrowers keep anything; until it has passed nothing more is lent;
-//   - no borrower gets all that can be lent: one may borrow at most twice what it leaves free (dynamic
-//     thresholds, Choudhury and Hahne 1998), so that another one always finds some.
+//   - the owner gets the rest of its guaranteed part within the maximum loan time of its first rejected attempt.
+//     The maximum loan time is the longest time for which a borrower holds a unit. After a rejected attempt
+//     nothing is lent until that time has passed;
+//   - no borrower gets all units that can be lent: each may borrow at most twice the number that it leaves free
+//     (dynamic thresholds, Choudhury and Hahne 1998), so that other borrowers always find some.
 package bulkhead
 
 import (
@@ -19,45 +20,45 @@
 )
 
 const (
-	reserveDivisor = 4 // a guaranteed part is divided by it for the owner's reserve
-	maxBorrowRatio = 2 // of what one owner has borrowed to what is free after that
+	reserveDivisor = 4 // an owner's reserve is its guaranteed part divided by this
+	maxBorrowRatio = 2 // the maximum ratio of the units that one owner has borrowed to the units free after that
 )
 
-// Owner identifies an owner at one Allocator or TimeLimiter.
+// Owner identifies an owner within one Allocator or TimeLimiter.
 type Owner int
 
-// share is what one owner has.
+// share is the share of one owner in the resource.
 type share struct {
 	guaranteed int64
 	used       int64
 	isActive   bool // not removed
 }
 
-// reserve is what has to stay free for the owner.
+// reserve returns the number of units that must stay free for the owner.
 func (s *share) reserve() int64 {
 	return max(0, (s.guaranteed+reserveDivisor-1)/reserveDivisor-s.used)
 }
 
-// borrowed is what the owner has in excess of its guaranteed part.
+// borrowed returns the number of units that the owner uses in excess of its guaranteed part.
 func (s *share) borrowed() int64 { return max(0, s.used-s.guaranteed) }
 
-// Allocator allocates one resource to owners. The zero value has none of it. It is not safe for concurrent use.
+// Allocator allocates one resource to owners. The zero value has a total of 0. It is not safe for concurrent use.
 type Allocator struct {
 	total        int64
 	used         int64 // the sum over shares
 	reserved     int64 // the sum of reserves over shares
 	shares       []share
 	maxLoanTime  time.Duration
-	lendAfter    time.Duration // nothing is lent before, if hasLendAfter
+	lendAfter    time.Duration // nothing is lent before this time, if hasLendAfter
 	hasLendAfter bool
 }
 
-// New creates an allocator of a total, of which no borrower keeps anything for longer than maxLoanTime.
+// New returns an allocator with a total. maxLoanTime is the longest time for which a borrower holds a unit.
 func New(total int64, maxLoanTime time.Duration) *Allocator {
 	return &Allocator{total: total, maxLoanTime: maxLoanTime}
 }
 
-// SetMaxLoanTime sets the longest time that borrowers keep anything.
+// SetMaxLoanTime sets the longest time for which a borrower holds a unit.
 func (a *Allocator) SetMaxLoanTime(maxLoanTime time.Duration) { a.maxLoanTime = maxLoanTime }
 
 // AddOwner adds an owner with no guaranteed part.
@@ -72,8 +73,8 @@
 	return Owner(len(a.shares) - 1)
 }
 
-// RemoveOwner removes an owner. It releases what it still has as before; until then its number is not
-// reused.
+// RemoveOwner removes an owner. The caller still releases the units that the owner holds; its Owner value is not reused
+// until all are released.
 func (a *Allocator) RemoveOwner(o Owner) {
 	a.update(o, func(s *share) {
 		s.guaranteed = 0
@@ -82,8 +83,8 @@
 }
 
 // SetGuarantees sets the total and the guaranteed parts; an owner that is not in the map has none. It changes
-// nothing and returns an error where a part is below zero or they add up to more than the total. What is
-// acquired in excess of a new limit remains so until it is released.
+// nothing and returns an error if a part is negative, an owner is unknown, or the parts add up to more than the total.
+// Units acquired in excess of a new limit remain acquired until they are released.
 func (a *Allocator) SetGuarantees(total int64, guaranteed map[Owner]int64) error {
 	sum := int64(0)
 	for o, part := range guaranteed {
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// update changes an owner's share and keeps reserved in line with it.
+// update changes an owner's share and adjusts reserved accordingly.
 func (a *Allocator) update(o Owner, change func(*share)) {
 	s := &a.shares[o]
 	a.reserved -= s.reserve()
@@ -107,16 +108,16 @@
 	a.reserved += s.reserve()
 }
 
-// TryAcquire acquires n for an owner, or nothing and returns false.
+// TryAcquire acquires n units for an owner. If it cannot, it acquires none and returns false.
 func (a *Allocator) TryAcquire(now time.Duration, o Owner, n int64) bool {
 	if n < 0 || n > a.total {
 		return false
 	}
 	s := &a.shares[o]
 	after := share{guaranteed: s.guaranteed, used: s.used + n}
-	free := a.total - a.used - n - (a.reserved - s.reserve()) // without the reserves of other owners
+	free := a.total - a.used - n - (a.reserved - s.reserve()) // after the acquisition, without the reserves of other owners
 	if after.borrowed() == 0 {
-		if free < 0 { // a part of its guaranteed part is lent: nothing more is until all loans have ended
+		if free < 0 { // some of the guaranteed part is lent: stop lending until all loans have ended
 			a.lendAfter = now + a.maxLoanTime
 			a.hasLendAfter = true
 			return false
@@ -129,7 +130,8 @@
 	return true
 }
 
-// canBorrow reports whether an owner may have a share in excess of its guaranteed part, with so much free after that.
+// canBorrow reports whether an owner may grow its share to after, in excess of its guaranteed part. free is the number of
+// units that would then be free, without the reserves of other owners.
 func (a *Allocator) canBorrow(now time.Duration, after *share, free int64) bool {
 	isLending := !a.hasLendAfter || now >= a.lendAfter
 	if !isLending || free < 0 {
@@ -138,23 +140,23 @@
 	return after.borrowed() <= maxBorrowRatio*(free-after.reserve())
 }
 
-// Release releases n that an owner has acquired.
+// Release releases n units that an owner has acquired.
 func (a *Allocator) Release(o Owner, n int64) {
 	a.used -= n
 	a.update(o, func(s *share) { s.used -= n })
 }
 
-// Used returns what an owner has acquired.
+// Used returns the number of units that an owner has acquired.
 func (a *Allocator) Used(o Owner) int64 { return a.shares[o].used }
 
 // Guaranteed returns an owner's guaranteed part.
 func (a *Allocator) Guaranteed(o Owner) int64 { return a.shares[o].guaranteed }
 
-// Borrowed returns what an owner has acquired in excess of its guaranteed part.
+// Borrowed returns the number of units that an owner has acquired in excess of its guaranteed part.
 func (a *Allocator) Borrowed(o Owner) int64 { return a.shares[o].borrowed() }
 
-// Free returns what no owner has acquired.
+// Free returns the number of units that no owner has acquired.
 func (a *Allocator) Free() int64 { return a.total - a.used }
 
-// Total returns the total.
+// Total returns the total number of units.
 func (a *Allocator) Total() int64 { return a.total }
--- a/internal/bulkhead/bulkhead_test.go
+++ b/internal/bulkhead/bulkhead_test.go
@@ -9,7 +9,7 @@
 
 const maxLoanTime = 10 * time.Second
 
-// testingT is a test, or one of the many runs of a property.
+// testingT is the part of testing.TB that rapid.T implements too.
 type testingT interface {
 	Helper()
 	Fatal(...any)
@@ -30,7 +30,7 @@
 	return a, owners
 }
 
-// acquireAll has an owner acquire one by one until it is rejected, and returns how many it got.
+// acquireAll acquires units for an owner one by one until it is rejected, and returns their number.
 func acquireAll(a *Allocator, o Owner) (n int64) {
 	for a.TryAcquire(0, o, 1) {
 		n++
@@ -41,10 +41,10 @@
 func TestOwnersAcquireGuaranteedAndBorrowedParts(t *testing.T) {
 	for name, tc := range map[string]struct {
 		total        int64
-		a, b         int64 // guaranteed
-		first, after int64 // what a takes alone, and b then
+		a, b         int64 // guaranteed parts of the two owners
+		first, after int64 // units that a acquires alone, and then b
 	}{
-		"all guaranteed":  {100, 50, 50, 74, 26}, // 37 lent of the 37 that may be: 2*(37-24)>=24
+		"all guaranteed":  {100, 50, 50, 74, 26}, // a borrows 24 of the 37 units that can be lent: 2*(37-24)>=24
 		"some common":     {100, 30, 30, 71, 29},
 		"none guaranteed": {90, 0, 0, 60, 20},
 		"one has none":    {100, 0, 40, 60, 40},
@@ -95,21 +95,22 @@
 	}
 }
 
-// acquisition is something acquired, and when it is released.
+// acquisition is a number of acquired units and the time of their release.
 type acquisition struct {
 	owner      Owner
 	n          int64
 	releasedAt time.Duration
 }
 
-// guaranteeTest has owners acquire and release in any order, and checks an allocator's guarantees.
+// guaranteeTest makes owners acquire and release units in random order, and checks an allocator's guarantees.
 type guaranteeTest struct {
 	*Allocator
 	owners      []Owner
 	total       int64
 	now         time.Duration
 	outstanding []acquisition
-	// rejectedSince is when an owner was first rejected within its guaranteed part.
+	// rejectedSince is the time at which an owner was first rejected within its guaranteed part, until it acquires
+	// units within that part.
 	rejectedSince map[Owner]time.Duration
 }
 
@@ -125,7 +126,7 @@
 	return &guaranteeTest{Allocator: a, owners: owners, total: total, rejectedSince: make(map[Owner]time.Duration)}
 }
 
-// releaseDue releases what is due by now.
+// releaseDue releases the acquisitions that are due.
 func (g *guaranteeTest) releaseDue() {
 	remaining := g.outstanding[:0]
 	for _, acquired := range g.outstanding {
@@ -138,7 +139,7 @@
 	g.outstanding = remaining
 }
 
-// drawOwner draws an owner, the first of them most often.
+// drawOwner draws an owner, most often the first one.
 func (g *guaranteeTest) drawOwner(t *rapid.T) Owner {
 	o := g.owners[rapid.IntRange(0, len(g.owners)-1).Draw(t, "who")]
 	if rapid.IntRange(0, 2).Draw(t, "greedy") == 0 {
@@ -147,7 +148,7 @@
 	return o
 }
 
-// step passes some time, and has an owner try to acquire something.
+// step advances the time and makes an owner try to acquire some units.
 func (g *guaranteeTest) step(t *rapid.T, maxSize int64) {
 	g.now += time.Duration(rapid.Int64Range(0, int64(maxLoanTime/200)).Draw(t, "passes"))
 	g.releaseDue()
@@ -172,7 +173,7 @@
 	}
 }
 
-// checkGuaranteed checks an attempt of an owner, which had so much, to acquire n.
+// checkGuaranteed checks the result ok of an attempt to acquire n units for an owner that had used units before.
 func (g *guaranteeTest) checkGuaranteed(t *rapid.T, o Owner, used, n int64, ok bool) {
 	guaranteed := g.Guaranteed(o)
 	isGuaranteed := used+n <= guaranteed
@@ -193,9 +194,9 @@
 	}
 }
 
-// TestAllocatorKeepsItsGuarantees checks that, whatever owners do in any order, never more than the total is
-// acquired, each owner gets the first quarter of its guaranteed part at once, and all of it within the maximum
-// loan time of its first rejected attempt.
+// TestAllocatorKeepsItsGuarantees checks that, for any order of acquisitions and releases, no more than the total is ever
+// acquired, each owner gets the first quarter of its guaranteed part at once, and all of that part within the maximum loan
+// time of its first rejected attempt.
 func TestAllocatorKeepsItsGuarantees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := drawGuaranteeTest(t)
@@ -206,8 +207,8 @@
 	})
 }
 
-// TestNothingIsLentAfterRejectionWithinGuarantee checks that after an owner was rejected within its guaranteed part
-// nothing is lent for the maximum loan time, also where much is released meanwhile.
+// TestNothingIsLentAfterRejectionWithinGuarantee checks that after an owner was rejected within its guaranteed part nothing
+// is lent for the maximum loan time, even if many units are released meanwhile.
 func TestNothingIsLentAfterRejectionWithinGuarantee(t *testing.T) {
 	a, owners := newAllocator(t, 100, 0, 50, 0)
 	first, guaranteed, second := owners[0], owners[1], owners[2]
@@ -228,8 +229,8 @@
 	}
 }
 
-// TestNoBorrowerStarvesOthers checks that however much one owner borrows, others still find some to borrow,
-// and that with time all have about the same.
+// TestNoBorrowerStarvesOthers checks that other owners can still borrow however much one owner borrows, and that in time
+// all owners have about the same number of units.
 func TestNoBorrowerStarvesOthers(t *testing.T) {
 	const total = 10000
 	for _, n := range []int{2, 3, 10, 50} {
@@ -256,7 +257,7 @@
 	}
 }
 
-// releaseHalf has each owner release half of what it has.
+// releaseHalf releases half of the units of each owner.
 func releaseHalf(a *Allocator, owners []Owner) {
 	for _, o := range owners {
 		if half := a.Used(o) / 2; half > 0 {
@@ -265,7 +266,7 @@
 	}
 }
 
-// acquireInTurn has owners acquire one each in turn until none can.
+// acquireInTurn acquires one unit for each owner in turn until none can acquire any more.
 func acquireInTurn(a *Allocator, owners []Owner) {
 	for anyAcquired := true; anyAcquired; {
 		anyAcquired = false
@@ -281,8 +282,8 @@
 	limiter.SetGuaranteed(1, 0.2)
 	ms := time.Millisecond
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * ms {
-		limiter.Record(now, 0, 1*ms) // 0.1 s a second
-		limiter.Record(now, 1, 9*ms) // 0.9
+		limiter.Record(now, 0, 1*ms) // 0.1 s per second
+		limiter.Record(now, 1, 9*ms) // 0.9 s per second
 		if !limiter.Allows(now, 0) {
 			t.Fatalf("at %v the one within its part was held back", now)
 		}
--- a/internal/bulkhead/time_limiter.go
+++ b/internal/bulkhead/time_limiter.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// smoothingTime is the time constant by which the use of time is averaged.
+// smoothingTime is the time constant of the exponential averages of used time.
 const smoothingTime = time.Second
 
-// TimeLimiter divides processor time: how many seconds per second each owner may use. It only reports which owners
-// have to wait, and interrupts nothing. An owner within its guaranteed part never has to, whatever other owners use;
-// one above it has to only while all owners together use more than the total. It is not safe for concurrent use.
+// TimeLimiter limits the processor time that each owner uses, in seconds per second. It only reports which owners have to
+// wait and does not interrupt them. An owner within its guaranteed part never has to wait, whatever other owners use. An
+// owner above it has to wait only while all owners together use more than the total. It is not safe for concurrent use.
 type TimeLimiter struct {
 	total  float64
-	owners []timeUse // by Owner
+	owners []timeUse // indexed by Owner
 	all    timeUse
 }
 
@@ -36,13 +36,13 @@
 	u.used += float64(duration) / float64(smoothingTime)
 }
 
-// NewTimeLimiter creates a limiter of a total in seconds per second.
+// NewTimeLimiter returns a limiter with a total in seconds per second.
 func NewTimeLimiter(total float64) *TimeLimiter { return &TimeLimiter{total: total} }
 
 // SetTotal sets the total, in seconds per second.
 func (l *TimeLimiter) SetTotal(total float64) { l.total = total }
 
-// SetGuaranteed sets an owner's guaranteed part, in seconds per second. It adds an owner that is new.
+// SetGuaranteed sets an owner's guaranteed part, in seconds per second. It adds the owner if it is new.
 func (l *TimeLimiter) SetGuaranteed(o Owner, guaranteed float64) {
 	for int(o) >= len(l.owners) {
 		l.owners = append(l.owners, timeUse{})
@@ -50,7 +50,7 @@
 	l.owners[o].guaranteed = guaranteed
 }
 
-// Record records that an owner has used some time.
+// Record records processor time used by an owner.
 func (l *TimeLimiter) Record(now time.Duration, o Owner, duration time.Duration) {
 	l.owners[o].add(now, duration)
 	l.all.add(now, duration)
--- a/internal/limits/byte_limiter.go
+++ b/internal/limits/byte_limiter.go
@@ -2,10 +2,10 @@
 
 import "sync/atomic"
 
-// ByteLimiter limits the bytes of the requests of a service that has the process to itself.
+// ByteLimiter limits the total bytes of the requests of a service that is the only one in its process.
 type ByteLimiter struct{ available atomic.Int64 }
 
-// NewByteLimiter creates a limiter of some bytes in all.
+// NewByteLimiter returns a limiter with a limit on the total bytes.
 func NewByteLimiter(limit int64) *ByteLimiter {
 	b := new(ByteLimiter)
 	b.available.Store(limit)
--- a/internal/limits/conn.go
+++ b/internal/limits/conn.go
@@ -9,24 +9,24 @@
 	"lockflow/internal/accept"
 )
 
-// acquireRetryInterval is the maximum time between two attempts to acquire a descriptor for a client. A release ends
-// it; whether a connection may be evicted also depends on the time.
+// acquireRetryInterval is the maximum time between two attempts to acquire a descriptor for a client. A release triggers
+// an attempt at once. Retries are needed besides because a connection can become evictable with time alone.
 const acquireRetryInterval = 20 * time.Millisecond
 
 // Conn is a connection that releases its descriptor when it is closed.
 type Conn struct {
 	net.Conn
-	// AcceptedAt is when a Listener accepted it.
+	// AcceptedAt is the time at which a Listener accepted the connection.
 	AcceptedAt time.Time
-	// Queued is the time before AcceptedAt in which it may have waited to be accepted.
+	// Queued is the period before AcceptedAt during which the connection may have waited to be accepted.
 	Queued accept.Period
 
 	limiter      ConnectionLimiter
-	availability *Signal // of the limiter's descriptors; nil where nobody waits for one
+	availability *Signal // of the limiter's descriptors; nil if no listener waits for one
 	releaseOnce  sync.Once
 }
 
-// Track returns a connection, for which a descriptor was acquired, as one that releases it.
+// Track wraps a connection for which a descriptor has been acquired. Closing the result releases the descriptor.
 func Track(c net.Conn, limiter ConnectionLimiter) *Conn { return &Conn{Conn: c, limiter: limiter} }
 
 // Close closes the connection and then releases its descriptor, once.
@@ -39,22 +39,22 @@
 // NetConn returns the underlying connection.
 func (c *Conn) NetConn() net.Conn { return c.Conn }
 
-// NotifyEvictable makes known to those that wait for a descriptor that this connection may be evicted.
+// NotifyEvictable notifies the listeners that wait for a descriptor that this connection may be evicted.
 func (c *Conn) NotifyEvictable() {
 	if c.availability != nil {
 		c.availability.Notify()
 	}
 }
 
-// Listener accepts connections only while a descriptor can be acquired for them. One connection may be accepted and wait
-// for its descriptor where another user takes it in that moment.
+// Listener accepts connections only while a descriptor can be acquired for them. An accepted connection may still have to
+// wait for its descriptor if another user acquires the last one at the same moment.
 type Listener struct {
 	net.Listener
-	ctx     context.Context // Accept, which net.Listener defines without one, waits until it ends
+	ctx     context.Context // ends the waits of Accept, which has no context parameter
 	limiter ConnectionLimiter
 	backlog *accept.Backlog
 
-	availability *Signal // that of the limiter, or one that is never given
+	availability *Signal // the limiter's signal, or one that is never notified
 }
 
 // Listen wraps a listener. Once ctx has ended, Accept no longer waits for a descriptor.
@@ -70,8 +70,9 @@
 	return &Listener{Listener: l, ctx: ctx, limiter: limiter, backlog: backlog, availability: availability}
 }
 
-// Accept waits until there is a descriptor, then for a connection, and acquires the descriptor for it. While no connection
-// comes, the descriptor is left to others, such as another listener. The error is net.ErrClosed where ctx has ended first.
+// Accept waits until a descriptor is available, then for a connection, and acquires a descriptor for it. While it waits for
+// a connection it holds no descriptor, so that another listener, for example, can use it. It returns net.ErrClosed if the
+// context ends before a descriptor is available.
 func (l *Listener) Accept() (net.Conn, error) {
 	if !l.acquire() {
 		return nil, net.ErrClosed
@@ -82,7 +83,7 @@
 		return nil, err
 	}
 	conn := Track(c, l.limiter)
-	if !l.acquire() { // the listener is closed, and this connection is served beyond the limit
+	if !l.acquire() { // the context has ended: this connection is served beyond the limit
 		conn.limiter = unlimited{}
 	}
 	l.backlog.Unblock()
@@ -101,10 +102,10 @@
 // Release implements ConnectionLimiter.
 func (unlimited) Release() {}
 
-// acquire acquires a descriptor as soon as there is one; false where ctx has ended first.
+// acquire waits for a descriptor and acquires it. It returns false if the context ends first.
 func (l *Listener) acquire() bool {
 	for {
-		available := l.availability.Next() // before the attempt, so that no release is missed
+		available := l.availability.Next() // obtained before the attempt, so that no release is missed
 		if l.limiter.TryAcquire() {
 			return true
 		}
--- a/internal/limits/conn_test.go
+++ b/internal/limits/conn_test.go
@@ -13,8 +13,8 @@
 
 func (c closeNotifier) Close() error { c.onClose(); return nil }
 
-// TestConnReleasesDescriptorAfterClose checks that a descriptor is released once it is closed and not
-// before, when another connection would be one too many.
+// TestConnReleasesDescriptorAfterClose checks that a descriptor is released only after the connection is closed, since an
+// earlier release would let another connection exceed the limit. It also checks that a second Close releases nothing.
 func TestConnReleasesDescriptorAfterClose(t *testing.T) {
 	s := NewSocketLimiter(1024)
 	if !s.TryAcquire() {
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -36,8 +36,8 @@
 	return s, accounts, idle
 }
 
-// TestIdleLoansAreEvictedForGuaranteedParts checks that idle units beyond a part are evicted at once when an
-// account needs its guaranteed part, and that idle units within a part stay.
+// TestIdleLoansAreEvictedForGuaranteedParts checks that borrowed idle units are evicted at once when another account needs
+// its guaranteed part, and that idle units within the borrower's own guaranteed part are not.
 func TestIdleLoansAreEvictedForGuaranteedParts(t *testing.T) {
 	_, a, idle := newSharedResource(t, 100, 50, 50)
 	acquired := 0
@@ -64,7 +64,7 @@
 	}
 }
 
-// TestBorrowerEvictsOnlyOwnIdleUnits checks that a borrower that needs more evicts its own idle units only.
+// TestBorrowerEvictsOnlyOwnIdleUnits checks that a borrower that needs more units evicts only its own idle units.
 func TestBorrowerEvictsOnlyOwnIdleUnits(t *testing.T) {
 	_, a, idle := newSharedResource(t, 12, 4, 4)
 	n := 0
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestOwnerOfClosedAccountIsNotReusedBeforeRelease checks that the owner number of a closed account is not used again before
-// it has released everything.
+// TestOwnerOfClosedAccountIsNotReusedBeforeRelease checks that the bulkhead.Owner of a closed account is not reused before
+// the account has released all its units.
 func TestOwnerOfClosedAccountIsNotReusedBeforeRelease(t *testing.T) {
 	s, a, _ := newSharedResource(t, 10, 5, 5)
 	a[0].TryAcquire()
@@ -156,8 +156,8 @@
 	}
 }
 
-// TestListenerWaitsUntilContextEnds checks that a listener that waits for a descriptor stops with its context,
-// and has acquired none.
+// TestListenerWaitsUntilContextEnds checks that a listener that waits for a descriptor stops when its context ends, and
+// that it has acquired none.
 func TestListenerWaitsUntilContextEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewSocketLimiter(0)
@@ -180,8 +180,9 @@
 	})
 }
 
-// Guards against clients that wait in the socket's queue for longer than there is no descriptor: a listener takes the
-// next one at once when a descriptor is released or may be evicted, and not with its next attempt.
+// TestListenerAcceptsOnceDescriptorIsAvailable checks that a listener that waits for a descriptor accepts the next
+// connection as soon as one is released, may be evicted or is no longer reserved. If it only retried at intervals, clients
+// would wait in the socket's queue although a descriptor is available.
 func TestListenerAcceptsOnceDescriptorIsAvailable(t *testing.T) {
 	for name, makeAvailable := range map[string]func(s *SocketLimiter, evictable *atomic.Bool, open *Conn){
 		"released": func(_ *SocketLimiter, _ *atomic.Bool, open *Conn) { open.Close() },
@@ -223,7 +224,7 @@
 	}
 }
 
-// connQueue is a listener whose queue is a channel.
+// connQueue is a listener that accepts connections from a channel.
 type connQueue chan net.Conn
 
 func (q connQueue) Accept() (net.Conn, error) { return <-q, nil }
@@ -235,8 +236,9 @@
 
 func (nopConn) Close() error { return nil }
 
-// Guards against clients that wait beside free descriptors: connections to app servers that are open, idle ones too, take
-// the descriptors that are reserved for them, and none of the clients'. Those beyond are evicted for a client.
+// TestServerConnectionsUseOnlyReservedDescriptors checks that connections to app servers, idle ones included, take only the
+// descriptors reserved for them, and that those beyond are evicted for clients. Otherwise clients would wait while
+// descriptors of idle connections could be freed for them.
 func TestServerConnectionsUseOnlyReservedDescriptors(t *testing.T) {
 	for _, limit := range []int{MinDescriptors, MinDescriptors + 1, 40, 128, 152, 1024} {
 		for _, beyondReserve := range []int{0, 5} {
@@ -268,8 +270,8 @@
 	}
 }
 
-// TestLowDescriptorLimitsAllowClientAndServer checks that a low limit on descriptors is kept, and leaves at least
-// one connection to either side.
+// TestLowDescriptorLimitsAllowClientAndServer checks that a low limit on descriptors is observed and still allows at least
+// one client connection and one connection to an app server.
 func TestLowDescriptorLimitsAllowClientAndServer(t *testing.T) {
 	for _, limit := range []int{MinDescriptors, 40, 64, 128, 151, 152, 1024} {
 		s := NewSocketLimiter(limit)
--- a/internal/limits/request_limiter.go
+++ b/internal/limits/request_limiter.go
@@ -2,13 +2,13 @@
 
 import "lockflow/internal/bulkhead"
 
-// RequestLimiter limits the requests of one of several services: a slot and some bytes for each, and the time
-// of the service's module.
+// RequestLimiter limits the requests of one of several services in a process. Each request needs a slot and some
+// bytes, and is rejected while the service's module exceeds its processor time.
 type RequestLimiter struct {
-	Slots      *Account // one for each request
-	Bytes      *Account // of requests and their answers
+	Slots      *Account // one slot for each request
+	Bytes      *Account // bytes of requests and their responses
 	ModuleTime *TimeLimiter
-	Owner      bulkhead.Owner // of the service in ModuleTime
+	Owner      bulkhead.Owner // the service's owner in ModuleTime
 }
 
 // Admit reserves a slot and bytes for a request; see service.RequestLimiter.
--- a/internal/limits/shared_resource.go
+++ b/internal/limits/shared_resource.go
@@ -10,31 +10,31 @@
 	"lockflow/internal/bulkhead"
 )
 
-// SharedResource is one bounded resource of the process that several accounts share by a bulkhead.Allocator.
+// SharedResource is one bounded resource of the process, which a bulkhead.Allocator divides among several accounts.
 type SharedResource struct {
 	clock        func() time.Duration
 	availability Signal
 
 	mu        sync.Mutex
 	allocator *bulkhead.Allocator
-	accounts  []*Account // that are open
+	accounts  []*Account // open accounts
 }
 
-// NewSharedResource creates a resource with a total of 0 until SetGuarantees, of which no account keeps anything for
-// longer than maxLoanTime.
+// NewSharedResource returns a resource whose total is 0 until SetGuarantees is called. maxLoanTime is the longest time
+// for which an account holds a unit.
 func NewSharedResource(maxLoanTime time.Duration) *SharedResource {
 	return &SharedResource{allocator: bulkhead.New(0, maxLoanTime), clock: newClock()}
 }
 
-// SetMaxLoanTime sets the longest time that accounts keep anything.
+// SetMaxLoanTime sets the longest time for which an account holds a unit.
 func (s *SharedResource) SetMaxLoanTime(maxLoanTime time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.allocator.SetMaxLoanTime(maxLoanTime)
 }
 
-// SetGuarantees sets the total and the guaranteed parts of accounts; all other accounts have none. The error is that of
-// bulkhead.Allocator.SetGuarantees, after which nothing has changed.
+// SetGuarantees sets the total and the guaranteed parts of accounts; all other accounts have none. It returns the error of
+// bulkhead.Allocator.SetGuarantees, in which case nothing has changed.
 func (s *SharedResource) SetGuarantees(total int64, guaranteed map[*Account]int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,17 +54,17 @@
 	_ = s.SetGuarantees(total, map[*Account]int64{a: total}) // the sum never exceeds the total
 }
 
-// Account is what one user, a service or the clients, has of a SharedResource. It is an AwaitedLimiter.
+// Account is the share of one user, a service or the clients, in a SharedResource. It is an AwaitedLimiter.
 type Account struct {
 	resource *SharedResource
 	owner    bulkhead.Owner
-	evict    func() bool // nil evicts nothing
-	recall   func()      // nil recalls nothing; guarded by the resource's lock
+	evict    func() bool // see OpenAccount; may be nil
+	recall   func()      // see OnRecall; may be nil; guarded by the resource's lock
 	denied   atomic.Int64
 }
 
-// OpenAccount opens an account with no guaranteed part. Evict, which may be nil, releases one unit that the
-// user holds and does not use, if there is one; it is called with no lock held.
+// OpenAccount opens an account with no guaranteed part. evict releases one idle unit that the user holds and reports
+// whether there was one. It may be nil, and is called with no lock held.
 func (s *SharedResource) OpenAccount(evict func() bool) *Account {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +73,7 @@
 	return a
 }
 
-// Close closes the account. What it still has is released as before.
+// Close closes the account. Units that it still holds are released as before.
 func (a *Account) Close() {
 	s := a.resource
 	s.mu.Lock()
@@ -82,17 +82,17 @@
 	s.accounts = slices.DeleteFunc(s.accounts, func(b *Account) bool { return a == b })
 }
 
-// OnRecall sets the function that has the account's user end one use that has exceeded the maximum loan time,
-// if there is one. It is called, with no lock held, where another account is denied what is guaranteed to it
-// and this one has borrowed more than any other.
+// OnRecall sets the function that makes the account's user end one use that has exceeded the maximum loan time, if
+// there is one. It is called, with no lock held, when another account is denied units within its guaranteed part and
+// this account has borrowed more than any other.
 func (a *Account) OnRecall(recall func()) {
 	a.resource.mu.Lock()
 	defer a.resource.mu.Unlock()
 	a.recall = recall
 }
 
-// RecordDenial counts that the account was denied something. Where that was guaranteed to it, the largest
-// borrower is recalled.
+// RecordDenial counts a denied acquisition of the account. If the account uses less than its guaranteed part, the
+// largest borrower is recalled.
 func (a *Account) RecordDenial() {
 	a.denied.Add(1)
 	if recall := a.resource.recallFor(a); recall != nil {
@@ -100,8 +100,8 @@
 	}
 }
 
-// recallFor returns the recall function of the account that has borrowed more than any other, if an account
-// that was denied something has not got its guaranteed part; nil otherwise.
+// recallFor returns the recall function of the account that has borrowed more than any other, or nil if the denied
+// account uses all of its guaranteed part or no account can be recalled.
 func (s *SharedResource) recallFor(denied *Account) (recall func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,8 +121,8 @@
 	return recall
 }
 
-// TryAcquire acquires one unit. Where none is free it evicts idle units: first of the largest borrowers, as
-// long as this account has not borrowed itself, then of its own.
+// TryAcquire acquires one unit. If that fails, it evicts idle units and retries: first units of the largest borrowers,
+// unless this account is itself a borrower, then the account's own.
 func (a *Account) TryAcquire() bool {
 	for !a.TryAcquireN(1) {
 		if !a.resource.evictFor(a) {
@@ -170,8 +170,8 @@
 	return false
 }
 
-// borrowersToEvict returns the other accounts that have borrowed, the largest borrowers first; none if the
-// account has borrowed itself.
+// borrowersToEvict returns the other accounts that have borrowed and can evict, the largest borrowers first. It returns
+// none if the account is itself a borrower.
 func (s *SharedResource) borrowersToEvict(a *Account) (borrowers []*Account) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,15 +189,15 @@
 	return borrowers
 }
 
-// Usage is what an account has of a SharedResource.
+// Usage is the usage of a SharedResource by one account.
 type Usage struct {
 	Used       int64 `json:"used"`
 	Guaranteed int64 `json:"guaranteed"`
 	Total      int64 `json:"total"`  // of the resource
-	Denied     int64 `json:"denied"` // since the account was opened
+	Denied     int64 `json:"denied"` // denied acquisitions since the account was opened
 }
 
-// Usage returns what the account has.
+// Usage returns the account's current usage.
 func (a *Account) Usage() Usage {
 	s := a.resource
 	s.mu.Lock()
--- a/internal/limits/signal.go
+++ b/internal/limits/signal.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// Signal wakes goroutines that wait for a change. Its zero value is ready to use; it is safe for concurrent use.
+// Signal wakes goroutines that wait for a change. The zero value is ready to use. It is safe for concurrent use.
 type Signal struct {
 	mu   sync.Mutex
-	next chan struct{} // closed by the next Notify; nil while nobody waits
+	next chan struct{} // closed by the next Notify; nil if Next has not been called since the last one
 }
 
 // Next returns a channel that is closed by the next Notify.
@@ -18,7 +18,7 @@
 	return s.next
 }
 
-// Notify wakes all goroutines that wait.
+// Notify wakes all waiting goroutines.
 func (s *Signal) Notify() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/limits/socket_limiter.go
+++ b/internal/limits/socket_limiter.go
@@ -3,37 +3,38 @@
 import "sync"
 
 const (
-	processDescriptors = 24 // of the process itself: listener, discovery, log, poller and the runtime's
+	processDescriptors = 24 // reserved for the process itself: listener, discovery, log, poller and the runtime
 
-	// ReservedForServers is how many connections are left to app servers where clients use all other ones.
+	// ReservedForServers is the number of connections reserved for app servers, which clients cannot use.
 	ReservedForServers = 64
 
-	// MinDescriptors is the lowest limit on descriptors that allows one client and one app server.
+	// MinDescriptors is the lowest limit on descriptors that allows one connection each to a client and an app server.
 	MinDescriptors = processDescriptors + 2
 )
 
 // ConnectionLimiter limits the connections of one user: a service, or the clients.
 type ConnectionLimiter interface {
-	// TryAcquire acquires a descriptor for one connection; false where there is none.
+	// TryAcquire acquires a descriptor for one connection. It returns false if none is available.
 	TryAcquire() bool
 	// Release releases a descriptor, once its connection is closed.
 	Release()
 }
 
-// AwaitedLimiter is a ConnectionLimiter that tells a waiting Listener when a descriptor may be had.
+// AwaitedLimiter is a ConnectionLimiter that notifies a waiting Listener when a descriptor may be available.
 type AwaitedLimiter interface {
 	ConnectionLimiter
-	// Availability returns the signal that is given once a descriptor has been released or may be evicted.
+	// Availability returns the signal that is notified when a descriptor has been released or may be evicted.
 	Availability() *Signal
 }
 
-// SocketLimiter keeps the connections of clients and to app servers together below the process's limit on
-// descriptors. Where it is reached, idle connections are closed for new ones. It serves a process of one
-// service; several services have accounts at a SharedResource. It is the ConnectionLimiter of app servers.
+// SocketLimiter keeps the total of client connections and app server connections within the process's limit on
+// descriptors. When the limit is reached, idle connections are closed to make room for new ones. It is for a process
+// with a single service; several services have accounts at a SharedResource instead. Its own methods are the
+// ConnectionLimiter for app servers; ForClients returns that for clients.
 type SocketLimiter struct {
 	mu                 sync.Mutex
 	limit              int
-	reservedForServers int // connections that clients leave to app servers: ReservedForServers, or half of a low limit
+	reservedForServers int // connections that clients cannot use: ReservedForServers, or half of a low limit
 	clients            int // open connections of clients
 	servers            int // open connections to app servers
 	availability       Signal
@@ -42,7 +43,7 @@
 	evictServer func(keep int) bool // closes one idle connection to an app server, if there are more than keep
 }
 
-// NewSocketLimiter creates a limiter for a process's limit on descriptors; 0 is one that is not known.
+// NewSocketLimiter returns a limiter for a process with a limit on descriptors; 0 means that the limit is unknown.
 func NewSocketLimiter(descriptors int) *SocketLimiter {
 	limit := MaxConnections(descriptors)
 	return &SocketLimiter{
@@ -53,7 +54,7 @@
 	}
 }
 
-// MaxConnections is how many connections a limit on descriptors allows; 0 is a limit that is not known.
+// MaxConnections returns the number of connections that a limit on descriptors allows; 0 means that the limit is unknown.
 func MaxConnections(descriptors int) int {
 	if descriptors == 0 {
 		return 2 * ReservedForServers
@@ -61,7 +62,7 @@
 	return max(descriptors, MinDescriptors) - processDescriptors
 }
 
-// SetLimit sets how many connections may be open; connections above it remain open.
+// SetLimit sets the maximum number of open connections. Connections already open beyond it remain open.
 func (s *SocketLimiter) SetLimit(n int) {
 	s.mu.Lock()
 	s.limit = n
@@ -69,7 +70,8 @@
 	s.availability.Notify()
 }
 
-// ReserveForClients leaves all descriptors to clients, for a process that forwards nothing any more.
+// ReserveForClients removes the reservation for app servers, so that clients can use all descriptors. It is for a process
+// that no longer forwards requests.
 func (s *SocketLimiter) ReserveForClients() {
 	s.mu.Lock()
 	s.reservedForServers = 0
@@ -84,9 +86,9 @@
 	return s.clients + s.servers
 }
 
-// OnEvict sets the functions that close an idle connection, if there is one, of the clients, and of the app
-// servers but for some that are to be kept. Nil leaves a function as it is. It is called before the first
-// connection is acquired.
+// OnEvict sets the functions that close one idle connection of a client or to an app server and report whether there was
+// one. The server function closes a connection only if there are more than keep. Nil leaves a function unchanged.
+// OnEvict must be called before the first connection is acquired.
 func (s *SocketLimiter) OnEvict(client func() bool, server func(keep int) bool) {
 	if client != nil {
 		s.evictClient = client
@@ -106,7 +108,7 @@
 	return true
 }
 
-// addServer counts one more connection to an app server, if there is a descriptor for it.
+// addServer counts one more connection to an app server, if a descriptor is available.
 func (s *SocketLimiter) addServer() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,14 +130,15 @@
 // Availability implements AwaitedLimiter.
 func (s *SocketLimiter) Availability() *Signal { return &s.availability }
 
-// ForClients returns the limiter of client connections, which leaves some to app servers.
+// ForClients returns the limiter of client connections, which does not use the descriptors reserved for app servers.
 func (s *SocketLimiter) ForClients() ConnectionLimiter { return clientLimiter{s} }
 
 // clientLimiter is the AwaitedLimiter of client connections.
 type clientLimiter struct{ *SocketLimiter }
 
-// TryAcquire acquires a descriptor for a connection of a client. Idle clients are evicted first; of the connections to
-// app servers only those beyond the reserved ones, as silent clients would cost app servers handshakes.
+// TryAcquire acquires a descriptor for a client connection. It evicts idle client connections first, and then idle
+// connections to app servers, but only those beyond the reserved number: otherwise idle clients could displace them and
+// cause repeated handshakes with app servers.
 func (s clientLimiter) TryAcquire() bool {
 	for !s.addClient() {
 		if s.evictClient() {
@@ -148,7 +151,7 @@
 	return true
 }
 
-// addClient counts one more connection of a client, if there is a descriptor for it beside the reserved ones.
+// addClient counts one more client connection, if a descriptor is available besides those reserved for app servers.
 func (s clientLimiter) addClient() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,14 +162,15 @@
 	return true
 }
 
-// hasUnreservedServers reports whether clients lack descriptors that app servers have beyond the reserved ones.
+// hasUnreservedServers reports whether clients are below their limit while app servers use more than the reserved
+// descriptors.
 func (s clientLimiter) hasUnreservedServers() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.servers > s.reservedForServers && s.clients < s.limit-s.reservedForServers
 }
 
-// Release releases the descriptor of a client's connection.
+// Release releases the descriptor of a client connection.
 func (s clientLimiter) Release() {
 	s.mu.Lock()
 	s.clients--
--- a/internal/limits/time_limiter.go
+++ b/internal/limits/time_limiter.go
@@ -7,22 +7,23 @@
 	"lockflow/internal/bulkhead"
 )
 
-// TimeLimiter divides the processor time of decision modules among services by a bulkhead.TimeLimiter.
+// TimeLimiter divides the processor time of decision modules among services, using a bulkhead.TimeLimiter. It is safe for
+// concurrent use.
 type TimeLimiter struct {
 	clock func() time.Duration
 
 	mu         sync.Mutex // guards the fields below
 	limiter    *bulkhead.TimeLimiter
-	freeOwners []bulkhead.Owner // that were closed, and are used first
+	freeOwners []bulkhead.Owner // closed owners, reused before a new one is added
 	nextOwner  bulkhead.Owner
 }
 
-// NewTimeLimiter creates a limiter of a total in seconds per second.
+// NewTimeLimiter returns a limiter with a total in seconds per second.
 func NewTimeLimiter(total float64) *TimeLimiter {
 	return &TimeLimiter{limiter: bulkhead.NewTimeLimiter(total), clock: newClock()}
 }
 
-// newClock returns a clock that starts at 0.
+// newClock returns a monotonic clock that starts at 0.
 func newClock() func() time.Duration {
 	start := time.Now()
 	return func() time.Duration { return time.Since(start) }
@@ -64,7 +65,7 @@
 	l.limiter.SetTotal(total)
 }
 
-// Record records that an owner has used some time.
+// Record records processor time used by an owner.
 func (l *TimeLimiter) Record(owner bulkhead.Owner, duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/quotalease/account.go
+++ b/internal/quotalease/account.go
@@ -5,7 +5,7 @@
 // unitTolerance is the rounding error that sums of units may have.
 const unitTolerance = 1e-9
 
-// account is one customer's at a holder.
+// account is a holder's state for one customer.
 type account struct {
 	key           string
 	limit         HardLimit // for all instances together
@@ -14,14 +14,14 @@
 	lastRequestAt time.Duration
 	demand        float64 // units a second, an exponential average
 	leases        []lease
-	queue         []queuedRequest // waiting for units, oldest first
+	queue         []queuedRequest // requests that wait for units, oldest first
 	needsUnits    bool            // is in Holder.needUnits
 	isActive      bool            // is in Holder.active
 }
 
-// lease is what is left of a grant or a refund.
+// lease is the unspent rest of a grant or of a refund.
 type lease struct {
-	token     uint64 // 0 cannot be returned
+	token     uint64 // 0 if the lease cannot be returned to the store
 	units     float64
 	expiresAt time.Duration
 }
@@ -34,7 +34,7 @@
 	isInCall bool // the current call requests its units
 }
 
-// account returns the refilled account of a customer, which it adds if it is not known.
+// account refills and returns a customer's account. It adds the account if there is none.
 func (h *Holder) account(now time.Duration, key string, limit HardLimit) *account {
 	a := h.accounts[key]
 	if a == nil {
@@ -57,12 +57,12 @@
 	return string(name)
 }
 
-// evict removes the customer that has been idle for the longest time of a random sample. So that an evicted
-// customer does not return with more tokens than it had, all new accounts start empty from now on.
+// evict removes the account that has been idle for the longest time out of a random sample. All accounts created
+// from then on start empty, so that an evicted customer does not return with more tokens than it had.
 func (h *Holder) evict(now time.Duration) {
 	var oldest *account
 	sampled := 0
-	for _, a := range h.accounts { // the order of a map's iteration is random
+	for _, a := range h.accounts { // maps are iterated in random order
 		if !a.isActive && !a.needsUnits && (oldest == nil || a.lastRequestAt < oldest.lastRequestAt) {
 			oldest = a
 		}
@@ -77,11 +77,11 @@
 	}
 }
 
-// refill adds own tokens for the time since the last refill, without the time for which the own quota was reserved
-// for a store, and removes expired leases.
+// refill adds own tokens for the time since the last refill, except for the time during which the own quota was
+// reserved for a store. It also removes expired leases.
 func (h *Holder) refill(now time.Duration, a *account) {
 	instances := h.effectiveInstances(now)
-	if a.refilledAt < h.resizeCompleteAt && !h.disabled.resizeDelay { // part of the time was before the change
+	if a.refilledAt < h.resizeCompleteAt && !h.disabled.resizeDelay { // part of the time since the last refill was before the resize completed
 		instances = max(instances, h.previousInstances)
 	}
 	own := a.limit.scaledBy(1 / float64(instances))
@@ -113,15 +113,15 @@
 	return units
 }
 
-// spend takes units from the leases, oldest first, then from the own tokens. It returns until when they can be
-// refunded, which is 0 where some were own tokens, and false where there are too few units.
+// spend takes units from the leases, oldest first, and then from the own tokens. It returns the time until which
+// the units can be refunded, which is 0 if some of them were own tokens. ok is false if there are too few units.
 func (a *account) spend(units float64) (refundableUntil time.Duration, ok bool) {
 	if a.ownTokens+a.leasedUnits() < units-unitTolerance {
 		return 0, false
 	}
 	for len(a.leases) > 0 && units > 0 {
 		l := &a.leases[0]
-		// Replies may arrive out of order, so that an older lease expires later.
+		// Replies may arrive out of order, so an earlier entry may expire later.
 		if refundableUntil == 0 || l.expiresAt < refundableUntil {
 			refundableUntil = l.expiresAt
 		}
@@ -140,8 +140,8 @@
 	return refundableUntil, true
 }
 
-// Refund gives back the units of an admitted request that was never sent. until is the RefundableUntil of the
-// action that admitted it; later than that the refund is dropped.
+// Refund gives back the units of an admitted request that was never forwarded. until is the RefundableUntil of the
+// action that admitted the request; a later refund is dropped.
 func (h *Holder) Refund(now time.Duration, key string, units float64, until time.Duration) {
 	a := h.accounts[key]
 	if a == nil || len(a.leases) >= maxLeases {
@@ -153,8 +153,8 @@
 	}
 }
 
-// prefetchUnits returns the units to borrow in advance for an account's demand, for requests of the given
-// units.
+// prefetchUnits returns the units to borrow in advance to cover an account's demand, where each request needs the
+// given units. It returns 0 if the demand is low or enough units are leased already.
 func (h *Holder) prefetchUnits(a *account, units float64) float64 {
 	target := a.demand * prefetchFraction * h.rules.Term.Seconds()
 	leased := a.leasedUnits()
@@ -164,7 +164,7 @@
 	return 0
 }
 
-// returnLeases has the next call return an account's leases.
+// returnLeases removes an account's leases and queues them to be returned to the store with the next call.
 func (h *Holder) returnLeases(a *account) {
 	if !h.canBorrow() {
 		return
@@ -177,7 +177,8 @@
 	a.leases = nil
 }
 
-// removeIdleAccounts removes the accounts that new ones would equal.
+// removeIdleAccounts removes idle accounts that have no more tokens to lose: their own bucket is full, or own quota
+// cannot be spent now, so that a new account would be equal.
 func (h *Holder) removeIdleAccounts(now time.Duration) {
 	for key, a := range h.accounts {
 		h.refill(now, a)
--- a/internal/quotalease/bucket.go
+++ b/internal/quotalease/bucket.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// fractionSteps is the number of steps to which reserved fractions are rounded. It limits the length of the
-// list of minima and makes a sum independent of its order.
+// fractionSteps is the number of steps to which sums of reserved fractions are rounded. Rounding limits the length
+// of Store.reservedMinima and makes a sum independent of the order of its terms.
 const fractionSteps = 1e5
 
-// Buckets are removed after being idle for minBucketIdleTime and for the time that they take to fill.
+// A bucket is removed once it has been idle for longer than both minBucketIdleTime and its fillTime.
 const (
 	bucketCleanupInterval = 1024 // buckets created between two cleanups
 	minBucketIdleTime     = 10 * time.Minute
 )
 
-// distantPast is a time before all times of a store's clock.
+// distantPast is earlier than any time of a store's clock.
 const distantPast time.Duration = -1 << 62
 
 // bucket is the token bucket of one customer at the store.
@@ -25,7 +25,7 @@
 	fillTime  time.Duration // from empty to full with all of the hard limit reserved
 }
 
-// reservedMinimum is the smallest fraction that was reserved at any time since a moment.
+// reservedMinimum is the smallest fraction that has been reserved at any time since a given time.
 type reservedMinimum struct {
 	since    time.Duration
 	fraction float64
@@ -43,11 +43,12 @@
 	return min(1, math.Round(sum*fractionSteps)/fractionSteps)
 }
 
-// recordReserved records that a fraction is reserved from now on.
+// recordReserved records that a fraction is reserved from now on. It removes the earlier minima that are not below
+// the fraction, as they are no longer minima.
 func (s *Store) recordReserved(now time.Duration, fraction float64) {
 	since := now
 	for i := len(s.reservedMinima) - 1; i >= 0 && s.reservedMinima[i].fraction >= fraction; i-- {
-		since = s.reservedMinima[i].since // at least as much was reserved since then
+		since = s.reservedMinima[i].since // at least the fraction has been reserved since then
 		s.reservedMinima = s.reservedMinima[:i]
 	}
 	isFirst := len(s.reservedMinima) == 0 && since == now
@@ -57,7 +58,7 @@
 	s.reservedMinima = append(s.reservedMinima, reservedMinimum{since: since, fraction: fraction})
 }
 
-// minReservedSince returns the smallest fraction that was reserved between a time and the last record.
+// minReservedSince returns the smallest fraction that was reserved between a time and the last recordReserved.
 func (s *Store) minReservedSince(since time.Duration) float64 {
 	i := len(s.reservedMinima) - 1
 	for i > 0 && s.reservedMinima[i].since > since {
@@ -83,8 +84,8 @@
 	return b
 }
 
-// newBucket adds the bucket of a customer that is not known. It has the tokens of one that was empty at any of
-// the times at which the reserved minimum rose and that has been refilled at that minimum since.
+// newBucket adds the bucket of a new customer. For each reserved minimum it computes the tokens of a bucket that was
+// empty when the minimum began and has been refilled at that fraction since; the new bucket gets the largest result.
 func (s *Store) newBucket(now time.Duration, key string, limit HardLimit) *bucket {
 	s.removeIdleBuckets(now)
 	b := &bucket{updatedAt: now, fillTime: time.Duration(limit.Burst / limit.Rate * float64(time.Second))}
@@ -100,8 +101,8 @@
 	return b
 }
 
-// removeIdleBuckets removes, at every bucketCleanupInterval-th bucket, those that have been idle for so long
-// that new ones would be equal.
+// removeIdleBuckets runs whenever the number of buckets is a multiple of bucketCleanupInterval. It removes the buckets
+// that have been idle for so long that new ones would be equal.
 func (s *Store) removeIdleBuckets(now time.Duration) {
 	if n := len(s.buckets); n == 0 || n%bucketCleanupInterval != 0 {
 		return
--- a/internal/quotalease/holder.go
+++ b/internal/quotalease/holder.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TickInterval is how often Holder.Tick has to be called, and the smallest time between two calls to the store.
+// TickInterval is the interval at which Holder.Tick has to be called, and the minimum time between two calls to the
+// store.
 const TickInterval = 10 * time.Millisecond
 
 // CallTimeout is how long a Holder waits for the reply to a call.
@@ -16,25 +17,25 @@
 	maxQueueTime        = 300 * time.Millisecond // of a request that waits for units
 	maxQueuedRequests   = 64                     // for each customer
 	maxAccounts         = 200_000
-	maxLeases           = 8   // for each customer, not counting those that one reply brings
+	maxLeases           = 8   // for each customer; a single reply may exceed it
 	maxPendingCalls     = 16  // calls whose replies are still accepted
-	maxCallEntries      = 256 // customers to borrow for, and returns, in one call
+	maxCallEntries      = 256 // in one call: customers to borrow for, and lease returns
 	evictionSample      = 8   // accounts
-	prefetchFraction    = 0.2 // of a term's demand, borrowed in advance
-	idleReturnFraction  = 0.4 // of a term without a request, after which leases are returned
+	prefetchFraction    = 0.2 // fraction of the demand during a term that is borrowed in advance
+	idleReturnFraction  = 0.4 // fraction of a term without requests after which leases are returned
 	demandTimeConstant  = time.Second
 	accountIdleTime     = time.Minute // after which an account may be removed
 	cleanupInterval     = time.Minute
 	maxCallBackoff      = time.Second
 	maxBackoffDoublings = 7 // of TickInterval
-	// keepAliveDivisor divides the reservation time, so that several calls in sequence may fail before a
-	// reservation ends.
+	// keepAliveDivisor is the number of keep-alive calls in a reservation time, so that several consecutive
+	// calls may fail before a reservation ends.
 	keepAliveDivisor = 5
-	// maxBorrowFailures is the number of consecutive failures from which a holder does not borrow.
+	// maxBorrowFailures is the number of consecutive failed calls at which a holder stops borrowing.
 	maxBorrowFailures = 2
 )
 
-// never is a time that is not reached.
+// never is a time that no clock reaches.
 const never = time.Duration(math.MaxInt64)
 
 // Kind is the kind of an Action.
@@ -42,36 +43,36 @@
 
 // The kinds of actions.
 const (
-	Admit  Kind = iota + 1 // forward a request; its units are spent
+	Admit  Kind = iota + 1 // forward a request, whose units have been spent
 	Reject                 // reject a request
 	Call                   // make a call to the store
 )
 
-// Action is what a Holder wants done.
+// Action is an action that the caller of a Holder's method has to carry out.
 type Action struct {
 	Kind      Kind
 	RequestID uint64 // with Admit and Reject
-	// RefundableUntil is until when the units of an admitted request can be refunded; 0 is not at all, as some
-	// were of the holder's own quota.
+	// RefundableUntil is the time until which the units of an admitted request can be refunded. It is 0 if they
+	// cannot be refunded because some came from the holder's own quota.
 	RefundableUntil time.Duration
 	StoreCall       *StoreCall // with Call
 }
 
-// Holder is an instance's part: it decides on requests by the instance's own quota and by leases of one store.
-// All times are of the instance's own clock, which is monotonic and also runs while the process is stopped.
-// The actions that a method returns are valid until the next method call. It does no I/O and is not safe for
-// concurrent use.
+// Holder is the instance's side of the lease protocol: it admits requests against the instance's own quota and
+// against leases of one store. All its times are those of the instance's own clock, which is monotonic and advances
+// while the process is stopped. The actions that a method returns are valid until the next method call. A Holder
+// does no I/O and is not safe for concurrent use.
 type Holder struct {
 	rules    Rules
-	id       string // unique to one run of the instance
+	id       string // unique to one incarnation of the instance
 	accounts map[string]*account
-	// ownQuotaFrom is from when the own quota is the holder's to spend. Until then it is reserved for the
-	// store, or may be by an earlier run of the instance.
+	// ownQuotaFrom is the time from which the holder may spend its own quota. Until then the quota is reserved
+	// for the store, or may have been reserved by an earlier incarnation of the instance.
 	ownQuotaFrom time.Duration
 
 	instances         int           // group size
-	previousInstances int           // before the last change
-	resizeCompleteAt  time.Duration // when all instances know the group size
+	previousInstances int           // before the last resize
+	resizeCompleteAt  time.Duration // when all instances know the new group size
 
 	storeID             string        // empty if not known yet
 	storeSwitchedAt     time.Duration // when the store became the current one
@@ -79,30 +80,31 @@
 	storeTimeReceivedAt time.Duration
 	storeIsLending      bool
 	lastCallDuration    time.Duration // of the latest call that was answered
-	reservableFrom      time.Duration // from when the own quota can be reserved for this store
-	lastToken           uint64        // the largest that the store has granted
+	reservableFrom      time.Duration // the time from which the own quota can be reserved for this store
+	lastToken           uint64        // the largest token granted by the store
 
 	lastSeq                uint64
 	lastAnsweredSeq        uint64
-	lastSeqToPreviousStore uint64                   // calls up to this one were for another store
+	lastSeqToPreviousStore uint64                   // calls up to this one were addressed to the previous store
 	pendingCalls           map[uint64]time.Duration // when each was made, by Seq
 	isCalling              bool                     // the call with lastSeq has neither been answered nor failed
 	consecutiveFailures    int
-	nextCallAt             time.Duration // earliest
+	nextCallAt             time.Duration // the earliest time of the next call
 	nextKeepAliveAt        time.Duration // when a call is made even if it has no requests and returns
 
-	needUnits      []*account    // to borrow for with the next call
-	accountsInCall []*account    // that the current call borrows for
-	active         []*account    // with leases or queued requests
-	returns        []LeaseReturn // for the next calls
+	needUnits      []*account    // accounts to borrow for in the next call
+	accountsInCall []*account    // accounts that the current call borrows for
+	active         []*account    // accounts with leases or queued requests
+	returns        []LeaseReturn // to be sent with the next calls
 	nextCleanupAt  time.Duration
-	actions        []Action // returned last; its memory is reused
+	actions        []Action // the actions last returned; the memory is reused
 
 	disabled protections
 }
 
-// NewHolder returns the holder of an instance that has just started. id is unique to this run. The holder has
-// no quota of its own until all reservations of an earlier run have ended and all instances know the group size.
+// NewHolder returns the holder of an instance that has just started. id must be unique to this incarnation. The
+// holder has no quota of its own until all reservations of an earlier incarnation have ended and all instances know
+// the group size.
 func NewHolder(now time.Duration, rules Rules, id string) *Holder {
 	h := &Holder{
 		rules:             rules,
@@ -117,8 +119,8 @@
 	return h
 }
 
-// effectiveInstances returns the group size to divide by, which is the larger one until a change is known
-// everywhere.
+// effectiveInstances returns the group size by which hard limits are divided. Until all instances know of a resize,
+// that is the larger of the old and the new size.
 func (h *Holder) effectiveInstances(now time.Duration) int {
 	if now < h.resizeCompleteAt && !h.disabled.resizeDelay {
 		return max(h.instances, h.previousInstances)
@@ -126,7 +128,7 @@
 	return h.instances
 }
 
-// Resize sets the group size. The own quota only grows after Rules.ResizeTime.
+// Resize sets the group size. If the group shrinks, the own quota grows only after Rules.ResizeTime.
 func (h *Holder) Resize(now time.Duration, instances int) {
 	if instances == h.instances {
 		return
@@ -139,8 +141,8 @@
 	h.resizeCompleteAt = now + h.rules.ResizeTime
 }
 
-// Resign stops the holder from spending or reserving its own quota for good. Another instance may have the
-// quota once the last reservation has ended and the change is known everywhere.
+// Resign permanently stops the holder from spending or reserving its own quota. Another instance may take over the
+// quota once the last reservation has ended and all instances know of the change.
 func (h *Holder) Resign() {
 	h.ownQuotaFrom = never
 	h.reservableFrom = never
@@ -150,8 +152,8 @@
 	}
 }
 
-// RequestUnits decides on a request of a customer. Its Admit or Reject is returned by this call, or by a later
-// one within maxQueueTime and a TickInterval.
+// RequestUnits requests units for a customer's request. The Admit or Reject for it is returned by this call or by a
+// later one, at most maxQueueTime plus a TickInterval from now.
 func (h *Holder) RequestUnits(now time.Duration, requestID uint64, key string, limit HardLimit, units float64) []Action {
 	a := h.account(now, key, limit)
 	decay := math.Exp(-(now - a.lastRequestAt).Seconds() / demandTimeConstant.Seconds())
@@ -177,12 +179,12 @@
 	return h.callIfDue(now, actions)
 }
 
-// canBorrow reports whether the store is known, lends and replies.
+// canBorrow reports whether the store is known, is lending and has answered recent calls.
 func (h *Holder) canBorrow() bool {
 	return h.storeID != "" && h.storeIsLending && h.consecutiveFailures < maxBorrowFailures
 }
 
-// markNeedsUnits has the next call borrow for an account.
+// markNeedsUnits marks an account to be borrowed for in the next call.
 func (h *Holder) markNeedsUnits(a *account) {
 	if !a.needsUnits {
 		a.needsUnits = true
@@ -190,7 +192,7 @@
 	}
 }
 
-// markActive has Tick visit an account.
+// markActive marks an account to be processed by Tick.
 func (h *Holder) markActive(a *account) {
 	if !a.isActive {
 		a.isActive = true
@@ -198,7 +200,7 @@
 	}
 }
 
-// Tick does what is due by time. It has to be called every TickInterval.
+// Tick handles timeouts, idle leases, cleanups and keep-alive calls. It has to be called every TickInterval.
 func (h *Holder) Tick(now time.Duration) []Action {
 	actions := h.actions[:0]
 	if h.isCalling && now-h.pendingCalls[h.lastSeq] > CallTimeout {
--- a/internal/quotalease/holder_calls.go
+++ b/internal/quotalease/holder_calls.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// maxDuration returns the longest time by the own clock that a span of another clock can take.
+// maxDuration returns the longest time on the own clock that a span of another clock can take, if each clock drifts
+// by at most drift.
 func maxDuration(span time.Duration, drift float64) time.Duration {
 	return time.Duration(float64(span) * (1 + drift) / (1 - drift))
 }
@@ -33,15 +34,16 @@
 	return h.actions
 }
 
-// addReturns moves returns to a call.
+// addReturns moves up to maxCallEntries pending returns into a call.
 func (h *Holder) addReturns(call *StoreCall) {
 	n := min(len(h.returns), maxCallEntries)
 	call.Returns = h.returns[:n:n]
 	h.returns = h.returns[n:]
 }
 
-// addReservation reserves the own quota for the store. The reservation counts from the store's own time,
-// however late the call arrives. Nothing is reserved for a store whose replies arrive too late to be of use.
+// addReservation reserves the own quota for the store in a call. The reservation time counts from the store time in
+// the latest reply, so that a late call does not extend it. Nothing is reserved for a store whose replies take longer
+// than CallTimeout, as they arrive too late to be used.
 func (h *Holder) addReservation(now time.Duration, call *StoreCall) {
 	expiresAt := h.storeTimeReceivedAt + maxDuration(h.rules.ReservationTime, h.rules.MaxDrift)
 	isStoreUsable := h.storeID != "" && h.lastCallDuration <= CallTimeout
@@ -52,7 +54,7 @@
 	h.ownQuotaFrom = max(h.ownQuotaFrom, expiresAt)
 }
 
-// addRequests adds the accounts that need units to a call.
+// addRequests adds a lease request to a call for each of up to maxCallEntries accounts that need units.
 func (h *Holder) addRequests(call *StoreCall) {
 	n := min(len(h.needUnits), maxCallEntries)
 	for _, a := range h.needUnits[:n] {
@@ -76,7 +78,7 @@
 	h.needUnits = slices.Delete(h.needUnits, 0, n)
 }
 
-// removeOldPendingCalls stops accepting replies to calls that are older than the last maxPendingCalls.
+// removeOldPendingCalls forgets all but the last maxPendingCalls calls, so that replies to the others are ignored.
 func (h *Holder) removeOldPendingCalls() {
 	for seq := range h.pendingCalls {
 		if seq+maxPendingCalls <= h.lastSeq {
@@ -85,8 +87,8 @@
 	}
 }
 
-// HandleReply processes a store's reply. One to a call that is not known, or that was meant for another store
-// than the current one, is ignored.
+// HandleReply processes a store's reply. It ignores a reply to an unknown call, or to a call that was addressed to a
+// previous store.
 func (h *Holder) HandleReply(now time.Duration, reply StoreReply) []Action {
 	calledAt, ok := h.pendingCalls[reply.Seq]
 	if !ok || reply.Seq <= h.lastSeqToPreviousStore {
@@ -119,8 +121,8 @@
 	return h.callIfDue(now, actions)
 }
 
-// switchStore makes another store the current one. Nothing is reserved for it until the reservation for the
-// last one has ended. Leases of the last one remain valid but cannot be returned.
+// switchStore makes another store the current one. Nothing is reserved for it until the reservation for the previous
+// store has ended. Leases of the previous store remain valid but cannot be returned.
 func (h *Holder) switchStore(now time.Duration, storeID string) {
 	h.storeID = storeID
 	h.storeSwitchedAt = now
@@ -138,7 +140,8 @@
 	}
 }
 
-// decideRequestsInCall decides on the requests that the latest call was made for: there will be no more units for them.
+// decideRequestsInCall admits or rejects the requests whose units the latest call requested, as that call will bring
+// no more units.
 func (h *Holder) decideRequestsInCall(now time.Duration, actions []Action) []Action {
 	for _, a := range h.accountsInCall {
 		h.refill(now, a)
@@ -151,8 +154,8 @@
 	return actions
 }
 
-// decideQueue admits an account's queued requests in their order as long as there are units. The others are
-// rejected if isExpired reports so, and remain in the queue if not.
+// decideQueue admits an account's queued requests in order while there are units. Each of the others is rejected if
+// isExpired returns true for it, and otherwise remains in the queue.
 func (h *Holder) decideQueue(a *account, actions []Action, isExpired func(queuedRequest) bool) []Action {
 	remaining := a.queue[:0]
 	for _, r := range a.queue {
@@ -175,7 +178,8 @@
 	return actions
 }
 
-// CallFailed reports that the current call has failed, such as by a closed connection: no reply will arrive.
+// CallFailed tells the holder that the current call has failed, for example because the connection was closed, and
+// that no reply will arrive.
 func (h *Holder) CallFailed(now time.Duration) []Action {
 	if !h.isCalling {
 		return nil
@@ -183,7 +187,7 @@
 	return h.failCall(now, h.actions[:0])
 }
 
-// failCall ends the current call without a reply and delays the next one exponentially.
+// failCall ends the current call without a reply and delays the next one by an exponential backoff.
 func (h *Holder) failCall(now time.Duration, actions []Action) []Action {
 	h.isCalling = false
 	h.consecutiveFailures++
--- a/internal/quotalease/messages.go
+++ b/internal/quotalease/messages.go
@@ -4,9 +4,9 @@
 
 // StoreCall is a holder's call to a lease store.
 type StoreCall struct {
-	HolderID string // unique to one run of an instance
-	Seq      uint64 // counts up by one for each call of a holder
-	StoreID  string // the store that the call is meant for; empty if not known yet
+	HolderID string // unique to one incarnation of an instance
+	Seq      uint64 // incremented by one for each call of a holder
+	StoreID  string // the store that the call is addressed to; empty if not known yet
 	// EchoedTime is the latest time of the store's clock that the holder has received.
 	EchoedTime time.Duration
 	// ReservedFraction is the fraction of each hard limit, 0 to 1, that the holder reserves for the store
@@ -21,29 +21,29 @@
 type LeaseRequest struct {
 	Key      string // the customer
 	Limit    HardLimit
-	Units    float64 // wanted
-	MinUnits float64 // a smaller grant is of no use
+	Units    float64 // requested
+	MinUnits float64 // the smallest useful grant
 }
 
-// LeaseReturn returns the units of a grant that were not spent and never will be.
+// LeaseReturn gives back the unspent units of a grant, which the holder no longer spends.
 type LeaseReturn struct {
 	Key   string // the customer
-	Token uint64 // the grant's
+	Token uint64 // of the grant
 	Units float64
 }
 
-// Grant lends units for Rules.Term, counted from when the call was made.
+// Grant lends units for Rules.Term, counted from the time at which the holder made the call.
 type Grant struct {
 	Key   string // the customer
-	Token uint64 // unique to the grant within its store; tokens count up
+	Token uint64 // unique to the grant within its store; tokens increase
 	Units float64
 }
 
 // StoreReply is a lease store's reply to a call.
 type StoreReply struct {
 	StoreID   string
-	Seq       uint64        // the call's
-	StoreTime time.Duration // by the store's clock
+	Seq       uint64        // of the call
+	StoreTime time.Duration // on the store's clock
 	IsLending bool          // whether anything is reserved for the store
 	Grants    []Grant
 }
--- a/internal/quotalease/quotalease.go
+++ b/internal/quotalease/quotalease.go
@@ -1,7 +1,8 @@
 // Package quotalease divides a customer's hard limit over a group of instances. Each instance has an equal part
-// of it, which it spends itself or reserves for a lease store for a short time. A store lends what is reserved
-// for it, for a short term, to any instance that requests it. No part is ever used by two of them, so that the
-// hard limit is observed with any number of stores, also if they lose their state or the network is partitioned.
+// of it, which it either spends itself or reserves for a lease store for a short time. A store lends the quota
+// reserved for it, for a short term, to any instance that requests it. No part is ever used by two instances or
+// stores at once, so the hard limit holds with any number of stores, even if they lose their state or the network
+// is partitioned.
 //
 // Store and Holder are state machines without I/O: their methods take the time and what was received, and
 // return what is to be done. In any window of length w all instances together forward no more units of a
@@ -9,8 +10,9 @@
 //
 //	burst + rate*(1+drift)*w + rate*(1+drift)*term/(1-drift)
 //
-// whatever is lost, late, partitioned, replaced, paused or killed. Rules.Guarantees lists how much of the hard
-// limit can be used in each case, and the one exception. docs/design/allowance.md derives the bound.
+// even if messages are lost or late, the network is partitioned, or stores and instances are replaced, paused or
+// killed. Rules.Guarantees lists how much of the hard limit can be used in each case, and the one exception.
+// docs/design/allowance.md derives the bound.
 package quotalease
 
 import (
@@ -23,26 +25,27 @@
 	maxDrift = 0.1
 )
 
-// HardLimit is what a customer may use, in a token bucket's terms.
+// HardLimit is a customer's hard limit, given as a token bucket.
 type HardLimit struct {
 	Rate  float64 `json:"Rate"`  // units a second
-	Burst float64 `json:"Burst"` // units at once
+	Burst float64 `json:"Burst"` // bucket size in units
 }
 
-// times returns a fraction of the limit.
+// scaledBy returns the limit multiplied by a fraction.
 func (l HardLimit) scaledBy(fraction float64) HardLimit {
 	return HardLimit{Rate: fraction * l.Rate, Burst: fraction * l.Burst}
 }
 
-// Rules are the times that holders and stores go by. They have to be the same at all of them.
+// Rules are the parameters of the lease protocol. All holders and stores must use the same values.
 type Rules struct {
 	Instances int           `plan:"instances"` // group size
-	Term      time.Duration `plan:"term"`      // of a lease, from when it was requested
-	// ReservationTime is how long an instance reserves its part for a store, from the store's last known time.
+	Term      time.Duration `plan:"term"`      // of a lease, counted from its request
+	// ReservationTime is how long an instance reserves its part for a store, counted from the latest store
+	// time that the instance has received.
 	ReservationTime time.Duration `plan:"pledge"`
-	// ResizeTime is the time after which all instances know of a new group size, or have ended.
+	// ResizeTime is the time within which every instance has learned of a new group size or has ended.
 	ResizeTime time.Duration `plan:"settle"`
-	// MaxDrift is the largest relative error of a clock's rate, 0 to 0.1. Clocks need not agree otherwise.
+	// MaxDrift is the largest relative error of a clock's rate, 0 to 0.1. Clocks need not be synchronized.
 	MaxDrift float64 `plan:"drift"`
 }
 
@@ -60,14 +63,15 @@
 	return nil
 }
 
-// Bound returns what all instances together keep to: in any window no more than its Burst, and its Rate times
-// the window.
+// Bound returns the limit that all instances together observe: in any window they forward at most its Burst plus
+// its Rate times the length of the window.
 func (r Rules) Bound(limit HardLimit) HardLimit {
 	fast := limit.Rate * (1 + r.MaxDrift)
 	return HardLimit{Rate: fast, Burst: limit.Burst + fast*r.Term.Seconds()/(1-r.MaxDrift)}
 }
 
-// MaxExcess returns by how much a window may exceed the limit, as a fraction of what the limit allows in it.
+// MaxExcess returns the maximum by which the units forwarded in a window may exceed the limit, as a fraction of
+// the units that the limit allows in it.
 func (r Rules) MaxExcess(limit HardLimit, window time.Duration) float64 {
 	bound := r.Bound(limit)
 	seconds := window.Seconds()
@@ -77,13 +81,13 @@
 // Guarantee is the guarantee for a hard limit in one case, in a window of a minute.
 type Guarantee struct {
 	Case        string  `json:"case"`
-	Excess      float64 `json:"over"` // maximum by which the limit may be exceeded, as a fraction of it
+	Excess      float64 `json:"over"` // maximum excess over the limit, as a fraction of it
 	Utilization float64 `json:"use"`  // fraction of the limit's rate that can be used
 	Reason      string  `json:"why"`
 }
 
-// Guarantees returns the guarantees for a limit in each case, for requests of the given units and traffic that
-// arrives evenly through fanOut of the instances.
+// Guarantees returns the guarantees for a limit in each case, for requests of the given units each and traffic that
+// arrives evenly at fanOut of the instances.
 func (r Rules) Guarantees(limit HardLimit, units float64, fanOut int) []Guarantee {
 	excess := r.MaxExcess(limit, time.Minute)
 	instances := float64(r.Instances)
--- a/internal/quotalease/quotalease_test.go
+++ b/internal/quotalease/quotalease_test.go
@@ -17,7 +17,7 @@
 	testLimit = HardLimit{Rate: 30, Burst: 60}
 )
 
-// faults are what may go wrong in a simulation, by name.
+// faults inject faults into a simulation, by name.
 var faults = map[string]func(sim *simulation){
 	"delays and losses": func(sim *simulation) { sim.slowFraction, sim.lossFraction = 0.05, 0.05 },
 	"late":              func(sim *simulation) { sim.addresses[0].delay = 3 * time.Second },
@@ -89,10 +89,10 @@
 	},
 }
 
-// protectionFaults are each made for one protection.
+// protectionFaults inject faults that exceed the bound if one protection is disabled, by name.
 var protectionFaults = map[string]func(sim *simulation){
 	"none": func(*simulation) {},
-	// Thirty nodes use a store while their calls take 6 s; then they reach another one at once.
+	// Thirty nodes call a store while their calls take 6 s. Then all of them reach another store at once.
 	"late pledges, then a move": func(sim *simulation) {
 		sim.replace(1)
 		sim.maxUnits, sim.demand = 1, 300
@@ -120,7 +120,7 @@
 		sim.addresses[0].clock.offset -= 10 * time.Second
 		sim.After(100*time.Millisecond, func() { sim.setReachableStore(1, func(i int) bool { return i < 30 }) })
 	},
-	// The grants of a burst arrive 6 s late, when the bucket is full again and as much is requested.
+	// The grants for a burst of requests arrive 6 s late, when the bucket is full again and as much is requested again.
 	"answers come late": func(sim *simulation) {
 		sim.demand = 0
 		sim.Run(sim.Now() + 4*time.Second)
@@ -142,7 +142,7 @@
 			})
 		}
 	},
-	// Ten nodes learn of the smaller group before the others have ended; there is no store.
+	// Ten nodes learn of the smaller group size before the others have ended. No store can be reached.
 	"a smaller group": func(sim *simulation) {
 		sim.setReachableStore(-1, allNodes)
 		sim.Run(sim.Now() + 3*time.Second)
@@ -176,12 +176,12 @@
 	},
 }
 
-// runSimulation runs a simulation with some faults one after another, after the group has started, with more requested
-// throughout than the customer's hard limit allows.
+// runSimulation runs a simulation in which the named faults occur one after another once the group has started. The
+// demand exceeds the customer's hard limit.
 func runSimulation(seed uint64, limit HardLimit, disabled protections, names ...string) *simulation {
 	sim := newSimulation(seed, rules.Instances, rules, limit, disabled)
 	sim.demand = 90
-	if seed%2 == 1 && faults[names[0]] != nil { // idle for a while, then a full bucket at once
+	if seed%2 == 1 && faults[names[0]] != nil { // alternate between no demand, in which buckets fill up, and a burst
 		var toggle func()
 		toggle = func() {
 			if sim.demand > 0 {
@@ -216,7 +216,8 @@
 	return n
 }
 
-// No window holds more than the bound with one, two or three faults in a row.
+// TestNoFaultExceedsHardLimit checks that the units admitted in any window stay within the bound under one, two or three
+// consecutive faults.
 func TestNoFaultExceedsHardLimit(t *testing.T) {
 	names := make([]string, 0, len(faults))
 	for name := range faults {
@@ -245,7 +246,8 @@
 	}
 }
 
-// With a fault made for a protection the bound is kept, and is exceeded when the protection is disabled.
+// TestProtectionsAreNeeded checks, for each protection and a fault that it guards against, that the bound holds and that it
+// is exceeded when the protection is disabled.
 func TestProtectionsAreNeeded(t *testing.T) {
 	for name, tc := range map[string]struct {
 		protections
@@ -285,7 +287,7 @@
 	})
 }
 
-// With a healthy store a customer can use all of its hard limit, whatever its fan-out.
+// TestUtilization checks that with a healthy store a customer can use nearly all of its hard limit, whatever the fan-out.
 func TestUtilization(t *testing.T) {
 	for _, fanOut := range []int{1, 2, 4, 40} {
 		for _, requestRate := range []float64{33, 90} {
@@ -303,8 +305,8 @@
 	}
 }
 
-// Without a store each instance has its own part, no more and no less: the utilization for each fan-out is
-// that of DESIGN's static division.
+// TestUtilizationWithoutStore checks that without a store each instance uses its own part of the hard limit, no more and
+// no less, so that the utilization is the fan-out divided by the number of instances.
 func TestUtilizationWithoutStore(t *testing.T) {
 	for _, fanOut := range []int{1, 2, 4, 40} {
 		sim := newSimulation(5, rules.Instances, rules, testLimit, protections{})
@@ -332,8 +334,8 @@
 	}
 }
 
-// A store that returns to an older state under the same identity lends again, each time, at most what its
-// buckets held, until the first call of an instance that has received a later token.
+// TestStoreRestoredFromSnapshot checks that a store that returns to an older state under the same identity lends again at
+// most the tokens that its buckets held, each time, until the first call of an instance that has received a later token.
 func TestStoreRestoredFromSnapshot(t *testing.T) {
 	for seed := range uint64(seedCount(t, 3)) {
 		if sim := runSimulation(seed, testLimit, protections{}, "rolled back"); sim.maxExcess > 6*testLimit.Burst {
@@ -360,7 +362,8 @@
 	}
 }
 
-// An account is removed once a new one would equal it; removal never fills one that is not full.
+// TestIdleAccountsAreRemoved checks that idle accounts are removed, and that an account created after an eviction starts
+// empty, so that removal never gives a customer more tokens.
 func TestIdleAccountsAreRemoved(t *testing.T) {
 	h := NewHolder(0, rules, "i")
 	now := rules.ResizeTime
@@ -390,7 +393,8 @@
 	}
 }
 
-// A grant can be returned once, before it expires and by its holder.
+// TestStoreAcceptsEachLeaseReturnOnce checks that a grant can be returned only once, only before it expires and only by its
+// holder.
 func TestStoreAcceptsEachLeaseReturnOnce(t *testing.T) {
 	store := NewStore(rules, "c")
 	call := func(now time.Duration, holderID string, storeCall StoreCall) StoreReply {
@@ -412,12 +416,12 @@
 		returned     LeaseReturn
 		bucketTokens float64
 	}{
-		{"k", LeaseReturn{"a", grants[0].Token, 20}, tokensBefore}, // another's
+		{"k", LeaseReturn{"a", grants[0].Token, 20}, tokensBefore}, // a grant to another holder
 		{"i", LeaseReturn{"b", grants[0].Token, 20}, tokensBefore},
 		{"i", LeaseReturn{"a", grants[0].Token, -20}, tokensBefore},
 		{"i", LeaseReturn{"a", grants[0].Token, math.NaN()}, tokensBefore},
-		{"i", LeaseReturn{"a", grants[0].Token, 50}, tokensBefore + 20}, // no more than was lent
-		{"i", LeaseReturn{"a", grants[0].Token, 20}, tokensBefore + 20}, // once
+		{"i", LeaseReturn{"a", grants[0].Token, 50}, tokensBefore + 20}, // refunds no more than was lent
+		{"i", LeaseReturn{"a", grants[0].Token, 20}, tokensBefore + 20}, // is refunded only once
 	} {
 		if call(now, tc.holderID, StoreCall{Returns: []LeaseReturn{tc.returned}}); math.Abs(bucketTokens()-tc.bucketTokens) > unitTolerance {
 			t.Errorf("%+v: %g, not %g", tc, bucketTokens(), tc.bucketTokens)
@@ -448,7 +452,8 @@
 	}
 }
 
-// A call asks for maxCallEntries customers; the next calls ask for the others.
+// TestCallEntriesAreLimited checks that a call requests units for at most maxCallEntries customers, and that the next calls
+// request units for the others.
 func TestCallEntriesAreLimited(t *testing.T) {
 	h := NewHolder(0, rules, "i")
 	now := rules.ResizeTime
@@ -494,7 +499,8 @@
 	}
 }
 
-// A refund expires with the first of the leases that it was taken from, in whatever order they arrived.
+// TestRefundExpiresWithFirstLease checks that refunded units expire with the earliest lease that they were taken from,
+// whatever the order in which the leases arrived.
 func TestRefundExpiresWithFirstLease(t *testing.T) {
 	a := &account{leases: []lease{{1, 2, 5 * time.Second}, {2, 2, 4 * time.Second}}}
 	until, ok := a.spend(3)
@@ -513,8 +519,8 @@
 	}
 }
 
-// BenchmarkFleet is forty instances over one counter, by the number of customers: 2,000 requests a second
-// in all, in virtual time.
+// BenchmarkFleet measures forty instances that share one store, for several numbers of customers. Together they receive
+// 2,000 requests a second in virtual time.
 func BenchmarkFleet(b *testing.B) {
 	for _, customers := range []int{1_000, 100_000} {
 		b.Run(strconv.Itoa(customers), func(b *testing.B) {
--- a/internal/quotalease/store.go
+++ b/internal/quotalease/store.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// maxLoans limits the grants that can be returned. Units of older ones are lost when their terms end.
+// maxLoans limits how many outstanding grants can be returned. Older grants can no longer be returned, and their
+// unspent units are lost when their terms end.
 const maxLoans = 1 << 16
 
-// Store is a lease store: it lends what holders have reserved for it. It may lose its state at any time, as
-// long as it has another identity afterwards; Rules.Guarantees describes one that returns to an older state
-// under the same identity. It does no I/O and is not safe for concurrent use.
+// Store is a lease store: it lends the quota that holders have reserved for it. It may lose its state at any time,
+// provided that it has another identity afterwards. Rules.Guarantees describes the effect of a store that returns
+// to an older state under the same identity. It does no I/O and is not safe for concurrent use.
 type Store struct {
 	rules          Rules
 	identity       string
@@ -20,25 +21,26 @@
 	reservations   map[string]reservation // by holder ID
 	reservedMinima []reservedMinimum      // oldest first, with increasing fractions
 	buckets        map[string]*bucket     // by customer
-	loans          map[uint64]loan        // by token
-	loanOrder      []uint64               // tokens of loans, in the order of their expiry
+	loans          map[uint64]loan        // outstanding grants, by token
+	loanOrder      []uint64               // tokens of loans, ordered by expiry
 
 	disabled protections
 }
 
-// protections name the protections of stores and holders. Tests disable them to show that they are needed.
+// protections are switches that disable the safety mechanisms of stores and holders. Tests use them to show that each
+// mechanism is needed.
 type protections struct {
-	// Of stores.
+	// Mechanisms of stores.
 	emptyStart          bool // buckets start empty
-	reservationFromEcho bool // a reservation counts from the echoed time, not from its arrival
+	reservationFromEcho bool // a reservation counts from the echoed time, not from the arrival of the call
 	clockStepReset      bool // state is dropped when the clock steps back
 	rollbackReset       bool // state is dropped when a holder has received a later token
 
-	// Of holders.
+	// Mechanisms of holders.
 	exclusiveReservation bool // reserved quota is not spent by the holder itself
 	leaseExpiry          bool // leases end with their terms
 	storeChangeDelay     bool // nothing is reserved for a new store until the last reservation has ended
-	resizeDelay          bool // the larger group size counts until a change is known everywhere
+	resizeDelay          bool // the larger group size applies until all instances know of a resize
 }
 
 // reservation is the fraction of each hard limit that one holder has reserved for the store.
@@ -55,8 +57,8 @@
 	expiresAt time.Duration
 }
 
-// NewStore returns a store that has lent nothing. No other store, nor an earlier run of this one, may have
-// had the identity.
+// NewStore returns a store that has lent nothing. The identity must be one that no other store and no earlier
+// incarnation of this store has had.
 func NewStore(rules Rules, identity string) *Store {
 	return &Store{
 		rules:        rules,
@@ -82,10 +84,11 @@
 	return &snapshot
 }
 
-// Handle replies to a call. now is the time of the store's own clock, which may step in both directions.
+// Handle processes a call and returns the reply. now is the time of the store's own clock, which may step forwards or
+// backwards.
 func (s *Store) Handle(now time.Duration, call StoreCall) StoreReply {
 	if now < s.lastCallAt && !s.disabled.clockStepReset {
-		s.reset() // reservations and buckets have times that are in the future now
+		s.reset() // the times in reservations and buckets may be in the future
 	}
 	s.lastCallAt = now
 	reply := StoreReply{StoreID: s.identity, Seq: call.Seq, StoreTime: now}
@@ -93,7 +96,7 @@
 		return reply
 	}
 	if call.LastToken > s.lastToken && !s.disabled.rollbackReset {
-		s.reset() // the store was restored from an older snapshot
+		s.reset() // the holder has a later token, so the store was restored from an older snapshot
 		s.lastToken = call.LastToken
 	}
 	s.updateReservation(now, call)
@@ -112,7 +115,7 @@
 	return reply
 }
 
-// reset drops all state except the last token, as tokens have to count up.
+// reset drops all state except the last token, because tokens must keep increasing.
 func (s *Store) reset() {
 	clear(s.reservations)
 	clear(s.buckets)
@@ -121,8 +124,8 @@
 	s.reservedMinima = nil
 }
 
-// updateReservation records a call's reservation and what is reserved in all. Between two calls reservations
-// only expire, so what is left of them at a call was reserved all the time since the call before.
+// updateReservation records a call's reservation and the total reserved fraction. Between two calls reservations only
+// expire, so the reservations that remain at a call were in force throughout the time since the previous call.
 func (s *Store) updateReservation(now time.Duration, call StoreCall) {
 	s.recordReserved(now, s.reservedFraction(now))
 	if call.ReservedFraction > 0 && (call.EchoedTime <= now || s.disabled.clockStepReset) {
@@ -138,7 +141,8 @@
 	s.recordReserved(now, s.reservedFraction(now))
 }
 
-// lend grants units of a customer's bucket; false where it has fewer than the request's minimum.
+// lend grants units from a customer's bucket. It returns false if the bucket holds none, or fewer than the request's
+// minimum.
 func (s *Store) lend(now time.Duration, holderID string, request LeaseRequest) (Grant, bool) {
 	b := s.refilledBucket(now, request.Key, request.Limit)
 	units := min(request.Units, b.tokens)
@@ -153,7 +157,7 @@
 	return Grant{Key: request.Key, Token: s.lastToken, Units: units}, true
 }
 
-// removeExpiredLoans makes place for one more loan, at the cost of the oldest ones where there are too many.
+// removeExpiredLoans removes expired loans, and the oldest loans where there is no room below maxLoans for one more.
 func (s *Store) removeExpiredLoans(now time.Duration) {
 	for len(s.loanOrder) > 0 {
 		oldest := s.loanOrder[0]
@@ -165,7 +169,7 @@
 	}
 }
 
-// acceptReturn refunds the units of a grant that its holder returns, at most once.
+// acceptReturn adds the units of a grant that its holder returns to the customer's bucket, at most once.
 func (s *Store) acceptReturn(now time.Duration, holderID string, returned LeaseReturn) {
 	l, ok := s.loans[returned.Token]
 	if !ok || l.holderID != holderID || l.key != returned.Key {
--- a/internal/quotalease/world_test.go
+++ b/internal/quotalease/world_test.go
@@ -9,25 +9,26 @@
 	"lockflow/internal/simulation/vtime"
 )
 
-// simulation is a group of instances through which one customer sends, and lease stores, in virtual time.
-// Each clock has its own rate; faults are drawn from the seed.
+// simulation simulates, in virtual time, a group of instances that receive the requests of one customer, and their lease
+// stores. Each instance and store has a clock with its own rate. Random faults depend on the seed.
 type simulation struct {
 	vtime.Clock
 	rng       *rand.Rand
 	rules     Rules
 	limit     HardLimit
-	maxUnits  float64 // of a request
+	maxUnits  float64 // maximum of a request
 	nodes     []*node
 	addresses []*storeAddress
 	disabled  protections
 	lastID    int
 
-	meanDelay, slowFraction float64 // s; mean, and fraction of calls that take up to 4 s
+	meanDelay, slowFraction float64 // mean in seconds, and the fraction of messages that take up to 4 s instead
 	lossFraction            float64
-	weight                  func(node int) float64 // of the traffic
-	demand                  float64                // units a second
+	weight                  func(node int) float64 // share of the traffic
+	demand                  float64                // units requested per second
 
-	// The bucket over all admitted requests: what it holds above the bound's Burst breaks the guarantee.
+	// A leaky bucket of all admitted units, which drains at the bound's Rate. A level above the bound's Burst
+	// violates the guarantee.
 	bucketLevel, maxExcess float64
 	bucketUpdatedAt        time.Duration
 	admitted, requested    float64
@@ -39,7 +40,7 @@
 	units float64
 }
 
-// clock has its own rate and shows its own time.
+// clock is the clock of a node or store, with its own rate and offset.
 type clock struct {
 	rate   float64
 	offset time.Duration
@@ -53,21 +54,21 @@
 	w            *simulation
 	holder       *Holder
 	clock        clock
-	address      int // of the store that it reaches; below zero is none
+	address      int // index of the store address that the node reaches; negative if none
 	incarnation  int
-	stoppedUntil time.Duration // the process does not run before
+	stoppedUntil time.Duration // the process is stopped until then
 	isKilled     bool
-	callDelay    time.Duration // added to its calls
+	callDelay    time.Duration // added to the latency of its calls
 	lastRequest  uint64
 }
 
-// storeAddress is where a store may reply.
+// storeAddress is a network address at which a store may run.
 type storeAddress struct {
 	store *Store
 	clock clock
-	delay time.Duration // added to calls and replies together
+	delay time.Duration // added to each round trip: half to the call, half to the reply
 
-	replyDelay time.Duration // added to replies
+	replyDelay time.Duration // added to the latency of replies
 }
 
 func newSimulation(seed uint64, nodes int, r Rules, hardLimit HardLimit, w protections) *simulation {
@@ -91,7 +92,7 @@
 	return clock{1 + sim.rules.MaxDrift*(2*sim.rng.Float64()-1), time.Duration(sim.rng.IntN(1000)) * time.Second}
 }
 
-// replace puts an empty store at an address.
+// replace puts a new, empty store at an address.
 func (sim *simulation) replace(i int) {
 	sim.lastID++
 	sim.addresses[i].store = NewStore(sim.rules, fmt.Sprint("counter ", sim.lastID))
@@ -100,7 +101,7 @@
 
 func (n *node) now() time.Duration { return n.clock.at(n.w.Now()) }
 
-// start starts a process of the node.
+// start starts a new incarnation of the node.
 func (n *node) start() {
 	n.w.lastID++
 	n.incarnation++
@@ -115,13 +116,14 @@
 	n.incarnation++
 }
 
-// runIfAlive calls do in this process, after it has resumed if it is stopped, unless the process has ended.
+// runIfAlive calls run unless the given incarnation of the node has ended. If the process is stopped, the call is deferred
+// until it resumes.
 func (n *node) runIfAlive(incarnation int, run func()) {
 	if n.incarnation != incarnation {
 		return
 	}
 	if n.w.Now() < n.stoppedUntil {
-		// Deferred calls are made in random order.
+		// A random delay makes the order of deferred calls random.
 		n.w.At(n.stoppedUntil+time.Duration(n.w.rng.IntN(1000))*time.Microsecond, func() { n.runIfAlive(incarnation, run) })
 		return
 	}
@@ -146,7 +148,7 @@
 	}
 }
 
-// request sends a request to a node; its ID contains its units.
+// request sends a request to a node. The request's ID encodes its units: the lowest three bits are the number of half units.
 func (sim *simulation) request(i int) {
 	n := sim.nodes[i]
 	if n.isKilled {
@@ -168,7 +170,8 @@
 	sim.admissions = append(sim.admissions, admission{sim.Now(), units})
 }
 
-// minuteExcess returns by how much any minute exceeds the hard limit, as a fraction of what that allows.
+// minuteExcess returns the maximum by which the units admitted in a minute exceed the hard limit, as a fraction of the
+// units that the limit allows in a minute.
 func (sim *simulation) minuteExcess() float64 {
 	maxExcess := math.Inf(-1)
 	allowed := sim.limit.Burst + 60*sim.limit.Rate
@@ -190,8 +193,8 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// sendCall takes a call to the store that the node reaches now, and the reply back. Both may be delayed, lost
-// or reordered.
+// sendCall delivers a call to the store that the node currently reaches, and the reply to the node. Both may be delayed,
+// lost or reordered.
 func (sim *simulation) sendCall(n *node, call StoreCall) {
 	if n.address < 0 || sim.rng.Float64() < sim.lossFraction {
 		return
@@ -211,7 +214,8 @@
 	})
 }
 
-// generateLoad sends requests at random until an end, as many units a second as demand is at the time.
+// generateLoad sends requests to random nodes until a given time. demand sets the units per second and may change
+// meanwhile.
 func (sim *simulation) generateLoad(until time.Duration) {
 	var next func()
 	next = func() {
--- a/internal/shortage/shortage.go
+++ b/internal/shortage/shortage.go
@@ -1,5 +1,5 @@
-// Package shortage tells apart errors of system calls that are transient, a lack of descriptors, ports, memory or
-// buffers, from permanent ones, and retries calls that fail with transient ones.
+// Package shortage distinguishes transient errors of system calls, those caused by a shortage of descriptors, ports,
+// memory or buffers on this machine, from permanent ones. It retries calls that fail with transient errors.
 package shortage
 
 import (
@@ -10,32 +10,34 @@
 	"time"
 )
 
-// Bounds of the backoff between two calls.
+// Bounds of the exponential backoff between two calls.
 const (
 	minBackoff = 2 * time.Millisecond
 	maxBackoff = 50 * time.Millisecond
 )
 
 var (
-	// of the process's or the system's descriptors, of memory and buffers
+	// resourceErrors report a shortage of the process's or the system's descriptors, of memory or of buffers, or an
+	// interrupted call.
 	resourceErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR}
-	// of local ports, as connect(2) returns it; bind(2) returns it for an invalid address
+	// portErrors report a shortage of local ports if returned by connect(2). bind(2) returns EADDRNOTAVAIL for an
+	// invalid address instead.
 	portErrors = []error{syscall.EADDRNOTAVAIL, syscall.EAGAIN}
 )
 
-// OfResources reports whether an error is one of a shortage of descriptors, memory or buffers on this machine.
+// OfResources reports whether an error is due to a shortage of descriptors, memory or buffers on this machine.
 func OfResources(err error) bool { return isAnyOf(err, resourceErrors) }
 
-// OfDial reports whether an error of connecting is one of a shortage on this machine, of ports too. It says
-// nothing about the peer.
+// OfDial reports whether a dial error is due to a shortage of descriptors, memory, buffers or ports on this machine,
+// so that it says nothing about the peer.
 func OfDial(err error) bool { return OfResources(err) || isAnyOf(err, portErrors) }
 
 func isAnyOf(err error, targets []error) bool {
 	return slices.ContainsFunc(targets, func(target error) bool { return errors.Is(err, target) })
 }
 
-// Retry calls a function until it fails with no shortage, or limit has passed or ctx has ended, and returns its last
-// error.
+// Retry calls a function, with an exponential backoff, until it returns no shortage error, or until limit has passed or
+// ctx has ended. It returns the function's last error.
 func Retry(ctx context.Context, limit time.Duration, isShortage func(error) bool, call func() error) error {
 	started, backoff := time.Now(), minBackoff
 	for {
