--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -65,7 +65,7 @@
 
 func TestAcceptRetriesAfterErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		errs := []error{syscall.ENETDOWN, syscall.ETIMEDOUT, syscall.ENOBUFS, errors.New("of no number"), nil}
+		errs := []error{syscall.ENETDOWN, syscall.ETIMEDOUT, syscall.ENOBUFS, errors.New("not a system error"), nil}
 		inner := &scriptedListener{errs: errs}
 		before := countFailures()
 		conn, err := Persistently(inner, Metrics).Accept()
@@ -74,11 +74,11 @@
 		}
 		conn.Close()
 		if elapsed := inner.calls[4].Sub(inner.calls[0]); elapsed != 15*minBackoff {
-			t.Errorf("four failures took %v", elapsed)
+			t.Errorf("four failed calls took %v", elapsed)
 		}
 		for _, errno := range []string{"ENETDOWN", "ETIMEDOUT", "ENOBUFS", "other"} {
 			if n := countFailures()[errno] - before[errno]; n != 1 {
-				t.Errorf("%s was counted %d times", errno, n)
+				t.Errorf("%s was counted %d times, want once", errno, n)
 			}
 		}
 	})
@@ -97,12 +97,12 @@
 		synctest.Wait()
 		n := len(inner.calls)
 		if last := inner.calls[n-1].Sub(inner.calls[n-2]); last != maxBackoff {
-			t.Errorf("the backoff is %v", last)
+			t.Errorf("got a backoff of %v, want maxBackoff", last)
 		}
 		closedAt := time.Now()
 		l.Close()
 		if err := <-ended; !errors.Is(err, net.ErrClosed) || time.Since(closedAt) != 0 {
-			t.Errorf("%v after %v", err, time.Since(closedAt))
+			t.Errorf("got error %v %v after Close, want net.ErrClosed at once", err, time.Since(closedAt))
 		}
 	})
 }
--- a/internal/accept/backlog_test.go
+++ b/internal/accept/backlog_test.go
@@ -17,19 +17,19 @@
 			time.Sleep(400 * time.Millisecond)
 			b.Unblock()
 			if got := b.QueuedDuring(); !got.From.Equal(startedAt) || !got.To.Equal(time.Now()) {
-				t.Errorf("queued during %v to %v, blocked since %v", got.From, got.To, startedAt)
+				t.Errorf("got queued from %v to %v, want from the first Block at %v until now", got.From, got.To, startedAt)
 			}
 		}
 		time.Sleep(maxQueueTime + time.Millisecond)
 		if got := b.QueuedDuring(); got != (Period{}) {
-			t.Errorf("queued during %v though nothing was blocked lately", got)
+			t.Errorf("got queued during %v, want the zero Period after maxQueueTime", got)
 		}
 		restartedAt := time.Now()
 		b.Block()
 		time.Sleep(time.Millisecond)
 		b.Unblock()
 		if got := b.QueuedDuring(); !got.From.Equal(restartedAt) {
-			t.Errorf("queued since %v, blocked anew at %v", got.From, restartedAt)
+			t.Errorf("got queued since %v, want since the new Block at %v", got.From, restartedAt)
 		}
 	})
 }
--- a/internal/bulkhead/bulkhead.go
+++ b/internal/bulkhead/bulkhead.go
@@ -89,7 +89,7 @@
 	sum := int64(0)
 	for o, part := range guaranteed {
 		if part < 0 || int(o) >= len(a.shares) || part > total-sum {
-			return fmt.Errorf("guaranteed parts of more than %d in all, or below zero", total)
+			return fmt.Errorf("guaranteed parts must not be negative, add up to more than the total of %d, or belong to unknown owners", total)
 		}
 		sum += part
 	}
--- a/internal/bulkhead/bulkhead_test.go
+++ b/internal/bulkhead/bulkhead_test.go
@@ -44,19 +44,19 @@
 		a, b         int64 // guaranteed parts of the two owners
 		first, after int64 // units that a acquires alone, and then b
 	}{
-		"all guaranteed":  {100, 50, 50, 74, 26}, // a borrows 24 of the 37 units that can be lent: 2*(37-24)>=24
-		"some common":     {100, 30, 30, 71, 29},
-		"none guaranteed": {90, 0, 0, 60, 20},
-		"one has none":    {100, 0, 40, 60, 40},
-		"nothing":         {0, 0, 0, 0, 0},
+		"all guaranteed":      {100, 50, 50, 74, 26}, // a borrows 24 of the 37 units that can be lent: 2*(37-24)>=24
+		"some not guaranteed": {100, 30, 30, 71, 29},
+		"none guaranteed":     {90, 0, 0, 60, 20},
+		"one has none":        {100, 0, 40, 60, 40},
+		"nothing":             {0, 0, 0, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, o := newAllocator(t, tc.total, tc.a, tc.b)
 			if got := acquireAll(l, o[0]); got != tc.first {
-				t.Errorf("the first took %d, not %d", got, tc.first)
+				t.Errorf("the first owner acquired %d units, want %d", got, tc.first)
 			}
 			if got := acquireAll(l, o[1]); got != tc.after {
-				t.Errorf("the second took %d, not %d", got, tc.after)
+				t.Errorf("the second owner acquired %d units, want %d", got, tc.after)
 			}
 		})
 	}
@@ -65,13 +65,13 @@
 func TestSetGuaranteesKeepsAcquiredUnits(t *testing.T) {
 	a, o := newAllocator(t, 10, 5, 5)
 	if err := a.SetGuarantees(10, map[Owner]int64{o[0]: 6, o[1]: 5}); err == nil {
-		t.Error("parts of more than there is")
+		t.Error("accepted parts that add up to more than the total")
 	}
 	if err := a.SetGuarantees(10, map[Owner]int64{o[0]: -1}); err == nil {
-		t.Error("a part below zero")
+		t.Error("accepted a negative part")
 	}
 	if a.Guaranteed(o[0]) != 5 || a.Guaranteed(o[1]) != 5 {
-		t.Error("a bad division changed something")
+		t.Error("rejected guarantees changed the guaranteed parts")
 	}
 	acquireAll(a, o[0])
 	before := a.Used(o[0])
@@ -79,19 +79,19 @@
 		t.Fatal(err)
 	}
 	if a.Used(o[0]) != before || a.TryAcquire(0, o[0], 1) || a.TryAcquire(0, o[1], 1) {
-		t.Error("more was taken than there is now")
+		t.Error("acquired more units, or lost acquired ones, while more than the new total is in use")
 	}
 	a.Release(o[0], before)
 	if !a.TryAcquire(0, o[1], 1) {
-		t.Error("a guaranteed part is not there")
+		t.Error("a unit within the guaranteed part was rejected")
 	}
 	a.RemoveOwner(o[1])
 	if got := a.AddOwner(); got == o[1] {
-		t.Error("a place with something taken went to another owner")
+		t.Error("an owner with acquired units was reused")
 	}
 	a.Release(o[1], 1)
 	if got := a.AddOwner(); got != o[1] {
-		t.Errorf("a free place was not used again: %d", got)
+		t.Errorf("got owner %d, want the removed owner to be reused", got)
 	}
 }
 
@@ -169,7 +169,7 @@
 		sum += g.Used(o)
 	}
 	if sum > g.total || sum != g.total-g.Free() {
-		t.Fatalf("%d of %d acquired", sum, g.total)
+		t.Fatalf("owners have acquired %d of %d units, or Free is inconsistent", sum, g.total)
 	}
 }
 
@@ -178,7 +178,7 @@
 	guaranteed := g.Guaranteed(o)
 	isGuaranteed := used+n <= guaranteed
 	if !ok && used+n <= guaranteed/4 {
-		t.Fatalf("%d more than %d of a guaranteed %d were rejected", n, used, guaranteed)
+		t.Fatalf("%d units on top of %d within the reserve of a guaranteed %d were rejected", n, used, guaranteed)
 	}
 	if !isGuaranteed {
 		return
@@ -190,7 +190,7 @@
 	if since, isRepeated := g.rejectedSince[o]; !isRepeated {
 		g.rejectedSince[o] = g.now
 	} else if g.now >= since+maxLoanTime {
-		t.Fatalf("%d more than %d of a guaranteed %d rejected for %v", n, used, guaranteed, g.now-since)
+		t.Fatalf("%d units on top of %d of a guaranteed %d were rejected for %v", n, used, guaranteed, g.now-since)
 	}
 }
 
@@ -215,14 +215,14 @@
 	lent := acquireAll(a, first)
 	acquireAll(a, second)
 	if n := acquireAll(a, guaranteed); n < 50/reserveDivisor || n >= 50 {
-		t.Fatalf("%d of the guaranteed 50 were free", n)
+		t.Fatalf("acquired %d of the guaranteed 50 units, want at least the reserve but not all", n)
 	}
 	a.Release(first, lent)
 	if a.TryAcquire(maxLoanTime-1, second, 1) {
 		t.Error("lent within the maximum loan time of the rejection")
 	}
 	if !a.TryAcquire(maxLoanTime-1, guaranteed, 1) {
-		t.Error("what is guaranteed and free was rejected")
+		t.Error("a free unit within the guaranteed part was rejected")
 	}
 	if !a.TryAcquire(maxLoanTime, second, 1) {
 		t.Error("not lent after the maximum loan time")
@@ -238,10 +238,10 @@
 		for i, o := range owners {
 			got := acquireAll(a, o)
 			if i == 0 && got > total*maxBorrowRatio/(maxBorrowRatio+1)+1 {
-				t.Errorf("the first borrowed %d of %d", got, total)
+				t.Errorf("the first owner borrowed %d of %d units", got, total)
 			}
 			if i == 1 && got < total/6 {
-				t.Errorf("the second borrowed %d of %d", got, total)
+				t.Errorf("the second owner borrowed %d of %d units", got, total)
 			}
 		}
 		for range 20 {
@@ -251,7 +251,7 @@
 		evenShare := int64(total / n)
 		for i, o := range owners {
 			if a.Used(o) < evenShare/2 || a.Used(o) > 2*evenShare {
-				t.Errorf("%d borrowers: number %d has %d, an even part being %d", n, i, a.Used(o), evenShare)
+				t.Errorf("%d borrowers: borrower %d has %d units, an even share is %d", n, i, a.Used(o), evenShare)
 			}
 		}
 	}
@@ -285,17 +285,17 @@
 		limiter.Record(now, 0, 1*ms) // 0.1 s per second
 		limiter.Record(now, 1, 9*ms) // 0.9 s per second
 		if !limiter.Allows(now, 0) {
-			t.Fatalf("at %v the one within its part was held back", now)
+			t.Fatalf("at %v the owner within its guaranteed part was not allowed more time", now)
 		}
 	}
 	if limiter.Allows(10*time.Second, 1) {
-		t.Error("the one that uses most is not held back")
+		t.Error("the owner above its guaranteed part was allowed more time")
 	}
 	if used := limiter.Used(10*time.Second, 1); used < 0.8 || used > 1 {
-		t.Errorf("used %g", used)
+		t.Errorf("got an average use of %g, want 0.8 to 1", used)
 	}
 	if !limiter.Allows(11*time.Second, 1) || limiter.Used(20*time.Second, 1) > 0.001 {
-		t.Error("what was used long ago still counts")
+		t.Error("time used long ago still counts")
 	}
 }
 
--- a/internal/limits/conn_test.go
+++ b/internal/limits/conn_test.go
@@ -18,19 +18,19 @@
 func TestConnReleasesDescriptorAfterClose(t *testing.T) {
 	s := NewSocketLimiter(1024)
 	if !s.TryAcquire() {
-		t.Fatal("no room")
+		t.Fatal("no descriptor is available")
 	}
 	inUseDuringClose := -1
 	c := Track(closeNotifier{onClose: func() { inUseDuringClose = s.InUse() }}, s)
 	c.Close()
 	if c.Close(); inUseDuringClose != 0 || s.InUse() != 0 {
-		t.Errorf("%d booked during the second close, %d after it", inUseDuringClose, s.InUse())
+		t.Errorf("got %d descriptors in use during the second Close and %d after it, want 0 and 0", inUseDuringClose, s.InUse())
 	}
 	if !s.TryAcquire() {
-		t.Fatal("no room")
+		t.Fatal("no descriptor is available")
 	}
 	c = Track(closeNotifier{onClose: func() { inUseDuringClose = s.InUse() }}, s)
 	if c.Close(); inUseDuringClose != 1 {
-		t.Errorf("%d booked while it closes", inUseDuringClose)
+		t.Errorf("got %d descriptors in use during Close, want 1", inUseDuringClose)
 	}
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -45,22 +45,22 @@
 		acquired++
 	}
 	if acquired <= 50 || acquired > 80 {
-		t.Fatalf("%d taken", acquired)
+		t.Fatalf("acquired %d units, want 51 to 80", acquired)
 	}
 	*idle[0] = acquired // all idle
 	for i := range 50 {
 		if !a[1].TryAcquire() {
-			t.Fatalf("number %d of the 50 guaranteed was refused", i+1)
+			t.Fatalf("unit %d of the guaranteed 50 was denied", i+1)
 		}
 	}
 	if u := a[0].Usage(); u.Used != 50 {
-		t.Errorf("the borrower has %d left, not its own 50", u.Used)
+		t.Errorf("the borrower has %d units left, want its guaranteed 50", u.Used)
 	}
 	if a[1].TryAcquire() {
-		t.Error("one more was taken from what the other is guaranteed")
+		t.Error("acquired a unit of the other account's guaranteed part")
 	}
 	if u := a[1].Usage(); u.Denied != 1 || u.Total != 100 {
-		t.Errorf("%+v", u)
+		t.Errorf("got usage %+v, want 1 denied of a total of 100", u)
 	}
 }
 
@@ -75,7 +75,7 @@
 	a[1].TryAcquire()
 	*idle[1] = 1
 	if !a[0].TryAcquire() || *idle[0] != 0 || *idle[1] != 1 {
-		t.Errorf("idle %d and %d", *idle[0], *idle[1])
+		t.Errorf("got %d and %d idle units, want 0 and 1", *idle[0], *idle[1])
 	}
 }
 
@@ -91,7 +91,7 @@
 	}
 	a[0].Release()
 	if u := b.Usage(); u.Used != 0 || u.Guaranteed != 5 {
-		t.Errorf("%+v", u)
+		t.Errorf("got usage %+v of the new account, want 0 used of 5 guaranteed", u)
 	}
 }
 
@@ -104,24 +104,24 @@
 	}
 	release, ok := r.Admit(60)
 	if !ok {
-		t.Fatal("not admitted")
+		t.Fatal("request within all limits was not admitted")
 	}
 	if _, ok := r.Admit(60); ok || r.Slots.Usage().Used != 1 || r.Bytes.Usage().Denied != 1 {
-		t.Errorf("admitted over the bytes: %+v", r.Slots.Usage())
+		t.Errorf("request over the limit on bytes: admitted, or not counted correctly: slots %+v", r.Slots.Usage())
 	}
 	if _, ok := r.Admit(10); !ok {
-		t.Error("not admitted")
+		t.Error("request within all limits was not admitted")
 	}
 	if _, ok := r.Admit(0); ok || r.Slots.Usage().Denied != 1 {
-		t.Error("admitted over the requests")
+		t.Error("request over the limit on slots was admitted, or its denial not counted")
 	}
 	release()
 	if u := r.Bytes.Usage(); u.Used != 10 {
-		t.Errorf("%+v", u)
+		t.Errorf("got usage %+v, want 10 bytes used", u)
 	}
 	r.ModuleTime.Record(r.Owner, 2*time.Second)
 	if _, ok := r.Admit(0); ok {
-		t.Error("admitted though its module has used up everybody's time")
+		t.Error("admitted although the module exceeds its part and the total of the module time")
 	}
 }
 
@@ -131,10 +131,10 @@
 	limiter.SetGuaranteed(owner, 0.5)
 	limiter.CloseOwner(owner)
 	if reused := limiter.OpenOwner(); reused != owner {
-		t.Errorf("a closed place was not used again: %d", reused)
+		t.Errorf("got owner %d, want the closed owner to be reused", reused)
 	}
 	if limiter.OpenOwner() == owner {
-		t.Error("a place was given twice")
+		t.Error("the same owner was opened twice")
 	}
 }
 
@@ -152,7 +152,7 @@
 	}
 	workers.Wait()
 	if s.allocator.Free() != 64 {
-		t.Errorf("%d free", s.allocator.Free())
+		t.Errorf("got %d free units, want 64", s.allocator.Free())
 	}
 }
 
@@ -172,10 +172,10 @@
 		time.Sleep(time.Second)
 		cancel()
 		if err := <-accepted; !errors.Is(err, net.ErrClosed) {
-			t.Errorf("%v", err)
+			t.Errorf("got error %v, want net.ErrClosed", err)
 		}
 		if s.InUse() != 0 {
-			t.Errorf("%d booked", s.InUse())
+			t.Errorf("got %d descriptors in use, want 0", s.InUse())
 		}
 	})
 }
@@ -217,7 +217,7 @@
 				availableAt := time.Now()
 				makeAvailable(s, &evictable, first.(*Conn))
 				if took := (<-accepted).Sub(availableAt); took != 0 {
-					t.Errorf("accepted %v later", took)
+					t.Errorf("accepted %v after the descriptor became available, want 0s", took)
 				}
 			})
 		})
@@ -264,7 +264,7 @@
 				clients++
 			}
 			if clients != connections-reserved || servers != reserved {
-				t.Errorf("of %d: %d clients and %d servers", connections, clients, servers)
+				t.Errorf("of %d connections: got %d to clients and %d to servers", connections, clients, servers)
 			}
 		}
 	}
@@ -283,7 +283,7 @@
 			servers++
 		}
 		if clients < 1 || servers < 1 || clients+servers+processDescriptors > limit || servers > ReservedForServers {
-			t.Errorf("of %d: %d clients and %d servers", limit, clients, servers)
+			t.Errorf("limit of %d descriptors: got %d client connections and %d server connections", limit, clients, servers)
 		}
 	}
 }
--- a/internal/quotalease/quotalease.go
+++ b/internal/quotalease/quotalease.go
@@ -57,7 +57,7 @@
 	case !(r.MaxDrift >= 0 && r.MaxDrift <= maxDrift): // also NaN
 		return fmt.Errorf("quota lease: clock drift %g is not in the range 0 to %g", r.MaxDrift, maxDrift)
 	case r.Term < minTerm || r.ReservationTime < r.Term || r.ResizeTime < r.ReservationTime:
-		return fmt.Errorf("quota lease: term %v, pledge %v, settle %v: the term has to be at least %v, and each of the others at least the one before it",
+		return fmt.Errorf("quota lease: term %v, pledge %v, settle %v: term must be at least %v, pledge at least term, and settle at least pledge",
 			r.Term, r.ReservationTime, r.ResizeTime, minTerm)
 	}
 	return nil
--- a/internal/quotalease/quotalease_test.go
+++ b/internal/quotalease/quotalease_test.go
@@ -21,22 +21,22 @@
 var faults = map[string]func(sim *simulation){
 	"delays and losses": func(sim *simulation) { sim.slowFraction, sim.lossFraction = 0.05, 0.05 },
 	"late":              func(sim *simulation) { sim.addresses[0].delay = 3 * time.Second },
-	"unreachable for a while": func(sim *simulation) {
+	"store unreachable for 10 s": func(sim *simulation) {
 		sim.setReachableStore(-1, allNodes)
 		sim.After(10*time.Second, func() { sim.setReachableStore(0, allNodes) })
 	},
 	"replaced": func(sim *simulation) { sim.replace(0) },
-	"replaced in a burst": func(sim *simulation) {
+	"store replaced four times": func(sim *simulation) {
 		for i := range 4 {
 			sim.After(time.Duration(i)*3*time.Second, func() { sim.replace(0) })
 		}
 	},
-	"partition in halves": func(sim *simulation) {
+	"partition into halves": func(sim *simulation) {
 		sim.replace(1)
 		sim.setReachableStore(1, func(i int) bool { return i%2 == 0 })
 		sim.After(20*time.Second, func() { sim.setReachableStore(0, allNodes) })
 	},
-	"a moving partition": func(sim *simulation) {
+	"moving partition": func(sim *simulation) {
 		sim.replace(1)
 		for i := range 8 {
 			part := sim.rng.IntN(len(sim.nodes) + 1)
@@ -47,7 +47,7 @@
 		}
 		sim.After(24*time.Second, func() { sim.setReachableStore(0, allNodes) })
 	},
-	"all move to another and back": func(sim *simulation) {
+	"all nodes switch stores repeatedly": func(sim *simulation) {
 		sim.replace(1)
 		for i := range 6 {
 			sim.After(time.Duration(i)*4*time.Second, func() { sim.setReachableStore(1-i%2, allNodes) })
@@ -60,7 +60,7 @@
 			}
 		}
 	},
-	"killed and started": func(sim *simulation) {
+	"killed and restarted nodes": func(sim *simulation) {
 		for i := range 5 {
 			sim.After(time.Duration(i)*2*time.Second, func() {
 				for range 10 {
@@ -71,14 +71,14 @@
 			})
 		}
 	},
-	"the counter's clock steps": func(sim *simulation) {
+	"store clock steps": func(sim *simulation) {
 		for i := range 6 {
 			sim.After(time.Duration(i)*3*time.Second, func() {
 				sim.addresses[0].clock.offset += time.Duration(sim.rng.IntN(20)-10) * time.Second
 			})
 		}
 	},
-	"traffic moves at once": func(sim *simulation) {
+	"traffic moves to one node": func(sim *simulation) {
 		one := sim.rng.IntN(len(sim.nodes))
 		sim.weight = func(i int) float64 {
 			if i == one {
@@ -93,7 +93,7 @@
 var protectionFaults = map[string]func(sim *simulation){
 	"none": func(*simulation) {},
 	// Thirty nodes call a store while their calls take 6 s. Then all of them reach another store at once.
-	"late pledges, then a move": func(sim *simulation) {
+	"late reservations, then a store switch": func(sim *simulation) {
 		sim.replace(1)
 		sim.maxUnits, sim.demand = 1, 300
 		for i := range 30 {
@@ -106,7 +106,7 @@
 			}
 		})
 	},
-	"a majority moves back and forth": func(sim *simulation) {
+	"majority switches stores repeatedly": func(sim *simulation) {
 		sim.replace(1)
 		for k := range 8 {
 			sim.After(time.Duration(k)*2500*time.Millisecond, func() {
@@ -115,26 +115,26 @@
 			})
 		}
 	},
-	"a clock steps back, and a majority moves": func(sim *simulation) {
+	"store clock steps back, then majority switches stores": func(sim *simulation) {
 		sim.replace(1)
 		sim.addresses[0].clock.offset -= 10 * time.Second
 		sim.After(100*time.Millisecond, func() { sim.setReachableStore(1, func(i int) bool { return i < 30 }) })
 	},
 	// The grants for a burst of requests arrive 6 s late, when the bucket is full again and as much is requested again.
-	"answers come late": func(sim *simulation) {
+	"late replies": func(sim *simulation) {
 		sim.demand = 0
 		sim.Run(sim.Now() + 4*time.Second)
 		sim.demand, sim.addresses[0].replyDelay = 1200, 6*time.Second
 		sim.After(500*time.Millisecond, func() { sim.demand, sim.addresses[0].replyDelay = 0, 0 })
 		sim.After(5900*time.Millisecond, func() { sim.demand = 1200 })
 	},
-	"replaced repeatedly": func(sim *simulation) {
+	"store replaced repeatedly": func(sim *simulation) {
 		sim.demand = 300
 		for i := range 5 {
 			sim.After(time.Duration(i)*6*time.Second, func() { sim.replace(0) })
 		}
 	},
-	"rolled back": func(sim *simulation) {
+	"store rolled back": func(sim *simulation) {
 		for k := range 6 {
 			sim.After(time.Duration(k)*1500*time.Millisecond, func() {
 				old := sim.addresses[0].store.clone()
@@ -143,7 +143,7 @@
 		}
 	},
 	// Ten nodes learn of the smaller group size before the others have ended. No store can be reached.
-	"a smaller group": func(sim *simulation) {
+	"smaller group": func(sim *simulation) {
 		sim.setReachableStore(-1, allNodes)
 		sim.Run(sim.Now() + 3*time.Second)
 		sim.maxUnits, sim.demand = 1, 300
@@ -156,7 +156,7 @@
 		}
 		sim.weight = func(int) float64 { return 1 }
 	},
-	"a larger group": func(sim *simulation) {
+	"larger group": func(sim *simulation) {
 		for i, n := range sim.nodes {
 			if i >= 10 {
 				n.kill()
@@ -235,13 +235,13 @@
 				}
 				sim := runSimulation(seed, testLimit, protections{}, selected...)
 				if worstExcess, worstMinuteExcess = math.Max(worstExcess, sim.maxExcess), math.Max(worstMinuteExcess, sim.minuteExcess()); sim.maxExcess > 0 {
-					t.Errorf("seed %d, %q: %.2f units beyond the bound", seed, selected, sim.maxExcess)
+					t.Errorf("seed %d, faults %q: bound exceeded by %.2f units", seed, selected, sim.maxExcess)
 				}
 				if sim.admitted == 0 {
-					t.Errorf("seed %d, %q: nothing was sent", seed, selected)
+					t.Errorf("seed %d, faults %q: no request was admitted", seed, selected)
 				}
 			}
-			t.Logf("nearest to the bound: %.1f units; the most of a minute beyond the ceiling: %+.1f%%", worstExcess, 100*worstMinuteExcess)
+			t.Logf("maximum excess over the bound: %.1f units; over the hard limit in a minute: %+.1f%%", worstExcess, 100*worstMinuteExcess)
 		})
 	}
 }
@@ -254,34 +254,34 @@
 		HardLimit
 		fault string
 	}{
-		"what is pledged is spent as well":                  {protections{exclusiveReservation: true}, testLimit, "none"},
-		"a new counter begins full":                         {protections{emptyStart: true}, HardLimit{30, 240}, "replaced repeatedly"},
-		"a pledge counts from when it comes":                {protections{reservationFromEcho: true}, HardLimit{30, 10}, "late pledges, then a move"},
-		"a part is pledged to another counter at once":      {protections{storeChangeDelay: true}, testLimit, "a majority moves back and forth"},
-		"what is lent has no end":                           {protections{leaseExpiry: true}, testLimit, "answers come late"},
-		"parts grow at once":                                {protections{resizeDelay: true}, HardLimit{30, 30}, "a smaller group"},
-		"a counter that goes back is believed":              {protections{rollbackReset: true}, testLimit, "rolled back"},
-		"pledges outlive a counter's clock that steps back": {protections{clockStepReset: true}, testLimit, "a clock steps back, and a majority moves"},
+		"reserved quota is spent by the holder":          {protections{exclusiveReservation: true}, testLimit, "none"},
+		"buckets of a new store start full":              {protections{emptyStart: true}, HardLimit{30, 240}, "store replaced repeatedly"},
+		"reservation counts from its arrival":            {protections{reservationFromEcho: true}, HardLimit{30, 10}, "late reservations, then a store switch"},
+		"quota is reserved for a new store at once":      {protections{storeChangeDelay: true}, testLimit, "majority switches stores repeatedly"},
+		"leases do not expire":                           {protections{leaseExpiry: true}, testLimit, "late replies"},
+		"own quota grows at once after a resize":         {protections{resizeDelay: true}, HardLimit{30, 30}, "smaller group"},
+		"rollback of a store is not detected":            {protections{rollbackReset: true}, testLimit, "store rolled back"},
+		"reservations outlive a clock step of the store": {protections{clockStepReset: true}, testLimit, "store clock steps back, then majority switches stores"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			excessWithout := 0.0
 			for seed := range uint64(seedCount(t, 3)) {
 				if sim := runSimulation(seed, tc.HardLimit, protections{}, tc.fault); sim.maxExcess > 0 {
-					t.Errorf("seed %d: %.1f units beyond the bound with all protections", seed, sim.maxExcess)
+					t.Errorf("seed %d: bound exceeded by %.1f units with all protections enabled", seed, sim.maxExcess)
 				}
 				excessWithout = math.Max(excessWithout, runSimulation(seed, tc.HardLimit, tc.protections, tc.fault).maxExcess)
 			}
-			if t.Logf("without it: %.1f units beyond the bound", excessWithout); excessWithout <= 0 {
-				t.Error("nothing is broken without it")
+			if t.Logf("protection disabled: bound exceeded by %.1f units", excessWithout); excessWithout <= 0 {
+				t.Error("the bound holds although the protection is disabled")
 			}
 		})
 	}
-	t.Run("a larger group", func(t *testing.T) {
+	t.Run("larger group", func(t *testing.T) {
 		t.Parallel()
 		for seed := range uint64(seedCount(t, 3)) {
-			if sim := runSimulation(seed, testLimit, protections{}, "a larger group"); sim.maxExcess > 0 {
-				t.Errorf("seed %d: %.1f units beyond the bound", seed, sim.maxExcess)
+			if sim := runSimulation(seed, testLimit, protections{}, "larger group"); sim.maxExcess > 0 {
+				t.Errorf("seed %d: bound exceeded by %.1f units", seed, sim.maxExcess)
 			}
 		}
 	})
@@ -297,9 +297,9 @@
 			sim.generateLoad(68 * time.Second)
 			sim.Run(70 * time.Second)
 			utilization := sim.admitted / (testLimit.Rate * 60)
-			t.Logf("spread %2d, %g units a second asked: %.3f of the rate, minute %+.3f", fanOut, requestRate, utilization, sim.minuteExcess())
+			t.Logf("fan-out %2d, %g units per second requested: utilization %.3f, excess in a minute %+.3f", fanOut, requestRate, utilization, sim.minuteExcess())
 			if utilization < 0.95 {
-				t.Errorf("spread %d: %.3f of the ceiling", fanOut, utilization)
+				t.Errorf("fan-out %d: utilization %.3f of the hard limit, want at least 0.95", fanOut, utilization)
 			}
 		}
 	}
@@ -318,9 +318,9 @@
 		sim.Run(70 * time.Second)
 		want := float64(fanOut) / float64(rules.Instances)
 		utilization := sim.admitted / (testLimit.Rate * 60)
-		t.Logf("spread %2d: %.4f of the rate, %.4f by its own parts", fanOut, utilization, want)
+		t.Logf("fan-out %2d: utilization %.4f, own parts allow %.4f", fanOut, utilization, want)
 		if utilization < 0.8*want || utilization > 1.2*want {
-			t.Errorf("spread %d: %.4f of the ceiling, not about %.4f", fanOut, utilization, want)
+			t.Errorf("fan-out %d: utilization %.4f of the hard limit, want about %.4f", fanOut, utilization, want)
 		}
 	}
 }
@@ -338,8 +338,8 @@
 // most the tokens that its buckets held, each time, until the first call of an instance that has received a later token.
 func TestStoreRestoredFromSnapshot(t *testing.T) {
 	for seed := range uint64(seedCount(t, 3)) {
-		if sim := runSimulation(seed, testLimit, protections{}, "rolled back"); sim.maxExcess > 6*testLimit.Burst {
-			t.Errorf("seed %d: %.1f units beyond the bound in six times", seed, sim.maxExcess)
+		if sim := runSimulation(seed, testLimit, protections{}, "store rolled back"); sim.maxExcess > 6*testLimit.Burst {
+			t.Errorf("seed %d: bound exceeded by %.1f units in six rollbacks", seed, sim.maxExcess)
 		}
 	}
 }
@@ -354,11 +354,11 @@
 		"term 1ms":         {Instances: 1, Term: time.Millisecond, ReservationTime: time.Second, ResizeTime: time.Second},
 	} {
 		if err := r.Validate(); (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", want, err)
+			t.Errorf("want an error with %q, got %v", want, err)
 		}
 	}
 	if excess := rules.MaxExcess(testLimit, time.Minute); excess < 0.015 || excess > 0.05 {
-		t.Errorf("%.3f beyond the ceiling in a minute", excess)
+		t.Errorf("hard limit exceeded by %.3f in a minute, want 0.015 to 0.05", excess)
 	}
 }
 
@@ -373,23 +373,23 @@
 	}
 	h.RequestUnits(now, 9, "b", testLimit, 0.25)
 	if len(h.accounts) != 2 {
-		t.Fatalf("%d customers", len(h.accounts))
+		t.Fatalf("got %d accounts, want 2", len(h.accounts))
 	}
 	for range 300 {
 		now += time.Second
 		h.Tick(now)
 	}
 	if len(h.accounts) != 0 || len(h.active) != 0 {
-		t.Errorf("%d customers, %d busy", len(h.accounts), len(h.active))
+		t.Errorf("got %d accounts, %d of them active, want none", len(h.accounts), len(h.active))
 	}
 	for i := range 2 * maxAccounts {
 		h.RequestUnits(now, uint64(i), strconv.Itoa(i), testLimit, 1)
 	}
 	if n := len(h.accounts); n > maxAccounts {
-		t.Errorf("%d customers", n)
+		t.Errorf("got %d accounts, more than maxAccounts", n)
 	}
 	if a := h.account(now, "new", testLimit); a.ownTokens != 0 {
-		t.Errorf("one that may have been let go of has %g units", a.ownTokens)
+		t.Errorf("an account that may have been evicted before has %g own tokens, want 0", a.ownTokens)
 	}
 }
 
@@ -407,7 +407,7 @@
 	requests := []LeaseRequest{{Key: "a", Limit: testLimit, Units: 20, MinUnits: 1}}
 	grants := call(now, "i", StoreCall{Requests: requests}).Grants
 	if len(grants) != 1 || grants[0].Units != 20 {
-		t.Fatalf("%+v", grants)
+		t.Fatalf("got grants %+v, want one of 20 units", grants)
 	}
 	bucketTokens := func() float64 { return store.buckets["a"].tokens }
 	tokensBefore := bucketTokens()
@@ -424,17 +424,17 @@
 		{"i", LeaseReturn{"a", grants[0].Token, 20}, tokensBefore + 20}, // is refunded only once
 	} {
 		if call(now, tc.holderID, StoreCall{Returns: []LeaseReturn{tc.returned}}); math.Abs(bucketTokens()-tc.bucketTokens) > unitTolerance {
-			t.Errorf("%+v: %g, not %g", tc, bucketTokens(), tc.bucketTokens)
+			t.Errorf("%+v: the bucket has %g tokens, want %g", tc, bucketTokens(), tc.bucketTokens)
 		}
 	}
 	grants = call(now, "i", StoreCall{Requests: requests}).Grants
 	now += rules.Term
 	tokensBefore = bucketTokens()
 	if call(now, "i", StoreCall{Returns: []LeaseReturn{{"a", grants[0].Token, 20}}}); bucketTokens() != tokensBefore {
-		t.Error("what has ended is taken back")
+		t.Error("an expired grant was refunded")
 	}
 	if reply := call(now, "i", StoreCall{Requests: []LeaseRequest{{Key: "a", Limit: testLimit, Units: 1000, MinUnits: 900}}}); len(reply.Grants) != 0 {
-		t.Errorf("less than is of use: %+v", reply.Grants)
+		t.Errorf("got grants %+v with fewer units than the request's minimum", reply.Grants)
 	}
 }
 
@@ -481,7 +481,7 @@
 	admitted, calls := 0, 0
 	for call := firstCall; call != nil && calls < 10; calls++ {
 		if len(call.Requests) > maxCallEntries {
-			t.Errorf("%d wants", len(call.Requests))
+			t.Errorf("call has %d requests, more than maxCallEntries", len(call.Requests))
 		}
 		now += TickInterval
 		actions := handleReply(call, true)
@@ -495,7 +495,7 @@
 		}
 	}
 	if admitted != 600 || calls < 4 {
-		t.Errorf("%d of 600 admitted in %d calls", admitted, calls)
+		t.Errorf("%d of 600 requests admitted in %d calls, want all in at least 4", admitted, calls)
 	}
 }
 
@@ -505,7 +505,7 @@
 	a := &account{leases: []lease{{1, 2, 5 * time.Second}, {2, 2, 4 * time.Second}}}
 	until, ok := a.spend(3)
 	if !ok || until != 4*time.Second {
-		t.Errorf("%v, %v", until, ok)
+		t.Errorf("got refundable until %v, ok %v, want 4s, true", until, ok)
 	}
 	h := NewHolder(0, rules, "i")
 	h.accounts["a"] = a
@@ -514,7 +514,7 @@
 		b.leases = slices.Clone(a.leases)
 		h.accounts["a"] = &b
 		if h.Refund(now, "a", 3, until); len(b.leases) != want {
-			t.Errorf("at %v: %+v", now, b.leases)
+			t.Errorf("at %v: got leases %+v", now, b.leases)
 		}
 	}
 }
--- a/internal/quotalease/world_test.go
+++ b/internal/quotalease/world_test.go
@@ -95,7 +95,7 @@
 // replace puts a new, empty store at an address.
 func (sim *simulation) replace(i int) {
 	sim.lastID++
-	sim.addresses[i].store = NewStore(sim.rules, fmt.Sprint("counter ", sim.lastID))
+	sim.addresses[i].store = NewStore(sim.rules, fmt.Sprint("store ", sim.lastID))
 	sim.addresses[i].store.disabled = sim.disabled
 }
 
--- a/internal/shortage/shortage_test.go
+++ b/internal/shortage/shortage_test.go
@@ -24,7 +24,7 @@
 		fmt.Errorf("waiting: %w", context.DeadlineExceeded):                                  false,
 	} {
 		if OfDial(err) != want {
-			t.Errorf("%v: %v", err, !want)
+			t.Errorf("OfDial(%v) is %v", err, !want)
 		}
 	}
 }
@@ -38,7 +38,7 @@
 			}
 			return nil
 		}); err != nil || calls != 5 {
-			t.Errorf("%v after %d calls", err, calls)
+			t.Errorf("got error %v after %d calls, want none after 5", err, calls)
 		}
 		permanentError := errors.New("another error")
 		if err := Retry(t.Context(), time.Second, OfResources, func() error { return permanentError }); !errors.Is(err, permanentError) {
@@ -49,7 +49,7 @@
 			t.Error(err)
 		}
 		if elapsed := time.Since(startedAt); elapsed > time.Second || elapsed < time.Second-maxBackoff {
-			t.Errorf("the last call came after %v", elapsed)
+			t.Errorf("the last call was made after %v", elapsed)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 		defer cancel()
