--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -15,7 +15,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// scriptedListener returns its errors in turn, and the last one repeatedly until it is closed.
+// scriptedListener is a listener whose Accept returns the given errors in turn, and the last one repeatedly until it is
+// closed. A nil error stands for a connection.
 type scriptedListener struct {
 	net.Listener
 	mu     sync.Mutex
@@ -51,39 +52,39 @@
 
 func (l *scriptedListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// counted returns the failures of the test's listeners so far, by errno.
-func counted() map[string]uint64 {
-	all := make(map[string]uint64)
+// countFailures returns the number of failures of the listeners with purpose Metrics so far, by error name.
+func countFailures() map[string]uint64 {
+	counts := make(map[string]uint64)
 	EachFailure(func(purpose Purpose, errno string, count uint64) {
 		if purpose == Metrics {
-			all[errno] = count
+			counts[errno] = count
 		}
 	})
-	return all
+	return counts
 }
 
-func TestAcceptGoesOnAfterErrors(t *testing.T) {
+func TestAcceptRetriesAfterErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		errs := []error{syscall.ENETDOWN, syscall.ETIMEDOUT, syscall.ENOBUFS, errors.New("of no number"), nil}
+		errs := []error{syscall.ENETDOWN, syscall.ETIMEDOUT, syscall.ENOBUFS, errors.New("not a system error"), nil}
 		inner := &scriptedListener{errs: errs}
-		before := counted()
+		before := countFailures()
 		conn, err := Persistently(inner, Metrics).Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		conn.Close()
-		if took := inner.calls[4].Sub(inner.calls[0]); took != 15*minBackoff {
-			t.Errorf("four failures took %v", took)
+		if elapsed := inner.calls[4].Sub(inner.calls[0]); elapsed != 15*minBackoff {
+			t.Errorf("four failed calls took %v", elapsed)
 		}
 		for _, errno := range []string{"ENETDOWN", "ETIMEDOUT", "ENOBUFS", "other"} {
-			if n := counted()[errno] - before[errno]; n != 1 {
-				t.Errorf("%s was counted %d times", errno, n)
+			if n := countFailures()[errno] - before[errno]; n != 1 {
+				t.Errorf("%s was counted %d times, want once", errno, n)
 			}
 		}
 	})
 }
 
-func TestBackoffIsBoundedAndEndsWithClose(t *testing.T) {
+func TestBackoffIsBoundedAndEndsOnClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		inner := &scriptedListener{errs: []error{syscall.EMFILE}}
 		l := Persistently(inner, Clients)
@@ -96,17 +97,17 @@
 		synctest.Wait()
 		n := len(inner.calls)
 		if last := inner.calls[n-1].Sub(inner.calls[n-2]); last != maxBackoff {
-			t.Errorf("the backoff is %v", last)
+			t.Errorf("got a backoff of %v, want maxBackoff", last)
 		}
 		closedAt := time.Now()
 		l.Close()
 		if err := <-ended; !errors.Is(err, net.ErrClosed) || time.Since(closedAt) != 0 {
-			t.Errorf("%v after %v", err, time.Since(closedAt))
+			t.Errorf("got error %v %v after Close, want net.ErrClosed at once", err, time.Since(closedAt))
 		}
 	})
 }
 
-func TestDeadlineOfListenerPassesThrough(t *testing.T) {
+func TestAcceptReturnsListenerDeadlineError(t *testing.T) {
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -36,36 +36,36 @@
 	return s, accounts, idle
 }
 
-// TestIdleLoansAreEvictedForGuaranteedParts checks that idle units beyond a part are evicted at once when an
-// account needs its guaranteed part, and that idle units within a part stay.
+// TestIdleLoansAreEvictedForGuaranteedParts checks that borrowed idle units are evicted at once when another account needs
+// its guaranteed part, and that idle units within the borrower's own guaranteed part are not.
 func TestIdleLoansAreEvictedForGuaranteedParts(t *testing.T) {
 	_, a, idle := newSharedResource(t, 100, 50, 50)
-	taken := 0
+	acquired := 0
 	for a[0].TryAcquire() {
-		taken++
+		acquired++
 	}
-	if taken <= 50 || taken > 80 {
-		t.Fatalf("%d taken", taken)
+	if acquired <= 50 || acquired > 80 {
+		t.Fatalf("acquired %d units, want 51 to 80", acquired)
 	}
-	*idle[0] = taken // all idle
+	*idle[0] = acquired // all idle
 	for i := range 50 {
 		if !a[1].TryAcquire() {
-			t.Fatalf("number %d of the 50 guaranteed was refused", i+1)
+			t.Fatalf("unit %d of the guaranteed 50 was denied", i+1)
 		}
 	}
 	if u := a[0].Usage(); u.Used != 50 {
-		t.Errorf("the borrower has %d left, not its own 50", u.Used)
+		t.Errorf("the borrower has %d units left, want its guaranteed 50", u.Used)
 	}
 	if a[1].TryAcquire() {
-		t.Error("one more was taken from what the other is guaranteed")
+		t.Error("acquired a unit of the other account's guaranteed part")
 	}
 	if u := a[1].Usage(); u.Denied != 1 || u.Total != 100 {
-		t.Errorf("%+v", u)
+		t.Errorf("got usage %+v, want 1 denied of a total of 100", u)
 	}
 }
 
-// TestBorrowerEvictsOnlyItsOwnIdle checks that a borrower that needs more evicts its own idle units only.
-func TestBorrowerEvictsOnlyItsOwnIdle(t *testing.T) {
+// TestBorrowerEvictsOnlyOwnIdleUnits checks that a borrower that needs more units evicts only its own idle units.
+func TestBorrowerEvictsOnlyOwnIdleUnits(t *testing.T) {
 	_, a, idle := newSharedResource(t, 12, 4, 4)
 	n := 0
 	for a[0].TryAcquire() {
@@ -75,13 +75,13 @@
 	a[1].TryAcquire()
 	*idle[1] = 1
 	if !a[0].TryAcquire() || *idle[0] != 0 || *idle[1] != 1 {
-		t.Errorf("idle %d and %d", *idle[0], *idle[1])
+		t.Errorf("got %d and %d idle units, want 0 and 1", *idle[0], *idle[1])
 	}
 }
 
-// TestClosedAccountReleasesToNobody checks that the owner number of a closed account is not used again before
-// it has released everything.
-func TestClosedAccountReleasesToNobody(t *testing.T) {
+// TestOwnerOfClosedAccountIsNotReusedBeforeRelease checks that the bulkhead.Owner of a closed account is not reused before
+// the account has released all its units.
+func TestOwnerOfClosedAccountIsNotReusedBeforeRelease(t *testing.T) {
 	s, a, _ := newSharedResource(t, 10, 5, 5)
 	a[0].TryAcquire()
 	a[0].Close()
@@ -91,7 +91,7 @@
 	}
 	a[0].Release()
 	if u := b.Usage(); u.Used != 0 || u.Guaranteed != 5 {
-		t.Errorf("%+v", u)
+		t.Errorf("got usage %+v of the new account, want 0 used of 5 guaranteed", u)
 	}
 }
 
@@ -102,47 +102,47 @@
 	if err := errors.Join(slots.SetGuarantees(2, map[*Account]int64{r.Slots: 2}), bytes.SetGuarantees(100, map[*Account]int64{r.Bytes: 100})); err != nil {
 		t.Fatal(err)
 	}
-	back, ok := r.Admit(60)
+	release, ok := r.Admit(60)
 	if !ok {
-		t.Fatal("not admitted")
+		t.Fatal("request within all limits was not admitted")
 	}
 	if _, ok := r.Admit(60); ok || r.Slots.Usage().Used != 1 || r.Bytes.Usage().Denied != 1 {
-		t.Errorf("admitted over the bytes: %+v", r.Slots.Usage())
+		t.Errorf("request over the limit on bytes: admitted, or not counted correctly: slots %+v", r.Slots.Usage())
 	}
 	if _, ok := r.Admit(10); !ok {
-		t.Error("not admitted")
+		t.Error("request within all limits was not admitted")
 	}
 	if _, ok := r.Admit(0); ok || r.Slots.Usage().Denied != 1 {
-		t.Error("admitted over the requests")
+		t.Error("request over the limit on slots was admitted, or its denial not counted")
 	}
-	back()
+	release()
 	if u := r.Bytes.Usage(); u.Used != 10 {
-		t.Errorf("%+v", u)
+		t.Errorf("got usage %+v, want 10 bytes used", u)
 	}
 	r.ModuleTime.Record(r.Owner, 2*time.Second)
 	if _, ok := r.Admit(0); ok {
-		t.Error("admitted though its module has used up everybody's time")
+		t.Error("admitted although the module exceeds its part and the total of the module time")
 	}
 }
 
 func TestTimeLimiterReusesClosedOwners(t *testing.T) {
-	p := NewTimeLimiter(1)
-	a := p.OpenOwner()
-	p.SetGuaranteed(a, 0.5)
-	p.CloseOwner(a)
-	if b := p.OpenOwner(); b != a {
-		t.Errorf("a closed place was not used again: %d", b)
+	limiter := NewTimeLimiter(1)
+	owner := limiter.OpenOwner()
+	limiter.SetGuaranteed(owner, 0.5)
+	limiter.CloseOwner(owner)
+	if reused := limiter.OpenOwner(); reused != owner {
+		t.Errorf("got owner %d, want the closed owner to be reused", reused)
 	}
-	if p.OpenOwner() == a {
-		t.Error("a place was given twice")
+	if limiter.OpenOwner() == owner {
+		t.Error("the same owner was opened twice")
 	}
 }
 
 func TestSharedResourceIsSafeForConcurrentUse(t *testing.T) {
 	s, a, _ := newSharedResource(t, 64, 16, 16)
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	for i := range 8 {
-		all.Go(func() {
+		workers.Go(func() {
 			for range 2000 {
 				if a[i%2].TryAcquire() {
 					a[i%2].Release()
@@ -150,14 +150,14 @@
 			}
 		})
 	}
-	all.Wait()
+	workers.Wait()
 	if s.allocator.Free() != 64 {
-		t.Errorf("%d free", s.allocator.Free())
+		t.Errorf("got %d free units, want 64", s.allocator.Free())
 	}
 }
 
-// TestListenerWaitsUntilContextEnds checks that a listener that waits for a descriptor stops with its context,
-// and has acquired none.
+// TestListenerWaitsUntilContextEnds checks that a listener that waits for a descriptor stops when its context ends, and
+// that it has acquired none.
 func TestListenerWaitsUntilContextEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewSocketLimiter(0)
@@ -172,18 +172,19 @@
 		time.Sleep(time.Second)
 		cancel()
 		if err := <-accepted; !errors.Is(err, net.ErrClosed) {
-			t.Errorf("%v", err)
+			t.Errorf("got error %v, want net.ErrClosed", err)
 		}
 		if s.InUse() != 0 {
-			t.Errorf("%d booked", s.InUse())
+			t.Errorf("got %d descriptors in use, want 0", s.InUse())
 		}
 	})
 }
 
-// Guards against clients that wait in the socket's queue for longer than there is no descriptor: a listener takes the
-// next one at once when a descriptor is released or may be evicted, and not with its next attempt.
+// TestListenerAcceptsOnceDescriptorIsAvailable checks that a listener that waits for a descriptor accepts the next
+// connection as soon as one is released, may be evicted or is no longer reserved. If it only retried at intervals, clients
+// would wait in the socket's queue although a descriptor is available.
 func TestListenerAcceptsOnceDescriptorIsAvailable(t *testing.T) {
-	for name, freeOne := range map[string]func(s *SocketLimiter, evictable *atomic.Bool, open *Conn){
+	for name, makeAvailable := range map[string]func(s *SocketLimiter, evictable *atomic.Bool, open *Conn){
 		"released": func(_ *SocketLimiter, _ *atomic.Bool, open *Conn) { open.Close() },
 		"evictable": func(_ *SocketLimiter, evictable *atomic.Bool, open *Conn) {
 			evictable.Store(true)
@@ -213,17 +214,17 @@
 				go func() { _, _ = l.Accept(); accepted <- time.Now() }()
 				time.Sleep(acquireRetryInterval * 3 / 2)
 				queue <- nopConn{}
-				freedAt := time.Now()
-				freeOne(s, &evictable, first.(*Conn))
-				if took := (<-accepted).Sub(freedAt); took != 0 {
-					t.Errorf("accepted %v later", took)
+				availableAt := time.Now()
+				makeAvailable(s, &evictable, first.(*Conn))
+				if took := (<-accepted).Sub(availableAt); took != 0 {
+					t.Errorf("accepted %v after the descriptor became available, want 0s", took)
 				}
 			})
 		})
 	}
 }
 
-// connQueue is a listener whose queue is a channel.
+// connQueue is a listener that accepts connections from a channel.
 type connQueue chan net.Conn
 
 func (q connQueue) Accept() (net.Conn, error) { return <-q, nil }
@@ -235,9 +236,10 @@
 
 func (nopConn) Close() error { return nil }
 
-// Guards against clients that wait beside free descriptors: connections to app servers that are open, idle ones too, take
-// the descriptors that are reserved for them, and none of the clients'. Those beyond are evicted for a client.
-func TestOpenServerConnectionsLeaveClientsTheirDescriptors(t *testing.T) {
+// TestServerConnectionsUseOnlyReservedDescriptors checks that connections to app servers, idle ones included, take only the
+// descriptors reserved for them, and that those beyond are evicted for clients. Otherwise clients would wait while
+// descriptors of idle connections could be freed for them.
+func TestServerConnectionsUseOnlyReservedDescriptors(t *testing.T) {
 	for _, limit := range []int{MinDescriptors, MinDescriptors + 1, 40, 128, 152, 1024} {
 		for _, beyondReserve := range []int{0, 5} {
 			s := NewSocketLimiter(limit)
@@ -262,15 +264,15 @@
 				clients++
 			}
 			if clients != connections-reserved || servers != reserved {
-				t.Errorf("of %d: %d clients and %d servers", connections, clients, servers)
+				t.Errorf("of %d connections: got %d to clients and %d to servers", connections, clients, servers)
 			}
 		}
 	}
 }
 
-// TestLowDescriptorLimitsLeaveBothSidesOne checks that a low limit on descriptors is kept, and leaves at least
-// one connection to either side.
-func TestLowDescriptorLimitsLeaveBothSidesOne(t *testing.T) {
+// TestLowDescriptorLimitsAllowClientAndServer checks that a low limit on descriptors is observed and still allows at least
+// one client connection and one connection to an app server.
+func TestLowDescriptorLimitsAllowClientAndServer(t *testing.T) {
 	for _, limit := range []int{MinDescriptors, 40, 64, 128, 151, 152, 1024} {
 		s := NewSocketLimiter(limit)
 		clients, servers := 0, 0
@@ -281,7 +283,7 @@
 			servers++
 		}
 		if clients < 1 || servers < 1 || clients+servers+processDescriptors > limit || servers > ReservedForServers {
-			t.Errorf("of %d: %d clients and %d servers", limit, clients, servers)
+			t.Errorf("limit of %d descriptors: got %d client connections and %d server connections", limit, clients, servers)
 		}
 	}
 }
