--- a/internal/front/platform.go
+++ b/internal/front/platform.go
@@ -247,7 +247,7 @@
 	if text == "" {
 		return nil
 	}
-	seen := make(map[string]bool, maxWeightNames)
+	isPresent := make(map[string]bool, maxWeightNames)
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		number, err := protocol.ParseNumber(value)
@@ -264,10 +264,10 @@
 			isValid = isInteger && number >= 0 && number < float64(rules.GroupSize)
 			request.FirstGateway = int(number)
 		}
-		if seen[name] || !isValid {
+		if isPresent[name] || !isValid {
 			return fmt.Errorf("%s: %q", name, value)
 		}
-		seen[name] = true
+		isPresent[name] = true
 	}
 	return nil
 }
