--- a/internal/service/attempts.go
+++ b/internal/service/attempts.go
@@ -13,7 +13,7 @@
 	exchange  *Exchange
 	number    int // among the exchange's attempts
 	server    uint32
-	place     serverPlace // of the server, which may have left the list when the attempt ends
+	location  serverLocation // of the server, which may have left the list when the attempt ends
 	pool      *upstream.Pool
 	attempt   *upstream.Attempt
 	startedAt time.Time
@@ -42,11 +42,11 @@
 	ctx, cancel := l.attemptContext(x, a)
 	attempt := upstream.NewAttempt(ctx, cancel, x)
 	x.attempts = append(x.attempts, attempt)
-	isPointless := !isAllowed || x.isAnswered || ctx.Err() != nil
-	if pool == nil || isPointless {
+	mustNotSend := !isAllowed || x.isAnswered || ctx.Err() != nil
+	if pool == nil || mustNotSend {
 		attempt.Cancel()
 		reason := control.ConnectFailed // the server left the list meanwhile: another one may take the request
-		if isPointless {
+		if mustNotSend {
 			reason = control.NotSent
 		}
 		l.pendingEvents = append(l.pendingEvents, control.AttemptResult{
@@ -69,7 +69,7 @@
 		exchange:  x,
 		number:    number,
 		server:    a.Server,
-		place:     l.places[a.Server],
+		location:  l.locations[a.Server],
 		pool:      pool,
 		attempt:   attempt,
 		startedAt: time.Now(),
@@ -171,7 +171,7 @@
 	x := job.exchange
 	a := Answer{Status: o.Status, Header: o.Header, Stream: o.Stream}
 	if x.isAnswered {
-		x.endedLate(&o)
+		x.attemptEndedLate(&o)
 		a.discard()
 		return
 	}
@@ -210,7 +210,7 @@
 	}
 	switch {
 	case x.isAnswered:
-		x.endedLate(&o)
+		x.attemptEndedLate(&o)
 	case o.IsFinal:
 		a := Answer{Status: o.Status, Header: o.Header, Body: o.Body}
 		if o.Header == nil {
--- a/internal/service/attempts_test.go
+++ b/internal/service/attempts_test.go
@@ -62,7 +62,7 @@
 // TestReplacementTakesUnbegunRequestOnlyWithItsKeyChecked checks that a request that a service has not begun
 // when it is replaced goes to the replacement, unless its class needs an idempotency key there and did not
 // before.
-func TestReplacementTakesUnbegunRequestOnlyWithItsKeyChecked(t *testing.T) {
+func TestReplacementTakesUnacceptedRequestOnlyIfKeyWasChecked(t *testing.T) {
 	effects := []control.Idempotency{control.IdempotentWithKey, control.NotIdempotent}
 	for _, from := range effects {
 		for _, to := range effects {
--- a/internal/service/client_departure_test.go
+++ b/internal/service/client_departure_test.go
@@ -19,23 +19,23 @@
 // recordingController is a controller that records how attempts ended, by request id.
 type recordingController struct {
 	*control.Controller
-	mu        sync.Mutex
-	responses map[string][]control.AttemptResult
+	mu      sync.Mutex
+	results map[string][]control.AttemptResult
 }
 
 func (n *recordingController) Handle(now time.Duration, e control.Event) []control.Action {
 	if r, ok := e.(control.AttemptResult); ok {
 		n.mu.Lock()
-		n.responses[r.ID] = append(n.responses[r.ID], r)
+		n.results[r.ID] = append(n.results[r.ID], r)
 		n.mu.Unlock()
 	}
 	return n.Controller.Handle(now, e)
 }
 
-func (n *recordingController) responsesTo(id string) []control.AttemptResult {
+func (n *recordingController) resultsOf(id string) []control.AttemptResult {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.responses[id]
+	return n.results[id]
 }
 
 // barrier blocks all who pass it until it is opened; arrived is closed when the first one gets there.
@@ -49,13 +49,13 @@
 func (b *barrier) pass() { b.once.Do(func() { close(b.arrived) }); <-b.open }
 
 // slowLimiter is an Opener whose next connection waits at a barrier before it is opened.
-type slowLimiter struct {
+type blockingLimiter struct {
 	limits.ConnectionLimiter
 	mu       sync.Mutex
 	nextDial *barrier
 }
 
-func (s *slowLimiter) TryAcquire() bool {
+func (s *blockingLimiter) TryAcquire() bool {
 	s.mu.Lock()
 	b := s.nextDial
 	s.nextDial = nil
@@ -67,23 +67,23 @@
 }
 
 // heldForwarder is a request whose worker waits at a barrier before it begins.
-type heldForwarder struct {
+type blockedForwarder struct {
 	Forwarder
 	*barrier
 }
 
-func (h heldForwarder) Attempt(ctx, life context.Context, u *upstream.Upstream, p *upstream.Pool) upstream.Outcome {
+func (h blockedForwarder) Attempt(ctx, life context.Context, u *upstream.Upstream, p *upstream.Pool) upstream.Outcome {
 	h.pass()
 	return h.Forwarder.Attempt(ctx, life, u, p)
 }
 
 // watchedForwarder is a request that closes a channel when its attempt has ended.
-type watchedForwarder struct {
+type notifyingForwarder struct {
 	Forwarder
 	ended chan struct{}
 }
 
-func (w watchedForwarder) Attempt(ctx, life context.Context, u *upstream.Upstream, p *upstream.Pool) upstream.Outcome {
+func (w notifyingForwarder) Attempt(ctx, life context.Context, u *upstream.Upstream, p *upstream.Pool) upstream.Outcome {
 	defer close(w.ended)
 	return w.Forwarder.Attempt(ctx, life, u, p)
 }
@@ -96,39 +96,39 @@
 // TestRequestOfDepartedClientIsNotSent checks that a request whose client leaves before it is written,
 // wherever it is then, is not written. The module is notified once that it was not sent, and the next request
 // is served.
-func TestRequestOfDepartedClientIsNotSent(t *testing.T) {
-	scenarios := map[string]func(r *departureTest, x *Exchange){
-		"its turn": func(r *departureTest, x *Exchange) { r.fillServer(); r.leaveAt(x, nil); r.emptyServer() },
-		"its worker": func(r *departureTest, x *Exchange) {
+func TestRequestOfDisconnectedClientIsNotSent(t *testing.T) {
+	scenarios := map[string]func(r *disconnectTest, x *Exchange){
+		"its turn": func(r *disconnectTest, x *Exchange) { r.saturateServer(); r.disconnectAt(x, nil); r.unblockServer() },
+		"its worker": func(r *disconnectTest, x *Exchange) {
 			b := newBarrier()
-			x.Forwarder = heldForwarder{x.Forwarder, b}
-			r.leaveAt(x, b)
+			x.Forwarder = blockedForwarder{x.Forwarder, b}
+			r.disconnectAt(x, b)
 		},
-		"its connection": func(r *departureTest, x *Exchange) { b := newBarrier(); r.opener.nextDial = b; r.leaveAt(x, b) },
-		"the last moment": func(r *departureTest, x *Exchange) {
-			x.Client = clientFunc(func() bool { r.cancelClient(); r.awaitClientLeft(x); return true })
-			r.leaveAt(x, nil)
+		"its connection": func(r *disconnectTest, x *Exchange) { b := newBarrier(); r.limiter.nextDial = b; r.disconnectAt(x, b) },
+		"the last moment": func(r *disconnectTest, x *Exchange) {
+			x.Client = clientFunc(func() bool { r.cancelClient(); r.awaitDisconnectHandled(x); return true })
+			r.disconnectAt(x, nil)
 		},
-		"its socket's word": func(r *departureTest, x *Exchange) {
+		"its socket's word": func(r *disconnectTest, x *Exchange) {
 			x.Client = clientFunc(func() bool { return false })
-			r.leaveUnnoticed(x)
+			r.disconnectUnnoticed(x)
 		},
-		"the loop's channel": func(r *departureTest, x *Exchange) { r.leaveBeforeEventRuns(x, r.service, nil) },
-		"another's place": func(r *departureTest, x *Exchange) {
+		"the loop's channel": func(r *disconnectTest, x *Exchange) { r.disconnectBeforeEventRuns(x, r.service, nil) },
+		"another's place": func(r *disconnectTest, x *Exchange) {
 			next := r.startService(r.service.Upstream())
 			r.service.ReplaceWith(next)
-			r.leaveBeforeEventRuns(x, next, nil)
+			r.disconnectBeforeEventRuns(x, next, nil)
 		},
-		"the gate": func(r *departureTest, x *Exchange) {
+		"the gate": func(r *disconnectTest, x *Exchange) {
 			decided := make(chan bool, 1)
 			x.Gate = &Gate{OnDecision: func(taken bool) { decided <- taken }}
-			r.leaveBeforeEventRuns(x, r.service, decided)
+			r.disconnectBeforeEventRuns(x, r.service, decided)
 		},
-		"the gate, shut": func(r *departureTest, x *Exchange) {
+		"the gate, shut": func(r *disconnectTest, x *Exchange) {
 			decided := newBarrier()
 			x.Gate = &Gate{OnDecision: func(bool) { close(decided.arrived) }}
-			r.leaveAt(x, decided)
-			if sent := r.module.responsesTo("left"); len(sent) != 1 {
+			r.disconnectAt(x, decided)
+			if sent := r.module.resultsOf("left"); len(sent) != 1 {
 				r.t.Errorf("before the gate opens %+v", sent)
 			}
 			x.OpenGate()
@@ -139,7 +139,7 @@
 			for _, deadline := range []time.Duration{time.Minute, time.Hour} {
 				for _, forwarder := range []string{"whole", "whole over HTTP/2", "relay", "relay over HTTP/2"} {
 					t.Run(fmt.Sprint(place, " ", class, " ", forwarder, " ", deadline), func(t *testing.T) {
-						r := newDepartureTest(t, class, forwarder, deadline)
+						r := newDisconnectTest(t, class, forwarder, deadline)
 						scenario(r, r.newExchange("left"))
 						r.checkNotSent(place)
 					})
@@ -151,9 +151,9 @@
 
 // checkNotSent checks that nothing of the request "left" was sent, which its client left at some place, and
 // that the next request is served.
-func (r *departureTest) checkNotSent(place string) {
+func (r *disconnectTest) checkNotSent(place string) {
 	testkit.Until(r.t, "its end", func() bool { return r.service.Status().Requests == 0 })
-	sent := r.module.responsesTo("left")
+	sent := r.module.resultsOf("left")
 	if place == "its turn" && len(sent) > 0 || place != "its turn" && (len(sent) != 1 || sent[0].Reason != control.NotSent || !sent[0].IsFinal) {
 		r.t.Errorf("its attempts ended %+v", sent)
 	}
@@ -169,28 +169,28 @@
 }
 
 // departureTest is a service with one server, whose client leaves.
-type departureTest struct {
-	t              *testing.T
-	service        *Service
-	serverAddress  string
-	module         *recordingController
-	opener         *slowLimiter
-	class          string
-	forwarder      string
-	deadline       time.Duration
-	cancelClient   context.CancelFunc
-	fillers        sync.WaitGroup
-	releaseFillers chan struct{} // closed: the server answers the requests that fill it
+type disconnectTest struct {
+	t               *testing.T
+	service         *Service
+	serverAddress   string
+	module          *recordingController
+	limiter         *blockingLimiter
+	class           string
+	forwarder       string
+	deadline        time.Duration
+	cancelClient    context.CancelFunc
+	blockedRequests sync.WaitGroup
+	unblockRequests chan struct{} // closed: the server answers the requests that fill it
 
 	mu              sync.Mutex
 	requestsSeen    []string
 	clientAddresses map[string]bool
 }
 
-func newDepartureTest(t *testing.T, class, forwarder string, deadline time.Duration) *departureTest {
-	r := &departureTest{
-		t: t, class: class, forwarder: forwarder, deadline: deadline, opener: &slowLimiter{ConnectionLimiter: limits.NewSocketLimiter(100)},
-		releaseFillers: make(chan struct{}), clientAddresses: make(map[string]bool),
+func newDisconnectTest(t *testing.T, class, forwarder string, deadline time.Duration) *disconnectTest {
+	r := &disconnectTest{
+		t: t, class: class, forwarder: forwarder, deadline: deadline, limiter: &blockingLimiter{ConnectionLimiter: limits.NewSocketLimiter(100)},
+		unblockRequests: make(chan struct{}), clientAddresses: make(map[string]bool),
 	}
 	r.serverAddress = startBothProtocols(t, r.serve)
 	r.service = r.startService(nil)
@@ -198,20 +198,20 @@
 }
 
 // serve is the server's handler.
-func (r *departureTest) serve(w http.ResponseWriter, q *http.Request) {
+func (r *disconnectTest) serve(w http.ResponseWriter, q *http.Request) {
 	id := q.Header.Get("X-Test")
 	r.mu.Lock()
 	r.requestsSeen = append(r.requestsSeen, id)
 	r.clientAddresses[q.RemoteAddr] = true
 	r.mu.Unlock()
 	if id[:1] == "f" {
-		<-r.releaseFillers
+		<-r.unblockRequests
 	}
 	_, _ = w.Write([]byte("ok"))
 }
 
 // startService starts a service, which has the connections of another where it shares some.
-func (r *departureTest) startService(shared *upstream.Upstream) *Service {
+func (r *disconnectTest) startService(shared *upstream.Upstream) *Service {
 	protocol := upstream.ProtocolHTTP1
 	if strings.HasSuffix(r.forwarder, "over HTTP/2") {
 		protocol = upstream.ProtocolHTTP2
@@ -222,14 +222,14 @@
 		Settings: set, Protocol: protocol, SharedUpstream: shared, AnyMethod: true, Source: staticSource(r.serverAddress, "s-1"),
 		NewModule: func() (Module, error) {
 			c, err := control.New(set, 1)
-			r.module = &recordingController{Controller: c, responses: make(map[string][]control.AttemptResult)}
+			r.module = &recordingController{Controller: c, results: make(map[string][]control.AttemptResult)}
 			return r.module, err
 		},
-		Upstream: upstream.Options{ConnectTimeout: testkit.WaitTimeout, KeepAliveTimeout: time.Hour, SocketLimiter: r.opener, HTTP2: upstream.HTTP2Options{MaxStreams: 10, MaxConnections: 1, StartsAtLastByte: true}},
+		Upstream: upstream.Options{ConnectTimeout: testkit.WaitTimeout, KeepAliveTimeout: time.Hour, SocketLimiter: r.limiter, HTTP2: upstream.HTTP2Options{MaxStreams: 10, MaxConnections: 1, StartsAtLastByte: true}},
 	})
 }
 
-func (r *departureTest) newExchange(id string) *Exchange {
+func (r *disconnectTest) newExchange(id string) *Exchange {
 	h := http.Header{"X-Test": {id}}
 	x := &Exchange{Request: control.Request{ID: id, Class: r.class, Plan: "p", Customer: "c", Units: 1, FanOut: 1}, Deadline: time.Now().Add(r.deadline)}
 	if strings.HasPrefix(r.forwarder, "whole") {
@@ -242,7 +242,7 @@
 
 // leaveAt has the client leave once its request has arrived at a barrier, which then opens, or, without one,
 // once the service has accepted it.
-func (r *departureTest) leaveAt(x *Exchange, place *barrier) {
+func (r *disconnectTest) disconnectAt(x *Exchange, place *barrier) {
 	ctx, cancel := context.WithCancel(r.t.Context())
 	r.cancelClient = cancel
 	done := make(chan bool)
@@ -258,7 +258,7 @@
 	if testkit.Next(r.t, done) {
 		r.t.Error("it has an answer")
 	}
-	r.awaitClientLeft(x)
+	r.awaitDisconnectHandled(x)
 	if place != nil {
 		close(place.open)
 	}
@@ -266,10 +266,10 @@
 
 // leaveBeforeEventRuns has the client leave once its request, or the opening of its gate, is in a loop's event
 // queue; the loop is notified of that only when the attempt that follows has ended.
-func (r *departureTest) leaveBeforeEventRuns(x *Exchange, target *Service, gate chan bool) {
+func (r *disconnectTest) disconnectBeforeEventRuns(x *Exchange, target *Service, gate chan bool) {
 	ctx, cancel := context.WithCancel(r.t.Context())
 	done, over := make(chan bool, 1), make(chan struct{})
-	x.Forwarder = watchedForwarder{x.Forwarder, over}
+	x.Forwarder = notifyingForwarder{x.Forwarder, over}
 	original := r.service
 	enter := func() { go func() { _, ok := original.Do(ctx, x); done <- ok }() }
 	if gate != nil {
@@ -292,11 +292,11 @@
 	testkit.Next(r.t, over)
 	close(after.open)
 	r.service = target
-	r.awaitClientLeft(x)
+	r.awaitDisconnectHandled(x)
 }
 
 // awaitClientLeft waits until the loop knows that the client has left.
-func (r *departureTest) awaitClientLeft(x *Exchange) {
+func (r *disconnectTest) awaitDisconnectHandled(x *Exchange) {
 	testkit.Until(r.t, "the loop to hear", func() bool {
 		done := make(chan bool)
 		return r.service.Post(func() { done <- x.isAnswered }) && <-done
@@ -304,23 +304,23 @@
 }
 
 // leaveUnnoticed has the client leave without an end of its context: only Exchange.Client says so.
-func (r *departureTest) leaveUnnoticed(x *Exchange) {
+func (r *disconnectTest) disconnectUnnoticed(x *Exchange) {
 	if a, ok := r.service.Do(r.t.Context(), x); ok {
 		r.t.Errorf("it has an answer: %+v", a)
 	}
 }
 
 // fillServer uses up the concurrency limit; emptyServer ends that.
-func (r *departureTest) fillServer() {
+func (r *disconnectTest) saturateServer() {
 	for i := range 2 {
-		r.fillers.Go(func() { r.service.Do(r.t.Context(), r.newExchange(fmt.Sprint("f", i))) })
+		r.blockedRequests.Go(func() { r.service.Do(r.t.Context(), r.newExchange(fmt.Sprint("f", i))) })
 	}
 	testkit.Until(r.t, "two at the server", func() bool { return r.serverSaw("f0") && r.serverSaw("f1") })
 }
 
-func (r *departureTest) emptyServer() { close(r.releaseFillers); r.fillers.Wait() }
+func (r *disconnectTest) unblockServer() { close(r.unblockRequests); r.blockedRequests.Wait() }
 
-func (r *departureTest) serverSaw(id string) bool {
+func (r *disconnectTest) serverSaw(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.requestsSeen {
@@ -331,7 +331,7 @@
 	return false
 }
 
-func (r *departureTest) connectionCount() int {
+func (r *disconnectTest) connectionCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.clientAddresses)
--- a/internal/service/deadlines_test.go
+++ b/internal/service/deadlines_test.go
@@ -16,7 +16,7 @@
 )
 
 // neverAnsweredInTime is an attempt that is written and times out.
-func neverAnsweredInTime(ctx context.Context) upstream.Outcome {
+func timesOutAfterWrite(ctx context.Context) upstream.Outcome {
 	if !upstream.Commit(ctx) {
 		return upstream.Outcome{Reason: control.NotSent}
 	}
@@ -32,10 +32,10 @@
 
 // deadlineTest is a service in some state as a request comes.
 type deadlineTest struct {
-	attempt    func(context.Context) upstream.Outcome
-	hasNone    bool          // no server is listed
-	isFull     bool          // others came before and are never answered
-	loopIsBusy time.Duration // from right before the request
+	attempt        func(context.Context) upstream.Outcome
+	hasNoServer    bool          // no server is listed
+	isSaturated    bool          // others came before and are never answered
+	loopBlockedFor time.Duration // from right before the request
 }
 
 // start starts the service and brings it into its state. It returns the answers to the others.
@@ -45,17 +45,17 @@
 	set.Classes[0].Idempotency, set.Classes[0].KeyScope, set.Classes[0].RepeatWindow = idempotency, control.ScopeCell, time.Minute
 	s, _ = startService(t, Options{Settings: set})
 	synctest.Wait()
-	if d.hasNone {
+	if d.hasNoServer {
 		s.receiveEndpoints(discovery.EndpointList{IsComplete: true})
 	}
-	if d.isFull {
+	if d.isSaturated {
 		for i := range otherRequests {
-			others = append(others, doWithin(s, fmt.Sprint("f", i), 5*time.Second, neverAnsweredInTime))
+			others = append(others, doWithin(s, fmt.Sprint("f", i), 5*time.Second, timesOutAfterWrite))
 		}
 		synctest.Wait()
 	}
-	if d.loopIsBusy > 0 {
-		s.Post(func() { time.Sleep(d.loopIsBusy) })
+	if d.loopBlockedFor > 0 {
+		s.Post(func() { time.Sleep(d.loopBlockedFor) })
 		synctest.Wait()
 	}
 	return s, others
@@ -74,13 +74,13 @@
 	s, others := d.start(t, idempotency)
 	startedAt, sent := time.Now(), 0
 	a := <-doWithin(s, "id-1", wait, func(ctx context.Context) upstream.Outcome { sent++; return d.attempt(ctx) })
-	if elapsed, by := time.Since(startedAt), max(wait, d.loopIsBusy); elapsed > by {
+	if elapsed, by := time.Since(startedAt), max(wait, d.loopBlockedFor); elapsed > by {
 		t.Errorf("answered after %v", elapsed)
 	}
 	if a.Kind == Served || a.Kind == Failed && sent == 0 || a.Status < 500 {
 		t.Errorf("%+v with %d sent", a, sent)
 	}
-	if d.hasNone || wait < DeadlineMargin || d.loopIsBusy > wait {
+	if d.hasNoServer || wait < DeadlineMargin || d.loopBlockedFor > wait {
 		if sent > 0 || a.Kind != Rejected {
 			t.Errorf("%d sent, %+v", sent, a)
 		}
@@ -98,12 +98,12 @@
 // goes on. A request that comes too late to be sent is rejected and not sent.
 func TestEveryRequestIsAnsweredByItsDeadline(t *testing.T) {
 	for name, test := range map[string]deadlineTest{
-		"no server":      {attempt: neverAnsweredInTime, hasNone: true},
-		"a hanging one":  {attempt: neverAnsweredInTime},
+		"no server":      {attempt: timesOutAfterWrite, hasNoServer: true},
+		"a hanging one":  {attempt: timesOutAfterWrite},
 		"a full one":     {attempt: rejectedByServer},
-		"places taken":   {attempt: neverAnsweredInTime, isFull: true},
-		"a busy loop":    {attempt: neverAnsweredInTime, loopIsBusy: 10 * time.Millisecond},
-		"a loop at rest": {attempt: neverAnsweredInTime, loopIsBusy: 10 * time.Second},
+		"places taken":   {attempt: timesOutAfterWrite, isSaturated: true},
+		"a busy loop":    {attempt: timesOutAfterWrite, loopBlockedFor: 10 * time.Millisecond},
+		"a loop at rest": {attempt: timesOutAfterWrite, loopBlockedFor: 10 * time.Second},
 	} {
 		for class, idempotency := range idempotencies {
 			for _, wait := range []time.Duration{time.Microsecond, 20 * time.Millisecond, 400 * time.Millisecond, 5 * time.Second} {
@@ -118,7 +118,7 @@
 // TestDepartedClientsBeyondEventQueueAreNotSent checks that, where more requests come than the event queue has
 // space for while the loop is blocked and every second client leaves before it goes on, no request of those is
 // sent, whether it was in the queue or not, and all others are served.
-func TestDepartedClientsBeyondEventQueueAreNotSent(t *testing.T) {
+func TestDisconnectedClientsBeyondEventQueueAreNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := startService(t, Options{NewModule: moduleOf(moduleFunc(sendToFirstServer))})
 		synctest.Wait() // it knows its server
--- a/internal/service/endpoint_changes_test.go
+++ b/internal/service/endpoint_changes_test.go
@@ -11,23 +11,23 @@
 )
 
 // waitAt starts a request that waits at some place, and returns what lets it go on and its answer.
-func (r *departureTest) waitAt(place string, x *Exchange) (goOn func(), answers <-chan Answer) {
+func (r *disconnectTest) startWaitingAt(place string, x *Exchange) (goOn func(), answers <-chan Answer) {
 	at := newBarrier()
 	switch place {
 	case "its turn":
 		close(at.open)
-		r.fillServer()
+		r.saturateServer()
 		answers = doInBackground(r.t.Context(), r.service, x)
 		testkit.Until(r.t, "its place in the queue", func() bool { return r.service.Status().Requests == 3 })
-		return r.emptyServer, answers
+		return r.unblockServer, answers
 	case "its gate":
 		x.Gate = &Gate{OnDecision: func(bool) { close(at.arrived) }}
 		goOn = x.OpenGate
 	case "its worker":
-		x.Forwarder = heldForwarder{x.Forwarder, at}
+		x.Forwarder = blockedForwarder{x.Forwarder, at}
 		goOn = func() { close(at.open) }
 	case "its connection":
-		r.opener.nextDial = at
+		r.limiter.nextDial = at
 		goOn = func() { close(at.open) }
 	}
 	answers = doInBackground(r.t.Context(), r.service, x)
@@ -36,7 +36,7 @@
 }
 
 // changeOf is an endpoint list that replaces the server s-1 by another one in some way.
-func changeOf(kind, other string) discovery.EndpointList {
+func replacingList(kind, other string) discovery.EndpointList {
 	up := discovery.Endpoint{UID: "s-2", Address: other, State: "up", Capacity: 1}
 	l := discovery.EndpointList{Revision: 2, IsComplete: kind == "whole", Endpoints: []discovery.Endpoint{up}}
 	switch kind {
@@ -53,13 +53,13 @@
 // another address while a request for it waits in the queue, at its gate, for its worker or for its
 // connection gets nothing of it. The request goes to another server, as it has not run, and so does the next
 // one.
-func TestServerDrainingOrGoneGetsNoWaitingRequest(t *testing.T) {
+func TestDrainingOrRemovedServerGetsNoWaitingRequest(t *testing.T) {
 	check := func(t *testing.T, kind, place, class, by string) {
-		r := newDepartureTest(t, class, by, time.Minute)
+		r := newDisconnectTest(t, class, by, time.Minute)
 		other := startBothProtocols(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("other")) })
-		goOn, answers := r.waitAt(place, r.newExchange("drained"))
-		r.service.receiveEndpoints(changeOf(kind, other))
-		r.awaitClientLeft(&Exchange{isAnswered: true}) // the list came before
+		goOn, answers := r.startWaitingAt(place, r.newExchange("drained"))
+		r.service.receiveEndpoints(replacingList(kind, other))
+		r.awaitDisconnectHandled(&Exchange{isAnswered: true}) // the list came before
 		goOn()
 		if a := testkit.Next(t, answers); a.Status != http.StatusOK {
 			t.Errorf("%+v", a)
@@ -89,7 +89,7 @@
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		for when, dials := range map[time.Duration]int{time.Hour: 2, -time.Hour: 1} {
 			t.Run(fmt.Sprint(class, " ", when), func(t *testing.T) {
-				r := newDepartureTest(t, class, "whole", time.Minute)
+				r := newDisconnectTest(t, class, "whole", time.Minute)
 				send := func(id string) {
 					if a, ok := r.service.Do(t.Context(), r.newExchange(id)); !ok || a.Status != http.StatusOK {
 						t.Fatalf("%s: %+v, %v", id, a, ok)
--- a/internal/service/endpoints.go
+++ b/internal/service/endpoints.go
@@ -93,11 +93,11 @@
 		l.updatePool(endpoint, target, startedAt)
 	}
 	for uid, id := range l.serverIDs {
-		remains, isNamed := isListed[uid]
-		if !isNamed {
-			remains = kind == control.ListPatch
+		staysListed, isInMessage := isListed[uid]
+		if !isInMessage {
+			staysListed = kind == control.ListPatch
 		}
-		if !remains {
+		if !staysListed {
 			l.forgetServer(uid, id)
 		}
 	}
@@ -150,8 +150,8 @@
 	id := endpoint.Server
 	isAvailable := endpoint.State == control.Active
 	if isAvailable { // an entry of any other state may hold no more than that
-		l.places[id] = serverPlace{endpoint.Zone, endpoint.Cell}
-		l.warmups.listed(id, startedAt)
+		l.locations[id] = serverLocation{endpoint.Zone, endpoint.Cell}
+		l.warmups.addServer(id, startedAt)
 	}
 	protocol := l.protocolOf(target)
 	pool := l.pools[id]
@@ -180,8 +180,8 @@
 func (l *loop) forgetServer(uid string, id uint32) {
 	l.retirePool(id)
 	delete(l.serverIDs, uid)
-	delete(l.places, id)
-	l.warmups.forget(id)
+	delete(l.locations, id)
+	l.warmups.removeServer(id)
 	if l.recorder != nil {
 		l.recorder.serverRemoved(id)
 	}
--- a/internal/service/event_recorder.go
+++ b/internal/service/event_recorder.go
@@ -57,7 +57,7 @@
 func (r *eventRecorder) serverRemoved(id uint32) { delete(r.servers, id) }
 
 // noteCause stores why the module ends a request until requestEnded, which follows at once.
-func (r *eventRecorder) noteCause(a control.Action) {
+func (r *eventRecorder) recordCause(a control.Action) {
 	switch a := a.(type) {
 	case control.Reject:
 		r.causes[a.ID] = a.Cause
--- a/internal/service/exchange.go
+++ b/internal/service/exchange.go
@@ -75,7 +75,7 @@
 
 // surelyNeverRan reports whether the request cannot have run at a server. It is called once all attempts are
 // withdrawn.
-func (x *Exchange) surelyNeverRan() bool {
+func (x *Exchange) cannotHaveRun() bool {
 	return !x.mayHaveRun && (x.inFlight == 0 || x.isUnwritten())
 }
 
--- a/internal/service/gate.go
+++ b/internal/service/gate.go
@@ -51,7 +51,7 @@
 }
 
 // reportLateEnd calls OnLateEnd, once.
-func (g *Gate) reportLateEnd(end LateEnd, x *Exchange) {
+func (g *Gate) reportLateOutcome(end LateEnd, x *Exchange) {
 	if g.OnLateEnd != nil {
 		g.OnLateEnd(end, time.Since(x.startedAt))
 		g.OnLateEnd = nil
@@ -111,7 +111,7 @@
 	gate.isAbandoned = true
 	switch {
 	case x.inFlight == 0:
-		gate.reportLateEnd(LateUnknown, x)
+		gate.reportLateOutcome(LateUnknown, x)
 	case gate.Linger > 0:
 		time.AfterFunc(gate.Linger, func() {
 			l.post(func() {
@@ -124,7 +124,7 @@
 }
 
 // endedLate reports an attempt that ended after its request was abandoned.
-func (x *Exchange) endedLate(o *upstream.Outcome) {
+func (x *Exchange) attemptEndedLate(o *upstream.Outcome) {
 	if x.Gate == nil || !x.Gate.isAbandoned {
 		return
 	}
@@ -135,5 +135,5 @@
 	case o.Reason == control.TimedOut || o.Reason == control.Cancelled || o.Reason == control.NotSent:
 		end = LateUnknown
 	}
-	x.Gate.reportLateEnd(end, x)
+	x.Gate.reportLateOutcome(end, x)
 }
--- a/internal/service/guard.go
+++ b/internal/service/guard.go
@@ -15,20 +15,20 @@
 // repeatGuard has the loop's record of an exchange's attempts, independently of its module, to check whether another
 // one may start.
 type repeatGuard struct {
-	firstRunAt time.Time   // when the first attempt that may have run was started; zero is none
-	place      serverPlace // of its server
+	firstRunAt time.Time      // when the first attempt that may have run was started; zero is none
+	location   serverLocation // of its server
 }
 
 // attemptEnded notes an attempt that has ended.
 func (g *repeatGuard) attemptEnded(job attemptJob, reason control.Reason) {
 	if mayHaveRun(reason) && g.firstRunAt.IsZero() {
 		g.firstRunAt = job.startedAt
-		g.place = job.place
+		g.location = job.location
 	}
 }
 
 // allows reports whether an attempt at a server may follow, and otherwise why not.
-func (g *repeatGuard) allows(class *control.Class, place serverPlace, now time.Time) (why string, ok bool) {
+func (g *repeatGuard) allows(class *control.Class, location serverLocation, now time.Time) (violation string, ok bool) {
 	if g.firstRunAt.IsZero() || class.Idempotency == control.Idempotent {
 		return "", true
 	}
@@ -39,16 +39,16 @@
 		return fmt.Sprintf("it may have run %v ago, its repeat window is %v", since, class.RepeatWindow), false
 	}
 	switch {
-	case class.KeyScope == control.ScopeZone && place.zone != g.place.zone:
-		return fmt.Sprintf("it may have run in zone %q, not %q", g.place.zone, place.zone), false
-	case class.KeyScope == control.ScopeCell && place.cell != g.place.cell:
-		return fmt.Sprintf("it may have run in cell %d, not %d", g.place.cell, place.cell), false
+	case class.KeyScope == control.ScopeZone && location.zone != g.location.zone:
+		return fmt.Sprintf("it may have run in zone %q, not %q", g.location.zone, location.zone), false
+	case class.KeyScope == control.ScopeCell && location.cell != g.location.cell:
+		return fmt.Sprintf("it may have run in cell %d, not %d", g.location.cell, location.cell), false
 	}
 	return "", true
 }
 
 // serverPlace is where a server drops repeats.
-type serverPlace struct {
+type serverLocation struct {
 	zone string
 	cell int
 }
@@ -60,23 +60,23 @@
 		return true
 	}
 	if x.inFlight > 0 {
-		why := fmt.Sprintf("attempt %d while %d are in flight", x.attemptCount, x.inFlight)
-		invariant.Violated(invariant.ParallelAttempt, x.Request.ID, why)
+		violation := fmt.Sprintf("attempt %d while %d are in flight", x.attemptCount, x.inFlight)
+		invariant.Violated(invariant.ParallelAttempt, x.Request.ID, violation)
 		return false
 	}
 	if l.maxAttempts > 0 && x.attemptCount >= l.maxAttempts {
-		why := fmt.Sprintf("attempt %d of %d", x.attemptCount+1, l.maxAttempts)
-		invariant.Violated(invariant.TooManyAttempts, x.Request.ID, why)
+		violation := fmt.Sprintf("attempt %d of %d", x.attemptCount+1, l.maxAttempts)
+		invariant.Violated(invariant.TooManyAttempts, x.Request.ID, violation)
 		return false
 	}
 	if class := l.classOf(x); class != nil {
-		if why, ok := x.repeats.allows(class, l.places[a.Server], now); !ok {
-			invariant.Violated(invariant.UnsafeRetry, x.Request.ID, why)
+		if violation, ok := x.repeats.allows(class, l.locations[a.Server], now); !ok {
+			invariant.Violated(invariant.UnsafeRetry, x.Request.ID, violation)
 			return false
 		}
 	}
-	if why, ok := l.warmups.attempt(a.Server, now); !ok {
-		invariant.Violated(invariant.SlowStartOverrun, x.Request.ID, why)
+	if violation, ok := l.warmups.countAttempt(a.Server, now); !ok {
+		invariant.Violated(invariant.SlowStartOverrun, x.Request.ID, violation)
 	}
 	return true
 }
@@ -99,8 +99,8 @@
 	if x.startedAt.After(dueAt) { // its deadline had passed when it was read
 		dueAt = x.startedAt
 	}
-	if late := time.Since(dueAt); late > lateAnswerGrace {
-		invariant.Violated(invariant.LateAnswer, x.Request.ID, fmt.Sprintf("%v after its deadline", late))
+	if lateness := time.Since(dueAt); lateness > lateAnswerGrace {
+		invariant.Violated(invariant.LateAnswer, x.Request.ID, fmt.Sprintf("%v after its deadline", lateness))
 	}
 }
 
@@ -145,7 +145,7 @@
 }
 
 // listed adds a server, or resets the counts of one that has restarted.
-func (g *warmupGuard) listed(server uint32, startedAt time.Time) {
+func (g *warmupGuard) addServer(server uint32, startedAt time.Time) {
 	rate := g.servers[server]
 	if rate == nil {
 		rate = &attemptRate{}
@@ -156,10 +156,10 @@
 	}
 }
 
-func (g *warmupGuard) forget(server uint32) { delete(g.servers, server) }
+func (g *warmupGuard) removeServer(server uint32) { delete(g.servers, server) }
 
 // attempt counts an attempt and reports whether it is within the budget, and otherwise why not.
-func (g *warmupGuard) attempt(server uint32, now time.Time) (why string, ok bool) {
+func (g *warmupGuard) countAttempt(server uint32, now time.Time) (violation string, ok bool) {
 	rate := g.servers[server]
 	if rate == nil || g.window <= 0 {
 		return "", true
@@ -176,9 +176,9 @@
 	fraction := g.initialCapacity + (1-g.initialCapacity)*age.Seconds()/g.warmupTime.Seconds()
 	allowed := g.multiple * fraction * g.peak * g.nodes
 	if limit := allowed + budgetSlack(allowed); sent > limit {
-		why = fmt.Sprintf("%.0f attempts within %v at a server that started %v ago, more than %.1f",
+		violation = fmt.Sprintf("%.0f attempts within %v at a server that started %v ago, more than %.1f",
 			sent, g.window, age, limit)
-		return why, false
+		return violation, false
 	}
 	return "", true
 }
--- a/internal/service/guard_test.go
+++ b/internal/service/guard_test.go
@@ -19,13 +19,13 @@
 func TestRepeatGuard(t *testing.T) {
 	const window = 5 * time.Second
 	startedAt := time.Now()
-	home, sameZone, otherZone := serverPlace{"z1", 1}, serverPlace{"z1", 2}, serverPlace{"z2", 3}
+	home, sameZone, otherZone := serverLocation{"z1", 1}, serverLocation{"z1", 2}, serverLocation{"z2", 3}
 	for _, tc := range []struct {
 		idempotency control.Idempotency
 		scope       control.KeyScope
 		reason      control.Reason
 		after       time.Duration
-		at          serverPlace
+		at          serverLocation
 		isAllowed   bool
 	}{
 		{control.Idempotent, 0, control.ResetByPeer, time.Minute, otherZone, true},
@@ -45,17 +45,17 @@
 	} {
 		class := control.Class{Idempotency: tc.idempotency, KeyScope: tc.scope, RepeatWindow: window}
 		var g repeatGuard
-		g.attemptEnded(attemptJob{startedAt: startedAt, place: home}, tc.reason)
-		g.attemptEnded(attemptJob{startedAt: startedAt.Add(time.Second), place: otherZone}, control.ResetByPeer) // the first one counts
+		g.attemptEnded(attemptJob{startedAt: startedAt, location: home}, tc.reason)
+		g.attemptEnded(attemptJob{startedAt: startedAt.Add(time.Second), location: otherZone}, control.ResetByPeer) // the first one counts
 		if mayHaveRun(tc.reason) {
-			if why, ok := g.allows(&class, tc.at, startedAt.Add(tc.after)); ok != tc.isAllowed {
-				t.Errorf("%+v: allowed %v, %s", tc, ok, why)
+			if violation, ok := g.allows(&class, tc.at, startedAt.Add(tc.after)); ok != tc.isAllowed {
+				t.Errorf("%+v: allowed %v, %s", tc, ok, violation)
 			}
 		}
 		g = repeatGuard{}
-		g.attemptEnded(attemptJob{startedAt: startedAt, place: home}, tc.reason)
-		if why, ok := g.allows(&class, tc.at, startedAt.Add(tc.after)); ok != tc.isAllowed {
-			t.Errorf("%+v: allowed %v, %s", tc, ok, why)
+		g.attemptEnded(attemptJob{startedAt: startedAt, location: home}, tc.reason)
+		if violation, ok := g.allows(&class, tc.at, startedAt.Add(tc.after)); ok != tc.isAllowed {
+			t.Errorf("%+v: allowed %v, %s", tc, ok, violation)
 		}
 	}
 }
@@ -100,19 +100,19 @@
 	} {
 		t.Run(fmt.Sprint(tc), func(t *testing.T) {
 			g := newWarmupGuard(&settings)
-			g.listed(1, time.Time{})
-			g.listed(2, startedAt.Add(-tc.age))
+			g.addServer(1, time.Time{})
+			g.addServer(2, startedAt.Add(-tc.age))
 			for range tc.warm {
-				g.attempt(1, startedAt)
+				g.countAttempt(1, startedAt)
 			}
 			isAllowed := true
 			for range tc.cold {
-				_, isAllowed = g.attempt(2, startedAt)
+				_, isAllowed = g.countAttempt(2, startedAt)
 			}
 			if isAllowed != tc.isAllowed {
 				t.Errorf("allowed: %v", isAllowed)
 			}
-			if _, ok := g.attempt(2, startedAt.Add(3*time.Second)); !ok {
+			if _, ok := g.countAttempt(2, startedAt.Add(3*time.Second)); !ok {
 				t.Error("attempts before the window count")
 			}
 		})
@@ -120,7 +120,7 @@
 }
 
 // A repeat of what may have run at a server that has left the list meanwhile is judged by where that server was.
-func TestGuardRemembersPlaceOfRemovedServer(t *testing.T) {
+func TestGuardRemembersLocationOfRemovedServer(t *testing.T) {
 	before := invariant.Violations(invariant.UnsafeRetry)
 	requested, release, repeated := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	first := testkit.NewApp(t, func(w http.ResponseWriter, r *http.Request) { close(requested); <-release; testkit.Reset(w, r) })
--- a/internal/service/handover.go
+++ b/internal/service/handover.go
@@ -36,10 +36,10 @@
 
 // HandOver is Checkpoint that hands over a part, from 0 to 1, of the remaining tokens to another process; see
 // control.Controller.HandOver. The shared hard limits are given to it completely.
-func (s *Service) HandOver(part float64) (state State, ok bool) {
+func (s *Service) HandOver(fraction float64) (state State, ok bool) {
 	l := s.currentLoop()
 	ok = l.useStatefulModule(func(m StatefulModule) {
-		state = l.newState(m.HandOver(l.now(), part))
+		state = l.newState(m.HandOver(l.now(), fraction))
 		l.resignLeases()
 	})
 	return state, ok
@@ -47,15 +47,15 @@
 
 // Rejoin undoes HandOver, or ends the sharing that Restore has started, after the other process has ended. given is
 // the state that this was given, if it is known to have spent nothing of it, and nil otherwise.
-func (s *Service) Rejoin(given *State) {
+func (s *Service) Rejoin(returned *State) {
 	l := s.currentLoop()
 	l.useStatefulModule(func(m StatefulModule) {
 		l.reclaimLeases()
-		if given == nil {
+		if returned == nil {
 			m.ReclaimRates(l.now(), nil)
 			return
 		}
-		checkpoint := l.translateServers(*given)
+		checkpoint := l.translateServers(*returned)
 		m.ReclaimRates(l.now(), &checkpoint)
 	})
 }
@@ -203,25 +203,25 @@
 		if module, isStateful := l.module.(StatefulModule); ok && isStateful {
 			module.Restore(l.now(), l.translateServers(t.State), trust)
 			if len(l.serverIDs) == 0 {
-				l.unlistedState = &unlistedState{t.State, trust}
+				l.pendingServerState = &pendingServerState{t.State, trust}
 			}
 		}
 	})
 }
 
 // unlistedState is a state that was restored before any server was listed.
-type unlistedState struct {
+type pendingServerState struct {
 	State
 	trust control.Trust
 }
 
 // restoreListedServers restores the servers of a state that was restored before the first endpoint list.
 func (l *loop) restoreListedServers() {
-	state := l.unlistedState
+	state := l.pendingServerState
 	if state == nil || len(l.serverIDs) == 0 {
 		return
 	}
-	l.unlistedState = nil
+	l.pendingServerState = nil
 	if module, ok := l.module.(serverRestorer); ok {
 		module.RestoreServers(l.now(), l.translateServers(state.State), state.trust)
 	}
@@ -241,7 +241,7 @@
 // accepts reports whether a request that was read by the rules of another service, which has these classes,
 // is served on the same terms here. A request of a class with an idempotency key is only accepted if it was
 // read as one, since otherwise nobody has checked that it has a key.
-func (s *Service) accepts(x *Exchange, readBy []control.Class) bool {
+func (s *Service) accepts(x *Exchange, parsedWith []control.Class) bool {
 	class, ok := s.Classes[x.Request.Class]
 	if !ok || x.Request.Units > s.MaxUnitsByPlan[x.Request.Plan] || x.Request.FanOut > s.GroupSize {
 		return false
@@ -252,7 +252,7 @@
 	if class.Idempotency != control.IdempotentWithKey {
 		return true
 	}
-	return slices.ContainsFunc(readBy, func(c control.Class) bool {
+	return slices.ContainsFunc(parsedWith, func(c control.Class) bool {
 		return c.Name == class.Name && c.Idempotency == class.Idempotency
 	})
 }
--- a/internal/service/hard_limits_test.go
+++ b/internal/service/hard_limits_test.go
@@ -17,16 +17,16 @@
 
 // memoryLeaseStore is a lease store without a network, which can be down.
 type memoryLeaseStore struct {
-	mu        sync.Mutex
-	counter   *quotalease.Store
-	startedAt time.Time
-	isDown    bool
-	gate      chan struct{} // calls wait until it is closed; nil lets them pass
+	mu           sync.Mutex
+	backend      *quotalease.Store
+	startedAt    time.Time
+	isDown       bool
+	blockedCalls chan struct{} // calls wait until it is closed; nil lets them pass
 }
 
 func (m *memoryLeaseStore) Call(_ context.Context, q *quotalease.StoreCall) (quotalease.StoreReply, error) {
 	m.mu.Lock()
-	hold := m.gate
+	hold := m.blockedCalls
 	m.mu.Unlock()
 	if hold != nil {
 		<-hold
@@ -36,27 +36,27 @@
 	if m.isDown {
 		return quotalease.StoreReply{}, errors.New("away")
 	}
-	return m.counter.Handle(time.Since(m.startedAt), *q), nil
+	return m.backend.Handle(time.Since(m.startedAt), *q), nil
 }
 
 // holdCalls has calls wait until releaseCalls.
 func (m *memoryLeaseStore) holdCalls() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.gate = make(chan struct{})
+	m.blockedCalls = make(chan struct{})
 }
 
 func (m *memoryLeaseStore) releaseCalls() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	close(m.gate)
-	m.gate = nil
+	close(m.blockedCalls)
+	m.blockedCalls = nil
 }
 
 func sharedLimitOptions(store *memoryLeaseStore, instances int) Options {
 	r := quotalease.Rules{Instances: instances, Term: time.Second, ReservationTime: 2 * time.Second, ResizeTime: 3 * time.Second}
-	if store.counter == nil {
-		store.counter, store.startedAt = quotalease.NewStore(r, "c"), time.Now()
+	if store.backend == nil {
+		store.backend, store.startedAt = quotalease.NewStore(r, "c"), time.Now()
 	}
 	return Options{SharedHardLimits: &SharedHardLimits{Rules: r, ByPlan: map[string]quotalease.HardLimit{"p": {Rate: 10, Burst: 20}}, StoreNames: []string{"c"}, Stores: []LeaseStore{store}}}
 }
@@ -286,10 +286,10 @@
 // is added only those move that are assigned to it.
 func TestCustomersSpreadOverLeaseStores(t *testing.T) {
 	assignments := func(names ...string) map[string]string {
-		g := newHardLimiter(&SharedHardLimits{Rules: quotalease.Rules{Instances: 1}, ByPlan: map[string]quotalease.HardLimit{"p": {}}, StoreNames: names, Stores: make([]LeaseStore, len(names))})
+		limiter := newHardLimiter(&SharedHardLimits{Rules: quotalease.Rules{Instances: 1}, ByPlan: map[string]quotalease.HardLimit{"p": {}}, StoreNames: names, Stores: make([]LeaseStore, len(names))})
 		all := make(map[string]string)
 		for i := range 30_000 {
-			n, key := g.storeFor("p", fmt.Sprintf("%016x", i))
+			n, key := limiter.storeFor("p", fmt.Sprintf("%016x", i))
 			all[key] = names[n]
 		}
 		return all
--- a/internal/service/helpers_test.go
+++ b/internal/service/helpers_test.go
@@ -87,18 +87,18 @@
 // bubble of synctest.
 func startService(t *testing.T, o Options) (*Service, <-chan error) {
 	t.Helper()
-	s, end := startStoppableService(t, o)
-	return s, end.ended
+	s, handle := startStoppableService(t, o)
+	return s, handle.ended
 }
 
 // serviceEnd is how a test ends a service, and the error of that.
-type serviceEnd struct {
+type serviceHandle struct {
 	stop  context.CancelFunc
 	ended <-chan error
 }
 
 // startStoppableService is startService of a service that the test may end before.
-func startStoppableService(t *testing.T, o Options) (*Service, serviceEnd) {
+func startStoppableService(t *testing.T, o Options) (*Service, serviceHandle) {
 	t.Helper()
 	if o.Settings.GroupSize == 0 {
 		o.Settings = testSettings()
@@ -113,7 +113,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run(ctx) }()
 	t.Cleanup(func() { stop(); synctest.Wait() })
-	return s, serviceEnd{stop, ended}
+	return s, serviceHandle{stop, ended}
 }
 
 // runService creates a service and runs it, in real time, until the test ends; that has to be without an error.
--- a/internal/service/loop.go
+++ b/internal/service/loop.go
@@ -51,11 +51,11 @@
 	serverIDs    map[string]uint32
 	lastServerID uint32
 	pools        map[uint32]*upstream.Pool // of the servers that take new requests
-	places       map[uint32]serverPlace    // of the listed servers
+	locations    map[uint32]serverLocation // of the listed servers
 
 	// unlistedState waits for the first server to be listed; nil is none.
-	unlistedState *unlistedState
-	warmups       warmupGuard
+	pendingServerState *pendingServerState
+	warmups            warmupGuard
 
 	jobs        chan attemptJob // unbuffered: only an idle worker receives; used by any goroutine
 	idleWorkers atomic.Int32    // used by any goroutine
@@ -99,7 +99,7 @@
 		exchanges:         make(map[string]*Exchange),
 		serverIDs:         make(map[string]uint32),
 		pools:             make(map[uint32]*upstream.Pool),
-		places:            make(map[uint32]serverPlace),
+		locations:         make(map[uint32]serverLocation),
 		warmups:           newWarmupGuard(&options.Settings),
 		jobs:              make(chan attemptJob),
 		openStreams:       options.Streams,
@@ -217,7 +217,7 @@
 			attempt.Withdraw()
 		}
 		answer := Answer{Kind: Failed, Status: http.StatusBadGateway}
-		if l.err == nil && x.surelyNeverRan() {
+		if l.err == nil && x.cannotHaveRun() {
 			answer = Answer{Kind: Rejected, Status: http.StatusServiceUnavailable, LastAttempt: x.lastReason}
 		}
 		l.finish(x, answer)
@@ -260,7 +260,7 @@
 // execute carries out one action of the module.
 func (l *loop) execute(a control.Action) {
 	if l.recorder != nil {
-		l.recorder.noteCause(a)
+		l.recorder.recordCause(a)
 	}
 	switch a := a.(type) {
 	case control.Send:
--- a/internal/service/loop_requests.go
+++ b/internal/service/loop_requests.go
@@ -10,7 +10,7 @@
 // begin accepts a client's request. It rejects one whose id another accepted request has. A request that
 // arrives after a replacement has taken the service's place is passed there, as the remaining tokens are
 // there, if the replacement has its class and plan too.
-func (l *loop) begin(x *Exchange) {
+func (l *loop) acceptRequest(x *Exchange) {
 	if l.replacement != nil && l.replacement.accepts(x, l.classes) {
 		x.answer <- Answer{replacement: l.replacement}
 		return
@@ -72,16 +72,16 @@
 
 // answerUnserved answers a request that was not served with the last response of a server, if there was one,
 // or else with an answer of the node's own. Nil, for a request that the loop does not have, is ignored.
-func (l *loop) answerUnserved(x *Exchange, own Answer) {
+func (l *loop) answerUnserved(x *Exchange, fallback Answer) {
 	if x == nil {
 		return
 	}
 	if last := &x.lastResponse; last.Status != 0 {
-		l.finish(x, Answer{Status: last.Status, Header: last.Header, Body: last.Body, clientHasLeft: own.clientHasLeft})
+		l.finish(x, Answer{Status: last.Status, Header: last.Header, Body: last.Body, clientHasLeft: fallback.clientHasLeft})
 		return
 	}
-	own.LastAttempt = x.lastReason
-	l.finish(x, own)
+	fallback.LastAttempt = x.lastReason
+	l.finish(x, fallback)
 }
 
 // finish gives a request its final answer, unless it has one, and releases it once it has ended.
--- a/internal/service/requests.go
+++ b/internal/service/requests.go
@@ -49,7 +49,7 @@
 func (s *Service) doOnce(ctx context.Context, x *Exchange) (Answer, bool) {
 	x.answer = make(chan Answer, 1)
 	l := s.currentLoop()
-	if !l.post(func() { l.begin(x) }) {
+	if !l.post(func() { l.acceptRequest(x) }) {
 		return s.Unavailable(), true
 	}
 	select {
@@ -72,7 +72,7 @@
 
 // Post has the service's event loop call a function between two events; false where the service has ended.
 // A panic in it counts as one of the module.
-func (s *Service) Post(do func()) bool { return s.currentLoop().post(do) }
+func (s *Service) Post(event func()) bool { return s.currentLoop().post(event) }
 
 // Alive reports whether the service's event loop executes events, waiting until ctx ends. A loop that has
 // ended counts as alive, as it may be about to restart.
--- a/internal/service/retry_departure_test.go
+++ b/internal/service/retry_departure_test.go
@@ -10,7 +10,7 @@
 )
 
 // retryAlways makes a further attempt at the first server after each that did not end its request.
-func retryAlways(e control.Event) []control.Action {
+func retryUntilFinal(e control.Event) []control.Action {
 	if r, ok := e.(control.AttemptResult); ok && !r.IsFinal {
 		return []control.Action{control.Send{ID: r.ID, Server: 1}}
 	}
@@ -18,9 +18,9 @@
 }
 
 // A further attempt of a request whose client has left since the first one is not written.
-func TestRetryOfDepartedClientIsNotSent(t *testing.T) {
+func TestRetryOfDisconnectedClientIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := startService(t, Options{NewModule: func() (Module, error) { return moduleFunc(retryAlways), nil }})
+		s, _ := startService(t, Options{NewModule: func() (Module, error) { return moduleFunc(retryUntilFinal), nil }})
 		synctest.Wait()
 		written, polled := 0, 0
 		x := newExchange("id-1")
--- a/internal/service/retry_outcomes_test.go
+++ b/internal/service/retry_outcomes_test.go
@@ -36,12 +36,12 @@
 }
 
 // connectionEnd is how a connection goes on after a response.
-type connectionEnd int
+type connectionAction int
 
 const (
-	staysOpen connectionEnd = iota
-	endsOrderly
-	isReset
+	keepOpen connectionAction = iota
+	closeGracefully
+	resetConnection
 )
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -49,10 +49,10 @@
 // scriptedServer answers its first request with some bytes, after which the connection goes on in some way,
 // and all others with okResponse.
 type scriptedServer struct {
-	first string
-	then  connectionEnd
-	mu    sync.Mutex
-	count int // of requests
+	first         string
+	afterResponse connectionAction
+	mu            sync.Mutex
+	count         int // of requests
 }
 
 // start listens until the test ends, and returns the address.
@@ -90,10 +90,10 @@
 			continue
 		}
 		_, _ = io.WriteString(c, s.first)
-		switch s.then {
-		case staysOpen:
+		switch s.afterResponse {
+		case keepOpen:
 			continue
-		case isReset:
+		case resetConnection:
 			_ = c.SetLinger(0)
 		}
 		return
@@ -118,25 +118,25 @@
 type firstResponse int
 
 const (
-	neverRan   firstResponse = iota // any class is sent again
-	mayHaveRan                      // an unsafe class is not
-	isFinal                         // it is the final answer
+	requestNeverRan   firstResponse = iota // any class is sent again
+	requestMayHaveRun                      // an unsafe class is not
+	responseIsFinal                        // it is the final answer
 )
 
 // firstAttempt is a way in which a first attempt can end.
 type firstAttempt struct {
-	text            string
-	then            connectionEnd
-	means           firstResponse
+	response        string
+	afterResponse   connectionAction
+	meaning         firstResponse
 	keepsConnection bool // for further requests
 }
 
 // expected is how often a request of a class is sent, and the status of its answer.
 func (f firstAttempt) expected(class string) (sends, status int) {
 	switch {
-	case f.means == isFinal:
+	case f.meaning == responseIsFinal:
 		return 1, http.StatusOK
-	case f.means == mayHaveRan && class == "unsafe":
+	case f.meaning == requestMayHaveRun && class == "unsafe":
 		return 1, http.StatusBadGateway
 	}
 	return 2, http.StatusOK
@@ -144,7 +144,7 @@
 
 // check sends a request of a class to a server whose first response is this one.
 func (f firstAttempt) check(t *testing.T, class string) {
-	server, sockets := &scriptedServer{first: f.text, then: f.then}, &connectionCounter{}
+	server, sockets := &scriptedServer{first: f.response, afterResponse: f.afterResponse}, &connectionCounter{}
 	s := runReadyService(t, Options{
 		Settings: threeClassSettings(time.Hour, time.Hour), Seed: 1, AnyMethod: true,
 		Source:   staticSource(server.start(t), "s-1", "s-2"), // of one cell, which share one server's script
@@ -172,22 +172,22 @@
 // opened once the unusable one is closed.
 func TestRetryFollowsOutcomeOfFirstAttempt(t *testing.T) {
 	for name, first := range map[string]firstAttempt{
-		"turned away":                 {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", staysOpen, neverRan, true},
-		"turned away, ended":          {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\n\r\nno", endsOrderly, neverRan, false},
-		"turned away, reset":          {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\n\r\nno", isReset, mayHaveRan, false},
-		"turned away in half a head":  {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n", staysOpen, mayHaveRan, false},
-		"503":                         {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", staysOpen, mayHaveRan, true},
-		"500 that says it never ran":  {"HTTP/1.1 500 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", staysOpen, mayHaveRan, true},
-		"nothing, ended":              {"", endsOrderly, mayHaveRan, false},
-		"nothing, reset":              {"", isReset, mayHaveRan, false},
-		"a head, reset":               {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", isReset, mayHaveRan, false},
-		"half a body, and silence":    {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\no", staysOpen, mayHaveRan, false},
-		"noise":                       {"noise\r\n" + okResponse, staysOpen, mayHaveRan, false},
-		"no length, and silence":      {"HTTP/1.1 200 OK\r\n\r\nok", staysOpen, mayHaveRan, false},
-		"no length, reset":            {"HTTP/1.1 200 OK\r\n\r\nok", isReset, mayHaveRan, false},
-		"no length, ended":            {"HTTP/1.1 200 OK\r\n\r\nok", endsOrderly, isFinal, false},
-		"whole, reset right behind":   {okResponse, isReset, isFinal, true},
-		"whole, with noise behind it": {okResponse + "HTTP", staysOpen, isFinal, false},
+		"turned away":                 {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", keepOpen, requestNeverRan, true},
+		"turned away, ended":          {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\n\r\nno", closeGracefully, requestNeverRan, false},
+		"turned away, reset":          {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\n\r\nno", resetConnection, requestMayHaveRun, false},
+		"turned away in half a head":  {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n", keepOpen, requestMayHaveRun, false},
+		"503":                         {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", keepOpen, requestMayHaveRun, true},
+		"500 that says it never ran":  {"HTTP/1.1 500 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", keepOpen, requestMayHaveRun, true},
+		"nothing, ended":              {"", closeGracefully, requestMayHaveRun, false},
+		"nothing, reset":              {"", resetConnection, requestMayHaveRun, false},
+		"a head, reset":               {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", resetConnection, requestMayHaveRun, false},
+		"half a body, and silence":    {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\no", keepOpen, requestMayHaveRun, false},
+		"noise":                       {"noise\r\n" + okResponse, keepOpen, requestMayHaveRun, false},
+		"no length, and silence":      {"HTTP/1.1 200 OK\r\n\r\nok", keepOpen, requestMayHaveRun, false},
+		"no length, reset":            {"HTTP/1.1 200 OK\r\n\r\nok", resetConnection, requestMayHaveRun, false},
+		"no length, ended":            {"HTTP/1.1 200 OK\r\n\r\nok", closeGracefully, responseIsFinal, false},
+		"whole, reset right behind":   {okResponse, resetConnection, responseIsFinal, true},
+		"whole, with noise behind it": {okResponse + "HTTP", keepOpen, responseIsFinal, false},
 	} {
 		for _, class := range []string{"safe", "keyed", "unsafe"} {
 			t.Run(name+", "+class, func(t *testing.T) {
--- a/internal/service/server_age_test.go
+++ b/internal/service/server_age_test.go
@@ -79,7 +79,7 @@
 }
 
 // A replacement has servers be as old as the service that it replaces.
-func TestServerAgeOutlastsReload(t *testing.T) {
+func TestServerAgeSurvivesReload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, newModule := newAgeRecorder()
 		original, _ := startService(t, Options{NewModule: newModule})
@@ -153,7 +153,7 @@
 }
 
 // A start that a late list tells holds, unless the wall clock was stepped since the service began.
-func TestStartBeforeLastListHoldsWithoutClockStep(t *testing.T) {
+func TestStartBeforeLastListIsKeptWithoutClockStep(t *testing.T) {
 	startedAt := readClocks()
 	after := func(d, step time.Duration) clockReading {
 		return clockReading{startedAt.monotonic.Add(d), startedAt.wall + d + step}
--- a/internal/service/server_removal_test.go
+++ b/internal/service/server_removal_test.go
@@ -20,14 +20,14 @@
 	app     *testkit.App
 	server  uint32                     // the module's number of it
 	listed  chan struct{}              // the module has been notified of a list
-	ended   chan control.AttemptResult // as the module has been notified of
+	results chan control.AttemptResult // as the module has been notified of
 	// sentBefore is how many requests the server has had before the one that waits.
 	sentBefore int
 }
 
 func newRemovalTest(t *testing.T, idempotency control.Idempotency) *removalTest {
 	r := &removalTest{
-		t: t, app: testkit.NewApp(t, testkit.Served), listed: make(chan struct{}, 10), ended: make(chan control.AttemptResult, 10),
+		t: t, app: testkit.NewApp(t, testkit.Served), listed: make(chan struct{}, 10), results: make(chan control.AttemptResult, 10),
 	}
 	o := Options{Settings: testSettings(), NewModule: moduleOf(moduleFunc(r.handle))}
 	o.Settings.Classes[0].Idempotency = idempotency
@@ -49,7 +49,7 @@
 	case control.Request:
 		return []control.Action{control.Send{ID: e.ID, Server: r.server}}
 	case control.AttemptResult:
-		if r.ended <- e; !e.IsFinal {
+		if r.results <- e; !e.IsFinal {
 			return []control.Action{control.Reject{ID: e.ID}}
 		}
 	}
@@ -94,7 +94,7 @@
 // removeAtWorker removes the server before a request's worker begins.
 func (r *removalTest) removeAtWorker(x *Exchange, list discovery.EndpointList) <-chan Answer {
 	b := newBarrier()
-	x.Forwarder = heldForwarder{x.Forwarder, b}
+	x.Forwarder = blockedForwarder{x.Forwarder, b}
 	answers := doInBackground(r.t.Context(), r.service, x)
 	testkit.Next(r.t, b.arrived)
 	r.remove(list)
@@ -107,7 +107,7 @@
 	if a, _ := r.service.Do(r.t.Context(), r.newExchange("before")); a.Status != http.StatusOK {
 		r.t.Fatalf("%+v", a)
 	}
-	testkit.Next(r.t, r.ended)
+	testkit.Next(r.t, r.results)
 	r.sentBefore = r.app.Count()
 	return r.removeAtWorker(x, list)
 }
@@ -144,10 +144,10 @@
 	if a := testkit.Next(r.t, answers); a.Kind != Rejected {
 		r.t.Errorf("%+v", a)
 	}
-	if e := testkit.Next(r.t, r.ended); e.Reason != control.ConnectFailed || e.IsFinal {
+	if e := testkit.Next(r.t, r.results); e.Reason != control.ConnectFailed || e.IsFinal {
 		r.t.Errorf("its attempt ended %+v", e)
 	}
-	if n := r.app.Count(); n != r.sentBefore || len(r.ended) > 0 {
-		r.t.Errorf("%d sent after the removal; further outcomes %d", n-r.sentBefore, len(r.ended))
+	if n := r.app.Count(); n != r.sentBefore || len(r.results) > 0 {
+		r.t.Errorf("%d sent after the removal; further outcomes %d", n-r.sentBefore, len(r.results))
 	}
 }
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -194,8 +194,8 @@
 		if a, _ := do(context.Background(), "no room"); a.Status != http.StatusServiceUnavailable || a.RetryAfter != time.Second {
 			t.Errorf("where there is no room: %+v", a)
 		}
-		if out, gave := limiter.acquired.Load(), limiter.released.Load(); out != 0 || gave != 3 {
-			t.Errorf("%d booked, %d given back", out, gave)
+		if stillReserved, releaseCount := limiter.acquired.Load(), limiter.released.Load(); stillReserved != 0 || releaseCount != 3 {
+			t.Errorf("%d booked, %d given back", stillReserved, releaseCount)
 		}
 	})
 }
--- a/internal/service/shutdown_test.go
+++ b/internal/service/shutdown_test.go
@@ -13,7 +13,7 @@
 )
 
 // endsWith is an attempt that ends at once.
-func endsWith(reason control.Reason, status int) func(context.Context) upstream.Outcome {
+func endsImmediately(reason control.Reason, status int) func(context.Context) upstream.Outcome {
 	return func(context.Context) upstream.Outcome { return upstream.Outcome{Reason: reason, Status: status} }
 }
 
@@ -47,7 +47,7 @@
 	if p.attempt != nil {
 		module = sendToFirstServer
 	}
-	s, end := startStoppableService(t, Options{Settings: set, NewModule: moduleOf(module)})
+	s, handle := startStoppableService(t, Options{Settings: set, NewModule: moduleOf(module)})
 	synctest.Wait() // it knows its server
 	x := newExchange("id-1")
 	x.Deadline = time.Now().Add(deadline)
@@ -59,7 +59,7 @@
 		s.Post(func() { panic("no such share") })
 		want = Failed
 	} else {
-		end.stop()
+		handle.stop()
 	}
 	if want == Failed {
 		status = http.StatusBadGateway
@@ -67,7 +67,7 @@
 	if a := <-answer; a.Kind != want || a.Status != status {
 		t.Errorf("%+v", a)
 	}
-	if err := <-end.ended; (err != nil) != panics {
+	if err := <-handle.ended; (err != nil) != panics {
 		t.Error(err)
 	}
 }
@@ -78,12 +78,12 @@
 func TestPendingRequestsAreAnsweredAtEnd(t *testing.T) {
 	requests := map[string]pendingRequest{
 		"nothing sent":   {nil, Rejected},
-		"refused":        {endsWith(control.RejectedByServer, http.StatusServiceUnavailable), Rejected},
-		"no connection":  {endsWith(control.ConnectFailed, 0), Rejected},
-		"given up":       {endsWith(control.NotSent, 0), Rejected},
-		"error":          {endsWith(control.Errored, http.StatusInternalServerError), Failed},
-		"reset":          {endsWith(control.ResetByPeer, 0), Failed},
-		"timed out":      {endsWith(control.TimedOut, 0), Failed},
+		"refused":        {endsImmediately(control.RejectedByServer, http.StatusServiceUnavailable), Rejected},
+		"no connection":  {endsImmediately(control.ConnectFailed, 0), Rejected},
+		"given up":       {endsImmediately(control.NotSent, 0), Rejected},
+		"error":          {endsImmediately(control.Errored, http.StatusInternalServerError), Failed},
+		"reset":          {endsImmediately(control.ResetByPeer, 0), Failed},
+		"timed out":      {endsImmediately(control.TimedOut, 0), Failed},
 		"out at the end": {neverAnswered, Failed},
 		"its connection": {neverConnects, Rejected},
 	}
@@ -104,7 +104,7 @@
 // reach their clients.
 func TestArrivedAnswersAreDeliveredAtEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, end := startStoppableService(t, Options{NewModule: moduleOf(moduleFunc(sendToFirstServer))})
+		s, handle := startStoppableService(t, Options{NewModule: moduleOf(moduleFunc(sendToFirstServer))})
 		synctest.Wait() // it knows its server
 		const n = 30    // enough that a random choice between answers and the end would lose some
 		arrived := make(chan struct{})
@@ -130,14 +130,14 @@
 		<-started
 		close(arrived)
 		synctest.Wait() // all are in the event queue
-		end.stop()
+		handle.stop()
 		close(goOn)
 		for range n {
 			if a := <-served; a.Kind != Served || a.Status != http.StatusOK {
 				t.Errorf("an answer that had come: %+v", a)
 			}
 		}
-		if err := <-end.ended; err != nil {
+		if err := <-handle.ended; err != nil {
 			t.Error(err)
 		}
 	})
--- a/internal/service/statistics_test.go
+++ b/internal/service/statistics_test.go
@@ -9,7 +9,7 @@
 )
 
 // countedIn names what counts one request of priority weight 2.5.
-func countedIn(f instancestats.Statistics) (names string) {
+func incrementedCounters(f instancestats.Statistics) (names string) {
 	for _, v := range []struct {
 		name string
 		is   bool
@@ -62,7 +62,7 @@
 			loop.requestEnded(x, tc.answer)
 			for range 2 { // while it runs, and after its end
 				f, ok := collector.Statistics().Since(before)
-				if got := countedIn(f); !ok || got != " "+tc.want || f.Requests != 1 || f.Units != 1.5 {
+				if got := incrementedCounters(f); !ok || got != " "+tc.want || f.Requests != 1 || f.Units != 1.5 {
 					t.Errorf("%s, not %s: %+v", got, tc.want, f)
 				}
 				if len(collector.loops) > 0 {
--- a/internal/service/unbegun_requests_test.go
+++ b/internal/service/unbegun_requests_test.go
@@ -14,7 +14,7 @@
 // TestClientLeavesUnbegunRequest checks that a service goes on, and answers its accepted request, where a
 // client leaves whose request was answered without having begun: another accepted request had its id, or it
 // went to the service's replacement.
-func TestClientLeavesUnbegunRequest(t *testing.T) {
+func TestClientDisconnectOfUnacceptedRequest(t *testing.T) {
 	for _, tc := range []struct {
 		name, id string
 		replaced bool
--- a/internal/service/withheld_retry_test.go
+++ b/internal/service/withheld_retry_test.go
@@ -19,7 +19,7 @@
 // TestAnswerAfterWithheldRetryTellsWhatRan checks that a request whose client seems to have left before a
 // retry is still answered, as the client may be there: as rejected, after which a retry is safe, only where
 // the attempt before did not run.
-func TestAnswerAfterWithheldRetryTellsWhatRan(t *testing.T) {
+func TestAnswerAfterWithheldRetryReportsWhetherRequestRan(t *testing.T) {
 	for name, tc := range map[string]struct {
 		first  http.HandlerFunc
 		kind   AnswerKind
