--- a/internal/service/answer.go
+++ b/internal/service/answer.go
@@ -24,18 +24,18 @@
 	Status      int
 	Header      http.Header // of the server's response; must not be changed
 	Body        []byte
-	Stream      *upstream.Stream // the body where it streams, which the receiver closes; nil otherwise
-	RetryAfter  time.Duration    // 0 is no advice
+	Stream      *upstream.Stream // a streamed body, which the receiver closes; nil for any other
+	RetryAfter  time.Duration    // advice to the client; 0 if there is none
 	Cause       control.Cause    // why the module rejected the request
 	LastAttempt control.Reason   // how the last attempt ended, in an answer of the node's own; 0 if there was none
 
 	replacement   *Service // not nil: the request has not started, and has to be passed to this service
-	clientHasLeft bool     // Do is to report that the client has left
+	clientHasLeft bool     // makes Do report that the client has disconnected
 }
 
-// discard closes an answer that has no receiver.
+// discard closes the stream of an answer that nobody will receive.
 func (a Answer) discard() {
 	if a.Stream != nil {
-		go a.Stream.Close() // it posts to the loop, which may be the caller and must not wait for itself
+		go a.Stream.Close() // Close posts to the loop, whose own goroutine must not wait for that
 	}
 }
--- a/internal/service/attempts.go
+++ b/internal/service/attempts.go
@@ -13,14 +13,14 @@
 	exchange  *Exchange
 	number    int // among the exchange's attempts
 	server    uint32
-	location  serverLocation // of the server, which may have left the list when the attempt ends
+	location  serverLocation // of the server, which may no longer be listed when the attempt ends
 	pool      *upstream.Pool
 	attempt   *upstream.Attempt
 	startedAt time.Time
 }
 
-// startAttempt carries out a Send: it passes an attempt to a worker. One that can't be made is reported to the
-// module as not sent.
+// startAttempt carries out a Send: it passes an attempt to a worker. An attempt that can't be made is reported to the
+// module as not sent, or as a failed connection if the server no longer takes requests.
 func (l *loop) startAttempt(a control.Send) {
 	x := l.exchanges[a.ID]
 	if x == nil {
@@ -45,7 +45,7 @@
 	mustNotSend := !isAllowed || x.isAnswered || ctx.Err() != nil
 	if pool == nil || mustNotSend {
 		attempt.Cancel()
-		reason := control.ConnectFailed // the server left the list meanwhile: another one may take the request
+		reason := control.ConnectFailed // the server was removed in the meantime: the request may go to another one
 		if mustNotSend {
 			reason = control.NotSent
 		}
@@ -76,9 +76,9 @@
 	})
 }
 
-// attemptContext returns the context of an attempt. It ends at the exchange's deadline, or sooner if the
-// module says so; where the rest of the request's body is still to arrive, which has time limits of its own, it ends with
-// the loop only.
+// attemptContext returns the context of an attempt. It ends at the exchange's deadline, or sooner if the module has
+// set a shorter timeout. While a part of the request body is still to arrive, which has time limits of its own, the
+// context has no deadline and ends with the loop.
 func (l *loop) attemptContext(x *Exchange, a control.Send) (ctx context.Context, cancel context.CancelFunc) {
 	deadline := x.Deadline
 	if a.Timeout > 0 && time.Until(deadline) > a.Timeout {
@@ -95,7 +95,7 @@
 	return ctx, cancel
 }
 
-// cancelAttempt carries out a CancelAttempt: it ends one attempt, or, where that waits at the gate, all that wait there.
+// cancelAttempt carries out a CancelAttempt: it cancels one attempt or, if the gate still defers it, all deferred ones.
 func (l *loop) cancelAttempt(a control.CancelAttempt) {
 	x := l.exchanges[a.ID]
 	switch {
@@ -107,7 +107,7 @@
 	}
 }
 
-// dispatch passes an attempt to an idle worker, or to a new one where none is idle.
+// dispatch passes an attempt to an idle worker, or to a new one if none is idle.
 func (l *loop) dispatch(job attemptJob) {
 	select {
 	case l.jobs <- job:
@@ -133,8 +133,8 @@
 	}
 }
 
-// runAttempt makes one attempt and reports its outcome; false where the loop has ended. The job is a copy of
-// its own, so that the outcome is never taken for that of the worker's next job.
+// runAttempt makes one attempt and reports its outcome. It returns false if the loop has ended. job is passed by
+// value, so that the posted function does not refer to the worker's next job.
 func (l *loop) runAttempt(job attemptJob) bool {
 	var o upstream.Outcome
 	if job.attempt.IsPending() { // no connection is made for one that was withdrawn
@@ -148,8 +148,8 @@
 	return l.post(func() { l.attemptEnded(job, o) })
 }
 
-// startStream reports a response whose body is still to arrive; false where the loop has ended. The attempt
-// ends when the stream does, which whoever serves the client reads and closes.
+// startStream reports a response whose body is still to arrive. It returns false if the loop has ended. The attempt
+// ends with the stream, which the receiver of the answer reads and closes.
 func (l *loop) startStream(job attemptJob, o upstream.Outcome) bool {
 	l.openStreams.add(o.Stream, job.exchange.Deadline)
 	o.Stream.OnEnd(func(end upstream.Outcome) {
@@ -165,8 +165,8 @@
 	return isPosted
 }
 
-// responseStarted handles the head of a streaming response. It is the final answer: once a byte of it may
-// have gone to the client there can be no other.
+// responseStarted handles the head of a streaming response. It is the final answer, as the client can get no other
+// answer once a byte of this one may have been sent to it.
 func (l *loop) responseStarted(job attemptJob, o upstream.Outcome) {
 	x := job.exchange
 	a := Answer{Status: o.Status, Header: o.Header, Stream: o.Stream}
@@ -221,7 +221,7 @@
 		if o.Status != 0 {
 			x.lastResponse = o
 		}
-		if !x.Forwarder.CanRetry() { // the beginning of its body is gone, whatever the module decides
+		if !x.Forwarder.CanRetry() { // the beginning of its body is no longer available, whatever the module decides
 			l.failRequest(x)
 		}
 	}
@@ -230,12 +230,12 @@
 	l.handle(response)
 }
 
-// mayHaveRun reports whether a request may have run at a server by an attempt that ended for some reason.
+// mayHaveRun reports whether an attempt that ended for this reason may have run the request.
 func mayHaveRun(reason control.Reason) bool {
 	return reason != control.RejectedByServer && reason != control.ConnectFailed && reason != control.NotSent
 }
 
-// observeAttemptEnd records and counts the end of an attempt where that is configured.
+// observeAttemptEnd passes the end of an attempt to the observers that are configured.
 func (l *loop) observeAttemptEnd(job attemptJob, o *upstream.Outcome, load *control.LoadReport) {
 	if l.recorder != nil {
 		l.recorder.attemptEnded(job, o, l.pools[job.server] != nil)
@@ -249,8 +249,8 @@
 	}
 }
 
-// observeLoad passes the group size estimator the load report of an attempt that has ended: how many requests
-// the server has in flight in addition to those of this node.
+// observeLoad passes the load report of an attempt that has ended to the group size estimator, with the number of
+// other attempts that this node has in flight at the server.
 func (l *loop) observeLoad(server uint32, load *control.LoadReport) {
 	inFlight := l.attemptsInFlight[server] - 1
 	l.attemptsInFlight[server] = inFlight
--- a/internal/service/attempts_test.go
+++ b/internal/service/attempts_test.go
@@ -15,8 +15,8 @@
 	"lockflow/internal/upstream"
 )
 
-// TestRetryAfterRepeatWindowIsNotSent checks that a retry whose connection comes up after the repeat window
-// is never written, and the module is notified that it was not sent.
+// TestRetryAfterRepeatWindowIsNotSent checks that a retry whose connection is established after the repeat window
+// is never written, and that the module is notified that it was not sent.
 func TestRetryAfterRepeatWindowIsNotSent(t *testing.T) {
 	app := testkit.NewApp(t, testkit.Served)
 	for name, tc := range map[string]struct {
@@ -59,9 +59,8 @@
 	}
 }
 
-// TestReplacementTakesUnbegunRequestOnlyWithItsKeyChecked checks that a request that a service has not begun
-// when it is replaced goes to the replacement, unless its class needs an idempotency key there and did not
-// before.
+// TestReplacementTakesUnacceptedRequestOnlyIfKeyWasChecked checks that a request that a service has not accepted
+// when it is replaced is passed to the replacement, unless its class needs an idempotency key only there.
 func TestReplacementTakesUnacceptedRequestOnlyIfKeyWasChecked(t *testing.T) {
 	effects := []control.Idempotency{control.IdempotentWithKey, control.NotIdempotent}
 	for _, from := range effects {
--- a/internal/service/client_departure_test.go
+++ b/internal/service/client_departure_test.go
@@ -16,7 +16,7 @@
 	"lockflow/internal/upstream"
 )
 
-// recordingController is a controller that records how attempts ended, by request id.
+// recordingController is a controller that records the results of attempts, by request id.
 type recordingController struct {
 	*control.Controller
 	mu      sync.Mutex
@@ -38,7 +38,7 @@
 	return n.results[id]
 }
 
-// barrier blocks all who pass it until it is opened; arrived is closed when the first one gets there.
+// barrier blocks the callers of pass until open is closed; arrived is closed when the first one calls it.
 type barrier struct {
 	arrived, open chan struct{}
 	once          sync.Once
@@ -48,7 +48,7 @@
 
 func (b *barrier) pass() { b.once.Do(func() { close(b.arrived) }); <-b.open }
 
-// slowLimiter is an Opener whose next connection waits at a barrier before it is opened.
+// blockingLimiter is a ConnectionLimiter that blocks the next connection at a barrier before it is opened.
 type blockingLimiter struct {
 	limits.ConnectionLimiter
 	mu       sync.Mutex
@@ -66,7 +66,7 @@
 	return s.ConnectionLimiter.TryAcquire()
 }
 
-// heldForwarder is a request whose worker waits at a barrier before it begins.
+// blockedForwarder is a request whose worker waits at a barrier before it makes the attempt.
 type blockedForwarder struct {
 	Forwarder
 	*barrier
@@ -77,7 +77,7 @@
 	return h.Forwarder.Attempt(ctx, life, u, p)
 }
 
-// watchedForwarder is a request that closes a channel when its attempt has ended.
+// notifyingForwarder is a request that closes a channel when its attempt has ended.
 type notifyingForwarder struct {
 	Forwarder
 	ended chan struct{}
@@ -88,14 +88,14 @@
 	return w.Forwarder.Attempt(ctx, life, u, p)
 }
 
-// clientFunc is a client that a test says of whether it is there.
+// clientFunc is a client for which a test decides whether it still waits.
 type clientFunc func() bool
 
 func (a clientFunc) IsWaiting() bool { return a() }
 
-// TestRequestOfDepartedClientIsNotSent checks that a request whose client leaves before it is written,
-// wherever it is then, is not written. The module is notified once that it was not sent, and the next request
-// is served.
+// TestRequestOfDisconnectedClientIsNotSent checks that a request whose client disconnects before it is written is
+// not written, whatever stage it has reached. The module is notified once that it was not sent, and the next
+// request is served.
 func TestRequestOfDisconnectedClientIsNotSent(t *testing.T) {
 	scenarios := map[string]func(r *disconnectTest, x *Exchange){
 		"its turn": func(r *disconnectTest, x *Exchange) { r.saturateServer(); r.disconnectAt(x, nil); r.unblockServer() },
@@ -149,8 +149,8 @@
 	}
 }
 
-// checkNotSent checks that nothing of the request "left" was sent, which its client left at some place, and
-// that the next request is served.
+// checkNotSent checks that nothing of the request "left" was sent, whose client disconnected while it was at place,
+// and that the next request is served.
 func (r *disconnectTest) checkNotSent(place string) {
 	testkit.Until(r.t, "its end", func() bool { return r.service.Status().Requests == 0 })
 	sent := r.module.resultsOf("left")
@@ -168,7 +168,7 @@
 	}
 }
 
-// departureTest is a service with one server, whose client leaves.
+// disconnectTest is a service with one server, whose client disconnects.
 type disconnectTest struct {
 	t               *testing.T
 	service         *Service
@@ -180,7 +180,7 @@
 	deadline        time.Duration
 	cancelClient    context.CancelFunc
 	blockedRequests sync.WaitGroup
-	unblockRequests chan struct{} // closed: the server answers the requests that fill it
+	unblockRequests chan struct{} // closed to have the server answer the requests that saturate it
 
 	mu              sync.Mutex
 	requestsSeen    []string
@@ -210,7 +210,7 @@
 	_, _ = w.Write([]byte("ok"))
 }
 
-// startService starts a service, which has the connections of another where it shares some.
+// startService starts a service, which uses the connections of another one unless shared is nil.
 func (r *disconnectTest) startService(shared *upstream.Upstream) *Service {
 	protocol := upstream.ProtocolHTTP1
 	if strings.HasSuffix(r.forwarder, "over HTTP/2") {
@@ -240,8 +240,8 @@
 	return x
 }
 
-// leaveAt has the client leave once its request has arrived at a barrier, which then opens, or, without one,
-// once the service has accepted it.
+// disconnectAt has the client disconnect when its request has arrived at the barrier place, which is then opened,
+// or, if place is nil, when the service has accepted the request.
 func (r *disconnectTest) disconnectAt(x *Exchange, place *barrier) {
 	ctx, cancel := context.WithCancel(r.t.Context())
 	r.cancelClient = cancel
@@ -264,8 +264,8 @@
 	}
 }
 
-// leaveBeforeEventRuns has the client leave once its request, or the opening of its gate, is in a loop's event
-// queue; the loop is notified of that only when the attempt that follows has ended.
+// disconnectBeforeEventRuns has the client disconnect when its request, or the opening of its gate, is in the event
+// queue of a loop. The loop is notified of the disconnect only after the resulting attempt has ended.
 func (r *disconnectTest) disconnectBeforeEventRuns(x *Exchange, target *Service, gate chan bool) {
 	ctx, cancel := context.WithCancel(r.t.Context())
 	done, over := make(chan bool, 1), make(chan struct{})
@@ -295,7 +295,7 @@
 	r.awaitDisconnectHandled(x)
 }
 
-// awaitClientLeft waits until the loop knows that the client has left.
+// awaitDisconnectHandled waits until the loop has answered x, as it does when it handles the client's disconnect.
 func (r *disconnectTest) awaitDisconnectHandled(x *Exchange) {
 	testkit.Until(r.t, "the loop to hear", func() bool {
 		done := make(chan bool)
@@ -303,14 +303,14 @@
 	})
 }
 
-// leaveUnnoticed has the client leave without an end of its context: only Exchange.Client says so.
+// disconnectUnnoticed has the client disconnect without an end of its context: only Exchange.Client reports it.
 func (r *disconnectTest) disconnectUnnoticed(x *Exchange) {
 	if a, ok := r.service.Do(r.t.Context(), x); ok {
 		r.t.Errorf("it has an answer: %+v", a)
 	}
 }
 
-// fillServer uses up the concurrency limit; emptyServer ends that.
+// saturateServer uses up the concurrency limit until unblockServer.
 func (r *disconnectTest) saturateServer() {
 	for i := range 2 {
 		r.blockedRequests.Go(func() { r.service.Do(r.t.Context(), r.newExchange(fmt.Sprint("f", i))) })
--- a/internal/service/deadlines_test.go
+++ b/internal/service/deadlines_test.go
@@ -15,7 +15,7 @@
 	"lockflow/internal/upstream"
 )
 
-// neverAnsweredInTime is an attempt that is written and times out.
+// timesOutAfterWrite is an attempt that is written and times out.
 func timesOutAfterWrite(ctx context.Context) upstream.Outcome {
 	if !upstream.Commit(ctx) {
 		return upstream.Outcome{Reason: control.NotSent}
@@ -30,15 +30,15 @@
 	return upstream.Outcome{Reason: control.RejectedByServer}
 }
 
-// deadlineTest is a service in some state as a request comes.
+// deadlineTest is the state of a service when a request arrives.
 type deadlineTest struct {
 	attempt        func(context.Context) upstream.Outcome
 	hasNoServer    bool          // no server is listed
-	isSaturated    bool          // others came before and are never answered
-	loopBlockedFor time.Duration // from right before the request
+	isSaturated    bool          // earlier requests take up all capacity and are never answered
+	loopBlockedFor time.Duration // starting right before the request
 }
 
-// start starts the service and brings it into its state. It returns the answers to the others.
+// start starts the service and brings it into its state. It returns the answers to the earlier requests.
 func (d deadlineTest) start(t *testing.T, idempotency control.Idempotency) (s *Service, others []<-chan Answer) {
 	const otherRequests = 50
 	set := testSettings()
@@ -61,7 +61,7 @@
 	return s, others
 }
 
-// doWithin has a service serve a request whose client waits for some time.
+// doWithin has a service serve a request whose client waits for the given time.
 func doWithin(s *Service, id string, wait time.Duration, attempt func(context.Context) upstream.Outcome) <-chan Answer {
 	x := newExchange(id)
 	x.Deadline, x.Forwarder = time.Now().Add(wait-DeadlineMargin), &scriptedForwarder{attempt: attempt}
@@ -69,7 +69,7 @@
 	return doInBackground(context.Background(), s, x)
 }
 
-// check has a request come whose client waits for some time.
+// check sends a request whose client waits for the given time, and checks its answer.
 func (d deadlineTest) check(t *testing.T, idempotency control.Idempotency, wait time.Duration) {
 	s, others := d.start(t, idempotency)
 	startedAt, sent := time.Now(), 0
@@ -93,9 +93,9 @@
 	}
 }
 
-// TestEveryRequestIsAnsweredByItsDeadline checks that whatever the service's state and however little time a
-// request has, it gets one answer before its client's deadline, or as soon as a loop that is busy for longer
-// goes on. A request that comes too late to be sent is rejected and not sent.
+// TestEveryRequestIsAnsweredByItsDeadline checks that a request gets one answer before its client's deadline,
+// whatever the service's state and however short the deadline, or when the loop continues if it was blocked for
+// longer. A request that arrives too late to be sent is rejected and not sent.
 func TestEveryRequestIsAnsweredByItsDeadline(t *testing.T) {
 	for name, test := range map[string]deadlineTest{
 		"no server":      {attempt: timesOutAfterWrite, hasNoServer: true},
@@ -115,13 +115,13 @@
 	}
 }
 
-// TestDepartedClientsBeyondEventQueueAreNotSent checks that, where more requests come than the event queue has
-// space for while the loop is blocked and every second client leaves before it goes on, no request of those is
-// sent, whether it was in the queue or not, and all others are served.
+// TestDisconnectedClientsBeyondEventQueueAreNotSent checks the case that more requests arrive than the event queue
+// has space for while the loop is blocked, and every second client disconnects before the loop continues. None of
+// the requests of these clients is sent, whether it was in the queue or not, and all others are served.
 func TestDisconnectedClientsBeyondEventQueueAreNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := startService(t, Options{NewModule: moduleOf(moduleFunc(sendToFirstServer))})
-		synctest.Wait() // it knows its server
+		synctest.Wait() // the module has got the endpoint list
 		hold := make(chan struct{})
 		s.Post(func() { <-hold })
 		synctest.Wait()
--- a/internal/service/endpoint_changes_test.go
+++ b/internal/service/endpoint_changes_test.go
@@ -10,7 +10,7 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// waitAt starts a request that waits at some place, and returns what lets it go on and its answer.
+// startWaitingAt starts a request that waits at place. It returns a function that resumes it, and its answer.
 func (r *disconnectTest) startWaitingAt(place string, x *Exchange) (goOn func(), answers <-chan Answer) {
 	at := newBarrier()
 	switch place {
@@ -35,7 +35,7 @@
 	return goOn, answers
 }
 
-// changeOf is an endpoint list that replaces the server s-1 by another one in some way.
+// replacingList returns an endpoint list that replaces the server s-1 with another one in the way named by kind.
 func replacingList(kind, other string) discovery.EndpointList {
 	up := discovery.Endpoint{UID: "s-2", Address: other, State: "up", Capacity: 1}
 	l := discovery.EndpointList{Revision: 2, IsComplete: kind == "whole", Endpoints: []discovery.Endpoint{up}}
@@ -49,17 +49,16 @@
 	return l
 }
 
-// TestServerDrainingOrGoneGetsNoWaitingRequest checks that a server that is draining, is gone or is listed at
-// another address while a request for it waits in the queue, at its gate, for its worker or for its
-// connection gets nothing of it. The request goes to another server, as it has not run, and so does the next
-// one.
+// TestDrainingOrRemovedServerGetsNoWaitingRequest checks that a server gets nothing of a request that waits in the
+// queue, at its gate, for its worker or for its connection when the server starts draining, is removed or is listed
+// at another address. The request has not run, so it goes to another server, and so does the next one.
 func TestDrainingOrRemovedServerGetsNoWaitingRequest(t *testing.T) {
 	check := func(t *testing.T, kind, place, class, by string) {
 		r := newDisconnectTest(t, class, by, time.Minute)
 		other := startBothProtocols(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("other")) })
 		goOn, answers := r.startWaitingAt(place, r.newExchange("drained"))
 		r.service.receiveEndpoints(replacingList(kind, other))
-		r.awaitDisconnectHandled(&Exchange{isAnswered: true}) // the list came before
+		r.awaitDisconnectHandled(&Exchange{isAnswered: true}) // waits for the list to be handled
 		goOn()
 		if a := testkit.Next(t, answers); a.Status != http.StatusOK {
 			t.Errorf("%+v", a)
@@ -82,9 +81,9 @@
 	}
 }
 
-// TestConnectionsToEarlierBootAreNotReused checks that a server that is listed with a later boot time has
-// restarted. An idle connection that was last used before is not reused, though nothing has shown its end, as
-// where a machine vanishes; one that was used since is.
+// TestConnectionsToEarlierBootAreNotReused checks that an idle connection that was last used before the server's boot
+// time is not reused, although it has not been closed, as when a machine vanishes. A connection that was used since
+// is reused.
 func TestConnectionsToEarlierBootAreNotReused(t *testing.T) {
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		for when, dials := range map[time.Duration]int{time.Hour: 2, -time.Hour: 1} {
--- a/internal/service/endpoints.go
+++ b/internal/service/endpoints.go
@@ -9,14 +9,14 @@
 	"lockflow/internal/upstream"
 )
 
-// SetSource has the service follow another source of its endpoint list. What the module has learned of a
+// SetSource switches the service to another source of its endpoint list. What the module has learned about a
 // server is retained if the new source lists the same uid.
 func (s *Service) SetSource(source discovery.Source) {
 	s.log.Info("endpoint list source changed", "address", source.Address, "file", source.Path)
 	s.feed.SetSource(source)
 }
 
-// Endpoints returns the endpoint list as the service has it now.
+// Endpoints returns the service's current endpoint list.
 func (s *Service) Endpoints() discovery.EndpointList {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,7 +51,7 @@
 }
 
 // receiveEndpoints handles a message of the source. The list is stored before the current loop is notified,
-// so that a loop which is started meanwhile has the message either way.
+// so that a loop that is started in between gets the message in either case.
 func (s *Service) receiveEndpoints(list discovery.EndpointList) {
 	s.mu.Lock()
 	s.mergeEndpoints(list)
@@ -64,7 +64,7 @@
 	s.postEndpoints(l, kind, list)
 }
 
-// postEndpoints notifies a loop of a list. The service is ready once a server is listed.
+// postEndpoints notifies a loop of a list. The service becomes ready when the first server is listed.
 func (s *Service) postEndpoints(l *loop, kind control.ListKind, list discovery.EndpointList) {
 	l.post(func() {
 		l.updateEndpoints(kind, list)
@@ -74,8 +74,8 @@
 	})
 }
 
-// updateEndpoints brings ids and connection pools in line with a message of the source and notifies the
-// module of it. Servers that are no longer listed are forgotten.
+// updateEndpoints applies a message of the source to the server ids and connection pools, and notifies the
+// module of it. Servers that are no longer listed are removed.
 func (l *loop) updateEndpoints(kind control.ListKind, list discovery.EndpointList) {
 	event := control.EndpointList{Kind: kind}
 	isListed := make(map[string]bool)
@@ -101,14 +101,14 @@
 			l.forgetServer(uid, id)
 		}
 	}
-	if kind != control.ListCached { // a cached one may be of any age
+	if kind != control.ListCached { // a cached list may be of any age
 		l.starts.listReceived(now.monotonic, l.serverIDs)
 	}
 	l.handle(event)
 	l.restoreListedServers()
 }
 
-// serverStart returns when a listed server started; zero for long ago.
+// serverStart returns when a listed server started; zero, which counts as long ago, if the list has no valid time.
 func (l *loop) serverStart(target *discovery.Endpoint, now clockReading) time.Time {
 	if !(target.StartedAtMS > 0 && target.StartedAtMS < maxBootMS) {
 		return time.Time{}
@@ -144,12 +144,12 @@
 	return endpoint
 }
 
-// updatePool makes a connection pool to the current endpoint of a server that takes new requests, and retires
-// the pool of one that does not, or that has moved.
+// updatePool creates a connection pool for a server that takes new requests, and retires the pool of a server that
+// does not, or whose address or protocol has changed.
 func (l *loop) updatePool(endpoint control.Endpoint, target *discovery.Endpoint, startedAt time.Time) {
 	id := endpoint.Server
 	isAvailable := endpoint.State == control.Active
-	if isAvailable { // an entry of any other state may hold no more than that
+	if isAvailable { // an entry in any other state may have no further fields
 		l.locations[id] = serverLocation{endpoint.Zone, endpoint.Cell}
 		l.warmups.addServer(id, startedAt)
 	}
@@ -160,7 +160,7 @@
 	case !isAvailable || pool.Endpoint != target.Address || pool.Protocol != protocol:
 		l.retirePool(id)
 	case endpoint.HasStartedAt:
-		// Connections that were open to a machine as it vanished are not known to have ended.
+		// Connections to a machine that vanished without closing them still seem to be open.
 		l.upstream.CloseIdleBefore(pool, startedAt)
 	}
 	if isAvailable && l.pools[id] == nil {
@@ -176,7 +176,7 @@
 	return upstream.Protocol(slices.Index(discovery.Protocols, target.Protocol))
 }
 
-// forgetServer drops what the loop has of a server that is no longer listed. Its id is not reused.
+// forgetServer removes a server that is no longer listed from the loop. Its id is not reused.
 func (l *loop) forgetServer(uid string, id uint32) {
 	l.retirePool(id)
 	delete(l.serverIDs, uid)
@@ -188,7 +188,7 @@
 }
 
 // retirePool closes the connections to a server, those in use when they are returned, and returns their
-// pool; nil where there was none.
+// pool; nil if there was none.
 func (l *loop) retirePool(server uint32) *upstream.Pool {
 	pool := l.pools[server]
 	if pool != nil {
@@ -198,7 +198,7 @@
 	return pool
 }
 
-// reconnect replaces the connections to a server by new ones.
+// reconnect replaces the connections to a server with new ones.
 func (l *loop) reconnect(server uint32) {
 	if pool := l.retirePool(server); pool != nil {
 		l.pools[server] = l.upstream.NewPool(pool.Endpoint, pool.Protocol)
--- a/internal/service/event_recorder.go
+++ b/internal/service/event_recorder.go
@@ -10,14 +10,14 @@
 	"lockflow/internal/upstream"
 )
 
-// minStateInterval is the time between two state lines at least. They are written as attempts end, so that an
+// minStateInterval is the minimum time between two state lines. They are written when attempts end, so that an
 // idle instance writes none and needs no timer.
 const minStateInterval = time.Second
 
-// Values of an event log line that are not known.
+// Values that stand for unknown ones in event log lines.
 const (
-	unknownAge    = -time.Millisecond // of a server that booted long ago
-	unknownReport = -1                // of a figure that the load report does not have
+	unknownAge    = -time.Millisecond // of a server without a boot time, which counts as booted long ago
+	unknownReport = -1                // of a value that is missing from the load report
 )
 
 // eventRecorder writes a loop's events to the event log. It is used by the loop's goroutine only.
@@ -56,7 +56,7 @@
 
 func (r *eventRecorder) serverRemoved(id uint32) { delete(r.servers, id) }
 
-// noteCause stores why the module ends a request until requestEnded, which follows at once.
+// recordCause stores why the module ends a request for requestEnded, which is called right after it.
 func (r *eventRecorder) recordCause(a control.Action) {
 	switch a := a.(type) {
 	case control.Reject:
@@ -88,7 +88,7 @@
 	r.writer.Request(line)
 }
 
-// attemptEnded writes the outcome of an attempt at a server that is still available or no longer is.
+// attemptEnded writes the outcome of an attempt. isAvailable is whether its server still takes new requests.
 func (r *eventRecorder) attemptEnded(job attemptJob, o *upstream.Outcome, isAvailable bool) {
 	server := r.servers[job.server]
 	line := eventlog.Attempt{
@@ -121,7 +121,7 @@
 	r.writer.Attempt(line)
 }
 
-// recordState writes the state of the loop, unless that was done within minStateInterval.
+// recordState writes the state of the loop, unless it was last written less than minStateInterval ago.
 func (r *eventRecorder) recordState(l *loop) {
 	now := time.Now()
 	if now.Sub(r.lastStateAt) < minStateInterval {
--- a/internal/service/exchange.go
+++ b/internal/service/exchange.go
@@ -21,8 +21,8 @@
 	// Attempt makes one attempt at a server and returns when that has ended, at the latest when ctx does. A
 	// streaming response continues until lifetime ends.
 	Attempt(ctx, lifetime context.Context, connections *upstream.Upstream, pool *upstream.Pool) upstream.Outcome
-	// IsBodyPending reports whether a part of the request is still to arrive from its client. The time of an
-	// attempt then counts from its arrival.
+	// IsBodyPending reports whether a part of the request body is still to arrive from the client. The time limit
+	// of an attempt then starts once the body has arrived.
 	IsBodyPending() bool
 	// CanRetry reports whether the complete request is available for another attempt.
 	CanRetry() bool
@@ -34,46 +34,46 @@
 	Request   control.Request // the service sets its Timeout
 	Forwarder Forwarder
 	Deadline  time.Time // when attempts are stopped
-	Gate      *Gate     // nil starts attempts as the module decides
-	// Client reports right before an attempt is written whether it still waits. A nil one waits until Do's ctx ends.
+	Gate      *Gate     // nil starts attempts as soon as the module decides on them
+	// Client is asked right before an attempt is written whether the client still waits. If nil, it waits until Do's ctx ends.
 	Client upstream.Client
 
-	clientContext context.Context // the ctx of Do, which ends when the client leaves; read by attempts
-	answer        chan Answer     // has space for the one final answer
+	clientContext context.Context // the ctx of Do, which ends when the client disconnects; read by attempts
+	answer        chan Answer     // buffered, for the one final answer
 
-	// The resources that Service.Admit reserved are released when the last of the two users has released
-	// them: the caller of Do and the loop.
+	// The resources that Service.Admit reserved have two users, the caller of Do and the loop. They are released
+	// when both have released them.
 	references       atomic.Int32
-	releaseResources func() // nil where nothing is reserved
+	releaseResources func() // nil if nothing is reserved
 
 	// The fields below belong to the loop that has accepted the request.
 
-	isRetained   bool // the loop is one of the references
+	isRetained   bool // the loop holds one of the references
 	startedAt    time.Time
-	isAnswered   bool                // or its client has left
+	isAnswered   bool                // or its client has disconnected
 	attemptCount int                 // attempts that the module has decided on
 	inFlight     int                 // attempts without an outcome yet
 	mayHaveRun   bool                // by an attempt that has ended; one in flight may have run too
-	attempts     []*upstream.Attempt // by number; nil is one that was never made
+	attempts     []*upstream.Attempt // by number; nil if it was never made
 	lastReason   control.Reason      // how the last attempt ended; 0 is none yet
 	lastResponse upstream.Outcome    // the last response of a server that was not final
-	classCounts  *ClassCounts        // nil where nothing is counted
+	classCounts  *ClassCounts        // nil if nothing is counted
 	charge       hardLimitCharge
 	repeats      repeatGuard
 }
 
-// IsWaiting reports whether the client still waits for the answer. Package net/http notices a client that has
-// left with a delay, and not at all where it has sent more than this request; Client reports it sooner.
+// IsWaiting reports whether the client still waits for the answer. Package net/http detects a disconnect with a
+// delay, and not at all if the client has sent more bytes after this request; Client detects it sooner.
 func (x *Exchange) IsWaiting() bool {
 	return x.clientContext.Err() == nil && (x.Client == nil || x.Client.IsWaiting())
 }
 
-// isUnwritten reports whether no attempt was written, nor can be any more once all are withdrawn.
+// isUnwritten reports whether no attempt has been written. After all are withdrawn, none will be.
 func (x *Exchange) isUnwritten() bool {
 	return !slices.ContainsFunc(x.attempts, (*upstream.Attempt).IsSent)
 }
 
-// surelyNeverRan reports whether the request cannot have run at a server. It is called once all attempts are
+// cannotHaveRun reports whether the request cannot have run at a server. It is called after all attempts are
 // withdrawn.
 func (x *Exchange) cannotHaveRun() bool {
 	return !x.mayHaveRun && (x.inFlight == 0 || x.isUnwritten())
@@ -105,7 +105,7 @@
 	}
 }
 
-// discardAnswer discards an answer to a client that has left.
+// discardAnswer discards the answer, if there is one, to a client that has disconnected.
 func (x *Exchange) discardAnswer() {
 	select {
 	case a := <-x.answer:
--- a/internal/service/gate.go
+++ b/internal/service/gate.go
@@ -8,17 +8,17 @@
 	"lockflow/internal/upstream"
 )
 
-// Gate defers the attempts of a request that is one of several until the module has admitted all of them, and
-// reports how an attempt ends after the request was abandoned. The event loop calls its functions, which must
-// not block.
+// Gate defers the attempts of a request that is one of several, as in a scatter-gather, until the module has
+// admitted all of them. It also reports how the last attempt of an abandoned request ends. The event loop calls
+// its functions, which must not block.
 type Gate struct {
-	// OnDecision is called once with whether the module has admitted the request; where it has not, its
-	// answer is available to Do. It may not be called where Do returns at once.
+	// OnDecision is called once, with whether the module has admitted the request. If it has not, Do returns
+	// the answer. OnDecision may not be called at all if Do returns at once.
 	OnDecision func(isAdmitted bool)
-	// OnLateEnd is called once after the request was abandoned, with how its last attempt ended and the time
-	// since the request started; at once with LateUnknown where no attempt is in flight. It may be nil.
+	// OnLateEnd is called once after the request was abandoned: with the outcome of its last attempt and the time
+	// since the request started, or immediately with LateUnknown if no attempt is in flight. It may be nil.
 	OnLateEnd func(end LateEnd, duration time.Duration)
-	// Linger limits the time for which attempts go on after the request was abandoned; 0 is no limit.
+	// Linger limits the time for which attempts continue after the request was abandoned; 0 is no limit.
 	Linger time.Duration
 
 	// The fields below belong to the event loop.
@@ -35,12 +35,12 @@
 
 // The late ends.
 const (
-	LateUnknown LateEnd = iota // it was stopped before its end was known
+	LateUnknown LateEnd = iota // the attempt was stopped before its outcome was known
 	LateServed
 	LateFailed
 )
 
-// notify calls OnDecision, once.
+// notify calls OnDecision unless it was called before.
 func (g *Gate) notify(l *loop, isAdmitted bool) {
 	if g == nil || g.isNotified {
 		return
@@ -50,7 +50,7 @@
 	g.OnDecision(isAdmitted)
 }
 
-// reportLateEnd calls OnLateEnd, once.
+// reportLateOutcome calls OnLateEnd unless it was called before.
 func (g *Gate) reportLateOutcome(end LateEnd, x *Exchange) {
 	if g.OnLateEnd != nil {
 		g.OnLateEnd(end, time.Since(x.startedAt))
@@ -58,7 +58,7 @@
 	}
 }
 
-// OpenGate starts the deferred attempts of a request, and defers no more of them. It is called after
+// OpenGate starts the deferred attempts of a request; later ones are not deferred. It is called after
 // Gate.OnDecision(true).
 func (x *Exchange) OpenGate() {
 	l := x.Gate.loop
@@ -73,7 +73,7 @@
 	})
 }
 
-// deferSend defers an attempt while the gate is shut, and reports whether it is.
+// deferSend defers an attempt if the gate is still closed, and reports whether it did.
 func (x *Exchange) deferSend(a control.Send) bool {
 	if x.Gate == nil || x.Gate.isOpen || x.isAnswered {
 		return false
@@ -102,7 +102,7 @@
 	x.Gate.pendingSends = nil
 }
 
-// abandonAttempts has the attempts of an abandoned request end within Gate.Linger.
+// abandonAttempts marks a request as abandoned at its gate and has its attempts end within Gate.Linger.
 func (l *loop) abandonAttempts(x *Exchange) {
 	gate := x.Gate
 	if gate == nil {
@@ -123,7 +123,7 @@
 	}
 }
 
-// endedLate reports an attempt that ended after its request was abandoned.
+// attemptEndedLate reports the outcome of an attempt that ended after its request was abandoned.
 func (x *Exchange) attemptEndedLate(o *upstream.Outcome) {
 	if x.Gate == nil || !x.Gate.isAbandoned {
 		return
--- a/internal/service/guard.go
+++ b/internal/service/guard.go
@@ -9,17 +9,17 @@
 	"lockflow/internal/invariant"
 )
 
-// lateAnswerGrace is how long after its deadline a request may be answered before it counts as lost.
+// lateAnswerGrace is how long after its deadline a request may be answered without violating invariant.LateAnswer.
 const lateAnswerGrace = 500 * time.Millisecond
 
-// repeatGuard has the loop's record of an exchange's attempts, independently of its module, to check whether another
-// one may start.
+// repeatGuard records which attempt of an exchange may have run the request first. It checks, independently of the
+// module, that a further attempt is safe.
 type repeatGuard struct {
-	firstRunAt time.Time      // when the first attempt that may have run was started; zero is none
+	firstRunAt time.Time      // start of the first attempt that may have run the request; zero if there is none
 	location   serverLocation // of its server
 }
 
-// attemptEnded notes an attempt that has ended.
+// attemptEnded records an attempt that has ended.
 func (g *repeatGuard) attemptEnded(job attemptJob, reason control.Reason) {
 	if mayHaveRun(reason) && g.firstRunAt.IsZero() {
 		g.firstRunAt = job.startedAt
@@ -27,7 +27,7 @@
 	}
 }
 
-// allows reports whether an attempt at a server may follow, and otherwise why not.
+// allows reports whether a further attempt at a server in location is safe; if it is not, violation is the reason.
 func (g *repeatGuard) allows(class *control.Class, location serverLocation, now time.Time) (violation string, ok bool) {
 	if g.firstRunAt.IsZero() || class.Idempotency == control.Idempotent {
 		return "", true
@@ -47,14 +47,15 @@
 	return "", true
 }
 
-// serverPlace is where a server drops repeats.
+// serverLocation is where a server is: control.KeyScope limits the recognition of idempotency keys to a zone or cell.
 type serverLocation struct {
 	zone string
 	cell int
 }
 
-// guardAttempt checks an attempt that the module has decided on, by the loop's own knowledge. An attempt that could run
-// a request twice, while another is in flight, or that is one too many must not be made.
+// guardAttempt checks an attempt that the module has decided on against the loop's own records. It returns false for an
+// attempt that must not be made: while another one is in flight, beyond the maximum number of attempts, or where it
+// could run a request twice. An attempt beyond the budget of a server's slow start is only reported.
 func (l *loop) guardAttempt(x *Exchange, a control.Send, now time.Time) (ok bool) {
 	if x.isAnswered { // startAttempt makes none then
 		return true
@@ -90,13 +91,14 @@
 	return nil
 }
 
-// guardAnswer checks the time of a final answer.
+// guardAnswer reports a final answer that is too late. Streams and requests whose body was pending are exempt, as they
+// have other time limits, and so are answers to clients that have disconnected.
 func (l *loop) guardAnswer(x *Exchange, a Answer) {
 	if a.Status == 0 || a.Stream != nil || x.Request.HasPendingBody {
 		return
 	}
 	dueAt := x.Deadline
-	if x.startedAt.After(dueAt) { // its deadline had passed when it was read
+	if x.startedAt.After(dueAt) { // the deadline had passed before the request was accepted
 		dueAt = x.startedAt
 	}
 	if lateness := time.Since(dueAt); lateness > lateAnswerGrace {
@@ -105,16 +107,16 @@
 }
 
 const (
-	warmupBuckets = 4  // of the overload window, in which attempts are counted
-	maxBudgetBase = 30 // attempts from which on the narrower slack applies
+	warmupBuckets = 4  // into which the overload window is divided to count attempts
+	maxBudgetBase = 30 // budget in attempts from which budgetSlack is the narrower one
 
-	peakTime = time.Minute // after which a lower rate replaces the peak
+	peakTime = time.Minute // after which a lower count replaces the peak
 )
 
 // warmupGuard counts the attempts at each server, and compares those at a server that is warming up with what all nodes
 // together may send it: the overload multiple of its present capacity over the overload window, and a statistical slack.
-// Its full capacity is taken as the recent peak of this node's busiest warm server, times the nodes. One node can't
-// exceed that alone unless its module is at fault. The loop's goroutine alone uses it.
+// Its full capacity is estimated as the recent peak of this node's busiest warm server, times the number of nodes. A
+// single node exceeds this budget only if its module is at fault. Only the loop's goroutine uses it.
 type warmupGuard struct {
 	window          time.Duration // 0 counts nothing
 	nodes           float64
@@ -144,7 +146,7 @@
 	}
 }
 
-// listed adds a server, or resets the counts of one that has restarted.
+// addServer adds a server, or resets the counts of one that has restarted.
 func (g *warmupGuard) addServer(server uint32, startedAt time.Time) {
 	rate := g.servers[server]
 	if rate == nil {
@@ -158,7 +160,7 @@
 
 func (g *warmupGuard) removeServer(server uint32) { delete(g.servers, server) }
 
-// attempt counts an attempt and reports whether it is within the budget, and otherwise why not.
+// countAttempt counts an attempt and reports whether it is within the budget; if it is not, violation is the reason.
 func (g *warmupGuard) countAttempt(server uint32, now time.Time) (violation string, ok bool) {
 	rate := g.servers[server]
 	if rate == nil || g.window <= 0 {
@@ -183,7 +185,8 @@
 	return "", true
 }
 
-// budgetSlack is how far a number of attempts may exceed its mean by random variation.
+// budgetSlack returns by how much a number of attempts may exceed its mean through random variation: about three
+// standard deviations of a Poisson distribution, or two from maxBudgetBase on.
 func budgetSlack(attempts float64) float64 {
 	if attempts < maxBudgetBase {
 		return 3 * math.Sqrt(attempts+3)
--- a/internal/service/guard_test.go
+++ b/internal/service/guard_test.go
@@ -15,7 +15,7 @@
 	"lockflow/internal/upstream"
 )
 
-// A repeat is allowed only where it can't run a request twice, whatever the module goes by.
+// Guards against a further attempt that could run a request twice, whatever the module's own rules are.
 func TestRepeatGuard(t *testing.T) {
 	const window = 5 * time.Second
 	startedAt := time.Now()
@@ -46,7 +46,7 @@
 		class := control.Class{Idempotency: tc.idempotency, KeyScope: tc.scope, RepeatWindow: window}
 		var g repeatGuard
 		g.attemptEnded(attemptJob{startedAt: startedAt, location: home}, tc.reason)
-		g.attemptEnded(attemptJob{startedAt: startedAt.Add(time.Second), location: otherZone}, control.ResetByPeer) // the first one counts
+		g.attemptEnded(attemptJob{startedAt: startedAt.Add(time.Second), location: otherZone}, control.ResetByPeer) // only the first one that may have run counts
 		if mayHaveRun(tc.reason) {
 			if violation, ok := g.allows(&class, tc.at, startedAt.Add(tc.after)); ok != tc.isAllowed {
 				t.Errorf("%+v: allowed %v, %s", tc, ok, violation)
@@ -60,7 +60,7 @@
 	}
 }
 
-// An attempt that a module decides on against the rules is not made, and is counted.
+// An attempt that violates the rules is not made, although the module decided on it, and is counted as a violation.
 func TestGuardWithholdsUnsafeAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		before := invariant.Violations(invariant.ParallelAttempt)
@@ -82,7 +82,7 @@
 	})
 }
 
-// Attempts at a server that warms up are held against the busiest warm one.
+// Attempts at a server that is warming up are limited in proportion to those at the busiest warm server.
 func TestWarmupGuard(t *testing.T) {
 	settings := control.Settings{GroupSize: 1, OverloadWindow: 2 * time.Second, OverloadMultiple: 2, WarmupTime: 10 * time.Second, InitialCapacity: 0.2}
 	startedAt := time.Now()
@@ -93,10 +93,10 @@
 	}{
 		{0, 5, 0, true},
 		{0, 6, 0, false},
-		{100, 52, 0, true}, // 2 x 0.2 x 100 and 2 x root of 42
+		{100, 52, 0, true}, // 2 x 0.2 x 100, plus 2 x the square root of 42
 		{100, 53, 0, false},
 		{100, 54, 5 * time.Second, true},
-		{0, 200, 10 * time.Second, true}, // it is warm
+		{0, 200, 10 * time.Second, true}, // the server has warmed up
 	} {
 		t.Run(fmt.Sprint(tc), func(t *testing.T) {
 			g := newWarmupGuard(&settings)
@@ -119,7 +119,8 @@
 	}
 }
 
-// A repeat of what may have run at a server that has left the list meanwhile is judged by where that server was.
+// Guards against a false violation: a retry in the same cell is allowed although the server of the first attempt, which
+// may have run the request, was removed from the list before that attempt ended.
 func TestGuardRemembersLocationOfRemovedServer(t *testing.T) {
 	before := invariant.Violations(invariant.UnsafeRetry)
 	requested, release, repeated := make(chan struct{}), make(chan struct{}), make(chan struct{})
@@ -155,7 +156,7 @@
 	go func() { s.Do(t.Context(), x); close(done) }()
 	testkit.Next(t, requested)
 	s.receiveEndpoints(discovery.EndpointList{IsComplete: true, Endpoints: []discovery.Endpoint{endpoint("s-2", second)}})
-	s.Status() // a round through the loop
+	s.Status() // waits until the loop has handled the list
 	close(release)
 	testkit.Next(t, repeated)
 	testkit.Next(t, done)
--- a/internal/service/handover.go
+++ b/internal/service/handover.go
@@ -9,15 +9,15 @@
 	"lockflow/internal/upstream"
 )
 
-// State is what a service has spent and learned. It can be stored, and restored by another process.
+// State is what a service has spent of its quotas and learned. It can be stored, and restored by another process.
 type State struct {
 	Checkpoint control.Checkpoint `cbor:"checkpoint"`
 	Servers    map[uint32]string  `cbor:"servers"` // the uid of each server number in Checkpoint
-	// Starts are the starts of the servers that started at a known time, by uid.
+	// Starts are the start times of servers, where known, by uid.
 	Starts map[string]ServerStart `cbor:"starts,omitempty"`
 }
 
-// shift moves the times of a state, which was taken at some time on the module's clock of now, to that clock.
+// shift converts the times of a state to this process's module clock, on which the state was taken at takenAt.
 func (s *State) shift(takenAt time.Duration) {
 	difference := takenAt - s.Checkpoint.At
 	s.Checkpoint.Shift(difference)
@@ -27,15 +27,15 @@
 	}
 }
 
-// Checkpoint returns what the service has spent and learned; false where it has ended.
+// Checkpoint returns the state of the service. It returns false if the service has ended or its module has no state.
 func (s *Service) Checkpoint() (state State, ok bool) {
 	l := s.currentLoop()
 	ok = l.useStatefulModule(func(m StatefulModule) { state = l.newState(m.Checkpoint(l.now())) })
 	return state, ok
 }
 
-// HandOver is Checkpoint that hands over a part, from 0 to 1, of the remaining tokens to another process; see
-// control.Controller.HandOver. The shared hard limits are given to it completely.
+// HandOver is like Checkpoint, but hands over a fraction, from 0 to 1, of the remaining tokens to another process; see
+// control.Controller.HandOver. The leases of shared hard limits are handed over completely.
 func (s *Service) HandOver(fraction float64) (state State, ok bool) {
 	l := s.currentLoop()
 	ok = l.useStatefulModule(func(m StatefulModule) {
@@ -45,8 +45,8 @@
 	return state, ok
 }
 
-// Rejoin undoes HandOver, or ends the sharing that Restore has started, after the other process has ended. given is
-// the state that this was given, if it is known to have spent nothing of it, and nil otherwise.
+// Rejoin ends the split of quotas that HandOver or Restore has started, after the other process has ended. returned is
+// the state that is known to be left unspent by that process; nil if that is not known.
 func (s *Service) Rejoin(returned *State) {
 	l := s.currentLoop()
 	l.useStatefulModule(func(m StatefulModule) {
@@ -60,20 +60,20 @@
 	})
 }
 
-// Restore has the service start from a state of another process that was taken some time ago. It is called before the
-// service's first request. The state is the service's from then on.
+// Restore has the service start from the state of another process, which was taken age ago. It is called before the
+// service's first request. The caller must not use the state afterwards.
 func (s *Service) Restore(state State, age time.Duration, trust control.Trust) {
 	state.shift(s.clock.now() - age)
 	s.restoreFrom(func() (transfer, bool) { return transfer{State: state}, true }, trust)
 }
 
-// PredecessorEnded reports that the process whose place this service has taken has ended.
+// PredecessorEnded notifies the module that the process that this one succeeds has ended.
 func (s *Service) PredecessorEnded() {
 	s.currentLoop().useStatefulModule(StatefulModule.PredecessorEnded)
 }
 
-// useStatefulModule calls a function with the module between two events and waits for it; false where the
-// loop has ended or its module is not a StatefulModule.
+// useStatefulModule calls a function with the module between two events and waits for it. It returns false if
+// the loop has ended or its module is not a StatefulModule.
 func (l *loop) useStatefulModule(use func(StatefulModule)) bool {
 	module, ok := l.module.(StatefulModule)
 	if !ok {
@@ -95,7 +95,7 @@
 	}
 }
 
-// newState adds the uids of its servers to a checkpoint.
+// newState returns a checkpoint with the uids and start times of its servers.
 func (l *loop) newState(checkpoint control.Checkpoint) State {
 	state := State{
 		Checkpoint: checkpoint,
@@ -108,8 +108,8 @@
 	return state
 }
 
-// translateServers returns the checkpoint of a state with this loop's numbers of the servers. Servers that
-// are not listed are omitted.
+// translateServers returns the checkpoint of a state with its server numbers replaced by those of this loop. Servers
+// that are not listed are omitted.
 func (l *loop) translateServers(state State) control.Checkpoint {
 	checkpoint := state.Checkpoint
 	checkpoint.Servers = nil
@@ -125,16 +125,16 @@
 // transfer is what a service passes to its replacement in the same process.
 type transfer struct {
 	State
-	pools       map[string]*upstream.Pool // by uid; nil where the replacement has connections of its own
-	hardLimiter *hardLimiter              // nil where no hard limit is shared
+	pools       map[string]*upstream.Pool // by uid; nil if the replacement has connections of its own
+	hardLimiter *hardLimiter              // nil if no hard limit is shared
 }
 
-// ReplaceWith has a service that does not run yet take this one's place: it starts with all tokens that are
-// left and with what was learned. This one still serves what it has accepted; requests that it has not
-// started by then are passed to the replacement.
+// ReplaceWith replaces this service with one that does not run yet and that starts with all remaining tokens and
+// learned values. This service still serves the requests that it has accepted; those that it has not accepted
+// by then are passed to the replacement.
 func (s *Service) ReplaceWith(replacement *Service) {
-	// A service that was retired and ended before its loop got to the transfer would end with what it has
-	// spent, and the replacement would start with full token buckets.
+	// The reference keeps the service, which may be retired next, from ending before its loop has executed the
+	// transfer. Without the transfer the replacement would start with full token buckets.
 	if !s.TryAcquire() {
 		return
 	}
@@ -156,8 +156,8 @@
 	}, control.TrustAll)
 }
 
-// transferTo takes from a loop of this service what its replacement gets, and directs requests that have not
-// started there. It is called by the loop.
+// transferTo returns what the replacement takes over from a loop of this service, and has the loop pass requests
+// that it has not accepted to the replacement. The loop's goroutine calls it.
 func (s *Service) transferTo(replacement *Service, l *loop, module StatefulModule) transfer {
 	t := transfer{State: l.newState(module.HandOver(l.now(), 1))}
 	if s.upstream == replacement.upstream {
@@ -174,7 +174,7 @@
 	return t
 }
 
-// awaitTransfer waits for the transfer of a loop; false where the loop has ended without it.
+// awaitTransfer waits for the transfer of a loop. It returns false if the loop has ended without one.
 func awaitTransfer(transferred <-chan transfer, ended <-chan struct{}) (transfer, bool) {
 	select {
 	case t := <-transferred:
@@ -189,8 +189,8 @@
 	}
 }
 
-// restoreFrom has the loop start from a transfer, which receive waits for. Where that returns false the loop
-// starts with its own state.
+// restoreFrom has the loop start from a transfer, which receive waits for. If receive returns false, the loop
+// starts without it.
 func (s *Service) restoreFrom(receive func() (transfer, bool), trust control.Trust) {
 	l := s.currentLoop()
 	l.post(func() {
@@ -209,7 +209,7 @@
 	})
 }
 
-// unlistedState is a state that was restored before any server was listed.
+// pendingServerState is a restored state whose servers are still to be restored, as none was listed at the time.
 type pendingServerState struct {
 	State
 	trust control.Trust
@@ -238,9 +238,9 @@
 	}
 }
 
-// accepts reports whether a request that was read by the rules of another service, which has these classes,
-// is served on the same terms here. A request of a class with an idempotency key is only accepted if it was
-// read as one, since otherwise nobody has checked that it has a key.
+// accepts reports whether this service can serve a request that was validated by the rules of another service, whose
+// classes are parsedWith. If the request's class needs an idempotency key here, it must have needed one there too, since
+// otherwise the presence of the key was not checked.
 func (s *Service) accepts(x *Exchange, parsedWith []control.Class) bool {
 	class, ok := s.Classes[x.Request.Class]
 	if !ok || x.Request.Units > s.MaxUnitsByPlan[x.Request.Plan] || x.Request.FanOut > s.GroupSize {
--- a/internal/service/hard_limits.go
+++ b/internal/service/hard_limits.go
@@ -17,12 +17,12 @@
 	Call(context.Context, *quotalease.StoreCall) (quotalease.StoreReply, error)
 }
 
-// SharedHardLimits are the hard limits that a service shares with other instances through lease stores. They
-// are decided on before the module gets a request; the module has none of its own then.
+// SharedHardLimits are the hard limits that a service shares with other instances through lease stores. Requests
+// are checked against them before the module gets them; the module itself then has no hard limits.
 type SharedHardLimits struct {
 	Rules      quotalease.Rules
 	ByPlan     map[string]quotalease.HardLimit
-	StoreNames []string     // assign customers to stores, in the order of Stores
+	StoreNames []string     // by which customers are assigned to stores, in the order of Stores
 	Stores     []LeaseStore // each lends to the customers that are assigned to it
 }
 
@@ -39,14 +39,14 @@
 	startedAt  time.Time
 	holders    []*quotalease.Holder // by store
 	callErrors []error              // by store: of the last call, nil if it succeeded
-	// undecided are the requests that a holder has not decided on, by a number of their own.
+	// undecided are the requests that wait for a holder's decision, by decision ID.
 	undecided      map[uint64]*Exchange
 	lastDecisionID uint64
-	hasResigned    bool   // the leases belong to another process
+	hasResigned    bool   // the leases were handed over to another process
 	keyBuffer      []byte // reused for customers' keys
 }
 
-// newHardLimiter returns nil where no hard limit is shared.
+// newHardLimiter returns nil if no hard limit is shared.
 func newHardLimiter(limits *SharedHardLimits) *hardLimiter {
 	if limits == nil || len(limits.Stores) == 0 || len(limits.ByPlan) == 0 {
 		return nil
@@ -61,7 +61,7 @@
 	return h
 }
 
-// resetHolders starts with holders that have no leases and a new identity at the stores.
+// resetHolders replaces the holders with new ones, which have no leases and a new identity at the stores.
 func (h *hardLimiter) resetHolders() {
 	h.holders = make([]*quotalease.Holder, len(h.Stores))
 	for i := range h.holders {
@@ -69,7 +69,7 @@
 	}
 }
 
-// now is the holders' clock.
+// now returns the time on the holders' clock.
 func (h *hardLimiter) now() time.Duration { return time.Since(h.startedAt) }
 
 // storeFor returns the store that a customer is assigned to and the customer's key there. It is the store
@@ -91,16 +91,16 @@
 	return store, h.holders[store].Key(h.keyBuffer[:n])
 }
 
-// hardLimitCharge is what a request has been charged against its shared hard limit. The zero value is nothing.
+// hardLimitCharge is what a request has been charged against its shared hard limit. The zero value is no charge.
 type hardLimitCharge struct {
 	store           int
 	key             string
 	units           float64
-	refundableUntil time.Duration // by the limiter's clock; 0 is not refundable
+	refundableUntil time.Duration // on the limiter's clock; 0 if not refundable
 }
 
-// requestHardLimit has a request's shared hard limit decide on it, after which it is submitted to the module;
-// false where it has none.
+// requestHardLimit starts the decision on a request by its shared hard limit, after which the request is submitted to
+// the module. It returns false if the request has no shared hard limit.
 func (l *loop) requestHardLimit(x *Exchange) bool {
 	h := l.hardLimiter
 	if h == nil || x.Request.IsOverCapacity {
@@ -129,7 +129,7 @@
 	}
 }
 
-// callLeaseStore makes a call in a goroutine of its own, which ends with the loop's lifetime at the latest.
+// callLeaseStore makes a call in a new goroutine. The call ends with the loop's lifetime at the latest.
 func (l *loop) callLeaseStore(store int, call *quotalease.StoreCall) {
 	h := l.hardLimiter
 	leaseStore := h.Stores[store]
@@ -139,16 +139,16 @@
 	}()
 }
 
-// applyDecision submits a request that a holder has decided on to the module.
+// applyDecision submits a request to the module after a holder has decided on it.
 func (l *loop) applyDecision(store int, a quotalease.Action) {
 	h := l.hardLimiter
 	x := h.undecided[a.RequestID]
 	delete(h.undecided, a.RequestID)
 	isAdmitted := a.Kind == quotalease.Admit
 	switch {
-	case x == nil: // the replacement of an earlier service has it
+	case x == nil: // it was passed to a replacement of the service
 		return
-	case x.isAnswered: // its client has left
+	case x.isAnswered: // its client has disconnected
 		if isAdmitted {
 			h.holders[store].Refund(h.now(), x.charge.key, x.charge.units, a.RefundableUntil)
 		}
@@ -161,7 +161,7 @@
 	l.submit(x)
 }
 
-// leaseStoreAnswered handles the result of a call. It is ignored where the limiter was transferred meanwhile.
+// leaseStoreAnswered handles the result of a call, or ignores it if the limiter was transferred in the meantime.
 func (l *loop) leaseStoreAnswered(h *hardLimiter, store int, answer quotalease.StoreReply, err error) {
 	if l.hardLimiter != h {
 		return
@@ -181,7 +181,7 @@
 	l.applyLeaseActions(store, h.holders[store].HandleReply(h.now(), answer))
 }
 
-// tickLeaseHolders has the current loop's holders do what is due by time, until ctx ends.
+// tickLeaseHolders calls Tick of the current loop's holders every quotalease.TickInterval until ctx ends.
 func (s *Service) tickLeaseHolders(ctx context.Context) {
 	ticker := time.NewTicker(quotalease.TickInterval)
 	defer ticker.Stop()
@@ -202,7 +202,7 @@
 	}
 }
 
-// refundUnsent refunds the charge of a request that was never sent and will not be.
+// refundUnsent refunds the charge of a request that was not sent and will not be.
 func (l *loop) refundUnsent(x *Exchange) {
 	if h := l.hardLimiter; h != nil && x.charge.refundableUntil > 0 && x.isUnwritten() {
 		h.holders[x.charge.store].Refund(h.now(), x.charge.key, x.charge.units, x.charge.refundableUntil)
@@ -210,8 +210,8 @@
 	x.charge.refundableUntil = 0
 }
 
-// detachHardLimiter removes the limiter from a loop, for its replacement. Requests that it has not decided on
-// go there, or are given an answer.
+// detachHardLimiter removes the limiter from the loop and returns it for the service's replacement. Undecided
+// requests are passed to the replacement, or answered if that does not accept them.
 func (l *loop) detachHardLimiter(replacement *Service, unavailable Answer) *hardLimiter {
 	h := l.hardLimiter
 	l.hardLimiter = nil
@@ -231,9 +231,9 @@
 	return h
 }
 
-// adoptHardLimiter has the loop go on with the limiter of the service that it replaces, if that has the same
-// rules, but for the number of instances, and the same stores. Otherwise the leases of that one are left to
-// expire and this loop starts without any.
+// adoptHardLimiter has the loop continue with the limiter of the service that it replaces, if that has the same
+// stores and, apart from the number of instances, the same rules. Otherwise the old leases are left to expire and
+// this loop starts without any.
 func (l *loop) adoptHardLimiter(h *hardLimiter) {
 	if h == nil || l.hardLimiter == nil || !slices.Equal(h.StoreNames, l.hardLimiter.StoreNames) {
 		return
@@ -251,7 +251,7 @@
 	l.hardLimiter = h
 }
 
-// resignLeases has the limiter spend no more of its own leases, which another process is to have.
+// resignLeases stops the limiter from spending its leases, which are handed over to another process.
 func (l *loop) resignLeases() {
 	if l.hardLimiter == nil {
 		return
@@ -262,8 +262,8 @@
 	}
 }
 
-// reclaimLeases has a limiter that has resigned start anew without leases, after the process that was to have
-// them has ended: that may or may not have used them. Requests that wait for units are rejected.
+// reclaimLeases restarts a limiter that has resigned, after the process that took over its leases has ended. It starts
+// without leases, as that process may have spent them. Requests that wait for units are rejected.
 func (l *loop) reclaimLeases() {
 	h := l.hardLimiter
 	if h == nil || !h.hasResigned {
@@ -280,7 +280,7 @@
 	}
 }
 
-// hardLimitStatus returns the state at each store.
+// hardLimitStatus returns the state of the leases at each store.
 func (l *loop) hardLimitStatus() []HardLimitStatus {
 	h := l.hardLimiter
 	if h == nil {
--- a/internal/service/hard_limits_test.go
+++ b/internal/service/hard_limits_test.go
@@ -15,7 +15,7 @@
 	"lockflow/internal/upstream"
 )
 
-// memoryLeaseStore is a lease store without a network, which can be down.
+// memoryLeaseStore is an in-process lease store that can be made unavailable.
 type memoryLeaseStore struct {
 	mu           sync.Mutex
 	backend      *quotalease.Store
@@ -39,7 +39,7 @@
 	return m.backend.Handle(time.Since(m.startedAt), *q), nil
 }
 
-// holdCalls has calls wait until releaseCalls.
+// holdCalls blocks calls until releaseCalls.
 func (m *memoryLeaseStore) holdCalls() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -89,14 +89,14 @@
 	return x
 }
 
-// TestSharedHardLimitDecidesBeforeModule checks that the module gets a request once its shared hard limit has
-// decided on it. The charge of a request whose client leaves before it is sent is refunded.
+// TestSharedHardLimitDecidesBeforeModule checks that the module gets a request after its shared hard limit has
+// decided on it. The charge of a request whose client disconnects before it is sent is refunded.
 func TestSharedHardLimitDecidesBeforeModule(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var received []control.Request
 		store := &memoryLeaseStore{}
 		s := startSharedLimitService(t, store, 1, &received)
-		for range 20 { // until the holder's part is reserved, and the store's bucket full
+		for range 20 { // until the holder's fraction is reserved and the store's bucket is full
 			time.Sleep(time.Second)
 		}
 		synctest.Wait()
@@ -134,8 +134,8 @@
 	})
 }
 
-// TestSharedHardLimitWithoutLeaseStore checks that while its lease store is down a service spends its own
-// part, once its reservation has expired, and makes calls no faster than it should.
+// TestSharedHardLimitWithoutLeaseStore checks that a service whose lease store is down spends its own fraction of
+// the limit after its reservation has expired, and does not call the store too often.
 func TestSharedHardLimitWithoutLeaseStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var received []control.Request
@@ -172,8 +172,8 @@
 	})
 }
 
-// TestSharedHardLimitMovesToReplacement checks that a replacement gets the leases, so that what is spent
-// stays spent, and a part that grows by it does so only once all instances know.
+// TestSharedHardLimitMovesToReplacement checks that a replacement gets the leases, so that spent units are not
+// available again. If its fraction of the limit is larger, it grows only once all instances know of that.
 func TestSharedHardLimitMovesToReplacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &memoryLeaseStore{}
@@ -202,7 +202,7 @@
 		if x := newExchangeOfUnits("x", 1); original.Upstream() != replacement.Upstream() || x.Forwarder.(*upstream.BufferedRequest) == nil {
 			t.Error("another upstream")
 		}
-		// A process that hands over to another has no part any more.
+		// A process that has handed over to another one has no fraction of the limit.
 		st = replacement.Status().HardLimits[0]
 		replacement.Rejoin(nil) // it has not handed over: nothing changes
 		if status := replacement.Status().HardLimits[0]; status != st {
@@ -212,8 +212,8 @@
 		if st := replacement.Status().HardLimits[0]; st.UsesOwnQuota || st.ReservedFraction != 0 {
 			t.Errorf("%+v after it was handed over", st)
 		}
-		// The other process fails while a request waits for units here: it is answered, and the part is
-		// this process's again once the other's has expired.
+		// The other process fails while a request waits for units here: the request is answered, and this
+		// process gets its fraction back after the other's has expired.
 		store.holdCalls()
 		answered := doInBackground(t.Context(), replacement, newExchangeOfUnits("w", 4))
 		synctest.Wait()
@@ -233,8 +233,8 @@
 	})
 }
 
-// TestReplacementDecidesWaitingRequests checks that a request that waits for units when its service is
-// replaced is decided on by the replacement, and only that one's module gets it.
+// TestReplacementDecidesWaitingRequests checks that the replacement decides on requests that wait for units when
+// their service is replaced, and that only the replacement's module gets them.
 func TestReplacementDecidesWaitingRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &memoryLeaseStore{}
@@ -282,8 +282,8 @@
 func (statefulRecorder) ReclaimRates(time.Duration, *control.Checkpoint)          {}
 func (statefulRecorder) PredecessorEnded()                                        {}
 
-// TestCustomersSpreadOverLeaseStores checks that customers are assigned to lease stores evenly, and when one
-// is added only those move that are assigned to it.
+// TestCustomersSpreadOverLeaseStores checks that customers are assigned to lease stores evenly, and that adding a
+// store moves only the customers that are assigned to it.
 func TestCustomersSpreadOverLeaseStores(t *testing.T) {
 	assignments := func(names ...string) map[string]string {
 		limiter := newHardLimiter(&SharedHardLimits{Rules: quotalease.Rules{Instances: 1}, ByPlan: map[string]quotalease.HardLimit{"p": {}}, StoreNames: names, Stores: make([]LeaseStore, len(names))})
@@ -308,13 +308,13 @@
 	}
 }
 
-// BenchmarkSharedHardLimit measures what a shared hard limit adds to a request that needs no call.
+// BenchmarkSharedHardLimit measures the cost that a shared hard limit adds to a request without a store call.
 func BenchmarkSharedHardLimit(b *testing.B) {
 	o := sharedLimitOptions(&memoryLeaseStore{}, 1)
 	o.SharedHardLimits.ByPlan["p"] = quotalease.HardLimit{Rate: 1e9, Burst: 1e9}
 	o.SharedHardLimits.Rules.ResizeTime = 1
 	l := &loop{hardLimiter: newHardLimiter(o.SharedHardLimits), module: moduleFunc(ignoreAll)}
-	l.hardLimiter.startedAt = l.hardLimiter.startedAt.Add(-time.Minute) // its part may be spent
+	l.hardLimiter.startedAt = l.hardLimiter.startedAt.Add(-time.Minute) // late enough for its fraction to be spent
 	xs := make([]*Exchange, 1000)
 	for i := range xs {
 		xs[i] = newExchangeOfUnits("x", 1)
--- a/internal/service/helpers_test.go
+++ b/internal/service/helpers_test.go
@@ -15,7 +15,7 @@
 	"lockflow/internal/upstream"
 )
 
-// moduleFunc is a module that does what a test says for each event.
+// moduleFunc is a module that handles events by a function of the test.
 type moduleFunc func(control.Event) []control.Action
 
 func (f moduleFunc) Handle(_ time.Duration, e control.Event) []control.Action { return f(e) }
@@ -39,17 +39,17 @@
 	return nil
 }
 
-// moduleOf returns a constructor of one module.
+// moduleOf returns a constructor that always returns m.
 func moduleOf(m Module) func() (Module, error) {
 	return func() (Module, error) { return m, nil }
 }
 
-// idempotencies are the idempotencies of classes by a name for subtests.
+// idempotencies are the idempotencies of classes by their names in subtests.
 var idempotencies = map[string]control.Idempotency{
 	"safe": control.Idempotent, "keyed": control.IdempotentWithKey, "unsafe": control.NotIdempotent,
 }
 
-// testSettings are those of a service with one class, "read", and one plan, "p".
+// testSettings returns the settings of a service with one class, "read", and one plan, "p".
 func testSettings() control.Settings {
 	return control.Settings{
 		GroupSize: 1, MaxRetryAfter: time.Second, MaxAttempts: 3,
@@ -57,8 +57,8 @@
 	}
 }
 
-// threeClassSettings are those of a service with a class of each idempotency, named as in idempotencies, and
-// one plan, "p".
+// threeClassSettings returns the settings of a service with a class of each idempotency, named as in idempotencies,
+// and one plan, "p".
 func threeClassSettings(deadline, repeatWindow time.Duration) control.Settings {
 	s := control.Settings{
 		GroupSize: 1, MaxRetryAfter: time.Second, MaxAttempts: 3, Plans: []control.Plan{{Name: "p", Price: 1}},
@@ -74,7 +74,7 @@
 	return s
 }
 
-// staticSource lists servers at one address, by their uids.
+// staticSource returns a source that lists servers with these uids, all at one address.
 func staticSource(address string, uids ...string) discovery.Source {
 	source := discovery.Source{Kind: discovery.Static}
 	for _, uid := range uids {
@@ -83,21 +83,21 @@
 	return source
 }
 
-// startService creates a service of a server that nobody listens at, and runs it until the test ends, in a
-// bubble of synctest.
+// startService creates a service with one server, at an address where nothing listens, and runs it until the test
+// ends, in a synctest bubble.
 func startService(t *testing.T, o Options) (*Service, <-chan error) {
 	t.Helper()
 	s, handle := startStoppableService(t, o)
 	return s, handle.ended
 }
 
-// serviceEnd is how a test ends a service, and the error of that.
+// serviceHandle lets a test stop a service and receive the error with which it ended.
 type serviceHandle struct {
 	stop  context.CancelFunc
 	ended <-chan error
 }
 
-// startStoppableService is startService of a service that the test may end before.
+// startStoppableService is startService for a service that the test may stop earlier.
 func startStoppableService(t *testing.T, o Options) (*Service, serviceHandle) {
 	t.Helper()
 	if o.Settings.GroupSize == 0 {
@@ -116,7 +116,7 @@
 	return s, serviceHandle{stop, ended}
 }
 
-// runService creates a service and runs it, in real time, until the test ends; that has to be without an error.
+// runService creates a service and runs it, in real time, until the test ends. Run has to return no error.
 func runService(t *testing.T, o Options) *Service {
 	t.Helper()
 	s, err := New(o)
@@ -136,7 +136,7 @@
 	return s
 }
 
-// runReadyService is runService, and waits until the service is ready.
+// runReadyService is runService, but waits until the service is ready.
 func runReadyService(t *testing.T, o Options) *Service {
 	t.Helper()
 	ready := make(chan struct{})
@@ -146,12 +146,12 @@
 	return s
 }
 
-// newExchange is a request of class "read".
+// newExchange returns a request of class "read".
 func newExchange(id string) *Exchange {
 	return &Exchange{Request: control.Request{ID: id, Class: "read", Plan: "p"}, Forwarder: &upstream.BufferedRequest{Request: &http.Request{}}, Deadline: time.Now().Add(5 * time.Second)}
 }
 
-// newForwarder is a request with some body and header that is sent from memory.
+// newForwarder returns a buffered request with a body and header.
 func newForwarder(t *testing.T, method, body string, header http.Header) *upstream.BufferedRequest {
 	t.Helper()
 	request, err := http.NewRequestWithContext(context.Background(), method, "http://h/read", nil)
@@ -168,7 +168,7 @@
 	return forwarder
 }
 
-// doInBackground has a service serve a request, and returns the channel of its answer.
+// doInBackground has a service serve a request in a new goroutine, and returns the channel of its answer.
 func doInBackground(ctx context.Context, s *Service, x *Exchange) <-chan Answer {
 	answers := make(chan Answer, 1)
 	go func() {
@@ -178,7 +178,7 @@
 	return answers
 }
 
-// scriptedForwarder is a request whose attempts end as a test says.
+// scriptedForwarder is a request whose attempts are a function of the test.
 type scriptedForwarder struct {
 	upstream.BufferedRequest
 	attempt func(ctx context.Context) upstream.Outcome
--- a/internal/service/lifecycle.go
+++ b/internal/service/lifecycle.go
@@ -10,16 +10,16 @@
 	"lockflow/control"
 )
 
-// The backoff before a restart doubles with each restart in a row.
+// The backoff before a restart doubles with each consecutive restart.
 const (
-	minRestartBackoff   = 200 * time.Millisecond // of the second restart in a row; the first one is immediate
+	minRestartBackoff   = 200 * time.Millisecond // of the second consecutive restart; the first one is immediate
 	maxRestartBackoff   = 10 * time.Second
-	restartBackoffReset = time.Minute // a module that ran for longer starts a new row
+	restartBackoffReset = time.Minute // a module that ran for longer resets the backoff
 )
 
 // Run serves until ctx ends or, once the service is retired, until nothing references it. Requests without
-// an answer at the end are answered then: as rejected where they surely never ran, otherwise as failed. The
-// error is that of a module that panicked and is not to be restarted, or that could not be.
+// an answer at the end are answered then: as rejected if they cannot have run, otherwise as failed. Run returns
+// an error if the module panicked and was not restarted, because of Options.OnPanic, an ended ctx or a failure.
 func (s *Service) Run(ctx context.Context) error {
 	defer close(s.ended)
 	ctx, stop := context.WithCancel(ctx)
@@ -43,7 +43,7 @@
 	return s.runLoops(ctx)
 }
 
-// runLoops runs one loop after another, as long as a panic is followed by a restart.
+// runLoops runs the current loop, and a new one after each panic that is followed by a restart.
 func (s *Service) runLoops(ctx context.Context) error {
 	backoff := time.Duration(0)
 	startedAt := time.Now()
@@ -71,7 +71,7 @@
 	}
 }
 
-// restart puts a new loop with a new module in force. The module is given the endpoint list and nothing else.
+// restart replaces the current loop with one that has a new module. The module gets no state but the endpoint list.
 func (s *Service) restart() error {
 	module, err := s.options.NewModule()
 	if err != nil {
@@ -96,7 +96,7 @@
 	}
 }
 
-// TryAcquire keeps the service from ending until Release is called as often. It returns false where the
+// TryAcquire acquires a reference, which keeps the service from ending until Release. It returns false if the
 // service has been retired and nothing references it.
 func (s *Service) TryAcquire() bool {
 	for {
@@ -110,7 +110,7 @@
 	}
 }
 
-// Release undoes one successful TryAcquire.
+// Release releases a reference that TryAcquire has acquired.
 func (s *Service) Release() {
 	if s.references.Add(-1) == 0 && s.isRetired.Load() {
 		s.endIfUnused()
--- a/internal/service/loop.go
+++ b/internal/service/loop.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	eventQueueSize = 256 // events that wait for the loop before post blocks
-	maxIdleWorkers = 32  // workers that wait for an attempt; more than that end
+	eventQueueSize = 256 // events that can wait for the loop before post blocks
+	maxIdleWorkers = 32  // workers that wait for an attempt; any further idle worker ends
 )
 
-// loop is the event loop of a service. Its goroutine, run, alone uses the module and the fields below, but for those
+// loop is the event loop of a service. Only its goroutine, run, uses the module and the fields below, except for those
 // documented otherwise; other goroutines post events to it.
 type loop struct {
 	module            Module
-	observeModuleTime func(time.Duration) // nil where it is not observed
+	observeModuleTime func(time.Duration) // nil if it is not observed
 	upstream          *upstream.Upstream
 	defaultProtocol   upstream.Protocol // for servers whose endpoint list entry has none
 	log               *slog.Logger
@@ -34,17 +34,17 @@
 	classes           []control.Class
 	maxUnitsByPlan    map[string]float64
 
-	// The lifetime of the loop, which attempts and calls to lease stores end with. It is read by any
-	// goroutine.
+	// lifetime ends with the loop, and attempts and calls to lease stores end with it. Any goroutine may use
+	// it.
 	lifetime       context.Context
 	cancelLifetime context.CancelFunc
 	events         chan func()   // posted by any goroutine
 	ended          chan struct{} // closed when run has ended; err does not change from then on
 	err            error         // why the module failed
-	isEnding       bool          // the module gets no more events
+	isEnding       bool          // the module gets no further events
 
 	timers        timerQueue
-	pendingEvents []control.Event // caused by executing actions, and not handled yet
+	pendingEvents []control.Event // caused by executing actions, not handled yet
 	exchanges     map[string]*Exchange
 
 	// serverIDs are the module's numbers of the listed servers, by uid. No number is used twice.
@@ -53,31 +53,31 @@
 	pools        map[uint32]*upstream.Pool // of the servers that take new requests
 	locations    map[uint32]serverLocation // of the listed servers
 
-	// unlistedState waits for the first server to be listed; nil is none.
+	// pendingServerState waits for the first server to be listed; nil if there is none.
 	pendingServerState *pendingServerState
 	warmups            warmupGuard
 
 	jobs        chan attemptJob // unbuffered: only an idle worker receives; used by any goroutine
 	idleWorkers atomic.Int32    // used by any goroutine
 
-	// Set once a replacement has taken this service's place: requests that have not started are passed there, and the
-	// pools that were transferred, by uid, are its to retire.
+	// The fields below are set once the service has been replaced. Requests that are not accepted yet are passed to the
+	// replacement, which also retires the transferred pools (by uid).
 	replacement      *Service
 	transferredPools map[string]*upstream.Pool
 
-	// Observers of the loop; each is nil where it is not configured.
+	// Observers of the loop; each is nil if it is not configured.
 	openStreams        *Streams
 	groupSizeEstimator *groupsize.Estimator
 	attemptsInFlight   map[uint32]int // by server, for the estimator
 	countsByClass      map[string]*ClassCounts
 	collector          *StatisticsCollector
-	statistics         *loopStatistics // the loop's part of collector, from the start of run on
+	statistics         *loopStatistics // the loop's part of collector; set by run
 	recorder           *eventRecorder
 
-	hardLimiter *hardLimiter // nil where no hard limit is shared
+	hardLimiter *hardLimiter // nil if no hard limit is shared
 }
 
-// newLoop returns a loop of a service that has not run.
+// newLoop returns a new loop of the service, which run starts.
 func (s *Service) newLoop(module Module) *loop {
 	options := &s.options
 	lifetime, cancelLifetime := context.WithCancel(context.Background())
@@ -119,10 +119,10 @@
 	return l
 }
 
-// now is the module's time.
+// now returns the current time on the module's clock.
 func (l *loop) now() time.Duration { return l.clock.now() }
 
-// concurrencyLimit is how many attempts the module allows in flight at once; 0 where it does not report it.
+// concurrencyLimit returns how many attempts the module allows in flight at once; 0 if it does not report that.
 func (l *loop) concurrencyLimit() float64 {
 	if m, ok := l.module.(concurrencyLimiter); ok {
 		return m.ConcurrencyLimit()
@@ -130,11 +130,11 @@
 	return 0
 }
 
-// post has the loop's goroutine execute an event; false where the loop has ended. It may be called by any
-// goroutine but the loop's own, and waits while the queue is full.
+// post has the loop's goroutine execute an event. It returns false if the loop has ended. It may be called by any
+// goroutine but the loop's own, and blocks while the queue is full.
 func (l *loop) post(event func()) bool {
 	select {
-	case <-l.ended: // the queue may have space, which nobody would read
+	case <-l.ended: // the queue may have space, but nobody would read the event
 		return false
 	default:
 	}
@@ -146,10 +146,10 @@
 	}
 }
 
-// run executes events until ctx ends or the module panics. Exchanges without an answer are answered then: where
-// ctx has ended as rejected if they surely never ran, otherwise as failed.
+// run executes events until ctx ends or the module panics. Exchanges without an answer are then answered: as
+// rejected if ctx has ended and they cannot have run, otherwise as failed.
 func (l *loop) run(ctx context.Context) {
-	if l.collector != nil { // a loop that never runs would never be removed
+	if l.collector != nil { // not in newLoop, as a loop that never runs would never be removed
 		l.statistics = l.collector.addLoop(l.classes)
 	}
 	defer func() { l.shutDown(recover()) }()
@@ -166,8 +166,8 @@
 	}
 }
 
-// drainEvents executes what was in the queue at the end, without the module: answers that have arrived by
-// then are delivered.
+// drainEvents executes the events that are in the queue when ctx ends, without the module, so that answers that
+// have already arrived are delivered.
 func (l *loop) drainEvents() {
 	l.isEnding = true
 	for range len(l.events) {
@@ -185,7 +185,7 @@
 	}
 }
 
-// shutDown ends the loop. panicValue is that of a panic of the module; nil where ctx has ended.
+// shutDown ends the loop. panicValue is the value of a panic of the module; nil if ctx has ended.
 func (l *loop) shutDown(panicValue any) {
 	if panicValue != nil {
 		l.err = fmt.Errorf("the decision module failed: %v\n%s", panicValue, debug.Stack())
@@ -206,7 +206,7 @@
 }
 
 // answerAll answers and releases all exchanges, and returns how many had no answer. Attempts that are not written yet
-// are withdrawn. After a panic all are answered as failed: the request that has caused it must not be retried at another
+// are withdrawn. After a panic all are answered as failed, as the request that caused it must not be retried at another
 // node.
 func (l *loop) answerAll() (unanswered int) {
 	for _, x := range l.exchanges {
@@ -221,12 +221,12 @@
 			answer = Answer{Kind: Rejected, Status: http.StatusServiceUnavailable, LastAttempt: x.lastReason}
 		}
 		l.finish(x, answer)
-		x.unretain() // attempts that are still in flight report to nobody
+		x.unretain() // the outcomes of attempts still in flight are not handled any more
 	}
 	return unanswered
 }
 
-// handle reports an event to the module, and those that follow from executing its actions.
+// handle reports an event to the module, and then the events that executing the module's actions causes.
 func (l *loop) handle(e control.Event) {
 	l.pendingEvents = append(l.pendingEvents, e)
 	l.processPending()
@@ -243,7 +243,7 @@
 	}
 }
 
-// decide has the module handle an event, and measures the time of that where it is observed.
+// decide passes an event to the module, and measures how long that takes if it is observed.
 func (l *loop) decide(e control.Event) []control.Action {
 	if l.isEnding {
 		return nil
--- a/internal/service/loop_requests.go
+++ b/internal/service/loop_requests.go
@@ -7,9 +7,9 @@
 	"lockflow/control"
 )
 
-// begin accepts a client's request. It rejects one whose id another accepted request has. A request that
-// arrives after a replacement has taken the service's place is passed there, as the remaining tokens are
-// there, if the replacement has its class and plan too.
+// acceptRequest accepts a client's request. It answers a request with the ID of another accepted one as failed. After
+// the service has been replaced, a request is passed to the replacement, which has the remaining tokens, if that accepts
+// the request's class and plan.
 func (l *loop) acceptRequest(x *Exchange) {
 	if l.replacement != nil && l.replacement.accepts(x, l.classes) {
 		x.answer <- Answer{replacement: l.replacement}
@@ -38,16 +38,16 @@
 	}
 }
 
-// clientLeft ends a request whose client has left. An attempt that is written continues: its work would not
-// stop, and the module learns from its outcome.
+// clientLeft ends a request whose client has disconnected. An attempt that has been written continues: cancelling it
+// would not stop the server's work, and the module learns from its outcome.
 func (l *loop) clientLeft(x *Exchange) {
-	// A request that was answered before it started is not in this loop, and must not be answered twice.
+	// A request that was answered without being accepted is not in this loop, and must not be answered twice.
 	if x.isAnswered || l.exchanges[x.Request.ID] != x {
 		x.discardAnswer()
 		return
 	}
-	// The client may still be connected: bytes that it has sent after its request withhold a retry too. Its answer
-	// says then that a retry is safe only where the request cannot have run.
+	// The client may still be connected, as bytes that it has sent after its request prevent a retry too. So its answer
+	// says that a retry is safe only if the request cannot have run.
 	answer := Answer{Kind: Rejected, Status: http.StatusServiceUnavailable, clientHasLeft: true}
 	if x.mayHaveRun {
 		answer.Kind = Failed
@@ -58,7 +58,7 @@
 	l.abandonAttempts(x)
 }
 
-// failRequest answers a request as failed: it may have run, and nothing is promised of a retry.
+// failRequest answers a request as failed: it may have run, so a retry may not be safe.
 func (l *loop) failRequest(x *Exchange) {
 	if x == nil {
 		return
@@ -70,8 +70,8 @@
 	l.answerUnserved(x, Answer{Kind: Failed, Status: status})
 }
 
-// answerUnserved answers a request that was not served with the last response of a server, if there was one,
-// or else with an answer of the node's own. Nil, for a request that the loop does not have, is ignored.
+// answerUnserved answers a request that was not served: with the last response of a server, if there was one, and
+// otherwise with fallback, an answer of the node's own. A nil request, which the loop does not have, is ignored.
 func (l *loop) answerUnserved(x *Exchange, fallback Answer) {
 	if x == nil {
 		return
@@ -84,7 +84,7 @@
 	l.finish(x, fallback)
 }
 
-// finish gives a request its final answer, unless it has one, and releases it once it has ended.
+// finish gives a request its final answer, unless it has one, and releases it if no attempt is in flight.
 func (l *loop) finish(x *Exchange, a Answer) {
 	if !x.isAnswered {
 		l.deliver(x, a)
@@ -95,8 +95,8 @@
 // deliver gives a request its final answer.
 func (l *loop) deliver(x *Exchange, a Answer) {
 	x.isAnswered = true
-	// Attempts that are not written serve nobody any more; their outcomes end their place in the module. It
-	// comes before the answer, after which the client's connection may be read for another request.
+	// Attempts that are not written are no longer needed; their outcomes let the module release them. They are
+	// withdrawn before the answer, after which the client's connection may be read for another request.
 	for _, attempt := range x.attempts {
 		attempt.Withdraw()
 	}
@@ -116,8 +116,8 @@
 	l.refundUnsent(x)
 }
 
-// releaseIfEnded forgets an answered request that has no attempt in flight. While one is, its outcome could be taken
-// for that of another request with the same id.
+// releaseIfEnded removes an answered request that has no attempt in flight. The outcome of an attempt in flight could
+// otherwise be attributed to another request with the same ID.
 func (l *loop) releaseIfEnded(x *Exchange) {
 	if x.isAnswered && x.inFlight == 0 {
 		delete(l.exchanges, x.Request.ID)
--- a/internal/service/module.go
+++ b/internal/service/module.go
@@ -6,16 +6,16 @@
 	"lockflow/control"
 )
 
-// Module decides for one service. It is used by one goroutine at a time. A module that is an io.Closer is
-// closed when its loop ends, also after a panic of its own.
+// Module makes the decisions of one service. It is used by one goroutine at a time. A module that implements
+// io.Closer is closed when its loop ends, even if the loop ended because the module panicked.
 type Module interface {
 	// Handle reports an event to the module. It returns the actions to be executed; the slice is valid
 	// until the next call.
 	Handle(now time.Duration, e control.Event) []control.Action
 }
 
-// StatefulModule is a Module that can transfer what it has spent and learned; see the methods of
-// control.Controller. A service whose module is not one starts without that.
+// StatefulModule is a Module whose state (spent quotas and learned values) can be transferred; see the methods
+// of control.Controller. A service whose module does not implement it starts with empty state.
 type StatefulModule interface {
 	Module
 	Checkpoint(now time.Duration) control.Checkpoint
@@ -25,7 +25,7 @@
 	PredecessorEnded()
 }
 
-// serverRestorer is a StatefulModule that can take over servers after Restore, once it knows them.
+// serverRestorer is a StatefulModule that can restore the state of servers later than Restore, once they are listed.
 type serverRestorer interface {
 	RestoreServers(now time.Duration, c control.Checkpoint, trust control.Trust)
 }
--- a/internal/service/options.go
+++ b/internal/service/options.go
@@ -9,8 +9,8 @@
 	"lockflow/internal/upstream"
 )
 
-// PanicPolicy is what follows a panic of a service's module. The requests that the service had accepted are
-// answered as failed in any case.
+// PanicPolicy determines what happens after a service's module has panicked. In either case the requests that
+// the service had accepted are answered as failed.
 type PanicPolicy int
 
 // The panic policies.
@@ -22,20 +22,20 @@
 // RequestLimiter limits the resources of the process that a service's requests use: one request slot and
 // some bytes each. It is safe for concurrent use.
 type RequestLimiter interface {
-	// Admit reserves a slot and some bytes for a request. It returns false where the limit is reached, and
+	// Admit reserves a slot and some bytes for a request. It returns false if the limit is reached, and
 	// otherwise a function that releases the reservation, to be called exactly once.
 	Admit(bytes int64) (release func(), ok bool)
 }
 
 // Options configure a Service.
 type Options struct {
-	Name     string // of the service; empty where there is only one
+	Name     string // of the service; empty if there is only one
 	Settings control.Settings
 	Seed     uint64 // for the module's random numbers
 
 	Upstream        upstream.Options
 	Protocol        upstream.Protocol      // for servers whose endpoint list entry has none
-	SharedUpstream  *upstream.Upstream     // connections of the service that this one replaces; nil creates new ones by Upstream
+	SharedUpstream  *upstream.Upstream     // connections of the service that this one replaces; nil creates new ones from Upstream
 	Source          discovery.Source       // of the endpoint list
 	CachedEndpoints discovery.EndpointList // the endpoint list as last received, perhaps outdated
 	Predecessor     *Service               // the service that this one replaces, for its clock and its servers' starts; may be nil
--- a/internal/service/request_counts.go
+++ b/internal/service/request_counts.go
@@ -15,18 +15,18 @@
 	outcomeServed requestOutcome = iota
 	outcomeRejected
 	outcomeFailed
-	outcomeAbandoned // the client left before the answer
+	outcomeAbandoned // the client disconnected before the answer
 )
 
-// Outcomes are the outcomes of requests as metrics and the event log name them. ClassCounts.Requests has the
-// same order.
+// Outcomes are the names of request outcomes in metrics and the event log, in the order of
+// ClassCounts.Requests.
 var Outcomes = [...]string{"served", "refused", "failed", "left"}
 
-// Reasons are the ends of attempts as metrics and the event log name them. ClassCounts.Attempts has the same
-// order.
+// Reasons are the names of attempt outcomes in metrics and the event log, in the order of
+// ClassCounts.Attempts.
 var Reasons = [...]string{"ok", "error", "turned_away", "timed_out", "connect_failed", "reset", "cancelled", "not_sent"}
 
-// reasonIndex is the place of each reason in Reasons.
+// reasonIndex is the index of each reason in Reasons.
 var reasonIndex = map[control.Reason]int{
 	control.OK:               0,
 	control.Errored:          1,
@@ -38,7 +38,7 @@
 	control.NotSent:          7,
 }
 
-// ClassCounts count the outcomes of one class's requests. They only grow.
+// ClassCounts count the outcomes of one class's requests. They never decrease.
 type ClassCounts struct {
 	Requests        [len(Outcomes)]atomic.Uint64
 	Attempts        [len(Reasons)]atomic.Uint64
@@ -52,8 +52,8 @@
 	classes map[string]*ClassCounts
 }
 
-// forClasses returns the counts of each class, which begin with the first call. Only classes of a
-// configuration are passed, so their number is bounded.
+// forClasses returns the counts of each class, and creates them on the first call with the class. The number of
+// classes is bounded, as only configured ones are passed.
 func (c *RequestCounts) forClasses(classes []control.Class) map[string]*ClassCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,7 +70,7 @@
 	return counts
 }
 
-// Each calls f with the counts of each class, in no order.
+// Each calls f with the counts of each class, in no particular order.
 func (c *RequestCounts) Each(f func(class string, counts *ClassCounts)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,8 +79,8 @@
 	}
 }
 
-// outcome is the outcome of a request with this final answer. One without a status is that of a client that
-// has left.
+// outcome returns the outcome of a request with this final answer. An answer without a status belongs to a client
+// that has disconnected.
 func (a Answer) outcome() requestOutcome {
 	switch {
 	case a.clientHasLeft || a.Status == 0:
@@ -102,5 +102,5 @@
 	}
 }
 
-// attemptEnded counts the end of an attempt.
+// attemptEnded counts the outcome of an attempt.
 func (c *ClassCounts) attemptEnded(reason control.Reason) { c.Attempts[reasonIndex[reason]].Add(1) }
--- a/internal/service/request_rules.go
+++ b/internal/service/request_rules.go
@@ -6,10 +6,10 @@
 	"lockflow/control"
 )
 
-// maxUnlimitedUnits limits the units of a request where neither the settings nor a token bucket does.
+// maxUnlimitedUnits limits the units of a request if neither the settings nor a token bucket does.
 const maxUnlimitedUnits = 1 << 20
 
-// RequestRules are what a request has to satisfy before it is accepted. They never change.
+// RequestRules are the rules that a request has to satisfy before it is accepted. They never change.
 type RequestRules struct {
 	Classes        map[string]control.Class // by name
 	MaxUnitsByPlan map[string]float64       // units of one request, above 0
@@ -38,20 +38,20 @@
 	return r.AnyMethod || ClassMethod(class) == method
 }
 
-// maxUnits is the limit of the units of a plan's request: the configured one, or else the size of the plan's
-// largest token bucket, which no more could ever be taken from. Without it one request with an absurd figure
-// would spoil the accounts of its customer's other requests.
+// maxUnits returns the limit of the units of a plan's request: the configured one, or else the size of the plan's
+// largest token bucket, which could never supply more. Without a limit, a single request with an absurd number of
+// units would distort the quota accounting of its customer's other requests.
 func maxUnits(configured float64, plan control.Plan) float64 {
 	switch {
 	case configured > 0:
 		return configured
 	case plan.QuotaRate > 0 || plan.HardLimitRate > 0:
-		return min(max(1, plan.QuotaBurst, plan.HardLimitBurst), maxUnlimitedUnits) // a request without a number has one unit
+		return min(max(1, plan.QuotaBurst, plan.HardLimitBurst), maxUnlimitedUnits) // a request that states no units has one
 	}
 	return maxUnlimitedUnits
 }
 
-// ClassMethod is the method of a class's requests in the platform's protocol: GET for a class that
+// ClassMethod returns the method of a class's requests in the platform's protocol: GET for a class that
 // is idempotent without a key, POST for any other.
 func ClassMethod(class control.Class) string {
 	if class.Idempotency == control.Idempotent {
--- a/internal/service/requests.go
+++ b/internal/service/requests.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Admit reserves resources for a request with a body of some bytes and for its answer. Where there are none
+// Admit reserves resources for a request with a body of this many bytes and for its answer. If none are available,
 // it returns false, and the module rejects the request in Do.
 func (s *Service) Admit(x *Exchange, body int64) (ok bool) {
 	if s.options.Limiter == nil {
@@ -21,8 +21,8 @@
 	return true
 }
 
-// Do serves a request and waits for its final answer. It returns false where ctx, the client's, ended before,
-// or where the client was found to have left.
+// Do serves a request and waits for its final answer. It returns false if ctx, the client's, ended before the
+// answer, or if the client was found to have disconnected.
 func (s *Service) Do(ctx context.Context, x *Exchange) (Answer, bool) {
 	x.clientContext = ctx
 	a, ok := s.doOnce(ctx, x)
@@ -36,7 +36,7 @@
 	return a, ok
 }
 
-// Unavailable is the answer to a request that no module has handled: a retry is safe.
+// Unavailable returns the answer to a request that no module has handled, which is safe to retry.
 func (s *Service) Unavailable() Answer {
 	return Answer{
 		Kind:       Rejected,
@@ -45,7 +45,7 @@
 	}
 }
 
-// doOnce is Do, but for a request that has to go to this service's replacement, which its answer says.
+// doOnce is Do, except that Answer.replacement may name a service that the request has to be passed to.
 func (s *Service) doOnce(ctx context.Context, x *Exchange) (Answer, bool) {
 	x.answer = make(chan Answer, 1)
 	l := s.currentLoop()
@@ -64,14 +64,14 @@
 		select {
 		case a := <-x.answer:
 			return a, !a.clientHasLeft
-		default: // every request that has started is answered before the loop ends
+		default: // every accepted request is answered before the loop ends, so this one was not accepted
 			return s.Unavailable(), true
 		}
 	}
 }
 
-// Post has the service's event loop call a function between two events; false where the service has ended.
-// A panic in it counts as one of the module.
+// Post has the service's event loop call a function between two events. It returns false if the service has ended.
+// A panic of the function is handled like one of the module.
 func (s *Service) Post(event func()) bool { return s.currentLoop().post(event) }
 
 // Alive reports whether the service's event loop executes events, waiting until ctx ends. A loop that has
--- a/internal/service/restored_servers_test.go
+++ b/internal/service/restored_servers_test.go
@@ -11,8 +11,8 @@
 	"lockflow/internal/upstream"
 )
 
-// Guards against a restart that forgets its servers: a state is restored before discovery has listed any, and what it holds
-// of their latencies, and the concurrency limit, counts once they are listed.
+// Guards against a restart that loses the state of its servers: a state is restored before discovery has listed any
+// server, and its latencies and concurrency limit must apply once the servers are listed.
 func TestStateRestoredBeforeFirstListKeepsServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
--- a/internal/service/retry_departure_test.go
+++ b/internal/service/retry_departure_test.go
@@ -9,7 +9,7 @@
 	"lockflow/internal/upstream"
 )
 
-// retryAlways makes a further attempt at the first server after each that did not end its request.
+// retryUntilFinal makes a further attempt at the first server after each attempt that did not end its request.
 func retryUntilFinal(e control.Event) []control.Action {
 	if r, ok := e.(control.AttemptResult); ok && !r.IsFinal {
 		return []control.Action{control.Send{ID: r.ID, Server: 1}}
@@ -17,7 +17,7 @@
 	return sendToFirstServer(e)
 }
 
-// A further attempt of a request whose client has left since the first one is not written.
+// Guards against a retry for a client that has disconnected since the first attempt: it must not be written.
 func TestRetryOfDisconnectedClientIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := startService(t, Options{NewModule: func() (Module, error) { return moduleFunc(retryUntilFinal), nil }})
--- a/internal/service/retry_outcomes_test.go
+++ b/internal/service/retry_outcomes_test.go
@@ -15,7 +15,7 @@
 	"lockflow/internal/upstream"
 )
 
-// connectionCounter counts open connections and the maximum of them.
+// connectionCounter counts open connections and their maximum.
 type connectionCounter struct {
 	mu            sync.Mutex
 	open, maxOpen int
@@ -35,7 +35,7 @@
 	a.open--
 }
 
-// connectionEnd is how a connection goes on after a response.
+// connectionAction is what a server does with a connection after a response.
 type connectionAction int
 
 const (
@@ -46,8 +46,8 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// scriptedServer answers its first request with some bytes, after which the connection goes on in some way,
-// and all others with okResponse.
+// scriptedServer answers its first request with the bytes of first, after which it does afterResponse with the
+// connection, and all others with okResponse.
 type scriptedServer struct {
 	first         string
 	afterResponse connectionAction
@@ -100,7 +100,7 @@
 	}
 }
 
-// countRequest counts a request, and returns how many there were.
+// countRequest counts a request, and returns the count so far.
 func (s *scriptedServer) countRequest() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,16 +114,16 @@
 	return s.count
 }
 
-// firstResponse is what the first response says of whether the request ran.
+// firstResponse is what the first response implies about whether the request ran.
 type firstResponse int
 
 const (
-	requestNeverRan   firstResponse = iota // any class is sent again
-	requestMayHaveRun                      // an unsafe class is not
+	requestNeverRan   firstResponse = iota // requests of any class are retried
+	requestMayHaveRun                      // requests of an unsafe class are not retried
 	responseIsFinal                        // it is the final answer
 )
 
-// firstAttempt is a way in which a first attempt can end.
+// firstAttempt is one way in which a first attempt can end.
 type firstAttempt struct {
 	response        string
 	afterResponse   connectionAction
@@ -131,7 +131,7 @@
 	keepsConnection bool // for further requests
 }
 
-// expected is how often a request of a class is sent, and the status of its answer.
+// expected returns how often a request of a class is sent, and the status of its answer.
 func (f firstAttempt) expected(class string) (sends, status int) {
 	switch {
 	case f.meaning == responseIsFinal:
@@ -147,7 +147,7 @@
 	server, sockets := &scriptedServer{first: f.response, afterResponse: f.afterResponse}, &connectionCounter{}
 	s := runReadyService(t, Options{
 		Settings: threeClassSettings(time.Hour, time.Hour), Seed: 1, AnyMethod: true,
-		Source:   staticSource(server.start(t), "s-1", "s-2"), // of one cell, which share one server's script
+		Source:   staticSource(server.start(t), "s-1", "s-2"), // in one cell, both at the same scripted server
 		Upstream: upstream.Options{ConnectTimeout: testkit.WaitTimeout, KeepAliveTimeout: time.Hour, SocketLimiter: sockets},
 	})
 	x := &Exchange{
@@ -167,9 +167,9 @@
 	}
 }
 
-// TestRetryFollowsOutcomeOfFirstAttempt checks that for each way in which a first attempt can end, and each
-// idempotency of a class, a request is retried where it may be and only there, over a connection that is
-// opened once the unusable one is closed.
+// TestRetryFollowsOutcomeOfFirstAttempt checks for each way in which a first attempt can end, and each idempotency
+// of a class, that a request is retried if and only if that is allowed. If the first connection is unusable, the
+// retry's connection is opened after it is closed.
 func TestRetryFollowsOutcomeOfFirstAttempt(t *testing.T) {
 	for name, first := range map[string]firstAttempt{
 		"turned away":                 {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", keepOpen, requestNeverRan, true},
--- a/internal/service/server_age_test.go
+++ b/internal/service/server_age_test.go
@@ -9,7 +9,7 @@
 	"lockflow/internal/discovery"
 )
 
-// ageRecorder is a module that records how old each server was when it was listed last.
+// ageRecorder is a module that records the age of each server when it was last listed.
 type ageRecorder struct {
 	statefulRecorder
 	ages *map[uint32]time.Duration
@@ -29,12 +29,11 @@
 	return ages, moduleOf(ageRecorder{statefulRecorder{new([]control.Request)}, &ages})
 }
 
-// bootMS is the Unix time in ms at which a server's start is told, some time ago by its clock.
+// bootMS returns the boot time, in Unix ms, of a server that started age ago by its own clock.
 func bootMS(age time.Duration) float64 { return float64(time.Now().Add(-age).UnixMilli()) }
 
-// A server that is new in a list, or has started again, is no older than the list before that lacked it, and no
-// younger than not at all: a wall clock that is an hour ahead or behind must not have it pass for warm, or warm up
-// for an hour.
+// Guards against wall clocks that are an hour ahead or behind, with which a new or restarted server would count as warm,
+// or warm up for an hour: its age is at most the time since the previous list, and not negative.
 func TestServerAgeIsBoundedByLists(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ages, newModule := newAgeRecorder()
@@ -78,7 +77,7 @@
 	})
 }
 
-// A replacement has servers be as old as the service that it replaces.
+// Guards against a reload that changes the ages of servers: a replacement uses the same ages as the original service.
 func TestServerAgeSurvivesReload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, newModule := newAgeRecorder()
@@ -104,7 +103,7 @@
 	})
 }
 
-// restoreRecorder is a module that records the checkpoint that it is restored from, and its age.
+// restoreRecorder is a module that records the checkpoint that it is restored from and the checkpoint's age.
 type restoreRecorder struct {
 	ageRecorder
 	restored *control.Checkpoint
@@ -115,8 +114,8 @@
 	*r.restored, *r.age = c, now-c.At
 }
 
-// A state is restored by its age, though the wall clock was stepped after it was taken; a server that the other
-// process saw start is no older than there.
+// Guards against a clock step that shifts a restored state: the state's times are shifted by its age, even if the wall
+// clock was stepped after it was taken. A server is no older than in the process that took the state.
 func TestRestoredStateIsMovedToClockOfProcess(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -5 * time.Second, 0, 5 * time.Second, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
@@ -152,7 +151,8 @@
 	}
 }
 
-// A start that a late list tells holds, unless the wall clock was stepped since the service began.
+// A start shortly before the last list is accepted, as lists may be late, unless the wall clock was stepped since the
+// service started.
 func TestStartBeforeLastListIsKeptWithoutClockStep(t *testing.T) {
 	startedAt := readClocks()
 	after := func(d, step time.Duration) clockReading {
--- a/internal/service/server_ages.go
+++ b/internal/service/server_ages.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// maxUptime is the highest age that a server has by the first list. A higher one is due to a wall clock that was
-	// never set.
+	// maxUptime is the highest plausible age of a server. A higher one is caused by a wall clock that was never
+	// set.
 	maxUptime = 10 * 365 * 24 * time.Hour
 
-	// maxListDelay is how long after its start a server is first listed at the latest, where lists arrive in time: clients
+	// maxListDelay is the maximum time from a server's start to its first listing while lists arrive in time: clients
 	// get a change within 6 s after discovery has it, and discovery needs time to detect it.
 	maxListDelay = 10 * time.Second
 
-	// maxClockDrift is how far wall time and monotonic time may differ without that being a step of the wall clock.
+	// maxClockDrift is the maximum difference between wall time and monotonic time that is not taken as a clock step.
 	maxClockDrift = 500 * time.Millisecond
 
 	// maxBootMS is the largest valid boot time; a larger one counts as unknown.
 	maxBootMS = float64(math.MaxInt64 / int64(time.Millisecond))
 
-	// maxUnlistedStarts is how many servers that are no longer listed are remembered.
+	// maxUnlistedStarts limits the number of unlisted servers whose starts are retained.
 	maxUnlistedStarts = 1024
 )
 
@@ -31,15 +31,15 @@
 	StartedAt time.Duration `cbor:"at"`   // on the module's clock
 }
 
-// serverStart is ServerStart by the monotonic clock.
+// serverStart is a ServerStart on the monotonic clock.
 type serverStart struct {
 	bootMS    float64
 	startedAt time.Time // with a monotonic reading
 }
 
-// serverStarts has the times at which servers started. The endpoint list has wall times, and a wall clock may be
-// stepped, so each is converted to an age once, when it is first listed; from then on the monotonic clock counts. It is
-// safe for concurrent use: a service and its replacement share one.
+// serverStarts holds the start times of servers. The endpoint list has wall times, and a wall clock may be stepped, so
+// each time is converted to an age only once, when it is first listed; afterwards the age follows the monotonic clock.
+// A serverStarts is safe for concurrent use, as a service and its replacement share one.
 type serverStarts struct {
 	mu         sync.Mutex
 	byUID      map[string]serverStart
@@ -47,7 +47,7 @@
 	startedAt  clockReading
 }
 
-// clockReading is one moment by both clocks.
+// clockReading is the same moment on the monotonic clock and the wall clock.
 type clockReading struct {
 	monotonic time.Time
 	wall      time.Duration // Unix time
@@ -62,9 +62,9 @@
 	return &serverStarts{byUID: make(map[string]serverStart), startedAt: readClocks()}
 }
 
-// resolve returns when a server started that is listed now with a boot time above 0. A server that was not listed, or
-// with another boot time, did not start before the last message that did not list it so. As lists may be late, a start
-// that is a little before that message is accepted, unless the wall clock was stepped; an earlier one is moved to the
+// resolve returns when a server started that is now listed with a boot time above 0. If the last message did not list
+// the server with this boot time, the server has started since. As lists may be late, a start of up to maxListDelay
+// before that message is accepted, unless the wall clock was stepped; any earlier start is replaced by the time of the
 // message.
 func (s *serverStarts) resolve(uid string, bootMS float64, now clockReading) time.Time {
 	s.mu.Lock()
@@ -81,15 +81,15 @@
 	return startedAt
 }
 
-// wasStepped reports whether the wall clock is off by a step since these starts were first recorded.
+// wasStepped reports whether the wall clock has been stepped since s was created.
 func (s *serverStarts) wasStepped(now clockReading) bool {
 	drift := now.wall - s.startedAt.wall - now.monotonic.Sub(s.startedAt.monotonic)
 	return drift.Abs() > maxClockDrift
 }
 
-// startByWallClock returns when a server started by the wall clock of now, with a monotonic reading. A start in the
-// future, or longer ago than any uptime, counts as now: a wall clock was never set, and it is safe to warm up a server
-// that needs no warm-up.
+// startByWallClock converts a boot time to a time with a monotonic reading, by the wall clock of now. A start in the
+// future or more than maxUptime ago counts as now: some wall clock is wrong, and it is safe to warm up a server that
+// needs no warm-up.
 func startByWallClock(bootMS float64, now clockReading) time.Time {
 	const nanosecondsPerMillisecond = float64(time.Millisecond)
 	age := float64(now.wall) - bootMS*nanosecondsPerMillisecond
@@ -99,8 +99,8 @@
 	return now.monotonic.Add(-time.Duration(age))
 }
 
-// listReceived records that a message of discovery was applied, after resolve of its servers, and forgets servers that
-// are not listed where they are too many.
+// listReceived records that a message of discovery was applied, after resolve was called for its servers. It discards
+// the starts of unlisted servers if there are more than maxUnlistedStarts.
 func (s *serverStarts) listReceived(now time.Time, serverIDs map[string]uint32) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,7 +115,7 @@
 	}
 }
 
-// export returns the starts of the listed servers, by uid, on a module's clock.
+// export returns the starts of the listed servers on a module's clock, by uid.
 func (s *serverStarts) export(clock moduleClock, serverIDs map[string]uint32) map[string]ServerStart {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,8 +128,8 @@
 	return starts
 }
 
-// adopt takes over an earlier process's starts that are later than this one's, and reports whether there are any: either
-// process may have started with a wrong wall clock, and it is safe to underestimate the age of a server.
+// adopt replaces starts with later ones of an earlier process, and reports whether there were any. Either process may
+// have started with a wrong wall clock, and it is safe to underestimate the age of a server.
 func (s *serverStarts) adopt(starts map[string]ServerStart, clock moduleClock) (changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/service/server_removal_test.go
+++ b/internal/service/server_removal_test.go
@@ -18,10 +18,10 @@
 	t       *testing.T
 	service *Service
 	app     *testkit.App
-	server  uint32                     // the module's number of it
+	server  uint32                     // its number in the module
 	listed  chan struct{}              // the module has been notified of a list
-	results chan control.AttemptResult // as the module has been notified of
-	// sentBefore is how many requests the server has had before the one that waits.
+	results chan control.AttemptResult // as reported to the module
+	// sentBefore is the number of requests that the server got before the waiting one.
 	sentBefore int
 }
 
@@ -38,7 +38,7 @@
 	return r
 }
 
-// handle is a module that sends each request to the server, and rejects it where that does not answer it.
+// handle is a module that sends each request to the server, and rejects it if the attempt does not answer it.
 func (r *removalTest) handle(e control.Event) []control.Action {
 	switch e := e.(type) {
 	case control.EndpointList:
@@ -62,7 +62,7 @@
 	return x
 }
 
-// remove has a list arrive, and waits until the module is notified of it.
+// remove passes a list to the service, and waits until the module is notified of it.
 func (r *removalTest) remove(list discovery.EndpointList) {
 	r.service.receiveEndpoints(list)
 	testkit.Next(r.t, r.listed)
@@ -79,7 +79,7 @@
 	return answers
 }
 
-// removeInEventQueue removes the server by an event right before that of a request.
+// removeInEventQueue removes the server by an event that is queued right before the event of a request.
 func (r *removalTest) removeInEventQueue(x *Exchange, list discovery.EndpointList) <-chan Answer {
 	b := newBarrier()
 	r.service.Post(b.pass)
@@ -91,7 +91,7 @@
 	return answers
 }
 
-// removeAtWorker removes the server before a request's worker begins.
+// removeAtWorker removes the server before a request's worker makes the attempt.
 func (r *removalTest) removeAtWorker(x *Exchange, list discovery.EndpointList) <-chan Answer {
 	b := newBarrier()
 	x.Forwarder = blockedForwarder{x.Forwarder, b}
@@ -102,7 +102,7 @@
 	return answers
 }
 
-// removeAtWorkerWithIdleConnection is removeAtWorker where an idle connection to the server exists.
+// removeAtWorkerWithIdleConnection is removeAtWorker with an idle connection to the server.
 func (r *removalTest) removeAtWorkerWithIdleConnection(x *Exchange, list discovery.EndpointList) <-chan Answer {
 	if a, _ := r.service.Do(r.t.Context(), r.newExchange("before")); a.Status != http.StatusOK {
 		r.t.Fatalf("%+v", a)
@@ -112,9 +112,9 @@
 	return r.removeAtWorker(x, list)
 }
 
-// TestAttemptAfterServerRemovalIsNotSent checks that once a list has a server drain, or no longer has it, no
-// attempt begins there, wherever it waits: at the gate, in the event queue, or with a worker that has not
-// begun. The module is notified once that it did not run, and may send the request elsewhere.
+// TestAttemptAfterServerRemovalIsNotSent checks that no attempt is made at a server after a list has it draining or
+// removed, whether the request waits at the gate, in the event queue, or at its worker. The module is notified
+// once that the request did not run, and may send it elsewhere.
 func TestAttemptAfterServerRemovalIsNotSent(t *testing.T) {
 	lists := map[string]discovery.EndpointList{
 		"draining": {Endpoints: []discovery.Endpoint{{UID: "s-1", State: "draining"}}},
@@ -138,7 +138,7 @@
 	}
 }
 
-// check removes the server while a request waits at some place, and checks that the server does not get it.
+// check removes the server by removeAt while a request waits, and checks that the server does not get the request.
 func (r *removalTest) check(removeAt func(*removalTest, *Exchange, discovery.EndpointList) <-chan Answer, list discovery.EndpointList) {
 	answers := removeAt(r, r.newExchange("id-1"), list)
 	if a := testkit.Next(r.t, answers); a.Kind != Rejected {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -21,7 +21,7 @@
 	feed       *discovery.Feed
 	isReady    atomic.Bool
 	restarts   atomic.Int64
-	references atomic.Int64 // callers of TryAcquire; below zero once retired and unused
+	references atomic.Int64 // successful TryAcquire calls without a Release; negative once retired and unused
 	isRetired  atomic.Bool
 	clock      moduleClock
 	starts     *serverStarts // shared with the service that this one replaces
@@ -31,7 +31,7 @@
 	mu        sync.Mutex
 	endpoints map[string]discovery.Endpoint // by uid
 	revision  int64                         // of endpoints
-	loop      *loop                         // the current one; a restart sets another
+	loop      *loop                         // the current loop; a restart replaces it
 }
 
 // New creates a service. It accepts requests from now on and answers them once Run is called.
@@ -78,8 +78,8 @@
 	return s, nil
 }
 
-// newFeed creates the feed of a service's endpoint list. It has random numbers of its own, as it draws them at times
-// that depend on the network, and the module's decisions have to be reproducible.
+// newFeed creates the feed of a service's endpoint list. The feed has its own random number generator: it draws numbers
+// at times that depend on the network, which would make the decisions of a module that shared it irreproducible.
 func newFeed(options *Options, receive func(discovery.EndpointList)) *discovery.Feed {
 	pace := discovery.Pacer{
 		GroupSize: options.Settings.GroupSize,
@@ -96,7 +96,7 @@
 // Ready reports whether the service has ever had an available server.
 func (s *Service) Ready() bool { return s.isReady.Load() }
 
-// currentLoop returns the loop that is in force.
+// currentLoop returns the service's current loop, which a restart replaces.
 func (s *Service) currentLoop() *loop {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -57,8 +57,8 @@
 	})
 }
 
-// TestRestartsBackOff checks that the pauses before the restarts of a module that panics repeatedly grow, and
-// each request is answered: those that were accepted as failed, those that come during the pause as rejected.
+// TestRestartsBackOff checks that the backoff before the restarts of a module that panics repeatedly grows, and that
+// each request is answered: accepted ones as failed, those that arrive during the backoff as rejected.
 func TestRestartsBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		made := 0
@@ -124,7 +124,7 @@
 	})
 }
 
-// countingLimiter admits a limited number of requests and counts what is released.
+// countingLimiter admits a limited number of requests at once and counts releases.
 type countingLimiter struct {
 	acquired, released atomic.Int64
 	limit              int64
@@ -138,7 +138,7 @@
 	return func() { c.acquired.Add(-1); c.released.Add(1) }, true
 }
 
-// panicWithinCapacity rejects each request for which there are no resources, and panics at any other.
+// panicWithinCapacity rejects each request for which there are no resources, and panics on any other.
 func panicWithinCapacity(e control.Event) []control.Action {
 	if r, ok := e.(control.Request); ok && !r.IsOverCapacity {
 		panic("bad")
@@ -147,7 +147,7 @@
 }
 
 // TestResourcesAreReleasedOnce checks that the resources of a request are released once, when both the caller
-// of Do and the loop have released it, in any order and whatever becomes of the request.
+// of Do and the loop have released them, in any order and however the request ends.
 func TestResourcesAreReleasedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limiter := &countingLimiter{limit: 2}
@@ -212,14 +212,14 @@
 			}), nil
 		}})
 		s.Do(context.Background(), newExchange("x"))
-		s.Status()                       // waits for what the request caused
-		if spent != 2*time.Millisecond { // of the list and the request
+		s.Status()                       // waits for the events that the request caused
+		if spent != 2*time.Millisecond { // one for the list and one for the request
 			t.Errorf("%v", spent)
 		}
 	})
 }
 
-// TestServerIDsAreNeverReused checks that a server that is listed again has a new number.
+// TestServerIDsAreNeverReused checks that a server that is removed and listed again gets a new id.
 func TestServerIDsAreNeverReused(t *testing.T) {
 	serverIDs := make(map[uint32]bool)
 	s := &Service{upstream: upstream.New(upstream.Options{}), starts: newServerStarts()}
@@ -243,7 +243,8 @@
 	}
 }
 
-// TestClockIsUnixTime checks that boot times of servers, also earlier ones, compare with the module's clock.
+// TestClockIsUnixTime checks that the module's clock is comparable with the boot times of servers, also of those that
+// started before this process.
 func TestClockIsUnixTime(t *testing.T) {
 	l := (&Service{clock: moduleClock{time.Now()}}).newLoop(moduleFunc(ignoreAll))
 	if d := time.Since(time.Unix(0, int64(l.now()))); d < -time.Minute || d > time.Minute {
@@ -261,7 +262,7 @@
 }
 
 // TestRetiringAfterReplaceStillTransfersState checks that a service that is retired right after ReplaceWith
-// transfers its state all the same, however busy it is, so that its replacement does not spend tokens twice.
+// still transfers its state, however busy it is, so that its replacement does not spend tokens twice.
 func TestRetiringAfterReplaceStillTransfersState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		original, ended := startService(t, Options{})
--- a/internal/service/shutdown_test.go
+++ b/internal/service/shutdown_test.go
@@ -12,18 +12,18 @@
 	"lockflow/internal/upstream"
 )
 
-// endsWith is an attempt that ends at once.
+// endsImmediately returns an attempt that ends at once with this reason and status.
 func endsImmediately(reason control.Reason, status int) func(context.Context) upstream.Outcome {
 	return func(context.Context) upstream.Outcome { return upstream.Outcome{Reason: reason, Status: status} }
 }
 
-// neverConnects is an attempt whose connection does not come up until the attempt is over.
+// neverConnects is an attempt whose connection is not established before the attempt's context ends.
 func neverConnects(ctx context.Context) upstream.Outcome {
 	<-ctx.Done()
 	return upstream.Outcome{Reason: control.ConnectFailed}
 }
 
-// neverAnswered is an attempt that is written and has no response until it is over.
+// neverAnswered is an attempt that is written and gets no response before its context ends.
 func neverAnswered(ctx context.Context) upstream.Outcome {
 	if !upstream.Commit(ctx) {
 		return upstream.Outcome{Reason: control.NotSent}
@@ -32,10 +32,10 @@
 	return upstream.Outcome{Reason: control.Cancelled}
 }
 
-// pendingRequest is a request that has no answer as its service ends.
+// pendingRequest is a request that has no answer when its service ends.
 type pendingRequest struct {
-	attempt func(context.Context) upstream.Outcome // nil has no attempt made
-	kind    AnswerKind                             // of the answer at an orderly end
+	attempt func(context.Context) upstream.Outcome // nil if no attempt is made
+	kind    AnswerKind                             // of the answer after a graceful shutdown
 }
 
 // check ends the service, or has its module panic, and checks the request's answer.
@@ -48,7 +48,7 @@
 		module = sendToFirstServer
 	}
 	s, handle := startStoppableService(t, Options{Settings: set, NewModule: moduleOf(module)})
-	synctest.Wait() // it knows its server
+	synctest.Wait() // the module has got the endpoint list
 	x := newExchange("id-1")
 	x.Deadline = time.Now().Add(deadline)
 	x.Forwarder = &scriptedForwarder{attempt: p.attempt}
@@ -72,9 +72,9 @@
 	}
 }
 
-// TestPendingRequestsAreAnsweredAtEnd checks that at an orderly end requests that surely never ran are
-// rejected, whatever their class's idempotency, and those that may have run are failed. After a panic all are
-// failed.
+// TestPendingRequestsAreAnsweredAtEnd checks that on graceful shutdown requests that cannot have run are rejected,
+// whatever their class's idempotency, and those that may have run are answered as failed. After a panic all are
+// answered as failed.
 func TestPendingRequestsAreAnsweredAtEnd(t *testing.T) {
 	requests := map[string]pendingRequest{
 		"nothing sent":   {nil, Rejected},
@@ -105,8 +105,8 @@
 func TestArrivedAnswersAreDeliveredAtEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, handle := startStoppableService(t, Options{NewModule: moduleOf(moduleFunc(sendToFirstServer))})
-		synctest.Wait() // it knows its server
-		const n = 30    // enough that a random choice between answers and the end would lose some
+		synctest.Wait() // the module has got the endpoint list
+		const n = 30    // enough for a random choice between queued events and the end of ctx to lose some
 		arrived := make(chan struct{})
 		served := make(chan Answer, n)
 		do := func(id string) {
--- a/internal/service/statistics.go
+++ b/internal/service/statistics.go
@@ -18,15 +18,15 @@
 	loops map[*loopStatistics]struct{}
 }
 
-// loopStatistics are the statistics of one loop. Only the loop's goroutine counts, so that nothing is locked
-// and no two processors write to one cache line; the atomics are for concurrent readers.
+// loopStatistics are the statistics of one loop. Only the loop's goroutine updates them, so that no lock is needed
+// and no two processors write to the same cache line; the atomics are for concurrent readers.
 type loopStatistics struct {
 	classes          map[string]*classStatistics
 	rejected         atomic.Uint64
 	rejectedByQuota  atomic.Uint64 // those of rejected that were above a quota or hard limit
 	failed           atomic.Uint64
 	late             atomic.Uint64 // served after the latency objective
-	abandoned        atomic.Uint64 // the client left before the answer
+	abandoned        atomic.Uint64 // the client disconnected before the answer
 	deadlineBreaches atomic.Uint64 // answered after the deadline, or not at all
 	panics           atomic.Uint64
 	units            atomic.Uint64 // bits of a float64
@@ -42,7 +42,7 @@
 	requests         atomic.Uint64
 }
 
-// addLoop returns the statistics of a new loop.
+// addLoop creates and registers the statistics of a new loop.
 func (c *StatisticsCollector) addLoop(classes []control.Class) *loopStatistics {
 	s := &loopStatistics{classes: make(map[string]*classStatistics, len(classes))}
 	for _, class := range classes {
@@ -65,8 +65,8 @@
 	s.addTo(&c.ended)
 }
 
-// Statistics returns what was counted until now. Figures of the process that no service counts are left to
-// the caller.
+// Statistics returns the totals so far. Statistics of the process that no service counts are left to the
+// caller.
 func (c *StatisticsCollector) Statistics() instancestats.Statistics {
 	if c == nil {
 		return instancestats.Statistics{}
@@ -104,7 +104,7 @@
 	s.units.Store(math.Float64bits(math.Float64frombits(s.units.Load()) + units))
 }
 
-// requestEnded counts a request's final answer. One of an unknown class, which the module rejects, is not
+// requestEnded counts a request's final answer. Requests of an unknown class, which the module rejects, are not
 // counted.
 func (s *loopStatistics) requestEnded(x *Exchange, a Answer) {
 	class := s.classes[x.Request.Class]
@@ -153,8 +153,8 @@
 	return cause == control.CauseHardLimit || cause == control.CauseQuota || cause == control.CauseProbability
 }
 
-// loopEnded counts the end of a loop. A request that had no answer by then is a breach; after a panic, the panic is
-// counted instead.
+// loopEnded counts the end of a loop. Requests without an answer count as deadline breaches, unless the module has
+// panicked; then only the panic is counted.
 func (s *loopStatistics) loopEnded(unanswered int, hasPanicked bool) {
 	if hasPanicked {
 		s.panics.Add(1)
--- a/internal/service/statistics_test.go
+++ b/internal/service/statistics_test.go
@@ -8,7 +8,7 @@
 	"lockflow/internal/instancestats"
 )
 
-// countedIn names what counts one request of priority weight 2.5.
+// incrementedCounters returns the names of the counters that have counted one request of priority weight 2.5.
 func incrementedCounters(f instancestats.Statistics) (names string) {
 	for _, v := range []struct {
 		name string
@@ -31,16 +31,16 @@
 	return names
 }
 
-// TestStatisticsCountEachOutcomeOnce checks that each outcome of a request is counted once and under its
-// name; a request above a quota is not counted as offered, and the counts of a loop that has ended remain.
+// TestStatisticsCountEachOutcomeOnce checks that each outcome of a request is counted once and in its own counter.
+// A request above a quota is not counted as offered, and the counts of a loop that has ended are retained.
 func TestStatisticsCountEachOutcomeOnce(t *testing.T) {
 	var collector StatisticsCollector
 	const class = "read"
 	for name, tc := range map[string]struct {
-		elapsed, left time.Duration // since it began; until its deadline
+		elapsed, left time.Duration // time since the request started; time until its deadline
 		answer        Answer
 		cause         control.Cause
-		want          string // of asked, served, and the counts that are 1
+		want          string // names, as in incrementedCounters, of the counters that are 1 or weighted
 	}{
 		"served":         {time.Millisecond, time.Second, Answer{Status: 200}, 0, "asked served delays"},
 		"late":           {2 * time.Second, time.Second, Answer{Status: 200}, 0, "asked late delays"},
@@ -60,7 +60,7 @@
 			loop.attemptStarted(x.Request.Units)
 			tc.answer.Cause = tc.cause
 			loop.requestEnded(x, tc.answer)
-			for range 2 { // while it runs, and after its end
+			for range 2 { // while the loop runs, and after it has ended
 				f, ok := collector.Statistics().Since(before)
 				if got := incrementedCounters(f); !ok || got != " "+tc.want || f.Requests != 1 || f.Units != 1.5 {
 					t.Errorf("%s, not %s: %+v", got, tc.want, f)
--- a/internal/service/status.go
+++ b/internal/service/status.go
@@ -2,7 +2,7 @@
 
 import "lockflow/internal/upstream"
 
-// Status is what a service is doing. The JSON keys are those of the control socket.
+// Status is a service's current state. The JSON keys are those of the control socket.
 type Status struct {
 	Name string `json:"name"`
 	// Ready is whether the service has ever had an available server.
@@ -22,21 +22,21 @@
 	// because another service needed the resources.
 	OpenStreams int   `json:"streams"`
 	CutStreams  int64 `json:"cut"`
-	// HTTP2 describes the connections that requests share; nil where all servers speak HTTP/1.1.
+	// HTTP2 describes the connections that requests share; nil if all servers speak HTTP/1.1.
 	HTTP2 *upstream.HTTP2Status `json:"http2,omitempty"`
-	// HardLimits is the state at each lease store; empty where no hard limit is shared.
+	// HardLimits is the state at each lease store; empty if no hard limit is shared.
 	HardLimits []HardLimitStatus `json:"shared,omitempty"`
-	// ConcurrencyLimit is how many attempts the module allows in flight at once; 0 where it does not report it.
+	// ConcurrencyLimit is how many attempts the module allows in flight at once; 0 if it does not report that.
 	ConcurrencyLimit float64 `json:"bound"`
 	// GroupSizeRange is the smallest and the largest group size that the servers' load reports are consistent
-	// with, zero where there are too few reports.
+	// with; zero if there are too few reports.
 	GroupSizeRange [2]float64 `json:"group"`
 	// IsGroupSizeContradicted is whether the configured group size is outside that range.
 	IsGroupSizeContradicted bool `json:"group_doubts"`
 }
 
-// Status returns what the service is doing. Where the service has ended, only what does not depend on its
-// event loop is set.
+// Status returns the service's current state. If the service has ended, only the fields that do not depend on its
+// event loop are set.
 func (s *Service) Status() Status {
 	st := Status{Name: s.options.Name, Ready: s.isReady.Load(), Restarts: s.restarts.Load()}
 	st.IdleConnections, _ = s.upstream.CountIdle()
--- a/internal/service/streams.go
+++ b/internal/service/streams.go
@@ -7,8 +7,8 @@
 	"lockflow/internal/upstream"
 )
 
-// Streams are the open response streams and tunnels of a service, or of several that share an account of
-// resources. The zero value has none; a nil *Streams registers nothing.
+// Streams registers the open response streams and tunnels of a service, or of several services that share a
+// resource limit. The zero value is empty; a nil *Streams registers nothing.
 type Streams struct {
 	mu        sync.Mutex
 	deadlines map[*upstream.Stream]time.Time // of the open streams' requests
@@ -37,7 +37,7 @@
 	delete(s.deadlines, stream)
 }
 
-// CutOverdue cuts the stream whose request's deadline passed first, if one has passed. It is called where
+// CutOverdue aborts the stream whose request's deadline passed first, if any has passed. It is called when
 // another service needs resources that are guaranteed to it and that this one has borrowed.
 func (s *Streams) CutOverdue() {
 	s.mu.Lock()
--- a/internal/service/timer_queue.go
+++ b/internal/service/timer_queue.go
@@ -6,9 +6,9 @@
 // each of thousands of labels a second. A single label fires on time.
 const minFiringInterval = 2 * time.Millisecond
 
-// timerQueue are the timers that the module has armed: a heap of labels by due time, with one runtime timer
-// for the earliest. It has to be cheap, as most timers are armed for a request and have no effect once that is
-// answered. The zero value is empty. It is not safe for concurrent use.
+// timerQueue holds the timers that the module has armed: a heap of labels by due time, with one runtime timer
+// for the earliest. It has to be cheap, as most timers are armed for a request and have no effect once the request
+// is answered. The zero value is empty. It is not safe for concurrent use.
 type timerQueue struct {
 	entries     []timerEntry // a binary min-heap by dueAt
 	timer       *time.Timer  // nil until the first label is armed
@@ -36,7 +36,7 @@
 	q.reset()
 }
 
-// reset sets the runtime timer to the earliest label, unless it fires no later.
+// reset sets the runtime timer to the due time of the earliest label, unless it already fires by then.
 func (q *timerQueue) reset() {
 	if len(q.entries) == 0 {
 		return
@@ -58,7 +58,7 @@
 	}
 }
 
-// fired returns the channel that the runtime timer fires on; nil where no label was ever armed.
+// fired returns the channel that the runtime timer fires on; nil if no label was ever armed.
 func (q *timerQueue) fired() <-chan time.Time {
 	if q.timer == nil {
 		return nil
@@ -66,8 +66,8 @@
 	return q.timer.C
 }
 
-// popDue removes and returns the earliest label that is due by some time. It is called after the runtime
-// timer has fired, until it returns false, which sets that timer anew.
+// popDue removes and returns the earliest label that is due by now. It is called after the runtime timer has
+// fired, until it returns false, which also resets that timer.
 func (q *timerQueue) popDue(now time.Time) (label uint64, ok bool) {
 	if len(q.entries) == 0 || q.entries[0].dueAt.After(now) {
 		q.isSet = false
--- a/internal/service/timer_queue_test.go
+++ b/internal/service/timer_queue_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// timerTest arms labels of a queue and records when they were due and when they were popped, from its start.
+// timerTest arms labels of a queue and records when they were due and when they were popped, both relative to start.
 type timerTest struct {
 	queue       timerQueue
 	start       time.Time
@@ -20,7 +20,7 @@
 	tt.queue.arm(time.Now().Add(after), label)
 }
 
-// popAll pops what is due after the queue has fired.
+// popAll pops all labels that are due after the queue has fired.
 func (tt *timerTest) popAll() {
 	for {
 		at := time.Since(tt.start)
@@ -31,7 +31,7 @@
 	}
 }
 
-// step arms some labels, and pops what is due if the queue fires within a while.
+// step arms up to 3 labels, and pops those that are due if the queue fires within a random time below 100 ms.
 func (tt *timerTest) step(rng *rand.Rand, label uint64) {
 	for range rng.IntN(4) {
 		tt.arm(time.Duration(rng.IntN(1000))*time.Millisecond, label)
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestTimerQueueFiresInOrderOnTime checks that in whatever order labels are armed, each is popped when it is
-// due, in order.
+// TestTimerQueueFiresInOrderOnTime checks that labels are popped in the order of their due times and when they are
+// due, in whatever order they were armed.
 func TestTimerQueueFiresInOrderOnTime(t *testing.T) {
 	for seed := range uint64(50) {
 		synctest.Test(t, func(t *testing.T) {
@@ -64,7 +64,7 @@
 			if !slices.IsSorted(test.popped) || len(test.popped) != len(test.due) {
 				t.Fatalf("seed %d: %d popped of %d", seed, len(test.popped), len(test.due))
 			}
-			for i, due := range test.due { // no sooner, and no later than another step of this test
+			for i, due := range test.due { // not before it is due, and at most one step of this test later
 				if got := test.popped[i]; got < due || got > due+100*time.Millisecond {
 					t.Fatalf("seed %d: label due at %v popped at %v", seed, due, got)
 				}
--- a/internal/service/unbegun_requests_test.go
+++ b/internal/service/unbegun_requests_test.go
@@ -11,9 +11,9 @@
 	"lockflow/internal/upstream"
 )
 
-// TestClientLeavesUnbegunRequest checks that a service goes on, and answers its accepted request, where a
-// client leaves whose request was answered without having begun: another accepted request had its id, or it
-// went to the service's replacement.
+// TestClientDisconnectOfUnacceptedRequest checks that a service continues, and answers its accepted request, after a
+// client has disconnected whose request was answered without being accepted: because another accepted request had
+// the same ID, or because it was passed to the service's replacement.
 func TestClientDisconnectOfUnacceptedRequest(t *testing.T) {
 	for _, tc := range []struct {
 		name, id string
--- a/internal/service/withheld_retry_test.go
+++ b/internal/service/withheld_retry_test.go
@@ -11,14 +11,14 @@
 	"lockflow/internal/upstream"
 )
 
-// clientUntilFirstRequest is a client that has left once the server has had a request.
+// clientUntilFirstRequest is a client that counts as disconnected once the server has got a request.
 type clientUntilFirstRequest struct{ app *testkit.App }
 
 func (c clientUntilFirstRequest) IsWaiting() bool { return c.app.Count() == 0 }
 
-// TestAnswerAfterWithheldRetryTellsWhatRan checks that a request whose client seems to have left before a
-// retry is still answered, as the client may be there: as rejected, after which a retry is safe, only where
-// the attempt before did not run.
+// TestAnswerAfterWithheldRetryReportsWhetherRequestRan checks that a request whose client seems to have disconnected
+// before a retry is still answered, as the client may still be connected. The answer is a rejection, after which a
+// retry is safe, only if the previous attempt did not run.
 func TestAnswerAfterWithheldRetryReportsWhetherRequestRan(t *testing.T) {
 	for name, tc := range map[string]struct {
 		first  http.HandlerFunc
