--- a/internal/service/attempts_test.go
+++ b/internal/service/attempts_test.go
@@ -50,10 +50,10 @@
 			x.Deadline, x.Forwarder = time.Now().Add(testkit.WaitTimeout), newForwarder(t, http.MethodGet, "", nil)
 			a, _ := s.Do(context.Background(), x)
 			if n := app.Count() - before; n != tc.want || (a.Status == http.StatusOK) != (n == 1) {
-				t.Errorf("%d were written, answer %d", n, a.Status)
+				t.Errorf("%d attempts were written, answer has status %d", n, a.Status)
 			}
 			if why := testkit.Next(t, reasons); (why == control.NotSent) != (tc.want == 0) {
-				t.Errorf("reason %d", why)
+				t.Errorf("attempt ended with reason %d", why)
 			}
 		})
 	}
@@ -82,7 +82,7 @@
 					go original.Do(ctx, x)
 					synctest.Wait()
 					if isRetained := from != to && to == control.IdempotentWithKey; len(before)+len(after) != 1 || len(before) == 1 != isRetained {
-						t.Errorf("heard of %d before, %d after", len(before), len(after))
+						t.Errorf("original module got %d requests, replacement's module %d", len(before), len(after))
 					}
 					cancelClient()
 					synctest.Wait()
--- a/internal/service/client_departure_test.go
+++ b/internal/service/client_departure_test.go
@@ -98,38 +98,38 @@
 // request is served.
 func TestRequestOfDisconnectedClientIsNotSent(t *testing.T) {
 	scenarios := map[string]func(r *disconnectTest, x *Exchange){
-		"its turn": func(r *disconnectTest, x *Exchange) { r.saturateServer(); r.disconnectAt(x, nil); r.unblockServer() },
-		"its worker": func(r *disconnectTest, x *Exchange) {
+		"in the queue": func(r *disconnectTest, x *Exchange) { r.saturateServer(); r.disconnectAt(x, nil); r.unblockServer() },
+		"at the worker": func(r *disconnectTest, x *Exchange) {
 			b := newBarrier()
 			x.Forwarder = blockedForwarder{x.Forwarder, b}
 			r.disconnectAt(x, b)
 		},
-		"its connection": func(r *disconnectTest, x *Exchange) { b := newBarrier(); r.limiter.nextDial = b; r.disconnectAt(x, b) },
-		"the last moment": func(r *disconnectTest, x *Exchange) {
+		"while connecting": func(r *disconnectTest, x *Exchange) { b := newBarrier(); r.limiter.nextDial = b; r.disconnectAt(x, b) },
+		"right before the write": func(r *disconnectTest, x *Exchange) {
 			x.Client = clientFunc(func() bool { r.cancelClient(); r.awaitDisconnectHandled(x); return true })
 			r.disconnectAt(x, nil)
 		},
-		"its socket's word": func(r *disconnectTest, x *Exchange) {
+		"reported by its socket": func(r *disconnectTest, x *Exchange) {
 			x.Client = clientFunc(func() bool { return false })
 			r.disconnectUnnoticed(x)
 		},
-		"the loop's channel": func(r *disconnectTest, x *Exchange) { r.disconnectBeforeEventRuns(x, r.service, nil) },
-		"another's place": func(r *disconnectTest, x *Exchange) {
+		"in the event queue": func(r *disconnectTest, x *Exchange) { r.disconnectBeforeEventRuns(x, r.service, nil) },
+		"in the replacement's event queue": func(r *disconnectTest, x *Exchange) {
 			next := r.startService(r.service.Upstream())
 			r.service.ReplaceWith(next)
 			r.disconnectBeforeEventRuns(x, next, nil)
 		},
-		"the gate": func(r *disconnectTest, x *Exchange) {
+		"opening the gate": func(r *disconnectTest, x *Exchange) {
 			decided := make(chan bool, 1)
 			x.Gate = &Gate{OnDecision: func(taken bool) { decided <- taken }}
 			r.disconnectBeforeEventRuns(x, r.service, decided)
 		},
-		"the gate, shut": func(r *disconnectTest, x *Exchange) {
+		"at the closed gate": func(r *disconnectTest, x *Exchange) {
 			decided := newBarrier()
 			x.Gate = &Gate{OnDecision: func(bool) { close(decided.arrived) }}
 			r.disconnectAt(x, decided)
 			if sent := r.module.resultsOf("left"); len(sent) != 1 {
-				r.t.Errorf("before the gate opens %+v", sent)
+				r.t.Errorf("results before the gate opens: %+v, want one", sent)
 			}
 			x.OpenGate()
 		},
@@ -152,19 +152,19 @@
 // checkNotSent checks that nothing of the request "left" was sent, whose client disconnected while it was at place,
 // and that the next request is served.
 func (r *disconnectTest) checkNotSent(place string) {
-	testkit.Until(r.t, "its end", func() bool { return r.service.Status().Requests == 0 })
+	testkit.Until(r.t, "the end of the request", func() bool { return r.service.Status().Requests == 0 })
 	sent := r.module.resultsOf("left")
-	if place == "its turn" && len(sent) > 0 || place != "its turn" && (len(sent) != 1 || sent[0].Reason != control.NotSent || !sent[0].IsFinal) {
-		r.t.Errorf("its attempts ended %+v", sent)
+	if place == "in the queue" && len(sent) > 0 || place != "in the queue" && (len(sent) != 1 || sent[0].Reason != control.NotSent || !sent[0].IsFinal) {
+		r.t.Errorf("attempt results of the disconnected request: %+v", sent)
 	}
 	if a, ok := r.service.Do(r.t.Context(), r.newExchange("next")); !ok || a.Status != http.StatusOK {
-		r.t.Errorf("the next one: %+v, %v", a, ok)
+		r.t.Errorf("next request: answer %+v, %v", a, ok)
 	}
 	if r.serverSaw("left") || !r.serverSaw("next") {
-		r.t.Errorf("the server saw %v", r.requestsSeen)
+		r.t.Errorf("requests at the server: %v, want only the next one", r.requestsSeen)
 	}
-	if place == "its socket's word" && r.connectionCount() != 1 {
-		r.t.Errorf("%d connections: that of what was not sent is not used", r.connectionCount())
+	if place == "reported by its socket" && r.connectionCount() != 1 {
+		r.t.Errorf("%d connections, want 1: the connection of the unsent request was not reused", r.connectionCount())
 	}
 }
 
@@ -252,11 +252,11 @@
 		testkit.Next(r.t, place.arrived)
 		cancel()
 	case x.Client == nil:
-		testkit.Until(r.t, "its place in the queue", func() bool { return r.service.Status().Requests == 3 })
+		testkit.Until(r.t, "the request to be queued", func() bool { return r.service.Status().Requests == 3 })
 		cancel()
 	}
 	if testkit.Next(r.t, done) {
-		r.t.Error("it has an answer")
+		r.t.Error("disconnected client got an answer")
 	}
 	r.awaitDisconnectHandled(x)
 	if place != nil {
@@ -281,11 +281,11 @@
 	target.Post(before.pass)
 	testkit.Next(r.t, before.arrived)
 	enter()
-	testkit.Until(r.t, "its event", func() bool { return len(target.currentLoop().events) == 1 })
+	testkit.Until(r.t, "the event to be queued", func() bool { return len(target.currentLoop().events) == 1 })
 	target.Post(after.pass)
 	cancel()
 	if testkit.Next(r.t, done) {
-		r.t.Error("it has an answer")
+		r.t.Error("disconnected client got an answer")
 	}
 	close(before.open)
 	testkit.Next(r.t, after.arrived)
@@ -297,7 +297,7 @@
 
 // awaitDisconnectHandled waits until the loop has answered x, as it does when it handles the client's disconnect.
 func (r *disconnectTest) awaitDisconnectHandled(x *Exchange) {
-	testkit.Until(r.t, "the loop to hear", func() bool {
+	testkit.Until(r.t, "the loop to handle the disconnect", func() bool {
 		done := make(chan bool)
 		return r.service.Post(func() { done <- x.isAnswered }) && <-done
 	})
@@ -306,7 +306,7 @@
 // disconnectUnnoticed has the client disconnect without an end of its context: only Exchange.Client reports it.
 func (r *disconnectTest) disconnectUnnoticed(x *Exchange) {
 	if a, ok := r.service.Do(r.t.Context(), x); ok {
-		r.t.Errorf("it has an answer: %+v", a)
+		r.t.Errorf("disconnected client got an answer: %+v", a)
 	}
 }
 
@@ -315,7 +315,7 @@
 	for i := range 2 {
 		r.blockedRequests.Go(func() { r.service.Do(r.t.Context(), r.newExchange(fmt.Sprint("f", i))) })
 	}
-	testkit.Until(r.t, "two at the server", func() bool { return r.serverSaw("f0") && r.serverSaw("f1") })
+	testkit.Until(r.t, "two requests at the server", func() bool { return r.serverSaw("f0") && r.serverSaw("f1") })
 }
 
 func (r *disconnectTest) unblockServer() { close(r.unblockRequests); r.blockedRequests.Wait() }
--- a/internal/service/deadlines_test.go
+++ b/internal/service/deadlines_test.go
@@ -75,21 +75,21 @@
 	startedAt, sent := time.Now(), 0
 	a := <-doWithin(s, "id-1", wait, func(ctx context.Context) upstream.Outcome { sent++; return d.attempt(ctx) })
 	if elapsed, by := time.Since(startedAt), max(wait, d.loopBlockedFor); elapsed > by {
-		t.Errorf("answered after %v", elapsed)
+		t.Errorf("answered after %v, later than the client waits", elapsed)
 	}
 	if a.Kind == Served || a.Kind == Failed && sent == 0 || a.Status < 500 {
-		t.Errorf("%+v with %d sent", a, sent)
+		t.Errorf("answer %+v with %d attempts sent", a, sent)
 	}
 	if d.hasNoServer || wait < DeadlineMargin || d.loopBlockedFor > wait {
 		if sent > 0 || a.Kind != Rejected {
-			t.Errorf("%d sent, %+v", sent, a)
+			t.Errorf("%d attempts sent, answer %+v; want none and a rejection", sent, a)
 		}
 	}
 	for _, o := range others {
 		<-o
 	}
 	if synctest.Wait(); s.Status().Requests != 0 {
-		t.Errorf("%d held", s.Status().Requests)
+		t.Errorf("%d requests left in the loop, want 0", s.Status().Requests)
 	}
 }
 
@@ -98,12 +98,12 @@
 // longer. A request that arrives too late to be sent is rejected and not sent.
 func TestEveryRequestIsAnsweredByItsDeadline(t *testing.T) {
 	for name, test := range map[string]deadlineTest{
-		"no server":      {attempt: timesOutAfterWrite, hasNoServer: true},
-		"a hanging one":  {attempt: timesOutAfterWrite},
-		"a full one":     {attempt: rejectedByServer},
-		"places taken":   {attempt: timesOutAfterWrite, isSaturated: true},
-		"a busy loop":    {attempt: timesOutAfterWrite, loopBlockedFor: 10 * time.Millisecond},
-		"a loop at rest": {attempt: timesOutAfterWrite, loopBlockedFor: 10 * time.Second},
+		"no server":            {attempt: timesOutAfterWrite, hasNoServer: true},
+		"server that hangs":    {attempt: timesOutAfterWrite},
+		"server that rejects":  {attempt: rejectedByServer},
+		"saturated server":     {attempt: timesOutAfterWrite, isSaturated: true},
+		"briefly blocked loop": {attempt: timesOutAfterWrite, loopBlockedFor: 10 * time.Millisecond},
+		"long blocked loop":    {attempt: timesOutAfterWrite, loopBlockedFor: 10 * time.Second},
 	} {
 		for class, idempotency := range idempotencies {
 			for _, wait := range []time.Duration{time.Microsecond, 20 * time.Millisecond, 400 * time.Millisecond, 5 * time.Second} {
@@ -151,14 +151,14 @@
 		}
 		synctest.Wait()
 		if got := len(s.currentLoop().events); got != n/3 {
-			t.Fatalf("%d in the channel", got)
+			t.Fatalf("%d events in the queue, want a full queue", got)
 		}
 		leave()
 		synctest.Wait()
 		close(hold)
 		all.Wait()
 		if synctest.Wait(); s.Status().Requests != 0 || sent.Load() != int64(n/2) || served.Load() != int64(n/2) || gone.Load() != int64(n/2) {
-			t.Errorf("%d held, %d sent, %d served, %d gone", s.Status().Requests, sent.Load(), served.Load(), gone.Load())
+			t.Errorf("%d requests left in the loop, %d sent, %d served, %d clients gone", s.Status().Requests, sent.Load(), served.Load(), gone.Load())
 		}
 	})
 }
--- a/internal/service/endpoint_changes_test.go
+++ b/internal/service/endpoint_changes_test.go
@@ -14,19 +14,19 @@
 func (r *disconnectTest) startWaitingAt(place string, x *Exchange) (goOn func(), answers <-chan Answer) {
 	at := newBarrier()
 	switch place {
-	case "its turn":
+	case "in the queue":
 		close(at.open)
 		r.saturateServer()
 		answers = doInBackground(r.t.Context(), r.service, x)
-		testkit.Until(r.t, "its place in the queue", func() bool { return r.service.Status().Requests == 3 })
+		testkit.Until(r.t, "the request to be queued", func() bool { return r.service.Status().Requests == 3 })
 		return r.unblockServer, answers
-	case "its gate":
+	case "at the gate":
 		x.Gate = &Gate{OnDecision: func(bool) { close(at.arrived) }}
 		goOn = x.OpenGate
-	case "its worker":
+	case "at the worker":
 		x.Forwarder = blockedForwarder{x.Forwarder, at}
 		goOn = func() { close(at.open) }
-	case "its connection":
+	case "while connecting":
 		r.limiter.nextDial = at
 		goOn = func() { close(at.open) }
 	}
@@ -61,17 +61,17 @@
 		r.awaitDisconnectHandled(&Exchange{isAnswered: true}) // waits for the list to be handled
 		goOn()
 		if a := testkit.Next(t, answers); a.Status != http.StatusOK {
-			t.Errorf("%+v", a)
+			t.Errorf("answer %+v, want status 200", a)
 		}
 		if a, ok := r.service.Do(t.Context(), r.newExchange("next")); !ok || a.Status != http.StatusOK {
-			t.Errorf("the next one: %+v, %v", a, ok)
+			t.Errorf("next request: answer %+v, %v", a, ok)
 		}
 		if r.serverSaw("drained") || r.serverSaw("next") {
-			t.Errorf("the server saw %v", r.requestsSeen)
+			t.Errorf("requests at the replaced server: %v, want neither", r.requestsSeen)
 		}
 	}
 	for _, kind := range []string{"draining", "removed", "whole", "moved"} {
-		for _, place := range []string{"its turn", "its gate", "its worker", "its connection"} {
+		for _, place := range []string{"in the queue", "at the gate", "at the worker", "while connecting"} {
 			for _, class := range []string{"safe", "keyed", "unsafe"} {
 				for _, by := range []string{"whole", "whole over HTTP/2", "relay", "relay over HTTP/2"} {
 					t.Run(fmt.Sprint(kind, " ", place, " ", class, " ", by), func(t *testing.T) { check(t, kind, place, class, by) })
@@ -91,7 +91,7 @@
 				r := newDisconnectTest(t, class, "whole", time.Minute)
 				send := func(id string) {
 					if a, ok := r.service.Do(t.Context(), r.newExchange(id)); !ok || a.Status != http.StatusOK {
-						t.Fatalf("%s: %+v, %v", id, a, ok)
+						t.Fatalf("request %s: answer %+v, %v", id, a, ok)
 					}
 				}
 				send("one")
@@ -100,7 +100,7 @@
 				r.service.receiveEndpoints(discovery.EndpointList{Revision: 2, Endpoints: []discovery.Endpoint{up}})
 				send("two")
 				if n := r.connectionCount(); n != dials {
-					t.Errorf("%d connections, of %d", n, dials)
+					t.Errorf("%d connections, want %d", n, dials)
 				}
 			})
 		}
--- a/internal/service/guard.go
+++ b/internal/service/guard.go
@@ -36,13 +36,13 @@
 		return "it may have run and is not idempotent", false
 	}
 	if since := now.Sub(g.firstRunAt); since > class.RepeatWindow {
-		return fmt.Sprintf("it may have run %v ago, its repeat window is %v", since, class.RepeatWindow), false
+		return fmt.Sprintf("the request may have run %v ago; its repeat window is %v", since, class.RepeatWindow), false
 	}
 	switch {
 	case class.KeyScope == control.ScopeZone && location.zone != g.location.zone:
-		return fmt.Sprintf("it may have run in zone %q, not %q", g.location.zone, location.zone), false
+		return fmt.Sprintf("the request may have run in zone %q, and the retry is for zone %q", g.location.zone, location.zone), false
 	case class.KeyScope == control.ScopeCell && location.cell != g.location.cell:
-		return fmt.Sprintf("it may have run in cell %d, not %d", g.location.cell, location.cell), false
+		return fmt.Sprintf("the request may have run in cell %d, and the retry is for cell %d", g.location.cell, location.cell), false
 	}
 	return "", true
 }
@@ -61,12 +61,12 @@
 		return true
 	}
 	if x.inFlight > 0 {
-		violation := fmt.Sprintf("attempt %d while %d are in flight", x.attemptCount, x.inFlight)
+		violation := fmt.Sprintf("attempt %d decided on while %d are in flight", x.attemptCount, x.inFlight)
 		invariant.Violated(invariant.ParallelAttempt, x.Request.ID, violation)
 		return false
 	}
 	if l.maxAttempts > 0 && x.attemptCount >= l.maxAttempts {
-		violation := fmt.Sprintf("attempt %d of %d", x.attemptCount+1, l.maxAttempts)
+		violation := fmt.Sprintf("attempt %d of at most %d", x.attemptCount+1, l.maxAttempts)
 		invariant.Violated(invariant.TooManyAttempts, x.Request.ID, violation)
 		return false
 	}
@@ -102,7 +102,7 @@
 		dueAt = x.startedAt
 	}
 	if lateness := time.Since(dueAt); lateness > lateAnswerGrace {
-		invariant.Violated(invariant.LateAnswer, x.Request.ID, fmt.Sprintf("%v after its deadline", lateness))
+		invariant.Violated(invariant.LateAnswer, x.Request.ID, fmt.Sprintf("answered %v after the deadline", lateness))
 	}
 }
 
@@ -178,7 +178,7 @@
 	fraction := g.initialCapacity + (1-g.initialCapacity)*age.Seconds()/g.warmupTime.Seconds()
 	allowed := g.multiple * fraction * g.peak * g.nodes
 	if limit := allowed + budgetSlack(allowed); sent > limit {
-		violation = fmt.Sprintf("%.0f attempts within %v at a server that started %v ago, more than %.1f",
+		violation = fmt.Sprintf("%.0f attempts within %v at a server that started %v ago, want at most %.1f",
 			sent, g.window, age, limit)
 		return violation, false
 	}
--- a/internal/service/guard_test.go
+++ b/internal/service/guard_test.go
@@ -49,13 +49,13 @@
 		g.attemptEnded(attemptJob{startedAt: startedAt.Add(time.Second), location: otherZone}, control.ResetByPeer) // only the first one that may have run counts
 		if mayHaveRun(tc.reason) {
 			if violation, ok := g.allows(&class, tc.at, startedAt.Add(tc.after)); ok != tc.isAllowed {
-				t.Errorf("%+v: allowed %v, %s", tc, ok, violation)
+				t.Errorf("%+v: allowed %v, violation %q", tc, ok, violation)
 			}
 		}
 		g = repeatGuard{}
 		g.attemptEnded(attemptJob{startedAt: startedAt, location: home}, tc.reason)
 		if violation, ok := g.allows(&class, tc.at, startedAt.Add(tc.after)); ok != tc.isAllowed {
-			t.Errorf("%+v: allowed %v, %s", tc, ok, violation)
+			t.Errorf("%+v: allowed %v, violation %q", tc, ok, violation)
 		}
 	}
 }
@@ -77,7 +77,7 @@
 		go s.Do(t.Context(), newExchange("x"))
 		synctest.Wait()
 		if n := invariant.Violations(invariant.ParallelAttempt) - before; n != 1 || sends != 2 {
-			t.Errorf("%d violations by %d attempts", n, sends)
+			t.Errorf("%d violations by %d attempts, want 1 by 2", n, sends)
 		}
 	})
 }
@@ -110,10 +110,10 @@
 				_, isAllowed = g.countAttempt(2, startedAt)
 			}
 			if isAllowed != tc.isAllowed {
-				t.Errorf("allowed: %v", isAllowed)
+				t.Errorf("last attempt allowed: %v", isAllowed)
 			}
 			if _, ok := g.countAttempt(2, startedAt.Add(3*time.Second)); !ok {
-				t.Error("attempts before the window count")
+				t.Error("attempts before the window were counted")
 			}
 		})
 	}
@@ -161,6 +161,6 @@
 	testkit.Next(t, repeated)
 	testkit.Next(t, done)
 	if n := invariant.Violations(invariant.UnsafeRetry) - before; n != 0 {
-		t.Errorf("%d violations by a repeat in the same cell", n)
+		t.Errorf("%d violations by a retry in the same cell, want 0", n)
 	}
 }
--- a/internal/service/hard_limits_test.go
+++ b/internal/service/hard_limits_test.go
@@ -34,7 +34,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.isDown {
-		return quotalease.StoreReply{}, errors.New("away")
+		return quotalease.StoreReply{}, errors.New("lease store unavailable")
 	}
 	return m.backend.Handle(time.Since(m.startedAt), *q), nil
 }
@@ -102,7 +102,7 @@
 		synctest.Wait()
 		st := s.Status().HardLimits
 		if len(st) != 1 || !st[0].CanBorrow || st[0].UsesOwnQuota || st[0].ReservedFraction != 1 || st[0].StoreID != "c" || st[0].SecondsAtStore < 10 {
-			t.Fatalf("%+v", st)
+			t.Fatalf("status after 20 s: %+v", st)
 		}
 		ctx, leave := context.WithCancel(t.Context())
 		for i := range 5 {
@@ -113,22 +113,22 @@
 		}
 		synctest.Wait()
 		if len(received) != 5 || received[4].IsOverHardLimit {
-			t.Fatalf("%+v", received)
+			t.Fatalf("module got %+v, want 5 requests within the limit", received)
 		}
 		a, ok := s.Do(t.Context(), newExchangeOfUnits("b", 4))
 		if !ok || a.Kind != Rejected || a.Status != http.StatusServiceUnavailable || a.RetryAfter != time.Second || !received[5].IsOverHardLimit {
-			t.Errorf("%+v, %+v", a, received)
+			t.Errorf("answer %+v to a request over the limit; module got %+v", a, received)
 		}
 		leave()
 		synctest.Wait()
 		if st := s.Status().HardLimits[0]; st.LeasedUnits < 15.9 {
-			t.Errorf("of 20 units that nobody spent %g are there", st.LeasedUnits)
+			t.Errorf("%g units leased after the clients disconnected, want at least 15.9 of 20 unspent ones", st.LeasedUnits)
 		}
 		retryContext, gone := context.WithCancel(t.Context())
 		go s.Do(retryContext, newExchangeOfUnits("c", 4))
 		synctest.Wait()
 		if n := len(received); n != 7 || received[6].IsOverHardLimit {
-			t.Errorf("%+v", received[6:])
+			t.Errorf("module got %+v after the refund, want one request within the limit", received[6:])
 		}
 		gone()
 	})
@@ -150,7 +150,7 @@
 		synctest.Wait()
 		st := s.Status().HardLimits[0]
 		if st.CanBorrow || !st.UsesOwnQuota || st.ReservedFraction != 0 || st.Calls-callsBefore > 200 {
-			t.Errorf("%+v, %d calls while it was away", st, st.Calls-callsBefore)
+			t.Errorf("status %+v with %d calls while the lease store was unavailable", st, st.Calls-callsBefore)
 		}
 		ctx, leave := context.WithCancel(t.Context())
 		defer leave()
@@ -165,7 +165,7 @@
 			}
 		}
 		if len(received) != 4 || over != 2 {
-			t.Errorf("%d of %d are over", over, len(received))
+			t.Errorf("%d of %d requests over the hard limit, want 2 of 4", over, len(received))
 		}
 		leave()
 		synctest.Wait()
@@ -192,25 +192,25 @@
 		synctest.Wait()
 		st := replacement.Status().HardLimits[0]
 		if st.Calls < calls || st.ReservedFraction != 0.5 {
-			t.Errorf("%+v after %d calls", st, calls)
+			t.Errorf("replacement has status %+v, predecessor had made %d calls", st, calls)
 		}
 		time.Sleep(4 * time.Second)
 		synctest.Wait()
 		if st := replacement.Status().HardLimits[0]; st.ReservedFraction != 1 || !st.CanBorrow {
-			t.Errorf("%+v", st)
+			t.Errorf("status after the resize time: %+v", st)
 		}
 		if x := newExchangeOfUnits("x", 1); original.Upstream() != replacement.Upstream() || x.Forwarder.(*upstream.BufferedRequest) == nil {
-			t.Error("another upstream")
+			t.Error("replacement does not share the upstream")
 		}
 		// A process that has handed over to another one has no fraction of the limit.
 		st = replacement.Status().HardLimits[0]
 		replacement.Rejoin(nil) // it has not handed over: nothing changes
 		if status := replacement.Status().HardLimits[0]; status != st {
-			t.Errorf("%+v, not %+v", status, st)
+			t.Errorf("status %+v after Rejoin without HandOver, want %+v", status, st)
 		}
 		replacement.HandOver(0.5)
 		if st := replacement.Status().HardLimits[0]; st.UsesOwnQuota || st.ReservedFraction != 0 {
-			t.Errorf("%+v after it was handed over", st)
+			t.Errorf("status %+v after HandOver", st)
 		}
 		// The other process fails while a request waits for units here: the request is answered, and this
 		// process gets its fraction back after the other's has expired.
@@ -218,17 +218,17 @@
 		answered := doInBackground(t.Context(), replacement, newExchangeOfUnits("w", 4))
 		synctest.Wait()
 		if st := replacement.Status().HardLimits[0]; st.QueuedRequests != 1 {
-			t.Errorf("%+v", st)
+			t.Errorf("status %+v, want 1 queued request", st)
 		}
 		replacement.Rejoin(nil)
 		if a := <-answered; a.Kind != Rejected {
-			t.Errorf("%+v", a)
+			t.Errorf("answer %+v, want a rejection", a)
 		}
 		store.releaseCalls()
 		time.Sleep(8 * time.Second)
 		synctest.Wait()
 		if st := replacement.Status().HardLimits[0]; st.ReservedFraction != 1 || !st.CanBorrow {
-			t.Errorf("%+v after the other has ended", st)
+			t.Errorf("status %+v after the other process has ended", st)
 		}
 	})
 }
@@ -260,7 +260,7 @@
 		time.Sleep(time.Second)
 		synctest.Wait()
 		if err := <-ended; err != nil || len(before) != 0 || len(after) != 3 {
-			t.Errorf("heard of %d before and %d after; %v", len(before), len(after), err)
+			t.Errorf("original module got %d requests and replacement's %d, want 0 and 3; Run returned %v", len(before), len(after), err)
 		}
 		cancelClients()
 		synctest.Wait()
@@ -298,12 +298,12 @@
 	counts := make(map[string]int)
 	for key, name := range three {
 		if counts[name]++; four[key] != name && four[key] != "10.0.0.4:6379" {
-			t.Fatalf("%s moved from %s to %s", key, name, four[key])
+			t.Fatalf("customer %s moved from store %s to %s", key, name, four[key])
 		}
 	}
 	for name, n := range counts {
 		if len(three) != 30_000 || n < 9500 || n > 10_500 {
-			t.Errorf("%d of %d fall to %s", n, len(three), name)
+			t.Errorf("%d of %d customers assigned to store %s", n, len(three), name)
 		}
 	}
 }
@@ -332,7 +332,7 @@
 		b.ReportAllocs()
 		for i := 0; b.Loop(); i++ {
 			if !l.requestHardLimit(xs[i%len(xs)]) {
-				b.Fatal("not shared")
+				b.Fatal("request has no shared hard limit")
 			}
 		}
 	})
--- a/internal/service/restored_servers_test.go
+++ b/internal/service/restored_servers_test.go
@@ -24,7 +24,7 @@
 		synctest.Wait()
 		state, ok := predecessor.Checkpoint()
 		if !ok || len(state.Checkpoint.Servers) != 1 {
-			t.Fatalf("%+v, %v", state, ok)
+			t.Fatalf("checkpoint of the predecessor: %+v, %v; want 1 server", state, ok)
 		}
 		state.Checkpoint.ConcurrencyLimit = limit
 		state.Checkpoint.UsableServers = 1
@@ -48,13 +48,13 @@
 		synctest.Wait()
 		got, ok := restarted.Checkpoint()
 		if !ok || len(got.Checkpoint.Servers) != 1 {
-			t.Fatalf("%+v, %v", got, ok)
+			t.Fatalf("checkpoint after the restart: %+v, %v; want 1 server", got, ok)
 		}
 		if server := got.Checkpoint.Servers[0]; server.Latency != latency {
-			t.Errorf("latency %v, not %v", server.Latency, latency)
+			t.Errorf("latency %v, want %v", server.Latency, latency)
 		}
 		if got := got.Checkpoint.ConcurrencyLimit; got < limit-1 || got > limit+1 {
-			t.Errorf("concurrency limit %v, not %v", got, limit)
+			t.Errorf("concurrency limit %v, want about %v", got, limit)
 		}
 	})
 }
--- a/internal/service/retry_departure_test.go
+++ b/internal/service/retry_departure_test.go
@@ -33,10 +33,10 @@
 			return upstream.Outcome{Reason: control.RejectedByServer}
 		}}
 		if a, ok := s.Do(t.Context(), x); ok {
-			t.Errorf("its client is told %+v", a)
+			t.Errorf("disconnected client got an answer: %+v", a)
 		}
 		if synctest.Wait(); written != 1 || polled != 2 || s.Status().Requests != 0 {
-			t.Errorf("%d attempts were written, its client was asked for %d times, %d requests are held", written, polled, s.Status().Requests)
+			t.Errorf("%d attempts were written, the client was polled %d times, %d requests are left in the loop; want 1, 2 and 0", written, polled, s.Status().Requests)
 		}
 	})
 }
--- a/internal/service/retry_outcomes_test.go
+++ b/internal/service/retry_outcomes_test.go
@@ -158,12 +158,12 @@
 	a, _ := s.Do(t.Context(), x)
 	n := server.requests()
 	if a.Status != status || n != sends || status == http.StatusOK && string(a.Body) != "ok" {
-		t.Errorf("answered %d %q, sent %d times", a.Status, a.Body, n)
+		t.Errorf("answered with status %d and body %q, sent %d times", a.Status, a.Body, n)
 	}
 	sockets.mu.Lock()
 	defer sockets.mu.Unlock()
 	if !f.keepsConnection && sockets.maxOpen > 1 {
-		t.Error("sent again while the first connection was open")
+		t.Error("retry was sent while the first connection was open")
 	}
 }
 
@@ -172,22 +172,22 @@
 // retry's connection is opened after it is closed.
 func TestRetryFollowsOutcomeOfFirstAttempt(t *testing.T) {
 	for name, first := range map[string]firstAttempt{
-		"turned away":                 {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", keepOpen, requestNeverRan, true},
-		"turned away, ended":          {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\n\r\nno", closeGracefully, requestNeverRan, false},
-		"turned away, reset":          {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\n\r\nno", resetConnection, requestMayHaveRun, false},
-		"turned away in half a head":  {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n", keepOpen, requestMayHaveRun, false},
-		"503":                         {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", keepOpen, requestMayHaveRun, true},
-		"500 that says it never ran":  {"HTTP/1.1 500 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", keepOpen, requestMayHaveRun, true},
-		"nothing, ended":              {"", closeGracefully, requestMayHaveRun, false},
-		"nothing, reset":              {"", resetConnection, requestMayHaveRun, false},
-		"a head, reset":               {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", resetConnection, requestMayHaveRun, false},
-		"half a body, and silence":    {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\no", keepOpen, requestMayHaveRun, false},
-		"noise":                       {"noise\r\n" + okResponse, keepOpen, requestMayHaveRun, false},
-		"no length, and silence":      {"HTTP/1.1 200 OK\r\n\r\nok", keepOpen, requestMayHaveRun, false},
-		"no length, reset":            {"HTTP/1.1 200 OK\r\n\r\nok", resetConnection, requestMayHaveRun, false},
-		"no length, ended":            {"HTTP/1.1 200 OK\r\n\r\nok", closeGracefully, responseIsFinal, false},
-		"whole, reset right behind":   {okResponse, resetConnection, responseIsFinal, true},
-		"whole, with noise behind it": {okResponse + "HTTP", keepOpen, responseIsFinal, false},
+		"rejected by the server":         {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", keepOpen, requestNeverRan, true},
+		"rejected, then closed":          {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\n\r\nno", closeGracefully, requestNeverRan, false},
+		"rejected, then reset":           {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\n\r\nno", resetConnection, requestMayHaveRun, false},
+		"rejected in an incomplete head": {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n", keepOpen, requestMayHaveRun, false},
+		"503":                            {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", keepOpen, requestMayHaveRun, true},
+		"500 marked as unprocessed":      {"HTTP/1.1 500 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", keepOpen, requestMayHaveRun, true},
+		"no response, closed":            {"", closeGracefully, requestMayHaveRun, false},
+		"no response, reset":             {"", resetConnection, requestMayHaveRun, false},
+		"head, then reset":               {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", resetConnection, requestMayHaveRun, false},
+		"half a body, then nothing":      {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\no", keepOpen, requestMayHaveRun, false},
+		"noise":                          {"noise\r\n" + okResponse, keepOpen, requestMayHaveRun, false},
+		"no length, left open":           {"HTTP/1.1 200 OK\r\n\r\nok", keepOpen, requestMayHaveRun, false},
+		"no length, then reset":          {"HTTP/1.1 200 OK\r\n\r\nok", resetConnection, requestMayHaveRun, false},
+		"no length, then closed":         {"HTTP/1.1 200 OK\r\n\r\nok", closeGracefully, responseIsFinal, false},
+		"complete, then reset":           {okResponse, resetConnection, responseIsFinal, true},
+		"complete, then invalid bytes":   {okResponse + "HTTP", keepOpen, responseIsFinal, false},
 	} {
 		for _, class := range []string{"safe", "keyed", "unsafe"} {
 			t.Run(name+", "+class, func(t *testing.T) {
--- a/internal/service/server_age_test.go
+++ b/internal/service/server_age_test.go
@@ -46,33 +46,33 @@
 		time.Sleep(3 * time.Second)
 		list("s-2", bootMS(time.Hour))
 		if age := ages[2]; age != 3*time.Second {
-			t.Errorf("a new server by a clock an hour ahead is %v old", age)
+			t.Errorf("age of a new server by a clock an hour ahead is %v, want 3s", age)
 		}
 		time.Sleep(2 * time.Second)
 		list("s-1", bootMS(time.Hour))
 		if age := ages[1]; age != 2*time.Second {
-			t.Errorf("a server that started again by a clock an hour ahead is %v old", age)
+			t.Errorf("age of a restarted server by a clock an hour ahead is %v, want 2s", age)
 		}
 		time.Sleep(2 * time.Second)
 		future := bootMS(-time.Hour)
 		list("s-3", future)
 		if age := ages[3]; age != 0 {
-			t.Errorf("a new server by a clock an hour behind is %v old", age)
+			t.Errorf("age of a new server by a clock an hour behind is %v, want 0s", age)
 		}
 		time.Sleep(time.Second)
 		list("s-3", future)
 		if age := ages[3]; age != time.Second {
-			t.Errorf("a second later it is %v old", age)
+			t.Errorf("age one second later is %v, want 1s", age)
 		}
 		time.Sleep(4 * time.Second)
 		list("s-4", bootMS(time.Second))
 		if age := ages[4]; age != time.Second {
-			t.Errorf("a server that started a second ago is %v old", age)
+			t.Errorf("age of a server that started a second ago is %v, want 1s", age)
 		}
 		time.Sleep(time.Second)
 		list("s-5", 1)
 		if age := ages[5]; age < 0 || age > time.Second {
-			t.Errorf("a new server that started in 1970 is %v old", age)
+			t.Errorf("age of a new server with a boot time in 1970 is %v, want 0s to 1s", age)
 		}
 	})
 }
@@ -98,7 +98,7 @@
 		go replacement.Run(t.Context()) //nolint:errcheck // ends with the test
 		synctest.Wait()
 		if age := ages[1]; age != 2*time.Second {
-			t.Errorf("behind a reload the server is %v old", age)
+			t.Errorf("age of the server after a reload is %v, want 2s", age)
 		}
 	})
 }
@@ -141,10 +141,10 @@
 				go s.Run(t.Context()) //nolint:errcheck // ends with the test
 				synctest.Wait()
 				if age != 3*time.Second || restored.Servers[0].EjectedUntil-restored.At != 5*time.Second {
-					t.Errorf("restored at an age of %v: %+v", age, restored)
+					t.Errorf("restored at an age of %v, want 3s: %+v", age, restored)
 				}
 				if ages[1] > 10*time.Second || ages[1] < 0 || step <= 0 && ages[1] != 10*time.Second {
-					t.Errorf("the server is %v old", ages[1])
+					t.Errorf("age of the server is %v, want at most 10s", ages[1])
 				}
 			})
 		})
@@ -166,7 +166,7 @@
 		boot := milliseconds(startedAt.wall + 6*time.Second) // 4 s ago, 3 s before the last list
 		age := now.monotonic.Sub(s.resolve("s-1", boot, now))
 		if step == 0 && age.Round(time.Millisecond) != 4*time.Second || step != 0 && (age < 0 || age > time.Second) {
-			t.Errorf("a step of %v: the server is %v old", step, age)
+			t.Errorf("clock step of %v: age of the server is %v", step, age)
 		}
 	}
 }
--- a/internal/service/server_removal_test.go
+++ b/internal/service/server_removal_test.go
@@ -86,7 +86,7 @@
 	testkit.Next(r.t, b.arrived)
 	r.service.receiveEndpoints(list)
 	answers := doInBackground(r.t.Context(), r.service, x)
-	testkit.Until(r.t, "both in the channel", func() bool { return len(r.service.currentLoop().events) == 2 })
+	testkit.Until(r.t, "both events to be queued", func() bool { return len(r.service.currentLoop().events) == 2 })
 	close(b.open)
 	return answers
 }
@@ -105,7 +105,7 @@
 // removeAtWorkerWithIdleConnection is removeAtWorker with an idle connection to the server.
 func (r *removalTest) removeAtWorkerWithIdleConnection(x *Exchange, list discovery.EndpointList) <-chan Answer {
 	if a, _ := r.service.Do(r.t.Context(), r.newExchange("before")); a.Status != http.StatusOK {
-		r.t.Fatalf("%+v", a)
+		r.t.Fatalf("answer %+v to the request before, want status 200", a)
 	}
 	testkit.Next(r.t, r.results)
 	r.sentBefore = r.app.Count()
@@ -130,7 +130,7 @@
 	for _, idempotency := range []control.Idempotency{control.Idempotent, control.IdempotentWithKey, control.NotIdempotent} {
 		for state, list := range lists {
 			for place, removeAt := range places {
-				t.Run(fmt.Sprint(place, ", ", state, ", effect ", idempotency), func(t *testing.T) {
+				t.Run(fmt.Sprint(place, ", ", state, ", idempotency ", idempotency), func(t *testing.T) {
 					newRemovalTest(t, idempotency).check(removeAt, list)
 				})
 			}
@@ -142,12 +142,12 @@
 func (r *removalTest) check(removeAt func(*removalTest, *Exchange, discovery.EndpointList) <-chan Answer, list discovery.EndpointList) {
 	answers := removeAt(r, r.newExchange("id-1"), list)
 	if a := testkit.Next(r.t, answers); a.Kind != Rejected {
-		r.t.Errorf("%+v", a)
+		r.t.Errorf("answer %+v, want a rejection", a)
 	}
 	if e := testkit.Next(r.t, r.results); e.Reason != control.ConnectFailed || e.IsFinal {
-		r.t.Errorf("its attempt ended %+v", e)
+		r.t.Errorf("attempt ended %+v, want a non-final connect failure", e)
 	}
 	if n := r.app.Count(); n != r.sentBefore || len(r.results) > 0 {
-		r.t.Errorf("%d sent after the removal; further outcomes %d", n-r.sentBefore, len(r.results))
+		r.t.Errorf("%d requests sent after the removal, %d further results; want none", n-r.sentBefore, len(r.results))
 	}
 }
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -20,7 +20,7 @@
 		startedAt := time.Now()
 		a, ok := s.Do(context.Background(), newExchange("id-1"))
 		if !ok || a.Status != http.StatusServiceUnavailable || a.RetryAfter != time.Second || time.Since(startedAt) > 0 {
-			t.Errorf("%+v, %v after %v", a, ok, time.Since(startedAt))
+			t.Errorf("answer %+v, %v after %v; want an immediate rejection", a, ok, time.Since(startedAt))
 		}
 	})
 }
@@ -31,17 +31,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, ended := startService(t, Options{NewModule: moduleOf(moduleFunc(rejectAll))})
 		if first, second := s.TryAcquire(), s.TryAcquire(); !first || !second {
-			t.Fatal("can't be held")
+			t.Fatal("TryAcquire failed on a running service")
 		}
 		s.Retire()
 		s.Release()
 		synctest.Wait()
 		if a, ok := s.Do(context.Background(), newExchange("id-1")); !ok || a.RetryAfter == 0 {
-			t.Errorf("%+v, %v of a service that is held", a, ok)
+			t.Errorf("answer %+v, %v of a service with a reference", a, ok)
 		}
 		select {
 		case err := <-ended:
-			t.Fatalf("ended while it is held: %v", err)
+			t.Fatalf("service ended while it had a reference: %v", err)
 		default:
 		}
 		s.Release()
@@ -49,10 +49,10 @@
 			t.Error(err)
 		}
 		if s.TryAcquire() {
-			t.Error("held after its end")
+			t.Error("TryAcquire succeeded after the service had ended")
 		}
 		if a, ok := s.Do(context.Background(), newExchange("id-2")); !ok || a.Status != http.StatusServiceUnavailable {
-			t.Errorf("%+v, %v after its end", a, ok)
+			t.Errorf("answer %+v, %v after the service had ended", a, ok)
 		}
 	})
 }
@@ -78,28 +78,28 @@
 		}()
 		synctest.Wait()
 		if a, _ := s.Do(context.Background(), newExchange("bad")); a.Status != http.StatusBadGateway {
-			t.Errorf("the one at fault: %+v", a)
+			t.Errorf("answer to the request that caused the panic: %+v", a)
 		}
 		if a := <-accepted; a.Status != http.StatusBadGateway {
-			t.Errorf("what was held: %+v", a)
+			t.Errorf("answer to the accepted request: %+v", a)
 		}
 		synctest.Wait()
 		if st := s.Status(); st.Restarts != 1 || st.Servers != 1 || st.Requests != 0 {
-			t.Errorf("after the first restart, at once: %+v", st)
+			t.Errorf("status after the first, immediate restart: %+v", st)
 		}
 		s.Do(context.Background(), newExchange("bad"))
 		synctest.Wait()
 		if a, _ := s.Do(context.Background(), newExchange("between")); a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
-			t.Errorf("while it pauses: %+v", a)
+			t.Errorf("answer during the backoff: %+v", a)
 		}
 		time.Sleep(minRestartBackoff)
 		synctest.Wait()
 		if st := s.Status(); st.Restarts != 2 || made != 3 {
-			t.Errorf("%+v, %d modules", st, made)
+			t.Errorf("status %+v with %d modules created, want 2 restarts and 3 modules", st, made)
 		}
 		select {
 		case err := <-ended:
-			t.Errorf("ended: %v", err)
+			t.Errorf("service ended: %v", err)
 		default:
 		}
 	})
@@ -116,10 +116,10 @@
 			}), nil
 		}})
 		if a, _ := s.Do(context.Background(), newExchange("x")); a.Status != http.StatusBadGateway {
-			t.Errorf("%+v", a)
+			t.Errorf("answer %+v, want status 502", a)
 		}
 		if err := <-ended; err == nil {
-			t.Error("ended without an error")
+			t.Error("Run returned no error after a panic")
 		}
 	})
 }
@@ -171,31 +171,31 @@
 			}()
 		}
 		if ok := <-left; !ok {
-			t.Error("a second one of an id has no answer")
+			t.Error("second request with the same id got no answer")
 		}
 		synctest.Wait()
 		if n := limiter.acquired.Load(); n != 1 {
-			t.Errorf("%d booked", n)
+			t.Errorf("%d reservations while one request is accepted, want 1", n)
 		}
 		leave()
 		if ok := <-left; ok {
-			t.Error("a client that left has an answer")
+			t.Error("disconnected client got an answer")
 		}
 		synctest.Wait()
 		if n := limiter.acquired.Load(); n != 0 {
-			t.Errorf("%d booked after the client left", n)
+			t.Errorf("%d reservations after the client disconnected, want 0", n)
 		}
 		module = panicWithinCapacity
 		if a, _ := do(context.Background(), "bad"); a.Status != http.StatusBadGateway {
-			t.Errorf("%+v", a)
+			t.Errorf("answer %+v after a panic, want status 502", a)
 		}
 		time.Sleep(time.Minute)
 		limiter.limit = 0
 		if a, _ := do(context.Background(), "no room"); a.Status != http.StatusServiceUnavailable || a.RetryAfter != time.Second {
-			t.Errorf("where there is no room: %+v", a)
+			t.Errorf("answer without resources: %+v", a)
 		}
 		if stillReserved, releaseCount := limiter.acquired.Load(), limiter.released.Load(); stillReserved != 0 || releaseCount != 3 {
-			t.Errorf("%d booked, %d given back", stillReserved, releaseCount)
+			t.Errorf("%d still reserved, %d released; want 0 and 3", stillReserved, releaseCount)
 		}
 	})
 }
@@ -214,7 +214,7 @@
 		s.Do(context.Background(), newExchange("x"))
 		s.Status()                       // waits for the events that the request caused
 		if spent != 2*time.Millisecond { // one for the list and one for the request
-			t.Errorf("%v", spent)
+			t.Errorf("observed %v in the module, want 2ms", spent)
 		}
 	})
 }
@@ -227,7 +227,7 @@
 		if e, ok := e.(control.EndpointList); ok {
 			for _, m := range e.Endpoints {
 				if m.State == control.Active && serverIDs[m.Server] {
-					t.Errorf("id %d again", m.Server)
+					t.Errorf("server id %d was reused", m.Server)
 				}
 				serverIDs[m.Server] = true
 			}
@@ -239,7 +239,7 @@
 		l.updateEndpoints(control.ListPatch, discovery.EndpointList{Endpoints: []discovery.Endpoint{{UID: "s", State: "removed"}}})
 	}
 	if len(l.serverIDs)+len(l.pools) > 0 {
-		t.Errorf("%d ids and %d pools kept", len(l.serverIDs), len(l.pools))
+		t.Errorf("%d server ids and %d pools left, want none", len(l.serverIDs), len(l.pools))
 	}
 }
 
@@ -248,16 +248,16 @@
 func TestClockIsUnixTime(t *testing.T) {
 	l := (&Service{clock: moduleClock{time.Now()}}).newLoop(moduleFunc(ignoreAll))
 	if d := time.Since(time.Unix(0, int64(l.now()))); d < -time.Minute || d > time.Minute {
-		t.Errorf("%v off", d)
+		t.Errorf("module clock differs from Unix time by %v", d)
 	}
 }
 
 func TestNewRejectsBadSettings(t *testing.T) {
 	if _, err := New(Options{}); err == nil {
-		t.Error("settings of nothing were taken")
+		t.Error("New accepted empty settings")
 	}
 	if _, err := New(Options{NewModule: func() (Module, error) { return nil, errors.New("none") }}); err == nil {
-		t.Error("no module")
+		t.Error("New returned no error without a module")
 	}
 }
 
@@ -274,16 +274,16 @@
 		original.Retire()
 		select {
 		case <-original.unused:
-			t.Error("it may end before it has handed over")
+			t.Error("service may end before it has transferred its state")
 		default:
 		}
 		close(busy)
 		if err := <-ended; err != nil || l.replacement != replacement {
-			t.Errorf("ended with %v, handed to %p, not %p", err, l.replacement, replacement)
+			t.Errorf("Run returned %v, replacement is %p, want %p", err, l.replacement, replacement)
 		}
 		synctest.Wait()
 		if idle, pools := original.Upstream().CountIdle(); idle != 0 || pools != 1 {
-			t.Errorf("%d idle connections in %d pools", idle, pools)
+			t.Errorf("%d idle connections in %d pools, want 0 in 1", idle, pools)
 		}
 	})
 }
@@ -300,7 +300,7 @@
 		}
 		original.ReplaceWith(replacement)
 		if n := original.references.Load(); n >= 0 {
-			t.Errorf("held %d times", n)
+			t.Errorf("ended service has %d references", n)
 		}
 	})
 }
--- a/internal/service/shutdown_test.go
+++ b/internal/service/shutdown_test.go
@@ -65,7 +65,7 @@
 		status = http.StatusBadGateway
 	}
 	if a := <-answer; a.Kind != want || a.Status != status {
-		t.Errorf("%+v", a)
+		t.Errorf("wrong kind or status of the answer: %+v", a)
 	}
 	if err := <-handle.ended; (err != nil) != panics {
 		t.Error(err)
@@ -77,15 +77,15 @@
 // answered as failed.
 func TestPendingRequestsAreAnsweredAtEnd(t *testing.T) {
 	requests := map[string]pendingRequest{
-		"nothing sent":   {nil, Rejected},
-		"refused":        {endsImmediately(control.RejectedByServer, http.StatusServiceUnavailable), Rejected},
-		"no connection":  {endsImmediately(control.ConnectFailed, 0), Rejected},
-		"given up":       {endsImmediately(control.NotSent, 0), Rejected},
-		"error":          {endsImmediately(control.Errored, http.StatusInternalServerError), Failed},
-		"reset":          {endsImmediately(control.ResetByPeer, 0), Failed},
-		"timed out":      {endsImmediately(control.TimedOut, 0), Failed},
-		"out at the end": {neverAnswered, Failed},
-		"its connection": {neverConnects, Rejected},
+		"no attempt":       {nil, Rejected},
+		"refused":          {endsImmediately(control.RejectedByServer, http.StatusServiceUnavailable), Rejected},
+		"no connection":    {endsImmediately(control.ConnectFailed, 0), Rejected},
+		"not sent":         {endsImmediately(control.NotSent, 0), Rejected},
+		"error":            {endsImmediately(control.Errored, http.StatusInternalServerError), Failed},
+		"reset":            {endsImmediately(control.ResetByPeer, 0), Failed},
+		"timed out":        {endsImmediately(control.TimedOut, 0), Failed},
+		"in flight":        {neverAnswered, Failed},
+		"while connecting": {neverConnects, Rejected},
 	}
 	for class, idempotency := range idempotencies {
 		for _, deadline := range []time.Duration{250 * time.Millisecond, 400 * time.Millisecond, 1500 * time.Millisecond, 7500 * time.Millisecond} {
@@ -134,7 +134,7 @@
 		close(goOn)
 		for range n {
 			if a := <-served; a.Kind != Served || a.Status != http.StatusOK {
-				t.Errorf("an answer that had come: %+v", a)
+				t.Errorf("queued answer was not delivered: %+v", a)
 			}
 		}
 		if err := <-handle.ended; err != nil {
--- a/internal/service/statistics_test.go
+++ b/internal/service/statistics_test.go
@@ -42,15 +42,15 @@
 		cause         control.Cause
 		want          string // names, as in incrementedCounters, of the counters that are 1 or weighted
 	}{
-		"served":         {time.Millisecond, time.Second, Answer{Status: 200}, 0, "asked served delays"},
-		"late":           {2 * time.Second, time.Second, Answer{Status: 200}, 0, "asked late delays"},
-		"after the time": {2 * time.Second, -time.Second, Answer{Status: 200}, 0, "asked late breach delays"},
-		"the node's own": {0, 0, Answer{Kind: Failed, Status: 504}, 0, "asked failed"},
-		"a server's":     {0, 0, Answer{Status: 500}, 0, "asked failed"},
-		"left":           {0, -time.Second, Answer{}, 0, "asked left"},
-		"no turn":        {0, 0, Answer{Kind: Rejected, Status: 503}, control.CauseQueueTimeout, "asked refused"},
-		"ceiling":        {0, 0, Answer{Kind: Rejected, Status: 503}, control.CauseHardLimit, "refused beyond"},
-		"quota":          {0, 0, Answer{Kind: Rejected, Status: 503}, control.CauseProbability, "refused beyond"},
+		"served":             {time.Millisecond, time.Second, Answer{Status: 200}, 0, "asked served delays"},
+		"late":               {2 * time.Second, time.Second, Answer{Status: 200}, 0, "asked late delays"},
+		"after the deadline": {2 * time.Second, -time.Second, Answer{Status: 200}, 0, "asked late breach delays"},
+		"failed by the node": {0, 0, Answer{Kind: Failed, Status: 504}, 0, "asked failed"},
+		"server error":       {0, 0, Answer{Status: 500}, 0, "asked failed"},
+		"left":               {0, -time.Second, Answer{}, 0, "asked left"},
+		"queue timeout":      {0, 0, Answer{Kind: Rejected, Status: 503}, control.CauseQueueTimeout, "asked refused"},
+		"ceiling":            {0, 0, Answer{Kind: Rejected, Status: 503}, control.CauseHardLimit, "refused beyond"},
+		"quota":              {0, 0, Answer{Kind: Rejected, Status: 503}, control.CauseProbability, "refused beyond"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			before := collector.Statistics()
@@ -63,7 +63,7 @@
 			for range 2 { // while the loop runs, and after it has ended
 				f, ok := collector.Statistics().Since(before)
 				if got := incrementedCounters(f); !ok || got != " "+tc.want || f.Requests != 1 || f.Units != 1.5 {
-					t.Errorf("%s, not %s: %+v", got, tc.want, f)
+					t.Errorf("counted as%s, want %s: %+v", got, tc.want, f)
 				}
 				if len(collector.loops) > 0 {
 					collector.removeLoop(loop)
@@ -75,10 +75,10 @@
 	tc.loopEnded(3, false)
 	tc.loopEnded(3, true)
 	if f := collector.Statistics(); f.Breaches != 4 || f.Panics != 1 {
-		t.Errorf("%+v", f)
+		t.Errorf("statistics after the end of a loop: %+v, want 4 breaches and 1 panic", f)
 	}
 	if f := (*StatisticsCollector)(nil).Statistics(); f.Requests != 0 {
-		t.Errorf("%+v", f)
+		t.Errorf("statistics of a nil collector: %+v", f)
 	}
 }
 
--- a/internal/service/timer_queue_test.go
+++ b/internal/service/timer_queue_test.go
@@ -62,7 +62,7 @@
 			}
 			slices.Sort(test.due)
 			if !slices.IsSorted(test.popped) || len(test.popped) != len(test.due) {
-				t.Fatalf("seed %d: %d popped of %d", seed, len(test.popped), len(test.due))
+				t.Fatalf("seed %d: %d of %d labels popped, or out of order", seed, len(test.popped), len(test.due))
 			}
 			for i, due := range test.due { // not before it is due, and at most one step of this test later
 				if got := test.popped[i]; got < due || got > due+100*time.Millisecond {
--- a/internal/service/unbegun_requests_test.go
+++ b/internal/service/unbegun_requests_test.go
@@ -18,7 +18,7 @@
 	for _, tc := range []struct {
 		name, id string
 		replaced bool
-	}{{"twice", "held", false}, {"handed over", "late", true}} {
+	}{{"twice", "held", false}, {"service replaced", "late", true}} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var received []control.Request
@@ -41,20 +41,20 @@
 				x := newExchange(tc.id)
 				x.Forwarder = &upstream.BufferedRequest{Request: &http.Request{Method: http.MethodGet}}
 				if a, ok := s.Do(left, x); ok {
-					t.Errorf("%+v", a)
+					t.Errorf("disconnected client got an answer: %+v", a)
 				}
 				close(busy)
 				ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 				defer cancel()
 				if !s.Alive(ctx) {
-					t.Fatal("its loop stands still")
+					t.Fatal("event loop of the service does not run")
 				}
 				l := s.currentLoop()
 				s.Post(func() {
 					l.answerUnserved(l.exchanges["held"], Answer{Kind: Rejected, Status: http.StatusServiceUnavailable})
 				})
 				if a := <-accepted; a.Kind != Rejected || len(received) != 1 {
-					t.Errorf("%+v; the module heard of %d", a, len(received))
+					t.Errorf("answer %+v; the module got %d requests, want 1", a, len(received))
 				}
 			})
 		})
--- a/internal/service/withheld_retry_test.go
+++ b/internal/service/withheld_retry_test.go
@@ -25,7 +25,7 @@
 		kind   AnswerKind
 		status int
 	}{
-		"turned away": {func(w http.ResponseWriter, _ *http.Request) {
+		"rejected by the server": {func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("X-Unprocessed", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}, Rejected, http.StatusServiceUnavailable},
@@ -46,10 +46,10 @@
 					Client: clientUntilFirstRequest{app}, Forwarder: newForwarder(t, http.MethodPost, "body", nil),
 				}
 				if a, ok := s.Do(t.Context(), x); ok || a.Kind != tc.kind || a.Status != tc.status {
-					t.Errorf("%v, %+v", ok, a)
+					t.Errorf("Do returned %v, %+v", ok, a)
 				}
 				if n := app.Count(); n != 1 {
-					t.Errorf("sent %d times", n)
+					t.Errorf("sent %d times, want 1", n)
 				}
 			})
 		}
