--- a/internal/service/attempts_test.go
+++ b/internal/service/attempts_test.go
@@ -62,9 +62,9 @@
 // TestReplacementTakesUnacceptedRequestOnlyIfKeyWasChecked checks that a request that a service has not accepted
 // when it is replaced is passed to the replacement, unless its class needs an idempotency key only there.
 func TestReplacementTakesUnacceptedRequestOnlyIfKeyWasChecked(t *testing.T) {
-	effects := []control.Idempotency{control.IdempotentWithKey, control.NotIdempotent}
-	for _, from := range effects {
-		for _, to := range effects {
+	idempotencyKinds := []control.Idempotency{control.IdempotentWithKey, control.NotIdempotent}
+	for _, from := range idempotencyKinds {
+		for _, to := range idempotencyKinds {
 			t.Run(fmt.Sprint(from, to), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					var before, after []control.Request
--- a/internal/service/client_departure_test.go
+++ b/internal/service/client_departure_test.go
@@ -134,14 +134,14 @@
 			x.OpenGate()
 		},
 	}
-	for place, scenario := range scenarios {
+	for stage, scenario := range scenarios {
 		for _, class := range []string{"safe", "keyed", "unsafe"} {
 			for _, deadline := range []time.Duration{time.Minute, time.Hour} {
 				for _, forwarder := range []string{"whole", "whole over HTTP/2", "relay", "relay over HTTP/2"} {
-					t.Run(fmt.Sprint(place, " ", class, " ", forwarder, " ", deadline), func(t *testing.T) {
+					t.Run(fmt.Sprint(stage, " ", class, " ", forwarder, " ", deadline), func(t *testing.T) {
 						r := newDisconnectTest(t, class, forwarder, deadline)
 						scenario(r, r.newExchange("left"))
-						r.checkNotSent(place)
+						r.checkNotSent(stage)
 					})
 				}
 			}
@@ -151,10 +151,10 @@
 
 // checkNotSent checks that nothing of the request "left" was sent, whose client disconnected while it was at place,
 // and that the next request is served.
-func (r *disconnectTest) checkNotSent(place string) {
+func (r *disconnectTest) checkNotSent(stage string) {
 	testkit.Until(r.t, "the end of the request", func() bool { return r.service.Status().Requests == 0 })
 	sent := r.module.resultsOf("left")
-	if place == "in the queue" && len(sent) > 0 || place != "in the queue" && (len(sent) != 1 || sent[0].Reason != control.NotSent || !sent[0].IsFinal) {
+	if stage == "in the queue" && len(sent) > 0 || stage != "in the queue" && (len(sent) != 1 || sent[0].Reason != control.NotSent || !sent[0].IsFinal) {
 		r.t.Errorf("attempt results of the disconnected request: %+v", sent)
 	}
 	if a, ok := r.service.Do(r.t.Context(), r.newExchange("next")); !ok || a.Status != http.StatusOK {
@@ -163,7 +163,7 @@
 	if r.serverSaw("left") || !r.serverSaw("next") {
 		r.t.Errorf("requests at the server: %v, want only the next one", r.requestsSeen)
 	}
-	if place == "reported by its socket" && r.connectionCount() != 1 {
+	if stage == "reported by its socket" && r.connectionCount() != 1 {
 		r.t.Errorf("%d connections, want 1: the connection of the unsent request was not reused", r.connectionCount())
 	}
 }
@@ -242,14 +242,14 @@
 
 // disconnectAt has the client disconnect when its request has arrived at the barrier place, which is then opened,
 // or, if place is nil, when the service has accepted the request.
-func (r *disconnectTest) disconnectAt(x *Exchange, place *barrier) {
+func (r *disconnectTest) disconnectAt(x *Exchange, stage *barrier) {
 	ctx, cancel := context.WithCancel(r.t.Context())
 	r.cancelClient = cancel
 	done := make(chan bool)
 	go func() { _, ok := r.service.Do(ctx, x); done <- ok }()
 	switch {
-	case place != nil:
-		testkit.Next(r.t, place.arrived)
+	case stage != nil:
+		testkit.Next(r.t, stage.arrived)
 		cancel()
 	case x.Client == nil:
 		testkit.Until(r.t, "the request to be queued", func() bool { return r.service.Status().Requests == 3 })
@@ -259,28 +259,28 @@
 		r.t.Error("disconnected client got an answer")
 	}
 	r.awaitDisconnectHandled(x)
-	if place != nil {
-		close(place.open)
+	if stage != nil {
+		close(stage.open)
 	}
 }
 
 // disconnectBeforeEventRuns has the client disconnect when its request, or the opening of its gate, is in the event
 // queue of a loop. The loop is notified of the disconnect only after the resulting attempt has ended.
-func (r *disconnectTest) disconnectBeforeEventRuns(x *Exchange, target *Service, gate chan bool) {
+func (r *disconnectTest) disconnectBeforeEventRuns(x *Exchange, target *Service, gateDecision chan bool) {
 	ctx, cancel := context.WithCancel(r.t.Context())
-	done, over := make(chan bool, 1), make(chan struct{})
-	x.Forwarder = notifyingForwarder{x.Forwarder, over}
+	done, attemptEnded := make(chan bool, 1), make(chan struct{})
+	x.Forwarder = notifyingForwarder{x.Forwarder, attemptEnded}
 	original := r.service
-	enter := func() { go func() { _, ok := original.Do(ctx, x); done <- ok }() }
-	if gate != nil {
-		enter()
-		testkit.Next(r.t, gate)
-		enter = x.OpenGate
+	queueEvent := func() { go func() { _, ok := original.Do(ctx, x); done <- ok }() }
+	if gateDecision != nil {
+		queueEvent()
+		testkit.Next(r.t, gateDecision)
+		queueEvent = x.OpenGate
 	}
 	before, after := newBarrier(), newBarrier()
 	target.Post(before.pass)
 	testkit.Next(r.t, before.arrived)
-	enter()
+	queueEvent()
 	testkit.Until(r.t, "the event to be queued", func() bool { return len(target.currentLoop().events) == 1 })
 	target.Post(after.pass)
 	cancel()
@@ -289,7 +289,7 @@
 	}
 	close(before.open)
 	testkit.Next(r.t, after.arrived)
-	testkit.Next(r.t, over)
+	testkit.Next(r.t, attemptEnded)
 	close(after.open)
 	r.service = target
 	r.awaitDisconnectHandled(x)
--- a/internal/service/deadlines_test.go
+++ b/internal/service/deadlines_test.go
@@ -39,7 +39,7 @@
 }
 
 // start starts the service and brings it into its state. It returns the answers to the earlier requests.
-func (d deadlineTest) start(t *testing.T, idempotency control.Idempotency) (s *Service, others []<-chan Answer) {
+func (d deadlineTest) start(t *testing.T, idempotency control.Idempotency) (s *Service, earlierAnswers []<-chan Answer) {
 	const otherRequests = 50
 	set := testSettings()
 	set.Classes[0].Idempotency, set.Classes[0].KeyScope, set.Classes[0].RepeatWindow = idempotency, control.ScopeCell, time.Minute
@@ -50,7 +50,7 @@
 	}
 	if d.isSaturated {
 		for i := range otherRequests {
-			others = append(others, doWithin(s, fmt.Sprint("f", i), 5*time.Second, timesOutAfterWrite))
+			earlierAnswers = append(earlierAnswers, doWithin(s, fmt.Sprint("f", i), 5*time.Second, timesOutAfterWrite))
 		}
 		synctest.Wait()
 	}
@@ -58,7 +58,7 @@
 		s.Post(func() { time.Sleep(d.loopBlockedFor) })
 		synctest.Wait()
 	}
-	return s, others
+	return s, earlierAnswers
 }
 
 // doWithin has a service serve a request whose client waits for the given time.
@@ -71,10 +71,10 @@
 
 // check sends a request whose client waits for the given time, and checks its answer.
 func (d deadlineTest) check(t *testing.T, idempotency control.Idempotency, wait time.Duration) {
-	s, others := d.start(t, idempotency)
+	s, earlierAnswers := d.start(t, idempotency)
 	startedAt, sent := time.Now(), 0
 	a := <-doWithin(s, "id-1", wait, func(ctx context.Context) upstream.Outcome { sent++; return d.attempt(ctx) })
-	if elapsed, by := time.Since(startedAt), max(wait, d.loopBlockedFor); elapsed > by {
+	if elapsed, latest := time.Since(startedAt), max(wait, d.loopBlockedFor); elapsed > latest {
 		t.Errorf("answered after %v, later than the client waits", elapsed)
 	}
 	if a.Kind == Served || a.Kind == Failed && sent == 0 || a.Status < 500 {
@@ -85,7 +85,7 @@
 			t.Errorf("%d attempts sent, answer %+v; want none and a rejection", sent, a)
 		}
 	}
-	for _, o := range others {
+	for _, o := range earlierAnswers {
 		<-o
 	}
 	if synctest.Wait(); s.Status().Requests != 0 {
--- a/internal/service/endpoint_changes_test.go
+++ b/internal/service/endpoint_changes_test.go
@@ -11,9 +11,9 @@
 )
 
 // startWaitingAt starts a request that waits at place. It returns a function that resumes it, and its answer.
-func (r *disconnectTest) startWaitingAt(place string, x *Exchange) (goOn func(), answers <-chan Answer) {
+func (r *disconnectTest) startWaitingAt(stage string, x *Exchange) (resume func(), answers <-chan Answer) {
 	at := newBarrier()
-	switch place {
+	switch stage {
 	case "in the queue":
 		close(at.open)
 		r.saturateServer()
@@ -22,17 +22,17 @@
 		return r.unblockServer, answers
 	case "at the gate":
 		x.Gate = &Gate{OnDecision: func(bool) { close(at.arrived) }}
-		goOn = x.OpenGate
+		resume = x.OpenGate
 	case "at the worker":
 		x.Forwarder = blockedForwarder{x.Forwarder, at}
-		goOn = func() { close(at.open) }
+		resume = func() { close(at.open) }
 	case "while connecting":
 		r.limiter.nextDial = at
-		goOn = func() { close(at.open) }
+		resume = func() { close(at.open) }
 	}
 	answers = doInBackground(r.t.Context(), r.service, x)
 	testkit.Next(r.t, at.arrived)
-	return goOn, answers
+	return resume, answers
 }
 
 // replacingList returns an endpoint list that replaces the server s-1 with another one in the way named by kind.
@@ -53,13 +53,13 @@
 // queue, at its gate, for its worker or for its connection when the server starts draining, is removed or is listed
 // at another address. The request has not run, so it goes to another server, and so does the next one.
 func TestDrainingOrRemovedServerGetsNoWaitingRequest(t *testing.T) {
-	check := func(t *testing.T, kind, place, class, by string) {
-		r := newDisconnectTest(t, class, by, time.Minute)
+	check := func(t *testing.T, kind, stage, class, forwarder string) {
+		r := newDisconnectTest(t, class, forwarder, time.Minute)
 		other := startBothProtocols(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("other")) })
-		goOn, answers := r.startWaitingAt(place, r.newExchange("drained"))
+		resume, answers := r.startWaitingAt(stage, r.newExchange("drained"))
 		r.service.receiveEndpoints(replacingList(kind, other))
 		r.awaitDisconnectHandled(&Exchange{isAnswered: true}) // waits for the list to be handled
-		goOn()
+		resume()
 		if a := testkit.Next(t, answers); a.Status != http.StatusOK {
 			t.Errorf("answer %+v, want status 200", a)
 		}
@@ -71,10 +71,10 @@
 		}
 	}
 	for _, kind := range []string{"draining", "removed", "whole", "moved"} {
-		for _, place := range []string{"in the queue", "at the gate", "at the worker", "while connecting"} {
+		for _, stage := range []string{"in the queue", "at the gate", "at the worker", "while connecting"} {
 			for _, class := range []string{"safe", "keyed", "unsafe"} {
-				for _, by := range []string{"whole", "whole over HTTP/2", "relay", "relay over HTTP/2"} {
-					t.Run(fmt.Sprint(kind, " ", place, " ", class, " ", by), func(t *testing.T) { check(t, kind, place, class, by) })
+				for _, forwarder := range []string{"whole", "whole over HTTP/2", "relay", "relay over HTTP/2"} {
+					t.Run(fmt.Sprint(kind, " ", stage, " ", class, " ", forwarder), func(t *testing.T) { check(t, kind, stage, class, forwarder) })
 				}
 			}
 		}
--- a/internal/service/hard_limits_test.go
+++ b/internal/service/hard_limits_test.go
@@ -124,13 +124,13 @@
 		if st := s.Status().HardLimits[0]; st.LeasedUnits < 15.9 {
 			t.Errorf("%g units leased after the clients disconnected, want at least 15.9 of 20 unspent ones", st.LeasedUnits)
 		}
-		retryContext, gone := context.WithCancel(t.Context())
+		retryContext, leaveAgain := context.WithCancel(t.Context())
 		go s.Do(retryContext, newExchangeOfUnits("c", 4))
 		synctest.Wait()
 		if n := len(received); n != 7 || received[6].IsOverHardLimit {
 			t.Errorf("module got %+v after the refund, want one request within the limit", received[6:])
 		}
-		gone()
+		leaveAgain()
 	})
 }
 
--- a/internal/service/module.go
+++ b/internal/service/module.go
@@ -19,9 +19,9 @@
 type StatefulModule interface {
 	Module
 	Checkpoint(now time.Duration) control.Checkpoint
-	HandOver(now time.Duration, give float64) control.Checkpoint
+	HandOver(now time.Duration, fraction float64) control.Checkpoint
 	Restore(now time.Duration, c control.Checkpoint, trust control.Trust)
-	ReclaimRates(now time.Duration, given *control.Checkpoint)
+	ReclaimRates(now time.Duration, returned *control.Checkpoint)
 	PredecessorEnded()
 }
 
--- a/internal/service/server_removal_test.go
+++ b/internal/service/server_removal_test.go
@@ -121,7 +121,7 @@
 		"removed":  {Endpoints: []discovery.Endpoint{{UID: "s-1", State: "removed"}}},
 		"unlisted": {IsComplete: true},
 	}
-	places := map[string]func(*removalTest, *Exchange, discovery.EndpointList) <-chan Answer{
+	stages := map[string]func(*removalTest, *Exchange, discovery.EndpointList) <-chan Answer{
 		"gate":                    (*removalTest).removeAtGate,
 		"channel":                 (*removalTest).removeInEventQueue,
 		"worker":                  (*removalTest).removeAtWorker,
@@ -129,8 +129,8 @@
 	}
 	for _, idempotency := range []control.Idempotency{control.Idempotent, control.IdempotentWithKey, control.NotIdempotent} {
 		for state, list := range lists {
-			for place, removeAt := range places {
-				t.Run(fmt.Sprint(place, ", ", state, ", idempotency ", idempotency), func(t *testing.T) {
+			for stage, removeAt := range stages {
+				t.Run(fmt.Sprint(stage, ", ", state, ", idempotency ", idempotency), func(t *testing.T) {
 					newRemovalTest(t, idempotency).check(removeAt, list)
 				})
 			}
--- a/internal/service/shutdown_test.go
+++ b/internal/service/shutdown_test.go
@@ -125,13 +125,13 @@
 			go do(fmt.Sprint("id-", i))
 		}
 		synctest.Wait()
-		started, goOn := make(chan struct{}), make(chan struct{})
-		s.Post(func() { close(started); <-goOn })
+		started, resume := make(chan struct{}), make(chan struct{})
+		s.Post(func() { close(started); <-resume })
 		<-started
 		close(arrived)
 		synctest.Wait() // all are in the event queue
 		handle.stop()
-		close(goOn)
+		close(resume)
 		for range n {
 			if a := <-served; a.Kind != Served || a.Status != http.StatusOK {
 				t.Errorf("queued answer was not delivered: %+v", a)
