--- a/internal/service/answer.go
+++ b/internal/service/answer.go
@@ -8,7 +8,7 @@
 	"lockflow/internal/upstream"
 )
 
-// AnswerKind is the origin of an answer, and whether a retry is safe.
+// AnswerKind is where an answer comes from, and whether the request can be retried safely.
 type AnswerKind int8
 
 // The kinds of answers.
@@ -29,7 +29,7 @@
 	Cause       control.Cause    // why the module rejected the request
 	LastAttempt control.Reason   // how the last attempt ended, in an answer of the node's own; 0 if there was none
 
-	replacement   *Service // not nil: the request has not started, and has to be passed to this service
+	replacement   *Service // if not nil, the request was not accepted and has to be passed to this service
 	clientHasLeft bool     // makes Do report that the client has disconnected
 }
 
--- a/internal/service/attempts.go
+++ b/internal/service/attempts.go
@@ -11,7 +11,7 @@
 // attemptJob is one attempt of an exchange, as a worker makes it.
 type attemptJob struct {
 	exchange  *Exchange
-	number    int // among the exchange's attempts
+	number    int // index in the exchange's attempts
 	server    uint32
 	location  serverLocation // of the server, which may no longer be listed when the attempt ends
 	pool      *upstream.Pool
@@ -137,7 +137,7 @@
 // value, so that the posted function does not refer to the worker's next job.
 func (l *loop) runAttempt(job attemptJob) bool {
 	var o upstream.Outcome
-	if job.attempt.IsPending() { // no connection is made for one that was withdrawn
+	if job.attempt.IsPending() { // no connection is made for a withdrawn attempt
 		o = job.exchange.Forwarder.Attempt(job.attempt, l.lifetime, l.upstream, job.pool)
 	}
 	if o.Stream != nil {
@@ -184,8 +184,8 @@
 	})
 }
 
-// attemptEnded handles the outcome of an attempt. One that is final answers its request; any other is
-// reported to the module, which decides whether to retry.
+// attemptEnded handles the outcome of an attempt and reports it to the module. A final outcome answers the request;
+// for any other, the module decides whether to retry.
 func (l *loop) attemptEnded(job attemptJob, o upstream.Outcome) {
 	x := job.exchange
 	x.inFlight--
--- a/internal/service/client_departure_test.go
+++ b/internal/service/client_departure_test.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// checkNotSent checks that nothing of the request "left" was sent, whose client disconnected while it was at place,
+// checkNotSent checks that nothing of the request "left" was sent, whose client disconnected while it was at stage,
 // and that the next request is served.
 func (r *disconnectTest) checkNotSent(stage string) {
 	testkit.Until(r.t, "the end of the request", func() bool { return r.service.Status().Requests == 0 })
@@ -197,7 +197,7 @@
 	return r
 }
 
-// serve is the server's handler.
+// serve is the HTTP handler of the server. It blocks requests whose ids begin with f until unblockRequests is closed.
 func (r *disconnectTest) serve(w http.ResponseWriter, q *http.Request) {
 	id := q.Header.Get("X-Test")
 	r.mu.Lock()
@@ -240,8 +240,8 @@
 	return x
 }
 
-// disconnectAt has the client disconnect when its request has arrived at the barrier place, which is then opened,
-// or, if place is nil, when the service has accepted the request.
+// disconnectAt has the client disconnect when its request has arrived at the barrier stage, which is then opened,
+// or, if stage is nil, when the service has accepted the request.
 func (r *disconnectTest) disconnectAt(x *Exchange, stage *barrier) {
 	ctx, cancel := context.WithCancel(r.t.Context())
 	r.cancelClient = cancel
--- a/internal/service/endpoint_changes_test.go
+++ b/internal/service/endpoint_changes_test.go
@@ -10,7 +10,7 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// startWaitingAt starts a request that waits at place. It returns a function that resumes it, and its answer.
+// startWaitingAt starts a request that waits at stage. It returns a function that resumes it, and its answer.
 func (r *disconnectTest) startWaitingAt(stage string, x *Exchange) (resume func(), answers <-chan Answer) {
 	at := newBarrier()
 	switch stage {
--- a/internal/service/endpoints.go
+++ b/internal/service/endpoints.go
@@ -23,7 +23,7 @@
 	return s.endpointList()
 }
 
-// endpointList is Endpoints with s.mu held.
+// endpointList is Endpoints for callers that hold s.mu.
 func (s *Service) endpointList() discovery.EndpointList {
 	list := discovery.EndpointList{Revision: s.revision, IsComplete: true}
 	for _, target := range s.endpoints {
@@ -116,7 +116,7 @@
 	return l.starts.resolve(target.UID, target.StartedAtMS, now)
 }
 
-// serverID returns the module's number of a server, a new one for a uid that is not listed.
+// serverID returns the module's id of a server, and assigns a new one to a uid that is not listed.
 func (l *loop) serverID(uid string) uint32 {
 	id, ok := l.serverIDs[uid]
 	if !ok {
@@ -187,7 +187,7 @@
 	}
 }
 
-// retirePool closes the connections to a server, those in use when they are returned, and returns their
+// retirePool closes the connections to a server (those in use once they are returned to the pool) and returns their
 // pool; nil if there was none.
 func (l *loop) retirePool(server uint32) *upstream.Pool {
 	pool := l.pools[server]
--- a/internal/service/event_recorder.go
+++ b/internal/service/event_recorder.go
@@ -30,7 +30,7 @@
 
 type listedServer struct {
 	uid      string
-	bootedAt time.Time // zero is long ago
+	bootedAt time.Time // zero if unknown, which counts as long ago
 }
 
 func newEventRecorder(writer *eventlog.Writer, plans []control.Plan) *eventRecorder {
--- a/internal/service/exchange.go
+++ b/internal/service/exchange.go
@@ -28,7 +28,7 @@
 	CanRetry() bool
 }
 
-// Exchange is one client request on its way to its final answer. The caller sets the exported fields before
+// Exchange is one client request, from Service.Do until its final answer. The caller sets the exported fields before
 // Do and does not change them until it has returned.
 type Exchange struct {
 	Request   control.Request // the service sets its Timeout
@@ -53,10 +53,10 @@
 	isAnswered   bool                // or its client has disconnected
 	attemptCount int                 // attempts that the module has decided on
 	inFlight     int                 // attempts without an outcome yet
-	mayHaveRun   bool                // by an attempt that has ended; one in flight may have run too
+	mayHaveRun   bool                // some attempt that has ended may have run the request; those in flight are not considered
 	attempts     []*upstream.Attempt // by number; nil if it was never made
-	lastReason   control.Reason      // how the last attempt ended; 0 is none yet
-	lastResponse upstream.Outcome    // the last response of a server that was not final
+	lastReason   control.Reason      // how the last attempt ended; 0 if none has
+	lastResponse upstream.Outcome    // the last server response that was not final
 	classCounts  *ClassCounts        // nil if nothing is counted
 	charge       hardLimitCharge
 	repeats      repeatGuard
--- a/internal/service/gate.go
+++ b/internal/service/gate.go
@@ -30,10 +30,10 @@
 	pendingSends []control.Send // deferred until the gate opens
 }
 
-// LateEnd is how an attempt of an abandoned request ended.
+// LateEnd is the outcome of an attempt of an abandoned request.
 type LateEnd uint8
 
-// The late ends.
+// The outcomes of attempts of abandoned requests.
 const (
 	LateUnknown LateEnd = iota // the attempt was stopped before its outcome was known
 	LateServed
--- a/internal/service/guard.go
+++ b/internal/service/guard.go
@@ -57,7 +57,7 @@
 // attempt that must not be made: while another one is in flight, beyond the maximum number of attempts, or where it
 // could run a request twice. An attempt beyond the budget of a server's slow start is only reported.
 func (l *loop) guardAttempt(x *Exchange, a control.Send, now time.Time) (ok bool) {
-	if x.isAnswered { // startAttempt makes none then
+	if x.isAnswered { // startAttempt then makes no attempt
 		return true
 	}
 	if x.inFlight > 0 {
@@ -118,9 +118,9 @@
 // Its full capacity is estimated as the recent peak of this node's busiest warm server, times the number of nodes. A
 // single node exceeds this budget only if its module is at fault. Only the loop's goroutine uses it.
 type warmupGuard struct {
-	window          time.Duration // 0 counts nothing
+	window          time.Duration // 0 disables the guard
 	nodes           float64
-	peak            float64   // attempts within the window at the busiest warm server, of the last peakTime
+	peak            float64   // most attempts within a window at a warm server during the last peakTime
 	peakAt          time.Time // of peak
 	multiple        float64
 	warmupTime      time.Duration
@@ -130,7 +130,7 @@
 
 // attemptRate counts attempts at one server over a window.
 type attemptRate struct {
-	startedAt time.Time // zero is long ago
+	startedAt time.Time // zero if unknown, which counts as long ago
 	bucket    int64
 	counts    [warmupBuckets]float64
 }
@@ -198,7 +198,7 @@
 	return int64(now.Sub(guardEpoch) / max(1, g.window/warmupBuckets))
 }
 
-// guardEpoch is a moment before any attempt, with a monotonic reading.
+// guardEpoch is the origin of bucket numbers: a time before any attempt, with a monotonic reading.
 var guardEpoch = time.Now()
 
 // add counts an attempt, and returns how many there were within the window.
@@ -211,7 +211,7 @@
 	return sum
 }
 
-// advance drops the counts of buckets that are over.
+// advance clears the counts of buckets that have left the window.
 func (r *attemptRate) advance(bucket int64) {
 	for steps := min(bucket-r.bucket, warmupBuckets); steps > 0; steps-- {
 		r.counts[(((bucket-steps+1)%warmupBuckets)+warmupBuckets)%warmupBuckets] = 0
--- a/internal/service/hard_limits_test.go
+++ b/internal/service/hard_limits_test.go
@@ -154,7 +154,7 @@
 		}
 		ctx, leave := context.WithCancel(t.Context())
 		defer leave()
-		for i := range 4 { // half of a burst of 20
+		for i := range 4 { // the fraction of this instance is half of a burst of 20
 			go s.Do(ctx, newExchangeOfUnits(fmt.Sprint("a", i), 4))
 			synctest.Wait()
 		}
@@ -204,7 +204,7 @@
 		}
 		// A process that has handed over to another one has no fraction of the limit.
 		st = replacement.Status().HardLimits[0]
-		replacement.Rejoin(nil) // it has not handed over: nothing changes
+		replacement.Rejoin(nil) // has no effect, as HandOver was not called
 		if status := replacement.Status().HardLimits[0]; status != st {
 			t.Errorf("status %+v after Rejoin without HandOver, want %+v", status, st)
 		}
--- a/internal/service/lifecycle.go
+++ b/internal/service/lifecycle.go
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// retirePools closes the connections of a loop that has ended, those in use when they are returned. Pools
-// that were transferred to a replacement are left to it.
+// retirePools closes the connections of a loop that has ended (those in use once they are returned to the pool).
+// Pools that were transferred to a replacement are left to it.
 func (s *Service) retirePools(l *loop) {
 	for uid, id := range l.serverIDs {
 		if pool := l.pools[id]; pool != nil && l.transferredPools[uid] != pool {
--- a/internal/service/loop.go
+++ b/internal/service/loop.go
@@ -47,7 +47,7 @@
 	pendingEvents []control.Event // caused by executing actions, not handled yet
 	exchanges     map[string]*Exchange
 
-	// serverIDs are the module's numbers of the listed servers, by uid. No number is used twice.
+	// serverIDs are the module's ids of the listed servers, by uid. No id is reused.
 	serverIDs    map[string]uint32
 	lastServerID uint32
 	pools        map[uint32]*upstream.Pool // of the servers that take new requests
--- a/internal/service/options.go
+++ b/internal/service/options.go
@@ -38,12 +38,12 @@
 	SharedUpstream  *upstream.Upstream     // connections of the service that this one replaces; nil creates new ones from Upstream
 	Source          discovery.Source       // of the endpoint list
 	CachedEndpoints discovery.EndpointList // the endpoint list as last received, perhaps outdated
-	Predecessor     *Service               // the service that this one replaces, for its clock and its servers' starts; may be nil
+	Predecessor     *Service               // the service that this one replaces, whose clock and server start times it uses; may be nil
 
 	OnPanic   PanicPolicy
 	AnyMethod bool // requests of a class may have any method, as in generic HTTP
 
-	Limiter           RequestLimiter         // nil limits nothing
+	Limiter           RequestLimiter         // nil for no limit
 	Streams           *Streams               // where open response streams are registered; may be nil
 	RequestCounts     *RequestCounts         // counts outcomes for metrics; may be nil
 	Statistics        *StatisticsCollector   // collects instance statistics; may be nil
--- a/internal/service/request_rules.go
+++ b/internal/service/request_rules.go
@@ -33,7 +33,7 @@
 	return rules
 }
 
-// AllowsMethod reports whether a class's requests may have a method.
+// AllowsMethod reports whether requests of a class may have this method.
 func (r *RequestRules) AllowsMethod(class control.Class, method string) bool {
 	return r.AnyMethod || ClassMethod(class) == method
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -71,7 +71,7 @@
 	s.loop = s.newLoop(module)
 	s.mergeEndpoints(options.CachedEndpoints)
 	s.feed = newFeed(&options, s.receiveEndpoints)
-	// An empty list would have the module set its concurrency limit for no servers.
+	// With an empty list the module would set its concurrency limit for zero servers.
 	if len(options.CachedEndpoints.Endpoints) > 0 {
 		s.postEndpoints(s.loop, control.ListCached, options.CachedEndpoints)
 	}
--- a/internal/service/timer_queue.go
+++ b/internal/service/timer_queue.go
@@ -22,7 +22,7 @@
 	label uint64
 }
 
-// arm adds a label that is due at some time.
+// arm adds a label that is due at dueAt.
 func (q *timerQueue) arm(dueAt time.Time, label uint64) {
 	q.entries = append(q.entries, timerEntry{dueAt, label})
 	for i := len(q.entries) - 1; i > 0; {
