--- a/internal/service/attempts_test.go
+++ b/internal/service/attempts_test.go
@@ -15,8 +15,8 @@
 	"lockflow/internal/upstream"
 )
 
-// TestRetryAfterRepeatWindowIsNotSent checks that a retry whose connection comes up after the repeat window
-// is never written, and the module is notified that it was not sent.
+// TestRetryAfterRepeatWindowIsNotSent checks that a retry whose connection is established after the repeat window
+// is never written, and that the module is notified that it was not sent.
 func TestRetryAfterRepeatWindowIsNotSent(t *testing.T) {
 	app := testkit.NewApp(t, testkit.Served)
 	for name, tc := range map[string]struct {
@@ -50,22 +50,21 @@
 			x.Deadline, x.Forwarder = time.Now().Add(testkit.WaitTimeout), newForwarder(t, http.MethodGet, "", nil)
 			a, _ := s.Do(context.Background(), x)
 			if n := app.Count() - before; n != tc.want || (a.Status == http.StatusOK) != (n == 1) {
-				t.Errorf("%d were written, answer %d", n, a.Status)
+				t.Errorf("%d attempts were written, answer has status %d", n, a.Status)
 			}
 			if why := testkit.Next(t, reasons); (why == control.NotSent) != (tc.want == 0) {
-				t.Errorf("reason %d", why)
+				t.Errorf("attempt ended with reason %d", why)
 			}
 		})
 	}
 }
 
-// TestReplacementTakesUnbegunRequestOnlyWithItsKeyChecked checks that a request that a service has not begun
-// when it is replaced goes to the replacement, unless its class needs an idempotency key there and did not
-// before.
-func TestReplacementTakesUnbegunRequestOnlyWithItsKeyChecked(t *testing.T) {
-	effects := []control.Idempotency{control.IdempotentWithKey, control.NotIdempotent}
-	for _, from := range effects {
-		for _, to := range effects {
+// TestReplacementTakesUnacceptedRequestOnlyIfKeyWasChecked checks that a request that a service has not accepted
+// when it is replaced is passed to the replacement, unless its class needs an idempotency key only there.
+func TestReplacementTakesUnacceptedRequestOnlyIfKeyWasChecked(t *testing.T) {
+	idempotencyKinds := []control.Idempotency{control.IdempotentWithKey, control.NotIdempotent}
+	for _, from := range idempotencyKinds {
+		for _, to := range idempotencyKinds {
 			t.Run(fmt.Sprint(from, to), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					var before, after []control.Request
@@ -83,7 +82,7 @@
 					go original.Do(ctx, x)
 					synctest.Wait()
 					if isRetained := from != to && to == control.IdempotentWithKey; len(before)+len(after) != 1 || len(before) == 1 != isRetained {
-						t.Errorf("heard of %d before, %d after", len(before), len(after))
+						t.Errorf("original module got %d requests, replacement's module %d", len(before), len(after))
 					}
 					cancelClient()
 					synctest.Wait()
--- a/internal/service/deadlines_test.go
+++ b/internal/service/deadlines_test.go
@@ -15,8 +15,8 @@
 	"lockflow/internal/upstream"
 )
 
-// neverAnsweredInTime is an attempt that is written and times out.
-func neverAnsweredInTime(ctx context.Context) upstream.Outcome {
+// timesOutAfterWrite is an attempt that is written and times out.
+func timesOutAfterWrite(ctx context.Context) upstream.Outcome {
 	if !upstream.Commit(ctx) {
 		return upstream.Outcome{Reason: control.NotSent}
 	}
@@ -30,38 +30,38 @@
 	return upstream.Outcome{Reason: control.RejectedByServer}
 }
 
-// deadlineTest is a service in some state as a request comes.
+// deadlineTest is the state of a service when a request arrives.
 type deadlineTest struct {
-	attempt    func(context.Context) upstream.Outcome
-	hasNone    bool          // no server is listed
-	isFull     bool          // others came before and are never answered
-	loopIsBusy time.Duration // from right before the request
+	attempt        func(context.Context) upstream.Outcome
+	hasNoServer    bool          // no server is listed
+	isSaturated    bool          // earlier requests take up all capacity and are never answered
+	loopBlockedFor time.Duration // starting right before the request
 }
 
-// start starts the service and brings it into its state. It returns the answers to the others.
-func (d deadlineTest) start(t *testing.T, idempotency control.Idempotency) (s *Service, others []<-chan Answer) {
+// start starts the service and brings it into its state. It returns the answers to the earlier requests.
+func (d deadlineTest) start(t *testing.T, idempotency control.Idempotency) (s *Service, earlierAnswers []<-chan Answer) {
 	const otherRequests = 50
 	set := testSettings()
 	set.Classes[0].Idempotency, set.Classes[0].KeyScope, set.Classes[0].RepeatWindow = idempotency, control.ScopeCell, time.Minute
 	s, _ = startService(t, Options{Settings: set})
 	synctest.Wait()
-	if d.hasNone {
+	if d.hasNoServer {
 		s.receiveEndpoints(discovery.EndpointList{IsComplete: true})
 	}
-	if d.isFull {
+	if d.isSaturated {
 		for i := range otherRequests {
-			others = append(others, doWithin(s, fmt.Sprint("f", i), 5*time.Second, neverAnsweredInTime))
+			earlierAnswers = append(earlierAnswers, doWithin(s, fmt.Sprint("f", i), 5*time.Second, timesOutAfterWrite))
 		}
 		synctest.Wait()
 	}
-	if d.loopIsBusy > 0 {
-		s.Post(func() { time.Sleep(d.loopIsBusy) })
+	if d.loopBlockedFor > 0 {
+		s.Post(func() { time.Sleep(d.loopBlockedFor) })
 		synctest.Wait()
 	}
-	return s, others
+	return s, earlierAnswers
 }
 
-// doWithin has a service serve a request whose client waits for some time.
+// doWithin has a service serve a request whose client waits for the given time.
 func doWithin(s *Service, id string, wait time.Duration, attempt func(context.Context) upstream.Outcome) <-chan Answer {
 	x := newExchange(id)
 	x.Deadline, x.Forwarder = time.Now().Add(wait-DeadlineMargin), &scriptedForwarder{attempt: attempt}
@@ -69,41 +69,41 @@
 	return doInBackground(context.Background(), s, x)
 }
 
-// check has a request come whose client waits for some time.
+// check sends a request whose client waits for the given time, and checks its answer.
 func (d deadlineTest) check(t *testing.T, idempotency control.Idempotency, wait time.Duration) {
-	s, others := d.start(t, idempotency)
+	s, earlierAnswers := d.start(t, idempotency)
 	startedAt, sent := time.Now(), 0
 	a := <-doWithin(s, "id-1", wait, func(ctx context.Context) upstream.Outcome { sent++; return d.attempt(ctx) })
-	if elapsed, by := time.Since(startedAt), max(wait, d.loopIsBusy); elapsed > by {
-		t.Errorf("answered after %v", elapsed)
+	if elapsed, latest := time.Since(startedAt), max(wait, d.loopBlockedFor); elapsed > latest {
+		t.Errorf("answered after %v, later than the client waits", elapsed)
 	}
 	if a.Kind == Served || a.Kind == Failed && sent == 0 || a.Status < 500 {
-		t.Errorf("%+v with %d sent", a, sent)
+		t.Errorf("answer %+v with %d attempts sent", a, sent)
 	}
-	if d.hasNone || wait < DeadlineMargin || d.loopIsBusy > wait {
+	if d.hasNoServer || wait < DeadlineMargin || d.loopBlockedFor > wait {
 		if sent > 0 || a.Kind != Rejected {
-			t.Errorf("%d sent, %+v", sent, a)
+			t.Errorf("%d attempts sent, answer %+v; want none and a rejection", sent, a)
 		}
 	}
-	for _, o := range others {
+	for _, o := range earlierAnswers {
 		<-o
 	}
 	if synctest.Wait(); s.Status().Requests != 0 {
-		t.Errorf("%d held", s.Status().Requests)
+		t.Errorf("%d requests left in the loop, want 0", s.Status().Requests)
 	}
 }
 
-// TestEveryRequestIsAnsweredByItsDeadline checks that whatever the service's state and however little time a
-// request has, it gets one answer before its client's deadline, or as soon as a loop that is busy for longer
-// goes on. A request that comes too late to be sent is rejected and not sent.
+// TestEveryRequestIsAnsweredByItsDeadline checks that a request gets one answer before its client's deadline,
+// whatever the service's state and however short the deadline, or when the loop continues if it was blocked for
+// longer. A request that arrives too late to be sent is rejected and not sent.
 func TestEveryRequestIsAnsweredByItsDeadline(t *testing.T) {
 	for name, test := range map[string]deadlineTest{
-		"no server":      {attempt: neverAnsweredInTime, hasNone: true},
-		"a hanging one":  {attempt: neverAnsweredInTime},
-		"a full one":     {attempt: rejectedByServer},
-		"places taken":   {attempt: neverAnsweredInTime, isFull: true},
-		"a busy loop":    {attempt: neverAnsweredInTime, loopIsBusy: 10 * time.Millisecond},
-		"a loop at rest": {attempt: neverAnsweredInTime, loopIsBusy: 10 * time.Second},
+		"no server":            {attempt: timesOutAfterWrite, hasNoServer: true},
+		"server that hangs":    {attempt: timesOutAfterWrite},
+		"server that rejects":  {attempt: rejectedByServer},
+		"saturated server":     {attempt: timesOutAfterWrite, isSaturated: true},
+		"briefly blocked loop": {attempt: timesOutAfterWrite, loopBlockedFor: 10 * time.Millisecond},
+		"long blocked loop":    {attempt: timesOutAfterWrite, loopBlockedFor: 10 * time.Second},
 	} {
 		for class, idempotency := range idempotencies {
 			for _, wait := range []time.Duration{time.Microsecond, 20 * time.Millisecond, 400 * time.Millisecond, 5 * time.Second} {
@@ -115,13 +115,13 @@
 	}
 }
 
-// TestDepartedClientsBeyondEventQueueAreNotSent checks that, where more requests come than the event queue has
-// space for while the loop is blocked and every second client leaves before it goes on, no request of those is
-// sent, whether it was in the queue or not, and all others are served.
-func TestDepartedClientsBeyondEventQueueAreNotSent(t *testing.T) {
+// TestDisconnectedClientsBeyondEventQueueAreNotSent checks the case that more requests arrive than the event queue
+// has space for while the loop is blocked, and every second client disconnects before the loop continues. None of
+// the requests of these clients is sent, whether it was in the queue or not, and all others are served.
+func TestDisconnectedClientsBeyondEventQueueAreNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := startService(t, Options{NewModule: moduleOf(moduleFunc(sendToFirstServer))})
-		synctest.Wait() // it knows its server
+		synctest.Wait() // the module has got the endpoint list
 		hold := make(chan struct{})
 		s.Post(func() { <-hold })
 		synctest.Wait()
@@ -151,14 +151,14 @@
 		}
 		synctest.Wait()
 		if got := len(s.currentLoop().events); got != n/3 {
-			t.Fatalf("%d in the channel", got)
+			t.Fatalf("%d events in the queue, want a full queue", got)
 		}
 		leave()
 		synctest.Wait()
 		close(hold)
 		all.Wait()
 		if synctest.Wait(); s.Status().Requests != 0 || sent.Load() != int64(n/2) || served.Load() != int64(n/2) || gone.Load() != int64(n/2) {
-			t.Errorf("%d held, %d sent, %d served, %d gone", s.Status().Requests, sent.Load(), served.Load(), gone.Load())
+			t.Errorf("%d requests left in the loop, %d sent, %d served, %d clients gone", s.Status().Requests, sent.Load(), served.Load(), gone.Load())
 		}
 	})
 }
--- a/internal/service/guard.go
+++ b/internal/service/guard.go
@@ -9,26 +9,26 @@
 	"lockflow/internal/invariant"
 )
 
-// lateAnswerGrace is how long after its deadline a request may be answered before it counts as lost.
+// lateAnswerGrace is how long after its deadline a request may be answered without violating invariant.LateAnswer.
 const lateAnswerGrace = 500 * time.Millisecond
 
-// repeatGuard has the loop's record of an exchange's attempts, independently of its module, to check whether another
-// one may start.
+// repeatGuard records which attempt of an exchange may have run the request first. It checks, independently of the
+// module, that a further attempt is safe.
 type repeatGuard struct {
-	firstRunAt time.Time   // when the first attempt that may have run was started; zero is none
-	place      serverPlace // of its server
+	firstRunAt time.Time      // start of the first attempt that may have run the request; zero if there is none
+	location   serverLocation // of its server
 }
 
-// attemptEnded notes an attempt that has ended.
+// attemptEnded records an attempt that has ended.
 func (g *repeatGuard) attemptEnded(job attemptJob, reason control.Reason) {
 	if mayHaveRun(reason) && g.firstRunAt.IsZero() {
 		g.firstRunAt = job.startedAt
-		g.place = job.place
+		g.location = job.location
 	}
 }
 
-// allows reports whether an attempt at a server may follow, and otherwise why not.
-func (g *repeatGuard) allows(class *control.Class, place serverPlace, now time.Time) (why string, ok bool) {
+// allows reports whether a further attempt at a server in location is safe; if it is not, violation is the reason.
+func (g *repeatGuard) allows(class *control.Class, location serverLocation, now time.Time) (violation string, ok bool) {
 	if g.firstRunAt.IsZero() || class.Idempotency == control.Idempotent {
 		return "", true
 	}
@@ -36,47 +36,48 @@
 		return "it may have run and is not idempotent", false
 	}
 	if since := now.Sub(g.firstRunAt); since > class.RepeatWindow {
-		return fmt.Sprintf("it may have run %v ago, its repeat window is %v", since, class.RepeatWindow), false
+		return fmt.Sprintf("the request may have run %v ago; its repeat window is %v", since, class.RepeatWindow), false
 	}
 	switch {
-	case class.KeyScope == control.ScopeZone && place.zone != g.place.zone:
-		return fmt.Sprintf("it may have run in zone %q, not %q", g.place.zone, place.zone), false
-	case class.KeyScope == control.ScopeCell && place.cell != g.place.cell:
-		return fmt.Sprintf("it may have run in cell %d, not %d", g.place.cell, place.cell), false
+	case class.KeyScope == control.ScopeZone && location.zone != g.location.zone:
+		return fmt.Sprintf("the request may have run in zone %q, and the retry is for zone %q", g.location.zone, location.zone), false
+	case class.KeyScope == control.ScopeCell && location.cell != g.location.cell:
+		return fmt.Sprintf("the request may have run in cell %d, and the retry is for cell %d", g.location.cell, location.cell), false
 	}
 	return "", true
 }
 
-// serverPlace is where a server drops repeats.
-type serverPlace struct {
+// serverLocation is where a server is: control.KeyScope limits the recognition of idempotency keys to a zone or cell.
+type serverLocation struct {
 	zone string
 	cell int
 }
 
-// guardAttempt checks an attempt that the module has decided on, by the loop's own knowledge. An attempt that could run
-// a request twice, while another is in flight, or that is one too many must not be made.
+// guardAttempt checks an attempt that the module has decided on against the loop's own records. It returns false for an
+// attempt that must not be made: while another one is in flight, beyond the maximum number of attempts, or where it
+// could run a request twice. An attempt beyond the budget of a server's slow start is only reported.
 func (l *loop) guardAttempt(x *Exchange, a control.Send, now time.Time) (ok bool) {
-	if x.isAnswered { // startAttempt makes none then
+	if x.isAnswered { // startAttempt then makes no attempt
 		return true
 	}
 	if x.inFlight > 0 {
-		why := fmt.Sprintf("attempt %d while %d are in flight", x.attemptCount, x.inFlight)
-		invariant.Violated(invariant.ParallelAttempt, x.Request.ID, why)
+		violation := fmt.Sprintf("attempt %d decided on while %d are in flight", x.attemptCount, x.inFlight)
+		invariant.Violated(invariant.ParallelAttempt, x.Request.ID, violation)
 		return false
 	}
 	if l.maxAttempts > 0 && x.attemptCount >= l.maxAttempts {
-		why := fmt.Sprintf("attempt %d of %d", x.attemptCount+1, l.maxAttempts)
-		invariant.Violated(invariant.TooManyAttempts, x.Request.ID, why)
+		violation := fmt.Sprintf("attempt %d of at most %d", x.attemptCount+1, l.maxAttempts)
+		invariant.Violated(invariant.TooManyAttempts, x.Request.ID, violation)
 		return false
 	}
 	if class := l.classOf(x); class != nil {
-		if why, ok := x.repeats.allows(class, l.places[a.Server], now); !ok {
-			invariant.Violated(invariant.UnsafeRetry, x.Request.ID, why)
+		if violation, ok := x.repeats.allows(class, l.locations[a.Server], now); !ok {
+			invariant.Violated(invariant.UnsafeRetry, x.Request.ID, violation)
 			return false
 		}
 	}
-	if why, ok := l.warmups.attempt(a.Server, now); !ok {
-		invariant.Violated(invariant.SlowStartOverrun, x.Request.ID, why)
+	if violation, ok := l.warmups.countAttempt(a.Server, now); !ok {
+		invariant.Violated(invariant.SlowStartOverrun, x.Request.ID, violation)
 	}
 	return true
 }
@@ -90,35 +91,36 @@
 	return nil
 }
 
-// guardAnswer checks the time of a final answer.
+// guardAnswer reports a final answer that is too late. Streams and requests whose body was pending are exempt, as they
+// have other time limits, and so are answers to clients that have disconnected.
 func (l *loop) guardAnswer(x *Exchange, a Answer) {
 	if a.Status == 0 || a.Stream != nil || x.Request.HasPendingBody {
 		return
 	}
 	dueAt := x.Deadline
-	if x.startedAt.After(dueAt) { // its deadline had passed when it was read
+	if x.startedAt.After(dueAt) { // the deadline had passed before the request was accepted
 		dueAt = x.startedAt
 	}
-	if late := time.Since(dueAt); late > lateAnswerGrace {
-		invariant.Violated(invariant.LateAnswer, x.Request.ID, fmt.Sprintf("%v after its deadline", late))
+	if lateness := time.Since(dueAt); lateness > lateAnswerGrace {
+		invariant.Violated(invariant.LateAnswer, x.Request.ID, fmt.Sprintf("answered %v after the deadline", lateness))
 	}
 }
 
 const (
-	warmupBuckets = 4  // of the overload window, in which attempts are counted
-	maxBudgetBase = 30 // attempts from which on the narrower slack applies
+	warmupBuckets = 4  // into which the overload window is divided to count attempts
+	maxBudgetBase = 30 // budget in attempts from which budgetSlack is the narrower one
 
-	peakTime = time.Minute // after which a lower rate replaces the peak
+	peakTime = time.Minute // after which a lower count replaces the peak
 )
 
 // warmupGuard counts the attempts at each server, and compares those at a server that is warming up with what all nodes
 // together may send it: the overload multiple of its present capacity over the overload window, and a statistical slack.
-// Its full capacity is taken as the recent peak of this node's busiest warm server, times the nodes. One node can't
-// exceed that alone unless its module is at fault. The loop's goroutine alone uses it.
+// Its full capacity is estimated as the recent peak of this node's busiest warm server, times the number of nodes. A
+// single node exceeds this budget only if its module is at fault. Only the loop's goroutine uses it.
 type warmupGuard struct {
-	window          time.Duration // 0 counts nothing
+	window          time.Duration // 0 disables the guard
 	nodes           float64
-	peak            float64   // attempts within the window at the busiest warm server, of the last peakTime
+	peak            float64   // most attempts within a window at a warm server during the last peakTime
 	peakAt          time.Time // of peak
 	multiple        float64
 	warmupTime      time.Duration
@@ -128,7 +130,7 @@
 
 // attemptRate counts attempts at one server over a window.
 type attemptRate struct {
-	startedAt time.Time // zero is long ago
+	startedAt time.Time // zero if unknown, which counts as long ago
 	bucket    int64
 	counts    [warmupBuckets]float64
 }
@@ -144,8 +146,8 @@
 	}
 }
 
-// listed adds a server, or resets the counts of one that has restarted.
-func (g *warmupGuard) listed(server uint32, startedAt time.Time) {
+// addServer adds a server, or resets the counts of one that has restarted.
+func (g *warmupGuard) addServer(server uint32, startedAt time.Time) {
 	rate := g.servers[server]
 	if rate == nil {
 		rate = &attemptRate{}
@@ -156,10 +158,10 @@
 	}
 }
 
-func (g *warmupGuard) forget(server uint32) { delete(g.servers, server) }
+func (g *warmupGuard) removeServer(server uint32) { delete(g.servers, server) }
 
-// attempt counts an attempt and reports whether it is within the budget, and otherwise why not.
-func (g *warmupGuard) attempt(server uint32, now time.Time) (why string, ok bool) {
+// countAttempt counts an attempt and reports whether it is within the budget; if it is not, violation is the reason.
+func (g *warmupGuard) countAttempt(server uint32, now time.Time) (violation string, ok bool) {
 	rate := g.servers[server]
 	if rate == nil || g.window <= 0 {
 		return "", true
@@ -176,14 +178,15 @@
 	fraction := g.initialCapacity + (1-g.initialCapacity)*age.Seconds()/g.warmupTime.Seconds()
 	allowed := g.multiple * fraction * g.peak * g.nodes
 	if limit := allowed + budgetSlack(allowed); sent > limit {
-		why = fmt.Sprintf("%.0f attempts within %v at a server that started %v ago, more than %.1f",
+		violation = fmt.Sprintf("%.0f attempts within %v at a server that started %v ago, want at most %.1f",
 			sent, g.window, age, limit)
-		return why, false
+		return violation, false
 	}
 	return "", true
 }
 
-// budgetSlack is how far a number of attempts may exceed its mean by random variation.
+// budgetSlack returns by how much a number of attempts may exceed its mean through random variation: about three
+// standard deviations of a Poisson distribution, or two from maxBudgetBase on.
 func budgetSlack(attempts float64) float64 {
 	if attempts < maxBudgetBase {
 		return 3 * math.Sqrt(attempts+3)
@@ -195,7 +198,7 @@
 	return int64(now.Sub(guardEpoch) / max(1, g.window/warmupBuckets))
 }
 
-// guardEpoch is a moment before any attempt, with a monotonic reading.
+// guardEpoch is the origin of bucket numbers: a time before any attempt, with a monotonic reading.
 var guardEpoch = time.Now()
 
 // add counts an attempt, and returns how many there were within the window.
@@ -208,7 +211,7 @@
 	return sum
 }
 
-// advance drops the counts of buckets that are over.
+// advance clears the counts of buckets that have left the window.
 func (r *attemptRate) advance(bucket int64) {
 	for steps := min(bucket-r.bucket, warmupBuckets); steps > 0; steps-- {
 		r.counts[(((bucket-steps+1)%warmupBuckets)+warmupBuckets)%warmupBuckets] = 0
--- a/internal/service/guard_test.go
+++ b/internal/service/guard_test.go
@@ -15,17 +15,17 @@
 	"lockflow/internal/upstream"
 )
 
-// A repeat is allowed only where it can't run a request twice, whatever the module goes by.
+// Guards against a further attempt that could run a request twice, whatever the module's own rules are.
 func TestRepeatGuard(t *testing.T) {
 	const window = 5 * time.Second
 	startedAt := time.Now()
-	home, sameZone, otherZone := serverPlace{"z1", 1}, serverPlace{"z1", 2}, serverPlace{"z2", 3}
+	home, sameZone, otherZone := serverLocation{"z1", 1}, serverLocation{"z1", 2}, serverLocation{"z2", 3}
 	for _, tc := range []struct {
 		idempotency control.Idempotency
 		scope       control.KeyScope
 		reason      control.Reason
 		after       time.Duration
-		at          serverPlace
+		at          serverLocation
 		isAllowed   bool
 	}{
 		{control.Idempotent, 0, control.ResetByPeer, time.Minute, otherZone, true},
@@ -45,22 +45,22 @@
 	} {
 		class := control.Class{Idempotency: tc.idempotency, KeyScope: tc.scope, RepeatWindow: window}
 		var g repeatGuard
-		g.attemptEnded(attemptJob{startedAt: startedAt, place: home}, tc.reason)
-		g.attemptEnded(attemptJob{startedAt: startedAt.Add(time.Second), place: otherZone}, control.ResetByPeer) // the first one counts
+		g.attemptEnded(attemptJob{startedAt: startedAt, location: home}, tc.reason)
+		g.attemptEnded(attemptJob{startedAt: startedAt.Add(time.Second), location: otherZone}, control.ResetByPeer) // only the first one that may have run counts
 		if mayHaveRun(tc.reason) {
-			if why, ok := g.allows(&class, tc.at, startedAt.Add(tc.after)); ok != tc.isAllowed {
-				t.Errorf("%+v: allowed %v, %s", tc, ok, why)
+			if violation, ok := g.allows(&class, tc.at, startedAt.Add(tc.after)); ok != tc.isAllowed {
+				t.Errorf("%+v: allowed %v, violation %q", tc, ok, violation)
 			}
 		}
 		g = repeatGuard{}
-		g.attemptEnded(attemptJob{startedAt: startedAt, place: home}, tc.reason)
-		if why, ok := g.allows(&class, tc.at, startedAt.Add(tc.after)); ok != tc.isAllowed {
-			t.Errorf("%+v: allowed %v, %s", tc, ok, why)
+		g.attemptEnded(attemptJob{startedAt: startedAt, location: home}, tc.reason)
+		if violation, ok := g.allows(&class, tc.at, startedAt.Add(tc.after)); ok != tc.isAllowed {
+			t.Errorf("%+v: allowed %v, violation %q", tc, ok, violation)
 		}
 	}
 }
 
-// An attempt that a module decides on against the rules is not made, and is counted.
+// An attempt that violates the rules is not made, although the module decided on it, and is counted as a violation.
 func TestGuardWithholdsUnsafeAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		before := invariant.Violations(invariant.ParallelAttempt)
@@ -77,12 +77,12 @@
 		go s.Do(t.Context(), newExchange("x"))
 		synctest.Wait()
 		if n := invariant.Violations(invariant.ParallelAttempt) - before; n != 1 || sends != 2 {
-			t.Errorf("%d violations by %d attempts", n, sends)
+			t.Errorf("%d violations by %d attempts, want 1 by 2", n, sends)
 		}
 	})
 }
 
-// Attempts at a server that warms up are held against the busiest warm one.
+// Attempts at a server that is warming up are limited in proportion to those at the busiest warm server.
 func TestWarmupGuard(t *testing.T) {
 	settings := control.Settings{GroupSize: 1, OverloadWindow: 2 * time.Second, OverloadMultiple: 2, WarmupTime: 10 * time.Second, InitialCapacity: 0.2}
 	startedAt := time.Now()
@@ -93,34 +93,35 @@
 	}{
 		{0, 5, 0, true},
 		{0, 6, 0, false},
-		{100, 52, 0, true}, // 2 x 0.2 x 100 and 2 x root of 42
+		{100, 52, 0, true}, // 2 x 0.2 x 100, plus 2 x the square root of 42
 		{100, 53, 0, false},
 		{100, 54, 5 * time.Second, true},
-		{0, 200, 10 * time.Second, true}, // it is warm
+		{0, 200, 10 * time.Second, true}, // the server has warmed up
 	} {
 		t.Run(fmt.Sprint(tc), func(t *testing.T) {
 			g := newWarmupGuard(&settings)
-			g.listed(1, time.Time{})
-			g.listed(2, startedAt.Add(-tc.age))
+			g.addServer(1, time.Time{})
+			g.addServer(2, startedAt.Add(-tc.age))
 			for range tc.warm {
-				g.attempt(1, startedAt)
+				g.countAttempt(1, startedAt)
 			}
 			isAllowed := true
 			for range tc.cold {
-				_, isAllowed = g.attempt(2, startedAt)
+				_, isAllowed = g.countAttempt(2, startedAt)
 			}
 			if isAllowed != tc.isAllowed {
-				t.Errorf("allowed: %v", isAllowed)
+				t.Errorf("last attempt allowed: %v", isAllowed)
 			}
-			if _, ok := g.attempt(2, startedAt.Add(3*time.Second)); !ok {
-				t.Error("attempts before the window count")
+			if _, ok := g.countAttempt(2, startedAt.Add(3*time.Second)); !ok {
+				t.Error("attempts before the window were counted")
 			}
 		})
 	}
 }
 
-// A repeat of what may have run at a server that has left the list meanwhile is judged by where that server was.
-func TestGuardRemembersPlaceOfRemovedServer(t *testing.T) {
+// Guards against a false violation: a retry in the same cell is allowed although the server of the first attempt, which
+// may have run the request, was removed from the list before that attempt ended.
+func TestGuardRemembersLocationOfRemovedServer(t *testing.T) {
 	before := invariant.Violations(invariant.UnsafeRetry)
 	requested, release, repeated := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	first := testkit.NewApp(t, func(w http.ResponseWriter, r *http.Request) { close(requested); <-release; testkit.Reset(w, r) })
@@ -155,11 +156,11 @@
 	go func() { s.Do(t.Context(), x); close(done) }()
 	testkit.Next(t, requested)
 	s.receiveEndpoints(discovery.EndpointList{IsComplete: true, Endpoints: []discovery.Endpoint{endpoint("s-2", second)}})
-	s.Status() // a round through the loop
+	s.Status() // waits until the loop has handled the list
 	close(release)
 	testkit.Next(t, repeated)
 	testkit.Next(t, done)
 	if n := invariant.Violations(invariant.UnsafeRetry) - before; n != 0 {
-		t.Errorf("%d violations by a repeat in the same cell", n)
+		t.Errorf("%d violations by a retry in the same cell, want 0", n)
 	}
 }
--- a/internal/service/retry_departure_test.go
+++ b/internal/service/retry_departure_test.go
@@ -9,18 +9,18 @@
 	"lockflow/internal/upstream"
 )
 
-// retryAlways makes a further attempt at the first server after each that did not end its request.
-func retryAlways(e control.Event) []control.Action {
+// retryUntilFinal makes a further attempt at the first server after each attempt that did not end its request.
+func retryUntilFinal(e control.Event) []control.Action {
 	if r, ok := e.(control.AttemptResult); ok && !r.IsFinal {
 		return []control.Action{control.Send{ID: r.ID, Server: 1}}
 	}
 	return sendToFirstServer(e)
 }
 
-// A further attempt of a request whose client has left since the first one is not written.
-func TestRetryOfDepartedClientIsNotSent(t *testing.T) {
+// Guards against a retry for a client that has disconnected since the first attempt: it must not be written.
+func TestRetryOfDisconnectedClientIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := startService(t, Options{NewModule: func() (Module, error) { return moduleFunc(retryAlways), nil }})
+		s, _ := startService(t, Options{NewModule: func() (Module, error) { return moduleFunc(retryUntilFinal), nil }})
 		synctest.Wait()
 		written, polled := 0, 0
 		x := newExchange("id-1")
@@ -33,10 +33,10 @@
 			return upstream.Outcome{Reason: control.RejectedByServer}
 		}}
 		if a, ok := s.Do(t.Context(), x); ok {
-			t.Errorf("its client is told %+v", a)
+			t.Errorf("disconnected client got an answer: %+v", a)
 		}
 		if synctest.Wait(); written != 1 || polled != 2 || s.Status().Requests != 0 {
-			t.Errorf("%d attempts were written, its client was asked for %d times, %d requests are held", written, polled, s.Status().Requests)
+			t.Errorf("%d attempts were written, the client was polled %d times, %d requests are left in the loop; want 1, 2 and 0", written, polled, s.Status().Requests)
 		}
 	})
 }
--- a/internal/service/retry_outcomes_test.go
+++ b/internal/service/retry_outcomes_test.go
@@ -15,7 +15,7 @@
 	"lockflow/internal/upstream"
 )
 
-// connectionCounter counts open connections and the maximum of them.
+// connectionCounter counts open connections and their maximum.
 type connectionCounter struct {
 	mu            sync.Mutex
 	open, maxOpen int
@@ -35,24 +35,24 @@
 	a.open--
 }
 
-// connectionEnd is how a connection goes on after a response.
-type connectionEnd int
+// connectionAction is what a server does with a connection after a response.
+type connectionAction int
 
 const (
-	staysOpen connectionEnd = iota
-	endsOrderly
-	isReset
+	keepOpen connectionAction = iota
+	closeGracefully
+	resetConnection
 )
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// scriptedServer answers its first request with some bytes, after which the connection goes on in some way,
-// and all others with okResponse.
+// scriptedServer answers its first request with the bytes of first, after which it does afterResponse with the
+// connection, and all others with okResponse.
 type scriptedServer struct {
-	first string
-	then  connectionEnd
-	mu    sync.Mutex
-	count int // of requests
+	first         string
+	afterResponse connectionAction
+	mu            sync.Mutex
+	count         int // of requests
 }
 
 // start listens until the test ends, and returns the address.
@@ -90,17 +90,17 @@
 			continue
 		}
 		_, _ = io.WriteString(c, s.first)
-		switch s.then {
-		case staysOpen:
+		switch s.afterResponse {
+		case keepOpen:
 			continue
-		case isReset:
+		case resetConnection:
 			_ = c.SetLinger(0)
 		}
 		return
 	}
 }
 
-// countRequest counts a request, and returns how many there were.
+// countRequest counts a request, and returns the count so far.
 func (s *scriptedServer) countRequest() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,29 +114,29 @@
 	return s.count
 }
 
-// firstResponse is what the first response says of whether the request ran.
+// firstResponse is what the first response implies about whether the request ran.
 type firstResponse int
 
 const (
-	neverRan   firstResponse = iota // any class is sent again
-	mayHaveRan                      // an unsafe class is not
-	isFinal                         // it is the final answer
+	requestNeverRan   firstResponse = iota // requests of any class are retried
+	requestMayHaveRun                      // requests of an unsafe class are not retried
+	responseIsFinal                        // it is the final answer
 )
 
-// firstAttempt is a way in which a first attempt can end.
+// firstAttempt is one way in which a first attempt can end.
 type firstAttempt struct {
-	text            string
-	then            connectionEnd
-	means           firstResponse
+	response        string
+	afterResponse   connectionAction
+	meaning         firstResponse
 	keepsConnection bool // for further requests
 }
 
-// expected is how often a request of a class is sent, and the status of its answer.
+// expected returns how often a request of a class is sent, and the status of its answer.
 func (f firstAttempt) expected(class string) (sends, status int) {
 	switch {
-	case f.means == isFinal:
+	case f.meaning == responseIsFinal:
 		return 1, http.StatusOK
-	case f.means == mayHaveRan && class == "unsafe":
+	case f.meaning == requestMayHaveRun && class == "unsafe":
 		return 1, http.StatusBadGateway
 	}
 	return 2, http.StatusOK
@@ -144,10 +144,10 @@
 
 // check sends a request of a class to a server whose first response is this one.
 func (f firstAttempt) check(t *testing.T, class string) {
-	server, sockets := &scriptedServer{first: f.text, then: f.then}, &connectionCounter{}
+	server, sockets := &scriptedServer{first: f.response, afterResponse: f.afterResponse}, &connectionCounter{}
 	s := runReadyService(t, Options{
 		Settings: threeClassSettings(time.Hour, time.Hour), Seed: 1, AnyMethod: true,
-		Source:   staticSource(server.start(t), "s-1", "s-2"), // of one cell, which share one server's script
+		Source:   staticSource(server.start(t), "s-1", "s-2"), // in one cell, both at the same scripted server
 		Upstream: upstream.Options{ConnectTimeout: testkit.WaitTimeout, KeepAliveTimeout: time.Hour, SocketLimiter: sockets},
 	})
 	x := &Exchange{
@@ -158,36 +158,36 @@
 	a, _ := s.Do(t.Context(), x)
 	n := server.requests()
 	if a.Status != status || n != sends || status == http.StatusOK && string(a.Body) != "ok" {
-		t.Errorf("answered %d %q, sent %d times", a.Status, a.Body, n)
+		t.Errorf("answered with status %d and body %q, sent %d times", a.Status, a.Body, n)
 	}
 	sockets.mu.Lock()
 	defer sockets.mu.Unlock()
 	if !f.keepsConnection && sockets.maxOpen > 1 {
-		t.Error("sent again while the first connection was open")
+		t.Error("retry was sent while the first connection was open")
 	}
 }
 
-// TestRetryFollowsOutcomeOfFirstAttempt checks that for each way in which a first attempt can end, and each
-// idempotency of a class, a request is retried where it may be and only there, over a connection that is
-// opened once the unusable one is closed.
+// TestRetryFollowsOutcomeOfFirstAttempt checks for each way in which a first attempt can end, and each idempotency
+// of a class, that a request is retried if and only if that is allowed. If the first connection is unusable, the
+// retry's connection is opened after it is closed.
 func TestRetryFollowsOutcomeOfFirstAttempt(t *testing.T) {
 	for name, first := range map[string]firstAttempt{
-		"turned away":                 {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", staysOpen, neverRan, true},
-		"turned away, ended":          {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\n\r\nno", endsOrderly, neverRan, false},
-		"turned away, reset":          {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\n\r\nno", isReset, mayHaveRan, false},
-		"turned away in half a head":  {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n", staysOpen, mayHaveRan, false},
-		"503":                         {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", staysOpen, mayHaveRan, true},
-		"500 that says it never ran":  {"HTTP/1.1 500 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", staysOpen, mayHaveRan, true},
-		"nothing, ended":              {"", endsOrderly, mayHaveRan, false},
-		"nothing, reset":              {"", isReset, mayHaveRan, false},
-		"a head, reset":               {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", isReset, mayHaveRan, false},
-		"half a body, and silence":    {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\no", staysOpen, mayHaveRan, false},
-		"noise":                       {"noise\r\n" + okResponse, staysOpen, mayHaveRan, false},
-		"no length, and silence":      {"HTTP/1.1 200 OK\r\n\r\nok", staysOpen, mayHaveRan, false},
-		"no length, reset":            {"HTTP/1.1 200 OK\r\n\r\nok", isReset, mayHaveRan, false},
-		"no length, ended":            {"HTTP/1.1 200 OK\r\n\r\nok", endsOrderly, isFinal, false},
-		"whole, reset right behind":   {okResponse, isReset, isFinal, true},
-		"whole, with noise behind it": {okResponse + "HTTP", staysOpen, isFinal, false},
+		"rejected by the server":         {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", keepOpen, requestNeverRan, true},
+		"rejected, then closed":          {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\n\r\nno", closeGracefully, requestNeverRan, false},
+		"rejected, then reset":           {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\n\r\nno", resetConnection, requestMayHaveRun, false},
+		"rejected in an incomplete head": {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n", keepOpen, requestMayHaveRun, false},
+		"503":                            {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", keepOpen, requestMayHaveRun, true},
+		"500 marked as unprocessed":      {"HTTP/1.1 500 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", keepOpen, requestMayHaveRun, true},
+		"no response, closed":            {"", closeGracefully, requestMayHaveRun, false},
+		"no response, reset":             {"", resetConnection, requestMayHaveRun, false},
+		"head, then reset":               {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", resetConnection, requestMayHaveRun, false},
+		"half a body, then nothing":      {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\no", keepOpen, requestMayHaveRun, false},
+		"noise":                          {"noise\r\n" + okResponse, keepOpen, requestMayHaveRun, false},
+		"no length, left open":           {"HTTP/1.1 200 OK\r\n\r\nok", keepOpen, requestMayHaveRun, false},
+		"no length, then reset":          {"HTTP/1.1 200 OK\r\n\r\nok", resetConnection, requestMayHaveRun, false},
+		"no length, then closed":         {"HTTP/1.1 200 OK\r\n\r\nok", closeGracefully, responseIsFinal, false},
+		"complete, then reset":           {okResponse, resetConnection, responseIsFinal, true},
+		"complete, then invalid bytes":   {okResponse + "HTTP", keepOpen, responseIsFinal, false},
 	} {
 		for _, class := range []string{"safe", "keyed", "unsafe"} {
 			t.Run(name+", "+class, func(t *testing.T) {
--- a/internal/service/server_age_test.go
+++ b/internal/service/server_age_test.go
@@ -9,7 +9,7 @@
 	"lockflow/internal/discovery"
 )
 
-// ageRecorder is a module that records how old each server was when it was listed last.
+// ageRecorder is a module that records the age of each server when it was last listed.
 type ageRecorder struct {
 	statefulRecorder
 	ages *map[uint32]time.Duration
@@ -29,12 +29,11 @@
 	return ages, moduleOf(ageRecorder{statefulRecorder{new([]control.Request)}, &ages})
 }
 
-// bootMS is the Unix time in ms at which a server's start is told, some time ago by its clock.
+// bootMS returns the boot time, in Unix ms, of a server that started age ago by its own clock.
 func bootMS(age time.Duration) float64 { return float64(time.Now().Add(-age).UnixMilli()) }
 
-// A server that is new in a list, or has started again, is no older than the list before that lacked it, and no
-// younger than not at all: a wall clock that is an hour ahead or behind must not have it pass for warm, or warm up
-// for an hour.
+// Guards against wall clocks that are an hour ahead or behind, with which a new or restarted server would count as warm,
+// or warm up for an hour: its age is at most the time since the previous list, and not negative.
 func TestServerAgeIsBoundedByLists(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ages, newModule := newAgeRecorder()
@@ -47,39 +46,39 @@
 		time.Sleep(3 * time.Second)
 		list("s-2", bootMS(time.Hour))
 		if age := ages[2]; age != 3*time.Second {
-			t.Errorf("a new server by a clock an hour ahead is %v old", age)
+			t.Errorf("age of a new server by a clock an hour ahead is %v, want 3s", age)
 		}
 		time.Sleep(2 * time.Second)
 		list("s-1", bootMS(time.Hour))
 		if age := ages[1]; age != 2*time.Second {
-			t.Errorf("a server that started again by a clock an hour ahead is %v old", age)
+			t.Errorf("age of a restarted server by a clock an hour ahead is %v, want 2s", age)
 		}
 		time.Sleep(2 * time.Second)
 		future := bootMS(-time.Hour)
 		list("s-3", future)
 		if age := ages[3]; age != 0 {
-			t.Errorf("a new server by a clock an hour behind is %v old", age)
+			t.Errorf("age of a new server by a clock an hour behind is %v, want 0s", age)
 		}
 		time.Sleep(time.Second)
 		list("s-3", future)
 		if age := ages[3]; age != time.Second {
-			t.Errorf("a second later it is %v old", age)
+			t.Errorf("age one second later is %v, want 1s", age)
 		}
 		time.Sleep(4 * time.Second)
 		list("s-4", bootMS(time.Second))
 		if age := ages[4]; age != time.Second {
-			t.Errorf("a server that started a second ago is %v old", age)
+			t.Errorf("age of a server that started a second ago is %v, want 1s", age)
 		}
 		time.Sleep(time.Second)
 		list("s-5", 1)
 		if age := ages[5]; age < 0 || age > time.Second {
-			t.Errorf("a new server that started in 1970 is %v old", age)
+			t.Errorf("age of a new server with a boot time in 1970 is %v, want 0s to 1s", age)
 		}
 	})
 }
 
-// A replacement has servers be as old as the service that it replaces.
-func TestServerAgeOutlastsReload(t *testing.T) {
+// Guards against a reload that changes the ages of servers: a replacement uses the same ages as the original service.
+func TestServerAgeSurvivesReload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, newModule := newAgeRecorder()
 		original, _ := startService(t, Options{NewModule: newModule})
@@ -99,12 +98,12 @@
 		go replacement.Run(t.Context()) //nolint:errcheck // ends with the test
 		synctest.Wait()
 		if age := ages[1]; age != 2*time.Second {
-			t.Errorf("behind a reload the server is %v old", age)
+			t.Errorf("age of the server after a reload is %v, want 2s", age)
 		}
 	})
 }
 
-// restoreRecorder is a module that records the checkpoint that it is restored from, and its age.
+// restoreRecorder is a module that records the checkpoint that it is restored from and the checkpoint's age.
 type restoreRecorder struct {
 	ageRecorder
 	restored *control.Checkpoint
@@ -115,8 +114,8 @@
 	*r.restored, *r.age = c, now-c.At
 }
 
-// A state is restored by its age, though the wall clock was stepped after it was taken; a server that the other
-// process saw start is no older than there.
+// Guards against a clock step that shifts a restored state: the state's times are shifted by its age, even if the wall
+// clock was stepped after it was taken. A server is no older than in the process that took the state.
 func TestRestoredStateIsMovedToClockOfProcess(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -5 * time.Second, 0, 5 * time.Second, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
@@ -142,18 +141,19 @@
 				go s.Run(t.Context()) //nolint:errcheck // ends with the test
 				synctest.Wait()
 				if age != 3*time.Second || restored.Servers[0].EjectedUntil-restored.At != 5*time.Second {
-					t.Errorf("restored at an age of %v: %+v", age, restored)
+					t.Errorf("restored at an age of %v, want 3s: %+v", age, restored)
 				}
 				if ages[1] > 10*time.Second || ages[1] < 0 || step <= 0 && ages[1] != 10*time.Second {
-					t.Errorf("the server is %v old", ages[1])
+					t.Errorf("age of the server is %v, want at most 10s", ages[1])
 				}
 			})
 		})
 	}
 }
 
-// A start that a late list tells holds, unless the wall clock was stepped since the service began.
-func TestStartBeforeLastListHoldsWithoutClockStep(t *testing.T) {
+// A start shortly before the last list is accepted, as lists may be late, unless the wall clock was stepped since the
+// service started.
+func TestStartBeforeLastListIsKeptWithoutClockStep(t *testing.T) {
 	startedAt := readClocks()
 	after := func(d, step time.Duration) clockReading {
 		return clockReading{startedAt.monotonic.Add(d), startedAt.wall + d + step}
@@ -166,7 +166,7 @@
 		boot := milliseconds(startedAt.wall + 6*time.Second) // 4 s ago, 3 s before the last list
 		age := now.monotonic.Sub(s.resolve("s-1", boot, now))
 		if step == 0 && age.Round(time.Millisecond) != 4*time.Second || step != 0 && (age < 0 || age > time.Second) {
-			t.Errorf("a step of %v: the server is %v old", step, age)
+			t.Errorf("clock step of %v: age of the server is %v", step, age)
 		}
 	}
 }
--- a/internal/service/server_removal_test.go
+++ b/internal/service/server_removal_test.go
@@ -18,16 +18,16 @@
 	t       *testing.T
 	service *Service
 	app     *testkit.App
-	server  uint32                     // the module's number of it
+	server  uint32                     // its number in the module
 	listed  chan struct{}              // the module has been notified of a list
-	ended   chan control.AttemptResult // as the module has been notified of
-	// sentBefore is how many requests the server has had before the one that waits.
+	results chan control.AttemptResult // as reported to the module
+	// sentBefore is the number of requests that the server got before the waiting one.
 	sentBefore int
 }
 
 func newRemovalTest(t *testing.T, idempotency control.Idempotency) *removalTest {
 	r := &removalTest{
-		t: t, app: testkit.NewApp(t, testkit.Served), listed: make(chan struct{}, 10), ended: make(chan control.AttemptResult, 10),
+		t: t, app: testkit.NewApp(t, testkit.Served), listed: make(chan struct{}, 10), results: make(chan control.AttemptResult, 10),
 	}
 	o := Options{Settings: testSettings(), NewModule: moduleOf(moduleFunc(r.handle))}
 	o.Settings.Classes[0].Idempotency = idempotency
@@ -38,7 +38,7 @@
 	return r
 }
 
-// handle is a module that sends each request to the server, and rejects it where that does not answer it.
+// handle is a module that sends each request to the server, and rejects it if the attempt does not answer it.
 func (r *removalTest) handle(e control.Event) []control.Action {
 	switch e := e.(type) {
 	case control.EndpointList:
@@ -49,7 +49,7 @@
 	case control.Request:
 		return []control.Action{control.Send{ID: e.ID, Server: r.server}}
 	case control.AttemptResult:
-		if r.ended <- e; !e.IsFinal {
+		if r.results <- e; !e.IsFinal {
 			return []control.Action{control.Reject{ID: e.ID}}
 		}
 	}
@@ -62,7 +62,7 @@
 	return x
 }
 
-// remove has a list arrive, and waits until the module is notified of it.
+// remove passes a list to the service, and waits until the module is notified of it.
 func (r *removalTest) remove(list discovery.EndpointList) {
 	r.service.receiveEndpoints(list)
 	testkit.Next(r.t, r.listed)
@@ -79,22 +79,22 @@
 	return answers
 }
 
-// removeInEventQueue removes the server by an event right before that of a request.
+// removeInEventQueue removes the server by an event that is queued right before the event of a request.
 func (r *removalTest) removeInEventQueue(x *Exchange, list discovery.EndpointList) <-chan Answer {
 	b := newBarrier()
 	r.service.Post(b.pass)
 	testkit.Next(r.t, b.arrived)
 	r.service.receiveEndpoints(list)
 	answers := doInBackground(r.t.Context(), r.service, x)
-	testkit.Until(r.t, "both in the channel", func() bool { return len(r.service.currentLoop().events) == 2 })
+	testkit.Until(r.t, "both events to be queued", func() bool { return len(r.service.currentLoop().events) == 2 })
 	close(b.open)
 	return answers
 }
 
-// removeAtWorker removes the server before a request's worker begins.
+// removeAtWorker removes the server before a request's worker makes the attempt.
 func (r *removalTest) removeAtWorker(x *Exchange, list discovery.EndpointList) <-chan Answer {
 	b := newBarrier()
-	x.Forwarder = heldForwarder{x.Forwarder, b}
+	x.Forwarder = blockedForwarder{x.Forwarder, b}
 	answers := doInBackground(r.t.Context(), r.service, x)
 	testkit.Next(r.t, b.arrived)
 	r.remove(list)
@@ -102,26 +102,26 @@
 	return answers
 }
 
-// removeAtWorkerWithIdleConnection is removeAtWorker where an idle connection to the server exists.
+// removeAtWorkerWithIdleConnection is removeAtWorker with an idle connection to the server.
 func (r *removalTest) removeAtWorkerWithIdleConnection(x *Exchange, list discovery.EndpointList) <-chan Answer {
 	if a, _ := r.service.Do(r.t.Context(), r.newExchange("before")); a.Status != http.StatusOK {
-		r.t.Fatalf("%+v", a)
+		r.t.Fatalf("answer %+v to the request before, want status 200", a)
 	}
-	testkit.Next(r.t, r.ended)
+	testkit.Next(r.t, r.results)
 	r.sentBefore = r.app.Count()
 	return r.removeAtWorker(x, list)
 }
 
-// TestAttemptAfterServerRemovalIsNotSent checks that once a list has a server drain, or no longer has it, no
-// attempt begins there, wherever it waits: at the gate, in the event queue, or with a worker that has not
-// begun. The module is notified once that it did not run, and may send the request elsewhere.
+// TestAttemptAfterServerRemovalIsNotSent checks that no attempt is made at a server after a list has it draining or
+// removed, whether the request waits at the gate, in the event queue, or at its worker. The module is notified
+// once that the request did not run, and may send it elsewhere.
 func TestAttemptAfterServerRemovalIsNotSent(t *testing.T) {
 	lists := map[string]discovery.EndpointList{
 		"draining": {Endpoints: []discovery.Endpoint{{UID: "s-1", State: "draining"}}},
 		"removed":  {Endpoints: []discovery.Endpoint{{UID: "s-1", State: "removed"}}},
 		"unlisted": {IsComplete: true},
 	}
-	places := map[string]func(*removalTest, *Exchange, discovery.EndpointList) <-chan Answer{
+	stages := map[string]func(*removalTest, *Exchange, discovery.EndpointList) <-chan Answer{
 		"gate":                    (*removalTest).removeAtGate,
 		"channel":                 (*removalTest).removeInEventQueue,
 		"worker":                  (*removalTest).removeAtWorker,
@@ -129,8 +129,8 @@
 	}
 	for _, idempotency := range []control.Idempotency{control.Idempotent, control.IdempotentWithKey, control.NotIdempotent} {
 		for state, list := range lists {
-			for place, removeAt := range places {
-				t.Run(fmt.Sprint(place, ", ", state, ", effect ", idempotency), func(t *testing.T) {
+			for stage, removeAt := range stages {
+				t.Run(fmt.Sprint(stage, ", ", state, ", idempotency ", idempotency), func(t *testing.T) {
 					newRemovalTest(t, idempotency).check(removeAt, list)
 				})
 			}
@@ -138,16 +138,16 @@
 	}
 }
 
-// check removes the server while a request waits at some place, and checks that the server does not get it.
+// check removes the server by removeAt while a request waits, and checks that the server does not get the request.
 func (r *removalTest) check(removeAt func(*removalTest, *Exchange, discovery.EndpointList) <-chan Answer, list discovery.EndpointList) {
 	answers := removeAt(r, r.newExchange("id-1"), list)
 	if a := testkit.Next(r.t, answers); a.Kind != Rejected {
-		r.t.Errorf("%+v", a)
+		r.t.Errorf("answer %+v, want a rejection", a)
 	}
-	if e := testkit.Next(r.t, r.ended); e.Reason != control.ConnectFailed || e.IsFinal {
-		r.t.Errorf("its attempt ended %+v", e)
+	if e := testkit.Next(r.t, r.results); e.Reason != control.ConnectFailed || e.IsFinal {
+		r.t.Errorf("attempt ended %+v, want a non-final connect failure", e)
 	}
-	if n := r.app.Count(); n != r.sentBefore || len(r.ended) > 0 {
-		r.t.Errorf("%d sent after the removal; further outcomes %d", n-r.sentBefore, len(r.ended))
+	if n := r.app.Count(); n != r.sentBefore || len(r.results) > 0 {
+		r.t.Errorf("%d requests sent after the removal, %d further results; want none", n-r.sentBefore, len(r.results))
 	}
 }
--- a/internal/service/shutdown_test.go
+++ b/internal/service/shutdown_test.go
@@ -12,18 +12,18 @@
 	"lockflow/internal/upstream"
 )
 
-// endsWith is an attempt that ends at once.
-func endsWith(reason control.Reason, status int) func(context.Context) upstream.Outcome {
+// endsImmediately returns an attempt that ends at once with this reason and status.
+func endsImmediately(reason control.Reason, status int) func(context.Context) upstream.Outcome {
 	return func(context.Context) upstream.Outcome { return upstream.Outcome{Reason: reason, Status: status} }
 }
 
-// neverConnects is an attempt whose connection does not come up until the attempt is over.
+// neverConnects is an attempt whose connection is not established before the attempt's context ends.
 func neverConnects(ctx context.Context) upstream.Outcome {
 	<-ctx.Done()
 	return upstream.Outcome{Reason: control.ConnectFailed}
 }
 
-// neverAnswered is an attempt that is written and has no response until it is over.
+// neverAnswered is an attempt that is written and gets no response before its context ends.
 func neverAnswered(ctx context.Context) upstream.Outcome {
 	if !upstream.Commit(ctx) {
 		return upstream.Outcome{Reason: control.NotSent}
@@ -32,10 +32,10 @@
 	return upstream.Outcome{Reason: control.Cancelled}
 }
 
-// pendingRequest is a request that has no answer as its service ends.
+// pendingRequest is a request that has no answer when its service ends.
 type pendingRequest struct {
-	attempt func(context.Context) upstream.Outcome // nil has no attempt made
-	kind    AnswerKind                             // of the answer at an orderly end
+	attempt func(context.Context) upstream.Outcome // nil if no attempt is made
+	kind    AnswerKind                             // of the answer after a graceful shutdown
 }
 
 // check ends the service, or has its module panic, and checks the request's answer.
@@ -47,8 +47,8 @@
 	if p.attempt != nil {
 		module = sendToFirstServer
 	}
-	s, end := startStoppableService(t, Options{Settings: set, NewModule: moduleOf(module)})
-	synctest.Wait() // it knows its server
+	s, handle := startStoppableService(t, Options{Settings: set, NewModule: moduleOf(module)})
+	synctest.Wait() // the module has got the endpoint list
 	x := newExchange("id-1")
 	x.Deadline = time.Now().Add(deadline)
 	x.Forwarder = &scriptedForwarder{attempt: p.attempt}
@@ -59,33 +59,33 @@
 		s.Post(func() { panic("no such share") })
 		want = Failed
 	} else {
-		end.stop()
+		handle.stop()
 	}
 	if want == Failed {
 		status = http.StatusBadGateway
 	}
 	if a := <-answer; a.Kind != want || a.Status != status {
-		t.Errorf("%+v", a)
+		t.Errorf("wrong kind or status of the answer: %+v", a)
 	}
-	if err := <-end.ended; (err != nil) != panics {
+	if err := <-handle.ended; (err != nil) != panics {
 		t.Error(err)
 	}
 }
 
-// TestPendingRequestsAreAnsweredAtEnd checks that at an orderly end requests that surely never ran are
-// rejected, whatever their class's idempotency, and those that may have run are failed. After a panic all are
-// failed.
+// TestPendingRequestsAreAnsweredAtEnd checks that on graceful shutdown requests that cannot have run are rejected,
+// whatever their class's idempotency, and those that may have run are answered as failed. After a panic all are
+// answered as failed.
 func TestPendingRequestsAreAnsweredAtEnd(t *testing.T) {
 	requests := map[string]pendingRequest{
-		"nothing sent":   {nil, Rejected},
-		"refused":        {endsWith(control.RejectedByServer, http.StatusServiceUnavailable), Rejected},
-		"no connection":  {endsWith(control.ConnectFailed, 0), Rejected},
-		"given up":       {endsWith(control.NotSent, 0), Rejected},
-		"error":          {endsWith(control.Errored, http.StatusInternalServerError), Failed},
-		"reset":          {endsWith(control.ResetByPeer, 0), Failed},
-		"timed out":      {endsWith(control.TimedOut, 0), Failed},
-		"out at the end": {neverAnswered, Failed},
-		"its connection": {neverConnects, Rejected},
+		"no attempt":       {nil, Rejected},
+		"refused":          {endsImmediately(control.RejectedByServer, http.StatusServiceUnavailable), Rejected},
+		"no connection":    {endsImmediately(control.ConnectFailed, 0), Rejected},
+		"not sent":         {endsImmediately(control.NotSent, 0), Rejected},
+		"error":            {endsImmediately(control.Errored, http.StatusInternalServerError), Failed},
+		"reset":            {endsImmediately(control.ResetByPeer, 0), Failed},
+		"timed out":        {endsImmediately(control.TimedOut, 0), Failed},
+		"in flight":        {neverAnswered, Failed},
+		"while connecting": {neverConnects, Rejected},
 	}
 	for class, idempotency := range idempotencies {
 		for _, deadline := range []time.Duration{250 * time.Millisecond, 400 * time.Millisecond, 1500 * time.Millisecond, 7500 * time.Millisecond} {
@@ -104,9 +104,9 @@
 // reach their clients.
 func TestArrivedAnswersAreDeliveredAtEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, end := startStoppableService(t, Options{NewModule: moduleOf(moduleFunc(sendToFirstServer))})
-		synctest.Wait() // it knows its server
-		const n = 30    // enough that a random choice between answers and the end would lose some
+		s, handle := startStoppableService(t, Options{NewModule: moduleOf(moduleFunc(sendToFirstServer))})
+		synctest.Wait() // the module has got the endpoint list
+		const n = 30    // enough for a random choice between queued events and the end of ctx to lose some
 		arrived := make(chan struct{})
 		served := make(chan Answer, n)
 		do := func(id string) {
@@ -125,19 +125,19 @@
 			go do(fmt.Sprint("id-", i))
 		}
 		synctest.Wait()
-		started, goOn := make(chan struct{}), make(chan struct{})
-		s.Post(func() { close(started); <-goOn })
+		started, resume := make(chan struct{}), make(chan struct{})
+		s.Post(func() { close(started); <-resume })
 		<-started
 		close(arrived)
 		synctest.Wait() // all are in the event queue
-		end.stop()
-		close(goOn)
+		handle.stop()
+		close(resume)
 		for range n {
 			if a := <-served; a.Kind != Served || a.Status != http.StatusOK {
-				t.Errorf("an answer that had come: %+v", a)
+				t.Errorf("queued answer was not delivered: %+v", a)
 			}
 		}
-		if err := <-end.ended; err != nil {
+		if err := <-handle.ended; err != nil {
 			t.Error(err)
 		}
 	})
--- a/internal/service/statistics_test.go
+++ b/internal/service/statistics_test.go
@@ -8,8 +8,8 @@
 	"lockflow/internal/instancestats"
 )
 
-// countedIn names what counts one request of priority weight 2.5.
-func countedIn(f instancestats.Statistics) (names string) {
+// incrementedCounters returns the names of the counters that have counted one request of priority weight 2.5.
+func incrementedCounters(f instancestats.Statistics) (names string) {
 	for _, v := range []struct {
 		name string
 		is   bool
@@ -31,26 +31,26 @@
 	return names
 }
 
-// TestStatisticsCountEachOutcomeOnce checks that each outcome of a request is counted once and under its
-// name; a request above a quota is not counted as offered, and the counts of a loop that has ended remain.
+// TestStatisticsCountEachOutcomeOnce checks that each outcome of a request is counted once and in its own counter.
+// A request above a quota is not counted as offered, and the counts of a loop that has ended are retained.
 func TestStatisticsCountEachOutcomeOnce(t *testing.T) {
 	var collector StatisticsCollector
 	const class = "read"
 	for name, tc := range map[string]struct {
-		elapsed, left time.Duration // since it began; until its deadline
+		elapsed, left time.Duration // time since the request started; time until its deadline
 		answer        Answer
 		cause         control.Cause
-		want          string // of asked, served, and the counts that are 1
+		want          string // names, as in incrementedCounters, of the counters that are 1 or weighted
 	}{
-		"served":         {time.Millisecond, time.Second, Answer{Status: 200}, 0, "asked served delays"},
-		"late":           {2 * time.Second, time.Second, Answer{Status: 200}, 0, "asked late delays"},
-		"after the time": {2 * time.Second, -time.Second, Answer{Status: 200}, 0, "asked late breach delays"},
-		"the node's own": {0, 0, Answer{Kind: Failed, Status: 504}, 0, "asked failed"},
-		"a server's":     {0, 0, Answer{Status: 500}, 0, "asked failed"},
-		"left":           {0, -time.Second, Answer{}, 0, "asked left"},
-		"no turn":        {0, 0, Answer{Kind: Rejected, Status: 503}, control.CauseQueueTimeout, "asked refused"},
-		"ceiling":        {0, 0, Answer{Kind: Rejected, Status: 503}, control.CauseHardLimit, "refused beyond"},
-		"quota":          {0, 0, Answer{Kind: Rejected, Status: 503}, control.CauseProbability, "refused beyond"},
+		"served":             {time.Millisecond, time.Second, Answer{Status: 200}, 0, "asked served delays"},
+		"late":               {2 * time.Second, time.Second, Answer{Status: 200}, 0, "asked late delays"},
+		"after the deadline": {2 * time.Second, -time.Second, Answer{Status: 200}, 0, "asked late breach delays"},
+		"failed by the node": {0, 0, Answer{Kind: Failed, Status: 504}, 0, "asked failed"},
+		"server error":       {0, 0, Answer{Status: 500}, 0, "asked failed"},
+		"left":               {0, -time.Second, Answer{}, 0, "asked left"},
+		"queue timeout":      {0, 0, Answer{Kind: Rejected, Status: 503}, control.CauseQueueTimeout, "asked refused"},
+		"ceiling":            {0, 0, Answer{Kind: Rejected, Status: 503}, control.CauseHardLimit, "refused beyond"},
+		"quota":              {0, 0, Answer{Kind: Rejected, Status: 503}, control.CauseProbability, "refused beyond"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			before := collector.Statistics()
@@ -60,10 +60,10 @@
 			loop.attemptStarted(x.Request.Units)
 			tc.answer.Cause = tc.cause
 			loop.requestEnded(x, tc.answer)
-			for range 2 { // while it runs, and after its end
+			for range 2 { // while the loop runs, and after it has ended
 				f, ok := collector.Statistics().Since(before)
-				if got := countedIn(f); !ok || got != " "+tc.want || f.Requests != 1 || f.Units != 1.5 {
-					t.Errorf("%s, not %s: %+v", got, tc.want, f)
+				if got := incrementedCounters(f); !ok || got != " "+tc.want || f.Requests != 1 || f.Units != 1.5 {
+					t.Errorf("counted as%s, want %s: %+v", got, tc.want, f)
 				}
 				if len(collector.loops) > 0 {
 					collector.removeLoop(loop)
@@ -75,10 +75,10 @@
 	tc.loopEnded(3, false)
 	tc.loopEnded(3, true)
 	if f := collector.Statistics(); f.Breaches != 4 || f.Panics != 1 {
-		t.Errorf("%+v", f)
+		t.Errorf("statistics after the end of a loop: %+v, want 4 breaches and 1 panic", f)
 	}
 	if f := (*StatisticsCollector)(nil).Statistics(); f.Requests != 0 {
-		t.Errorf("%+v", f)
+		t.Errorf("statistics of a nil collector: %+v", f)
 	}
 }
 
--- a/internal/service/withheld_retry_test.go
+++ b/internal/service/withheld_retry_test.go
@@ -11,21 +11,21 @@
 	"lockflow/internal/upstream"
 )
 
-// clientUntilFirstRequest is a client that has left once the server has had a request.
+// clientUntilFirstRequest is a client that counts as disconnected once the server has got a request.
 type clientUntilFirstRequest struct{ app *testkit.App }
 
 func (c clientUntilFirstRequest) IsWaiting() bool { return c.app.Count() == 0 }
 
-// TestAnswerAfterWithheldRetryTellsWhatRan checks that a request whose client seems to have left before a
-// retry is still answered, as the client may be there: as rejected, after which a retry is safe, only where
-// the attempt before did not run.
-func TestAnswerAfterWithheldRetryTellsWhatRan(t *testing.T) {
+// TestAnswerAfterWithheldRetryReportsWhetherRequestRan checks that a request whose client seems to have disconnected
+// before a retry is still answered, as the client may still be connected. The answer is a rejection, after which a
+// retry is safe, only if the previous attempt did not run.
+func TestAnswerAfterWithheldRetryReportsWhetherRequestRan(t *testing.T) {
 	for name, tc := range map[string]struct {
 		first  http.HandlerFunc
 		kind   AnswerKind
 		status int
 	}{
-		"turned away": {func(w http.ResponseWriter, _ *http.Request) {
+		"rejected by the server": {func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("X-Unprocessed", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}, Rejected, http.StatusServiceUnavailable},
@@ -46,10 +46,10 @@
 					Client: clientUntilFirstRequest{app}, Forwarder: newForwarder(t, http.MethodPost, "body", nil),
 				}
 				if a, ok := s.Do(t.Context(), x); ok || a.Kind != tc.kind || a.Status != tc.status {
-					t.Errorf("%v, %+v", ok, a)
+					t.Errorf("Do returned %v, %+v", ok, a)
 				}
 				if n := app.Count(); n != 1 {
-					t.Errorf("sent %d times", n)
+					t.Errorf("sent %d times, want 1", n)
 				}
 			})
 		}
