--- a/internal/service/endpoints.go
+++ b/internal/service/endpoints.go
@@ -93,11 +93,11 @@
 		l.updatePool(endpoint, target, startedAt)
 	}
 	for uid, id := range l.serverIDs {
-		staysListed, isInMessage := isListed[uid]
+		remainsListed, isInMessage := isListed[uid]
 		if !isInMessage {
-			staysListed = kind == control.ListPatch
+			remainsListed = kind == control.ListPatch
 		}
-		if !staysListed {
+		if !remainsListed {
 			l.forgetServer(uid, id)
 		}
 	}
