--- a/internal/h2/choose_test.go
+++ b/internal/h2/choose_test.go
@@ -8,7 +8,7 @@
 func TestChooseConnection(t *testing.T) {
 	bounds := Bounds{MaxConnections: 2, MaxWaiting: 3, MaxAge: time.Hour}
 	view := func(open, free int) View { return View{OpenStreams: open, FreeStreams: free, MaxStreams: open + free} }
-	old := func(w View) View { w.Age = 2 * time.Hour; return w }
+	expired := func(w View) View { w.Age = 2 * time.Hour; return w }
 	ending := View{OpenStreams: 3, MaxStreams: 10, IsEnding: true}
 	for name, tc := range map[string]struct {
 		conns          []View
@@ -27,11 +27,11 @@
 		"one that ends does not count":   {[]View{ending, view(4, 0)}, 0, 0, -1, true, true, -1},
 		"only ones that end":             {[]View{ending, ending}, 0, 0, -1, true, true, -1},
 		"the server allows none":         {[]View{view(0, 0)}, 0, 0, -1, false, false, -1},
-		"old, and nothing else":          {[]View{old(view(1, 5))}, 0, 0, 0, false, true, -1},
-		"old, while the next one comes":  {[]View{old(view(1, 5))}, 1, 0, 0, false, false, -1},
-		"old and full":                   {[]View{old(view(5, 0))}, 0, 0, -1, true, true, -1},
-		"old, and a young one":           {[]View{old(view(0, 5)), view(3, 1)}, 0, 0, 1, false, false, 0},
-		"old, and a young one with none": {[]View{old(view(0, 5)), view(3, 0)}, 0, 0, 0, false, true, -1},
+		"old, and nothing else":          {[]View{expired(view(1, 5))}, 0, 0, 0, false, true, -1},
+		"old, while the next one comes":  {[]View{expired(view(1, 5))}, 1, 0, 0, false, false, -1},
+		"old and full":                   {[]View{expired(view(5, 0))}, 0, 0, -1, true, true, -1},
+		"old, and a young one":           {[]View{expired(view(0, 5)), view(3, 1)}, 0, 0, 1, false, false, 0},
+		"old, and a young one with none": {[]View{expired(view(0, 5)), view(3, 0)}, 0, 0, 0, false, true, -1},
 	} {
 		want := Choice{tc.use, tc.wait, tc.dial, tc.retire}
 		if got := Choose(tc.conns, tc.dialing, tc.waits, bounds); got != want {
--- a/internal/h2/conn.go
+++ b/internal/h2/conn.go
@@ -31,22 +31,22 @@
 	conn    net.Conn
 	started time.Time
 
-	mu             sync.Mutex
-	machine        *Machine
-	receivers      map[uint32]eventReceiver
-	blockedWriters map[*Stream]bool // streams whose writer waits for space
-	flushed        *sync.Cond       // signals that more was written, or that the connection has ended
-	lastRead       time.Time        // when something was received last
-	idleSince      time.Time        // since when no stream is open
-	noiseReset     time.Time        // when the count of noise frames was reset
-	isClosing      bool             // the connection ends once its streams have ended and the output is written
-	isWatched      bool             // checkSilence is scheduled
-	isWriting      bool             // a goroutine is writing to the socket
-	rawConn        syscall.RawConn  // the socket; nil where bytes don't go to it as they are
-
-	wake        chan struct{} // signals the writing goroutine that there may be output
-	hasSettings chan struct{} // closed once the server's settings have arrived
-	done        chan struct{} // closed when the connection has ended
+	mu                      sync.Mutex
+	machine                 *Machine
+	receivers               map[uint32]eventReceiver
+	blockedWriters          map[*Stream]bool // streams whose writer waits for space
+	flushed                 *sync.Cond       // signals that more was written, or that the connection has ended
+	lastRead                time.Time        // when something was received last
+	idleSince               time.Time        // since when no stream is open
+	overheadResetAt         time.Time        // when the count of noise frames was reset
+	isClosing               bool             // the connection ends once its streams have ended and the output is written
+	isSilenceCheckScheduled bool             // checkSilence is scheduled
+	isWriting               bool             // a goroutine is writing to the socket
+	rawConn                 syscall.RawConn  // the socket; nil where bytes don't go to it as they are
+
+	wake             chan struct{} // signals the writing goroutine that there may be output
+	settingsReceived chan struct{} // closed once the server's settings have arrived
+	done             chan struct{} // closed when the connection has ended
 }
 
 // Start starts HTTP/2 with prior knowledge on a connection and waits for the server's settings, so that the protocol
@@ -55,27 +55,27 @@
 func Start(ctx context.Context, conn net.Conn, options Options) (*Conn, error) {
 	now := time.Now()
 	created := &Conn{
-		options:        options,
-		conn:           conn,
-		started:        now,
-		machine:        New(options.Limits),
-		receivers:      make(map[uint32]eventReceiver),
-		blockedWriters: make(map[*Stream]bool),
-		lastRead:       now,
-		idleSince:      now,
-		wake:           make(chan struct{}, 1),
-		hasSettings:    make(chan struct{}),
-		done:           make(chan struct{}),
+		options:          options,
+		conn:             conn,
+		started:          now,
+		machine:          New(options.Limits),
+		receivers:        make(map[uint32]eventReceiver),
+		blockedWriters:   make(map[*Stream]bool),
+		lastRead:         now,
+		idleSince:        now,
+		wake:             make(chan struct{}, 1),
+		settingsReceived: make(chan struct{}),
+		done:             make(chan struct{}),
 	}
 	created.flushed = sync.NewCond(&created.mu)
-	if under, ok := socket(conn); ok {
-		created.rawConn, _ = under.SyscallConn()
+	if tcpConn, ok := socket(conn); ok {
+		created.rawConn, _ = tcpConn.SyscallConn()
 	}
 	created.wakeWriter()
 	go created.write()
 	go created.read()
 	select {
-	case <-created.hasSettings:
+	case <-created.settingsReceived:
 		return created, nil
 	case <-created.done:
 		created.mu.Lock()
@@ -99,19 +99,19 @@
 		if s, ok := conn.(*net.TCPConn); ok {
 			return s, true
 		}
-		under, ok := conn.(interface{ NetConn() net.Conn })
+		wrapper, ok := conn.(interface{ NetConn() net.Conn })
 		if !ok {
 			return nil, false
 		}
-		conn = under.NetConn()
+		conn = wrapper.NetConn()
 	}
 }
 
 // breakOff ends the connection from this side.
-func (c *Conn) breakOff(why error) {
+func (c *Conn) abort(cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.deliver(c.machine.Break(why))
+	c.deliver(c.machine.Abort(cause))
 	c.wakeWriter()
 }
 
@@ -125,7 +125,7 @@
 	}
 	if c.machine.OpenStreams() == 1 {
 		c.lastRead = time.Now() // silence counts from the first stream on
-		c.startWatch()
+		c.scheduleSilenceCheck()
 	}
 	c.receivers[id] = receiver
 	c.mu.Unlock()
@@ -143,10 +143,10 @@
 		return
 	}
 	c.deliver([]Event{event})
-	until := c.machine.OutputOffset()
+	offset := c.machine.OutputOffset()
 	c.mu.Unlock()
 	c.wakeWriter()
-	c.awaitFlush(until)
+	c.awaitFlush(offset)
 }
 
 // Do sends a request and returns how its stream ended. When ctx ends first the stream is cancelled, and its reset
@@ -197,7 +197,7 @@
 
 // Close ends the connection and all streams on it.
 func (c *Conn) Close() {
-	c.breakOff(net.ErrClosed)
+	c.abort(net.ErrClosed)
 	c.conn.Close()
 }
 
--- a/internal/h2/conn_read.go
+++ b/internal/h2/conn_read.go
@@ -10,7 +10,7 @@
 
 const (
 	maxReadFrameBytes = 1 << 20     // of a frame that is read; a longer one is an error of the server's
-	noisePeriod       = time.Second // in which noise frames are counted
+	overheadPeriod    = time.Second // in which noise frames are counted
 )
 
 // read handles frames until the connection ends.
@@ -43,13 +43,13 @@
 	if hasRead {
 		c.lastRead = time.Now()
 	}
-	if c.lastRead.Sub(c.noiseReset) >= noisePeriod {
-		c.noiseReset = c.lastRead
-		c.machine.ResetNoise()
+	if c.lastRead.Sub(c.overheadResetAt) >= overheadPeriod {
+		c.overheadResetAt = c.lastRead
+		c.machine.ResetOverhead()
 	}
 	var events []Event
 	if err != nil {
-		events = c.machine.Unreadable(err)
+		events = c.machine.HandleReadError(err)
 	} else {
 		events = c.machine.Handle(frame)
 	}
@@ -100,9 +100,9 @@
 	}
 	hasEnded = c.machine.Err() != nil
 	if c.machine.HasSettings() {
-		closeOnFirstCall(c.hasSettings)
+		closeIfOpen(c.settingsReceived)
 	}
-	if hasEnded && closeOnFirstCall(c.done) {
+	if hasEnded && closeIfOpen(c.done) {
 		c.flushed.Broadcast()
 	}
 	if c.options.OnChange != nil {
@@ -112,7 +112,7 @@
 }
 
 // closeOnFirstCall closes a channel that is not closed, and reports whether it was not. Calls must not be concurrent.
-func closeOnFirstCall(channel chan struct{}) bool {
+func closeIfOpen(channel chan struct{}) bool {
 	select {
 	case <-channel:
 		return false
--- a/internal/h2/conn_test.go
+++ b/internal/h2/conn_test.go
@@ -13,44 +13,44 @@
 )
 
 // pipe is a connection to a server that greets and then does what serve does with its frames.
-func pipe(t *testing.T, options Options, serve func(far net.Conn, framer *http2.Framer)) *Conn {
+func startWithFakeServer(t *testing.T, options Options, serve func(serverConn net.Conn, framer *http2.Framer)) *Conn {
 	t.Helper()
-	near, far := net.Pipe()
+	clientConn, serverConn := net.Pipe()
 	go func() {
-		framer := http2.NewFramer(far, far)
-		io.ReadFull(far, make([]byte, len(preface)))
-		go http2.NewFramer(far, nil).WriteSettings() // while the other side writes too
-		for range 3 {                                // settings, the window, the ack
+		framer := http2.NewFramer(serverConn, serverConn)
+		io.ReadFull(serverConn, make([]byte, len(preface)))
+		go http2.NewFramer(serverConn, nil).WriteSettings() // while the other side writes too
+		for range 3 {                                       // settings, the window, the ack
 			framer.ReadFrame()
 		}
-		serve(far, framer)
+		serve(serverConn, framer)
 	}()
-	conn, err := Start(t.Context(), near, options)
+	conn, err := Start(t.Context(), clientConn, options)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return conn
 }
 
-var get = &Request{Method: "GET", Scheme: "http", Authority: "a", Path: "/"}
+var getRequest = &Request{Method: "GET", Scheme: "http", Authority: "a", Path: "/"}
 
 // TestSilentServerIsGivenUp checks that a connection whose server vanishes is ended after a ping without an answer, and that
 // one whose server answers pings is not, however long its answer takes.
-func TestSilentServerIsGivenUp(t *testing.T) {
+func TestConnectionToSilentServerEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		startedAt := time.Now()
-		conn := pipe(t, Options{PingAfterSilence: 5 * time.Second}, func(far net.Conn, _ *http2.Framer) { io.Copy(io.Discard, far); far.Close() })
-		event, err := conn.Do(t.Context(), get)
+		conn := startWithFakeServer(t, Options{PingAfterSilence: 5 * time.Second}, func(serverConn net.Conn, _ *http2.Framer) { io.Copy(io.Discard, serverConn); serverConn.Close() })
+		event, err := conn.Do(t.Context(), getRequest)
 		if elapsed := time.Since(startedAt); err != nil || event.Err == nil || event.Err.End != EndBroken || event.Outcome != MayBeProcessed || elapsed != 10*time.Second {
 			t.Errorf("%+v, %v after %v", event, err, elapsed)
 		}
 		<-conn.Done()
 
-		conn = pipe(t, Options{PingAfterSilence: 5 * time.Second}, func(far net.Conn, framer *http2.Framer) {
+		conn = startWithFakeServer(t, Options{PingAfterSilence: 5 * time.Second}, func(serverConn net.Conn, framer *http2.Framer) {
 			for {
 				frame, err := framer.ReadFrame()
 				if err != nil {
-					far.Close()
+					serverConn.Close()
 					return
 				}
 				if p, ok := frame.(*http2.PingFrame); ok {
@@ -60,7 +60,7 @@
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		if event, err := conn.Do(ctx, get); err != nil || event.Err == nil || event.Err.End != EndCancelled {
+		if event, err := conn.Do(ctx, getRequest); err != nil || event.Err == nil || event.Err.End != EndCancelled {
 			t.Errorf("%+v, %v", event, err)
 		}
 		conn.Close()
@@ -69,19 +69,19 @@
 
 // TestServerThatReadsNothingIsGivenUp checks that a server which reads nothing delays a cancelled request no longer than a
 // reset may take, and that its connection is then ended.
-func TestServerThatReadsNothingIsGivenUp(t *testing.T) {
+func TestCancelTimesOutWhenServerReadsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stop := make(chan struct{})
-		conn := pipe(t, Options{}, func(far net.Conn, _ *http2.Framer) { <-stop; far.Close() })
+		conn := startWithFakeServer(t, Options{}, func(serverConn net.Conn, _ *http2.Framer) { <-stop; serverConn.Close() })
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		startedAt := time.Now()
-		event, err := conn.Do(ctx, get)
+		event, err := conn.Do(ctx, getRequest)
 		if elapsed := time.Since(startedAt); err != nil || event.Err == nil || event.Outcome != MayBeProcessed || elapsed != time.Second+cancelTimeout {
 			t.Errorf("%+v, %v after %v", event, err, elapsed)
 		}
 		<-conn.Done()
-		if _, err := conn.Do(t.Context(), get); !errors.Is(err, ErrNoStream) {
+		if _, err := conn.Do(t.Context(), getRequest); !errors.Is(err, ErrNoStream) {
 			t.Errorf("%v", err)
 		}
 		close(stop)
@@ -93,14 +93,14 @@
 func TestRetiredConnectionEndsWithItsLastStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		answer := make(chan struct{})
-		conn := pipe(t, Options{}, func(far net.Conn, framer *http2.Framer) {
-			go func() { io.Copy(io.Discard, far); far.Close() }()
+		conn := startWithFakeServer(t, Options{}, func(serverConn net.Conn, framer *http2.Framer) {
+			go func() { io.Copy(io.Discard, serverConn); serverConn.Close() }()
 			<-answer
 			framer.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: []byte{0x88}, EndStream: true, EndHeaders: true})
 		})
 		got := make(chan Event, 1)
 		go func() {
-			event, _ := conn.Do(t.Context(), get)
+			event, _ := conn.Do(t.Context(), getRequest)
 			got <- event
 		}()
 		synctest.Wait()
--- a/internal/h2/conn_write.go
+++ b/internal/h2/conn_write.go
@@ -44,7 +44,7 @@
 			return true
 		})
 	}
-	c.wrote(max(n, 0))
+	c.recordWrite(max(n, 0))
 	c.mu.Lock()
 	needsWriter := c.machine.HasOutput() || c.isClosing || c.machine.Err() != nil // it has not gone on meanwhile
 	c.mu.Unlock()
@@ -54,11 +54,11 @@
 }
 
 // wrote records that n bytes were written.
-func (c *Conn) wrote(n int) {
+func (c *Conn) recordWrite(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.isWriting = false
-	c.machine.Wrote(n)
+	c.machine.RecordWrite(n)
 	c.wakeBlockedWriters()
 	c.flushed.Broadcast()
 }
@@ -88,12 +88,12 @@
 		if !c.isWriting { // otherwise writeNow wakes this goroutine
 			out = c.machine.PendingBytes()
 		}
-		isOver := !c.isWriting && c.isFinished()
+		isDone := !c.isWriting && c.isFinished()
 		c.isWriting = c.isWriting || len(out) > 0
 		c.mu.Unlock()
 		if len(out) == 0 {
-			if isOver {
-				c.breakOff(net.ErrClosed)
+			if isDone {
+				c.abort(net.ErrClosed)
 				return
 			}
 			<-c.wake
@@ -101,9 +101,9 @@
 		}
 		_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		n, err := c.conn.Write(out)
-		c.wrote(n)
+		c.recordWrite(n)
 		if err != nil {
-			c.breakOff(fmt.Errorf("writing: %w", err))
+			c.abort(fmt.Errorf("writing: %w", err))
 			return
 		}
 	}
@@ -111,12 +111,12 @@
 
 // awaitFlush waits until everything before an offset is written. A connection on which a reset can't be written in time
 // is ended: the request must not still run when another server gets it.
-func (c *Conn) awaitFlush(until int64) {
+func (c *Conn) awaitFlush(offset int64) {
 	closeTimer := time.AfterFunc(cancelTimeout, c.Close)
 	defer closeTimer.Stop()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for c.machine.written < until && c.machine.Err() == nil {
+	for c.machine.written < offset && c.machine.Err() == nil {
 		c.flushed.Wait()
 	}
 }
--- a/internal/h2/frames.go
+++ b/internal/h2/frames.go
@@ -14,7 +14,7 @@
 // This file handles received frames.
 
 // Unreadable handles an error of http2.Framer: no frame could be read.
-func (m *Machine) Unreadable(err error) []Event {
+func (m *Machine) HandleReadError(err error) []Event {
 	if m.connErr != nil {
 		return nil
 	}
@@ -23,13 +23,13 @@
 	switch {
 	case errors.As(err, &streamErr):
 		if !m.isKnownStream(streamErr.StreamID) {
-			return m.fail(http2.ErrCodeProtocol, "a frame on stream %d, which was not opened", streamErr.StreamID)
+			return m.failConnection(http2.ErrCodeProtocol, "a frame on stream %d, which was not opened", streamErr.StreamID)
 		}
 		return m.endMalformed(streamErr.StreamID, streamErr.Code, err.Error())
 	case errors.As(err, &connectionErr):
-		return m.fail(http2.ErrCode(connectionErr), "an invalid frame")
+		return m.failConnection(http2.ErrCode(connectionErr), "an invalid frame")
 	case errors.Is(err, http2.ErrFrameTooLarge):
-		return m.fail(http2.ErrCodeFrameSize, "%v", err)
+		return m.failConnection(http2.ErrCodeFrameSize, "%v", err)
 	}
 	return m.endConnection(http2.ErrCodeNo, err)
 }
@@ -38,26 +38,26 @@
 func (m *Machine) isKnownStream(id uint32) bool { return id%2 == 1 && id < m.nextID }
 
 // endMalformed ends a stream whose answer is malformed; other streams go on (RFC 9113, 8.1.1).
-func (m *Machine) endMalformed(id uint32, code http2.ErrCode, why string) []Event {
-	m.countNoise()
-	if m.noiseFrames > maxNoiseFrames {
-		return m.fail(http2.ErrCodeEnhanceYourCalm, "too many frames without an answer")
+func (m *Machine) endMalformed(id uint32, code http2.ErrCode, detail string) []Event {
+	m.countOverhead()
+	if m.overheadFrames > maxOverheadFrames {
+		return m.failConnection(http2.ErrCodeEnhanceYourCalm, "too many frames without an answer")
 	}
 	stream := m.streams[id]
 	if stream == nil {
 		return nil
 	}
-	event := m.endStream(stream, EndMalformed, code, why)
+	event := m.endStream(stream, EndMalformed, code, detail)
 	m.frames.WriteRSTStream(id, code)
 	return []Event{event}
 }
 
 // countNoise counts a frame that contributes to no answer. Guards against floods of pings, settings, resets
 // and empty frames, each of which costs this side something.
-func (m *Machine) countNoise() { m.noiseFrames++ }
+func (m *Machine) countOverhead() { m.overheadFrames++ }
 
 // ResetNoise resets the count of frames that contribute to no answer. It is called once a second.
-func (m *Machine) ResetNoise() { m.noiseFrames = 0 }
+func (m *Machine) ResetOverhead() { m.overheadFrames = 0 }
 
 // Handle handles a frame, as http2.Framer reads it with ReadMetaHeaders set. It ignores frames after the end of
 // the connection.
@@ -67,10 +67,10 @@
 	}
 	if !m.hasSettings {
 		if s, ok := frame.(*http2.SettingsFrame); !ok || s.IsAck() {
-			return m.fail(http2.ErrCodeProtocol, "%v before any settings", frame.Header().Type)
+			return m.failConnection(http2.ErrCodeProtocol, "%v before any settings", frame.Header().Type)
 		}
 	}
-	m.countNoise()
+	m.countOverhead()
 	var events []Event
 	switch f := frame.(type) {
 	case *http2.MetaHeadersFrame:
@@ -88,10 +88,10 @@
 	case *http2.PingFrame:
 		m.handlePing(f)
 	case *http2.PushPromiseFrame:
-		return m.fail(http2.ErrCodeProtocol, "a push, which the settings have disabled")
+		return m.failConnection(http2.ErrCodeProtocol, "a push, which the settings have disabled")
 	}
-	if m.connErr == nil && (m.noiseFrames > maxNoiseFrames || m.output.Len() > 2*maxOutputBytes) {
-		events = append(events, m.fail(http2.ErrCodeEnhanceYourCalm, "too many frames without an answer")...)
+	if m.connErr == nil && (m.overheadFrames > maxOverheadFrames || m.output.Len() > 2*maxOutputBytes) {
+		events = append(events, m.failConnection(http2.ErrCodeEnhanceYourCalm, "too many frames without an answer")...)
 	}
 	return events
 }
@@ -121,16 +121,16 @@
 		if connectionErr := http2.ConnectionError(0); errors.As(err, &connectionErr) {
 			code = http2.ErrCode(connectionErr)
 		}
-		return m.fail(code, "an invalid setting")
+		return m.failConnection(code, "an invalid setting")
 	}
 	for _, stream := range m.streams {
 		stream.sendWindow += m.initialWindow - before // may become negative (RFC 9113, 6.9.2)
 		if stream.sendWindow > maxWindow {
-			return m.fail(http2.ErrCodeFlowControl, "a window of more than 2^31-1")
+			return m.failConnection(http2.ErrCodeFlowControl, "a window of more than 2^31-1")
 		}
 	}
 	m.frames.WriteSettingsAck()
-	m.sendWaiting()
+	m.flushWaitingBodies()
 	return nil
 }
 
@@ -161,27 +161,27 @@
 	if frame.StreamID == 0 {
 		m.sendWindow += int64(frame.Increment)
 		if m.sendWindow > maxWindow {
-			return m.fail(http2.ErrCodeFlowControl, "a window of more than 2^31-1")
+			return m.failConnection(http2.ErrCodeFlowControl, "a window of more than 2^31-1")
 		}
-		m.sendWaiting()
+		m.flushWaitingBodies()
 		return nil
 	}
 	if !m.isKnownStream(frame.StreamID) {
-		return m.fail(http2.ErrCodeProtocol, "a window of stream %d, which was not opened", frame.StreamID)
+		return m.failConnection(http2.ErrCodeProtocol, "a window of stream %d, which was not opened", frame.StreamID)
 	}
 	if stream := m.streams[frame.StreamID]; stream != nil {
 		stream.sendWindow += int64(frame.Increment)
 		if stream.sendWindow > maxWindow {
 			return m.endMalformed(stream.id, http2.ErrCodeFlowControl, "a window of more than 2^31-1")
 		}
-		m.sendWaiting()
+		m.flushWaitingBodies()
 	}
 	return nil
 }
 
 func (m *Machine) handleReset(frame *http2.RSTStreamFrame) []Event {
 	if !m.isKnownStream(frame.StreamID) {
-		return m.fail(http2.ErrCodeProtocol, "a reset of stream %d, which was not opened", frame.StreamID)
+		return m.failConnection(http2.ErrCodeProtocol, "a reset of stream %d, which was not opened", frame.StreamID)
 	}
 	stream := m.streams[frame.StreamID]
 	if stream == nil {
@@ -208,7 +208,7 @@
 
 func (m *Machine) handleHeaders(frame *http2.MetaHeadersFrame) []Event {
 	if !m.isKnownStream(frame.StreamID) {
-		return m.fail(http2.ErrCodeProtocol, "a head on stream %d, which was not opened", frame.StreamID)
+		return m.failConnection(http2.ErrCodeProtocol, "a head on stream %d, which was not opened", frame.StreamID)
 	}
 	stream := m.streams[frame.StreamID]
 	if stream == nil {
@@ -226,7 +226,7 @@
 		if connectionFields[field.Name] && field.Name != "host" {
 			return malformed("a field of HTTP/1.1's connections, %s", field.Name)
 		}
-		name := m.canonicalNames.of(field.Name, http.CanonicalHeaderKey)
+		name := m.canonicalNames.get(field.Name, http.CanonicalHeaderKey)
 		header[name] = append(header[name], field.Value)
 	}
 	if stream.hasFinalHead { // trailers
@@ -236,7 +236,7 @@
 		stream.answer.Trailer = header
 		return m.endAnswered(stream)
 	}
-	status, err := statusOf(frame.PseudoFields())
+	status, err := parseStatus(frame.PseudoFields())
 	if err != nil {
 		return malformed("%v", err)
 	}
@@ -250,11 +250,11 @@
 		}
 		return nil
 	}
-	return m.finalHead(stream, status, header, frame.StreamEnded())
+	return m.handleFinalHead(stream, status, header, frame.StreamEnded())
 }
 
 // statusOf reads an answer's pseudo header fields.
-func statusOf(fields []hpack.HeaderField) (int, error) {
+func parseStatus(fields []hpack.HeaderField) (int, error) {
 	if len(fields) != 1 || fields[0].Name != ":status" || len(fields[0].Value) != 3 {
 		return 0, errors.New("a head without one :status")
 	}
@@ -266,8 +266,8 @@
 }
 
 // finalHead handles the head of a final answer.
-func (m *Machine) finalHead(stream *stream, status int, header http.Header, ended bool) []Event {
-	m.noiseFrames = 0
+func (m *Machine) handleFinalHead(stream *stream, status int, header http.Header, ended bool) []Event {
+	m.overheadFrames = 0
 	stream.hasFinalHead = true
 	stream.answer.Status = status
 	stream.answer.Header = header
@@ -295,7 +295,7 @@
 
 func (m *Machine) handleData(frame *http2.DataFrame) []Event {
 	if !m.isKnownStream(frame.StreamID) {
-		return m.fail(http2.ErrCodeProtocol, "data on stream %d, which was not opened", frame.StreamID)
+		return m.failConnection(http2.ErrCodeProtocol, "data on stream %d, which was not opened", frame.StreamID)
 	}
 	m.returnWindow(frame.Length) // with its padding, also where the stream has ended (RFC 9113, 6.9)
 	stream := m.streams[frame.StreamID]
@@ -313,7 +313,7 @@
 	data := frame.Data()
 	var events []Event
 	if len(data) > 0 {
-		m.noiseFrames = 0
+		m.overheadFrames = 0
 		stream.bodyBytes += int64(len(data))
 		if stream.bodyBytes > m.maxBodyBytesOf(stream) {
 			return m.endMalformed(stream.id, http2.ErrCodeProtocol, "a body of too many bytes")
@@ -321,7 +321,7 @@
 		if stream.streamsAnswer {
 			events = append(events, Event{ID: stream.id, Data: data})
 		} else {
-			stream.buffer(data)
+			stream.appendBody(data)
 		}
 	}
 	// Padding takes from the stream's window and is not consumed by the caller: it is returned at once.
@@ -351,7 +351,7 @@
 }
 
 // buffer appends to the body of an answer that is buffered.
-func (s *stream) buffer(data []byte) {
+func (s *stream) appendBody(data []byte) {
 	if s.answer.Body == nil && s.contentLength > 0 {
 		s.answer.Body = make([]byte, 0, s.contentLength)
 	}
@@ -365,7 +365,7 @@
 		detail := fmt.Sprintf("a body of %d bytes, Content-Length %d", stream.bodyBytes, stream.contentLength)
 		return m.endMalformed(stream.id, http2.ErrCodeProtocol, detail)
 	}
-	m.noiseFrames = 0
+	m.overheadFrames = 0
 	delete(m.streams, stream.id)
 	if !stream.isQueued {
 		m.frames.WriteRSTStream(stream.id, http2.ErrCodeCancel)
--- a/internal/h2/machine.go
+++ b/internal/h2/machine.go
@@ -18,20 +18,20 @@
 )
 
 const (
-	preface             = http2.ClientPreface
-	defaultWindow       = 65535 // RFC 9113, 6.9.2
-	maxWindow           = 1<<31 - 1
-	defaultFrameBytes   = 16 << 10
-	maxStreamID         = 1<<31 - 1
-	defaultTableBytes   = 4096     // of header compression, in both directions
-	maxInterimAnswers   = 32       // answers of 1xx to one request
-	maxNoiseFrames      = 1000     // frames in a second that contribute neither to an answer nor to sending a body
-	bodyBytesPerNoise   = 1024     // sent bytes of a body for which one noise frame is not counted
-	maxOutputBytes      = 1 << 20  // that are buffered before bodies wait
-	maxSentFrameBytes   = 1 << 16  // of a frame of a body; longer ones would delay other streams
-	maxCachedNames      = 200      // of header fields, for each direction
-	maxUnreturnedWindow = 16 << 10 // of the connection's window
-	maxDetailBytes      = 100      // of a GOAWAY's debug data in errors
+	preface                   = http2.ClientPreface
+	defaultWindow             = 65535 // RFC 9113, 6.9.2
+	maxWindow                 = 1<<31 - 1
+	defaultFrameBytes         = 16 << 10
+	maxStreamID               = 1<<31 - 1
+	defaultTableBytes         = 4096     // of header compression, in both directions
+	maxInterimAnswers         = 32       // answers of 1xx to one request
+	maxOverheadFrames         = 1000     // frames in a second that contribute neither to an answer nor to sending a body
+	bodyBytesPerOverheadFrame = 1024     // sent bytes of a body for which one noise frame is not counted
+	maxOutputBytes            = 1 << 20  // that are buffered before bodies wait
+	maxSentFrameBytes         = 1 << 16  // of a frame of a body; longer ones would delay other streams
+	maxCachedNames            = 200      // of header fields, for each direction
+	maxUnreturnedWindow       = 16 << 10 // of the connection's window
+	maxDetailBytes            = 100      // of a GOAWAY's debug data in errors
 )
 
 // Limits bound what a connection keeps in memory.
@@ -135,7 +135,7 @@
 	maxFrameBytes    int    // of a frame that is sent
 	peerMaxHeadBytes uint32 // bytes of a request's head, by the server; 0 is any
 	unreturnedWindow uint32 // of the connection, for data of the server
-	noiseFrames      int    // see countNoise
+	overheadFrames   int    // see countNoise
 	sentPings        uint64
 	awaitedPing      uint64   // the number of the ping whose answer is awaited; 0 is none
 	waitingStreams   []uint32 // whose bodies wait for a window or the socket
@@ -148,7 +148,7 @@
 // value is empty.
 type nameCache map[string]string
 
-func (n *nameCache) of(name string, convert func(string) string) string {
+func (n *nameCache) get(name string, convert func(string) string) string {
 	if value, ok := (*n)[name]; ok {
 		return value
 	}
@@ -274,37 +274,37 @@
 func (m *Machine) OutputOffset() int64 { return m.offset() }
 
 // Wrote records that the socket has taken n of PendingBytes.
-func (m *Machine) Wrote(n int) {
+func (m *Machine) RecordWrite(n int) {
 	m.writing = m.writing[n:]
 	m.written += int64(n)
 	m.offered = m.written
 	if len(m.waitingStreams) > 0 {
-		m.sendWaiting()
+		m.flushWaitingBodies()
 	}
 }
 
 // moment returns how far a stream's request has gone, or will have where the connection remains: output can't be
 // withdrawn.
-func (m *Machine) moment(stream *stream, how End) Moment {
+func (m *Machine) progress(stream *stream, end End) Moment {
 	switch {
 	case stream.hasAnyHead:
 		return MomentAnswered
-	case stream.isQueued && (how != EndBroken || m.offered >= stream.endOffset):
+	case stream.isQueued && (end != EndBroken || m.offered >= stream.endOffset):
 		return MomentSent
-	case how != EndBroken || m.offered > stream.firstOffset:
+	case end != EndBroken || m.offered > stream.firstOffset:
 		return MomentStarted
 	}
 	return MomentUnsent
 }
 
 // endStream ends a stream without an answer.
-func (m *Machine) endStream(stream *stream, how End, code http2.ErrCode, why string) Event {
+func (m *Machine) endStream(stream *stream, end End, code http2.ErrCode, detail string) Event {
 	delete(m.streams, stream.id)
-	moment := m.moment(stream, how)
+	progress := m.progress(stream, end)
 	return Event{
 		ID:      stream.id,
-		Err:     &StreamError{Moment: moment, End: how, Code: code, Detail: why},
-		Outcome: OutcomeOf(moment, how, code, m.StartsAtLastByte),
+		Err:     &StreamError{Moment: progress, End: end, Code: code, Detail: detail},
+		Outcome: OutcomeOf(progress, end, code, m.StartsAtLastByte),
 	}
 }
 
@@ -337,24 +337,24 @@
 func (m *Machine) IsAwaitingPing() bool { return m.awaitedPing != 0 }
 
 // Break ends the connection: all streams end.
-func (m *Machine) Break(why error) []Event {
+func (m *Machine) Abort(cause error) []Event {
 	if m.connErr != nil {
 		return nil
 	}
-	return m.endConnection(http2.ErrCodeNo, why)
+	return m.endConnection(http2.ErrCodeNo, cause)
 }
 
-func (m *Machine) endConnection(code http2.ErrCode, why error) (events []Event) {
-	m.connErr = why
+func (m *Machine) endConnection(code http2.ErrCode, cause error) (events []Event) {
+	m.connErr = cause
 	m.output.Reset() // what is reported as unsent must not be sent
 	for _, stream := range m.streams {
-		events = append(events, m.endStream(stream, EndBroken, code, why.Error()))
+		events = append(events, m.endStream(stream, EndBroken, code, cause.Error()))
 	}
 	return events
 }
 
 // fail ends the connection for an error of the server's, with a GOAWAY (RFC 9113, 5.4.1).
-func (m *Machine) fail(code http2.ErrCode, format string, args ...any) []Event {
+func (m *Machine) failConnection(code http2.ErrCode, format string, args ...any) []Event {
 	events := m.endConnection(code, fmt.Errorf("%v: "+format, append([]any{code}, args...)...))
 	m.frames.WriteGoAway(0, code, nil)
 	return events
--- a/internal/h2/machine_test.go
+++ b/internal/h2/machine_test.go
@@ -17,9 +17,9 @@
 	for range 4 { // 1, 3, 5, 7
 		peer.open("body")
 	}
-	peer.write()
+	peer.flushOutput()
 	peer.frameWriter.WriteGoAway(1<<31-1, 0, nil)
-	if event := peer.feed(); len(event) != 0 || peer.machine.FreeStreams() != 0 || !peer.machine.IsEnding() {
+	if event := peer.processInput(); len(event) != 0 || peer.machine.FreeStreams() != 0 || !peer.machine.IsEnding() {
 		t.Errorf("after the first: %+v, room %d", event, peer.machine.FreeStreams())
 	}
 	if _, err := peer.machine.OpenStream(&Request{Method: "GET"}); !errors.Is(err, ErrNoStream) {
@@ -31,7 +31,7 @@
 	}{{5, []uint32{7}}, {1000, nil}, {1, []uint32{3, 5}}} {
 		peer.frameWriter.WriteGoAway(step.last, http2.ErrCodeNo, []byte("why"))
 		got := make(map[uint32]bool)
-		for _, event := range peer.feed() {
+		for _, event := range peer.processInput() {
 			got[event.ID] = event.Outcome == Rejected && event.Err.End == EndGoAway
 		}
 		if len(got) != len(step.ends) {
@@ -43,9 +43,9 @@
 			}
 		}
 	}
-	peer.head(1, false, ":status: 200")
+	peer.writeHead(1, false, ":status: 200")
 	peer.frameWriter.WriteData(1, true, []byte("late"))
-	if event := peer.feed(); len(event) != 1 || event[0].Answer == nil || string(event[0].Answer.Body) != "late" {
+	if event := peer.processInput(); len(event) != 1 || event[0].Answer == nil || string(event[0].Answer.Body) != "late" {
 		t.Errorf("the one that was taken: %+v", event)
 	}
 }
@@ -55,7 +55,7 @@
 func TestFlowControlWindows(t *testing.T) {
 	peer := newReadyPeer(t, Limits{}, http2.Setting{ID: http2.SettingInitialWindowSize, Val: 100})
 	first, second := peer.open(strings.Repeat("a", 150)), peer.open(strings.Repeat("b", 70000))
-	check := func(want ...string) {
+	checkData := func(want ...string) {
 		t.Helper()
 		var data []string
 		for _, f := range peer.frames() {
@@ -67,24 +67,24 @@
 			t.Errorf("%v, not %v", data, want)
 		}
 	}
-	check(fmt.Sprintf("DATA %d 100 false", first), fmt.Sprintf("DATA %d 100 false", second))
+	checkData(fmt.Sprintf("DATA %d 100 false", first), fmt.Sprintf("DATA %d 100 false", second))
 	peer.frameWriter.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 20}) // both owe 80
 	peer.frameWriter.WriteWindowUpdate(first, 80)
-	peer.feed()
-	check()
+	peer.processInput()
+	checkData()
 	peer.frameWriter.WriteWindowUpdate(first, 50)
-	peer.feed()
-	check(fmt.Sprintf("DATA %d 50 true", first))
+	peer.processInput()
+	checkData(fmt.Sprintf("DATA %d 50 true", first))
 	peer.frameWriter.WriteWindowUpdate(second, 80000) // now the connection's is the less: 65535 - 250
-	peer.feed()
-	check(fmt.Sprintf("DATA %d 16384 false", second), fmt.Sprintf("DATA %d 16384 false", second), fmt.Sprintf("DATA %d 16384 false", second), fmt.Sprintf("DATA %d 16133 false", second))
+	peer.processInput()
+	checkData(fmt.Sprintf("DATA %d 16384 false", second), fmt.Sprintf("DATA %d 16384 false", second), fmt.Sprintf("DATA %d 16384 false", second), fmt.Sprintf("DATA %d 16133 false", second))
 	peer.frameWriter.WriteWindowUpdate(0, 1<<20)
-	peer.feed()
-	check(fmt.Sprintf("DATA %d 4615 true", second))
+	peer.processInput()
+	checkData(fmt.Sprintf("DATA %d 4615 true", second))
 	// The answer to one whose body is not out yet is taken, and the rest not sent.
 	third := peer.open(strings.Repeat("c", 100))
-	peer.head(third, true, ":status: 200")
-	if e := peer.feed(); len(e) != 1 || e[0].Answer == nil {
+	peer.writeHead(third, true, ":status: 200")
+	if e := peer.processInput(); len(e) != 1 || e[0].Answer == nil {
 		t.Errorf("%+v", e)
 	}
 	if got := strings.Join(peer.frames(), ", "); !strings.Contains(got, fmt.Sprintf("RST %d CANCEL", third)) {
@@ -99,19 +99,19 @@
 		peer.open("")
 	}
 	peer.frameWriter.WriteSettings(http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 1})
-	peer.feed()
+	peer.processInput()
 	for i, id := range []uint32{1, 3, 5} {
 		if peer.machine.FreeStreams() != 0 || peer.machine.OpenStreams() != 3-i {
 			t.Errorf("room %d, open %d", peer.machine.FreeStreams(), peer.machine.OpenStreams())
 		}
-		peer.head(id, true, ":status: 200")
-		peer.feed()
+		peer.writeHead(id, true, ":status: 200")
+		peer.processInput()
 	}
 	if peer.machine.FreeStreams() != 1 {
 		t.Errorf("room %d", peer.machine.FreeStreams())
 	}
 	peer.frameWriter.WriteSettings(http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 0})
-	if peer.feed(); peer.machine.FreeStreams() != 0 || peer.machine.StreamLimit() != 0 {
+	if peer.processInput(); peer.machine.FreeStreams() != 0 || peer.machine.StreamLimit() != 0 {
 		t.Errorf("room %d", peer.machine.FreeStreams())
 	}
 }
@@ -122,12 +122,12 @@
 	peer := newReadyPeer(t, Limits{MaxLifetimeStreams: 10000})
 	for i := range 10000 {
 		id := peer.open("body")
-		peer.head(id, false, ":status: 200", "content-length: 4", "x-n: "+fmt.Sprint(i))
+		peer.writeHead(id, false, ":status: 200", "content-length: 4", "x-n: "+fmt.Sprint(i))
 		peer.frameWriter.WriteData(id, false, []byte("bo"))
 		peer.frameWriter.WriteDataPadded(id, false, []byte("dy"), make([]byte, 20))
-		peer.head(id, true, "x-backend-load: inflight=1")
+		peer.writeHead(id, true, "x-backend-load: inflight=1")
 		peer.frameWriter.WriteWindowUpdate(0, 4)
-		e := peer.feed()
+		e := peer.processInput()
 		if len(e) != 1 || e[0].Answer == nil || string(e[0].Answer.Body) != "body" || e[0].Answer.Trailer.Get("X-Backend-Load") == "" {
 			t.Fatalf("%d: %+v, %v", i, e, peer.machine.Err())
 		}
@@ -147,15 +147,15 @@
 		t.Errorf("%v", got)
 	}
 	peer.frameWriter.WritePing(true, [8]byte{9})
-	if peer.feed(); !peer.machine.IsAwaitingPing() {
+	if peer.processInput(); !peer.machine.IsAwaitingPing() {
 		t.Error("another's answer counts")
 	}
 	peer.frameWriter.WritePing(true, [8]byte{1})
-	if peer.feed(); peer.machine.IsAwaitingPing() {
+	if peer.processInput(); peer.machine.IsAwaitingPing() {
 		t.Error("the answer does not count")
 	}
 	peer.open("four")
-	peer.write()
+	peer.flushOutput()
 	field, err := peer.outputReader.ReadFrame()
 	frame, ok := field.(*http2.MetaHeadersFrame)
 	if err != nil || !ok {
@@ -178,7 +178,7 @@
 // and each stream ends once.
 func FuzzServer(f *testing.F) {
 	peer := newReadyPeer(f, Limits{})
-	peer.head(1, false, ":status: 200", "content-length: 4")
+	peer.writeHead(1, false, ":status: 200", "content-length: 4")
 	peer.frameWriter.WriteData(1, true, []byte("body"))
 	peer.frameWriter.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 0})
 	peer.frameWriter.WriteGoAway(3, 0, []byte("why"))
@@ -191,9 +191,9 @@
 			open[peer.open(strings.Repeat("x", 70000))] = true
 		}
 		peer.input.Write(raw)
-		events := peer.feed()
+		events := peer.processInput()
 		if peer.input.Len() == 0 {
-			events = append(events, peer.machine.Break(io.EOF)...)
+			events = append(events, peer.machine.Abort(io.EOF)...)
 		}
 		for _, event := range events {
 			if !open[event.ID] || (event.Answer == nil) == (event.Err == nil) || event.Answer != nil && len(event.Answer.Body) > 1000 {
--- a/internal/h2/peer_test.go
+++ b/internal/h2/peer_test.go
@@ -36,7 +36,7 @@
 	created.encoder = hpack.NewEncoder(&created.headerBlock)
 	created.outputReader = http2.NewFramer(nil, &created.output)
 	created.outputReader.ReadMetaHeaders = hpack.NewDecoder(defaultTableBytes, nil)
-	out := created.write()
+	out := created.flushOutput()
 	if !strings.HasPrefix(out, preface) {
 		t.Fatalf("it begins with %q", out)
 	}
@@ -48,19 +48,19 @@
 func newReadyPeer(t testing.TB, limits Limits, s ...http2.Setting) *peer {
 	ready := newPeer(t, limits)
 	ready.frameWriter.WriteSettings(s...)
-	ready.feed()
-	ready.write()
+	ready.processInput()
+	ready.flushOutput()
 	ready.frames()
 	return ready
 }
 
 // feed has the machine take in what was written for it.
-func (p *peer) feed() []Event {
+func (p *peer) processInput() []Event {
 	p.events = nil
 	for p.input.Len() > 0 && p.machine.Err() == nil {
 		frame, err := p.machineInput.ReadFrame()
 		if err != nil {
-			p.events = append(p.events, p.machine.Unreadable(err)...)
+			p.events = append(p.events, p.machine.HandleReadError(err)...)
 		} else {
 			p.events = append(p.events, p.machine.Handle(frame)...)
 		}
@@ -69,11 +69,11 @@
 }
 
 // write takes all that the machine has to say.
-func (p *peer) write() string {
+func (p *peer) flushOutput() string {
 	var all []byte
 	for b := p.machine.PendingBytes(); len(b) > 0; b = p.machine.PendingBytes() {
 		all = append(all, b...)
-		p.machine.Wrote(len(b))
+		p.machine.RecordWrite(len(b))
 	}
 	p.output.Write(all)
 	return string(all)
@@ -81,7 +81,7 @@
 
 // frames are what the machine said, a word each.
 func (p *peer) frames() (all []string) {
-	p.write()
+	p.flushOutput()
 	for {
 		frame, err := p.outputReader.ReadFrame()
 		if errors.Is(err, io.EOF) {
@@ -108,7 +108,7 @@
 }
 
 // head writes a head, "name: value" each.
-func (p *peer) head(id uint32, end bool, fields ...string) {
+func (p *peer) writeHead(id uint32, end bool, fields ...string) {
 	p.headerBlock.Reset()
 	for _, f := range fields {
 		name, value, _ := strings.Cut(f, ": ")
--- a/internal/h2/sending.go
+++ b/internal/h2/sending.go
@@ -44,12 +44,12 @@
 	isHeadOnly := len(request.Body) == 0 && !request.HasMoreBody
 	m.nextID += 2
 	m.streams[opened.id] = opened
-	m.writeBlock(opened.id, isHeadOnly)
+	m.writeHeaderBlock(opened.id, isHeadOnly)
 	if isHeadOnly {
 		opened.isQueued = true
 		opened.endOffset = m.offset()
 	} else {
-		m.send(opened)
+		m.flushBody(opened)
 	}
 	return opened.id, nil
 }
@@ -70,7 +70,7 @@
 }
 
 // writeBlock writes the head, or the trailers, that headerBlock holds.
-func (m *Machine) writeBlock(id uint32, endsStream bool) {
+func (m *Machine) writeHeaderBlock(id uint32, endsStream bool) {
 	block := m.headerBlock.Bytes()
 	for isFirst := true; isFirst || len(block) > 0; isFirst = false {
 		part := block[:min(len(block), m.maxFrameBytes)]
@@ -90,7 +90,7 @@
 
 // Feed adds to a request's body; isLast says that this is its last part, which trailers may follow. Data that can't be
 // sent yet is buffered; UnsentBytes returns how much that is.
-func (m *Machine) Feed(id uint32, data []byte, isLast bool, trailer http.Header) {
+func (m *Machine) SendBody(id uint32, data []byte, isLast bool, trailer http.Header) {
 	stream := m.streams[id]
 	if stream == nil || !stream.hasMoreBody || m.connErr != nil {
 		return
@@ -100,7 +100,7 @@
 		stream.hasMoreBody = false
 		stream.trailer = trailer
 	}
-	m.send(stream)
+	m.flushBody(stream)
 }
 
 // UnsentBytes returns how much of a request's body waits for the flow-control windows or for the socket.
@@ -154,7 +154,7 @@
 			}
 		}
 		for canonicalName, values := range request.Header {
-			name := m.lowerNames.of(canonicalName, strings.ToLower)
+			name := m.lowerNames.get(canonicalName, strings.ToLower)
 			if connectionFields[name] || name == "content-length" {
 				continue
 			}
@@ -189,19 +189,19 @@
 	if r.HasMoreBody {
 		return r.ContentLength
 	}
-	if len(r.Body) == 0 && !usuallyHasBody(r.Method) {
+	if len(r.Body) == 0 && !anticipatesContent(r.Method) {
 		return -1
 	}
 	return int64(len(r.Body))
 }
 
 // usuallyHasBody reports whether a request of this method states an empty body too (RFC 9110, 8.6).
-func usuallyHasBody(method string) bool {
+func anticipatesContent(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
 // send sends as much of a request's body as the flow-control windows allow.
-func (m *Machine) send(stream *stream) {
+func (m *Machine) flushBody(stream *stream) {
 	for !stream.isQueued && m.output.Len() < maxOutputBytes {
 		n := min(int64(len(stream.unsentBody)), int64(m.maxFrameBytes), stream.sendWindow, m.sendWindow)
 		isLast := int64(len(stream.unsentBody)) <= max(n, 0) && !stream.hasMoreBody
@@ -214,7 +214,7 @@
 		stream.sendWindow -= n
 		m.sendWindow -= n
 		stream.isQueued = isLast
-		m.noiseFrames = max(0, m.noiseFrames-1-int(n)/bodyBytesPerNoise)
+		m.overheadFrames = max(0, m.overheadFrames-1-int(n)/bodyBytesPerOverheadFrame)
 		if len(part) > 0 || len(stream.trailer) == 0 {
 			m.frames.WriteData(stream.id, isLast && len(stream.trailer) == 0, part)
 		}
@@ -236,21 +236,21 @@
 func (m *Machine) writeTrailer(stream *stream) {
 	m.headerBlock.Reset()
 	for canonicalName, values := range stream.trailer {
-		name := m.lowerNames.of(canonicalName, strings.ToLower)
+		name := m.lowerNames.get(canonicalName, strings.ToLower)
 		for _, value := range values {
 			m.encoder.WriteField(hpack.HeaderField{Name: name, Value: value})
 		}
 	}
-	m.writeBlock(stream.id, true)
+	m.writeHeaderBlock(stream.id, true)
 }
 
 // sendWaiting continues with all bodies that wait for a window or the socket, in their order.
-func (m *Machine) sendWaiting() {
+func (m *Machine) flushWaitingBodies() {
 	waiting := m.waitingStreams
 	m.waitingStreams = nil
 	for _, id := range waiting {
 		if stream := m.streams[id]; stream != nil && !stream.isQueued {
-			m.send(stream)
+			m.flushBody(stream)
 		}
 	}
 }
--- a/internal/h2/server_faults_test.go
+++ b/internal/h2/server_faults_test.go
@@ -29,14 +29,14 @@
 		p.frameWriter.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: []byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}, EndHeaders: true})
 	}, goAway(http2.ErrCodeCompression)},
 	{"5.1", "data on an idle stream", func(p *peer) { p.frameWriter.WriteData(9, true, nil) }, goAway(http2.ErrCodeProtocol)},
-	{"5.1", "a head on an idle stream", func(p *peer) { p.head(9, true, ":status: 200") }, goAway(http2.ErrCodeProtocol)},
+	{"5.1", "a head on an idle stream", func(p *peer) { p.writeHead(9, true, ":status: 200") }, goAway(http2.ErrCodeProtocol)},
 	{"5.1", "a reset of an idle stream", func(p *peer) { p.frameWriter.WriteRSTStream(9, 0) }, goAway(http2.ErrCodeProtocol)},
 	{"5.1", "a window of an idle stream", func(p *peer) { p.frameWriter.WriteWindowUpdate(9, 1) }, goAway(http2.ErrCodeProtocol)},
-	{"5.1.1", "a stream of the server's", func(p *peer) { p.head(2, true, ":status: 200") }, goAway(http2.ErrCodeProtocol)},
+	{"5.1.1", "a stream of the server's", func(p *peer) { p.writeHead(2, true, ":status: 200") }, goAway(http2.ErrCodeProtocol)},
 	{"5.5", "an unknown frame", func(p *peer) { p.frameWriter.WriteRawFrame(0xbe, 0, 1, []byte("x")) }, ""},
 	{"6.1", "data on stream 0", func(p *peer) { p.frameWriter.WriteData(0, false, []byte("x")) }, goAway(http2.ErrCodeProtocol)},
 	{"6.1", "padding beyond the frame", func(p *peer) { p.frameWriter.WriteRawFrame(http2.FrameData, http2.FlagDataPadded, 1, []byte{9, 1}) }, goAway(http2.ErrCodeProtocol)},
-	{"6.2", "a head on stream 0", func(p *peer) { p.head(0, true, ":status: 200") }, goAway(http2.ErrCodeProtocol)},
+	{"6.2", "a head on stream 0", func(p *peer) { p.writeHead(0, true, ":status: 200") }, goAway(http2.ErrCodeProtocol)},
 	{"6.3", "a priority", func(p *peer) { p.frameWriter.WritePriority(1, http2.PriorityParam{StreamDep: 3, Weight: 2}) }, ""},
 	{"6.4", "a reset of stream 0", func(p *peer) { p.frameWriter.WriteRawFrame(http2.FrameRSTStream, 0, 0, make([]byte, 4)) }, goAway(http2.ErrCodeProtocol)},
 	{"6.4", "a reset of the wrong length", func(p *peer) { p.frameWriter.WriteRawFrame(http2.FrameRSTStream, 0, 1, make([]byte, 3)) }, goAway(http2.ErrCodeFrameSize)},
@@ -66,7 +66,7 @@
 		p.frameWriter.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: defaultWindow + 1})
 	}, goAway(http2.ErrCodeFlowControl)},
 	{"6.9", "more than the stream's window", func(p *peer) {
-		p.head(1, false, ":status: 200")
+		p.writeHead(1, false, ":status: 200")
 		for range 9 {
 			p.frameWriter.WriteData(1, false, make([]byte, 8<<10))
 		}
@@ -77,66 +77,66 @@
 		p.frameWriter.WritePing(false, [8]byte{})
 	}, goAway(http2.ErrCodeProtocol)},
 	{"8.1", "data before a head", func(p *peer) { p.frameWriter.WriteData(1, true, []byte("x")) }, reset(http2.ErrCodeProtocol)},
-	{"8.1", "a second head", func(p *peer) { p.head(1, false, ":status: 200"); p.head(1, false, "x: y") }, reset(http2.ErrCodeProtocol)},
-	{"8.1", "trailers with :status", func(p *peer) { p.head(1, false, ":status: 200"); p.head(1, true, ":status: 200") }, reset(http2.ErrCodeProtocol)},
-	{"8.1", "1xx that ends the stream", func(p *peer) { p.head(1, true, ":status: 103") }, reset(http2.ErrCodeProtocol)},
+	{"8.1", "a second head", func(p *peer) { p.writeHead(1, false, ":status: 200"); p.writeHead(1, false, "x: y") }, reset(http2.ErrCodeProtocol)},
+	{"8.1", "trailers with :status", func(p *peer) { p.writeHead(1, false, ":status: 200"); p.writeHead(1, true, ":status: 200") }, reset(http2.ErrCodeProtocol)},
+	{"8.1", "1xx that ends the stream", func(p *peer) { p.writeHead(1, true, ":status: 103") }, reset(http2.ErrCodeProtocol)},
 	{"8.1.1", "more than Content-Length", func(p *peer) {
-		p.head(1, false, ":status: 200", "content-length: 2")
+		p.writeHead(1, false, ":status: 200", "content-length: 2")
 		p.frameWriter.WriteData(1, true, []byte("abc"))
 	}, reset(http2.ErrCodeProtocol)},
 	{"8.1.1", "less than Content-Length", func(p *peer) {
-		p.head(1, false, ":status: 200", "content-length: 2")
+		p.writeHead(1, false, ":status: 200", "content-length: 2")
 		p.frameWriter.WriteData(1, true, []byte("a"))
 	}, reset(http2.ErrCodeProtocol)},
-	{"8.1.1", "two lengths", func(p *peer) { p.head(1, false, ":status: 200", "content-length: 2", "content-length: 2") }, reset(http2.ErrCodeProtocol)},
-	{"8.1.1", "a length that is none", func(p *peer) { p.head(1, false, ":status: 200", "content-length: -2") }, reset(http2.ErrCodeProtocol)},
-	{"8.2.1", "a field in upper case", func(p *peer) { p.head(1, true, ":status: 200", "X-Upper: y") }, reset(http2.ErrCodeProtocol)},
-	{"8.2.1", "a field with a line's end", func(p *peer) { p.head(1, true, ":status: 200", "x: a\r\nb") }, reset(http2.ErrCodeProtocol)},
-	{"8.2.2", "connection", func(p *peer) { p.head(1, true, ":status: 200", "connection: close") }, reset(http2.ErrCodeProtocol)},
-	{"8.2.2", "transfer-encoding", func(p *peer) { p.head(1, true, ":status: 200", "transfer-encoding: chunked") }, reset(http2.ErrCodeProtocol)},
-	{"8.3", "a pseudo-field behind others", func(p *peer) { p.head(1, true, "x: y", ":status: 200") }, reset(http2.ErrCodeProtocol)},
-	{"8.3", "an unknown pseudo-field", func(p *peer) { p.head(1, true, ":status: 200", ":odd: y") }, reset(http2.ErrCodeProtocol)},
-	{"8.3", "a request's pseudo-field", func(p *peer) { p.head(1, true, ":path: /", ":status: 200") }, reset(http2.ErrCodeProtocol)},
-	{"8.3.2", "no status", func(p *peer) { p.head(1, true, "x: y") }, reset(http2.ErrCodeProtocol)},
-	{"8.3.2", "two statuses", func(p *peer) { p.head(1, true, ":status: 200", ":status: 200") }, reset(http2.ErrCodeProtocol)},
-	{"8.3.2", "a status of two digits", func(p *peer) { p.head(1, true, ":status: 20") }, reset(http2.ErrCodeProtocol)},
-	{"8.6", "101", func(p *peer) { p.head(1, false, ":status: 101") }, reset(http2.ErrCodeProtocol)},
+	{"8.1.1", "two lengths", func(p *peer) { p.writeHead(1, false, ":status: 200", "content-length: 2", "content-length: 2") }, reset(http2.ErrCodeProtocol)},
+	{"8.1.1", "a length that is none", func(p *peer) { p.writeHead(1, false, ":status: 200", "content-length: -2") }, reset(http2.ErrCodeProtocol)},
+	{"8.2.1", "a field in upper case", func(p *peer) { p.writeHead(1, true, ":status: 200", "X-Upper: y") }, reset(http2.ErrCodeProtocol)},
+	{"8.2.1", "a field with a line's end", func(p *peer) { p.writeHead(1, true, ":status: 200", "x: a\r\nb") }, reset(http2.ErrCodeProtocol)},
+	{"8.2.2", "connection", func(p *peer) { p.writeHead(1, true, ":status: 200", "connection: close") }, reset(http2.ErrCodeProtocol)},
+	{"8.2.2", "transfer-encoding", func(p *peer) { p.writeHead(1, true, ":status: 200", "transfer-encoding: chunked") }, reset(http2.ErrCodeProtocol)},
+	{"8.3", "a pseudo-field behind others", func(p *peer) { p.writeHead(1, true, "x: y", ":status: 200") }, reset(http2.ErrCodeProtocol)},
+	{"8.3", "an unknown pseudo-field", func(p *peer) { p.writeHead(1, true, ":status: 200", ":odd: y") }, reset(http2.ErrCodeProtocol)},
+	{"8.3", "a request's pseudo-field", func(p *peer) { p.writeHead(1, true, ":path: /", ":status: 200") }, reset(http2.ErrCodeProtocol)},
+	{"8.3.2", "no status", func(p *peer) { p.writeHead(1, true, "x: y") }, reset(http2.ErrCodeProtocol)},
+	{"8.3.2", "two statuses", func(p *peer) { p.writeHead(1, true, ":status: 200", ":status: 200") }, reset(http2.ErrCodeProtocol)},
+	{"8.3.2", "a status of two digits", func(p *peer) { p.writeHead(1, true, ":status: 20") }, reset(http2.ErrCodeProtocol)},
+	{"8.6", "101", func(p *peer) { p.writeHead(1, false, ":status: 101") }, reset(http2.ErrCodeProtocol)},
 	{"10.5", "a head that is too long", func(p *peer) {
-		p.head(1, true, ":status: 200", "x: "+strings.Repeat("y", 2000), "z: "+strings.Repeat("y", 2000))
+		p.writeHead(1, true, ":status: 200", "x: "+strings.Repeat("y", 2000), "z: "+strings.Repeat("y", 2000))
 	}, reset(http2.ErrCodeProtocol)},
 	{"10.5", "interim answers without an end", func(p *peer) {
 		for range maxInterimAnswers + 1 {
-			p.head(1, false, ":status: 103")
+			p.writeHead(1, false, ":status: 103")
 		}
 	}, reset(http2.ErrCodeProtocol)},
 	{"10.5", "a flood of pings", func(p *peer) {
-		for range maxNoiseFrames + 1 {
+		for range maxOverheadFrames + 1 {
 			p.frameWriter.WritePing(false, [8]byte{})
 		}
 	}, goAway(http2.ErrCodeEnhanceYourCalm)},
 	{"10.5", "a flood of settings", func(p *peer) {
-		for range maxNoiseFrames + 1 {
+		for range maxOverheadFrames + 1 {
 			p.frameWriter.WriteSettings()
 		}
 	}, goAway(http2.ErrCodeEnhanceYourCalm)},
 	{"10.5", "a flood of empty data", func(p *peer) {
-		p.head(1, false, ":status: 200")
-		for range maxNoiseFrames + 1 {
+		p.writeHead(1, false, ":status: 200")
+		for range maxOverheadFrames + 1 {
 			p.frameWriter.WriteData(1, false, nil)
 		}
 	}, goAway(http2.ErrCodeEnhanceYourCalm)},
 	{"10.5", "a flood of resets", func(p *peer) {
-		for range maxNoiseFrames + 1 {
+		for range maxOverheadFrames + 1 {
 			p.frameWriter.WriteRSTStream(1, 0)
 		}
 	}, goAway(http2.ErrCodeEnhanceYourCalm)},
 	{"10.5", "a body without an end", func(p *peer) {
-		p.head(1, false, ":status: 200")
+		p.writeHead(1, false, ":status: 200")
 		for range 20 {
 			p.frameWriter.WriteData(1, false, make([]byte, 4<<10))
 		}
 	}, reset(http2.ErrCodeFlowControl)},
-	{"10.5", "a body that is told to be too long", func(p *peer) { p.head(1, false, ":status: 200", "content-length: 3000000000") }, reset(http2.ErrCodeCancel)},
+	{"10.5", "a body that is told to be too long", func(p *peer) { p.writeHead(1, false, ":status: 200", "content-length: 3000000000") }, reset(http2.ErrCodeCancel)},
 }
 
 // TestServerFaults checks that a fault of a server ends its stream or its connection, and nothing else.
@@ -147,7 +147,7 @@
 			peer.open("")
 			peer.frames()
 			tc.do(peer)
-			peer.feed()
+			peer.processInput()
 			frames := peer.frames()
 			ends := frames[:0]
 			for _, f := range frames {
@@ -170,8 +170,8 @@
 				fallthrough
 			default:
 				id := peer.open("")
-				peer.head(id, true, ":status: 204")
-				if e := peer.feed(); peer.machine.Err() != nil || len(e) == 0 || e[len(e)-1].Answer == nil {
+				peer.writeHead(id, true, ":status: 204")
+				if e := peer.processInput(); peer.machine.Err() != nil || len(e) == 0 || e[len(e)-1].Answer == nil {
 					t.Errorf("the next request: %+v, %v", e, peer.machine.Err())
 				}
 			}
--- a/internal/h2/silence.go
+++ b/internal/h2/silence.go
@@ -6,9 +6,9 @@
 )
 
 // startWatch schedules checkSilence while streams are open. c.mu is locked.
-func (c *Conn) startWatch() {
-	if c.options.PingAfterSilence > 0 && !c.isWatched {
-		c.isWatched = true
+func (c *Conn) scheduleSilenceCheck() {
+	if c.options.PingAfterSilence > 0 && !c.isSilenceCheckScheduled {
+		c.isSilenceCheckScheduled = true
 		time.AfterFunc(c.options.PingAfterSilence, c.checkSilence)
 	}
 }
@@ -18,12 +18,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.machine.Err() != nil || c.machine.OpenStreams() == 0 {
-		c.isWatched = false
+		c.isSilenceCheckScheduled = false
 		return
 	}
 	switch silence := time.Since(c.lastRead); {
 	case silence >= 2*c.options.PingAfterSilence && c.machine.IsAwaitingPing():
-		c.deliver(c.machine.Break(fmt.Errorf("nothing received for %v", silence)))
+		c.deliver(c.machine.Abort(fmt.Errorf("nothing received for %v", silence)))
 		c.wakeWriter()
 		return
 	case silence >= c.options.PingAfterSilence:
--- a/internal/h2/stream.go
+++ b/internal/h2/stream.go
@@ -237,7 +237,7 @@
 		switch {
 		case hasEnded:
 		case hasSpace:
-			s.conn.machine.Feed(s.id, p, false, nil)
+			s.conn.machine.SendBody(s.id, p, false, nil)
 		default:
 			s.conn.blockedWriters[s] = true
 		}
@@ -259,7 +259,7 @@
 func (s *Stream) CloseWrite(trailer http.Header) {
 	s.conn.mu.Lock()
 	if s.end == nil {
-		s.conn.machine.Feed(s.id, nil, true, trailer)
+		s.conn.machine.SendBody(s.id, nil, true, trailer)
 	}
 	s.conn.mu.Unlock()
 	s.conn.writeNow()
--- a/internal/h2/stream_outcome.go
+++ b/internal/h2/stream_outcome.go
@@ -57,15 +57,15 @@
 // OutcomeOf returns what is known of a request, by the table in docs/http2.md. startsAtLastByte says that
 // servers start a request with its last byte and not with its head. Where some of an answer has arrived, the
 // request may be processed whatever the server reports.
-func OutcomeOf(moment Moment, end End, code http2.ErrCode, startsAtLastByte bool) StreamOutcome {
+func OutcomeOf(progress Moment, end End, code http2.ErrCode, startsAtLastByte bool) StreamOutcome {
 	switch {
-	case moment == MomentAnswered:
+	case progress == MomentAnswered:
 		return MayBeProcessed
-	case moment == MomentUnsent:
+	case progress == MomentUnsent:
 		return NotProcessed
 	case end == EndGoAway, end == EndReset && code == http2.ErrCodeRefusedStream:
 		return Rejected
-	case moment == MomentStarted && startsAtLastByte:
+	case progress == MomentStarted && startsAtLastByte:
 		return NotProcessed
 	}
 	return MayBeProcessed
--- a/internal/h2/stream_outcome_test.go
+++ b/internal/h2/stream_outcome_test.go
@@ -28,10 +28,10 @@
 		{EndCancelled, http2.ErrCodeCancel, [2][4]StreamOutcome{{notProcessed, mayBeProcessed, mayBeProcessed, mayBeProcessed}, {notProcessed, notProcessed, mayBeProcessed, mayBeProcessed}}},
 		{EndMalformed, http2.ErrCodeProtocol, [2][4]StreamOutcome{{notProcessed, mayBeProcessed, mayBeProcessed, mayBeProcessed}, {notProcessed, notProcessed, mayBeProcessed, mayBeProcessed}}},
 	} {
-		for atLastByte, by := range tc.want {
-			for m, want := range by {
-				if got := OutcomeOf(Moment(m), tc.how, tc.code, atLastByte == 1); got != want {
-					t.Errorf("%v, %v, %v, whole %d: %v, not %v", Moment(m), tc.how, tc.code, atLastByte, got, want)
+		for atLastByte, wantByProgress := range tc.want {
+			for progress, want := range wantByProgress {
+				if got := OutcomeOf(Moment(progress), tc.how, tc.code, atLastByte == 1); got != want {
+					t.Errorf("%v, %v, %v, whole %d: %v, not %v", Moment(progress), tc.how, tc.code, atLastByte, got, want)
 				}
 			}
 		}
@@ -44,44 +44,44 @@
 	end  func(peer *peer, id uint32) *StreamError
 	want Moment
 }{
-	"broken before anything is written": {func(peer *peer, _ uint32) *StreamError { return onlyError(peer.t, peer.machine.Break(io.EOF)) }, MomentUnsent},
+	"broken before anything is written": {func(peer *peer, _ uint32) *StreamError { return onlyError(peer.t, peer.machine.Abort(io.EOF)) }, MomentUnsent},
 	"broken in the first write": {func(peer *peer, _ uint32) *StreamError {
 		peer.machine.PendingBytes() // handed to a write that has not returned
-		return onlyError(peer.t, peer.machine.Break(io.EOF))
+		return onlyError(peer.t, peer.machine.Abort(io.EOF))
 	}, MomentStarted},
 	"broken after a part": {func(peer *peer, _ uint32) *StreamError {
 		peer.machine.PendingBytes()
-		peer.machine.Wrote(12)
-		return onlyError(peer.t, peer.machine.Break(io.EOF))
+		peer.machine.RecordWrite(12)
+		return onlyError(peer.t, peer.machine.Abort(io.EOF))
 	}, MomentStarted},
 	"broken once all the window let go is written": {func(peer *peer, _ uint32) *StreamError {
-		peer.write()
-		return onlyError(peer.t, peer.machine.Break(io.EOF))
+		peer.flushOutput()
+		return onlyError(peer.t, peer.machine.Abort(io.EOF))
 	}, MomentStarted},
 	"broken after all": {func(peer *peer, id uint32) *StreamError {
-		peer.write()
+		peer.flushOutput()
 		peer.frameWriter.WriteWindowUpdate(id, 1000)
-		peer.feed()
-		peer.write()
-		return onlyError(peer.t, peer.machine.Break(io.EOF))
+		peer.processInput()
+		peer.flushOutput()
+		return onlyError(peer.t, peer.machine.Abort(io.EOF))
 	}, MomentSent},
 	"broken with the last bytes unwritten": {func(peer *peer, id uint32) *StreamError {
-		peer.write()
+		peer.flushOutput()
 		peer.frameWriter.WriteWindowUpdate(id, 1000)
-		peer.feed()
+		peer.processInput()
 		n := len(peer.machine.PendingBytes())
-		peer.machine.Wrote(n - 1) // and no further write begins
-		return onlyError(peer.t, peer.machine.Break(io.EOF))
+		peer.machine.RecordWrite(n - 1) // and no further write begins
+		return onlyError(peer.t, peer.machine.Abort(io.EOF))
 	}, MomentStarted},
 	"answered in part": {func(peer *peer, id uint32) *StreamError {
-		peer.write()
-		peer.head(id, false, ":status: 103")
+		peer.flushOutput()
+		peer.writeHead(id, false, ":status: 103")
 		peer.frameWriter.WriteRSTStream(id, http2.ErrCodeRefusedStream)
-		return onlyError(peer.t, peer.feed())
+		return onlyError(peer.t, peer.processInput())
 	}, MomentAnswered},
 	"given up while its last bytes wait to be written": {func(peer *peer, id uint32) *StreamError {
 		peer.frameWriter.WriteWindowUpdate(id, 1000)
-		peer.feed()
+		peer.processInput()
 		event, _ := peer.machine.Cancel(id)
 		return event.Err
 	}, MomentSent},
@@ -98,7 +98,7 @@
 }
 
 // TestMomentOfRequest checks how far a request counts as gone: by bytes that may have been written, and by those that will be.
-func TestMomentOfRequest(t *testing.T) {
+func TestRequestProgressWhenStreamEnds(t *testing.T) {
 	for name, tc := range requestEnds {
 		t.Run(name, func(t *testing.T) {
 			peer := newReadyPeer(t, Limits{}, http2.Setting{ID: http2.SettingInitialWindowSize, Val: 100})
--- a/internal/route/canonical_path.go
+++ b/internal/route/canonical_path.go
@@ -171,8 +171,8 @@
 }
 
 // checkCanonical rejects a path or host of a rule that is not canonical already.
-func checkCanonical(given string, form func(string) (string, error)) error {
-	got, err := form(given)
+func checkCanonical(given string, canonicalize func(string) (string, error)) error {
+	got, err := canonicalize(given)
 	if err != nil {
 		return fmt.Errorf("%q: %w", given, err)
 	}
--- a/internal/route/canonical_rule.go
+++ b/internal/route/canonical_rule.go
@@ -7,7 +7,7 @@
 
 // Canonicalize returns a rule in canonical form. The error for a rule that New would reject is a *RuleError.
 func Canonicalize(given Rule) (CanonicalRule, error) {
-	c, key, err := compile(given, 0)
+	c, key, err := compileRule(given, 0)
 	if err != nil {
 		return CanonicalRule{}, &RuleError{Key: key, Err: err}
 	}
@@ -22,7 +22,7 @@
 func (f CanonicalRule) HeaderConditions() string { return f.rule.headerText }
 
 // Compare orders rules by precedence, the most specific first. It returns 0 for the same conditions only.
-func (f CanonicalRule) Compare(g CanonicalRule) int { return precedence(f.rule, g.rule) }
+func (f CanonicalRule) Compare(g CanonicalRule) int { return compareSpecificity(f.rule, g.rule) }
 
 // MatchesRest reports whether the conditions on method, class and headers match. path must be canonical.
 func (f CanonicalRule) MatchesRest(path, method string, header http.Header) bool {
--- a/internal/route/reference_test.go
+++ b/internal/route/reference_test.go
@@ -112,10 +112,10 @@
 		case 1, 2:
 			r.Prefix = path + pick("", "/")
 		}
-		isKnown := map[string]bool{}
+		isUsed := map[string]bool{}
 		for range rng.IntN(3) {
-			if name := pick("A", "B", "C"); !isKnown[name] {
-				isKnown[name] = true
+			if name := pick("A", "B", "C"); !isUsed[name] {
+				isUsed[name] = true
 				r.Headers = append(r.Headers, Header{Name: name, Value: pick("1", "2")})
 				if rng.IntN(2) == 0 {
 					r.Headers[len(r.Headers)-1] = Header{Name: name, Any: true}
@@ -157,13 +157,13 @@
 }
 
 // compare checks Find against referenceFind on random rules and requests.
-func compare(t *testing.T, seed uint64) {
+func checkAgainstReference(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	rules := randomRules(rng, 1+rng.IntN(60))
 	r := mustCompile(t, rules)
-	turned := slices.Clone(rules)
-	rng.Shuffle(len(turned), func(i, j int) { turned[i], turned[j] = turned[j], turned[i] })
-	other := mustCompile(t, turned)
+	shuffled := slices.Clone(rules)
+	rng.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
+	shuffledRouter := mustCompile(t, shuffled)
 	for range 60 {
 		host, path, method, header := randomRequest(rng)
 		got, ok := r.Find(host, path, method, header)
@@ -171,19 +171,19 @@
 			t.Fatalf("seed %d: %s %s%s %v: rule %d, not %d of %+v", seed, method, host, path, header, got, want, rules)
 		}
 		// The order of the rules does not matter.
-		if i, found := other.Find(host, path, method, header); found != ok || ok && turned[i].Name != rules[got].Name {
-			t.Fatalf("seed %d: %s%s: %s in another order, not %s", seed, host, path, turned[i].Name, rules[got].Name)
+		if i, found := shuffledRouter.Find(host, path, method, header); found != ok || ok && shuffled[i].Name != rules[got].Name {
+			t.Fatalf("seed %d: %s%s: %s in another order, not %s", seed, host, path, shuffled[i].Name, rules[got].Name)
 		}
 	}
 }
 
 func TestRouterFindAgreesWithReference(t *testing.T) {
 	for seed := range uint64(300) {
-		compare(t, seed)
+		checkAgainstReference(t, seed)
 	}
 }
 
 func FuzzRouterFindAgreesWithReference(f *testing.F) {
 	f.Add(uint64(1))
-	f.Fuzz(compare)
+	f.Fuzz(checkAgainstReference)
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -32,7 +32,7 @@
 	return r
 }
 
-var someRules = []Rule{
+var testRules = []Rule{
 	{Name: "any"},
 	{Name: "host", Host: "a.example"},
 	{Name: "wild", Host: "*.example"},
@@ -50,7 +50,7 @@
 }
 
 func TestRouterFind(t *testing.T) {
-	r := mustCompile(t, someRules)
+	r := mustCompile(t, testRules)
 	for _, tc := range []struct {
 		testRequest
 		want string
@@ -90,14 +90,14 @@
 			method = "GET"
 		}
 		i, ok := r.Find(tc.host, tc.path, method, tc.header())
-		if !ok || someRules[i].Name != tc.want {
-			t.Errorf("%+v: %q, not %q", tc.testRequest, someRules[i].Name, tc.want)
+		if !ok || testRules[i].Name != tc.want {
+			t.Errorf("%+v: %q, not %q", tc.testRequest, testRules[i].Name, tc.want)
 		}
-		if why := r.Explain(tc.host, tc.path, method, tc.header()); why[0].Index != i {
-			t.Errorf("%+v: Why tells %q", tc.testRequest, someRules[why[0].Index].Name)
+		if matches := r.Explain(tc.host, tc.path, method, tc.header()); matches[0].Index != i {
+			t.Errorf("%+v: Why tells %q", tc.testRequest, testRules[matches[0].Index].Name)
 		}
 	}
-	if i, ok := mustCompile(t, someRules[1:2]).Find("other", "/", "GET", nil); ok {
+	if i, ok := mustCompile(t, testRules[1:2]).Find("other", "/", "GET", nil); ok {
 		t.Errorf("rule %d, not none", i)
 	}
 }
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -10,13 +10,13 @@
 // Router finds the rule for a request.
 type Router struct {
 	rules    []*compiledRule // by precedence
-	exact    map[string]*bucket
-	wildcard map[string]*bucket // by the host without its star, beginning with the dot
-	anyHost  *bucket
+	exact    map[string]*hostRules
+	wildcard map[string]*hostRules // by the host without its star, beginning with the dot
+	anyHost  *hostRules
 }
 
 // bucket holds the rules of one host.
-type bucket struct {
+type hostRules struct {
 	exact        map[string][]*compiledRule // by path; each list by precedence
 	prefix       map[string][]*compiledRule // by prefix without a trailing slash; empty is any path
 	prefixDepths uint64                     // bit n: there are prefixes of n segments; bit maxDepth: or more
@@ -27,11 +27,11 @@
 // New returns a Router for rules. It reports all rules that cannot be used, not only the first; the
 // Router has all other ones.
 func New(rules []Rule) (*Router, []*RuleError) {
-	r := &Router{exact: make(map[string]*bucket), wildcard: make(map[string]*bucket), anyHost: newBucket()}
+	r := &Router{exact: make(map[string]*hostRules), wildcard: make(map[string]*hostRules), anyHost: newBucket()}
 	var problems []*RuleError
 	byKey := make(map[string]*compiledRule)
 	for i, given := range rules {
-		c, key, err := compile(given, i)
+		c, key, err := compileRule(given, i)
 		if err != nil {
 			problems = append(problems, &RuleError{Index: i, Key: key, Err: err})
 			continue
@@ -44,19 +44,19 @@
 		byKey[c.key()] = c
 		r.rules = append(r.rules, c)
 	}
-	slices.SortFunc(r.rules, precedence)
+	slices.SortFunc(r.rules, compareSpecificity)
 	for _, c := range r.rules {
-		r.bucket(c.Host).add(c)
+		r.hostRules(c.Host).add(c)
 	}
 	return r, problems
 }
 
-func newBucket() *bucket {
-	return &bucket{exact: make(map[string][]*compiledRule), prefix: make(map[string][]*compiledRule)}
+func newBucket() *hostRules {
+	return &hostRules{exact: make(map[string][]*compiledRule), prefix: make(map[string][]*compiledRule)}
 }
 
 // bucket returns the bucket of a rule's host. It makes one if there is none.
-func (r *Router) bucket(host string) *bucket {
+func (r *Router) hostRules(host string) *hostRules {
 	if host == "" {
 		return r.anyHost
 	}
@@ -73,7 +73,7 @@
 }
 
 // add adds a rule. Rules of the same path must be added by precedence.
-func (b *bucket) add(c *compiledRule) {
+func (b *hostRules) add(c *compiledRule) {
 	if c.Path != "" {
 		b.exact[c.Path] = append(b.exact[c.Path], c)
 		return
@@ -124,7 +124,7 @@
 }
 
 // find returns the rule for a request among those of one host; nil if there is none.
-func (b *bucket) find(path, method string, header http.Header) *compiledRule {
+func (b *hostRules) find(path, method string, header http.Header) *compiledRule {
 	if c := firstMatch(b.exact[path], path, method, header); c != nil {
 		return c
 	}
--- a/internal/route/rule.go
+++ b/internal/route/rule.go
@@ -63,7 +63,7 @@
 }
 
 // compile brings a rule into its canonical form. With an error it returns the key of the rule that causes it.
-func compile(given Rule, index int) (c *compiledRule, key string, err error) {
+func compileRule(given Rule, index int) (c *compiledRule, key string, err error) {
 	c = &compiledRule{Rule: given, index: index}
 	if err := checkHost(c.Host); err != nil {
 		return nil, "host", err
@@ -187,12 +187,12 @@
 }
 
 // precedence orders rules by the criteria in the package documentation, the most specific first.
-func precedence(a, b *compiledRule) int {
+func compareSpecificity(a, b *compiledRule) int {
 	if c := cmp.Or(
 		cmp.Compare(b.hostRank(), a.hostRank()),
 		cmp.Compare(b.pathRank(), a.pathRank()),
-		cmp.Compare(toInt(a.Method == ""), toInt(b.Method == "")),
-		cmp.Compare(toInt(a.Class == ""), toInt(b.Class == "")),
+		cmp.Compare(boolToInt(a.Method == ""), boolToInt(b.Method == "")),
+		cmp.Compare(boolToInt(a.Class == ""), boolToInt(b.Class == "")),
 		cmp.Compare(len(b.Headers), len(a.Headers)),
 		cmp.Compare(b.valueConditions, a.valueConditions),
 		cmp.Compare(a.headerText, b.headerText),
@@ -203,7 +203,7 @@
 }
 
 // toInt returns 1 for true and 0 for false.
-func toInt(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
