--- a/internal/h2/choose.go
+++ b/internal/h2/choose.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// View is the state of a connection, for Choose.
+// View is the state of a connection that Choose decides by.
 type View struct {
 	OpenStreams int
-	FreeStreams int  // that can be opened now
-	MaxStreams  int  // that the server allows at once
-	IsEnding    bool // takes no more requests
+	FreeStreams int  // streams that can be opened now
+	MaxStreams  int  // limit on concurrent streams, by this side and by the server
+	IsEnding    bool // the connection accepts no more requests
 	Age         time.Duration
 }
 
 // Bounds limit all connections to one server.
 type Bounds struct {
-	MaxConnections int           // at once, without those that are ending
-	MaxWaiting     int           // requests that wait for a stream or a connection
-	MaxAge         time.Duration // after which a connection is replaced; 0 is never
+	MaxConnections int           // limit on concurrent connections, not counting those that are ending
+	MaxWaiting     int           // limit on requests that wait for a stream or a connection
+	MaxAge         time.Duration // age at which a connection is replaced; 0 means never
 }
 
-// Choice is which connection a request takes, and which connections are made or retired. Connections are indexes
-// in the list that Choose was given.
+// Choice is the decision of Choose: which connection a request takes, and which connections are made or retired.
+// Connections are given as indexes into the list passed to Choose.
 type Choice struct {
-	Use    int  // the connection that takes the request; -1 is none
-	Wait   bool // where there is none, wait for a stream or for a connection that is being made; otherwise fail
-	Dial   bool // make another connection
-	Retire int  // a connection to be retired now; -1 is none
+	Use    int  // the connection that takes the request; -1 for none
+	Wait   bool // if Use is -1: wait for a stream or for a connection that is being made; false means that the request fails
+	Dial   bool // start making another connection
+	Retire int  // the connection to retire now; -1 for none
 }
 
-// Choose returns what a request does, given the numbers of connections that are being made and of requests that
-// wait. It chooses the connection with the fewest open streams, so that a stalled connection delays few requests.
-// Another one is made where none has a free stream or where all are due to be replaced; the old ones take requests
-// until then and are retired one at a time.
+// Choose selects a connection for a request, given the number of connections being made and the number of waiting
+// requests. It selects the connection with the fewest open streams, so that a stalled connection delays few requests.
+// Another connection is made if none has a free stream or if all have reached MaxAge; those past MaxAge take requests
+// until a replacement is available and are then retired one at a time.
 func Choose(conns []View, dialing, waiting int, bounds Bounds) Choice {
 	choice := Choice{Use: -1, Retire: -1}
-	oldest := -1 // of those that are due to be replaced
+	oldest := -1 // the oldest connection that has reached MaxAge
 	isDue := func(view View) bool { return bounds.MaxAge > 0 && view.Age >= bounds.MaxAge }
-	live := dialing     // connections that are not ending
-	allowedStreams := 0 // by the servers, over all live connections
+	live := dialing     // connections that are not ending, including those being made
+	allowedStreams := 0 // sum of the stream limits of all established connections that are not ending
 	for i, view := range conns {
 		if view.IsEnding {
 			continue
@@ -63,10 +63,10 @@
 		return choice
 	case waiting >= bounds.MaxWaiting:
 		return choice
-	case live > dialing && allowedStreams == 0: // another connection would allow none either
+	case live > dialing && allowedStreams == 0: // the server allows no streams; another connection would not either
 		return choice
 	}
 	choice.Wait = true
-	choice.Dial = dialing == 0 && live < bounds.MaxConnections // how many streams a new one takes is not known yet
+	choice.Dial = dialing == 0 && live < bounds.MaxConnections // one dial at a time: the stream limit of the new connection is not known yet
 	return choice
 }
--- a/internal/h2/conn.go
+++ b/internal/h2/conn.go
@@ -14,18 +14,18 @@
 // Options configure a connection.
 type Options struct {
 	Limits
-	// PingAfterSilence is how long nothing may be received while streams are open before a ping is sent; the
-	// connection counts as broken after the same time without an answer. 0 never pings.
+	// PingAfterSilence is how long a connection with open streams may receive nothing before a ping is sent. If
+	// nothing is received for the same time after that, the connection is ended as broken. 0 disables pings.
 	PingAfterSilence time.Duration
-	// OnChange, which may be nil, is called when another stream may be free or the connection has ended. It must
-	// neither block nor call the connection.
+	// OnChange, which may be nil, is called when another stream may be available or the connection has ended. It is
+	// called with the connection's mutex locked, so it must neither block nor call the connection.
 	OnChange func()
 }
 
-// ErrNotHTTP2 is the error of a server whose first bytes are not HTTP/2.
+// ErrNotHTTP2 is returned for a server whose first bytes are not HTTP/2.
 var ErrNotHTTP2 = errors.New("the server does not speak HTTP/2")
 
-// Conn is a connection that requests share. Its methods are safe for concurrent use.
+// Conn is an HTTP/2 connection that multiplexes requests. Its methods are safe for concurrent use.
 type Conn struct {
 	options Options
 	conn    net.Conn
@@ -34,24 +34,24 @@
 	mu                      sync.Mutex
 	machine                 *Machine
 	receivers               map[uint32]eventReceiver
-	blockedWriters          map[*Stream]bool // streams whose writer waits for space
-	flushed                 *sync.Cond       // signals that more was written, or that the connection has ended
-	lastRead                time.Time        // when something was received last
-	idleSince               time.Time        // since when no stream is open
-	overheadResetAt         time.Time        // when the count of noise frames was reset
-	isClosing               bool             // the connection ends once its streams have ended and the output is written
+	blockedWriters          map[*Stream]bool // streams whose Write waits for buffer space
+	flushed                 *sync.Cond       // signalled when output was written or the connection has ended
+	lastRead                time.Time        // time of the last received bytes
+	idleSince               time.Time        // time since which no stream has been open
+	overheadResetAt         time.Time        // when the count of overhead frames was last reset
+	isClosing               bool             // the connection ends once its streams have ended and all output is written
 	isSilenceCheckScheduled bool             // checkSilence is scheduled
-	isWriting               bool             // a goroutine is writing to the socket
-	rawConn                 syscall.RawConn  // the socket; nil where bytes don't go to it as they are
+	isWriting               bool             // some goroutine is writing to the socket
+	rawConn                 syscall.RawConn  // the socket; nil if written bytes are transformed first (TLS) or there is no TCP socket
 
-	wake             chan struct{} // signals the writing goroutine that there may be output
+	wake             chan struct{} // wakes the writing goroutine, as there may be output
 	settingsReceived chan struct{} // closed once the server's settings have arrived
 	done             chan struct{} // closed when the connection has ended
 }
 
 // Start starts HTTP/2 with prior knowledge on a connection and waits for the server's settings, so that the protocol
-// and the server's limits are known before a request is sent. A connection that fails is closed; where the server
-// does not speak HTTP/2, the error wraps ErrNotHTTP2. Two goroutines run until the connection has ended.
+// and the server's limits are known before a request is sent. If it fails, it closes the connection; if the server
+// does not speak HTTP/2, the error wraps ErrNotHTTP2. Start starts two goroutines, which run until the connection ends.
 func Start(ctx context.Context, conn net.Conn, options Options) (*Conn, error) {
 	now := time.Now()
 	created := &Conn{
@@ -80,7 +80,7 @@
 	case <-created.done:
 		created.mu.Lock()
 		defer created.mu.Unlock()
-		if created.lastRead.Equal(now) { // the server has sent nothing before it closed the connection
+		if created.lastRead.Equal(now) { // the server closed the connection without sending anything
 			return nil, fmt.Errorf("%w: %w", ErrNotHTTP2, created.machine.Err())
 		}
 		return nil, created.machine.Err()
@@ -90,7 +90,7 @@
 	}
 }
 
-// socket returns the socket of a connection whose bytes go to it as they are, so not of one with TLS.
+// socket returns the TCP socket under a connection, unless TLS lies between: then bytes must not be written to it directly.
 func socket(conn net.Conn) (syscall.Conn, bool) {
 	for {
 		if _, ok := conn.(*tls.Conn); ok {
@@ -107,7 +107,7 @@
 	}
 }
 
-// breakOff ends the connection from this side.
+// abort ends the connection and all its streams with cause as the error.
 func (c *Conn) abort(cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,7 +115,7 @@
 	c.wakeWriter()
 }
 
-// open opens a stream and sends as much of its request as is available and can be written without blocking.
+// open opens a stream and sends the part of its request that is available and can be written without blocking.
 func (c *Conn) open(request *Request, receiver eventReceiver) (id uint32, err error) {
 	c.mu.Lock()
 	id, err = c.machine.OpenStream(request)
@@ -124,7 +124,7 @@
 		return 0, err
 	}
 	if c.machine.OpenStreams() == 1 {
-		c.lastRead = time.Now() // silence counts from the first stream on
+		c.lastRead = time.Now() // the silence period starts with the first stream
 		c.scheduleSilenceCheck()
 	}
 	c.receivers[id] = receiver
@@ -133,8 +133,8 @@
 	return id, nil
 }
 
-// cancelStream resets a stream, and returns once that has gone out or the connection has ended. A stream that
-// has ended meanwhile is left alone.
+// cancelStream resets a stream, and returns once the reset is written or the connection has ended. It does nothing
+// if the stream has already ended.
 func (c *Conn) cancelStream(id uint32) {
 	c.mu.Lock()
 	event, ok := c.machine.Cancel(id)
@@ -149,8 +149,8 @@
 	c.awaitFlush(offset)
 }
 
-// Do sends a request and returns how its stream ended. When ctx ends first the stream is cancelled, and its reset
-// is written, or the connection ended, before Do returns. With ErrNoStream nothing was sent.
+// Do sends a request and returns the event that ended its stream. If ctx ends first, Do cancels the stream and returns
+// once the reset is written or the connection has ended. If it returns an error, such as ErrNoStream, nothing was sent.
 func (c *Conn) Do(ctx context.Context, request *Request) (Event, error) {
 	receiver := make(endReceiver, 1)
 	id, err := c.open(request, receiver)
@@ -166,7 +166,7 @@
 	return <-receiver, nil
 }
 
-// View returns what Choose needs to know of the connection.
+// View returns the connection's state for Choose.
 func (c *Conn) View() View {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,14 +179,14 @@
 	}
 }
 
-// Idle returns since when no stream has been open; false where one is.
+// Idle returns the time since which no stream has been open, or false if a stream is open.
 func (c *Conn) Idle() (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.idleSince, c.machine.OpenStreams() == 0
 }
 
-// Retire has the connection take no more requests, and end with its last stream.
+// Retire makes the connection accept no more requests and end once its last stream has ended.
 func (c *Conn) Retire() {
 	c.mu.Lock()
 	c.machine.Retire()
@@ -201,5 +201,5 @@
 	c.conn.Close()
 }
 
-// Done is closed when the connection has ended.
+// Done returns a channel that is closed when the connection has ended.
 func (c *Conn) Done() <-chan struct{} { return c.done }
--- a/internal/h2/conn_read.go
+++ b/internal/h2/conn_read.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	maxReadFrameBytes = 1 << 20     // of a frame that is read; a longer one is an error of the server's
-	overheadPeriod    = time.Second // in which noise frames are counted
+	maxReadFrameBytes = 1 << 20     // limit on the length of a received frame; a longer one is a connection error (FRAME_SIZE_ERROR)
+	overheadPeriod    = time.Second // period over which overhead frames are counted against maxOverheadFrames
 )
 
-// read handles frames until the connection ends.
+// read reads and handles frames until the connection ends.
 func (c *Conn) read() {
 	counted := &countingConn{Conn: c.conn}
 	frames := http2.NewFramer(nil, counted)
@@ -32,12 +32,12 @@
 	}
 }
 
-// isSettings reports whether a frame was read and is one of settings, with which HTTP/2 begins.
+// isSettings reports whether a SETTINGS frame was read, which must be the first frame of an HTTP/2 connection.
 func isSettings(frame http2.Frame, err error) bool {
 	return err == nil && frame.Header().Type == http2.FrameSettings
 }
 
-// handleFrame handles a frame, or the error of reading it. It reports whether the connection has ended.
+// handleFrame handles a frame, or the error from reading one. It reports whether the connection has ended.
 func (c *Conn) handleFrame(frame http2.Frame, err error, hasRead bool) (hasEnded bool) {
 	c.mu.Lock()
 	if hasRead {
@@ -62,7 +62,7 @@
 	return hasEnded
 }
 
-// countingConn counts the bytes that are read.
+// countingConn counts the bytes read from a connection.
 type countingConn struct {
 	net.Conn
 	bytesRead int64
@@ -75,16 +75,17 @@
 	return n, err
 }
 
-// eventReceiver receives the events of a stream in order, with Conn.mu locked. It must neither block nor call back.
+// eventReceiver receives the events of a stream in order. receive is called with Conn.mu locked, so it must neither block
+// nor call the Conn.
 type eventReceiver interface{ receive(Event) }
 
-// endReceiver receives the one event of a stream whose answer is buffered.
+// endReceiver receives the only event of a stream whose answer is buffered.
 type endReceiver chan Event
 
 func (r endReceiver) receive(event Event) { r <- event }
 
-// deliver passes events to their receivers and records what has changed. c.mu is locked. It reports whether the
-// connection has ended.
+// deliver passes events to their receivers and wakes the goroutines that wait for a change of the connection's state.
+// It reports whether the connection has ended. c.mu must be locked.
 func (c *Conn) deliver(events []Event) (hasEnded bool) {
 	for _, event := range events {
 		if receiver := c.receivers[event.ID]; receiver != nil {
@@ -111,7 +112,7 @@
 	return hasEnded
 }
 
-// closeOnFirstCall closes a channel that is not closed, and reports whether it was not. Calls must not be concurrent.
+// closeIfOpen closes a channel unless it is closed, and reports whether it was open. Calls must not be concurrent.
 func closeIfOpen(channel chan struct{}) bool {
 	select {
 	case <-channel:
--- a/internal/h2/conn_test.go
+++ b/internal/h2/conn_test.go
@@ -12,15 +12,15 @@
 	"golang.org/x/net/http2"
 )
 
-// pipe is a connection to a server that greets and then does what serve does with its frames.
+// startWithFakeServer starts a connection to a fake server, which completes the handshake and then runs serve.
 func startWithFakeServer(t *testing.T, options Options, serve func(serverConn net.Conn, framer *http2.Framer)) *Conn {
 	t.Helper()
 	clientConn, serverConn := net.Pipe()
 	go func() {
 		framer := http2.NewFramer(serverConn, serverConn)
 		io.ReadFull(serverConn, make([]byte, len(preface)))
-		go http2.NewFramer(serverConn, nil).WriteSettings() // while the other side writes too
-		for range 3 {                                       // settings, the window, the ack
+		go http2.NewFramer(serverConn, nil).WriteSettings() // in a goroutine, since the client writes its preface and settings at the same time
+		for range 3 {                                       // the client's SETTINGS, WINDOW_UPDATE and SETTINGS acknowledgement
 			framer.ReadFrame()
 		}
 		serve(serverConn, framer)
@@ -34,8 +34,8 @@
 
 var getRequest = &Request{Method: "GET", Scheme: "http", Authority: "a", Path: "/"}
 
-// TestSilentServerIsGivenUp checks that a connection whose server vanishes is ended after a ping without an answer, and that
-// one whose server answers pings is not, however long its answer takes.
+// TestConnectionToSilentServerEnds checks that a connection ends if its server stops responding and does not answer a ping,
+// and that a connection whose server answers pings is kept, however long the answer to a request takes.
 func TestConnectionToSilentServerEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		startedAt := time.Now()
@@ -67,8 +67,8 @@
 	})
 }
 
-// TestServerThatReadsNothingIsGivenUp checks that a server which reads nothing delays a cancelled request no longer than a
-// reset may take, and that its connection is then ended.
+// TestCancelTimesOutWhenServerReadsNothing checks that a server that reads nothing delays the end of a cancelled request by
+// cancelTimeout at most, and that the connection then ends.
 func TestCancelTimesOutWhenServerReadsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stop := make(chan struct{})
--- a/internal/h2/conn_write.go
+++ b/internal/h2/conn_write.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	writeTimeout  = 5 * time.Second        // of one write to the socket
-	cancelTimeout = 250 * time.Millisecond // until the reset of a cancelled stream is written
+	writeTimeout  = 5 * time.Second        // limit on one write to the socket
+	cancelTimeout = 250 * time.Millisecond // limit on the time until the reset of a cancelled stream is written
 )
 
-// wakeWriter wakes the goroutine that writes.
+// wakeWriter wakes the writing goroutine.
 func (c *Conn) wakeWriter() {
 	select {
 	case c.wake <- struct{}{}:
@@ -20,9 +20,9 @@
 	}
 }
 
-// writeNow writes as much as the socket takes without blocking, which nearly always is everything; the writing goroutine
-// writes the rest. So no goroutine is woken for each request, and no caller blocks past its deadline on a server that
-// reads nothing.
+// writeNow writes as much output as the socket accepts without blocking, which is nearly always all of it; the writing
+// goroutine writes the rest. This avoids waking a goroutine for each request, and no caller blocks past its deadline if
+// the server reads nothing.
 func (c *Conn) writeNow() {
 	if c.rawConn == nil {
 		c.wakeWriter()
@@ -46,14 +46,14 @@
 	}
 	c.recordWrite(max(n, 0))
 	c.mu.Lock()
-	needsWriter := c.machine.HasOutput() || c.isClosing || c.machine.Err() != nil // it has not gone on meanwhile
+	needsWriter := c.machine.HasOutput() || c.isClosing || c.machine.Err() != nil // the writing goroutine does not write while isWriting is set
 	c.mu.Unlock()
 	if needsWriter {
 		c.wakeWriter()
 	}
 }
 
-// wrote records that n bytes were written.
+// recordWrite records that n bytes were written.
 func (c *Conn) recordWrite(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,7 +63,7 @@
 	c.flushed.Broadcast()
 }
 
-// wakeBlockedWriters wakes the streams whose writers wait for space. c.mu is locked.
+// wakeBlockedWriters wakes the streams whose Write waits for buffer space. c.mu must be locked.
 func (c *Conn) wakeBlockedWriters() {
 	for s := range c.blockedWriters {
 		delete(c.blockedWriters, s)
@@ -71,7 +71,7 @@
 	}
 }
 
-// isFinished reports whether the connection has ended, or is to end now that its last stream has. c.mu is locked.
+// isFinished reports whether the connection has ended, or is closing and its last stream has ended. c.mu must be locked.
 func (c *Conn) isFinished() bool {
 	if c.machine.Err() != nil {
 		return true
@@ -79,7 +79,7 @@
 	return c.isClosing && c.machine.IsEnding() && c.machine.OpenStreams() == 0
 }
 
-// write writes the machine's output, until the connection has ended and all of it is written.
+// write writes the machine's output until the connection has ended and all output is written.
 func (c *Conn) write() {
 	defer c.conn.Close()
 	for {
@@ -109,8 +109,8 @@
 	}
 }
 
-// awaitFlush waits until everything before an offset is written. A connection on which a reset can't be written in time
-// is ended: the request must not still run when another server gets it.
+// awaitFlush waits until all output before an offset is written, and closes the connection if that takes longer than
+// cancelTimeout. Otherwise the server might still process a cancelled request while another server is sent the same one.
 func (c *Conn) awaitFlush(offset int64) {
 	closeTimer := time.AfterFunc(cancelTimeout, c.Close)
 	defer closeTimer.Stop()
--- a/internal/h2/frames.go
+++ b/internal/h2/frames.go
@@ -11,9 +11,9 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// This file handles received frames.
+// This file handles the frames received from the server.
 
-// Unreadable handles an error of http2.Framer: no frame could be read.
+// HandleReadError handles an error that http2.Framer returned instead of a frame.
 func (m *Machine) HandleReadError(err error) []Event {
 	if m.connErr != nil {
 		return nil
@@ -37,7 +37,7 @@
 // isKnownStream reports whether a stream has been opened, even if it is closed by now.
 func (m *Machine) isKnownStream(id uint32) bool { return id%2 == 1 && id < m.nextID }
 
-// endMalformed ends a stream whose answer is malformed; other streams go on (RFC 9113, 8.1.1).
+// endMalformed resets a stream whose answer is malformed; other streams continue (RFC 9113, 8.1.1).
 func (m *Machine) endMalformed(id uint32, code http2.ErrCode, detail string) []Event {
 	m.countOverhead()
 	if m.overheadFrames > maxOverheadFrames {
@@ -52,14 +52,14 @@
 	return []Event{event}
 }
 
-// countNoise counts a frame that contributes to no answer. Guards against floods of pings, settings, resets
-// and empty frames, each of which costs this side something.
+// countOverhead counts a frame that contributes to no answer. The limit on these frames guards against floods of
+// pings, settings, resets and empty frames, each of which costs this side processing time or output.
 func (m *Machine) countOverhead() { m.overheadFrames++ }
 
-// ResetNoise resets the count of frames that contribute to no answer. It is called once a second.
+// ResetOverhead resets the count of frames that contribute to no answer. Conn calls it about once a second.
 func (m *Machine) ResetOverhead() { m.overheadFrames = 0 }
 
-// Handle handles a frame, as http2.Framer reads it with ReadMetaHeaders set. It ignores frames after the end of
+// Handle handles a frame that http2.Framer has read with ReadMetaHeaders set. It ignores frames after the end of
 // the connection.
 func (m *Machine) Handle(frame http2.Frame) []Event {
 	if m.connErr != nil {
@@ -190,8 +190,9 @@
 	return []Event{m.endStream(stream, EndReset, frame.ErrCode, "")}
 }
 
-// handleGoAway ends the streams that the server has not accepted. The last accepted id may fall later, never rise
-// (RFC 9113, 6.8): streams above the lowest one were reported as rejected, and may have been sent to another server.
+// handleGoAway ends the streams that the server has not accepted. A later GOAWAY may lower the last accepted id but not
+// raise it (RFC 9113, 6.8): the requests above the lowest id were reported as rejected, and may have been sent to another
+// server.
 func (m *Machine) handleGoAway(frame *http2.GoAwayFrame) (events []Event) {
 	m.hasGoAway = true
 	m.lastAcceptedID = min(m.lastAcceptedID, frame.LastStreamID)
@@ -253,7 +254,7 @@
 	return m.handleFinalHead(stream, status, header, frame.StreamEnded())
 }
 
-// statusOf reads an answer's pseudo header fields.
+// parseStatus returns the status code from the pseudo-header fields of an answer.
 func parseStatus(fields []hpack.HeaderField) (int, error) {
 	if len(fields) != 1 || fields[0].Name != ":status" || len(fields[0].Value) != 3 {
 		return 0, errors.New("a head without one :status")
@@ -265,7 +266,7 @@
 	return int(status), nil
 }
 
-// finalHead handles the head of a final answer.
+// handleFinalHead handles the head of a final answer.
 func (m *Machine) handleFinalHead(stream *stream, status int, header http.Header, ended bool) []Event {
 	m.overheadFrames = 0
 	stream.hasFinalHead = true
@@ -297,7 +298,7 @@
 	if !m.isKnownStream(frame.StreamID) {
 		return m.failConnection(http2.ErrCodeProtocol, "data on stream %d, which was not opened", frame.StreamID)
 	}
-	m.returnWindow(frame.Length) // with its padding, also where the stream has ended (RFC 9113, 6.9)
+	m.returnWindow(frame.Length) // padding and frames of ended streams count too (RFC 9113, 6.9)
 	stream := m.streams[frame.StreamID]
 	if stream == nil {
 		return nil
@@ -324,7 +325,7 @@
 			stream.appendBody(data)
 		}
 	}
-	// Padding takes from the stream's window and is not consumed by the caller: it is returned at once.
+	// Padding counts against the stream's window, but the caller never consumes it, so its window is returned at once.
 	if pad := int(frame.Length) - len(data); pad > 0 && !frame.StreamEnded() {
 		stream.windowBytes -= pad
 		m.frames.WriteWindowUpdate(stream.id, uint32(pad))
@@ -335,7 +336,7 @@
 	return events
 }
 
-// maxBodyBytesOf returns how many bytes the body of a stream's answer may have.
+// maxBodyBytesOf returns the maximum length of the body of a stream's answer.
 func (m *Machine) maxBodyBytesOf(stream *stream) int64 {
 	if stream.hasNoBody {
 		return 0
@@ -350,7 +351,7 @@
 	return limit
 }
 
-// buffer appends to the body of an answer that is buffered.
+// appendBody appends to the body of a buffered answer.
 func (s *stream) appendBody(data []byte) {
 	if s.answer.Body == nil && s.contentLength > 0 {
 		s.answer.Body = make([]byte, 0, s.contentLength)
@@ -358,8 +359,8 @@
 	s.answer.Body = append(s.answer.Body, data...)
 }
 
-// endAnswered ends a stream with its complete answer. Where the server did not wait for the rest of the request, the
-// rest is not sent (RFC 9113, 8.1).
+// endAnswered ends a stream with its complete answer. If the server answered before it received the complete request,
+// the stream is reset and the rest of the request is not sent (RFC 9113, 8.1).
 func (m *Machine) endAnswered(stream *stream) []Event {
 	if stream.contentLength >= 0 && !stream.hasNoBody && stream.bodyBytes != stream.contentLength {
 		detail := fmt.Sprintf("a body of %d bytes, Content-Length %d", stream.bodyBytes, stream.contentLength)
--- a/internal/h2/machine.go
+++ b/internal/h2/machine.go
@@ -1,9 +1,10 @@
-// Package h2 implements the client's side of HTTP/2 (RFC 9113) for connections to app servers.
+// Package h2 implements the client side of HTTP/2 (RFC 9113) for connections to app servers.
 //
-// Machine is one connection as a state machine without I/O: it handles frames and returns events and the bytes to
-// write. Conn runs a Machine on a socket with two goroutines, and is safe for concurrent use; Stream is a request
-// on it whose bodies pass through. OutcomeOf tells what is known of a request whose stream ended without an
-// answer, and Choose which connection a request takes. Package upstream is the caller. No request is retried here.
+// Machine is the state machine of one connection. It does no I/O: it handles frames, and returns events and the bytes
+// to write. Conn runs a Machine on a socket with two goroutines, and is safe for concurrent use. Stream is a request on
+// a Conn whose request and answer bodies are streamed. OutcomeOf returns whether a request whose stream ended without an
+// answer may have been processed. Choose selects the connection for a request. Package upstream uses this package and
+// decides on retries; this package retries no request.
 package h2
 
 import (
@@ -23,24 +24,24 @@
 	maxWindow                 = 1<<31 - 1
 	defaultFrameBytes         = 16 << 10
 	maxStreamID               = 1<<31 - 1
-	defaultTableBytes         = 4096     // of header compression, in both directions
-	maxInterimAnswers         = 32       // answers of 1xx to one request
-	maxOverheadFrames         = 1000     // frames in a second that contribute neither to an answer nor to sending a body
-	bodyBytesPerOverheadFrame = 1024     // sent bytes of a body for which one noise frame is not counted
-	maxOutputBytes            = 1 << 20  // that are buffered before bodies wait
-	maxSentFrameBytes         = 1 << 16  // of a frame of a body; longer ones would delay other streams
-	maxCachedNames            = 200      // of header fields, for each direction
-	maxUnreturnedWindow       = 16 << 10 // of the connection's window
-	maxDetailBytes            = 100      // of a GOAWAY's debug data in errors
+	defaultTableBytes         = 4096     // size of the header compression table, in each direction
+	maxInterimAnswers         = 32       // limit on interim answers (1xx) to one request
+	maxOverheadFrames         = 1000     // limit on frames per second that contribute neither to an answer nor to sending a body
+	bodyBytesPerOverheadFrame = 1024     // each time this many bytes of a body are sent, one overhead frame is deducted from the count
+	maxOutputBytes            = 1 << 20  // buffered output above which bodies wait
+	maxSentFrameBytes         = 1 << 16  // limit on a DATA frame that is sent; longer ones would delay other streams
+	maxCachedNames            = 200      // limit on cached names of header fields, for each direction
+	maxUnreturnedWindow       = 16 << 10 // consumed part of the connection's window that is not yet returned to the server
+	maxDetailBytes            = 100      // limit on the GOAWAY debug data that errors contain
 )
 
-// Limits bound what a connection keeps in memory.
+// Limits bound the memory that a connection uses.
 type Limits struct {
-	MaxStreams         int // open at once, whatever the server allows
-	MaxLifetimeStreams int // over the connection's lifetime; 0 is as many as there are ids
-	MaxHeadBytes       int // bytes of an answer's head or trailers, each field counted with 32 more
-	MaxBodyBytes       int // bytes of an answer's body
-	// StartsAtLastByte says that servers start a request with its last byte and not with its head.
+	MaxStreams         int // limit on concurrent streams, even if the server allows more
+	MaxLifetimeStreams int // limit on streams over the connection's lifetime; 0 means the number of stream ids
+	MaxHeadBytes       int // size limit of an answer's head or trailers; each field counts 32 bytes more (RFC 9113, 6.5.2)
+	MaxBodyBytes       int // size limit of the body of a buffered answer, and of a streamed one's unconsumed data
+	// StartsAtLastByte reports whether servers start to process a request when its last byte arrives, not its head.
 	StartsAtLastByte bool
 }
 
@@ -60,8 +61,8 @@
 	return l
 }
 
-// Request is what is sent on a stream. Its header is in net/http's form; fields that are a
-// connection's own (RFC 9113, 8.2.2) are left out.
+// Request is a request to send on a stream. Its header has the names in net/http's canonical form; connection-specific
+// fields (RFC 9113, 8.2.2) are not sent.
 type Request struct {
 	Method    string
 	Scheme    string
@@ -69,38 +70,38 @@
 	Path      string
 	Header    http.Header
 	Body      []byte
-	// HasMoreBody says that Feed adds to the body. ContentLength is then the length of the complete one, below
-	// zero where it is not known.
+	// HasMoreBody reports whether SendBody will add to the body. ContentLength is then the length of the complete
+	// body, or negative if it is not known.
 	HasMoreBody   bool
 	ContentLength int64
-	// StreamsAnswer says that the answer is passed on in events and not buffered: no more of it than its window
-	// is in transit until Consumed is called.
+	// StreamsAnswer reports whether the answer is passed on in events and not buffered. The server sends at most one
+	// flow-control window of it until Consumed is called.
 	StreamsAnswer bool
-	// MayBegin, which may be nil, is called right before the request is written and decides whether it is.
+	// MayBegin, which may be nil, is called right before the request is written; if it returns false, nothing is written.
 	MayBegin func() bool
 }
 
-// Answer is a complete answer, or the head of one that is streamed.
+// Answer is a complete answer, or the head of a streamed answer.
 type Answer struct {
 	Status  int
 	Header  http.Header
-	Trailer http.Header // nil is none
+	Trailer http.Header // nil if there are no trailers
 	Body    []byte
 }
 
-// Event is how a stream ended, with either an answer or an error. For a request with StreamsAnswer it may also be
-// a part of the answer; the end is the last event of a stream.
+// Event is the end of a stream, with either an answer or an error. For a request with StreamsAnswer it may also be a
+// part of the answer. The last event of a stream is its end.
 type Event struct {
 	ID      uint32
 	Answer  *Answer
 	Err     *StreamError
-	Outcome StreamOutcome // where there is an error
+	Outcome StreamOutcome // set together with Err
 
-	Head *Answer // of 1xx, or that of the answer itself
-	Data []byte  // valid until the next frame is read
+	Head *Answer // head of an interim answer (1xx) or of the final answer
+	Data []byte  // part of the body; valid until the next frame is read
 }
 
-// ends reports whether the event is the end of a stream.
+// ends reports whether the event ends its stream.
 func (e *Event) ends() bool { return e.Answer != nil || e.Err != nil }
 
 // Errors of a request that was not sent.
@@ -110,7 +111,7 @@
 	ErrWithdrawn   = errors.New("the request was withdrawn")
 )
 
-// Machine is the client's side of a connection. It is not safe for concurrent use.
+// Machine is the client side of a connection, as a state machine without I/O. It is not safe for concurrent use.
 type Machine struct {
 	Limits
 	output      bytes.Buffer
@@ -118,34 +119,34 @@
 	headerBlock bytes.Buffer
 	encoder     *hpack.Encoder // writes to headerBlock
 	writing     []byte         // the part of the output that is being written
-	written     int64          // bytes that the socket has taken
-	offered     int64          // bytes that it may have taken, also by a write that has not returned
+	written     int64          // number of bytes that the socket has accepted
+	offered     int64          // number of bytes that the socket may have accepted, including a write that has not returned
 
 	nextID         uint32 // the id of the next stream
 	streams        map[uint32]*stream
 	hasSettings    bool // the server's first settings have arrived
 	hasGoAway      bool // the server accepts no more streams
 	lastAcceptedID uint32
-	isRetired      bool  // this side opens no more streams
-	connErr        error // the connection's end; nil while it lasts
-
-	peerMaxStreams   uint32 // streams at once, by the server
-	sendWindow       int64  // of the connection, for data of this side
-	initialWindow    int64  // of each new stream
-	maxFrameBytes    int    // of a frame that is sent
-	peerMaxHeadBytes uint32 // bytes of a request's head, by the server; 0 is any
-	unreturnedWindow uint32 // of the connection, for data of the server
-	overheadFrames   int    // see countNoise
+	isRetired      bool  // Retire was called: this side opens no more streams
+	connErr        error // why the connection has ended; nil while it is open
+
+	peerMaxStreams   uint32 // the server's limit on concurrent streams
+	sendWindow       int64  // connection-level window for data that this side sends
+	initialWindow    int64  // send window of each new stream
+	maxFrameBytes    int    // limit on the payload of a sent frame
+	peerMaxHeadBytes uint32 // the server's limit on a request's head; 0 means no limit
+	unreturnedWindow uint32 // part of the connection-level receive window that is not yet returned
+	overheadFrames   int    // see countOverhead
 	sentPings        uint64
-	awaitedPing      uint64   // the number of the ping whose answer is awaited; 0 is none
-	waitingStreams   []uint32 // whose bodies wait for a window or the socket
+	awaitedPing      uint64   // number of the ping that is not yet acknowledged; 0 for none
+	waitingStreams   []uint32 // streams whose bodies wait for a flow-control window or for the socket
 
-	lowerNames     nameCache // names in lower case by their form in net/http
-	canonicalNames nameCache // the reverse
+	lowerNames     nameCache // lower-case names by their canonical form in net/http
+	canonicalNames nameCache // canonical names by their lower-case form
 }
 
-// nameCache has converted names of header fields, so that frequent ones are not allocated for each request. Its zero
-// value is empty.
+// nameCache caches converted names of header fields, so that frequent names are not allocated for each request. Its
+// zero value is an empty cache.
 type nameCache map[string]string
 
 func (n *nameCache) get(name string, convert func(string) string) string {
@@ -166,25 +167,25 @@
 	id               uint32
 	sendWindow       int64
 	unsentBody       []byte
-	hasMoreBody      bool        // Feed will add to the body
+	hasMoreBody      bool        // SendBody will add to the body
 	trailer          http.Header // sent after the body
-	isQueued         bool        // the complete request is in output, or was
+	isQueued         bool        // the complete request has been written to output
 	streamsAnswer    bool        // the answer is passed on in events as it arrives
-	unreturnedWindow int         // of this side's window, consumed and not returned
-	firstOffset      int64       // of the request's first byte in the connection's output
-	endOffset        int64       // of its end, once isQueued
+	unreturnedWindow int         // part of the receive window that is consumed and not yet returned
+	firstOffset      int64       // offset of the request's first byte in the connection's output
+	endOffset        int64       // offset after the request's last byte, set once isQueued
 	hasFinalHead     bool        // the head of the final answer has arrived
 	interimAnswers   int
-	contentLength    int64 // of the answer's body; below zero it is not stated
-	hasAnyHead       bool  // some head has arrived, also of an interim answer
-	hasNoBody        bool  // the answer has no body: to HEAD, 204, 304
+	contentLength    int64 // Content-Length of the answer; negative if there is none
+	hasAnyHead       bool  // the head of any answer, interim or final, has arrived
+	hasNoBody        bool  // the answer has no body: it is one to HEAD, or has status 204 or 304
 	isHeadRequest    bool
-	windowBytes      int   // bytes of the answer that this side's window counts
-	bodyBytes        int64 // bytes of the answer's body
+	windowBytes      int   // received bytes that count against the stream's receive window
+	bodyBytes        int64 // received bytes of the answer's body
 	answer           Answer
 }
 
-// New makes the machine of a new connection; the first bytes to write are in PendingBytes.
+// New returns the machine of a new connection. PendingBytes returns the connection preface as the first bytes to write.
 func New(limits Limits) *Machine {
 	machine := &Machine{
 		Limits:         limits.orDefault(),
@@ -204,7 +205,7 @@
 		http2.Setting{ID: http2.SettingInitialWindowSize, Val: uint32(machine.MaxBodyBytes + 1)},
 		http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: uint32(machine.MaxHeadBytes)},
 	)
-	// The connection's window has space for the windows of all streams, so that none waits because of another one.
+	// The connection-level window is the sum of the windows of all streams, so that no stream blocks another one.
 	window := int64(machine.MaxStreams)*int64(machine.MaxBodyBytes+1) + maxUnreturnedWindow
 	if window > defaultWindow {
 		machine.frames.WriteWindowUpdate(0, uint32(min(window, maxWindow)-defaultWindow))
@@ -212,8 +213,8 @@
 	return machine
 }
 
-// returnWindow returns n bytes of the connection's window to the server. It does so without regard to the streams,
-// which have windows of their own.
+// returnWindow returns n bytes of the connection-level window to the server. It does not wait for the data to be
+// consumed, since the streams' own windows limit the buffered data.
 func (m *Machine) returnWindow(n uint32) {
 	m.unreturnedWindow += n
 	if m.unreturnedWindow >= maxUnreturnedWindow {
@@ -225,13 +226,13 @@
 // HasSettings reports whether the server's settings have arrived.
 func (m *Machine) HasSettings() bool { return m.hasSettings }
 
-// Err returns why the connection has ended; nil while it lasts.
+// Err returns why the connection has ended, or nil while it is open.
 func (m *Machine) Err() error { return m.connErr }
 
 // OpenStreams returns how many streams are open.
 func (m *Machine) OpenStreams() int { return len(m.streams) }
 
-// StreamLimit returns how many streams may be open at once; 0 where the server allows none.
+// StreamLimit returns the limit on concurrent streams; it is 0 if the server allows none.
 func (m *Machine) StreamLimit() int { return int(min(uint32(m.MaxStreams), m.peerMaxStreams)) }
 
 // IsEnding reports whether no more streams can be opened.
@@ -248,7 +249,7 @@
 	return max(0, m.StreamLimit()-len(m.streams))
 }
 
-// Retire allows no more streams. The connection is of no use once none is open.
+// Retire prevents new streams and sends a GOAWAY. The connection can be closed once no stream is open.
 func (m *Machine) Retire() {
 	if !m.isRetired && m.connErr == nil {
 		m.isRetired = true
@@ -256,8 +257,8 @@
 	}
 }
 
-// PendingBytes returns what is to be written next; nil is nothing. It does not change until Wrote is called, even
-// if there is more to write meanwhile.
+// PendingBytes returns the bytes to write next; the result is empty if there are none. It does not change until
+// RecordWrite is called, even if more output is added meanwhile.
 func (m *Machine) PendingBytes() []byte {
 	if len(m.writing) == 0 {
 		m.writing = append(m.writing[:0], m.output.Bytes()...)
@@ -270,10 +271,10 @@
 // HasOutput reports whether there is anything to write.
 func (m *Machine) HasOutput() bool { return len(m.writing) > 0 || m.output.Len() > 0 }
 
-// OutputOffset returns the offset after the last byte that is to be written so far.
+// OutputOffset returns the offset after the last byte of the output so far.
 func (m *Machine) OutputOffset() int64 { return m.offset() }
 
-// Wrote records that the socket has taken n of PendingBytes.
+// RecordWrite records that the socket has accepted the first n bytes of PendingBytes.
 func (m *Machine) RecordWrite(n int) {
 	m.writing = m.writing[n:]
 	m.written += int64(n)
@@ -283,8 +284,8 @@
 	}
 }
 
-// moment returns how far a stream's request has gone, or will have where the connection remains: output can't be
-// withdrawn.
+// progress returns how much of a stream's request has been sent. If the connection stays open, buffered output counts
+// as sent, since it can't be withdrawn.
 func (m *Machine) progress(stream *stream, end End) Moment {
 	switch {
 	case stream.hasAnyHead:
@@ -308,7 +309,8 @@
 	}
 }
 
-// Cancel resets a stream. Its request may still reach the server until everything before OutputOffset is written.
+// Cancel resets a stream. The server may still start to process its request until all output before OutputOffset, which includes the
+// reset, is written.
 func (m *Machine) Cancel(id uint32) (Event, bool) {
 	stream := m.streams[id]
 	if stream == nil || m.connErr != nil {
@@ -319,7 +321,7 @@
 	return event, true
 }
 
-// Ping sends a ping, unless an answer to one is awaited already.
+// Ping sends a ping, unless an earlier one is not yet acknowledged.
 func (m *Machine) Ping() {
 	if m.connErr != nil || m.awaitedPing != 0 {
 		return
@@ -333,10 +335,10 @@
 	m.frames.WritePing(false, data)
 }
 
-// IsAwaitingPing reports whether the answer to a ping is awaited.
+// IsAwaitingPing reports whether a ping is not yet acknowledged.
 func (m *Machine) IsAwaitingPing() bool { return m.awaitedPing != 0 }
 
-// Break ends the connection: all streams end.
+// Abort ends the connection and all its streams with cause as the error.
 func (m *Machine) Abort(cause error) []Event {
 	if m.connErr != nil {
 		return nil
@@ -346,14 +348,14 @@
 
 func (m *Machine) endConnection(code http2.ErrCode, cause error) (events []Event) {
 	m.connErr = cause
-	m.output.Reset() // what is reported as unsent must not be sent
+	m.output.Reset() // requests reported as unsent must not be sent
 	for _, stream := range m.streams {
 		events = append(events, m.endStream(stream, EndBroken, code, cause.Error()))
 	}
 	return events
 }
 
-// fail ends the connection for an error of the server's, with a GOAWAY (RFC 9113, 5.4.1).
+// failConnection ends the connection because of a connection error by the server, and sends a GOAWAY (RFC 9113, 5.4.1).
 func (m *Machine) failConnection(code http2.ErrCode, format string, args ...any) []Event {
 	events := m.endConnection(code, fmt.Errorf("%v: "+format, append([]any{code}, args...)...))
 	m.frames.WriteGoAway(0, code, nil)
--- a/internal/h2/machine_test.go
+++ b/internal/h2/machine_test.go
@@ -10,11 +10,11 @@
 	"golang.org/x/net/http2"
 )
 
-// TestGoAwayEndsLaterStreams checks that streams above the last id of a GOAWAY end, that the others go on, and that the id never
-// rises.
+// TestGoAwayEndsLaterStreams checks that streams above the last stream id of a GOAWAY end, that the others continue, and that a
+// later GOAWAY can't raise the id.
 func TestGoAwayEndsLaterStreams(t *testing.T) {
 	peer := newReadyPeer(t, Limits{})
-	for range 4 { // 1, 3, 5, 7
+	for range 4 { // stream ids 1, 3, 5, 7
 		peer.open("body")
 	}
 	peer.flushOutput()
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestFlowControlWindows checks that a body is sent as far as both windows allow, also where settings lower them below zero, and
-// that bodies take turns.
+// TestFlowControlWindows checks that both the stream's and the connection's window limit a body, also after settings have made
+// a window negative, and that several bodies are sent in turn.
 func TestFlowControlWindows(t *testing.T) {
 	peer := newReadyPeer(t, Limits{}, http2.Setting{ID: http2.SettingInitialWindowSize, Val: 100})
 	first, second := peer.open(strings.Repeat("a", 150)), peer.open(strings.Repeat("b", 70000))
@@ -68,20 +68,20 @@
 		}
 	}
 	checkData(fmt.Sprintf("DATA %d 100 false", first), fmt.Sprintf("DATA %d 100 false", second))
-	peer.frameWriter.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 20}) // both owe 80
+	peer.frameWriter.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 20}) // both windows are now -80
 	peer.frameWriter.WriteWindowUpdate(first, 80)
 	peer.processInput()
 	checkData()
 	peer.frameWriter.WriteWindowUpdate(first, 50)
 	peer.processInput()
 	checkData(fmt.Sprintf("DATA %d 50 true", first))
-	peer.frameWriter.WriteWindowUpdate(second, 80000) // now the connection's is the less: 65535 - 250
+	peer.frameWriter.WriteWindowUpdate(second, 80000) // the connection's window is now the smaller one: 65535 - 250
 	peer.processInput()
 	checkData(fmt.Sprintf("DATA %d 16384 false", second), fmt.Sprintf("DATA %d 16384 false", second), fmt.Sprintf("DATA %d 16384 false", second), fmt.Sprintf("DATA %d 16133 false", second))
 	peer.frameWriter.WriteWindowUpdate(0, 1<<20)
 	peer.processInput()
 	checkData(fmt.Sprintf("DATA %d 4615 true", second))
-	// The answer to one whose body is not out yet is taken, and the rest not sent.
+	// An answer that arrives before the request's body is sent is accepted; the rest of the body is not sent.
 	third := peer.open(strings.Repeat("c", 100))
 	peer.writeHead(third, true, ":status: 200")
 	if e := peer.processInput(); len(e) != 1 || e[0].Answer == nil {
@@ -92,7 +92,7 @@
 	}
 }
 
-// TestLowerStreamLimit checks that a limit below the number of open streams ends none of them and holds from then on.
+// TestLowerStreamLimit checks that a stream limit below the number of open streams ends none of them and applies to new ones.
 func TestLowerStreamLimit(t *testing.T) {
 	peer := newReadyPeer(t, Limits{MaxStreams: 10}, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 3})
 	for range 3 {
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestConnectionWithoutStreamIDsEnds checks that ten thousand streams leave nothing behind, and that the connection takes no more
-// once the ids are used up.
+// TestConnectionWithoutStreamIDsEnds checks that ten thousand streams leave no state and no large buffer in the machine, and that
+// the connection accepts no more streams once the stream ids are used up.
 func TestConnectionWithoutStreamIDsEnds(t *testing.T) {
 	peer := newReadyPeer(t, Limits{MaxLifetimeStreams: 10000})
 	for i := range 10000 {
@@ -138,11 +138,12 @@
 	}
 }
 
-// TestPingsAndLongHeads checks that pings are sent and answered, and how the head of a request is encoded.
+// TestPingsAndLongHeads checks that one ping at a time is sent and matched with its acknowledgement, how the head of a request
+// is encoded, and that a head above the server's limit is not sent.
 func TestPingsAndLongHeads(t *testing.T) {
 	peer := newReadyPeer(t, Limits{})
 	peer.machine.Ping()
-	peer.machine.Ping() // one is awaited
+	peer.machine.Ping() // sends nothing: the first ping is not acknowledged yet
 	if got := peer.frames(); len(got) != 1 || !peer.machine.IsAwaitingPing() {
 		t.Errorf("%v", got)
 	}
@@ -174,8 +175,8 @@
 	}
 }
 
-// FuzzServer has a machine with open streams read anything from its server: it keeps its bounds,
-// and each stream ends once.
+// FuzzServer checks that a machine with open streams keeps its memory limits and ends each stream exactly once, whatever
+// bytes the server sends.
 func FuzzServer(f *testing.F) {
 	peer := newReadyPeer(f, Limits{})
 	peer.writeHead(1, false, ":status: 200", "content-length: 4")
--- a/internal/h2/peer_test.go
+++ b/internal/h2/peer_test.go
@@ -13,11 +13,11 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// peer is the server's side of a machine: what it writes is read by the machine, frame by frame.
+// peer is a fake server for a Machine: it writes frames for the machine and reads the machine's output.
 type peer struct {
 	t            testing.TB
 	machine      *Machine
-	input        bytes.Buffer // to the machine
+	input        bytes.Buffer // frames for the machine
 	frameWriter  *http2.Framer
 	machineInput *http2.Framer
 	headerBlock  bytes.Buffer
@@ -44,7 +44,7 @@
 	return created
 }
 
-// newReadyPeer is a peer whose settings have been taken.
+// newReadyPeer returns a peer whose settings the machine has handled.
 func newReadyPeer(t testing.TB, limits Limits, s ...http2.Setting) *peer {
 	ready := newPeer(t, limits)
 	ready.frameWriter.WriteSettings(s...)
@@ -54,7 +54,7 @@
 	return ready
 }
 
-// feed has the machine take in what was written for it.
+// processInput passes the frames in input to the machine and returns the resulting events.
 func (p *peer) processInput() []Event {
 	p.events = nil
 	for p.input.Len() > 0 && p.machine.Err() == nil {
@@ -68,7 +68,7 @@
 	return p.events
 }
 
-// write takes all that the machine has to say.
+// flushOutput moves all pending output of the machine to output and returns it.
 func (p *peer) flushOutput() string {
 	var all []byte
 	for b := p.machine.PendingBytes(); len(b) > 0; b = p.machine.PendingBytes() {
@@ -79,7 +79,7 @@
 	return string(all)
 }
 
-// frames are what the machine said, a word each.
+// frames reads the frames that the machine has written, each formatted as a short text.
 func (p *peer) frames() (all []string) {
 	p.flushOutput()
 	for {
@@ -107,7 +107,7 @@
 	}
 }
 
-// head writes a head, "name: value" each.
+// writeHead writes a HEADERS frame for the machine. Each field has the form "name: value".
 func (p *peer) writeHead(id uint32, end bool, fields ...string) {
 	p.headerBlock.Reset()
 	for _, f := range fields {
--- a/internal/h2/sending.go
+++ b/internal/h2/sending.go
@@ -12,16 +12,16 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// This file sends requests and their bodies, as far as the flow-control windows allow.
+// This file sends requests and their bodies within the flow-control windows.
 
-// OpenStream sends a request, as far as the flow-control windows allow. The error wraps ErrNoStream, ErrHeadTooLong or
-// ErrWithdrawn; nothing was sent then.
+// OpenStream opens a stream and sends as much of its request as the flow-control windows allow. Its errors wrap
+// ErrNoStream, ErrHeadTooLong or ErrWithdrawn; if it returns one, nothing was sent.
 func (m *Machine) OpenStream(request *Request) (uint32, error) {
 	if m.FreeStreams() == 0 {
 		return 0, ErrNoStream
 	}
 	fields := m.fields(request)
-	if err := m.checkHeadSize(fields); err != nil { // before encoding, which changes the compression table
+	if err := m.checkHeadSize(fields); err != nil { // checked before encoding, which changes the compression table
 		return 0, err
 	}
 	if request.MayBegin != nil && !request.MayBegin() {
@@ -54,7 +54,7 @@
 	return opened.id, nil
 }
 
-// checkHeadSize returns an error if the server does not accept a head of this size.
+// checkHeadSize returns an error if a head exceeds the server's limit (SETTINGS_MAX_HEADER_LIST_SIZE).
 func (m *Machine) checkHeadSize(fields iter.Seq[hpack.HeaderField]) error {
 	if m.peerMaxHeadBytes == 0 {
 		return nil
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// writeBlock writes the head, or the trailers, that headerBlock holds.
+// writeHeaderBlock writes the encoded head or trailers in headerBlock.
 func (m *Machine) writeHeaderBlock(id uint32, endsStream bool) {
 	block := m.headerBlock.Bytes()
 	for isFirst := true; isFirst || len(block) > 0; isFirst = false {
@@ -88,8 +88,8 @@
 	}
 }
 
-// Feed adds to a request's body; isLast says that this is its last part, which trailers may follow. Data that can't be
-// sent yet is buffered; UnsentBytes returns how much that is.
+// SendBody sends more of a request's body. isLast marks the last part, which trailer may follow. Data that can't be sent
+// yet is buffered; UnsentBytes returns its length.
 func (m *Machine) SendBody(id uint32, data []byte, isLast bool, trailer http.Header) {
 	stream := m.streams[id]
 	if stream == nil || !stream.hasMoreBody || m.connErr != nil {
@@ -103,7 +103,7 @@
 	m.flushBody(stream)
 }
 
-// UnsentBytes returns how much of a request's body waits for the flow-control windows or for the socket.
+// UnsentBytes returns the number of bytes of a request's body that wait for the flow-control windows or the socket.
 func (m *Machine) UnsentBytes(id uint32) int {
 	if stream := m.streams[id]; stream != nil {
 		return len(stream.unsentBody)
@@ -111,8 +111,8 @@
 	return 0
 }
 
-// Consumed records that n bytes of an answer with StreamsAnswer have been processed: the server may send as many
-// again.
+// Consumed records that the caller has processed n bytes of a streamed answer, which allows the server to send as many
+// more. The window is returned to the server in steps of more than half of MaxBodyBytes.
 func (m *Machine) Consumed(id uint32, n int) {
 	stream := m.streams[id]
 	if stream == nil || m.connErr != nil {
@@ -126,11 +126,11 @@
 	}
 }
 
-// offset returns the offset of the next byte of output, from the connection's first byte on.
+// offset returns the offset of the next byte of output, counted from the connection's first byte.
 func (m *Machine) offset() int64 { return m.written + int64(len(m.writing)+m.output.Len()) }
 
-// connectionFields are the fields of a connection, which HTTP/2 does not have (RFC 9113, 8.2.2), and host, for which it
-// has :authority.
+// connectionFields are the connection-specific fields, which HTTP/2 forbids (RFC 9113, 8.2.2), and host, which
+// :authority replaces in HTTP/2.
 var connectionFields = map[string]bool{
 	"connection":        true,
 	"keep-alive":        true,
@@ -140,7 +140,7 @@
 	"host":              true,
 }
 
-// fields returns the fields of a request's head.
+// fields returns the fields of a request's head, the pseudo-header fields first.
 func (m *Machine) fields(request *Request) iter.Seq[hpack.HeaderField] {
 	return func(yield func(hpack.HeaderField) bool) {
 		for _, field := range [...]hpack.HeaderField{
@@ -173,7 +173,8 @@
 	}
 }
 
-// isOmittedField reports whether a field has no meaning in HTTP/2 with this value.
+// isOmittedField reports whether a field is not sent with this value: TE may only be "trailers" in HTTP/2 (RFC 9113, 8.2.2),
+// and net/http's convention is that an empty User-Agent is not sent.
 func isOmittedField(name, value string) bool {
 	switch name {
 	case "te":
@@ -184,7 +185,7 @@
 	return false
 }
 
-// contentLength returns the value of Content-Length; below 0 the head has none.
+// contentLength returns the value of Content-Length; it is negative if the head has none.
 func (r *Request) contentLength() int64 {
 	if r.HasMoreBody {
 		return r.ContentLength
@@ -195,12 +196,12 @@
 	return int64(len(r.Body))
 }
 
-// usuallyHasBody reports whether a request of this method states an empty body too (RFC 9110, 8.6).
+// anticipatesContent reports whether a request of this method has a Content-Length even if its body is empty (RFC 9110, 8.6).
 func anticipatesContent(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// send sends as much of a request's body as the flow-control windows allow.
+// flushBody sends as much of a request's body as the flow-control windows and maxOutputBytes allow.
 func (m *Machine) flushBody(stream *stream) {
 	for !stream.isQueued && m.output.Len() < maxOutputBytes {
 		n := min(int64(len(stream.unsentBody)), int64(m.maxFrameBytes), stream.sendWindow, m.sendWindow)
@@ -224,7 +225,7 @@
 		stream.endOffset = m.offset()
 	}
 	if len(stream.unsentBody) == 0 {
-		stream.unsentBody = nil // frees what has been sent
+		stream.unsentBody = nil // frees the memory of the sent part
 	}
 	isWaiting := !stream.isQueued && len(stream.unsentBody) > 0
 	if isWaiting && !slices.Contains(m.waitingStreams, stream.id) {
@@ -232,7 +233,7 @@
 	}
 }
 
-// writeTrailer writes the trailer fields that end a request.
+// writeTrailer writes the trailer fields, which end a request.
 func (m *Machine) writeTrailer(stream *stream) {
 	m.headerBlock.Reset()
 	for canonicalName, values := range stream.trailer {
@@ -244,7 +245,8 @@
 	m.writeHeaderBlock(stream.id, true)
 }
 
-// sendWaiting continues with all bodies that wait for a window or the socket, in their order.
+// flushWaitingBodies continues all bodies that wait for a flow-control window or the socket, in the order in which they began
+// to wait.
 func (m *Machine) flushWaitingBodies() {
 	waiting := m.waitingStreams
 	m.waitingStreams = nil
--- a/internal/h2/server_faults_test.go
+++ b/internal/h2/server_faults_test.go
@@ -12,12 +12,12 @@
 
 func reset(c http2.ErrCode) string { return fmt.Sprintf("RST 1 %v", c) }
 
-// serverFaults are what a server may not do, by the section of RFC 9113 that says so, and what the machine
-// makes of it: the connection ends with a code (GOAWAY), or the one stream does (RST).
+// serverFaults lists protocol violations of a server and some permitted edge cases, by the section of RFC 9113 that covers
+// them, and how the machine has to react: it ends the connection (GOAWAY) or only the stream (RST) with an error code.
 var serverFaults = []struct {
 	section, name string
 	do            func(p *peer)
-	want          string // "" is nothing: it goes on
+	want          string // empty if the machine must accept it
 }{
 	{"3.4", "no settings first", func(p *peer) { p.machine.hasSettings = false; p.frameWriter.WritePing(false, [8]byte{}) }, goAway(http2.ErrCodeProtocol)},
 	{"3.4", "an ack first", func(p *peer) { p.machine.hasSettings = false; p.frameWriter.WriteSettingsAck() }, goAway(http2.ErrCodeProtocol)},
@@ -139,7 +139,7 @@
 	{"10.5", "a body that is told to be too long", func(p *peer) { p.writeHead(1, false, ":status: 200", "content-length: 3000000000") }, reset(http2.ErrCodeCancel)},
 }
 
-// TestServerFaults checks that a fault of a server ends its stream or its connection, and nothing else.
+// TestServerFaults checks that a protocol violation ends the stream or the connection as required, and nothing else.
 func TestServerFaults(t *testing.T) {
 	for _, tc := range serverFaults {
 		t.Run(tc.section+" "+tc.name, func(t *testing.T) {
@@ -163,7 +163,7 @@
 				if peer.machine.Err() == nil || peer.machine.FreeStreams() != 0 || peer.machine.OpenStreams() != 0 {
 					t.Errorf("it goes on: %v, %d open", peer.machine.Err(), peer.machine.OpenStreams())
 				}
-			case tc.want != "": // other streams are not touched
+			case tc.want != "": // the connection and its other streams continue
 				if len(peer.events) != 1 || peer.events[0].Err == nil || peer.events[0].Outcome != MayBeProcessed || peer.machine.Err() != nil {
 					t.Fatalf("%+v, %v", peer.events, peer.machine.Err())
 				}
--- a/internal/h2/silence.go
+++ b/internal/h2/silence.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// startWatch schedules checkSilence while streams are open. c.mu is locked.
+// scheduleSilenceCheck schedules checkSilence, which then repeats while streams are open. c.mu must be locked.
 func (c *Conn) scheduleSilenceCheck() {
 	if c.options.PingAfterSilence > 0 && !c.isSilenceCheckScheduled {
 		c.isSilenceCheckScheduled = true
@@ -13,7 +13,8 @@
 	}
 }
 
-// checkSilence pings a server that has been silent, and ends the connection if it does not answer.
+// checkSilence pings the server if nothing was received for PingAfterSilence, and ends the connection if nothing was
+// received for twice that time and the ping is not acknowledged.
 func (c *Conn) checkSilence() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/h2/stream.go
+++ b/internal/h2/stream.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// ErrAborted is the error of a stream that was aborted from this side.
+// ErrAborted is the error of calls on a stream that this side has aborted.
 var ErrAborted = errors.New("aborted")
 
-// Stream is a request whose body may still follow and whose answer is read as it arrives. One goroutine may call Head
-// and Read, another one Write and CloseWrite; the other methods may be called by any.
+// Stream is a request whose body may still be written and whose answer is read as it arrives. One goroutine may call
+// Head and Read, and another one Write and CloseWrite; the other methods are safe for concurrent use.
 type Stream struct {
 	conn           *Conn
 	id             uint32
-	maxUnsentBytes int                    // of a body that are buffered
+	maxUnsentBytes int                    // limit on buffered bytes of the body, above which Write waits
 	onInterim      func(int, http.Header) // called by Head with interim answers (1xx); may be nil
-	readable       chan struct{}          // signalled when there may be something to read, or a wait has to end
-	writable       chan struct{}          // the same for the writer
-	ended          chan struct{}          // closed with the stream's end
+	readable       chan struct{}          // wakes the reader: data, the end or a new deadline may be available
+	writable       chan struct{}          // wakes the writer: buffer space, the end or a new deadline may be available
+	ended          chan struct{}          // closed when the stream ends
 	aborted        chan struct{}          // closed by Abort
 	abortOnce      sync.Once              // closes aborted
-	deadlines      [2]streamDeadline      // of reading and of writing
+	deadlines      [2]streamDeadline      // indexed by direction
 
 	// Guarded by the connection's mu.
-	heads []*Answer // that Head has not returned
-	data  []byte    // that Read has not returned
-	end   *Event    // nil until then
+	heads []*Answer // heads that Head has not returned
+	data  []byte    // part of the body that Read has not returned
+	end   *Event    // nil until the stream has ended
 }
 
 // direction is an index of Stream.deadlines.
@@ -40,8 +40,8 @@
 	writing
 )
 
-// Open sends a request, and buffers up to maxUnsentBytes of its body. Head calls onInterim, which may be nil, with the
-// status and header of each interim answer. After ErrNoStream nothing was sent.
+// Open sends a request. Write waits while maxUnsentBytes or more of the body are buffered. Head calls onInterim, which may
+// be nil, with the status and header of each interim answer. If Open returns an error, such as ErrNoStream, nothing was sent.
 func (c *Conn) Open(request *Request, maxUnsentBytes int, onInterim func(int, http.Header)) (*Stream, error) {
 	request.StreamsAnswer = true
 	stream := &Stream{
@@ -61,7 +61,7 @@
 	return stream, nil
 }
 
-// signal signals a channel that has space for one signal, unless it has one.
+// signal sends to a channel with a buffer of one, unless the buffer is full.
 func signal(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
@@ -83,20 +83,20 @@
 	signal(s.readable)
 }
 
-// ReadBy sets the deadline of Head and Read, also of a call that is waiting; zero is none.
+// ReadBy sets the deadline of Head and Read, including calls in progress; the zero time means no deadline.
 func (s *Stream) ReadBy(deadline time.Time) {
 	s.deadlines[reading].set(deadline)
 	signal(s.readable)
 }
 
-// WriteBy is ReadBy for Write.
+// WriteBy sets the deadline of Write, including a call in progress; the zero time means no deadline.
 func (s *Stream) WriteBy(deadline time.Time) {
 	s.deadlines[writing].set(deadline)
 	signal(s.writable)
 }
 
-// streamDeadline is a deadline that one goroutine sets and another waits for; its zero value is none. It keeps the
-// monotonic reading of the time, which Unix time has not, without an allocation for each deadline.
+// streamDeadline is a deadline that one goroutine sets and another waits for; its zero value means no deadline. It keeps
+// the monotonic clock reading, which an atomic Unix time would lose, and does not allocate for each deadline.
 type streamDeadline struct {
 	mu   sync.Mutex
 	time time.Time
@@ -114,7 +114,7 @@
 	return d.time
 }
 
-// wait waits for a signal on a channel, for the deadline of its direction, or for Abort.
+// wait waits until channel is signalled, the deadline of direction passes or Abort is called.
 func (s *Stream) wait(channel chan struct{}, direction direction) error {
 	var expired <-chan time.Time
 	if deadline := s.deadlines[direction].get(); !deadline.IsZero() {
@@ -132,8 +132,8 @@
 	}
 }
 
-// Head waits for the head of the answer. It may be retried after a timeout. An error of the stream is a
-// *StreamError.
+// Head waits for the head of the final answer and returns it. It may be called again after a timeout. If the stream fails,
+// the error is a *StreamError.
 func (s *Stream) Head() (*Answer, error) {
 	for {
 		s.conn.mu.Lock()
@@ -152,7 +152,7 @@
 				s.onInterim(answer.Status, answer.Header)
 			}
 			continue
-		case end != nil: // a complete answer has a head
+		case end != nil: // the stream failed: a complete answer would have had a head
 			return nil, end.Err
 		}
 		if err := s.wait(s.readable, reading); err != nil {
@@ -161,7 +161,7 @@
 	}
 }
 
-// Read reads the answer's body. io.EOF is the end of a complete answer.
+// Read reads the answer's body. It returns io.EOF at the end of a complete answer.
 func (s *Stream) Read(p []byte) (int, error) {
 	for {
 		s.conn.mu.Lock()
@@ -200,14 +200,14 @@
 	return len(s.data) > 0 || s.end != nil
 }
 
-// HasMore reports whether a part of the body can be read.
+// HasMore reports whether a received part of the body has not been read.
 func (s *Stream) HasMore() bool {
 	s.conn.mu.Lock()
 	defer s.conn.mu.Unlock()
 	return len(s.data) > 0
 }
 
-// Trailer returns the trailer fields, once Read has returned io.EOF.
+// Trailer returns the trailer fields. They are available once Read has returned io.EOF.
 func (s *Stream) Trailer() http.Header {
 	s.conn.mu.Lock()
 	defer s.conn.mu.Unlock()
@@ -217,18 +217,18 @@
 	return s.end.Answer.Trailer
 }
 
-// Done is closed when the stream has ended.
+// Done returns a channel that is closed when the stream has ended.
 func (s *Stream) Done() <-chan struct{} { return s.ended }
 
-// Ended returns how the stream ended; nil until then.
+// Ended returns the event that ended the stream, or nil if the stream has not ended.
 func (s *Stream) Ended() *Event {
 	s.conn.mu.Lock()
 	defer s.conn.mu.Unlock()
 	return s.end
 }
 
-// Write sends more of the request's body, once there is space for it. Where the stream has ended it returns
-// io.ErrClosedPipe; Head and Read return how it ended.
+// Write sends more of the request's body; it waits until there is buffer space. If the stream has ended, it returns
+// io.ErrClosedPipe; Head and Read return the stream's error.
 func (s *Stream) Write(p []byte) (int, error) {
 	for {
 		s.conn.mu.Lock()
@@ -255,7 +255,7 @@
 	}
 }
 
-// CloseWrite ends the request's body.
+// CloseWrite ends the request's body with optional trailers.
 func (s *Stream) CloseWrite(trailer http.Header) {
 	s.conn.mu.Lock()
 	if s.end == nil {
@@ -265,8 +265,8 @@
 	s.conn.writeNow()
 }
 
-// Abort ends all calls that wait, for good. It never blocks.
+// Abort makes waiting calls, and later ones that would wait, return ErrAborted. It never blocks and does not reset the stream.
 func (s *Stream) Abort() { s.abortOnce.Do(func() { close(s.aborted) }) }
 
-// Close resets a stream that has not ended, and returns once the reset is written.
+// Close resets the stream unless it has ended, and returns once the reset is written or the connection has ended.
 func (s *Stream) Close() { s.conn.cancelStream(s.id) }
--- a/internal/h2/stream_outcome.go
+++ b/internal/h2/stream_outcome.go
@@ -6,57 +6,57 @@
 	"golang.org/x/net/http2"
 )
 
-// Moment is how far a request had gone when its stream ended.
+// Moment is how much of a request had been sent, or answered, when its stream ended.
 type Moment int
 
-// The moments of a request, in their order.
+// The values of Moment, in the order in which a request passes them.
 const (
 	MomentUnsent   Moment = iota // no byte of it has been written to the socket
-	MomentStarted                // some have
-	MomentSent                   // all have
-	MomentAnswered               // and some of an answer has arrived, also of an interim one
+	MomentStarted                // some bytes of it may have been written
+	MomentSent                   // all bytes of it may have been written
+	MomentAnswered               // part of an answer, interim or final, has arrived
 )
 
-// String returns the moment as errors show it.
+// String returns the value as it appears in error messages.
 func (m Moment) String() string { return [...]string{"unsent", "begun", "sent", "answered"}[m] }
 
-// End is what ended a stream before its answer was complete.
+// End is the reason why a stream ended before its answer was complete.
 type End int
 
-// The ends of a stream.
+// The values of End.
 const (
-	EndBroken    End = iota // the connection broke, or was ended for an error on it
-	EndReset                // the server reset the stream; the error code has its reason
-	EndGoAway               // the last id of a GOAWAY is below the stream's
-	EndCancelled            // this side cancelled it
+	EndBroken    End = iota // the connection broke, or was ended because of an error
+	EndReset                // the server reset the stream; the error code tells why
+	EndGoAway               // the stream's id is above the last stream id of a GOAWAY
+	EndCancelled            // this side cancelled the stream
 	EndMalformed            // the answer was malformed, and this side reset the stream
 )
 
-// String returns the end as errors show it.
+// String returns the reason as it appears in error messages.
 func (e End) String() string {
 	return [...]string{"broke", "reset", "above goaway", "cancelled", "malformed"}[e]
 }
 
-// StreamOutcome is what is known of a request that got no complete answer.
+// StreamOutcome classifies a request without a complete answer by whether the server may have processed it.
 type StreamOutcome int
 
 const (
-	// MayBeProcessed is a request that the server may have started to process.
+	// MayBeProcessed means that the server may have started to process the request.
 	MayBeProcessed StreamOutcome = iota
-	// NotProcessed is a request that the server can't have started to process.
+	// NotProcessed means that the server can't have started to process the request.
 	NotProcessed
-	// Rejected is a request that the server has reported as not processed.
+	// Rejected means that the server has reported the request as not processed.
 	Rejected
 )
 
-// String returns the outcome in words.
+// String returns the outcome as a short phrase.
 func (o StreamOutcome) String() string {
 	return [...]string{"may be processed", "not processed", "rejected"}[o]
 }
 
-// OutcomeOf returns what is known of a request, by the table in docs/http2.md. startsAtLastByte says that
-// servers start a request with its last byte and not with its head. Where some of an answer has arrived, the
-// request may be processed whatever the server reports.
+// OutcomeOf returns whether a request may have been processed, by the table in docs/http2.md. startsAtLastByte means
+// that servers start to process a request when its last byte arrives, not its head. If part of an answer has arrived,
+// the request counts as possibly processed whatever the server reports.
 func OutcomeOf(progress Moment, end End, code http2.ErrCode, startsAtLastByte bool) StreamOutcome {
 	switch {
 	case progress == MomentAnswered:
@@ -71,15 +71,15 @@
 	return MayBeProcessed
 }
 
-// StreamError is how a stream ended that brought no complete answer.
+// StreamError is the error of a stream that ended without a complete answer.
 type StreamError struct {
 	Moment Moment
 	End    End
-	Code   http2.ErrCode // of a reset, or of the error that ended the connection
+	Code   http2.ErrCode // error code of the reset, the GOAWAY or the error that ended the connection
 	Detail string
 }
 
-// Error returns how the stream ended.
+// Error returns why the stream ended, how much of its request was sent, the error code and the detail.
 func (e *StreamError) Error() string {
 	text := fmt.Sprintf("stream %v (request %v)", e.End, e.Moment)
 	if e.End == EndReset || e.Code != http2.ErrCodeNo {
--- a/internal/h2/stream_outcome_test.go
+++ b/internal/h2/stream_outcome_test.go
@@ -8,13 +8,13 @@
 	"golang.org/x/net/http2"
 )
 
-// TestOutcomeOf checks the table of docs/http2.md: what is known of a request by how far it went and what ended it.
+// TestOutcomeOf checks the table in docs/http2.md: the outcome of a request by how much of it was sent and why its stream ended.
 func TestOutcomeOf(t *testing.T) {
 	notProcessed, rejected, mayBeProcessed := NotProcessed, Rejected, MayBeProcessed
 	for _, tc := range []struct {
 		how  End
 		code http2.ErrCode
-		want [2][4]StreamOutcome // servers begin with the head, with the last byte; by moment
+		want [2][4]StreamOutcome // first index: servers start at the head, at the last byte; second index: Moment
 	}{
 		{EndBroken, http2.ErrCodeNo, [2][4]StreamOutcome{{notProcessed, mayBeProcessed, mayBeProcessed, mayBeProcessed}, {notProcessed, notProcessed, mayBeProcessed, mayBeProcessed}}},
 		{EndBroken, http2.ErrCodeRefusedStream, [2][4]StreamOutcome{{notProcessed, mayBeProcessed, mayBeProcessed, mayBeProcessed}, {notProcessed, notProcessed, mayBeProcessed, mayBeProcessed}}},
@@ -38,15 +38,15 @@
 	}
 }
 
-// requestEnds are ends of a request with a body of 200 bytes at a server whose windows have 100, and how far the request
-// had gone by then.
+// requestEnds lists ways in which the stream of a request ends, and how much of the request then counts as sent. The request
+// has a body of 200 bytes, and the server's stream windows have 100.
 var requestEnds = map[string]struct {
 	end  func(peer *peer, id uint32) *StreamError
 	want Moment
 }{
 	"broken before anything is written": {func(peer *peer, _ uint32) *StreamError { return onlyError(peer.t, peer.machine.Abort(io.EOF)) }, MomentUnsent},
 	"broken in the first write": {func(peer *peer, _ uint32) *StreamError {
-		peer.machine.PendingBytes() // handed to a write that has not returned
+		peer.machine.PendingBytes() // passed to a write that has not returned
 		return onlyError(peer.t, peer.machine.Abort(io.EOF))
 	}, MomentStarted},
 	"broken after a part": {func(peer *peer, _ uint32) *StreamError {
@@ -70,7 +70,7 @@
 		peer.frameWriter.WriteWindowUpdate(id, 1000)
 		peer.processInput()
 		n := len(peer.machine.PendingBytes())
-		peer.machine.RecordWrite(n - 1) // and no further write begins
+		peer.machine.RecordWrite(n - 1) // no further write starts
 		return onlyError(peer.t, peer.machine.Abort(io.EOF))
 	}, MomentStarted},
 	"answered in part": {func(peer *peer, id uint32) *StreamError {
@@ -88,7 +88,7 @@
 	"given up while it waits for the window": {func(peer *peer, id uint32) *StreamError { event, _ := peer.machine.Cancel(id); return event.Err }, MomentStarted},
 }
 
-// onlyError returns the error of the one event that there has to be.
+// onlyError returns the error of the only event, and fails the test if there is not exactly one.
 func onlyError(t testing.TB, events []Event) *StreamError {
 	t.Helper()
 	if len(events) != 1 || events[0].Err == nil {
@@ -97,7 +97,8 @@
 	return events[0].Err
 }
 
-// TestMomentOfRequest checks how far a request counts as gone: by bytes that may have been written, and by those that will be.
+// TestRequestProgressWhenStreamEnds checks how much of a request counts as sent: the bytes that may have been written and, if
+// the connection stays open, those that still will be.
 func TestRequestProgressWhenStreamEnds(t *testing.T) {
 	for name, tc := range requestEnds {
 		t.Run(name, func(t *testing.T) {
--- a/internal/route/canonical_host.go
+++ b/internal/route/canonical_host.go
@@ -5,7 +5,7 @@
 const maxHostBytes = 255 // RFC 1035, 2.3.4
 
 // CanonicalHost returns the form of an authority that routes are matched against: in lower case, without
-// port and without a trailing dot. An empty authority remains empty and matches only rules for any host.
+// port and without a trailing dot. An empty authority stays empty; it matches only rules without a host.
 func CanonicalHost(authority string) (string, error) {
 	if strings.HasPrefix(authority, "[") {
 		return canonicalIPv6Host(authority)
@@ -35,7 +35,7 @@
 	return host, nil
 }
 
-// canonicalIPv6Host returns an IPv6 address in brackets without the port.
+// canonicalIPv6Host returns a bracketed IPv6 address in lower case and without the port.
 func canonicalIPv6Host(authority string) (string, error) {
 	end := strings.IndexByte(authority, ']')
 	if end < 0 || !isOptionalPort(authority[end+1:]) {
@@ -49,7 +49,7 @@
 	return strings.ToLower(authority[:end+1]), nil
 }
 
-// cutPort returns the host of an authority that may have a port.
+// cutPort returns an authority without its optional port.
 func cutPort(authority string) (string, error) {
 	colon := strings.IndexByte(authority, ':')
 	if colon < 0 {
@@ -61,7 +61,7 @@
 	return authority[:colon], nil
 }
 
-// isOptionalPort reports whether s is empty or a colon and a port.
+// isOptionalPort reports whether s is empty or a colon followed by up to five digits.
 func isOptionalPort(s string) bool {
 	if s == "" {
 		return true
--- a/internal/route/canonical_path.go
+++ b/internal/route/canonical_path.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Errors of a target or host that is malformed or ambiguous. All are mistakes of a client.
+// Errors for a malformed or ambiguous request target or host. All are client errors.
 var (
 	errNoPath       = errors.New("the target is no path")
 	errInvalidByte  = errors.New("a byte that no path may hold")
@@ -75,7 +75,7 @@
 	return path, checkSegments(path)
 }
 
-// checkSegments rejects dot segments, and empty ones that show once parameters are removed.
+// checkSegments rejects dot segments, and empty segments that result from the removal of parameters.
 func checkSegments(path string) error {
 	for i := 0; i < len(path); i++ {
 		if path[i] != '/' {
@@ -98,11 +98,11 @@
 	return nil
 }
 
-// decodePath decodes a raw path and removes parameters.
+// decodePath decodes the unreserved characters of a raw path and removes the parameters of its segments.
 func decodePath(raw string) (string, error) {
 	const upperHexDigits = "0123456789ABCDEF"
 	out := make([]byte, 0, len(raw))
-	inParameters := false // of the current segment
+	inParameters := false // whether the position is in the parameters of a segment
 	for i := 0; i < len(raw); i++ {
 		b := raw[i]
 		switch b {
@@ -149,7 +149,7 @@
 
 // isHexDigit reports whether b is a hexadecimal digit in either case.
 func isHexDigit(b byte) bool {
-	lower := b | 0x20 // letters differ by this bit from their upper case
+	lower := b | 0x20 // sets the bit that distinguishes lower-case from upper-case letters
 	return isDigit(b) || 'a' <= lower && lower <= 'f'
 }
 
@@ -170,7 +170,7 @@
 	return first
 }
 
-// checkCanonical rejects a path or host of a rule that is not canonical already.
+// checkCanonical rejects a path or host of a rule that is not in canonical form, since requests could never match it.
 func checkCanonical(given string, canonicalize func(string) (string, error)) error {
 	got, err := canonicalize(given)
 	if err != nil {
--- a/internal/route/canonical_rule.go
+++ b/internal/route/canonical_rule.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// CanonicalRule is a rule in the form that a Router matches and orders it by. It is immutable.
+// CanonicalRule is a rule in the form in which a Router matches and orders rules. It is immutable.
 type CanonicalRule struct{ rule *compiledRule }
 
 // Canonicalize returns a rule in canonical form. The error for a rule that New would reject is a *RuleError.
@@ -14,14 +14,14 @@
 	return CanonicalRule{c}, nil
 }
 
-// Rule returns the rule, which must not be changed: its prefix has no trailing slash, its class is empty if
-// the path names it, and its conditions on headers have canonical names, each name once.
+// Rule returns the rule, which the caller must not modify. Its prefix has no trailing slash, its class is empty if
+// the path already begins with it, and its header conditions have canonical names, each at most once.
 func (f CanonicalRule) Rule() *Rule { return &f.rule.Rule }
 
-// HeaderConditions returns the text of the conditions on headers, which is the same for equal ones only.
+// HeaderConditions returns a text of the header conditions. Two rules have the same text only if their conditions are equal.
 func (f CanonicalRule) HeaderConditions() string { return f.rule.headerText }
 
-// Compare orders rules by precedence, the most specific first. It returns 0 for the same conditions only.
+// Compare orders rules by precedence, the most specific first. It returns 0 only for rules with the same conditions.
 func (f CanonicalRule) Compare(g CanonicalRule) int { return compareSpecificity(f.rule, g.rule) }
 
 // MatchesRest reports whether the conditions on method, class and headers match. path must be canonical.
--- a/internal/route/canonical_test.go
+++ b/internal/route/canonical_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// Whatever the bytes, a canonical path is its own canonical form, and a server that decodes the path before it
-// splits it finds the same segments.
+// FuzzCanonicalPath checks that a canonical path is its own canonical form, and that a server that decodes the path before it
+// splits it gets the same segments.
 func FuzzCanonicalPath(f *testing.F) {
 	for _, s := range []string{"/a/%2e%2e/b", "/a%2fb", "/a;x/../b", "/%41", "//", "/a%25%32%66"} {
 		f.Add(s)
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -8,12 +8,12 @@
 
 // Match is a rule that matches a request.
 type Match struct {
-	Index      int // of the rule among those given to New
+	Index      int // index of the rule in the list passed to New
 	Conditions []string
 }
 
-// Explain returns the rules that match a request, by precedence, with descriptions of their conditions.
-// It is for operators: unlike Find it checks all rules.
+// Explain returns the rules that match a request, in order of precedence, with descriptions of their conditions.
+// It shows operators why a request takes a route: unlike Find, it checks all rules.
 func (r *Router) Explain(host, path, method string, header http.Header) []Match {
 	var matches []Match
 	for _, c := range r.rules {
@@ -47,7 +47,7 @@
 	return c.Prefix == "" || path == c.Prefix || strings.HasPrefix(path, c.Prefix+"/")
 }
 
-// describe returns descriptions of a rule's conditions, by precedence.
+// describe returns descriptions of a rule's conditions, in order of the criteria of precedence.
 func (c *compiledRule) describe() []string {
 	var conditions []string
 	add := func(applies bool, format string, args ...any) {
--- a/internal/route/reference_test.go
+++ b/internal/route/reference_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// referenceFind finds a rule by ranking all of them by the criteria in the package documentation.
+// referenceFind returns the index of the rule for a request, or -1, by ranking all rules by the criteria in the package
+// documentation.
 func referenceFind(rules []Rule, host, path, method string, header http.Header) int {
 	best, bestRank := -1, []string(nil)
 	for i, r := range rules {
@@ -21,7 +22,7 @@
 	return best
 }
 
-// referenceRank returns the rank of a rule for a request, one string for each criterion, or false if the rule
+// referenceRank returns the rank of a rule for a request, with one string for each criterion, or false if the rule
 // does not match.
 func referenceRank(r Rule, host, path, method string, header http.Header) (rank []string, ok bool) {
 	hostRank, hostOK := referenceHostRank(r, host)
@@ -81,7 +82,7 @@
 		texts = append(texts, text)
 	}
 	slices.Sort(texts)
-	// The first text wins, so a later one has to rank lower.
+	// The text that sorts first takes precedence, so the bytes are inverted.
 	for _, b := range []byte(strings.Join(texts, "\n") + "\x00") {
 		textRank += string(rune(0x100 - int(b)))
 	}
@@ -90,10 +91,10 @@
 
 func segmentsOf(path string) []string { return strings.Split(strings.Trim(path, "/"), "/") }
 
-// sortable formats a number so that strings sort like numbers.
+// sortable formats a number so that the strings sort in the order of the numbers.
 func sortable(n int) string { return fmt.Sprintf("%08d", n) }
 
-// randomRules makes rules of few words, so that many overlap.
+// randomRules returns rules made of a few words, so that many of them overlap.
 func randomRules(rng *rand.Rand, n int) []Rule {
 	pick := func(of ...string) string { return of[rng.IntN(len(of))] }
 	var rules []Rule
@@ -124,7 +125,7 @@
 		}
 		rules = append(rules, r)
 	}
-	// Rules that New rejects are left out.
+	// Remove the rules that New rejects.
 	for {
 		_, problems := New(rules)
 		if problems == nil {
@@ -134,7 +135,7 @@
 	}
 }
 
-// randomRequest makes a request of the same words.
+// randomRequest returns a request made of the same words as randomRules.
 func randomRequest(rng *rand.Rand) (host, path, method string, header http.Header) {
 	pick := func(of ...string) string { return of[rng.IntN(len(of))] }
 	path = "/"
@@ -156,7 +157,7 @@
 	return pick("", "a.x", "b.x", "c.a.x", "d.c.a.x", "x", "y"), path, pick("GET", "POST", "PUT"), header
 }
 
-// compare checks Find against referenceFind on random rules and requests.
+// checkAgainstReference checks that Find agrees with referenceFind on random rules and requests.
 func checkAgainstReference(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	rules := randomRules(rng, 1+rng.IntN(60))
@@ -170,7 +171,7 @@
 		if want := referenceFind(rules, host, path, method, header); !ok && want >= 0 || ok && got != want {
 			t.Fatalf("seed %d: %s %s%s %v: rule %d, not %d of %+v", seed, method, host, path, header, got, want, rules)
 		}
-		// The order of the rules does not matter.
+		// The order of the rules must not matter.
 		if i, found := shuffledRouter.Find(host, path, method, header); found != ok || ok && shuffled[i].Name != rules[got].Name {
 			t.Fatalf("seed %d: %s%s: %s in another order, not %s", seed, host, path, shuffled[i].Name, rules[got].Name)
 		}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// testRequest is a request in short form; its headers have the form "Name: value".
+// testRequest is a request for the router; its headers have the form "Name: value".
 type testRequest struct {
 	host, path, method string
 	headers            []string
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -7,25 +7,25 @@
 	"strings"
 )
 
-// Router finds the rule for a request.
+// Router selects the rule for a request. It is immutable and safe for concurrent use.
 type Router struct {
-	rules    []*compiledRule // by precedence
+	rules    []*compiledRule // in order of precedence
 	exact    map[string]*hostRules
-	wildcard map[string]*hostRules // by the host without its star, beginning with the dot
+	wildcard map[string]*hostRules // by host suffix, without the star and beginning with the dot
 	anyHost  *hostRules
 }
 
-// bucket holds the rules of one host.
+// hostRules contains the rules for one host, one wildcard or any host.
 type hostRules struct {
-	exact        map[string][]*compiledRule // by path; each list by precedence
-	prefix       map[string][]*compiledRule // by prefix without a trailing slash; empty is any path
-	prefixDepths uint64                     // bit n: there are prefixes of n segments; bit maxDepth: or more
+	exact        map[string][]*compiledRule // by path; each list is in order of precedence
+	prefix       map[string][]*compiledRule // by prefix without a trailing slash, empty for any path; each list is in order of precedence
+	prefixDepths uint64                     // bit n is set if a prefix has n segments; bit maxDepth, if one has maxDepth segments or more
 }
 
-const maxDepth = 63 // the highest bit of bucket.prefixDepths
+const maxDepth = 63 // the highest bit of hostRules.prefixDepths
 
-// New returns a Router for rules. It reports all rules that cannot be used, not only the first; the
-// Router has all other ones.
+// New returns a Router for rules. It reports all rules that can't be used, not only the first one; the
+// Router contains the other rules.
 func New(rules []Rule) (*Router, []*RuleError) {
 	r := &Router{exact: make(map[string]*hostRules), wildcard: make(map[string]*hostRules), anyHost: newBucket()}
 	var problems []*RuleError
@@ -55,7 +55,7 @@
 	return &hostRules{exact: make(map[string][]*compiledRule), prefix: make(map[string][]*compiledRule)}
 }
 
-// bucket returns the bucket of a rule's host. It makes one if there is none.
+// hostRules returns the rules for the host condition of a rule, and creates an empty set if there is none.
 func (r *Router) hostRules(host string) *hostRules {
 	if host == "" {
 		return r.anyHost
@@ -72,7 +72,7 @@
 	return buckets[name]
 }
 
-// add adds a rule. Rules of the same path must be added by precedence.
+// add adds a rule. Rules with the same path or prefix must be added in order of precedence.
 func (b *hostRules) add(c *compiledRule) {
 	if c.Path != "" {
 		b.exact[c.Path] = append(b.exact[c.Path], c)
@@ -82,8 +82,8 @@
 	b.prefixDepths |= 1 << min(strings.Count(c.Prefix, "/"), maxDepth)
 }
 
-// Find returns the index, among the rules given to New, of the rule for a request. host and path must be
-// canonical. It returns false if no rule matches. It does not allocate.
+// Find returns the index, in the list passed to New, of the rule for a request, or false if no rule matches. host
+// and path must be canonical. Find does not allocate.
 func (r *Router) Find(host, path, method string, header http.Header) (index int, ok bool) {
 	c := r.findByHost(host, path, method, header)
 	if c == nil {
@@ -95,7 +95,7 @@
 	return c.index, true
 }
 
-// findByHost returns the rule for a request among those with a host; nil if there is none.
+// findByHost returns the rule for a request among the rules with a host condition, or nil if none matches.
 func (r *Router) findByHost(host, path, method string, header http.Header) *compiledRule {
 	if host == "" {
 		return nil
@@ -123,14 +123,14 @@
 	return nil
 }
 
-// find returns the rule for a request among those of one host; nil if there is none.
+// find returns the rule for a request among the rules for one host, or nil if none matches.
 func (b *hostRules) find(path, method string, header http.Header) *compiledRule {
 	if c := firstMatch(b.exact[path], path, method, header); c != nil {
 		return c
 	}
 	prefix := strings.TrimSuffix(path, "/")
 	for depth := strings.Count(prefix, "/"); ; depth-- {
-		// The bit set saves a lookup for each segment of a long path.
+		// The bit set avoids a map lookup for each segment of a long path.
 		if b.prefixDepths&(1<<min(depth, maxDepth)) != 0 {
 			if c := firstMatch(b.prefix[prefix], path, method, header); c != nil {
 				return c
@@ -143,7 +143,7 @@
 	}
 }
 
-// firstMatch returns the first of some rules whose conditions other than host and path match.
+// firstMatch returns the first rule whose conditions other than host and path match, or nil if none does.
 func firstMatch(rules []*compiledRule, path, method string, header http.Header) *compiledRule {
 	for _, c := range rules {
 		if c.matchesRest(path, method, header) {
--- a/internal/route/rule.go
+++ b/internal/route/rule.go
@@ -17,9 +17,9 @@
 
 // Header is a condition on a request header.
 type Header struct {
-	Name  string `plan:"name"`  // in any case
-	Value string `plan:"value"` // the header is given once, with this value; ignored with Any
-	Any   bool   `plan:"any"`   // the header is present with any value, or with several
+	Name  string `plan:"name"`  // case-insensitive
+	Value string `plan:"value"` // the header must be present exactly once, with this value; ignored if Any is set
+	Any   bool   `plan:"any"`   // the header must be present, with any value or several
 }
 
 // Rule routes matching requests to a service. An empty condition matches every request.
@@ -27,28 +27,28 @@
 	Name    string `plan:"name"`
 	Service string `plan:"service"`
 
-	Host    string   `plan:"host"`   // exact, or "*." and a suffix; the star stands for one or more labels
+	Host    string   `plan:"host"`   // exact, or "*." and a suffix, where the star matches one or more labels
 	Path    string   `plan:"path"`   // exact
-	Prefix  string   `plan:"prefix"` // of complete segments: /a matches /a, /a/ and /a/b, but not /ab; not with Path
+	Prefix  string   `plan:"prefix"` // matches complete segments: /a matches /a, /a/ and /a/b, but not /ab; excludes Path
 	Method  string   `plan:"method"`
 	Class   string   `plan:"class"` // the first segment of the path
 	Headers []Header `plan:"headers"`
 }
 
-// RuleError is a rule that cannot be used, with the configuration key that causes it.
+// RuleError reports a rule that can't be used and the configuration key that causes the error.
 type RuleError struct {
-	Index int // of the rule among those given to New
+	Index int // index of the rule in the list passed to New
 	Key   string
 	Err   error
 }
 
-// Error returns the cause and its key.
+// Error returns the key and the cause.
 func (e *RuleError) Error() string { return fmt.Sprintf("%s: %v", e.Key, e.Err) }
 
 // Unwrap returns the cause.
 func (e *RuleError) Unwrap() error { return e.Err }
 
-// Ranks of exact hosts and paths: above those of all wildcards and prefixes.
+// Ranks of exact hosts and paths, which are above the ranks of all wildcards and prefixes.
 const (
 	exactHostRank = maxHostBytes + 3
 	exactPathRank = 1 << 30
@@ -57,12 +57,12 @@
 // compiledRule is a rule in canonical form, prepared for matching.
 type compiledRule struct {
 	Rule
-	index           int    // among the rules given to New
-	headerText      string // of all conditions on headers; the same for equal conditions only
-	valueConditions int    // number of conditions on headers with a value
+	index           int    // index in the list passed to New
+	headerText      string // text of all header conditions; the same only for equal conditions
+	valueConditions int    // number of header conditions with a value
 }
 
-// compile brings a rule into its canonical form. With an error it returns the key of the rule that causes it.
+// compileRule converts a rule to its canonical form. With an error, it also returns the configuration key that causes it.
 func compileRule(given Rule, index int) (c *compiledRule, key string, err error) {
 	c = &compiledRule{Rule: given, index: index}
 	if err := checkHost(c.Host); err != nil {
@@ -80,7 +80,7 @@
 	return c, "headers", c.compileHeaders()
 }
 
-// checkHost rejects a host that is not canonical; an empty one is valid.
+// checkHost rejects a host condition that is not canonical; an empty one is valid.
 func checkHost(rule string) error {
 	if rule == "" {
 		return nil
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// compilePath checks the path or the prefix and makes it canonical.
+// compilePath checks the path or prefix and converts it to its canonical form.
 func (c *compiledRule) compilePath() (key string, err error) {
 	switch {
 	case c.Path != "" && c.Prefix != "":
@@ -111,13 +111,13 @@
 		if err := checkCanonical(c.Prefix, CanonicalPath); err != nil {
 			return "prefix", err
 		}
-		// The prefix /a matches complete segments, so it includes the paths below /a/.
+		// Prefixes match complete segments, so /a and /a/ match the same paths.
 		c.Prefix = strings.TrimSuffix(c.Prefix, "/")
 	}
 	return "", nil
 }
 
-// compileClass checks the class, and drops it if the path names it already.
+// compileClass checks the class, and clears it if the path or prefix already begins with it.
 func (c *compiledRule) compileClass() error {
 	if c.Class == "" {
 		return nil
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// compileHeaders makes the conditions on headers canonical: sorted, and one for each name.
+// compileHeaders converts the header conditions to their canonical form: sorted, with one condition per name.
 func (c *compiledRule) compileHeaders() error {
 	byName := make(map[string]Header)
 	for _, h := range c.Headers {
@@ -147,7 +147,7 @@
 			return fmt.Errorf("can never match: %s is not among the headers a request is told by", h.Name)
 		case !h.Any && (!httpguts.ValidHeaderFieldValue(h.Value) || strings.Trim(h.Value, " \t") != h.Value):
 			return fmt.Errorf("%s: can never match: %q is no value of a header", h.Name, h.Value)
-		case isRepeated && h.Any: // any earlier condition implies it
+		case isRepeated && h.Any: // implied by the earlier condition on the same header
 		case isRepeated && !earlier.Any && earlier.Value != h.Value:
 			return fmt.Errorf("%s: can never match: two values", h.Name)
 		default:
@@ -181,12 +181,12 @@
 // validToken reports whether s is a token (RFC 9110, 5.6.2).
 func validToken(s string) bool { return httpguts.ValidHeaderFieldName(s) }
 
-// key returns a string that is the same for rules with the same conditions only.
+// key returns a string that is the same only for rules with the same conditions.
 func (c *compiledRule) key() string {
 	return strings.Join([]string{c.Host, c.Path, c.Prefix, c.Method, c.Class, c.headerText}, "\x00")
 }
 
-// precedence orders rules by the criteria in the package documentation, the most specific first.
+// compareSpecificity orders rules by the criteria in the package documentation, the most specific first.
 func compareSpecificity(a, b *compiledRule) int {
 	if c := cmp.Or(
 		cmp.Compare(b.hostRank(), a.hostRank()),
@@ -199,10 +199,10 @@
 	); c != 0 {
 		return c
 	}
-	return cmp.Compare(a.key(), b.key()) // a total order, for rules that never match the same request
+	return cmp.Compare(a.key(), b.key()) // makes the order total; such rules never match the same request
 }
 
-// toInt returns 1 for true and 0 for false.
+// boolToInt returns 1 for true and 0 for false.
 func boolToInt(b bool) int {
 	if b {
 		return 1
@@ -210,7 +210,7 @@
 	return 0
 }
 
-// hostRank is higher for more specific hosts.
+// hostRank returns the rank of the host condition, which is higher for more specific ones.
 func (c *compiledRule) hostRank() int {
 	switch {
 	case c.Host == "":
@@ -221,7 +221,7 @@
 	return exactHostRank
 }
 
-// pathRank is higher for more specific paths.
+// pathRank returns the rank of the path condition, which is higher for more specific ones.
 func (c *compiledRule) pathRank() int {
 	if c.Path != "" {
 		return exactPathRank
@@ -229,7 +229,7 @@
 	return len(c.Prefix)
 }
 
-// matchesRest reports whether the conditions other than host and path match.
+// matchesRest reports whether the conditions on method, class and headers match.
 func (c *compiledRule) matchesRest(path, method string, header http.Header) bool {
 	if c.Method != "" && c.Method != method {
 		return false
