--- a/internal/h2/conn_test.go
+++ b/internal/h2/conn_test.go
@@ -42,7 +42,7 @@
 		conn := startWithFakeServer(t, Options{PingAfterSilence: 5 * time.Second}, func(serverConn net.Conn, _ *http2.Framer) { io.Copy(io.Discard, serverConn); serverConn.Close() })
 		event, err := conn.Do(t.Context(), getRequest)
 		if elapsed := time.Since(startedAt); err != nil || event.Err == nil || event.Err.End != EndBroken || event.Outcome != MayBeProcessed || elapsed != 10*time.Second {
-			t.Errorf("%+v, %v after %v", event, err, elapsed)
+			t.Errorf("event %+v, error %v after %v; want a broken stream that may be processed after 10s", event, err, elapsed)
 		}
 		<-conn.Done()
 
@@ -61,7 +61,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		if event, err := conn.Do(ctx, getRequest); err != nil || event.Err == nil || event.Err.End != EndCancelled {
-			t.Errorf("%+v, %v", event, err)
+			t.Errorf("event %+v, error %v; want a cancelled stream", event, err)
 		}
 		conn.Close()
 	})
@@ -78,11 +78,11 @@
 		startedAt := time.Now()
 		event, err := conn.Do(ctx, getRequest)
 		if elapsed := time.Since(startedAt); err != nil || event.Err == nil || event.Outcome != MayBeProcessed || elapsed != time.Second+cancelTimeout {
-			t.Errorf("%+v, %v after %v", event, err, elapsed)
+			t.Errorf("event %+v, error %v after %v; want a stream that may be processed, after the deadline and cancelTimeout", event, err, elapsed)
 		}
 		<-conn.Done()
 		if _, err := conn.Do(t.Context(), getRequest); !errors.Is(err, ErrNoStream) {
-			t.Errorf("%v", err)
+			t.Errorf("error %v on the ended connection, want ErrNoStream", err)
 		}
 		close(stop)
 	})
@@ -107,11 +107,11 @@
 		conn.Retire()
 		synctest.Wait()
 		if v := conn.View(); v.OpenStreams != 1 || v.FreeStreams != 0 || !v.IsEnding {
-			t.Errorf("%+v", v)
+			t.Errorf("retired connection: %+v, want one open stream, none free, and ending", v)
 		}
 		close(answer)
 		if event := <-got; event.Answer == nil || event.Answer.Status != 200 {
-			t.Errorf("%+v", event)
+			t.Errorf("event %+v, want an answer with status 200", event)
 		}
 		<-conn.Done()
 	})
--- a/internal/h2/conn_write.go
+++ b/internal/h2/conn_write.go
@@ -103,7 +103,7 @@
 		n, err := c.conn.Write(out)
 		c.recordWrite(n)
 		if err != nil {
-			c.abort(fmt.Errorf("writing: %w", err))
+			c.abort(fmt.Errorf("writing to the server: %w", err))
 			return
 		}
 	}
--- a/internal/h2/frames.go
+++ b/internal/h2/frames.go
@@ -23,11 +23,11 @@
 	switch {
 	case errors.As(err, &streamErr):
 		if !m.isKnownStream(streamErr.StreamID) {
-			return m.failConnection(http2.ErrCodeProtocol, "a frame on stream %d, which was not opened", streamErr.StreamID)
+			return m.failConnection(http2.ErrCodeProtocol, "received a frame on stream %d, which was never opened", streamErr.StreamID)
 		}
 		return m.endMalformed(streamErr.StreamID, streamErr.Code, err.Error())
 	case errors.As(err, &connectionErr):
-		return m.failConnection(http2.ErrCode(connectionErr), "an invalid frame")
+		return m.failConnection(http2.ErrCode(connectionErr), "received an invalid frame")
 	case errors.Is(err, http2.ErrFrameTooLarge):
 		return m.failConnection(http2.ErrCodeFrameSize, "%v", err)
 	}
@@ -41,7 +41,7 @@
 func (m *Machine) endMalformed(id uint32, code http2.ErrCode, detail string) []Event {
 	m.countOverhead()
 	if m.overheadFrames > maxOverheadFrames {
-		return m.failConnection(http2.ErrCodeEnhanceYourCalm, "too many frames without an answer")
+		return m.failConnection(http2.ErrCodeEnhanceYourCalm, "too many frames that contribute to no answer")
 	}
 	stream := m.streams[id]
 	if stream == nil {
@@ -67,7 +67,7 @@
 	}
 	if !m.hasSettings {
 		if s, ok := frame.(*http2.SettingsFrame); !ok || s.IsAck() {
-			return m.failConnection(http2.ErrCodeProtocol, "%v before any settings", frame.Header().Type)
+			return m.failConnection(http2.ErrCodeProtocol, "received %v, expected SETTINGS as the first frame", frame.Header().Type)
 		}
 	}
 	m.countOverhead()
@@ -88,10 +88,10 @@
 	case *http2.PingFrame:
 		m.handlePing(f)
 	case *http2.PushPromiseFrame:
-		return m.failConnection(http2.ErrCodeProtocol, "a push, which the settings have disabled")
+		return m.failConnection(http2.ErrCodeProtocol, "received PUSH_PROMISE although the settings disable push")
 	}
 	if m.connErr == nil && (m.overheadFrames > maxOverheadFrames || m.output.Len() > 2*maxOutputBytes) {
-		events = append(events, m.failConnection(http2.ErrCodeEnhanceYourCalm, "too many frames without an answer")...)
+		events = append(events, m.failConnection(http2.ErrCodeEnhanceYourCalm, "too many frames that contribute to no answer")...)
 	}
 	return events
 }
@@ -121,12 +121,12 @@
 		if connectionErr := http2.ConnectionError(0); errors.As(err, &connectionErr) {
 			code = http2.ErrCode(connectionErr)
 		}
-		return m.failConnection(code, "an invalid setting")
+		return m.failConnection(code, "received an invalid setting")
 	}
 	for _, stream := range m.streams {
 		stream.sendWindow += m.initialWindow - before // may become negative (RFC 9113, 6.9.2)
 		if stream.sendWindow > maxWindow {
-			return m.failConnection(http2.ErrCodeFlowControl, "a window of more than 2^31-1")
+			return m.failConnection(http2.ErrCodeFlowControl, "a flow-control window exceeds 2^31-1")
 		}
 	}
 	m.frames.WriteSettingsAck()
@@ -161,18 +161,18 @@
 	if frame.StreamID == 0 {
 		m.sendWindow += int64(frame.Increment)
 		if m.sendWindow > maxWindow {
-			return m.failConnection(http2.ErrCodeFlowControl, "a window of more than 2^31-1")
+			return m.failConnection(http2.ErrCodeFlowControl, "a flow-control window exceeds 2^31-1")
 		}
 		m.flushWaitingBodies()
 		return nil
 	}
 	if !m.isKnownStream(frame.StreamID) {
-		return m.failConnection(http2.ErrCodeProtocol, "a window of stream %d, which was not opened", frame.StreamID)
+		return m.failConnection(http2.ErrCodeProtocol, "received WINDOW_UPDATE on stream %d, which was never opened", frame.StreamID)
 	}
 	if stream := m.streams[frame.StreamID]; stream != nil {
 		stream.sendWindow += int64(frame.Increment)
 		if stream.sendWindow > maxWindow {
-			return m.endMalformed(stream.id, http2.ErrCodeFlowControl, "a window of more than 2^31-1")
+			return m.endMalformed(stream.id, http2.ErrCodeFlowControl, "a flow-control window exceeds 2^31-1")
 		}
 		m.flushWaitingBodies()
 	}
@@ -181,7 +181,7 @@
 
 func (m *Machine) handleReset(frame *http2.RSTStreamFrame) []Event {
 	if !m.isKnownStream(frame.StreamID) {
-		return m.failConnection(http2.ErrCodeProtocol, "a reset of stream %d, which was not opened", frame.StreamID)
+		return m.failConnection(http2.ErrCodeProtocol, "received RST_STREAM on stream %d, which was never opened", frame.StreamID)
 	}
 	stream := m.streams[frame.StreamID]
 	if stream == nil {
@@ -209,7 +209,7 @@
 
 func (m *Machine) handleHeaders(frame *http2.MetaHeadersFrame) []Event {
 	if !m.isKnownStream(frame.StreamID) {
-		return m.failConnection(http2.ErrCodeProtocol, "a head on stream %d, which was not opened", frame.StreamID)
+		return m.failConnection(http2.ErrCodeProtocol, "received HEADERS on stream %d, which was never opened", frame.StreamID)
 	}
 	stream := m.streams[frame.StreamID]
 	if stream == nil {
@@ -220,19 +220,19 @@
 		return m.endMalformed(stream.id, http2.ErrCodeProtocol, fmt.Sprintf(format, args...))
 	}
 	if frame.Truncated {
-		return malformed("a head of more than %d bytes", m.MaxHeadBytes)
+		return malformed("the head or trailers exceed %d bytes", m.MaxHeadBytes)
 	}
 	header := make(http.Header, len(frame.Fields))
 	for _, field := range frame.RegularFields() {
 		if connectionFields[field.Name] && field.Name != "host" {
-			return malformed("a field of HTTP/1.1's connections, %s", field.Name)
+			return malformed("connection-specific header field %s", field.Name)
 		}
 		name := m.canonicalNames.get(field.Name, http.CanonicalHeaderKey)
 		header[name] = append(header[name], field.Value)
 	}
 	if stream.hasFinalHead { // trailers
 		if len(frame.PseudoFields()) > 0 || !frame.StreamEnded() {
-			return malformed("a second head")
+			return malformed("a second head, or trailers that do not end the stream")
 		}
 		stream.answer.Trailer = header
 		return m.endAnswered(stream)
@@ -244,7 +244,7 @@
 	if status < 200 {
 		stream.interimAnswers++
 		if frame.StreamEnded() || stream.interimAnswers > maxInterimAnswers {
-			return malformed("an answer of 1xx that ends the stream, or too many of them")
+			return malformed("an interim answer (1xx) ends the stream, or there are too many of them")
 		}
 		if stream.streamsAnswer {
 			return []Event{{ID: stream.id, Head: &Answer{Status: status, Header: header}}}
@@ -257,11 +257,11 @@
 // parseStatus returns the status code from the pseudo-header fields of an answer.
 func parseStatus(fields []hpack.HeaderField) (int, error) {
 	if len(fields) != 1 || fields[0].Name != ":status" || len(fields[0].Value) != 3 {
-		return 0, errors.New("a head without one :status")
+		return 0, errors.New("the head must have one three-digit :status and no other pseudo-header field")
 	}
 	status, err := strconv.ParseUint(fields[0].Value, 10, 16)
 	if err != nil || status < 100 || status == http.StatusSwitchingProtocols {
-		return 0, fmt.Errorf("status %q", fields[0].Value)
+		return 0, fmt.Errorf("invalid status %q", fields[0].Value)
 	}
 	return int(status), nil
 }
@@ -276,12 +276,12 @@
 	if lengths, isStated := header["Content-Length"]; isStated {
 		n, err := strconv.ParseUint(lengths[0], 10, 62)
 		if err != nil || len(lengths) > 1 {
-			return m.endMalformed(stream.id, http2.ErrCodeProtocol, fmt.Sprintf("Content-Length %q", lengths))
+			return m.endMalformed(stream.id, http2.ErrCodeProtocol, fmt.Sprintf("invalid Content-Length %q", lengths))
 		}
 		stream.contentLength = int64(n)
 		isBuffered := !stream.hasNoBody && !stream.streamsAnswer
 		if isBuffered && stream.contentLength > int64(m.MaxBodyBytes) {
-			return m.endMalformed(stream.id, http2.ErrCodeCancel, fmt.Sprintf("a body of %d bytes", n))
+			return m.endMalformed(stream.id, http2.ErrCodeCancel, fmt.Sprintf("Content-Length of %d bytes exceeds the buffer limit", n))
 		}
 	}
 	var events []Event
@@ -296,7 +296,7 @@
 
 func (m *Machine) handleData(frame *http2.DataFrame) []Event {
 	if !m.isKnownStream(frame.StreamID) {
-		return m.failConnection(http2.ErrCodeProtocol, "data on stream %d, which was not opened", frame.StreamID)
+		return m.failConnection(http2.ErrCodeProtocol, "received DATA on stream %d, which was never opened", frame.StreamID)
 	}
 	m.returnWindow(frame.Length) // padding and frames of ended streams count too (RFC 9113, 6.9)
 	stream := m.streams[frame.StreamID]
@@ -305,11 +305,11 @@
 	}
 	if !stream.hasFinalHead {
 		stream.hasAnyHead = true
-		return m.endMalformed(stream.id, http2.ErrCodeProtocol, "data before a head")
+		return m.endMalformed(stream.id, http2.ErrCodeProtocol, "received DATA before the head of a final answer")
 	}
 	stream.windowBytes += int(frame.Length)
 	if stream.windowBytes > m.MaxBodyBytes+1 {
-		return m.endMalformed(stream.id, http2.ErrCodeFlowControl, "more than its window")
+		return m.endMalformed(stream.id, http2.ErrCodeFlowControl, "received more data than the stream's window allows")
 	}
 	data := frame.Data()
 	var events []Event
@@ -317,7 +317,7 @@
 		m.overheadFrames = 0
 		stream.bodyBytes += int64(len(data))
 		if stream.bodyBytes > m.maxBodyBytesOf(stream) {
-			return m.endMalformed(stream.id, http2.ErrCodeProtocol, "a body of too many bytes")
+			return m.endMalformed(stream.id, http2.ErrCodeProtocol, "the body is longer than Content-Length, the buffer limit or the status allows")
 		}
 		if stream.streamsAnswer {
 			events = append(events, Event{ID: stream.id, Data: data})
@@ -363,7 +363,7 @@
 // the stream is reset and the rest of the request is not sent (RFC 9113, 8.1).
 func (m *Machine) endAnswered(stream *stream) []Event {
 	if stream.contentLength >= 0 && !stream.hasNoBody && stream.bodyBytes != stream.contentLength {
-		detail := fmt.Sprintf("a body of %d bytes, Content-Length %d", stream.bodyBytes, stream.contentLength)
+		detail := fmt.Sprintf("body of %d bytes does not match Content-Length %d", stream.bodyBytes, stream.contentLength)
 		return m.endMalformed(stream.id, http2.ErrCodeProtocol, detail)
 	}
 	m.overheadFrames = 0
--- a/internal/h2/machine.go
+++ b/internal/h2/machine.go
@@ -106,9 +106,9 @@
 
 // Errors of a request that was not sent.
 var (
-	ErrNoStream    = errors.New("no stream is free")
-	ErrHeadTooLong = errors.New("the head exceeds the server's limit")
-	ErrWithdrawn   = errors.New("the request was withdrawn")
+	ErrNoStream    = errors.New("no stream is available")
+	ErrHeadTooLong = errors.New("the request head exceeds the server's limit")
+	ErrWithdrawn   = errors.New("the request was withdrawn before it was sent")
 )
 
 // Machine is the client side of a connection, as a state machine without I/O. It is not safe for concurrent use.
--- a/internal/h2/machine_test.go
+++ b/internal/h2/machine_test.go
@@ -20,10 +20,10 @@
 	peer.flushOutput()
 	peer.frameWriter.WriteGoAway(1<<31-1, 0, nil)
 	if event := peer.processInput(); len(event) != 0 || peer.machine.FreeStreams() != 0 || !peer.machine.IsEnding() {
-		t.Errorf("after the first: %+v, room %d", event, peer.machine.FreeStreams())
+		t.Errorf("after the first GOAWAY: events %+v, %d free streams; want none, and an ending connection", event, peer.machine.FreeStreams())
 	}
 	if _, err := peer.machine.OpenStream(&Request{Method: "GET"}); !errors.Is(err, ErrNoStream) {
-		t.Errorf("%v", err)
+		t.Errorf("opening a stream after GOAWAY: error %v, want ErrNoStream", err)
 	}
 	for _, step := range []struct {
 		last uint32
@@ -35,18 +35,18 @@
 			got[event.ID] = event.Outcome == Rejected && event.Err.End == EndGoAway
 		}
 		if len(got) != len(step.ends) {
-			t.Errorf("last id %d: %v", step.last, got)
+			t.Errorf("last id %d: unexpected set of ended streams %v", step.last, got)
 		}
 		for _, id := range step.ends {
 			if !got[id] {
-				t.Errorf("last id %d: stream %d is not told to be turned away", step.last, id)
+				t.Errorf("last id %d: stream %d was not reported as rejected by GOAWAY", step.last, id)
 			}
 		}
 	}
 	peer.writeHead(1, false, ":status: 200")
 	peer.frameWriter.WriteData(1, true, []byte("late"))
 	if event := peer.processInput(); len(event) != 1 || event[0].Answer == nil || string(event[0].Answer.Body) != "late" {
-		t.Errorf("the one that was taken: %+v", event)
+		t.Errorf("the accepted stream: events %+v, want an answer with body \"late\"", event)
 	}
 }
 
@@ -64,7 +64,7 @@
 			}
 		}
 		if strings.Join(data, ", ") != strings.Join(want, ", ") {
-			t.Errorf("%v, not %v", data, want)
+			t.Errorf("sent %v, want %v", data, want)
 		}
 	}
 	checkData(fmt.Sprintf("DATA %d 100 false", first), fmt.Sprintf("DATA %d 100 false", second))
@@ -85,7 +85,7 @@
 	third := peer.open(strings.Repeat("c", 100))
 	peer.writeHead(third, true, ":status: 200")
 	if e := peer.processInput(); len(e) != 1 || e[0].Answer == nil {
-		t.Errorf("%+v", e)
+		t.Errorf("events %+v, want one answer", e)
 	}
 	if got := strings.Join(peer.frames(), ", "); !strings.Contains(got, fmt.Sprintf("RST %d CANCEL", third)) {
 		t.Error(got)
@@ -102,17 +102,17 @@
 	peer.processInput()
 	for i, id := range []uint32{1, 3, 5} {
 		if peer.machine.FreeStreams() != 0 || peer.machine.OpenStreams() != 3-i {
-			t.Errorf("room %d, open %d", peer.machine.FreeStreams(), peer.machine.OpenStreams())
+			t.Errorf("%d free and %d open streams", peer.machine.FreeStreams(), peer.machine.OpenStreams())
 		}
 		peer.writeHead(id, true, ":status: 200")
 		peer.processInput()
 	}
 	if peer.machine.FreeStreams() != 1 {
-		t.Errorf("room %d", peer.machine.FreeStreams())
+		t.Errorf("%d free streams, want 1", peer.machine.FreeStreams())
 	}
 	peer.frameWriter.WriteSettings(http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: 0})
 	if peer.processInput(); peer.machine.FreeStreams() != 0 || peer.machine.StreamLimit() != 0 {
-		t.Errorf("room %d", peer.machine.FreeStreams())
+		t.Errorf("%d free streams, want 0 with a limit of 0", peer.machine.FreeStreams())
 	}
 }
 
@@ -129,12 +129,12 @@
 		peer.frameWriter.WriteWindowUpdate(0, 4)
 		e := peer.processInput()
 		if len(e) != 1 || e[0].Answer == nil || string(e[0].Answer.Body) != "body" || e[0].Answer.Trailer.Get("X-Backend-Load") == "" {
-			t.Fatalf("%d: %+v, %v", i, e, peer.machine.Err())
+			t.Fatalf("request %d: events %+v, connection error %v", i, e, peer.machine.Err())
 		}
 		peer.frames()
 	}
 	if peer.machine.FreeStreams() != 0 || !peer.machine.IsEnding() || peer.machine.OpenStreams() != 0 || len(peer.machine.waitingStreams) > 0 || peer.machine.output.Cap() > 1<<16 {
-		t.Errorf("room %d, open %d, buffer %d", peer.machine.FreeStreams(), peer.machine.OpenStreams(), peer.machine.output.Cap())
+		t.Errorf("%d free and %d open streams, output buffer of %d bytes", peer.machine.FreeStreams(), peer.machine.OpenStreams(), peer.machine.output.Cap())
 	}
 }
 
@@ -145,22 +145,22 @@
 	peer.machine.Ping()
 	peer.machine.Ping() // sends nothing: the first ping is not acknowledged yet
 	if got := peer.frames(); len(got) != 1 || !peer.machine.IsAwaitingPing() {
-		t.Errorf("%v", got)
+		t.Errorf("wrote %v, want one ping", got)
 	}
 	peer.frameWriter.WritePing(true, [8]byte{9})
 	if peer.processInput(); !peer.machine.IsAwaitingPing() {
-		t.Error("another's answer counts")
+		t.Error("the acknowledgement of another ping was accepted")
 	}
 	peer.frameWriter.WritePing(true, [8]byte{1})
 	if peer.processInput(); peer.machine.IsAwaitingPing() {
-		t.Error("the answer does not count")
+		t.Error("the acknowledgement of the ping was not accepted")
 	}
 	peer.open("four")
 	peer.flushOutput()
 	field, err := peer.outputReader.ReadFrame()
 	frame, ok := field.(*http2.MetaHeadersFrame)
 	if err != nil || !ok {
-		t.Fatalf("%v, %v", field, err)
+		t.Fatalf("read frame %v, error %v; want HEADERS", field, err)
 	}
 	got := make(map[string]string)
 	for _, field := range frame.Fields {
@@ -171,7 +171,7 @@
 	}
 	small := newReadyPeer(t, Limits{}, http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: 50})
 	if _, err := small.machine.OpenStream(&Request{Method: "GET", Path: "/"}); !errors.Is(err, ErrHeadTooLong) || small.machine.OpenStreams() != 0 {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want ErrHeadTooLong and no open stream", err)
 	}
 }
 
@@ -198,15 +198,15 @@
 		}
 		for _, event := range events {
 			if !open[event.ID] || (event.Answer == nil) == (event.Err == nil) || event.Answer != nil && len(event.Answer.Body) > 1000 {
-				t.Errorf("%+v", event)
+				t.Errorf("invalid event %+v", event)
 			}
 			delete(open, event.ID)
 		}
 		if peer.machine.Err() != nil && (peer.machine.OpenStreams() > 0 || len(open) > 0) {
-			t.Errorf("%d streams without an end", len(open))
+			t.Errorf("%d streams have not ended with the connection", len(open))
 		}
 		if peer.machine.output.Cap() > 3*maxOutputBytes {
-			t.Errorf("%d bytes are held", peer.machine.output.Cap())
+			t.Errorf("output buffer of %d bytes", peer.machine.output.Cap())
 		}
 	})
 }
--- a/internal/h2/peer_test.go
+++ b/internal/h2/peer_test.go
@@ -38,7 +38,7 @@
 	created.outputReader.ReadMetaHeaders = hpack.NewDecoder(defaultTableBytes, nil)
 	out := created.flushOutput()
 	if !strings.HasPrefix(out, preface) {
-		t.Fatalf("it begins with %q", out)
+		t.Fatalf("output begins with %q, want the connection preface", out)
 	}
 	created.output.Next(len(preface))
 	return created
@@ -88,7 +88,7 @@
 			return all
 		}
 		if err != nil {
-			p.t.Fatalf("the machine wrote what can't be read: %v", err)
+			p.t.Fatalf("the machine wrote an unreadable frame: %v", err)
 		}
 		switch f := frame.(type) {
 		case *http2.RSTStreamFrame:
--- a/internal/h2/sending.go
+++ b/internal/h2/sending.go
@@ -64,7 +64,7 @@
 		size += field.Size()
 	}
 	if size > m.peerMaxHeadBytes {
-		return fmt.Errorf("%w: %d bytes, more than %d", ErrHeadTooLong, size, m.peerMaxHeadBytes)
+		return fmt.Errorf("%w: %d bytes, at most %d allowed", ErrHeadTooLong, size, m.peerMaxHeadBytes)
 	}
 	return nil
 }
--- a/internal/h2/server_faults_test.go
+++ b/internal/h2/server_faults_test.go
@@ -19,9 +19,9 @@
 	do            func(p *peer)
 	want          string // empty if the machine must accept it
 }{
-	{"3.4", "no settings first", func(p *peer) { p.machine.hasSettings = false; p.frameWriter.WritePing(false, [8]byte{}) }, goAway(http2.ErrCodeProtocol)},
-	{"3.4", "an ack first", func(p *peer) { p.machine.hasSettings = false; p.frameWriter.WriteSettingsAck() }, goAway(http2.ErrCodeProtocol)},
-	{"4.2", "a frame longer than was allowed", func(p *peer) {
+	{"3.4", "a frame before the settings", func(p *peer) { p.machine.hasSettings = false; p.frameWriter.WritePing(false, [8]byte{}) }, goAway(http2.ErrCodeProtocol)},
+	{"3.4", "a settings ack before the settings", func(p *peer) { p.machine.hasSettings = false; p.frameWriter.WriteSettingsAck() }, goAway(http2.ErrCodeProtocol)},
+	{"4.2", "a frame above the size limit", func(p *peer) {
 		p.machineInput.SetMaxReadFrameSize(100)
 		p.frameWriter.WriteData(1, false, make([]byte, 101))
 	}, goAway(http2.ErrCodeFrameSize)},
@@ -31,8 +31,8 @@
 	{"5.1", "data on an idle stream", func(p *peer) { p.frameWriter.WriteData(9, true, nil) }, goAway(http2.ErrCodeProtocol)},
 	{"5.1", "a head on an idle stream", func(p *peer) { p.writeHead(9, true, ":status: 200") }, goAway(http2.ErrCodeProtocol)},
 	{"5.1", "a reset of an idle stream", func(p *peer) { p.frameWriter.WriteRSTStream(9, 0) }, goAway(http2.ErrCodeProtocol)},
-	{"5.1", "a window of an idle stream", func(p *peer) { p.frameWriter.WriteWindowUpdate(9, 1) }, goAway(http2.ErrCodeProtocol)},
-	{"5.1.1", "a stream of the server's", func(p *peer) { p.writeHead(2, true, ":status: 200") }, goAway(http2.ErrCodeProtocol)},
+	{"5.1", "a window update on an idle stream", func(p *peer) { p.frameWriter.WriteWindowUpdate(9, 1) }, goAway(http2.ErrCodeProtocol)},
+	{"5.1.1", "a stream opened by the server", func(p *peer) { p.writeHead(2, true, ":status: 200") }, goAway(http2.ErrCodeProtocol)},
 	{"5.5", "an unknown frame", func(p *peer) { p.frameWriter.WriteRawFrame(0xbe, 0, 1, []byte("x")) }, ""},
 	{"6.1", "data on stream 0", func(p *peer) { p.frameWriter.WriteData(0, false, []byte("x")) }, goAway(http2.ErrCodeProtocol)},
 	{"6.1", "padding beyond the frame", func(p *peer) { p.frameWriter.WriteRawFrame(http2.FrameData, http2.FlagDataPadded, 1, []byte{9, 1}) }, goAway(http2.ErrCodeProtocol)},
@@ -46,10 +46,10 @@
 		p.frameWriter.WriteRawFrame(http2.FrameSettings, http2.FlagSettingsAck, 0, make([]byte, 6))
 	}, goAway(http2.ErrCodeFrameSize)},
 	{"6.5.2", "push enabled", func(p *peer) { p.frameWriter.WriteSettings(http2.Setting{ID: http2.SettingEnablePush, Val: 1}) }, goAway(http2.ErrCodeProtocol)},
-	{"6.5.2", "a window that can't be", func(p *peer) {
+	{"6.5.2", "an invalid initial window", func(p *peer) {
 		p.frameWriter.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1 << 31})
 	}, goAway(http2.ErrCodeFlowControl)},
-	{"6.5.2", "a frame size that can't be", func(p *peer) { p.frameWriter.WriteSettings(http2.Setting{ID: http2.SettingMaxFrameSize, Val: 100}) }, goAway(http2.ErrCodeProtocol)},
+	{"6.5.2", "an invalid maximum frame size", func(p *peer) { p.frameWriter.WriteSettings(http2.Setting{ID: http2.SettingMaxFrameSize, Val: 100}) }, goAway(http2.ErrCodeProtocol)},
 	{"6.5.2", "an unknown setting", func(p *peer) { p.frameWriter.WriteSettings(http2.Setting{ID: 0x99, Val: 1}) }, ""},
 	{"6.6", "a push", func(p *peer) {
 		p.frameWriter.WritePushPromise(http2.PushPromiseParam{StreamID: 1, PromiseID: 2, BlockFragment: []byte{0x82}, EndHeaders: true})
@@ -57,8 +57,8 @@
 	{"6.7", "a ping on a stream", func(p *peer) { p.frameWriter.WriteRawFrame(http2.FramePing, 0, 1, make([]byte, 8)) }, goAway(http2.ErrCodeProtocol)},
 	{"6.7", "a ping of the wrong length", func(p *peer) { p.frameWriter.WriteRawFrame(http2.FramePing, 0, 0, make([]byte, 7)) }, goAway(http2.ErrCodeFrameSize)},
 	{"6.8", "goaway on a stream", func(p *peer) { p.frameWriter.WriteRawFrame(http2.FrameGoAway, 0, 1, make([]byte, 8)) }, goAway(http2.ErrCodeProtocol)},
-	{"6.9", "a window of nothing", func(p *peer) { p.frameWriter.WriteRawFrame(http2.FrameWindowUpdate, 0, 0, make([]byte, 4)) }, goAway(http2.ErrCodeProtocol)},
-	{"6.9", "a stream's window of nothing", func(p *peer) { p.frameWriter.WriteRawFrame(http2.FrameWindowUpdate, 0, 1, make([]byte, 4)) }, reset(http2.ErrCodeProtocol)},
+	{"6.9", "a window update of 0", func(p *peer) { p.frameWriter.WriteRawFrame(http2.FrameWindowUpdate, 0, 0, make([]byte, 4)) }, goAway(http2.ErrCodeProtocol)},
+	{"6.9", "a stream's window update of 0", func(p *peer) { p.frameWriter.WriteRawFrame(http2.FrameWindowUpdate, 0, 1, make([]byte, 4)) }, reset(http2.ErrCodeProtocol)},
 	{"6.9.1", "a window beyond 2^31-1", func(p *peer) { p.frameWriter.WriteWindowUpdate(0, maxWindow) }, goAway(http2.ErrCodeFlowControl)},
 	{"6.9.1", "a stream's window beyond 2^31-1", func(p *peer) { p.frameWriter.WriteWindowUpdate(1, maxWindow) }, reset(http2.ErrCodeFlowControl)},
 	{"6.9.2", "settings that take a window beyond 2^31-1", func(p *peer) {
@@ -71,8 +71,8 @@
 			p.frameWriter.WriteData(1, false, make([]byte, 8<<10))
 		}
 	}, reset(http2.ErrCodeFlowControl)},
-	{"6.10", "a continuation of nothing", func(p *peer) { p.frameWriter.WriteContinuation(1, true, nil) }, goAway(http2.ErrCodeProtocol)},
-	{"6.10", "a frame inside a block", func(p *peer) {
+	{"6.10", "a continuation without headers", func(p *peer) { p.frameWriter.WriteContinuation(1, true, nil) }, goAway(http2.ErrCodeProtocol)},
+	{"6.10", "a frame inside a header block", func(p *peer) {
 		p.frameWriter.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: []byte{0x88}})
 		p.frameWriter.WritePing(false, [8]byte{})
 	}, goAway(http2.ErrCodeProtocol)},
@@ -88,13 +88,13 @@
 		p.writeHead(1, false, ":status: 200", "content-length: 2")
 		p.frameWriter.WriteData(1, true, []byte("a"))
 	}, reset(http2.ErrCodeProtocol)},
-	{"8.1.1", "two lengths", func(p *peer) { p.writeHead(1, false, ":status: 200", "content-length: 2", "content-length: 2") }, reset(http2.ErrCodeProtocol)},
-	{"8.1.1", "a length that is none", func(p *peer) { p.writeHead(1, false, ":status: 200", "content-length: -2") }, reset(http2.ErrCodeProtocol)},
+	{"8.1.1", "two Content-Length fields", func(p *peer) { p.writeHead(1, false, ":status: 200", "content-length: 2", "content-length: 2") }, reset(http2.ErrCodeProtocol)},
+	{"8.1.1", "an invalid Content-Length", func(p *peer) { p.writeHead(1, false, ":status: 200", "content-length: -2") }, reset(http2.ErrCodeProtocol)},
 	{"8.2.1", "a field in upper case", func(p *peer) { p.writeHead(1, true, ":status: 200", "X-Upper: y") }, reset(http2.ErrCodeProtocol)},
-	{"8.2.1", "a field with a line's end", func(p *peer) { p.writeHead(1, true, ":status: 200", "x: a\r\nb") }, reset(http2.ErrCodeProtocol)},
+	{"8.2.1", "a field with a line break", func(p *peer) { p.writeHead(1, true, ":status: 200", "x: a\r\nb") }, reset(http2.ErrCodeProtocol)},
 	{"8.2.2", "connection", func(p *peer) { p.writeHead(1, true, ":status: 200", "connection: close") }, reset(http2.ErrCodeProtocol)},
 	{"8.2.2", "transfer-encoding", func(p *peer) { p.writeHead(1, true, ":status: 200", "transfer-encoding: chunked") }, reset(http2.ErrCodeProtocol)},
-	{"8.3", "a pseudo-field behind others", func(p *peer) { p.writeHead(1, true, "x: y", ":status: 200") }, reset(http2.ErrCodeProtocol)},
+	{"8.3", "a pseudo-field after other fields", func(p *peer) { p.writeHead(1, true, "x: y", ":status: 200") }, reset(http2.ErrCodeProtocol)},
 	{"8.3", "an unknown pseudo-field", func(p *peer) { p.writeHead(1, true, ":status: 200", ":odd: y") }, reset(http2.ErrCodeProtocol)},
 	{"8.3", "a request's pseudo-field", func(p *peer) { p.writeHead(1, true, ":path: /", ":status: 200") }, reset(http2.ErrCodeProtocol)},
 	{"8.3.2", "no status", func(p *peer) { p.writeHead(1, true, "x: y") }, reset(http2.ErrCodeProtocol)},
@@ -136,7 +136,7 @@
 			p.frameWriter.WriteData(1, false, make([]byte, 4<<10))
 		}
 	}, reset(http2.ErrCodeFlowControl)},
-	{"10.5", "a body that is told to be too long", func(p *peer) { p.writeHead(1, false, ":status: 200", "content-length: 3000000000") }, reset(http2.ErrCodeCancel)},
+	{"10.5", "a Content-Length above the limit", func(p *peer) { p.writeHead(1, false, ":status: 200", "content-length: 3000000000") }, reset(http2.ErrCodeCancel)},
 }
 
 // TestServerFaults checks that a protocol violation ends the stream or the connection as required, and nothing else.
@@ -156,23 +156,23 @@
 				}
 			}
 			if got := strings.Join(ends, ", "); got != tc.want {
-				t.Errorf("it says %q, not %q (%v)", got, tc.want, peer.machine.Err())
+				t.Errorf("ended with %q, want %q (connection error %v)", got, tc.want, peer.machine.Err())
 			}
 			switch {
 			case strings.HasPrefix(tc.want, "GOAWAY"):
 				if peer.machine.Err() == nil || peer.machine.FreeStreams() != 0 || peer.machine.OpenStreams() != 0 {
-					t.Errorf("it goes on: %v, %d open", peer.machine.Err(), peer.machine.OpenStreams())
+					t.Errorf("the connection has not ended: error %v, %d open streams", peer.machine.Err(), peer.machine.OpenStreams())
 				}
 			case tc.want != "": // the connection and its other streams continue
 				if len(peer.events) != 1 || peer.events[0].Err == nil || peer.events[0].Outcome != MayBeProcessed || peer.machine.Err() != nil {
-					t.Fatalf("%+v, %v", peer.events, peer.machine.Err())
+					t.Fatalf("events %+v, connection error %v; want one failed stream", peer.events, peer.machine.Err())
 				}
 				fallthrough
 			default:
 				id := peer.open("")
 				peer.writeHead(id, true, ":status: 204")
 				if e := peer.processInput(); peer.machine.Err() != nil || len(e) == 0 || e[len(e)-1].Answer == nil {
-					t.Errorf("the next request: %+v, %v", e, peer.machine.Err())
+					t.Errorf("the next request: events %+v, connection error %v; want an answer", e, peer.machine.Err())
 				}
 			}
 		})
--- a/internal/h2/stream_outcome_test.go
+++ b/internal/h2/stream_outcome_test.go
@@ -31,7 +31,7 @@
 		for atLastByte, wantByProgress := range tc.want {
 			for progress, want := range wantByProgress {
 				if got := OutcomeOf(Moment(progress), tc.how, tc.code, atLastByte == 1); got != want {
-					t.Errorf("%v, %v, %v, whole %d: %v, not %v", Moment(progress), tc.how, tc.code, atLastByte, got, want)
+					t.Errorf("%v, %v, %v, starts at last byte %d: %v, want %v", Moment(progress), tc.how, tc.code, atLastByte, got, want)
 				}
 			}
 		}
@@ -49,16 +49,16 @@
 		peer.machine.PendingBytes() // passed to a write that has not returned
 		return onlyError(peer.t, peer.machine.Abort(io.EOF))
 	}, MomentStarted},
-	"broken after a part": {func(peer *peer, _ uint32) *StreamError {
+	"broken after a partial write": {func(peer *peer, _ uint32) *StreamError {
 		peer.machine.PendingBytes()
 		peer.machine.RecordWrite(12)
 		return onlyError(peer.t, peer.machine.Abort(io.EOF))
 	}, MomentStarted},
-	"broken once all the window let go is written": {func(peer *peer, _ uint32) *StreamError {
+	"broken after all bytes that the window allowed": {func(peer *peer, _ uint32) *StreamError {
 		peer.flushOutput()
 		return onlyError(peer.t, peer.machine.Abort(io.EOF))
 	}, MomentStarted},
-	"broken after all": {func(peer *peer, id uint32) *StreamError {
+	"broken after the complete request": {func(peer *peer, id uint32) *StreamError {
 		peer.flushOutput()
 		peer.frameWriter.WriteWindowUpdate(id, 1000)
 		peer.processInput()
@@ -79,20 +79,20 @@
 		peer.frameWriter.WriteRSTStream(id, http2.ErrCodeRefusedStream)
 		return onlyError(peer.t, peer.processInput())
 	}, MomentAnswered},
-	"given up while its last bytes wait to be written": {func(peer *peer, id uint32) *StreamError {
+	"cancelled while its last bytes are not written": {func(peer *peer, id uint32) *StreamError {
 		peer.frameWriter.WriteWindowUpdate(id, 1000)
 		peer.processInput()
 		event, _ := peer.machine.Cancel(id)
 		return event.Err
 	}, MomentSent},
-	"given up while it waits for the window": {func(peer *peer, id uint32) *StreamError { event, _ := peer.machine.Cancel(id); return event.Err }, MomentStarted},
+	"cancelled while it waits for the window": {func(peer *peer, id uint32) *StreamError { event, _ := peer.machine.Cancel(id); return event.Err }, MomentStarted},
 }
 
 // onlyError returns the error of the only event, and fails the test if there is not exactly one.
 func onlyError(t testing.TB, events []Event) *StreamError {
 	t.Helper()
 	if len(events) != 1 || events[0].Err == nil {
-		t.Fatalf("%+v", events)
+		t.Fatalf("events %+v, want one error", events)
 	}
 	return events[0].Err
 }
@@ -104,11 +104,11 @@
 		t.Run(name, func(t *testing.T) {
 			peer := newReadyPeer(t, Limits{}, http2.Setting{ID: http2.SettingInitialWindowSize, Val: 100})
 			if event := tc.end(peer, peer.open(strings.Repeat("x", 200))); event.Moment != tc.want {
-				t.Errorf("%v, not %v", event.Moment, tc.want)
+				t.Errorf("request %v, want %v", event.Moment, tc.want)
 			}
 			if peer.machine.Err() != nil {
 				if out := string(peer.machine.PendingBytes()); strings.Contains(out, "xxx") && peer.machine.offered == 0 {
-					t.Errorf("it goes on writing: %q", out)
+					t.Errorf("output continues after the connection has ended: %q", out)
 				}
 			}
 		})
--- a/internal/route/canonical_test.go
+++ b/internal/route/canonical_test.go
@@ -24,7 +24,7 @@
 	} {
 		authority, path, err := SplitTarget(in)
 		if got := authority + " " + path; err == nil && got != want || err != nil && want != "no" {
-			t.Errorf("%q: %q, %v", in, got, err)
+			t.Errorf("%q: got %q, error %v", in, got, err)
 		}
 	}
 }
@@ -38,7 +38,7 @@
 		strings.Repeat("a", 256): "no",
 	} {
 		if got, err := CanonicalHost(in); err == nil && got != want || err != nil && want != "no" {
-			t.Errorf("%q: %q, %v", in, got, err)
+			t.Errorf("%q: got %q, error %v", in, got, err)
 		}
 	}
 }
@@ -54,11 +54,11 @@
 	} {
 		got, err := CanonicalPath(in)
 		if err == nil && got != want || err != nil && want != "no" {
-			t.Errorf("%q: %q, %v, not %q", in, got, err, want)
+			t.Errorf("%q: got %q, error %v, want %q", in, got, err, want)
 		}
 		if err == nil {
 			if repeated, err := CanonicalPath(got); err != nil || repeated != got {
-				t.Errorf("%q: its form %q has the form %q, %v", in, got, repeated, err)
+				t.Errorf("%q: canonical form %q has canonical form %q, error %v", in, got, repeated, err)
 			}
 		}
 	}
@@ -76,7 +76,7 @@
 			return
 		}
 		if repeated, err := CanonicalPath(got); err != nil || repeated != got {
-			t.Fatalf("%q: %q, then %q, %v", raw, got, repeated, err)
+			t.Fatalf("%q: canonical form %q has canonical form %q, error %v", raw, got, repeated, err)
 		}
 		for i, s := range strings.Split(got, "/") {
 			decoded := s
@@ -85,7 +85,7 @@
 			}
 			last := i == strings.Count(got, "/")
 			if decoded == "." || decoded == ".." || strings.ContainsAny(decoded, "/\\") || s == "" && i > 0 && !last {
-				t.Fatalf("%q: segment %q of %q", raw, s, got)
+				t.Fatalf("%q: invalid segment %q in canonical form %q", raw, s, got)
 			}
 		}
 	})
--- a/internal/route/reference_test.go
+++ b/internal/route/reference_test.go
@@ -169,11 +169,11 @@
 		host, path, method, header := randomRequest(rng)
 		got, ok := r.Find(host, path, method, header)
 		if want := referenceFind(rules, host, path, method, header); !ok && want >= 0 || ok && got != want {
-			t.Fatalf("seed %d: %s %s%s %v: rule %d, not %d of %+v", seed, method, host, path, header, got, want, rules)
+			t.Fatalf("seed %d: %s %s%s %v: rule %d, want %d of %+v", seed, method, host, path, header, got, want, rules)
 		}
 		// The order of the rules must not matter.
 		if i, found := shuffledRouter.Find(host, path, method, header); found != ok || ok && shuffled[i].Name != rules[got].Name {
-			t.Fatalf("seed %d: %s%s: %s in another order, not %s", seed, host, path, shuffled[i].Name, rules[got].Name)
+			t.Fatalf("seed %d: %s%s: rule %s for shuffled rules, want %s", seed, host, path, shuffled[i].Name, rules[got].Name)
 		}
 	}
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -91,14 +91,14 @@
 		}
 		i, ok := r.Find(tc.host, tc.path, method, tc.header())
 		if !ok || testRules[i].Name != tc.want {
-			t.Errorf("%+v: %q, not %q", tc.testRequest, testRules[i].Name, tc.want)
+			t.Errorf("%+v: rule %q, want %q", tc.testRequest, testRules[i].Name, tc.want)
 		}
 		if matches := r.Explain(tc.host, tc.path, method, tc.header()); matches[0].Index != i {
-			t.Errorf("%+v: Why tells %q", tc.testRequest, testRules[matches[0].Index].Name)
+			t.Errorf("%+v: Explain returns %q first", tc.testRequest, testRules[matches[0].Index].Name)
 		}
 	}
 	if i, ok := mustCompile(t, testRules[1:2]).Find("other", "/", "GET", nil); ok {
-		t.Errorf("rule %d, not none", i)
+		t.Errorf("rule %d, want none", i)
 	}
 }
 
@@ -108,40 +108,40 @@
 		key   string
 		tells string
 	}{
-		"twice":             {[]Rule{{Name: "x", Prefix: "/a"}, {Name: "y", Prefix: "/a/"}}, "name", `route "x" has the same`},
-		"twice any":         {[]Rule{{Name: "x", Prefix: "/"}, {Name: "y"}}, "name", "same conditions"},
-		"twice by class":    {[]Rule{{Prefix: "/a", Class: "a"}, {Prefix: "/a"}}, "name", "same conditions"},
-		"twice by header":   {[]Rule{{Headers: []Header{{Name: "A", Any: true}, {Name: "a", Value: "1"}}}, {Headers: []Header{{Name: "a", Value: "1"}}}}, "name", "same"},
-		"host in capitals":  {[]Rule{{Host: "A.example"}}, "host", `"a.example"`},
-		"host with port":    {[]Rule{{Host: "a.example:80"}}, "host", "never match"},
-		"host with dot":     {[]Rule{{Host: "a.example."}}, "host", "never match"},
-		"star alone":        {[]Rule{{Host: "*"}}, "host", "no host"},
-		"star inside":       {[]Rule{{Host: "a.*.example"}}, "host", "no host"},
-		"star with nothing": {[]Rule{{Host: "*."}}, "host", "names no host"},
-		"path and prefix":   {[]Rule{{Path: "/a", Prefix: "/b"}}, "prefix", "beside"},
-		"relative":          {[]Rule{{Path: "a"}}, "path", "no path"},
-		"dots":              {[]Rule{{Prefix: "/a/../b"}}, "prefix", "dot segment"},
-		"empty segment":     {[]Rule{{Prefix: "/a//b"}}, "prefix", "empty segment"},
-		"encoded slash":     {[]Rule{{Path: "/a%2Fb"}}, "path", "slash"},
-		"needless encoding": {[]Rule{{Path: "/%61"}}, "path", `matched as "/a"`},
-		"lower encoding":    {[]Rule{{Path: "/%c3"}}, "path", `"/%C3"`},
-		"parameters":        {[]Rule{{Path: "/a;v=1"}}, "path", `"/a"`},
-		"a query":           {[]Rule{{Path: "/a#b"}}, "path", "byte"},
-		"health":            {[]Rule{{Path: "/healthz"}}, "path", "itself"},
-		"other class":       {[]Rule{{Prefix: "/a", Class: "b"}}, "class", `"a"`},
-		"class of two":      {[]Rule{{Class: "a/b"}}, "class", "segment"},
-		"class of root":     {[]Rule{{Path: "/", Class: "a"}}, "class", "never"},
-		"odd method":        {[]Rule{{Method: "GET POST"}}, "method", "never"},
-		"connect":           {[]Rule{{Method: "CONNECT"}}, "method", "never"},
-		"two values":        {[]Rule{{Headers: []Header{{Name: "a", Value: "1"}, {Name: "A", Value: "2"}}}}, "headers", "two values"},
-		"odd header":        {[]Rule{{Headers: []Header{{Name: "a b", Any: true}}}}, "headers", "no name"},
-		"odd value":         {[]Rule{{Headers: []Header{{Name: "a", Value: "x\n"}}}}, "headers", "no value"},
-		"host as header":    {[]Rule{{Headers: []Header{{Name: "host", Value: "x"}}}}, "headers", "never"},
+		"twice":                {[]Rule{{Name: "x", Prefix: "/a"}, {Name: "y", Prefix: "/a/"}}, "name", `route "x" has the same`},
+		"duplicate of any":     {[]Rule{{Name: "x", Prefix: "/"}, {Name: "y"}}, "name", "same conditions"},
+		"duplicate by class":   {[]Rule{{Prefix: "/a", Class: "a"}, {Prefix: "/a"}}, "name", "same conditions"},
+		"duplicate by header":  {[]Rule{{Headers: []Header{{Name: "A", Any: true}, {Name: "a", Value: "1"}}}, {Headers: []Header{{Name: "a", Value: "1"}}}}, "name", "same"},
+		"host in capitals":     {[]Rule{{Host: "A.example"}}, "host", `"a.example"`},
+		"host with port":       {[]Rule{{Host: "a.example:80"}}, "host", "never match"},
+		"host with dot":        {[]Rule{{Host: "a.example."}}, "host", "never match"},
+		"only a star":          {[]Rule{{Host: "*"}}, "host", "no host"},
+		"star inside":          {[]Rule{{Host: "a.*.example"}}, "host", "no host"},
+		"star without host":    {[]Rule{{Host: "*."}}, "host", "no host after the wildcard"},
+		"path and prefix":      {[]Rule{{Path: "/a", Prefix: "/b"}}, "prefix", "beside"},
+		"relative":             {[]Rule{{Path: "a"}}, "path", "no path"},
+		"dots":                 {[]Rule{{Prefix: "/a/../b"}}, "prefix", "dot segment"},
+		"empty segment":        {[]Rule{{Prefix: "/a//b"}}, "prefix", "empty segment"},
+		"encoded slash":        {[]Rule{{Path: "/a%2Fb"}}, "path", "slash"},
+		"needless encoding":    {[]Rule{{Path: "/%61"}}, "path", `matched as "/a"`},
+		"lower encoding":       {[]Rule{{Path: "/%c3"}}, "path", `"/%C3"`},
+		"parameters":           {[]Rule{{Path: "/a;v=1"}}, "path", `"/a"`},
+		"a query":              {[]Rule{{Path: "/a#b"}}, "path", "byte"},
+		"health":               {[]Rule{{Path: "/healthz"}}, "path", "itself"},
+		"other class":          {[]Rule{{Prefix: "/a", Class: "b"}}, "class", `"a"`},
+		"class of two":         {[]Rule{{Class: "a/b"}}, "class", "segment"},
+		"class of root":        {[]Rule{{Path: "/", Class: "a"}}, "class", "never"},
+		"invalid method":       {[]Rule{{Method: "GET POST"}}, "method", "never"},
+		"connect":              {[]Rule{{Method: "CONNECT"}}, "method", "never"},
+		"two values":           {[]Rule{{Headers: []Header{{Name: "a", Value: "1"}, {Name: "A", Value: "2"}}}}, "headers", "two values"},
+		"invalid header name":  {[]Rule{{Headers: []Header{{Name: "a b", Any: true}}}}, "headers", "no name"},
+		"invalid header value": {[]Rule{{Headers: []Header{{Name: "a", Value: "x\n"}}}}, "headers", "not a valid header value"},
+		"host as header":       {[]Rule{{Headers: []Header{{Name: "host", Value: "x"}}}}, "headers", "never"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, problems := New(tc.rules)
 			if len(problems) != 1 || problems[0].Key != tc.key || !strings.Contains(problems[0].Error(), tc.tells) {
-				t.Errorf("%v", problems)
+				t.Errorf("problems %v", problems)
 			}
 		})
 	}
--- a/internal/route/rule.go
+++ b/internal/route/rule.go
@@ -72,7 +72,7 @@
 		return nil, key, err
 	}
 	if c.Method != "" && !validToken(c.Method) || c.Method == http.MethodConnect {
-		return nil, "method", fmt.Errorf("%q can never match: no method with a path", c.Method)
+		return nil, "method", fmt.Errorf("%q can never match: not a valid method for a request with a path", c.Method)
 	}
 	if err := c.compileClass(); err != nil {
 		return nil, "class", err
@@ -87,10 +87,10 @@
 	}
 	host, isWildcard := strings.CutPrefix(rule, "*.")
 	if err := checkCanonical(host, CanonicalHost); err != nil || host == "" {
-		return cmp.Or(err, fmt.Errorf("%q names no host", rule))
+		return cmp.Or(err, fmt.Errorf("%q has no host after the wildcard", rule))
 	}
 	if isWildcard && strings.HasPrefix(host, "[") {
-		return errors.New("a wildcard before an address")
+		return errors.New("a wildcard can't precede an IP address")
 	}
 	return nil
 }
@@ -130,7 +130,7 @@
 		return nil
 	}
 	if strings.Contains(c.Class, "/") || checkCanonical("/"+c.Class, CanonicalPath) != nil || c.Path == "/" {
-		return fmt.Errorf("%q can never match: it is no segment of a path", c.Class)
+		return fmt.Errorf("%q can never match: it is not a single path segment", c.Class)
 	}
 	return nil
 }
@@ -144,12 +144,12 @@
 		case !validToken(h.Name):
 			return fmt.Errorf("%q is no name of a header", h.Name)
 		case h.Name == "Host" || h.Name == "Transfer-Encoding" || h.Name == "Trailer":
-			return fmt.Errorf("can never match: %s is not among the headers a request is told by", h.Name)
+			return fmt.Errorf("can never match: %s is not among the headers that rules are matched against", h.Name)
 		case !h.Any && (!httpguts.ValidHeaderFieldValue(h.Value) || strings.Trim(h.Value, " \t") != h.Value):
-			return fmt.Errorf("%s: can never match: %q is no value of a header", h.Name, h.Value)
+			return fmt.Errorf("%s: can never match: %q is not a valid header value", h.Name, h.Value)
 		case isRepeated && h.Any: // implied by the earlier condition on the same header
 		case isRepeated && !earlier.Any && earlier.Value != h.Value:
-			return fmt.Errorf("%s: can never match: two values", h.Name)
+			return fmt.Errorf("%s: can never match: two values for one header", h.Name)
 		default:
 			byName[h.Name] = h
 		}
