--- a/internal/h2/server_faults_test.go
+++ b/internal/h2/server_faults_test.go
@@ -16,7 +16,7 @@
 // them, and how the machine has to react: it ends the connection (GOAWAY) or only the stream (RST) with an error code.
 var serverFaults = []struct {
 	section, name string
-	do            func(p *peer)
+	send          func(p *peer)
 	want          string // empty if the machine must accept it
 }{
 	{"3.4", "a frame before the settings", func(p *peer) { p.machine.hasSettings = false; p.frameWriter.WritePing(false, [8]byte{}) }, goAway(http2.ErrCodeProtocol)},
@@ -146,7 +146,7 @@
 			peer := newReadyPeer(t, Limits{MaxHeadBytes: 3000, MaxBodyBytes: 60 << 10})
 			peer.open("")
 			peer.frames()
-			tc.do(peer)
+			tc.send(peer)
 			peer.processInput()
 			frames := peer.frames()
 			ends := frames[:0]
--- a/internal/h2/stream_outcome_test.go
+++ b/internal/h2/stream_outcome_test.go
@@ -12,7 +12,7 @@
 func TestOutcomeOf(t *testing.T) {
 	notProcessed, rejected, mayBeProcessed := NotProcessed, Rejected, MayBeProcessed
 	for _, tc := range []struct {
-		how  End
+		end  End
 		code http2.ErrCode
 		want [2][4]StreamOutcome // first index: servers start at the head, at the last byte; second index: Moment
 	}{
@@ -30,8 +30,8 @@
 	} {
 		for atLastByte, wantByProgress := range tc.want {
 			for progress, want := range wantByProgress {
-				if got := OutcomeOf(Moment(progress), tc.how, tc.code, atLastByte == 1); got != want {
-					t.Errorf("%v, %v, %v, starts at last byte %d: %v, want %v", Moment(progress), tc.how, tc.code, atLastByte, got, want)
+				if got := OutcomeOf(Moment(progress), tc.end, tc.code, atLastByte == 1); got != want {
+					t.Errorf("%v, %v, %v, starts at last byte %d: %v, want %v", Moment(progress), tc.end, tc.code, atLastByte, got, want)
 				}
 			}
 		}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -104,9 +104,9 @@
 
 func TestNewReportsUnusableRules(t *testing.T) {
 	for name, tc := range map[string]struct {
-		rules []Rule
-		key   string
-		tells string
+		rules    []Rule
+		key      string
+		wantText string
 	}{
 		"twice":                {[]Rule{{Name: "x", Prefix: "/a"}, {Name: "y", Prefix: "/a/"}}, "name", `route "x" has the same`},
 		"duplicate of any":     {[]Rule{{Name: "x", Prefix: "/"}, {Name: "y"}}, "name", "same conditions"},
@@ -140,7 +140,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, problems := New(tc.rules)
-			if len(problems) != 1 || problems[0].Key != tc.key || !strings.Contains(problems[0].Error(), tc.tells) {
+			if len(problems) != 1 || problems[0].Key != tc.key || !strings.Contains(problems[0].Error(), tc.wantText) {
 				t.Errorf("problems %v", problems)
 			}
 		})
