--- a/internal/h2/conn_write.go
+++ b/internal/h2/conn_write.go
@@ -46,7 +46,7 @@
 	}
 	c.recordWrite(max(n, 0))
 	c.mu.Lock()
-	needsWriter := c.machine.HasOutput() || c.isClosing || c.machine.Err() != nil // the writing goroutine does not write while isWriting is set
+	needsWriter := c.machine.HasOutput() || c.isClosing || c.machine.Err() != nil // the writing goroutine may have skipped this while isWriting was set
 	c.mu.Unlock()
 	if needsWriter {
 		c.wakeWriter()
--- a/internal/h2/machine.go
+++ b/internal/h2/machine.go
@@ -31,7 +31,7 @@
 	maxOutputBytes            = 1 << 20  // buffered output above which bodies wait
 	maxSentFrameBytes         = 1 << 16  // limit on a DATA frame that is sent; longer ones would delay other streams
 	maxCachedNames            = 200      // limit on cached names of header fields, for each direction
-	maxUnreturnedWindow       = 16 << 10 // consumed part of the connection's window that is not yet returned to the server
+	maxUnreturnedWindow       = 16 << 10 // the connection's window is returned to the server in steps of at least this many bytes
 	maxDetailBytes            = 100      // limit on the GOAWAY debug data that errors contain
 )
 
@@ -205,7 +205,7 @@
 		http2.Setting{ID: http2.SettingInitialWindowSize, Val: uint32(machine.MaxBodyBytes + 1)},
 		http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: uint32(machine.MaxHeadBytes)},
 	)
-	// The connection-level window is the sum of the windows of all streams, so that no stream blocks another one.
+	// The connection-level window is at least the sum of the streams' windows, up to maxWindow, so that no stream blocks another.
 	window := int64(machine.MaxStreams)*int64(machine.MaxBodyBytes+1) + maxUnreturnedWindow
 	if window > defaultWindow {
 		machine.frames.WriteWindowUpdate(0, uint32(min(window, maxWindow)-defaultWindow))
--- a/internal/h2/sending.go
+++ b/internal/h2/sending.go
@@ -173,8 +173,8 @@
 	}
 }
 
-// isOmittedField reports whether a field is not sent with this value: TE may only be "trailers" in HTTP/2 (RFC 9113, 8.2.2),
-// and net/http's convention is that an empty User-Agent is not sent.
+// isOmittedField reports whether a field is not sent with this value. HTTP/2 allows only "trailers" as the value of TE
+// (RFC 9113, 8.2.2), and an empty User-Agent means that none is sent, as in net/http.
 func isOmittedField(name, value string) bool {
 	switch name {
 	case "te":
--- a/internal/h2/stream_outcome.go
+++ b/internal/h2/stream_outcome.go
@@ -6,7 +6,7 @@
 	"golang.org/x/net/http2"
 )
 
-// Moment is how much of a request had been sent, or answered, when its stream ended.
+// Moment is how far a request had progressed, from unsent to partly answered, when its stream ended.
 type Moment int
 
 // The values of Moment, in the order in which a request passes them.
