--- a/internal/h2/peer_test.go
+++ b/internal/h2/peer_test.go
@@ -13,11 +13,11 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// peer is the server's side of a machine: what it writes is read by the machine, frame by frame.
+// peer is a fake server for a Machine: it writes frames for the machine and reads the machine's output.
 type peer struct {
 	t            testing.TB
 	machine      *Machine
-	input        bytes.Buffer // to the machine
+	input        bytes.Buffer // frames for the machine
 	frameWriter  *http2.Framer
 	machineInput *http2.Framer
 	headerBlock  bytes.Buffer
@@ -36,31 +36,31 @@
 	created.encoder = hpack.NewEncoder(&created.headerBlock)
 	created.outputReader = http2.NewFramer(nil, &created.output)
 	created.outputReader.ReadMetaHeaders = hpack.NewDecoder(defaultTableBytes, nil)
-	out := created.write()
+	out := created.flushOutput()
 	if !strings.HasPrefix(out, preface) {
-		t.Fatalf("it begins with %q", out)
+		t.Fatalf("output begins with %q, want the connection preface", out)
 	}
 	created.output.Next(len(preface))
 	return created
 }
 
-// newReadyPeer is a peer whose settings have been taken.
+// newReadyPeer returns a peer whose settings the machine has handled.
 func newReadyPeer(t testing.TB, limits Limits, s ...http2.Setting) *peer {
 	ready := newPeer(t, limits)
 	ready.frameWriter.WriteSettings(s...)
-	ready.feed()
-	ready.write()
+	ready.processInput()
+	ready.flushOutput()
 	ready.frames()
 	return ready
 }
 
-// feed has the machine take in what was written for it.
-func (p *peer) feed() []Event {
+// processInput passes the frames in input to the machine and returns the resulting events.
+func (p *peer) processInput() []Event {
 	p.events = nil
 	for p.input.Len() > 0 && p.machine.Err() == nil {
 		frame, err := p.machineInput.ReadFrame()
 		if err != nil {
-			p.events = append(p.events, p.machine.Unreadable(err)...)
+			p.events = append(p.events, p.machine.HandleReadError(err)...)
 		} else {
 			p.events = append(p.events, p.machine.Handle(frame)...)
 		}
@@ -68,27 +68,27 @@
 	return p.events
 }
 
-// write takes all that the machine has to say.
-func (p *peer) write() string {
+// flushOutput moves all pending output of the machine to output and returns it.
+func (p *peer) flushOutput() string {
 	var all []byte
 	for b := p.machine.PendingBytes(); len(b) > 0; b = p.machine.PendingBytes() {
 		all = append(all, b...)
-		p.machine.Wrote(len(b))
+		p.machine.RecordWrite(len(b))
 	}
 	p.output.Write(all)
 	return string(all)
 }
 
-// frames are what the machine said, a word each.
+// frames reads the frames that the machine has written, each formatted as a short text.
 func (p *peer) frames() (all []string) {
-	p.write()
+	p.flushOutput()
 	for {
 		frame, err := p.outputReader.ReadFrame()
 		if errors.Is(err, io.EOF) {
 			return all
 		}
 		if err != nil {
-			p.t.Fatalf("the machine wrote what can't be read: %v", err)
+			p.t.Fatalf("the machine wrote an unreadable frame: %v", err)
 		}
 		switch f := frame.(type) {
 		case *http2.RSTStreamFrame:
@@ -107,8 +107,8 @@
 	}
 }
 
-// head writes a head, "name: value" each.
-func (p *peer) head(id uint32, end bool, fields ...string) {
+// writeHead writes a HEADERS frame for the machine. Each field has the form "name: value".
+func (p *peer) writeHead(id uint32, end bool, fields ...string) {
 	p.headerBlock.Reset()
 	for _, f := range fields {
 		name, value, _ := strings.Cut(f, ": ")
--- a/internal/h2/sending.go
+++ b/internal/h2/sending.go
@@ -12,16 +12,16 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// This file sends requests and their bodies, as far as the flow-control windows allow.
+// This file sends requests and their bodies within the flow-control windows.
 
-// OpenStream sends a request, as far as the flow-control windows allow. The error wraps ErrNoStream, ErrHeadTooLong or
-// ErrWithdrawn; nothing was sent then.
+// OpenStream opens a stream and sends as much of its request as the flow-control windows allow. Its errors wrap
+// ErrNoStream, ErrHeadTooLong or ErrWithdrawn; if it returns one, nothing was sent.
 func (m *Machine) OpenStream(request *Request) (uint32, error) {
 	if m.FreeStreams() == 0 {
 		return 0, ErrNoStream
 	}
 	fields := m.fields(request)
-	if err := m.checkHeadSize(fields); err != nil { // before encoding, which changes the compression table
+	if err := m.checkHeadSize(fields); err != nil { // checked before encoding, which changes the compression table
 		return 0, err
 	}
 	if request.MayBegin != nil && !request.MayBegin() {
@@ -44,17 +44,17 @@
 	isHeadOnly := len(request.Body) == 0 && !request.HasMoreBody
 	m.nextID += 2
 	m.streams[opened.id] = opened
-	m.writeBlock(opened.id, isHeadOnly)
+	m.writeHeaderBlock(opened.id, isHeadOnly)
 	if isHeadOnly {
 		opened.isQueued = true
 		opened.endOffset = m.offset()
 	} else {
-		m.send(opened)
+		m.flushBody(opened)
 	}
 	return opened.id, nil
 }
 
-// checkHeadSize returns an error if the server does not accept a head of this size.
+// checkHeadSize returns an error if a head exceeds the server's limit (SETTINGS_MAX_HEADER_LIST_SIZE).
 func (m *Machine) checkHeadSize(fields iter.Seq[hpack.HeaderField]) error {
 	if m.peerMaxHeadBytes == 0 {
 		return nil
@@ -64,13 +64,13 @@
 		size += field.Size()
 	}
 	if size > m.peerMaxHeadBytes {
-		return fmt.Errorf("%w: %d bytes, more than %d", ErrHeadTooLong, size, m.peerMaxHeadBytes)
+		return fmt.Errorf("%w: %d bytes, at most %d allowed", ErrHeadTooLong, size, m.peerMaxHeadBytes)
 	}
 	return nil
 }
 
-// writeBlock writes the head, or the trailers, that headerBlock holds.
-func (m *Machine) writeBlock(id uint32, endsStream bool) {
+// writeHeaderBlock writes the encoded head or trailers in headerBlock.
+func (m *Machine) writeHeaderBlock(id uint32, endsStream bool) {
 	block := m.headerBlock.Bytes()
 	for isFirst := true; isFirst || len(block) > 0; isFirst = false {
 		part := block[:min(len(block), m.maxFrameBytes)]
@@ -88,9 +88,9 @@
 	}
 }
 
-// Feed adds to a request's body; isLast says that this is its last part, which trailers may follow. Data that can't be
-// sent yet is buffered; UnsentBytes returns how much that is.
-func (m *Machine) Feed(id uint32, data []byte, isLast bool, trailer http.Header) {
+// SendBody sends more of a request's body. isLast marks the last part, which trailer may follow. Data that can't be sent
+// yet is buffered; UnsentBytes returns its length.
+func (m *Machine) SendBody(id uint32, data []byte, isLast bool, trailer http.Header) {
 	stream := m.streams[id]
 	if stream == nil || !stream.hasMoreBody || m.connErr != nil {
 		return
@@ -100,10 +100,10 @@
 		stream.hasMoreBody = false
 		stream.trailer = trailer
 	}
-	m.send(stream)
+	m.flushBody(stream)
 }
 
-// UnsentBytes returns how much of a request's body waits for the flow-control windows or for the socket.
+// UnsentBytes returns the number of bytes of a request's body that wait for the flow-control windows or the socket.
 func (m *Machine) UnsentBytes(id uint32) int {
 	if stream := m.streams[id]; stream != nil {
 		return len(stream.unsentBody)
@@ -111,8 +111,8 @@
 	return 0
 }
 
-// Consumed records that n bytes of an answer with StreamsAnswer have been processed: the server may send as many
-// again.
+// Consumed records that the caller has processed n bytes of a streamed answer, which allows the server to send as many
+// more. The window is returned to the server in steps of more than half of MaxBodyBytes.
 func (m *Machine) Consumed(id uint32, n int) {
 	stream := m.streams[id]
 	if stream == nil || m.connErr != nil {
@@ -126,11 +126,11 @@
 	}
 }
 
-// offset returns the offset of the next byte of output, from the connection's first byte on.
+// offset returns the offset of the next byte of output, counted from the connection's first byte.
 func (m *Machine) offset() int64 { return m.written + int64(len(m.writing)+m.output.Len()) }
 
-// connectionFields are the fields of a connection, which HTTP/2 does not have (RFC 9113, 8.2.2), and host, for which it
-// has :authority.
+// connectionFields are the connection-specific fields, which HTTP/2 forbids (RFC 9113, 8.2.2), and host, which
+// :authority replaces in HTTP/2.
 var connectionFields = map[string]bool{
 	"connection":        true,
 	"keep-alive":        true,
@@ -140,7 +140,7 @@
 	"host":              true,
 }
 
-// fields returns the fields of a request's head.
+// fields returns the fields of a request's head, the pseudo-header fields first.
 func (m *Machine) fields(request *Request) iter.Seq[hpack.HeaderField] {
 	return func(yield func(hpack.HeaderField) bool) {
 		for _, field := range [...]hpack.HeaderField{
@@ -154,7 +154,7 @@
 			}
 		}
 		for canonicalName, values := range request.Header {
-			name := m.lowerNames.of(canonicalName, strings.ToLower)
+			name := m.lowerNames.get(canonicalName, strings.ToLower)
 			if connectionFields[name] || name == "content-length" {
 				continue
 			}
@@ -173,7 +173,8 @@
 	}
 }
 
-// isOmittedField reports whether a field has no meaning in HTTP/2 with this value.
+// isOmittedField reports whether a field is not sent with this value. HTTP/2 allows only "trailers" as the value of TE
+// (RFC 9113, 8.2.2), and an empty User-Agent means that none is sent, as in net/http.
 func isOmittedField(name, value string) bool {
 	switch name {
 	case "te":
@@ -184,24 +185,24 @@
 	return false
 }
 
-// contentLength returns the value of Content-Length; below 0 the head has none.
+// contentLength returns the value of Content-Length; it is negative if the head has none.
 func (r *Request) contentLength() int64 {
 	if r.HasMoreBody {
 		return r.ContentLength
 	}
-	if len(r.Body) == 0 && !usuallyHasBody(r.Method) {
+	if len(r.Body) == 0 && !anticipatesContent(r.Method) {
 		return -1
 	}
 	return int64(len(r.Body))
 }
 
-// usuallyHasBody reports whether a request of this method states an empty body too (RFC 9110, 8.6).
-func usuallyHasBody(method string) bool {
+// anticipatesContent reports whether a request of this method has a Content-Length even if its body is empty (RFC 9110, 8.6).
+func anticipatesContent(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// send sends as much of a request's body as the flow-control windows allow.
-func (m *Machine) send(stream *stream) {
+// flushBody sends as much of a request's body as the flow-control windows and maxOutputBytes allow.
+func (m *Machine) flushBody(stream *stream) {
 	for !stream.isQueued && m.output.Len() < maxOutputBytes {
 		n := min(int64(len(stream.unsentBody)), int64(m.maxFrameBytes), stream.sendWindow, m.sendWindow)
 		isLast := int64(len(stream.unsentBody)) <= max(n, 0) && !stream.hasMoreBody
@@ -214,7 +215,7 @@
 		stream.sendWindow -= n
 		m.sendWindow -= n
 		stream.isQueued = isLast
-		m.noiseFrames = max(0, m.noiseFrames-1-int(n)/bodyBytesPerNoise)
+		m.overheadFrames = max(0, m.overheadFrames-1-int(n)/bodyBytesPerOverheadFrame)
 		if len(part) > 0 || len(stream.trailer) == 0 {
 			m.frames.WriteData(stream.id, isLast && len(stream.trailer) == 0, part)
 		}
@@ -224,7 +225,7 @@
 		stream.endOffset = m.offset()
 	}
 	if len(stream.unsentBody) == 0 {
-		stream.unsentBody = nil // frees what has been sent
+		stream.unsentBody = nil // frees the memory of the sent part
 	}
 	isWaiting := !stream.isQueued && len(stream.unsentBody) > 0
 	if isWaiting && !slices.Contains(m.waitingStreams, stream.id) {
@@ -232,25 +233,26 @@
 	}
 }
 
-// writeTrailer writes the trailer fields that end a request.
+// writeTrailer writes the trailer fields, which end a request.
 func (m *Machine) writeTrailer(stream *stream) {
 	m.headerBlock.Reset()
 	for canonicalName, values := range stream.trailer {
-		name := m.lowerNames.of(canonicalName, strings.ToLower)
+		name := m.lowerNames.get(canonicalName, strings.ToLower)
 		for _, value := range values {
 			m.encoder.WriteField(hpack.HeaderField{Name: name, Value: value})
 		}
 	}
-	m.writeBlock(stream.id, true)
+	m.writeHeaderBlock(stream.id, true)
 }
 
-// sendWaiting continues with all bodies that wait for a window or the socket, in their order.
-func (m *Machine) sendWaiting() {
+// flushWaitingBodies continues all bodies that wait for a flow-control window or the socket, in the order in which they began
+// to wait.
+func (m *Machine) flushWaitingBodies() {
 	waiting := m.waitingStreams
 	m.waitingStreams = nil
 	for _, id := range waiting {
 		if stream := m.streams[id]; stream != nil && !stream.isQueued {
-			m.send(stream)
+			m.flushBody(stream)
 		}
 	}
 }
