--- a/internal/upstream/http2_attempt.go
+++ b/internal/upstream/http2_attempt.go
@@ -30,7 +30,7 @@
 
 	streamsBody      bool          // the body is not written with the head
 	continueReceived chan struct{} // closed when a body that waits for a 100 may be sent; nil if it does not wait
-	closeOnce     sync.Once     // closes continueReceived
+	closeOnce        sync.Once     // closes continueReceived
 	endOnce          sync.Once
 	clientErr        atomic.Pointer[error]
 	wasAborted       atomic.Bool
