--- a/control/accounts.go
+++ b/control/accounts.go
@@ -41,7 +41,7 @@
 	key := accountKey(plan.Name, customer)
 	account := t.byKey[key]
 	if account == nil {
-		account = t.open(now, rng, plan, fanOut)
+		account = t.openAccount(now, rng, plan, fanOut)
 		t.byKey[key] = account
 	}
 	account.fanOut = math.Max(account.fanOut, float64(fanOut))
@@ -50,7 +50,7 @@
 }
 
 // open returns the account of a customer that has none.
-func (t *accountTable) open(
+func (t *accountTable) openAccount(
 	now time.Duration, rng *rand.Rand, plan *planQueue, fanOut int,
 ) *customerAccount {
 	account := &customerAccount{
--- a/control/accounts_test.go
+++ b/control/accounts_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestUnmeteredCustomerMaySendItsPartOfTheBurst(t *testing.T) {
+func TestUnmeteredCustomerMaySendItsShareOfTheBurst(t *testing.T) {
 	settings := testSettings()
 	settings.Plans[0].QuotaRate, settings.Plans[0].QuotaBurst = 1, 20
 	gateway := newTestGateway(t, settings, activeEndpoints(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16)...)
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestRefundUndoesACharge(t *testing.T) {
+func TestRefundRevertsACharge(t *testing.T) {
 	plan := &planQueue{Plan: Plan{Name: "low", QuotaRate: 10, QuotaBurst: 20, HardLimitRate: 10, HardLimitBurst: 20}}
 	table := newAccountTable(&Settings{MeterPeriod: time.Second})
 	account := table.accountFor(time.Hour, rand.New(rand.NewPCG(1, 2)), plan, "x", 2)
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestBucketKeepsWhatItHasAboveItsCapacity(t *testing.T) {
+func TestRefillKeepsTokensAboveCapacity(t *testing.T) {
 	for _, tc := range []struct{ tokens, want float64 }{{-3, 1}, {8, 10}, {15, 15}} {
 		bucket := tokenBucket{tokens: tc.tokens}
 		bucket.refill(4, 10)
--- a/control/admission.go
+++ b/control/admission.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	maxRejectionProbability = 0.95 // of the metered rule
-	wellFilledFraction      = 0.08 // filling from which the quota's bucket alone admits
-	spareTokensFraction     = 0.5  // filling that sheddable requests must leave
-	sheddableWeightRatio    = 0.5  // part of the highest weight below which a class is sheddable
-	sheddableTurnFraction   = 0.05 // part of its latency objective that a sheddable request may queue
-	minTokensPerUnit        = 0.5  // tokens needed to admit a unit
+	maxRejectionProbability  = 0.95 // of the metered rule
+	sufficientTokensFraction = 0.08 // filling from which the quota's bucket alone admits
+	sheddableReserveFraction = 0.5  // filling that sheddable requests must leave
+	sheddableWeightRatio     = 0.5  // part of the highest weight below which a class is sheddable
+	sheddableSojournFraction = 0.05 // part of its latency objective that a sheddable request may queue
+	minTokensPerUnit         = 0.5  // tokens needed to admit a unit
 )
 
 // admission decides on requests at their arrival, by the accounts of their customers.
@@ -32,15 +32,15 @@
 	class  *Class
 	units  float64
 	isLate bool // its latency objective can not be met
-	turn   turnEstimate
+	queue  queueEstimate
 
 	handedOver float64 // part of all rates, and of each bucket, that another controller has after HandOver
 }
 
 // turnEstimate is what a request that joins the queues now has to expect.
-type turnEstimate struct {
-	hasFreeSlot bool    // within the concurrency limit
-	seconds     float64 // that it waits and occupies its slot
+type queueEstimate struct {
+	hasFreeSlot    bool    // within the concurrency limit
+	sojournSeconds float64 // that it waits and occupies its slot
 }
 
 // admit decides on a request at its arrival; CauseNone admits it. The account has to be refilled. Since is
@@ -50,9 +50,9 @@
 	account.demand.addRequest(now, req.units)
 	var cause Cause
 	switch {
-	case req.isLate && !account.demand.isWellMetered(now, since):
+	case req.isLate && !account.demand.hasEnoughReadings(now, since):
 		cause = CauseTooLate
-	case a.isSheddable(&req) && isScarce(account, &req):
+	case a.isSheddable(&req) && isContended(account, &req):
 		cause = CauseShed
 	default:
 		cause = account.admitByQuota(now, since, req.units, req.handedOver)
@@ -70,13 +70,13 @@
 }
 
 // isScarce tells whether a sheddable request would take a turn or tokens that others need.
-func isScarce(account *customerAccount, req *admissionRequest) bool {
-	maxTurnSeconds := sheddableTurnFraction * req.class.LatencyObjective.Seconds()
-	if !req.turn.hasFreeSlot && req.turn.seconds > maxTurnSeconds {
+func isContended(account *customerAccount, req *admissionRequest) bool {
+	maxSojournSeconds := sheddableSojournFraction * req.class.LatencyObjective.Seconds()
+	if !req.queue.hasFreeSlot && req.queue.sojournSeconds > maxSojournSeconds {
 		return true
 	}
 	hasQuota := account.plan.QuotaRate > 0
-	return hasQuota && account.availableTokens() < spareTokensFraction*account.quotaBurst(req.handedOver)
+	return hasQuota && account.availableTokens() < sheddableReserveFraction*account.quotaBurst(req.handedOver)
 }
 
 // quotaBurst is how much the quota's bucket holds, of which another controller may have a part.
@@ -85,8 +85,8 @@
 }
 
 // isWellFilled tells whether the quota's bucket is filled enough to admit units by itself.
-func (a *customerAccount) isWellFilled(units, handedOver float64) bool {
-	return a.availableTokens() >= math.Max(wellFilledFraction*a.quotaBurst(handedOver), units)
+func (a *customerAccount) hasSufficientTokens(units, handedOver float64) bool {
+	return a.availableTokens() >= math.Max(sufficientTokensFraction*a.quotaBurst(handedOver), units)
 }
 
 // availableTokens are the quota's tokens that are not reserved for queued requests.
@@ -101,7 +101,7 @@
 		return CauseHardLimit
 	}
 	if plan.QuotaRate > 0 {
-		if a.isWellFilled(units, handedOver) && a.demand.isWellMetered(now, since) {
+		if a.hasSufficientTokens(units, handedOver) && a.demand.hasEnoughReadings(now, since) {
 			return CauseNone
 		}
 		if a.availableTokens() < minTokensPerUnit*units {
--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -7,7 +7,7 @@
 )
 
 // A class of far lower priority weight leaves the lower half of the bucket to others.
-func TestSheddableClassLeavesTheBucket(t *testing.T) {
+func TestSheddableClassIsShedBelowItsTokenReserve(t *testing.T) {
 	settings := testSettings()
 	settings.Classes = append(settings.Classes, Class{Name: "cheap", LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 0.2})
 	settings.Plans[0].QuotaRate, settings.Plans[0].QuotaBurst = 1, 10
@@ -22,7 +22,7 @@
 
 // Guards against a gateway just started that applies the rejection probability for its first 15 seconds, though each
 // period is metered and the bucket is well filled.
-func TestFilledBucketAdmitsFromTheFirstReadings(t *testing.T) {
+func TestFrequentReadingsAreEnoughFromTheStart(t *testing.T) {
 	for _, tc := range []struct {
 		gap, life time.Duration // between readings, and since the start
 		want      bool
@@ -33,7 +33,7 @@
 		gateway.serve(tc.life, tc.gap, 151, func(i int) { // half as much again as its rate, for a while
 			gateway.handle(Request{ID: fmt.Sprint(i), Class: "job", Plan: "low", Customer: "c", Timeout: 3 * time.Second, Units: 1, FanOut: 4})
 		})
-		if got := gateway.controller.accounts.byKey["low c"].demand.isWellMetered(gateway.controller.now, gateway.controller.accounts.fillingSince); got != tc.want {
+		if got := gateway.controller.accounts.byKey["low c"].demand.hasEnoughReadings(gateway.controller.now, gateway.controller.accounts.fillingSince); got != tc.want {
 			t.Errorf("a reading each %v for %v: well metered %v", tc.gap, tc.life, got)
 		}
 	}
@@ -41,15 +41,15 @@
 
 // Where the settings have no maximum of units, a client that names any number of them does not move what requests of
 // others depend on: throughput of servers, slow-start budgets and the mean units of a request.
-func TestUnitsOfOneRequestDoNotMoveSharedEstimates(t *testing.T) {
+func TestUnitsOfOneRequestDoNotAffectSharedEstimates(t *testing.T) {
 	type shared struct{ mean, done, tokens float64 }
-	play := func(units float64, refused bool) shared {
+	run := func(units float64, rejected bool) shared {
 		settings := testSettings()
 		settings.MaxUnits = 0
 		settings.Plans = []Plan{{Name: "open", Price: 1, MaxInFlight: 50}, {Name: "rate", Price: 1, QuotaRate: 10, QuotaBurst: 10}}
 		gateway := newTestGateway(t, settings, activeEndpoints(1, 2)...)
 		plan := "open"
-		if refused {
+		if rejected {
 			plan = "rate"
 		}
 		send := func(id string, units float64) {
@@ -69,10 +69,10 @@
 		send("second", units)
 		return shared{gateway.controller.fleet.requestUnits.mean, gateway.controller.window.servedUnits + gateway.controller.fleet.warmThroughput.mean, srv.slowStart.tokens}
 	}
-	for name, refused := range map[string]bool{"sent": false, "refused": true} {
+	for name, rejected := range map[string]bool{"sent": false, "refused": true} {
 		// The bucket of the second plan has less than half of 30.
-		if some, extreme := play(30, refused), play(1e300, refused); some != extreme {
-			t.Errorf("%s: of 30 units %+v, of many %+v", name, some, extreme)
+		if moderate, extreme := run(30, rejected), run(1e300, rejected); moderate != extreme {
+			t.Errorf("%s: of 30 units %+v, of many %+v", name, moderate, extreme)
 		}
 	}
 }
@@ -97,14 +97,14 @@
 
 // runClosedLoop counts what is served and rejected by class in a duration.
 func runClosedLoop(
-	t *testing.T, clients int, attemptTime, duration time.Duration, cheapWeight float64,
+	t *testing.T, clients int, attemptTime, duration time.Duration, lowPriorityWeight float64,
 ) (served, rejected map[string]int) {
 	t.Helper()
 	settings := testSettings()
 	settings.GroupSize = 1
 	settings.MeterPeriod = 0
 	settings.Classes = []Class{
-		{Name: "cheap", LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: cheapWeight},
+		{Name: "cheap", LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: lowPriorityWeight},
 		{Name: "important", LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 5},
 	}
 	settings.Plans = []Plan{{Name: "low", Price: 1, QuotaRate: 1e6, QuotaBurst: 1e6}}
@@ -171,7 +171,7 @@
 
 // A class of low priority weight is not rejected while servers are so fast that a turn takes a small part of its
 // latency objective; it is shed where a turn takes long.
-func TestFastServersRejectNothing(t *testing.T) {
+func TestNoRequestIsShedWithFastServers(t *testing.T) {
 	for _, clients := range []int{8, 64, 256} {
 		served, rejected := runClosedLoop(t, clients, time.Millisecond, 200*time.Millisecond, 1)
 		if rejected["cheap"]+rejected["important"] > 0 || served["cheap"] < served["important"]/2 || served["cheap"] == 0 {
@@ -186,25 +186,25 @@
 	}
 }
 
-func TestSheddableRequestsLeaveTurnsAndTokens(t *testing.T) {
+func TestSheddableRequestsAreShedUnderContention(t *testing.T) {
 	settings := Settings{Classes: []Class{
 		{Name: "important", LatencyObjective: time.Second, PriorityWeight: 10},
 		{Name: "cheap", LatencyObjective: time.Second, PriorityWeight: 1},
 	}}
-	gate := newAdmission(&settings)
-	free, scarce := turnEstimate{hasFreeSlot: true, seconds: 1}, turnEstimate{seconds: 1}
+	policy := newAdmission(&settings)
+	free, occupied := queueEstimate{hasFreeSlot: true, sojournSeconds: 1}, queueEstimate{sojournSeconds: 1}
 	for _, tc := range []struct {
 		name   string
 		class  int
-		turn   turnEstimate
+		queue  queueEstimate
 		tokens float64
 		isLate bool
 		want   Cause
 	}{
-		{"important in a scarce turn", 0, scarce, 100, false, CauseNone},
+		{"important in a scarce turn", 0, occupied, 100, false, CauseNone},
 		{"cheap in a free turn", 1, free, 100, false, CauseNone},
-		{"cheap in a scarce turn", 1, scarce, 100, false, CauseShed},
-		{"cheap in a quick turn", 1, turnEstimate{seconds: 0.01}, 100, false, CauseNone},
+		{"cheap in a scarce turn", 1, occupied, 100, false, CauseShed},
+		{"cheap in a quick turn", 1, queueEstimate{sojournSeconds: 0.01}, 100, false, CauseNone},
 		{"cheap with few tokens", 1, free, 40, false, CauseShed},
 		{"important with few tokens", 0, free, 40, false, CauseNone},
 		{"important without tokens", 0, free, 0, false, CauseQuota},
@@ -212,8 +212,8 @@
 	} {
 		plan := &planQueue{Plan: Plan{Name: "low", QuotaRate: 10, QuotaBurst: 100}}
 		account := &customerAccount{plan: plan, fanOut: 1, quota: tokenBucket{tokens: tc.tokens}}
-		req := admissionRequest{class: &settings.Classes[tc.class], units: 1, isLate: tc.isLate, turn: tc.turn}
-		if got := gate.admit(time.Hour, 0, account, req); got != tc.want {
+		req := admissionRequest{class: &settings.Classes[tc.class], units: 1, isLate: tc.isLate, queue: tc.queue}
+		if got := policy.admit(time.Hour, 0, account, req); got != tc.want {
 			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
 		}
 	}
--- a/control/arrivals.go
+++ b/control/arrivals.go
@@ -15,7 +15,7 @@
 	}
 	class := c.classes[event.Class]
 	plan := c.scheduler.plansByName[event.Plan]
-	if cause := unusableCause(event, class, plan); cause != CauseNone {
+	if cause := earlyRejectionCause(event, class, plan); cause != CauseNone {
 		c.reject(event.ID, cause)
 		return
 	}
@@ -26,7 +26,7 @@
 		class:  class,
 		units:  event.Units,
 		isLate: c.isExpectedLate(class, waited),
-		turn:   c.nextTurnEstimate(),
+		queue:  c.estimateQueue(),
 
 		handedOver: 1 - c.accounts.rateFraction,
 	})
@@ -78,7 +78,7 @@
 }
 
 // unusableCause is why a request is rejected whatever the load; CauseNone is none.
-func unusableCause(event Request, class *Class, plan *planQueue) Cause {
+func earlyRejectionCause(event Request, class *Class, plan *planQueue) Cause {
 	switch {
 	case event.IsOverCapacity:
 		return CauseOverCapacity
@@ -96,10 +96,10 @@
 
 // nextTurnEstimate is what a request that joins the queues now has to expect. Guards against rejecting what
 // fast servers finish at once, only as the limit is reached.
-func (c *Controller) nextTurnEstimate() turnEstimate {
-	return turnEstimate{
-		hasFreeSlot: c.limiter.hasFreeSlot(c.now, c.requests.slots.occupied(c.now)),
-		seconds:     c.limiter.expectedTurnSeconds(c.scheduler.countQueued(), c.fleet.latency.mean),
+func (c *Controller) estimateQueue() queueEstimate {
+	return queueEstimate{
+		hasFreeSlot:    c.limiter.hasFreeSlot(c.now, c.requests.slots.occupied(c.now)),
+		sojournSeconds: c.limiter.expectedSojournSeconds(c.scheduler.countQueued(), c.fleet.latency.mean),
 	}
 }
 
--- a/control/arrivals_test.go
+++ b/control/arrivals_test.go
@@ -9,7 +9,7 @@
 
 // One slow answer must not reject all later requests: with nothing in flight an attempt is started, and fast answers
 // admit requests again.
-func TestOneSlowAnswerDoesNotRejectAllLater(t *testing.T) {
+func TestOneSlowResponseDoesNotRejectLaterRequests(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2)...)
 	gateway.request("slow", "job", "low", "")
 	gateway.advance(3 * time.Second) // past the latency objective, within the deadline
@@ -49,7 +49,7 @@
 }
 
 // After a stall all events come at once: requests that can still be served are, and each has one final answer.
-func TestEventsAllAtOnceAfterAStall(t *testing.T) {
+func TestBacklogAfterAStallIsAnswered(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2)...)
 	gateway.request("old", "job", "high", "x")
 	for i := 0; i < 40; i++ {
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestUnusableRequestsAreRejectedByTheirCause(t *testing.T) {
+func TestInvalidRequestsAreRejectedWithTheirCause(t *testing.T) {
 	class, plan := &Class{}, &planQueue{}
 	for _, tc := range []struct {
 		name  string
@@ -91,7 +91,7 @@
 		{"without a timeout", Request{}, class, CauseInvalid},
 		{"of NaN units", Request{Timeout: time.Second, Units: math.NaN()}, class, CauseInvalid},
 	} {
-		if got := unusableCause(tc.event, tc.class, plan); got != tc.want {
+		if got := earlyRejectionCause(tc.event, tc.class, plan); got != tc.want {
 			t.Errorf("a request %s: %v, want %v", tc.name, got, tc.want)
 		}
 	}
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -10,7 +10,7 @@
 // dispatch starts attempts of queued requests while the concurrency limit allows.
 func (c *Controller) dispatch() {
 	for c.limiter.hasFreeSlot(c.now, c.requests.slots.occupied(c.now)) {
-		req, srv := c.scheduler.nextTurn(c.now, c)
+		req, srv := c.scheduler.nextRequest(c.now, c)
 		if req == nil {
 			return
 		}
@@ -81,7 +81,7 @@
 	case event.IsFinal:
 		c.requests.remove(req)
 	case !req.isQueued && req.inFlight == 0:
-		c.retryOrEnd(req, attempt, event.Reason)
+		c.retryOrFinish(req, attempt, event.Reason)
 	}
 }
 
@@ -163,9 +163,9 @@
 }
 
 // retryOrEnd retries a request if that is allowed, else ends it.
-func (c *Controller) retryOrEnd(req *request, attempt *pendingAttempt, reason Reason) {
+func (c *Controller) retryOrFinish(req *request, attempt *pendingAttempt, reason Reason) {
 	if !c.retries.allowRetry(c.now, req, reason, c.now-attempt.sentAt, c.fleet.latency.mean) {
-		c.endUnserved(req, CauseNoRetry)
+		c.rejectOrFail(req, CauseNoRetry)
 		return
 	}
 	req.plan.pushFront(req)
@@ -173,7 +173,7 @@
 }
 
 // endUnserved gives the final answer of a request that was not served: a rejection if that is allowed.
-func (c *Controller) endUnserved(req *request, cause Cause) {
+func (c *Controller) rejectOrFail(req *request, cause Cause) {
 	if req.isRejectable() {
 		c.reject(req.id, cause)
 	} else {
--- a/control/checkpoint.go
+++ b/control/checkpoint.go
@@ -153,8 +153,8 @@
 		saved := &checkpoint.Customers[i]
 		account := c.accounts.byKey[accountKey(saved.Plan, saved.ID)]
 		queued += account.queuedUnits
-		saved.QuotaTokens = account.quota.give(account.queuedUnits, fraction)
-		saved.HardLimitTokens = account.hardLimit.give(account.queuedUnits, fraction)
+		saved.QuotaTokens = account.quota.handOver(account.queuedUnits, fraction)
+		saved.HardLimitTokens = account.hardLimit.handOver(account.queuedUnits, fraction)
 	}
 	for i := range checkpoint.Servers {
 		saved := &checkpoint.Servers[i]
@@ -169,17 +169,17 @@
 }
 
 // give takes a part of the tokens out of the bucket.
-func (b *tokenBucket) give(reserved, fraction float64) (given float64) {
-	given, b.tokens = splitTokens(b.tokens, reserved, fraction)
-	return given
+func (b *tokenBucket) handOver(reserved, fraction float64) (handedOver float64) {
+	handedOver, b.tokens = splitTokens(b.tokens, reserved, fraction)
+	return handedOver
 }
 
 // splitTokens divides what a bucket holds: what is reserved for queued requests is retained first. A debt is divided
 // in the same parts.
-func splitTokens(available, reserved, fraction float64) (given, retained float64) {
+func splitTokens(available, reserved, fraction float64) (handedOver, retained float64) {
 	retained = math.Min(math.Max(available, 0), reserved)
-	given = (available - retained) * fraction
-	return given, available - given
+	handedOver = (available - retained) * fraction
+	return handedOver, available - handedOver
 }
 
 func (c *Controller) takeCheckpoint() Checkpoint {
@@ -239,7 +239,7 @@
 // state is the stored form of a window, without its end and the latest cut of the limit.
 func (w *controlWindow) state() WindowState {
 	return WindowState{
-		WasCut:            w.wasCut,
+		WasCut:            w.isOverloaded,
 		LimitReached:      w.limitReached,
 		LatencyRatioSum:   w.latencyRatioSum,
 		LatencySecondsSum: w.latencySecondsSum,
@@ -255,7 +255,7 @@
 // window is the control window that a stored form is of.
 func (s *WindowState) window() controlWindow {
 	return controlWindow{
-		wasCut:            s.WasCut,
+		isOverloaded:      s.WasCut,
 		limitReached:      s.LimitReached,
 		latencyRatioSum:   s.LatencyRatioSum,
 		latencySecondsSum: s.LatencySecondsSum,
--- a/control/concurrency_limit.go
+++ b/control/concurrency_limit.go
@@ -20,7 +20,7 @@
 	overloadCutFraction       = 0.1   // part of a window's outcomes that show overload at which the limit is cut
 	overloadIdleLatencyFactor = 1.3   // times the idle latency below which it is not
 	fullUtilization           = 0.9   // mean reported utilization below which servers have spare capacity
-	sureAnswerCount           = 40.0  // answers in a window whose mean alone can cut the limit
+	conclusiveAnswerCount     = 40.0  // answers in a window whose mean alone can cut the limit
 	overloadHoldFraction      = 0.03  // part of the outcomes above which the limit does not grow
 )
 
@@ -39,12 +39,12 @@
 }
 
 // open sets the first limit, for a number of usable servers; a limit that is set stays.
-func (l *concurrencyLimiter) open(groupSize int, usable, minLimit float64) {
+func (l *concurrencyLimiter) initialize(groupSize int, usable, minLimit float64) {
 	if l.limit != 0 {
 		return
 	}
-	first := math.Min(slotsPerServer, initialGroupSlotsPerServer/float64(groupSize))
-	l.limit = math.Max(minLimit, first*usable)
+	initialLimit := math.Min(slotsPerServer, initialGroupSlotsPerServer/float64(groupSize))
+	l.limit = math.Max(minLimit, initialLimit*usable)
 }
 
 // update cuts the limit on overload in a window, and raises it if there was none and it was reached. It
@@ -73,8 +73,8 @@
 func (l *concurrencyLimiter) isOverloaded(window *controlWindow) bool {
 	// Guards, in a large group, against cutting for a few answers that are slow by chance or come from
 	// slow servers, to which others send no less; many answers are sure without load reports.
-	isSure := window.latencyCount >= sureAnswerCount || window.utilizationCount == 0
-	if !isSure && !window.isUtilizedAbove(fullUtilization) {
+	isConclusive := window.latencyCount >= conclusiveAnswerCount || window.utilizationCount == 0
+	if !isConclusive && !window.isUtilizedAbove(fullUtilization) {
 		return false
 	}
 	if l.isLate(window) {
@@ -105,7 +105,7 @@
 
 // expectedTurnSeconds is the time that a request which joins so many queued ones waits and occupies its
 // slot, by the mean latency in seconds.
-func (l *concurrencyLimiter) expectedTurnSeconds(queued int, meanLatency float64) float64 {
+func (l *concurrencyLimiter) expectedSojournSeconds(queued int, meanLatency float64) float64 {
 	return meanLatency * (1 + float64(queued+1)/math.Max(1, l.limit))
 }
 
--- a/control/concurrency_limit_test.go
+++ b/control/concurrency_limit_test.go
@@ -61,7 +61,7 @@
 }
 
 // Guards against limits below one that stop all work: the slot is used, and then pauses.
-func TestFractionalSlotPausesAndFlows(t *testing.T) {
+func TestFractionalSlotAdmitsAttemptsWithPauses(t *testing.T) {
 	gateway := newTestGateway(t, largeGroupSettings(), activeEndpoints(1)...)
 	gateway.controller.limiter.limit = 0.25
 	gateway.controller.limiter.idleLatency = 0.1
@@ -90,8 +90,8 @@
 	settings.Classes = []Class{{Name: "write", LatencyObjective: 2 * time.Second, Deadline: 20 * time.Second, Idempotency: NotIdempotent, PriorityWeight: 1}}
 	settings.Plans = []Plan{{Name: "p", Price: 1}}
 	gateway := newTestGateway(t, settings, activeEndpoints(1, 2)...)
-	send := func(id string, open bool) {
-		gateway.handle(Request{ID: id, Class: "write", Plan: "p", Customer: "c", Timeout: 20 * time.Second, Units: 1, FanOut: 1, HasPendingBody: open})
+	send := func(id string, hasPendingBody bool) {
+		gateway.handle(Request{ID: id, Class: "write", Plan: "p", Customer: "c", Timeout: 20 * time.Second, Units: 1, FanOut: 1, HasPendingBody: hasPendingBody})
 	}
 	for i := range 200 {
 		send(fmt.Sprint("up-", i), true)
@@ -105,8 +105,8 @@
 		t.Fatal("a request without a pending body waits for them")
 	}
 	for i, send := range gateway.sends[:200] {
-		why := []Reason{OK, TimedOut, ResetByPeer}[i%3]
-		gateway.handle(AttemptResult{ID: send.ID, Server: send.Server, Reason: why, IsFinal: why == OK, Delay: 10 * time.Second})
+		reason := []Reason{OK, TimedOut, ResetByPeer}[i%3]
+		gateway.handle(AttemptResult{ID: send.ID, Server: send.Server, Reason: reason, IsFinal: reason == OK, Delay: 10 * time.Second})
 	}
 	if gateway.controller.requests.slots.streaming != 0 || gateway.controller.requests.slots.inFlight != 1 {
 		t.Errorf("%d streams, %d in flight", gateway.controller.requests.slots.streaming, gateway.controller.requests.slots.inFlight)
@@ -193,7 +193,7 @@
 
 // Guards against a limit that is cut for a few slow answers while load reports show capacity; it is cut where they
 // show none.
-func TestConcurrencyLimitIsCutOnlyIfServersAreFull(t *testing.T) {
+func TestConcurrencyLimitIsCutOnlyAtFullUtilization(t *testing.T) {
 	for _, tc := range []struct {
 		util float64
 		cut  bool
@@ -218,13 +218,13 @@
 	}
 }
 
-func TestFirstLimitIsSetOnce(t *testing.T) {
+func TestInitialConcurrencyLimitIsSetOnce(t *testing.T) {
 	var limiter concurrencyLimiter
-	limiter.open(1, 3, 2)
+	limiter.initialize(1, 3, 2)
 	if limiter.limit != 6 {
 		t.Errorf("a limit of %g for three servers", limiter.limit)
 	}
-	limiter.open(1, 30, 2)
+	limiter.initialize(1, 30, 2)
 	if limiter.limit != 6 {
 		t.Errorf("the limit went to %g with a longer list", limiter.limit)
 	}
@@ -233,7 +233,7 @@
 	}
 }
 
-func TestAbandonedAttemptsOccupySlotsUntilTheirEnds(t *testing.T) {
+func TestAbandonedAttemptsOccupySlotsUntilTheyExpire(t *testing.T) {
 	slots := attemptSlots{inFlight: 3, streaming: 1}
 	srv := &server{}
 	slots.abandon(srv, time.Second)
--- a/control/control_window.go
+++ b/control/control_window.go
@@ -13,7 +13,7 @@
 
 // controlWindow is what is counted in one control window. Counts are floats as they enter quotients.
 type controlWindow struct {
-	wasCut            bool // the limit, or would have been but for a recent cut
+	isOverloaded      bool // the limit, or would have been but for a recent cut
 	limitReached      bool
 	latencyRatioSum   float64 // of latency over objective, one at most
 	latencySecondsSum float64
--- a/control/control_window_test.go
+++ b/control/control_window_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestLatencyCountsUpToItsObjective(t *testing.T) {
+func TestLatencyIsCappedAtItsObjective(t *testing.T) {
 	var window controlWindow
 	window.recordLatency(1, 4)
 	window.recordLatency(20, 2)
--- a/control/controller.go
+++ b/control/controller.go
@@ -137,7 +137,7 @@
 		return
 	}
 	c.fleet.merge(c.now, c.rng, event, &c.slowStartSettings)
-	c.limiter.open(c.settings.GroupSize, c.fleet.countServers((*server).isUsable), c.minConcurrencyLimit())
+	c.limiter.initialize(c.settings.GroupSize, c.fleet.countServers((*server).isUsable), c.minConcurrencyLimit())
 }
 
 // minConcurrencyLimit is the lowest concurrency limit with the servers that are usable and not ejected.
@@ -160,7 +160,7 @@
 	}
 	// Guards against a starved plan that seems punctual: a request shed counts as late by its deadline.
 	req.plan.recordLateness(math.Max(1, req.class.Deadline.Seconds()/req.class.LatencyObjective.Seconds()))
-	c.endUnserved(req, CauseQueueTimeout)
+	c.rejectOrFail(req, CauseQueueTimeout)
 }
 
 // handleTick watches the endpoint list again if its watch has ended, and ends the control window if it is
@@ -188,7 +188,7 @@
 // endWindow sets the concurrency limit and the shares of the next control window.
 func (c *Controller) endWindow(windowSeconds float64) {
 	if c.limiter.update(c.now, &c.window, c.fleet.latency, c.minConcurrencyLimit()) {
-		c.window.wasCut = true
+		c.window.isOverloaded = true
 	}
 	c.scheduler.updateShares(&c.window)
 	c.fleet.recordThroughput(c.now, c.window.servedUnits, windowSeconds)
--- a/control/demand.go
+++ b/control/demand.go
@@ -54,7 +54,7 @@
 }
 
 // isWellMetered tells whether most of the recent periods since a time have been read.
-func (d *demandEstimate) isWellMetered(now, since time.Duration) bool {
+func (d *demandEstimate) hasEnoughReadings(now, since time.Duration) bool {
 	possibleSeconds := readingDecaySeconds * (1 - decayFactor(now-since, readingDecaySeconds))
 	meteredSeconds := d.meteredSeconds * decayFactor(now-d.readingAt, readingDecaySeconds)
 	return meteredSeconds > minMeteredFraction*possibleSeconds
--- a/control/demand_test.go
+++ b/control/demand_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestReadingsWithRejectionsShowTheDemandBehindThem(t *testing.T) {
+func TestRejectionProbabilityAccountsForEarlierRejections(t *testing.T) {
 	plan := &Plan{QuotaRate: 1000}
 	for _, tc := range []struct{ used, rejected, want float64 }{
 		{500, 0, 0},
@@ -22,22 +22,22 @@
 	}
 }
 
-func TestDemandIsWellMeteredWhileMostPeriodsAreRead(t *testing.T) {
+func TestReadingsAreEnoughWhileMostPeriodsAreRead(t *testing.T) {
 	var demand demandEstimate
 	start, now := time.Hour, time.Hour
 	for range 20 {
 		now += time.Second
 		demand.addReading(now, 1, 1, 10, 0)
 	}
-	if !demand.isWellMetered(now, start) {
+	if !demand.hasEnoughReadings(now, start) {
 		t.Error("not well metered with a reading of each period")
 	}
-	if demand.isWellMetered(now+time.Minute, start) {
+	if demand.hasEnoughReadings(now+time.Minute, start) {
 		t.Error("well metered a minute after the last reading")
 	}
 }
 
-func TestAPeriodIsReadOnce(t *testing.T) {
+func TestMeterPeriodIsReadOnce(t *testing.T) {
 	var demand demandEstimate
 	if !demand.isNewReading(-100) {
 		t.Error("the first reading is not new")
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestFirstReadingsRejectByTheExcessOfAPlan(t *testing.T) {
+func TestFirstReadingsRejectByThePlansExcess(t *testing.T) {
 	var readings firstReadingEstimate
 	if got := readings.rejectionProbability(2); got != 0 {
 		t.Errorf("rejection probability %g without a reading", got)
--- a/control/endpoint_choice.go
+++ b/control/endpoint_choice.go
@@ -36,7 +36,7 @@
 		if !srv.slowStart.allows(now, s.slowStart, srv.currentLoad(), rateFraction, s.fleet) {
 			continue
 		}
-		cost := s.expectedWait(now, srv, unknownPenalty, rng.Float64())
+		cost := s.expectedCost(now, srv, unknownPenalty, rng.Float64())
 		for _, tried := range req.triedServers {
 			if tried == srv.Server {
 				cost *= triedServerPenalty
@@ -87,7 +87,7 @@
 // its reported utilization. Without samples it is the fleet's; without a report it is raised by a
 // penalty. Guards against many gateways that each try all servers, slow ones too, in turn. The noise, from
 // 0 to 1, makes gateways choose differently.
-func (s *endpointSelector) expectedWait(
+func (s *endpointSelector) expectedCost(
 	now time.Duration, srv *server, unknownPenalty, noise float64,
 ) float64 {
 	fleetLatency := s.fleet.positiveLatency()
@@ -96,12 +96,12 @@
 	if srv.isWarmingUp() { // it has no reports yet, and its budget is below its capacity
 		unknownSlowdown = 1
 	}
-	slowdown, busy := srv.load.expected(now, unknownSlowdown, s.fleet.utilization.mean)
+	slowdown, serverUtilization := srv.load.expected(now, unknownSlowdown, s.fleet.utilization.mean)
 	latency = math.Max(latency, fleetLatency*slowdown)
 	if srv.inFlight > 0 { // a silent server is at least as slow as its silence is long
 		latency = math.Max(latency, (now - srv.lastActivityAt).Seconds())
 	}
-	latency *= 1 + utilizationPenalty*busy*busy*busy*busy
+	latency *= 1 + utilizationPenalty*serverUtilization*serverUtilization*serverUtilization*serverUtilization
 	cost := latency * (float64(srv.currentLoad()) + 1)
 	return cost * srv.outlier.costFactor(now) * (1 + tieBreakNoise*noise)
 }
--- a/control/endpoint_choice_test.go
+++ b/control/endpoint_choice_test.go
@@ -51,14 +51,14 @@
 		return loadReport(300, 0.7)
 	}
 	group.serve(50)
-	if part := float64(group.sent[1]) * 8 / (40 * 50); part > 0.3 {
-		t.Errorf("it is sent %.2f of an even part", part)
+	if fraction := float64(group.sent[1]) * 8 / (40 * 50); fraction > 0.3 {
+		t.Errorf("it is sent %.2f of an even part", fraction)
 	}
 }
 
 // Guards against many gateways that take a server for the fastest because the mean latency that it reports starts at
 // zero.
-func TestServerWithZeroReportedLatencyDoesNotAttractAll(t *testing.T) {
+func TestServerWithNearZeroReportedLatencyIsNotOverloaded(t *testing.T) {
 	group := newGatewayGroup(t, 40, activeEndpoints(1, 2, 3, 4, 5, 6, 7, 8))
 	group.loadReport = func(id uint32) *LoadReport {
 		if id == 1 {
@@ -67,8 +67,8 @@
 		return loadReport(400, 0.7)
 	}
 	group.serve(50)
-	if part := float64(group.sent[1]) * 8 / (40 * 50); part > 2 {
-		t.Errorf("it is sent %.1f times its part", part)
+	if fraction := float64(group.sent[1]) * 8 / (40 * 50); fraction > 2 {
+		t.Errorf("it is sent %.1f times its part", fraction)
 	}
 }
 
@@ -84,20 +84,20 @@
 		return report
 	}
 	group.serve(50)
-	full, spare := 0, 0
+	busyAttempts, otherAttempts := 0, 0
 	for id, n := range group.sent {
 		if id <= 4 {
-			full += n
+			busyAttempts += n
 		} else {
-			spare += n
+			otherAttempts += n
 		}
 	}
-	if full*4 > spare {
-		t.Errorf("%d attempts at full servers, %d at others", full, spare)
+	if busyAttempts*4 > otherAttempts {
+		t.Errorf("%d attempts at full servers, %d at others", busyAttempts, otherAttempts)
 	}
 }
 
-func TestSelectorChoosesTheCheapestServerThatMayServe(t *testing.T) {
+func TestSelectorChoosesTheEligibleServerOfLowestCost(t *testing.T) {
 	fleet := warmFleet(4)
 	fleet.latency.add(0.1, fleetEstimateGain)
 	for i, srv := range fleet.sortedServers {
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestOnlyServersThatDropRepeatsMayRepeat(t *testing.T) {
+func TestRepeatsAreDroppedOnlyWithinTheKeyScope(t *testing.T) {
 	ran := &server{Endpoint: Endpoint{Zone: "z1", Cell: 1}}
 	sameCell := &server{Endpoint: Endpoint{Zone: "z1", Cell: 1}}
 	sameZone := &server{Endpoint: Endpoint{Zone: "z1", Cell: 2}}
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -60,7 +60,7 @@
 		return
 	}
 	if !srv.HasStartedAt || endpoint.StartedAt > srv.StartedAt {
-		srv.forgetIncarnation()
+		srv.resetIncarnation()
 	}
 	if settings.isWarmingUp(now, endpoint.StartedAt) {
 		srv.slowStart.begin(now, endpoint.StartedAt, rng.Float64()*f.requestUnits.mean)
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -8,7 +8,7 @@
 
 // A server with a request in flight is listed as draining or gone by an entry that holds nothing else. A retry still
 // goes to servers that drop repeats of what it ran, or to none.
-func TestGoneServerKeepsItsRepeatGroup(t *testing.T) {
+func TestRetryStaysInItsRepeatGroupAfterServerIsGone(t *testing.T) {
 	for _, condition := range []EndpointState{Draining, Gone} {
 		for _, scope := range []KeyScope{ScopeZone, ScopeCell} {
 			for _, deadline := range []time.Duration{400 * ms, 6 * time.Second} {
--- a/control/gateway_test.go
+++ b/control/gateway_test.go
@@ -51,8 +51,8 @@
 // handle feeds one event and checks what holds for all actions.
 func (g *testGateway) handle(event Event) {
 	g.t.Helper()
-	acts := append([]Action{}, g.controller.Handle(g.now, event)...)
-	for _, action := range acts {
+	newActions := append([]Action{}, g.controller.Handle(g.now, event)...)
+	for _, action := range newActions {
 		switch a := action.(type) {
 		case Send:
 			if g.finalAnswers[a.ID] != nil {
@@ -68,7 +68,7 @@
 			g.timers[a.Label] = g.now + a.After
 		}
 	}
-	g.actions = append(g.actions, acts...)
+	g.actions = append(g.actions, newActions...)
 }
 
 func (g *testGateway) recordFinal(id string, action Action) {
@@ -106,12 +106,12 @@
 }
 
 // respond ends the latest attempt of a request.
-func (g *testGateway) respond(id string, why Reason, used int) {
+func (g *testGateway) respond(id string, reason Reason, quotaUsage int) {
 	g.t.Helper()
 	for i := len(g.sends) - 1; i >= 0; i-- {
 		if g.sends[i].ID == id {
-			g.handle(AttemptResult{ID: id, Attempt: g.attempts[id] - 1, Server: g.sends[i].Server, Reason: why, IsFinal: why == OK, QuotaUsage: used})
-			if why == OK {
+			g.handle(AttemptResult{ID: id, Attempt: g.attempts[id] - 1, Server: g.sends[i].Server, Reason: reason, IsFinal: reason == OK, QuotaUsage: quotaUsage})
+			if reason == OK {
 				g.finalAnswers[id] = Send{}
 			}
 			return
@@ -121,16 +121,16 @@
 }
 
 // serve sends a request every gap for a time d, and answers each attempt after 200 ms.
-func (g *testGateway) serve(d, gap time.Duration, used int, send func(i int)) {
+func (g *testGateway) serve(d, gap time.Duration, quotaUsage int, send func(i int)) {
 	g.t.Helper()
-	next, open := 0, len(g.sends)
+	next, firstPending := 0, len(g.sends)
 	for i, end := 0, g.now+d; g.now < end; i++ {
 		send(i)
 		g.advance(200 * ms)
-		for next = open; next < len(g.sends); next++ {
-			g.respond(g.sends[next].ID, OK, used)
+		for next = firstPending; next < len(g.sends); next++ {
+			g.respond(g.sends[next].ID, OK, quotaUsage)
 		}
-		open = next
+		firstPending = next
 		g.advance(gap - 200*ms)
 	}
 }
@@ -176,7 +176,7 @@
 	loadReport func(server uint32) *LoadReport
 }
 
-func newGatewayGroup(t *testing.T, n int, members []Endpoint) *gatewayGroup {
+func newGatewayGroup(t *testing.T, n int, endpoints []Endpoint) *gatewayGroup {
 	group := &gatewayGroup{t: t, sent: map[uint32]int{}, loadReport: func(uint32) *LoadReport { return nil }}
 	for i := range n {
 		settings := testSettings()
@@ -187,7 +187,7 @@
 			t.Fatal(err)
 		}
 		gateway := &testGateway{t: t, controller: controller, now: time.Hour, finalAnswers: map[string]Action{}, attempts: map[string]int{}, timers: map[uint64]time.Duration{}}
-		gateway.handle(EndpointList{Kind: ListCached, Endpoints: members})
+		gateway.handle(EndpointList{Kind: ListCached, Endpoints: endpoints})
 		group.gateways = append(group.gateways, gateway)
 	}
 	return group
@@ -221,12 +221,12 @@
 	const step = 200 * ms
 	for range steps {
 		for i, gateway := range g.gateways {
-			open := len(gateway.sends)
+			firstPending := len(gateway.sends)
 			for k := range max(1, 16/len(g.gateways)) {
 				gateway.request(fmt.Sprint(i, "-", k, "-", gateway.now), "job", "high", fmt.Sprint("x", i))
 			}
 			gateway.advance(step)
-			for _, send := range gateway.sends[open:] {
+			for _, send := range gateway.sends[firstPending:] {
 				g.sent[send.Server]++
 				gateway.handle(AttemptResult{ID: send.ID, Server: send.Server, Reason: OK, IsFinal: true, Delay: step, Load: g.loadReport(send.Server)})
 				gateway.finalAnswers[send.ID] = send
--- a/control/golden_test.go
+++ b/control/golden_test.go
@@ -73,16 +73,16 @@
 
 // runImage is the image of a short run at a moment when something of every kind is in it.
 func runImage(t *testing.T) []byte {
-	w := play(t, 39, 30)
-	image := w.controller.Image()
+	s := simulate(t, 39, 30)
+	image := s.controller.Image()
 	for range 1_000 {
 		if len(image.Requests) > 0 && len(image.Attempts) > 0 && len(image.Plans[0].Queue) > 0 && len(image.Abandoned) > 0 {
 			break
 		}
-		w.step()
-		image = w.controller.Image()
+		s.step()
+		image = s.controller.Image()
 	}
-	raw, err := cbor.Marshal(goldenRun{w.settings, image})
+	raw, err := cbor.Marshal(goldenRun{s.settings, image})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/control/hand_over_test.go
+++ b/control/hand_over_test.go
@@ -35,10 +35,10 @@
 }
 
 // handOver hands over to a new controller; with a fraction below 1 the old one goes on beside it.
-func (c *handOverChain) handOver(give float64) {
+func (c *handOverChain) handOver(fraction float64) {
 	old := c.newest()
 	next := c.newGateway(old.now)
-	next.controller.Restore(next.now, old.controller.HandOver(old.now, give), TrustAll)
+	next.controller.Restore(next.now, old.controller.HandOver(old.now, fraction), TrustAll)
 	c.gateways = append(c.gateways, next)
 }
 
@@ -120,23 +120,23 @@
 				chain.handOver(0.5)
 			}
 		}
-		if over := chain.maxExcess(start, 30, 60); over > initialSlackFraction*6+1 {
-			t.Errorf("seed %d: %.1f units beyond the hard limit", seed, over)
+		if excess := chain.maxExcess(start, 30, 60); excess > initialSlackFraction*6+1 {
+			t.Errorf("seed %d: %.1f units beyond the hard limit", seed, excess)
 		}
-		one := &handOverChain{t: t, settings: chain.settings, rng: rand.New(rand.NewPCG(seed, 4))} // that never hands over
-		one.gateways = []*testGateway{one.newGateway(time.Hour)}
+		reference := &handOverChain{t: t, settings: chain.settings, rng: rand.New(rand.NewPCG(seed, 4))} // that never hands over
+		reference.gateways = []*testGateway{reference.newGateway(time.Hour)}
 		for i := range 4000 {
-			one.step([]float64{0.2, 0.2, 0, 0.02}[i/500%4])
+			reference.step([]float64{0.2, 0.2, 0, 0.02}[i/500%4])
 		}
-		if part := float64(len(chain.sent)) / float64(len(one.sent)); part < 0.97 {
-			t.Errorf("seed %d: %d units, %d without hand-over", seed, len(chain.sent), len(one.sent))
+		if fraction := float64(len(chain.sent)) / float64(len(reference.sent)); fraction < 0.97 {
+			t.Errorf("seed %d: %d units, %d without hand-over", seed, len(chain.sent), len(reference.sent))
 		}
 	}
 }
 
 // A plan's quota and hard limit change in the middle of a burst: what was spent stays spent, and what they grant
 // beyond it is available.
-func TestHandOverToChangedPlanKeepsWhatWasSpent(t *testing.T) {
+func TestHandOverToChangedPlanKeepsSpentTokens(t *testing.T) {
 	for name, tc := range map[string]struct {
 		burst, depth             float64
 		wantHardLimit, wantQuota float64 // after 40 of 60 and of 100 were spent
--- a/control/hard_limit_test.go
+++ b/control/hard_limit_test.go
@@ -66,9 +66,9 @@
 				}
 				gateway.advance(ms)
 			}
-			part := plan.HardLimitBurst/2 + (gateway.now-start).Seconds()*plan.HardLimitRate/2 // the customer's fan-out is two
-			if n := float64(len(gateway.sends) - before); n > part+1 {
-				t.Errorf("%g units at once, of a part of %g", n, part)
+			maxUnits := plan.HardLimitBurst/2 + (gateway.now-start).Seconds()*plan.HardLimitRate/2 // the customer's fan-out is two
+			if n := float64(len(gateway.sends) - before); n > maxUnits+1 {
+				t.Errorf("%g units at once, of a part of %g", n, maxUnits)
 			}
 		})
 	}
@@ -86,12 +86,12 @@
 	for name, handsOver := range map[string]bool{"stays": false, "hands over": true} {
 		t.Run(name, func(t *testing.T) {
 			gateway := newTestGateway(t, settings, activeEndpoints(list...)...)
-			many := func() {
+			addBusyAccounts := func() {
 				for i := range maxAccounts/2 + 1 {
 					gateway.controller.accountFor(gateway.controller.scheduler.plansByName[plan.Name], fmt.Sprint("busy", i), 2).inFlight.current = 1
 				}
 			}
-			many()
+			addBusyAccounts()
 			evictions, sent, start := 0, 0, gateway.now
 			for round := range 60 {
 				for i := range 400 {
@@ -110,12 +110,12 @@
 					evictions++
 				}
 				if handsOver && round%10 == 0 {
-					given := gateway.controller.HandOver(gateway.now, 1)
+					checkpoint := gateway.controller.HandOver(gateway.now, 1)
 					next := newTestGateway(t, settings, activeEndpoints(list...)...)
 					next.now = gateway.now
-					next.controller.Restore(gateway.now, given, TrustAll)
+					next.controller.Restore(gateway.now, checkpoint, TrustAll)
 					gateway = next
-					many()
+					addBusyAccounts()
 				}
 			}
 			maxUnits := (initialSlackFraction*plan.HardLimitSlack + (gateway.now-start).Seconds()*plan.HardLimitRate) / 2
--- a/control/history.go
+++ b/control/history.go
@@ -34,12 +34,12 @@
 		h.sums[n-1].Sum += amount
 		return
 	}
-	old := 0
-	for old+1 < len(h.sums) && h.sums[old+1].Bin <= h.oldestBin() {
-		old++
+	firstKept := 0
+	for firstKept+1 < len(h.sums) && h.sums[firstKept+1].Bin <= h.oldestBin() {
+		firstKept++
 	}
-	if old > 0 { // in place, to avoid an allocation
-		h.sums = h.sums[:copy(h.sums, h.sums[old:])]
+	if firstKept > 0 { // in place, to avoid an allocation
+		h.sums = h.sums[:copy(h.sums, h.sums[firstKept:])]
 	}
 	h.sums = append(h.sums, RunningSum{h.currentBin, h.sumUntil(h.currentBin) + amount})
 }
--- a/control/history_test.go
+++ b/control/history_test.go
@@ -23,13 +23,13 @@
 }
 
 func (d *denseHistory) periodSum(end int64) float64 {
-	lo := max(end-binsPerPeriod-1, d.last-historyBins+1)
-	return d.sum[d.index(max(end-1, lo))] - d.sum[d.index(lo)]
+	oldest := max(end-binsPerPeriod-1, d.last-historyBins+1)
+	return d.sum[d.index(max(end-1, oldest))] - d.sum[d.index(oldest)]
 }
 
 // Whatever is added and whenever, a history gives the sums of one with all of its bins, and never stores more of
 // them.
-func TestHistoryEqualsADenseOne(t *testing.T) {
+func TestHistoryMatchesDenseReference(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 5))
 		var hist history
@@ -48,8 +48,8 @@
 			window := hist.window()
 			for range 5 {
 				end := now - r.Int64N(100)
-				if got, also, want := hist.periodSum(end), window.periodSum(end), dense.periodSum(end); math.Abs(got-want) > 1e-9 || also != got {
-					t.Fatalf("seed %d: %g and %g up to bin %d of %d, want %g", seed, got, also, end, now, want)
+				if got, inWindow, want := hist.periodSum(end), window.periodSum(end), dense.periodSum(end); math.Abs(got-want) > 1e-9 || inWindow != got {
+					t.Fatalf("seed %d: %g and %g up to bin %d of %d, want %g", seed, got, inWindow, end, now, want)
 				}
 			}
 			if len(hist.sums) > historyBins+1 {
--- a/control/image_test.go
+++ b/control/image_test.go
@@ -19,25 +19,25 @@
 		if seed%100 == 0 {
 			steps = 4000 // through sweeps and many intervals
 		}
-		one, other := play(t, seed, steps), play(t, seed, steps)
-		image := other.controller.Image()
-		resumed, err := Resume(other.settings, image)
+		original, copied := simulate(t, seed, steps), simulate(t, seed, steps)
+		image := copied.controller.Image()
+		resumed, err := Resume(copied.settings, image)
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		if resumedImage := resumed.Image(); !reflect.DeepEqual(resumedImage, image) {
 			t.Fatalf("seed %d: the image of what was resumed is another", seed)
 		}
-		other.controller = resumed
-		one.log, other.log = nil, nil
+		copied.controller = resumed
+		original.log, copied.log = nil, nil
 		for range 200 {
-			one.step()
-			other.step()
+			original.step()
+			copied.step()
 		}
-		if !reflect.DeepEqual(one.log, other.log) {
-			for i := range one.log {
-				if i >= len(other.log) || one.log[i] != other.log[i] {
-					t.Fatalf("seed %d: line %d: %q and then not", seed, i, one.log[i])
+		if !reflect.DeepEqual(original.log, copied.log) {
+			for i := range original.log {
+				if i >= len(copied.log) || original.log[i] != copied.log[i] {
+					t.Fatalf("seed %d: line %d: %q and then not", seed, i, original.log[i])
 				}
 			}
 			t.Fatalf("seed %d: more was done", seed)
@@ -48,11 +48,11 @@
 // An image that is not of these settings, or not of a controller, is rejected with an error that names why; it is
 // never resumed in part and causes no panic.
 func TestResumeRejectsUnusableImages(t *testing.T) {
-	w := play(t, 5, 600)
-	for image := w.controller.Image(); len(image.Requests) == 0 || len(image.Attempts) == 0 || len(image.Plans[0].Queue) == 0; image = w.controller.Image() {
-		w.step()
+	s := simulate(t, 5, 600)
+	for image := s.controller.Image(); len(image.Requests) == 0 || len(image.Attempts) == 0 || len(image.Plans[0].Queue) == 0; image = s.controller.Image() {
+		s.step()
 	}
-	for name, spoil := range map[string]func(*Image){
+	for name, corrupt := range map[string]func(*Image){
 		"version":   func(image *Image) { image.Version++ },
 		"random":    func(image *Image) { image.Random = image.Random[:3] },
 		"plans":     func(image *Image) { image.Plans = image.Plans[1:] },
@@ -69,9 +69,9 @@
 		"ghost":     func(image *Image) { image.Abandoned = []AbandonedImage{{Server: -1}} },
 		"by chance": func(image *Image) { image.Requests[rand.IntN(len(image.Requests))].Class = "another" },
 	} {
-		image := w.controller.Image()
-		spoil(&image)
-		if controller, err := Resume(w.settings, image); err == nil || controller != nil {
+		image := s.controller.Image()
+		corrupt(&image)
+		if controller, err := Resume(s.settings, image); err == nil || controller != nil {
 			t.Errorf("%s: resumed", name)
 		}
 	}
@@ -79,9 +79,9 @@
 
 func BenchmarkImage(b *testing.B) {
 	t := &testing.T{}
-	w := play(t, 7, 3000)
+	s := simulate(t, 7, 3000)
 	b.ReportAllocs()
 	for b.Loop() {
-		w.controller.Image()
+		s.controller.Image()
 	}
 }
--- a/control/keys_test.go
+++ b/control/keys_test.go
@@ -8,6 +8,6 @@
 )
 
 // Settings, checkpoints and images have a written key for every field: they are stored under these.
-func TestKeysAreWritten(t *testing.T) {
+func TestFieldsHaveExplicitKeys(t *testing.T) {
 	testkit.RequireKeys(t, "cbor", control.Settings{}, control.Checkpoint{}, control.Image{})
 }
--- a/control/load_estimate_test.go
+++ b/control/load_estimate_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestLatencyEstimateBeginsWithTheFirstSample(t *testing.T) {
+func TestLatencyEstimateStartsAtTheFirstSample(t *testing.T) {
 	var latency latencyEstimate
 	latency.add(time.Second, 0.5)
 	if latency.seconds != 0.5 || latency.samples != 1 {
--- a/control/meter_clock.go
+++ b/control/meter_clock.go
@@ -51,9 +51,9 @@
 		periodEnd := latestBinAtPhase(now, phase)
 		for lag := int64(0); lag < maxMeterLagBins; lag++ {
 			local := recent.periodSum(periodEnd - lag)
-			miss := math.Max(0, local-used) + missingSendsWeight*math.Max(0, localFraction*used-local)
+			sampleMisfit := math.Max(0, local-used) + missingSendsWeight*math.Max(0, localFraction*used-local)
 			misfit := &m.misfit[phase][lag]
-			*misfit = *misfit*misfitDecay + miss/(units+used+local)
+			*misfit = *misfit*misfitDecay + sampleMisfit/(units+used+local)
 			if *misfit < minMisfit {
 				minMisfit = *misfit
 				bestPhase = phase
--- a/control/meter_clock_test.go
+++ b/control/meter_clock_test.go
@@ -11,7 +11,7 @@
 	settings.Plans[0].QuotaRate, settings.Plans[0].QuotaBurst = 10, 1000
 	gateway := newTestGateway(t, settings, activeEndpoints(1, 2, 3)...)
 	account := gateway.controller.accountFor(gateway.controller.scheduler.plans[0], "x", 1)
-	const late = 1300 * ms
+	const delay = 1300 * ms
 	var sent []time.Duration
 	for i := 0; i < 3000; i++ {
 		gateway.now += 10 * ms
@@ -21,7 +21,7 @@
 			account.chargeFirstAttempt(1, gateway.controller.currentBin())
 			sent = append(sent, gateway.now)
 		}
-		end := (gateway.now - late).Truncate(time.Second)
+		end := (gateway.now - delay).Truncate(time.Second)
 		n := 0
 		for _, at := range sent {
 			if at >= end-time.Second && at < end {
@@ -33,7 +33,7 @@
 		}
 	}
 	end := gateway.controller.usage.meter.periodEndBin(gateway.controller.currentBin())
-	if want := int64((gateway.now - late).Truncate(time.Second) / (100 * ms)); end < want-1 || end > want+1 {
+	if want := int64((gateway.now - delay).Truncate(time.Second) / (100 * ms)); end < want-1 || end > want+1 {
 		t.Errorf("the told period is taken to end in bin %d, it ended in %d", end, want)
 	}
 }
--- a/control/outlier.go
+++ b/control/outlier.go
@@ -109,8 +109,8 @@
 }
 
 // recordFailures counts n consecutive failures and ejects the server if they are enough.
-func (o *outlierDetector) recordFailures(now time.Duration, n int) {
-	o.consecutiveFailures += n
+func (o *outlierDetector) recordFailures(now time.Duration, failures int) {
+	o.consecutiveFailures += failures
 	o.isProbing = false
 	if o.hasTripped() && now >= o.ejectedUntil {
 		o.ejectionTime = min(max(initialEjectionTime, 2*o.ejectionTime), maxEjectionTime)
--- a/control/outlier_test.go
+++ b/control/outlier_test.go
@@ -8,13 +8,13 @@
 
 func TestDeadServerIsEjected(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2, 3, 4)...)
-	bad := 0
+	failedAttempts := 0
 	for i := 0; i < 200; i++ {
 		id := fmt.Sprint(i)
 		gateway.request(id, "job", "low", "x")
 		for gateway.finalAnswers[id] == nil {
 			if gateway.sends[len(gateway.sends)-1].Server == 2 {
-				bad++
+				failedAttempts++
 				gateway.respond(id, ConnectFailed, 0)
 			} else {
 				gateway.now += 50 * ms
@@ -22,21 +22,21 @@
 			}
 		}
 	}
-	if bad > 12 {
-		t.Errorf("%d attempts on a server that takes no connection, in 10 s", bad)
+	if failedAttempts > 12 {
+		t.Errorf("%d attempts on a server that takes no connection, in 10 s", failedAttempts)
 	}
 }
 
 // Guards against a server that fails at once, looks idle and attracts all traffic.
 func TestServerThatFailsFastDoesNotAttractTraffic(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2, 3, 4)...)
-	bad := 0
+	failedAttempts := 0
 	for i := 0; i < 300; i++ {
 		id := fmt.Sprint(i)
 		gateway.request(id, "job", "low", "x")
 		for gateway.finalAnswers[id] == nil {
 			if gateway.sends[len(gateway.sends)-1].Server == 2 {
-				bad++
+				failedAttempts++
 				gateway.now += ms
 				gateway.respond(id, Errored, 0)
 			} else {
@@ -45,22 +45,22 @@
 			}
 		}
 	}
-	if bad > 20 {
-		t.Errorf("%d attempts in 15 s on a server that only fails", bad)
+	if failedAttempts > 20 {
+		t.Errorf("%d attempts in 15 s on a server that only fails", failedAttempts)
 	}
 }
 
 // Guards against servers that fail every second request at once: never ejected, they look idle and attract the
 // traffic.
-func TestServerThatFailsHalfIsChosenLess(t *testing.T) {
+func TestServerThatFailsHalfItsRequestsIsChosenLess(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2, 3, 4)...)
-	tries := make(map[uint32]int)
+	attempts := make(map[uint32]int)
 	for i := 0; i < 400; i++ {
 		id := fmt.Sprint(i)
 		gateway.request(id, "job", "low", "x")
 		for gateway.finalAnswers[id] == nil {
 			s := gateway.sends[len(gateway.sends)-1].Server
-			if tries[s]++; s == 2 && tries[s]%2 == 0 {
+			if attempts[s]++; s == 2 && attempts[s]%2 == 0 {
 				gateway.now += ms
 				gateway.respond(id, Errored, 0)
 			} else {
@@ -69,8 +69,8 @@
 			}
 		}
 	}
-	if tries[2] > tries[1]/2 {
-		t.Errorf("requests by server: %v", tries)
+	if attempts[2] > attempts[1]/2 {
+		t.Errorf("requests by server: %v", attempts)
 	}
 }
 
@@ -81,7 +81,7 @@
 	gateway.controller.limiter.idleLatency = 0.1
 	gateway.controller.fleet.latency = runningMean{mean: 0.1, count: 100}
 	before := gateway.controller.limiter.limit
-	refusals := 0
+	rejections := 0
 	for i := 0; i < 30; i++ {
 		for _, plan := range []string{"low", "high"} {
 			id := fmt.Sprint(plan, i)
@@ -93,7 +93,7 @@
 					t.Fatalf("%s was held", id)
 				}
 				if plan == "low" && last.Server <= 2 {
-					refusals++
+					rejections++
 					gateway.respond(id, RejectedByServer, 0)
 				} else {
 					gateway.respond(id, OK, 0)
@@ -102,8 +102,8 @@
 		}
 		gateway.advance(100 * ms)
 	}
-	if refusals > 3 {
-		t.Errorf("two servers rejected the plan %d times in 6 s", refusals)
+	if rejections > 3 {
+		t.Errorf("two servers rejected the plan %d times in 6 s", rejections)
 	}
 	if gateway.controller.limiter.limit < before {
 		t.Errorf("the limit went from %g to %g on servers with capacity", before, gateway.controller.limiter.limit)
@@ -154,7 +154,7 @@
 	}
 }
 
-func TestFailuresRaiseTheCostAboveThatOfOne(t *testing.T) {
+func TestRepeatedFailuresRaiseTheCost(t *testing.T) {
 	detector := newOutlierDetector()
 	detector.updateFailureRate(0, 1)
 	if got := detector.costFactor(0); got != 1 {
--- a/control/plan_queue_test.go
+++ b/control/plan_queue_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestLatenessOfAWindowWithoutAnswersIsThatBefore(t *testing.T) {
+func TestWindowWithoutAnswersKeepsThePreviousLateness(t *testing.T) {
 	plan := &planQueue{}
 	plan.recordLateness(0.5)
 	plan.recordLateness(1.5)
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -12,17 +12,17 @@
 )
 
 // world feeds a controller seeded legal events and holds its actions to the rules.
-type world struct {
+type simulation struct {
 	t               *testing.T
 	rng             *rand.Rand
 	settings        Settings
 	controller      *Controller
 	now             time.Duration
 	log             []string
-	members         map[uint32]*Endpoint
+	endpoints       map[uint32]*Endpoint
 	isInactive      map[uint32]bool
-	requests        map[string]*openRequest
-	inFlight        []openAttempt
+	requests        map[string]*pendingRequest
+	inFlight        []simulatedAttempt
 	timers          []TimerFired
 	timersDueAt     []time.Duration
 	lastID          int
@@ -30,12 +30,12 @@
 	hardLimitAt     map[string]time.Duration
 }
 
-type openRequest struct {
+type pendingRequest struct {
 	class       Class
 	plan        string
 	customer    string
 	units       float64
-	end         time.Duration
+	deadline    time.Duration
 	attempts    int
 	inFlight    int
 	mayHaveRun  bool
@@ -43,7 +43,7 @@
 	firstServer uint32
 }
 
-type openAttempt struct {
+type simulatedAttempt struct {
 	id         string
 	number     int
 	server     uint32
@@ -79,263 +79,263 @@
 	return settings
 }
 
-func (w *world) handle(event Event) {
-	w.log = append(w.log, fmt.Sprintf("%v %T", w.now, event))
-	for _, action := range w.controller.Handle(w.now, event) {
-		w.log = append(w.log, fmt.Sprintf("  %T%+v", action, action))
+func (s *simulation) handle(event Event) {
+	s.log = append(s.log, fmt.Sprintf("%v %T", s.now, event))
+	for _, action := range s.controller.Handle(s.now, event) {
+		s.log = append(s.log, fmt.Sprintf("  %T%+v", action, action))
 		switch a := action.(type) {
 		case Send:
-			w.recordSend(a)
+			s.recordSend(a)
 		case Reject:
-			w.checkRejection(a)
+			s.checkRejection(a)
 		case Fail:
-			w.recordFinal(a.ID)
+			s.recordFinal(a.ID)
 		case StartTimer:
-			w.timers = append(w.timers, TimerFired{a.Label})
-			w.timersDueAt = append(w.timersDueAt, w.now+a.After)
+			s.timers = append(s.timers, TimerFired{a.Label})
+			s.timersDueAt = append(s.timersDueAt, s.now+a.After)
 		case CancelAttempt:
-			if !w.settings.CanCancel {
-				w.t.Fatal("cancelled where it is not permitted")
+			if !s.settings.CanCancel {
+				s.t.Fatal("cancelled where it is not permitted")
 			}
 		case CheckHealth:
-			if !w.settings.HealthChecks {
-				w.t.Fatal("probed where it is not permitted")
+			if !s.settings.HealthChecks {
+				s.t.Fatal("probed where it is not permitted")
 			}
 		case SendPeerMessage, AddToCounter:
-			w.t.Fatalf("%T on the ordinary path", a)
+			s.t.Fatalf("%T on the ordinary path", a)
 		}
 	}
 }
 
-func (w *world) recordSend(send Send) {
-	request := w.requests[send.ID]
+func (s *simulation) recordSend(send Send) {
+	request := s.requests[send.ID]
 	switch {
 	case request == nil:
-		w.t.Fatalf("%s was sent but is not open", send.ID)
-	case w.isInactive[send.Server] || w.members[send.Server] == nil:
-		w.t.Fatalf("%s went to server %d, which is draining or gone", send.ID, send.Server)
+		s.t.Fatalf("%s was sent but is not open", send.ID)
+	case s.isInactive[send.Server] || s.endpoints[send.Server] == nil:
+		s.t.Fatalf("%s went to server %d, which is draining or gone", send.ID, send.Server)
 	case request.inFlight > 0:
-		w.t.Fatalf("%s has two attempts out", send.ID)
-	case request.attempts >= w.settings.MaxAttempts:
-		w.t.Fatalf("%s was sent more than %d times", send.ID, w.settings.MaxAttempts)
+		s.t.Fatalf("%s has two attempts out", send.ID)
+	case request.attempts >= s.settings.MaxAttempts:
+		s.t.Fatalf("%s was sent more than %d times", send.ID, s.settings.MaxAttempts)
 	}
 	if request.mayHaveRun {
-		w.checkRepeat(request, send)
+		s.checkRepeat(request, send)
 	}
 	if request.attempts == 0 && request.plan == "ceil" {
-		w.chargeHardLimit(request)
+		s.chargeHardLimit(request)
 	}
-	till := request.end
+	timesOutAt := request.deadline
 	if send.Timeout > 0 {
-		till = min(till, w.now+send.Timeout)
+		timesOutAt = min(timesOutAt, s.now+send.Timeout)
 	}
-	w.inFlight = append(w.inFlight, openAttempt{send.ID, request.attempts, send.Server, w.now, till})
+	s.inFlight = append(s.inFlight, simulatedAttempt{send.ID, request.attempts, send.Server, s.now, timesOutAt})
 	request.attempts++
 	request.inFlight++
 }
 
 // checkRepeat holds an attempt to the rules of a request that may have run before.
-func (w *world) checkRepeat(request *openRequest, send Send) {
+func (s *simulation) checkRepeat(request *pendingRequest, send Send) {
 	class := request.class
 	switch class.Idempotency {
 	case NotIdempotent:
-		w.t.Fatalf("%s may have run and was sent again", send.ID)
+		s.t.Fatalf("%s may have run and was sent again", send.ID)
 	case IdempotentWithKey:
-		first := w.members[request.firstServer]
-		srv := w.members[send.Server]
+		first := s.endpoints[request.firstServer]
+		srv := s.endpoints[send.Server]
 		isOutsideCell := class.KeyScope == ScopeCell && first.Cell != srv.Cell
 		isOutsideZone := class.KeyScope == ScopeZone && first.Zone != srv.Zone
 		windowEnd := request.firstRunAt + class.RepeatWindow
-		if w.now > windowEnd || isOutsideCell || isOutsideZone {
-			w.t.Fatalf("%s may have run and was sent again outside its group or window", send.ID)
+		if s.now > windowEnd || isOutsideCell || isOutsideZone {
+			s.t.Fatalf("%s may have run and was sent again outside its group or window", send.ID)
 		}
-		if send.WriteTimeout <= 0 || w.now+send.WriteTimeout > windowEnd {
-			w.t.Fatalf("%s may have run, and be written again %v from now, behind its window", send.ID, send.WriteTimeout)
+		if send.WriteTimeout <= 0 || s.now+send.WriteTimeout > windowEnd {
+			s.t.Fatalf("%s may have run, and be written again %v from now, behind its window", send.ID, send.WriteTimeout)
 		}
 	}
 }
 
 // chargeHardLimit holds this gateway to its part of the hard limit with part of the slack.
-func (w *world) chargeHardLimit(request *openRequest) {
-	plan := w.settings.Plans[3]
-	if _, known := w.hardLimitTokens[request.customer]; !known {
-		w.hardLimitTokens[request.customer] = plan.HardLimitSlack / 2
-		w.hardLimitAt[request.customer] = time.Hour
-	}
-	tokens := w.hardLimitTokens[request.customer] + (w.now-w.hardLimitAt[request.customer]).Seconds()*plan.HardLimitRate/2
-	w.hardLimitTokens[request.customer] = min(tokens, plan.HardLimitBurst/2) - request.units
-	w.hardLimitAt[request.customer] = w.now
-	if w.hardLimitTokens[request.customer] < -1e-6 {
-		w.t.Fatalf("the part of a hard limit fell to %g", w.hardLimitTokens[request.customer])
+func (s *simulation) chargeHardLimit(request *pendingRequest) {
+	plan := s.settings.Plans[3]
+	if _, known := s.hardLimitTokens[request.customer]; !known {
+		s.hardLimitTokens[request.customer] = plan.HardLimitSlack / 2
+		s.hardLimitAt[request.customer] = time.Hour
+	}
+	tokens := s.hardLimitTokens[request.customer] + (s.now-s.hardLimitAt[request.customer]).Seconds()*plan.HardLimitRate/2
+	s.hardLimitTokens[request.customer] = min(tokens, plan.HardLimitBurst/2) - request.units
+	s.hardLimitAt[request.customer] = s.now
+	if s.hardLimitTokens[request.customer] < -1e-6 {
+		s.t.Fatalf("the part of a hard limit fell to %g", s.hardLimitTokens[request.customer])
 	}
 }
 
-func (w *world) checkRejection(reject Reject) {
-	if request := w.requests[reject.ID]; request != nil && (request.mayHaveRun || request.inFlight > 0) {
+func (s *simulation) checkRejection(reject Reject) {
+	if request := s.requests[reject.ID]; request != nil && (request.mayHaveRun || request.inFlight > 0) {
 		if request.class.Idempotency == NotIdempotent || request.class.Idempotency == IdempotentWithKey && request.class.KeyScope != ScopeAll {
-			w.t.Fatalf("%s may have run and was rejected", reject.ID)
+			s.t.Fatalf("%s may have run and was rejected", reject.ID)
 		}
 	}
-	w.recordFinal(reject.ID)
+	s.recordFinal(reject.ID)
 }
 
-func (w *world) recordFinal(id string) {
-	if w.requests[id] == nil {
-		w.t.Fatalf("%s has a second final answer", id)
+func (s *simulation) recordFinal(id string) {
+	if s.requests[id] == nil {
+		s.t.Fatalf("%s has a second final answer", id)
 	}
-	delete(w.requests, id)
+	delete(s.requests, id)
 }
 
 // list is the complete endpoint list in a fixed order, with a chance of change for each entry.
-func (w *world) list() EndpointList {
+func (s *simulation) randomEndpointList() EndpointList {
 	var event EndpointList
 	event.Kind = ListComplete
 	for id := uint32(1); id <= 8; id++ {
 		endpoint := &Endpoint{Server: id, Zone: fmt.Sprint("z", 1+id%2), Cell: int(id / 3), Size: 1}
-		w.members[id] = endpoint
-		switch w.rng.IntN(6) {
+		s.endpoints[id] = endpoint
+		switch s.rng.IntN(6) {
 		case 0:
 			endpoint.State = Draining
 		case 1:
-			w.isInactive[id] = true
+			s.isInactive[id] = true
 			continue // gone
 		case 2:
-			endpoint.HasStartedAt, endpoint.StartedAt = true, w.now-ms
+			endpoint.HasStartedAt, endpoint.StartedAt = true, s.now-ms
 		}
-		w.isInactive[id] = endpoint.State != Active
+		s.isInactive[id] = endpoint.State != Active
 		event.Endpoints = append(event.Endpoints, *endpoint)
 	}
 	return event
 }
 
 // outcome ends the attempt at an index of inFlight.
-func (w *world) outcome(i int) {
-	attempt := w.inFlight[i]
-	w.inFlight = append(w.inFlight[:i], w.inFlight[i+1:]...)
-	why := []Reason{OK, OK, OK, OK, OK, Errored, RejectedByServer, ConnectFailed, ResetByPeer, []Reason{NotSent, Cancelled}[w.rng.IntN(2)]}[w.rng.IntN(10)]
-	if w.now >= attempt.timesOutAt {
-		why = TimedOut
-	}
-	request := w.requests[attempt.id]
+func (s *simulation) endAttempt(i int) {
+	attempt := s.inFlight[i]
+	s.inFlight = append(s.inFlight[:i], s.inFlight[i+1:]...)
+	reason := []Reason{OK, OK, OK, OK, OK, Errored, RejectedByServer, ConnectFailed, ResetByPeer, []Reason{NotSent, Cancelled}[s.rng.IntN(2)]}[s.rng.IntN(10)]
+	if s.now >= attempt.timesOutAt {
+		reason = TimedOut
+	}
+	request := s.requests[attempt.id]
 	event := AttemptResult{
-		ID: attempt.id, Attempt: attempt.number, Server: attempt.server, Reason: why, IsFinal: request == nil || why == OK,
-		QuotaUsage: w.rng.IntN(300), ActualUnits: float64(1 + w.rng.IntN(4)), Load: &LoadReport{InFlight: 3, Utilization: 0.5},
+		ID: attempt.id, Attempt: attempt.number, Server: attempt.server, Reason: reason, IsFinal: request == nil || reason == OK,
+		QuotaUsage: s.rng.IntN(300), ActualUnits: float64(1 + s.rng.IntN(4)), Load: &LoadReport{InFlight: 3, Utilization: 0.5},
 	}
 	if request != nil {
 		request.inFlight--
-		if why == OK {
-			delete(w.requests, attempt.id)
-		} else if neverRan := why == RejectedByServer || why == ConnectFailed || why == NotSent; !neverRan && !request.mayHaveRun {
+		if reason == OK {
+			delete(s.requests, attempt.id)
+		} else if neverRan := reason == RejectedByServer || reason == ConnectFailed || reason == NotSent; !neverRan && !request.mayHaveRun {
 			request.mayHaveRun = true
 			request.firstRunAt = attempt.sentAt
 			request.firstServer = attempt.server
 		}
 	}
-	w.handle(event)
+	s.handle(event)
 }
 
 // fireTimers fires the timers that are due, and those due at once that they start.
-func (w *world) fireTimers() {
-	for i := 0; i < len(w.timersDueAt); i++ {
-		if w.timersDueAt[i] > w.now {
+func (s *simulation) fireTimers() {
+	for i := 0; i < len(s.timersDueAt); i++ {
+		if s.timersDueAt[i] > s.now {
 			continue
 		}
-		timer := w.timers[i]
-		w.timers = slices.Delete(w.timers, i, i+1)
-		w.timersDueAt = slices.Delete(w.timersDueAt, i, i+1)
-		w.handle(timer)
+		timer := s.timers[i]
+		s.timers = slices.Delete(s.timers, i, i+1)
+		s.timersDueAt = slices.Delete(s.timersDueAt, i, i+1)
+		s.handle(timer)
 		i = -1
 	}
 }
 
 // checkDeadlines fails if a request has no answer in time.
-func (w *world) checkDeadlines() {
-	for id, request := range w.requests {
-		if w.now > request.end+16*ms {
-			w.t.Fatalf("%s has no answer %v after its end", id, w.now-request.end)
+func (s *simulation) checkDeadlines() {
+	for id, request := range s.requests {
+		if s.now > request.deadline+16*ms {
+			s.t.Fatalf("%s has no answer %v after its end", id, s.now-request.deadline)
 		}
 	}
 }
 
-func (w *world) step() {
-	w.now += time.Duration(w.rng.IntN(12)) * ms
-	w.fireTimers()
-	for i := 0; i < len(w.inFlight); i++ {
-		if w.now >= w.inFlight[i].timesOutAt {
-			w.outcome(i)
+func (s *simulation) step() {
+	s.now += time.Duration(s.rng.IntN(12)) * ms
+	s.fireTimers()
+	for i := 0; i < len(s.inFlight); i++ {
+		if s.now >= s.inFlight[i].timesOutAt {
+			s.endAttempt(i)
 			i = -1
 		}
 	}
-	switch k := w.rng.IntN(100); {
+	switch k := s.rng.IntN(100); {
 	case k < 45:
-		w.arrive()
-	case k < 90 && len(w.inFlight) > 0:
-		w.outcome(w.rng.IntN(len(w.inFlight)))
+		s.sendRequest()
+	case k < 90 && len(s.inFlight) > 0:
+		s.endAttempt(s.rng.IntN(len(s.inFlight)))
 	case k < 92:
-		w.handle(w.list())
+		s.handle(s.randomEndpointList())
 	case k < 93:
-		w.handle(EndpointList{Kind: ListFailed})
+		s.handle(EndpointList{Kind: ListFailed})
 	case k < 94:
-		w.handle(AttemptResult{ID: "not held", Server: 3, Reason: OK})
+		s.handle(AttemptResult{ID: "not held", Server: 3, Reason: OK})
 	case k < 95:
-		w.handle(HealthCheckResult{Server: uint32(w.rng.IntN(10)), Reason: OK})
+		s.handle(HealthCheckResult{Server: uint32(s.rng.IntN(10)), Reason: OK})
 	case k < 96:
-		ids := make([]string, 0, len(w.requests))
-		for id := range w.requests {
+		ids := make([]string, 0, len(s.requests))
+		for id := range s.requests {
 			ids = append(ids, id)
 		}
 		if sort.Strings(ids); len(ids) > 0 {
-			id := ids[w.rng.IntN(len(ids))]
-			delete(w.requests, id)
-			w.handle(ClientGone{ID: id})
+			id := ids[s.rng.IntN(len(ids))]
+			delete(s.requests, id)
+			s.handle(ClientGone{ID: id})
 		}
 	}
-	w.checkDeadlines()
+	s.checkDeadlines()
 }
 
-func (w *world) arrive() {
-	w.lastID++
-	class := w.settings.Classes[w.rng.IntN(len(w.settings.Classes))]
-	request := &openRequest{
-		class: class, plan: w.settings.Plans[w.rng.IntN(4)].Name, customer: fmt.Sprint("k", w.rng.IntN(6)),
-		units: float64(1 + w.rng.IntN(3)), end: w.now + time.Duration(300+w.rng.IntN(3000))*ms,
-	}
-	id := fmt.Sprint("r", w.lastID)
-	w.requests[id] = request
-	w.handle(Request{
-		ID: id, Class: class.Name, Plan: request.plan, Customer: request.customer, Timeout: request.end - w.now,
-		Units: request.units, FanOut: 2 + w.rng.IntN(89),
+func (s *simulation) sendRequest() {
+	s.lastID++
+	class := s.settings.Classes[s.rng.IntN(len(s.settings.Classes))]
+	request := &pendingRequest{
+		class: class, plan: s.settings.Plans[s.rng.IntN(4)].Name, customer: fmt.Sprint("k", s.rng.IntN(6)),
+		units: float64(1 + s.rng.IntN(3)), deadline: s.now + time.Duration(300+s.rng.IntN(3000))*ms,
+	}
+	id := fmt.Sprint("r", s.lastID)
+	s.requests[id] = request
+	s.handle(Request{
+		ID: id, Class: class.Name, Plan: request.plan, Customer: request.customer, Timeout: request.deadline - s.now,
+		Units: request.units, FanOut: 2 + s.rng.IntN(89),
 	}) // may change within a day; chargeHardLimit presumes two at least
 }
 
-func play(t *testing.T, seed uint64, steps int) *world {
+func simulate(t *testing.T, seed uint64, steps int) *simulation {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
-	w := &world{
-		t: t, rng: rng, settings: randomSettings(rng), now: time.Hour, members: map[uint32]*Endpoint{},
-		isInactive: map[uint32]bool{}, requests: map[string]*openRequest{}, hardLimitTokens: map[string]float64{},
+	s := &simulation{
+		t: t, rng: rng, settings: randomSettings(rng), now: time.Hour, endpoints: map[uint32]*Endpoint{},
+		isInactive: map[uint32]bool{}, requests: map[string]*pendingRequest{}, hardLimitTokens: map[string]float64{},
 		hardLimitAt: map[string]time.Duration{},
 	}
-	controller, err := New(w.settings, seed)
+	controller, err := New(s.settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.controller = controller
-	event := w.list()
+	s.controller = controller
+	event := s.randomEndpointList()
 	event.Kind = ListCached
-	w.handle(event)
+	s.handle(event)
 	for i := 0; i < steps; i++ {
-		w.step()
+		s.step()
 	}
-	return w
+	return s
 }
 
 // Any legal sequence of events keeps the rules, and gives the same actions twice.
-func TestAnyLegalSequenceKeepsTheRules(t *testing.T) {
+func TestValidEventSequencesKeepInvariants(t *testing.T) {
 	for seed := uint64(1); seed <= 60; seed++ {
-		first := play(t, seed, 2500)
+		first := simulate(t, seed, 2500)
 		if seed <= 10 {
-			second := play(t, seed, 2500)
+			second := simulate(t, seed, 2500)
 			if !reflect.DeepEqual(first.log, second.log) {
 				t.Fatalf("seed %d: two runs of the same events differ", seed)
 			}
--- a/control/request_test.go
+++ b/control/request_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestAttemptsAreCountedUntilTheirEnds(t *testing.T) {
+func TestAttemptsAreCountedUntilTheyEnd(t *testing.T) {
 	table := newRequestTable()
 	plan := &planQueue{}
 	req := &request{id: "a", plan: plan, account: &customerAccount{plan: plan}}
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestOnlyTheFirstPossibleRunCounts(t *testing.T) {
+func TestRepeatWindowStartsAtTheFirstPossibleRun(t *testing.T) {
 	req := &request{class: &Class{RepeatWindow: time.Minute}}
 	first, second := &server{}, &server{}
 	req.recordPossibleRun(time.Second, first)
--- a/control/restore.go
+++ b/control/restore.go
@@ -155,10 +155,10 @@
 
 // ReclaimRates ends what HandOver or Restore began: the controller that had the other part of all rates has ended.
 // What it was given and has not spent comes back with a checkpoint; nil if that is not known.
-func (c *Controller) ReclaimRates(now time.Duration, given *Checkpoint) {
+func (c *Controller) ReclaimRates(now time.Duration, handedOver *Checkpoint) {
 	c.now = max(c.now, now)
-	if given != nil && given.Version == CheckpointVersion && given.isFinite() {
-		c.reclaimTokens(given)
+	if handedOver != nil && handedOver.Version == CheckpointVersion && handedOver.isFinite() {
+		c.reclaimTokens(handedOver)
 	}
 	for _, account := range c.accounts.byKey {
 		c.refillAccount(account)
@@ -167,9 +167,9 @@
 	c.PredecessorEnded()
 }
 
-func (c *Controller) reclaimTokens(given *Checkpoint) {
-	for i := range given.Customers {
-		saved := &given.Customers[i]
+func (c *Controller) reclaimTokens(handedOver *Checkpoint) {
+	for i := range handedOver.Customers {
+		saved := &handedOver.Customers[i]
 		plan := c.scheduler.plansByName[saved.Plan]
 		if plan == nil || !(saved.FanOut >= 1) {
 			continue
@@ -179,8 +179,8 @@
 		hardLimitTokens := account.hardLimit.tokens + saved.HardLimitTokens
 		account.hardLimit.tokens = math.Min(plan.HardLimitBurst/account.fanOut, hardLimitTokens)
 	}
-	for i := range given.Servers {
-		saved := &given.Servers[i]
+	for i := range handedOver.Servers {
+		saved := &handedOver.Servers[i]
 		srv := c.fleet.servers[saved.Server]
 		if srv != nil && srv.slowStart.isActive && isSameIncarnation(srv.bootTime(), saved.StartedAt) {
 			srv.slowStart.tokens += saved.SlowStartTokens
--- a/control/restore_test.go
+++ b/control/restore_test.go
@@ -27,20 +27,20 @@
 }
 
 // An unusable checkpoint changes nothing.
-func TestUnusableCheckpointChangesNothing(t *testing.T) {
+func TestInvalidCheckpointIsIgnored(t *testing.T) {
 	settings := hardLimitSettings()
 	predecessor := newTestGateway(t, settings, activeEndpoints(1, 2)...)
 	predecessor.controller.accountFor(predecessor.controller.scheduler.plansByName["low"], "x", 1)
-	for name, spoil := range map[string]func(*Checkpoint){
+	for name, corrupt := range map[string]func(*Checkpoint){
 		"version":   func(checkpoint *Checkpoint) { checkpoint.Version++ },
 		"no number": func(checkpoint *Checkpoint) { checkpoint.Customers[0].QuotaTokens = math.NaN() },
 		"infinite":  func(checkpoint *Checkpoint) { checkpoint.ConcurrencyLimit = math.Inf(1) },
 	} {
 		checkpoint := predecessor.controller.Checkpoint(predecessor.now)
-		spoil(&checkpoint)
-		successor, same := newTestGateway(t, settings, activeEndpoints(1, 2)...), newTestGateway(t, settings, activeEndpoints(1, 2)...)
+		corrupt(&checkpoint)
+		successor, untouched := newTestGateway(t, settings, activeEndpoints(1, 2)...), newTestGateway(t, settings, activeEndpoints(1, 2)...)
 		successor.controller.Restore(successor.now, checkpoint, TrustAll)
-		if !reflect.DeepEqual(successor.controller.accounts.byKey, same.controller.accounts.byKey) || successor.controller.limiter.limit != same.controller.limiter.limit {
+		if !reflect.DeepEqual(successor.controller.accounts.byKey, untouched.controller.accounts.byKey) || successor.controller.limiter.limit != untouched.controller.limiter.limit {
 			t.Errorf("%s: it was taken over", name)
 		}
 	}
--- a/control/retries_test.go
+++ b/control/retries_test.go
@@ -108,7 +108,7 @@
 		why Reason
 	}
 	var due []outcome
-	tries, handled, requested, failed := make(map[uint32]int), 0, 0, 0
+	attempts, handled, requested, failed := make(map[uint32]int), 0, 0, 0
 	for len(gateway.finalAnswers) < 2000 {
 		for ; requested-len(gateway.finalAnswers) < 12; requested++ {
 			gateway.request(fmt.Sprint(requested), "job", "low", "x")
@@ -118,7 +118,7 @@
 			if srv := gateway.sends[handled].Server; srv > 1 && rng.IntN(2) == 0 {
 				o.at, o.why = gateway.now+ms, Errored
 			}
-			tries[gateway.sends[handled].Server]++
+			attempts[gateway.sends[handled].Server]++
 			due = append(due, o)
 		}
 		first := 0
@@ -138,13 +138,13 @@
 		}
 	}
 	if failed > 60 {
-		t.Errorf("%d of 2000 not served; requests by server: %v", failed, tries)
+		t.Errorf("%d of 2000 not served; requests by server: %v", failed, attempts)
 	}
 }
 
 // Guards against a keyed retry that stays queued when it can not be forwarded any more: it is answered at the end of
 // its repeat window, well before the client's deadline.
-func TestWaitingRetryIsAnsweredAtTheEndOfItsWindow(t *testing.T) {
+func TestQueuedRetryFailsAtTheEndOfItsRepeatWindow(t *testing.T) {
 	settings := testSettings()
 	class := &settings.Classes[0]
 	class.Idempotency, class.KeyScope, class.RepeatWindow = IdempotentWithKey, ScopeCell, time.Second
@@ -181,7 +181,7 @@
 	}
 }
 
-func TestRetryPolicyKeepsItsLimits(t *testing.T) {
+func TestRetryPolicyEnforcesItsLimits(t *testing.T) {
 	class := &Class{Idempotency: Idempotent}
 	policy := newRetryPolicy(&Settings{MaxAttempts: 2})
 	policy.budget.retries = 1.5
--- a/control/scheduler.go
+++ b/control/scheduler.go
@@ -43,8 +43,8 @@
 
 // nextTurn is one step of the weighted round robin among the plans that have an eligible request: the
 // one that is farthest behind its share comes next. It returns nil if no plan has one.
-func (s *scheduler) nextTurn(now time.Duration, servers serverChooser) (next *request, srv *server) {
-	var best *planQueue
+func (s *scheduler) nextRequest(now time.Duration, servers serverChooser) (next *request, srv *server) {
+	var bestPlan *planQueue
 	totalShare := 0.0
 	for _, plan := range s.plans {
 		eligible, chosen := plan.nextEligible(now, servers)
@@ -53,14 +53,14 @@
 		}
 		plan.deficit += plan.share
 		totalShare += plan.share
-		if best == nil || plan.deficit > best.deficit {
-			best = plan
+		if bestPlan == nil || plan.deficit > bestPlan.deficit {
+			bestPlan = plan
 			next = eligible
 			srv = chosen
 		}
 	}
-	if best != nil {
-		best.deficit -= totalShare
+	if bestPlan != nil {
+		bestPlan.deficit -= totalShare
 	}
 	return next, srv
 }
@@ -95,7 +95,7 @@
 	if window.answers < minAnswersPerWindow {
 		return
 	}
-	for i, share := range s.shareController.NextShares(shares, lateness, !window.wasCut) {
+	for i, share := range s.shareController.NextShares(shares, lateness, !window.isOverloaded) {
 		s.plans[i].share = share
 	}
 }
--- a/control/scheduler_test.go
+++ b/control/scheduler_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestSharesStayWithFewAnswers(t *testing.T) {
+func TestSharesAreUnchangedWithFewAnswers(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1)...)
 	gateway.controller.scheduler.plans[0].meanLateness = 3
 	gateway.controller.scheduler.plans[1].meanLateness = 0.1
@@ -51,7 +51,7 @@
 }
 
 // Shares move where a gateway gets two answers a second: the control window is extended.
-func TestSharesMoveAtFewRequestsASecond(t *testing.T) {
+func TestSharesAreUpdatedAtLowRequestRates(t *testing.T) {
 	settings := largeGroupSettings()
 	settings.Plans[0].QuotaRate, settings.Plans[0].QuotaBurst = 1000, 1000
 	gateway := newTestGateway(t, settings, activeEndpoints(1, 2, 3, 4)...)
@@ -114,7 +114,7 @@
 	return req
 }
 
-func TestTurnsFollowTheDeficit(t *testing.T) {
+func TestRoundRobinFollowsDeficits(t *testing.T) {
 	s := newScheduler([]Plan{{Name: "low", Price: 1}, {Name: "high", Price: 1}})
 	s.plans[0].share = 0.25
 	s.plans[1].share = 0.75
@@ -123,7 +123,7 @@
 	servers := choiceByID{"l": &server{}, "h": &server{}}
 	var order string
 	for range 8 { // the requests stay queued, as nothing starts an attempt
-		req, _ := s.nextTurn(0, servers)
+		req, _ := s.nextRequest(0, servers)
 		order += req.id
 	}
 	if order != "hlhhhlhh" {
@@ -134,24 +134,24 @@
 	}
 }
 
-func TestOnlyRequestsOfARepeatGroupLetTheNextPass(t *testing.T) {
+func TestOnlyRequestsWithARepeatGroupDoNotBlockTheQueue(t *testing.T) {
 	s := newScheduler([]Plan{{Name: "low", Price: 1}})
 	first := queuedRequest(s.plans[0], "first")
 	queuedRequest(s.plans[0], "second")
 	servers := choiceByID{"second": &server{}}
-	if req, _ := s.nextTurn(0, servers); req != nil {
+	if req, _ := s.nextRequest(0, servers); req != nil {
 		t.Errorf("%s passed a request that any server could take", req.id)
 	}
 	first.repeatGroup = &server{}
-	if req, srv := s.nextTurn(0, servers); req == nil || req.id != "second" || srv != servers["second"] {
+	if req, srv := s.nextRequest(0, servers); req == nil || req.id != "second" || srv != servers["second"] {
 		t.Errorf("%+v came next, behind one that waits for its repeat group", req)
 	}
 }
 
-func TestNoPlanHasATurnWithoutAServer(t *testing.T) {
+func TestNextRequestIsNilWithoutAServer(t *testing.T) {
 	s := newScheduler([]Plan{{Name: "low", Price: 1}})
 	queuedRequest(s.plans[0], "waits")
-	if req, srv := s.nextTurn(0, choiceByID{}); req != nil || srv != nil {
+	if req, srv := s.nextRequest(0, choiceByID{}); req != nil || srv != nil {
 		t.Errorf("%v at %v", req, srv)
 	}
 	if s.countQueued() != 1 || s.plans[0].deficit != 0 {
--- a/control/server.go
+++ b/control/server.go
@@ -45,7 +45,7 @@
 func (s *server) endAttempt() { s.inFlight-- }
 
 // forgetIncarnation drops what was known of the server before it started anew.
-func (s *server) forgetIncarnation() {
+func (s *server) resetIncarnation() {
 	s.latency.seconds = 0
 	s.latency.samples = 0
 	s.load.reportedAt = 0
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestNewNamesTheInvalidSetting(t *testing.T) {
-	for field, spoil := range map[string]func(*Settings){
+	for field, invalidate := range map[string]func(*Settings){
 		"classes":    func(settings *Settings) { settings.Classes = nil },
 		"plans":      func(settings *Settings) { settings.Plans = nil },
 		"self index": func(settings *Settings) { settings.SelfIndex = 2 },
@@ -18,7 +18,7 @@
 		"aim":        func(settings *Settings) { settings.Classes[0].LatencyObjective = 0 },
 	} {
 		settings := testSettings()
-		spoil(&settings)
+		invalidate(&settings)
 		if _, err := New(settings, 1); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("%s: New gave %v", field, err)
 		}
--- a/control/sharecontrol/sharecontrol_test.go
+++ b/control/sharecontrol/sharecontrol_test.go
@@ -13,22 +13,22 @@
 
 func TestEstimateConvergesToALinearSystem(t *testing.T) {
 	controller := New([]float64{1, 1})
-	want := [][]float64{{-2, 0.5, 0.3, 0}, {0.4, -1, 0, 0.2}}
+	system := [][]float64{{-2, 0.5, 0.3, 0}, {0.4, -1, 0, 0.2}}
 	lateness := []float64{1, 1}
 	for step := 0; step < 400; step++ {
 		shares := []float64{0.5 + 0.3*math.Sin(float64(step)*1.7), 0.5 + 0.3*math.Cos(float64(step)*2.9)}
 		controller.regressors = newRegressors(shares, lateness)
 		next := make([]float64, 2)
 		for i := range next {
-			for j := range want[i] {
-				next[i] += want[i][j] * controller.regressors.AtVec(j)
+			for j := range system[i] {
+				next[i] += system[i][j] * controller.regressors.AtVec(j)
 			}
 		}
 		controller.updateEstimate(next)
 		lateness = next
 	}
-	for i := range want {
-		for j, w := range want[i] {
+	for i := range system {
+		for j, w := range system[i] {
 			if got := controller.estimate.At(i, j); math.Abs(got-w) > 0.02 {
 				t.Errorf("X[%d][%d] = %.3f, the system has %.3f", i, j, got, w)
 			}
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestOptimalSharesMatchAHandWorkedCase(t *testing.T) {
+func TestOptimalSharesMatchAManualCalculation(t *testing.T) {
 	// W = I, B0 = -I, A1 = I, y = (3, 1): error (-2, 0); S = 1/(1+q) I, v = (2, 0)/(1+q),
 	// and (14) moves both by the same amount until the sum is one.
 	controller := New([]float64{1, 1})
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestDearerPlanGetsTheLargerShareUnderScarcity(t *testing.T) {
+func TestHigherPricedPlanGetsTheLargerShareUnderOverload(t *testing.T) {
 	controller := New([]float64{0.5, 1.5})
 	shares := []float64{0.5, 0.5}
 	for step := 0; step < 5; step++ {
--- a/control/slow_start_test.go
+++ b/control/slow_start_test.go
@@ -39,7 +39,7 @@
 
 // Guards against a server that gets no attempts while it is warming up: each of eighty gateways may send it less than
 // one request in all that time.
-func TestSlowStartBelowOneRequestASecondFlows(t *testing.T) {
+func TestSlowStartAdmitsLessThanOneRequestPerSecond(t *testing.T) {
 	for _, n := range []int{2, 8, 80} {
 		list := activeEndpoints(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)
 		group := newGatewayGroup(t, n, list)
@@ -57,8 +57,8 @@
 			}
 		}
 		// At its coldest it could do 0.15 of what a warm one does, at 10 s 0.72 of it, by the settings.
-		if part := float64(group.sent[13]) / warm; part < 0.1 || part > 0.72 {
-			t.Errorf("%d gateways: a warming server is sent %.2f of what a warm one is", n, part)
+		if fraction := float64(group.sent[13]) / warm; fraction < 0.1 || fraction > 0.72 {
+			t.Errorf("%d gateways: a warming server is sent %.2f of what a warm one is", n, fraction)
 		}
 	}
 }
@@ -80,8 +80,8 @@
 			}
 		}
 		// Were the servers evenly used to the full by this, 2.5 times 0.2 of an even part would be the most.
-		if part := float64(warming) / 4 / (float64(all) / 16); all < 100 || part > 0.4 {
-			t.Errorf("%d gateways: of %d requests a warming server is sent %.2f of an even part", n, all, part)
+		if fraction := float64(warming) / 4 / (float64(all) / 16); all < 100 || fraction > 0.4 {
+			t.Errorf("%d gateways: of %d requests a warming server is sent %.2f of an even part", n, all, fraction)
 		}
 	}
 }
@@ -93,18 +93,18 @@
 	list := activeEndpoints(1, 2)
 	list[0].StartedAt, list[0].HasStartedAt = time.Hour-ms, true
 	gateway := newTestGateway(t, settings, list...)
-	warming := 0
+	warmingSends := 0
 	for i := 0; i < 300; i++ {
 		id := fmt.Sprint(i)
 		gateway.request(id, "job", "low", "x")
 		gateway.advance(10 * ms)
 		if gateway.attempts[id] > 0 && gateway.sends[len(gateway.sends)-1].Server == 1 {
-			warming++
+			warmingSends++
 			gateway.respond(id, OK, 0)
 		} // the warm server answers nothing, so its rate is not known
 	}
-	if warming > 1 {
-		t.Errorf("%d sends in 3 s from one of twelve gateways that knows no rate", warming)
+	if warmingSends > 1 {
+		t.Errorf("%d sends in 3 s from one of twelve gateways that knows no rate", warmingSends)
 	}
 }
 
@@ -160,7 +160,7 @@
 
 func (f fixedThroughput) warmServerThroughput(time.Duration) float64 { return float64(f) }
 
-func TestSlowStartEarnsItsBudgetAndEnds(t *testing.T) {
+func TestSlowStartRefillsItsBudgetAndEnds(t *testing.T) {
 	settings := slowStartSettings{
 		warmupTime: 10 * time.Second, initialCapacity: 0.5, overloadWindow: 4 * time.Second, overloadMultiple: 1, groupSize: 1,
 	}
@@ -191,7 +191,7 @@
 	}
 }
 
-func TestCapacityGrowsFromTheInitialPartToAll(t *testing.T) {
+func TestCapacityGrowsFromTheInitialToTheFullOne(t *testing.T) {
 	settings := slowStartSettings{warmupTime: 10 * time.Second, initialCapacity: 0.2}
 	for _, tc := range []struct {
 		age  time.Duration
--- a/control/throughput.go
+++ b/control/throughput.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	peakDecaySeconds = 60.0 // time constant of a server's highest throughput: it can serve that again
-	minBusyFraction  = 0.5  // below it, reports of utilization say nothing of what a server can serve
+	peakDecaySeconds       = 60.0 // time constant of a server's highest throughput: it can serve that again
+	minUtilizationFraction = 0.5  // below it, reports of utilization say nothing of what a server can serve
 )
 
 // warmServerThroughput is the units a second that a warm server can serve for this gateway, by what one of
@@ -53,14 +53,14 @@
 func (f *fleetEstimate) updatePeakThroughput(windowSeconds float64) {
 	decayed := f.peakThroughput * math.Exp(-windowSeconds/peakDecaySeconds)
 	served := f.warmThroughput.mean / math.Max(1, f.warmServers.mean)
-	f.peakThroughput = math.Max(decayed, served/f.busyFraction())
+	f.peakThroughput = math.Max(decayed, served/f.utilizationFraction())
 }
 
 // busyFraction is the part of their capacity that servers report to use, or 1 where they report none.
 // Servers are not believed to be able to serve more than twice what they do.
-func (f *fleetEstimate) busyFraction() float64 {
+func (f *fleetEstimate) utilizationFraction() float64 {
 	if f.utilization.count == 0 {
 		return 1
 	}
-	return math.Min(1, math.Max(minBusyFraction, f.utilization.mean))
+	return math.Min(1, math.Max(minUtilizationFraction, f.utilization.mean))
 }
--- a/control/throughput_test.go
+++ b/control/throughput_test.go
@@ -16,7 +16,7 @@
 	return fleet
 }
 
-func TestPeakThroughputFollowsUpAtOnceAndDownSlowly(t *testing.T) {
+func TestPeakThroughputRisesAtOnceAndDecaysSlowly(t *testing.T) {
 	fleet := warmFleet(4)
 	fleet.recordThroughput(0, 400, 1)
 	if got := fleet.warmServerThroughput(0); got != 100 {
@@ -29,20 +29,20 @@
 	}
 }
 
-func TestBusyServersAreNotBelievedToServeMoreThanTwice(t *testing.T) {
+func TestUtilizationFractionHasALowerBound(t *testing.T) {
 	var estimate fleetEstimate
-	if got := estimate.busyFraction(); got != 1 {
+	if got := estimate.utilizationFraction(); got != 1 {
 		t.Errorf("busy fraction %g without reports", got)
 	}
 	estimate.utilization.add(0.1, fleetEstimateGain)
-	if got := estimate.busyFraction(); got != minBusyFraction {
+	if got := estimate.utilizationFraction(); got != minUtilizationFraction {
 		t.Errorf("busy fraction %g of servers that are a tenth busy", got)
 	}
 }
 
 // Of eight servers that are listed, four have failed all attempts and three of the others have reported lately: as
 // many of all count as of those tried, by (1+3)/(1+3+4).
-func TestDeadServersCountAsThoseTried(t *testing.T) {
+func TestUntriedServersAreCountedByTheRatioOfTriedOnes(t *testing.T) {
 	fleet := warmFleet(8)
 	now := time.Hour
 	for i, srv := range fleet.sortedServers {
--- a/control/usage_test.go
+++ b/control/usage_test.go
@@ -12,10 +12,10 @@
 	settings.Plans[0].QuotaRate, settings.Plans[0].QuotaBurst = 1000, 20 // enough units for a reading to outweigh the prior
 	gateway := newTestGateway(t, settings, activeEndpoints(1, 2, 3)...)
 	account := gateway.controller.accountFor(gateway.controller.scheduler.plans[0], "x", 1000) // its requests here say next to nothing
-	read := func(pct int) float64 {
+	read := func(percent int) float64 {
 		gateway.controller.now = gateway.now
 		account.quota.tokens = 0 // the bucket is empty enough for the rejection probability to decide
-		gateway.recordReading(account, pct+1, 1)
+		gateway.recordReading(account, percent+1, 1)
 		return account.rejectionProbability(gateway.controller.now, gateway.controller.accounts.fillingSince)
 	}
 	gateway.controller.usage.meter.lagBins = 0
@@ -66,8 +66,8 @@
 				Units: 1, FanOut: 60,
 			})
 		})
-		if part := float64(len(gateway.sends)) / float64(requested); part < tc.low || part > tc.high {
-			t.Errorf("readings of %d%%: %.2f of the requests forwarded, want %v to %v", tc.used-1, part, tc.low, tc.high)
+		if fraction := float64(len(gateway.sends)) / float64(requested); fraction < tc.low || fraction > tc.high {
+			t.Errorf("readings of %d%%: %.2f of the requests forwarded, want %v to %v", tc.used-1, fraction, tc.low, tc.high)
 		}
 	}
 }
@@ -76,7 +76,7 @@
 // readings of others, less a request each: where half of them use four times their rate and the others half of it,
 // and one request is a quarter of a period's, by 2.75 of 4.5; by half of that where one of two gateways sees them.
 // That holds for no other plan, not before any reading, whatever later readings show, and after a resume.
-func TestUnmeteredCustomersAreRejectedByTheirPlansUsage(t *testing.T) {
+func TestUnmeteredCustomersAreRejectedByTheirPlansExcess(t *testing.T) {
 	settings := testSettings()
 	for i := range settings.Plans {
 		settings.Plans[i].QuotaRate, settings.Plans[i].QuotaBurst = 4, 20
@@ -84,7 +84,7 @@
 	gateway := newTestGateway(t, settings, activeEndpoints(1, 2, 3)...)
 	n := 0
 	// refused is the part of many new customers that is; their answers tell nothing.
-	refused := func(plan string) float64 {
+	rejectedFraction := func(plan string) float64 {
 		const requests = 500
 		before := len(gateway.sends)
 		for range requests {
@@ -101,39 +101,39 @@
 		}
 		return 1 - float64(len(gateway.sends)-before)/requests
 	}
-	read := func(plan int, customer string, pct int) {
+	read := func(plan int, customer string, percent int) {
 		gateway.controller.now = gateway.now
-		gateway.recordReading(gateway.controller.accountFor(gateway.controller.scheduler.plans[plan], customer, 2), pct+1, 1)
+		gateway.recordReading(gateway.controller.accountFor(gateway.controller.scheduler.plans[plan], customer, 2), percent+1, 1)
 	}
-	is := func(when, plan string, want float64) {
+	checkRejected := func(when, plan string, want float64) {
 		t.Helper()
-		if got := refused(plan); math.Abs(got-want) > 0.05 || want == 0 && got != 0 {
+		if got := rejectedFraction(plan); math.Abs(got-want) > 0.05 || want == 0 && got != 0 {
 			t.Errorf("%s: of plan %s %g are rejected, not %g", when, plan, got, want)
 		}
 	}
-	is("before any reading", "low", 0)
+	checkRejected("before any reading", "low", 0)
 	for i := range 200 {
 		read(0, fmt.Sprint("heavy", i), 400)
 		read(0, fmt.Sprint("calm", i), 50)
 	}
-	is("after readings", "low", 2.75/4.5/2)
-	is("after readings of another plan", "high", 0)
+	checkRejected("after readings", "low", 2.75/4.5/2)
+	checkRejected("after readings of another plan", "high", 0)
 	read(1, "one", 400)
 	for range 50 {
 		gateway.advance(settings.MeterPeriod)
 		read(1, "one", 50)
 	}
-	is("after a first reading and others", "high", 2.75/4/2)
+	checkRejected("after a first reading and others", "high", 2.75/4/2)
 	resumed, err := Resume(settings, gateway.controller.Image())
 	if err != nil {
 		t.Fatal(err)
 	}
 	gateway.controller = resumed
-	is("after a resume", "low", 2.75/4.5/2)
-	is("after a resume", "high", 2.75/4/2)
+	checkRejected("after a resume", "low", 2.75/4.5/2)
+	checkRejected("after a resume", "high", 2.75/4/2)
 }
 
-func TestLocalFractionGoesFromTheFanOutToWhatIsSeen(t *testing.T) {
+func TestLocalFractionMovesFromThePriorToTheMeasured(t *testing.T) {
 	estimate := newUsageEstimate(10)
 	if got := estimate.localFraction(4); got != 0.25 {
 		t.Errorf("a local fraction of %g with a fan-out of four and no reading", got)
@@ -155,7 +155,7 @@
 	}
 }
 
-func TestRemoteUsageGoesOnAfterItsReading(t *testing.T) {
+func TestRemoteUsageIsExtrapolatedAfterItsReading(t *testing.T) {
 	var estimate usageEstimate
 	estimate.addReading(time.Hour, 20, 0, 1, 4, 10)
 	if got := estimate.currentRemoteRate(time.Hour); got != 0 {
