--- a/control/accounts.go
+++ b/control/accounts.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	initialSlackFraction = 0.5         // part of the slack that a new hard-limit bucket has
-	maxAccountIdleTime   = time.Minute // after which an idle account with full buckets is evicted
-	maxAccounts          = 20000       // above half of it, eviction starts earlier
+	initialSlackFraction = 0.5         // fraction of the slack that a new hard-limit bucket starts with
+	maxAccountIdleTime   = time.Minute // idle time after which an account with full buckets is evicted
+	maxAccounts          = 20000       // above half of it, accounts are evicted after a shorter idle time
 )
 
-// accountTable holds the accounts of the customers that have come lately.
+// accountTable holds the accounts of recently active customers.
 type accountTable struct {
 	byKey       map[string]*customerAccount // see accountKey
-	binDuration time.Duration               // of the accounts' histories
+	binDuration time.Duration               // length of a bin of the accounts' histories
 
-	fillingSince  time.Duration // time since which the buckets of accounts not opened yet fill
-	slackFraction float64       // part of its slack with which the bucket of a hard limit is opened
-	rateFraction  float64       // part of all rates that is this controller's; below one after HandOver
+	fillingSince  time.Duration // time from which the buckets of accounts that are not open yet are filled
+	slackFraction float64       // fraction of its slack that a new hard-limit bucket starts with
+	rateFraction  float64       // this controller's fraction of all rates; below one after HandOver
 }
 
 func newAccountTable(settings *Settings) accountTable {
@@ -31,10 +31,10 @@
 	}
 }
 
-// binAt is the bin of the histories in which a time lies.
+// binAt returns the histories' bin that contains the given time.
 func (t *accountTable) binAt(now time.Duration) int64 { return int64(now / t.binDuration) }
 
-// accountFor returns the refilled account of a plan's customer, opened at its first request.
+// accountFor returns the refilled account of a plan's customer, and opens it if there is none.
 func (t *accountTable) accountFor(
 	now time.Duration, rng *rand.Rand, plan *planQueue, customer string, fanOut int,
 ) *customerAccount {
@@ -49,7 +49,7 @@
 	return account
 }
 
-// open returns the account of a customer that has none.
+// openAccount returns a new account for a customer.
 func (t *accountTable) openAccount(
 	now time.Duration, rng *rand.Rand, plan *planQueue, fanOut int,
 ) *customerAccount {
@@ -62,20 +62,21 @@
 		usage:              newUsageEstimate(plan.QuotaRate),
 	}
 	account.inFlight = newInFlightQuota(plan.MaxInFlight, account.fanOut)
-	// A gateway just started does not know what its predecessor has forwarded: the hard limit's
-	// bucket begins with the slack only and fills from the gateway's start.
+	// A gateway that has just started does not know what its predecessor has forwarded, so the
+	// hard limit's bucket starts with the slack only and is filled from the gateway's start on.
 	filled := t.slackFraction*plan.HardLimitSlack + (now-t.fillingSince).Seconds()*plan.HardLimitRate
 	account.hardLimit.tokens = t.rateFraction * math.Min(plan.HardLimitBurst, filled) / account.fanOut
 	return account
 }
 
-// refillAccount brings an account up to now.
+// refillAccount refills an account's buckets up to now.
 func (t *accountTable) refillAccount(now time.Duration, account *customerAccount) {
 	account.refill(now, t.binAt(now), t.rateFraction)
 }
 
-// evictIdle removes accounts that have been idle for long and equal new ones, and if there are many, all
-// idle ones sooner. Hard limits stay safe: buckets of later accounts fill from that time on.
+// evictIdle removes accounts that have been idle for maxAccountIdleTime and have full buckets, as new ones
+// do. If there are too many accounts, it removes all idle ones after a shorter time; hard limits still hold,
+// since the buckets of accounts that are opened later are filled only from that time on.
 func (t *accountTable) evictIdle(now time.Duration) {
 	for key, account := range t.byKey {
 		if account.isIdleFor(maxAccountIdleTime, now) && account.hasFullBuckets(now) {
@@ -86,7 +87,7 @@
 	for len(t.byKey) > maxAccounts/2 && maxIdle > windowDuration {
 		maxIdle /= 2
 		t.fillingSince = max(t.fillingSince, now-maxIdle)
-		t.slackFraction = 0 // each has had its slack
+		t.slackFraction = 0 // evicted customers have already been granted their slack
 		for key, account := range t.byKey {
 			if account.isIdleFor(maxIdle, now) {
 				delete(t.byKey, key)
@@ -95,7 +96,8 @@
 	}
 }
 
-// refill brings an account up to now. Remote usage is charged as if it went on after its reading.
+// refill refills an account's buckets up to now. Remote usage is assumed to continue after its reading and is
+// charged to the quota.
 func (a *customerAccount) refill(now time.Duration, bin int64, rateFraction float64) {
 	plan := a.plan
 	elapsed := (now - a.updatedAt).Seconds()
@@ -108,7 +110,7 @@
 	a.hardLimit.refill(hardLimitUnits, rateFraction*plan.HardLimitBurst/a.fanOut)
 }
 
-// chargeFirstAttempt takes the units of a request's first attempt from the buckets of the refilled account.
+// chargeFirstAttempt charges the units of a request's first attempt to the buckets of the refilled account.
 func (a *customerAccount) chargeFirstAttempt(units float64, bin int64) charge {
 	a.hardLimit.tokens -= units
 	factor := a.usage.groupFactor(a.fanOut, a.plan.QuotaRate, a.demand.isMetered)
@@ -125,7 +127,7 @@
 	}
 }
 
-// refund undoes the charge of an attempt that was not sent to any server.
+// refund reverts the charge of an attempt that was not sent to any server.
 func (a *customerAccount) refund(charged charge) {
 	a.hardLimit.tokens += charged.units
 	a.quota.tokens += charged.quotaTokens
@@ -133,15 +135,15 @@
 	a.history.charged.subtract(charged.bin, charged.groupUnits)
 }
 
-// chargeActualUnits corrects the quota where the response tells how many units a request really used.
+// chargeActualUnits corrects the quota by the units that the response reports a request to have used.
 func (a *customerAccount) chargeActualUnits(actual, charged float64) {
 	a.quota.tokens -= actual - charged
 }
 
-// hasFullBuckets tells whether the buckets of an idle account would be full if they were refilled now.
+// hasFullBuckets reports whether the buckets of an idle account would be full if they were refilled now.
 func (a *customerAccount) hasFullBuckets(now time.Duration) bool {
 	plan := a.plan
-	if plan.MaxInFlight > 0 { // its limit is learned
+	if plan.MaxInFlight > 0 { // a new account would lose the adjusted in-flight limit
 		return false
 	}
 	elapsed := (now - a.updatedAt).Seconds()
@@ -152,10 +154,11 @@
 	return isQuotaFull && isHardLimitFull
 }
 
-// tokenBucket holds the units that a quota or a hard limit still allows. Below zero it is in debt.
+// tokenBucket holds the units that a quota or a hard limit still allows. A negative number of tokens is a
+// debt.
 type tokenBucket struct{ tokens float64 }
 
-// refill adds an amount up to the capacity; what a bucket holds above its capacity it keeps.
+// refill adds an amount up to the capacity. Tokens that already exceed the capacity are kept.
 func (b *tokenBucket) refill(amount, capacity float64) {
 	b.tokens = math.Min(math.Max(b.tokens, capacity), b.tokens+amount)
 }
--- a/control/actions.go
+++ b/control/actions.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Action is something that the gateway has to do.
+// Action is an operation that the gateway has to perform.
 type Action interface{ isAction() }
 
-// Send starts an attempt. The attempts of a request are numbered 0, 1, 2 in order.
+// Send starts an attempt. The attempts of a request are numbered from 0 in order.
 type Send struct {
 	ID           string
 	Server       uint32
-	Timeout      time.Duration // 0 is until the client gives up
-	WriteTimeout time.Duration // a request that is not completely written by then is not sent; 0 is any time
+	Timeout      time.Duration // 0 is the client's timeout
+	WriteTimeout time.Duration // time in which the request must be completely written, or it is not sent; 0 is no limit
 }
 
 // CancelAttempt cancels an attempt.
@@ -19,20 +19,20 @@
 	Attempt int
 }
 
-// Cause is the rule by which a request was not served. Its strings are stored in event logs and stay.
+// Cause is the reason for which a request was not served. Its strings are stored in event logs and must not change.
 type Cause uint8
 
 // The causes.
 const (
 	CauseNone         Cause = iota
-	CauseInvalid            // unusable class, plan, units or timeout
+	CauseInvalid            // invalid class, plan, units or timeout
 	CauseOverCapacity       // the gateway has no capacity for it
-	CauseTooLate            // its latency objective can not be met
-	CauseShed               // sheddable, where others need the turn or the tokens
-	CauseHardLimit          // the bucket of the hard limit lacks its units
-	CauseQuota              // the bucket of the quota lacks its units
-	CauseProbability        // by the metered rejection probability
-	CauseQueueTimeout       // it was queued for as long as it may
+	CauseTooLate            // its latency objective cannot be met
+	CauseShed               // sheddable, and other requests need the slot or the tokens
+	CauseHardLimit          // the bucket of the hard limit has too few tokens
+	CauseQuota              // the bucket of the quota has too few tokens
+	CauseProbability        // rejected by probabilistic admission
+	CauseQueueTimeout       // it reached its maximum queue time
 	CauseNoRetry            // an attempt failed and no retry is allowed
 )
 
@@ -48,20 +48,20 @@
 	return causeNames[CauseNone]
 }
 
-// Reject is the final answer that the request was not run and is safe to retry.
+// Reject is the final answer to a request that was not served and is safe to retry.
 type Reject struct {
 	ID         string
 	RetryAfter time.Duration // 0 is none
 	Cause      Cause
 }
 
-// Fail is the final answer that the request failed; it may have run.
+// Fail is the final answer to a request that failed and may have run.
 type Fail struct {
 	ID    string
 	Cause Cause
 }
 
-// StartTimer asks for a TimerFired event.
+// StartTimer requests a TimerFired event with the label after a time.
 type StartTimer struct {
 	After time.Duration
 	Label uint64
@@ -73,19 +73,19 @@
 // Disconnect closes idle connections to a server.
 type Disconnect struct{ Server uint32 }
 
-// WatchEndpoints starts or ends the watch of the endpoint list.
+// WatchEndpoints starts or stops the watch of the endpoint list.
 type WatchEndpoints struct{ Active bool }
 
 // FetchEndpoints polls the complete endpoint list once.
 type FetchEndpoints struct{}
 
-// SendPeerMessage sends a message to a gateway by its index; below zero is all.
+// SendPeerMessage sends a message to the gateway with index To, or to all if To is negative.
 type SendPeerMessage struct {
 	To  int
 	Raw []byte
 }
 
-// AddToCounter adds to a number of the counter service.
+// AddToCounter adds an amount to a counter of the counter service.
 type AddToCounter struct {
 	Name     uint64
 	Add      float64
--- a/control/admission.go
+++ b/control/admission.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	maxRejectionProbability  = 0.95 // of the metered rule
-	sufficientTokensFraction = 0.08 // filling from which the quota's bucket alone admits
-	sheddableReserveFraction = 0.5  // filling that sheddable requests must leave
-	sheddableWeightRatio     = 0.5  // part of the highest weight below which a class is sheddable
-	sheddableSojournFraction = 0.05 // part of its latency objective that a sheddable request may queue
+	maxRejectionProbability  = 0.95 // upper bound of the probabilistic admission
+	sufficientTokensFraction = 0.08 // fraction of the burst from which the quota's bucket alone admits
+	sheddableReserveFraction = 0.5  // fraction of the burst that sheddable requests must leave
+	sheddableWeightRatio     = 0.5  // classes below this fraction of the highest weight are sheddable
+	sheddableSojournFraction = 0.05 // maximum sojourn time of sheddable requests, per latency objective
 	minTokensPerUnit         = 0.5  // tokens needed to admit a unit
 )
 
-// admission decides on requests at their arrival, by the accounts of their customers.
+// admission decides on the arrival of a request whether to admit it, based on its customer's account.
 type admission struct {
-	maxPriorityWeight float64 // of all classes
+	maxPriorityWeight float64 // highest priority weight of all classes
 }
 
 func newAdmission(settings *Settings) admission {
@@ -27,24 +27,24 @@
 	return a
 }
 
-// admissionRequest is what admission goes by, beside the account.
+// admissionRequest holds the inputs of an admission decision other than the account.
 type admissionRequest struct {
 	class  *Class
 	units  float64
-	isLate bool // its latency objective can not be met
+	isLate bool // whether its latency objective cannot be met
 	queue  queueEstimate
 
-	handedOver float64 // part of all rates, and of each bucket, that another controller has after HandOver
+	handedOver float64 // fraction of all rates and buckets that another controller has after HandOver
 }
 
-// turnEstimate is what a request that joins the queues now has to expect.
+// queueEstimate is the expected delay of a request that is queued now.
 type queueEstimate struct {
-	hasFreeSlot    bool    // within the concurrency limit
-	sojournSeconds float64 // that it waits and occupies its slot
+	hasFreeSlot    bool    // whether an attempt can start within the concurrency limit
+	sojournSeconds float64 // time in the queue and in service
 }
 
-// admit decides on a request at its arrival; CauseNone admits it. The account has to be refilled. Since is
-// the time from which readings of the meter can be expected.
+// admit decides on an arriving request; CauseNone admits it. The account must have been refilled. Readings of
+// the meter are expected from the time since on.
 func (a *admission) admit(now, since time.Duration, account *customerAccount, req admissionRequest) Cause {
 	account.history.arrivals.add(1)
 	account.demand.addRequest(now, req.units)
@@ -63,13 +63,14 @@
 	return cause
 }
 
-// isSheddable tells whether a request can only be late, or is of a class that weighs far less than the most
-// important one. Guards against such requests taking the tokens or the turn of others.
+// isSheddable reports whether a request is late in any case, or its class has a far lower priority weight
+// than the highest one. Such requests are shed under contention so that they do not take tokens or slots that
+// more important requests need.
 func (a *admission) isSheddable(req *admissionRequest) bool {
 	return req.isLate || req.class.PriorityWeight < sheddableWeightRatio*a.maxPriorityWeight
 }
 
-// isScarce tells whether a sheddable request would take a turn or tokens that others need.
+// isContended reports whether a sheddable request would take a slot or tokens that other requests need.
 func isContended(account *customerAccount, req *admissionRequest) bool {
 	maxSojournSeconds := sheddableSojournFraction * req.class.LatencyObjective.Seconds()
 	if !req.queue.hasFreeSlot && req.queue.sojournSeconds > maxSojournSeconds {
@@ -79,21 +80,23 @@
 	return hasQuota && account.availableTokens() < sheddableReserveFraction*account.quotaBurst(req.handedOver)
 }
 
-// quotaBurst is how much the quota's bucket holds, of which another controller may have a part.
+// quotaBurst returns this controller's part of the capacity of the quota's bucket.
 func (a *customerAccount) quotaBurst(handedOver float64) float64 {
 	return (1 - handedOver) * a.plan.QuotaBurst
 }
 
-// isWellFilled tells whether the quota's bucket is filled enough to admit units by itself.
+// hasSufficientTokens reports whether the quota's bucket holds enough tokens to admit units regardless of the
+// rejection probability.
 func (a *customerAccount) hasSufficientTokens(units, handedOver float64) bool {
 	return a.availableTokens() >= math.Max(sufficientTokensFraction*a.quotaBurst(handedOver), units)
 }
 
-// availableTokens are the quota's tokens that are not reserved for queued requests.
+// availableTokens returns the quota's tokens that are not reserved for queued requests.
 func (a *customerAccount) availableTokens() float64 { return a.quota.tokens - a.queuedUnits }
 
-// admitByQuota checks a request against the hard limit, the quota's bucket and the rejection probability.
-// The last decides unless the bucket is empty (a surge not metered yet), or well filled and well metered.
+// admitByQuota checks a request against the hard limit, the quota's bucket and the rejection probability. The
+// probability decides unless the bucket is empty, which indicates a surge that is not metered yet, or the
+// bucket has sufficient tokens and enough periods have been metered.
 // Since is the time from which readings of the meter can be expected.
 func (a *customerAccount) admitByQuota(now, since time.Duration, units, handedOver float64) Cause {
 	plan := a.plan
@@ -108,7 +111,7 @@
 			return CauseQuota
 		}
 	}
-	// Error diffusion makes the probability exact over few requests.
+	// Error diffusion makes the rejected fraction match the probability even over few requests.
 	a.admissionRemainder += 1 - a.rejectionProbability(now, since)
 	if a.admissionRemainder >= 1 {
 		a.admissionRemainder--
@@ -117,7 +120,8 @@
 	return CauseProbability
 }
 
-// rejectionProbability is the part of an account's requests that the metered rule rejects now.
+// rejectionProbability returns the fraction of the account's requests that probabilistic admission rejects
+// now.
 func (a *customerAccount) rejectionProbability(now, since time.Duration) float64 {
 	switch plan := a.plan; {
 	case !a.demand.isMetered:
--- a/control/arrivals.go
+++ b/control/arrivals.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	rejectRetryAfter          = time.Second // Retry-After of a rejection
-	queueWaitFraction         = 0.4         // part of its latency objective that a request may be queued
+	rejectRetryAfter          = time.Second // maximum Retry-After of a rejection
+	queueWaitFraction         = 0.4         // maximum queue time as a fraction of the latency objective
 	inFlightQuotaWaitFraction = 0.7         // the same for plans with an in-flight quota
 )
 
@@ -51,12 +51,12 @@
 	c.armTimer(req, c.maxQueueTime(req))
 }
 
-// isExpectedLate tells whether the latency objective of a request whose client has waited for a time can
-// not be met.
+// isExpectedLate reports whether the latency objective of a request can not be met, given how long its client
+// has already waited.
 func (c *Controller) isExpectedLate(class *Class, waited time.Duration) bool {
 	latency := durationOf(c.fleet.latency.mean)
-	// Guards against rejecting all for good after one slow answer: with nothing in flight, an attempt has to
-	// show whether servers still are slow.
+	// After one slow answer all requests would be rejected for good. With nothing in flight, a request is
+	// admitted in order to measure whether the servers are still slow.
 	needsSample := latency >= class.LatencyObjective && c.requests.slots.inFlight == 0
 	if needsSample && waited < class.LatencyObjective {
 		return false
@@ -64,8 +64,8 @@
 	return waited+latency >= class.LatencyObjective
 }
 
-// maxQueueTime is how long a new request may be queued: a part of its latency objective and of its
-// client's timeout, and no longer than an answer can still meet the objective.
+// maxQueueTime returns how long a new request may be queued: at most a fraction of its latency objective and
+// half of its client's timeout, and only while an answer can still meet the objective.
 func (c *Controller) maxQueueTime(req *request) time.Duration {
 	fraction := queueWaitFraction
 	if req.plan.MaxInFlight > 0 {
@@ -77,7 +77,8 @@
 	return min(maxWait, timeout/2, max(slack, tickPeriod))
 }
 
-// unusableCause is why a request is rejected whatever the load; CauseNone is none.
+// earlyRejectionCause returns the cause for which a request is rejected regardless of the load; CauseNone if
+// there is none.
 func earlyRejectionCause(event Request, class *Class, plan *planQueue) Cause {
 	switch {
 	case event.IsOverCapacity:
@@ -94,8 +95,8 @@
 	return CauseNone
 }
 
-// nextTurnEstimate is what a request that joins the queues now has to expect. Guards against rejecting what
-// fast servers finish at once, only as the limit is reached.
+// estimateQueue returns the expected delay of a request that is queued now. It includes the time, so that
+// requests which fast servers would finish at once are not shed merely because the limit is reached.
 func (c *Controller) estimateQueue() queueEstimate {
 	return queueEstimate{
 		hasFreeSlot:    c.limiter.hasFreeSlot(c.now, c.requests.slots.occupied(c.now)),
@@ -103,8 +104,8 @@
 	}
 }
 
-// countedUnits are a request's units in estimates over all customers. Guards against a client that names
-// any number where the settings have no maximum.
+// countedUnits returns a request's units as they count in estimates over all customers. Where the settings
+// have no maximum, every request counts as one unit, since a client could name any number.
 func (c *Controller) countedUnits(units float64) float64 {
 	if c.settings.MaxUnits == 0 {
 		return 1
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-const maxAbandonedLatencies = 2.0 // mean latencies that an abandoned attempt is presumed to run
+const maxAbandonedLatencies = 2.0 // maximum time an abandoned attempt is presumed to run, in mean latencies
 
-// dispatch starts attempts of queued requests while the concurrency limit allows.
+// dispatch starts attempts of queued requests while the concurrency limit allows it.
 func (c *Controller) dispatch() {
 	for c.limiter.hasFreeSlot(c.now, c.requests.slots.occupied(c.now)) {
 		req, srv := c.scheduler.nextRequest(c.now, c)
@@ -19,12 +19,12 @@
 	c.window.recordLimitReached()
 }
 
-// chooseServer makes the controller the scheduler's serverChooser.
+// chooseServer implements serverChooser for the scheduler.
 func (c *Controller) chooseServer(req *request) *server {
 	return c.selector.choose(c.now, c.rng, c.accounts.rateFraction, req)
 }
 
-// startAttempt sends a request to a server. The first attempt is charged to its account.
+// startAttempt sends a request to a server. Only the first attempt is charged to the customer's account.
 func (c *Controller) startAttempt(req *request, srv *server) {
 	req.plan.remove(req)
 	var charged charge
@@ -38,15 +38,15 @@
 	srv.startAttempt(c.now, c.countedUnits(req.units))
 	c.requests.startAttempt(c.now, req, srv, charged)
 	send := Send{ID: req.id, Server: srv.Server}
-	// Guards against a connection that comes up when repeats run again.
+	// A connection may be established only after the repeat window, when servers run repeats again.
 	if req.mayHaveRun && req.hasIdempotencyKey() {
 		send.WriteTimeout = req.repeatsDroppedUntil() - c.now
 	}
 	c.emit(send)
 }
 
-// handleResponseStarted takes the start of a streamed answer. From then on its attempt occupies no slot, as
-// its length says nothing of the server.
+// handleResponseStarted handles the start of a streamed response. From then on its attempt occupies no slot,
+// since the length of a stream says nothing about the server's load.
 func (c *Controller) handleResponseStarted(event ResponseStarted) {
 	attempt := c.requests.attempts[attemptKey{id: event.ID, number: event.Attempt}]
 	if attempt == nil || attempt.request.isStreaming {
@@ -56,7 +56,7 @@
 	c.recordAnswer(attempt, event.Delay)
 }
 
-// handleAttemptResult takes the end of an attempt.
+// handleAttemptResult handles the end of an attempt.
 func (c *Controller) handleAttemptResult(event AttemptResult) {
 	attempt := c.requests.endAttempt(attemptKey{id: event.ID, number: event.Attempt})
 	if attempt == nil {
@@ -77,7 +77,7 @@
 		c.window.recordUtilization(attempt.server.load.utilization)
 	}
 	switch {
-	case !c.requests.contains(req): // it has its final answer
+	case !c.requests.contains(req): // it already has its final answer
 	case event.IsFinal:
 		c.requests.remove(req)
 	case !req.isQueued && req.inFlight == 0:
@@ -85,8 +85,8 @@
 	}
 }
 
-// pauseFractionalSlots keeps the slot of an attempt that ended from the next one for a time, where the
-// concurrency limit or an in-flight quota has a fractional slot.
+// pauseFractionalSlots delays the next attempt after one that ended, where the concurrency limit or an
+// in-flight quota has a fractional slot.
 func (c *Controller) pauseFractionalSlots(attempt *pendingAttempt) {
 	attempt.server.lastActivityAt = c.now
 	c.limiter.pauseAfter(c.now, c.requests.slots.occupied(c.now), c.fleet.latency.mean)
@@ -95,7 +95,7 @@
 	}
 }
 
-// refundAttempt returns what was charged for an attempt that was not sent.
+// refundAttempt refunds the charges of an attempt that was not sent.
 func (c *Controller) refundAttempt(attempt *pendingAttempt) {
 	attempt.server.slowStart.refund(c.countedUnits(attempt.request.units), attempt.sentAt)
 	if attempt.charge.units > 0 {
@@ -104,7 +104,7 @@
 	}
 }
 
-// recordOutcome updates server, window and request by how an attempt ended.
+// recordOutcome updates the server, the control window and the request with the outcome of an attempt.
 func (c *Controller) recordOutcome(attempt *pendingAttempt, event AttemptResult) {
 	srv := attempt.server
 	req := attempt.request
@@ -116,7 +116,7 @@
 	case RejectedByServer:
 		c.window.recordOverload()
 	case TimedOut:
-		if !req.isStreaming { // else it is the length of the stream
+		if !req.isStreaming { // else elapsed is the length of the stream
 			srv.latency.add(c.now, elapsed)
 		}
 		c.window.recordOverload()
@@ -130,7 +130,7 @@
 	}
 }
 
-// recordSuccess takes an attempt that the server answered.
+// recordSuccess records an attempt that the server answered successfully.
 func (c *Controller) recordSuccess(attempt *pendingAttempt, event AttemptResult) {
 	req := attempt.request
 	if !attempt.server.isWarmingUp() {
@@ -145,7 +145,7 @@
 	}
 }
 
-// recordAnswer takes the latency of a successful answer, or of the start of a streamed one.
+// recordAnswer records the latency of a successful response, or of the start of a streamed one.
 func (c *Controller) recordAnswer(attempt *pendingAttempt, elapsed time.Duration) {
 	seconds := elapsed.Seconds()
 	attempt.server.latency.add(c.now, seconds)
@@ -154,7 +154,7 @@
 	if attempt.account.rejectionProbability(c.now, c.accounts.fillingSince) == 0 {
 		attempt.request.plan.recordLateness((c.now - attempt.request.arrivedAt).Seconds() / objective)
 	}
-	// Guards against a limit that is cut because servers are warming up: they are slow with little load.
+	// Warming servers are slow even at low load; their latency must not cut the concurrency limit.
 	if attempt.server.isWarmingUp() {
 		return
 	}
@@ -162,7 +162,7 @@
 	c.window.recordLatency(seconds, objective)
 }
 
-// retryOrEnd retries a request if that is allowed, else ends it.
+// retryOrFinish retries a request if that is allowed, else gives its final answer.
 func (c *Controller) retryOrFinish(req *request, attempt *pendingAttempt, reason Reason) {
 	if !c.retries.allowRetry(c.now, req, reason, c.now-attempt.sentAt, c.fleet.latency.mean) {
 		c.rejectOrFail(req, CauseNoRetry)
@@ -172,7 +172,8 @@
 	c.armTimer(req, req.retryDeadline()-c.now)
 }
 
-// endUnserved gives the final answer of a request that was not served: a rejection if that is allowed.
+// rejectOrFail gives the final answer to a request that was not served: a rejection if the client may safely
+// repeat the request, else a failure.
 func (c *Controller) rejectOrFail(req *request, cause Cause) {
 	if req.isRejectable() {
 		c.reject(req.id, cause)
--- a/control/checkpoint.go
+++ b/control/checkpoint.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// CheckpointVersion is the version of a Checkpoint's form. One of another version is not restored, as a field may mean
-// something else.
+// CheckpointVersion is the version of the Checkpoint format. A checkpoint of another version is not restored, since its
+// fields may have other meanings.
 const CheckpointVersion = 1
 
-// Checkpoint is what a controller has spent and learned, for one that takes its place: after a reload, in a successor
-// process, or after a restart. Times are on a clock that both controllers share (Unix time). An Image, in contrast, is
-// the complete state of one controller; both forms have the same parts under keys of their own. The keys have older
-// names of the fields: portion is the rate fraction, bound the concurrency limit, spread the fan-out, level and ceiling
-// the tokens of the quota and of the hard limit, strikes consecutive failures, aside the ejection, told a reading.
+// Checkpoint holds the usage and the estimates of a controller for the one that replaces it after a reload, in a
+// successor process or after a restart. Times are on a clock that both controllers share (Unix time). An Image, in
+// contrast, is the complete state of one controller; each format has its own keys. The keys are older than the fields'
+// names: portion is the rate fraction, bound the concurrency limit, spread the fan-out, level and ceiling the tokens of
+// the quota and of the hard limit, strikes consecutive failures, aside the ejection, and told a reading.
 type Checkpoint struct {
 	Version          int                    `cbor:"v"`
-	At               time.Duration          `cbor:"at"`      // when it was taken
-	FillingSince     time.Duration          `cbor:"start"`   // since when the buckets of accounts not opened yet fill
-	SlackFraction    float64                `cbor:"slack"`   // part of the slack with which hard limits were opened
-	RateFraction     float64                `cbor:"portion"` // part of the rates at which buckets fill, from 0 to 1
+	At               time.Duration          `cbor:"at"`      // time at which it was taken
+	FillingSince     time.Duration          `cbor:"start"`   // time from which buckets of accounts not open yet are filled
+	SlackFraction    float64                `cbor:"slack"`   // fraction of its slack that a new hard-limit bucket starts with
+	RateFraction     float64                `cbor:"portion"` // fraction of the rates at which buckets are filled, from 0 to 1
 	ConcurrencyLimit float64                `cbor:"bound"`
-	UsableServers    float64                `cbor:"usable"` // servers that the limit was for
+	UsableServers    float64                `cbor:"usable"` // number of servers for which the limit was set
 	Window           WindowState            `cbor:"interval"`
 	FleetLatency     float64                `cbor:"lat"`
 	IdleLatency      float64                `cbor:"idle"`
 	LatencySamples   float64                `cbor:"seen"`
-	WarmThroughput   float64                `cbor:"served"`              // units a second by servers that are not warming up
-	WarmServers      float64                `cbor:"served_by,omitempty"` // how many those were; 0 is not known
-	PeakThroughput   float64                `cbor:"peak,omitempty"`      // units a second by one of them, at most
+	WarmThroughput   float64                `cbor:"served"`              // units per second of servers that are not warming up
+	WarmServers      float64                `cbor:"served_by,omitempty"` // number of these servers; 0 is not known
+	PeakThroughput   float64                `cbor:"peak,omitempty"`      // maximum units per second of one of them
 	RetryBudget      float64                `cbor:"retries"`
 	MinRetryGap      time.Duration          `cbor:"next"`
 	Meter            MeterState             `cbor:"meter"`
@@ -41,7 +41,7 @@
 	Customers        []CustomerCheckpoint   `cbor:"customers"`
 }
 
-// WindowState is what a control window that has not ended has counted; see controlWindow.
+// WindowState is the stored form of a control window that has not ended; see controlWindow.
 type WindowState struct {
 	EndsAt            time.Duration `cbor:"ends"`
 	WasCut            bool          `cbor:"Cut"`
@@ -57,7 +57,7 @@
 	CutAt             time.Duration `cbor:"cut_at"`
 }
 
-// MeterState is what is known of the meter's periods; see meterClock. It is of use with the same period only.
+// MeterState is the stored estimate of the meter's periods; see meterClock. It is only valid with the same period.
 type MeterState struct {
 	Period   time.Duration `cbor:"period"`
 	PhaseBin int64         `cbor:"Phase"`
@@ -65,14 +65,14 @@
 	Misfit   []float64     `cbor:"miss"`
 }
 
-// TypicalDeadlineState is the deadline that most first attempts of a class have.
+// TypicalDeadlineState is the stored form of a typicalDeadline.
 type TypicalDeadlineState struct {
 	Class    string        `cbor:"class"`
 	Deadline time.Duration `cbor:"ttl"`
 	Support  int           `cbor:"seen"`
 }
 
-// PlanCheckpoint is a plan's share in the scheduler, with its lateness.
+// PlanCheckpoint holds a plan's share and its lateness.
 type PlanCheckpoint struct {
 	Plan          string  `cbor:"plan"`
 	Share         float64 `cbor:"share"`
@@ -81,12 +81,12 @@
 	LatenessCount float64 `cbor:"late_n"`
 }
 
-// ServerCheckpoint is what is known of one incarnation of a server; see server.
+// ServerCheckpoint is the stored state of one incarnation of a server; see server.
 type ServerCheckpoint struct {
 	Server              uint32                   `cbor:"id"`
 	StartedAt           time.Duration            `cbor:"up"`     // 0 is long ago
-	InFlight            int                      `cbor:"out"`    // attempts
-	AbandonedUntil      []time.Duration          `cbor:"ghosts"` // ends of attempts presumed still running there
+	InFlight            int                      `cbor:"out"`    // number of attempts
+	AbandonedUntil      []time.Duration          `cbor:"ghosts"` // presumed ends of abandoned attempts
 	Latency             float64                  `cbor:"lat"`
 	LatencyAt           time.Duration            `cbor:"lat_at"`
 	ConsecutiveFailures int                      `cbor:"strikes"`
@@ -98,16 +98,16 @@
 	SlowStartTokens     float64                  `cbor:"tokens"`
 }
 
-// CustomerCheckpoint is what a customer has left to spend, and what is known of it; see customerAccount.
+// CustomerCheckpoint holds a customer's remaining tokens and its estimates; see customerAccount.
 type CustomerCheckpoint struct {
 	ID                       string        `cbor:"id"`
 	Plan                     string        `cbor:"plan"`
 	FanOut                   float64       `cbor:"spread"`
-	QuotaBurst               float64       `cbor:"depth"` // of the plan under which the tokens were counted
-	HardLimitBurst           float64       `cbor:"burst"` // the same; 0 is no hard limit
+	QuotaBurst               float64       `cbor:"depth"` // quota's burst of the plan when the tokens were counted
+	HardLimitBurst           float64       `cbor:"burst"` // hard limit's burst of that plan; 0 is no hard limit
 	QuotaTokens              float64       `cbor:"level"`
 	HardLimitTokens          float64       `cbor:"ceiling"`
-	InFlight                 int           `cbor:"out"` // attempts
+	InFlight                 int           `cbor:"out"` // number of attempts
 	InFlightLimit            float64       `cbor:"open_cap"`
 	OpenRejectionProbability float64       `cbor:"chance"`
 	IsMetered                bool          `cbor:"metered"`
@@ -130,21 +130,21 @@
 	Rejections               []BinAmount   `cbor:"Refused"`
 }
 
-// BinAmount is the amount that a history has in one bin of time.
+// BinAmount is the amount of a history in one time bin.
 type BinAmount struct {
 	Bin    int64   `cbor:"b"`
 	Amount float64 `cbor:"v"`
 }
 
-// Checkpoint returns what the controller has spent and learned, and changes nothing.
+// Checkpoint returns a checkpoint of the controller without changing its state.
 func (c *Controller) Checkpoint(now time.Duration) Checkpoint {
 	c.now = max(c.now, now)
 	return c.takeCheckpoint()
 }
 
-// HandOver returns a Checkpoint and gives away, with it, a part (from 0 to 1) of what is left to spend: of the tokens
-// in each bucket beyond what is reserved for queued requests, and of the rates by which buckets fill. What is given and
-// what is retained sum up to what there was. The controller goes on with the rest until ReclaimRates.
+// HandOver returns a Checkpoint that transfers a fraction (from 0 to 1) of the remaining tokens and rates: of the tokens
+// in each bucket that are not reserved for queued requests, and of the rates at which buckets are filled. The parts
+// handed over and retained add up to the whole. The controller continues with the retained part until ReclaimRates.
 func (c *Controller) HandOver(now time.Duration, fraction float64) Checkpoint {
 	c.now = max(c.now, now)
 	checkpoint := c.takeCheckpoint()
@@ -168,14 +168,14 @@
 	return checkpoint
 }
 
-// give takes a part of the tokens out of the bucket.
+// handOver takes a fraction of the tokens that are not reserved out of the bucket.
 func (b *tokenBucket) handOver(reserved, fraction float64) (handedOver float64) {
 	handedOver, b.tokens = splitTokens(b.tokens, reserved, fraction)
 	return handedOver
 }
 
-// splitTokens divides what a bucket holds: what is reserved for queued requests is retained first. A debt is divided
-// in the same parts.
+// splitTokens divides the tokens of a bucket after setting aside those reserved for queued requests, which are retained.
+// A debt is divided by the same fraction.
 func splitTokens(available, reserved, fraction float64) (handedOver, retained float64) {
 	retained = math.Min(math.Max(available, 0), reserved)
 	handedOver = (available - retained) * fraction
@@ -228,7 +228,8 @@
 	return checkpoint
 }
 
-// compareCustomers orders the latest first, so that a limit on their number drops the oldest.
+// compareCustomers orders customers by their latest request, latest first, so that a limit on their number drops those
+// that have been idle for longest.
 func compareCustomers(a, b CustomerCheckpoint) int {
 	if order := cmp.Compare(b.RequestedAt, a.RequestedAt); order != 0 {
 		return order
@@ -236,7 +237,7 @@
 	return strings.Compare(accountKey(a.Plan, a.ID), accountKey(b.Plan, b.ID))
 }
 
-// state is the stored form of a window, without its end and the latest cut of the limit.
+// state returns the stored form of a window, without its end and the time of the limit's latest cut.
 func (w *controlWindow) state() WindowState {
 	return WindowState{
 		WasCut:            w.isOverloaded,
@@ -252,7 +253,7 @@
 	}
 }
 
-// window is the control window that a stored form is of.
+// window returns the control window of a stored form.
 func (s *WindowState) window() controlWindow {
 	return controlWindow{
 		isOverloaded:      s.WasCut,
@@ -268,7 +269,7 @@
 	}
 }
 
-// state is the stored form of a meter clock, without the period.
+// state returns the stored form of a meter clock, without the period.
 func (m *meterClock) state() MeterState {
 	state := MeterState{PhaseBin: m.phaseBin, LagBins: m.lagBins}
 	for i := range m.misfit {
@@ -277,7 +278,7 @@
 	return state
 }
 
-// restore takes over a stored form of the right size.
+// restore sets the clock to a stored form, whose misfits must have the right number.
 func (m *meterClock) restore(state *MeterState) {
 	m.phaseBin = state.PhaseBin
 	m.lagBins = state.LagBins
@@ -296,7 +297,8 @@
 	return states
 }
 
-// isFinite reports whether no number of a checkpoint is infinite or NaN: their sum would be so too.
+// isFinite reports whether no number of a checkpoint is infinite or NaN. It checks their sum, which would not be finite
+// either.
 func (c *Checkpoint) isFinite() bool {
 	window := &c.Window
 	sum := c.SlackFraction + c.RateFraction + c.ConcurrencyLimit + c.UsableServers + c.FleetLatency + c.IdleLatency +
@@ -318,7 +320,7 @@
 	return !math.IsNaN(sum) && !math.IsInf(sum, 0)
 }
 
-// sum is finite only if all numbers are.
+// sum returns the sum of all numbers, which is finite only if all of them are.
 func (c *CustomerCheckpoint) sum() float64 {
 	sum := c.FanOut + c.QuotaBurst + c.HardLimitBurst + c.QuotaTokens + c.HardLimitTokens + c.InFlightLimit +
 		c.OpenRejectionProbability + c.RemoteRate + c.LastReadingUnits + c.RequestedUnits + c.MeteredUnits +
--- a/control/client_wait.go
+++ b/control/client_wait.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// clientWaitEstimator estimates how long a client has waited before its request came, for earlier attempts of
-// its own or for this gateway.
+// clientWaitEstimator estimates how long a client has waited before its request was handled, either for its
+// own earlier attempts or because this gateway was stalled.
 type clientWaitEstimator struct {
-	retriesAreMarked bool // clients mark their retries
+	retriesAreMarked bool // whether clients mark their retries
 	typicalDeadlines map[*Class]*typicalDeadline
-	minRetryGap      time.Duration // shortest observed time from a client's first attempt to its retry
+	minRetryGap      time.Duration // shortest observed time from a client's first attempt to a retry
 }
 
 func newClientWaitEstimator(settings *Settings) clientWaitEstimator {
@@ -22,9 +22,10 @@
 	return estimator
 }
 
-// estimate is how long the client has waited. A client's retry is marked, or has an outlier deadline.
-// Guards against first attempts that seem late to a gateway that was stalled: they lack no more than its
-// clock has advanced since the event before.
+// estimate returns how long the client has waited. A request counts as a client's retry if it is marked, or
+// if it has an outlier deadline where clients do not mark retries. After a stall of this gateway the
+// deadlines of first attempts are short as well, by at most clockAdvance, the time since the previous event;
+// they do not count as outliers.
 func (e *clientWaitEstimator) estimate(
 	event Request, class *Class, clockAdvance time.Duration,
 ) time.Duration {
@@ -40,20 +41,20 @@
 		return min(max(shortfall, 0), clockAdvance)
 	}
 	elapsed := class.Deadline - event.Timeout
-	if !isOutlier { // its deadline is that of a first attempt
+	if !isOutlier { // the retry has the deadline of a first attempt
 		return min(e.minRetryGap, elapsed)
 	}
 	e.minRetryGap = min(e.minRetryGap, elapsed)
 	return elapsed
 }
 
-// typicalDeadline is the deadline that most first attempts of a class come with.
+// typicalDeadline is the deadline of most first attempts of a class, found by majority vote.
 type typicalDeadline struct {
 	deadline time.Duration
-	support  int // requests with it, less those without
+	support  int // number of requests with this deadline minus the number without
 }
 
-// observe follows the majority of the deadlines.
+// observe updates the majority vote with the deadline of a request.
 func (d *typicalDeadline) observe(deadline time.Duration, isOutlier bool) {
 	switch {
 	case !isOutlier:
--- a/control/concurrency_limit.go
+++ b/control/concurrency_limit.go
@@ -6,39 +6,39 @@
 )
 
 const (
-	slotsPerServer             = 2    // concurrency limit per usable server: initial and minimum
+	slotsPerServer             = 2    // initial and minimum concurrency limit per usable server
 	initialGroupSlotsPerServer = 8.0  // sum of a replica group's initial limits, per server
-	limitIncreaseFactor        = 1.25 // growth of the limit after a window without overload
+	limitIncreaseFactor        = 1.25 // growth of the limit after a control window without overload
 
 	minGroupSlotsPerServer    = 2.0   // sum of a replica group's minimum limits, per server
-	limitDecreaseFactor       = 0.5   // on overload, at most once a window
-	latencyCutFraction        = 0.18  // mean latency, as a part of the objective, that counts as overload
-	latencyHardCutFraction    = 0.33  // the same whatever the idle latency
-	idleLatencyCutFactor      = 2.0   // times the idle latency below which latency is no overload
-	idleLatencyDrift          = 1.005 // growth of the idle latency in a window without a lower one
-	minIdleLatencySamples     = 25    // before an idle latency is kept
-	overloadCutFraction       = 0.1   // part of a window's outcomes that show overload at which the limit is cut
-	overloadIdleLatencyFactor = 1.3   // times the idle latency below which it is not
+	limitDecreaseFactor       = 0.5   // factor on the limit on overload, at most once a window
+	latencyCutFraction        = 0.18  // mean latency, as a fraction of the objective, that shows overload
+	latencyHardCutFraction    = 0.33  // the same, regardless of the idle latency
+	idleLatencyCutFactor      = 2.0   // multiple of the idle latency below which latency shows no overload
+	idleLatencyDrift          = 1.005 // growth of the idle latency in a window without a lower latency
+	minIdleLatencySamples     = 25    // samples below which the idle latency follows the mean latency
+	overloadCutFraction       = 0.1   // fraction of overloads among the outcomes above which the limit is cut
+	overloadIdleLatencyFactor = 1.3   // multiple of the idle latency below which overloads do not cut it
 	fullUtilization           = 0.9   // mean reported utilization below which servers have spare capacity
-	conclusiveAnswerCount     = 40.0  // answers in a window whose mean alone can cut the limit
-	overloadHoldFraction      = 0.03  // part of the outcomes above which the limit does not grow
+	conclusiveAnswerCount     = 40.0  // answers in a window that can cut the limit despite load reports
+	overloadHoldFraction      = 0.03  // fraction of overloads above which the limit does not grow
 )
 
-// concurrencyLimiter limits the attempts in flight: it cuts the limit on overload and raises it without.
+// concurrencyLimiter limits the attempts in flight. It cuts the limit on overload and raises it otherwise.
 type concurrencyLimiter struct {
 	limit                float64
-	cutAt                time.Duration // of the latest cut
-	fractionalSlotFreeAt time.Duration // before, the part of the limit beyond a whole number is not used
-	idleLatency          float64       // seconds; latency of answers by servers with little load
+	cutAt                time.Duration // time of the latest cut
+	fractionalSlotFreeAt time.Duration // time before which the fractional part of the limit is not used
+	idleLatency          float64       // estimated latency in seconds of servers with little load
 }
 
-// minConcurrencyLimit is twice the servers, or this gateway's part of the replica group's sum. Guards
-// against many gateways whose minimum limits alone overload the servers.
+// minConcurrencyLimit returns the minimum limit: two slots per server, or less in a large replica group,
+// whose minimum limits together would otherwise overload the servers.
 func minConcurrencyLimit(groupSize int, servers float64) float64 {
 	return math.Min(slotsPerServer, minGroupSlotsPerServer/float64(groupSize)) * math.Max(1, servers)
 }
 
-// open sets the first limit, for a number of usable servers; a limit that is set stays.
+// initialize sets the initial limit for a number of usable servers, unless a limit is already set.
 func (l *concurrencyLimiter) initialize(groupSize int, usable, minLimit float64) {
 	if l.limit != 0 {
 		return
@@ -47,8 +47,9 @@
 	l.limit = math.Max(minLimit, initialLimit*usable)
 }
 
-// update cuts the limit on overload in a window, and raises it if there was none and it was reached. It
-// returns whether there was overload; the limit is not cut again soon after a cut.
+// update cuts the limit if the window shows overload, and raises it if there was none and the limit was
+// reached. It reports whether there was overload; the limit is not cut again until the attempts that were in
+// flight at the latest cut have been answered.
 func (l *concurrencyLimiter) update(
 	now time.Duration, window *controlWindow, latency runningMean, minLimit float64,
 ) (isOverloaded bool) {
@@ -58,7 +59,7 @@
 	}
 	isOverloaded = l.isOverloaded(window)
 	if isOverloaded {
-		if now >= l.cutAt+durationOf(2*latency.mean) { // the answers are to attempts after the last cut
+		if now >= l.cutAt+durationOf(2*latency.mean) { // the answers belong to attempts after the latest cut
 			l.cutAt = now
 			l.limit *= limitDecreaseFactor
 		}
@@ -69,10 +70,11 @@
 	return isOverloaded
 }
 
-// isOverloaded tells whether a window shows that servers have too much to do.
+// isOverloaded reports whether a window shows that the servers are overloaded.
 func (l *concurrencyLimiter) isOverloaded(window *controlWindow) bool {
-	// Guards, in a large group, against cutting for a few answers that are slow by chance or come from
-	// slow servers, to which others send no less; many answers are sure without load reports.
+	// A gateway of a large group gets few answers. They may be slow by chance or come from slow servers, to
+	// which the other gateways keep sending, so the limit is cut only if load reports confirm the overload.
+	// Many answers are conclusive by themselves, and so are all where there are no load reports.
 	isConclusive := window.latencyCount >= conclusiveAnswerCount || window.utilizationCount == 0
 	if !isConclusive && !window.isUtilizedAbove(fullUtilization) {
 		return false
@@ -80,12 +82,12 @@
 	if l.isLate(window) {
 		return true
 	}
-	// Guards against servers that reject a plan though they have capacity: answers are not slow then.
+	// Servers may reject a plan although they have capacity; then the answers are not slow.
 	isSlow := window.latencyCount == 0 || window.isSlowerThan(overloadIdleLatencyFactor, l.idleLatency)
 	return window.overloadFraction() > overloadCutFraction && isSlow
 }
 
-// isLate tells whether the mean latency of a window shows overload by itself.
+// isLate reports whether the mean latency of a window alone shows overload.
 func (l *concurrencyLimiter) isLate(window *controlWindow) bool {
 	latencyRatio := window.meanLatencyRatio()
 	if latencyRatio > latencyHardCutFraction {
@@ -94,8 +96,8 @@
 	return latencyRatio > latencyCutFraction && window.isSlowerThan(idleLatencyCutFactor, l.idleLatency)
 }
 
-// hasFreeSlot tells whether another attempt is within the limit. A fractional slot pauses after each
-// use, so that hundreds of gateways may each have less than one attempt in flight.
+// hasFreeSlot reports whether the limit allows another attempt. A fractional slot is paused after each use,
+// so that each of hundreds of gateways may have less than one attempt in flight on average.
 func (l *concurrencyLimiter) hasFreeSlot(now time.Duration, occupied float64) bool {
 	if occupied+1 <= l.limit {
 		return true
@@ -103,20 +105,20 @@
 	return occupied < l.limit && now >= l.fractionalSlotFreeAt
 }
 
-// expectedTurnSeconds is the time that a request which joins so many queued ones waits and occupies its
-// slot, by the mean latency in seconds.
+// expectedSojournSeconds returns the expected time in the queue and in service of a request that arrives
+// behind the given number of queued requests; meanLatency is in seconds.
 func (l *concurrencyLimiter) expectedSojournSeconds(queued int, meanLatency float64) float64 {
 	return meanLatency * (1 + float64(queued+1)/math.Max(1, l.limit))
 }
 
-// pauseAfter holds the fractional slot back after an attempt that ended.
+// pauseAfter pauses the fractional slot after an attempt has ended.
 func (l *concurrencyLimiter) pauseAfter(now time.Duration, occupied, latencySeconds float64) {
 	if fraction := l.limit - occupied; fraction > 0 && fraction < 1 {
 		l.fractionalSlotFreeAt = now + durationOf((1/fraction-1)*latencySeconds)
 	}
 }
 
-// abandonedAttempt is one that has ended here and is presumed still running at its server.
+// abandonedAttempt is an attempt that has ended at this gateway and is presumed still running at its server.
 type abandonedAttempt struct {
 	server *server
 	until  time.Duration
@@ -125,12 +127,12 @@
 // attemptSlots counts the attempts that occupy slots of the concurrency limit.
 type attemptSlots struct {
 	inFlight  int
-	streaming int                // of those in flight, which occupy none
-	abandoned []abandonedAttempt // by their ends
+	streaming int                // attempts in flight that occupy no slot
+	abandoned []abandonedAttempt // by ascending end
 }
 
-// occupied counts the attempts in flight, without streaming ones, and the abandoned ones that are presumed
-// still running.
+// occupied returns the number of occupied slots: attempts in flight without streaming ones, and abandoned
+// attempts that are presumed still running.
 func (s *attemptSlots) occupied(now time.Duration) float64 {
 	for len(s.abandoned) > 0 && s.abandoned[0].until <= now {
 		s.abandoned[0].server.abandoned--
@@ -139,7 +141,7 @@
 	return float64(s.inFlight - s.streaming + len(s.abandoned))
 }
 
-// abandon counts an attempt at a server that is presumed still running.
+// abandon adds an abandoned attempt that is presumed to run at a server until the given time.
 func (s *attemptSlots) abandon(srv *server, until time.Duration) {
 	srv.abandoned++
 	s.abandoned = append(s.abandoned, abandonedAttempt{server: srv, until: until})
--- a/control/doc.go
+++ b/control/doc.go
@@ -1,24 +1,25 @@
-// Package control decides for one gateway what becomes of each request: whether it is admitted, when its plan has
-// a turn, which server it is sent to, and what follows a failure.
+// Package control makes the decisions of one gateway on each request: whether to admit it, when to schedule it
+// among the plans, which server to send it to, and whether to retry it after a failure.
 //
-// A Controller is fed events, such as a request, the end of an attempt or a change of the endpoint list, and returns
-// the actions that they lead to, such as to send an attempt, to reject a request or to start a timer. It is pure:
-// it does no I/O, and takes time with each event and its randomness from a seed, so that the same events lead to the
-// same actions. It is not safe for concurrent use. All of its state is bounded and expires.
+// A Controller handles events, such as a request, the end of an attempt or a change of the endpoint list, and returns
+// the resulting actions, such as sending an attempt, rejecting a request or starting a timer. It is deterministic:
+// it does no I/O, each event carries the current time, and random numbers come from a seed, so the same events yield
+// the same actions. It is not safe for concurrent use. All of its state is bounded and expires.
 //
-// The Controller keeps the clock and hands events on to one type for each concern, which take time and randomness as
-// arguments. In the order of a request's path:
+// The Controller keeps the clock and delegates each concern to one type, which takes the time and the random number
+// generator as arguments. In the order in which a request passes them:
 //
-//   - clientWaitEstimator (client_wait.go): how long the client has waited already.
+//   - clientWaitEstimator (client_wait.go): estimates how long the client has already waited.
 //   - admission (admission.go) with accountTable (accounts.go): token buckets of quotas and hard limits, and the
 //     metered rejection probability, by usageEstimator (usage.go, demand.go, meter_clock.go, in_flight_quota.go).
-//   - scheduler (scheduler.go) with planQueue: weighted round robin; shares are set by package sharecontrol.
-//   - concurrencyLimiter (concurrency_limit.go): cut on overload and raised without, by a controlWindow.
-//   - endpointSelector (endpoint_choice.go, load_estimate.go) with serverFleet (endpoints.go): the server of the
-//     least expected wait, limited by outlierDetector (outlier.go) and slowStart (slow_start.go, throughput.go).
-//   - retryPolicy (retries.go): whether a failed attempt is followed by another one.
+//   - scheduler (scheduler.go) with planQueue: weighted round robin; package sharecontrol sets the shares.
+//   - concurrencyLimiter (concurrency_limit.go): cuts the limit on overload and raises it otherwise, at the end of
+//     each controlWindow.
+//   - endpointSelector (endpoint_choice.go, load_estimate.go) with serverFleet (endpoints.go): selects the server of
+//     lowest expected cost, limited by outlierDetector (outlier.go) and slowStart (slow_start.go, throughput.go).
+//   - retryPolicy (retries.go): decides whether a failed attempt is retried.
 //
-// A Checkpoint is what another controller can go on from, after a reload, an upgrade or a restart; an Image is the
-// complete state, for recordings. The files that decide are those that deploy/balancer.toml lists under policy; the
-// others hold types, state and its storage.
+// A Checkpoint is the state that another controller can continue from after a reload, an upgrade or a restart; an
+// Image is the complete state, for recordings. The files that make decisions are listed under policy in
+// deploy/balancer.toml; the others hold types, state and its storage.
 package control
--- a/control/endpoint_choice.go
+++ b/control/endpoint_choice.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	triedServerPenalty   = 4.0  // factor on the cost of a server that this request has tried
-	ejectedServerPenalty = 1e6  // factor on the cost of an ejected server, the last choice
-	tieBreakNoise        = 0.02 // random part of a cost, so that gateways choose differently
+	triedServerPenalty   = 4.0  // factor on the cost of a server that this request has already tried
+	ejectedServerPenalty = 1e6  // factor on the cost of an ejected server, which makes it the last choice
+	tieBreakNoise        = 0.02 // random fraction of a cost, so that gateways choose different servers
 	utilizationPenalty   = 3.0  // weight of the fourth power of the utilization
-	unknownServerPenalty = 3.0  // factor on the cost of a server without a recent report
-	minReportingServers  = 4    // with fewer, servers without a report are preferred
+	unknownServerPenalty = 3.0  // factor on the cost of a server without a recent load report
+	minReportingServers  = 4    // with fewer reporting servers, those without a report are preferred
 )
 
-// endpointSelector chooses the server of an attempt among those of a fleet.
+// endpointSelector selects the server of an attempt from a fleet.
 type endpointSelector struct {
 	fleet     *serverFleet
 	slowStart *slowStartSettings
 }
 
-// choose returns the allowed server of the lowest cost; nil if the request has to wait. The rate fraction is
-// the part of a slow start's rate that is the caller's.
+// choose returns the eligible server of the lowest cost, or nil if the request has to wait. rateFraction is
+// the fraction of each slow start's rate that this controller may use.
 func (s *endpointSelector) choose(
 	now time.Duration, rng *rand.Rand, rateFraction float64, req *request,
 ) *server {
@@ -53,8 +53,8 @@
 	return best
 }
 
-// unknownServerPenalty is the factor on the cost of a server without a recent load report. While few
-// servers have reported, it makes the others cheaper, so that they come to report.
+// unknownServerPenalty returns the factor on the cost of a server without a recent load report. While few
+// servers have reported, the factor is below one, so that the others get requests and report.
 func (s *endpointSelector) unknownServerPenalty(now time.Duration) float64 {
 	reporting := s.fleet.countServers(func(srv *server) bool { return srv.load.isRecent(now) })
 	if reporting < minReportingServers {
@@ -63,12 +63,13 @@
 	return unknownServerPenalty
 }
 
-// isRepeatDroppedBy tells whether a server would drop a repeat of what the request may have run.
+// isRepeatDroppedBy reports whether the request may be sent to a server: it has not run, or the server drops
+// repeats of its idempotency key.
 func (r *request) isRepeatDroppedBy(srv *server, now time.Duration) bool {
 	if r.repeatGroup == nil || !r.hasIdempotencyKey() {
 		return true
 	}
-	if now >= r.repeatsDroppedUntil() { // it was queued for too long
+	if now >= r.repeatsDroppedUntil() { // it was queued beyond its repeat window
 		return false
 	}
 	switch r.class.KeyScope {
@@ -83,22 +84,22 @@
 	}
 }
 
-// expectedWait is the cost of a server: its latency times the attempts of this gateway there, raised by
-// its reported utilization. Without samples it is the fleet's; without a report it is raised by a
-// penalty. Guards against many gateways that each try all servers, slow ones too, in turn. The noise, from
-// 0 to 1, makes gateways choose differently.
+// expectedCost returns the cost of a server: its latency times this gateway's attempts there, raised by its
+// reported utilization. Without samples the latency is that of the fleet; without a report it is raised by a
+// penalty, so that not each of many gateways has to try every server, including slow ones. The noise, from 0
+// to 1, makes gateways choose different servers.
 func (s *endpointSelector) expectedCost(
 	now time.Duration, srv *server, unknownPenalty, noise float64,
 ) float64 {
 	fleetLatency := s.fleet.positiveLatency()
 	latency := srv.latency.expectedSeconds(now, fleetLatency)
 	unknownSlowdown := unknownPenalty
-	if srv.isWarmingUp() { // it has no reports yet, and its budget is below its capacity
+	if srv.isWarmingUp() { // it has not reported yet, and its slow start keeps it below its capacity
 		unknownSlowdown = 1
 	}
 	slowdown, serverUtilization := srv.load.expected(now, unknownSlowdown, s.fleet.utilization.mean)
 	latency = math.Max(latency, fleetLatency*slowdown)
-	if srv.inFlight > 0 { // a silent server is at least as slow as its silence is long
+	if srv.inFlight > 0 { // a server that has not answered since is at least that slow
 		latency = math.Max(latency, (now - srv.lastActivityAt).Seconds())
 	}
 	latency *= 1 + utilizationPenalty*serverUtilization*serverUtilization*serverUtilization*serverUtilization
--- a/control/retries.go
+++ b/control/retries.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	maxRetryBudget        = 20.0             // retries that can be saved up
-	retryBudgetPerRequest = 0.1              // retries that an admitted request earns
-	minRetryCost          = 0.1              // of the retry budget
-	retryDeadlineMargin   = time.Millisecond // time before a request's deadline from which it is not retried
+	maxRetryBudget        = 20.0             // maximum number of retries in the budget
+	retryBudgetPerRequest = 0.1              // retries that each admitted request adds to the budget
+	minRetryCost          = 0.1              // minimum number of retries that one retry costs
+	retryDeadlineMargin   = time.Millisecond // time before its deadline from which a request is not retried
 )
 
 // retryPolicy decides whether a request whose attempt failed is attempted again.
 type retryPolicy struct {
-	maxAttempts int // of one request; 0 is no limit
+	maxAttempts int // maximum attempts of one request; 0 is no limit
 	budget      retryBudget
 }
 
@@ -22,8 +22,9 @@
 	return retryPolicy{maxAttempts: settings.MaxAttempts, budget: retryBudget{retries: maxRetryBudget}}
 }
 
-// allowRetry tells whether idempotency, the attempt limit, the deadline and the retry budget allow a retry,
-// and spends what it costs. Elapsed is how long the failed attempt took, the mean latency is in seconds.
+// allowRetry reports whether idempotency, the attempt limit, the deadline and the retry budget allow a retry,
+// and if so takes its cost from the budget. elapsed is the duration of the failed attempt; meanLatency is in
+// seconds.
 func (p *retryPolicy) allowRetry(
 	now time.Duration, req *request, reason Reason, elapsed time.Duration, meanLatency float64,
 ) bool {
@@ -33,7 +34,7 @@
 	return p.budget.spend(retryCost(reason, elapsed, meanLatency))
 }
 
-// allowsAttempt tells whether the deadline and the maximum number of attempts allow another one.
+// allowsAttempt reports whether the deadline and the maximum number of attempts allow another attempt.
 func (p *retryPolicy) allowsAttempt(now time.Duration, req *request) bool {
 	if now >= req.deadline-retryDeadlineMargin {
 		return false
@@ -41,8 +42,8 @@
 	return p.maxAttempts == 0 || req.attempts < p.maxAttempts
 }
 
-// retryCost is what a retry costs of the budget. An attempt that failed at once costs little. Guards against
-// a storm of errors that uses the budget up while most servers still serve half of their requests.
+// retryCost returns the cost of a retry, which is low after an attempt that failed fast. Otherwise a burst of
+// fast errors would exhaust the budget although most servers still serve half of their requests.
 func retryCost(reason Reason, elapsed time.Duration, meanLatency float64) float64 {
 	isFailure := reason == Errored || reason == ResetByPeer || reason == ConnectFailed
 	if !isFailure {
@@ -52,7 +53,7 @@
 	return math.Min(1, math.Max(minRetryCost, cost))
 }
 
-// isRepeatable tells whether a second run would have no other effect than the first.
+// isRepeatable reports whether a second run would have no further effect.
 func (r *request) isRepeatable(now time.Duration) bool {
 	if !r.mayHaveRun || r.class.Idempotency == Idempotent {
 		return true
@@ -60,7 +61,7 @@
 	return r.hasIdempotencyKey() && now < r.repeatsDroppedUntil()
 }
 
-// isRejectable tells whether the client may repeat the request safely, as it does after a rejection.
+// isRejectable reports whether the client may safely repeat the request, as clients do after a rejection.
 func (r *request) isRejectable() bool {
 	if r.class.Idempotency == Idempotent {
 		return true
@@ -71,8 +72,8 @@
 	return !r.mayHaveRun && r.inFlight == 0
 }
 
-// retryDeadline is until when a retry may be queued. Guards against one that is queued beyond the client's
-// deadline or its key's repeat window.
+// retryDeadline returns the time until which a retry may be queued: shortly before the client's deadline, and
+// for a request that may have run no later than the end of the repeat window of its idempotency key.
 func (r *request) retryDeadline() time.Duration {
 	until := r.deadline - retryDeadlineMargin
 	if r.mayHaveRun && r.hasIdempotencyKey() {
@@ -81,13 +82,13 @@
 	return until
 }
 
-// retryBudget is the number of retries that requests have earned and not used.
+// retryBudget is the number of retries that requests have earned and that have not been used.
 type retryBudget struct{ retries float64 }
 
-// earn adds what an admitted request brings.
+// earn adds the contribution of an admitted request.
 func (b *retryBudget) earn() { b.retries = math.Min(maxRetryBudget, b.retries+retryBudgetPerRequest) }
 
-// spend takes a cost out of the budget if it is covered, and tells whether it is.
+// spend takes a cost from the budget if the budget covers it, and reports whether it does.
 func (b *retryBudget) spend(cost float64) bool {
 	if !(b.retries >= cost) {
 		return false
--- a/control/scheduler.go
+++ b/control/scheduler.go
@@ -6,14 +6,14 @@
 	"lockflow/control/sharecontrol"
 )
 
-// scheduler gives the queues of the plans turns by weighted round robin, and sets their shares.
+// scheduler schedules the queues of the plans by weighted round robin, and sets their shares.
 type scheduler struct {
 	plans           []*planQueue
 	plansByName     map[string]*planQueue
 	shareController *sharecontrol.Controller
 }
 
-// newScheduler returns a scheduler in which all plans have the same share.
+// newScheduler returns a scheduler in which all plans have equal shares.
 func newScheduler(plans []Plan) scheduler {
 	s := scheduler{plansByName: make(map[string]*planQueue)}
 	prices := make([]float64, len(plans))
@@ -27,7 +27,7 @@
 	return s
 }
 
-// countQueued counts the requests in all queues.
+// countQueued returns the number of requests in all queues.
 func (s *scheduler) countQueued() int {
 	queued := 0
 	for _, plan := range s.plans {
@@ -36,13 +36,13 @@
 	return queued
 }
 
-// serverChooser chooses the server of a request's next attempt; nil if the request has to wait.
+// serverChooser chooses the server of a request's next attempt, or returns nil if the request has to wait.
 type serverChooser interface {
 	chooseServer(req *request) *server
 }
 
-// nextTurn is one step of the weighted round robin among the plans that have an eligible request: the
-// one that is farthest behind its share comes next. It returns nil if no plan has one.
+// nextRequest performs one step of the weighted round robin among the plans that have an eligible request: it
+// selects the plan with the largest deficit. It returns nil if no plan has an eligible request.
 func (s *scheduler) nextRequest(now time.Duration, servers serverChooser) (next *request, srv *server) {
 	var bestPlan *planQueue
 	totalShare := 0.0
@@ -65,11 +65,11 @@
 	return next, srv
 }
 
-// nextEligible is a plan's first request that may be sent now, and its server. Requests that wait for
-// an in-flight quota or for their repeat group let the next pass.
+// nextEligible returns a plan's first request that may be sent now, and its server. Requests that wait for an
+// in-flight quota or for a server of their repeat group do not block those behind them.
 func (p *planQueue) nextEligible(now time.Duration, servers serverChooser) (*request, *server) {
 	for _, req := range p.queue {
-		// A retry takes the place in the in-flight quota that its request has had.
+		// A retry reuses the place in the in-flight quota of the attempt before.
 		needsQuota := p.MaxInFlight > 0 && req.attempts == 0
 		if needsQuota && req.account.inFlight.isFull(now) {
 			continue
@@ -84,7 +84,8 @@
 	return nil, nil
 }
 
-// updateShares has the share controller set the shares by the lateness of each plan in a control window.
+// updateShares sets the shares of the plans by the share controller, given their lateness in a control
+// window.
 func (s *scheduler) updateShares(window *controlWindow) {
 	lateness := make([]float64, len(s.plans))
 	shares := make([]float64, len(s.plans))
--- a/control/slow_start.go
+++ b/control/slow_start.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	minWarmupFraction       = 0.1  // of a server's capacity
-	slowStartBudgetFraction = 0.32 // part of a warming server's budget that is used
+	minWarmupFraction       = 0.1  // minimum fraction of its capacity that a warming server is assumed to have
+	slowStartBudgetFraction = 0.32 // fraction of a warming server's budget that is used
 )
 
-// slowStartSettings say how servers warm up and what they bear meanwhile.
+// slowStartSettings define how servers warm up and how much load they tolerate meanwhile.
 type slowStartSettings struct {
-	warmupTime       time.Duration // after its start, by which a server has its full capacity; 0 is none
-	initialCapacity  float64       // part of its capacity that a server has at its start, at least
-	overloadWindow   time.Duration // time over which the load of a server that is warming up is counted
-	overloadMultiple float64       // times its present capacity that it bears over that time
-	groupSize        int           // gateways that share the servers
+	warmupTime       time.Duration // time from its start to a server's full capacity; 0 is no warmup
+	initialCapacity  float64       // minimum fraction of its capacity that a server has at its start
+	overloadWindow   time.Duration // window over which the load of a warming server is counted
+	overloadMultiple float64       // tolerated load over that window, as a multiple of its current capacity
+	groupSize        int           // number of gateways that share the servers
 }
 
 func newSlowStartSettings(settings *Settings) slowStartSettings {
@@ -29,12 +29,12 @@
 	}
 }
 
-// isWarmingUp tells whether a server that started at a time warms up still.
+// isWarmingUp reports whether a server that started at startedAt is still warming up.
 func (s *slowStartSettings) isWarmingUp(now, startedAt time.Duration) bool {
 	return now < startedAt+s.warmupTime
 }
 
-// capacityFraction is the part of its capacity that a server has at least reached.
+// capacityFraction returns the fraction of its full capacity that a server has reached at least.
 func (s *slowStartSettings) capacityFraction(now, startedAt time.Duration) float64 {
 	if s.warmupTime <= 0 {
 		return 1
@@ -44,7 +44,7 @@
 	return math.Min(1, initial+(1-s.initialCapacity)*math.Max(0, progress))
 }
 
-// slowStart limits the attempts at a server that is warming up by a token bucket of units.
+// slowStart limits the attempts at a warming server by a token bucket of units.
 type slowStart struct {
 	isActive  bool
 	startedAt time.Duration
@@ -52,9 +52,9 @@
 	updatedAt time.Duration
 }
 
-// begin starts the slow start of a server that started at a time. Guards against a large group whose first
-// requests come all at once, or not before the slow start ends, as each gateway takes longer than that to
-// earn one: the budget begins with a debt, which is random.
+// begin starts the slow start of a server that started at startedAt. The bucket begins with a random debt. In
+// a large group, where a gateway may take longer than the whole slow start to earn the tokens of one request,
+// the gateways would otherwise send their first requests all at once, or none before the slow start ends.
 func (s *slowStart) begin(now, startedAt time.Duration, debt float64) {
 	s.isActive = true
 	s.startedAt = max(startedAt, s.startedAt)
@@ -62,7 +62,7 @@
 	s.updatedAt = now
 }
 
-// charge takes the units of an attempt that starts.
+// charge takes the units of a starting attempt from the bucket.
 func (s *slowStart) charge(units float64) {
 	if s.isActive {
 		s.tokens -= units
@@ -76,21 +76,22 @@
 	}
 }
 
-// refill adds what was earned since the last time, at a rate in units a second, up to a capacity in units.
+// refill adds the tokens earned since the last refill, at a rate in units per second, up to a capacity in
+// units.
 func (s *slowStart) refill(now time.Duration, rate, capacity float64) {
 	s.tokens += rate * (now - s.updatedAt).Seconds()
 	s.tokens = math.Min(s.tokens, capacity)
 	s.updatedAt = now
 }
 
-// throughputEstimate tells how many units a second a warm server can serve for this gateway.
+// throughputEstimate estimates the units per second that one warm server can serve for this gateway.
 type throughputEstimate interface {
 	warmServerThroughput(now time.Duration) float64
 }
 
-// allows limits a warming server to this gateway's part of its budget: the throughput of warm servers times
-// its capacity fraction and the multiple. Below one attempt a second, it still flows. The load is the number
-// of attempts at the server that run or are presumed to.
+// allows reports whether an attempt may be sent to the server. A warming server is limited to this gateway's
+// budget: the throughput of a warm server times the capacity fraction and the overload multiple, which may be
+// less than one attempt per second. load is the number of attempts that run, or are presumed to run, there.
 func (s *slowStart) allows(
 	now time.Duration, settings *slowStartSettings, load int, rateFraction float64, fleet throughputEstimate,
 ) bool {
@@ -105,8 +106,8 @@
 	if float64(load) >= math.Max(1, math.Floor(warmup*slotsPerServer)) {
 		return false
 	}
-	// Guards against many gateways with an attempt a second each: a bucket that may go into debt lets a
-	// part of a request a second flow, as a window would not.
+	// With many gateways, even one attempt per second from each would be too much. A bucket that may go into
+	// debt allows rates below one request per second, which a counting window would not.
 	budget := slowStartBudgetFraction * settings.overloadMultiple * warmup * fleet.warmServerThroughput(now)
 	rate := rateFraction * math.Max(budget, 1/float64(settings.groupSize))
 	s.refill(now, rate, rate*settings.overloadWindow.Seconds()/2)
