--- a/control/account_storage.go
+++ b/control/account_storage.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// An account has two stored forms, CustomerCheckpoint and CustomerImage. It is converted to and from an image only; a
-// checkpoint gets the fields that both forms share from there.
+// An account has two stored forms, CustomerCheckpoint and CustomerImage. It is only converted to and from an image; the
+// fields that both forms share are copied between the image and the checkpoint.
 var (
 	imageToCheckpoint = newSharedFields[CustomerImage, CustomerCheckpoint]()
 	checkpointToImage = newSharedFields[CustomerCheckpoint, CustomerImage]()
 )
 
-// checkpoint is the stored form of an account for another controller. key is the account's in an accountTable.
+// checkpoint returns the stored form of an account for another controller. key is its key in an accountTable.
 func (a *customerAccount) checkpoint(key string) CustomerCheckpoint {
 	plan := a.plan
 	image := a.imageWithoutHistory()
@@ -32,7 +32,7 @@
 	return checkpoint
 }
 
-// usageHistory is the history of bins up to the current one.
+// usageHistory returns the history of the bins up to the current one.
 func (saved *CustomerCheckpoint) usageHistory(currentBin int64) usageHistory {
 	var restored usageHistory
 	restored.sent.restore(saved.Sent, currentBin)
@@ -43,8 +43,8 @@
 	return restored
 }
 
-// inFlightLimit is this gateway's limit of a customer's attempts in flight. A checkpoint without one is of settings
-// in which the plan had none.
+// inFlightLimit returns this gateway's limit of a customer's attempts in flight. A checkpoint without a limit was taken
+// under settings in which the plan had none.
 func (saved *CustomerCheckpoint) inFlightLimit(plan *planQueue, fanOut float64) float64 {
 	if saved.InFlightLimit == 0 && plan.MaxInFlight > 0 {
 		return float64(plan.MaxInFlight) / fanOut
@@ -52,8 +52,8 @@
 	return math.Min(saved.InFlightLimit, float64(plan.MaxInFlight))
 }
 
-// restoreAccount opens an account from its stored form. period is that of the meter under which it was stored: bins
-// are of use with the same period only.
+// restoreAccount opens an account from its stored form. period is the meter's period under which it was stored; its
+// bins are only valid with the same period.
 func (c *Controller) restoreAccount(saved *CustomerCheckpoint, period time.Duration, trust Trust) {
 	plan := c.scheduler.plansByName[saved.Plan]
 	if plan == nil || !(saved.FanOut >= 1) {
@@ -76,8 +76,8 @@
 	}
 }
 
-// restoreSpending takes over what a customer has spent and has in flight. What is missing in a bucket was spent,
-// whatever the bucket holds now.
+// restoreSpending restores a customer's usage and its attempts in flight. The tokens that were missing from a stored
+// bucket are subtracted from the current burst, which may differ from the stored one.
 func (c *Controller) restoreSpending(account *customerAccount, saved *CustomerCheckpoint) {
 	plan := account.plan
 	spent := c.accounts.rateFraction*saved.QuotaBurst - saved.QuotaTokens
@@ -89,7 +89,7 @@
 	account.inFlight.predecessor = saved.InFlight
 }
 
-// image is the stored form of an account for this controller, without its key and whether it is tracked.
+// image returns the stored form of an account for this controller, without its key and IsTracked.
 func (a *customerAccount) image() CustomerImage {
 	image := a.imageWithoutHistory()
 	image.SentBin = a.history.sent.currentBin
@@ -103,7 +103,7 @@
 	return image
 }
 
-// imageWithoutHistory is image without the history.
+// imageWithoutHistory returns the image without the history.
 func (a *customerAccount) imageWithoutHistory() CustomerImage {
 	return CustomerImage{
 		Plan:                     a.plan.index,
@@ -211,7 +211,7 @@
 	}, nil
 }
 
-// resumeCustomers opens the accounts of an image, in its order.
+// resumeCustomers opens the accounts of an image and returns them in the image's order.
 func (c *Controller) resumeCustomers(image *Image) ([]*customerAccount, error) {
 	var accounts []*customerAccount
 	for i := range image.Customers {
--- a/control/actions.go
+++ b/control/actions.go
@@ -5,7 +5,7 @@
 // Action is an operation that the gateway has to perform.
 type Action interface{ isAction() }
 
-// Send starts an attempt. The attempts of a request are numbered from 0 in order.
+// Send starts an attempt. The attempts of a request are numbered 0, 1, 2 and so on in order.
 type Send struct {
 	ID           string
 	Server       uint32
--- a/control/controller.go
+++ b/control/controller.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// tickPeriod is the period of the timer that drives control windows and the endpoint watch.
+// tickPeriod is the period of the timer on which control windows and the endpoint watch are checked.
 const tickPeriod = 100 * time.Millisecond
 
-// Controller decides for one gateway. It is not safe for concurrent use.
+// Controller makes the decisions of one gateway. It is not safe for concurrent use.
 type Controller struct {
 	settings Settings
 	classes  map[string]*Class
@@ -18,9 +18,9 @@
 	rng *rand.Rand
 
 	now          time.Duration
-	clockAdvance time.Duration // of the latest event at which the clock moved
+	clockAdvance time.Duration // time by which the clock last advanced between two events
 	isStarted    bool
-	actions      []Action // that answer the present event
+	actions      []Action // actions of the current event
 
 	// Requests and their attempts.
 	requests    requestTable
@@ -43,10 +43,11 @@
 	window       controlWindow
 	windowEndsAt time.Duration
 	limiter      concurrencyLimiter
-	nextTick     time.Duration // not in use; images have a key for it
+	nextTick     time.Duration // unused, but kept since images have a key for it
 }
 
-// New returns a gateway's controller, whose randomness comes from seed; an error names a bad setting.
+// New returns a gateway's controller, whose random numbers come from seed. The error names an invalid
+// setting.
 func New(settings Settings, seed uint64) (*Controller, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
@@ -54,7 +55,7 @@
 	return newController(settings, seed), nil
 }
 
-// secondSeedMask makes the second seed of the random numbers differ from the first: 2^64 over the golden
+// secondSeedMask makes the generator's second seed differ from the first. It is 2^64 divided by the golden
 // ratio.
 const secondSeedMask = 0x9e3779b97f4a7c15
 
@@ -84,8 +85,8 @@
 	return c
 }
 
-// Handle takes an event and returns the actions that it leads to, in order. The slice is the controller's
-// own and valid until the next call. A time before that of an earlier event counts as that.
+// Handle processes an event and returns the resulting actions in order. The slice belongs to the controller
+// and is valid until the next call. If now is before the time of an earlier event, that time is used instead.
 func (c *Controller) Handle(now time.Duration, event Event) []Action {
 	c.actions = c.actions[:0]
 	if now > c.now {
@@ -115,9 +116,9 @@
 	return c.actions
 }
 
-const tickTimerLabel = 0 // requests have labels from 1 on
+const tickTimerLabel = 0 // labels of requests start at 1
 
-// startClock starts the timer and the first window, at the first event.
+// startClock starts the tick timer and the first control window at the first event.
 func (c *Controller) startClock() {
 	c.isStarted = true
 	c.accounts.fillingSince = c.now
@@ -127,10 +128,10 @@
 
 func (c *Controller) emit(action Action) { c.actions = append(c.actions, action) }
 
-// ConcurrencyLimit is how many attempts may be in flight at once now.
+// ConcurrencyLimit returns the number of attempts that may currently be in flight at once.
 func (c *Controller) ConcurrencyLimit() float64 { return c.limiter.limit }
 
-// handleEndpointList takes a change of the endpoint list.
+// handleEndpointList applies a change of the endpoint list.
 func (c *Controller) handleEndpointList(event EndpointList) {
 	c.watch.recordList(c.now, c.rng, event.Kind)
 	if event.Kind == ListFailed {
@@ -140,7 +141,7 @@
 	c.limiter.initialize(c.settings.GroupSize, c.fleet.countServers((*server).isUsable), c.minConcurrencyLimit())
 }
 
-// minConcurrencyLimit is the lowest concurrency limit with the servers that are usable and not ejected.
+// minConcurrencyLimit returns the minimum concurrency limit for the servers that are usable and not ejected.
 func (c *Controller) minConcurrencyLimit() float64 {
 	responsive := c.fleet.countServers(func(srv *server) bool {
 		return srv.isUsable() && !srv.outlier.hasTripped()
@@ -148,7 +149,7 @@
 	return minConcurrencyLimit(c.settings.GroupSize, responsive)
 }
 
-// handleTimer takes the timer of the tick, or that of a request: one that is queued still is ended.
+// handleTimer handles the tick timer or the timer of a request. A request that is still queued is ended.
 func (c *Controller) handleTimer(label uint64) {
 	if label == tickTimerLabel {
 		c.handleTick()
@@ -158,12 +159,13 @@
 	if req == nil || !req.isQueued {
 		return
 	}
-	// Guards against a starved plan that seems punctual: a request shed counts as late by its deadline.
+	// A request that times out in the queue counts with its deadline as its latency, so that a starved plan does
+	// not appear to meet its objective.
 	req.plan.recordLateness(math.Max(1, req.class.Deadline.Seconds()/req.class.LatencyObjective.Seconds()))
 	c.rejectOrFail(req, CauseQueueTimeout)
 }
 
-// handleTick watches the endpoint list again if its watch has ended, and ends the control window if it is
+// handleTick restarts the watch of the endpoint list if it has ended, and ends the control window if it is
 // due.
 func (c *Controller) handleTick() {
 	c.emit(StartTimer{After: tickPeriod, Label: tickTimerLabel})
@@ -176,8 +178,8 @@
 	}
 }
 
-// isWindowDue tells whether the control window ends now. One with few answers is extended, as their mean
-// says little.
+// isWindowDue reports whether the control window ends now. A window with few answers is extended, since their
+// mean is not meaningful.
 func (c *Controller) isWindowDue() bool {
 	if c.now < c.windowEndsAt {
 		return false
@@ -185,7 +187,7 @@
 	return c.window.hasEnoughAnswers() || c.now >= c.windowEndsAt+maxWindowExtension
 }
 
-// endWindow sets the concurrency limit and the shares of the next control window.
+// endWindow ends the control window and sets the concurrency limit and the shares of the next one.
 func (c *Controller) endWindow(windowSeconds float64) {
 	if c.limiter.update(c.now, &c.window, c.fleet.latency, c.minConcurrencyLimit()) {
 		c.window.isOverloaded = true
@@ -196,19 +198,19 @@
 	c.accounts.evictIdle(c.now)
 }
 
-// accountFor returns the refilled account of a plan's customer, opened at its first request.
+// accountFor returns the refilled account of a plan's customer, and opens it if there is none.
 func (c *Controller) accountFor(plan *planQueue, customer string, fanOut int) *customerAccount {
 	return c.accounts.accountFor(c.now, c.rng, plan, customer, fanOut)
 }
 
-// refillAccount brings an account up to now.
+// refillAccount refills an account's buckets up to now.
 func (c *Controller) refillAccount(account *customerAccount) {
 	c.accounts.refillAccount(c.now, account)
 }
 
 func (c *Controller) currentBin() int64 { return c.accounts.binAt(c.now) }
 
-// armTimer has the request's one timer fire after a time.
+// armTimer sets the request's single timer to fire after a time.
 func (c *Controller) armTimer(req *request, after time.Duration) {
 	c.emit(StartTimer{After: max(after, 0), Label: c.requests.timerLabel(req)})
 }
--- a/control/endpoint_watch.go
+++ b/control/endpoint_watch.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-const rewatchInterval = 2 * time.Second // between two requests to watch the endpoint list
+const rewatchInterval = 2 * time.Second // minimum time between two requests to watch the endpoint list
 
-// endpointWatch knows whether the endpoint list is watched, and when to watch it again.
+// endpointWatch tracks whether the endpoint list is watched and when to start the next watch.
 type endpointWatch struct {
-	isRequired    bool // the list comes only on request
+	isRequired    bool // whether the list is only sent on request
 	isActive      bool
 	nextAttemptAt time.Duration
 }
 
-// recordList takes what a change of the list tells of its watch. After a failure the list is watched again
-// at a random time, as all gateways see the same failure.
+// recordList updates the state of the watch by a change of the list. After a failure the next watch starts at
+// a random time, since all gateways see the same failure.
 func (w *endpointWatch) recordList(now time.Duration, rng *rand.Rand, kind ListKind) {
 	isFromWatch := kind != ListCached && kind != ListFailed
 	w.isActive = w.isRequired && isFromWatch
@@ -24,7 +24,7 @@
 	}
 }
 
-// startIfDue tells whether the list has to be watched again now.
+// startIfDue reports whether a new watch has to be started now, and schedules the next try.
 func (w *endpointWatch) startIfDue(now time.Duration) bool {
 	isEnded := w.isRequired && !w.isActive
 	if !isEnded || now < w.nextAttemptAt {
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// serverFleet is the servers of the endpoint list, and what is known of all of them together.
+// serverFleet holds the servers of the endpoint list and the estimates over all of them.
 type serverFleet struct {
 	servers       map[uint32]*server
-	sortedServers []*server // by number
+	sortedServers []*server // by server number
 	fleetEstimate
 }
 
-// newServerFleet returns a fleet without servers, given the maximum units of one request; 0 is no maximum.
+// newServerFleet returns an empty fleet. maxUnits is the maximum number of units of a request; 0 is no
+// maximum.
 func newServerFleet(maxUnits float64) serverFleet {
 	fleet := serverFleet{servers: make(map[uint32]*server)}
-	fleet.requestUnits.mean = (1 + math.Max(1, maxUnits)) / 2 // until there are requests
+	fleet.requestUnits.mean = (1 + math.Max(1, maxUnits)) / 2 // initial value until there are requests
 	return fleet
 }
 
-// merge takes a change of the endpoint list, or the complete list, and drops servers that are gone.
+// merge applies a change of the endpoint list, or the complete list, and removes servers that are gone.
 func (f *serverFleet) merge(
 	now time.Duration, rng *rand.Rand, event EndpointList, settings *slowStartSettings,
 ) {
@@ -35,8 +36,8 @@
 			f.servers[endpoint.Server] = srv
 			f.sortedServers = append(f.sortedServers, srv)
 		} else if endpoint.State != Active {
-			// Guards against an entry that holds no more than that: the server's zone and cell say
-			// who drops repeats of what it may have run.
+			// Such an entry may hold no other fields. The server's zone and cell are kept, since they
+			// determine which servers drop repeats of requests that it may have run.
 			srv.State = endpoint.State
 			srv.isListed = endpoint.State != Gone
 			continue
@@ -51,8 +52,8 @@
 	f.removeGone()
 }
 
-// trackRestart takes a new entry of a server before it replaces the old one. What was known of an earlier
-// incarnation is dropped, and a slow start begins.
+// trackRestart handles a new entry of a server before it replaces the old one. If the server has restarted,
+// it discards the state of the earlier incarnation; if it is warming up, it begins a slow start.
 func (f *serverFleet) trackRestart(
 	now time.Duration, rng *rand.Rand, srv *server, endpoint Endpoint, settings *slowStartSettings,
 ) {
@@ -67,7 +68,7 @@
 	}
 }
 
-// removeGone drops servers that are not listed and have no attempts in flight.
+// removeGone removes servers that are not listed and have no attempts in flight.
 func (f *serverFleet) removeGone() {
 	remaining := f.sortedServers[:0]
 	for _, srv := range f.sortedServers {
@@ -80,7 +81,7 @@
 	f.sortedServers = remaining
 }
 
-// countServers counts the servers of which something holds; a float, as it enters quotients.
+// countServers returns the number of servers that match. It is a float because it is used in quotients.
 func (f *serverFleet) countServers(matches func(*server) bool) float64 {
 	count := 0.0
 	for _, srv := range f.sortedServers {
--- a/control/events.go
+++ b/control/events.go
@@ -24,18 +24,18 @@
 	HasStartedAt bool          `cbor:"HasCameUp"` // false: started long ago
 }
 
-// ListKind tells what an EndpointList brings.
+// ListKind is the kind of an EndpointList.
 type ListKind int
 
 // The kinds of endpoint list.
 const (
 	ListPatch    ListKind = iota // the entries that changed
 	ListComplete                 // the complete list
-	ListCached                   // the complete list as it was cached, maybe out of date
+	ListCached                   // the complete list from a cache, possibly out of date
 	ListFailed                   // a poll failed or a watch ended; no entries
 )
 
-// Reason tells how an attempt, a health check or a call of the counter ended. The numbers are those of the wire.
+// Reason is the outcome of an attempt, a health check or a call of the counter. The numbers are used on the wire.
 type Reason int
 
 // The reasons.
@@ -43,20 +43,20 @@
 	OK               Reason = 100
 	Errored          Reason = 301 // may have run
 	RejectedByServer Reason = 302 // never ran
-	TimedOut         Reason = 303 // may have run, may be running
+	TimedOut         Reason = 303 // may have run, may still be running
 	ConnectFailed    Reason = 304 // never ran
 	ResetByPeer      Reason = 305 // may have run
 	Cancelled        Reason = 306 // may have run
 	NotSent          Reason = 307 // never ran
 )
 
-// mayStillRun tells whether the attempt may still be running at its server.
+// mayStillRun reports whether the attempt may still be running at its server.
 func (r Reason) mayStillRun() bool { return r == TimedOut || r == Cancelled }
 
-// mayHaveRun tells whether the attempt may have had an effect.
+// mayHaveRun reports whether the attempt may have had an effect.
 func (r Reason) mayHaveRun() bool { return r == Errored || r == ResetByPeer || r.mayStillRun() }
 
-// LoadReport is what a server reports of its load; a negative value was not reported.
+// LoadReport is a server's report of its load. Values that were not reported are negative.
 type LoadReport struct {
 	InFlight          float64 `cbor:"Active"`
 	Queued            float64 `cbor:"Waiting"`
@@ -66,10 +66,10 @@
 	ErrorsPerSecond   float64 `cbor:"ErrRPS"`
 }
 
-// isPartial tells whether the report lacks what decisions go by.
+// isPartial reports whether the report lacks a value on which decisions depend.
 func (l *LoadReport) isPartial() bool { return l.Utilization < 0 || l.MeanLatencyMS < 0 }
 
-// Event is something that happened, for Controller.Handle.
+// Event is an input of Controller.Handle.
 type Event interface{ isEvent() }
 
 // EndpointList is a change of the endpoint list, or the complete list.
@@ -78,7 +78,7 @@
 	Endpoints []Endpoint `cbor:"Members"`
 }
 
-// Request is a client's request. It is owed exactly one final answer.
+// Request is a client's request. It gets exactly one final answer.
 type Request struct {
 	ID              string        `cbor:"ID"`
 	Class           string        `cbor:"Class"`
@@ -90,14 +90,15 @@
 	FirstGateway    int           `cbor:"SetStart"` // index of the first of them
 	IsRetry         bool          `cbor:"Repeat"`
 	IsWrite         bool          `cbor:"Write"`
-	IsOverCapacity  bool          `cbor:"NoRoom"` // the gateway has no capacity for it: it is rejected
-	IsOverHardLimit bool          `cbor:"Over"`   // a hard limit shared with other gateways lacks its units: it is rejected
-	// HasPendingBody tells that the body is still to come. Attempts last as long as the client sends, which shows
-	// nothing of the server; they do not count against the concurrency limit, as streamed answers do not.
+	IsOverCapacity  bool          `cbor:"NoRoom"` // rejected because the gateway has no capacity for it
+	IsOverHardLimit bool          `cbor:"Over"`   // rejected because a hard limit shared with other gateways lacks its units
+	// HasPendingBody is set if the body has not been received completely. The attempts last as long as the client
+	// sends, which says nothing about the server. Like streamed responses, they do not count against the concurrency
+	// limit.
 	HasPendingBody bool `cbor:"Open"`
 }
 
-// ResponseStarted tells that a streamed answer has begun.
+// ResponseStarted is the start of a streamed response.
 type ResponseStarted struct {
 	ID      string        `cbor:"ID"`
 	Attempt int           `cbor:"N"`
@@ -105,30 +106,30 @@
 	Delay   time.Duration `cbor:"Delay"`
 }
 
-// AttemptResult tells how an attempt ended.
+// AttemptResult is the end of an attempt.
 type AttemptResult struct {
 	ID          string        `cbor:"ID"`
 	Attempt     int           `cbor:"N"`
 	Server      uint32        `cbor:"Server"`
 	Reason      Reason        `cbor:"Reason"`
-	IsFinal     bool          `cbor:"Done"` // it was the final answer of the request
+	IsFinal     bool          `cbor:"Done"` // whether it was the final answer of the request
 	Delay       time.Duration `cbor:"Delay"`
-	ActualUnits float64       `cbor:"Cost"` // units that it really used; 0 is not reported
-	QuotaUsage  int           `cbor:"Used"` // 1 + percent of the quota used in the last metered period; 0 is not reported
+	ActualUnits float64       `cbor:"Cost"` // units that the request actually used; 0 is not reported
+	QuotaUsage  int           `cbor:"Used"` // 1 + percent of the quota used in the latest metered period; 0 is not reported
 	Load        *LoadReport   `cbor:"Load"`
 }
 
-// ClientGone tells that the client of a request has left; it needs no answer.
+// ClientGone means that the client of a request has disconnected and needs no answer.
 type ClientGone struct {
 	ID string `cbor:"ID"`
 }
 
-// TimerFired tells that a timer of StartTimer has fired.
+// TimerFired is the expiry of a timer that was started by StartTimer.
 type TimerFired struct {
 	Label uint64 `cbor:"Label"`
 }
 
-// HealthCheckResult tells how a health check ended.
+// HealthCheckResult is the end of a health check.
 type HealthCheckResult struct {
 	Server uint32        `cbor:"Server"`
 	Reason Reason        `cbor:"Reason"`
--- a/control/fleet.go
+++ b/control/fleet.go
@@ -7,22 +7,23 @@
 
 const (
 	fleetEstimateGain = 0.02 // minimum gain of estimates over all servers
-	throughputGain    = 0.2  // minimum gain of estimates by control windows
-	epsilon           = 1e-9 // keeps quotients finite
+	throughputGain    = 0.2  // minimum gain of estimates that are updated once per control window
+	epsilon           = 1e-9 // lower bound of divisors, to keep quotients finite
 )
 
-// fleetEstimate is what is known of all servers together, and of the requests to them.
+// fleetEstimate holds the estimates over all servers and over the requests to them.
 type fleetEstimate struct {
-	latency         runningMean // seconds, of answers by servers that are not warming up
-	utilization     runningMean // part of the servers' cores that is busy, by their reports
-	reportedLatency runningMean // seconds, by the same reports
-	warmThroughput  runningMean // units a second by servers that are not warming up
-	warmServers     runningMean // how many those were
-	peakThroughput  float64     // the highest of late that one of them could serve
+	latency         runningMean // latency in seconds of servers that are not warming up
+	utilization     runningMean // reported fraction of the servers' cores that is busy
+	reportedLatency runningMean // reported mean latency in seconds
+	warmThroughput  runningMean // units per second of all servers that are not warming up
+	warmServers     runningMean // number of these servers
+	peakThroughput  float64     // highest recent units per second that one of them could serve
 	requestUnits    runningMean
 }
 
-// runningMean is the mean of its values at first, and later one that follows them with a minimum gain.
+// runningMean is the arithmetic mean of the first values, and an exponential average with a minimum gain
+// later.
 type runningMean struct{ mean, count float64 }
 
 func (m *runningMean) add(value, minGain float64) {
@@ -30,7 +31,7 @@
 	m.mean += math.Max(minGain, 1/m.count) * (value - m.mean)
 }
 
-// decayFactor is the part of a quantity that is left after a time in which it decays exponentially.
+// decayFactor returns the fraction of a quantity that is left after a time of exponential decay.
 func decayFactor(elapsed time.Duration, timeConstantSeconds float64) float64 {
 	return math.Exp(-elapsed.Seconds() / timeConstantSeconds)
 }
--- a/control/history.go
+++ b/control/history.go
@@ -6,14 +6,14 @@
 	"sort"
 )
 
-// historyBins is the number of bins that a history distinguishes.
+// historyBins is the number of latest bins that a history keeps apart.
 const historyBins = 80
 
-// history is the running sum of an amount over the latest bins of time. Only bins in which the sum changed are stored,
-// so that each of thousands of customers that come once costs one bin.
+// history is the running sum of an amount over the latest time bins. It stores only bins in which the sum changed, so
+// that each of thousands of customers with a single request costs one bin.
 type history struct {
-	currentBin int64        // up to which it has been advanced
-	sums       []RunningSum // by ascending bin; one at most is before the oldest bin
+	currentBin int64        // latest bin to which the history has been advanced
+	sums       []RunningSum // by ascending bin; at most one is before the oldest bin
 }
 
 // RunningSum is a running sum at the end of a bin in which it changed.
@@ -22,7 +22,7 @@
 	Sum float64 `cbor:"s"`
 }
 
-// advance brings the history up to a bin.
+// advance advances the history to a bin.
 func (h *history) advance(bin int64) { h.currentBin = max(h.currentBin, bin) }
 
 // add adds an amount in the current bin.
@@ -44,17 +44,17 @@
 	h.sums = append(h.sums, RunningSum{h.currentBin, h.sumUntil(h.currentBin) + amount})
 }
 
-// subtract undoes an addition in a bin.
+// subtract reverts an addition in a bin.
 func (h *history) subtract(bin int64, amount float64) {
 	for i := len(h.sums) - 1; i >= 0 && h.sums[i].Bin >= bin; i-- {
 		h.sums[i].Sum -= amount
 	}
 }
 
-// oldestBin is the first bin that is distinguished from earlier ones.
+// oldestBin returns the first bin that is kept apart from earlier ones.
 func (h *history) oldestBin() int64 { return h.currentBin - historyBins + 1 }
 
-// sumUntil is the running sum at the end of a bin.
+// sumUntil returns the running sum at the end of a bin.
 func (h *history) sumUntil(bin int64) float64 {
 	last := len(h.sums) - 1
 	if last < 0 {
@@ -69,19 +69,19 @@
 	return 0
 }
 
-// periodSum is the amount of the meter period that ends before a bin.
+// periodSum returns the amount in the meter period that ends before a bin.
 func (h *history) periodSum(end int64) float64 {
 	start := max(end-binsPerPeriod-1, h.oldestBin())
 	return h.sumUntil(max(end-1, start)) - h.sumUntil(start)
 }
 
-// historyWindow is a copy of a history with a sum for each of its latest bins, for many lookups.
+// historyWindow is a copy of a history with one sum for each of the latest bins, for fast repeated lookups.
 type historyWindow struct {
 	oldest int64
 	sums   [historyBins]float64
 }
 
-// window is the present state of the history.
+// window returns the current state of the history.
 func (h *history) window() historyWindow {
 	latest := historyWindow{oldest: h.oldestBin()}
 	sum := 0.0
@@ -95,13 +95,13 @@
 	return latest
 }
 
-// periodSum is the same as the history's.
+// periodSum returns the same as the periodSum of the history.
 func (w *historyWindow) periodSum(end int64) float64 {
 	start := max(end-binsPerPeriod-1, w.oldest)
 	return w.sums[max(end-1, start)-w.oldest] - w.sums[start-w.oldest]
 }
 
-// amounts are the amounts by bin, without empty bins and without the oldest.
+// amounts returns the amounts by bin, without empty bins and the oldest bin.
 func (h *history) amounts() []BinAmount {
 	var all []BinAmount
 	previous := 0.0
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// restore fills an empty history with amounts of bins up to now.
+// restore fills an empty history with the amounts of bins up to the bin now.
 func (h *history) restore(all []BinAmount, now int64) {
 	for _, amount := range all {
 		if amount.Bin > now-historyBins && amount.Bin <= now {
--- a/control/image.go
+++ b/control/image.go
@@ -6,17 +6,17 @@
 	"lockflow/control/sharecontrol"
 )
 
-// ImageVersion is the version of an Image's form. One of another version can not be resumed, as a field may mean
-// something else.
+// ImageVersion is the version of the Image format. An image of another version cannot be resumed, since its fields may
+// have other meanings.
 const ImageVersion = 4
 
-// Image is the complete state of a controller between two events: one that is resumed from it takes every later event as
-// the first would have. It holds no settings; a Checkpoint, in contrast, is what another controller, with other
-// settings or servers, can go on from. References to a server, customer or request are indexes in the lists here. Its
-// keys have older names of the same fields.
+// Image is the complete state of a controller between two events: a controller that is resumed from it handles every
+// later event as the original would have. It holds no settings. A Checkpoint, in contrast, can be restored by a
+// controller with other settings or servers. References to a server, customer or request are indexes into the lists of
+// the image. The keys are older than the fields' names.
 type Image struct {
 	Version int    `cbor:"v"`
-	Random  []byte `cbor:"rng"` // of math/rand/v2's PCG
+	Random  []byte `cbor:"rng"` // state of math/rand/v2's PCG
 
 	Now                  time.Duration `cbor:"Now"`
 	ClockAdvance         time.Duration `cbor:"Skipped"`
@@ -73,7 +73,7 @@
 	Queue              []int   `cbor:"Queue"`
 }
 
-// ServerImage is a server's state; see server. One that is not tracked is gone, and something still refers to it.
+// ServerImage is a server's state; see server. A server that is not tracked is gone, but is still referred to.
 type ServerImage struct {
 	Endpoint
 	IsTracked           bool                  `cbor:"Kept"`
@@ -97,10 +97,10 @@
 	EjectionTime        time.Duration         `cbor:"Aside"`
 	WarmupStart         time.Duration         `cbor:"ColdFrom"`
 	SlowStartTokensAt   time.Duration         `cbor:"TokensAt"`
-	PlanRejectedUntil   map[int]time.Duration `cbor:"Shut"` // by plan
+	PlanRejectedUntil   map[int]time.Duration `cbor:"Shut"` // by index of the plan
 }
 
-// CustomerImage is a customer's state, under its key; see customerAccount.
+// CustomerImage is a customer's state with its key in the accountTable; see customerAccount.
 type CustomerImage struct {
 	Key                      string        `cbor:"Key"`
 	IsTracked                bool          `cbor:"Kept"`
@@ -141,14 +141,15 @@
 	Rejections               []RunningSum  `cbor:"Refused"`
 }
 
-// RequestImage is a request, or one that has been answered and has attempts in flight; see request.
+// RequestImage is the state of a request, which may have its final answer and still have attempts in flight; see
+// request.
 type RequestImage struct {
 	ID           string        `cbor:"ID"`
 	IsTracked    bool          `cbor:"Kept"`
 	Class        string        `cbor:"Class"`
 	Plan         int           `cbor:"Plan"`
 	Customer     int           `cbor:"Customer"`
-	RepeatGroup  int           `cbor:"Group"` // index of a server, plus one; 0 is none
+	RepeatGroup  int           `cbor:"Group"` // index of a server plus one; 0 is none
 	Units        float64       `cbor:"Units"`
 	ArrivedAt    time.Duration `cbor:"Arrived"`
 	ObjectiveAt  time.Duration `cbor:"Aim"`
@@ -163,7 +164,7 @@
 	TimerLabel   uint64        `cbor:"Label"`
 }
 
-// AttemptImage is an attempt in flight, with what it took from the customer's buckets; see charge.
+// AttemptImage is an attempt in flight with its charge to the customer's buckets; see charge.
 type AttemptImage struct {
 	ID          string        `cbor:"ID"`
 	Attempt     int           `cbor:"N"`
@@ -177,7 +178,7 @@
 	Bin         int64         `cbor:"Bin"`
 }
 
-// AbandonedImage is an attempt that is presumed still running.
+// AbandonedImage is an abandoned attempt that is presumed still running.
 type AbandonedImage struct {
 	Server int           `cbor:"Server"`
 	Until  time.Duration `cbor:"Until"`
--- a/control/image_take.go
+++ b/control/image_take.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Image returns the complete state of the controller, as a copy.
+// Image returns a copy of the controller's complete state.
 func (c *Controller) Image() Image {
 	random, _ := c.pcg.MarshalBinary() // never fails
 	image := Image{
@@ -49,8 +49,8 @@
 		TypicalDeadlines:     c.typicalDeadlineStates(),
 	}
 	references := c.indexTracked()
-	// In this order: an attempt may be the only one to refer to a request, and both the only ones to refer to a server
-	// or a customer.
+	// The order matters: a request may be referred to by an attempt only, and a server or a customer by attempts or
+	// requests only.
 	c.imageAttempts(&image, references)
 	c.imageRequests(&image, references)
 	c.imagePlans(&image, references)
@@ -59,14 +59,14 @@
 	return image
 }
 
-// imageReferences are the indexes of all that an image refers to, in the order of the first reference.
+// imageReferences holds the indexes of all objects that an image refers to, in the order of the first reference.
 type imageReferences struct {
 	servers   indexer[*server]
 	customers indexer[*customerAccount]
 	requests  indexer[*request]
 }
 
-// indexTracked returns references in which all that the controller tracks has the first indexes, in a fixed order.
+// indexTracked returns references in which all objects that the controller tracks come first, in a fixed order.
 func (c *Controller) indexTracked() *imageReferences {
 	references := &imageReferences{}
 	for _, srv := range c.fleet.sortedServers {
@@ -81,7 +81,7 @@
 	return references
 }
 
-// imageAttempts adds the attempts in flight and those presumed still running.
+// imageAttempts adds the attempts in flight and the abandoned ones that are presumed still running.
 func (c *Controller) imageAttempts(image *Image, references *imageReferences) {
 	for _, key := range slices.SortedFunc(maps.Keys(c.requests.attempts), compareAttempts) {
 		attempt := c.requests.attempts[key]
@@ -152,7 +152,7 @@
 	return cmp.Or(strings.Compare(a.id, b.id), cmp.Compare(a.number, b.number))
 }
 
-// image is the stored form of a request, without what it refers to.
+// image returns the stored form of a request, without its references.
 func (r *request) image() RequestImage {
 	return RequestImage{
 		ID:           r.id,
@@ -173,7 +173,7 @@
 	}
 }
 
-// image is the stored form of a plan, without its queue.
+// image returns the stored form of a plan, without its queue.
 func (p *planQueue) image() PlanImage {
 	return PlanImage{
 		Share:              p.share,
@@ -186,7 +186,7 @@
 	}
 }
 
-// indexer assigns each item an index, in the order of the first calls of index.
+// indexer assigns indexes to items in the order of the first calls of index.
 type indexer[T comparable] struct {
 	indexes map[T]int
 	items   []T
--- a/control/in_flight_quota.go
+++ b/control/in_flight_quota.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-const minInFlightLimitFactor = 0.85 // of an in-flight limit, at one reading
+const minInFlightLimitFactor = 0.85 // minimum factor on an in-flight limit at one reading
 
 // inFlightQuota is this gateway's part of a quota of attempts in flight.
 type inFlightQuota struct {
 	current              int // attempts in flight
-	predecessor          int // attempts in flight of a predecessor that has not ended
+	predecessor          int // attempts in flight of a predecessor that is still running
 	limit                float64
-	nextAttemptAt        time.Duration // of a limit below one: no attempt before
-	hitLimit             bool          // since the last reading
+	nextAttemptAt        time.Duration // earliest time of the next attempt if the limit is below one
+	hitLimit             bool          // whether the limit was reached since the latest reading
 	rejectionProbability float64
 }
 
-// newInFlightQuota returns an equal part of a quota for one of the gateways of a customer's fan-out.
+// newInFlightQuota returns an equal part of the quota for each gateway of a customer's fan-out.
 func newInFlightQuota(maxInFlight int, fanOut float64) inFlightQuota {
 	return inFlightQuota{limit: float64(maxInFlight) / fanOut}
 }
@@ -26,8 +26,9 @@
 
 func (q *inFlightQuota) endAttempt() { q.current-- }
 
-// adjust moves this gateway's part of the quota by the maximum that a reading reports, in percent. A
-// limit below one is held by a pause after each attempt. The rejection probability comes last.
+// adjust adjusts this gateway's part of the quota by a reading, the maximum in flight in percent of the
+// quota. Only when the limit has reached its minimum, requests are rejected by a probability. A limit below
+// one is enforced by a pause after each attempt.
 func (q *inFlightQuota) adjust(maxInFlight int, fanOut, percent, rejected, arrivals float64) {
 	minLimit := float64(maxInFlight) / fanOut / 2
 	if q.limit > minLimit {
@@ -44,14 +45,15 @@
 	q.hitLimit = false
 }
 
-// isFull tells whether no attempt may start now; a request that meets it shows that the limit binds.
+// isFull reports whether no attempt may start now. It also records that the limit was reached, since it is
+// called for a waiting request.
 func (q *inFlightQuota) isFull(now time.Duration) bool {
 	isFull := now < q.nextAttemptAt || float64(q.current+q.predecessor) >= math.Max(1, math.Floor(q.limit))
 	q.hitLimit = q.hitLimit || isFull
 	return isFull
 }
 
-// pauseAfter holds the next attempt back after one that ended, where the limit is below one.
+// pauseAfter delays the next attempt after one that has ended, if the limit is below one.
 func (q *inFlightQuota) pauseAfter(now, sentAt time.Duration) {
 	if pause := 1/math.Max(q.limit, epsilon) - 1; pause > 0 {
 		q.nextAttemptAt = now + time.Duration(pause*float64(now-sentAt))
--- a/control/load_estimate.go
+++ b/control/load_estimate.go
@@ -7,22 +7,22 @@
 
 const (
 	serverLatencyGain       = 0.2  // gain of a server's latency estimate
-	latencyDecaySeconds     = 5.0  // time constant of the trust in an estimate without new samples
-	latencyPriorSamples     = 6.0  // recent samples that weigh as much as the fleet's latency
-	slowdownDecaySeconds    = 40.0 // time constant of a reported slowdown
-	utilizationDecaySeconds = 2.0  // time constant of a reported utilization
-	minSlowdown             = 1.5  // below it, a server counts as fast as the fleet
+	latencyDecaySeconds     = 5.0  // time constant with which the weight of latency samples decays
+	latencyPriorSamples     = 6.0  // weight of the fleet's latency, in recent samples
+	slowdownDecaySeconds    = 40.0 // time constant with which a reported slowdown decays
+	utilizationDecaySeconds = 2.0  // time constant with which a reported utilization decays
+	minSlowdown             = 1.5  // slowdowns below it count as none
 	minFleetLatency         = 1e-3 // seconds
 )
 
-// latencyEstimate is a server's latency by attempts of this gateway.
+// latencyEstimate is a server's latency as measured by attempts of this gateway.
 type latencyEstimate struct {
-	seconds   float64 // smoothed; 0 is none
+	seconds   float64 // exponential average; 0 is none
 	updatedAt time.Duration
-	samples   float64 // decaying number of them
+	samples   float64 // decaying number of samples
 }
 
-// add takes the latency of an answer, or the time after which there was none.
+// add adds the latency of an answer, or the time after which an attempt timed out.
 func (l *latencyEstimate) add(now time.Duration, seconds float64) {
 	if l.seconds == 0 {
 		l.seconds = seconds
@@ -32,8 +32,8 @@
 	l.updatedAt = now
 }
 
-// expectedSeconds is the latency to expect of the server, which goes from its own to the fleet's where
-// there are no new samples.
+// expectedSeconds returns the expected latency of the server, which moves from its own estimate to the
+// fleet's while there are no new samples.
 func (l *latencyEstimate) expectedSeconds(now time.Duration, fleetLatency float64) float64 {
 	latency := fleetLatency
 	if l.samples > 0 {
@@ -43,20 +43,20 @@
 	return latency
 }
 
-// loadEstimate is a server's load by its latest report.
+// loadEstimate is a server's load according to its latest report.
 type loadEstimate struct {
-	slowdown    float64       // times the mean latency of all servers
-	utilization float64       // part of its cores that is busy
+	slowdown    float64       // latency relative to the mean of all servers
+	utilization float64       // fraction of its cores that is busy
 	reportedAt  time.Duration // 0 is never
 }
 
-// isRecent tells whether the latest report still counts.
+// isRecent reports whether the latest report still counts.
 func (l *loadEstimate) isRecent(now time.Duration) bool {
 	return l.reportedAt > 0 && now < l.reportedAt+durationOf(slowdownDecaySeconds)
 }
 
-// expected returns what to expect of the server, which goes from its latest report to the values of one of
-// which nothing is known.
+// expected returns the expected load of the server, which moves from its latest report to the given values
+// for a server without reports.
 func (l *loadEstimate) expected(
 	now time.Duration, unknownSlowdown, unknownUtilization float64,
 ) (slowdown, utilization float64) {
@@ -70,9 +70,9 @@
 	return slowdown, utilization
 }
 
-// recordLoadReport takes a report, which covers the requests of all gateways. Its mean latency starts at
-// zero and follows slowly: it can show that a server is slow, but not that it is fast. Guards against a
-// server just started that all gateways find the fastest.
+// recordLoadReport records a report, which covers the requests of all gateways. The reported mean latency
+// starts at zero when a server starts and changes slowly, so it can show that a server is slow but not that
+// it is fast: otherwise all gateways would consider a server that has just started the fastest.
 func (f *serverFleet) recordLoadReport(now time.Duration, srv *server, report *LoadReport) {
 	reportedLatency := report.MeanLatencyMS / 1000
 	f.utilization.add(math.Min(1, report.Utilization), fleetEstimateGain)
@@ -86,5 +86,5 @@
 	srv.load.reportedAt = now
 }
 
-// positiveLatency is the fleet's latency in seconds, or a small one where none is known.
+// positiveLatency returns the fleet's latency in seconds, but at least minFleetLatency.
 func (f *fleetEstimate) positiveLatency() float64 { return math.Max(f.latency.mean, minFleetLatency) }
--- a/control/meter_clock.go
+++ b/control/meter_clock.go
@@ -7,32 +7,32 @@
 
 const (
 	binsPerPeriod       = 10   // bins in a meter period
-	initialMeterLagBins = 8    // delay of readings assumed until it is learned
-	maxMeterLagBins     = 66   // delays of readings that are considered
-	misfitDecay         = 0.99 // part of a delay's misfit that stays at each reading
-	missingSendsWeight  = 0.5  // weight of usage without sends against sends without usage
-	misfitSwitchRatio   = 0.8  // another delay's misfit must be below this part of the present one's
+	initialMeterLagBins = 8    // lag of readings that is assumed until it is learned
+	maxMeterLagBins     = 66   // number of lags that are considered, from 0
+	misfitDecay         = 0.99 // fraction of a misfit that remains at each reading
+	missingSendsWeight  = 0.5  // weight of usage without sends, relative to sends without usage
+	misfitSwitchRatio   = 0.8  // a lag is replaced by one whose misfit is below this fraction of its own
 )
 
-// meterClock is what is known of the meter's periods: when they end, and how late readings of them come.
-// Times are in bins, of which a period has binsPerPeriod.
+// meterClock estimates when the meter's periods end and with which lag their readings arrive. Times are in
+// bins; a period has binsPerPeriod bins.
 type meterClock struct {
 	misfit   [binsPerPeriod][maxMeterLagBins]float64 // decaying, by phase and lag; see fit
 	phaseBin int64
 	lagBins  int64
 }
 
-// periodEndBin is the bin in which the period ended that is reported now.
+// periodEndBin returns the bin in which the currently reported period ended.
 func (m *meterClock) periodEndBin(now int64) int64 {
 	return latestBinAtPhase(now, m.phaseBin) - m.lagBins
 }
 
-// latestBinAtPhase is the latest bin at or before now that lies at a phase of the period.
+// latestBinAtPhase returns the latest bin at or before now that has the given phase in its period.
 func latestBinAtPhase(now, phase int64) int64 {
 	return now - ((now-phase)%binsPerPeriod+binsPerPeriod)%binsPerPeriod
 }
 
-// binDurationOf is the length of a bin with a period of the meter; 0 is no meter.
+// binDurationOf returns the length of a bin, given the meter's period; 0 is no meter.
 func binDurationOf(period time.Duration) time.Duration {
 	if period > 0 {
 		return period / binsPerPeriod
@@ -40,9 +40,9 @@
 	return windowDuration / binsPerPeriod
 }
 
-// fit takes a reading and finds when the meter's periods end and how late they are reported, whatever the
-// cause of the delay: the phase and lag under which the units sent here fit all readings best. Guards
-// against a period that is read many times, or matched with the sends of another.
+// fit updates the phase and the lag of the meter's periods by a reading. It selects those under which the
+// units that this gateway sent fit all readings best, whatever causes the lag. With a wrong estimate a period
+// would be read more than once, or compared with the units sent in another one.
 func (m *meterClock) fit(sent *history, used, units, localFraction float64, now int64) {
 	minMisfit := math.Inf(1)
 	var bestPhase, bestLag int64
--- a/control/plan_queue.go
+++ b/control/plan_queue.go
@@ -2,28 +2,28 @@
 
 import "slices"
 
-// planQueue is the queue of a plan, with its share in the scheduler and what its requests have shown.
+// planQueue is the queue of a plan, with its share in the scheduler and the measurements of its requests.
 type planQueue struct {
 	Plan
-	index         int // in the settings
+	index         int // index in the settings
 	queue         []*request
-	share         float64 // weight in the scheduler; those of all plans sum up to one
-	deficit       float64 // what the plan is behind its share
-	latenessSum   float64 // in this control window, of latency over objective
+	share         float64 // weight in the scheduler; the shares of all plans add up to one
+	deficit       float64 // service that the plan is owed according to its share
+	latenessSum   float64 // sum of latency over objective in this control window
 	latenessCount float64
-	meanLateness  float64 // of the latest window with answers
+	meanLateness  float64 // mean lateness of the latest window with answers
 
 	firstReadings firstReadingEstimate
 }
 
-// recordLateness takes the latency of a request over its objective.
+// recordLateness records the latency of a request divided by its objective.
 func (p *planQueue) recordLateness(lateness float64) {
 	p.latenessSum += lateness
 	p.latenessCount++
 }
 
-// endLatenessWindow returns the mean lateness of the control window that ends, or of the latest one with
-// answers.
+// endLatenessWindow returns the mean lateness of the control window that ends, or that of the latest window
+// with answers if it had none.
 func (p *planQueue) endLatenessWindow() float64 {
 	if p.latenessCount > 0 {
 		p.meanLateness = p.latenessSum / p.latenessCount
@@ -33,13 +33,13 @@
 	return p.meanLateness
 }
 
-// pushBack queues a new request.
+// pushBack adds a new request at the end of the queue.
 func (p *planQueue) pushBack(req *request) {
 	p.countQueued(req)
 	p.queue = append(p.queue, req)
 }
 
-// pushFront queues a retry.
+// pushFront adds a retry at the head of the queue.
 func (p *planQueue) pushFront(req *request) {
 	p.countQueued(req)
 	p.queue = slices.Insert(p.queue, 0, req)
@@ -52,7 +52,7 @@
 	}
 }
 
-// remove takes a request out of the queue, if it is queued.
+// remove removes a request from the queue if it is queued.
 func (p *planQueue) remove(req *request) {
 	if !req.isQueued {
 		return
--- a/control/request.go
+++ b/control/request.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// request is a request that has been admitted and has no final answer yet, or attempts that go on after it.
+// request is an admitted request that has no final answer yet or still has attempts in flight.
 type request struct {
 	id           string
 	class        *Class
@@ -10,26 +10,26 @@
 	account      *customerAccount
 	units        float64
 	arrivedAt    time.Duration
-	objectiveAt  time.Duration // an answer by then meets the latency objective
+	objectiveAt  time.Duration // time until which an answer meets the latency objective
 	deadline     time.Duration
 	isQueued     bool
-	isStreaming  bool // its attempts do not count against the concurrency limit
-	attempts     int  // that were started
-	inFlight     int  // attempts
+	isStreaming  bool // whether its attempts do not count against the concurrency limit
+	attempts     int  // number of attempts that were started
+	inFlight     int  // number of attempts in flight
 	triedServers []uint32
-	mayHaveRun   bool // an attempt may have run
+	mayHaveRun   bool // whether an attempt may have run
 	firstRunAt   time.Duration
-	repeatGroup  *server // a server of the group that drops repeats of its key; nil if it has not run
+	repeatGroup  *server // a server of the group that drops repeats of its key; nil if it cannot have run
 	timerLabel   uint64  // 0 is none
 }
 
 func (r *request) hasIdempotencyKey() bool { return r.class.Idempotency == IdempotentWithKey }
 
-// repeatsDroppedUntil is the end of the time in which the repeat group drops repeats of what may have run.
+// repeatsDroppedUntil returns the end of the repeat window, in which the repeat group drops repeats.
 func (r *request) repeatsDroppedUntil() time.Duration { return r.firstRunAt + r.class.RepeatWindow }
 
-// recordPossibleRun notes that an attempt, sent at a time to a server, may have had an effect. The first one
-// that may have begins the repeat window and sets the repeat group.
+// recordPossibleRun records that an attempt, which was sent at sentAt to a server, may have had an effect.
+// The first such attempt starts the repeat window and determines the repeat group.
 func (r *request) recordPossibleRun(sentAt time.Duration, srv *server) {
 	if r.mayHaveRun {
 		return
@@ -39,7 +39,7 @@
 	r.repeatGroup = srv
 }
 
-// attemptKey names an attempt: the first of a request is number 0.
+// attemptKey identifies an attempt; the first attempt of a request has number 0.
 type attemptKey struct {
 	id     string
 	number int
@@ -73,17 +73,18 @@
 
 func (t *requestTable) add(req *request) { t.byID[req.id] = req }
 
-// contains tells whether a request has no final answer yet. Another one may have come with the same ID.
+// contains reports whether a request has no final answer yet. Another request may have arrived with the same
+// ID.
 func (t *requestTable) contains(req *request) bool { return t.byID[req.id] == req }
 
-// remove drops a request that has its final answer. Its attempts in flight go on.
+// remove removes a request that has its final answer. Its attempts in flight continue.
 func (t *requestTable) remove(req *request) {
 	req.plan.remove(req)
 	delete(t.byID, req.id)
 	delete(t.byTimer, req.timerLabel)
 }
 
-// timerLabel returns the label of a request's one timer.
+// timerLabel returns the label of a request's single timer, and assigns one at the first call.
 func (t *requestTable) timerLabel(req *request) uint64 {
 	if req.timerLabel == 0 {
 		t.lastTimerLabel++
@@ -93,7 +94,7 @@
 	return req.timerLabel
 }
 
-// startAttempt counts an attempt that starts now.
+// startAttempt records an attempt that starts now.
 func (t *requestTable) startAttempt(now time.Duration, req *request, srv *server, charged charge) {
 	t.attempts[attemptKey{id: req.id, number: req.attempts}] = &pendingAttempt{
 		request: req,
@@ -107,18 +108,18 @@
 	req.triedServers = append(req.triedServers, srv.Server)
 	req.account.inFlight.startAttempt()
 	t.slots.inFlight++
-	if req.isStreaming { // from the start: its body is still to come
+	if req.isStreaming { // from the start, as its body is pending
 		t.slots.streaming++
 	}
 }
 
-// startStreaming tells that the answer of a request has begun.
+// startStreaming records that the streamed response of a request has started.
 func (t *requestTable) startStreaming(req *request) {
 	req.isStreaming = true
 	t.slots.streaming++
 }
 
-// endAttempt ends an attempt, and returns it; nil if there is none of that key.
+// endAttempt ends an attempt and returns it, or nil if there is no attempt with the key.
 func (t *requestTable) endAttempt(key attemptKey) *pendingAttempt {
 	attempt := t.attempts[key]
 	if attempt == nil {
--- a/control/restore.go
+++ b/control/restore.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// Trust is how much of a checkpoint Restore takes over.
+// Trust determines which parts of a checkpoint Restore uses.
 type Trust int
 
 const (
-	// TrustAll is for a checkpoint since which nothing was spent: all of it is taken over.
+	// TrustAll is for a checkpoint after which no units were spent. All of it is restored.
 	TrustAll Trust = iota
-	// TrustEstimates is for one since which an unknown amount was spent, as after a crash. Only estimates are taken
-	// over. The buckets of hard limits begin empty, as the slack that each start grants would add up.
+	// TrustEstimates is for a checkpoint after which an unknown amount was spent, as after a crash. Only estimates are
+	// restored. The buckets of hard limits start empty, since the slack would otherwise be granted at each restart.
 	TrustEstimates
 )
 
-// maxShareSumError is how far the shares of a checkpoint may be from a sum of one.
+// maxShareSumError is the maximum difference between one and the sum of a checkpoint's shares.
 const maxShareSumError = 1e-6
 
-// Restore takes over a checkpoint, with its part of all rates until ReclaimRates. It is for a controller that has
-// been given the endpoint list and has taken no request yet. What a checkpoint holds of servers, classes or plans that
-// are not there is dropped; where a plan has other quotas now, what was spent stays spent. Estimates count by their age.
-// An unusable checkpoint changes nothing.
+// Restore restores a checkpoint, with its fraction of all rates until ReclaimRates. The controller must have received
+// the endpoint list, but no request yet. The state of servers, classes or plans that no longer exist is discarded. If a
+// plan's quotas have changed, the units spent still count. Estimates are weighted by their age. An invalid checkpoint
+// is ignored.
 func (c *Controller) Restore(now time.Duration, checkpoint Checkpoint, trust Trust) {
 	now = max(c.now, now)
 	if checkpoint.Version != CheckpointVersion || !checkpoint.isFinite() {
@@ -61,8 +61,8 @@
 	}
 }
 
-// RestoreServers takes over what a checkpoint holds of servers, and the concurrency limit for them. It is for a controller
-// that has just been given its first endpoint list, after Restore.
+// RestoreServers restores only the servers and the concurrency limit of a checkpoint. It is for a controller that
+// received its first endpoint list after Restore.
 func (c *Controller) RestoreServers(now time.Duration, checkpoint Checkpoint, trust Trust) {
 	if checkpoint.Version != CheckpointVersion || !checkpoint.isFinite() {
 		return
@@ -72,7 +72,7 @@
 	c.restoreServers(&checkpoint, trust)
 }
 
-// restoreServers takes over the servers of a checkpoint that are listed.
+// restoreServers restores the servers of a checkpoint that are listed.
 func (c *Controller) restoreServers(checkpoint *Checkpoint, trust Trust) {
 	for i := range checkpoint.Servers {
 		c.restoreServer(&checkpoint.Servers[i], trust)
@@ -80,16 +80,16 @@
 	slices.SortFunc(c.requests.slots.abandoned, func(a, b abandonedAttempt) int { return cmp.Compare(a.until, b.until) })
 }
 
-// decayOf is the weight of a checkpoint's estimates by its age.
+// decayOf returns the weight of a checkpoint's estimates, which decreases with its age.
 func (c *Controller) decayOf(checkpoint *Checkpoint) float64 {
 	return math.Exp(-math.Max(0, (c.now-checkpoint.At).Seconds()) / maxAccountIdleTime.Seconds())
 }
 
-// restoreEstimates takes over what was learned of the fleet, with a weight by its age, and the concurrency limit.
+// restoreEstimates restores the estimates over the fleet, weighted by their age, and the concurrency limit.
 func (c *Controller) restoreEstimates(checkpoint *Checkpoint) {
 	decay := c.decayOf(checkpoint)
 	c.fleet.latency = runningMean{checkpoint.FleetLatency, checkpoint.LatencySamples * decay}
-	// The count keeps the first window from replacing the mean.
+	// With this count the first window does not replace the restored mean.
 	c.fleet.warmThroughput = runningMean{checkpoint.WarmThroughput * decay, 1 / throughputGain}
 	c.fleet.warmServers = runningMean{checkpoint.WarmServers, 1 / throughputGain}
 	c.fleet.peakThroughput = checkpoint.PeakThroughput * decay
@@ -99,8 +99,8 @@
 	c.restoreConcurrencyLimit(checkpoint)
 }
 
-// restoreConcurrencyLimit takes over the concurrency limit, which was for another number of servers. Without a server it
-// stays as it is.
+// restoreConcurrencyLimit restores the concurrency limit, scaled down if there are fewer usable servers than at the time
+// of the checkpoint. Without a usable server the limit is not changed.
 func (c *Controller) restoreConcurrencyLimit(checkpoint *Checkpoint) {
 	usable := c.fleet.countServers((*server).isUsable)
 	if checkpoint.ConcurrencyLimit > 0 && checkpoint.UsableServers > 0 && usable > 0 {
@@ -109,8 +109,8 @@
 	}
 }
 
-// restoreWindow continues a window. Guards against reloads at shorter intervals than a window, in which nothing would be
-// learned.
+// restoreWindow continues the control window of a checkpoint. With reloads at intervals shorter than a window, no window
+// would otherwise end and the limit and shares would never be updated.
 func (c *Controller) restoreWindow(saved *WindowState) {
 	if saved.EndsAt > c.now-maxWindowExtension && saved.EndsAt <= c.now+windowDuration {
 		c.windowEndsAt = saved.EndsAt
@@ -119,7 +119,7 @@
 	}
 }
 
-// isUsable reports whether the state is one of a meter clock with this period.
+// isUsable reports whether the state is valid for a meter clock with the given period.
 func (m *MeterState) isUsable(period time.Duration) bool {
 	isPhase := m.PhaseBin >= 0 && m.PhaseBin < binsPerPeriod
 	isLag := m.LagBins >= 0 && m.LagBins < maxMeterLagBins
@@ -129,7 +129,7 @@
 // hasMisfits reports whether there is a misfit for each phase and lag.
 func (m *MeterState) hasMisfits() bool { return len(m.Misfit) == binsPerPeriod*maxMeterLagBins }
 
-// restoreShares takes the shares over if the plans are the same.
+// restoreShares restores the shares if the plans are the same.
 func (c *Controller) restoreShares(plans []PlanCheckpoint) {
 	if len(plans) != len(c.scheduler.plans) {
 		return
@@ -153,8 +153,8 @@
 	}
 }
 
-// ReclaimRates ends what HandOver or Restore began: the controller that had the other part of all rates has ended.
-// What it was given and has not spent comes back with a checkpoint; nil if that is not known.
+// ReclaimRates returns all rates to this controller after a HandOver or a Restore, when the controller that had the other
+// part has ended. handedOver is that controller's checkpoint with the tokens that it has not spent, or nil if unknown.
 func (c *Controller) ReclaimRates(now time.Duration, handedOver *Checkpoint) {
 	c.now = max(c.now, now)
 	if handedOver != nil && handedOver.Version == CheckpointVersion && handedOver.isFinite() {
@@ -174,7 +174,7 @@
 		if plan == nil || !(saved.FanOut >= 1) {
 			continue
 		}
-		account := c.accountFor(plan, saved.ID, int(saved.FanOut)) // new if only the other controller has had it
+		account := c.accountFor(plan, saved.ID, int(saved.FanOut)) // new if only the other controller had it
 		account.quota.tokens = math.Min(plan.QuotaBurst, account.quota.tokens+saved.QuotaTokens)
 		hardLimitTokens := account.hardLimit.tokens + saved.HardLimitTokens
 		account.hardLimit.tokens = math.Min(plan.HardLimitBurst/account.fanOut, hardLimitTokens)
@@ -188,7 +188,7 @@
 	}
 }
 
-// PredecessorEnded reports that the controller whose place this one took has no attempts in flight any more.
+// PredecessorEnded tells the controller that its predecessor has no attempts in flight anymore.
 func (c *Controller) PredecessorEnded() {
 	for _, account := range c.accounts.byKey {
 		account.inFlight.predecessor = 0
--- a/control/resume.go
+++ b/control/resume.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Resume returns a controller in the state of an image, with the settings that it was taken under. It fails if the
-// image is not one of these settings, or not one of a controller.
+// Resume returns a controller in the state of an image. It needs the settings under which the image was taken, and fails
+// if the image does not match them or is invalid.
 func Resume(settings Settings, image Image) (*Controller, error) {
 	if image.Version != ImageVersion {
 		return nil, fmt.Errorf("image: version %d, not %d", image.Version, ImageVersion)
@@ -58,7 +58,7 @@
 	return c.resumeAttempts(image, requests, servers, customers)
 }
 
-// checkSettings returns an error if the image was taken under other settings.
+// checkSettings returns an error if the image does not match the number of plans, classes or misfits of the settings.
 func (c *Controller) checkSettings(image *Image) error {
 	if len(image.Plans) != len(c.scheduler.plans) {
 		return fmt.Errorf("of %d plans, not %d", len(image.Plans), len(c.scheduler.plans))
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// resumeCounters takes over times, counts and parts that refer to nothing else.
+// resumeCounters restores times, counts and the parts that refer to no other object.
 func (c *Controller) resumeCounters(image *Image) {
 	c.now = image.Now
 	c.clockAdvance = image.ClockAdvance
@@ -92,7 +92,7 @@
 	c.nextTick = image.NextTick
 }
 
-// resumeEstimates takes over the concurrency limit and what is known of all servers together.
+// resumeEstimates restores the concurrency limit and the estimates over all servers.
 func (c *Controller) resumeEstimates(image *Image) {
 	c.limiter = concurrencyLimiter{
 		limit:                image.ConcurrencyLimit,
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// resumeRequests takes over the requests of an image, in its order.
+// resumeRequests restores the requests of an image and returns them in the image's order.
 func (c *Controller) resumeRequests(
 	image *Image, servers []*server, customers []*customerAccount,
 ) ([]*request, error) {
@@ -145,8 +145,8 @@
 	return requests, nil
 }
 
-// resumeRequest returns the request of an image, or an error if it refers to something that the image or the settings
-// do not have.
+// resumeRequest returns a request of an image, or an error if it refers to an object that does not exist in the image or
+// the settings.
 func (c *Controller) resumeRequest(
 	saved *RequestImage, servers []*server, customers []*customerAccount,
 ) (*request, error) {
@@ -235,5 +235,5 @@
 	return nil
 }
 
-// isIndex reports whether i is an index in a list of this length.
+// isIndex reports whether i is an index of a list with the given length.
 func isIndex(i, length int) bool { return i >= 0 && i < length }
--- a/control/server.go
+++ b/control/server.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// server is what a controller knows of one server. The fields of each part are touched by the part's own
-// methods only, but for restarts, checkpoints and images.
+// server is the state of one server. The fields of each part are accessed only by the part's own methods,
+// except for restarts, checkpoints and images.
 type server struct {
 	Endpoint
 	isListed       bool
-	inFlight       int           // attempts
-	abandoned      int           // attempts presumed still running
-	lastActivityAt time.Duration // last end of an attempt, or start of one with no other in flight
+	inFlight       int           // number of attempts in flight
+	abandoned      int           // number of abandoned attempts that are presumed still running
+	lastActivityAt time.Duration // latest end of an attempt, or start of one with no other in flight
 	latency        latencyEstimate
 	load           loadEstimate
 	outlier        outlierDetector
@@ -18,13 +18,13 @@
 
 func (s *server) isUsable() bool { return s.isListed && s.State == Active }
 
-// isWarmingUp tells whether the server is in its slow start.
+// isWarmingUp reports whether the server is in its slow start.
 func (s *server) isWarmingUp() bool { return s.slowStart.isActive }
 
-// currentLoad is the attempts of this gateway that run at the server or are presumed to.
+// currentLoad returns the number of this gateway's attempts that run, or are presumed to run, at the server.
 func (s *server) currentLoad() int { return s.inFlight + s.abandoned }
 
-// bootTime is when a server started, 0 for long ago.
+// bootTime returns the time at which the server started; 0 is long ago.
 func (s *server) bootTime() time.Duration {
 	if !s.HasStartedAt {
 		return 0
@@ -32,7 +32,7 @@
 	return s.StartedAt
 }
 
-// startAttempt counts an attempt that starts now, and charges its units to a slow start.
+// startAttempt records an attempt that starts now, and charges its units to a slow start.
 func (s *server) startAttempt(now time.Duration, units float64) {
 	if s.inFlight == 0 {
 		s.lastActivityAt = now
@@ -44,7 +44,7 @@
 
 func (s *server) endAttempt() { s.inFlight-- }
 
-// forgetIncarnation drops what was known of the server before it started anew.
+// resetIncarnation discards the estimates of the server's earlier incarnation.
 func (s *server) resetIncarnation() {
 	s.latency.seconds = 0
 	s.latency.samples = 0
--- a/control/server_storage.go
+++ b/control/server_storage.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Limits of what is restored of a server.
+// Limits on the restored state of a server.
 const (
-	maxRestoredAbandoned = 10000     // attempts presumed still running, of each kind
-	maxAbandonedTime     = time.Hour // for which an attempt is presumed so
+	maxRestoredAbandoned = 10000     // maximum number of restored attempts, in flight and abandoned each
+	maxAbandonedTime     = time.Hour // maximum time for which an attempt is presumed to run
 
-	// maxStartDifference is how far apart two processes may reckon one start of a server: each takes its age by its
-	// own reading of the clocks.
+	// maxStartDifference is the maximum difference between the times at which two processes place the same start of a
+	// server. Each computes the time from the server's age by its own reading of the clocks.
 	maxStartDifference = time.Second
 )
 
-// isSameIncarnation reports whether two start times are of one incarnation of a server; 0 is long ago.
+// isSameIncarnation reports whether two start times belong to one incarnation of a server; 0 is long ago.
 func isSameIncarnation(a, b time.Duration) bool {
 	return a == b || a != 0 && b != 0 && (a-b).Abs() <= maxStartDifference
 }
 
-// checkpointServer is the stored form of a server for another controller.
+// checkpointServer returns the stored form of a server for another controller.
 func (c *Controller) checkpointServer(srv *server) ServerCheckpoint {
 	saved := ServerCheckpoint{
 		Server:              srv.Server,
@@ -49,13 +49,13 @@
 	return saved
 }
 
-// restoreServer takes over the stored form of a server if it is of the same incarnation.
+// restoreServer restores the state of a server if it is still the same incarnation.
 func (c *Controller) restoreServer(saved *ServerCheckpoint, trust Trust) {
 	srv := c.fleet.servers[saved.Server]
 	if srv == nil || !isSameIncarnation(srv.bootTime(), saved.StartedAt) {
 		return
 	}
-	// The estimate was most likely one of several samples.
+	// The number of samples is not stored; the estimate is most likely based on several.
 	srv.latency = latencyEstimate{
 		seconds:   saved.Latency,
 		updatedAt: saved.LatencyAt,
@@ -71,7 +71,8 @@
 	c.restoreAbandoned(srv, saved)
 }
 
-// restoreOutlier takes over a server's failures and ejection, with no end later than one set now.
+// restoreOutlier restores a server's failures and ejection. Times in the future are limited to those that an ejection or
+// a rejection now would set.
 func (c *Controller) restoreOutlier(outlier *outlierDetector, saved *ServerCheckpoint) {
 	outlier.failureRate = saved.FailureRate
 	outlier.failureRateAt = saved.FailureRateAt
@@ -85,8 +86,8 @@
 	}
 }
 
-// restoreAbandoned takes over the predecessor's attempts: they count against the concurrency limit and a slow start
-// until they are presumed to have ended.
+// restoreAbandoned restores the predecessor's attempts as abandoned ones. They count against the concurrency limit and a
+// slow start until they are presumed to have ended.
 func (c *Controller) restoreAbandoned(srv *server, saved *ServerCheckpoint) {
 	until := c.now + durationOf(c.fleet.latency.mean)
 	for range min(saved.InFlight, maxRestoredAbandoned) {
@@ -99,7 +100,7 @@
 	}
 }
 
-// image is the stored form of a server for this controller, without whether it is tracked.
+// image returns the stored form of a server for this controller, without IsTracked.
 func (s *server) image() ServerImage {
 	image := ServerImage{
 		Endpoint:            s.Endpoint,
@@ -131,7 +132,7 @@
 	return image
 }
 
-// resumeServers takes the servers of an image, in its order, and the attempts presumed still running there.
+// resumeServers restores the servers of an image, which it returns in the image's order, and the abandoned attempts.
 func (c *Controller) resumeServers(image *Image) ([]*server, error) {
 	var servers []*server
 	for i := range image.Servers {
--- a/control/settings.go
+++ b/control/settings.go
@@ -7,17 +7,18 @@
 	"time"
 )
 
-// Idempotency says what a second run of a request would do. Its key in settings is "repeats", in stored data "Effect".
+// Idempotency is the effect of running a request a second time. Its key in settings is "repeats", in stored data
+// "Effect".
 type Idempotency int
 
 // The kinds of idempotency.
 const (
 	Idempotent        Idempotency = iota // may run any number of times
-	IdempotentWithKey                    // carries an idempotency key; a group of servers drops repeats for the repeat window
+	IdempotentWithKey                    // carries an idempotency key; a group of servers drops repeats within the repeat window
 	NotIdempotent                        // must not run twice
 )
 
-// KeyScope says which servers drop repeats of an idempotency key together.
+// KeyScope is the group of servers that drop repeats of each other's idempotency keys.
 type KeyScope int
 
 // The scopes of an idempotency key.
@@ -27,35 +28,36 @@
 	ScopeCell
 )
 
-// Class describes one class of requests. Worth, late share and effect are older words of its keys.
+// Class describes one class of requests. Some keys, such as worth, late share and effect, are older than the fields'
+// names.
 type Class struct {
 	Name               string        `cbor:"Name" plan:"name"`
-	LatencyObjective   time.Duration `cbor:"Aim" plan:"aim"`           // an answer within it has its full weight
-	Deadline           time.Duration `cbor:"Deadline" plan:"deadline"` // what a client waits at most, over all attempts of its own
+	LatencyObjective   time.Duration `cbor:"Aim" plan:"aim"`           // an answer within it counts with its full weight
+	Deadline           time.Duration `cbor:"Deadline" plan:"deadline"` // maximum time that a client waits, over all of its own attempts
 	Idempotency        Idempotency   `cbor:"Effect" plan:"repeats"`
 	KeyScope           KeyScope      `cbor:"KeyScope" plan:"key_scope"`         // with IdempotentWithKey
 	RepeatWindow       time.Duration `cbor:"RepeatWindow" plan:"repeat_window"` // with IdempotentWithKey: how long repeats are dropped
 	PriorityWeight     float64       `cbor:"Worth" plan:"worth"`
-	LateWeightFraction float64       `cbor:"LateShare" plan:"late_share"` // part of the weight left for an answer after the objective
-	IsStreaming        bool          `cbor:"Stream" plan:"stream"`        // answers begin with a ResponseStarted event
+	LateWeightFraction float64       `cbor:"LateShare" plan:"late_share"` // fraction of the weight for an answer after the objective
+	IsStreaming        bool          `cbor:"Stream" plan:"stream"`        // answers start with a ResponseStarted event
 }
 
-// Plan describes one plan and what it grants each of its customers over all gateways together. Zero means that there
-// is no such quota or limit. Depth and ceiling are older words of its keys.
+// Plan describes one plan and the quotas and limits of each of its customers over all gateways together. Zero means
+// that there is no such quota or limit. Some keys, such as depth and ceiling, are older than the fields' names.
 type Plan struct {
 	Name           string  `cbor:"Name" plan:"name"`
 	Price          float64 `cbor:"Price" plan:"price"`                // factor on the priority weight of a request
-	QuotaRate      float64 `cbor:"Rate" plan:"rate"`                  // units a second
-	QuotaBurst     float64 `cbor:"Depth" plan:"depth"`                // units that the token bucket of the quota holds
-	MaxInFlight    int     `cbor:"Open" plan:"open"`                  // attempts in flight at once
-	OverQuotaCost  float64 `cbor:"OverCost" plan:"over_cost"`         // part of its weight that a request beyond the quota costs
-	OverQuotaGain  float64 `cbor:"OverEarns" plan:"over_earns"`       // part of its weight that a request beyond the quota earns
-	HardLimitRate  float64 `cbor:"CeilingRate" plan:"ceiling_rate"`   // units a second of the hard limit
-	HardLimitBurst float64 `cbor:"CeilingBurst" plan:"ceiling_burst"` // units that the token bucket of the hard limit holds
+	QuotaRate      float64 `cbor:"Rate" plan:"rate"`                  // units per second
+	QuotaBurst     float64 `cbor:"Depth" plan:"depth"`                // capacity in units of the quota's token bucket
+	MaxInFlight    int     `cbor:"Open" plan:"open"`                  // maximum number of attempts in flight at once
+	OverQuotaCost  float64 `cbor:"OverCost" plan:"over_cost"`         // fraction of its weight that a request beyond the quota costs
+	OverQuotaGain  float64 `cbor:"OverEarns" plan:"over_earns"`       // fraction of its weight that a request beyond the quota earns
+	HardLimitRate  float64 `cbor:"CeilingRate" plan:"ceiling_rate"`   // units per second of the hard limit
+	HardLimitBurst float64 `cbor:"CeilingBurst" plan:"ceiling_burst"` // capacity in units of the hard limit's token bucket
 	HardLimitSlack float64 `cbor:"CeilingSlack" plan:"ceiling_slack"` // units by which that bucket may fall below zero
 }
 
-// Settings are what a controller is made with. Units, rates and loads are float64.
+// Settings configures a controller. Units, rates and loads are float64.
 type Settings struct {
 	SelfIndex int     `cbor:"SelfIndex" plan:"instance"`
 	GroupSize int     `cbor:"GroupSize" plan:"instances"`
@@ -63,20 +65,20 @@
 	Classes   []Class `cbor:"Classes" plan:"classes"`
 	Plans     []Plan  `cbor:"Plans" plan:"plans"`
 
-	ListOnRequest         bool          `cbor:"OnRequest" plan:"on_request"`       // the endpoint list has to be watched or fetched
-	MaxPollInterval       time.Duration `cbor:"AskWithin" plan:"ask_within"`       // longest time between two polls without a watch
-	DrainGrace            time.Duration `cbor:"DrainGrace" plan:"drain_grace"`     // how long attempts at a draining server are tolerated
-	WarmupTime            time.Duration `cbor:"Cold" plan:"cold"`                  // after its start, by which a server has its full capacity
-	InitialCapacity       float64       `cbor:"ColdFrom" plan:"cold_from"`         // part of its capacity that a server has at its start, at least
-	OverloadWindow        time.Duration `cbor:"Fall" plan:"fall"`                  // time over which the load of a server that is warming up is counted
-	OverloadMultiple      float64       `cbor:"FallMultiple" plan:"fall_multiple"` // times its present capacity that it bears over that time
+	ListOnRequest         bool          `cbor:"OnRequest" plan:"on_request"`       // the endpoint list must be watched or fetched
+	MaxPollInterval       time.Duration `cbor:"AskWithin" plan:"ask_within"`       // maximum time between two polls without a watch
+	DrainGrace            time.Duration `cbor:"DrainGrace" plan:"drain_grace"`     // time for which attempts at a draining server are tolerated
+	WarmupTime            time.Duration `cbor:"Cold" plan:"cold"`                  // time from its start to a server's full capacity
+	InitialCapacity       float64       `cbor:"ColdFrom" plan:"cold_from"`         // minimum fraction of its capacity that a server has at its start
+	OverloadWindow        time.Duration `cbor:"Fall" plan:"fall"`                  // window over which the load of a warming server is counted
+	OverloadMultiple      float64       `cbor:"FallMultiple" plan:"fall_multiple"` // tolerated load over it, as a multiple of the current capacity
 	MeterPeriod           time.Duration `cbor:"MeterPeriod" plan:"meter_period"`   // period of the usage meter; 0 is no meter
-	UnitsInResponse       bool          `cbor:"CostAfter" plan:"cost_after"`       // the actual units come with the response
-	MaxUnits              float64       `cbor:"UnitsTop" plan:"units_top"`         // of one request; 0 is no limit
+	UnitsInResponse       bool          `cbor:"CostAfter" plan:"cost_after"`       // responses report the actual units
+	MaxUnits              float64       `cbor:"UnitsTop" plan:"units_top"`         // maximum units of one request; 0 is no limit
 	HasCounter            bool          `cbor:"HasCounter" plan:"has_counter"`
 	PeerMessagesPerSecond float64       `cbor:"InboxPerS" plan:"inbox_per_s"`
-	MaxAttempts           int           `cbor:"SendCap" plan:"attempts"` // of one request; 0 is no limit
-	MaxRequests           int           `cbor:"OpenCap" plan:"open_cap"` // queued and in flight; 0 is no limit
+	MaxAttempts           int           `cbor:"SendCap" plan:"attempts"` // maximum attempts of one request; 0 is no limit
+	MaxRequests           int           `cbor:"OpenCap" plan:"open_cap"` // maximum requests queued and in flight; 0 is no limit
 	CanCancel             bool          `cbor:"MayCancel" plan:"may_cancel"`
 	RetriesAreMarked      bool          `cbor:"MarksRetry" plan:"marks_retry"` // clients mark their retries
 	HealthChecks          bool          `cbor:"Probes" plan:"probes"`
@@ -87,7 +89,7 @@
 	CrossZonePrice        float64       `cbor:"CrossZone" plan:"cross_zone"` // price of an attempt that leaves the gateway's zone
 }
 
-// validate returns an error that names the first setting that makes no sense, by the words of its key.
+// validate returns an error that names the first invalid setting, by the words of its key.
 func (s *Settings) validate() error {
 	if len(s.Classes) == 0 {
 		return errors.New("settings: classes: there are none")
@@ -121,7 +123,7 @@
 	return nil
 }
 
-// namedNumber is a setting that has to be finite and not negative.
+// namedNumber is a setting that must be finite and not negative.
 type namedNumber struct {
 	name  string
 	value float64
--- a/control/sharecontrol/sharecontrol.go
+++ b/control/sharecontrol/sharecontrol.go
@@ -11,14 +11,14 @@
 	forgettingFactor           = 0.95 // lambda of the RLS
 	largeShareCost             = 0.3  // diagonal of Q
 	initialCovariance          = 1.0  // diagonal of P(0)
-	initialShareEffect         = 3.0  // B0(0): lateness removed by a share above the equal one
-	initialLatenessPersistence = 0.9  // A1(0): lateness that stays to the next window
-	maxNorm                    = 1e4  // norm of P or X above which the estimate starts anew
-	minInformation             = 1e-9 // phi' P phi below which a window teaches nothing
-	maxShareSumError           = 1e-6 // of the sum of shares, which is one
+	initialShareEffect         = 3.0  // B0(0): reduction of lateness per share above the equal share
+	initialLatenessPersistence = 0.9  // A1(0): fraction of the lateness that carries over to the next window
+	maxNorm                    = 1e4  // norm of P or X above which the estimate is reset
+	minInformation             = 1e-9 // phi' P phi below which a window does not update the estimate
+	maxShareSumError           = 1e-6 // maximum difference between one and the sum of the shares
 )
 
-// New returns a controller of one share for each price; dearer plans weigh more.
+// New returns a controller of one share for each price. The weight of a plan is proportional to its price.
 func New(prices []float64) *Controller {
 	c := &Controller{planCount: len(prices), weights: mat.NewDiagDense(len(prices), nil)}
 	for i, price := range prices {
@@ -31,7 +31,7 @@
 	return c
 }
 
-// reset starts the estimate anew.
+// reset sets the estimate to its initial value.
 func (c *Controller) reset() {
 	c.estimate = mat.NewDense(c.planCount, 2*c.planCount, nil)
 	c.covariance = mat.NewDense(2*c.planCount, 2*c.planCount, nil)
@@ -48,8 +48,8 @@
 	c.regressors = nil
 }
 
-// NextShares returns the shares of the next window, given those in force during the last one and each plan's
-// lateness at its end. The last window enters the estimate if learn is set.
+// NextShares returns the shares of the next window, given the shares during the last one and the lateness of
+// each plan at its end. The estimate is updated with the last window if learn is set.
 func (c *Controller) NextShares(shares, lateness []float64, learn bool) []float64 {
 	if c.regressors != nil && learn {
 		c.updateEstimate(lateness)
@@ -63,9 +63,10 @@
 	return next
 }
 
-// updateEstimate is one RLS step with directional forgetting. The units of the term printed in (4) do not
-// match; this is Kulhavy's form (the paper's [9]): the information grows by (lambda - (1-lambda)/r) phi phi',
-// r = phi' P phi, and so is lost only in the direction that new data come from.
+// updateEstimate performs one RLS step with directional forgetting. The units of the term printed as (4) in
+// the paper do not match. This is Kulhavy's form (the paper's [9]): the information matrix grows by (lambda -
+// (1-lambda)/r) phi phi' with r = phi' P phi, so that old information is discounted only in the direction of
+// new data.
 func (c *Controller) updateEstimate(lateness []float64) {
 	var gain, residual mat.VecDense
 	gain.MulVec(c.covariance, c.regressors)
@@ -84,8 +85,8 @@
 	}
 }
 
-// optimalShares is law (14): the shares of least cost that sum to one, then lifted to
-// be no less than zero and normalised. It returns NaN if S is singular.
+// optimalShares applies control law (14) of the paper: it computes the shares of least cost that sum to one,
+// then shifts them to be non-negative and normalizes them. It returns NaN if S is singular.
 func (c *Controller) optimalShares(lateness []float64) []float64 {
 	n := c.planCount
 	var effect, normal, inverse mat.Dense // W B0, and S with its inverse
@@ -95,8 +96,8 @@
 	ones := mat.NewVecDense(n, nil)
 	normal.Mul(effect.T(), &effect)
 	for i := 0; i < n; i++ {
-		// Guards against slowing a dear plan first, as law (14) would while all plans are
-		// better than their goals: a plan that meets its goal has no error to track.
+		// A plan that meets its objective has no error to track. Otherwise, while all plans do better than
+		// their objectives, law (14) would slow down the plan with the highest price first.
 		errors.SetVec(i, math.Min(0, 1-errors.AtVec(i)))
 		normal.Set(i, i, normal.At(i, i)+largeShareCost*largeShareCost)
 		ones.SetVec(i, 1)
--- a/control/sharecontrol/state.go
+++ b/control/sharecontrol/state.go
@@ -12,7 +12,8 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// Controller sets shares; see the package. Its estimate is of y(k+1) = X [u(k); y(k)], with shares u and lateness y.
+// Controller sets shares as described for the package. It estimates X in y(k+1) = X [u(k); y(k)], with shares u and
+// lateness y.
 type Controller struct {
 	planCount  int
 	weights    *mat.DiagDense // W
@@ -21,7 +22,7 @@
 	regressors *mat.VecDense  // phi; nil until shares have been set
 }
 
-// State is what a controller has learned; matrices are stored by rows. Its keys are the paper's letters.
+// State is the stored estimate of a controller. Matrices are stored by rows. The keys are the symbols of the paper.
 type State struct {
 	Estimate   []float64 `cbor:"X"`
 	Covariance []float64 `cbor:"P"`
@@ -40,7 +41,7 @@
 	return s
 }
 
-// Restore replaces the controller's state by a copy of s. It fails if s is of another number of plans.
+// Restore replaces the controller's state by a copy of s. It fails if s is for another number of plans.
 func (c *Controller) Restore(s State) error {
 	n := c.planCount
 	hasRegressors := len(s.Regressors) > 0
--- a/control/shared_fields.go
+++ b/control/shared_fields.go
@@ -2,11 +2,11 @@
 
 import "reflect"
 
-// sharedFields copies the fields that one stored form has in common with another: those of the same name and type. The
-// forms have other keys and another order of fields, which are fixed, so that Go can't convert one into the other.
+// sharedFields copies the fields that two stored forms have in common, which are those of the same name and type. The
+// forms differ in their keys and the order of their fields, both of which are fixed, so Go cannot convert between them.
 type sharedFields[From, To any] struct{ pairs []fieldPair }
 
-// fieldPair is one such field, by its indexes in both forms.
+// fieldPair is one shared field, given by its indexes in both forms.
 type fieldPair struct{ from, to int }
 
 func newSharedFields[From, To any]() sharedFields[From, To] {
--- a/control/shift.go
+++ b/control/shift.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// minClockShift is the least difference of two clocks that Shift takes for a step of one of them. A smaller one comes
-// of measuring it.
+// minClockShift is the minimum difference between two clocks that Shift treats as a step of one of them. Smaller
+// differences are measurement errors.
 const minClockShift = time.Second
 
-// Shift moves all times of a checkpoint by the difference of the clock of the controller that takes it over and that of
-// the one that it was taken of: the wall clock may have been stepped between the starts of the two. A difference below a
-// second changes nothing; a larger one is rounded to bins of the histories.
+// Shift moves all times of a checkpoint by the difference between the clocks of the controller that restores it and the
+// one that took it, since the wall clock may have been stepped between the starts of the two. A difference below a second
+// changes nothing; a larger one is rounded to bins of the histories.
 func (c *Checkpoint) Shift(difference time.Duration) {
 	if difference.Abs() < minClockShift {
 		return
@@ -17,7 +17,7 @@
 	difference = difference.Round(bin)
 	bins := int64(difference / bin)
 	move := func(t *time.Duration) {
-		if *t != 0 { // never, or long ago
+		if *t != 0 { // zero means never or long ago
 			*t += difference
 		}
 	}
--- a/control/throughput.go
+++ b/control/throughput.go
@@ -6,13 +6,14 @@
 )
 
 const (
-	peakDecaySeconds       = 60.0 // time constant of a server's highest throughput: it can serve that again
-	minUtilizationFraction = 0.5  // below it, reports of utilization say nothing of what a server can serve
+	peakDecaySeconds       = 60.0 // time constant with which a server's highest throughput decays
+	minUtilizationFraction = 0.5  // lower utilizations do not show how much more a server could serve
 )
 
-// warmServerThroughput is the units a second that a warm server can serve for this gateway, by what one of
-// them has served lately. Guards against a restart of most servers at once: what all have served is divided
-// by how many those were, not by how many are left. A checkpoint of an earlier build does not tell that.
+// warmServerThroughput returns the units per second that a warm server can serve for this gateway, estimated
+// from the recent throughput of one of them. The throughput of all is divided by the number of servers that
+// had served it, not by the number still warm, which is far too small after a restart of most servers at
+// once. A checkpoint of an earlier build does not contain that number.
 func (f *serverFleet) warmServerThroughput(now time.Duration) float64 {
 	if f.warmServers.mean == 0 {
 		return f.warmThroughput.mean / math.Max(1, f.countWarm(now))
@@ -20,15 +21,16 @@
 	return f.peakThroughput
 }
 
-// recordThroughput takes the units that servers which are not warming up have served in a control window.
+// recordThroughput records the units that servers which are not warming up served in a control window.
 func (f *serverFleet) recordThroughput(now time.Duration, servedUnits, windowSeconds float64) {
 	f.warmThroughput.add(servedUnits/windowSeconds, throughputGain)
 	f.warmServers.add(f.countWarm(now), throughputGain)
 	f.updatePeakThroughput(windowSeconds)
 }
 
-// countWarm counts the servers that serve and don't warm up. Guards against servers that stay listed after
-// they died: as many of those listed count as of those tried lately.
+// countWarm estimates the number of usable servers that are not warming up. Servers may stay listed after
+// they have died, so if some are ejected, the count is scaled by the fraction of live ones among those tried
+// recently.
 func (f *serverFleet) countWarm(now time.Duration) float64 {
 	var warm, reporting, ejected float64
 	for _, srv := range f.sortedServers {
@@ -48,16 +50,16 @@
 	return warm
 }
 
-// updatePeakThroughput follows what one warm server can serve up at once and down slowly: its throughput by
-// the part of its capacity that this was.
+// updatePeakThroughput updates the throughput that one warm server can reach: its served units divided by its
+// utilization. The estimate rises at once and decays slowly.
 func (f *fleetEstimate) updatePeakThroughput(windowSeconds float64) {
 	decayed := f.peakThroughput * math.Exp(-windowSeconds/peakDecaySeconds)
 	served := f.warmThroughput.mean / math.Max(1, f.warmServers.mean)
 	f.peakThroughput = math.Max(decayed, served/f.utilizationFraction())
 }
 
-// busyFraction is the part of their capacity that servers report to use, or 1 where they report none.
-// Servers are not believed to be able to serve more than twice what they do.
+// utilizationFraction returns the reported utilization of the servers, or 1 without reports. Its lower bound
+// limits the estimated capacity of a server to twice its throughput.
 func (f *fleetEstimate) utilizationFraction() float64 {
 	if f.utilization.count == 0 {
 		return 1
--- a/control/usage.go
+++ b/control/usage.go
@@ -6,64 +6,64 @@
 )
 
 const (
-	localUsageDecay         = 0.85 // part of the local and total usage that stays at each reading
+	localUsageDecay         = 0.85 // fraction of the local and total usage that remains at each reading
 	localUsagePriorRequests = 3.0  // weight, in requests, of the prior that usage is spread evenly
-	minLocalFraction        = 0.05 // of a customer's usage
-	initialUsageFraction    = 0.3  // part of its rate that an unmetered customer is assumed to use
-	usageRateDecay          = 0.8  // part of the smoothed usage rate that stays at each reading
-	surgeShape              = 0.5  // shape of the prior of remote usage: small trusts local surges more
-	remoteRateDecaySeconds  = 4.0  // time constant with which a reading's remote rate decays
-	unmeteredSeconds        = 2.0  // of usage that readings do not cover yet
+	minLocalFraction        = 0.05 // minimum local fraction of a customer's usage
+	initialUsageFraction    = 0.3  // fraction of its rate that an unmetered customer is assumed to use
+	usageRateDecay          = 0.8  // fraction of the smoothed usage rate that remains at each reading
+	surgeShape              = 0.5  // shape of the prior of remote usage; smaller values trust local surges more
+	remoteRateDecaySeconds  = 4.0  // time constant with which the remote rate of a reading decays
+	unmeteredSeconds        = 2.0  // seconds of recent usage that readings do not cover yet
 )
 
-// usageEstimate is what is known of a customer's usage through this gateway and through others.
+// usageEstimate estimates a customer's usage through this gateway and through others.
 type usageEstimate struct {
 	localUnits       float64 // smoothed usage through this gateway
-	totalUnits       float64 // the same over all
-	rate             float64 // smoothed, units a second over all gateways
-	remoteRate       float64 // units a second through other gateways, presumed to go on since remoteRateAt
+	totalUnits       float64 // smoothed usage through all gateways
+	rate             float64 // smoothed units per second through all gateways
+	remoteRate       float64 // units per second through other gateways, presumed to continue since remoteRateAt
 	remoteRateAt     time.Duration
-	lastReadingUnits float64 // usage of the last metered period
+	lastReadingUnits float64 // usage of the latest metered period
 }
 
-// newUsageEstimate returns the estimate for a customer of whom nothing is known but its quota's rate.
+// newUsageEstimate returns the initial estimate for a customer with the given quota rate.
 func newUsageEstimate(quotaRate float64) usageEstimate {
 	return usageEstimate{rate: initialUsageFraction * quotaRate}
 }
 
-// remoteUnits is the usage through other gateways in a time that ends now.
+// remoteUnits returns the estimated usage through other gateways in the given time up to now.
 func (u *usageEstimate) remoteUnits(now time.Duration, elapsedSeconds float64) float64 {
 	return elapsedSeconds * u.remoteRate * decayFactor(now-u.remoteRateAt, remoteRateDecaySeconds)
 }
 
-// currentRemoteRate is the rate of the usage through other gateways, in units a second.
+// currentRemoteRate returns the estimated usage through other gateways in units per second.
 func (u *usageEstimate) currentRemoteRate(now time.Duration) float64 {
 	return u.remoteRate * decayFactor(now-u.remoteRateAt, remoteRateDecaySeconds)
 }
 
-// localFraction is the part of the customer's usage that comes through this gateway.
+// localFraction returns the fraction of the customer's usage that passes through this gateway.
 func (u *usageEstimate) localFraction(fanOut float64) float64 {
 	local := (localUsagePriorRequests/fanOut + u.localUnits) / (localUsagePriorRequests + u.totalUnits)
 	return math.Min(1, math.Max(minLocalFraction, local))
 }
 
-// groupFactor is the usage over all gateways that a unit through this one stands for.
+// groupFactor returns the estimated usage over all gateways per unit through this one.
 func (u *usageEstimate) groupFactor(fanOut, quotaRate float64, isMetered bool) float64 {
 	local := u.localFraction(fanOut)
-	if !isMetered { // the design's rule for an unmetered customer
+	if !isMetered { // without readings, remote usage is assumed to be proportional to the local usage
 		return 1 / local
 	}
-	covered := math.Min(1, u.remoteRate/math.Max(quotaRate, u.remoteRate+epsilon)) // by remoteUnits
+	covered := math.Min(1, u.remoteRate/math.Max(quotaRate, u.remoteRate+epsilon)) // charged by remoteUnits
 	prior := surgeShape / math.Max(u.rate*unmeteredSeconds, surgeShape/10)
 	return 1 + (1-covered)*(1-local)/(local+prior)
 }
 
-// addReading takes the usage of a metered period, and the part of it through this gateway.
+// addReading adds the usage of a metered period and the part of it through this gateway.
 func (u *usageEstimate) addReading(now time.Duration, used, local, period, fanOut, quotaRate float64) {
 	u.localUnits = u.localUnits*localUsageDecay + math.Min(local, used)
 	u.totalUnits = u.totalUnits*localUsageDecay + used
-	// Guards against periods that no answer reported, where a customer comes through many
-	// gateways: the lower of the last two readings is presumed to go on elsewhere.
+	// Where a customer uses many gateways, the readings of some periods do not reach this one. Therefore only
+	// the lower of the latest two readings is presumed to continue at other gateways.
 	lowerRate := math.Min(used, u.lastReadingUnits) / period
 	u.remoteRate = (1 - u.localFraction(fanOut)) * math.Min(lowerRate, quotaRate)
 	u.remoteRateAt = now
@@ -71,7 +71,7 @@
 	u.rate += (1 - usageRateDecay) * (used/period - u.rate)
 }
 
-// usageEstimator takes the readings of the fleet's meter into the accounts.
+// usageEstimator applies the meter's readings to the accounts.
 type usageEstimator struct {
 	meterPeriod time.Duration // 0 is no meter
 	meter       meterClock
@@ -84,8 +84,8 @@
 	}
 }
 
-// recordReading takes a reading of the meter, 1 + percent of the quota, once for each period; units are
-// those of the request whose answer it came with.
+// recordReading applies a reading of the meter, 1 + percent of the quota, once for each period. units are the
+// units of the request whose answer carried the reading.
 func (e *usageEstimator) recordReading(
 	now time.Duration, table *accountTable, account *customerAccount, reading int, units float64,
 ) {
@@ -116,14 +116,14 @@
 
 // meterReading is the usage of one customer in one period of the meter, over all gateways.
 type meterReading struct {
-	percent       float64 // of the quota
-	usedUnits     float64 // the same in units
+	percent       float64 // usage in percent of the quota
+	usedUnits     float64 // usage in units
 	periodSeconds float64
 	endBin        int64 // bin in which the period ended
 }
 
-// addReading takes the reading of a period that has not been read. The rejected part is that of the metered
-// period, whatever the probability is now.
+// addReading applies the reading of a new period. The rejected fraction is that of the metered period, which
+// may differ from the current rejection probability.
 func (a *customerAccount) addReading(now, since time.Duration, rateFraction float64, reading meterReading) {
 	plan := a.plan
 	a.demand.startReading(reading.endBin)
