--- a/control/accounts_test.go
+++ b/control/accounts_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// Guards against memory that grows with customers that come once. An account whose buckets are not full is not
-// evicted, as a new one would grant its quota or hard limit again.
+// Memory must not grow with customers that send only one request. An account whose buckets are not full is not
+// evicted, since a new one would grant its quota or hard limit again.
 func TestIdleAccountsAreEvicted(t *testing.T) {
 	settings := testSettings()
 	settings.Plans = append(settings.Plans, Plan{Name: "slow", Price: 1, QuotaRate: 0.01, QuotaBurst: 10},
@@ -64,7 +64,8 @@
 	}
 }
 
-// An account is evicted whatever fractions of units its queued and rejected requests had.
+// Queued and rejected requests with fractional units must not leave a rounding error that keeps the account from being
+// evicted.
 func TestAccountsWithFractionalUnitsAreEvicted(t *testing.T) {
 	gateway := newTestGateway(t, testSettings())
 	for i, units := range []float64{0.1, 0.2, 0.3} {
--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A class of far lower priority weight leaves the lower half of the bucket to others.
+// Requests of a class with a far lower priority weight are shed while the bucket is less than half full.
 func TestSheddableClassIsShedBelowItsTokenReserve(t *testing.T) {
 	settings := testSettings()
 	settings.Classes = append(settings.Classes, Class{Name: "cheap", LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 0.2})
@@ -20,8 +20,8 @@
 	}
 }
 
-// Guards against a gateway just started that applies the rejection probability for its first 15 seconds, though each
-// period is metered and the bucket is well filled.
+// A gateway that has just started must not apply the rejection probability for its first 15 seconds if each period is
+// metered and the bucket has sufficient tokens.
 func TestFrequentReadingsAreEnoughFromTheStart(t *testing.T) {
 	for _, tc := range []struct {
 		gap, life time.Duration // between readings, and since the start
@@ -30,7 +30,7 @@
 		settings := testSettings()
 		settings.Plans[0].QuotaRate, settings.Plans[0].QuotaBurst = 2, 8
 		gateway := newTestGateway(t, settings, activeEndpoints(1, 2, 3, 4)...)
-		gateway.serve(tc.life, tc.gap, 151, func(i int) { // half as much again as its rate, for a while
+		gateway.serve(tc.life, tc.gap, 151, func(i int) { // readings of 150 percent of the quota
 			gateway.handle(Request{ID: fmt.Sprint(i), Class: "job", Plan: "low", Customer: "c", Timeout: 3 * time.Second, Units: 1, FanOut: 4})
 		})
 		if got := gateway.controller.accounts.byKey["low c"].demand.hasEnoughReadings(gateway.controller.now, gateway.controller.accounts.fillingSince); got != tc.want {
@@ -39,8 +39,8 @@
 	}
 }
 
-// Where the settings have no maximum of units, a client that names any number of them does not move what requests of
-// others depend on: throughput of servers, slow-start budgets and the mean units of a request.
+// Where the settings have no maximum of units, a request with an extreme number of units must not affect the estimates
+// on which other requests depend: throughput of servers, slow-start budgets and the mean units of a request.
 func TestUnitsOfOneRequestDoNotAffectSharedEstimates(t *testing.T) {
 	type shared struct{ mean, done, tokens float64 }
 	run := func(units float64, rejected bool) shared {
@@ -70,23 +70,23 @@
 		return shared{gateway.controller.fleet.requestUnits.mean, gateway.controller.window.servedUnits + gateway.controller.fleet.warmThroughput.mean, srv.slowStart.tokens}
 	}
 	for name, rejected := range map[string]bool{"sent": false, "refused": true} {
-		// The bucket of the second plan has less than half of 30.
+		// The bucket of the second plan holds less than the half of 30 units that admission requires.
 		if moderate, extreme := run(30, rejected), run(1e300, rejected); moderate != extreme {
 			t.Errorf("%s: of 30 units %+v, of many %+v", name, moderate, extreme)
 		}
 	}
 }
 
-// closedLoop is clients that send requests without a pause, of a low-priority and a high-priority class in turn, to four
-// servers that take a time for each attempt.
+// closedLoop simulates clients that send requests without a pause, alternating between a low-priority and a
+// high-priority class, to four servers that take attemptTime for each attempt.
 type closedLoop struct {
 	gateway     *testGateway
 	attemptTime time.Duration
-	results     []attemptEnd // of attempts in flight, by time, as all take the same
-	handled     int          // sends whose results are known
+	results     []attemptEnd // future results of attempts in flight, by time
+	handled     int          // number of sends that have an entry in results
 	requests    int
-	classes     map[string]string // by request
-	served      map[string]int    // requests by class
+	classes     map[string]string // classes by request
+	served      map[string]int    // served requests by class
 	rejected    map[string]int
 }
 
@@ -95,7 +95,7 @@
 	result AttemptResult
 }
 
-// runClosedLoop counts what is served and rejected by class in a duration.
+// runClosedLoop returns the numbers of served and rejected requests by class.
 func runClosedLoop(
 	t *testing.T, clients int, attemptTime, duration time.Duration, lowPriorityWeight float64,
 ) (served, rejected map[string]int) {
@@ -125,7 +125,7 @@
 			loop.send()
 		}
 		idle = 1
-		if len(loop.results) == 0 { // all were rejected
+		if len(loop.results) == 0 { // all requests were rejected
 			idle = clients
 			loop.gateway.advance(attemptTime)
 			continue
@@ -135,7 +135,7 @@
 	return loop.served, loop.rejected
 }
 
-// send sends the next request.
+// send sends a request of the next class in turn.
 func (l *closedLoop) send() {
 	id := fmt.Sprint(l.requests)
 	class := []string{"cheap", "important"}[l.requests%2]
@@ -158,7 +158,7 @@
 	l.startAttempts()
 }
 
-// startAttempts has the servers take what was sent.
+// startAttempts schedules the results of the attempts that were sent.
 func (l *closedLoop) startAttempts() {
 	for ; l.handled < len(l.gateway.sends); l.handled++ {
 		send := l.gateway.sends[l.handled]
@@ -169,8 +169,8 @@
 	}
 }
 
-// A class of low priority weight is not rejected while servers are so fast that a turn takes a small part of its
-// latency objective; it is shed where a turn takes long.
+// A class of low priority weight is not shed while servers are so fast that the sojourn time is a small fraction of
+// its latency objective, even if the concurrency limit is reached. It is shed with slow servers.
 func TestNoRequestIsShedWithFastServers(t *testing.T) {
 	for _, clients := range []int{8, 64, 256} {
 		served, rejected := runClosedLoop(t, clients, time.Millisecond, 200*time.Millisecond, 1)
--- a/control/arrivals_test.go
+++ b/control/arrivals_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// One slow answer must not reject all later requests: with nothing in flight an attempt is started, and fast answers
-// admit requests again.
+// One slow answer must not cause all later requests to be rejected: with nothing in flight an attempt is started, and
+// a fast answer lets requests be admitted again.
 func TestOneSlowResponseDoesNotRejectLaterRequests(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2)...)
 	gateway.request("slow", "job", "low", "")
@@ -48,14 +48,15 @@
 	gateway.handle(ResponseStarted{ID: "z"})
 }
 
-// After a stall all events come at once: requests that can still be served are, and each has one final answer.
+// After a stall of the gateway all events arrive at once. Requests that can still be served in time are served, and
+// each gets one final answer.
 func TestBacklogAfterAStallIsAnswered(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2)...)
 	gateway.request("old", "job", "high", "x")
 	for i := 0; i < 40; i++ {
 		gateway.request(fmt.Sprint("q", i), "job", "high", "x")
 	}
-	gateway.now += 4990 * ms // no timer came in time
+	gateway.now += 4990 * ms // stall: no timer fires in time
 	for i := 0; i < 40; i++ {
 		gateway.request(fmt.Sprint("n", i), "job", "high", "x")
 	}
--- a/control/attempts_test.go
+++ b/control/attempts_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// usedResources is what an attempt takes of a customer, a server and the limits.
+// usedResources holds everything that an attempt uses of its customer, its server and the limits.
 type usedResources struct {
 	quotaTokens, hardLimitTokens, slowStartTokens float64
 	sentUnits, chargedUnits, queuedUnits          float64
@@ -32,8 +32,8 @@
 	}
 }
 
-// An attempt that is not sent leaves nothing behind, whether its client has left before or the node could not send
-// it: no slot, no charge and no failure of the server.
+// An attempt that is not sent must not use a slot, be charged or count as a failure of the server, whether its client
+// left before or the gateway could not send it.
 func TestAttemptNotSentIsRefunded(t *testing.T) {
 	for name, class := range map[string]Class{
 		"idempotent":     {Idempotency: Idempotent},
@@ -71,10 +71,10 @@
 	controller := gateway.controller
 	srv := controller.fleet.servers[1]
 	srv.slowStart.tokens = 0.125
-	controller.limiter.limit = 0.5 // a slot that pauses after each use
+	controller.limiter.limit = 0.5 // a fractional slot, which is paused after each use
 	controller.fleet.latency.count = 1
 	account := controller.accountFor(controller.scheduler.plans[0], "c", 2)
-	account.inFlight.limit = 0.5 // likewise
+	account.inFlight.limit = 0.5 // paused after each use, too
 	srv.outlier.consecutiveFailures = ejectionFailures
 
 	before := newUsedResources(controller, account, srv)
@@ -90,7 +90,7 @@
 	}
 	event := AttemptResult{ID: "a", Server: 1, Reason: NotSent, IsFinal: clientLeaves}
 	gateway.handle(event)
-	gateway.handle(event) // a second one is no attempt's
+	gateway.handle(event) // the second result belongs to no attempt and is ignored
 	if after := newUsedResources(controller, account, srv); after != before {
 		t.Errorf("before %+v, after %+v", before, after)
 	}
--- a/control/client_wait_test.go
+++ b/control/client_wait_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Guards against first attempts being taken for retries by a gateway that was stalled.
+// After a stall of the gateway, first attempts with a short deadline must not be mistaken for retries.
 func TestStallDoesNotMakeFirstAttemptsLate(t *testing.T) {
 	settings := testSettings()
 	gateway := newTestGateway(t, settings, activeEndpoints(1, 2)...)
--- a/control/concurrency_limit_test.go
+++ b/control/concurrency_limit_test.go
@@ -15,7 +15,7 @@
 		t.Fatalf("%d in flight with three servers at start", len(gateway.sends))
 	}
 	gateway.controller.limiter.limit = 40
-	for i := 0; i < 10; i++ { // timeouts and rejections, many in each control window
+	for i := 0; i < 10; i++ { // control windows in which half of the outcomes are overloads
 		gateway.controller.window.overloads = 5
 		gateway.controller.window.answers = 5
 		before := gateway.controller.limiter.limit
@@ -29,7 +29,7 @@
 	}
 }
 
-// Guards against a few long requests that keep the limit at its minimum.
+// A few requests that time out must not keep the limit at its minimum.
 func TestOneTimeoutDoesNotCutTheConcurrencyLimit(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2)...)
 	gateway.controller.limiter.limit = 40
@@ -47,7 +47,7 @@
 	}
 }
 
-// Guards against many gateways that overload the servers by their minimum limits alone.
+// The minimum limits of many gateways together must not overload the servers.
 func TestMinimumLimitsOfALargeGroupAreShared(t *testing.T) {
 	settings := testSettings()
 	settings.GroupSize = 16
@@ -60,7 +60,7 @@
 	}
 }
 
-// Guards against limits below one that stop all work: the slot is used, and then pauses.
+// A limit below one must not stop all attempts: the slot is used and then paused.
 func TestFractionalSlotAdmitsAttemptsWithPauses(t *testing.T) {
 	gateway := newTestGateway(t, largeGroupSettings(), activeEndpoints(1)...)
 	gateway.controller.limiter.limit = 0.25
@@ -82,8 +82,8 @@
 	}
 }
 
-// Requests with a pending body do not count against the limit, however many there are and however long they last, and
-// show nothing of the servers' latency.
+// Requests with a pending body do not count against the limit, regardless of their number and duration, and do not
+// affect the estimates of the servers' latency.
 func TestPendingBodiesAreOutsideTheConcurrencyLimit(t *testing.T) {
 	settings := testSettings()
 	settings.GroupSize, settings.MeterPeriod = 1, 0
@@ -121,7 +121,7 @@
 	}
 }
 
-// Guards against a first window with many answers that leaves the idle latency at zero.
+// A first window with many answers must set the idle latency.
 func TestIdleLatencyIsKnownFromTheFirstWindow(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2)...)
 	for i := 0; i < 60; i++ {
@@ -135,7 +135,7 @@
 	}
 }
 
-// Guards against a second cut for answers to attempts from before the first.
+// Answers to attempts from before a cut must not cause a second cut.
 func TestConcurrencyLimitIsCutOncePerLatency(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2)...)
 	gateway.controller.limiter.limit = 80
@@ -155,8 +155,8 @@
 	}
 }
 
-// Guards against a limit that grows while many answers are late, because the load reports of servers just started
-// still show capacity.
+// The limit must not grow while many answers are late, even if load reports show spare capacity, as those of servers
+// that have just started do.
 func TestManyLateAnswersCutTheConcurrencyLimit(t *testing.T) {
 	settings := testSettings()
 	gateway := newTestGateway(t, settings, activeEndpoints(1, 2, 3, 4)...)
@@ -191,8 +191,7 @@
 	}
 }
 
-// Guards against a limit that is cut for a few slow answers while load reports show capacity; it is cut where they
-// show none.
+// A few slow answers must not cut the limit while load reports show spare capacity. They cut it at full utilization.
 func TestConcurrencyLimitIsCutOnlyAtFullUtilization(t *testing.T) {
 	for _, tc := range []struct {
 		util float64
--- a/control/demand_test.go
+++ b/control/demand_test.go
@@ -11,7 +11,7 @@
 	for _, tc := range []struct{ used, rejected, want float64 }{
 		{500, 0, 0},
 		{4000, 0, 0.75},
-		{2000, 0.75, 0.875}, // of what was asked for a quarter was admitted, and still twice the quota
+		{2000, 0.75, 0.875}, // a quarter of the demand was admitted and is still twice the quota
 	} {
 		var demand demandEstimate
 		demand.addReading(time.Hour, tc.used, 1, plan.QuotaRate, tc.rejected)
--- a/control/endpoint_choice_test.go
+++ b/control/endpoint_choice_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// Guards against a server that accepts requests and never answers.
+// A server that accepts requests and never answers must not attract traffic.
 func TestSilentServerIsAvoided(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2, 3, 4)...)
 	silent := 0
@@ -41,7 +41,8 @@
 	}
 }
 
-// Guards against gateways that each find out by their own requests, one every few seconds, which servers are slow.
+// A gateway with one request every few seconds must learn from load reports which servers are slow, rather than by its
+// own requests to each of them.
 func TestServerThatReportsHighLatencyIsChosenLess(t *testing.T) {
 	group := newGatewayGroup(t, 40, activeEndpoints(1, 2, 3, 4, 5, 6, 7, 8))
 	group.loadReport = func(id uint32) *LoadReport {
@@ -56,8 +57,7 @@
 	}
 }
 
-// Guards against many gateways that take a server for the fastest because the mean latency that it reports starts at
-// zero.
+// The mean latency that a server reports starts at zero. Many gateways must not take it for the fastest server.
 func TestServerWithNearZeroReportedLatencyIsNotOverloaded(t *testing.T) {
 	group := newGatewayGroup(t, 40, activeEndpoints(1, 2, 3, 4, 5, 6, 7, 8))
 	group.loadReport = func(id uint32) *LoadReport {
@@ -72,8 +72,7 @@
 	}
 }
 
-// Guards against a gateway that keeps choosing the busiest server: of those with reports, one with capacity is chosen
-// first.
+// Of the servers with load reports, those with spare capacity are chosen more often than busy ones.
 func TestBusyServerIsChosenLess(t *testing.T) {
 	group := newGatewayGroup(t, 40, activeEndpoints(1, 2, 3, 4, 5, 6, 7, 8))
 	group.loadReport = func(id uint32) *LoadReport {
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A server with a request in flight is listed as draining or gone by an entry that holds nothing else. A retry still
-// goes to servers that drop repeats of what it ran, or to none.
+// An endpoint entry with the state draining or gone may hold no zone or cell. A retry of a request that was in flight at
+// that server must still be sent only to servers that drop repeats of it.
 func TestRetryStaysInItsRepeatGroupAfterServerIsGone(t *testing.T) {
 	for _, condition := range []EndpointState{Draining, Gone} {
 		for _, scope := range []KeyScope{ScopeZone, ScopeCell} {
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -7,7 +7,7 @@
 	"lockflow/control"
 )
 
-// A gateway hands over what happens and does what it is told.
+// A gateway passes events to the controller and performs the actions that it returns.
 func Example() {
 	c, err := control.New(control.Settings{
 		GroupSize: 1, MaxAttempts: 3, SupportsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
@@ -18,7 +18,7 @@
 		fmt.Println(err)
 		return
 	}
-	now := time.Hour // any clock that only moves forward
+	now := time.Hour // time on any monotonic clock
 	c.Handle(now, control.EndpointList{Kind: control.ListComplete, Endpoints: []control.Endpoint{{Server: 7, Size: 1}}})
 	for _, a := range c.Handle(now, control.Request{
 		ID: "r1", Class: "submit", Plan: "basic",
--- a/control/extreme_settings_test.go
+++ b/control/extreme_settings_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// extremeSettings draws settings of any kind: few classes or many, of any idempotency, with short and long deadlines,
+// extremeSettings returns random settings: one to three classes of any idempotency, with short and long deadlines,
 // plans with each kind of quota, with and without a meter, warmup time and attempt limit.
 func extremeSettings(rng *rand.Rand) Settings {
 	choose := func(of ...float64) float64 { return of[rng.IntN(len(of))] }
@@ -37,10 +37,10 @@
 	return settings
 }
 
-// strayEvent is an event that refers to nothing known, or comes twice or too late.
+// strayEvent returns an event that refers to an unknown object, is a duplicate or is late.
 func (s *simulation) strayEvent() Event {
 	id := fmt.Sprint("r", s.rng.IntN(s.lastID+2))
-	for _, attempt := range s.inFlight { // not of what is out, which has its own end
+	for _, attempt := range s.inFlight { // attempts in flight are ended by endAttempt only
 		if attempt.id == id {
 			return ClientGone{ID: "unknown"}
 		}
@@ -55,7 +55,7 @@
 		return TimerFired{Label: uint64(1000000 + s.rng.IntN(9))}
 	case 3:
 		return AttemptResult{ID: id, Attempt: -1, Server: srv, Reason: NotSent, Load: &LoadReport{InFlight: -1, Queued: -1, Utilization: -1, MeanLatencyMS: -1}}
-	case 4: // all are gone at once
+	case 4: // all servers are gone at once
 		event := EndpointList{Kind: ListPatch}
 		for id := range s.endpoints {
 			s.isInactive[id] = true
@@ -64,7 +64,7 @@
 			event.Endpoints = append(event.Endpoints, Endpoint{Server: id, State: Gone})
 		}
 		return event
-	case 5: // one twice, and nothing else
+	case 5: // a complete list that has one server only, twice
 		event := EndpointList{Kind: ListComplete}
 		for id := range s.endpoints {
 			s.isInactive[id] = id != 3
@@ -77,7 +77,7 @@
 	return ClientGone{ID: "unknown"}
 }
 
-// arriveAny is a request of any kind, or one with the ID of another that has no final answer.
+// sendExtremeRequest sends a request of any kind, and sometimes a second one with the same ID.
 func (s *simulation) sendExtremeRequest() {
 	class, plan := s.settings.Classes[s.rng.IntN(len(s.settings.Classes))], s.settings.Plans[s.rng.IntN(len(s.settings.Plans))]
 	s.lastID++
@@ -94,14 +94,14 @@
 	s.requests[id] = request
 	s.handle(event)
 	if s.rng.IntN(20) == 0 && s.requests[id] != nil {
-		s.handle(event) // again, while it is held
+		s.handle(event) // duplicate of a request without a final answer
 	}
 }
 
-// stepAny is one step of such events.
+// stepWithStrayEvents simulates one step with extreme requests and stray events.
 func (s *simulation) stepWithStrayEvents(withArrivals bool) {
 	s.now += time.Duration(s.rng.IntN(10)) * ms
-	if s.rng.IntN(400) == 0 { // the gateway stood still
+	if s.rng.IntN(400) == 0 { // stall of the gateway
 		s.now += time.Duration(s.rng.IntN(3000)) * ms
 	}
 	s.fireTimers()
@@ -131,9 +131,8 @@
 	s.checkDeadlines()
 }
 
-// Whatever the settings are, and whatever comes twice, too late or with unknown references, each request has one
-// final answer in time, and once all have one no state of them is left: no slot, no queue entry and no reserved
-// units.
+// With any settings, and with duplicate, late or unknown events, each request gets one final answer in time. Once all
+// requests have ended, none of their state is left: no slot, no queue entry and no reserved units.
 func TestExtremeSettingsAndStrayEventsLeaveNoState(t *testing.T) {
 	for seed := uint64(1); seed <= 300; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -146,7 +145,7 @@
 		if s.controller, err = New(s.settings, seed); err != nil {
 			t.Fatal(err)
 		}
-		if s.settings.MaxAttempts == 0 { // no limit; world holds to one
+		if s.settings.MaxAttempts == 0 { // the controller has no limit, but the simulation checks one
 			s.settings.MaxAttempts = math.MaxInt
 		}
 		for range 600 {
--- a/control/gateway_test.go
+++ b/control/gateway_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// testSettings is a small deployment: one idempotent class, two plans.
+// testSettings returns the settings of a small deployment with one idempotent class and two plans.
 func testSettings() Settings {
 	return Settings{
 		GroupSize: 2, Zone: "z1", MaxAttempts: 3, SupportsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
@@ -22,14 +22,14 @@
 	}
 }
 
-// testGateway drives one controller by hand and records its actions.
+// testGateway drives one controller step by step and records its actions.
 type testGateway struct {
 	t            *testing.T
 	controller   *Controller
 	now          time.Duration
 	sends        []Send
 	finalAnswers map[string]Action
-	attempts     map[string]int // attempts by request
+	attempts     map[string]int // number of attempts by request
 	timers       map[uint64]time.Duration
 	actions      []Action
 }
@@ -48,7 +48,7 @@
 	return gateway
 }
 
-// handle feeds one event and checks what holds for all actions.
+// handle passes an event to the controller and checks the invariants of all actions.
 func (g *testGateway) handle(event Event) {
 	g.t.Helper()
 	newActions := append([]Action{}, g.controller.Handle(g.now, event)...)
@@ -79,7 +79,7 @@
 	g.finalAnswers[id] = action
 }
 
-// advance lets time pass, and fires the timers that are due in it.
+// advance moves the clock by d and fires the timers that are due.
 func (g *testGateway) advance(d time.Duration) {
 	g.t.Helper()
 	for end := g.now + d; ; {
@@ -105,7 +105,7 @@
 	g.handle(Request{ID: id, Class: class, Plan: plan, Customer: customer, Timeout: 5 * time.Second, Units: 1, FanOut: 2})
 }
 
-// respond ends the latest attempt of a request.
+// respond ends the latest attempt of a request with a reason.
 func (g *testGateway) respond(id string, reason Reason, quotaUsage int) {
 	g.t.Helper()
 	for i := len(g.sends) - 1; i >= 0; i-- {
@@ -120,7 +120,7 @@
 	g.t.Fatalf("%s was never sent", id)
 }
 
-// serve sends a request every gap for a time d, and answers each attempt after 200 ms.
+// serve calls send every gap for a time d, and answers each attempt after 200 ms.
 func (g *testGateway) serve(d, gap time.Duration, quotaUsage int, send func(i int)) {
 	g.t.Helper()
 	next, firstPending := 0, len(g.sends)
@@ -135,7 +135,7 @@
 	}
 }
 
-// recordReading takes a reading of the meter, which came with the answer to a request of some units.
+// recordReading applies a reading of the meter, as if the answer to a request with the given units had carried it.
 func (g *testGateway) recordReading(account *customerAccount, reading int, units float64) {
 	g.controller.usage.recordReading(g.controller.now, &g.controller.accounts, account, reading, units)
 }
@@ -163,16 +163,16 @@
 	return settings
 }
 
-// loadReport is a report of a server's mean latency, in ms, and of its utilization.
+// loadReport returns a report with a mean latency in ms and a utilization.
 func loadReport(mean, util float64) *LoadReport {
 	return &LoadReport{MeanLatencyMS: mean, Utilization: util, Queued: 0, InFlight: -1, RequestsPerSecond: -1, ErrorsPerSecond: -1}
 }
 
-// gatewayGroup is a group of controllers that get requests in turn; each attempt is answered after 300 ms.
+// gatewayGroup is a group of gateways that get requests in turn. Each attempt is answered after 200 ms.
 type gatewayGroup struct {
 	t          *testing.T
 	gateways   []*testGateway
-	sent       map[uint32]int // attempts by server
+	sent       map[uint32]int // number of attempts by server
 	loadReport func(server uint32) *LoadReport
 }
 
@@ -193,7 +193,7 @@
 	return group
 }
 
-// burst sends the gateways together up to 16 requests.
+// burst sends 16 requests in total to the gateways, or one to each in larger groups.
 func (g *gatewayGroup) burst() {
 	for i, gateway := range g.gateways {
 		for k := range max(1, 16/len(g.gateways)) {
@@ -202,7 +202,7 @@
 	}
 }
 
-// answer answers what is out after 200 ms.
+// answer answers all attempts in flight after 200 ms.
 func (g *gatewayGroup) answer() {
 	const step = 200 * ms
 	for _, gateway := range g.gateways {
@@ -216,7 +216,7 @@
 	}
 }
 
-// serve sends each gateway one request in each step of 200 ms, for a number of steps.
+// serve sends 16 requests in total to the gateways, or one to each in larger groups, in each step of 200 ms.
 func (g *gatewayGroup) serve(steps int) {
 	const step = 200 * ms
 	for range steps {
--- a/control/golden_test.go
+++ b/control/golden_test.go
@@ -11,17 +11,17 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// Files of earlier builds; go test ./control -run Golden -update writes them anew.
+// goldenDir holds files written by earlier builds; go test ./control -run Golden -update rewrites them.
 const goldenDir = "testdata/golden"
 
-// What is stored of a controller is written, and read, under the keys that earlier builds had.
+// The stored types must be written and read under the keys that earlier builds used.
 func TestGoldenStoredTypes(t *testing.T) {
 	for name, v := range map[string]any{"settings": &Settings{}, "checkpoint-with-servers": &Checkpoint{}, "image-with-servers": &Image{}} {
 		testkit.GoldenSample(t, "cbor", filepath.Join(goldenDir, name+".cbor"), v)
 	}
 }
 
-// What builds stored that did not tell how many servers served is read, and written as it was.
+// Files of builds that did not store the number of warm servers must be read, and written without change.
 func TestGoldenStoredTypesWithoutServers(t *testing.T) {
 	for name, v := range map[string]any{"checkpoint": &Checkpoint{}, "image": &Image{}} {
 		raw, err := os.ReadFile(filepath.Join(goldenDir, name+".cbor"))
@@ -34,13 +34,13 @@
 	}
 }
 
-// goldenRun is an image of a run, with the settings that it was taken under.
+// goldenRun is an image of a run with the settings under which it was taken.
 type goldenRun struct {
 	Settings Settings `cbor:"settings"`
 	Image    Image    `cbor:"image"`
 }
 
-// A controller that an earlier build has written an image of is resumed, and its image has the same keys and values.
+// A controller that is resumed from an image of an earlier build must have an image with the same keys and values.
 func TestGoldenImageOfARun(t *testing.T) {
 	var raw []byte
 	if testkit.IsUpdating() {
@@ -71,7 +71,8 @@
 	}
 }
 
-// runImage is the image of a short run at a moment when something of every kind is in it.
+// runImage returns the encoded image of a short run at a time when it contains requests, attempts, queued requests and
+// abandoned attempts.
 func runImage(t *testing.T) []byte {
 	s := simulate(t, 39, 30)
 	image := s.controller.Image()
--- a/control/hand_over_test.go
+++ b/control/hand_over_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// handOverChain is a line of controllers, each of which took over from the one before, and a customer "x" of the plan
-// low that sends requests to all that have not ended.
+// handOverChain is a sequence of gateways, each of which was handed over the state of the one before, and a customer "x"
+// of the plan low that sends requests to all gateways that have not ended.
 type handOverChain struct {
 	t        *testing.T
 	settings Settings
 	rng      *rand.Rand
 	gateways []*testGateway
-	sent     []time.Duration // of each unit
+	sent     []time.Duration // time at which each unit was sent
 	inFlight []pendingReply
 	requests int
 }
@@ -34,7 +34,7 @@
 	return gateway
 }
 
-// handOver hands over to a new controller; with a fraction below 1 the old one goes on beside it.
+// handOver hands over a fraction to a new gateway. With a fraction below 1 the old gateway continues to serve beside it.
 func (c *handOverChain) handOver(fraction float64) {
 	old := c.newest()
 	next := c.newGateway(old.now)
@@ -42,7 +42,7 @@
 	c.gateways = append(c.gateways, next)
 }
 
-// endPredecessors ends all gateways but the newest.
+// endPredecessors ends all gateways except the newest.
 func (c *handOverChain) endPredecessors() {
 	for _, pending := range c.inFlight {
 		if pending.gateway != c.newest() {
@@ -62,7 +62,7 @@
 	c.newest().controller.ReclaimRates(c.newest().now, &rest)
 }
 
-// step lets a millisecond pass, in which the customer sends a request with the given probability.
+// step advances time by a millisecond, in which the customer sends a request with the given probability.
 func (c *handOverChain) step(probability float64) {
 	now := c.newest().now + ms
 	for i := 0; i < len(c.inFlight); i++ {
@@ -87,7 +87,7 @@
 	}
 }
 
-// maxExcess is the largest excess of the units sent over a bucket that fills from start on.
+// maxExcess returns the maximum excess of the sent units over a bucket that is empty at start.
 func (c *handOverChain) maxExcess(start time.Duration, rate, burst float64) float64 {
 	worst, tokens := math.Inf(-1), 0.0
 	last := start
@@ -99,16 +99,15 @@
 	return worst
 }
 
-// However often what was spent is handed over, completely or by halves, the hard limit is neither exceeded nor are
-// requests within it rejected.
+// Any number of hand-overs, complete or by halves, must neither exceed the hard limit nor reject requests within it.
 func TestHardLimitHoldsOverManyHandOvers(t *testing.T) {
 	for seed := range uint64(40) {
 		chain := &handOverChain{t: t, settings: hardLimitSettings(), rng: rand.New(rand.NewPCG(seed, 4))}
 		chain.gateways = []*testGateway{chain.newGateway(time.Hour)}
-		isReload := seed%2 == 0 // each a reload; else an upgrade, with both serving for a while
+		isReload := seed%2 == 0 // a complete hand-over; else an upgrade, in which both serve for a while
 		start := chain.newest().now
 		for i := range 4000 {
-			chain.step([]float64{0.2, 0.2, 0, 0.02}[i/500%4]) // bursts, and pauses in which the bucket fills
+			chain.step([]float64{0.2, 0.2, 0, 0.02}[i/500%4]) // bursts, and pauses in which the bucket is refilled
 			switch {
 			case i%150 != 149:
 			case len(chain.gateways) > 1:
@@ -123,7 +122,7 @@
 		if excess := chain.maxExcess(start, 30, 60); excess > initialSlackFraction*6+1 {
 			t.Errorf("seed %d: %.1f units beyond the hard limit", seed, excess)
 		}
-		reference := &handOverChain{t: t, settings: chain.settings, rng: rand.New(rand.NewPCG(seed, 4))} // that never hands over
+		reference := &handOverChain{t: t, settings: chain.settings, rng: rand.New(rand.NewPCG(seed, 4))} // without hand-overs
 		reference.gateways = []*testGateway{reference.newGateway(time.Hour)}
 		for i := range 4000 {
 			reference.step([]float64{0.2, 0.2, 0, 0.02}[i/500%4])
@@ -134,12 +133,12 @@
 	}
 }
 
-// A plan's quota and hard limit change in the middle of a burst: what was spent stays spent, and what they grant
-// beyond it is available.
+// If a plan's quota and hard limit change in the middle of a burst, the units that were spent still count, and only the
+// rest of the new burst is available.
 func TestHandOverToChangedPlanKeepsSpentTokens(t *testing.T) {
 	for name, tc := range map[string]struct {
 		burst, depth             float64
-		wantHardLimit, wantQuota float64 // after 40 of 60 and of 100 were spent
+		wantHardLimit, wantQuota float64 // after 40 of 60 and 40 of 100 units were spent
 	}{
 		"the same":  {60, 100, 20, 60},
 		"more":      {90, 150, 50, 110},
@@ -170,7 +169,7 @@
 	}
 }
 
-// A reload must not lose the concurrency limit, latencies, ejections, the meter's delay and shares.
+// A hand-over must not lose the concurrency limit, latencies, ejections, the meter's lag and the shares.
 func TestEstimatesSurviveAHandOver(t *testing.T) {
 	settings := testSettings()
 	predecessor := newTestGateway(t, settings, activeEndpoints(1, 2, 3)...)
@@ -186,7 +185,7 @@
 	ejected.outlier.consecutiveFailures = ejectionFailures
 	ejected.outlier.ejectedUntil = predecessor.now + time.Second
 	checkpoint := predecessor.controller.HandOver(predecessor.now, 1)
-	checkpoint.Servers = append(checkpoint.Servers, ServerCheckpoint{Server: 99}) // is not listed any more
+	checkpoint.Servers = append(checkpoint.Servers, ServerCheckpoint{Server: 99}) // no longer listed
 	successor := newTestGateway(t, settings, append(activeEndpoints(1, 2), Endpoint{Server: 3, HasStartedAt: true, StartedAt: predecessor.now})...)
 	successor.now = predecessor.now
 	successor.controller.Restore(successor.now, checkpoint, TrustAll)
@@ -219,7 +218,7 @@
 	}
 }
 
-// Reloads that come faster than control windows end do not keep the limit from growing.
+// Reloads at intervals shorter than a control window must not keep the limit from growing.
 func TestConcurrencyLimitGrowsOverManyHandOvers(t *testing.T) {
 	chain := &handOverChain{t: t, settings: hardLimitSettings(), rng: rand.New(rand.NewPCG(1, 4))}
 	chain.settings.Plans = []Plan{{Name: "low", Price: 1}}
--- a/control/hard_limit_test.go
+++ b/control/hard_limit_test.go
@@ -13,7 +13,7 @@
 	for i := 0; i < 50; i++ {
 		gateway.request(fmt.Sprint("s", i), "job", "low", "x")
 	}
-	if len(gateway.sends) > 2 { // the slack over two gateways
+	if len(gateway.sends) > 2 { // half of the slack, at one of two gateways
 		t.Errorf("%d units at once from a gateway that knows nothing", len(gateway.sends))
 	}
 	sent, start := 0, gateway.now
@@ -34,8 +34,8 @@
 	}
 }
 
-// A new or evicted customer has no more to spend at once than the bucket of the hard limit holds, however long the
-// gateway has run.
+// A new or evicted customer must not send more units at once than the bucket of the hard limit holds, regardless of how
+// long the gateway has been running.
 func TestNewAccountHoldsNoMoreThanTheHardLimit(t *testing.T) {
 	settings := hardLimitSettings()
 	plan := settings.Plans[0]
@@ -74,8 +74,8 @@
 	}
 }
 
-// A customer whose account is evicted before its bucket is full, as there are too many, has no more over time than
-// the hard limit grants, however often that happens and whoever takes the gateway's place.
+// If there are too many accounts, a customer's account is evicted before its bucket is full. Such evictions must not
+// let the customer exceed its hard limit over time, even if they are repeated or the gateway hands over to another.
 func TestEvictionDoesNotExceedHardLimits(t *testing.T) {
 	settings := hardLimitSettings()
 	plan := settings.Plans[0]
@@ -126,8 +126,8 @@
 	}
 }
 
-// The slack is granted once: not again by each gateway that takes another's place, if that one had none left to
-// grant.
+// The slack is granted once. A gateway must not grant it again if the predecessor that handed over to it had started
+// without slack.
 func TestSlackIsGrantedOnceOverHandOvers(t *testing.T) {
 	settings := hardLimitSettings()
 	after := func(checkpoint Checkpoint, trust Trust) *Controller {
--- a/control/history_test.go
+++ b/control/history_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// denseHistory is the plain form of a history: the running sum of each of the latest bins.
+// denseHistory is a reference implementation of a history that stores the running sum of each of the latest bins.
 type denseHistory struct {
 	last int64
 	sum  [historyBins]float64
@@ -27,8 +27,8 @@
 	return d.sum[d.index(max(end-1, oldest))] - d.sum[d.index(oldest)]
 }
 
-// Whatever is added and whenever, a history gives the sums of one with all of its bins, and never stores more of
-// them.
+// For any additions, a history must return the same sums as the dense reference, and store no more than its maximum
+// number of bins.
 func TestHistoryMatchesDenseReference(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 5))
@@ -64,7 +64,7 @@
 	}
 }
 
-// A subtraction counts in the bin of the addition.
+// A subtraction must apply to the bin of the addition that it reverts.
 func TestHistorySubtractsInTheBinOfTheAddition(t *testing.T) {
 	var hist history
 	hist.advance(3)
--- a/control/image_test.go
+++ b/control/image_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// However a history went, a controller that is resumed from an image of it takes the same actions on later events as
-// the first.
+// After any sequence of events, a controller that is resumed from an image must take the same actions on later events
+// as the original.
 func TestResumedControllerTakesTheSameActions(t *testing.T) {
 	seeds := uint64(300)
 	if testing.Short() {
@@ -17,7 +17,7 @@
 	for seed := uint64(1); seed <= seeds; seed++ {
 		steps := 50 + int(seed*37%600)
 		if seed%100 == 0 {
-			steps = 4000 // through sweeps and many intervals
+			steps = 4000 // enough for evictions and many control windows
 		}
 		original, copied := simulate(t, seed, steps), simulate(t, seed, steps)
 		image := copied.controller.Image()
@@ -45,8 +45,8 @@
 	}
 }
 
-// An image that is not of these settings, or not of a controller, is rejected with an error that names why; it is
-// never resumed in part and causes no panic.
+// An image that does not match the settings, or is invalid, must be rejected with an error. It must not be resumed in
+// part or cause a panic.
 func TestResumeRejectsUnusableImages(t *testing.T) {
 	s := simulate(t, 5, 600)
 	for image := s.controller.Image(); len(image.Requests) == 0 || len(image.Attempts) == 0 || len(image.Plans[0].Queue) == 0; image = s.controller.Image() {
--- a/control/keys_test.go
+++ b/control/keys_test.go
@@ -7,7 +7,7 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// Settings, checkpoints and images have a written key for every field: they are stored under these.
+// All fields of settings, checkpoints and images must have explicit keys, since they are stored under them.
 func TestFieldsHaveExplicitKeys(t *testing.T) {
 	testkit.RequireKeys(t, "cbor", control.Settings{}, control.Checkpoint{}, control.Image{})
 }
--- a/control/load_estimate_test.go
+++ b/control/load_estimate_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// Reports show that a server is slow, not that it is fast.
+// Reports can show that a server is slow, but not that it is fast.
 func TestReportsRaiseTheCostOfSlowServersOnly(t *testing.T) {
 	fleet := warmFleet(3)
 	fleet.latency.add(0.01, fleetEstimateGain)
--- a/control/meter_clock_test.go
+++ b/control/meter_clock_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The meter's periods and their delay are learned from the units sent here.
+// The phase and the lag of the meter's periods are learned from the units that this gateway sent.
 func TestMeterClockLearnsTheDelay(t *testing.T) {
 	settings := testSettings()
 	settings.Plans[0].QuotaRate, settings.Plans[0].QuotaBurst = 10, 1000
--- a/control/outlier_test.go
+++ b/control/outlier_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// Guards against a server that fails at once, looks idle and attracts all traffic.
+// A server that fails all requests immediately looks idle. It must not attract all traffic.
 func TestServerThatFailsFastDoesNotAttractTraffic(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2, 3, 4)...)
 	failedAttempts := 0
@@ -50,8 +50,7 @@
 	}
 }
 
-// Guards against servers that fail every second request at once: never ejected, they look idle and attract the
-// traffic.
+// A server that fails every second request immediately is never ejected and looks idle. It must not attract the traffic.
 func TestServerThatFailsHalfItsRequestsIsChosenLess(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2, 3, 4)...)
 	attempts := make(map[uint32]int)
@@ -74,8 +73,7 @@
 	}
 }
 
-// Guards against servers that reject one plan: they do not cut the concurrency limit, and are not chosen again for
-// that plan.
+// Servers that reject one plan must not cause a cut of the concurrency limit, and are avoided for that plan.
 func TestServersThatRejectOnePlanAreAvoidedForIt(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2, 3, 4)...)
 	gateway.controller.limiter.idleLatency = 0.1
@@ -110,7 +108,7 @@
 	}
 }
 
-// An attempt that probes an ejected server and is cancelled by its client shows nothing of the server, which is
+// An attempt that probes an ejected server and is cancelled by its client shows nothing about the server, which must be
 // probed again.
 func TestCancelledAttemptEndsTheProbe(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1)...)
--- a/control/plan_queue_test.go
+++ b/control/plan_queue_test.go
@@ -19,7 +19,7 @@
 		t.Errorf("%g units of a new request and %g of a retry are queued", first.account.queuedUnits, retry.account.queuedUnits)
 	}
 	plan.remove(first)
-	plan.remove(first) // is not queued any more
+	plan.remove(first) // no longer queued
 	if len(plan.queue) != 2 || first.account.queuedUnits != 0 || first.isQueued {
 		t.Errorf("%d queued, of them %g units of one that was removed", len(plan.queue), first.account.queuedUnits)
 	}
--- a/control/policy_files_test.go
+++ b/control/policy_files_test.go
@@ -11,14 +11,16 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// bookkeepingFiles hold types, state and its storage, and decide nothing. Each file is either one of them or policy.
+// bookkeepingFiles are the files that hold types, state and its storage, but make no decisions. All other files are
+// policy files.
 var bookkeepingFiles = []string{
 	"account.go", "account_storage.go", "actions.go", "checkpoint.go", "doc.go", "events.go",
 	"history.go", "image.go", "image_take.go", "restore.go", "resume.go",
 	"server_storage.go", "settings.go", "shared_fields.go", "shift.go", "sharecontrol/state.go",
 }
 
-// The files that decide, which both deploy files list alike, are there and are not just a few; each line has a limit.
+// Both deploy files must list the same policy files. These must exist, have a minimum total length, which guards against
+// an incomplete list, and keep to a maximum line length.
 func TestPolicyFilesStayWithinLimits(t *testing.T) {
 	policy := policyFiles(t, "../deploy/balancer.toml")
 	if tallyPolicy := policyFiles(t, "../deploy/tally.toml"); !slices.Equal(policy, tallyPolicy) {
@@ -44,7 +46,7 @@
 	}
 }
 
-// No file is left out of the deploy file's list unless it is known to decide nothing.
+// Each file must either be listed as a policy file in the deploy file or be a bookkeeping file.
 func TestEveryFileIsPolicyOrBookkeeping(t *testing.T) {
 	policy := policyFiles(t, "../deploy/balancer.toml")
 	err := filepath.WalkDir(".", func(path string, entry fs.DirEntry, err error) error {
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// world feeds a controller seeded legal events and holds its actions to the rules.
+// simulation feeds a controller with seeded random events that are valid, and checks the invariants of its actions.
 type simulation struct {
 	t               *testing.T
 	rng             *rand.Rand
@@ -134,7 +134,7 @@
 	request.inFlight++
 }
 
-// checkRepeat holds an attempt to the rules of a request that may have run before.
+// checkRepeat checks the invariants of another attempt of a request that may have run.
 func (s *simulation) checkRepeat(request *pendingRequest, send Send) {
 	class := request.class
 	switch class.Idempotency {
@@ -155,7 +155,7 @@
 	}
 }
 
-// chargeHardLimit holds this gateway to its part of the hard limit with part of the slack.
+// chargeHardLimit checks that this gateway keeps to its part of the hard limit and of the slack.
 func (s *simulation) chargeHardLimit(request *pendingRequest) {
 	plan := s.settings.Plans[3]
 	if _, known := s.hardLimitTokens[request.customer]; !known {
@@ -186,7 +186,7 @@
 	delete(s.requests, id)
 }
 
-// list is the complete endpoint list in a fixed order, with a chance of change for each entry.
+// randomEndpointList returns a complete endpoint list in a fixed order, with a random state for each server.
 func (s *simulation) randomEndpointList() EndpointList {
 	var event EndpointList
 	event.Kind = ListComplete
@@ -208,7 +208,7 @@
 	return event
 }
 
-// outcome ends the attempt at an index of inFlight.
+// endAttempt ends the attempt at an index of inFlight with a random outcome.
 func (s *simulation) endAttempt(i int) {
 	attempt := s.inFlight[i]
 	s.inFlight = append(s.inFlight[:i], s.inFlight[i+1:]...)
@@ -234,7 +234,7 @@
 	s.handle(event)
 }
 
-// fireTimers fires the timers that are due, and those due at once that they start.
+// fireTimers fires the timers that are due, including those that are started meanwhile and due at once.
 func (s *simulation) fireTimers() {
 	for i := 0; i < len(s.timersDueAt); i++ {
 		if s.timersDueAt[i] > s.now {
@@ -248,7 +248,7 @@
 	}
 }
 
-// checkDeadlines fails if a request has no answer in time.
+// checkDeadlines fails the test if a request has no answer in time.
 func (s *simulation) checkDeadlines() {
 	for id, request := range s.requests {
 		if s.now > request.deadline+16*ms {
@@ -305,7 +305,7 @@
 	s.handle(Request{
 		ID: id, Class: class.Name, Plan: request.plan, Customer: request.customer, Timeout: request.deadline - s.now,
 		Units: request.units, FanOut: 2 + s.rng.IntN(89),
-	}) // may change within a day; chargeHardLimit presumes two at least
+	}) // the fan-out may change over time; chargeHardLimit requires at least two
 }
 
 func simulate(t *testing.T, seed uint64, steps int) *simulation {
@@ -330,7 +330,7 @@
 	return s
 }
 
-// Any legal sequence of events keeps the rules, and gives the same actions twice.
+// Any valid sequence of events must keep the invariants and yield the same actions when it is repeated.
 func TestValidEventSequencesKeepInvariants(t *testing.T) {
 	for seed := uint64(1); seed <= 60; seed++ {
 		first := simulate(t, seed, 2500)
@@ -343,8 +343,8 @@
 	}
 }
 
-// Memory for customers, requests and servers stays bounded: a day of new ones leaves no more than a few minutes of
-// them did.
+// Memory for customers, requests and servers must stay bounded: 200,000 new customers must not use much more memory
+// than the first fifth of them.
 func TestMemoryIsBounded(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2, 3)...)
 	heap := func() float64 {
--- a/control/restore_test.go
+++ b/control/restore_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// After a crash it is not known what was spent last: buckets of hard limits begin empty.
+// After a crash it is unknown how many units were spent since the checkpoint, so the buckets of hard limits start empty.
 func TestRestoreAfterCrashStartsWithEmptyHardLimits(t *testing.T) {
 	crashed := newTestGateway(t, hardLimitSettings(), activeEndpoints(1, 2, 3, 4, 5, 6, 7, 8)...)
 	crashed.controller.accountFor(crashed.controller.scheduler.plansByName["low"], "x", 1).hardLimit.tokens = 60
@@ -26,7 +26,7 @@
 	}
 }
 
-// An unusable checkpoint changes nothing.
+// A checkpoint of another version or with numbers that are not finite must be ignored.
 func TestInvalidCheckpointIsIgnored(t *testing.T) {
 	settings := hardLimitSettings()
 	predecessor := newTestGateway(t, settings, activeEndpoints(1, 2)...)
--- a/control/retries_test.go
+++ b/control/retries_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// Guards against a retry that is queued beyond the client's deadline.
+// A retry must not be queued beyond the client's deadline.
 func TestQueuedRetryIsAnsweredInTime(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1)...)
 	gateway.request("a", "job", "low", "x")
@@ -95,8 +95,8 @@
 	}
 }
 
-// Guards against a storm of fast errors that uses up the retry budget, or ejects servers that still serve half of
-// their requests, with twelve requests at a time.
+// A burst of fast errors must neither exhaust the retry budget nor eject servers that still serve half of their
+// requests. Twelve requests are in progress at a time.
 func TestRetryBudgetOutlastsFastErrors(t *testing.T) {
 	settings := testSettings()
 	settings.MaxAttempts = 6
@@ -142,7 +142,7 @@
 	}
 }
 
-// Guards against a keyed retry that stays queued when it can not be forwarded any more: it is answered at the end of
+// A retry with an idempotency key must not stay queued when it can no longer be forwarded. It is answered at the end of
 // its repeat window, well before the client's deadline.
 func TestQueuedRetryFailsAtTheEndOfItsRepeatWindow(t *testing.T) {
 	settings := testSettings()
--- a/control/scheduler_test.go
+++ b/control/scheduler_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// Shares move where a gateway gets two answers a second: the control window is extended.
+// Shares are updated even if a gateway gets only two answers per second, since the control window is extended.
 func TestSharesAreUpdatedAtLowRequestRates(t *testing.T) {
 	settings := largeGroupSettings()
 	settings.Plans[0].QuotaRate, settings.Plans[0].QuotaBurst = 1000, 1000
@@ -66,7 +66,7 @@
 }
 
 func TestQueuedRequestsAreAnsweredInTime(t *testing.T) {
-	gateway := newTestGateway(t, testSettings()) // no server at all
+	gateway := newTestGateway(t, testSettings()) // without servers
 	gateway.request("a", "job", "low", "x")
 	gateway.advance(5 * time.Second)
 	reject, ok := gateway.finalAnswers["a"].(Reject)
@@ -75,7 +75,7 @@
 	}
 }
 
-// The CPU time of one request with fleets of several sizes.
+// BenchmarkRequest measures the CPU time of one request with fleets of several sizes.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []uint32{10, 30, 90, 300} {
 		b.Run(fmt.Sprint(n, " servers"), func(b *testing.B) {
@@ -103,7 +103,7 @@
 	}
 }
 
-// choiceByID is a serverChooser that knows the server of each request; others have to wait.
+// choiceByID is a serverChooser with a fixed server for each request ID; other requests have to wait.
 type choiceByID map[string]*server
 
 func (c choiceByID) chooseServer(req *request) *server { return c[req.id] }
--- a/control/sharecontrol/sharecontrol_test.go
+++ b/control/sharecontrol/sharecontrol_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// Without news in a direction the covariance there must not grow.
+// The covariance must not grow in directions in which there is no new information.
 func TestCovarianceStaysBoundedWithoutNewInformation(t *testing.T) {
 	controller := New([]float64{1, 2, 3})
 	lateness := []float64{0.1, 0.1, 0.1}
--- a/control/shared_fields_test.go
+++ b/control/shared_fields_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Of a customer's checkpoint only what has another type or meaning in an image is not shared with that: a field that is
-// renamed in one form alone would no longer be stored or restored.
+// All fields of a customer's checkpoint are shared with its image, except those that have another type or meaning there.
+// A field that is renamed in only one of the forms would no longer be stored or restored.
 func TestSharedFieldsOfCustomers(t *testing.T) {
 	notShared := map[string]bool{
 		"ID": true, "Plan": true, "QuotaBurst": true, "HardLimitBurst": true,
--- a/control/shared_rates_test.go
+++ b/control/shared_rates_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Guards against rejections during an upgrade: of two controllers that share the rates, each compares its tokens with its
-// part of a bucket. A sheddable request is admitted while its part is nearly full, and rejected once it is nearly empty.
+// While two controllers share the rates during an upgrade, each must compare its tokens with its own part of a bucket.
+// Otherwise it would reject sheddable requests although its part is nearly full.
 func TestSheddableReserveScalesWithHandedOverRates(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].PriorityWeight = 10
@@ -29,7 +29,8 @@
 	}
 }
 
-// The same of the filling from which a well metered customer's bucket alone admits.
+// The number of tokens from which the bucket alone admits a well metered customer is also relative to the controller's
+// own part of the bucket.
 func TestSufficientTokensScaleWithHandedOverRates(t *testing.T) {
 	plan := &planQueue{Plan: Plan{Name: "low", QuotaRate: 10, QuotaBurst: 100}}
 	for _, tc := range []struct {
--- a/control/shift_test.go
+++ b/control/shift_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Shift keeps all times and bins of a checkpoint as far from each other as they were, and changes nothing else; what
-// never was stays so.
+// Shift must move all times and bins of a checkpoint by the same difference and change nothing else. Times that are not
+// set stay zero.
 func TestShiftMovesAllTimes(t *testing.T) {
 	const bin = time.Second / binsPerPeriod
 	at := 2 * time.Hour
--- a/control/slow_start_test.go
+++ b/control/slow_start_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// Guards against a server that gets no attempts while it is warming up: each of eighty gateways may send it less than
-// one request in all that time.
+// A warming server must get attempts even if each of eighty gateways may send it less than one request during the
+// whole warmup time.
 func TestSlowStartAdmitsLessThanOneRequestPerSecond(t *testing.T) {
 	for _, n := range []int{2, 8, 80} {
 		list := activeEndpoints(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)
@@ -56,15 +56,15 @@
 				warm += float64(k) / 12
 			}
 		}
-		// At its coldest it could do 0.15 of what a warm one does, at 10 s 0.72 of it, by the settings.
+		// By the settings, its capacity is 0.15 of that of a warm server at its start and 0.72 of it after 10 s.
 		if fraction := float64(group.sent[13]) / warm; fraction < 0.1 || fraction > 0.72 {
 			t.Errorf("%d gateways: a warming server is sent %.2f of what a warm one is", n, fraction)
 		}
 	}
 }
 
-// Guards against a release that restarts most gateways while servers start: none of them knows anything yet, and each
-// would send every warming server one request.
+// If a release restarts most gateways while servers are starting, the gateways have no estimates yet. They must not each
+// send one request to every warming server.
 func TestGatewaysThatStartTogetherRespectSlowStart(t *testing.T) {
 	for _, n := range []int{8, 80, 300} {
 		list := activeEndpoints(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)
@@ -79,14 +79,14 @@
 				warming += k
 			}
 		}
-		// Were the servers evenly used to the full by this, 2.5 times 0.2 of an even part would be the most.
+		// If this load used the full capacity of the servers evenly, 2.5 times 0.2 of an even part would be the maximum.
 		if fraction := float64(warming) / 4 / (float64(all) / 16); all < 100 || fraction > 0.4 {
 			t.Errorf("%d gateways: of %d requests a warming server is sent %.2f of an even part", n, all, fraction)
 		}
 	}
 }
 
-// Guards against a server just started that every gateway of a large group tries at once.
+// The gateways of a large group must not all send a request to a server that has just started.
 func TestLargeGroupSharesASlowStart(t *testing.T) {
 	settings := testSettings()
 	settings.GroupSize = 12
@@ -101,15 +101,15 @@
 		if gateway.attempts[id] > 0 && gateway.sends[len(gateway.sends)-1].Server == 1 {
 			warmingSends++
 			gateway.respond(id, OK, 0)
-		} // the warm server answers nothing, so its rate is not known
+		} // the warm server answers nothing, so its throughput is unknown
 	}
 	if warmingSends > 1 {
 		t.Errorf("%d sends in 3 s from one of twelve gateways that knows no rate", warmingSends)
 	}
 }
 
-// Guards against a release or an outage that restarts nearly all servers at once: what all of them together served a
-// moment ago is not what the one that is left can serve, and a warming server's budget follows from that of one.
+// If a release or an outage restarts nearly all servers at once, the budget of a warming server must follow from the
+// throughput that one server had. The recent throughput of all servers must not be attributed to the one that is left.
 func TestMassRestartRespectsSlowStart(t *testing.T) {
 	const servers, window = 12, 10 // steps of 200 ms in the overload window
 	for _, gateways := range []int{1, 8} {
@@ -173,7 +173,7 @@
 	if start.allows(time.Second, &settings, 0, 1, throughput) {
 		t.Error("a slow start allows an attempt while its budget is in debt")
 	}
-	if !start.allows(2*time.Second, &settings, 0, 1, throughput) { // at least 16 units a second are earned
+	if !start.allows(2*time.Second, &settings, 0, 1, throughput) { // at least 16 units per second are earned
 		t.Errorf("%g tokens after a second", start.tokens)
 	}
 	if start.allows(2*time.Second, &settings, slotsPerServer, 1, throughput) {
--- a/control/throughput_test.go
+++ b/control/throughput_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// Of eight servers that are listed, four have failed all attempts and three of the others have reported lately: as
-// many of all count as of those tried, by (1+3)/(1+3+4).
+// Of eight listed servers, four have failed all attempts and three of the others have reported recently. The count of
+// all is scaled by the fraction of live ones among those tried, (1+3)/(1+3+4).
 func TestUntriedServersAreCountedByTheRatioOfTriedOnes(t *testing.T) {
 	fleet := warmFleet(8)
 	now := time.Hour
--- a/control/usage_test.go
+++ b/control/usage_test.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// Guards against a heavy customer that each of many gateways takes for a new one: after a few readings, even seconds
-// apart, most of its requests are rejected, and most of a calm one's admitted, which come so seldom that each counts
-// for more.
+// A customer far above its quota must not be treated as a new one by each of many gateways: after a few readings, even
+// if they are seconds apart, most of its requests are rejected. Most requests of a customer below its quota are
+// admitted, although its readings are rare.
 func TestFewReadingsSetTheRejectionProbability(t *testing.T) {
 	for _, tc := range []struct {
 		used, gap int
@@ -72,10 +72,11 @@
 	}
 }
 
-// A customer without a reading here is rejected by as much as of its plan's usage lies beyond quotas by the first
-// readings of others, less a request each: where half of them use four times their rate and the others half of it,
-// and one request is a quarter of a period's, by 2.75 of 4.5; by half of that where one of two gateways sees them.
-// That holds for no other plan, not before any reading, whatever later readings show, and after a resume.
+// The requests of a customer without a reading at this gateway are rejected by the fraction of its plan's usage that
+// exceeds the quotas, according to the first readings of other customers, less one request each. If half of these use
+// four times their rate and the others half of it, and one request is a quarter of a period's quota, that fraction is
+// 2.75 of 4.5, and half of that at one of two gateways. Other plans, later readings and a resume do not change it, and
+// there are no rejections before any reading.
 func TestUnmeteredCustomersAreRejectedByTheirPlansExcess(t *testing.T) {
 	settings := testSettings()
 	for i := range settings.Plans {
@@ -83,7 +84,7 @@
 	}
 	gateway := newTestGateway(t, settings, activeEndpoints(1, 2, 3)...)
 	n := 0
-	// refused is the part of many new customers that is; their answers tell nothing.
+	// rejectedFraction returns the fraction of many new customers that is rejected; their answers carry no readings.
 	rejectedFraction := func(plan string) float64 {
 		const requests = 500
 		before := len(gateway.sends)
