--- a/control/account_storage.go
+++ b/control/account_storage.go
@@ -217,7 +217,7 @@
 	for i := range image.Customers {
 		saved := &image.Customers[i]
 		if !isIndex(saved.Plan, len(c.scheduler.plans)) {
-			return nil, fmt.Errorf("customer %q: there is no plan %d", saved.Key, saved.Plan)
+			return nil, fmt.Errorf("customer %q: plan index %d is out of range", saved.Key, saved.Plan)
 		}
 		account, err := saved.account(c.scheduler.plans[saved.Plan])
 		if err != nil {
--- a/control/accounts_test.go
+++ b/control/accounts_test.go
@@ -16,7 +16,7 @@
 		gateway.request(fmt.Sprint(i), "job", "low", "x")
 	}
 	if n := len(gateway.sends); n < 8 || n > 20 {
-		t.Errorf("%d of a burst of 20 over two gateways", n)
+		t.Errorf("sent %d requests of a burst of 20 over two gateways, want 8 to 20", n)
 	}
 }
 
@@ -29,7 +29,7 @@
 	before := account.quota.tokens
 	gateway.handle(AttemptResult{ID: "a", Server: 1, Reason: OK, IsFinal: true, ActualUnits: 4})
 	if got := before - account.quota.tokens; math.Abs(got-3) > 1e-9 {
-		t.Errorf("settled %g units, guessed 1, true 4", got)
+		t.Errorf("charged %g more units for 4 actual units instead of 1, want 3", got)
 	}
 }
 
@@ -60,7 +60,7 @@
 		remaining[account.plan.Name]++
 	}
 	if remaining["low"] > 2 || remaining["slow"] != 100 || remaining["capped"] != 100 {
-		t.Errorf("accounts left by plan: %v", remaining)
+		t.Errorf("accounts remaining by plan: %v, want at most 2 of low, 100 of slow and 100 of capped", remaining)
 	}
 }
 
@@ -72,7 +72,7 @@
 		gateway.handle(Request{ID: fmt.Sprint(i), Class: "job", Plan: "low", Customer: "x", Timeout: 5 * time.Second, Units: units, FanOut: 2})
 	}
 	if gateway.advance(2 * maxAccountIdleTime); len(gateway.controller.accounts.byKey) > 0 || len(gateway.finalAnswers) != 3 {
-		t.Errorf("%d customers remembered, %d requests answered", len(gateway.controller.accounts.byKey), len(gateway.finalAnswers))
+		t.Errorf("%d accounts remain, want 0; %d requests answered, want 3", len(gateway.controller.accounts.byKey), len(gateway.finalAnswers))
 	}
 }
 
@@ -84,14 +84,14 @@
 	bin := table.binAt(time.Hour)
 	charged := account.chargeFirstAttempt(3, bin)
 	if account.quota.tokens >= quota || account.hardLimit.tokens != hardLimit-3 {
-		t.Errorf("%g and %g tokens after a charge, %g and %g before", account.quota.tokens, account.hardLimit.tokens, quota, hardLimit)
+		t.Errorf("%g quota and %g hard-limit tokens after a charge of 3, %g and %g before", account.quota.tokens, account.hardLimit.tokens, quota, hardLimit)
 	}
 	if got := account.history.sent.periodSum(bin + 1); got != 3 {
-		t.Errorf("%g units in the history after a charge of 3", got)
+		t.Errorf("got %g units in the history after a charge of 3", got)
 	}
 	account.refund(charged)
 	if account.quota.tokens != quota || account.hardLimit.tokens != hardLimit || account.history.sent.periodSum(bin+1) != 0 {
-		t.Errorf("%g and %g tokens after the refund, %g and %g before the charge", account.quota.tokens, account.hardLimit.tokens, quota, hardLimit)
+		t.Errorf("%g quota and %g hard-limit tokens after the refund, %g and %g before the charge", account.quota.tokens, account.hardLimit.tokens, quota, hardLimit)
 	}
 }
 
@@ -100,7 +100,7 @@
 		bucket := tokenBucket{tokens: tc.tokens}
 		bucket.refill(4, 10)
 		if bucket.tokens != tc.want {
-			t.Errorf("%g tokens and 4 more are %g, want %g", tc.tokens, bucket.tokens, tc.want)
+			t.Errorf("refilling %g tokens by 4 gives %g, want %g", tc.tokens, bucket.tokens, tc.want)
 		}
 	}
 }
--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -16,7 +16,7 @@
 	gateway.request("cheap", "cheap", "low", "x")
 	gateway.request("dear", "job", "low", "x")
 	if gateway.finalAnswers["cheap"] == nil || gateway.finalAnswers["dear"] != nil {
-		t.Error("the low-priority class was not shed for the high-priority one")
+		t.Error("only the low-priority request should have been rejected")
 	}
 }
 
@@ -34,7 +34,7 @@
 			gateway.handle(Request{ID: fmt.Sprint(i), Class: "job", Plan: "low", Customer: "c", Timeout: 3 * time.Second, Units: 1, FanOut: 4})
 		})
 		if got := gateway.controller.accounts.byKey["low c"].demand.hasEnoughReadings(gateway.controller.now, gateway.controller.accounts.fillingSince); got != tc.want {
-			t.Errorf("a reading each %v for %v: well metered %v", tc.gap, tc.life, got)
+			t.Errorf("one reading per %v for %v: hasEnoughReadings is %v", tc.gap, tc.life, got)
 		}
 	}
 }
@@ -72,7 +72,7 @@
 	for name, rejected := range map[string]bool{"sent": false, "refused": true} {
 		// The bucket of the second plan holds less than the half of 30 units that admission requires.
 		if moderate, extreme := run(30, rejected), run(1e300, rejected); moderate != extreme {
-			t.Errorf("%s: of 30 units %+v, of many %+v", name, moderate, extreme)
+			t.Errorf("%s: estimates after 30 units: %+v, after 1e300 units: %+v", name, moderate, extreme)
 		}
 	}
 }
@@ -175,14 +175,14 @@
 	for _, clients := range []int{8, 64, 256} {
 		served, rejected := runClosedLoop(t, clients, time.Millisecond, 200*time.Millisecond, 1)
 		if rejected["cheap"]+rejected["important"] > 0 || served["cheap"] < served["important"]/2 || served["cheap"] == 0 {
-			t.Errorf("%d clients: served %v, rejected %v", clients, served, rejected)
+			t.Errorf("%d clients: served %v, rejected %v, want none rejected", clients, served, rejected)
 		}
 	}
 	if _, rejected := runClosedLoop(t, 64, 300*time.Millisecond, 4*time.Second, 1); rejected["cheap"] == 0 || rejected["important"] > 0 {
-		t.Errorf("servers that take 300 ms: rejected %v", rejected)
+		t.Errorf("with attempts of 300 ms: rejected %v, want requests of the cheap class only", rejected)
 	}
 	if _, rejected := runClosedLoop(t, 64, time.Millisecond, 200*time.Millisecond, 5); rejected["cheap"] > 0 {
-		t.Errorf("of equal priority weight: rejected %v", rejected)
+		t.Errorf("with equal priority weights: rejected %v, want none", rejected)
 	}
 }
 
@@ -201,10 +201,10 @@
 		isLate bool
 		want   Cause
 	}{
-		{"important in a scarce turn", 0, occupied, 100, false, CauseNone},
-		{"cheap in a free turn", 1, free, 100, false, CauseNone},
-		{"cheap in a scarce turn", 1, occupied, 100, false, CauseShed},
-		{"cheap in a quick turn", 1, queueEstimate{sojournSeconds: 0.01}, 100, false, CauseNone},
+		{"important without a free slot", 0, occupied, 100, false, CauseNone},
+		{"cheap with a free slot", 1, free, 100, false, CauseNone},
+		{"cheap without a free slot", 1, occupied, 100, false, CauseShed},
+		{"cheap with a short sojourn time", 1, queueEstimate{sojournSeconds: 0.01}, 100, false, CauseNone},
 		{"cheap with few tokens", 1, free, 40, false, CauseShed},
 		{"important with few tokens", 0, free, 40, false, CauseNone},
 		{"important without tokens", 0, free, 0, false, CauseQuota},
--- a/control/arrivals_test.go
+++ b/control/arrivals_test.go
@@ -26,7 +26,7 @@
 		gateway.advance(200 * ms)
 	}
 	if admitted < 39 {
-		t.Errorf("%d of 40 are admitted", admitted)
+		t.Errorf("%d of 40 requests were admitted, want at least 39", admitted)
 	}
 }
 
@@ -36,7 +36,7 @@
 	gateway.request("b", "job", "other", "x")
 	for _, id := range []string{"a", "b"} {
 		if _, ok := gateway.finalAnswers[id].(Reject); !ok {
-			t.Errorf("%s ended with %v", id, gateway.finalAnswers[id])
+			t.Errorf("%s: final answer is %v, want a rejection", id, gateway.finalAnswers[id])
 		}
 	}
 	gateway.handle(ClientGone{ID: "z"})
@@ -64,14 +64,14 @@
 	gateway.advance(0)
 	for _, send := range gateway.sends[sent:] {
 		if send.ID[0] == 'q' {
-			t.Errorf("%s was sent when its client had all but left", send.ID)
+			t.Errorf("%s was sent shortly before its client's deadline", send.ID)
 		}
 	}
 	gateway.advance(6 * time.Second)
 	for i := 0; i < 40; i++ {
 		for _, id := range []string{fmt.Sprint("q", i), fmt.Sprint("n", i)} {
 			if gateway.finalAnswers[id] == nil && gateway.attempts[id] == 0 {
-				t.Errorf("%s was not answered", id)
+				t.Errorf("%s has neither a final answer nor an attempt", id)
 			}
 		}
 	}
@@ -88,12 +88,12 @@
 		{"usable", Request{Timeout: time.Second, Units: 1}, class, CauseNone},
 		{"over capacity", Request{Timeout: time.Second, IsOverCapacity: true}, class, CauseOverCapacity},
 		{"over the hard limit", Request{Timeout: time.Second, IsOverHardLimit: true}, class, CauseHardLimit},
-		{"of no class", Request{Timeout: time.Second}, nil, CauseInvalid},
+		{"without a class", Request{Timeout: time.Second}, nil, CauseInvalid},
 		{"without a timeout", Request{}, class, CauseInvalid},
-		{"of NaN units", Request{Timeout: time.Second, Units: math.NaN()}, class, CauseInvalid},
+		{"with NaN units", Request{Timeout: time.Second, Units: math.NaN()}, class, CauseInvalid},
 	} {
 		if got := earlyRejectionCause(tc.event, tc.class, plan); got != tc.want {
-			t.Errorf("a request %s: %v, want %v", tc.name, got, tc.want)
+			t.Errorf("request %s: got cause %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
--- a/control/attempts_test.go
+++ b/control/attempts_test.go
@@ -80,10 +80,10 @@
 	before := newUsedResources(controller, account, srv)
 	gateway.request("a", "job", "high", "c")
 	if len(gateway.sends) != 1 {
-		t.Fatalf("%d sends", len(gateway.sends))
+		t.Fatalf("got %d sends, want 1", len(gateway.sends))
 	}
 	if newUsedResources(controller, account, srv) == before {
-		t.Fatalf("an attempt takes nothing of %+v", before)
+		t.Fatalf("the attempt did not change the used resources %+v", before)
 	}
 	if clientLeaves {
 		gateway.handle(ClientGone{ID: "a"})
@@ -92,18 +92,18 @@
 	gateway.handle(event)
 	gateway.handle(event) // the second result belongs to no attempt and is ignored
 	if after := newUsedResources(controller, account, srv); after != before {
-		t.Errorf("before %+v, after %+v", before, after)
+		t.Errorf("used resources before the attempt: %+v, after: %+v", before, after)
 	}
 	final := gateway.finalAnswers["a"]
 	if clientLeaves {
 		if final != nil {
-			t.Errorf("the client has left and has the final answer %+v", final)
+			t.Errorf("the client has left, but got the final answer %+v", final)
 		}
 	} else if reject, ok := final.(Reject); !ok || reject.Cause != CauseNoRetry {
-		t.Errorf("the final answer is %+v", final)
+		t.Errorf("final answer is %+v, want a rejection with CauseNoRetry", final)
 	}
 	gateway.request("b", "job", "high", "c")
 	if len(gateway.sends) != 2 || gateway.sends[1].ID != "b" {
-		t.Errorf("the next one was not sent: %+v", gateway.sends)
+		t.Errorf("the next request was not sent: %+v", gateway.sends)
 	}
 }
--- a/control/client_wait_test.go
+++ b/control/client_wait_test.go
@@ -12,23 +12,23 @@
 	class := &gateway.controller.settings.Classes[0]
 	for i := 0; i < 3; i++ {
 		if w := gateway.controller.clientWaits.estimate(Request{Timeout: 3 * time.Second}, class, gateway.controller.clockAdvance); w != 0 {
-			t.Fatalf("a first try has waited %v", w)
+			t.Fatalf("first attempt has waited %v, want 0", w)
 		}
 	}
 	gateway.controller.clockAdvance = 1500 * ms
 	if w := gateway.controller.clientWaits.estimate(Request{Timeout: 2 * time.Second}, class, gateway.controller.clockAdvance); w != time.Second {
-		t.Errorf("a first try that lay for 1 s through a stall has waited %v", w)
+		t.Errorf("first attempt that was delayed for 1 s by a stall has waited %v, want 1s", w)
 	}
 	gateway.controller.clockAdvance = 4 * ms
 	if w := gateway.controller.clientWaits.estimate(Request{Timeout: 2 * time.Second}, class, gateway.controller.clockAdvance); w != 4*time.Second {
-		t.Errorf("a later try with 2 s of 6 s left has waited %v", w)
+		t.Errorf("retry with 2 s of 6 s left has waited %v, want 4s", w)
 	}
 	if w := gateway.controller.clientWaits.estimate(Request{Timeout: 5 * time.Second}, class, gateway.controller.clockAdvance); w != time.Second {
-		t.Errorf("a last try, with all the rest of the time, has waited %v", w)
+		t.Errorf("retry with 5 s of 6 s left has waited %v, want 1s", w)
 	}
 	gateway.controller.clientWaits.retriesAreMarked = true
 	if w := gateway.controller.clientWaits.estimate(Request{Timeout: 5 * time.Second}, class, gateway.controller.clockAdvance); w != 0 {
-		t.Errorf("a try without the mark of a later one has waited %v", w)
+		t.Errorf("attempt that is not marked as a retry has waited %v, want 0", w)
 	}
 }
 
@@ -42,10 +42,10 @@
 	observe(3*time.Second, 4)
 	observe(time.Second, 3)
 	if typical.deadline != 3*time.Second || typical.support != 1 {
-		t.Errorf("%v with a support of %d, after three others among seven", typical.deadline, typical.support)
+		t.Errorf("got %v with support %d after three other deadlines among seven, want 3s and 1", typical.deadline, typical.support)
 	}
 	observe(time.Second, 3)
 	if typical.deadline != time.Second || typical.support != 2 {
-		t.Errorf("%v with a support of %d, after six others among ten", typical.deadline, typical.support)
+		t.Errorf("got %v with support %d after six other deadlines among ten, want 1s and 2", typical.deadline, typical.support)
 	}
 }
--- a/control/concurrency_limit_test.go
+++ b/control/concurrency_limit_test.go
@@ -12,7 +12,7 @@
 		gateway.request(fmt.Sprint(i), "job", "low", "x")
 	}
 	if len(gateway.sends) != 6 {
-		t.Fatalf("%d in flight with three servers at start", len(gateway.sends))
+		t.Fatalf("%d attempts in flight with three servers at the start, want 6", len(gateway.sends))
 	}
 	gateway.controller.limiter.limit = 40
 	for i := 0; i < 10; i++ { // control windows in which half of the outcomes are overloads
@@ -21,11 +21,11 @@
 		before := gateway.controller.limiter.limit
 		gateway.controller.endWindow(1)
 		if gateway.controller.limiter.limit < before/2 {
-			t.Errorf("the limit went from %g to %g in one window", before, gateway.controller.limiter.limit)
+			t.Errorf("limit cut from %g to %g in one window, want at most half", before, gateway.controller.limiter.limit)
 		}
 	}
 	if gateway.controller.limiter.limit != 3 {
-		t.Errorf("the limit fell to %g, the part of two gateways of two a server is 3", gateway.controller.limiter.limit)
+		t.Errorf("minimum limit is %g, want 3 for one of two gateways with three servers", gateway.controller.limiter.limit)
 	}
 }
 
@@ -37,13 +37,13 @@
 	gateway.controller.window.answers = 99
 	gateway.controller.endWindow(1)
 	if gateway.controller.limiter.limit < 40 {
-		t.Errorf("limit %g after one timeout in a hundred answers", gateway.controller.limiter.limit)
+		t.Errorf("limit is %g after one timeout among 100 outcomes, want at least 40", gateway.controller.limiter.limit)
 	}
 	gateway.controller.window.overloads = 30
 	gateway.controller.window.answers = 70
 	gateway.controller.endWindow(1)
 	if gateway.controller.limiter.limit != 20 {
-		t.Errorf("limit %g after thirty in a hundred", gateway.controller.limiter.limit)
+		t.Errorf("limit is %g after 30 overloads among 100 outcomes, want 20", gateway.controller.limiter.limit)
 	}
 }
 
@@ -56,7 +56,7 @@
 		gateway.request(fmt.Sprint(i), "job", "low", "x")
 	}
 	if per := float64(16*len(gateway.sends)) / 8; per > 8 {
-		t.Errorf("a group of 16 starts with %g requests in each server", per)
+		t.Errorf("a group of 16 gateways starts with %g requests per server, want at most 8", per)
 	}
 }
 
@@ -69,16 +69,16 @@
 	gateway.request("a", "job", "high", "x")
 	gateway.request("b", "job", "high", "y")
 	if len(gateway.sends) != 1 {
-		t.Fatalf("%d sent with a quarter of a slot", len(gateway.sends))
+		t.Fatalf("sent %d requests with a quarter of a slot, want 1", len(gateway.sends))
 	}
 	gateway.now += 100 * ms
 	gateway.respond("a", OK, 0)
 	if len(gateway.sends) != 1 {
-		t.Fatal("the slot did not pause")
+		t.Fatal("the fractional slot was not paused")
 	}
 	gateway.advance(450 * ms)
 	if len(gateway.sends) != 2 {
-		t.Error("the slot pauses for more than three times its use")
+		t.Error("the fractional slot was paused for more than three times its use")
 	}
 }
 
@@ -97,26 +97,26 @@
 		send(fmt.Sprint("up-", i), true)
 	}
 	if len(gateway.sends) != 200 {
-		t.Fatalf("%d of 200 were sent", len(gateway.sends))
+		t.Fatalf("sent %d of 200 requests with a pending body", len(gateway.sends))
 	}
 	gateway.advance(10 * time.Second)
 	send("small", false)
 	if len(gateway.sends) != 201 {
-		t.Fatal("a request without a pending body waits for them")
+		t.Fatal("a request without a pending body was queued behind those with one")
 	}
 	for i, send := range gateway.sends[:200] {
 		reason := []Reason{OK, TimedOut, ResetByPeer}[i%3]
 		gateway.handle(AttemptResult{ID: send.ID, Server: send.Server, Reason: reason, IsFinal: reason == OK, Delay: 10 * time.Second})
 	}
 	if gateway.controller.requests.slots.streaming != 0 || gateway.controller.requests.slots.inFlight != 1 {
-		t.Errorf("%d streams, %d in flight", gateway.controller.requests.slots.streaming, gateway.controller.requests.slots.inFlight)
+		t.Errorf("got %d streaming and %d in flight, want 0 and 1", gateway.controller.requests.slots.streaming, gateway.controller.requests.slots.inFlight)
 	}
 	if gateway.controller.fleet.latency.mean >= settings.Classes[0].LatencyObjective.Seconds() {
-		t.Errorf("the fleet is taken to need %g s", gateway.controller.fleet.latency.mean)
+		t.Errorf("fleet latency is %g s, want less than the objective", gateway.controller.fleet.latency.mean)
 	}
 	for _, srv := range gateway.controller.fleet.sortedServers {
 		if srv.latency.seconds > 1 {
-			t.Errorf("server %d is taken to need %g s", srv.Server, srv.latency.seconds)
+			t.Errorf("latency of server %d is %g s, want at most 1 s", srv.Server, srv.latency.seconds)
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	}
 	gateway.controller.endWindow(1)
 	if gateway.controller.limiter.idleLatency < 0.015 || gateway.controller.limiter.idleLatency > 0.03 {
-		t.Errorf("idle latency %g s after answers within 20 ms", gateway.controller.limiter.idleLatency)
+		t.Errorf("idle latency is %g s after answers within 20 ms, want 0.015 to 0.03 s", gateway.controller.limiter.idleLatency)
 	}
 }
 
@@ -150,7 +150,7 @@
 		gateway.controller.now = gateway.now + time.Duration(i)*time.Second
 		gateway.controller.endWindow(1)
 		if gateway.controller.limiter.limit != want {
-			t.Errorf("limit %g after %d late seconds, want %g", gateway.controller.limiter.limit, i+1, want)
+			t.Errorf("limit is %g after %d seconds with late answers, want %g", gateway.controller.limiter.limit, i+1, want)
 		}
 	}
 }
@@ -187,7 +187,7 @@
 		gateway.advance(time.Second)
 	}
 	if gateway.controller.ConcurrencyLimit() >= 200 {
-		t.Errorf("the limit is %g after 200 answers that took 1.5 s of an objective of 2 s", gateway.controller.ConcurrencyLimit())
+		t.Errorf("limit is %g after 200 answers that took 1.5 s with an objective of 2 s, want less than 200", gateway.controller.ConcurrencyLimit())
 	}
 }
 
@@ -212,7 +212,7 @@
 			}
 		}
 		if cut := gateway.controller.ConcurrencyLimit() < first; cut != tc.cut {
-			t.Errorf("servers at %.1f: the limit went from %.2f to %.2f", tc.util, first, gateway.controller.ConcurrencyLimit())
+			t.Errorf("servers with utilization %.1f: limit changed from %.2f to %.2f", tc.util, first, gateway.controller.ConcurrencyLimit())
 		}
 	}
 }
@@ -221,14 +221,14 @@
 	var limiter concurrencyLimiter
 	limiter.initialize(1, 3, 2)
 	if limiter.limit != 6 {
-		t.Errorf("a limit of %g for three servers", limiter.limit)
+		t.Errorf("initial limit is %g for three servers, want 6", limiter.limit)
 	}
 	limiter.initialize(1, 30, 2)
 	if limiter.limit != 6 {
-		t.Errorf("the limit went to %g with a longer list", limiter.limit)
+		t.Errorf("limit changed to %g with more servers, want 6", limiter.limit)
 	}
 	if got := minConcurrencyLimit(40, 10); got != 0.5 {
-		t.Errorf("a minimum of %g for one of 40 gateways and 10 servers", got)
+		t.Errorf("minimum limit is %g for one of 40 gateways and 10 servers, want 0.5", got)
 	}
 }
 
@@ -242,10 +242,10 @@
 		want float64
 	}{{0, 4}, {time.Second, 3}, {2 * time.Second, 2}} {
 		if got := slots.occupied(tc.now); got != tc.want {
-			t.Errorf("%g slots are occupied at %v, want %g", got, tc.now, tc.want)
+			t.Errorf("%g slots occupied at %v, want %g", got, tc.now, tc.want)
 		}
 	}
 	if srv.abandoned != 0 {
-		t.Errorf("%d attempts are presumed still running at the server", srv.abandoned)
+		t.Errorf("%d abandoned attempts remain at the server, want 0", srv.abandoned)
 	}
 }
--- a/control/control_window_test.go
+++ b/control/control_window_test.go
@@ -8,12 +8,12 @@
 		window.recordAnswer()
 	}
 	if window.hasEnoughAnswers() {
-		t.Error("three answers are enough")
+		t.Error("hasEnoughAnswers is true after three answers")
 	}
 	window.recordOverload()
 	window.recordOverload()
 	if !window.hasEnoughAnswers() || window.overloadFraction() != 0.4 {
-		t.Errorf("enough %v, overload %g after two overloads among five outcomes", window.hasEnoughAnswers(), window.overloadFraction())
+		t.Errorf("hasEnoughAnswers is %v and the overload fraction %g after two overloads among five outcomes, want true and 0.4", window.hasEnoughAnswers(), window.overloadFraction())
 	}
 }
 
@@ -22,13 +22,13 @@
 	window.recordLatency(1, 4)
 	window.recordLatency(20, 2)
 	if window.latencySecondsSum != 3 || window.latencyRatioSum != 1.25 || window.latencyCount != 2 {
-		t.Errorf("%g s, ratios of %g, of %g answers", window.latencySecondsSum, window.latencyRatioSum, window.latencyCount)
+		t.Errorf("sums of %g s and of ratios %g over %g answers, want 3, 1.25 and 2", window.latencySecondsSum, window.latencyRatioSum, window.latencyCount)
 	}
 }
 
 func TestWindowWithoutOutcomesShowsNoOverload(t *testing.T) {
 	var window controlWindow
 	if got := window.overloadFraction(); got != 0 {
-		t.Errorf("overload %g without an outcome", got)
+		t.Errorf("overload fraction is %g without outcomes, want 0", got)
 	}
 }
--- a/control/controller_test.go
+++ b/control/controller_test.go
@@ -18,7 +18,7 @@
 			}
 		}
 		if timers != want {
-			t.Errorf("%d timers of the period after event %d", timers, i+1)
+			t.Errorf("started %d tick timers after event %d", timers, i+1)
 		}
 	}
 }
@@ -32,7 +32,7 @@
 	controller.Handle(time.Hour+time.Second, PeerMessage{})
 	controller.Handle(time.Minute, PeerMessage{})
 	if controller.now != time.Hour+time.Second || controller.clockAdvance != time.Second {
-		t.Errorf("the time is %v, after an advance of %v", controller.now, controller.clockAdvance)
+		t.Errorf("time is %v after an advance of %v, want 1h0m1s and 1s", controller.now, controller.clockAdvance)
 	}
 }
 
@@ -56,7 +56,7 @@
 		controller.now = time.Hour + tc.after
 		controller.window.answers = tc.answers
 		if got := controller.isWindowDue(); got != tc.want {
-			t.Errorf("a window of %g answers is due %v after its end: %v", tc.answers, tc.after, got)
+			t.Errorf("window with %g answers, %v after its end: isWindowDue is %v", tc.answers, tc.after, got)
 		}
 	}
 }
--- a/control/demand_test.go
+++ b/control/demand_test.go
@@ -17,7 +17,7 @@
 		demand.addReading(time.Hour, tc.used, 1, plan.QuotaRate, tc.rejected)
 		got := demand.rejectionProbability(time.Hour, 0, 1e9, plan)
 		if math.Abs(got-tc.want) > 0.01 {
-			t.Errorf("rejection probability %g after %g units with %g rejected, want %g", got, tc.used, tc.rejected, tc.want)
+			t.Errorf("rejection probability is %g after %g units with a rejected fraction of %g, want %g", got, tc.used, tc.rejected, tc.want)
 		}
 	}
 }
@@ -30,10 +30,10 @@
 		demand.addReading(now, 1, 1, 10, 0)
 	}
 	if !demand.hasEnoughReadings(now, start) {
-		t.Error("not well metered with a reading of each period")
+		t.Error("hasEnoughReadings is false with a reading of each period")
 	}
 	if demand.hasEnoughReadings(now+time.Minute, start) {
-		t.Error("well metered a minute after the last reading")
+		t.Error("hasEnoughReadings is true a minute after the latest reading")
 	}
 }
 
@@ -45,7 +45,7 @@
 	demand.startReading(100)
 	for bin, want := range map[int64]bool{100: false, 104: false, 105: true, 110: true} {
 		if got := demand.isNewReading(bin); got != want {
-			t.Errorf("a period that ends in bin %d, after one that ended in 100, is new: %v", bin, got)
+			t.Errorf("period that ends in bin %d after one that ended in bin 100: isNewReading is %v", bin, got)
 		}
 	}
 }
@@ -53,15 +53,15 @@
 func TestFirstReadingsRejectByThePlansExcess(t *testing.T) {
 	var readings firstReadingEstimate
 	if got := readings.rejectionProbability(2); got != 0 {
-		t.Errorf("rejection probability %g without a reading", got)
+		t.Errorf("rejection probability is %g without a reading, want 0", got)
 	}
 	for range 1000 {
 		readings.add(300, 0.5)
 	}
 	if got := readings.rejectionProbability(2); math.Abs(got-0.25) > 1e-6 {
-		t.Errorf("rejection probability %g of customers with half their usage beyond the quota, at one of two gateways", got)
+		t.Errorf("rejection probability is %g for readings of three times the quota at one of two gateways, want 0.25", got)
 	}
 	if got := readings.rejectionProbability(1); got != 0 {
-		t.Errorf("rejection probability %g where no other gateway admits them", got)
+		t.Errorf("rejection probability is %g with a fan-out of one, want 0", got)
 	}
 }
--- a/control/endpoint_choice_test.go
+++ b/control/endpoint_choice_test.go
@@ -17,7 +17,7 @@
 	gateway.request("x", "job", "low", "x")
 	for _, send := range gateway.sends {
 		if send.Server == 1 || send.ID == "x" && send.Server != 3 {
-			t.Errorf("%s went to %d", send.ID, send.Server)
+			t.Errorf("request %s was sent to server %d", send.ID, send.Server)
 		}
 	}
 }
@@ -37,7 +37,7 @@
 		}
 	}
 	if silent == 0 || silent > 6 {
-		t.Errorf("%d of 200 requests in 4 s went to a server that never answers", silent)
+		t.Errorf("%d of 200 requests in 4 s were sent to the server that never answers, want 1 to 6", silent)
 	}
 }
 
@@ -53,7 +53,7 @@
 	}
 	group.serve(50)
 	if fraction := float64(group.sent[1]) * 8 / (40 * 50); fraction > 0.3 {
-		t.Errorf("it is sent %.2f of an even part", fraction)
+		t.Errorf("slow server got %.2f of an even part of the requests, want at most 0.3", fraction)
 	}
 }
 
@@ -68,7 +68,7 @@
 	}
 	group.serve(50)
 	if fraction := float64(group.sent[1]) * 8 / (40 * 50); fraction > 2 {
-		t.Errorf("it is sent %.1f times its part", fraction)
+		t.Errorf("server got %.1f times an even part of the requests, want at most 2", fraction)
 	}
 }
 
@@ -92,7 +92,7 @@
 		}
 	}
 	if busyAttempts*4 > otherAttempts {
-		t.Errorf("%d attempts at full servers, %d at others", busyAttempts, otherAttempts)
+		t.Errorf("%d attempts at fully utilized servers, %d at others", busyAttempts, otherAttempts)
 	}
 }
 
@@ -106,15 +106,15 @@
 	req := &request{class: &Class{}, plan: &planQueue{}}
 	choose := func() *server { return selector.choose(0, rand.New(rand.NewPCG(1, 2)), 1, req) }
 	if got := choose(); got != fleet.sortedServers[0] {
-		t.Errorf("chose %d, not the idle one", got.Server)
+		t.Errorf("chose server %d, not the idle one", got.Server)
 	}
 	req.triedServers = []uint32{0}
 	if got := choose(); got != fleet.sortedServers[1] {
-		t.Errorf("chose %d, not the least busy one that was not tried", got.Server)
+		t.Errorf("chose server %d, not the least busy one that was not tried", got.Server)
 	}
 	fleet.sortedServers[1].State = Draining
 	if got := choose(); got != fleet.sortedServers[2] {
-		t.Errorf("chose %d, not the next one that does not drain", got.Server)
+		t.Errorf("chose server %d, not the least busy one that is not draining", got.Server)
 	}
 	fleet.sortedServers[2].outlier.recordOutcome(0, ConnectFailed, req.plan)
 	if got := choose(); got == fleet.sortedServers[2] {
@@ -124,7 +124,7 @@
 		srv.isListed = false
 	}
 	if got := choose(); got != nil {
-		t.Errorf("chose %d, which is not listed", got.Server)
+		t.Errorf("chose server %d, which is not listed", got.Server)
 	}
 }
 
@@ -140,10 +140,10 @@
 		req := &request{class: class, repeatGroup: ran}
 		for i, srv := range []*server{sameCell, sameZone, remote} {
 			if got := req.isRepeatDroppedBy(srv, 0); got != want[i] {
-				t.Errorf("scope %d, server %d: %v", scope, i, got)
+				t.Errorf("scope %d, server %d: isRepeatDroppedBy is %v", scope, i, got)
 			}
 			if req.isRepeatDroppedBy(srv, time.Second) {
-				t.Errorf("scope %d, server %d: repeats are dropped after the window", scope, i)
+				t.Errorf("scope %d, server %d: repeats are presumed to be dropped after the repeat window", scope, i)
 			}
 		}
 	}
--- a/control/endpoint_watch_test.go
+++ b/control/endpoint_watch_test.go
@@ -20,18 +20,18 @@
 	}
 	gateway.advance(200 * ms)
 	if countWatches() != 1 {
-		t.Fatalf("%d watches at start", countWatches())
+		t.Fatalf("started %d watches, want 1", countWatches())
 	}
 	gateway.handle(EndpointList{Kind: ListFailed})
 	gateway.advance(5 * time.Second)
 	if countWatches() < 2 {
-		t.Error("no second watch after the first failed")
+		t.Error("no watch was started after the first one failed")
 	}
 	gateway.handle(EndpointList{Kind: ListComplete, Endpoints: activeEndpoints(1)})
 	n := countWatches()
 	gateway.advance(20 * time.Second)
 	if countWatches() != n {
-		t.Error("watched again during a watch")
+		t.Error("a watch was started while one is active")
 	}
 }
 
@@ -39,18 +39,18 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	watch := endpointWatch{isRequired: true}
 	if !watch.startIfDue(time.Hour) || watch.startIfDue(time.Hour+rewatchInterval-1) || !watch.startIfDue(time.Hour+rewatchInterval) {
-		t.Error("a watch that does not answer is not started once in an interval")
+		t.Error("a watch without an answer is not restarted exactly once per interval")
 	}
 	watch.recordList(time.Hour, rng, ListComplete)
 	if watch.startIfDue(2 * time.Hour) {
-		t.Error("an active watch is started again")
+		t.Error("startIfDue is true while a watch is active")
 	}
 	watch.recordList(2*time.Hour, rng, ListFailed)
 	if watch.startIfDue(2*time.Hour+rewatchInterval/2-1) || !watch.startIfDue(2*time.Hour+rewatchInterval*3/2) {
-		t.Error("a failed watch is not started again within the interval, from a half to one and a half")
+		t.Error("a failed watch is not restarted after 0.5 to 1.5 intervals")
 	}
 	var pushed endpointWatch
 	if pushed.startIfDue(time.Hour) {
-		t.Error("a list that comes by itself is watched")
+		t.Error("startIfDue is true for a list that needs no watch")
 	}
 }
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -25,11 +25,11 @@
 					gateway.handle(EndpointList{Kind: ListPatch, Endpoints: append([]Endpoint{{Server: 1, State: condition}}, outside...)})
 					gateway.respond("r", ResetByPeer, 0)
 					if len(gateway.sends) != 1 {
-						t.Fatalf("sent again to %d", gateway.sends[1].Server)
+						t.Fatalf("retry was sent to server %d outside the repeat group", gateway.sends[1].Server)
 					}
 					gateway.handle(EndpointList{Kind: ListPatch, Endpoints: group[1:]})
 					if len(gateway.sends) != 2 || gateway.sends[1].Server != 2 {
-						t.Errorf("sent to %v, not again to 2", gateway.sends)
+						t.Errorf("got sends %v, want a retry to server 2", gateway.sends)
 					}
 				})
 			}
--- a/control/extreme_settings_test.go
+++ b/control/extreme_settings_test.go
@@ -158,33 +158,33 @@
 		}
 		controller := s.controller
 		if len(s.inFlight)+len(s.requests) != 0 {
-			t.Fatalf("seed %d: %d attempts and %d requests have not ended", seed, len(s.inFlight), len(s.requests))
+			t.Fatalf("seed %d: %d attempts and %d requests did not end", seed, len(s.inFlight), len(s.requests))
 		}
 		requests := &controller.requests
 		if n := len(requests.byID) + len(requests.byTimer) + len(requests.attempts); n != 0 {
-			t.Fatalf("seed %d: %d requests, %d labels, %d attempts are left",
+			t.Fatalf("seed %d: %d requests, %d timers and %d attempts remain",
 				seed, len(requests.byID), len(requests.byTimer), len(requests.attempts))
 		}
 		if requests.slots.inFlight != 0 || requests.slots.streaming != 0 {
-			t.Fatalf("seed %d: %d slots, %d streams are left", seed, requests.slots.inFlight, requests.slots.streaming)
+			t.Fatalf("seed %d: %d attempts in flight and %d streams remain", seed, requests.slots.inFlight, requests.slots.streaming)
 		}
 		for _, plan := range controller.scheduler.plans {
 			if len(plan.queue) > 0 {
-				t.Fatalf("seed %d: %d wait in the queue of %s", seed, len(plan.queue), plan.Name)
+				t.Fatalf("seed %d: %d requests remain in the queue of plan %s", seed, len(plan.queue), plan.Name)
 			}
 		}
 		for key, account := range controller.accounts.byKey {
 			if !account.isIdle() || math.IsNaN(account.quota.tokens+account.hardLimit.tokens+account.inFlight.rejectionProbability+account.inFlight.limit) {
-				t.Fatalf("seed %d: customer %s has %d open, %g queued, %g and %g left", seed, key, account.inFlight.current, account.queuedUnits, account.quota.tokens, account.hardLimit.tokens)
+				t.Fatalf("seed %d: customer %s has %d attempts in flight, %g queued units, %g quota and %g hard-limit tokens", seed, key, account.inFlight.current, account.queuedUnits, account.quota.tokens, account.hardLimit.tokens)
 			}
 		}
 		for _, srv := range controller.fleet.sortedServers {
 			if srv.inFlight != 0 || srv.abandoned < 0 {
-				t.Fatalf("seed %d: server %d has %d in flight, %d abandoned", seed, srv.Server, srv.inFlight, srv.abandoned)
+				t.Fatalf("seed %d: server %d has %d attempts in flight and %d abandoned", seed, srv.Server, srv.inFlight, srv.abandoned)
 			}
 		}
 		if math.IsNaN(controller.limiter.limit+controller.fleet.latency.mean+controller.retries.budget.retries) || controller.limiter.limit < 0 {
-			t.Fatalf("seed %d: a limit of %g, latency %g", seed, controller.limiter.limit, controller.fleet.latency.mean)
+			t.Fatalf("seed %d: concurrency limit is %g, fleet latency %g", seed, controller.limiter.limit, controller.fleet.latency.mean)
 		}
 	}
 }
--- a/control/gateway_test.go
+++ b/control/gateway_test.go
@@ -56,7 +56,7 @@
 		switch a := action.(type) {
 		case Send:
 			if g.finalAnswers[a.ID] != nil {
-				g.t.Fatalf("%s was sent after its end", a.ID)
+				g.t.Fatalf("request %s was sent after its final answer", a.ID)
 			}
 			g.attempts[a.ID]++
 			g.sends = append(g.sends, a)
@@ -74,7 +74,7 @@
 func (g *testGateway) recordFinal(id string, action Action) {
 	g.t.Helper()
 	if g.finalAnswers[id] != nil {
-		g.t.Fatalf("%s has two final answers", id)
+		g.t.Fatalf("request %s has two final answers", id)
 	}
 	g.finalAnswers[id] = action
 }
@@ -117,7 +117,7 @@
 			return
 		}
 	}
-	g.t.Fatalf("%s was never sent", id)
+	g.t.Fatalf("request %s was never sent", id)
 }
 
 // serve calls send every gap for a time d, and answers each attempt after 200 ms.
--- a/control/golden_test.go
+++ b/control/golden_test.go
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("the image of what was resumed is\n%v\nnot\n%v", got, want)
+		t.Errorf("image of the resumed controller is\n%v\nwant\n%v", got, want)
 	}
 }
 
--- a/control/hand_over_test.go
+++ b/control/hand_over_test.go
@@ -120,7 +120,7 @@
 			}
 		}
 		if excess := chain.maxExcess(start, 30, 60); excess > initialSlackFraction*6+1 {
-			t.Errorf("seed %d: %.1f units beyond the hard limit", seed, excess)
+			t.Errorf("seed %d: customer exceeded the hard limit by %.1f units", seed, excess)
 		}
 		reference := &handOverChain{t: t, settings: chain.settings, rng: rand.New(rand.NewPCG(seed, 4))} // without hand-overs
 		reference.gateways = []*testGateway{reference.newGateway(time.Hour)}
@@ -128,7 +128,7 @@
 			reference.step([]float64{0.2, 0.2, 0, 0.02}[i/500%4])
 		}
 		if fraction := float64(len(chain.sent)) / float64(len(reference.sent)); fraction < 0.97 {
-			t.Errorf("seed %d: %d units, %d without hand-over", seed, len(chain.sent), len(reference.sent))
+			t.Errorf("seed %d: sent %d units, %d without hand-overs, want at least 97 percent", seed, len(chain.sent), len(reference.sent))
 		}
 	}
 }
@@ -160,10 +160,10 @@
 			successor.controller.Restore(successor.now, predecessor.controller.HandOver(predecessor.now, 1), TrustAll)
 			got := successor.controller.accounts.byKey["low x"]
 			if got.hardLimit.tokens != tc.wantHardLimit || got.quota.tokens != tc.wantQuota {
-				t.Errorf("hard limit %g, quota %g", got.hardLimit.tokens, got.quota.tokens)
+				t.Errorf("got %g hard-limit and %g quota tokens", got.hardLimit.tokens, got.quota.tokens)
 			}
 			if account.hardLimit.tokens != 0 || account.quota.tokens != 0 {
-				t.Errorf("the old one keeps %g and %g", account.hardLimit.tokens, account.quota.tokens)
+				t.Errorf("predecessor retains %g hard-limit and %g quota tokens, want 0", account.hardLimit.tokens, account.quota.tokens)
 			}
 		})
 	}
@@ -191,22 +191,22 @@
 	successor.controller.Restore(successor.now, checkpoint, TrustAll)
 	controller := successor.controller
 	if got := controller.fleet.latency.mean; got != 0.25 {
-		t.Errorf("a fleet latency of %g", got)
+		t.Errorf("fleet latency is %g, want 0.25", got)
 	}
 	if meter := &controller.usage.meter; meter.lagBins != 12 || meter.phaseBin != 3 {
-		t.Errorf("a meter lag of %d bins and a phase of %d", meter.lagBins, meter.phaseBin)
+		t.Errorf("meter lag is %d bins and the phase %d, want 12 and 3", meter.lagBins, meter.phaseBin)
 	}
 	if got := controller.scheduler.plans[1].share; got != 0.75 {
-		t.Errorf("a share of %g", got)
+		t.Errorf("share is %g, want 0.75", got)
 	}
 	if limit := controller.limiter.limit; limit < 37*0.7 || limit > 37 {
-		t.Errorf("a limit of %g", limit)
+		t.Errorf("limit is %g, want 25.9 to 37", limit)
 	}
 	if !controller.fleet.servers[2].outlier.isEjected(controller.now) {
-		t.Error("the ejected server is chosen again")
+		t.Error("the ejected server is no longer ejected")
 	}
 	if got := controller.fleet.servers[3].latency.seconds; got != 0 {
-		t.Errorf("a server that started anew has a latency of %g s", got)
+		t.Errorf("a restarted server has a latency estimate of %g s, want 0", got)
 	}
 	old := checkpoint
 	old.At -= time.Hour
@@ -214,7 +214,7 @@
 	first := later.controller.limiter.limit
 	later.controller.Restore(predecessor.now, old, TrustAll)
 	if math.Abs(later.controller.limiter.limit-first) > 0.01 {
-		t.Errorf("a limit of %g by what is an hour old, not %g", later.controller.limiter.limit, first)
+		t.Errorf("limit is %g from a checkpoint that is an hour old, want %g", later.controller.limiter.limit, first)
 	}
 }
 
@@ -232,6 +232,6 @@
 		}
 	}
 	if got := chain.newest().controller.limiter.limit; got <= first {
-		t.Errorf("a limit of %g, at first %g", got, first)
+		t.Errorf("limit is %g, want more than the initial %g", got, first)
 	}
 }
--- a/control/hard_limit_test.go
+++ b/control/hard_limit_test.go
@@ -14,7 +14,7 @@
 		gateway.request(fmt.Sprint("s", i), "job", "low", "x")
 	}
 	if len(gateway.sends) > 2 { // half of the slack, at one of two gateways
-		t.Errorf("%d units at once from a gateway that knows nothing", len(gateway.sends))
+		t.Errorf("restarted gateway sent %d units at once, want at most 2", len(gateway.sends))
 	}
 	sent, start := 0, gateway.now
 	for gateway.now < start+20*time.Second {
@@ -27,10 +27,10 @@
 		gateway.advance(10 * ms)
 	}
 	if maxUnits := 20*5 + 2 + 1; sent > maxUnits {
-		t.Errorf("%d units in 20 s, this gateway's part is %d", sent, maxUnits)
+		t.Errorf("sent %d units in 20 s, want at most %d", sent, maxUnits)
 	}
 	if sent < 80 {
-		t.Errorf("only %d units in 20 s", sent)
+		t.Errorf("sent %d units in 20 s, want at least 80", sent)
 	}
 }
 
@@ -68,7 +68,7 @@
 			}
 			maxUnits := plan.HardLimitBurst/2 + (gateway.now-start).Seconds()*plan.HardLimitRate/2 // the customer's fan-out is two
 			if n := float64(len(gateway.sends) - before); n > maxUnits+1 {
-				t.Errorf("%g units at once, of a part of %g", n, maxUnits)
+				t.Errorf("sent %g units at once, want at most %g", n, maxUnits)
 			}
 		})
 	}
@@ -120,7 +120,7 @@
 			}
 			maxUnits := (initialSlackFraction*plan.HardLimitSlack + (gateway.now-start).Seconds()*plan.HardLimitRate) / 2
 			if n := float64(sent) / 8; evictions < 10 || n > maxUnits+1 {
-				t.Errorf("%g units of %g, evicted %d times", n, maxUnits, evictions)
+				t.Errorf("sent %g units, want at most %g; account evicted %d times, want at least 10", n, maxUnits, evictions)
 			}
 		})
 	}
@@ -138,6 +138,6 @@
 	crashed := after(newTestGateway(t, settings, activeEndpoints(1, 2)...).controller.Checkpoint(time.Hour), TrustEstimates)
 	next := after(crashed.HandOver(time.Hour, 1), TrustAll)
 	if left := next.accountFor(next.scheduler.plansByName["low"], "x", 1).hardLimit.tokens; left > 0 {
-		t.Errorf("%g units for a customer of whom nothing is known since a crash", left)
+		t.Errorf("unknown customer has %g units after a crash and a hand-over, want 0", left)
 	}
 }
--- a/control/history.go
+++ b/control/history.go
@@ -117,7 +117,7 @@
 // resume fills an empty history with the running sums of an image.
 func (h *history) resume(currentBin int64, sums []RunningSum) error {
 	if len(sums) > historyBins+1 {
-		return fmt.Errorf("a history of %d bins", len(sums))
+		return fmt.Errorf("too many bins: %d", len(sums))
 	}
 	for i, sum := range sums {
 		isAscending := i == 0 || sum.Bin > sums[i-1].Bin
--- a/control/history_test.go
+++ b/control/history_test.go
@@ -49,16 +49,16 @@
 			for range 5 {
 				end := now - r.Int64N(100)
 				if got, inWindow, want := hist.periodSum(end), window.periodSum(end), dense.periodSum(end); math.Abs(got-want) > 1e-9 || inWindow != got {
-					t.Fatalf("seed %d: %g and %g up to bin %d of %d, want %g", seed, got, inWindow, end, now, want)
+					t.Fatalf("seed %d: periodSum is %g, in the window %g, up to bin %d of %d, want %g", seed, got, inWindow, end, now, want)
 				}
 			}
 			if len(hist.sums) > historyBins+1 {
-				t.Fatalf("seed %d: %d steps", seed, len(hist.sums))
+				t.Fatalf("seed %d: history stores %d bins", seed, len(hist.sums))
 			}
 			var repeated history
 			repeated.restore(hist.amounts(), now)
 			if repeated.advance(now); math.Abs(repeated.periodSum(now)-dense.periodSum(now)) > 1e-9 {
-				t.Fatalf("seed %d: taken over, %g of the latest period, want %g", seed, repeated.periodSum(now), dense.periodSum(now))
+				t.Fatalf("seed %d: periodSum of the restored history is %g, want %g", seed, repeated.periodSum(now), dense.periodSum(now))
 			}
 		}
 	}
@@ -73,6 +73,6 @@
 	hist.add(1)
 	hist.subtract(3, 2)
 	if before, after := hist.sumUntil(4), hist.sumUntil(5); before != 0 || math.Abs(after-1) > epsilon {
-		t.Errorf("%v, then %v", before, after)
+		t.Errorf("sums are %v and then %v, want 0 and 1", before, after)
 	}
 }
--- a/control/image_test.go
+++ b/control/image_test.go
@@ -26,7 +26,7 @@
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		if resumedImage := resumed.Image(); !reflect.DeepEqual(resumedImage, image) {
-			t.Fatalf("seed %d: the image of what was resumed is another", seed)
+			t.Fatalf("seed %d: image of the resumed controller differs", seed)
 		}
 		copied.controller = resumed
 		original.log, copied.log = nil, nil
@@ -37,10 +37,10 @@
 		if !reflect.DeepEqual(original.log, copied.log) {
 			for i := range original.log {
 				if i >= len(copied.log) || original.log[i] != copied.log[i] {
-					t.Fatalf("seed %d: line %d: %q and then not", seed, i, original.log[i])
+					t.Fatalf("seed %d: line %d of the log: original has %q, resumed controller differs", seed, i, original.log[i])
 				}
 			}
-			t.Fatalf("seed %d: more was done", seed)
+			t.Fatalf("seed %d: resumed controller took additional actions", seed)
 		}
 	}
 }
@@ -72,7 +72,7 @@
 		image := s.controller.Image()
 		corrupt(&image)
 		if controller, err := Resume(s.settings, image); err == nil || controller != nil {
-			t.Errorf("%s: resumed", name)
+			t.Errorf("%s: invalid image was resumed", name)
 		}
 	}
 }
--- a/control/in_flight_quota_test.go
+++ b/control/in_flight_quota_test.go
@@ -15,11 +15,11 @@
 	}
 	gateway.request("y", "job", "low", "y")
 	if gateway.controller.accountFor(gateway.controller.scheduler.plans[0], "x", 2).inFlight.current != 2 || gateway.attempts["y"] != 1 {
-		t.Fatalf("sends %v: two of x are its part of four, y is not held up", gateway.sends)
+		t.Fatalf("got sends %v, want two of customer x and one of y", gateway.sends)
 	}
 	gateway.respond("0", OK, 0)
 	if gateway.attempts["2"] != 1 {
-		t.Error("the next of x did not follow")
+		t.Error("the next request of customer x was not sent")
 	}
 }
 
@@ -27,21 +27,21 @@
 	quota := inFlightQuota{limit: 4}
 	quota.adjust(8, 2, 50, 0, 10)
 	if quota.limit != 4 {
-		t.Errorf("limit %g after a reading of half the quota that nothing met", quota.limit)
+		t.Errorf("limit is %g after a reading of half the quota, want 4 as it was not reached", quota.limit)
 	}
 	quota.current = 4
 	if !quota.isFull(0) {
-		t.Error("a fifth attempt of four may start")
+		t.Error("isFull is false with four attempts and a limit of four")
 	}
 	quota.adjust(8, 2, 50, 0, 10)
 	if quota.limit != 4*limitIncreaseFactor {
-		t.Errorf("limit %g after it was met and half the quota was used", quota.limit)
+		t.Errorf("limit is %g after it was reached and half the quota was used", quota.limit)
 	}
 	for range 20 {
 		quota.adjust(8, 2, 200, 0, 10)
 	}
 	if quota.limit != 2 || quota.rejectionProbability != 0.5 {
-		t.Errorf("limit %g and rejection probability %g at twice the quota", quota.limit, quota.rejectionProbability)
+		t.Errorf("limit is %g and the rejection probability %g at twice the quota, want 2 and 0.5", quota.limit, quota.rejectionProbability)
 	}
 }
 
@@ -49,6 +49,6 @@
 	quota := inFlightQuota{limit: 0.25}
 	quota.pauseAfter(10*time.Second, 9*time.Second)
 	if !quota.isFull(13*time.Second-1) || quota.isFull(13*time.Second) {
-		t.Errorf("the next attempt is at %v, three times the last one's duration after its end at 10 s", quota.nextAttemptAt)
+		t.Errorf("next attempt is at %v, want 13s: three times the duration of the last one after its end", quota.nextAttemptAt)
 	}
 }
--- a/control/meter_clock_test.go
+++ b/control/meter_clock_test.go
@@ -34,6 +34,6 @@
 	}
 	end := gateway.controller.usage.meter.periodEndBin(gateway.controller.currentBin())
 	if want := int64((gateway.now - delay).Truncate(time.Second) / (100 * ms)); end < want-1 || end > want+1 {
-		t.Errorf("the told period is taken to end in bin %d, it ended in %d", end, want)
+		t.Errorf("reported period is estimated to end in bin %d, want %d", end, want)
 	}
 }
--- a/control/outlier_test.go
+++ b/control/outlier_test.go
@@ -23,7 +23,7 @@
 		}
 	}
 	if failedAttempts > 12 {
-		t.Errorf("%d attempts on a server that takes no connection, in 10 s", failedAttempts)
+		t.Errorf("%d attempts in 10 s at a server that accepts no connection, want at most 12", failedAttempts)
 	}
 }
 
@@ -46,7 +46,7 @@
 		}
 	}
 	if failedAttempts > 20 {
-		t.Errorf("%d attempts in 15 s on a server that only fails", failedAttempts)
+		t.Errorf("%d attempts in 15 s at a server that always fails, want at most 20", failedAttempts)
 	}
 }
 
@@ -69,7 +69,7 @@
 		}
 	}
 	if attempts[2] > attempts[1]/2 {
-		t.Errorf("requests by server: %v", attempts)
+		t.Errorf("server 2 got more than half as many attempts as server 1: %v", attempts)
 	}
 }
 
@@ -88,7 +88,7 @@
 			for gateway.finalAnswers[id] == nil {
 				last := gateway.sends[len(gateway.sends)-1]
 				if last.ID != id {
-					t.Fatalf("%s was held", id)
+					t.Fatalf("request %s was queued", id)
 				}
 				if plan == "low" && last.Server <= 2 {
 					rejections++
@@ -101,10 +101,10 @@
 		gateway.advance(100 * ms)
 	}
 	if rejections > 3 {
-		t.Errorf("two servers rejected the plan %d times in 6 s", rejections)
+		t.Errorf("two servers rejected the plan %d times in 6 s, want at most 3", rejections)
 	}
 	if gateway.controller.limiter.limit < before {
-		t.Errorf("the limit went from %g to %g on servers with capacity", before, gateway.controller.limiter.limit)
+		t.Errorf("limit was cut from %g to %g on servers with spare capacity", before, gateway.controller.limiter.limit)
 	}
 }
 
@@ -116,12 +116,12 @@
 	srv.outlier.consecutiveFailures = ejectionFailures
 	gateway.request("a", "job", "high", "c")
 	if !srv.outlier.isProbing {
-		t.Fatal("no probe")
+		t.Fatal("the attempt at the ejected server is no probe")
 	}
 	gateway.handle(ClientGone{ID: "a"})
 	gateway.handle(AttemptResult{ID: "a", Server: 1, Reason: Cancelled, IsFinal: true})
 	if srv.outlier.isProbing || srv.outlier.consecutiveFailures != ejectionFailures {
-		t.Errorf("probing %v after %d consecutive failures", srv.outlier.isProbing, srv.outlier.consecutiveFailures)
+		t.Errorf("isProbing is %v with %d consecutive failures", srv.outlier.isProbing, srv.outlier.consecutiveFailures)
 	}
 }
 
@@ -131,24 +131,24 @@
 	for _, want := range []time.Duration{1, 2, 4, 8, 8} {
 		detector.recordOutcome(now, ConnectFailed, nil)
 		if detector.ejectionTime != want*time.Second || !detector.isEjected(now) {
-			t.Errorf("ejected for %v, want %v s", detector.ejectionTime, int(want))
+			t.Errorf("ejection time is %v, want %v s", detector.ejectionTime, int(want))
 		}
 		now += detector.ejectionTime
 		if detector.isEjected(now) || !detector.hasTripped() {
-			t.Error("the ejection lasts longer than its time, or is forgotten after it")
+			t.Error("the ejection did not end at its time, or its failures were reset")
 		}
 	}
 	detector.recordAttempt()
 	if !detector.isAvoided(now, nil) {
-		t.Error("a server is chosen while it is probed")
+		t.Error("isAvoided is false while the server is probed")
 	}
 	detector.recordOutcome(now, OK, nil)
 	if detector.hasTripped() || detector.isAvoided(now, nil) {
-		t.Error("a server is avoided after a success")
+		t.Error("server is still avoided after a success")
 	}
 	detector.recordOutcome(now, ConnectFailed, nil)
 	if detector.ejectionTime != initialEjectionTime {
-		t.Errorf("ejected for %v after a success", detector.ejectionTime)
+		t.Errorf("ejection time is %v after a success, want the initial one", detector.ejectionTime)
 	}
 }
 
@@ -156,14 +156,14 @@
 	detector := newOutlierDetector()
 	detector.updateFailureRate(0, 1)
 	if got := detector.costFactor(0); got != 1 {
-		t.Errorf("a cost factor of %g after one failure", got)
+		t.Errorf("cost factor is %g after one failure, want 1", got)
 	}
 	detector.updateFailureRate(0, 1)
 	after := detector.costFactor(0)
 	if after <= 1 {
-		t.Errorf("a cost factor of %g after two failures", after)
+		t.Errorf("cost factor is %g after two failures, want more than 1", after)
 	}
 	if later := detector.costFactor(time.Minute); later != 1 {
-		t.Errorf("a cost factor of %g a minute later", later)
+		t.Errorf("cost factor is %g a minute later, want 1", later)
 	}
 }
--- a/control/plan_queue_test.go
+++ b/control/plan_queue_test.go
@@ -12,16 +12,16 @@
 	plan.pushFront(retry)
 	for i, want := range []*request{retry, first, second} {
 		if plan.queue[i] != want {
-			t.Errorf("%s is number %d", plan.queue[i].id, i)
+			t.Errorf("request %s is at position %d", plan.queue[i].id, i)
 		}
 	}
 	if first.account.queuedUnits != 1 || retry.account.queuedUnits != 0 {
-		t.Errorf("%g units of a new request and %g of a retry are queued", first.account.queuedUnits, retry.account.queuedUnits)
+		t.Errorf("%g queued units of a new request and %g of a retry, want 1 and 0", first.account.queuedUnits, retry.account.queuedUnits)
 	}
 	plan.remove(first)
 	plan.remove(first) // no longer queued
 	if len(plan.queue) != 2 || first.account.queuedUnits != 0 || first.isQueued {
-		t.Errorf("%d queued, of them %g units of one that was removed", len(plan.queue), first.account.queuedUnits)
+		t.Errorf("%d requests queued, and %g units of the removed one, want 2 and 0", len(plan.queue), first.account.queuedUnits)
 	}
 }
 
@@ -31,7 +31,7 @@
 	plan.recordLateness(1.5)
 	for range 2 {
 		if got := plan.endLatenessWindow(); math.Abs(got-1) > 1e-9 {
-			t.Errorf("a mean lateness of %g", got)
+			t.Errorf("mean lateness is %g, want 1", got)
 		}
 	}
 }
--- a/control/policy_files_test.go
+++ b/control/policy_files_test.go
@@ -24,7 +24,7 @@
 func TestPolicyFilesStayWithinLimits(t *testing.T) {
 	policy := policyFiles(t, "../deploy/balancer.toml")
 	if tallyPolicy := policyFiles(t, "../deploy/tally.toml"); !slices.Equal(policy, tallyPolicy) {
-		t.Errorf("deploy/tally.toml lists other policy files: %q, not %q", tallyPolicy, policy)
+		t.Errorf("deploy/tally.toml lists the policy files %q, want %q", tallyPolicy, policy)
 	}
 	lines := 0
 	for _, name := range policy {
@@ -37,12 +37,12 @@
 				lines++
 			}
 			if n := len([]rune(l)); n > 110 {
-				t.Errorf("%s:%d has %d characters", name, i+1, n)
+				t.Errorf("%s:%d has %d characters, want at most 110", name, i+1, n)
 			}
 		}
 	}
 	if lines < 1000 {
-		t.Errorf("the policy files have %d lines together; few of them would be a list with holes", lines)
+		t.Errorf("the policy files have %d lines in total, want at least 1000; is the list complete?", lines)
 	}
 }
 
@@ -55,7 +55,7 @@
 		}
 		isPolicy := slices.Contains(policy, "control/"+filepath.ToSlash(path))
 		if isBookkeeping := slices.Contains(bookkeepingFiles, filepath.ToSlash(path)); isPolicy == isBookkeeping {
-			t.Errorf("%s: policy %v, bookkeeping %v; it has to be one of them", path, isPolicy, isBookkeeping)
+			t.Errorf("%s: policy %v, bookkeeping %v; want exactly one of them", path, isPolicy, isBookkeeping)
 		}
 		return nil
 	})
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -95,14 +95,14 @@
 			s.timersDueAt = append(s.timersDueAt, s.now+a.After)
 		case CancelAttempt:
 			if !s.settings.CanCancel {
-				s.t.Fatal("cancelled where it is not permitted")
+				s.t.Fatal("CancelAttempt although CanCancel is not set")
 			}
 		case CheckHealth:
 			if !s.settings.HealthChecks {
-				s.t.Fatal("probed where it is not permitted")
+				s.t.Fatal("CheckHealth although HealthChecks is not set")
 			}
 		case SendPeerMessage, AddToCounter:
-			s.t.Fatalf("%T on the ordinary path", a)
+			s.t.Fatalf("unexpected action %T", a)
 		}
 	}
 }
@@ -111,13 +111,13 @@
 	request := s.requests[send.ID]
 	switch {
 	case request == nil:
-		s.t.Fatalf("%s was sent but is not open", send.ID)
+		s.t.Fatalf("request %s was sent after its final answer", send.ID)
 	case s.isInactive[send.Server] || s.endpoints[send.Server] == nil:
-		s.t.Fatalf("%s went to server %d, which is draining or gone", send.ID, send.Server)
+		s.t.Fatalf("request %s was sent to server %d, which is draining or gone", send.ID, send.Server)
 	case request.inFlight > 0:
-		s.t.Fatalf("%s has two attempts out", send.ID)
+		s.t.Fatalf("request %s has two attempts in flight", send.ID)
 	case request.attempts >= s.settings.MaxAttempts:
-		s.t.Fatalf("%s was sent more than %d times", send.ID, s.settings.MaxAttempts)
+		s.t.Fatalf("request %s was sent more than %d times", send.ID, s.settings.MaxAttempts)
 	}
 	if request.mayHaveRun {
 		s.checkRepeat(request, send)
@@ -139,7 +139,7 @@
 	class := request.class
 	switch class.Idempotency {
 	case NotIdempotent:
-		s.t.Fatalf("%s may have run and was sent again", send.ID)
+		s.t.Fatalf("request %s is not idempotent, may have run and was sent again", send.ID)
 	case IdempotentWithKey:
 		first := s.endpoints[request.firstServer]
 		srv := s.endpoints[send.Server]
@@ -147,10 +147,10 @@
 		isOutsideZone := class.KeyScope == ScopeZone && first.Zone != srv.Zone
 		windowEnd := request.firstRunAt + class.RepeatWindow
 		if s.now > windowEnd || isOutsideCell || isOutsideZone {
-			s.t.Fatalf("%s may have run and was sent again outside its group or window", send.ID)
+			s.t.Fatalf("request %s may have run and was sent again outside its repeat group or window", send.ID)
 		}
 		if send.WriteTimeout <= 0 || s.now+send.WriteTimeout > windowEnd {
-			s.t.Fatalf("%s may have run, and be written again %v from now, behind its window", send.ID, send.WriteTimeout)
+			s.t.Fatalf("request %s may have run and has a write timeout of %v, which exceeds its repeat window", send.ID, send.WriteTimeout)
 		}
 	}
 }
@@ -166,14 +166,14 @@
 	s.hardLimitTokens[request.customer] = min(tokens, plan.HardLimitBurst/2) - request.units
 	s.hardLimitAt[request.customer] = s.now
 	if s.hardLimitTokens[request.customer] < -1e-6 {
-		s.t.Fatalf("the part of a hard limit fell to %g", s.hardLimitTokens[request.customer])
+		s.t.Fatalf("tokens of this gateway's part of a hard limit fell to %g", s.hardLimitTokens[request.customer])
 	}
 }
 
 func (s *simulation) checkRejection(reject Reject) {
 	if request := s.requests[reject.ID]; request != nil && (request.mayHaveRun || request.inFlight > 0) {
 		if request.class.Idempotency == NotIdempotent || request.class.Idempotency == IdempotentWithKey && request.class.KeyScope != ScopeAll {
-			s.t.Fatalf("%s may have run and was rejected", reject.ID)
+			s.t.Fatalf("request %s may have run and was rejected", reject.ID)
 		}
 	}
 	s.recordFinal(reject.ID)
@@ -181,7 +181,7 @@
 
 func (s *simulation) recordFinal(id string) {
 	if s.requests[id] == nil {
-		s.t.Fatalf("%s has a second final answer", id)
+		s.t.Fatalf("request %s has a second final answer", id)
 	}
 	delete(s.requests, id)
 }
@@ -252,7 +252,7 @@
 func (s *simulation) checkDeadlines() {
 	for id, request := range s.requests {
 		if s.now > request.deadline+16*ms {
-			s.t.Fatalf("%s has no answer %v after its end", id, s.now-request.deadline)
+			s.t.Fatalf("request %s has no answer %v after its deadline", id, s.now-request.deadline)
 		}
 	}
 }
@@ -337,7 +337,7 @@
 		if seed <= 10 {
 			second := simulate(t, seed, 2500)
 			if !reflect.DeepEqual(first.log, second.log) {
-				t.Fatalf("seed %d: two runs of the same events differ", seed)
+				t.Fatalf("seed %d: two runs with the same events differ", seed)
 			}
 		}
 	}
@@ -374,17 +374,17 @@
 	}
 	late := heap() - empty
 	if early > 8 || late > 1.25*early+1 {
-		t.Errorf("%.1f MB after a fifth of %d customers, %.1f MB after all", early, calls, late)
+		t.Errorf("heap grew by %.1f MB after a fifth of %d customers and by %.1f MB after all", early, calls, late)
 	}
 	if n := len(gateway.controller.accounts.byKey); n > maxAccounts {
-		t.Errorf("%d customers remembered", n)
+		t.Errorf("%d accounts remain", n)
 	}
 	requests := &gateway.controller.requests
 	if n := len(requests.byID) + len(requests.byTimer) + len(requests.attempts); n > 100 {
-		t.Errorf("%d requests, labels and attempts held", n)
+		t.Errorf("%d requests, timers and attempts remain", n)
 	}
 	if n := len(gateway.controller.fleet.servers); n > 10 {
-		t.Errorf("%d servers held, two are listed", n)
+		t.Errorf("%d servers remain, 2 are listed", n)
 	}
-	t.Logf("%.1f MB, then %.1f; %d customers", early, late, len(gateway.controller.accounts.byKey))
+	t.Logf("heap grew by %.1f MB, then %.1f MB; %d accounts remain", early, late, len(gateway.controller.accounts.byKey))
 }
--- a/control/restore_test.go
+++ b/control/restore_test.go
@@ -21,7 +21,7 @@
 			restarted.handle(Request{ID: fmt.Sprint("r", i), Class: "job", Plan: "low", Customer: customer, Timeout: 5 * time.Second, Units: 1, FanOut: 1})
 		}
 		if len(restarted.sends) > 0 {
-			t.Errorf("%s: %d units at once", customer, len(restarted.sends))
+			t.Errorf("customer %s: sent %d units at once, want 0", customer, len(restarted.sends))
 		}
 	}
 }
@@ -41,7 +41,7 @@
 		successor, untouched := newTestGateway(t, settings, activeEndpoints(1, 2)...), newTestGateway(t, settings, activeEndpoints(1, 2)...)
 		successor.controller.Restore(successor.now, checkpoint, TrustAll)
 		if !reflect.DeepEqual(successor.controller.accounts.byKey, untouched.controller.accounts.byKey) || successor.controller.limiter.limit != untouched.controller.limiter.limit {
-			t.Errorf("%s: it was taken over", name)
+			t.Errorf("%s: invalid checkpoint was restored", name)
 		}
 	}
 }
--- a/control/resume.go
+++ b/control/resume.go
@@ -10,7 +10,7 @@
 // if the image does not match them or is invalid.
 func Resume(settings Settings, image Image) (*Controller, error) {
 	if image.Version != ImageVersion {
-		return nil, fmt.Errorf("image: version %d, not %d", image.Version, ImageVersion)
+		return nil, fmt.Errorf("image: got version %d, want %d", image.Version, ImageVersion)
 	}
 	c, err := New(settings, 0)
 	if err != nil {
@@ -25,7 +25,7 @@
 func (c *Controller) resume(image *Image) error {
 	c.pcg = &rand.PCG{}
 	if err := c.pcg.UnmarshalBinary(image.Random); err != nil {
-		return fmt.Errorf("random numbers: %w", err)
+		return fmt.Errorf("random number generator: %w", err)
 	}
 	c.rng = rand.New(c.pcg)
 	if err := c.checkSettings(image); err != nil {
@@ -61,13 +61,13 @@
 // checkSettings returns an error if the image does not match the number of plans, classes or misfits of the settings.
 func (c *Controller) checkSettings(image *Image) error {
 	if len(image.Plans) != len(c.scheduler.plans) {
-		return fmt.Errorf("of %d plans, not %d", len(image.Plans), len(c.scheduler.plans))
+		return fmt.Errorf("got %d plans, want %d", len(image.Plans), len(c.scheduler.plans))
 	}
 	if len(image.TypicalDeadlines) != len(c.settings.Classes) {
-		return fmt.Errorf("of %d classes, not %d", len(image.TypicalDeadlines), len(c.settings.Classes))
+		return fmt.Errorf("got %d classes, want %d", len(image.TypicalDeadlines), len(c.settings.Classes))
 	}
 	if !image.Meter.hasMisfits() {
-		return fmt.Errorf("of a meter with %d misfits", len(image.Meter.Misfit))
+		return fmt.Errorf("wrong number of meter misfits: %d", len(image.Meter.Misfit))
 	}
 	return nil
 }
@@ -115,7 +115,7 @@
 	for _, saved := range states {
 		class := c.classes[saved.Class]
 		if class == nil {
-			return fmt.Errorf("there is no class %q", saved.Class)
+			return fmt.Errorf("unknown class %q", saved.Class)
 		}
 		*c.clientWaits.typicalDeadlines[class] = typicalDeadline{saved.Deadline, saved.Support}
 	}
@@ -153,13 +153,13 @@
 	class := c.classes[saved.Class]
 	switch {
 	case class == nil:
-		return nil, fmt.Errorf("there is no class %q", saved.Class)
+		return nil, fmt.Errorf("unknown class %q", saved.Class)
 	case !isIndex(saved.Plan, len(c.scheduler.plans)):
-		return nil, fmt.Errorf("there is no plan %d", saved.Plan)
+		return nil, fmt.Errorf("plan index %d is out of range", saved.Plan)
 	case !isIndex(saved.Customer, len(customers)):
-		return nil, fmt.Errorf("there is no customer %d", saved.Customer)
+		return nil, fmt.Errorf("customer index %d is out of range", saved.Customer)
 	case !isIndex(saved.RepeatGroup, len(servers)+1):
-		return nil, fmt.Errorf("there is no server %d", saved.RepeatGroup-1)
+		return nil, fmt.Errorf("server index %d is out of range", saved.RepeatGroup-1)
 	}
 	req := &request{
 		id:           saved.ID,
@@ -198,7 +198,7 @@
 		plan.firstReadings.excess = saved.FirstReadingExcess
 		for _, index := range saved.Queue {
 			if !isIndex(index, len(requests)) {
-				return fmt.Errorf("plan %q: there is no request %d", plan.Name, index)
+				return fmt.Errorf("plan %q: request index %d is out of range", plan.Name, index)
 			}
 			plan.queue = append(plan.queue, requests[index])
 		}
@@ -213,11 +213,11 @@
 		saved := &image.Attempts[i]
 		switch {
 		case !isIndex(saved.Request, len(requests)):
-			return fmt.Errorf("attempt %d of %q: there is no request %d", saved.Attempt, saved.ID, saved.Request)
+			return fmt.Errorf("attempt %d of %q: request index %d is out of range", saved.Attempt, saved.ID, saved.Request)
 		case !isIndex(saved.Server, len(servers)):
-			return fmt.Errorf("attempt %d of %q: there is no server %d", saved.Attempt, saved.ID, saved.Server)
+			return fmt.Errorf("attempt %d of %q: server index %d is out of range", saved.Attempt, saved.ID, saved.Server)
 		case !isIndex(saved.Customer, len(customers)):
-			return fmt.Errorf("attempt %d of %q: there is no customer %d", saved.Attempt, saved.ID, saved.Customer)
+			return fmt.Errorf("attempt %d of %q: customer index %d is out of range", saved.Attempt, saved.ID, saved.Customer)
 		}
 		c.requests.attempts[attemptKey{saved.ID, saved.Attempt}] = &pendingAttempt{
 			request: requests[saved.Request],
--- a/control/retries_test.go
+++ b/control/retries_test.go
@@ -32,10 +32,10 @@
 		gateway.now += 10 * ms
 		gateway.respond("a", tc.why, 0)
 		if isRetried := gateway.attempts["a"] == 2; isRetried != tc.isRetried {
-			t.Errorf("%s: sent %d times", tc.name, gateway.attempts["a"])
+			t.Errorf("%s: request was sent %d times", tc.name, gateway.attempts["a"])
 		}
 		if got := fmt.Sprintf("%T", gateway.finalAnswers["a"]); tc.end != "" && got != tc.end {
-			t.Errorf("%s: ended with %s", tc.name, got)
+			t.Errorf("%s: got final answer %s", tc.name, got)
 		}
 	}
 }
@@ -56,7 +56,7 @@
 			if gateway.attempts[id] == 2 {
 				a, b := gateway.sends[len(gateway.sends)-2].Server, gateway.sends[len(gateway.sends)-1].Server
 				if !same(list[a-1], list[b-1]) {
-					t.Fatalf("scope %v: from server %d to %d", scope, a, b)
+					t.Fatalf("scope %v: retry was sent from server %d to %d", scope, a, b)
 				}
 				gateway.respond(id, OK, 0)
 			}
@@ -69,12 +69,12 @@
 	gateway.request("a", "job", "low", "x")
 	for i := 0; i < 3; i++ {
 		if gateway.attempts["a"] != i+1 {
-			t.Fatalf("%d attempts after %d failures", gateway.attempts["a"], i)
+			t.Fatalf("got %d attempts after %d failures", gateway.attempts["a"], i)
 		}
 		gateway.respond("a", RejectedByServer, 0)
 	}
 	if _, ok := gateway.finalAnswers["a"].(Reject); !ok || gateway.attempts["a"] != 3 {
-		t.Errorf("%d attempts, ended with %v", gateway.attempts["a"], gateway.finalAnswers["a"])
+		t.Errorf("got %d attempts and final answer %v, want 3 and a rejection", gateway.attempts["a"], gateway.finalAnswers["a"])
 	}
 }
 
@@ -91,7 +91,7 @@
 	}
 	gateway.advance(10 * ms)
 	if gateway.finalAnswers["a"] == nil {
-		t.Error("no answer by the client's time")
+		t.Error("no final answer by the client's deadline")
 	}
 }
 
@@ -138,7 +138,7 @@
 		}
 	}
 	if failed > 60 {
-		t.Errorf("%d of 2000 not served; requests by server: %v", failed, attempts)
+		t.Errorf("%d of 2000 requests were not served, want at most 60; attempts by server: %v", failed, attempts)
 	}
 }
 
@@ -155,11 +155,11 @@
 	gateway.respond("a", Errored, 0)
 	gateway.advance(890 * ms)
 	if gateway.finalAnswers["a"] != nil {
-		t.Errorf("ended with %#v within its window", gateway.finalAnswers["a"])
+		t.Errorf("got final answer %#v within the repeat window", gateway.finalAnswers["a"])
 	}
 	gateway.advance(10 * ms)
 	if _, failed := gateway.finalAnswers["a"].(Fail); !failed {
-		t.Errorf("ended with %#v at the end of its window", gateway.finalAnswers["a"])
+		t.Errorf("got final answer %#v at the end of the repeat window, want a failure", gateway.finalAnswers["a"])
 	}
 }
 
@@ -176,7 +176,7 @@
 		{TimedOut, time.Millisecond, 1},
 	} {
 		if got := retryCost(tc.reason, tc.elapsed, 0.1); math.Abs(got-tc.want) > 1e-9 {
-			t.Errorf("a retry after %v in %v costs %g, want %g", tc.reason, tc.elapsed, got, tc.want)
+			t.Errorf("retry after %v in %v costs %g, want %g", tc.reason, tc.elapsed, got, tc.want)
 		}
 	}
 }
@@ -187,16 +187,16 @@
 	policy.budget.retries = 1.5
 	req := &request{class: class, deadline: time.Second, attempts: 1}
 	if policy.allowRetry(0, req, NotSent, 0, 0.1) {
-		t.Error("an attempt that was not sent is retried")
+		t.Error("an attempt that was not sent may be retried")
 	}
 	if policy.allowRetry(req.deadline-retryDeadlineMargin, req, TimedOut, 0, 0.1) {
-		t.Error("a request is retried at its deadline")
+		t.Error("a request may be retried at its deadline")
 	}
 	if policy.budget.retries != 1.5 {
-		t.Errorf("retries that were not allowed left %g of the budget", policy.budget.retries)
+		t.Errorf("retry budget is %g after retries that were not allowed, want 1.5", policy.budget.retries)
 	}
 	if !policy.allowRetry(0, req, TimedOut, 0, 0.1) || policy.budget.retries != 0.5 {
-		t.Errorf("the first retry is not allowed, or left %g of the budget", policy.budget.retries)
+		t.Errorf("first retry was not allowed, or the budget of %g after it is not 0.5", policy.budget.retries)
 	}
 	if policy.allowRetry(0, req, TimedOut, 0, 0.1) {
 		t.Error("a retry is allowed beyond the budget")
@@ -204,10 +204,10 @@
 	policy.budget.retries = maxRetryBudget
 	req.attempts = 2
 	if policy.allowRetry(0, req, TimedOut, 0, 0.1) {
-		t.Error("a third attempt of two is allowed")
+		t.Error("a third attempt is allowed with at most two")
 	}
 	policy.budget.earn()
 	if policy.budget.retries != maxRetryBudget {
-		t.Errorf("a budget of %g, above its maximum", policy.budget.retries)
+		t.Errorf("retry budget is %g, above its maximum", policy.budget.retries)
 	}
 }
--- a/control/scheduler_test.go
+++ b/control/scheduler_test.go
@@ -25,7 +25,7 @@
 		}
 	}
 	if high < 57 || high > 63 {
-		t.Errorf("%d of 80 turns went to the plan with three quarters of the share", high)
+		t.Errorf("%d of 80 attempts were of the plan with a share of 0.75, want 57 to 63", high)
 	}
 }
 
@@ -35,7 +35,7 @@
 	gateway.controller.scheduler.plans[1].share = 1
 	gateway.request("a", "job", "low", "x")
 	if len(gateway.sends) != 1 {
-		t.Errorf("%d sends for the only request", len(gateway.sends))
+		t.Errorf("got %d sends for the only request", len(gateway.sends))
 	}
 }
 
@@ -46,7 +46,7 @@
 	gateway.controller.window.answers = minAnswersPerWindow - 1
 	gateway.controller.endWindow(1)
 	if gateway.controller.scheduler.plans[0].share != 0.5 {
-		t.Errorf("share %g after a window of four answers", gateway.controller.scheduler.plans[0].share)
+		t.Errorf("share is %g after a window with four answers, want 0.5", gateway.controller.scheduler.plans[0].share)
 	}
 }
 
@@ -61,7 +61,7 @@
 		gateway.controller.scheduler.plans[1].recordLateness(1.8) // the high-priority plan is late
 	})
 	if share := gateway.controller.scheduler.plans[1].share; math.Abs(share-0.5) < 0.05 || share < 0.5 {
-		t.Errorf("the late high-priority plan has a share of %g", share)
+		t.Errorf("share of the late high-priority plan is %g, want at least 0.55", share)
 	}
 }
 
@@ -71,7 +71,7 @@
 	gateway.advance(5 * time.Second)
 	reject, ok := gateway.finalAnswers["a"].(Reject)
 	if !ok || reject.RetryAfter != time.Second {
-		t.Errorf("ended with %#v", gateway.finalAnswers["a"])
+		t.Errorf("got final answer %#v, want a rejection with a RetryAfter of 1s", gateway.finalAnswers["a"])
 	}
 }
 
@@ -127,10 +127,10 @@
 		order += req.id
 	}
 	if order != "hlhhhlhh" {
-		t.Errorf("turns in the order %s", order)
+		t.Errorf("requests were scheduled in the order %s, want hlhhhlhh", order)
 	}
 	if sum := s.plans[0].deficit + s.plans[1].deficit; math.Abs(sum) > 1e-9 {
-		t.Errorf("the deficits sum up to %g", sum)
+		t.Errorf("sum of the deficits is %g, want 0", sum)
 	}
 }
 
@@ -140,11 +140,11 @@
 	queuedRequest(s.plans[0], "second")
 	servers := choiceByID{"second": &server{}}
 	if req, _ := s.nextRequest(0, servers); req != nil {
-		t.Errorf("%s passed a request that any server could take", req.id)
+		t.Errorf("request %s was scheduled before one without a repeat group", req.id)
 	}
 	first.repeatGroup = &server{}
 	if req, srv := s.nextRequest(0, servers); req == nil || req.id != "second" || srv != servers["second"] {
-		t.Errorf("%+v came next, behind one that waits for its repeat group", req)
+		t.Errorf("got next request %+v, want the one behind a request that waits for its repeat group", req)
 	}
 }
 
@@ -152,9 +152,9 @@
 	s := newScheduler([]Plan{{Name: "low", Price: 1}})
 	queuedRequest(s.plans[0], "waits")
 	if req, srv := s.nextRequest(0, choiceByID{}); req != nil || srv != nil {
-		t.Errorf("%v at %v", req, srv)
+		t.Errorf("got request %v and server %v, want none", req, srv)
 	}
 	if s.countQueued() != 1 || s.plans[0].deficit != 0 {
-		t.Errorf("%d queued, deficit %g", s.countQueued(), s.plans[0].deficit)
+		t.Errorf("%d requests queued and a deficit of %g, want 1 and 0", s.countQueued(), s.plans[0].deficit)
 	}
 }
--- a/control/server_storage.go
+++ b/control/server_storage.go
@@ -149,7 +149,7 @@
 	}
 	for _, saved := range image.Abandoned {
 		if !isIndex(saved.Server, len(servers)) {
-			return nil, fmt.Errorf("abandoned attempt: there is no server %d", saved.Server)
+			return nil, fmt.Errorf("abandoned attempt: server index %d is out of range", saved.Server)
 		}
 		c.requests.slots.abandoned = append(c.requests.slots.abandoned, abandonedAttempt{servers[saved.Server], saved.Until})
 	}
@@ -191,7 +191,7 @@
 	}
 	for i, until := range saved.PlanRejectedUntil {
 		if !isIndex(i, len(plans)) {
-			return nil, fmt.Errorf("there is no plan %d", i)
+			return nil, fmt.Errorf("plan index %d is out of range", i)
 		}
 		srv.outlier.planRejectedUntil[plans[i]] = until
 	}
--- a/control/settings.go
+++ b/control/settings.go
@@ -92,10 +92,10 @@
 // validate returns an error that names the first invalid setting, by the words of its key.
 func (s *Settings) validate() error {
 	if len(s.Classes) == 0 {
-		return errors.New("settings: classes: there are none")
+		return errors.New("settings: classes: at least one is required")
 	}
 	if len(s.Plans) == 0 {
-		return errors.New("settings: plans: there are none")
+		return errors.New("settings: plans: at least one is required")
 	}
 	if s.GroupSize < 1 {
 		return fmt.Errorf("settings: group size: %d is not positive", s.GroupSize)
@@ -107,7 +107,7 @@
 	for i := range s.Classes {
 		class := &s.Classes[i]
 		if class.LatencyObjective <= 0 || class.Deadline <= 0 {
-			return fmt.Errorf("settings: class %s: aim and deadline: %v and %v are not both positive",
+			return fmt.Errorf("settings: class %s: aim and deadline: %v and %v must both be positive",
 				class.Name, class.LatencyObjective, class.Deadline)
 		}
 		numbers = append(numbers, class.numbers()...)
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -20,7 +20,7 @@
 		settings := testSettings()
 		invalidate(&settings)
 		if _, err := New(settings, 1); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: New gave %v", field, err)
+			t.Errorf("%s: New returned error %v, want one that names the setting", field, err)
 		}
 	}
 }
--- a/control/sharecontrol/sharecontrol_test.go
+++ b/control/sharecontrol/sharecontrol_test.go
@@ -30,7 +30,7 @@
 	for i := range system {
 		for j, w := range system[i] {
 			if got := controller.estimate.At(i, j); math.Abs(got-w) > 0.02 {
-				t.Errorf("X[%d][%d] = %.3f, the system has %.3f", i, j, got, w)
+				t.Errorf("X[%d][%d] is %.3f, want %.3f", i, j, got, w)
 			}
 		}
 	}
@@ -45,13 +45,13 @@
 		shares = controller.NextShares(shares, lateness, true)
 		for i := range shares {
 			if math.IsNaN(shares[i]) || shares[i] < 0 {
-				t.Fatalf("share %v at step %d", shares, step)
+				t.Fatalf("invalid shares %v at step %d", shares, step)
 			}
 		}
 	}
 	for i := 0; i < 6; i++ {
 		if p := controller.covariance.At(i, i); p > 10*initialCovariance || p <= 0 {
-			t.Errorf("covariance %g in direction %d", p, i)
+			t.Errorf("covariance is %g in direction %d", p, i)
 		}
 	}
 }
@@ -73,7 +73,7 @@
 	sum := share0 + share1 - 2*lowest
 	shares := controller.optimalShares([]float64{3, 1})
 	if math.Abs(shares[0]-(share0-lowest)/sum) > 1e-9 || math.Abs(shares[1]-(share1-lowest)/sum) > 1e-9 {
-		t.Errorf("shares %v, by hand %g %g", shares, (share0-lowest)/sum, (share1-lowest)/sum)
+		t.Errorf("got shares %v, want %g and %g", shares, (share0-lowest)/sum, (share1-lowest)/sum)
 	}
 }
 
@@ -84,9 +84,9 @@
 		shares = controller.NextShares(shares, []float64{2, 2}, true)
 	}
 	if shares[1] <= shares[0] {
-		t.Errorf("equally late, the dear plan has %.2f and the cheap one %.2f", shares[1], shares[0])
+		t.Errorf("both plans are late, and the share of the one with the higher price is %.2f, of the other %.2f", shares[1], shares[0])
 	}
 	if shares = New([]float64{0.5, 1.5}).NextShares(shares, []float64{0.1, 0.1}, true); math.Abs(shares[0]-0.5) > 1e-9 {
-		t.Errorf("with both in time the shares are %v", shares)
+		t.Errorf("both plans meet their objectives, and the shares are %v, want 0.5 each", shares)
 	}
 }
--- a/control/sharecontrol/state.go
+++ b/control/sharecontrol/state.go
@@ -48,7 +48,7 @@
 	fitsMatrices := len(s.Estimate) == 2*n*n && len(s.Covariance) == 4*n*n
 	fitsRegressors := !hasRegressors || len(s.Regressors) == 2*n
 	if !fitsMatrices || !fitsRegressors {
-		return fmt.Errorf("the state of a share controller is not of %d plans", n)
+		return fmt.Errorf("share controller state does not match %d plans", n)
 	}
 	c.estimate = mat.NewDense(n, 2*n, slices.Clone(s.Estimate))
 	c.covariance = mat.NewDense(2*n, 2*n, slices.Clone(s.Covariance))
--- a/control/shared_fields_test.go
+++ b/control/shared_fields_test.go
@@ -19,10 +19,10 @@
 	}
 	for i := range checkpoint.NumField() {
 		if name := checkpoint.Field(i).Name; isShared[name] == notShared[name] {
-			t.Errorf("%s: shared %v", name, isShared[name])
+			t.Errorf("field %s: shared is %v", name, isShared[name])
 		}
 	}
 	if back := len(imageToCheckpoint.pairs); back != len(checkpointToImage.pairs) {
-		t.Errorf("%d fields are copied from an image, %d to it", back, len(checkpointToImage.pairs))
+		t.Errorf("%d fields are copied from an image, but %d to it", back, len(checkpointToImage.pairs))
 	}
 }
--- a/control/shared_rates_test.go
+++ b/control/shared_rates_test.go
@@ -23,7 +23,7 @@
 			account.quota.tokens = tc.filling * full
 			gateway.request(tc.id, "cheap", "low", "x")
 			if _, isRejected := gateway.finalAnswers[tc.id].(Reject); isRejected != tc.rejected {
-				t.Errorf("%g given away, %s: rejected %v", handedOver, tc.id, isRejected)
+				t.Errorf("%g handed over, bucket %s: rejected is %v", handedOver, tc.id, isRejected)
 			}
 		}
 	}
@@ -39,7 +39,7 @@
 	}{{0, 9, true}, {0, 7, false}, {0.5, 5, true}, {0.5, 3, false}} {
 		account := &customerAccount{plan: plan, fanOut: 1, quota: tokenBucket{tokens: tc.tokens}}
 		if got := account.hasSufficientTokens(1, tc.handedOver); got != tc.want {
-			t.Errorf("%g tokens, %g handed over: %v", tc.tokens, tc.handedOver, got)
+			t.Errorf("%g tokens, %g handed over: hasSufficientTokens is %v", tc.tokens, tc.handedOver, got)
 		}
 	}
 }
--- a/control/shift_test.go
+++ b/control/shift_test.go
@@ -36,12 +36,12 @@
 		}
 		moved.Shift(-difference)
 		if want := original(); !reflect.DeepEqual(moved, want) {
-			t.Errorf("by %v and back: %+v, not %+v", difference, moved, want)
+			t.Errorf("after a shift by %v and back: %+v, want %+v", difference, moved, want)
 		}
 	}
 	near := original()
 	near.Shift(minClockShift - 1)
 	if !reflect.DeepEqual(near, original()) {
-		t.Error("a difference of measuring has moved the checkpoint")
+		t.Error("a difference below minClockShift changed the checkpoint")
 	}
 }
--- a/control/slow_start_test.go
+++ b/control/slow_start_test.go
@@ -33,7 +33,7 @@
 		}
 	}
 	if warming == 0 || busy > 1 {
-		t.Errorf("%d sends in 2 s to a server just started, %d at once", warming, busy)
+		t.Errorf("%d attempts in 2 s at the warming server, %d of them at once, want at most 1 at once", warming, busy)
 	}
 }
 
@@ -58,7 +58,7 @@
 		}
 		// By the settings, its capacity is 0.15 of that of a warm server at its start and 0.72 of it after 10 s.
 		if fraction := float64(group.sent[13]) / warm; fraction < 0.1 || fraction > 0.72 {
-			t.Errorf("%d gateways: a warming server is sent %.2f of what a warm one is", n, fraction)
+			t.Errorf("%d gateways: a warming server got %.2f of the attempts of a warm one, want 0.1 to 0.72", n, fraction)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 		}
 		// If this load used the full capacity of the servers evenly, 2.5 times 0.2 of an even part would be the maximum.
 		if fraction := float64(warming) / 4 / (float64(all) / 16); all < 100 || fraction > 0.4 {
-			t.Errorf("%d gateways: of %d requests a warming server is sent %.2f of an even part", n, all, fraction)
+			t.Errorf("%d gateways: of %d attempts a warming server got %.2f of an even part, want at most 0.4", n, all, fraction)
 		}
 	}
 }
@@ -104,7 +104,7 @@
 		} // the warm server answers nothing, so its throughput is unknown
 	}
 	if warmingSends > 1 {
-		t.Errorf("%d sends in 3 s from one of twelve gateways that knows no rate", warmingSends)
+		t.Errorf("%d attempts in 3 s from one of twelve gateways without a throughput estimate, want at most 1", warmingSends)
 	}
 }
 
@@ -147,7 +147,7 @@
 				}
 				for id, n := range serve(window) {
 					if id != 1 && float64(n) > limit {
-						t.Errorf("server %d is sent %d requests in 2 s up to %v after its start, more than %.1f of %.1f", id, n, age, limit, perServer)
+						t.Errorf("server %d got %d attempts in the 2 s up to %v after its start, want at most %.1f; a warm server got %.1f", id, n, age, limit, perServer)
 					}
 				}
 			}
@@ -167,27 +167,27 @@
 	throughput := fixedThroughput(100)
 	var start slowStart
 	if !start.allows(0, &settings, 9, 1, throughput) {
-		t.Error("a server that is not warming up is limited")
+		t.Error("an attempt at a server that is not warming up is not allowed")
 	}
 	start.begin(time.Second, 0, 4)
 	if start.allows(time.Second, &settings, 0, 1, throughput) {
 		t.Error("a slow start allows an attempt while its budget is in debt")
 	}
 	if !start.allows(2*time.Second, &settings, 0, 1, throughput) { // at least 16 units per second are earned
-		t.Errorf("%g tokens after a second", start.tokens)
+		t.Errorf("attempt is not allowed with %g tokens after a second", start.tokens)
 	}
 	if start.allows(2*time.Second, &settings, slotsPerServer, 1, throughput) {
-		t.Error("as many attempts as a warm server has slots are allowed")
+		t.Error("attempts are allowed beyond the slots of a warm server")
 	}
 	before := start.tokens
 	start.charge(3)
 	start.refund(3, 500*ms)
 	start.refund(3, -time.Second) // charged to an earlier slow start
 	if start.tokens != before {
-		t.Errorf("%g tokens after a charge and its refund, %g before", start.tokens, before)
+		t.Errorf("got %g tokens after a charge and its refund, want %g", start.tokens, before)
 	}
 	if !start.allows(10*time.Second, &settings, 9, 1, throughput) || start.isActive {
-		t.Error("the slow start goes on after the warmup time")
+		t.Error("the slow start continues after the warmup time")
 	}
 }
 
@@ -198,10 +198,10 @@
 		want float64
 	}{{0, 0.2}, {5 * time.Second, 0.6}, {10 * time.Second, 1}, {time.Hour, 1}} {
 		if got := settings.capacityFraction(tc.age, 0); math.Abs(got-tc.want) > 1e-9 {
-			t.Errorf("capacity %g after %v, want %g", got, tc.age, tc.want)
+			t.Errorf("capacity fraction is %g after %v, want %g", got, tc.age, tc.want)
 		}
 	}
 	if got := (&slowStartSettings{}).capacityFraction(0, 0); got != 1 {
-		t.Errorf("capacity %g where servers have no warmup time", got)
+		t.Errorf("capacity fraction is %g without a warmup time, want 1", got)
 	}
 }
--- a/control/throughput_test.go
+++ b/control/throughput_test.go
@@ -20,23 +20,23 @@
 	fleet := warmFleet(4)
 	fleet.recordThroughput(0, 400, 1)
 	if got := fleet.warmServerThroughput(0); got != 100 {
-		t.Errorf("%g units a second by one of four servers that served 400", got)
+		t.Errorf("throughput of one of four servers is %g units per second after 400 in total, want 100", got)
 	}
 	fleet.recordThroughput(0, 0, 1)
 	after := fleet.warmServerThroughput(0)
 	if want := 100 * math.Exp(-1/peakDecaySeconds); math.Abs(after-want) > 1e-9 {
-		t.Errorf("%g units a second after a second without requests, want %g", after, want)
+		t.Errorf("throughput is %g units per second after a second without requests, want %g", after, want)
 	}
 }
 
 func TestUtilizationFractionHasALowerBound(t *testing.T) {
 	var estimate fleetEstimate
 	if got := estimate.utilizationFraction(); got != 1 {
-		t.Errorf("busy fraction %g without reports", got)
+		t.Errorf("utilization fraction is %g without reports, want 1", got)
 	}
 	estimate.utilization.add(0.1, fleetEstimateGain)
 	if got := estimate.utilizationFraction(); got != minUtilizationFraction {
-		t.Errorf("busy fraction %g of servers that are a tenth busy", got)
+		t.Errorf("utilization fraction is %g after a report of 0.1, want the lower bound", got)
 	}
 }
 
@@ -54,10 +54,10 @@
 		}
 	}
 	if got := fleet.countWarm(now); got != 4 {
-		t.Errorf("%g warm servers", got)
+		t.Errorf("got %g warm servers, want 4", got)
 	}
 	fleet.sortedServers[7].slowStart.isActive = true
 	if got := fleet.countWarm(now); got != 3.5 {
-		t.Errorf("%g warm servers beside one that is warming up", got)
+		t.Errorf("got %g warm servers with one that is warming up, want 3.5", got)
 	}
 }
--- a/control/usage_test.go
+++ b/control/usage_test.go
@@ -28,23 +28,23 @@
 	}
 	recordRequests(4000, 0)
 	if probability := read(400); math.Abs(probability-0.75) > 0.01 {
-		t.Fatalf("d = %g after a first reading of 400%%", probability)
+		t.Fatalf("rejection probability is %g after a first reading of 400%%, want 0.75", probability)
 	}
 	for i := 0; i < 5; i++ {
 		gateway.now += 20 * ms
 		if probability := read(400); math.Abs(probability-0.75) > 0.02 {
-			t.Fatalf("d = %g: one period was read again", probability)
+			t.Fatalf("rejection probability is %g after repeated readings of one period, want 0.75", probability)
 		}
 	}
 	gateway.now += 900 * ms
 	recordRequests(4000, 3000) // with three quarters rejected, 200% is left
 	if probability := read(200); math.Abs(probability-0.875) > 0.01 {
-		t.Errorf("d = %g after 200%% admitted by a probability of 0.75", probability)
+		t.Errorf("rejection probability is %g after a reading of 200%% with a probability of 0.75, want 0.875", probability)
 	}
 	for i := 0; i < 20; i++ {
 		gateway.now += time.Second
 		if probability := read(5000); probability < 0 || probability > maxRejectionProbability {
-			t.Fatalf("d = %g", probability)
+			t.Fatalf("rejection probability is %g", probability)
 		}
 	}
 }
@@ -67,7 +67,7 @@
 			})
 		})
 		if fraction := float64(len(gateway.sends)) / float64(requested); fraction < tc.low || fraction > tc.high {
-			t.Errorf("readings of %d%%: %.2f of the requests forwarded, want %v to %v", tc.used-1, fraction, tc.low, tc.high)
+			t.Errorf("readings of %d%%: fraction of forwarded requests is %.2f, want %v to %v", tc.used-1, fraction, tc.low, tc.high)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 			id := fmt.Sprint("r", n)
 			gateway.request(id, "job", plan, fmt.Sprint("new", n))
 			if reject, ok := gateway.finalAnswers[id].(Reject); ok && reject.Cause != CauseProbability {
-				t.Fatalf("%s: rejected by %v", id, reject.Cause)
+				t.Fatalf("request %s: rejected with cause %v", id, reject.Cause)
 			} else if !ok {
 				gateway.advance(10 * ms)
 				gateway.respond(id, OK, 0)
@@ -109,7 +109,7 @@
 	checkRejected := func(when, plan string, want float64) {
 		t.Helper()
 		if got := rejectedFraction(plan); math.Abs(got-want) > 0.05 || want == 0 && got != 0 {
-			t.Errorf("%s: of plan %s %g are rejected, not %g", when, plan, got, want)
+			t.Errorf("%s: rejected fraction of plan %s is %g, want %g", when, plan, got, want)
 		}
 	}
 	checkRejected("before any reading", "low", 0)
@@ -137,22 +137,22 @@
 func TestLocalFractionMovesFromThePriorToTheMeasured(t *testing.T) {
 	estimate := newUsageEstimate(10)
 	if got := estimate.localFraction(4); got != 0.25 {
-		t.Errorf("a local fraction of %g with a fan-out of four and no reading", got)
+		t.Errorf("local fraction is %g with a fan-out of four and no reading, want 0.25", got)
 	}
 	if got := estimate.groupFactor(4, 10, false); got != 4 {
-		t.Errorf("a unit of an unmetered customer stands for %g", got)
+		t.Errorf("group factor of an unmetered customer is %g, want 4", got)
 	}
 	for range 100 {
 		estimate.addReading(time.Hour, 100, 100, 1, 4, 10)
 	}
 	if got := estimate.localFraction(4); got < 0.99 {
-		t.Errorf("a local fraction of %g of a customer that comes here only", got)
+		t.Errorf("local fraction is %g with local usage only, want at least 0.99", got)
 	}
 	for range 100 {
 		estimate.addReading(time.Hour, 100, 0, 1, 4, 10)
 	}
 	if got := estimate.localFraction(4); got != minLocalFraction {
-		t.Errorf("a local fraction of %g of a customer that does not come here", got)
+		t.Errorf("local fraction is %g with remote usage only, want the minimum", got)
 	}
 }
 
@@ -160,18 +160,18 @@
 	var estimate usageEstimate
 	estimate.addReading(time.Hour, 20, 0, 1, 4, 10)
 	if got := estimate.currentRemoteRate(time.Hour); got != 0 {
-		t.Errorf("a remote rate of %g after one reading: the lower of two counts", got)
+		t.Errorf("remote rate is %g after one reading, want 0 as the lower of two readings counts", got)
 	}
 	estimate.addReading(time.Hour, 20, 0, 1, 4, 10)
 	rate := estimate.currentRemoteRate(time.Hour)
 	if rate <= 5 || rate > 10 {
-		t.Errorf("a remote rate of %g, with a quota of 10 units a second", rate)
+		t.Errorf("remote rate is %g units per second with a quota of 10, want 5 to 10", rate)
 	}
 	later := time.Hour + durationOf(remoteRateDecaySeconds)
 	if got := estimate.currentRemoteRate(later); math.Abs(got-rate/math.E) > 1e-9 {
-		t.Errorf("a remote rate of %g after the time constant, %g before", got, rate)
+		t.Errorf("remote rate is %g after the time constant, %g before", got, rate)
 	}
 	if got := estimate.remoteUnits(time.Hour, 0.5); got != rate/2 {
-		t.Errorf("%g units in half a second", got)
+		t.Errorf("got %g remote units in half a second", got)
 	}
 }
