--- a/control/account.go
+++ b/control/account.go
@@ -40,9 +40,9 @@
 
 // usageHistory counts a customer's units and requests by bin.
 type usageHistory struct {
-	sent       history // units of attempts
-	charged    history // units taken from the quota's bucket, over all gateways
-	arrivals   history // requests
+	sent       history // units of attempts of this gateway
+	charged    history // units charged to the quota's bucket, for all gateways
+	arrivals   history // arriving requests
 	rejections history // requests that were rejected
 }
 
--- a/control/actions.go
+++ b/control/actions.go
@@ -22,7 +22,7 @@
 // Cause is the reason for which a request was not served. Its strings are stored in event logs and must not change.
 type Cause uint8
 
-// The causes.
+// The causes of rejections and failures.
 const (
 	CauseNone         Cause = iota
 	CauseInvalid            // invalid class, plan, units or timeout
@@ -51,7 +51,7 @@
 // Reject is the final answer to a request that was not served and is safe to retry.
 type Reject struct {
 	ID         string
-	RetryAfter time.Duration // 0 is none
+	RetryAfter time.Duration // 0 if the client is given no time
 	Cause      Cause
 }
 
--- a/control/admission.go
+++ b/control/admission.go
@@ -96,8 +96,8 @@
 
 // admitByQuota checks a request against the hard limit, the quota's bucket and the rejection probability. The
 // probability decides unless the bucket is empty, which indicates a surge that is not metered yet, or the
-// bucket has sufficient tokens and enough periods have been metered.
-// Since is the time from which readings of the meter can be expected.
+// bucket has sufficient tokens and enough periods have been metered. Readings of the meter are expected from
+// the time since on.
 func (a *customerAccount) admitByQuota(now, since time.Duration, units, handedOver float64) Cause {
 	plan := a.plan
 	if plan.HardLimitRate > 0 && a.hardLimit.tokens-a.queuedUnits < units {
--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -24,7 +24,7 @@
 // metered and the bucket has sufficient tokens.
 func TestFrequentReadingsAreEnoughFromTheStart(t *testing.T) {
 	for _, tc := range []struct {
-		gap, life time.Duration // between readings, and since the start
+		gap, life time.Duration // time between readings, and time since the start
 		want      bool
 	}{{time.Second, 5 * time.Second, true}, {time.Second, time.Minute, true}, {4 * time.Second, 40 * time.Second, false}} {
 		settings := testSettings()
--- a/control/controller.go
+++ b/control/controller.go
@@ -39,7 +39,7 @@
 	selector          endpointSelector
 	watch             endpointWatch
 
-	// The control window.
+	// The control window and the concurrency limit.
 	window       controlWindow
 	windowEndsAt time.Duration
 	limiter      concurrencyLimiter
--- a/control/events.go
+++ b/control/events.go
@@ -38,7 +38,7 @@
 // Reason is the outcome of an attempt, a health check or a call of the counter. The numbers are used on the wire.
 type Reason int
 
-// The reasons.
+// The reasons, with what is known of the execution of the attempt.
 const (
 	OK               Reason = 100
 	Errored          Reason = 301 // may have run
--- a/control/image_take.go
+++ b/control/image_take.go
@@ -9,7 +9,7 @@
 
 // Image returns a copy of the controller's complete state.
 func (c *Controller) Image() Image {
-	random, _ := c.pcg.MarshalBinary() // never fails
+	random, _ := c.pcg.MarshalBinary() // never returns an error
 	image := Image{
 		Version:              ImageVersion,
 		Random:               random,
--- a/control/request.go
+++ b/control/request.go
@@ -51,7 +51,7 @@
 	server  *server
 	account *customerAccount
 	sentAt  time.Duration
-	charge  charge // zero unless it is its request's first attempt
+	charge  charge // zero unless it is the first attempt of its request
 }
 
 // requestTable holds the requests that have no final answer, their timers, and the attempts in flight.
--- a/control/retries.go
+++ b/control/retries.go
@@ -12,7 +12,7 @@
 	retryDeadlineMargin   = time.Millisecond // time before its deadline from which a request is not retried
 )
 
-// retryPolicy decides whether a request whose attempt failed is attempted again.
+// retryPolicy decides whether a request is retried after a failed attempt.
 type retryPolicy struct {
 	maxAttempts int // maximum attempts of one request; 0 is no limit
 	budget      retryBudget
--- a/control/sharecontrol/state.go
+++ b/control/sharecontrol/state.go
@@ -1,8 +1,8 @@
 // Package sharecontrol sets the shares that plans have in a scheduler so that each meets its latency objective.
 //
-// A Controller estimates online how shares and lateness move the lateness of the next control window, by recursive
-// least squares (RLS), and sets the shares of least quadratic cost under that estimate (LQR). It is a pure function
-// of what it is given: no clock, no randomness, no I/O. It is not safe for concurrent use.
+// A Controller estimates online, by recursive least squares (RLS), how the lateness of the next control window depends
+// on the current shares and lateness, and sets the shares of least quadratic cost under that estimate (LQR). It is
+// deterministic: it uses no clock, no random numbers and no I/O. It is not safe for concurrent use.
 package sharecontrol
 
 import (
--- a/control/slow_start_test.go
+++ b/control/slow_start_test.go
@@ -119,7 +119,7 @@
 			serve := func(steps int) (sent map[uint32]int) {
 				clear(group.sent)
 				for range steps {
-					for range 5 { // 400 requests a second
+					for range 5 { // 400 requests per second
 						group.burst()
 					}
 					group.answer()
@@ -155,7 +155,7 @@
 	}
 }
 
-// fixedThroughput is a throughputEstimate that does not change, in units a second.
+// fixedThroughput is a constant throughputEstimate in units per second.
 type fixedThroughput float64
 
 func (f fixedThroughput) warmServerThroughput(time.Duration) float64 { return float64(f) }
--- a/control/usage_test.go
+++ b/control/usage_test.go
@@ -19,7 +19,7 @@
 		return account.rejectionProbability(gateway.controller.now, gateway.controller.accounts.fillingSince)
 	}
 	gateway.controller.usage.meter.lagBins = 0
-	recordRequests := func(arrivals, rejections int) { // of the second that follows
+	recordRequests := func(arrivals, rejections int) { // in the next second
 		gateway.controller.now = gateway.now
 		gateway.controller.refillAccount(account)
 		account.history.arrivals.add(float64(arrivals))
@@ -37,7 +37,7 @@
 		}
 	}
 	gateway.now += 900 * ms
-	recordRequests(4000, 3000) // with three quarters rejected, 200% is left
+	recordRequests(4000, 3000) // three quarters are rejected, and the usage is still 200%
 	if probability := read(200); math.Abs(probability-0.875) > 0.01 {
 		t.Errorf("rejection probability is %g after a reading of 200%% with a probability of 0.75, want 0.875", probability)
 	}
