--- a/control/account_storage.go
+++ b/control/account_storage.go
@@ -60,7 +60,7 @@
 		return
 	}
 	account := c.accountFor(plan, saved.ID, int(saved.FanOut))
-	account.inFlight.rejectionProbability = saved.OpenRejectionProbability
+	account.inFlight.rejectionProbability = saved.InFlightRejectionProbability
 	account.inFlight.limit = saved.inFlightLimit(plan, account.fanOut)
 	var image CustomerImage
 	checkpointToImage.copy(&image, saved)
@@ -106,33 +106,33 @@
 // imageWithoutHistory returns the image without the history.
 func (a *customerAccount) imageWithoutHistory() CustomerImage {
 	return CustomerImage{
-		Plan:                     a.plan.index,
-		FanOut:                   a.fanOut,
-		UpdatedAt:                a.updatedAt,
-		QuotaTokens:              a.quota.tokens,
-		HardLimitTokens:          a.hardLimit.tokens,
-		QueuedUnits:              a.queuedUnits,
-		AdmissionRemainder:       a.admissionRemainder,
-		InFlight:                 a.inFlight.current,
-		PredecessorInFlight:      a.inFlight.predecessor,
-		InFlightLimit:            a.inFlight.limit,
-		NextAttemptAt:            a.inFlight.nextAttemptAt,
-		HitInFlightLimit:         a.inFlight.hitLimit,
-		OpenRejectionProbability: a.inFlight.rejectionProbability,
-		RemoteRate:               a.usage.remoteRate,
-		RemoteRateAt:             a.usage.remoteRateAt,
-		LastReadingUnits:         a.usage.lastReadingUnits,
-		LocalUnits:               a.usage.localUnits,
-		TotalUnits:               a.usage.totalUnits,
-		UsageRate:                a.usage.rate,
-		IsMetered:                a.demand.isMetered,
-		ReadingAt:                a.demand.readingAt,
-		ReadingEndBin:            a.demand.readingEndBin,
-		RequestedUnits:           a.demand.requestedUnits,
-		RequestedAt:              a.demand.requestedAt,
-		MeteredUnits:             a.demand.meteredUnits,
-		DemandSeconds:            a.demand.demandSeconds,
-		MeteredSeconds:           a.demand.meteredSeconds,
+		Plan:                         a.plan.index,
+		FanOut:                       a.fanOut,
+		UpdatedAt:                    a.updatedAt,
+		QuotaTokens:                  a.quota.tokens,
+		HardLimitTokens:              a.hardLimit.tokens,
+		QueuedUnits:                  a.queuedUnits,
+		AdmissionRemainder:           a.admissionRemainder,
+		InFlight:                     a.inFlight.current,
+		PredecessorInFlight:          a.inFlight.predecessor,
+		InFlightLimit:                a.inFlight.limit,
+		NextAttemptAt:                a.inFlight.nextAttemptAt,
+		HitInFlightLimit:             a.inFlight.hitLimit,
+		InFlightRejectionProbability: a.inFlight.rejectionProbability,
+		RemoteRate:                   a.usage.remoteRate,
+		RemoteRateAt:                 a.usage.remoteRateAt,
+		LastReadingUnits:             a.usage.lastReadingUnits,
+		LocalUnits:                   a.usage.localUnits,
+		TotalUnits:                   a.usage.totalUnits,
+		UsageRate:                    a.usage.rate,
+		IsMetered:                    a.demand.isMetered,
+		ReadingAt:                    a.demand.readingAt,
+		ReadingEndBin:                a.demand.readingEndBin,
+		RequestedUnits:               a.demand.requestedUnits,
+		RequestedAt:                  a.demand.requestedAt,
+		MeteredUnits:                 a.demand.meteredUnits,
+		DemandSeconds:                a.demand.demandSeconds,
+		MeteredSeconds:               a.demand.meteredSeconds,
 	}
 }
 
@@ -167,7 +167,7 @@
 		limit:                saved.InFlightLimit,
 		nextAttemptAt:        saved.NextAttemptAt,
 		hitLimit:             saved.HitInFlightLimit,
-		rejectionProbability: saved.OpenRejectionProbability,
+		rejectionProbability: saved.InFlightRejectionProbability,
 	}
 }
 
--- a/control/accounts.go
+++ b/control/accounts.go
@@ -17,7 +17,7 @@
 	byKey       map[string]*customerAccount // see accountKey
 	binDuration time.Duration               // length of a bin of the accounts' histories
 
-	fillingSince  time.Duration // time from which the buckets of accounts that are not open yet are filled
+	refillStart   time.Duration // time from which the buckets of accounts that are not open yet are filled
 	slackFraction float64       // fraction of its slack that a new hard-limit bucket starts with
 	rateFraction  float64       // this controller's fraction of all rates; below one after HandOver
 }
@@ -64,7 +64,7 @@
 	account.inFlight = newInFlightQuota(plan.MaxInFlight, account.fanOut)
 	// A gateway that has just started does not know what its predecessor has forwarded, so the
 	// hard limit's bucket starts with the slack only and is filled from the gateway's start on.
-	filled := t.slackFraction*plan.HardLimitSlack + (now-t.fillingSince).Seconds()*plan.HardLimitRate
+	filled := t.slackFraction*plan.HardLimitSlack + (now-t.refillStart).Seconds()*plan.HardLimitRate
 	account.hardLimit.tokens = t.rateFraction * math.Min(plan.HardLimitBurst, filled) / account.fanOut
 	return account
 }
@@ -86,7 +86,7 @@
 	maxIdle := maxAccountIdleTime
 	for len(t.byKey) > maxAccounts/2 && maxIdle > windowDuration {
 		maxIdle /= 2
-		t.fillingSince = max(t.fillingSince, now-maxIdle)
+		t.refillStart = max(t.refillStart, now-maxIdle)
 		t.slackFraction = 0 // evicted customers have already been granted their slack
 		for key, account := range t.byKey {
 			if account.isIdleFor(maxIdle, now) {
--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -33,7 +33,7 @@
 		gateway.serve(tc.life, tc.gap, 151, func(i int) { // readings of 150 percent of the quota
 			gateway.handle(Request{ID: fmt.Sprint(i), Class: "job", Plan: "low", Customer: "c", Timeout: 3 * time.Second, Units: 1, FanOut: 4})
 		})
-		if got := gateway.controller.accounts.byKey["low c"].demand.hasEnoughReadings(gateway.controller.now, gateway.controller.accounts.fillingSince); got != tc.want {
+		if got := gateway.controller.accounts.byKey["low c"].demand.hasEnoughReadings(gateway.controller.now, gateway.controller.accounts.refillStart); got != tc.want {
 			t.Errorf("one reading per %v for %v: hasEnoughReadings is %v", tc.gap, tc.life, got)
 		}
 	}
--- a/control/arrivals.go
+++ b/control/arrivals.go
@@ -22,7 +22,7 @@
 	c.fleet.requestUnits.add(c.countedUnits(event.Units), fleetEstimateGain)
 	account := c.accountFor(plan, event.Customer, event.FanOut)
 	waited := c.clientWaits.estimate(event, class, c.clockAdvance)
-	cause := c.admission.admit(c.now, c.accounts.fillingSince, account, admissionRequest{
+	cause := c.admission.admit(c.now, c.accounts.refillStart, account, admissionRequest{
 		class:  class,
 		units:  event.Units,
 		isLate: c.isExpectedLate(class, waited),
--- a/control/attempts.go
+++ b/control/attempts.go
@@ -151,7 +151,7 @@
 	attempt.server.latency.add(c.now, seconds)
 	objective := attempt.request.class.LatencyObjective.Seconds()
 	c.window.recordAnswer()
-	if attempt.account.rejectionProbability(c.now, c.accounts.fillingSince) == 0 {
+	if attempt.account.rejectionProbability(c.now, c.accounts.refillStart) == 0 {
 		attempt.request.plan.recordLateness((c.now - attempt.request.arrivedAt).Seconds() / objective)
 	}
 	// Warming servers are slow even at low load; their latency must not cut the concurrency limit.
--- a/control/attempts_test.go
+++ b/control/attempts_test.go
@@ -9,7 +9,7 @@
 type usedResources struct {
 	quotaTokens, hardLimitTokens, slowStartTokens float64
 	sentUnits, chargedUnits, queuedUnits          float64
-	ofCustomer, atServer, inFlight                int
+	customerInFlight, serverInFlight, inFlight    int
 	slotFreeAt, nextAttemptAt                     time.Duration
 	isProbing                                     bool
 }
@@ -17,18 +17,18 @@
 func newUsedResources(controller *Controller, account *customerAccount, srv *server) usedResources {
 	bin := controller.currentBin() + 1
 	return usedResources{
-		quotaTokens:     account.quota.tokens,
-		hardLimitTokens: account.hardLimit.tokens,
-		slowStartTokens: srv.slowStart.tokens,
-		sentUnits:       account.history.sent.periodSum(bin),
-		chargedUnits:    account.history.charged.periodSum(bin),
-		queuedUnits:     account.queuedUnits,
-		ofCustomer:      account.inFlight.current,
-		atServer:        srv.inFlight,
-		inFlight:        controller.requests.slots.inFlight,
-		slotFreeAt:      controller.limiter.fractionalSlotFreeAt,
-		nextAttemptAt:   account.inFlight.nextAttemptAt,
-		isProbing:       srv.outlier.isProbing,
+		quotaTokens:      account.quota.tokens,
+		hardLimitTokens:  account.hardLimit.tokens,
+		slowStartTokens:  srv.slowStart.tokens,
+		sentUnits:        account.history.sent.periodSum(bin),
+		chargedUnits:     account.history.charged.periodSum(bin),
+		queuedUnits:      account.queuedUnits,
+		customerInFlight: account.inFlight.current,
+		serverInFlight:   srv.inFlight,
+		inFlight:         controller.requests.slots.inFlight,
+		slotFreeAt:       controller.limiter.fractionalSlotFreeAt,
+		nextAttemptAt:    account.inFlight.nextAttemptAt,
+		isProbing:        srv.outlier.isProbing,
 	}
 }
 
--- a/control/checkpoint.go
+++ b/control/checkpoint.go
@@ -20,7 +20,7 @@
 type Checkpoint struct {
 	Version          int                    `cbor:"v"`
 	At               time.Duration          `cbor:"at"`      // time at which it was taken
-	FillingSince     time.Duration          `cbor:"start"`   // time from which buckets of accounts not open yet are filled
+	RefillStart      time.Duration          `cbor:"start"`   // time from which buckets of accounts not open yet are filled
 	SlackFraction    float64                `cbor:"slack"`   // fraction of its slack that a new hard-limit bucket starts with
 	RateFraction     float64                `cbor:"portion"` // fraction of the rates at which buckets are filled, from 0 to 1
 	ConcurrencyLimit float64                `cbor:"bound"`
@@ -44,7 +44,7 @@
 // WindowState is the stored form of a control window that has not ended; see controlWindow.
 type WindowState struct {
 	EndsAt            time.Duration `cbor:"ends"`
-	WasCut            bool          `cbor:"Cut"`
+	IsOverloaded      bool          `cbor:"Cut"`
 	LimitReached      bool          `cbor:"Pressed"`
 	LatencyRatioSum   float64       `cbor:"LatSum"`
 	LatencySecondsSum float64       `cbor:"SecSum"`
@@ -100,34 +100,34 @@
 
 // CustomerCheckpoint holds a customer's remaining tokens and its estimates; see customerAccount.
 type CustomerCheckpoint struct {
-	ID                       string        `cbor:"id"`
-	Plan                     string        `cbor:"plan"`
-	FanOut                   float64       `cbor:"spread"`
-	QuotaBurst               float64       `cbor:"depth"` // quota's burst of the plan when the tokens were counted
-	HardLimitBurst           float64       `cbor:"burst"` // hard limit's burst of that plan; 0 is no hard limit
-	QuotaTokens              float64       `cbor:"level"`
-	HardLimitTokens          float64       `cbor:"ceiling"`
-	InFlight                 int           `cbor:"out"` // number of attempts
-	InFlightLimit            float64       `cbor:"open_cap"`
-	OpenRejectionProbability float64       `cbor:"chance"`
-	IsMetered                bool          `cbor:"metered"`
-	RemoteRate               float64       `cbor:"base"`
-	LastReadingUnits         float64       `cbor:"last"`
-	RemoteRateAt             time.Duration `cbor:"base_at"`
-	ReadingAt                time.Duration `cbor:"told_at"`
-	RequestedUnits           float64       `cbor:"tries"`
-	RequestedAt              time.Duration `cbor:"tries_at"`
-	MeteredUnits             float64       `cbor:"told"`
-	DemandSeconds            float64       `cbor:"told_for"`
-	MeteredSeconds           float64       `cbor:"cover"`
-	ReadingEndBin            int64         `cbor:"read_end"`
-	LocalUnits               float64       `cbor:"own_sum"`
-	TotalUnits               float64       `cbor:"all_sum"`
-	UsageRate                float64       `cbor:"smooth"`
-	Sent                     []BinAmount   `cbor:"Own"`
-	Charged                  []BinAmount   `cbor:"Charged"`
-	Arrivals                 []BinAmount   `cbor:"Asked"`
-	Rejections               []BinAmount   `cbor:"Refused"`
+	ID                           string        `cbor:"id"`
+	Plan                         string        `cbor:"plan"`
+	FanOut                       float64       `cbor:"spread"`
+	QuotaBurst                   float64       `cbor:"depth"` // quota's burst of the plan when the tokens were counted
+	HardLimitBurst               float64       `cbor:"burst"` // hard limit's burst of that plan; 0 is no hard limit
+	QuotaTokens                  float64       `cbor:"level"`
+	HardLimitTokens              float64       `cbor:"ceiling"`
+	InFlight                     int           `cbor:"out"` // number of attempts
+	InFlightLimit                float64       `cbor:"open_cap"`
+	InFlightRejectionProbability float64       `cbor:"chance"`
+	IsMetered                    bool          `cbor:"metered"`
+	RemoteRate                   float64       `cbor:"base"`
+	LastReadingUnits             float64       `cbor:"last"`
+	RemoteRateAt                 time.Duration `cbor:"base_at"`
+	ReadingAt                    time.Duration `cbor:"told_at"`
+	RequestedUnits               float64       `cbor:"tries"`
+	RequestedAt                  time.Duration `cbor:"tries_at"`
+	MeteredUnits                 float64       `cbor:"told"`
+	DemandSeconds                float64       `cbor:"told_for"`
+	MeteredSeconds               float64       `cbor:"cover"`
+	ReadingEndBin                int64         `cbor:"read_end"`
+	LocalUnits                   float64       `cbor:"own_sum"`
+	TotalUnits                   float64       `cbor:"all_sum"`
+	UsageRate                    float64       `cbor:"smooth"`
+	Sent                         []BinAmount   `cbor:"Own"`
+	Charged                      []BinAmount   `cbor:"Charged"`
+	Arrivals                     []BinAmount   `cbor:"Asked"`
+	Rejections                   []BinAmount   `cbor:"Refused"`
 }
 
 // BinAmount is the amount of a history in one time bin.
@@ -186,7 +186,7 @@
 	checkpoint := Checkpoint{
 		Version:          CheckpointVersion,
 		At:               c.now,
-		FillingSince:     c.accounts.fillingSince,
+		RefillStart:      c.accounts.refillStart,
 		SlackFraction:    c.accounts.slackFraction,
 		RateFraction:     c.accounts.rateFraction,
 		ConcurrencyLimit: c.limiter.limit,
@@ -240,7 +240,7 @@
 // state returns the stored form of a window, without its end and the time of the limit's latest cut.
 func (w *controlWindow) state() WindowState {
 	return WindowState{
-		WasCut:            w.isOverloaded,
+		IsOverloaded:      w.isOverloaded,
 		LimitReached:      w.limitReached,
 		LatencyRatioSum:   w.latencyRatioSum,
 		LatencySecondsSum: w.latencySecondsSum,
@@ -256,7 +256,7 @@
 // window returns the control window of a stored form.
 func (s *WindowState) window() controlWindow {
 	return controlWindow{
-		isOverloaded:      s.WasCut,
+		isOverloaded:      s.IsOverloaded,
 		limitReached:      s.LimitReached,
 		latencyRatioSum:   s.LatencyRatioSum,
 		latencySecondsSum: s.LatencySecondsSum,
@@ -323,7 +323,7 @@
 // sum returns the sum of all numbers, which is finite only if all of them are.
 func (c *CustomerCheckpoint) sum() float64 {
 	sum := c.FanOut + c.QuotaBurst + c.HardLimitBurst + c.QuotaTokens + c.HardLimitTokens + c.InFlightLimit +
-		c.OpenRejectionProbability + c.RemoteRate + c.LastReadingUnits + c.RequestedUnits + c.MeteredUnits +
+		c.InFlightRejectionProbability + c.RemoteRate + c.LastReadingUnits + c.RequestedUnits + c.MeteredUnits +
 		c.DemandSeconds + c.MeteredSeconds + c.LocalUnits + c.TotalUnits + c.UsageRate
 	for _, amounts := range [][]BinAmount{c.Sent, c.Charged, c.Arrivals, c.Rejections} {
 		for _, amount := range amounts {
--- a/control/client_wait_test.go
+++ b/control/client_wait_test.go
@@ -11,24 +11,24 @@
 	gateway := newTestGateway(t, settings, activeEndpoints(1, 2)...)
 	class := &gateway.controller.settings.Classes[0]
 	for i := 0; i < 3; i++ {
-		if w := gateway.controller.clientWaits.estimate(Request{Timeout: 3 * time.Second}, class, gateway.controller.clockAdvance); w != 0 {
-			t.Fatalf("first attempt has waited %v, want 0", w)
+		if waited := gateway.controller.clientWaits.estimate(Request{Timeout: 3 * time.Second}, class, gateway.controller.clockAdvance); waited != 0 {
+			t.Fatalf("first attempt has waited %v, want 0", waited)
 		}
 	}
 	gateway.controller.clockAdvance = 1500 * ms
-	if w := gateway.controller.clientWaits.estimate(Request{Timeout: 2 * time.Second}, class, gateway.controller.clockAdvance); w != time.Second {
-		t.Errorf("first attempt that was delayed for 1 s by a stall has waited %v, want 1s", w)
+	if waited := gateway.controller.clientWaits.estimate(Request{Timeout: 2 * time.Second}, class, gateway.controller.clockAdvance); waited != time.Second {
+		t.Errorf("first attempt that was delayed for 1 s by a stall has waited %v, want 1s", waited)
 	}
 	gateway.controller.clockAdvance = 4 * ms
-	if w := gateway.controller.clientWaits.estimate(Request{Timeout: 2 * time.Second}, class, gateway.controller.clockAdvance); w != 4*time.Second {
-		t.Errorf("retry with 2 s of 6 s left has waited %v, want 4s", w)
+	if waited := gateway.controller.clientWaits.estimate(Request{Timeout: 2 * time.Second}, class, gateway.controller.clockAdvance); waited != 4*time.Second {
+		t.Errorf("retry with 2 s of 6 s left has waited %v, want 4s", waited)
 	}
-	if w := gateway.controller.clientWaits.estimate(Request{Timeout: 5 * time.Second}, class, gateway.controller.clockAdvance); w != time.Second {
-		t.Errorf("retry with 5 s of 6 s left has waited %v, want 1s", w)
+	if waited := gateway.controller.clientWaits.estimate(Request{Timeout: 5 * time.Second}, class, gateway.controller.clockAdvance); waited != time.Second {
+		t.Errorf("retry with 5 s of 6 s left has waited %v, want 1s", waited)
 	}
 	gateway.controller.clientWaits.retriesAreMarked = true
-	if w := gateway.controller.clientWaits.estimate(Request{Timeout: 5 * time.Second}, class, gateway.controller.clockAdvance); w != 0 {
-		t.Errorf("attempt that is not marked as a retry has waited %v, want 0", w)
+	if waited := gateway.controller.clientWaits.estimate(Request{Timeout: 5 * time.Second}, class, gateway.controller.clockAdvance); waited != 0 {
+		t.Errorf("attempt that is not marked as a retry has waited %v, want 0", waited)
 	}
 }
 
--- a/control/controller.go
+++ b/control/controller.go
@@ -121,7 +121,7 @@
 // startClock starts the tick timer and the first control window at the first event.
 func (c *Controller) startClock() {
 	c.isStarted = true
-	c.accounts.fillingSince = c.now
+	c.accounts.refillStart = c.now
 	c.windowEndsAt = c.now + windowDuration
 	c.emit(StartTimer{After: tickPeriod, Label: tickTimerLabel})
 }
--- a/control/gateway_test.go
+++ b/control/gateway_test.go
@@ -79,10 +79,10 @@
 	g.finalAnswers[id] = action
 }
 
-// advance moves the clock by d and fires the timers that are due.
-func (g *testGateway) advance(d time.Duration) {
+// advance moves the clock by the duration and fires the timers that are due.
+func (g *testGateway) advance(duration time.Duration) {
 	g.t.Helper()
-	for end := g.now + d; ; {
+	for end := g.now + duration; ; {
 		var label uint64
 		at := end + 1
 		for l, t := range g.timers {
@@ -120,11 +120,11 @@
 	g.t.Fatalf("request %s was never sent", id)
 }
 
-// serve calls send every gap for a time d, and answers each attempt after 200 ms.
-func (g *testGateway) serve(d, gap time.Duration, quotaUsage int, send func(i int)) {
+// serve calls send every gap for the duration, and answers each attempt after 200 ms.
+func (g *testGateway) serve(duration, gap time.Duration, quotaUsage int, send func(i int)) {
 	g.t.Helper()
 	next, firstPending := 0, len(g.sends)
-	for i, end := 0, g.now+d; g.now < end; i++ {
+	for i, end := 0, g.now+duration; g.now < end; i++ {
 		send(i)
 		g.advance(200 * ms)
 		for next = firstPending; next < len(g.sends); next++ {
--- a/control/hand_over_test.go
+++ b/control/hand_over_test.go
@@ -170,7 +170,7 @@
 }
 
 // A hand-over must not lose the concurrency limit, latencies, ejections, the meter's lag and the shares.
-func TestEstimatesSurviveAHandOver(t *testing.T) {
+func TestEstimatesAreKeptOverAHandOver(t *testing.T) {
 	settings := testSettings()
 	predecessor := newTestGateway(t, settings, activeEndpoints(1, 2, 3)...)
 	predecessor.controller.limiter.limit = 37
--- a/control/hard_limit_test.go
+++ b/control/hard_limit_test.go
@@ -41,11 +41,11 @@
 	plan := settings.Plans[0]
 	for name, wasEvicted := range map[string]bool{"never seen": false, "evicted": true} {
 		t.Run(name, func(t *testing.T) {
-			var list []uint32
+			var servers []uint32
 			for id := range uint32(200) {
-				list = append(list, id+1)
+				servers = append(servers, id+1)
 			}
-			gateway := newTestGateway(t, settings, activeEndpoints(list...)...)
+			gateway := newTestGateway(t, settings, activeEndpoints(servers...)...)
 			if wasEvicted {
 				gateway.request("before", "job", plan.Name, "x")
 				gateway.respond("before", OK, 0)
@@ -79,13 +79,13 @@
 func TestEvictionDoesNotExceedHardLimits(t *testing.T) {
 	settings := hardLimitSettings()
 	plan := settings.Plans[0]
-	var list []uint32
+	var servers []uint32
 	for id := range uint32(200) {
-		list = append(list, id+1)
+		servers = append(servers, id+1)
 	}
 	for name, handsOver := range map[string]bool{"stays": false, "hands over": true} {
 		t.Run(name, func(t *testing.T) {
-			gateway := newTestGateway(t, settings, activeEndpoints(list...)...)
+			gateway := newTestGateway(t, settings, activeEndpoints(servers...)...)
 			addBusyAccounts := func() {
 				for i := range maxAccounts/2 + 1 {
 					gateway.controller.accountFor(gateway.controller.scheduler.plansByName[plan.Name], fmt.Sprint("busy", i), 2).inFlight.current = 1
@@ -111,7 +111,7 @@
 				}
 				if handsOver && round%10 == 0 {
 					checkpoint := gateway.controller.HandOver(gateway.now, 1)
-					next := newTestGateway(t, settings, activeEndpoints(list...)...)
+					next := newTestGateway(t, settings, activeEndpoints(servers...)...)
 					next.now = gateway.now
 					next.controller.Restore(gateway.now, checkpoint, TrustAll)
 					gateway = next
--- a/control/history.go
+++ b/control/history.go
@@ -131,8 +131,8 @@
 }
 
 // restore fills an empty history with the amounts of bins up to the bin now.
-func (h *history) restore(all []BinAmount, now int64) {
-	for _, amount := range all {
+func (h *history) restore(amounts []BinAmount, now int64) {
+	for _, amount := range amounts {
 		if amount.Bin > now-historyBins && amount.Bin <= now {
 			h.advance(amount.Bin)
 			h.add(amount.Amount)
--- a/control/image.go
+++ b/control/image.go
@@ -20,7 +20,7 @@
 
 	Now                  time.Duration `cbor:"Now"`
 	ClockAdvance         time.Duration `cbor:"Skipped"`
-	FillingSince         time.Duration `cbor:"Start"`
+	RefillStart          time.Duration `cbor:"Start"`
 	IsStarted            bool          `cbor:"Started"`
 	IsWatching           bool          `cbor:"Following"`
 	NextWatchAt          time.Duration `cbor:"AskAt"`
@@ -102,43 +102,43 @@
 
 // CustomerImage is a customer's state with its key in the accountTable; see customerAccount.
 type CustomerImage struct {
-	Key                      string        `cbor:"Key"`
-	IsTracked                bool          `cbor:"Kept"`
-	Plan                     int           `cbor:"Plan"`
-	FanOut                   float64       `cbor:"Spread"`
-	QuotaTokens              float64       `cbor:"Level"`
-	HardLimitTokens          float64       `cbor:"Ceiling"`
-	QueuedUnits              float64       `cbor:"Queued"`
-	InFlightLimit            float64       `cbor:"OpenCap"`
-	OpenRejectionProbability float64       `cbor:"Chance"`
-	AdmissionRemainder       float64       `cbor:"Carry"`
-	RemoteRate               float64       `cbor:"Base"`
-	LastReadingUnits         float64       `cbor:"LastUsed"`
-	RequestedUnits           float64       `cbor:"Tries"`
-	MeteredUnits             float64       `cbor:"Told"`
-	DemandSeconds            float64       `cbor:"ToldFor"`
-	MeteredSeconds           float64       `cbor:"Cover"`
-	LocalUnits               float64       `cbor:"OwnSum"`
-	TotalUnits               float64       `cbor:"AllSum"`
-	UsageRate                float64       `cbor:"Smooth"`
-	UpdatedAt                time.Duration `cbor:"At"`
-	NextAttemptAt            time.Duration `cbor:"OpenNext"`
-	RemoteRateAt             time.Duration `cbor:"BaseAt"`
-	ReadingAt                time.Duration `cbor:"ToldAt"`
-	RequestedAt              time.Duration `cbor:"TriesAt"`
-	InFlight                 int           `cbor:"Open"`
-	PredecessorInFlight      int           `cbor:"Foreign"`
-	HitInFlightLimit         bool          `cbor:"OpenHit"`
-	IsMetered                bool          `cbor:"Metered"`
-	ReadingEndBin            int64         `cbor:"ReadEnd"`
-	SentBin                  int64         `cbor:"OwnLast"`
-	ChargedBin               int64         `cbor:"ChargedLast"`
-	ArrivalsBin              int64         `cbor:"AskedLast"`
-	RejectionsBin            int64         `cbor:"RefusedLast"`
-	Sent                     []RunningSum  `cbor:"Own"`
-	Charged                  []RunningSum  `cbor:"Charged"`
-	Arrivals                 []RunningSum  `cbor:"Asked"`
-	Rejections               []RunningSum  `cbor:"Refused"`
+	Key                          string        `cbor:"Key"`
+	IsTracked                    bool          `cbor:"Kept"`
+	Plan                         int           `cbor:"Plan"`
+	FanOut                       float64       `cbor:"Spread"`
+	QuotaTokens                  float64       `cbor:"Level"`
+	HardLimitTokens              float64       `cbor:"Ceiling"`
+	QueuedUnits                  float64       `cbor:"Queued"`
+	InFlightLimit                float64       `cbor:"OpenCap"`
+	InFlightRejectionProbability float64       `cbor:"Chance"`
+	AdmissionRemainder           float64       `cbor:"Carry"`
+	RemoteRate                   float64       `cbor:"Base"`
+	LastReadingUnits             float64       `cbor:"LastUsed"`
+	RequestedUnits               float64       `cbor:"Tries"`
+	MeteredUnits                 float64       `cbor:"Told"`
+	DemandSeconds                float64       `cbor:"ToldFor"`
+	MeteredSeconds               float64       `cbor:"Cover"`
+	LocalUnits                   float64       `cbor:"OwnSum"`
+	TotalUnits                   float64       `cbor:"AllSum"`
+	UsageRate                    float64       `cbor:"Smooth"`
+	UpdatedAt                    time.Duration `cbor:"At"`
+	NextAttemptAt                time.Duration `cbor:"OpenNext"`
+	RemoteRateAt                 time.Duration `cbor:"BaseAt"`
+	ReadingAt                    time.Duration `cbor:"ToldAt"`
+	RequestedAt                  time.Duration `cbor:"TriesAt"`
+	InFlight                     int           `cbor:"Open"`
+	PredecessorInFlight          int           `cbor:"Foreign"`
+	HitInFlightLimit             bool          `cbor:"OpenHit"`
+	IsMetered                    bool          `cbor:"Metered"`
+	ReadingEndBin                int64         `cbor:"ReadEnd"`
+	SentBin                      int64         `cbor:"OwnLast"`
+	ChargedBin                   int64         `cbor:"ChargedLast"`
+	ArrivalsBin                  int64         `cbor:"AskedLast"`
+	RejectionsBin                int64         `cbor:"RefusedLast"`
+	Sent                         []RunningSum  `cbor:"Own"`
+	Charged                      []RunningSum  `cbor:"Charged"`
+	Arrivals                     []RunningSum  `cbor:"Asked"`
+	Rejections                   []RunningSum  `cbor:"Refused"`
 }
 
 // RequestImage is the state of a request, which may have its final answer and still have attempts in flight; see
--- a/control/image_take.go
+++ b/control/image_take.go
@@ -15,7 +15,7 @@
 		Random:               random,
 		Now:                  c.now,
 		ClockAdvance:         c.clockAdvance,
-		FillingSince:         c.accounts.fillingSince,
+		RefillStart:          c.accounts.refillStart,
 		IsStarted:            c.isStarted,
 		IsWatching:           c.watch.isActive,
 		NextWatchAt:          c.watch.nextAttemptAt,
--- a/control/outlier_test.go
+++ b/control/outlier_test.go
@@ -74,7 +74,7 @@
 }
 
 // Servers that reject one plan must not cause a cut of the concurrency limit, and are avoided for that plan.
-func TestServersThatRejectOnePlanAreAvoidedForIt(t *testing.T) {
+func TestServersThatRejectOnePlanAreAvoidedForThatPlan(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2, 3, 4)...)
 	gateway.controller.limiter.idleLatency = 0.1
 	gateway.controller.fleet.latency = runningMean{mean: 0.1, count: 100}
--- a/control/restore.go
+++ b/control/restore.go
@@ -37,7 +37,7 @@
 	c.accounts.slackFraction = 0
 	if trust == TrustAll {
 		c.accounts.rateFraction = math.Min(1, math.Max(0, checkpoint.RateFraction))
-		c.accounts.fillingSince = min(c.now, checkpoint.FillingSince)
+		c.accounts.refillStart = min(c.now, checkpoint.RefillStart)
 		c.accounts.slackFraction = math.Min(initialSlackFraction, math.Max(0, checkpoint.SlackFraction))
 	}
 	c.restoreEstimates(&checkpoint)
@@ -80,14 +80,14 @@
 	slices.SortFunc(c.requests.slots.abandoned, func(a, b abandonedAttempt) int { return cmp.Compare(a.until, b.until) })
 }
 
-// decayOf returns the weight of a checkpoint's estimates, which decreases with its age.
-func (c *Controller) decayOf(checkpoint *Checkpoint) float64 {
+// estimateWeight returns the weight of a checkpoint's estimates, which decreases with its age.
+func (c *Controller) estimateWeight(checkpoint *Checkpoint) float64 {
 	return math.Exp(-math.Max(0, (c.now-checkpoint.At).Seconds()) / maxAccountIdleTime.Seconds())
 }
 
 // restoreEstimates restores the estimates over the fleet, weighted by their age, and the concurrency limit.
 func (c *Controller) restoreEstimates(checkpoint *Checkpoint) {
-	decay := c.decayOf(checkpoint)
+	decay := c.estimateWeight(checkpoint)
 	c.fleet.latency = runningMean{checkpoint.FleetLatency, checkpoint.LatencySamples * decay}
 	// With this count the first window does not replace the restored mean.
 	c.fleet.warmThroughput = runningMean{checkpoint.WarmThroughput * decay, 1 / throughputGain}
@@ -105,7 +105,7 @@
 	usable := c.fleet.countServers((*server).isUsable)
 	if checkpoint.ConcurrencyLimit > 0 && checkpoint.UsableServers > 0 && usable > 0 {
 		limit := checkpoint.ConcurrencyLimit * math.Min(1, usable/checkpoint.UsableServers)
-		c.limiter.limit = math.Max(c.minConcurrencyLimit(), c.limiter.limit+c.decayOf(checkpoint)*(limit-c.limiter.limit))
+		c.limiter.limit = math.Max(c.minConcurrencyLimit(), c.limiter.limit+c.estimateWeight(checkpoint)*(limit-c.limiter.limit))
 	}
 }
 
--- a/control/resume.go
+++ b/control/resume.go
@@ -79,7 +79,7 @@
 	c.isStarted = image.IsStarted
 	c.watch.isActive = image.IsWatching
 	c.watch.nextAttemptAt = image.NextWatchAt
-	c.accounts.fillingSince = image.FillingSince
+	c.accounts.refillStart = image.RefillStart
 	c.accounts.slackFraction = image.SlackFraction
 	c.accounts.rateFraction = image.RateFraction
 	c.clientWaits.minRetryGap = image.MinRetryGap
--- a/control/shift.go
+++ b/control/shift.go
@@ -21,7 +21,7 @@
 			*t += difference
 		}
 	}
-	for _, t := range []*time.Duration{&c.At, &c.FillingSince, &c.Window.EndsAt, &c.Window.CutAt} {
+	for _, t := range []*time.Duration{&c.At, &c.RefillStart, &c.Window.EndsAt, &c.Window.CutAt} {
 		move(t)
 	}
 	c.Meter.PhaseBin = ((c.Meter.PhaseBin+bins)%binsPerPeriod + binsPerPeriod) % binsPerPeriod
--- a/control/shift_test.go
+++ b/control/shift_test.go
@@ -13,7 +13,7 @@
 	at := 2 * time.Hour
 	original := func() Checkpoint {
 		return Checkpoint{
-			At: at, FillingSince: at - time.Second, Window: WindowState{EndsAt: at + time.Second},
+			At: at, RefillStart: at - time.Second, Window: WindowState{EndsAt: at + time.Second},
 			Meter: MeterState{Period: time.Second, PhaseBin: 3},
 			Servers: []ServerCheckpoint{{
 				StartedAt: at - time.Minute, LatencyAt: at, FailureRateAt: at, EjectedUntil: at + time.Second,
--- a/control/slow_start_test.go
+++ b/control/slow_start_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestSlowStartLimitsAWarmingServer(t *testing.T) {
+func TestSlowStartLimitsAttemptsAtAWarmingServer(t *testing.T) {
 	settings := testSettings()
 	list := activeEndpoints(1, 2, 3, 4)
 	list[0].StartedAt, list[0].HasStartedAt = time.Hour-100*ms, true
--- a/control/usage.go
+++ b/control/usage.go
@@ -106,7 +106,7 @@
 	if !account.demand.isMetered {
 		plan.firstReadings.add(percent, plan.quotaFraction(units, period))
 	}
-	account.addReading(now, table.fillingSince, table.rateFraction, meterReading{
+	account.addReading(now, table.refillStart, table.rateFraction, meterReading{
 		percent:       percent,
 		usedUnits:     used,
 		periodSeconds: period,
--- a/control/usage_test.go
+++ b/control/usage_test.go
@@ -16,7 +16,7 @@
 		gateway.controller.now = gateway.now
 		account.quota.tokens = 0 // the bucket is empty enough for the rejection probability to decide
 		gateway.recordReading(account, percent+1, 1)
-		return account.rejectionProbability(gateway.controller.now, gateway.controller.accounts.fillingSince)
+		return account.rejectionProbability(gateway.controller.now, gateway.controller.accounts.refillStart)
 	}
 	gateway.controller.usage.meter.lagBins = 0
 	recordRequests := func(arrivals, rejections int) { // in the next second
