--- a/control/actions.go
+++ b/control/actions.go
@@ -51,7 +51,7 @@
 // Reject is the final answer to a request that was not served and is safe to retry.
 type Reject struct {
 	ID         string
-	RetryAfter time.Duration // 0 if the client is given no time
+	RetryAfter time.Duration // 0 is no Retry-After
 	Cause      Cause
 }
 
--- a/control/admission.go
+++ b/control/admission.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	maxRejectionProbability  = 0.95 // upper bound of the probabilistic admission
+	maxRejectionProbability  = 0.95 // upper bound of the rejection probability
 	sufficientTokensFraction = 0.08 // fraction of the burst from which the quota's bucket alone admits
 	sheddableReserveFraction = 0.5  // fraction of the burst that sheddable requests must leave
 	sheddableWeightRatio     = 0.5  // classes below this fraction of the highest weight are sheddable
--- a/control/concurrency_limit.go
+++ b/control/concurrency_limit.go
@@ -48,8 +48,8 @@
 }
 
 // update cuts the limit if the window shows overload, and raises it if there was none and the limit was
-// reached. It reports whether there was overload; the limit is not cut again until the attempts that were in
-// flight at the latest cut have been answered.
+// reached. It reports whether there was overload. The limit is not cut again for two mean latencies after a
+// cut, since answers may belong to earlier attempts.
 func (l *concurrencyLimiter) update(
 	now time.Duration, window *controlWindow, latency runningMean, minLimit float64,
 ) (isOverloaded bool) {
--- a/control/endpoint_choice.go
+++ b/control/endpoint_choice.go
@@ -63,8 +63,8 @@
 	return unknownServerPenalty
 }
 
-// isRepeatDroppedBy reports whether the request may be sent to a server: it has not run, or the server drops
-// repeats of its idempotency key.
+// isRepeatDroppedBy reports whether a server would drop a repeat of a run of the request. It is also true if
+// there is nothing to drop: the request cannot have run, or has no idempotency key.
 func (r *request) isRepeatDroppedBy(srv *server, now time.Duration) bool {
 	if r.repeatGroup == nil || !r.hasIdempotencyKey() {
 		return true
--- a/control/in_flight_quota.go
+++ b/control/in_flight_quota.go
@@ -27,8 +27,8 @@
 func (q *inFlightQuota) endAttempt() { q.current-- }
 
 // adjust adjusts this gateway's part of the quota by a reading, the maximum in flight in percent of the
-// quota. Only when the limit has reached its minimum, requests are rejected by a probability. A limit below
-// one is enforced by a pause after each attempt.
+// quota. A limit below one is enforced by a pause after each attempt. Requests are rejected with a
+// probability only once the limit has reached its minimum.
 func (q *inFlightQuota) adjust(maxInFlight int, fanOut, percent, rejected, arrivals float64) {
 	minLimit := float64(maxInFlight) / fanOut / 2
 	if q.limit > minLimit {
--- a/control/throughput.go
+++ b/control/throughput.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	peakDecaySeconds       = 60.0 // time constant with which a server's highest throughput decays
+	peakDecaySeconds       = 60.0 // decay time constant of the peak throughput, which a server can reach again
 	minUtilizationFraction = 0.5  // lower utilizations do not show how much more a server could serve
 )
 
