--- a/control/accounts_test.go
+++ b/control/accounts_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestUnmeteredCustomerMaySendItsPartOfTheBurst(t *testing.T) {
+func TestUnmeteredCustomerMaySendItsShareOfTheBurst(t *testing.T) {
 	settings := testSettings()
 	settings.Plans[0].QuotaRate, settings.Plans[0].QuotaBurst = 1, 20
 	gateway := newTestGateway(t, settings, activeEndpoints(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16)...)
@@ -16,7 +16,7 @@
 		gateway.request(fmt.Sprint(i), "job", "low", "x")
 	}
 	if n := len(gateway.sends); n < 8 || n > 20 {
-		t.Errorf("%d of a burst of 20 over two gateways", n)
+		t.Errorf("sent %d requests of a burst of 20 over two gateways, want 8 to 20", n)
 	}
 }
 
@@ -29,12 +29,12 @@
 	before := account.quota.tokens
 	gateway.handle(AttemptResult{ID: "a", Server: 1, Reason: OK, IsFinal: true, ActualUnits: 4})
 	if got := before - account.quota.tokens; math.Abs(got-3) > 1e-9 {
-		t.Errorf("settled %g units, guessed 1, true 4", got)
+		t.Errorf("charged %g more units for 4 actual units instead of 1, want 3", got)
 	}
 }
 
-// Guards against memory that grows with customers that come once. An account whose buckets are not full is not
-// evicted, as a new one would grant its quota or hard limit again.
+// Memory must not grow with customers that send only one request. An account whose buckets are not full is not
+// evicted, since a new one would grant its quota or hard limit again.
 func TestIdleAccountsAreEvicted(t *testing.T) {
 	settings := testSettings()
 	settings.Plans = append(settings.Plans, Plan{Name: "slow", Price: 1, QuotaRate: 0.01, QuotaBurst: 10},
@@ -60,22 +60,23 @@
 		remaining[account.plan.Name]++
 	}
 	if remaining["low"] > 2 || remaining["slow"] != 100 || remaining["capped"] != 100 {
-		t.Errorf("accounts left by plan: %v", remaining)
+		t.Errorf("accounts remaining by plan: %v, want at most 2 of low, 100 of slow and 100 of capped", remaining)
 	}
 }
 
-// An account is evicted whatever fractions of units its queued and rejected requests had.
+// Queued and rejected requests with fractional units must not leave a rounding error that keeps the account from being
+// evicted.
 func TestAccountsWithFractionalUnitsAreEvicted(t *testing.T) {
 	gateway := newTestGateway(t, testSettings())
 	for i, units := range []float64{0.1, 0.2, 0.3} {
 		gateway.handle(Request{ID: fmt.Sprint(i), Class: "job", Plan: "low", Customer: "x", Timeout: 5 * time.Second, Units: units, FanOut: 2})
 	}
 	if gateway.advance(2 * maxAccountIdleTime); len(gateway.controller.accounts.byKey) > 0 || len(gateway.finalAnswers) != 3 {
-		t.Errorf("%d customers remembered, %d requests answered", len(gateway.controller.accounts.byKey), len(gateway.finalAnswers))
+		t.Errorf("%d accounts remain, want 0; %d requests answered, want 3", len(gateway.controller.accounts.byKey), len(gateway.finalAnswers))
 	}
 }
 
-func TestRefundUndoesACharge(t *testing.T) {
+func TestRefundRevertsACharge(t *testing.T) {
 	plan := &planQueue{Plan: Plan{Name: "low", QuotaRate: 10, QuotaBurst: 20, HardLimitRate: 10, HardLimitBurst: 20}}
 	table := newAccountTable(&Settings{MeterPeriod: time.Second})
 	account := table.accountFor(time.Hour, rand.New(rand.NewPCG(1, 2)), plan, "x", 2)
@@ -83,23 +84,23 @@
 	bin := table.binAt(time.Hour)
 	charged := account.chargeFirstAttempt(3, bin)
 	if account.quota.tokens >= quota || account.hardLimit.tokens != hardLimit-3 {
-		t.Errorf("%g and %g tokens after a charge, %g and %g before", account.quota.tokens, account.hardLimit.tokens, quota, hardLimit)
+		t.Errorf("%g quota and %g hard-limit tokens after a charge of 3, %g and %g before", account.quota.tokens, account.hardLimit.tokens, quota, hardLimit)
 	}
 	if got := account.history.sent.periodSum(bin + 1); got != 3 {
-		t.Errorf("%g units in the history after a charge of 3", got)
+		t.Errorf("got %g units in the history after a charge of 3", got)
 	}
 	account.refund(charged)
 	if account.quota.tokens != quota || account.hardLimit.tokens != hardLimit || account.history.sent.periodSum(bin+1) != 0 {
-		t.Errorf("%g and %g tokens after the refund, %g and %g before the charge", account.quota.tokens, account.hardLimit.tokens, quota, hardLimit)
+		t.Errorf("%g quota and %g hard-limit tokens after the refund, %g and %g before the charge", account.quota.tokens, account.hardLimit.tokens, quota, hardLimit)
 	}
 }
 
-func TestBucketKeepsWhatItHasAboveItsCapacity(t *testing.T) {
+func TestRefillKeepsTokensAboveCapacity(t *testing.T) {
 	for _, tc := range []struct{ tokens, want float64 }{{-3, 1}, {8, 10}, {15, 15}} {
 		bucket := tokenBucket{tokens: tc.tokens}
 		bucket.refill(4, 10)
 		if bucket.tokens != tc.want {
-			t.Errorf("%g tokens and 4 more are %g, want %g", tc.tokens, bucket.tokens, tc.want)
+			t.Errorf("refilling %g tokens by 4 gives %g, want %g", tc.tokens, bucket.tokens, tc.want)
 		}
 	}
 }
--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A class of far lower priority weight leaves the lower half of the bucket to others.
-func TestSheddableClassLeavesTheBucket(t *testing.T) {
+// Requests of a class with a far lower priority weight are shed while the bucket is less than half full.
+func TestSheddableClassIsShedBelowItsTokenReserve(t *testing.T) {
 	settings := testSettings()
 	settings.Classes = append(settings.Classes, Class{Name: "cheap", LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 0.2})
 	settings.Plans[0].QuotaRate, settings.Plans[0].QuotaBurst = 1, 10
@@ -16,40 +16,40 @@
 	gateway.request("cheap", "cheap", "low", "x")
 	gateway.request("dear", "job", "low", "x")
 	if gateway.finalAnswers["cheap"] == nil || gateway.finalAnswers["dear"] != nil {
-		t.Error("the low-priority class was not shed for the high-priority one")
+		t.Error("only the low-priority request should have been rejected")
 	}
 }
 
-// Guards against a gateway just started that applies the rejection probability for its first 15 seconds, though each
-// period is metered and the bucket is well filled.
-func TestFilledBucketAdmitsFromTheFirstReadings(t *testing.T) {
+// A gateway that has just started must not apply the rejection probability for its first 15 seconds if each period is
+// metered and the bucket has sufficient tokens.
+func TestFrequentReadingsAreEnoughFromTheStart(t *testing.T) {
 	for _, tc := range []struct {
-		gap, life time.Duration // between readings, and since the start
+		gap, life time.Duration // time between readings, and time since the start
 		want      bool
 	}{{time.Second, 5 * time.Second, true}, {time.Second, time.Minute, true}, {4 * time.Second, 40 * time.Second, false}} {
 		settings := testSettings()
 		settings.Plans[0].QuotaRate, settings.Plans[0].QuotaBurst = 2, 8
 		gateway := newTestGateway(t, settings, activeEndpoints(1, 2, 3, 4)...)
-		gateway.serve(tc.life, tc.gap, 151, func(i int) { // half as much again as its rate, for a while
+		gateway.serve(tc.life, tc.gap, 151, func(i int) { // readings of 150 percent of the quota
 			gateway.handle(Request{ID: fmt.Sprint(i), Class: "job", Plan: "low", Customer: "c", Timeout: 3 * time.Second, Units: 1, FanOut: 4})
 		})
-		if got := gateway.controller.accounts.byKey["low c"].demand.isWellMetered(gateway.controller.now, gateway.controller.accounts.fillingSince); got != tc.want {
-			t.Errorf("a reading each %v for %v: well metered %v", tc.gap, tc.life, got)
+		if got := gateway.controller.accounts.byKey["low c"].demand.hasEnoughReadings(gateway.controller.now, gateway.controller.accounts.refillStart); got != tc.want {
+			t.Errorf("one reading per %v for %v: hasEnoughReadings is %v", tc.gap, tc.life, got)
 		}
 	}
 }
 
-// Where the settings have no maximum of units, a client that names any number of them does not move what requests of
-// others depend on: throughput of servers, slow-start budgets and the mean units of a request.
-func TestUnitsOfOneRequestDoNotMoveSharedEstimates(t *testing.T) {
+// Where the settings have no maximum of units, a request with an extreme number of units must not affect the estimates
+// on which other requests depend: throughput of servers, slow-start budgets and the mean units of a request.
+func TestUnitsOfOneRequestDoNotAffectSharedEstimates(t *testing.T) {
 	type shared struct{ mean, done, tokens float64 }
-	play := func(units float64, refused bool) shared {
+	run := func(units float64, rejected bool) shared {
 		settings := testSettings()
 		settings.MaxUnits = 0
 		settings.Plans = []Plan{{Name: "open", Price: 1, MaxInFlight: 50}, {Name: "rate", Price: 1, QuotaRate: 10, QuotaBurst: 10}}
 		gateway := newTestGateway(t, settings, activeEndpoints(1, 2)...)
 		plan := "open"
-		if refused {
+		if rejected {
 			plan = "rate"
 		}
 		send := func(id string, units float64) {
@@ -69,24 +69,24 @@
 		send("second", units)
 		return shared{gateway.controller.fleet.requestUnits.mean, gateway.controller.window.servedUnits + gateway.controller.fleet.warmThroughput.mean, srv.slowStart.tokens}
 	}
-	for name, refused := range map[string]bool{"sent": false, "refused": true} {
-		// The bucket of the second plan has less than half of 30.
-		if some, extreme := play(30, refused), play(1e300, refused); some != extreme {
-			t.Errorf("%s: of 30 units %+v, of many %+v", name, some, extreme)
+	for name, rejected := range map[string]bool{"sent": false, "refused": true} {
+		// The bucket of the second plan holds less than the half of 30 units that admission requires.
+		if moderate, extreme := run(30, rejected), run(1e300, rejected); moderate != extreme {
+			t.Errorf("%s: estimates after 30 units: %+v, after 1e300 units: %+v", name, moderate, extreme)
 		}
 	}
 }
 
-// closedLoop is clients that send requests without a pause, of a low-priority and a high-priority class in turn, to four
-// servers that take a time for each attempt.
+// closedLoop simulates clients that send requests without a pause, alternating between a low-priority and a
+// high-priority class, to four servers that take attemptTime for each attempt.
 type closedLoop struct {
 	gateway     *testGateway
 	attemptTime time.Duration
-	results     []attemptEnd // of attempts in flight, by time, as all take the same
-	handled     int          // sends whose results are known
+	results     []attemptEnd // future results of attempts in flight, by time
+	handled     int          // number of sends that have an entry in results
 	requests    int
-	classes     map[string]string // by request
-	served      map[string]int    // requests by class
+	classes     map[string]string // classes by request
+	served      map[string]int    // served requests by class
 	rejected    map[string]int
 }
 
@@ -95,16 +95,16 @@
 	result AttemptResult
 }
 
-// runClosedLoop counts what is served and rejected by class in a duration.
+// runClosedLoop returns the numbers of served and rejected requests by class.
 func runClosedLoop(
-	t *testing.T, clients int, attemptTime, duration time.Duration, cheapWeight float64,
+	t *testing.T, clients int, attemptTime, duration time.Duration, lowPriorityWeight float64,
 ) (served, rejected map[string]int) {
 	t.Helper()
 	settings := testSettings()
 	settings.GroupSize = 1
 	settings.MeterPeriod = 0
 	settings.Classes = []Class{
-		{Name: "cheap", LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: cheapWeight},
+		{Name: "cheap", LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: lowPriorityWeight},
 		{Name: "important", LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 5},
 	}
 	settings.Plans = []Plan{{Name: "low", Price: 1, QuotaRate: 1e6, QuotaBurst: 1e6}}
@@ -125,7 +125,7 @@
 			loop.send()
 		}
 		idle = 1
-		if len(loop.results) == 0 { // all were rejected
+		if len(loop.results) == 0 { // all requests were rejected
 			idle = clients
 			loop.gateway.advance(attemptTime)
 			continue
@@ -135,7 +135,7 @@
 	return loop.served, loop.rejected
 }
 
-// send sends the next request.
+// send sends a request of the next class in turn.
 func (l *closedLoop) send() {
 	id := fmt.Sprint(l.requests)
 	class := []string{"cheap", "important"}[l.requests%2]
@@ -158,7 +158,7 @@
 	l.startAttempts()
 }
 
-// startAttempts has the servers take what was sent.
+// startAttempts schedules the results of the attempts that were sent.
 func (l *closedLoop) startAttempts() {
 	for ; l.handled < len(l.gateway.sends); l.handled++ {
 		send := l.gateway.sends[l.handled]
@@ -169,42 +169,42 @@
 	}
 }
 
-// A class of low priority weight is not rejected while servers are so fast that a turn takes a small part of its
-// latency objective; it is shed where a turn takes long.
-func TestFastServersRejectNothing(t *testing.T) {
+// A class of low priority weight is not shed while servers are so fast that the sojourn time is a small fraction of
+// its latency objective, even if the concurrency limit is reached. It is shed with slow servers.
+func TestNoRequestIsShedWithFastServers(t *testing.T) {
 	for _, clients := range []int{8, 64, 256} {
 		served, rejected := runClosedLoop(t, clients, time.Millisecond, 200*time.Millisecond, 1)
 		if rejected["cheap"]+rejected["important"] > 0 || served["cheap"] < served["important"]/2 || served["cheap"] == 0 {
-			t.Errorf("%d clients: served %v, rejected %v", clients, served, rejected)
+			t.Errorf("%d clients: served %v, rejected %v, want none rejected", clients, served, rejected)
 		}
 	}
 	if _, rejected := runClosedLoop(t, 64, 300*time.Millisecond, 4*time.Second, 1); rejected["cheap"] == 0 || rejected["important"] > 0 {
-		t.Errorf("servers that take 300 ms: rejected %v", rejected)
+		t.Errorf("with attempts of 300 ms: rejected %v, want requests of the cheap class only", rejected)
 	}
 	if _, rejected := runClosedLoop(t, 64, time.Millisecond, 200*time.Millisecond, 5); rejected["cheap"] > 0 {
-		t.Errorf("of equal priority weight: rejected %v", rejected)
+		t.Errorf("with equal priority weights: rejected %v, want none", rejected)
 	}
 }
 
-func TestSheddableRequestsLeaveTurnsAndTokens(t *testing.T) {
+func TestSheddableRequestsAreShedUnderContention(t *testing.T) {
 	settings := Settings{Classes: []Class{
 		{Name: "important", LatencyObjective: time.Second, PriorityWeight: 10},
 		{Name: "cheap", LatencyObjective: time.Second, PriorityWeight: 1},
 	}}
-	gate := newAdmission(&settings)
-	free, scarce := turnEstimate{hasFreeSlot: true, seconds: 1}, turnEstimate{seconds: 1}
+	policy := newAdmission(&settings)
+	free, occupied := queueEstimate{hasFreeSlot: true, sojournSeconds: 1}, queueEstimate{sojournSeconds: 1}
 	for _, tc := range []struct {
 		name   string
 		class  int
-		turn   turnEstimate
+		queue  queueEstimate
 		tokens float64
 		isLate bool
 		want   Cause
 	}{
-		{"important in a scarce turn", 0, scarce, 100, false, CauseNone},
-		{"cheap in a free turn", 1, free, 100, false, CauseNone},
-		{"cheap in a scarce turn", 1, scarce, 100, false, CauseShed},
-		{"cheap in a quick turn", 1, turnEstimate{seconds: 0.01}, 100, false, CauseNone},
+		{"important without a free slot", 0, occupied, 100, false, CauseNone},
+		{"cheap with a free slot", 1, free, 100, false, CauseNone},
+		{"cheap without a free slot", 1, occupied, 100, false, CauseShed},
+		{"cheap with a short sojourn time", 1, queueEstimate{sojournSeconds: 0.01}, 100, false, CauseNone},
 		{"cheap with few tokens", 1, free, 40, false, CauseShed},
 		{"important with few tokens", 0, free, 40, false, CauseNone},
 		{"important without tokens", 0, free, 0, false, CauseQuota},
@@ -212,8 +212,8 @@
 	} {
 		plan := &planQueue{Plan: Plan{Name: "low", QuotaRate: 10, QuotaBurst: 100}}
 		account := &customerAccount{plan: plan, fanOut: 1, quota: tokenBucket{tokens: tc.tokens}}
-		req := admissionRequest{class: &settings.Classes[tc.class], units: 1, isLate: tc.isLate, turn: tc.turn}
-		if got := gate.admit(time.Hour, 0, account, req); got != tc.want {
+		req := admissionRequest{class: &settings.Classes[tc.class], units: 1, isLate: tc.isLate, queue: tc.queue}
+		if got := policy.admit(time.Hour, 0, account, req); got != tc.want {
 			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
 		}
 	}
--- a/control/arrivals_test.go
+++ b/control/arrivals_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// One slow answer must not reject all later requests: with nothing in flight an attempt is started, and fast answers
-// admit requests again.
-func TestOneSlowAnswerDoesNotRejectAllLater(t *testing.T) {
+// One slow answer must not cause all later requests to be rejected: with nothing in flight an attempt is started, and
+// a fast answer lets requests be admitted again.
+func TestOneSlowResponseDoesNotRejectLaterRequests(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2)...)
 	gateway.request("slow", "job", "low", "")
 	gateway.advance(3 * time.Second) // past the latency objective, within the deadline
@@ -26,7 +26,7 @@
 		gateway.advance(200 * ms)
 	}
 	if admitted < 39 {
-		t.Errorf("%d of 40 are admitted", admitted)
+		t.Errorf("%d of 40 requests were admitted, want at least 39", admitted)
 	}
 }
 
@@ -36,7 +36,7 @@
 	gateway.request("b", "job", "other", "x")
 	for _, id := range []string{"a", "b"} {
 		if _, ok := gateway.finalAnswers[id].(Reject); !ok {
-			t.Errorf("%s ended with %v", id, gateway.finalAnswers[id])
+			t.Errorf("%s: final answer is %v, want a rejection", id, gateway.finalAnswers[id])
 		}
 	}
 	gateway.handle(ClientGone{ID: "z"})
@@ -48,14 +48,15 @@
 	gateway.handle(ResponseStarted{ID: "z"})
 }
 
-// After a stall all events come at once: requests that can still be served are, and each has one final answer.
-func TestEventsAllAtOnceAfterAStall(t *testing.T) {
+// After a stall of the gateway all events arrive at once. Requests that can still be served in time are served, and
+// each gets one final answer.
+func TestBacklogAfterAStallIsAnswered(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2)...)
 	gateway.request("old", "job", "high", "x")
 	for i := 0; i < 40; i++ {
 		gateway.request(fmt.Sprint("q", i), "job", "high", "x")
 	}
-	gateway.now += 4990 * ms // no timer came in time
+	gateway.now += 4990 * ms // stall: no timer fires in time
 	for i := 0; i < 40; i++ {
 		gateway.request(fmt.Sprint("n", i), "job", "high", "x")
 	}
@@ -63,20 +64,20 @@
 	gateway.advance(0)
 	for _, send := range gateway.sends[sent:] {
 		if send.ID[0] == 'q' {
-			t.Errorf("%s was sent when its client had all but left", send.ID)
+			t.Errorf("%s was sent shortly before its client's deadline", send.ID)
 		}
 	}
 	gateway.advance(6 * time.Second)
 	for i := 0; i < 40; i++ {
 		for _, id := range []string{fmt.Sprint("q", i), fmt.Sprint("n", i)} {
 			if gateway.finalAnswers[id] == nil && gateway.attempts[id] == 0 {
-				t.Errorf("%s was not answered", id)
+				t.Errorf("%s has neither a final answer nor an attempt", id)
 			}
 		}
 	}
 }
 
-func TestUnusableRequestsAreRejectedByTheirCause(t *testing.T) {
+func TestInvalidRequestsAreRejectedWithTheirCause(t *testing.T) {
 	class, plan := &Class{}, &planQueue{}
 	for _, tc := range []struct {
 		name  string
@@ -87,12 +88,12 @@
 		{"usable", Request{Timeout: time.Second, Units: 1}, class, CauseNone},
 		{"over capacity", Request{Timeout: time.Second, IsOverCapacity: true}, class, CauseOverCapacity},
 		{"over the hard limit", Request{Timeout: time.Second, IsOverHardLimit: true}, class, CauseHardLimit},
-		{"of no class", Request{Timeout: time.Second}, nil, CauseInvalid},
+		{"without a class", Request{Timeout: time.Second}, nil, CauseInvalid},
 		{"without a timeout", Request{}, class, CauseInvalid},
-		{"of NaN units", Request{Timeout: time.Second, Units: math.NaN()}, class, CauseInvalid},
+		{"with NaN units", Request{Timeout: time.Second, Units: math.NaN()}, class, CauseInvalid},
 	} {
-		if got := unusableCause(tc.event, tc.class, plan); got != tc.want {
-			t.Errorf("a request %s: %v, want %v", tc.name, got, tc.want)
+		if got := earlyRejectionCause(tc.event, tc.class, plan); got != tc.want {
+			t.Errorf("request %s: got cause %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
--- a/control/endpoint_choice_test.go
+++ b/control/endpoint_choice_test.go
@@ -17,12 +17,12 @@
 	gateway.request("x", "job", "low", "x")
 	for _, send := range gateway.sends {
 		if send.Server == 1 || send.ID == "x" && send.Server != 3 {
-			t.Errorf("%s went to %d", send.ID, send.Server)
+			t.Errorf("request %s was sent to server %d", send.ID, send.Server)
 		}
 	}
 }
 
-// Guards against a server that accepts requests and never answers.
+// A server that accepts requests and never answers must not attract traffic.
 func TestSilentServerIsAvoided(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1, 2, 3, 4)...)
 	silent := 0
@@ -37,11 +37,12 @@
 		}
 	}
 	if silent == 0 || silent > 6 {
-		t.Errorf("%d of 200 requests in 4 s went to a server that never answers", silent)
+		t.Errorf("%d of 200 requests in 4 s were sent to the server that never answers, want 1 to 6", silent)
 	}
 }
 
-// Guards against gateways that each find out by their own requests, one every few seconds, which servers are slow.
+// A gateway with one request every few seconds must learn from load reports which servers are slow, rather than by its
+// own requests to each of them.
 func TestServerThatReportsHighLatencyIsChosenLess(t *testing.T) {
 	group := newGatewayGroup(t, 40, activeEndpoints(1, 2, 3, 4, 5, 6, 7, 8))
 	group.loadReport = func(id uint32) *LoadReport {
@@ -51,14 +52,13 @@
 		return loadReport(300, 0.7)
 	}
 	group.serve(50)
-	if part := float64(group.sent[1]) * 8 / (40 * 50); part > 0.3 {
-		t.Errorf("it is sent %.2f of an even part", part)
+	if fraction := float64(group.sent[1]) * 8 / (40 * 50); fraction > 0.3 {
+		t.Errorf("slow server got %.2f of an even part of the requests, want at most 0.3", fraction)
 	}
 }
 
-// Guards against many gateways that take a server for the fastest because the mean latency that it reports starts at
-// zero.
-func TestServerWithZeroReportedLatencyDoesNotAttractAll(t *testing.T) {
+// The mean latency that a server reports starts at zero. Many gateways must not take it for the fastest server.
+func TestServerWithNearZeroReportedLatencyIsNotOverloaded(t *testing.T) {
 	group := newGatewayGroup(t, 40, activeEndpoints(1, 2, 3, 4, 5, 6, 7, 8))
 	group.loadReport = func(id uint32) *LoadReport {
 		if id == 1 {
@@ -67,13 +67,12 @@
 		return loadReport(400, 0.7)
 	}
 	group.serve(50)
-	if part := float64(group.sent[1]) * 8 / (40 * 50); part > 2 {
-		t.Errorf("it is sent %.1f times its part", part)
+	if fraction := float64(group.sent[1]) * 8 / (40 * 50); fraction > 2 {
+		t.Errorf("server got %.1f times an even part of the requests, want at most 2", fraction)
 	}
 }
 
-// Guards against a gateway that keeps choosing the busiest server: of those with reports, one with capacity is chosen
-// first.
+// Of the servers with load reports, those with spare capacity are chosen more often than busy ones.
 func TestBusyServerIsChosenLess(t *testing.T) {
 	group := newGatewayGroup(t, 40, activeEndpoints(1, 2, 3, 4, 5, 6, 7, 8))
 	group.loadReport = func(id uint32) *LoadReport {
@@ -84,20 +83,20 @@
 		return report
 	}
 	group.serve(50)
-	full, spare := 0, 0
+	busyAttempts, otherAttempts := 0, 0
 	for id, n := range group.sent {
 		if id <= 4 {
-			full += n
+			busyAttempts += n
 		} else {
-			spare += n
+			otherAttempts += n
 		}
 	}
-	if full*4 > spare {
-		t.Errorf("%d attempts at full servers, %d at others", full, spare)
+	if busyAttempts*4 > otherAttempts {
+		t.Errorf("%d attempts at fully utilized servers, %d at others", busyAttempts, otherAttempts)
 	}
 }
 
-func TestSelectorChoosesTheCheapestServerThatMayServe(t *testing.T) {
+func TestSelectorChoosesTheEligibleServerOfLowestCost(t *testing.T) {
 	fleet := warmFleet(4)
 	fleet.latency.add(0.1, fleetEstimateGain)
 	for i, srv := range fleet.sortedServers {
@@ -107,15 +106,15 @@
 	req := &request{class: &Class{}, plan: &planQueue{}}
 	choose := func() *server { return selector.choose(0, rand.New(rand.NewPCG(1, 2)), 1, req) }
 	if got := choose(); got != fleet.sortedServers[0] {
-		t.Errorf("chose %d, not the idle one", got.Server)
+		t.Errorf("chose server %d, not the idle one", got.Server)
 	}
 	req.triedServers = []uint32{0}
 	if got := choose(); got != fleet.sortedServers[1] {
-		t.Errorf("chose %d, not the least busy one that was not tried", got.Server)
+		t.Errorf("chose server %d, not the least busy one that was not tried", got.Server)
 	}
 	fleet.sortedServers[1].State = Draining
 	if got := choose(); got != fleet.sortedServers[2] {
-		t.Errorf("chose %d, not the next one that does not drain", got.Server)
+		t.Errorf("chose server %d, not the least busy one that is not draining", got.Server)
 	}
 	fleet.sortedServers[2].outlier.recordOutcome(0, ConnectFailed, req.plan)
 	if got := choose(); got == fleet.sortedServers[2] {
@@ -125,11 +124,11 @@
 		srv.isListed = false
 	}
 	if got := choose(); got != nil {
-		t.Errorf("chose %d, which is not listed", got.Server)
+		t.Errorf("chose server %d, which is not listed", got.Server)
 	}
 }
 
-func TestOnlyServersThatDropRepeatsMayRepeat(t *testing.T) {
+func TestRepeatsAreDroppedOnlyWithinTheKeyScope(t *testing.T) {
 	ran := &server{Endpoint: Endpoint{Zone: "z1", Cell: 1}}
 	sameCell := &server{Endpoint: Endpoint{Zone: "z1", Cell: 1}}
 	sameZone := &server{Endpoint: Endpoint{Zone: "z1", Cell: 2}}
@@ -141,10 +140,10 @@
 		req := &request{class: class, repeatGroup: ran}
 		for i, srv := range []*server{sameCell, sameZone, remote} {
 			if got := req.isRepeatDroppedBy(srv, 0); got != want[i] {
-				t.Errorf("scope %d, server %d: %v", scope, i, got)
+				t.Errorf("scope %d, server %d: isRepeatDroppedBy is %v", scope, i, got)
 			}
 			if req.isRepeatDroppedBy(srv, time.Second) {
-				t.Errorf("scope %d, server %d: repeats are dropped after the window", scope, i)
+				t.Errorf("scope %d, server %d: repeats are presumed to be dropped after the repeat window", scope, i)
 			}
 		}
 	}
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// A server with a request in flight is listed as draining or gone by an entry that holds nothing else. A retry still
-// goes to servers that drop repeats of what it ran, or to none.
-func TestGoneServerKeepsItsRepeatGroup(t *testing.T) {
+// An endpoint entry with the state draining or gone may hold no zone or cell. A retry of a request that was in flight at
+// that server must still be sent only to servers that drop repeats of it.
+func TestRetryStaysInItsRepeatGroupAfterServerIsGone(t *testing.T) {
 	for _, condition := range []EndpointState{Draining, Gone} {
 		for _, scope := range []KeyScope{ScopeZone, ScopeCell} {
 			for _, deadline := range []time.Duration{400 * ms, 6 * time.Second} {
@@ -25,11 +25,11 @@
 					gateway.handle(EndpointList{Kind: ListPatch, Endpoints: append([]Endpoint{{Server: 1, State: condition}}, outside...)})
 					gateway.respond("r", ResetByPeer, 0)
 					if len(gateway.sends) != 1 {
-						t.Fatalf("sent again to %d", gateway.sends[1].Server)
+						t.Fatalf("retry was sent to server %d outside the repeat group", gateway.sends[1].Server)
 					}
 					gateway.handle(EndpointList{Kind: ListPatch, Endpoints: group[1:]})
 					if len(gateway.sends) != 2 || gateway.sends[1].Server != 2 {
-						t.Errorf("sent to %v, not again to 2", gateway.sends)
+						t.Errorf("got sends %v, want a retry to server 2", gateway.sends)
 					}
 				})
 			}
--- a/control/gateway_test.go
+++ b/control/gateway_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// testSettings is a small deployment: one idempotent class, two plans.
+// testSettings returns the settings of a small deployment with one idempotent class and two plans.
 func testSettings() Settings {
 	return Settings{
 		GroupSize: 2, Zone: "z1", MaxAttempts: 3, SupportsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
@@ -22,14 +22,14 @@
 	}
 }
 
-// testGateway drives one controller by hand and records its actions.
+// testGateway drives one controller step by step and records its actions.
 type testGateway struct {
 	t            *testing.T
 	controller   *Controller
 	now          time.Duration
 	sends        []Send
 	finalAnswers map[string]Action
-	attempts     map[string]int // attempts by request
+	attempts     map[string]int // number of attempts by request
 	timers       map[uint64]time.Duration
 	actions      []Action
 }
@@ -48,15 +48,15 @@
 	return gateway
 }
 
-// handle feeds one event and checks what holds for all actions.
+// handle passes an event to the controller and checks the invariants of all actions.
 func (g *testGateway) handle(event Event) {
 	g.t.Helper()
-	acts := append([]Action{}, g.controller.Handle(g.now, event)...)
-	for _, action := range acts {
+	newActions := append([]Action{}, g.controller.Handle(g.now, event)...)
+	for _, action := range newActions {
 		switch a := action.(type) {
 		case Send:
 			if g.finalAnswers[a.ID] != nil {
-				g.t.Fatalf("%s was sent after its end", a.ID)
+				g.t.Fatalf("request %s was sent after its final answer", a.ID)
 			}
 			g.attempts[a.ID]++
 			g.sends = append(g.sends, a)
@@ -68,21 +68,21 @@
 			g.timers[a.Label] = g.now + a.After
 		}
 	}
-	g.actions = append(g.actions, acts...)
+	g.actions = append(g.actions, newActions...)
 }
 
 func (g *testGateway) recordFinal(id string, action Action) {
 	g.t.Helper()
 	if g.finalAnswers[id] != nil {
-		g.t.Fatalf("%s has two final answers", id)
+		g.t.Fatalf("request %s has two final answers", id)
 	}
 	g.finalAnswers[id] = action
 }
 
-// advance lets time pass, and fires the timers that are due in it.
-func (g *testGateway) advance(d time.Duration) {
+// advance moves the clock by the duration and fires the timers that are due.
+func (g *testGateway) advance(duration time.Duration) {
 	g.t.Helper()
-	for end := g.now + d; ; {
+	for end := g.now + duration; ; {
 		var label uint64
 		at := end + 1
 		for l, t := range g.timers {
@@ -105,37 +105,37 @@
 	g.handle(Request{ID: id, Class: class, Plan: plan, Customer: customer, Timeout: 5 * time.Second, Units: 1, FanOut: 2})
 }
 
-// respond ends the latest attempt of a request.
-func (g *testGateway) respond(id string, why Reason, used int) {
+// respond ends the latest attempt of a request with a reason.
+func (g *testGateway) respond(id string, reason Reason, quotaUsage int) {
 	g.t.Helper()
 	for i := len(g.sends) - 1; i >= 0; i-- {
 		if g.sends[i].ID == id {
-			g.handle(AttemptResult{ID: id, Attempt: g.attempts[id] - 1, Server: g.sends[i].Server, Reason: why, IsFinal: why == OK, QuotaUsage: used})
-			if why == OK {
+			g.handle(AttemptResult{ID: id, Attempt: g.attempts[id] - 1, Server: g.sends[i].Server, Reason: reason, IsFinal: reason == OK, QuotaUsage: quotaUsage})
+			if reason == OK {
 				g.finalAnswers[id] = Send{}
 			}
 			return
 		}
 	}
-	g.t.Fatalf("%s was never sent", id)
+	g.t.Fatalf("request %s was never sent", id)
 }
 
-// serve sends a request every gap for a time d, and answers each attempt after 200 ms.
-func (g *testGateway) serve(d, gap time.Duration, used int, send func(i int)) {
+// serve calls send every gap for the duration, and answers each attempt after 200 ms.
+func (g *testGateway) serve(duration, gap time.Duration, quotaUsage int, send func(i int)) {
 	g.t.Helper()
-	next, open := 0, len(g.sends)
-	for i, end := 0, g.now+d; g.now < end; i++ {
+	next, firstPending := 0, len(g.sends)
+	for i, end := 0, g.now+duration; g.now < end; i++ {
 		send(i)
 		g.advance(200 * ms)
-		for next = open; next < len(g.sends); next++ {
-			g.respond(g.sends[next].ID, OK, used)
+		for next = firstPending; next < len(g.sends); next++ {
+			g.respond(g.sends[next].ID, OK, quotaUsage)
 		}
-		open = next
+		firstPending = next
 		g.advance(gap - 200*ms)
 	}
 }
 
-// recordReading takes a reading of the meter, which came with the answer to a request of some units.
+// recordReading applies a reading of the meter, as if the answer to a request with the given units had carried it.
 func (g *testGateway) recordReading(account *customerAccount, reading int, units float64) {
 	g.controller.usage.recordReading(g.controller.now, &g.controller.accounts, account, reading, units)
 }
@@ -163,20 +163,20 @@
 	return settings
 }
 
-// loadReport is a report of a server's mean latency, in ms, and of its utilization.
+// loadReport returns a report with a mean latency in ms and a utilization.
 func loadReport(mean, util float64) *LoadReport {
 	return &LoadReport{MeanLatencyMS: mean, Utilization: util, Queued: 0, InFlight: -1, RequestsPerSecond: -1, ErrorsPerSecond: -1}
 }
 
-// gatewayGroup is a group of controllers that get requests in turn; each attempt is answered after 300 ms.
+// gatewayGroup is a group of gateways that get requests in turn. Each attempt is answered after 200 ms.
 type gatewayGroup struct {
 	t          *testing.T
 	gateways   []*testGateway
-	sent       map[uint32]int // attempts by server
+	sent       map[uint32]int // number of attempts by server
 	loadReport func(server uint32) *LoadReport
 }
 
-func newGatewayGroup(t *testing.T, n int, members []Endpoint) *gatewayGroup {
+func newGatewayGroup(t *testing.T, n int, endpoints []Endpoint) *gatewayGroup {
 	group := &gatewayGroup{t: t, sent: map[uint32]int{}, loadReport: func(uint32) *LoadReport { return nil }}
 	for i := range n {
 		settings := testSettings()
@@ -187,13 +187,13 @@
 			t.Fatal(err)
 		}
 		gateway := &testGateway{t: t, controller: controller, now: time.Hour, finalAnswers: map[string]Action{}, attempts: map[string]int{}, timers: map[uint64]time.Duration{}}
-		gateway.handle(EndpointList{Kind: ListCached, Endpoints: members})
+		gateway.handle(EndpointList{Kind: ListCached, Endpoints: endpoints})
 		group.gateways = append(group.gateways, gateway)
 	}
 	return group
 }
 
-// burst sends the gateways together up to 16 requests.
+// burst sends 16 requests in total to the gateways, or one to each in larger groups.
 func (g *gatewayGroup) burst() {
 	for i, gateway := range g.gateways {
 		for k := range max(1, 16/len(g.gateways)) {
@@ -202,7 +202,7 @@
 	}
 }
 
-// answer answers what is out after 200 ms.
+// answer answers all attempts in flight after 200 ms.
 func (g *gatewayGroup) answer() {
 	const step = 200 * ms
 	for _, gateway := range g.gateways {
@@ -216,17 +216,17 @@
 	}
 }
 
-// serve sends each gateway one request in each step of 200 ms, for a number of steps.
+// serve sends 16 requests in total to the gateways, or one to each in larger groups, in each step of 200 ms.
 func (g *gatewayGroup) serve(steps int) {
 	const step = 200 * ms
 	for range steps {
 		for i, gateway := range g.gateways {
-			open := len(gateway.sends)
+			firstPending := len(gateway.sends)
 			for k := range max(1, 16/len(g.gateways)) {
 				gateway.request(fmt.Sprint(i, "-", k, "-", gateway.now), "job", "high", fmt.Sprint("x", i))
 			}
 			gateway.advance(step)
-			for _, send := range gateway.sends[open:] {
+			for _, send := range gateway.sends[firstPending:] {
 				g.sent[send.Server]++
 				gateway.handle(AttemptResult{ID: send.ID, Server: send.Server, Reason: OK, IsFinal: true, Delay: step, Load: g.loadReport(send.Server)})
 				gateway.finalAnswers[send.ID] = send
--- a/control/hand_over_test.go
+++ b/control/hand_over_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// handOverChain is a line of controllers, each of which took over from the one before, and a customer "x" of the plan
-// low that sends requests to all that have not ended.
+// handOverChain is a sequence of gateways, each of which was handed over the state of the one before, and a customer "x"
+// of the plan low that sends requests to all gateways that have not ended.
 type handOverChain struct {
 	t        *testing.T
 	settings Settings
 	rng      *rand.Rand
 	gateways []*testGateway
-	sent     []time.Duration // of each unit
+	sent     []time.Duration // time at which each unit was sent
 	inFlight []pendingReply
 	requests int
 }
@@ -34,15 +34,15 @@
 	return gateway
 }
 
-// handOver hands over to a new controller; with a fraction below 1 the old one goes on beside it.
-func (c *handOverChain) handOver(give float64) {
+// handOver hands over a fraction to a new gateway. With a fraction below 1 the old gateway continues to serve beside it.
+func (c *handOverChain) handOver(fraction float64) {
 	old := c.newest()
 	next := c.newGateway(old.now)
-	next.controller.Restore(next.now, old.controller.HandOver(old.now, give), TrustAll)
+	next.controller.Restore(next.now, old.controller.HandOver(old.now, fraction), TrustAll)
 	c.gateways = append(c.gateways, next)
 }
 
-// endPredecessors ends all gateways but the newest.
+// endPredecessors ends all gateways except the newest.
 func (c *handOverChain) endPredecessors() {
 	for _, pending := range c.inFlight {
 		if pending.gateway != c.newest() {
@@ -62,7 +62,7 @@
 	c.newest().controller.ReclaimRates(c.newest().now, &rest)
 }
 
-// step lets a millisecond pass, in which the customer sends a request with the given probability.
+// step advances time by a millisecond, in which the customer sends a request with the given probability.
 func (c *handOverChain) step(probability float64) {
 	now := c.newest().now + ms
 	for i := 0; i < len(c.inFlight); i++ {
@@ -87,7 +87,7 @@
 	}
 }
 
-// maxExcess is the largest excess of the units sent over a bucket that fills from start on.
+// maxExcess returns the maximum excess of the sent units over a bucket that is empty at start.
 func (c *handOverChain) maxExcess(start time.Duration, rate, burst float64) float64 {
 	worst, tokens := math.Inf(-1), 0.0
 	last := start
@@ -99,16 +99,15 @@
 	return worst
 }
 
-// However often what was spent is handed over, completely or by halves, the hard limit is neither exceeded nor are
-// requests within it rejected.
+// Any number of hand-overs, complete or by halves, must neither exceed the hard limit nor reject requests within it.
 func TestHardLimitHoldsOverManyHandOvers(t *testing.T) {
 	for seed := range uint64(40) {
 		chain := &handOverChain{t: t, settings: hardLimitSettings(), rng: rand.New(rand.NewPCG(seed, 4))}
 		chain.gateways = []*testGateway{chain.newGateway(time.Hour)}
-		isReload := seed%2 == 0 // each a reload; else an upgrade, with both serving for a while
+		isReload := seed%2 == 0 // a complete hand-over; else an upgrade, in which both serve for a while
 		start := chain.newest().now
 		for i := range 4000 {
-			chain.step([]float64{0.2, 0.2, 0, 0.02}[i/500%4]) // bursts, and pauses in which the bucket fills
+			chain.step([]float64{0.2, 0.2, 0, 0.02}[i/500%4]) // bursts, and pauses in which the bucket is refilled
 			switch {
 			case i%150 != 149:
 			case len(chain.gateways) > 1:
@@ -120,26 +119,26 @@
 				chain.handOver(0.5)
 			}
 		}
-		if over := chain.maxExcess(start, 30, 60); over > initialSlackFraction*6+1 {
-			t.Errorf("seed %d: %.1f units beyond the hard limit", seed, over)
+		if excess := chain.maxExcess(start, 30, 60); excess > initialSlackFraction*6+1 {
+			t.Errorf("seed %d: customer exceeded the hard limit by %.1f units", seed, excess)
 		}
-		one := &handOverChain{t: t, settings: chain.settings, rng: rand.New(rand.NewPCG(seed, 4))} // that never hands over
-		one.gateways = []*testGateway{one.newGateway(time.Hour)}
+		reference := &handOverChain{t: t, settings: chain.settings, rng: rand.New(rand.NewPCG(seed, 4))} // without hand-overs
+		reference.gateways = []*testGateway{reference.newGateway(time.Hour)}
 		for i := range 4000 {
-			one.step([]float64{0.2, 0.2, 0, 0.02}[i/500%4])
+			reference.step([]float64{0.2, 0.2, 0, 0.02}[i/500%4])
 		}
-		if part := float64(len(chain.sent)) / float64(len(one.sent)); part < 0.97 {
-			t.Errorf("seed %d: %d units, %d without hand-over", seed, len(chain.sent), len(one.sent))
+		if fraction := float64(len(chain.sent)) / float64(len(reference.sent)); fraction < 0.97 {
+			t.Errorf("seed %d: sent %d units, %d without hand-overs, want at least 97 percent", seed, len(chain.sent), len(reference.sent))
 		}
 	}
 }
 
-// A plan's quota and hard limit change in the middle of a burst: what was spent stays spent, and what they grant
-// beyond it is available.
-func TestHandOverToChangedPlanKeepsWhatWasSpent(t *testing.T) {
+// If a plan's quota and hard limit change in the middle of a burst, the units that were spent still count, and only the
+// rest of the new burst is available.
+func TestHandOverToChangedPlanKeepsSpentTokens(t *testing.T) {
 	for name, tc := range map[string]struct {
 		burst, depth             float64
-		wantHardLimit, wantQuota float64 // after 40 of 60 and of 100 were spent
+		wantHardLimit, wantQuota float64 // after 40 of 60 and 40 of 100 units were spent
 	}{
 		"the same":  {60, 100, 20, 60},
 		"more":      {90, 150, 50, 110},
@@ -161,17 +160,17 @@
 			successor.controller.Restore(successor.now, predecessor.controller.HandOver(predecessor.now, 1), TrustAll)
 			got := successor.controller.accounts.byKey["low x"]
 			if got.hardLimit.tokens != tc.wantHardLimit || got.quota.tokens != tc.wantQuota {
-				t.Errorf("hard limit %g, quota %g", got.hardLimit.tokens, got.quota.tokens)
+				t.Errorf("got %g hard-limit and %g quota tokens", got.hardLimit.tokens, got.quota.tokens)
 			}
 			if account.hardLimit.tokens != 0 || account.quota.tokens != 0 {
-				t.Errorf("the old one keeps %g and %g", account.hardLimit.tokens, account.quota.tokens)
+				t.Errorf("predecessor retains %g hard-limit and %g quota tokens, want 0", account.hardLimit.tokens, account.quota.tokens)
 			}
 		})
 	}
 }
 
-// A reload must not lose the concurrency limit, latencies, ejections, the meter's delay and shares.
-func TestEstimatesSurviveAHandOver(t *testing.T) {
+// A hand-over must not lose the concurrency limit, latencies, ejections, the meter's lag and the shares.
+func TestEstimatesAreKeptOverAHandOver(t *testing.T) {
 	settings := testSettings()
 	predecessor := newTestGateway(t, settings, activeEndpoints(1, 2, 3)...)
 	predecessor.controller.limiter.limit = 37
@@ -186,28 +185,28 @@
 	ejected.outlier.consecutiveFailures = ejectionFailures
 	ejected.outlier.ejectedUntil = predecessor.now + time.Second
 	checkpoint := predecessor.controller.HandOver(predecessor.now, 1)
-	checkpoint.Servers = append(checkpoint.Servers, ServerCheckpoint{Server: 99}) // is not listed any more
+	checkpoint.Servers = append(checkpoint.Servers, ServerCheckpoint{Server: 99}) // no longer listed
 	successor := newTestGateway(t, settings, append(activeEndpoints(1, 2), Endpoint{Server: 3, HasStartedAt: true, StartedAt: predecessor.now})...)
 	successor.now = predecessor.now
 	successor.controller.Restore(successor.now, checkpoint, TrustAll)
 	controller := successor.controller
 	if got := controller.fleet.latency.mean; got != 0.25 {
-		t.Errorf("a fleet latency of %g", got)
+		t.Errorf("fleet latency is %g, want 0.25", got)
 	}
 	if meter := &controller.usage.meter; meter.lagBins != 12 || meter.phaseBin != 3 {
-		t.Errorf("a meter lag of %d bins and a phase of %d", meter.lagBins, meter.phaseBin)
+		t.Errorf("meter lag is %d bins and the phase %d, want 12 and 3", meter.lagBins, meter.phaseBin)
 	}
 	if got := controller.scheduler.plans[1].share; got != 0.75 {
-		t.Errorf("a share of %g", got)
+		t.Errorf("share is %g, want 0.75", got)
 	}
 	if limit := controller.limiter.limit; limit < 37*0.7 || limit > 37 {
-		t.Errorf("a limit of %g", limit)
+		t.Errorf("limit is %g, want 25.9 to 37", limit)
 	}
 	if !controller.fleet.servers[2].outlier.isEjected(controller.now) {
-		t.Error("the ejected server is chosen again")
+		t.Error("the ejected server is no longer ejected")
 	}
 	if got := controller.fleet.servers[3].latency.seconds; got != 0 {
-		t.Errorf("a server that started anew has a latency of %g s", got)
+		t.Errorf("a restarted server has a latency estimate of %g s, want 0", got)
 	}
 	old := checkpoint
 	old.At -= time.Hour
@@ -215,11 +214,11 @@
 	first := later.controller.limiter.limit
 	later.controller.Restore(predecessor.now, old, TrustAll)
 	if math.Abs(later.controller.limiter.limit-first) > 0.01 {
-		t.Errorf("a limit of %g by what is an hour old, not %g", later.controller.limiter.limit, first)
+		t.Errorf("limit is %g from a checkpoint that is an hour old, want %g", later.controller.limiter.limit, first)
 	}
 }
 
-// Reloads that come faster than control windows end do not keep the limit from growing.
+// Reloads at intervals shorter than a control window must not keep the limit from growing.
 func TestConcurrencyLimitGrowsOverManyHandOvers(t *testing.T) {
 	chain := &handOverChain{t: t, settings: hardLimitSettings(), rng: rand.New(rand.NewPCG(1, 4))}
 	chain.settings.Plans = []Plan{{Name: "low", Price: 1}}
@@ -233,6 +232,6 @@
 		}
 	}
 	if got := chain.newest().controller.limiter.limit; got <= first {
-		t.Errorf("a limit of %g, at first %g", got, first)
+		t.Errorf("limit is %g, want more than the initial %g", got, first)
 	}
 }
--- a/control/hard_limit_test.go
+++ b/control/hard_limit_test.go
@@ -13,8 +13,8 @@
 	for i := 0; i < 50; i++ {
 		gateway.request(fmt.Sprint("s", i), "job", "low", "x")
 	}
-	if len(gateway.sends) > 2 { // the slack over two gateways
-		t.Errorf("%d units at once from a gateway that knows nothing", len(gateway.sends))
+	if len(gateway.sends) > 2 { // half of the slack, at one of two gateways
+		t.Errorf("restarted gateway sent %d units at once, want at most 2", len(gateway.sends))
 	}
 	sent, start := 0, gateway.now
 	for gateway.now < start+20*time.Second {
@@ -27,25 +27,25 @@
 		gateway.advance(10 * ms)
 	}
 	if maxUnits := 20*5 + 2 + 1; sent > maxUnits {
-		t.Errorf("%d units in 20 s, this gateway's part is %d", sent, maxUnits)
+		t.Errorf("sent %d units in 20 s, want at most %d", sent, maxUnits)
 	}
 	if sent < 80 {
-		t.Errorf("only %d units in 20 s", sent)
+		t.Errorf("sent %d units in 20 s, want at least 80", sent)
 	}
 }
 
-// A new or evicted customer has no more to spend at once than the bucket of the hard limit holds, however long the
-// gateway has run.
+// A new or evicted customer must not send more units at once than the bucket of the hard limit holds, regardless of how
+// long the gateway has been running.
 func TestNewAccountHoldsNoMoreThanTheHardLimit(t *testing.T) {
 	settings := hardLimitSettings()
 	plan := settings.Plans[0]
 	for name, wasEvicted := range map[string]bool{"never seen": false, "evicted": true} {
 		t.Run(name, func(t *testing.T) {
-			var list []uint32
+			var servers []uint32
 			for id := range uint32(200) {
-				list = append(list, id+1)
+				servers = append(servers, id+1)
 			}
-			gateway := newTestGateway(t, settings, activeEndpoints(list...)...)
+			gateway := newTestGateway(t, settings, activeEndpoints(servers...)...)
 			if wasEvicted {
 				gateway.request("before", "job", plan.Name, "x")
 				gateway.respond("before", OK, 0)
@@ -66,32 +66,32 @@
 				}
 				gateway.advance(ms)
 			}
-			part := plan.HardLimitBurst/2 + (gateway.now-start).Seconds()*plan.HardLimitRate/2 // the customer's fan-out is two
-			if n := float64(len(gateway.sends) - before); n > part+1 {
-				t.Errorf("%g units at once, of a part of %g", n, part)
+			maxUnits := plan.HardLimitBurst/2 + (gateway.now-start).Seconds()*plan.HardLimitRate/2 // the customer's fan-out is two
+			if n := float64(len(gateway.sends) - before); n > maxUnits+1 {
+				t.Errorf("sent %g units at once, want at most %g", n, maxUnits)
 			}
 		})
 	}
 }
 
-// A customer whose account is evicted before its bucket is full, as there are too many, has no more over time than
-// the hard limit grants, however often that happens and whoever takes the gateway's place.
+// If there are too many accounts, a customer's account is evicted before its bucket is full. Such evictions must not
+// let the customer exceed its hard limit over time, even if they are repeated or the gateway hands over to another.
 func TestEvictionDoesNotExceedHardLimits(t *testing.T) {
 	settings := hardLimitSettings()
 	plan := settings.Plans[0]
-	var list []uint32
+	var servers []uint32
 	for id := range uint32(200) {
-		list = append(list, id+1)
+		servers = append(servers, id+1)
 	}
 	for name, handsOver := range map[string]bool{"stays": false, "hands over": true} {
 		t.Run(name, func(t *testing.T) {
-			gateway := newTestGateway(t, settings, activeEndpoints(list...)...)
-			many := func() {
+			gateway := newTestGateway(t, settings, activeEndpoints(servers...)...)
+			addBusyAccounts := func() {
 				for i := range maxAccounts/2 + 1 {
 					gateway.controller.accountFor(gateway.controller.scheduler.plansByName[plan.Name], fmt.Sprint("busy", i), 2).inFlight.current = 1
 				}
 			}
-			many()
+			addBusyAccounts()
 			evictions, sent, start := 0, 0, gateway.now
 			for round := range 60 {
 				for i := range 400 {
@@ -110,24 +110,24 @@
 					evictions++
 				}
 				if handsOver && round%10 == 0 {
-					given := gateway.controller.HandOver(gateway.now, 1)
-					next := newTestGateway(t, settings, activeEndpoints(list...)...)
+					checkpoint := gateway.controller.HandOver(gateway.now, 1)
+					next := newTestGateway(t, settings, activeEndpoints(servers...)...)
 					next.now = gateway.now
-					next.controller.Restore(gateway.now, given, TrustAll)
+					next.controller.Restore(gateway.now, checkpoint, TrustAll)
 					gateway = next
-					many()
+					addBusyAccounts()
 				}
 			}
 			maxUnits := (initialSlackFraction*plan.HardLimitSlack + (gateway.now-start).Seconds()*plan.HardLimitRate) / 2
 			if n := float64(sent) / 8; evictions < 10 || n > maxUnits+1 {
-				t.Errorf("%g units of %g, evicted %d times", n, maxUnits, evictions)
+				t.Errorf("sent %g units, want at most %g; account evicted %d times, want at least 10", n, maxUnits, evictions)
 			}
 		})
 	}
 }
 
-// The slack is granted once: not again by each gateway that takes another's place, if that one had none left to
-// grant.
+// The slack is granted once. A gateway must not grant it again if the predecessor that handed over to it had started
+// without slack.
 func TestSlackIsGrantedOnceOverHandOvers(t *testing.T) {
 	settings := hardLimitSettings()
 	after := func(checkpoint Checkpoint, trust Trust) *Controller {
@@ -138,6 +138,6 @@
 	crashed := after(newTestGateway(t, settings, activeEndpoints(1, 2)...).controller.Checkpoint(time.Hour), TrustEstimates)
 	next := after(crashed.HandOver(time.Hour, 1), TrustAll)
 	if left := next.accountFor(next.scheduler.plansByName["low"], "x", 1).hardLimit.tokens; left > 0 {
-		t.Errorf("%g units for a customer of whom nothing is known since a crash", left)
+		t.Errorf("unknown customer has %g units after a crash and a hand-over, want 0", left)
 	}
 }
--- a/control/history_test.go
+++ b/control/history_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// denseHistory is the plain form of a history: the running sum of each of the latest bins.
+// denseHistory is a reference implementation of a history that stores the running sum of each of the latest bins.
 type denseHistory struct {
 	last int64
 	sum  [historyBins]float64
@@ -23,13 +23,13 @@
 }
 
 func (d *denseHistory) periodSum(end int64) float64 {
-	lo := max(end-binsPerPeriod-1, d.last-historyBins+1)
-	return d.sum[d.index(max(end-1, lo))] - d.sum[d.index(lo)]
+	oldest := max(end-binsPerPeriod-1, d.last-historyBins+1)
+	return d.sum[d.index(max(end-1, oldest))] - d.sum[d.index(oldest)]
 }
 
-// Whatever is added and whenever, a history gives the sums of one with all of its bins, and never stores more of
-// them.
-func TestHistoryEqualsADenseOne(t *testing.T) {
+// For any additions, a history must return the same sums as the dense reference, and store no more than its maximum
+// number of bins.
+func TestHistoryMatchesDenseReference(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 5))
 		var hist history
@@ -48,23 +48,23 @@
 			window := hist.window()
 			for range 5 {
 				end := now - r.Int64N(100)
-				if got, also, want := hist.periodSum(end), window.periodSum(end), dense.periodSum(end); math.Abs(got-want) > 1e-9 || also != got {
-					t.Fatalf("seed %d: %g and %g up to bin %d of %d, want %g", seed, got, also, end, now, want)
+				if got, inWindow, want := hist.periodSum(end), window.periodSum(end), dense.periodSum(end); math.Abs(got-want) > 1e-9 || inWindow != got {
+					t.Fatalf("seed %d: periodSum is %g, in the window %g, up to bin %d of %d, want %g", seed, got, inWindow, end, now, want)
 				}
 			}
 			if len(hist.sums) > historyBins+1 {
-				t.Fatalf("seed %d: %d steps", seed, len(hist.sums))
+				t.Fatalf("seed %d: history stores %d bins", seed, len(hist.sums))
 			}
 			var repeated history
 			repeated.restore(hist.amounts(), now)
 			if repeated.advance(now); math.Abs(repeated.periodSum(now)-dense.periodSum(now)) > 1e-9 {
-				t.Fatalf("seed %d: taken over, %g of the latest period, want %g", seed, repeated.periodSum(now), dense.periodSum(now))
+				t.Fatalf("seed %d: periodSum of the restored history is %g, want %g", seed, repeated.periodSum(now), dense.periodSum(now))
 			}
 		}
 	}
 }
 
-// A subtraction counts in the bin of the addition.
+// A subtraction must apply to the bin of the addition that it reverts.
 func TestHistorySubtractsInTheBinOfTheAddition(t *testing.T) {
 	var hist history
 	hist.advance(3)
@@ -73,6 +73,6 @@
 	hist.add(1)
 	hist.subtract(3, 2)
 	if before, after := hist.sumUntil(4), hist.sumUntil(5); before != 0 || math.Abs(after-1) > epsilon {
-		t.Errorf("%v, then %v", before, after)
+		t.Errorf("sums are %v and then %v, want 0 and 1", before, after)
 	}
 }
--- a/control/policy_files_test.go
+++ b/control/policy_files_test.go
@@ -11,18 +11,20 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// bookkeepingFiles hold types, state and its storage, and decide nothing. Each file is either one of them or policy.
+// bookkeepingFiles are the files that hold types, state and its storage, but make no decisions. All other files are
+// policy files.
 var bookkeepingFiles = []string{
 	"account.go", "account_storage.go", "actions.go", "checkpoint.go", "doc.go", "events.go",
 	"history.go", "image.go", "image_take.go", "restore.go", "resume.go",
 	"server_storage.go", "settings.go", "shared_fields.go", "shift.go", "sharecontrol/state.go",
 }
 
-// The files that decide, which both deploy files list alike, are there and are not just a few; each line has a limit.
+// Both deploy files must list the same policy files. These must exist, have a minimum total length, which guards against
+// an incomplete list, and keep to a maximum line length.
 func TestPolicyFilesStayWithinLimits(t *testing.T) {
 	policy := policyFiles(t, "../deploy/balancer.toml")
 	if tallyPolicy := policyFiles(t, "../deploy/tally.toml"); !slices.Equal(policy, tallyPolicy) {
-		t.Errorf("deploy/tally.toml lists other policy files: %q, not %q", tallyPolicy, policy)
+		t.Errorf("deploy/tally.toml lists the policy files %q, want %q", tallyPolicy, policy)
 	}
 	lines := 0
 	for _, name := range policy {
@@ -35,16 +37,16 @@
 				lines++
 			}
 			if n := len([]rune(l)); n > 110 {
-				t.Errorf("%s:%d has %d characters", name, i+1, n)
+				t.Errorf("%s:%d has %d characters, want at most 110", name, i+1, n)
 			}
 		}
 	}
 	if lines < 1000 {
-		t.Errorf("the policy files have %d lines together; few of them would be a list with holes", lines)
+		t.Errorf("the policy files have %d lines in total, want at least 1000; is the list complete?", lines)
 	}
 }
 
-// No file is left out of the deploy file's list unless it is known to decide nothing.
+// Each file must either be listed as a policy file in the deploy file or be a bookkeeping file.
 func TestEveryFileIsPolicyOrBookkeeping(t *testing.T) {
 	policy := policyFiles(t, "../deploy/balancer.toml")
 	err := filepath.WalkDir(".", func(path string, entry fs.DirEntry, err error) error {
@@ -53,7 +55,7 @@
 		}
 		isPolicy := slices.Contains(policy, "control/"+filepath.ToSlash(path))
 		if isBookkeeping := slices.Contains(bookkeepingFiles, filepath.ToSlash(path)); isPolicy == isBookkeeping {
-			t.Errorf("%s: policy %v, bookkeeping %v; it has to be one of them", path, isPolicy, isBookkeeping)
+			t.Errorf("%s: policy %v, bookkeeping %v; want exactly one of them", path, isPolicy, isBookkeeping)
 		}
 		return nil
 	})
--- a/control/resume.go
+++ b/control/resume.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// Resume returns a controller in the state of an image, with the settings that it was taken under. It fails if the
-// image is not one of these settings, or not one of a controller.
+// Resume returns a controller in the state of an image. It needs the settings under which the image was taken, and fails
+// if the image does not match them or is invalid.
 func Resume(settings Settings, image Image) (*Controller, error) {
 	if image.Version != ImageVersion {
-		return nil, fmt.Errorf("image: version %d, not %d", image.Version, ImageVersion)
+		return nil, fmt.Errorf("image: got version %d, want %d", image.Version, ImageVersion)
 	}
 	c, err := New(settings, 0)
 	if err != nil {
@@ -25,7 +25,7 @@
 func (c *Controller) resume(image *Image) error {
 	c.pcg = &rand.PCG{}
 	if err := c.pcg.UnmarshalBinary(image.Random); err != nil {
-		return fmt.Errorf("random numbers: %w", err)
+		return fmt.Errorf("random number generator: %w", err)
 	}
 	c.rng = rand.New(c.pcg)
 	if err := c.checkSettings(image); err != nil {
@@ -58,28 +58,28 @@
 	return c.resumeAttempts(image, requests, servers, customers)
 }
 
-// checkSettings returns an error if the image was taken under other settings.
+// checkSettings returns an error if the image does not match the number of plans, classes or misfits of the settings.
 func (c *Controller) checkSettings(image *Image) error {
 	if len(image.Plans) != len(c.scheduler.plans) {
-		return fmt.Errorf("of %d plans, not %d", len(image.Plans), len(c.scheduler.plans))
+		return fmt.Errorf("got %d plans, want %d", len(image.Plans), len(c.scheduler.plans))
 	}
 	if len(image.TypicalDeadlines) != len(c.settings.Classes) {
-		return fmt.Errorf("of %d classes, not %d", len(image.TypicalDeadlines), len(c.settings.Classes))
+		return fmt.Errorf("got %d classes, want %d", len(image.TypicalDeadlines), len(c.settings.Classes))
 	}
 	if !image.Meter.hasMisfits() {
-		return fmt.Errorf("of a meter with %d misfits", len(image.Meter.Misfit))
+		return fmt.Errorf("wrong number of meter misfits: %d", len(image.Meter.Misfit))
 	}
 	return nil
 }
 
-// resumeCounters takes over times, counts and parts that refer to nothing else.
+// resumeCounters restores times, counts and the parts that refer to no other object.
 func (c *Controller) resumeCounters(image *Image) {
 	c.now = image.Now
 	c.clockAdvance = image.ClockAdvance
 	c.isStarted = image.IsStarted
 	c.watch.isActive = image.IsWatching
 	c.watch.nextAttemptAt = image.NextWatchAt
-	c.accounts.fillingSince = image.FillingSince
+	c.accounts.refillStart = image.RefillStart
 	c.accounts.slackFraction = image.SlackFraction
 	c.accounts.rateFraction = image.RateFraction
 	c.clientWaits.minRetryGap = image.MinRetryGap
@@ -92,7 +92,7 @@
 	c.nextTick = image.NextTick
 }
 
-// resumeEstimates takes over the concurrency limit and what is known of all servers together.
+// resumeEstimates restores the concurrency limit and the estimates over all servers.
 func (c *Controller) resumeEstimates(image *Image) {
 	c.limiter = concurrencyLimiter{
 		limit:                image.ConcurrencyLimit,
@@ -115,14 +115,14 @@
 	for _, saved := range states {
 		class := c.classes[saved.Class]
 		if class == nil {
-			return fmt.Errorf("there is no class %q", saved.Class)
+			return fmt.Errorf("unknown class %q", saved.Class)
 		}
 		*c.clientWaits.typicalDeadlines[class] = typicalDeadline{saved.Deadline, saved.Support}
 	}
 	return nil
 }
 
-// resumeRequests takes over the requests of an image, in its order.
+// resumeRequests restores the requests of an image and returns them in the image's order.
 func (c *Controller) resumeRequests(
 	image *Image, servers []*server, customers []*customerAccount,
 ) ([]*request, error) {
@@ -145,21 +145,21 @@
 	return requests, nil
 }
 
-// resumeRequest returns the request of an image, or an error if it refers to something that the image or the settings
-// do not have.
+// resumeRequest returns a request of an image, or an error if it refers to an object that does not exist in the image or
+// the settings.
 func (c *Controller) resumeRequest(
 	saved *RequestImage, servers []*server, customers []*customerAccount,
 ) (*request, error) {
 	class := c.classes[saved.Class]
 	switch {
 	case class == nil:
-		return nil, fmt.Errorf("there is no class %q", saved.Class)
+		return nil, fmt.Errorf("unknown class %q", saved.Class)
 	case !isIndex(saved.Plan, len(c.scheduler.plans)):
-		return nil, fmt.Errorf("there is no plan %d", saved.Plan)
+		return nil, fmt.Errorf("plan index %d is out of range", saved.Plan)
 	case !isIndex(saved.Customer, len(customers)):
-		return nil, fmt.Errorf("there is no customer %d", saved.Customer)
+		return nil, fmt.Errorf("customer index %d is out of range", saved.Customer)
 	case !isIndex(saved.RepeatGroup, len(servers)+1):
-		return nil, fmt.Errorf("there is no server %d", saved.RepeatGroup-1)
+		return nil, fmt.Errorf("server index %d is out of range", saved.RepeatGroup-1)
 	}
 	req := &request{
 		id:           saved.ID,
@@ -198,7 +198,7 @@
 		plan.firstReadings.excess = saved.FirstReadingExcess
 		for _, index := range saved.Queue {
 			if !isIndex(index, len(requests)) {
-				return fmt.Errorf("plan %q: there is no request %d", plan.Name, index)
+				return fmt.Errorf("plan %q: request index %d is out of range", plan.Name, index)
 			}
 			plan.queue = append(plan.queue, requests[index])
 		}
@@ -213,11 +213,11 @@
 		saved := &image.Attempts[i]
 		switch {
 		case !isIndex(saved.Request, len(requests)):
-			return fmt.Errorf("attempt %d of %q: there is no request %d", saved.Attempt, saved.ID, saved.Request)
+			return fmt.Errorf("attempt %d of %q: request index %d is out of range", saved.Attempt, saved.ID, saved.Request)
 		case !isIndex(saved.Server, len(servers)):
-			return fmt.Errorf("attempt %d of %q: there is no server %d", saved.Attempt, saved.ID, saved.Server)
+			return fmt.Errorf("attempt %d of %q: server index %d is out of range", saved.Attempt, saved.ID, saved.Server)
 		case !isIndex(saved.Customer, len(customers)):
-			return fmt.Errorf("attempt %d of %q: there is no customer %d", saved.Attempt, saved.ID, saved.Customer)
+			return fmt.Errorf("attempt %d of %q: customer index %d is out of range", saved.Attempt, saved.ID, saved.Customer)
 		}
 		c.requests.attempts[attemptKey{saved.ID, saved.Attempt}] = &pendingAttempt{
 			request: requests[saved.Request],
@@ -235,5 +235,5 @@
 	return nil
 }
 
-// isIndex reports whether i is an index in a list of this length.
+// isIndex reports whether i is an index of a list with the given length.
 func isIndex(i, length int) bool { return i >= 0 && i < length }
--- a/control/scheduler_test.go
+++ b/control/scheduler_test.go
@@ -25,7 +25,7 @@
 		}
 	}
 	if high < 57 || high > 63 {
-		t.Errorf("%d of 80 turns went to the plan with three quarters of the share", high)
+		t.Errorf("%d of 80 attempts were of the plan with a share of 0.75, want 57 to 63", high)
 	}
 }
 
@@ -35,23 +35,23 @@
 	gateway.controller.scheduler.plans[1].share = 1
 	gateway.request("a", "job", "low", "x")
 	if len(gateway.sends) != 1 {
-		t.Errorf("%d sends for the only request", len(gateway.sends))
+		t.Errorf("got %d sends for the only request", len(gateway.sends))
 	}
 }
 
-func TestSharesStayWithFewAnswers(t *testing.T) {
+func TestSharesAreUnchangedWithFewAnswers(t *testing.T) {
 	gateway := newTestGateway(t, testSettings(), activeEndpoints(1)...)
 	gateway.controller.scheduler.plans[0].meanLateness = 3
 	gateway.controller.scheduler.plans[1].meanLateness = 0.1
 	gateway.controller.window.answers = minAnswersPerWindow - 1
 	gateway.controller.endWindow(1)
 	if gateway.controller.scheduler.plans[0].share != 0.5 {
-		t.Errorf("share %g after a window of four answers", gateway.controller.scheduler.plans[0].share)
+		t.Errorf("share is %g after a window with four answers, want 0.5", gateway.controller.scheduler.plans[0].share)
 	}
 }
 
-// Shares move where a gateway gets two answers a second: the control window is extended.
-func TestSharesMoveAtFewRequestsASecond(t *testing.T) {
+// Shares are updated even if a gateway gets only two answers per second, since the control window is extended.
+func TestSharesAreUpdatedAtLowRequestRates(t *testing.T) {
 	settings := largeGroupSettings()
 	settings.Plans[0].QuotaRate, settings.Plans[0].QuotaBurst = 1000, 1000
 	gateway := newTestGateway(t, settings, activeEndpoints(1, 2, 3, 4)...)
@@ -61,21 +61,21 @@
 		gateway.controller.scheduler.plans[1].recordLateness(1.8) // the high-priority plan is late
 	})
 	if share := gateway.controller.scheduler.plans[1].share; math.Abs(share-0.5) < 0.05 || share < 0.5 {
-		t.Errorf("the late high-priority plan has a share of %g", share)
+		t.Errorf("share of the late high-priority plan is %g, want at least 0.55", share)
 	}
 }
 
 func TestQueuedRequestsAreAnsweredInTime(t *testing.T) {
-	gateway := newTestGateway(t, testSettings()) // no server at all
+	gateway := newTestGateway(t, testSettings()) // without servers
 	gateway.request("a", "job", "low", "x")
 	gateway.advance(5 * time.Second)
 	reject, ok := gateway.finalAnswers["a"].(Reject)
 	if !ok || reject.RetryAfter != time.Second {
-		t.Errorf("ended with %#v", gateway.finalAnswers["a"])
+		t.Errorf("got final answer %#v, want a rejection with a RetryAfter of 1s", gateway.finalAnswers["a"])
 	}
 }
 
-// The CPU time of one request with fleets of several sizes.
+// BenchmarkRequest measures the CPU time of one request with fleets of several sizes.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []uint32{10, 30, 90, 300} {
 		b.Run(fmt.Sprint(n, " servers"), func(b *testing.B) {
@@ -103,7 +103,7 @@
 	}
 }
 
-// choiceByID is a serverChooser that knows the server of each request; others have to wait.
+// choiceByID is a serverChooser with a fixed server for each request ID; other requests have to wait.
 type choiceByID map[string]*server
 
 func (c choiceByID) chooseServer(req *request) *server { return c[req.id] }
@@ -114,7 +114,7 @@
 	return req
 }
 
-func TestTurnsFollowTheDeficit(t *testing.T) {
+func TestRoundRobinFollowsDeficits(t *testing.T) {
 	s := newScheduler([]Plan{{Name: "low", Price: 1}, {Name: "high", Price: 1}})
 	s.plans[0].share = 0.25
 	s.plans[1].share = 0.75
@@ -123,38 +123,38 @@
 	servers := choiceByID{"l": &server{}, "h": &server{}}
 	var order string
 	for range 8 { // the requests stay queued, as nothing starts an attempt
-		req, _ := s.nextTurn(0, servers)
+		req, _ := s.nextRequest(0, servers)
 		order += req.id
 	}
 	if order != "hlhhhlhh" {
-		t.Errorf("turns in the order %s", order)
+		t.Errorf("requests were scheduled in the order %s, want hlhhhlhh", order)
 	}
 	if sum := s.plans[0].deficit + s.plans[1].deficit; math.Abs(sum) > 1e-9 {
-		t.Errorf("the deficits sum up to %g", sum)
+		t.Errorf("sum of the deficits is %g, want 0", sum)
 	}
 }
 
-func TestOnlyRequestsOfARepeatGroupLetTheNextPass(t *testing.T) {
+func TestOnlyRequestsWithARepeatGroupDoNotBlockTheQueue(t *testing.T) {
 	s := newScheduler([]Plan{{Name: "low", Price: 1}})
 	first := queuedRequest(s.plans[0], "first")
 	queuedRequest(s.plans[0], "second")
 	servers := choiceByID{"second": &server{}}
-	if req, _ := s.nextTurn(0, servers); req != nil {
-		t.Errorf("%s passed a request that any server could take", req.id)
+	if req, _ := s.nextRequest(0, servers); req != nil {
+		t.Errorf("request %s was scheduled before one without a repeat group", req.id)
 	}
 	first.repeatGroup = &server{}
-	if req, srv := s.nextTurn(0, servers); req == nil || req.id != "second" || srv != servers["second"] {
-		t.Errorf("%+v came next, behind one that waits for its repeat group", req)
+	if req, srv := s.nextRequest(0, servers); req == nil || req.id != "second" || srv != servers["second"] {
+		t.Errorf("got next request %+v, want the one behind a request that waits for its repeat group", req)
 	}
 }
 
-func TestNoPlanHasATurnWithoutAServer(t *testing.T) {
+func TestNextRequestIsNilWithoutAServer(t *testing.T) {
 	s := newScheduler([]Plan{{Name: "low", Price: 1}})
 	queuedRequest(s.plans[0], "waits")
-	if req, srv := s.nextTurn(0, choiceByID{}); req != nil || srv != nil {
-		t.Errorf("%v at %v", req, srv)
+	if req, srv := s.nextRequest(0, choiceByID{}); req != nil || srv != nil {
+		t.Errorf("got request %v and server %v, want none", req, srv)
 	}
 	if s.countQueued() != 1 || s.plans[0].deficit != 0 {
-		t.Errorf("%d queued, deficit %g", s.countQueued(), s.plans[0].deficit)
+		t.Errorf("%d requests queued and a deficit of %g, want 1 and 0", s.countQueued(), s.plans[0].deficit)
 	}
 }
--- a/control/sharecontrol/state.go
+++ b/control/sharecontrol/state.go
@@ -1,8 +1,8 @@
 // Package sharecontrol sets the shares that plans have in a scheduler so that each meets its latency objective.
 //
-// A Controller estimates online how shares and lateness move the lateness of the next control window, by recursive
-// least squares (RLS), and sets the shares of least quadratic cost under that estimate (LQR). It is a pure function
-// of what it is given: no clock, no randomness, no I/O. It is not safe for concurrent use.
+// A Controller estimates online, by recursive least squares (RLS), how the lateness of the next control window depends
+// on the current shares and lateness, and sets the shares of least quadratic cost under that estimate (LQR). It is
+// deterministic: it uses no clock, no random numbers and no I/O. It is not safe for concurrent use.
 package sharecontrol
 
 import (
@@ -12,7 +12,8 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// Controller sets shares; see the package. Its estimate is of y(k+1) = X [u(k); y(k)], with shares u and lateness y.
+// Controller sets shares as described for the package. It estimates X in y(k+1) = X [u(k); y(k)], with shares u and
+// lateness y.
 type Controller struct {
 	planCount  int
 	weights    *mat.DiagDense // W
@@ -21,7 +22,7 @@
 	regressors *mat.VecDense  // phi; nil until shares have been set
 }
 
-// State is what a controller has learned; matrices are stored by rows. Its keys are the paper's letters.
+// State is the stored estimate of a controller. Matrices are stored by rows. The keys are the symbols of the paper.
 type State struct {
 	Estimate   []float64 `cbor:"X"`
 	Covariance []float64 `cbor:"P"`
@@ -40,14 +41,14 @@
 	return s
 }
 
-// Restore replaces the controller's state by a copy of s. It fails if s is of another number of plans.
+// Restore replaces the controller's state by a copy of s. It fails if s is for another number of plans.
 func (c *Controller) Restore(s State) error {
 	n := c.planCount
 	hasRegressors := len(s.Regressors) > 0
 	fitsMatrices := len(s.Estimate) == 2*n*n && len(s.Covariance) == 4*n*n
 	fitsRegressors := !hasRegressors || len(s.Regressors) == 2*n
 	if !fitsMatrices || !fitsRegressors {
-		return fmt.Errorf("the state of a share controller is not of %d plans", n)
+		return fmt.Errorf("share controller state does not match %d plans", n)
 	}
 	c.estimate = mat.NewDense(n, 2*n, slices.Clone(s.Estimate))
 	c.covariance = mat.NewDense(2*n, 2*n, slices.Clone(s.Covariance))
--- a/control/shared_fields_test.go
+++ b/control/shared_fields_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Of a customer's checkpoint only what has another type or meaning in an image is not shared with that: a field that is
-// renamed in one form alone would no longer be stored or restored.
+// All fields of a customer's checkpoint are shared with its image, except those that have another type or meaning there.
+// A field that is renamed in only one of the forms would no longer be stored or restored.
 func TestSharedFieldsOfCustomers(t *testing.T) {
 	notShared := map[string]bool{
 		"ID": true, "Plan": true, "QuotaBurst": true, "HardLimitBurst": true,
@@ -19,10 +19,10 @@
 	}
 	for i := range checkpoint.NumField() {
 		if name := checkpoint.Field(i).Name; isShared[name] == notShared[name] {
-			t.Errorf("%s: shared %v", name, isShared[name])
+			t.Errorf("field %s: shared is %v", name, isShared[name])
 		}
 	}
 	if back := len(imageToCheckpoint.pairs); back != len(checkpointToImage.pairs) {
-		t.Errorf("%d fields are copied from an image, %d to it", back, len(checkpointToImage.pairs))
+		t.Errorf("%d fields are copied from an image, but %d to it", back, len(checkpointToImage.pairs))
 	}
 }
--- a/control/shift_test.go
+++ b/control/shift_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Shift keeps all times and bins of a checkpoint as far from each other as they were, and changes nothing else; what
-// never was stays so.
+// Shift must move all times and bins of a checkpoint by the same difference and change nothing else. Times that are not
+// set stay zero.
 func TestShiftMovesAllTimes(t *testing.T) {
 	const bin = time.Second / binsPerPeriod
 	at := 2 * time.Hour
 	original := func() Checkpoint {
 		return Checkpoint{
-			At: at, FillingSince: at - time.Second, Window: WindowState{EndsAt: at + time.Second},
+			At: at, RefillStart: at - time.Second, Window: WindowState{EndsAt: at + time.Second},
 			Meter: MeterState{Period: time.Second, PhaseBin: 3},
 			Servers: []ServerCheckpoint{{
 				StartedAt: at - time.Minute, LatencyAt: at, FailureRateAt: at, EjectedUntil: at + time.Second,
@@ -36,12 +36,12 @@
 		}
 		moved.Shift(-difference)
 		if want := original(); !reflect.DeepEqual(moved, want) {
-			t.Errorf("by %v and back: %+v, not %+v", difference, moved, want)
+			t.Errorf("after a shift by %v and back: %+v, want %+v", difference, moved, want)
 		}
 	}
 	near := original()
 	near.Shift(minClockShift - 1)
 	if !reflect.DeepEqual(near, original()) {
-		t.Error("a difference of measuring has moved the checkpoint")
+		t.Error("a difference below minClockShift changed the checkpoint")
 	}
 }
--- a/control/slow_start_test.go
+++ b/control/slow_start_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestSlowStartLimitsAWarmingServer(t *testing.T) {
+func TestSlowStartLimitsAttemptsAtAWarmingServer(t *testing.T) {
 	settings := testSettings()
 	list := activeEndpoints(1, 2, 3, 4)
 	list[0].StartedAt, list[0].HasStartedAt = time.Hour-100*ms, true
@@ -33,13 +33,13 @@
 		}
 	}
 	if warming == 0 || busy > 1 {
-		t.Errorf("%d sends in 2 s to a server just started, %d at once", warming, busy)
+		t.Errorf("%d attempts in 2 s at the warming server, %d of them at once, want at most 1 at once", warming, busy)
 	}
 }
 
-// Guards against a server that gets no attempts while it is warming up: each of eighty gateways may send it less than
-// one request in all that time.
-func TestSlowStartBelowOneRequestASecondFlows(t *testing.T) {
+// A warming server must get attempts even if each of eighty gateways may send it less than one request during the
+// whole warmup time.
+func TestSlowStartAdmitsLessThanOneRequestPerSecond(t *testing.T) {
 	for _, n := range []int{2, 8, 80} {
 		list := activeEndpoints(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)
 		group := newGatewayGroup(t, n, list)
@@ -56,15 +56,15 @@
 				warm += float64(k) / 12
 			}
 		}
-		// At its coldest it could do 0.15 of what a warm one does, at 10 s 0.72 of it, by the settings.
-		if part := float64(group.sent[13]) / warm; part < 0.1 || part > 0.72 {
-			t.Errorf("%d gateways: a warming server is sent %.2f of what a warm one is", n, part)
+		// By the settings, its capacity is 0.15 of that of a warm server at its start and 0.72 of it after 10 s.
+		if fraction := float64(group.sent[13]) / warm; fraction < 0.1 || fraction > 0.72 {
+			t.Errorf("%d gateways: a warming server got %.2f of the attempts of a warm one, want 0.1 to 0.72", n, fraction)
 		}
 	}
 }
 
-// Guards against a release that restarts most gateways while servers start: none of them knows anything yet, and each
-// would send every warming server one request.
+// If a release restarts most gateways while servers are starting, the gateways have no estimates yet. They must not each
+// send one request to every warming server.
 func TestGatewaysThatStartTogetherRespectSlowStart(t *testing.T) {
 	for _, n := range []int{8, 80, 300} {
 		list := activeEndpoints(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)
@@ -79,37 +79,37 @@
 				warming += k
 			}
 		}
-		// Were the servers evenly used to the full by this, 2.5 times 0.2 of an even part would be the most.
-		if part := float64(warming) / 4 / (float64(all) / 16); all < 100 || part > 0.4 {
-			t.Errorf("%d gateways: of %d requests a warming server is sent %.2f of an even part", n, all, part)
+		// If this load used the full capacity of the servers evenly, 2.5 times 0.2 of an even part would be the maximum.
+		if fraction := float64(warming) / 4 / (float64(all) / 16); all < 100 || fraction > 0.4 {
+			t.Errorf("%d gateways: of %d attempts a warming server got %.2f of an even part, want at most 0.4", n, all, fraction)
 		}
 	}
 }
 
-// Guards against a server just started that every gateway of a large group tries at once.
+// The gateways of a large group must not all send a request to a server that has just started.
 func TestLargeGroupSharesASlowStart(t *testing.T) {
 	settings := testSettings()
 	settings.GroupSize = 12
 	list := activeEndpoints(1, 2)
 	list[0].StartedAt, list[0].HasStartedAt = time.Hour-ms, true
 	gateway := newTestGateway(t, settings, list...)
-	warming := 0
+	warmingSends := 0
 	for i := 0; i < 300; i++ {
 		id := fmt.Sprint(i)
 		gateway.request(id, "job", "low", "x")
 		gateway.advance(10 * ms)
 		if gateway.attempts[id] > 0 && gateway.sends[len(gateway.sends)-1].Server == 1 {
-			warming++
+			warmingSends++
 			gateway.respond(id, OK, 0)
-		} // the warm server answers nothing, so its rate is not known
+		} // the warm server answers nothing, so its throughput is unknown
 	}
-	if warming > 1 {
-		t.Errorf("%d sends in 3 s from one of twelve gateways that knows no rate", warming)
+	if warmingSends > 1 {
+		t.Errorf("%d attempts in 3 s from one of twelve gateways without a throughput estimate, want at most 1", warmingSends)
 	}
 }
 
-// Guards against a release or an outage that restarts nearly all servers at once: what all of them together served a
-// moment ago is not what the one that is left can serve, and a warming server's budget follows from that of one.
+// If a release or an outage restarts nearly all servers at once, the budget of a warming server must follow from the
+// throughput that one server had. The recent throughput of all servers must not be attributed to the one that is left.
 func TestMassRestartRespectsSlowStart(t *testing.T) {
 	const servers, window = 12, 10 // steps of 200 ms in the overload window
 	for _, gateways := range []int{1, 8} {
@@ -119,7 +119,7 @@
 			serve := func(steps int) (sent map[uint32]int) {
 				clear(group.sent)
 				for range steps {
-					for range 5 { // 400 requests a second
+					for range 5 { // 400 requests per second
 						group.burst()
 					}
 					group.answer()
@@ -147,7 +147,7 @@
 				}
 				for id, n := range serve(window) {
 					if id != 1 && float64(n) > limit {
-						t.Errorf("server %d is sent %d requests in 2 s up to %v after its start, more than %.1f of %.1f", id, n, age, limit, perServer)
+						t.Errorf("server %d got %d attempts in the 2 s up to %v after its start, want at most %.1f; a warm server got %.1f", id, n, age, limit, perServer)
 					}
 				}
 			}
@@ -155,53 +155,53 @@
 	}
 }
 
-// fixedThroughput is a throughputEstimate that does not change, in units a second.
+// fixedThroughput is a constant throughputEstimate in units per second.
 type fixedThroughput float64
 
 func (f fixedThroughput) warmServerThroughput(time.Duration) float64 { return float64(f) }
 
-func TestSlowStartEarnsItsBudgetAndEnds(t *testing.T) {
+func TestSlowStartRefillsItsBudgetAndEnds(t *testing.T) {
 	settings := slowStartSettings{
 		warmupTime: 10 * time.Second, initialCapacity: 0.5, overloadWindow: 4 * time.Second, overloadMultiple: 1, groupSize: 1,
 	}
 	throughput := fixedThroughput(100)
 	var start slowStart
 	if !start.allows(0, &settings, 9, 1, throughput) {
-		t.Error("a server that is not warming up is limited")
+		t.Error("an attempt at a server that is not warming up is not allowed")
 	}
 	start.begin(time.Second, 0, 4)
 	if start.allows(time.Second, &settings, 0, 1, throughput) {
 		t.Error("a slow start allows an attempt while its budget is in debt")
 	}
-	if !start.allows(2*time.Second, &settings, 0, 1, throughput) { // at least 16 units a second are earned
-		t.Errorf("%g tokens after a second", start.tokens)
+	if !start.allows(2*time.Second, &settings, 0, 1, throughput) { // at least 16 units per second are earned
+		t.Errorf("attempt is not allowed with %g tokens after a second", start.tokens)
 	}
 	if start.allows(2*time.Second, &settings, slotsPerServer, 1, throughput) {
-		t.Error("as many attempts as a warm server has slots are allowed")
+		t.Error("attempts are allowed beyond the slots of a warm server")
 	}
 	before := start.tokens
 	start.charge(3)
 	start.refund(3, 500*ms)
 	start.refund(3, -time.Second) // charged to an earlier slow start
 	if start.tokens != before {
-		t.Errorf("%g tokens after a charge and its refund, %g before", start.tokens, before)
+		t.Errorf("got %g tokens after a charge and its refund, want %g", start.tokens, before)
 	}
 	if !start.allows(10*time.Second, &settings, 9, 1, throughput) || start.isActive {
-		t.Error("the slow start goes on after the warmup time")
+		t.Error("the slow start continues after the warmup time")
 	}
 }
 
-func TestCapacityGrowsFromTheInitialPartToAll(t *testing.T) {
+func TestCapacityGrowsFromTheInitialToTheFullOne(t *testing.T) {
 	settings := slowStartSettings{warmupTime: 10 * time.Second, initialCapacity: 0.2}
 	for _, tc := range []struct {
 		age  time.Duration
 		want float64
 	}{{0, 0.2}, {5 * time.Second, 0.6}, {10 * time.Second, 1}, {time.Hour, 1}} {
 		if got := settings.capacityFraction(tc.age, 0); math.Abs(got-tc.want) > 1e-9 {
-			t.Errorf("capacity %g after %v, want %g", got, tc.age, tc.want)
+			t.Errorf("capacity fraction is %g after %v, want %g", got, tc.age, tc.want)
 		}
 	}
 	if got := (&slowStartSettings{}).capacityFraction(0, 0); got != 1 {
-		t.Errorf("capacity %g where servers have no warmup time", got)
+		t.Errorf("capacity fraction is %g without a warmup time, want 1", got)
 	}
 }
--- a/control/usage_test.go
+++ b/control/usage_test.go
@@ -12,14 +12,14 @@
 	settings.Plans[0].QuotaRate, settings.Plans[0].QuotaBurst = 1000, 20 // enough units for a reading to outweigh the prior
 	gateway := newTestGateway(t, settings, activeEndpoints(1, 2, 3)...)
 	account := gateway.controller.accountFor(gateway.controller.scheduler.plans[0], "x", 1000) // its requests here say next to nothing
-	read := func(pct int) float64 {
+	read := func(percent int) float64 {
 		gateway.controller.now = gateway.now
 		account.quota.tokens = 0 // the bucket is empty enough for the rejection probability to decide
-		gateway.recordReading(account, pct+1, 1)
-		return account.rejectionProbability(gateway.controller.now, gateway.controller.accounts.fillingSince)
+		gateway.recordReading(account, percent+1, 1)
+		return account.rejectionProbability(gateway.controller.now, gateway.controller.accounts.refillStart)
 	}
 	gateway.controller.usage.meter.lagBins = 0
-	recordRequests := func(arrivals, rejections int) { // of the second that follows
+	recordRequests := func(arrivals, rejections int) { // in the next second
 		gateway.controller.now = gateway.now
 		gateway.controller.refillAccount(account)
 		account.history.arrivals.add(float64(arrivals))
@@ -28,30 +28,30 @@
 	}
 	recordRequests(4000, 0)
 	if probability := read(400); math.Abs(probability-0.75) > 0.01 {
-		t.Fatalf("d = %g after a first reading of 400%%", probability)
+		t.Fatalf("rejection probability is %g after a first reading of 400%%, want 0.75", probability)
 	}
 	for i := 0; i < 5; i++ {
 		gateway.now += 20 * ms
 		if probability := read(400); math.Abs(probability-0.75) > 0.02 {
-			t.Fatalf("d = %g: one period was read again", probability)
+			t.Fatalf("rejection probability is %g after repeated readings of one period, want 0.75", probability)
 		}
 	}
 	gateway.now += 900 * ms
-	recordRequests(4000, 3000) // with three quarters rejected, 200% is left
+	recordRequests(4000, 3000) // three quarters are rejected, and the usage is still 200%
 	if probability := read(200); math.Abs(probability-0.875) > 0.01 {
-		t.Errorf("d = %g after 200%% admitted by a probability of 0.75", probability)
+		t.Errorf("rejection probability is %g after a reading of 200%% with a probability of 0.75, want 0.875", probability)
 	}
 	for i := 0; i < 20; i++ {
 		gateway.now += time.Second
 		if probability := read(5000); probability < 0 || probability > maxRejectionProbability {
-			t.Fatalf("d = %g", probability)
+			t.Fatalf("rejection probability is %g", probability)
 		}
 	}
 }
 
-// Guards against a heavy customer that each of many gateways takes for a new one: after a few readings, even seconds
-// apart, most of its requests are rejected, and most of a calm one's admitted, which come so seldom that each counts
-// for more.
+// A customer far above its quota must not be treated as a new one by each of many gateways: after a few readings, even
+// if they are seconds apart, most of its requests are rejected. Most requests of a customer below its quota are
+// admitted, although its readings are rare.
 func TestFewReadingsSetTheRejectionProbability(t *testing.T) {
 	for _, tc := range []struct {
 		used, gap int
@@ -66,25 +66,26 @@
 				Units: 1, FanOut: 60,
 			})
 		})
-		if part := float64(len(gateway.sends)) / float64(requested); part < tc.low || part > tc.high {
-			t.Errorf("readings of %d%%: %.2f of the requests forwarded, want %v to %v", tc.used-1, part, tc.low, tc.high)
+		if fraction := float64(len(gateway.sends)) / float64(requested); fraction < tc.low || fraction > tc.high {
+			t.Errorf("readings of %d%%: fraction of forwarded requests is %.2f, want %v to %v", tc.used-1, fraction, tc.low, tc.high)
 		}
 	}
 }
 
-// A customer without a reading here is rejected by as much as of its plan's usage lies beyond quotas by the first
-// readings of others, less a request each: where half of them use four times their rate and the others half of it,
-// and one request is a quarter of a period's, by 2.75 of 4.5; by half of that where one of two gateways sees them.
-// That holds for no other plan, not before any reading, whatever later readings show, and after a resume.
-func TestUnmeteredCustomersAreRejectedByTheirPlansUsage(t *testing.T) {
+// The requests of a customer without a reading at this gateway are rejected by the fraction of its plan's usage that
+// exceeds the quotas, according to the first readings of other customers, less one request each. If half of these use
+// four times their rate and the others half of it, and one request is a quarter of a period's quota, that fraction is
+// 2.75 of 4.5, and half of that at one of two gateways. Other plans, later readings and a resume do not change it, and
+// there are no rejections before any reading.
+func TestUnmeteredCustomersAreRejectedByTheirPlansExcess(t *testing.T) {
 	settings := testSettings()
 	for i := range settings.Plans {
 		settings.Plans[i].QuotaRate, settings.Plans[i].QuotaBurst = 4, 20
 	}
 	gateway := newTestGateway(t, settings, activeEndpoints(1, 2, 3)...)
 	n := 0
-	// refused is the part of many new customers that is; their answers tell nothing.
-	refused := func(plan string) float64 {
+	// rejectedFraction returns the fraction of many new customers that is rejected; their answers carry no readings.
+	rejectedFraction := func(plan string) float64 {
 		const requests = 500
 		before := len(gateway.sends)
 		for range requests {
@@ -92,7 +93,7 @@
 			id := fmt.Sprint("r", n)
 			gateway.request(id, "job", plan, fmt.Sprint("new", n))
 			if reject, ok := gateway.finalAnswers[id].(Reject); ok && reject.Cause != CauseProbability {
-				t.Fatalf("%s: rejected by %v", id, reject.Cause)
+				t.Fatalf("request %s: rejected with cause %v", id, reject.Cause)
 			} else if !ok {
 				gateway.advance(10 * ms)
 				gateway.respond(id, OK, 0)
@@ -101,76 +102,76 @@
 		}
 		return 1 - float64(len(gateway.sends)-before)/requests
 	}
-	read := func(plan int, customer string, pct int) {
+	read := func(plan int, customer string, percent int) {
 		gateway.controller.now = gateway.now
-		gateway.recordReading(gateway.controller.accountFor(gateway.controller.scheduler.plans[plan], customer, 2), pct+1, 1)
+		gateway.recordReading(gateway.controller.accountFor(gateway.controller.scheduler.plans[plan], customer, 2), percent+1, 1)
 	}
-	is := func(when, plan string, want float64) {
+	checkRejected := func(when, plan string, want float64) {
 		t.Helper()
-		if got := refused(plan); math.Abs(got-want) > 0.05 || want == 0 && got != 0 {
-			t.Errorf("%s: of plan %s %g are rejected, not %g", when, plan, got, want)
+		if got := rejectedFraction(plan); math.Abs(got-want) > 0.05 || want == 0 && got != 0 {
+			t.Errorf("%s: rejected fraction of plan %s is %g, want %g", when, plan, got, want)
 		}
 	}
-	is("before any reading", "low", 0)
+	checkRejected("before any reading", "low", 0)
 	for i := range 200 {
 		read(0, fmt.Sprint("heavy", i), 400)
 		read(0, fmt.Sprint("calm", i), 50)
 	}
-	is("after readings", "low", 2.75/4.5/2)
-	is("after readings of another plan", "high", 0)
+	checkRejected("after readings", "low", 2.75/4.5/2)
+	checkRejected("after readings of another plan", "high", 0)
 	read(1, "one", 400)
 	for range 50 {
 		gateway.advance(settings.MeterPeriod)
 		read(1, "one", 50)
 	}
-	is("after a first reading and others", "high", 2.75/4/2)
+	checkRejected("after a first reading and others", "high", 2.75/4/2)
 	resumed, err := Resume(settings, gateway.controller.Image())
 	if err != nil {
 		t.Fatal(err)
 	}
 	gateway.controller = resumed
-	is("after a resume", "low", 2.75/4.5/2)
-	is("after a resume", "high", 2.75/4/2)
+	checkRejected("after a resume", "low", 2.75/4.5/2)
+	checkRejected("after a resume", "high", 2.75/4/2)
 }
 
-func TestLocalFractionGoesFromTheFanOutToWhatIsSeen(t *testing.T) {
+func TestLocalFractionMovesFromThePriorToTheMeasured(t *testing.T) {
 	estimate := newUsageEstimate(10)
 	if got := estimate.localFraction(4); got != 0.25 {
-		t.Errorf("a local fraction of %g with a fan-out of four and no reading", got)
+		t.Errorf("local fraction is %g with a fan-out of four and no reading, want 0.25", got)
 	}
 	if got := estimate.groupFactor(4, 10, false); got != 4 {
-		t.Errorf("a unit of an unmetered customer stands for %g", got)
+		t.Errorf("group factor of an unmetered customer is %g, want 4", got)
 	}
 	for range 100 {
 		estimate.addReading(time.Hour, 100, 100, 1, 4, 10)
 	}
 	if got := estimate.localFraction(4); got < 0.99 {
-		t.Errorf("a local fraction of %g of a customer that comes here only", got)
+		t.Errorf("local fraction is %g with local usage only, want at least 0.99", got)
 	}
 	for range 100 {
 		estimate.addReading(time.Hour, 100, 0, 1, 4, 10)
 	}
 	if got := estimate.localFraction(4); got != minLocalFraction {
-		t.Errorf("a local fraction of %g of a customer that does not come here", got)
+		t.Errorf("local fraction is %g with remote usage only, want the minimum", got)
 	}
 }
 
-func TestRemoteUsageGoesOnAfterItsReading(t *testing.T) {
+func TestRemoteUsageIsExtrapolatedAfterItsReading(t *testing.T) {
 	var estimate usageEstimate
 	estimate.addReading(time.Hour, 20, 0, 1, 4, 10)
 	if got := estimate.currentRemoteRate(time.Hour); got != 0 {
-		t.Errorf("a remote rate of %g after one reading: the lower of two counts", got)
+		t.Errorf("remote rate is %g after one reading, want 0 as the lower of two readings counts", got)
 	}
 	estimate.addReading(time.Hour, 20, 0, 1, 4, 10)
 	rate := estimate.currentRemoteRate(time.Hour)
 	if rate <= 5 || rate > 10 {
-		t.Errorf("a remote rate of %g, with a quota of 10 units a second", rate)
+		t.Errorf("remote rate is %g units per second with a quota of 10, want 5 to 10", rate)
 	}
 	later := time.Hour + durationOf(remoteRateDecaySeconds)
 	if got := estimate.currentRemoteRate(later); math.Abs(got-rate/math.E) > 1e-9 {
-		t.Errorf("a remote rate of %g after the time constant, %g before", got, rate)
+		t.Errorf("remote rate is %g after the time constant, %g before", got, rate)
 	}
 	if got := estimate.remoteUnits(time.Hour, 0.5); got != rate/2 {
-		t.Errorf("%g units in half a second", got)
+		t.Errorf("got %g remote units in half a second", got)
 	}
 }
