--- a/control/history.go
+++ b/control/history.go
@@ -34,12 +34,12 @@
 		h.sums[n-1].Sum += amount
 		return
 	}
-	firstKept := 0
-	for firstKept+1 < len(h.sums) && h.sums[firstKept+1].Bin <= h.oldestBin() {
-		firstKept++
+	firstRetainedBin := 0
+	for firstRetainedBin+1 < len(h.sums) && h.sums[firstRetainedBin+1].Bin <= h.oldestBin() {
+		firstRetainedBin++
 	}
-	if firstKept > 0 { // in place, to avoid an allocation
-		h.sums = h.sums[:copy(h.sums, h.sums[firstKept:])]
+	if firstRetainedBin > 0 { // in place, to avoid an allocation
+		h.sums = h.sums[:copy(h.sums, h.sums[firstRetainedBin:])]
 	}
 	h.sums = append(h.sums, RunningSum{h.currentBin, h.sumUntil(h.currentBin) + amount})
 }
