--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -40,8 +40,8 @@
 		syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.ENOSR,
 	}
 	r := newTestNodeWithListener(t, func(socket net.Listener) net.Listener { return &failingListener{Listener: socket, errs: errs} })
-	a := testkit.NewApp(t, func(http.ResponseWriter, *http.Request) {})
-	r.setEndpoints(endpointOf(a, "s-1", 0))
+	app := testkit.NewApp(t, func(http.ResponseWriter, *http.Request) {})
+	r.setEndpoints(endpointOf(app, "s-1", 0))
 	if resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1")); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d behind errors of accept", resp.StatusCode)
 	}
@@ -70,27 +70,27 @@
 }
 
 // failingUntil is a listener whose calls of Accept fail up to a time.
-type failingUntil struct {
+type temporarilyFailingListener struct {
 	net.Listener
 	mu       sync.Mutex
 	until    time.Time
 	failures int
 }
 
-func (l *failingUntil) failFor(d time.Duration) {
+func (l *temporarilyFailingListener) failFor(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.until = time.Now().Add(d)
 }
 
 // hasFailed tells whether a call has failed.
-func (l *failingUntil) hasFailed() bool {
+func (l *temporarilyFailingListener) hasFailed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.failures > 0
 }
 
-func (l *failingUntil) Accept() (net.Conn, error) {
+func (l *temporarilyFailingListener) Accept() (net.Conn, error) {
 	if err := l.failure(); err != nil {
 		return nil, err
 	}
@@ -99,7 +99,7 @@
 	return l.Listener.Accept()
 }
 
-func (l *failingUntil) failure() error {
+func (l *temporarilyFailingListener) failure() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if time.Now().Before(l.until) {
@@ -111,18 +111,18 @@
 
 // The time that a request has waited in the socket's queue, as its connection could not be accepted, is not left to it:
 // its server is told what is left to the client.
-func TestTimeInAcceptQueueIsNotLeft(t *testing.T) {
+func TestTimeInAcceptQueueCountsAgainstDeadline(t *testing.T) {
 	const queued = 400 * time.Millisecond
-	var socket *failingUntil
+	var socket *temporarilyFailingListener
 	r := newTestNodeWithListener(t, func(l net.Listener) net.Listener {
-		socket = &failingUntil{Listener: l}
+		socket = &temporarilyFailingListener{Listener: l}
 		return socket
 	})
 	results := make(chan string, 1)
-	a := testkit.NewApp(t, func(_ http.ResponseWriter, q *http.Request) { results <- q.Header.Get(protocol.HeaderTimeLeft) })
-	r.setEndpoints(endpointOf(a, "s-1", 0))
+	app := testkit.NewApp(t, func(_ http.ResponseWriter, req *http.Request) { results <- req.Header.Get(protocol.HeaderTimeLeft) })
+	r.setEndpoints(endpointOf(app, "s-1", 0))
 	socket.failFor(queued + 100*time.Millisecond)
-	r.wait("a failure of accept", socket.hasFailed)
+	r.waitUntil("a failure of accept", socket.hasFailed)
 	time.Sleep(100 * time.Millisecond) // the request is to come when the listener has failed for some time
 	request := r.newRequest(http.MethodGet, "/roster-read", "id-1")
 	request.Header.Set(protocol.HeaderTimeLeft, "1000m")
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -19,7 +19,7 @@
 
 // plainServer answers every request without a body with the same bytes, and allocates next to
 // nothing.
-func plainServer(b *testing.B) string {
+func startFixedAnswerServer(b *testing.B) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -76,7 +76,7 @@
 		b.Fatal(err)
 	}
 	defer c.Close()
-	in := bufio.NewReader(c)
+	reader := bufio.NewReader(c)
 	request := []byte("GET /roster-read/week?account=0000000000000001 HTTP/1.1\r\nHost: care.example\r\nX-Correlation-Id: id-1\r\nX-Tariff: enterprise\r\n" +
 		"X-Time-Left: 5000m\r\nX-Weight: units=1,spread=1,first=0\r\n\r\n")
 	send := func() {
@@ -84,7 +84,7 @@
 			b.Fatal(err)
 		}
 		for line := "-"; line != "\r\n"; {
-			raw, err := in.ReadSlice('\n')
+			raw, err := reader.ReadSlice('\n')
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -92,7 +92,7 @@
 				b.Fatal(line)
 			}
 		}
-		if _, err := in.Discard(2); err != nil {
+		if _, err := reader.Discard(2); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -100,14 +100,14 @@
 		send()
 	}
 	var before, after syscall.Rusage
-	rusage(b, &before)
+	readResourceUsage(b, &before)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
 		send()
 	}
 	b.StopTimer()
-	rusage(b, &after)
+	readResourceUsage(b, &after)
 	cpu := after.Utime.Nano() + after.Stime.Nano() - before.Utime.Nano() - before.Stime.Nano()
 	b.ReportMetric(float64(cpu)/float64(b.N), "cpu-ns/op")
 }
@@ -119,7 +119,7 @@
 		b.Fatal(err)
 	}
 	s := &cfg.Services[0]
-	s.Source = discovery.Source{Kind: discovery.Static, Endpoints: []discovery.Endpoint{{UID: "s-1", Address: plainServer(b), State: "up"}}}
+	s.Source = discovery.Source{Kind: discovery.Static, Endpoints: []discovery.Endpoint{{UID: "s-1", Address: startFixedAnswerServer(b), State: "up"}}}
 	s.Settings.Plans[1].QuotaRate, s.Settings.Plans[1].QuotaBurst = 1e9, 1e9
 	benchmarkRequests(b, cfg)
 }
@@ -131,14 +131,14 @@
 		"plain": "", "metrics": "[metrics]\naddress = \"127.0.0.1:0\"\n",
 		"figures": "[process]\ncontrol = \"/nowhere/control.sock\"\n",
 	} {
-		b.Run(name, func(b *testing.B) { severalServices(b, metrics) })
+		b.Run(name, func(b *testing.B) { benchmarkSeveralServices(b, metrics) })
 	}
 }
 
-func severalServices(b *testing.B, metrics string) {
+func benchmarkSeveralServices(b *testing.B, metrics string) {
 	var text strings.Builder
 	fmt.Fprintf(&text, "[[listeners]]\naddress = \"127.0.0.1:0\"\n[classes.roster-read]\nrepeats = \"free\"\n[plans.enterprise]\nrate = 1e9\ndepth = 1e9\n")
-	addr := plainServer(b)
+	addr := startFixedAnswerServer(b)
 	for i := range 10 {
 		fmt.Fprintf(&text, "[services.s%d]\nsource = { kind = \"static\", servers = [{ endpoint = %q }] }\n", i, addr)
 	}
@@ -171,7 +171,7 @@
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		routines := runtime.NumGoroutine()
+		goroutinesBefore := runtime.NumGoroutine()
 		n, err := New(cfg)
 		if err != nil {
 			b.Fatal(err)
@@ -185,11 +185,11 @@
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		b.ReportMetric(float64(after.HeapInuse+after.StackInuse-before.HeapInuse-before.StackInuse)/services, "B/service")
-		b.ReportMetric(float64(runtime.NumGoroutine()-routines)/services, "goroutines/service")
+		b.ReportMetric(float64(runtime.NumGoroutine()-goroutinesBefore)/services, "goroutines/service")
 		var from, to syscall.Rusage
-		rusage(b, &from)
+		readResourceUsage(b, &from)
 		time.Sleep(time.Second)
-		rusage(b, &to)
+		readResourceUsage(b, &to)
 		cpu := to.Utime.Nano() + to.Stime.Nano() - from.Utime.Nano() - from.Stime.Nano()
 		b.ReportMetric(float64(cpu)/services/1000, "idle-cpu-us/s/service")
 		stop()
@@ -200,7 +200,7 @@
 }
 
 // rusage reads what the process has used.
-func rusage(b *testing.B, into *syscall.Rusage) {
+func readResourceUsage(b *testing.B, into *syscall.Rusage) {
 	b.Helper()
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, into); err != nil {
 		b.Fatal(err)
--- a/internal/node/client_connections_test.go
+++ b/internal/node/client_connections_test.go
@@ -21,7 +21,7 @@
 func TestIdleClientIsEvictedAtDescriptorLimit(t *testing.T) {
 	r := newTestNode(t)
 	r.setEndpoints(discovery.Endpoint{UID: "s-1", Address: "127.0.0.1:1", State: "up"})
-	r.wait("ready", r.node.isReady)
+	r.waitUntil("ready", r.node.isReady)
 	r.node.limiter.(*exclusiveLimiter).sockets.SetLimit(limits.ReservedForServers + 2) // one client, and the place for the next
 	for range 3 {
 		c, err := net.Dial("tcp", r.node.Addr())
@@ -72,22 +72,22 @@
 // client is answered once and its connection closed.
 func TestSmuggledRequestsAreNotForwarded(t *testing.T) {
 	r := newTestNode(t)
-	a := testkit.NewApp(t, testkit.Served)
-	r.setEndpoints(endpointOf(a, "s-1", 0))
+	app := testkit.NewApp(t, testkit.Served)
+	r.setEndpoints(endpointOf(app, "s-1", 0))
 	const post = "POST /visit-update?account=00000000b4d65521 HTTP/1.1\r\nHost: origin.svc\r\n" + validHeaders
-	hidden := strings.ReplaceAll(strings.Replace(post, "POST /visit-update", "GET /roster-read", 1), "raw", "hidden") + "\r\n"
+	smuggled := strings.ReplaceAll(strings.Replace(post, "POST /visit-update", "GET /roster-read", 1), "raw", "hidden") + "\r\n"
 	for name, tc := range map[string]struct {
 		text string
 		want int
 	}{
-		"length and chunks": {post + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden, 411},
-		"chunks and length": {post + "Transfer-Encoding: chunked\r\nContent-Length: " + strconv.Itoa(5+len(hidden)) + "\r\n\r\n0\r\n\r\n" + hidden, 411},
-		"chunks":            {post + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden, 411},
-		"two lengths":       {post + "Content-Length: 5\r\nContent-Length: 0\r\n\r\n" + hidden, 400},
-		"negative length":   {post + "Content-Length: -1\r\n\r\n" + hidden, 400},
-		"huge length":       {post + "Content-Length: 60000000\r\n\r\n" + hidden, 413},
-		"no length at all":  {post + "Content-Length: 99999999999999999999\r\n\r\n" + hidden, 400},
-		"no head":           {"\x00\x01 noise\r\n\r\n" + hidden, 400},
+		"length and chunks": {post + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + smuggled, 411},
+		"chunks and length": {post + "Transfer-Encoding: chunked\r\nContent-Length: " + strconv.Itoa(5+len(smuggled)) + "\r\n\r\n0\r\n\r\n" + smuggled, 411},
+		"chunks":            {post + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + smuggled, 411},
+		"two lengths":       {post + "Content-Length: 5\r\nContent-Length: 0\r\n\r\n" + smuggled, 400},
+		"negative length":   {post + "Content-Length: -1\r\n\r\n" + smuggled, 400},
+		"huge length":       {post + "Content-Length: 60000000\r\n\r\n" + smuggled, 413},
+		"no length at all":  {post + "Content-Length: 99999999999999999999\r\n\r\n" + smuggled, 400},
+		"no head":           {"\x00\x01 noise\r\n\r\n" + smuggled, 400},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := r.dial()
@@ -97,8 +97,8 @@
 			}
 		})
 	}
-	if n := a.Count(); n > 0 {
-		t.Errorf("sent on: %q", a.Requests())
+	if n := app.Count(); n > 0 {
+		t.Errorf("sent on: %q", app.Requests())
 	}
 }
 
@@ -107,8 +107,8 @@
 func TestSilentClientsAreEvicted(t *testing.T) {
 	r := newTestNode(t)
 	r.node.limiter.(*exclusiveLimiter).sockets.SetLimit(limits.ReservedForServers + 20)
-	a := testkit.NewApp(t, testkit.Served)
-	r.setEndpoints(endpointOf(a, "s-1", 0))
+	app := testkit.NewApp(t, testkit.Served)
+	r.setEndpoints(endpointOf(app, "s-1", 0))
 	r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1"))
 	for range 60 {
 		r.dial()
@@ -120,7 +120,7 @@
 			t.Errorf("answered %v", got)
 		}
 	}
-	if s := r.status(); s.IdleConnections != a.Dials() {
-		t.Errorf("%d connections to the app server were made, and %d are left: given up for silent clients", a.Dials(), s.IdleConnections)
+	if s := r.status(); s.IdleConnections != app.Dials() {
+		t.Errorf("%d connections to the app server were made, and %d are left: given up for silent clients", app.Dials(), s.IdleConnections)
 	}
 }
--- a/internal/node/drain_requests_test.go
+++ b/internal/node/drain_requests_test.go
@@ -14,12 +14,12 @@
 	t.Parallel()
 	r := newTestNodeWithDrain(t, config.PlatformDrain)
 	arrived, finish := make(chan struct{}, 2), make(chan struct{})
-	a := testkit.NewApp(t, func(w http.ResponseWriter, q *http.Request) {
+	app := testkit.NewApp(t, func(w http.ResponseWriter, req *http.Request) {
 		arrived <- struct{}{}
 		<-finish
-		testkit.Served(w, q)
+		testkit.Served(w, req)
 	})
-	r.setEndpoints(endpointOf(a, "s-1", 0))
+	r.setEndpoints(endpointOf(app, "s-1", 0))
 	answers := make(chan *http.Response, 2)
 	send := func(id string) {
 		resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", id))
@@ -28,7 +28,7 @@
 	go send("before")
 	testkit.Next(t, arrived)
 	r.stop()
-	r.wait("draining", r.isDraining)
+	r.waitUntil("draining", r.isDraining)
 	if resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "")); resp.StatusCode != 400 || !resp.Close {
 		t.Errorf("a bad request: %s, close %v", resp.Status, resp.Close)
 	}
--- a/internal/node/drain_steps_test.go
+++ b/internal/node/drain_steps_test.go
@@ -55,9 +55,9 @@
 
 // drainCase is a class's settings and what the client of a node does while that drains.
 type drainCase struct {
-	effect   string
-	deadline int // milliseconds
-	client   string
+	effect     string
+	deadlineMs int // milliseconds
+	client     string
 }
 
 // TestDrainEndsBeforeSIGKILL checks that a node which is asked to end is gone before SIGKILL may come, whatever its
@@ -82,7 +82,7 @@
 
 // check drains a node with the platform's settings, changed to the case, in virtual time.
 func (c drainCase) check(t *testing.T, settings string) {
-	cfg, err := config.ParsePlatform([]byte(strings.NewReplacer(`"deadline": 7500.0, "effect": "free"`, fmt.Sprintf(`"deadline": %d, "effect": %q`, c.deadline, c.effect),
+	cfg, err := config.ParsePlatform([]byte(strings.NewReplacer(`"deadline": 7500.0, "effect": "free"`, fmt.Sprintf(`"deadline": %d, "effect": %q`, c.deadlineMs, c.effect),
 		`"deadline": 7500.0`, `"deadline": 1`).Replace(settings)))
 	if err != nil {
 		t.Fatal(err)
@@ -106,16 +106,16 @@
 	for _, conn := range listener.serverEnds { // as the process's end does
 		conn.Close()
 	}
-	if elapsed, kill := time.Since(startedAt), min(time.Duration(c.deadline)*time.Millisecond, 3*time.Second)+700*time.Millisecond; elapsed >= kill {
-		t.Errorf("it took %v, and SIGKILL may come after %v", elapsed, kill)
+	if elapsed, killAfter := time.Since(startedAt), min(time.Duration(c.deadlineMs)*time.Millisecond, 3*time.Second)+700*time.Millisecond; elapsed >= killAfter {
+		t.Errorf("it took %v, and SIGKILL may come after %v", elapsed, killAfter)
 	}
-	if c.readsLate() {
+	if c.readsAnswerLate() {
 		<-answered
 	}
 }
 
 // readsLate tells whether the client reads its answer after the last step of the drain.
-func (c drainCase) readsLate() bool { return strings.HasSuffix(c.client, "late") }
+func (c drainCase) readsAnswerLate() bool { return strings.HasSuffix(c.client, "late") }
 
 // request is what the client sends, and when, since the drain began.
 func (c drainCase) request(drain config.Drain) (text string, at time.Duration) {
@@ -146,7 +146,7 @@
 		conn := listener.connect("")
 		t.Cleanup(func() { conn.Close() })
 		time.AfterFunc(sendAt-connectAt, func() { io.WriteString(conn, text) })
-		if !c.readsLate() {
+		if !c.readsAnswerLate() {
 			return
 		}
 		time.AfterFunc(drain.Max+finalAnswerTime/2-connectAt, func() {
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -60,17 +60,17 @@
 	cfg.Process.Drain = config.Drain{}
 	r := newTestNodeWithConfig(t, cfg)
 	answered := r.holdRequest()
-	var waits []net.Conn
+	var waiting []net.Conn
 	for range 3 {
 		c := r.dial()
 		io.WriteString(c, "GET /healthz HTTP/1.1\r\nHost: n\r\n\r\n")
-		waits = append(waits, c)
+		waiting = append(waiting, c)
 	}
 	r.stop()
 	if s := testkit.Next(t, answered); s != http.StatusBadGateway {
 		t.Errorf("the request in flight: %d", s)
 	}
-	for i, c := range waits {
+	for i, c := range waiting {
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
 			t.Errorf("client %d: %v, %v", i, resp, err)
 		}
@@ -82,16 +82,16 @@
 }
 
 // lateListener is a listener that comes to each Accept so late that the time for it is over, for some times.
-type lateListener struct {
+type delayedListener struct {
 	net.Listener
 	delays int
 }
 
-func (s *lateListener) Accept() (net.Conn, error) {
-	if s.delays--; s.delays >= 0 {
+func (l *delayedListener) Accept() (net.Conn, error) {
+	if l.delays--; l.delays >= 0 {
 		time.Sleep(2 * finalAcceptWait)
 	}
-	return s.Listener.Accept()
+	return l.Listener.Accept()
 }
 
 // A node that gets little CPU and so comes late to its last look, also more than once, looks all the same.
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	l := &listener{tcp: tcp.(*net.TCPListener), cancel: func() {}}
-	l.Listener = socketQueue{&lateListener{tcp, 3}, l}
+	l.Listener = socketQueue{&delayedListener{tcp, 3}, l}
 	defer l.close()
 	c, err := net.Dial("tcp", tcp.Addr().String())
 	if err != nil {
@@ -123,8 +123,8 @@
 // pipelinedDrain is a request whose answer is being read slowly, with a second one unread behind it, as the node
 // is asked to end.
 type pipelinedDrain struct {
-	method, path string
-	answerBegun  bool // before the node is asked to end
+	method, path  string
+	answerStarted bool // before the node is asked to end
 }
 
 // TestDrainCompletesAnswerBeforePipelinedRequest checks that an answer of which a client has not read all arrives
@@ -140,18 +140,18 @@
 	idle := r.dial()
 	arrived, answer := make(chan struct{}, 1), make(chan struct{})
 	body := strings.Repeat("x", 64<<10)
-	a := testkit.NewApp(t, func(w http.ResponseWriter, _ *http.Request) {
+	app := testkit.NewApp(t, func(w http.ResponseWriter, _ *http.Request) {
 		arrived <- struct{}{}
 		<-answer
 		io.WriteString(w, body)
 	})
-	r.setEndpoints(endpointOf(a, "s-1", 0))
+	r.setEndpoints(endpointOf(app, "s-1", 0))
 	c := dialWithSmallBuffers(t, r.node.Addr())
 	r.newRequest(p.method, p.path, "id-1").Write(c)
 	testkit.Next(t, arrived)
 	r.newRequest(p.method, p.path, "id-2").Write(c)
 	in := bufio.NewReaderSize(c, 16)
-	if p.answerBegun {
+	if p.answerStarted {
 		close(answer)
 		if _, err := in.Peek(1); err != nil {
 			t.Fatal(err)
@@ -159,22 +159,22 @@
 	}
 	r.stop()
 	awaitDraining(idle)
-	if !p.answerBegun {
+	if !p.answerStarted {
 		close(answer)
 	}
 	resp, err := http.ReadResponse(in, nil)
-	if err != nil || resp.StatusCode != 200 || resp.Close == p.answerBegun {
+	if err != nil || resp.StatusCode != 200 || resp.Close == p.answerStarted {
 		t.Fatalf("%v, %v", resp, err)
 	}
 	if got, err := io.ReadAll(resp.Body); err != nil || string(got) != body {
 		t.Errorf("%d bytes, %v", len(got), err)
 	}
-	if p.answerBegun { // the second request has an answer too
+	if p.answerStarted { // the second request has an answer too
 		if resp, err := http.ReadResponse(in, nil); err != nil || !resp.Close {
 			t.Errorf("%v, %v", resp, err)
 		}
-	} else if a.Count() != 1 {
-		t.Errorf("forwarded: %q", a.Requests())
+	} else if app.Count() != 1 {
+		t.Errorf("forwarded: %q", app.Requests())
 	}
 	c.Close()
 	if err := testkit.Next(t, r.ended); err != nil {
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -10,15 +10,21 @@
 )
 
 // unpartitionedLimiter are books with no parts: whoever comes first takes what there is.
-type unpartitionedLimiter struct {
+type limiterWithoutGuarantees struct {
 	*sharedLimiter
-	all *limits.SocketLimiter
+	sockets *limits.SocketLimiter
 }
 
-func (b *unpartitionedLimiter) clientSockets() limits.ConnectionLimiter           { return b.all.ForClients() }
-func (b *unpartitionedLimiter) upstreamSockets(*account) limits.ConnectionLimiter { return b.all }
-func (b *unpartitionedLimiter) setGuarantees(*config.Config, map[string]*runningService) error {
-	for _, s := range []*limits.SharedResource{b.slots, b.bytes, b.dials} {
+func (l *limiterWithoutGuarantees) clientSockets() limits.ConnectionLimiter {
+	return l.sockets.ForClients()
+}
+
+func (l *limiterWithoutGuarantees) upstreamSockets(*account) limits.ConnectionLimiter {
+	return l.sockets
+}
+
+func (l *limiterWithoutGuarantees) setGuarantees(*config.Config, map[string]*runningService) error {
+	for _, s := range []*limits.SharedResource{l.slots, l.bytes, l.dials} {
 		if err := s.SetGuarantees(math.MaxInt32, nil); err != nil {
 			return err
 		}
@@ -31,9 +37,9 @@
 func WithoutGuarantees() (undo func()) {
 	old := makeSharedLimiter
 	makeSharedLimiter = func(cfg *config.Config, f *front.Front) resourceLimiter {
-		b := &unpartitionedLimiter{newSharedLimiter(cfg, f), limits.NewSocketLimiter(cfg.Process.Descriptors)}
-		b.all.OnEvict(f.Evict, nil)
-		return b
+		limiter := &limiterWithoutGuarantees{newSharedLimiter(cfg, f), limits.NewSocketLimiter(cfg.Process.Descriptors)}
+		limiter.sockets.OnEvict(f.Evict, nil)
+		return limiter
 	}
 	return func() { makeSharedLimiter = old }
 }
--- a/internal/node/fixtures_test.go
+++ b/internal/node/fixtures_test.go
@@ -39,17 +39,17 @@
 `
 
 // twoServerPools are two pools of fast servers.
-func twoServerPools(work time.Duration) map[string][]fake.Server {
-	all := make(map[string][]fake.Server)
+func twoServerPools(serviceTime time.Duration) map[string][]fake.Server {
+	pools := make(map[string][]fake.Server)
 	for _, name := range []string{"a", "b"} {
 		for i := range 2 {
-			all[name] = append(all[name], fake.Server{
-				UID: fmt.Sprint(name, i), Work: work, Place: i,
+			pools[name] = append(pools[name], fake.Server{
+				UID: fmt.Sprint(name, i), Work: serviceTime, Place: i,
 				Group: &fake.Group{Window: 15 * time.Second},
 			})
 		}
 	}
-	return all
+	return pools
 }
 
 const twoServicesConfig = configHeader + `
@@ -90,9 +90,9 @@
 	return resp.StatusCode, string(body)
 }
 
-func dial(t *testing.T, l *testbench.Bench) (net.Conn, *bufio.Reader) {
+func dial(t *testing.T, bench *testbench.Bench) (net.Conn, *bufio.Reader) {
 	t.Helper()
-	c, err := net.Dial("tcp", l.Node.Addr())
+	c, err := net.Dial("tcp", bench.Node.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/flood_test.go
+++ b/internal/node/flood_test.go
@@ -17,11 +17,11 @@
 )
 
 // Requests that a client sends at once are answered each, in their order.
-func TestRequestsSentAtOnceAreAnsweredInOrder(t *testing.T) {
+func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	const requests = 60
 	r := newTestNode(t)
-	app := testkit.NewApp(t, func(w http.ResponseWriter, q *http.Request) {
-		_, _ = io.WriteString(w, q.Header.Get(protocol.HeaderID)) // what does not arrive is seen by the client
+	app := testkit.NewApp(t, func(w http.ResponseWriter, req *http.Request) {
+		_, _ = io.WriteString(w, req.Header.Get(protocol.HeaderID)) // what does not arrive is seen by the client
 	})
 	r.setEndpoints(endpointOf(app, "s-1", 0))
 	var text strings.Builder
@@ -61,7 +61,7 @@
 }
 
 // healthOver asks for /healthz over a connection, which stays open.
-func healthOver(t *testing.T, client net.Conn) (status int) {
+func requestHealth(t *testing.T, client net.Conn) (status int) {
 	t.Helper()
 	if _, err := io.WriteString(client, healthzRequest); err != nil {
 		t.Fatal(err)
@@ -75,7 +75,7 @@
 }
 
 // restedTooLong is less than a client's connection may rest.
-const restedTooLong = 9 * time.Second
+const maxReadyTime = 9 * time.Second
 
 // A node that ends while idle clients hold all of its descriptors starts anew at its address, and is ready though
 // they come again at once and hold all of them: it does not wait until they have rested for too long.
@@ -93,18 +93,18 @@
 		startedAt := time.Now()
 		for range cfg.Process.Descriptors {
 			client := r.dial()
-			healthOver(t, client)
+			requestHealth(t, client)
 			idle = append(idle, client)
 		}
 		app := testkit.NewApp(t, testkit.Served)
 		r.setEndpoints(endpointOf(app, "s-1", 0))
-		if status := healthOver(t, dialTo(t, r.node.Addr())); status != http.StatusOK {
+		if status := requestHealth(t, dialTo(t, r.node.Addr())); status != http.StatusOK {
 			t.Errorf("ready: %d", status)
 		}
 		if resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1")); resp.StatusCode != http.StatusOK {
 			t.Errorf("a request: %d", resp.StatusCode)
 		}
-		if elapsed := time.Since(startedAt); elapsed > restedTooLong {
+		if elapsed := time.Since(startedAt); elapsed > maxReadyTime {
 			t.Errorf("ready after %v", elapsed)
 		}
 		r.stop()
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -21,10 +21,10 @@
 	t              *testing.T
 	agent          *testkit.Agent
 	node           *Node
-	running        context.Context
+	runContext     context.Context
 	stop           context.CancelFunc
 	ended          chan error
-	rev            int
+	revision       int
 }
 
 func newTestNode(t *testing.T) *testNode {
@@ -59,19 +59,19 @@
 
 func newIdleTestNodeWithConfig(t *testing.T, cfg config.Config) *testNode {
 	t.Helper()
-	r := &testNode{t: t, agent: testkit.NewAgent(t), ended: make(chan error, 1), rev: 7}
+	r := &testNode{t: t, agent: testkit.NewAgent(t), ended: make(chan error, 1), revision: 7}
 	cfg.Services[0].Source.Address = r.agent.Addr()
 	var err error
 	if r.node, err = New(cfg); err != nil {
 		t.Fatal(err)
 	}
-	r.running, r.stop = context.WithCancel(context.Background())
+	r.runContext, r.stop = context.WithCancel(context.Background())
 	return r
 }
 
 // run runs the node until stop, which may have been called.
 func (r *testNode) run() {
-	go func() { r.ended <- r.node.Run(r.running) }()
+	go func() { r.ended <- r.node.Run(r.runContext) }()
 	r.t.Cleanup(func() {
 		r.CloseIdleConnections()
 		r.stop()
@@ -87,14 +87,14 @@
 // setEndpoints tells the node of changes and returns when the module knows them.
 func (r *testNode) setEndpoints(targets ...discovery.Endpoint) {
 	r.t.Helper()
-	r.rev++
-	line, err := json.Marshal(discovery.EndpointList{Revision: int64(r.rev), Endpoints: targets})
+	r.revision++
+	line, err := json.Marshal(discovery.EndpointList{Revision: int64(r.revision), Endpoints: targets})
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	r.agent.Lines <- string(line) + "\n"
 	testkit.Until(r.t, "the list", func() bool {
-		known := r.service().Endpoints().Revision == int64(r.rev)
+		known := r.service().Endpoints().Revision == int64(r.revision)
 		if known {
 			r.status() // a round through the loop: what came before has been done
 		}
@@ -107,9 +107,9 @@
 
 func (r *testNode) status() service.Status { return r.service().Status() }
 
-func (r *testNode) wait(what string, is func() bool) {
+func (r *testNode) waitUntil(event string, condition func() bool) {
 	r.t.Helper()
-	testkit.Until(r.t, what, is)
+	testkit.Until(r.t, event, condition)
 }
 
 // isDraining tells whether an answer of the node closes its connection.
@@ -122,8 +122,8 @@
 	return resp.Close
 }
 
-func endpointOf(a *testkit.App, uid string, group int) discovery.Endpoint {
-	return discovery.Endpoint{UID: uid, Address: a.Addr(), Zone: "z1", Group: group, State: "up", Capacity: 1}
+func endpointOf(app *testkit.App, uid string, group int) discovery.Endpoint {
+	return discovery.Endpoint{UID: uid, Address: app.Addr(), Zone: "z1", Group: group, State: "up", Capacity: 1}
 }
 
 // newRequest is a client's request that a test may change before it is sent.
@@ -166,8 +166,8 @@
 	r.t.Helper()
 	accepted := make(chan struct{})
 	silent := testkit.Never(r.t)
-	a := testkit.NewApp(r.t, func(w http.ResponseWriter, q *http.Request) { close(accepted); silent(w, q) })
-	r.setEndpoints(endpointOf(a, "s-1", 0))
+	app := testkit.NewApp(r.t, func(w http.ResponseWriter, req *http.Request) { close(accepted); silent(w, req) })
+	r.setEndpoints(endpointOf(app, "s-1", 0))
 	answered := make(chan int, 1)
 	go func() {
 		resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1"))
--- a/internal/node/http2_test.go
+++ b/internal/node/http2_test.go
@@ -15,7 +15,7 @@
 )
 
 // idempotentUpdates are clients that send keyed updates of various lengths, as fast as they are answered.
-func idempotentUpdates(addr string, seed uint64, workers int) fake.Clients {
+func clientsSendingUpdates(addr string, seed uint64, workers int) fake.Clients {
 	return fake.Clients{Addr: addr, Seed: seed, Workers: workers, Call: func(rng *rand.Rand) fake.Call {
 		return fake.Call{
 			Kind: "update", Host: "h", Method: "POST", Path: "/update", Plan: "standard", Customer: rng.Uint64N(50),
@@ -32,7 +32,7 @@
 	faults := fake.HTTP2Faults{Refuse: 0.02, Reset: 0.01, Error: 0.01, Lower: 0.02, GoAway: 0.01, CutRead: 0.2, CutSent: 0.2}
 	var text strings.Builder
 	text.WriteString(configHeader + "[services.a]\nservers = { protocol = \"http/2 or 1.1\", streams = 16 }\n[services.a.source]\nkind = \"static\"\n")
-	entry := func(uid, addr string) {
+	addServer := func(uid, addr string) {
 		fmt.Fprintf(&text, "[[services.a.source.servers]]\nuid = %q\nendpoint = %q\ngroup = 1\n", uid, addr)
 	}
 	for i := range 3 {
@@ -41,27 +41,27 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(s.Close)
-		entry(s.UID, s.Addr())
+		addServer(s.UID, s.Addr())
 	}
 	old, err := fake.Server{UID: "old", Executions: executions, Group: group}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(old.Close)
-	entry("old", old.Addr())
+	addServer("old", old.Addr())
 	text.WriteString("[[routes]]\nservice = \"a\"\nprefix = \"/\"\nas = \"write\"\n")
 
-	l := benchtest.Begin(t, text.String(), nil)
+	bench := benchtest.Begin(t, text.String(), nil)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	run := idempotentUpdates(l.Node.Addr(), 3, 24).Start(ctx)
+	run := clientsSendingUpdates(bench.Node.Addr(), 3, 24).Start(ctx)
 	served := func() int { return run.Snapshot()["update"].Served }
 	for i := range 4 {
 		want := served() + 300
 		testkit.Until(t, "more answers", func() bool { return served() >= want })
 		// Every second configuration has another limit on streams, which takes connections of its own.
-		more := strings.Replace(text.String(), "streams = 16", fmt.Sprint("streams = ", 16+i/2), 1)
-		if err := l.Reload(strings.Replace(more, "[services.a]", fmt.Sprintf("[services.a]\nattempts = %d", 3+i), 1)); err != nil {
+		changed := strings.Replace(text.String(), "streams = 16", fmt.Sprint("streams = ", 16+i/2), 1)
+		if err := bench.Reload(strings.Replace(changed, "[services.a]", fmt.Sprintf("[services.a]\nattempts = %d", 3+i), 1)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -73,7 +73,7 @@
 	if c := executions.Counts(); c.DuplicateEffects > 0 || c.MaxInFlight > 1 || c.Requests < s.Served {
 		t.Errorf("%+v, served %d", c, s.Served)
 	}
-	testkit.Until(t, "what was replaced has ended", func() bool { return node.RunningServices(l.Node) == 1 })
+	testkit.Until(t, "what was replaced has ended", func() bool { return node.RunningServices(bench.Node) == 1 })
 }
 
 // A rolling upgrade of servers from HTTP/1.1 to HTTP/2 and back, each ended in the middle of a
@@ -102,11 +102,11 @@
 		fmt.Fprintf(&text, "[[services.a.source.servers]]\nuid = %q\nendpoint = %q\ngroup = 1\n", servers[i].UID, servers[i].Addr())
 	}
 	text.WriteString("[[routes]]\nservice = \"a\"\nprefix = \"/\"\nas = \"write\"\n")
-	l := benchtest.Begin(t, text.String(), nil)
+	bench := benchtest.Begin(t, text.String(), nil)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	run := idempotentUpdates(l.Node.Addr(), 4, 16).Start(ctx)
-	testkit.Until(t, "a server that is fallen back on", func() bool { return l.Node.Status()[0].HTTP2.FallbackServers == len(servers) })
+	run := clientsSendingUpdates(bench.Node.Addr(), 4, 16).Start(ctx)
+	testkit.Until(t, "a server that is fallen back on", func() bool { return bench.Node.Status()[0].HTTP2.FallbackServers == len(servers) })
 	for _, isHTTP2 := range []bool{true, false, true} {
 		for i, s := range servers {
 			s.Close()
@@ -117,7 +117,7 @@
 			})
 		}
 		testkit.Until(t, "connections as the servers speak", func() bool {
-			h := l.Node.Status()[0].HTTP2
+			h := bench.Node.Status()[0].HTTP2
 			return isHTTP2 && h.Connections >= len(servers) && h.FallbackServers == 0 || !isHTTP2 && h.Connections == 0
 		})
 	}
--- a/internal/node/limiter_test.go
+++ b/internal/node/limiter_test.go
@@ -16,9 +16,9 @@
 )
 
 // startLoad has clients request a path without a pause until stop, which returns their results.
-func startLoad(l *testbench.Bench, path string, workers int) (stop func() *fake.Result) {
+func startLoad(bench *testbench.Bench, path string, workers int) (stop func() *fake.Result) {
 	ctx, cancel := context.WithCancel(context.Background())
-	run := fake.Clients{Addr: l.Node.Addr(), Seed: 77, Workers: workers, RetryPause: 5 * time.Millisecond, Call: func(rng *rand.Rand) fake.Call {
+	run := fake.Clients{Addr: bench.Node.Addr(), Seed: 77, Workers: workers, RetryPause: 5 * time.Millisecond, Call: func(rng *rand.Rand) fake.Call {
 		time.Sleep(5 * time.Millisecond)
 		return fake.Call{Kind: "x", Host: "h", Method: "GET", Path: path, Plan: "standard", Customer: rng.Uint64N(100), Deadline: 5 * time.Second}
 	}}.Start(ctx)
@@ -29,9 +29,9 @@
 }
 
 // checkOthersServed sends some requests to the other service one after another; all have to be served.
-func checkOthersServed(t *testing.T, l *testbench.Bench) {
+func checkOtherServiceServes(t *testing.T, bench *testbench.Bench) {
 	t.Helper()
-	c, in := dial(t, l)
+	c, in := dial(t, bench)
 	for i := range 20 {
 		writeRequest(c, "h", "/two", fmt.Sprint("two-", i), "x", 1)
 		if status, body := readAnswer(t, in); status != 200 {
@@ -42,16 +42,16 @@
 
 // A service that holds all the bytes that it may leaves the other its own.
 func TestBufferedBytesAreBoundedByService(t *testing.T) {
-	l := benchtest.Begin(t, strings.Replace(twoServicesConfig, "[process]\n", "[process]\nbytes = \"1MiB\"\n", 1), twoServerPools(0)) // 8 requests
-	l.Pools["a"].Stall(true)
-	stop := startLoad(l, "/one", 30)
-	testkit.Until(t, "requests turned away", func() bool { return l.Node.Status()[0].Resources.BufferedBytes.Denied > 10 })
-	checkOthersServed(t, l)
-	a, b := l.Node.Status()[0].Resources.BufferedBytes, l.Node.Status()[1].Resources.BufferedBytes
+	bench := benchtest.Begin(t, strings.Replace(twoServicesConfig, "[process]\n", "[process]\nbytes = \"1MiB\"\n", 1), twoServerPools(0)) // 8 requests
+	bench.Pools["a"].Stall(true)
+	stop := startLoad(bench, "/one", 30)
+	testkit.Until(t, "requests turned away", func() bool { return bench.Node.Status()[0].Resources.BufferedBytes.Denied > 10 })
+	checkOtherServiceServes(t, bench)
+	a, b := bench.Node.Status()[0].Resources.BufferedBytes, bench.Node.Status()[1].Resources.BufferedBytes
 	if a.Used+b.Used > 1<<20 || a.Used <= a.Guaranteed-1<<17 {
 		t.Errorf("%+v and %+v", a, b)
 	}
-	l.Pools["a"].Stall(false)
+	bench.Pools["a"].Stall(false)
 	if r := stop(); r.Rejected == 0 || r.Lost > 0 {
 		t.Errorf("%+v", *r)
 	}
@@ -59,18 +59,18 @@
 
 // A module that uses up the module time of all services is throttled, and no other is.
 func TestModuleTimeIsBoundedByService(t *testing.T) {
-	l := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
-	c, in := dial(t, l)
+	bench := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
+	c, in := dial(t, bench)
 	writeRequest(c, "h", "/one", "before", "", 0)
 	if status, _ := readAnswer(t, in); status != 200 {
 		t.Fatalf("%d", status)
 	}
-	node.ChargeModuleTime(l.Node, "a", 20*time.Second)
+	node.ChargeModuleTime(bench.Node, "a", 20*time.Second)
 	writeRequest(c, "h", "/one", "after", "", 0)
 	if status, _ := readAnswer(t, in); status != 503 {
 		t.Errorf("the one that used all: %d", status)
 	}
-	checkOthersServed(t, l)
+	checkOtherServiceServes(t, bench)
 }
 
 // Servers on which no connection comes up hold as many dials as there may be, not those of the
@@ -83,13 +83,13 @@
 	for i := range 8 {
 		text = strings.Replace(text, "NAME", fmt.Sprint("s", i), 1)
 	}
-	l := benchtest.Begin(t, text, twoServerPools(0))
-	stop := startLoad(l, "/one", 30)
-	testkit.Until(t, "dials refused", func() bool { return l.Node.Status()[0].Resources.Dials.Denied > 0 })
-	if d := l.Node.Status()[0].Resources.Dials; d.Used > d.Total-2 {
+	bench := benchtest.Begin(t, text, twoServerPools(0))
+	stop := startLoad(bench, "/one", 30)
+	testkit.Until(t, "dials refused", func() bool { return bench.Node.Status()[0].Resources.Dials.Denied > 0 })
+	if d := bench.Node.Status()[0].Resources.Dials; d.Used > d.Total-2 {
 		t.Errorf("%+v", d)
 	}
-	checkOthersServed(t, l)
+	checkOtherServiceServes(t, bench)
 	if r := stop(); r.Rejected+r.Failed != r.Attempts || r.Lost > 0 {
 		t.Errorf("%+v", *r)
 	}
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	startListenTime  = 10 * time.Second       // for which a start outlasts a shortage of descriptors or buffers
-	reloadListenTime = 200 * time.Millisecond // the same of a reload, which holds the node's lock
+	startListenRetryTime  = 10 * time.Second       // for which a start outlasts a shortage of descriptors or buffers
+	reloadListenRetryTime = 200 * time.Millisecond // the same of a reload, which holds the node's lock
 )
 
 // openListeners listens on the addresses that have no listener yet and returns the new ones. It outlasts a shortage for
--- a/internal/node/memory_test.go
+++ b/internal/node/memory_test.go
@@ -24,8 +24,8 @@
 			}
 			cfg.Process.MemoryMB, cfg.Process.Drain = mb, config.Drain{}
 			r := newTestNodeWithConfig(t, cfg)
-			a := testkit.NewApp(t, testkit.Served)
-			r.setEndpoints(endpointOf(a, "s-1", 0))
+			app := testkit.NewApp(t, testkit.Served)
+			r.setEndpoints(endpointOf(app, "s-1", 0))
 			maxRequests := mb << 20 / 2 / (2 * protocol.MaxBodyBytes) // a body and an answer each
 			var admitted []*service.Exchange
 			for x := new(service.Exchange); len(admitted) <= maxRequests && r.service().Admit(x, protocol.MaxBodyBytes); x = new(service.Exchange) {
@@ -39,7 +39,7 @@
 			if resp, body := r.do(full); resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 				t.Errorf("with no memory free: %s %q", resp.Status, body)
 			}
-			if n := a.Count(); n > 0 {
+			if n := app.Count(); n > 0 {
 				t.Errorf("%d sent on", n)
 			}
 			for _, x := range admitted {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -95,7 +95,7 @@
 	if e, ok := n.limiter.(*exclusiveLimiter); ok {
 		e.sockets.OnEvict(n.front.Evict, n.services[cfg.Services[0].Name].Upstream().Evict)
 	}
-	listeners, err := n.openListeners(cfg.Listeners, startListenTime)
+	listeners, err := n.openListeners(cfg.Listeners, startListenRetryTime)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/node/nodelay_test.go
+++ b/internal/node/nodelay_test.go
@@ -12,52 +12,52 @@
 )
 
 // acceptedConns is a listener that keeps the connections that it has given.
-type acceptedConns struct {
+type recordingListener struct {
 	net.Listener
-	mu  sync.Mutex
-	all []*net.TCPConn
+	mu       sync.Mutex
+	accepted []*net.TCPConn
 }
 
-func (r *acceptedConns) Accept() (net.Conn, error) {
-	conn, err := r.Listener.Accept()
+func (l *recordingListener) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
 	if err == nil {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		r.all = append(r.all, conn.(*net.TCPConn))
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		l.accepted = append(l.accepted, conn.(*net.TCPConn))
 	}
 	return conn, err
 }
 
 // countDelayed counts the connections on which the system may hold small writes back.
-func (r *acceptedConns) countDelayed(t *testing.T) (conns, delayed int) {
+func (l *recordingListener) countWithoutNoDelay(t *testing.T) (conns, withoutNoDelay int) {
 	t.Helper()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, conn := range r.all {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, conn := range l.accepted {
 		raw, err := conn.SyscallConn()
 		if err != nil {
 			t.Fatal(err)
 		}
 		err = raw.Control(func(fd uintptr) {
 			if on, err := unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NODELAY); err != nil || on == 0 {
-				delayed++
+				withoutNoDelay++
 			}
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	return len(r.all), delayed
+	return len(l.accepted), withoutNoDelay
 }
 
 // startRecorded starts a node that ends with the test, and gives the listener of its clients.
-func startRecorded(t *testing.T, cfg config.Config) *acceptedConns {
+func startNodeWithRecordingListener(t *testing.T, cfg config.Config) *recordingListener {
 	t.Helper()
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	listener := &acceptedConns{Listener: tcp}
+	listener := &recordingListener{Listener: tcp}
 	cfg.Services[0].Source.Address = testkit.NewAgent(t).Addr()
 	n, err := NewInheriting(cfg, map[string]net.Listener{cfg.Listeners[0]: listener})
 	if err != nil {
@@ -86,11 +86,11 @@
 			if cfg.Process.Shared = shared; shared {
 				cfg.Process.Total = config.Amounts{Descriptors: 200, Requests: 100, Bytes: 64 << 20, Dials: 100, ModuleTime: 1}
 			}
-			listener := startRecorded(t, cfg)
+			listener := startNodeWithRecordingListener(t, cfg)
 			client := dialTo(t, listener.Addr().String())
-			healthOver(t, client)
-			if conns, delayed := listener.countDelayed(t); conns != 1 || delayed != 0 {
-				t.Errorf("of %d connections %d delay small writes", conns, delayed)
+			requestHealth(t, client)
+			if conns, withoutNoDelay := listener.countWithoutNoDelay(t); conns != 1 || withoutNoDelay != 0 {
+				t.Errorf("of %d connections %d delay small writes", conns, withoutNoDelay)
 			}
 		})
 	}
--- a/internal/node/platform_settings_test.go
+++ b/internal/node/platform_settings_test.go
@@ -22,11 +22,11 @@
 
 // TestOtherPlatformSettings has a request of each class served by settings of other sites: sparse ones, odd
 // figures, and names that have to be escaped.
-func TestOtherPlatformSettings(t *testing.T) {
-	free := func(o jsonObject) {
+func TestPlatformSettingsVariants(t *testing.T) {
+	onlyIdempotent := func(o jsonObject) {
 		o["settings"].(jsonObject)["classes"] = []any{jsonObject{"name": "read", "aim": 100.0, "deadline": 400.0, "effect": "free"}}
 	}
-	named := func(name string) func(jsonObject) {
+	prefixNames := func(name string) func(jsonObject) {
 		return func(o jsonObject) {
 			for _, k := range o["settings"].(jsonObject)["classes"].([]any) {
 				k := k.(jsonObject)
@@ -34,7 +34,7 @@
 			}
 		}
 	}
-	set := func(path string, v any) func(jsonObject) {
+	setValue := func(path string, v any) func(jsonObject) {
 		return func(o jsonObject) {
 			keys := strings.Split(path, "/")
 			for _, k := range keys[:len(keys)-1] {
@@ -45,34 +45,39 @@
 			}
 		}
 	}
-	plan := func(name string) func(jsonObject) { return set("settings/tariffs", []any{jsonObject{"name": name}}) }
+	onlyPlan := func(name string) func(jsonObject) {
+		return setValue("settings/tariffs", []any{jsonObject{"name": name}})
+	}
 	for name, change := range map[string]func(jsonObject){
-		"as it is":               func(jsonObject) {},
-		"one class":              free,
-		"no clients":             set("settings/clients", "gone"),
-		"no contract":            set("settings/contract", "gone"),
-		"no domain":              set("settings/domain", nil),
-		"no limits":              set("settings/limits", jsonObject{}),
-		"no zones":               func(o jsonObject) { set("settings/zone", "gone")(o); set("settings/azs", []any{})(o) },
-		"no process limits":      set("limits", "gone"),
-		"none known":             set("known", "gone"),
-		"no meter":               set("settings/domain/meter-period", 0),
-		"figures as text":        func(o jsonObject) { set("settings/domain/units-top", "4.0")(o); set("settings/group-size", "1")(o) },
-		"alone":                  set("settings/group-size", 1),
-		"limits in parts":        set("limits", jsonObject{"cores": 0.25, "memory_mb": 76.8, "sockets": json.Number("512.0")}),
-		"few sockets":            set("limits/sockets", 64),
-		"connections come late":  set("settings/limits/connect-timeout", 60000),
-		"connections idle short": set("settings/limits/keepalive", 1),
-		"one attempt":            set("settings/limits/send-cap", 1),
-		"nested unknown words":   set("settings/later", []any{jsonObject{"a": []any{1, "b,c d", nil, []any{}}}, nil}),
-		"a plan of blanks":       plan("Große Kunden, 50 % mehr"),
-		"a plan without figures": plan("plain"),
-		"no plans":               set("settings/tariffs", []any{}),
-		"a class with a slash":   named("care/plans"),
-		"a class with a plus":    named("a+b c"),
-		"a class with percents":  named("50%2F%"),
-		"a class with umlauts":   named("Übersicht;x=1?#"),
-		"a class of dots":        named(".."),
+		"as it is":          func(jsonObject) {},
+		"one class":         onlyIdempotent,
+		"no clients":        setValue("settings/clients", "gone"),
+		"no contract":       setValue("settings/contract", "gone"),
+		"no domain":         setValue("settings/domain", nil),
+		"no limits":         setValue("settings/limits", jsonObject{}),
+		"no zones":          func(o jsonObject) { setValue("settings/zone", "gone")(o); setValue("settings/azs", []any{})(o) },
+		"no process limits": setValue("limits", "gone"),
+		"none known":        setValue("known", "gone"),
+		"no meter":          setValue("settings/domain/meter-period", 0),
+		"figures as text": func(o jsonObject) {
+			setValue("settings/domain/units-top", "4.0")(o)
+			setValue("settings/group-size", "1")(o)
+		},
+		"alone":                  setValue("settings/group-size", 1),
+		"limits in parts":        setValue("limits", jsonObject{"cores": 0.25, "memory_mb": 76.8, "sockets": json.Number("512.0")}),
+		"few sockets":            setValue("limits/sockets", 64),
+		"connections come late":  setValue("settings/limits/connect-timeout", 60000),
+		"connections idle short": setValue("settings/limits/keepalive", 1),
+		"one attempt":            setValue("settings/limits/send-cap", 1),
+		"nested unknown words":   setValue("settings/later", []any{jsonObject{"a": []any{1, "b,c d", nil, []any{}}}, nil}),
+		"a plan of blanks":       onlyPlan("Große Kunden, 50 % mehr"),
+		"a plan without figures": onlyPlan("plain"),
+		"no plans":               setValue("settings/tariffs", []any{}),
+		"a class with a slash":   prefixNames("care/plans"),
+		"a class with a plus":    prefixNames("a+b c"),
+		"a class with percents":  prefixNames("50%2F%"),
+		"a class with umlauts":   prefixNames("Übersicht;x=1?#"),
+		"a class of dots":        prefixNames(".."),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -99,19 +104,19 @@
 		t.Fatal(err)
 	}
 	r := newTestNodeWithPlatformConfig(t, raw)
-	a := testkit.NewApp(t, testkit.Served)
-	r.setEndpoints(endpointOf(a, "s-1", 0))
+	app := testkit.NewApp(t, testkit.Served)
+	r.setEndpoints(endpointOf(app, "s-1", 0))
 	s := r.node.services[""].cfg.Settings
 	for i, k := range s.Classes {
 		method := http.MethodPost
 		if k.Idempotency == 0 {
 			method = http.MethodGet
 		}
-		q := r.newRequest(method, "/", fmt.Sprint("id-", i))
-		q.Header.Set(protocol.HeaderPlan, s.Plans[0].Name)
-		q.Header.Set(protocol.HeaderTimeLeft, fmt.Sprint(k.Deadline.Milliseconds(), "m"))
-		q.URL.Path, q.URL.RawPath = "/"+k.Name+"/7", "/"+url.PathEscape(k.Name)+"/7"
-		if resp, body := r.do(q); resp.StatusCode != http.StatusOK && k.Deadline > 100e6 || resp.StatusCode/100 == 4 && resp.StatusCode != 429 {
+		req := r.newRequest(method, "/", fmt.Sprint("id-", i))
+		req.Header.Set(protocol.HeaderPlan, s.Plans[0].Name)
+		req.Header.Set(protocol.HeaderTimeLeft, fmt.Sprint(k.Deadline.Milliseconds(), "m"))
+		req.URL.Path, req.URL.RawPath = "/"+k.Name+"/7", "/"+url.PathEscape(k.Name)+"/7"
+		if resp, body := r.do(req); resp.StatusCode != http.StatusOK && k.Deadline > 100e6 || resp.StatusCode/100 == 4 && resp.StatusCode != 429 {
 			t.Errorf("class %q: %s %s", k.Name, resp.Status, body)
 		}
 	}
@@ -128,9 +133,9 @@
 	if err := json.Unmarshal(raw, &o); err != nil {
 		t.Fatal(err)
 	}
-	set := o["settings"].(jsonObject)
-	delete(set["domain"].(jsonObject), "units-top")
-	set["tariffs"] = []any{
+	settings := o["settings"].(jsonObject)
+	delete(settings["domain"].(jsonObject), "units-top")
+	settings["tariffs"] = []any{
 		jsonObject{"name": "stored", "quota-rate": 0.1, "depth": 8},
 		jsonObject{"name": "small", "quota-rate": 0.1, "depth": 0.5},
 		jsonObject{"name": "counted", "open": 9},
@@ -140,11 +145,11 @@
 		t.Fatal(err)
 	}
 	r := newTestNodeWithPlatformConfig(t, raw)
-	a := testkit.NewApp(t, func(w http.ResponseWriter, q *http.Request) {
+	app := testkit.NewApp(t, func(w http.ResponseWriter, req *http.Request) {
 		w.Header().Set(protocol.HeaderTrueCost, "1e300")
-		testkit.Served(w, q)
+		testkit.Served(w, req)
 	})
-	r.setEndpoints(endpointOf(a, "s-1", 0))
+	r.setEndpoints(endpointOf(app, "s-1", 0))
 	for i, tc := range []struct {
 		plan, weight string
 		status       int
@@ -162,10 +167,10 @@
 		{"capped", "units=31", 400},
 		{"capped", "units=5", 200},
 	} {
-		q := r.newRequest(http.MethodGet, "/roster-read", fmt.Sprint("id-", i))
-		q.Header.Set(protocol.HeaderPlan, tc.plan)
-		q.Header.Set(protocol.HeaderWeight, tc.weight)
-		if resp, body := r.do(q); resp.StatusCode != tc.status {
+		req := r.newRequest(http.MethodGet, "/roster-read", fmt.Sprint("id-", i))
+		req.Header.Set(protocol.HeaderPlan, tc.plan)
+		req.Header.Set(protocol.HeaderWeight, tc.weight)
+		if resp, body := r.do(req); resp.StatusCode != tc.status {
 			t.Errorf("%s of plan %s: %s %s", tc.weight, tc.plan, resp.Status, body)
 		}
 	}
@@ -196,18 +201,18 @@
 				t.Fatal(err)
 			}
 			r := newTestNodeWithPlatformConfig(t, raw)
-			a := testkit.NewApp(t, func(w http.ResponseWriter, q *http.Request) {
+			app := testkit.NewApp(t, func(w http.ResponseWriter, req *http.Request) {
 				w.Header().Set(protocol.HeaderQuotaUsed, "120")
 				w.Header().Set(protocol.HeaderTrueCost, "3")
-				testkit.Served(w, q)
+				testkit.Served(w, req)
 			})
-			r.setEndpoints(endpointOf(a, "s-1", 0))
+			r.setEndpoints(endpointOf(app, "s-1", 0))
 			for i := range 20 {
-				q := r.newRequest(http.MethodGet, "/roster-read", fmt.Sprint("id-", i))
+				req := r.newRequest(http.MethodGet, "/roster-read", fmt.Sprint("id-", i))
 				if i%2 == 0 {
-					q.Header.Set(protocol.HeaderPlan, "odd")
+					req.Header.Set(protocol.HeaderPlan, "odd")
 				}
-				resp, body := r.do(q)
+				resp, body := r.do(req)
 				if ok := resp.StatusCode == 200; !ok && (i%2 == 1 || resp.StatusCode != 503) {
 					t.Errorf("request %d: %s %s", i, resp.Status, body)
 				}
@@ -219,8 +224,8 @@
 // TestRequestTargetIsForwardedUnchanged sends targets that url.URL would write in another way.
 func TestRequestTargetIsForwardedUnchanged(t *testing.T) {
 	r := newTestNode(t)
-	a := testkit.NewApp(t, testkit.Served)
-	r.setEndpoints(endpointOf(a, "s-1", 0))
+	app := testkit.NewApp(t, testkit.Served)
+	r.setEndpoints(endpointOf(app, "s-1", 0))
 	for i, path := range []string{"/roster-read/ä", "/roster-read/a|b^c\"", "/roster-read/%7e%2f%2F//x/../.", "/roster%2dread", "/roster-read/a#b", "/roster-read"} {
 		for _, query := range []string{"?account=00000000b4d65521", "?account=00000000b4d65521&x=ä|%7e"} {
 			conn, err := net.Dial("tcp", r.node.Addr())
@@ -234,7 +239,7 @@
 			}
 			_, _ = io.Copy(io.Discard, resp.Body)
 			conn.Close()
-			all := a.Requests()
+			all := app.Requests()
 			if got := strings.Fields(all[len(all)-1])[1]; got != path+query || resp.StatusCode != 200 {
 				t.Errorf("%s: %s went on as %s", path+query, resp.Status, got)
 			}
@@ -273,30 +278,30 @@
 // Entries of a list that can't be used, or only by their form, take nothing from the others.
 func TestInvalidEndpointEntriesDoNotAffectOthers(t *testing.T) {
 	r := newTestNode(t)
-	a := testkit.NewApp(t, testkit.Served)
-	good := fmt.Sprintf(`{"uid":"s-1","endpoint":%q,"az":"z1","state":"up","capacity_hint":1.0,"boot_ms":0,"later":{"a":[1]}}`, a.Addr())
+	app := testkit.NewApp(t, testkit.Served)
+	validEntry := fmt.Sprintf(`{"uid":"s-1","endpoint":%q,"az":"z1","state":"up","capacity_hint":1.0,"boot_ms":0,"later":{"a":[1]}}`, app.Addr())
 	send := func(line string) {
 		t.Helper()
-		r.rev++
-		r.agent.Lines <- strings.Replace(line, "REV", fmt.Sprint(r.rev), 1) + "\n"
-		r.wait("the list", func() bool { return r.service().Endpoints().Revision == int64(r.rev) })
+		r.revision++
+		r.agent.Lines <- strings.Replace(line, "REV", fmt.Sprint(r.revision), 1) + "\n"
+		r.waitUntil("the list", func() bool { return r.service().Endpoints().Revision == int64(r.revision) })
 		r.status()
 	}
-	up := []int{1, 1, 1, 5, 5, 5, 5, 1}
+	wantAvailable := []int{1, 1, 1, 5, 5, 5, 5, 1}
 	for i, line := range []string{
-		`{"rev":REV,"all":true,"more":{},"targets":[` + good + `]}`,
-		`{"rev":REV,"all":true,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:1","state":"up"},` + good + `,` + good + `]}`, // the last word on a server holds
+		`{"rev":REV,"all":true,"more":{},"targets":[` + validEntry + `]}`,
+		`{"rev":REV,"all":true,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:1","state":"up"},` + validEntry + `,` + validEntry + `]}`, // the last word on a server holds
 		`{"rev":REV,"all":false,"targets":[{"uid":"","endpoint":"127.0.0.1:1","state":"up"},{"uid":"s-2"},{"uid":"s-3","state":"starting","endpoint":"127.0.0.1:1"}]}`,
 		`{"rev":REV,"all":false,"targets":[{"uid":"s-4","endpoint":"127.0.0.1:99999","state":"up"},{"uid":"s-5","endpoint":"a b\r\n:9","state":"up"},
 			{"uid":"s-6","endpoint":"[::1","state":"up"},{"uid":"s-7","endpoint":":","state":"up"},{"uid":"s-8","endpoint":"127.0.0.1:x","state":"up"}]}`,
-		`{"rev":REV,"all":false,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:1","state":"removed"},` + good + `]}`,
-		`{"rev":REV,"targets":[{"uid":"s-1","endpoint":"` + a.Addr() + `","state":"up","boot_ms":1e300,"capacity_hint":-1e300,"pod_group":-9}]}`,
+		`{"rev":REV,"all":false,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:1","state":"removed"},` + validEntry + `]}`,
+		`{"rev":REV,"targets":[{"uid":"s-1","endpoint":"` + app.Addr() + `","state":"up","boot_ms":1e300,"capacity_hint":-1e300,"pod_group":-9}]}`,
 		`{"rev":REV,"targets":[{"uid":"s-9","state":"removed"},{"uid":"s-9","state":"draining"}],"targets":[]}`,
-		`{"targets":[],"all":false,"all":true,"rev":1,"rev":REV,"targets":[` + good + `]}`,
+		`{"targets":[],"all":false,"all":true,"rev":1,"rev":REV,"targets":[` + validEntry + `]}`,
 	} {
 		send(line)
-		if s := r.status(); s.AvailableServers != up[i] {
-			t.Errorf("behind %s: %d up, not %d", line, s.AvailableServers, up[i])
+		if s := r.status(); s.AvailableServers != wantAvailable[i] {
+			t.Errorf("behind %s: %d up, not %d", line, s.AvailableServers, wantAvailable[i])
 		}
 		for n := range 8 {
 			if resp, body := r.do(r.newRequest(http.MethodGet, "/roster-read", fmt.Sprint("id-", i, "-", n))); resp.StatusCode != 200 {
--- a/internal/node/queue_time_test.go
+++ b/internal/node/queue_time_test.go
@@ -15,7 +15,7 @@
 
 // Guards against servers that are told more time than a client has left: of several clients that wait in the listener's
 // queue for one descriptor, the time of each counts from its request's arrival, not from the accept of the one before.
-func TestTimeBehindOtherClientsInAcceptQueueIsNotLeft(t *testing.T) {
+func TestTimeBehindOtherClientsInAcceptQueueCountsAgainstDeadline(t *testing.T) {
 	const (
 		held    = 400 * time.Millisecond // for which the first client keeps the descriptor
 		waiting = 3
@@ -30,15 +30,15 @@
 	arrived := make(chan struct{})
 	release := make(chan struct{})
 	timesLeft := make(chan string, waiting)
-	a := testkit.NewApp(t, func(_ http.ResponseWriter, q *http.Request) {
-		if q.Header.Get(protocol.HeaderID) == "first" {
+	app := testkit.NewApp(t, func(_ http.ResponseWriter, req *http.Request) {
+		if req.Header.Get(protocol.HeaderID) == "first" {
 			close(arrived)
 			<-release
 			return
 		}
-		timesLeft <- q.Header.Get(protocol.HeaderTimeLeft)
+		timesLeft <- req.Header.Get(protocol.HeaderTimeLeft)
 	})
-	r.setEndpoints(endpointOf(a, "s-1", 0))
+	r.setEndpoints(endpointOf(app, "s-1", 0))
 	first := r.dial()
 	r.newRequest(http.MethodGet, "/roster-read", "first").Write(first)
 	testkit.Next(t, arrived)
--- a/internal/node/random_settings_test.go
+++ b/internal/node/random_settings_test.go
@@ -44,45 +44,45 @@
 type arrival struct{ server, action int }
 
 func newScriptedServers(t *testing.T) *scriptedServers {
-	d := &scriptedServers{scripts: map[string][]int{}, arrivals: map[string][]arrival{}}
-	for i := range d.servers {
-		d.servers[i] = testkit.NewApp(t, func(w http.ResponseWriter, q *http.Request) {
-			switch d.arrive(i, q.Header.Get(protocol.HeaderID)) {
+	scripted := &scriptedServers{scripts: map[string][]int{}, arrivals: map[string][]arrival{}}
+	for i := range scripted.servers {
+		scripted.servers[i] = testkit.NewApp(t, func(w http.ResponseWriter, req *http.Request) {
+			switch scripted.arrive(i, req.Header.Get(protocol.HeaderID)) {
 			case answerError:
 				w.WriteHeader(http.StatusInternalServerError)
 			case resetConnection:
-				testkit.Reset(w, q)
+				testkit.Reset(w, req)
 			case rejectUnseen:
 				w.Header().Set(protocol.HeaderUnprocessed, "1")
 				w.WriteHeader(http.StatusServiceUnavailable)
 			case neverAnswer:
-				<-q.Context().Done()
+				<-req.Context().Done()
 			default:
 				w.Header().Set(protocol.HeaderQuotaUsed, "90")
 				w.Header().Set(protocol.HeaderTrueCost, "2")
 				w.Header().Set(protocol.HeaderBackendLoad, "util=0.5,latency_ms=2")
-				testkit.Served(w, q)
+				testkit.Served(w, req)
 			}
 		})
 	}
-	return d
+	return scripted
 }
 
-func (d *scriptedServers) arrive(server int, id string) int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	did := answerOK
-	if n := len(d.arrivals[id]); n < len(d.scripts[id]) {
-		did = d.scripts[id][n]
+func (s *scriptedServers) arrive(server int, id string) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	action := answerOK
+	if n := len(s.arrivals[id]); n < len(s.scripts[id]) {
+		action = s.scripts[id][n]
 	}
-	d.arrivals[id] = append(d.arrivals[id], arrival{server, did})
-	return did
+	s.arrivals[id] = append(s.arrivals[id], arrival{server, action})
+	return action
 }
 
-func (d *scriptedServers) arrivalsOf(id string) []arrival {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.arrivals[id]
+func (s *scriptedServers) arrivalsOf(id string) []arrival {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.arrivals[id]
 }
 
 // The zone and the cell of each server.
@@ -93,47 +93,47 @@
 
 // drawSettings draws a configuration of the platform, with few or many settings and any effect for any class.
 func drawSettings(t *rapid.T, apps *scriptedServers) jsonObject {
-	some := func(what string, of ...any) any { return rapid.SampledFrom(of).Draw(t, what) }
-	set := jsonObject{"group-size": rapid.IntRange(1, 300).Draw(t, "group"), "discovery": some("discovery", "pushed", "on_request")}
-	set["self-index"] = rapid.IntRange(0, set["group-size"].(int)-1).Draw(t, "index")
+	sample := func(what string, values ...any) any { return rapid.SampledFrom(values).Draw(t, what) }
+	settings := jsonObject{"group-size": rapid.IntRange(1, 300).Draw(t, "group"), "discovery": sample("discovery", "pushed", "on_request")}
+	settings["self-index"] = rapid.IntRange(0, settings["group-size"].(int)-1).Draw(t, "index")
 	if rapid.Bool().Draw(t, "zones") {
-		set["zone"], set["azs"] = serverZones[0], serverZones[1:]
+		settings["zone"], settings["azs"] = serverZones[0], serverZones[1:]
 	}
 	order := rapid.Permutation(classNames).Draw(t, "names")
 	classes, plans := []any{}, []any{}
 	for i := range rapid.IntRange(1, 3).Draw(t, "classes") {
 		classes = append(classes, jsonObject{
-			"name": order[i], "effect": some("effect", "free", "guarded", "single_shot"), "key-scope": some("scope", "all", "zone", "cell"),
-			"deadline": some("deadline", 1, 20, 300.5, 3000, 3600e3), "aim": some("aim", 1, 200, 2000, 3600e3), "repeat-window": some("window", 0, 1, 500, 3600e3),
-			"worth": some("worth", 0, 1, 5), "late-share": some("late", 0, 1),
+			"name": order[i], "effect": sample("effect", "free", "guarded", "single_shot"), "key-scope": sample("scope", "all", "zone", "cell"),
+			"deadline": sample("deadline", 1, 20, 300.5, 3000, 3600e3), "aim": sample("aim", 1, 200, 2000, 3600e3), "repeat-window": sample("window", 0, 1, 500, 3600e3),
+			"worth": sample("worth", 0, 1, 5), "late-share": sample("late", 0, 1),
 		})
 	}
 	for i := range rapid.IntRange(0, 3).Draw(t, "plans") {
-		p := jsonObject{"name": order[len(order)-1-i], "value-factor": some("price", 0, 1.5)}
-		for key, of := range map[string][]any{"quota-rate": {0, 0.5, 1000}, "depth": {0, 0.5, 40}, "open": {0, 1, 40}, "cap-rate": {0, 0, 10}, "hard-burst": {0, 40}} {
+		p := jsonObject{"name": order[len(order)-1-i], "value-factor": sample("price", 0, 1.5)}
+		for key, values := range map[string][]any{"quota-rate": {0, 0.5, 1000}, "depth": {0, 0.5, 40}, "open": {0, 1, 40}, "cap-rate": {0, 0, 10}, "hard-burst": {0, 40}} {
 			if rapid.Bool().Draw(t, key+" told") {
-				p[key] = some(key, of...)
+				p[key] = sample(key, values...)
 			}
 		}
 		plans = append(plans, p)
 	}
-	set["classes"], set["tariffs"] = classes, plans
+	settings["classes"], settings["tariffs"] = classes, plans
 	if rapid.Bool().Draw(t, "domain") {
-		set["domain"] = jsonObject{"meter-period": some("meter", 0, 100, 1000), "cost-after": some("cost", true, false), "units-top": some("units", 0, 1, 4)}
+		settings["domain"] = jsonObject{"meter-period": sample("meter", 0, 100, 1000), "cost-after": sample("cost", true, false), "units-top": sample("units", 0, 1, 4)}
 	}
 	if rapid.Bool().Draw(t, "contract") {
-		set["contract"] = jsonObject{"cold": 15000, "cold-from": 0.15, "drain-grace": 2000, "fall": 2000, "fall-multiple": 2.5}
+		settings["contract"] = jsonObject{"cold": 15000, "cold-from": 0.15, "drain-grace": 2000, "fall": 2000, "fall-multiple": 2.5}
 	}
 	if rapid.Bool().Draw(t, "limits") {
-		set["limits"] = jsonObject{"send-cap": some("cap", 0, 1, 6), "connect-timeout": 250, "keepalive": some("keepalive", 100, 15000), "max-retry-after": some("after", 0, 1000)}
+		settings["limits"] = jsonObject{"send-cap": sample("cap", 0, 1, 6), "connect-timeout": 250, "keepalive": sample("keepalive", 100, 15000), "max-retry-after": sample("after", 0, 1000)}
 	}
 	var targets []any
-	for i, a := range apps.servers {
-		targets = append(targets, jsonObject{"uid": fmt.Sprint("s/", i), "endpoint": a.Addr(), "az": serverZones[i], "pod_group": serverCells[i], "state": "up"})
+	for i, app := range apps.servers {
+		targets = append(targets, jsonObject{"uid": fmt.Sprint("s/", i), "endpoint": app.Addr(), "az": serverZones[i], "pod_group": serverCells[i], "state": "up"})
 	}
 	return jsonObject{
 		"name": "n 1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "7",
-		"known": jsonObject{"rev": 3, "all": true, "targets": targets}, "settings": set,
+		"known": jsonObject{"rev": 3, "all": true, "targets": targets}, "settings": settings,
 	}
 }
 
@@ -161,20 +161,20 @@
 			rt.Fatalf("%v: %s", err, raw)
 		}
 		cfg.Process.Drain = config.Drain{}
-		set := cfg.Services[0].Settings
+		settings := cfg.Services[0].Settings
 		var requests []randomRequest
 		for range rapid.IntRange(1, 8).Draw(rt, "requests") {
-			a := randomRequest{
-				class: rapid.IntRange(0, len(set.Classes)-1).Draw(rt, "class"), plan: rapid.IntRange(0, len(set.Plans)-1).Draw(rt, "plan"),
+			request := randomRequest{
+				class: rapid.IntRange(0, len(settings.Classes)-1).Draw(rt, "class"), plan: rapid.IntRange(0, len(settings.Plans)-1).Draw(rt, "plan"),
 				hasKey: rapid.Bool().Draw(rt, "key"), method: rapid.SampledFrom([]string{"", "", "", "GET", "POST"}).Draw(rt, "method"),
-				spread: rapid.IntRange(1, set.GroupSize).Draw(rt, "spread"), first: rapid.IntRange(0, set.GroupSize-1).Draw(rt, "first"),
+				spread: rapid.IntRange(1, settings.GroupSize).Draw(rt, "spread"), first: rapid.IntRange(0, settings.GroupSize-1).Draw(rt, "first"),
 			}
 			lastAction := rejectUnseen
-			if set.Classes[a.class].Deadline < time.Second {
+			if settings.Classes[request.class].Deadline < time.Second {
 				lastAction = neverAnswer
 			}
-			a.script = rapid.SliceOfN(rapid.IntRange(answerOK, lastAction), 0, 6).Draw(rt, "does")
-			requests = append(requests, a)
+			request.script = rapid.SliceOfN(rapid.IntRange(answerOK, lastAction), 0, 6).Draw(rt, "does")
+			requests = append(requests, request)
 		}
 		if ok := t.Run("", func(t *testing.T) {
 			r := newTestNodeWithConfig(t, cfg)
@@ -185,10 +185,10 @@
 			defer conn.Close()
 			_ = conn.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 			in := bufio.NewReader(conn)
-			for _, a := range requests {
+			for _, request := range requests {
 				next++
 				id := fmt.Sprint("id-", next)
-				if a.send(t, apps, &set, id, conn, in) == http.StatusOK {
+				if request.send(t, apps, &settings, id, conn, in) == http.StatusOK {
 					served++
 				}
 			}
@@ -203,13 +203,13 @@
 }
 
 // send sends a request and checks its answer, and what the servers saw, against the terms of its class.
-func (a *randomRequest) send(t *testing.T, apps *scriptedServers, set *control.Settings, id string, conn io.Writer, in *bufio.Reader) int {
-	class := &set.Classes[a.class]
+func (request *randomRequest) send(t *testing.T, apps *scriptedServers, settings *control.Settings, id string, conn io.Writer, in *bufio.Reader) int {
+	class := &settings.Classes[request.class]
 	apps.mu.Lock()
-	apps.scripts[id] = a.script
+	apps.scripts[id] = request.script
 	apps.mu.Unlock()
-	method, rejection := a.methodAndRejection(class)
-	if _, err := io.WriteString(conn, a.text(class, set.Plans[a.plan].Name, id, method)); err != nil {
+	method, rejection := request.methodAndRejection(class)
+	if _, err := io.WriteString(conn, request.text(class, settings.Plans[request.plan].Name, id, method)); err != nil {
 		t.Fatal(err)
 	}
 	resp, err := http.ReadResponse(in, nil)
@@ -221,7 +221,7 @@
 		t.Fatalf("%s: %v, %d bytes behind the answer, close %v", id, err, in.Buffered(), resp.Close)
 	}
 	arrivals := apps.arrivalsOf(id)
-	mayHaveRun := checkArrivals(t, id, class, set.MaxAttempts, arrivals)
+	mayHaveRun := checkArrivals(t, id, class, settings.MaxAttempts, arrivals)
 	succeeded := len(arrivals) > 0 && arrivals[len(arrivals)-1].action == answerOK
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -245,34 +245,34 @@
 }
 
 // methodAndRejection are the method of the request and the status that it is rejected with; 0 where it is valid.
-func (a *randomRequest) methodAndRejection(class *control.Class) (method string, rejection int) {
+func (request *randomRequest) methodAndRejection(class *control.Class) (method string, rejection int) {
 	method = http.MethodPost
 	if class.Idempotency == control.Idempotent {
 		method = http.MethodGet
 	}
-	if class.Idempotency == control.IdempotentWithKey && !a.hasKey {
+	if class.Idempotency == control.IdempotentWithKey && !request.hasKey {
 		rejection = http.StatusBadRequest
 	}
-	if a.method != "" && a.method != method {
-		return a.method, http.StatusMethodNotAllowed
+	if request.method != "" && request.method != method {
+		return request.method, http.StatusMethodNotAllowed
 	}
 	return method, rejection
 }
 
 // text is the request as it is sent.
-func (a *randomRequest) text(class *control.Class, plan, id, method string) string {
-	var q strings.Builder
-	fmt.Fprintf(&q, "%s /%s/7?account=%016x HTTP/1.1\r\nHost: a\r\n%s: %s\r\n%s: %s\r\n%s: %dm\r\n%s: units=1,spread=%d,first=%d\r\n", method, url.PathEscape(class.Name), 7,
-		protocol.HeaderID, id, protocol.HeaderPlan, plan, protocol.HeaderTimeLeft, class.Deadline.Milliseconds(), protocol.HeaderWeight, a.spread, a.first)
-	if a.hasKey {
-		fmt.Fprintf(&q, "%s: key of %s\r\n", protocol.HeaderIdempotencyKey, id)
+func (request *randomRequest) text(class *control.Class, plan, id, method string) string {
+	var builder strings.Builder
+	fmt.Fprintf(&builder, "%s /%s/7?account=%016x HTTP/1.1\r\nHost: a\r\n%s: %s\r\n%s: %s\r\n%s: %dm\r\n%s: units=1,spread=%d,first=%d\r\n", method, url.PathEscape(class.Name), 7,
+		protocol.HeaderID, id, protocol.HeaderPlan, plan, protocol.HeaderTimeLeft, class.Deadline.Milliseconds(), protocol.HeaderWeight, request.spread, request.first)
+	if request.hasKey {
+		fmt.Fprintf(&builder, "%s: key of %s\r\n", protocol.HeaderIdempotencyKey, id)
 	}
 	if method == http.MethodPost {
-		q.WriteString("Content-Length: 4\r\n\r\nbody")
+		builder.WriteString("Content-Length: 4\r\n\r\nbody")
 	} else {
-		q.WriteString("\r\n")
+		builder.WriteString("\r\n")
 	}
-	return q.String()
+	return builder.String()
 }
 
 // checkArrivals checks that a request which may have run was retried by the terms of its class alone, and tells
@@ -280,12 +280,12 @@
 func checkArrivals(t *testing.T, id string, class *control.Class, maxAttempts int, arrivals []arrival) (mayHaveRun bool) {
 	t.Helper()
 	var first arrival
-	for i, s := range arrivals {
-		if mayHaveRun && !mayRetry(class, first.server, s.server) {
+	for i, arrived := range arrivals {
+		if mayHaveRun && !mayRetry(class, first.server, arrived.server) {
 			t.Errorf("%s of %+v was sent again: %+v", id, *class, arrivals)
 		}
-		if s.action != rejectUnseen && !mayHaveRun {
-			mayHaveRun, first = true, s
+		if arrived.action != rejectUnseen && !mayHaveRun {
+			mayHaveRun, first = true, arrived
 		}
 		if maxAttempts > 0 && i >= maxAttempts {
 			t.Errorf("%s was sent more than %d times", id, maxAttempts)
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -49,7 +49,7 @@
 		}
 	}
 	r.run()
-	r.wait("ready", r.node.isReady)
+	r.waitUntil("ready", r.node.isReady)
 	health, err := http.NewRequest(http.MethodGet, "http://"+r.node.Addr()+"/healthz", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 		return
 	}
 	other := testkit.NewApp(t, testkit.Served)
-	r.rev = 50
+	r.revision = 50
 	r.setEndpoints(discovery.Endpoint{UID: "s-1", State: "draining"}, endpointOf(other, "s-2", 0))
 	r.do(r.newRequest(http.MethodGet, "/roster-read", "id-2"))
 	if served.Count() != 1 || other.Count() != 1 {
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -72,7 +72,7 @@
 // prepareGeneration makes all that a configuration needs and that can fail. With an error nothing has
 // changed. n.mu is held.
 func (n *Node) prepareGeneration(cfg *config.Config) (next nextGeneration, err error) {
-	if next.opened, err = n.openListeners(cfg.Listeners, reloadListenTime); err != nil {
+	if next.opened, err = n.openListeners(cfg.Listeners, reloadListenRetryTime); err != nil {
 		return next, err
 	}
 	defer func() {
--- a/internal/node/reload_listeners_test.go
+++ b/internal/node/reload_listeners_test.go
@@ -15,9 +15,9 @@
 // Listeners and what the process may use change in a reload: a new address takes clients, one
 // that is gone takes none, and a connection that came by it goes on.
 func TestReloadChangesListenersAndLimits(t *testing.T) {
-	l := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
-	first := l.Node.Addr()
-	c, in := dial(t, l)
+	bench := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
+	first := bench.Node.Addr()
+	c, in := dial(t, bench)
 	send := func(c net.Conn, in *bufio.Reader, id string) {
 		t.Helper()
 		writeRequest(c, "x", "/one", id, "", 0)
@@ -26,12 +26,12 @@
 		}
 	}
 	send(c, in, "id-1")
-	more := strings.Replace(twoServicesConfig, `address = "127.0.0.1:0"`, "address = \"127.0.0.1:0\"\n[[listeners]]\naddress = \"localhost:0\"", 1)
-	if err := l.Reload(more); err != nil || l.Node.Addr() != first {
-		t.Fatalf("%v, %s for %s", err, l.Node.Addr(), first)
+	withSecondListener := strings.Replace(twoServicesConfig, `address = "127.0.0.1:0"`, "address = \"127.0.0.1:0\"\n[[listeners]]\naddress = \"localhost:0\"", 1)
+	if err := bench.Reload(withSecondListener); err != nil || bench.Node.Addr() != first {
+		t.Fatalf("%v, %s for %s", err, bench.Node.Addr(), first)
 	}
 	text := strings.Replace(strings.Replace(twoServicesConfig, `"127.0.0.1:0"`, `"localhost:0"`, 1), "descriptors = 512", "descriptors = 600", 1)
-	if err := l.Reload(text); err != nil {
+	if err := bench.Reload(text); err != nil {
 		t.Fatal(err)
 	}
 	if d, err := net.Dial("tcp", first); err == nil {
@@ -39,9 +39,9 @@
 		t.Error("the address that is gone takes connections")
 	}
 	send(c, in, "id-2")
-	c, in = dial(t, l)
+	c, in = dial(t, bench)
 	send(c, in, "id-3")
-	if n, g := l.Node.Status()[0].Resources.Descriptors.Total, l.Node.Generation(); n != 600-24 || g != 3 {
+	if n, g := bench.Node.Status()[0].Resources.Descriptors.Total, bench.Node.Generation(); n != 600-24 || g != 3 {
 		t.Errorf("%d descriptors in generation %d", n, g)
 	}
 }
@@ -50,20 +50,20 @@
 // answers as soon as descriptors are free, and then nobody listens there.
 func TestReloadAnswersQueueOfRemovedListener(t *testing.T) {
 	text := strings.NewReplacer("descriptors = 512\nclients = 200", "descriptors = 64\nclients = 4", `most = "1s"`, `most = "30s"`).Replace(twoServicesConfig)
-	l := benchtest.Begin(t, text, twoServerPools(0))
-	first := l.Node.Addr()
-	l.Pools["a"].Stall(true)
+	bench := benchtest.Begin(t, text, twoServerPools(0))
+	first := bench.Node.Addr()
+	bench.Pools["a"].Stall(true)
 	var clients []*bufio.Reader
 	for i := range 60 { // more than there are descriptors for
-		c, in := dial(t, l)
+		c, in := dial(t, bench)
 		writeRequest(c, "x", "/one", fmt.Sprint("id-", i), "", 0)
 		clients = append(clients, in)
 	}
-	testkit.Until(t, "a request at a server", func() bool { return l.Node.Status()[0].AttemptsInFlight > 0 })
+	testkit.Until(t, "a request at a server", func() bool { return bench.Node.Status()[0].AttemptsInFlight > 0 })
 	reloaded := make(chan error, 1)
-	go func() { reloaded <- l.Reload(strings.Replace(text, `"127.0.0.1:0"`, `"localhost:0"`, 1)) }()
-	testkit.Until(t, "the other address", func() bool { return l.Node.Addr() != first })
-	l.Pools["a"].Stall(false)
+	go func() { reloaded <- bench.Reload(strings.Replace(text, `"127.0.0.1:0"`, `"localhost:0"`, 1)) }()
+	testkit.Until(t, "the other address", func() bool { return bench.Node.Addr() != first })
+	bench.Pools["a"].Stall(false)
 	for i, in := range clients {
 		if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 200 && resp.StatusCode != 503 {
 			t.Errorf("client %d: %v, %v", i, resp, err)
@@ -80,12 +80,12 @@
 
 // A reload after the node's end opens no listener, whose clients nobody would serve.
 func TestReloadAfterShutdownOpensNoListener(t *testing.T) {
-	l := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
-	first := l.Node.Addr()
-	if err := l.Stop(); err != nil {
+	bench := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
+	first := bench.Node.Addr()
+	if err := bench.Stop(); err != nil {
 		t.Fatal(err)
 	}
-	if err := l.Reload(strings.Replace(twoServicesConfig, `"127.0.0.1:0"`, `"localhost:0"`, 1)); err == nil || l.Node.Addr() != first {
-		t.Errorf("%v, listening on %s", err, l.Node.Addr())
+	if err := bench.Reload(strings.Replace(twoServicesConfig, `"127.0.0.1:0"`, `"localhost:0"`, 1)); err == nil || bench.Node.Addr() != first {
+		t.Errorf("%v, listening on %s", err, bench.Node.Addr())
 	}
 }
--- a/internal/node/reload_load_test.go
+++ b/internal/node/reload_load_test.go
@@ -20,7 +20,7 @@
 
 // randomConfig draws a configuration: which service a path leads to, its source of endpoints, its guarantees, its
 // settings, and whether there is a third service.
-func randomConfig(rng *rand.Rand, l *testbench.Bench, file string) string {
+func randomConfig(rng *rand.Rand, bench *testbench.Bench, file string) string {
 	var b strings.Builder
 	b.WriteString(configHeader)
 	for _, name := range []string{"a", "b"} {
@@ -35,7 +35,7 @@
 			fmt.Fprintf(&b, "source = { kind = \"file\", path = %q }\n", file+name)
 		case 2:
 			fmt.Fprintf(&b, "[services.%s.source]\nkind = \"static\"\n", name)
-			for _, s := range l.Pools[name].Servers {
+			for _, s := range bench.Pools[name].Servers {
 				fmt.Fprintf(&b, "[[services.%s.source.servers]]\nuid = %q\nendpoint = %q\ngroup = %d\n", name, s.UID, s.Addr(), s.Place)
 			}
 		}
@@ -62,17 +62,17 @@
 }
 
 func checkRandomReloads(t *testing.T, seed uint64) {
-	l := benchtest.Begin(t, twoServicesConfig, twoServerPools(5*time.Millisecond))
-	file := writeServerLists(t, l)
+	bench := benchtest.Begin(t, twoServicesConfig, twoServerPools(5*time.Millisecond))
+	file := writeServerLists(t, bench)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	load := startReloadLoad(ctx, l.Node.Addr(), seed)
+	load := startReloadLoad(ctx, bench.Node.Addr(), seed)
 	rng := rand.New(rand.NewPCG(seed, 9))
 	for i := range 20 {
-		if err := l.Reload(randomConfig(rng, l, file)); err != nil {
+		if err := bench.Reload(randomConfig(rng, bench, file)); err != nil {
 			t.Fatalf("reload %d: %v", i, err)
 		}
-		if err := l.Reload(twoServicesConfig + "[services.c]\n"); err == nil {
+		if err := bench.Reload(twoServicesConfig + "[services.c]\n"); err == nil {
 			t.Fatal("a bad configuration was taken")
 		}
 		want := load.answers() + 100 + rng.IntN(200)
@@ -80,13 +80,13 @@
 	}
 	stop()
 	load.check(t)
-	for name, p := range l.Pools {
+	for name, p := range bench.Pools {
 		if c := p.Executions.Counts(); c.Repeated+c.DuplicateEffects > 0 || c.MaxInFlight > 1 {
 			t.Errorf("servers of %s: %+v", name, c)
 		}
 	}
-	testkit.Until(t, "what was removed has ended", func() bool { return node.RunningServices(l.Node) == len(l.Node.Status()) })
-	for _, s := range l.Node.Status() {
+	testkit.Until(t, "what was removed has ended", func() bool { return node.RunningServices(bench.Node) == len(bench.Node.Status()) })
+	for _, s := range bench.Node.Status() {
 		if s.Resources.Requests.Used != 0 || s.Resources.BufferedBytes.Used != 0 || s.Resources.Dials.Used != 0 {
 			t.Errorf("%s: something is still reserved: %+v", s.Name, *s.Resources)
 		}
@@ -94,10 +94,10 @@
 }
 
 // writeServerLists writes the servers of each pool into a file, named by the prefix that it returns and the pool.
-func writeServerLists(t *testing.T, l *testbench.Bench) (prefix string) {
+func writeServerLists(t *testing.T, bench *testbench.Bench) (prefix string) {
 	t.Helper()
 	prefix = filepath.Join(t.TempDir(), "servers-")
-	for name, p := range l.Pools {
+	for name, p := range bench.Pools {
 		var list []fake.Entry
 		for _, s := range p.Servers {
 			list = append(list, s.Entry())
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -20,23 +20,23 @@
 // A request whose body still arrives when its service is removed is served by that service,
 // which then ends; the next one on the same connection finds no route.
 func TestRemovedServiceEndsRequestWhoseBodyIsArriving(t *testing.T) {
-	l := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
-	c, in := dial(t, l)
+	bench := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
+	c, in := dial(t, bench)
 	writeRequest(c, "care.example", "/two", "id-1", "half", 8)
 	// Its head has been read once something is booked for it.
-	testkit.Until(t, "the request's head", func() bool { return l.Node.Status()[1].Resources.Requests.Used == 1 })
+	testkit.Until(t, "the request's head", func() bool { return bench.Node.Status()[1].Resources.Requests.Used == 1 })
 	without := strings.Split(twoServicesConfig, "[services.b]")[0] + "[[routes]]\nservice = \"a\"\nprefix = \"/one\"\nas = \"read\"\n"
-	if err := l.Reload(without); err != nil {
+	if err := bench.Reload(without); err != nil {
 		t.Fatal(err)
 	}
-	if n := node.RunningServices(l.Node); n != 2 {
+	if n := node.RunningServices(bench.Node); n != 2 {
 		t.Errorf("%d services run while one holds a request", n)
 	}
 	io.WriteString(c, "half")
 	if status, body := readAnswer(t, in); status != 200 || !strings.HasPrefix(body, "b") {
 		t.Errorf("%d %q", status, body)
 	}
-	testkit.Until(t, "the removed service's end", func() bool { return node.RunningServices(l.Node) == 1 })
+	testkit.Until(t, "the removed service's end", func() bool { return node.RunningServices(bench.Node) == 1 })
 	writeRequest(c, "care.example", "/two", "id-2", "whole", 5)
 	if status, body := readAnswer(t, in); status != 404 {
 		t.Errorf("%d %q", status, body)
@@ -45,38 +45,38 @@
 
 // What the module learned of servers stays when only their source moves.
 func TestReloadOfSourceKeepsServerState(t *testing.T) {
-	l := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
-	c, in := dial(t, l)
+	bench := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
+	c, in := dial(t, bench)
 	writeRequest(c, "x", "/one", "id-1", "", 0)
 	readAnswer(t, in)
-	before := l.Pools["a"].Executions.Counts().Attempts
-	second, err := fake.StartDiscovery()
+	before := bench.Pools["a"].Executions.Counts().Attempts
+	secondDiscovery, err := fake.StartDiscovery()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer second.Close()
-	second.Publish(l.Pools["a"].Servers[0].Entry()) // one of the two servers, by its uid
-	if err := l.Reload(strings.Replace(twoServicesConfig, "@a", second.Addr(), 1)); err != nil {
+	defer secondDiscovery.Close()
+	secondDiscovery.Publish(bench.Pools["a"].Servers[0].Entry()) // one of the two servers, by its uid
+	if err := bench.Reload(strings.Replace(twoServicesConfig, "@a", secondDiscovery.Addr(), 1)); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Until(t, "the new list", func() bool { return l.Node.Status()[0].AvailableServers == 1 })
-	if s := l.Node.Status()[0]; s.Restarts != 0 || node.RunningServices(l.Node) != 2 {
-		t.Errorf("%+v, %d run", s, node.RunningServices(l.Node))
+	testkit.Until(t, "the new list", func() bool { return bench.Node.Status()[0].AvailableServers == 1 })
+	if s := bench.Node.Status()[0]; s.Restarts != 0 || node.RunningServices(bench.Node) != 2 {
+		t.Errorf("%+v, %d run", s, node.RunningServices(bench.Node))
 	}
 	for i := range 5 {
 		writeRequest(c, "x", "/one", fmt.Sprint("later-", i), "", 0)
-		if status, body := readAnswer(t, in); status != 200 || !strings.HasPrefix(body, l.Pools["a"].Servers[0].UID) {
+		if status, body := readAnswer(t, in); status != 200 || !strings.HasPrefix(body, bench.Pools["a"].Servers[0].UID) {
 			t.Errorf("%d %q", status, body)
 		}
 	}
-	if n := l.Pools["a"].Executions.Counts().Attempts - before; n != 5 {
+	if n := bench.Pools["a"].Executions.Counts().Attempts - before; n != 5 {
 		t.Errorf("%d attempts", n)
 	}
 }
 
 // A reload that can't be done returns an error and changes nothing.
 func TestInvalidReloadChangesNothing(t *testing.T) {
-	l := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
+	bench := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -86,14 +86,14 @@
 		"address already in use":      strings.Replace(twoServicesConfig, `"127.0.0.1:0"`, fmt.Sprintf("%q", taken.Addr()), 1),
 		"passed no socket \"nobody\"": strings.Replace(twoServicesConfig, `"127.0.0.1:0"`, `"systemd:nobody"`, 1),
 	} {
-		if err := l.Reload(text); err == nil || !strings.Contains(err.Error(), name) {
+		if err := bench.Reload(text); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if err := l.Node.Reload(config.Config{}); err == nil {
+	if err := bench.Node.Reload(config.Config{}); err == nil {
 		t.Error("a platform's configuration was taken for one of our own")
 	}
-	c, in := dial(t, l)
+	c, in := dial(t, bench)
 	writeRequest(c, "x", "/one", "id-1", "", 0)
 	if status, _ := readAnswer(t, in); status != 200 {
 		t.Errorf("%d", status)
@@ -104,25 +104,25 @@
 // are made in another way makes them anew.
 func TestReloadKeepsConnectionsOfChangedService(t *testing.T) {
 	for change, want := range map[string]int{"attempts = 3": 1, `keepalive = "9s"`: 0} {
-		l := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
-		c, in := dial(t, l)
+		bench := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
+		c, in := dial(t, bench)
 		writeRequest(c, "x", "/one", "id-1", "", 0)
 		if status, _ := readAnswer(t, in); status != 200 {
 			t.Errorf("%d", status)
 		}
-		testkit.Until(t, "a connection", func() bool { return l.Node.Status()[0].IdleConnections == 1 })
+		testkit.Until(t, "a connection", func() bool { return bench.Node.Status()[0].IdleConnections == 1 })
 		for i := range 5 {
 			text := twoServicesConfig
 			if i%2 == 0 {
 				text = strings.Replace(twoServicesConfig, "[services.a]", "[services.a]\n"+change, 1)
 			}
-			if err := l.Reload(text); err != nil {
+			if err := bench.Reload(text); err != nil {
 				t.Fatal(err)
 			}
-			testkit.Until(t, "the end of the replaced service", func() bool { return node.RunningServices(l.Node) == 2 })
+			testkit.Until(t, "the end of the replaced service", func() bool { return node.RunningServices(bench.Node) == 2 })
 		}
 		testkit.Until(t, change, func() bool {
-			s := l.Node.Status()[0]
+			s := bench.Node.Status()[0]
 			return s.IdleConnections == want && s.Resources.Descriptors.Used == int64(want) && s.Resources.Requests.Used == 0
 		})
 		writeRequest(c, "x", "/one", "id-2", "", 0)
@@ -171,12 +171,12 @@
 
 // A configuration may grow to 500 services and 5,000 routes while the node serves.
 func TestReloadToManyServicesAndRoutes(t *testing.T) {
-	l := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
-	if err := l.Reload(manyServicesConfig(500, 5000)); err != nil {
+	bench := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
+	if err := bench.Reload(manyServicesConfig(500, 5000)); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Until(t, "all to serve", func() bool { return node.RunningServices(l.Node) == 500 })
-	c, in := dial(t, l)
+	testkit.Until(t, "all to serve", func() bool { return node.RunningServices(bench.Node) == 500 })
+	c, in := dial(t, bench)
 	writeRequest(c, "h17.example", "/p17/x", "id-1", "", 0)
 	if status, body := readAnswer(t, in); status != http.StatusServiceUnavailable && status != http.StatusBadGateway {
 		t.Errorf("%d %q from a server that nobody runs", status, body)
@@ -185,10 +185,10 @@
 	if status, _ := readAnswer(t, in); status != 404 {
 		t.Errorf("%d", status)
 	}
-	if err := l.Reload(twoServicesConfig); err != nil {
+	if err := bench.Reload(twoServicesConfig); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Until(t, "two to serve", func() bool { return node.RunningServices(l.Node) == 2 })
+	testkit.Until(t, "two to serve", func() bool { return node.RunningServices(bench.Node) == 2 })
 	writeRequest(c, "x", "/one", "id-3", "", 0)
 	if status, body := readAnswer(t, in); status != 200 {
 		t.Errorf("%d %q", status, body)
--- a/internal/node/requests_test.go
+++ b/internal/node/requests_test.go
@@ -15,7 +15,7 @@
 
 func TestRequestAndAnswerAreForwardedUnchanged(t *testing.T) {
 	r := newTestNode(t)
-	a := testkit.NewApp(t, func(w http.ResponseWriter, req *http.Request) {
+	app := testkit.NewApp(t, func(w http.ResponseWriter, req *http.Request) {
 		left, err := strconv.Atoi(strings.TrimSuffix(req.Header.Get(protocol.HeaderTimeLeft), "m"))
 		// The answer's last byte has to be there in time: the edge node waits a little less.
 		if err != nil || left < 1 || left > 7000-int(service.DeadlineMargin.Milliseconds()) {
@@ -25,7 +25,7 @@
 		w.Header().Set(protocol.HeaderQuotaUsed, "85")
 		testkit.Served(w, req)
 	})
-	r.setEndpoints(endpointOf(a, "s-1", 0))
+	r.setEndpoints(endpointOf(app, "s-1", 0))
 	post := r.newRequest(http.MethodPost, "/visit-update/a%2Fb/c", "id-1")
 	post.Body, post.ContentLength = io.NopCloser(strings.NewReader("swap")), 4
 	resp, body := r.do(post)
@@ -35,8 +35,8 @@
 	if resp.Header.Get(protocol.HeaderQuotaUsed) != "" {
 		t.Error("a report for edge nodes went to a client")
 	}
-	if want := "POST /visit-update/a%2Fb/c?account=00000000b4d65521 k-id-1 swap"; a.Requests()[0] != want {
-		t.Errorf("%q, not %q", a.Requests()[0], want)
+	if want := "POST /visit-update/a%2Fb/c?account=00000000b4d65521 k-id-1 swap"; app.Requests()[0] != want {
+		t.Errorf("%q, not %q", app.Requests()[0], want)
 	}
 }
 
@@ -51,7 +51,7 @@
 		t.Errorf("%d with no app server known", s)
 	}
 	r.setEndpoints(discovery.Endpoint{UID: "s-1", Address: "127.0.0.1:1", State: "up"})
-	r.wait("ready", r.node.isReady)
+	r.waitUntil("ready", r.node.isReady)
 	if s := health(); s != http.StatusOK {
 		t.Errorf("%d with an app server", s)
 	}
@@ -100,13 +100,13 @@
 // TestInvalidRequestsAreRejected checks that a client's error is answered as such and nothing is forwarded.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	r := newTestNode(t)
-	a := testkit.NewApp(t, testkit.Served)
-	r.setEndpoints(endpointOf(a, "s-1", 0))
+	app := testkit.NewApp(t, testkit.Served)
+	r.setEndpoints(endpointOf(app, "s-1", 0))
 	for name, tc := range invalidRequests {
 		t.Run(name, func(t *testing.T) {
-			q := r.newRequest(http.MethodPost, "/visit-update", "bad")
-			tc.change(q)
-			if resp, body := r.do(q); resp.StatusCode != tc.want {
+			req := r.newRequest(http.MethodPost, "/visit-update", "bad")
+			tc.change(req)
+			if resp, body := r.do(req); resp.StatusCode != tc.want {
 				t.Errorf("%s %q", resp.Status, body)
 			}
 		})
@@ -119,7 +119,7 @@
 	if resp, _ := r.do(withBody); resp.StatusCode != 400 {
 		t.Errorf("a GET with a body: %s", resp.Status)
 	}
-	if n := a.Count(); n > 0 {
+	if n := app.Count(); n > 0 {
 		t.Errorf("%d bad requests were sent on", n)
 	}
 	if resp, _ := r.do(r.newRequest(http.MethodPost, "/visit-update", "good")); resp.StatusCode != 200 {
@@ -130,12 +130,12 @@
 // A rejection by the decision module is answered at once, with a Retry-After.
 func TestRejectionHasRetryAfter(t *testing.T) {
 	r := newTestNode(t)
-	a := testkit.NewApp(t, testkit.Served)
-	r.setEndpoints(endpointOf(a, "s-1", 0))
+	app := testkit.NewApp(t, testkit.Served)
+	r.setEndpoints(endpointOf(app, "s-1", 0))
 	for i := range 100 {
-		q := r.newRequest(http.MethodGet, "/roster-read", "id-"+strconv.Itoa(i))
-		q.Header.Set(protocol.HeaderPlan, "basic") // a burst of 8 units
-		resp, _ := r.do(q)
+		req := r.newRequest(http.MethodGet, "/roster-read", "id-"+strconv.Itoa(i))
+		req.Header.Set(protocol.HeaderPlan, "basic") // a burst of 8 units
+		resp, _ := r.do(req)
 		if resp.StatusCode == http.StatusOK {
 			continue
 		}
@@ -143,8 +143,8 @@
 		if resp.StatusCode != http.StatusServiceUnavailable || err != nil || after <= 0 {
 			t.Errorf("%s %v", resp.Status, resp.Header)
 		}
-		if a.Count() != i {
-			t.Errorf("%d requests sent on before the first refusal of %d", a.Count(), i)
+		if app.Count() != i {
+			t.Errorf("%d requests sent on before the first refusal of %d", app.Count(), i)
 		}
 		return
 	}
--- a/internal/node/retirement.go
+++ b/internal/node/retirement.go
@@ -72,13 +72,13 @@
 	if n.retiredGenerations() < maxRetiredGenerations {
 		return nil
 	}
-	wait := n.cancelOverdueStreams()
-	end := time.Now().Add(wait)
-	wake := time.AfterFunc(wait, n.serviceEnded.Broadcast)
-	defer wake.Stop()
+	maxWait := n.cancelOverdueStreams()
+	waitUntil := time.Now().Add(maxWait)
+	timer := time.AfterFunc(maxWait, n.serviceEnded.Broadcast)
+	defer timer.Stop()
 	slog.Warn("reload waiting for retired services to end", "generations", maxRetiredGenerations, "services", len(n.retired))
 	for n.retiredGenerations() >= maxRetiredGenerations {
-		if !time.Now().Before(end) {
+		if !time.Now().Before(waitUntil) {
 			return fmt.Errorf("%d earlier generations still hold requests", maxRetiredGenerations)
 		}
 		n.serviceEnded.Wait()
@@ -91,9 +91,9 @@
 func (n *Node) cancelOverdueStreams() time.Duration {
 	longest := retiredCheckInterval // time for the cancelled ones to end
 	for _, s := range n.retired {
-		left := maxRequestTime(s.cfg) - time.Since(s.retiredAt)
-		longest = max(longest, left)
-		if left <= 0 && s.cfg.HTTP != nil && s.cancel != nil {
+		remaining := maxRequestTime(s.cfg) - time.Since(s.retiredAt)
+		longest = max(longest, remaining)
+		if remaining <= 0 && s.cfg.HTTP != nil && s.cancel != nil {
 			s.cancel()
 		}
 	}
--- a/internal/node/routing_test.go
+++ b/internal/node/routing_test.go
@@ -16,8 +16,8 @@
 // One connection may ask one service and then another, under different hosts; the same customer
 // and the same id in two services are two requests.
 func TestOneConnectionReachesSeveralServices(t *testing.T) {
-	l := benchtest.Begin(t, strings.Replace(twoServicesConfig, "service = \"b\"\nprefix = \"/two\"\nas = \"write\"", "service = \"b\"\nhost = \"b.example\"\nas = \"read\"", 1), twoServerPools(0))
-	c, in := dial(t, l)
+	bench := benchtest.Begin(t, strings.Replace(twoServicesConfig, "service = \"b\"\nprefix = \"/two\"\nas = \"write\"", "service = \"b\"\nhost = \"b.example\"\nas = \"read\"", 1), twoServerPools(0))
+	c, in := dial(t, bench)
 	for i := range 6 {
 		host, want := "a.example", "a"
 		if i%2 == 1 {
@@ -29,17 +29,17 @@
 		}
 	}
 	// At once: each service holds a request of that id.
-	for _, p := range l.Pools {
+	for _, p := range bench.Pools {
 		p.Stall(true)
 	}
-	other, otherIn := dial(t, l)
+	other, otherIn := dial(t, bench)
 	writeRequest(c, "a.example", "/one", "id-2", "", 0)
 	writeRequest(other, "b.example", "/one", "id-2", "", 0)
 	testkit.Until(t, "both in flight", func() bool {
-		s := l.Node.Status()
+		s := bench.Node.Status()
 		return s[0].Unanswered == 1 && s[1].Unanswered == 1
 	})
-	for _, p := range l.Pools {
+	for _, p := range bench.Pools {
 		p.Stall(false)
 	}
 	for _, r := range []*bufio.Reader{in, otherIn} {
@@ -51,8 +51,8 @@
 
 // Two services may share a server: each has its own connections to it.
 func TestServicesKeepOwnConnectionsToSharedServer(t *testing.T) {
-	l := benchtest.Begin(t, strings.Replace(twoServicesConfig, "@b", "@a", 1), twoServerPools(0))
-	c, in := dial(t, l)
+	bench := benchtest.Begin(t, strings.Replace(twoServicesConfig, "@b", "@a", 1), twoServerPools(0))
+	c, in := dial(t, bench)
 	for i, path := range []string{"/one", "/two", "/one", "/two"} {
 		length := i % 2
 		writeRequest(c, "x", path, fmt.Sprint("id-", i), strings.Repeat("x", length), length)
@@ -60,7 +60,7 @@
 			t.Errorf("%s: %d %q", path, status, body)
 		}
 	}
-	for _, s := range l.Node.Status() {
+	for _, s := range bench.Node.Status() {
 		if s.IdleConnections < 1 || s.Resources.Descriptors.Used != int64(s.IdleConnections) {
 			t.Errorf("%s has %d idle connections and %d booked", s.Name, s.IdleConnections, s.Resources.Descriptors.Used)
 		}
@@ -69,14 +69,14 @@
 
 // A request whose path or host is ambiguous is rejected and reaches no service.
 func TestAmbiguousRequestTargetsAreRejected(t *testing.T) {
-	l := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
+	bench := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
 	for target, want := range map[string]int{
 		"/one": 200, "/one/": 200, "/one;v=1": 200, "/on%65": 200, "http://care.example/one": 200, "HTTP://CARE.EXAMPLE:1/one": 200,
 		"/onex": 404, "/": 404, "/ONE": 404,
 		"/one/../two": 400, "/one/%2e%2e/two": 400, "/one/..;/two": 400, "/two%2f..%2fone": 400, "//one": 400, "/one//x": 400, "/one%00": 400,
 		"/one\\x": 400, "/one#x": 400, "*": 400, "ftp://care.example/one": 400, "http://u@care.example/one": 400, "http://a..b/one": 400,
 	} {
-		c, in := dial(t, l)
+		c, in := dial(t, bench)
 		sep := "?"
 		fmt.Fprintf(c, "GET %s%saccount=0000000000000001 HTTP/1.1\r\nHost: care.example\r\nX-Correlation-Id: x\r\nX-Tariff: standard\r\nX-Time-Left: 5000m\r\n\r\n",
 			target, sep)
@@ -84,7 +84,7 @@
 			t.Errorf("%s: %d %q, not %d", target, status, body, want)
 		}
 	}
-	for name, p := range l.Pools {
+	for name, p := range bench.Pools {
 		if n := p.Executions.Counts().Attempts; name == "a" && n != 6 || name == "b" && n != 0 {
 			t.Errorf("%d requests reached %s", n, name)
 		}
@@ -103,63 +103,63 @@
 func checkPanicPolicy(t *testing.T, policy string) {
 	text := strings.ReplaceAll(twoServicesConfig, "[services.", "[services.\x00")
 	text = strings.Replace(text, "[services.\x00a]\n", "[services.a]\non_panic = \""+policy+"\"\n", 1)
-	l, err := testbench.Start(strings.ReplaceAll(text, "\x00", ""), twoServerPools(0))
+	bench, err := testbench.Start(strings.ReplaceAll(text, "\x00", ""), twoServerPools(0))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() {
-		if err := l.Stop(); (err != nil) != (policy == "end") {
+		if err := bench.Stop(); (err != nil) != (policy == "end") {
 			t.Error(err)
 		}
 	}()
-	testkit.Until(t, "ready", func() bool { s := l.Node.Status(); return s[0].Ready && s[1].Ready })
-	l.Pools["a"].Stall(true)
-	c, in := dial(t, l)
+	testkit.Until(t, "ready", func() bool { s := bench.Node.Status(); return s[0].Ready && s[1].Ready })
+	bench.Pools["a"].Stall(true)
+	c, in := dial(t, bench)
 	writeRequest(c, "x", "/one", "held", "", 0)
-	testkit.Until(t, "the request in flight", func() bool { return l.Node.Status()[0].AttemptsInFlight == 1 })
-	node.PanicNext(l.Node, "a")
+	testkit.Until(t, "the request in flight", func() bool { return bench.Node.Status()[0].AttemptsInFlight == 1 })
+	node.PanicNext(bench.Node, "a")
 	if status, _ := readAnswer(t, in); status != http.StatusBadGateway {
 		t.Errorf("the request in flight: %d", status)
 	}
-	l.Pools["a"].Stall(false)
+	bench.Pools["a"].Stall(false)
 	if policy == "end" {
-		if err := l.Stop(); err == nil || !strings.Contains(err.Error(), "no such share") {
+		if err := bench.Stop(); err == nil || !strings.Contains(err.Error(), "no such share") {
 			t.Errorf("ended with %v", err)
 		}
 		return
 	}
-	other, otherIn := dial(t, l)
+	other, otherIn := dial(t, bench)
 	writeRequest(other, "x", "/two", "other", "x", 1)
 	if status, _ := readAnswer(t, otherIn); status != 200 {
 		t.Errorf("the other service: %d", status)
 	}
-	testkit.Until(t, "the new start", func() bool { s := l.Node.Status()[0]; return s.Restarts == 1 && s.AvailableServers == 2 })
+	testkit.Until(t, "the new start", func() bool { s := bench.Node.Status()[0]; return s.Restarts == 1 && s.AvailableServers == 2 })
 	writeRequest(c, "x", "/one", "after", "", 0)
 	if status, body := readAnswer(t, in); status != 200 {
 		t.Errorf("after the new start: %d %q", status, body)
 	}
-	if s := l.Node.Status()[0]; s.Resources.Requests.Used > 1 {
+	if s := bench.Node.Status()[0]; s.Resources.Requests.Used > 1 {
 		t.Errorf("still booked: %+v", *s.Resources)
 	}
 }
 
 // A server that drains, by its list, gets nothing new, whichever source tells so.
 func TestDrainingServerOfDiscoveryGetsNoRequests(t *testing.T) {
-	l := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
-	c, in := dial(t, l)
-	drains := l.Pools["a"].Servers[0]
-	e := drains.Entry()
-	e.State = "draining"
-	l.Pools["a"].Discovery.Publish(e)
-	testkit.Until(t, "the news", func() bool { return l.Node.Status()[0].AvailableServers == 1 })
-	drains.Drain(0)
+	bench := benchtest.Begin(t, twoServicesConfig, twoServerPools(0))
+	c, in := dial(t, bench)
+	draining := bench.Pools["a"].Servers[0]
+	entry := draining.Entry()
+	entry.State = "draining"
+	bench.Pools["a"].Discovery.Publish(entry)
+	testkit.Until(t, "the news", func() bool { return bench.Node.Status()[0].AvailableServers == 1 })
+	draining.Drain(0)
 	for i := range 20 {
 		writeRequest(c, "x", "/one", fmt.Sprint("id-", i), "", 0)
 		if status, body := readAnswer(t, in); status != 200 {
 			t.Errorf("%d %q", status, body)
 		}
 	}
-	if n := drains.LateRequests(); n > 0 {
+	if n := draining.LateRequests(); n > 0 {
 		t.Errorf("%d requests came to the one that drains", n)
 	}
 }
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -82,16 +82,16 @@
 	slog.Info("draining") // each answer from here on closes its connection
 	n.mu.Lock()
 	startedAt := time.Now()
-	times := n.cfg.Process.Drain
+	schedule := n.cfg.Process.Drain
 	n.mu.Unlock()
 	steps := []struct {
 		at  time.Duration // since the drain has started
 		run func()
 	}{
-		{times.Idle, n.front.CloseWhenIdle},
-		{times.Accept, func() {
+		{schedule.Idle, n.front.CloseWhenIdle},
+		{schedule.Accept, func() {
 			n.drainListeners()
-			n.awaitDisconnected(times.Max - times.Accept)
+			n.awaitDisconnected(schedule.Max - schedule.Accept)
 		}},
 	}
 	for _, step := range steps {
--- a/internal/node/servers_test.go
+++ b/internal/node/servers_test.go
@@ -16,13 +16,13 @@
 func TestIdempotentRequestIsRetriedWithinItsGroup(t *testing.T) {
 	r := newTestNode(t)
 	fails := true
-	serve := func(w http.ResponseWriter, q *http.Request) {
+	serve := func(w http.ResponseWriter, req *http.Request) {
 		if fails {
 			fails = false
-			testkit.Reset(w, q)
+			testkit.Reset(w, req)
 			return
 		}
-		testkit.Served(w, q)
+		testkit.Served(w, req)
 	}
 	a, b := testkit.NewApp(t, serve), testkit.NewApp(t, serve)
 	r.setEndpoints(endpointOf(a, "s-1", 0), endpointOf(b, "s-2", 1))
@@ -53,18 +53,18 @@
 			t.Parallel()
 			r := newTestNode(t)
 			gone := make(chan struct{})
-			a := testkit.NewApp(t, func(_ http.ResponseWriter, q *http.Request) {
-				<-q.Context().Done()
+			app := testkit.NewApp(t, func(_ http.ResponseWriter, req *http.Request) {
+				<-req.Context().Done()
 				close(gone)
 			})
-			r.setEndpoints(endpointOf(a, "s-1", 0))
-			q := r.newRequest(tc.method, class, "id-1")
-			q.Header.Set(protocol.HeaderTimeLeft, "600000u")
-			if resp, _ := r.do(q); resp.StatusCode != tc.want {
+			r.setEndpoints(endpointOf(app, "s-1", 0))
+			req := r.newRequest(tc.method, class, "id-1")
+			req.Header.Set(protocol.HeaderTimeLeft, "600000u")
+			if resp, _ := r.do(req); resp.StatusCode != tc.want {
 				t.Errorf("%s", resp.Status)
 			}
 			testkit.Next(t, gone)
-			if n := a.Count(); n != 1 {
+			if n := app.Count(); n != 1 {
 				t.Errorf("%d attempts", n)
 			}
 		})
@@ -75,12 +75,12 @@
 func TestClientDisconnectFreesRequestID(t *testing.T) {
 	r := newTestNode(t)
 	arrived, finish := make(chan struct{}), make(chan struct{})
-	a := testkit.NewApp(t, func(w http.ResponseWriter, q *http.Request) {
+	app := testkit.NewApp(t, func(w http.ResponseWriter, req *http.Request) {
 		arrived <- struct{}{}
 		<-finish
-		testkit.Served(w, q)
+		testkit.Served(w, req)
 	})
-	r.setEndpoints(endpointOf(a, "s-1", 0))
+	r.setEndpoints(endpointOf(app, "s-1", 0))
 	ctx, leave := context.WithCancel(context.Background())
 	left := make(chan error, 1)
 	go func() {
@@ -98,9 +98,9 @@
 	if err := testkit.Next(t, left); err == nil {
 		t.Error("the client got an answer")
 	}
-	r.wait("the hang-up", func() bool { s := r.status(); return s.Requests == 1 && s.Unanswered == 0 })
+	r.waitUntil("the hang-up", func() bool { s := r.status(); return s.Requests == 1 && s.Unanswered == 0 })
 	close(finish)
-	r.wait("the attempt's end", func() bool { return r.status().Requests == 0 })
+	r.waitUntil("the attempt's end", func() bool { return r.status().Requests == 0 })
 	go func() { <-arrived }()
 	if resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1")); resp.StatusCode != 200 {
 		t.Errorf("a free id: %s", resp.Status)
@@ -114,9 +114,9 @@
 	b := testkit.NewApp(t, testkit.Served)
 	r.setEndpoints(endpointOf(a, "s-1", 0))
 	r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1"))
-	drains := endpointOf(a, "s-1", 0)
-	drains.State = "draining"
-	r.setEndpoints(drains, endpointOf(b, "s-2", 0))
+	draining := endpointOf(a, "s-1", 0)
+	draining.State = "draining"
+	r.setEndpoints(draining, endpointOf(b, "s-2", 0))
 	for i := range 20 {
 		if resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "later-"+strconv.Itoa(i))); resp.StatusCode != 200 {
 			t.Errorf("%s", resp.Status)
@@ -148,20 +148,20 @@
 func TestReusedAddressGetsNewConnections(t *testing.T) {
 	r := newTestNode(t)
 	var mu sync.Mutex
-	from := make(map[string]string)
+	clientAddress := make(map[string]string)
 	arrived, finish := make(chan struct{}), make(chan struct{})
-	a := testkit.NewApp(t, func(w http.ResponseWriter, q *http.Request) {
-		id := q.Header.Get(protocol.HeaderID)
+	app := testkit.NewApp(t, func(w http.ResponseWriter, req *http.Request) {
+		id := req.Header.Get(protocol.HeaderID)
 		mu.Lock()
-		from[id] = q.RemoteAddr
+		clientAddress[id] = req.RemoteAddr
 		mu.Unlock()
 		if id == "held" {
 			close(arrived)
 			<-finish
 		}
-		testkit.Served(w, q)
+		testkit.Served(w, req)
 	})
-	r.setEndpoints(endpointOf(a, "s-1", 0))
+	r.setEndpoints(endpointOf(app, "s-1", 0))
 	answered := make(chan int, 1)
 	go func() {
 		resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "held"))
@@ -169,16 +169,16 @@
 	}()
 	testkit.Next(t, arrived)
 	r.do(r.newRequest(http.MethodGet, "/roster-read", "before"))
-	gone := endpointOf(a, "s-1", 0)
-	gone.State = "removed"
-	r.setEndpoints(gone, endpointOf(a, "s-2", 0))
+	removed := endpointOf(app, "s-1", 0)
+	removed.State = "removed"
+	r.setEndpoints(removed, endpointOf(app, "s-2", 0))
 	close(finish)
 	if s := testkit.Next(t, answered); s != 200 {
 		t.Errorf("the request in flight: %d", s)
 	}
-	r.wait("the attempt's end", func() bool { return r.status().Requests == 0 })
+	r.waitUntil("the attempt's end", func() bool { return r.status().Requests == 0 })
 	r.do(r.newRequest(http.MethodGet, "/roster-read", "after"))
-	if from["after"] == from["before"] || from["after"] == from["held"] {
+	if clientAddress["after"] == clientAddress["before"] || clientAddress["after"] == clientAddress["held"] {
 		t.Error("a connection to the one that has gone was used")
 	}
 }
@@ -186,19 +186,19 @@
 // The node keeps nothing of app servers that have come and gone.
 func TestRemovedServersLeaveNoState(t *testing.T) {
 	r := newTestNode(t)
-	a := testkit.NewApp(t, testkit.Served)
+	app := testkit.NewApp(t, testkit.Served)
 	for i := range 50 {
-		up := endpointOf(a, "s-"+strconv.Itoa(i), 0)
+		up := endpointOf(app, "s-"+strconv.Itoa(i), 0)
 		r.setEndpoints(up)
 		resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-"+strconv.Itoa(i)))
 		if resp.StatusCode != 200 {
 			t.Errorf("%s", resp.Status)
 		}
-		r.wait("one app server", func() bool { s := r.status(); return s.Servers == 1 && s.AvailableServers == 1 })
+		r.waitUntil("one app server", func() bool { s := r.status(); return s.Servers == 1 && s.AvailableServers == 1 })
 		up.State = "removed"
 		r.setEndpoints(up)
 	}
-	r.wait("none", func() bool { s := r.status(); return s.Servers == 0 && s.AvailableServers == 0 })
+	r.waitUntil("none", func() bool { s := r.status(); return s.Servers == 0 && s.AvailableServers == 0 })
 	if idle, pools := r.service().Upstream().CountIdle(); idle != 0 || pools != 0 {
 		t.Errorf("%d pools, %d connections", pools, idle)
 	}
--- a/internal/node/services.go
+++ b/internal/node/services.go
@@ -60,8 +60,8 @@
 }
 
 // discardServices releases services that were made and will not run.
-func (n *Node) discardServices(made map[string]*runningService) {
-	for name, s := range made {
+func (n *Node) discardServices(prepared map[string]*runningService) {
+	for name, s := range prepared {
 		if current := n.services[name]; current == nil || current.Service != s.Service {
 			s.account.release()
 		}
--- a/internal/node/shared_hard_limits_test.go
+++ b/internal/node/shared_hard_limits_test.go
@@ -17,30 +17,30 @@
 )
 
 // sharedFleet is nodes that share an enterprise customer's ceiling by counters.
-type sharedFleet struct {
+type nodeGroup struct {
 	nodes       []*testbench.Bench
 	firstStore  *redistest.Server // the first of counters
 	hardLimit   *fake.HardLimitMonitor
 	configs     []string
-	allowed     quotalease.HardLimit
+	bound       quotalease.HardLimit
 	unitsServed func() float64
 	stores      []*redistest.Server
 }
 
 // startSharedFleet starts nodes with a lease store; from each number in counters on, nodes use another store.
-func startSharedFleet(t *testing.T, nodes int, counters ...int) *sharedFleet {
+func startNodeGroup(t *testing.T, nodes int, storeBoundaries ...int) *nodeGroup {
 	t.Helper()
 	const rate, burst = 100, 50
 	rules := quotalease.Rules{Instances: nodes, Term: 200 * time.Millisecond, ReservationTime: 400 * time.Millisecond, ResizeTime: 500 * time.Millisecond, MaxDrift: 0.001}
-	f := &sharedFleet{allowed: rules.Bound(quotalease.HardLimit{Rate: rate, Burst: burst})}
-	f.hardLimit = &fake.HardLimitMonitor{Rate: f.allowed.Rate, Burst: f.allowed.Burst}
+	f := &nodeGroup{bound: rules.Bound(quotalease.HardLimit{Rate: rate, Burst: burst})}
+	f.hardLimit = &fake.HardLimitMonitor{Rate: f.bound.Rate, Burst: f.bound.Burst}
 	f.unitsServed = func() float64 { _, units := f.hardLimit.MaxExcess(); return units }
 	app, err := fake.Server{UID: "s", HardLimit: f.hardLimit}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(app.Close)
-	for range 1 + len(counters) {
+	for range 1 + len(storeBoundaries) {
 		c, err := redistest.Start()
 		if err != nil {
 			t.Fatal(err)
@@ -50,10 +50,10 @@
 	}
 	f.firstStore = f.stores[0]
 	for i := range nodes {
-		at := 0
-		for k, first := range counters {
+		storeIndex := 0
+		for k, first := range storeBoundaries {
 			if i >= first {
-				at = k + 1
+				storeIndex = k + 1
 			}
 		}
 		text := strings.Replace(configHeader, "[process]\n", fmt.Sprintf("[process]\ninstances = %d\ninstance = %d\n", nodes, i), 1) + fmt.Sprintf(`[plans.enterprise]
@@ -70,7 +70,7 @@
 service = "a"
 prefix = "/"
 as = "read"
-`, rate, burst, f.stores[at].Addr(), app.Addr())
+`, rate, burst, f.stores[storeIndex].Addr(), app.Addr())
 		f.configs = append(f.configs, text)
 		f.nodes = append(f.nodes, benchtest.Begin(t, text, nil))
 	}
@@ -78,7 +78,7 @@
 }
 
 // startLoad has one customer request far more than its hard limit through all nodes, until the test ends.
-func (f *sharedFleet) startLoad(t *testing.T) {
+func (f *nodeGroup) startLoad(t *testing.T) {
 	addrs := make([]string, len(f.nodes))
 	for i, n := range f.nodes {
 		addrs[i] = n.Node.Addr()
@@ -97,26 +97,26 @@
 			t.Errorf("%+v", *r)
 		}
 		worst, units := f.hardLimit.MaxExcess()
-		if t.Logf("%.0f units; nearest to the bound of %.0f and %.0f a second: %.1f beyond", units, f.allowed.Burst, f.allowed.Rate, worst); worst > 0 {
+		if t.Logf("%.0f units; nearest to the bound of %.0f and %.0f a second: %.1f beyond", units, f.bound.Burst, f.bound.Rate, worst); worst > 0 {
 			t.Errorf("%.1f units beyond the bound", worst)
 		}
 	})
 }
 
 // awaitUnits waits until the servers have had more units.
-func (f *sharedFleet) awaitUnits(t *testing.T, units float64) {
+func (f *nodeGroup) awaitUnits(t *testing.T, units float64) {
 	t.Helper()
 	want := f.unitsServed() + units
 	testkit.Until(t, fmt.Sprint(units, " units more"), func() bool { return f.unitsServed() >= want })
 }
 
 // awaitStatus waits until each node tells that of shared ceilings.
-func (f *sharedFleet) awaitStatus(t *testing.T, what string, is func(quotalease.Status) bool) {
+func (f *nodeGroup) awaitStatus(t *testing.T, event string, condition func(quotalease.Status) bool) {
 	t.Helper()
-	testkit.Until(t, what, func() bool {
+	testkit.Until(t, event, func() bool {
 		for _, n := range f.nodes {
 			for _, s := range n.Node.Status()[0].HardLimits {
-				if !is(s.Status) {
+				if !condition(s.Status) {
 					return false
 				}
 			}
@@ -133,7 +133,7 @@
 // being served: by lent units, or by the nodes' own parts.
 func TestSharedHardLimitHoldsOverStoreFaults(t *testing.T) {
 	t.Parallel()
-	f := startSharedFleet(t, 6)
+	f := startNodeGroup(t, 6)
 	f.startLoad(t)
 	f.awaitStatus(t, "a counter that lends", leasesUnits)
 	f.awaitUnits(t, 100)
@@ -168,7 +168,7 @@
 // of its own nodes.
 func TestSharedHardLimitHoldsWhileStoresAreSplit(t *testing.T) {
 	t.Parallel()
-	f := startSharedFleet(t, 6, 3)
+	f := startNodeGroup(t, 6, 3)
 	f.startLoad(t)
 	f.awaitStatus(t, "counters that lend", leasesUnits)
 	f.awaitUnits(t, 200)
@@ -183,7 +183,7 @@
 // node only has all of it.
 func TestSharedHardLimitHoldsOverReloads(t *testing.T) {
 	t.Parallel()
-	f := startSharedFleet(t, 4, 4) // the second counter is nobody's yet
+	f := startNodeGroup(t, 4, 4) // the second counter is nobody's yet
 	f.startLoad(t)
 	f.awaitStatus(t, "a counter that lends", leasesUnits)
 	for i := range 6 {
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -46,12 +46,12 @@
 // returned is what it left; nil where that is not known.
 func (n *Node) Rejoin(returned *state.Checkpoint) {
 	for name, s := range n.currentServices() {
-		var left *service.State
+		var returnedState *service.State
 		if returned != nil {
 			if captured, ok := returned.Services[name]; ok {
-				left = &captured
+				returnedState = &captured
 			}
 		}
-		s.Rejoin(left)
+		s.Rejoin(returnedState)
 	}
 }
