--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -44,11 +44,11 @@
 	app := testkit.NewApp(t, func(http.ResponseWriter, *http.Request) {})
 	r.setEndpoints(endpointOf(app, "s-1", 0))
 	if resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1")); resp.StatusCode != http.StatusOK {
-		t.Errorf("status %d behind errors of accept", resp.StatusCode)
+		t.Errorf("status %d after errors of accept, want 200", resp.StatusCode)
 	}
 	select {
 	case err := <-r.ended:
-		t.Errorf("the node has ended: %v", err)
+		t.Errorf("the node has ended after errors of accept: %v", err)
 	default:
 	}
 }
@@ -129,11 +129,11 @@
 	request := r.newRequest(http.MethodGet, "/roster-read", "id-1")
 	request.Header.Set(protocol.HeaderTimeLeft, "1000m")
 	if resp, _ := r.do(request); resp.StatusCode != http.StatusOK {
-		t.Errorf("status %d", resp.StatusCode)
+		t.Errorf("status %d, want 200", resp.StatusCode)
 	}
 	text := testkit.Next(t, results)
 	left, err := time.ParseDuration(text + "s")
 	if err != nil || left > time.Second-queued+50*time.Millisecond || left < 100*time.Millisecond {
-		t.Errorf("%q are left of 1000m after %v in the queue (%v)", text, queued, err)
+		t.Errorf("the server was told that %q of 1000m are left after %v in the accept queue (parse error %v)", text, queued, err)
 	}
 }
--- a/internal/node/client_connections_test.go
+++ b/internal/node/client_connections_test.go
@@ -32,7 +32,7 @@
 		c.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 		io.WriteString(c, "GET /healthz HTTP/1.1\r\nHost: n\r\n\r\n")
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
-			t.Fatalf("%v, %v", resp, err)
+			t.Fatalf("/healthz: answer %v, error %v, want 200", resp, err)
 		}
 	}
 }
@@ -57,7 +57,7 @@
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
 			if ne := net.Error(nil); errors.As(err, &ne) && ne.Timeout() {
-				t.Fatalf("the connection stays open after %v", got)
+				t.Fatalf("the connection is still open after answers %v", got)
 			}
 			return got
 		}
@@ -80,25 +80,25 @@
 		text string
 		want int
 	}{
-		"length and chunks": {post + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + smuggled, 411},
-		"chunks and length": {post + "Transfer-Encoding: chunked\r\nContent-Length: " + strconv.Itoa(5+len(smuggled)) + "\r\n\r\n0\r\n\r\n" + smuggled, 411},
-		"chunks":            {post + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + smuggled, 411},
-		"two lengths":       {post + "Content-Length: 5\r\nContent-Length: 0\r\n\r\n" + smuggled, 400},
-		"negative length":   {post + "Content-Length: -1\r\n\r\n" + smuggled, 400},
-		"huge length":       {post + "Content-Length: 60000000\r\n\r\n" + smuggled, 413},
-		"no length at all":  {post + "Content-Length: 99999999999999999999\r\n\r\n" + smuggled, 400},
-		"no head":           {"\x00\x01 noise\r\n\r\n" + smuggled, 400},
+		"length and chunks":  {post + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + smuggled, 411},
+		"chunks and length":  {post + "Transfer-Encoding: chunked\r\nContent-Length: " + strconv.Itoa(5+len(smuggled)) + "\r\n\r\n0\r\n\r\n" + smuggled, 411},
+		"chunks":             {post + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + smuggled, 411},
+		"two lengths":        {post + "Content-Length: 5\r\nContent-Length: 0\r\n\r\n" + smuggled, 400},
+		"negative length":    {post + "Content-Length: -1\r\n\r\n" + smuggled, 400},
+		"huge length":        {post + "Content-Length: 60000000\r\n\r\n" + smuggled, 413},
+		"overflowing length": {post + "Content-Length: 99999999999999999999\r\n\r\n" + smuggled, 400},
+		"no head":            {"\x00\x01 noise\r\n\r\n" + smuggled, 400},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := r.dial()
 			io.WriteString(c, tc.text)
 			if got := readStatuses(t, c); len(got) != 1 || got[0] != tc.want {
-				t.Errorf("answered %v", got)
+				t.Errorf("statuses of the answers: %v, want one answer", got)
 			}
 		})
 	}
 	if n := app.Count(); n > 0 {
-		t.Errorf("sent on: %q", app.Requests())
+		t.Errorf("forwarded to the app server: %q", app.Requests())
 	}
 }
 
@@ -117,10 +117,10 @@
 		c := r.dial()
 		io.WriteString(c, strings.Replace("GET /roster-read?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\nConnection: close\r\n"+validHeaders+"\r\n", "raw", "after-"+strconv.Itoa(id), 1))
 		if got := readStatuses(t, c); len(got) != 1 || got[0] != 200 {
-			t.Errorf("answered %v", got)
+			t.Errorf("statuses of the answers: %v, want one answer", got)
 		}
 	}
 	if s := r.status(); s.IdleConnections != app.Dials() {
-		t.Errorf("%d connections to the app server were made, and %d are left: given up for silent clients", app.Dials(), s.IdleConnections)
+		t.Errorf("%d connections to the app server were opened and %d are idle: others were closed for silent clients", app.Dials(), s.IdleConnections)
 	}
 }
--- a/internal/node/drain_requests_test.go
+++ b/internal/node/drain_requests_test.go
@@ -30,14 +30,14 @@
 	r.stop()
 	r.waitUntil("draining", r.isDraining)
 	if resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "")); resp.StatusCode != 400 || !resp.Close {
-		t.Errorf("a bad request: %s, close %v", resp.Status, resp.Close)
+		t.Errorf("invalid request while draining: %s, close %v, want 400 and close", resp.Status, resp.Close)
 	}
 	go send("after")
 	testkit.Next(t, arrived)
 	close(finish)
 	for range 2 {
 		if resp := testkit.Next(t, answers); resp.StatusCode != 200 || !resp.Close {
-			t.Errorf("%s, close %v", resp.Status, resp.Close)
+			t.Errorf("valid request while draining: %s, close %v, want 200 and close", resp.Status, resp.Close)
 		}
 	}
 	if err := testkit.Next(t, r.ended); err != nil {
@@ -46,7 +46,7 @@
 	r.ended <- nil
 	if c, err := net.Dial("tcp", r.node.Addr()); err == nil {
 		c.Close()
-		t.Error("still listening")
+		t.Error("the node still listens after its end")
 	}
 }
 
@@ -57,7 +57,7 @@
 	answered := r.holdRequest()
 	r.stop()
 	if s := testkit.Next(t, answered); s != http.StatusBadGateway {
-		t.Errorf("%d", s)
+		t.Errorf("unanswered request: status %d, want 502", s)
 	}
 	if err := testkit.Next(t, r.ended); err != nil {
 		t.Error(err)
--- a/internal/node/drain_steps_test.go
+++ b/internal/node/drain_steps_test.go
@@ -70,7 +70,7 @@
 	}
 	for _, effect := range []string{"free", "guarded", "single_shot"} {
 		for _, ms := range []int{1, 50, 99, 250, 400, 1500, 3000, 7500} {
-			for _, client := range []string{"none", "silent", "half a head", "half a body", "takes no answer", "takes its answer late", "asks late"} {
+			for _, client := range []string{"none", "silent", "partial head", "partial body", "reads no answer", "reads its answer late", "sends its request late"} {
 				c := drainCase{effect, ms, client}
 				t.Run(fmt.Sprintf("%s %d ms %s", effect, ms, client), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) { c.check(t, string(raw)) })
@@ -107,7 +107,7 @@
 		conn.Close()
 	}
 	if elapsed, killAfter := time.Since(startedAt), min(time.Duration(c.deadlineMs)*time.Millisecond, 3*time.Second)+700*time.Millisecond; elapsed >= killAfter {
-		t.Errorf("it took %v, and SIGKILL may come after %v", elapsed, killAfter)
+		t.Errorf("the drain took %v, and SIGKILL may be sent after %v", elapsed, killAfter)
 	}
 	if c.readsAnswerLate() {
 		<-answered
@@ -120,13 +120,13 @@
 // request returns what the client sends and when, counted from the start of the drain.
 func (c drainCase) request(drain config.Drain) (text string, at time.Duration) {
 	switch c.client {
-	case "half a head":
+	case "partial head":
 		return healthzRequest[:20], 0
-	case "half a body":
+	case "partial body":
 		return partialBodyRequest, 0
-	case "takes no answer", "takes its answer late":
+	case "reads no answer", "reads its answer late":
 		return healthzRequest, drain.Max - time.Millisecond
-	case "asks late":
+	case "sends its request late":
 		return healthzRequest, drain.Max + finalAnswerTime/2
 	}
 	return "", drain.Max - time.Millisecond
@@ -154,7 +154,7 @@
 			defer close(answered)
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
-				t.Errorf("%v, %v", resp, err)
+				t.Errorf("late client: answer %v, error %v, want 503 and close", resp, err)
 			}
 		})
 	})
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -36,7 +36,7 @@
 	r.run()
 	for i, c := range clients {
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-			t.Fatalf("client %d: %v, %v", i, resp, err)
+			t.Fatalf("client %d: answer %v, error %v, want 503", i, resp, err)
 		}
 	}
 	if err := testkit.Next(t, r.ended); err != nil {
@@ -45,7 +45,7 @@
 	r.ended <- nil
 	if c, err := net.Dial("tcp", r.node.Addr()); err == nil {
 		c.Close()
-		t.Error("still listening")
+		t.Error("the node still listens after its end")
 	}
 }
 
@@ -68,11 +68,11 @@
 	}
 	r.stop()
 	if s := testkit.Next(t, answered); s != http.StatusBadGateway {
-		t.Errorf("the request in flight: %d", s)
+		t.Errorf("request in flight: status %d, want 502", s)
 	}
 	for i, c := range waiting {
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-			t.Errorf("client %d: %v, %v", i, resp, err)
+			t.Errorf("client %d: answer %v, error %v, want 503", i, resp, err)
 		}
 	}
 	if err := testkit.Next(t, r.ended); err != nil {
@@ -112,12 +112,12 @@
 	l.drain()
 	l.drain()
 	if c, err := l.Accept(); err != nil {
-		t.Errorf("one that waits: %v", err)
+		t.Errorf("accepting the pending connection: %v", err)
 	} else {
 		c.Close()
 	}
 	if c, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("none that waits: %v, %v", c, err)
+		t.Errorf("accepting from an empty queue: connection %v, error %v, want net.ErrClosed", c, err)
 	}
 }
 
@@ -165,17 +165,17 @@
 	}
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil || resp.StatusCode != 200 || resp.Close == p.answerStarted {
-		t.Fatalf("%v, %v", resp, err)
+		t.Fatalf("first answer %v, error %v, want 200", resp, err)
 	}
 	if got, err := io.ReadAll(resp.Body); err != nil || string(got) != body {
-		t.Errorf("%d bytes, %v", len(got), err)
+		t.Errorf("first answer: %d bytes of the body, error %v", len(got), err)
 	}
 	if p.answerStarted { // the second request has an answer too
 		if resp, err := http.ReadResponse(in, nil); err != nil || !resp.Close {
-			t.Errorf("%v, %v", resp, err)
+			t.Errorf("second answer %v, error %v, want close", resp, err)
 		}
 	} else if app.Count() != 1 {
-		t.Errorf("forwarded: %q", app.Requests())
+		t.Errorf("more than one request was forwarded: %q", app.Requests())
 	}
 	c.Close()
 	if err := testkit.Next(t, r.ended); err != nil {
--- a/internal/node/flood_test.go
+++ b/internal/node/flood_test.go
@@ -38,12 +38,12 @@
 	for i := range requests {
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
-			t.Fatalf("answer %d: %v", i, err)
+			t.Fatalf("reading answer %d: %v", i, err)
 		}
 		body, err := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		if err != nil || resp.StatusCode != http.StatusOK || string(body) != fmt.Sprint("id-", i) {
-			t.Fatalf("answer %d: %d %q, %v", i, resp.StatusCode, body, err)
+			t.Fatalf("answer %d: status %d, body %q, error %v", i, resp.StatusCode, body, err)
 		}
 	}
 }
@@ -100,13 +100,13 @@
 		app := testkit.NewApp(t, testkit.Served)
 		r.setEndpoints(endpointOf(app, "s-1", 0))
 		if status := requestHealth(t, dialTo(t, r.node.Addr())); status != http.StatusOK {
-			t.Errorf("ready: %d", status)
+			t.Errorf("health check: status %d, want 200", status)
 		}
 		if resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1")); resp.StatusCode != http.StatusOK {
-			t.Errorf("a request: %d", resp.StatusCode)
+			t.Errorf("request: status %d, want 200", resp.StatusCode)
 		}
 		if elapsed := time.Since(startedAt); elapsed > maxReadyTime {
-			t.Errorf("ready after %v", elapsed)
+			t.Errorf("the node was ready only after %v", elapsed)
 		}
 		r.stop()
 		if err := testkit.Next(t, r.ended); err != nil {
--- a/internal/node/gatherers.go
+++ b/internal/node/gatherers.go
@@ -82,7 +82,7 @@
 		err = g.Model.Restore(raw, age)
 	}
 	if err != nil {
-		slog.Warn("restoring the wait policy model failed: it starts empty", "service", g.Name, "err", err)
+		slog.Warn("restoring the wait policy model failed: starting with an empty one", "service", g.Name, "err", err)
 	}
 }
 
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -80,7 +80,7 @@
 		case err := <-r.ended:
 			r.ended <- err
 		case <-time.After(testkit.WaitTimeout):
-			r.t.Error("the node did not end")
+			r.t.Error("the node did not end in time")
 		}
 	})
 }
@@ -94,7 +94,7 @@
 		r.t.Fatal(err)
 	}
 	r.agent.Lines <- string(line) + "\n"
-	testkit.Until(r.t, "the list", func() bool {
+	testkit.Until(r.t, "the new endpoint list", func() bool {
 		known := r.service().Endpoints().Revision == int64(r.revision)
 		if known {
 			r.status() // waits until the event loop has handled all earlier events
--- a/internal/node/http2_test.go
+++ b/internal/node/http2_test.go
@@ -69,12 +69,12 @@
 	stop()
 	s := run.Wait()["update"]
 	if s.Lost+s.Wrong > 0 || s.Served < s.Calls/2 {
-		t.Errorf("%+v", *s)
+		t.Errorf("results of the clients: %+v", *s)
 	}
 	if c := executions.Counts(); c.DuplicateEffects > 0 || c.MaxInFlight > 1 || c.Requests < s.Served {
-		t.Errorf("%+v, served %d", c, s.Served)
+		t.Errorf("executions on the servers: %+v, served %d", c, s.Served)
 	}
-	testkit.Until(t, "what was replaced has ended", func() bool { return node.RunningServices(bench.Node) == 1 })
+	testkit.Until(t, "the end of replaced services", func() bool { return node.RunningServices(bench.Node) == 1 })
 }
 
 // Upgrades servers one by one from HTTP/1.1 to HTTP/2, back, and to HTTP/2 again. Each is stopped under load and restarted
@@ -107,26 +107,26 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	run := clientsSendingUpdates(bench.Node.Addr(), 4, 16).Start(ctx)
-	testkit.Until(t, "a server that is fallen back on", func() bool { return bench.Node.Status()[0].HTTP2.FallbackServers == len(servers) })
+	testkit.Until(t, "falling back to HTTP/1.1 for all servers", func() bool { return bench.Node.Status()[0].HTTP2.FallbackServers == len(servers) })
 	for _, isHTTP2 := range []bool{true, false, true} {
 		for i, s := range servers {
 			s.Close()
 			begin(i, s.Addr(), isHTTP2)
-			testkit.Until(t, "requests as the new one speaks", func() bool {
+			testkit.Until(t, "requests to the restarted server in its protocol", func() bool {
 				one, two := servers[i].RequestsByVersion()
 				return isHTTP2 && two > 20 || !isHTTP2 && one > 20
 			})
 		}
-		testkit.Until(t, "connections as the servers speak", func() bool {
+		testkit.Until(t, "connections in the protocol of the servers", func() bool {
 			h := bench.Node.Status()[0].HTTP2
 			return isHTTP2 && h.Connections >= len(servers) && h.FallbackServers == 0 || !isHTTP2 && h.Connections == 0
 		})
 	}
 	stop()
 	if s := run.Wait()["update"]; s.Lost+s.Wrong > 0 || s.Served < s.Calls/2 {
-		t.Errorf("%+v", *s)
+		t.Errorf("results of the clients: %+v", *s)
 	}
 	if c := executions.Counts(); c.DuplicateEffects > 0 || c.MaxInFlight > 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("executions on the servers: %+v", c)
 	}
 }
--- a/internal/node/isolation_test.go
+++ b/internal/node/isolation_test.go
@@ -39,7 +39,7 @@
 	for _, s := range bench.Node.Status() {
 		t.Logf("%d descriptors, stalled %v: %s: %d requests in flight, resources %+v", descriptors, stall, s.Name, s.Requests, *s.Resources)
 		if p := s.Resources; p.Requests.Used > p.Requests.Total || p.Descriptors.Used > p.Descriptors.Total {
-			t.Errorf("%s is over the process's bounds", s.Name)
+			t.Errorf("%s uses more than the process's totals", s.Name)
 		}
 	}
 	cancel()
@@ -57,12 +57,12 @@
 	calm, stalled := runRostersBesideDocuments(t, descriptors, false), runRostersBesideDocuments(t, descriptors, true)
 	// Busy cores lower both fractions; the same threshold separates this test from the one below.
 	if calm.ServedFraction() < minIsolatedFraction || stalled.ServedFraction() < minIsolatedFraction {
-		t.Errorf("rosters served %.3f, with the documents stalled %.3f", calm.ServedFraction(), stalled.ServedFraction())
+		t.Errorf("fraction of roster calls served %.3f, and %.3f with the document servers stalled", calm.ServedFraction(), stalled.ServedFraction())
 	}
 	// Near the descriptor limit a new connection that stays silent for too long is closed, even if its busy client was
 	// about to send a request.
 	if stalled.Wrong > 0 || stalled.Lost > stalled.Calls/20 {
-		t.Errorf("%+v", *stalled)
+		t.Errorf("roster calls with the document servers stalled: %+v", *stalled)
 	}
 }
 
@@ -75,6 +75,6 @@
 func TestStalledPoolWithoutGuaranteesStarvesOtherService(t *testing.T) {
 	defer node.WithoutGuarantees()()
 	if r := runRostersBesideDocuments(t, 256, true); r.ServedFraction() > minIsolatedFraction {
-		t.Errorf("rosters served %.3f without isolation: the stalled pool does no harm", r.ServedFraction())
+		t.Errorf("fraction of roster calls served %.3f without guarantees: the stalled pool does not affect them", r.ServedFraction())
 	}
 }
--- a/internal/node/limiter.go
+++ b/internal/node/limiter.go
@@ -171,7 +171,7 @@
 		sum += amount
 	}
 	if sum > g.total {
-		return fmt.Errorf("%s: guaranteed parts of %d, more than %d", g.name, sum, g.total)
+		return fmt.Errorf("%s: guaranteed amounts add up to %d, more than the total of %d", g.name, sum, g.total)
 	}
 	return nil
 }
--- a/internal/node/limiter_test.go
+++ b/internal/node/limiter_test.go
@@ -45,15 +45,15 @@
 	bench := benchtest.Begin(t, strings.Replace(twoServicesConfig, "[process]\n", "[process]\nbytes = \"1MiB\"\n", 1), twoServerPools(0)) // enough for 8 requests
 	bench.Pools["a"].Stall(true)
 	stop := startLoad(bench, "/one", 30)
-	testkit.Until(t, "requests turned away", func() bool { return bench.Node.Status()[0].Resources.BufferedBytes.Denied > 10 })
+	testkit.Until(t, "rejected requests", func() bool { return bench.Node.Status()[0].Resources.BufferedBytes.Denied > 10 })
 	checkOtherServiceServes(t, bench)
 	a, b := bench.Node.Status()[0].Resources.BufferedBytes, bench.Node.Status()[1].Resources.BufferedBytes
 	if a.Used+b.Used > 1<<20 || a.Used <= a.Guaranteed-1<<17 {
-		t.Errorf("%+v and %+v", a, b)
+		t.Errorf("buffered bytes of service a %+v, of service b %+v", a, b)
 	}
 	bench.Pools["a"].Stall(false)
 	if r := stop(); r.Rejected == 0 || r.Lost > 0 {
-		t.Errorf("%+v", *r)
+		t.Errorf("results of the clients of service a: %+v", *r)
 	}
 }
 
@@ -63,12 +63,12 @@
 	c, in := dial(t, bench)
 	writeRequest(c, "h", "/one", "before", "", 0)
 	if status, _ := readAnswer(t, in); status != 200 {
-		t.Fatalf("%d", status)
+		t.Fatalf("status %d, want 200", status)
 	}
 	node.ChargeModuleTime(bench.Node, "a", 20*time.Second)
 	writeRequest(c, "h", "/one", "after", "", 0)
 	if status, _ := readAnswer(t, in); status != 503 {
-		t.Errorf("the one that used all: %d", status)
+		t.Errorf("service that used up the module time: status %d, want 503", status)
 	}
 	checkOtherServiceServes(t, bench)
 }
@@ -85,12 +85,12 @@
 	}
 	bench := benchtest.Begin(t, text, twoServerPools(0))
 	stop := startLoad(bench, "/one", 30)
-	testkit.Until(t, "dials refused", func() bool { return bench.Node.Status()[0].Resources.Dials.Denied > 0 })
+	testkit.Until(t, "denied dials", func() bool { return bench.Node.Status()[0].Resources.Dials.Denied > 0 })
 	if d := bench.Node.Status()[0].Resources.Dials; d.Used > d.Total-2 {
-		t.Errorf("%+v", d)
+		t.Errorf("dials of service a: %+v", d)
 	}
 	checkOtherServiceServes(t, bench)
 	if r := stop(); r.Rejected+r.Failed != r.Attempts || r.Lost > 0 {
-		t.Errorf("%+v", *r)
+		t.Errorf("results of the clients of service a: %+v", *r)
 	}
 }
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -177,7 +177,7 @@
 	}
 	l := inherited[name]
 	if l == nil {
-		return nil, fmt.Errorf("the supervisor passed no socket %q on", name)
+		return nil, fmt.Errorf("the supervisor passed no socket named %q", name)
 	}
 	return l, nil
 }
@@ -215,7 +215,7 @@
 			for _, duplicate := range files {
 				_ = duplicate.Close() // the socket itself stays open
 			}
-			return nil, fmt.Errorf("passing on the listener of %s: %w", l.configuredAddress, err)
+			return nil, fmt.Errorf("duplicating the socket of listener %s: %w", l.configuredAddress, err)
 		}
 		files[l.configuredAddress] = file
 	}
--- a/internal/node/lost_queue_log_test.go
+++ b/internal/node/lost_queue_log_test.go
@@ -56,7 +56,7 @@
 			}
 			r.ended <- nil
 			if isLogged := strings.Contains(log.String(), "with clients in its queue"); isLogged != isFull {
-				t.Errorf("logged %v: %s", isLogged, log.String())
+				t.Errorf("clients in the queue logged: %v; log: %s", isLogged, log.String())
 			}
 		})
 	}
--- a/internal/node/memory_test.go
+++ b/internal/node/memory_test.go
@@ -32,21 +32,21 @@
 				admitted = append(admitted, x)
 			}
 			if len(admitted) != maxRequests {
-				t.Errorf("%d admitted, want %d", len(admitted), maxRequests)
+				t.Errorf("%d requests admitted, want %d", len(admitted), maxRequests)
 			}
 			full := r.newRequest(http.MethodPost, "/visit-update", "full")
 			full.Body, full.ContentLength = io.NopCloser(strings.NewReader("body")), 4
 			if resp, body := r.do(full); resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
-				t.Errorf("with no memory free: %s %q", resp.Status, body)
+				t.Errorf("no memory free: %s %q, want 503 and close", resp.Status, body)
 			}
 			if n := app.Count(); n > 0 {
-				t.Errorf("%d sent on", n)
+				t.Errorf("%d requests were forwarded, want none", n)
 			}
 			for _, x := range admitted {
 				x.Release()
 			}
 			if resp, body := r.do(r.newRequest(http.MethodPost, "/visit-update", "fits")); resp.StatusCode != http.StatusOK {
-				t.Errorf("with memory free: %s %q", resp.Status, body)
+				t.Errorf("memory free: %s %q, want 200", resp.Status, body)
 			}
 		})
 	}
--- a/internal/node/model_sharing.go
+++ b/internal/node/model_sharing.go
@@ -22,7 +22,7 @@
 func newModelSharer(cfg config.GatherShare, model *waitpolicy.Model) (*modelSharer, error) {
 	password, err := readPassword(cfg.PasswordFile)
 	if err != nil {
-		return nil, fmt.Errorf("sharing: %w", err)
+		return nil, fmt.Errorf("sharing the wait policy model: %w", err)
 	}
 	options := share.Options{
 		Gatherer:   cfg.Name,
--- a/internal/node/nodelay_test.go
+++ b/internal/node/nodelay_test.go
@@ -78,7 +78,7 @@
 // Guards against small writes to clients that the kernel delays: closing the connection while received bytes are unread
 // would discard them.
 func TestClientConnectionsHaveNoDelay(t *testing.T) {
-	for name, shared := range map[string]bool{"one service": false, "services that share": true} {
+	for name, shared := range map[string]bool{"one service": false, "services with shared resources": true} {
 		t.Run(name, func(t *testing.T) {
 			cfg, err := config.LoadPlatform("../config/testdata/config.json")
 			if err != nil {
@@ -92,7 +92,7 @@
 			client := dialTo(t, listener.Addr().String())
 			requestHealth(t, client)
 			if conns, withoutNoDelay := listener.countWithoutNoDelay(t); conns != 1 || withoutNoDelay != 0 {
-				t.Errorf("of %d connections %d delay small writes", conns, withoutNoDelay)
+				t.Errorf("%d connections, %d of them without TCP_NODELAY", conns, withoutNoDelay)
 			}
 		})
 	}
--- a/internal/node/platform_settings_test.go
+++ b/internal/node/platform_settings_test.go
@@ -49,35 +49,35 @@
 		return setValue("settings/tariffs", []any{jsonObject{"name": name}})
 	}
 	for name, change := range map[string]func(jsonObject){
-		"as it is":          func(jsonObject) {},
-		"one class":         onlyIdempotent,
-		"no clients":        setValue("settings/clients", "gone"),
-		"no contract":       setValue("settings/contract", "gone"),
-		"no domain":         setValue("settings/domain", nil),
-		"no limits":         setValue("settings/limits", jsonObject{}),
-		"no zones":          func(o jsonObject) { setValue("settings/zone", "gone")(o); setValue("settings/azs", []any{})(o) },
-		"no process limits": setValue("limits", "gone"),
-		"none known":        setValue("known", "gone"),
-		"no meter":          setValue("settings/domain/meter-period", 0),
-		"figures as text": func(o jsonObject) {
+		"settings of the fixture": func(jsonObject) {},
+		"one class":               onlyIdempotent,
+		"no clients":              setValue("settings/clients", "gone"),
+		"no contract":             setValue("settings/contract", "gone"),
+		"no domain":               setValue("settings/domain", nil),
+		"no limits":               setValue("settings/limits", jsonObject{}),
+		"no zones":                func(o jsonObject) { setValue("settings/zone", "gone")(o); setValue("settings/azs", []any{})(o) },
+		"no process limits":       setValue("limits", "gone"),
+		"no cached endpoints":     setValue("known", "gone"),
+		"no meter":                setValue("settings/domain/meter-period", 0),
+		"numbers as text": func(o jsonObject) {
 			setValue("settings/domain/units-top", "4.0")(o)
 			setValue("settings/group-size", "1")(o)
 		},
-		"alone":                  setValue("settings/group-size", 1),
-		"limits in parts":        setValue("limits", jsonObject{"cores": 0.25, "memory_mb": 76.8, "sockets": json.Number("512.0")}),
-		"few sockets":            setValue("limits/sockets", 64),
-		"connections come late":  setValue("settings/limits/connect-timeout", 60000),
-		"connections idle short": setValue("settings/limits/keepalive", 1),
-		"one attempt":            setValue("settings/limits/send-cap", 1),
-		"nested unknown words":   setValue("settings/later", []any{jsonObject{"a": []any{1, "b,c d", nil, []any{}}}, nil}),
-		"a plan of blanks":       onlyPlan("Große Kunden, 50 % mehr"),
-		"a plan without figures": onlyPlan("plain"),
-		"no plans":               setValue("settings/tariffs", []any{}),
-		"a class with a slash":   prefixNames("care/plans"),
-		"a class with a plus":    prefixNames("a+b c"),
-		"a class with percents":  prefixNames("50%2F%"),
-		"a class with umlauts":   prefixNames("Übersicht;x=1?#"),
-		"a class of dots":        prefixNames(".."),
+		"alone":                      setValue("settings/group-size", 1),
+		"fractional limits":          setValue("limits", jsonObject{"cores": 0.25, "memory_mb": 76.8, "sockets": json.Number("512.0")}),
+		"few sockets":                setValue("limits/sockets", 64),
+		"long connect timeout":       setValue("settings/limits/connect-timeout", 60000),
+		"short keep-alive":           setValue("settings/limits/keepalive", 1),
+		"one attempt":                setValue("settings/limits/send-cap", 1),
+		"nested unknown settings":    setValue("settings/later", []any{jsonObject{"a": []any{1, "b,c d", nil, []any{}}}, nil}),
+		"a plan with blanks":         onlyPlan("Große Kunden, 50 % mehr"),
+		"a plan without quota":       onlyPlan("plain"),
+		"no plans":                   setValue("settings/tariffs", []any{}),
+		"a class with a slash":       prefixNames("care/plans"),
+		"a class with a plus":        prefixNames("a+b c"),
+		"a class with percent signs": prefixNames("50%2F%"),
+		"a class with umlauts":       prefixNames("Übersicht;x=1?#"),
+		"a class of dots":            prefixNames(".."),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -171,7 +171,7 @@
 		req.Header.Set(protocol.HeaderPlan, tc.plan)
 		req.Header.Set(protocol.HeaderWeight, tc.weight)
 		if resp, body := r.do(req); resp.StatusCode != tc.status {
-			t.Errorf("%s of plan %s: %s %s", tc.weight, tc.plan, resp.Status, body)
+			t.Errorf("weight %s of plan %s: %s %s", tc.weight, tc.plan, resp.Status, body)
 		}
 	}
 }
@@ -184,7 +184,7 @@
 	}
 	for name, variant := range map[string]jsonObject{
 		"no depth": {"quota-rate": 5}, "a depth below one": {"quota-rate": 5, "depth": 0.4}, "no rate": {"depth": 5}, "nothing": {},
-		"no burst": {"cap-rate": 5}, "no ceiling's rate": {"hard-burst": 5}, "huge": {"quota-rate": 1e300, "depth": 1e300, "cap-rate": 1e300, "hard-burst": 1e300, "open": 1e9},
+		"no burst": {"cap-rate": 5}, "no hard limit rate": {"hard-burst": 5}, "huge": {"quota-rate": 1e300, "depth": 1e300, "cap-rate": 1e300, "hard-burst": 1e300, "open": 1e9},
 		"tiny": {"quota-rate": 1e-300, "depth": 1e-300, "cap-rate": 1e-300, "hard-burst": 1e-300, "ceiling-slack": 1e-300},
 		"open": {"quota-rate": 0, "depth": 0, "open": 1},
 	} {
@@ -241,7 +241,7 @@
 			conn.Close()
 			all := app.Requests()
 			if got := strings.Fields(all[len(all)-1])[1]; got != path+query || resp.StatusCode != 200 {
-				t.Errorf("%s: %s went on as %s", path+query, resp.Status, got)
+				t.Errorf("target %s: %s, forwarded as %s", path+query, resp.Status, got)
 			}
 		}
 	}
@@ -261,7 +261,7 @@
 		t.Fatal(err)
 	}
 	if resp.StatusCode != http.StatusBadRequest {
-		t.Errorf("%s", resp.Status)
+		t.Errorf("OPTIONS *: %s, want 400", resp.Status)
 	}
 }
 
@@ -284,7 +284,7 @@
 		t.Helper()
 		r.revision++
 		r.agent.Lines <- strings.Replace(line, "REV", fmt.Sprint(r.revision), 1) + "\n"
-		r.waitUntil("the list", func() bool { return r.service().Endpoints().Revision == int64(r.revision) })
+		r.waitUntil("the new endpoint list", func() bool { return r.service().Endpoints().Revision == int64(r.revision) })
 		r.status()
 	}
 	wantAvailable := []int{1, 1, 1, 5, 5, 5, 5, 1}
@@ -301,11 +301,11 @@
 	} {
 		send(line)
 		if s := r.status(); s.AvailableServers != wantAvailable[i] {
-			t.Errorf("behind %s: %d up, not %d", line, s.AvailableServers, wantAvailable[i])
+			t.Errorf("after list %s: %d servers available, want %d", line, s.AvailableServers, wantAvailable[i])
 		}
 		for n := range 8 {
 			if resp, body := r.do(r.newRequest(http.MethodGet, "/roster-read", fmt.Sprint("id-", i, "-", n))); resp.StatusCode != 200 {
-				t.Errorf("behind %s: %s %s", line, resp.Status, body)
+				t.Errorf("after list %s: %s %s", line, resp.Status, body)
 			}
 		}
 	}
--- a/internal/node/queue_time_test.go
+++ b/internal/node/queue_time_test.go
@@ -60,14 +60,14 @@
 	// The answer is read before the connection is closed, because a request whose client disconnects is cancelled and
 	// stays in flight for a while.
 	if resp, err := http.ReadResponse(bufio.NewReader(first), nil); err != nil || resp.StatusCode != http.StatusOK {
-		t.Fatalf("the first client: %v, %v", resp, err)
+		t.Fatalf("first client: answer %v, error %v, want 200", resp, err)
 	}
 	first.Close()
 	for range waiting {
 		text := testkit.Next(t, timesLeft)
 		left, err := time.ParseDuration(text + "s")
 		if err != nil || left > 2*time.Second-held+50*time.Millisecond {
-			t.Errorf("%q are left of 2000m after %v in the queue (%v)", text, held, err)
+			t.Errorf("the server was told that %q of 2000m are left after %v in the accept queue (parse error %v)", text, held, err)
 		}
 	}
 }
--- a/internal/node/random_settings_test.go
+++ b/internal/node/random_settings_test.go
@@ -160,7 +160,7 @@
 		}
 		cfg, err := config.ParsePlatform(raw)
 		if err != nil {
-			rt.Fatalf("%v: %s", err, raw)
+			rt.Fatalf("parsing settings: %v: %s", err, raw)
 		}
 		cfg.Process.Drain = config.Drain{}
 		settings := cfg.Services[0].Settings
@@ -200,7 +200,7 @@
 		}
 	})
 	if served < next/10 {
-		t.Errorf("%d of %d served: it shows little", served, next)
+		t.Errorf("only %d of %d requests served: the test covers too little", served, next)
 	}
 }
 
@@ -216,11 +216,11 @@
 	}
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
-		t.Fatalf("%s: no answer: %v", id, err)
+		t.Fatalf("request %s: no answer: %v", id, err)
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil || in.Buffered() > 0 || resp.Close {
-		t.Fatalf("%s: %v, %d bytes behind the answer, close %v", id, err, in.Buffered(), resp.Close)
+		t.Fatalf("request %s: error %v, %d bytes after the answer, close %v", id, err, in.Buffered(), resp.Close)
 	}
 	arrivals := apps.arrivalsOf(id)
 	mayHaveRun := checkArrivals(t, id, class, settings.MaxAttempts, arrivals)
@@ -228,20 +228,20 @@
 	switch resp.StatusCode {
 	case http.StatusOK:
 		if !succeeded || string(body) != "served "+id {
-			t.Errorf("%s: served %q behind %+v", id, body, arrivals)
+			t.Errorf("request %s: answered 200 %q after arrivals %+v", id, body, arrivals)
 		}
 	case http.StatusServiceUnavailable:
 		if mayHaveRun && class.Idempotency != control.Idempotent && (class.Idempotency == control.NotIdempotent || class.KeyScope != control.ScopeAll) {
-			t.Errorf("%s of %+v was refused behind %+v", id, *class, arrivals)
+			t.Errorf("request %s of class %+v was answered 503 after arrivals %+v", id, *class, arrivals)
 		}
 	case http.StatusBadGateway, http.StatusGatewayTimeout:
 	default:
 		if resp.StatusCode != rejection {
-			t.Errorf("%s: %s %s", id, resp.Status, body)
+			t.Errorf("request %s: %s %s", id, resp.Status, body)
 		}
 	}
 	if rejection != 0 && (resp.StatusCode != rejection || len(arrivals) > 0) {
-		t.Errorf("%s, which is invalid: %s, %+v", id, resp.Status, arrivals)
+		t.Errorf("invalid request %s: %s, arrivals %+v", id, resp.Status, arrivals)
 	}
 	return resp.StatusCode
 }
@@ -284,13 +284,13 @@
 	var first arrival
 	for i, arrived := range arrivals {
 		if mayHaveRun && !mayRetry(class, first.server, arrived.server) {
-			t.Errorf("%s of %+v was sent again: %+v", id, *class, arrivals)
+			t.Errorf("request %s of class %+v was retried: arrivals %+v", id, *class, arrivals)
 		}
 		if arrived.action != rejectUnseen && !mayHaveRun {
 			mayHaveRun, first = true, arrived
 		}
 		if maxAttempts > 0 && i >= maxAttempts {
-			t.Errorf("%s was sent more than %d times", id, maxAttempts)
+			t.Errorf("request %s was sent more than %d times", id, maxAttempts)
 		}
 	}
 	return mayHaveRun
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -55,10 +55,10 @@
 		t.Fatal(err)
 	}
 	if resp, _ := r.do(health); resp.StatusCode != http.StatusOK {
-		t.Errorf("healthz: %s", resp.Status)
+		t.Errorf("/healthz: %s, want 200", resp.Status)
 	}
 	if resp, body := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1")); resp.StatusCode != http.StatusOK {
-		t.Errorf("%s %s", resp.Status, body)
+		t.Errorf("request: %s %s, want 200", resp.Status, body)
 	}
 	if address != nil {
 		return
@@ -68,6 +68,6 @@
 	r.setEndpoints(discovery.Endpoint{UID: "s-1", State: "draining"}, endpointOf(other, "s-2", 0))
 	r.do(r.newRequest(http.MethodGet, "/roster-read", "id-2"))
 	if served.Count() != 1 || other.Count() != 1 {
-		t.Errorf("the first server has %d requests, the one that was announced late %d", served.Count(), other.Count())
+		t.Errorf("the cached server got %d requests and the later one %d, want one each", served.Count(), other.Count())
 	}
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -57,7 +57,7 @@
 		return err
 	}
 	if n.isShutDown {
-		return errors.New("the node has ended")
+		return errors.New("the node has shut down")
 	}
 	return nil
 }
--- a/internal/node/reload_listeners_test.go
+++ b/internal/node/reload_listeners_test.go
@@ -22,13 +22,13 @@
 		t.Helper()
 		writeRequest(c, "x", "/one", id, "", 0)
 		if status, body := readAnswer(t, in); status != 200 {
-			t.Errorf("%s: %d %q", id, status, body)
+			t.Errorf("request %s: status %d %q, want 200", id, status, body)
 		}
 	}
 	send(c, in, "id-1")
 	withSecondListener := strings.Replace(twoServicesConfig, `address = "127.0.0.1:0"`, "address = \"127.0.0.1:0\"\n[[listeners]]\naddress = \"localhost:0\"", 1)
 	if err := bench.Reload(withSecondListener); err != nil || bench.Node.Addr() != first {
-		t.Fatalf("%v, %s for %s", err, bench.Node.Addr(), first)
+		t.Fatalf("reload: error %v, first address %s, want %s", err, bench.Node.Addr(), first)
 	}
 	text := strings.Replace(strings.Replace(twoServicesConfig, `"127.0.0.1:0"`, `"localhost:0"`, 1), "descriptors = 512", "descriptors = 600", 1)
 	if err := bench.Reload(text); err != nil {
@@ -36,13 +36,13 @@
 	}
 	if d, err := net.Dial("tcp", first); err == nil {
 		d.Close()
-		t.Error("the address that is gone takes connections")
+		t.Error("the removed address still accepts connections")
 	}
 	send(c, in, "id-2")
 	c, in = dial(t, bench)
 	send(c, in, "id-3")
 	if n, g := bench.Node.Status()[0].Resources.Descriptors.Total, bench.Node.Generation(); n != 600-24 || g != 3 {
-		t.Errorf("%d descriptors in generation %d", n, g)
+		t.Errorf("total of %d descriptors in generation %d", n, g)
 	}
 }
 
@@ -59,14 +59,14 @@
 		writeRequest(c, "x", "/one", fmt.Sprint("id-", i), "", 0)
 		clients = append(clients, in)
 	}
-	testkit.Until(t, "a request at a server", func() bool { return bench.Node.Status()[0].AttemptsInFlight > 0 })
+	testkit.Until(t, "an attempt in flight", func() bool { return bench.Node.Status()[0].AttemptsInFlight > 0 })
 	reloaded := make(chan error, 1)
 	go func() { reloaded <- bench.Reload(strings.Replace(text, `"127.0.0.1:0"`, `"localhost:0"`, 1)) }()
-	testkit.Until(t, "the other address", func() bool { return bench.Node.Addr() != first })
+	testkit.Until(t, "the new address", func() bool { return bench.Node.Addr() != first })
 	bench.Pools["a"].Stall(false)
 	for i, in := range clients {
 		if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 200 && resp.StatusCode != 503 {
-			t.Errorf("client %d: %v, %v", i, resp, err)
+			t.Errorf("client %d: answer %v, error %v, want 200 or 503", i, resp, err)
 		}
 	}
 	if err := testkit.Next(t, reloaded); err != nil {
@@ -74,7 +74,7 @@
 	}
 	if c, err := net.Dial("tcp", first); err == nil {
 		c.Close()
-		t.Error("the address that is gone takes connections")
+		t.Error("the removed address still accepts connections")
 	}
 }
 
@@ -86,6 +86,6 @@
 		t.Fatal(err)
 	}
 	if err := bench.Reload(strings.Replace(twoServicesConfig, `"127.0.0.1:0"`, `"localhost:0"`, 1)); err == nil || bench.Node.Addr() != first {
-		t.Errorf("%v, listening on %s", err, bench.Node.Addr())
+		t.Errorf("reload after the end: error %v, address %s", err, bench.Node.Addr())
 	}
 }
--- a/internal/node/reload_load_test.go
+++ b/internal/node/reload_load_test.go
@@ -73,7 +73,7 @@
 			t.Fatalf("reload %d: %v", i, err)
 		}
 		if err := bench.Reload(twoServicesConfig + "[services.c]\n"); err == nil {
-			t.Fatal("a bad configuration was taken")
+			t.Fatal("an invalid configuration was accepted")
 		}
 		want := load.answers() + 100 + rng.IntN(200)
 		testkit.Until(t, "more answers", func() bool { return load.answers() >= want })
@@ -82,13 +82,13 @@
 	load.check(t)
 	for name, p := range bench.Pools {
 		if c := p.Executions.Counts(); c.Repeated+c.DuplicateEffects > 0 || c.MaxInFlight > 1 {
-			t.Errorf("servers of %s: %+v", name, c)
+			t.Errorf("executions on the servers of %s: %+v", name, c)
 		}
 	}
-	testkit.Until(t, "what was removed has ended", func() bool { return node.RunningServices(bench.Node) == len(bench.Node.Status()) })
+	testkit.Until(t, "the end of removed services", func() bool { return node.RunningServices(bench.Node) == len(bench.Node.Status()) })
 	for _, s := range bench.Node.Status() {
 		if s.Resources.Requests.Used != 0 || s.Resources.BufferedBytes.Used != 0 || s.Resources.Dials.Used != 0 {
-			t.Errorf("%s: something is still reserved: %+v", s.Name, *s.Resources)
+			t.Errorf("%s: resources are still reserved without requests in flight: %+v", s.Name, *s.Resources)
 		}
 	}
 }
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -30,16 +30,16 @@
 		t.Fatal(err)
 	}
 	if n := node.RunningServices(bench.Node); n != 2 {
-		t.Errorf("%d services run while one holds a request", n)
+		t.Errorf("%d services run while the removed one has a request in flight, want 2", n)
 	}
 	io.WriteString(c, "half")
 	if status, body := readAnswer(t, in); status != 200 || !strings.HasPrefix(body, "b") {
-		t.Errorf("%d %q", status, body)
+		t.Errorf("answer: status %d, body %q", status, body)
 	}
-	testkit.Until(t, "the removed service's end", func() bool { return node.RunningServices(bench.Node) == 1 })
+	testkit.Until(t, "the end of the removed service", func() bool { return node.RunningServices(bench.Node) == 1 })
 	writeRequest(c, "care.example", "/two", "id-2", "whole", 5)
 	if status, body := readAnswer(t, in); status != 404 {
-		t.Errorf("%d %q", status, body)
+		t.Errorf("answer: status %d, body %q", status, body)
 	}
 }
 
@@ -59,18 +59,18 @@
 	if err := bench.Reload(strings.Replace(twoServicesConfig, "@a", secondDiscovery.Addr(), 1)); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Until(t, "the new list", func() bool { return bench.Node.Status()[0].AvailableServers == 1 })
+	testkit.Until(t, "the new endpoint list", func() bool { return bench.Node.Status()[0].AvailableServers == 1 })
 	if s := bench.Node.Status()[0]; s.Restarts != 0 || node.RunningServices(bench.Node) != 2 {
-		t.Errorf("%+v, %d run", s, node.RunningServices(bench.Node))
+		t.Errorf("service a: %+v, %d services running", s, node.RunningServices(bench.Node))
 	}
 	for i := range 5 {
 		writeRequest(c, "x", "/one", fmt.Sprint("later-", i), "", 0)
 		if status, body := readAnswer(t, in); status != 200 || !strings.HasPrefix(body, bench.Pools["a"].Servers[0].UID) {
-			t.Errorf("%d %q", status, body)
+			t.Errorf("answer: status %d, body %q", status, body)
 		}
 	}
 	if n := bench.Pools["a"].Executions.Counts().Attempts - before; n != 5 {
-		t.Errorf("%d attempts", n)
+		t.Errorf("%d attempts, want 5", n)
 	}
 }
 
@@ -83,20 +83,20 @@
 	}
 	defer taken.Close()
 	for name, text := range map[string]string{
-		"address already in use":      strings.Replace(twoServicesConfig, `"127.0.0.1:0"`, fmt.Sprintf("%q", taken.Addr()), 1),
-		"passed no socket \"nobody\"": strings.Replace(twoServicesConfig, `"127.0.0.1:0"`, `"systemd:nobody"`, 1),
+		"address already in use":            strings.Replace(twoServicesConfig, `"127.0.0.1:0"`, fmt.Sprintf("%q", taken.Addr()), 1),
+		"passed no socket named \"nobody\"": strings.Replace(twoServicesConfig, `"127.0.0.1:0"`, `"systemd:nobody"`, 1),
 	} {
 		if err := bench.Reload(text); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("want error %s, got %v", name, err)
 		}
 	}
 	if err := bench.Node.Reload(config.Config{}); err == nil {
-		t.Error("a platform's configuration was taken for one of our own")
+		t.Error("a reload to the platform's configuration was accepted")
 	}
 	c, in := dial(t, bench)
 	writeRequest(c, "x", "/one", "id-1", "", 0)
 	if status, _ := readAnswer(t, in); status != 200 {
-		t.Errorf("%d", status)
+		t.Errorf("answer: status %d", status)
 	}
 }
 
@@ -108,9 +108,9 @@
 		c, in := dial(t, bench)
 		writeRequest(c, "x", "/one", "id-1", "", 0)
 		if status, _ := readAnswer(t, in); status != 200 {
-			t.Errorf("%d", status)
+			t.Errorf("answer: status %d", status)
 		}
-		testkit.Until(t, "a connection", func() bool { return bench.Node.Status()[0].IdleConnections == 1 })
+		testkit.Until(t, "an idle connection", func() bool { return bench.Node.Status()[0].IdleConnections == 1 })
 		for i := range 5 {
 			text := twoServicesConfig
 			if i%2 == 0 {
@@ -127,7 +127,7 @@
 		})
 		writeRequest(c, "x", "/one", "id-2", "", 0)
 		if status, _ := readAnswer(t, in); status != 200 {
-			t.Errorf("%d", status)
+			t.Errorf("answer: status %d", status)
 		}
 	}
 }
@@ -156,12 +156,12 @@
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- n.Run(ctx) }()
-	testkit.Until(t, "both to be ready", func() bool {
+	testkit.Until(t, "readiness of both services", func() bool {
 		s := n.Status()
 		return len(s) == 2 && s[1].Name == "c" && s[0].Ready && s[1].Ready
 	})
 	if got := node.RunningServices(n); got != 2 {
-		t.Errorf("%d services run", got)
+		t.Errorf("%d services run, want 2", got)
 	}
 	stop()
 	if err := testkit.Next(t, ended); err != nil {
@@ -175,22 +175,22 @@
 	if err := bench.Reload(manyServicesConfig(500, 5000)); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Until(t, "all to serve", func() bool { return node.RunningServices(bench.Node) == 500 })
+	testkit.Until(t, "all 500 services to run", func() bool { return node.RunningServices(bench.Node) == 500 })
 	c, in := dial(t, bench)
 	writeRequest(c, "h17.example", "/p17/x", "id-1", "", 0)
 	if status, body := readAnswer(t, in); status != http.StatusServiceUnavailable && status != http.StatusBadGateway {
-		t.Errorf("%d %q from a server that nobody runs", status, body)
+		t.Errorf("status %d %q from a service whose server does not run, want 502 or 503", status, body)
 	}
 	writeRequest(c, "h17.example", "/p18", "id-2", "", 0)
 	if status, _ := readAnswer(t, in); status != 404 {
-		t.Errorf("%d", status)
+		t.Errorf("answer: status %d", status)
 	}
 	if err := bench.Reload(twoServicesConfig); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Until(t, "two to serve", func() bool { return node.RunningServices(bench.Node) == 2 })
+	testkit.Until(t, "two services to run", func() bool { return node.RunningServices(bench.Node) == 2 })
 	writeRequest(c, "x", "/one", "id-3", "", 0)
 	if status, body := readAnswer(t, in); status != 200 {
-		t.Errorf("%d %q", status, body)
+		t.Errorf("answer: status %d, body %q", status, body)
 	}
 }
--- a/internal/node/requests_test.go
+++ b/internal/node/requests_test.go
@@ -19,7 +19,7 @@
 		left, err := strconv.Atoi(strings.TrimSuffix(req.Header.Get(protocol.HeaderTimeLeft), "m"))
 		// The node tells the server a little less time than the client has, so that the whole answer arrives in time.
 		if err != nil || left < 1 || left > 7000-int(service.DeadlineMargin.Milliseconds()) {
-			t.Errorf("time left %q", req.Header.Get(protocol.HeaderTimeLeft))
+			t.Errorf("the server was told that %q are left", req.Header.Get(protocol.HeaderTimeLeft))
 		}
 		w.Header().Set("Content-Type", "text/x-roster")
 		w.Header().Set(protocol.HeaderQuotaUsed, "85")
@@ -30,13 +30,13 @@
 	post.Body, post.ContentLength = io.NopCloser(strings.NewReader("swap")), 4
 	resp, body := r.do(post)
 	if resp.StatusCode != 200 || body != "served id-1" || resp.Header.Get("Content-Type") != "text/x-roster" {
-		t.Errorf("%s %q %v", resp.Status, body, resp.Header)
+		t.Errorf("answer: %s %q, header %v", resp.Status, body, resp.Header)
 	}
 	if resp.Header.Get(protocol.HeaderQuotaUsed) != "" {
-		t.Error("a report for edge nodes went to a client")
+		t.Error("a header for edge nodes was sent to a client")
 	}
 	if want := "POST /visit-update/a%2Fb/c?account=00000000b4d65521 k-id-1 swap"; app.Requests()[0] != want {
-		t.Errorf("%q, not %q", app.Requests()[0], want)
+		t.Errorf("forwarded request %q, want %q", app.Requests()[0], want)
 	}
 }
 
@@ -48,12 +48,12 @@
 		return resp.StatusCode
 	}
 	if s := health(); s != http.StatusServiceUnavailable {
-		t.Errorf("%d with no app server known", s)
+		t.Errorf("/healthz: status %d without app servers, want 503", s)
 	}
 	r.setEndpoints(discovery.Endpoint{UID: "s-1", Address: "127.0.0.1:1", State: "up"})
 	r.waitUntil("ready", r.node.isReady)
 	if s := health(); s != http.StatusOK {
-		t.Errorf("%d with an app server", s)
+		t.Errorf("/healthz: status %d with an app server, want 200", s)
 	}
 }
 
@@ -62,36 +62,36 @@
 	change func(*http.Request)
 	want   int
 }{
-	"no id":             {func(q *http.Request) { q.Header.Del(protocol.HeaderID) }, 400},
-	"a long id":         {func(q *http.Request) { q.Header.Set(protocol.HeaderID, strings.Repeat("x", 129)) }, 400},
-	"no class":          {func(q *http.Request) { q.URL.Path = "/" }, 404},
-	"unknown class":     {func(q *http.Request) { q.URL.Path = "/checkout" }, 404},
-	"wrong method":      {func(q *http.Request) { q.Method = http.MethodPut }, 405},
-	"no key":            {func(q *http.Request) { q.Header.Del(protocol.HeaderIdempotencyKey) }, 400},
-	"unknown plan":      {func(q *http.Request) { q.Header.Set(protocol.HeaderPlan, "gold") }, 400},
-	"no plan":           {func(q *http.Request) { q.Header.Del(protocol.HeaderPlan) }, 400},
-	"no account":        {func(q *http.Request) { q.URL.RawQuery = "" }, 400},
-	"short account":     {func(q *http.Request) { q.URL.RawQuery = "account=b4d65521" }, 400},
-	"huge account":      {func(q *http.Request) { q.URL.RawQuery = "account=0000000200000000" }, 400},
-	"odd account":       {func(q *http.Request) { q.URL.RawQuery = "account=000000000000000g" }, 400},
-	"no time":           {func(q *http.Request) { q.Header.Del(protocol.HeaderTimeLeft) }, 400},
-	"no unit":           {func(q *http.Request) { q.Header.Set(protocol.HeaderTimeLeft, "480") }, 400},
-	"other unit":        {func(q *http.Request) { q.Header.Set(protocol.HeaderTimeLeft, "4s") }, 400},
-	"no time is left":   {func(q *http.Request) { q.Header.Set(protocol.HeaderTimeLeft, "0m") }, 400},
-	"time without end":  {func(q *http.Request) { q.Header.Set(protocol.HeaderTimeLeft, "1e300m") }, 400},
-	"time past class":   {func(q *http.Request) { q.Header.Set(protocol.HeaderTimeLeft, "7600m") }, 400},
-	"huge units":        {func(q *http.Request) { q.Header.Set(protocol.HeaderWeight, "units=1e300") }, 400},
-	"units over most":   {func(q *http.Request) { q.Header.Set(protocol.HeaderWeight, "units=4.1") }, 400},
-	"negative units":    {func(q *http.Request) { q.Header.Set(protocol.HeaderWeight, "units=-1") }, 400},
-	"units given twice": {func(q *http.Request) { q.Header.Set(protocol.HeaderWeight, "units=1,units=2") }, 400},
-	"two ids":           {func(q *http.Request) { q.Header.Add(protocol.HeaderID, "worse") }, 400},
-	"two accounts":      {func(q *http.Request) { q.URL.RawQuery += "&account=00000000b4d65522" }, 400},
-	"odd time":          {func(q *http.Request) { q.Header.Set(protocol.HeaderTimeLeft, "NaNm") }, 400},
-	"no units":          {func(q *http.Request) { q.Header.Set(protocol.HeaderWeight, "units=0") }, 400},
-	"odd units":         {func(q *http.Request) { q.Header.Set(protocol.HeaderWeight, "units=NaN") }, 400},
-	"wide spread":       {func(q *http.Request) { q.Header.Set(protocol.HeaderWeight, "units=1,spread=3") }, 400},
-	"odd spread":        {func(q *http.Request) { q.Header.Set(protocol.HeaderWeight, "spread=1.5") }, 400},
-	"odd first":         {func(q *http.Request) { q.Header.Set(protocol.HeaderWeight, "first=-1") }, 400},
+	"no id":                    {func(q *http.Request) { q.Header.Del(protocol.HeaderID) }, 400},
+	"a long id":                {func(q *http.Request) { q.Header.Set(protocol.HeaderID, strings.Repeat("x", 129)) }, 400},
+	"no class":                 {func(q *http.Request) { q.URL.Path = "/" }, 404},
+	"unknown class":            {func(q *http.Request) { q.URL.Path = "/checkout" }, 404},
+	"wrong method":             {func(q *http.Request) { q.Method = http.MethodPut }, 405},
+	"no key":                   {func(q *http.Request) { q.Header.Del(protocol.HeaderIdempotencyKey) }, 400},
+	"unknown plan":             {func(q *http.Request) { q.Header.Set(protocol.HeaderPlan, "gold") }, 400},
+	"no plan":                  {func(q *http.Request) { q.Header.Del(protocol.HeaderPlan) }, 400},
+	"no account":               {func(q *http.Request) { q.URL.RawQuery = "" }, 400},
+	"short account":            {func(q *http.Request) { q.URL.RawQuery = "account=b4d65521" }, 400},
+	"huge account":             {func(q *http.Request) { q.URL.RawQuery = "account=0000000200000000" }, 400},
+	"odd account":              {func(q *http.Request) { q.URL.RawQuery = "account=000000000000000g" }, 400},
+	"no time":                  {func(q *http.Request) { q.Header.Del(protocol.HeaderTimeLeft) }, 400},
+	"no unit":                  {func(q *http.Request) { q.Header.Set(protocol.HeaderTimeLeft, "480") }, 400},
+	"other unit":               {func(q *http.Request) { q.Header.Set(protocol.HeaderTimeLeft, "4s") }, 400},
+	"zero time":                {func(q *http.Request) { q.Header.Set(protocol.HeaderTimeLeft, "0m") }, 400},
+	"infinite time":            {func(q *http.Request) { q.Header.Set(protocol.HeaderTimeLeft, "1e300m") }, 400},
+	"time over class deadline": {func(q *http.Request) { q.Header.Set(protocol.HeaderTimeLeft, "7600m") }, 400},
+	"huge units":               {func(q *http.Request) { q.Header.Set(protocol.HeaderWeight, "units=1e300") }, 400},
+	"units over maximum":       {func(q *http.Request) { q.Header.Set(protocol.HeaderWeight, "units=4.1") }, 400},
+	"negative units":           {func(q *http.Request) { q.Header.Set(protocol.HeaderWeight, "units=-1") }, 400},
+	"units given twice":        {func(q *http.Request) { q.Header.Set(protocol.HeaderWeight, "units=1,units=2") }, 400},
+	"two ids":                  {func(q *http.Request) { q.Header.Add(protocol.HeaderID, "worse") }, 400},
+	"two accounts":             {func(q *http.Request) { q.URL.RawQuery += "&account=00000000b4d65522" }, 400},
+	"odd time":                 {func(q *http.Request) { q.Header.Set(protocol.HeaderTimeLeft, "NaNm") }, 400},
+	"no units":                 {func(q *http.Request) { q.Header.Set(protocol.HeaderWeight, "units=0") }, 400},
+	"odd units":                {func(q *http.Request) { q.Header.Set(protocol.HeaderWeight, "units=NaN") }, 400},
+	"wide spread":              {func(q *http.Request) { q.Header.Set(protocol.HeaderWeight, "units=1,spread=3") }, 400},
+	"odd spread":               {func(q *http.Request) { q.Header.Set(protocol.HeaderWeight, "spread=1.5") }, 400},
+	"odd first":                {func(q *http.Request) { q.Header.Set(protocol.HeaderWeight, "first=-1") }, 400},
 	"a large body": {func(q *http.Request) {
 		q.Body, q.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", protocol.MaxBodyBytes+1))), protocol.MaxBodyBytes+1
 	}, 413},
@@ -107,23 +107,23 @@
 			req := r.newRequest(http.MethodPost, "/visit-update", "bad")
 			tc.change(req)
 			if resp, body := r.do(req); resp.StatusCode != tc.want {
-				t.Errorf("%s %q", resp.Status, body)
+				t.Errorf("answer: %s %q", resp.Status, body)
 			}
 		})
 	}
 	if resp, _ := r.do(r.newRequest(http.MethodPost, "/roster-read", "bad")); resp.StatusCode != 405 {
-		t.Errorf("a POST to a safe class: %s", resp.Status)
+		t.Errorf("POST to a class of safe requests: %s, want 405", resp.Status)
 	}
 	withBody := r.newRequest(http.MethodGet, "/roster-read", "bad")
 	withBody.Body, withBody.ContentLength = io.NopCloser(strings.NewReader("x")), 1
 	if resp, _ := r.do(withBody); resp.StatusCode != 400 {
-		t.Errorf("a GET with a body: %s", resp.Status)
+		t.Errorf("GET with a body: %s, want 400", resp.Status)
 	}
 	if n := app.Count(); n > 0 {
-		t.Errorf("%d bad requests were sent on", n)
+		t.Errorf("%d invalid requests were forwarded", n)
 	}
 	if resp, _ := r.do(r.newRequest(http.MethodPost, "/visit-update", "good")); resp.StatusCode != 200 {
-		t.Errorf("a good one after them: %s", resp.Status)
+		t.Errorf("valid request after invalid ones: %s, want 200", resp.Status)
 	}
 }
 
@@ -141,12 +141,12 @@
 		}
 		after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 		if resp.StatusCode != http.StatusServiceUnavailable || err != nil || after <= 0 {
-			t.Errorf("%s %v", resp.Status, resp.Header)
+			t.Errorf("rejection: %s, header %v", resp.Status, resp.Header)
 		}
 		if app.Count() != i {
-			t.Errorf("%d requests sent on before the first refusal of %d", app.Count(), i)
+			t.Errorf("%d requests forwarded before the first rejection, of request %d", app.Count(), i)
 		}
 		return
 	}
-	t.Error("none of 100 requests was refused")
+	t.Error("none of 100 requests was rejected")
 }
--- a/internal/node/retirement.go
+++ b/internal/node/retirement.go
@@ -79,7 +79,7 @@
 	slog.Warn("reload waiting for retired services to end", "generations", maxRetiredGenerations, "services", len(n.retired))
 	for n.retiredGenerations() >= maxRetiredGenerations {
 		if !time.Now().Before(waitUntil) {
-			return fmt.Errorf("%d earlier generations still hold requests", maxRetiredGenerations)
+			return fmt.Errorf("%d earlier generations still have requests in flight", maxRetiredGenerations)
 		}
 		n.serviceEnded.Wait()
 	}
@@ -127,7 +127,7 @@
 			continue
 		}
 		s.isReported = true
-		slog.Warn("retired service still running past its longest request", "service", s.cfg.Name,
+		slog.Warn("retired service still running after the longest time that its requests may take", "service", s.cfg.Name,
 			"generation", s.generation, "for", retiredFor.Round(time.Second), "held", s.account.requestsInFlight())
 	}
 }
--- a/internal/node/routing_test.go
+++ b/internal/node/routing_test.go
@@ -25,7 +25,7 @@
 		}
 		writeRequest(c, host, "/one", "id-1", "", 0)
 		if status, body := readAnswer(t, in); status != 200 || !strings.HasPrefix(body, want) || !strings.HasSuffix(body, " id-1") {
-			t.Errorf("%s: %d %q", host, status, body)
+			t.Errorf("host %s: status %d, body %q", host, status, body)
 		}
 	}
 	// Both services have a request with the same ID in flight at once.
@@ -35,7 +35,7 @@
 	other, otherIn := dial(t, bench)
 	writeRequest(c, "a.example", "/one", "id-2", "", 0)
 	writeRequest(other, "b.example", "/one", "id-2", "", 0)
-	testkit.Until(t, "both in flight", func() bool {
+	testkit.Until(t, "both requests in flight", func() bool {
 		s := bench.Node.Status()
 		return s[0].Unanswered == 1 && s[1].Unanswered == 1
 	})
@@ -44,7 +44,7 @@
 	}
 	for _, r := range []*bufio.Reader{in, otherIn} {
 		if status, body := readAnswer(t, r); status != 200 || !strings.HasSuffix(body, " id-2") {
-			t.Errorf("%d %q", status, body)
+			t.Errorf("answer: status %d, body %q", status, body)
 		}
 	}
 }
@@ -57,12 +57,12 @@
 		length := i % 2
 		writeRequest(c, "x", path, fmt.Sprint("id-", i), strings.Repeat("x", length), length)
 		if status, body := readAnswer(t, in); status != 200 || !strings.HasPrefix(body, "a") {
-			t.Errorf("%s: %d %q", path, status, body)
+			t.Errorf("path %s: status %d, body %q", path, status, body)
 		}
 	}
 	for _, s := range bench.Node.Status() {
 		if s.IdleConnections < 1 || s.Resources.Descriptors.Used != int64(s.IdleConnections) {
-			t.Errorf("%s has %d idle connections and %d booked", s.Name, s.IdleConnections, s.Resources.Descriptors.Used)
+			t.Errorf("%s has %d idle connections and %d descriptors in use", s.Name, s.IdleConnections, s.Resources.Descriptors.Used)
 		}
 	}
 }
@@ -81,12 +81,12 @@
 		fmt.Fprintf(c, "GET %s%saccount=0000000000000001 HTTP/1.1\r\nHost: care.example\r\nX-Correlation-Id: x\r\nX-Tariff: standard\r\nX-Time-Left: 5000m\r\n\r\n",
 			target, sep)
 		if status, body := readAnswer(t, in); status != want {
-			t.Errorf("%s: %d %q, not %d", target, status, body, want)
+			t.Errorf("target %s: status %d, body %q, want %d", target, status, body, want)
 		}
 	}
 	for name, p := range bench.Pools {
 		if n := p.Executions.Counts().Attempts; name == "a" && n != 6 || name == "b" && n != 0 {
-			t.Errorf("%d requests reached %s", n, name)
+			t.Errorf("%d requests reached service %s", n, name)
 		}
 	}
 }
@@ -119,27 +119,27 @@
 	testkit.Until(t, "the request in flight", func() bool { return bench.Node.Status()[0].AttemptsInFlight == 1 })
 	node.PanicNext(bench.Node, "a")
 	if status, _ := readAnswer(t, in); status != http.StatusBadGateway {
-		t.Errorf("the request in flight: %d", status)
+		t.Errorf("request in flight: status %d, want 502", status)
 	}
 	bench.Pools["a"].Stall(false)
 	if policy == "end" {
 		if err := bench.Stop(); err == nil || !strings.Contains(err.Error(), "no such share") {
-			t.Errorf("ended with %v", err)
+			t.Errorf("the node ended with error %v, want the panic", err)
 		}
 		return
 	}
 	other, otherIn := dial(t, bench)
 	writeRequest(other, "x", "/two", "other", "x", 1)
 	if status, _ := readAnswer(t, otherIn); status != 200 {
-		t.Errorf("the other service: %d", status)
+		t.Errorf("other service: status %d, want 200", status)
 	}
-	testkit.Until(t, "the new start", func() bool { s := bench.Node.Status()[0]; return s.Restarts == 1 && s.AvailableServers == 2 })
+	testkit.Until(t, "the restart of the service", func() bool { s := bench.Node.Status()[0]; return s.Restarts == 1 && s.AvailableServers == 2 })
 	writeRequest(c, "x", "/one", "after", "", 0)
 	if status, body := readAnswer(t, in); status != 200 {
-		t.Errorf("after the new start: %d %q", status, body)
+		t.Errorf("after the restart: status %d, body %q, want 200", status, body)
 	}
 	if s := bench.Node.Status()[0]; s.Resources.Requests.Used > 1 {
-		t.Errorf("still booked: %+v", *s.Resources)
+		t.Errorf("resources still in use after the restart: %+v", *s.Resources)
 	}
 }
 
@@ -151,15 +151,15 @@
 	entry := draining.Entry()
 	entry.State = "draining"
 	bench.Pools["a"].Discovery.Publish(entry)
-	testkit.Until(t, "the news", func() bool { return bench.Node.Status()[0].AvailableServers == 1 })
+	testkit.Until(t, "the new endpoint list", func() bool { return bench.Node.Status()[0].AvailableServers == 1 })
 	draining.Drain(0)
 	for i := range 20 {
 		writeRequest(c, "x", "/one", fmt.Sprint("id-", i), "", 0)
 		if status, body := readAnswer(t, in); status != 200 {
-			t.Errorf("%d %q", status, body)
+			t.Errorf("answer: status %d, body %q", status, body)
 		}
 	}
 	if n := draining.LateRequests(); n > 0 {
-		t.Errorf("%d requests came to the one that drains", n)
+		t.Errorf("the draining server got %d requests", n)
 	}
 }
--- a/internal/node/servers_test.go
+++ b/internal/node/servers_test.go
@@ -28,14 +28,14 @@
 	r.setEndpoints(endpointOf(a, "s-1", 0), endpointOf(b, "s-2", 1))
 	resp, body := r.do(r.newRequest(http.MethodPost, "/visit-update", "id-1"))
 	if resp.StatusCode != 200 || body != "served id-1" {
-		t.Errorf("%s %q", resp.Status, body)
+		t.Errorf("answer: %s %q", resp.Status, body)
 	}
 	if n := a.Count() * b.Count(); n != 0 || a.Count()+b.Count() != 2 {
-		t.Errorf("attempts %v and %v", a.Requests(), b.Requests())
+		t.Errorf("attempts at the servers: %v and %v, want two at one server", a.Requests(), b.Requests())
 	}
 	for _, s := range append(a.Requests(), b.Requests()...) {
 		if !strings.Contains(s, "k-id-1") {
-			t.Errorf("attempt %q has lost its key", s)
+			t.Errorf("attempt %q has no idempotency key", s)
 		}
 	}
 }
@@ -61,11 +61,11 @@
 			req := r.newRequest(tc.method, class, "id-1")
 			req.Header.Set(protocol.HeaderTimeLeft, "600000u")
 			if resp, _ := r.do(req); resp.StatusCode != tc.want {
-				t.Errorf("%s", resp.Status)
+				t.Errorf("answer: %s", resp.Status)
 			}
 			testkit.Next(t, gone)
 			if n := app.Count(); n != 1 {
-				t.Errorf("%d attempts", n)
+				t.Errorf("%d attempts, want 1", n)
 			}
 		})
 	}
@@ -92,18 +92,18 @@
 	}()
 	testkit.Next(t, arrived)
 	if resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1")); resp.StatusCode != http.StatusConflict {
-		t.Errorf("an id in flight was taken again: %s", resp.Status)
+		t.Errorf("second request with an ID in flight: %s, want 409", resp.Status)
 	}
 	leave()
 	if err := testkit.Next(t, left); err == nil {
-		t.Error("the client got an answer")
+		t.Error("the client that disconnected got an answer")
 	}
-	r.waitUntil("the hang-up", func() bool { s := r.status(); return s.Requests == 1 && s.Unanswered == 0 })
+	r.waitUntil("the client's disconnect", func() bool { s := r.status(); return s.Requests == 1 && s.Unanswered == 0 })
 	close(finish)
-	r.waitUntil("the attempt's end", func() bool { return r.status().Requests == 0 })
+	r.waitUntil("the end of the attempt", func() bool { return r.status().Requests == 0 })
 	go func() { <-arrived }()
 	if resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1")); resp.StatusCode != 200 {
-		t.Errorf("a free id: %s", resp.Status)
+		t.Errorf("request with an ID that is free again: %s, want 200", resp.Status)
 	}
 }
 
@@ -119,14 +119,14 @@
 	r.setEndpoints(draining, endpointOf(b, "s-2", 0))
 	for i := range 20 {
 		if resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "later-"+strconv.Itoa(i))); resp.StatusCode != 200 {
-			t.Errorf("%s", resp.Status)
+			t.Errorf("answer: %s", resp.Status)
 		}
 	}
 	if a.Count() != 1 || b.Count() != 20 {
-		t.Errorf("%d requests to the one that drains, %d to the other", a.Count(), b.Count())
+		t.Errorf("%d requests to the draining server, %d to the other", a.Count(), b.Count())
 	}
 	if s := r.status(); s.AvailableServers != 1 || s.IdleConnections != b.Dials() {
-		t.Error("an idle connection to it was kept")
+		t.Error("an idle connection to the draining server was kept")
 	}
 }
 
@@ -174,12 +174,12 @@
 	r.setEndpoints(removed, endpointOf(app, "s-2", 0))
 	close(finish)
 	if s := testkit.Next(t, answered); s != 200 {
-		t.Errorf("the request in flight: %d", s)
+		t.Errorf("request in flight: status %d, want 200", s)
 	}
-	r.waitUntil("the attempt's end", func() bool { return r.status().Requests == 0 })
+	r.waitUntil("the end of the attempt", func() bool { return r.status().Requests == 0 })
 	r.do(r.newRequest(http.MethodGet, "/roster-read", "after"))
 	if clientAddress["after"] == clientAddress["before"] || clientAddress["after"] == clientAddress["held"] {
-		t.Error("a connection to the one that has gone was used")
+		t.Error("a connection to the removed server was used")
 	}
 }
 
@@ -192,7 +192,7 @@
 		r.setEndpoints(up)
 		resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-"+strconv.Itoa(i)))
 		if resp.StatusCode != 200 {
-			t.Errorf("%s", resp.Status)
+			t.Errorf("answer: %s", resp.Status)
 		}
 		r.waitUntil("one app server", func() bool { s := r.status(); return s.Servers == 1 && s.AvailableServers == 1 })
 		up.State = "removed"
--- a/internal/node/shared_hard_limits_test.go
+++ b/internal/node/shared_hard_limits_test.go
@@ -96,11 +96,11 @@
 	t.Cleanup(func() {
 		stop()
 		if r := run.Wait()["r"]; r.Lost+r.Wrong > 0 {
-			t.Errorf("%+v", *r)
+			t.Errorf("results of the clients: %+v", *r)
 		}
 		worst, units := f.hardLimit.MaxExcess()
-		if t.Logf("%.0f units; nearest to the bound of %.0f and %.0f a second: %.1f beyond", units, f.bound.Burst, f.bound.Rate, worst); worst > 0 {
-			t.Errorf("%.1f units beyond the bound", worst)
+		if t.Logf("%.0f units served; bound: burst %.0f, rate %.0f per second; maximum excess %.1f", units, f.bound.Burst, f.bound.Rate, worst); worst > 0 {
+			t.Errorf("%.1f units above the bound", worst)
 		}
 	})
 }
@@ -109,7 +109,7 @@
 func (f *nodeGroup) awaitUnits(t *testing.T, units float64) {
 	t.Helper()
 	want := f.unitsServed() + units
-	testkit.Until(t, fmt.Sprint(units, " units more"), func() bool { return f.unitsServed() >= want })
+	testkit.Until(t, fmt.Sprint(units, " more units"), func() bool { return f.unitsServed() >= want })
 }
 
 // awaitStatus waits until condition holds for the status of the quota leases of every node.
@@ -137,7 +137,7 @@
 	t.Parallel()
 	f := startNodeGroup(t, 6)
 	f.startLoad(t)
-	f.awaitStatus(t, "a counter that lends", leasesUnits)
+	f.awaitStatus(t, "leases from the store", leasesUnits)
 	f.awaitUnits(t, 100)
 	for _, injectFault := range []func(){
 		func() { f.firstStore.SetFaults(redistest.Faults{IsSilent: true}) },
@@ -148,10 +148,10 @@
 	} {
 		injectFault()
 		f.firstStore.CloseConns()
-		f.awaitStatus(t, "parts of its own", usesOwnQuota)
+		f.awaitStatus(t, "use of the nodes' own quota", usesOwnQuota)
 		f.awaitUnits(t, 30)
 		f.firstStore.SetFaults(redistest.Faults{})
-		f.awaitStatus(t, "a counter that lends again", leasesUnits)
+		f.awaitStatus(t, "leases from the store again", leasesUnits)
 		f.awaitUnits(t, 30)
 	}
 	for range 3 {
@@ -163,7 +163,7 @@
 		f.awaitUnits(t, 10)
 		restore()
 	}
-	f.awaitStatus(t, "a counter that lends in the end", leasesUnits)
+	f.awaitStatus(t, "leases from the store in the end", leasesUnits)
 }
 
 // Each half of the nodes uses a lease store that does not know the other one, as in a network partition. Each store lends
@@ -172,11 +172,11 @@
 	t.Parallel()
 	f := startNodeGroup(t, 6, 3)
 	f.startLoad(t)
-	f.awaitStatus(t, "counters that lend", leasesUnits)
+	f.awaitStatus(t, "leases from both stores", leasesUnits)
 	f.awaitUnits(t, 200)
 	for _, c := range f.stores {
 		if c.ScriptRuns() == 0 {
-			t.Error("a counter was not asked")
+			t.Error("a lease store was not used")
 		}
 	}
 }
@@ -186,7 +186,7 @@
 	t.Parallel()
 	f := startNodeGroup(t, 4, 4) // no node uses the second store yet
 	f.startLoad(t)
-	f.awaitStatus(t, "a counter that lends", leasesUnits)
+	f.awaitStatus(t, "leases from the store", leasesUnits)
 	for i := range 6 {
 		for k, n := range f.nodes {
 			text := strings.Replace(f.configs[k], "[services.a]\n", fmt.Sprintf("[services.a]\nattempts = %d\n", 3+i%2), 1)
@@ -199,8 +199,8 @@
 		}
 		f.awaitUnits(t, 20)
 	}
-	f.awaitStatus(t, "another counter that lends", leasesUnits)
+	f.awaitStatus(t, "leases from the second store", leasesUnits)
 	if f.stores[1].ScriptRuns() == 0 {
-		t.Error("the other counter was not asked")
+		t.Error("the second lease store was not used")
 	}
 }
--- a/internal/node/two_listeners_test.go
+++ b/internal/node/two_listeners_test.go
@@ -42,16 +42,16 @@
 	}
 	r.stop()
 	if status := testkit.Next(t, answered); status != http.StatusBadGateway {
-		t.Errorf("the request in flight: %d", status)
+		t.Errorf("request in flight: status %d, want 502", status)
 	}
 	var lost []string
 	for i, client := range clients {
 		if resp, err := http.ReadResponse(bufio.NewReader(client), nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-			lost = append(lost, fmt.Sprintf("client %d: %v, %v", i, resp, err))
+			lost = append(lost, fmt.Sprintf("client %d: answer %v, error %v", i, resp, err))
 		}
 	}
 	if len(lost) > 0 {
-		t.Errorf("%d of %d clients, %s", len(lost), len(clients), lost[0])
+		t.Errorf("%d of %d clients were not answered 503; first: %s", len(lost), len(clients), lost[0])
 	}
 	if err := testkit.Next(t, r.ended); err != nil {
 		t.Error(err)
