--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -14,7 +14,7 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// failingListener is a listener whose next calls of Accept fail, by one error after another.
+// failingListener is a listener whose next calls of Accept fail, each with the next error of errs.
 type failingListener struct {
 	net.Listener
 	mu   sync.Mutex
@@ -32,7 +32,8 @@
 	return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.Addr(), Err: os.NewSyscallError("accept4", err)}
 }
 
-// No error of accept that a running machine can give (accept(2)) ends the node: the next client is served.
+// Guards against a node that ends on an error of accept: after each error that accept(2) lists for a running machine the
+// next client is served.
 func TestAcceptErrorsDoNotEndNode(t *testing.T) {
 	errs := []error{
 		syscall.ENOBUFS, syscall.ENOMEM, syscall.ENFILE, syscall.EMFILE, syscall.ECONNABORTED, syscall.EPERM, syscall.EPROTO,
@@ -40,19 +41,19 @@
 		syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.ENOSR,
 	}
 	r := newTestNodeWithListener(t, func(socket net.Listener) net.Listener { return &failingListener{Listener: socket, errs: errs} })
-	a := testkit.NewApp(t, func(http.ResponseWriter, *http.Request) {})
-	r.setEndpoints(endpointOf(a, "s-1", 0))
+	app := testkit.NewApp(t, func(http.ResponseWriter, *http.Request) {})
+	r.setEndpoints(endpointOf(app, "s-1", 0))
 	if resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1")); resp.StatusCode != http.StatusOK {
-		t.Errorf("status %d behind errors of accept", resp.StatusCode)
+		t.Errorf("status %d after errors of accept, want 200", resp.StatusCode)
 	}
 	select {
 	case err := <-r.ended:
-		t.Errorf("the node has ended: %v", err)
+		t.Errorf("the node has ended after errors of accept: %v", err)
 	default:
 	}
 }
 
-// newTestNodeWithListener runs a node whose listener is wrapped.
+// newTestNodeWithListener runs a node whose TCP listener is wrapped by wrap.
 func newTestNodeWithListener(t *testing.T, wrap func(net.Listener) net.Listener) *testNode {
 	t.Helper()
 	cfg, err := config.LoadPlatform("../config/testdata/config.json")
@@ -69,37 +70,38 @@
 	return r
 }
 
-// failingUntil is a listener whose calls of Accept fail up to a time.
-type failingUntil struct {
+// temporarilyFailingListener is a listener whose calls of Accept fail until a point in time.
+type temporarilyFailingListener struct {
 	net.Listener
 	mu       sync.Mutex
 	until    time.Time
 	failures int
 }
 
-func (l *failingUntil) failFor(d time.Duration) {
+func (l *temporarilyFailingListener) failFor(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.until = time.Now().Add(d)
 }
 
-// hasFailed tells whether a call has failed.
-func (l *failingUntil) hasFailed() bool {
+// hasFailed reports whether a call has failed.
+func (l *temporarilyFailingListener) hasFailed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.failures > 0
 }
 
-func (l *failingUntil) Accept() (net.Conn, error) {
+func (l *temporarilyFailingListener) Accept() (net.Conn, error) {
 	if err := l.failure(); err != nil {
 		return nil, err
 	}
-	// A call that waits when the failures begin is woken up, so that it does not take the next connection.
+	// The short deadline ends a call that is waiting when the failures begin, so that it does not accept the next
+	// connection.
 	l.Listener.(*net.TCPListener).SetDeadline(time.Now().Add(time.Millisecond))
 	return l.Listener.Accept()
 }
 
-func (l *failingUntil) failure() error {
+func (l *temporarilyFailingListener) failure() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if time.Now().Before(l.until) {
@@ -109,29 +111,29 @@
 	return nil
 }
 
-// The time that a request has waited in the socket's queue, as its connection could not be accepted, is not left to it:
-// its server is told what is left to the client.
-func TestTimeInAcceptQueueIsNotLeft(t *testing.T) {
+// Guards against a server that is told more time than the client has left. While accept fails, the connection waits in
+// the accept queue, and this time counts against the request's deadline.
+func TestTimeInAcceptQueueCountsAgainstDeadline(t *testing.T) {
 	const queued = 400 * time.Millisecond
-	var socket *failingUntil
+	var socket *temporarilyFailingListener
 	r := newTestNodeWithListener(t, func(l net.Listener) net.Listener {
-		socket = &failingUntil{Listener: l}
+		socket = &temporarilyFailingListener{Listener: l}
 		return socket
 	})
 	results := make(chan string, 1)
-	a := testkit.NewApp(t, func(_ http.ResponseWriter, q *http.Request) { results <- q.Header.Get(protocol.HeaderTimeLeft) })
-	r.setEndpoints(endpointOf(a, "s-1", 0))
+	app := testkit.NewApp(t, func(_ http.ResponseWriter, req *http.Request) { results <- req.Header.Get(protocol.HeaderTimeLeft) })
+	r.setEndpoints(endpointOf(app, "s-1", 0))
 	socket.failFor(queued + 100*time.Millisecond)
-	r.wait("a failure of accept", socket.hasFailed)
-	time.Sleep(100 * time.Millisecond) // the request is to come when the listener has failed for some time
+	r.waitUntil("a failure of accept", socket.hasFailed)
+	time.Sleep(100 * time.Millisecond) // the request arrives after the listener has been failing for some time
 	request := r.newRequest(http.MethodGet, "/roster-read", "id-1")
 	request.Header.Set(protocol.HeaderTimeLeft, "1000m")
 	if resp, _ := r.do(request); resp.StatusCode != http.StatusOK {
-		t.Errorf("status %d", resp.StatusCode)
+		t.Errorf("status %d, want 200", resp.StatusCode)
 	}
 	text := testkit.Next(t, results)
 	left, err := time.ParseDuration(text + "s")
 	if err != nil || left > time.Second-queued+50*time.Millisecond || left < 100*time.Millisecond {
-		t.Errorf("%q are left of 1000m after %v in the queue (%v)", text, queued, err)
+		t.Errorf("the server was told that %q of 1000m are left after %v in the accept queue (parse error %v)", text, queued, err)
 	}
 }
--- a/internal/node/drain_requests_test.go
+++ b/internal/node/drain_requests_test.go
@@ -9,17 +9,17 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// A draining node answers its requests in flight, accepts those that still come and then ends.
+// A draining node answers its requests in flight, accepts requests that still arrive, and then ends.
 func TestDrainAnswersRequestsInFlight(t *testing.T) {
 	t.Parallel()
 	r := newTestNodeWithDrain(t, config.PlatformDrain)
 	arrived, finish := make(chan struct{}, 2), make(chan struct{})
-	a := testkit.NewApp(t, func(w http.ResponseWriter, q *http.Request) {
+	app := testkit.NewApp(t, func(w http.ResponseWriter, req *http.Request) {
 		arrived <- struct{}{}
 		<-finish
-		testkit.Served(w, q)
+		testkit.Served(w, req)
 	})
-	r.setEndpoints(endpointOf(a, "s-1", 0))
+	r.setEndpoints(endpointOf(app, "s-1", 0))
 	answers := make(chan *http.Response, 2)
 	send := func(id string) {
 		resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", id))
@@ -28,16 +28,16 @@
 	go send("before")
 	testkit.Next(t, arrived)
 	r.stop()
-	r.wait("draining", r.isDraining)
+	r.waitUntil("draining", r.isDraining)
 	if resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "")); resp.StatusCode != 400 || !resp.Close {
-		t.Errorf("a bad request: %s, close %v", resp.Status, resp.Close)
+		t.Errorf("invalid request while draining: %s, close %v, want 400 and close", resp.Status, resp.Close)
 	}
 	go send("after")
 	testkit.Next(t, arrived)
 	close(finish)
 	for range 2 {
 		if resp := testkit.Next(t, answers); resp.StatusCode != 200 || !resp.Close {
-			t.Errorf("%s, close %v", resp.Status, resp.Close)
+			t.Errorf("valid request while draining: %s, close %v, want 200 and close", resp.Status, resp.Close)
 		}
 	}
 	if err := testkit.Next(t, r.ended); err != nil {
@@ -46,18 +46,18 @@
 	r.ended <- nil
 	if c, err := net.Dial("tcp", r.node.Addr()); err == nil {
 		c.Close()
-		t.Error("still listening")
+		t.Error("the node still listens after its end")
 	}
 }
 
-// A request that an app server doesn't answer while the node drains is answered as failed before the end.
+// A request that its app server has not answered when the drain ends is answered as failed before the node ends.
 func TestDrainFailsUnansweredRequests(t *testing.T) {
 	t.Parallel()
 	r := newTestNodeWithDrain(t, config.PlatformDrain)
 	answered := r.holdRequest()
 	r.stop()
 	if s := testkit.Next(t, answered); s != http.StatusBadGateway {
-		t.Errorf("%d", s)
+		t.Errorf("unanswered request: status %d, want 502", s)
 	}
 	if err := testkit.Next(t, r.ended); err != nil {
 		t.Error(err)
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -9,16 +9,23 @@
 	"lockflow/internal/limits"
 )
 
-// unpartitionedLimiter are books with no parts: whoever comes first takes what there is.
-type unpartitionedLimiter struct {
+// limiterWithoutGuarantees is a shared limiter without guaranteed amounts: services take resources first come, first
+// served.
+type limiterWithoutGuarantees struct {
 	*sharedLimiter
-	all *limits.SocketLimiter
+	sockets *limits.SocketLimiter
 }
 
-func (b *unpartitionedLimiter) clientSockets() limits.ConnectionLimiter           { return b.all.ForClients() }
-func (b *unpartitionedLimiter) upstreamSockets(*account) limits.ConnectionLimiter { return b.all }
-func (b *unpartitionedLimiter) setGuarantees(*config.Config, map[string]*runningService) error {
-	for _, s := range []*limits.SharedResource{b.slots, b.bytes, b.dials} {
+func (l *limiterWithoutGuarantees) clientSockets() limits.ConnectionLimiter {
+	return l.sockets.ForClients()
+}
+
+func (l *limiterWithoutGuarantees) upstreamSockets(*account) limits.ConnectionLimiter {
+	return l.sockets
+}
+
+func (l *limiterWithoutGuarantees) setGuarantees(*config.Config, map[string]*runningService) error {
+	for _, s := range []*limits.SharedResource{l.slots, l.bytes, l.dials} {
 		if err := s.SetGuarantees(math.MaxInt32, nil); err != nil {
 			return err
 		}
@@ -26,26 +33,26 @@
 	return nil
 }
 
-// WithoutGuarantees has nodes made until undo is called share without parts: the isolation of
-// services is gone.
+// WithoutGuarantees makes nodes that are created until undo is called share resources without guarantees, so that
+// services are not isolated from one another.
 func WithoutGuarantees() (undo func()) {
 	old := makeSharedLimiter
 	makeSharedLimiter = func(cfg *config.Config, f *front.Front) resourceLimiter {
-		b := &unpartitionedLimiter{newSharedLimiter(cfg, f), limits.NewSocketLimiter(cfg.Process.Descriptors)}
-		b.all.OnEvict(f.Evict, nil)
-		return b
+		limiter := &limiterWithoutGuarantees{newSharedLimiter(cfg, f), limits.NewSocketLimiter(cfg.Process.Descriptors)}
+		limiter.sockets.OnEvict(f.Evict, nil)
+		return limiter
 	}
 	return func() { makeSharedLimiter = old }
 }
 
-// RunningServices is how many services run, also those that were removed and still hold something.
+// RunningServices returns the number of running services, including removed ones with requests in flight.
 func RunningServices(n *Node) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.runningServices
 }
 
-// PanicNext has the module of a service panic at the next event.
+// PanicNext makes the event loop of a service panic at its next event.
 func PanicNext(n *Node, name string) {
 	n.mu.Lock()
 	s := n.services[name]
@@ -53,7 +60,7 @@
 	s.Post(func() { panic("no such share") })
 }
 
-// ChargeModuleTime books time as that of a service's module.
+// ChargeModuleTime records processor time as used by a service's decision module.
 func ChargeModuleTime(n *Node, name string, elapsed time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/fixtures_test.go
+++ b/internal/node/fixtures_test.go
@@ -38,18 +38,18 @@
 depth = 100000
 `
 
-// twoServerPools are two pools of fast servers.
-func twoServerPools(work time.Duration) map[string][]fake.Server {
-	all := make(map[string][]fake.Server)
+// twoServerPools returns two pools, a and b, of two servers each with the given service time.
+func twoServerPools(serviceTime time.Duration) map[string][]fake.Server {
+	pools := make(map[string][]fake.Server)
 	for _, name := range []string{"a", "b"} {
 		for i := range 2 {
-			all[name] = append(all[name], fake.Server{
-				UID: fmt.Sprint(name, i), Work: work, Place: i,
+			pools[name] = append(pools[name], fake.Server{
+				UID: fmt.Sprint(name, i), Work: serviceTime, Place: i,
 				Group: &fake.Group{Window: 15 * time.Second},
 			})
 		}
 	}
-	return all
+	return pools
 }
 
 const twoServicesConfig = configHeader + `
@@ -67,7 +67,7 @@
 as = "write"
 `
 
-// writeRequest sends a request's head and what there is of its body on a connection.
+// writeRequest writes a request's head with Content-Length length and the available part of its body to a connection.
 func writeRequest(c net.Conn, host, path, id, body string, length int) {
 	method := "GET"
 	if length > 0 {
@@ -90,9 +90,9 @@
 	return resp.StatusCode, string(body)
 }
 
-func dial(t *testing.T, l *testbench.Bench) (net.Conn, *bufio.Reader) {
+func dial(t *testing.T, bench *testbench.Bench) (net.Conn, *bufio.Reader) {
 	t.Helper()
-	c, err := net.Dial("tcp", l.Node.Addr())
+	c, err := net.Dial("tcp", bench.Node.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,7 +101,7 @@
 	return c, bufio.NewReader(c)
 }
 
-// manyServicesConfig is a configuration of many services and routes.
+// manyServicesConfig returns a configuration with the given numbers of services and routes.
 func manyServicesConfig(services, routes int) string {
 	var b strings.Builder
 	b.WriteString(configHeader)
--- a/internal/node/flood_test.go
+++ b/internal/node/flood_test.go
@@ -16,12 +16,12 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// Requests that a client sends at once are answered each, in their order.
-func TestRequestsSentAtOnceAreAnsweredInOrder(t *testing.T) {
+// Requests that a client pipelines in one write are all answered, in the order that they were sent in.
+func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	const requests = 60
 	r := newTestNode(t)
-	app := testkit.NewApp(t, func(w http.ResponseWriter, q *http.Request) {
-		_, _ = io.WriteString(w, q.Header.Get(protocol.HeaderID)) // what does not arrive is seen by the client
+	app := testkit.NewApp(t, func(w http.ResponseWriter, req *http.Request) {
+		_, _ = io.WriteString(w, req.Header.Get(protocol.HeaderID)) // the client checks that the body arrives
 	})
 	r.setEndpoints(endpointOf(app, "s-1", 0))
 	var text strings.Builder
@@ -38,17 +38,17 @@
 	for i := range requests {
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
-			t.Fatalf("answer %d: %v", i, err)
+			t.Fatalf("reading answer %d: %v", i, err)
 		}
 		body, err := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		if err != nil || resp.StatusCode != http.StatusOK || string(body) != fmt.Sprint("id-", i) {
-			t.Fatalf("answer %d: %d %q, %v", i, resp.StatusCode, body, err)
+			t.Fatalf("answer %d: status %d, body %q, error %v", i, resp.StatusCode, body, err)
 		}
 	}
 }
 
-// dialTo connects a client that ends with the test.
+// dialTo opens a client connection that is closed at the end of the test.
 func dialTo(t *testing.T, address string) net.Conn {
 	t.Helper()
 	client, err := net.DialTimeout("tcp", address, testkit.WaitTimeout)
@@ -60,8 +60,8 @@
 	return client
 }
 
-// healthOver asks for /healthz over a connection, which stays open.
-func healthOver(t *testing.T, client net.Conn) (status int) {
+// requestHealth requests /healthz on a connection, which stays open, and returns the answer's status.
+func requestHealth(t *testing.T, client net.Conn) (status int) {
 	t.Helper()
 	if _, err := io.WriteString(client, healthzRequest); err != nil {
 		t.Fatal(err)
@@ -74,11 +74,12 @@
 	return resp.StatusCode
 }
 
-// restedTooLong is less than a client's connection may rest.
-const restedTooLong = 9 * time.Second
+// maxReadyTime is less than the idle timeout of a client connection (10 s).
+const maxReadyTime = 9 * time.Second
 
-// A node that ends while idle clients hold all of its descriptors starts anew at its address, and is ready though
-// they come again at once and hold all of them: it does not wait until they have rested for too long.
+// Guards against a node that can't serve while idle clients use all its descriptors. A node that ends like this restarts
+// at the same address and becomes ready although the clients reconnect at once: it evicts idle connections before their
+// idle timeout.
 func TestRestartUnderIdleClients(t *testing.T) {
 	cfg, err := config.LoadPlatform("../config/testdata/config.json")
 	if err != nil {
@@ -93,19 +94,19 @@
 		startedAt := time.Now()
 		for range cfg.Process.Descriptors {
 			client := r.dial()
-			healthOver(t, client)
+			requestHealth(t, client)
 			idle = append(idle, client)
 		}
 		app := testkit.NewApp(t, testkit.Served)
 		r.setEndpoints(endpointOf(app, "s-1", 0))
-		if status := healthOver(t, dialTo(t, r.node.Addr())); status != http.StatusOK {
-			t.Errorf("ready: %d", status)
+		if status := requestHealth(t, dialTo(t, r.node.Addr())); status != http.StatusOK {
+			t.Errorf("health check: status %d, want 200", status)
 		}
 		if resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1")); resp.StatusCode != http.StatusOK {
-			t.Errorf("a request: %d", resp.StatusCode)
+			t.Errorf("request: status %d, want 200", resp.StatusCode)
 		}
-		if elapsed := time.Since(startedAt); elapsed > restedTooLong {
-			t.Errorf("ready after %v", elapsed)
+		if elapsed := time.Since(startedAt); elapsed > maxReadyTime {
+			t.Errorf("the node was ready only after %v", elapsed)
 		}
 		r.stop()
 		if err := testkit.Next(t, r.ended); err != nil {
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -15,21 +15,21 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// testNode is a node with an agent, and app servers as a test starts them.
+// testNode is a node with a fake discovery agent. Tests start app servers for it.
 type testNode struct {
-	http.Transport // its own: whoever closes an httptest server cuts connections of the one that all have
+	http.Transport // not http.DefaultTransport, whose idle connections any httptest.Server.Close closes
 	t              *testing.T
 	agent          *testkit.Agent
 	node           *Node
-	running        context.Context
+	runContext     context.Context
 	stop           context.CancelFunc
 	ended          chan error
-	rev            int
+	revision       int
 }
 
 func newTestNode(t *testing.T) *testNode {
 	t.Helper()
-	return newTestNodeWithDrain(t, config.Drain{}) // at once
+	return newTestNodeWithDrain(t, config.Drain{}) // drains without waiting
 }
 
 func newTestNodeWithDrain(t *testing.T, drain config.Drain) *testNode {
@@ -38,7 +38,7 @@
 	return r
 }
 
-// newIdleTestNode makes a rig whose node listens, and runs once the test says so.
+// newIdleTestNode creates a testNode that listens but does not run until the test calls run.
 func newIdleTestNode(t *testing.T, drain config.Drain) *testNode {
 	t.Helper()
 	cfg, err := config.LoadPlatform("../config/testdata/config.json")
@@ -49,7 +49,8 @@
 	return newIdleTestNodeWithConfig(t, cfg)
 }
 
-// newTestNodeWithConfig is a rig by a configuration of the platform, but for where its discovery is.
+// newTestNodeWithConfig runs a node with a platform configuration, whose discovery address it replaces by that of a fake
+// agent.
 func newTestNodeWithConfig(t *testing.T, cfg config.Config) *testNode {
 	t.Helper()
 	r := newIdleTestNodeWithConfig(t, cfg)
@@ -59,19 +60,19 @@
 
 func newIdleTestNodeWithConfig(t *testing.T, cfg config.Config) *testNode {
 	t.Helper()
-	r := &testNode{t: t, agent: testkit.NewAgent(t), ended: make(chan error, 1), rev: 7}
+	r := &testNode{t: t, agent: testkit.NewAgent(t), ended: make(chan error, 1), revision: 7}
 	cfg.Services[0].Source.Address = r.agent.Addr()
 	var err error
 	if r.node, err = New(cfg); err != nil {
 		t.Fatal(err)
 	}
-	r.running, r.stop = context.WithCancel(context.Background())
+	r.runContext, r.stop = context.WithCancel(context.Background())
 	return r
 }
 
-// run runs the node until stop, which may have been called.
+// run runs the node until stop is called, which may have happened before.
 func (r *testNode) run() {
-	go func() { r.ended <- r.node.Run(r.running) }()
+	go func() { r.ended <- r.node.Run(r.runContext) }()
 	r.t.Cleanup(func() {
 		r.CloseIdleConnections()
 		r.stop()
@@ -79,40 +80,40 @@
 		case err := <-r.ended:
 			r.ended <- err
 		case <-time.After(testkit.WaitTimeout):
-			r.t.Error("the node did not end")
+			r.t.Error("the node did not end in time")
 		}
 	})
 }
 
-// setEndpoints tells the node of changes and returns when the module knows them.
+// setEndpoints publishes changed endpoints and returns once the decision module has received them.
 func (r *testNode) setEndpoints(targets ...discovery.Endpoint) {
 	r.t.Helper()
-	r.rev++
-	line, err := json.Marshal(discovery.EndpointList{Revision: int64(r.rev), Endpoints: targets})
+	r.revision++
+	line, err := json.Marshal(discovery.EndpointList{Revision: int64(r.revision), Endpoints: targets})
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	r.agent.Lines <- string(line) + "\n"
-	testkit.Until(r.t, "the list", func() bool {
-		known := r.service().Endpoints().Revision == int64(r.rev)
+	testkit.Until(r.t, "the new endpoint list", func() bool {
+		known := r.service().Endpoints().Revision == int64(r.revision)
 		if known {
-			r.status() // a round through the loop: what came before has been done
+			r.status() // waits until the event loop has handled all earlier events
 		}
 		return known
 	})
 }
 
-// service is the node's one service.
+// service returns the node's only service.
 func (r *testNode) service() *service.Service { return r.node.services[""].Service }
 
 func (r *testNode) status() service.Status { return r.service().Status() }
 
-func (r *testNode) wait(what string, is func() bool) {
+func (r *testNode) waitUntil(event string, condition func() bool) {
 	r.t.Helper()
-	testkit.Until(r.t, what, is)
+	testkit.Until(r.t, event, condition)
 }
 
-// isDraining tells whether an answer of the node closes its connection.
+// isDraining reports whether an answer of the node closes its connection.
 func (r *testNode) isDraining() bool {
 	resp, err := http.Get("http://" + r.node.Addr() + "/healthz")
 	if err != nil {
@@ -122,11 +123,11 @@
 	return resp.Close
 }
 
-func endpointOf(a *testkit.App, uid string, group int) discovery.Endpoint {
-	return discovery.Endpoint{UID: uid, Address: a.Addr(), Zone: "z1", Group: group, State: "up", Capacity: 1}
+func endpointOf(app *testkit.App, uid string, group int) discovery.Endpoint {
+	return discovery.Endpoint{UID: uid, Address: app.Addr(), Zone: "z1", Group: group, State: "up", Capacity: 1}
 }
 
-// newRequest is a client's request that a test may change before it is sent.
+// newRequest returns a valid client request, which a test may change before sending it.
 func (r *testNode) newRequest(method, path, id string) *http.Request {
 	req, err := http.NewRequest(method, "http://"+r.node.Addr()+path+"?account=00000000b4d65521", nil)
 	if err != nil {
@@ -160,14 +161,14 @@
 	return resp, string(body)
 }
 
-// holdRequest has the node hold a request that its app server never answers. The status of
-// its final answer comes on the channel.
+// holdRequest sends a request that its app server never answers, and returns once the server has received it. The channel
+// receives the status of the final answer.
 func (r *testNode) holdRequest() <-chan int {
 	r.t.Helper()
 	accepted := make(chan struct{})
 	silent := testkit.Never(r.t)
-	a := testkit.NewApp(r.t, func(w http.ResponseWriter, q *http.Request) { close(accepted); silent(w, q) })
-	r.setEndpoints(endpointOf(a, "s-1", 0))
+	app := testkit.NewApp(r.t, func(w http.ResponseWriter, req *http.Request) { close(accepted); silent(w, req) })
+	r.setEndpoints(endpointOf(app, "s-1", 0))
 	answered := make(chan int, 1)
 	go func() {
 		resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1"))
--- a/internal/node/http2_test.go
+++ b/internal/node/http2_test.go
@@ -14,8 +14,9 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// idempotentUpdates are clients that send keyed updates of various lengths, as fast as they are answered.
-func idempotentUpdates(addr string, seed uint64, workers int) fake.Clients {
+// clientsSendingUpdates returns clients that send updates with idempotency keys and bodies of various lengths, each as
+// fast as it is answered.
+func clientsSendingUpdates(addr string, seed uint64, workers int) fake.Clients {
 	return fake.Clients{Addr: addr, Seed: seed, Workers: workers, Call: func(rng *rand.Rand) fake.Call {
 		return fake.Call{
 			Kind: "update", Host: "h", Method: "POST", Path: "/update", Plan: "standard", Customer: rng.Uint64N(50),
@@ -24,15 +25,15 @@
 	}}
 }
 
-// A burst of updates through a node at servers that close, refuse, go away and change their
-// limits, one of which speaks HTTP/1.1 only, while the node is reloaded: by both sides' counts each
-// has one final answer and none has two effects.
+// Sends many updates through a node, which is reloaded meanwhile, to HTTP/2 servers that close connections, refuse and
+// reset streams, send GOAWAY and lower their stream limit, and to one server that speaks HTTP/1.1 only. By the counts of
+// clients and servers each update gets one final answer and none takes effect twice.
 func TestUpdatesOverFaultyHTTP2RunOnce(t *testing.T) {
 	executions, group := &fake.Executions{}, &fake.Group{Window: 15 * time.Second}
 	faults := fake.HTTP2Faults{Refuse: 0.02, Reset: 0.01, Error: 0.01, Lower: 0.02, GoAway: 0.01, CutRead: 0.2, CutSent: 0.2}
 	var text strings.Builder
 	text.WriteString(configHeader + "[services.a]\nservers = { protocol = \"http/2 or 1.1\", streams = 16 }\n[services.a.source]\nkind = \"static\"\n")
-	entry := func(uid, addr string) {
+	addServer := func(uid, addr string) {
 		fmt.Fprintf(&text, "[[services.a.source.servers]]\nuid = %q\nendpoint = %q\ngroup = 1\n", uid, addr)
 	}
 	for i := range 3 {
@@ -41,45 +42,45 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(s.Close)
-		entry(s.UID, s.Addr())
+		addServer(s.UID, s.Addr())
 	}
 	old, err := fake.Server{UID: "old", Executions: executions, Group: group}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(old.Close)
-	entry("old", old.Addr())
+	addServer("old", old.Addr())
 	text.WriteString("[[routes]]\nservice = \"a\"\nprefix = \"/\"\nas = \"write\"\n")
 
-	l := benchtest.Begin(t, text.String(), nil)
+	bench := benchtest.Begin(t, text.String(), nil)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	run := idempotentUpdates(l.Node.Addr(), 3, 24).Start(ctx)
+	run := clientsSendingUpdates(bench.Node.Addr(), 3, 24).Start(ctx)
 	served := func() int { return run.Snapshot()["update"].Served }
 	for i := range 4 {
 		want := served() + 300
 		testkit.Until(t, "more answers", func() bool { return served() >= want })
-		// Every second configuration has another limit on streams, which takes connections of its own.
-		more := strings.Replace(text.String(), "streams = 16", fmt.Sprint("streams = ", 16+i/2), 1)
-		if err := l.Reload(strings.Replace(more, "[services.a]", fmt.Sprintf("[services.a]\nattempts = %d", 3+i), 1)); err != nil {
+		// Every second configuration changes the limit on streams, which requires new connections.
+		changed := strings.Replace(text.String(), "streams = 16", fmt.Sprint("streams = ", 16+i/2), 1)
+		if err := bench.Reload(strings.Replace(changed, "[services.a]", fmt.Sprintf("[services.a]\nattempts = %d", 3+i), 1)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	stop()
 	s := run.Wait()["update"]
 	if s.Lost+s.Wrong > 0 || s.Served < s.Calls/2 {
-		t.Errorf("%+v", *s)
+		t.Errorf("results of the clients: %+v", *s)
 	}
 	if c := executions.Counts(); c.DuplicateEffects > 0 || c.MaxInFlight > 1 || c.Requests < s.Served {
-		t.Errorf("%+v, served %d", c, s.Served)
+		t.Errorf("executions on the servers: %+v, served %d", c, s.Served)
 	}
-	testkit.Until(t, "what was replaced has ended", func() bool { return node.RunningServices(l.Node) == 1 })
+	testkit.Until(t, "the end of replaced services", func() bool { return node.RunningServices(bench.Node) == 1 })
 }
 
-// A rolling upgrade of servers from HTTP/1.1 to HTTP/2 and back, each ended in the middle of a
-// burst and started anew at its address, twice over: no update has two effects or no answer, and
-// each server is spoken to as it speaks once the time to try again is over. The load keeps all of
-// them busy: while others idle, one that has failed is left alone for long.
+// Upgrades servers one by one from HTTP/1.1 to HTTP/2, back, and to HTTP/2 again. Each is stopped under load and restarted
+// at its address. No update takes effect twice or stays unanswered, and the node uses the protocol of each server once the
+// interval for retrying HTTP/2 has passed. The load keeps all servers busy, since a server that has failed is avoided for
+// long while others are idle.
 func TestRollingProtocolUpgradeOfServersRunsUpdatesOnce(t *testing.T) {
 	executions, group := &fake.Executions{}, &fake.Group{Window: 15 * time.Second}
 	var text strings.Builder
@@ -102,30 +103,30 @@
 		fmt.Fprintf(&text, "[[services.a.source.servers]]\nuid = %q\nendpoint = %q\ngroup = 1\n", servers[i].UID, servers[i].Addr())
 	}
 	text.WriteString("[[routes]]\nservice = \"a\"\nprefix = \"/\"\nas = \"write\"\n")
-	l := benchtest.Begin(t, text.String(), nil)
+	bench := benchtest.Begin(t, text.String(), nil)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	run := idempotentUpdates(l.Node.Addr(), 4, 16).Start(ctx)
-	testkit.Until(t, "a server that is fallen back on", func() bool { return l.Node.Status()[0].HTTP2.FallbackServers == len(servers) })
+	run := clientsSendingUpdates(bench.Node.Addr(), 4, 16).Start(ctx)
+	testkit.Until(t, "falling back to HTTP/1.1 for all servers", func() bool { return bench.Node.Status()[0].HTTP2.FallbackServers == len(servers) })
 	for _, isHTTP2 := range []bool{true, false, true} {
 		for i, s := range servers {
 			s.Close()
 			begin(i, s.Addr(), isHTTP2)
-			testkit.Until(t, "requests as the new one speaks", func() bool {
+			testkit.Until(t, "requests to the restarted server in its protocol", func() bool {
 				one, two := servers[i].RequestsByVersion()
 				return isHTTP2 && two > 20 || !isHTTP2 && one > 20
 			})
 		}
-		testkit.Until(t, "connections as the servers speak", func() bool {
-			h := l.Node.Status()[0].HTTP2
+		testkit.Until(t, "connections in the protocol of the servers", func() bool {
+			h := bench.Node.Status()[0].HTTP2
 			return isHTTP2 && h.Connections >= len(servers) && h.FallbackServers == 0 || !isHTTP2 && h.Connections == 0
 		})
 	}
 	stop()
 	if s := run.Wait()["update"]; s.Lost+s.Wrong > 0 || s.Served < s.Calls/2 {
-		t.Errorf("%+v", *s)
+		t.Errorf("results of the clients: %+v", *s)
 	}
 	if c := executions.Counts(); c.DuplicateEffects > 0 || c.MaxInFlight > 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("executions on the servers: %+v", c)
 	}
 }
--- a/internal/node/nodelay_test.go
+++ b/internal/node/nodelay_test.go
@@ -11,53 +11,54 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// acceptedConns is a listener that keeps the connections that it has given.
-type acceptedConns struct {
+// recordingListener is a listener that records the connections that it has accepted.
+type recordingListener struct {
 	net.Listener
-	mu  sync.Mutex
-	all []*net.TCPConn
+	mu       sync.Mutex
+	accepted []*net.TCPConn
 }
 
-func (r *acceptedConns) Accept() (net.Conn, error) {
-	conn, err := r.Listener.Accept()
+func (l *recordingListener) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
 	if err == nil {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		r.all = append(r.all, conn.(*net.TCPConn))
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		l.accepted = append(l.accepted, conn.(*net.TCPConn))
 	}
 	return conn, err
 }
 
-// countDelayed counts the connections on which the system may hold small writes back.
-func (r *acceptedConns) countDelayed(t *testing.T) (conns, delayed int) {
+// countWithoutNoDelay returns the number of accepted connections and of those without TCP_NODELAY, on which the kernel
+// may delay small writes.
+func (l *recordingListener) countWithoutNoDelay(t *testing.T) (conns, withoutNoDelay int) {
 	t.Helper()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, conn := range r.all {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, conn := range l.accepted {
 		raw, err := conn.SyscallConn()
 		if err != nil {
 			t.Fatal(err)
 		}
 		err = raw.Control(func(fd uintptr) {
 			if on, err := unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NODELAY); err != nil || on == 0 {
-				delayed++
+				withoutNoDelay++
 			}
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	return len(r.all), delayed
+	return len(l.accepted), withoutNoDelay
 }
 
-// startRecorded starts a node that ends with the test, and gives the listener of its clients.
-func startRecorded(t *testing.T, cfg config.Config) *acceptedConns {
+// startNodeWithRecordingListener runs a node until the end of the test and returns its listener.
+func startNodeWithRecordingListener(t *testing.T, cfg config.Config) *recordingListener {
 	t.Helper()
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	listener := &acceptedConns{Listener: tcp}
+	listener := &recordingListener{Listener: tcp}
 	cfg.Services[0].Source.Address = testkit.NewAgent(t).Addr()
 	n, err := NewInheriting(cfg, map[string]net.Listener{cfg.Listeners[0]: listener})
 	if err != nil {
@@ -74,9 +75,10 @@
 	return listener
 }
 
-// Nothing small that is written to a client is held back by the system: a close over unread bytes would drop it.
+// Guards against small writes to clients that the kernel delays: closing the connection while received bytes are unread
+// would discard them.
 func TestClientConnectionsHaveNoDelay(t *testing.T) {
-	for name, shared := range map[string]bool{"one service": false, "services that share": true} {
+	for name, shared := range map[string]bool{"one service": false, "services with shared resources": true} {
 		t.Run(name, func(t *testing.T) {
 			cfg, err := config.LoadPlatform("../config/testdata/config.json")
 			if err != nil {
@@ -86,11 +88,11 @@
 			if cfg.Process.Shared = shared; shared {
 				cfg.Process.Total = config.Amounts{Descriptors: 200, Requests: 100, Bytes: 64 << 20, Dials: 100, ModuleTime: 1}
 			}
-			listener := startRecorded(t, cfg)
+			listener := startNodeWithRecordingListener(t, cfg)
 			client := dialTo(t, listener.Addr().String())
-			healthOver(t, client)
-			if conns, delayed := listener.countDelayed(t); conns != 1 || delayed != 0 {
-				t.Errorf("of %d connections %d delay small writes", conns, delayed)
+			requestHealth(t, client)
+			if conns, withoutNoDelay := listener.countWithoutNoDelay(t); conns != 1 || withoutNoDelay != 0 {
+				t.Errorf("%d connections, %d of them without TCP_NODELAY", conns, withoutNoDelay)
 			}
 		})
 	}
--- a/internal/node/queue_time_test.go
+++ b/internal/node/queue_time_test.go
@@ -13,11 +13,11 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// Guards against servers that are told more time than a client has left: of several clients that wait in the listener's
-// queue for one descriptor, the time of each counts from its request's arrival, not from the accept of the one before.
-func TestTimeBehindOtherClientsInAcceptQueueIsNotLeft(t *testing.T) {
+// Guards against servers that are told more time than the client has left. When several clients wait in the accept queue
+// for one descriptor, the time of each counts from the arrival of its request, not from the previous accept.
+func TestTimeBehindOtherClientsInAcceptQueueCountsAgainstDeadline(t *testing.T) {
 	const (
-		held    = 400 * time.Millisecond // for which the first client keeps the descriptor
+		held    = 400 * time.Millisecond // time for which the first client keeps the descriptor
 		waiting = 3
 	)
 	cfg, err := config.LoadPlatform("../config/testdata/config.json")
@@ -30,15 +30,15 @@
 	arrived := make(chan struct{})
 	release := make(chan struct{})
 	timesLeft := make(chan string, waiting)
-	a := testkit.NewApp(t, func(_ http.ResponseWriter, q *http.Request) {
-		if q.Header.Get(protocol.HeaderID) == "first" {
+	app := testkit.NewApp(t, func(_ http.ResponseWriter, req *http.Request) {
+		if req.Header.Get(protocol.HeaderID) == "first" {
 			close(arrived)
 			<-release
 			return
 		}
-		timesLeft <- q.Header.Get(protocol.HeaderTimeLeft)
+		timesLeft <- req.Header.Get(protocol.HeaderTimeLeft)
 	})
-	r.setEndpoints(endpointOf(a, "s-1", 0))
+	r.setEndpoints(endpointOf(app, "s-1", 0))
 	first := r.dial()
 	r.newRequest(http.MethodGet, "/roster-read", "first").Write(first)
 	testkit.Next(t, arrived)
@@ -55,18 +55,19 @@
 			}
 		}()
 	}
-	time.Sleep(held) // the requests are to wait in the queue
+	time.Sleep(held) // the requests wait in the queue
 	close(release)
-	// Its answer is read before it closes: a request whose client leaves is cancelled, and counts as running for a while.
+	// The answer is read before the connection is closed, because a request whose client disconnects is cancelled and
+	// stays in flight for a while.
 	if resp, err := http.ReadResponse(bufio.NewReader(first), nil); err != nil || resp.StatusCode != http.StatusOK {
-		t.Fatalf("the first client: %v, %v", resp, err)
+		t.Fatalf("first client: answer %v, error %v, want 200", resp, err)
 	}
 	first.Close()
 	for range waiting {
 		text := testkit.Next(t, timesLeft)
 		left, err := time.ParseDuration(text + "s")
 		if err != nil || left > 2*time.Second-held+50*time.Millisecond {
-			t.Errorf("%q are left of 2000m after %v in the queue (%v)", text, held, err)
+			t.Errorf("the server was told that %q of 2000m are left after %v in the accept queue (parse error %v)", text, held, err)
 		}
 	}
 }
--- a/internal/node/random_settings_test.go
+++ b/internal/node/random_settings_test.go
@@ -21,123 +21,124 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// classNames are of classes, plans and zones; each has to be escaped somewhere, or may be taken for something else.
+// classNames are names for classes and plans. Each needs escaping somewhere or could be mistaken for something else.
 var classNames = []string{"read", "a/b", "50%2F%", `Über "x"`, "..", "a+b c", "x;y=1?#&", "日本,語", "healthz", "'", "POST", "0"}
 
-// What an app server does with a request that arrived in full; in all cases but rejectUnseen it may have run.
+// Actions of an app server on a request that it has received completely. Except for rejectUnseen, the request may have
+// been executed.
 const (
 	answerOK = iota
 	answerError
 	resetConnection
 	rejectUnseen
-	neverAnswer // until the node gives up
+	neverAnswer // block until the node cancels the request
 )
 
-// scriptedServers are three app servers that do with each request, arrival by arrival, what was drawn for it.
+// scriptedServers are three app servers that handle each arrival of a request by the next action of its script.
 type scriptedServers struct {
 	servers  [3]*testkit.App
 	mu       sync.Mutex
-	scripts  map[string][]int // by id
+	scripts  map[string][]int // by request ID
 	arrivals map[string][]arrival
 }
 
 type arrival struct{ server, action int }
 
 func newScriptedServers(t *testing.T) *scriptedServers {
-	d := &scriptedServers{scripts: map[string][]int{}, arrivals: map[string][]arrival{}}
-	for i := range d.servers {
-		d.servers[i] = testkit.NewApp(t, func(w http.ResponseWriter, q *http.Request) {
-			switch d.arrive(i, q.Header.Get(protocol.HeaderID)) {
+	scripted := &scriptedServers{scripts: map[string][]int{}, arrivals: map[string][]arrival{}}
+	for i := range scripted.servers {
+		scripted.servers[i] = testkit.NewApp(t, func(w http.ResponseWriter, req *http.Request) {
+			switch scripted.arrive(i, req.Header.Get(protocol.HeaderID)) {
 			case answerError:
 				w.WriteHeader(http.StatusInternalServerError)
 			case resetConnection:
-				testkit.Reset(w, q)
+				testkit.Reset(w, req)
 			case rejectUnseen:
 				w.Header().Set(protocol.HeaderUnprocessed, "1")
 				w.WriteHeader(http.StatusServiceUnavailable)
 			case neverAnswer:
-				<-q.Context().Done()
+				<-req.Context().Done()
 			default:
 				w.Header().Set(protocol.HeaderQuotaUsed, "90")
 				w.Header().Set(protocol.HeaderTrueCost, "2")
 				w.Header().Set(protocol.HeaderBackendLoad, "util=0.5,latency_ms=2")
-				testkit.Served(w, q)
+				testkit.Served(w, req)
 			}
 		})
 	}
-	return d
+	return scripted
 }
 
-func (d *scriptedServers) arrive(server int, id string) int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	did := answerOK
-	if n := len(d.arrivals[id]); n < len(d.scripts[id]) {
-		did = d.scripts[id][n]
+func (s *scriptedServers) arrive(server int, id string) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	action := answerOK
+	if n := len(s.arrivals[id]); n < len(s.scripts[id]) {
+		action = s.scripts[id][n]
 	}
-	d.arrivals[id] = append(d.arrivals[id], arrival{server, did})
-	return did
+	s.arrivals[id] = append(s.arrivals[id], arrival{server, action})
+	return action
 }
 
-func (d *scriptedServers) arrivalsOf(id string) []arrival {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.arrivals[id]
+func (s *scriptedServers) arrivalsOf(id string) []arrival {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.arrivals[id]
 }
 
-// The zone and the cell of each server.
+// serverZones and serverCells are the zone and the cell of each server.
 var (
 	serverZones = [3]string{"z 1", "z 1", "z/2"}
 	serverCells = [3]int{1, 2, 2}
 )
 
-// drawSettings draws a configuration of the platform, with few or many settings and any effect for any class.
+// drawSettings draws a platform configuration with few or many settings and any idempotency for each class.
 func drawSettings(t *rapid.T, apps *scriptedServers) jsonObject {
-	some := func(what string, of ...any) any { return rapid.SampledFrom(of).Draw(t, what) }
-	set := jsonObject{"group-size": rapid.IntRange(1, 300).Draw(t, "group"), "discovery": some("discovery", "pushed", "on_request")}
-	set["self-index"] = rapid.IntRange(0, set["group-size"].(int)-1).Draw(t, "index")
+	sample := func(what string, values ...any) any { return rapid.SampledFrom(values).Draw(t, what) }
+	settings := jsonObject{"group-size": rapid.IntRange(1, 300).Draw(t, "group"), "discovery": sample("discovery", "pushed", "on_request")}
+	settings["self-index"] = rapid.IntRange(0, settings["group-size"].(int)-1).Draw(t, "index")
 	if rapid.Bool().Draw(t, "zones") {
-		set["zone"], set["azs"] = serverZones[0], serverZones[1:]
+		settings["zone"], settings["azs"] = serverZones[0], serverZones[1:]
 	}
 	order := rapid.Permutation(classNames).Draw(t, "names")
 	classes, plans := []any{}, []any{}
 	for i := range rapid.IntRange(1, 3).Draw(t, "classes") {
 		classes = append(classes, jsonObject{
-			"name": order[i], "effect": some("effect", "free", "guarded", "single_shot"), "key-scope": some("scope", "all", "zone", "cell"),
-			"deadline": some("deadline", 1, 20, 300.5, 3000, 3600e3), "aim": some("aim", 1, 200, 2000, 3600e3), "repeat-window": some("window", 0, 1, 500, 3600e3),
-			"worth": some("worth", 0, 1, 5), "late-share": some("late", 0, 1),
+			"name": order[i], "effect": sample("effect", "free", "guarded", "single_shot"), "key-scope": sample("scope", "all", "zone", "cell"),
+			"deadline": sample("deadline", 1, 20, 300.5, 3000, 3600e3), "aim": sample("aim", 1, 200, 2000, 3600e3), "repeat-window": sample("window", 0, 1, 500, 3600e3),
+			"worth": sample("worth", 0, 1, 5), "late-share": sample("late", 0, 1),
 		})
 	}
 	for i := range rapid.IntRange(0, 3).Draw(t, "plans") {
-		p := jsonObject{"name": order[len(order)-1-i], "value-factor": some("price", 0, 1.5)}
-		for key, of := range map[string][]any{"quota-rate": {0, 0.5, 1000}, "depth": {0, 0.5, 40}, "open": {0, 1, 40}, "cap-rate": {0, 0, 10}, "hard-burst": {0, 40}} {
+		p := jsonObject{"name": order[len(order)-1-i], "value-factor": sample("price", 0, 1.5)}
+		for key, values := range map[string][]any{"quota-rate": {0, 0.5, 1000}, "depth": {0, 0.5, 40}, "open": {0, 1, 40}, "cap-rate": {0, 0, 10}, "hard-burst": {0, 40}} {
 			if rapid.Bool().Draw(t, key+" told") {
-				p[key] = some(key, of...)
+				p[key] = sample(key, values...)
 			}
 		}
 		plans = append(plans, p)
 	}
-	set["classes"], set["tariffs"] = classes, plans
+	settings["classes"], settings["tariffs"] = classes, plans
 	if rapid.Bool().Draw(t, "domain") {
-		set["domain"] = jsonObject{"meter-period": some("meter", 0, 100, 1000), "cost-after": some("cost", true, false), "units-top": some("units", 0, 1, 4)}
+		settings["domain"] = jsonObject{"meter-period": sample("meter", 0, 100, 1000), "cost-after": sample("cost", true, false), "units-top": sample("units", 0, 1, 4)}
 	}
 	if rapid.Bool().Draw(t, "contract") {
-		set["contract"] = jsonObject{"cold": 15000, "cold-from": 0.15, "drain-grace": 2000, "fall": 2000, "fall-multiple": 2.5}
+		settings["contract"] = jsonObject{"cold": 15000, "cold-from": 0.15, "drain-grace": 2000, "fall": 2000, "fall-multiple": 2.5}
 	}
 	if rapid.Bool().Draw(t, "limits") {
-		set["limits"] = jsonObject{"send-cap": some("cap", 0, 1, 6), "connect-timeout": 250, "keepalive": some("keepalive", 100, 15000), "max-retry-after": some("after", 0, 1000)}
+		settings["limits"] = jsonObject{"send-cap": sample("cap", 0, 1, 6), "connect-timeout": 250, "keepalive": sample("keepalive", 100, 15000), "max-retry-after": sample("after", 0, 1000)}
 	}
 	var targets []any
-	for i, a := range apps.servers {
-		targets = append(targets, jsonObject{"uid": fmt.Sprint("s/", i), "endpoint": a.Addr(), "az": serverZones[i], "pod_group": serverCells[i], "state": "up"})
+	for i, app := range apps.servers {
+		targets = append(targets, jsonObject{"uid": fmt.Sprint("s/", i), "endpoint": app.Addr(), "az": serverZones[i], "pod_group": serverCells[i], "state": "up"})
 	}
 	return jsonObject{
 		"name": "n 1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "7",
-		"known": jsonObject{"rev": 3, "all": true, "targets": targets}, "settings": set,
+		"known": jsonObject{"rev": 3, "all": true, "targets": targets}, "settings": settings,
 	}
 }
 
-// randomRequest is one request, what its client gets wrong, and what servers do with it.
+// randomRequest is a request, possibly with a wrong method or no key, and the servers' actions on its attempts.
 type randomRequest struct {
 	class, plan   int
 	hasKey        bool
@@ -146,8 +147,9 @@
 	spread, first int
 }
 
-// Whatever the settings are, a node starts by them, answers each request once, and sends one that may have run again
-// by the terms of its class alone, whatever the class is called and whichever method it comes by.
+// With any settings a node starts and answers each request once. It retries a request that may have been executed only as
+// the idempotency, key scope and repeat window of its class allow, independently of the class's name and the request's
+// method.
 func TestRandomSettingsServeRequests(t *testing.T) {
 	apps := newScriptedServers(t)
 	next, served := 0, 0
@@ -158,23 +160,23 @@
 		}
 		cfg, err := config.ParsePlatform(raw)
 		if err != nil {
-			rt.Fatalf("%v: %s", err, raw)
+			rt.Fatalf("parsing settings: %v: %s", err, raw)
 		}
 		cfg.Process.Drain = config.Drain{}
-		set := cfg.Services[0].Settings
+		settings := cfg.Services[0].Settings
 		var requests []randomRequest
 		for range rapid.IntRange(1, 8).Draw(rt, "requests") {
-			a := randomRequest{
-				class: rapid.IntRange(0, len(set.Classes)-1).Draw(rt, "class"), plan: rapid.IntRange(0, len(set.Plans)-1).Draw(rt, "plan"),
+			request := randomRequest{
+				class: rapid.IntRange(0, len(settings.Classes)-1).Draw(rt, "class"), plan: rapid.IntRange(0, len(settings.Plans)-1).Draw(rt, "plan"),
 				hasKey: rapid.Bool().Draw(rt, "key"), method: rapid.SampledFrom([]string{"", "", "", "GET", "POST"}).Draw(rt, "method"),
-				spread: rapid.IntRange(1, set.GroupSize).Draw(rt, "spread"), first: rapid.IntRange(0, set.GroupSize-1).Draw(rt, "first"),
+				spread: rapid.IntRange(1, settings.GroupSize).Draw(rt, "spread"), first: rapid.IntRange(0, settings.GroupSize-1).Draw(rt, "first"),
 			}
 			lastAction := rejectUnseen
-			if set.Classes[a.class].Deadline < time.Second {
+			if settings.Classes[request.class].Deadline < time.Second {
 				lastAction = neverAnswer
 			}
-			a.script = rapid.SliceOfN(rapid.IntRange(answerOK, lastAction), 0, 6).Draw(rt, "does")
-			requests = append(requests, a)
+			request.script = rapid.SliceOfN(rapid.IntRange(answerOK, lastAction), 0, 6).Draw(rt, "does")
+			requests = append(requests, request)
 		}
 		if ok := t.Run("", func(t *testing.T) {
 			r := newTestNodeWithConfig(t, cfg)
@@ -185,10 +187,10 @@
 			defer conn.Close()
 			_ = conn.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 			in := bufio.NewReader(conn)
-			for _, a := range requests {
+			for _, request := range requests {
 				next++
 				id := fmt.Sprint("id-", next)
-				if a.send(t, apps, &set, id, conn, in) == http.StatusOK {
+				if request.send(t, apps, &settings, id, conn, in) == http.StatusOK {
 					served++
 				}
 			}
@@ -198,103 +200,103 @@
 		}
 	})
 	if served < next/10 {
-		t.Errorf("%d of %d served: it shows little", served, next)
+		t.Errorf("only %d of %d requests served: the test covers too little", served, next)
 	}
 }
 
-// send sends a request and checks its answer, and what the servers saw, against the terms of its class.
-func (a *randomRequest) send(t *testing.T, apps *scriptedServers, set *control.Settings, id string, conn io.Writer, in *bufio.Reader) int {
-	class := &set.Classes[a.class]
+// send sends a request and checks its answer and its arrivals at servers against the settings of its class.
+func (request *randomRequest) send(t *testing.T, apps *scriptedServers, settings *control.Settings, id string, conn io.Writer, in *bufio.Reader) int {
+	class := &settings.Classes[request.class]
 	apps.mu.Lock()
-	apps.scripts[id] = a.script
+	apps.scripts[id] = request.script
 	apps.mu.Unlock()
-	method, rejection := a.methodAndRejection(class)
-	if _, err := io.WriteString(conn, a.text(class, set.Plans[a.plan].Name, id, method)); err != nil {
+	method, rejection := request.methodAndRejection(class)
+	if _, err := io.WriteString(conn, request.text(class, settings.Plans[request.plan].Name, id, method)); err != nil {
 		t.Fatal(err)
 	}
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
-		t.Fatalf("%s: no answer: %v", id, err)
+		t.Fatalf("request %s: no answer: %v", id, err)
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil || in.Buffered() > 0 || resp.Close {
-		t.Fatalf("%s: %v, %d bytes behind the answer, close %v", id, err, in.Buffered(), resp.Close)
+		t.Fatalf("request %s: error %v, %d bytes after the answer, close %v", id, err, in.Buffered(), resp.Close)
 	}
 	arrivals := apps.arrivalsOf(id)
-	mayHaveRun := checkArrivals(t, id, class, set.MaxAttempts, arrivals)
+	mayHaveRun := checkArrivals(t, id, class, settings.MaxAttempts, arrivals)
 	succeeded := len(arrivals) > 0 && arrivals[len(arrivals)-1].action == answerOK
 	switch resp.StatusCode {
 	case http.StatusOK:
 		if !succeeded || string(body) != "served "+id {
-			t.Errorf("%s: served %q behind %+v", id, body, arrivals)
+			t.Errorf("request %s: answered 200 %q after arrivals %+v", id, body, arrivals)
 		}
 	case http.StatusServiceUnavailable:
 		if mayHaveRun && class.Idempotency != control.Idempotent && (class.Idempotency == control.NotIdempotent || class.KeyScope != control.ScopeAll) {
-			t.Errorf("%s of %+v was refused behind %+v", id, *class, arrivals)
+			t.Errorf("request %s of class %+v was answered 503 after arrivals %+v", id, *class, arrivals)
 		}
 	case http.StatusBadGateway, http.StatusGatewayTimeout:
 	default:
 		if resp.StatusCode != rejection {
-			t.Errorf("%s: %s %s", id, resp.Status, body)
+			t.Errorf("request %s: %s %s", id, resp.Status, body)
 		}
 	}
 	if rejection != 0 && (resp.StatusCode != rejection || len(arrivals) > 0) {
-		t.Errorf("%s, which is invalid: %s, %+v", id, resp.Status, arrivals)
+		t.Errorf("invalid request %s: %s, arrivals %+v", id, resp.Status, arrivals)
 	}
 	return resp.StatusCode
 }
 
-// methodAndRejection are the method of the request and the status that it is rejected with; 0 where it is valid.
-func (a *randomRequest) methodAndRejection(class *control.Class) (method string, rejection int) {
+// methodAndRejection returns the method of the request and the status that it is rejected with, or 0 if it is valid.
+func (request *randomRequest) methodAndRejection(class *control.Class) (method string, rejection int) {
 	method = http.MethodPost
 	if class.Idempotency == control.Idempotent {
 		method = http.MethodGet
 	}
-	if class.Idempotency == control.IdempotentWithKey && !a.hasKey {
+	if class.Idempotency == control.IdempotentWithKey && !request.hasKey {
 		rejection = http.StatusBadRequest
 	}
-	if a.method != "" && a.method != method {
-		return a.method, http.StatusMethodNotAllowed
+	if request.method != "" && request.method != method {
+		return request.method, http.StatusMethodNotAllowed
 	}
 	return method, rejection
 }
 
-// text is the request as it is sent.
-func (a *randomRequest) text(class *control.Class, plan, id, method string) string {
-	var q strings.Builder
-	fmt.Fprintf(&q, "%s /%s/7?account=%016x HTTP/1.1\r\nHost: a\r\n%s: %s\r\n%s: %s\r\n%s: %dm\r\n%s: units=1,spread=%d,first=%d\r\n", method, url.PathEscape(class.Name), 7,
-		protocol.HeaderID, id, protocol.HeaderPlan, plan, protocol.HeaderTimeLeft, class.Deadline.Milliseconds(), protocol.HeaderWeight, a.spread, a.first)
-	if a.hasKey {
-		fmt.Fprintf(&q, "%s: key of %s\r\n", protocol.HeaderIdempotencyKey, id)
+// text returns the request as it is sent.
+func (request *randomRequest) text(class *control.Class, plan, id, method string) string {
+	var builder strings.Builder
+	fmt.Fprintf(&builder, "%s /%s/7?account=%016x HTTP/1.1\r\nHost: a\r\n%s: %s\r\n%s: %s\r\n%s: %dm\r\n%s: units=1,spread=%d,first=%d\r\n", method, url.PathEscape(class.Name), 7,
+		protocol.HeaderID, id, protocol.HeaderPlan, plan, protocol.HeaderTimeLeft, class.Deadline.Milliseconds(), protocol.HeaderWeight, request.spread, request.first)
+	if request.hasKey {
+		fmt.Fprintf(&builder, "%s: key of %s\r\n", protocol.HeaderIdempotencyKey, id)
 	}
 	if method == http.MethodPost {
-		q.WriteString("Content-Length: 4\r\n\r\nbody")
+		builder.WriteString("Content-Length: 4\r\n\r\nbody")
 	} else {
-		q.WriteString("\r\n")
+		builder.WriteString("\r\n")
 	}
-	return q.String()
+	return builder.String()
 }
 
-// checkArrivals checks that a request which may have run was retried by the terms of its class alone, and tells
-// whether it may have.
+// checkArrivals checks that a request that may have been executed was retried only as its class allows. It reports
+// whether the request may have been executed.
 func checkArrivals(t *testing.T, id string, class *control.Class, maxAttempts int, arrivals []arrival) (mayHaveRun bool) {
 	t.Helper()
 	var first arrival
-	for i, s := range arrivals {
-		if mayHaveRun && !mayRetry(class, first.server, s.server) {
-			t.Errorf("%s of %+v was sent again: %+v", id, *class, arrivals)
+	for i, arrived := range arrivals {
+		if mayHaveRun && !mayRetry(class, first.server, arrived.server) {
+			t.Errorf("request %s of class %+v was retried: arrivals %+v", id, *class, arrivals)
 		}
-		if s.action != rejectUnseen && !mayHaveRun {
-			mayHaveRun, first = true, s
+		if arrived.action != rejectUnseen && !mayHaveRun {
+			mayHaveRun, first = true, arrived
 		}
 		if maxAttempts > 0 && i >= maxAttempts {
-			t.Errorf("%s was sent more than %d times", id, maxAttempts)
+			t.Errorf("request %s was sent more than %d times", id, maxAttempts)
 		}
 	}
 	return mayHaveRun
 }
 
-// mayRetry tells whether a request that may have run at one server may be sent to another.
+// mayRetry reports whether a request that server first may have executed may be sent to server next.
 func mayRetry(class *control.Class, first, next int) bool {
 	switch class.Idempotency {
 	case control.NotIdempotent:
--- a/internal/node/reload_load_test.go
+++ b/internal/node/reload_load_test.go
@@ -18,9 +18,9 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// randomConfig draws a configuration: which service a path leads to, its source of endpoints, its guarantees, its
-// settings, and whether there is a third service.
-func randomConfig(rng *rand.Rand, l *testbench.Bench, file string) string {
+// randomConfig returns a configuration with random targets of the routes, endpoint sources, guarantees and settings of
+// the services, and with or without a third service.
+func randomConfig(rng *rand.Rand, bench *testbench.Bench, file string) string {
 	var b strings.Builder
 	b.WriteString(configHeader)
 	for _, name := range []string{"a", "b"} {
@@ -35,7 +35,7 @@
 			fmt.Fprintf(&b, "source = { kind = \"file\", path = %q }\n", file+name)
 		case 2:
 			fmt.Fprintf(&b, "[services.%s.source]\nkind = \"static\"\n", name)
-			for _, s := range l.Pools[name].Servers {
+			for _, s := range bench.Pools[name].Servers {
 				fmt.Fprintf(&b, "[[services.%s.source.servers]]\nuid = %q\nendpoint = %q\ngroup = %d\n", name, s.UID, s.Addr(), s.Place)
 			}
 		}
@@ -53,8 +53,8 @@
 	return b.String()
 }
 
-// TestRandomReloadsUnderLoadLoseNoRequest reloads random configurations under load: each request has exactly one
-// final answer, by the counts of clients and of servers, and what was removed ends.
+// TestRandomReloadsUnderLoadLoseNoRequest reloads random configurations under load. By the counts of clients and servers
+// each request gets exactly one final answer, and removed services end.
 func TestRandomReloadsUnderLoadLoseNoRequest(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { checkRandomReloads(t, seed) })
@@ -62,42 +62,42 @@
 }
 
 func checkRandomReloads(t *testing.T, seed uint64) {
-	l := benchtest.Begin(t, twoServicesConfig, twoServerPools(5*time.Millisecond))
-	file := writeServerLists(t, l)
+	bench := benchtest.Begin(t, twoServicesConfig, twoServerPools(5*time.Millisecond))
+	file := writeServerLists(t, bench)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	load := startReloadLoad(ctx, l.Node.Addr(), seed)
+	load := startReloadLoad(ctx, bench.Node.Addr(), seed)
 	rng := rand.New(rand.NewPCG(seed, 9))
 	for i := range 20 {
-		if err := l.Reload(randomConfig(rng, l, file)); err != nil {
+		if err := bench.Reload(randomConfig(rng, bench, file)); err != nil {
 			t.Fatalf("reload %d: %v", i, err)
 		}
-		if err := l.Reload(twoServicesConfig + "[services.c]\n"); err == nil {
-			t.Fatal("a bad configuration was taken")
+		if err := bench.Reload(twoServicesConfig + "[services.c]\n"); err == nil {
+			t.Fatal("an invalid configuration was accepted")
 		}
 		want := load.answers() + 100 + rng.IntN(200)
 		testkit.Until(t, "more answers", func() bool { return load.answers() >= want })
 	}
 	stop()
 	load.check(t)
-	for name, p := range l.Pools {
+	for name, p := range bench.Pools {
 		if c := p.Executions.Counts(); c.Repeated+c.DuplicateEffects > 0 || c.MaxInFlight > 1 {
-			t.Errorf("servers of %s: %+v", name, c)
+			t.Errorf("executions on the servers of %s: %+v", name, c)
 		}
 	}
-	testkit.Until(t, "what was removed has ended", func() bool { return node.RunningServices(l.Node) == len(l.Node.Status()) })
-	for _, s := range l.Node.Status() {
+	testkit.Until(t, "the end of removed services", func() bool { return node.RunningServices(bench.Node) == len(bench.Node.Status()) })
+	for _, s := range bench.Node.Status() {
 		if s.Resources.Requests.Used != 0 || s.Resources.BufferedBytes.Used != 0 || s.Resources.Dials.Used != 0 {
-			t.Errorf("%s: something is still reserved: %+v", s.Name, *s.Resources)
+			t.Errorf("%s: resources are still reserved without requests in flight: %+v", s.Name, *s.Resources)
 		}
 	}
 }
 
-// writeServerLists writes the servers of each pool into a file, named by the prefix that it returns and the pool.
-func writeServerLists(t *testing.T, l *testbench.Bench) (prefix string) {
+// writeServerLists writes the servers of each pool to a file whose name is the returned prefix and the pool's name.
+func writeServerLists(t *testing.T, bench *testbench.Bench) (prefix string) {
 	t.Helper()
 	prefix = filepath.Join(t.TempDir(), "servers-")
-	for name, p := range l.Pools {
+	for name, p := range bench.Pools {
 		var list []fake.Entry
 		for _, s := range p.Servers {
 			list = append(list, s.Entry())
@@ -113,10 +113,10 @@
 	return prefix
 }
 
-// reloadLoad is clients of several routes.
+// reloadLoad is the running clients of several routes.
 type reloadLoad []*fake.Run
 
-// startReloadLoad starts clients of three routes, which go on until ctx ends.
+// startReloadLoad starts clients of three routes, which run until ctx is done.
 func startReloadLoad(ctx context.Context, address string, seed uint64) reloadLoad {
 	var load reloadLoad
 	for i, path := range []string{"/one/x", "/two", "/one/third/y"} {
@@ -134,7 +134,7 @@
 	return load
 }
 
-// answers counts the final answers so far.
+// answers returns the number of final answers so far.
 func (l reloadLoad) answers() (n int) {
 	for _, run := range l {
 		for _, s := range run.Snapshot() {
@@ -144,7 +144,7 @@
 	return n
 }
 
-// check waits for the clients to end and checks that each request was answered, and some were served.
+// check waits for the clients to end and checks that all requests were answered and some were served on each route.
 func (l reloadLoad) check(t *testing.T) {
 	t.Helper()
 	for _, run := range l {
--- a/internal/node/servers_test.go
+++ b/internal/node/servers_test.go
@@ -12,75 +12,75 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// A request with an idempotency key that may have run is retried within its group only, with its key.
+// A request with an idempotency key that may have been executed is retried only within the server's group, with its key.
 func TestIdempotentRequestIsRetriedWithinItsGroup(t *testing.T) {
 	r := newTestNode(t)
 	fails := true
-	serve := func(w http.ResponseWriter, q *http.Request) {
+	serve := func(w http.ResponseWriter, req *http.Request) {
 		if fails {
 			fails = false
-			testkit.Reset(w, q)
+			testkit.Reset(w, req)
 			return
 		}
-		testkit.Served(w, q)
+		testkit.Served(w, req)
 	}
 	a, b := testkit.NewApp(t, serve), testkit.NewApp(t, serve)
 	r.setEndpoints(endpointOf(a, "s-1", 0), endpointOf(b, "s-2", 1))
 	resp, body := r.do(r.newRequest(http.MethodPost, "/visit-update", "id-1"))
 	if resp.StatusCode != 200 || body != "served id-1" {
-		t.Errorf("%s %q", resp.Status, body)
+		t.Errorf("answer: %s %q", resp.Status, body)
 	}
 	if n := a.Count() * b.Count(); n != 0 || a.Count()+b.Count() != 2 {
-		t.Errorf("attempts %v and %v", a.Requests(), b.Requests())
+		t.Errorf("attempts at the servers: %v and %v, want two at one server", a.Requests(), b.Requests())
 	}
 	for _, s := range append(a.Requests(), b.Requests()...) {
 		if !strings.Contains(s, "k-id-1") {
-			t.Errorf("attempt %q has lost its key", s)
+			t.Errorf("attempt %q has no idempotency key", s)
 		}
 	}
 }
 
-// At the client's deadline the attempt's connection is closed and the client is answered.
+// At the request's deadline the connection of the attempt is closed and the client is answered.
 func TestDeadlineEndsAttempt(t *testing.T) {
 	for class, tc := range map[string]struct {
 		method string
 		want   int
 	}{
-		"/roster-read":  {http.MethodGet, http.StatusServiceUnavailable}, // harmless to try again
-		"/visit-update": {http.MethodPost, http.StatusGatewayTimeout},    // may have run
+		"/roster-read":  {http.MethodGet, http.StatusServiceUnavailable}, // safe for the client to retry
+		"/visit-update": {http.MethodPost, http.StatusGatewayTimeout},    // may have been executed
 	} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
 			r := newTestNode(t)
 			gone := make(chan struct{})
-			a := testkit.NewApp(t, func(_ http.ResponseWriter, q *http.Request) {
-				<-q.Context().Done()
+			app := testkit.NewApp(t, func(_ http.ResponseWriter, req *http.Request) {
+				<-req.Context().Done()
 				close(gone)
 			})
-			r.setEndpoints(endpointOf(a, "s-1", 0))
-			q := r.newRequest(tc.method, class, "id-1")
-			q.Header.Set(protocol.HeaderTimeLeft, "600000u")
-			if resp, _ := r.do(q); resp.StatusCode != tc.want {
-				t.Errorf("%s", resp.Status)
+			r.setEndpoints(endpointOf(app, "s-1", 0))
+			req := r.newRequest(tc.method, class, "id-1")
+			req.Header.Set(protocol.HeaderTimeLeft, "600000u")
+			if resp, _ := r.do(req); resp.StatusCode != tc.want {
+				t.Errorf("answer: %s", resp.Status)
 			}
 			testkit.Next(t, gone)
-			if n := a.Count(); n != 1 {
-				t.Errorf("%d attempts", n)
+			if n := app.Count(); n != 1 {
+				t.Errorf("%d attempts, want 1", n)
 			}
 		})
 	}
 }
 
-// A client that leaves is owed nothing; its id is free again when its attempt has ended.
+// A client that disconnects gets no answer. Its request ID can be used again once the attempt has ended.
 func TestClientDisconnectFreesRequestID(t *testing.T) {
 	r := newTestNode(t)
 	arrived, finish := make(chan struct{}), make(chan struct{})
-	a := testkit.NewApp(t, func(w http.ResponseWriter, q *http.Request) {
+	app := testkit.NewApp(t, func(w http.ResponseWriter, req *http.Request) {
 		arrived <- struct{}{}
 		<-finish
-		testkit.Served(w, q)
+		testkit.Served(w, req)
 	})
-	r.setEndpoints(endpointOf(a, "s-1", 0))
+	r.setEndpoints(endpointOf(app, "s-1", 0))
 	ctx, leave := context.WithCancel(context.Background())
 	left := make(chan error, 1)
 	go func() {
@@ -92,45 +92,45 @@
 	}()
 	testkit.Next(t, arrived)
 	if resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1")); resp.StatusCode != http.StatusConflict {
-		t.Errorf("an id in flight was taken again: %s", resp.Status)
+		t.Errorf("second request with an ID in flight: %s, want 409", resp.Status)
 	}
 	leave()
 	if err := testkit.Next(t, left); err == nil {
-		t.Error("the client got an answer")
+		t.Error("the client that disconnected got an answer")
 	}
-	r.wait("the hang-up", func() bool { s := r.status(); return s.Requests == 1 && s.Unanswered == 0 })
+	r.waitUntil("the client's disconnect", func() bool { s := r.status(); return s.Requests == 1 && s.Unanswered == 0 })
 	close(finish)
-	r.wait("the attempt's end", func() bool { return r.status().Requests == 0 })
+	r.waitUntil("the end of the attempt", func() bool { return r.status().Requests == 0 })
 	go func() { <-arrived }()
 	if resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1")); resp.StatusCode != 200 {
-		t.Errorf("a free id: %s", resp.Status)
+		t.Errorf("request with an ID that is free again: %s, want 200", resp.Status)
 	}
 }
 
-// Nothing new goes to an app server that drains, and its idle connections are closed.
+// A draining app server gets no new requests, and idle connections to it are closed.
 func TestDrainingServerGetsNoRequests(t *testing.T) {
 	r := newTestNode(t)
 	a := testkit.NewApp(t, testkit.Served)
 	b := testkit.NewApp(t, testkit.Served)
 	r.setEndpoints(endpointOf(a, "s-1", 0))
 	r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1"))
-	drains := endpointOf(a, "s-1", 0)
-	drains.State = "draining"
-	r.setEndpoints(drains, endpointOf(b, "s-2", 0))
+	draining := endpointOf(a, "s-1", 0)
+	draining.State = "draining"
+	r.setEndpoints(draining, endpointOf(b, "s-2", 0))
 	for i := range 20 {
 		if resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "later-"+strconv.Itoa(i))); resp.StatusCode != 200 {
-			t.Errorf("%s", resp.Status)
+			t.Errorf("answer: %s", resp.Status)
 		}
 	}
 	if a.Count() != 1 || b.Count() != 20 {
-		t.Errorf("%d requests to the one that drains, %d to the other", a.Count(), b.Count())
+		t.Errorf("%d requests to the draining server, %d to the other", a.Count(), b.Count())
 	}
 	if s := r.status(); s.AvailableServers != 1 || s.IdleConnections != b.Dials() {
-		t.Error("an idle connection to it was kept")
+		t.Error("an idle connection to the draining server was kept")
 	}
 }
 
-// An app server may come back under another address.
+// An app server can come back at another address.
 func TestServerChangesAddress(t *testing.T) {
 	r := newTestNode(t)
 	a, b := testkit.NewApp(t, testkit.Served), testkit.NewApp(t, testkit.Served)
@@ -143,25 +143,25 @@
 	}
 }
 
-// A connection belongs to the app server that it was opened to, not to its address: it is
-// never used for another one there, also where it was in use when the first one went.
+// Guards against reusing a connection for another app server at the same address. A connection belongs to the app server
+// that it was opened to, even if it was in use when that server was removed.
 func TestReusedAddressGetsNewConnections(t *testing.T) {
 	r := newTestNode(t)
 	var mu sync.Mutex
-	from := make(map[string]string)
+	clientAddress := make(map[string]string)
 	arrived, finish := make(chan struct{}), make(chan struct{})
-	a := testkit.NewApp(t, func(w http.ResponseWriter, q *http.Request) {
-		id := q.Header.Get(protocol.HeaderID)
+	app := testkit.NewApp(t, func(w http.ResponseWriter, req *http.Request) {
+		id := req.Header.Get(protocol.HeaderID)
 		mu.Lock()
-		from[id] = q.RemoteAddr
+		clientAddress[id] = req.RemoteAddr
 		mu.Unlock()
 		if id == "held" {
 			close(arrived)
 			<-finish
 		}
-		testkit.Served(w, q)
+		testkit.Served(w, req)
 	})
-	r.setEndpoints(endpointOf(a, "s-1", 0))
+	r.setEndpoints(endpointOf(app, "s-1", 0))
 	answered := make(chan int, 1)
 	go func() {
 		resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "held"))
@@ -169,36 +169,36 @@
 	}()
 	testkit.Next(t, arrived)
 	r.do(r.newRequest(http.MethodGet, "/roster-read", "before"))
-	gone := endpointOf(a, "s-1", 0)
-	gone.State = "removed"
-	r.setEndpoints(gone, endpointOf(a, "s-2", 0))
+	removed := endpointOf(app, "s-1", 0)
+	removed.State = "removed"
+	r.setEndpoints(removed, endpointOf(app, "s-2", 0))
 	close(finish)
 	if s := testkit.Next(t, answered); s != 200 {
-		t.Errorf("the request in flight: %d", s)
+		t.Errorf("request in flight: status %d, want 200", s)
 	}
-	r.wait("the attempt's end", func() bool { return r.status().Requests == 0 })
+	r.waitUntil("the end of the attempt", func() bool { return r.status().Requests == 0 })
 	r.do(r.newRequest(http.MethodGet, "/roster-read", "after"))
-	if from["after"] == from["before"] || from["after"] == from["held"] {
-		t.Error("a connection to the one that has gone was used")
+	if clientAddress["after"] == clientAddress["before"] || clientAddress["after"] == clientAddress["held"] {
+		t.Error("a connection to the removed server was used")
 	}
 }
 
-// The node keeps nothing of app servers that have come and gone.
+// The node keeps no state of removed app servers.
 func TestRemovedServersLeaveNoState(t *testing.T) {
 	r := newTestNode(t)
-	a := testkit.NewApp(t, testkit.Served)
+	app := testkit.NewApp(t, testkit.Served)
 	for i := range 50 {
-		up := endpointOf(a, "s-"+strconv.Itoa(i), 0)
+		up := endpointOf(app, "s-"+strconv.Itoa(i), 0)
 		r.setEndpoints(up)
 		resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-"+strconv.Itoa(i)))
 		if resp.StatusCode != 200 {
-			t.Errorf("%s", resp.Status)
+			t.Errorf("answer: %s", resp.Status)
 		}
-		r.wait("one app server", func() bool { s := r.status(); return s.Servers == 1 && s.AvailableServers == 1 })
+		r.waitUntil("one app server", func() bool { s := r.status(); return s.Servers == 1 && s.AvailableServers == 1 })
 		up.State = "removed"
 		r.setEndpoints(up)
 	}
-	r.wait("none", func() bool { s := r.status(); return s.Servers == 0 && s.AvailableServers == 0 })
+	r.waitUntil("none", func() bool { s := r.status(); return s.Servers == 0 && s.AvailableServers == 0 })
 	if idle, pools := r.service().Upstream().CountIdle(); idle != 0 || pools != 0 {
 		t.Errorf("%d pools, %d connections", pools, idle)
 	}
--- a/internal/node/shared_hard_limits_test.go
+++ b/internal/node/shared_hard_limits_test.go
@@ -16,31 +16,32 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// sharedFleet is nodes that share an enterprise customer's ceiling by counters.
-type sharedFleet struct {
+// nodeGroup is a group of nodes that share the hard limit of a customer through lease stores.
+type nodeGroup struct {
 	nodes       []*testbench.Bench
-	firstStore  *redistest.Server // the first of counters
+	firstStore  *redistest.Server // the first of stores
 	hardLimit   *fake.HardLimitMonitor
 	configs     []string
-	allowed     quotalease.HardLimit
+	bound       quotalease.HardLimit
 	unitsServed func() float64
 	stores      []*redistest.Server
 }
 
-// startSharedFleet starts nodes with a lease store; from each number in counters on, nodes use another store.
-func startSharedFleet(t *testing.T, nodes int, counters ...int) *sharedFleet {
+// startNodeGroup starts nodes that use a lease store. From each node index in storeBoundaries on, nodes use the next
+// store.
+func startNodeGroup(t *testing.T, nodes int, storeBoundaries ...int) *nodeGroup {
 	t.Helper()
 	const rate, burst = 100, 50
 	rules := quotalease.Rules{Instances: nodes, Term: 200 * time.Millisecond, ReservationTime: 400 * time.Millisecond, ResizeTime: 500 * time.Millisecond, MaxDrift: 0.001}
-	f := &sharedFleet{allowed: rules.Bound(quotalease.HardLimit{Rate: rate, Burst: burst})}
-	f.hardLimit = &fake.HardLimitMonitor{Rate: f.allowed.Rate, Burst: f.allowed.Burst}
+	f := &nodeGroup{bound: rules.Bound(quotalease.HardLimit{Rate: rate, Burst: burst})}
+	f.hardLimit = &fake.HardLimitMonitor{Rate: f.bound.Rate, Burst: f.bound.Burst}
 	f.unitsServed = func() float64 { _, units := f.hardLimit.MaxExcess(); return units }
 	app, err := fake.Server{UID: "s", HardLimit: f.hardLimit}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(app.Close)
-	for range 1 + len(counters) {
+	for range 1 + len(storeBoundaries) {
 		c, err := redistest.Start()
 		if err != nil {
 			t.Fatal(err)
@@ -50,10 +51,10 @@
 	}
 	f.firstStore = f.stores[0]
 	for i := range nodes {
-		at := 0
-		for k, first := range counters {
+		storeIndex := 0
+		for k, first := range storeBoundaries {
 			if i >= first {
-				at = k + 1
+				storeIndex = k + 1
 			}
 		}
 		text := strings.Replace(configHeader, "[process]\n", fmt.Sprintf("[process]\ninstances = %d\ninstance = %d\n", nodes, i), 1) + fmt.Sprintf(`[plans.enterprise]
@@ -70,15 +71,16 @@
 service = "a"
 prefix = "/"
 as = "read"
-`, rate, burst, f.stores[at].Addr(), app.Addr())
+`, rate, burst, f.stores[storeIndex].Addr(), app.Addr())
 		f.configs = append(f.configs, text)
 		f.nodes = append(f.nodes, benchtest.Begin(t, text, nil))
 	}
 	return f
 }
 
-// startLoad has one customer request far more than its hard limit through all nodes, until the test ends.
-func (f *sharedFleet) startLoad(t *testing.T) {
+// startLoad starts requests of one customer far above its hard limit through all nodes. When the test ends it checks that
+// the units served stayed within the bound.
+func (f *nodeGroup) startLoad(t *testing.T) {
 	addrs := make([]string, len(f.nodes))
 	for i, n := range f.nodes {
 		addrs[i] = n.Node.Addr()
@@ -94,29 +96,29 @@
 	t.Cleanup(func() {
 		stop()
 		if r := run.Wait()["r"]; r.Lost+r.Wrong > 0 {
-			t.Errorf("%+v", *r)
+			t.Errorf("results of the clients: %+v", *r)
 		}
 		worst, units := f.hardLimit.MaxExcess()
-		if t.Logf("%.0f units; nearest to the bound of %.0f and %.0f a second: %.1f beyond", units, f.allowed.Burst, f.allowed.Rate, worst); worst > 0 {
-			t.Errorf("%.1f units beyond the bound", worst)
+		if t.Logf("%.0f units served; bound: burst %.0f, rate %.0f per second; maximum excess %.1f", units, f.bound.Burst, f.bound.Rate, worst); worst > 0 {
+			t.Errorf("%.1f units above the bound", worst)
 		}
 	})
 }
 
-// awaitUnits waits until the servers have had more units.
-func (f *sharedFleet) awaitUnits(t *testing.T, units float64) {
+// awaitUnits waits until the servers have served the given number of additional units.
+func (f *nodeGroup) awaitUnits(t *testing.T, units float64) {
 	t.Helper()
 	want := f.unitsServed() + units
-	testkit.Until(t, fmt.Sprint(units, " units more"), func() bool { return f.unitsServed() >= want })
+	testkit.Until(t, fmt.Sprint(units, " more units"), func() bool { return f.unitsServed() >= want })
 }
 
-// awaitStatus waits until each node tells that of shared ceilings.
-func (f *sharedFleet) awaitStatus(t *testing.T, what string, is func(quotalease.Status) bool) {
+// awaitStatus waits until condition holds for the status of the quota leases of every node.
+func (f *nodeGroup) awaitStatus(t *testing.T, event string, condition func(quotalease.Status) bool) {
 	t.Helper()
-	testkit.Until(t, what, func() bool {
+	testkit.Until(t, event, func() bool {
 		for _, n := range f.nodes {
 			for _, s := range n.Node.Status()[0].HardLimits {
-				if !is(s.Status) {
+				if !condition(s.Status) {
 					return false
 				}
 			}
@@ -128,14 +130,14 @@
 func leasesUnits(s quotalease.Status) bool  { return s.CanBorrow && s.ReservedFraction > 0 }
 func usesOwnQuota(s quotalease.Status) bool { return s.UsesOwnQuota }
 
-// Nodes over a lease store that is lost, late, refuses, goes dark, is replaced by an empty one and
-// restored: by the servers' own count the customer keeps to its ceiling throughout, and goes on
-// being served: by lent units, or by the nodes' own parts.
+// Guards against exceeding a shared hard limit when the lease store is silent, answers with errors or late, loses its
+// connections, is replaced by an empty one, or is restored from a snapshot. By the servers' count the customer stays
+// within its hard limit and keeps being served, from leased units or from the nodes' own quota.
 func TestSharedHardLimitHoldsOverStoreFaults(t *testing.T) {
 	t.Parallel()
-	f := startSharedFleet(t, 6)
+	f := startNodeGroup(t, 6)
 	f.startLoad(t)
-	f.awaitStatus(t, "a counter that lends", leasesUnits)
+	f.awaitStatus(t, "leases from the store", leasesUnits)
 	f.awaitUnits(t, 100)
 	for _, injectFault := range []func(){
 		func() { f.firstStore.SetFaults(redistest.Faults{IsSilent: true}) },
@@ -146,10 +148,10 @@
 	} {
 		injectFault()
 		f.firstStore.CloseConns()
-		f.awaitStatus(t, "parts of its own", usesOwnQuota)
+		f.awaitStatus(t, "use of the nodes' own quota", usesOwnQuota)
 		f.awaitUnits(t, 30)
 		f.firstStore.SetFaults(redistest.Faults{})
-		f.awaitStatus(t, "a counter that lends again", leasesUnits)
+		f.awaitStatus(t, "leases from the store again", leasesUnits)
 		f.awaitUnits(t, 30)
 	}
 	for range 3 {
@@ -161,31 +163,30 @@
 		f.awaitUnits(t, 10)
 		restore()
 	}
-	f.awaitStatus(t, "a counter that lends in the end", leasesUnits)
+	f.awaitStatus(t, "leases from the store in the end", leasesUnits)
 }
 
-// A split in which each half has a counter, which knows nothing of the other: each lends the parts
-// of its own nodes.
+// Each half of the nodes uses a lease store that does not know the other one, as in a network partition. Each store lends
+// only the quota of its own nodes.
 func TestSharedHardLimitHoldsWhileStoresAreSplit(t *testing.T) {
 	t.Parallel()
-	f := startSharedFleet(t, 6, 3)
+	f := startNodeGroup(t, 6, 3)
 	f.startLoad(t)
-	f.awaitStatus(t, "counters that lend", leasesUnits)
+	f.awaitStatus(t, "leases from both stores", leasesUnits)
 	f.awaitUnits(t, 200)
 	for _, c := range f.stores {
 		if c.ScriptRuns() == 0 {
-			t.Error("a counter was not asked")
+			t.Error("a lease store was not used")
 		}
 	}
 }
 
-// Reloads, one of them to another counter, open no ceiling anew; a customer that comes through one
-// node only has all of it.
+// Guards against reloads, also to another lease store, that reset a hard limit and so let a customer exceed it.
 func TestSharedHardLimitHoldsOverReloads(t *testing.T) {
 	t.Parallel()
-	f := startSharedFleet(t, 4, 4) // the second counter is nobody's yet
+	f := startNodeGroup(t, 4, 4) // no node uses the second store yet
 	f.startLoad(t)
-	f.awaitStatus(t, "a counter that lends", leasesUnits)
+	f.awaitStatus(t, "leases from the store", leasesUnits)
 	for i := range 6 {
 		for k, n := range f.nodes {
 			text := strings.Replace(f.configs[k], "[services.a]\n", fmt.Sprintf("[services.a]\nattempts = %d\n", 3+i%2), 1)
@@ -198,8 +199,8 @@
 		}
 		f.awaitUnits(t, 20)
 	}
-	f.awaitStatus(t, "another counter that lends", leasesUnits)
+	f.awaitStatus(t, "leases from the second store", leasesUnits)
 	if f.stores[1].ScriptRuns() == 0 {
-		t.Error("the other counter was not asked")
+		t.Error("the second lease store was not used")
 	}
 }
--- a/internal/node/two_listeners_test.go
+++ b/internal/node/two_listeners_test.go
@@ -14,8 +14,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// Guards against the reset of clients in the queues of several listeners that share one descriptor for clients: those of
-// each are answered at a drain's last step.
+// Guards against the reset of clients in the accept queues of several listeners that share one descriptor for clients:
+// the clients of each listener are answered at the last step of a drain.
 func TestDrainAnswersQueuesOfTwoListeners(t *testing.T) {
 	const clientsOfEach = 20
 	cfg, err := config.LoadPlatform("../config/testdata/config.json")
@@ -42,16 +42,16 @@
 	}
 	r.stop()
 	if status := testkit.Next(t, answered); status != http.StatusBadGateway {
-		t.Errorf("the request in flight: %d", status)
+		t.Errorf("request in flight: status %d, want 502", status)
 	}
 	var lost []string
 	for i, client := range clients {
 		if resp, err := http.ReadResponse(bufio.NewReader(client), nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-			lost = append(lost, fmt.Sprintf("client %d: %v, %v", i, resp, err))
+			lost = append(lost, fmt.Sprintf("client %d: answer %v, error %v", i, resp, err))
 		}
 	}
 	if len(lost) > 0 {
-		t.Errorf("%d of %d clients, %s", len(lost), len(clients), lost[0])
+		t.Errorf("%d of %d clients were not answered 503; first: %s", len(lost), len(clients), lost[0])
 	}
 	if err := testkit.Next(t, r.ended); err != nil {
 		t.Error(err)
