--- a/internal/canary/compare.go
+++ b/internal/canary/compare.go
@@ -77,7 +77,7 @@
 		return c.result
 	}
 	if sides, ok := c.estimateSides(); ok {
-		j.contrastSides(&c.result, sides, isLaterHalf)
+		j.compareSides(&c.result, sides, isLaterHalf)
 		c.decideHarm()
 	}
 	return c.result
@@ -373,8 +373,8 @@
 	return margin / 4
 }
 
-// contrastSides compares the changed side with the old ones and controls, and sets the result's bounds.
-func (j *Judge) contrastSides(result *Measure, sides [3][]estimate, isLaterHalf bool) {
+// compareSides compares the changed side with the old ones and controls, and sets the result's bounds.
+func (j *Judge) compareSides(result *Measure, sides [3][]estimate, isLaterHalf bool) {
 	var oldOutliers, controlOutliers int
 	sides[SideOld], oldOutliers = trimOutliers(sides[SideOld])
 	sides[SideControl], controlOutliers = trimOutliers(sides[SideControl])
--- a/internal/canary/judge.go
+++ b/internal/canary/judge.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// memberOf returns a reading's member, and nil if there are maxMembers others.
-func (j *Judge) memberOf(r *Reading) *member {
+// findOrAddMember returns a reading's member, and nil if there are maxMembers others.
+func (j *Judge) findOrAddMember(r *Reading) *member {
 	m := j.members[r.Member]
 	if m == nil {
 		if len(j.members) >= maxMembers {
@@ -78,7 +78,7 @@
 func (j *Judge) Begin(now time.Duration, before []Reading) {
 	isFirst := j.stage == 0
 	for i := range before {
-		m := j.memberOf(&before[i])
+		m := j.findOrAddMember(&before[i])
 		if m != nil && isFirst {
 			m.setBaseline(&before[i].Statistics)
 		}
@@ -127,7 +127,7 @@
 	changes := 0
 	for i := range all {
 		r := &all[i]
-		m := j.memberOf(r)
+		m := j.findOrAddMember(r)
 		if m == nil || m.lastAt == now && m.hasLast { // a duplicate
 			continue
 		}
--- a/internal/canary/judge_test.go
+++ b/internal/canary/judge_test.go
@@ -23,44 +23,44 @@
 }
 
 func newTestFleet(n int, seed uint64) *testFleet {
-	c := &testFleet{judge: NewJudge(Options{}), rng: rand.New(rand.NewPCG(seed, 1)), previous: make(map[string]instancestats.Statistics)}
+	f := &testFleet{judge: NewJudge(Options{}), rng: rand.New(rand.NewPCG(seed, 1)), previous: make(map[string]instancestats.Statistics)}
 	for i := range n {
-		c.readings = append(c.readings, Reading{Member: fmt.Sprint(i), IsServing: true, Statistics: instancestats.Statistics{Began: time.Unix(1, 0)}})
+		f.readings = append(f.readings, Reading{Member: fmt.Sprint(i), IsServing: true, Statistics: instancestats.Statistics{Began: time.Unix(1, 0)}})
 	}
-	return c
+	return f
 }
 
 // observe observes intervals of 10 s. each, if not nil, changes a member's reading before it is observed.
-func (c *testFleet) observe(intervals int, each func(i int, r *Reading)) {
+func (f *testFleet) observe(intervals int, each func(i int, r *Reading)) {
 	for range intervals {
-		c.now += 10 * time.Second
-		for i := range c.readings {
-			f := &c.readings[i].Statistics
-			n := 150 + c.rng.IntN(100)
-			f.Requests += uint64(n)
-			f.OfferedWeight += float64(n)
-			f.Served += float64(n)
-			f.Units += float64(n)
-			f.CPU += time.Duration(n) * time.Millisecond
-			f.MemoryKB = 100000 + c.rng.IntN(1000)
+		f.now += 10 * time.Second
+		for i := range f.readings {
+			statistics := &f.readings[i].Statistics
+			n := 150 + f.rng.IntN(100)
+			statistics.Requests += uint64(n)
+			statistics.OfferedWeight += float64(n)
+			statistics.Served += float64(n)
+			statistics.Units += float64(n)
+			statistics.CPU += time.Duration(n) * time.Millisecond
+			statistics.MemoryKB = 100000 + f.rng.IntN(1000)
 			for range n / 5 {
-				f.Delays.Add(time.Duration(20+c.rng.IntN(10)) * time.Millisecond)
+				statistics.Delays.Add(time.Duration(20+f.rng.IntN(10)) * time.Millisecond)
 			}
 			if each != nil {
-				each(i, &c.readings[i])
+				each(i, &f.readings[i])
 			}
 		}
-		c.judge.Observe(c.now, c.readings)
+		f.judge.Observe(f.now, f.readings)
 	}
 }
 
 // beginStage begins a stage that changes members from to to, with controls after them.
-func (c *testFleet) beginStage(from, to, controls int) {
-	c.judge.Begin(c.now, c.readings)
+func (f *testFleet) beginStage(from, to, controls int) {
+	f.judge.Begin(f.now, f.readings)
 	for i := from; i < to+controls; i++ {
-		c.readings[i].Side, c.readings[i].Statistics = SideNew, instancestats.Statistics{Began: time.Unix(2, int64(c.now))}
+		f.readings[i].Side, f.readings[i].Statistics = SideNew, instancestats.Statistics{Began: time.Unix(2, int64(f.now))}
 		if i >= to {
-			c.readings[i].Side = SideControl
+			f.readings[i].Side = SideControl
 		}
 	}
 }
@@ -137,22 +137,22 @@
 func TestVerdicts(t *testing.T) {
 	for _, c := range verdictCases {
 		t.Run(c.name, func(t *testing.T) {
-			f := newTestFleet(12, 1)
-			f.observe(30, nil)
-			f.beginStage(0, 1, 1)
+			fleet := newTestFleet(12, 1)
+			fleet.observe(30, nil)
+			fleet.beginStage(0, 1, 1)
 			last := Verdict{}
 			for range c.run {
-				f.observe(1, func(i int, r *Reading) {
+				fleet.observe(1, func(i int, r *Reading) {
 					if c.each != nil {
-						c.each(f, i, r)
+						c.each(fleet, i, r)
 					}
 				})
-				if last = f.judge.Verdict(f.now); last.Kind != KindWait {
+				if last = fleet.judge.Verdict(fleet.now); last.Kind != KindWait {
 					break
 				}
 			}
 			if last.Kind != c.want {
-				t.Errorf("%v (%s) after %v", last.Kind, last.Reason, f.now)
+				t.Errorf("%v (%s) after %v", last.Kind, last.Reason, fleet.now)
 			}
 		})
 	}
@@ -161,7 +161,7 @@
 // Whatever statistics members report, the judge neither panics nor passes a changed member with implausible ones.
 func TestImplausibleReadingsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newTestFleet(4, 2)
+		fleet := newTestFleet(4, 2)
 		any := rapid.Custom(func(t *rapid.T) instancestats.Statistics {
 			v := rapid.OneOf(rapid.Float64(), rapid.Just(math.NaN()), rapid.Just(math.Inf(1)), rapid.Float64Range(0, 1e6))
 			n := rapid.OneOf(rapid.Uint64(), rapid.Uint64Range(0, 1e6))
@@ -171,16 +171,16 @@
 				MemoryKB: rapid.Int().Draw(t, "memory"), Began: time.Unix(rapid.Int64Range(0, 2).Draw(t, "began"), 0),
 			}
 		})
-		f.observe(5, nil)
-		f.beginStage(0, 1, 1)
+		fleet.observe(5, nil)
+		fleet.beginStage(0, 1, 1)
 		for range rapid.IntRange(1, 40).Draw(t, "intervals") {
-			f.now += 10 * time.Second
-			for i := range f.readings {
-				f.readings[i].Statistics = any.Draw(t, "figures")
-				f.readings[i].IsServing = rapid.Bool().Draw(t, "up")
+			fleet.now += 10 * time.Second
+			for i := range fleet.readings {
+				fleet.readings[i].Statistics = any.Draw(t, "figures")
+				fleet.readings[i].IsServing = rapid.Bool().Draw(t, "up")
 			}
-			f.judge.Observe(f.now, f.readings)
-			if v := f.judge.Verdict(f.now); v.Kind == KindPass {
+			fleet.judge.Observe(fleet.now, fleet.readings)
+			if v := fleet.judge.Verdict(fleet.now); v.Kind == KindPass {
 				t.Fatalf("%+v", v)
 			}
 		}
@@ -189,18 +189,18 @@
 
 // A random walk crosses the sequential bound with less than its probability over all looks, and the bound for a single
 // look far more often.
-func TestBoundHoldsAtEveryLook(t *testing.T) {
+func TestBoundHoldsAtEveryEvaluation(t *testing.T) {
 	const walks, alpha = 2000, 0.05
 	crossed := map[bool]int{}
 	for seed := range uint64(walks) {
 		r := rand.New(rand.NewPCG(seed, 3))
-		sum, done := 0.0, map[bool]bool{}
+		sum, hasCrossed := 0.0, map[bool]bool{}
 		for i := 1; i <= 500; i++ {
 			sum += r.NormFloat64()
-			for _, seq := range []bool{true, false} {
-				if !done[seq] && sum/float64(i) > boundWidth(1/float64(i), 0.3, alpha, seq) {
-					done[seq] = true
-					crossed[seq]++
+			for _, sequential := range []bool{true, false} {
+				if !hasCrossed[sequential] && sum/float64(i) > boundWidth(1/float64(i), 0.3, alpha, sequential) {
+					hasCrossed[sequential] = true
+					crossed[sequential]++
 				}
 			}
 		}
@@ -211,20 +211,20 @@
 }
 
 // Crashes at the usual rate, evaluated after each one, raise an alarm with less than its probability.
-func TestCrashesAtTheUsualRate(t *testing.T) {
+func TestCrashesAtUsualRateRarelyAlarm(t *testing.T) {
 	const runs, limit = 20000, 100
-	n := 0
+	alarms := 0
 	for seed := range uint64(runs) {
-		r := rand.New(rand.NewPCG(seed, 4))
+		rng := rand.New(rand.NewPCG(seed, 4))
 		for e := (rareEvents{}); e.exposure[1] < 1000*time.Hour; {
-			e.addExposure(true, time.Duration(r.ExpFloat64()*float64(240*time.Hour)))
+			e.addExposure(true, time.Duration(rng.ExpFloat64()*float64(240*time.Hour)))
 			if e.add(true); e.absoluteEvidence(240*time.Hour) >= limit {
-				n++
+				alarms++
 				break
 			}
 		}
 	}
-	if n > runs/limit {
-		t.Errorf("%d of %d", n, runs)
+	if alarms > runs/limit {
+		t.Errorf("%d of %d", alarms, runs)
 	}
 }
--- a/internal/canary/short_test.go
+++ b/internal/canary/short_test.go
@@ -9,18 +9,18 @@
 
 // newShortTestFleet returns a fleet that bakes for a minute at most, with a reading each second, as tests of processes do.
 func newShortTestFleet(n int) *testFleet {
-	c := newTestFleet(n, 3)
-	c.judge = NewJudge(Options{Stages: 3, MinBake: 5 * time.Second, MaxBake: time.Minute, WarmUp: 2 * time.Second, Onset: 2 * time.Second})
-	return c
+	f := newTestFleet(n, 3)
+	f.judge = NewJudge(Options{Stages: 3, MinBake: 5 * time.Second, MaxBake: time.Minute, WarmUp: 2 * time.Second, Onset: 2 * time.Second})
+	return f
 }
 
-// watch observes intervals of a second, with the counts of ten, until there is a verdict.
-func (c *testFleet) watch(seconds int, each func(i int, r *Reading)) Verdict {
+// observeUntilVerdict observes intervals of a second, with the counts of ten, until there is a verdict.
+func (f *testFleet) observeUntilVerdict(seconds int, each func(i int, r *Reading)) Verdict {
 	var v Verdict
 	for range seconds {
-		c.now -= 9 * time.Second
-		c.observe(1, each)
-		if v = c.judge.Verdict(c.now); v.Kind != KindWait {
+		f.now -= 9 * time.Second
+		f.observe(1, each)
+		if v = f.judge.Verdict(f.now); v.Kind != KindWait {
 			break
 		}
 	}
@@ -29,12 +29,12 @@
 
 func TestShortBake(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		controls int
-		before   int // seconds watched before
-		within   time.Duration
-		want     VerdictKind
-		each     func(c *testFleet, i int, r *Reading)
+		name          string
+		controls      int
+		secondsBefore int // seconds watched before
+		within        time.Duration
+		want          VerdictKind
+		each          func(c *testFleet, i int, r *Reading)
 	}{
 		{"a program with a control", 1, 5, 40 * time.Second, KindPass, nil},
 		{"memory that goes up and down", 1, 5, 40 * time.Second, KindPass, func(c *testFleet, _ int, r *Reading) { r.Statistics.MemoryKB += c.rng.IntN(40000) }},
@@ -60,20 +60,20 @@
 			}
 		}},
 	} {
-		k := newShortTestFleet(4)
-		play := func(seconds int) Verdict {
-			return k.watch(seconds, func(i int, r *Reading) {
+		fleet := newShortTestFleet(4)
+		observe := func(seconds int) Verdict {
+			return fleet.observeUntilVerdict(seconds, func(i int, r *Reading) {
 				if c.each != nil {
-					c.each(k, i, r)
+					c.each(fleet, i, r)
 				}
-				k.previous[r.Member] = r.Statistics
+				fleet.previous[r.Member] = r.Statistics
 			})
 		}
-		play(c.before)
-		k.beginStage(0, 1, c.controls)
-		begun := k.now
-		if v := play(70); v.Kind != c.want || k.now-begun > c.within {
-			t.Errorf("%s: %v after %v: %s", c.name, v.Kind, k.now-begun, v.Reason)
+		observe(c.secondsBefore)
+		fleet.beginStage(0, 1, c.controls)
+		stageStartedAt := fleet.now
+		if v := observe(70); v.Kind != c.want || fleet.now-stageStartedAt > c.within {
+			t.Errorf("%s: %v after %v: %s", c.name, v.Kind, fleet.now-stageStartedAt, v.Reason)
 		}
 	}
 }
--- a/internal/canary/unchanged.go
+++ b/internal/canary/unchanged.go
@@ -124,15 +124,15 @@
 		isLasting := step.early > margin/2 && step.late > margin/2
 		if isLasting && low > margin/2 && low/margin > worst {
 			worst = low / margin
-			harm = unchangedHarm{isHarmed: true, measure: candidate, isRepeated: j.unchanged.hadSmallerStep(candidate, step.difference, margin)}
+			harm = unchangedHarm{isHarmed: true, measure: candidate, isRepeated: j.unchanged.hadSmallerEarlierStep(candidate, step.difference, margin)}
 		}
 	}
 	return harm
 }
 
-// hadSmallerStep tells whether an earlier stage had a step that is sure and smaller, as an effect that grows with the
+// hadSmallerEarlierStep tells whether an earlier stage had a step that is sure and smaller, as an effect that grows with the
 // number of changed members has.
-func (u *unchangedMembers) hadSmallerStep(measure int, difference, margin float64) bool {
+func (u *unchangedMembers) hadSmallerEarlierStep(measure int, difference, margin float64) bool {
 	for _, earlier := range u.steps[measure] {
 		if earlier.mean > margin/2 && earlier.mean > 4*math.Sqrt(earlier.variance) && difference > 1.5*earlier.mean {
 			return true
--- a/internal/canary/verdict.go
+++ b/internal/canary/verdict.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// minRareEvidence is the likelihood ratio of crashes or violations from which on a stage does not pass.
-const minRareEvidence = 150
+// passBlockingEvidence is the likelihood ratio of crashes or violations from which on a stage does not pass.
+const passBlockingEvidence = 150
 
 // findings are the results of all comparisons of a stage.
 type findings struct {
-	measures       []Measure
-	worse          []string // harm that is shown
-	unclear        []string // measures with too little evidence
-	recent         []string // measures that exceed their margin in the later half
-	crashEvidence  float64  // likelihood ratios
-	breachEvidence float64
-	unchangedHarm  string // harm to the unchanged members; "" is none
+	measures            []Measure
+	worse               []string // harm that is shown
+	inconclusive        []string // measures with too little evidence
+	exceededInLaterHalf []string // measures that exceed their margin in the later half
+	crashEvidence       float64  // likelihood ratios
+	breachEvidence      float64
+	unchangedHarm       string // harm to the unchanged members; "" is none
 }
 
 // Verdict judges the stage by now. It may be called at any time; the probability of a false alarm holds over all calls.
@@ -40,10 +40,10 @@
 		case !j.isMeasured(measure):
 			result.IsEnough = true
 		case !result.IsEnough:
-			found.unclear = append(found.unclear, fmt.Sprintf("%s: up to %.3g, margin %.3g", result.Name, result.High, result.Margin))
+			found.inconclusive = append(found.inconclusive, fmt.Sprintf("%s: up to %.3g, margin %.3g", result.Name, result.High, result.Margin))
 		case result.Members > 0 && laterHalf.difference >= result.Margin:
 			result.IsEnough = false
-			found.recent = append(found.recent, fmt.Sprintf("%s in the later half: %.3g, margin %.3g", result.Name, laterHalf.difference, result.Margin))
+			found.exceededInLaterHalf = append(found.exceededInLaterHalf, fmt.Sprintf("%s in the later half: %.3g, margin %.3g", result.Name, laterHalf.difference, result.Margin))
 		}
 		found.measures = append(found.measures, result)
 	}
@@ -73,21 +73,21 @@
 	case watched < j.options.MinBake:
 		return KindWait, fmt.Sprintf("watched for %v of %v", watched.Round(time.Second), j.options.MinBake)
 	case found.unchangedHarm != "":
-		return j.waitOrGiveUp(watched), found.unchangedHarm + "; the cause may be the change or the environment"
-	case found.crashEvidence >= minRareEvidence || found.breachEvidence >= minRareEvidence:
-		return j.waitOrGiveUp(watched), fmt.Sprintf("%d crashes and %d breaches of the new side are too many to pass and too few to show harm",
+		return j.undecidedKind(watched), found.unchangedHarm + "; the cause may be the change or the environment"
+	case found.crashEvidence >= passBlockingEvidence || found.breachEvidence >= passBlockingEvidence:
+		return j.undecidedKind(watched), fmt.Sprintf("%d crashes and %d breaches of the new side are too many to pass and too few to show harm",
 			j.crashes.counts[sideIndexNew], j.breaches.counts[sideIndexNew])
-	case !j.hasOld():
+	case !j.hasUnchangedMember():
 		if !j.areChangedMembersLive(now) {
-			return j.waitOrGiveUp(watched), "too few members report statistics"
+			return j.undecidedKind(watched), "too few members report statistics"
 		}
 		return KindPass, "all are changed, and the fleet is as it was before the stage"
-	case len(found.unclear) > 0:
-		return j.waitOrGiveUp(watched), "too little evidence: " + strings.Join(found.unclear, "; ")
-	case len(found.recent) > 0:
-		return j.waitOrGiveUp(watched), strings.Join(found.recent, "; ")
+	case len(found.inconclusive) > 0:
+		return j.undecidedKind(watched), "too little evidence: " + strings.Join(found.inconclusive, "; ")
+	case len(found.exceededInLaterHalf) > 0:
+		return j.undecidedKind(watched), strings.Join(found.exceededInLaterHalf, "; ")
 	case !j.areChangedMembersLive(now):
-		return j.waitOrGiveUp(watched), "too few changed members report statistics"
+		return j.undecidedKind(watched), "too few changed members report statistics"
 	}
 	return KindPass, "no harm beyond the margins"
 }
@@ -142,13 +142,13 @@
 	return result, laterHalf
 }
 
-// hasOld tells whether any member that has been read is not changed.
-func (j *Judge) hasOld() bool {
+// hasUnchangedMember tells whether any member that has been read is not changed.
+func (j *Judge) hasUnchangedMember() bool {
 	return slices.ContainsFunc(j.order, func(m *member) bool { return m.hasLast && m.side != SideNew })
 }
 
-// waitOrGiveUp returns KindWait until the stage has been watched for MaxBake.
-func (j *Judge) waitOrGiveUp(watched time.Duration) VerdictKind {
+// undecidedKind returns KindWait until the stage has been watched for MaxBake.
+func (j *Judge) undecidedKind(watched time.Duration) VerdictKind {
 	if watched >= j.options.MaxBake {
 		return KindNoEvidence
 	}
--- a/internal/rollout/capacity.go
+++ b/internal/rollout/capacity.go
@@ -24,7 +24,7 @@
 	if !m.isServing && s == stateForward {
 		return true
 	}
-	return !m.isIdle() || m.isSuspect || now < m.slotReservedUntil
+	return !m.isIdle() || m.mayRunDroppedCommand || now < m.slotReservedUntil
 }
 
 // unavailableLimit returns how many members may be unavailable at once: MaxUnavailable, or as many as the others have
--- a/internal/rollout/commands.go
+++ b/internal/rollout/commands.go
@@ -97,7 +97,7 @@
 func (r *Rollout) retryCommand(m *member, at time.Duration) {
 	m.command.isReplyLost = true
 	m.command.retryAt = at
-	m.mayHaveCopies = true
+	m.mayHaveDuplicates = true
 }
 
 // finishCommand ends a member's command with its outcome.
@@ -113,8 +113,8 @@
 	isRestart := m.command.isRestart
 	m.command = nil
 	m.lastReplyAt = r.now
-	m.isUnsettled = hasSucceeded
-	m.isSuspect = m.isSuspect && !hasSucceeded
+	m.isVersionUnconfirmed = hasSucceeded
+	m.mayRunDroppedCommand = m.mayRunDroppedCommand && !hasSucceeded
 	switch {
 	case isRestart: // a failed restart is no failure of the change
 		m.isControl = m.isControl || hasSucceeded
--- a/internal/rollout/coordinator_model_test.go
+++ b/internal/rollout/coordinator_model_test.go
@@ -10,17 +10,17 @@
 
 // coordinator is a coordinator of the model: a Rollout with its log, which may crash at any of its writes.
 type coordinator struct {
-	model              *fleetModel
-	rollout            *Rollout
-	log                *[]Entry
-	name               string
-	isAlive            bool
-	writes             int
-	crashAtWrite       int  // number of the write; 0 is none
-	crashAfterWrite    bool // or before it
-	end                *End
-	endedAt            time.Duration
-	rememberedVersions map[int]string // for trustOwnMemory
+	model             *fleetModel
+	rollout           *Rollout
+	log               *[]Entry
+	name              string
+	isAlive           bool
+	writes            int
+	crashAtWrite      int  // number of the write; 0 is none
+	crashAfterWrite   bool // or before it
+	end               *End
+	endedAt           time.Duration
+	commandedVersions map[int]string // for trustSentCommands
 }
 
 // feed handles an event and does the actions that it leads to.
@@ -28,17 +28,17 @@
 	if !c.isAlive {
 		return
 	}
-	if reply, ok := event.(CommandReplied); ok && c.model.mutation == withoutEpochCheck && reply.Reply == ReplyStale {
+	if reply, ok := event.(CommandReplied); ok && c.model.removedGuard == withoutEpochCheck && reply.Reply == ReplyStale {
 		return
 	}
 	for _, action := range c.rollout.Handle(c.model.now, event) {
-		if c.do(action); !c.isAlive {
+		if c.runAction(action); !c.isAlive {
 			return
 		}
 	}
 }
 
-func (c *coordinator) do(action Action) {
+func (c *coordinator) runAction(action Action) {
 	switch action := action.(type) {
 	case Write:
 		c.write(action.Entry)
@@ -60,7 +60,7 @@
 		c.crash()
 		return
 	}
-	if c.model.mutation != withoutWrite || entry.Kind == EntryStage || entry.Kind == EntryEnd {
+	if c.model.removedGuard != withoutLogWrite || entry.Kind == EntryStage || entry.Kind == EntryEnd {
 		*c.log = append(*c.log, entry)
 	}
 	if entry.Kind == EntryCommand {
@@ -77,34 +77,34 @@
 	model := c.model
 	model.isRollbackSeen = model.isRollbackSeen || c.rollout.state == stateRollback
 	m := model.members[command.Member]
-	noReply := CommandReplied{Member: command.Member, ID: command.ID, Epoch: command.Epoch}
-	c.request(m, func(answer func(Event)) {
+	timeoutEvent := CommandReplied{Member: command.Member, ID: command.ID, Epoch: command.Epoch}
+	c.request(m, func(sendReply func(Event)) {
 		m.execute(model, command, func(reply Reply, err error) {
 			if reply == ReplyOK && !command.IsRestart {
-				c.rememberedVersions[command.Member] = model.plan.Members[command.Member].Versions[command.Generation]
+				c.commandedVersions[command.Member] = model.plan.Members[command.Member].Versions[command.Generation]
 			}
-			answer(CommandReplied{Member: command.Member, ID: command.ID, Epoch: command.Epoch, Reply: reply, Err: err})
+			sendReply(CommandReplied{Member: command.Member, ID: command.ID, Epoch: command.Epoch, Reply: reply, Err: err})
 		})
-	}, noReply)
+	}, timeoutEvent)
 }
 
-// request has a member handle a request. noReply is the event where no reply comes in time.
-func (c *coordinator) request(m *modelMember, handle func(answer func(Event)), noReply Event) {
-	isAnswered := false
+// request has a member handle a request. timeoutEvent is the event where no reply comes in time.
+func (c *coordinator) request(m *modelMember, handle func(reply func(Event)), timeoutEvent Event) {
+	hasReplied := false
 	feedOnce := func(event Event) {
-		if !isAnswered {
-			isAnswered = true
+		if !hasReplied {
+			hasReplied = true
 			c.feed(event)
 		}
 	}
 	c.model.deliver(m, func() {
 		handle(func(event Event) {
 			if !c.model.isMessageLost() && m.isServing {
-				c.model.after(c.model.delay(), func() { feedOnce(event) })
+				c.model.schedule(c.model.delay(), func() { feedOnce(event) })
 			}
 		})
 	})
-	c.model.after(modelReplyTimeout, func() { feedOnce(noReply) })
+	c.model.schedule(modelReplyTimeout, func() { feedOnce(timeoutEvent) })
 }
 
 // poll polls all members, judges a stage that bakes, and repeats that while the coordinator is alive.
@@ -119,14 +119,14 @@
 		c.feed(StageJudged{Verdict: c.drawVerdict()})
 	}
 	c.feed(Tick{})
-	c.model.after(modelPollInterval, c.poll)
+	c.model.schedule(modelPollInterval, c.poll)
 }
 
 func (c *coordinator) pollMember(m *modelMember) {
-	polledAt, isAnswered := c.model.now, false
+	polledAt, hasReplied := c.model.now, false
 	feedOnce := func(status MemberStatus) {
-		if !isAnswered {
-			isAnswered = true
+		if !hasReplied {
+			hasReplied = true
 			c.feed(status)
 		}
 	}
@@ -135,21 +135,21 @@
 			Member: m.index, PolledAt: polledAt, IsServing: true, Version: m.version, Epoch: m.epoch, Owner: m.owner,
 			RunningCommand: m.running, LossToken: m.lossToken, Load: c.model.rng.Float64()*1.1 - 0.3,
 		}
-		if version, ok := c.rememberedVersions[m.index]; ok && c.model.mutation == trustOwnMemory {
+		if version, ok := c.commandedVersions[m.index]; ok && c.model.removedGuard == trustSentCommands {
 			status.Version = version
 		}
-		c.model.after(c.model.delay(), func() { feedOnce(status) })
+		c.model.schedule(c.model.delay(), func() { feedOnce(status) })
 	})
-	c.model.after(modelPollTimeout, func() { feedOnce(MemberStatus{Member: m.index, PolledAt: polledAt}) })
+	c.model.schedule(modelPollTimeout, func() { feedOnce(MemberStatus{Member: m.index, PolledAt: polledAt}) })
 }
 
 // drawVerdict returns the judge's verdict on the stage.
 func (c *coordinator) drawVerdict() Verdict {
 	model := c.model
 	verdict := model.verdicts[c.rollout.stage%len(model.verdicts)]
-	if verdict == VerdictWorse && model.faultShown {
+	if verdict == VerdictWorse && model.wasJudgedWorse {
 		verdict = VerdictPass
 	}
-	model.faultShown = model.faultShown || verdict == VerdictWorse && model.showsFaultOnce
+	model.wasJudgedWorse = model.wasJudgedWorse || verdict == VerdictWorse && model.judgesWorseOnlyOnce
 	return verdict
 }
--- a/internal/rollout/fleet_model_test.go
+++ b/internal/rollout/fleet_model_test.go
@@ -27,45 +27,45 @@
 func (a *eventQueue) Push(v any)   { *a = append(*a, v.(scheduledEvent)) }
 func (a *eventQueue) Pop() any     { v := (*a)[len(*a)-1]; *a = (*a)[:len(*a)-1]; return v }
 
-// mutation is a guard that the model leaves out, to show that its checks find that.
-type mutation int
+// removedGuard is a guard that the model leaves out, to show that its checks find that.
+type removedGuard int
 
 const (
-	noMutation mutation = iota
+	allGuards removedGuard = iota
 	withoutEpochCheck
-	withoutWrite
-	trustOwnMemory
+	withoutLogWrite
+	trustSentCommands
 )
 
 // fleetModel is a fleet, its coordinators and the network between them, in virtual time. Messages are delayed, lost, or
 // delivered after their sender has timed out; members pause, end and come back; coordinators crash at any of their
 // writes and start again, or two of them run at once.
 type fleetModel struct {
-	rng               *rand.Rand
-	now               time.Duration
-	queue             eventQueue
-	scheduledCount    int
-	plan              Plan
-	members           []*modelMember
-	writtenCommands   map[string]bool   // ids of commands in a log
-	ownerByEpoch      map[uint64]string // whose commands ran
-	violations        []string
-	lossRate          float64
-	verdicts          []Verdict // by stage
-	showsFaultOnce    bool      // the judge sees a fault once only
-	faultShown        bool
-	isRollbackSeen    bool
-	hasOneCoordinator bool // at any time
-	mutation          mutation
-	coordinators      []*coordinator
+	rng                 *rand.Rand
+	now                 time.Duration
+	queue               eventQueue
+	scheduledCount      int
+	plan                Plan
+	members             []*modelMember
+	writtenCommands     map[string]bool   // ids of commands in a log
+	ownerByEpoch        map[uint64]string // whose commands ran
+	violations          []string
+	lossRate            float64
+	verdicts            []Verdict // by stage
+	judgesWorseOnlyOnce bool      // the judge sees a fault once only
+	wasJudgedWorse      bool
+	isRollbackSeen      bool
+	hasOneCoordinator   bool // at any time
+	removedGuard        removedGuard
+	coordinators        []*coordinator
 }
 
-func (model *fleetModel) after(d time.Duration, f func()) {
+func (model *fleetModel) schedule(d time.Duration, f func()) {
 	model.scheduledCount++
 	heap.Push(&model.queue, scheduledEvent{model.now + d, model.scheduledCount, f})
 }
 
-func (model *fleetModel) violate(format string, args ...any) {
+func (model *fleetModel) reportViolation(format string, args ...any) {
 	model.violations = append(model.violations, fmt.Sprintf("%v: ", model.now)+fmt.Sprintf(format, args...))
 }
 
@@ -83,7 +83,7 @@
 	if model.isMessageLost() {
 		return
 	}
-	model.after(model.delay(), func() {
+	model.schedule(model.delay(), func() {
 		switch {
 		case m.isPaused:
 			m.inbox = append(m.inbox, f)
@@ -97,8 +97,8 @@
 func (model *fleetModel) checkNeighbouringGenerations() {
 	for p := 1; p < len(model.plan.Members[0].Versions); p++ {
 		if !slices.ContainsFunc(model.members, func(m *modelMember) bool {
-			g := model.plan.Members[m.index].Versions
-			return m.version != g[p-1] && m.version != g[p]
+			versions := model.plan.Members[m.index].Versions
+			return m.version != versions[p-1] && m.version != versions[p]
 		}) {
 			return
 		}
@@ -107,66 +107,66 @@
 	for _, m := range model.members {
 		runs = append(runs, m.version)
 	}
-	model.violate("generations apart: %v", runs)
+	model.reportViolation("generations apart: %v", runs)
 }
 
 // startCoordinator starts a coordinator, which resumes what is in the log.
-func (model *fleetModel) startCoordinator(log *[]Entry, takeBack bool, crashAtWrite int) *coordinator {
+func (model *fleetModel) startCoordinator(log *[]Entry, rollBack bool, crashAtWrite int) *coordinator {
 	name := fmt.Sprintf("c%d", len(model.coordinators))
 	rng := rand.New(rand.NewPCG(model.rng.Uint64(), 1))
 	var r *Rollout
 	var err error
 	if len(*log) > 0 {
-		r, err = Resume(model.plan, name, rng, *log, takeBack)
+		r, err = Resume(model.plan, name, rng, *log, rollBack)
 	} else {
 		r, err = New(model.plan, name, rng)
 	}
 	if err != nil {
 		if !strings.Contains(err.Error(), "is over") {
-			model.violate("%v", err)
+			model.reportViolation("%v", err)
 		}
 		return nil
 	}
-	c := &coordinator{model: model, rollout: r, log: log, name: name, isAlive: true, crashAtWrite: crashAtWrite, crashAfterWrite: model.rng.IntN(2) == 0, rememberedVersions: map[int]string{}}
+	c := &coordinator{model: model, rollout: r, log: log, name: name, isAlive: true, crashAtWrite: crashAtWrite, crashAfterWrite: model.rng.IntN(2) == 0, commandedVersions: map[int]string{}}
 	model.coordinators = append(model.coordinators, c)
 	c.poll()
 	return c
 }
 
-// disturb has members pause, end and come back until a time.
-func (model *fleetModel) disturb(until time.Duration) {
+// injectFaults has members pause, end and come back until a time.
+func (model *fleetModel) injectFaults(until time.Duration) {
 	if model.now > until {
 		return
 	}
 	m := model.members[model.rng.IntN(len(model.members))]
-	long := time.Duration(model.rng.IntN(8000)) * time.Millisecond
+	duration := time.Duration(model.rng.IntN(8000)) * time.Millisecond
 	if model.rng.IntN(12) == 0 {
-		long *= 8
+		duration *= 8
 	}
 	switch {
 	case !m.isServing || m.isPaused:
 	case model.rng.IntN(2) == 0:
 		m.isPaused = true
-		model.after(long, func() {
+		model.schedule(duration, func() {
 			m.isPaused = false
-			all := m.inbox
+			delayed := m.inbox
 			m.inbox = nil
-			for _, f := range all {
+			for _, f := range delayed {
 				f()
 			}
 		})
 	default:
 		m.isServing, m.waiting = false, nil // they end with its process
-		if g := model.plan.Members[m.index].Versions; len(g) == 2 && model.rng.IntN(4) == 0 {
-			m.version, m.revertedAt = g[0], model.now // its supervisor knows no other version
+		if versions := model.plan.Members[m.index].Versions; len(versions) == 2 && model.rng.IntN(4) == 0 {
+			m.version, m.revertedAt = versions[0], model.now // its supervisor knows no other version
 		}
 		if model.rng.IntN(6) == 0 {
 			m.epoch, m.owner, m.lastCommand, m.lossToken = 0, "", "", fmt.Sprint("t", model.scheduledCount)
 			clear(m.executions) // it has forgotten them
 		}
-		model.after(long, func() { m.isServing = true })
+		model.schedule(duration, func() { m.isServing = true })
 	}
-	model.after(time.Duration(model.rng.IntN(6000))*time.Millisecond, func() { model.disturb(until) })
+	model.schedule(time.Duration(model.rng.IntN(6000))*time.Millisecond, func() { model.injectFaults(until) })
 }
 
 // drawFaults draws what gets lost, what is judged, which members fail with what, and what befalls them.
@@ -193,9 +193,9 @@
 		model.members[rng.IntN(n)].brokenVersions["g0"] = true
 	}
 	if rng.IntN(2) == 0 {
-		model.disturb(60 * time.Second)
+		model.injectFaults(60 * time.Second)
 	}
-	model.showsFaultOnce = rng.IntN(2) == 0
+	model.judgesWorseOnlyOnce = rng.IntN(2) == 0
 }
 
 // Limits of a run of the model.
@@ -205,9 +205,9 @@
 )
 
 // runSeed runs the model of a seed to its end, and returns it with the coordinator that decided in the end.
-func runSeed(seed uint64, mutated mutation) (*fleetModel, *coordinator) {
+func runSeed(seed uint64, removed removedGuard) (*fleetModel, *coordinator) {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	model := &fleetModel{rng: rng, writtenCommands: map[string]bool{}, ownerByEpoch: map[uint64]string{}, mutation: mutated, hasOneCoordinator: true}
+	model := &fleetModel{rng: rng, writtenCommands: map[string]bool{}, ownerByEpoch: map[uint64]string{}, removedGuard: removed, hasOneCoordinator: true}
 	phases := model.drawFleet()
 	model.drawFaults(phases)
 	log := new([]Entry)
@@ -218,7 +218,7 @@
 	first := model.startCoordinator(log, false, crashAtWrite)
 	if rng.IntN(5) == 0 { // another runs at the same time with a log of its own: a log has one writer
 		model.hasOneCoordinator = false
-		model.after(time.Duration(rng.IntN(30000))*time.Millisecond, func() {
+		model.schedule(time.Duration(rng.IntN(30000))*time.Millisecond, func() {
 			model.startCoordinator(new([]Entry), false, 0)
 		})
 	}
@@ -254,7 +254,7 @@
 			return decider
 		}
 		if model.now >= maxModelTime {
-			model.violate("it has not ended: %s, %s", decider.rollout.State(), decider.rollout.Reason())
+			model.reportViolation("it has not ended: %s, %s", decider.rollout.State(), decider.rollout.Reason())
 			return decider
 		}
 		decider = model.newestOwner()
@@ -311,14 +311,14 @@
 		generation = 0
 	}
 	if c.end.Result == ResultDone && model.isRollbackSeen && model.hasOneCoordinator {
-		model.violate("done, though it was being taken back")
+		model.reportViolation("done, though it was being taken back")
 	}
 	for _, m := range model.members {
 		if m.revertedAt > 0 && m.revertedAt > c.endedAt-3*time.Second {
 			continue // no coordinator could notice it
 		}
 		if generation >= 0 && m.version != model.plan.Members[m.index].Versions[generation] && m.isServing {
-			model.violate("%s, and member %d runs %s", c.end.Result, m.index, m.version)
+			model.reportViolation("%s, and member %d runs %s", c.end.Result, m.index, m.version)
 		}
 	}
 }
--- a/internal/rollout/forward.go
+++ b/internal/rollout/forward.go
@@ -18,7 +18,7 @@
 	if r.isPhaseKnown {
 		return true
 	}
-	if !r.areAllSettled() {
+	if !r.areVersionsConfirmed() {
 		return false
 	}
 	last := len(r.phases)
@@ -37,16 +37,16 @@
 	return false
 }
 
-// areAllSettled reports whether every member serves, has granted the epoch and reports its version. It ends a rollout
+// areVersionsConfirmed reports whether every member serves, has granted the epoch and reports its version. It ends a rollout
 // that has waited too long for that.
-func (r *Rollout) areAllSettled() bool {
+func (r *Rollout) areVersionsConfirmed() bool {
 	for i := range r.members {
 		m := &r.members[i]
-		if m.isServing && m.hasGranted && !m.isUnsettled {
+		if m.isServing && m.hasGranted && !m.isVersionUnconfirmed {
 			continue
 		}
 		if r.isLost(i) || r.now-r.stepStartedAt > r.claimTimeout() {
-			r.endUnowned(fmt.Sprintf("member %s does not serve, or runs another command", r.name(i)))
+			r.endWithoutOwnership(fmt.Sprintf("member %s does not serve, or runs another command", r.name(i)))
 			return false
 		}
 		r.reason = fmt.Sprintf("waits for member %s", r.name(i))
@@ -124,8 +124,8 @@
 	for _, stage := range p.stages[:r.stage+1] {
 		for _, i := range stage {
 			m := &r.members[i]
-			isSettled := m.isServing && m.isIdle() && !m.isSuspect
-			if !isSettled || !r.runsGeneration(i, r.phase) {
+			isConfirmed := m.isServing && m.isIdle() && !m.mayRunDroppedCommand
+			if !isConfirmed || !r.runsGeneration(i, r.phase) {
 				pending = append(pending, i)
 			}
 		}
@@ -219,7 +219,7 @@
 			r.fail(reason)
 			return false
 		}
-		if !m.isSuspect && r.unavailableCount(i) >= limit { // a suspect counts as unavailable already
+		if !m.mayRunDroppedCommand && r.unavailableCount(i) >= limit { // a suspect counts as unavailable already
 			return r.waitForSlot(limit)
 		}
 		if r.fence(i) {
@@ -272,7 +272,7 @@
 			m.command = nil
 			m.isPlannedControl = false
 			m.slotReservedUntil = r.now + r.plan.MemberTimeout
-		case isRestarting || m.isControl && m.isUnsettled:
+		case isRestarting || m.isControl && m.isVersionUnconfirmed:
 			isPending = true
 		case !m.isPlannedControl:
 		case r.now-r.stepStartedAt >= 2*r.plan.MemberTimeout || !m.isServing && r.isLost(i):
--- a/internal/rollout/layout.go
+++ b/internal/rollout/layout.go
@@ -11,40 +11,40 @@
 	members []int   // those of all stages, in order
 }
 
-// layout lays out every phase's stages. It returns an error where a stage is smaller than the one before it.
-func (p *Plan) layout() ([]phase, error) {
+// buildPhases lays out every phase's stages. It returns an error where a stage is smaller than the one before it.
+func (p *Plan) buildPhases() ([]phase, error) {
 	phases := make([]phase, len(p.Members[0].Versions)-1)
-	for k := range phases {
-		for _, group := range p.changedGroups(k) {
-			group = p.spread(group)
+	for phaseIndex := range phases {
+		for _, group := range p.changedGroups(phaseIndex) {
+			group = p.interleaveLocations(group)
 			stages, err := p.divide(group)
 			if err != nil {
 				return nil, err
 			}
-			phases[k].stages = append(phases[k].stages, stages...)
-			phases[k].members = append(phases[k].members, group...)
+			phases[phaseIndex].stages = append(phases[phaseIndex].stages, stages...)
+			phases[phaseIndex].members = append(phases[phaseIndex].members, group...)
 		}
 	}
 	return phases, nil
 }
 
 // changedGroups returns the members that phase k changes, in groups that change one after another.
-func (p *Plan) changedGroups(k int) [][]int {
+func (p *Plan) changedGroups(phaseIndex int) [][]int {
 	if p.RegionOrder == nil {
-		return [][]int{p.changedMembers(k, func(Member) bool { return true })}
+		return [][]int{p.changedMembers(phaseIndex, func(Member) bool { return true })}
 	}
 	var groups [][]int
-	for _, region := range p.RegionOrder[min(k, len(p.RegionOrder)-1)] {
-		groups = append(groups, p.changedMembers(k, func(m Member) bool { return m.Region == region }))
+	for _, region := range p.RegionOrder[min(phaseIndex, len(p.RegionOrder)-1)] {
+		groups = append(groups, p.changedMembers(phaseIndex, func(m Member) bool { return m.Region == region }))
 	}
 	return groups
 }
 
 // changedMembers returns the matching members that phase k changes.
-func (p *Plan) changedMembers(k int, matches func(Member) bool) []int {
+func (p *Plan) changedMembers(phaseIndex int, matches func(Member) bool) []int {
 	var changed []int
 	for i, m := range p.Members {
-		if matches(m) && m.Versions[k] != m.Versions[k+1] {
+		if matches(m) && m.Versions[phaseIndex] != m.Versions[phaseIndex+1] {
 			changed = append(changed, i)
 		}
 	}
@@ -68,9 +68,9 @@
 	return stages, nil
 }
 
-// spread orders members so that any prefix of the list is spread over regions as evenly as can be, and within each
+// interleaveLocations orders members so that any prefix of the list is spread over regions as evenly as can be, and within each
 // region over its zones. Regions and zones keep the order in which they come.
-func (p *Plan) spread(members []int) []int {
+func (p *Plan) interleaveLocations(members []int) []int {
 	regions := groupBy(members, func(i int) string { return p.Members[i].Region })
 	for k, region := range regions {
 		zones := groupBy(region, func(i int) string { return p.Members[i].Zone })
--- a/internal/rollout/member.go
+++ b/internal/rollout/member.go
@@ -28,16 +28,16 @@
 	isClaiming    bool   // a ClaimReplied is owed
 	nextClaimAt   time.Duration
 
-	command      *command      // nil is none
-	commandCount int           // commands for the generation that it is to run
-	lastReplyAt  time.Duration // a status that was polled before is outdated
-	isUnsettled  bool          // it has run a command or granted an epoch, and no status since shows it without a command
-	// mayHaveCopies means that a command of this epoch was sent more than once, so that a copy may still arrive.
-	mayHaveCopies bool
-	// isSuspect means that a command was dropped which may run late: version is not certain until another has run.
-	isSuspect         bool
-	isRestartDropped  bool          // a restart was dropped with its epoch; its slot is reserved once the next is owned
-	slotReservedUntil time.Duration // it counts as unavailable until then
+	command              *command      // nil is none
+	commandCount         int           // commands for the generation that it is to run
+	lastReplyAt          time.Duration // a status that was polled before is outdated
+	isVersionUnconfirmed bool          // it has run a command or granted an epoch, and no status since shows it without a command
+	// mayHaveDuplicates means that a command of this epoch was sent more than once, so that a copy may still arrive.
+	mayHaveDuplicates bool
+	// mayRunDroppedCommand means that a command was dropped which may run late: version is not certain until another has run.
+	mayRunDroppedCommand bool
+	isRestartDropped     bool          // a restart was dropped with its epoch; its slot is reserved once the next is owned
+	slotReservedUntil    time.Duration // it counts as unavailable until then
 
 	isAbandoned      bool // could not be rolled back
 	isPlannedControl bool // is to restart as a control of this stage
@@ -45,7 +45,7 @@
 }
 
 // isIdle reports whether the member runs no command, and its version is known since the last one.
-func (m *member) isIdle() bool { return m.command == nil && !m.isUnsettled }
+func (m *member) isIdle() bool { return m.command == nil && !m.isVersionUnconfirmed }
 
 // isReady reports whether a command may be sent to the member.
 func (m *member) isReady() bool { return m.isServing && m.hasGranted && m.isIdle() }
@@ -55,7 +55,7 @@
 	if m.command == nil {
 		return
 	}
-	m.isSuspect = m.isSuspect || !m.command.isRestart
+	m.mayRunDroppedCommand = m.mayRunDroppedCommand || !m.command.isRestart
 	m.isRestartDropped = m.command.isRestart
 	m.command = nil
 }
--- a/internal/rollout/member_model_test.go
+++ b/internal/rollout/member_model_test.go
@@ -42,24 +42,24 @@
 }
 
 // execute runs a command, or rejects it, and answers once it has ended.
-func (m *modelMember) execute(model *fleetModel, command Command, answer func(Reply, error)) {
+func (m *modelMember) execute(model *fleetModel, command Command, sendReply func(Reply, error)) {
 	if rejection, ok := m.reject(model, command); ok {
-		answer(rejection, nil)
+		sendReply(rejection, nil)
 		return
 	}
 	if command.ID == m.lastCommand {
-		m.answerOutcome(answer)
+		m.replyWithOutcome(sendReply)
 		return
 	}
 	if m.isExecuting {
-		m.waiting = append(m.waiting, func() { m.execute(model, command, answer) })
+		m.waiting = append(m.waiting, func() { m.execute(model, command, sendReply) })
 		return
 	}
 	m.isExecuting, m.running = true, command.ID
 	m.checkStart(model, command)
 	model.checkUnavailable()
 	duration := time.Duration(50+model.rng.IntN(1500)) * time.Millisecond
-	model.after(duration, func() { m.finish(model, command, answer) })
+	model.schedule(duration, func() { m.finish(model, command, sendReply) })
 }
 
 // reject returns the reply to a command that the member may not run.
@@ -67,7 +67,7 @@
 	switch {
 	case m.lossToken != "":
 		return ReplyUngranted, true
-	case model.mutation == withoutEpochCheck || command.Epoch == m.epoch && command.Owner == m.owner:
+	case model.removedGuard == withoutEpochCheck || command.Epoch == m.epoch && command.Owner == m.owner:
 		return ReplyOK, false
 	case command.Epoch > m.epoch:
 		return ReplyUngranted, true
@@ -79,33 +79,33 @@
 // checkStart checks what must hold of a command that starts.
 func (m *modelMember) checkStart(model *fleetModel, command Command) {
 	if m.executions[command.ID]++; m.executions[command.ID] > 1 {
-		model.violate("member %d has run %s %d times", m.index, command.ID, m.executions[command.ID])
+		model.reportViolation("member %d has run %s %d times", m.index, command.ID, m.executions[command.ID])
 	}
-	if !model.writtenCommands[command.ID] && model.mutation != withoutWrite {
-		model.violate("command %s was not written before", command.ID)
+	if !model.writtenCommands[command.ID] && model.removedGuard != withoutLogWrite {
+		model.reportViolation("command %s was not written before", command.ID)
 	}
 	if owner, ok := model.ownerByEpoch[command.Epoch]; ok && owner != command.Owner {
-		model.violate("epoch %d has two owners that act", command.Epoch)
+		model.reportViolation("epoch %d has two owners that act", command.Epoch)
 	}
 	model.ownerByEpoch[command.Epoch] = command.Owner
 	if command.Epoch < m.lastEpoch {
-		model.violate("member %d ran a command of epoch %d after one of %d", m.index, command.Epoch, m.lastEpoch)
+		model.reportViolation("member %d ran a command of epoch %d after one of %d", m.index, command.Epoch, m.lastEpoch)
 	}
 	m.lastEpoch = command.Epoch
 }
 
 // finish ends the running command, and starts the next that waits.
-func (m *modelMember) finish(model *fleetModel, command Command, answer func(Reply, error)) {
+func (m *modelMember) finish(model *fleetModel, command Command, sendReply func(Reply, error)) {
 	m.isExecuting, m.running = false, ""
 	m.lastCommand, m.outcome = command.ID, nil
-	wanted := model.plan.Members[m.index].Versions[command.Generation]
-	if m.brokenVersions[wanted] && !command.IsRestart {
+	targetVersion := model.plan.Members[m.index].Versions[command.Generation]
+	if m.brokenVersions[targetVersion] && !command.IsRestart {
 		m.outcome = errors.New("it does not start")
 	} else if !command.IsRestart && m.isServing {
-		m.version = wanted
+		m.version = targetVersion
 		model.checkNeighbouringGenerations()
 	}
-	m.answerOutcome(answer)
+	m.replyWithOutcome(sendReply)
 	if len(m.waiting) > 0 {
 		next := m.waiting[0]
 		m.waiting = m.waiting[1:]
@@ -113,12 +113,12 @@
 	}
 }
 
-func (m *modelMember) answerOutcome(answer func(Reply, error)) {
+func (m *modelMember) replyWithOutcome(sendReply func(Reply, error)) {
 	if m.outcome != nil {
-		answer(ReplyFailed, m.outcome)
+		sendReply(ReplyFailed, m.outcome)
 		return
 	}
-	answer(ReplyOK, nil)
+	sendReply(ReplyOK, nil)
 }
 
 // checkUnavailable checks how many members run a command at once.
@@ -132,6 +132,6 @@
 		}
 	}
 	if model.hasOneCoordinator && executing > model.plan.MaxUnavailable {
-		model.violate("%d at once", executing)
+		model.reportViolation("%d at once", executing)
 	}
 }
--- a/internal/rollout/ownership.go
+++ b/internal/rollout/ownership.go
@@ -23,7 +23,7 @@
 		}
 	}
 	if r.now >= r.claimDeadline {
-		r.endUnowned(fmt.Sprintf("only %d of %d members have granted epoch %d", r.grantCount(), len(r.members), r.epoch))
+		r.endWithoutOwnership(fmt.Sprintf("only %d of %d members have granted epoch %d", r.grantCount(), len(r.members), r.epoch))
 		return
 	}
 	if r.nextClaimAt > 0 && r.now < r.nextClaimAt {
@@ -139,10 +139,10 @@
 		m.hasGranted = true
 		m.lossToken = ""
 		// A command of an older epoch may be running: the version that the member reported before is not certain.
-		m.isUnsettled = true
+		m.isVersionUnconfirmed = true
 		m.lastReplyAt = r.now
 	case ReplyUnsupported:
-		r.endUnowned(fmt.Sprintf("member %s knows of no ownership: its program is older than staged changes", r.name(event.Member)))
+		r.endWithoutOwnership(fmt.Sprintf("member %s knows of no ownership: its program is older than staged changes", r.name(event.Member)))
 	case ReplyStale:
 		r.handleStaleClaim(event)
 	case ReplyUngranted: // it has lost its state, and its next status has the token
@@ -158,7 +158,7 @@
 		return
 	}
 	if r.claimAttempts >= maxClaimAttempts {
-		r.endUnowned("another coordinator claims the members too")
+		r.endWithoutOwnership("another coordinator claims the members too")
 		return
 	}
 	if r.nextClaimAt == 0 {
@@ -167,8 +167,8 @@
 	}
 }
 
-// endUnowned ends a coordinator that can't own the fleet, and so may command nothing.
-func (r *Rollout) endUnowned(reason string) {
+// endWithoutOwnership ends a coordinator that can't own the fleet, and so may command nothing.
+func (r *Rollout) endWithoutOwnership(reason string) {
 	if r.hasCommanded {
 		r.end(ResultStuck, reason+"; what was changed stays so")
 		return
@@ -189,7 +189,7 @@
 		m.hasGranted = false
 		m.isClaiming = false
 		m.nextClaimAt = 0
-		m.mayHaveCopies = false
+		m.mayHaveDuplicates = false
 		if m.command != nil {
 			m.command.awaitsReply = false
 			m.command.isReplyLost = true
@@ -202,7 +202,7 @@
 // member remembers only the last command that it ran, and would run that copy after the next one. It reports whether
 // it had to.
 func (r *Rollout) fence(i int) bool {
-	if !r.members[i].mayHaveCopies {
+	if !r.members[i].mayHaveDuplicates {
 		return false
 	}
 	r.claimNewEpoch()
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -80,7 +80,7 @@
 			return err
 		}
 	}
-	_, err := p.layout()
+	_, err := p.buildPhases()
 	return err
 }
 
--- a/internal/rollout/resume.go
+++ b/internal/rollout/resume.go
@@ -44,9 +44,9 @@
 // restoreCommands prepares the commands that have not ended: one that is still wanted is sent again under its id, and
 // the others are dropped.
 func (r *Rollout) restoreCommands() {
-	wanted := r.phase
+	targetGeneration := r.phase
 	if r.isRollbackWanted {
-		wanted = r.rollbackGeneration
+		targetGeneration = r.rollbackGeneration
 	}
 	for i := range r.members {
 		m := &r.members[i]
@@ -54,7 +54,7 @@
 			continue
 		}
 		m.command.isReplyLost = true
-		if m.command.isRestart || m.command.generation != wanted {
+		if m.command.isRestart || m.command.generation != targetGeneration {
 			m.dropCommand()
 		}
 	}
@@ -72,7 +72,7 @@
 		if !ok {
 			return fmt.Errorf("there is no member %q in its plan", entry.Member)
 		}
-		return r.replayOfMember(entry, &r.members[i])
+		return r.replayMemberEntry(entry, &r.members[i])
 	case EntryRollback:
 		r.isRollbackWanted = true
 		r.rollbackCause = entry.Reason
@@ -106,7 +106,7 @@
 	return nil
 }
 
-func (r *Rollout) replayOfMember(entry *Entry, m *member) error {
+func (r *Rollout) replayMemberEntry(entry *Entry, m *member) error {
 	switch entry.Kind {
 	case EntryCommand:
 		if entry.Generation < 0 || entry.Generation > len(r.phases) || entry.ID == "" {
@@ -117,7 +117,7 @@
 	case EntryOutcome:
 		if m.command != nil && m.command.id == entry.ID {
 			m.command = nil
-			m.isSuspect = m.isSuspect && entry.Outcome != outcomeDone
+			m.mayRunDroppedCommand = m.mayRunDroppedCommand && entry.Outcome != outcomeDone
 		}
 	default: // an abandoned member is tried again
 	}
--- a/internal/rollout/rollback.go
+++ b/internal/rollout/rollback.go
@@ -63,7 +63,7 @@
 		i := changed[k]
 		switch {
 		case r.isRolledBack(i):
-		case r.hasDrifted(i, r.rollbackGeneration) && !r.members[i].isSuspect:
+		case r.hasDrifted(i, r.rollbackGeneration) && !r.members[i].mayRunDroppedCommand:
 			r.abandon(i, "it runs a version that no command gave it")
 		case r.isLost(i):
 			r.abandon(i, fmt.Sprintf("it did not come back, or did not answer, within %v", r.plan.MemberTimeout))
@@ -82,7 +82,7 @@
 	if m.isAbandoned {
 		return true
 	}
-	isVersionCertain := m.isIdle() && (!m.isSuspect || r.plan.IsRestart)
+	isVersionCertain := m.isIdle() && (!m.mayRunDroppedCommand || r.plan.IsRestart)
 	return isVersionCertain && r.runsGeneration(i, r.rollbackGeneration)
 }
 
@@ -113,6 +113,6 @@
 	m := &r.members[i]
 	m.isAbandoned = true
 	m.command = nil
-	m.isUnsettled = false
+	m.isVersionUnconfirmed = false
 	r.write(Entry{Kind: EntryAbandoned, Member: r.name(i), Generation: r.rollbackGeneration, Reason: reason})
 }
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -69,7 +69,7 @@
 		return nil, err
 	}
 	plan.setDefaults()
-	phases, err := plan.layout()
+	phases, err := plan.buildPhases()
 	if err != nil {
 		return nil, err
 	}
@@ -171,7 +171,7 @@
 	m.version = status.Version
 	m.load = status.Load
 	// The version is not certain while a command runs, which may be another coordinator's.
-	m.isUnsettled = status.RunningCommand != "" && m.command == nil
+	m.isVersionUnconfirmed = status.RunningCommand != "" && m.command == nil
 }
 
 // hasGrantedAnother reports whether a member has granted a newer epoch, or this one to another coordinator.
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -20,9 +20,9 @@
 	}
 	results := map[Result]int{}
 	for seed := range seeds {
-		w, c := runSeed(seed, noMutation)
-		if w.checkEnd(c); len(w.violations) > 0 {
-			t.Fatalf("seed %d: %s\n%s", seed, strings.Join(w.violations, "\n"), w)
+		model, c := runSeed(seed, allGuards)
+		if model.checkEnd(c); len(model.violations) > 0 {
+			t.Fatalf("seed %d: %s\n%s", seed, strings.Join(model.violations, "\n"), model)
 		}
 		if c.end == nil {
 			t.Fatalf("seed %d: no answer", seed)
@@ -50,11 +50,11 @@
 
 // The checks of the model detect that a guard is left out.
 func TestModelDetectsRemovedGuards(t *testing.T) {
-	for m, name := range map[mutation]string{withoutEpochCheck: "no check of epochs", withoutWrite: "not written before done", trustOwnMemory: "trust in its own memory"} {
-		found := slices.ContainsFunc(slices.Collect(seq(3000)), func(seed uint64) bool {
-			w, c := runSeed(seed, m)
-			w.checkEnd(c)
-			return len(w.violations) > 0
+	for removed, name := range map[removedGuard]string{withoutEpochCheck: "no check of epochs", withoutLogWrite: "not written before done", trustSentCommands: "trust in its own memory"} {
+		found := slices.ContainsFunc(slices.Collect(countUpTo(3000)), func(seed uint64) bool {
+			model, c := runSeed(seed, removed)
+			model.checkEnd(c)
+			return len(model.violations) > 0
 		})
 		if !found {
 			t.Errorf("%s: nothing breaks", name)
@@ -62,7 +62,7 @@
 	}
 }
 
-func seq(n uint64) func(func(uint64) bool) {
+func countUpTo(n uint64) func(func(uint64) bool) {
 	return func(yield func(uint64) bool) {
 		for i := range n {
 			if !yield(i) {
@@ -86,7 +86,7 @@
 	}
 }
 
-func plan(n, regions int, order [][]string) Plan {
+func newTestPlan(n, regions int, order [][]string) Plan {
 	p := Plan{RegionOrder: order, Stages: DefaultStages()}
 	for i := range n {
 		p.Members = append(p.Members, Member{Name: fmt.Sprint(i), Region: fmt.Sprint("r", i%regions), Zone: fmt.Sprint("z", i/regions%2), Versions: []string{"a", "b"}})
@@ -95,25 +95,25 @@
 }
 
 func TestStagesAreSizedAndSpread(t *testing.T) {
-	sizes := func(p Plan) (s []int) {
-		all, err := p.layout()
+	sizes := func(p Plan) (stageSizes []int) {
+		phases, err := p.buildPhases()
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, one := range all[0].stages {
-			s = append(s, len(one))
+		for _, one := range phases[0].stages {
+			stageSizes = append(stageSizes, len(one))
 		}
-		return s
+		return stageSizes
 	}
 	for n, want := range map[int][]int{1: {1}, 2: {1, 1}, 4: {1, 1, 2}, 12: {1, 1, 4, 6}, 40: {1, 3, 16, 20}, 4000: {1, 399, 1600, 2000}} {
-		if got := sizes(plan(n, 1, nil)); !slices.Equal(got, want) {
+		if got := sizes(newTestPlan(n, 1, nil)); !slices.Equal(got, want) {
 			t.Errorf("%d: %v, not %v", n, got, want)
 		}
 	}
-	if got := sizes(plan(8, 2, [][]string{{"r1", "r0"}})); !slices.Equal(got, []int{1, 1, 2, 1, 1, 2}) {
+	if got := sizes(newTestPlan(8, 2, [][]string{{"r1", "r0"}})); !slices.Equal(got, []int{1, 1, 2, 1, 1, 2}) {
 		t.Errorf("by region: %v", got)
 	}
-	p := plan(20, 1, nil)
+	p := newTestPlan(20, 1, nil)
 	p.Stages = Stages{{Count: 5}, {Share: 0.1}, {Share: 1}}
 	if err := p.Validate(); err == nil || !strings.Contains(err.Error(), "stage 2, 10%, is 2 of 20 members, less than the 5") {
 		t.Error(err)
@@ -121,17 +121,17 @@
 	// Any prefix is spread over regions and zones.
 	rapid.Check(t, func(t *rapid.T) {
 		n, regions := rapid.IntRange(1, 60).Draw(t, "n"), rapid.IntRange(1, 4).Draw(t, "regions")
-		p := plan(n, regions, nil)
-		all, _ := p.layout()
-		if len(all[0].members) != n {
-			t.Fatalf("%d of %d", len(all[0].members), n)
+		p := newTestPlan(n, regions, nil)
+		phases, _ := p.buildPhases()
+		if len(phases[0].members) != n {
+			t.Fatalf("%d of %d", len(phases[0].members), n)
 		}
 		counts := map[string]int{}
-		for k, i := range all[0].members {
+		for k, i := range phases[0].members {
 			m := p.Members[i]
 			counts[m.Region]++
 			counts[m.Region+m.Zone]++
-			if k+1 >= regions && len(all[0].members) >= regions && counts[m.Region] > (k+1)/regions+2 {
+			if k+1 >= regions && len(phases[0].members) >= regions && counts[m.Region] > (k+1)/regions+2 {
 				t.Fatalf("after %d: %v", k+1, counts)
 			}
 		}
@@ -140,55 +140,55 @@
 
 // harness feeds a Rollout whose members do everything at once, and records its actions, a word each.
 type harness struct {
-	rollout  *Rollout
-	t        *testing.T
-	now      time.Duration
-	versions []string
-	words    []string
+	rollout     *Rollout
+	t           *testing.T
+	now         time.Duration
+	versions    []string
+	actionTexts []string
 }
 
-func (d *harness) feed(e Event) {
-	for _, a := range d.rollout.Handle(d.now, e) {
+func (h *harness) feed(e Event) {
+	for _, a := range h.rollout.Handle(h.now, e) {
 		switch a := a.(type) {
 		case Claim:
-			defer d.feed(ClaimReplied{Member: a.Member, Epoch: a.Epoch, Reply: ReplyOK})
+			defer h.feed(ClaimReplied{Member: a.Member, Epoch: a.Epoch, Reply: ReplyOK})
 		case Command:
-			what := "+"
+			prefix := "+"
 			if a.IsRestart {
-				what = "~"
+				prefix = "~"
 			} else if a.Generation == 0 {
-				what = "-"
+				prefix = "-"
 			}
-			d.words = append(d.words, fmt.Sprint(what, a.Member))
+			h.actionTexts = append(h.actionTexts, fmt.Sprint(prefix, a.Member))
 			if !a.IsRestart {
-				d.versions[a.Member] = d.rollout.plan.Members[a.Member].Versions[a.Generation]
+				h.versions[a.Member] = h.rollout.plan.Members[a.Member].Versions[a.Generation]
 			}
-			defer d.feed(CommandReplied{Member: a.Member, ID: a.ID, Epoch: a.Epoch, Reply: ReplyOK})
+			defer h.feed(CommandReplied{Member: a.Member, ID: a.ID, Epoch: a.Epoch, Reply: ReplyOK})
 		case Watch:
-			d.words = append(d.words, "watch")
+			h.actionTexts = append(h.actionTexts, "watch")
 		case End:
-			d.words = append(d.words, string(a.Result)+": "+a.Reason)
+			h.actionTexts = append(h.actionTexts, string(a.Result)+": "+a.Reason)
 		}
 	}
 }
 
-func (d *harness) run(steps int, load float64, verdict func(stage int) StageJudged) string {
+func (h *harness) run(steps int, load float64, verdict func(stage int) StageJudged) string {
 	for range steps {
-		d.now += time.Second
-		for i, runs := range d.versions {
-			d.feed(MemberStatus{Member: i, PolledAt: d.now, IsServing: true, Version: runs, Epoch: d.rollout.epoch, Owner: d.rollout.owner, Load: load})
+		h.now += time.Second
+		for i, version := range h.versions {
+			h.feed(MemberStatus{Member: i, PolledAt: h.now, IsServing: true, Version: version, Epoch: h.rollout.epoch, Owner: h.rollout.owner, Load: load})
 		}
-		if d.rollout.IsBaking() {
-			d.feed(verdict(d.rollout.stage + 1))
+		if h.rollout.IsBaking() {
+			h.feed(verdict(h.rollout.stage + 1))
 		}
-		d.feed(Tick{})
+		h.feed(Tick{})
 	}
-	return strings.Join(d.words, " ")
+	return strings.Join(h.actionTexts, " ")
 }
 
 func TestRolloutPaths(t *testing.T) {
-	always := func(k Verdict) func(int) StageJudged {
-		return func(int) StageJudged { return StageJudged{k, "so it is"} }
+	always := func(kind Verdict) func(int) StageJudged {
+		return func(int) StageJudged { return StageJudged{kind, "so it is"} }
 	}
 	for name, tc := range map[string]struct {
 		change  func(*Plan)
@@ -220,7 +220,7 @@
 		}, 0.3, always(VerdictPass), "", "watch +0 watch +1 watch +2 +3 watch +0 watch +1 watch +2 +3 done: 4 members changed"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := plan(4, 1, nil)
+			p := newTestPlan(4, 1, nil)
 			p.MinBake, p.MaxBake, p.MaxUnavailable = 3*time.Second, 20*time.Second, 2
 			if tc.change != nil {
 				tc.change(&p)
@@ -229,11 +229,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			d := &harness{rollout: r, t: t, versions: strings.Split("a,a,a,a", ",")}
+			driver := &harness{rollout: r, t: t, versions: strings.Split("a,a,a,a", ",")}
 			if tc.runs != "" {
-				d.versions = strings.Split(tc.runs, ",")
+				driver.versions = strings.Split(tc.runs, ",")
 			}
-			if got := d.run(120, tc.load, tc.verdict); got != tc.want {
+			if got := driver.run(120, tc.load, tc.verdict); got != tc.want {
 				t.Errorf("%s\nnot\n%s", got, tc.want)
 			}
 		})
--- a/internal/rolloutlog/log_test.go
+++ b/internal/rolloutlog/log_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-func texts(records [][]byte) (all []string) {
+func recordTexts(records [][]byte) (all []string) {
 	for _, record := range records {
 		all = append(all, string(record))
 	}
@@ -53,7 +53,7 @@
 		}
 	}
 	got, note, err := Read(dir)
-	if err != nil || !slices.Equal(texts(got), []string{"plan", "one", ""}) || string(note) != "n2" {
+	if err != nil || !slices.Equal(recordTexts(got), []string{"plan", "one", ""}) || string(note) != "n2" {
 		t.Errorf("%q, %q, %v", got, note, err)
 	}
 	l.Close()
@@ -66,7 +66,7 @@
 			t.Fatal(err)
 		}
 	}
-	if got, _, err := Read(dir); err != nil || !slices.Equal(texts(got), []string{"plan 10"}) {
+	if got, _, err := Read(dir); err != nil || !slices.Equal(recordTexts(got), []string{"plan 10"}) {
 		t.Errorf("%q, %v", got, err)
 	}
 	l.Close()
@@ -88,23 +88,23 @@
 	rng := rand.New(rand.NewPCG(3, 4))
 	damaged, intact := 0, 0
 	for i := range 150 {
-		raw := slices.Clone(complete)
+		content := slices.Clone(complete)
 		if i%3 == 0 {
-			raw = raw[:rng.IntN(len(raw))]
+			content = content[:rng.IntN(len(content))]
 		} else {
 			for range 1 + rng.IntN(40) {
-				raw[rng.IntN(len(raw))] = byte(rng.Uint32())
+				content[rng.IntN(len(content))] = byte(rng.Uint32())
 			}
 		}
 		dir := t.TempDir()
-		if err := os.WriteFile(filepath.Join(dir, fileName), raw, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, fileName), content, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		l, err := Open(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
-		switch got := texts(l.Records()); {
+		switch got := recordTexts(l.Records()); {
 		case l.DamageError != nil:
 			damaged++
 			if _, err := os.Stat(l.QuarantinedPath); err != nil || len(got) > 0 {
@@ -127,16 +127,16 @@
 
 func FuzzUnsealDetectsDamage(f *testing.F) {
 	f.Add([]byte("a record"), uint64(1), 3)
-	f.Fuzz(func(t *testing.T, record []byte, n uint64, at int) {
-		var last [32]byte
-		raw := seal(last, n, record)
-		if got, err := unseal(last, n, raw); err != nil || string(got) != string(record) {
+	f.Fuzz(func(t *testing.T, record []byte, number uint64, offset int) {
+		var previous [32]byte
+		sealed := seal(previous, number, record)
+		if got, err := unseal(previous, number, sealed); err != nil || string(got) != string(record) {
 			t.Fatal(err)
 		}
-		if at = (at%len(raw) + len(raw)) % len(raw); len(raw) > 0 {
-			raw[at] ^= 1
+		if offset = (offset%len(sealed) + len(sealed)) % len(sealed); len(sealed) > 0 {
+			sealed[offset] ^= 1
 		}
-		if _, err := unseal(last, n, raw); err == nil {
+		if _, err := unseal(previous, number, sealed); err == nil {
 			t.Fatal("a damaged record is taken for valid")
 		}
 	})
