--- a/internal/canary/compare.go
+++ b/internal/canary/compare.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// falseAlarmShare returns the part of MaxFalseAlarms that one measure may use up in one stage, in each of the two
-// windows (the stage and its later half).
+// falseAlarmShare returns the probability of a false alarm that one measure may use in one stage and one of the two
+// windows (the stage and its later half). Measures together use 0.7 of MaxFalseAlarms.
 func (j *Judge) falseAlarmShare() float64 {
 	return 0.7 * j.options.MaxFalseAlarms / float64(j.options.Stages) / (2 * measureCount)
 }
@@ -16,28 +16,28 @@
 type comparison struct {
 	judge          *Judge
 	measure        int // index of the measure that is compared
-	countedMeasure int // index of the measure whose counts are used: growth uses those of memory
+	countedMeasure int // index of the measure whose counts are used; growth uses those of memory
 	isLaterHalf    bool
 	margin         float64
-	minDifference  float64 // a smaller difference counts as none
+	minDifference  float64 // smaller differences are tolerated; also a lower limit of expected shares
 	requestWeight  float64 // weight of one request in the denominator
 
-	hasStageControls  bool // there are controls of this stage
-	hasEarlierChanged bool // there are members that earlier stages changed
+	hasStageControls  bool // this stage has controls
+	hasEarlierChanged bool // earlier stages have changed members
 
-	// Parallel slices with an entry for each member that takes part.
+	// Parallel slices with an entry for each compared member.
 	members              []*member
 	windows              [][]batch
 	baselineNumerators   []float64
 	baselineDenominators []float64
-	memberVariances      []float64 // for each unit of the denominator
+	memberVariances      []float64 // variance per unit of the denominator
 
-	referenceWindows [][]batch // windows of the members that aren't changed
-	sideVariance     float64   // for each unit of the denominator, estimated from the reference windows
+	referenceWindows [][]batch // windows of the unchanged members
+	sideVariance     float64   // variance per unit of the denominator, estimated from referenceWindows
 	result           Measure
 }
 
-// minDegreesOfFreedom is how many degrees of freedom a variance estimate needs.
+// minDegreesOfFreedom is the minimum number of degrees of freedom of a variance estimate.
 const minDegreesOfFreedom = 6
 
 // compare compares one measure between the sides, over the stage or over its later half.
@@ -60,7 +60,7 @@
 		Old:    c.sideRatio(sideIndexOld),
 		New:    c.sideRatio(sideIndexNew),
 	}
-	if !isRelative(measure) { // in a fault of the environment, differences between members grow with the fleet's mean
+	if !isRelative(measure) { // during a fault of the environment the differences between members grow with the fleet's mean
 		c.margin = max(c.margin, c.result.Old/2)
 		c.result.Margin = c.margin
 	}
@@ -83,7 +83,7 @@
 	return c.result
 }
 
-// sideRatio returns the measure's value for a side over the stage, as counted.
+// sideRatio returns the measure's unadjusted value for a side over the stage.
 func (c *comparison) sideRatio(side int) float64 {
 	if d := c.judge.sideTotals[side].denominator[c.countedMeasure]; d > 0 {
 		return c.judge.sideTotals[side].numerator[c.countedMeasure] / d
@@ -91,7 +91,7 @@
 	return 0
 }
 
-// chooseMembers selects the members that take part, with their windows and baselines.
+// chooseMembers selects the members to compare, with their windows and baselines.
 func (c *comparison) chooseMembers() {
 	for _, m := range c.judge.order {
 		c.hasStageControls = c.hasStageControls || m.isChangedInStage && m.side == SideControl
@@ -117,10 +117,11 @@
 	}
 }
 
-// dependsOnAge tells whether the measure depends on the age of a process, as memory and its growth do.
+// dependsOnAge tells whether the measure depends on the age of a process. Memory and its growth do.
 func (c *comparison) dependsOnAge() bool { return c.measure >= measureMemory }
 
-// baselineRatio returns a member's measure before the first stage as numerator and denominator; zeros are no baseline.
+// baselineRatio returns a member's measure before the first stage as numerator and denominator, and zeros if the member
+// has no baseline.
 func (c *comparison) baselineRatio(m *member) (numerator, denominator float64) {
 	if !m.hasBaseline || c.judge.options.Without.Baseline {
 		return 0, 0
@@ -133,21 +134,23 @@
 	return numerator, denominator
 }
 
-// isIncomparable tells whether a member's age keeps it out of the comparison.
+// isIncomparable tells whether a member is excluded from the comparison because of the age of its process.
 func (c *comparison) isIncomparable(m *member) bool {
-	// Without controls of this stage, processes that it started are still warming up and have no equals.
+	// Processes that this stage started are still warming up. Without controls of this stage there are no unchanged
+	// processes of the same age to compare them with.
 	isJustStarted := m.side == SideNew && m.isChangedInStage && m.isNewProcess
 	needsControl := !c.hasStageControls && !c.judge.options.Without.Control
 	if isJustStarted && needsControl && c.hasEarlierChanged {
 		return true
 	}
-	// Memory depends on a process's age: members changed in this stage are compared with its controls alone.
+	// Memory depends on the age of a process, so members changed in this stage are compared with its controls but not
+	// with members of earlier stages.
 	isOfEarlierStage := m.side != SideOld && !m.isChangedInStage
 	return c.dependsOnAge() && c.hasStageControls && isOfEarlierStage
 }
 
-// estimateVariances estimates the variance of each member from the members that aren't changed. It returns false
-// if they have too few batches.
+// estimateVariances estimates the variance of each member from the unchanged members. It returns false if these have
+// too few batches.
 func (c *comparison) estimateVariances() bool {
 	var spread pooledVariance
 	if isRelative(c.measure) {
@@ -173,8 +176,8 @@
 	return true
 }
 
-// memberVariance returns the variance of one member for each unit of its denominator. perReading is the variance
-// of a relative measure from reading to reading.
+// memberVariance returns the variance of one member per unit of its denominator. perReading is the variance of a
+// relative measure per reading.
 func (c *comparison) memberVariance(window []batch, perReading float64) float64 {
 	if isRelative(c.measure) {
 		_, denominator := sumBatches(window, c.countedMeasure)
@@ -192,17 +195,18 @@
 	return c.sideVariance * c.requestWeight * (expected/denominator + c.minDifference)
 }
 
-// estimateSides returns the estimates of the members of each side, and false if there is nothing to compare with.
+// estimateSides returns the estimates of the members of each side, and false if the measure depends on the age of a
+// process and no control can be compared.
 func (c *comparison) estimateSides() (sides [3][]estimate, ok bool) {
 	mean, levels := c.baselines()
 	sides = c.judge.estimateMembers(c.measure, c.members, c.windows, levels, mean, c.memberVariances)
-	// The memory of a process that has just started grows; only controls of the same age compare with it.
+	// The memory of a process that has just started grows, so it can be compared only with controls of the same age.
 	usesControls := c.hasStageControls && !c.judge.options.Without.Control
 	if c.dependsOnAge() && usesControls && len(sides[SideControl]) == 0 {
 		return sides, false
 	}
-	// A baseline helps only if members still differ as they did then; after a fault of one zone they don't.
-	// It is dropped where the old side differs less without it.
+	// Baselines help only if the members still differ in the same way, which they may not after a fault of one zone.
+	// The baselines are dropped if the members of the old side differ less without them.
 	if len(sides[SideOld]) >= minMembersForSpread && !isRelative(c.measure) {
 		flat := slices.Repeat([]baselineLevel{{mean, 0}}, len(levels))
 		withoutBaseline := c.judge.estimateMembers(c.measure, c.members, c.windows, flat, mean, c.memberVariances)
@@ -213,7 +217,7 @@
 	return sides, true
 }
 
-// baselines returns the measure before the first stage: the members' mean, and the level of each.
+// baselines returns the mean of the measure over the members before the first stage, and the level of each member.
 func (c *comparison) baselines() (mean float64, each []baselineLevel) {
 	var numerator, denominator float64
 	for i := range c.baselineNumerators {
@@ -222,12 +226,12 @@
 	}
 	if !isRelative(c.measure) {
 		variance := c.sideVariance * c.requestWeight * (c.sideRatio(0) + c.minDifference)
-		if denominator > 0 { // the fleet's rate then may differ from today's
+		if denominator > 0 { // the fleet's rate before the first stage may differ from the current rate
 			variance = c.sideVariance * c.requestWeight * (max(numerator/denominator, 0) + c.minDifference)
 		}
 		return shrinkBaselines(c.baselineNumerators, c.baselineDenominators, variance)
 	}
-	if fleetRatio := numerator / denominator; denominator > 0 && fleetRatio > 0 { // relative to the fleet's rate, as the batches are
+	if fleetRatio := numerator / denominator; denominator > 0 && fleetRatio > 0 { // relative to the fleet's rate, like the batches
 		for i := range c.baselineDenominators {
 			c.baselineDenominators[i] *= fleetRatio
 		}
@@ -244,16 +248,17 @@
 	return mean, each
 }
 
-// Counts are skewed where they are few: the normal bound is too narrow by z^2/6 counts (Cornish and Fisher). Requests
-// of different weights make them more skewed than their variance shows.
+// Corrections in counts for the skewness of small counts: the normal bound is too narrow by z^2/6 counts (Cornish and
+// Fisher). Requests of different weights make the counts more skewed than their variance shows, so they need a larger
+// correction.
 const (
 	skewCorrection       = 5.0
 	weightSkewCorrection = 12.0
 )
 
-// decideHarm sets IsWorse of the result, after a correction of Low for few counts.
+// decideHarm sets IsWorse of the result after it has corrected Low for the skewness of small counts.
 func (c *comparison) decideHarm() {
-	if c.measure == measureGrowth { // the margin of a pass may be wider than that of harm
+	if c.measure == measureGrowth { // the margin for a pass may be wider than the margin for harm
 		c.result.IsWorse = c.result.Low > c.judge.options.hourlyGrowthMargin()/4
 	}
 	if isRelative(c.measure) {
@@ -276,8 +281,8 @@
 	c.result.IsWorse = c.result.Low > c.judge.toleratedDifference(c.margin)
 }
 
-// canCompareGrowth tells whether the growth of memory can be compared: processes that a stage started need controls
-// that were started with them.
+// canCompareGrowth tells whether the growth of memory can be compared. Processes that a stage started need controls that
+// were started with them.
 func (j *Judge) canCompareGrowth() bool {
 	hasNewProcess := false
 	hasControl := j.options.Without.Control
@@ -297,7 +302,7 @@
 }
 
 // estimateMembers returns the estimates of a measure by side. members, windows, baselines and variances are parallel
-// slices; mean is that of the baselines.
+// slices; mean is the mean of the baselines.
 func (j *Judge) estimateMembers(measure int, members []*member, windows [][]batch, baselines []baselineLevel, mean float64, variances []float64) (sides [3][]estimate) {
 	var growth growthFit
 	if measure == measureGrowth {
@@ -309,7 +314,7 @@
 	readingsPerHour := j.readingsPerHour()
 	for i, m := range members {
 		side := m.side
-		// A control of an earlier stage has warmed up by now.
+		// A control of an earlier stage has warmed up since, so it belongs to the old side.
 		if side == SideControl && (!m.isChangedInStage || j.options.Without.Control) {
 			side = SideOld
 		}
@@ -320,7 +325,7 @@
 			if growth.lines[i].sxx <= 0 {
 				continue
 			}
-			// Adjacent batches are correlated, which their residuals do not show: the variance counts twice.
+			// Adjacent batches are correlated, which the residuals do not show; the variance is doubled for that.
 			e = estimate{
 				mean:     growth.lines[i].slope * readingsPerHour,
 				variance: 2 * growth.residualSum / float64(growth.degreesOfFreedom) / growth.lines[i].sxx * readingsPerHour * readingsPerHour,
@@ -336,14 +341,14 @@
 	return sides
 }
 
-// growthFit is a line of memory over time for each member, with the residuals of the members that aren't changed.
+// growthFit holds a line of memory over time for each member, with the residuals of the unchanged members.
 type growthFit struct {
 	lines            []memoryLine
-	residualSum      float64 // of squares
+	residualSum      float64 // sum of squared residuals
 	degreesOfFreedom int
 }
 
-// fitGrowth fits the lines of members' memory.
+// fitGrowth fits a line to the memory of each member.
 func fitGrowth(members []*member, windows [][]batch, baselines []baselineLevel, mean float64) growthFit {
 	fit := growthFit{lines: make([]memoryLine, len(members))}
 	for i, m := range members {
@@ -357,7 +362,7 @@
 	return fit
 }
 
-// readingsPerHour returns the rate of observations in this stage; 0 is unknown.
+// readingsPerHour returns the rate of observations in this stage, and 0 if it is unknown.
 func (j *Judge) readingsPerHour() float64 {
 	if j.observations == 0 || j.observedAt <= j.stageStartedAt {
 		return 0
@@ -365,7 +370,7 @@
 	return float64(time.Hour) / (float64(j.observedAt-j.stageStartedAt) / float64(j.observations))
 }
 
-// toleratedDifference returns the difference that is no harm yet.
+// toleratedDifference returns the largest difference that does not count as harm.
 func (j *Judge) toleratedDifference(margin float64) float64 {
 	if j.options.Without.Tolerance {
 		return 0
@@ -373,7 +378,7 @@
 	return margin / 4
 }
 
-// compareSides compares the changed side with the old ones and controls, and sets the result's bounds.
+// compareSides compares the changed members with the old side and the controls, and sets the bounds of the result.
 func (j *Judge) compareSides(result *Measure, sides [3][]estimate, isLaterHalf bool) {
 	var oldOutliers, controlOutliers int
 	sides[SideOld], oldOutliers = trimOutliers(sides[SideOld])
@@ -393,7 +398,7 @@
 	difference := changed.mean - reference.mean
 	variance := changed.variance + reference.variance
 	alpha := j.falseAlarmShare()
-	if isLaterHalf { // this window moves, which the bound over all looks does not cover
+	if isLaterHalf { // the start of this window moves, which the sequential bound does not cover
 		alpha /= 4
 	}
 	result.Low = difference - boundWidth(variance, result.Margin, alpha, !j.options.Without.Sequential)
@@ -403,8 +408,8 @@
 	result.IsEnough = result.High < result.Margin
 }
 
-// moderatedVarianceBetween returns the variance between members without any change, estimated from the references
-// and a prior of a tenth of the margin, which dominates where references are few.
+// moderatedVarianceBetween returns the variance between unchanged members, estimated from the references and a prior
+// with a standard deviation of a tenth of the margin. The prior dominates if there are few references.
 func moderatedVarianceBetween(sides [3][]estimate, margin float64) float64 {
 	const priorDegrees = 4
 	priorDeviation := margin / 10
@@ -417,14 +422,15 @@
 		}
 	}
 	variance /= float64(degreesOfFreedom)
-	// Towards a rollout's end the few references may all be of one zone; then the changed members count too.
+	// Towards the end of a rollout the few remaining references may all be in one zone, so the variance between changed
+	// members is considered too.
 	if len(sides[SideOld])+len(sides[SideControl]) < minMembersForSpread {
 		variance = max(variance, varianceBetween(sides[SideNew]))
 	}
 	return variance
 }
 
-// poolReferences returns the mean of the old side and the controls together.
+// poolReferences returns the combined estimate of the old side and the controls.
 func poolReferences(sides [3][]estimate, betweenMembers float64) estimate {
 	old := poolEstimates(sides[SideOld], betweenMembers)
 	if len(sides[SideControl]) == 0 {
@@ -434,7 +440,7 @@
 	if len(sides[SideOld]) == 0 {
 		return control
 	}
-	// The old side counts as far as it is like the controls, which are warming up as the changed members are.
+	// The controls are warming up like the changed members. The old side is weighted down by its difference from them.
 	warmingDifference := control.mean - old.mean
 	oldVariance := old.variance + warmingDifference*warmingDifference
 	controlWeight := oldVariance / (oldVariance + control.variance)
--- a/internal/canary/estimate.go
+++ b/internal/canary/estimate.go
@@ -5,21 +5,22 @@
 	"slices"
 )
 
-// minMembersForSpread is how many members it takes to estimate from them how much members differ.
+// minMembersForSpread is the minimum number of members for estimating how much members differ from each other.
 const minMembersForSpread = 8
 
-// minVariance keeps inverse variances finite.
+// minVariance is a lower limit of variances, so that their inverses remain finite.
 const minVariance = 1e-18
 
-// estimate is the mean of a measure of one member or of a side, and the variance of that mean.
+// estimate is the estimated mean of a measure for one member or one side, and the variance of that mean.
 type estimate struct{ mean, variance float64 }
 
-// baselineLevel is a member's estimated level before the first stage.
+// baselineLevel is the estimated level of a measure of one member before the first stage.
 type baselineLevel struct{ mean, variance float64 }
 
-// shrinkBaselines returns the mean of all baselines, and each member's own moved towards it: the further the less
-// members differ, and the less certain its own is (James-Stein estimator). There is one entry a member; a denominator
-// of 0 is a member without a baseline. variance is for each unit of a denominator.
+// shrinkBaselines returns the mean of all baselines, and each member's baseline shrunk towards that mean (James-Stein
+// estimator). The shrinkage is the stronger, the less the members differ and the less certain a member's baseline is.
+// The slices have one entry per member; a denominator of 0 means that the member has no baseline. variance is the
+// variance per unit of a denominator.
 func shrinkBaselines(numerators, denominators []float64, variance float64) (mean float64, all []baselineLevel) {
 	var numeratorSum, denominatorSum float64
 	for i := range numerators {
@@ -53,7 +54,8 @@
 	return mean, all
 }
 
-// varianceBetween returns the variance between members in excess of each one's own (DerSimonian-Laird estimator).
+// varianceBetween returns the variance between members in excess of the variance of each member's estimate
+// (DerSimonian-Laird estimator).
 func varianceBetween(all []estimate) float64 {
 	if len(all) < 2 {
 		return 0
@@ -77,7 +79,7 @@
 	return max(0, (deviation-float64(len(all)-1))/scale)
 }
 
-// totalVariance returns the variance between members including the mean of each one's own.
+// totalVariance returns the variance between members plus the mean variance of the members' estimates.
 func totalVariance(all []estimate) float64 {
 	variance := 0.0
 	for _, e := range all {
@@ -86,7 +88,8 @@
 	return varianceBetween(all) + variance/float64(max(len(all), 1))
 }
 
-// poolEstimates returns the mean of a side by inverse variance; betweenMembers is added to each member's own.
+// poolEstimates returns the mean of a side's estimates, weighted by their inverse variances. betweenMembers is added to
+// the variance of each.
 func poolEstimates(all []estimate, betweenMembers float64) estimate {
 	if len(all) == 0 {
 		return estimate{0, math.Inf(1)}
@@ -100,12 +103,14 @@
 	return estimate{weightedSum / weightSum, 1 / weightSum}
 }
 
-// normalConsistency makes the median absolute deviation of normal values an estimate of their standard deviation.
+// normalConsistency is the factor between the median absolute deviation and the standard deviation of normally
+// distributed values.
 const normalConsistency = 1.4826
 
-// trimOutliers returns the estimates without outliers, and how many were left out. The distance is measured in median
-// absolute deviations. More than one outlier in twenty is a property of the fleet (a zone with a fault): then all
-// remain, and widen the bounds.
+// trimOutliers returns the estimates without outliers, and the number of outliers. An outlier is more than 8 standard
+// deviations from the median; the deviation is derived from the median absolute deviation. If more than one estimate in
+// twenty is an outlier, the fleet itself is uneven (for example, a zone has a fault); then all estimates are returned,
+// and widen the bounds.
 func trimOutliers(all []estimate) ([]estimate, int) {
 	if len(all) < minMembersForSpread {
 		return all, 0
@@ -133,10 +138,10 @@
 	return all, 0
 }
 
-// boundWidth returns the half-width of a one-sided confidence bound that is exceeded with a probability of at most alpha.
-// If sequential, that holds over any number of looks (confidence sequence by Robbins' normal mixture, see Howard et al.,
-// "Time-uniform, nonparametric, nonasymptotic confidence sequences"); it is narrowest about where variance is a
-// sixteenth of margin squared.
+// boundWidth returns the distance of a one-sided confidence bound from the estimate; the bound is exceeded with a
+// probability of at most alpha. If sequential, that holds over any number of evaluations (confidence sequence with
+// Robbins' normal mixture, see Howard et al., "Time-uniform, nonparametric, nonasymptotic confidence sequences"). The
+// sequential bound is tightest where variance is about a sixteenth of margin squared.
 func boundWidth(variance, margin, alpha float64, sequential bool) float64 {
 	if !(variance < 1e12) {
 		return math.Inf(1)
@@ -146,18 +151,18 @@
 		return math.Sqrt(variance) * math.Sqrt2 * math.Erfinv(1-2*alpha)
 	}
 	information := 1 / variance
-	rho := 1 / (margin * margin) // of the mixture
+	rho := 1 / (margin * margin) // parameter of the normal mixture
 	return math.Sqrt((information+rho)*math.Log((information+rho)/(rho*4*alpha*alpha))) / information
 }
 
-// pooledVariance is the variance of a measure within members over time, for each unit of its denominator.
+// pooledVariance is the variance over time of a measure within members, per unit of the measure's denominator.
 type pooledVariance struct {
 	variance         float64
 	degreesOfFreedom int
 }
 
-// varianceOverTime estimates the variance from the batches of each window around the window's own mean (method of
-// batch means). scales has a divisor for each window.
+// varianceOverTime estimates the variance over time from the deviations of batches from the mean of their window (method
+// of batch means). scales has a divisor of the deviations for each window.
 func varianceOverTime(windows [][]batch, scales []float64, measure int) pooledVariance {
 	var squares float64
 	degreesOfFreedom := 0
@@ -183,8 +188,8 @@
 	return pooledVariance{squares / float64(degreesOfFreedom), degreesOfFreedom}
 }
 
-// ratioVariance returns the variance of a ratio from reading to reading that its denominator does not explain. Costs
-// have it: work besides requests does not become more certain with more requests.
+// ratioVariance returns the variance of a ratio per reading, independent of the size of its denominator. Costs have
+// such a variance, since an instance also does work that does not depend on the number of requests.
 func ratioVariance(windows [][]batch, measure int) float64 {
 	squares, degreesOfFreedom := 0.0, 0
 	for _, window := range windows {
@@ -204,9 +209,10 @@
 	return squares / float64(max(degreesOfFreedom, 1))
 }
 
-// dispersion returns how many times the counts of members vary more than Poisson counts, at least 1: requests come in
-// bursts, fail together and weigh more than one (quasi-Poisson dispersion by Pearson residuals). minShare is a share of
-// the denominator that is added to the expected count, so that the first event does not dominate.
+// dispersion returns the ratio, at least 1, of the variance of counts to that of Poisson counts (quasi-Poisson
+// dispersion from Pearson residuals). The counts are overdispersed because requests arrive in bursts, fail together and
+// have different weights. minShare is a share of the denominator that is added to the expected count, so that the first
+// event does not dominate.
 func dispersion(windows [][]batch, measure int, requestWeight, minShare float64) pooledVariance {
 	var squares float64
 	degreesOfFreedom := 0
@@ -231,15 +237,15 @@
 	return pooledVariance{max(1, squares/float64(degreesOfFreedom)), degreesOfFreedom}
 }
 
-// minLinePoints is how many batches a line takes.
+// minLinePoints is the minimum number of batches for fitting a line.
 const minLinePoints = 6
 
-// memoryLine is a least-squares line of a member's memory over readings, relative to the fleet's. The zero value is
-// none.
+// memoryLine is a least-squares line of a member's memory, relative to the fleet's, over the number of readings. The
+// zero value means that there is no line.
 type memoryLine struct {
-	slope       float64 // for each reading
+	slope       float64 // change per reading
 	sxx         float64 // sum of squared distances from the mean time
-	residualSum float64 // of squares
+	residualSum float64 // sum of squared residuals
 	points      int
 }
 
--- a/internal/canary/judge.go
+++ b/internal/canary/judge.go
@@ -7,35 +7,36 @@
 	"lockflow/internal/instancestats"
 )
 
-// Judge watches a rollout's stages. NewJudge makes one. It is for one goroutine.
+// Judge compares the members of a fleet during the stages of a rollout. Use NewJudge to create one. A Judge is not safe
+// for concurrent use.
 type Judge struct {
 	options          Options
 	members          map[string]*member
-	order            []*member // by first reading, so that sums do not depend on the map's order
-	stage            int       // 0 is before the first
+	order            []*member // members in the order of their first readings, so that sums do not depend on the map's order
+	stage            int       // number of the stage; 0 before the first one
 	stageStartedAt   time.Duration
-	lastChangeAt     time.Duration            // last change of a member's side
-	observedAt       time.Duration            // last observation
-	observations     int                      // of this stage
-	slowBucket       int                      // delay bucket of the old side's 99th percentile; -1 is unknown
-	oldStatistics    instancestats.Statistics // of the old side, until slowBucket is known
-	rejectedReadings int                      // of members beyond maxMembers
+	lastChangeAt     time.Duration            // time of the last change of a member's side
+	observedAt       time.Duration            // time of the last observation
+	observations     int                      // number of observations in this stage
+	slowBucket       int                      // delay bucket below the old side's 99th percentile; -1 if unknown
+	oldStatistics    instancestats.Statistics // delays of the old side, collected until slowBucket is known
+	rejectedReadings int                      // number of readings of members in excess of maxMembers
 
-	sideTotals [sideCount]batch // absolute counts of this stage
+	sideTotals [sideCount]batch // absolute counts of this stage, by side
 	crashes    rareEvents
 	breaches   rareEvents
 	unchanged  unchangedMembers
 
-	intervals []countedInterval // of one observation; reused
+	intervals []countedInterval // intervals of one observation; the slice is reused
 }
 
-// countedInterval is what a member counted between two readings.
+// countedInterval holds what a member counted between two readings.
 type countedInterval struct {
 	member     *member
 	statistics instancestats.Statistics
 }
 
-// NewJudge returns a judge of one rollout.
+// NewJudge returns a judge for one rollout.
 func NewJudge(o Options) *Judge {
 	o.setDefaults()
 	j := &Judge{options: o, members: make(map[string]*member), slowBucket: -1}
@@ -44,20 +45,21 @@
 }
 
 const (
-	minSlowSamples      = 200 // answers that it takes to estimate the 99th percentile
-	minBaselineRequests = 100 // requests of a member from which on observed counts are its baseline
-	minFleetReferences  = 8   // unchanged members from which on they alone give the fleet's rate
+	minSlowSamples      = 200 // minimum number of answers for estimating the 99th percentile of delays
+	minBaselineRequests = 100 // minimum number of requests of a member for using its observed counts as its baseline
+	minFleetReferences  = 8   // minimum number of unchanged members for deriving the fleet's rate from them alone
 )
 
-// setSlowBucket sets the 99th percentile of delays once the old side has enough answers. A fleet that has just started
-// has none before the change; then the percentile is that of the members not changed.
+// setSlowBucket derives slowBucket from the 99th percentile of delays if the old side has enough answers. A fleet that
+// has just started has too few before the change; then the answers of the unchanged members during it are used.
 func (j *Judge) setSlowBucket() {
 	if j.oldStatistics.Delays.Total() >= minSlowSamples {
 		j.slowBucket = instancestats.Bucket(j.oldStatistics.Delays.Quantile(0.99)) - 1
 	}
 }
 
-// findOrAddMember returns a reading's member, and nil if there are maxMembers others.
+// findOrAddMember returns the member of a reading, and adds it if necessary. It returns nil if there are already
+// maxMembers others.
 func (j *Judge) findOrAddMember(r *Reading) *member {
 	m := j.members[r.Member]
 	if m == nil {
@@ -73,8 +75,8 @@
 	return m
 }
 
-// Begin starts a stage. Members' baselines are what was observed before the first one, or, of members that were not
-// observed, the counts since their process began.
+// Begin starts a stage. At the first stage it sets the members' baselines: a member's observed counts if there are
+// enough, or else the counts since its process began.
 func (j *Judge) Begin(now time.Duration, before []Reading) {
 	isFirst := j.stage == 0
 	for i := range before {
@@ -105,7 +107,7 @@
 	j.sideTotals = [sideCount]batch{}
 }
 
-// forgetSilentMembers removes members that were not read in the stage that ends.
+// forgetSilentMembers removes the members that had no reading in the stage that ends.
 func (j *Judge) forgetSilentMembers() {
 	remaining := j.order[:0]
 	for _, m := range j.order {
@@ -118,7 +120,7 @@
 	maps.DeleteFunc(j.members, func(_ string, m *member) bool { return m.lastAt < j.stageStartedAt })
 }
 
-// Observe takes a reading of every member. It is called at each interval, also before the first stage.
+// Observe processes a reading of every member. It is called at regular intervals, also before the first stage.
 func (j *Judge) Observe(now time.Duration, all []Reading) {
 	if now <= j.observedAt && j.observedAt > 0 {
 		return
@@ -128,7 +130,7 @@
 	for i := range all {
 		r := &all[i]
 		m := j.findOrAddMember(r)
-		if m == nil || m.lastAt == now && m.hasLast { // a duplicate
+		if m == nil || m.lastAt == now && m.hasLast { // a duplicate reading
 			continue
 		}
 		if r.Side != m.side {
@@ -157,7 +159,8 @@
 	j.countIntervals(now)
 }
 
-// countIntervals adds the intervals of one observation to the sides, to their members and to the unchanged members.
+// countIntervals adds the intervals of one observation to the totals of the sides, of the members and of the unchanged
+// members.
 func (j *Judge) countIntervals(now time.Duration) {
 	var fleet, unchanged batch
 	references := 0
@@ -172,7 +175,7 @@
 		for measure := range countedMeasures {
 			numerator, denominator := measureRatio(measure, &counted.statistics, j.slowBucket)
 			j.sideTotals[side].addMeasure(measure, numerator, denominator)
-			// The rate that the fleet has in common at a moment is that of unchanged members, if they are enough.
+			// The fleet's current rate is derived from the unchanged members if there are enough of them.
 			if side == sideIndexOld || references < minFleetReferences {
 				fleet.addMeasure(measure, numerator, denominator)
 			}
@@ -184,7 +187,7 @@
 	}
 	var rates [countedMeasures]float64
 	for measure := range countedMeasures {
-		rates[measure] = fleet.numerator[measure] / fleet.denominator[measure] // NaN without any, which member.add ignores
+		rates[measure] = fleet.numerator[measure] / fleet.denominator[measure] // NaN if the fleet has no counts; member.add ignores it
 	}
 	if j.stage > 0 {
 		for i := range j.intervals {
@@ -195,7 +198,8 @@
 	j.unchanged.add(now-j.lastChangeAt, j.options.Onset, &unchanged)
 }
 
-// observeMember takes one member's reading. What it counted since the last reading is added to intervals if plausible.
+// observeMember processes one member's reading. It adds the counts since the last reading to intervals if they are
+// plausible.
 func (j *Judge) observeMember(now time.Duration, m *member, r *Reading) {
 	isNew := m.side == SideNew
 	if !r.IsServing {
@@ -221,7 +225,7 @@
 		}
 		m.startWarmUp(statistics, now+j.options.WarmUp)
 	case !ok || !isPlausible(&difference, now-m.lastAt) || hasDecreased(statistics, &m.last):
-		// The counts of one process only grow: neither this reading nor the difference to the next one is plausible.
+		// The counts of one process never decrease, so this reading or the last one is implausible.
 		m.implausibleReadings++
 	case now-m.lastAt <= maxReadingGap:
 		j.countDifference(now, m, &difference)
@@ -233,7 +237,7 @@
 	m.isCrashCounted = false
 }
 
-// countDifference counts what a member counted since its last reading.
+// countDifference processes what a member counted since its last reading.
 func (j *Judge) countDifference(now time.Duration, m *member, difference *instancestats.Statistics) {
 	isNew := m.side == SideNew
 	j.crashes.addExposure(isNew, now-m.lastAt)
@@ -246,7 +250,7 @@
 	}
 }
 
-// hasDecreased tells whether any count is less than earlier.
+// hasDecreased tells whether any count is lower than in an earlier reading.
 func hasDecreased(current, earlier *instancestats.Statistics) bool {
 	for i := range current.Delays {
 		if current.Delays[i] < earlier.Delays[i] {
--- a/internal/canary/measure.go
+++ b/internal/canary/measure.go
@@ -2,7 +2,7 @@
 
 import "lockflow/internal/instancestats"
 
-// Indexes of the measures that are compared.
+// Indexes of the compared measures.
 const (
 	measureLost = iota
 	measureFailed
@@ -14,16 +14,17 @@
 	measureMemory
 	measureGrowth
 	measureCount
-	countedMeasures = measureGrowth // those with counts of their own; growth is the slope of memory
+	countedMeasures = measureGrowth // number of measures with counts of their own; growth is the slope of memory
 )
 
-// measureNames are what verdicts, the rollout log and lockflow's output call the measures.
+// measureNames are the names of the measures in verdicts, in the rollout log and in the output of commands.
 var measureNames = [measureCount]string{"lost worth", "failed", "refused", "late", "slow", "units", "cpu", "memory", "growth"}
 
 // isRelative tells whether a measure is compared as a ratio to its baseline.
 func isRelative(measure int) bool { return measure >= measureUnits }
 
-// measureRatio returns a counted measure as numerator and denominator. Delays above slowBucket are slow; -1 is unknown.
+// measureRatio returns a counted measure as numerator and denominator. A response is slow if its delay is in a bucket
+// above slowBucket; -1 means that this bucket is unknown.
 func measureRatio(measure int, statistics *instancestats.Statistics, slowBucket int) (numerator, denominator float64) {
 	switch measure {
 	case measureLost:
@@ -44,7 +45,7 @@
 	return float64(statistics.MemoryKB), 1
 }
 
-// slowRatio returns the slow responses and all.
+// slowRatio returns the number of slow responses and the number of all responses.
 func slowRatio(delays *instancestats.Delays, slowBucket int) (numerator, denominator float64) {
 	if slowBucket < 0 {
 		return 0, 0
--- a/internal/canary/member.go
+++ b/internal/canary/member.go
@@ -7,21 +7,22 @@
 	"lockflow/internal/instancestats"
 )
 
-// Bounds of what is stored of a member, and of what a plausible reading has.
+// Limits of the data stored for a member, and of plausible readings.
 const (
-	maxBatches             = 16              // of a member and stage; they grow in width, not in number
-	maxRequestsPerSecond   = 1e6             // requests a second of one instance
-	maxUnitsPerRequest     = 1e3             // units for each request, in the mean
-	maxCores               = 4096            // of an instance's machine
-	maxWeight              = 1e15            // of all requests of a process
-	maxRequests            = 1 << 50         // of a process
-	maxImplausibleReadings = 3               // of a stage, after which a member is left out of it
-	maxMembers             = 1 << 16         // further members are not observed
-	maxReadingGap          = 5 * time.Minute // longest time between two readings that are compared
+	maxBatches             = 16              // batches per member and stage; longer stages have wider batches, not more
+	maxRequestsPerSecond   = 1e6             // requests per second of one instance
+	maxUnitsPerRequest     = 1e3             // mean units per request
+	maxCores               = 4096            // cores of an instance's machine
+	maxWeight              = 1e15            // total priority weight or units of all requests of a process
+	maxRequests            = 1 << 50         // requests of a process
+	maxImplausibleReadings = 3               // implausible readings in a stage that exclude a member from it
+	maxMembers             = 1 << 16         // observed members; readings of others are ignored
+	maxReadingGap          = 5 * time.Minute // time between two readings whose difference is used
 )
 
-// batch holds a member's counts over some readings, relative to the fleet at the same time. For shares, numerator is
-// the count less expected, the count at the fleet's rate; for relative measures, denominator is the expected count.
+// batch holds a member's counts over some readings, relative to the fleet's rate at the same time. For shares, expected
+// is the count at the fleet's rate, and numerator is the actual count minus expected. For relative measures, denominator
+// is the expected count.
 type batch struct {
 	numerator   [countedMeasures]float64
 	denominator [countedMeasures]float64
@@ -29,7 +30,7 @@
 	readings    float64
 }
 
-// addMeasure adds to a measure's sums.
+// addMeasure adds a numerator and a denominator to the sums of a measure.
 func (b *batch) addMeasure(measure int, numerator, denominator float64) {
 	b.numerator[measure] += numerator
 	b.denominator[measure] += denominator
@@ -39,29 +40,29 @@
 type member struct {
 	side                Side
 	isServing           bool
-	hasLast             bool // last is of the running process and its side
+	hasLast             bool // last is a reading of the current process on the current side
 	last                instancestats.Statistics
-	lastAt              time.Duration // of last
+	lastAt              time.Duration // time of last
 	first               instancestats.Statistics
-	baseline            instancestats.Statistics // counts before the first stage
+	baseline            instancestats.Statistics // counts before the first stage; valid if hasBaseline
 	hasBaseline         bool
-	isChangedInStage    bool          // changed sides in this stage
-	isNewProcess        bool          // its process was started with the change
-	warmAt              time.Duration // from when on its counts are used
-	isCrashCounted      bool          // the crash that it recovers from is counted
+	isChangedInStage    bool          // the member has changed sides in this stage
+	isNewProcess        bool          // the member's process was started with the change
+	warmAt              time.Duration // time from which the process's counts are used
+	isCrashCounted      bool          // the crash that the member is recovering from has been counted
 	implausibleReadings int
 
-	// Absolute counts since the last change of a stage.
-	previousTotals batch // of the stage before
-	totals         batch // of this stage
+	// Absolute counts since the last change of any member within a stage.
+	previousTotals batch // counts of the previous stage
+	totals         batch // counts of this stage
 
 	batches         [maxBatches + 1]batch
 	fullBatches     int
-	batchWidth      int // readings in a full batch
-	partialReadings int // readings in the batch that is being filled
+	batchWidth      int // number of readings in a full batch
+	partialReadings int // number of readings in the batch that is being filled
 }
 
-// reset drops the batches of the stage before.
+// reset drops the data of the previous stage.
 func (m *member) reset() {
 	m.batches = [maxBatches + 1]batch{}
 	m.fullBatches = 0
@@ -71,7 +72,7 @@
 	m.isChangedInStage = false
 }
 
-// changeSide has the member start anew on another side.
+// changeSide moves the member to another side and drops its data of this stage.
 func (m *member) changeSide(r *Reading) {
 	m.isNewProcess = !r.Statistics.Began.Equal(m.last.Began)
 	m.reset()
@@ -82,11 +83,11 @@
 	m.isChangedInStage = true
 }
 
-// isExcluded tells whether the member's readings of this stage are not used, since too many were implausible.
+// isExcluded tells whether the member is excluded from this stage because too many of its readings were implausible.
 func (m *member) isExcluded() bool { return m.implausibleReadings >= maxImplausibleReadings }
 
-// setBaseline sets a member's counts before the first stage from a reading of its complete process. What was observed of
-// the member recently is preferred, if it is enough.
+// setBaseline sets a member's counts before the first stage. It uses the observed counts if they have enough requests,
+// and otherwise the statistics, which cover the lifetime of the member's process.
 func (m *member) setBaseline(statistics *instancestats.Statistics) {
 	if m.hasBaseline || !isPlausible(statistics, 0) {
 		return
@@ -98,13 +99,14 @@
 	}
 }
 
-// startWarmUp sets the first reading of a process, whose counts are used from warmAt on.
+// startWarmUp stores the first reading of a process. The counts of the process are used from warmAt on.
 func (m *member) startWarmUp(first *instancestats.Statistics, warmAt time.Duration) {
 	m.first = *first
 	m.warmAt = warmAt
 }
 
-// isPlausible tells whether a process can have counted statistics in a time; 0 is the process's lifetime.
+// isPlausible tells whether a process can have counted the statistics in the given time. A duration of 0 stands for the
+// lifetime of the process, which is unknown.
 func isPlausible(statistics *instancestats.Statistics, duration time.Duration) bool {
 	for _, v := range [...]float64{statistics.OfferedWeight, statistics.Served, statistics.Units} {
 		if math.IsNaN(v) || v < 0 || v > maxWeight {
@@ -121,7 +123,8 @@
 	return areRatesPlausible(statistics, duration) && areOutcomesPlausible(statistics)
 }
 
-// areRatesPlausible tells whether one instance can have done so much in a time; 0 is an unknown one.
+// areRatesPlausible tells whether one instance can have done so much work in the given time. A duration of 0 is unknown,
+// and any amount of work is plausible.
 func areRatesPlausible(statistics *instancestats.Statistics, duration time.Duration) bool {
 	if duration <= 0 {
 		return true
@@ -131,8 +134,8 @@
 		statistics.Units <= maxUnitsPerRequest*maxRequestsPerSecond*duration.Seconds()
 }
 
-// areOutcomesPlausible tells whether no outcome has more requests than there were. Some more are allowed, since the
-// counters of one request do not change in the same instant.
+// areOutcomesPlausible tells whether no outcome is counted for more requests than there were. It tolerates a small
+// excess, since the counters of one request are not updated at the same instant.
 func areOutcomesPlausible(statistics *instancestats.Statistics) bool {
 	limit := statistics.Requests + statistics.Requests/50 + 64
 	for _, count := range [...]uint64{statistics.Failed, statistics.Rejected, statistics.Late, statistics.ClientsGone, statistics.Delays.Total()} {
@@ -143,7 +146,7 @@
 	return statistics.OverQuota <= statistics.Rejected
 }
 
-// add adds a reading's counts to the batches. rates are the fleet's at the same time; NaN is an unknown one.
+// add adds the counts of a reading to the current batch. rates are the fleet's rates at the same time; NaN is unknown.
 func (m *member) add(statistics *instancestats.Statistics, slowBucket int, rates *[countedMeasures]float64) {
 	b := &m.batches[m.fullBatches]
 	b.readings++
@@ -165,8 +168,9 @@
 	m.advance()
 }
 
-// advance counts a reading, and merges batches in pairs once all are full. So their number is bounded, and each is as
-// long as a sixteenth to an eighth of the stage, over which the correlation from reading to reading has faded.
+// advance counts a reading, and merges the batches in pairs when all are full. So the number of batches is bounded, and
+// each covers a sixteenth to an eighth of the stage, which is long enough for the correlation between successive readings
+// to fade.
 func (m *member) advance() {
 	if m.partialReadings++; m.partialReadings < m.batchWidth {
 		return
--- a/internal/canary/rare_events.go
+++ b/internal/canary/rare_events.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Indexes of arrays that have an entry for each side. Controls count as old.
+// Indexes of arrays with an entry for each side. Controls belong to the old side.
 const (
 	sideIndexOld = iota
 	sideIndexNew
@@ -19,10 +19,10 @@
 	return sideIndexOld
 }
 
-// rareEvents counts rare events (crashes, invariant violations) of each side over the rollout.
+// rareEvents counts rare events (crashes or invariant violations) of each side over the entire rollout.
 type rareEvents struct {
 	counts   [sideCount]int
-	exposure [sideCount]time.Duration // time of members in which events would have been counted
+	exposure [sideCount]time.Duration // total observed time of the side's members, in which any event would have been counted
 }
 
 func (e *rareEvents) add(isNew bool) { e.counts[sideIndex(isNew)]++ }
@@ -31,17 +31,18 @@
 	e.exposure[sideIndex(isNew)] += duration
 }
 
-// The likelihood ratios are mixtures over rateCount rates of the new side, which are multiples of the reference rate.
+// rateCount is the number of assumed event rates of the new side over which the likelihood ratios are averaged. Each is
+// a multiple of the reference rate.
 const rateCount = 7
 
-// maxLogLikelihood keeps exponentials finite.
+// maxLogLikelihood limits exponents so that the likelihood ratios remain finite.
 const maxLogLikelihood = 600
 
-// rateMultiple returns the multiples 3 to 3,000 in geometric steps.
+// rateMultiple returns the multiple of the reference rate with index i: from 3 to 3,000 in geometric steps.
 func rateMultiple(i int) float64 { return 3 * math.Pow(10, float64(i)/2) }
 
-// relativeEvidence returns the evidence that the new side has more events than the old one: the likelihood ratio of
-// the counts against equal rates, given each side's exposure. At equal rates its mean is 1.
+// relativeEvidence returns the evidence that events are more frequent on the new side than on the old one: the
+// likelihood ratio of the counts against equal rates, given the exposure of each side. At equal rates its mean is 1.
 func (e *rareEvents) relativeEvidence() float64 {
 	newTime := max(e.exposure[sideIndexNew].Seconds(), 1)
 	oldTime := e.exposure[sideIndexOld].Seconds()
@@ -59,9 +60,10 @@
 	return total
 }
 
-// absoluteEvidence returns the evidence that the new side has more than one event in usualInterval: the likelihood
-// ratio of a Poisson process. Without harm its mean is at most 1 at any number of looks (Ville's inequality). The usual
-// rate is given, since the old side is watched for too short a time to estimate it.
+// absoluteEvidence returns the evidence that the new side has more than one event per usualInterval: the likelihood
+// ratio of a Poisson process. Without harm its mean is at most 1, and by Ville's inequality it reaches a limit L with a
+// probability of at most 1/L over any number of evaluations. The usual rate is a parameter, since the old side is
+// watched for too short a time to estimate it.
 func (e *rareEvents) absoluteEvidence(usualInterval time.Duration) float64 {
 	newCount := e.counts[sideIndexNew]
 	if newCount == 0 {
--- a/internal/canary/unchanged.go
+++ b/internal/canary/unchanged.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	maxSteps         = 16 // stages whose steps are stored
-	minWindowBatches = 4  // batches that it takes to compare the stage with the time before
+	maxSteps         = 16 // number of stages whose steps are stored
+	minWindowBatches = 4  // minimum number of batches for comparing a stage with the time before it
 )
 
-// unchangedMembers are the members that a stage does not change. Harm that the changed members do to them affects both
-// sides of the comparison, so they are compared with themselves before the stage.
+// unchangedMembers holds the sums of the members that a stage does not change. Harm that the changed members cause to
+// the entire fleet affects both sides of a comparison, so the unchanged members are also compared with themselves
+// before the stage.
 type unchangedMembers struct {
 	current     member // the sums of all unchanged members
-	early       batch  // the part within Onset of the last change
+	early       batch  // the sums within Onset after the last change
 	previous    []batch
-	steps       [countedMeasures][]estimate // of earlier stages
+	steps       [countedMeasures][]estimate // steps of earlier stages, by measure
 	hasPrevious bool                        // previous has enough batches
 }
 
-// begin starts a stage and stores the step that the stage before had.
+// begin starts a stage and stores the steps of the preceding one.
 func (u *unchangedMembers) begin(j *Judge, isFirst bool) {
 	if !isFirst {
 		for measure := range countedMeasures {
@@ -37,13 +38,14 @@
 	u.restart()
 }
 
-// restart drops the counts of the stage: another member has changed, and so has its possible effect on the others.
+// restart drops the counts of the stage. It is called when a further member changes, since that may change the effect
+// on the unchanged members.
 func (u *unchangedMembers) restart() {
 	u.current.reset()
 	u.early = batch{}
 }
 
-// add adds the sums of one observation. since is the time from the last change.
+// add adds the sums of one observation. since is the time since the last change.
 func (u *unchangedMembers) add(since, onset time.Duration, total *batch) {
 	current := &u.current.batches[u.current.fullBatches]
 	for measure := range countedMeasures {
@@ -56,16 +58,15 @@
 	u.current.advance()
 }
 
-// stepChange is the change of a measure of the unchanged members with a stage.
+// stepChange is the step of a measure: how far its value for the unchanged members changed when the stage began.
 type stepChange struct {
 	difference float64
-	variance   float64 // of difference
-	early      float64 // the difference within Onset
-	late       float64 // the difference in the later half
+	variance   float64 // variance of difference
+	early      float64 // difference within Onset after the last change
+	late       float64 // difference in the later half of the stage
 }
 
-// unchangedStep returns the change of a measure of the unchanged members since the stage began, and false if that
-// can't be estimated.
+// unchangedStep returns the step of a measure of the unchanged members, and false if it cannot be estimated.
 func (j *Judge) unchangedStep(measure int) (stepChange, bool) {
 	u := &j.unchanged
 	if !u.hasPrevious {
@@ -103,14 +104,14 @@
 	}, true
 }
 
-// unchangedHarm is a lasting step for the worse of the unchanged members. The zero value is none.
+// unchangedHarm describes a lasting deterioration of the unchanged members. The zero value means that there is none.
 type unchangedHarm struct {
 	isHarmed   bool
 	measure    int
-	isRepeated bool // an earlier stage had a smaller step too, so that the change is the likely cause
+	isRepeated bool // an earlier stage had a smaller step too, so the change is the likely cause
 }
 
-// harmToUnchanged returns the worst harm to the unchanged members.
+// harmToUnchanged returns the harm to the unchanged members in the measure that exceeds its margin the most.
 func (j *Judge) harmToUnchanged() unchangedHarm {
 	var harm unchangedHarm
 	worst := 0.0
@@ -130,8 +131,8 @@
 	return harm
 }
 
-// hadSmallerEarlierStep tells whether an earlier stage had a step that is sure and smaller, as an effect that grows with the
-// number of changed members has.
+// hadSmallerEarlierStep tells whether an earlier stage had a significant but smaller step. An effect that grows with the
+// number of changed members shows such steps.
 func (u *unchangedMembers) hadSmallerEarlierStep(measure int, difference, margin float64) bool {
 	for _, earlier := range u.steps[measure] {
 		if earlier.mean > margin/2 && earlier.mean > 4*math.Sqrt(earlier.variance) && difference > 1.5*earlier.mean {
--- a/internal/canary/verdict.go
+++ b/internal/canary/verdict.go
@@ -7,28 +7,30 @@
 	"time"
 )
 
-// passBlockingEvidence is the likelihood ratio of crashes or violations from which on a stage does not pass.
+// passBlockingEvidence is the likelihood ratio of crashes or invariant violations at or above which a stage does not
+// pass.
 const passBlockingEvidence = 150
 
 // findings are the results of all comparisons of a stage.
 type findings struct {
 	measures            []Measure
-	worse               []string // harm that is shown
+	worse               []string // descriptions of proven harm
 	inconclusive        []string // measures with too little evidence
-	exceededInLaterHalf []string // measures that exceed their margin in the later half
-	crashEvidence       float64  // likelihood ratios
+	exceededInLaterHalf []string // measures that exceed their margin in the later half of the stage
+	crashEvidence       float64  // likelihood ratios of crashes and invariant violations
 	breachEvidence      float64
-	unchangedHarm       string // harm to the unchanged members; "" is none
+	unchangedHarm       string // description of harm to the unchanged members; "" if there is none
 }
 
-// Verdict judges the stage by now. It may be called at any time; the probability of a false alarm holds over all calls.
+// Verdict returns the verdict on the stage at the time now. It may be called at any time; the bound on the probability
+// of a false alarm holds over all calls.
 func (j *Judge) Verdict(now time.Duration) Verdict {
 	found := j.compareAll()
 	kind, reason := j.decide(now, &found)
 	return Verdict{Kind: kind, Reason: reason, Measures: found.measures}
 }
 
-// compareAll compares all measures, rare events and the unchanged members.
+// compareAll compares all measures and rare events, and the unchanged members with the time before the stage.
 func (j *Judge) compareAll() findings {
 	var found findings
 	for measure := range measureCount {
@@ -64,7 +66,7 @@
 	return found
 }
 
-// decide returns the verdict on findings and its reason.
+// decide returns the kind of verdict that follows from the findings, and the reason.
 func (j *Judge) decide(now time.Duration, found *findings) (VerdictKind, string) {
 	watched := now - j.lastChangeAt
 	switch {
@@ -92,18 +94,18 @@
 	return KindPass, "no harm beyond the margins"
 }
 
-// Parts of MaxFalseAlarms that rare events may use up.
+// Shares of MaxFalseAlarms that rare events may use.
 const (
 	crashAlarmShare  = 0.15
 	breachAlarmShare = 0.05
 )
 
-// minRelativeCrashes is the likelihood ratio between the sides under which crashes are put down to the environment.
+// minRelativeCrashes is the likelihood ratio between the sides below which crashes are attributed to the environment.
 const minRelativeCrashes = 3
 
 // compareRareEvents returns the likelihood ratios of crashes and invariant violations, and descriptions of the harm that
-// they show. Crashes are compared with a usual rate, since the old side has none as a rule; a fault of the environment
-// affects both sides, and then the ratio between them is small.
+// they prove. Crashes are compared with a usual rate, since the old side usually has none. Crashes from a fault of the
+// environment affect both sides, so they are ignored if the likelihood ratio between the sides is small.
 func (j *Judge) compareRareEvents() (crashEvidence, breachEvidence float64, worse []string) {
 	crashEvidence = j.crashes.absoluteEvidence(j.options.MinCrashInterval)
 	breachEvidence = j.breaches.relativeEvidence()
@@ -122,15 +124,15 @@
 	return crashEvidence, breachEvidence, worse
 }
 
-// compareWindows compares a measure over the stage and over its later half. The stage's result takes the half's bound
-// where that one decides.
+// compareWindows compares a measure over the stage and over its later half. The result of the stage takes over a bound
+// of the later half if only that one is conclusive.
 func (j *Judge) compareWindows(measure int) (result, laterHalf Measure) {
 	result = j.compare(measure, false)
 	laterHalf = result
 	if measure != measureGrowth { // a slope needs all points of the stage
 		laterHalf = j.compare(measure, true)
 	}
-	// A fault of the environment that is over does not keep the stage from passing.
+	// A fault of the environment that has ended does not keep the stage from passing.
 	if laterHalf.IsEnough && !result.IsEnough && laterHalf.High < result.High {
 		result.IsEnough = true
 		result.High = laterHalf.High
@@ -142,12 +144,12 @@
 	return result, laterHalf
 }
 
-// hasUnchangedMember tells whether any member that has been read is not changed.
+// hasUnchangedMember tells whether any member with a reading is unchanged.
 func (j *Judge) hasUnchangedMember() bool {
 	return slices.ContainsFunc(j.order, func(m *member) bool { return m.hasLast && m.side != SideNew })
 }
 
-// undecidedKind returns KindWait until the stage has been watched for MaxBake.
+// undecidedKind returns KindWait until the stage has been watched for MaxBake, and KindNoEvidence from then on.
 func (j *Judge) undecidedKind(watched time.Duration) VerdictKind {
 	if watched >= j.options.MaxBake {
 		return KindNoEvidence
@@ -155,7 +157,7 @@
 	return KindWait
 }
 
-// isMeasured tells whether any side has counts of a measure that can be compared.
+// isMeasured tells whether the measure can be compared: a relative measure needs counts on at least one side.
 func (j *Judge) isMeasured(measure int) bool {
 	counted := min(measure, measureMemory)
 	if measure == measureGrowth && !j.canCompareGrowth() {
@@ -167,7 +169,8 @@
 	return true
 }
 
-// areChangedMembersLive tells whether nine in ten of the changed members serve and have been read lately and plausibly.
+// areChangedMembersLive tells whether at least nine in ten of the changed members serve and have recent, plausible
+// readings.
 func (j *Judge) areChangedMembersLive(now time.Duration) bool {
 	changed, live := 0, 0
 	for _, m := range j.order {
@@ -183,7 +186,7 @@
 	return changed > 0 && 10*live >= 9*changed
 }
 
-// describe returns a measure's harm in a line.
+// describe returns a one-line description of the harm that a measure shows.
 func describe(m *Measure) string {
 	return fmt.Sprintf("%s: %.3g of the new, %.3g of the old, at least %.3g more", m.Name, m.New, m.Old, m.Low)
 }
--- a/internal/rollout/bake.go
+++ b/internal/rollout/bake.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// beginBake starts the time for which a stage is watched after all of its members have changed.
+// beginBake starts the bake: the period for which a stage is watched after all its members have changed.
 func (r *Rollout) beginBake() {
 	r.isBaking = true
 	r.bakeStartedAt = r.now
@@ -12,7 +12,8 @@
 	r.reason = "is watched"
 }
 
-// evaluateStage passes or fails a stage that bakes. isHealthy tells whether all of its members run the new version now.
+// evaluateStage passes or fails a baking stage, or keeps waiting. isHealthy tells whether all its members currently
+// serve the new version.
 func (r *Rollout) evaluateStage(isHealthy bool) {
 	baked := r.now - r.bakeStartedAt
 	if r.hasJudgment && r.judgment.Verdict == VerdictWorse {
@@ -43,7 +44,7 @@
 	r.write(Entry{Kind: EntryVerdict, Phase: r.phase, Stage: r.stage + 1, Outcome: verdict.String(), Reason: reason})
 }
 
-// passStage goes on to the next stage.
+// passStage records that the stage has passed and continues with the next one.
 func (r *Rollout) passStage(reason string) {
 	r.writeVerdict(VerdictPass, reason)
 	r.stage++
--- a/internal/rollout/capacity.go
+++ b/internal/rollout/capacity.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// maxUtilization is the share of their capacity that the others may use while some members are unavailable.
+// maxUtilization is the share of their capacity that the serving members may use while others are unavailable.
 const maxUtilization = 0.9
 
-// unavailableCount counts the members, except one, that change or do not serve. During a rollback those that do not
-// serve do not count: the change may be what has broken them.
+// unavailableCount returns the number of members, except one, that are being changed or do not serve. During a rollback
+// members that do not serve are not counted, since the change itself may have broken them.
 func (r *Rollout) unavailableCount(except int) int {
 	count := 0
 	for i := range r.members {
@@ -27,9 +27,9 @@
 	return !m.isIdle() || m.mayRunDroppedCommand || now < m.slotReservedUntil
 }
 
-// unavailableLimit returns how many members may be unavailable at once: MaxUnavailable, or as many as the others have
-// capacity for where that is less, but minimum at least. As long as there is any capacity it is one: a member that
-// changes hands its work over.
+// unavailableLimit returns the number of members that may be unavailable at the same time: at most MaxUnavailable, at
+// most as many as the other members have spare capacity for, but not less than minimum. It is at least one while there
+// is any spare capacity, since a member hands its work over before it changes.
 func (r *Rollout) unavailableLimit(minimum int) int {
 	sum, known, serving := 0.0, 0, 0
 	for i := range r.members {
--- a/internal/rollout/commands.go
+++ b/internal/rollout/commands.go
@@ -6,13 +6,14 @@
 )
 
 const (
-	// retryInterval is the time until a claim or a command whose reply was lost is sent again.
+	// retryInterval is the delay before a claim or command whose reply was lost is retried.
 	retryInterval = 500 * time.Millisecond
-	// maxCommandsPerGeneration limits the commands that a member gets for one generation: it may lose what it ran.
+	// maxCommandsPerGeneration limits the commands that a member gets for one generation. More than one is needed if
+	// the member loses the version that it ran.
 	maxCommandsPerGeneration = 3
 )
 
-// sendCommand sends a member a new command.
+// sendCommand records a new command in the log and sends it to a member.
 func (r *Rollout) sendCommand(i, generation int, isRestart bool) {
 	m := &r.members[i]
 	r.commandCount++
@@ -46,7 +47,7 @@
 	}
 }
 
-// resendCommands sends the commands whose replies were lost again, under the same ids: a member runs each once.
+// resendCommands resends the commands whose replies were lost. It keeps their ids, so that a member runs each once.
 func (r *Rollout) resendCommands() {
 	for i := range r.members {
 		m := &r.members[i]
@@ -60,7 +61,7 @@
 	}
 }
 
-// hasRunningCommand reports whether a member may still run a command.
+// hasRunningCommand reports whether any member may still be running a command.
 func (r *Rollout) hasRunningCommand() bool {
 	for i := range r.members {
 		command := r.members[i].command
@@ -73,7 +74,7 @@
 
 func (r *Rollout) handleCommandReplied(event CommandReplied) {
 	if !r.isMember(event.Member) || event.Epoch != r.epoch {
-		return // of an epoch that this coordinator has left
+		return // the reply belongs to an epoch that this coordinator has left
 	}
 	m := &r.members[event.Member]
 	if m.command == nil || m.command.id != event.ID {
@@ -100,7 +101,7 @@
 	m.mayHaveDuplicates = true
 }
 
-// finishCommand ends a member's command with its outcome.
+// finishCommand records the outcome of a member's command and acts on it.
 func (r *Rollout) finishCommand(event CommandReplied) {
 	hasSucceeded := event.Reply == ReplyOK
 	outcome, reason := outcomeDone, ""
@@ -116,7 +117,7 @@
 	m.isVersionUnconfirmed = hasSucceeded
 	m.mayRunDroppedCommand = m.mayRunDroppedCommand && !hasSucceeded
 	switch {
-	case isRestart: // a failed restart is no failure of the change
+	case isRestart: // a control that fails to restart does not fail the change
 		m.isControl = m.isControl || hasSucceeded
 		m.isPlannedControl = false
 	case hasSucceeded:
@@ -127,7 +128,8 @@
 	}
 }
 
-// isLost reports whether a member that something is wanted of has been unavailable, or silent, for too long.
+// isLost reports whether a member has been unavailable, or has not granted the epoch or answered a command, for longer
+// than MemberTimeout.
 func (r *Rollout) isLost(i int) bool {
 	m := &r.members[i]
 	timeout := r.plan.MemberTimeout
--- a/internal/rollout/coordinator_model_test.go
+++ b/internal/rollout/coordinator_model_test.go
@@ -16,8 +16,8 @@
 	name              string
 	isAlive           bool
 	writes            int
-	crashAtWrite      int  // number of the write; 0 is none
-	crashAfterWrite   bool // or before it
+	crashAtWrite      int  // number of the write at which the coordinator crashes; 0 if it does not
+	crashAfterWrite   bool // the crash follows that write instead of preceding it
 	end               *End
 	endedAt           time.Duration
 	commandedVersions map[int]string // for trustSentCommands
--- a/internal/rollout/events.go
+++ b/internal/rollout/events.go
@@ -2,61 +2,61 @@
 
 import "time"
 
-// Event is an input of the state machine. The caller passes every event to Rollout.Handle.
+// Event is an input of the state machine, passed to Rollout.Handle.
 type Event interface{ isEvent() }
 
-// MemberStatus is a member's status, or the lack of a reply to a poll. The caller polls every member repeatedly.
+// MemberStatus is a member's reply to a poll, or reports that there was none. The caller polls every member repeatedly.
 type MemberStatus struct {
 	Member         int           // index in Plan.Members
-	PolledAt       time.Duration // when the poll was sent; a status from before a command's reply is outdated
+	PolledAt       time.Duration // when the poll was sent; a status polled before the last command reply is outdated
 	IsServing      bool
-	Version        string  // what it runs, compared with Member.Versions
-	Epoch          uint64  // the newest that it has granted
-	Owner          string  // of Epoch
-	RunningCommand string  // its id; "" is none
-	LossToken      string  // set where the member no longer knows what it has granted
-	Load           float64 // share of its capacity in use; below 0 is unknown
+	Version        string  // version that the member runs, compared with Member.Versions
+	Epoch          uint64  // the newest epoch that the member has granted
+	Owner          string  // owner to whom the member has granted Epoch
+	RunningCommand string  // id of the running command; "" if there is none
+	LossToken      string  // set if the member has lost its record of granted epochs
+	Load           float64 // share of the member's capacity in use; below 0 if unknown
 }
 
-// Reply is how a claim or a command ended.
+// Reply is a member's reply to a claim or a command.
 type Reply int
 
-// The replies.
+// Replies.
 const (
 	ReplyUnknown     Reply = iota // no reply: the command may have run, or run later
 	ReplyOK                       // the command has succeeded, or the epoch is granted
 	ReplyFailed                   // the command has failed
 	ReplyStale                    // the member has granted a newer epoch, or this one to another owner
-	ReplyUngranted                // the member has granted an older epoch only: it has lost its state
-	ReplyUnsupported              // the member has no claims and commands
+	ReplyUngranted                // the member has not granted this epoch, for example since it has lost its state
+	ReplyUnsupported              // the member's program is too old to handle claims and commands
 )
 
 // ClaimReplied is the reply to a Claim.
 type ClaimReplied struct {
 	Member      int
-	Epoch       uint64 // that was claimed
+	Epoch       uint64 // the claimed epoch
 	Reply       Reply
-	NewestEpoch uint64 // of ReplyStale: what the member has granted; 0 is unknown
+	NewestEpoch uint64 // for ReplyStale: the newest epoch that the member has granted; 0 if unknown
 }
 
 // CommandReplied is the reply to a Command.
 type CommandReplied struct {
 	Member int
 	ID     string
-	Epoch  uint64 // that the command was sent under
+	Epoch  uint64 // epoch under which the command was sent
 	Reply  Reply
-	Err    error // of ReplyFailed
+	Err    error // for ReplyFailed: why the command failed
 }
 
 // Verdict is the judge's decision on a stage.
 type Verdict int
 
-// The verdicts.
+// Verdicts.
 const (
-	VerdictWait       Verdict = iota // not decided yet
+	VerdictWait       Verdict = iota // there is no decision yet
 	VerdictPass                      // the changed members do not do worse
-	VerdictWorse                     // they do
-	VerdictNoEvidence                // it can't be decided
+	VerdictWorse                     // the changed members do worse
+	VerdictNoEvidence                // the evidence does not suffice for a decision
 )
 
 // String returns the verdict as the rollout log stores it.
@@ -64,7 +64,7 @@
 	return [...]string{"wait", "pass", "worse", "no evidence"}[v]
 }
 
-// StageJudged is the judge's verdict on the stage that is watched. It counts while Rollout.IsBaking.
+// StageJudged reports the judge's verdict on the current stage. It is ignored unless Rollout.IsBaking.
 type StageJudged struct {
 	Verdict Verdict
 	Reason  string
@@ -73,10 +73,10 @@
 // Tick reports that time has passed.
 type Tick struct{}
 
-// Stop stops the coordinator: running commands end, no other one is sent, and nothing is rolled back.
+// Stop stops the coordinator after its running commands have ended. It sends no new command and rolls nothing back.
 type Stop struct{ Cause string }
 
-// WriteFailed reports that a Write failed, so that no action after it was executed.
+// WriteFailed reports that a Write failed; the actions after it were not executed.
 type WriteFailed struct{ Err error }
 
 func (MemberStatus) isEvent()   {}
--- a/internal/rollout/forward.go
+++ b/internal/rollout/forward.go
@@ -7,13 +7,14 @@
 )
 
 const (
-	// maxControls limits the unchanged members that restart together with a stage's members.
+	// maxControls limits the number of unchanged members that restart as controls in a stage.
 	maxControls = 3
-	// maxListedNames is how many members a reason names; of more it names one less, and counts the rest.
+	// maxListedNames is the maximum number of members that a reason names. If there are more, the reason names one
+	// less and states the number of the others.
 	maxListedNames = 5
 )
 
-// locatePhase finds the phase by what the members run, and reports whether it is known.
+// locatePhase derives the current phase from the members' versions, and reports whether the phase is known.
 func (r *Rollout) locatePhase() bool {
 	if r.isPhaseKnown {
 		return true
@@ -37,8 +38,8 @@
 	return false
 }
 
-// areVersionsConfirmed reports whether every member serves, has granted the epoch and reports its version. It ends a rollout
-// that has waited too long for that.
+// areVersionsConfirmed reports whether every member serves, has granted the epoch and has reported its version since.
+// It ends a rollout that has waited too long for a member.
 func (r *Rollout) areVersionsConfirmed() bool {
 	for i := range r.members {
 		m := &r.members[i]
@@ -55,7 +56,7 @@
 	return true
 }
 
-// allRun reports whether every member runs one of two generations.
+// allRun reports whether every member runs either of two generations.
 func (r *Rollout) allRun(first, second int) bool {
 	for i := range r.members {
 		if !r.runsGeneration(i, first) && !r.runsGeneration(i, second) {
@@ -65,8 +66,8 @@
 	return true
 }
 
-// endOnDrift ends the change, or rolls it back, where a member runs neither the given generation nor the next. It
-// reports whether one does.
+// endOnDrift ends the change, or rolls it back, if a member runs neither the given generation nor the next one. It
+// reports whether there is such a member.
 func (r *Rollout) endOnDrift(generation int) bool {
 	for i := range r.members {
 		if !r.hasDrifted(i, generation) {
@@ -91,7 +92,7 @@
 	return !r.runsGeneration(i, generation) && !r.runsGeneration(i, generation+1)
 }
 
-// rollForward executes the steps of the phase that are possible now.
+// rollForward takes the steps of the phase that are possible now.
 func (r *Rollout) rollForward() {
 	if !r.locatePhase() || r.endOnDrift(r.phase-1) {
 		return
@@ -110,7 +111,7 @@
 	}
 	controlsPending := r.restartControls()
 	switch {
-	case r.state != stateForward: // a new epoch is claimed
+	case r.state != stateForward: // restartControls has started to claim a new epoch
 	case r.isBaking:
 		r.evaluateStage(len(pending) == 0)
 	case len(pending) == 0 && !controlsPending:
@@ -118,7 +119,8 @@
 	}
 }
 
-// pendingMembers returns the members of the stages up to this one that have to change, or to serve again.
+// pendingMembers returns the members of the stages up to the current one that do not yet serve the new version for
+// certain.
 func (r *Rollout) pendingMembers(p *phase) []int {
 	var pending []int
 	for _, stage := range p.stages[:r.stage+1] {
@@ -133,8 +135,8 @@
 	return pending
 }
 
-// failStage fails the change where a pending member is lost, or the stage takes too long to change. It reports whether
-// it did.
+// failStage fails the change if a pending member is lost or the stage takes too long to change. It reports whether the
+// change has failed.
 func (r *Rollout) failStage(p *phase, pending []int) bool {
 	for _, i := range pending {
 		if r.isLost(i) {
@@ -150,7 +152,7 @@
 	return false
 }
 
-// stepTimeout is how long a number of members may take to change, one after another.
+// stepTimeout returns how long the given number of members may take to change one after another.
 func (r *Rollout) stepTimeout(members int) time.Duration {
 	return r.plan.MemberTimeout * time.Duration(4+2*members)
 }
@@ -167,7 +169,8 @@
 	r.emit(Watch{r.phase, r.stage + 1})
 }
 
-// chooseControls chooses members of later stages that restart together with this one's, at most as many as it changes.
+// chooseControls chooses the members of later stages that restart as controls of this stage: at most as many as the
+// stage changes, and at most maxControls.
 func (r *Rollout) chooseControls(p *phase) []int {
 	for i := range r.members {
 		r.members[i].isControl = false
@@ -190,7 +193,7 @@
 	return controls
 }
 
-// memberNames returns the names of members; nil for none.
+// memberNames returns the names of members, and nil if there are none.
 func (r *Rollout) memberNames(members []int) []string {
 	var names []string
 	for _, i := range members {
@@ -199,8 +202,8 @@
 	return names
 }
 
-// changeMembers commands pending members to run a generation, as many as the limit of unavailable members lets. It
-// reports whether the step may go on: it has not failed, and claims no new epoch.
+// changeMembers commands pending members to run a generation, as far as the limit on unavailable members allows. It
+// reports whether the step may continue; it may not after a failure or when a new epoch has to be claimed.
 func (r *Rollout) changeMembers(pending []int, generation, limit int) bool {
 	if len(pending) > 0 {
 		r.reason = "changes " + joinNames(r.memberNames(pending))
@@ -219,7 +222,7 @@
 			r.fail(reason)
 			return false
 		}
-		if !m.mayRunDroppedCommand && r.unavailableCount(i) >= limit { // a suspect counts as unavailable already
+		if !m.mayRunDroppedCommand && r.unavailableCount(i) >= limit { // a member that may run a dropped command already counts as unavailable
 			return r.waitForSlot(limit)
 		}
 		if r.fence(i) {
@@ -232,7 +235,7 @@
 }
 
 // waitForSlot waits until fewer members are unavailable or, at a limit of 0, until the other members have capacity for
-// one member's work. It reports whether that has not taken too long.
+// the work of one member. It fails the change and returns false if that capacity is missing for MaxBake.
 func (r *Rollout) waitForSlot(limit int) bool {
 	if limit > 0 {
 		r.waitsForCapacity = false
@@ -258,8 +261,8 @@
 	return strings.Join(names, ", ")
 }
 
-// restartControls restarts the planned controls, and reports whether one is still to be waited for. The stage goes on
-// without a control that can't restart.
+// restartControls restarts the planned controls, and reports whether the stage has to wait for any of them. The stage
+// continues without a control that cannot restart.
 func (r *Rollout) restartControls() (isPending bool) {
 	limit := r.unavailableLimit(0)
 	for i := range r.members {
@@ -268,7 +271,7 @@
 		canRestart := m.isServing && m.hasGranted && m.command == nil
 		switch {
 		case isRestarting && r.isLost(i):
-			// It may still restart, and does nothing else: its slot stays reserved for that long.
+			// The member may still restart, so it counts as unavailable for another MemberTimeout.
 			m.command = nil
 			m.isPlannedControl = false
 			m.slotReservedUntil = r.now + r.plan.MemberTimeout
@@ -290,7 +293,7 @@
 	return isPending
 }
 
-// finishPhase begins the next phase once every member runs the end of this one.
+// finishPhase begins the next phase when every member runs the generation that this phase leads to.
 func (r *Rollout) finishPhase() {
 	for i := range r.members {
 		m := &r.members[i]
@@ -300,7 +303,7 @@
 		r.reason = fmt.Sprintf("waits for member %s", r.name(i))
 		if r.isLost(i) {
 			r.fail(fmt.Sprintf("member %s did not come back within %v", r.name(i), r.plan.MemberTimeout))
-		} else if m.isServing && m.isIdle() { // it has lost the version: it is changed and watched again
+		} else if m.isServing && m.isIdle() { // the member has lost the version: the last stage is repeated
 			r.stage = len(r.phases[r.phase-1].stages) - 1
 		}
 		return
@@ -316,7 +319,7 @@
 	r.rollForward()
 }
 
-// resetCommandCounts starts the count of commands for another generation.
+// resetCommandCounts resets the command counts of all members for another generation.
 func (r *Rollout) resetCommandCounts() {
 	for i := range r.members {
 		r.members[i].commandCount = 0
--- a/internal/rollout/layout.go
+++ b/internal/rollout/layout.go
@@ -5,13 +5,14 @@
 	"slices"
 )
 
-// phase is the way from one generation to the next.
+// phase is the transition from one generation to the next.
 type phase struct {
 	stages  [][]int // the members that each stage adds
-	members []int   // those of all stages, in order
+	members []int   // the members of all stages, in order
 }
 
-// buildPhases lays out every phase's stages. It returns an error where a stage is smaller than the one before it.
+// buildPhases assigns the members that each phase changes to its stages. It returns an error if a stage would have
+// fewer members than the one before it.
 func (p *Plan) buildPhases() ([]phase, error) {
 	phases := make([]phase, len(p.Members[0].Versions)-1)
 	for phaseIndex := range phases {
@@ -28,7 +29,8 @@
 	return phases, nil
 }
 
-// changedGroups returns the members that phase k changes, in groups that change one after another.
+// changedGroups returns the members that a phase changes, in groups that change one after another: one group for each
+// region of RegionOrder, or a single group without it.
 func (p *Plan) changedGroups(phaseIndex int) [][]int {
 	if p.RegionOrder == nil {
 		return [][]int{p.changedMembers(phaseIndex, func(Member) bool { return true })}
@@ -40,7 +42,7 @@
 	return groups
 }
 
-// changedMembers returns the matching members that phase k changes.
+// changedMembers returns the members that a phase changes and that satisfy matches.
 func (p *Plan) changedMembers(phaseIndex int, matches func(Member) bool) []int {
 	var changed []int
 	for i, m := range p.Members {
@@ -51,7 +53,8 @@
 	return changed
 }
 
-// divide divides a group of members into the plan's stages. Stages that would add no member to a small group drop out.
+// divide divides a group of members into the plan's stages. It skips stages that would add no member, as can happen in
+// a small group.
 func (p *Plan) divide(group []int) ([][]int, error) {
 	var stages [][]int
 	end := 0
@@ -68,8 +71,8 @@
 	return stages, nil
 }
 
-// interleaveLocations orders members so that any prefix of the list is spread over regions as evenly as can be, and within each
-// region over its zones. Regions and zones keep the order in which they come.
+// interleaveLocations orders members so that any prefix of the list is spread as evenly as possible over regions, and
+// within each region over its zones. Regions and zones keep the order of their first member.
 func (p *Plan) interleaveLocations(members []int) []int {
 	regions := groupBy(members, func(i int) string { return p.Members[i].Region })
 	for k, region := range regions {
@@ -79,7 +82,7 @@
 	return interleave(regions)
 }
 
-// groupBy groups members by a name, in the order in which the names come.
+// groupBy groups members by the name that nameOf returns, in the order in which the names first occur.
 func groupBy(members []int, nameOf func(int) string) [][]int {
 	var names []string
 	byName := make(map[string][]int)
@@ -97,7 +100,7 @@
 	return groups
 }
 
-// interleave merges lists so that any prefix has the same share of each, and all end together.
+// interleave merges lists so that any prefix of the result holds about the same share of each list.
 func interleave(lists [][]int) []int {
 	var merged []int
 	taken := make([]int, len(lists))
--- a/internal/rollout/ownership.go
+++ b/internal/rollout/ownership.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// An epoch is a number that only grows, and each member grants it to one owner. A coordinator owns the fleet once a
-// majority of the members has granted its epoch: an epoch has one owner at most, and what an owner commands is
-// rejected by each member that has granted a newer epoch.
+// An epoch is an increasing number that each member grants to one owner. A coordinator owns the fleet when a majority
+// of the members has granted its epoch. So an epoch has at most one owner, and a member that has granted a newer epoch
+// rejects the commands of earlier owners.
 
-// maxClaimAttempts is how many epochs a coordinator claims before it leaves the members to another one.
+// maxClaimAttempts is how many epochs a coordinator claims before it gives way to a competing coordinator.
 const maxClaimAttempts = 6
 
 func (r *Rollout) claimTimeout() time.Duration { return 2 * r.plan.MemberTimeout }
 
-// claimOwnership claims an epoch until a majority has granted it, and then starts what the epoch is for.
+// claimOwnership claims an epoch until a majority has granted it, and then starts or continues the change or rollback.
 func (r *Rollout) claimOwnership() {
 	r.reason = "polls all members for their owner"
 	for i := range r.members {
 		if !r.members[i].isPolled {
-			return // the epoch that it has granted is not known
+			return // the epoch that this member has granted is not known yet
 		}
 	}
 	if r.now >= r.claimDeadline {
@@ -38,13 +38,13 @@
 	}
 	r.claimMembers()
 	r.reason = fmt.Sprintf("claims epoch %d: %d of %d members have granted it", r.epoch, r.grantCount(), len(r.members))
-	// Every member that can reply has to, so that hardly any is left which an earlier owner could command.
+	// The coordinator waits for every outstanding reply, so that an earlier owner can command as few members as possible.
 	if !r.isAnyClaiming() && 2*r.grantCount() > len(r.members) {
 		r.takeOwnership()
 	}
 }
 
-// chooseEpoch chooses an epoch above all that were seen.
+// chooseEpoch chooses an epoch higher than all epochs that members have reported.
 func (r *Rollout) chooseEpoch() {
 	r.nextClaimAt = 0
 	r.claimAttempts++
@@ -102,8 +102,8 @@
 	return count
 }
 
-// claimMembers claims the members that have not granted the epoch, also those that were unavailable when it was
-// chosen.
+// claimMembers claims the epoch from the members that have not granted it, including those that were unavailable when
+// it was chosen.
 func (r *Rollout) claimMembers() {
 	for i := range r.members {
 		m := &r.members[i]
@@ -113,7 +113,8 @@
 		switch {
 		case !m.isServing || r.now < m.nextClaimAt:
 		case m.lossToken != "" && !r.isMajorityIntact:
-			// It may have granted a newer epoch, and too few other members would know of it.
+			// The member may have granted a newer epoch before it lost its state, and without a majority of members
+			// that know their granted epochs the coordinator would not learn of it.
 		case m.lossToken != "" && m.lossReadEpoch >= r.epoch:
 			if r.state != stateClaiming {
 				r.claimNewEpoch()
@@ -128,7 +129,7 @@
 
 func (r *Rollout) handleClaimReplied(event ClaimReplied) {
 	if !r.isMember(event.Member) || event.Epoch != r.epoch || !r.members[event.Member].isClaiming {
-		return // of an earlier attempt
+		return // the reply belongs to an earlier claim
 	}
 	m := &r.members[event.Member]
 	m.isClaiming = false
@@ -138,20 +139,20 @@
 	case ReplyOK:
 		m.hasGranted = true
 		m.lossToken = ""
-		// A command of an older epoch may be running: the version that the member reported before is not certain.
+		// A command of an older epoch may still be running, so the version reported before the grant may be outdated.
 		m.isVersionUnconfirmed = true
 		m.lastReplyAt = r.now
 	case ReplyUnsupported:
 		r.endWithoutOwnership(fmt.Sprintf("member %s knows of no ownership: its program is older than staged changes", r.name(event.Member)))
 	case ReplyStale:
 		r.handleStaleClaim(event)
-	case ReplyUngranted: // it has lost its state, and its next status has the token
-	case ReplyUnknown, ReplyFailed: // it is claimed again
+	case ReplyUngranted: // the member has lost its state; its next status has the loss token for another claim
+	case ReplyUnknown, ReplyFailed: // the claim is retried after nextClaimAt
 	}
 }
 
-// handleStaleClaim ends a coordinator that has owned the fleet. Another claims a newer epoch, after a random time, so
-// that two coordinators do not meet again.
+// handleStaleClaim ends a coordinator that has owned the fleet before. A coordinator that has not claims a newer epoch
+// after a random backoff, so that two competing coordinators do not collide repeatedly.
 func (r *Rollout) handleStaleClaim(event ClaimReplied) {
 	if r.hasOwned {
 		r.supersede(event.Member, max(event.NewestEpoch, r.epoch))
@@ -167,7 +168,7 @@
 	}
 }
 
-// endWithoutOwnership ends a coordinator that can't own the fleet, and so may command nothing.
+// endWithoutOwnership ends a coordinator that cannot own the fleet and therefore may send no commands.
 func (r *Rollout) endWithoutOwnership(reason string) {
 	if r.hasCommanded {
 		r.end(ResultStuck, reason+"; what was changed stays so")
@@ -176,8 +177,8 @@
 	r.end(ResultRefused, reason+"; nothing was changed")
 }
 
-// claimNewEpoch leaves the epoch for a newer one. Commands of this one that still run are rejected by each member
-// that has granted the new one, and sent again under it where they are still wanted.
+// claimNewEpoch abandons the current epoch and claims a newer one. A member that has granted the new epoch rejects
+// copies of commands of the old one. Unfinished commands are resent under the new epoch.
 func (r *Rollout) claimNewEpoch() {
 	r.reason = "claims a new epoch"
 	r.state = stateClaiming
@@ -198,9 +199,9 @@
 	}
 }
 
-// fence claims a new epoch before a member gets another command while a copy of its last one may still arrive: a
-// member remembers only the last command that it ran, and would run that copy after the next one. It reports whether
-// it had to.
+// fence claims a new epoch if a duplicate of a member's last command may still arrive, and reports whether it does so.
+// It is called before another command is sent: a member remembers only the last command that it ran, so it would run
+// such a duplicate after the next command.
 func (r *Rollout) fence(i int) bool {
 	if !r.members[i].mayHaveDuplicates {
 		return false
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -16,32 +16,32 @@
 
 // Member is one instance of the fleet.
 type Member struct {
-	Name   string `json:"name"` // unique in its plan
+	Name   string `json:"name"` // unique within the plan
 	Region string `json:"region,omitempty"`
 	Zone   string `json:"zone,omitempty"`
-	// Versions (key "gens") is what the member runs at each generation, in terms of MemberStatus.Version. A phase
-	// whose two versions are equal leaves the member alone.
+	// Versions (key "gens") has the version that the member runs at each generation, as MemberStatus.Version reports
+	// it. A phase between two equal versions does not change the member.
 	Versions []string `json:"gens"`
 }
 
-// Plan is how a fleet changes. A zero duration, count or list of stages stands for its default.
+// Plan describes how a fleet changes. A zero duration, count or list of stages is replaced by its default.
 type Plan struct {
-	Members []Member `json:"members"` // each with as many versions
-	// RegionOrder has, by phase, the regions that change one after another, each in stages of its own. The last
-	// element counts for all phases after it too. Nil spreads every stage over all regions.
+	Members []Member `json:"members"` // all have the same number of versions
+	// RegionOrder lists for each phase the regions, which change one after another, each in stages of its own. The
+	// last element also applies to all later phases. If RegionOrder is nil, every stage is spread over all regions.
 	RegionOrder [][]string `json:"order,omitempty"`
 	Stages      Stages     `json:"stages"`
-	// MaxUnavailable is how many members may change or be unavailable at once; its default is the square root of the
-	// number of members.
+	// MaxUnavailable is the maximum number of members that change or are unavailable at the same time. The default is
+	// the square root of the number of members.
 	MaxUnavailable int           `json:"at_once"`
-	MinBake        time.Duration `json:"bake"`      // a stage is watched for that long at least
-	MaxBake        time.Duration `json:"bake_most"` // a stage without a verdict until then fails
-	// MemberTimeout is how long a member may be unavailable or owe a reply; then it counts as failed.
+	MinBake        time.Duration `json:"bake"`      // minimum time for which a stage is watched
+	MaxBake        time.Duration `json:"bake_most"` // a stage that has no verdict after this time fails
+	// MemberTimeout is how long a member may be unavailable or leave a command unanswered before it counts as failed.
 	MemberTimeout     time.Duration `json:"away"`
-	HasControls       bool          `json:"controls"`         // unchanged members restart together with those that change
-	ReadinessSuffices bool          `json:"unjudged"`         // a stage without evidence passes if its members serve
-	IsRestart         bool          `json:"same,omitempty"`   // both ends are the same version, restarted: nothing to roll back to
-	DisableRollback   bool          `json:"noback,omitempty"` // a failed change stays as it is
+	HasControls       bool          `json:"controls"`         // some unchanged members restart together with the changed ones
+	ReadinessSuffices bool          `json:"unjudged"`         // a stage without enough evidence passes if its members serve
+	IsRestart         bool          `json:"same,omitempty"`   // members restart with the same version, so there is nothing to roll back to
+	DisableRollback   bool          `json:"noback,omitempty"` // a failed change is left as it is
 }
 
 func (p *Plan) setDefaults() {
@@ -58,13 +58,13 @@
 		p.Stages = DefaultStages()
 	}
 	if p.MaxUnavailable <= 0 {
-		// A member that has restarted does not know which servers are warming up. The rule for these gives a group of
-		// N a slack of 2 root N + 2, which root N such members at once do not exceed.
+		// A restarted member has lost its record of which servers are warming up. The limit on requests to such
+		// servers allows a group of N members an excess of 2*sqrt(N)+2, which sqrt(N) restarted members do not exceed.
 		p.MaxUnavailable = max(1, int(math.Sqrt(float64(len(p.Members)))))
 	}
 }
 
-// Validate returns an error for a plan that can't be run.
+// Validate returns an error if the plan cannot be executed.
 func (p *Plan) Validate() error {
 	if err := p.validateMembers(); err != nil {
 		return err
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// validateRegions checks that one phase's order of regions names each region of the members once.
+// validateRegions checks that the order of regions of one phase lists every region of the members exactly once.
 func (p *Plan) validateRegions(regions []string) error {
 	isNamed := make(map[string]bool, len(regions))
 	for _, region := range regions {
--- a/internal/rollout/resume.go
+++ b/internal/rollout/resume.go
@@ -6,12 +6,12 @@
 	"math/rand/v2"
 )
 
-// rollbackByOperator is the cause of a rollback that the operator requested.
+// rollbackByOperator is the cause of a rollback that an operator has requested.
 const rollbackByOperator = "rollback requested by the operator"
 
-// Resume returns a coordinator that goes on with a change from the entries of its rollout log. What the members run
-// is not taken from the log: their statuses report it. rollBack rolls the change back from wherever it is. It returns
-// an error where the change is over, or the entries do not fit the plan.
+// Resume returns a coordinator that continues a change from the entries of its rollout log. The members' versions are
+// not taken from the log but from their statuses. If rollBack is set, the change is rolled back from its current
+// position. Resume returns an error if the change is over or the entries do not match the plan.
 func Resume(plan Plan, owner string, rng *rand.Rand, entries []Entry, rollBack bool) (*Rollout, error) {
 	r, err := New(plan, owner, rng)
 	if err != nil {
@@ -41,8 +41,8 @@
 	return r, nil
 }
 
-// restoreCommands prepares the commands that have not ended: one that is still wanted is sent again under its id, and
-// the others are dropped.
+// restoreCommands prepares the commands that have not ended: a command that still leads to the target generation will
+// be resent under its id, and the others are dropped.
 func (r *Rollout) restoreCommands() {
 	targetGeneration := r.phase
 	if r.isRollbackWanted {
@@ -60,7 +60,7 @@
 	}
 }
 
-// replay takes in one entry of the log. index is the members' by name.
+// replay applies one entry of the log to the state. index maps member names to indexes.
 func (r *Rollout) replay(entry *Entry, index map[string]int) error {
 	switch entry.Kind {
 	case EntryEpoch:
@@ -88,7 +88,7 @@
 	case EntryEnd:
 		r.result = Result(entry.Outcome)
 		r.reason = entry.Reason
-	case EntryOwned, EntryBake, EntryVerdict: // nothing follows from them
+	case EntryOwned, EntryBake, EntryVerdict: // these do not affect the state of a resumed coordinator
 	default:
 		return errors.New("its kind is unknown")
 	}
@@ -119,7 +119,7 @@
 			m.command = nil
 			m.mayRunDroppedCommand = m.mayRunDroppedCommand && entry.Outcome != outcomeDone
 		}
-	default: // an abandoned member is tried again
+	default: // EntryAbandoned: the resumed coordinator retries an abandoned member
 	}
 	return nil
 }
--- a/internal/rollout/rollback.go
+++ b/internal/rollout/rollback.go
@@ -2,10 +2,11 @@
 
 import "fmt"
 
-// A rollback goes generation by generation, the members that changed last first, and makes as few members unavailable
-// at once as the change did. It is not judged: what it leads to has served before.
+// A rollback proceeds generation by generation and changes the members back in reverse order, under the same limit on
+// unavailable members as the change. The judge does not watch it, since the versions that it restores have served before.
 
-// fail rolls the change back, for the first cause.
+// fail rolls the change back, or ends it if nothing was changed or rollbacks are disabled. Later calls are ignored, so
+// the first cause is kept.
 func (r *Rollout) fail(cause string) {
 	if r.state != stateForward {
 		return
@@ -22,8 +23,8 @@
 	}
 }
 
-// startRollback starts the rollback under a new epoch: a command that still runs, or waits at a paused member, must
-// not be done after it.
+// startRollback starts the rollback under a new epoch, so that a command of the old epoch that still waits at a paused
+// member is not run after the rollback's commands.
 func (r *Rollout) startRollback() {
 	for i := range r.members {
 		r.members[i].dropCommand()
@@ -36,7 +37,7 @@
 	r.claimNewEpoch()
 }
 
-// rollBack executes the steps of the rollback to one generation that are possible now.
+// rollBack takes the steps of the rollback to rollbackGeneration that are possible now.
 func (r *Rollout) rollBack() {
 	if !r.isRollbackPhaseStarted {
 		r.isRollbackPhaseStarted = true
@@ -54,7 +55,7 @@
 	r.finishRollbackPhase()
 }
 
-// pendingRollback returns the members that have to be changed back, and abandons those that can't be.
+// pendingRollback returns the members that still have to be changed back, and abandons those that cannot be.
 func (r *Rollout) pendingRollback() []int {
 	changed := r.phases[r.rollbackGeneration].members
 	isLate := r.now-r.stepStartedAt > r.stepTimeout(len(changed))
@@ -76,7 +77,7 @@
 	return pending
 }
 
-// isRolledBack reports whether a member needs no more change: it was abandoned, or runs the generation for certain.
+// isRolledBack reports whether a member needs no further change: it was abandoned, or certainly runs the generation.
 func (r *Rollout) isRolledBack(i int) bool {
 	m := &r.members[i]
 	if m.isAbandoned {
@@ -86,8 +87,8 @@
 	return isVersionCertain && r.runsGeneration(i, r.rollbackGeneration)
 }
 
-// finishRollbackPhase goes on to the generation before. With an abandoned member it ends instead: two neighbouring
-// generations at most are in force.
+// finishRollbackPhase continues with the preceding generation. If a member was abandoned, it ends the rollback instead,
+// since at most two adjacent generations may be in force.
 func (r *Rollout) finishRollbackPhase() {
 	var abandoned []int
 	for i := range r.members {
@@ -108,7 +109,7 @@
 	}
 }
 
-// abandon gives up rolling a member back: the operator has to look after it. While it serves it goes on serving.
+// abandon excludes a member from the rollback. The operator has to repair it; if it serves, it continues to serve.
 func (r *Rollout) abandon(i int, reason string) {
 	m := &r.members[i]
 	m.isAbandoned = true
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -6,64 +6,64 @@
 	"time"
 )
 
-// state is what a coordinator does.
+// state is the current activity of a coordinator.
 type state int
 
 const (
-	stateClaiming state = iota // claims an epoch
-	stateForward               // changes members, stage by stage
-	stateRollback              // changes them back, generation by generation
+	stateClaiming state = iota // the coordinator claims an epoch
+	stateForward               // it changes members, stage by stage
+	stateRollback              // it changes members back, generation by generation
 	stateEnded
 )
 
-// Rollout is one coordinator of one change. It is not safe for concurrent use.
+// Rollout is one coordinator of one change to a fleet. It is not safe for concurrent use.
 type Rollout struct {
 	plan    Plan
 	phases  []phase
 	rng     *rand.Rand
-	members []member // by index in Plan.Members
+	members []member // parallel to Plan.Members
 
-	now       time.Duration // of the event that is handled
-	actions   []Action      // that the event leads to so far
-	isStarted bool          // an event was handled
+	now       time.Duration // time of the event being handled
+	actions   []Action      // actions that the event has led to so far
+	isStarted bool          // the first event has been handled
 	state     state
-	stopCause string // of a Stop; "" is none
-	reason    string // what it waits for, or why it ended
-	result    Result // of the end
-
-	owner               string // this coordinator's name
-	epoch               uint64 // that it claims or owns; 0 before the first claim
-	newestEpoch         uint64 // seen anywhere
-	hasOwned            bool   // it has owned an epoch
+	stopCause string // cause of the first Stop event; "" if there was none
+	reason    string // what the coordinator waits for, or why it ended
+	result    Result // how the coordinator ended
+
+	owner               string // name of this coordinator
+	epoch               uint64 // the epoch that the coordinator claims or owns; 0 before its first claim
+	newestEpoch         uint64 // the newest epoch that any member has reported
+	hasOwned            bool   // the coordinator has owned the fleet at least once
 	claimDeadline       time.Duration
 	claimAttempts       int
-	nextClaimAt         time.Duration // next attempt; 0 where one is running
-	isMajorityIntact    bool          // a majority knew what they had granted when the epoch was chosen
-	isRollbackWanted    bool          // roll back once the epoch is owned
-	isRollbackUnwritten bool          // isRollbackWanted is not in the log yet
-
-	hasCommanded  bool          // a command was sent, by this coordinator or one before it
-	commandCount  int           // numbers the commands of this coordinator
-	isPhaseKnown  bool          // phase was found by what the members run
-	phase         int           // from 1: from generation 0 to 1
-	stage         int           // index in the phase
-	stepStartedAt time.Duration // of the stage, the phase of a rollback, or the ownership
-
-	isWatching       bool // the stage has begun
-	isBaking         bool // all of its members have changed
+	nextClaimAt         time.Duration // time of the next claim attempt; 0 while an attempt is running
+	isMajorityIntact    bool          // a majority still had its record of granted epochs when the epoch was chosen
+	isRollbackWanted    bool          // the change is rolled back when the epoch is owned
+	isRollbackUnwritten bool          // the rollback is not in the rollout log yet
+
+	hasCommanded  bool          // this coordinator or an earlier one has sent a command
+	commandCount  int           // number of commands that this coordinator has sent; part of their ids
+	isPhaseKnown  bool          // phase was taken from the log or derived from the members' versions
+	phase         int           // number of the phase from 1; phase 1 leads from generation 0 to 1
+	stage         int           // index of the stage in its phase
+	stepStartedAt time.Duration // start of the stage, of the rollback phase or of the ownership
+
+	isWatching       bool // the stage has begun, so the judge compares its members
+	isBaking         bool // all members of the stage have changed
 	bakeStartedAt    time.Duration
-	judgment         StageJudged // while hasJudgment
-	hasJudgment      bool        // since bakeStartedAt
+	judgment         StageJudged // last verdict on the stage; valid if hasJudgment
+	hasJudgment      bool        // the judge has returned a verdict since bakeStartedAt
 	waitsForCapacity bool
-	noCapacitySince  time.Duration // while waitsForCapacity
+	noCapacitySince  time.Duration // valid if waitsForCapacity
 
 	rollbackCause          string
-	rollbackGeneration     int // that members are changed back to
+	rollbackGeneration     int // generation that members are changed back to
 	isRollbackPhaseStarted bool
 }
 
-// New returns a coordinator that has not started. owner is its name, which no other coordinator may have. The error
-// is that of Plan.Validate.
+// New returns a coordinator that has not started. owner is its name, which must be unique among coordinators. New
+// returns the error of Plan.Validate if the plan is invalid.
 func New(plan Plan, owner string, rng *rand.Rand) (*Rollout, error) {
 	if err := plan.Validate(); err != nil {
 		return nil, err
@@ -80,8 +80,8 @@
 	return r, nil
 }
 
-// Handle handles an event at the time now, which never decreases, and returns the actions to be done, in order. The
-// last one ever is an End.
+// Handle processes an event at the time now, which must not decrease between calls, and returns the actions to be
+// executed, in order. The last action of a coordinator is an End; later calls return none.
 func (r *Rollout) Handle(now time.Duration, event Event) []Action {
 	if r.state == stateEnded {
 		return nil
@@ -114,7 +114,7 @@
 	return r.actions
 }
 
-// start starts the timeouts with the first event.
+// start starts the timeouts when the first event arrives.
 func (r *Rollout) start() {
 	if r.isStarted {
 		return
@@ -139,7 +139,7 @@
 	m.isPolled = true
 	r.updateAvailability(m, &status)
 	if status.Epoch == 0 && !status.IsServing && status.LossToken == "" {
-		return // no answer
+		return // the poll got no reply
 	}
 	if status.LossToken != m.lossToken {
 		m.lossToken = status.LossToken
@@ -152,7 +152,7 @@
 	}
 	if m.hasGranted && (status.Epoch < r.epoch || status.LossToken != "") {
 		m.hasGranted = false
-		m.servingSince = r.now // it has lost its state
+		m.servingSince = r.now // the member has lost its state: its time to grant the epoch starts anew
 	}
 }
 
@@ -170,11 +170,11 @@
 	m.isServing = true
 	m.version = status.Version
 	m.load = status.Load
-	// The version is not certain while a command runs, which may be another coordinator's.
+	// A running command, possibly of another coordinator, may change the version at any moment.
 	m.isVersionUnconfirmed = status.RunningCommand != "" && m.command == nil
 }
 
-// hasGrantedAnother reports whether a member has granted a newer epoch, or this one to another coordinator.
+// hasGrantedAnother reports whether a member has granted a newer epoch, or this coordinator's epoch to another one.
 func (r *Rollout) hasGrantedAnother(status *MemberStatus) bool {
 	if status.Epoch != r.epoch {
 		return status.Epoch > r.epoch
@@ -182,7 +182,7 @@
 	return r.epoch > 0 && status.Owner != "" && status.Owner != r.owner
 }
 
-// advance executes the steps that are possible now.
+// advance takes the steps that are possible in the current state.
 func (r *Rollout) advance() {
 	if r.state == stateEnded {
 		return
@@ -220,7 +220,7 @@
 	r.reason = reason
 }
 
-// supersede ends the coordinator at once: one of a newer epoch decides.
+// supersede ends the coordinator immediately, because another coordinator now owns the fleet.
 func (r *Rollout) supersede(i int, epoch uint64) {
 	r.end(ResultSuperseded, fmt.Sprintf("member %s has granted epoch %d to another coordinator: this one, of epoch %d, changes nothing more",
 		r.name(i), epoch, r.epoch))
@@ -228,7 +228,8 @@
 
 func (r *Rollout) name(i int) string { return r.plan.Members[i].Name }
 
-// runsGeneration reports whether a member runs a generation, by its status.
+// runsGeneration reports whether a member runs a generation, according to its last status. The rollback of a pure
+// restart has no version to return to, so every member counts as running the generation.
 func (r *Rollout) runsGeneration(i, generation int) bool {
 	if r.plan.IsRestart && r.isRollbackWanted {
 		return true
--- a/internal/rollout/stage.go
+++ b/internal/rollout/stage.go
@@ -8,29 +8,29 @@
 	"strings"
 )
 
-// Stage is how much of a fleet, or of a region, has changed at the end of a stage: a number of members or a share.
+// Stage is the part of a fleet, or of a region, that has changed at the end of a stage: a number of members or a share.
 type Stage struct {
-	Count int     `json:"count,omitempty"` // where Share is 0
-	Share float64 `json:"share,omitempty"` // above 0 and up to 1
+	Count int     `json:"count,omitempty"` // number of members; used if Share is 0
+	Share float64 `json:"share,omitempty"` // share of the members, above 0 and up to 1
 }
 
-// Stages are the stages of a phase in their order; the last has a share of 1.
+// Stages are the stages of a phase, in order. The last one has a share of 1.
 type Stages []Stage
 
-// What a stage's text can be wrong in; the words follow "stage N".
+// Errors in the text of a stage. Each completes a sentence that begins with "stage N".
 var (
 	errShare     = errors.New("is no share above 0% and up to 100%")
 	errCount     = errors.New("is neither a number of members nor a share such as 10%")
 	errAfterLast = errors.New("comes after 100%")
 )
 
-// shareTolerance keeps the rounding of a share's product from adding a member.
+// shareTolerance keeps a rounding error of share times members from adding a member.
 const shareTolerance = 1e-9
 
-// DefaultStages returns the stages one member, a tenth, half, and all.
+// DefaultStages returns the default stages: one member, a tenth, half, and all of them.
 func DefaultStages() Stages { return Stages{{Count: 1}, {Share: 0.1}, {Share: 0.5}, {Share: 1}} }
 
-// String returns the stage as ParseStages reads it.
+// String returns the stage in the format that ParseStages accepts.
 func (s Stage) String() string {
 	if s.Share == 0 {
 		return strconv.Itoa(s.Count)
@@ -38,7 +38,7 @@
 	return strconv.FormatFloat(100*s.Share, 'f', -1, 64) + "%"
 }
 
-// size returns how many of a number of members have changed at the end of the stage.
+// size returns how many of the given number of members have changed at the end of the stage.
 func (s Stage) size(members int) int {
 	if s.Share == 0 {
 		return min(s.Count, members)
@@ -69,7 +69,7 @@
 func parseStage(word string) (Stage, error) {
 	if share, ok := strings.CutSuffix(word, "%"); ok {
 		percent, err := strconv.ParseFloat(strings.TrimSpace(share), 64)
-		if err != nil || !(percent > 0) || percent > 100 { // also not a number
+		if err != nil || !(percent > 0) || percent > 100 { // the negation also rejects NaN
 			return Stage{}, errShare
 		}
 		return Stage{Share: percent / 100}, nil
@@ -81,7 +81,8 @@
 	return Stage{Count: count}, nil
 }
 
-// checkAfter checks that a stage is larger than the previous one, as far as that is known before the fleet is.
+// checkAfter checks that a stage is larger than the previous one. A count and a share can be compared only when the
+// size of the fleet is known; Plan.Validate does so.
 func (s Stage) checkAfter(previous Stage) error {
 	isShare, wasShare := s.Share > 0, previous.Share > 0
 	if isShare && wasShare && s.Share <= previous.Share || !isShare && !wasShare && s.Count <= previous.Count {
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -1,15 +1,15 @@
 package rollout
 
-// Phase returns the current phase, from 1, and how many there are.
+// Phase returns the number of the current phase, from 1, and the number of phases.
 func (r *Rollout) Phase() (current, total int) { return r.phase, len(r.phases) }
 
-// Stage returns the current stage of the phase, from 1, and how many the phase has.
+// Stage returns the number of the current stage in its phase, from 1, and the number of stages of the phase.
 func (r *Rollout) Stage() (current, total int) {
 	total = len(r.phases[r.phase-1].stages)
 	return min(r.stage+1, total), total
 }
 
-// StageSizes returns the numbers of members that the stages change, by phase.
+// StageSizes returns for each phase the number of members that each stage changes.
 func (r *Rollout) StageSizes() [][]int {
 	sizes := make([][]int, len(r.phases))
 	for i, p := range r.phases {
@@ -20,7 +20,7 @@
 	return sizes
 }
 
-// Side returns on which side of the judge's comparison a member is: changed, restarted as a control, or neither.
+// Side returns the side of the judge's comparison that a member is on: changed, restarted as a control, or neither.
 func (r *Rollout) Side(i int) (isChanged, isControl bool) {
 	if r.state != stateForward {
 		return false, false
@@ -30,16 +30,16 @@
 	return isChanged, !isChanged && r.members[i].isControl
 }
 
-// IsWatching reports whether a stage has begun that the judge compares.
+// IsWatching reports whether a stage has begun, so that the judge compares its members.
 func (r *Rollout) IsWatching() bool { return r.state == stateForward && r.isWatching }
 
-// IsBaking reports whether all of the stage have changed, so that the judge's verdict counts.
+// IsBaking reports whether all members of the stage have changed, so that the judge's verdict counts.
 func (r *Rollout) IsBaking() bool { return r.state == stateForward && r.isBaking }
 
 // Reason returns what the coordinator waits for, or why it ended.
 func (r *Rollout) Reason() string { return r.reason }
 
-// State returns the name of what the coordinator does, or its result.
+// State returns the name of the coordinator's current activity, or its result after the end.
 func (r *Rollout) State() string {
 	switch {
 	case r.state == stateClaiming:
@@ -54,23 +54,22 @@
 	return "changing"
 }
 
-// Epoch returns the epoch that the coordinator claims or owns; 0 before its first claim.
+// Epoch returns the epoch that the coordinator claims or owns, and 0 before its first claim.
 func (r *Rollout) Epoch() uint64 { return r.epoch }
 
-// RollbackCause returns why the change is rolled back; "" where it is not.
+// RollbackCause returns why the change is rolled back, and "" if it is not.
 func (r *Rollout) RollbackCause() string { return r.rollbackCause }
 
-// HasCommanded reports whether a member was sent a command, by this coordinator or one before it.
+// HasCommanded reports whether this coordinator or an earlier one has sent a command to any member.
 func (r *Rollout) HasCommanded() bool { return r.hasCommanded }
 
 // Plan returns the plan with its defaults filled in.
 func (r *Rollout) Plan() Plan { return r.plan }
 
-// Version returns the version that a member reported last; "" is none yet.
+// Version returns the version that a member reported last, and "" before its first report.
 func (r *Rollout) Version(i int) string { return r.members[i].version }
 
-// MemberState returns the name of a member's state. wasCommanded tells whether the member was ever sent a command to
-// change.
+// MemberState returns the name of a member's state. wasCommanded tells whether the member was ever commanded to change.
 func (r *Rollout) MemberState(i int, wasCommanded bool) string {
 	m, versions := &r.members[i], r.plan.Members[i].Versions
 	switch {
--- a/internal/rolloutlog/database.go
+++ b/internal/rolloutlog/database.go
@@ -13,11 +13,11 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// The database has a bucket for each rollout under its id, and in each bucket the sealed records under their
-// numbers, from 1, and the sealed note under noteKey. Ids and numbers are keys of eight bytes, big endian.
+// The database has a bucket for each rollout, keyed by the rollout's id. A bucket holds the sealed records, keyed by
+// their numbers from 1, and the sealed note under noteKey. Ids and numbers are encoded as eight bytes, big endian.
 
-// openTimeout is how long to wait for another process that has the database open: readers and the writer open it
-// for one transaction each.
+// openTimeout is the maximum time to wait for another process that has the database open. Readers and the writer open
+// it only for the duration of one transaction.
 const openTimeout = 2 * time.Second
 
 // keyBytes is the length of an encoded id or number.
@@ -25,7 +25,7 @@
 
 var noteKey = []byte("note")
 
-// errDamaged means that the database is not what a Log has written.
+// errDamaged means that the content of the database is not what a Log has written.
 var errDamaged = errors.New("it is damaged")
 
 func encodeKey(number uint64) []byte { return binary.BigEndian.AppendUint64(nil, number) }
@@ -34,12 +34,13 @@
 	return &bbolt.Options{
 		Timeout:        openTimeout,
 		ReadOnly:       readOnly,
-		NoFreelistSync: true, // a free list that is not stored can't be damaged
+		NoFreelistSync: true, // a free list that is not stored cannot be damaged
 		FreelistType:   bbolt.FreelistMapType,
 	}
 }
 
-// update runs one transaction. The database is open for that time only, so that others may read in between.
+// update runs one read-write transaction. The database is open only meanwhile, so that other processes can read it
+// between transactions.
 func (l *Log) update(transaction func(*bbolt.Tx) error) error {
 	path := filepath.Join(l.directory, fileName)
 	err := catchDamage(func() error {
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// readNewest reads the newest rollout of a database. The error wraps errDamaged, or is one of opening the file.
+// readNewest reads the newest rollout of a database. The error wraps errDamaged, or comes from opening the file.
 func readNewest(path string) (rollout, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -73,7 +74,7 @@
 			}
 			return fmt.Errorf("%w: %w", errDamaged, err)
 		}
-		defer database.Close() //nolint:errcheck // only read
+		defer database.Close() //nolint:errcheck // the database is only read
 		return database.View(newest.load)
 	})
 	if err != nil {
@@ -82,7 +83,7 @@
 	return newest, nil
 }
 
-// catchDamage runs work on a database and returns as errors the panics and page faults that a damaged file causes.
+// catchDamage runs work on a database and converts the panics and page faults that a damaged file causes into errors.
 func catchDamage(work func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -93,7 +94,7 @@
 	return work()
 }
 
-// load reads the rollout with the highest id; there is none in a database that was created and not written yet.
+// load reads the rollout with the highest id. A database that was created but not written to yet has none.
 func (r *rollout) load(tx *bbolt.Tx) error {
 	key, _ := tx.Cursor().Last()
 	if key == nil {
@@ -107,7 +108,8 @@
 	return bucket.ForEach(r.loadEntry)
 }
 
-// loadEntry reads one entry of the rollout's bucket. Entries come by key: the records in order, then the note.
+// loadEntry reads one entry of the rollout's bucket. Entries are read in the order of their keys: first the records by
+// number, then the note.
 func (r *rollout) loadEntry(key, sealed []byte) error {
 	if string(key) == string(noteKey) {
 		note, err := unseal(checksum{}, 0, sealed)
@@ -137,7 +139,7 @@
 	return bucket, nil
 }
 
-// append adds a record to the rollout's bucket and counts it. The caller adds it to records once it is committed.
+// append adds a record to the rollout's bucket and counts it. The caller adds it to records after the commit.
 func (r *rollout) append(bucket *bbolt.Bucket, record []byte) error {
 	number := r.count + 1
 	if len(record) > maxRecordBytes || r.count >= maxRecords {
--- a/internal/rolloutlog/log.go
+++ b/internal/rolloutlog/log.go
@@ -1,10 +1,11 @@
-// Package rolloutlog is the write-ahead log of a rollout's coordinator: each decision is on the disk before it is
-// acted on. Package fleet writes it and reads it; measurements and tests read it while a coordinator runs.
+// Package rolloutlog is the write-ahead log of a rollout's coordinator: each decision is on the disk before the
+// coordinator acts on it. Package fleet writes and reads the log; measurements and tests read it while a coordinator
+// runs.
 //
-// A log is a directory with a database (bbolt) and a lock file. One process may write it at a time; others may read,
-// also meanwhile. A log holds the last rollouts, each with its records, in the order in which they were written, and
-// a note that is replaced. Each record carries a checksum over itself and the record before it: a damaged or torn
-// file is detected, quarantined, and never taken for valid.
+// A log is a directory with a database (bbolt) and a lock file. One process at a time may write it, and others may
+// read it concurrently. A log holds the newest rollouts, each with its records in the order in which they were written
+// and a replaceable note. Each record has a checksum over itself and the checksum of the previous record, so that a
+// damaged or torn file is detected, quarantined and never accepted as valid.
 package rolloutlog
 
 import (
@@ -25,44 +26,44 @@
 )
 
 const (
-	// maxRollouts is how many rollouts a log holds: the newest ones.
+	// maxRollouts is how many rollouts a log holds; older ones are deleted.
 	maxRollouts = 8
 	// maxRecordBytes and maxRecords limit what one rollout may write.
 	maxRecordBytes = 64 << 20
 	maxRecords     = 1 << 20
-	// maxQuarantined is how many damaged files remain for the operator; the last of them is replaced.
+	// maxQuarantined is how many damaged files are kept for the operator. A further one replaces the last of them.
 	maxQuarantined = 4
 )
 
-// ErrLocked means that another process writes the log.
+// ErrLocked means that another process has the log open for writing.
 var ErrLocked = errors.New("another coordinator has it open")
 
 var errNoRollout = errors.New("rollout log: no rollout has begun")
 
 // Log is a log that is open for writing. It is not safe for concurrent use.
 type Log struct {
-	// QuarantinedPath is where Open moved a damaged file to; "" is none.
+	// QuarantinedPath is the path to which Open has moved a damaged file; "" if there was none.
 	QuarantinedPath string
-	// DamageError is what was wrong with that file.
+	// DamageError describes the damage of the quarantined file.
 	DamageError error
 
 	directory string
 	lockFile  *os.File // locked while the log is open
-	newest    rollout  // as it is on the disk
+	newest    rollout  // the newest rollout, as stored on the disk
 }
 
-// rollout is what a log holds of one rollout.
+// rollout is the stored data of one rollout.
 type rollout struct {
-	id           uint64 // names its bucket; 0 is none
-	count        uint64 // of records
+	id           uint64 // key of its bucket; 0 if there is no rollout
+	count        uint64 // number of records
 	lastChecksum checksum
 	records      [][]byte
 	note         []byte
 }
 
-// Open opens the log in a directory for writing, and creates both where there are none. A damaged file is moved out
-// of the way and reported in the log's fields; the log is then empty. The error wraps ErrLocked where another
-// process has the log open.
+// Open opens the log in a directory for writing, and creates both if necessary. A damaged file is quarantined and
+// reported in the log's fields; the log is then empty. The error wraps ErrLocked if another process has the log open
+// for writing.
 func Open(directory string) (*Log, error) {
 	lockFile, err := lock(directory)
 	if err != nil {
@@ -76,7 +77,7 @@
 	return l, nil
 }
 
-// lock creates the directory where there is none, and locks the log in it.
+// lock creates the directory if necessary, and locks the log in it.
 func lock(directory string) (*os.File, error) {
 	if err := os.MkdirAll(directory, 0o700); err != nil {
 		return nil, fmt.Errorf("rollout log: %w", err)
@@ -127,20 +128,20 @@
 	}
 }
 
-// Close closes the log, and lets another process open it.
+// Close closes the log and releases its lock.
 func (l *Log) Close() {
 	_ = l.lockFile.Close() // nothing is written to it
 }
 
-// Records returns the records of the newest rollout in the order in which they were written; none where there has
-// been no rollout.
+// Records returns the records of the newest rollout in the order in which they were written. It returns none if the
+// log holds no rollout.
 func (l *Log) Records() [][]byte { return l.newest.records }
 
-// Note returns the note that the newest rollout had when the log was opened.
+// Note returns the note of the newest rollout as of when the log was opened.
 func (l *Log) Note() []byte { return l.newest.note }
 
-// Read reads the records and the note of a log's newest rollout without its lock, also while another process writes.
-// It returns neither where there has been no rollout.
+// Read reads the records and the note of a log's newest rollout. It takes no lock, so another process may be writing
+// meanwhile. It returns neither if the log holds no rollout.
 func Read(directory string) (records [][]byte, note []byte, err error) {
 	newest, err := readNewest(filepath.Join(directory, fileName))
 	if errors.Is(err, os.ErrNotExist) {
@@ -149,7 +150,7 @@
 	return newest.records, newest.note, err
 }
 
-// Begin begins a rollout with its first record, and forgets the oldest rollout of more than maxRollouts.
+// Begin begins a rollout with its first record. It deletes the oldest rollout if there are more than maxRollouts.
 func (l *Log) Begin(first []byte) error {
 	next := rollout{id: l.newest.id + 1}
 	err := l.update(func(tx *bbolt.Tx) error {
@@ -170,7 +171,7 @@
 	return nil
 }
 
-// deleteOldest deletes the rollout that is one too many after the newest.
+// deleteOldest deletes the rollout that exceeds maxRollouts when the rollout with the id newest has been added.
 func deleteOldest(tx *bbolt.Tx, newest uint64) error {
 	if newest <= maxRollouts {
 		return nil
@@ -182,7 +183,7 @@
 	return err
 }
 
-// Append appends a record to the newest rollout. It is on the disk when Append returns.
+// Append appends a record to the newest rollout. The record is on the disk when Append returns without an error.
 func (l *Log) Append(record []byte) error {
 	if l.newest.id == 0 {
 		return errNoRollout
@@ -203,7 +204,7 @@
 	return nil
 }
 
-// SetNote replaces the note of the newest rollout: its progress, for whoever reads the log meanwhile.
+// SetNote replaces the note of the newest rollout. The note holds the progress for concurrent readers of the log.
 func (l *Log) SetNote(note []byte) error {
 	if l.newest.id == 0 {
 		return errNoRollout
--- a/internal/rolloutlog/log_test.go
+++ b/internal/rolloutlog/log_test.go
@@ -18,7 +18,7 @@
 	return all
 }
 
-// openAndWrite opens a log and writes a rollout of the given records.
+// openAndWrite opens a log and writes a rollout with the given records.
 func openAndWrite(t *testing.T, dir string, records ...string) *Log {
 	t.Helper()
 	l, err := Open(dir)
@@ -72,8 +72,8 @@
 	l.Close()
 }
 
-// Whatever is cut from the file or overwritten in it: what is read is what was written, or the damage is detected and
-// the file quarantined.
+// If the file is truncated or overwritten at random places, the log either returns the records that were written, or
+// detects the damage and quarantines the file.
 func TestDamagedFileIsDetectedAndQuarantined(t *testing.T) {
 	dir := t.TempDir()
 	var want []string
@@ -113,7 +113,7 @@
 			if err := l.Begin([]byte("anew")); err != nil {
 				t.Error(err)
 			}
-		case !slices.Equal(got, want) && !slices.Equal(got, want[:len(want)-1]): // the older of the two meta pages
+		case !slices.Equal(got, want) && !slices.Equal(got, want[:len(want)-1]): // bbolt fell back to the older meta page
 			t.Errorf("taken for valid: %d records", len(got))
 		default:
 			intact++
--- a/internal/rolloutlog/seal.go
+++ b/internal/rolloutlog/seal.go
@@ -5,11 +5,11 @@
 	"fmt"
 )
 
-// checksum is a record's SHA-256, chained to the record before it.
+// checksum is the SHA-256 of a record, chained to that of the previous record.
 type checksum [sha256.Size]byte
 
-// seal returns a record behind its checksum, which is over the previous record's checksum, the record's number and
-// the record. A note is sealed with the zero checksum and number.
+// seal returns a record with its checksum prepended. The checksum covers the previous record's checksum, the record's
+// number and the record. A note is sealed with the zero checksum and number.
 func seal(previous checksum, number uint64, record []byte) []byte {
 	hash := sha256.New()
 	hash.Write(previous[:])
@@ -18,7 +18,7 @@
 	return append(hash.Sum(nil), record...)
 }
 
-// unseal returns a copy of the record that seal returned sealed for. The error wraps errDamaged.
+// unseal verifies the checksum of a sealed record and returns a copy of the record. The error wraps errDamaged.
 func unseal(previous checksum, number uint64, sealed []byte) ([]byte, error) {
 	if len(sealed) < len(checksum{}) {
 		return nil, fmt.Errorf("%w: record %d is truncated", errDamaged, number)
