--- a/internal/canary/judge_test.go
+++ b/internal/canary/judge_test.go
@@ -85,17 +85,17 @@
 			addFailures(r, 20)
 		}
 	}},
-	{"the world fails", KindPass, 60, func(c *testFleet, _ int, r *Reading) {
+	{"all fail", KindPass, 60, func(c *testFleet, _ int, r *Reading) {
 		if c.now > 8*time.Minute {
 			addFailures(r, 20)
 		}
 	}},
-	{"cold ones fail, control too", KindPass, 60, func(c *testFleet, _ int, r *Reading) {
+	{"restarted ones fail while warming up", KindPass, 60, func(c *testFleet, _ int, r *Reading) {
 		if r.Side != SideOld && c.now < 7*time.Minute {
 			addFailures(r, 4)
 		}
 	}},
-	{"nonsense of an old one", KindPass, 60, func(c *testFleet, i int, r *Reading) {
+	{"implausible old ones", KindPass, 60, func(c *testFleet, i int, r *Reading) {
 		switch i {
 		case 5:
 			r.Statistics.OfferedWeight = math.NaN()
@@ -105,17 +105,17 @@
 			r.Statistics.Units = -1
 		}
 	}},
-	{"nonsense of the new one", KindNoEvidence, 400, func(_ *testFleet, i int, r *Reading) {
+	{"implausible new one", KindNoEvidence, 400, func(_ *testFleet, i int, r *Reading) {
 		if i == 0 && r.Side == SideNew {
 			r.Statistics.Served = math.NaN()
 		}
 	}},
-	{"nobody asks the new one", KindNoEvidence, 400, func(_ *testFleet, _ int, r *Reading) {
+	{"new one without requests", KindNoEvidence, 400, func(_ *testFleet, _ int, r *Reading) {
 		if r.Side == SideNew {
 			r.Statistics = instancestats.Statistics{Began: r.Statistics.Began, MemoryKB: 100000}
 		}
 	}},
-	{"the new one crashes", KindWorse, 30, func(c *testFleet, _ int, r *Reading) {
+	{"new one crashes", KindWorse, 30, func(c *testFleet, _ int, r *Reading) {
 		if r.Side == SideNew && c.now%time.Minute == 0 {
 			r.Statistics = instancestats.Statistics{Began: time.Unix(3, int64(c.now))}
 		}
@@ -125,13 +125,13 @@
 			r.Statistics = instancestats.Statistics{Began: time.Unix(3, int64(c.now))}
 		}
 	}},
-	{"others are harmed, and the new one takes more", KindWorse, 60, func(_ *testFleet, _ int, r *Reading) {
+	{"unchanged ones harmed, new one sends more units", KindWorse, 60, func(_ *testFleet, _ int, r *Reading) {
 		if r.Side == SideNew {
 			r.Statistics.Units += 12
 		}
 		addFailures(r, 6)
 	}},
-	{"others are harmed, nothing tells by whom", KindNoEvidence, 400, func(_ *testFleet, _ int, r *Reading) { addFailures(r, 10) }},
+	{"unchanged ones harmed, cause unknown", KindNoEvidence, 400, func(_ *testFleet, _ int, r *Reading) { addFailures(r, 10) }},
 }
 
 func TestVerdicts(t *testing.T) {
@@ -152,7 +152,7 @@
 				}
 			}
 			if last.Kind != c.want {
-				t.Errorf("%v (%s) after %v", last.Kind, last.Reason, fleet.now)
+				t.Errorf("verdict %v (%s) after %v", last.Kind, last.Reason, fleet.now)
 			}
 		})
 	}
@@ -181,7 +181,7 @@
 			}
 			fleet.judge.Observe(fleet.now, fleet.readings)
 			if v := fleet.judge.Verdict(fleet.now); v.Kind == KindPass {
-				t.Fatalf("%+v", v)
+				t.Fatalf("stage passed with implausible readings: %+v", v)
 			}
 		}
 	})
@@ -206,7 +206,7 @@
 		}
 	}
 	if crossed[true] > walks*alpha || crossed[false] < 4*walks*alpha {
-		t.Errorf("of %d: %v", walks, crossed)
+		t.Errorf("of %d walks, crossings by whether the bound is sequential: %v", walks, crossed)
 	}
 }
 
@@ -225,6 +225,6 @@
 		}
 	}
 	if alarms > runs/limit {
-		t.Errorf("%d of %d", alarms, runs)
+		t.Errorf("%d false alarms in %d runs", alarms, runs)
 	}
 }
--- a/internal/canary/short_test.go
+++ b/internal/canary/short_test.go
@@ -36,25 +36,25 @@
 		want          VerdictKind
 		each          func(c *testFleet, i int, r *Reading)
 	}{
-		{"a program with a control", 1, 5, 40 * time.Second, KindPass, nil},
-		{"memory that goes up and down", 1, 5, 40 * time.Second, KindPass, func(c *testFleet, _ int, r *Reading) { r.Statistics.MemoryKB += c.rng.IntN(40000) }},
+		{"program with a control", 1, 5, 40 * time.Second, KindPass, nil},
+		{"fluctuating memory", 1, 5, 40 * time.Second, KindPass, func(c *testFleet, _ int, r *Reading) { r.Statistics.MemoryKB += c.rng.IntN(40000) }},
 		{"settings", 0, 5, 40 * time.Second, KindPass, nil},
-		{"nothing before", 0, 0, 40 * time.Second, KindPass, nil},
-		{"seconds without a request", 1, 5, 50 * time.Second, KindPass, func(c *testFleet, _ int, r *Reading) {
+		{"no baseline", 0, 0, 40 * time.Second, KindPass, nil},
+		{"seconds without requests", 1, 5, 50 * time.Second, KindPass, func(c *testFleet, _ int, r *Reading) {
 			if c.now/time.Second%4 == 0 { // CPU alone goes on
 				idle := r.Statistics.CPU
 				r.Statistics = c.previous[r.Member]
 				r.Statistics.CPU = idle
 			}
 		}},
-		{"slow, and nothing before", 0, 0, 20 * time.Second, KindWorse, func(_ *testFleet, _ int, r *Reading) {
+		{"slow responses without a baseline", 0, 0, 20 * time.Second, KindWorse, func(_ *testFleet, _ int, r *Reading) {
 			if r.Side == SideNew {
 				n := r.Statistics.Delays.Total()
 				r.Statistics.Delays = instancestats.Delays{}
 				r.Statistics.Delays[instancestats.Bucket(300*time.Millisecond)] = n
 			}
 		}},
-		{"a leak that fills memory in the watch", 1, 5, 70 * time.Second, KindWorse, func(c *testFleet, _ int, r *Reading) {
+		{"memory leak during the bake", 1, 5, 70 * time.Second, KindWorse, func(c *testFleet, _ int, r *Reading) {
 			if r.Side == SideNew {
 				r.Statistics.MemoryKB += int(3000 * c.now.Seconds())
 			}
@@ -73,7 +73,7 @@
 		fleet.beginStage(0, 1, c.controls)
 		stageStartedAt := fleet.now
 		if v := observe(70); v.Kind != c.want || fleet.now-stageStartedAt > c.within {
-			t.Errorf("%s: %v after %v: %s", c.name, v.Kind, fleet.now-stageStartedAt, v.Reason)
+			t.Errorf("%s: verdict %v after %v: %s", c.name, v.Kind, fleet.now-stageStartedAt, v.Reason)
 		}
 	}
 }
--- a/internal/rollout/fleet_model_test.go
+++ b/internal/rollout/fleet_model_test.go
@@ -107,7 +107,7 @@
 	for _, m := range model.members {
 		runs = append(runs, m.version)
 	}
-	model.reportViolation("generations apart: %v", runs)
+	model.reportViolation("members run versions of generations that are not adjacent: %v", runs)
 }
 
 // startCoordinator starts a coordinator, which resumes what is in the log.
@@ -254,7 +254,7 @@
 			return decider
 		}
 		if model.now >= maxModelTime {
-			model.reportViolation("it has not ended: %s, %s", decider.rollout.State(), decider.rollout.Reason())
+			model.reportViolation("the rollout has not ended: state %s, reason %s", decider.rollout.State(), decider.rollout.Reason())
 			return decider
 		}
 		decider = model.newestOwner()
@@ -311,14 +311,14 @@
 		generation = 0
 	}
 	if c.end.Result == ResultDone && model.isRollbackSeen && model.hasOneCoordinator {
-		model.reportViolation("done, though it was being taken back")
+		model.reportViolation("the result is done although a rollback had begun")
 	}
 	for _, m := range model.members {
 		if m.revertedAt > 0 && m.revertedAt > c.endedAt-3*time.Second {
 			continue // no coordinator could notice it
 		}
 		if generation >= 0 && m.version != model.plan.Members[m.index].Versions[generation] && m.isServing {
-			model.reportViolation("%s, and member %d runs %s", c.end.Result, m.index, m.version)
+			model.reportViolation("the result is %q, but member %d runs %s", c.end.Result, m.index, m.version)
 		}
 	}
 }
--- a/internal/rollout/layout.go
+++ b/internal/rollout/layout.go
@@ -62,7 +62,7 @@
 		start := end
 		end = stage.size(len(group))
 		if end < start {
-			return nil, fmt.Errorf("stages: stage %d, %s, is %d of %d members, less than the %d of the one before it", i+1, stage, end, len(group), start)
+			return nil, fmt.Errorf("stages: stage %d, %s, has %d of %d members, fewer than the %d of the previous stage", i+1, stage, end, len(group), start)
 		}
 		if end > start {
 			stages = append(stages, group[start:end])
--- a/internal/rollout/member_model_test.go
+++ b/internal/rollout/member_model_test.go
@@ -82,10 +82,10 @@
 		model.reportViolation("member %d has run %s %d times", m.index, command.ID, m.executions[command.ID])
 	}
 	if !model.writtenCommands[command.ID] && model.removedGuard != withoutLogWrite {
-		model.reportViolation("command %s was not written before", command.ID)
+		model.reportViolation("command %s runs before it was written to the log", command.ID)
 	}
 	if owner, ok := model.ownerByEpoch[command.Epoch]; ok && owner != command.Owner {
-		model.reportViolation("epoch %d has two owners that act", command.Epoch)
+		model.reportViolation("two owners of epoch %d have sent commands", command.Epoch)
 	}
 	model.ownerByEpoch[command.Epoch] = command.Owner
 	if command.Epoch < m.lastEpoch {
@@ -100,7 +100,7 @@
 	m.lastCommand, m.outcome = command.ID, nil
 	targetVersion := model.plan.Members[m.index].Versions[command.Generation]
 	if m.brokenVersions[targetVersion] && !command.IsRestart {
-		m.outcome = errors.New("it does not start")
+		m.outcome = errors.New("the version does not start")
 	} else if !command.IsRestart && m.isServing {
 		m.version = targetVersion
 		model.checkNeighbouringGenerations()
@@ -132,6 +132,6 @@
 		}
 	}
 	if model.hasOneCoordinator && executing > model.plan.MaxUnavailable {
-		model.reportViolation("%d at once", executing)
+		model.reportViolation("%d members run commands at the same time", executing)
 	}
 }
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -70,10 +70,10 @@
 		return err
 	}
 	if n := len(p.Stages); n > 0 && p.Stages[n-1].Share != 1 {
-		return fmt.Errorf("plan: the last of its stages is %s, not 100%%", p.Stages[n-1])
+		return fmt.Errorf("plan: the last stage is %s, not 100%%", p.Stages[n-1])
 	}
 	if p.MaxBake > 0 && p.MaxBake < p.MinBake {
-		return fmt.Errorf("plan: a stage is watched %v at most and %v at least", p.MaxBake, p.MinBake)
+		return fmt.Errorf("plan: the maximum bake time %v is shorter than the minimum of %v", p.MaxBake, p.MinBake)
 	}
 	for _, regions := range p.RegionOrder {
 		if err := p.validateRegions(regions); err != nil {
@@ -86,15 +86,15 @@
 
 func (p *Plan) validateMembers() error {
 	if len(p.Members) == 0 {
-		return errors.New("plan: it has no member")
+		return errors.New("plan: there are no members")
 	}
 	names := make(map[string]bool, len(p.Members))
 	for _, m := range p.Members {
 		switch {
 		case names[m.Name]:
-			return fmt.Errorf("plan: member %s is there twice", m.Name)
+			return fmt.Errorf("plan: member %s occurs more than once", m.Name)
 		case len(m.Versions) < 2 || len(m.Versions) != len(p.Members[0].Versions):
-			return fmt.Errorf("plan: member %s has %d generations", m.Name, len(m.Versions))
+			return fmt.Errorf("plan: member %s has %d generations; all members need the same number, at least 2", m.Name, len(m.Versions))
 		}
 		names[m.Name] = true
 	}
@@ -106,13 +106,13 @@
 	isNamed := make(map[string]bool, len(regions))
 	for _, region := range regions {
 		if isNamed[region] {
-			return fmt.Errorf("plan: region %s is twice in the order", region)
+			return fmt.Errorf("plan: region %s occurs more than once in the order of regions", region)
 		}
 		isNamed[region] = true
 	}
 	for _, m := range p.Members {
 		if !isNamed[m.Region] {
-			return fmt.Errorf("plan: region %s of member %s is not in the order", m.Region, m.Name)
+			return fmt.Errorf("plan: region %s of member %s is not in the order of regions", m.Region, m.Name)
 		}
 	}
 	return nil
--- a/internal/rollout/resume.go
+++ b/internal/rollout/resume.go
@@ -70,7 +70,7 @@
 	case EntryCommand, EntryOutcome, EntryAbandoned:
 		i, ok := index[entry.Member]
 		if !ok {
-			return fmt.Errorf("there is no member %q in its plan", entry.Member)
+			return fmt.Errorf("the plan has no member %q", entry.Member)
 		}
 		return r.replayMemberEntry(entry, &r.members[i])
 	case EntryRollback:
@@ -82,7 +82,7 @@
 		}
 	case EntryRollbackPhase:
 		if entry.Generation < 0 || entry.Generation >= len(r.phases) {
-			return fmt.Errorf("there is no generation %d in its plan", entry.Generation)
+			return fmt.Errorf("the plan has no generation %d to roll back to", entry.Generation)
 		}
 		r.rollbackGeneration = entry.Generation
 	case EntryEnd:
@@ -90,7 +90,7 @@
 		r.reason = entry.Reason
 	case EntryOwned, EntryBake, EntryVerdict: // these do not affect the state of a resumed coordinator
 	default:
-		return errors.New("its kind is unknown")
+		return errors.New("the kind of entry is unknown")
 	}
 	return nil
 }
@@ -98,7 +98,7 @@
 func (r *Rollout) replayStage(entry *Entry) error {
 	isPhase := entry.Phase >= 1 && entry.Phase <= len(r.phases)
 	if !isPhase || entry.Stage < 1 || entry.Stage > len(r.phases[entry.Phase-1].stages) {
-		return fmt.Errorf("there is no stage %d of phase %d in its plan", entry.Stage, entry.Phase)
+		return fmt.Errorf("the plan has no stage %d in phase %d", entry.Stage, entry.Phase)
 	}
 	r.isPhaseKnown = true
 	r.phase = entry.Phase
@@ -110,7 +110,7 @@
 	switch entry.Kind {
 	case EntryCommand:
 		if entry.Generation < 0 || entry.Generation > len(r.phases) || entry.ID == "" {
-			return errors.New("it has no valid command")
+			return errors.New("the command has no id or an invalid generation")
 		}
 		m.command = &command{id: entry.ID, generation: entry.Generation, isRestart: entry.IsRestart}
 		r.hasCommanded = true
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -22,17 +22,17 @@
 	for seed := range seeds {
 		model, c := runSeed(seed, allGuards)
 		if model.checkEnd(c); len(model.violations) > 0 {
-			t.Fatalf("seed %d: %s\n%s", seed, strings.Join(model.violations, "\n"), model)
+			t.Fatalf("seed %d: invariants violated: %s\n%s", seed, strings.Join(model.violations, "\n"), model)
 		}
 		if c.end == nil {
-			t.Fatalf("seed %d: no answer", seed)
+			t.Fatalf("seed %d: the coordinator did not end", seed)
 		}
 		results[c.end.Result]++
 	}
 	t.Log(results)
 	for _, r := range []Result{ResultDone, ResultRolledBack, ResultStuck} {
 		if results[r] < int(seeds)/100 {
-			t.Errorf("%s: %d of %d", r, results[r], seeds)
+			t.Errorf("result %q in %d of %d runs, want at least 1%%", r, results[r], seeds)
 		}
 	}
 }
@@ -50,14 +50,14 @@
 
 // The checks of the model detect that a guard is left out.
 func TestModelDetectsRemovedGuards(t *testing.T) {
-	for removed, name := range map[removedGuard]string{withoutEpochCheck: "no check of epochs", withoutLogWrite: "not written before done", trustSentCommands: "trust in its own memory"} {
+	for removed, name := range map[removedGuard]string{withoutEpochCheck: "no check of epochs", withoutLogWrite: "commands not written to the log", trustSentCommands: "versions taken from sent commands"} {
 		found := slices.ContainsFunc(slices.Collect(countUpTo(3000)), func(seed uint64) bool {
 			model, c := runSeed(seed, removed)
 			model.checkEnd(c)
 			return len(model.violations) > 0
 		})
 		if !found {
-			t.Errorf("%s: nothing breaks", name)
+			t.Errorf("%s: no check detects it", name)
 		}
 	}
 }
@@ -75,13 +75,13 @@
 func TestParseStages(t *testing.T) {
 	for text, want := range map[string]string{
 		"1, 10%, 50%,100%": "[1 10% 50% 100%]", "100%": "[100%]", "2,12.5%,100%": "[2 12.5% 100%]",
-		"1, 50%, 10%, 100%": `stage 3, "10%", is no more than the one before it, 50%`, "1,101%": `stage 2, "101%", is no share above 0% and up to 100%`,
-		"1, 50%": `the last, "50%", is not 100%`, "": `stage 1, "", is neither`, "0": `is neither`, "-5%": "is no share", "3,2,100%": `stage 2, "2", is no more than the one before it, 3`,
-		"100%, 5": "comes after 100%", "NaN%": "is no share", "1,100%,100%": "no more than",
+		"1, 50%, 10%, 100%": `stage 3, "10%", is not larger than the previous stage, 50%`, "1,101%": `stage 2, "101%", is not a share above 0% and up to 100%`,
+		"1, 50%": `the last stage, "50%", is not 100%`, "": `stage 1, "", is neither`, "0": `is neither`, "-5%": "is not a share", "3,2,100%": `stage 2, "2", is not larger than the previous stage, 3`,
+		"100%, 5": "comes after 100%", "NaN%": "is not a share", "1,100%,100%": "not larger than",
 	} {
 		got, err := ParseStages(text)
 		if s := fmt.Sprint(got); err == nil && s != want || err != nil && !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %s, %v", text, s, err)
+			t.Errorf("ParseStages(%q): stages %s, error %v", text, s, err)
 		}
 	}
 }
@@ -107,15 +107,15 @@
 	}
 	for n, want := range map[int][]int{1: {1}, 2: {1, 1}, 4: {1, 1, 2}, 12: {1, 1, 4, 6}, 40: {1, 3, 16, 20}, 4000: {1, 399, 1600, 2000}} {
 		if got := sizes(newTestPlan(n, 1, nil)); !slices.Equal(got, want) {
-			t.Errorf("%d: %v, not %v", n, got, want)
+			t.Errorf("stages of %d members: %v, want %v", n, got, want)
 		}
 	}
 	if got := sizes(newTestPlan(8, 2, [][]string{{"r1", "r0"}})); !slices.Equal(got, []int{1, 1, 2, 1, 1, 2}) {
-		t.Errorf("by region: %v", got)
+		t.Errorf("stages of 8 members by region: %v", got)
 	}
 	p := newTestPlan(20, 1, nil)
 	p.Stages = Stages{{Count: 5}, {Share: 0.1}, {Share: 1}}
-	if err := p.Validate(); err == nil || !strings.Contains(err.Error(), "stage 2, 10%, is 2 of 20 members, less than the 5") {
+	if err := p.Validate(); err == nil || !strings.Contains(err.Error(), "stage 2, 10%, has 2 of 20 members, fewer than the 5") {
 		t.Error(err)
 	}
 	// Any prefix is spread over regions and zones.
@@ -124,7 +124,7 @@
 		p := newTestPlan(n, regions, nil)
 		phases, _ := p.buildPhases()
 		if len(phases[0].members) != n {
-			t.Fatalf("%d of %d", len(phases[0].members), n)
+			t.Fatalf("the phase changes %d of %d members", len(phases[0].members), n)
 		}
 		counts := map[string]int{}
 		for k, i := range phases[0].members {
@@ -132,7 +132,7 @@
 			counts[m.Region]++
 			counts[m.Region+m.Zone]++
 			if k+1 >= regions && len(phases[0].members) >= regions && counts[m.Region] > (k+1)/regions+2 {
-				t.Fatalf("after %d: %v", k+1, counts)
+				t.Fatalf("the first %d members are unevenly spread: %v", k+1, counts)
 			}
 		}
 	})
@@ -188,7 +188,7 @@
 
 func TestRolloutPaths(t *testing.T) {
 	always := func(kind Verdict) func(int) StageJudged {
-		return func(int) StageJudged { return StageJudged{kind, "so it is"} }
+		return func(int) StageJudged { return StageJudged{kind, "test reason"} }
 	}
 	for name, tc := range map[string]struct {
 		change  func(*Plan)
@@ -197,17 +197,17 @@
 		runs    string
 		want    string
 	}{
-		"all well":      {nil, 0.3, always(VerdictPass), "", "watch +0 watch +1 watch +2 +3 done: 4 members changed"},
-		"worse":         {nil, 0.3, always(VerdictWorse), "", "watch +0 -0 taken back: stage 1 does worse: so it is"},
-		"no evidence":   {nil, 0.3, always(VerdictWait), "", "watch +0 -0 taken back: stage 1 has no evidence after 20s, which is no pass: so it is"},
+		"all pass":      {nil, 0.3, always(VerdictPass), "", "watch +0 watch +1 watch +2 +3 done: 4 members changed"},
+		"worse":         {nil, 0.3, always(VerdictWorse), "", "watch +0 -0 taken back: stage 1 does worse: test reason"},
+		"no evidence":   {nil, 0.3, always(VerdictWait), "", "watch +0 -0 taken back: stage 1 has no evidence after 20s, which is no pass: test reason"},
 		"unjudged":      {func(p *Plan) { p.ReadinessSuffices = true }, 0.3, always(VerdictNoEvidence), "", "watch +0 watch +1 watch +2 +3 done: 4 members changed"},
 		"controls":      {func(p *Plan) { p.HasControls = true }, 0.3, always(VerdictPass), "", "watch +0 ~1 watch +1 ~2 watch +2 +3 done: 4 members changed"},
-		"no room":       {nil, 0.95, always(VerdictPass), "", "watch refused: the other members had no capacity for one member's work for 20s; nothing was changed"},
-		"left so":       {func(p *Plan) { p.DisableRollback = true }, 0.3, always(VerdictWorse), "", "watch +0 stuck: stage 1 does worse: so it is; rollback is disabled"},
+		"no capacity":   {nil, 0.95, always(VerdictPass), "", "watch refused: the other members had no capacity for one member's work for 20s; nothing was changed"},
+		"no rollback":   {func(p *Plan) { p.DisableRollback = true }, 0.3, always(VerdictWorse), "", "watch +0 stuck: stage 1 does worse: test reason; rollback is disabled"},
 		"drift":         {nil, 0.3, always(VerdictPass), "a,c,a,a", "refused: member 1 runs c, which is not what was checked; nothing was changed"},
 		"already":       {nil, 0.3, always(VerdictPass), "b,b,b,b", "done: every member runs it already"},
 		"one at a time": {func(p *Plan) { p.MaxUnavailable = 1 }, 0.3, always(VerdictPass), "", "watch +0 watch +1 watch +2 +3 done: 4 members changed"},
-		"fails at half": {nil, 0.3, func(s int) StageJudged {
+		"worse at half": {nil, 0.3, func(s int) StageJudged {
 			if s == 3 {
 				return StageJudged{VerdictWorse, "late"}
 			}
@@ -234,7 +234,7 @@
 				driver.versions = strings.Split(tc.runs, ",")
 			}
 			if got := driver.run(120, tc.load, tc.verdict); got != tc.want {
-				t.Errorf("%s\nnot\n%s", got, tc.want)
+				t.Errorf("actions:\n%s\nwant:\n%s", got, tc.want)
 			}
 		})
 	}
--- a/internal/rollout/stage.go
+++ b/internal/rollout/stage.go
@@ -19,7 +19,7 @@
 
 // Errors in the text of a stage. Each completes a sentence that begins with "stage N".
 var (
-	errShare     = errors.New("is no share above 0% and up to 100%")
+	errShare     = errors.New("is not a share above 0% and up to 100%")
 	errCount     = errors.New("is neither a number of members nor a share such as 10%")
 	errAfterLast = errors.New("comes after 100%")
 )
@@ -61,7 +61,7 @@
 		stages = append(stages, stage)
 	}
 	if last := stages[len(stages)-1]; last.Share != 1 {
-		return nil, fmt.Errorf("stages: the last, %q, is not 100%%", last)
+		return nil, fmt.Errorf("stages: the last stage, %q, is not 100%%", last)
 	}
 	return stages, nil
 }
@@ -86,7 +86,7 @@
 func (s Stage) checkAfter(previous Stage) error {
 	isShare, wasShare := s.Share > 0, previous.Share > 0
 	if isShare && wasShare && s.Share <= previous.Share || !isShare && !wasShare && s.Count <= previous.Count {
-		return fmt.Errorf("is no more than the one before it, %s", previous)
+		return fmt.Errorf("is not larger than the previous stage, %s", previous)
 	}
 	if previous.Share == 1 {
 		return errAfterLast
--- a/internal/rolloutlog/database.go
+++ b/internal/rolloutlog/database.go
@@ -26,7 +26,7 @@
 var noteKey = []byte("note")
 
 // errDamaged means that the content of the database is not what a Log has written.
-var errDamaged = errors.New("it is damaged")
+var errDamaged = errors.New("the file is damaged")
 
 func encodeKey(number uint64) []byte { return binary.BigEndian.AppendUint64(nil, number) }
 
@@ -65,7 +65,7 @@
 	var newest rollout
 	err = catchDamage(func() error {
 		if info.Size() == 0 {
-			return fmt.Errorf("%w: it is empty", errDamaged)
+			return fmt.Errorf("%w: it has no content", errDamaged)
 		}
 		database, err := bbolt.Open(path, 0o600, options(true))
 		if err != nil {
@@ -102,7 +102,7 @@
 	}
 	bucket := tx.Bucket(key)
 	if len(key) != keyBytes || bucket == nil {
-		return fmt.Errorf("%w: a key is invalid", errDamaged)
+		return fmt.Errorf("%w: the key of the newest rollout is invalid", errDamaged)
 	}
 	r.id = binary.BigEndian.Uint64(key)
 	return bucket.ForEach(r.loadEntry)
@@ -143,7 +143,7 @@
 func (r *rollout) append(bucket *bbolt.Bucket, record []byte) error {
 	number := r.count + 1
 	if len(record) > maxRecordBytes || r.count >= maxRecords {
-		return fmt.Errorf("record %d of %d bytes exceeds the limits", number, len(record))
+		return fmt.Errorf("record %d of %d bytes exceeds the maximum size or number of records", number, len(record))
 	}
 	sealed := seal(r.lastChecksum, number, record)
 	if err := bucket.Put(encodeKey(number), sealed); err != nil {
--- a/internal/rolloutlog/log.go
+++ b/internal/rolloutlog/log.go
@@ -38,7 +38,7 @@
 // ErrLocked means that another process has the log open for writing.
 var ErrLocked = errors.New("another coordinator has it open")
 
-var errNoRollout = errors.New("rollout log: no rollout has begun")
+var errNoRollout = errors.New("rollout log: no rollout has been started")
 
 // Log is a log that is open for writing. It is not safe for concurrent use.
 type Log struct {
@@ -122,7 +122,7 @@
 			continue
 		}
 		if err := os.Rename(path, target); err != nil {
-			return "", fmt.Errorf("rollout log: quarantining a damaged file: %w", err)
+			return "", fmt.Errorf("rollout log: cannot quarantine the damaged file: %w", err)
 		}
 		return target, nil
 	}
--- a/internal/rolloutlog/log_test.go
+++ b/internal/rolloutlog/log_test.go
@@ -45,7 +45,7 @@
 	}
 	l := openAndWrite(t, dir, "plan", "one", "")
 	if _, err := Open(dir); !errors.Is(err, ErrLocked) {
-		t.Errorf("a second writer: %v", err)
+		t.Errorf("opening by a second writer: error %v, want ErrLocked", err)
 	}
 	for _, note := range []string{"n1", "n2"} {
 		if err := l.SetNote([]byte(note)); err != nil {
@@ -54,12 +54,12 @@
 	}
 	got, note, err := Read(dir)
 	if err != nil || !slices.Equal(recordTexts(got), []string{"plan", "one", ""}) || string(note) != "n2" {
-		t.Errorf("%q, %q, %v", got, note, err)
+		t.Errorf("Read returned records %q, note %q, error %v", got, note, err)
 	}
 	l.Close()
 	l = openAndWrite(t, dir)
 	if err := l.Append([]byte("two")); err != nil || len(l.Records()) != 4 || string(l.Note()) != "n2" {
-		t.Errorf("%q, %v", l.Records(), err)
+		t.Errorf("after reopening and appending: records %q, error %v", l.Records(), err)
 	}
 	for i := range maxRollouts + 3 {
 		if err := l.Begin(fmt.Appendf(nil, "plan %d", i)); err != nil {
@@ -67,7 +67,7 @@
 		}
 	}
 	if got, _, err := Read(dir); err != nil || !slices.Equal(recordTexts(got), []string{"plan 10"}) {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("newest rollout: records %q, error %v", got, err)
 	}
 	l.Close()
 }
@@ -108,20 +108,20 @@
 		case l.DamageError != nil:
 			damaged++
 			if _, err := os.Stat(l.QuarantinedPath); err != nil || len(got) > 0 {
-				t.Errorf("%v, %d records", err, len(got))
+				t.Errorf("damaged file: quarantine error %v, %d records, want none", err, len(got))
 			}
 			if err := l.Begin([]byte("anew")); err != nil {
 				t.Error(err)
 			}
 		case !slices.Equal(got, want) && !slices.Equal(got, want[:len(want)-1]): // bbolt fell back to the older meta page
-			t.Errorf("taken for valid: %d records", len(got))
+			t.Errorf("damage not detected: %d records differ from those written", len(got))
 		default:
 			intact++
 		}
 		l.Close()
 	}
-	if t.Logf("%d damaged, %d as written", damaged, intact); damaged == 0 || intact == 0 {
-		t.Error("one of both never occurred")
+	if t.Logf("%d files detected as damaged, %d read as written", damaged, intact); damaged == 0 || intact == 0 {
+		t.Error("either damage or an intact log never occurred")
 	}
 }
 
@@ -137,7 +137,7 @@
 			sealed[offset] ^= 1
 		}
 		if _, err := unseal(previous, number, sealed); err == nil {
-			t.Fatal("a damaged record is taken for valid")
+			t.Fatal("the damage of a record was not detected")
 		}
 	})
 }
--- a/internal/rolloutlog/seal.go
+++ b/internal/rolloutlog/seal.go
@@ -25,7 +25,7 @@
 	}
 	record := sealed[len(checksum{}):]
 	if string(seal(previous, number, record)) != string(sealed) {
-		return nil, fmt.Errorf("%w: the checksum of record %d is wrong", errDamaged, number)
+		return nil, fmt.Errorf("%w: record %d has a wrong checksum", errDamaged, number)
 	}
 	return append([]byte(nil), record...), nil
 }
