--- a/internal/canary/compare.go
+++ b/internal/canary/compare.go
@@ -7,7 +7,7 @@
 )
 
 // falseAlarmShare returns the probability of a false alarm that one measure may use in one stage and one of the two
-// windows (the stage and its later half). Measures together use 0.7 of MaxFalseAlarms.
+// windows (the stage and its later half). All measures, stages and windows together use 0.7 of MaxFalseAlarms.
 func (j *Judge) falseAlarmShare() float64 {
 	return 0.7 * j.options.MaxFalseAlarms / float64(j.options.Stages) / (2 * measureCount)
 }
@@ -19,7 +19,7 @@
 	countedMeasure int // index of the measure whose counts are used; growth uses those of memory
 	isLaterHalf    bool
 	margin         float64
-	minDifference  float64 // smaller differences are tolerated; also a lower limit of expected shares
+	minDifference  float64 // added to expected shares, so that single events do not dominate
 	requestWeight  float64 // weight of one request in the denominator
 
 	hasStageControls  bool // this stage has controls
--- a/internal/canary/judge.go
+++ b/internal/canary/judge.go
@@ -18,7 +18,7 @@
 	lastChangeAt     time.Duration            // time of the last change of a member's side
 	observedAt       time.Duration            // time of the last observation
 	observations     int                      // number of observations in this stage
-	slowBucket       int                      // delay bucket below the old side's 99th percentile; -1 if unknown
+	slowBucket       int                      // delay bucket that holds the old side's 99th percentile; -1 if unknown
 	oldStatistics    instancestats.Statistics // delays of the old side, collected until slowBucket is known
 	rejectedReadings int                      // number of readings of members in excess of maxMembers
 
@@ -225,7 +225,7 @@
 		}
 		m.startWarmUp(statistics, now+j.options.WarmUp)
 	case !ok || !isPlausible(&difference, now-m.lastAt) || hasDecreased(statistics, &m.last):
-		// The counts of one process never decrease, so this reading or the last one is implausible.
+		// The counts of one process never decrease, so neither this reading nor its difference to the next one is plausible.
 		m.implausibleReadings++
 	case now-m.lastAt <= maxReadingGap:
 		j.countDifference(now, m, &difference)
--- a/internal/canary/judge_test.go
+++ b/internal/canary/judge_test.go
@@ -12,14 +12,14 @@
 	"pgregory.net/rapid"
 )
 
-// testFleet is a fleet whose members count the same, except for what a test changes.
+// testFleet is a fleet whose members report statistics of the same distribution, except for what a test changes.
 type testFleet struct {
 	judge    *Judge
 	rng      *rand.Rand
 	now      time.Duration
 	readings []Reading
 
-	previous map[string]instancestats.Statistics // statistics of the last observation, for tests that need them
+	previous map[string]instancestats.Statistics // statistics of the last observation by member, set by tests that need them
 }
 
 func newTestFleet(n int, seed uint64) *testFleet {
@@ -30,7 +30,7 @@
 	return f
 }
 
-// observe observes intervals of 10 s. each, if not nil, changes a member's reading before it is observed.
+// observe adds intervals of 10 s. each, if not nil, changes a member's reading before the judge observes it.
 func (f *testFleet) observe(intervals int, each func(i int, r *Reading)) {
 	for range intervals {
 		f.now += 10 * time.Second
@@ -54,7 +54,8 @@
 	}
 }
 
-// beginStage begins a stage that changes members from to to, with controls after them.
+// beginStage begins a stage that changes the members with indexes from up to and excluding to. The members that follow
+// them become controls.
 func (f *testFleet) beginStage(from, to, controls int) {
 	f.judge.Begin(f.now, f.readings)
 	for i := from; i < to+controls; i++ {
@@ -70,8 +71,8 @@
 	r.Statistics.Served -= float64(n)
 }
 
-// verdictCases have what members of a fleet of twelve do after one of them has changed, over some intervals of 10 s, and
-// the verdict that has to follow.
+// verdictCases define how the readings of a fleet of twelve members change after one member has changed, the number of
+// intervals of 10 s, and the expected verdict.
 var verdictCases = []struct {
 	name string
 	want VerdictKind
@@ -158,7 +159,7 @@
 	}
 }
 
-// Whatever statistics members report, the judge neither panics nor passes a changed member with implausible ones.
+// Random statistics, including NaN and infinite values, must neither make the judge panic nor let a stage pass.
 func TestImplausibleReadingsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := newTestFleet(4, 2)
@@ -187,8 +188,8 @@
 	})
 }
 
-// A random walk crosses the sequential bound with less than its probability over all looks, and the bound for a single
-// look far more often.
+// A random walk crosses the sequential bound with less than its nominal probability over 500 evaluations. It crosses the
+// bound for a single evaluation far more often, which shows that the test can fail.
 func TestBoundHoldsAtEveryEvaluation(t *testing.T) {
 	const walks, alpha = 2000, 0.05
 	crossed := map[bool]int{}
@@ -210,7 +211,7 @@
 	}
 }
 
-// Crashes at the usual rate, evaluated after each one, raise an alarm with less than its probability.
+// Crashes at the usual rate, evaluated after each crash, raise a false alarm no more often than the limit allows.
 func TestCrashesAtUsualRateRarelyAlarm(t *testing.T) {
 	const runs, limit = 20000, 100
 	alarms := 0
--- a/internal/canary/short_test.go
+++ b/internal/canary/short_test.go
@@ -7,14 +7,15 @@
 	"lockflow/internal/instancestats"
 )
 
-// newShortTestFleet returns a fleet that bakes for a minute at most, with a reading each second, as tests of processes do.
+// newShortTestFleet returns a fleet with a bake of at most a minute and a reading per second, like the tests that run
+// real processes.
 func newShortTestFleet(n int) *testFleet {
 	f := newTestFleet(n, 3)
 	f.judge = NewJudge(Options{Stages: 3, MinBake: 5 * time.Second, MaxBake: time.Minute, WarmUp: 2 * time.Second, Onset: 2 * time.Second})
 	return f
 }
 
-// observeUntilVerdict observes intervals of a second, with the counts of ten, until there is a verdict.
+// observeUntilVerdict observes intervals of one second, each with the counts of ten seconds, until there is a verdict.
 func (f *testFleet) observeUntilVerdict(seconds int, each func(i int, r *Reading)) Verdict {
 	var v Verdict
 	for range seconds {
@@ -31,7 +32,7 @@
 	for _, c := range []struct {
 		name          string
 		controls      int
-		secondsBefore int // seconds watched before
+		secondsBefore int // seconds of observation before the stage
 		within        time.Duration
 		want          VerdictKind
 		each          func(c *testFleet, i int, r *Reading)
@@ -41,7 +42,7 @@
 		{"settings", 0, 5, 40 * time.Second, KindPass, nil},
 		{"no baseline", 0, 0, 40 * time.Second, KindPass, nil},
 		{"seconds without requests", 1, 5, 50 * time.Second, KindPass, func(c *testFleet, _ int, r *Reading) {
-			if c.now/time.Second%4 == 0 { // CPU alone goes on
+			if c.now/time.Second%4 == 0 { // only the CPU time increases
 				idle := r.Statistics.CPU
 				r.Statistics = c.previous[r.Member]
 				r.Statistics.CPU = idle
--- a/internal/rollout/coordinator_model_test.go
+++ b/internal/rollout/coordinator_model_test.go
@@ -8,7 +8,7 @@
 	modelPollInterval = 500 * time.Millisecond
 )
 
-// coordinator is a coordinator of the model: a Rollout with its log, which may crash at any of its writes.
+// coordinator is a coordinator in the model: a Rollout and its log. It may crash at any of its writes.
 type coordinator struct {
 	model             *fleetModel
 	rollout           *Rollout
@@ -23,7 +23,7 @@
 	commandedVersions map[int]string // for trustSentCommands
 }
 
-// feed handles an event and does the actions that it leads to.
+// feed passes an event to the rollout and executes the resulting actions.
 func (c *coordinator) feed(event Event) {
 	if !c.isAlive {
 		return
@@ -52,7 +52,7 @@
 	}
 }
 
-// write appends an entry to the log, and crashes before or after it where that is planned.
+// write appends an entry to the log. The coordinator crashes before or after the write that crashAtWrite selects.
 func (c *coordinator) write(entry Entry) {
 	c.writes++
 	isCrash := c.writes == c.crashAtWrite
@@ -88,7 +88,7 @@
 	}, timeoutEvent)
 }
 
-// request has a member handle a request. timeoutEvent is the event where no reply comes in time.
+// request delivers a request to a member. timeoutEvent is the event if no reply arrives in time.
 func (c *coordinator) request(m *modelMember, handle func(reply func(Event)), timeoutEvent Event) {
 	hasReplied := false
 	feedOnce := func(event Event) {
@@ -107,7 +107,7 @@
 	c.model.schedule(modelReplyTimeout, func() { feedOnce(timeoutEvent) })
 }
 
-// poll polls all members, judges a stage that bakes, and repeats that while the coordinator is alive.
+// poll polls all members and judges a baking stage. It repeats this while the coordinator is alive.
 func (c *coordinator) poll() {
 	if !c.isAlive {
 		return
@@ -143,7 +143,7 @@
 	c.model.schedule(modelPollTimeout, func() { feedOnce(MemberStatus{Member: m.index, PolledAt: polledAt}) })
 }
 
-// drawVerdict returns the judge's verdict on the stage.
+// drawVerdict returns the simulated judge's verdict on the current stage.
 func (c *coordinator) drawVerdict() Verdict {
 	model := c.model
 	verdict := model.verdicts[c.rollout.stage%len(model.verdicts)]
--- a/internal/rollout/fleet_model_test.go
+++ b/internal/rollout/fleet_model_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// scheduledEvent is a function that runs at a virtual time; number orders events of one time.
+// scheduledEvent is a function that runs at a virtual time. number orders events with the same time.
 type scheduledEvent struct {
 	at     time.Duration
 	number int
 	run    func()
 }
 
-// eventQueue is a heap of events by time.
+// eventQueue is a heap of events, ordered by time.
 type eventQueue []scheduledEvent
 
 func (a eventQueue) Len() int { return len(a) }
@@ -27,7 +27,7 @@
 func (a *eventQueue) Push(v any)   { *a = append(*a, v.(scheduledEvent)) }
 func (a *eventQueue) Pop() any     { v := (*a)[len(*a)-1]; *a = (*a)[:len(*a)-1]; return v }
 
-// removedGuard is a guard that the model leaves out, to show that its checks find that.
+// removedGuard is a safety mechanism that the model omits, to show that its checks detect the omission.
 type removedGuard int
 
 const (
@@ -37,9 +37,9 @@
 	trustSentCommands
 )
 
-// fleetModel is a fleet, its coordinators and the network between them, in virtual time. Messages are delayed, lost, or
-// delivered after their sender has timed out; members pause, end and come back; coordinators crash at any of their
-// writes and start again, or two of them run at once.
+// fleetModel simulates a fleet, its coordinators and the network between them in virtual time. Messages are delayed,
+// lost, or delivered after their sender has timed out. Members pause, stop and restart. Coordinators crash at any of
+// their writes and are resumed, or two of them run at the same time.
 type fleetModel struct {
 	rng                 *rand.Rand
 	now                 time.Duration
@@ -47,15 +47,15 @@
 	scheduledCount      int
 	plan                Plan
 	members             []*modelMember
-	writtenCommands     map[string]bool   // ids of commands in a log
-	ownerByEpoch        map[uint64]string // whose commands ran
+	writtenCommands     map[string]bool   // ids of commands that are in a log
+	ownerByEpoch        map[uint64]string // owner whose commands members have run, by epoch
 	violations          []string
 	lossRate            float64
-	verdicts            []Verdict // by stage
-	judgesWorseOnlyOnce bool      // the judge sees a fault once only
+	verdicts            []Verdict // the judge's verdicts, by stage
+	judgesWorseOnlyOnce bool      // the judge returns VerdictWorse only one time
 	wasJudgedWorse      bool
 	isRollbackSeen      bool
-	hasOneCoordinator   bool // at any time
+	hasOneCoordinator   bool // at most one coordinator runs at any time
 	removedGuard        removedGuard
 	coordinators        []*coordinator
 }
@@ -78,7 +78,7 @@
 }
 func (model *fleetModel) isMessageLost() bool { return model.rng.Float64() < model.lossRate }
 
-// deliver delivers a message to a member; one that does not serve never gets it.
+// deliver delivers a message to a member. A paused member gets it after the pause; one that does not serve never gets it.
 func (model *fleetModel) deliver(m *modelMember, f func()) {
 	if model.isMessageLost() {
 		return
@@ -93,7 +93,7 @@
 	})
 }
 
-// checkNeighbouringGenerations checks that all members run versions of two neighbouring generations.
+// checkNeighbouringGenerations checks that all members run versions of two adjacent generations.
 func (model *fleetModel) checkNeighbouringGenerations() {
 	for p := 1; p < len(model.plan.Members[0].Versions); p++ {
 		if !slices.ContainsFunc(model.members, func(m *modelMember) bool {
@@ -110,7 +110,7 @@
 	model.reportViolation("members run versions of generations that are not adjacent: %v", runs)
 }
 
-// startCoordinator starts a coordinator, which resumes what is in the log.
+// startCoordinator starts a coordinator. It resumes the change if the log has entries.
 func (model *fleetModel) startCoordinator(log *[]Entry, rollBack bool, crashAtWrite int) *coordinator {
 	name := fmt.Sprintf("c%d", len(model.coordinators))
 	rng := rand.New(rand.NewPCG(model.rng.Uint64(), 1))
@@ -133,7 +133,7 @@
 	return c
 }
 
-// injectFaults has members pause, end and come back until a time.
+// injectFaults pauses, stops and restarts random members until a given time.
 func (model *fleetModel) injectFaults(until time.Duration) {
 	if model.now > until {
 		return
@@ -156,20 +156,21 @@
 			}
 		})
 	default:
-		m.isServing, m.waiting = false, nil // they end with its process
+		m.isServing, m.waiting = false, nil // waiting commands are lost with the process
 		if versions := model.plan.Members[m.index].Versions; len(versions) == 2 && model.rng.IntN(4) == 0 {
-			m.version, m.revertedAt = versions[0], model.now // its supervisor knows no other version
+			m.version, m.revertedAt = versions[0], model.now // the member's supervisor restarts it with the old version
 		}
 		if model.rng.IntN(6) == 0 {
 			m.epoch, m.owner, m.lastCommand, m.lossToken = 0, "", "", fmt.Sprint("t", model.scheduledCount)
-			clear(m.executions) // it has forgotten them
+			clear(m.executions) // the member has lost its record of executed commands
 		}
 		model.schedule(duration, func() { m.isServing = true })
 	}
 	model.schedule(time.Duration(model.rng.IntN(6000))*time.Millisecond, func() { model.injectFaults(until) })
 }
 
-// drawFaults draws what gets lost, what is judged, which members fail with what, and what befalls them.
+// drawFaults draws the loss rate, the judge's verdicts, the versions that members fail to start, and whether faults are
+// injected.
 func (model *fleetModel) drawFaults(phases int) {
 	rng, n := model.rng, len(model.members)
 	switch rng.IntN(4) {
@@ -201,10 +202,10 @@
 // Limits of a run of the model.
 const (
 	maxModelTime     = 2 * time.Hour
-	maxModelRestarts = 6 // of coordinators; the last two do not crash by plan
+	maxModelRestarts = 6 // restarts of coordinators; the last two are not made to crash
 )
 
-// runSeed runs the model of a seed to its end, and returns it with the coordinator that decided in the end.
+// runSeed runs the model with a seed to its end, and returns it with the coordinator that owned the fleet last.
 func runSeed(seed uint64, removed removedGuard) (*fleetModel, *coordinator) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	model := &fleetModel{rng: rng, writtenCommands: map[string]bool{}, ownerByEpoch: map[uint64]string{}, removedGuard: removed, hasOneCoordinator: true}
@@ -216,7 +217,7 @@
 		crashAtWrite = 1 + rng.IntN(30)
 	}
 	first := model.startCoordinator(log, false, crashAtWrite)
-	if rng.IntN(5) == 0 { // another runs at the same time with a log of its own: a log has one writer
+	if rng.IntN(5) == 0 { // a second coordinator runs concurrently, with its own log since a log has one writer
 		model.hasOneCoordinator = false
 		model.schedule(time.Duration(rng.IntN(30000))*time.Millisecond, func() {
 			model.startCoordinator(new([]Entry), false, 0)
@@ -238,7 +239,7 @@
 			m.Versions = append(m.Versions, fmt.Sprint("g", generation))
 		}
 		if phases > 1 && model.rng.IntN(3) == 0 {
-			m.Versions[1] = m.Versions[0] // this phase leaves the member alone
+			m.Versions[1] = m.Versions[0] // phase 1 does not change this member
 		}
 		model.plan.Members = append(model.plan.Members, m)
 		model.members = append(model.members, &modelMember{index: i, version: m.Versions[0], isServing: true, brokenVersions: map[string]bool{}, executions: map[string]int{}})
@@ -246,8 +247,8 @@
 	return phases
 }
 
-// runToEnd runs the model, and resumes crashed coordinators, until one has ended or a check has failed. It returns the
-// one that decides.
+// runToEnd runs the model and resumes crashed coordinators until one has ended or a check has failed. It returns the
+// coordinator that owned the fleet last.
 func (model *fleetModel) runToEnd(decider *coordinator) *coordinator {
 	for restarts := 0; ; {
 		if !model.runQueue() {
@@ -266,7 +267,7 @@
 		if model.rng.IntN(3) == 0 && restarts < maxModelRestarts-1 {
 			crashAtWrite = 1 + model.rng.IntN(12)
 		}
-		if model.startCoordinator(decider.log, model.rng.IntN(4) == 0, crashAtWrite) == nil { // the old one crashed right after it had written its end
+		if model.startCoordinator(decider.log, model.rng.IntN(4) == 0, crashAtWrite) == nil { // it crashed right after writing its end
 			last := (*decider.log)[len(*decider.log)-1]
 			decider.end = &End{Result(last.Outcome), last.Reason}
 			return decider
@@ -287,7 +288,7 @@
 	return true
 }
 
-// newestOwner returns the coordinator of the newest epoch, which decides; where the last one has that, the last.
+// newestOwner returns the coordinator with the newest epoch. If several have it, the one that started last is preferred.
 func (model *fleetModel) newestOwner() *coordinator {
 	newest := model.coordinators[len(model.coordinators)-1]
 	for _, c := range model.coordinators {
@@ -298,12 +299,12 @@
 	return newest
 }
 
-// checkEnd checks what a complete run has come to.
+// checkEnd checks the members' versions at the end of a complete run against the result.
 func (model *fleetModel) checkEnd(c *coordinator) {
 	if len(model.violations) > 0 || c.end == nil {
 		return
 	}
-	generation := -1 // any
+	generation := -1 // any generation is allowed
 	switch c.end.Result {
 	case ResultDone:
 		generation = len(model.plan.Members[0].Versions) - 1
@@ -315,7 +316,7 @@
 	}
 	for _, m := range model.members {
 		if m.revertedAt > 0 && m.revertedAt > c.endedAt-3*time.Second {
-			continue // no coordinator could notice it
+			continue // the member lost its version too late for the coordinator to notice
 		}
 		if generation >= 0 && m.version != model.plan.Members[m.index].Versions[generation] && m.isServing {
 			model.reportViolation("the result is %q, but member %d runs %s", c.end.Result, m.index, m.version)
--- a/internal/rollout/member_model_test.go
+++ b/internal/rollout/member_model_test.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// modelMember is a member of the model: it follows the protocol of claims and commands.
+// modelMember is a member in the model. It implements the protocol of claims and commands.
 type modelMember struct {
 	index          int
 	version        string
 	epoch          uint64
 	owner          string
-	lossToken      string // set while it has lost its state
-	lastCommand    string // id of the command that ended last, with its outcome
+	lossToken      string // set while the member has lost its state
+	lastCommand    string // id of the last finished command; outcome is its result
 	outcome        error
 	isServing      bool
 	isPaused       bool
-	inbox          []func() // messages that came while it was paused
-	waiting        []func() // commands that wait for the running one
+	inbox          []func() // messages that arrived during a pause
+	waiting        []func() // commands that wait until the running one has ended
 	running        string   // id of the running command
 	isExecuting    bool
-	brokenVersions map[string]bool // that it fails to start
-	executions     map[string]int  // by command id
-	lastEpoch      uint64          // of the commands that it ran
-	revertedAt     time.Duration   // when it lost its version; 0 is never
+	brokenVersions map[string]bool // versions that the member fails to start
+	executions     map[string]int  // number of executions by command id
+	lastEpoch      uint64          // newest epoch of the commands that the member has run
+	revertedAt     time.Duration   // when the member last lost its version; 0 if never
 }
 
-// claim answers a coordinator's claim.
+// claim returns the reply to a coordinator's claim.
 func (m *modelMember) claim(claim Claim) ClaimReplied {
 	reply := ClaimReplied{Member: claim.Member, Epoch: claim.Epoch, Reply: ReplyOK}
 	switch {
@@ -41,7 +41,7 @@
 	return reply
 }
 
-// execute runs a command, or rejects it, and answers once it has ended.
+// execute runs or rejects a command, and replies when it has ended.
 func (m *modelMember) execute(model *fleetModel, command Command, sendReply func(Reply, error)) {
 	if rejection, ok := m.reject(model, command); ok {
 		sendReply(rejection, nil)
@@ -62,7 +62,7 @@
 	model.schedule(duration, func() { m.finish(model, command, sendReply) })
 }
 
-// reject returns the reply to a command that the member may not run.
+// reject returns the reply to a command that the member must not run, and false if it may run the command.
 func (m *modelMember) reject(model *fleetModel, command Command) (Reply, bool) {
 	switch {
 	case m.lossToken != "":
@@ -76,7 +76,7 @@
 	}
 }
 
-// checkStart checks what must hold of a command that starts.
+// checkStart checks the invariants of a command that starts: it runs once, is in the log, and its epoch is valid.
 func (m *modelMember) checkStart(model *fleetModel, command Command) {
 	if m.executions[command.ID]++; m.executions[command.ID] > 1 {
 		model.reportViolation("member %d has run %s %d times", m.index, command.ID, m.executions[command.ID])
@@ -94,7 +94,7 @@
 	m.lastEpoch = command.Epoch
 }
 
-// finish ends the running command, and starts the next that waits.
+// finish ends the running command and starts the next waiting one.
 func (m *modelMember) finish(model *fleetModel, command Command, sendReply func(Reply, error)) {
 	m.isExecuting, m.running = false, ""
 	m.lastCommand, m.outcome = command.ID, nil
@@ -121,7 +121,7 @@
 	sendReply(ReplyOK, nil)
 }
 
-// checkUnavailable checks how many members run a command at once.
+// checkUnavailable checks that no more than MaxUnavailable members run a command at the same time.
 func (model *fleetModel) checkUnavailable() {
 	executing := 0
 	for _, m := range model.members {
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -10,9 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is lost, delayed, paused or ended, and wherever a coordinator crashes: all members run the old version or the
-// new one in the end, or the result says that they don't; an epoch has one owner; two neighbouring generations at most
-// are in force; not too many members change at once; a command runs once, and is written before.
+// Runs the model with lost and delayed messages, pausing and restarting members, and crashing coordinators. In the end
+// all members must run the old or the new version, unless the result states otherwise. At any time an epoch has one
+// owner, at most two adjacent generations are in force, at most MaxUnavailable members change, and each command runs
+// once and only after it was written to the log.
 func TestModelKeepsInvariantsUnderFaults(t *testing.T) {
 	seeds := uint64(2000)
 	if testing.Short() {
@@ -48,7 +49,7 @@
 	return b.String()
 }
 
-// The checks of the model detect that a guard is left out.
+// The checks of the model must detect the omission of each guard.
 func TestModelDetectsRemovedGuards(t *testing.T) {
 	for removed, name := range map[removedGuard]string{withoutEpochCheck: "no check of epochs", withoutLogWrite: "commands not written to the log", trustSentCommands: "versions taken from sent commands"} {
 		found := slices.ContainsFunc(slices.Collect(countUpTo(3000)), func(seed uint64) bool {
@@ -118,7 +119,7 @@
 	if err := p.Validate(); err == nil || !strings.Contains(err.Error(), "stage 2, 10%, has 2 of 20 members, fewer than the 5") {
 		t.Error(err)
 	}
-	// Any prefix is spread over regions and zones.
+	// Any prefix of the order must be spread over regions and zones.
 	rapid.Check(t, func(t *rapid.T) {
 		n, regions := rapid.IntRange(1, 60).Draw(t, "n"), rapid.IntRange(1, 4).Draw(t, "regions")
 		p := newTestPlan(n, regions, nil)
@@ -138,7 +139,8 @@
 	})
 }
 
-// harness feeds a Rollout whose members do everything at once, and records its actions, a word each.
+// harness drives a Rollout whose members execute every command immediately. It records the actions as short texts:
+// "+N" changes member N, "-N" rolls it back, and "~N" restarts it as a control.
 type harness struct {
 	rollout     *Rollout
 	t           *testing.T
