--- a/internal/canary/compare.go
+++ b/internal/canary/compare.go
@@ -152,22 +152,22 @@
 // estimateVariances estimates the variance of each member from the unchanged members. It returns false if these have
 // too few batches.
 func (c *comparison) estimateVariances() bool {
-	var spread pooledVariance
+	var pooled pooledVariance
 	if isRelative(c.measure) {
-		spread = varianceOverTime(c.referenceWindows, slices.Repeat([]float64{1}, len(c.referenceWindows)), c.countedMeasure)
+		pooled = varianceOverTime(c.referenceWindows, slices.Repeat([]float64{1}, len(c.referenceWindows)), c.countedMeasure)
 	} else {
-		spread = dispersion(c.referenceWindows, c.measure, c.requestWeight, c.minDifference)
+		pooled = dispersion(c.referenceWindows, c.measure, c.requestWeight, c.minDifference)
 	}
-	if spread.degreesOfFreedom < minDegreesOfFreedom {
+	if pooled.degreesOfFreedom < minDegreesOfFreedom {
 		return false
 	}
-	c.sideVariance = spread.variance * (1 + 4/float64(spread.degreesOfFreedom)) * float64(len(c.members)) / float64(len(c.members)-1)
+	c.sideVariance = pooled.variance * (1 + 4/float64(pooled.degreesOfFreedom)) * float64(len(c.members)) / float64(len(c.members)-1)
 	if c.judge.options.Without.Cluster {
 		c.sideVariance = min(c.sideVariance, 1)
 	}
 	perReading := 0.0
 	if isRelative(c.measure) && !c.judge.options.Without.Cluster {
-		perReading = ratioVariance(c.referenceWindows, c.countedMeasure) * (1 + 4/float64(spread.degreesOfFreedom))
+		perReading = ratioVariance(c.referenceWindows, c.countedMeasure) * (1 + 4/float64(pooled.degreesOfFreedom))
 	}
 	c.memberVariances = make([]float64, len(c.members))
 	for i, w := range c.windows {
--- a/internal/canary/judge_test.go
+++ b/internal/canary/judge_test.go
@@ -36,14 +36,14 @@
 		f.now += 10 * time.Second
 		for i := range f.readings {
 			statistics := &f.readings[i].Statistics
-			n := 150 + f.rng.IntN(100)
-			statistics.Requests += uint64(n)
-			statistics.OfferedWeight += float64(n)
-			statistics.Served += float64(n)
-			statistics.Units += float64(n)
-			statistics.CPU += time.Duration(n) * time.Millisecond
+			requests := 150 + f.rng.IntN(100)
+			statistics.Requests += uint64(requests)
+			statistics.OfferedWeight += float64(requests)
+			statistics.Served += float64(requests)
+			statistics.Units += float64(requests)
+			statistics.CPU += time.Duration(requests) * time.Millisecond
 			statistics.MemoryKB = 100000 + f.rng.IntN(1000)
-			for range n / 5 {
+			for range requests / 5 {
 				statistics.Delays.Add(time.Duration(20+f.rng.IntN(10)) * time.Millisecond)
 			}
 			if each != nil {
@@ -66,9 +66,9 @@
 	}
 }
 
-func addFailures(r *Reading, n int) {
-	r.Statistics.Failed += uint64(n)
-	r.Statistics.Served -= float64(n)
+func addFailures(r *Reading, failures int) {
+	r.Statistics.Failed += uint64(failures)
+	r.Statistics.Served -= float64(failures)
 }
 
 // verdictCases define how the readings of a fleet of twelve members change after one member has changed, the number of
--- a/internal/canary/unchanged.go
+++ b/internal/canary/unchanged.go
@@ -90,12 +90,12 @@
 	if minDenominator <= 0 || len(current) < minWindowBatches {
 		return stepChange{}, false
 	}
-	spread := varianceOverTime([][]batch{u.previous, current}, []float64{1, 1}, measure)
-	if spread.degreesOfFreedom < minDegreesOfFreedom {
+	pooled := varianceOverTime([][]batch{u.previous, current}, []float64{1, 1}, measure)
+	if pooled.degreesOfFreedom < minDegreesOfFreedom {
 		return stepChange{}, false
 	}
 	previousRatio := previousNumerator / previousDenominator
-	variance := max(spread.variance, (previousRatio+j.options.margin(measure)/4)*j.requestWeight(measure)) * (1/previousDenominator + 1/denominator)
+	variance := max(pooled.variance, (previousRatio+j.options.margin(measure)/4)*j.requestWeight(measure)) * (1/previousDenominator + 1/denominator)
 	return stepChange{
 		difference: numerator/denominator - previousRatio,
 		variance:   variance,
