--- a/internal/rollout/layout.go
+++ b/internal/rollout/layout.go
@@ -5,53 +5,56 @@
 	"slices"
 )
 
-// phase is the way from one generation to the next.
+// phase is the transition from one generation to the next.
 type phase struct {
 	stages  [][]int // the members that each stage adds
-	members []int   // those of all stages, in order
+	members []int   // the members of all stages, in order
 }
 
-// layout lays out every phase's stages. It returns an error where a stage is smaller than the one before it.
-func (p *Plan) layout() ([]phase, error) {
+// buildPhases assigns the members that each phase changes to its stages. It returns an error if a stage would have
+// fewer members than the one before it.
+func (p *Plan) buildPhases() ([]phase, error) {
 	phases := make([]phase, len(p.Members[0].Versions)-1)
-	for k := range phases {
-		for _, group := range p.changedGroups(k) {
-			group = p.spread(group)
+	for phaseIndex := range phases {
+		for _, group := range p.changedGroups(phaseIndex) {
+			group = p.interleaveLocations(group)
 			stages, err := p.divide(group)
 			if err != nil {
 				return nil, err
 			}
-			phases[k].stages = append(phases[k].stages, stages...)
-			phases[k].members = append(phases[k].members, group...)
+			phases[phaseIndex].stages = append(phases[phaseIndex].stages, stages...)
+			phases[phaseIndex].members = append(phases[phaseIndex].members, group...)
 		}
 	}
 	return phases, nil
 }
 
-// changedGroups returns the members that phase k changes, in groups that change one after another.
-func (p *Plan) changedGroups(k int) [][]int {
+// changedGroups returns the members that a phase changes, in groups that change one after another: one group for each
+// region of RegionOrder, or a single group without it.
+func (p *Plan) changedGroups(phaseIndex int) [][]int {
 	if p.RegionOrder == nil {
-		return [][]int{p.changedMembers(k, func(Member) bool { return true })}
+		return [][]int{p.changedMembers(phaseIndex, func(Member) bool { return true })}
 	}
 	var groups [][]int
-	for _, region := range p.RegionOrder[min(k, len(p.RegionOrder)-1)] {
-		groups = append(groups, p.changedMembers(k, func(m Member) bool { return m.Region == region }))
+	for _, region := range p.RegionOrder[min(phaseIndex, len(p.RegionOrder)-1)] {
+		groups = append(groups, p.changedMembers(phaseIndex, func(m Member) bool { return m.Region == region }))
 	}
 	return groups
 }
 
-// changedMembers returns the matching members that phase k changes.
-func (p *Plan) changedMembers(k int, matches func(Member) bool) []int {
+// changedMembers returns the members that a phase changes and that satisfy matches.
+func (p *Plan) changedMembers(phaseIndex int, matches func(Member) bool) []int {
 	var changed []int
 	for i, m := range p.Members {
-		if matches(m) && m.Versions[k] != m.Versions[k+1] {
+		if matches(m) && m.Versions[phaseIndex] != m.Versions[phaseIndex+1] {
 			changed = append(changed, i)
 		}
 	}
 	return changed
 }
 
-// divide divides a group of members into the plan's stages. Stages that would add no member to a small group drop out.
+// divide divides a group of members into the plan's stages. It skips stages that would add no member, as can happen in
+// a small group.
 func (p *Plan) divide(group []int) ([][]int, error) {
 	var stages [][]int
 	end := 0
@@ -59,7 +62,7 @@
 		start := end
 		end = stage.size(len(group))
 		if end < start {
-			return nil, fmt.Errorf("stages: stage %d, %s, is %d of %d members, less than the %d of the one before it", i+1, stage, end, len(group), start)
+			return nil, fmt.Errorf("stages: stage %d, %s, has %d of %d members, fewer than the %d of the previous stage", i+1, stage, end, len(group), start)
 		}
 		if end > start {
 			stages = append(stages, group[start:end])
@@ -68,9 +71,9 @@
 	return stages, nil
 }
 
-// spread orders members so that any prefix of the list is spread over regions as evenly as can be, and within each
-// region over its zones. Regions and zones keep the order in which they come.
-func (p *Plan) spread(members []int) []int {
+// interleaveLocations orders members so that any prefix of the list is spread as evenly as possible over regions, and
+// within each region over its zones. Regions and zones keep the order of their first member.
+func (p *Plan) interleaveLocations(members []int) []int {
 	regions := groupBy(members, func(i int) string { return p.Members[i].Region })
 	for k, region := range regions {
 		zones := groupBy(region, func(i int) string { return p.Members[i].Zone })
@@ -79,7 +82,7 @@
 	return interleave(regions)
 }
 
-// groupBy groups members by a name, in the order in which the names come.
+// groupBy groups members by the name that nameOf returns, in the order in which the names first occur.
 func groupBy(members []int, nameOf func(int) string) [][]int {
 	var names []string
 	byName := make(map[string][]int)
@@ -97,7 +100,7 @@
 	return groups
 }
 
-// interleave merges lists so that any prefix has the same share of each, and all end together.
+// interleave merges lists so that any prefix of the result holds about the same share of each list.
 func interleave(lists [][]int) []int {
 	var merged []int
 	taken := make([]int, len(lists))
--- a/internal/rollout/member_model_test.go
+++ b/internal/rollout/member_model_test.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// modelMember is a member of the model: it follows the protocol of claims and commands.
+// modelMember is a member in the model. It implements the protocol of claims and commands.
 type modelMember struct {
 	index          int
 	version        string
 	epoch          uint64
 	owner          string
-	lossToken      string // set while it has lost its state
-	lastCommand    string // id of the command that ended last, with its outcome
+	lossToken      string // set while the member has lost its state
+	lastCommand    string // id of the last finished command; outcome is its result
 	outcome        error
 	isServing      bool
 	isPaused       bool
-	inbox          []func() // messages that came while it was paused
-	waiting        []func() // commands that wait for the running one
+	inbox          []func() // messages that arrived during a pause
+	waiting        []func() // commands that wait until the running one has ended
 	running        string   // id of the running command
 	isExecuting    bool
-	brokenVersions map[string]bool // that it fails to start
-	executions     map[string]int  // by command id
-	lastEpoch      uint64          // of the commands that it ran
-	revertedAt     time.Duration   // when it lost its version; 0 is never
+	brokenVersions map[string]bool // versions that the member fails to start
+	executions     map[string]int  // number of executions by command id
+	lastEpoch      uint64          // newest epoch of the commands that the member has run
+	revertedAt     time.Duration   // when the member last lost its version; 0 if never
 }
 
-// claim answers a coordinator's claim.
+// claim returns the reply to a coordinator's claim.
 func (m *modelMember) claim(claim Claim) ClaimReplied {
 	reply := ClaimReplied{Member: claim.Member, Epoch: claim.Epoch, Reply: ReplyOK}
 	switch {
@@ -41,33 +41,33 @@
 	return reply
 }
 
-// execute runs a command, or rejects it, and answers once it has ended.
-func (m *modelMember) execute(model *fleetModel, command Command, answer func(Reply, error)) {
+// execute runs or rejects a command, and replies when it has ended.
+func (m *modelMember) execute(model *fleetModel, command Command, sendReply func(Reply, error)) {
 	if rejection, ok := m.reject(model, command); ok {
-		answer(rejection, nil)
+		sendReply(rejection, nil)
 		return
 	}
 	if command.ID == m.lastCommand {
-		m.answerOutcome(answer)
+		m.replyWithOutcome(sendReply)
 		return
 	}
 	if m.isExecuting {
-		m.waiting = append(m.waiting, func() { m.execute(model, command, answer) })
+		m.waiting = append(m.waiting, func() { m.execute(model, command, sendReply) })
 		return
 	}
 	m.isExecuting, m.running = true, command.ID
 	m.checkStart(model, command)
 	model.checkUnavailable()
 	duration := time.Duration(50+model.rng.IntN(1500)) * time.Millisecond
-	model.after(duration, func() { m.finish(model, command, answer) })
+	model.schedule(duration, func() { m.finish(model, command, sendReply) })
 }
 
-// reject returns the reply to a command that the member may not run.
+// reject returns the reply to a command that the member must not run, and false if it may run the command.
 func (m *modelMember) reject(model *fleetModel, command Command) (Reply, bool) {
 	switch {
 	case m.lossToken != "":
 		return ReplyUngranted, true
-	case model.mutation == withoutEpochCheck || command.Epoch == m.epoch && command.Owner == m.owner:
+	case model.removedGuard == withoutEpochCheck || command.Epoch == m.epoch && command.Owner == m.owner:
 		return ReplyOK, false
 	case command.Epoch > m.epoch:
 		return ReplyUngranted, true
@@ -76,36 +76,36 @@
 	}
 }
 
-// checkStart checks what must hold of a command that starts.
+// checkStart checks the invariants of a command that starts: it runs once, is in the log, and its epoch is valid.
 func (m *modelMember) checkStart(model *fleetModel, command Command) {
 	if m.executions[command.ID]++; m.executions[command.ID] > 1 {
-		model.violate("member %d has run %s %d times", m.index, command.ID, m.executions[command.ID])
+		model.reportViolation("member %d has run %s %d times", m.index, command.ID, m.executions[command.ID])
 	}
-	if !model.writtenCommands[command.ID] && model.mutation != withoutWrite {
-		model.violate("command %s was not written before", command.ID)
+	if !model.writtenCommands[command.ID] && model.removedGuard != withoutLogWrite {
+		model.reportViolation("command %s runs before it was written to the log", command.ID)
 	}
 	if owner, ok := model.ownerByEpoch[command.Epoch]; ok && owner != command.Owner {
-		model.violate("epoch %d has two owners that act", command.Epoch)
+		model.reportViolation("two owners of epoch %d have sent commands", command.Epoch)
 	}
 	model.ownerByEpoch[command.Epoch] = command.Owner
 	if command.Epoch < m.lastEpoch {
-		model.violate("member %d ran a command of epoch %d after one of %d", m.index, command.Epoch, m.lastEpoch)
+		model.reportViolation("member %d ran a command of epoch %d after one of %d", m.index, command.Epoch, m.lastEpoch)
 	}
 	m.lastEpoch = command.Epoch
 }
 
-// finish ends the running command, and starts the next that waits.
-func (m *modelMember) finish(model *fleetModel, command Command, answer func(Reply, error)) {
+// finish ends the running command and starts the next waiting one.
+func (m *modelMember) finish(model *fleetModel, command Command, sendReply func(Reply, error)) {
 	m.isExecuting, m.running = false, ""
 	m.lastCommand, m.outcome = command.ID, nil
-	wanted := model.plan.Members[m.index].Versions[command.Generation]
-	if m.brokenVersions[wanted] && !command.IsRestart {
-		m.outcome = errors.New("it does not start")
+	targetVersion := model.plan.Members[m.index].Versions[command.Generation]
+	if m.brokenVersions[targetVersion] && !command.IsRestart {
+		m.outcome = errors.New("the version does not start")
 	} else if !command.IsRestart && m.isServing {
-		m.version = wanted
+		m.version = targetVersion
 		model.checkNeighbouringGenerations()
 	}
-	m.answerOutcome(answer)
+	m.replyWithOutcome(sendReply)
 	if len(m.waiting) > 0 {
 		next := m.waiting[0]
 		m.waiting = m.waiting[1:]
@@ -113,15 +113,15 @@
 	}
 }
 
-func (m *modelMember) answerOutcome(answer func(Reply, error)) {
+func (m *modelMember) replyWithOutcome(sendReply func(Reply, error)) {
 	if m.outcome != nil {
-		answer(ReplyFailed, m.outcome)
+		sendReply(ReplyFailed, m.outcome)
 		return
 	}
-	answer(ReplyOK, nil)
+	sendReply(ReplyOK, nil)
 }
 
-// checkUnavailable checks how many members run a command at once.
+// checkUnavailable checks that no more than MaxUnavailable members run a command at the same time.
 func (model *fleetModel) checkUnavailable() {
 	executing := 0
 	for _, m := range model.members {
@@ -132,6 +132,6 @@
 		}
 	}
 	if model.hasOneCoordinator && executing > model.plan.MaxUnavailable {
-		model.violate("%d at once", executing)
+		model.reportViolation("%d members run commands at the same time", executing)
 	}
 }
--- a/internal/rollout/resume.go
+++ b/internal/rollout/resume.go
@@ -6,12 +6,12 @@
 	"math/rand/v2"
 )
 
-// rollbackByOperator is the cause of a rollback that the operator requested.
+// rollbackByOperator is the cause of a rollback that an operator has requested.
 const rollbackByOperator = "rollback requested by the operator"
 
-// Resume returns a coordinator that goes on with a change from the entries of its rollout log. What the members run
-// is not taken from the log: their statuses report it. rollBack rolls the change back from wherever it is. It returns
-// an error where the change is over, or the entries do not fit the plan.
+// Resume returns a coordinator that continues a change from the entries of its rollout log. The members' versions are
+// not taken from the log but from their statuses. If rollBack is set, the change is rolled back from its current
+// position. Resume returns an error if the change is over or the entries do not match the plan.
 func Resume(plan Plan, owner string, rng *rand.Rand, entries []Entry, rollBack bool) (*Rollout, error) {
 	r, err := New(plan, owner, rng)
 	if err != nil {
@@ -41,12 +41,12 @@
 	return r, nil
 }
 
-// restoreCommands prepares the commands that have not ended: one that is still wanted is sent again under its id, and
-// the others are dropped.
+// restoreCommands prepares the commands that have not ended: a command that still leads to the target generation will
+// be resent under its id, and the others are dropped.
 func (r *Rollout) restoreCommands() {
-	wanted := r.phase
+	targetGeneration := r.phase
 	if r.isRollbackWanted {
-		wanted = r.rollbackGeneration
+		targetGeneration = r.rollbackGeneration
 	}
 	for i := range r.members {
 		m := &r.members[i]
@@ -54,13 +54,13 @@
 			continue
 		}
 		m.command.isReplyLost = true
-		if m.command.isRestart || m.command.generation != wanted {
+		if m.command.isRestart || m.command.generation != targetGeneration {
 			m.dropCommand()
 		}
 	}
 }
 
-// replay takes in one entry of the log. index is the members' by name.
+// replay applies one entry of the log to the state. index maps member names to indexes.
 func (r *Rollout) replay(entry *Entry, index map[string]int) error {
 	switch entry.Kind {
 	case EntryEpoch:
@@ -70,9 +70,9 @@
 	case EntryCommand, EntryOutcome, EntryAbandoned:
 		i, ok := index[entry.Member]
 		if !ok {
-			return fmt.Errorf("there is no member %q in its plan", entry.Member)
+			return fmt.Errorf("the plan has no member %q", entry.Member)
 		}
-		return r.replayOfMember(entry, &r.members[i])
+		return r.replayMemberEntry(entry, &r.members[i])
 	case EntryRollback:
 		r.isRollbackWanted = true
 		r.rollbackCause = entry.Reason
@@ -82,15 +82,15 @@
 		}
 	case EntryRollbackPhase:
 		if entry.Generation < 0 || entry.Generation >= len(r.phases) {
-			return fmt.Errorf("there is no generation %d in its plan", entry.Generation)
+			return fmt.Errorf("the plan has no generation %d to roll back to", entry.Generation)
 		}
 		r.rollbackGeneration = entry.Generation
 	case EntryEnd:
 		r.result = Result(entry.Outcome)
 		r.reason = entry.Reason
-	case EntryOwned, EntryBake, EntryVerdict: // nothing follows from them
+	case EntryOwned, EntryBake, EntryVerdict: // these do not affect the state of a resumed coordinator
 	default:
-		return errors.New("its kind is unknown")
+		return errors.New("the kind of entry is unknown")
 	}
 	return nil
 }
@@ -98,7 +98,7 @@
 func (r *Rollout) replayStage(entry *Entry) error {
 	isPhase := entry.Phase >= 1 && entry.Phase <= len(r.phases)
 	if !isPhase || entry.Stage < 1 || entry.Stage > len(r.phases[entry.Phase-1].stages) {
-		return fmt.Errorf("there is no stage %d of phase %d in its plan", entry.Stage, entry.Phase)
+		return fmt.Errorf("the plan has no stage %d in phase %d", entry.Stage, entry.Phase)
 	}
 	r.isPhaseKnown = true
 	r.phase = entry.Phase
@@ -106,20 +106,20 @@
 	return nil
 }
 
-func (r *Rollout) replayOfMember(entry *Entry, m *member) error {
+func (r *Rollout) replayMemberEntry(entry *Entry, m *member) error {
 	switch entry.Kind {
 	case EntryCommand:
 		if entry.Generation < 0 || entry.Generation > len(r.phases) || entry.ID == "" {
-			return errors.New("it has no valid command")
+			return errors.New("the command has no id or an invalid generation")
 		}
 		m.command = &command{id: entry.ID, generation: entry.Generation, isRestart: entry.IsRestart}
 		r.hasCommanded = true
 	case EntryOutcome:
 		if m.command != nil && m.command.id == entry.ID {
 			m.command = nil
-			m.isSuspect = m.isSuspect && entry.Outcome != outcomeDone
+			m.mayRunDroppedCommand = m.mayRunDroppedCommand && entry.Outcome != outcomeDone
 		}
-	default: // an abandoned member is tried again
+	default: // EntryAbandoned: the resumed coordinator retries an abandoned member
 	}
 	return nil
 }
