--- a/internal/scattergather/admission.go
+++ b/internal/scattergather/admission.go
@@ -20,7 +20,7 @@
 	cancels    []context.CancelFunc // by leaf; nil is not called
 	isDecided  []bool               // by leaf
 	isAdmitted []bool               // by leaf
-	answered   []*partEvent         // by leaf; nil has not ended
+	endEvents  []*partEvent         // by leaf; nil has not ended
 	undecided  int                  // leaves
 	rejectedBy int                  // the first leaf that rejected the query for a quota, or noLeaf
 }
@@ -33,7 +33,7 @@
 		cancels:    make([]context.CancelFunc, leaves),
 		isDecided:  make([]bool, leaves),
 		isAdmitted: make([]bool, leaves),
-		answered:   make([]*partEvent, leaves),
+		endEvents:  make([]*partEvent, leaves),
 		undecided:  leaves,
 		rejectedBy: noLeaf,
 	}
@@ -99,14 +99,14 @@
 // awaitEvents processes the next events; false after a rejection or the timeout.
 func (a *admission) awaitEvents(timeout context.Context) bool {
 	select {
-	case <-a.hasResults:
+	case <-a.hasEvents:
 	case <-timeout.Done():
 		// On an overloaded machine both may be ready at once: events that arrived in time are processed.
-		if a.hasNoResults() {
+		if a.hasNoEvents() {
 			return false
 		}
 	}
-	for _, event := range a.takeResults() {
+	for _, event := range a.takeEvents() {
 		a.process(event)
 	}
 	return a.rejectedBy == noLeaf
@@ -122,7 +122,7 @@
 		a.isAdmitted[leaf] = true
 		return
 	}
-	a.answered[leaf] = &event
+	a.endEvents[leaf] = &event
 	if isQuotaRejection(event.answer) && a.rejectedBy == noLeaf {
 		a.rejectedBy = leaf
 	}
@@ -134,8 +134,8 @@
 	now := a.elapsed()
 	for leaf := range a.Calls {
 		switch {
-		case a.answered[leaf] != nil:
-			a.query.LeafEnded(now, a.Leaves[leaf], leaf, a.answered[leaf].result)
+		case a.endEvents[leaf] != nil:
+			a.query.LeafEnded(now, a.Leaves[leaf], leaf, a.endEvents[leaf].result)
 		case a.isAdmitted[leaf]:
 			a.Calls[leaf].Exchange.OpenGate()
 		default:
--- a/internal/scattergather/call.go
+++ b/internal/scattergather/call.go
@@ -69,28 +69,28 @@
 	if r.isFinished {
 		return false
 	}
-	r.results = append(r.results, event)
+	r.pendingEvents = append(r.pendingEvents, event)
 	select {
-	case r.hasResults <- struct{}{}:
+	case r.hasEvents <- struct{}{}:
 	default:
 	}
 	return true
 }
 
 // takeResults returns the queued events and removes them.
-func (r *Run) takeResults() []partEvent {
+func (r *Run) takeEvents() []partEvent {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	events := r.results
-	r.results = nil
+	events := r.pendingEvents
+	r.pendingEvents = nil
 	return events
 }
 
 // hasNoResults reports whether no event is queued.
-func (r *Run) hasNoResults() bool {
+func (r *Run) hasNoEvents() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.results) == 0
+	return len(r.pendingEvents) == 0
 }
 
 // isQuotaRejection reports whether a module has rejected a call because its customer's quota is used up.
--- a/internal/scattergather/decision.go
+++ b/internal/scattergather/decision.go
@@ -8,7 +8,7 @@
 )
 
 // idleTimer is the initial duration of a timer that is reset before it is waited for.
-const idleTimer = time.Hour
+const initialTimerDuration = time.Hour
 
 // startDeciding creates the query and a wait policy for each of its gatherers. From now on outcomes are learned.
 func (r *Run) startDeciding() {
@@ -34,7 +34,7 @@
 
 // awaitDecision processes events until the query is decided or the client leaves.
 func (r *Run) awaitDecision(ctx context.Context) Final {
-	timer := time.NewTimer(idleTimer)
+	timer := time.NewTimer(initialTimerDuration)
 	defer timer.Stop()
 	for {
 		now := r.elapsed()
@@ -49,8 +49,8 @@
 		}
 		timer.Reset(max(0, min(step.Until, r.Timeout)-now))
 		select {
-		case <-r.hasResults:
-			r.processResults()
+		case <-r.hasEvents:
+			r.processEvents()
 		case <-timer.C:
 		case <-ctx.Done():
 			return r.clientGone()
@@ -59,9 +59,9 @@
 }
 
 // processResults hands the results that have arrived to the query.
-func (r *Run) processResults() {
+func (r *Run) processEvents() {
 	now := r.elapsed()
-	for _, event := range r.takeResults() {
+	for _, event := range r.takeEvents() {
 		if !event.isAdmission {
 			r.query.LeafEnded(now, r.Leaves[event.leaf], event.leaf, event.result)
 		}
@@ -109,8 +109,8 @@
 func (r *Run) finish(outcome QueryOutcome) Final {
 	r.mu.Lock()
 	r.isFinished = true
-	late := r.results
-	r.results = nil
+	late := r.pendingEvents
+	r.pendingEvents = nil
 	for _, event := range late {
 		r.releaseReserved(event.leaf)
 	}
--- a/internal/scattergather/headers.go
+++ b/internal/scattergather/headers.go
@@ -69,7 +69,7 @@
 	}
 	for name := range strings.SplitSeq(value, ",") {
 		name = strings.Trim(name, whitespace)
-		if name == "" || strings.ContainsFunc(name, isOutsidePath) {
+		if name == "" || strings.ContainsFunc(name, isInvalidInPath) {
 			return nil, fmt.Errorf("%s: %q", HeaderMissing, name)
 		}
 		names = append(names, name)
@@ -78,4 +78,4 @@
 }
 
 // isOutsidePath reports whether a character cannot be part of a path: space, control and non-ASCII characters.
-func isOutsidePath(c rune) bool { return c <= ' ' || c >= 0x7f }
+func isInvalidInPath(c rune) bool { return c <= ' ' || c >= 0x7f }
--- a/internal/scattergather/merge_test.go
+++ b/internal/scattergather/merge_test.go
@@ -16,9 +16,9 @@
 
 func TestCheckAndJoin(t *testing.T) {
 	for _, c := range []struct {
-		m    Merge
-		in   []string
-		want string // "" is that the last can't be merged
+		merge Merge
+		in    []string
+		want  string // "" is that the last can't be merged
 	}{
 		{Array, []string{}, "[]"},
 		{Array, []string{"[]", " [ ] "}, "[]"},
@@ -37,16 +37,16 @@
 		{Lines, []string{"1\n{\n"}, ""},
 		{Lines, []string{"1 2"}, ""},
 	} {
-		var all [][]byte
+		var contents [][]byte
 		var err error
 		for _, in := range c.in {
-			var one []byte
-			if one, err = c.m.Check([]byte(in)); err != nil {
+			var content []byte
+			if content, err = c.merge.Check([]byte(in)); err != nil {
 				break
 			}
-			all = append(all, one)
+			contents = append(contents, content)
 		}
-		pieces, size := c.m.Join(all)
+		pieces, size := c.merge.Join(contents)
 		if got := string(bytes.Join(pieces, nil)); err == nil && (got != c.want || size != len(got)) || (err != nil) != (c.want == "" && len(c.in) > 0) {
 			t.Errorf("%q: %q of %d, %v", c.in, got, size, err)
 		}
@@ -96,11 +96,11 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		var one []json.RawMessage
+		var elements []json.RawMessage
 		if c, err := Array.Check(body); err == nil {
 			pieces, _ := Array.Join([][]byte{[]byte("7"), c, []byte("8,9")})
-			var all []json.RawMessage
-			if json.Unmarshal(body, &one) != nil || json.Unmarshal(bytes.Join(pieces, nil), &all) != nil || len(all) != len(one)+3 {
+			var merged []json.RawMessage
+			if json.Unmarshal(body, &elements) != nil || json.Unmarshal(bytes.Join(pieces, nil), &merged) != nil || len(merged) != len(elements)+3 {
 				t.Errorf("%q: %q", body, pieces)
 			}
 		}
@@ -136,15 +136,15 @@
 }
 
 // mentions counts how often a response contains a leaf, names it, or names a gatherer above it.
-func (w *Response) mentions(root *Tree, leaf string) (n int) {
-	for _, c := range w.Contents {
+func (response *Response) mentions(root *Tree, leaf string) (n int) {
+	for _, c := range response.Contents {
 		if string(c) == leaf {
 			n++
 		}
 	}
-	for _, m := range w.Missing {
-		path := strings.Split(m, "/")
-		if last := path[len(path)-1]; last == leaf || last != "x" && last != "y" && reaches(root, last, leaf) {
+	for _, missing := range response.Missing {
+		path := strings.Split(missing, "/")
+		if last := path[len(path)-1]; last == leaf || last != "x" && last != "y" && hasLeafBelow(root, last, leaf) {
 			n++
 		}
 	}
@@ -153,78 +153,78 @@
 
 // Over any tree and any order of results: an answer contains what it claims, its counts add up, each part is in it
 // or named once, and there is no answer below MinShare.
-func TestAnswerClaimsWhatItContains(t *testing.T) {
+func TestAnswerReportsItsContents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		root := drawTree(t, new(int), 2)
 		leaves := root.NumberParts()
-		q := Begin(root, len(leaves), 0, func(tree *Tree) Decider {
-			s := &waitpolicy.Settings{
+		query := Begin(root, len(leaves), 0, func(tree *Tree) Decider {
+			settings := &waitpolicy.Settings{
 				MinShare: tree.MinShare, HalfLife: time.Second, Mode: waitpolicy.Fixed,
 				Fixed: time.Duration(rapid.IntRange(1, 50).Draw(t, "fixed")) * time.Millisecond,
 			}
 			for _, p := range tree.Parts {
-				s.Parts = append(s.Parts, waitpolicy.Part{Name: p.Name, Weight: p.Weight})
+				settings.Parts = append(settings.Parts, waitpolicy.Part{Name: p.Name, Weight: p.Weight})
 			}
-			return waitpolicy.Begin(s, nil, 0, 0)
+			return waitpolicy.Begin(settings, nil, 0, 0)
 		})
-		came := make(map[string]Result)
-		now, step := time.Duration(0), q.Next(0)
+		received := make(map[string]Result)
+		now, step := time.Duration(0), query.Next(0)
 		for i := 0; step.Kind == waitpolicy.Wait; i++ {
 			if i > 1000 {
 				t.Fatal("it waits for ever")
 			}
-			if place := rapid.IntRange(0, 2*len(leaves)).Draw(t, "who"); place < len(leaves) && came[leaves[place].Name].Total == 0 {
-				r := Result{Content: []byte(leaves[place].Name), Total: 1, Present: rapid.IntRange(0, 1).Draw(t, "holds")}
-				if rapid.IntRange(0, 3).Draw(t, "remote") == 0 && r.Present == 1 {
-					r.Total, r.Missing = 3, []string{"x", "y"}
+			if leafIndex := rapid.IntRange(0, 2*len(leaves)).Draw(t, "who"); leafIndex < len(leaves) && received[leaves[leafIndex].Name].Total == 0 {
+				result := Result{Content: []byte(leaves[leafIndex].Name), Total: 1, Present: rapid.IntRange(0, 1).Draw(t, "holds")}
+				if rapid.IntRange(0, 3).Draw(t, "remote") == 0 && result.Present == 1 {
+					result.Total, result.Missing = 3, []string{"x", "y"}
 				}
-				q.LeafEnded(now, leaves[place], place, r)
-				came[leaves[place].Name] = r
+				query.LeafEnded(now, leaves[leafIndex], leafIndex, result)
+				received[leaves[leafIndex].Name] = result
 			} else {
 				now = max(now, step.Until)
 			}
-			step = q.Next(now)
+			step = query.Next(now)
 		}
-		if step != q.Next(now) && q.Next(now+time.Hour).Kind != step.Kind {
+		if step != query.Next(now) && query.Next(now+time.Hour).Kind != step.Kind {
 			t.Fatal("what was settled has changed")
 		}
 		if step.Kind == waitpolicy.Refuse {
 			return
 		}
-		w := q.Answer()
-		all := len(leaves)
-		for _, c := range w.Contents {
-			r, ok := came[string(c)]
-			if !ok || r.Present == 0 {
+		response := query.Answer()
+		total := len(leaves)
+		for _, c := range response.Contents {
+			result, ok := received[string(c)]
+			if !ok || result.Present == 0 {
 				t.Fatalf("it claims %s", c)
 			}
-			all += r.Total - 1
-			w.Present -= r.Present
+			total += result.Total - 1
+			response.Present -= result.Present
 		}
-		if w.Present != 0 || w.Total != all {
-			t.Fatalf("it claims %d more than it holds, of %d that are %d", w.Present, w.Total, all)
+		if response.Present != 0 || response.Total != total {
+			t.Fatalf("it claims %d more than it holds, of %d that are %d", response.Present, response.Total, total)
 		}
 		// Each leaf is in the answer, or is named, or is below a gatherer that is.
 		for _, l := range leaves {
-			if is := w.mentions(root, l.Name); is != 1 {
-				t.Fatalf("%s is there %d times: %q, without %q", l.Name, is, w.Contents, w.Missing)
+			if count := response.mentions(root, l.Name); count != 1 {
+				t.Fatalf("%s is there %d times: %q, without %q", l.Name, count, response.Contents, response.Missing)
 			}
 		}
-		if share := q.root.presentShare(); share < root.MinShare-shareTolerance {
+		if share := query.root.presentShare(); share < root.MinShare-shareTolerance {
 			t.Fatalf("an answer of %g", share)
 		}
 	})
 }
 
 // reaches reports whether a part of a tree has a leaf below it.
-func reaches(t *Tree, part, leaf string) bool {
+func hasLeafBelow(t *Tree, part, leaf string) bool {
 	return slices.ContainsFunc(t.Parts, func(p Part) bool {
 		if p.Inner == nil {
 			return false
 		}
-		has := func(l Leaf) bool { return l.Name == leaf }
-		copied := *p.Inner
-		copied.Parts = slices.Clone(p.Inner.Parts)
-		return p.Name == part && slices.ContainsFunc(copied.NumberParts(), has) || reaches(p.Inner, part, leaf)
+		isWanted := func(l Leaf) bool { return l.Name == leaf }
+		innerCopy := *p.Inner
+		innerCopy.Parts = slices.Clone(p.Inner.Parts)
+		return p.Name == part && slices.ContainsFunc(innerCopy.NumberParts(), isWanted) || hasLeafBelow(p.Inner, part, leaf)
 	})
 }
--- a/internal/scattergather/run.go
+++ b/internal/scattergather/run.go
@@ -46,15 +46,15 @@
 	query    *Query
 	deciders []*waitpolicy.Query // by Tree.ID
 
-	mu          sync.Mutex
-	results     []partEvent // not yet processed by the query
-	hasResults  chan struct{}
-	isSent      bool   // gates were opened: outcomes are learned from then on
-	isFinished  bool   // further events are not processed
-	isAbandoned []bool // by leaf
-	wasCalled   []bool // by leaf
-	isReserved  []bool // by leaf: its answer's memory is reserved until Done
-	references  int    // users of the services
+	mu            sync.Mutex
+	pendingEvents []partEvent // not yet processed by the query
+	hasEvents     chan struct{}
+	isSent        bool   // gates were opened: outcomes are learned from then on
+	isFinished    bool   // further events are not processed
+	isAbandoned   []bool // by leaf
+	wasCalled     []bool // by leaf
+	isReserved    []bool // by leaf: its answer's memory is reserved until Done
+	references    int    // users of the services
 }
 
 // Final is the outcome of a query.
@@ -76,7 +76,7 @@
 	root.Counts.InFlight.Add(1)
 	defer root.Counts.InFlight.Add(-1)
 	leaves := len(r.Calls)
-	r.hasResults = make(chan struct{}, 1)
+	r.hasEvents = make(chan struct{}, 1)
 	r.isAbandoned = make([]bool, leaves)
 	r.wasCalled = make([]bool, leaves)
 	r.isReserved = make([]bool, leaves)
@@ -101,7 +101,7 @@
 	if a.rejectedBy != noLeaf {
 		r.Gatherers[0].SetLastRejecting(a.rejectedBy)
 		final := r.finish(EndedQuota)
-		final.RetryAfter = a.answered[a.rejectedBy].answer.RetryAfter
+		final.RetryAfter = a.endEvents[a.rejectedBy].answer.RetryAfter
 		final.RejectedBy = r.Leaves[a.rejectedBy].Name
 		return final
 	}
--- a/internal/scattergather/run_test.go
+++ b/internal/scattergather/run_test.go
@@ -14,24 +14,24 @@
 // was abandoned.
 func TestModelForgetsByClock(t *testing.T) {
 	clock := time.Duration(0)
-	s := &waitpolicy.Settings{Parts: []waitpolicy.Part{{Name: "a"}, {Name: "b"}}, MinShare: 0.5}
-	g := &Gatherer{Settings: s, Model: waitpolicy.NewModel(s, waitpolicy.Options{}), Counts: new(Counts), Clock: func() time.Duration { return clock }}
+	settings := &waitpolicy.Settings{Parts: []waitpolicy.Part{{Name: "a"}, {Name: "b"}}, MinShare: 0.5}
+	gatherer := &Gatherer{Settings: settings, Model: waitpolicy.NewModel(settings, waitpolicy.Options{}), Counts: new(Counts), Clock: func() time.Duration { return clock }}
 	tree := &Tree{Name: "t", Parts: []Part{{Name: "a", Weight: 1}, {Name: "b", Weight: 1}}, MinShare: 0.5}
 	leaves := tree.NumberParts()
 	for range 2 {
 		clock += 4 * time.Hour
-		r := &Run{Tree: tree, Leaves: leaves, Gatherers: []*Gatherer{g}, Calls: make([]Call, 2), Class: "read", Arrived: time.Now(), Timeout: time.Hour, isAbandoned: make([]bool, 2)}
-		r.startDeciding()
-		r.query.LeafEnded(time.Second, leaves[0], 0, Result{Present: 1, Total: 1})
-		r.query.end(time.Second, r.query.root, waitpolicy.Answer)
-		r.observeEnded()
-		r.observe(1, waitpolicy.Outcome{Duration: 2 * time.Second})
-		r.observe(1, waitpolicy.Outcome{Duration: 3 * time.Second}) // once only
+		run := &Run{Tree: tree, Leaves: leaves, Gatherers: []*Gatherer{gatherer}, Calls: make([]Call, 2), Class: "read", Arrived: time.Now(), Timeout: time.Hour, isAbandoned: make([]bool, 2)}
+		run.startDeciding()
+		run.query.LeafEnded(time.Second, leaves[0], 0, Result{Present: 1, Total: 1})
+		run.query.end(time.Second, run.query.root, waitpolicy.Answer)
+		run.observeEnded()
+		run.observe(1, waitpolicy.Outcome{Duration: 2 * time.Second})
+		run.observe(1, waitpolicy.Outcome{Duration: 3 * time.Second}) // once only
 	}
-	keys, all := g.Model.Sketches()
+	keys, sketches := gatherer.Model.Sketches()
 	for i, k := range keys {
-		if w := all[i].Weight(); math.Abs(w-1.25) > 0.01 {
-			t.Errorf("%v: %.3f of two with four hours between", k, w)
+		if weight := sketches[i].Weight(); math.Abs(weight-1.25) > 0.01 {
+			t.Errorf("%v: %.3f of two with four hours between", k, weight)
 		}
 	}
 	if len(keys) != 4 {
@@ -42,8 +42,8 @@
 // Admission takes at most half of the time that a query waits without a deadline of its client.
 func TestAdmissionTimeout(t *testing.T) {
 	for _, c := range []struct {
-		s          waitpolicy.Settings
-		wait, want time.Duration
+		s             waitpolicy.Settings
+		maxWait, want time.Duration
 	}{
 		{waitpolicy.Settings{Mode: waitpolicy.None, HalfLife: time.Millisecond}, 8 * time.Second, 4 * time.Second},
 		{waitpolicy.Settings{Mode: waitpolicy.Fixed, Fixed: 2 * time.Second}, 8 * time.Second, time.Second},
@@ -51,8 +51,8 @@
 		{waitpolicy.Settings{HalfLife: 3 * time.Second}, 8 * time.Second, 1500 * time.Millisecond},
 		{waitpolicy.Settings{HalfLife: 3 * time.Second}, 200 * time.Millisecond, 100 * time.Millisecond},
 	} {
-		r := &Run{Gatherers: []*Gatherer{{Settings: &c.s}}, Timeout: c.wait}
-		if got := r.admissionTimeout(); got != c.want {
+		run := &Run{Gatherers: []*Gatherer{{Settings: &c.s}}, Timeout: c.maxWait}
+		if got := run.admissionTimeout(); got != c.want {
 			t.Errorf("%+v: %v", c.s, got)
 		}
 	}
@@ -74,26 +74,26 @@
 // MinShare, and an inner gatherer below its MinShare contributes nothing.
 func TestLateResultsAreNotMerged(t *testing.T) {
 	for early, want := range map[string]string{"a b c d": "a b c d/", "a b c": "a b c/d", "b c": "/", "b c d": "b c d/a", "a": "a/in d", "a b": "a/in d", "": "/"} {
-		in := &Tree{Name: "in", MinShare: 0.9, Parts: []Part{{Name: "b", Weight: 1}, {Name: "c", Weight: 1}}}
-		tree := &Tree{Name: "t", MinShare: 0.5, Parts: []Part{{Name: "a", Weight: 2}, {Name: "in", Weight: 1, Inner: in}, {Name: "d", Weight: 1}}}
+		inner := &Tree{Name: "in", MinShare: 0.9, Parts: []Part{{Name: "b", Weight: 1}, {Name: "c", Weight: 1}}}
+		tree := &Tree{Name: "t", MinShare: 0.5, Parts: []Part{{Name: "a", Weight: 2}, {Name: "in", Weight: 1, Inner: inner}, {Name: "d", Weight: 1}}}
 		leaves := tree.NumberParts()
-		q := Begin(tree, len(leaves), 0, func(*Tree) Decider { return eagerDecider{} })
-		end := func(now time.Duration, late bool) {
+		query := Begin(tree, len(leaves), 0, func(*Tree) Decider { return eagerDecider{} })
+		endLeaves := func(now time.Duration, isLate bool) {
 			for leaf, l := range leaves {
-				if strings.Contains(early, l.Name) != late {
-					q.LeafEnded(now, l, leaf, Result{Content: []byte(l.Name), Present: 1, Total: 1})
+				if strings.Contains(early, l.Name) != isLate {
+					query.LeafEnded(now, l, leaf, Result{Content: []byte(l.Name), Present: 1, Total: 1})
 				}
 			}
 		}
-		end(0, false)
-		step := q.Next(time.Second)
-		end(2*time.Second, true)
+		endLeaves(0, false)
+		step := query.Next(time.Second)
+		endLeaves(2*time.Second, true)
 		got := "/"
-		if q.Next(2*time.Second).Kind != step.Kind {
+		if query.Next(2*time.Second).Kind != step.Kind {
 			t.Errorf("%q: it is decided again", early)
 		}
-		if w := q.Answer(); step.Kind == waitpolicy.Answer {
-			got = string(bytes.Join(w.Contents, []byte(" "))) + "/" + strings.Join(w.Missing, " ")
+		if response := query.Answer(); step.Kind == waitpolicy.Answer {
+			got = string(bytes.Join(response.Contents, []byte(" "))) + "/" + strings.Join(response.Missing, " ")
 		}
 		if got != want {
 			t.Errorf("%q: %s, not %s", early, got, want)
--- a/internal/scattergather/tree.go
+++ b/internal/scattergather/tree.go
@@ -37,25 +37,25 @@
 // NumberParts sets the IDs of gatherers and the indices of leaves, and returns the leaves.
 func (t *Tree) NumberParts() (leaves []Leaf) {
 	gatherers := 0
-	var number func(*Tree) int
-	number = func(t *Tree) int {
+	var assignNumbers func(*Tree) int
+	assignNumbers = func(t *Tree) int {
 		t.ID = gatherers
 		gatherers++
-		sum := 0
+		total := 0
 		for i := range t.Parts {
 			part := &t.Parts[i]
 			if part.Inner != nil {
-				part.leafCount = number(part.Inner)
+				part.leafCount = assignNumbers(part.Inner)
 			} else {
 				part.Leaf = len(leaves)
 				part.leafCount = 1
 				leaves = append(leaves, Leaf{Name: part.Name, Gatherer: t, Part: i})
 			}
-			sum += part.leafCount
+			total += part.leafCount
 		}
-		return sum
+		return total
 	}
-	number(t)
+	assignNumbers(t)
 	return leaves
 }
 
--- a/internal/waitpolicy/correlation.go
+++ b/internal/waitpolicy/correlation.go
@@ -2,7 +2,7 @@
 
 const (
 	// correlationKeep is the weight that the moments keep with each query.
-	correlationKeep = 1 - 1.0/256
+	correlationRetention = 1 - 1.0/256
 	// minSquareMoment is the moment below which no correlation is known.
 	minSquareMoment = 20
 	// maxCorrelation limits the correlation, as forecasts divide by its difference to 1.
@@ -36,6 +36,6 @@
 		squares += score * score
 	}
 	n := float64(len(q.parts))
-	c.pairMoment = correlationKeep*c.pairMoment + (sum*sum-squares)/(n*(n-1))
-	c.squareMoment = correlationKeep*c.squareMoment + squares/n
+	c.pairMoment = correlationRetention*c.pairMoment + (sum*sum-squares)/(n*(n-1))
+	c.squareMoment = correlationRetention*c.squareMoment + squares/n
 }
--- a/internal/waitpolicy/encode.go
+++ b/internal/waitpolicy/encode.go
@@ -28,7 +28,7 @@
 	checksumBytes = 4
 	headerBytes   = len(magic) + checksumBytes
 	// maxSquareMomentRead limits the moments that are accepted.
-	maxSquareMomentRead = 1e6
+	maxAcceptedSquareMoment = 1e6
 	// Upper bounds of what encoding adds to the fields of a record, and to the records.
 	recordOverheadBytes = 32
 	sharedOverheadBytes = 64
@@ -42,7 +42,7 @@
 }
 
 func (c *ClassCorrelation) isValid() bool {
-	hasValidSquares := c.Squares >= 0 && c.Squares < maxSquareMomentRead // not NaN
+	hasValidSquares := c.Squares >= 0 && c.Squares < maxAcceptedSquareMoment // not NaN
 	return isValidName(c.Class) && hasValidSquares && math.Abs(c.Pairs) <= c.Squares*(1+shareTolerance)
 }
 
@@ -179,16 +179,16 @@
 	if err != nil {
 		return err
 	}
-	remaining := math.Exp2(-max(0, float64(ago)) / float64(memoryHalfLife))
+	retainedFraction := math.Exp2(-max(0, float64(ago)) / float64(memoryHalfLife))
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for i := range state.Records {
-		m.restoreRecord(&state.Records[i], remaining)
+		m.restoreRecord(&state.Records[i], retainedFraction)
 	}
 	for _, correlation := range state.Correlations {
 		if c := m.classes[correlation.Class]; c != nil && c.squareMoment == 0 {
-			c.pairMoment = correlation.Pairs * remaining
-			c.squareMoment = correlation.Squares * remaining
+			c.pairMoment = correlation.Pairs * retainedFraction
+			c.squareMoment = correlation.Squares * retainedFraction
 		}
 	}
 	for _, c := range m.classes {
@@ -198,17 +198,17 @@
 }
 
 // restoreRecord adds a sketch, of which a fraction is remembered.
-func (m *Model) restoreRecord(record *Record, remaining float64) {
+func (m *Model) restoreRecord(record *Record, retainedFraction float64) {
 	isSamePart := func(p Part) bool { return p.Name == record.Part }
 	if m.histories[record.Key()] != nil || !slices.ContainsFunc(m.settings.Parts, isSamePart) {
 		return
 	}
 	sketch, _ := record.Sketch() // validated by decode
-	if sketch.Weight()*remaining < 1 {
+	if sketch.Weight()*retainedFraction < 1 {
 		return
 	}
 	m.class(record.Class)
 	h := m.history(record.Key())
-	h.longTerm.Add(&sketch, remaining)
-	h.longTerm.unit = 1
+	h.longTerm.Add(&sketch, retainedFraction)
+	h.longTerm.outcomeWeight = 1
 }
--- a/internal/waitpolicy/explore.go
+++ b/internal/waitpolicy/explore.go
@@ -24,9 +24,9 @@
 // has lost by the longer wait.
 func (m *Model) accountExploring(q *Query) {
 	cost := 0.0
-	if q.valueAnswerAt > 0 {
+	if q.baselineAnswerAt > 0 {
 		m.stats.Explored++
-		cost = q.settings.decay(q.valueAnswerAt-q.startedAt) - q.settings.decay(q.endedAt-q.startedAt)
+		cost = q.settings.decay(q.baselineAnswerAt-q.startedAt) - q.settings.decay(q.endedAt-q.startedAt)
 	}
 	m.stats.ExploreCost += cost
 	m.exploreCredit += 1 - cost
--- a/internal/waitpolicy/forecast.go
+++ b/internal/waitpolicy/forecast.go
@@ -62,8 +62,8 @@
 		lowAnswered = c.answered[i-1]
 		from = edges[i-1]
 	}
-	f := float64(duration-from) / float64(edges[i]-from)
-	return lowOutstanding + f*(c.outstanding[i]-lowOutstanding), lowAnswered + f*(c.answered[i]-lowAnswered)
+	fraction := float64(duration-from) / float64(edges[i]-from)
+	return lowOutstanding + fraction*(c.outstanding[i]-lowOutstanding), lowAnswered + fraction*(c.answered[i]-lowAnswered)
 }
 
 // scoreAt returns the normal score of a duration.
@@ -72,12 +72,12 @@
 	if i == 0 || i == Buckets-1 {
 		return c.scores[max(0, i-1)]
 	}
-	f := float64(duration-edges[i-1]) / float64(edges[i]-edges[i-1])
-	return c.scores[i-1] + f*(c.scores[i]-c.scores[i-1])
+	fraction := float64(duration-edges[i-1]) / float64(edges[i]-edges[i-1])
+	return c.scores[i-1] + fraction*(c.scores[i]-c.scores[i-1])
 }
 
 // minStayProbability is the probability of a longer duration below which scoreOf returns the largest score.
-const minStayProbability = 1e-4
+const minSurvivalProbability = 1e-4
 
 // scoreOf returns the normal score of an outcome. That of a censored one is the mean over all longer durations.
 func (c *curve) scoreOf(o Outcome) float64 {
@@ -85,11 +85,11 @@
 	if !o.Censored {
 		return score
 	}
-	stay := 1 - normalCDF(score)
-	if stay < minStayProbability {
+	survival := 1 - normalCDF(score)
+	if survival < minSurvivalProbability {
 		return maxScore
 	}
-	return math.Exp(-score*score/2) / math.Sqrt(2*math.Pi) / stay
+	return math.Exp(-score*score/2) / math.Sqrt(2*math.Pi) / survival
 }
 
 // Forecast is what is known of all parts of a gatherer for a class and a load. It is immutable.
--- a/internal/waitpolicy/golden_test.go
+++ b/internal/waitpolicy/golden_test.go
@@ -11,8 +11,8 @@
 // go test ./internal/waitpolicy -run Golden -update writes them anew.
 func TestGoldenSketches(t *testing.T) {
 	for name, c := range map[string]struct {
-		encode func(*Model) ([]byte, error)
-		most   int
+		encode   func(*Model) ([]byte, error)
+		maxBytes int
 	}{
 		"stored": {(*Model).Encode, MaxStateBytes},
 		"shared": {(*Model).Shared, MaxSharedBytes},
@@ -25,18 +25,18 @@
 			}
 		}
 		raw := testkit.GoldenBytes(t, "testdata/golden/"+name, got)
-		s, err := decode(raw, c.most)
+		state, err := decode(raw, c.maxBytes)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if len(s.Records) == 0 || name == "stored" && len(s.Correlations) == 0 {
-			t.Errorf("%s: it holds %d sketches and %d common factors", name, len(s.Records), len(s.Correlations))
+		if len(state.Records) == 0 || name == "stored" && len(state.Correlations) == 0 {
+			t.Errorf("%s: it holds %d sketches and %d common factors", name, len(state.Records), len(state.Correlations))
 		}
-		if again, err := encode(s); err != nil || !bytes.Equal(again, raw) {
+		if reencoded, err := encode(state); err != nil || !bytes.Equal(reencoded, raw) {
 			t.Errorf("%s: it is not written as it was read: %v", name, err)
 		}
-		const head = len(magic) + 4
-		if err := testkit.RoundTrip("cbor", raw[head:], new(storedState)); err != nil {
+		const headerSize = len(magic) + 4
+		if err := testkit.RoundTrip("cbor", raw[headerSize:], new(storedState)); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -44,11 +44,11 @@
 
 // A model is restored from what an earlier build has stored.
 func TestGoldenSketchesAreRestored(t *testing.T) {
-	next := NewModel(newSettings(0.5, 1, 1), Options{})
-	if err := next.Restore(testkit.GoldenBytes(t, "testdata/golden/stored", nil), 0); err != nil {
+	restored := NewModel(newSettings(0.5, 1, 1), Options{})
+	if err := restored.Restore(testkit.GoldenBytes(t, "testdata/golden/stored", nil), 0); err != nil {
 		t.Fatal(err)
 	}
-	if n := next.Stats().Sketches; n == 0 {
+	if n := restored.Stats().Sketches; n == 0 {
 		t.Error("nothing was restored")
 	}
 }
--- a/internal/waitpolicy/history.go
+++ b/internal/waitpolicy/history.go
@@ -28,11 +28,11 @@
 // partHistory is what is known of one part, for a class and a load.
 type partHistory struct {
 	lastUse      uint64
-	longTerm     memory
-	shortTerm    memory  // since one of the sums was 0 last: what is true after a change
-	slowerSum    float64 // CUSUM
-	fasterSum    float64 // CUSUM
-	distrustLeft int     // outcomes for which the fleet's sketches count little, after a change
+	longTerm     decayingSketch
+	shortTerm    decayingSketch // since one of the sums was 0 last: what is true after a change
+	slowerSum    float64        // CUSUM
+	fasterSum    float64        // CUSUM
+	distrustLeft int            // outcomes for which the fleet's sketches count little, after a change
 }
 
 // history returns a part's history, which it adds if it is not known.
@@ -85,8 +85,8 @@
 	h.slowerSum = max(0, h.slowerSum+score-drift)
 	h.fasterSum = max(0, h.fasterSum-score-drift)
 	if h.slowerSum == 0 && h.fasterSum == 0 {
-		if h.shortTerm.unit > 0 {
-			h.shortTerm = memory{}
+		if h.shortTerm.outcomeWeight > 0 {
+			h.shortTerm = decayingSketch{}
 		}
 		return false
 	}
@@ -102,5 +102,5 @@
 	atAllLoads.distrustLeft = maxRemembered
 	h.slowerSum = 0
 	h.fasterSum = 0
-	h.shortTerm = memory{}
+	h.shortTerm = decayingSketch{}
 }
--- a/internal/waitpolicy/memory.go
+++ b/internal/waitpolicy/memory.go
@@ -9,7 +9,7 @@
 	// maxDecayHalfLives limits the decay by one step of the clock.
 	maxDecayHalfLives = 30
 	// maxUnit is the unit from which on all counts are scaled back.
-	maxUnit = 1e6
+	maxOutcomeWeight = 1e6
 )
 
 // Outcome is the end of one part of a query.
@@ -22,35 +22,35 @@
 
 // memory is a sketch that forgets. A new outcome weighs more than those before instead of reducing their counts;
 // all counts are scaled back when the unit becomes large.
-type memory struct {
+type decayingSketch struct {
 	Sketch
-	unit      float64       // weight of an outcome that is added now; 0 if there is none
-	updatedAt time.Duration // Outcome.At of the latest outcome
+	outcomeWeight float64       // weight of an outcome that is added now; 0 if there is none
+	updatedAt     time.Duration // Outcome.At of the latest outcome
 }
 
 // add adds an outcome, after forgetting 1/length of all, and half of all for each half-life since the last.
-func (m *memory) add(o Outcome, length float64, halfLife time.Duration) {
-	m.unit = max(m.unit, 1) / (1 - 1/length)
+func (m *decayingSketch) add(o Outcome, windowLength float64, halfLife time.Duration) {
+	m.outcomeWeight = max(m.outcomeWeight, 1) / (1 - 1/windowLength)
 	if m.updatedAt > 0 && o.At > m.updatedAt && halfLife > 0 {
-		m.unit *= math.Exp2(min(maxDecayHalfLives, float64(o.At-m.updatedAt)/float64(halfLife)))
+		m.outcomeWeight *= math.Exp2(min(maxDecayHalfLives, float64(o.At-m.updatedAt)/float64(halfLife)))
 	}
 	m.updatedAt = max(m.updatedAt, o.At)
 	switch {
 	case o.Censored:
-		m.Abandoned[abandonedBucket(o.Duration)] += float32(m.unit)
+		m.Abandoned[abandonedBucket(o.Duration)] += float32(m.outcomeWeight)
 	case o.Failed:
-		m.Failed[Bucket(o.Duration)] += float32(m.unit)
+		m.Failed[Bucket(o.Duration)] += float32(m.outcomeWeight)
 	default:
-		m.Answered[Bucket(o.Duration)] += float32(m.unit)
+		m.Answered[Bucket(o.Duration)] += float32(m.outcomeWeight)
 	}
-	if m.unit > maxUnit {
-		m.scale(1 / m.unit)
-		m.unit = 1
+	if m.outcomeWeight > maxOutcomeWeight {
+		m.scale(1 / m.outcomeWeight)
+		m.outcomeWeight = 1
 	}
 }
 
 // countScale returns the factor by which the count of an outcome that was added last becomes 1.
-func (m *memory) countScale() float64 { return 1 / max(m.unit, 1) }
+func (m *decayingSketch) countScale() float64 { return 1 / max(m.outcomeWeight, 1) }
 
 // weight returns the number of outcomes that are remembered.
-func (m *memory) weight() float64 { return m.Weight() * m.countScale() }
+func (m *decayingSketch) weight() float64 { return m.Weight() * m.countScale() }
--- a/internal/waitpolicy/model_test.go
+++ b/internal/waitpolicy/model_test.go
@@ -36,25 +36,25 @@
 // A sketch with many abandoned parts has the quantiles of one with none, as far as they were observed; without
 // counting the abandoned ones it does not.
 func TestAbandonedPartsCountAsCensored(t *testing.T) {
-	whole, cut, rng := new(Sketch), new(memory), rand.New(rand.NewPCG(1, 1))
-	left := new(Sketch)
+	complete, censored, rng := new(Sketch), new(decayingSketch), rand.New(rand.NewPCG(1, 1))
+	answeredOnly := new(Sketch)
 	for range 20000 {
-		took := time.Duration(200 * math.Exp(0.6*rng.NormFloat64()) * float64(ms))
-		whole.Answered[Bucket(took)]++
-		if at := time.Duration(rng.IntN(400)+20) * ms; took > at {
-			cut.add(Outcome{Duration: at, Censored: true}, 1e9, 0)
+		duration := time.Duration(200 * math.Exp(0.6*rng.NormFloat64()) * float64(ms))
+		complete.Answered[Bucket(duration)]++
+		if abandonedAt := time.Duration(rng.IntN(400)+20) * ms; duration > abandonedAt {
+			censored.add(Outcome{Duration: abandonedAt, Censored: true}, 1e9, 0)
 			continue
 		}
-		cut.add(Outcome{Duration: took}, 1e9, 0)
-		left.Answered[Bucket(took)]++
+		censored.add(Outcome{Duration: duration}, 1e9, 0)
+		answeredOnly.Answered[Bucket(duration)]++
 	}
 	for _, p := range []float64{0.1, 0.25, 0.5, 0.75} {
-		w, c, l := whole.Quantile(p), cut.Quantile(p), left.Quantile(p)
-		if r := float64(c) / float64(w); r < 0.95 || r > 1.05 {
-			t.Errorf("quantile %g: %v, with cuts %v", p, w, c)
+		want, got, biased := complete.Quantile(p), censored.Quantile(p), answeredOnly.Quantile(p)
+		if r := float64(got) / float64(want); r < 0.95 || r > 1.05 {
+			t.Errorf("quantile %g: %v, with cuts %v", p, want, got)
 		}
-		if float64(l) > 0.9*float64(w) {
-			t.Errorf("quantile %g: %v, and %v without what was cut: the test shows nothing", p, w, l)
+		if float64(biased) > 0.9*float64(want) {
+			t.Errorf("quantile %g: %v, and %v without what was cut: the test shows nothing", p, want, biased)
 		}
 	}
 }
@@ -62,30 +62,30 @@
 // A part that becomes three times as slow, or as fast, is detected within 40 outcomes, and 24 later the forecast has
 // adapted. Without a change there are few detections.
 func TestChangeIsDetected(t *testing.T) {
-	for name, times := range map[string]float64{"slower": 3, "faster": 1.0 / 3} {
-		for _, cut := range []time.Duration{time.Hour, 150 * ms} { // slower ones are mostly cut then
-			worst, sum, off := 0, 0, 0.0
+	for name, factor := range map[string]float64{"slower": 3, "faster": 1.0 / 3} {
+		for _, abandonedAfter := range []time.Duration{time.Hour, 150 * ms} { // slower ones are mostly cut then
+			maxOutcomes, totalOutcomes, errorSum := 0, 0, 0.0
 			for seed := range uint64(50) {
 				m, rng := NewModel(newSettings(0.5, 1), Options{}), rand.New(rand.NewPCG(seed, 1))
-				to := time.Duration(times * float64(100*ms))
+				newMedian := time.Duration(factor * float64(100*ms))
 				m.Forecast("c", 0.5)
 				for range 600 {
-					observe(m, rng, 1, "c", 0, 100*ms, cut)
+					observe(m, rng, 1, "c", 0, 100*ms, abandonedAfter)
 					m.Forecast("c", 0.5)
 				}
-				was, n := m.Stats().Changes, 0
-				for ; m.Stats().Changes == was && n < 1000; n++ {
-					observe(m, rng, 1, "c", 0, to, cut)
+				changesBefore, n := m.Stats().Changes, 0
+				for ; m.Stats().Changes == changesBefore && n < 1000; n++ {
+					observe(m, rng, 1, "c", 0, newMedian, abandonedAfter)
 				}
-				worst, sum = max(worst, n), sum+n
-				observe(m, rng, 24, "c", 0, to, cut)
-				off += math.Log2(float64(m.Forecast("c", 0.5).Quantile(0, 0.5)) / float64(to))
+				maxOutcomes, totalOutcomes = max(maxOutcomes, n), totalOutcomes+n
+				observe(m, rng, 24, "c", 0, newMedian, abandonedAfter)
+				errorSum += math.Log2(float64(m.Forecast("c", 0.5).Quantile(0, 0.5)) / float64(newMedian))
 			}
-			if t.Logf("%s, cut at %v: told after %d at the most, %d in the mean", name, cut, worst, sum/50); worst > 40 {
+			if t.Logf("%s, cut at %v: told after %d at the most, %d in the mean", name, abandonedAfter, maxOutcomes, totalOutcomes/50); maxOutcomes > 40 {
 				t.Error("that is late")
 			}
-			if cut == time.Hour && math.Abs(off/50) > 0.2 {
-				t.Errorf("%s: half is expected %.2f doublings off", name, off/50)
+			if abandonedAfter == time.Hour && math.Abs(errorSum/50) > 0.2 {
+				t.Errorf("%s: half is expected %.2f doublings off", name, errorSum/50)
 			}
 		}
 	}
@@ -118,18 +118,18 @@
 
 // The correlation of the parts is learned.
 func TestCorrelationIsLearned(t *testing.T) {
-	for _, rho := range []float64{0, 0.7} {
+	for _, correlation := range []float64{0, 0.7} {
 		m, rng := NewModel(newSettings(0.2, 1, 1, 1, 1), Options{Explore: -1}), rand.New(rand.NewPCG(1, 1))
 		var q Query
 		for i := range 3000 {
 			now := time.Duration(i+1) * time.Second
 			m.Begin(&q, "c", 0, now, 0)
-			common, took := rng.NormFloat64(), [4]time.Duration{}
-			for p := range took {
-				took[p] = time.Duration(100 * math.Exp(0.8*(math.Sqrt(rho)*common+math.Sqrt(1-rho)*rng.NormFloat64())) * float64(ms))
+			common, durations := rng.NormFloat64(), [4]time.Duration{}
+			for p := range durations {
+				durations[p] = time.Duration(100 * math.Exp(0.8*(math.Sqrt(correlation)*common+math.Sqrt(1-correlation)*rng.NormFloat64())) * float64(ms))
 			}
 			end := 150 * ms // what comes later is cut
-			for p, d := range took {
+			for p, d := range durations {
 				if d <= end {
 					q.PartCompleted(now+d, p, true)
 				}
@@ -137,8 +137,8 @@
 			}
 			m.Done(&q, "c", now+end)
 		}
-		if got := m.Forecast("c", 0).Correlation(); math.Abs(got-rho) > 0.15 {
-			t.Errorf("a correlation of %g is learned as %.2f", rho, got)
+		if got := m.Forecast("c", 0).Correlation(); math.Abs(got-correlation) > 0.15 {
+			t.Errorf("a correlation of %g is learned as %.2f", correlation, got)
 		}
 	}
 }
@@ -160,28 +160,28 @@
 		m.Observe("c", 1, 0, Outcome{Duration: at - now, Censored: true}) // it never comes
 		m.Done(&q, "c", at)
 	}
-	s := m.Stats()
-	if s.Explored < 20 || s.ExploreCost > 0.01*5000+2 {
-		t.Errorf("%+v", s)
+	stats := m.Stats()
+	if stats.Explored < 20 || stats.ExploreCost > 0.01*5000+2 {
+		t.Errorf("%+v", stats)
 	}
 }
 
 func TestModelSizeIsLimited(t *testing.T) {
-	s := newSettings(0.5, make([]float64, 20)...)
-	m := NewModel(s, Options{})
+	settings := newSettings(0.5, make([]float64, 20)...)
+	m := NewModel(settings, Options{})
 	for i := range 200 {
 		name := strings.Repeat("c", i%300) + fmt.Sprint(i)
 		for p := range 20 {
-			for l := range Loads {
-				m.Observe(name, p, float64(l)/Loads, Outcome{Duration: ms})
+			for load := range Loads {
+				m.Observe(name, p, float64(load)/Loads, Outcome{Duration: ms})
 			}
 		}
 		m.Observe(name, 20, 0, Outcome{Duration: ms})
 		m.Observe(name, -1, 0, Outcome{Duration: ms})
 		m.Forecast(name, 7)
 	}
-	if st := m.Stats(); st.Classes > MaxClasses || st.Sketches > MaxSketches {
-		t.Errorf("%+v", st)
+	if stats := m.Stats(); stats.Classes > MaxClasses || stats.Sketches > MaxSketches {
+		t.Errorf("%+v", stats)
 	}
 	if raw, err := m.Shared(); err != nil || len(raw) > MaxSharedBytes {
 		t.Errorf("%d bytes are shared: %v", len(raw), err)
@@ -197,40 +197,40 @@
 }
 
 func TestEncodeAndRestore(t *testing.T) {
-	old := newTrainedModel("c")
-	raw, err := old.Encode()
+	original := newTrainedModel("c")
+	raw, err := original.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := NewModel(newSettings(0.5, 1, 1, 1), Options{}) // with a new part
-	if err := next.Restore(raw, 0); err != nil {
+	restored := NewModel(newSettings(0.5, 1, 1, 1), Options{}) // with a new part
+	if err := restored.Restore(raw, 0); err != nil {
 		t.Fatal(err)
 	}
 	for p := range 2 {
 		for _, share := range []float64{0.1, 0.25, 0.5} {
-			if a, b := old.Forecast("c", 0.5).Quantile(p, share), next.Forecast("c", 0.5).Quantile(p, share); a != b {
+			if a, b := original.Forecast("c", 0.5).Quantile(p, share), restored.Forecast("c", 0.5).Quantile(p, share); a != b {
 				t.Errorf("part %d, %g: %v, and then %v", p, share, a, b)
 			}
 		}
 	}
-	if f := next.Forecast("c", 0.5); f.IsKnown() || math.Abs(f.Correlation()-0.4) > 1e-9 {
+	if f := restored.Forecast("c", 0.5); f.IsKnown() || math.Abs(f.Correlation()-0.4) > 1e-9 {
 		t.Errorf("%v, %g", f.IsKnown(), f.Correlation())
 	}
-	late := NewModel(newSettings(0.5, 1, 1), Options{})
-	if err := late.Restore(raw, 48*time.Hour); err != nil || late.Stats().Sketches > 0 {
-		t.Errorf("two days later: %v, %+v", err, late.Stats())
+	expired := NewModel(newSettings(0.5, 1, 1), Options{})
+	if err := expired.Restore(raw, 48*time.Hour); err != nil || expired.Stats().Sketches > 0 {
+		t.Errorf("two days later: %v, %+v", err, expired.Stats())
 	}
-	if again, _ := old.Encode(); !bytes.Equal(raw, again) {
+	if reencoded, _ := original.Encode(); !bytes.Equal(raw, reencoded) {
 		t.Error("the same is written in two ways")
 	}
 	for i := range raw { // any one byte wrong
-		bad := bytes.Clone(raw)
-		bad[i] ^= 1 << (i % 8)
-		if late.Restore(bad, 0) == nil || late.Restore(raw[:i], 0) == nil {
+		corrupted := bytes.Clone(raw)
+		corrupted[i] ^= 1 << (i % 8)
+		if expired.Restore(corrupted, 0) == nil || expired.Restore(raw[:i], 0) == nil {
 			t.Fatalf("damage at byte %d of %d is taken", i, len(raw))
 		}
 	}
-	if late.Stats().Sketches > 0 {
+	if expired.Stats().Sketches > 0 {
 		t.Error("damage was taken")
 	}
 }
@@ -240,19 +240,19 @@
 	raw, _ := newTrainedModel("c").Encode()
 	f.Add(raw[len(magic)+4:])
 	f.Fuzz(func(t *testing.T, body []byte) {
-		s, err := decode(withChecksum(body), MaxStateBytes)
+		state, err := decode(withChecksum(body), MaxStateBytes)
 		m := NewModel(newSettings(0.5, 1, 1), Options{})
 		if (m.Restore(withChecksum(body), 0) == nil) != (err == nil) {
 			t.Fatal("read once, and once not")
 		}
-		for i := range s.Records {
-			if k := s.Records[i].Key(); k.Class == "" || k.Load > AllLoads {
+		for i := range state.Records {
+			if k := state.Records[i].Key(); k.Class == "" || k.Load > AllLoads {
 				t.Fatalf("%+v", k)
 			}
 		}
-		if again, err := m.Encode(); err != nil {
+		if reencoded, err := m.Encode(); err != nil {
 			t.Fatal(err)
-		} else if err := m.Restore(again, 0); err != nil {
+		} else if err := m.Restore(reencoded, 0); err != nil {
 			t.Fatal(err)
 		}
 		m.Forecast("c", 0)
--- a/internal/waitpolicy/plan.go
+++ b/internal/waitpolicy/plan.go
@@ -35,29 +35,29 @@
 	answered           float64            // probability, now
 	scoreNow           float64            // normal score of the time now
 	inverseOutstanding float64            // 1/outstanding
-	inverseStay        [nodeCount]float64 // 1/probability of being outstanding now, by the common factor
+	inverseSurvival    [nodeCount]float64 // 1/probability of being outstanding now, by the common factor
 
 	// At the time that is evaluated.
-	endedProbability float64 // given that it is outstanding now
-	answeredRatio    float64 // of endedProbability
-	scoreThen        float64
-	outstandingThen  float64
+	endedProbability     float64 // given that it is outstanding now
+	answeredRatio        float64 // of endedProbability
+	evaluatedScore       float64
+	evaluatedOutstanding float64
 }
 
 // commonFactor is the distribution of what slows all parts at once, by quadrature nodes.
 type commonFactor struct {
-	count         int                // of nodes; 1 if the parts are independent
-	means         [nodeCount]float64 // in units of the parts' scores
-	probabilities [nodeCount]float64
-	narrow        float64 // 1/standard deviation of a part's score around the mean
+	count            int                // of nodes; 1 if the parts are independent
+	means            [nodeCount]float64 // in units of the parts' scores
+	probabilities    [nodeCount]float64
+	inverseDeviation float64 // 1/standard deviation of a part's score around the mean
 }
 
 // prospect is what is expected at a time, given the common factor.
-type prospect struct {
-	mean         float64 // of the share that has arrived
-	variance     float64 // of that share
-	allEnded     float64 // probability that no part is outstanding
-	outstandings float64 // mean weight of outstanding parts
+type prediction struct {
+	mean            float64 // of the share that has arrived
+	variance        float64 // of that share
+	allEnded        float64 // probability that no part is outstanding
+	meanOutstanding float64 // mean weight of outstanding parts
 }
 
 // plan returns the time at which it is best to answer by what is known now, unless all parts have ended before;
@@ -76,10 +76,10 @@
 	bestAt := elapsed
 	var allEndedBefore, earlyValue [nodeCount]float64
 	latest := q.latestAnswer - q.startedAt
-	previous := elapsed
+	previousEnd := elapsed
 	previousDecay := q.settings.decay(elapsed)
 	stride := 1 + len(q.outstanding)/partsPerStride
-	for i := Bucket(elapsed); i < Buckets-1 && previous < latest; i += stride {
+	for i := Bucket(elapsed); i < Buckets-1 && previousEnd < latest; i += stride {
 		end := min(edges[i], latest)
 		if end <= elapsed {
 			continue
@@ -94,42 +94,42 @@
 		}
 		expectedValue := 0.0
 		for k := range factor.count {
-			then := q.prospect(&factor, k)
-			earlyValue[k] += (then.allEnded - allEndedBefore[k]) * meanDecay * valueOfAll
-			allEndedBefore[k] = then.allEnded
-			expectedValue += factor.probabilities[k] * (earlyValue[k] + decay*(meanValueOfShare(then.mean, then.variance)-then.allEnded*valueOfAll) - abandonCost*then.outstandings)
+			predicted := q.prediction(&factor, k)
+			earlyValue[k] += (predicted.allEnded - allEndedBefore[k]) * meanDecay * valueOfAll
+			allEndedBefore[k] = predicted.allEnded
+			expectedValue += factor.probabilities[k] * (earlyValue[k] + decay*(meanValueOfShare(predicted.mean, predicted.variance)-predicted.allEnded*valueOfAll) - abandonCost*predicted.meanOutstanding)
 		}
 		if expectedValue > best+shareTolerance {
 			best = expectedValue
 			bestAt = end
 		}
-		previous = end
+		previousEnd = end
 		previousDecay = decay
 	}
 	until = q.startedAt + bestAt
-	if short := q.settings.halfLife() / replanDivisor; until-now > 2*short {
-		until = now + max(short, (until-now)/2)
+	if replanInterval := q.settings.halfLife() / replanDivisor; until-now > 2*replanInterval {
+		until = now + max(replanInterval, (until-now)/2)
 	}
 	return until, true
 }
 
 // prospect returns what is expected at the time that the outstanding parts were evaluated for, given the k-th
 // value of the common factor.
-func (q *Query) prospect(factor *commonFactor, k int) prospect {
-	then := prospect{mean: q.arrivedShare, allEnded: 1}
+func (q *Query) prediction(factor *commonFactor, k int) prediction {
+	predicted := prediction{mean: q.arrivedShare, allEnded: 1}
 	for j := range q.outstanding {
 		o := &q.outstanding[j]
 		ended := o.endedProbability
 		if factor.count > 1 {
-			ended = max(0, min(1, 1-((1-independentProbability)*(1-normalCDF((o.scoreThen-factor.means[k])*factor.narrow))+independentProbability*o.outstandingThen)*o.inverseStay[k]))
+			ended = max(0, min(1, 1-((1-independentProbability)*(1-normalCDF((o.evaluatedScore-factor.means[k])*factor.inverseDeviation))+independentProbability*o.evaluatedOutstanding)*o.inverseSurvival[k]))
 		}
 		answers := ended * o.answeredRatio
-		then.mean += o.weight * answers
-		then.variance += o.weight * o.weight * answers * (1 - answers)
-		then.allEnded *= ended
-		then.outstandings += o.weight * (1 - ended)
+		predicted.mean += o.weight * answers
+		predicted.variance += o.weight * o.weight * answers * (1 - answers)
+		predicted.allEnded *= ended
+		predicted.meanOutstanding += o.weight * (1 - ended)
 	}
-	return then
+	return predicted
 }
 
 // findOutstanding sets the outstanding parts and returns their weight. isKnown is false where there is no forecast
@@ -163,8 +163,8 @@
 	for i := range q.outstanding {
 		o := &q.outstanding[i]
 		p := 0.0
-		if ends := o.outstanding - o.curve.outstanding[Buckets-2]; ends > minProbability {
-			p = min(1, (o.curve.answered[Buckets-2]-o.answered)/ends)
+		if endProbability := o.outstanding - o.curve.outstanding[Buckets-2]; endProbability > minProbability {
+			p = min(1, (o.curve.answered[Buckets-2]-o.answered)/endProbability)
 		}
 		mean += o.weight * p
 		variance += o.weight * o.weight * p * (1 - p)
@@ -181,12 +181,12 @@
 	}
 	o.endedProbability = max(0, min(1, 1-outstanding*o.inverseOutstanding))
 	o.answeredRatio = 0
-	if ends := o.outstanding - outstanding; ends > minProbability {
-		o.answeredRatio = min(1, (answered-o.answered)/ends)
+	if endProbability := o.outstanding - outstanding; endProbability > minProbability {
+		o.answeredRatio = min(1, (answered-o.answered)/endProbability)
 	}
 	if needsScores {
-		o.scoreThen = o.curve.scoreAt(at)
-		o.outstandingThen = outstanding
+		o.evaluatedScore = o.curve.scoreAt(at)
+		o.evaluatedOutstanding = outstanding
 	}
 }
 
@@ -197,16 +197,16 @@
 // the parts that are still outstanding. It sets their inverseStay.
 func (q *Query) commonFactor() commonFactor {
 	correlation := q.forecast.correlation
-	factor := commonFactor{narrow: 1 / math.Sqrt(1-correlation)}
+	factor := commonFactor{inverseDeviation: 1 / math.Sqrt(1-correlation)}
 	if correlation < minCorrelation || len(q.parts) < 2 {
 		factor.count = 1
 		factor.probabilities[0] = 1
 		return factor
 	}
 	factor.count = nodeCount
-	own := 1 - correlation
-	variance := 1 / (1 + float64(q.scoreCount)*correlation/own)
-	mean := math.Sqrt(correlation) / own * q.scoreSum * variance
+	residualVariance := 1 - correlation
+	variance := 1 / (1 + float64(q.scoreCount)*correlation/residualVariance)
+	mean := math.Sqrt(correlation) / residualVariance * q.scoreSum * variance
 	deviation := math.Sqrt(variance)
 	sum := 0.0
 	for k := range quadratureNodes {
@@ -214,9 +214,9 @@
 		factor.probabilities[k] = quadratureWeights[k]
 		for i := range q.outstanding {
 			o := &q.outstanding[i]
-			stay := (1-independentProbability)*(1-normalCDF((o.scoreNow-factor.means[k])*factor.narrow)) + independentProbability*o.outstanding + 1e-15
-			o.inverseStay[k] = 1 / stay
-			factor.probabilities[k] *= stay
+			survival := (1-independentProbability)*(1-normalCDF((o.scoreNow-factor.means[k])*factor.inverseDeviation)) + independentProbability*o.outstanding + 1e-15
+			o.inverseSurvival[k] = 1 / survival
+			factor.probabilities[k] *= survival
 		}
 		sum += factor.probabilities[k]
 	}
--- a/internal/waitpolicy/pool/merge.go
+++ b/internal/waitpolicy/pool/merge.go
@@ -93,8 +93,8 @@
 
 // freshness returns the factor of a report's weight, by its age.
 func (p *Pool) freshness(age time.Duration) float64 {
-	third := float64(p.options.Lifetime) / freshDivisor
-	return min(1, (float64(p.options.Lifetime)-float64(age))/(2*third))
+	freshPeriod := float64(p.options.Lifetime) / freshDivisor
+	return min(1, (float64(p.options.Lifetime)-float64(age))/(2*freshPeriod))
 }
 
 // discardOutliers removes the weight of the members' sketches that deviate most, up to the maximum number of outliers.
--- a/internal/waitpolicy/query.go
+++ b/internal/waitpolicy/query.go
@@ -79,12 +79,12 @@
 	plannedAnswer time.Duration // by the last plan; 0 is none
 	replanAt      time.Duration // until when the last plan is valid whatever arrives
 
-	isExploring   bool
-	valueAnswerAt time.Duration // when the query would have answered without exploring; 0 is not yet
-	endedAt       time.Duration
-	isDone        bool
-	isReported    bool              // to Model.Done
-	outstanding   []outstandingPart // of the plan that is being made
+	isExploring      bool
+	baselineAnswerAt time.Duration // when the query would have answered without exploring; 0 is not yet
+	endedAt          time.Duration
+	isDone           bool
+	isReported       bool              // to Model.Done
+	outstanding      []outstandingPart // of the plan that is being made
 }
 
 // partState is the state of one part in a query.
@@ -265,7 +265,7 @@
 
 // nextLearned returns what to do in mode Learned, when what has arrived is enough for an answer.
 func (q *Query) nextLearned(now time.Duration) Step {
-	if q.isExploring && q.valueAnswerAt > 0 {
+	if q.isExploring && q.baselineAnswerAt > 0 {
 		return q.exploreStep(now)
 	}
 	until := q.plannedAnswer
@@ -284,7 +284,7 @@
 	case until > now:
 		return Step{Kind: Wait, Reason: ExpectedValue, Until: until}
 	case q.isExploring:
-		q.valueAnswerAt = max(now, 1)
+		q.baselineAnswerAt = max(now, 1)
 		return q.exploreStep(now)
 	}
 	return Step{Kind: Answer, Reason: ExpectedValue}
@@ -292,7 +292,7 @@
 
 // exploreStep waits for exploreHalfLives beyond the best time: later answers cost more than is learned from them.
 func (q *Query) exploreStep(now time.Duration) Step {
-	until := min(q.latestAnswer, q.valueAnswerAt+exploreHalfLives*q.settings.halfLife())
+	until := min(q.latestAnswer, q.baselineAnswerAt+exploreHalfLives*q.settings.halfLife())
 	if now < until {
 		return Step{Kind: Wait, Reason: Exploring, Until: until}
 	}
--- a/internal/waitpolicy/query_test.go
+++ b/internal/waitpolicy/query_test.go
@@ -27,15 +27,15 @@
 }
 
 // requireAnswer checks that a decided query has what arrived before, and nothing that arrives later.
-func requireAnswer(t *rapid.T, q *Query, now time.Duration, hasEnded []bool, share []float64) {
-	held, out, missing := q.ArrivedShare(), q.Outstanding(nil), q.Missing(nil)
+func requireAnswer(t *rapid.T, q *Query, now time.Duration, hasEnded []bool, shares []float64) {
+	arrivedShare, outstanding, missing := q.ArrivedShare(), q.Outstanding(nil), q.Missing(nil)
 	for i := range hasEnded {
 		q.PartCompleted(now, i, true)
-		if hasEnded[i] && slicesHas(out, i) || slicesHas(missing, i) != (!hasEnded[i] || share[i] == 0) {
-			t.Fatalf("part %d: ended %v, out %v, missing %v", i, hasEnded[i], out, missing)
+		if hasEnded[i] && contains(outstanding, i) || contains(missing, i) != (!hasEnded[i] || shares[i] == 0) {
+			t.Fatalf("part %d: ended %v, out %v, missing %v", i, hasEnded[i], outstanding, missing)
 		}
 	}
-	if q.ArrivedShare() != held {
+	if q.ArrivedShare() != arrivedShare {
 		t.Fatal("what came after the answer is in it")
 	}
 }
@@ -46,45 +46,45 @@
 	var q Query
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "parts")
-		s := newSettings(rapid.Float64Range(0, 1).Draw(t, "least"))
+		settings := newSettings(rapid.Float64Range(0, 1).Draw(t, "least"))
 		medians := make([]time.Duration, n)
-		took, share := make([]time.Duration, n), make([]float64, n)
+		durations, shares := make([]time.Duration, n), make([]float64, n)
 		for i := range n {
-			s.Parts = append(s.Parts, Part{Name: string(rune('a' + i)), Weight: rapid.Float64Range(0.1, 5).Draw(t, "weight")})
+			settings.Parts = append(settings.Parts, Part{Name: string(rune('a' + i)), Weight: rapid.Float64Range(0.1, 5).Draw(t, "weight")})
 			medians[i] = time.Duration(rapid.IntRange(1, 3000).Draw(t, "median")) * ms
-			took[i] = time.Duration(rapid.IntRange(0, 9000).Draw(t, "took")) * ms
-			share[i] = rapid.SampledFrom([]float64{0, 0.5, 1, 1, 1}).Draw(t, "share")
+			durations[i] = time.Duration(rapid.IntRange(0, 9000).Draw(t, "took")) * ms
+			shares[i] = rapid.SampledFrom([]float64{0, 0.5, 1, 1, 1}).Draw(t, "share")
 		}
-		s.Mode = rapid.SampledFrom([]Mode{Learned, Learned, Fixed, None}).Draw(t, "mode")
-		s.Fixed = time.Duration(rapid.IntRange(1, 4000).Draw(t, "fixed")) * ms
-		s.AbandonCost = rapid.Float64Range(-1, 1).Draw(t, "left")
-		f := lognormal(rapid.SampledFrom([]float64{0, 0.5, 0.9}).Draw(t, "common"), 0.6, medians...)
+		settings.Mode = rapid.SampledFrom([]Mode{Learned, Learned, Fixed, None}).Draw(t, "mode")
+		settings.Fixed = time.Duration(rapid.IntRange(1, 4000).Draw(t, "fixed")) * ms
+		settings.AbandonCost = rapid.Float64Range(-1, 1).Draw(t, "left")
+		forecast := lognormal(rapid.SampledFrom([]float64{0, 0.5, 0.9}).Draw(t, "common"), 0.6, medians...)
 		begin := time.Duration(rapid.IntRange(1, 1e6).Draw(t, "begin")) * ms
 		deadline := time.Duration(0)
 		if rapid.Bool().Draw(t, "limited") {
 			deadline = begin + time.Duration(rapid.IntRange(0, 5000).Draw(t, "deadline"))*ms
 		}
-		q.Begin(s, f, begin, deadline)
+		q.Begin(settings, forecast, begin, deadline)
 		q.isExploring = rapid.Bool().Draw(t, "explore")
-		if deadline > 0 && q.LatestAnswer() > max(begin, deadline-s.Margin) || q.InnerDeadline() > q.LatestAnswer() {
+		if deadline > 0 && q.LatestAnswer() > max(begin, deadline-settings.Margin) || q.InnerDeadline() > q.LatestAnswer() {
 			t.Fatalf("answers by %v, inner deadline %v, the client waits until %v", q.LatestAnswer(), q.InnerDeadline(), deadline)
 		}
-		now, held, total := begin, 0.0, 0.0
-		for _, p := range s.Parts {
-			total += p.Weight
+		now, arrivedWeight, totalWeight := begin, 0.0, 0.0
+		for _, p := range settings.Parts {
+			totalWeight += p.Weight
 		}
 		hasEnded := make([]bool, n)
 		for steps := 0; ; steps++ {
 			step := q.Next(now)
-			if math.Abs(step.Share-held/total) > 1e-9 || steps > 1000 {
-				t.Fatalf("step %d: share %g, %g arrived", steps, step.Share, held/total)
+			if math.Abs(step.Share-arrivedWeight/totalWeight) > 1e-9 || steps > 1000 {
+				t.Fatalf("step %d: share %g, %g arrived", steps, step.Share, arrivedWeight/totalWeight)
 			}
 			if step.Kind != Wait {
-				enough := step.Share > 1e-9 && step.Share >= s.MinShare-1e-9
-				if (step.Kind == Answer) != enough || now > q.LatestAnswer() || step.Kind != q.Next(now+ms).Kind {
-					t.Fatalf("%v by %v at %v, %g of %g", step.Kind, step.Reason, now-begin, step.Share, s.MinShare)
+				isEnough := step.Share > 1e-9 && step.Share >= settings.MinShare-1e-9
+				if (step.Kind == Answer) != isEnough || now > q.LatestAnswer() || step.Kind != q.Next(now+ms).Kind {
+					t.Fatalf("%v by %v at %v, %g of %g", step.Kind, step.Reason, now-begin, step.Share, settings.MinShare)
 				}
-				requireAnswer(t, &q, now, hasEnded, share)
+				requireAnswer(t, &q, now, hasEnded, shares)
 				return
 			}
 			if step.Until <= now || step.Until > q.LatestAnswer() {
@@ -92,21 +92,21 @@
 			}
 			next, at := -1, step.Until
 			for i := range n {
-				if !hasEnded[i] && begin+took[i] <= at {
-					next, at = i, max(now, begin+took[i])
+				if !hasEnded[i] && begin+durations[i] <= at {
+					next, at = i, max(now, begin+durations[i])
 				}
 			}
 			if now = at; next >= 0 {
 				hasEnded[next] = true
-				held += s.Parts[next].Weight * share[next]
-				q.PartEnded(now, next, share[next])
+				arrivedWeight += settings.Parts[next].Weight * shares[next]
+				q.PartEnded(now, next, shares[next])
 				q.PartEnded(now, next, 1) // twice is once
 			}
 		}
 	})
 }
 
-func slicesHas(all []int, i int) bool {
+func contains(all []int, i int) bool {
 	for _, v := range all {
 		if v == i {
 			return true
@@ -133,34 +133,34 @@
 	}
 }
 
-func TestQueryWaitsAsLongAsWorthIt(t *testing.T) {
-	s, even := newSettings(0.5, 1, 1), newSettings(0.5, 1, 1, 1, 1)
+func TestWaitFollowsExpectedValue(t *testing.T) {
+	s, equalWeights := newSettings(0.5, 1, 1), newSettings(0.5, 1, 1, 1, 1)
 	f := func(common, sigma float64, all ...time.Duration) *Forecast { return lognormal(common, sigma, all...) }
-	for name, tc := range map[string]struct{ less, more time.Duration }{
+	for name, tc := range map[string]struct{ shorter, longer time.Duration }{
 		"a slow part is waited for less than a fast one": {answerTime(s, f(0, .3, 50*ms, 3000*ms), 0, 50*ms, -1), answerTime(s, f(0, .3, 50*ms, 300*ms), 0, 50*ms, -1)},
 		"a light one less than a heavy one": {
 			answerTime(newSettings(.5, 4, 1), f(0, 1, 50*ms, 500*ms), 0, 50*ms, -1),
 			answerTime(newSettings(.1, 1, 4), f(0, 1, 50*ms, 500*ms), 0, 50*ms, -1),
 		},
 		"a part that took long is waited for longer where all are slow at once": {
-			answerTime(even, f(0, 1, 100*ms, 100*ms, 100*ms, 100*ms), 0, 400*ms, 400*ms, 400*ms, -1),
-			answerTime(even, f(.9, 1, 100*ms, 100*ms, 100*ms, 100*ms), 0, 400*ms, 400*ms, 400*ms, -1),
+			answerTime(equalWeights, f(0, 1, 100*ms, 100*ms, 100*ms, 100*ms), 0, 400*ms, 400*ms, 400*ms, -1),
+			answerTime(equalWeights, f(.9, 1, 100*ms, 100*ms, 100*ms, 100*ms), 0, 400*ms, 400*ms, 400*ms, -1),
 		},
-		"one far later than fits the others is not waited for to the end": {answerTime(even, f(.9, 1, 100*ms, 100*ms, 100*ms, 100*ms), 0, 40*ms, 40*ms, 40*ms, -1), time.Second},
+		"one far later than fits the others is not waited for to the end": {answerTime(equalWeights, f(.9, 1, 100*ms, 100*ms, 100*ms, 100*ms), 0, 40*ms, 40*ms, 40*ms, -1), time.Second},
 		"the client's time goes before":                                   {answerTime(s, f(0, .3, 50*ms, 300*ms), 200*ms, 50*ms, -1), 191 * ms},
 		"what is left behind counts": {
 			answerTime(s, f(0, 1, 50*ms, 800*ms), 0, 50*ms, -1),
 			answerTime(&Settings{Parts: s.Parts, MinShare: .5, HalfLife: 800 * ms, AbandonCost: 1}, f(0, 1, 50*ms, 800*ms), 0, 50*ms, -1),
 		},
 	} {
-		if tc.less >= tc.more {
-			t.Errorf("%s: %v and %v", name, tc.less, tc.more)
+		if tc.shorter >= tc.longer {
+			t.Errorf("%s: %v and %v", name, tc.shorter, tc.longer)
 		}
 	}
 }
 
 // A failed part is not waited for, and nor one that often fails.
-func TestFailuresAreNoAnswers(t *testing.T) {
+func TestFailuresAreNotAnswers(t *testing.T) {
 	s := newSettings(0.5, 1, 1, 1)
 	q := Begin(s, lognormal(0, .5, 100*ms, 100*ms, 100*ms), 0, 0)
 	q.PartCompleted(50*ms, 0, true)
@@ -173,25 +173,25 @@
 		t.Errorf("a third is none of a half: %+v", step)
 	}
 	// Half of the second part's calls fail after 200 ms, as late as its answers.
-	learn := func(fails int) time.Duration {
+	learnedWait := func(failuresInTen int) time.Duration {
 		m := NewModel(newSettings(0.5, 1, 1), Options{Explore: -1})
 		rng := rand.New(rand.NewPCG(1, 1))
 		for i := range 400 {
-			took := time.Duration(200*math.Exp(0.8*rng.NormFloat64())) * ms
+			duration := time.Duration(200*math.Exp(0.8*rng.NormFloat64())) * ms
 			m.Observe("c", 0, 0, Outcome{Duration: 50 * ms})
-			m.Observe("c", 1, 0, Outcome{Duration: took, Failed: i%10 < fails})
+			m.Observe("c", 1, 0, Outcome{Duration: duration, Failed: i%10 < failuresInTen})
 		}
 		return answerTime(m.settings, m.Forecast("c", 0), 0, 50*ms, -1)
 	}
-	if none, most := learn(0), learn(8); most >= none {
-		t.Errorf("waits %v for one that answers, %v for one that mostly fails", none, most)
+	if neverFailing, mostlyFailing := learnedWait(0), learnedWait(8); mostlyFailing >= neverFailing {
+		t.Errorf("waits %v for one that answers, %v for one that mostly fails", neverFailing, mostlyFailing)
 	}
 }
 
 func BenchmarkPlan(b *testing.B) {
 	for name, tc := range map[string]struct {
-		parts  int
-		common float64
+		parts       int
+		correlation float64
 	}{"5": {5, 0}, "5common": {5, 0.7}, "64": {64, 0}, "256common": {256, 0.7}} {
 		b.Run(name, func(b *testing.B) {
 			s, medians := newSettings(0.3), make([]time.Duration, tc.parts)
@@ -199,7 +199,7 @@
 				s.Parts = append(s.Parts, Part{Name: string(rune('a' + i))})
 				medians[i] = time.Duration(100+i) * ms
 			}
-			f := lognormal(tc.common, 0.7, medians...)
+			f := lognormal(tc.correlation, 0.7, medians...)
 			q := Begin(s, f, 0, 0)
 			for i := range (tc.parts + 1) / 2 {
 				q.PartCompleted(90*ms, i, true)
@@ -241,25 +241,25 @@
 // A part that is a gatherer itself answers in time with InnerDeadline as its deadline, and too late with the client's.
 func TestInnerGathererAnswersInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		upper, lower := newSettings(0.5, 1, 1), newSettings(0.1, 1, 1, 1)
-		upper.Mode, lower.Mode = None, None // both wait as long as they may
-		client := time.Duration(rapid.IntRange(100, 5000).Draw(t, "client")) * ms
+		outer, inner := newSettings(0.5, 1, 1), newSettings(0.1, 1, 1, 1)
+		outer.Mode, inner.Mode = None, None // both wait as long as they may
+		clientDeadline := time.Duration(rapid.IntRange(100, 5000).Draw(t, "client")) * ms
 		f := lognormal(0, 0.5, 100*ms, 100*ms, 100*ms)
-		u := Begin(upper, f, 0, client)
-		play := func(deadline time.Duration) (at time.Duration, share float64) {
-			l := Begin(lower, f, 0, deadline)
-			l.PartCompleted(ms, 0, true)
-			l.PartCompleted(ms, 1, true)
-			at = l.Next(ms).Until
-			return at, l.Next(at).Share
+		outerQuery := Begin(outer, f, 0, clientDeadline)
+		runInner := func(deadline time.Duration) (at time.Duration, share float64) {
+			innerQuery := Begin(inner, f, 0, deadline)
+			innerQuery.PartCompleted(ms, 0, true)
+			innerQuery.PartCompleted(ms, 1, true)
+			at = innerQuery.Next(ms).Until
+			return at, innerQuery.Next(at).Share
 		}
-		at, share := play(u.InnerDeadline())
-		u.PartCompleted(ms, 0, true)
-		u.PartEnded(at, 1, share)
-		if step := u.Next(at); at > u.LatestAnswer() || step.Kind != Answer || step.Reason != Complete || math.Abs(step.Share-(0.5+0.5*2/3)) > 1e-9 {
-			t.Fatalf("the lower one answers at %v of %v: %+v", at, u.LatestAnswer(), step)
+		at, share := runInner(outerQuery.InnerDeadline())
+		outerQuery.PartCompleted(ms, 0, true)
+		outerQuery.PartEnded(at, 1, share)
+		if step := outerQuery.Next(at); at > outerQuery.LatestAnswer() || step.Kind != Answer || step.Reason != Complete || math.Abs(step.Share-(0.5+0.5*2/3)) > 1e-9 {
+			t.Fatalf("the lower one answers at %v of %v: %+v", at, outerQuery.LatestAnswer(), step)
 		}
-		if at, _ := play(client + lower.Margin); at <= u.LatestAnswer() {
+		if at, _ := runInner(clientDeadline + inner.Margin); at <= outerQuery.LatestAnswer() {
 			t.Fatalf("with more time it answers at %v, in time: nothing is shown", at)
 		}
 	})
--- a/internal/waitpolicy/share/share_test.go
+++ b/internal/waitpolicy/share/share_test.go
@@ -23,7 +23,7 @@
 
 var settings = &waitpolicy.Settings{Parts: []waitpolicy.Part{{Name: "a"}, {Name: "b"}}}
 
-func store(t *testing.T) *redistest.Server {
+func startStore(t *testing.T) *redistest.Server {
 	t.Helper()
 	s, err := redistest.Start()
 	if err != nil {
@@ -38,7 +38,7 @@
 	learned *waitpolicy.Model
 }
 
-func start(t *testing.T, id string, stores ...*redistest.Server) instance {
+func startInstance(t *testing.T, id string, stores ...*redistest.Server) instance {
 	t.Helper()
 	o := Options{Gatherer: "district", InstanceID: id, Interval: 10 * time.Second, Timeout: testkit.WaitTimeout, Log: slog.New(slog.DiscardHandler)}
 	for _, s := range stores {
@@ -70,54 +70,54 @@
 // An instance without observations learns from the others, over a server that runs the script. While the server does
 // not reply, rejects calls or is replaced the instance uses what it has, and it recovers afterwards.
 func TestSharingSurvivesStoreFaults(t *testing.T) {
-	s := store(t)
+	s := startStore(t)
 	ctx := t.Context()
-	var all []instance
+	var instances []instance
 	for i := range 4 {
-		one := start(t, fmt.Sprint("i", i), s)
+		member := startInstance(t, fmt.Sprint("i", i), s)
 		if i > 0 {
-			one.observe(200)
+			member.observe(200)
 		}
-		all = append(all, one)
+		instances = append(instances, member)
 	}
-	round := func() {
+	exchangeTwice := func() {
 		for range 2 {
-			for _, one := range all {
-				one.Exchange(ctx)
+			for _, member := range instances {
+				member.Exchange(ctx)
 			}
 		}
 	}
-	round()
-	f := all[0].learned.Forecast("c", 0)
-	if q := f.Quantile(0, 0.5); !f.IsKnown() || q < 80*ms || q > 130*ms {
-		t.Fatalf("knows %v: half within %v; %+v", f.IsKnown(), q, all[0].Status())
+	exchangeTwice()
+	forecast := instances[0].learned.Forecast("c", 0)
+	if median := forecast.Quantile(0, 0.5); !forecast.IsKnown() || median < 80*ms || median > 130*ms {
+		t.Fatalf("knows %v: half within %v; %+v", forecast.IsKnown(), median, instances[0].Status())
 	}
 	for name, fault := range map[string]func(){
 		"unresponsive": func() { s.SetFaults(redistest.Faults{IsSilent: true}) }, "rejects": func() { s.SetFaults(redistest.Faults{Error: "LOADING x"}) },
 		"cut": s.CloseConns, "replaced": s.Replace,
 	} {
 		fault()
-		short, cancel := context.WithTimeout(ctx, 200*ms) // the unresponsive one does not reply
-		all[0].Exchange(short)
+		shortContext, cancel := context.WithTimeout(ctx, 200*ms) // the unresponsive one does not reply
+		instances[0].Exchange(shortContext)
 		cancel()
-		if f := all[0].learned.Forecast("c", 0); !f.IsKnown() {
+		if forecast := instances[0].learned.Forecast("c", 0); !forecast.IsKnown() {
 			t.Errorf("%s: nothing is known at once", name)
 		}
 		s.SetFaults(redistest.Faults{})
-		round()
-		if st := all[0].Status(); len(st.Failing) > 0 || st.Members != 3 || st.Trust < 0.5 {
-			t.Errorf("%s, and back: %+v", name, st)
+		exchangeTwice()
+		if status := instances[0].Status(); len(status.Failing) > 0 || status.Members != 3 || status.Trust < 0.5 {
+			t.Errorf("%s, and back: %+v", name, status)
 		}
 	}
-	if st := all[0].Status(); st.Failures < 2 || st.Bytes > waitpolicy.MaxSharedBytes {
-		t.Errorf("%+v", st)
+	if status := instances[0].Status(); status.Failures < 2 || status.Bytes > waitpolicy.MaxSharedBytes {
+		t.Errorf("%+v", status)
 	}
 }
 
 // Malformed values in the store affect no other member: a value, the hash of members, an age.
 func TestMalformedValuesInStore(t *testing.T) {
-	s, ctx := store(t), t.Context()
-	a, b, c := start(t, "a", s), start(t, "b", s), start(t, "c", s)
+	s, ctx := startStore(t), t.Context()
+	a, b, c := startInstance(t, "a", s), startInstance(t, "b", s), startInstance(t, "c", s)
 	b.observe(100)
 	c.observe(100)
 	b.Exchange(ctx)
@@ -125,32 +125,32 @@
 	s.Do("SET", "{lockflow:district}:gather:c", "lockflow gather\nrubbish")
 	s.Do("HSET", "{lockflow:district}:gather", "nobody", "1e99", "odd", "x", "far", "99999999999999999", "gone", fmt.Sprint(time.Now().UnixMilli()))
 	a.Exchange(ctx)
-	if f, st := a.learned.Forecast("c", 0), a.Status(); !f.IsKnown() || st.Members != 1 || st.Rejected != 1 || len(st.Failing) != 1 {
-		t.Errorf("%v %+v", f.IsKnown(), st)
+	if forecast, status := a.learned.Forecast("c", 0), a.Status(); !forecast.IsKnown() || status.Members != 1 || status.Rejected != 1 || len(status.Failing) != 1 {
+		t.Errorf("%v %+v", forecast.IsKnown(), status)
 	}
-	if left := s.Do("HGETALL", "{lockflow:district}:gather").([]any); len(left) != 8 { // a, b, c, gone
-		t.Errorf("%q", left)
+	if remaining := s.Do("HGETALL", "{lockflow:district}:gather").([]any); len(remaining) != 8 { // a, b, c, gone
+		t.Errorf("%q", remaining)
 	}
 }
 
 // With two stores, members are read over the one that works.
 func TestTwoStores(t *testing.T) {
-	one, two := store(t), store(t)
-	a, b := start(t, "a", one, two), start(t, "b", one, two)
-	one.SetFaults(redistest.Faults{Error: "READONLY x"})
+	failing, working := startStore(t), startStore(t)
+	a, b := startInstance(t, "a", failing, working), startInstance(t, "b", failing, working)
+	failing.SetFaults(redistest.Faults{Error: "READONLY x"})
 	b.observe(100)
 	b.Exchange(t.Context())
 	a.Exchange(t.Context())
-	if st := a.Status(); st.Members != 1 || len(st.Failing) != 1 || st.Failing[0] != one.Addr() {
-		t.Errorf("%+v", st)
+	if status := a.Status(); status.Members != 1 || len(status.Failing) != 1 || status.Failing[0] != failing.Addr() {
+		t.Errorf("%+v", status)
 	}
 }
 
 // Of a hundred members some are read in each exchange.
 func TestMembersReadAreLimited(t *testing.T) {
-	s := store(t)
-	a := start(t, "a", s)
-	b := start(t, "b", s)
+	s := startStore(t)
+	a := startInstance(t, "a", s)
+	b := startInstance(t, "b", s)
 	b.observe(50)
 	raw, _ := b.learned.Shared()
 	for i := range 100 {
