--- a/internal/scattergather/admission.go
+++ b/internal/scattergather/admission.go
@@ -7,22 +7,24 @@
 	"lockflow/internal/waitpolicy"
 )
 
-// minAdmissionTimeout is how long the parts' modules may take to decide, if the client's timeout allows it.
+// minAdmissionTimeout is the minimum time that the parts' decision modules get to decide, unless half of the query's
+// timeout is shorter.
 const minAdmissionTimeout = 250 * time.Millisecond
 
-// noLeaf stands for no leaf where one is expected.
+// noLeaf is the index that stands for the absence of a leaf.
 const noLeaf = -1
 
-// admission collects the decisions of the parts' modules on a query, before any part is sent anything.
+// admission collects the decisions of the parts' modules on a query. No attempt is sent to a part before the
+// admission has ended.
 type admission struct {
 	*Run
-	contexts   []context.Context    // by leaf; nil is not called
-	cancels    []context.CancelFunc // by leaf; nil is not called
+	contexts   []context.Context    // by leaf; nil if not called
+	cancels    []context.CancelFunc // by leaf; nil if not called
 	isDecided  []bool               // by leaf
 	isAdmitted []bool               // by leaf
-	endEvents  []*partEvent         // by leaf; nil has not ended
-	undecided  int                  // leaves
-	rejectedBy int                  // the first leaf that rejected the query for a quota, or noLeaf
+	endEvents  []*partEvent         // by leaf; nil if the call has not ended
+	undecided  int                  // number of leaves whose module has not decided
+	rejectedBy int                  // the first leaf that rejected the query because of a quota, or noLeaf
 }
 
 func newAdmission(r *Run) *admission {
@@ -39,7 +41,7 @@
 	}
 }
 
-// cancelAll ends all calls.
+// cancelAll cancels all calls.
 func (a *admission) cancelAll() {
 	for _, cancel := range a.cancels {
 		if cancel != nil {
@@ -48,7 +50,7 @@
 	}
 }
 
-// callLeaf requests admission from one leaf's module.
+// callLeaf starts the call to a leaf, which first requests admission from the leaf's module.
 func (a *admission) callLeaf(ctx context.Context, leaf int) {
 	a.contexts[leaf], a.cancels[leaf] = context.WithCancel(ctx)
 	a.mu.Lock()
@@ -58,8 +60,8 @@
 	go a.call(a.contexts[leaf], leaf)
 }
 
-// callLastRejecting calls the leaf that rejected a query last, alone: if it rejects this one too, the others'
-// quotas are not charged.
+// callLastRejecting calls only the leaf that most recently rejected a query: if it rejects this query too, the quotas
+// at the other leaves are not charged.
 func (a *admission) callLastRejecting(ctx context.Context) {
 	leaf, ok := a.Gatherers[0].LastRejecting()
 	if !ok || leaf >= len(a.Calls) {
@@ -77,7 +79,7 @@
 	}
 }
 
-// callRemaining calls the leaves that were not called yet, unless the query was rejected.
+// callRemaining calls the leaves that have not been called yet, unless the query has been rejected.
 func (a *admission) callRemaining(ctx context.Context) {
 	for leaf := range a.Calls {
 		if a.contexts[leaf] == nil && a.rejectedBy == noLeaf {
@@ -86,7 +88,7 @@
 	}
 }
 
-// await waits until all modules have decided, one has rejected the query, or the admission timeout is over.
+// await waits until all modules have decided, one has rejected the query, or the admission timeout expires.
 func (a *admission) await(ctx context.Context) {
 	timeout, cancel := context.WithTimeout(ctx, a.admissionTimeout())
 	defer cancel()
@@ -96,12 +98,12 @@
 	}
 }
 
-// awaitEvents processes the next events; false after a rejection or the timeout.
+// awaitEvents waits for the next events and processes them. It returns false after a rejection or the timeout.
 func (a *admission) awaitEvents(timeout context.Context) bool {
 	select {
 	case <-a.hasEvents:
 	case <-timeout.Done():
-		// On an overloaded machine both may be ready at once: events that arrived in time are processed.
+		// On an overloaded machine both channels may be ready: events that arrived before the timeout are processed.
 		if a.hasNoEvents() {
 			return false
 		}
@@ -128,8 +130,8 @@
 	}
 }
 
-// openGates starts the attempts of admitted calls, withdraws calls that are undecided, and hands those that
-// have ended to the query.
+// openGates starts the attempts of admitted calls, cancels calls whose module has not decided, and passes the results
+// of calls that have ended to the query.
 func (a *admission) openGates() {
 	now := a.elapsed()
 	for leaf := range a.Calls {
@@ -145,9 +147,9 @@
 	}
 }
 
-// admissionTimeout returns how long all modules may take to decide. It limits the delay by a hard limit whose
-// store does not reply to half of what the query waits for its parts without a deadline of the client, so that
-// no part is lost only because the process is overloaded.
+// admissionTimeout returns how long the modules may take to decide. A hard limit whose store does not reply delays the
+// query by at most half of the time that the query waits for its parts without a client deadline. The timeout is at
+// least minAdmissionTimeout where the client allows it, so that no part is lost only because the process is overloaded.
 func (r *Run) admissionTimeout() time.Duration {
 	settings := r.Gatherers[0].Settings
 	maxTimeout := r.Timeout / 2
--- a/internal/scattergather/call.go
+++ b/internal/scattergather/call.go
@@ -14,7 +14,7 @@
 	"lockflow/internal/waitpolicy"
 )
 
-// partEvent is what happened to the call to a leaf: its module has admitted it, or it has ended.
+// partEvent reports that a leaf's decision module has admitted the call to it, or that the call has ended.
 type partEvent struct {
 	leaf        int
 	isAdmission bool // the answer has not arrived yet
@@ -22,7 +22,8 @@
 	result      Result
 }
 
-// call has one service run its call, and delivers its admission and its result. ctx abandons it.
+// call sends the request to the service of a leaf and delivers its admission and its result. Cancelling ctx
+// abandons the call.
 func (r *Run) call(ctx context.Context, leaf int) {
 	call := &r.Calls[leaf]
 	gatherer := r.Gatherers[r.Leaves[leaf].Gatherer.ID]
@@ -62,7 +63,7 @@
 	r.removeReference()
 }
 
-// deliver queues an event for the query; false if the query has finished.
+// deliver queues an event for the query. It returns false, without queueing, if the query has finished.
 func (r *Run) deliver(event partEvent) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,7 +78,7 @@
 	return true
 }
 
-// takeResults returns the queued events and removes them.
+// takeEvents returns the queued events and removes them.
 func (r *Run) takeEvents() []partEvent {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -93,7 +94,7 @@
 	return len(r.pendingEvents) == 0
 }
 
-// isQuotaRejection reports whether a module has rejected a call because its customer's quota is used up.
+// isQuotaRejection reports whether a decision module has rejected a call because its customer exceeds a quota.
 func isQuotaRejection(answer service.Answer) bool {
 	if answer.Kind != service.Rejected {
 		return false
@@ -105,7 +106,8 @@
 	return false
 }
 
-// readResult reads an answer to its end. An answer that is not complete or cannot be merged is an error.
+// readResult reads an answer to its end and checks its content. It returns an error if the answer is incomplete or
+// cannot be merged.
 func (c *Call) readResult(ctx context.Context, answer service.Answer, merge Merge) (Result, error) {
 	stream := answer.Stream
 	if stream != nil {
--- a/internal/scattergather/counts.go
+++ b/internal/scattergather/counts.go
@@ -17,7 +17,7 @@
 	EndedPartial                 // answered without some parts
 	EndedTooFew                  // not answered, as too many parts were missing
 	EndedQuota                   // rejected by a part's quota before anything was sent
-	EndedClientGone              // the client has left
+	EndedClientGone              // the client has disconnected
 )
 
 // Outcomes are the names of the outcomes in metrics and status.
@@ -30,31 +30,32 @@
 }
 
 const (
-	// missesToLog is the number of consecutive answers without a part that is logged.
+	// missesToLog is the number of consecutive answers without a part after which the part is logged.
 	missesToLog = 32
-	// maxMissingNames limits the parts that are counted, over all generations of a service's settings.
+	// maxMissingNames limits the part names that are counted over all generations of a service's settings; above it
+	// the counts start from zero.
 	maxMissingNames = 4096
 )
 
-// Counts count the queries of a scatter-gather service over all generations of its settings. The zero value is
-// empty. They are safe for concurrent use.
+// Counts holds the query counts of a scatter-gather service over all generations of its settings. The zero value is
+// empty. It is safe for concurrent use.
 type Counts struct {
-	Queries  [len(Outcomes)]atomic.Uint64 // ended, by QueryOutcome
+	Queries  [len(Outcomes)]atomic.Uint64 // ended queries, by QueryOutcome
 	InFlight atomic.Int64
 
 	mu      sync.Mutex
 	missing map[string]*missCount // by part
 }
 
-// missCount counts the answers without one part.
+// missCount counts the answers in which one part is missing.
 type missCount struct {
 	total       uint64
 	consecutive int
 	isLogged    bool
 }
 
-// RecordMissing records for each part whether an answer has it, and logs a part that is missing in consecutive
-// answers, and its return.
+// RecordMissing records for each part whether an answer contains it. It logs a part that is missing in consecutive
+// answers, and when that part is available again.
 func (c *Counts) RecordMissing(service string, parts []waitpolicy.Part, hasPart func(part int) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/scattergather/decision.go
+++ b/internal/scattergather/decision.go
@@ -7,10 +7,10 @@
 	"lockflow/internal/waitpolicy"
 )
 
-// idleTimer is the initial duration of a timer that is reset before it is waited for.
+// initialTimerDuration is the initial duration of a timer that is reset before it is waited for.
 const initialTimerDuration = time.Hour
 
-// startDeciding creates the query and a wait policy for each of its gatherers. From now on outcomes are learned.
+// startDeciding creates the query and a wait policy query for each of its gatherers. From then on outcomes are learned.
 func (r *Run) startDeciding() {
 	r.mu.Lock()
 	r.isSent = true
@@ -32,14 +32,14 @@
 	})
 }
 
-// awaitDecision processes events until the query is decided or the client leaves.
+// awaitDecision processes events until the query is decided or the client disconnects.
 func (r *Run) awaitDecision(ctx context.Context) Final {
 	timer := time.NewTimer(initialTimerDuration)
 	defer timer.Stop()
 	for {
 		now := r.elapsed()
 		step := r.query.Next(now)
-		if step.Kind == waitpolicy.Wait && now >= r.Timeout { // overrides the wait policy
+		if step.Kind == waitpolicy.Wait && now >= r.Timeout { // the timeout overrides the wait policy
 			r.query.end(now, r.query.root, waitpolicy.Answer)
 			step = r.query.Next(now)
 		}
@@ -58,7 +58,7 @@
 	}
 }
 
-// processResults hands the results that have arrived to the query.
+// processEvents passes the results that have arrived to the query.
 func (r *Run) processEvents() {
 	now := r.elapsed()
 	for _, event := range r.takeEvents() {
@@ -68,7 +68,7 @@
 	}
 }
 
-// clientGone ends a query whose client has left.
+// clientGone ends a query whose client has disconnected.
 func (r *Run) clientGone() Final {
 	now := r.elapsed()
 	r.query.end(now, r.query.root, waitpolicy.Refuse)
@@ -77,7 +77,7 @@
 	return r.finish(EndedClientGone)
 }
 
-// conclude ends a query that is decided.
+// conclude ends a query that has been decided and returns its outcome.
 func (r *Run) conclude(kind waitpolicy.Kind, now time.Duration) Final {
 	r.endModels(now)
 	root := r.query.root
@@ -97,15 +97,15 @@
 	return final
 }
 
-// endModels reports the end of the query to the models, whatever its outcome, so that they account for the cost
-// of exploring.
+// endModels reports the end of the query to the models for every outcome, so that they account for the cost of
+// exploring.
 func (r *Run) endModels(now time.Duration) {
 	for id, decider := range r.deciders {
 		r.Gatherers[id].Model.Done(decider, r.Class, now)
 	}
 }
 
-// finish stops the processing of events. The models learn from results that have arrived meanwhile.
+// finish stops the processing of events. Results that are still queued are only reported to the models.
 func (r *Run) finish(outcome QueryOutcome) Final {
 	r.mu.Lock()
 	r.isFinished = true
@@ -123,8 +123,8 @@
 	return Final{Outcome: outcome}
 }
 
-// observeEnded has the models learn from the parts that have ended since the last call. An abandoned leaf is
-// reported later, by its service.
+// observeEnded reports the parts that have ended since the last call to the models. The outcome of an abandoned leaf
+// is reported later, when its call ends.
 func (r *Run) observeEnded() {
 	for _, ended := range r.query.Ended() {
 		part := ended.Gatherer.Parts[ended.Part]
@@ -142,7 +142,7 @@
 	}
 }
 
-// observe has the model learn from the end of an abandoned leaf, once for each.
+// observe reports the end of an abandoned leaf to its model. Later reports of the same leaf are ignored.
 func (r *Run) observe(leaf int, outcome waitpolicy.Outcome) {
 	r.mu.Lock()
 	isDue := r.isAbandoned[leaf] && r.isSent
--- a/internal/scattergather/headers.go
+++ b/internal/scattergather/headers.go
@@ -8,18 +8,18 @@
 
 // Headers of a merged answer that report which parts it contains.
 const (
-	HeaderParts   = "Lockflow-Parts"   // "2/3": parts in it, of parts that were queried
-	HeaderMissing = "Lockflow-Missing" // paths of the others, such as "pod-c, west/pod-d"
+	HeaderParts   = "Lockflow-Parts"   // "2/3": parts in the answer, of the parts that were queried
+	HeaderMissing = "Lockflow-Missing" // paths of the missing parts, such as "pod-c, west/pod-d"
 )
 
 const (
-	maxInnerParts   = 10000   // parts that an answer may report
-	maxMissingBytes = 8 << 10 // length of HeaderMissing
+	maxInnerParts   = 10000   // maximum number of parts that an answer may report
+	maxMissingBytes = 8 << 10 // maximum length of HeaderMissing
 )
 
-// ParsePartsHeaders reads the values of HeaderParts and HeaderMissing of an answer, which another gatherer may have
-// merged. The result has no content; it is 1 of 1 where both headers are absent. An error is returned where they
-// contradict each other or exceed a limit.
+// ParsePartsHeaders parses the values of HeaderParts and HeaderMissing of an answer, which another gatherer may have
+// merged. The result has no content. An answer without both headers counts as 1 of 1 part. ParsePartsHeaders returns
+// an error if the headers contradict each other or exceed a limit.
 func ParsePartsHeaders(parts, missing []string) (Result, error) {
 	if len(parts) == 0 && len(missing) == 0 {
 		return Result{Present: 1, Total: 1}, nil
@@ -37,7 +37,7 @@
 			return Result{}, err
 		}
 	}
-	// A name may stand for a gatherer with several parts, but every name stands for at least one.
+	// A missing name may be that of a gatherer with several parts, but it represents at least one part.
 	absent := result.Total - result.Present
 	hasNames := len(result.Missing) > 0
 	if (absent > 0) != hasNames || len(result.Missing) > absent {
@@ -59,7 +59,7 @@
 	return Result{Present: present, Total: total}, nil
 }
 
-// parseMissing parses a list of names; whitespace alone is an empty one.
+// parseMissing parses a comma-separated list of names. A value that is only whitespace is an empty list.
 func parseMissing(value string) (names []string, err error) {
 	if strings.Trim(value, whitespace) == "" {
 		return nil, nil
@@ -77,5 +77,5 @@
 	return names, nil
 }
 
-// isOutsidePath reports whether a character cannot be part of a path: space, control and non-ASCII characters.
+// isInvalidInPath reports whether a path cannot contain a character: space, control and non-ASCII characters.
 func isInvalidInPath(c rune) bool { return c <= ' ' || c >= 0x7f }
--- a/internal/scattergather/merge.go
+++ b/internal/scattergather/merge.go
@@ -1,6 +1,6 @@
-// Package scattergather runs a query on many services and merges their answers into one. How long to wait for a
-// part is decided by package waitpolicy. This package decides what is sent, what of it is in the answer and how it
-// is merged, and ensures that no answer claims a part that it does not contain.
+// Package scattergather runs a query on many services and merges their answers into one. Package waitpolicy decides
+// how long to wait for a part. This package sends the calls, selects and merges the results that the answer contains,
+// and ensures that no answer reports a part as present that it does not contain.
 package scattergather
 
 import (
@@ -11,16 +11,16 @@
 	"unicode/utf8"
 )
 
-// Merge is a format in which the parts' answers are merged.
+// Merge is the format in which the parts' answers are merged.
 type Merge uint8
 
 // The formats.
 const (
 	Array Merge = iota // JSON arrays (RFC 8259): their elements in the order of the parts
-	Lines              // a JSON value on each line
+	Lines              // one JSON value on each line
 )
 
-// Merges are the formats by their names in settings.
+// Merges maps the names of formats in settings to the formats.
 var Merges = map[string]Merge{"json-array": Array, "ndjson": Lines}
 
 // ContentType returns the media type of a merged answer.
@@ -31,11 +31,11 @@
 	return "application/json"
 }
 
-// whitespace is what JSON and header lists ignore around values.
+// whitespace is the set of characters that JSON and header lists ignore around values.
 const whitespace = " \t\r\n"
 
-// Check returns what of a part's answer goes into the merged one, without brackets and whitespace around it; it is
-// a slice of body, and empty for an answer without elements. It returns an error for an answer that cannot be merged.
+// Check returns the content of a part's answer without the enclosing brackets and whitespace. The content is a slice
+// of body, and empty for an answer without elements. Check returns an error for an answer that cannot be merged.
 func (m Merge) Check(body []byte) ([]byte, error) {
 	if !utf8.Valid(body) {
 		return nil, errors.New("it is no UTF-8")
@@ -53,7 +53,7 @@
 	return bytes.Trim(body[1:len(body)-1], whitespace), nil
 }
 
-// checkLines does what Check does, for Lines.
+// checkLines implements Check for Lines.
 func checkLines(body []byte) ([]byte, error) {
 	number := 0
 	for line := range bytes.SplitSeq(body, []byte("\n")) {
@@ -66,8 +66,8 @@
 	return bytes.Trim(body, whitespace), nil
 }
 
-// Join returns the merged answer as pieces to be written in order, and their length in bytes. The contents have
-// passed Check and are not copied.
+// Join returns the merged answer as pieces to be written in order, and their total length in bytes. The contents must
+// have been returned by Check; they are not copied.
 func (m Merge) Join(contents [][]byte) (pieces [][]byte, size int) {
 	open, separator, end := "[", ",", "]"
 	if m == Lines {
--- a/internal/scattergather/merge_test.go
+++ b/internal/scattergather/merge_test.go
@@ -18,7 +18,7 @@
 	for _, c := range []struct {
 		merge Merge
 		in    []string
-		want  string // "" is that the last can't be merged
+		want  string // "" if the last input cannot be merged
 	}{
 		{Array, []string{}, "[]"},
 		{Array, []string{"[]", " [ ] "}, "[]"},
@@ -120,7 +120,7 @@
 	})
 }
 
-// drawTree draws a tree of limited depth; names counts the names that were given.
+// drawTree draws a tree of limited depth. names counts the names that have been assigned.
 func drawTree(t *rapid.T, names *int, maxDepth int) *Tree {
 	*names++
 	tree := &Tree{Name: fmt.Sprint("g", *names), MinShare: rapid.Float64Range(0.01, 1).Draw(t, "least")}
@@ -135,7 +135,7 @@
 	return tree
 }
 
-// mentions counts how often a response contains a leaf, names it, or names a gatherer above it.
+// mentions counts how often a response contains a leaf, or names the leaf or a gatherer above it as missing.
 func (response *Response) mentions(root *Tree, leaf string) (n int) {
 	for _, c := range response.Contents {
 		if string(c) == leaf {
@@ -151,8 +151,8 @@
 	return n
 }
 
-// Over any tree and any order of results: an answer contains what it claims, its counts add up, each part is in it
-// or named once, and there is no answer below MinShare.
+// For any tree and any order of results, an answer contains the results that it reports, its counts add up, each part
+// is either in it or named as missing once, and there is no answer below MinShare.
 func TestAnswerReportsItsContents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		root := drawTree(t, new(int), 2)
@@ -204,7 +204,7 @@
 		if response.Present != 0 || response.Total != total {
 			t.Fatalf("it claims %d more than it holds, of %d that are %d", response.Present, response.Total, total)
 		}
-		// Each leaf is in the answer, or is named, or is below a gatherer that is.
+		// Each leaf is in the answer, is named as missing, or is below a gatherer that is named as missing.
 		for _, l := range leaves {
 			if count := response.mentions(root, l.Name); count != 1 {
 				t.Fatalf("%s is there %d times: %q, without %q", l.Name, count, response.Contents, response.Missing)
@@ -216,7 +216,7 @@
 	})
 }
 
-// reaches reports whether a part of a tree has a leaf below it.
+// hasLeafBelow reports whether the tree contains an inner gatherer named part that has the leaf below it.
 func hasLeafBelow(t *Tree, part, leaf string) bool {
 	return slices.ContainsFunc(t.Parts, func(p Part) bool {
 		if p.Inner == nil {
--- a/internal/scattergather/query.go
+++ b/internal/scattergather/query.go
@@ -10,29 +10,29 @@
 type Decider interface {
 	// PartEnded reports the end of a part and the fraction of its content that has arrived, 0 to 1.
 	PartEnded(now time.Duration, part int, share float64)
-	// Next returns what to do now.
+	// Next returns the next step.
 	Next(now time.Duration) waitpolicy.Step
 }
 
-// Result is the content of a service's answer. The zero value is that of a missing part.
+// Result is the content of a service's answer. The zero value is the result of a missing part.
 type Result struct {
 	Content []byte   // checked by Merge.Check
-	Present int      // parts in it: 1, or what another gatherer reported
-	Total   int      // parts that were queried: 1, or what another gatherer reported
-	Missing []string // names that another gatherer reported as missing
+	Present int      // parts in the answer: 1, or the number that another gatherer reported
+	Total   int      // parts that were queried: 1, or the number that another gatherer reported
+	Missing []string // names of parts that another gatherer reported as missing
 }
 
-// Ended is the end of a part, or that it was abandoned.
+// Ended reports that a part has ended or was abandoned.
 type Ended struct {
 	Gatherer    *Tree
 	Part        int           // index in Gatherer.Parts
 	Duration    time.Duration // since the query began
 	HasContent  bool
-	IsAbandoned bool // only known to take longer than Duration
+	IsAbandoned bool // the part takes longer than Duration
 }
 
-// Query is the state of one query over a tree: what has arrived, and whether to wait for more. It does no I/O.
-// Times count from any fixed moment. It is not safe for concurrent use.
+// Query is the state of one query over a tree: the results that have arrived, and whether to wait for more. It does no
+// I/O. Times are relative to an arbitrary fixed moment. Query is not safe for concurrent use.
 type Query struct {
 	root      *gathererState
 	states    map[*Tree]*gathererState
@@ -41,7 +41,7 @@
 	ended     []Ended // not yet returned by Ended
 }
 
-// Begin begins a query over a tree with so many leaves. newDecider returns the decider of each gatherer.
+// Begin starts a query over a tree with the given number of leaves. newDecider returns the decider of each gatherer.
 func Begin(t *Tree, leaves int, now time.Duration, newDecider func(*Tree) Decider) *Query {
 	q := &Query{
 		states:    make(map[*Tree]*gathererState),
@@ -69,7 +69,7 @@
 	return state
 }
 
-// LeafEnded records the result of a leaf. It is ignored if the leaf or its gatherer has ended before.
+// LeafEnded records the result of a leaf. The result is ignored if the leaf or its gatherer has already ended.
 func (q *Query) LeafEnded(now time.Duration, leaf Leaf, index int, result Result) {
 	state := q.states[leaf.Gatherer]
 	if state.isFinished || state.hasEnded[leaf.Part] {
@@ -89,7 +89,7 @@
 	state.partEnded(now, part, share)
 }
 
-// Next returns what to do now. After a step other than Wait the query is decided: all later steps are equal.
+// Next returns the next step. After a step other than Wait the query is decided, and all later steps are equal.
 func (q *Query) Next(now time.Duration) waitpolicy.Step {
 	step := q.next(now, q.root)
 	root := q.root
@@ -103,7 +103,7 @@
 	return step
 }
 
-// next returns what a gatherer has to do, after its inner gatherers have done so.
+// next returns the next step of a gatherer, after advancing its inner gatherers.
 func (q *Query) next(now time.Duration, state *gathererState) waitpolicy.Step {
 	if state.isFinished {
 		return waitpolicy.Step{Kind: state.decision}
@@ -120,7 +120,7 @@
 	return waitpolicy.Step{Kind: state.decision}
 }
 
-// nextOfInner advances the inner gatherers and returns until when the first of them waits, if any does.
+// nextOfInner advances the inner gatherers. It returns the earliest time until which one of them waits, if any does.
 func (q *Query) nextOfInner(now time.Duration, state *gathererState) (until time.Duration, isWaiting bool) {
 	for i, part := range state.Parts {
 		if part.Inner == nil || state.hasEnded[i] {
@@ -139,7 +139,8 @@
 	return until, isWaiting
 }
 
-// end ends a gatherer. Inner ones that still wait contribute what they have, if it is enough for an answer.
+// end ends a gatherer. Inner gatherers that are still waiting contribute the results that have arrived, if these are
+// sufficient for an answer.
 func (q *Query) end(now time.Duration, state *gathererState, kind waitpolicy.Kind) {
 	for i, part := range state.Parts {
 		if state.hasEnded[i] {
@@ -169,12 +170,12 @@
 // Response is the content of a query's answer.
 type Response struct {
 	Contents [][]byte // checked, in the order of the leaves
-	Present  int      // parts in it
+	Present  int      // parts in the answer
 	Total    int      // parts that were queried
-	Missing  []string // paths of the others
+	Missing  []string // paths of the missing parts
 }
 
-// Answer returns the content of a query that is decided with an answer.
+// Answer returns the content of the answer of a query that Next has decided to answer.
 func (q *Query) Answer() Response {
 	var response Response
 	q.collect(q.root, "", &response)
--- a/internal/scattergather/run.go
+++ b/internal/scattergather/run.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	// lateResultHalfLives is how long attempts of abandoned parts may go on, in half-lives of an answer's value:
-	// the model learns from how they end.
+	// lateResultHalfLives is how long attempts of abandoned parts may continue, in half-lives of an answer's value,
+	// so that the model learns their outcomes.
 	lateResultHalfLives = 4
-	// maxAttemptStopMargin and attemptStopDivisor limit the time between the end of the parts' attempts and the
-	// end of their query, the second as a divisor of the query's timeout.
+	// maxAttemptStopMargin and attemptStopDivisor limit the time from the end of the parts' attempts to the end of
+	// the query: as a duration, and as a divisor of the query's timeout.
 	maxAttemptStopMargin = 10 * time.Millisecond
 	attemptStopDivisor   = 4
 )
 
-// AttemptStopMargin returns how long before the end of a query its parts' attempts are stopped.
+// AttemptStopMargin returns how long before the end of a query the attempts of its parts are stopped.
 func AttemptStopMargin(timeout time.Duration) time.Duration {
 	return min(maxAttemptStopMargin, timeout/attemptStopDivisor)
 }
 
-// Call is the request of a query to one service.
+// Call is the call of a query to one service.
 type Call struct {
 	Service  *service.Service
 	Exchange *service.Exchange // admitted, or marked as over capacity
-	MaxBytes int               // limit of the answer's body
+	MaxBytes int               // maximum size of the answer's body
 }
 
-// Run is one query over a tree. It runs once: Do, then Done.
+// Run is one query over a tree. It is used for a single Do, followed by Done.
 type Run struct {
 	Tree      *Tree
 	Leaves    []Leaf
@@ -40,8 +40,8 @@
 	Class     string
 	Load      float64       // utilization of the parts, 0 to 1
 	Arrived   time.Time     // when the client's request arrived
-	Timeout   time.Duration // of the query, from Arrived on
-	Release   func()        // called when nothing of the query uses a service any more
+	Timeout   time.Duration // of the query, counted from Arrived
+	Release   func()        // called when the query no longer uses any service
 
 	query    *Query
 	deciders []*waitpolicy.Query // by Tree.ID
@@ -49,28 +49,28 @@
 	mu            sync.Mutex
 	pendingEvents []partEvent // not yet processed by the query
 	hasEvents     chan struct{}
-	isSent        bool   // gates were opened: outcomes are learned from then on
-	isFinished    bool   // further events are not processed
+	isSent        bool   // the attempts are being started; outcomes are learned from then on
+	isFinished    bool   // further events are not queued
 	isAbandoned   []bool // by leaf
 	wasCalled     []bool // by leaf
 	isReserved    []bool // by leaf: its answer's memory is reserved until Done
-	references    int    // users of the services
+	references    int    // the Run until Done, and its running calls: users of the services
 }
 
-// Final is the outcome of a query.
+// Final is the final outcome of a query.
 type Final struct {
 	Outcome    QueryOutcome
-	Response   Response      // with EndedComplete and EndedPartial
-	RetryAfter time.Duration // with EndedQuota
-	RejectedBy string        // with EndedQuota: the service
+	Response   Response      // set with EndedComplete and EndedPartial
+	RetryAfter time.Duration // set with EndedQuota
+	RejectedBy string        // set with EndedQuota: name of the service that rejected the query
 }
 
 func (r *Run) elapsed() time.Duration { return time.Since(r.Arrived) }
 
-// Do runs the query until its wait policy decides to answer or to reject. No part is sent anything before each
-// part's module has admitted the query or cannot run it; if a module rejects it for a quota, no part is sent
-// anything. The query ends early with ctx, when the client leaves. The memory that the answer uses is reserved
-// until Done, which has to be called.
+// Do runs the query until its wait policy decides to answer or to reject. Attempts are only sent after each part's
+// module has decided or the admission timeout has expired; if a module rejects the query because of a quota, none are
+// sent. The query ends early when ctx is cancelled because the client has disconnected. The memory that the answer
+// uses stays reserved until Done, which must be called.
 func (r *Run) Do(ctx context.Context) Final {
 	root := r.Gatherers[0]
 	root.Counts.InFlight.Add(1)
@@ -88,7 +88,7 @@
 	return final
 }
 
-// admitAndWait does what Do does, with all calls ending with ctx.
+// admitAndWait requests admission and waits for the decision. All calls end when ctx is cancelled.
 func (r *Run) admitAndWait(ctx context.Context) Final {
 	a := newAdmission(r)
 	defer a.cancelAll()
@@ -110,7 +110,7 @@
 	return r.awaitDecision(ctx)
 }
 
-// Done releases what the answer uses, after it was written.
+// Done releases the memory that the answer uses. It is called after the answer has been written.
 func (r *Run) Done() {
 	r.mu.Lock()
 	r.isFinished = true
@@ -124,7 +124,7 @@
 	r.removeReference()
 }
 
-// releaseReserved releases the memory that is reserved for a leaf's answer. r.mu is locked.
+// releaseReserved releases the memory that is reserved for a leaf's answer. r.mu must be locked.
 func (r *Run) releaseReserved(leaf int) {
 	if r.isReserved[leaf] {
 		r.isReserved[leaf] = false
@@ -132,7 +132,7 @@
 	}
 }
 
-// removeReference removes a user of the services, and calls Release after the last.
+// removeReference removes a user of the services and calls Release after the last one.
 func (r *Run) removeReference() {
 	r.mu.Lock()
 	r.references--
--- a/internal/scattergather/run_test.go
+++ b/internal/scattergather/run_test.go
@@ -10,8 +10,8 @@
 	"lockflow/internal/waitpolicy"
 )
 
-// Models forget by one clock over all queries, half in two hours, whether a part has ended in time or after it
-// was abandoned.
+// The observations of a model decay by one clock over all queries, by half in two hours, whether a part has ended in
+// time or after it was abandoned.
 func TestModelForgetsByClock(t *testing.T) {
 	clock := time.Duration(0)
 	settings := &waitpolicy.Settings{Parts: []waitpolicy.Part{{Name: "a"}, {Name: "b"}}, MinShare: 0.5}
@@ -26,7 +26,7 @@
 		run.query.end(time.Second, run.query.root, waitpolicy.Answer)
 		run.observeEnded()
 		run.observe(1, waitpolicy.Outcome{Duration: 2 * time.Second})
-		run.observe(1, waitpolicy.Outcome{Duration: 3 * time.Second}) // once only
+		run.observe(1, waitpolicy.Outcome{Duration: 3 * time.Second}) // ignored: each abandoned leaf is reported once
 	}
 	keys, sketches := gatherer.Model.Sketches()
 	for i, k := range keys {
@@ -58,7 +58,8 @@
 	}
 }
 
-// eagerDecider answers after a second with what there is, even nothing: the query itself has to check MinShare.
+// eagerDecider answers after a second with the parts that have arrived, even if there are none, so that the query itself
+// has to check MinShare.
 type eagerDecider struct{}
 
 func (eagerDecider) PartEnded(time.Duration, int, float64) {}
--- a/internal/scattergather/status.go
+++ b/internal/scattergather/status.go
@@ -14,18 +14,18 @@
 type Status struct {
 	Name          string            `json:"name"`
 	Parts         []string          `json:"parts"`
-	InFlight      int64             `json:"open"`    // queries
-	Queries       map[string]uint64 `json:"queries"` // ended, by Outcomes
+	InFlight      int64             `json:"open"`    // queries in flight
+	Queries       map[string]uint64 `json:"queries"` // ended queries, by their name in Outcomes
 	MissingCounts map[string]uint64 `json:"missed"`  // answers without a part, by part
-	IsKnown       bool              `json:"known"`   // the model has enough data to decide
+	IsKnown       bool              `json:"known"`   // the model has enough observations to decide
 	Deadline      time.Duration     `json:"deadline_ns"`
-	// TypicalTimes are the 90th percentiles of the parts' results; 0 is not known.
+	// TypicalTimes are the 90th percentiles of the parts' durations; 0 if unknown.
 	TypicalTimes []time.Duration  `json:"usual_ns"`
 	Learned      waitpolicy.Stats `json:"learned"`
 	Shared       *share.Status    `json:"shared,omitempty"` // nil if the model is not shared
 }
 
-// Status returns the state, with the model's forecast for a class without load.
+// Status returns the gatherer's state. Deadline and TypicalTimes are forecast for the class without load.
 func (g *Gatherer) Status(class string) Status {
 	s := Status{
 		Name:          g.Name,
--- a/internal/scattergather/tree.go
+++ b/internal/scattergather/tree.go
@@ -6,15 +6,15 @@
 	"lockflow/internal/waitpolicy"
 )
 
-// shareTolerance is the rounding error that sums of weights may have.
+// shareTolerance is the rounding error that is tolerated in sums of weights.
 const shareTolerance = 1e-9
 
-// Tree is a scatter-gather service and all services below it. It is not modified after NumberParts.
+// Tree is a scatter-gather service and all services below it. It must not be modified after NumberParts.
 type Tree struct {
 	Name     string
 	Parts    []Part
 	Merge    Merge
-	MinShare float64 // fraction of the parts' weight that an answer needs
+	MinShare float64 // minimum fraction of the parts' weight in an answer
 	ID       int     // index among all gatherers of the tree; the root's is 0
 }
 
@@ -23,18 +23,18 @@
 	Name      string
 	Weight    float64
 	Inner     *Tree // nil for a service
-	Leaf      int   // of a service: its index among all leaves of the tree
-	leafCount int   // leaves below it
+	Leaf      int   // index of a service among all leaves of the tree
+	leafCount int   // number of leaves of the part; 1 for a service
 }
 
 // Leaf is a service in a tree.
 type Leaf struct {
 	Name     string
-	Gatherer *Tree // that queries it
+	Gatherer *Tree // gatherer that queries the service
 	Part     int   // index in Gatherer.Parts
 }
 
-// NumberParts sets the IDs of gatherers and the indices of leaves, and returns the leaves.
+// NumberParts assigns the IDs of gatherers and the indices of leaves, and returns the leaves.
 func (t *Tree) NumberParts() (leaves []Leaf) {
 	gatherers := 0
 	var assignNumbers func(*Tree) int
@@ -64,9 +64,9 @@
 	*Tree
 	Decider
 	hasEnded   []bool    // by part
-	shares     []float64 // by part: fraction of its content that has arrived
+	shares     []float64 // by part: fraction of the content that has arrived
 	isFinished bool
-	decision   waitpolicy.Kind // if isFinished
+	decision   waitpolicy.Kind // set if isFinished
 }
 
 // presentShare returns the fraction of the parts' weight that has arrived.
@@ -80,14 +80,14 @@
 	return present / all
 }
 
-// isEnough reports whether what has arrived is enough for an answer.
+// isEnough reports whether the share that has arrived is sufficient for an answer.
 func (g *gathererState) isEnough() bool {
 	share := g.presentShare()
 	return share > 0 && share >= g.MinShare-shareTolerance
 }
 
-// contributedShare returns the fraction of an inner gatherer's content in the outer one's answer, which is 0
-// where the inner one does not answer.
+// contributedShare returns the fraction of an inner gatherer's content that is part of the outer gatherer's answer. It
+// is 0 if the inner gatherer does not answer.
 func (g *gathererState) contributedShare() float64 {
 	if g.decision != waitpolicy.Answer || !g.isEnough() {
 		return 0
--- a/internal/waitpolicy/blend.go
+++ b/internal/waitpolicy/blend.go
@@ -1,17 +1,18 @@
 package waitpolicy
 
 const (
-	// allLoadsWeight is the maximum weight of the sketch for all loads beside the one for a load.
+	// allLoadsWeight is the maximum weight of the sketch over all loads when it is added to the sketch for one load.
 	allLoadsWeight = 16
 	// fleetWeight is the maximum weight of other instances' sketches.
 	fleetWeight = 128
-	// distrustDivisor divides the trust in other instances' sketches after a change of a part.
+	// distrustDivisor divides the trust in other instances' sketches after a part has changed.
 	distrustDivisor = 16
-	// reuseDivisor divides the outcomes that a forecast was made of: it is used for so many more of each part.
+	// reuseDivisor divides the number of outcomes in a forecast; the result is the number of new outcomes of each
+	// part after which the forecast is computed again.
 	reuseDivisor = 24
 )
 
-// newForecast returns a forecast and for how many outcomes it is used.
+// newForecast returns a forecast and the number of outcomes for which it is used.
 func (m *Model) newForecast(className string, c *class, load int) (forecast *Forecast, observations int) {
 	parts := m.settings.Parts
 	forecast = &Forecast{
@@ -28,8 +29,9 @@
 	return forecast, len(parts) * max(1, int(minWeight/reuseDivisor))
 }
 
-// blendedSketch returns all that is known of a part: this instance's sketch for the load, with limited weights that
-// for all loads and the fleet's. The fleet's count less with the weight of the own one, which is returned too.
+// blendedSketch combines the sketches of a part: this instance's sketch for the load and, with limited weights, its
+// sketch over all loads and the other instances' sketches. The weight of the other instances' sketches decreases with
+// the weight of this instance's sketch for the load, which is returned as ownWeight.
 func (m *Model) blendedSketch(key Key) (blended Sketch, ownWeight float64) {
 	isDistrusting := false
 	if h := m.histories[key]; h != nil {
@@ -57,7 +59,7 @@
 	return blended, ownWeight
 }
 
-// addLimited adds another sketch, multiplied by a factor, with a limited weight.
+// addLimited adds another sketch, multiplied by a factor and limited to maxWeight.
 func (s *Sketch) addLimited(other *Sketch, factor, maxWeight float64) {
 	if weight := other.Weight() * factor; weight > 0 {
 		s.Add(other, factor*min(1, maxWeight/weight))
--- a/internal/waitpolicy/correlation.go
+++ b/internal/waitpolicy/correlation.go
@@ -1,15 +1,15 @@
 package waitpolicy
 
 const (
-	// correlationKeep is the weight that the moments keep with each query.
+	// correlationRetention is the factor by which the moments decay with each query.
 	correlationRetention = 1 - 1.0/256
-	// minSquareMoment is the moment below which no correlation is known.
+	// minSquareMoment is the square moment below which there are too few observations to estimate a correlation.
 	minSquareMoment = 20
-	// maxCorrelation limits the correlation, as forecasts divide by its difference to 1.
+	// maxCorrelation limits the correlation, as plans divide by 1 - correlation.
 	maxCorrelation = 0.95
 )
 
-// correlation returns the correlation of the parts' normal scores.
+// correlation returns the estimated correlation of the parts' normal scores.
 func (c *class) correlation() float64 {
 	if c.squareMoment < minSquareMoment {
 		return 0
@@ -17,7 +17,7 @@
 	return max(0, min(maxCorrelation, c.pairMoment/c.squareMoment))
 }
 
-// observeCorrelation adds the parts of a query to the moments, if all of them are known.
+// observeCorrelation adds the scores of a query's parts to the moments, if the forecast knows all of the parts.
 func (c *class) observeCorrelation(q *Query) {
 	if q.forecast == nil || len(q.forecast.parts) != len(q.parts) || len(q.parts) < 2 {
 		return
--- a/internal/waitpolicy/encode.go
+++ b/internal/waitpolicy/encode.go
@@ -14,22 +14,22 @@
 	"lockflow/internal/codec"
 )
 
-// Version is the version of the encoding. A decoder accepts no other.
+// Version is the version of the encoding. Decoders accept no other version.
 const Version = 1
 
 // Limits of encoded sketches.
 const (
 	MaxStateBytes  = 4 << 20  // of a model's state
-	MaxSharedBytes = 64 << 10 // of what one instance shares with others
+	MaxSharedBytes = 64 << 10 // of the sketches that one instance shares with others
 )
 
 const (
 	magic         = "lockflow gather\n"
 	checksumBytes = 4
 	headerBytes   = len(magic) + checksumBytes
-	// maxSquareMomentRead limits the moments that are accepted.
+	// maxAcceptedSquareMoment limits the square moments that a decoder accepts.
 	maxAcceptedSquareMoment = 1e6
-	// Upper bounds of what encoding adds to the fields of a record, and to the records.
+	// Upper bounds of the encoding overhead of a record besides its fields, and of all records.
 	recordOverheadBytes = 32
 	sharedOverheadBytes = 64
 )
@@ -46,7 +46,7 @@
 	return isValidName(c.Class) && hasValidSquares && math.Abs(c.Pairs) <= c.Squares*(1+shareTolerance)
 }
 
-// storedState is a model's state, or what an instance shares.
+// storedState is the state of a model, or the sketches that an instance shares.
 type storedState struct {
 	Version      int                `cbor:"1,keyasint"`
 	Records      []Record           `cbor:"2,keyasint"`
@@ -62,7 +62,7 @@
 	return withChecksum(raw), nil
 }
 
-// withChecksum returns a body behind the magic number and its checksum.
+// withChecksum returns a body with the magic number and the body's checksum in front of it.
 func withChecksum(body []byte) []byte {
 	return append(binary.BigEndian.AppendUint32([]byte(magic), codec.Checksum(body)), body...)
 }
@@ -87,7 +87,7 @@
 	return state, nil
 }
 
-// validate returns an error for a state that no model writes.
+// validate returns an error for a state that no model encodes.
 func (s *storedState) validate() error {
 	if s.Version != Version {
 		return fmt.Errorf("they are of version %d, not %d", s.Version, Version)
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// Shared encodes the sketches that were learned here, for other instances: those of the largest weight, in at most
-// MaxSharedBytes.
+// Shared encodes sketches that this instance has learned, for other instances: those of the largest weight that fit
+// into MaxSharedBytes.
 func (m *Model) Shared() ([]byte, error) {
 	keys, sketches := m.Sketches()
 	order := make([]int, len(keys))
@@ -138,13 +138,13 @@
 	return encode(state)
 }
 
-// DecodeShared decodes what another instance has shared: all of it, or none if there is an error.
+// DecodeShared decodes the sketches that another instance has shared. If it returns an error, it returns no records.
 func DecodeShared(raw []byte) ([]Record, error) {
 	state, err := decode(raw, MaxSharedBytes)
 	return state.Records, err
 }
 
-// Encode encodes what was learned here, for a successor or the next start.
+// Encode encodes what this instance has learned, for a successor or the next start.
 func (m *Model) Encode() ([]byte, error) {
 	keys, sketches := m.Sketches()
 	var state storedState
@@ -159,7 +159,7 @@
 	return raw, err
 }
 
-// correlations returns the moments of all classes, by their names.
+// correlations returns the moments of all classes, sorted by name.
 func (m *Model) correlations() (correlations []ClassCorrelation) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -172,8 +172,8 @@
 	return correlations
 }
 
-// Restore adds what Encode has returned the given time ago, of parts that still exist. Parts of which the model has
-// learned something are not changed. With an error the model is not changed.
+// Restore adds the sketches that Encode returned the given time ago, for parts that still exist. Sketches that the
+// model already has are not changed. If Restore returns an error, the model is unchanged.
 func (m *Model) Restore(raw []byte, ago time.Duration) error {
 	state, err := decode(raw, MaxStateBytes)
 	if err != nil {
@@ -197,7 +197,7 @@
 	return nil
 }
 
-// restoreRecord adds a sketch, of which a fraction is remembered.
+// restoreRecord adds a sketch whose counts are multiplied by retainedFraction.
 func (m *Model) restoreRecord(record *Record, retainedFraction float64) {
 	isSamePart := func(p Part) bool { return p.Name == record.Part }
 	if m.histories[record.Key()] != nil || !slices.ContainsFunc(m.settings.Parts, isSamePart) {
--- a/internal/waitpolicy/forecast.go
+++ b/internal/waitpolicy/forecast.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// A part of which nothing is known is expected to be outstanding half as often with each doubling of the time. That
-// counts as priorWeight outcomes in each bucket.
+// For a part without observations, the probability of being outstanding is assumed to halve with each doubling of the
+// time. This prior counts as priorWeight outcomes in each bucket.
 const (
 	priorWeight = 0.5
-	// knownWeight is the weight of outcomes below which nothing is decided by a part's curve.
+	// knownWeight is the weight of outcomes below which a part's curve is not used for decisions.
 	knownWeight = 4
 )
 
 var priorHazard = 1 - math.Exp2(-1.0/bucketsPerDoubling)
 
-// curve is the distribution of a part's duration, by the ends of buckets. What has neither answered nor is
-// outstanding has failed.
+// curve is the distribution of a part's duration at the ends of buckets. The probability of failure is what remains
+// besides those of being outstanding and of having answered.
 type curve struct {
 	outstanding [Buckets]float64 // probability
 	answered    [Buckets]float64 // probability
@@ -24,8 +24,9 @@
 	isKnown     bool
 }
 
-// estimate sets the curve from the outcomes of a sketch: the product of the probabilities to outlast each bucket
-// (Kaplan and Meier), in which answers and failures compete and an abandoned part is at risk until it was abandoned.
+// estimate computes the curve from the outcomes of a sketch with the Kaplan-Meier estimator: the product of the
+// probabilities of outlasting each bucket. Answers and failures are competing risks, and an abandoned part is at risk
+// until it was abandoned.
 func (c *curve) estimate(s *Sketch) {
 	atRisk := s.Weight()
 	outstanding := 1.0
@@ -37,7 +38,7 @@
 		answers := float64(s.Answered[i]) + priorWeight*priorHazard
 		failures := float64(s.Failed[i])
 		if i == Buckets-1 {
-			answers = total - failures // the last bucket has no end
+			answers = total - failures // the last bucket is unbounded
 		}
 		answered += outstanding * min(1, answers/total)
 		outstanding *= max(0, 1-(answers+failures)/total)
@@ -76,10 +77,10 @@
 	return c.scores[i-1] + fraction*(c.scores[i]-c.scores[i-1])
 }
 
-// minStayProbability is the probability of a longer duration below which scoreOf returns the largest score.
+// minSurvivalProbability is the probability of a longer duration below which scoreOf returns the maximum score.
 const minSurvivalProbability = 1e-4
 
-// scoreOf returns the normal score of an outcome. That of a censored one is the mean over all longer durations.
+// scoreOf returns the normal score of an outcome. The score of a censored outcome is the mean over all longer durations.
 func (c *curve) scoreOf(o Outcome) float64 {
 	score := c.scoreAt(o.Duration)
 	if !o.Censored {
@@ -92,14 +93,14 @@
 	return math.Exp(-score*score/2) / math.Sqrt(2*math.Pi) / survival
 }
 
-// Forecast is what is known of all parts of a gatherer for a class and a load. It is immutable.
+// Forecast contains the distributions of all parts' durations for a class and a load. It is immutable.
 type Forecast struct {
 	load        float64 // utilization, 0 to 1
 	correlation float64 // of the parts' scores, 0 to 1
 	parts       []curve
 }
 
-// IsKnown reports whether enough is known of every part to decide by it.
+// IsKnown reports whether every part has enough observations for decisions.
 func (f *Forecast) IsKnown() bool {
 	for i := range f.parts {
 		if !f.parts[i].isKnown {
@@ -123,8 +124,8 @@
 	return edges[Buckets-2]
 }
 
-// KnownForecast returns the forecast of known distributions, for simulations. answeredBy returns the probability
-// that a part has answered after a duration.
+// KnownForecast returns the forecast for given distributions, for simulations. answeredBy returns the probability that
+// a part has answered after a duration.
 func KnownForecast(parts int, load, correlation float64, answeredBy func(part int, duration time.Duration) float64) *Forecast {
 	f := &Forecast{load: load, correlation: correlation, parts: make([]curve, parts)}
 	for p := range f.parts {
--- a/internal/waitpolicy/golden_test.go
+++ b/internal/waitpolicy/golden_test.go
@@ -8,7 +8,7 @@
 )
 
 // Stored and shared sketches of an earlier build are decoded, and encoded to the same bytes.
-// go test ./internal/waitpolicy -run Golden -update writes them anew.
+// go test ./internal/waitpolicy -run Golden -update rewrites the golden files.
 func TestGoldenSketches(t *testing.T) {
 	for name, c := range map[string]struct {
 		encode   func(*Model) ([]byte, error)
@@ -42,7 +42,7 @@
 	}
 }
 
-// A model is restored from what an earlier build has stored.
+// A model is restored from the sketches that an earlier build has stored.
 func TestGoldenSketchesAreRestored(t *testing.T) {
 	restored := NewModel(newSettings(0.5, 1, 1), Options{})
 	if err := restored.Restore(testkit.GoldenBytes(t, "testdata/golden/stored", nil), 0); err != nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-// Every key of a sketch, including those that are omitted if empty.
+// The golden file contains every key of a sketch, including those that are omitted if empty.
 func TestGoldenSketchKeys(t *testing.T) {
 	testkit.GoldenSample(t, "cbor", "testdata/golden/sketches.cbor", &storedState{})
 }
--- a/internal/waitpolicy/history.go
+++ b/internal/waitpolicy/history.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// maxRemembered is the number of outcomes over which a part's history is averaged.
+	// maxRemembered is the number of outcomes over which a part's history is exponentially averaged.
 	maxRemembered = 512
-	// memoryHalfLife is the time in which half of a history is forgotten.
+	// memoryHalfLife is the time in which the weight of a history halves.
 	memoryHalfLife = 2 * time.Hour
-	// evictionDivisor divides MaxSketches: so many sketches are evicted together, as finding them costs as much as
-	// finding one.
+	// evictionDivisor divides MaxSketches; the result is the number of sketches that are evicted together, as finding
+	// them costs as much as finding one.
 	evictionDivisor = 8
 )
 
@@ -20,22 +20,22 @@
 // False detections are rarer than one in 100,000 outcomes.
 const (
 	changeDrift     = 0.6 // subtracted from each score
-	changeLimit     = 9.0 // sum that is a change
-	changeMinWeight = 60  // outcomes that have to be known before
-	maxChangeStep   = 3.0 // of one score
+	changeLimit     = 9.0 // sum at which a change is detected
+	changeMinWeight = 60  // minimum weight of the history for the detection
+	maxChangeStep   = 3.0 // maximum absolute value of one score
 )
 
-// partHistory is what is known of one part, for a class and a load.
+// partHistory contains the outcomes of one part for a class and a load.
 type partHistory struct {
 	lastUse      uint64
 	longTerm     decayingSketch
-	shortTerm    decayingSketch // since one of the sums was 0 last: what is true after a change
+	shortTerm    decayingSketch // outcomes since both sums were last 0; it replaces longTerm after a change
 	slowerSum    float64        // CUSUM
 	fasterSum    float64        // CUSUM
-	distrustLeft int            // outcomes for which the fleet's sketches count little, after a change
+	distrustLeft int            // after a change: outcomes for which the other instances' sketches have a reduced weight
 }
 
-// history returns a part's history, which it adds if it is not known.
+// history returns a part's history, and adds it if it does not exist.
 func (m *Model) history(key Key) *partHistory {
 	h := m.histories[key]
 	if h == nil {
@@ -71,8 +71,9 @@
 	h.distrustLeft = max(0, h.distrustLeft-1)
 }
 
-// hasChanged reports whether an outcome shows that the part has changed since the curve was learned. shortTerm has
-// then the outcomes since the change. Failures say nothing of delays; they are frequent enough to be learned.
+// hasChanged reports whether an outcome shows that the part has changed since the curve was learned. If so, shortTerm
+// contains the outcomes since the change. Failures are not scored: they do not indicate the delay of answers, and they
+// are frequent enough to be learned.
 func (h *partHistory) hasChanged(learned *curve, outcome Outcome) bool {
 	weight := h.longTerm.weight()
 	if outcome.Failed || !learned.isKnown || weight < changeMinWeight {
@@ -81,7 +82,7 @@
 		return false
 	}
 	score := max(-maxChangeStep, min(maxChangeStep, learned.scoreOf(outcome)))
-	drift := changeDrift + 1/math.Sqrt(weight) // the curve's own error
+	drift := changeDrift + 1/math.Sqrt(weight) // allows for the estimation error of the curve
 	h.slowerSum = max(0, h.slowerSum+score-drift)
 	h.fasterSum = max(0, h.fasterSum-score-drift)
 	if h.slowerSum == 0 && h.fasterSum == 0 {
@@ -94,7 +95,7 @@
 	return max(h.slowerSum, h.fasterSum) >= changeLimit
 }
 
-// restart replaces the history, and that for all loads, by what was learned since a change.
+// restart replaces the history, and the history over all loads, by the outcomes since a change.
 func (h *partHistory) restart(atAllLoads *partHistory) {
 	h.longTerm = h.shortTerm
 	h.distrustLeft = maxRemembered
--- a/internal/waitpolicy/keys_test.go
+++ b/internal/waitpolicy/keys_test.go
@@ -6,5 +6,5 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// Stored and shared sketches have a written key for every field.
+// Every field of stored and shared sketches has an explicit key.
 func TestKeysAreWritten(t *testing.T) { testkit.RequireKeys(t, "cbor", storedState{}) }
--- a/internal/waitpolicy/memory.go
+++ b/internal/waitpolicy/memory.go
@@ -6,29 +6,30 @@
 )
 
 const (
-	// maxDecayHalfLives limits the decay by one step of the clock.
+	// maxDecayHalfLives limits the decay by a single outcome, in half-lives.
 	maxDecayHalfLives = 30
-	// maxUnit is the unit from which on all counts are scaled back.
+	// maxOutcomeWeight is the weight of an outcome above which all counts are rescaled.
 	maxOutcomeWeight = 1e6
 )
 
 // Outcome is the end of one part of a query.
 type Outcome struct {
-	At       time.Duration // when it is known, by a clock that all queries share; 0 is not known
+	At       time.Duration // when the outcome became known, by a clock that all queries share; 0 if unknown
 	Duration time.Duration // until the part answered, failed or was abandoned
-	Censored bool          // abandoned: it would have taken longer than Duration
+	Censored bool          // abandoned: the part would have taken longer than Duration
 	Failed   bool          // ended without an answer
 }
 
-// memory is a sketch that forgets. A new outcome weighs more than those before instead of reducing their counts;
-// all counts are scaled back when the unit becomes large.
+// decayingSketch is a sketch whose counts decay exponentially. Instead of reducing all counts for each outcome, it
+// gives each new outcome a larger weight; all counts are rescaled when that weight becomes large.
 type decayingSketch struct {
 	Sketch
-	outcomeWeight float64       // weight of an outcome that is added now; 0 if there is none
+	outcomeWeight float64       // weight of the latest outcome; 0 if there is none
 	updatedAt     time.Duration // Outcome.At of the latest outcome
 }
 
-// add adds an outcome, after forgetting 1/length of all, and half of all for each half-life since the last.
+// add adds an outcome after all counts have decayed by the fraction 1/windowLength, and by half for each half-life
+// since the last outcome.
 func (m *decayingSketch) add(o Outcome, windowLength float64, halfLife time.Duration) {
 	m.outcomeWeight = max(m.outcomeWeight, 1) / (1 - 1/windowLength)
 	if m.updatedAt > 0 && o.At > m.updatedAt && halfLife > 0 {
@@ -49,8 +50,8 @@
 	}
 }
 
-// countScale returns the factor by which the count of an outcome that was added last becomes 1.
+// countScale returns the factor that scales counts so that the latest outcome counts 1.
 func (m *decayingSketch) countScale() float64 { return 1 / max(m.outcomeWeight, 1) }
 
-// weight returns the number of outcomes that are remembered.
+// weight returns the number of outcomes after decay.
 func (m *decayingSketch) weight() float64 { return m.Weight() * m.countScale() }
--- a/internal/waitpolicy/model.go
+++ b/internal/waitpolicy/model.go
@@ -6,46 +6,46 @@
 	"time"
 )
 
-// Limits of a model. The least recently used class or sketch is evicted for a new one.
+// Limits of a model. The least recently used classes and sketches are evicted for new ones.
 const (
 	MaxClasses   = 32
 	MaxNameBytes = 128 // of a class's or a part's name
 	MaxSketches  = 2048
 )
 
-// Loads is the number of buckets of a load from 0 to 1, which are equal; the last has higher loads too.
+// Loads is the number of equal buckets of loads from 0 to 1; the last bucket also contains higher loads.
 const Loads = 4
 
-// AllLoads is the load of sketches of all loads.
+// AllLoads is the load in the keys of sketches over all loads.
 const AllLoads = Loads
 
-// noClass is the name of the class of queries without one.
+// noClass is the key of queries without a class.
 const noClass = "-"
 
-// defaultExploreBudget is the fraction of the answers' value that is spent on exploring.
+// defaultExploreBudget is the default fraction of the answers' value that is spent on exploring.
 const defaultExploreBudget = 0.01
 
-// modelStream is the stream of a model's random numbers, in addition to Options.Seed.
+// modelStream is the second seed of a model's random number generator, beside Options.Seed.
 const modelStream = 0x6761746865720000
 
 // Options configure a model.
 type Options struct {
-	Seed uint64 // of the choice of exploring queries
-	// Explore is the fraction of the answers' value that is spent on waiting longer to learn. 0 is 0.01; below 0 is
-	// none.
+	Seed uint64 // of the random choice of exploring queries
+	// Explore is the fraction of the answers' value that is spent on waiting longer to learn. 0 is 0.01; a value
+	// below 0 disables exploring.
 	Explore float64
 }
 
-// Stats are the counts of a model since it was created, and its sizes.
+// Stats are the counts of a model since its creation, and its current sizes.
 type Stats struct {
 	Queries         uint64  `json:"queries"`
 	Explored        uint64  `json:"explored"` // queries that waited longer to learn
 	ExploreCost     float64 `json:"spent"`    // in values of complete answers without delay
-	Changes         uint64  `json:"changes"`  // of parts, that were detected
+	Changes         uint64  `json:"changes"`  // detected changes of parts
 	EvictedSketches uint64  `json:"dropped"`
 	Sketches        int     `json:"sketches"`
 	Classes         int     `json:"classes"`
-	Trust           float64 `json:"trust"` // in the fleet's sketches, 0 to 1
+	Trust           float64 `json:"trust"` // in the other instances' sketches, 0 to 1
 }
 
 // Model learns how long the parts of one gatherer take. It is safe for concurrent use.
@@ -56,24 +56,25 @@
 	rng           *rand.Rand
 	histories     map[Key]*partHistory
 	classes       map[string]*class
-	useCount      uint64          // clock of evictions
-	fleet         map[Key]*Sketch // by other instances
+	useCount      uint64          // logical clock for evictions
+	fleet         map[Key]*Sketch // learned by other instances
 	trust         float64         // in fleet, 0 to 1
 	exploreCredit float64         // value that may be spent on exploring
 	stats         Stats
 }
 
-// class is what is known of one class.
+// class is the state of one class.
 type class struct {
 	lastUse          uint64
-	forecasts        [Loads]*Forecast // nil is not made yet
-	observationsLeft [Loads]int       // until a forecast is made anew
-	// Exponential averages over queries, of the products of two parts' normal scores and of their squares.
+	forecasts        [Loads]*Forecast // by load bucket; nil if not computed yet
+	observationsLeft [Loads]int       // by load bucket: outcomes until the forecast is computed again
+	// Exponential moving sums over queries: of the mean product of two parts' normal scores, and of the mean square
+	// of a score.
 	pairMoment   float64
 	squareMoment float64
 }
 
-// NewModel returns a model that has learned nothing.
+// NewModel returns a model without observations.
 func NewModel(settings *Settings, options Options) *Model {
 	if options.Explore == 0 {
 		options.Explore = defaultExploreBudget
@@ -98,7 +99,7 @@
 	return name[:min(len(name), MaxNameBytes)]
 }
 
-// class returns a class, which it adds if it is not known.
+// class returns a class, and adds it if it does not exist.
 func (m *Model) class(name string) *class {
 	m.useCount++
 	c := m.classes[name]
@@ -130,8 +131,8 @@
 	}
 }
 
-// Observe learns the outcome of a part, by its index in the settings. It is called once for each part of a query,
-// also after the query was answered: a part that was abandoned is censored, or reported when it ends.
+// Observe records the outcome of a part, given by its index in the settings. It is called once for each part of a
+// query, also after the query was answered: an abandoned part is reported as censored, or with its outcome when it ends.
 func (m *Model) Observe(className string, part int, load float64, outcome Outcome) {
 	if part < 0 || part >= len(m.settings.Parts) || outcome.Duration < 0 {
 		return
@@ -156,7 +157,7 @@
 	atAllLoads.add(outcome)
 }
 
-// Forecast returns what is known for a class and a load: the utilization of the parts, 0 to 1.
+// Forecast returns the forecast for a class and a load. load is the utilization of the parts, 0 to 1.
 func (m *Model) Forecast(className string, load float64) *Forecast {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -191,8 +192,8 @@
 	}
 }
 
-// Begin begins a query with the forecast for its class and load. It may have the query explore, within the budget
-// for that; Done accounts for the cost.
+// Begin starts a query with the forecast for its class and load. It may select the query for exploring, within the
+// budget; Done accounts for the cost.
 func (m *Model) Begin(q *Query, className string, load float64, now, deadline time.Duration) {
 	forecast := m.Forecast(className, load)
 	q.Begin(m.settings, forecast, now, deadline)
@@ -204,8 +205,8 @@
 	q.isExploring = m.drawExploring()
 }
 
-// Done reports the end of a query, whether Next has decided it or not. The model learns the correlation of its parts
-// and the cost of exploring; the parts' outcomes are reported by Observe.
+// Done reports the end of a query, whether or not Next has decided it. The model learns the correlation of the parts
+// and accounts for the cost of exploring; the parts' outcomes are reported by Observe.
 func (m *Model) Done(q *Query, className string, now time.Duration) {
 	if q.isReported {
 		return
--- a/internal/waitpolicy/model_test.go
+++ b/internal/waitpolicy/model_test.go
@@ -12,7 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// observe has a model observe n durations of a part with the given median, abandoned after a time.
+// observe reports n outcomes of a part to a model. The durations have the given median; those longer than
+// abandonedAfter are censored.
 func observe(m *Model, rng *rand.Rand, n int, class string, part int, median, abandonedAfter time.Duration) {
 	for range n {
 		o := Outcome{Duration: time.Duration(float64(median) * math.Exp(0.5*rng.NormFloat64()))}
@@ -33,8 +34,8 @@
 	})
 }
 
-// A sketch with many abandoned parts has the quantiles of one with none, as far as they were observed; without
-// counting the abandoned ones it does not.
+// A sketch with many abandoned parts has the same quantiles as a sketch without any, in the range that was observed. A
+// sketch that ignores abandoned parts underestimates them.
 func TestAbandonedPartsCountAsCensored(t *testing.T) {
 	complete, censored, rng := new(Sketch), new(decayingSketch), rand.New(rand.NewPCG(1, 1))
 	answeredOnly := new(Sketch)
@@ -59,11 +60,11 @@
 	}
 }
 
-// A part that becomes three times as slow, or as fast, is detected within 40 outcomes, and 24 later the forecast has
-// adapted. Without a change there are few detections.
+// A part that becomes three times as slow, or as fast, is detected within 40 outcomes, and 24 outcomes later the
+// forecast has adapted. Without a change there are few detections.
 func TestChangeIsDetected(t *testing.T) {
 	for name, factor := range map[string]float64{"slower": 3, "faster": 1.0 / 3} {
-		for _, abandonedAfter := range []time.Duration{time.Hour, 150 * ms} { // slower ones are mostly cut then
+		for _, abandonedAfter := range []time.Duration{time.Hour, 150 * ms} { // most of the slower outcomes are abandoned then
 			maxOutcomes, totalOutcomes, errorSum := 0, 0, 0.0
 			for seed := range uint64(50) {
 				m, rng := NewModel(newSettings(0.5, 1), Options{}), rand.New(rand.NewPCG(seed, 1))
@@ -99,7 +100,7 @@
 	}
 }
 
-// Outcomes of the day before have no weight.
+// Outcomes of the previous day have no weight.
 func TestOldOutcomesAreForgotten(t *testing.T) {
 	m, rng := NewModel(newSettings(0.5, 1, 1), Options{}), rand.New(rand.NewPCG(1, 1))
 	at := time.Hour
@@ -128,7 +129,7 @@
 			for p := range durations {
 				durations[p] = time.Duration(100 * math.Exp(0.8*(math.Sqrt(correlation)*common+math.Sqrt(1-correlation)*rng.NormFloat64())) * float64(ms))
 			}
-			end := 150 * ms // what comes later is cut
+			end := 150 * ms // later parts are abandoned
 			for p, d := range durations {
 				if d <= end {
 					q.PartCompleted(now+d, p, true)
@@ -143,7 +144,7 @@
 	}
 }
 
-// Exploring costs no more of the answers' value than its budget and one query.
+// Exploring costs no more of the answers' value than its budget and the credit of one query.
 func TestExploringIsBudgeted(t *testing.T) {
 	m := NewModel(newSettings(0.5, 1, 1), Options{Seed: 1})
 	var q Query
@@ -157,7 +158,7 @@
 		for ; step.Kind == Wait; step = q.Next(at) {
 			at = step.Until
 		}
-		m.Observe("c", 1, 0, Outcome{Duration: at - now, Censored: true}) // it never comes
+		m.Observe("c", 1, 0, Outcome{Duration: at - now, Censored: true}) // the part never answers
 		m.Done(&q, "c", at)
 	}
 	stats := m.Stats()
@@ -223,7 +224,7 @@
 	if reencoded, _ := original.Encode(); !bytes.Equal(raw, reencoded) {
 		t.Error("the same is written in two ways")
 	}
-	for i := range raw { // any one byte wrong
+	for i := range raw { // each single corrupted byte, and each truncation
 		corrupted := bytes.Clone(raw)
 		corrupted[i] ^= 1 << (i % 8)
 		if expired.Restore(corrupted, 0) == nil || expired.Restore(raw[:i], 0) == nil {
@@ -235,7 +236,7 @@
 	}
 }
 
-// Whatever has a valid checksum, decoded records are valid, and can be encoded and restored.
+// Records that are decoded from any body with a valid checksum are valid, and can be encoded and restored.
 func FuzzDecode(f *testing.F) {
 	raw, _ := newTrainedModel("c").Encode()
 	f.Add(raw[len(magic)+4:])
--- a/internal/waitpolicy/normal.go
+++ b/internal/waitpolicy/normal.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// maxScore limits normal scores.
+// maxScore limits the absolute value of normal scores.
 const maxScore = 4.0
 
 // The table of normalCDF covers scores from -cdfSpan to cdfSpan, with cdfSteps entries for each unit.
--- a/internal/waitpolicy/plan.go
+++ b/internal/waitpolicy/plan.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// nodeCount is the number of nodes of the quadrature over the common factor.
+// nodeCount is the number of nodes in the quadrature over the common factor.
 const nodeCount = 5
 
 // Nodes and weights of the Gauss-Hermite quadrature of a mean over a standard normal distribution, exact for
@@ -16,35 +16,35 @@
 )
 
 const (
-	// minCorrelation is the correlation below which parts count as independent.
+	// minCorrelation is the correlation below which parts are treated as independent.
 	minCorrelation = 0.04
 	// independentProbability is the probability that a part does not follow the common factor in a query. Without
-	// it a part that is far later than the others would be expected at each next moment.
+	// it, a part that is much later than the others would be expected to end at every next moment.
 	independentProbability = 0.02
-	// minProbability is the smallest probability that is divided by.
+	// minProbability is the smallest probability that is used as a divisor.
 	minProbability = 1e-12
-	// partsPerStride is the number of outstanding parts for which a plan skips one more bucket.
+	// partsPerStride is the number of outstanding parts for which a plan skips one more bucket in each step.
 	partsPerStride = 32
 )
 
-// outstandingPart is an outstanding part while a plan is made.
+// outstandingPart is the state of an outstanding part while a plan is computed.
 type outstandingPart struct {
 	curve              *curve
 	weight             float64
 	outstanding        float64            // probability, now
 	answered           float64            // probability, now
-	scoreNow           float64            // normal score of the time now
+	scoreNow           float64            // normal score of the current time
 	inverseOutstanding float64            // 1/outstanding
-	inverseSurvival    [nodeCount]float64 // 1/probability of being outstanding now, by the common factor
+	inverseSurvival    [nodeCount]float64 // 1/probability of being outstanding now, by node of the common factor
 
-	// At the time that is evaluated.
-	endedProbability     float64 // given that it is outstanding now
-	answeredRatio        float64 // of endedProbability
+	// At the future time that evaluate was called for.
+	endedProbability     float64 // given that the part is outstanding now
+	answeredRatio        float64 // fraction of endedProbability that are answers
 	evaluatedScore       float64
 	evaluatedOutstanding float64
 }
 
-// commonFactor is the distribution of what slows all parts at once, by quadrature nodes.
+// commonFactor is the distribution of the factor that delays all parts of a query together, by quadrature node.
 type commonFactor struct {
 	count            int                // of nodes; 1 if the parts are independent
 	means            [nodeCount]float64 // in units of the parts' scores
@@ -52,17 +52,17 @@
 	inverseDeviation float64 // 1/standard deviation of a part's score around the mean
 }
 
-// prospect is what is expected at a time, given the common factor.
+// prediction is the expected state of a query at a future time, given the common factor.
 type prediction struct {
-	mean            float64 // of the share that has arrived
+	mean            float64 // of the share that has arrived by then
 	variance        float64 // of that share
 	allEnded        float64 // probability that no part is outstanding
 	meanOutstanding float64 // mean weight of outstanding parts
 }
 
-// plan returns the time at which it is best to answer by what is known now, unless all parts have ended before;
-// a time that is not after now is at once. Long waits are planned again halfway, as parts that do not end are
-// evidence too. isKnown is false where there is no forecast for an outstanding part.
+// plan returns the time at which an answer has the highest expected value, unless all parts end earlier; a time that is
+// not after now means that the query should answer immediately. Long waits are planned again halfway, as parts that
+// remain outstanding are evidence too. isKnown is false if there is no forecast for an outstanding part.
 func (q *Query) plan(now time.Duration) (until time.Duration, isKnown bool) {
 	elapsed := now - q.startedAt
 	outstandingWeight, isKnown := q.findOutstanding(elapsed)
@@ -113,8 +113,8 @@
 	return until, true
 }
 
-// prospect returns what is expected at the time that the outstanding parts were evaluated for, given the k-th
-// value of the common factor.
+// prediction returns the expected state at the time for which the outstanding parts were evaluated, given the k-th node
+// of the common factor.
 func (q *Query) prediction(factor *commonFactor, k int) prediction {
 	predicted := prediction{mean: q.arrivedShare, allEnded: 1}
 	for j := range q.outstanding {
@@ -132,8 +132,8 @@
 	return predicted
 }
 
-// findOutstanding sets the outstanding parts and returns their weight. isKnown is false where there is no forecast
-// for one of them.
+// findOutstanding collects the outstanding parts and returns their total weight. isKnown is false if there is no
+// forecast for one of them.
 func (q *Query) findOutstanding(elapsed time.Duration) (weight float64, isKnown bool) {
 	q.outstanding = q.outstanding[:0]
 	if q.forecast == nil || len(q.forecast.parts) != len(q.parts) {
@@ -157,7 +157,7 @@
 	return weight, true
 }
 
-// valueOfAll returns the expected value of an answer, without decay, if all outstanding parts are waited for.
+// valueOfAll returns the expected value, without decay, of an answer that waits for all outstanding parts.
 func (q *Query) valueOfAll() float64 {
 	mean, variance := q.arrivedShare, 0.0
 	for i := range q.outstanding {
@@ -172,8 +172,8 @@
 	return meanValueOfShare(mean, variance)
 }
 
-// evaluate sets what is expected of the part at a time in, or at the end of, a bucket. The scores are only set if
-// they are needed.
+// evaluate sets the probabilities of the part at a time within a bucket or at its end. evaluatedScore and
+// evaluatedOutstanding are only set if needsScores is true.
 func (o *outstandingPart) evaluate(bucket int, at time.Duration, needsScores bool) {
 	outstanding, answered := o.curve.outstanding[bucket], o.curve.answered[bucket]
 	if at < edges[bucket] {
@@ -193,8 +193,8 @@
 // meanValueOfShare returns the mean of valueOfShare over a share of the given mean and variance.
 func meanValueOfShare(mean, variance float64) float64 { return (3*mean - mean*mean - variance) / 2 }
 
-// commonFactor returns the distribution of the common factor, given the scores of the parts that have ended and
-// the parts that are still outstanding. It sets their inverseStay.
+// commonFactor returns the distribution of the common factor, given the scores of the parts that have ended and the
+// fact that the other parts are still outstanding. It sets inverseSurvival of the outstanding parts.
 func (q *Query) commonFactor() commonFactor {
 	correlation := q.forecast.correlation
 	factor := commonFactor{inverseDeviation: 1 / math.Sqrt(1-correlation)}
--- a/internal/waitpolicy/pool/merge.go
+++ b/internal/waitpolicy/pool/merge.go
@@ -12,13 +12,13 @@
 const (
 	// maxMemberWeight is the maximum weight of one member in a merged sketch.
 	maxMemberWeight = 16
-	// maxSparseWeight is that of a member whose sketch is too small to be compared.
+	// maxSparseWeight is the maximum weight of a member whose sketch is too small to be compared.
 	maxSparseWeight = 4
-	// comparableWeight is the weight of a sketch from which on it is compared with the others.
+	// comparableWeight is the minimum weight of a sketch that is compared with the others.
 	comparableWeight = 8
-	// minComparable is the number of comparable sketches without which there are no outliers.
+	// minComparable is the minimum number of comparable sketches for the detection of outliers.
 	minComparable = 3
-	// outlierDivisor divides the comparable sketches: so many of them at most are outliers.
+	// outlierDivisor divides the number of comparable sketches; the result is the maximum number of outliers.
 	outlierDivisor = 3
 	// A sketch may deviate from the median by baseTolerance, in doublings of the duration, and by
 	// sampleTolerance over the square root of its weight.
@@ -40,7 +40,7 @@
 	deviation    float64                         // from the median, in tolerances
 }
 
-// newMemberSketch returns a sketch with its weight. freshness, 0 to 1, multiplies the weight.
+// newMemberSketch returns a sketch with its weight, which is multiplied by freshness, 0 to 1.
 func newMemberSketch(sketch waitpolicy.Sketch, freshness float64) memberSketch {
 	count := sketch.Weight()
 	s := memberSketch{sketch: sketch, count: count, isComparable: count >= comparableWeight}
@@ -69,7 +69,7 @@
 		}
 		sketch, err := record.Sketch()
 		if err != nil {
-			continue // cannot happen: it was validated when it was decoded
+			continue // cannot happen: the record was validated when it was decoded
 		}
 		if s := newMemberSketch(sketch, max(0, p.freshness(now-m.reportedAt))); s.weight > 0 {
 			sketches = append(sketches, s)
@@ -91,13 +91,13 @@
 	return merged
 }
 
-// freshness returns the factor of a report's weight, by its age.
+// freshness returns the factor by which the weight of a report of the given age is multiplied.
 func (p *Pool) freshness(age time.Duration) float64 {
 	freshPeriod := float64(p.options.Lifetime) / freshDivisor
 	return min(1, (float64(p.options.Lifetime)-float64(age))/(2*freshPeriod))
 }
 
-// discardOutliers removes the weight of the members' sketches that deviate most, up to the maximum number of outliers.
+// discardOutliers sets the weight of the members' sketches that deviate most to 0, up to the maximum number of outliers.
 func (p *Pool) discardOutliers(sketches []memberSketch, members int) {
 	outliers := make([]int, 0, members)
 	comparable := 0
--- a/internal/waitpolicy/pool/pool.go
+++ b/internal/waitpolicy/pool/pool.go
@@ -1,6 +1,6 @@
 // Package pool merges what many instances have learned of the same parts. It does no I/O: its methods take the time
-// and what was received. A member that misreports, or is overloaded itself, weighs no more than any other, and
-// nothing where its sketch is an outlier.
+// and the received reports as arguments. A member that misreports, or is itself overloaded, has no more weight than any
+// other member, and none if its sketch is an outlier.
 package pool
 
 import (
@@ -20,27 +20,27 @@
 const (
 	// maxTrustStep is the largest change of trust in one merge interval.
 	maxTrustStep = 0.25
-	// freshDivisor divides a report's lifetime: after the first of so many parts its weight decreases.
+	// freshDivisor divides a report's lifetime; the weight of a report decreases after the resulting time.
 	freshDivisor = 3
 )
 
 // Options configure a pool.
 type Options struct {
 	OwnID    string        // reports under this ID are ignored
-	Lifetime time.Duration // after which a report has no weight; from a third of it on the weight decreases
-	// MergeInterval is the time between two merges, in which trust changes by a quarter at most.
+	Lifetime time.Duration // age at which a report has no weight; from a third of it on the weight decreases
+	// MergeInterval is the time between two merges, in which trust changes by at most a quarter.
 	MergeInterval time.Duration
 }
 
-// Pool has the reports of other instances. It is not safe for concurrent use.
+// Pool contains the latest reports of other instances. It is not safe for concurrent use.
 type Pool struct {
 	options     Options
 	members     map[string]*member // by ID
 	trust       float64            // in the merged sketches, 0 to 1
 	lastMergeAt time.Duration
-	lastReplyAt time.Duration // of a store
+	lastReplyAt time.Duration // time of the latest reply of any store
 	stats       Stats
-	sketches    []memberSketch // memory of mergeKey
+	sketches    []memberSketch // buffer that mergeKey reuses
 }
 
 // member is the latest report of another instance.
@@ -53,7 +53,7 @@
 type Stats struct {
 	Members  int     `json:"members"`
 	Trust    float64 `json:"trust"`
-	Accepted uint64  `json:"taken"`   // reports
+	Accepted uint64  `json:"taken"`   // reports that were added
 	Rejected uint64  `json:"refused"` // reports that could not be decoded
 	Outliers uint64  `json:"apart"`   // sketches that were not merged
 }
@@ -61,8 +61,9 @@
 // New returns a pool without members.
 func New(options Options) *Pool { return &Pool{options: options, members: make(map[string]*member)} }
 
-// AddReport adds what a member has shared the given time ago. An older or expired report is ignored. If a report
-// cannot be decoded, it returns an error, and the report before remains.
+// AddReport adds a report that a member has shared the given time ago. A report that has expired, or is not newer than
+// the member's current one, is ignored. If a report cannot be decoded, AddReport returns an error and retains the
+// member's current report.
 func (p *Pool) AddReport(now time.Duration, id string, age time.Duration, report []byte) error {
 	if id == p.options.OwnID {
 		return nil
@@ -93,7 +94,8 @@
 	return nil
 }
 
-// evictOlderThan removes the member with the oldest report; false if that is not older than a time.
+// evictOlderThan removes the member with the oldest report. It returns false if that report is not older than the
+// given time.
 func (p *Pool) evictOlderThan(reportedAt time.Duration) bool {
 	oldestID := ""
 	var oldest *member
@@ -111,12 +113,12 @@
 	return true
 }
 
-// StoreReplied records that a store has replied, whatever it contained.
+// StoreReplied records that a store has replied, regardless of the content of the reply.
 func (p *Pool) StoreReplied(now time.Duration) { p.lastReplyAt = max(p.lastReplyAt, now) }
 
 // Merge returns the merged sketches of all members, and the trust in them, 0 to 1. Trust changes in steps, so that
-// deadlines do not jump when a store is found, lost or replaced. The own sketches only count in the detection of
-// outliers.
+// deadlines do not jump when a store is found, lost or replaced. The instance's own sketches are only used in the
+// detection of outliers.
 func (p *Pool) Merge(now time.Duration, ownKeys []waitpolicy.Key, ownSketches []waitpolicy.Sketch) (merged map[waitpolicy.Key]*waitpolicy.Sketch, trust float64) {
 	ids := p.currentMembers(now)
 	p.updateTrust(now, len(ids))
@@ -148,7 +150,7 @@
 	return ids
 }
 
-// updateTrust moves trust toward 1 as long as there are members and a store replies, and toward 0 otherwise.
+// updateTrust moves trust toward 1 while there are members and a store replies, and toward 0 otherwise.
 func (p *Pool) updateTrust(now time.Duration, members int) {
 	intervals := 1.0
 	if p.options.MergeInterval > 0 {
--- a/internal/waitpolicy/pool/pool_test.go
+++ b/internal/waitpolicy/pool/pool_test.go
@@ -16,7 +16,7 @@
 	ms            = time.Millisecond
 )
 
-// report is what an instance shares that has observed a part n times, with the given median.
+// newReport returns the report of an instance that has observed a part n times, with the given median duration.
 func newReport(t testing.TB, seed uint64, n int, median time.Duration) []byte {
 	t.Helper()
 	m := waitpolicy.NewModel(&waitpolicy.Settings{Parts: []waitpolicy.Part{{Name: "a"}}}, waitpolicy.Options{})
@@ -40,7 +40,7 @@
 	return float64(sketches[key].Quantile(0.5)) / float64(ms)
 }
 
-// One misreporting instance of four and more moves the merged median by no more than a tenth.
+// One misreporting instance among four or more moves the merged median by no more than a tenth.
 func TestMisreportingMemberHasLittleInfluence(t *testing.T) {
 	for _, n := range []int{4, 10, 40} {
 		for name, misreport := range map[string]struct {
@@ -72,7 +72,7 @@
 	}
 }
 
-// Trust changes by no more than a quarter in each merge, while a store is lost, emptied, shows half of the group or
+// Trust changes by no more than a quarter in each merge while a store is lost, emptied, returns half of the members or
 // is available again; and reports expire.
 func TestTrustChangesInSteps(t *testing.T) {
 	p, rng := New(Options{OwnID: "x", Lifetime: lifetime, MergeInterval: mergeInterval}), rand.New(rand.NewPCG(1, 1))
@@ -115,7 +115,7 @@
 			if err := p.AddReport(0, fmt.Sprint(j), 0, reports[j]); err != nil {
 				t.Fatal(err)
 			}
-			if err := p.AddReport(0, fmt.Sprint(j), time.Second, reports[0]); err != nil { // older than what is known
+			if err := p.AddReport(0, fmt.Sprint(j), time.Second, reports[0]); err != nil { // older than the current report
 				t.Fatal(err)
 			}
 		}
--- a/internal/waitpolicy/query.go
+++ b/internal/waitpolicy/query.go
@@ -3,17 +3,17 @@
 import "time"
 
 const (
-	// unknownHalfLives is how long a query waits, in half-lives of an answer's value, for a part of which too
-	// little is known.
+	// unknownHalfLives is how long a query waits, in half-lives of an answer's value, for a part with too few
+	// observations.
 	unknownHalfLives = 3
-	// maxHalfLives is how long a query waits at most in any mode but None: a later answer has next to no
-	// value.
+	// maxHalfLives is the maximum time that a query waits, in half-lives, in any mode but None: a later answer has
+	// almost no value.
 	maxHalfLives = 8
-	// replanAlwaysParts is the number of outstanding parts up to which each arrival makes a new plan.
+	// replanAlwaysParts is the number of outstanding parts up to which each call of Next computes a new plan.
 	replanAlwaysParts = 8
-	// replanDivisor divides the half-life: a plan is made anew after that time.
+	// replanDivisor divides the half-life; the result is the time after which a plan is computed again.
 	replanDivisor = 64
-	// shareTolerance is the rounding error that sums of shares may have.
+	// shareTolerance is the rounding error that is tolerated in sums of shares.
 	shareTolerance = 1e-9
 )
 
@@ -22,22 +22,22 @@
 
 // The kinds of steps.
 const (
-	Wait   Kind = iota // until a part ends, or Step.Until
-	Answer             // with what has arrived; outstanding parts are abandoned
-	Refuse             // too little has arrived, and no more can in time
+	Wait   Kind = iota // until a part ends, or until Step.Until
+	Answer             // with the parts that have arrived; outstanding parts are abandoned
+	Refuse             // too little has arrived, and enough cannot arrive in time
 )
 
-// Reason is why a step was chosen.
+// Reason is the reason for which a step was chosen.
 type Reason uint8
 
 // The reasons of steps.
 const (
 	Complete      Reason = iota // no part is outstanding
-	ExpectedValue               // by the expected values of waiting and answering
-	Unknown                     // too little is known of an outstanding part
-	Exploring                   // waits beyond the best time, to learn
-	BelowMinimum                // less has arrived than an answer needs
-	Time                        // the client's deadline, or the fixed one
+	ExpectedValue               // comparison of the expected values of waiting and of answering
+	Unknown                     // an outstanding part has too few observations
+	Exploring                   // waits longer than the optimal time, to learn
+	BelowMinimum                // less has arrived than MinShare
+	Time                        // the latest time of the answer, or the fixed waiting time
 )
 
 var reasonNames = [...]string{
@@ -52,39 +52,39 @@
 // String returns the name of the reason in logs and counts.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Step is what a query has to do now.
+// Step is the next action of a query.
 type Step struct {
 	Kind   Kind
 	Reason Reason
-	Until  time.Duration // with Wait: when to call Next again, if no part ends before
+	Until  time.Duration // with Wait: when to call Next again, unless a part ends earlier
 	Share  float64       // fraction of the parts' weight that has arrived
 }
 
-// Query is the state of one query from its begin to its decision. Begin reuses the memory of one that has ended.
-// It is not safe for concurrent use.
+// Query is the state of one query from its start to its decision. Begin reuses the memory of a query that has ended.
+// Query is not safe for concurrent use.
 type Query struct {
 	settings         *Settings
-	forecast         *Forecast // nil if nothing is known
+	forecast         *Forecast // nil if there are no observations
 	startedAt        time.Duration
 	latestAnswer     time.Duration
-	fixedAnswer      time.Duration // in mode Fixed: when to answer with what has arrived, if it is enough
+	fixedAnswer      time.Duration // in mode Fixed: when to answer with the parts that have arrived, if they are sufficient
 	totalWeight      float64
 	arrivedShare     float64 // of totalWeight
 	outstandingCount int
 	parts            []partState
-	// Evidence of the common factor: the scores of the parts that have ended.
+	// Observations of the common factor: the normal scores of the parts that have ended.
 	scoreSum   float64
 	scoreCount int
 
-	plannedAnswer time.Duration // by the last plan; 0 is none
-	replanAt      time.Duration // until when the last plan is valid whatever arrives
+	plannedAnswer time.Duration // answer time by the last plan; 0 if there is none
+	replanAt      time.Duration // until when the last plan is valid even if parts arrive
 
 	isExploring      bool
-	baselineAnswerAt time.Duration // when the query would have answered without exploring; 0 is not yet
+	baselineAnswerAt time.Duration // when the query would have answered without exploring; 0 if that has not happened yet
 	endedAt          time.Duration
 	isDone           bool
 	isReported       bool              // to Model.Done
-	outstanding      []outstandingPart // of the plan that is being made
+	outstanding      []outstandingPart // parts in the plan that is being computed
 }
 
 // partState is the state of one part in a query.
@@ -103,14 +103,14 @@
 	partFailed
 )
 
-// Begin begins a query. forecast may be nil. deadline is the client's; 0 is none.
+// Begin starts a query. forecast may be nil. deadline is that of the client; 0 is none.
 func Begin(settings *Settings, forecast *Forecast, now, deadline time.Duration) *Query {
 	q := new(Query)
 	q.Begin(settings, forecast, now, deadline)
 	return q
 }
 
-// Begin begins another query with the same memory.
+// Begin starts another query that reuses the memory of q.
 func (q *Query) Begin(settings *Settings, forecast *Forecast, now, deadline time.Duration) {
 	parts := q.parts[:0]
 	outstanding := q.outstanding[:0]
@@ -131,7 +131,7 @@
 	q.limitAnswer(now, deadline)
 }
 
-// limitAnswer sets the latest time of the answer.
+// limitAnswer sets the latest time of the answer, and the time of the answer in mode Fixed.
 func (q *Query) limitAnswer(now, deadline time.Duration) {
 	settings := q.settings
 	q.latestAnswer = now + edges[Buckets-2]
@@ -152,13 +152,13 @@
 // LatestAnswer returns the latest time of the answer.
 func (q *Query) LatestAnswer() time.Duration { return q.latestAnswer }
 
-// InnerDeadline returns the deadline for a part that is a gatherer itself: its answer at the last moment still
-// arrives in time.
+// InnerDeadline returns the deadline for a part that is itself a gatherer. It is early enough that an answer at the
+// deadline still arrives in time.
 func (q *Query) InnerDeadline() time.Duration {
 	return max(q.startedAt, q.latestAnswer-q.settings.margin())
 }
 
-// PartCompleted records that a part has answered with all of its content, or has failed.
+// PartCompleted records that a part has answered with its complete content, or has failed.
 func (q *Query) PartCompleted(now time.Duration, part int, hasContent bool) {
 	share := 0.0
 	if hasContent {
@@ -167,8 +167,8 @@
 	q.PartEnded(now, part, share)
 }
 
-// PartEnded records that a part has ended with a fraction of its content, 0 to 1; 0 is a failure. It is ignored
-// for a part that does not exist or has ended before, and after the query was decided.
+// PartEnded records that a part has ended with a fraction of its content, 0 to 1; 0 is a failure. The call is ignored
+// for a part that does not exist or has already ended, and after the query was decided.
 func (q *Query) PartEnded(now time.Duration, part int, share float64) {
 	if q.isDone || part < 0 || part >= len(q.parts) {
 		return
@@ -194,7 +194,7 @@
 // ArrivedShare returns the fraction of the parts' weight that has arrived.
 func (q *Query) ArrivedShare() float64 { return q.arrivedShare }
 
-// Missing appends the parts without content.
+// Missing appends the indices of the parts without content to parts.
 func (q *Query) Missing(parts []int) []int {
 	for i := range q.parts {
 		if q.parts[i].status != partAnswered {
@@ -204,7 +204,7 @@
 	return parts
 }
 
-// Outstanding appends the parts that have not ended.
+// Outstanding appends the indices of the parts that have not ended to parts.
 func (q *Query) Outstanding(parts []int) []int {
 	for i := range q.parts {
 		if q.parts[i].status == partOutstanding {
@@ -218,8 +218,8 @@
 	return share > shareTolerance && share >= q.settings.MinShare-shareTolerance
 }
 
-// Next returns what to do now. After a step other than Wait the query is decided, and all later steps are of the
-// same kind.
+// Next returns the next step. After a step other than Wait the query is decided, and all later steps are of the same
+// kind.
 func (q *Query) Next(now time.Duration) Step {
 	step := q.next(now)
 	step.Share = q.arrivedShare
@@ -263,7 +263,7 @@
 	return q.nextLearned(now)
 }
 
-// nextLearned returns what to do in mode Learned, when what has arrived is enough for an answer.
+// nextLearned returns the next step in mode Learned, if the share that has arrived is sufficient for an answer.
 func (q *Query) nextLearned(now time.Duration) Step {
 	if q.isExploring && q.baselineAnswerAt > 0 {
 		return q.exploreStep(now)
@@ -290,7 +290,8 @@
 	return Step{Kind: Answer, Reason: ExpectedValue}
 }
 
-// exploreStep waits for exploreHalfLives beyond the best time: later answers cost more than is learned from them.
+// exploreStep waits for exploreHalfLives beyond the optimal time: a longer wait costs more value than its observations
+// are worth.
 func (q *Query) exploreStep(now time.Duration) Step {
 	until := min(q.latestAnswer, q.baselineAnswerAt+exploreHalfLives*q.settings.halfLife())
 	if now < until {
--- a/internal/waitpolicy/query_test.go
+++ b/internal/waitpolicy/query_test.go
@@ -26,7 +26,8 @@
 	})
 }
 
-// requireAnswer checks that a decided query has what arrived before, and nothing that arrives later.
+// requireAnswer checks that a decided query contains the parts that arrived before the decision, and none that arrive
+// later.
 func requireAnswer(t *rapid.T, q *Query, now time.Duration, hasEnded []bool, shares []float64) {
 	arrivedShare, outstanding, missing := q.ArrivedShare(), q.Outstanding(nil), q.Missing(nil)
 	for i := range hasEnded {
@@ -40,8 +41,8 @@
 	}
 }
 
-// Whatever arrives at any time: one answer by LatestAnswer with its share, refused only if that is too small; each
-// step waits for a later time, and their number is limited.
+// For any arrival times, a query is decided once, by LatestAnswer, with the share that has arrived, and is only refused
+// if that share is too small. Each step waits for a later time, and the number of steps is limited.
 func TestQueryAnswersInTime(t *testing.T) {
 	var q Query
 	rapid.Check(t, func(t *rapid.T) {
@@ -100,7 +101,7 @@
 				hasEnded[next] = true
 				arrivedWeight += settings.Parts[next].Weight * shares[next]
 				q.PartEnded(now, next, shares[next])
-				q.PartEnded(now, next, 1) // twice is once
+				q.PartEnded(now, next, 1) // a repeated report is ignored
 			}
 		}
 	})
@@ -115,7 +116,8 @@
 	return false
 }
 
-// answerTime returns when a query answers if the first parts end at the given times and no others.
+// answerTime returns when a query answers if its first parts end at the given times, and parts with a negative time and
+// all others do not end.
 func answerTime(s *Settings, f *Forecast, deadline time.Duration, ended ...time.Duration) time.Duration {
 	q := Begin(s, f, 0, deadline)
 	for i, at := range ended {
@@ -159,7 +161,7 @@
 	}
 }
 
-// A failed part is not waited for, and nor one that often fails.
+// A query does not wait for a part that has failed, and waits less for a part that often fails.
 func TestFailuresAreNotAnswers(t *testing.T) {
 	s := newSettings(0.5, 1, 1, 1)
 	q := Begin(s, lognormal(0, .5, 100*ms, 100*ms, 100*ms), 0, 0)
@@ -172,7 +174,7 @@
 	if step := q.Next(60 * ms); step.Kind != Refuse {
 		t.Errorf("a third is none of a half: %+v", step)
 	}
-	// Half of the second part's calls fail after 200 ms, as late as its answers.
+	// Of the second part's calls, failuresInTen of ten fail. They take as long as its answers, 200 ms in the median.
 	learnedWait := func(failuresInTen int) time.Duration {
 		m := NewModel(newSettings(0.5, 1, 1), Options{Explore: -1})
 		rng := rand.New(rand.NewPCG(1, 1))
@@ -212,7 +214,7 @@
 	}
 }
 
-// A query allocates nothing with the memory of one of the same parts.
+// A query that reuses the memory of a query with the same parts allocates nothing.
 func TestQueryAllocatesNothing(t *testing.T) {
 	s := newSettings(0.5, 1, 1, 1, 1, 1)
 	m := NewModel(s, Options{Explore: -1})
@@ -238,11 +240,11 @@
 	}
 }
 
-// A part that is a gatherer itself answers in time with InnerDeadline as its deadline, and too late with the client's.
+// A part that is itself a gatherer answers in time with InnerDeadline as its deadline, and too late with the client's.
 func TestInnerGathererAnswersInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		outer, inner := newSettings(0.5, 1, 1), newSettings(0.1, 1, 1, 1)
-		outer.Mode, inner.Mode = None, None // both wait as long as they may
+		outer.Mode, inner.Mode = None, None // both wait as long as possible
 		clientDeadline := time.Duration(rapid.IntRange(100, 5000).Draw(t, "client")) * ms
 		f := lognormal(0, 0.5, 100*ms, 100*ms, 100*ms)
 		outerQuery := Begin(outer, f, 0, clientDeadline)
--- a/internal/waitpolicy/records.go
+++ b/internal/waitpolicy/records.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// countUnit is the number of units of an encoded count in one outcome.
+	// countUnit is the value that encodes a count of one outcome.
 	countUnit = 64
-	// countBytes is the size of an encoded count: a byte for the bucket, and two for the count.
+	// countBytes is the size of an encoded count: one byte for the bucket, and two for the count.
 	countBytes = 3
 )
 
-// Record is an encoded sketch. Each kind of outcome is a list of its buckets that are not empty, of countBytes each.
+// Record is an encoded sketch. Each kind of outcome is a list of its non-empty buckets, of countBytes each.
 type Record struct {
 	Class     string `cbor:"1,keyasint"`
 	Part      string `cbor:"2,keyasint"`
@@ -28,7 +28,7 @@
 // Key returns the key of the sketch.
 func (r *Record) Key() Key { return Key{Class: r.Class, Part: r.Part, Load: r.Load} }
 
-// Sketch decodes the sketch. It returns an error for names, loads and counts that no model writes.
+// Sketch decodes the sketch. It returns an error for names, loads and counts that no model encodes.
 func (r *Record) Sketch() (s Sketch, err error) {
 	if !isValidName(r.Class) || !isValidName(r.Part) {
 		return s, errors.New("a name that can't be")
--- a/internal/waitpolicy/report.go
+++ b/internal/waitpolicy/report.go
@@ -20,7 +20,7 @@
 	return cmp.Or(cmp.Compare(k.Class, other.Class), cmp.Compare(k.Part, other.Part), cmp.Compare(k.Load, other.Load))
 }
 
-// Sketches returns copies of the sketches that were learned here, in the order of their keys.
+// Sketches returns copies of the sketches that this instance has learned, sorted by key.
 func (m *Model) Sketches() (keys []Key, sketches []Sketch) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -36,18 +36,18 @@
 	return keys, sketches
 }
 
-// PartReport is what is known of a part of a class over all loads, for operators.
+// PartReport summarizes for operators the observations of a part of a class over all loads.
 type PartReport struct {
 	Class     string  `json:"class"`
 	Part      string  `json:"part"`
-	Weight    float64 `json:"weight"` // outcomes that are remembered
+	Weight    float64 `json:"weight"` // number of outcomes after decay
 	Median    float64 `json:"p50_ms"`
 	P95       float64 `json:"p95_ms"`
 	Failed    float64 `json:"failed"` // fraction of the outcomes
 	Abandoned float64 `json:"cut"`    // fraction of the outcomes
 }
 
-// Report returns what was learned here, in the order of classes and parts.
+// Report returns what this instance has learned, sorted by class and part.
 func (m *Model) Report() (reports []PartReport) {
 	keys, sketches := m.Sketches()
 	for i, key := range keys {
--- a/internal/waitpolicy/share/share.go
+++ b/internal/waitpolicy/share/share.go
@@ -1,6 +1,6 @@
-// Package share exchanges over Redis servers what instances have learned of a gatherer's parts. Each instance writes
-// its own sketches under its own ID, with a lifetime, and reads some of the others'. Queries never wait for it:
-// without a server each instance decides by its own sketches.
+// Package share exchanges the sketches of a gatherer's parts between instances over Redis servers. Each instance writes
+// its own sketches under its own ID, with a lifetime, and reads those of some other instances. Queries never wait for
+// an exchange: without a server, each instance decides by its own sketches.
 package share
 
 import (
@@ -28,27 +28,27 @@
 // Limits and defaults.
 const (
 	MaxStores       = 4
-	MaxMembersRead  = 16 // in one exchange; the others follow in the next ones
+	MaxMembersRead  = 16 // maximum in one exchange; further members are read in later exchanges
 	DefaultInterval = 5 * time.Second
 	DefaultTimeout  = time.Second
 )
 
 const (
-	// lifetimeIntervals is the lifetime of shared sketches, in intervals between exchanges.
+	// lifetimeIntervals is the lifetime of shared sketches, as a multiple of the interval between exchanges.
 	lifetimeIntervals = 12
-	// jitterDivisor divides the interval between exchanges: the jitter in both directions.
+	// jitterDivisor divides the interval between exchanges; the result is the maximum jitter in both directions.
 	jitterDivisor = 4
-	// maxReadOffset limits the random position from which on members are read.
+	// maxReadOffset limits the random index of the first member that is read.
 	maxReadOffset = 1 << 20
-	// memberFields is the number of strings for each member in a reply: ID, age in milliseconds, sketches.
+	// memberFields is the number of strings per member in a reply: ID, age in milliseconds, sketches.
 	memberFields = 3
 	// maxAgeMilliseconds limits the ages that are accepted.
 	maxAgeMilliseconds = 1 << 40
-	// jitterStream is the stream of random numbers, in addition to Options.Seed.
+	// jitterStream is the second seed of the random number generator, beside Options.Seed.
 	jitterStream = 0x7368617265
 )
 
-// errMalformedReply is wrapped by the errors of replies that cannot be read.
+// errMalformedReply is wrapped by the errors of replies that cannot be parsed.
 var errMalformedReply = errors.New("malformed reply of a model store")
 
 // Store is a Redis server.
@@ -93,23 +93,23 @@
 	}
 }
 
-// Model is what is shared; a *waitpolicy.Model is one.
+// Model is the model whose sketches are shared, such as a *waitpolicy.Model.
 type Model interface {
-	// Shared encodes the own sketches.
+	// Shared encodes the instance's own sketches.
 	Shared() ([]byte, error)
-	// Sketches returns the own sketches.
+	// Sketches returns the instance's own sketches.
 	Sketches() ([]waitpolicy.Key, []waitpolicy.Sketch)
 	// SetFleet sets the sketches of all other instances and the trust in them.
 	SetFleet(sketches map[waitpolicy.Key]*waitpolicy.Sketch, trust float64)
 }
 
-// Sharer shares a model. Its methods are safe for concurrent use, but for Exchange.
+// Sharer shares a model. Its methods except Exchange are safe for concurrent use.
 type Sharer struct {
 	options    Options
 	log        *slog.Logger
 	rng        *rand.Rand
 	clients    []*redis.Client // by store
-	lastErrors []error         // by store: of the last call
+	lastErrors []error         // by store: error of the last call
 	startedAt  time.Time
 
 	mu     sync.Mutex
@@ -122,12 +122,12 @@
 type Status struct {
 	pool.Stats
 	Exchanges uint64   `json:"exchanges"`
-	Failures  uint64   `json:"failures"` // calls
+	Failures  uint64   `json:"failures"` // failed calls of stores
 	Bytes     int      `json:"bytes"`    // written in the last exchange
 	Failing   []string `json:"failing"`  // addresses whose last call failed
 }
 
-// New returns a sharer that connects when it runs.
+// New returns a sharer. It connects to the stores when it runs.
 func New(options Options, model Model) (*Sharer, error) {
 	if err := options.validate(); err != nil {
 		return nil, err
@@ -172,18 +172,18 @@
 	})
 }
 
-// SetModel replaces the model, such as after a reload.
+// SetModel replaces the model, for example after a reload.
 func (s *Sharer) SetModel(model Model) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.model = model
 }
 
-// Run makes an exchange in each interval until ctx ends, and closes the connections then.
+// Run performs an exchange in each interval until ctx ends, and then closes the connections.
 func (s *Sharer) Run(ctx context.Context) {
 	defer func() {
 		for _, client := range s.clients {
-			_ = client.Close() // a connection pool
+			_ = client.Close() // an error when closing a connection pool has no effect
 		}
 	}()
 	timer := time.NewTimer(time.Duration(s.rng.Int64N(int64(s.options.Interval))))
@@ -200,8 +200,8 @@
 	}
 }
 
-// Exchange writes the own sketches to all stores, reads others', and sets the model's fleet. Run calls it; only one
-// may run at a time.
+// Exchange writes the instance's own sketches to all stores, reads those of other instances, and passes them to the
+// model. Run calls it; only one Exchange may run at a time.
 func (s *Sharer) Exchange(ctx context.Context) {
 	s.mu.Lock()
 	model := s.model
@@ -230,8 +230,8 @@
 	return replies, errs
 }
 
-// mergeReplies adds the replies to the pool and returns what all members have learned. It sets the errors of replies
-// that cannot be read.
+// mergeReplies adds the replies to the pool and returns the merged sketches of all members and the trust in them. It
+// sets the errors of replies that cannot be parsed.
 func (s *Sharer) mergeReplies(model Model, ownBytes int, replies [][]string, errs []error) (map[waitpolicy.Key]*waitpolicy.Sketch, float64) {
 	now := time.Since(s.startedAt)
 	s.mu.Lock()
@@ -253,7 +253,7 @@
 	return s.pool.Merge(now, keys, sketches)
 }
 
-// logErrors logs stores that have begun to fail, or to work again.
+// logErrors logs stores that have started to fail, or have recovered.
 func (s *Sharer) logErrors(ctx context.Context, errs []error) {
 	for i, err := range errs {
 		address := s.options.Stores[i].Address
@@ -268,7 +268,7 @@
 	}
 }
 
-// callStore writes the own sketches to a store and returns its reply: memberFields for each member.
+// callStore writes the instance's own sketches to a store and returns its reply: memberFields strings per member.
 func (s *Sharer) callStore(ctx context.Context, store int, own []byte, readOffset int) ([]string, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.Timeout)
 	defer cancel()
@@ -282,7 +282,7 @@
 	return reply, nil
 }
 
-// acceptReply adds the members of a reply to the pool. It returns the first error; the other members are added.
+// acceptReply adds the members of a reply to the pool. It returns the first error; valid members are added nevertheless.
 func (s *Sharer) acceptReply(now time.Duration, reply []string) error {
 	if len(reply)%memberFields != 0 || len(reply) > memberFields*MaxMembersRead {
 		return fmt.Errorf("%w: %d values", errMalformedReply, len(reply))
--- a/internal/waitpolicy/share/share.lua
+++ b/internal/waitpolicy/share/share.lua
@@ -1,6 +1,6 @@
--- Writes what one instance tells, and gives what some of the others told.
--- KEYS: the hash of members and when they told; the prefix of what they told.
--- ARGV: own name, what it tells, life in ms, most members to give, a number that says where to begin.
+-- Stores the sketches of one instance and returns those of some other instances.
+-- KEYS: the hash of member IDs and the times of their reports in ms; the key prefix of the reports.
+-- ARGV: own ID, own report, lifetime in ms, maximum number of members to return, index of the first member to return.
 local time = redis.call('TIME')
 local now = time[1] * 1000 + math.floor(time[2] / 1000)
 local lifetime = tonumber(ARGV[3])
@@ -10,7 +10,7 @@
 local members, ids, report_times = redis.call('HGETALL', KEYS[1]), {}, {}
 for i = 1, #members, 2 do
   local reported_at = tonumber(members[i + 1])
-  -- Where the server's clock went back, what was told is as old as can't be known.
+  -- A report from the future has no known age: the server's clock went back.
   if not reported_at or reported_at > now or now - reported_at >= lifetime then
     redis.call('HDEL', KEYS[1], members[i])
   elseif members[i] ~= ARGV[1] then
--- a/internal/waitpolicy/share/share_test.go
+++ b/internal/waitpolicy/share/share_test.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.pool = pool.New(pool.Options{OwnID: id, Lifetime: time.Minute, MergeInterval: 1}) // trust changes at once
+	s.pool = pool.New(pool.Options{OwnID: id, Lifetime: time.Minute, MergeInterval: 1}) // each merge changes trust by a full step
 	t.Cleanup(func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
@@ -67,8 +67,8 @@
 	}
 }
 
-// An instance without observations learns from the others, over a server that runs the script. While the server does
-// not reply, rejects calls or is replaced the instance uses what it has, and it recovers afterwards.
+// An instance without observations learns from the others over a server that runs the script. While the server does not
+// reply, rejects calls or is replaced, the instance uses the sketches that it has, and it recovers afterwards.
 func TestSharingSurvivesStoreFaults(t *testing.T) {
 	s := startStore(t)
 	ctx := t.Context()
@@ -97,7 +97,7 @@
 		"cut": s.CloseConns, "replaced": s.Replace,
 	} {
 		fault()
-		shortContext, cancel := context.WithTimeout(ctx, 200*ms) // the unresponsive one does not reply
+		shortContext, cancel := context.WithTimeout(ctx, 200*ms) // an unresponsive store does not reply before the deadline
 		instances[0].Exchange(shortContext)
 		cancel()
 		if forecast := instances[0].learned.Forecast("c", 0); !forecast.IsKnown() {
@@ -114,7 +114,7 @@
 	}
 }
 
-// Malformed values in the store affect no other member: a value, the hash of members, an age.
+// Malformed values in the store do not affect other members: sketches, an entry in the hash of members, an age.
 func TestMalformedValuesInStore(t *testing.T) {
 	s, ctx := startStore(t), t.Context()
 	a, b, c := startInstance(t, "a", s), startInstance(t, "b", s), startInstance(t, "c", s)
@@ -133,7 +133,7 @@
 	}
 }
 
-// With two stores, members are read over the one that works.
+// With two stores, members are read from the store that works.
 func TestTwoStores(t *testing.T) {
 	failing, working := startStore(t), startStore(t)
 	a, b := startInstance(t, "a", failing, working), startInstance(t, "b", failing, working)
@@ -146,7 +146,7 @@
 	}
 }
 
-// Of a hundred members some are read in each exchange.
+// An exchange reads only MaxMembersRead of a hundred members; later exchanges read other members.
 func TestMembersReadAreLimited(t *testing.T) {
 	s := startStore(t)
 	a := startInstance(t, "a", s)
--- a/internal/waitpolicy/sketch.go
+++ b/internal/waitpolicy/sketch.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Durations are counted in buckets of an eighth of a doubling, 9 to 12% wide, from 1 ms to a minute. Bucket i has
-// those from Edge(i-1) on and below Edge(i); the last has all that are longer.
+// Durations are counted in buckets of an eighth of a doubling, 9 to 12% wide, from 1 ms to a minute. Bucket i contains
+// durations of at least Edge(i-1) and below Edge(i); the last bucket contains all longer ones.
 const (
 	Buckets            = 129
 	bucketsPerDoubling = 8
@@ -38,8 +38,8 @@
 	return doublings*bucketsPerDoubling + part + 1
 }
 
-// abandonedBucket returns the bucket at whose begin a part that was abandoned after a duration is no longer at risk.
-// It is the one with the nearer edge, as queries plan their answers at the ends of buckets.
+// abandonedBucket returns the bucket from whose start on a part that was abandoned after a duration is no longer at
+// risk. It is the bucket whose start is nearest to the duration, as queries plan their answers at the ends of buckets.
 func abandonedBucket(duration time.Duration) int {
 	i := Bucket(duration)
 	isInside := i > 0 && i < Buckets-1
@@ -50,7 +50,7 @@
 }
 
 // Sketch counts the outcomes of a part by duration. An abandoned part is neither an answer nor a failure: it was at
-// risk up to the begin of its bucket. Sketches of the same part are merged by adding them.
+// risk up to the start of its bucket. Sketches of the same part are merged by addition.
 type Sketch struct {
 	Answered  [Buckets]float32
 	Failed    [Buckets]float32
@@ -86,9 +86,9 @@
 	}
 }
 
-// Quantiles sets quantiles to the durations within which the part ends with the given probabilities, which have to
-// increase, by the product of the probabilities to outlast each bucket (Kaplan and Meier). A quantile that is not
-// known is Edge(Buckets-2).
+// Quantiles sets quantiles to the durations within which the part ends with the given probabilities, which must be in
+// increasing order. It uses the Kaplan-Meier estimator: the product of the probabilities of outlasting each bucket. An
+// unknown quantile is Edge(Buckets-2).
 func (s *Sketch) Quantiles(probabilities []float64, quantiles []time.Duration) {
 	atRisk := s.Weight()
 	outstanding := 1.0
@@ -119,7 +119,7 @@
 	}
 }
 
-// Quantile returns one of Quantiles.
+// Quantile returns the duration within which the part ends with probability p, as Quantiles does.
 func (s *Sketch) Quantile(p float64) time.Duration {
 	var quantile [1]time.Duration
 	s.Quantiles([]float64{p}, quantile[:])
--- a/internal/waitpolicy/waitpolicy.go
+++ b/internal/waitpolicy/waitpolicy.go
@@ -1,6 +1,6 @@
 // Package waitpolicy decides for a scatter-gather query whether to wait for more of its parts or to answer with what
-// has arrived. It learns from each part's outcome how long the parts take, also from those that were abandoned. It
-// does no I/O; time and the seed of random numbers are arguments. docs/design/gather.md derives the decisions.
+// has arrived. It learns the durations of the parts from their outcomes, including those of abandoned parts. It does
+// no I/O; time and the seed of random numbers are arguments. docs/design/gather.md derives the decisions.
 package waitpolicy
 
 import (
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// Mode is how long a query waits.
+// Mode determines how long a query waits.
 type Mode uint8
 
-// The modes of waiting.
+// The wait modes.
 const (
 	Learned Mode = iota // as long as the expected value of waiting is higher than that of answering
 	Fixed               // for a fixed time
@@ -35,26 +35,26 @@
 	defaultPartWeight  = 1
 )
 
-// Part is a part that a gatherer queries.
+// Part is one of the parts that a gatherer queries.
 type Part struct {
 	Name   string
-	Weight float64 // relative to the other parts'; 0 is 1
+	Weight float64 // relative to the weights of the other parts; 0 is 1
 }
 
-// Settings configure the wait policy of one gatherer. They are read-only once a query has begun with them.
+// Settings configure the wait policy of one gatherer. They must not change after a query has started with them.
 type Settings struct {
 	Parts    []Part
-	MinShare float64       // fraction of the parts' weight that an answer needs, 0 to 1
-	HalfLife time.Duration // in which an answer loses half of its value; 0 is DefaultHalfLife
+	MinShare float64       // minimum fraction of the parts' weight in an answer, 0 to 1
+	HalfLife time.Duration // time in which an answer loses half of its value; 0 is DefaultHalfLife
 	Mode     Mode
-	Fixed    time.Duration // in mode Fixed
-	Margin   time.Duration // of the client's deadline, for writing the answer; 0 is DefaultMargin
-	// AbandonCost is the value that is lost if all parts are abandoned at full load: servers that go on working on
-	// them delay other requests. 0 is DefaultAbandonCost; below 0 is none.
+	Fixed    time.Duration // waiting time in mode Fixed
+	Margin   time.Duration // time before the client's deadline for writing the answer; 0 is DefaultMargin
+	// AbandonCost is the value that is lost if all parts are abandoned at full load: servers that continue to work on
+	// abandoned parts delay other requests. 0 is DefaultAbandonCost; a value below 0 is no cost.
 	AbandonCost float64
 }
 
-// Validate returns an error for the first setting that is out of range, which it names by its key.
+// Validate returns an error for the first setting that is out of range. The error names the setting by its key.
 func (s *Settings) Validate() error {
 	switch {
 	case len(s.Parts) == 0:
@@ -121,18 +121,18 @@
 	return defaultPartWeight
 }
 
-// valueOfShare returns the value of an answer with a fraction of the parts' weight, without delay. It is concave, as
-// the first parts have a higher value than the last, and quadratic, so that its mean only needs the mean and the variance
-// of the share.
+// valueOfShare returns the value of an immediate answer with a fraction of the parts' weight. The function is concave,
+// as the first parts add more value than the last, and quadratic, so that its mean only depends on the mean and the
+// variance of the share.
 func valueOfShare(share float64) float64 { return share * (3 - share) / 2 }
 
-// Value returns the value of an answer after a time, with a fraction of the parts' weight in it and another one
-// abandoned, at a load of 0 to 1.
+// Value returns the value of an answer after a time, at a load of 0 to 1. share is the fraction of the parts' weight
+// in the answer, abandoned the fraction that was abandoned.
 func (s *Settings) Value(share, abandoned, load float64, after time.Duration) float64 {
 	return s.decay(after)*valueOfShare(share) - s.abandonCost()*load*abandoned
 }
 
-// decay returns the fraction of its value that an answer has after a time.
+// decay returns the fraction of its value that an answer retains after a time.
 func (s *Settings) decay(after time.Duration) float64 {
 	return math.Exp2(-float64(after) / float64(s.halfLife()))
 }
