--- a/internal/scattergather/call.go
+++ b/internal/scattergather/call.go
@@ -114,11 +114,11 @@
 		defer stream.Close()
 	}
 	if answer.Kind != service.Served || answer.Header == nil || answer.Status != http.StatusOK {
-		return Result{}, fmt.Errorf("status %d", answer.Status)
+		return Result{}, fmt.Errorf("no successful answer: status %d", answer.Status)
 	}
 	encoding := answer.Header["Content-Encoding"]
 	if len(encoding) > 0 && !strings.EqualFold(strings.Join(encoding, ","), "identity") {
-		return Result{}, fmt.Errorf("encoded as %q", encoding)
+		return Result{}, fmt.Errorf("unsupported content encoding %q", encoding)
 	}
 	result, err := ParsePartsHeaders(answer.Header[HeaderParts], answer.Header[HeaderMissing])
 	if err != nil {
@@ -141,12 +141,12 @@
 // readAll reads a stream of at most maxBytes to its end. The stream is aborted when ctx ends.
 func readAll(ctx context.Context, stream *upstream.Stream, maxBytes int) ([]byte, error) {
 	if stream.IsTunnel || stream.ContentLength > int64(maxBytes) {
-		return nil, fmt.Errorf("%d bytes are more than %d", stream.ContentLength, maxBytes)
+		return nil, fmt.Errorf("answer with content length %d is a tunnel or exceeds the limit of %d bytes", stream.ContentLength, maxBytes)
 	}
 	defer context.AfterFunc(ctx, stream.Abort)()
 	body, err := io.ReadAll(io.LimitReader(stream, int64(maxBytes)+1))
 	if err == nil && len(body) > maxBytes {
-		err = fmt.Errorf("more than %d bytes", maxBytes)
+		err = fmt.Errorf("answer exceeds the limit of %d bytes", maxBytes)
 	}
 	return body, err
 }
--- a/internal/scattergather/headers.go
+++ b/internal/scattergather/headers.go
@@ -25,7 +25,7 @@
 		return Result{Present: 1, Total: 1}, nil
 	}
 	if len(parts) != 1 || len(missing) > 1 {
-		return Result{}, fmt.Errorf("%s: given %d times, and %s %d times", HeaderParts, len(parts), HeaderMissing, len(missing))
+		return Result{}, fmt.Errorf("%s is present %d times, and %s %d times", HeaderParts, len(parts), HeaderMissing, len(missing))
 	}
 	result, err := parseParts(parts[0])
 	if err != nil {
@@ -41,7 +41,7 @@
 	absent := result.Total - result.Present
 	hasNames := len(result.Missing) > 0
 	if (absent > 0) != hasNames || len(result.Missing) > absent {
-		return Result{}, fmt.Errorf("%s: %s with %d missing by name", HeaderParts, parts[0], len(result.Missing))
+		return Result{}, fmt.Errorf("%s: %s does not match the %d names of missing parts", HeaderParts, parts[0], len(result.Missing))
 	}
 	return result, nil
 }
@@ -54,7 +54,7 @@
 	isNumeric := ok && presentErr == nil && totalErr == nil
 	isInRange := present >= 0 && present <= total && total >= 1 && total <= maxInnerParts
 	if !isNumeric || !isInRange {
-		return Result{}, fmt.Errorf("%s: %q", HeaderParts, value)
+		return Result{}, fmt.Errorf("%s: malformed value %q", HeaderParts, value)
 	}
 	return Result{Present: present, Total: total}, nil
 }
@@ -65,12 +65,12 @@
 		return nil, nil
 	}
 	if len(value) > maxMissingBytes {
-		return nil, fmt.Errorf("%s: %d bytes", HeaderMissing, len(value))
+		return nil, fmt.Errorf("%s: value of %d bytes is too long", HeaderMissing, len(value))
 	}
 	for name := range strings.SplitSeq(value, ",") {
 		name = strings.Trim(name, whitespace)
 		if name == "" || strings.ContainsFunc(name, isInvalidInPath) {
-			return nil, fmt.Errorf("%s: %q", HeaderMissing, name)
+			return nil, fmt.Errorf("%s: invalid name %q", HeaderMissing, name)
 		}
 		names = append(names, name)
 	}
--- a/internal/scattergather/merge.go
+++ b/internal/scattergather/merge.go
@@ -38,17 +38,17 @@
 // of body, and empty for an answer without elements. Check returns an error for an answer that cannot be merged.
 func (m Merge) Check(body []byte) ([]byte, error) {
 	if !utf8.Valid(body) {
-		return nil, errors.New("it is no UTF-8")
+		return nil, errors.New("answer is not valid UTF-8")
 	}
 	if m == Lines {
 		return checkLines(body)
 	}
 	if !json.Valid(body) {
-		return nil, errors.New("it is no JSON")
+		return nil, errors.New("answer is not valid JSON")
 	}
 	body = bytes.Trim(body, whitespace)
 	if body[0] != '[' {
-		return nil, errors.New("it is no JSON array")
+		return nil, errors.New("answer is not a JSON array")
 	}
 	return bytes.Trim(body[1:len(body)-1], whitespace), nil
 }
@@ -60,7 +60,7 @@
 		number++
 		line = bytes.Trim(line, whitespace)
 		if len(line) > 0 && !json.Valid(line) {
-			return nil, fmt.Errorf("line %d is no JSON", number)
+			return nil, fmt.Errorf("line %d is not valid JSON", number)
 		}
 	}
 	return bytes.Trim(body, whitespace), nil
--- a/internal/scattergather/merge_test.go
+++ b/internal/scattergather/merge_test.go
@@ -48,7 +48,7 @@
 		}
 		pieces, size := c.merge.Join(contents)
 		if got := string(bytes.Join(pieces, nil)); err == nil && (got != c.want || size != len(got)) || (err != nil) != (c.want == "" && len(c.in) > 0) {
-			t.Errorf("%q: %q of %d, %v", c.in, got, size, err)
+			t.Errorf("inputs %q: merged to %q, size %d, error %v", c.in, got, size, err)
 		}
 	}
 }
@@ -82,11 +82,11 @@
 		}
 		result, err := ParsePartsHeaders(field(c.parts), field(c.missing))
 		if got := fmt.Sprintf("%d/%d %v", result.Present, result.Total, result.Missing); err == nil && got != c.want || (err != nil) != (c.want == "") {
-			t.Errorf("%q without %q: %s, %v", c.parts, c.missing, got, err)
+			t.Errorf("parts %q, missing %q: %s, error %v", c.parts, c.missing, got, err)
 		}
 	}
 	if _, err := ParsePartsHeaders([]string{"1/1", "1/1"}, nil); err == nil {
-		t.Error("given twice")
+		t.Error("duplicate parts header was accepted")
 	}
 }
 
@@ -101,7 +101,7 @@
 			pieces, _ := Array.Join([][]byte{[]byte("7"), c, []byte("8,9")})
 			var merged []json.RawMessage
 			if json.Unmarshal(body, &elements) != nil || json.Unmarshal(bytes.Join(pieces, nil), &merged) != nil || len(merged) != len(elements)+3 {
-				t.Errorf("%q: %q", body, pieces)
+				t.Errorf("body %q: merged array %q", body, pieces)
 			}
 		}
 		if c, err := Lines.Check(body); err == nil {
@@ -110,11 +110,11 @@
 			for ; d.More(); n++ {
 				var v json.RawMessage
 				if d.Decode(&v) != nil {
-					t.Fatalf("%q: %q", body, pieces)
+					t.Fatalf("body %q: merged lines %q", body, pieces)
 				}
 			}
 			if want := 2 + len(slices.DeleteFunc(strings.Split(string(c), "\n"), func(s string) bool { return strings.Trim(s, whitespace) == "" })); n != want {
-				t.Errorf("%q: %d values, not %d", body, n, want)
+				t.Errorf("body %q: got %d values, want %d", body, n, want)
 			}
 		}
 	})
@@ -171,7 +171,7 @@
 		now, step := time.Duration(0), query.Next(0)
 		for i := 0; step.Kind == waitpolicy.Wait; i++ {
 			if i > 1000 {
-				t.Fatal("it waits for ever")
+				t.Fatal("query was not decided after 1000 steps")
 			}
 			if leafIndex := rapid.IntRange(0, 2*len(leaves)).Draw(t, "who"); leafIndex < len(leaves) && received[leaves[leafIndex].Name].Total == 0 {
 				result := Result{Content: []byte(leaves[leafIndex].Name), Total: 1, Present: rapid.IntRange(0, 1).Draw(t, "holds")}
@@ -186,7 +186,7 @@
 			step = query.Next(now)
 		}
 		if step != query.Next(now) && query.Next(now+time.Hour).Kind != step.Kind {
-			t.Fatal("what was settled has changed")
+			t.Fatal("decision changed after the query was decided")
 		}
 		if step.Kind == waitpolicy.Refuse {
 			return
@@ -196,22 +196,22 @@
 		for _, c := range response.Contents {
 			result, ok := received[string(c)]
 			if !ok || result.Present == 0 {
-				t.Fatalf("it claims %s", c)
+				t.Fatalf("answer contains %s, which has no result", c)
 			}
 			total += result.Total - 1
 			response.Present -= result.Present
 		}
 		if response.Present != 0 || response.Total != total {
-			t.Fatalf("it claims %d more than it holds, of %d that are %d", response.Present, response.Total, total)
+			t.Fatalf("answer reports %d more parts than it contains, and a total of %d, want %d", response.Present, response.Total, total)
 		}
 		// Each leaf is in the answer, is named as missing, or is below a gatherer that is named as missing.
 		for _, l := range leaves {
 			if count := response.mentions(root, l.Name); count != 1 {
-				t.Fatalf("%s is there %d times: %q, without %q", l.Name, count, response.Contents, response.Missing)
+				t.Fatalf("leaf %s is mentioned %d times: contents %q, missing %q", l.Name, count, response.Contents, response.Missing)
 			}
 		}
 		if share := query.root.presentShare(); share < root.MinShare-shareTolerance {
-			t.Fatalf("an answer of %g", share)
+			t.Fatalf("answer has a share of %g, below MinShare", share)
 		}
 	})
 }
--- a/internal/scattergather/run_test.go
+++ b/internal/scattergather/run_test.go
@@ -31,11 +31,11 @@
 	keys, sketches := gatherer.Model.Sketches()
 	for i, k := range keys {
 		if weight := sketches[i].Weight(); math.Abs(weight-1.25) > 0.01 {
-			t.Errorf("%v: %.3f of two with four hours between", k, weight)
+			t.Errorf("%v: weight %.3f of two outcomes that are four hours apart, want 1.25", k, weight)
 		}
 	}
 	if len(keys) != 4 {
-		t.Errorf("%v", keys)
+		t.Errorf("got sketches %v, want 4", keys)
 	}
 }
 
@@ -53,7 +53,7 @@
 	} {
 		run := &Run{Gatherers: []*Gatherer{{Settings: &c.s}}, Timeout: c.maxWait}
 		if got := run.admissionTimeout(); got != c.want {
-			t.Errorf("%+v: %v", c.s, got)
+			t.Errorf("%+v: admission timeout %v", c.s, got)
 		}
 	}
 }
@@ -91,13 +91,13 @@
 		endLeaves(2*time.Second, true)
 		got := "/"
 		if query.Next(2*time.Second).Kind != step.Kind {
-			t.Errorf("%q: it is decided again", early)
+			t.Errorf("early parts %q: decision changed after late results", early)
 		}
 		if response := query.Answer(); step.Kind == waitpolicy.Answer {
 			got = string(bytes.Join(response.Contents, []byte(" "))) + "/" + strings.Join(response.Missing, " ")
 		}
 		if got != want {
-			t.Errorf("%q: %s, not %s", early, got, want)
+			t.Errorf("early parts %q: got %s, want %s", early, got, want)
 		}
 	}
 }
--- a/internal/waitpolicy/encode.go
+++ b/internal/waitpolicy/encode.go
@@ -57,7 +57,7 @@
 	state.Version = Version
 	raw, err := cbor.Marshal(state)
 	if err != nil {
-		return nil, fmt.Errorf("writing sketches: %w", err)
+		return nil, fmt.Errorf("encoding sketches: %w", err)
 	}
 	return withChecksum(raw), nil
 }
@@ -69,14 +69,14 @@
 
 func decode(raw []byte, maxBytes int) (state storedState, err error) {
 	if len(raw) < headerBytes || string(raw[:len(magic)]) != magic {
-		return state, errors.New("reading sketches: they are none")
+		return state, errors.New("decoding sketches: data does not start with the magic number")
 	}
 	if len(raw) > maxBytes {
-		return state, fmt.Errorf("reading sketches: %d bytes are more than %d", len(raw), maxBytes)
+		return state, fmt.Errorf("decoding sketches: %d bytes exceed the limit of %d bytes", len(raw), maxBytes)
 	}
 	body := raw[headerBytes:]
 	if binary.BigEndian.Uint32(raw[len(magic):]) != codec.Checksum(body) {
-		return state, errors.New("reading sketches: they are damaged: their sum is another one")
+		return state, errors.New("decoding sketches: checksum mismatch")
 	}
 	if err := codec.Decoder.Unmarshal(body, &state); err != nil {
 		return storedState{}, fmt.Errorf("reading sketches: %w", err)
@@ -90,25 +90,25 @@
 // validate returns an error for a state that no model encodes.
 func (s *storedState) validate() error {
 	if s.Version != Version {
-		return fmt.Errorf("they are of version %d, not %d", s.Version, Version)
+		return fmt.Errorf("got version %d, want version %d", s.Version, Version)
 	}
 	if len(s.Records) > MaxSketches || len(s.Correlations) > MaxClasses {
-		return fmt.Errorf("%d of %d classes are too many", len(s.Records), len(s.Correlations))
+		return fmt.Errorf("%d records or correlations of %d classes exceed the limit", len(s.Records), len(s.Correlations))
 	}
 	isRead := make(map[Key]bool, len(s.Records))
 	for i := range s.Records {
 		record := &s.Records[i]
 		if _, err := record.Sketch(); err != nil {
-			return fmt.Errorf("number %d: %w", i, err)
+			return fmt.Errorf("record %d: %w", i, err)
 		}
 		if isRead[record.Key()] {
-			return fmt.Errorf("number %d: it comes twice", i)
+			return fmt.Errorf("record %d: duplicate key", i)
 		}
 		isRead[record.Key()] = true
 	}
 	for i := range s.Correlations {
 		if !s.Correlations[i].isValid() {
-			return fmt.Errorf("common factor number %d can't be", i)
+			return fmt.Errorf("correlation %d is invalid", i)
 		}
 	}
 	return nil
@@ -154,7 +154,7 @@
 	state.Correlations = m.correlations()
 	raw, err := encode(state)
 	if err == nil && len(raw) > MaxStateBytes {
-		return nil, fmt.Errorf("writing sketches: %d bytes are more than %d", len(raw), MaxStateBytes)
+		return nil, fmt.Errorf("encoding sketches: %d bytes exceed the limit of %d bytes", len(raw), MaxStateBytes)
 	}
 	return raw, err
 }
--- a/internal/waitpolicy/golden_test.go
+++ b/internal/waitpolicy/golden_test.go
@@ -30,10 +30,10 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		if len(state.Records) == 0 || name == "stored" && len(state.Correlations) == 0 {
-			t.Errorf("%s: it holds %d sketches and %d common factors", name, len(state.Records), len(state.Correlations))
+			t.Errorf("%s: decoded %d sketches and %d correlations", name, len(state.Records), len(state.Correlations))
 		}
 		if reencoded, err := encode(state); err != nil || !bytes.Equal(reencoded, raw) {
-			t.Errorf("%s: it is not written as it was read: %v", name, err)
+			t.Errorf("%s: encoding differs from the golden file: %v", name, err)
 		}
 		const headerSize = len(magic) + 4
 		if err := testkit.RoundTrip("cbor", raw[headerSize:], new(storedState)); err != nil {
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	if n := restored.Stats().Sketches; n == 0 {
-		t.Error("nothing was restored")
+		t.Error("no sketch was restored")
 	}
 }
 
--- a/internal/waitpolicy/model_test.go
+++ b/internal/waitpolicy/model_test.go
@@ -29,7 +29,7 @@
 		d := time.Duration(rapid.Int64Range(0, int64(2*time.Minute)).Draw(t, "delay"))
 		i := Bucket(d)
 		if d >= Edge(i) || i > 0 && d < Edge(i-1) {
-			t.Fatalf("%v in bucket %d, which ends at %v", d, i, Edge(i))
+			t.Fatalf("duration %v is counted in bucket %d, which ends at %v", d, i, Edge(i))
 		}
 	})
 }
@@ -52,10 +52,10 @@
 	for _, p := range []float64{0.1, 0.25, 0.5, 0.75} {
 		want, got, biased := complete.Quantile(p), censored.Quantile(p), answeredOnly.Quantile(p)
 		if r := float64(got) / float64(want); r < 0.95 || r > 1.05 {
-			t.Errorf("quantile %g: %v, with cuts %v", p, want, got)
+			t.Errorf("quantile %g: want %v, got %v from censored outcomes", p, want, got)
 		}
 		if float64(biased) > 0.9*float64(want) {
-			t.Errorf("quantile %g: %v, and %v without what was cut: the test shows nothing", p, want, biased)
+			t.Errorf("quantile %g: %v, and %v without abandoned outcomes: the bias is too small for this test", p, want, biased)
 		}
 	}
 }
@@ -82,11 +82,11 @@
 				observe(m, rng, 24, "c", 0, newMedian, abandonedAfter)
 				errorSum += math.Log2(float64(m.Forecast("c", 0.5).Quantile(0, 0.5)) / float64(newMedian))
 			}
-			if t.Logf("%s, cut at %v: told after %d at the most, %d in the mean", name, abandonedAfter, maxOutcomes, totalOutcomes/50); maxOutcomes > 40 {
-				t.Error("that is late")
+			if t.Logf("%s, abandoned after %v: change detected after at most %d outcomes, %d in the mean", name, abandonedAfter, maxOutcomes, totalOutcomes/50); maxOutcomes > 40 {
+				t.Error("change was detected after more than 40 outcomes")
 			}
 			if abandonedAfter == time.Hour && math.Abs(errorSum/50) > 0.2 {
-				t.Errorf("%s: half is expected %.2f doublings off", name, errorSum/50)
+				t.Errorf("%s: forecast median deviates by %.2f doublings", name, errorSum/50)
 			}
 		}
 	}
@@ -96,7 +96,7 @@
 		m.Forecast("c", 0.5)
 	}
 	if n := m.Stats().Changes; n > 15 {
-		t.Errorf("%d changes told of what never changed", n)
+		t.Errorf("%d changes detected without a change", n)
 	}
 }
 
@@ -113,7 +113,7 @@
 		m.Observe("c", 0, 0, Outcome{At: at, Duration: time.Duration(90+rng.IntN(20)) * ms})
 	}
 	if d := m.Forecast("c", 0).Quantile(0, 0.5); d > 150*ms {
-		t.Errorf("half within %v", d)
+		t.Errorf("forecast median is %v, want at most 150 ms", d)
 	}
 }
 
@@ -139,7 +139,7 @@
 			m.Done(&q, "c", now+end)
 		}
 		if got := m.Forecast("c", 0).Correlation(); math.Abs(got-correlation) > 0.15 {
-			t.Errorf("a correlation of %g is learned as %.2f", correlation, got)
+			t.Errorf("correlation %g is estimated as %.2f", correlation, got)
 		}
 	}
 }
@@ -185,7 +185,7 @@
 		t.Errorf("%+v", stats)
 	}
 	if raw, err := m.Shared(); err != nil || len(raw) > MaxSharedBytes {
-		t.Errorf("%d bytes are shared: %v", len(raw), err)
+		t.Errorf("shared sketches have %d bytes: %v", len(raw), err)
 	}
 }
 
@@ -210,29 +210,29 @@
 	for p := range 2 {
 		for _, share := range []float64{0.1, 0.25, 0.5} {
 			if a, b := original.Forecast("c", 0.5).Quantile(p, share), restored.Forecast("c", 0.5).Quantile(p, share); a != b {
-				t.Errorf("part %d, %g: %v, and then %v", p, share, a, b)
+				t.Errorf("part %d, quantile %g: %v, and %v after restoring", p, share, a, b)
 			}
 		}
 	}
 	if f := restored.Forecast("c", 0.5); f.IsKnown() || math.Abs(f.Correlation()-0.4) > 1e-9 {
-		t.Errorf("%v, %g", f.IsKnown(), f.Correlation())
+		t.Errorf("restored forecast: known %v, correlation %g", f.IsKnown(), f.Correlation())
 	}
 	expired := NewModel(newSettings(0.5, 1, 1), Options{})
 	if err := expired.Restore(raw, 48*time.Hour); err != nil || expired.Stats().Sketches > 0 {
-		t.Errorf("two days later: %v, %+v", err, expired.Stats())
+		t.Errorf("restored after two days: %v, %+v", err, expired.Stats())
 	}
 	if reencoded, _ := original.Encode(); !bytes.Equal(raw, reencoded) {
-		t.Error("the same is written in two ways")
+		t.Error("two encodings of the same model differ")
 	}
 	for i := range raw { // each single corrupted byte, and each truncation
 		corrupted := bytes.Clone(raw)
 		corrupted[i] ^= 1 << (i % 8)
 		if expired.Restore(corrupted, 0) == nil || expired.Restore(raw[:i], 0) == nil {
-			t.Fatalf("damage at byte %d of %d is taken", i, len(raw))
+			t.Fatalf("corruption or truncation at byte %d of %d was accepted", i, len(raw))
 		}
 	}
 	if expired.Stats().Sketches > 0 {
-		t.Error("damage was taken")
+		t.Error("corrupted sketches were restored")
 	}
 }
 
@@ -244,11 +244,11 @@
 		state, err := decode(withChecksum(body), MaxStateBytes)
 		m := NewModel(newSettings(0.5, 1, 1), Options{})
 		if (m.Restore(withChecksum(body), 0) == nil) != (err == nil) {
-			t.Fatal("read once, and once not")
+			t.Fatal("decode and Restore disagree on validity")
 		}
 		for i := range state.Records {
 			if k := state.Records[i].Key(); k.Class == "" || k.Load > AllLoads {
-				t.Fatalf("%+v", k)
+				t.Fatalf("invalid key %+v", k)
 			}
 		}
 		if reencoded, err := m.Encode(); err != nil {
--- a/internal/waitpolicy/pool/pool.go
+++ b/internal/waitpolicy/pool/pool.go
@@ -70,7 +70,7 @@
 	}
 	if id == "" || len(id) > MaxIDBytes {
 		p.stats.Rejected++
-		return fmt.Errorf("wait policy pool: member ID of %d bytes", len(id))
+		return fmt.Errorf("wait policy pool: member ID of %d bytes is empty or too long", len(id))
 	}
 	reportedAt := now - max(0, age)
 	old := p.members[id]
--- a/internal/waitpolicy/pool/pool_test.go
+++ b/internal/waitpolicy/pool/pool_test.go
@@ -46,7 +46,7 @@
 		for name, misreport := range map[string]struct {
 			n      int
 			median time.Duration
-		}{"all slow": {600, 20 * time.Second}, "all at once": {600, ms / 2}, "a little slower": {600, 150 * ms}, "few slow ones": {7, 20 * time.Second}} {
+		}{"all slow": {600, 20 * time.Second}, "all immediate": {600, ms / 2}, "a little slower": {600, 150 * ms}, "few slow ones": {7, 20 * time.Second}} {
 			p, honest := New(Options{OwnID: "x", Lifetime: lifetime, MergeInterval: mergeInterval}), New(Options{OwnID: "x", Lifetime: lifetime, MergeInterval: mergeInterval})
 			for i := range n {
 				raw := newReport(t, uint64(i), 400, 100*ms)
@@ -63,10 +63,10 @@
 			honestSketches, _ := honest.Merge(mergeInterval, nil, nil)
 			sketches, _ := p.Merge(mergeInterval, nil, nil)
 			if ratio := medianMillis(sketches) / medianMillis(honestSketches); ratio < 0.9 || ratio > 1.1 {
-				t.Errorf("%d instances, one reports %s: %g ms, else %g", n, name, medianMillis(sketches), medianMillis(honestSketches))
+				t.Errorf("%d instances, one reports %s: median %g ms, want about %g ms", n, name, medianMillis(sketches), medianMillis(honestSketches))
 			}
 			if (misreport.n > 100) != (p.Stats().Outliers > 0) {
-				t.Errorf("%d instances, %s: %d left out", n, name, p.Stats().Outliers)
+				t.Errorf("%d instances, %s: %d outliers", n, name, p.Stats().Outliers)
 			}
 		}
 	}
@@ -92,13 +92,13 @@
 		}
 		_, trust := p.Merge(now, nil, nil)
 		if math.Abs(trust-previousTrust) > maxTrustStep+1e-9 || trust < 0 || trust > 1 {
-			t.Fatalf("at %v trust goes from %g to %g", now, previousTrust, trust)
+			t.Fatalf("at %v trust changes from %g to %g", now, previousTrust, trust)
 		}
 		previousTrust, highestTrust = trust, max(highestTrust, trust)
 	}
 	sketches, trust := p.Merge(now+2*lifetime, nil, nil)
 	if highestTrust < 1 || len(sketches) > 0 || trust > 1-maxTrustStep {
-		t.Errorf("trust was %g; after all has expired %d sketches are left, and trust of %g", highestTrust, len(sketches), trust)
+		t.Errorf("highest trust %g; after all reports have expired: %d sketches and trust %g", highestTrust, len(sketches), trust)
 	}
 }
 
@@ -123,7 +123,7 @@
 		if got := medianMillis(sketches); i == 0 {
 			want = got
 		} else if got != want {
-			t.Errorf("%g and %g", got, want)
+			t.Errorf("merged median %g, want %g as in the first order", got, want)
 		}
 		if p.Stats().Members != 8 {
 			t.Errorf("%+v", p.Stats())
@@ -139,7 +139,7 @@
 	}
 	for i, malformed := range [][]byte{nil, []byte("x"), valid[:len(valid)-1], append(valid[:len(valid):len(valid)], 0)} {
 		if p.AddReport(time.Second, "a", 0, malformed) == nil || p.AddReport(time.Second, "", 0, valid) == nil {
-			t.Errorf("%d is accepted", i)
+			t.Errorf("malformed report %d or an empty ID was accepted", i)
 		}
 	}
 	for i := range 3 * MaxMembers {
@@ -151,6 +151,6 @@
 		t.Errorf("%+v", s)
 	}
 	if sketches, _ := p.Merge(2*time.Second, nil, nil); medianMillis(sketches) == 0 {
-		t.Error("the report before is gone")
+		t.Error("valid report was lost after a malformed one")
 	}
 }
--- a/internal/waitpolicy/query_test.go
+++ b/internal/waitpolicy/query_test.go
@@ -33,11 +33,11 @@
 	for i := range hasEnded {
 		q.PartCompleted(now, i, true)
 		if hasEnded[i] && contains(outstanding, i) || contains(missing, i) != (!hasEnded[i] || shares[i] == 0) {
-			t.Fatalf("part %d: ended %v, out %v, missing %v", i, hasEnded[i], outstanding, missing)
+			t.Fatalf("part %d: ended %v, outstanding parts %v, missing parts %v", i, hasEnded[i], outstanding, missing)
 		}
 	}
 	if q.ArrivedShare() != arrivedShare {
-		t.Fatal("what came after the answer is in it")
+		t.Fatal("answer contains a part that arrived after it was decided")
 	}
 }
 
@@ -68,7 +68,7 @@
 		q.Begin(settings, forecast, begin, deadline)
 		q.isExploring = rapid.Bool().Draw(t, "explore")
 		if deadline > 0 && q.LatestAnswer() > max(begin, deadline-settings.Margin) || q.InnerDeadline() > q.LatestAnswer() {
-			t.Fatalf("answers by %v, inner deadline %v, the client waits until %v", q.LatestAnswer(), q.InnerDeadline(), deadline)
+			t.Fatalf("latest answer %v, inner deadline %v, client deadline %v", q.LatestAnswer(), q.InnerDeadline(), deadline)
 		}
 		now, arrivedWeight, totalWeight := begin, 0.0, 0.0
 		for _, p := range settings.Parts {
@@ -78,18 +78,18 @@
 		for steps := 0; ; steps++ {
 			step := q.Next(now)
 			if math.Abs(step.Share-arrivedWeight/totalWeight) > 1e-9 || steps > 1000 {
-				t.Fatalf("step %d: share %g, %g arrived", steps, step.Share, arrivedWeight/totalWeight)
+				t.Fatalf("step %d: got share %g, want %g", steps, step.Share, arrivedWeight/totalWeight)
 			}
 			if step.Kind != Wait {
 				isEnough := step.Share > 1e-9 && step.Share >= settings.MinShare-1e-9
 				if (step.Kind == Answer) != isEnough || now > q.LatestAnswer() || step.Kind != q.Next(now+ms).Kind {
-					t.Fatalf("%v by %v at %v, %g of %g", step.Kind, step.Reason, now-begin, step.Share, settings.MinShare)
+					t.Fatalf("step kind %v with reason %v at %v, share %g, minimum %g", step.Kind, step.Reason, now-begin, step.Share, settings.MinShare)
 				}
 				requireAnswer(t, &q, now, hasEnded, shares)
 				return
 			}
 			if step.Until <= now || step.Until > q.LatestAnswer() {
-				t.Fatalf("at %v waits until %v of %v", now-begin, step.Until-begin, q.LatestAnswer()-begin)
+				t.Fatalf("query waits at %v until %v, latest answer %v", now-begin, step.Until-begin, q.LatestAnswer()-begin)
 			}
 			next, at := -1, step.Until
 			for i := range n {
@@ -139,24 +139,24 @@
 	s, equalWeights := newSettings(0.5, 1, 1), newSettings(0.5, 1, 1, 1, 1)
 	f := func(common, sigma float64, all ...time.Duration) *Forecast { return lognormal(common, sigma, all...) }
 	for name, tc := range map[string]struct{ shorter, longer time.Duration }{
-		"a slow part is waited for less than a fast one": {answerTime(s, f(0, .3, 50*ms, 3000*ms), 0, 50*ms, -1), answerTime(s, f(0, .3, 50*ms, 300*ms), 0, 50*ms, -1)},
-		"a light one less than a heavy one": {
+		"a query waits less for a slow part than for a fast one": {answerTime(s, f(0, .3, 50*ms, 3000*ms), 0, 50*ms, -1), answerTime(s, f(0, .3, 50*ms, 300*ms), 0, 50*ms, -1)},
+		"a query waits less for a part of low weight": {
 			answerTime(newSettings(.5, 4, 1), f(0, 1, 50*ms, 500*ms), 0, 50*ms, -1),
 			answerTime(newSettings(.1, 1, 4), f(0, 1, 50*ms, 500*ms), 0, 50*ms, -1),
 		},
-		"a part that took long is waited for longer where all are slow at once": {
+		"a query waits longer for a late part if the durations of the parts are correlated": {
 			answerTime(equalWeights, f(0, 1, 100*ms, 100*ms, 100*ms, 100*ms), 0, 400*ms, 400*ms, 400*ms, -1),
 			answerTime(equalWeights, f(.9, 1, 100*ms, 100*ms, 100*ms, 100*ms), 0, 400*ms, 400*ms, 400*ms, -1),
 		},
-		"one far later than fits the others is not waited for to the end": {answerTime(equalWeights, f(.9, 1, 100*ms, 100*ms, 100*ms, 100*ms), 0, 40*ms, 40*ms, 40*ms, -1), time.Second},
-		"the client's time goes before":                                   {answerTime(s, f(0, .3, 50*ms, 300*ms), 200*ms, 50*ms, -1), 191 * ms},
-		"what is left behind counts": {
+		"a part much later than the correlated others is not waited for to the end": {answerTime(equalWeights, f(.9, 1, 100*ms, 100*ms, 100*ms, 100*ms), 0, 40*ms, 40*ms, 40*ms, -1), time.Second},
+		"the client's deadline limits the wait":                                     {answerTime(s, f(0, .3, 50*ms, 300*ms), 200*ms, 50*ms, -1), 191 * ms},
+		"a query waits longer if abandoning parts has a cost": {
 			answerTime(s, f(0, 1, 50*ms, 800*ms), 0, 50*ms, -1),
 			answerTime(&Settings{Parts: s.Parts, MinShare: .5, HalfLife: 800 * ms, AbandonCost: 1}, f(0, 1, 50*ms, 800*ms), 0, 50*ms, -1),
 		},
 	} {
 		if tc.shorter >= tc.longer {
-			t.Errorf("%s: %v and %v", name, tc.shorter, tc.longer)
+			t.Errorf("%s: %v is not shorter than %v", name, tc.shorter, tc.longer)
 		}
 	}
 }
@@ -168,11 +168,11 @@
 	q.PartCompleted(50*ms, 0, true)
 	q.PartCompleted(50*ms, 1, false)
 	if step := q.Next(50 * ms); step.Kind != Wait || step.Reason != BelowMinimum {
-		t.Errorf("%+v", step)
+		t.Errorf("got %+v, want Wait with BelowMinimum", step)
 	}
 	q.PartCompleted(60*ms, 2, false)
 	if step := q.Next(60 * ms); step.Kind != Refuse {
-		t.Errorf("a third is none of a half: %+v", step)
+		t.Errorf("got %+v with a third of the parts and a minimum of a half, want Refuse", step)
 	}
 	// Of the second part's calls, failuresInTen of ten fail. They take as long as its answers, 200 ms in the median.
 	learnedWait := func(failuresInTen int) time.Duration {
@@ -186,7 +186,7 @@
 		return answerTime(m.settings, m.Forecast("c", 0), 0, 50*ms, -1)
 	}
 	if neverFailing, mostlyFailing := learnedWait(0), learnedWait(8); mostlyFailing >= neverFailing {
-		t.Errorf("waits %v for one that answers, %v for one that mostly fails", neverFailing, mostlyFailing)
+		t.Errorf("query waits %v for a part that always answers, %v for one that mostly fails", neverFailing, mostlyFailing)
 	}
 }
 
@@ -236,7 +236,7 @@
 		m.Done(&q, "c", now+5*time.Second)
 		now += time.Second
 	}); n > 0 {
-		t.Errorf("%g allocations", n)
+		t.Errorf("got %g allocations per query, want 0", n)
 	}
 }
 
@@ -259,10 +259,10 @@
 		outerQuery.PartCompleted(ms, 0, true)
 		outerQuery.PartEnded(at, 1, share)
 		if step := outerQuery.Next(at); at > outerQuery.LatestAnswer() || step.Kind != Answer || step.Reason != Complete || math.Abs(step.Share-(0.5+0.5*2/3)) > 1e-9 {
-			t.Fatalf("the lower one answers at %v of %v: %+v", at, outerQuery.LatestAnswer(), step)
+			t.Fatalf("inner gatherer answers at %v, latest outer answer %v: %+v", at, outerQuery.LatestAnswer(), step)
 		}
 		if at, _ := runInner(clientDeadline + inner.Margin); at <= outerQuery.LatestAnswer() {
-			t.Fatalf("with more time it answers at %v, in time: nothing is shown", at)
+			t.Fatalf("inner gatherer with the later deadline answers at %v, which is in time: the test shows nothing", at)
 		}
 	})
 }
--- a/internal/waitpolicy/records.go
+++ b/internal/waitpolicy/records.go
@@ -31,10 +31,10 @@
 // Sketch decodes the sketch. It returns an error for names, loads and counts that no model encodes.
 func (r *Record) Sketch() (s Sketch, err error) {
 	if !isValidName(r.Class) || !isValidName(r.Part) {
-		return s, errors.New("a name that can't be")
+		return s, errors.New("class or part name is empty or too long")
 	}
 	if r.Load < 0 || r.Load > AllLoads {
-		return s, fmt.Errorf("load %d", r.Load)
+		return s, fmt.Errorf("load %d is out of range", r.Load)
 	}
 	err = cmp.Or(
 		decodeCounts(r.Answered, &s.Answered),
@@ -45,7 +45,7 @@
 		return s, err
 	}
 	if weight := s.Weight(); weight > 2*maxRemembered {
-		return s, fmt.Errorf("it counts %g, more than one remembers", weight)
+		return s, fmt.Errorf("weight %g exceeds the maximum of a history", weight)
 	}
 	return s, nil
 }
@@ -77,12 +77,12 @@
 
 func decodeCounts(encoded []byte, counts *[Buckets]float32) error {
 	if len(encoded)%countBytes != 0 {
-		return errors.New("a count is cut")
+		return errors.New("truncated count")
 	}
 	for last := -1; len(encoded) > 0; encoded = encoded[countBytes:] {
 		bucket := int(encoded[0])
 		if bucket <= last || bucket >= Buckets {
-			return fmt.Errorf("bucket %d after %d", bucket, last)
+			return fmt.Errorf("bucket %d after bucket %d is out of order or out of range", bucket, last)
 		}
 		counts[bucket] = float32(binary.BigEndian.Uint16(encoded[1:])) / countUnit
 		last = bucket
--- a/internal/waitpolicy/share/share.go
+++ b/internal/waitpolicy/share/share.go
@@ -285,7 +285,7 @@
 // acceptReply adds the members of a reply to the pool. It returns the first error; valid members are added nevertheless.
 func (s *Sharer) acceptReply(now time.Duration, reply []string) error {
 	if len(reply)%memberFields != 0 || len(reply) > memberFields*MaxMembersRead {
-		return fmt.Errorf("%w: %d values", errMalformedReply, len(reply))
+		return fmt.Errorf("%w: %d values are incomplete or too many", errMalformedReply, len(reply))
 	}
 	var first error
 	for ; len(reply) > 0; reply = reply[memberFields:] {
@@ -300,7 +300,7 @@
 func (s *Sharer) acceptMember(now time.Duration, id, age string, report []byte) error {
 	milliseconds, err := strconv.ParseInt(age, 10, 64)
 	if err != nil || milliseconds < 0 || milliseconds > maxAgeMilliseconds {
-		return fmt.Errorf("%w: age %q", errMalformedReply, age)
+		return fmt.Errorf("%w: invalid age %q", errMalformedReply, age)
 	}
 	return s.pool.AddReport(now, id, time.Duration(milliseconds)*time.Millisecond, report)
 }
--- a/internal/waitpolicy/share/share_test.go
+++ b/internal/waitpolicy/share/share_test.go
@@ -90,7 +90,7 @@
 	exchangeTwice()
 	forecast := instances[0].learned.Forecast("c", 0)
 	if median := forecast.Quantile(0, 0.5); !forecast.IsKnown() || median < 80*ms || median > 130*ms {
-		t.Fatalf("knows %v: half within %v; %+v", forecast.IsKnown(), median, instances[0].Status())
+		t.Fatalf("forecast known %v, median %v; status %+v", forecast.IsKnown(), median, instances[0].Status())
 	}
 	for name, fault := range map[string]func(){
 		"unresponsive": func() { s.SetFaults(redistest.Faults{IsSilent: true}) }, "rejects": func() { s.SetFaults(redistest.Faults{Error: "LOADING x"}) },
@@ -101,12 +101,12 @@
 		instances[0].Exchange(shortContext)
 		cancel()
 		if forecast := instances[0].learned.Forecast("c", 0); !forecast.IsKnown() {
-			t.Errorf("%s: nothing is known at once", name)
+			t.Errorf("%s: forecast is unknown immediately after the fault", name)
 		}
 		s.SetFaults(redistest.Faults{})
 		exchangeTwice()
 		if status := instances[0].Status(); len(status.Failing) > 0 || status.Members != 3 || status.Trust < 0.5 {
-			t.Errorf("%s, and back: %+v", name, status)
+			t.Errorf("%s: status after recovery: %+v", name, status)
 		}
 	}
 	if status := instances[0].Status(); status.Failures < 2 || status.Bytes > waitpolicy.MaxSharedBytes {
@@ -126,10 +126,10 @@
 	s.Do("HSET", "{lockflow:district}:gather", "nobody", "1e99", "odd", "x", "far", "99999999999999999", "gone", fmt.Sprint(time.Now().UnixMilli()))
 	a.Exchange(ctx)
 	if forecast, status := a.learned.Forecast("c", 0), a.Status(); !forecast.IsKnown() || status.Members != 1 || status.Rejected != 1 || len(status.Failing) != 1 {
-		t.Errorf("%v %+v", forecast.IsKnown(), status)
+		t.Errorf("forecast known %v, status %+v", forecast.IsKnown(), status)
 	}
 	if remaining := s.Do("HGETALL", "{lockflow:district}:gather").([]any); len(remaining) != 8 { // a, b, c, gone
-		t.Errorf("%q", remaining)
+		t.Errorf("remaining members and times %q, want 8 values", remaining)
 	}
 }
 
@@ -165,6 +165,6 @@
 		a.Exchange(t.Context())
 	}
 	if n := a.Status().Members; n < 40 || n > 64 {
-		t.Errorf("%d members after more", n)
+		t.Errorf("%d members after more exchanges, want 40 to 64", n)
 	}
 }
--- a/internal/waitpolicy/waitpolicy.go
+++ b/internal/waitpolicy/waitpolicy.go
@@ -58,19 +58,19 @@
 func (s *Settings) Validate() error {
 	switch {
 	case len(s.Parts) == 0:
-		return errors.New("parts: there is none")
+		return errors.New("parts: the list is empty")
 	case len(s.Parts) > MaxParts:
-		return fmt.Errorf("parts: %d are more than %d", len(s.Parts), MaxParts)
+		return fmt.Errorf("parts: %d parts exceed the limit of %d", len(s.Parts), MaxParts)
 	case !(s.MinShare >= 0 && s.MinShare <= 1):
-		return fmt.Errorf("least: %g is no share from 0 to 1", s.MinShare)
+		return fmt.Errorf("least: %g is not within 0 and 1", s.MinShare)
 	case s.HalfLife < 0:
-		return fmt.Errorf("half_life: %v is below 0", s.HalfLife)
+		return fmt.Errorf("half_life: %v is negative", s.HalfLife)
 	case s.Mode > None:
-		return fmt.Errorf("deadline: there is no mode %d", s.Mode)
+		return fmt.Errorf("deadline: unknown wait mode %d", s.Mode)
 	case s.Mode == Fixed && s.Fixed <= 0:
-		return fmt.Errorf("deadline: a fixed one of %v", s.Fixed)
+		return fmt.Errorf("deadline: fixed waiting time %v is not positive", s.Fixed)
 	case s.Margin < 0 || s.Margin > MaxMargin:
-		return fmt.Errorf("margin: %v is none of 0 to %v", s.Margin, MaxMargin)
+		return fmt.Errorf("margin: %v is not within 0 and %v", s.Margin, MaxMargin)
 	case !(s.AbandonCost <= 1):
 		return fmt.Errorf("left: %g is above 1", s.AbandonCost)
 	}
@@ -82,11 +82,11 @@
 	for i, part := range s.Parts {
 		switch {
 		case part.Name == "" || len(part.Name) > MaxNameBytes:
-			return fmt.Errorf("parts.%d: a name of %d bytes; 1 to %d can be", i, len(part.Name), MaxNameBytes)
+			return fmt.Errorf("parts.%d: name of %d bytes is not within 1 and %d bytes", i, len(part.Name), MaxNameBytes)
 		case isNamed[part.Name]:
-			return fmt.Errorf("parts.%d: %s is named twice", i, part.Name)
+			return fmt.Errorf("parts.%d: duplicate part %s", i, part.Name)
 		case !(part.Weight >= 0 && part.Weight <= maxPartWeight):
-			return fmt.Errorf("parts.%d: a weight of %g", i, part.Weight)
+			return fmt.Errorf("parts.%d: weight %g is out of range", i, part.Weight)
 		}
 		isNamed[part.Name] = true
 	}
