--- a/internal/waitpolicy/share/share.lua
+++ b/internal/waitpolicy/share/share.lua
@@ -1,32 +1,32 @@
--- Stores the sketches of one instance and returns those of some other instances.
--- KEYS: the hash of member IDs and the times of their reports in ms; the key prefix of the reports.
--- ARGV: own ID, own report, lifetime in ms, maximum number of members to return, index of the first member to return.
-local time = redis.call('TIME')
-local now = time[1] * 1000 + math.floor(time[2] / 1000)
-local lifetime = tonumber(ARGV[3])
+-- Writes what one instance tells, and gives what some of the others told.
+-- KEYS: the hash of members and when they told; the prefix of what they told.
+-- ARGV: own name, what it tells, life in ms, most members to give, a number that says where to begin.
+local t = redis.call('TIME')
+local now = t[1] * 1000 + math.floor(t[2] / 1000)
+local life = tonumber(ARGV[3])
 redis.call('SET', KEYS[2] .. ARGV[1], ARGV[2], 'PX', ARGV[3])
 redis.call('HSET', KEYS[1], ARGV[1], string.format('%.0f', now))
 redis.call('PEXPIRE', KEYS[1], ARGV[3])
-local members, ids, report_times = redis.call('HGETALL', KEYS[1]), {}, {}
-for i = 1, #members, 2 do
-  local reported_at = tonumber(members[i + 1])
-  -- A report from the future has no known age: the server's clock went back.
-  if not reported_at or reported_at > now or now - reported_at >= lifetime then
-    redis.call('HDEL', KEYS[1], members[i])
-  elseif members[i] ~= ARGV[1] then
-    ids[#ids + 1] = members[i]
-    report_times[members[i]] = reported_at
+local all, ids, at = redis.call('HGETALL', KEYS[1]), {}, {}
+for i = 1, #all, 2 do
+  local told = tonumber(all[i + 1])
+  -- Where the server's clock went back, what was told is as old as can't be known.
+  if not told or told > now or now - told >= life then
+    redis.call('HDEL', KEYS[1], all[i])
+  elseif all[i] ~= ARGV[1] then
+    ids[#ids + 1] = all[i]
+    at[all[i]] = told
   end
 end
 table.sort(ids)
-local reply = {}
+local out = {}
 for i = 0, math.min(#ids, tonumber(ARGV[4])) - 1 do
   local id = ids[(tonumber(ARGV[5]) + i) % #ids + 1]
   local value = redis.call('GET', KEYS[2] .. id)
   if value then
-    reply[#reply + 1] = id
-    reply[#reply + 1] = string.format('%.0f', now - report_times[id])
-    reply[#reply + 1] = value
+    out[#out + 1] = id
+    out[#out + 1] = string.format('%.0f', now - at[id])
+    out[#out + 1] = value
   end
 end
-return reply
+return out
