--- a/internal/scattergather/call.go
+++ b/internal/scattergather/call.go
@@ -14,7 +14,7 @@
 	"lockflow/internal/waitpolicy"
 )
 
-// partEvent is what happened to the call to a leaf: its module has admitted it, or it has ended.
+// partEvent reports that a leaf's decision module has admitted the call to it, or that the call has ended.
 type partEvent struct {
 	leaf        int
 	isAdmission bool // the answer has not arrived yet
@@ -22,7 +22,8 @@
 	result      Result
 }
 
-// call has one service run its call, and delivers its admission and its result. ctx abandons it.
+// call sends the request to the service of a leaf and delivers its admission and its result. Cancelling ctx
+// abandons the call.
 func (r *Run) call(ctx context.Context, leaf int) {
 	call := &r.Calls[leaf]
 	gatherer := r.Gatherers[r.Leaves[leaf].Gatherer.ID]
@@ -62,38 +63,38 @@
 	r.removeReference()
 }
 
-// deliver queues an event for the query; false if the query has finished.
+// deliver queues an event for the query. It returns false, without queueing, if the query has finished.
 func (r *Run) deliver(event partEvent) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.isFinished {
 		return false
 	}
-	r.results = append(r.results, event)
+	r.pendingEvents = append(r.pendingEvents, event)
 	select {
-	case r.hasResults <- struct{}{}:
+	case r.hasEvents <- struct{}{}:
 	default:
 	}
 	return true
 }
 
-// takeResults returns the queued events and removes them.
-func (r *Run) takeResults() []partEvent {
+// takeEvents returns the queued events and removes them.
+func (r *Run) takeEvents() []partEvent {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	events := r.results
-	r.results = nil
+	events := r.pendingEvents
+	r.pendingEvents = nil
 	return events
 }
 
 // hasNoResults reports whether no event is queued.
-func (r *Run) hasNoResults() bool {
+func (r *Run) hasNoEvents() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.results) == 0
+	return len(r.pendingEvents) == 0
 }
 
-// isQuotaRejection reports whether a module has rejected a call because its customer's quota is used up.
+// isQuotaRejection reports whether a decision module has rejected a call because its customer exceeds a quota.
 func isQuotaRejection(answer service.Answer) bool {
 	if answer.Kind != service.Rejected {
 		return false
@@ -105,18 +106,19 @@
 	return false
 }
 
-// readResult reads an answer to its end. An answer that is not complete or cannot be merged is an error.
+// readResult reads an answer to its end and checks its content. It returns an error if the answer is incomplete or
+// cannot be merged.
 func (c *Call) readResult(ctx context.Context, answer service.Answer, merge Merge) (Result, error) {
 	stream := answer.Stream
 	if stream != nil {
 		defer stream.Close()
 	}
 	if answer.Kind != service.Served || answer.Header == nil || answer.Status != http.StatusOK {
-		return Result{}, fmt.Errorf("status %d", answer.Status)
+		return Result{}, fmt.Errorf("no successful answer: status %d", answer.Status)
 	}
 	encoding := answer.Header["Content-Encoding"]
 	if len(encoding) > 0 && !strings.EqualFold(strings.Join(encoding, ","), "identity") {
-		return Result{}, fmt.Errorf("encoded as %q", encoding)
+		return Result{}, fmt.Errorf("unsupported content encoding %q", encoding)
 	}
 	result, err := ParsePartsHeaders(answer.Header[HeaderParts], answer.Header[HeaderMissing])
 	if err != nil {
@@ -139,12 +141,12 @@
 // readAll reads a stream of at most maxBytes to its end. The stream is aborted when ctx ends.
 func readAll(ctx context.Context, stream *upstream.Stream, maxBytes int) ([]byte, error) {
 	if stream.IsTunnel || stream.ContentLength > int64(maxBytes) {
-		return nil, fmt.Errorf("%d bytes are more than %d", stream.ContentLength, maxBytes)
+		return nil, fmt.Errorf("answer with content length %d is a tunnel or exceeds the limit of %d bytes", stream.ContentLength, maxBytes)
 	}
 	defer context.AfterFunc(ctx, stream.Abort)()
 	body, err := io.ReadAll(io.LimitReader(stream, int64(maxBytes)+1))
 	if err == nil && len(body) > maxBytes {
-		err = fmt.Errorf("more than %d bytes", maxBytes)
+		err = fmt.Errorf("answer exceeds the limit of %d bytes", maxBytes)
 	}
 	return body, err
 }
--- a/internal/waitpolicy/encode.go
+++ b/internal/waitpolicy/encode.go
@@ -14,22 +14,22 @@
 	"lockflow/internal/codec"
 )
 
-// Version is the version of the encoding. A decoder accepts no other.
+// Version is the version of the encoding. Decoders accept no other version.
 const Version = 1
 
 // Limits of encoded sketches.
 const (
 	MaxStateBytes  = 4 << 20  // of a model's state
-	MaxSharedBytes = 64 << 10 // of what one instance shares with others
+	MaxSharedBytes = 64 << 10 // of the sketches that one instance shares with others
 )
 
 const (
 	magic         = "lockflow gather\n"
 	checksumBytes = 4
 	headerBytes   = len(magic) + checksumBytes
-	// maxSquareMomentRead limits the moments that are accepted.
-	maxSquareMomentRead = 1e6
-	// Upper bounds of what encoding adds to the fields of a record, and to the records.
+	// maxAcceptedSquareMoment limits the square moments that a decoder accepts.
+	maxAcceptedSquareMoment = 1e6
+	// Upper bounds of the encoding overhead of a record besides its fields, and of all records.
 	recordOverheadBytes = 32
 	sharedOverheadBytes = 64
 )
@@ -42,11 +42,11 @@
 }
 
 func (c *ClassCorrelation) isValid() bool {
-	hasValidSquares := c.Squares >= 0 && c.Squares < maxSquareMomentRead // not NaN
+	hasValidSquares := c.Squares >= 0 && c.Squares < maxAcceptedSquareMoment // not NaN
 	return isValidName(c.Class) && hasValidSquares && math.Abs(c.Pairs) <= c.Squares*(1+shareTolerance)
 }
 
-// storedState is a model's state, or what an instance shares.
+// storedState is the state of a model, or the sketches that an instance shares.
 type storedState struct {
 	Version      int                `cbor:"1,keyasint"`
 	Records      []Record           `cbor:"2,keyasint"`
@@ -57,26 +57,26 @@
 	state.Version = Version
 	raw, err := cbor.Marshal(state)
 	if err != nil {
-		return nil, fmt.Errorf("writing sketches: %w", err)
+		return nil, fmt.Errorf("encoding sketches: %w", err)
 	}
 	return withChecksum(raw), nil
 }
 
-// withChecksum returns a body behind the magic number and its checksum.
+// withChecksum returns a body with the magic number and the body's checksum in front of it.
 func withChecksum(body []byte) []byte {
 	return append(binary.BigEndian.AppendUint32([]byte(magic), codec.Checksum(body)), body...)
 }
 
 func decode(raw []byte, maxBytes int) (state storedState, err error) {
 	if len(raw) < headerBytes || string(raw[:len(magic)]) != magic {
-		return state, errors.New("reading sketches: they are none")
+		return state, errors.New("decoding sketches: data does not start with the magic number")
 	}
 	if len(raw) > maxBytes {
-		return state, fmt.Errorf("reading sketches: %d bytes are more than %d", len(raw), maxBytes)
+		return state, fmt.Errorf("decoding sketches: %d bytes exceed the limit of %d bytes", len(raw), maxBytes)
 	}
 	body := raw[headerBytes:]
 	if binary.BigEndian.Uint32(raw[len(magic):]) != codec.Checksum(body) {
-		return state, errors.New("reading sketches: they are damaged: their sum is another one")
+		return state, errors.New("decoding sketches: checksum mismatch")
 	}
 	if err := codec.Decoder.Unmarshal(body, &state); err != nil {
 		return storedState{}, fmt.Errorf("reading sketches: %w", err)
@@ -87,35 +87,35 @@
 	return state, nil
 }
 
-// validate returns an error for a state that no model writes.
+// validate returns an error for a state that no model encodes.
 func (s *storedState) validate() error {
 	if s.Version != Version {
-		return fmt.Errorf("they are of version %d, not %d", s.Version, Version)
+		return fmt.Errorf("got version %d, want version %d", s.Version, Version)
 	}
 	if len(s.Records) > MaxSketches || len(s.Correlations) > MaxClasses {
-		return fmt.Errorf("%d of %d classes are too many", len(s.Records), len(s.Correlations))
+		return fmt.Errorf("%d records or correlations of %d classes exceed the limit", len(s.Records), len(s.Correlations))
 	}
 	isRead := make(map[Key]bool, len(s.Records))
 	for i := range s.Records {
 		record := &s.Records[i]
 		if _, err := record.Sketch(); err != nil {
-			return fmt.Errorf("number %d: %w", i, err)
+			return fmt.Errorf("record %d: %w", i, err)
 		}
 		if isRead[record.Key()] {
-			return fmt.Errorf("number %d: it comes twice", i)
+			return fmt.Errorf("record %d: duplicate key", i)
 		}
 		isRead[record.Key()] = true
 	}
 	for i := range s.Correlations {
 		if !s.Correlations[i].isValid() {
-			return fmt.Errorf("common factor number %d can't be", i)
+			return fmt.Errorf("correlation %d is invalid", i)
 		}
 	}
 	return nil
 }
 
-// Shared encodes the sketches that were learned here, for other instances: those of the largest weight, in at most
-// MaxSharedBytes.
+// Shared encodes sketches that this instance has learned, for other instances: those of the largest weight that fit
+// into MaxSharedBytes.
 func (m *Model) Shared() ([]byte, error) {
 	keys, sketches := m.Sketches()
 	order := make([]int, len(keys))
@@ -138,13 +138,13 @@
 	return encode(state)
 }
 
-// DecodeShared decodes what another instance has shared: all of it, or none if there is an error.
+// DecodeShared decodes the sketches that another instance has shared. If it returns an error, it returns no records.
 func DecodeShared(raw []byte) ([]Record, error) {
 	state, err := decode(raw, MaxSharedBytes)
 	return state.Records, err
 }
 
-// Encode encodes what was learned here, for a successor or the next start.
+// Encode encodes what this instance has learned, for a successor or the next start.
 func (m *Model) Encode() ([]byte, error) {
 	keys, sketches := m.Sketches()
 	var state storedState
@@ -154,12 +154,12 @@
 	state.Correlations = m.correlations()
 	raw, err := encode(state)
 	if err == nil && len(raw) > MaxStateBytes {
-		return nil, fmt.Errorf("writing sketches: %d bytes are more than %d", len(raw), MaxStateBytes)
+		return nil, fmt.Errorf("encoding sketches: %d bytes exceed the limit of %d bytes", len(raw), MaxStateBytes)
 	}
 	return raw, err
 }
 
-// correlations returns the moments of all classes, by their names.
+// correlations returns the moments of all classes, sorted by name.
 func (m *Model) correlations() (correlations []ClassCorrelation) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -172,23 +172,23 @@
 	return correlations
 }
 
-// Restore adds what Encode has returned the given time ago, of parts that still exist. Parts of which the model has
-// learned something are not changed. With an error the model is not changed.
+// Restore adds the sketches that Encode returned the given time ago, for parts that still exist. Sketches that the
+// model already has are not changed. If Restore returns an error, the model is unchanged.
 func (m *Model) Restore(raw []byte, ago time.Duration) error {
 	state, err := decode(raw, MaxStateBytes)
 	if err != nil {
 		return err
 	}
-	remaining := math.Exp2(-max(0, float64(ago)) / float64(memoryHalfLife))
+	retainedFraction := math.Exp2(-max(0, float64(ago)) / float64(memoryHalfLife))
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for i := range state.Records {
-		m.restoreRecord(&state.Records[i], remaining)
+		m.restoreRecord(&state.Records[i], retainedFraction)
 	}
 	for _, correlation := range state.Correlations {
 		if c := m.classes[correlation.Class]; c != nil && c.squareMoment == 0 {
-			c.pairMoment = correlation.Pairs * remaining
-			c.squareMoment = correlation.Squares * remaining
+			c.pairMoment = correlation.Pairs * retainedFraction
+			c.squareMoment = correlation.Squares * retainedFraction
 		}
 	}
 	for _, c := range m.classes {
@@ -197,18 +197,18 @@
 	return nil
 }
 
-// restoreRecord adds a sketch, of which a fraction is remembered.
-func (m *Model) restoreRecord(record *Record, remaining float64) {
+// restoreRecord adds a sketch whose counts are multiplied by retainedFraction.
+func (m *Model) restoreRecord(record *Record, retainedFraction float64) {
 	isSamePart := func(p Part) bool { return p.Name == record.Part }
 	if m.histories[record.Key()] != nil || !slices.ContainsFunc(m.settings.Parts, isSamePart) {
 		return
 	}
 	sketch, _ := record.Sketch() // validated by decode
-	if sketch.Weight()*remaining < 1 {
+	if sketch.Weight()*retainedFraction < 1 {
 		return
 	}
 	m.class(record.Class)
 	h := m.history(record.Key())
-	h.longTerm.Add(&sketch, remaining)
-	h.longTerm.unit = 1
+	h.longTerm.Add(&sketch, retainedFraction)
+	h.longTerm.outcomeWeight = 1
 }
--- a/internal/waitpolicy/plan.go
+++ b/internal/waitpolicy/plan.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// nodeCount is the number of nodes of the quadrature over the common factor.
+// nodeCount is the number of nodes in the quadrature over the common factor.
 const nodeCount = 5
 
 // Nodes and weights of the Gauss-Hermite quadrature of a mean over a standard normal distribution, exact for
@@ -16,53 +16,53 @@
 )
 
 const (
-	// minCorrelation is the correlation below which parts count as independent.
+	// minCorrelation is the correlation below which parts are treated as independent.
 	minCorrelation = 0.04
 	// independentProbability is the probability that a part does not follow the common factor in a query. Without
-	// it a part that is far later than the others would be expected at each next moment.
+	// it, a part that is much later than the others would be expected to end at every next moment.
 	independentProbability = 0.02
-	// minProbability is the smallest probability that is divided by.
+	// minProbability is the smallest probability that is used as a divisor.
 	minProbability = 1e-12
-	// partsPerStride is the number of outstanding parts for which a plan skips one more bucket.
+	// partsPerStride is the number of outstanding parts for which a plan skips one more bucket in each step.
 	partsPerStride = 32
 )
 
-// outstandingPart is an outstanding part while a plan is made.
+// outstandingPart is the state of an outstanding part while a plan is computed.
 type outstandingPart struct {
 	curve              *curve
 	weight             float64
 	outstanding        float64            // probability, now
 	answered           float64            // probability, now
-	scoreNow           float64            // normal score of the time now
+	scoreNow           float64            // normal score of the current time
 	inverseOutstanding float64            // 1/outstanding
-	inverseStay        [nodeCount]float64 // 1/probability of being outstanding now, by the common factor
+	inverseSurvival    [nodeCount]float64 // 1/probability of being outstanding now, by node of the common factor
 
-	// At the time that is evaluated.
-	endedProbability float64 // given that it is outstanding now
-	answeredRatio    float64 // of endedProbability
-	scoreThen        float64
-	outstandingThen  float64
+	// At the future time that evaluate was called for.
+	endedProbability     float64 // given that the part is outstanding now
+	answeredRatio        float64 // fraction of endedProbability that are answers
+	evaluatedScore       float64
+	evaluatedOutstanding float64
 }
 
-// commonFactor is the distribution of what slows all parts at once, by quadrature nodes.
+// commonFactor is the distribution of the factor that delays all parts of a query together, by quadrature node.
 type commonFactor struct {
-	count         int                // of nodes; 1 if the parts are independent
-	means         [nodeCount]float64 // in units of the parts' scores
-	probabilities [nodeCount]float64
-	narrow        float64 // 1/standard deviation of a part's score around the mean
+	count            int                // of nodes; 1 if the parts are independent
+	means            [nodeCount]float64 // in units of the parts' scores
+	probabilities    [nodeCount]float64
+	inverseDeviation float64 // 1/standard deviation of a part's score around the mean
 }
 
-// prospect is what is expected at a time, given the common factor.
-type prospect struct {
-	mean         float64 // of the share that has arrived
-	variance     float64 // of that share
-	allEnded     float64 // probability that no part is outstanding
-	outstandings float64 // mean weight of outstanding parts
+// prediction is the expected state of a query at a future time, given the common factor.
+type prediction struct {
+	mean            float64 // of the share that has arrived by then
+	variance        float64 // of that share
+	allEnded        float64 // probability that no part is outstanding
+	meanOutstanding float64 // mean weight of outstanding parts
 }
 
-// plan returns the time at which it is best to answer by what is known now, unless all parts have ended before;
-// a time that is not after now is at once. Long waits are planned again halfway, as parts that do not end are
-// evidence too. isKnown is false where there is no forecast for an outstanding part.
+// plan returns the time at which an answer has the highest expected value, unless all parts end earlier; a time that is
+// not after now means that the query should answer immediately. Long waits are planned again halfway, as parts that
+// remain outstanding are evidence too. isKnown is false if there is no forecast for an outstanding part.
 func (q *Query) plan(now time.Duration) (until time.Duration, isKnown bool) {
 	elapsed := now - q.startedAt
 	outstandingWeight, isKnown := q.findOutstanding(elapsed)
@@ -76,10 +76,10 @@
 	bestAt := elapsed
 	var allEndedBefore, earlyValue [nodeCount]float64
 	latest := q.latestAnswer - q.startedAt
-	previous := elapsed
+	previousEnd := elapsed
 	previousDecay := q.settings.decay(elapsed)
 	stride := 1 + len(q.outstanding)/partsPerStride
-	for i := Bucket(elapsed); i < Buckets-1 && previous < latest; i += stride {
+	for i := Bucket(elapsed); i < Buckets-1 && previousEnd < latest; i += stride {
 		end := min(edges[i], latest)
 		if end <= elapsed {
 			continue
@@ -94,46 +94,46 @@
 		}
 		expectedValue := 0.0
 		for k := range factor.count {
-			then := q.prospect(&factor, k)
-			earlyValue[k] += (then.allEnded - allEndedBefore[k]) * meanDecay * valueOfAll
-			allEndedBefore[k] = then.allEnded
-			expectedValue += factor.probabilities[k] * (earlyValue[k] + decay*(meanValueOfShare(then.mean, then.variance)-then.allEnded*valueOfAll) - abandonCost*then.outstandings)
+			predicted := q.prediction(&factor, k)
+			earlyValue[k] += (predicted.allEnded - allEndedBefore[k]) * meanDecay * valueOfAll
+			allEndedBefore[k] = predicted.allEnded
+			expectedValue += factor.probabilities[k] * (earlyValue[k] + decay*(meanValueOfShare(predicted.mean, predicted.variance)-predicted.allEnded*valueOfAll) - abandonCost*predicted.meanOutstanding)
 		}
 		if expectedValue > best+shareTolerance {
 			best = expectedValue
 			bestAt = end
 		}
-		previous = end
+		previousEnd = end
 		previousDecay = decay
 	}
 	until = q.startedAt + bestAt
-	if short := q.settings.halfLife() / replanDivisor; until-now > 2*short {
-		until = now + max(short, (until-now)/2)
+	if replanInterval := q.settings.halfLife() / replanDivisor; until-now > 2*replanInterval {
+		until = now + max(replanInterval, (until-now)/2)
 	}
 	return until, true
 }
 
-// prospect returns what is expected at the time that the outstanding parts were evaluated for, given the k-th
-// value of the common factor.
-func (q *Query) prospect(factor *commonFactor, k int) prospect {
-	then := prospect{mean: q.arrivedShare, allEnded: 1}
+// prediction returns the expected state at the time for which the outstanding parts were evaluated, given the k-th node
+// of the common factor.
+func (q *Query) prediction(factor *commonFactor, k int) prediction {
+	predicted := prediction{mean: q.arrivedShare, allEnded: 1}
 	for j := range q.outstanding {
 		o := &q.outstanding[j]
 		ended := o.endedProbability
 		if factor.count > 1 {
-			ended = max(0, min(1, 1-((1-independentProbability)*(1-normalCDF((o.scoreThen-factor.means[k])*factor.narrow))+independentProbability*o.outstandingThen)*o.inverseStay[k]))
+			ended = max(0, min(1, 1-((1-independentProbability)*(1-normalCDF((o.evaluatedScore-factor.means[k])*factor.inverseDeviation))+independentProbability*o.evaluatedOutstanding)*o.inverseSurvival[k]))
 		}
 		answers := ended * o.answeredRatio
-		then.mean += o.weight * answers
-		then.variance += o.weight * o.weight * answers * (1 - answers)
-		then.allEnded *= ended
-		then.outstandings += o.weight * (1 - ended)
+		predicted.mean += o.weight * answers
+		predicted.variance += o.weight * o.weight * answers * (1 - answers)
+		predicted.allEnded *= ended
+		predicted.meanOutstanding += o.weight * (1 - ended)
 	}
-	return then
+	return predicted
 }
 
-// findOutstanding sets the outstanding parts and returns their weight. isKnown is false where there is no forecast
-// for one of them.
+// findOutstanding collects the outstanding parts and returns their total weight. isKnown is false if there is no
+// forecast for one of them.
 func (q *Query) findOutstanding(elapsed time.Duration) (weight float64, isKnown bool) {
 	q.outstanding = q.outstanding[:0]
 	if q.forecast == nil || len(q.forecast.parts) != len(q.parts) {
@@ -157,14 +157,14 @@
 	return weight, true
 }
 
-// valueOfAll returns the expected value of an answer, without decay, if all outstanding parts are waited for.
+// valueOfAll returns the expected value, without decay, of an answer that waits for all outstanding parts.
 func (q *Query) valueOfAll() float64 {
 	mean, variance := q.arrivedShare, 0.0
 	for i := range q.outstanding {
 		o := &q.outstanding[i]
 		p := 0.0
-		if ends := o.outstanding - o.curve.outstanding[Buckets-2]; ends > minProbability {
-			p = min(1, (o.curve.answered[Buckets-2]-o.answered)/ends)
+		if endProbability := o.outstanding - o.curve.outstanding[Buckets-2]; endProbability > minProbability {
+			p = min(1, (o.curve.answered[Buckets-2]-o.answered)/endProbability)
 		}
 		mean += o.weight * p
 		variance += o.weight * o.weight * p * (1 - p)
@@ -172,8 +172,8 @@
 	return meanValueOfShare(mean, variance)
 }
 
-// evaluate sets what is expected of the part at a time in, or at the end of, a bucket. The scores are only set if
-// they are needed.
+// evaluate sets the probabilities of the part at a time within a bucket or at its end. evaluatedScore and
+// evaluatedOutstanding are only set if needsScores is true.
 func (o *outstandingPart) evaluate(bucket int, at time.Duration, needsScores bool) {
 	outstanding, answered := o.curve.outstanding[bucket], o.curve.answered[bucket]
 	if at < edges[bucket] {
@@ -181,32 +181,32 @@
 	}
 	o.endedProbability = max(0, min(1, 1-outstanding*o.inverseOutstanding))
 	o.answeredRatio = 0
-	if ends := o.outstanding - outstanding; ends > minProbability {
-		o.answeredRatio = min(1, (answered-o.answered)/ends)
+	if endProbability := o.outstanding - outstanding; endProbability > minProbability {
+		o.answeredRatio = min(1, (answered-o.answered)/endProbability)
 	}
 	if needsScores {
-		o.scoreThen = o.curve.scoreAt(at)
-		o.outstandingThen = outstanding
+		o.evaluatedScore = o.curve.scoreAt(at)
+		o.evaluatedOutstanding = outstanding
 	}
 }
 
 // meanValueOfShare returns the mean of valueOfShare over a share of the given mean and variance.
 func meanValueOfShare(mean, variance float64) float64 { return (3*mean - mean*mean - variance) / 2 }
 
-// commonFactor returns the distribution of the common factor, given the scores of the parts that have ended and
-// the parts that are still outstanding. It sets their inverseStay.
+// commonFactor returns the distribution of the common factor, given the scores of the parts that have ended and the
+// fact that the other parts are still outstanding. It sets inverseSurvival of the outstanding parts.
 func (q *Query) commonFactor() commonFactor {
 	correlation := q.forecast.correlation
-	factor := commonFactor{narrow: 1 / math.Sqrt(1-correlation)}
+	factor := commonFactor{inverseDeviation: 1 / math.Sqrt(1-correlation)}
 	if correlation < minCorrelation || len(q.parts) < 2 {
 		factor.count = 1
 		factor.probabilities[0] = 1
 		return factor
 	}
 	factor.count = nodeCount
-	own := 1 - correlation
-	variance := 1 / (1 + float64(q.scoreCount)*correlation/own)
-	mean := math.Sqrt(correlation) / own * q.scoreSum * variance
+	residualVariance := 1 - correlation
+	variance := 1 / (1 + float64(q.scoreCount)*correlation/residualVariance)
+	mean := math.Sqrt(correlation) / residualVariance * q.scoreSum * variance
 	deviation := math.Sqrt(variance)
 	sum := 0.0
 	for k := range quadratureNodes {
@@ -214,9 +214,9 @@
 		factor.probabilities[k] = quadratureWeights[k]
 		for i := range q.outstanding {
 			o := &q.outstanding[i]
-			stay := (1-independentProbability)*(1-normalCDF((o.scoreNow-factor.means[k])*factor.narrow)) + independentProbability*o.outstanding + 1e-15
-			o.inverseStay[k] = 1 / stay
-			factor.probabilities[k] *= stay
+			survival := (1-independentProbability)*(1-normalCDF((o.scoreNow-factor.means[k])*factor.inverseDeviation)) + independentProbability*o.outstanding + 1e-15
+			o.inverseSurvival[k] = 1 / survival
+			factor.probabilities[k] *= survival
 		}
 		sum += factor.probabilities[k]
 	}
