--- a/internal/regions/bench_test.go
+++ b/internal/regions/bench_test.go
@@ -13,8 +13,8 @@
 )
 
 // fleet returns regions with so many rules each, own of which no other region has.
-func fleet(regions, rules, own int) (all []Region) {
-	one := func(i int) Route {
+func fleet(regions, rules, ownRules int) (all []Region) {
+	newRoute := func(i int) Route {
 		r := Route{Rule: route.Rule{Name: fmt.Sprint("r", i), Service: fmt.Sprint("s", i%20), Host: fmt.Sprintf("h%d.example", i%200), Prefix: fmt.Sprintf("/p%d/q%d", i/200, i%200)}, Base: true}
 		switch i % 10 {
 		case 0:
@@ -44,11 +44,11 @@
 	for n := range regions {
 		r := Region{Name: fmt.Sprintf("region%02d", n), Instances: regions, Members: 1, Listeners: []string{fmt.Sprint("n", n, ":80")}, Services: services}
 		r.Routes = append(r.Routes, Route{Rule: route.Rule{Name: "all", Service: "s0"}, Base: true})
-		for i := 1; i < rules-own; i++ {
-			r.Routes = append(r.Routes, one(i))
+		for i := 1; i < rules-ownRules; i++ {
+			r.Routes = append(r.Routes, newRoute(i))
 		}
-		for i := range own {
-			o := one(rules + n*own + i)
+		for i := range ownRules {
+			o := newRoute(rules + n*ownRules + i)
 			o.Base = false
 			r.Routes = append(r.Routes, o)
 		}
@@ -58,20 +58,20 @@
 }
 
 // edited returns a region with one rule that leads to another service.
-func edited(r Region, rule, to int) Region {
+func withServiceOfRule(r Region, rule, serviceNumber int) Region {
 	r.Routes = append([]Route(nil), r.Routes...)
-	r.Routes[rule].Service = fmt.Sprint("s", to)
+	r.Routes[rule].Service = fmt.Sprint("s", serviceNumber)
 	return r
 }
 
 // cpu returns the CPU time of the process, which other processes on busy cores affect less than the elapsed time.
-func cpu() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func heap() float64 {
+func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -81,19 +81,19 @@
 
 // BenchmarkCheck builds an index of all regions, and reports its memory without that of the regions.
 func BenchmarkCheck(b *testing.B) {
-	for _, own := range []int{0, 20, 1000} {
+	for _, ownRules := range []int{0, 20, 1000} {
 		for _, n := range []int{2, 10, 50} {
-			b.Run(fmt.Sprintf("regions=%d/own=%d", n, own), func(b *testing.B) {
-				all := fleet(n, 10000, own)
-				before, told, from := heap(), 0, cpu()
+			b.Run(fmt.Sprintf("regions=%d/own=%d", n, ownRules), func(b *testing.B) {
+				all := fleet(n, 10000, ownRules)
+				heapBefore, conflictCount, cpuStart := heapBytes(), 0, cpuTime()
 				var x *Index
 				for b.Loop() {
 					x = NewIndex(all)
-					told = len(x.Conflicts())
+					conflictCount = len(x.Conflicts())
 				}
-				b.ReportMetric((cpu()-from).Seconds()*1e3/float64(b.N), "cpu-ms/op")
-				b.ReportMetric((heap()-before)/1e6, "MB")
-				b.ReportMetric(float64(told), "conflicts")
+				b.ReportMetric((cpuTime()-cpuStart).Seconds()*1e3/float64(b.N), "cpu-ms/op")
+				b.ReportMetric((heapBytes()-heapBefore)/1e6, "MB")
+				b.ReportMetric(float64(conflictCount), "conflicts")
 				runtime.KeepAlive(x)
 				runtime.KeepAlive(all)
 			})
@@ -108,14 +108,14 @@
 			b.Run(fmt.Sprintf("regions=%d/rule=%d", n, rule), func(b *testing.B) {
 				all := fleet(n, 10000, 20)
 				x := NewIndex(all)
-				told := len(x.Conflicts())
-				two := [2]Region{edited(all[1], rule, 7), all[1]}
-				from := cpu()
+				conflictCount := len(x.Conflicts())
+				versions := [2]Region{withServiceOfRule(all[1], rule, 7), all[1]}
+				cpuStart := cpuTime()
 				for i := 0; b.Loop(); i++ {
-					x.Replace(two[i%2])
+					x.Replace(versions[i%2])
 				}
-				b.ReportMetric((cpu()-from).Seconds()*1e3/float64(b.N), "cpu-ms/op")
-				b.ReportMetric(float64(told), "conflicts")
+				b.ReportMetric((cpuTime()-cpuStart).Seconds()*1e3/float64(b.N), "cpu-ms/op")
+				b.ReportMetric(float64(conflictCount), "conflicts")
 			})
 		}
 	}
@@ -126,20 +126,20 @@
 	for _, n := range []int{100, 1000} {
 		b.Run(fmt.Sprintf("rules=%d", n), func(b *testing.B) {
 			all := fleet(2, n, 20)
-			p, q := newReference(b, all[0]), newReference(b, edited(all[1], 5, 7))
+			first, second := newReference(b, all[0]), newReference(b, withServiceOfRule(all[1], 5, 7))
 			x := NewIndex(all)
 			for b.Loop() {
-				for _, one := range x.regions[0].rules {
-					for _, two := range x.regions[1].rules {
-						a, ok := one.requests.intersect(two.requests)
+				for _, ruleA := range x.regions[0].rules {
+					for _, ruleB := range x.regions[1].rules {
+						set, ok := ruleA.requests.intersect(ruleB.requests)
 						if !ok {
 							continue
 						}
-						if a.method == "" {
-							a.method = http.MethodGet
+						if set.method == "" {
+							set.method = http.MethodGet
 						}
-						w := x.minimalRequest(a)
-						conflictKinds(p.handle(w), q.handle(w))
+						w := x.minimalRequest(set)
+						conflictKinds(first.handle(w), second.handle(w))
 					}
 				}
 			}
--- a/internal/regions/change.go
+++ b/internal/regions/change.go
@@ -7,7 +7,7 @@
 )
 
 // noRegion stands for the region that has changed where none has.
-const noRegion = -1
+const noChangedRegion = -1
 
 // fullReviewThreshold is the number of changed conditions from which all watched ones are reviewed: to
 // find those that intersect each would cost more.
@@ -15,7 +15,7 @@
 
 // compileRules finds the conditions of a region's rules; new ones have no uses yet. Rules that stand at
 // the start or at the end as they did before are taken from the rules before.
-func (x *Index) compileRules(region, before *Region, rulesBefore []ruleRef, env *environment) []ruleRef {
+func (x *Index) compileRules(region, before *Region, rulesBefore []ruleRef, env *regionServices) []ruleRef {
 	rules := make([]ruleRef, len(region.Routes))
 	start, end := 0, len(rules)
 	if before != nil {
--- a/internal/regions/differences.go
+++ b/internal/regions/differences.go
@@ -168,7 +168,7 @@
 			}
 			if a.ruleID != comparedA || b.ruleID != comparedB {
 				comparedA, comparedB = a.ruleID, b.ruleID
-				isConflict = conflictsBy(kind, x.disposition(a.ruleID, request), x.disposition(b.ruleID, request))
+				isConflict = conflictsInKind(kind, x.disposition(a.ruleID, request), x.disposition(b.ruleID, request))
 			}
 			if !isConflict {
 				continue
--- a/internal/regions/disposition.go
+++ b/internal/regions/disposition.go
@@ -80,7 +80,7 @@
 
 // conflictsBy tells whether two regions' dispositions of one request conflict by a kind: ServiceKind,
 // CoverageKind or TermsKind.
-func conflictsBy(kind Kind, a, b disposition) bool {
+func conflictsInKind(kind Kind, a, b disposition) bool {
 	switch kind {
 	case ServiceKind:
 		isOther := a.service != b.service || a.gatherID != b.gatherID
--- a/internal/regions/hard_limits.go
+++ b/internal/regions/hard_limits.go
@@ -18,7 +18,7 @@
 const hardLimitStartFraction = 0.5
 
 // findSums finds what the regions admit together above a limit.
-func (x *Index) findSums() []Conflict {
+func (x *Index) findSumConflicts() []Conflict {
 	return append(x.findHardLimitConflicts(), x.findSlowStartConflicts()...)
 }
 
@@ -40,7 +40,7 @@
 }
 
 // sharedService is a region's service among those whose customers share hard limits.
-type sharedService struct {
+type sharingService struct {
 	*indexedRegion
 	*Service
 }
@@ -65,12 +65,12 @@
 }
 
 // sharingGroups groups the services that share hard limits: of one name, or of one counter.
-func (x *Index) sharingGroups() [][]sharedService {
+func (x *Index) sharingGroups() [][]sharingService {
 	positions := make(map[string]int) // by service or counter
-	var groups [][]sharedService
+	var groups [][]sharingService
 	for _, region := range x.regions {
 		for i := range region.Services {
-			service := sharedService{region, &region.Services[i]}
+			service := sharingService{region, &region.Services[i]}
 			names := []string{"service " + service.Name}
 			if region.Shared && service.Counter != "" {
 				names = append(names, "counter "+service.Counter)
@@ -91,7 +91,7 @@
 
 // mergeGroups merges the groups that some names belong to and returns the position of the merged one; -1
 // where there are none.
-func mergeGroups(names []string, positions map[string]int, groups [][]sharedService) int {
+func mergeGroups(names []string, positions map[string]int, groups [][]sharingService) int {
 	target := -1
 	for _, name := range names {
 		position, ok := positions[name]
@@ -114,7 +114,7 @@
 
 // planPart is a region's part of a plan's hard limit.
 type planPart struct {
-	sharedService
+	sharingService
 	rate float64 // units a second; 0 is no hard limit
 }
 
@@ -128,40 +128,40 @@
 	sumRate, sumBurst  float64 // what is admitted in all
 }
 
-func totalOf(plan string, group []sharedService) hardLimitTotal {
-	var t hardLimitTotal
-	for _, s := range group {
-		for _, p := range s.Plans {
+func totalOf(plan string, group []sharingService) hardLimitTotal {
+	var total hardLimitTotal
+	for _, service := range group {
+		for _, p := range service.Plans {
 			if p.Name != plan {
 				continue
 			}
-			t.parts = append(t.parts, planPart{s, p.HardLimitRate})
+			total.parts = append(total.parts, planPart{service, p.HardLimitRate})
 			if p.HardLimitRate == 0 {
 				continue
 			}
-			n, isKnown := s.groupCount()
-			store := max(p.HardLimitBurst, hardLimitStartFraction*p.HardLimitSlack)
-			t.isUncertain = t.isUncertain || !isKnown
-			t.sumRate, t.sumBurst = t.sumRate+n*p.HardLimitRate, t.sumBurst+n*store
-			if !t.isLimited {
-				t.isLimited = true
-				t.rate = p.HardLimitRate
-				t.burst = p.HardLimitBurst
-				t.slack = p.HardLimitSlack
+			n, isKnown := service.groupCount()
+			availableBurst := max(p.HardLimitBurst, hardLimitStartFraction*p.HardLimitSlack)
+			total.isUncertain = total.isUncertain || !isKnown
+			total.sumRate, total.sumBurst = total.sumRate+n*p.HardLimitRate, total.sumBurst+n*availableBurst
+			if !total.isLimited {
+				total.isLimited = true
+				total.rate = p.HardLimitRate
+				total.burst = p.HardLimitBurst
+				total.slack = p.HardLimitSlack
 			}
-			t.rate = min(t.rate, p.HardLimitRate)
-			t.burst = min(t.burst, p.HardLimitBurst)
-			t.slack = min(t.slack, p.HardLimitSlack)
+			total.rate = min(total.rate, p.HardLimitRate)
+			total.burst = min(total.burst, p.HardLimitBurst)
+			total.slack = min(total.slack, p.HardLimitSlack)
 		}
 	}
-	slices.SortStableFunc(t.parts, func(a, b planPart) int {
+	slices.SortStableFunc(total.parts, func(a, b planPart) int {
 		return cmp.Or(strings.Compare(a.indexedRegion.Name, b.indexedRegion.Name), strings.Compare(a.Name, b.Name))
 	})
-	return t
+	return total
 }
 
 // hardLimitConflict returns the conflict of a plan in services that share hard limits, or nil.
-func hardLimitConflict(plan string, group []sharedService) *Conflict {
+func hardLimitConflict(plan string, group []sharingService) *Conflict {
 	total := totalOf(plan, group)
 	if !total.isLimited {
 		return nil
--- a/internal/regions/index.go
+++ b/internal/regions/index.go
@@ -67,16 +67,16 @@
 	slices.SortStableFunc(x.regions, func(a, b *indexedRegion) int { return strings.Compare(a.Name, b.Name) })
 	x.chosen = make([]chosenRule, len(x.regions))
 	for i, region := range x.regions {
-		region.rules = x.compileRules(&region.Region, nil, nil, x.environment(&region.Region))
+		region.rules = x.compileRules(&region.Region, nil, nil, x.regionServices(&region.Region))
 		x.replaceRules(int32(i), nil, region.rules)
 	}
 	for _, c := range x.conditions {
-		x.review(c, noRegion)
+		x.review(c, noChangedRegion)
 	}
 	x.ruleInfosAtBuild = len(x.ruleInfos.values)
 	x.namesChanged = false
 	x.loopConflicts = x.findLoops()
-	x.sumConflicts = x.findSums()
+	x.sumConflicts = x.findSumConflicts()
 	return x
 }
 
@@ -97,7 +97,7 @@
 	}
 	current := x.regions[i]
 	before := *current
-	env := x.environment(&region)
+	env := x.regionServices(&region)
 	hasNewServices := !reflect.DeepEqual(before.Services, region.Services)
 	if hasNewServices {
 		*current = indexedRegion{Region: region, rules: x.compileRules(&region, nil, nil, env)}
@@ -110,7 +110,7 @@
 		x.loopConflicts = x.findLoops()
 	}
 	if hasNewServices || !hasSameSize(&before.Region, &region) {
-		x.sumConflicts = x.findSums()
+		x.sumConflicts = x.findSumConflicts()
 	}
 	return x.Conflicts()
 }
@@ -148,7 +148,7 @@
 // minimalRequest returns the minimal request of a set that names a method: the most specific host and path
 // that no other rule names, and only the headers that are required; nil where there is none.
 func (x *Index) minimalRequest(set requestSet) *Witness {
-	host, path, ok := x.unnamedPlace(set)
+	host, path, ok := x.unnamedHostAndPath(set)
 	if !ok {
 		return nil
 	}
--- a/internal/regions/loop_conflict.go
+++ b/internal/regions/loop_conflict.go
@@ -27,12 +27,12 @@
 )
 
 // hops tells which kinds of rules are on a path.
-type hops struct{ hasGenericHTTP, hasPlatform, hasGather bool }
+type hopKinds struct{ hasGenericHTTP, hasPlatform, hasGather bool }
 
 // conflictOfCycle returns the conflict of the path as a cycle if a request of a set loops in it, else nil.
 func (l *loopSearch) conflictOfCycle(set requestSet) *Conflict {
 	var ruleIDs []int32
-	var kinds hops
+	var kinds hopKinds
 	for _, t := range l.path {
 		ruleIDs = append(ruleIDs, t.ruleID)
 		result := l.outcomeOf(t.ruleID)
@@ -59,7 +59,7 @@
 }
 
 // setForwardedHeaders adds the headers that the kinds of rules on the path set, where a condition names them.
-func (l *loopSearch) setForwardedHeaders(request *Witness, kinds hops) {
+func (l *loopSearch) setForwardedHeaders(request *Witness, kinds hopKinds) {
 	set := func(name string, values []string) {
 		if request.Headers == nil {
 			request.Headers = make(http.Header)
@@ -76,7 +76,7 @@
 
 // forwardedHeaders tells whether a request is forwarded over the hops with the headers that conditions
 // require, and for which of these that depends on settings.
-func forwardedHeaders(headers []route.Header, kinds hops) (uncertain []string, isForwarded bool) {
+func forwardedHeaders(headers []route.Header, kinds hopKinds) (uncertain []string, isForwarded bool) {
 	for _, header := range headers {
 		if isDropped(header, kinds) {
 			return nil, false
@@ -90,7 +90,7 @@
 }
 
 // isDropped tells whether a header is dropped or changed on one of the hops, whatever the settings are.
-func isDropped(header route.Header, kinds hops) bool {
+func isDropped(header route.Header, kinds hopKinds) bool {
 	isProxyHeader := header.Name == "Proxy-Authenticate" || header.Name == "Proxy-Authorization"
 	isOneVia := header.Name == "Via" && !header.Any
 	if kinds.hasGenericHTTP && (isOneVia || isProxyHeader) {
--- a/internal/regions/mixture/compare.go
+++ b/internal/regions/mixture/compare.go
@@ -6,14 +6,14 @@
 )
 
 // isRegionNotAbove tells whether a exceeds b in no setting.
-func isRegionNotAbove(a, b regions.Region) bool {
+func isRegionBoundedBy(a, b regions.Region) bool {
 	if a.Members > 0 && b.Members > 0 && a.Members > b.Members {
 		return false
 	}
 	for _, service := range a.Services {
 		other, ok := findByName(b.Services, service.Name, serviceName)
 		// A service of a alone shares its customers and servers with no other settings.
-		if ok && !isServiceNotAbove(service, other, memberFraction(a), memberFraction(b)) {
+		if ok && !isServiceBoundedBy(service, other, memberFraction(a), memberFraction(b)) {
 			return false
 		}
 	}
@@ -21,37 +21,37 @@
 }
 
 // isServiceNotAbove compares the services of two members by what a member has of its group.
-func isServiceNotAbove(a, b regions.Service, fractionA, fractionB float64) bool {
+func isServiceBoundedBy(a, b regions.Service, fractionA, fractionB float64) bool {
 	for _, class := range a.Classes {
 		if other, ok := findByName(b.Classes, class.Name, className); ok && !isStricterOrEqual(class, other) {
 			return false
 		}
 	}
 	for _, plan := range a.Plans {
-		if other, ok := findByName(b.Plans, plan.Name, planName); ok && !isPlanNotAbove(plan, other, fractionA, fractionB) {
+		if other, ok := findByName(b.Plans, plan.Name, planName); ok && !isPlanBoundedBy(plan, other, fractionA, fractionB) {
 			return false
 		}
 	}
-	return isSlowStartNotAbove(a.SlowStart, b.SlowStart, fractionA, fractionB)
+	return isSlowStartBoundedBy(a.SlowStart, b.SlowStart, fractionA, fractionB)
 }
 
 // isSlowStartNotAbove compares what two members send to a warming server. Their minimum load depends on the
 // group size alone.
-func isSlowStartNotAbove(a, b regions.SlowStart, fractionA, fractionB float64) bool {
-	isRampNotAbove := a.WarmupTime >= b.WarmupTime && a.InitialCapacity <= b.InitialCapacity
-	return isRampNotAbove && a.OverloadMultiple*fractionA <= b.OverloadMultiple*fractionB && fractionA <= fractionB
+func isSlowStartBoundedBy(a, b regions.SlowStart, fractionA, fractionB float64) bool {
+	isRampBounded := a.WarmupTime >= b.WarmupTime && a.InitialCapacity <= b.InitialCapacity
+	return isRampBounded && a.OverloadMultiple*fractionA <= b.OverloadMultiple*fractionB && fractionA <= fractionB
 }
 
 // memberFraction is what one member has of what its group has.
 func memberFraction(region regions.Region) float64 { return 1 / float64(max(1, region.Instances)) }
 
 // isPlanNotAbove compares the hard limits of two members.
-func isPlanNotAbove(a, b control.Plan, fractionA, fractionB float64) bool {
+func isPlanBoundedBy(a, b control.Plan, fractionA, fractionB float64) bool {
 	if b.HardLimitRate == 0 {
 		return true
 	}
-	isRateNotAbove := a.HardLimitRate > 0 && a.HardLimitRate*fractionA <= b.HardLimitRate*fractionB
-	return isRateNotAbove && a.HardLimitBurst*fractionA <= b.HardLimitBurst*fractionB &&
+	isRateBounded := a.HardLimitRate > 0 && a.HardLimitRate*fractionA <= b.HardLimitRate*fractionB
+	return isRateBounded && a.HardLimitBurst*fractionA <= b.HardLimitBurst*fractionB &&
 		a.HardLimitSlack*fractionA <= b.HardLimitSlack*fractionB
 }
 
--- a/internal/regions/mixture/cycle.go
+++ b/internal/regions/mixture/cycle.go
@@ -12,10 +12,10 @@
 // findCycle returns the shortest cycle of regions of which each has to change before the next, sorted by
 // name, and the conflicts that make it; nil where pairs of regions make none.
 func (p *planner) findCycle() (shortest []string, blocked []regions.Conflict) {
-	next := make(map[string][]pairing) // by the region that has to change first
-	for _, pair := range p.pairings {
-		if p.isBinding(pair) {
-			next[pair.oldRegion] = append(next[pair.oldRegion], pair)
+	next := make(map[string][]orderConstraint) // by the region that has to change first
+	for _, constraint := range p.constraints {
+		if p.isBinding(constraint) {
+			next[constraint.oldRegion] = append(next[constraint.oldRegion], constraint)
 		}
 	}
 	for _, start := range slices.Sorted(slices.Values(p.changed)) {
@@ -31,14 +31,14 @@
 }
 
 // cycleFrom returns a shortest cycle through a region, by breadth-first search; nil where there is none.
-func cycleFrom(start string, next map[string][]pairing) (names []string, conflicts []regions.Conflict) {
-	reachedBy := map[string]pairing{}
+func cycleFrom(start string, next map[string][]orderConstraint) (names []string, conflicts []regions.Conflict) {
+	reachedBy := map[string]orderConstraint{}
 	queue := []string{start}
 	for i := 0; i < len(queue) && reachedBy[start].oldRegion == ""; i++ {
-		for _, pair := range next[queue[i]] {
-			if _, isReached := reachedBy[pair.newRegion]; !isReached {
-				reachedBy[pair.newRegion] = pair
-				queue = append(queue, pair.newRegion)
+		for _, constraint := range next[queue[i]] {
+			if _, isReached := reachedBy[constraint.newRegion]; !isReached {
+				reachedBy[constraint.newRegion] = constraint
+				queue = append(queue, constraint.newRegion)
 			}
 		}
 	}
@@ -46,10 +46,10 @@
 		return nil, nil
 	}
 	for at := start; len(names) == 0 || at != start; {
-		pair := reachedBy[at]
-		names = append(names, pair.oldRegion)
-		conflicts = append(conflicts, WithoutGenerations(pair.Conflict))
-		at = pair.oldRegion
+		constraint := reachedBy[at]
+		names = append(names, constraint.oldRegion)
+		conflicts = append(conflicts, WithoutGenerations(constraint.Conflict))
+		at = constraint.oldRegion
 	}
 	return names, conflicts
 }
--- a/internal/regions/mixture/hard_limits.go
+++ b/internal/regions/mixture/hard_limits.go
@@ -15,7 +15,7 @@
 type hardLimitSum struct{ rate, burst, slack float64 }
 
 // isNotAbove compares two sums, with a tolerance for rounding.
-func (a hardLimitSum) isNotAbove(b hardLimitSum) bool {
+func (a hardLimitSum) isBoundedBy(b hardLimitSum) bool {
 	const tolerance = 1 + 1e-9
 	return a.rate <= b.rate*tolerance && a.burst <= b.burst*tolerance && a.slack <= b.slack*tolerance
 }
@@ -30,14 +30,14 @@
 		}
 		n := groupCount(region)
 		for _, service := range region.Services {
-			for _, p := range service.Plans {
-				key := hardLimitKey{service.Name, p.Name}
-				t := sums[key]
-				t.rate, t.burst, t.slack = t.rate+n*p.HardLimitRate, t.burst+n*p.HardLimitBurst, t.slack+n*p.HardLimitSlack
-				if p.HardLimitRate == 0 {
-					t = hardLimitSum{math.Inf(1), math.Inf(1), math.Inf(1)}
+			for _, plan := range service.Plans {
+				key := hardLimitKey{service.Name, plan.Name}
+				sum := sums[key]
+				sum.rate, sum.burst, sum.slack = sum.rate+n*plan.HardLimitRate, sum.burst+n*plan.HardLimitBurst, sum.slack+n*plan.HardLimitSlack
+				if plan.HardLimitRate == 0 {
+					sum = hardLimitSum{math.Inf(1), math.Inf(1), math.Inf(1)}
 				}
-				sums[key] = t
+				sums[key] = sum
 			}
 		}
 	}
@@ -73,12 +73,12 @@
 // fitsAnEnd tells whether a mixture admits no more, of what a conflict is about, than one end of the
 // change does. regions.Check holds regions to the smallest limit that any of them states. While a new limit
 // is rolled out, a mixture is held to that of the end which admits more.
-func (p *planner) fitsAnEnd(conflict regions.Conflict, mixture []regions.Region) bool {
+func (p *planner) isBoundedByAnEnd(conflict regions.Conflict, mixture []regions.Region) bool {
 	for _, end := range []map[string]*regions.Region{p.changeStart, p.changeEnd} {
-		if conflict.Kind == regions.HardLimitKind && hardLimitsFit(conflict.Rules, mixture, end) {
+		if conflict.Kind == regions.HardLimitKind && areHardLimitsBounded(conflict.Rules, mixture, end) {
 			return true
 		}
-		if conflict.Kind == regions.SlowStartKind && slowStartsFit(mixture, end) {
+		if conflict.Kind == regions.SlowStartKind && areSlowStartsBounded(mixture, end) {
 			return true
 		}
 	}
@@ -86,14 +86,14 @@
 }
 
 // hardLimitsFit tells whether a mixture admits no more of some plans than an end does.
-func hardLimitsFit(plans []string, mixture []regions.Region, end map[string]*regions.Region) bool {
+func areHardLimitsBounded(plans []string, mixture []regions.Region, end map[string]*regions.Region) bool {
 	all := make([]*regions.Region, len(mixture))
 	for i := range mixture {
 		all[i] = &mixture[i]
 	}
 	limits := sumHardLimits(slices.Collect(maps.Values(end))...)
 	for key, sum := range sumHardLimits(all...) {
-		if slices.Contains(plans, key.plan) && !sum.isNotAbove(limits[key]) {
+		if slices.Contains(plans, key.plan) && !sum.isBoundedBy(limits[key]) {
 			return false
 		}
 	}
@@ -102,7 +102,7 @@
 
 // slowStartsFit tells whether each region of a mixture sends no more to warming servers than at an
 // end. It compares region by region, as the sum depends on which regions send to a server.
-func slowStartsFit(mixture []regions.Region, end map[string]*regions.Region) bool {
+func areSlowStartsBounded(mixture []regions.Region, end map[string]*regions.Region) bool {
 	members := make(map[string]int)
 	for _, region := range mixture {
 		atEnd := end[withoutGeneration(region.Name)]
@@ -115,7 +115,7 @@
 		}
 		for _, service := range region.Services {
 			other, ok := findByName(atEnd.Services, service.Name, serviceName)
-			if !ok || !isSlowStartNotAbove(service.SlowStart, other.SlowStart, memberFraction(region), memberFraction(*atEnd)) {
+			if !ok || !isSlowStartBoundedBy(service.SlowStart, other.SlowStart, memberFraction(region), memberFraction(*atEnd)) {
 				return false
 			}
 		}
--- a/internal/regions/mixture/mixture.go
+++ b/internal/regions/mixture/mixture.go
@@ -68,7 +68,7 @@
 	p := newPlanner(old, new, check)
 	p.recordEnd(old)
 	p.recordEnd(new)
-	p.findPairings()
+	p.findConstraints()
 	result := p.solve()
 	if result.Order != nil {
 		return result
@@ -97,8 +97,8 @@
 		phase.changeStart = p.changeStart
 		phase.changeEnd = p.changeEnd
 	}
-	toIntermediate.findPairings()
-	toNew.findPairings()
+	toIntermediate.findConstraints()
+	toNew.findConstraints()
 	first := toIntermediate.solve()
 	second := toNew.solve()
 	result.Mixtures += first.Mixtures + second.Mixtures
--- a/internal/regions/mixture/pairings.go
+++ b/internal/regions/mixture/pairings.go
@@ -12,14 +12,14 @@
 
 // pairing is a conflict between the new configuration of one region and the old one of another, which has
 // to change first. No order avoids one of a region with itself.
-type pairing struct {
+type orderConstraint struct {
 	newRegion, oldRegion string
 	regions.Conflict
 }
 
 // findPairings finds the configurations that conflict in pairs, by one check with the old and the new ones
 // of all regions.
-func (p *planner) findPairings() {
+func (p *planner) findConstraints() {
 	if p.sumsOnly {
 		return
 	}
@@ -37,7 +37,7 @@
 		if newRegion == oldRegion && conflict.Kind != regions.TermsKind {
 			conflict.Severity = transient // the change consists of this difference
 		}
-		p.pairings = append(p.pairings, pairing{newRegion, oldRegion, conflict})
+		p.constraints = append(p.constraints, orderConstraint{newRegion, oldRegion, conflict})
 	}
 }
 
--- a/internal/regions/mixture/planner.go
+++ b/internal/regions/mixture/planner.go
@@ -20,7 +20,7 @@
 	endConflicts           map[string]bool
 	truncated              map[string]bool // kinds and regions of which an end has more conflicts than are reported
 	sumsOnly               bool            // only what is summed over regions changes: routes and terms remain
-	pairings               []pairing
+	constraints            []orderConstraint
 	mixtures               int // checked so far
 
 	// State of a search.
--- a/internal/regions/mixture/search.go
+++ b/internal/regions/mixture/search.go
@@ -84,16 +84,16 @@
 
 // isReady tells whether all regions that have to change before the one named have.
 func (p *planner) isReady(name string, set map[string]bool) bool {
-	for _, pair := range p.pairings {
-		if pair.newRegion == name && p.isBinding(pair) && !set[pair.oldRegion] {
+	for _, constraint := range p.constraints {
+		if constraint.newRegion == name && p.isBinding(constraint) && !set[constraint.oldRegion] {
 			return false
 		}
 	}
 	return true
 }
 
-func (p *planner) isBinding(pair pairing) bool {
-	return pair.Severity == regions.Error || p.strict && pair.Severity == regions.Warning
+func (p *planner) isBinding(constraint orderConstraint) bool {
+	return constraint.Severity == regions.Error || p.strict && constraint.Severity == regions.Warning
 }
 
 // transientConflicts returns the differences that an order does not avoid, each once, as warnings.
@@ -107,9 +107,9 @@
 			conflicts = append(conflicts, conflict)
 		}
 	}
-	for _, pair := range p.pairings {
-		if pair.newRegion == pair.oldRegion {
-			add(pair.Conflict)
+	for _, constraint := range p.constraints {
+		if constraint.newRegion == constraint.oldRegion {
+			add(constraint.Conflict)
 		}
 	}
 	set := make(map[string]bool)
--- a/internal/regions/mixture/strictest.go
+++ b/internal/regions/mixture/strictest.go
@@ -11,7 +11,7 @@
 // slow start, retry terms or members, so that a partly changed region admits no more than one of its ends
 // would. docs/design/mixture.md has the rule of each setting.
 func Phases(old, new regions.Region) []regions.Region {
-	if isRegionNotAbove(old, new) || isRegionNotAbove(new, old) {
+	if isRegionBoundedBy(old, new) || isRegionBoundedBy(new, old) {
 		return nil
 	}
 	return []regions.Region{Strictest(old, new)}
--- a/internal/regions/mixture/verdict.go
+++ b/internal/regions/mixture/verdict.go
@@ -55,7 +55,7 @@
 // addConflict adds a conflict of a mixture to a verdict, unless an end of the change has it or exceeds the
 // same limit as much.
 func (p *planner) addConflict(v verdict, conflict regions.Conflict, mixture []regions.Region, configurations map[string]*regions.Region, changed []string) verdict {
-	if !p.isNew(conflict) || p.fitsAnEnd(conflict, mixture) {
+	if !p.isNew(conflict) || p.isBoundedByAnEnd(conflict, mixture) {
 		return v
 	}
 	severity := severityInMixture(conflict, configurations)
@@ -102,11 +102,11 @@
 		if region == nil || name == without {
 			continue
 		}
-		one := *region
+		configuration := *region
 		if p.sumsOnly {
-			one.Routes = nil // no sum depends on them
+			configuration.Routes = nil // no sum depends on them
 		}
-		mixture = append(mixture, one)
+		mixture = append(mixture, configuration)
 	}
 	return mixture
 }
--- a/internal/regions/regions_test.go
+++ b/internal/regions/regions_test.go
@@ -18,18 +18,18 @@
 
 // The requests that the reference goes through: they include all that the rules drawn below tell apart.
 var (
-	someHosts   = []string{"", "y", "a.x", "b.x", "b.a.x", "c.a.x"}
-	someMethods = []string{"GET", "HEAD", "POST", "PATCH", "OPTIONS"}
-	someStates  = [][]string{nil, {"1"}, {"9"}, {"1", "1"}}
-	somePaths   = strings.Fields("/ /z /a /a/ /a/z /ab /ab/ /ab/z /b /b/ /b/z /a/a /a/a/ /a/a/z /a/b /a/b/ /a/b/z /read /write")
+	sampleHosts        = []string{"", "y", "a.x", "b.x", "b.a.x", "c.a.x"}
+	sampleMethods      = []string{"GET", "HEAD", "POST", "PATCH", "OPTIONS"}
+	sampleHeaderValues = [][]string{nil, {"1"}, {"9"}, {"1", "1"}}
+	samplePaths        = strings.Fields("/ /z /a /a/ /a/z /ab /ab/ /ab/z /b /b/ /b/z /a/a /a/a/ /a/a/z /a/b /a/b/ /a/b/z /read /write")
 )
 
-func everyRequest(each func(*Witness)) {
-	for _, host := range someHosts {
-		for _, path := range somePaths {
-			for _, method := range someMethods {
-				for _, a := range someStates {
-					for _, b := range someStates[:3] {
+func eachSampleRequest(each func(*Witness)) {
+	for _, host := range sampleHosts {
+		for _, path := range samplePaths {
+			for _, method := range sampleMethods {
+				for _, a := range sampleHeaderValues {
+					for _, b := range sampleHeaderValues[:3] {
 						h := http.Header{}
 						if a != nil {
 							h["A"] = a
@@ -53,61 +53,61 @@
 }
 
 func newReference(t interface{ Fatalf(string, ...any) }, r Region) *reference {
-	p := &reference{Region: r, services: make(map[string]Service)}
+	ref := &reference{Region: r, services: make(map[string]Service)}
 	var rules []route.Rule
-	for _, one := range r.Routes {
-		rules = append(rules, one.Rule)
+	for _, rule := range r.Routes {
+		rules = append(rules, rule.Rule)
 	}
 	var problems []*route.RuleError
-	if p.router, problems = route.New(rules); problems != nil {
+	if ref.router, problems = route.New(rules); problems != nil {
 		t.Fatalf("%v", problems)
 	}
 	for _, s := range r.Services {
-		p.services[s.Name] = s
+		ref.services[s.Name] = s
 	}
-	return p
+	return ref
 }
 
-type handled struct {
+type referenceResult struct {
 	rule, service, class, gather string
 	isAccepted                   bool
 	terms                        *control.Class
 }
 
-func (p *reference) handle(w *Witness) (got handled) {
+func (p *reference) handle(w *Witness) (result referenceResult) {
 	i, ok := p.router.Find(w.Host, w.Path, w.Method, w.Headers)
 	if !ok {
 		return
 	}
-	one := p.Routes[i]
-	s := p.services[one.Service]
-	got = handled{rule: one.Name, service: one.Service, class: one.RequestClass, isAccepted: true}
-	if one.RequestClass == "" && s.GenericHTTP {
-		got.class = "write"
+	matched := p.Routes[i]
+	target := p.services[matched.Service]
+	result = referenceResult{rule: matched.Name, service: matched.Service, class: matched.RequestClass, isAccepted: true}
+	if matched.RequestClass == "" && target.GenericHTTP {
+		result.class = "write"
 		if slices.Contains([]string{"GET", "HEAD", "OPTIONS"}, w.Method) {
-			got.class = "read"
+			result.class = "read"
 		}
-	} else if one.RequestClass == "" {
-		got.class = route.FirstSegment(w.Path)
+	} else if matched.RequestClass == "" {
+		result.class = route.FirstSegment(w.Path)
 	}
-	for _, k := range s.Classes {
-		if k.Name == got.class {
-			got.terms = &k
+	for _, candidate := range target.Classes {
+		if candidate.Name == result.class {
+			result.terms = &candidate
 		}
 	}
-	if s.Gather != "" {
-		got.gather = s.Gather
-		got.isAccepted = got.terms == nil || got.terms.Idempotency == control.Idempotent
-		got.isAccepted = got.isAccepted && (w.Method == "GET" || w.Method == "HEAD" || one.RequestClass != "" && w.Method != "OPTIONS")
+	if target.Gather != "" {
+		result.gather = target.Gather
+		result.isAccepted = result.terms == nil || result.terms.Idempotency == control.Idempotent
+		result.isAccepted = result.isAccepted && (w.Method == "GET" || w.Method == "HEAD" || matched.RequestClass != "" && w.Method != "OPTIONS")
 	}
-	if len(s.Classes) > 0 {
-		got.isAccepted = got.isAccepted && got.terms != nil && (s.GenericHTTP || (got.terms.Idempotency == control.Idempotent) == (w.Method == "GET") && (w.Method == "GET" || w.Method == "POST"))
+	if len(target.Classes) > 0 {
+		result.isAccepted = result.isAccepted && result.terms != nil && (target.GenericHTTP || (result.terms.Idempotency == control.Idempotent) == (w.Method == "GET") && (w.Method == "GET" || w.Method == "POST"))
 	}
-	return got
+	return result
 }
 
 // conflictKinds returns the kinds by which two regions handle a request differently.
-func conflictKinds(a, b handled) (kinds []Kind) {
+func conflictKinds(a, b referenceResult) (kinds []Kind) {
 	if a.isAccepted != b.isAccepted {
 		kinds = append(kinds, CoverageKind)
 	}
@@ -130,9 +130,9 @@
 }
 
 func drawRegion(t *rapid.T, name string, base []Route) Region {
-	pick := func(what string, of ...string) string { return rapid.SampledFrom(of).Draw(t, what) }
+	pick := func(label string, values ...string) string { return rapid.SampledFrom(values).Draw(t, label) }
 	r := Region{Name: name, Instances: 1, Listeners: []string{name + ":80"}}
-	class := func(n string) control.Class {
+	drawClass := func(n string) control.Class {
 		return control.Class{
 			Name: n, Deadline: time.Duration(rapid.IntRange(1, 2).Draw(t, "deadline")) * time.Second,
 			Idempotency: control.Idempotency(rapid.IntRange(0, 2).Draw(t, "effect")), RepeatWindow: time.Duration(rapid.IntRange(0, 1).Draw(t, "window")),
@@ -141,7 +141,7 @@
 	for i, n := range []string{"s", "t", "u"} {
 		s := Service{Name: n, GenericHTTP: rapid.Bool().Draw(t, "ordinary")}
 		for _, k := range [][]string{{"read", "write", "a"}, {"a", "b"}, {"read", "a"}, nil}[rapid.IntRange(0, 3).Draw(t, "classes")] {
-			s.Classes = append(s.Classes, class(k))
+			s.Classes = append(s.Classes, drawClass(k))
 		}
 		if i > 0 {
 			if s.GenericHTTP && rapid.Bool().Draw(t, "gathers") {
@@ -153,30 +153,30 @@
 	}
 	r.Routes = slices.Clone(base)
 	for i := range rapid.IntRange(0, 4).Draw(t, "rules") {
-		one := Route{RequestClass: pick("as", "", "", "a")}
-		one.Name, one.Service = fmt.Sprint(name, i), pick("service", "s", "t", "u")
-		one.Host, one.Method, one.Class = pick("host", "", "", "a.x", "*.x", "*.a.x", "b.a.x"), pick("method", "", "", "GET", "POST"), pick("class", "", "", "a", "b")
+		rule := Route{RequestClass: pick("as", "", "", "a")}
+		rule.Name, rule.Service = fmt.Sprint(name, i), pick("service", "s", "t", "u")
+		rule.Host, rule.Method, rule.Class = pick("host", "", "", "a.x", "*.x", "*.a.x", "b.a.x"), pick("method", "", "", "GET", "POST"), pick("class", "", "", "a", "b")
 		path := pick("path", "", "/a", "/ab", "/b", "/a/a", "/a/b")
 		switch rapid.IntRange(0, 2).Draw(t, "form") {
 		case 0:
-			one.Path = path + pick("end", "", "/")
+			rule.Path = path + pick("end", "", "/")
 		case 1:
-			one.Prefix = path
+			rule.Prefix = path
 		}
 		for _, h := range []string{"A", "B"} {
 			switch rapid.IntRange(0, 4).Draw(t, h) {
 			case 0:
-				one.Headers = append(one.Headers, route.Header{Name: h, Any: true})
+				rule.Headers = append(rule.Headers, route.Header{Name: h, Any: true})
 			case 1:
-				one.Headers = append(one.Headers, route.Header{Name: h, Value: "1"})
+				rule.Headers = append(rule.Headers, route.Header{Name: h, Value: "1"})
 			}
 		}
-		r.Routes = append(r.Routes, one)
+		r.Routes = append(r.Routes, rule)
 	}
 	for { // rules that package route rejects are left out, as a file with them would not load
 		var rules []route.Rule
-		for _, one := range r.Routes {
-			rules = append(rules, one.Rule)
+		for _, rule := range r.Routes {
+			rules = append(rules, rule.Rule)
 		}
 		_, problems := route.New(rules)
 		if problems == nil {
@@ -201,26 +201,26 @@
 	return all
 }
 
-func conflictLine(k Kind, a, b, ra, rb string) string {
+func conflictKey(k Kind, a, b, ra, rb string) string {
 	return fmt.Sprint(k, " ", a, " ", b, " ", ra, " ", rb)
 }
 
 // recordExpected records the conflicts that a request shows, and the rules that handle it.
-func recordExpected(w *Witness, plains []*reference, want, alive map[string]bool) {
-	var got []handled
-	for _, p := range plains {
-		got = append(got, p.handle(w))
-		alive[p.Name+got[len(got)-1].rule] = true
+func recordExpected(w *Witness, references []*reference, want, reachable map[string]bool) {
+	var results []referenceResult
+	for _, p := range references {
+		results = append(results, p.handle(w))
+		reachable[p.Name+results[len(results)-1].rule] = true
 	}
-	for i := range got {
+	for i := range results {
 		for j := range i {
-			for _, k := range conflictKinds(got[j], got[i]) {
-				want[conflictLine(k, plains[j].Name, plains[i].Name, got[j].rule, got[i].rule)] = true
+			for _, k := range conflictKinds(results[j], results[i]) {
+				want[conflictKey(k, references[j].Name, references[i].Name, results[j].rule, results[i].rule)] = true
 			}
 		}
 	}
-	for _, l := range expectedLoops(plains, w) {
-		want[l] = true
+	for _, loop := range expectedLoops(references, w) {
+		want[loop] = true
 	}
 }
 
@@ -229,16 +229,16 @@
 func TestAgainstReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := drawRegions(t)
-		var plains []*reference
+		var references []*reference
 		for _, r := range all {
-			plains = append(plains, newReference(t, r))
+			references = append(references, newReference(t, r))
 		}
-		want, alive := make(map[string]bool), make(map[string]bool)
-		everyRequest(func(w *Witness) { recordExpected(w, plains, want, alive) })
-		for _, p := range plains {
-			for _, one := range p.Routes {
-				if !alive[p.Name+one.Name] {
-					want[conflictLine(DeadKind, p.Name, "", one.Name, "")] = true
+		want, reachable := make(map[string]bool), make(map[string]bool)
+		eachSampleRequest(func(w *Witness) { recordExpected(w, references, want, reachable) })
+		for _, p := range references {
+			for _, candidate := range p.Routes {
+				if !reachable[p.Name+candidate.Name] {
+					want[conflictKey(DeadKind, p.Name, "", candidate.Name, "")] = true
 				}
 			}
 		}
@@ -247,25 +247,25 @@
 			w := c.Witness
 			switch c.Kind {
 			case DeadKind:
-				l := conflictLine(DeadKind, c.Regions[0], "", c.Rules[0], "")
-				if !want[l] {
+				key := conflictKey(DeadKind, c.Regions[0], "", c.Rules[0], "")
+				if !want[key] {
 					t.Fatalf("%+v: false", c)
 				}
-				delete(want, l)
+				delete(want, key)
 			case LoopKind:
-				l := followLoop(plains, c)
-				if l == "" {
+				key := followLoop(references, c)
+				if key == "" {
 					t.Fatalf("%+v: it does not go round", c)
 				}
-				delete(want, l)
+				delete(want, key)
 			default:
-				a := plains[slices.IndexFunc(all, func(r Region) bool { return r.Name == c.Regions[0] })].handle(w)
-				b := plains[slices.IndexFunc(all, func(r Region) bool { return r.Name == c.Regions[1] })].handle(w)
-				l := conflictLine(c.Kind, c.Regions[0], c.Regions[1], a.rule, b.rule)
-				if !slices.Contains(conflictKinds(a, b), c.Kind) || !want[l] {
+				a := references[slices.IndexFunc(all, func(r Region) bool { return r.Name == c.Regions[0] })].handle(w)
+				b := references[slices.IndexFunc(all, func(r Region) bool { return r.Name == c.Regions[1] })].handle(w)
+				key := conflictKey(c.Kind, c.Regions[0], c.Regions[1], a.rule, b.rule)
+				if !slices.Contains(conflictKinds(a, b), c.Kind) || !want[key] {
 					t.Fatalf("%+v: false: %+v, %+v", c, a, b)
 				}
-				delete(want, l)
+				delete(want, key)
 			}
 		}
 		if len(want) > 0 {
@@ -279,16 +279,16 @@
 // checkOrderAndReplace checks that the conflicts do not depend on the order of the regions, and that a replacement
 // gives the same as a new index.
 func checkOrderAndReplace(t *rapid.T, x *Index, all []Region) {
-	told := Check(all)
-	turned := slices.Clone(all)
-	slices.Reverse(turned)
-	if again := Check(turned); !reflect.DeepEqual(told, again) {
-		t.Fatalf("in another order: %v, not %v", again, told)
+	conflicts := Check(all)
+	reorderedRegions := slices.Clone(all)
+	slices.Reverse(reorderedRegions)
+	if reorderedConflicts := Check(reorderedRegions); !reflect.DeepEqual(conflicts, reorderedConflicts) {
+		t.Fatalf("in another order: %v, not %v", reorderedConflicts, conflicts)
 	}
 	for range 3 {
-		at := rapid.IntRange(0, len(all)-1).Draw(t, "at")
-		all[at] = drawRegion(t, all[at].Name, all[rapid.IntRange(0, len(all)-1).Draw(t, "from")].Routes)
-		if got, want := x.Replace(all[at]), Check(all); !reflect.DeepEqual(got, want) {
+		position := rapid.IntRange(0, len(all)-1).Draw(t, "at")
+		all[position] = drawRegion(t, all[position].Name, all[rapid.IntRange(0, len(all)-1).Draw(t, "from")].Routes)
+		if got, want := x.Replace(all[position]), Check(all); !reflect.DeepEqual(got, want) {
 			t.Fatalf("replaced:\n%v\nnot\n%v", got, want)
 		}
 	}
@@ -299,29 +299,29 @@
 	next := make([][]int, len(all))
 	rules := make([]string, len(all))
 	for i, p := range all {
-		got := p.handle(w)
-		if rules[i] = got.rule; !got.isAccepted || got.gather != "" && w.Method == "HEAD" { // goes on as GET
+		result := p.handle(w)
+		if rules[i] = result.rule; !result.isAccepted || result.gather != "" && w.Method == "HEAD" { // goes on as GET
 			continue
 		}
-		for _, to := range p.services[got.service].Destinations {
-			if j := slices.IndexFunc(all, func(q *reference) bool { return q.Listeners[0] == to }); j >= 0 {
+		for _, destination := range p.services[result.service].Destinations {
+			if j := slices.IndexFunc(all, func(q *reference) bool { return q.Listeners[0] == destination }); j >= 0 {
 				next[i] = append(next[i], j)
 			}
 		}
 	}
 	for i := range all { // which of those from i on lead back to i
-		reach, queue := make(map[int]bool), []int{i}
+		reached, queue := make(map[int]bool), []int{i}
 		for len(queue) > 0 {
 			for _, j := range next[queue[0]] {
-				if j >= i && !reach[j] {
-					reach[j] = true
+				if j >= i && !reached[j] {
+					reached[j] = true
 					queue = append(queue, j)
 				}
 			}
 			queue = queue[1:]
 		}
-		if reach[i] {
-			found = append(found, conflictLine(LoopKind, all[i].Name, "", rules[i], ""))
+		if reached[i] {
+			found = append(found, conflictKey(LoopKind, all[i].Name, "", rules[i], ""))
 		}
 	}
 	return found
@@ -330,17 +330,17 @@
 // followLoop follows a loop's witness around the cycle in either direction; "" where it does not loop.
 func followLoop(all []*reference, c Conflict) string {
 	n := len(c.Regions)
-	leads := func(i, j int) bool {
+	forwards := func(i, j int) bool {
 		p := all[slices.IndexFunc(all, func(p *reference) bool { return p.Name == c.Regions[i] })]
-		got := p.handle(c.Witness)
-		return got.isAccepted && !(got.gather != "" && c.Witness.Method == "HEAD") && got.rule == c.Rules[i] && slices.Contains(p.services[got.service].Destinations, c.Regions[j]+":80")
+		result := p.handle(c.Witness)
+		return result.isAccepted && !(result.gather != "" && c.Witness.Method == "HEAD") && result.rule == c.Rules[i] && slices.Contains(p.services[result.service].Destinations, c.Regions[j]+":80")
 	}
-	forth, back := true, true
+	isLoopForward, isLoopBackward := true, true
 	for i := range n {
-		forth, back = forth && leads(i, (i+1)%n), back && leads((i+1)%n, i)
+		isLoopForward, isLoopBackward = isLoopForward && forwards(i, (i+1)%n), isLoopBackward && forwards((i+1)%n, i)
 	}
-	if !forth && !back {
+	if !isLoopForward && !isLoopBackward {
 		return ""
 	}
-	return conflictLine(LoopKind, c.Regions[0], "", c.Rules[0], "")
+	return conflictKey(LoopKind, c.Regions[0], "", c.Rules[0], "")
 }
--- a/internal/regions/registry.go
+++ b/internal/regions/registry.go
@@ -105,7 +105,7 @@
 }
 
 // ruleID returns the number of a route's name, origin, outcome and destinations.
-func (b *registry) ruleID(route *Route, env *environment) int32 {
+func (b *registry) ruleID(route *Route, env *regionServices) int32 {
 	info := ruleInfo{name: route.Name, isFromBase: route.Base}
 	service := env.services[route.Service]
 	result := outcome{service: route.Service, class: route.RequestClass}
@@ -142,7 +142,7 @@
 }
 
 // tableOf returns the number of the table of the classes that requests with an outcome can have.
-func (b *registry) tableOf(service *Service, result *outcome, env *environment) int32 {
+func (b *registry) tableOf(service *Service, result *outcome, env *regionServices) int32 {
 	key := tableKey{service.Name, result.classSource, result.class}
 	id, ok := env.tableIDs[key]
 	if ok {
@@ -161,7 +161,7 @@
 }
 
 // environment holds a region's services by name, and what the registry has of them.
-type environment struct {
+type regionServices struct {
 	services       map[string]*Service
 	tableIDs       map[tableKey]int32
 	destinationIDs map[string]int32 // by service
@@ -173,8 +173,8 @@
 	class       string
 }
 
-func (b *registry) environment(region *Region) *environment {
-	env := &environment{
+func (b *registry) regionServices(region *Region) *regionServices {
+	env := &regionServices{
 		services:       make(map[string]*Service),
 		tableIDs:       make(map[tableKey]int32),
 		destinationIDs: make(map[string]int32),
--- a/internal/regions/request_set.go
+++ b/internal/regions/request_set.go
@@ -85,11 +85,11 @@
 	if len(a) == 0 || len(b) == 0 {
 		return append(a[:len(a):len(a)], b...), true
 	}
-	both := append([]route.Header(nil), a...)
+	common := append([]route.Header(nil), a...)
 next:
 	for _, header := range b {
-		for i := range both {
-			if other := &both[i]; other.Name == header.Name {
+		for i := range common {
+			if other := &common[i]; other.Name == header.Name {
 				if other.Any {
 					*other = header
 				} else if !header.Any && other.Value != header.Value {
@@ -98,9 +98,9 @@
 				continue next
 			}
 		}
-		both = append(both, header)
+		common = append(common, header)
 	}
-	return both, true
+	return common, true
 }
 
 // matchesNothing tells whether no request can have the condition's host or path: the path contains the
--- a/internal/regions/slow_start.go
+++ b/internal/regions/slow_start.go
@@ -29,17 +29,17 @@
 	users, positionsByServer := x.serverUsers()
 	servers := make(map[string][]string) // by the users that send to them
 	positions := make(map[string][]int)
-	for id, at := range positionsByServer {
-		key := fmt.Sprint(at)
+	for id, userPositions := range positionsByServer {
+		key := fmt.Sprint(userPositions)
 		servers[key] = append(servers[key], id)
-		positions[key] = at
+		positions[key] = userPositions
 	}
 	for key, ids := range servers {
-		var of []serverUser
+		var sharedUsers []serverUser
 		for _, i := range positions[key] {
-			of = append(of, users[i])
+			sharedUsers = append(sharedUsers, users[i])
 		}
-		conflict := slowStartConflict(of)
+		conflict := slowStartConflict(sharedUsers)
 		if conflict == nil {
 			continue
 		}
@@ -113,7 +113,7 @@
 // slowStartConflict returns the conflict over servers that all of some services send to, or nil.
 func slowStartConflict(users []serverUser) *Conflict {
 	conflict := &Conflict{Kind: SlowStartKind, Severity: Error}
-	floor, maxGroup, isUncertain := 0.0, 0.0, false
+	minimumLoad, maxGroup, isUncertain := 0.0, 0.0, false
 	var groups []string
 	for _, user := range users {
 		region := user.indexedRegion.Name
@@ -122,15 +122,15 @@
 			groups = append(groups, user.describeGroup())
 		}
 		if n, isKnown := user.groupCount(); user.SlowStart.WarmupTime > 0 {
-			floor, maxGroup, isUncertain = floor+n, max(maxGroup, n), isUncertain || !isKnown
+			minimumLoad, maxGroup, isUncertain = minimumLoad+n, max(maxGroup, n), isUncertain || !isKnown
 		}
 	}
 	if len(conflict.Regions) < 2 && maxGroup <= 1 {
 		return nil
 	}
-	if floor*slowStartBudgetFraction > 1+relativeTolerance {
+	if minimumLoad*slowStartBudgetFraction > 1+relativeTolerance {
 		conflict.Why = fmt.Sprintf("instances send a cold server %.3g requests a second at the least, where a group's one is meant: %s",
-			floor, strings.Join(groups, ", "))
+			minimumLoad, strings.Join(groups, ", "))
 		if isUncertain {
 			conflict.Severity = Warning
 		}
@@ -139,7 +139,7 @@
 	if len(conflict.Regions) < 2 {
 		return nil
 	}
-	at, sum, limit := worstMoment(users)
+	at, sum, limit := worstExcess(users)
 	if sum > limit*(1+relativeTolerance) {
 		conflict.Why = fmt.Sprintf("%.3gs after its start the regions let a cold server have %.3g of a warm one's work together, it falls at %.3g: %s",
 			at, sum, limit, strings.Join(conflict.Regions, ", "))
@@ -150,15 +150,15 @@
 
 // worstMoment returns the time in seconds after a server's start at which what it is sent exceeds its limit
 // by the largest ratio. sum and limit are both in fractions of a warm server's load.
-func worstMoment(users []serverUser) (worst, sum, limit float64) {
+func worstExcess(users []serverUser) (worstTime, sum, limit float64) {
 	times := []float64{0}
 	for _, user := range users {
-		from, span := user.SlowStart.InitialCapacity, user.SlowStart.WarmupTime.Seconds()
-		times = append(times, span)
+		initialCapacity, warmupSeconds := user.SlowStart.InitialCapacity, user.SlowStart.WarmupTime.Seconds()
+		times = append(times, warmupSeconds)
 		// The moments at which its warmth is complete and at which its budget is. Between such moments sums
 		// are linear and the limit is the smallest of linear ones, so the worst moment is one of these.
-		for _, w := range []float64{1, 1 / (slowStartBudgetFraction * user.SlowStart.OverloadMultiple)} {
-			if t := span * (w - max(minWarmupFraction, from)) / (1 - from); t > 0 && t < span {
+		for _, rampFraction := range []float64{1, 1 / (slowStartBudgetFraction * user.SlowStart.OverloadMultiple)} {
+			if t := warmupSeconds * (rampFraction - max(minWarmupFraction, initialCapacity)) / (1 - initialCapacity); t > 0 && t < warmupSeconds {
 				times = append(times, t)
 			}
 		}
@@ -168,11 +168,11 @@
 		for _, isAfter := range []bool{false, true} { // just before t, and at t
 			s, b := loadAt(users, t, isAfter)
 			if b > 0 && (limit == 0 || s/b > (1+relativeTolerance)*sum/limit) {
-				worst, sum, limit = t, s, b
+				worstTime, sum, limit = t, s, b
 			}
 		}
 	}
-	return worst, sum, limit
+	return worstTime, sum, limit
 }
 
 // loadAt returns what a server is sent t seconds after its start, and the smallest limit of the services
@@ -180,14 +180,14 @@
 func loadAt(users []serverUser, t float64, isAfter bool) (sum, limit float64) {
 	budgets := make(map[string]float64) // by list: users of one list share a warm server's load
 	for _, user := range users {
-		span := user.SlowStart.WarmupTime.Seconds()
+		warmupSeconds := user.SlowStart.WarmupTime.Seconds()
 		budget := 1.0 // of a warm server
-		isWarmingUp := t < span || !isAfter && t == span && span > 0
+		isWarmingUp := t < warmupSeconds || !isAfter && t == warmupSeconds && warmupSeconds > 0
 		if isWarmingUp {
-			from := user.SlowStart.InitialCapacity
-			warmth := min(1, max(minWarmupFraction, from)+(1-from)*t/span)
-			budget = min(1, slowStartBudgetFraction*user.SlowStart.OverloadMultiple*warmth)
-			if capacity := user.SlowStart.OverloadMultiple * warmth; capacity > 0 && (limit == 0 || capacity < limit) {
+			initialCapacity := user.SlowStart.InitialCapacity
+			rampFraction := min(1, max(minWarmupFraction, initialCapacity)+(1-initialCapacity)*t/warmupSeconds)
+			budget = min(1, slowStartBudgetFraction*user.SlowStart.OverloadMultiple*rampFraction)
+			if capacity := user.SlowStart.OverloadMultiple * rampFraction; capacity > 0 && (limit == 0 || capacity < limit) {
 				limit = capacity
 			}
 		}
--- a/internal/regions/sums_test.go
+++ b/internal/regions/sums_test.go
@@ -12,7 +12,7 @@
 
 // conflictsOfSums returns the conflicts of regions with the sizes given: the group size that each is told, and its
 // members.
-func conflictsOfSums(change func(i int, r *Region), sizes ...[2]int) (told []Conflict) {
+func sumConflictsOf(change func(i int, r *Region), sizes ...[2]int) (conflicts []Conflict) {
 	var all []Region
 	for i, s := range sizes {
 		r := Region{Name: string(rune('a' + i)), Instances: s[0], Members: s[1], Services: []Service{{
@@ -27,52 +27,52 @@
 }
 
 func TestSums(t *testing.T) {
-	none := func(int, *Region) {}
-	plan := func(f func(i int, p *control.Plan)) func(int, *Region) {
+	unchanged := func(int, *Region) {}
+	changePlan := func(f func(i int, p *control.Plan)) func(int, *Region) {
 		return func(i int, r *Region) { f(i, &r.Services[0].Plans[0]) }
 	}
-	cold := func(f func(i int, s *Service)) func(int, *Region) {
+	changeSlowStart := func(f func(i int, s *Service)) func(int, *Region) {
 		return func(i int, r *Region) {
 			r.Services[0].Plans = nil
 			f(i, &r.Services[0])
 		}
 	}
-	two, four, alone := [][2]int{{2, 1}, {2, 1}}, [][2]int{{4, 1}, {4, 1}, {4, 1}, {4, 1}}, [][2]int{{1, 1}, {1, 1}}
+	twoRegions, fourRegions, groupsOfOne := [][2]int{{2, 1}, {2, 1}}, [][2]int{{4, 1}, {4, 1}, {4, 1}, {4, 1}}, [][2]int{{1, 1}, {1, 1}}
 	for name, tc := range map[string]struct {
 		change func(int, *Region)
 		sizes  [][2]int
 		want   string // kind, severity and part of why; "" is no conflict
 	}{
-		"the whole group":          {none, two, ""},
-		"each its own size":        {none, alone, "ceiling error let 200 units a second"},
-		"one too many":             {none, [][2]int{{2, 1}, {2, 2}}, "ceiling error let 150 units"},
-		"fewer than told":          {none, [][2]int{{9, 1}, {9, 2}}, ""},
-		"one region, too many":     {none, [][2]int{{4, 5}}, "ceiling error let 125 units"},
-		"members unknown":          {none, [][2]int{{2, 0}, {2, 1}}, "ceiling warning members unknown"},
-		"no ceiling in one":        {plan(func(i int, p *control.Plan) { p.HardLimitRate *= float64(i) }), two, "ceiling error none in a"},
-		"the least ceiling counts": {plan(func(i int, p *control.Plan) { p.HardLimitRate += float64(10 * i) }), two, "ceiling error let 105 units a second through, the ceiling is 100"},
-		"a burst within the slack": {plan(func(i int, p *control.Plan) { p.HardLimitBurst += float64(20 * i) }), two, ""},
-		"a burst beyond it":        {plan(func(i int, p *control.Plan) { p.HardLimitBurst += float64(21 * i) }), two, "ceiling error at once"},
-		"another service":          {func(_ int, r *Region) { r.Services[0].Name = r.Name }, alone, ""},
-		"one counter":              {func(_ int, r *Region) { r.Services[0].Name, r.Services[0].Counter, r.Shared = r.Name, "c", true }, alone, "ceiling error let 200"},
-		"counters unshared":        {func(_ int, r *Region) { r.Services[0].Name, r.Services[0].Counter = r.Name, "c" }, alone, ""},
+		"the whole group":          {unchanged, twoRegions, ""},
+		"each its own size":        {unchanged, groupsOfOne, "ceiling error let 200 units a second"},
+		"one too many":             {unchanged, [][2]int{{2, 1}, {2, 2}}, "ceiling error let 150 units"},
+		"fewer than told":          {unchanged, [][2]int{{9, 1}, {9, 2}}, ""},
+		"one region, too many":     {unchanged, [][2]int{{4, 5}}, "ceiling error let 125 units"},
+		"members unknown":          {unchanged, [][2]int{{2, 0}, {2, 1}}, "ceiling warning members unknown"},
+		"no ceiling in one":        {changePlan(func(i int, p *control.Plan) { p.HardLimitRate *= float64(i) }), twoRegions, "ceiling error none in a"},
+		"the least ceiling counts": {changePlan(func(i int, p *control.Plan) { p.HardLimitRate += float64(10 * i) }), twoRegions, "ceiling error let 105 units a second through, the ceiling is 100"},
+		"a burst within the slack": {changePlan(func(i int, p *control.Plan) { p.HardLimitBurst += float64(20 * i) }), twoRegions, ""},
+		"a burst beyond it":        {changePlan(func(i int, p *control.Plan) { p.HardLimitBurst += float64(21 * i) }), twoRegions, "ceiling error at once"},
+		"another service":          {func(_ int, r *Region) { r.Services[0].Name = r.Name }, groupsOfOne, ""},
+		"one counter":              {func(_ int, r *Region) { r.Services[0].Name, r.Services[0].Counter, r.Shared = r.Name, "c", true }, groupsOfOne, "ceiling error let 200"},
+		"counters unshared":        {func(_ int, r *Region) { r.Services[0].Name, r.Services[0].Counter = r.Name, "c" }, groupsOfOne, ""},
 
-		"three lists":        {cold(func(int, *Service) {}), four[:3], ""},
-		"four lists":         {cold(func(int, *Service) {}), four, "cold error 0.48 of a warm one's work together, it falls at 0.375"},
-		"one list":           {cold(func(_ int, s *Service) { s.Servers = []string{"1", "2"} }), four, ""},
-		"one source":         {cold(func(_ int, s *Service) { s.Servers, s.Source = nil, "agent" }), four, ""},
-		"one does not ramp":  {cold(func(i int, s *Service) { s.SlowStart.WarmupTime *= time.Duration(i) }), two, "cold error it falls at 0.375"},
-		"told of one each":   {cold(func(int, *Service) {}), [][2]int{{1, 2}, {1, 2}}, "cold error 4 requests a second"},
-		"one region alone":   {cold(func(int, *Service) {}), [][2]int{{1, 4}}, "cold error 4 requests a second"},
-		"nothing falls":      {cold(func(_ int, s *Service) { s.SlowStart.OverloadMultiple = 0 }), four, ""},
-		"another view of it": {cold(func(i int, s *Service) { s.SlowStart.InitialCapacity += 0.85 * float64(i) }), two, "cold error it falls at 0.375"},
+		"three lists":        {changeSlowStart(func(int, *Service) {}), fourRegions[:3], ""},
+		"four lists":         {changeSlowStart(func(int, *Service) {}), fourRegions, "cold error 0.48 of a warm one's work together, it falls at 0.375"},
+		"one list":           {changeSlowStart(func(_ int, s *Service) { s.Servers = []string{"1", "2"} }), fourRegions, ""},
+		"one source":         {changeSlowStart(func(_ int, s *Service) { s.Servers, s.Source = nil, "agent" }), fourRegions, ""},
+		"one does not ramp":  {changeSlowStart(func(i int, s *Service) { s.SlowStart.WarmupTime *= time.Duration(i) }), twoRegions, "cold error it falls at 0.375"},
+		"told of one each":   {changeSlowStart(func(int, *Service) {}), [][2]int{{1, 2}, {1, 2}}, "cold error 4 requests a second"},
+		"one region alone":   {changeSlowStart(func(int, *Service) {}), [][2]int{{1, 4}}, "cold error 4 requests a second"},
+		"nothing falls":      {changeSlowStart(func(_ int, s *Service) { s.SlowStart.OverloadMultiple = 0 }), fourRegions, ""},
+		"another view of it": {changeSlowStart(func(i int, s *Service) { s.SlowStart.InitialCapacity += 0.85 * float64(i) }), twoRegions, "cold error it falls at 0.375"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			told := conflictsOfSums(tc.change, tc.sizes...)
-			if len(told) > 1 || len(told) != min(1, len(tc.want)) {
-				t.Fatalf("%v", told)
+			conflicts := sumConflictsOf(tc.change, tc.sizes...)
+			if len(conflicts) > 1 || len(conflicts) != min(1, len(tc.want)) {
+				t.Fatalf("%v", conflicts)
 			}
-			for _, c := range told {
+			for _, c := range conflicts {
 				words := strings.SplitN(tc.want, " ", 3)
 				if string(c.Kind) != words[0] || string(c.Severity) != words[1] || !strings.Contains(c.Why, words[2]) || len(c.Regions) != len(tc.sizes) {
 					t.Errorf("%+v", c)
@@ -89,9 +89,9 @@
 	}
 	any := func(name string) route.Header { return route.Header{Name: name, Any: true} }
 	for name, tc := range map[string]struct {
-		ordinary bool
-		routes   []Route
-		want     Severity // "" is no loop
+		isGenericHTTP bool
+		routes        []Route
+		want          Severity // "" is no loop
 	}{
 		"plain":               {true, []Route{rule("on", "peer")}, Error},
 		"ends at the second":  {true, []Route{rule("on", "peer"), rule("end", "own", any("Via"))}, ""},
@@ -114,19 +114,19 @@
 		var all []Region
 		for i, n := range []string{"a", "b"} {
 			all = append(all, Region{Name: n, Listeners: []string{n}, Routes: tc.routes, Services: []Service{
-				{Name: "own", GenericHTTP: tc.ordinary},
-				{Name: "peer", GenericHTTP: tc.ordinary, Destinations: []string{[]string{"b", "a"}[i]}},
+				{Name: "own", GenericHTTP: tc.isGenericHTTP},
+				{Name: "peer", GenericHTTP: tc.isGenericHTTP, Destinations: []string{[]string{"b", "a"}[i]}},
 				{Name: "gathers", GenericHTTP: true, Gather: "peer", Destinations: []string{[]string{"b", "a"}[i]}},
 			}})
 		}
-		if told := Check(all); len(told) != min(1, len(tc.want)) || len(told) == 1 && (told[0].Kind != LoopKind || told[0].Severity != tc.want) {
-			t.Errorf("%s: %+v", name, told)
+		if conflicts := Check(all); len(conflicts) != min(1, len(tc.want)) || len(conflicts) == 1 && (conflicts[0].Kind != LoopKind || conflicts[0].Severity != tc.want) {
+			t.Errorf("%s: %+v", name, conflicts)
 		}
 	}
 }
 
 // TestBounds checks that omitted and undecided conflicts are reported.
-func TestBounds(t *testing.T) {
+func TestReportBounds(t *testing.T) {
 	all := []Region{{Name: "a"}, {Name: "b"}}
 	for i := range maxReported + 5 {
 		r := Route{Rule: route.Rule{Name: fmt.Sprint(i), Service: "s", Headers: []route.Header{{Name: fmt.Sprint("H", i), Any: true}}}}
@@ -134,11 +134,11 @@
 		r.Service = "t"
 		all[1].Routes = append(all[1].Routes, r)
 	}
-	told := Check(all)
-	if last := told[len(told)-1]; len(told) != maxReported+1 || last.Why == "" || len(last.Rules) != 0 || last.Severity != Error || !strings.HasSuffix(last.Why, " more of this kind") {
-		t.Errorf("%d: %+v", len(told), last)
+	conflicts := Check(all)
+	if last := conflicts[len(conflicts)-1]; len(conflicts) != maxReported+1 || last.Why == "" || len(last.Rules) != 0 || last.Severity != Error || !strings.HasSuffix(last.Why, " more of this kind") {
+		t.Errorf("%d: %+v", len(conflicts), last)
 	}
-	if told := newIndex(all, 1000).Conflicts(); !strings.HasPrefix(told[0].Why, "undecided") || told[0].Severity != Error || len(told[0].Regions) != 2 {
-		t.Errorf("%+v", told[0])
+	if conflicts := newIndex(all, 1000).Conflicts(); !strings.HasPrefix(conflicts[0].Why, "undecided") || conflicts[0].Severity != Error || len(conflicts[0].Regions) != 2 {
+		t.Errorf("%+v", conflicts[0])
 	}
 }
--- a/internal/regions/unnamed.go
+++ b/internal/regions/unnamed.go
@@ -30,7 +30,7 @@
 
 // unnamedPlace returns a host and a path of a request set to which no more specific rule applies; false
 // where there is none.
-func (s *conditionIndex) unnamedPlace(set requestSet) (host, path string, ok bool) {
+func (s *conditionIndex) unnamedHostAndPath(set requestSet) (host, path string, ok bool) {
 	if host, ok = s.unnamedHost(set.host); !ok {
 		return "", "", false
 	}
