--- a/internal/regions/bench_test.go
+++ b/internal/regions/bench_test.go
@@ -12,7 +12,7 @@
 	"lockflow/internal/route"
 )
 
-// fleet returns regions with so many rules each, own of which no other region has.
+// fleet returns regions with the given number of rules each, ownRules of which no other region has.
 func fleet(regions, rules, ownRules int) (all []Region) {
 	newRoute := func(i int) Route {
 		r := Route{Rule: route.Rule{Name: fmt.Sprint("r", i), Service: fmt.Sprint("s", i%20), Host: fmt.Sprintf("h%d.example", i%200), Prefix: fmt.Sprintf("/p%d/q%d", i/200, i%200)}, Base: true}
@@ -57,14 +57,14 @@
 	return all
 }
 
-// edited returns a region with one rule that leads to another service.
+// withServiceOfRule returns a region in which one rule forwards to another service.
 func withServiceOfRule(r Region, rule, serviceNumber int) Region {
 	r.Routes = append([]Route(nil), r.Routes...)
 	r.Routes[rule].Service = fmt.Sprint("s", serviceNumber)
 	return r
 }
 
-// cpu returns the CPU time of the process, which other processes on busy cores affect less than the elapsed time.
+// cpuTime returns the CPU time of the process, which other processes on busy cores affect less than the elapsed time.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
@@ -79,7 +79,7 @@
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkCheck builds an index of all regions, and reports its memory without that of the regions.
+// BenchmarkCheck builds an index of all regions, and reports the memory of the index without that of the regions.
 func BenchmarkCheck(b *testing.B) {
 	for _, ownRules := range []int{0, 20, 1000} {
 		for _, n := range []int{2, 10, 50} {
@@ -101,9 +101,9 @@
 	}
 }
 
-// BenchmarkReplace replaces a region of which one rule is edited.
+// BenchmarkReplace replaces a region in which one rule has changed.
 func BenchmarkReplace(b *testing.B) {
-	for _, rule := range []int{5, 10, 0} { // one host's, any host's, all requests'
+	for _, rule := range []int{5, 10, 0} { // rules for one host, for any host, and for all requests
 		for _, n := range []int{2, 10, 50} {
 			b.Run(fmt.Sprintf("regions=%d/rule=%d", n, rule), func(b *testing.B) {
 				all := fleet(n, 10000, 20)
@@ -121,7 +121,7 @@
 	}
 }
 
-// BenchmarkPairwise compares each rule of one region with each of another, as a simple solution would.
+// BenchmarkPairwise compares each rule of one region with each rule of another, as an implementation without an index would.
 func BenchmarkPairwise(b *testing.B) {
 	for _, n := range []int{100, 1000} {
 		b.Run(fmt.Sprintf("rules=%d", n), func(b *testing.B) {
--- a/internal/regions/change.go
+++ b/internal/regions/change.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// noRegion stands for the region that has changed where none has.
+// noChangedRegion is passed for the changed region where no region has changed.
 const noChangedRegion = -1
 
-// fullReviewThreshold is the number of changed conditions from which all watched ones are reviewed: to
-// find those that intersect each would cost more.
+// fullReviewThreshold is the number of changed conditions from which all watched conditions are reviewed,
+// since a search for those that intersect each changed one would cost more.
 const fullReviewThreshold = 1000
 
-// compileRules finds the conditions of a region's rules; new ones have no uses yet. Rules that stand at
-// the start or at the end as they did before are taken from the rules before.
+// compileRules returns the conditions and rule IDs of a region's rules. New conditions have no uses yet.
+// Rules that are unchanged at the start or the end of the list are copied from the previous rules.
 func (x *Index) compileRules(region, before *Region, rulesBefore []ruleRef, env *regionServices) []ruleRef {
 	rules := make([]ruleRef, len(region.Routes))
 	start, end := 0, len(rules)
@@ -31,7 +31,7 @@
 	return rules
 }
 
-// changedRange returns the part of routes between those that are equal from the start and from the end.
+// changedRange returns the range of routes without the unchanged ones at the start and the end.
 func changedRange(routes, before []Route) (start, end int) {
 	end = len(routes)
 	shared := min(end, len(before))
@@ -45,15 +45,15 @@
 	return start, end
 }
 
-// isSameRoute compares all of two routes but their lines.
+// isSameRoute reports whether two routes are equal, apart from their lines.
 func isSameRoute(a, b *Route) bool {
 	hasSameTarget := a.Name == b.Name && a.Service == b.Service && a.RequestClass == b.RequestClass && a.Base == b.Base
 	hasSamePath := a.Path == b.Path && a.Prefix == b.Prefix && a.Class == b.Class
 	return hasSameTarget && hasSamePath && a.Host == b.Host && a.Method == b.Method && slices.Equal(a.Headers, b.Headers)
 }
 
-// replaceRules records a region's new rules in their conditions and returns the conditions for which the
-// region has changed. Of rules with the same conditions the first counts.
+// replaceRules records a region's new rules in their conditions and returns the conditions whose rule
+// in the region has changed. Of rules with the same conditions only the first is used.
 func (x *Index) replaceRules(region int32, before, after []ruleRef) (touched []*condition) {
 	x.pass++
 	for _, rule := range after {
@@ -83,12 +83,14 @@
 	return touched
 }
 
-// findUse returns where a region's rule is or would be among the uses of a condition, and whether it is there.
+// findUse returns the position of a region's rule in the uses of a condition, and whether it is present. If
+// it is not, the position is where it would be inserted.
 func (c *condition) findUse(region int32) (int, bool) {
 	return slices.BinarySearchFunc(c.uses, region, func(use ruleUse, r int32) int { return cmp.Compare(use.region, r) })
 }
 
-// reviewTouched reviews the conditions for which a region has changed and those that intersect them.
+// reviewTouched reviews the conditions whose rule in a region has changed, and the watched conditions that
+// intersect them.
 func (x *Index) reviewTouched(touched []*condition, region int32) {
 	isFullReview := len(touched) >= fullReviewThreshold
 	affected := make(map[*condition]struct{})
@@ -126,7 +128,7 @@
 	delete(x.deadRules, c)
 }
 
-// review finds the conflicts that concern a condition. Those between regions other than the changed one
+// review finds the conflicts that concern a condition. Conflicts between regions other than the changed one
 // are reused.
 func (x *Index) review(c *condition, changed int32) {
 	before := x.differences[c]
--- a/internal/regions/condition_index.go
+++ b/internal/regions/condition_index.go
@@ -6,29 +6,29 @@
 	"lockflow/internal/route"
 )
 
-// conditionIndex finds the conditions of all regions' rules by host and path. Conditions that rules of
-// several regions share are stored once, with the rules that use them.
+// conditionIndex finds the conditions of all regions' rules by host and path. A condition that rules of
+// several regions have is stored once, with the rules that use it.
 type conditionIndex struct {
 	conditions    map[conditionKey]*condition
-	buckets       map[string]*hostBucket // by host as in rules
-	anyHost       *hostBucket            // the conditions of all hosts, for lookups by path that many hosts match
-	reversedHosts []string               // the buckets' hosts, each reversed, sorted so that all below a wildcard are adjacent; nil until needed
-	methodUses    map[string]int         // conditions that name each method
-	headerUses    map[route.Header]int   // conditions that name each header value
-	namesChanged  bool                   // a host, method or header value is named for the first time or no longer, so minimal requests may change
-	visited       int                    // conditions examined so far, as a measure of work
+	buckets       map[string]*hostBucket // by host as rules name it
+	anyHost       *hostBucket            // the conditions of all hosts, for lookups by path where many hosts match
+	reversedHosts []string               // the buckets' hosts with bytes reversed, sorted so that all below a wildcard are adjacent; nil until needed
+	methodUses    map[string]int         // number of conditions that name each method
+	headerUses    map[route.Header]int   // number of conditions that name each header value
+	namesChanged  bool                   // a host, method or header value was added or is no longer named, so that minimal requests may change
+	visited       int                    // number of conditions examined so far, as a measure of work
 }
 
 // conditionKey identifies conditions in canonical form.
 type conditionKey struct{ host, path, prefix, method, class, headers string }
 
-// condition is a rule's conditions in canonical form, with the rules that have them.
+// condition holds a rule's conditions in canonical form, with the rules that have them.
 type condition struct {
 	canonical route.CanonicalRule
 	requests  requestSet
 	uses      []ruleUse // by region
-	differs   bool      // some region lacks it or has it with another outcome
-	lastPass  uint32    // of Index.pass, when it was visited last
+	differs   bool      // some region lacks the condition or has it with another outcome
+	lastPass  uint32    // value of Index.pass at the last visit
 }
 
 // ruleUse is the rule of one region that has a condition.
@@ -47,8 +47,8 @@
 	}
 }
 
-// findOrAdd returns the condition of a rule and adds it where it is new; nil where package route rejects
-// the rule.
+// findOrAdd returns the condition of a rule, and adds it if it is new. It returns nil if package route
+// rejects the rule.
 func (s *conditionIndex) findOrAdd(rule *route.Rule) *condition {
 	if c := s.findWithoutHeaders(rule); c != nil {
 		return c
@@ -69,8 +69,8 @@
 	return c
 }
 
-// findWithoutHeaders returns the known condition of a rule without header conditions, or nil. It spares
-// the cost of the canonical form for each of many regions with the same rule.
+// findWithoutHeaders returns the known condition of a rule without header conditions, or nil. It avoids
+// the cost of building the canonical form for each of many regions with the same rule.
 func (s *conditionIndex) findWithoutHeaders(rule *route.Rule) *condition {
 	if len(rule.Headers) > 0 {
 		return nil
@@ -87,7 +87,7 @@
 	return conditionKey{rule.Host, rule.Path, rule.Prefix, rule.Method, rule.Class, canonical.HeaderConditions()}
 }
 
-// comparePrecedence orders conditions by the routers' precedence, the most specific first.
+// comparePrecedence orders conditions by the router's precedence, the most specific first.
 func comparePrecedence(a, b *condition) int { return a.canonical.Compare(b.canonical) }
 
 func (s *conditionIndex) add(c *condition) {
@@ -103,7 +103,7 @@
 	s.countNames(c, 1)
 }
 
-// remove deletes a condition that no region uses any more.
+// remove deletes a condition that no region uses any longer.
 func (s *conditionIndex) remove(c *condition) {
 	delete(s.conditions, conditionKeyOf(c.canonical))
 	s.anyHost.remove(c)
--- a/internal/regions/conflicts.go
+++ b/internal/regions/conflicts.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// maxReported is the largest number of conflicts of one kind between two regions that are reported. That
-// there are more is reported by one without rules, which no waiver of a rule can hide.
+// maxReported is the largest number of conflicts of one kind between two regions that are reported. An
+// additional conflict states how many were omitted; it names no rules, so that no waiver of a rule can hide it.
 const maxReported = 100
 
-// kinds is the order in which conflicts are reported.
+// kinds lists the kinds of conflicts in the order in which they are reported.
 var kinds = []Kind{HardLimitKind, SlowStartKind, CoverageKind, DeadKind, LoopKind, ServiceKind, TermsKind}
 
 var severities = map[Kind]Severity{
@@ -25,9 +25,9 @@
 // limitedConflicts returns the conflicts, at most limit of one kind between two regions.
 func (x *Index) limitedConflicts(limit int) []Conflict {
 	rest, findings, counts := x.collectFindings()
-	// Each pair of regions has a range of the result, which its findings fill in by precedence.
+	// Each pair of regions has a range of the result, which its findings fill in order of precedence.
 	var all []Conflict
-	next := make(map[Kind][]int) // by pair: the position of its next conflict
+	next := make(map[Kind][]int) // by pair: position of the next conflict
 	for _, kind := range kinds {
 		for _, c := range rest {
 			if c.Kind == kind {
@@ -50,8 +50,9 @@
 	return all
 }
 
-// reserve appends empty entries for the conflicts of a kind, counted by pair, and returns where those of each pair
-// start. Counts above the limit are cut to it, and a conflict says how many were left out.
+// reserve appends empty entries for the conflicts of a kind, counted by pair, and returns the position of the first
+// entry of each pair. Counts above the limit are reduced to it, with an additional conflict that states how many
+// were omitted.
 func (x *Index) reserve(all []Conflict, kind Kind, counts []int, limit int) (reserved []Conflict, starts []int) {
 	starts = make([]int, len(counts))
 	total := len(all)
@@ -75,11 +76,11 @@
 	return reserved, starts
 }
 
-// pairIndex numbers pairs of regions by the first and then by the second.
+// pairIndex numbers pairs of regions, ordered by the first region and then by the second.
 func (x *Index) pairIndex(pair [2]uint16) int { return int(pair[0])*len(x.regions) + int(pair[1]) }
 
-// collectFindings returns the conflicts that are not between two regions' rules, sorted, the findings of
-// the others by precedence, and the number of those by kind and pair.
+// collectFindings returns the conflicts that are not between rules of two regions, sorted; the findings of
+// all other conflicts in order of precedence; and the number of these by kind and pair.
 func (x *Index) collectFindings() (rest []Conflict, findings []*finding, counts map[Kind][]int) {
 	rest = append(slices.Clone(x.loopConflicts), x.sumConflicts...)
 	counts = make(map[Kind][]int)
@@ -131,7 +132,7 @@
 	return conflict
 }
 
-// conflictOf returns the conflict of a finding's k-th pair, which is made only once.
+// conflictOf returns the conflict of a finding's k-th pair. It is created on the first call and reused later.
 func (x *Index) conflictOf(found *finding, k int) Conflict {
 	if found.conflicts == nil {
 		found.conflicts = make([]Conflict, len(found.pairs))
@@ -162,7 +163,7 @@
 	}
 	conflict.Why = x.describe(found, first, second)
 	if found.kind == ServiceKind && first.service == second.service {
-		conflict.Severity = Warning // the parts are asked idempotent requests, only the results differ
+		conflict.Severity = Warning // scatter-gather requests are idempotent, so that only the results differ
 	}
 	return conflict
 }
--- a/internal/regions/dead_rules.go
+++ b/internal/regions/dead_rules.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// mayBeDead tells whether a rule with a condition can be dead. Most win the minimal request of their own
-// conditions, as what precedes them there names a method or a header more. A class is the exception: it
-// has a lower precedence than the prefix of its segment.
+// mayBeDead reports whether a rule with a condition can be dead. Most rules win the minimal request of their
+// own conditions, because any rule of higher precedence there requires an additional method or header. Rules
+// with a class are the exception, since a class has a lower precedence than a prefix of the same segment.
 func (c *condition) mayBeDead() bool { return c.canonical.Rule().Class != "" || c.matchesNothing() }
 
-// findDeadRules finds the regions in which no request reaches a condition.
+// findDeadRules finds the regions in which no request is routed by a rule with the condition.
 func (x *Index) findDeadRules(c *condition) (findings []finding) {
 	for _, variant := range x.variants(c.requests, nil) {
 		request := x.minimalRequest(variant)
@@ -34,7 +34,7 @@
 	return findings
 }
 
-// describeDeadRule says which rule wins all requests of a dead one.
+// describeDeadRule names the rule that wins all requests of a dead one.
 func (x *Index) describeDeadRule(dead, winner int32) string {
 	info := &x.ruleInfos.values[winner]
 	text := fmt.Sprintf("all its requests lead by the more specific route %q to service %q", info.name, x.outcomeOf(winner).service)
--- a/internal/regions/describe.go
+++ b/internal/regions/describe.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// handling is how a region handles the witness of a conflict.
+// handling describes how a region handles the witness of a conflict.
 type handling struct {
-	region string // its name
+	region string // name of the region
 	ruleID int32  // or noRule
 	disposition
 }
@@ -18,7 +18,7 @@
 	return handling{x.regions[region].Name, ruleID, x.disposition(ruleID, found.witness)}
 }
 
-// describe says how two regions handle a finding's request.
+// describe states how two regions handle a finding's request.
 func (x *Index) describe(found *finding, a, b handling) string {
 	switch found.kind {
 	case ServiceKind:
@@ -41,7 +41,7 @@
 	return request + " leads to service " + a.service + " in " + a.region + " and to " + b.service + " in " + b.region
 }
 
-// describeRejection says why a region does not take a request that another takes.
+// describeRejection states why a region rejects a request that another one accepts.
 func describeRejection(h handling) string {
 	switch {
 	case h.ruleID == noRule:
@@ -56,7 +56,7 @@
 	return ", and service " + h.service + " in " + h.region + " has no class " + h.class
 }
 
-// describeGather says what a service requests of other services.
+// describeGather states what a service requests of other services.
 func (x *Index) describeGather(d disposition) string {
 	if d.gatherID == 0 {
 		return "has servers of its own"
--- a/internal/regions/differences.go
+++ b/internal/regions/differences.go
@@ -6,43 +6,43 @@
 	"slices"
 )
 
-// maxStepsDefault bounds the review of one condition, and the search for loops, in conditions examined:
-// some seconds of work.
+// maxStepsDefault is the largest number of conditions that are examined in the review of one condition and
+// in the search for loops. It bounds each to a few seconds.
 const maxStepsDefault = 1 << 26
 
-// finding is a request that shows a conflict between the regions in which a rule of one condition wins and
-// those in which one of another does.
+// finding is a request that shows a conflict between the regions in which a rule with one condition wins and
+// the opposed regions, in which another rule wins or none.
 type finding struct {
 	kind    Kind
-	witness *Witness // nil where no request has the conditions, or the search was ended by its bound
+	witness *Witness // nil if no request has the conditions, or if the search reached its bound
 	winner  *condition
-	// other wins in the opposed regions. Without it no rule does there, or the winner with another outcome.
+	// other wins in the opposed regions. If it is nil, no rule does, or the winner with another outcome.
 	other          *condition
 	winningRegions []int32
-	pairs          [][2]uint16 // of regions, each in order; of a dead rule the same region twice
-	reason         string      // of a dead rule, and of a search that was ended by its bound
+	pairs          [][2]uint16 // pairs of regions, each in ascending order; for a dead rule the same region twice
+	reason         string      // only for a dead rule, and for a search that reached its bound
 
-	requestText string     // of the witness; empty until needed
+	requestText string     // the witness as text; empty until needed
 	conflicts   []Conflict // by pair; empty until needed
 }
 
-// opposedRule is a region and the rule that it chooses, or noRule.
+// opposedRule is a region with the ID of the rule that it chooses, or noRule.
 type opposedRule struct {
 	region int32
 	ruleID int32
 }
 
-// reportedPair is a kind of conflict between two regions that has a witness already.
+// reportedPair is a kind of conflict between two regions for which a witness has been found.
 type reportedPair struct {
 	kind Kind
 	pair [2]uint16
 }
 
-// findDifferences finds the requests that a condition wins in one region and that another region handles
-// otherwise. Of two rules that handle a request differently, the more specific one is missing in one of the
-// regions or has another outcome there, so that it suffices to compare each such condition with those of
-// lower precedence. docs/design/regions.md proves that the minimal request of both shows all that any
-// request shows.
+// findDifferences finds the requests for which a condition wins in one region and which another region
+// handles differently. Of two rules that handle a request differently, the more specific one is missing in
+// one of the regions or has another outcome there, so that it suffices to compare each such condition with
+// those of lower precedence. docs/design/regions.md proves that the minimal request of both conditions shows
+// every conflict that any of their requests shows.
 func (x *Index) findDifferences(winner *condition) (findings []finding) {
 	start := x.visited
 	findings = x.comparePair(findings, winner, nil)
@@ -65,7 +65,7 @@
 	return findings
 }
 
-// haveOneOutcome tells whether all rules of some conditions have the same outcome.
+// haveOneOutcome reports whether all rules with the conditions have the same outcome.
 func (x *Index) haveOneOutcome(conditions ...*condition) bool {
 	first := x.ruleInfos.values[conditions[0].uses[0].ruleID].outcomeID
 	for _, c := range conditions {
@@ -78,8 +78,8 @@
 	return true
 }
 
-// comparePair appends the conflicts between regions in which a winner wins and those in which another
-// condition does. Without another, the opposed regions have no rule or the winner's with another outcome.
+// comparePair appends the conflicts between regions in which winner wins and those in which other does. If
+// other is nil, the opposed regions have no rule or have the winner with another outcome.
 func (x *Index) comparePair(findings []finding, winner, other *condition) []finding {
 	set := winner.requests
 	ruleIDs := appendRuleIDs(nil, winner)
@@ -108,8 +108,8 @@
 	return findings
 }
 
-// appendDifferences appends a finding for each kind by which the opposed regions conflict over a request.
-// reported is nil where there is one request only.
+// appendDifferences appends a finding for each kind of conflict between the opposed regions over a request.
+// reported is nil if there is only one request.
 func (x *Index) appendDifferences(findings []finding, request *Witness, winner, other *condition, reported map[reportedPair]struct{}) []finding {
 	for _, kind := range []Kind{ServiceKind, CoverageKind, TermsKind} {
 		pairs := x.differingPairs(kind, request, other, reported)
@@ -130,8 +130,8 @@
 	return findings
 }
 
-// opposeRegions sets winning to the regions that chose the winner and opposing to those that they are
-// compared with; false where one of the two is empty.
+// opposeRegions sets x.winning to the regions that chose the winner and x.opposing to the regions to compare
+// them with. It returns false if one of the two is empty.
 func (x *Index) opposeRegions(winner, other *condition) bool {
 	x.winning = x.winning[:0]
 	x.opposing = x.opposing[:0]
@@ -154,16 +154,16 @@
 	return true
 }
 
-// differingPairs lists the pairs of opposed regions that conflict over a request by a kind and have no
-// witness yet.
+// differingPairs returns the pairs of opposed regions between which a request shows a conflict of a kind
+// that has no witness yet.
 func (x *Index) differingPairs(kind Kind, request *Witness, other *condition, reported map[reportedPair]struct{}) (pairs [][2]uint16) {
-	// Adjacent pairs mostly have the same two rules, so the last comparison is remembered.
+	// Adjacent pairs mostly have the same two rules, so the result of the last comparison is reused.
 	var comparedA, comparedB int32 = noRule - 1, noRule - 1
 	isConflict := false
 	for _, a := range x.winning {
 		for _, b := range x.opposing {
 			areBothWinning := b.ruleID != noRule && other == nil
-			if areBothWinning && b.region <= a.region { // each pair once
+			if areBothWinning && b.region <= a.region { // each pair is compared only once
 				continue
 			}
 			if a.ruleID != comparedA || b.ruleID != comparedB {
@@ -182,7 +182,7 @@
 	return pairs
 }
 
-// appendRuleIDs appends the numbers of a condition's rules, each once.
+// appendRuleIDs appends the IDs of a condition's rules without duplicates.
 func appendRuleIDs(ids []int32, c *condition) []int32 {
 	for _, use := range c.uses {
 		if !slices.Contains(ids, use.ruleID) {
@@ -192,8 +192,8 @@
 	return ids
 }
 
-// reuseConflicts takes over the conflicts of an earlier finding of the same request, except for pairs of
-// which a region has changed.
+// reuseConflicts copies the conflicts of an earlier finding with the same request, except for pairs with the
+// changed region.
 func (f *finding) reuseConflicts(before []finding, changed uint16) {
 	i := slices.IndexFunc(before, func(g finding) bool {
 		isSame := g.kind == f.kind && g.other == f.other
--- a/internal/regions/disposition.go
+++ b/internal/regions/disposition.go
@@ -8,14 +8,14 @@
 	"lockflow/internal/route"
 )
 
-// disposition is how a region handles a request. The zero value is that of a region without a rule for it.
+// disposition is how a region handles a request. The zero value stands for a region without a rule for it.
 type disposition struct {
-	isAccepted bool // by a service that has the request's class
+	isAccepted bool // the service has the request's class and accepts its method
 	service    string
 	class      string
-	hasTerms   bool // the class's terms are known
+	hasTerms   bool // the retry terms of the class are known
 	terms      terms
-	gatherID   int32 // as the outcome's
+	gatherID   int32 // outcome.gatherID of the rule
 }
 
 // disposition returns how a rule handles a request.
@@ -53,7 +53,7 @@
 	return d
 }
 
-// acceptsMethod tells whether a service takes a method, whatever the class's terms are.
+// acceptsMethod reports whether a service accepts a method, independently of the class's terms.
 func (o *outcome) acceptsMethod(method string) bool {
 	if o.genericHTTP && method == http.MethodTrace {
 		return false
@@ -70,7 +70,7 @@
 	return o.classSource != classFromMethod
 }
 
-// platformMethod is the method by which the platform's clients send requests of a class.
+// platformMethod returns the method with which the platform's clients send requests of a class.
 func platformMethod(t terms) string {
 	if t.idempotency == control.Idempotent {
 		return http.MethodGet
@@ -78,8 +78,8 @@
 	return http.MethodPost
 }
 
-// conflictsBy tells whether two regions' dispositions of one request conflict by a kind: ServiceKind,
-// CoverageKind or TermsKind.
+// conflictsInKind reports whether two regions' dispositions of one request are a conflict of a kind:
+// ServiceKind, CoverageKind or TermsKind.
 func conflictsInKind(kind Kind, a, b disposition) bool {
 	switch kind {
 	case ServiceKind:
--- a/internal/regions/hard_limits.go
+++ b/internal/regions/hard_limits.go
@@ -8,22 +8,23 @@
 	"strings"
 )
 
-// Hard limits and the budgets of warming servers are divided over the group size that each instance is
-// told, and no instance sees their sum. docs/design/regions.md derives both sums from package control.
+// Each instance divides hard limits and the budgets of warming servers by its configured group size, and no
+// instance observes the sum over all regions. docs/design/regions.md derives both sums from package control.
 
-// relativeTolerance is by how much sums may exceed a limit through rounding.
+// relativeTolerance is the fraction by which a sum may exceed a limit because of rounding.
 const relativeTolerance = 1e-9
 
-// hardLimitStartFraction is the fraction of the slack with which control fills a hard-limit bucket at first.
+// hardLimitStartFraction is the fraction of the slack that package control puts into a new hard-limit bucket.
 const hardLimitStartFraction = 0.5
 
-// findSums finds what the regions admit together above a limit.
+// findSumConflicts finds the limits that the regions exceed in sum.
 func (x *Index) findSumConflicts() []Conflict {
 	return append(x.findHardLimitConflicts(), x.findSlowStartConflicts()...)
 }
 
-// groupCount returns how many complete groups a region's instances act as: its members by the group size
-// that each is told. Where the members are unknown it is 1, as the region's own settings have it.
+// groupCount returns the number of complete groups that a region's instances are equal to: its members
+// divided by the group size in their configuration. If the number of members is unknown it is 1, since the
+// region's own settings assume one complete group.
 func (r *indexedRegion) groupCount() (count float64, isKnown bool) {
 	if r.Members == 0 {
 		return 1, false
@@ -39,14 +40,14 @@
 	return fmt.Sprintf("all of %d in %s, members unknown (1)", size, r.Name)
 }
 
-// sharedService is a region's service among those whose customers share hard limits.
+// sharingService is a region's service in a group of services that share hard limits.
 type sharingService struct {
 	*indexedRegion
 	*Service
 }
 
-// findHardLimitConflicts compares the regions' sums of each plan with the smallest hard limit that any
-// region states.
+// findHardLimitConflicts compares, for each plan, the sum over the regions with the smallest hard limit that
+// any region configures.
 func (x *Index) findHardLimitConflicts() (conflicts []Conflict) {
 	for _, group := range x.sharingGroups() {
 		names := make(map[string]struct{})
@@ -64,9 +65,9 @@
 	return conflicts
 }
 
-// sharingGroups groups the services that share hard limits: of one name, or of one counter.
+// sharingGroups groups the services that share hard limits: those with the same name or the same counter.
 func (x *Index) sharingGroups() [][]sharingService {
-	positions := make(map[string]int) // by service or counter
+	positions := make(map[string]int) // of groups, by service or counter
 	var groups [][]sharingService
 	for _, region := range x.regions {
 		for i := range region.Services {
@@ -89,8 +90,8 @@
 	return groups
 }
 
-// mergeGroups merges the groups that some names belong to and returns the position of the merged one; -1
-// where there are none.
+// mergeGroups merges the groups that the names belong to and returns the position of the merged group; -1
+// if the names belong to none.
 func mergeGroups(names []string, positions map[string]int, groups [][]sharingService) int {
 	target := -1
 	for _, name := range names {
@@ -118,14 +119,14 @@
 	rate float64 // units a second; 0 is no hard limit
 }
 
-// hardLimitTotal is what all regions admit of a plan, and the smallest limits that they state.
+// hardLimitTotal is what all regions admit for a plan, and the smallest limits that they configure.
 type hardLimitTotal struct {
 	parts       []planPart
 	isLimited   bool
-	isUncertain bool // the members of a region are unknown
+	isUncertain bool // the number of members of a region is unknown
 
-	rate, burst, slack float64 // the limits, in units (a second)
-	sumRate, sumBurst  float64 // what is admitted in all
+	rate, burst, slack float64 // the smallest limits, in units (rate: units a second)
+	sumRate, sumBurst  float64 // what all regions together admit
 }
 
 func totalOf(plan string, group []sharingService) hardLimitTotal {
@@ -160,7 +161,7 @@
 	return total
 }
 
-// hardLimitConflict returns the conflict of a plan in services that share hard limits, or nil.
+// hardLimitConflict returns the conflict over a plan of services that share hard limits, or nil.
 func hardLimitConflict(plan string, group []sharingService) *Conflict {
 	total := totalOf(plan, group)
 	if !total.isLimited {
@@ -189,7 +190,7 @@
 	return conflict
 }
 
-// describeExcess says by what the regions exceed a plan's hard limit; "" where they don't.
+// describeExcess states how the regions exceed a plan's hard limit; "" if they do not.
 func (t *hardLimitTotal) describeExcess(plan string, groups, unlimited []string) string {
 	service := t.parts[0].Name
 	switch {
--- a/internal/regions/host_bucket.go
+++ b/internal/regions/host_bucket.go
@@ -18,7 +18,7 @@
 // prefixNode holds the conditions of one prefix.
 type prefixNode struct {
 	rules      []*condition // by precedence
-	classRules []*condition // of any path, for the class that is this segment; by precedence
+	classRules []*condition // conditions on the class that this segment names, with any path; by precedence
 }
 
 func newHostBucket(host string) *hostBucket {
@@ -60,8 +60,8 @@
 	return b.prefixes[path] != nil || b.exact[path] != nil
 }
 
-// listOf returns the list that a condition belongs to. For an exact path it is a copy of the list in the
-// map, which the caller stores again.
+// listOf returns the list that a condition belongs to. For an exact path it is a copy of the slice header in
+// the map, and the caller has to store a changed one.
 func (b *hostBucket) listOf(c *condition) *[]*condition {
 	if c.requests.isExactPath {
 		list := b.exact[c.requests.path]
@@ -78,8 +78,8 @@
 	return &node.rules
 }
 
-// eachIntersecting calls each with the conditions whose paths intersect those of a request set, until it
-// returns false; then it returns false too.
+// eachIntersecting calls each with the conditions whose paths intersect those of a request set, until each
+// returns false. It returns false if each did.
 func (b *hostBucket) eachIntersecting(set requestSet, each func(*condition) bool) bool {
 	eachOf := func(lists ...[]*condition) bool {
 		for _, list := range lists {
@@ -104,7 +104,7 @@
 	return set.isExactPath || b.eachBelow(set.path, eachOf)
 }
 
-// eachPrefixOf calls with the conditions of a prefix and of all its parents.
+// eachPrefixOf calls eachOf with the conditions of a prefix and of all its parents.
 func (b *hostBucket) eachPrefixOf(prefix string, eachOf func(...[]*condition) bool) bool {
 	for {
 		if node := b.prefixes[prefix]; node != nil && !eachOf(node.rules, node.classRules) {
@@ -117,7 +117,8 @@
 	}
 }
 
-// eachBelow calls with the conditions of a prefix's exact path and of all paths and prefixes below it.
+// eachBelow calls eachOf with the conditions of the exact path that equals a prefix, and of all paths and
+// prefixes below it.
 func (b *hostBucket) eachBelow(prefix string, eachOf func(...[]*condition) bool) bool {
 	if prefix != "" && !eachOf(b.exact[prefix]) {
 		return false
--- a/internal/regions/index.go
+++ b/internal/regions/index.go
@@ -6,22 +6,22 @@
 	"strings"
 )
 
-// Index holds the conflicts between regions, so that a change of one region costs only what it touches.
-// It is not safe for concurrent use, and the regions that it was given must not be changed.
+// Index holds the conflicts between regions, so that after a change of one region only the affected rules
+// are compared again. It is not safe for concurrent use, and the regions passed to it must not be changed.
 type Index struct {
 	*conditionIndex
 	*registry
-	regions          []*indexedRegion        // by name
-	watched          map[*condition]struct{} // conditions that differ or may be dead
+	regions          []*indexedRegion        // sorted by name
+	watched          map[*condition]struct{} // conditions that differ between regions or whose rules may be dead
 	differences      map[*condition][]finding
 	deadRules        map[*condition][]finding
 	loopConflicts    []Conflict
 	sumConflicts     []Conflict
-	ruleInfosAtBuild int    // size of the registry when the index was built
-	pass             uint32 // number of the last pass over a region's rules
-	maxSteps         int    // limit of the work for one condition and for all loops, in conditions examined
+	ruleInfosAtBuild int    // number of rule infos in the registry when the index was built
+	pass             uint32 // number of the latest pass over a region's rules
+	maxSteps         int    // largest number of conditions examined for one condition, and for all loops
 
-	// Scratch of the request that is examined.
+	// Scratch space for the request that is examined.
 	chosen            []chosenRule // by region
 	winning, opposing []opposedRule
 }
@@ -29,24 +29,24 @@
 // indexedRegion is a region and its rules.
 type indexedRegion struct {
 	Region
-	rules []ruleRef // parallel to Routes; without condition where package route rejects the rule
+	rules []ruleRef // parallel to Routes; condition is nil if package route rejects the rule
 }
 
-// ruleRef is a rule's conditions and its number in the registry.
+// ruleRef is a rule's condition and its number in the registry.
 type ruleRef struct {
 	*condition
 	ruleID int32
 }
 
-// chosenRule is the rule that a region chooses for a request; without condition there is none.
+// chosenRule is the rule that a region chooses for a request; condition is nil if there is none.
 type chosenRule struct {
 	*condition
 	ruleID int32
 }
 
 // Check returns all conflicts between regions, sorted and independent of the order of the regions. Of
-// rules of one region with the same conditions the first counts; rules that package route rejects are
-// ignored. Regions of the same name are compared as any others.
+// rules of one region with the same conditions only the first is used; rules that package route rejects are
+// ignored. Regions with the same name are compared like any others.
 func Check(all []Region) []Conflict { return NewIndex(all).Conflicts() }
 
 // NewIndex returns the index of regions.
@@ -80,14 +80,14 @@
 	return x
 }
 
-// Bounds of the registry's growth by changes, beyond which the index is built anew.
+// Bounds of the registry's growth by changes, above which the index is rebuilt.
 const (
 	maxRegistryGrowth   = 4
 	extraRegistryGrowth = 4096 // rules
 )
 
-// Replace puts another configuration of a region in the place of the one of that name, or adds it, and
-// returns all conflicts that there are then.
+// Replace replaces the configuration of the region with the same name, or adds the region, and returns all
+// conflicts that result.
 func (x *Index) Replace(region Region) []Conflict {
 	i, isKnown := slices.BinarySearchFunc(x.regions, region.Name, func(r *indexedRegion, name string) int { return strings.Compare(r.Name, name) })
 	isOvergrown := len(x.ruleInfos.values) > maxRegistryGrowth*x.ruleInfosAtBuild+extraRegistryGrowth
@@ -115,7 +115,7 @@
 	return x.Conflicts()
 }
 
-// rebuild makes the index anew with another configuration of a region.
+// rebuild builds the index again from its regions, with one region replaced or added.
 func (x *Index) rebuild(region Region) {
 	all := []Region{region}
 	for _, other := range x.regions {
@@ -145,8 +145,9 @@
 	})
 }
 
-// minimalRequest returns the minimal request of a set that names a method: the most specific host and path
-// that no other rule names, and only the headers that are required; nil where there is none.
+// minimalRequest returns the minimal request of a set that names a method: a host and a path of the set to
+// which no more specific rule applies, and only the headers that are required. It returns nil if the set has
+// no such host and path.
 func (x *Index) minimalRequest(set requestSet) *Witness {
 	host, path, ok := x.unnamedHostAndPath(set)
 	if !ok {
--- a/internal/regions/lookup.go
+++ b/internal/regions/lookup.go
@@ -8,18 +8,18 @@
 	"lockflow/internal/route"
 )
 
-// minBucketsForPathLookup is the number of hosts from which a lookup for a wildcard host goes by path
-// first, as most hosts have nothing at that path.
+// minBucketsForPathLookup is the number of hosts from which a lookup for a wildcard host searches by path
+// first, since most hosts have no rule for that path.
 const minBucketsForPathLookup = 9
 
-// eachHostBucket calls each with the buckets whose hosts match a host, exact or as in a rule, the most
-// specific first, until it returns false.
+// eachHostBucket calls each with the buckets whose hosts match a host, the most specific first, until each
+// returns false. The host is exact or a wildcard as in a rule.
 func (s *conditionIndex) eachHostBucket(host string, each func(*hostBucket) bool) {
 	if host != "" {
 		if bucket := s.buckets[host]; bucket != nil && !each(bucket) {
 			return
 		}
-		// The first parent of *.a.x is *.x, as it is of a.x.
+		// The first parent of *.a.x is *.x, the same as that of a.x.
 		labels := strings.TrimPrefix(host, "*.")
 		for i := strings.IndexByte(labels, '.'); i > 0; {
 			if bucket := s.buckets["*"+labels[i:]]; bucket != nil && !each(bucket) {
@@ -38,7 +38,7 @@
 }
 
 // eachIntersecting calls each with all conditions whose hosts and paths intersect those of a request set,
-// until it returns false.
+// until each returns false.
 func (s *conditionIndex) eachIntersecting(set requestSet, each func(*condition) bool) {
 	isExactHost := set.host != "" && set.host[0] != '*'
 	if !isExactHost && set.path != "" && len(s.buckets) >= minBucketsForPathLookup {
@@ -58,7 +58,7 @@
 	}
 }
 
-// eachBelowWildcard is eachIntersecting for the hosts that a request set's wildcard matches.
+// eachBelowWildcard is eachIntersecting restricted to the hosts that a request set's wildcard matches.
 func (s *conditionIndex) eachBelowWildcard(set requestSet, each func(*condition) bool) {
 	if s.reversedHosts == nil {
 		for host := range s.buckets {
@@ -80,7 +80,7 @@
 	return string(bytes)
 }
 
-// eachMatching calls each with the conditions that a request fulfils, by precedence, until it returns false.
+// eachMatching calls each with the conditions that a request matches, in order of precedence, until each returns false.
 func (s *conditionIndex) eachMatching(request *Witness, each func(*condition) bool) {
 	eachOf := func(list []*condition) bool {
 		for _, c := range list {
@@ -105,8 +105,8 @@
 	})
 }
 
-// anyPathRules returns the conditions of any path, with those of the class that a path's first segment
-// names, by precedence.
+// anyPathRules returns the conditions without a path and those on the class that the first segment of path
+// names, in order of precedence.
 func (b *hostBucket) anyPathRules(path string) []*condition {
 	var rules, classRules []*condition
 	if node := b.prefixes[""]; node != nil {
--- a/internal/regions/loop_conflict.go
+++ b/internal/regions/loop_conflict.go
@@ -17,19 +17,19 @@
 )
 
 var (
-	// viaAfterTwoRounds is the Via header of a request that has passed two intermediaries.
+	// viaAfterTwoRounds is the Via header of a request that two intermediaries have forwarded.
 	viaAfterTwoRounds = []string{"1.1 " + hopheaders.Alias, "1.1 " + hopheaders.Alias}
-	// setByIntermediaries are headers that settings, unknown here, let intermediaries set.
+	// setByIntermediaries are headers that intermediaries may set, depending on settings that Region does not have.
 	setByIntermediaries = []string{"X-Forwarded-For", "X-Forwarded-Host", "X-Forwarded-Proto", "Forwarded", "X-Request-Id"}
-	// notForwardedToParts are the headers that a gathering service drops: it requests complete and current
-	// results of its parts, whatever it was asked for.
+	// notForwardedToParts are the headers that a scatter-gather service drops, because it always requests
+	// complete and current results of its parts.
 	notForwardedToParts = []string{"If-None-Match", "If-Modified-Since", "If-Match", "If-Unmodified-Since", "If-Range", "Range", "Expect", "Content-Length"}
 )
 
-// hops tells which kinds of rules are on a path.
+// hopKinds records which kinds of services are on a path.
 type hopKinds struct{ hasGenericHTTP, hasPlatform, hasGather bool }
 
-// conflictOfCycle returns the conflict of the path as a cycle if a request of a set loops in it, else nil.
+// conflictOfCycle returns the conflict over the path as a cycle if a request of the set loops in it, else nil.
 func (l *loopSearch) conflictOfCycle(set requestSet) *Conflict {
 	var ruleIDs []int32
 	var kinds hopKinds
@@ -46,7 +46,7 @@
 	}
 	for _, variant := range l.variants(set, ruleIDs) {
 		request := l.minimalRequest(variant)
-		if request == nil || kinds.hasGather && request.Method == http.MethodHead { // forwarded as GET
+		if request == nil || kinds.hasGather && request.Method == http.MethodHead { // scatter-gather services forward HEAD as GET
 			continue
 		}
 		l.setForwardedHeaders(request, kinds)
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// setForwardedHeaders adds the headers that the kinds of rules on the path set, where a condition names them.
+// setForwardedHeaders adds the headers that services on the path set, where a condition names them.
 func (l *loopSearch) setForwardedHeaders(request *Witness, kinds hopKinds) {
 	set := func(name string, values []string) {
 		if request.Headers == nil {
@@ -74,8 +74,8 @@
 	}
 }
 
-// forwardedHeaders tells whether a request is forwarded over the hops with the headers that conditions
-// require, and for which of these that depends on settings.
+// forwardedHeaders reports whether a request keeps the headers that conditions require on all hops, and for
+// which of these headers that depends on settings.
 func forwardedHeaders(headers []route.Header, kinds hopKinds) (uncertain []string, isForwarded bool) {
 	for _, header := range headers {
 		if isDropped(header, kinds) {
@@ -89,7 +89,7 @@
 	return uncertain, true
 }
 
-// isDropped tells whether a header is dropped or changed on one of the hops, whatever the settings are.
+// isDropped reports whether a header is dropped or changed on one of the hops under any settings.
 func isDropped(header route.Header, kinds hopKinds) bool {
 	isProxyHeader := header.Name == "Proxy-Authenticate" || header.Name == "Proxy-Authorization"
 	isOneVia := header.Name == "Via" && !header.Any
@@ -103,7 +103,7 @@
 	return kinds.hasGather && (isOtherEncoding || slices.Contains(notForwardedToParts, header.Name))
 }
 
-// dependsOnHeaders returns the headers that intermediaries may set and by which another rule would win.
+// dependsOnHeaders returns the headers that intermediaries may set and that would make another rule win.
 func (l *loopSearch) dependsOnHeaders(request *Witness) (names []string) {
 	for _, name := range setByIntermediaries {
 		if !l.headerNames[name] || request.Headers[name] != nil {
@@ -122,7 +122,7 @@
 	return names
 }
 
-// describeCycle returns the conflict of the path, a warning where it depends on headers that settings may change.
+// describeCycle returns the conflict over the path. It is a warning if it depends on headers that settings may change.
 func (l *loopSearch) describeCycle(request *Witness, uncertain []string) *Conflict {
 	conflict := &Conflict{Kind: LoopKind, Severity: Error, Witness: request}
 	var why strings.Builder
--- a/internal/regions/loops.go
+++ b/internal/regions/loops.go
@@ -7,35 +7,35 @@
 	"lockflow/internal/route"
 )
 
-// maxLoops is the largest number of loops that are reported.
+// maxLoops is the largest number of loops that are reported individually.
 const maxLoops = 64
 
-// maxUnindexedTransits is the number of a region's transits up to which all are tried, as that is cheaper
-// than to look up those that intersect.
+// maxUnindexedTransits is the number of a region's transits up to which all are tried, since that costs less
+// than a lookup of those that intersect.
 const maxUnindexedTransits = 64
 
-// transit is a rule whose service leads to listeners of regions.
+// transit is a rule whose service forwards to listeners of regions.
 type transit struct {
 	ruleRef
 	nextRegions []int32
 }
 
-// loopSearch finds requests that loop. An intermediary keeps a request's method, host and path and all
-// headers but those of one connection. So a request loops for ever if each region on a cycle chooses a
-// rule that leads to the next, for the request as it is after one round. As with pairs of rules, the
-// minimal request of all rules of the cycle shows it.
+// loopSearch finds requests that loop. An intermediary forwards a request's method, host, path and end-to-end
+// headers unchanged. A request therefore loops forever if each region on a cycle chooses a rule that forwards
+// it to the next region, given the headers that the request has after one round. As with pairs of rules, the
+// minimal request of all rules of the cycle shows the loop if any request does.
 type loopSearch struct {
 	*Index
-	transits     [][]transit            // by region, each by precedence
+	transits     [][]transit            // by region, in order of precedence
 	transitIndex []map[*condition]int32 // by region: positions in transits
-	start        int32                  // region, the first one of the cycles that are sought
-	headerNames  map[string]bool        // named by any condition
-	maxVisited   int                    // bound of Index.visited
+	start        int32                  // first region of the cycles that are searched for
+	headerNames  map[string]bool        // headers that any condition names
+	maxVisited   int                    // upper bound of Index.visited
 
-	// The path that is examined.
+	// The path that the search currently examines.
 	path        []transit
 	pathRegions []int32
-	canExtend   bool // there may be a longer cycle
+	canExtend   bool // a longer cycle may exist
 }
 
 func (x *Index) findLoops() []Conflict {
@@ -78,7 +78,7 @@
 	}
 }
 
-// prepare collects the transits; false where no cycle of regions is possible.
+// prepare collects the transits. It returns false if no cycle of regions is possible.
 func (l *loopSearch) prepare() bool {
 	listeners := l.regionsByListener()
 	isOnCycle := l.cyclicRegions(listeners)
@@ -110,7 +110,7 @@
 	return true
 }
 
-// addTransit adds a region's rule where it leads to a region on a cycle.
+// addTransit adds a region's rule if it forwards to a region on a cycle.
 func (l *loopSearch) addTransit(region int, rule ruleRef, nextRegions map[int32][]int32, isOnCycle []bool) {
 	next := nextRegions[l.ruleInfos.values[rule.ruleID].destinationsID]
 	next = slices.DeleteFunc(slices.Clone(next), func(r int32) bool { return !isOnCycle[r] })
@@ -132,7 +132,7 @@
 	return listeners
 }
 
-// regionsByDestinations returns the regions that each list of destinations leads to, sorted.
+// regionsByDestinations returns, by the number of each list of destinations, the regions that listen on them, sorted.
 func (l *loopSearch) regionsByDestinations(listeners map[string][]int32) map[int32][]int32 {
 	next := make(map[int32][]int32)
 	for id, addresses := range l.destinations {
@@ -148,7 +148,8 @@
 	return next
 }
 
-// cyclicRegions tells for each region whether it may be on a cycle: whether it leads to such regions.
+// cyclicRegions reports for each region whether it may be on a cycle: whether it forwards to a region that
+// may be on one.
 func (l *loopSearch) cyclicRegions(listeners map[string][]int32) []bool {
 	next := make([][]int32, len(l.regions))
 	for i, region := range l.regions {
@@ -174,13 +175,13 @@
 	return isOnCycle
 }
 
-// hasUnforwardedHeader tells whether conditions require a header that no intermediary forwards.
+// hasUnforwardedHeader reports whether conditions require a header that no intermediary forwards.
 func hasUnforwardedHeader(headers []route.Header) bool {
 	return slices.ContainsFunc(headers, func(h route.Header) bool { return h.Name == "Keep-Alive" || h.Name == "Proxy-Connection" })
 }
 
-// shortestCycle finds one of the shortest cycles that begin with a transit and whose first region is the
-// start; nil where there is none.
+// shortestCycle returns the conflict over one of the shortest cycles that begin with the transit first of the
+// region l.start, or nil if there is none.
 func (l *loopSearch) shortestCycle(first transit) *Conflict {
 	for length := 1; length <= len(l.regions); length++ {
 		l.path = append(l.path[:0], first)
@@ -194,7 +195,8 @@
 	return nil
 }
 
-// search extends the path, whose rules have a set of requests in common, to cycles of so many regions.
+// search extends the path to cycles of length regions. set holds the requests that the path's rules have in
+// common.
 func (l *loopSearch) search(set requestSet, length int) *Conflict {
 	if l.isExhausted() || !l.isFollowedByMinimal(set) {
 		return nil
@@ -229,12 +231,12 @@
 	return nil
 }
 
-// isExtension tells whether the path may go on to a region: one behind the start that it has not visited.
+// isExtension reports whether the path may be extended by a region: one after l.start that is not on the path.
 func (l *loopSearch) isExtension(region int32) bool {
 	return region > l.start && !slices.Contains(l.pathRegions, region)
 }
 
-// intersectingTransits returns the transits of a region that may have requests of a set, by precedence.
+// intersectingTransits returns the transits of a region that may match requests of a set, in order of precedence.
 func (l *loopSearch) intersectingTransits(region int32, set requestSet) []transit {
 	all := l.transits[region]
 	l.visited += min(len(all), maxUnindexedTransits)
@@ -257,7 +259,7 @@
 	return found
 }
 
-// isFollowedByMinimal tells whether the minimal request of a set follows the path.
+// isFollowedByMinimal reports whether the minimal request of a set follows the path.
 func (l *loopSearch) isFollowedByMinimal(set requestSet) bool {
 	if set.method == "" {
 		set.method = l.unusedMethod(false)
@@ -266,7 +268,7 @@
 	return request != nil && l.isFollowed(request)
 }
 
-// isFollowed tells whether each region on the path chooses its transit for a request.
+// isFollowed reports whether each region on the path chooses its transit for a request.
 func (l *loopSearch) isFollowed(request *Witness) bool {
 	l.chooseRules(request)
 	for i, t := range l.path {
--- a/internal/regions/mixture/compare.go
+++ b/internal/regions/mixture/compare.go
@@ -5,14 +5,14 @@
 	"lockflow/internal/regions"
 )
 
-// isRegionNotAbove tells whether a exceeds b in no setting.
+// isRegionBoundedBy reports whether a exceeds b in no setting.
 func isRegionBoundedBy(a, b regions.Region) bool {
 	if a.Members > 0 && b.Members > 0 && a.Members > b.Members {
 		return false
 	}
 	for _, service := range a.Services {
 		other, ok := findByName(b.Services, service.Name, serviceName)
-		// A service of a alone shares its customers and servers with no other settings.
+		// A service that only a has shares its customers and servers with no other settings.
 		if ok && !isServiceBoundedBy(service, other, memberFraction(a), memberFraction(b)) {
 			return false
 		}
@@ -20,7 +20,8 @@
 	return true
 }
 
-// isServiceNotAbove compares the services of two members by what a member has of its group.
+// isServiceBoundedBy reports whether a service of one member exceeds that of another in no setting. The
+// fractions are each member's part of its group.
 func isServiceBoundedBy(a, b regions.Service, fractionA, fractionB float64) bool {
 	for _, class := range a.Classes {
 		if other, ok := findByName(b.Classes, class.Name, className); ok && !isStricterOrEqual(class, other) {
@@ -35,17 +36,17 @@
 	return isSlowStartBoundedBy(a.SlowStart, b.SlowStart, fractionA, fractionB)
 }
 
-// isSlowStartNotAbove compares what two members send to a warming server. Their minimum load depends on the
-// group size alone.
+// isSlowStartBoundedBy reports whether one member sends a warming server no more than another does. Their
+// minimum load depends only on the group size.
 func isSlowStartBoundedBy(a, b regions.SlowStart, fractionA, fractionB float64) bool {
 	isRampBounded := a.WarmupTime >= b.WarmupTime && a.InitialCapacity <= b.InitialCapacity
 	return isRampBounded && a.OverloadMultiple*fractionA <= b.OverloadMultiple*fractionB && fractionA <= fractionB
 }
 
-// memberFraction is what one member has of what its group has.
+// memberFraction returns the fraction of its group's limits that one member has.
 func memberFraction(region regions.Region) float64 { return 1 / float64(max(1, region.Instances)) }
 
-// isPlanNotAbove compares the hard limits of two members.
+// isPlanBoundedBy reports whether the hard limits of one member exceed those of another in nothing.
 func isPlanBoundedBy(a, b control.Plan, fractionA, fractionB float64) bool {
 	if b.HardLimitRate == 0 {
 		return true
@@ -55,7 +56,7 @@
 		a.HardLimitSlack*fractionA <= b.HardLimitSlack*fractionB
 }
 
-// isStricterOrEqual tells whether a allows no repeat of a request that b forbids.
+// isStricterOrEqual reports whether a allows no repeat of a request that b forbids.
 func isStricterOrEqual(a, b control.Class) bool {
 	if a.Deadline > b.Deadline || a.Idempotency < b.Idempotency {
 		return false
@@ -66,5 +67,5 @@
 	return a.KeyScope >= b.KeyScope && a.RepeatWindow <= b.RepeatWindow
 }
 
-// areOrdered tells whether one of two classes is stricter than the other in every respect, or equal.
+// areOrdered reports whether one of two classes is stricter than or equal to the other in every respect.
 func areOrdered(a, b control.Class) bool { return isStricterOrEqual(a, b) || isStricterOrEqual(b, a) }
--- a/internal/regions/mixture/cycle.go
+++ b/internal/regions/mixture/cycle.go
@@ -6,13 +6,13 @@
 	"lockflow/internal/regions"
 )
 
-// maxSubsets is the largest number of sets of one size that are tried; each is a check of all regions.
+// maxSubsets is the largest number of sets of one size that are tried; each requires a check of all regions.
 const maxSubsets = 400
 
-// findCycle returns the shortest cycle of regions of which each has to change before the next, sorted by
-// name, and the conflicts that make it; nil where pairs of regions make none.
+// findCycle returns the shortest cycle of regions in which each has to change before the next, sorted by
+// name, and the conflicts that cause it. It returns nil if the constraints between pairs form no cycle.
 func (p *planner) findCycle() (shortest []string, blocked []regions.Conflict) {
-	next := make(map[string][]orderConstraint) // by the region that has to change first
+	next := make(map[string][]orderConstraint) // constraints by the region that has to change first
 	for _, constraint := range p.constraints {
 		if p.isBinding(constraint) {
 			next[constraint.oldRegion] = append(next[constraint.oldRegion], constraint)
@@ -30,7 +30,7 @@
 	return shortest, blocked
 }
 
-// cycleFrom returns a shortest cycle through a region, by breadth-first search; nil where there is none.
+// cycleFrom returns a shortest cycle through a region, found by breadth-first search; nil if there is none.
 func cycleFrom(start string, next map[string][]orderConstraint) (names []string, conflicts []regions.Conflict) {
 	reachedBy := map[string]orderConstraint{}
 	queue := []string{start}
@@ -54,8 +54,8 @@
 	return names, conflicts
 }
 
-// smallestBlockedSet returns the smallest set of regions that, once those in done have changed, could all
-// change at once but not one after another, and the conflicts that block it.
+// smallestBlockedSet returns the smallest set of regions that, after those in done have changed, could all
+// change simultaneously but not one after another, and the conflicts that block them.
 func (p *planner) smallestBlockedSet(done []string) (names []string, blocked []regions.Conflict) {
 	var remaining []string
 	for _, name := range p.changed {
@@ -71,10 +71,10 @@
 	return names, p.blockingConflicts(done, names)
 }
 
-// smallBlockedSubset returns the first blocked subset of the smallest size, while the sizes have few enough
-// subsets; else nil.
+// smallBlockedSubset returns the first blocked subset of the smallest size. It returns nil if there is none,
+// or if it reaches a size with more than maxSubsets subsets.
 func (p *planner) smallBlockedSubset(done, names []string) []string {
-	subsets := len(names) // of the size that is tried
+	subsets := len(names) // number of subsets of the size that is tried
 	for size := 1; size < len(names) && subsets <= maxSubsets; size++ {
 		subsets = subsets * (len(names) - size) / (size + 1)
 		if subset := p.blockedSubset(done, names, nil, size); subset != nil {
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// reduceBlocked removes regions from a blocked set one after another while it remains blocked.
+// reduceBlocked removes each region from a blocked set without which the set remains blocked.
 func (p *planner) reduceBlocked(done, names []string) []string {
 	for i := len(names) - 1; i >= 0; i-- {
 		fewer := slices.Delete(slices.Clone(names), i, i+1)
@@ -95,8 +95,8 @@
 	return names
 }
 
-// blockingConflicts returns the conflict of each region of a blocked set as the first to change, or, where
-// none has one, as the last.
+// blockingConflicts returns, for each region of a blocked set, a conflict that arises if it changes first. If
+// there are none, it returns those that arise while one region is still to change.
 func (p *planner) blockingConflicts(done, names []string) (conflicts []regions.Conflict) {
 	for _, name := range names {
 		v := p.stepVerdict(name, newSet(done, []string{name}))
@@ -117,7 +117,7 @@
 	return conflicts
 }
 
-// isBlocked tells whether regions can change at once but not one after another.
+// isBlocked reports whether regions can change simultaneously but not one after another.
 func (p *planner) isBlocked(done, names []string) bool {
 	if len(names) == 0 || !p.verdictOf(newSet(done, names)).isAcceptable(false) {
 		return false
@@ -126,8 +126,8 @@
 	return order == nil
 }
 
-// blockedSubset returns the first blocked set of a size that extends the chosen regions by some of names;
-// nil where there is none.
+// blockedSubset returns the first blocked set of the given size that consists of the chosen regions and some
+// of names; nil if there is none.
 func (p *planner) blockedSubset(done, names, chosen []string, size int) []string {
 	if len(chosen) == size {
 		if p.isBlocked(done, chosen) {
--- a/internal/regions/mixture/equality.go
+++ b/internal/regions/mixture/equality.go
@@ -11,7 +11,7 @@
 	"lockflow/internal/route"
 )
 
-// classOf returns the class that a request has by a region's route; false where the region, the route or
+// classOf returns the class of a request that a region's route matches; false if the region, the route or
 // the class is missing.
 func classOf(region *regions.Region, rule string, request *regions.Witness) (control.Class, bool) {
 	if region == nil {
@@ -36,7 +36,7 @@
 	return class, hasService && hasClass
 }
 
-// isEqual tells whether two configurations are equal; nil is a region that is not there.
+// isEqual reports whether two configurations are equal. Nil stands for a region that does not exist.
 func isEqual(a, b *regions.Region) bool {
 	if a == nil || b == nil {
 		return a == b
@@ -44,7 +44,7 @@
 	return reflect.DeepEqual(a, b)
 }
 
-// withoutSums returns a configuration without all that sums over regions depend on; nil for nil.
+// withoutSums returns a configuration without the settings that are summed over regions; nil for nil.
 func withoutSums(region *regions.Region) *regions.Region {
 	if region == nil {
 		return nil
--- a/internal/regions/mixture/hard_limits.go
+++ b/internal/regions/mixture/hard_limits.go
@@ -11,17 +11,17 @@
 // hardLimitKey identifies a service's plan.
 type hardLimitKey struct{ service, plan string }
 
-// hardLimitSum is what regions admit together of one customer's requests, in units (a second).
+// hardLimitSum is what regions together admit of one customer's requests, in units (rate: units a second).
 type hardLimitSum struct{ rate, burst, slack float64 }
 
-// isNotAbove compares two sums, with a tolerance for rounding.
+// isBoundedBy reports whether a exceeds b in nothing, with a tolerance for rounding.
 func (a hardLimitSum) isBoundedBy(b hardLimitSum) bool {
 	const tolerance = 1 + 1e-9
 	return a.rate <= b.rate*tolerance && a.burst <= b.burst*tolerance && a.slack <= b.slack*tolerance
 }
 
-// sumHardLimits returns the sums of regions by plan. They are infinite where a region has a plan without a
-// hard limit.
+// sumHardLimits returns the sums of the regions' hard limits by plan. A sum is infinite if a region has the
+// plan without a hard limit.
 func sumHardLimits(all ...*regions.Region) map[hardLimitKey]hardLimitSum {
 	sums := make(map[hardLimitKey]hardLimitSum)
 	for _, region := range all {
@@ -44,8 +44,8 @@
 	return sums
 }
 
-// groupCount is how many complete groups a region's members act as; 1 where their number is unknown, as its
-// own settings have it.
+// groupCount returns the number of complete groups that a region's members are equal to. It is 1 if the
+// number of members is unknown, since the region's own settings assume one complete group.
 func groupCount(region *regions.Region) float64 {
 	if region.Members > 0 {
 		return float64(region.Members) * memberFraction(*region)
@@ -53,8 +53,8 @@
 	return 1.0
 }
 
-// hardLimitGrowth returns by how much a change raises a region's hard limits, relative to their mean and
-// summed over plans. It only guides which region is tried first.
+// hardLimitGrowth returns how much a change raises a region's hard limits: the difference of each plan's
+// rates relative to their sum, summed over plans. It only determines which region is tried first.
 func hardLimitGrowth(old, new *regions.Region) (sum float64) {
 	before, after := sumHardLimits(old), sumHardLimits(new)
 	for key, b := range before {
@@ -70,9 +70,9 @@
 	return sum
 }
 
-// fitsAnEnd tells whether a mixture admits no more, of what a conflict is about, than one end of the
-// change does. regions.Check holds regions to the smallest limit that any of them states. While a new limit
-// is rolled out, a mixture is held to that of the end which admits more.
+// isBoundedByAnEnd reports whether a mixture admits no more of the subject of a conflict than the fleet
+// before or after the change. regions.Check compares regions with the smallest limit that any of them
+// configures. While a new limit is rolled out, a mixture may admit as much as the end that admits more.
 func (p *planner) isBoundedByAnEnd(conflict regions.Conflict, mixture []regions.Region) bool {
 	for _, end := range []map[string]*regions.Region{p.changeStart, p.changeEnd} {
 		if conflict.Kind == regions.HardLimitKind && areHardLimitsBounded(conflict.Rules, mixture, end) {
@@ -85,7 +85,7 @@
 	return false
 }
 
-// hardLimitsFit tells whether a mixture admits no more of some plans than an end does.
+// areHardLimitsBounded reports whether a mixture admits no more of the given plans than an end of the change.
 func areHardLimitsBounded(plans []string, mixture []regions.Region, end map[string]*regions.Region) bool {
 	all := make([]*regions.Region, len(mixture))
 	for i := range mixture {
@@ -100,8 +100,8 @@
 	return true
 }
 
-// slowStartsFit tells whether each region of a mixture sends no more to warming servers than at an
-// end. It compares region by region, as the sum depends on which regions send to a server.
+// areSlowStartsBounded reports whether each region of a mixture sends no more to warming servers than at an
+// end of the change. It compares region by region, since the sum depends on which regions send to a server.
 func areSlowStartsBounded(mixture []regions.Region, end map[string]*regions.Region) bool {
 	members := make(map[string]int)
 	for _, region := range mixture {
--- a/internal/regions/mixture/incremental.go
+++ b/internal/regions/mixture/incremental.go
@@ -2,15 +2,15 @@
 
 import "lockflow/internal/regions"
 
-// NewIncrementalCheck returns a regions.Check for many mixtures of one fleet: in a list with the same
-// regions as the list before, only the regions that differ are examined again. The function is not safe for
-// concurrent use.
+// NewIncrementalCheck returns a function that is equivalent to regions.Check and faster for many mixtures of
+// one fleet: if a list has the same regions as the previous one, only the regions that differ are compared
+// again. The function is not safe for concurrent use.
 func NewIncrementalCheck() CheckFunc {
 	c := &incrementalCheck{current: make(map[string]regions.Region)}
 	return c.check
 }
 
-// incrementalCheck is an index of the fleet that was checked last.
+// incrementalCheck holds an index of the fleet that was checked last.
 type incrementalCheck struct {
 	index     *regions.Index
 	current   map[string]regions.Region // by name
@@ -21,7 +21,7 @@
 	isSameFleet := c.isSameFleet(all)
 	if !isSameFleet {
 		if c.index != nil && len(all) > len(c.current) {
-			// A mixture with both generations of regions: the index of the fleet is kept for the next one.
+			// This mixture has both generations of regions. The index of the fleet is kept for the next mixture.
 			return regions.Check(all)
 		}
 		c.index = regions.NewIndex(all)
@@ -37,8 +37,8 @@
 	return c.conflicts
 }
 
-// isSameFleet tells whether a list has the regions of the one before, most of them unchanged. To replace
-// most of the regions one by one would cost more than a new index.
+// isSameFleet reports whether a list has the same regions as the previous one, and at least half of them, or
+// all but one, are unchanged. To replace most of the regions one by one would cost more than a new index.
 func (c *incrementalCheck) isSameFleet(all []regions.Region) bool {
 	if len(all) != len(c.current) {
 		return false
@@ -56,8 +56,8 @@
 	return changed <= len(all)/2 || changed <= 1
 }
 
-// sharesData tells whether two regions consist of the same lists in memory; regions that don't may still
-// be equal.
+// sharesData reports whether two regions have the same sizes and consist of the same slices in memory.
+// Regions that do not may still be equal.
 func sharesData(a, b regions.Region) bool {
 	hasSameSize := a.Instances == b.Instances && a.Members == b.Members && a.Shared == b.Shared
 	return hasSameSize && sharesList(a.Listeners, b.Listeners) && sharesList(a.Routes, b.Routes) && sharesList(a.Services, b.Services)
--- a/internal/regions/mixture/mixture.go
+++ b/internal/regions/mixture/mixture.go
@@ -1,7 +1,7 @@
-// Package mixture finds the order in which regions may change. Regions change one after another, and so do
-// the members of each, so that old and new configurations run at the same time: every such mixture must be
-// free of new conflicts, and not the two ends alone. It is pure: a function that the caller passes finds
-// the conflicts of a mixture.
+// Package mixture finds an order in which regions may change their configuration. Regions change one after
+// another, and so do the members of each, so that old and new configurations run at the same time. Every
+// such mixture must be free of new conflicts, not only the two ends of the change: the fleets before and
+// after it. The package does no I/O; the caller passes the function that finds the conflicts of a mixture.
 package mixture
 
 import (
@@ -15,38 +15,37 @@
 // CheckFunc returns the conflicts of a mixture, as regions.Check does, without those that are waived.
 type CheckFunc func([]regions.Region) []regions.Conflict
 
-// Result is the order of a change, or why there is none.
+// Result is the order of a change, or the reason why there is none.
 type Result struct {
-	// Order is the regions that change, in an order in which no mixture has a conflict that neither end
-	// has. It is nil where there is none, and empty where no region changes.
+	// Order lists the regions that change, in an order in which every conflict of a mixture is also one of
+	// the old or the new fleet. It is nil if there is no such order, and empty if no region changes.
 	Order []string
-	// Cycle is the smallest set of regions that block each other, where the change as it was given has no
-	// order; Blocked has the conflicts that block them.
+	// Cycle is the smallest set of regions that block each other, if the change without intermediate
+	// configurations has no order. Blocked holds the conflicts that block them.
 	Cycle   []string
 	Blocked []regions.Conflict
-	// Intermediate has configurations, by region, that the regions in IntermediateOrder run before they go
-	// on to the new ones; Order is then that of the second phase. All mixtures of both phases are free of
-	// new conflicts. It is empty where none is needed or none helps.
+	// Intermediate holds the configurations to which the regions in IntermediateOrder change in a first phase,
+	// before the new ones. Order is then the order of the second phase. All mixtures of both phases are free
+	// of new conflicts. Intermediate is empty if no such configurations are needed, or if none help.
 	Intermediate      []regions.Region
 	IntermediateOrder []string
-	// Transient has the differences that last as long as the change and that no order avoids: between the
+	// Transient holds the conflicts that exist only during the change and that no order avoids: between the
 	// two generations of one region, and between retry terms of which one is stricter in every respect.
 	Transient []regions.Conflict
-	// IsIncomplete tells that the search was ended by its bound, so that an order may exist where none was
-	// found.
+	// IsIncomplete is set if the search reached its bound, so that an order may exist although none was found.
 	IsIncomplete bool
-	// Mixtures is how many mixtures were checked.
+	// Mixtures is the number of mixtures that were checked.
 	Mixtures int
 }
 
-// Suffixes of a region's name where both of its generations are in one mixture.
+// Suffixes of a region's name in mixtures that contain both its generations: its old and its new configuration.
 const (
 	oldGeneration = " (old)"
 	newGeneration = " (new)"
 )
 
-// WithoutGenerations returns a conflict with the regions' own names. Order checks mixtures with both
-// generations of a region, as "north (old)" and "north (new)".
+// WithoutGenerations returns a conflict with the regions' original names. Order checks mixtures with both
+// generations of a region, which it names, for example, "north (old)" and "north (new)".
 func WithoutGenerations(conflict regions.Conflict) regions.Conflict {
 	var names []string
 	for _, name := range conflict.Regions {
@@ -61,9 +60,9 @@
 	return strings.TrimSuffix(strings.TrimSuffix(name, oldGeneration), newGeneration)
 }
 
-// Order finds an order for a fleet's change from old to new. A region that is in one of them alone joins
-// or leaves the fleet. check is called with lists that have each region once, mostly ones that differ in
-// one region from the list before.
+// Order finds an order for a fleet's change from old to new. A region that is in only one of them joins or
+// leaves the fleet. check is called with lists that contain each region once. Most lists differ in one region
+// from the previous one.
 func Order(old, new []regions.Region, check CheckFunc) Result {
 	p := newPlanner(old, new, check)
 	p.recordEnd(old)
@@ -82,8 +81,8 @@
 	return result
 }
 
-// orderPhases finds orders of a change in two phases, in which the regions named run intermediate
-// configurations between them; false where there are none.
+// orderPhases finds orders for a change in two phases, between which the named regions run intermediate
+// configurations. It returns false if there are none.
 func (p *planner) orderPhases(result *Result, old, new []regions.Region, names []string) bool {
 	fleet, intermediates := p.intermediate(names)
 	if len(intermediates) == 0 {
@@ -112,8 +111,8 @@
 	return true
 }
 
-// intermediate returns the fleet in which the regions named run intermediate configurations, and these
-// configurations where they differ from the old ones.
+// intermediate returns the fleet in which the named regions run intermediate configurations, and those of
+// these configurations that differ from the old ones.
 func (p *planner) intermediate(names []string) (fleet, intermediates []regions.Region) {
 	for _, name := range slices.Sorted(maps.Keys(p.oldRegions)) {
 		region := *p.oldRegions[name]
--- a/internal/regions/mixture/mixture_test.go
+++ b/internal/regions/mixture/mixture_test.go
@@ -16,8 +16,8 @@
 	"lockflow/internal/route"
 )
 
-// referenceCheck is a simple check of small fleets: routes by their prefix, and sums of hard limits. It finds
-// nearly all that regions.Check does.
+// referenceCheck is a simple check of small fleets. It compares routes by their prefix, and sums hard limits. It
+// finds nearly all conflicts that regions.Check does.
 func referenceCheck(all []regions.Region) (found []regions.Conflict) {
 	sums, smallestRates := map[string]float64{}, map[string]float64{}
 	for i, a := range all {
@@ -64,7 +64,7 @@
 	return found
 }
 
-// parseRegion parses "north 4/8 gold=30 /x=app:read.free:2s ...": members of instances, hard limits, routes.
+// parseRegion parses "north 4/8 gold=30 /x=app:read.free:2s ...": name, members/group size, hard limits and routes.
 func parseRegion(text string) regions.Region {
 	fields := strings.Fields(text)
 	r := regions.Region{Name: fields[0], Listeners: []string{fields[0] + ":80"}}
@@ -136,7 +136,7 @@
 	}
 }
 
-// drawFleet draws a fleet of a few regions.
+// drawFleet draws a fleet of n regions.
 func drawFleet(t *rapid.T, n int, labelPrefix string) (all []regions.Region) {
 	for i := range n {
 		text := fmt.Sprintf("r%d %d/%d", i, rapid.IntRange(2, 3).Draw(t, labelPrefix+"members"), rapid.IntRange(3, 12).Draw(t, labelPrefix+"instances"))
@@ -151,7 +151,8 @@
 	return all
 }
 
-// An order is found if and only if one of all orders has no new conflict, and it is one of these.
+// TestOrderAgainstAllPermutations checks that an order is found if and only if some permutation of the regions
+// has no new conflict, and that the order found has none.
 func TestOrderAgainstAllPermutations(t *testing.T) {
 	found, cycles := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -209,7 +210,7 @@
 			}
 		}
 	})
-	if found == 0 || cycles == 0 { // of a hundred usually 70 and 12
+	if found == 0 || cycles == 0 { // of 100 draws usually 70 and 12
 		t.Errorf("drew %d with an order, %d with a circle", found, cycles)
 	}
 }
@@ -225,7 +226,7 @@
 	}
 }
 
-// totalRate returns what regions admit of a plan, in units a second.
+// totalRate returns the rate that regions together admit for a plan, in units a second.
 func totalRate(all []regions.Region, plan string) (sum float64) {
 	for _, r := range all {
 		for _, s := range r.Services {
@@ -237,7 +238,8 @@
 	return sum
 }
 
-// firstViolation changes regions one member after another, and returns the first error that neither end has.
+// firstViolation changes the regions in order, member by member, and returns the first conflict of severity
+// error that neither end of the change has.
 func firstViolation(old, new []regions.Region, order []string, endConflicts map[string]bool, changeEnds ...[]regions.Region) string {
 	current := slices.Clone(old)
 	for _, name := range order {
@@ -246,7 +248,7 @@
 		for newMembers := 0; newMembers <= after.Members; newMembers++ {
 			for oldMembers := 0; oldMembers <= before.Members && oldMembers+newMembers <= max(before.Members, after.Members); oldMembers++ {
 				if newMembers < after.Members && oldMembers+newMembers < min(before.Members, after.Members) {
-					continue // some are away
+					continue // some members run neither configuration
 				}
 				oldPart, newPart := before, after
 				oldPart.Members, newPart.Members = oldMembers, newMembers
@@ -279,7 +281,7 @@
 	return ""
 }
 
-// groupSums returns what so many members of a region admit together, by what is limited.
+// groupSums returns what the given number of a region's members together admit, by the name of the limit.
 func groupSums(r regions.Region, members int) map[string]float64 {
 	sums := make(map[string]float64)
 	for _, s := range r.Services {
@@ -309,9 +311,11 @@
 	return sums
 }
 
-// In each phase, whichever members of a region have changed, all sums are within those of one end.
+// TestPhasesBoundSums checks that in each phase, whichever members of a region have changed, all sums are bounded by
+// those of one of the phase's two configurations.
 func TestPhasesBoundSums(t *testing.T) {
-	// settings draws figures; like, where it is not nil, are those of settings that most are the same as.
+	// drawSettings draws a region and returns it with the drawn numbers. Most of them are copied from template,
+	// if it is not nil.
 	drawSettings := func(t *rapid.T, template []int) (r regions.Region, drawn []int) {
 		draw := func(minimum, maximum int) int {
 			if i := len(drawn); i < len(template) && rapid.IntRange(0, 5).Draw(t, "keep") > 0 {
--- a/internal/regions/mixture/pairings.go
+++ b/internal/regions/mixture/pairings.go
@@ -7,18 +7,18 @@
 	"lockflow/internal/regions"
 )
 
-// transient is the severity of a conflict that lasts as long as the change does.
+// transient is the severity of a conflict that exists only during the change.
 const transient regions.Severity = "passing"
 
-// pairing is a conflict between the new configuration of one region and the old one of another, which has
-// to change first. No order avoids one of a region with itself.
+// orderConstraint is a conflict between the new configuration of one region and the old one of another,
+// which has to change first. No order avoids a conflict between both configurations of one region.
 type orderConstraint struct {
 	newRegion, oldRegion string
 	regions.Conflict
 }
 
-// findPairings finds the configurations that conflict in pairs, by one check with the old and the new ones
-// of all regions.
+// findConstraints finds the pairs of old and new configurations that conflict, by one check of the old and
+// the new configurations of all regions together.
 func (p *planner) findConstraints() {
 	if p.sumsOnly {
 		return
@@ -31,18 +31,18 @@
 		}
 		newRegion, oldRegion, ok := splitGenerations(conflict)
 		if !ok {
-			continue // an end has it too
+			continue // between configurations of the same end, so that the end has it too
 		}
 		conflict.Severity = severityInMixture(conflict, configurations)
 		if newRegion == oldRegion && conflict.Kind != regions.TermsKind {
-			conflict.Severity = transient // the change consists of this difference
+			conflict.Severity = transient // the change itself makes this difference
 		}
 		p.constraints = append(p.constraints, orderConstraint{newRegion, oldRegion, conflict})
 	}
 }
 
-// bothGenerations returns the regions that change in both generations and the others once, and the
-// configurations by these names.
+// bothGenerations returns the old and the new configuration of each region that changes, and the other
+// regions once. It also returns the original configurations by the names in that list.
 func (p *planner) bothGenerations() (all []regions.Region, configurations map[string]*regions.Region) {
 	configurations = make(map[string]*regions.Region)
 	add := func(region *regions.Region, generation string) {
@@ -65,7 +65,7 @@
 	return all, configurations
 }
 
-// splitGenerations returns the regions of a conflict between a new and an old generation; false for others.
+// splitGenerations returns the regions of a conflict between a new and an old generation; false for other conflicts.
 func splitGenerations(conflict regions.Conflict) (newRegion, oldRegion string, ok bool) {
 	first, second := conflict.Regions[0], conflict.Regions[1]
 	switch {
@@ -81,9 +81,9 @@
 	return kind == regions.ServiceKind || kind == regions.CoverageKind || kind == regions.TermsKind
 }
 
-// severityInMixture returns the severity of a conflict while a change goes on. Where one of two retry terms
-// is stricter in every respect, nothing runs twice that doesn't at the end with the laxer ones, so the
-// mixture is no worse than that end.
+// severityInMixture returns the severity of a conflict during a change. If one of two sets of retry terms is
+// stricter in every respect, the mixture repeats no request that the end of the change with the laxer terms
+// does not repeat, so that it is no worse than that end.
 func severityInMixture(conflict regions.Conflict, configurations map[string]*regions.Region) regions.Severity {
 	isOfTwoRules := len(conflict.Regions) == 2 && len(conflict.Rules) == 2
 	if conflict.Kind != regions.TermsKind || !isOfTwoRules || conflict.Witness == nil {
--- a/internal/regions/mixture/planner.go
+++ b/internal/regions/mixture/planner.go
@@ -9,25 +9,25 @@
 	"lockflow/internal/regions"
 )
 
-// planner searches an order of one change.
+// planner searches for an order of one change.
 type planner struct {
 	check                  CheckFunc
 	oldRegions, newRegions map[string]*regions.Region
-	// changeStart and changeEnd are the ends of the complete change, where this is one phase of it.
+	// changeStart and changeEnd are the fleets before and after the complete change, of which this may be a phase.
 	changeStart, changeEnd map[string]*regions.Region
-	names                  []string // of all regions, sorted
-	changed                []string // in the order in which they are tried: the least growth of hard limits first
+	names                  []string // names of all regions, sorted
+	changed                []string // in the order in which they are tried: the smallest growth of hard limits first
 	endConflicts           map[string]bool
-	truncated              map[string]bool // kinds and regions of which an end has more conflicts than are reported
-	sumsOnly               bool            // only what is summed over regions changes: routes and terms remain
+	truncated              map[string]bool // kindKeys for which an end of the change has more conflicts than are reported
+	sumsOnly               bool            // only settings that are summed over regions change; routes and retry terms do not
 	constraints            []orderConstraint
-	mixtures               int // checked so far
+	mixtures               int // number of mixtures checked so far
 
 	// State of a search.
-	strict         bool // avoids warnings too
+	strict         bool // reject mixtures with warnings too
 	verdicts       map[string]verdict
-	deadEnds       map[string]bool // sets of changed regions from which no order goes on
-	budget         int             // mixtures that may still be checked
+	deadEnds       map[string]bool // sets of changed regions that no order extends
+	budget         int             // number of mixtures that may still be checked
 	largestReached []string
 }
 
@@ -67,7 +67,7 @@
 	return named
 }
 
-// recordEnd records the conflicts of one end of the change: they are not new in a mixture.
+// recordEnd records the conflicts of the fleet before or after the change: they are not new in a mixture.
 func (p *planner) recordEnd(all []regions.Region) {
 	p.mixtures++
 	for _, conflict := range p.check(all) {
@@ -83,8 +83,8 @@
 	return string(conflict.Kind) + strings.Join(conflict.Regions, "\x00")
 }
 
-// conflictKey identifies what a conflict is about. The request that shows it is no part of that, nor is
-// how many regions a sum is over.
+// conflictKey identifies the subject of a conflict: its kind, rules and regions. It excludes the request that
+// shows the conflict and, for a sum, the regions over which it is taken.
 func conflictKey(conflict regions.Conflict) string {
 	conflict = WithoutGenerations(conflict)
 	if conflict.Kind == regions.HardLimitKind || conflict.Kind == regions.SlowStartKind {
@@ -93,7 +93,7 @@
 	return string(conflict.Kind) + "\x01" + strings.Join(conflict.Regions, "\x00") + "\x01" + strings.Join(conflict.Rules, "\x00")
 }
 
-// isNew tells whether neither end has a conflict.
+// isNew reports whether a conflict exists neither before nor after the change.
 func (p *planner) isNew(conflict regions.Conflict) bool {
 	conflict = WithoutGenerations(conflict)
 	return !p.endConflicts[conflictKey(conflict)] && !p.truncated[kindKey(conflict)]
--- a/internal/regions/mixture/search.go
+++ b/internal/regions/mixture/search.go
@@ -7,13 +7,13 @@
 	"lockflow/internal/regions"
 )
 
-// Bounds of a search, in mixtures; each is a check of all regions.
+// Largest number of mixtures that one search checks; each requires a check of all regions.
 const (
 	baseSearchBudget      = 256
 	searchBudgetPerRegion = 16
 )
 
-// solve finds an order or else the smallest cycle. Orders without any warnings are preferred.
+// solve finds an order or, if there is none, the smallest cycle. It prefers orders without any warnings.
 func (p *planner) solve() (result Result) {
 	defer func() { result.Mixtures = p.mixtures }()
 	if len(p.changed) == 0 {
@@ -35,8 +35,8 @@
 	return result
 }
 
-// search finds an order in which some regions change once those in done have; nil where there is none, or
-// none was found within the bounds.
+// search finds an order in which the regions in names change after those in done have. It returns nil if there
+// is none, or if none was found within the bounds.
 func (p *planner) search(done, names []string, strict bool) (order []string, isIncomplete bool) {
 	p.strict = strict
 	p.deadEnds = make(map[string]bool)
@@ -51,8 +51,8 @@
 	return nil, p.budget <= 0
 }
 
-// extend appends regions to an order until all of names have changed; false where that is impossible.
-// A mixture depends on which regions have changed and not on their order, so each set is tried once.
+// extend appends regions to an order until all of names have changed; it returns false if that is impossible.
+// A mixture depends only on which regions have changed, not on their order, so each set is tried once.
 func (p *planner) extend(set map[string]bool, names []string, order *[]string) bool {
 	if len(*order) == len(names) {
 		return true
@@ -82,7 +82,7 @@
 	return false
 }
 
-// isReady tells whether all regions that have to change before the one named have.
+// isReady reports whether all regions that have to change before the named one are in set.
 func (p *planner) isReady(name string, set map[string]bool) bool {
 	for _, constraint := range p.constraints {
 		if constraint.newRegion == name && p.isBinding(constraint) && !set[constraint.oldRegion] {
@@ -96,7 +96,7 @@
 	return constraint.Severity == regions.Error || p.strict && constraint.Severity == regions.Warning
 }
 
-// transientConflicts returns the differences that an order does not avoid, each once, as warnings.
+// transientConflicts returns the conflicts that an order does not avoid, as warnings without duplicates.
 func (p *planner) transientConflicts(order []string) (conflicts []regions.Conflict) {
 	isAdded := make(map[string]bool)
 	add := func(conflict regions.Conflict) {
--- a/internal/regions/mixture/strictest.go
+++ b/internal/regions/mixture/strictest.go
@@ -6,10 +6,10 @@
 )
 
 // Phases returns the configurations that a region's members run one after another between old and new. It
-// is empty where members of old and new may run at the same time in any numbers, and otherwise has one that
-// exceeds neither. Of any two successive configurations one then exceeds the other in nothing: hard limits,
-// slow start, retry terms or members, so that a partly changed region admits no more than one of its ends
-// would. docs/design/mixture.md has the rule of each setting.
+// returns none if any numbers of members may run old and new at the same time, and otherwise one that exceeds
+// neither. Of any two successive configurations one then exceeds the other in none of hard limits, slow
+// start, retry terms and members, so that a partly changed region admits no more than it does under one of
+// the two. docs/design/mixture.md specifies the rule for each setting.
 func Phases(old, new regions.Region) []regions.Region {
 	if isRegionBoundedBy(old, new) || isRegionBoundedBy(new, old) {
 		return nil
@@ -18,9 +18,9 @@
 }
 
 // Strictest returns old with settings that exceed neither those of old nor those of new: the smaller hard
-// limits, the larger group (each member's fraction is smaller by it), the longer warmup times, the stricter
-// retry terms and the fewer members. Members so join only once all know the larger group, and leave before
-// any knows the smaller. Routes and services are those of old.
+// limits, the larger group size (which makes each member's fraction smaller), the longer warmup times, the
+// stricter retry terms and the smaller number of members. Members therefore join only after all have the
+// larger group size, and leave before any has the smaller one. Routes and services are those of old.
 func Strictest(old, new regions.Region) regions.Region {
 	strictest := old
 	strictest.Instances = max(old.Instances, new.Instances)
@@ -74,7 +74,7 @@
 	return a
 }
 
-// strictestPlan returns a with the smaller of each number of the hard limits; no hard limit is the largest.
+// strictestPlan returns a with the smaller value of each hard limit setting. No hard limit counts as the largest.
 func strictestPlan(a, b control.Plan) control.Plan {
 	switch {
 	case b.HardLimitRate == 0:
@@ -88,7 +88,7 @@
 		a.HardLimitSlack = min(a.HardLimitSlack, b.HardLimitSlack)
 	}
 	if a.HardLimitRate > 0 {
-		a.QuotaRate = min(a.QuotaRate, a.HardLimitRate) // a configuration with a larger quota is rejected
+		a.QuotaRate = min(a.QuotaRate, a.HardLimitRate) // a configuration with a quota above the hard limit is rejected
 	}
 	return a
 }
@@ -104,7 +104,8 @@
 	if strictest.Idempotency != control.IdempotentWithKey {
 		return strictest
 	}
-	// An idempotent class without a key may be repeated anywhere at any time, so it limits neither.
+	// Requests of an idempotent class without a key may be repeated anywhere at any time, so that the class
+	// limits neither the key scope nor the repeat window.
 	isFirst := true
 	for _, class := range []control.Class{a, b} {
 		switch {
--- a/internal/regions/mixture/verdict.go
+++ b/internal/regions/mixture/verdict.go
@@ -8,15 +8,15 @@
 	"lockflow/internal/regions"
 )
 
-// verdict is the new conflicts of a mixture.
+// verdict holds the new conflicts of a mixture by severity.
 type verdict struct{ errors, warnings, transient []regions.Conflict }
 
 func (v verdict) isAcceptable(strict bool) bool {
 	return len(v.errors) == 0 && (!strict || len(v.warnings) == 0)
 }
 
-// stepVerdict returns the verdict of the mixture in which the regions of a set have changed, and of those
-// in which only some members of the last one have.
+// stepVerdict returns the verdict of the mixture in which the regions of a set have changed, together with
+// those of the mixtures in which only some members of the last region have.
 func (p *planner) stepVerdict(last string, set map[string]bool) verdict {
 	v := p.verdictOf(set)
 	for _, mixture := range p.partialMixtures(last, set) {
@@ -44,7 +44,7 @@
 	mixture := p.mixtureOf(set, "")
 	configurations := byName(mixture)
 	for _, conflict := range p.check(mixture) {
-		if conflict.Kind != regions.DeadKind { // concerns one region alone, so an end has it
+		if conflict.Kind != regions.DeadKind { // concerns only one region, so that an end of the change has it too
 			v = p.addConflict(v, conflict, mixture, configurations, sortedNames(set))
 		}
 	}
@@ -52,8 +52,8 @@
 	return v
 }
 
-// addConflict adds a conflict of a mixture to a verdict, unless an end of the change has it or exceeds the
-// same limit as much.
+// addConflict adds a conflict of a mixture to a verdict, unless an end of the change has the conflict or
+// admits as much.
 func (p *planner) addConflict(v verdict, conflict regions.Conflict, mixture []regions.Region, configurations map[string]*regions.Region, changed []string) verdict {
 	if !p.isNew(conflict) || p.isBoundedByAnEnd(conflict, mixture) {
 		return v
@@ -71,7 +71,7 @@
 	return v
 }
 
-// describeInMixture returns a conflict whose reason names the regions that have changed.
+// describeInMixture returns a conflict with the regions that have changed named in its reason.
 func describeInMixture(conflict regions.Conflict, changed []string) regions.Conflict {
 	conflict = WithoutGenerations(conflict)
 	if len(changed) > 0 {
@@ -92,7 +92,7 @@
 	return strings.Join(names, ", ") + " have"
 }
 
-// mixtureOf returns the fleet in which the regions of a set have changed, without the region named.
+// mixtureOf returns the fleet in which the regions of a set have changed, without the region named by without.
 func (p *planner) mixtureOf(set map[string]bool, without string) (mixture []regions.Region) {
 	for _, name := range p.names {
 		region := p.oldRegions[name]
@@ -112,14 +112,15 @@
 }
 
 // partialMixtures returns the fleets in which only some of a region's members have changed, as far as they
-// can have conflicts that the fleets before and after do not have.
+// can have conflicts that the fleets before and after the region's change do not have.
 //
-// Routes and terms of either generation meet all others in those two fleets, and each other in
-// findPairings. A request that loops through both generations comes back to the region on its path, so it
-// loops in one of the two fleets as well. Sums are linear in the number of members that have changed, and
-// are held to the limits that both generations state, so that the fleets with the most and the fewest
-// members of each suffice; at least one of either, and without routes, on which no sum depends. Where the
-// number of members is unknown there are none.
+// Those two fleets cover the conflicts of each generation's routes and terms with those of other regions, and
+// findConstraints covers the conflicts between the two generations. A request that loops through both
+// generations returns to the region on its path, so that it loops in one of the two fleets as well. Sums are
+// linear in the number of members that have changed and are compared with the limits that both generations
+// configure, so that it suffices to check the fleets with the most and the fewest members of each generation,
+// at least one of either. These fleets have no routes, since no sum depends on them. If the number of members
+// is unknown, there are no such fleets.
 func (p *planner) partialMixtures(name string, set map[string]bool) (mixtures [][]regions.Region) {
 	before, after := p.oldRegions[name], p.newRegions[name]
 	if before == nil || after == nil || hasSameSums(before, after) {
@@ -136,14 +137,14 @@
 			continue
 		}
 		mixtures = append(mixtures, p.partialMixture(name, set, members))
-		if maxOld == total-maxNew { // both are the same
+		if maxOld == total-maxNew { // the two mixtures are identical
 			break
 		}
 	}
 	return mixtures
 }
 
-// partialMembers is how many members of a region run its old and its new configuration.
+// partialMembers is the number of a region's members that run its old and its new configuration.
 type partialMembers struct{ old, new int }
 
 func (p *planner) partialMixture(name string, set map[string]bool, members partialMembers) []regions.Region {
@@ -159,7 +160,7 @@
 	return mixture
 }
 
-// hasSameSums tells whether two configurations are equal in all that is summed over regions.
+// hasSameSums reports whether two configurations are equal in all settings that are summed over regions.
 func hasSameSums(a, b *regions.Region) bool {
 	hasSameSize := a.Members == b.Members && a.Instances == b.Instances && a.Shared == b.Shared
 	return hasSameSize && slices.EqualFunc(a.Services, b.Services, hasSameServiceSums)
--- a/internal/regions/regions_test.go
+++ b/internal/regions/regions_test.go
@@ -16,7 +16,7 @@
 	"pgregory.net/rapid"
 )
 
-// The requests that the reference goes through: they include all that the rules drawn below tell apart.
+// The parts of the requests that the reference handles. They include every case that the rules drawn below distinguish.
 var (
 	sampleHosts        = []string{"", "y", "a.x", "b.x", "b.a.x", "c.a.x"}
 	sampleMethods      = []string{"GET", "HEAD", "POST", "PATCH", "OPTIONS"}
@@ -45,7 +45,7 @@
 	}
 }
 
-// reference handles requests as the nodes of one region do, by the real router.
+// reference handles requests as the instances of one region do, with the real router.
 type reference struct {
 	Region
 	router   *route.Router
@@ -173,7 +173,7 @@
 		}
 		r.Routes = append(r.Routes, rule)
 	}
-	for { // rules that package route rejects are left out, as a file with them would not load
+	for { // rules that package route rejects are removed, since a file with them would not load
 		var rules []route.Rule
 		for _, rule := range r.Routes {
 			rules = append(rules, rule.Rule)
@@ -205,7 +205,7 @@
 	return fmt.Sprint(k, " ", a, " ", b, " ", ra, " ", rb)
 }
 
-// recordExpected records the conflicts that a request shows, and the rules that handle it.
+// recordExpected records in want the conflicts that a request shows, and in reachable the rules that handle it.
 func recordExpected(w *Witness, references []*reference, want, reachable map[string]bool) {
 	var results []referenceResult
 	for _, p := range references {
@@ -224,8 +224,8 @@
 	}
 }
 
-// TestAgainstReference compares the conflicts with those that every request of a small universe shows by the
-// real routers: none is missed, and no other is reported.
+// TestAgainstReference sends every request of a small set through the real routers, and checks that the
+// conflicts that they show are all reported, and no others.
 func TestAgainstReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := drawRegions(t)
@@ -276,8 +276,8 @@
 	})
 }
 
-// checkOrderAndReplace checks that the conflicts do not depend on the order of the regions, and that a replacement
-// gives the same as a new index.
+// checkOrderAndReplace checks that the conflicts do not depend on the order of the regions, and that replacing a
+// region gives the same conflicts as a new index.
 func checkOrderAndReplace(t *rapid.T, x *Index, all []Region) {
 	conflicts := Check(all)
 	reorderedRegions := slices.Clone(all)
@@ -300,7 +300,7 @@
 	rules := make([]string, len(all))
 	for i, p := range all {
 		result := p.handle(w)
-		if rules[i] = result.rule; !result.isAccepted || result.gather != "" && w.Method == "HEAD" { // goes on as GET
+		if rules[i] = result.rule; !result.isAccepted || result.gather != "" && w.Method == "HEAD" { // forwarded as GET
 			continue
 		}
 		for _, destination := range p.services[result.service].Destinations {
@@ -309,7 +309,7 @@
 			}
 		}
 	}
-	for i := range all { // which of those from i on lead back to i
+	for i := range all { // whether a path through the regions from i on returns to i
 		reached, queue := make(map[int]bool), []int{i}
 		for len(queue) > 0 {
 			for _, j := range next[queue[0]] {
@@ -327,7 +327,8 @@
 	return found
 }
 
-// followLoop follows a loop's witness around the cycle in either direction; "" where it does not loop.
+// followLoop follows a loop's witness around the cycle in either direction and returns the conflict's key, or "" if
+// the witness does not loop.
 func followLoop(all []*reference, c Conflict) string {
 	n := len(c.Regions)
 	forwards := func(i, j int) bool {
--- a/internal/regions/registry.go
+++ b/internal/regions/registry.go
@@ -10,13 +10,13 @@
 	"lockflow/internal/route"
 )
 
-// Classes of generic HTTP requests whose route names none, as package config adds them.
+// Classes of generic HTTP requests whose route names no class, as package config adds them.
 const (
 	classRead  = "read"
 	classWrite = "write"
 )
 
-// classSource is where the requests of a rule get their class from.
+// classSource states what determines the class of a rule's requests.
 type classSource uint8
 
 const (
@@ -25,28 +25,28 @@
 	classFromPath                      // the first segment of the request's path
 )
 
-// outcome is how a rule handles requests. Rules with equal outcomes handle every request alike.
+// outcome is how a rule handles requests. Rules with equal outcomes handle every request identically.
 type outcome struct {
 	service     string
 	classSource classSource
 	genericHTTP bool
-	class       string // with classFromRule
-	tableID     int32  // of the classes that its requests can have; 0 is unknown
-	gatherID    int32  // text of what the service gathers; 0 where it gathers nothing
+	class       string // set with classFromRule
+	tableID     int32  // table of the classes that its requests can have; 0 if unknown
+	gatherID    int32  // Service.Gather as a text of the registry; 0 for other than scatter-gather services
 }
 
-// ruleInfo is what a region has of a rule besides its conditions.
+// ruleInfo holds the properties of a region's rule other than its conditions.
 type ruleInfo struct {
 	name           string
 	isFromBase     bool
 	outcomeID      int32
-	destinationsID int32 // 0 where none are known
+	destinationsID int32 // 0 if none are known
 }
 
-// noRule is the rule ID of a region that has no rule for a request.
+// noRule stands for the rule ID where a region has no rule for a request.
 const noRule = -1
 
-// internTable numbers distinct values in the order in which they come, from 1. The zero value has number 0.
+// internTable numbers distinct values in the order in which they are added, from 1. The zero value of T has number 0.
 type internTable[T comparable] struct {
 	ids    map[T]int32
 	values []T
@@ -67,11 +67,11 @@
 	return id
 }
 
-// registry holds what rules lead to, each distinct value once.
+// registry holds the outcomes and other properties of the rules of all regions, each distinct value once.
 type registry struct {
 	ruleInfos    internTable[ruleInfo]
 	outcomes     internTable[outcome]
-	texts        internTable[string] // class tables, destinations and gathers as texts
+	texts        internTable[string] // text forms of class tables, destinations and Service.Gather
 	classTables  map[int32]map[string]terms
 	destinations map[int32][]string // host:port, sorted
 }
@@ -85,7 +85,7 @@
 	return &b.outcomes.values[b.ruleInfos.values[ruleID].outcomeID]
 }
 
-// classTable returns the number of a table of classes: of those named, or of all where no name is given.
+// classTable returns the number of the table of the classes with the given names, or of all classes where no name is given.
 func (b *registry) classTable(classes []control.Class, names ...string) int32 {
 	if len(classes) == 0 {
 		return 0
@@ -104,7 +104,7 @@
 	return id
 }
 
-// ruleID returns the number of a route's name, origin, outcome and destinations.
+// ruleID returns the number that identifies a route's name, origin, outcome and destinations.
 func (b *registry) ruleID(route *Route, env *regionServices) int32 {
 	info := ruleInfo{name: route.Name, isFromBase: route.Base}
 	service := env.services[route.Service]
@@ -124,10 +124,10 @@
 	return b.ruleInfos.id(info)
 }
 
-// gatherPrefix marks the text of a gather among the registry's texts.
+// gatherPrefix marks a Service.Gather among the registry's texts.
 const gatherPrefix = "gather\n"
 
-// setClassSource completes the outcome of a route with how its requests get their class.
+// setClassSource sets the class source, and the class where the route determines it, in a route's outcome.
 func setClassSource(result *outcome, r *Route) {
 	switch {
 	case r.RequestClass != "":
@@ -160,11 +160,12 @@
 	return id
 }
 
-// environment holds a region's services by name, and what the registry has of them.
+// regionServices holds a region's services by name, and the registry's numbers of their class tables and
+// destinations.
 type regionServices struct {
 	services       map[string]*Service
 	tableIDs       map[tableKey]int32
-	destinationIDs map[string]int32 // by service
+	destinationIDs map[string]int32 // by service name
 }
 
 type tableKey struct {
--- a/internal/regions/request_set.go
+++ b/internal/regions/request_set.go
@@ -6,9 +6,9 @@
 	"lockflow/internal/route"
 )
 
-// requestSet is the set of requests that fulfil a rule's conditions: a host or a wildcard, a path or a
-// prefix, a method and conditions on headers. An empty string leaves a dimension open. A rule's class is
-// held as the prefix of the class's path segment.
+// requestSet is the set of requests that match a rule's conditions: a host or a wildcard, a path or a
+// prefix, a method and conditions on headers. An empty string matches any value. A rule's class is
+// represented by the prefix that consists of the class's path segment.
 type requestSet struct {
 	host        string // as in a rule: exact, "*.suffix" or any
 	path        string // an exact path, or a prefix of complete segments
@@ -27,7 +27,7 @@
 	return set
 }
 
-// intersect returns the requests that are in both sets, and false where there are none.
+// intersect returns the requests that are in both sets; false if there are none.
 func (a requestSet) intersect(b requestSet) (requestSet, bool) {
 	var ok bool
 	if a.host, ok = intersectHosts(a.host, b.host); !ok {
@@ -69,14 +69,14 @@
 	return "", false
 }
 
-// isHostBelow tells whether the wildcard b matches every host that a matches.
+// isHostBelow reports whether b is a wildcard that matches every host that a matches.
 func isHostBelow(a, b string) bool {
 	suffix, isWildcard := strings.CutPrefix(b, "*")
 	a = strings.TrimPrefix(a, "*")
 	return isWildcard && len(a) > len(suffix) && strings.HasSuffix(a, suffix)
 }
 
-// isBelow tells whether a path starts with a prefix of complete segments.
+// isBelow reports whether a path starts with a prefix of complete segments.
 func isBelow(path, prefix string) bool {
 	return strings.HasPrefix(path, prefix) && (len(path) == len(prefix) || path[len(prefix)] == '/')
 }
@@ -103,8 +103,8 @@
 	return common, true
 }
 
-// matchesNothing tells whether no request can have the condition's host or path: the path contains the
-// start of a query, or the wildcard leaves no bytes for a label.
+// matchesNothing reports whether no request can have the condition's host or path: the path contains the
+// start of a query, or the wildcard is so long that no label fits into the maximum length of a host.
 func (c *condition) matchesNothing() bool {
 	host := c.requests.host
 	isWildcard := host != "" && host[0] == '*'
--- a/internal/regions/slow_start.go
+++ b/internal/regions/slow_start.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// slowStartBudgetFraction is the fraction of a warming server's budget that control uses.
+	// slowStartBudgetFraction is the fraction of a warming server's budget that package control uses.
 	slowStartBudgetFraction = 0.32
-	// minWarmupFraction is the smallest capacity that control assumes of a warming server, as a fraction of
-	// a warm one's.
+	// minWarmupFraction is the smallest capacity that package control assumes for a warming server, as a
+	// fraction of a warm server's.
 	minWarmupFraction = 0.1
 	// maxReportedServers is the largest number of servers that a conflict names.
 	maxReportedServers = 8
@@ -21,13 +21,13 @@
 type serverUser struct {
 	*indexedRegion
 	*Service
-	listID string // equal for services with the same list of servers
+	listID string // equal for services with the same servers
 }
 
-// findSlowStartConflicts compares what regions send together to a warming server with what it can serve.
+// findSlowStartConflicts compares the load that the regions together send to a warming server with its capacity.
 func (x *Index) findSlowStartConflicts() (conflicts []Conflict) {
 	users, positionsByServer := x.serverUsers()
-	servers := make(map[string][]string) // by the users that send to them
+	servers := make(map[string][]string) // by the positions of the users that send to them, as a text
 	positions := make(map[string][]int)
 	for id, userPositions := range positionsByServer {
 		key := fmt.Sprint(userPositions)
@@ -54,11 +54,11 @@
 	return conflicts
 }
 
-// serverUsers lists the services that send to servers, and their positions by server.
+// serverUsers returns the services that send to servers, and their positions in that list by server.
 func (x *Index) serverUsers() (users []serverUser, positionsByServer map[string][]int) {
 	known := x.knownServers()
 	positionsByServer = make(map[string][]int)
-	listIDs := make(map[string]int) // by source, or by the servers as a text
+	listIDs := make(map[string]int) // by source, or by the list of servers as a text
 	for _, region := range x.regions {
 		for i := range region.Services {
 			service := &region.Services[i]
@@ -85,7 +85,8 @@
 	return users, positionsByServer
 }
 
-// serversOf returns a service's servers: its own, else those known of its source, else the source itself.
+// serversOf returns the servers of a service: those that it lists, else those known for its source, else the
+// source itself as a placeholder.
 func serversOf(service *Service, known map[string][]string) []string {
 	switch {
 	case len(service.Servers) > 0 || service.Source == "":
@@ -97,7 +98,7 @@
 	}
 }
 
-// knownServers returns the servers of each source, as the region with the largest number of them lists them.
+// knownServers returns the servers of each source, from the service that lists the largest number of them.
 func (x *Index) knownServers() map[string][]string {
 	known := make(map[string][]string)
 	for _, region := range x.regions {
@@ -110,7 +111,7 @@
 	return known
 }
 
-// slowStartConflict returns the conflict over servers that all of some services send to, or nil.
+// slowStartConflict returns the conflict over the servers to which all of the given services send, or nil.
 func slowStartConflict(users []serverUser) *Conflict {
 	conflict := &Conflict{Kind: SlowStartKind, Severity: Error}
 	minimumLoad, maxGroup, isUncertain := 0.0, 0.0, false
@@ -148,15 +149,16 @@
 	return nil
 }
 
-// worstMoment returns the time in seconds after a server's start at which what it is sent exceeds its limit
-// by the largest ratio. sum and limit are both in fractions of a warm server's load.
+// worstExcess returns the time in seconds after a server's start at which the ratio of the load that it
+// receives to its limit is largest. sum and limit are fractions of a warm server's load.
 func worstExcess(users []serverUser) (worstTime, sum, limit float64) {
 	times := []float64{0}
 	for _, user := range users {
 		initialCapacity, warmupSeconds := user.SlowStart.InitialCapacity, user.SlowStart.WarmupTime.Seconds()
 		times = append(times, warmupSeconds)
-		// The moments at which its warmth is complete and at which its budget is. Between such moments sums
-		// are linear and the limit is the smallest of linear ones, so the worst moment is one of these.
+		// The times at which the ramp of the service and at which its budget reach a warm server's. Between
+		// such times the sum is linear and the limit is the minimum of linear functions, so the ratio is
+		// largest at one of these times.
 		for _, rampFraction := range []float64{1, 1 / (slowStartBudgetFraction * user.SlowStart.OverloadMultiple)} {
 			if t := warmupSeconds * (rampFraction - max(minWarmupFraction, initialCapacity)) / (1 - initialCapacity); t > 0 && t < warmupSeconds {
 				times = append(times, t)
@@ -165,7 +167,7 @@
 	}
 	slices.Sort(times)
 	for _, t := range times {
-		for _, isAfter := range []bool{false, true} { // just before t, and at t
+		for _, isAfter := range []bool{false, true} { // immediately before t, and at t
 			s, b := loadAt(users, t, isAfter)
 			if b > 0 && (limit == 0 || s/b > (1+relativeTolerance)*sum/limit) {
 				worstTime, sum, limit = t, s, b
@@ -175,13 +177,14 @@
 	return worstTime, sum, limit
 }
 
-// loadAt returns what a server is sent t seconds after its start, and the smallest limit of the services
-// for which it is warming up; a limit of 0 is none. isAfter tells t from the moment just before it.
+// loadAt returns the load that a server receives t seconds after its start, and the smallest limit of the
+// services for which it is warming up, or 0 if there is no limit. With isAfter false it returns the values
+// immediately before t.
 func loadAt(users []serverUser, t float64, isAfter bool) (sum, limit float64) {
-	budgets := make(map[string]float64) // by list: users of one list share a warm server's load
+	budgets := make(map[string]float64) // by list of servers: users of one list share a warm server's load
 	for _, user := range users {
 		warmupSeconds := user.SlowStart.WarmupTime.Seconds()
-		budget := 1.0 // of a warm server
+		budget := 1.0 // a warm server's
 		isWarmingUp := t < warmupSeconds || !isAfter && t == warmupSeconds && warmupSeconds > 0
 		if isWarmingUp {
 			initialCapacity := user.SlowStart.InitialCapacity
@@ -193,7 +196,7 @@
 		}
 		budgets[user.listID] = max(budgets[user.listID], budget)
 	}
-	for _, list := range slices.Sorted(maps.Keys(budgets)) { // a fixed order, so that rounding is the same each time
+	for _, list := range slices.Sorted(maps.Keys(budgets)) { // in a fixed order, so that rounding is deterministic
 		sum += budgets[list]
 	}
 	return sum, limit
--- a/internal/regions/sums_test.go
+++ b/internal/regions/sums_test.go
@@ -10,8 +10,8 @@
 	"lockflow/internal/route"
 )
 
-// conflictsOfSums returns the conflicts of regions with the sizes given: the group size that each is told, and its
-// members.
+// sumConflictsOf returns the conflicts of regions with the given sizes: the configured group size and the number of
+// members of each region.
 func sumConflictsOf(change func(i int, r *Region), sizes ...[2]int) (conflicts []Conflict) {
 	var all []Region
 	for i, s := range sizes {
@@ -82,7 +82,7 @@
 	}
 }
 
-// TestLoops checks loops that depend on headers, some of which are not forwarded.
+// TestLoops checks that loops are found which depend on headers, and none where a required header is not forwarded.
 func TestLoops(t *testing.T) {
 	rule := func(name, service string, h ...route.Header) Route {
 		return Route{Rule: route.Rule{Name: name, Service: service, Headers: h}}
@@ -125,7 +125,8 @@
 	}
 }
 
-// TestBounds checks that omitted and undecided conflicts are reported.
+// TestReportBounds checks that a conflict states how many others were omitted, and that an exhausted search is
+// reported as undecided.
 func TestReportBounds(t *testing.T) {
 	all := []Region{{Name: "a"}, {Name: "b"}}
 	for i := range maxReported + 5 {
--- a/internal/regions/terms.go
+++ b/internal/regions/terms.go
@@ -7,11 +7,11 @@
 	"lockflow/control"
 )
 
-// terms decide whether, where and until when a request may be repeated.
+// terms are the settings of a class that decide whether, where and until when a request may be repeated.
 type terms struct {
 	idempotency  control.Idempotency
 	keyScope     control.KeyScope // zero unless requests have an idempotency key
-	repeatWindow time.Duration    // as keyScope
+	repeatWindow time.Duration    // zero unless requests have an idempotency key
 	deadline     time.Duration
 }
 
@@ -24,7 +24,7 @@
 	return t
 }
 
-// String describes the terms for the reason of a conflict.
+// String describes the terms for the text of a conflict.
 func (t terms) String() string {
 	switch t.idempotency {
 	case control.Idempotent:
--- a/internal/regions/types.go
+++ b/internal/regions/types.go
@@ -1,6 +1,6 @@
 // Package regions compares the configurations of several regions. It finds requests that two regions
-// handle differently, each with a request that shows it, and limits that the regions exceed only together.
-// It is pure: no I/O, and no clock.
+// handle differently, each with an example, and limits that the regions exceed in sum. It does no I/O and
+// reads no clock.
 package regions
 
 import (
@@ -11,66 +11,67 @@
 	"lockflow/internal/route"
 )
 
-// Region is what the instances of one region run.
+// Region is the configuration that the instances of one region run.
 type Region struct {
 	Name      string
 	Listeners []string // host:port on which other regions reach its instances
 	Routes    []Route
 	Services  []Service
-	Instances int  // group size that its instances are told
-	Members   int  // instances in the fleet file; 0 is unknown
-	Shared    bool // its hard limits are lent by counters, which all regions that name the same counter share
+	Instances int  // group size in the configuration of its instances
+	Members   int  // number of instances in the fleet file; 0 if unknown
+	Shared    bool // its hard limits are leased from counters, which all regions that name the same counter share
 }
 
-// Route is one rule with what package route does not know of it.
+// Route is a routing rule with the attributes that package route does not have.
 type Route struct {
 	route.Rule
-	RequestClass string // of its requests; "" is decided by the service's protocol
-	Base         bool   // part of the base, unchanged
-	Line         int    // in the region's file, from 1; 0 is unknown
+	RequestClass string // class of its requests; "" if the service's protocol determines it
+	Base         bool   // inherited unchanged from the base configuration
+	Line         int    // line in the region's file, from 1; 0 if unknown
 }
 
-// Service is what other regions depend on of a service.
+// Service is the part of a service's configuration that is compared between regions.
 type Service struct {
 	Name string
-	// GenericHTTP services take the class read or write by method where a route names none; those of the
-	// platform's protocol the path's first segment.
+	// GenericHTTP marks a generic HTTP service. Where a route names no class, its requests get the class read
+	// or write by their method. Requests of the platform's protocol get the path's first segment as class.
 	GenericHTTP  bool
 	Classes      []control.Class
 	Plans        []control.Plan
-	Counter      string   // identity of the shared counters of its hard limits; "" is none
+	Counter      string   // identifies the shared counters of its hard limits; "" if there are none
 	Servers      []string // UIDs of app servers, listed in the configuration or named by Source
-	Source       string   // identity of the server discovery: services with the same source have the same servers
+	Source       string   // identifies the server discovery: services with the same source have the same servers
 	Destinations []string // host:port of servers listed in the configuration, to which it forwards
 	SlowStart    SlowStart
-	// Gather identifies what a scatter-gather service requests of which services, how it merges the results
-	// and how many it needs; "" is any other service. Its Destinations are those of all services that it
-	// reaches. It is generic HTTP, accepts only idempotent requests, and requests parts by GET also for HEAD.
+	// Gather describes a scatter-gather service: what it requests of which services, how it merges the results
+	// and how many it needs. It is "" for any other service. The Destinations of a scatter-gather service are
+	// those of all services that it calls. The service is generic HTTP, accepts only idempotent requests, and
+	// requests its parts by GET, even for a HEAD request.
 	Gather string
 }
 
-// SlowStart is the load that a service sends to a warming server, over the complete group of its instances.
+// SlowStart limits the load that the complete group of a service's instances sends to a warming server.
 type SlowStart struct {
-	WarmupTime       time.Duration // 0 is no slow start
-	InitialCapacity  float64       // fraction of a warm server's load, at the start
-	OverloadMultiple float64       // of its current capacity, beyond which a server is overloaded; 0 is none
+	WarmupTime       time.Duration // 0 disables slow start
+	InitialCapacity  float64       // fraction of a warm server's load that is sent at the start
+	OverloadMultiple float64       // multiple of its current capacity above which a server is overloaded; 0 if there is no such limit
 }
 
-// Kind is what a conflict is about.
+// Kind is the category of a conflict.
 type Kind string
 
-// The kinds of conflicts. docs/regions.md has what to do about each.
+// The kinds of conflicts. docs/regions.md describes how to resolve each.
 const (
-	ServiceKind   Kind = "service"  // one request, two services
+	ServiceKind   Kind = "service"  // the regions forward one request to different services
 	CoverageKind  Kind = "coverage" // one region accepts a request, the other does not
-	TermsKind     Kind = "terms"    // one class, two sets of retry terms
-	HardLimitKind Kind = "ceiling"  // the regions admit more together than a plan's hard limit and slack
-	SlowStartKind Kind = "cold"     // the regions send a warming server more together than it can serve
+	TermsKind     Kind = "terms"    // the regions have different retry terms for one request
+	HardLimitKind Kind = "ceiling"  // the regions together admit more than a plan's hard limit and slack
+	SlowStartKind Kind = "cold"     // the regions together send a warming server more than it can serve
 	LoopKind      Kind = "loop"     // a request is forwarded in a cycle of regions
 	DeadKind      Kind = "dead"     // a rule that no request reaches
 )
 
-// Severity tells whether a conflict prevents a change.
+// Severity states whether a conflict prevents a change.
 type Severity string
 
 // The severities of conflicts.
@@ -87,12 +88,12 @@
 	Headers http.Header `json:"headers"`
 }
 
-// Conflict is one difference between regions.
+// Conflict is one finding of a comparison of regions.
 type Conflict struct {
 	Kind     Kind     `json:"kind"`
 	Severity Severity `json:"severity"`
 	Regions  []string `json:"regions"` // sorted
-	Rules    []string `json:"rules"`   // names of routes, plans, classes or servers; one for each region where that fits
+	Rules    []string `json:"rules"`   // names of routes, plans, classes or servers; one per region where the kind allows it
 	Why      string   `json:"why"`
-	Witness  *Witness `json:"witness,omitempty"` // for conflicts about requests
+	Witness  *Witness `json:"witness,omitempty"` // only for conflicts about requests
 }
--- a/internal/regions/unnamed.go
+++ b/internal/regions/unnamed.go
@@ -8,11 +8,11 @@
 	"lockflow/internal/route"
 )
 
-// maxHostBytes is the length of a host in bytes, as package route bounds it.
+// maxHostBytes is the largest length of a host in bytes that package route accepts.
 const maxHostBytes = 255
 
-// minimalHeaders returns the headers that the conditions require: those that must be present with any
-// value get one that no rule names, and all others are left out.
+// minimalHeaders returns the headers that the conditions require, and no others. A header that may have any
+// value gets one that no rule names.
 func (s *conditionIndex) minimalHeaders(set requestSet) http.Header {
 	if len(set.headers) == 0 {
 		return nil
@@ -28,14 +28,14 @@
 	return headers
 }
 
-// unnamedPlace returns a host and a path of a request set to which no more specific rule applies; false
-// where there is none.
+// unnamedHostAndPath returns a host and a path of a request set to which no more specific rule applies; false
+// if there is none.
 func (s *conditionIndex) unnamedHostAndPath(set requestSet) (host, path string, ok bool) {
 	if host, ok = s.unnamedHost(set.host); !ok {
 		return "", "", false
 	}
 	switch {
-	case strings.Contains(set.path, "?"): // starts a query, so it is in no request's path
+	case strings.Contains(set.path, "?"): // "?" starts a query, so that no request's path contains it
 		return "", "", false
 	case set.isExactPath:
 		return host, set.path, true
@@ -51,7 +51,7 @@
 	}
 }
 
-// unnamedHost returns a host that a rule's host matches and no rule names, or that host itself if it is exact.
+// unnamedHost returns a host that matches a rule's host pattern and that no rule names, or the pattern itself if it is exact.
 func (s *conditionIndex) unnamedHost(pattern string) (host string, ok bool) {
 	suffix, isWildcard := strings.CutPrefix(pattern, "*")
 	if !isWildcard && pattern != "" {
@@ -68,9 +68,9 @@
 	}
 }
 
-// isUnnamedPath tells whether no rule names a path for a host, the prefix itself excepted.
+// isUnnamedPath reports whether no rule names a path for a host, other than by the given prefix.
 func (s *conditionIndex) isUnnamedPath(host, path, prefix string) bool {
-	isFree := path != route.HealthPath // answered by the node itself
+	isFree := path != route.HealthPath // the instance answers it itself
 	segments := strings.TrimSuffix(path, "/")
 	s.eachHostBucket(host, func(b *hostBucket) bool {
 		hasPrefix := path != prefix && segments != prefix && b.prefixes[segments] != nil
@@ -80,7 +80,7 @@
 	return isFree
 }
 
-// candidateName returns the i-th of an endless series of names, the shortest first.
+// candidateName returns the i-th of an infinite sequence of distinct names, the shortest first.
 func candidateName(i int) string {
 	const letters, firstLetter = 26, 23 // starts at x, y, z
 	if i < letters {
@@ -89,7 +89,7 @@
 	return "x" + strconv.Itoa(i)
 }
 
-// unusedHeaderValue returns a value of a header that no rule names.
+// unusedHeaderValue returns a value that no rule names for a header.
 func (s *conditionIndex) unusedHeaderValue(name string) string {
 	for i := 0; ; i++ {
 		if s.headerUses[route.Header{Name: name, Value: candidateName(i)}] == 0 {
@@ -98,8 +98,8 @@
 	}
 }
 
-// unusedMethod returns a method that no rule names, a safe one on demand; "" where all safe ones are named.
-// POST is never returned, as the platform's classes treat it unlike other unsafe methods.
+// unusedMethod returns a method that no rule names, either safe or unsafe. It returns "" if rules name all
+// safe methods. It never returns POST, which the platform's classes treat differently from other unsafe methods.
 func (s *conditionIndex) unusedMethod(isSafe bool) string {
 	methods := []string{http.MethodPut, http.MethodPatch, http.MethodDelete}
 	if isSafe {
--- a/internal/regions/variants.go
+++ b/internal/regions/variants.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// variants splits a request set by each method and class that makes a difference to the rules given: what
-// these do with its minimal requests is shown by the minimal requests of the parts.
+// variants splits a request set by the methods and classes that the given rules handle differently. The
+// minimal requests of the parts show every outcome that the rules have for requests of the set.
 func (x *Index) variants(set requestSet, ruleIDs []int32) []requestSet {
 	classes := x.splitByClass(set, ruleIDs)
 	if set.method != "" {
@@ -24,8 +24,8 @@
 	return variants
 }
 
-// splitByClass returns a request set and, where it has any path, the part of each class that requests of
-// the rules given get from their path; sorted by path.
+// splitByClass returns a request set and, if the set matches any path, its part for each class that the given
+// rules derive from the path; sorted by path.
 func (x *Index) splitByClass(set requestSet, ruleIDs []int32) []requestSet {
 	parts := []requestSet{set}
 	if set.isExactPath || set.path != "" {
@@ -48,7 +48,7 @@
 	return parts
 }
 
-// methodsThatMatter returns methods that show all that the rules given do with methods.
+// methodsThatMatter returns one method of each kind that the given rules handle differently.
 func (x *Index) methodsThatMatter(ruleIDs []int32) []string {
 	var hasMethodRules, hasClassByMethod bool
 	for _, id := range ruleIDs {
