--- a/internal/regions/mixture/mixture_test.go
+++ b/internal/regions/mixture/mixture_test.go
@@ -110,28 +110,28 @@
 
 func TestOrder(t *testing.T) {
 	for name, tc := range map[string]struct{ old, new, order, cycle, intermediateOrder string }{
-		"nothing changes":                   {"n 1/1 /x=a:r|s 1/1 /x=a:r", "n 1/1 /x=a:r|s 1/1 /x=a:r", "", "", ""},
-		"one route of one":                  {"n 1/1 /x=a:r", "n 1/1 /x=b:r", "n", "", ""},
-		"a ceiling goes over":               {"n 4/8 g=40|s 4/8 g=40", "n 4/5 g=40|s 4/20 g=40", "s n", "", ""},
-		"a group grows, and is told before": {"n 4/8 g=9|s 4/8 g=9", "n 8/12 g=9|s 4/12 g=9", "s n", "n", "n"},
-		"a region comes":                    {"n 4/4 g=9", "n 4/8 g=9|s 4/8 g=9", "n s", "", ""},
-		"a region goes":                     {"n 4/8 g=9|s 4/8 g=9", "n 4/4 g=9", "s n", "", ""},
-		"terms get stricter":                {"n 1/1 /x=a:w.free|s 1/1 /x=a:w.free", "n 1/1 /x=a:w.never|s 1/1 /x=a:w.never", "n s", "", ""},
-		"both move a route":                 {"n 1/1 /x=a:r|s 1/1 /x=a:r|w 1/1", "n 1/1 /x=b:r|s 1/1 /x=b:r|w 1/1 g=1", "", "n s", ""},
-		"a ceiling rises everywhere":        {"n 4/8 g=30|s 4/8 g=30", "n 4/8 g=40|s 4/8 g=40", "n s", "", ""},
-		"terms that cross":                  {"n 1/1 /x=a:w.free:1s|s 1/1 /x=a:w.free:1s", "n 1/1 /x=a:w.never:9s|s 1/1 /x=a:w.never:9s", "n s", "n", "n s"},
-		"ceilings swap":                     {"n 1/4 a=12 b=8|s 1/4 a=8 b=12|w 1/3 a=8 b=8", "n 1/4 a=8 b=12|s 1/4 a=12 b=8|w 1/3 a=8 b=8", "n s", "n s", "n s"},
+		"no change":                             {"n 1/1 /x=a:r|s 1/1 /x=a:r", "n 1/1 /x=a:r|s 1/1 /x=a:r", "", "", ""},
+		"one region moves a route":              {"n 1/1 /x=a:r", "n 1/1 /x=b:r", "n", "", ""},
+		"hard limit shifts to another region":   {"n 4/8 g=40|s 4/8 g=40", "n 4/5 g=40|s 4/20 g=40", "s n", "", ""},
+		"group size grows before members join":  {"n 4/8 g=9|s 4/8 g=9", "n 8/12 g=9|s 4/12 g=9", "s n", "n", "n"},
+		"region joins":                          {"n 4/4 g=9", "n 4/8 g=9|s 4/8 g=9", "n s", "", ""},
+		"region leaves":                         {"n 4/8 g=9|s 4/8 g=9", "n 4/4 g=9", "s n", "", ""},
+		"retry terms become stricter":           {"n 1/1 /x=a:w.free|s 1/1 /x=a:w.free", "n 1/1 /x=a:w.never|s 1/1 /x=a:w.never", "n s", "", ""},
+		"two regions move a route":              {"n 1/1 /x=a:r|s 1/1 /x=a:r|w 1/1", "n 1/1 /x=b:r|s 1/1 /x=b:r|w 1/1 g=1", "", "n s", ""},
+		"hard limit rises in all regions":       {"n 4/8 g=30|s 4/8 g=30", "n 4/8 g=40|s 4/8 g=40", "n s", "", ""},
+		"retry terms become stricter and laxer": {"n 1/1 /x=a:w.free:1s|s 1/1 /x=a:w.free:1s", "n 1/1 /x=a:w.never:9s|s 1/1 /x=a:w.never:9s", "n s", "n", "n s"},
+		"regions swap hard limits":              {"n 1/4 a=12 b=8|s 1/4 a=8 b=12|w 1/3 a=8 b=8", "n 1/4 a=8 b=12|s 1/4 a=12 b=8|w 1/3 a=8 b=8", "n s", "n s", "n s"},
 	} {
 		r := Order(parseFleet(tc.old), parseFleet(tc.new), regions.Check)
 		if incremental := Order(parseFleet(tc.old), parseFleet(tc.new), NewIncrementalCheck()); !reflect.DeepEqual(r, incremental) {
-			t.Errorf("%s: incremental check %+v\nand not %+v", name, incremental, r)
+			t.Errorf("%s: result with the incremental check %+v\nwant %+v", name, incremental, r)
 		}
-		if name == "one route of one" && len(r.Transient) != 1 {
-			t.Errorf("%s: passing %+v", name, r.Transient)
+		if name == "one region moves a route" && len(r.Transient) != 1 {
+			t.Errorf("%s: transient conflicts, want 1: %+v", name, r.Transient)
 		}
 		got := []string{strings.Join(r.Order, " "), strings.Join(r.Cycle, " "), strings.Join(r.IntermediateOrder, " ")}
 		if !slices.Equal(got, []string{tc.order, tc.cycle, tc.intermediateOrder}) {
-			t.Errorf("%s: order, circle, first %q\n%+v", name, got, r)
+			t.Errorf("%s: order, cycle and intermediate order %q\n%+v", name, got, r)
 		}
 	}
 }
@@ -178,13 +178,13 @@
 				intermediate[slices.IndexFunc(intermediate, func(o regions.Region) bool { return o.Name == m.Name })] = m
 			}
 			if violation := firstViolation(old, intermediate, r.IntermediateOrder, endConflicts, old, new); violation != "" {
-				t.Fatalf("to the intermediate: %s", violation)
+				t.Fatalf("change to the intermediate configurations: %s", violation)
 			}
 			phaseStart = intermediate
 		}
 		if r.Order != nil {
 			if violation := firstViolation(phaseStart, new, r.Order, endConflicts, old, new); violation != "" {
-				t.Fatalf("%v: %s", r.Order, violation)
+				t.Fatalf("order %v: %s", r.Order, violation)
 			}
 		}
 		if r.Cycle != nil {
@@ -197,21 +197,21 @@
 			}
 			permute(names, 0, func(order []string) {
 				if violation := firstViolation(old, new, order, endConflicts, old, new); violation == "" && len(r.Intermediate) == 0 {
-					t.Fatalf("%v will do", order)
+					t.Fatalf("no order was found, but %v has no new conflict", order)
 				}
 			})
 			for _, c := range r.Cycle {
 				if !slices.Contains(names, c) && len(r.Intermediate) == 0 {
-					t.Fatalf("%s of the circle does not change", c)
+					t.Fatalf("region %s of the cycle does not change", c)
 				}
 			}
 			if len(r.Blocked) == 0 {
-				t.Fatal("nothing is said of why")
+				t.Fatal("a cycle has no blocking conflicts")
 			}
 		}
 	})
 	if found == 0 || cycles == 0 { // of 100 draws usually 70 and 12
-		t.Errorf("drew %d with an order, %d with a circle", found, cycles)
+		t.Errorf("drew %d changes with an order and %d with a cycle, want some of both", found, cycles)
 	}
 }
 
@@ -272,7 +272,7 @@
 							continue
 						}
 					}
-					return fmt.Sprintf("%s: %d of old, %d of new: %+v", name, oldMembers, newMembers, c)
+					return fmt.Sprintf("%s: %d members with the old and %d with the new configuration: %+v", name, oldMembers, newMembers, c)
 				}
 			}
 		}
@@ -305,7 +305,7 @@
 			if members == 0 {
 				budget = 0
 			}
-			sums["cold at "+elapsed.String()] = budget * float64(members) / float64(r.Instances)
+			sums["slow start at "+elapsed.String()] = budget * float64(members) / float64(r.Instances)
 		}
 	}
 	return sums
@@ -361,17 +361,17 @@
 			for changed := 0; changed <= b.Members; changed++ {
 				for remaining := 0; remaining <= a.Members && remaining+changed <= maximum; remaining++ {
 					if !isBoundedByEnd(a, remaining, changed) && !isBoundedByEnd(b, remaining, changed) {
-						t.Fatalf("phase %d, %d left and %d changed: more than either end\n%+v\n%+v", i, remaining, changed, a, b)
+						t.Fatalf("phase %d, %d members unchanged and %d changed: sums exceed those of both configurations\n%+v\n%+v", i, remaining, changed, a, b)
 					}
 				}
 			}
 			k, l := a.Services[0].Classes[0], b.Services[0].Classes[0]
 			if !isStricterOrEqual(k, l) && !isStricterOrEqual(l, k) {
-				t.Fatalf("terms cross: %+v, %+v", k, l)
+				t.Fatalf("neither class is stricter in every respect: %+v, %+v", k, l)
 			}
 		}
 	})
 	if intermediates == 0 {
-		t.Error("no pair needed an intermediate")
+		t.Error("no drawn pair needed an intermediate configuration")
 	}
 }
--- a/internal/regions/regions_test.go
+++ b/internal/regions/regions_test.go
@@ -60,7 +60,7 @@
 	}
 	var problems []*route.RuleError
 	if ref.router, problems = route.New(rules); problems != nil {
-		t.Fatalf("%v", problems)
+		t.Fatalf("route.New rejected the rules: %v", problems)
 	}
 	for _, s := range r.Services {
 		ref.services[s.Name] = s
@@ -249,13 +249,13 @@
 			case DeadKind:
 				key := conflictKey(DeadKind, c.Regions[0], "", c.Rules[0], "")
 				if !want[key] {
-					t.Fatalf("%+v: false", c)
+					t.Fatalf("%+v: the rule is not dead", c)
 				}
 				delete(want, key)
 			case LoopKind:
 				key := followLoop(references, c)
 				if key == "" {
-					t.Fatalf("%+v: it does not go round", c)
+					t.Fatalf("%+v: the witness does not loop", c)
 				}
 				delete(want, key)
 			default:
@@ -263,13 +263,13 @@
 				b := references[slices.IndexFunc(all, func(r Region) bool { return r.Name == c.Regions[1] })].handle(w)
 				key := conflictKey(c.Kind, c.Regions[0], c.Regions[1], a.rule, b.rule)
 				if !slices.Contains(conflictKinds(a, b), c.Kind) || !want[key] {
-					t.Fatalf("%+v: false: %+v, %+v", c, a, b)
+					t.Fatalf("%+v: the routers handle the witness as %+v and %+v, which is no such conflict", c, a, b)
 				}
 				delete(want, key)
 			}
 		}
 		if len(want) > 0 {
-			t.Fatalf("missed: %v\n%+v", want, all)
+			t.Fatalf("conflicts not reported: %v\nregions: %+v", want, all)
 		}
 
 		checkOrderAndReplace(t, x, all)
@@ -283,13 +283,13 @@
 	reorderedRegions := slices.Clone(all)
 	slices.Reverse(reorderedRegions)
 	if reorderedConflicts := Check(reorderedRegions); !reflect.DeepEqual(conflicts, reorderedConflicts) {
-		t.Fatalf("in another order: %v, not %v", reorderedConflicts, conflicts)
+		t.Fatalf("conflicts with the regions in reverse order: got %v, want %v", reorderedConflicts, conflicts)
 	}
 	for range 3 {
 		position := rapid.IntRange(0, len(all)-1).Draw(t, "at")
 		all[position] = drawRegion(t, all[position].Name, all[rapid.IntRange(0, len(all)-1).Draw(t, "from")].Routes)
 		if got, want := x.Replace(all[position]), Check(all); !reflect.DeepEqual(got, want) {
-			t.Fatalf("replaced:\n%v\nnot\n%v", got, want)
+			t.Fatalf("conflicts after Replace: got\n%v\nwant\n%v", got, want)
 		}
 	}
 }
--- a/internal/regions/sums_test.go
+++ b/internal/regions/sums_test.go
@@ -43,39 +43,39 @@
 		sizes  [][2]int
 		want   string // kind, severity and part of why; "" is no conflict
 	}{
-		"the whole group":          {unchanged, twoRegions, ""},
-		"each its own size":        {unchanged, groupsOfOne, "ceiling error let 200 units a second"},
-		"one too many":             {unchanged, [][2]int{{2, 1}, {2, 2}}, "ceiling error let 150 units"},
-		"fewer than told":          {unchanged, [][2]int{{9, 1}, {9, 2}}, ""},
-		"one region, too many":     {unchanged, [][2]int{{4, 5}}, "ceiling error let 125 units"},
-		"members unknown":          {unchanged, [][2]int{{2, 0}, {2, 1}}, "ceiling warning members unknown"},
-		"no ceiling in one":        {changePlan(func(i int, p *control.Plan) { p.HardLimitRate *= float64(i) }), twoRegions, "ceiling error none in a"},
-		"the least ceiling counts": {changePlan(func(i int, p *control.Plan) { p.HardLimitRate += float64(10 * i) }), twoRegions, "ceiling error let 105 units a second through, the ceiling is 100"},
-		"a burst within the slack": {changePlan(func(i int, p *control.Plan) { p.HardLimitBurst += float64(20 * i) }), twoRegions, ""},
-		"a burst beyond it":        {changePlan(func(i int, p *control.Plan) { p.HardLimitBurst += float64(21 * i) }), twoRegions, "ceiling error at once"},
-		"another service":          {func(_ int, r *Region) { r.Services[0].Name = r.Name }, groupsOfOne, ""},
-		"one counter":              {func(_ int, r *Region) { r.Services[0].Name, r.Services[0].Counter, r.Shared = r.Name, "c", true }, groupsOfOne, "ceiling error let 200"},
-		"counters unshared":        {func(_ int, r *Region) { r.Services[0].Name, r.Services[0].Counter = r.Name, "c" }, groupsOfOne, ""},
+		"regions form one complete group":   {unchanged, twoRegions, ""},
+		"group sizes cover one region each": {unchanged, groupsOfOne, "ceiling error let 200 units a second"},
+		"one member above the group size":   {unchanged, [][2]int{{2, 1}, {2, 2}}, "ceiling error let 150 units"},
+		"fewer members than the group size": {unchanged, [][2]int{{9, 1}, {9, 2}}, ""},
+		"one region above its group size":   {unchanged, [][2]int{{4, 5}}, "ceiling error let 125 units"},
+		"number of members unknown":         {unchanged, [][2]int{{2, 0}, {2, 1}}, "ceiling warning members unknown"},
+		"one region without a hard limit":   {changePlan(func(i int, p *control.Plan) { p.HardLimitRate *= float64(i) }), twoRegions, "ceiling error none in a"},
+		"smallest hard limit applies":       {changePlan(func(i int, p *control.Plan) { p.HardLimitRate += float64(10 * i) }), twoRegions, "ceiling error let 105 units a second through, the ceiling is 100"},
+		"bursts within the slack":           {changePlan(func(i int, p *control.Plan) { p.HardLimitBurst += float64(20 * i) }), twoRegions, ""},
+		"bursts above the slack":            {changePlan(func(i int, p *control.Plan) { p.HardLimitBurst += float64(21 * i) }), twoRegions, "ceiling error at once"},
+		"different services":                {func(_ int, r *Region) { r.Services[0].Name = r.Name }, groupsOfOne, ""},
+		"one shared counter":                {func(_ int, r *Region) { r.Services[0].Name, r.Services[0].Counter, r.Shared = r.Name, "c", true }, groupsOfOne, "ceiling error let 200"},
+		"one counter, not shared":           {func(_ int, r *Region) { r.Services[0].Name, r.Services[0].Counter = r.Name, "c" }, groupsOfOne, ""},
 
-		"three lists":        {changeSlowStart(func(int, *Service) {}), fourRegions[:3], ""},
-		"four lists":         {changeSlowStart(func(int, *Service) {}), fourRegions, "cold error 0.48 of a warm one's work together, it falls at 0.375"},
-		"one list":           {changeSlowStart(func(_ int, s *Service) { s.Servers = []string{"1", "2"} }), fourRegions, ""},
-		"one source":         {changeSlowStart(func(_ int, s *Service) { s.Servers, s.Source = nil, "agent" }), fourRegions, ""},
-		"one does not ramp":  {changeSlowStart(func(i int, s *Service) { s.SlowStart.WarmupTime *= time.Duration(i) }), twoRegions, "cold error it falls at 0.375"},
-		"told of one each":   {changeSlowStart(func(int, *Service) {}), [][2]int{{1, 2}, {1, 2}}, "cold error 4 requests a second"},
-		"one region alone":   {changeSlowStart(func(int, *Service) {}), [][2]int{{1, 4}}, "cold error 4 requests a second"},
-		"nothing falls":      {changeSlowStart(func(_ int, s *Service) { s.SlowStart.OverloadMultiple = 0 }), fourRegions, ""},
-		"another view of it": {changeSlowStart(func(i int, s *Service) { s.SlowStart.InitialCapacity += 0.85 * float64(i) }), twoRegions, "cold error it falls at 0.375"},
+		"three server lists":                          {changeSlowStart(func(int, *Service) {}), fourRegions[:3], ""},
+		"four server lists":                           {changeSlowStart(func(int, *Service) {}), fourRegions, "cold error 0.48 of a warm one's work together, it falls at 0.375"},
+		"one server list":                             {changeSlowStart(func(_ int, s *Service) { s.Servers = []string{"1", "2"} }), fourRegions, ""},
+		"one server source":                           {changeSlowStart(func(_ int, s *Service) { s.Servers, s.Source = nil, "agent" }), fourRegions, ""},
+		"one region without slow start":               {changeSlowStart(func(i int, s *Service) { s.SlowStart.WarmupTime *= time.Duration(i) }), twoRegions, "cold error it falls at 0.375"},
+		"two regions above their group sizes":         {changeSlowStart(func(int, *Service) {}), [][2]int{{1, 2}, {1, 2}}, "cold error 4 requests a second"},
+		"one region above its group size, slow start": {changeSlowStart(func(int, *Service) {}), [][2]int{{1, 4}}, "cold error 4 requests a second"},
+		"no overload multiple":                        {changeSlowStart(func(_ int, s *Service) { s.SlowStart.OverloadMultiple = 0 }), fourRegions, ""},
+		"different initial capacities":                {changeSlowStart(func(i int, s *Service) { s.SlowStart.InitialCapacity += 0.85 * float64(i) }), twoRegions, "cold error it falls at 0.375"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			conflicts := sumConflictsOf(tc.change, tc.sizes...)
 			if len(conflicts) > 1 || len(conflicts) != min(1, len(tc.want)) {
-				t.Fatalf("%v", conflicts)
+				t.Fatalf("unexpected number of conflicts: %v", conflicts)
 			}
 			for _, c := range conflicts {
 				words := strings.SplitN(tc.want, " ", 3)
 				if string(c.Kind) != words[0] || string(c.Severity) != words[1] || !strings.Contains(c.Why, words[2]) || len(c.Regions) != len(tc.sizes) {
-					t.Errorf("%+v", c)
+					t.Errorf("unexpected conflict: %+v", c)
 				}
 			}
 		})
@@ -93,23 +93,23 @@
 		routes        []Route
 		want          Severity // "" is no loop
 	}{
-		"plain":               {true, []Route{rule("on", "peer")}, Error},
-		"ends at the second":  {true, []Route{rule("on", "peer"), rule("end", "own", any("Via"))}, ""},
-		"Via is asked for":    {true, []Route{rule("on", "peer", any("Via"))}, Error},
-		"Via as it came":      {true, []Route{rule("on", "peer", route.Header{Name: "Via", Value: "1.1 x"})}, ""},
-		"the platform, Via":   {false, []Route{rule("on", "peer", route.Header{Name: "Via", Value: "1.1 x"})}, Error},
-		"of one connection":   {true, []Route{rule("on", "peer", any("Keep-Alive"))}, ""},
-		"a proxy's":           {true, []Route{rule("on", "peer", any("Proxy-Authorization"))}, ""},
-		"set on the way":      {true, []Route{rule("on", "peer", any("X-Forwarded-Proto"))}, Warning},
-		"set, and ends there": {true, []Route{rule("on", "peer"), rule("end", "own", any("X-Request-Id"))}, Warning},
-		"gathers":             {true, []Route{rule("on", "gathers")}, Error},
-		"gathers, HEAD":       {true, []Route{{Rule: route.Rule{Name: "on", Service: "gathers", Method: "HEAD"}}}, ""},
-		"HEAD":                {true, []Route{{Rule: route.Rule{Name: "on", Service: "peer", Method: "HEAD"}}}, Error},
-		"gathers a range":     {true, []Route{rule("on", "gathers", any("Range"))}, ""},
-		"a server's range":    {true, []Route{rule("on", "peer", any("Range"))}, Error},
-		"gathers, packed":     {true, []Route{rule("on", "gathers", route.Header{Name: "Accept-Encoding", Value: "gzip"})}, ""},
-		"gathers, unpacked":   {true, []Route{rule("on", "gathers", any("Accept-Encoding"))}, Error},
-		"gathers, ends so":    {true, []Route{rule("on", "gathers"), rule("end", "own", any("Accept-Encoding"))}, ""},
+		"plain":                     {true, []Route{rule("on", "peer")}, Error},
+		"ends where Via is set":     {true, []Route{rule("on", "peer"), rule("end", "own", any("Via"))}, ""},
+		"Via required":              {true, []Route{rule("on", "peer", any("Via"))}, Error},
+		"Via with a value required": {true, []Route{rule("on", "peer", route.Header{Name: "Via", Value: "1.1 x"})}, ""},
+		"Via with a value required, platform protocol":      {false, []Route{rule("on", "peer", route.Header{Name: "Via", Value: "1.1 x"})}, Error},
+		"hop-by-hop header required":                        {true, []Route{rule("on", "peer", any("Keep-Alive"))}, ""},
+		"proxy header required":                             {true, []Route{rule("on", "peer", any("Proxy-Authorization"))}, ""},
+		"header required that intermediaries may set":       {true, []Route{rule("on", "peer", any("X-Forwarded-Proto"))}, Warning},
+		"ends where intermediaries set a header":            {true, []Route{rule("on", "peer"), rule("end", "own", any("X-Request-Id"))}, Warning},
+		"gathers":                                           {true, []Route{rule("on", "gathers")}, Error},
+		"scatter-gather, HEAD":                              {true, []Route{{Rule: route.Rule{Name: "on", Service: "gathers", Method: "HEAD"}}}, ""},
+		"HEAD":                                              {true, []Route{{Rule: route.Rule{Name: "on", Service: "peer", Method: "HEAD"}}}, Error},
+		"scatter-gather, Range required":                    {true, []Route{rule("on", "gathers", any("Range"))}, ""},
+		"Range required":                                    {true, []Route{rule("on", "peer", any("Range"))}, Error},
+		"scatter-gather, gzip required":                     {true, []Route{rule("on", "gathers", route.Header{Name: "Accept-Encoding", Value: "gzip"})}, ""},
+		"scatter-gather, Accept-Encoding required":          {true, []Route{rule("on", "gathers", any("Accept-Encoding"))}, Error},
+		"scatter-gather, ends where Accept-Encoding is set": {true, []Route{rule("on", "gathers"), rule("end", "own", any("Accept-Encoding"))}, ""},
 	} {
 		var all []Region
 		for i, n := range []string{"a", "b"} {
@@ -120,7 +120,7 @@
 			}})
 		}
 		if conflicts := Check(all); len(conflicts) != min(1, len(tc.want)) || len(conflicts) == 1 && (conflicts[0].Kind != LoopKind || conflicts[0].Severity != tc.want) {
-			t.Errorf("%s: %+v", name, conflicts)
+			t.Errorf("%s: unexpected conflicts: %+v", name, conflicts)
 		}
 	}
 }
@@ -137,9 +137,9 @@
 	}
 	conflicts := Check(all)
 	if last := conflicts[len(conflicts)-1]; len(conflicts) != maxReported+1 || last.Why == "" || len(last.Rules) != 0 || last.Severity != Error || !strings.HasSuffix(last.Why, " more of this kind") {
-		t.Errorf("%d: %+v", len(conflicts), last)
+		t.Errorf("%d conflicts, the last is not one error for all that were omitted: %+v", len(conflicts), last)
 	}
 	if conflicts := newIndex(all, 1000).Conflicts(); !strings.HasPrefix(conflicts[0].Why, "undecided") || conflicts[0].Severity != Error || len(conflicts[0].Regions) != 2 {
-		t.Errorf("%+v", conflicts[0])
+		t.Errorf("first conflict is not an undecided one of both regions: %+v", conflicts[0])
 	}
 }
