--- a/internal/regions/hard_limits.go
+++ b/internal/regions/hard_limits.go
@@ -8,22 +8,23 @@
 	"strings"
 )
 
-// Hard limits and the budgets of warming servers are divided over the group size that each instance is
-// told, and no instance sees their sum. docs/design/regions.md derives both sums from package control.
+// Each instance divides hard limits and the budgets of warming servers by its configured group size, and no
+// instance observes the sum over all regions. docs/design/regions.md derives both sums from package control.
 
-// relativeTolerance is by how much sums may exceed a limit through rounding.
+// relativeTolerance is the fraction by which a sum may exceed a limit because of rounding.
 const relativeTolerance = 1e-9
 
-// hardLimitStartFraction is the fraction of the slack with which control fills a hard-limit bucket at first.
+// hardLimitStartFraction is the fraction of the slack that package control puts into a new hard-limit bucket.
 const hardLimitStartFraction = 0.5
 
-// findSums finds what the regions admit together above a limit.
-func (x *Index) findSums() []Conflict {
+// findSumConflicts finds the limits that the regions exceed in sum.
+func (x *Index) findSumConflicts() []Conflict {
 	return append(x.findHardLimitConflicts(), x.findSlowStartConflicts()...)
 }
 
-// groupCount returns how many complete groups a region's instances act as: its members by the group size
-// that each is told. Where the members are unknown it is 1, as the region's own settings have it.
+// groupCount returns the number of complete groups that a region's instances are equal to: its members
+// divided by the group size in their configuration. If the number of members is unknown it is 1, since the
+// region's own settings assume one complete group.
 func (r *indexedRegion) groupCount() (count float64, isKnown bool) {
 	if r.Members == 0 {
 		return 1, false
@@ -39,14 +40,14 @@
 	return fmt.Sprintf("all of %d in %s, members unknown (1)", size, r.Name)
 }
 
-// sharedService is a region's service among those whose customers share hard limits.
-type sharedService struct {
+// sharingService is a region's service in a group of services that share hard limits.
+type sharingService struct {
 	*indexedRegion
 	*Service
 }
 
-// findHardLimitConflicts compares the regions' sums of each plan with the smallest hard limit that any
-// region states.
+// findHardLimitConflicts compares, for each plan, the sum over the regions with the smallest hard limit that
+// any region configures.
 func (x *Index) findHardLimitConflicts() (conflicts []Conflict) {
 	for _, group := range x.sharingGroups() {
 		names := make(map[string]struct{})
@@ -64,13 +65,13 @@
 	return conflicts
 }
 
-// sharingGroups groups the services that share hard limits: of one name, or of one counter.
-func (x *Index) sharingGroups() [][]sharedService {
-	positions := make(map[string]int) // by service or counter
-	var groups [][]sharedService
+// sharingGroups groups the services that share hard limits: those with the same name or the same counter.
+func (x *Index) sharingGroups() [][]sharingService {
+	positions := make(map[string]int) // of groups, by service or counter
+	var groups [][]sharingService
 	for _, region := range x.regions {
 		for i := range region.Services {
-			service := sharedService{region, &region.Services[i]}
+			service := sharingService{region, &region.Services[i]}
 			names := []string{"service " + service.Name}
 			if region.Shared && service.Counter != "" {
 				names = append(names, "counter "+service.Counter)
@@ -89,9 +90,9 @@
 	return groups
 }
 
-// mergeGroups merges the groups that some names belong to and returns the position of the merged one; -1
-// where there are none.
-func mergeGroups(names []string, positions map[string]int, groups [][]sharedService) int {
+// mergeGroups merges the groups that the names belong to and returns the position of the merged group; -1
+// if the names belong to none.
+func mergeGroups(names []string, positions map[string]int, groups [][]sharingService) int {
 	target := -1
 	for _, name := range names {
 		position, ok := positions[name]
@@ -114,54 +115,54 @@
 
 // planPart is a region's part of a plan's hard limit.
 type planPart struct {
-	sharedService
+	sharingService
 	rate float64 // units a second; 0 is no hard limit
 }
 
-// hardLimitTotal is what all regions admit of a plan, and the smallest limits that they state.
+// hardLimitTotal is what all regions admit for a plan, and the smallest limits that they configure.
 type hardLimitTotal struct {
 	parts       []planPart
 	isLimited   bool
-	isUncertain bool // the members of a region are unknown
+	isUncertain bool // the number of members of a region is unknown
 
-	rate, burst, slack float64 // the limits, in units (a second)
-	sumRate, sumBurst  float64 // what is admitted in all
+	rate, burst, slack float64 // the smallest limits, in units (rate: units a second)
+	sumRate, sumBurst  float64 // what all regions together admit
 }
 
-func totalOf(plan string, group []sharedService) hardLimitTotal {
-	var t hardLimitTotal
-	for _, s := range group {
-		for _, p := range s.Plans {
+func totalOf(plan string, group []sharingService) hardLimitTotal {
+	var total hardLimitTotal
+	for _, service := range group {
+		for _, p := range service.Plans {
 			if p.Name != plan {
 				continue
 			}
-			t.parts = append(t.parts, planPart{s, p.HardLimitRate})
+			total.parts = append(total.parts, planPart{service, p.HardLimitRate})
 			if p.HardLimitRate == 0 {
 				continue
 			}
-			n, isKnown := s.groupCount()
-			store := max(p.HardLimitBurst, hardLimitStartFraction*p.HardLimitSlack)
-			t.isUncertain = t.isUncertain || !isKnown
-			t.sumRate, t.sumBurst = t.sumRate+n*p.HardLimitRate, t.sumBurst+n*store
-			if !t.isLimited {
-				t.isLimited = true
-				t.rate = p.HardLimitRate
-				t.burst = p.HardLimitBurst
-				t.slack = p.HardLimitSlack
+			n, isKnown := service.groupCount()
+			availableBurst := max(p.HardLimitBurst, hardLimitStartFraction*p.HardLimitSlack)
+			total.isUncertain = total.isUncertain || !isKnown
+			total.sumRate, total.sumBurst = total.sumRate+n*p.HardLimitRate, total.sumBurst+n*availableBurst
+			if !total.isLimited {
+				total.isLimited = true
+				total.rate = p.HardLimitRate
+				total.burst = p.HardLimitBurst
+				total.slack = p.HardLimitSlack
 			}
-			t.rate = min(t.rate, p.HardLimitRate)
-			t.burst = min(t.burst, p.HardLimitBurst)
-			t.slack = min(t.slack, p.HardLimitSlack)
+			total.rate = min(total.rate, p.HardLimitRate)
+			total.burst = min(total.burst, p.HardLimitBurst)
+			total.slack = min(total.slack, p.HardLimitSlack)
 		}
 	}
-	slices.SortStableFunc(t.parts, func(a, b planPart) int {
+	slices.SortStableFunc(total.parts, func(a, b planPart) int {
 		return cmp.Or(strings.Compare(a.indexedRegion.Name, b.indexedRegion.Name), strings.Compare(a.Name, b.Name))
 	})
-	return t
+	return total
 }
 
-// hardLimitConflict returns the conflict of a plan in services that share hard limits, or nil.
-func hardLimitConflict(plan string, group []sharedService) *Conflict {
+// hardLimitConflict returns the conflict over a plan of services that share hard limits, or nil.
+func hardLimitConflict(plan string, group []sharingService) *Conflict {
 	total := totalOf(plan, group)
 	if !total.isLimited {
 		return nil
@@ -189,7 +190,7 @@
 	return conflict
 }
 
-// describeExcess says by what the regions exceed a plan's hard limit; "" where they don't.
+// describeExcess states how the regions exceed a plan's hard limit; "" if they do not.
 func (t *hardLimitTotal) describeExcess(plan string, groups, unlimited []string) string {
 	service := t.parts[0].Name
 	switch {
--- a/internal/regions/slow_start.go
+++ b/internal/regions/slow_start.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// slowStartBudgetFraction is the fraction of a warming server's budget that control uses.
+	// slowStartBudgetFraction is the fraction of a warming server's budget that package control uses.
 	slowStartBudgetFraction = 0.32
-	// minWarmupFraction is the smallest capacity that control assumes of a warming server, as a fraction of
-	// a warm one's.
+	// minWarmupFraction is the smallest capacity that package control assumes for a warming server, as a
+	// fraction of a warm server's.
 	minWarmupFraction = 0.1
 	// maxReportedServers is the largest number of servers that a conflict names.
 	maxReportedServers = 8
@@ -21,25 +21,25 @@
 type serverUser struct {
 	*indexedRegion
 	*Service
-	listID string // equal for services with the same list of servers
+	listID string // equal for services with the same servers
 }
 
-// findSlowStartConflicts compares what regions send together to a warming server with what it can serve.
+// findSlowStartConflicts compares the load that the regions together send to a warming server with its capacity.
 func (x *Index) findSlowStartConflicts() (conflicts []Conflict) {
 	users, positionsByServer := x.serverUsers()
-	servers := make(map[string][]string) // by the users that send to them
+	servers := make(map[string][]string) // by the positions of the users that send to them, as a text
 	positions := make(map[string][]int)
-	for id, at := range positionsByServer {
-		key := fmt.Sprint(at)
+	for id, userPositions := range positionsByServer {
+		key := fmt.Sprint(userPositions)
 		servers[key] = append(servers[key], id)
-		positions[key] = at
+		positions[key] = userPositions
 	}
 	for key, ids := range servers {
-		var of []serverUser
+		var sharedUsers []serverUser
 		for _, i := range positions[key] {
-			of = append(of, users[i])
+			sharedUsers = append(sharedUsers, users[i])
 		}
-		conflict := slowStartConflict(of)
+		conflict := slowStartConflict(sharedUsers)
 		if conflict == nil {
 			continue
 		}
@@ -54,11 +54,11 @@
 	return conflicts
 }
 
-// serverUsers lists the services that send to servers, and their positions by server.
+// serverUsers returns the services that send to servers, and their positions in that list by server.
 func (x *Index) serverUsers() (users []serverUser, positionsByServer map[string][]int) {
 	known := x.knownServers()
 	positionsByServer = make(map[string][]int)
-	listIDs := make(map[string]int) // by source, or by the servers as a text
+	listIDs := make(map[string]int) // by source, or by the list of servers as a text
 	for _, region := range x.regions {
 		for i := range region.Services {
 			service := &region.Services[i]
@@ -85,7 +85,8 @@
 	return users, positionsByServer
 }
 
-// serversOf returns a service's servers: its own, else those known of its source, else the source itself.
+// serversOf returns the servers of a service: those that it lists, else those known for its source, else the
+// source itself as a placeholder.
 func serversOf(service *Service, known map[string][]string) []string {
 	switch {
 	case len(service.Servers) > 0 || service.Source == "":
@@ -97,7 +98,7 @@
 	}
 }
 
-// knownServers returns the servers of each source, as the region with the largest number of them lists them.
+// knownServers returns the servers of each source, from the service that lists the largest number of them.
 func (x *Index) knownServers() map[string][]string {
 	known := make(map[string][]string)
 	for _, region := range x.regions {
@@ -110,10 +111,10 @@
 	return known
 }
 
-// slowStartConflict returns the conflict over servers that all of some services send to, or nil.
+// slowStartConflict returns the conflict over the servers to which all of the given services send, or nil.
 func slowStartConflict(users []serverUser) *Conflict {
 	conflict := &Conflict{Kind: SlowStartKind, Severity: Error}
-	floor, maxGroup, isUncertain := 0.0, 0.0, false
+	minimumLoad, maxGroup, isUncertain := 0.0, 0.0, false
 	var groups []string
 	for _, user := range users {
 		region := user.indexedRegion.Name
@@ -122,15 +123,15 @@
 			groups = append(groups, user.describeGroup())
 		}
 		if n, isKnown := user.groupCount(); user.SlowStart.WarmupTime > 0 {
-			floor, maxGroup, isUncertain = floor+n, max(maxGroup, n), isUncertain || !isKnown
+			minimumLoad, maxGroup, isUncertain = minimumLoad+n, max(maxGroup, n), isUncertain || !isKnown
 		}
 	}
 	if len(conflict.Regions) < 2 && maxGroup <= 1 {
 		return nil
 	}
-	if floor*slowStartBudgetFraction > 1+relativeTolerance {
+	if minimumLoad*slowStartBudgetFraction > 1+relativeTolerance {
 		conflict.Why = fmt.Sprintf("instances send a cold server %.3g requests a second at the least, where a group's one is meant: %s",
-			floor, strings.Join(groups, ", "))
+			minimumLoad, strings.Join(groups, ", "))
 		if isUncertain {
 			conflict.Severity = Warning
 		}
@@ -139,7 +140,7 @@
 	if len(conflict.Regions) < 2 {
 		return nil
 	}
-	at, sum, limit := worstMoment(users)
+	at, sum, limit := worstExcess(users)
 	if sum > limit*(1+relativeTolerance) {
 		conflict.Why = fmt.Sprintf("%.3gs after its start the regions let a cold server have %.3g of a warm one's work together, it falls at %.3g: %s",
 			at, sum, limit, strings.Join(conflict.Regions, ", "))
@@ -148,52 +149,54 @@
 	return nil
 }
 
-// worstMoment returns the time in seconds after a server's start at which what it is sent exceeds its limit
-// by the largest ratio. sum and limit are both in fractions of a warm server's load.
-func worstMoment(users []serverUser) (worst, sum, limit float64) {
+// worstExcess returns the time in seconds after a server's start at which the ratio of the load that it
+// receives to its limit is largest. sum and limit are fractions of a warm server's load.
+func worstExcess(users []serverUser) (worstTime, sum, limit float64) {
 	times := []float64{0}
 	for _, user := range users {
-		from, span := user.SlowStart.InitialCapacity, user.SlowStart.WarmupTime.Seconds()
-		times = append(times, span)
-		// The moments at which its warmth is complete and at which its budget is. Between such moments sums
-		// are linear and the limit is the smallest of linear ones, so the worst moment is one of these.
-		for _, w := range []float64{1, 1 / (slowStartBudgetFraction * user.SlowStart.OverloadMultiple)} {
-			if t := span * (w - max(minWarmupFraction, from)) / (1 - from); t > 0 && t < span {
+		initialCapacity, warmupSeconds := user.SlowStart.InitialCapacity, user.SlowStart.WarmupTime.Seconds()
+		times = append(times, warmupSeconds)
+		// The times at which the ramp of the service and at which its budget reach a warm server's. Between
+		// such times the sum is linear and the limit is the minimum of linear functions, so the ratio is
+		// largest at one of these times.
+		for _, rampFraction := range []float64{1, 1 / (slowStartBudgetFraction * user.SlowStart.OverloadMultiple)} {
+			if t := warmupSeconds * (rampFraction - max(minWarmupFraction, initialCapacity)) / (1 - initialCapacity); t > 0 && t < warmupSeconds {
 				times = append(times, t)
 			}
 		}
 	}
 	slices.Sort(times)
 	for _, t := range times {
-		for _, isAfter := range []bool{false, true} { // just before t, and at t
+		for _, isAfter := range []bool{false, true} { // immediately before t, and at t
 			s, b := loadAt(users, t, isAfter)
 			if b > 0 && (limit == 0 || s/b > (1+relativeTolerance)*sum/limit) {
-				worst, sum, limit = t, s, b
+				worstTime, sum, limit = t, s, b
 			}
 		}
 	}
-	return worst, sum, limit
+	return worstTime, sum, limit
 }
 
-// loadAt returns what a server is sent t seconds after its start, and the smallest limit of the services
-// for which it is warming up; a limit of 0 is none. isAfter tells t from the moment just before it.
+// loadAt returns the load that a server receives t seconds after its start, and the smallest limit of the
+// services for which it is warming up, or 0 if there is no limit. With isAfter false it returns the values
+// immediately before t.
 func loadAt(users []serverUser, t float64, isAfter bool) (sum, limit float64) {
-	budgets := make(map[string]float64) // by list: users of one list share a warm server's load
+	budgets := make(map[string]float64) // by list of servers: users of one list share a warm server's load
 	for _, user := range users {
-		span := user.SlowStart.WarmupTime.Seconds()
-		budget := 1.0 // of a warm server
-		isWarmingUp := t < span || !isAfter && t == span && span > 0
+		warmupSeconds := user.SlowStart.WarmupTime.Seconds()
+		budget := 1.0 // a warm server's
+		isWarmingUp := t < warmupSeconds || !isAfter && t == warmupSeconds && warmupSeconds > 0
 		if isWarmingUp {
-			from := user.SlowStart.InitialCapacity
-			warmth := min(1, max(minWarmupFraction, from)+(1-from)*t/span)
-			budget = min(1, slowStartBudgetFraction*user.SlowStart.OverloadMultiple*warmth)
-			if capacity := user.SlowStart.OverloadMultiple * warmth; capacity > 0 && (limit == 0 || capacity < limit) {
+			initialCapacity := user.SlowStart.InitialCapacity
+			rampFraction := min(1, max(minWarmupFraction, initialCapacity)+(1-initialCapacity)*t/warmupSeconds)
+			budget = min(1, slowStartBudgetFraction*user.SlowStart.OverloadMultiple*rampFraction)
+			if capacity := user.SlowStart.OverloadMultiple * rampFraction; capacity > 0 && (limit == 0 || capacity < limit) {
 				limit = capacity
 			}
 		}
 		budgets[user.listID] = max(budgets[user.listID], budget)
 	}
-	for _, list := range slices.Sorted(maps.Keys(budgets)) { // a fixed order, so that rounding is the same each time
+	for _, list := range slices.Sorted(maps.Keys(budgets)) { // in a fixed order, so that rounding is deterministic
 		sum += budgets[list]
 	}
 	return sum, limit
