--- a/internal/desiredstate/encoding_test.go
+++ b/internal/desiredstate/encoding_test.go
@@ -20,8 +20,8 @@
 			return
 		}
 		state.Recover(Observed{}).LastOutcome()
-		if again, err := Encode(state); err == nil {
-			if got, err := Decode(again); err != nil || !reflect.DeepEqual(got, state) {
+		if reencoded, err := Encode(state); err == nil {
+			if got, err := Decode(reencoded); err != nil || !reflect.DeepEqual(got, state) {
 				t.Errorf("%+v is read as %+v, %v", state, got, err)
 			}
 		}
--- a/internal/desiredstate/file_test.go
+++ b/internal/desiredstate/file_test.go
@@ -62,7 +62,7 @@
 }
 
 // Any byte of a saved state that changes or is missing is detected; old settings and a replaced file are complete.
-func TestFileDetectsDamageAndReplacesCompletely(t *testing.T) {
+func TestFileDetectsCorruptionAndReplacesAtomically(t *testing.T) {
 	dir := t.TempDir()
 	f, err := Open(dir, nil)
 	if err != nil {
@@ -79,9 +79,9 @@
 	}
 	raw, _ := os.ReadFile(filepath.Join(dir, stateFileName))
 	for i := range raw {
-		damaged := append([]byte(nil), raw...)
-		damaged[i] ^= 1
-		if _, err := Decode(damaged); err == nil {
+		corrupted := append([]byte(nil), raw...)
+		corrupted[i] ^= 1
+		if _, err := Decode(corrupted); err == nil {
 			t.Errorf("byte %d is another one", i)
 		}
 		if _, err := Decode(raw[:i]); err == nil {
@@ -89,9 +89,9 @@
 		}
 	}
 	// A successor loads the newest state, whatever directory it has.
-	next, _ := Open(t.TempDir(), f.MemoryFile())
-	for _, r := range []func() (State, error){f.Load, next.Load, func() (State, error) { return ReadState(dir) }} {
-		if got, err := r(); err != nil || !reflect.DeepEqual(got, state) {
+	successor, _ := Open(t.TempDir(), f.MemoryFile())
+	for _, load := range []func() (State, error){f.Load, successor.Load, func() (State, error) { return ReadState(dir) }} {
+		if got, err := load(); err != nil || !reflect.DeepEqual(got, state) {
 			t.Errorf("%+v, %v", got, err)
 		}
 	}
--- a/internal/desiredstate/golden_test.go
+++ b/internal/desiredstate/golden_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again, err := Encode(state); err != nil || !bytes.Equal(again, raw) {
+	if reencoded, err := Encode(state); err != nil || !bytes.Equal(reencoded, raw) {
 		t.Errorf("it is not encoded as it was decoded: %v", err)
 	}
 }
--- a/internal/desiredstate/state_test.go
+++ b/internal/desiredstate/state_test.go
@@ -14,15 +14,15 @@
 // memberModel is a member whose process can end between any two steps, and what the test knows of it apart from its
 // state: what was granted and what was run.
 type memberModel struct {
-	t           *rapid.T
-	file        *File
-	state       State
-	fileText    string // the settings' text in the file, and in force
-	textInForce string
-	granted     map[uint64]string // by epoch, also over restarts
-	newest      uint64
-	completions map[string]int  // times that an id was carried out to its end
-	answered    map[string]Code // code by epoch and id
+	t               *rapid.T
+	file            *File
+	state           State
+	settingsInFile  string // the settings' text in the file, and in force
+	settingsInForce string
+	ownerByEpoch    map[uint64]string // by epoch, also over restarts
+	newestEpoch     uint64
+	completionCount map[string]int  // times that an id was carried out to its end
+	outcomes        map[string]Code // code by epoch and id
 }
 
 func (m *memberModel) save(state State) {
@@ -38,8 +38,8 @@
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	m.textInForce = m.fileText
-	m.save(state.Recover(Observed{Hash: Hash([]byte(m.textInForce)), Program: "/old"}))
+	m.settingsInForce = m.settingsInFile
+	m.save(state.Recover(Observed{Hash: Hash([]byte(m.settingsInForce)), Program: "/old"}))
 	if m.state.Running != nil {
 		m.t.Fatalf("still running after a start: %+v", *m.state.Running)
 	}
@@ -47,54 +47,54 @@
 
 func (m *memberModel) claim(c Claim) {
 	state, err := m.state.Grant(c)
-	earlierOwner := m.granted[c.Epoch]
+	earlierOwner := m.ownerByEpoch[c.Epoch]
 	if err != nil {
-		if !errors.Is(err, &RejectedError{Code: CodeStale}) || c.Epoch > m.newest || m.state.Epoch != m.newest {
-			m.t.Fatalf("%+v at %d: %v", c, m.newest, err)
+		if !errors.Is(err, &RejectedError{Code: CodeStale}) || c.Epoch > m.newestEpoch || m.state.Epoch != m.newestEpoch {
+			m.t.Fatalf("%+v at %d: %v", c, m.newestEpoch, err)
 		}
 		return
 	}
-	if c.Epoch < m.newest || earlierOwner != "" && earlierOwner != c.Owner {
-		m.t.Fatalf("%+v granted; epoch %d was %q's, the newest is %d", c, c.Epoch, earlierOwner, m.newest)
+	if c.Epoch < m.newestEpoch || earlierOwner != "" && earlierOwner != c.Owner {
+		m.t.Fatalf("%+v granted; epoch %d was %q's, the newest is %d", c, c.Epoch, earlierOwner, m.newestEpoch)
 	}
 	m.save(state)
-	m.granted[c.Epoch], m.newest = c.Owner, c.Epoch
+	m.ownerByEpoch[c.Epoch], m.newestEpoch = c.Owner, c.Epoch
 }
 
 // send sends a command. The process crashes before step crashAt; failure is the outcome otherwise.
 func (m *memberModel) send(command Command, crashAt int, failure error) {
 	key := fmt.Sprint(command.Epoch, command.ID)
 	before := m.state
-	state, step, done, err := m.state.Accept(command)
+	state, step, outcome, err := m.state.Accept(command)
 	switch {
 	case err != nil:
 		if !reflect.DeepEqual(state, before) {
 			m.t.Fatalf("a rejection has changed the state: %v", err)
 		}
-		if errors.Is(err, &RejectedError{Code: CodeStale}) == (command.Epoch == m.newest && command.Owner == m.granted[command.Epoch]) {
-			m.t.Fatalf("%+v at %d of %q: %v", command, m.newest, m.granted[m.newest], err)
+		if errors.Is(err, &RejectedError{Code: CodeStale}) == (command.Epoch == m.newestEpoch && command.Owner == m.ownerByEpoch[command.Epoch]) {
+			m.t.Fatalf("%+v at %d of %q: %v", command, m.newestEpoch, m.ownerByEpoch[m.newestEpoch], err)
 		}
 		return
-	case command.Epoch != m.newest || command.Owner != m.granted[command.Epoch]:
-		m.t.Fatalf("%+v is accepted, the owner is %q of %d", command, m.granted[m.newest], m.newest)
+	case command.Epoch != m.newestEpoch || command.Owner != m.ownerByEpoch[command.Epoch]:
+		m.t.Fatalf("%+v is accepted, the owner is %q of %d", command, m.ownerByEpoch[m.newestEpoch], m.newestEpoch)
 	case step == StepAnswer:
-		if earlier, ok := m.answered[key]; ok && earlier != done.Code {
-			m.t.Fatalf("%s ended with %s and is answered as %s", key, earlier, done.Code)
+		if earlier, ok := m.outcomes[key]; ok && earlier != outcome.Code {
+			m.t.Fatalf("%s ended with %s and is answered as %s", key, earlier, outcome.Code)
 		}
 		return
 	case step != StepStart:
 		m.t.Fatal("it waits, and nothing is running")
-	case m.answered[key] != "":
-		m.t.Fatalf("%s has ended with %s and runs again", key, m.answered[key])
+	case m.outcomes[key] != "":
+		m.t.Fatalf("%s has ended with %s and runs again", key, m.outcomes[key])
 	}
 	steps := []func(){func() { m.save(state) }, func() {
 		if failure == nil {
-			m.fileText = command.Operation.Text
+			m.settingsInFile = command.Operation.Text
 		}
 	}, func() {
 		if failure == nil {
-			m.textInForce = command.Operation.Text
-			if m.completions[key]++; m.completions[key] > 1 {
+			m.settingsInForce = command.Operation.Text
+			if m.completionCount[key]++; m.completionCount[key] > 1 {
 				m.t.Fatalf("%s runs twice", key)
 			}
 		}
@@ -109,11 +109,11 @@
 		}
 		perform()
 	}
-	m.answered[key] = m.state.LastOutcome().Code
+	m.outcomes[key] = m.state.LastOutcome().Code
 	if failure != nil && m.state.Target != before.Target {
 		m.t.Fatalf("failed, and the target is %+v instead of %+v", m.state.Target, before.Target)
 	}
-	if failure == nil && m.state.Target.Hash != Hash([]byte(m.textInForce)) {
+	if failure == nil && m.state.Target.Hash != Hash([]byte(m.settingsInForce)) {
 		m.t.Fatal("the target is not what runs")
 	}
 }
@@ -122,7 +122,7 @@
 // only its owner is obeyed, and a command that has ended does not run again.
 func TestStateHoldsOverCrashesAndCoordinators(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &memberModel{t: t, granted: map[uint64]string{}, completions: map[string]int{}, answered: map[string]Code{}}
+		m := &memberModel{t: t, ownerByEpoch: map[uint64]string{}, completionCount: map[string]int{}, outcomes: map[string]Code{}}
 		var err error
 		if m.file, err = Open("", nil); err != nil {
 			t.Fatal(err)
@@ -153,11 +153,11 @@
 		return Command{epoch, owner, id, operation}
 	}
 	state, _ := State{}.Grant(Claim{Epoch: 7, Owner: "a"})
-	begun, step, _, err := state.Accept(command(7, "a", "1", Operation{Kind: KindProgram, Path: "/new"}))
-	if err != nil || step != StepStart || begun.Target.Program != "/new" || begun.Program != "" {
-		t.Fatalf("%+v, %v, %v", begun, step, err)
+	accepted, step, _, err := state.Accept(command(7, "a", "1", Operation{Kind: KindProgram, Path: "/new"}))
+	if err != nil || step != StepStart || accepted.Target.Program != "/new" || accepted.Program != "" {
+		t.Fatalf("%+v, %v, %v", accepted, step, err)
 	}
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		command Command
 		code    Code
 	}{
@@ -173,29 +173,29 @@
 		"no absolute path":       {command(7, "a", "1", Operation{Kind: KindProgram, Path: "new"}), CodeInvalid},
 		"more than it takes":     {command(7, "a", "1", Operation{Kind: KindDrain, Path: "/new"}), CodeInvalid},
 	} {
-		if after, _, _, err := begun.Accept(c.command); !errors.Is(err, &RejectedError{Code: c.code}) || !reflect.DeepEqual(after, begun) {
+		if after, _, _, err := accepted.Accept(tc.command); !errors.Is(err, &RejectedError{Code: tc.code}) || !reflect.DeepEqual(after, accepted) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, step, _, err := begun.Accept(command(7, "a", "1", Operation{Kind: KindProgram, Path: "/new"})); step != StepWait || err != nil {
+	if _, step, _, err := accepted.Accept(command(7, "a", "1", Operation{Kind: KindProgram, Path: "/new"})); step != StepWait || err != nil {
 		t.Errorf("again: %v, %v", step, err)
 	}
-	if e := begun.Finish(nil); e.Program != "/new" || e.LastOutcome() != (Outcome{"1", CodeOK, ""}) {
-		t.Errorf("%+v", e)
+	if finished := accepted.Finish(nil); finished.Program != "/new" || finished.LastOutcome() != (Outcome{"1", CodeOK, ""}) {
+		t.Errorf("%+v", finished)
 	}
-	if e := begun.Finish(errors.New("no")); e.Program != "" || e.Target != (Target{}) || e.LastOutcome() != (Outcome{"1", CodeFailed, "no"}) {
-		t.Errorf("%+v", e)
+	if finished := accepted.Finish(errors.New("no")); finished.Program != "" || finished.Target != (Target{}) || finished.LastOutcome() != (Outcome{"1", CodeFailed, "no"}) {
+		t.Errorf("%+v", finished)
 	}
 	for path, done := range map[string]bool{"/new": true, "/old": false} {
-		if r := begun.Recover(Observed{Program: path}); r.Running != nil || (len(r.Ended) == 1) != done || r.Target.Program != "/new" || (r.Program == "/new") != done {
-			t.Errorf("%s runs: %+v", path, r)
+		if recovered := accepted.Recover(Observed{Program: path}); recovered.Running != nil || (len(recovered.Ended) == 1) != done || recovered.Target.Program != "/new" || (recovered.Program == "/new") != done {
+			t.Errorf("%s runs: %+v", path, recovered)
 		}
 	}
-	if r := begun.SetDrained(true).Finish(errors.New("no")); !r.Target.Drained {
+	if recovered := accepted.SetDrained(true).Finish(errors.New("no")); !recovered.Target.Drained {
 		t.Error("a failed command has undone what the operator set")
 	}
 	// A coordinator that resumes under another epoch repeats the last command; older ids may belong to others.
-	state = begun.Finish(nil)
+	state = accepted.Finish(nil)
 	if state, err = state.Grant(Claim{Epoch: 8, Owner: "b"}); err != nil {
 		t.Fatal(err)
 	}
@@ -215,7 +215,7 @@
 }
 
 // A member that has lost its state obeys only a coordinator that claims it with its token.
-func TestLostStateIsGrantedByTokenOnly(t *testing.T) {
+func TestLostStateRequiresLossToken(t *testing.T) {
 	state := State{LossToken: "token"}
 	for _, c := range []Claim{{7, "a", ""}, {9, "a", "another"}} {
 		if _, err := state.Grant(c); !errors.Is(err, &RejectedError{Code: CodeLost}) {
--- a/internal/fleet/change_test.go
+++ b/internal/fleet/change_test.go
@@ -15,7 +15,7 @@
 )
 
 // settingsOf returns a configuration with the hard limits of two plans, a class and a group size.
-func settingsOf(rate1, rate2 int, class string, instances int) []byte {
+func renderSettings(rate1, rate2 int, class string, instances int) []byte {
 	return fmt.Appendf(nil, `protocol = "platform"
 [process]
 instances = %d
@@ -46,11 +46,11 @@
 		old, new []byte
 		want     string
 	}{
-		"more in all":        {settingsOf(10, 10, notIdempotent, 4), settingsOf(20, 20, notIdempotent, 4), ""},
-		"less in all":        {settingsOf(20, 20, notIdempotent, 4), settingsOf(10, 10, notIdempotent, 4), ""},
-		"more and less":      {settingsOf(10, 20, notIdempotent, 4), settingsOf(20, 10, notIdempotent, 4), "ceiling_rate = 10"},
-		"terms and ceilings": {settingsOf(10, 10, withKey, 4), settingsOf(20, 20, notIdempotent, 4), "never"},
-		"a larger group":     {settingsOf(10, 10, notIdempotent, 4), settingsOf(20, 20, notIdempotent, 5), "instances = 5"},
+		"more in all":        {renderSettings(10, 10, notIdempotent, 4), renderSettings(20, 20, notIdempotent, 4), ""},
+		"less in all":        {renderSettings(20, 20, notIdempotent, 4), renderSettings(10, 10, notIdempotent, 4), ""},
+		"more and less":      {renderSettings(10, 20, notIdempotent, 4), renderSettings(20, 10, notIdempotent, 4), "ceiling_rate = 10"},
+		"terms and ceilings": {renderSettings(10, 10, withKey, 4), renderSettings(20, 20, notIdempotent, 4), "never"},
+		"a larger group":     {renderSettings(10, 10, notIdempotent, 4), renderSettings(20, 20, notIdempotent, 5), "instances = 5"},
 	} {
 		got, err := IntermediateSettings(tc.old, tc.new)
 		if err != nil || (got == nil) != (tc.want == "") || !strings.Contains(strings.ReplaceAll(string(got), "'", `"`), tc.want) {
@@ -60,25 +60,25 @@
 }
 
 // Whatever old and new settings are: no step to, from or without intermediate settings needs others.
-func TestIntermediateSettingsAreSafe(t *testing.T) {
+func TestIntermediateSettingsNeedNoFurtherStep(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		draw := func(which string) []byte {
+		drawSettings := func(which string) []byte {
 			class := rapid.SampledFrom([]string{withKey, notIdempotent, `repeats = "free"`, strings.Replace(withKey, "30s", "9s", 1)}).Draw(t, which)
-			n := func(what string) int { return rapid.IntRange(1, 4).Draw(t, which+what) }
-			return settingsOf(n("a"), n("b"), class, n("instances"))
+			drawNumber := func(what string) int { return rapid.IntRange(1, 4).Draw(t, which+what) }
+			return renderSettings(drawNumber("a"), drawNumber("b"), class, drawNumber("instances"))
 		}
-		old, new := draw("old"), draw("new")
-		mid, err := IntermediateSettings(old, new)
+		old, new := drawSettings("old"), drawSettings("new")
+		intermediate, err := IntermediateSettings(old, new)
 		if err != nil {
 			t.Fatal(err)
 		}
-		steps := [][]byte{old, mid, new}
-		if mid == nil {
+		steps := [][]byte{old, intermediate, new}
+		if intermediate == nil {
 			steps = [][]byte{old, new}
 		}
 		for i := range len(steps) - 1 {
-			a, _ := asRegion("a", steps[i])
-			b, _ := asRegion("b", steps[i+1])
+			a, _ := parseRegion("a", steps[i])
+			b, _ := parseRegion("b", steps[i+1])
 			if len(mixture.Phases(a, b)) > 0 {
 				t.Fatalf("%s\nand\n%s\nmay not stand side by side", steps[i], steps[i+1])
 			}
@@ -103,20 +103,20 @@
 
 // Records of a rollout log count only if all of them can be decoded.
 func TestDecode(t *testing.T) {
-	fine := fmt.Sprintf(`{"form":1,"kind":"settings","plan":{"members":[{"name":"0","gens":["a","b"]}]},"sockets":["/s"],"texts":{%q:"x"}}`, desiredstate.Hash([]byte("x")))
+	validChange := fmt.Sprintf(`{"form":1,"kind":"settings","plan":{"members":[{"name":"0","gens":["a","b"]}]},"sockets":["/s"],"texts":{%q:"x"}}`, desiredstate.Hash([]byte("x")))
 	for name, tc := range map[string]struct {
 		records []string
 		want    string
 	}{
 		"none":          {nil, ""},
-		"fine":          {[]string{fine, `{"entry":{"kind":"epoch","epoch":3}}`}, ""},
+		"fine":          {[]string{validChange, `{"entry":{"kind":"epoch","epoch":3}}`}, ""},
 		"no JSON":       {[]string{"{"}, "its change"},
 		"another form":  {[]string{`{"form":2}`}, "form 2"},
 		"no kind":       {[]string{`{"form":1,"kind":"magic"}`}, "no known kind"},
-		"no socket":     {[]string{strings.Replace(fine, `"/s"`, ``, 1)}, "1 members and 0 sockets"},
-		"another text":  {[]string{strings.Replace(fine, `"x"`, `"y"`, 1)}, "do not have their hash"},
-		"no generation": {[]string{strings.Replace(fine, `"a",`, ``, 1)}, "1 generations"},
-		"a bad record":  {[]string{fine, "nonsense"}, "record 2"},
+		"no socket":     {[]string{strings.Replace(validChange, `"/s"`, ``, 1)}, "1 members and 0 sockets"},
+		"another text":  {[]string{strings.Replace(validChange, `"x"`, `"y"`, 1)}, "do not have their hash"},
+		"no generation": {[]string{strings.Replace(validChange, `"a",`, ``, 1)}, "1 generations"},
+		"a bad record":  {[]string{validChange, "nonsense"}, "record 2"},
 	} {
 		var raw [][]byte
 		for _, r := range tc.records {
@@ -135,8 +135,8 @@
 		{rollout.Entry{Kind: rollout.EntryEnd, Outcome: string(rollout.ResultDone)}, ""},
 		{rollout.Entry{Kind: rollout.EntryEnd, Outcome: string(rollout.ResultStopped)}, "stopped"},
 	} {
-		j := RolloutLog{Change: &Change{}, Entries: []rollout.Entry{c.last}}
-		if got := j.Unfinished(); got != c.want {
+		log := RolloutLog{Change: &Change{}, Entries: []rollout.Entry{c.last}}
+		if got := log.Unfinished(); got != c.want {
 			t.Errorf("%+v: %q", c.last, got)
 		}
 	}
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -27,31 +27,31 @@
 // The rollout log of an earlier build is read, and its records are encoded to the same bytes again.
 func TestGoldenRolloutLog(t *testing.T) {
 	const path = "testdata/golden/rollout.db.gz"
-	var made []byte
+	var sample []byte
 	if testkit.IsUpdating() {
-		made = writeSampleLog(t)
+		sample = writeSampleLog(t)
 	}
-	dir := unpackLog(t, testkit.GoldenBytes(t, path, made))
-	j, err := OpenRolloutLog(dir)
+	dir := decompressLog(t, testkit.GoldenBytes(t, path, sample))
+	log, err := OpenRolloutLog(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer j.Close()
+	defer log.Close()
 	want := sampleRecord()
-	if j.Change == nil || len(j.Entries) != 1 || !reflect.DeepEqual(j.Entries[0], want.Entry) {
-		t.Fatalf("change %v, entries %+v", j.Change, j.Entries)
+	if log.Change == nil || len(log.Entries) != 1 || !reflect.DeepEqual(log.Entries[0], want.Entry) {
+		t.Fatalf("change %v, entries %+v", log.Change, log.Entries)
 	}
-	records := j.Log.Records()
+	records := log.Log.Records()
 	for i, v := range []any{&Change{}, &logRecord{}} {
 		if err := testkit.RoundTrip("json", records[i], v); err != nil {
 			t.Errorf("record %d: %v", i+1, err)
 		}
 	}
-	if err := testkit.RoundTrip("json", j.Log.Note(), &Progress{}); err != nil {
+	if err := testkit.RoundTrip("json", log.Log.Note(), &Progress{}); err != nil {
 		t.Error(err)
 	}
-	if p, err := ReadProgress(dir); err != nil || p == nil || p.Counts[string(want.Entry.Kind)] != 1 {
-		t.Errorf("%+v, %v", p, err)
+	if progress, err := ReadProgress(dir); err != nil || progress == nil || progress.Counts[string(want.Entry.Kind)] != 1 {
+		t.Errorf("%+v, %v", progress, err)
 	}
 }
 
@@ -101,23 +101,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var packed bytes.Buffer
-	z := gzip.NewWriter(&packed)
-	if _, err := z.Write(raw); err != nil {
+	var compressed bytes.Buffer
+	compressor := gzip.NewWriter(&compressed)
+	if _, err := compressor.Write(raw); err != nil {
 		t.Fatal(err)
 	}
-	if err := z.Close(); err != nil {
+	if err := compressor.Close(); err != nil {
 		t.Fatal(err)
 	}
-	return packed.Bytes()
+	return compressed.Bytes()
 }
 
-func unpackLog(t *testing.T, packed []byte) (dir string) {
-	z, err := gzip.NewReader(bytes.NewReader(packed))
+func decompressLog(t *testing.T, compressed []byte) (dir string) {
+	decompressor, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw, err := io.ReadAll(z)
+	raw, err := io.ReadAll(decompressor)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/intermediate_settings.go
+++ b/internal/fleet/intermediate_settings.go
@@ -22,11 +22,11 @@
 // IntermediateSettings returns settings that members have to run between old and new ones which may not be in force
 // together: the stricter of both in each hard limit, slow start and class. nil means that they may.
 func IntermediateSettings(old, new []byte) ([]byte, error) {
-	oldRegion, err := asRegion("the old settings", old)
+	oldRegion, err := parseRegion("the old settings", old)
 	if err != nil {
 		return nil, err
 	}
-	newRegion, err := asRegion("the new settings", new)
+	newRegion, err := parseRegion("the new settings", new)
 	if err != nil {
 		return nil, err
 	}
@@ -37,7 +37,7 @@
 }
 
 // asRegion returns settings as a region without members. name is their place in errors.
-func asRegion(name string, text []byte) (regions.Region, error) {
+func parseRegion(name string, text []byte) (regions.Region, error) {
 	cfg, err := config.Parse(name, text)
 	if err != nil {
 		return regions.Region{}, err
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, err
 	}
-	written, err := asRegion("the settings between", text)
+	written, err := parseRegion("the settings between", text)
 	if err != nil {
 		return nil, fmt.Errorf("the settings that have to come between can't be written: %w", err)
 	}
@@ -90,11 +90,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("writing the settings between: %w", err)
 	}
-	change, ok := r.Parse("the settings between", raw)
+	overlay, ok := r.Parse("the settings between", raw)
 	if !ok {
 		return nil, r.Err()
 	}
-	merged, err := change.MergeOver(base).Text()
+	merged, err := overlay.MergeOver(base).Text()
 	if err == nil {
 		err = r.Err()
 	}
@@ -167,7 +167,7 @@
 		if c == old[i] {
 			continue
 		}
-		for key, value := range classTerms(c) {
+		for key, value := range classSettings(c) {
 			d.set(value, "classes", c.Name, key)
 		}
 		if old[i].Idempotency == control.IdempotentWithKey && c.Idempotency != control.IdempotentWithKey {
@@ -177,17 +177,17 @@
 }
 
 // classTerms returns a class's settings by key.
-func classTerms(c control.Class) map[string]any {
-	terms := map[string]any{
+func classSettings(c control.Class) map[string]any {
+	settings := map[string]any{
 		"repeats":  [...]string{"free", "keyed", "never"}[c.Idempotency],
 		"deadline": c.Deadline.String(),
 		"aim":      c.LatencyObjective.String(),
 	}
 	if c.Idempotency == control.IdempotentWithKey {
-		terms["key_scope"] = [...]string{"all", "zone", "group"}[c.KeyScope]
-		terms["repeat_window"] = c.RepeatWindow.String()
+		settings["key_scope"] = [...]string{"all", "zone", "group"}[c.KeyScope]
+		settings["repeat_window"] = c.RepeatWindow.String()
 	}
-	return terms
+	return settings
 }
 
 // hasKey tells whether a document has a key with dots between its parts.
--- a/internal/fleet/keys_test.go
+++ b/internal/fleet/keys_test.go
@@ -7,6 +7,6 @@
 )
 
 // The records of a rollout, and what is printed of a fleet, have an explicit key for every field.
-func TestKeysAreWritten(t *testing.T) {
+func TestFieldsHaveExplicitKeys(t *testing.T) {
 	testkit.RequireKeys(t, "json", Change{}, logRecord{}, Progress{}, []StatusReply{})
 }
--- a/internal/fleet/program_change_test.go
+++ b/internal/fleet/program_change_test.go
@@ -13,7 +13,7 @@
 
 // Guards against a change of programs to a file that can't be read: the failure is reported for each member whose program
 // is in it, also behind the search for the program that a member runs.
-func TestUnreadableProgramIsReportedForEachMember(t *testing.T) {
+func TestUnreadableProgramReportedPerMember(t *testing.T) {
 	c := &Change{Kind: desiredstate.KindProgram, Programs: make(map[string]string)}
 	files := make(fileHashes)
 	missing := filepath.Join(t.TempDir(), "lockflow")
@@ -30,7 +30,7 @@
 }
 
 // A file that could not be read at first is read again.
-func TestFileHashIsReadAgainAfterFailure(t *testing.T) {
+func TestFileHashRetriesAfterReadError(t *testing.T) {
 	files := make(fileHashes)
 	path := filepath.Join(t.TempDir(), "lockflow")
 	if _, err := files.hash(path); err == nil {
--- a/internal/fleet/regions.go
+++ b/internal/fleet/regions.go
@@ -136,7 +136,7 @@
 		}
 		return remaining
 	}
-	if conflicts := newErrors(check(c.new), check(c.old)); len(conflicts) > 0 {
+	if conflicts := addedErrors(check(c.new), check(c.old)); len(conflicts) > 0 {
 		return mixture.Result{}, &ConflictError{"the change would bring conflicts; nothing was changed", conflicts}
 	}
 	order := mixture.Order(c.old, c.new, check)
@@ -179,7 +179,7 @@
 }
 
 // newErrors returns the conflicts of severity Error that are not among known ones.
-func newErrors(all, known []regions.Conflict) (added []regions.Conflict) {
+func addedErrors(all, known []regions.Conflict) (added []regions.Conflict) {
 	for _, c := range all {
 		isKnown := slices.ContainsFunc(known, func(k regions.Conflict) bool {
 			return k.Kind == c.Kind && slices.Equal(k.Regions, c.Regions) && slices.Equal(k.Rules, c.Rules)
--- a/internal/manage/golden_test.go
+++ b/internal/manage/golden_test.go
@@ -19,9 +19,9 @@
 
 // Bodies that clients of earlier builds send are accepted, and an unknown key is rejected.
 func TestBodiesOfEarlierClients(t *testing.T) {
-	f := fakeDaemon{make(chan string, 1)}
-	h := newHandler(func() Daemon { return f })
-	for _, c := range []struct{ path, body, does string }{
+	daemon := fakeDaemon{make(chan string, 1)}
+	handler := newHandler(func() Daemon { return daemon })
+	for _, tc := range []struct{ path, body, wantCall string }{
 		{"upgrade", `{"program":"/bin/new"}`, "upgrade /bin/new"},
 		{"drain", `{"keep":true}`, "drain true"},
 		{"drain", ``, "drain false"},
@@ -29,13 +29,13 @@
 		{"drain", `{"rest":true}`, ""},
 	} {
 		w := httptest.NewRecorder()
-		h.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/v1/"+c.path, strings.NewReader(c.body)))
-		did := ""
-		if len(f.calls) > 0 {
-			did = <-f.calls
+		handler.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/v1/"+tc.path, strings.NewReader(tc.body)))
+		gotCall := ""
+		if len(daemon.calls) > 0 {
+			gotCall = <-daemon.calls
 		}
-		if refused := w.Code == http.StatusBadRequest; did != c.does || refused != (c.does == "") {
-			t.Errorf("%s %s: %q, %d %s", c.path, c.body, did, w.Code, w.Body)
+		if isRejected := w.Code == http.StatusBadRequest; gotCall != tc.wantCall || isRejected != (tc.wantCall == "") {
+			t.Errorf("%s %s: %q, %d %s", tc.path, tc.body, gotCall, w.Code, w.Body)
 		}
 	}
 }
--- a/internal/manage/keys_test.go
+++ b/internal/manage/keys_test.go
@@ -7,6 +7,6 @@
 )
 
 // All bodies on the control socket have an explicit key for every field.
-func TestKeysAreWritten(t *testing.T) {
+func TestFieldsHaveExplicitKeys(t *testing.T) {
 	testkit.RequireKeys(t, "json", Status{}, Claim{}, Command{}, errorAnswer{}, upgradeRequest{}, drainRequest{})
 }
--- a/internal/manage/server.go
+++ b/internal/manage/server.go
@@ -185,7 +185,7 @@
 			<-o.slots
 			return nil, err
 		}
-		if isOwnersConnection(conn.(*net.UnixConn)) {
+		if isFromOwnerOrRoot(conn.(*net.UnixConn)) {
 			return &slotConn{Conn: conn, slots: o.slots}, nil
 		}
 		conn.Close()
@@ -193,7 +193,7 @@
 	}
 }
 
-func isOwnersConnection(conn *net.UnixConn) bool {
+func isFromOwnerOrRoot(conn *net.UnixConn) bool {
 	userID, err := peerUserID(conn)
 	return err == nil && (userID == os.Geteuid() || userID == rootUserID)
 }
--- a/internal/manage/server_test.go
+++ b/internal/manage/server_test.go
@@ -46,87 +46,87 @@
 
 // A coordinator can distinguish rejections by kind, and a command has space for settings of 5 MB.
 func TestClaimsAndCommandsOverSocket(t *testing.T) {
-	f := fakeDaemon{make(chan string, 8)}
-	s, err := Listen(filepath.Join(t.TempDir(), "c.sock"), f, false)
+	daemon := fakeDaemon{make(chan string, 8)}
+	server, err := Listen(filepath.Join(t.TempDir(), "c.sock"), daemon, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	ctx, c := context.Background(), Client{s.path}
-	if _, err := c.Claim(ctx, Claim{Epoch: 6, Owner: "a"}); !errors.Is(err, ErrStale) || errors.Is(err, ErrLost) || err.Error() != "epoch 7 is granted" {
+	defer server.Close()
+	ctx, client := context.Background(), Client{server.path}
+	if _, err := client.Claim(ctx, Claim{Epoch: 6, Owner: "a"}); !errors.Is(err, ErrStale) || errors.Is(err, ErrLost) || err.Error() != "epoch 7 is granted" {
 		t.Errorf("an old epoch: %v", err)
 	}
-	if _, err := c.Claim(ctx, Claim{Epoch: 7, Owner: "a"}); err != nil {
+	if _, err := client.Claim(ctx, Claim{Epoch: 7, Owner: "a"}); err != nil {
 		t.Error(err)
 	}
 	text := strings.Repeat("# \"<\n", 1<<20)
 	operation := Operation{Kind: desiredstate.KindSettings, Text: text}
-	_, err = c.RunCommand(ctx, Command{Epoch: 7, Owner: "a", ID: "s/1", Operation: operation})
-	if err != nil || <-f.calls != fmt.Sprint("s/1 settings ", len(text)) {
+	_, err = client.RunCommand(ctx, Command{Epoch: 7, Owner: "a", ID: "s/1", Operation: operation})
+	if err != nil || <-daemon.calls != fmt.Sprint("s/1 settings ", len(text)) {
 		t.Errorf("%v", err)
 	}
-	for want, call := range map[string]func(context.Context) (Status, error){"drain true": c.DrainAndStay, "serve": c.Serve} {
-		if _, err := call(ctx); err != nil || <-f.calls != want {
+	for want, call := range map[string]func(context.Context) (Status, error){"drain true": client.DrainAndStay, "serve": client.Serve} {
+		if _, err := call(ctx); err != nil || <-daemon.calls != want {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
-	if _, err := c.call(ctx, "POST", "claim", []int{1}); !errors.Is(err, ErrInvalid) {
+	if _, err := client.call(ctx, "POST", "claim", []int{1}); !errors.Is(err, ErrInvalid) {
 		t.Errorf("no claim: %v", err)
 	}
 }
 
 func TestControlSocketServesOneDaemon(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.sock")
-	f := fakeDaemon{make(chan string, 8)}
-	s, err := Listen(path, f, false)
+	daemon := fakeDaemon{make(chan string, 8)}
+	server, err := Listen(path, daemon, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("others may open it: %v, %v", info.Mode(), err)
 	}
-	ctx, c := context.Background(), Client{path}
-	if st, err := c.Status(ctx); err != nil || st.PID != 7 || st.Generation != 3 || !st.IsReady() {
-		t.Errorf("%+v, %v", st, err)
+	ctx, client := context.Background(), Client{path}
+	if status, err := client.Status(ctx); err != nil || status.PID != 7 || status.Generation != 3 || !status.IsReady() {
+		t.Errorf("%+v, %v", status, err)
 	}
-	var refused RejectedError
-	if _, err := c.Reload(ctx); !errors.As(err, &refused) || refused.Message != "c.toml:3: x: unknown key" {
+	var rejected RejectedError
+	if _, err := client.Reload(ctx); !errors.As(err, &rejected) || rejected.Message != "c.toml:3: x: unknown key" {
 		t.Errorf("reload: %v", err)
 	}
-	if _, err := c.Upgrade(ctx, "/usr/bin/next"); err != nil {
+	if _, err := client.Upgrade(ctx, "/usr/bin/next"); err != nil {
 		t.Error(err)
 	}
-	if _, err := c.Drain(ctx); err != nil {
+	if _, err := client.Drain(ctx); err != nil {
 		t.Error(err)
 	}
 	for _, want := range []string{"reload", "upgrade /usr/bin/next", "drain false"} {
-		if got := <-f.calls; got != want {
+		if got := <-daemon.calls; got != want {
 			t.Errorf("%q, not %q", got, want)
 		}
 	}
-	if _, err := c.call(ctx, "POST", "upgrade", map[string]int{"pid": 1}); !errors.As(err, &refused) || !strings.Contains(refused.Message, `"pid"`) {
+	if _, err := client.call(ctx, "POST", "upgrade", map[string]int{"pid": 1}); !errors.As(err, &rejected) || !strings.Contains(rejected.Message, `"pid"`) {
 		t.Errorf("an unknown field: %v", err)
 	}
-	if _, err := c.call(ctx, "GET", "reload", nil); err == nil {
+	if _, err := client.call(ctx, "GET", "reload", nil); err == nil {
 		t.Error("a reload by GET")
 	}
-	if _, err := Listen(path, f, false); err == nil || !strings.Contains(err.Error(), "another daemon") {
+	if _, err := Listen(path, daemon, false); err == nil || !strings.Contains(err.Error(), "another daemon") {
 		t.Errorf("a second daemon: %v", err)
 	}
 	// A successor takes the place of the socket; the old server's end leaves it alone.
-	next, err := Listen(path, f, true)
+	successor, err := Listen(path, daemon, true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Close()
-	if _, err := c.Status(ctx); err != nil {
+	server.Close()
+	if _, err := client.Status(ctx); err != nil {
 		t.Errorf("after the old one's end: %v", err)
 	}
-	next.Close()
+	successor.Close()
 	if _, err := os.Lstat(path); !os.IsNotExist(err) {
 		t.Errorf("the socket is left: %v", err)
 	}
-	if _, err := c.Status(ctx); err == nil {
+	if _, err := client.Status(ctx); err == nil {
 		t.Error("nobody serves, and an answer")
 	}
 }
@@ -156,52 +156,52 @@
 // endingDaemon is a daemon that ends as soon as a drain is requested, before the request is answered.
 type endingDaemon struct {
 	fakeDaemon
-	server     *Server
-	closeBegun chan struct{} // closed once the server's end has
-	endReload  chan struct{} // a reload waits for it
+	server          *Server
+	shutdownStarted chan struct{} // closed once the server's end has
+	releaseReload   chan struct{} // a reload waits for it
 }
 
 func (e *endingDaemon) Drain(bool) error { go e.server.Close(); return nil }
 
 func (e *endingDaemon) Status() Status {
-	<-e.closeBegun
+	<-e.shutdownStarted
 	return e.fakeDaemon.Status()
 }
 
 func (e *endingDaemon) Reload(context.Context) error {
 	close(e.calls)
-	<-e.endReload
+	<-e.releaseReload
 	return nil
 }
 
 // Close answers a drain's request even where the daemon has ended by then, accepts no request after that, and doesn't
 // wait for ever for an answer that doesn't come.
 func TestRequestsInFlightAreAnsweredBeforeClose(t *testing.T) {
-	begin := func() (*endingDaemon, Client) {
+	startDaemon := func() (*endingDaemon, Client) {
 		path := filepath.Join(t.TempDir(), "c.sock")
-		e := &endingDaemon{fakeDaemon: fakeDaemon{make(chan string)}, closeBegun: make(chan struct{}), endReload: make(chan struct{})}
+		daemon := &endingDaemon{fakeDaemon: fakeDaemon{make(chan string)}, shutdownStarted: make(chan struct{}), releaseReload: make(chan struct{})}
 		var err error
-		if e.server, err = Listen(path, e, false); err != nil {
+		if daemon.server, err = Listen(path, daemon, false); err != nil {
 			t.Fatal(err)
 		}
-		e.server.httpServer.RegisterOnShutdown(func() { close(e.closeBegun) })
-		return e, Client{path}
+		daemon.server.httpServer.RegisterOnShutdown(func() { close(daemon.shutdownStarted) })
+		return daemon, Client{path}
 	}
-	e, c := begin()
-	if st, err := c.Drain(context.Background()); err != nil || st.PID != 7 {
-		t.Errorf("%+v, %v", st, err)
+	daemon, client := startDaemon()
+	if status, err := client.Drain(context.Background()); err != nil || status.PID != 7 {
+		t.Errorf("%+v, %v", status, err)
 	}
-	<-e.server.done
-	if _, err := c.Status(context.Background()); err == nil {
+	<-daemon.server.done
+	if _, err := client.Status(context.Background()); err == nil {
 		t.Error("an answer after the end")
 	}
-	e, c = begin()
-	statusErrors := make(chan error)
-	go func() { _, err := c.Reload(context.Background()); statusErrors <- err }()
-	<-e.calls
-	e.server.Close()
-	if err := <-statusErrors; err == nil {
+	daemon, client = startDaemon()
+	reloadErrors := make(chan error)
+	go func() { _, err := client.Reload(context.Background()); reloadErrors <- err }()
+	<-daemon.calls
+	daemon.server.Close()
+	if err := <-reloadErrors; err == nil {
 		t.Error("an answer that never came")
 	}
-	close(e.endReload)
+	close(daemon.releaseReload)
 }
