--- a/internal/desiredstate/command.go
+++ b/internal/desiredstate/command.go
@@ -6,16 +6,16 @@
 	"path/filepath"
 )
 
-// Limits of what a coordinator may send.
+// Limits on the messages of a coordinator.
 const (
-	// MaxSettingsBytes is the largest text of settings: as large as a configuration may be.
+	// MaxSettingsBytes is the maximum size of settings, equal to that of a configuration file.
 	MaxSettingsBytes = 16 << 20
 
-	maxNameBytes = 200 // of an owner's name, a command's id and a loss token
+	maxNameBytes = 200 // of an owner's name, a command's id, and a loss token
 	maxPathBytes = 4096
 )
 
-// fingerprintBytes is how much of a hash tells commands of one id apart.
+// fingerprintBytes is the length of the hash prefix that distinguishes operations sent under the same command id.
 const fingerprintBytes = 8
 
 // Kind is what an operation does to a member.
@@ -26,55 +26,58 @@
 	KindSettings Kind = "settings" // replaces the configuration file and reloads it
 	KindProgram  Kind = "program"  // upgrades to another program
 	KindRestart  Kind = "restart"  // restarts with the same program and settings
-	KindDrain    Kind = "drain"    // drains the member, which then stays drained
+	KindDrain    Kind = "drain"    // drains the member, which then stays drained, also after a restart
 	KindServe    Kind = "serve"    // ends a drain
 )
 
-// Claim requests that a member obey the owner of an epoch.
+// Claim asks a member to accept commands of an epoch's owner only.
 type Claim struct {
 	Epoch uint64 `json:"epoch"` // above 0
-	Owner string `json:"owner"` // names one coordinator process
-	// LossToken (key "after") is the token that a member reports which has lost its state. Only a coordinator that
-	// has read it may claim such a member: it has then chosen an Epoch above all that a majority has granted.
+	Owner string `json:"owner"` // identifies one coordinator process
+	// LossToken (key "after") is the token that a member reports after it has lost its state. Such a member accepts
+	// only claims with this token: a coordinator that has read it has then chosen an Epoch above all epochs that a
+	// majority has granted.
 	LossToken string `json:"after,omitempty"`
 }
 
-// Command is an operation that the owner of an epoch wants a member to run.
+// Command is an operation that the owner of an epoch sends to a member.
 type Command struct {
 	Epoch     uint64    `json:"epoch"`
 	Owner     string    `json:"owner"`
-	ID        string    `json:"id"` // idempotency key: a member runs the commands of one id once
+	ID        string    `json:"id"` // idempotency key: a member runs commands with the same id once
 	Operation Operation `json:"want"`
 }
 
-// Operation is what a command does. The fields after Kind are set for the kinds that need them only.
+// Operation is what a command does. The fields after Kind are set only for the kinds that need them.
 type Operation struct {
 	Kind Kind   `json:"kind"`
-	Hash string `json:"hash,omitempty"` // of Text, as Hash returns it
-	Text string `json:"text,omitempty"` // of the configuration file
-	Path string `json:"path,omitempty"` // of the program; absolute
+	Hash string `json:"hash,omitempty"` // hash of Text, as returned by function Hash
+	Text string `json:"text,omitempty"` // content of the configuration file
+	Path string `json:"path,omitempty"` // absolute path of the program
 }
 
-// Target is the desired state of a member, whatever its actual state is. An empty field sets nothing.
+// Target is the desired state of a member, which may differ from its actual state. An empty field leaves that part
+// unspecified.
 type Target struct {
-	Hash    string `json:"hash,omitempty"`    // of the settings
+	Hash    string `json:"hash,omitempty"`    // hash of the settings
 	Program string `json:"program,omitempty"` // absolute path
-	Drained bool   `json:"drained,omitempty"` // it is to stay drained
+	Drained bool   `json:"drained,omitempty"` // the member stays drained, also after a restart
 }
 
-// Hash returns the SHA-256 of settings in hex, by which they are identified.
+// Hash returns the SHA-256 of settings in hex, which identifies them.
 func Hash(text []byte) string {
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:])
 }
 
-// fingerprint identifies what an operation does, whoever sends it: a command's id may not be used for another.
+// fingerprint identifies what an operation does, independent of its sender. It detects a command id that is reused for
+// another operation.
 func (o *Operation) fingerprint() string {
 	sum := sha256.Sum256([]byte(string(o.Kind) + "\x00" + o.Hash + "\x00" + o.Path))
 	return hex.EncodeToString(sum[:fingerprintBytes])
 }
 
-// Validate returns a RejectedError of CodeInvalid for a claim that no coordinator can mean.
+// Validate returns a RejectedError of CodeInvalid for a malformed claim.
 func (c Claim) Validate() error {
 	switch {
 	case c.Epoch == 0:
@@ -87,8 +90,8 @@
 	return nil
 }
 
-// Validate returns a RejectedError of CodeInvalid for a command that no coordinator can mean. It checks the hash
-// of settings, not their content.
+// Validate returns a RejectedError of CodeInvalid for a malformed command. It checks the hash of settings, but doesn't
+// parse them.
 func (c *Command) Validate() error {
 	if err := (Claim{Epoch: c.Epoch, Owner: c.Owner}).Validate(); err != nil {
 		return err
@@ -99,7 +102,7 @@
 	return c.Operation.validate(c.ID)
 }
 
-// validate checks the operation of the command with the given id.
+// validate checks the operation of the command with the given id, which its errors name.
 func (o *Operation) validate(id string) error {
 	switch o.Kind {
 	case KindSettings, KindProgram, KindRestart, KindDrain, KindServe:
--- a/internal/desiredstate/encoding.go
+++ b/internal/desiredstate/encoding.go
@@ -9,23 +9,24 @@
 	"path/filepath"
 )
 
-// formatVersion is the version of an encoded state, the number in magic. A member reads its own version only: one
-// that does not know what its state means has lost it, and has to be claimed with a token.
+// formatVersion is the version of the encoding, the number in magic. A member decodes only its own version. One that
+// finds another version treats its state as lost, and must be claimed with a loss token.
 const formatVersion = 1
 
-// maxStateBytes is the largest encoded state, without its header.
+// maxStateBytes is the maximum size of an encoded state without its header.
 const maxStateBytes = 1 << 20
 
-// An encoded state is magic, the hash of the body in hex, a line feed, and the body as JSON.
+// An encoded state consists of magic, the hash of the body in hex, a line feed, and the body as JSON.
 const (
 	magic       = "lockflow orders 1 "
 	headerBytes = len(magic) + 2*sha256.Size + len("\n")
 )
 
-// maxReadBytes is more than any valid file has, so that a longer one is noticed.
+// maxReadBytes bounds how much of a file is read. It exceeds the size of any valid file, so that Decode can detect one
+// that is too long.
 const maxReadBytes = maxStateBytes + 1000
 
-// Encode encodes a state for File. It fails for one that is too large.
+// Encode encodes a state for File. It fails if the state is too large.
 func Encode(state State) ([]byte, error) {
 	body, err := json.Marshal(state)
 	if err != nil {
@@ -37,8 +38,8 @@
 	return append([]byte(magic+Hash(body)+"\n"), body...), nil
 }
 
-// Decode decodes what Encode returned. It rejects everything else, also unknown keys and states that no member can
-// have saved.
+// Decode decodes the output of Encode. It rejects anything else, including unknown keys and states that violate the
+// invariants.
 func Decode(raw []byte) (State, error) {
 	if len(raw) < headerBytes || string(raw[:len(magic)]) != magic || raw[headerBytes-1] != '\n' {
 		return State{}, fmt.Errorf("reading the desired state: it is not of version %d", formatVersion)
@@ -62,7 +63,7 @@
 	return state, nil
 }
 
-// validate returns an error for a state that breaks its invariants.
+// validate returns an error for a state that violates the invariants.
 func (s State) validate() error {
 	switch {
 	case (s.Epoch == 0) != (s.Owner == ""):
--- a/internal/desiredstate/encoding_test.go
+++ b/internal/desiredstate/encoding_test.go
@@ -11,7 +11,7 @@
 	f.Add(raw)
 	f.Add([]byte(magic))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		// A hash is no protection against whoever can compute it: the body is checked too.
+		// An attacker can compute a valid checksum. Correcting it here makes Decode validate the body.
 		if i := strings.IndexByte(string(raw), '\n'); i >= 0 {
 			raw = append([]byte(magic+Hash(raw[i+1:])+"\n"), raw[i+1:]...)
 		}
--- a/internal/desiredstate/file.go
+++ b/internal/desiredstate/file.go
@@ -24,18 +24,18 @@
 // privateFileMode is the mode of the files in the state directory.
 const privateFileMode = 0o600
 
-// File stores a State, and the settings that a running command replaces. The lock of the state directory sees to it
-// that one process uses it at a time; within that, one goroutine does.
+// File stores a State, and the settings that a running command replaces. The lock of the state directory ensures that
+// one process uses it at a time; within that process, one goroutine does.
 //
-// The state stands twice: in the state directory, where there is one, so that it outlives a crash, and in a memory
-// file that a successor inherits, whatever state directory that one is configured with.
+// The state has two copies: one in the state directory, if there is one, which survives a crash, and one in a memory
+// file, which a successor inherits even if it is configured with another state directory.
 type File struct {
-	directory string // "" is none
+	directory string // state directory; "" if there is none
 	memory    *os.File
 }
 
-// Open opens the state in directory. Where that is "", the state is lost with the last process that has the memory
-// file. inherited, where it is not nil, is the predecessor's MemoryFile.
+// Open opens the state in directory. If directory is "", the state is lost when the last process that holds the memory
+// file ends. inherited is the predecessor's MemoryFile, or nil.
 func Open(directory string, inherited *os.File) (*File, error) {
 	if inherited != nil {
 		return &File{directory, inherited}, nil
@@ -49,7 +49,8 @@
 	return f, nil
 }
 
-// removeLeftovers removes temporary files of killed writes, which cost space and nothing else.
+// removeLeftovers removes temporary files of interrupted writes. They have no effect other than the space they take, so
+// failures are only logged.
 func (f *File) removeLeftovers() {
 	if f.directory == "" {
 		return
@@ -64,18 +65,18 @@
 // IsVolatile reports whether a crash loses the state.
 func (f *File) IsVolatile() bool { return f.directory == "" }
 
-// MemoryFile returns the file that a successor inherits. It stays f's to close.
+// MemoryFile returns the file that a successor inherits. f remains responsible for closing it.
 func (f *File) MemoryFile() *os.File { return f.memory }
 
 // Close closes the memory file. A nil File may be closed.
 func (f *File) Close() {
 	if f != nil {
-		_ = f.memory.Close() // not on a disk: nothing that was written can be lost by it
+		_ = f.memory.Close() // in memory, so an error can't mean lost writes
 	}
 }
 
-// Load reads the state: from the memory file, or from the directory where that is empty. It returns the zero State
-// where none was saved.
+// Load reads the state from the memory file, or, if that is empty, from the directory. It returns the zero State if
+// none was saved.
 func (f *File) Load() (State, error) {
 	raw, err := f.readMemory()
 	if err != nil {
@@ -90,8 +91,8 @@
 	return ReadState(f.directory)
 }
 
-// ReadState reads the state in a directory, or the zero State where there is none. Another process may own the
-// directory: files in it are replaced atomically.
+// ReadState reads the state in a directory. It returns the zero State if there is none. It may be called while another
+// process owns the directory, since files in it are replaced atomically.
 func ReadState(directory string) (State, error) {
 	raw, err := readBounded(filepath.Join(directory, stateFileName), maxReadBytes)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -103,16 +104,16 @@
 	return Decode(raw)
 }
 
-// Quarantine renames a state file that can't be read, so that the operator may inspect it.
+// Quarantine renames an unreadable state file, so that the operator can inspect it.
 func (f *File) Quarantine() {
 	if f.directory != "" {
 		path := filepath.Join(f.directory, stateFileName)
-		_ = os.Rename(path, path+damagedSuffix) // where it fails, the next Save replaces the file
+		_ = os.Rename(path, path+damagedSuffix) // if it fails, the next Save replaces the file
 	}
 }
 
-// Save replaces the saved state atomically; it is on the disk when Save returns. After an error neither of the two
-// files has the new state: what a member has rejected for that it must not have granted after a crash.
+// Save replaces the saved state atomically; the new one is on disk when Save returns. After an error neither copy has
+// the new state: a member that rejected a claim because of the error must not find it granted after a crash.
 func (f *File) Save(state State) error {
 	raw, err := Encode(state)
 	if err != nil {
@@ -137,7 +138,7 @@
 	}
 	err = durable.ReplaceFile(filepath.Join(f.directory, stateFileName), raw, privateFileMode)
 	if err != nil && f.writeMemory(previous) != nil {
-		// With an empty memory file a successor reads the directory.
+		// An empty memory file makes a successor read the directory instead.
 		err = errors.Join(err, f.memory.Truncate(0))
 	}
 	return err
@@ -147,8 +148,8 @@
 	return io.ReadAll(io.NewSectionReader(f.memory, 0, maxReadBytes))
 }
 
-// writeMemory replaces the content of the memory file. A successor that finds it half written takes the state for
-// lost.
+// writeMemory replaces the content of the memory file. The write is not atomic: a successor that finds a partial one
+// treats the state as lost.
 func (f *File) writeMemory(raw []byte) error {
 	if _, err := f.memory.WriteAt(raw, 0); err != nil {
 		return err
@@ -156,8 +157,8 @@
 	return f.memory.Truncate(int64(len(raw)))
 }
 
-// SaveOldSettings stores the settings that a command is about to replace. Without a directory it stores nothing: a
-// process that is killed then leaves the configuration file as it is.
+// SaveOldSettings stores the settings that a command is about to replace. Without a state directory it stores nothing;
+// if the process is then killed, the old settings can't be restored and the configuration file stays as it is.
 func (f *File) SaveOldSettings(text []byte) error {
 	if f.directory == "" {
 		return nil
@@ -168,7 +169,7 @@
 	return nil
 }
 
-// OldSettings returns what SaveOldSettings stored last. The error is fs.ErrNotExist where there is nothing.
+// OldSettings returns the settings that SaveOldSettings stored last, or fs.ErrNotExist if there are none.
 func (f *File) OldSettings() ([]byte, error) {
 	if f.directory == "" {
 		return nil, fs.ErrNotExist
@@ -176,15 +177,14 @@
 	return readBounded(filepath.Join(f.directory, oldSettingsFileName), MaxSettingsBytes+1)
 }
 
-// RemoveOldSettings removes what SaveOldSettings stored.
+// RemoveOldSettings removes the settings that SaveOldSettings stored.
 func (f *File) RemoveOldSettings() {
 	if f.directory != "" {
-		_ = os.Remove(filepath.Join(f.directory, oldSettingsFileName)) // a leftover is used while a command runs only
+		_ = os.Remove(filepath.Join(f.directory, oldSettingsFileName)) // a remaining file is ignored unless a command is running
 	}
 }
 
-// ReplaceFile atomically replaces the text of a file, or of the file that a symbolic link leads to, and keeps its
-// mode.
+// ReplaceFile atomically replaces the content of a file and keeps its mode. It follows symbolic links.
 func ReplaceFile(path string, text []byte) error {
 	path, err := filepath.EvalSymlinks(path)
 	if err != nil {
@@ -197,12 +197,12 @@
 	return durable.ReplaceFile(path, text, info.Mode().Perm())
 }
 
-// readBounded reads the first limit bytes of a file at most.
+// readBounded reads at most the first limit bytes of a file.
 func readBounded(path string, limit int64) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer file.Close() //nolint:errcheck // only read
+	defer file.Close() //nolint:errcheck // opened for reading, so an error loses no data
 	return io.ReadAll(io.LimitReader(file, limit))
 }
--- a/internal/desiredstate/file_test.go
+++ b/internal/desiredstate/file_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// A state that could not be saved is in neither file, whichever of the two fails: a member that has rejected an epoch
-// for that must not have granted it after a crash or an upgrade.
+// A state that could not be saved is in neither copy, whichever of the two writes fails: a member that rejected an epoch
+// because of the error must not find it granted after a crash or an upgrade.
 func TestSaveIsAtomic(t *testing.T) {
 	first, second := State{Epoch: 1, Owner: "a"}, State{Epoch: 2, Owner: "b"}
 	for name, breakWrites := range map[string]func(f *File) (restore func()){
@@ -20,7 +20,7 @@
 			if err := os.WriteFile(path, raw, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			f.memory, _ = os.Open(path) // can't be written
+			f.memory, _ = os.Open(path) // opened read-only, so that writes fail
 			return func() { f.memory.Close(); f.memory = original }
 		},
 		"directory": func(f *File) func() {
@@ -61,7 +61,7 @@
 	}
 }
 
-// Any byte of a saved state that changes or is missing is detected; old settings and a replaced file are complete.
+// Any changed or missing byte of a saved state is detected. Old settings and a replaced file are stored completely.
 func TestFileDetectsCorruptionAndReplacesAtomically(t *testing.T) {
 	dir := t.TempDir()
 	f, err := Open(dir, nil)
@@ -88,7 +88,7 @@
 			t.Errorf("the first %d bytes", i)
 		}
 	}
-	// A successor loads the newest state, whatever directory it has.
+	// A successor loads the newest state from the memory file, even if it has another state directory.
 	successor, _ := Open(t.TempDir(), f.MemoryFile())
 	for _, load := range []func() (State, error){f.Load, successor.Load, func() (State, error) { return ReadState(dir) }} {
 		if got, err := load(); err != nil || !reflect.DeepEqual(got, state) {
--- a/internal/desiredstate/golden_test.go
+++ b/internal/desiredstate/golden_test.go
@@ -7,7 +7,7 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// The file of an earlier build is decoded, and encoded to the same bytes again. The flag -update writes it.
+// The state file of an earlier build can be decoded, and is encoded to the same bytes. The flag -update rewrites it.
 func TestGoldenFile(t *testing.T) {
 	var sample State
 	testkit.Sample("json", &sample)
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	raw := testkit.GoldenBytes(t, "testdata/golden/orders", got)
-	state, err := Decode(raw) // which refuses keys that it does not know
+	state, err := Decode(raw) // rejects unknown keys
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,7 +27,7 @@
 	}
 }
 
-// What coordinators send is read and written under the keys of earlier builds.
+// The messages of coordinators have the same keys as in earlier builds.
 func TestGoldenMessages(t *testing.T) {
 	testkit.GoldenSample(t, "json", "testdata/golden/claim.json", &Claim{})
 	testkit.GoldenSample(t, "json", "testdata/golden/order.json", &Command{})
--- a/internal/desiredstate/keys_test.go
+++ b/internal/desiredstate/keys_test.go
@@ -6,7 +6,7 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// Each field of a state and of a coordinator's messages has an explicit key.
+// Every field of a state and of a coordinator's messages has an explicit key.
 func TestStoredFieldsHaveKeys(t *testing.T) {
 	testkit.RequireKeys(t, "json", State{}, Claim{}, Command{})
 }
--- a/internal/desiredstate/outcome.go
+++ b/internal/desiredstate/outcome.go
@@ -5,29 +5,29 @@
 	"fmt"
 )
 
-// Code is how a command ended, or why a claim or a command was rejected.
+// Code is the result of a command, or the reason why a claim or a command was rejected.
 type Code string
 
-// The codes. Those after CodeFailed are rejections: the member has done nothing.
+// The codes. Those after CodeFailed are rejections, after which the member has done nothing.
 const (
 	CodeOK       Code = "ok"
-	CodeFailed   Code = "failed" // it ran and failed; the member is as before, except for what Outcome.Error reports
-	CodeStale    Code = "stale"  // the member has granted a newer epoch, or this one to another owner
-	CodeLost     Code = "lost"   // the member has lost which epochs it granted, and has to be claimed with its token
-	CodeBusy     Code = "busy"   // another command or an upgrade is running; retry
-	CodeInvalid  Code = "bad"    // a retry gets the same answer
-	CodeNotSaved Code = "unkept" // the member could not store its next state
+	CodeFailed   Code = "failed" // the command ran and failed; the member is as before, except for what Outcome.Error reports
+	CodeStale    Code = "stale"  // the member has granted a newer epoch, or this epoch to another owner
+	CodeLost     Code = "lost"   // the member has lost the record of granted epochs and must be claimed with its loss token
+	CodeBusy     Code = "busy"   // another command or an upgrade is running; the caller may retry
+	CodeInvalid  Code = "bad"    // the message is malformed or contradicts an earlier one; a retry gets the same answer
+	CodeNotSaved Code = "unkept" // the member could not save its next state
 )
 
-// Outcome is how a command ended. The zero value means that none has ended.
+// Outcome is the result of a command that has ended. The zero value means that no command has ended.
 type Outcome struct {
 	ID    string `json:"id"`
 	Code  Code   `json:"code"`            // CodeOK or CodeFailed
-	Error string `json:"error,omitempty"` // why it failed
+	Error string `json:"error,omitempty"` // set for CodeFailed
 }
 
-// RejectedError is a claim or a command that a member did not follow. A target without a Text matches, by errors.Is,
-// every rejection of its Code.
+// RejectedError is the error for a claim or a command that a member rejected. For errors.Is, a target without a Text
+// matches every rejection with its Code.
 type RejectedError struct {
 	Code Code
 	Text string
@@ -35,7 +35,7 @@
 
 func (r *RejectedError) Error() string { return r.Text }
 
-// Is reports whether target is a RejectedError of the same Code without a Text.
+// Is reports whether target is a RejectedError with the same Code and without a Text.
 func (r *RejectedError) Is(target error) bool {
 	var other *RejectedError
 	return errors.As(target, &other) && other.Text == "" && other.Code == r.Code
--- a/internal/desiredstate/state.go
+++ b/internal/desiredstate/state.go
@@ -2,57 +2,57 @@
 
 import "slices"
 
-// maxOutcomes is how many ended commands a member remembers. A coordinator repeats its last few commands at most,
-// so that one which was forgotten is never repeated.
+// maxOutcomes is the number of ended commands that a member remembers. A coordinator repeats only its last few
+// commands, so a forgotten one is never repeated.
 const maxOutcomes = 64
 
-// maxErrorBytes is how much of a failed command's error is stored.
+// maxErrorBytes is the length to which the error of a failed command is truncated before it is stored.
 const maxErrorBytes = 1000
 
-// State is which coordinator a member obeys and what it was commanded. It is a value: each method that changes it
-// returns the next state, which takes effect once it is saved. The zero value has granted no epoch.
+// State records which coordinator's commands a member accepts, and what it was commanded. It is a value: a method that
+// changes it returns the next state, which takes effect once it is saved. The zero value has granted no epoch.
 type State struct {
-	Epoch uint64 `json:"epoch"` // the newest that was granted; 0 is none. It only grows while LossToken is empty.
+	Epoch uint64 `json:"epoch"` // newest epoch that was granted, or 0; while LossToken is empty it never decreases
 	Owner string `json:"owner"` // of Epoch; "" if and only if Epoch is 0
-	// LossToken (key "lost"), if not empty, means that the epochs that were granted are lost. Claims need it.
+	// LossToken (key "lost"), if not empty, means that the record of granted epochs is lost. A claim must then have it.
 	LossToken string          `json:"lost,omitempty"`
-	Running   *RunningCommand `json:"doing,omitempty"` // nil where none is
+	Running   *RunningCommand `json:"doing,omitempty"` // nil if no command is running
 	Target    Target          `json:"wanted"`
-	// Program is the last one that was commanded and has served: a supervisor starts the member with it. "" is none.
+	// Program is the last commanded program that has served, or "". A supervisor starts the member with it.
 	Program string         `json:"program,omitempty"`
-	Ended   []EndedCommand `json:"done,omitempty"` // up to maxOutcomes, the newest last
+	Ended   []EndedCommand `json:"done,omitempty"` // at most maxOutcomes, newest last
 }
 
 // RunningCommand is a command that was accepted and has not ended.
 type RunningCommand struct {
 	Epoch       uint64 `json:"epoch"`
 	ID          string `json:"id"`
-	Fingerprint string `json:"act"` // of its operation
+	Fingerprint string `json:"act"` // of the operation
 	Kind        Kind   `json:"kind"`
 	Hash        string `json:"hash,omitempty"`
 	Path        string `json:"path,omitempty"`
-	Previous    Target `json:"before"` // the target that a failure restores
+	Previous    Target `json:"before"` // target before the command; restored if the command fails
 }
 
 // EndedCommand is a command that has ended, with its outcome.
 type EndedCommand struct {
 	Outcome
 	Epoch       uint64 `json:"epoch"`
-	Fingerprint string `json:"act"` // of its operation
+	Fingerprint string `json:"act"` // of the operation
 }
 
-// Step is what a member does with a command that it accepts.
+// Step is what a member has to do about a command that it accepted.
 type Step int
 
 // The steps.
 const (
-	StepStart  Step = iota // save the next state, run the command, then Finish
-	StepWait               // it is running already: answer when it ends
-	StepAnswer             // it has ended already: answer its outcome
+	StepStart  Step = iota // save the next state, run the command, then call Finish
+	StepWait               // the command is already running: answer when it ends
+	StepAnswer             // the command has already ended: answer its outcome
 )
 
-// Grant grants an epoch to its owner. The error is a RejectedError of CodeInvalid, CodeStale or CodeLost, and the
-// state is then unchanged.
+// Grant grants an epoch to its owner. A failure leaves the state unchanged and is a RejectedError with CodeInvalid,
+// CodeStale or CodeLost.
 func (s State) Grant(claim Claim) (State, error) {
 	if err := claim.Validate(); err != nil {
 		return s, err
@@ -76,8 +76,8 @@
 	return reject(CodeStale, "epoch %d of %q is not granted here: epoch %d of %q is", epoch, owner, s.Epoch, s.Owner)
 }
 
-// Accept accepts a command and returns the next state and what to do. The outcome is that of StepAnswer. The error
-// is a RejectedError of CodeInvalid, CodeStale, CodeLost or CodeBusy, and the state is then unchanged.
+// Accept accepts a command and returns the next state, what to do, and, for StepAnswer, the command's outcome. A
+// failure leaves the state unchanged and is a RejectedError with CodeInvalid, CodeStale, CodeLost or CodeBusy.
 func (s State) Accept(command Command) (State, Step, Outcome, error) {
 	if err := s.authorize(&command); err != nil {
 		return s, 0, Outcome{}, err
@@ -101,7 +101,7 @@
 	return s.start(&command, fingerprint), StepStart, Outcome{}, nil
 }
 
-// authorize checks that a command is valid and sent by the owner of the epoch that is granted.
+// authorize checks that a command is valid and comes from the owner of the granted epoch.
 func (s State) authorize(command *Command) error {
 	if err := command.Validate(); err != nil {
 		return err
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// findEnded finds the newest ended command of an id. A coordinator that resumes another's rollout repeats the last
-// command only: an earlier one of another epoch may have the same id by chance, and does not count.
+// findEnded finds the newest ended command with the given id. Commands of other epochs may have the same id by chance,
+// so they don't count, with one exception: a coordinator that resumes another's rollout may repeat the last command.
 func (s State) findEnded(id string) (EndedCommand, bool) {
 	last := len(s.Ended) - 1
 	for i, ended := range slices.Backward(s.Ended) {
@@ -147,13 +147,13 @@
 		s.Target.Drained = true
 	case KindServe:
 		s.Target.Drained = false
-	case KindRestart: // what it runs stays
+	case KindRestart: // leaves the target unchanged
 	}
 	return s
 }
 
-// Finish ends the running command, if there is one. A failure, err not nil, restores the target that the command
-// had replaced.
+// Finish ends the running command, if there is one. A non-nil err means that the command failed, and restores the
+// previous target.
 func (s State) Finish(err error) State {
 	running := s.Running
 	if running == nil {
@@ -169,7 +169,7 @@
 	}
 	s.Running = nil
 	remembered := s.Ended[max(0, len(s.Ended)-maxOutcomes+1):]
-	s.Ended = append(slices.Clone(remembered), ended) // a copy: other values of State share the old one
+	s.Ended = append(slices.Clone(remembered), ended) // cloned because other State values share the slice
 	return s
 }
 
@@ -180,7 +180,7 @@
 	return text
 }
 
-// LastOutcome returns the outcome of the command that ended last, or the zero Outcome.
+// LastOutcome returns the outcome of the command that ended last, or the zero Outcome if none has ended.
 func (s State) LastOutcome() Outcome {
 	if len(s.Ended) == 0 {
 		return Outcome{}
@@ -188,15 +188,15 @@
 	return s.Ended[len(s.Ended)-1].Outcome
 }
 
-// Observed is what a process that has just started runs.
+// Observed is what a newly started process runs.
 type Observed struct {
-	Hash    string // of the settings in force
+	Hash    string // hash of the settings in force
 	Program string // absolute path
 }
 
-// Recover ends the command of a process that is gone. One whose effect is observed has succeeded. Another was
-// interrupted: it is forgotten, and runs again when it is repeated. The target stays in both cases. A command to
-// serve stays running: it ends once the member serves.
+// Recover ends the command that was running when the previous process ended. If its effect is observed, it has
+// succeeded. Otherwise it was interrupted: it is forgotten, and runs anew if the coordinator repeats it. The target
+// stays in both cases. A command to serve remains running until the member serves.
 func (s State) Recover(observed Observed) State {
 	running := s.Running
 	if running == nil {
@@ -220,12 +220,12 @@
 	return s
 }
 
-// SetDrained sets whether the member is to stay drained, on behalf of its operator: it needs no epoch, and the
-// failure of a running command does not undo it.
+// SetDrained sets whether the member stays drained. It is for requests of the operator, which need no epoch; the failure
+// of a running command does not undo it.
 func (s State) SetDrained(drained bool) State {
 	s.Target.Drained = drained
 	if s.Running != nil {
-		running := *s.Running // a copy: other values of State share the old one
+		running := *s.Running // copied because other State values share the pointer
 		running.Previous.Drained = drained
 		s.Running = &running
 	}
--- a/internal/desiredstate/state_test.go
+++ b/internal/desiredstate/state_test.go
@@ -11,18 +11,18 @@
 	"pgregory.net/rapid"
 )
 
-// memberModel is a member whose process can end between any two steps, and what the test knows of it apart from its
-// state: what was granted and what was run.
+// memberModel is a member whose process can crash between any two steps. Apart from the member's state it records what
+// the member has granted and run, against which the test checks that state.
 type memberModel struct {
 	t               *rapid.T
 	file            *File
 	state           State
-	settingsInFile  string // the settings' text in the file, and in force
+	settingsInFile  string // content of the configuration file; may differ from settingsInForce during a command
 	settingsInForce string
-	ownerByEpoch    map[uint64]string // by epoch, also over restarts
+	ownerByEpoch    map[uint64]string // kept over crashes
 	newestEpoch     uint64
-	completionCount map[string]int  // times that an id was carried out to its end
-	outcomes        map[string]Code // code by epoch and id
+	completionCount map[string]int  // how often a command took effect, by epoch and id
+	outcomes        map[string]Code // codes of ended commands by epoch and id
 }
 
 func (m *memberModel) save(state State) {
@@ -32,7 +32,7 @@
 	m.state = state
 }
 
-// crash ends the process and starts another with what is on the disk.
+// crash ends the process and starts another from the saved state and the settings in the file.
 func (m *memberModel) crash() {
 	state, err := m.file.Load()
 	if err != nil {
@@ -61,7 +61,8 @@
 	m.ownerByEpoch[c.Epoch], m.newestEpoch = c.Owner, c.Epoch
 }
 
-// send sends a command. The process crashes before step crashAt; failure is the outcome otherwise.
+// send sends a command. The process crashes before step crashAt; if it doesn't crash, the command ends with failure,
+// where nil is success.
 func (m *memberModel) send(command Command, crashAt int, failure error) {
 	key := fmt.Sprint(command.Epoch, command.ID)
 	before := m.state
@@ -118,8 +119,8 @@
 	}
 }
 
-// Whatever coordinators send in whatever order, and wherever the process ends: an epoch has one owner and only grows,
-// only its owner is obeyed, and a command that has ended does not run again.
+// For any sequence of claims, commands and crashes, an epoch has one owner, epochs never decrease, only commands of the
+// epoch's owner are accepted, and a command that has ended does not run a second time.
 func TestStateHoldsOverCrashesAndCoordinators(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &memberModel{t: t, ownerByEpoch: map[uint64]string{}, completionCount: map[string]int{}, outcomes: map[string]Code{}}
@@ -194,7 +195,8 @@
 	if recovered := accepted.SetDrained(true).Finish(errors.New("no")); !recovered.Target.Drained {
 		t.Error("a failed command has undone what the operator set")
 	}
-	// A coordinator that resumes under another epoch repeats the last command; older ids may belong to others.
+	// A coordinator that resumes under another epoch may repeat the last command. Earlier commands of other epochs with the
+	// same id don't count.
 	state = accepted.Finish(nil)
 	if state, err = state.Grant(Claim{Epoch: 8, Owner: "b"}); err != nil {
 		t.Fatal(err)
@@ -214,7 +216,7 @@
 	}
 }
 
-// A member that has lost its state obeys only a coordinator that claims it with its token.
+// A member that has lost its state accepts only a claim with its loss token, and no commands before that.
 func TestLostStateRequiresLossToken(t *testing.T) {
 	state := State{LossToken: "token"}
 	for _, c := range []Claim{{7, "a", ""}, {9, "a", "another"}} {
--- a/internal/fleet/calls.go
+++ b/internal/fleet/calls.go
@@ -16,11 +16,11 @@
 type statusReply struct {
 	member   int            // index in the plan's members
 	polledAt time.Duration  // when the poll was sent
-	status   *manage.Status // nil is no reply
+	status   *manage.Status // nil if the member did not reply
 }
 
-// call runs a call to a member in a goroutine, and sends its result as an event. It is not ended with ctx: a command
-// that was sent is awaited.
+// call runs send in a goroutine and delivers its result to c.events. At most maxConcurrentCalls calls run at a time.
+// The cancellation of ctx does not reach the call, so that the outcome of a command that was sent is still received.
 func (c *coordinator) call(ctx context.Context, timeout time.Duration, send func(ctx context.Context) any) {
 	go func() {
 		c.callSlots <- struct{}{}
@@ -31,7 +31,7 @@
 	}()
 }
 
-// pollMembers polls the members whose last poll is over.
+// pollMembers starts a status poll of each member that has none outstanding.
 func (c *coordinator) pollMembers(ctx context.Context) {
 	for i, client := range c.clients {
 		if c.isPolling[i] {
@@ -49,7 +49,7 @@
 	}
 }
 
-// handleStatus notes a reply to a poll, and returns the rollout's event for it.
+// handleStatus records a reply to a poll, and returns it as an event of the state machine.
 func (c *coordinator) handleStatus(reply statusReply) rollout.Event {
 	c.isPolling[reply.member] = false
 	c.lastStatus[reply.member] = reply.status
@@ -58,7 +58,7 @@
 	if status == nil {
 		return event
 	}
-	// Settings also change on a drained member, which is as desired and not ready.
+	// A drained member reloads settings too: it is not ready, but in its desired state.
 	event.IsServing = status.IsReady() || c.change.Kind == desiredstate.KindSettings && status.IsAsDesired()
 	event.Version = c.change.version(status, c.programHashes)
 	event.Epoch = status.Epoch
@@ -69,8 +69,9 @@
 	return event
 }
 
-// utilization returns the highest share of its limits that any service of a member uses: of requests, buffered bytes or
-// descriptors; -1 is unknown. The limit of attempts in flight does not count, since it follows its use.
+// utilization returns the highest fraction in use of any resource limit (requests, buffered bytes, descriptors) over a
+// member's services, or -1 if no service reports limits. The concurrency limit is left out, because it adapts to the
+// number of attempts in flight and says nothing about spare capacity.
 func utilization(status *manage.Status) float64 {
 	highest := -1.0
 	for _, service := range status.Services {
@@ -86,7 +87,8 @@
 	return highest
 }
 
-// sendClaim claims a member. If another coordinator owns it, the newest epoch is polled too.
+// sendClaim claims a member. If another coordinator owns the member, it also reads the epoch that the member has
+// granted.
 func (c *coordinator) sendClaim(ctx context.Context, claim rollout.Claim) {
 	client := c.clients[claim.Member]
 	c.call(ctx, statusTimeout, func(ctx context.Context) any {
@@ -116,7 +118,7 @@
 		_, event.Err = client.RunCommand(ctx, manage.Command{Epoch: command.Epoch, Owner: command.Owner, ID: command.ID, Operation: operation})
 		event.Reply = replyOf(event.Err)
 		if event.Reply == rollout.ReplyStale {
-			// A member that has lost its epochs is no sign of a newer coordinator.
+			// The member has lost the epoch that it granted, so the rejection does not show that a newer coordinator exists.
 			if status, err := client.Status(ctx); err == nil && status.Epoch < command.Epoch {
 				event.Reply = rollout.ReplyUngranted
 			}
@@ -125,7 +127,7 @@
 	})
 }
 
-// replyOf returns what the error of a claim or a command means.
+// replyOf classifies the error of a claim or a command.
 func replyOf(err error) rollout.Reply {
 	switch {
 	case err == nil:
@@ -136,8 +138,8 @@
 		return rollout.ReplyUngranted
 	case errors.Is(err, manage.ErrFailed), errors.Is(err, manage.ErrInvalid):
 		return rollout.ReplyFailed
-	case strings.HasSuffix(err.Error(), "404 Not Found"): // a program from before commands existed
+	case strings.HasSuffix(err.Error(), "404 Not Found"): // the member's release predates the command endpoint
 		return rollout.ReplyUnsupported
 	}
-	return rollout.ReplyUnknown // also of a busy member, which is sent the call again
+	return rollout.ReplyUnknown // includes ErrBusy: the call is retried
 }
--- a/internal/fleet/change.go
+++ b/internal/fleet/change.go
@@ -14,35 +14,37 @@
 	"lockflow/internal/rollout"
 )
 
-// formatVersion is the version of Change's stored form. Others are rejected.
+// formatVersion is the version of Change's stored format. Other versions are rejected.
 const formatVersion = 1
 
-// restartSuffix marks, in rollout.Member.Versions, a process that was started after the change began and runs the same
-// program.
+// restartSuffix is appended to the program hash in rollout.Member.Versions for a process that was started after the
+// change began, so that a restart with the same program counts as a new version.
 const restartSuffix = " anew"
 
-// Change is one change of a fleet's settings or program, with all that it takes to run it and to roll it back. It is
-// the first record of its rollout log, from which any coordinator can resume it.
+// Change is one change of a fleet's settings or program, with all data needed to run it and to roll it back. It is the
+// first record of its rollout log, from which any coordinator can resume it.
 type Change struct {
 	FormatVersion int               `json:"form"`
 	StartedAt     time.Time         `json:"begun"`
 	Kind          desiredstate.Kind `json:"kind"` // KindSettings or KindProgram
 	Plan          rollout.Plan      `json:"plan"`
-	Sockets       []string          `json:"sockets"`            // control sockets of the plan's members, in its order
-	Texts         map[string]string `json:"texts,omitempty"`    // settings by hash
-	Programs      map[string]string `json:"programs,omitempty"` // paths by the hash of the file
+	Sockets       []string          `json:"sockets"`            // control sockets, in the order of Plan.Members
+	Texts         map[string]string `json:"texts,omitempty"`    // settings by hash of their text
+	Programs      map[string]string `json:"programs,omitempty"` // paths of executables by hash of their content
 }
 
-// Placed is a member with its place and the settings that it is to run.
+// Placed is a member with its region and zone, and the settings that it is to run.
 type Placed struct {
 	Member
 	Region string
 	Zone   string
-	// Texts are its settings at each generation after the one that it runs. A nil text is that of its own file.
+	// Texts are the member's settings at each generation after the current one. Nil stands for the content of the
+	// member's own configuration file.
 	Texts [][]byte
 }
 
-// WithSettings returns members of one region that are all to run one text; nil is that of each member's own file.
+// WithSettings returns the members as one region in which all are to run the same settings. A nil text stands for the
+// content of each member's own configuration file.
 func WithSettings(members []Member, text []byte) []Placed {
 	all := make([]Placed, len(members))
 	for i, m := range members {
@@ -51,15 +53,15 @@
 	return all
 }
 
-// CheckSettings returns an error for settings that can't be used, before any member gets them. name is their place in
-// the error.
+// CheckSettings returns an error for invalid settings, so that they are rejected before any member receives them. name
+// identifies the settings in the error.
 func CheckSettings(name string, text []byte) error {
 	_, err := config.Parse(name, text)
 	return err
 }
 
-// requireReady polls all members, and returns an error if one does not answer or is not as desired, or, with
-// mustServe, is not ready.
+// requireReady polls all members and returns their statuses. It fails if a member does not answer or is not in its
+// desired state, or, with mustServe, if a member is not ready.
 func requireReady(ctx context.Context, members []Placed, mustServe bool) ([]manage.Status, error) {
 	polled := make([]Member, len(members))
 	for i, m := range members {
@@ -101,8 +103,8 @@
 	return c.Plan.Validate()
 }
 
-// MembersWithoutOldSettings returns the names of members whose settings before the change are in no file: they can't be
-// rolled back.
+// MembersWithoutOldSettings returns the names of the members that can't be rolled back, because no file has the
+// settings that they ran before the change.
 func (c *Change) MembersWithoutOldSettings() (names []string) {
 	if c.Kind != desiredstate.KindSettings {
 		return nil
@@ -135,16 +137,16 @@
 	return manage.Operation{Kind: desiredstate.KindProgram, Path: path}, nil
 }
 
-// programHashes are hashes of the programs that processes run, each computed once.
+// programHashes caches the hash of the program that each process runs.
 type programHashes map[processKey]string
 
-// processKey identifies a process over reuses of its id.
+// processKey identifies a process. The start time distinguishes it from a later process with the same id.
 type processKey struct {
 	pid       int
 	startedAt int64 // Unix time in ns
 }
 
-// version returns what a member runs, in terms of rollout.Member.Versions.
+// version returns what a member runs, in the same form as rollout.Member.Versions.
 func (c *Change) version(status *manage.Status, known programHashes) string {
 	if c.Kind == desiredstate.KindSettings {
 		return status.ConfigHash
@@ -168,5 +170,5 @@
 	return hash
 }
 
-// ErrUnchanged means that every member runs the wanted settings already.
+// ErrUnchanged means that every member already runs the new settings.
 var ErrUnchanged = errors.New("every member runs these settings already")
--- a/internal/fleet/change_test.go
+++ b/internal/fleet/change_test.go
@@ -14,7 +14,7 @@
 	"lockflow/internal/rollout"
 )
 
-// settingsOf returns a configuration with the hard limits of two plans, a class and a group size.
+// renderSettings returns a configuration with the given hard limits of two plans, class settings and group size.
 func renderSettings(rate1, rate2 int, class string, instances int) []byte {
 	return fmt.Appendf(nil, `protocol = "platform"
 [process]
@@ -59,7 +59,8 @@
 	}
 }
 
-// Whatever old and new settings are: no step to, from or without intermediate settings needs others.
+// For arbitrary old and new settings, each step of a change (old to intermediate to new, or old to new) has settings
+// that may be in force at the same time, so that no step needs further intermediate settings.
 func TestIntermediateSettingsNeedNoFurtherStep(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drawSettings := func(which string) []byte {
@@ -93,7 +94,7 @@
 		if err != nil {
 			return
 		}
-		// What was read can be gone on with, or is refused; it breaks nothing.
+		// A change that decodes is either resumed or rejected, and events after that don't panic.
 		if r, err := rollout.Resume(c.Plan, "o", rand.New(rand.NewPCG(1, 1)), entries, len(first)%2 == 0); err == nil {
 			r.Handle(0, rollout.Tick{})
 			r.Handle(time.Second, rollout.MemberStatus{IsServing: true, Version: "a"})
@@ -101,7 +102,8 @@
 	})
 }
 
-// Records of a rollout log count only if all of them can be decoded.
+// The records of a rollout log are used only if all of them can be decoded, and an unfinished change is recognized by its
+// last entry.
 func TestDecode(t *testing.T) {
 	validChange := fmt.Sprintf(`{"form":1,"kind":"settings","plan":{"members":[{"name":"0","gens":["a","b"]}]},"sockets":["/s"],"texts":{%q:"x"}}`, desiredstate.Hash([]byte("x")))
 	for name, tc := range map[string]struct {
--- a/internal/fleet/coordinator.go
+++ b/internal/fleet/coordinator.go
@@ -15,70 +15,70 @@
 )
 
 const (
-	memberPollInterval = 250 * time.Millisecond // of each member
-	evaluationInterval = time.Second            // at most between two readings of the judge
-	progressInterval   = 2 * time.Second        // at most between two stored progress reports
-	maxConcurrentCalls = 64                     // to members
+	memberPollInterval = 250 * time.Millisecond // between status polls of a member
+	evaluationInterval = time.Second            // upper bound of the time between readings given to the judge
+	progressInterval   = 2 * time.Second        // upper bound of the time between stored progress reports
+	maxConcurrentCalls = 64                     // calls to members that run at a time
 )
 
-// Events that may wait for the coordinator: some for each member, and a reserve.
+// The event channel's buffer has eventsPerMember slots for each member and reservedEvents more.
 const (
 	eventsPerMember = 4
 	reservedEvents  = 16
 )
 
 const (
-	maxWarmUp = 30 * time.Second // of a process that a stage has started
-	maxOnset  = time.Minute      // in which harm to unchanged members shows
+	maxWarmUp = 30 * time.Second // of a process that a stage has started; its counts are not compared until then
+	maxOnset  = time.Minute      // until harm that a change does to unchanged members becomes visible
 )
 
 // RolloutOptions are the options of RunRollout.
 type RolloutOptions struct {
-	Judge    Judge     // compares members; nil is a canary.Judge by the plan
-	Progress io.Writer // gets a line for each decision; nil is none
-	Resume   bool      // resumes the log's unfinished change
-	RollBack bool      // with Resume: rolls the change back
+	Judge    Judge     // compares members; nil selects a canary.Judge configured by the plan
+	Progress io.Writer // receives a line for each decision; nil discards them
+	Resume   bool      // resume the log's unfinished change
+	RollBack bool      // with Resume, roll the change back
 }
 
-// Outcome is how a coordinator ended.
+// Outcome is the result of RunRollout.
 type Outcome struct {
 	Result       rollout.Result
 	Reason       string
-	HasCommanded bool // a member was sent a command
+	HasCommanded bool // a command was sent to a member, by this coordinator or an earlier one
 	Members      []MemberState
 }
 
-// coordinator runs one rollout: it feeds events to the state machine and executes its actions. One goroutine uses it;
-// calls to members run in goroutines of their own and report through events.
+// coordinator runs one rollout: it feeds events to the state machine and executes its actions. It is used by one
+// goroutine; calls to members run in their own goroutines and report through the events channel.
 type coordinator struct {
 	change         *Change
 	log            *RolloutLog
 	rollout        *rollout.Rollout
 	options        RolloutOptions
 	judge          Judge
-	startedAt      time.Time     // the zero of all durations below
-	commandTimeout time.Duration // of a command's call
+	startedAt      time.Time     // origin of all times that are stored as durations
+	commandTimeout time.Duration // of the call that sends a command and awaits its outcome
 
 	events    chan any      // rollout.Event or statusReply
-	callSlots chan struct{} // one for each running call
+	callSlots chan struct{} // holds one element for each running call
 
-	// By index in the plan's members.
+	// Indexed by position in Plan.Members.
 	clients     []manage.Client
-	isPolling   []bool           // a status is awaited
-	lastStatus  []*manage.Status // nil is no reply
-	isCommanded []bool           // a command to change was sent
+	isPolling   []bool           // a status poll is outstanding
+	lastStatus  []*manage.Status // nil if the last poll had no reply
+	isCommanded []bool           // a command other than a control's restart was sent
 
 	programHashes programHashes
-	verdict       canary.Verdict // of the stage; the zero value is none
+	verdict       canary.Verdict // on the current stage; the zero value if there is none yet
 	lastEvaluated time.Duration
-	lastProgress  time.Duration // when progress was stored
-	lastState     string        // state and reason that were stored
+	lastProgress  time.Duration // when progress was last stored
+	lastState     string        // state and reason that were last stored
 	end           *rollout.End  // nil until the rollout has ended
 }
 
-// RunRollout runs the change of a log as its coordinator, until it has ended. Once ctx is done nothing else is begun,
-// and the change can be resumed after the commands that run have ended. The error is one of a change that can't be
-// started or resumed; how a rollout ended is its Outcome.
+// RunRollout coordinates the change in a log until the rollout has ended. Once ctx is done it sends no further commands
+// and returns when the running ones have ended; the change can be resumed later. The error reports a change that can't
+// be started or resumed; a rollout that was started reports its result in Outcome.
 func RunRollout(ctx context.Context, log *RolloutLog, options RolloutOptions) (Outcome, error) {
 	c, err := newCoordinator(log, options)
 	if err != nil {
@@ -124,7 +124,7 @@
 	return c, nil
 }
 
-// newRollout returns the state machine of the log's change, with a random name as its owner.
+// newRollout returns the state machine of the log's change, owned under a random name.
 func newRollout(log *RolloutLog, options RolloutOptions) (*rollout.Rollout, error) {
 	var id [8]byte
 	rand.Read(id[:])
@@ -171,7 +171,8 @@
 	}
 }
 
-// handle has the state machine handle an event, and executes its actions. A Tick also judges a stage that bakes.
+// handle passes an event to the state machine and executes the resulting actions. On a Tick during a bake it also
+// passes the judge's verdict.
 func (c *coordinator) handle(ctx context.Context, event rollout.Event) {
 	if c.end != nil {
 		return
@@ -184,7 +185,8 @@
 	}
 }
 
-// execute executes actions in order, up to a decision that can't be written.
+// execute executes actions in order. If a decision can't be written to the log, it ends the rollout and drops the
+// remaining actions.
 func (c *coordinator) execute(ctx context.Context, actions []rollout.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -209,7 +211,7 @@
 	}
 }
 
-// failWrite ends the rollout after a decision that could not be written.
+// failWrite ends the rollout because a decision could not be written to the log.
 func (c *coordinator) failWrite(kind rollout.EntryKind, err error) {
 	slog.Error("rollout: log write failed, nothing more is done", "kind", kind, "err", err)
 	for _, action := range c.rollout.Handle(c.now(), rollout.WriteFailed{Err: err}) {
--- a/internal/fleet/evaluation.go
+++ b/internal/fleet/evaluation.go
@@ -7,14 +7,15 @@
 	"lockflow/internal/rollout"
 )
 
-// Judge decides whether the changed members do worse. canary.Judge implements it and documents its methods.
+// Judge decides whether the changed members perform worse than the others. canary.Judge implements it and documents the
+// methods.
 type Judge interface {
 	Begin(now time.Duration, before []canary.Reading)
 	Observe(now time.Duration, all []canary.Reading)
 	Verdict(now time.Duration) canary.Verdict
 }
 
-// newJudge returns a judge for a plan. stageSizes are the numbers of members of the stages, by phase.
+// newJudge returns a judge for a plan. stageSizes are the numbers of members in each stage of each phase.
 func newJudge(plan rollout.Plan, stageSizes [][]int) *canary.Judge {
 	stages := 0
 	for _, phase := range stageSizes {
@@ -29,7 +30,7 @@
 	})
 }
 
-// evaluate gives the judge a reading of all members, if it is time for one.
+// evaluate passes a reading of all members to the judge, if the interval since the last one has passed.
 func (c *coordinator) evaluate() {
 	now := c.now()
 	interval := min(evaluationInterval, max(c.rollout.Plan().MinBake/8, memberPollInterval))
@@ -40,7 +41,7 @@
 	c.judge.Observe(now, c.readings())
 }
 
-// readings returns the members' last readings. A member that answers and is not ready is on no side.
+// readings returns the members' last readings. A member that answers but is not ready is left out of the comparison.
 func (c *coordinator) readings() []canary.Reading {
 	all := make([]canary.Reading, 0, len(c.lastStatus))
 	for i, status := range c.lastStatus {
@@ -56,7 +57,7 @@
 	return all
 }
 
-// side returns the side of a member in the comparison.
+// side returns the group to which the comparison assigns a member.
 func (c *coordinator) side(i int) canary.Side {
 	isChanged, isControl := c.rollout.Side(i)
 	switch {
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -16,15 +16,15 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// What is stored and printed of a rollout has the keys of earlier builds; go test ./internal/fleet -run Golden -update
-// writes the files anew.
+// The stored and printed forms of a rollout have the same keys as in earlier builds. go test ./internal/fleet -run
+// Golden -update rewrites the golden files.
 func TestGoldenRolloutTypes(t *testing.T) {
 	for name, v := range map[string]any{"change": &Change{}, "record": &logRecord{}, "progress": &Progress{}, "answers": &[]StatusReply{}} {
 		testkit.GoldenSample(t, "json", "testdata/golden/"+name+".json", v)
 	}
 }
 
-// The rollout log of an earlier build is read, and its records are encoded to the same bytes again.
+// The rollout log of an earlier build can be read, and its records are encoded to the same bytes.
 func TestGoldenRolloutLog(t *testing.T) {
 	const path = "testdata/golden/rollout.db.gz"
 	var sample []byte
@@ -55,7 +55,7 @@
 	}
 }
 
-// sampleChange returns a change that is valid.
+// sampleChange returns a valid change.
 func sampleChange() Change {
 	var c Change
 	testkit.Sample("json", &c)
@@ -75,7 +75,7 @@
 	return r
 }
 
-// writeSampleLog writes a log as a coordinator does, and returns its compressed file.
+// writeSampleLog writes a log with one change, entry and progress report, and returns its file compressed by gzip.
 func writeSampleLog(t *testing.T) []byte {
 	dir := t.TempDir()
 	l, err := rolloutlog.Open(dir)
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -14,7 +14,7 @@
 	"lockflow/internal/durable"
 )
 
-// Names in the directory of a fleet, and in that of an instance.
+// Names of files in a fleet's directory and in the directories of its instances.
 const (
 	lockName          = "keeper.lock"
 	configName        = "lockflow.toml"
@@ -25,7 +25,7 @@
 	stateLockName     = "lock" // in the state directory
 )
 
-// lockDirectory locks a directory against other supervisors. The lock ends with the process.
+// lockDirectory locks a directory against other supervisors. The kernel releases the lock when the process ends.
 func lockDirectory(dir string) (*os.File, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
@@ -35,7 +35,7 @@
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		_ = f.Close() // nothing was written
+		_ = f.Close() // the lock file has no content that could be lost
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			return nil, fmt.Errorf("fleet: another fleet run supervises the instances in %s", dir)
 		}
@@ -44,8 +44,8 @@
 	return f, nil
 }
 
-// prepare makes an instance's directory and configuration file, and tells whether the instance runs already. The file
-// remains as it is if the instance runs, or if a rollout's command has written it.
+// prepare creates an instance's directory and configuration file, and reports whether the instance already runs. It
+// leaves the file unchanged if the instance runs, or if a rollout's command has written it.
 func (r *Run) prepare(i int, text []byte) (isRunning bool, err error) {
 	dir := r.directory(i)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -67,13 +67,13 @@
 	return false, durable.ReplaceFile(path, text, 0o600)
 }
 
-// wasCommanded tells whether a rollout's command has given an instance the settings of a hash.
+// wasCommanded reports whether a rollout's command has set the settings with the given hash on an instance.
 func wasCommanded(state desiredstate.State, hash string) bool {
 	return hash == state.Target.Hash || state.Running != nil && hash == state.Running.Previous.Hash
 }
 
-// desiredState returns an instance's desired state, and an empty one if it can't be read: the instance reports that
-// itself once it runs.
+// desiredState returns an instance's desired state. It returns the zero State if that can't be read; the instance
+// reports the failure itself once it runs.
 func (r *Run) desiredState(i int) desiredstate.State {
 	state, err := desiredstate.ReadState(r.stateDirectory(i))
 	if err != nil {
@@ -85,7 +85,8 @@
 // stateDirectory returns an instance's state directory.
 func (r *Run) stateDirectory(i int) string { return filepath.Join(r.directory(i), stateName) }
 
-// program returns the program that an instance starts with: the last one that a command gave it and that has served.
+// program returns the path of the program with which an instance starts: the last one that a command installed and that
+// has served, or the default one.
 func (r *Run) program(i int) string {
 	path := r.desiredState(i).Program
 	if path == "" || path == r.options.Program {
@@ -98,21 +99,22 @@
 	return path
 }
 
-// runningProcess returns the id of the process that runs as an instance, 0 if there is none and -1 if it is not known
-// yet. It goes by the lock of the state directory, which a process holds also while it is stopped or does not answer.
+// runningProcess returns the id of the process that runs as an instance, 0 if there is none, and -1 if the process has
+// not written its id yet. It checks the lock of the state directory, which a process also holds while it is suspended
+// or does not answer.
 func (r *Run) runningProcess(i int) int {
 	f, err := os.Open(filepath.Join(r.stateDirectory(i), stateLockName))
 	if err != nil {
 		return 0
 	}
-	defer f.Close() //nolint:errcheck // only read
+	defer f.Close() //nolint:errcheck // opened for reading, so an error loses no data
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_SH|syscall.LOCK_NB); !errors.Is(err, syscall.EWOULDBLOCK) {
 		return 0
 	}
 	raw, _ := os.ReadFile(f.Name())
 	pid, err := strconv.Atoi(strings.TrimSpace(string(raw)))
 	if err != nil {
-		return -1 // it has not written its id yet
+		return -1 // the process has not written its id yet
 	}
 	return pid
 }
--- a/internal/fleet/intermediate_settings.go
+++ b/internal/fleet/intermediate_settings.go
@@ -16,11 +16,12 @@
 	"lockflow/internal/regions/mixture"
 )
 
-// intermediateHeader is the first line of settings that this package writes.
+// intermediateHeader is the first line of the intermediate settings that this package writes.
 const intermediateHeader = "# between two settings that may not stand side by side; written by lockflow fleet\n"
 
-// IntermediateSettings returns settings that members have to run between old and new ones which may not be in force
-// together: the stricter of both in each hard limit, slow start and class. nil means that they may.
+// IntermediateSettings returns the settings that members have to run between old and new ones which may not be in force
+// at the same time: for each hard limit, slow start and class the stricter of both. It returns nil if members with the
+// old and the new settings may run side by side.
 func IntermediateSettings(old, new []byte) ([]byte, error) {
 	oldRegion, err := parseRegion("the old settings", old)
 	if err != nil {
@@ -36,7 +37,7 @@
 	return writeIntermediate(old, oldRegion, newRegion)
 }
 
-// asRegion returns settings as a region without members. name is their place in errors.
+// parseRegion parses settings into a region without members. name identifies the settings in errors.
 func parseRegion(name string, text []byte) (regions.Region, error) {
 	cfg, err := config.Parse(name, text)
 	if err != nil {
@@ -45,8 +46,8 @@
 	return fleetfile.Region{Config: cfg, Text: text}.Region(), nil
 }
 
-// writeIntermediate writes the settings of mixture.Strictest as a change of the old text, and checks that they say so. It
-// returns nil if that changes nothing.
+// writeIntermediate writes the settings of mixture.Strictest as a modification of the old text, and verifies that the
+// result parses to the same limits. It returns nil if the text stays the same.
 func writeIntermediate(oldText []byte, old, new regions.Region) ([]byte, error) {
 	wanted := mixture.Strictest(old, new)
 	text, err := mergeDifference(oldText, settingsDifference(old, wanted))
@@ -68,12 +69,12 @@
 	return text, nil
 }
 
-// hasSameLimits tells whether two services agree in what intermediate settings change.
+// hasSameLimits reports whether two services are equal in the settings that an intermediate step changes.
 func hasSameLimits(a, b regions.Service) bool {
 	return a.SlowStart == b.SlowStart && reflect.DeepEqual(a.Plans, b.Plans) && reflect.DeepEqual(a.Classes, b.Classes)
 }
 
-// mergeDifference merges a difference into a text of settings.
+// mergeDifference applies a difference to the text of settings.
 func mergeDifference(text []byte, diff difference) ([]byte, error) {
 	var r tree.Reading
 	base, ok := r.Parse("the old settings", text)
@@ -104,10 +105,10 @@
 	return append([]byte(intermediateHeader), merged...), nil
 }
 
-// difference is a change of settings.
+// difference is a set of modifications of a settings document.
 type difference struct {
 	document map[string]any // tables and values to set
-	removed  []string       // keys to remove, with dots between their parts
+	removed  []string       // dotted keys to remove
 }
 
 // set sets the value at a path of keys.
@@ -122,7 +123,7 @@
 	table[path[len(path)-1]] = value
 }
 
-// settingsDifference returns the difference from a region's old settings to wanted ones.
+// settingsDifference returns the difference between a region's old and wanted settings.
 func settingsDifference(old, wanted regions.Region) difference {
 	diff := difference{document: make(map[string]any)}
 	if wanted.Instances != old.Instances {
@@ -161,7 +162,7 @@
 	}
 }
 
-// setClasses sets the terms of classes that have changed, and removes the keys that they have no more.
+// setClasses sets the settings of classes that have changed, and removes the keys that no longer apply to them.
 func (d *difference) setClasses(old, classes []control.Class) {
 	for i, c := range classes {
 		if c == old[i] {
@@ -176,7 +177,7 @@
 	}
 }
 
-// classTerms returns a class's settings by key.
+// classSettings returns a class's settings by key.
 func classSettings(c control.Class) map[string]any {
 	settings := map[string]any{
 		"repeats":  [...]string{"free", "keyed", "never"}[c.Idempotency],
@@ -190,7 +191,7 @@
 	return settings
 }
 
-// hasKey tells whether a document has a key with dots between its parts.
+// hasKey reports whether a document has a dotted key.
 func hasKey(table tree.Table, key string) bool {
 	path := strings.Split(key, ".")
 	last := len(path) - 1
--- a/internal/fleet/keys_test.go
+++ b/internal/fleet/keys_test.go
@@ -6,7 +6,7 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// The records of a rollout, and what is printed of a fleet, have an explicit key for every field.
+// The records of a rollout and the printed status of a fleet have an explicit key for every field.
 func TestFieldsHaveExplicitKeys(t *testing.T) {
 	testkit.RequireKeys(t, "json", Change{}, logRecord{}, Progress{}, []StatusReply{})
 }
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	statusTimeout = 3 * time.Second       // of one call for a member's status
-	pollInterval  = 20 * time.Millisecond // while a state is awaited
-	maxMembers    = 10000                 // of a list of control sockets
+	statusTimeout = 3 * time.Second       // of a status or claim call to a member
+	pollInterval  = 20 * time.Millisecond // between polls while waiting for a status or the end of a process
+	maxMembers    = 10000                 // in a file that lists control sockets
 )
 
 // Member is one daemon of a fleet.
 type Member struct {
 	Name   string
-	Client manage.Client // of its control socket
+	Client manage.Client // for the daemon's control socket
 }
 
-// MembersInDirectory returns the instances that a Run supervises in a directory, by number.
+// MembersInDirectory returns the instances that a Run supervises in a directory, sorted by number.
 func MembersInDirectory(dir string) ([]Member, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*", controlSocketName))
 	if err != nil {
@@ -53,14 +53,14 @@
 	return all, nil
 }
 
-// MembersInFile returns the members whose control sockets a file lists, an absolute path a line. Empty lines and lines
-// that begin with # are ignored.
+// MembersInFile returns the members whose control sockets a file lists, one absolute path per line. Empty lines and
+// lines that begin with # are ignored.
 func MembersInFile(path string) ([]Member, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("fleet file: %w", err)
 	}
-	defer f.Close() //nolint:errcheck // only read
+	defer f.Close() //nolint:errcheck // opened for reading, so an error loses no data
 	var all []Member
 	lines := bufio.NewScanner(f)
 	for n := 1; lines.Scan(); n++ {
@@ -87,14 +87,14 @@
 	return all, nil
 }
 
-// StatusReply is a member's status, or the error of the call for it.
+// StatusReply is a member's status, or the error of the status call.
 type StatusReply struct {
 	Member string         `json:"member"`
 	Status *manage.Status `json:"status,omitempty"`
 	Error  string         `json:"error,omitempty"`
 }
 
-// PollStatus returns the status of all members, in their order. They are called concurrently.
+// PollStatus polls all members concurrently and returns their replies, in the order of members.
 func PollStatus(ctx context.Context, members []Member) []StatusReply {
 	all := make([]StatusReply, len(members))
 	var polls sync.WaitGroup
@@ -113,14 +113,15 @@
 	return all
 }
 
-// status calls a member for its status.
+// status requests a member's status.
 func status(ctx context.Context, m Member) (manage.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	return m.Client.Status(ctx)
 }
 
-// hasEnded tells whether a process of this machine has ended, also if its parent has not waited for it.
+// hasEnded reports whether a process on this machine has ended. A zombie, for which its parent has not waited yet,
+// counts as ended.
 func hasEnded(pid int) bool {
 	if errors.Is(syscall.Kill(pid, 0), syscall.ESRCH) {
 		return true
@@ -130,10 +131,10 @@
 		return true
 	}
 	_, rest, _ := strings.Cut(string(raw), ") ")
-	return strings.HasPrefix(rest, "Z") // a zombie
+	return strings.HasPrefix(rest, "Z") // state Z is a zombie
 }
 
-// awaitStatus polls a member until its status matches, or ctx is done. It returns the last status.
+// awaitStatus polls a member until its status matches or ctx is done. It returns the last status.
 func awaitStatus(ctx context.Context, m Member, matches func(manage.Status) bool) (manage.Status, error) {
 	for {
 		s, err := status(ctx, m)
--- a/internal/fleet/program_change.go
+++ b/internal/fleet/program_change.go
@@ -16,9 +16,10 @@
 	"lockflow/internal/rollout"
 )
 
-// NewProgramChange returns a change of the members' program by a plan without members. An empty path is the file that
-// each member was started from. Programs that are in that file no longer are copied to dir, so that the change can be
-// rolled back. If every member runs its new program already, the change restarts all of them.
+// NewProgramChange returns a change that upgrades the members to the program at path, or, where path is empty, to the
+// current content of the file from which each member was started. plan has no members yet; they are added to it. A
+// running program whose file has been replaced since is copied to dir, so that the change can be rolled back. If every
+// member already runs its new program, the change restarts all of them.
 func NewProgramChange(ctx context.Context, members []Placed, plan rollout.Plan, path, dir string) (*Change, error) {
 	statuses, err := requireReady(ctx, members, true)
 	if err != nil {
@@ -63,8 +64,8 @@
 	return c, c.validate()
 }
 
-// addRunningProgram adds the program that a member runs, and returns its hash. It is copied to dir if the member's file
-// is another one by now.
+// addRunningProgram adds the program that a member runs to c.Programs, and returns its hash. It copies the program to
+// dir if the file from which the member was started has been replaced since.
 func (c *Change) addRunningProgram(status *manage.Status, files fileHashes, dir string) (string, error) {
 	executable := executablePath(status.PID)
 	running, err := hashFile(executable)
@@ -85,7 +86,7 @@
 	return running, nil
 }
 
-// fileHashes are hashes of files by path, each computed once. A file that could not be read has none.
+// fileHashes caches hashes of files by path. A file that could not be read has no entry, so that it is read again.
 type fileHashes map[string]string
 
 // hash returns the hash of a file.
@@ -101,7 +102,8 @@
 	return hash, nil
 }
 
-// executablePath is where the kernel has the program of a process, also of a file that was replaced.
+// executablePath returns the path under which the kernel provides the program of a process, even if its file was
+// replaced.
 func executablePath(pid int) string { return fmt.Sprintf("/proc/%d/exe", pid) }
 
 // hashFile returns the SHA-256 of a file in hex.
@@ -110,7 +112,7 @@
 	if err != nil {
 		return "", err
 	}
-	defer f.Close() //nolint:errcheck // only read
+	defer f.Close() //nolint:errcheck // opened for reading, so an error loses no data
 	h := sha256.New()
 	if _, err := io.Copy(h, f); err != nil {
 		return "", err
@@ -118,7 +120,8 @@
 	return hex.EncodeToString(h.Sum(nil)), nil
 }
 
-// saveProgram copies a program into dir, and returns the copy's absolute path. A copy with the same hash is reused.
+// saveProgram copies a program into dir and returns the copy's absolute path. It reuses an existing copy with the same
+// hash.
 func saveProgram(from, dir, hash string) (string, error) {
 	path := filepath.Join(dir, "program-"+hash[:16])
 	if saved, err := hashFile(path); err == nil && saved == hash {
@@ -128,12 +131,12 @@
 	if err != nil {
 		return "", err
 	}
-	defer in.Close() //nolint:errcheck // only read
+	defer in.Close() //nolint:errcheck // opened for reading, so an error loses no data
 	out, err := os.CreateTemp(dir, "program")
 	if err != nil {
 		return "", err
 	}
-	defer os.Remove(out.Name()) //nolint:errcheck // after the rename there is nothing to remove
+	defer os.Remove(out.Name()) //nolint:errcheck // fails after the rename, when there is nothing left to remove
 	_, err = io.Copy(out, in)
 	if err = errors.Join(err, out.Chmod(0o700), out.Sync(), out.Close()); err != nil {
 		return "", err
--- a/internal/fleet/program_change_test.go
+++ b/internal/fleet/program_change_test.go
@@ -11,8 +11,8 @@
 	"lockflow/internal/manage"
 )
 
-// Guards against a change of programs to a file that can't be read: the failure is reported for each member whose program
-// is in it, also behind the search for the program that a member runs.
+// Guards against a program change that hides an unreadable program file from all but the first member: looking up a
+// member's running program reads the same file first, and must not cache that failure as a hash.
 func TestUnreadableProgramReportedPerMember(t *testing.T) {
 	c := &Change{Kind: desiredstate.KindProgram, Programs: make(map[string]string)}
 	files := make(fileHashes)
@@ -29,7 +29,7 @@
 	}
 }
 
-// A file that could not be read at first is read again.
+// A file that could not be read has no cached hash: the next lookup reads it anew.
 func TestFileHashRetriesAfterReadError(t *testing.T) {
 	files := make(fileHashes)
 	path := filepath.Join(t.TempDir(), "lockflow")
--- a/internal/fleet/progress.go
+++ b/internal/fleet/progress.go
@@ -13,10 +13,12 @@
 	"lockflow/internal/rolloutlog"
 )
 
-// maxListedNames is how many members a line names; of more it names one less, and counts the rest.
+// maxListedNames is the maximum number of members that a line names. A line about more members names one fewer and
+// gives the number of the others.
 const maxListedNames = 8
 
-// Progress is what a coordinator reports of a change while it runs, and the rest of it afterwards.
+// Progress is a report on a change. The coordinator stores it in the rollout log while the change runs, and
+// ReadProgress adds what the log's entries tell.
 type Progress struct {
 	StartedAt     time.Time         `json:"begun"` // of the change
 	UpdatedAt     time.Time         `json:"at"`    // of this report
@@ -25,18 +27,18 @@
 	Reason        string            `json:"why"`
 	RollbackCause string            `json:"cause,omitempty"`
 	Epoch         uint64            `json:"epoch"`
-	Phase         int               `json:"phase"`  // from 1
-	Phases        int               `json:"phases"` // how many there are
-	Stage         int               `json:"stage"`  // from 1, of the phase
-	Stages        int               `json:"stages"` // of the phase
+	Phase         int               `json:"phase"`  // current phase, from 1
+	Phases        int               `json:"phases"` // number of phases
+	Stage         int               `json:"stage"`  // current stage of the phase, from 1
+	Stages        int               `json:"stages"` // number of stages of the phase
 	Verdict       string            `json:"verdict,omitempty"`
 	VerdictReason string            `json:"told,omitempty"`
 	Measures      []MeasureResult   `json:"measures,omitempty"`
 	Members       []MemberState     `json:"members"`
-	Counts        map[string]int    `json:"counts"` // of the log's entries, by kind
+	Counts        map[string]int    `json:"counts"` // number of log entries by kind
 }
 
-// MeasureResult is one canary.Measure; its fields are nil where they are not known.
+// MeasureResult is one canary.Measure. Its pointer fields are nil where the value is unknown.
 type MeasureResult struct {
 	Name     string   `json:"name"`
 	Old      *float64 `json:"old,omitempty"`
@@ -48,14 +50,14 @@
 	IsEnough bool     `json:"enough"`
 }
 
-// MemberState is a member's state in a rollout.
+// MemberState is the state of one member in a rollout.
 type MemberState struct {
 	Member  string `json:"member"`
-	State   string `json:"state"` // as rollout.Rollout.MemberState names it
+	State   string `json:"state"` // as returned by rollout.Rollout.MemberState
 	Version string `json:"runs,omitempty"`
 }
 
-// entryMessages are the log lines of the log's entries.
+// entryMessages are the log messages for each kind of entry in the rollout log.
 var entryMessages = map[rollout.EntryKind]string{
 	rollout.EntryEpoch:         "rollout: epoch claimed",
 	rollout.EntryOwned:         "rollout: ownership acquired",
@@ -70,7 +72,7 @@
 	rollout.EntryEnd:           "rollout: ended",
 }
 
-// reportEntry logs a decision and writes it to the operator.
+// reportEntry logs a decision and writes a line about it to the operator's output.
 func (c *coordinator) reportEntry(entry rollout.Entry) {
 	slog.Info(entryMessages[entry.Kind], "epoch", entry.Epoch, "phase", entry.Phase, "stage", entry.Stage, "member", entry.Member, "id", entry.ID,
 		"gen", entry.Generation, "outcome", entry.Outcome, "why", entry.Reason)
@@ -91,7 +93,7 @@
 	}
 }
 
-// describeStage returns a line on a stage that begins.
+// describeStage returns a line about the stage that an entry starts.
 func (c *coordinator) describeStage(entry rollout.Entry) string {
 	stage, stages := c.rollout.Stage()
 	line := fmt.Sprintf("stage %d of %d: %s", stage, stages, joinNames(entry.Members))
@@ -104,7 +106,7 @@
 	return line
 }
 
-// joinNames lists names, the first few of many.
+// joinNames joins names to a list, which is shortened as maxListedNames describes.
 func joinNames(names []string) string {
 	if len(names) > maxListedNames {
 		listed := names[:maxListedNames-1]
@@ -113,8 +115,8 @@
 	return strings.Join(names, ", ")
 }
 
-// updateProgress stores the progress for readers of the log: when the state changes, at the end, and else once in
-// progressInterval.
+// updateProgress stores the progress for readers of the log: when the state has changed (but at most once in
+// memberPollInterval), at the end, and otherwise once in progressInterval.
 func (c *coordinator) updateProgress() {
 	now := c.now()
 	state := c.rollout.State() + c.rollout.Reason()
@@ -138,7 +140,7 @@
 	}
 }
 
-// progress returns the coordinator's progress.
+// progress returns the current progress of the rollout.
 func (c *coordinator) progress() Progress {
 	p := Progress{
 		StartedAt:     c.change.StartedAt,
@@ -171,7 +173,7 @@
 	return p
 }
 
-// finiteOrNil returns a value that JSON can hold, and nil for another.
+// finiteOrNil returns nil for an infinity or NaN, which JSON can't represent.
 func finiteOrNil(value float64) *float64 {
 	if math.IsInf(value, 0) || math.IsNaN(value) {
 		return nil
@@ -179,7 +181,7 @@
 	return &value
 }
 
-// memberStates returns the members' states, in the plan's order.
+// memberStates returns the members' states, in the order of Plan.Members.
 func (c *coordinator) memberStates() []MemberState {
 	all := make([]MemberState, len(c.clients))
 	for i, m := range c.change.Plan.Members {
@@ -188,8 +190,8 @@
 	return all
 }
 
-// ReadProgress reads the progress of the newest change in a log's directory, also while a coordinator writes it. nil
-// is none.
+// ReadProgress reads the progress of the newest change from a rollout log's directory. It may be called while a
+// coordinator writes the log. It returns nil if the log has no change.
 func ReadProgress(dir string) (*Progress, error) {
 	records, note, err := rolloutlog.Read(dir)
 	if err != nil {
--- a/internal/fleet/regions.go
+++ b/internal/fleet/regions.go
@@ -17,7 +17,7 @@
 	"lockflow/internal/regions/mixture"
 )
 
-// ConflictError rejects a change that would bring conflicts between regions. Nothing was changed.
+// ConflictError rejects a change that would cause conflicts between regions. Nothing was changed.
 type ConflictError struct {
 	Reason    string
 	Conflicts []regions.Conflict
@@ -32,8 +32,8 @@
 	return b.String()
 }
 
-// MembersInRegions returns the members that a fleet file names, with their regions and without settings. It fails if
-// there are none.
+// MembersInRegions returns the members that a fleet file names, with their regions and zones but without settings. It
+// fails if there are none.
 func MembersInRegions(f fleetfile.File) ([]Placed, error) {
 	var all []Placed
 	for _, r := range f.All {
@@ -49,8 +49,9 @@
 }
 
 // PlanRegions returns the members of a fleet file with their settings for each generation, and the order of the regions
-// for each phase. It polls the members for what they run now. A change that would bring a conflict between regions, at
-// its end or on its way, is a *ConflictError; waivers count as of now.
+// in each phase. It polls the members for the settings that they currently run. For a change that would cause a
+// conflict between regions, in its final or an intermediate state, it returns a *ConflictError. Waivers that have
+// expired at now do not apply.
 func PlanRegions(ctx context.Context, f fleetfile.File, now time.Time) ([]Placed, [][]string, error) {
 	members, err := MembersInRegions(f)
 	if err != nil {
@@ -89,14 +90,14 @@
 	return members, phases, nil
 }
 
-// regionsChange is a change of several regions. The slices are in the order of the fleet file.
+// regionsChange is a change of the settings of several regions. The slices are in the order of the fleet file.
 type regionsChange struct {
-	old   []regions.Region  // as the members run them
-	new   []regions.Region  // as the file has them
-	texts map[string][]byte // settings that each region runs, by its name
+	old   []regions.Region  // with the settings that the members run
+	new   []regions.Region  // with the settings of the fleet file
+	texts map[string][]byte // settings that each region currently runs, by name of the region
 }
 
-// newRegionsChange returns the change from what members run to a fleet file.
+// newRegionsChange returns the change from the settings that the members run to those of a fleet file.
 func newRegionsChange(f fleetfile.File, members []Placed, statuses []manage.Status) (*regionsChange, error) {
 	c := &regionsChange{texts: make(map[string][]byte)}
 	for _, r := range f.All {
@@ -123,13 +124,13 @@
 	return c, nil
 }
 
-// order returns an order in which the regions can change without a conflict, and else a *ConflictError.
+// order returns an order in which the regions can change without a conflict, or a *ConflictError if there is none.
 func (c *regionsChange) order(f fleetfile.File, now time.Time) (mixture.Result, error) {
 	waiving := f.Waiving(now)
 	checkMixtures := mixture.NewIncrementalCheck()
 	check := func(all []regions.Region) (remaining []regions.Conflict) {
 		for _, conflict := range checkMixtures(all) {
-			// A waiver names regions as the file does, without generations.
+			// A waiver names regions as the fleet file does, without a generation.
 			if len(waiving.Left([]regions.Conflict{mixture.WithoutGenerations(conflict)})) > 0 {
 				remaining = append(remaining, conflict)
 			}
@@ -147,8 +148,8 @@
 	return order, nil
 }
 
-// writeIntermediates returns the settings of each region in the first of two phases, by its name: intermediate ones, or
-// those that it runs. nil means that one phase is enough.
+// writeIntermediates returns the settings of each region in the first of two phases, by name of the region:
+// intermediate settings where they are needed, and otherwise the current ones. It returns nil if one phase is enough.
 func (c *regionsChange) writeIntermediates(intermediate []regions.Region) (map[string][]byte, error) {
 	if len(intermediate) == 0 {
 		return nil, nil
@@ -167,7 +168,7 @@
 	return texts, nil
 }
 
-// completeOrder appends the regions that an order lacks, since they don't change.
+// completeOrder appends the regions that are missing in an order because they don't change.
 func completeOrder(f fleetfile.File, order []string) []string {
 	all := slices.Clone(order)
 	for _, r := range f.All {
@@ -178,7 +179,7 @@
 	return all
 }
 
-// newErrors returns the conflicts of severity Error that are not among known ones.
+// addedErrors returns the conflicts of severity Error that are not among the known ones.
 func addedErrors(all, known []regions.Conflict) (added []regions.Conflict) {
 	for _, c := range all {
 		isKnown := slices.ContainsFunc(known, func(k regions.Conflict) bool {
@@ -191,11 +192,11 @@
 	return added
 }
 
-// currentSettings returns the settings that a region's members run, of those that don't run the new ones yet. It fails if
-// they run different ones, or if these are in no file.
+// currentSettings returns the settings that the members of a region run, leaving out members that already run the new
+// ones. It fails if the members run different settings, or if no member's file has these settings any more.
 func currentSettings(members []Placed, statuses []manage.Status, r fleetfile.Region) ([]byte, error) {
 	hash := ""
-	firstMember := "" // that runs hash
+	firstMember := "" // name of the first member that runs hash
 	var text []byte
 	for i, m := range members {
 		current := statuses[i].ConfigHash
--- a/internal/fleet/reload.go
+++ b/internal/fleet/reload.go
@@ -8,12 +8,12 @@
 	"lockflow/internal/manage"
 )
 
-// Reload has one member read its configuration again. RunRollout changes all members of a fleet.
+// Reload makes one member reload its configuration. RunRollout changes all members of a fleet.
 type Reload struct {
-	New []byte // replaces the configuration file; nil leaves it
+	New []byte // new content of the configuration file; nil leaves the file unchanged
 }
 
-// Do reloads a member with the status before, and returns once it is ready again.
+// Do reloads a member, and returns once it is ready. before is the member's status before the reload.
 func (r *Reload) Do(ctx context.Context, m Member, before manage.Status) error {
 	if r.New != nil {
 		if err := durable.ReplaceFile(before.ConfigPath, r.New, 0o600); err != nil {
@@ -27,12 +27,13 @@
 	return err
 }
 
-// Upgrade replaces one member's process by a new one.
+// Upgrade replaces the process of one member.
 type Upgrade struct {
-	Program string // absolute path; "" is the program that the member runs
+	Program string // absolute path; "" stands for the program that the member runs
 }
 
-// Do upgrades a member, and returns once the old process has ended: until then it may take over again. It fails if it did.
+// Do upgrades a member, and returns once the old process has ended: until then the old process may resume serving. It
+// fails if the old process did so.
 func (u *Upgrade) Do(ctx context.Context, m Member, _ manage.Status) error {
 	old, err := status(ctx, m)
 	if err != nil {
--- a/internal/fleet/rollout_log.go
+++ b/internal/fleet/rollout_log.go
@@ -13,26 +13,26 @@
 
 var errNoChange = errors.New("the rollout log has no change to resume")
 
-// logRecord is a record of the log after the first one of a change, which is the Change.
+// logRecord is a record of the rollout log that follows a change's first record, which is the Change.
 type logRecord struct {
 	At    time.Time     `json:"at"`
 	Entry rollout.Entry `json:"entry"`
 }
 
-// RolloutLog is an open log with its newest change. It is for one goroutine.
+// RolloutLog is an open rollout log with its newest change. It may be used by one goroutine at a time.
 type RolloutLog struct {
 	Log     *rolloutlog.Log
-	Change  *Change         // nil is none
+	Change  *Change         // nil if the log has none
 	Entries []rollout.Entry // decisions on Change, in order
 
-	// OnWrite, if not nil, is called before each write of a change or decision and again after one that succeeded,
-	// with the write's number from 1 on. Tests end a coordinator there.
+	// OnWrite, if not nil, is called before each write of a change or decision, and after each that succeeded, with the
+	// sequence number of the write from 1 on. Tests use it to end a coordinator at that point.
 	OnWrite func(number int, isWritten bool)
 	writes  int
 }
 
-// OpenRolloutLog opens the log in a directory. A damaged file is quarantined and logged; the versions that members
-// report are then all that is known. A newest change that can't be decoded is ignored.
+// OpenRolloutLog opens the log in a directory. It quarantines a damaged file and logs that; the versions that members
+// report are then the only source of what they run. A newest change that can't be decoded is ignored.
 func OpenRolloutLog(dir string) (*RolloutLog, error) {
 	log, err := rolloutlog.Open(dir)
 	if err != nil {
@@ -43,7 +43,7 @@
 		slog.Error("rollout: damaged log quarantined, members' versions are polled instead", "err", log.DamageError, "aside", log.QuarantinedPath)
 	}
 	l.Change, l.Entries, err = decode(log.Records())
-	if err != nil { // its checksums are right: another program has written it
+	if err != nil { // the checksums are valid, so another release has written the record
 		slog.Error("rollout: newest change of the log is unreadable and ignored", "err", err)
 	}
 	return l, nil
@@ -52,7 +52,7 @@
 // Close closes the log, so that another process may open it.
 func (l *RolloutLog) Close() { l.Log.Close() }
 
-// decode decodes the records of a change; no records are no change.
+// decode decodes the records of a change. Without records it returns no change.
 func decode(records [][]byte) (*Change, []rollout.Entry, error) {
 	if len(records) == 0 {
 		return nil, nil, nil
@@ -75,7 +75,7 @@
 	return change, entries, nil
 }
 
-// Unfinished returns where the newest change has stopped, and "" if it is over or there is none.
+// Unfinished describes where the newest change has stopped. It returns "" if the change is over or there is none.
 func (l *RolloutLog) Unfinished() string {
 	if l.Change == nil || len(l.Entries) == 0 {
 		return ""
@@ -90,7 +90,7 @@
 	return ""
 }
 
-// Begin starts the records of a change.
+// Begin writes the first record of a change.
 func (l *RolloutLog) Begin(change *Change) error {
 	raw, err := json.Marshal(change)
 	if err != nil {
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// append stores a decision on the change.
+// append writes a decision on the current change.
 func (l *RolloutLog) append(entry rollout.Entry) error {
 	raw, err := json.Marshal(logRecord{time.Now(), entry})
 	if err != nil {
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// write runs a write and calls OnWrite around it.
+// write runs a write, and calls OnWrite before it and after it succeeded.
 func (l *RolloutLog) write(do func() error) error {
 	l.writes++
 	if l.OnWrite != nil {
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -21,40 +21,41 @@
 
 const (
 	maxInstances      = 1000
-	minRestartBackoff = 500 * time.Millisecond // before an instance starts again; doubles
+	minRestartBackoff = 500 * time.Millisecond // initial delay before an instance restarts; doubles after each failure
 	maxRestartBackoff = 30 * time.Second
-	stableTime        = 20 * time.Second // of an instance that has run so long, the backoff starts anew
+	stableTime        = 20 * time.Second // an instance that has run for longer resets its backoff
 	lockPollInterval  = 250 * time.Millisecond
 )
 
-// Options are what a fleet is started with.
+// Options are the options of Start.
 type Options struct {
-	Program      string   // absolute path
-	Env          []string // nil is this process's
-	Config       string   // path; each instance has a copy of the file
-	Dir          string   // for the instances' directories
+	Program      string   // absolute path of the executable
+	Env          []string // environment of the instances; nil stands for that of this process
+	Config       string   // path of the configuration file; each instance has a copy of it
+	Dir          string   // parent of the instances' directories
 	Instances    int
-	GroupSize    int    // that instances assume; 0 is Instances
-	Host         string // on which they listen
-	Port         int    // of the first; the others follow; 0 is any
+	GroupSize    int    // group size passed to the instances; 0 stands for Instances
+	Host         string // host on which the instances listen
+	Port         int    // of the first instance; the others use the ports that follow; 0 picks free ports
 	StartTimeout time.Duration
 }
 
-// Run is a fleet of processes of this machine, which it supervises. Its methods are safe for concurrent use.
+// Run is a fleet of supervised processes on this machine. Its methods are safe for concurrent use.
 type Run struct {
-	Members []Member // by number
+	Members []Member // indexed by instance number
 
 	options     Options
 	ctx         context.Context // done once the fleet stops
 	stop        context.CancelFunc
 	supervisors sync.WaitGroup
-	lock        *os.File // of the directory
+	lock        *os.File // lock of the fleet's directory
 
 	mu    sync.Mutex
-	addrs []string // by instance
+	addrs []string // client addresses, indexed by instance number
 }
 
-// Start starts all instances and waits until they are ready. Instances that run already are taken over.
+// Start starts all instances and waits until they are ready. It takes over the supervision of instances that already
+// run.
 func Start(ctx context.Context, o Options) (*Run, error) {
 	if o.Instances < 1 || o.Instances > maxInstances {
 		return nil, fmt.Errorf("fleet: %d instances are none of 1 to %d", o.Instances, maxInstances)
@@ -82,7 +83,7 @@
 		r.Members = append(r.Members, Member{strconv.Itoa(i), manage.Client{Path: filepath.Join(r.directory(i), controlSocketName)}})
 		r.addrs[i] = net.JoinHostPort(o.Host, strconv.Itoa(portOf(o.Port, i)))
 		if isRunning[i], err = r.prepare(i, text); err != nil {
-			_ = r.lock.Close() // nothing is written to it
+			_ = r.lock.Close() // the lock file has no content that could be lost
 			return nil, fmt.Errorf("fleet: %w", err)
 		}
 	}
@@ -95,8 +96,9 @@
 	return r, nil
 }
 
-// awaitReady waits until all instances are as desired, and stores their addresses. An instance that ran before may fail
-// to be: the others go on serving. Any other failure ends the instances that this process has started.
+// awaitReady waits until all instances are in their desired state, and stores their addresses. If an instance that
+// already ran does not get there, it logs that and continues, since the others can serve. If another instance does not,
+// it stops the instances that this process has started and returns the error.
 func (r *Run) awaitReady(ctx context.Context, wasRunning []bool) error {
 	ctx, cancel := context.WithTimeout(ctx, r.options.StartTimeout)
 	defer cancel()
@@ -110,14 +112,14 @@
 		case err != nil && wasRunning[i]:
 			slog.Warn("fleet: instance taken over is not ready", "instance", i, "err", err)
 		case err != nil:
-			_ = r.stopInstances(time.Second, func(i int) bool { return !wasRunning[i] }) // the first error counts
+			_ = r.stopInstances(time.Second, func(i int) bool { return !wasRunning[i] }) // the error below is returned instead
 			return fmt.Errorf("fleet: instance %d: %w; its log is %s", i, err, filepath.Join(r.directory(i), logName))
 		}
 	}
 	return nil
 }
 
-// portOf returns an instance's port; 0 is any.
+// portOf returns the port of instance i, or 0 for any port.
 func portOf(first, i int) int {
 	if first == 0 {
 		return 0
@@ -125,7 +127,7 @@
 	return first + i
 }
 
-// directory returns an instance's directory.
+// directory returns the directory of instance i.
 func (r *Run) directory(i int) string { return filepath.Join(r.options.Dir, strconv.Itoa(i)) }
 
 // Addr returns the address on which clients reach an instance.
@@ -135,13 +137,13 @@
 	return r.addrs[i]
 }
 
-// supervise restarts an instance whenever it ends, until the fleet is stopped. An instance whose desired state is
-// drained runs too: its process takes no clients, and can be commanded to serve.
+// supervise restarts an instance whenever it ends, until the fleet is stopped. It also restarts an instance whose
+// desired state is drained: that process accepts no clients, but can receive the command to serve.
 func (r *Run) supervise(i int) {
 	backoff := time.Duration(0)
 	isDrained := false
 	for {
-		r.awaitProcessEnd(i) // of one that an earlier supervisor has started, or of a successor
+		r.awaitProcessEnd(i) // waits for a process of an earlier supervisor, or for a successor
 		if r.ctx.Err() != nil {
 			return
 		}
@@ -151,7 +153,7 @@
 		if r.ctx.Err() != nil {
 			return
 		}
-		if err == nil || time.Since(startedAt) > stableTime { // a process that exits without error was stopped
+		if err == nil || time.Since(startedAt) > stableTime { // a process that exits without an error was stopped on purpose
 			backoff = 0
 		}
 		wasDrained := isDrained
@@ -175,7 +177,7 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close() //nolint:errcheck // only the process writes to it
+	defer log.Close() //nolint:errcheck // only the instance writes to the log, by its own descriptor
 	cmd := r.command(i)
 	cmd.Stdout = log
 	cmd.Stderr = log
@@ -184,18 +186,18 @@
 	}
 	done := make(chan struct{})
 	defer close(done)
-	go func() { // a process that does not answer on its control socket yet is stopped too
+	go func() { // also stops a process that does not answer on its control socket yet
 		select {
 		case <-r.ctx.Done():
-			_ = cmd.Process.Signal(syscall.SIGTERM) // one that has ended needs none
+			_ = cmd.Process.Signal(syscall.SIGTERM) // fails only if the process has ended
 		case <-done:
 		}
 	}()
 	return cmd.Wait()
 }
 
-// command returns the command that runs an instance. It has a process group of its own, so that signals of the terminal
-// end the fleet's supervisor only, which then drains the instances.
+// command returns the command that runs an instance. The process gets its own process group, so that signals from the
+// terminal reach only the fleet's supervisor, which then drains the instances.
 func (r *Run) command(i int) *exec.Cmd {
 	dir := r.directory(i)
 	cmd := exec.CommandContext(context.Background(), r.program(i), "serve",
@@ -215,7 +217,7 @@
 	return cmd
 }
 
-// awaitProcessEnd waits while a process that is not a child of this one runs as an instance.
+// awaitProcessEnd waits while a process that is not a child of this one runs as instance i.
 func (r *Run) awaitProcessEnd(i int) {
 	for r.runningProcess(i) != 0 {
 		select {
@@ -226,12 +228,12 @@
 	}
 }
 
-// Stop drains all instances, and kills those that have not ended in time.
+// Stop drains all instances, and kills those that have not ended within the timeout.
 func (r *Run) Stop(timeout time.Duration) error {
 	return r.stopInstances(timeout, func(int) bool { return true })
 }
 
-// stopInstances stops the matching instances. The others go on without a supervisor.
+// stopInstances stops the matching instances. The others continue without a supervisor.
 func (r *Run) stopInstances(timeout time.Duration, matches func(i int) bool) error {
 	r.stop()
 	var stops sync.WaitGroup
@@ -243,28 +245,28 @@
 	}
 	stops.Wait()
 	r.supervisors.Wait()
-	_ = r.lock.Close() // nothing is written to it
+	_ = r.lock.Close() // the lock file has no content that could be lost
 	return errors.Join(errs...)
 }
 
-// stopInstance drains an instance, and kills it after a timeout.
+// stopInstance drains an instance, and kills it if it has not ended within the timeout.
 func (r *Run) stopInstance(i int, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	status, err := r.Members[i].Client.Drain(ctx)
 	pid := status.PID
-	if err != nil { // it does not run, or does not answer
+	if err != nil { // the instance does not run, or does not answer
 		pid = r.runningProcess(i)
 		if pid <= 0 {
 			return nil
 		}
-		_ = syscall.Kill(pid, syscall.SIGTERM) // one that has ended needs none
+		_ = syscall.Kill(pid, syscall.SIGTERM) // fails only if the process has ended
 	}
 	for !hasEnded(pid) {
 		select {
 		case <-time.After(pollInterval):
 		case <-ctx.Done():
-			_ = syscall.Kill(pid, syscall.SIGKILL) // as above
+			_ = syscall.Kill(pid, syscall.SIGKILL) // fails only if the process has ended
 			return fmt.Errorf("instance %d did not end within %v and was killed", i, timeout)
 		}
 	}
--- a/internal/fleet/settings_change.go
+++ b/internal/fleet/settings_change.go
@@ -12,9 +12,9 @@
 	"lockflow/internal/rollout"
 )
 
-// NewSettingsChange returns a change of the members' settings by a plan without members. known are settings of earlier
-// changes by hash, for members whose settings are in no file any more. It returns ErrUnchanged if there is nothing to do,
-// and sets the members' nil Texts.
+// NewSettingsChange returns a change of the members' settings. plan has no members yet; they are added to it. known has
+// the settings of earlier changes by hash, for members whose settings are no longer in any file. It replaces nil Texts
+// of members by the content of their files, and returns ErrUnchanged if there is nothing to do.
 func NewSettingsChange(ctx context.Context, members []Placed, plan rollout.Plan, known map[string]string) (*Change, error) {
 	statuses, err := requireReady(ctx, members, false)
 	if err != nil {
@@ -36,7 +36,7 @@
 		Plan:          plan,
 		Texts:         make(map[string]string),
 	}
-	// A member that runs the new settings already, after an interrupted change, is rolled back to what the others run.
+	// A member that already runs the new settings, because of an interrupted change, is rolled back to what the others run.
 	oldSettings := prevailingSettings(statuses, members)
 	isUnchanged := true
 	for i, status := range statuses {
@@ -60,7 +60,7 @@
 	return c, c.validate()
 }
 
-// addText adds the settings of a hash, if any of two sources has them.
+// addText adds the settings with the given hash to c.Texts, if one of the two sources has them.
 func (c *Change) addText(hash string, files, known map[string]string) {
 	if text, ok := files[hash]; ok {
 		c.Texts[hash] = text
@@ -75,12 +75,13 @@
 	c.Sockets = append(c.Sockets, m.Client.Path)
 }
 
-// hasText tells whether one of a member's new settings has a hash.
+// hasText reports whether one of the member's new settings has the given hash.
 func (m *Placed) hasText(hash string) bool {
 	return slices.ContainsFunc(m.Texts, func(text []byte) bool { return desiredstate.Hash(text) == hash })
 }
 
-// readSettings returns the settings in members' files by hash, and sets members' nil Texts to their own files'.
+// readSettings returns the settings in the members' files by hash, and replaces nil Texts by the content of the
+// member's file.
 func readSettings(members []Placed, statuses []manage.Status) (map[string]string, error) {
 	files := make(map[string]string)
 	for i, status := range statuses {
@@ -98,11 +99,11 @@
 	return files, nil
 }
 
-// settingsPair are the hashes of a member's old and new settings.
+// settingsPair has the hashes of a member's old and new settings.
 type settingsPair struct{ old, new string }
 
-// addIntermediateSettings gives members another generation, if old and new settings of any may not be in force together.
-// Members that need none wait at their old settings meanwhile.
+// addIntermediateSettings inserts a generation of intermediate settings, if the old and new settings of any member may
+// not be in force at the same time. Members that need none keep their old settings in that generation.
 func addIntermediateSettings(statuses []manage.Status, members []Placed, files map[string]string) error {
 	intermediates := make(map[settingsPair][]byte)
 	isAnyNeeded := false
@@ -135,8 +136,8 @@
 	return nil
 }
 
-// prevailingSettings returns, by region, the hash of the settings that most members run of those that don't run the new
-// ones.
+// prevailingSettings returns, by region, the hash of the settings that most members run. It leaves out members that
+// already run the new ones.
 func prevailingSettings(statuses []manage.Status, members []Placed) map[string]string {
 	type settings struct{ region, hash string }
 	counts := make(map[settings]int)
--- a/internal/manage/client.go
+++ b/internal/manage/client.go
@@ -13,14 +13,14 @@
 	"lockflow/internal/desiredstate"
 )
 
-// maxAnswerSize is how much of a daemon's answer is read, in bytes.
+// maxAnswerSize is the maximum number of bytes that are read of a daemon's answer.
 const maxAnswerSize = 16 << 20
 
-// Client sends requests to the daemon of one control socket. It is safe for concurrent use. Its methods wait for the
-// daemon's answer or the end of ctx. An error of type RejectedError is the daemon's answer; any other one leaves open
-// whether the daemon did what was requested.
+// Client sends requests to the daemon on one control socket. It is safe for concurrent use. Its methods wait until the
+// daemon answers or ctx is done. An error of type RejectedError is the daemon's answer; after any other error it is
+// unknown whether the daemon carried out the request.
 type Client struct {
-	Path string // of the socket
+	Path string // path of the socket
 }
 
 // Status returns the daemon's status.
@@ -28,55 +28,55 @@
 	return c.call(ctx, http.MethodGet, "status", nil)
 }
 
-// Reload has the daemon reload its configuration, and waits until it is in force. After a RejectedError the
-// daemon continues with the old one.
+// Reload makes the daemon reload its configuration, and waits until that is in force. After a RejectedError the daemon
+// continues with the old configuration.
 func (c Client) Reload(ctx context.Context) (Status, error) {
 	return c.call(ctx, http.MethodPost, "reload", nil)
 }
 
-// Upgrade has a new process of a program (empty for the one that runs) take the daemon's place, and waits until that
-// serves. The status is the old process's.
+// Upgrade replaces the daemon's process by a new one that runs program (the current program if empty), and waits until
+// the new process serves. The returned status is that of the old process.
 func (c Client) Upgrade(ctx context.Context, program string) (Status, error) {
 	return c.call(ctx, http.MethodPost, "upgrade", upgradeRequest{program})
 }
 
-// Drain has the daemon drain and end. It doesn't wait for that.
+// Drain makes the daemon drain and exit. It returns without waiting for that.
 func (c Client) Drain(ctx context.Context) (Status, error) {
 	return c.call(ctx, http.MethodPost, "drain", nil)
 }
 
-// DrainAndStay is Drain after which the daemon doesn't serve before Serve, also after a restart.
+// DrainAndStay is like Drain, but the daemon stays drained, also after a restart, until Serve is called.
 func (c Client) DrainAndStay(ctx context.Context) (Status, error) {
 	return c.call(ctx, http.MethodPost, "drain", drainRequest{Keep: true})
 }
 
-// Serve undoes DrainAndStay.
+// Serve reverts DrainAndStay.
 func (c Client) Serve(ctx context.Context) (Status, error) {
 	return c.call(ctx, http.MethodPost, "serve", nil)
 }
 
-// Claim claims an epoch, after which the daemon accepts commands of its owner alone.
+// Claim claims an epoch. After that the daemon accepts only commands of the epoch's owner.
 func (c Client) Claim(ctx context.Context, claim Claim) (Status, error) {
 	return c.call(ctx, http.MethodPost, "claim", claim)
 }
 
-// RunCommand has the daemon run a command once, and waits for its outcome. Without an answer the caller retries it
-// with the same id. After a command that replaces the process the status is the old one's.
+// RunCommand makes the daemon run a command once, and waits for its outcome. A caller that gets no answer may retry
+// with the same command id. After a command that replaces the process, the status is that of the old process.
 func (c Client) RunCommand(ctx context.Context, command Command) (Status, error) {
 	return c.call(ctx, http.MethodPost, "order", command)
 }
 
-// RejectedError is a daemon's answer that it did not do what was requested. For a claim or a command, errors.Is with
-// ErrStale and so on finds its kind.
+// RejectedError is a daemon's answer that it rejected a request, or that the request failed. For a claim or a command,
+// errors.Is with ErrStale and the other errors below determines the kind.
 type RejectedError struct {
 	Message string
-	Code    desiredstate.Code // of package desiredstate; empty for other requests
+	Code    desiredstate.Code // set for claims and commands; empty for other requests
 }
 
-// Error returns the daemon's text.
+// Error returns the daemon's message.
 func (r RejectedError) Error() string { return r.Message }
 
-// Is makes the errors below match every RejectedError of their code.
+// Is makes the errors below match every RejectedError with the same code.
 func (r RejectedError) Is(target error) bool {
 	other, ok := target.(RejectedError)
 	return ok && other.Message == "" && other.Code == r.Code
@@ -84,16 +84,16 @@
 
 // Kinds of RejectedError, for errors.Is.
 var (
-	ErrStale    error = RejectedError{Code: desiredstate.CodeStale}    // a newer epoch, or this one by another owner, is granted
-	ErrLost     error = RejectedError{Code: desiredstate.CodeLost}     // a new claim is needed, with a higher epoch
+	ErrStale    error = RejectedError{Code: desiredstate.CodeStale}    // the member has granted a newer epoch, or this epoch to another owner
+	ErrLost     error = RejectedError{Code: desiredstate.CodeLost}     // the member has lost its state; a new claim with a higher epoch is needed
 	ErrBusy     error = RejectedError{Code: desiredstate.CodeBusy}     // the caller may retry
 	ErrInvalid  error = RejectedError{Code: desiredstate.CodeInvalid}  // a retry gets the same answer
-	ErrNotSaved error = RejectedError{Code: desiredstate.CodeNotSaved} // the member could not store it; nothing was done
-	// ErrFailed is the outcome of a command that ran and failed: retried by its id, it has the same outcome.
+	ErrNotSaved error = RejectedError{Code: desiredstate.CodeNotSaved} // the member could not save its next state; nothing was done
+	// ErrFailed is the outcome of a command that ran and failed. A retry with the same id gets the same outcome.
 	ErrFailed error = RejectedError{Code: desiredstate.CodeFailed}
 )
 
-// call sends a request, with body as JSON unless that is nil, and returns the status that answers it.
+// call sends a request, with body as JSON unless body is nil, and returns the status in the answer.
 func (c Client) call(ctx context.Context, method, name string, body any) (Status, error) {
 	status, err := c.roundTrip(ctx, method, name, body)
 	if err != nil && !errors.As(err, new(RejectedError)) {
@@ -125,8 +125,8 @@
 	return decodeAnswer(response)
 }
 
-// encodeBody returns body as JSON, nothing for nil. It doesn't escape HTML, which could make settings longer than
-// maxCommandSize.
+// encodeBody returns body as JSON, or nil if body is nil. It doesn't escape HTML, because the escapes could make settings
+// exceed maxCommandSize.
 func encodeBody(body any) ([]byte, error) {
 	if body == nil {
 		return nil, nil
@@ -140,7 +140,7 @@
 	return encoded.Bytes(), nil
 }
 
-// decodeAnswer returns the status in a response, or the error as a RejectedError.
+// decodeAnswer returns the status in an answer. For an answer with an error it returns a RejectedError.
 func decodeAnswer(response *http.Response) (Status, error) {
 	raw, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerSize))
 	if err != nil {
--- a/internal/manage/golden_test.go
+++ b/internal/manage/golden_test.go
@@ -9,15 +9,15 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// Bodies on the control socket have the keys of earlier builds. go test ./internal/manage -run Golden -update replaces the
-// golden files.
+// Bodies on the control socket have the same keys as in earlier builds. go test ./internal/manage -run Golden -update
+// rewrites the golden files.
 func TestGoldenControlSocket(t *testing.T) {
 	for name, v := range map[string]any{"status": &Status{}, "claim": &Claim{}, "order": &Command{}, "failure": &errorAnswer{}} {
 		testkit.GoldenSample(t, "json", "testdata/golden/"+name+".json", v)
 	}
 }
 
-// Bodies that clients of earlier builds send are accepted, and an unknown key is rejected.
+// Request bodies from clients of earlier builds are accepted, and unknown keys are rejected.
 func TestBodiesOfEarlierClients(t *testing.T) {
 	daemon := fakeDaemon{make(chan string, 1)}
 	handler := newHandler(func() Daemon { return daemon })
--- a/internal/manage/handler.go
+++ b/internal/manage/handler.go
@@ -13,17 +13,17 @@
 
 // Limits of requests.
 const (
-	maxBodySize = 16 << 10 // of a request that is no command, in bytes
-	// maxCommandSize allows for settings each of whose bytes takes two in JSON.
+	maxBodySize = 16 << 10 // of a request other than a command, in bytes
+	// maxCommandSize has space for settings of which every byte takes two in JSON.
 	maxCommandSize     = 2*desiredstate.MaxSettingsBytes + maxBodySize
-	maxCommandReads    = 2                // commands whose bodies are read at once
-	commandReadTimeout = 10 * time.Second // of a body
+	maxCommandReads    = 2                // command bodies that are read at the same time
+	commandReadTimeout = 10 * time.Second // to read the body of a command
 )
 
-// handlers are the handlers of a control socket.
+// handlers has the HTTP handlers of a control socket.
 type handlers struct {
-	daemon       func() Daemon // the one that is served now
-	commandReads chan struct{} // slots for bodies of commands
+	daemon       func() Daemon // returns the daemon that is currently served
+	commandReads chan struct{} // holds one element for each command body that is being read
 }
 
 func newHandler(daemon func() Daemon) http.Handler {
@@ -90,8 +90,8 @@
 	}
 }
 
-// readCommand reads a command's body, which may be large, once it has a slot. Where it returns false there is nothing
-// more to answer.
+// readCommand waits for a slot and reads a command's body, which may be large. If it returns false, the caller must not
+// write an answer.
 func (h *handlers) readCommand(w http.ResponseWriter, r *http.Request, command *Command) bool {
 	select {
 	case h.commandReads <- struct{}{}:
@@ -100,16 +100,16 @@
 	}
 	defer func() { <-h.commandReads }()
 	connection := http.NewResponseController(w)
-	// It fails for a closed connection, as reading does.
+	// The error is ignored: it fails for a closed connection, for which reading fails too.
 	_ = connection.SetReadDeadline(time.Now().Add(commandReadTimeout))
-	defer connection.SetReadDeadline(time.Time{}) //nolint:errcheck // the command may take longer than its body
+	defer connection.SetReadDeadline(time.Time{}) //nolint:errcheck // the deadline is for the body only; the command may run longer
 	return decodeBody(w, r, "order", maxCommandSize, command)
 }
 
 var errTrailingData = errors.New("there is more behind it")
 
-// decodeBody decodes a request's body of at most maxSize bytes into target; an empty one leaves that as it is. Where
-// it returns false it has answered the error. name is the request's in that error.
+// decodeBody decodes a request's body of at most maxSize bytes into target. An empty body leaves target unchanged. If
+// decodeBody returns false, it has written an error as the answer, in which name identifies the request.
 func decodeBody(w http.ResponseWriter, r *http.Request, name string, maxSize int64, target any) bool {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxSize))
 	decoder.DisallowUnknownFields()
@@ -131,7 +131,7 @@
 	return false
 }
 
-// writeResult answers with err, or where that is nil with the daemon's status.
+// writeResult answers with err, or with the daemon's status if err is nil.
 func writeResult(w http.ResponseWriter, err error, d Daemon) {
 	if err != nil {
 		writeError(w, err)
@@ -156,5 +156,5 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // a client that has gone gets nothing
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
--- a/internal/manage/leak_test.go
+++ b/internal/manage/leak_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// No test leaves a goroutine behind.
+// TestMain fails the tests of this package if one leaks a goroutine.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/manage/server.go
+++ b/internal/manage/server.go
@@ -18,48 +18,50 @@
 // Limits of a control socket.
 const (
 	maxHeaderSize   = 4 << 10         // of a request, in bytes
-	headerTimeout   = 2 * time.Second // to receive a request's header; its answer may take longer
+	headerTimeout   = 2 * time.Second // to receive a request's header; the answer may take longer
 	maxConnections  = 16
-	dialTimeout     = time.Second // to find out whether a socket is served
+	dialTimeout     = time.Second // of the connection that checks whether a process serves a socket
 	shutdownTimeout = 5 * time.Second
-	closeTimeout    = time.Second // of Close, for which the daemon's end waits
+	closeTimeout    = time.Second // of Close; shorter because the daemon's exit waits for it
 )
 
-// Daemon is what a Server serves. Its methods are called concurrently.
+// Daemon is the daemon that a Server controls. Its methods are called concurrently.
 type Daemon interface {
 	Status() Status
-	// Reload returns once the configuration that it has read is in force, or why it is not.
+	// Reload reloads the configuration. It returns once that is in force, or an error if it can't be used.
 	Reload(ctx context.Context) error
-	// Upgrade returns once a new process of program (empty for the one that runs) serves, or why none does.
+	// Upgrade starts a new process that runs program (the current program if empty). It returns once that process serves,
+	// or an error if it fails to.
 	Upgrade(ctx context.Context, program string) error
-	// Drain has the daemon drain and end, and doesn't wait for that; with keep it doesn't serve before Serve,
-	// also after a restart.
+	// Drain makes the daemon drain and exit, and returns without waiting for that. With keep the daemon stays drained,
+	// also after a restart, until Serve is called.
 	Drain(keep bool) error
-	// Serve undoes Drain with keep.
+	// Serve reverts Drain with keep.
 	Serve(ctx context.Context) error
-	// Claim grants a coordinator an epoch, or returns why not.
+	// Claim grants a coordinator an epoch, or returns the reason why it doesn't.
 	Claim(ctx context.Context, claim Claim) error
-	// RunCommand returns once the command has ended, with its outcome.
+	// RunCommand runs a command. It returns once the command has ended, with an error if it failed or was rejected.
 	RunCommand(ctx context.Context, command Command) error
 }
 
-// Server serves one control socket. A nil Server stands for a daemon without one: OwnsSocket and Close take it.
+// Server serves one control socket. A nil Server stands for a daemon without a control socket; OwnsSocket and Close
+// accept it.
 type Server struct {
 	httpServer *http.Server
 	daemon     atomic.Pointer[Daemon]
 	path       string
-	socketInfo os.FileInfo   // of the socket that this server has made
+	socketInfo os.FileInfo   // identifies the socket that this server has created
 	done       chan struct{} // closed when http.Serve has returned
 }
 
-// ServedError is the error of Listen where another daemon serves the socket.
+// ServedError is the error of Listen for a socket that another daemon serves.
 type ServedError struct{ Path string }
 
 // Error names the socket.
 func (e *ServedError) Error() string { return e.Path + ": another daemon serves it" }
 
-// Listen makes the control socket at path and serves d on it. It replaces a socket that no process serves, and with
-// takeOver one that the predecessor serves. Otherwise the error for a served socket is a *ServedError.
+// Listen creates the control socket at path and serves d on it. It replaces a socket that no process serves, and with
+// takeOver also one that the predecessor serves. Without takeOver it returns a *ServedError for a served socket.
 func Listen(path string, d Daemon, takeOver bool) (*Server, error) {
 	l, info, err := listen(path, takeOver)
 	if err != nil {
@@ -75,16 +77,16 @@
 	}
 	go func() {
 		defer close(s.done)
-		_ = s.httpServer.Serve(newOwnerListener(l)) // Close ends it
+		_ = s.httpServer.Serve(newOwnerListener(l)) // returns when Shutdown or Close is called
 	}()
 	return s, nil
 }
 
-// SetDaemon has the server serve another daemon of this process from now on.
+// SetDaemon makes the server control another daemon of this process from now on.
 func (s *Server) SetDaemon(d Daemon) { s.daemon.Store(&d) }
 
-// Close answers the requests in flight, ends the server and removes the socket, where that is still its own. Requests
-// are first: a drain may have ended the daemon before its own request was answered.
+// Close answers the requests in flight, ends the server, and removes the socket if it is still the server's own. It
+// answers requests first because a drain may end the daemon before the drain request itself is answered.
 func (s *Server) Close() {
 	if s == nil {
 		return
@@ -93,11 +95,12 @@
 	s.httpServer.Close()
 	<-s.done
 	if s.OwnsSocket() {
-		_ = os.Remove(s.path) // the next daemon replaces one that remains: no process serves it
+		_ = os.Remove(s.path) // if it fails, the next daemon replaces the socket, which no process serves
 	}
 }
 
-// OwnsSocket returns whether the socket at the path is the one that this server has made; true for a nil Server.
+// OwnsSocket reports whether the socket at the path is the one that this server has created. It returns true for a nil
+// Server.
 func (s *Server) OwnsSocket() bool {
 	if s == nil {
 		return true
@@ -106,28 +109,28 @@
 	return err == nil && os.SameFile(info, s.socketInfo)
 }
 
-// Shutdown answers the requests in flight and accepts no connections any more. It leaves the path alone.
+// Shutdown stops accepting connections and answers the requests in flight. It leaves the socket in place.
 func (s *Server) Shutdown() { s.shutdown(shutdownTimeout) }
 
 func (s *Server) shutdown(timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	_ = s.httpServer.Shutdown(ctx) // what is not answered in time is ended by Close
+	_ = s.httpServer.Shutdown(ctx) // Close ends requests that are not answered in time
 }
 
-// listen makes the socket at path.
+// listen creates the socket at path.
 func listen(path string, takeOver bool) (*net.UnixListener, os.FileInfo, error) {
 	if err := removeStaleSocket(path, takeOver); err != nil {
 		return nil, nil, err
 	}
-	// The umask gives the socket its mode as it is made: the owner alone may ever connect.
+	// The umask sets the socket's mode at creation, so that at no time a user other than the owner can connect.
 	oldMask := syscall.Umask(0o177)
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	syscall.Umask(oldMask)
 	if err != nil {
 		return nil, nil, err
 	}
-	l.SetUnlinkOnClose(false) // the path may be a successor's by then
+	l.SetUnlinkOnClose(false) // a successor may have replaced the socket by then
 	info, err := os.Lstat(path)
 	if err != nil {
 		l.Close()
@@ -136,7 +139,7 @@
 	return l, info, nil
 }
 
-// removeStaleSocket removes a socket that no process serves, or with takeOver any socket.
+// removeStaleSocket removes a socket that no process serves, and with takeOver any socket.
 func removeStaleSocket(path string, takeOver bool) error {
 	info, err := os.Lstat(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -163,7 +166,8 @@
 	return true
 }
 
-// ownerListener accepts connections of the process's own user and of root, as many at a time as it has slots.
+// ownerListener accepts connections of the process's own user and of root. The number of connections at a time is
+// limited to its number of slots.
 type ownerListener struct {
 	net.Listener
 	slots chan struct{}
@@ -200,7 +204,7 @@
 
 const rootUserID = 0
 
-// peerUserID returns the user of the process that has connected (unix(7), SO_PEERCRED).
+// peerUserID returns the user id of the process at the other end of a connection (unix(7), SO_PEERCRED).
 func peerUserID(conn *net.UnixConn) (int, error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/manage/server_test.go
+++ b/internal/manage/server_test.go
@@ -13,7 +13,7 @@
 	"lockflow/internal/desiredstate"
 )
 
-// fakeDaemon is a daemon that sends what is requested of it to calls.
+// fakeDaemon is a Daemon that reports the requests it receives on calls.
 type fakeDaemon struct{ calls chan string }
 
 func (f fakeDaemon) Status() Status { return Status{PID: 7, State: "ready", Generation: 3} }
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// A coordinator can distinguish rejections by kind, and a command has space for settings of 5 MB.
+// A client can distinguish rejections by kind, and a command can carry settings of 5 MB.
 func TestClaimsAndCommandsOverSocket(t *testing.T) {
 	daemon := fakeDaemon{make(chan string, 8)}
 	server, err := Listen(filepath.Join(t.TempDir(), "c.sock"), daemon, false)
@@ -113,7 +113,7 @@
 	if _, err := Listen(path, daemon, false); err == nil || !strings.Contains(err.Error(), "another daemon") {
 		t.Errorf("a second daemon: %v", err)
 	}
-	// A successor takes the place of the socket; the old server's end leaves it alone.
+	// A successor replaces the socket; closing the old server doesn't remove the new socket.
 	successor, err := Listen(path, daemon, true)
 	if err != nil {
 		t.Fatal(err)
@@ -131,7 +131,7 @@
 	}
 }
 
-// Listen replaces a socket that a killed daemon left, and leaves a file that is no socket alone.
+// Listen replaces a socket that a killed daemon left, but not a file that isn't a socket.
 func TestStaleSocketIsReplaced(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.sock")
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
@@ -153,12 +153,12 @@
 	}
 }
 
-// endingDaemon is a daemon that ends as soon as a drain is requested, before the request is answered.
+// endingDaemon is a daemon that closes its server as soon as a drain is requested, before the request is answered.
 type endingDaemon struct {
 	fakeDaemon
 	server          *Server
-	shutdownStarted chan struct{} // closed once the server's end has
-	releaseReload   chan struct{} // a reload waits for it
+	shutdownStarted chan struct{} // closed once the server's shutdown has started
+	releaseReload   chan struct{} // Reload returns once it is closed
 }
 
 func (e *endingDaemon) Drain(bool) error { go e.server.Close(); return nil }
@@ -174,8 +174,8 @@
 	return nil
 }
 
-// Close answers a drain's request even where the daemon has ended by then, accepts no request after that, and doesn't
-// wait for ever for an answer that doesn't come.
+// Close waits until a drain request in flight is answered, even if that drain has ended the daemon. After that it accepts
+// no requests. It doesn't wait indefinitely for a request that is never answered.
 func TestRequestsInFlightAreAnsweredBeforeClose(t *testing.T) {
 	startDaemon := func() (*endingDaemon, Client) {
 		path := filepath.Join(t.TempDir(), "c.sock")
