--- a/internal/desiredstate/encoding_test.go
+++ b/internal/desiredstate/encoding_test.go
@@ -22,7 +22,7 @@
 		state.Recover(Observed{}).LastOutcome()
 		if reencoded, err := Encode(state); err == nil {
 			if got, err := Decode(reencoded); err != nil || !reflect.DeepEqual(got, state) {
-				t.Errorf("%+v is read as %+v, %v", state, got, err)
+				t.Errorf("encoded %+v, decoded %+v, error %v", state, got, err)
 			}
 		}
 	})
--- a/internal/desiredstate/file.go
+++ b/internal/desiredstate/file.go
@@ -57,7 +57,7 @@
 	}
 	for _, name := range []string{stateFileName, oldSettingsFileName} {
 		if err := durable.RemoveLeftovers(filepath.Join(f.directory, name)); err != nil {
-			slog.Warn("temporary files of killed writes are left", "dir", f.directory, "err", err)
+			slog.Warn("can't remove temporary files of interrupted writes", "dir", f.directory, "err", err)
 		}
 	}
 }
--- a/internal/desiredstate/file_test.go
+++ b/internal/desiredstate/file_test.go
@@ -47,16 +47,16 @@
 		}
 		restore := breakWrites(f)
 		if f.Save(second) == nil {
-			t.Errorf("%s: it was saved", name)
+			t.Errorf("%s: Save succeeded although the write failed", name)
 		}
 		inMemory, err := f.Load()
 		restore()
 		onDisk, diskErr := ReadState(f.directory)
 		if err != nil || diskErr != nil || inMemory.Epoch != 1 || onDisk.Epoch != 1 {
-			t.Errorf("%s: %+v, %v; %+v, %v", name, inMemory, err, onDisk, diskErr)
+			t.Errorf("%s: after the failed Save: Load returned %+v, %v; ReadState returned %+v, %v", name, inMemory, err, onDisk, diskErr)
 		}
 		if err := f.Save(second); err != nil {
-			t.Errorf("%s: afterwards: %v", name, err)
+			t.Errorf("%s: Save after the writes work again: %v", name, err)
 		}
 	}
 }
@@ -72,7 +72,7 @@
 	state, _, _, _ = state.Accept(Command{7, "a", "1", Operation{Kind: KindRestart}})
 	state = state.Finish(errors.New("no")).SetDrained(true)
 	if got, err := f.Load(); err != nil || got.Epoch != 0 {
-		t.Errorf("nothing: %+v, %v", got, err)
+		t.Errorf("Load before the first Save: got %+v, %v", got, err)
 	}
 	if err := f.Save(state); err != nil {
 		t.Fatal(err)
@@ -82,17 +82,17 @@
 		corrupted := append([]byte(nil), raw...)
 		corrupted[i] ^= 1
 		if _, err := Decode(corrupted); err == nil {
-			t.Errorf("byte %d is another one", i)
+			t.Errorf("changed byte %d not detected", i)
 		}
 		if _, err := Decode(raw[:i]); err == nil {
-			t.Errorf("the first %d bytes", i)
+			t.Errorf("truncation to %d bytes not detected", i)
 		}
 	}
 	// A successor loads the newest state from the memory file, even if it has another state directory.
 	successor, _ := Open(t.TempDir(), f.MemoryFile())
 	for _, load := range []func() (State, error){f.Load, successor.Load, func() (State, error) { return ReadState(dir) }} {
 		if got, err := load(); err != nil || !reflect.DeepEqual(got, state) {
-			t.Errorf("%+v, %v", got, err)
+			t.Errorf("loaded state %+v, %v", got, err)
 		}
 	}
 	path, link := filepath.Join(dir, "c.toml"), filepath.Join(dir, "link")
@@ -105,6 +105,6 @@
 	info, _ := os.Lstat(path)
 	oldSettings, _ := f.OldSettings()
 	if got, _ := os.ReadFile(path); string(got) != "new" || info.Mode().Perm() != 0o640 || string(oldSettings) != "old" {
-		t.Errorf("%q, %v, kept %q", got, info.Mode(), oldSettings)
+		t.Errorf("file %q, mode %v, old settings %q", got, info.Mode(), oldSettings)
 	}
 }
--- a/internal/desiredstate/golden_test.go
+++ b/internal/desiredstate/golden_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	if reencoded, err := Encode(state); err != nil || !bytes.Equal(reencoded, raw) {
-		t.Errorf("it is not encoded as it was decoded: %v", err)
+		t.Errorf("decoded golden file is encoded to other bytes: %v", err)
 	}
 }
 
--- a/internal/desiredstate/state_test.go
+++ b/internal/desiredstate/state_test.go
@@ -41,7 +41,7 @@
 	m.settingsInForce = m.settingsInFile
 	m.save(state.Recover(Observed{Hash: Hash([]byte(m.settingsInForce)), Program: "/old"}))
 	if m.state.Running != nil {
-		m.t.Fatalf("still running after a start: %+v", *m.state.Running)
+		m.t.Fatalf("command still running after a restart: %+v", *m.state.Running)
 	}
 }
 
@@ -50,12 +50,12 @@
 	earlierOwner := m.ownerByEpoch[c.Epoch]
 	if err != nil {
 		if !errors.Is(err, &RejectedError{Code: CodeStale}) || c.Epoch > m.newestEpoch || m.state.Epoch != m.newestEpoch {
-			m.t.Fatalf("%+v at %d: %v", c, m.newestEpoch, err)
+			m.t.Fatalf("claim %+v rejected at newest epoch %d: %v", c, m.newestEpoch, err)
 		}
 		return
 	}
 	if c.Epoch < m.newestEpoch || earlierOwner != "" && earlierOwner != c.Owner {
-		m.t.Fatalf("%+v granted; epoch %d was %q's, the newest is %d", c, c.Epoch, earlierOwner, m.newestEpoch)
+		m.t.Fatalf("claim %+v granted; epoch %d has the owner %q, the newest epoch is %d", c, c.Epoch, earlierOwner, m.newestEpoch)
 	}
 	m.save(state)
 	m.ownerByEpoch[c.Epoch], m.newestEpoch = c.Owner, c.Epoch
@@ -70,23 +70,23 @@
 	switch {
 	case err != nil:
 		if !reflect.DeepEqual(state, before) {
-			m.t.Fatalf("a rejection has changed the state: %v", err)
+			m.t.Fatalf("rejected command has changed the state: %v", err)
 		}
 		if errors.Is(err, &RejectedError{Code: CodeStale}) == (command.Epoch == m.newestEpoch && command.Owner == m.ownerByEpoch[command.Epoch]) {
-			m.t.Fatalf("%+v at %d of %q: %v", command, m.newestEpoch, m.ownerByEpoch[m.newestEpoch], err)
+			m.t.Fatalf("command %+v at newest epoch %d of owner %q: wrong rejection: %v", command, m.newestEpoch, m.ownerByEpoch[m.newestEpoch], err)
 		}
 		return
 	case command.Epoch != m.newestEpoch || command.Owner != m.ownerByEpoch[command.Epoch]:
-		m.t.Fatalf("%+v is accepted, the owner is %q of %d", command, m.ownerByEpoch[m.newestEpoch], m.newestEpoch)
+		m.t.Fatalf("command %+v accepted, although %q owns the newest epoch %d", command, m.ownerByEpoch[m.newestEpoch], m.newestEpoch)
 	case step == StepAnswer:
 		if earlier, ok := m.outcomes[key]; ok && earlier != outcome.Code {
-			m.t.Fatalf("%s ended with %s and is answered as %s", key, earlier, outcome.Code)
+			m.t.Fatalf("command %s ended with code %s, but the answer has code %s", key, earlier, outcome.Code)
 		}
 		return
 	case step != StepStart:
-		m.t.Fatal("it waits, and nothing is running")
+		m.t.Fatal("Accept returned StepWait while no command was running")
 	case m.outcomes[key] != "":
-		m.t.Fatalf("%s has ended with %s and runs again", key, m.outcomes[key])
+		m.t.Fatalf("command %s has ended with code %s and runs a second time", key, m.outcomes[key])
 	}
 	steps := []func(){func() { m.save(state) }, func() {
 		if failure == nil {
@@ -96,7 +96,7 @@
 		if failure == nil {
 			m.settingsInForce = command.Operation.Text
 			if m.completionCount[key]++; m.completionCount[key] > 1 {
-				m.t.Fatalf("%s runs twice", key)
+				m.t.Fatalf("command %s took effect twice", key)
 			}
 		}
 	}, func() { m.save(m.state.Finish(failure)) }}
@@ -104,7 +104,7 @@
 		if i == crashAt {
 			m.crash()
 			if last := m.state.LastOutcome(); i > 1 && failure == nil && (last.ID != command.ID || last.Code != CodeOK) {
-				m.t.Fatalf("its settings are in force, and it is answered as %+v", last)
+				m.t.Fatalf("settings of the command are in force, but its outcome is %+v", last)
 			}
 			return
 		}
@@ -112,10 +112,10 @@
 	}
 	m.outcomes[key] = m.state.LastOutcome().Code
 	if failure != nil && m.state.Target != before.Target {
-		m.t.Fatalf("failed, and the target is %+v instead of %+v", m.state.Target, before.Target)
+		m.t.Fatalf("after a failed command: target %+v, want %+v", m.state.Target, before.Target)
 	}
 	if failure == nil && m.state.Target.Hash != Hash([]byte(m.settingsInForce)) {
-		m.t.Fatal("the target is not what runs")
+		m.t.Fatal("target has other settings than those in force")
 	}
 }
 
@@ -156,44 +156,44 @@
 	state, _ := State{}.Grant(Claim{Epoch: 7, Owner: "a"})
 	accepted, step, _, err := state.Accept(command(7, "a", "1", Operation{Kind: KindProgram, Path: "/new"}))
 	if err != nil || step != StepStart || accepted.Target.Program != "/new" || accepted.Program != "" {
-		t.Fatalf("%+v, %v, %v", accepted, step, err)
+		t.Fatalf("accepted state %+v, step %v, error %v", accepted, step, err)
 	}
 	for name, tc := range map[string]struct {
 		command Command
 		code    Code
 	}{
-		"another one meanwhile":  {command(7, "a", "2", Operation{Kind: KindDrain}), CodeBusy},
-		"its id, another act":    {command(7, "a", "1", Operation{Kind: KindDrain}), CodeInvalid},
-		"an older epoch":         {command(6, "a", "1", Operation{Kind: KindDrain}), CodeStale},
-		"a newer one, unclaimed": {command(8, "a", "1", Operation{Kind: KindDrain}), CodeStale},
-		"another owner":          {command(7, "b", "1", Operation{Kind: KindDrain}), CodeStale},
-		"no id":                  {command(7, "a", "", Operation{Kind: KindDrain}), CodeInvalid},
-		"no kind":                {command(7, "a", "1", Operation{Kind: "dance"}), CodeInvalid},
-		"another hash":           {command(7, "a", "1", Operation{Kind: KindSettings, Hash: Hash(nil), Text: "x"}), CodeInvalid},
-		"too long":               {command(7, "a", "1", Operation{Kind: KindSettings, Text: strings.Repeat("x", MaxSettingsBytes+1)}), CodeInvalid},
-		"no absolute path":       {command(7, "a", "1", Operation{Kind: KindProgram, Path: "new"}), CodeInvalid},
-		"more than it takes":     {command(7, "a", "1", Operation{Kind: KindDrain, Path: "/new"}), CodeInvalid},
+		"another command while one is running": {command(7, "a", "2", Operation{Kind: KindDrain}), CodeBusy},
+		"same id, another operation":           {command(7, "a", "1", Operation{Kind: KindDrain}), CodeInvalid},
+		"older epoch":                          {command(6, "a", "1", Operation{Kind: KindDrain}), CodeStale},
+		"newer epoch without a claim":          {command(8, "a", "1", Operation{Kind: KindDrain}), CodeStale},
+		"another owner":                        {command(7, "b", "1", Operation{Kind: KindDrain}), CodeStale},
+		"missing id":                           {command(7, "a", "", Operation{Kind: KindDrain}), CodeInvalid},
+		"unknown kind":                         {command(7, "a", "1", Operation{Kind: "dance"}), CodeInvalid},
+		"hash of another text":                 {command(7, "a", "1", Operation{Kind: KindSettings, Hash: Hash(nil), Text: "x"}), CodeInvalid},
+		"text too long":                        {command(7, "a", "1", Operation{Kind: KindSettings, Text: strings.Repeat("x", MaxSettingsBytes+1)}), CodeInvalid},
+		"relative path":                        {command(7, "a", "1", Operation{Kind: KindProgram, Path: "new"}), CodeInvalid},
+		"field of another kind":                {command(7, "a", "1", Operation{Kind: KindDrain, Path: "/new"}), CodeInvalid},
 	} {
 		if after, _, _, err := accepted.Accept(tc.command); !errors.Is(err, &RejectedError{Code: tc.code}) || !reflect.DeepEqual(after, accepted) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	if _, step, _, err := accepted.Accept(command(7, "a", "1", Operation{Kind: KindProgram, Path: "/new"})); step != StepWait || err != nil {
-		t.Errorf("again: %v, %v", step, err)
+		t.Errorf("repeated while running: step %v, error %v", step, err)
 	}
 	if finished := accepted.Finish(nil); finished.Program != "/new" || finished.LastOutcome() != (Outcome{"1", CodeOK, ""}) {
-		t.Errorf("%+v", finished)
+		t.Errorf("state after success: %+v", finished)
 	}
 	if finished := accepted.Finish(errors.New("no")); finished.Program != "" || finished.Target != (Target{}) || finished.LastOutcome() != (Outcome{"1", CodeFailed, "no"}) {
-		t.Errorf("%+v", finished)
+		t.Errorf("state after failure: %+v", finished)
 	}
 	for path, done := range map[string]bool{"/new": true, "/old": false} {
 		if recovered := accepted.Recover(Observed{Program: path}); recovered.Running != nil || (len(recovered.Ended) == 1) != done || recovered.Target.Program != "/new" || (recovered.Program == "/new") != done {
-			t.Errorf("%s runs: %+v", path, recovered)
+			t.Errorf("recovered with program %s: %+v", path, recovered)
 		}
 	}
 	if recovered := accepted.SetDrained(true).Finish(errors.New("no")); !recovered.Target.Drained {
-		t.Error("a failed command has undone what the operator set")
+		t.Error("failed command reverted the operator's drain")
 	}
 	// A coordinator that resumes under another epoch may repeat the last command. Earlier commands of other epochs with the
 	// same id don't count.
@@ -202,17 +202,17 @@
 		t.Fatal(err)
 	}
 	if _, step, done, err := state.Accept(command(8, "b", "1", Operation{Kind: KindProgram, Path: "/new"})); step != StepAnswer || done.Code != CodeOK || err != nil {
-		t.Errorf("the last one, under another epoch: %v, %v, %v", step, done, err)
+		t.Errorf("last command repeated under another epoch: step %v, outcome %v, error %v", step, done, err)
 	}
 	for i := range 2 * maxOutcomes {
 		state, _, _, _ = state.Accept(command(8, "b", fmt.Sprint("n", i), Operation{Kind: KindRestart}))
 		state = state.Finish(nil)
 		if _, step, _, _ := state.Accept(command(8, "b", "1", Operation{Kind: KindProgram, Path: "/new"})); step != StepStart {
-			t.Fatalf("an id of an older epoch, %d orders later: %v", i+1, step)
+			t.Fatalf("id of an older epoch after %d further commands: step %v", i+1, step)
 		}
 	}
 	if len(state.Ended) != maxOutcomes {
-		t.Errorf("%d outcomes are remembered", len(state.Ended))
+		t.Errorf("%d outcomes remembered", len(state.Ended))
 	}
 }
 
@@ -221,14 +221,14 @@
 	state := State{LossToken: "token"}
 	for _, c := range []Claim{{7, "a", ""}, {9, "a", "another"}} {
 		if _, err := state.Grant(c); !errors.Is(err, &RejectedError{Code: CodeLost}) {
-			t.Errorf("%+v: %v", c, err)
+			t.Errorf("claim %+v: %v", c, err)
 		}
 	}
 	if _, _, _, err := state.Accept(Command{7, "a", "1", Operation{Kind: KindServe}}); !errors.Is(err, &RejectedError{Code: CodeLost}) {
 		t.Error(err)
 	}
 	if state, err := state.Grant(Claim{9, "b", "token"}); err != nil || state.LossToken != "" || state.Epoch != 9 {
-		t.Errorf("%+v, %v", state, err)
+		t.Errorf("claim with the loss token: state %+v, error %v", state, err)
 	}
 }
 
@@ -242,7 +242,7 @@
 		state := State{Epoch: 7, Owner: "a"}
 		next, step, _, err := state.Accept(command)
 		if err != nil && !reflect.DeepEqual(next, state) || err == nil && (step != StepStart || command.Epoch != 7 || command.Validate() != nil) {
-			t.Errorf("%+v: %+v, %v", command, next, err)
+			t.Errorf("command %+v: next state %+v, error %v", command, next, err)
 		}
 		if err == nil {
 			if raw, err := Encode(next.Finish(nil)); err != nil {
--- a/internal/fleet/change.go
+++ b/internal/fleet/change.go
@@ -80,7 +80,7 @@
 		isAnyVolatile = isAnyVolatile || reply.Status.IsVolatile
 	}
 	if isAnyVolatile {
-		slog.Warn("rollout: members without a state directory lose their coordinator's epoch in a crash")
+		slog.Warn("rollout: members without a state directory lose the granted epoch in a crash")
 	}
 	return all, nil
 }
@@ -89,15 +89,15 @@
 func (c *Change) validate() error {
 	switch {
 	case c.FormatVersion != formatVersion:
-		return fmt.Errorf("the change is of form %d, not %d", c.FormatVersion, formatVersion)
+		return fmt.Errorf("the change has format version %d, want %d", c.FormatVersion, formatVersion)
 	case c.Kind != desiredstate.KindSettings && c.Kind != desiredstate.KindProgram:
-		return fmt.Errorf("the change is of no known kind, %q", c.Kind)
+		return fmt.Errorf("the change has the unknown kind %q", c.Kind)
 	case len(c.Sockets) != len(c.Plan.Members):
-		return fmt.Errorf("the change has %d members and %d sockets", len(c.Plan.Members), len(c.Sockets))
+		return fmt.Errorf("the change has %d members but %d control sockets", len(c.Plan.Members), len(c.Sockets))
 	}
 	for hash, text := range c.Texts {
 		if desiredstate.Hash([]byte(text)) != hash {
-			return fmt.Errorf("the settings %.12s of the change do not have their hash", hash)
+			return fmt.Errorf("the settings %.12s of the change do not match their hash", hash)
 		}
 	}
 	return c.Plan.Validate()
--- a/internal/fleet/change_test.go
+++ b/internal/fleet/change_test.go
@@ -46,15 +46,15 @@
 		old, new []byte
 		want     string
 	}{
-		"more in all":        {renderSettings(10, 10, notIdempotent, 4), renderSettings(20, 20, notIdempotent, 4), ""},
-		"less in all":        {renderSettings(20, 20, notIdempotent, 4), renderSettings(10, 10, notIdempotent, 4), ""},
-		"more and less":      {renderSettings(10, 20, notIdempotent, 4), renderSettings(20, 10, notIdempotent, 4), "ceiling_rate = 10"},
-		"terms and ceilings": {renderSettings(10, 10, withKey, 4), renderSettings(20, 20, notIdempotent, 4), "never"},
-		"a larger group":     {renderSettings(10, 10, notIdempotent, 4), renderSettings(20, 20, notIdempotent, 5), "instances = 5"},
+		"all limits higher":              {renderSettings(10, 10, notIdempotent, 4), renderSettings(20, 20, notIdempotent, 4), ""},
+		"all limits lower":               {renderSettings(20, 20, notIdempotent, 4), renderSettings(10, 10, notIdempotent, 4), ""},
+		"one limit higher, one lower":    {renderSettings(10, 20, notIdempotent, 4), renderSettings(20, 10, notIdempotent, 4), "ceiling_rate = 10"},
+		"class settings and hard limits": {renderSettings(10, 10, withKey, 4), renderSettings(20, 20, notIdempotent, 4), "never"},
+		"larger group":                   {renderSettings(10, 10, notIdempotent, 4), renderSettings(20, 20, notIdempotent, 5), "instances = 5"},
 	} {
 		got, err := IntermediateSettings(tc.old, tc.new)
 		if err != nil || (got == nil) != (tc.want == "") || !strings.Contains(strings.ReplaceAll(string(got), "'", `"`), tc.want) {
-			t.Errorf("%s: %s, %v", name, got, err)
+			t.Errorf("%s: got intermediate settings %s, %v", name, got, err)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 			a, _ := parseRegion("a", steps[i])
 			b, _ := parseRegion("b", steps[i+1])
 			if len(mixture.Phases(a, b)) > 0 {
-				t.Fatalf("%s\nand\n%s\nmay not stand side by side", steps[i], steps[i+1])
+				t.Fatalf("settings\n%s\nand\n%s\nmay not be in force at the same time", steps[i], steps[i+1])
 			}
 		}
 	})
@@ -110,15 +110,15 @@
 		records []string
 		want    string
 	}{
-		"none":          {nil, ""},
-		"fine":          {[]string{validChange, `{"entry":{"kind":"epoch","epoch":3}}`}, ""},
-		"no JSON":       {[]string{"{"}, "its change"},
-		"another form":  {[]string{`{"form":2}`}, "form 2"},
-		"no kind":       {[]string{`{"form":1,"kind":"magic"}`}, "no known kind"},
-		"no socket":     {[]string{strings.Replace(validChange, `"/s"`, ``, 1)}, "1 members and 0 sockets"},
-		"another text":  {[]string{strings.Replace(validChange, `"x"`, `"y"`, 1)}, "do not have their hash"},
-		"no generation": {[]string{strings.Replace(validChange, `"a",`, ``, 1)}, "1 generations"},
-		"a bad record":  {[]string{validChange, "nonsense"}, "record 2"},
+		"none":                        {nil, ""},
+		"fine":                        {[]string{validChange, `{"entry":{"kind":"epoch","epoch":3}}`}, ""},
+		"no JSON":                     {[]string{"{"}, "decoding the change"},
+		"unknown format version":      {[]string{`{"form":2}`}, "format version 2"},
+		"unknown kind":                {[]string{`{"form":1,"kind":"magic"}`}, `unknown kind "magic"`},
+		"missing socket":              {[]string{strings.Replace(validChange, `"/s"`, ``, 1)}, "1 members but 0 control sockets"},
+		"text doesn't match its hash": {[]string{strings.Replace(validChange, `"x"`, `"y"`, 1)}, "do not match their hash"},
+		"missing generation":          {[]string{strings.Replace(validChange, `"a",`, ``, 1)}, "1 generations"},
+		"malformed record":            {[]string{validChange, "nonsense"}, "record 2"},
 	} {
 		var raw [][]byte
 		for _, r := range tc.records {
@@ -126,7 +126,7 @@
 		}
 		_, entries, err := decode(raw)
 		if (err == nil) != (tc.want == "") || err != nil && !strings.Contains(err.Error(), tc.want) || err == nil && len(raw) > 1 && entries[0].Epoch != 3 {
-			t.Errorf("%s: %+v, %v", name, entries, err)
+			t.Errorf("%s: got entries %+v, error %v", name, entries, err)
 		}
 	}
 	for _, c := range []struct {
@@ -139,7 +139,7 @@
 	} {
 		log := RolloutLog{Change: &Change{}, Entries: []rollout.Entry{c.last}}
 		if got := log.Unfinished(); got != c.want {
-			t.Errorf("%+v: %q", c.last, got)
+			t.Errorf("Unfinished with last entry %+v: got %q", c.last, got)
 		}
 	}
 }
--- a/internal/fleet/coordinator.go
+++ b/internal/fleet/coordinator.go
@@ -213,7 +213,7 @@
 
 // failWrite ends the rollout because a decision could not be written to the log.
 func (c *coordinator) failWrite(kind rollout.EntryKind, err error) {
-	slog.Error("rollout: log write failed, nothing more is done", "kind", kind, "err", err)
+	slog.Error("rollout: log write failed, rollout stopped", "kind", kind, "err", err)
 	for _, action := range c.rollout.Handle(c.now(), rollout.WriteFailed{Err: err}) {
 		if end, ok := action.(rollout.End); ok {
 			c.end = &end
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -39,7 +39,7 @@
 	defer log.Close()
 	want := sampleRecord()
 	if log.Change == nil || len(log.Entries) != 1 || !reflect.DeepEqual(log.Entries[0], want.Entry) {
-		t.Fatalf("change %v, entries %+v", log.Change, log.Entries)
+		t.Fatalf("got change %v, entries %+v", log.Change, log.Entries)
 	}
 	records := log.Log.Records()
 	for i, v := range []any{&Change{}, &logRecord{}} {
@@ -51,7 +51,7 @@
 		t.Error(err)
 	}
 	if progress, err := ReadProgress(dir); err != nil || progress == nil || progress.Counts[string(want.Entry.Kind)] != 1 {
-		t.Errorf("%+v, %v", progress, err)
+		t.Errorf("ReadProgress: got %+v, %v", progress, err)
 	}
 }
 
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -54,7 +54,7 @@
 	path := filepath.Join(dir, configName)
 	current, err := os.ReadFile(path)
 	if pid := r.runningProcess(i); pid != 0 {
-		slog.Info("fleet: running instance taken over", "instance", i, "pid", pid)
+		slog.Info("fleet: took over the supervision of a running instance", "instance", i, "pid", pid)
 		return true, nil
 	}
 	if err == nil && string(current) != string(text) {
@@ -77,7 +77,7 @@
 func (r *Run) desiredState(i int) desiredstate.State {
 	state, err := desiredstate.ReadState(r.stateDirectory(i))
 	if err != nil {
-		slog.Warn("fleet: desired state of an instance unreadable", "instance", i, "err", err)
+		slog.Warn("fleet: can't read the desired state of an instance", "instance", i, "err", err)
 	}
 	return state
 }
@@ -93,7 +93,7 @@
 		return r.options.Program
 	}
 	if info, err := os.Stat(path); err != nil || info.IsDir() || info.Mode()&0o111 == 0 {
-		slog.Error("fleet: commanded program of an instance is not executable, the default one starts", "instance", i, "program", path)
+		slog.Error("fleet: commanded program is not an executable file, instance starts with the default program", "instance", i, "program", path)
 		return r.options.Program
 	}
 	return path
--- a/internal/fleet/intermediate_settings.go
+++ b/internal/fleet/intermediate_settings.go
@@ -54,13 +54,13 @@
 	if err != nil {
 		return nil, err
 	}
-	written, err := parseRegion("the settings between", text)
+	written, err := parseRegion("the intermediate settings", text)
 	if err != nil {
-		return nil, fmt.Errorf("the settings that have to come between can't be written: %w", err)
+		return nil, fmt.Errorf("the intermediate settings can't be generated: %w", err)
 	}
 	for i, service := range wanted.Services {
 		if !hasSameLimits(written.Services[i], service) || written.Instances != wanted.Instances {
-			return nil, fmt.Errorf("the settings that have to come between can't be written for service %s: change them in two steps, the stricter first", service.Name)
+			return nil, fmt.Errorf("the intermediate settings can't be generated for service %s: change the settings in two steps, the stricter first", service.Name)
 		}
 	}
 	if bytes.Equal(text, oldText) {
@@ -89,9 +89,9 @@
 	}
 	raw, err := toml.Marshal(diff.document)
 	if err != nil {
-		return nil, fmt.Errorf("writing the settings between: %w", err)
+		return nil, fmt.Errorf("writing the intermediate settings: %w", err)
 	}
-	overlay, ok := r.Parse("the settings between", raw)
+	overlay, ok := r.Parse("the intermediate settings", raw)
 	if !ok {
 		return nil, r.Err()
 	}
@@ -100,7 +100,7 @@
 		err = r.Err()
 	}
 	if err != nil {
-		return nil, fmt.Errorf("writing the settings between: %w", err)
+		return nil, fmt.Errorf("writing the intermediate settings: %w", err)
 	}
 	return append([]byte(intermediateHeader), merged...), nil
 }
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -70,9 +70,9 @@
 		}
 		switch {
 		case !filepath.IsAbs(line):
-			return nil, fmt.Errorf("%s:%d: %q is no absolute path", path, n, line)
+			return nil, fmt.Errorf("%s:%d: %q is not an absolute path", path, n, line)
 		case slices.ContainsFunc(all, func(m Member) bool { return m.Name == line }):
-			return nil, fmt.Errorf("%s:%d: %q is given twice", path, n, line)
+			return nil, fmt.Errorf("%s:%d: %q is listed twice", path, n, line)
 		case len(all) == maxMembers:
 			return nil, fmt.Errorf("%s:%d: more than %d members", path, n, maxMembers)
 		}
@@ -82,7 +82,7 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if len(all) == 0 {
-		return nil, fmt.Errorf("%s: it names no member", path)
+		return nil, fmt.Errorf("%s: the file lists no members", path)
 	}
 	return all, nil
 }
@@ -145,9 +145,9 @@
 		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			if err == nil {
-				err = fmt.Errorf("it is %s", s.State)
+				err = fmt.Errorf("its state is %s", s.State)
 			}
-			return s, fmt.Errorf("not ready in time: %w", err)
+			return s, fmt.Errorf("the member was not ready in time: %w", err)
 		}
 	}
 }
--- a/internal/fleet/program_change.go
+++ b/internal/fleet/program_change.go
@@ -45,7 +45,7 @@
 		}
 		next, err := files.hash(newPath)
 		if err != nil {
-			return nil, fmt.Errorf("the new program: %w", err)
+			return nil, fmt.Errorf("reading the new program: %w", err)
 		}
 		if c.Programs[next] == "" || next != running {
 			c.Programs[next] = newPath
@@ -70,7 +70,7 @@
 	executable := executablePath(status.PID)
 	running, err := hashFile(executable)
 	if err != nil {
-		return "", fmt.Errorf("what it runs: %w", err)
+		return "", fmt.Errorf("reading the running program: %w", err)
 	}
 	if hash, err := files.hash(status.Program); err == nil && hash == running {
 		c.Programs[running] = status.Program
@@ -81,7 +81,7 @@
 	}
 	c.Programs[running], err = saveProgram(executable, dir, running)
 	if err != nil {
-		return "", fmt.Errorf("saving the program that it runs: %w", err)
+		return "", fmt.Errorf("saving the running program: %w", err)
 	}
 	return running, nil
 }
--- a/internal/fleet/program_change_test.go
+++ b/internal/fleet/program_change_test.go
@@ -21,10 +21,10 @@
 		status := manage.Status{PID: os.Getpid(), Program: missing}
 		running, err := c.addRunningProgram(&status, files, t.TempDir())
 		if err != nil || c.Programs[running] == "" {
-			t.Fatalf("%s: its running program was not saved: %v", member, err)
+			t.Fatalf("member %s: running program not saved: %v", member, err)
 		}
 		if hash, err := files.hash(missing); !errors.Is(err, fs.ErrNotExist) {
-			t.Errorf("%s: hash %q, %v", member, hash, err)
+			t.Errorf("member %s: unreadable program has hash %q, error %v", member, hash, err)
 		}
 	}
 }
@@ -34,13 +34,13 @@
 	files := make(fileHashes)
 	path := filepath.Join(t.TempDir(), "lockflow")
 	if _, err := files.hash(path); err == nil {
-		t.Fatal("a missing file has a hash")
+		t.Fatal("hashing a missing file succeeded")
 	}
 	if err := os.WriteFile(path, []byte("program"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	hash, err := files.hash(path)
 	if want, _ := hashFile(path); err != nil || hash != want {
-		t.Errorf("%q, %v", hash, err)
+		t.Errorf("after the file was written: got hash %q, error %v", hash, err)
 	}
 }
--- a/internal/fleet/progress.go
+++ b/internal/fleet/progress.go
@@ -136,7 +136,7 @@
 		err = c.log.Log.SetNote(raw)
 	}
 	if err != nil {
-		slog.Warn("rollout: progress not stored", "err", err)
+		slog.Warn("rollout: storing the progress failed", "err", err)
 	}
 }
 
@@ -204,7 +204,7 @@
 	p := &Progress{}
 	if note != nil {
 		if err := json.Unmarshal(note, p); err != nil {
-			return nil, fmt.Errorf("rollout log: its progress report: %w", err)
+			return nil, fmt.Errorf("rollout log: decoding the progress report: %w", err)
 		}
 	}
 	p.StartedAt = change.StartedAt
--- a/internal/fleet/regions.go
+++ b/internal/fleet/regions.go
@@ -43,7 +43,7 @@
 		}
 	}
 	if len(all) == 0 {
-		return nil, fmt.Errorf("%s: it names no member", f.Path)
+		return nil, fmt.Errorf("%s: the file names no members", f.Path)
 	}
 	return all, nil
 }
@@ -105,7 +105,7 @@
 		if err != nil {
 			return nil, err
 		}
-		cfg, err := config.Parse("what region "+r.Name+" runs", text)
+		cfg, err := config.Parse("the settings that region "+r.Name+" currently runs", text)
 		if err != nil {
 			return nil, err
 		}
@@ -216,7 +216,7 @@
 	case hash == "":
 		return r.Text, nil
 	case text == nil:
-		return nil, fmt.Errorf("region %s: member %s runs settings %.12s, which are in no file any more, so nothing can be checked against them", r.Name, firstMember, hash)
+		return nil, fmt.Errorf("region %s: member %s runs settings %.12s, which are no longer in any file, so the change can't be checked for conflicts", r.Name, firstMember, hash)
 	}
 	return text, nil
 }
--- a/internal/fleet/reload.go
+++ b/internal/fleet/reload.go
@@ -55,7 +55,7 @@
 		return isOldServing
 	})
 	if err == nil && isOldServing {
-		return fmt.Errorf("the new process did not last; process %d goes on", now.PID)
+		return fmt.Errorf("the new process failed; process %d continues to serve", now.PID)
 	}
 	return err
 }
--- a/internal/fleet/rollout_log.go
+++ b/internal/fleet/rollout_log.go
@@ -40,11 +40,11 @@
 	}
 	l := &RolloutLog{Log: log}
 	if log.DamageError != nil {
-		slog.Error("rollout: damaged log quarantined, members' versions are polled instead", "err", log.DamageError, "aside", log.QuarantinedPath)
+		slog.Error("rollout: damaged log quarantined, members are polled for their versions instead", "err", log.DamageError, "aside", log.QuarantinedPath)
 	}
 	l.Change, l.Entries, err = decode(log.Records())
 	if err != nil { // the checksums are valid, so another release has written the record
-		slog.Error("rollout: newest change of the log is unreadable and ignored", "err", err)
+		slog.Error("rollout: newest change in the log is unreadable and is ignored", "err", err)
 	}
 	return l, nil
 }
@@ -59,7 +59,7 @@
 	}
 	change := new(Change)
 	if err := json.Unmarshal(records[0], change); err != nil {
-		return nil, nil, fmt.Errorf("rollout log: its change: %w", err)
+		return nil, nil, fmt.Errorf("rollout log: decoding the change: %w", err)
 	}
 	if err := change.validate(); err != nil {
 		return nil, nil, fmt.Errorf("rollout log: %w", err)
@@ -68,7 +68,7 @@
 	for i, raw := range records[1:] {
 		var r logRecord
 		if err := json.Unmarshal(raw, &r); err != nil {
-			return nil, nil, fmt.Errorf("rollout log: record %d: %w", i+2, err)
+			return nil, nil, fmt.Errorf("rollout log: decoding record %d: %w", i+2, err)
 		}
 		entries = append(entries, r.Entry)
 	}
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -58,7 +58,7 @@
 // run.
 func Start(ctx context.Context, o Options) (*Run, error) {
 	if o.Instances < 1 || o.Instances > maxInstances {
-		return nil, fmt.Errorf("fleet: %d instances are none of 1 to %d", o.Instances, maxInstances)
+		return nil, fmt.Errorf("fleet: %d instances, want 1 to %d", o.Instances, maxInstances)
 	}
 	if o.GroupSize == 0 {
 		o.GroupSize = o.Instances
@@ -110,10 +110,10 @@
 			r.addrs[i] = status.Listeners[0] // a restart listens on the same address
 			r.mu.Unlock()
 		case err != nil && wasRunning[i]:
-			slog.Warn("fleet: instance taken over is not ready", "instance", i, "err", err)
+			slog.Warn("fleet: instance that was already running is not ready", "instance", i, "err", err)
 		case err != nil:
 			_ = r.stopInstances(time.Second, func(i int) bool { return !wasRunning[i] }) // the error below is returned instead
-			return fmt.Errorf("fleet: instance %d: %w; its log is %s", i, err, filepath.Join(r.directory(i), logName))
+			return fmt.Errorf("fleet: instance %d: %w; see its log %s", i, err, filepath.Join(r.directory(i), logName))
 		}
 	}
 	return nil
@@ -159,7 +159,7 @@
 		wasDrained := isDrained
 		isDrained = r.desiredState(i).Target.Drained
 		if isDrained && !wasDrained {
-			slog.Info("fleet: instance drained by its desired state, restarting it drained", "instance", i)
+			slog.Info("fleet: desired state of the instance is drained, restarting it drained", "instance", i)
 			continue
 		}
 		backoff = min(max(2*backoff, minRestartBackoff), maxRestartBackoff)
--- a/internal/fleet/settings_change.go
+++ b/internal/fleet/settings_change.go
@@ -128,7 +128,7 @@
 		if intermediate == nil {
 			intermediate = []byte(files[status.ConfigHash])
 			if len(intermediate) == 0 {
-				return fmt.Errorf("member %s runs settings %.12s, which are in no file any more", members[i].Name, status.ConfigHash)
+				return fmt.Errorf("member %s runs settings %.12s, which are no longer in any file", members[i].Name, status.ConfigHash)
 			}
 		}
 		members[i].Texts = [][]byte{intermediate, members[i].Texts[0]}
--- a/internal/manage/client.go
+++ b/internal/manage/client.go
@@ -155,7 +155,7 @@
 	}
 	var status Status
 	if err := json.Unmarshal(raw, &status); err != nil {
-		return Status{}, fmt.Errorf("reading its answer: %w", err)
+		return Status{}, fmt.Errorf("decoding the answer: %w", err)
 	}
 	return status, nil
 }
--- a/internal/manage/golden_test.go
+++ b/internal/manage/golden_test.go
@@ -35,7 +35,7 @@
 			gotCall = <-daemon.calls
 		}
 		if isRejected := w.Code == http.StatusBadRequest; gotCall != tc.wantCall || isRejected != (tc.wantCall == "") {
-			t.Errorf("%s %s: %q, %d %s", tc.path, tc.body, gotCall, w.Code, w.Body)
+			t.Errorf("%s %s: daemon got call %q, answer %d %s", tc.path, tc.body, gotCall, w.Code, w.Body)
 		}
 	}
 }
--- a/internal/manage/server.go
+++ b/internal/manage/server.go
@@ -149,7 +149,7 @@
 		return err
 	}
 	if info.Mode()&os.ModeSocket == 0 {
-		return fmt.Errorf("%s is there, and is no socket", path)
+		return fmt.Errorf("%s exists and is not a socket", path)
 	}
 	if isServed(path) && !takeOver {
 		return &ServedError{Path: path}
--- a/internal/manage/server_test.go
+++ b/internal/manage/server_test.go
@@ -54,7 +54,7 @@
 	defer server.Close()
 	ctx, client := context.Background(), Client{server.path}
 	if _, err := client.Claim(ctx, Claim{Epoch: 6, Owner: "a"}); !errors.Is(err, ErrStale) || errors.Is(err, ErrLost) || err.Error() != "epoch 7 is granted" {
-		t.Errorf("an old epoch: %v", err)
+		t.Errorf("claim of an old epoch: %v", err)
 	}
 	if _, err := client.Claim(ctx, Claim{Epoch: 7, Owner: "a"}); err != nil {
 		t.Error(err)
@@ -63,7 +63,7 @@
 	operation := Operation{Kind: desiredstate.KindSettings, Text: text}
 	_, err = client.RunCommand(ctx, Command{Epoch: 7, Owner: "a", ID: "s/1", Operation: operation})
 	if err != nil || <-daemon.calls != fmt.Sprint("s/1 settings ", len(text)) {
-		t.Errorf("%v", err)
+		t.Errorf("RunCommand: %v", err)
 	}
 	for want, call := range map[string]func(context.Context) (Status, error){"drain true": client.DrainAndStay, "serve": client.Serve} {
 		if _, err := call(ctx); err != nil || <-daemon.calls != want {
@@ -71,7 +71,7 @@
 		}
 	}
 	if _, err := client.call(ctx, "POST", "claim", []int{1}); !errors.Is(err, ErrInvalid) {
-		t.Errorf("no claim: %v", err)
+		t.Errorf("claim with a malformed body: %v", err)
 	}
 }
 
@@ -83,15 +83,15 @@
 		t.Fatal(err)
 	}
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("others may open it: %v, %v", info.Mode(), err)
+		t.Errorf("socket mode %v allows access by other users, or error %v", info.Mode(), err)
 	}
 	ctx, client := context.Background(), Client{path}
 	if status, err := client.Status(ctx); err != nil || status.PID != 7 || status.Generation != 3 || !status.IsReady() {
-		t.Errorf("%+v, %v", status, err)
+		t.Errorf("Status: got %+v, %v", status, err)
 	}
 	var rejected RejectedError
 	if _, err := client.Reload(ctx); !errors.As(err, &rejected) || rejected.Message != "c.toml:3: x: unknown key" {
-		t.Errorf("reload: %v", err)
+		t.Errorf("Reload: %v", err)
 	}
 	if _, err := client.Upgrade(ctx, "/usr/bin/next"); err != nil {
 		t.Error(err)
@@ -101,17 +101,17 @@
 	}
 	for _, want := range []string{"reload", "upgrade /usr/bin/next", "drain false"} {
 		if got := <-daemon.calls; got != want {
-			t.Errorf("%q, not %q", got, want)
+			t.Errorf("call %q, want %q", got, want)
 		}
 	}
 	if _, err := client.call(ctx, "POST", "upgrade", map[string]int{"pid": 1}); !errors.As(err, &rejected) || !strings.Contains(rejected.Message, `"pid"`) {
-		t.Errorf("an unknown field: %v", err)
+		t.Errorf("request with an unknown field: %v", err)
 	}
 	if _, err := client.call(ctx, "GET", "reload", nil); err == nil {
-		t.Error("a reload by GET")
+		t.Error("reload with method GET succeeded")
 	}
 	if _, err := Listen(path, daemon, false); err == nil || !strings.Contains(err.Error(), "another daemon") {
-		t.Errorf("a second daemon: %v", err)
+		t.Errorf("Listen on a served socket: %v", err)
 	}
 	// A successor replaces the socket; closing the old server doesn't remove the new socket.
 	successor, err := Listen(path, daemon, true)
@@ -120,14 +120,14 @@
 	}
 	server.Close()
 	if _, err := client.Status(ctx); err != nil {
-		t.Errorf("after the old one's end: %v", err)
+		t.Errorf("Status after the old server was closed: %v", err)
 	}
 	successor.Close()
 	if _, err := os.Lstat(path); !os.IsNotExist(err) {
-		t.Errorf("the socket is left: %v", err)
+		t.Errorf("socket not removed: %v", err)
 	}
 	if _, err := client.Status(ctx); err == nil {
-		t.Error("nobody serves, and an answer")
+		t.Error("Status succeeded without a server")
 	}
 }
 
@@ -148,8 +148,8 @@
 	if err := os.WriteFile(path, []byte("mine"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Listen(path, fakeDaemon{}, true); err == nil || !strings.Contains(err.Error(), "no socket") {
-		t.Errorf("a file in its place: %v", err)
+	if _, err := Listen(path, fakeDaemon{}, true); err == nil || !strings.Contains(err.Error(), "not a socket") {
+		t.Errorf("Listen with a regular file at the path: %v", err)
 	}
 }
 
@@ -189,11 +189,11 @@
 	}
 	daemon, client := startDaemon()
 	if status, err := client.Drain(context.Background()); err != nil || status.PID != 7 {
-		t.Errorf("%+v, %v", status, err)
+		t.Errorf("Drain: got %+v, %v", status, err)
 	}
 	<-daemon.server.done
 	if _, err := client.Status(context.Background()); err == nil {
-		t.Error("an answer after the end")
+		t.Error("Status succeeded after Close")
 	}
 	daemon, client = startDaemon()
 	reloadErrors := make(chan error)
@@ -201,7 +201,7 @@
 	<-daemon.calls
 	daemon.server.Close()
 	if err := <-reloadErrors; err == nil {
-		t.Error("an answer that never came")
+		t.Error("Reload succeeded without an answer")
 	}
 	close(daemon.releaseReload)
 }
