--- a/internal/desiredstate/state_test.go
+++ b/internal/desiredstate/state_test.go
@@ -11,18 +11,18 @@
 	"pgregory.net/rapid"
 )
 
-// memberModel is a member whose process can end between any two steps, and what the test knows of it apart from its
-// state: what was granted and what was run.
+// memberModel is a member whose process can crash between any two steps. Apart from the member's state it records what
+// the member has granted and run, against which the test checks that state.
 type memberModel struct {
-	t           *rapid.T
-	file        *File
-	state       State
-	fileText    string // the settings' text in the file, and in force
-	textInForce string
-	granted     map[uint64]string // by epoch, also over restarts
-	newest      uint64
-	completions map[string]int  // times that an id was carried out to its end
-	answered    map[string]Code // code by epoch and id
+	t               *rapid.T
+	file            *File
+	state           State
+	settingsInFile  string // content of the configuration file; may differ from settingsInForce during a command
+	settingsInForce string
+	ownerByEpoch    map[uint64]string // kept over crashes
+	newestEpoch     uint64
+	completionCount map[string]int  // how often a command took effect, by epoch and id
+	outcomes        map[string]Code // codes of ended commands by epoch and id
 }
 
 func (m *memberModel) save(state State) {
@@ -32,70 +32,71 @@
 	m.state = state
 }
 
-// crash ends the process and starts another with what is on the disk.
+// crash ends the process and starts another from the saved state and the settings in the file.
 func (m *memberModel) crash() {
 	state, err := m.file.Load()
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	m.textInForce = m.fileText
-	m.save(state.Recover(Observed{Hash: Hash([]byte(m.textInForce)), Program: "/old"}))
+	m.settingsInForce = m.settingsInFile
+	m.save(state.Recover(Observed{Hash: Hash([]byte(m.settingsInForce)), Program: "/old"}))
 	if m.state.Running != nil {
-		m.t.Fatalf("still running after a start: %+v", *m.state.Running)
+		m.t.Fatalf("command still running after a restart: %+v", *m.state.Running)
 	}
 }
 
 func (m *memberModel) claim(c Claim) {
 	state, err := m.state.Grant(c)
-	earlierOwner := m.granted[c.Epoch]
+	earlierOwner := m.ownerByEpoch[c.Epoch]
 	if err != nil {
-		if !errors.Is(err, &RejectedError{Code: CodeStale}) || c.Epoch > m.newest || m.state.Epoch != m.newest {
-			m.t.Fatalf("%+v at %d: %v", c, m.newest, err)
+		if !errors.Is(err, &RejectedError{Code: CodeStale}) || c.Epoch > m.newestEpoch || m.state.Epoch != m.newestEpoch {
+			m.t.Fatalf("claim %+v rejected at newest epoch %d: %v", c, m.newestEpoch, err)
 		}
 		return
 	}
-	if c.Epoch < m.newest || earlierOwner != "" && earlierOwner != c.Owner {
-		m.t.Fatalf("%+v granted; epoch %d was %q's, the newest is %d", c, c.Epoch, earlierOwner, m.newest)
+	if c.Epoch < m.newestEpoch || earlierOwner != "" && earlierOwner != c.Owner {
+		m.t.Fatalf("claim %+v granted; epoch %d has the owner %q, the newest epoch is %d", c, c.Epoch, earlierOwner, m.newestEpoch)
 	}
 	m.save(state)
-	m.granted[c.Epoch], m.newest = c.Owner, c.Epoch
+	m.ownerByEpoch[c.Epoch], m.newestEpoch = c.Owner, c.Epoch
 }
 
-// send sends a command. The process crashes before step crashAt; failure is the outcome otherwise.
+// send sends a command. The process crashes before step crashAt; if it doesn't crash, the command ends with failure,
+// where nil is success.
 func (m *memberModel) send(command Command, crashAt int, failure error) {
 	key := fmt.Sprint(command.Epoch, command.ID)
 	before := m.state
-	state, step, done, err := m.state.Accept(command)
+	state, step, outcome, err := m.state.Accept(command)
 	switch {
 	case err != nil:
 		if !reflect.DeepEqual(state, before) {
-			m.t.Fatalf("a rejection has changed the state: %v", err)
+			m.t.Fatalf("rejected command has changed the state: %v", err)
 		}
-		if errors.Is(err, &RejectedError{Code: CodeStale}) == (command.Epoch == m.newest && command.Owner == m.granted[command.Epoch]) {
-			m.t.Fatalf("%+v at %d of %q: %v", command, m.newest, m.granted[m.newest], err)
+		if errors.Is(err, &RejectedError{Code: CodeStale}) == (command.Epoch == m.newestEpoch && command.Owner == m.ownerByEpoch[command.Epoch]) {
+			m.t.Fatalf("command %+v at newest epoch %d of owner %q: wrong rejection: %v", command, m.newestEpoch, m.ownerByEpoch[m.newestEpoch], err)
 		}
 		return
-	case command.Epoch != m.newest || command.Owner != m.granted[command.Epoch]:
-		m.t.Fatalf("%+v is accepted, the owner is %q of %d", command, m.granted[m.newest], m.newest)
+	case command.Epoch != m.newestEpoch || command.Owner != m.ownerByEpoch[command.Epoch]:
+		m.t.Fatalf("command %+v accepted, although %q owns the newest epoch %d", command, m.ownerByEpoch[m.newestEpoch], m.newestEpoch)
 	case step == StepAnswer:
-		if earlier, ok := m.answered[key]; ok && earlier != done.Code {
-			m.t.Fatalf("%s ended with %s and is answered as %s", key, earlier, done.Code)
+		if earlier, ok := m.outcomes[key]; ok && earlier != outcome.Code {
+			m.t.Fatalf("command %s ended with code %s, but the answer has code %s", key, earlier, outcome.Code)
 		}
 		return
 	case step != StepStart:
-		m.t.Fatal("it waits, and nothing is running")
-	case m.answered[key] != "":
-		m.t.Fatalf("%s has ended with %s and runs again", key, m.answered[key])
+		m.t.Fatal("Accept returned StepWait while no command was running")
+	case m.outcomes[key] != "":
+		m.t.Fatalf("command %s has ended with code %s and runs a second time", key, m.outcomes[key])
 	}
 	steps := []func(){func() { m.save(state) }, func() {
 		if failure == nil {
-			m.fileText = command.Operation.Text
+			m.settingsInFile = command.Operation.Text
 		}
 	}, func() {
 		if failure == nil {
-			m.textInForce = command.Operation.Text
-			if m.completions[key]++; m.completions[key] > 1 {
-				m.t.Fatalf("%s runs twice", key)
+			m.settingsInForce = command.Operation.Text
+			if m.completionCount[key]++; m.completionCount[key] > 1 {
+				m.t.Fatalf("command %s took effect twice", key)
 			}
 		}
 	}, func() { m.save(m.state.Finish(failure)) }}
@@ -103,26 +104,26 @@
 		if i == crashAt {
 			m.crash()
 			if last := m.state.LastOutcome(); i > 1 && failure == nil && (last.ID != command.ID || last.Code != CodeOK) {
-				m.t.Fatalf("its settings are in force, and it is answered as %+v", last)
+				m.t.Fatalf("settings of the command are in force, but its outcome is %+v", last)
 			}
 			return
 		}
 		perform()
 	}
-	m.answered[key] = m.state.LastOutcome().Code
+	m.outcomes[key] = m.state.LastOutcome().Code
 	if failure != nil && m.state.Target != before.Target {
-		m.t.Fatalf("failed, and the target is %+v instead of %+v", m.state.Target, before.Target)
+		m.t.Fatalf("after a failed command: target %+v, want %+v", m.state.Target, before.Target)
 	}
-	if failure == nil && m.state.Target.Hash != Hash([]byte(m.textInForce)) {
-		m.t.Fatal("the target is not what runs")
+	if failure == nil && m.state.Target.Hash != Hash([]byte(m.settingsInForce)) {
+		m.t.Fatal("target has other settings than those in force")
 	}
 }
 
-// Whatever coordinators send in whatever order, and wherever the process ends: an epoch has one owner and only grows,
-// only its owner is obeyed, and a command that has ended does not run again.
+// For any sequence of claims, commands and crashes, an epoch has one owner, epochs never decrease, only commands of the
+// epoch's owner are accepted, and a command that has ended does not run a second time.
 func TestStateHoldsOverCrashesAndCoordinators(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &memberModel{t: t, granted: map[uint64]string{}, completions: map[string]int{}, answered: map[string]Code{}}
+		m := &memberModel{t: t, ownerByEpoch: map[uint64]string{}, completionCount: map[string]int{}, outcomes: map[string]Code{}}
 		var err error
 		if m.file, err = Open("", nil); err != nil {
 			t.Fatal(err)
@@ -153,80 +154,81 @@
 		return Command{epoch, owner, id, operation}
 	}
 	state, _ := State{}.Grant(Claim{Epoch: 7, Owner: "a"})
-	begun, step, _, err := state.Accept(command(7, "a", "1", Operation{Kind: KindProgram, Path: "/new"}))
-	if err != nil || step != StepStart || begun.Target.Program != "/new" || begun.Program != "" {
-		t.Fatalf("%+v, %v, %v", begun, step, err)
+	accepted, step, _, err := state.Accept(command(7, "a", "1", Operation{Kind: KindProgram, Path: "/new"}))
+	if err != nil || step != StepStart || accepted.Target.Program != "/new" || accepted.Program != "" {
+		t.Fatalf("accepted state %+v, step %v, error %v", accepted, step, err)
 	}
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		command Command
 		code    Code
 	}{
-		"another one meanwhile":  {command(7, "a", "2", Operation{Kind: KindDrain}), CodeBusy},
-		"its id, another act":    {command(7, "a", "1", Operation{Kind: KindDrain}), CodeInvalid},
-		"an older epoch":         {command(6, "a", "1", Operation{Kind: KindDrain}), CodeStale},
-		"a newer one, unclaimed": {command(8, "a", "1", Operation{Kind: KindDrain}), CodeStale},
-		"another owner":          {command(7, "b", "1", Operation{Kind: KindDrain}), CodeStale},
-		"no id":                  {command(7, "a", "", Operation{Kind: KindDrain}), CodeInvalid},
-		"no kind":                {command(7, "a", "1", Operation{Kind: "dance"}), CodeInvalid},
-		"another hash":           {command(7, "a", "1", Operation{Kind: KindSettings, Hash: Hash(nil), Text: "x"}), CodeInvalid},
-		"too long":               {command(7, "a", "1", Operation{Kind: KindSettings, Text: strings.Repeat("x", MaxSettingsBytes+1)}), CodeInvalid},
-		"no absolute path":       {command(7, "a", "1", Operation{Kind: KindProgram, Path: "new"}), CodeInvalid},
-		"more than it takes":     {command(7, "a", "1", Operation{Kind: KindDrain, Path: "/new"}), CodeInvalid},
+		"another command while one is running": {command(7, "a", "2", Operation{Kind: KindDrain}), CodeBusy},
+		"same id, another operation":           {command(7, "a", "1", Operation{Kind: KindDrain}), CodeInvalid},
+		"older epoch":                          {command(6, "a", "1", Operation{Kind: KindDrain}), CodeStale},
+		"newer epoch without a claim":          {command(8, "a", "1", Operation{Kind: KindDrain}), CodeStale},
+		"another owner":                        {command(7, "b", "1", Operation{Kind: KindDrain}), CodeStale},
+		"missing id":                           {command(7, "a", "", Operation{Kind: KindDrain}), CodeInvalid},
+		"unknown kind":                         {command(7, "a", "1", Operation{Kind: "dance"}), CodeInvalid},
+		"hash of another text":                 {command(7, "a", "1", Operation{Kind: KindSettings, Hash: Hash(nil), Text: "x"}), CodeInvalid},
+		"text too long":                        {command(7, "a", "1", Operation{Kind: KindSettings, Text: strings.Repeat("x", MaxSettingsBytes+1)}), CodeInvalid},
+		"relative path":                        {command(7, "a", "1", Operation{Kind: KindProgram, Path: "new"}), CodeInvalid},
+		"field of another kind":                {command(7, "a", "1", Operation{Kind: KindDrain, Path: "/new"}), CodeInvalid},
 	} {
-		if after, _, _, err := begun.Accept(c.command); !errors.Is(err, &RejectedError{Code: c.code}) || !reflect.DeepEqual(after, begun) {
+		if after, _, _, err := accepted.Accept(tc.command); !errors.Is(err, &RejectedError{Code: tc.code}) || !reflect.DeepEqual(after, accepted) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, step, _, err := begun.Accept(command(7, "a", "1", Operation{Kind: KindProgram, Path: "/new"})); step != StepWait || err != nil {
-		t.Errorf("again: %v, %v", step, err)
+	if _, step, _, err := accepted.Accept(command(7, "a", "1", Operation{Kind: KindProgram, Path: "/new"})); step != StepWait || err != nil {
+		t.Errorf("repeated while running: step %v, error %v", step, err)
 	}
-	if e := begun.Finish(nil); e.Program != "/new" || e.LastOutcome() != (Outcome{"1", CodeOK, ""}) {
-		t.Errorf("%+v", e)
+	if finished := accepted.Finish(nil); finished.Program != "/new" || finished.LastOutcome() != (Outcome{"1", CodeOK, ""}) {
+		t.Errorf("state after success: %+v", finished)
 	}
-	if e := begun.Finish(errors.New("no")); e.Program != "" || e.Target != (Target{}) || e.LastOutcome() != (Outcome{"1", CodeFailed, "no"}) {
-		t.Errorf("%+v", e)
+	if finished := accepted.Finish(errors.New("no")); finished.Program != "" || finished.Target != (Target{}) || finished.LastOutcome() != (Outcome{"1", CodeFailed, "no"}) {
+		t.Errorf("state after failure: %+v", finished)
 	}
 	for path, done := range map[string]bool{"/new": true, "/old": false} {
-		if r := begun.Recover(Observed{Program: path}); r.Running != nil || (len(r.Ended) == 1) != done || r.Target.Program != "/new" || (r.Program == "/new") != done {
-			t.Errorf("%s runs: %+v", path, r)
+		if recovered := accepted.Recover(Observed{Program: path}); recovered.Running != nil || (len(recovered.Ended) == 1) != done || recovered.Target.Program != "/new" || (recovered.Program == "/new") != done {
+			t.Errorf("recovered with program %s: %+v", path, recovered)
 		}
 	}
-	if r := begun.SetDrained(true).Finish(errors.New("no")); !r.Target.Drained {
-		t.Error("a failed command has undone what the operator set")
+	if recovered := accepted.SetDrained(true).Finish(errors.New("no")); !recovered.Target.Drained {
+		t.Error("failed command reverted the operator's drain")
 	}
-	// A coordinator that resumes under another epoch repeats the last command; older ids may belong to others.
-	state = begun.Finish(nil)
+	// A coordinator that resumes under another epoch may repeat the last command. Earlier commands of other epochs with the
+	// same id don't count.
+	state = accepted.Finish(nil)
 	if state, err = state.Grant(Claim{Epoch: 8, Owner: "b"}); err != nil {
 		t.Fatal(err)
 	}
 	if _, step, done, err := state.Accept(command(8, "b", "1", Operation{Kind: KindProgram, Path: "/new"})); step != StepAnswer || done.Code != CodeOK || err != nil {
-		t.Errorf("the last one, under another epoch: %v, %v, %v", step, done, err)
+		t.Errorf("last command repeated under another epoch: step %v, outcome %v, error %v", step, done, err)
 	}
 	for i := range 2 * maxOutcomes {
 		state, _, _, _ = state.Accept(command(8, "b", fmt.Sprint("n", i), Operation{Kind: KindRestart}))
 		state = state.Finish(nil)
 		if _, step, _, _ := state.Accept(command(8, "b", "1", Operation{Kind: KindProgram, Path: "/new"})); step != StepStart {
-			t.Fatalf("an id of an older epoch, %d orders later: %v", i+1, step)
+			t.Fatalf("id of an older epoch after %d further commands: step %v", i+1, step)
 		}
 	}
 	if len(state.Ended) != maxOutcomes {
-		t.Errorf("%d outcomes are remembered", len(state.Ended))
+		t.Errorf("%d outcomes remembered", len(state.Ended))
 	}
 }
 
-// A member that has lost its state obeys only a coordinator that claims it with its token.
-func TestLostStateIsGrantedByTokenOnly(t *testing.T) {
+// A member that has lost its state accepts only a claim with its loss token, and no commands before that.
+func TestLostStateRequiresLossToken(t *testing.T) {
 	state := State{LossToken: "token"}
 	for _, c := range []Claim{{7, "a", ""}, {9, "a", "another"}} {
 		if _, err := state.Grant(c); !errors.Is(err, &RejectedError{Code: CodeLost}) {
-			t.Errorf("%+v: %v", c, err)
+			t.Errorf("claim %+v: %v", c, err)
 		}
 	}
 	if _, _, _, err := state.Accept(Command{7, "a", "1", Operation{Kind: KindServe}}); !errors.Is(err, &RejectedError{Code: CodeLost}) {
 		t.Error(err)
 	}
 	if state, err := state.Grant(Claim{9, "b", "token"}); err != nil || state.LossToken != "" || state.Epoch != 9 {
-		t.Errorf("%+v, %v", state, err)
+		t.Errorf("claim with the loss token: state %+v, error %v", state, err)
 	}
 }
 
@@ -240,7 +242,7 @@
 		state := State{Epoch: 7, Owner: "a"}
 		next, step, _, err := state.Accept(command)
 		if err != nil && !reflect.DeepEqual(next, state) || err == nil && (step != StepStart || command.Epoch != 7 || command.Validate() != nil) {
-			t.Errorf("%+v: %+v, %v", command, next, err)
+			t.Errorf("command %+v: next state %+v, error %v", command, next, err)
 		}
 		if err == nil {
 			if raw, err := Encode(next.Finish(nil)); err != nil {
--- a/internal/fleet/intermediate_settings.go
+++ b/internal/fleet/intermediate_settings.go
@@ -16,17 +16,18 @@
 	"lockflow/internal/regions/mixture"
 )
 
-// intermediateHeader is the first line of settings that this package writes.
+// intermediateHeader is the first line of the intermediate settings that this package writes.
 const intermediateHeader = "# between two settings that may not stand side by side; written by lockflow fleet\n"
 
-// IntermediateSettings returns settings that members have to run between old and new ones which may not be in force
-// together: the stricter of both in each hard limit, slow start and class. nil means that they may.
+// IntermediateSettings returns the settings that members have to run between old and new ones which may not be in force
+// at the same time: for each hard limit, slow start and class the stricter of both. It returns nil if members with the
+// old and the new settings may run side by side.
 func IntermediateSettings(old, new []byte) ([]byte, error) {
-	oldRegion, err := asRegion("the old settings", old)
+	oldRegion, err := parseRegion("the old settings", old)
 	if err != nil {
 		return nil, err
 	}
-	newRegion, err := asRegion("the new settings", new)
+	newRegion, err := parseRegion("the new settings", new)
 	if err != nil {
 		return nil, err
 	}
@@ -36,8 +37,8 @@
 	return writeIntermediate(old, oldRegion, newRegion)
 }
 
-// asRegion returns settings as a region without members. name is their place in errors.
-func asRegion(name string, text []byte) (regions.Region, error) {
+// parseRegion parses settings into a region without members. name identifies the settings in errors.
+func parseRegion(name string, text []byte) (regions.Region, error) {
 	cfg, err := config.Parse(name, text)
 	if err != nil {
 		return regions.Region{}, err
@@ -45,21 +46,21 @@
 	return fleetfile.Region{Config: cfg, Text: text}.Region(), nil
 }
 
-// writeIntermediate writes the settings of mixture.Strictest as a change of the old text, and checks that they say so. It
-// returns nil if that changes nothing.
+// writeIntermediate writes the settings of mixture.Strictest as a modification of the old text, and verifies that the
+// result parses to the same limits. It returns nil if the text stays the same.
 func writeIntermediate(oldText []byte, old, new regions.Region) ([]byte, error) {
 	wanted := mixture.Strictest(old, new)
 	text, err := mergeDifference(oldText, settingsDifference(old, wanted))
 	if err != nil {
 		return nil, err
 	}
-	written, err := asRegion("the settings between", text)
+	written, err := parseRegion("the intermediate settings", text)
 	if err != nil {
-		return nil, fmt.Errorf("the settings that have to come between can't be written: %w", err)
+		return nil, fmt.Errorf("the intermediate settings can't be generated: %w", err)
 	}
 	for i, service := range wanted.Services {
 		if !hasSameLimits(written.Services[i], service) || written.Instances != wanted.Instances {
-			return nil, fmt.Errorf("the settings that have to come between can't be written for service %s: change them in two steps, the stricter first", service.Name)
+			return nil, fmt.Errorf("the intermediate settings can't be generated for service %s: change the settings in two steps, the stricter first", service.Name)
 		}
 	}
 	if bytes.Equal(text, oldText) {
@@ -68,12 +69,12 @@
 	return text, nil
 }
 
-// hasSameLimits tells whether two services agree in what intermediate settings change.
+// hasSameLimits reports whether two services are equal in the settings that an intermediate step changes.
 func hasSameLimits(a, b regions.Service) bool {
 	return a.SlowStart == b.SlowStart && reflect.DeepEqual(a.Plans, b.Plans) && reflect.DeepEqual(a.Classes, b.Classes)
 }
 
-// mergeDifference merges a difference into a text of settings.
+// mergeDifference applies a difference to the text of settings.
 func mergeDifference(text []byte, diff difference) ([]byte, error) {
 	var r tree.Reading
 	base, ok := r.Parse("the old settings", text)
@@ -88,26 +89,26 @@
 	}
 	raw, err := toml.Marshal(diff.document)
 	if err != nil {
-		return nil, fmt.Errorf("writing the settings between: %w", err)
+		return nil, fmt.Errorf("writing the intermediate settings: %w", err)
 	}
-	change, ok := r.Parse("the settings between", raw)
+	overlay, ok := r.Parse("the intermediate settings", raw)
 	if !ok {
 		return nil, r.Err()
 	}
-	merged, err := change.MergeOver(base).Text()
+	merged, err := overlay.MergeOver(base).Text()
 	if err == nil {
 		err = r.Err()
 	}
 	if err != nil {
-		return nil, fmt.Errorf("writing the settings between: %w", err)
+		return nil, fmt.Errorf("writing the intermediate settings: %w", err)
 	}
 	return append([]byte(intermediateHeader), merged...), nil
 }
 
-// difference is a change of settings.
+// difference is a set of modifications of a settings document.
 type difference struct {
 	document map[string]any // tables and values to set
-	removed  []string       // keys to remove, with dots between their parts
+	removed  []string       // dotted keys to remove
 }
 
 // set sets the value at a path of keys.
@@ -122,7 +123,7 @@
 	table[path[len(path)-1]] = value
 }
 
-// settingsDifference returns the difference from a region's old settings to wanted ones.
+// settingsDifference returns the difference between a region's old and wanted settings.
 func settingsDifference(old, wanted regions.Region) difference {
 	diff := difference{document: make(map[string]any)}
 	if wanted.Instances != old.Instances {
@@ -161,13 +162,13 @@
 	}
 }
 
-// setClasses sets the terms of classes that have changed, and removes the keys that they have no more.
+// setClasses sets the settings of classes that have changed, and removes the keys that no longer apply to them.
 func (d *difference) setClasses(old, classes []control.Class) {
 	for i, c := range classes {
 		if c == old[i] {
 			continue
 		}
-		for key, value := range classTerms(c) {
+		for key, value := range classSettings(c) {
 			d.set(value, "classes", c.Name, key)
 		}
 		if old[i].Idempotency == control.IdempotentWithKey && c.Idempotency != control.IdempotentWithKey {
@@ -176,21 +177,21 @@
 	}
 }
 
-// classTerms returns a class's settings by key.
-func classTerms(c control.Class) map[string]any {
-	terms := map[string]any{
+// classSettings returns a class's settings by key.
+func classSettings(c control.Class) map[string]any {
+	settings := map[string]any{
 		"repeats":  [...]string{"free", "keyed", "never"}[c.Idempotency],
 		"deadline": c.Deadline.String(),
 		"aim":      c.LatencyObjective.String(),
 	}
 	if c.Idempotency == control.IdempotentWithKey {
-		terms["key_scope"] = [...]string{"all", "zone", "group"}[c.KeyScope]
-		terms["repeat_window"] = c.RepeatWindow.String()
+		settings["key_scope"] = [...]string{"all", "zone", "group"}[c.KeyScope]
+		settings["repeat_window"] = c.RepeatWindow.String()
 	}
-	return terms
+	return settings
 }
 
-// hasKey tells whether a document has a key with dots between its parts.
+// hasKey reports whether a document has a dotted key.
 func hasKey(table tree.Table, key string) bool {
 	path := strings.Split(key, ".")
 	last := len(path) - 1
--- a/internal/fleet/program_change_test.go
+++ b/internal/fleet/program_change_test.go
@@ -11,9 +11,9 @@
 	"lockflow/internal/manage"
 )
 
-// Guards against a change of programs to a file that can't be read: the failure is reported for each member whose program
-// is in it, also behind the search for the program that a member runs.
-func TestUnreadableProgramIsReportedForEachMember(t *testing.T) {
+// Guards against a program change that hides an unreadable program file from all but the first member: looking up a
+// member's running program reads the same file first, and must not cache that failure as a hash.
+func TestUnreadableProgramReportedPerMember(t *testing.T) {
 	c := &Change{Kind: desiredstate.KindProgram, Programs: make(map[string]string)}
 	files := make(fileHashes)
 	missing := filepath.Join(t.TempDir(), "lockflow")
@@ -21,26 +21,26 @@
 		status := manage.Status{PID: os.Getpid(), Program: missing}
 		running, err := c.addRunningProgram(&status, files, t.TempDir())
 		if err != nil || c.Programs[running] == "" {
-			t.Fatalf("%s: its running program was not saved: %v", member, err)
+			t.Fatalf("member %s: running program not saved: %v", member, err)
 		}
 		if hash, err := files.hash(missing); !errors.Is(err, fs.ErrNotExist) {
-			t.Errorf("%s: hash %q, %v", member, hash, err)
+			t.Errorf("member %s: unreadable program has hash %q, error %v", member, hash, err)
 		}
 	}
 }
 
-// A file that could not be read at first is read again.
-func TestFileHashIsReadAgainAfterFailure(t *testing.T) {
+// A file that could not be read has no cached hash: the next lookup reads it anew.
+func TestFileHashRetriesAfterReadError(t *testing.T) {
 	files := make(fileHashes)
 	path := filepath.Join(t.TempDir(), "lockflow")
 	if _, err := files.hash(path); err == nil {
-		t.Fatal("a missing file has a hash")
+		t.Fatal("hashing a missing file succeeded")
 	}
 	if err := os.WriteFile(path, []byte("program"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	hash, err := files.hash(path)
 	if want, _ := hashFile(path); err != nil || hash != want {
-		t.Errorf("%q, %v", hash, err)
+		t.Errorf("after the file was written: got hash %q, error %v", hash, err)
 	}
 }
