--- a/internal/daemon/checkpoint.go
+++ b/internal/daemon/checkpoint.go
@@ -89,7 +89,7 @@
 			cause = err.Error()
 		}
 		slog.Warn("no clean checkpoint, hard limits start empty and servers warm up as if unseen", "cause", cause, "age", age)
-		d.conditions.add(conditionLastSpending, cause)
+		d.conditions.add(conditionQuotaUsage, cause)
 		d.node.Restore(checkpoint, control.TrustEstimates)
 	default: // the last run ended by a graceful shutdown
 		slog.Info("checkpoint restored", "age", age)
--- a/internal/daemon/commands.go
+++ b/internal/daemon/commands.go
@@ -300,13 +300,13 @@
 	}
 	m.record(next)
 	m.store.RemoveOldSettings()
-	last := next.LastOutcome()
-	if last.ID != stored.ID {
+	outcome := next.LastOutcome()
+	if outcome.ID != stored.ID {
 		slog.Warn("command interrupted by the end of its process, nothing of it remains", "id", stored.ID, "kind", stored.Kind)
-		last = interruptedOutcome(stored.ID)
+		outcome = interruptedOutcome(stored.ID)
 	}
 	if d.running != nil {
-		d.answerCommand(last)
+		d.answerCommand(outcome)
 	}
 }
 
--- a/internal/daemon/commands_test.go
+++ b/internal/daemon/commands_test.go
@@ -27,21 +27,21 @@
 	return desiredstate.Operation{Kind: desiredstate.KindSettings, Text: text, Hash: desiredstate.Hash([]byte(text))}
 }
 
-func (r *daemonProcess) claimEpoch(epoch uint64, owner, after string) error {
-	_, err := r.control.Claim(context.Background(), desiredstate.Claim{Epoch: epoch, Owner: owner, LossToken: after})
+func (r *daemonProcess) claimEpoch(epoch uint64, owner, lossToken string) error {
+	_, err := r.control.Claim(context.Background(), desiredstate.Claim{Epoch: epoch, Owner: owner, LossToken: lossToken})
 	return err
 }
 
-func (r *daemonProcess) sendCommand(epoch uint64, id string, w desiredstate.Operation) error {
-	_, err := r.control.RunCommand(context.Background(), desiredstate.Command{Epoch: epoch, Owner: "me", ID: id, Operation: w})
+func (r *daemonProcess) sendCommand(epoch uint64, id string, operation desiredstate.Operation) error {
+	_, err := r.control.RunCommand(context.Background(), desiredstate.Command{Epoch: epoch, Owner: "me", ID: id, Operation: operation})
 	return err
 }
 
 // checkError checks that err is want, or nil where that is nil.
-func (r *daemonProcess) checkError(what string, err, want error) {
+func (r *daemonProcess) checkError(action string, err, want error) {
 	r.t.Helper()
 	if !errors.Is(err, want) || want == nil && err != nil {
-		r.t.Errorf("%s: %v, not %v", what, err, want)
+		r.t.Errorf("%s: %v, not %v", action, err, want)
 	}
 }
 
@@ -64,41 +64,41 @@
 // it is sent. One that fails leaves the member as it was.
 func TestCommandRunsOnceOverReloadKillAndUpgrade(t *testing.T) {
 	r := startDaemon(t, "")
-	w := r.changedSettings("rate = 100000", "rate = 90000")
-	r.checkError("an order before any claim", r.sendCommand(7, "s/1", w), manage.ErrStale)
+	settings := r.changedSettings("rate = 100000", "rate = 90000")
+	r.checkError("an order before any claim", r.sendCommand(7, "s/1", settings), manage.ErrStale)
 	r.checkError("a claim", r.claimEpoch(7, "me", ""), nil)
 	for range 3 {
-		r.checkError("settings", r.sendCommand(7, "s/1", w), nil)
+		r.checkError("settings", r.sendCommand(7, "s/1", settings), nil)
 	}
 	s := r.status()
-	if s.Generation != 2 || s.ConfigHash != w.Hash || r.configHash() != w.Hash || s.Epoch != 7 || s.Owner != "me" || s.LastCommand != (desiredstate.Outcome{ID: "s/1", Code: desiredstate.CodeOK}) || s.DesiredState.Hash != w.Hash {
+	if s.Generation != 2 || s.ConfigHash != settings.Hash || r.configHash() != settings.Hash || s.Epoch != 7 || s.Owner != "me" || s.LastCommand != (desiredstate.Outcome{ID: "s/1", Code: desiredstate.CodeOK}) || s.DesiredState.Hash != settings.Hash {
 		t.Errorf("%+v", s)
 	}
-	checkFailingCommands(r, w)
+	checkFailingCommands(r, settings)
 	r.killAndWait()
 	r.start("")
 	r.checkError("an old epoch", r.claimEpoch(6, "me", ""), manage.ErrStale)
 	r.checkError("another owner", r.claimEpoch(7, "you", ""), manage.ErrStale)
 	generation := r.status().Generation
-	r.checkError("once more after kill -9", r.sendCommand(7, "s/1", w), nil)
-	if s := r.status(); s.Generation != generation || s.ConfigHash != w.Hash || s.DesiredState.Hash != w.Hash {
+	r.checkError("once more after kill -9", r.sendCommand(7, "s/1", settings), nil)
+	if s := r.status(); s.Generation != generation || s.ConfigHash != settings.Hash || s.DesiredState.Hash != settings.Hash {
 		t.Errorf("%+v", s)
 	}
 	checkRestartCommand(r)
 	// The trials of fleets count these two lines.
 	for line, want := range map[string]int{`msg="command started" id=s/1 epoch=7 owner=me `: 1, `msg="coordinator epoch granted" epoch=7 owner=me` + "\n": 1} {
-		if n := strings.Count(r.log.String(), line); n != want {
-			t.Errorf("%q is logged %d times, not %d", line, n, want)
+		if count := strings.Count(r.log.String(), line); count != want {
+			t.Errorf("%q is logged %d times, not %d", line, count, want)
 		}
 	}
 	r.checkError("a newer epoch", r.claimEpoch(8, "me", ""), nil)
-	r.checkError("the old one", r.sendCommand(7, "s/2", w), manage.ErrStale)
+	r.checkError("the old one", r.sendCommand(7, "s/2", settings), manage.ErrStale)
 	// By hand: another hash than the one that is wanted.
 	r.writeConfig("rate = 100000", "rate = 80000")
 	if _, err := r.control.Reload(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	if s := r.status(); s.ConfigHash != r.configHash() || s.DesiredState.Hash != w.Hash || s.ConfigHash == w.Hash {
+	if s := r.status(); s.ConfigHash != r.configHash() || s.DesiredState.Hash != settings.Hash || s.ConfigHash == settings.Hash {
 		t.Errorf("drift: %+v", s)
 	}
 }
@@ -106,13 +106,13 @@
 // checkFailingCommands checks that commands which fail or are rejected leave r with the settings of current.
 func checkFailingCommands(r *daemonProcess, current desiredstate.Operation) {
 	r.t.Helper()
-	for name, bad := range map[string]desiredstate.Operation{
+	for name, operation := range map[string]desiredstate.Operation{
 		"an unknown key":     r.changedSettings("[plans.standard]", "[plans.standard]\nx = 1"),
 		"needs a restart":    r.changedSettings("/state\"", "/other\""),
 		"an address in vain": r.changedSettings(`address = "127.0.0.1:0"`, `address = "192.0.2.1:9"`),
 	} {
 		for range 2 {
-			r.checkError(name, r.sendCommand(7, "bad/"+name, bad), manage.ErrFailed)
+			r.checkError(name, r.sendCommand(7, "bad/"+name, operation), manage.ErrFailed)
 		}
 		if s := r.status(); s.Generation != 2 || s.ConfigHash != current.Hash || s.DesiredState.Hash != current.Hash || r.configHash() != current.Hash || len(s.DegradedConditions) > 0 {
 			r.t.Errorf("%s: %+v", name, s)
@@ -125,25 +125,25 @@
 // checkRestartCommand sends a restart three times at once: it runs once, and each sender gets its outcome.
 func checkRestartCommand(r *daemonProcess) {
 	r.t.Helper()
-	old := r.status().PID
+	oldPID := r.status().PID
 	answers := make(chan error, 3)
 	for range 3 {
 		go func() { answers <- r.sendCommand(7, "c/1", desiredstate.Operation{Kind: desiredstate.KindRestart}) }()
 	}
-	served := 0
+	succeeded := 0
 	for range 3 {
 		err := <-answers
 		for errors.Is(err, manage.ErrBusy) || err != nil && !errors.As(err, new(manage.RejectedError)) { // it came between both processes
 			err = r.sendCommand(7, "c/1", desiredstate.Operation{Kind: desiredstate.KindRestart})
 		}
 		if r.checkError("restart", err, nil); err == nil {
-			served++
+			succeeded++
 		}
 	}
 	r.awaitStatus("the new process alone", func(s manage.Status) bool {
-		return s.PID != old && hasEnded(old) && s.LastCommand.ID == "c/1" && s.LastCommand.Code == desiredstate.CodeOK
+		return s.PID != oldPID && hasEnded(oldPID) && s.LastCommand.ID == "c/1" && s.LastCommand.Code == desiredstate.CodeOK
 	})
-	if s := r.status(); served != 3 || s.Epoch != 7 || s.RunningCommand != "" || strings.Count(r.log.String(), "upgrade: successor started") != 1 {
+	if s := r.status(); succeeded != 3 || s.Epoch != 7 || s.RunningCommand != "" || strings.Count(r.log.String(), "upgrade: successor started") != 1 {
 		r.t.Errorf("%+v", s)
 	}
 }
@@ -155,13 +155,13 @@
 		t.Run(successorFault, func(t *testing.T) {
 			t.Parallel()
 			r := startDaemonWith(t, successorFault, nil, `probation = "300ms"`, fmt.Sprintf("probation = %q", probation))
-			was := r.status()
+			before := r.status()
 			r.checkError("a claim", r.claimEpoch(7, "me", ""), nil)
-			next := desiredstate.Operation{Kind: desiredstate.KindProgram, Path: os.Args[0]}
+			operation := desiredstate.Operation{Kind: desiredstate.KindProgram, Path: os.Args[0]}
 			for range 2 {
-				r.checkError("the program", r.sendCommand(7, "p/1", next), manage.ErrFailed)
+				r.checkError("the program", r.sendCommand(7, "p/1", operation), manage.ErrFailed)
 			}
-			if s := r.status(); s.PID != was.PID || s.DesiredState.Program != "" || s.LastCommand.Code != desiredstate.CodeFailed || s.Epoch != 7 || s.RunningCommand != "" {
+			if s := r.status(); s.PID != before.PID || s.DesiredState.Program != "" || s.LastCommand.Code != desiredstate.CodeFailed || s.Epoch != 7 || s.RunningCommand != "" {
 				t.Errorf("%+v", s)
 			}
 			r.checkError("what comes next", r.sendCommand(7, "s/1", r.changedSettings("rate = 100000", "rate = 90000")), nil)
@@ -182,15 +182,15 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			id := fmt.Sprint("s/", i)
-			was := r.status()
+			before := r.status()
 			r.killAndWait()
-			w := r.changedSettings("[plans.standard]", c.change+"\n[plans.standard]")
+			settings := r.changedSettings("[plans.standard]", c.change+"\n[plans.standard]")
 			if c.change == "listeners" {
-				w = r.changedSettings(`address = "127.0.0.1:0"`, `address = "192.0.2.1:9"`)
+				settings = r.changedSettings(`address = "127.0.0.1:0"`, `address = "192.0.2.1:9"`)
 			}
-			defer c.prepare(t, r, id, w).Close()
+			defer c.prepare(t, r, id, settings).Close()
 			r.start("")
-			c.checkRecovery(t, r, id, w, was)
+			c.checkRecovery(t, r, id, settings, before)
 		})
 	}
 }
@@ -201,56 +201,56 @@
 	change     string            // of the configuration's text
 	isOldSaved bool              // the old text was saved for a rollback
 	isReplaced bool              // the configuration file was replaced
-	code       desiredstate.Code // of the command after the start; empty where it was interrupted
+	wantCode   desiredstate.Code // of the command after the start; empty where it was interrupted
 }
 
 // prepare writes what the killed process would have left of the command id, which wants w.
-func (c interruption) prepare(t *testing.T, r *daemonProcess, id string, w desiredstate.Operation) *desiredstate.File {
+func (c interruption) prepare(t *testing.T, r *daemonProcess, id string, operation desiredstate.Operation) *desiredstate.File {
 	t.Helper()
-	f, err := desiredstate.Open(r.directory+"/state", nil)
+	file, err := desiredstate.Open(r.directory+"/state", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := f.Load()
+	desired, err := file.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b, _, _, err = b.Accept(desiredstate.Command{Epoch: 7, Owner: "me", ID: id, Operation: w}); err == nil {
-		err = f.Save(b)
+	if desired, _, _, err = desired.Accept(desiredstate.Command{Epoch: 7, Owner: "me", ID: id, Operation: operation}); err == nil {
+		err = file.Save(desired)
 	}
 	old, _ := os.ReadFile(r.directory + "/c.toml")
 	if c.isOldSaved && err == nil {
-		err = f.SaveOldSettings(old)
+		err = file.SaveOldSettings(old)
 	}
 	if c.isReplaced && err == nil {
-		err = desiredstate.ReplaceFile(r.directory+"/c.toml", []byte(w.Text))
+		err = desiredstate.ReplaceFile(r.directory+"/c.toml", []byte(operation.Text))
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	return f
+	return file
 }
 
 // checkRecovery checks the outcome of the command after the start, and what it does when it is sent again; was is
 // the status before.
-func (c interruption) checkRecovery(t *testing.T, r *daemonProcess, id string, w desiredstate.Operation, was manage.Status) {
+func (c interruption) checkRecovery(t *testing.T, r *daemonProcess, id string, operation desiredstate.Operation, before manage.Status) {
 	t.Helper()
 	s := r.status()
-	if done := s.LastCommand.ID == id; done != (c.code != "") || done && s.LastCommand.Code != c.code || s.Epoch != 7 || s.RunningCommand != "" {
+	if isRecorded := s.LastCommand.ID == id; isRecorded != (c.wantCode != "") || isRecorded && s.LastCommand.Code != c.wantCode || s.Epoch != 7 || s.RunningCommand != "" {
 		t.Fatalf("%+v", s)
 	}
-	switch c.code {
+	switch c.wantCode {
 	case desiredstate.CodeFailed:
-		if s.ConfigHash != was.ConfigHash || r.configHash() != was.ConfigHash || s.DesiredState.Hash != was.DesiredState.Hash {
+		if s.ConfigHash != before.ConfigHash || r.configHash() != before.ConfigHash || s.DesiredState.Hash != before.DesiredState.Hash {
 			t.Errorf("%+v", s)
 		}
-		r.checkError("again", r.sendCommand(7, id, w), manage.ErrFailed)
+		r.checkError("again", r.sendCommand(7, id, operation), manage.ErrFailed)
 	default:
-		if s.DesiredState.Hash != w.Hash || (s.ConfigHash == w.Hash) != c.isReplaced {
+		if s.DesiredState.Hash != operation.Hash || (s.ConfigHash == operation.Hash) != c.isReplaced {
 			t.Errorf("%+v", s)
 		}
-		r.checkError("again", r.sendCommand(7, id, w), nil)
-		if s := r.status(); s.ConfigHash != w.Hash || r.configHash() != w.Hash {
+		r.checkError("again", r.sendCommand(7, id, operation), nil)
+		if s := r.status(); s.ConfigHash != operation.Hash || r.configHash() != operation.Hash {
 			t.Errorf("%+v", s)
 		}
 	}
@@ -265,16 +265,16 @@
 	r := startDaemon(t, "")
 	r.checkError("a claim", r.claimEpoch(7, "me", ""), nil)
 	for i := range 8 {
-		w := r.changedSettings("depth = 100000", fmt.Sprintf("depth = 100000 # %d", i))
+		settings := r.changedSettings("depth = 100000", fmt.Sprintf("depth = 100000 # %d", i))
 		pid := r.status().PID
-		late := time.AfterFunc(time.Duration(3*i)*time.Millisecond, func() { syscall.Kill(pid, syscall.SIGKILL) })
-		_ = r.sendCommand(7, fmt.Sprint("s/", i), w) // its answer may be lost
-		late.Stop()
+		killTimer := time.AfterFunc(time.Duration(3*i)*time.Millisecond, func() { syscall.Kill(pid, syscall.SIGKILL) })
+		_ = r.sendCommand(7, fmt.Sprint("s/", i), settings) // its answer may be lost
+		killTimer.Stop()
 		syscall.Kill(pid, syscall.SIGKILL)
 		testkit.Until(t, "the end", func() bool { return hasEnded(pid) })
 		r.start("")
-		r.checkError("asked again", r.sendCommand(7, fmt.Sprint("s/", i), w), nil)
-		if s := r.status(); s.ConfigHash != w.Hash || r.configHash() != w.Hash || s.DesiredState.Hash != w.Hash || s.Epoch != 7 ||
+		r.checkError("asked again", r.sendCommand(7, fmt.Sprint("s/", i), settings), nil)
+		if s := r.status(); s.ConfigHash != settings.Hash || r.configHash() != settings.Hash || s.DesiredState.Hash != settings.Hash || s.Epoch != 7 ||
 			strings.Count(r.log.String(), fmt.Sprintf("ended\" id=s/%d code=ok", i)) > 1 {
 			t.Fatalf("%d: %+v", i, s)
 		}
@@ -312,15 +312,15 @@
 		t.Fatal(err)
 	}
 	r.checkError("a claim that can't be kept", r.claimEpoch(11, "me", ""), manage.ErrNotSaved)
-	w := r.changedSettings("rate = 100000", "rate = 90000")
-	r.checkError("an order that can't be kept", r.sendCommand(10, "s/1", w), manage.ErrNotSaved)
-	if s := r.status(); s.Epoch != 10 || s.ConfigHash == w.Hash || s.DesiredState.Hash != "" || r.configHash() != s.ConfigHash || !strings.Contains(strings.Join(s.DegradedConditions, " "), "orders") {
+	settings := r.changedSettings("rate = 100000", "rate = 90000")
+	r.checkError("an order that can't be kept", r.sendCommand(10, "s/1", settings), manage.ErrNotSaved)
+	if s := r.status(); s.Epoch != 10 || s.ConfigHash == settings.Hash || s.DesiredState.Hash != "" || r.configHash() != s.ConfigHash || !strings.Contains(strings.Join(s.DegradedConditions, " "), "orders") {
 		t.Errorf("%+v", s)
 	}
 	if err := os.Rename(r.directory+"/gone", r.directory+"/state"); err != nil {
 		t.Fatal(err)
 	}
-	r.checkError("the same once it can", r.sendCommand(10, "s/1", w), nil)
+	r.checkError("the same once it can", r.sendCommand(10, "s/1", settings), nil)
 	r.checkError("the claim too", r.claimEpoch(11, "me", ""), nil)
 }
 
@@ -333,7 +333,7 @@
 	r.checkError("drain", r.sendCommand(7, "d/1", desiredstate.Operation{Kind: desiredstate.KindDrain}), nil)
 	testkit.Until(t, "the end", func() bool { return hasEnded(pid) })
 	for range 2 {
-		r.run("")
+		r.startProcess("")
 		r.awaitStatus("drained", func(s manage.Status) bool {
 			return s.State == manage.StateDrained && s.IsAsDesired() && s.LastCommand.ID == "d/1"
 		})
@@ -347,17 +347,17 @@
 		}
 		testkit.Until(t, "the end", func() bool { return hasEnded(pid) })
 	}
-	r.run("")
+	r.startProcess("")
 	r.awaitStatus("drained", func(s manage.Status) bool { return s.State == manage.StateDrained })
 	r.checkError("an old epoch", r.claimEpoch(6, "me", ""), manage.ErrStale)
 	r.checkError("a newer one", r.claimEpoch(8, "me", ""), nil)
 	r.checkError("a restart", r.sendCommand(8, "c/1", desiredstate.Operation{Kind: desiredstate.KindRestart}), manage.ErrInvalid)
-	w := r.changedSettings("rate = 100000", "rate = 90000")
-	r.checkError("settings", r.sendCommand(8, "s/1", w), nil)
+	settings := r.changedSettings("rate = 100000", "rate = 90000")
+	r.checkError("settings", r.sendCommand(8, "s/1", settings), nil)
 	for range 2 {
 		r.checkError("serve", r.sendCommand(8, "v/1", desiredstate.Operation{Kind: desiredstate.KindServe}), nil)
 	}
-	if s := r.status(); !s.IsReady() || s.ConfigHash != w.Hash || s.DesiredState.Drained || s.Epoch != 8 || s.LastCommand.ID != "v/1" {
+	if s := r.status(); !s.IsReady() || s.ConfigHash != settings.Hash || s.DesiredState.Drained || s.Epoch != 8 || s.LastCommand.ID != "v/1" {
 		t.Errorf("%+v", s)
 	}
 	// The owner's own hand.
@@ -366,7 +366,7 @@
 		t.Error(err)
 	}
 	testkit.Until(t, "the end", func() bool { return hasEnded(pid) })
-	r.run("")
+	r.startProcess("")
 	r.awaitStatus("drained", func(s manage.Status) bool { return s.State == manage.StateDrained })
 	if s, err := r.control.Serve(context.Background()); err != nil || s.State == manage.StateDrained {
 		t.Errorf("%+v, %v", s, err)
@@ -396,9 +396,9 @@
 	before := r.status().Statistics
 	served := r.sendRequests(60)                                                                                            // of a burst of 50
 	r.awaitStatus("the last is counted", func(s manage.Status) bool { return s.Statistics.Requests >= before.Requests+60 }) // it is answered first
-	f, ok := r.status().Statistics.Since(before)
-	if !ok || f.Requests != 60 || int(f.Delays.Total()) != served || int(f.Rejected) != 60-served || f.OverQuota != f.Rejected || f.OverQuota == 0 ||
-		f.OfferedWeight != float64(served) || f.Served != float64(served)-float64(f.Late) || f.Units < float64(served) || f.Failed+f.Breaches+f.Panics > 0 || f.CPU <= 0 || f.MemoryKB <= 0 {
-		t.Errorf("served %d: %+v", served, f)
+	stats, ok := r.status().Statistics.Since(before)
+	if !ok || stats.Requests != 60 || int(stats.Delays.Total()) != served || int(stats.Rejected) != 60-served || stats.OverQuota != stats.Rejected || stats.OverQuota == 0 ||
+		stats.OfferedWeight != float64(served) || stats.Served != float64(served)-float64(stats.Late) || stats.Units < float64(served) || stats.Failed+stats.Breaches+stats.Panics > 0 || stats.CPU <= 0 || stats.MemoryKB <= 0 {
+		t.Errorf("served %d: %+v", served, stats)
 	}
 }
--- a/internal/daemon/conditions.go
+++ b/internal/daemon/conditions.go
@@ -11,9 +11,9 @@
 const (
 	conditionConfigFile     = "configuration file"
 	conditionLastCheckpoint = "state of the last run"
-	conditionLastSpending   = "what was spent before the start"
+	conditionQuotaUsage     = "what was spent before the start"
 	conditionMetrics        = "metrics"
-	conditionOrders         = "orders"
+	conditionDesiredState   = "orders"
 	conditionStateDirectory = "state directory"
 	// conditionGroupSizePrefix is followed by a service's name.
 	conditionGroupSizePrefix = "size of the group, by the servers of "
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -254,19 +254,19 @@
 
 // listenControl opens the control socket, on which served answers. Where it is open already and is not to be taken
 // over, served answers there from now on.
-func (d *daemon) listenControl(served manage.Daemon, takeOver bool) (err error) {
+func (d *daemon) listenControl(handler manage.Daemon, takeOver bool) (err error) {
 	path := d.cfg.Process.ControlSocket
 	if path == "" {
 		return nil
 	}
 	if d.controlServer != nil && !takeOver {
-		d.controlServer.SetDaemon(served)
+		d.controlServer.SetDaemon(handler)
 		return nil
 	}
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 		return fmt.Errorf("control socket: %w", err)
 	}
-	d.controlServer, err = manage.Listen(path, served, takeOver)
+	d.controlServer, err = manage.Listen(path, handler, takeOver)
 	return err
 }
 
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -70,7 +70,7 @@
 
 // A successor that fails before or after it takes over leaves the old process serving.
 func TestFailedUpgradeLeavesOldProcessServing(t *testing.T) {
-	for successorFault, why := range map[string]string{"dies": "exit status 7", "hangs": "not ready within", "fails after it took over": ""} {
+	for successorFault, wantError := range map[string]string{"dies": "exit status 7", "hangs": "not ready within", "fails after it took over": ""} {
 		t.Run(successorFault, func(t *testing.T) {
 			t.Parallel()
 			old, new := "", ""
@@ -81,24 +81,24 @@
 				old, new = `probation = "300ms"`, `probation = "30s"`
 			}
 			r := startDaemonWith(t, successorFault, nil, old, new)
-			checkFailedUpgrade(t, r, successorFault, why)
+			checkFailedUpgrade(t, r, successorFault, wantError)
 		})
 	}
 }
 
 // checkFailedUpgrade upgrades r, whose successor has a fault, and checks that the upgrade's error has why in it
 // (empty for none) and that the old process serves, names itself in the pid file and can be drained.
-func checkFailedUpgrade(t *testing.T, r *daemonProcess, successorFault, why string) {
+func checkFailedUpgrade(t *testing.T, r *daemonProcess, successorFault, wantError string) {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	run := r.startLoad(ctx, 2)
-	was := r.status()
+	before := r.status()
 	_, err := r.control.Upgrade(ctx, "")
-	if why != "" && (err == nil || !strings.Contains(err.Error(), why)) || why == "" && err != nil {
+	if wantError != "" && (err == nil || !strings.Contains(err.Error(), wantError)) || wantError == "" && err != nil {
 		t.Errorf("%v", err)
 	}
-	r.awaitStatus("going on", func(s manage.Status) bool { return s.PID == was.PID && s.IsReady() && s.SuccessorPID == 0 })
+	r.awaitStatus("going on", func(s manage.Status) bool { return s.PID == before.PID && s.IsReady() && s.SuccessorPID == 0 })
 	testkit.Until(t, "more answers", func() bool { return run.Snapshot()["read"].Served > 50 })
 	c, err := net.Dial("tcp", r.address)
 	if err != nil {
@@ -113,13 +113,13 @@
 		}
 	}
 	r.checkResults(results)
-	if raw, _ := os.ReadFile(r.directory + "/pid"); strings.TrimSpace(string(raw)) != fmt.Sprint(was.PID) {
+	if raw, _ := os.ReadFile(r.directory + "/pid"); strings.TrimSpace(string(raw)) != fmt.Sprint(before.PID) {
 		t.Errorf("the pid file says %q", raw)
 	}
 	if _, err := r.control.Drain(context.Background()); err != nil {
 		t.Error(err)
 	}
-	testkit.Until(t, "the end", func() bool { return hasEnded(was.PID) })
+	testkit.Until(t, "the end", func() bool { return hasEnded(before.PID) })
 }
 
 // SIGTERM during an upgrade ends both processes, also with a reload pending.
@@ -172,21 +172,21 @@
 // A hard limit that a quota lease store lends is not exceeded, by the servers' own count, over upgrades, kill -9
 // and graceful restarts, and each new process gets a lease in the end.
 func TestSharedHardLimitOverProcesses(t *testing.T) {
-	counter, err := redistest.Start()
+	leaseStore, err := redistest.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(counter.Close)
-	b := quotalease.Rules{Instances: 1, Term: 200 * time.Millisecond, MaxDrift: 0.001}.Bound(quotalease.HardLimit{Rate: 50, Burst: 50})
-	monitor := &fake.HardLimitMonitor{Rate: b.Rate, Burst: b.Burst}
+	t.Cleanup(leaseStore.Close)
+	bound := quotalease.Rules{Instances: 1, Term: 200 * time.Millisecond, MaxDrift: 0.001}.Bound(quotalease.HardLimit{Rate: 50, Burst: 50})
+	monitor := &fake.HardLimitMonitor{Rate: bound.Rate, Burst: bound.Burst}
 	r := startDaemonWith(t, "", monitor, "[services.a]", fmt.Sprintf("[services.a]\ncounter = { addresses = [%q], term = \"200ms\", pledge = \"400ms\", "+
-		"settle = \"500ms\", over = 0.5 }", counter.Addr()))
-	more := func() {
+		"settle = \"500ms\", over = 0.5 }", leaseStore.Addr()))
+	sendUntilServed := func() {
 		t.Helper()
-		n := 0
-		testkit.Until(t, "requests that are served", func() bool { n += r.sendRequests(20); return n >= 20 })
+		served := 0
+		testkit.Until(t, "requests that are served", func() bool { served += r.sendRequests(20); return served >= 20 })
 	}
-	more()
+	sendUntilServed()
 	for i := range 6 {
 		pid := r.status().PID
 		switch i % 3 {
@@ -209,14 +209,14 @@
 			testkit.Until(t, "the end", func() bool { return hasEnded(pid) })
 			r.start("")
 		}
-		more()
+		sendUntilServed()
 	}
 	r.awaitStatus("a counter that lends", func(s manage.Status) bool {
 		return len(s.Services[0].HardLimits) == 1 && s.Services[0].HardLimits[0].CanBorrow
 	})
-	worst, units := monitor.MaxExcess()
-	if t.Logf("%.0f units, %.1f beyond the bound", units, worst); worst > 0 || counter.ScriptRuns() == 0 {
-		t.Errorf("%.1f units beyond the bound; %d calls", worst, counter.ScriptRuns())
+	maxExcess, units := monitor.MaxExcess()
+	if t.Logf("%.0f units, %.1f beyond the bound", units, maxExcess); maxExcess > 0 || leaseStore.ScriptRuns() == 0 {
+		t.Errorf("%.1f units beyond the bound; %d calls", maxExcess, leaseStore.ScriptRuns())
 	}
 }
 
--- a/internal/daemon/drained.go
+++ b/internal/daemon/drained.go
@@ -101,14 +101,14 @@
 	if d.cfg, err = d.opts.LoadConfig(); err != nil {
 		return err
 	}
-	if !haveSameFiles(previous, d.cfg.Process) {
+	if !haveSamePaths(previous, d.cfg.Process) {
 		return errors.New("process.state or process.control has changed while the daemon was drained: start it again")
 	}
 	return d.build()
 }
 
 // haveSameFiles reports whether the state directory and the control socket are the same.
-func haveSameFiles(a, b config.Process) bool {
+func haveSamePaths(a, b config.Process) bool {
 	return a.StateDir == b.StateDir && a.ControlSocket == b.ControlSocket
 }
 
@@ -271,7 +271,7 @@
 	if err != nil {
 		return err
 	}
-	if !haveSameFiles(d.cfg.Process, next.Process) {
+	if !haveSamePaths(d.cfg.Process, next.Process) {
 		return fmt.Errorf("process.state and process.control can't change without a restart: %q, %q",
 			next.Process.StateDir, next.Process.ControlSocket)
 	}
--- a/internal/daemon/member.go
+++ b/internal/daemon/member.go
@@ -41,7 +41,7 @@
 	loaded, err := m.store.Load()
 	if err != nil {
 		slog.Error("desired state unreadable, commands are rejected until a new claim", "err", err)
-		m.conditions.add(conditionOrders, err.Error())
+		m.conditions.add(conditionDesiredState, err.Error())
 		m.store.Quarantine()
 		m.desiredState = desiredstate.State{LossToken: rand.Text()}
 		m.record(m.desiredState)
@@ -50,7 +50,7 @@
 	m.desiredState = loaded
 	m.isSaved = true
 	if loaded.LossToken != "" {
-		m.conditions.add(conditionOrders, "the epochs that were granted are lost")
+		m.conditions.add(conditionDesiredState, "the epochs that were granted are lost")
 	}
 }
 
@@ -60,13 +60,13 @@
 		return nil
 	}
 	if err := m.store.Save(next); err != nil {
-		m.conditions.add(conditionOrders, err.Error())
+		m.conditions.add(conditionDesiredState, err.Error())
 		return &desiredstate.RejectedError{Code: desiredstate.CodeNotSaved, Text: err.Error()}
 	}
 	m.desiredState = next
 	m.isSaved = true
 	if next.LossToken == "" {
-		m.conditions.clear(conditionOrders)
+		m.conditions.clear(conditionDesiredState)
 	}
 	return nil
 }
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -43,7 +43,7 @@
 		d.node.Restore(checkpoint, control.TrustAll)
 	} else {
 		slog.Warn("upgrade: no checkpoint received, nothing is known of what was spent", "err", err)
-		d.conditions.add(conditionLastSpending, err.Error())
+		d.conditions.add(conditionQuotaUsage, err.Error())
 	}
 	d.takeOverDesiredState()
 	if err := d.listenControl(d, true); err != nil {
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -26,15 +26,15 @@
 
 // The test's own executable is the daemon where roleVariable is set; its value is the fault of a successor,
 // empty for none.
-const roleVariable = "LOCKFLOW_TEST_DAEMON"
+const faultVariable = "LOCKFLOW_TEST_DAEMON"
 
 func TestMain(m *testing.M) {
-	r, ok := os.LookupEnv(roleVariable)
+	fault, ok := os.LookupEnv(faultVariable)
 	if !ok {
 		os.Exit(m.Run())
 	}
 	if os.Getenv(upgrade.EnvironmentVariable) != "" {
-		switch r {
+		switch fault {
 		case "dies":
 			os.Exit(7)
 		case "hangs":
@@ -101,20 +101,20 @@
 }
 
 type syncBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
 func (s *syncBuffer) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.b.Write(p)
+	return s.buffer.Write(p)
 }
 
 func (s *syncBuffer) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.b.String()
+	return s.buffer.String()
 }
 
 // startDaemon starts a daemon and waits until it is ready; successorFault is what its successors do.
@@ -166,16 +166,16 @@
 
 func (r *daemonProcess) start(successorFault string) {
 	r.t.Helper()
-	r.run(successorFault)
+	r.startProcess(successorFault)
 	r.awaitStatus("ready", func(s manage.Status) bool { return s.IsReady() })
 	r.address = r.status().Listeners[0]
 }
 
 // run starts the daemon's process.
-func (r *daemonProcess) run(successorFault string) {
+func (r *daemonProcess) startProcess(successorFault string) {
 	r.t.Helper()
 	r.process = exec.Command(os.Args[0], "serve", "--config", r.directory+"/c.toml", "--pid-file", r.directory+"/pid", "--control", r.control.Path)
-	r.process.Env = append(os.Environ(), roleVariable+"="+successorFault)
+	r.process.Env = append(os.Environ(), faultVariable+"="+successorFault)
 	r.process.Stdout, r.process.Stderr = &r.log, &r.log
 	if err := r.process.Start(); err != nil {
 		r.t.Fatal(err)
@@ -192,11 +192,11 @@
 	return s
 }
 
-func (r *daemonProcess) awaitStatus(what string, is func(manage.Status) bool) {
+func (r *daemonProcess) awaitStatus(condition string, matches func(manage.Status) bool) {
 	r.t.Helper()
-	testkit.Until(r.t, what, func() bool {
+	testkit.Until(r.t, condition, func() bool {
 		s, err := r.control.Status(context.Background())
-		return err == nil && is(s)
+		return err == nil && matches(s)
 	})
 }
 
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -42,10 +42,10 @@
 
 // successorEvent is what a successor did, or, with isLate or isConfirmed, that one of its timers has fired.
 type successorEvent struct {
-	successor   *successor
-	event       upgrade.Event
-	isLate      bool // the time in which it had to accept connections is over
-	isConfirmed bool // its probation has ended
+	successor       *successor
+	event           upgrade.Event
+	hasTimedOut     bool // the time in which it had to accept connections is over
+	isProbationOver bool // its probation has ended
 }
 
 // spawnSuccessor starts a successor.
@@ -62,7 +62,7 @@
 	}
 	slog.Info("upgrade: successor started", "program", program, "pid", s.PID())
 	d.successor = s
-	s.timer = time.AfterFunc(d.cfg.Process.Upgrade.ReadyTimeout, func() { d.post(successorEvent{successor: s, isLate: true}) })
+	s.timer = time.AfterFunc(d.cfg.Process.Upgrade.ReadyTimeout, func() { d.post(successorEvent{successor: s, hasTimedOut: true}) })
 	go func() { // not waited for: the successor may outlive this process
 		for e := range s.Events() {
 			d.post(successorEvent{successor: s, event: e})
@@ -99,12 +99,12 @@
 	s := e.successor
 	switch {
 	case s.isDetached:
-	case e.isLate:
+	case e.hasTimedOut:
 		if s.phase != successorServing {
 			s.endCause = fmt.Errorf("process %d was not ready within %v", s.PID(), d.cfg.Process.Upgrade.ReadyTimeout)
 			s.Kill()
 		}
-	case e.isConfirmed:
+	case e.isProbationOver:
 		if d.running != nil { // the successor has saved the outcome, and this process won't resume
 			d.answerCommand(desiredstate.Outcome{ID: d.running.id, Code: desiredstate.CodeOK})
 		}
@@ -168,7 +168,7 @@
 	slog.Info("upgrade: successor accepts connections", "pid", s.PID(), "probation", probation)
 	answerEach(d.pendingUpgrades, nil)
 	d.pendingUpgrades = nil
-	s.timer = time.AfterFunc(probation, func() { d.post(successorEvent{successor: s, isConfirmed: true}) })
+	s.timer = time.AfterFunc(probation, func() { d.post(successorEvent{successor: s, isProbationOver: true}) })
 }
 
 // resumeAlone continues without the successor, which has ended or could not be started.
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -11,35 +11,35 @@
 )
 
 // actionWords returns actions as these tests write them.
-func actionWords(actions []Action) string {
-	var w []string
+func formatActions(actions []Action) string {
+	var words []string
 	for _, a := range actions {
 		switch a := a.(type) {
 		case LogTransition:
-			w = append(w, fmt.Sprintf("%v>%v", a.From, a.To))
+			words = append(words, fmt.Sprintf("%v>%v", a.From, a.To))
 		case StartReload:
-			w = append(w, "load")
+			words = append(words, "load")
 		case StartDrain:
-			w = append(w, "drain")
+			words = append(words, "drain")
 		case NotifySupervisor:
-			w = append(w, []string{"READY", "RELOADING", "STOPPING"}[a.Notification])
+			words = append(words, []string{"READY", "RELOADING", "STOPPING"}[a.Notification])
 		case SpawnSuccessor:
-			w = append(w, "spawn")
+			words = append(words, "spawn")
 		case SendCheckpoint:
-			w = append(w, "give")
+			words = append(words, "give")
 		case YieldToSuccessor:
-			w = append(w, "yield")
+			words = append(words, "yield")
 		case ResumeAlone:
-			w = append(w, "resume")
+			words = append(words, "resume")
 		case KillSuccessor:
-			w = append(w, "abandon")
+			words = append(words, "abandon")
 		case ForwardReload:
-			w = append(w, "forward")
+			words = append(words, "forward")
 		default:
-			w = append(w, fmt.Sprintf("unknown %T", a))
+			words = append(words, fmt.Sprintf("unknown %T", a))
 		}
 	}
-	return strings.Join(w, " ")
+	return strings.Join(words, " ")
 }
 
 // step is an event and the actions that follow from it.
@@ -145,7 +145,7 @@
 func checkSteps(t *testing.T, m *Machine, steps []step) {
 	t.Helper()
 	for i, s := range steps {
-		if got := actionWords(m.Handle(s.event)); got != s.want {
+		if got := formatActions(m.Handle(s.event)); got != s.want {
 			t.Fatalf("step %d: %T: %q, not %q", i+1, s.event, got, s.want)
 		}
 	}
@@ -190,36 +190,36 @@
 }
 
 // environment is a machine and what its actions have led to, as far as that decides which events may come.
-type environment struct {
-	machine           Machine
-	isReloading       bool
-	successor         int // 0 no successor, 1 starts, 2 prepared, 3 was given, 4 takes clients, 5 takes them alone
-	isDraining        bool
-	isPaused          bool   // new connections are the successor's
-	hasSentCheckpoint bool   // the successor has a part of what is left
-	lastNotification  string // what the supervisor heard last
+type modelState struct {
+	machine            Machine
+	isReloading        bool
+	successor          int // 0 no successor, 1 starts, 2 prepared, 3 was given, 4 takes clients, 5 takes them alone
+	isDraining         bool
+	areListenersPaused bool   // new connections are the successor's
+	hasSentCheckpoint  bool   // the successor has a part of what is left
+	lastNotification   string // what the supervisor heard last
 }
 
 // In every state that any order of events can reach: some process accepts connections until the drain; a checkpoint
 // that was sent is taken back or its receiver goes on; each reload is followed by its end; there is one drain;
 // nothing follows the end.
 func TestInvariantsInEveryReachableState(t *testing.T) {
-	first := []environment{{}, {machine: NewSuccessor()}}
+	initial := []modelState{{}, {machine: NewSuccessor()}}
 	visited := make(map[string]bool)
-	key := func(w environment) string { w.machine.actions = nil; return fmt.Sprintf("%+v", w) }
-	todo := slices.Clone(first)
-	for len(todo) > 0 {
-		w := todo[0]
-		todo = todo[1:]
-		if visited[key(w)] {
+	key := func(current modelState) string { current.machine.actions = nil; return fmt.Sprintf("%+v", current) }
+	queue := slices.Clone(initial)
+	for len(queue) > 0 {
+		current := queue[0]
+		queue = queue[1:]
+		if visited[key(current)] {
 			continue
 		}
-		visited[key(w)] = true
+		visited[key(current)] = true
 		events := []Event{Listening{}, ServicesReady{}, ReloadRequested{"x"}, UpgradeRequested{"x"}, StopRequested{"x"}, PredecessorEnded{}}
-		if w.isReloading {
+		if current.isReloading {
 			events = append(events, ReloadFinished{}, ReloadFinished{errors.New("bad")})
 		}
-		switch w.successor {
+		switch current.successor {
 		case 1:
 			events = append(events, SuccessorPrepared{})
 		case 3:
@@ -227,15 +227,15 @@
 		case 4:
 			events = append(events, SuccessorConfirmed{})
 		}
-		if w.successor > 0 {
+		if current.successor > 0 {
 			events = append(events, SuccessorLost{errors.New("gone")})
 		}
-		if w.isDraining {
+		if current.isDraining {
 			events = append(events, Finished{})
 		}
 		for _, e := range events {
-			if n, ok := w.apply(t, e); ok {
-				todo = append(todo, n)
+			if next, ok := current.apply(t, e); ok {
+				queue = append(queue, next)
 			}
 		}
 	}
@@ -245,91 +245,91 @@
 }
 
 // apply returns the environment after an event; false where the machine has ended.
-func (w environment) apply(t *testing.T, e Event) (environment, bool) {
+func (m modelState) apply(t *testing.T, e Event) (modelState, bool) {
 	t.Helper()
-	before := w
+	before := m
 	fail := func(format string, args ...any) {
 		t.Helper()
 		t.Fatalf("%T in %+v: %s", e, before, fmt.Sprintf(format, args...))
 	}
 	switch e.(type) {
 	case ReloadFinished:
-		w.isReloading = false
+		m.isReloading = false
 	case SuccessorPrepared, SuccessorTookOver:
-		w.successor++
+		m.successor++
 	case SuccessorConfirmed:
-		w.successor = 5
+		m.successor = 5
 	case SuccessorLost:
-		w.successor = 0
+		m.successor = 0
 	}
-	w.machine.actions = nil
-	hadEnded := w.machine.State() == Ended
-	for _, a := range w.machine.Handle(e) {
+	m.machine.actions = nil
+	hadEnded := m.machine.State() == Ended
+	for _, a := range m.machine.Handle(e) {
 		if hadEnded {
 			fail("an action after the end")
 		}
-		if broken := w.perform(a, before); broken != "" {
-			fail("%s", broken)
+		if violation := m.perform(a, before); violation != "" {
+			fail("%s", violation)
 		}
 	}
-	if broken := w.brokenInvariant(); broken != "" {
-		fail("%s", broken)
+	if violation := m.violatedInvariant(); violation != "" {
+		fail("%s", violation)
 	}
-	return w, w.machine.State() != Ended
+	return m, m.machine.State() != Ended
 }
 
 // perform updates the environment by an action. It returns why the action is wrong there, or nothing.
-func (w *environment) perform(a Action, before environment) string {
+func (m *modelState) perform(a Action, before modelState) string {
 	switch a := a.(type) {
 	case StartReload:
-		if w.isReloading || w.isDraining || w.successor > 0 {
+		if m.isReloading || m.isDraining || m.successor > 0 {
 			return "a reload"
 		}
-		w.isReloading = true
+		m.isReloading = true
 	case StartDrain:
-		if w.isDraining {
+		if m.isDraining {
 			return "drained twice"
 		}
-		w.isDraining = true
+		m.isDraining = true
 	case NotifySupervisor:
-		w.lastNotification = []string{"READY", "RELOADING", "STOPPING"}[a.Notification]
+		m.lastNotification = []string{"READY", "RELOADING", "STOPPING"}[a.Notification]
 		if before.lastNotification == "STOPPING" {
-			return "notified " + w.lastNotification
+			return "notified " + m.lastNotification
 		}
 	case LogTransition:
 	default:
-		return w.performOnSuccessor(a, before)
+		return m.performSuccessorAction(a, before)
 	}
 	return ""
 }
 
 // performOnSuccessor is perform of the actions that concern a successor.
-func (w *environment) performOnSuccessor(a Action, before environment) string {
+func (m *modelState) performSuccessorAction(a Action, before modelState) string {
 	switch a.(type) {
 	case SpawnSuccessor:
-		if w.successor > 0 || w.isDraining || w.isReloading || before.machine.hasPredecessor && w.machine.hasPredecessor {
+		if m.successor > 0 || m.isDraining || m.isReloading || before.machine.hasPredecessor && m.machine.hasPredecessor {
 			return "a successor"
 		}
-		w.successor = 1
+		m.successor = 1
 	case SendCheckpoint:
-		if w.hasSentCheckpoint || w.successor != 2 {
+		if m.hasSentCheckpoint || m.successor != 2 {
 			return "sent a checkpoint twice"
 		}
-		w.hasSentCheckpoint, w.successor = true, 3
+		m.hasSentCheckpoint, m.successor = true, 3
 	case YieldToSuccessor:
-		if w.successor != 4 {
+		if m.successor != 4 {
 			return "yielded to nobody"
 		}
-		w.isPaused = true
+		m.areListenersPaused = true
 	case ResumeAlone:
-		if w.successor != 0 {
+		if m.successor != 0 {
 			return "resumed beside a successor"
 		}
-		w.isPaused, w.hasSentCheckpoint = false, false
+		m.areListenersPaused, m.hasSentCheckpoint = false, false
 	case KillSuccessor:
-		w.successor, w.hasSentCheckpoint = 0, false
+		m.successor, m.hasSentCheckpoint = 0, false
 	case ForwardReload:
-		if w.successor != 4 {
+		if m.successor != 4 {
 			return "nobody to reload"
 		}
 	default:
@@ -339,16 +339,16 @@
 }
 
 // brokenInvariant returns what does not hold between two events, or nothing.
-func (w *environment) brokenInvariant() string {
-	state := w.machine.State()
+func (m *modelState) violatedInvariant() string {
+	state := m.machine.State()
 	switch {
-	case w.isPaused && w.successor < 4 && !w.isDraining:
+	case m.areListenersPaused && m.successor < 4 && !m.isDraining:
 		return "nobody takes connections"
-	case w.hasSentCheckpoint && w.successor < 3 && !w.isDraining:
+	case m.hasSentCheckpoint && m.successor < 3 && !m.isDraining:
 		return "a part of what is left is nobody's"
-	case state == Reloading != (w.isReloading && !w.isDraining) && state != Ended,
-		w.lastNotification == "RELOADING" && !w.isReloading && !w.isDraining:
-		return fmt.Sprintf("%v while reloading %v", state, w.isReloading)
+	case state == Reloading != (m.isReloading && !m.isDraining) && state != Ended,
+		m.lastNotification == "RELOADING" && !m.isReloading && !m.isDraining:
+		return fmt.Sprintf("%v while reloading %v", state, m.isReloading)
 	}
 	return ""
 }
@@ -367,20 +367,20 @@
 			r.finishReload(t)
 		}
 		state := r.machine.State()
-		if !r.isDraining && !r.hasEnded && (r.isReloadOwed || state == Reloading || r.lastNotification == "RELOADING") {
-			t.Fatalf("in %v, a reload owed %v, notified %q", state, r.isReloadOwed, r.lastNotification)
+		if !r.isDraining && !r.hasEnded && (r.isReloadOutstanding || state == Reloading || r.lastNotification == "RELOADING") {
+			t.Fatalf("in %v, a reload owed %v, notified %q", state, r.isReloadOutstanding, r.lastNotification)
 		}
 	})
 }
 
 // randomRun is a machine under random events and what its actions have led to.
 type randomRun struct {
-	machine          Machine
-	isReloading      bool
-	isDraining       bool
-	isReloadOwed     bool // requested, and none has started since
-	hasEnded         bool
-	lastNotification string
+	machine             Machine
+	isReloading         bool
+	isDraining          bool
+	isReloadOutstanding bool // requested, and none has started since
+	hasEnded            bool
+	lastNotification    string
 }
 
 func (r *randomRun) handleRandomEvent(t *rapid.T) {
@@ -390,7 +390,7 @@
 	case 1, 2:
 		r.handle(t, ServicesReady{})
 	case 3, 4, 5:
-		r.isReloadOwed = r.isReloadOwed || !r.isDraining && !r.hasEnded
+		r.isReloadOutstanding = r.isReloadOutstanding || !r.isDraining && !r.hasEnded
 		r.handle(t, ReloadRequested{"x"})
 	case 6, 7, 8, 9:
 		r.finishReload(t)
@@ -417,7 +417,7 @@
 func (r *randomRun) handle(t *rapid.T, e Event) {
 	actions := r.machine.Handle(e)
 	if r.hasEnded && len(actions) > 0 {
-		t.Fatalf("%q after the end", actionWords(actions))
+		t.Fatalf("%q after the end", formatActions(actions))
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -425,14 +425,14 @@
 			if r.isReloading || r.isDraining {
 				t.Fatalf("a reload while reloading %v, draining %v", r.isReloading, r.isDraining)
 			}
-			r.isReloading, r.isReloadOwed = true, false
+			r.isReloading, r.isReloadOutstanding = true, false
 		case StartDrain:
 			if r.isDraining {
 				t.Fatalf("drained twice")
 			}
 			r.isDraining = true
 		case NotifySupervisor:
-			r.notify(t, actionWords([]Action{a}))
+			r.notify(t, formatActions([]Action{a}))
 		case LogTransition:
 			r.hasEnded = r.hasEnded || a.To == Ended
 		}
@@ -440,10 +440,10 @@
 }
 
 // notify checks the order of notifications.
-func (r *randomRun) notify(t *rapid.T, next string) {
+func (r *randomRun) notify(t *rapid.T, notification string) {
 	last := r.lastNotification
-	if last == "STOPPING" || last == "RELOADING" && next == "RELOADING" || last == "" && next == "RELOADING" {
-		t.Fatalf("%s after %q", next, last)
+	if last == "STOPPING" || last == "RELOADING" && notification == "RELOADING" || last == "" && notification == "RELOADING" {
+		t.Fatalf("%s after %q", notification, last)
 	}
-	r.lastNotification = next
+	r.lastNotification = notification
 }
--- a/internal/state/checkpoint.go
+++ b/internal/state/checkpoint.go
@@ -86,11 +86,11 @@
 func dropOlderHalf(c *Checkpoint) bool {
 	remaining := make(map[string]service.State, len(c.Services))
 	dropped := false
-	for name, saved := range c.Services {
-		customers := saved.Checkpoint.Customers
+	for name, serviceState := range c.Services {
+		customers := serviceState.Checkpoint.Customers
 		dropped = dropped || len(customers) > 0
-		saved.Checkpoint.Customers = customers[:len(customers)/2]
-		remaining[name] = saved
+		serviceState.Checkpoint.Customers = customers[:len(customers)/2]
+		remaining[name] = serviceState
 	}
 	c.Services = remaining
 	return dropped
--- a/internal/state/checkpoint_test.go
+++ b/internal/state/checkpoint_test.go
@@ -62,8 +62,8 @@
 	for i := range raw {
 		bad := bytes.Clone(raw)
 		bad[i] ^= 0x20
-		if s, err := Decode(bad); err == nil || s.Services != nil {
-			t.Errorf("byte %d changed: %+v", i, s)
+		if checkpoint, err := Decode(bad); err == nil || checkpoint.Services != nil {
+			t.Errorf("byte %d changed: %+v", i, checkpoint)
 		}
 		if _, err := Decode(raw[:i]); err == nil {
 			t.Errorf("cut after %d", i)
@@ -84,14 +84,14 @@
 
 // Encode drops the customers whose last request is the oldest from a checkpoint that is too large.
 func TestEncodeDropsOldestCustomersOfLargeCheckpoint(t *testing.T) {
-	s := sampleCheckpoint(0)
-	c := s.Services["a"]
-	long := strings.Repeat("x", 1<<20)
+	checkpoint := sampleCheckpoint(0)
+	serviceState := checkpoint.Services["a"]
+	padding := strings.Repeat("x", 1<<20)
 	for i := range 40 {
-		c.Checkpoint.Customers = append(c.Checkpoint.Customers, control.CustomerCheckpoint{ID: fmt.Sprint(i, long), Plan: "p"})
+		serviceState.Checkpoint.Customers = append(serviceState.Checkpoint.Customers, control.CustomerCheckpoint{ID: fmt.Sprint(i, padding), Plan: "p"})
 	}
-	s.Services["a"] = c
-	raw, err := Encode(s)
+	checkpoint.Services["a"] = serviceState
+	raw, err := Encode(checkpoint)
 	if err != nil || len(raw) > maxSize+64 {
 		t.Fatal(len(raw), err)
 	}
@@ -99,8 +99,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if all := got.Services["a"].Checkpoint.Customers; len(all) != 20 || !strings.HasPrefix(all[0].ID, "0") {
-		t.Errorf("%d customers are left", len(all))
+	if customers := got.Services["a"].Checkpoint.Customers; len(customers) != 20 || !strings.HasPrefix(customers[0].ID, "0") {
+		t.Errorf("%d customers are left", len(customers))
 	}
 }
 
@@ -109,11 +109,11 @@
 	f.Add(raw)
 	f.Add([]byte{0xbf, 0xff})
 	f.Fuzz(func(t *testing.T, body []byte) {
-		s, err := Decode(withChecksum(body))
+		checkpoint, err := Decode(withChecksum(body))
 		if err != nil {
 			return
 		}
-		if _, err := Encode(s); err != nil {
+		if _, err := Encode(checkpoint); err != nil {
 			t.Errorf("what was read can't be written: %v", err)
 		}
 	})
@@ -121,7 +121,7 @@
 
 func TestStoreLocksDirectoryAndMarksCheckpointConsumed(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "new", "dir")
-	s, err := Open(dir, nil)
+	store, err := Open(dir, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -129,33 +129,33 @@
 	if _, err := Open(dir, nil); !errors.As(err, &locked) || !strings.Contains(err.Error(), fmt.Sprint("another daemon has it: process ", os.Getpid())) {
 		t.Errorf("a second daemon: %v", err)
 	}
-	if _, found, err := s.Consume(); found || err != nil {
+	if _, found, err := store.Consume(); found || err != nil {
 		t.Errorf("of nothing: %v, %v", found, err)
 	}
 	clean := sampleCheckpoint(1)
 	clean.Clean = true
-	if err := s.Save(clean); err != nil {
+	if err := store.Save(clean); err != nil {
 		t.Fatal(err)
 	}
 	for i, want := range []bool{true, false} { // the second time as after a crash
-		got, found, err := s.Consume()
+		got, found, err := store.Consume()
 		if err != nil || !found || got.Clean != want || got.Generation != 4 {
 			t.Errorf("start %d: %+v, %v, %v", i, got, found, err)
 		}
 	}
-	if err := os.WriteFile(s.path(), []byte("half a sta"), 0o600); err != nil {
+	if err := os.WriteFile(store.path(), []byte("half a sta"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, found, err := s.Consume(); !found || err == nil {
+	if _, found, err := store.Consume(); !found || err == nil {
 		t.Errorf("damaged: %v, %v", found, err)
 	}
-	if err := s.Close(); err != nil {
+	if err := store.Close(); err != nil {
 		t.Error(err)
 	}
-	if s, err = Open(dir, nil); err != nil { // the lock ended with its owner
+	if store, err = Open(dir, nil); err != nil { // the lock ended with its owner
 		t.Fatal(err)
 	}
-	defer s.Close()
+	defer store.Close()
 	if _, err := Open("/proc/no/such", nil); err == nil {
 		t.Error("no such place, and no error")
 	}
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	raw := testkit.GoldenBytes(t, "testdata/golden/state-with-uptime", got)
-	requireWrittenAsRead(t, raw)
+	requireUnchangedByReencoding(t, raw)
 }
 
 // A checkpoint of a build that knew no uptime and no starts of servers is read, and written as it was.
@@ -27,16 +27,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	requireWrittenAsRead(t, raw)
+	requireUnchangedByReencoding(t, raw)
 }
 
-func requireWrittenAsRead(t *testing.T, raw []byte) {
+func requireUnchangedByReencoding(t *testing.T, raw []byte) {
 	t.Helper()
-	s, err := Decode(raw)
+	checkpoint, err := Decode(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if encoded, err := Encode(s); err != nil || !bytes.Equal(encoded, raw) {
+	if encoded, err := Encode(checkpoint); err != nil || !bytes.Equal(encoded, raw) {
 		t.Errorf("it is not written as it was read: %v", err)
 	}
 	if err := testkit.RoundTrip("cbor", raw[headerSize:], new(Checkpoint)); err != nil {
--- a/internal/supervise/listeners.go
+++ b/internal/supervise/listeners.go
@@ -15,8 +15,8 @@
 		return nil, fmt.Errorf("taking over listeners: %w", err)
 	}
 	listeners := make(map[string]net.Listener)
-	for name, sameName := range byName {
-		for _, listener := range sameName {
+	for name, sameNameListeners := range byName {
+		for _, listener := range sameNameListeners {
 			if listener == nil {
 				return nil, fmt.Errorf("taking over listeners: %q is no stream socket", name)
 			}
--- a/internal/supervise/pidfile.go
+++ b/internal/supervise/pidfile.go
@@ -10,7 +10,7 @@
 )
 
 // maxPIDSize is how much of another daemon's pid file an error shows, in bytes.
-const maxPIDSize = 32
+const maxShownPIDSize = 32
 
 // PIDFile is a file with the daemon's process id, locked as long as any process of the daemon has it open. The methods
 // do nothing on a nil PIDFile, which stands for a daemon without one.
@@ -53,7 +53,7 @@
 
 // readProcessID returns the recorded id, as far as it can be read.
 func readProcessID(file *os.File) string {
-	content := make([]byte, maxPIDSize)
+	content := make([]byte, maxShownPIDSize)
 	n, _ := file.Read(content)
 	return strings.TrimSpace(string(content[:n]))
 }
--- a/internal/supervise/supervise_test.go
+++ b/internal/supervise/supervise_test.go
@@ -59,13 +59,13 @@
 		}
 	}
 	isAlive.Store(false)
-	from := checks.Load()
-	testkit.Until(t, "checks while it is not alive", func() bool { return checks.Load() > from+3 })
+	checksBefore := checks.Load()
+	testkit.Until(t, "checks while it is not alive", func() bool { return checks.Load() > checksBefore+3 })
 	for len(messages) > 0 { // from before
 		<-messages
 	}
-	from = checks.Load()
-	testkit.Until(t, "more checks while it is not alive", func() bool { return checks.Load() > from+3 })
+	checksBefore = checks.Load()
+	testkit.Until(t, "more checks while it is not alive", func() bool { return checks.Load() > checksBefore+3 })
 	if len(messages) > 0 {
 		t.Errorf("a daemon that is not alive notified %q", <-messages)
 	}
@@ -88,14 +88,14 @@
 
 func TestPIDFileIsLockedAndRemoved(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "pid")
-	p, err := CreatePIDFile(path)
+	pidFile, err := CreatePIDFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := CreatePIDFile(path); err == nil || !strings.Contains(err.Error(), "another daemon runs: process ") {
 		t.Errorf("a second one: %v", err)
 	}
-	if err := p.Close(); err != nil {
+	if err := pidFile.Close(); err != nil {
 		t.Error(err)
 	}
 	if _, err := os.Stat(path); !os.IsNotExist(err) {
@@ -105,10 +105,10 @@
 	if err := os.WriteFile(path, []byte("999999999\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if p, err = CreatePIDFile(path); err != nil {
+	if pidFile, err = CreatePIDFile(path); err != nil {
 		t.Fatal(err)
 	}
-	defer p.Close()
+	defer pidFile.Close()
 	if raw, _ := os.ReadFile(path); strings.Contains(string(raw), "999999999") {
 		t.Errorf("%q", raw)
 	}
@@ -122,7 +122,7 @@
 
 func TestNoListenersWithoutSupervisor(t *testing.T) {
 	t.Setenv("LISTEN_FDS", "")
-	if all, err := InheritedListeners(); err != nil || len(all) > 0 {
-		t.Errorf("%v, %v", all, err)
+	if listeners, err := InheritedListeners(); err != nil || len(listeners) > 0 {
+		t.Errorf("%v, %v", listeners, err)
 	}
 }
--- a/internal/upgrade/predecessor.go
+++ b/internal/upgrade/predecessor.go
@@ -44,12 +44,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", EnvironmentVariable, err)
 	}
-	p := &Predecessor{conn: conn, files: make(map[string]*os.File)}
+	predecessor := &Predecessor{conn: conn, files: make(map[string]*os.File)}
 	for name, descriptor := range inherited.Files {
 		syscall.CloseOnExec(descriptor)
-		p.files[name] = os.NewFile(uintptr(descriptor), name)
+		predecessor.files[name] = os.NewFile(uintptr(descriptor), name)
 	}
-	return p, nil
+	return predecessor, nil
 }
 
 // TakeFile returns an inherited file, which becomes the caller's; nil where there is none of that name.
--- a/internal/upgrade/successor.go
+++ b/internal/upgrade/successor.go
@@ -136,8 +136,8 @@
 // watch sends events until the successor has ended.
 func (s *Successor) watch() {
 	connErr := s.receiveEvents()
-	hasClosed := errors.Is(connErr, io.EOF) || errors.Is(connErr, net.ErrClosed)
-	if !hasClosed {
+	isConnectionClosed := errors.Is(connErr, io.EOF) || errors.Is(connErr, net.ErrClosed)
+	if !isConnectionClosed {
 		s.cmd.Process.Kill() // nothing that it sends can be relied on
 	}
 	err := s.cmd.Wait()
