--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -113,7 +113,7 @@
 		loopEnded: make(chan struct{}),
 		startedAt: time.Now(),
 	}
-	if d.predecessor, err = upgrade.Join(opts.Getenv); err != nil {
+	if d.predecessor, err = upgrade.PredecessorFromEnvironment(opts.Getenv); err != nil {
 		return nil, err
 	}
 	if d.cfg, err = opts.LoadConfig(); err != nil {
--- a/internal/upgrade/predecessor.go
+++ b/internal/upgrade/predecessor.go
@@ -26,7 +26,7 @@
 }
 
 // Join returns the process whose place this one is to take, by its environment. It returns nil where there is none.
-func Join(getenv func(string) string) (*Predecessor, error) {
+func PredecessorFromEnvironment(getenv func(string) string) (*Predecessor, error) {
 	encoded := getenv(EnvironmentVariable)
 	if encoded == "" {
 		return nil, nil
--- a/internal/upgrade/processes_test.go
+++ b/internal/upgrade/processes_test.go
@@ -26,7 +26,7 @@
 
 // runSuccessor is the main function of a successor; it returns the exit code.
 func runSuccessor(role string) int {
-	predecessor, err := Join(os.Getenv)
+	predecessor, err := PredecessorFromEnvironment(os.Getenv)
 	if err != nil || predecessor == nil {
 		return 3
 	}
@@ -156,7 +156,7 @@
 		`{"version":2,"conn":3}`:       "version 2",
 		`{"version":1,"conn":1048575}`: "bad file descriptor",
 	} {
-		p, err := Join(func(string) string { return variable })
+		p, err := PredecessorFromEnvironment(func(string) string { return variable })
 		if want == "" && (p != nil || err != nil) || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
 			t.Errorf("%q: %v, %v", variable, p, err)
 		}
