--- a/internal/daemon/checkpoint.go
+++ b/internal/daemon/checkpoint.go
@@ -13,21 +13,21 @@
 
 // checkpointer coordinates the writers of the checkpoint file.
 type checkpointer struct {
-	ownsFile atomic.Bool  // this process writes the state directory's files, and not its successor or predecessor
-	interval atomic.Int64 // between two checkpoints, as a time.Duration
+	ownsFile atomic.Bool  // whether this process, rather than its successor or predecessor, writes the files in the state directory
+	interval atomic.Int64 // time between two checkpoints, as a time.Duration
 
 	mu        sync.Mutex // held while a checkpoint is saved
 	isStopped bool
 }
 
-// stop waits for the checkpoint that is being saved; none is saved after it.
+// stop waits until a save in progress has ended. No checkpoint is saved after it has returned.
 func (c *checkpointer) stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.isStopped = true
 }
 
-// save saves a checkpoint of d's node where this process owns the file. It returns false once stopped.
+// save saves a checkpoint of d's node if this process owns the file. It returns false after stop.
 func (c *checkpointer) save(d *daemon) (ok bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,8 +40,8 @@
 	return true, err
 }
 
-// saveCheckpoints saves a checkpoint at each interval until ctx ends, so that a start after a crash has what was learned.
-// The first of several failures is logged, and the success after them.
+// saveCheckpoints saves a checkpoint at each interval until ctx ends, so that the estimates survive a crash. Of a series
+// of failures it logs the first one, and then the next success.
 func (d *daemon) saveCheckpoints(ctx context.Context) {
 	if d.store == nil {
 		return
@@ -69,8 +69,8 @@
 	}
 }
 
-// restoreCheckpoint restores the node from the checkpoint of the last run. Where that run has not ended by a graceful
-// shutdown, estimates alone are restored, as it may have spent more since.
+// restoreCheckpoint restores the node from the checkpoint of the last run. If that run did not end by a graceful
+// shutdown, only estimates are restored, because the run may have used quota after the checkpoint.
 func (d *daemon) restoreCheckpoint() {
 	if d.store == nil {
 		return
@@ -97,7 +97,7 @@
 	}
 }
 
-// drainFinished is posted at the end of the node's drain: the event loop saves the final checkpoint and closes done.
+// drainFinished is posted at the end of the node's drain. The event loop saves the final checkpoint and closes done.
 type drainFinished struct{ done chan struct{} }
 
 func (f drainFinished) handle(d *daemon) error {
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// awaitFinalCheckpoint returns once the final checkpoint is saved. The node's goroutine calls it.
+// awaitFinalCheckpoint waits until the event loop has saved the final checkpoint. The node's goroutine calls it.
 func (d *daemon) awaitFinalCheckpoint() {
 	f := drainFinished{make(chan struct{})}
 	d.post(f)
@@ -116,7 +116,7 @@
 	}
 }
 
-// sendFinalCheckpoint sends the successor all that is left to spend.
+// sendFinalCheckpoint sends the successor a checkpoint with all remaining quota.
 func (d *daemon) sendFinalCheckpoint() error {
 	encoded, err := state.Encode(d.node.HandOver(1))
 	if err != nil {
@@ -125,8 +125,8 @@
 	return d.successor.SendFinalCheckpoint(encoded)
 }
 
-// saveFinalCheckpoint is called in a drain once nothing more will be spent: what is left is sent to the successor, or
-// saved in the file for the next start.
+// saveFinalCheckpoint is called at the end of a drain, when no more quota will be used. It sends the remaining quota to
+// the successor if there is one, and otherwise saves it in the file for the next start.
 func (d *daemon) saveFinalCheckpoint() {
 	d.checkpointer.stop()
 	if d.hasServingSuccessor() {
--- a/internal/daemon/commands.go
+++ b/internal/daemon/commands.go
@@ -12,16 +12,17 @@
 	"lockflow/internal/lifecycle"
 )
 
-// A command is what a coordinator has a fleet member do, once for each id; the control socket and the stored data call it
-// an order. The member's desired state is saved before a command starts and after it has ended.
+// A command is an operation that a coordinator requests of a fleet member. It runs at most one time for each id. The API
+// of the control socket and the stored data call it an order. The member's desired state is saved before a command starts
+// and after it has ended.
 
 // runningCommand is a command that has started and not ended.
 type runningCommand struct {
 	id          string
 	kind        desiredstate.Kind
-	hash        string       // of the settings that it puts in force
-	isInherited bool         // the predecessor has started it
-	waiters     []chan error // each has space for the outcome
+	hash        string       // hash of the settings that the command applies
+	isInherited bool         // the predecessor started the command
+	waiters     []chan error // requests that wait for the outcome; each channel is buffered for it
 }
 
 // isUpgrade reports whether the command starts a new process.
@@ -44,7 +45,8 @@
 	return nil
 }
 
-// setDrainedRequest is the operator's change of the desired state, regardless of coordinators.
+// setDrainedRequest is an operator's request to change whether the desired state is drained. It needs no coordinator's
+// epoch.
 type setDrainedRequest struct {
 	isDrained bool
 	answer    chan error
@@ -59,7 +61,7 @@
 	return nil
 }
 
-// commandRequest requests a command; the answer is sent when that has ended.
+// commandRequest requests a command. The answer is sent when the command has ended.
 type commandRequest struct {
 	command desiredstate.Command
 	answer  chan error
@@ -84,11 +86,11 @@
 	return nil
 }
 
-// commandFinished is the end of a command that another goroutine has run.
+// commandFinished reports the end of a command that ran in another goroutine.
 type commandFinished struct {
 	command      *runningCommand
 	err          error
-	isRolledBack bool // the configuration file was restored to the one in force
+	isRolledBack bool // the configuration file has been restored to the configuration in force
 }
 
 func (f commandFinished) handle(d *daemon) error {
@@ -142,8 +144,8 @@
 	return d.postAndWait(ctx, setDrainedRequest{isDrained, answer}, answer)
 }
 
-// checkOwnership returns an error where the desired state isn't this process's to change: from when a successor has been
-// sent the checkpoint, and in a successor until it takes over.
+// checkOwnership returns an error if another process owns the desired state. A process that is upgraded loses ownership
+// when it sends the checkpoint, and its successor gains it at the take-over.
 func (d *daemon) checkOwnership() error {
 	if !d.checkpointer.ownsFile.Load() {
 		return busyError("another process takes this one's place")
@@ -151,7 +153,7 @@
 	return nil
 }
 
-// beginCommand saves next, the desired state in which the command has started, and starts it.
+// beginCommand saves next, the desired state with the command recorded as running, and starts the command.
 func (d *daemon) beginCommand(r commandRequest, next desiredstate.State) {
 	c := r.command
 	err := d.checkCommand(c.Operation)
@@ -172,7 +174,7 @@
 	d.startCommand(c.Operation)
 }
 
-// checkCommand returns why a command can't start now, or at all.
+// checkCommand returns an error if a command cannot start in the current state, or is invalid.
 func (d *daemon) checkCommand(operation desiredstate.Operation) error {
 	switch operation.Kind {
 	case desiredstate.KindDrain:
@@ -195,7 +197,7 @@
 	return nil
 }
 
-// startCommand starts d.running.
+// startCommand starts the operation of d.running.
 func (d *daemon) startCommand(operation desiredstate.Operation) {
 	running := d.running
 	switch operation.Kind {
@@ -203,7 +205,7 @@
 		inForce := d.cfg
 		d.goroutines.Go(func() {
 			isRolledBack, err := d.applySettings(inForce, operation)
-			if !errors.Is(err, errEnded) { // else the next process recovers the command
+			if !errors.Is(err, errEnded) { // after errEnded the next process recovers the command
 				d.post(commandFinished{running, err, isRolledBack})
 			}
 		})
@@ -213,14 +215,14 @@
 		d.finishCommand(nil)
 		d.advance(lifecycle.StopRequested{Cause: "order " + running.id})
 	case desiredstate.KindServe:
-		if d.machine.State() != lifecycle.Warming { // else servicesReady finishes it
+		if d.machine.State() != lifecycle.Warming { // while warming up, servicesReady finishes the command
 			d.finishCommand(nil)
 		}
 	}
 }
 
-// startUpgradeCommand starts an upgrade to a program (empty for the one that runs). The command succeeds when the
-// successor's probation ends, and fails where the upgrade fails before.
+// startUpgradeCommand starts an upgrade to a program; an empty program is the one that runs. The command succeeds when
+// the successor's probation ends, and fails if the upgrade fails before that.
 func (d *daemon) startUpgradeCommand(running *runningCommand, program string) {
 	if program == "" {
 		program = d.opts.Program
@@ -235,13 +237,13 @@
 		case <-d.loopEnded:
 		}
 	})
-	_ = r.handle(d) // it answers its errors
+	_ = r.handle(d) // always nil: errors are sent to r.answer
 }
 
-// finishCommand ends the running command; its outcome is saved before it is answered.
+// finishCommand ends the running command. It saves the outcome before it answers the waiting requests.
 func (d *daemon) finishCommand(err error) {
 	stored := d.member.desiredState.Running
-	if stored == nil || stored.ID != d.running.id { // another process has ended it
+	if stored == nil || stored.ID != d.running.id { // another process has recorded its end
 		d.answerCommand(interruptedOutcome(d.running.id))
 		return
 	}
@@ -249,12 +251,13 @@
 	d.answerCommand(d.member.desiredState.LastOutcome())
 }
 
-// interruptedOutcome is the outcome of a command of which nothing remains: it starts anew when it is retried.
+// interruptedOutcome returns the outcome of a command that was interrupted without an effect. A retry starts the command
+// from the beginning.
 func interruptedOutcome(id string) desiredstate.Outcome {
 	return desiredstate.Outcome{ID: id, Code: desiredstate.CodeBusy, Error: "order " + id + " was interrupted: ask again"}
 }
 
-// answerCommand answers all requests that wait for the running command, which has ended.
+// answerCommand ends the running command in memory and sends its outcome to all requests that wait for it.
 func (d *daemon) answerCommand(outcome desiredstate.Outcome) {
 	running := d.running
 	d.running = nil
@@ -262,7 +265,7 @@
 	answerEach(running.waiters, outcomeError(outcome))
 }
 
-// takeOverDesiredState reads the predecessor's desired state, and the command that it has started.
+// takeOverDesiredState reads the predecessor's desired state and adopts the command that the predecessor started.
 func (d *daemon) takeOverDesiredState() {
 	d.reloadDesiredState()
 	if running := d.member.desiredState.Running; running != nil {
@@ -275,15 +278,15 @@
 	}
 }
 
-// reloadDesiredState reads the desired state that another process may have written, and stores it also where the state
-// directory has changed.
+// reloadDesiredState reads the desired state, which another process may have written, and saves it, because the
+// configured state directory may have changed.
 func (d *daemon) reloadDesiredState() {
 	d.member.load()
 	d.member.record(d.member.desiredState)
 }
 
-// recoverCommand ends the command that the desired state says is running where the process that ran it has ended: as
-// succeeded where its effect is found, else as interrupted. A command to serve continues.
+// recoverCommand ends the command that the desired state records as running, after the process that ran it has ended.
+// The command has succeeded if its effect is observed, and is interrupted otherwise. A command to serve continues.
 func (d *daemon) recoverCommand() {
 	m := d.member
 	stored := m.desiredState.Running
@@ -310,7 +313,8 @@
 	}
 }
 
-// checkUpgrade returns an error where an upgrade that isn't the running command's would interrupt that.
+// checkUpgrade returns an error if an upgrade would interrupt the running command. isCommand reports that the running
+// command itself requests the upgrade.
 func (d *daemon) checkUpgrade(isCommand bool) error {
 	if d.running != nil && !d.running.isInherited && !isCommand {
 		return fmt.Errorf("no upgrade: order %s is under way", d.running.id)
@@ -318,7 +322,7 @@
 	return nil
 }
 
-// checkExecutable returns why a program can't be run.
+// checkExecutable returns an error if program is not the absolute path of an executable file.
 func checkExecutable(program string) error {
 	if !filepath.IsAbs(program) {
 		return fmt.Errorf("program %q is no absolute path", program)
--- a/internal/daemon/conditions.go
+++ b/internal/daemon/conditions.go
@@ -19,20 +19,20 @@
 	conditionGroupSizePrefix = "size of the group, by the servers of "
 )
 
-// degradedConditions are what the daemon can't rely on at present, by name. The status lists them (key distrusts).
-// They are safe for concurrent use; the zero value has none.
+// degradedConditions is the set of the daemon's current degraded conditions: data or resources that it cannot rely on.
+// The status lists them under the key distrusts. It is safe for concurrent use, and its zero value is empty.
 type degradedConditions struct {
 	mu     sync.Mutex
 	byName map[string]condition
 }
 
-// condition is one degraded condition.
+// condition is a degraded condition without its name.
 type condition struct {
 	since time.Time
 	cause string
 }
 
-// add adds a condition, or replaces the cause of one that is there already.
+// add adds a condition, or replaces the cause of an existing one and keeps its start.
 func (d *degradedConditions) add(name, cause string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,10 +1,10 @@
 // Package daemon runs a node as a daemon. Its event loop passes events (signals, requests on the control socket,
-// messages of a successor or predecessor process) to the state machine of package lifecycle and carries out the actions
-// that this returns: reload, binary upgrade, drain.
+// messages of a successor or predecessor process) to the state machine of package lifecycle and performs the actions that
+// it returns: reload, binary upgrade, drain.
 //
 // Package command calls Run. One goroutine, the event loop (loop.go), owns the daemon's mutable state; every
-// other goroutine posts events to it. The control socket's handlers (manage.Daemon) run in goroutines of
-// their own and wait for the loop's answer.
+// other goroutine posts events to it. The handlers of the control socket (manage.Daemon) run
+// in their own goroutines and wait for the loop's answer.
 package daemon
 
 import (
@@ -25,60 +25,60 @@
 	"lockflow/internal/upgrade"
 )
 
-// Options are what a daemon is run with.
+// Options are the settings of a daemon that its configuration file does not contain.
 type Options struct {
-	// LoadConfig reads and checks the configuration file, also for each reload.
+	// LoadConfig reads and validates the configuration file, at the start and at each reload.
 	LoadConfig func() (config.Config, error)
-	// ParseConfig checks a text that is to replace the configuration file's.
+	// ParseConfig parses and validates a text that is to replace the content of the configuration file.
 	ParseConfig func(text []byte) (config.Config, error)
-	// ApplyRuntimeLimits sets the Go runtime's limits to those of a configuration in force.
+	// ApplyRuntimeLimits sets the limits of the Go runtime as configured.
 	ApplyRuntimeLimits func(config.Config)
 
-	ConfigPath     string   // of the configuration file, for the status and for commands that replace it
-	PIDFilePath    string   // empty for none
-	StateDirectory string   // where it is known without the configuration file; else empty
-	Program        string   // path of this executable, which an upgrade starts by default
-	Args           []string // of this process, without the program's name; a successor gets the same
+	ConfigPath     string   // path of the configuration file, which the status shows and commands replace
+	PIDFilePath    string   // empty for no pid file
+	StateDirectory string   // empty unless it is known without the configuration file
+	Program        string   // path of this executable, the default for upgrades
+	Args           []string // arguments of this process without the program's name; a successor gets the same
 	Getenv         func(string) string
 
 	ReloadSignals  <-chan os.Signal // each requests a reload
 	UpgradeSignals <-chan os.Signal // each requests an upgrade
 }
 
-// maxQueuedEvents is how many posted events wait for the event loop before a poster blocks.
+// maxQueuedEvents is the number of events that can wait for the event loop before post blocks.
 const maxQueuedEvents = 64
 
-// daemon is one run.
+// daemon is the state of one call of Run.
 type daemon struct {
 	opts         Options
 	node         *node.Node           // nil until build
 	store        *state.Store         // nil without a state directory
-	pidFile      *supervise.PIDFile   // nil without one
-	predecessor  *upgrade.Predecessor // nil where this process is no successor
+	pidFile      *supervise.PIDFile   // nil without a pid file
+	predecessor  *upgrade.Predecessor // nil unless this process is a successor
 	events       chan event
-	loopEnded    chan struct{} // closed when the event loop takes no events any more
+	loopEnded    chan struct{} // closed when the event loop has ended
 	startedAt    time.Time
-	goroutines   sync.WaitGroup // those that end with the event loop
+	goroutines   sync.WaitGroup // background goroutines; run waits for them
 	conditions   degradedConditions
 	checkpointer checkpointer
 
-	// Once the event loop runs, it alone uses the fields below.
+	// When the event loop runs, only its goroutine may use the fields below.
 
-	cfg           config.Config // in force
+	cfg           config.Config // the configuration in force
 	member        *member
 	running       *runningCommand // nil while no command runs
 	machine       lifecycle.Machine
 	controlServer *manage.Server // nil without a control socket
 	startDrain    context.CancelFunc
 
-	pendingReloads  []chan error // answers of requests for a reload that has not started
-	runningReloads  []chan error // answers of requests for the one that runs
-	pendingUpgrades []chan error // answers of requests for an upgrade
-	nextProgram     string       // that the next upgrade starts; empty for opts.Program
-	successor       *successor   // nil while there is none
+	pendingReloads  []chan error // answer channels of requests for a reload that has not started
+	runningReloads  []chan error // answer channels of requests for the reload in progress
+	pendingUpgrades []chan error // answer channels of requests for an upgrade
+	nextProgram     string       // path that the next upgrade starts; empty for opts.Program
+	successor       *successor   // nil without a successor
 }
 
-// Run runs a daemon until ctx ends and it has drained, or a successor has taken its place.
+// Run runs a daemon until it has drained, because ctx ended or a successor has replaced it.
 func Run(ctx context.Context, opts Options) error {
 	d, err := prepare(opts)
 	if err != nil {
@@ -99,13 +99,13 @@
 	return d.run(ctx)
 }
 
-// isDesiredDrained reports whether the desired state is drained. A successor builds first: it was started by
-// a process that serves.
+// isDesiredDrained reports whether the daemon starts drained. A successor never does, because the process that started
+// it serves.
 func (d *daemon) isDesiredDrained() bool {
 	return d.predecessor == nil && d.member.desiredState.Target.Drained
 }
 
-// prepare reads the configuration and opens the files.
+// prepare loads the configuration and opens the daemon's files.
 func prepare(opts Options) (d *daemon, err error) {
 	d = &daemon{
 		opts:      opts,
@@ -137,14 +137,15 @@
 	return d, nil
 }
 
-// build makes the node and all else that can fail before the first client connects.
+// build creates the node, restores its state and opens the control socket: all steps that can fail before the first
+// client connects.
 func (d *daemon) build() error {
 	listeners, err := d.inheritListeners()
 	if err != nil {
 		return err
 	}
 	if d.predecessor != nil {
-		d.predecessor.CloseUnclaimed() // files that the configuration no longer has
+		d.predecessor.CloseUnclaimed() // files that the configuration no longer uses
 	}
 	d.opts.ApplyRuntimeLimits(d.cfg)
 	if d.node, err = node.NewInheriting(d.cfg, listeners); err != nil {
@@ -159,7 +160,7 @@
 		}
 	}
 	if d.predecessor != nil {
-		d.node.PauseListeners() // until takeOver
+		d.node.PauseListeners() // takeOver resumes them
 		return nil
 	}
 	d.restoreCheckpoint()
@@ -167,7 +168,7 @@
 	return d.listenControl(d, false)
 }
 
-// Names of the files that a successor inherits; prefixes go before an address or a directory.
+// Names of the files that a successor inherits. The prefixes precede an address or a directory.
 const (
 	filePID            = "pid"
 	fileDesiredState   = "orders"
@@ -175,8 +176,8 @@
 	filePrefixListener = "listen:"
 )
 
-// openFiles opens and locks the pid file, the state directory and the member's desired state, or takes the
-// predecessor's.
+// openFiles opens and locks the pid file, the state directory and the member's desired state. A successor uses the files
+// that it inherits from its predecessor.
 func (d *daemon) openFiles() error {
 	if err := d.openPIDFile(); err != nil {
 		return err
@@ -209,7 +210,7 @@
 	return err
 }
 
-// inheritedFile takes a file of the predecessor, nil where there is none of that name.
+// inheritedFile returns the file that was inherited under a name, or nil if there is none.
 func (d *daemon) inheritedFile(name string) *os.File {
 	if d.predecessor == nil {
 		return nil
@@ -217,7 +218,7 @@
 	return d.predecessor.TakeFile(name)
 }
 
-// inheritListeners returns the listeners of the predecessor or of the supervisor, by address.
+// inheritListeners returns the listeners inherited from the predecessor or from the supervisor, by address.
 func (d *daemon) inheritListeners() (map[string]net.Listener, error) {
 	configured := make(map[string]bool)
 	for _, address := range d.cfg.Listeners {
@@ -239,8 +240,8 @@
 	return listeners, nil
 }
 
-// takeListeners returns the predecessor's listeners at configured addresses. It closes all other ones: the
-// configuration has changed since the predecessor read it.
+// takeListeners returns the predecessor's listeners at configured addresses. It closes the others, whose addresses were
+// removed from the configuration since the predecessor read it.
 func (d *daemon) takeListeners(configured map[string]bool) (map[string]net.Listener, error) {
 	listeners, err := d.predecessor.TakeListeners(filePrefixListener)
 	for address, listener := range listeners {
@@ -252,8 +253,8 @@
 	return listeners, err
 }
 
-// listenControl opens the control socket, on which served answers. Where it is open already and is not to be taken
-// over, served answers there from now on.
+// listenControl opens the control socket, whose requests handler answers. If the socket is open already and takeOver is
+// false, it only replaces the handler.
 func (d *daemon) listenControl(handler manage.Daemon, takeOver bool) (err error) {
 	path := d.cfg.Process.ControlSocket
 	if path == "" {
@@ -270,19 +271,19 @@
 	return err
 }
 
-// close closes what prepare and build have opened.
+// close closes the files and sockets that prepare and build have opened.
 func (d *daemon) close() {
 	d.controlServer.Close()
 	neverTookOver := d.predecessor != nil && !d.checkpointer.ownsFile.Load()
 	if d.hasServingSuccessor() || neverTookOver {
-		_ = d.pidFile.Release() // the other process has it, and this one writes nothing more
+		_ = d.pidFile.Release() // the other process owns the file, and this one does not write to it any more
 	} else {
-		_ = d.pidFile.Close() // a file that could not be removed is unlocked: the next daemon takes it over
+		_ = d.pidFile.Close() // if the removal fails, the file is unlocked and the next daemon takes it over
 	}
 	if d.member != nil {
 		d.member.store.Close()
 	}
 	if d.store != nil {
-		_ = d.store.Close() // the lock alone: checkpoints are synced when they are saved
+		_ = d.store.Close() // closes only the lock file: checkpoints are synced when they are saved
 	}
 }
--- a/internal/daemon/drained.go
+++ b/internal/daemon/drained.go
@@ -16,14 +16,15 @@
 	"lockflow/internal/supervise"
 )
 
-// drainedDaemon is a daemon whose desired state is drained: it has its files locked and answers on its control socket,
-// so that it can be claimed and commanded, and has no listeners. It remains drained after a restart.
+// drainedDaemon is a daemon whose desired state is drained. It holds the locks of its files and answers on its control
+// socket, so that coordinators can claim it and send it commands, but it has no listeners. It remains drained after a
+// restart.
 type drainedDaemon struct {
 	daemon         *daemon
-	stopRequested  chan struct{} // has space for one request
-	serveRequested chan struct{} // closed, under mu, once it is to serve
-	resumed        chan struct{} // closed once resume has returned
-	resumeErr      error         // its result; read after resumed is closed
+	stopRequested  chan struct{} // buffered for one request
+	serveRequested chan struct{} // closed, with mu held, when serving is requested
+	resumed        chan struct{} // closed when resume has returned
+	resumeErr      error         // result of resume; may be read after resumed is closed
 
 	mu sync.Mutex // guards d.member and d.cfg until serveRequested is closed
 }
@@ -35,8 +36,8 @@
 
 var errIsDrained = errors.New("the daemon is drained: it has to serve first")
 
-// runDrained waits until the daemon is requested to serve. It returns nil where ctx ends before, or the control
-// socket requests the end.
+// runDrained waits until the daemon is requested to serve. It returns nil if ctx ends or a request on the control socket
+// ends the daemon before that.
 func (d *daemon) runDrained(ctx context.Context) (*drainedDaemon, error) {
 	if d.cfg.Process.ControlSocket == "" {
 		return nil, errors.New("the desired state is drained, and there is no control socket by which serving could be requested")
@@ -65,8 +66,8 @@
 	return nil, nil
 }
 
-// awaitServeRequest returns true once the daemon is to serve, false once it is to end. Signals for a reload or an
-// upgrade are ignored: the configuration file is read when it serves.
+// awaitServeRequest returns true when the daemon is requested to serve, and false when it is to end. It ignores signals
+// for a reload or an upgrade, because the configuration file is read when the daemon resumes.
 func (r *drainedDaemon) awaitServeRequest(ctx context.Context) bool {
 	reloads := r.daemon.opts.ReloadSignals
 	upgrades := r.daemon.opts.UpgradeSignals
@@ -90,7 +91,7 @@
 	}
 }
 
-// resume reloads the configuration and builds the node.
+// resume loads the configuration and builds the node.
 func (r *drainedDaemon) resume() (err error) {
 	defer func() {
 		r.resumeErr = err
@@ -107,12 +108,12 @@
 	return d.build()
 }
 
-// haveSameFiles reports whether the state directory and the control socket are the same.
+// haveSamePaths reports whether a and b have the same state directory and control socket.
 func haveSamePaths(a, b config.Process) bool {
 	return a.StateDir == b.StateDir && a.ControlSocket == b.ControlSocket
 }
 
-// awaitResume waits until resume has returned, and returns its error.
+// awaitResume waits until resume has returned, and returns its result.
 func (r *drainedDaemon) awaitResume(ctx context.Context) error {
 	select {
 	case <-r.resumed:
@@ -165,8 +166,8 @@
 // Upgrade implements manage.Daemon.
 func (r *drainedDaemon) Upgrade(context.Context, string) error { return errIsDrained }
 
-// Drain implements manage.Daemon: the process ends. Its supervisor may restart it; it is drained then as
-// long as that is the desired state.
+// Drain implements manage.Daemon. It ends the process. A process that the supervisor starts in its place is drained too,
+// as long as that is the desired state.
 func (r *drainedDaemon) Drain(bool) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -215,7 +216,7 @@
 	return r.daemon.Claim(ctx, claim)
 }
 
-// RunCommand implements manage.Daemon. A command to serve ends when the daemon serves.
+// RunCommand implements manage.Daemon. A command to serve ends when the daemon is ready.
 func (r *drainedDaemon) RunCommand(ctx context.Context, command desiredstate.Command) error {
 	isComplete, err := r.runCommand(command)
 	if isComplete {
@@ -227,8 +228,8 @@
 	return r.daemon.RunCommand(ctx, command)
 }
 
-// runCommand runs a command as far as a drained daemon can. Where isComplete is false, the daemon runs the command once
-// it has resumed.
+// runCommand runs the part of a command that needs no node. If isComplete is false, the caller has to run the command on
+// the resumed daemon.
 func (r *drainedDaemon) runCommand(command desiredstate.Command) (isComplete bool, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/daemon/groupsize.go
+++ b/internal/daemon/groupsize.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// groupSizeInterval is the time between two comparisons of the group's size with load reports.
+// groupSizeInterval is the time between two comparisons of the configured group size with the load reports.
 const groupSizeInterval = 2 * time.Second
 
-// watchGroupSize logs when the load reports of a service's servers begin to contradict the configured group size, and
-// when that ends, until ctx ends.
+// watchGroupSize compares the configured group size with the load reports of each service's servers until ctx ends. It
+// logs when they begin to contradict each other and when they agree again.
 func (d *daemon) watchGroupSize(ctx context.Context) {
 	ticker := time.NewTicker(groupSizeInterval)
 	defer ticker.Stop()
-	wasContradicted := make(map[string]bool) // by service
+	wasContradicted := make(map[string]bool) // by service name
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -12,13 +12,13 @@
 	"lockflow/internal/supervise"
 )
 
-// event is posted by another goroutine for the event loop.
+// event is an event that another goroutine posts to the event loop.
 type event interface {
-	// handle handles the event in the event loop. An error ends the daemon.
+	// handle processes the event in the goroutine of the event loop. An error ends the daemon.
 	handle(d *daemon) error
 }
 
-// post passes an event to the event loop; it is dropped where the loop has ended.
+// post sends an event to the event loop. The event is dropped if the loop has ended.
 func (d *daemon) post(e event) {
 	select {
 	case d.events <- e:
@@ -26,7 +26,7 @@
 	}
 }
 
-// run runs the node and the event loop until the node has ended. The end of ctx begins a drain.
+// run runs the node and the event loop until the node has ended. It begins a drain when ctx ends.
 func (d *daemon) run(ctx context.Context) error {
 	defer d.goroutines.Wait()
 	defer close(d.loopEnded)
@@ -60,8 +60,8 @@
 	}
 }
 
-// loop handles events until the node has ended. A channel that is closed, or has delivered its one event, is nil from
-// then on.
+// loop handles events until the node has ended. It sets a channel variable to nil when the channel is closed or has
+// delivered its only event.
 func (d *daemon) loop(ctx context.Context, nodeEnded <-chan error) error {
 	stop := ctx.Done()
 	ready := d.node.Ready()
@@ -99,8 +99,7 @@
 	}
 }
 
-// handleEvent handles one event. Where that fails it drains the node, waits for its end and returns the errors of
-// both.
+// handleEvent handles one event. If that fails, it drains the node, waits for the node's end and returns both errors.
 func (d *daemon) handleEvent(e event, nodeEnded <-chan error) error {
 	err := e.handle(d)
 	if err == nil {
@@ -111,7 +110,7 @@
 		select {
 		case e := <-d.events:
 			if f, ok := e.(drainFinished); ok {
-				close(f.done) // without a checkpoint: the predecessor has the file
+				close(f.done) // no checkpoint is saved: the predecessor still owns the file
 			}
 		case nodeErr := <-nodeEnded:
 			return errors.Join(err, nodeErr)
@@ -119,16 +118,16 @@
 	}
 }
 
-// nodeReady is called once, when every required service can serve.
+// nodeReady is called a single time, when every required service can serve.
 func (d *daemon) nodeReady() {
 	if d.predecessor != nil {
-		go d.requestCheckpoint() // not waited for: it may outlast the event loop
+		go d.requestCheckpoint() // run does not wait for it: it may block beyond the end of the event loop
 		return
 	}
 	d.servicesReady()
 }
 
-// servicesReady advances to ready and ends a command to serve.
+// servicesReady advances the lifecycle to ready and ends a running command to serve.
 func (d *daemon) servicesReady() {
 	d.advance(lifecycle.ServicesReady{})
 	if d.running != nil && d.running.kind == desiredstate.KindServe && !d.running.isInherited {
@@ -144,9 +143,9 @@
 	d.advance(lifecycle.UpgradeRequested{Cause: "SIGUSR2"})
 }
 
-// advance passes an event to the state machine and carries out the actions that it returns.
+// advance passes an event to the state machine and performs the actions that it returns.
 func (d *daemon) advance(e lifecycle.Event) {
-	// The machine reuses its slice, and an action may advance it too.
+	// The actions are copied because the machine reuses its slice and an action may call advance.
 	actions := append([]lifecycle.Action(nil), d.machine.Handle(e)...)
 	for _, a := range actions {
 		d.perform(a)
@@ -190,7 +189,7 @@
 	return nil
 }
 
-// loopCall has the event loop call a function, which may use what the loop owns.
+// loopCall is an event that calls a function in the goroutine of the event loop, whose fields the function may use.
 type loopCall struct{ call func() }
 
 func (c loopCall) handle(*daemon) error {
@@ -198,7 +197,8 @@
 	return nil
 }
 
-// callInLoop calls a function in the event loop, or here where that has ended, and returns after it.
+// callInLoop calls a function in the goroutine of the event loop and waits for its return. If the loop has ended, it
+// calls the function itself.
 func (d *daemon) callInLoop(call func()) {
 	done := make(chan struct{})
 	d.post(loopCall{func() {
@@ -209,14 +209,14 @@
 	case <-done:
 	case <-d.loopEnded:
 		select {
-		case <-done: // the loop's last event
+		case <-done: // the call was the last event of the loop
 		default:
 			call()
 		}
 	}
 }
 
-// reload reads the configuration and puts it in force.
+// reload loads the configuration file and applies it.
 func (d *daemon) reload() {
 	cfg, err := d.opts.LoadConfig()
 	if err == nil {
@@ -228,7 +228,7 @@
 	d.post(reloadFinished{cfg, err})
 }
 
-// reloadFinished is the end of a reload; cfg is in force where err is nil.
+// reloadFinished reports the end of a reload. If err is nil, cfg is in force.
 type reloadFinished struct {
 	cfg config.Config
 	err error
@@ -248,7 +248,7 @@
 	return nil
 }
 
-// notifySupervisor notifies the supervisor. One that can't be notified doesn't end a daemon that serves.
+// notifySupervisor sends a notification to the supervisor. A failure is only logged, since the daemon can still serve.
 func (d *daemon) notifySupervisor(n lifecycle.Notification) {
 	var err error
 	switch n {
@@ -262,7 +262,7 @@
 	logSupervisor(err)
 }
 
-// logSupervisor logs that a notification has failed; nil is none.
+// logSupervisor logs the error of a supervisor notification, if any.
 func logSupervisor(err error) {
 	if err != nil {
 		slog.Warn("supervisor notification failed", "err", err)
--- a/internal/daemon/member.go
+++ b/internal/daemon/member.go
@@ -11,18 +11,18 @@
 	"lockflow/internal/manage"
 )
 
-// member is this process's view of the fleet member that it runs: which coordinator's epoch is granted, which
-// commands it has run, and its desired state. It is not safe for concurrent use: the event loop uses it, or before
-// that runs the holder of drainedDaemon.mu.
+// member is this process's view of the fleet member that it runs: the granted epoch and its owner, the commands that
+// have run, and the desired state. It is not safe for concurrent use. Only the event loop uses it or, before that runs,
+// the goroutine that holds drainedDaemon.mu.
 type member struct {
 	store        *desiredstate.File
 	desiredState desiredstate.State
-	isSaved      bool // the store has desiredState as it is
+	isSaved      bool // whether the store contains desiredState unchanged
 	conditions   *degradedConditions
 }
 
-// openMember opens the desired state in a state directory (empty for none). inherited is the predecessor's file, which
-// is read at the take-over; nil where there is none.
+// openMember opens the desired state in a state directory; an empty directory is none. inherited is the predecessor's
+// file, which is read at the take-over, or nil without a predecessor.
 func openMember(directory string, inherited *os.File, conditions *degradedConditions) (*member, error) {
 	store, err := desiredstate.Open(directory, inherited)
 	if err != nil {
@@ -35,8 +35,8 @@
 	return m, nil
 }
 
-// load reads the desired state. One that can't be read is lost: the member rejects every coordinator until a claim with
-// the loss's token.
+// load reads the desired state. If that fails, the granted epochs are lost, and the member rejects every coordinator
+// until a claim contains the token of the loss.
 func (m *member) load() {
 	loaded, err := m.store.Load()
 	if err != nil {
@@ -54,7 +54,7 @@
 	}
 }
 
-// save replaces the desired state by next once next is stored; where that fails it is unchanged.
+// save stores next and then makes it the desired state. If storing fails, the desired state is unchanged.
 func (m *member) save(next desiredstate.State) error {
 	if m.isSaved && reflect.DeepEqual(m.desiredState, next) {
 		return nil
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// record replaces the desired state by next, which has what happened already, also where it can't be stored. The next
-// process then finds the earlier one and recovers by what it observes.
+// record makes next the desired state even if it can't be stored, because it describes what has happened already. After
+// such a failure the next process loads the older state and recovers the command from what it observes.
 func (m *member) record(next desiredstate.State) {
 	if err := m.save(next); err != nil {
 		slog.Error("command outcome not saved", "err", err)
@@ -81,7 +81,7 @@
 	}
 }
 
-// grantEpoch grants a claim or rejects it.
+// grantEpoch grants a coordinator's claim, or returns why it is rejected.
 func (m *member) grantEpoch(claim desiredstate.Claim) error {
 	next, err := m.desiredState.Grant(claim)
 	if err != nil {
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// setDrained sets for the operator, regardless of epochs, whether the desired state is drained. Without a state
-// directory that can't be stored, and the daemon drains all the same.
+// setDrained sets whether the desired state is drained, at the request of an operator and regardless of epochs. Without a
+// state directory a drained state can't be stored; setDrained then returns nil, so that the daemon still drains.
 func (m *member) setDrained(isDrained bool) error {
 	if m.store.IsVolatile() && isDrained {
 		return nil
@@ -106,7 +106,7 @@
 	return m.save(m.desiredState.SetDrained(isDrained))
 }
 
-// addStatus fills in what the status shows of the member.
+// addStatus sets the member's fields in a status.
 func (m *member) addStatus(s *manage.Status) {
 	s.Epoch = m.desiredState.Epoch
 	s.Owner = m.desiredState.Owner
@@ -119,7 +119,7 @@
 	}
 }
 
-// outcomeError returns what is answered to a command that has ended: nil where it succeeded.
+// outcomeError returns the answer for a command that has ended, nil if it succeeded.
 func outcomeError(outcome desiredstate.Outcome) error {
 	if outcome.Code == desiredstate.CodeOK {
 		return nil
@@ -127,12 +127,12 @@
 	return &desiredstate.RejectedError{Code: outcome.Code, Text: outcome.Error}
 }
 
-// busyError returns a rejection after which the caller may retry.
+// busyError returns a rejection that the caller may retry.
 func busyError(format string, args ...any) error {
 	return &desiredstate.RejectedError{Code: desiredstate.CodeBusy, Text: fmt.Sprintf(format, args...) + ": ask again"}
 }
 
-// invalidError returns a rejection that a retry can't change.
+// invalidError returns a rejection that a retry would get too.
 func invalidError(text string) error {
 	return &desiredstate.RejectedError{Code: desiredstate.CodeInvalid, Text: text}
 }
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -11,11 +11,11 @@
 	"lockflow/internal/node"
 )
 
-// metricsRetryInterval is the pause before another attempt to listen at the metrics' address.
+// metricsRetryInterval is the time between two attempts to listen on the metrics address.
 const metricsRetryInterval = 500 * time.Millisecond
 
-// startMetrics serves metrics until ctx ends, where an address is configured. It retries while the address is in use:
-// during an upgrade the predecessor has it until its end.
+// startMetrics serves metrics until ctx ends, if an address is configured. It retries while the address is in use:
+// during an upgrade the predecessor listens on it until it ends.
 func (d *daemon) startMetrics(ctx context.Context) {
 	address := d.cfg.Metrics
 	if address == "" {
@@ -50,7 +50,7 @@
 	}
 }
 
-// memberMetrics is the source of the metrics of a node that is a member of a fleet.
+// memberMetrics is the metrics source of a node that is a fleet member.
 type memberMetrics struct {
 	*node.Node
 	daemon *daemon
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -8,9 +8,9 @@
 	"lockflow/internal/state"
 )
 
-// This file has the new process's side of a binary upgrade, in which it takes its predecessor's place.
+// This file contains the new process's side of a binary upgrade, in which it replaces its predecessor.
 
-// receivedCheckpoint is the predecessor's checkpoint, or why there is none.
+// receivedCheckpoint is the predecessor's encoded checkpoint, or the error that prevented its receipt.
 type receivedCheckpoint struct {
 	encoded []byte
 	err     error
@@ -18,7 +18,7 @@
 
 func (r receivedCheckpoint) handle(d *daemon) error { return d.takeOver(r) }
 
-// receivedFinalCheckpoint is the final checkpoint of the predecessor, which has ended; nil where it sent none.
+// receivedFinalCheckpoint reports that the predecessor has ended. encoded is its final checkpoint, or nil if it sent none.
 type receivedFinalCheckpoint struct{ encoded []byte }
 
 func (r receivedFinalCheckpoint) handle(d *daemon) error {
@@ -26,14 +26,14 @@
 	return nil
 }
 
-// requestCheckpoint reports to the predecessor that this process could serve, and waits for its checkpoint.
+// requestCheckpoint reports to the predecessor that this process is able to serve, and waits for the checkpoint.
 func (d *daemon) requestCheckpoint() {
 	encoded, err := d.predecessor.AwaitCheckpoint()
 	d.post(receivedCheckpoint{encoded, err})
 }
 
-// takeOver accepts connections, together with the predecessor until that has drained. An error ends this process, and
-// the predecessor continues.
+// takeOver begins to accept connections. Until the predecessor has drained, both processes serve. An error ends this
+// process, and the predecessor continues alone.
 func (d *daemon) takeOver(received receivedCheckpoint) error {
 	checkpoint, err := state.Decode(received.encoded)
 	if received.err != nil {
@@ -47,7 +47,7 @@
 	}
 	d.takeOverDesiredState()
 	if err := d.listenControl(d, true); err != nil {
-		if received.err == nil { // the predecessor runs and can go on with its own socket
+		if received.err == nil { // the predecessor still runs and keeps its control socket
 			return err
 		}
 		logControlSocket(err)
@@ -58,14 +58,14 @@
 	if err := d.predecessor.AnnounceTakeOver(); err != nil {
 		slog.Warn("upgrade: predecessor has ended", "err", err)
 	}
-	go func() { // not waited for: the predecessor may outlive this process
+	go func() { // run does not wait for it: the predecessor may outlive this process
 		d.post(receivedFinalCheckpoint{d.predecessor.AwaitFinalCheckpoint()})
 	}()
 	d.servicesReady()
 	return nil
 }
 
-// takeFinalCheckpoint adds what the predecessor left to this process's part.
+// takeFinalCheckpoint adds the predecessor's remaining quota to this process's fraction.
 func (d *daemon) takeFinalCheckpoint(received receivedFinalCheckpoint) {
 	if checkpoint, err := state.Decode(received.encoded); err == nil {
 		d.node.Rejoin(&checkpoint)
--- a/internal/daemon/requests.go
+++ b/internal/daemon/requests.go
@@ -8,11 +8,10 @@
 	"lockflow/internal/lifecycle"
 )
 
-// upgradeCausePrefix precedes the program's path in the cause of an upgrade that was requested by the control
-// socket.
+// upgradeCausePrefix precedes the program's path in the cause of an upgrade that was requested on the control socket.
 const upgradeCausePrefix = "control socket: "
 
-// reloadRequest requests a reload; its result is sent to answer, which has space for it.
+// reloadRequest requests a reload. The result is sent to answer, which is buffered.
 type reloadRequest struct {
 	cause  string
 	answer chan error
@@ -33,10 +32,10 @@
 	return nil
 }
 
-// upgradeRequest requests an upgrade to a program; its result is sent to answer, which has space for it.
+// upgradeRequest requests an upgrade to a program. The result is sent to answer, which is buffered.
 type upgradeRequest struct {
 	program   string
-	isCommand bool // by the command that runs
+	isCommand bool // whether the running command requests it
 	answer    chan error
 }
 
@@ -79,10 +78,11 @@
 	return d.postAndWait(ctx, upgradeRequest{program: program, answer: answer}, answer)
 }
 
-// errEnded is the answer of a daemon that has ended. What was running may have succeeded: the next process finds out.
+// errEnded is the answer to requests whose daemon has ended. The requested operation may have succeeded; the next process
+// determines that.
 var errEnded = errors.New("the daemon has ended")
 
-// postAndWait posts an event and waits for its answer.
+// postAndWait posts an event and waits for its answer, the end of the event loop or the end of ctx.
 func (d *daemon) postAndWait(ctx context.Context, e event, answer <-chan error) error {
 	d.post(e)
 	select {
@@ -100,14 +100,14 @@
 	}
 }
 
-// answerEach sends err to each of answers, which have space for it.
+// answerEach sends err to each of answers, which are buffered channels.
 func answerEach(answers []chan error, err error) {
 	for _, answer := range answers {
 		answer <- err
 	}
 }
 
-// answerAllRequests answers all requests of reloads and upgrades that wait.
+// answerAllRequests sends err to all waiting requests for a reload or an upgrade.
 func (d *daemon) answerAllRequests(err error) {
 	answerEach(d.pendingReloads, err)
 	answerEach(d.runningReloads, err)
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -12,8 +12,8 @@
 	"lockflow/internal/state"
 )
 
-// applySettings replaces the configuration file by a command's and reloads it; inForce is the configuration
-// until then. After an error the file is as it was; isRolledBack reports that it was replaced meanwhile.
+// applySettings replaces the configuration file by the text of a command and reloads it. inForce is the configuration
+// before. After an error the file has its old content; isRolledBack reports that it was replaced and then restored.
 func (d *daemon) applySettings(inForce config.Config, operation desiredstate.Operation) (isRolledBack bool, err error) {
 	text := []byte(operation.Text)
 	next, err := d.opts.ParseConfig(text)
@@ -34,7 +34,7 @@
 		return false, fmt.Errorf("replacing the settings: %w", err)
 	}
 	if inForce.Hash == operation.Hash {
-		return false, nil // these settings are in force already: only the file differed
+		return false, nil // the file differed, but these settings are in force already
 	}
 	answer := make(chan error, 1)
 	err = d.postAndWait(context.Background(), reloadRequest{"order", answer}, answer)
@@ -47,9 +47,9 @@
 	return true, err
 }
 
-// rollBackSettings restores the configuration file that a command has replaced, where the daemon can't start with
-// the new one. hash is that of the new one, or empty where it could not be read. It returns whether the file is another
-// one now, so that the daemon may try to start with it.
+// rollBackSettings restores the configuration file that an interrupted command replaced, because the daemon can't start
+// with the new one. hash is the hash of the new file, or empty if the file could not be read. It returns whether the file
+// has changed, so that the daemon may try to start with the restored one.
 func rollBackSettings(m *member, opts Options, hash string, cause error) bool {
 	running := m.desiredState.Running
 	if running == nil || running.Kind != desiredstate.KindSettings {
@@ -60,7 +60,7 @@
 	}
 	old, err := m.store.OldSettings()
 	if err == nil && desiredstate.Hash(old) == running.Hash {
-		return false // the command changed nothing
+		return false // the command did not change the settings
 	}
 	if err == nil {
 		err = desiredstate.ReplaceFile(opts.ConfigPath, old)
@@ -75,8 +75,8 @@
 	return true
 }
 
-// rollBackUnreadableSettings is rollBackSettings where the configuration can't be read at all, so that the state
-// directory is known by the options alone.
+// rollBackUnreadableSettings calls rollBackSettings for a configuration file that can't be read, so that the state
+// directory is known from the options only.
 func rollBackUnreadableSettings(opts Options, cause error) bool {
 	if opts.StateDirectory == "" {
 		return false
@@ -85,7 +85,7 @@
 	if err != nil {
 		return false
 	}
-	defer store.Close() //nolint:errcheck // the lock alone, which ends with its file
+	defer store.Close() //nolint:errcheck // closes only the lock file, and the lock ends with it
 	m, err := openMember(opts.StateDirectory, nil, &degradedConditions{})
 	if err != nil {
 		return false
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -42,7 +42,7 @@
 	return s
 }
 
-// addMemberStatus fills in what the event loop owns.
+// addMemberStatus sets the fields whose values the event loop owns, so it has to be called in the loop.
 func (d *daemon) addMemberStatus(s *manage.Status) {
 	s.ConfigHash = d.cfg.Hash
 	d.member.addStatus(s)
@@ -60,17 +60,17 @@
 	return stats
 }
 
-// openDescriptors returns how many file descriptors this process has open, 0 where /proc is not readable.
+// openDescriptors returns the number of open file descriptors of this process, or 0 if /proc is not readable.
 func openDescriptors() int {
 	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		return 0
 	}
-	return len(entries) - 1 // without that of the directory itself
+	return len(entries) - 1 // without the descriptor of the directory itself
 }
 
-// residentMemoryKB returns the resident memory (proc(5)) in kB, or what the Go runtime has from the system
-// where there is no /proc.
+// residentMemoryKB returns the resident memory (proc(5)) in kB. If /proc is not readable, it returns the memory that the
+// Go runtime has obtained from the system.
 func residentMemoryKB() int {
 	if pages, err := residentPages(); err == nil {
 		return pages * os.Getpagesize() >> 10
@@ -80,7 +80,7 @@
 	return int(stats.Sys >> 10)
 }
 
-// residentPages returns the second field of /proc/self/statm.
+// residentPages returns the number of resident pages, the second field of /proc/self/statm.
 func residentPages() (int, error) {
 	raw, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -15,37 +15,37 @@
 	"lockflow/internal/upgrade"
 )
 
-// This file has the old process's side of a binary upgrade, in which it starts a successor and hands over to it.
+// This file contains the old process's side of a binary upgrade, in which it starts a successor and hands over to it.
 
-// successorFraction is the part of what is left to spend that a successor gets while both processes serve:
-// requests still arrive over the old process's connections until it has closed them.
+// successorFraction is the fraction of the remaining quota that a successor gets while both processes serve. The old
+// process needs the rest, because requests arrive over its connections until it has closed them.
 const successorFraction = 0.5
 
-// successorPhase is what a successor has reached.
+// successorPhase is the progress of a successor.
 type successorPhase int
 
 const (
 	successorStarting      successorPhase = iota
-	successorHasCheckpoint                // it has been sent its part
+	successorHasCheckpoint                // its checkpoint has been sent
 	successorServing                      // it accepts connections
 )
 
-// successor is a new process that is to take this one's place.
+// successor is a new process that is to replace this one.
 type successor struct {
 	*upgrade.Successor
 	phase          successorPhase
-	sentCheckpoint *state.Checkpoint // nil until it has been sent
-	timer          *time.Timer       // of its start, then of its probation
-	endCause       error             // why it was killed, or has ended
-	isDetached     bool              // the daemon no longer handles its events
+	sentCheckpoint *state.Checkpoint // nil until the checkpoint is sent
+	timer          *time.Timer       // limits the start, then the probation
+	endCause       error             // why the process was killed or has ended
+	isDetached     bool              // whether the daemon ignores its events
 }
 
-// successorEvent is what a successor did, or, with isLate or isConfirmed, that one of its timers has fired.
+// successorEvent is an event of a successor or, with hasTimedOut or isProbationOver, the expiry of one of its timers.
 type successorEvent struct {
 	successor       *successor
 	event           upgrade.Event
-	hasTimedOut     bool // the time in which it had to accept connections is over
-	isProbationOver bool // its probation has ended
+	hasTimedOut     bool // the timeout for accepting connections has expired
+	isProbationOver bool // the probation has ended
 }
 
 // spawnSuccessor starts a successor.
@@ -63,14 +63,14 @@
 	slog.Info("upgrade: successor started", "program", program, "pid", s.PID())
 	d.successor = s
 	s.timer = time.AfterFunc(d.cfg.Process.Upgrade.ReadyTimeout, func() { d.post(successorEvent{successor: s, hasTimedOut: true}) })
-	go func() { // not waited for: the successor may outlive this process
+	go func() { // run does not wait for it: the successor may outlive this process
 		for e := range s.Events() {
 			d.post(successorEvent{successor: s, event: e})
 		}
 	}()
 }
 
-// startSuccessor starts a program with copies of this process's listeners, locks and desired state.
+// startSuccessor starts a program that inherits this process's listeners, lock files and desired state.
 func (d *daemon) startSuccessor(program string) (*successor, error) {
 	listeners, err := d.node.ListenerFiles()
 	if err != nil {
@@ -78,7 +78,7 @@
 	}
 	files := make(map[string]*os.File)
 	for address, f := range listeners {
-		defer f.Close() //nolint:errcheck // a copy of a socket, which nothing is written to
+		defer f.Close() //nolint:errcheck // a duplicate of a listening socket, to which nothing is written
 		files[filePrefixListener+address] = f
 	}
 	if f := d.pidFile.File(); f != nil {
@@ -105,7 +105,7 @@
 			s.Kill()
 		}
 	case e.isProbationOver:
-		if d.running != nil { // the successor has saved the outcome, and this process won't resume
+		if d.running != nil { // the successor has saved the outcome, and this process does not resume any more
 			d.answerCommand(desiredstate.Outcome{ID: d.running.id, Code: desiredstate.CodeOK})
 		}
 		d.advance(lifecycle.SuccessorConfirmed{})
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// hasServingSuccessor reports whether a successor accepts connections in this process's place.
+// hasServingSuccessor reports whether a successor accepts connections instead of this process.
 func (d *daemon) hasServingSuccessor() bool {
 	return d.successor != nil && d.successor.phase == successorServing
 }
@@ -136,10 +136,10 @@
 	d.advance(lifecycle.SuccessorLost{Err: s.endCause})
 }
 
-// sendCheckpoint sends the successor its part of what is left to spend, and what was learned.
+// sendCheckpoint sends the successor its fraction of the remaining quota and the estimates.
 func (d *daemon) sendCheckpoint() {
 	s := d.successor
-	d.checkpointer.ownsFile.Store(false) // the files are the successor's from now on
+	d.checkpointer.ownsFile.Store(false) // from now on the successor owns the files
 	checkpoint := d.node.HandOver(successorFraction)
 	s.sentCheckpoint = &checkpoint
 	s.phase = successorHasCheckpoint
@@ -149,7 +149,7 @@
 		s.Kill()
 		return
 	}
-	go func() { // not waited for: it ends when the successor has read the checkpoint or has ended
+	go func() { // run does not wait for it: it ends when the successor has read the checkpoint or has ended
 		if err := s.SendCheckpoint(encoded); err != nil {
 			slog.Warn("upgrade: checkpoint not sent to successor", "err", err)
 			s.Kill()
@@ -157,7 +157,7 @@
 	}()
 }
 
-// yieldToSuccessor leaves new connections to the successor and begins its probation.
+// yieldToSuccessor stops accepting connections and begins the successor's probation.
 func (d *daemon) yieldToSuccessor() {
 	s := d.successor
 	probation := d.cfg.Process.Upgrade.Probation
@@ -171,7 +171,7 @@
 	s.timer = time.AfterFunc(probation, func() { d.post(successorEvent{successor: s, isProbationOver: true}) })
 }
 
-// resumeAlone continues without the successor, which has ended or could not be started.
+// resumeAlone continues without a successor after it has ended or could not be started.
 func (d *daemon) resumeAlone() {
 	s := d.successor
 	d.successor = nil
@@ -196,11 +196,11 @@
 	d.pendingUpgrades = nil
 }
 
-// reclaimFromSuccessor takes back what a successor that has ended was sent, as far as it can't have spent it, and new
-// connections.
+// reclaimFromSuccessor takes back the quota that was sent to a successor that has ended, unless the successor may have
+// used it, and resumes accepting connections if they had been left to the successor.
 func (d *daemon) reclaimFromSuccessor(s *successor) {
 	switch s.phase {
-	case successorServing: // its part may be spent
+	case successorServing: // it may have used its quota
 		d.node.Rejoin(nil)
 		d.node.ResumeListeners()
 		logSupervisor(supervise.NotifyMainPID(os.Getpid()))
@@ -211,15 +211,15 @@
 	}
 }
 
-// reclaimFiles records this process's id where the successor may have recorded its own, and reopens the control
-// socket where the successor had replaced it.
+// reclaimFiles records this process's id in the files in which the successor may have recorded its own, and reopens the
+// control socket if the successor has replaced it.
 func (d *daemon) reclaimFiles() {
 	d.recordProcessID()
 	if old := d.controlServer; !old.OwnsSocket() {
 		if err := d.listenControl(d, true); err != nil {
 			logControlSocket(err)
 		}
-		go old.Shutdown() // ends in a bounded time; it still answers the request of the upgrade
+		go old.Shutdown() // ends in bounded time, after it has answered the request for the upgrade
 	}
 }
 
@@ -227,7 +227,7 @@
 	slog.Warn("upgrade: control socket not replaced", "err", err)
 }
 
-// recordProcessID writes this process's id into the files that name the daemon's process.
+// recordProcessID writes this process's id to the pid file and the lock file of the state directory.
 func (d *daemon) recordProcessID() {
 	if err := d.pidFile.RecordProcessID(); err != nil {
 		slog.Warn("process id not recorded", "err", err)
@@ -237,7 +237,7 @@
 	}
 }
 
-// killSuccessor kills a successor that has not taken over, as the daemon is to end.
+// killSuccessor kills a successor that has not taken over, because the daemon is to end.
 func (d *daemon) killSuccessor() {
 	s := d.successor
 	d.successor = nil
@@ -251,7 +251,7 @@
 	d.pendingUpgrades = nil
 }
 
-// forwardReload has the successor reload its configuration.
+// forwardReload signals the successor to reload its configuration.
 func (s *successor) forwardReload() {
 	if err := s.Signal(syscall.SIGHUP); err != nil {
 		slog.Warn("upgrade: reload not forwarded to successor", "err", err)
--- a/internal/lifecycle/actions.go
+++ b/internal/lifecycle/actions.go
@@ -1,49 +1,49 @@
 package lifecycle
 
-// Action is something that the caller of Machine.Handle has to do.
+// Action is an action that the caller of Machine.Handle has to perform.
 type Action interface{ isAction() }
 
-// LogTransition logs a transition and its cause, or, where both states are the same, that a request was ignored.
+// LogTransition logs a transition and its cause. If both states are the same, it logs that a request was ignored.
 type LogTransition struct {
 	From, To State
 	Cause    string
 }
 
-// StartReload starts a reload. Its end has to be reported as ReloadFinished; no other reload starts before.
+// StartReload starts a reload. Its end has to be reported as ReloadFinished. No other reload starts before that.
 type StartReload struct{}
 
-// SpawnSuccessor starts a successor. What it does has to be reported as SuccessorPrepared, SuccessorTookOver and
-// SuccessorConfirmed, in this order, or as SuccessorLost at any point.
+// SpawnSuccessor starts a successor. Its progress has to be reported as SuccessorPrepared, SuccessorTookOver and
+// SuccessorConfirmed, in this order, and its failure at any point as SuccessorLost.
 type SpawnSuccessor struct{}
 
-// SendCheckpoint sends the successor its part of what is left to spend.
+// SendCheckpoint sends the successor a checkpoint with its fraction of the remaining quota.
 type SendCheckpoint struct{}
 
-// YieldToSuccessor stops accepting connections: the successor accepts them.
+// YieldToSuccessor stops accepting connections, since the successor accepts them.
 type YieldToSuccessor struct{}
 
-// ResumeAlone continues without the successor: it reclaims the part that was sent and, after YieldToSuccessor,
-// resumes accepting connections.
+// ResumeAlone continues without the successor. It reclaims the quota that was sent and, after YieldToSuccessor, resumes
+// accepting connections.
 type ResumeAlone struct{}
 
-// KillSuccessor kills the successor; no event of it has to be reported after that.
+// KillSuccessor kills the successor. None of its events has to be reported after that.
 type KillSuccessor struct{}
 
-// ForwardReload has the successor reload: a request to this process is meant for the one that remains.
+// ForwardReload forwards a reload request to the successor, the process that will remain.
 type ForwardReload struct{}
 
-// StartDrain starts the drain. Its end has to be reported as Finished.
+// StartDrain starts the drain, whose end has to be reported as Finished.
 type StartDrain struct{}
 
 // NotifySupervisor notifies the service manager.
 type NotifySupervisor struct{ Notification Notification }
 
-// Notification is what a service manager is notified of.
+// Notification is a change of state of which the service manager is notified.
 type Notification int
 
 // The notifications.
 const (
-	NotifyReady     Notification = iota // the daemon serves; also at the end of a reload
+	NotifyReady     Notification = iota // the daemon serves; also sent at the end of a reload
 	NotifyReloading                     // a reload has started
 	NotifyStopping                      // the daemon drains
 )
--- a/internal/lifecycle/events.go
+++ b/internal/lifecycle/events.go
@@ -1,24 +1,24 @@
 package lifecycle
 
-// Event is something that happened to the daemon, or that was requested of it.
+// Event reports a change in the daemon or a request to it.
 type Event interface{ isEvent() }
 
-// Listening reports that clients can connect.
+// Listening reports that the listeners are open and clients can connect.
 type Listening struct{}
 
-// ServicesReady reports that every required service has been able to serve.
+// ServicesReady reports that every required service is able to serve.
 type ServicesReady struct{}
 
 // ReloadRequested requests a reload of the configuration.
 type ReloadRequested struct{ Cause string }
 
-// ReloadFinished reports the end of a reload; Err is nil where the new configuration is in force.
+// ReloadFinished reports the end of a reload. If Err is nil, the new configuration is in force.
 type ReloadFinished struct{ Err error }
 
-// UpgradeRequested requests that a new process takes this one's place.
+// UpgradeRequested requests that a new process replaces this one.
 type UpgradeRequested struct{ Cause string }
 
-// SuccessorPrepared reports that the successor could serve and waits for its checkpoint.
+// SuccessorPrepared reports that the successor is able to serve and waits for its checkpoint.
 type SuccessorPrepared struct{}
 
 // SuccessorTookOver reports that the successor accepts connections.
@@ -27,16 +27,16 @@
 // SuccessorConfirmed reports that the successor has served to the end of its probation.
 type SuccessorConfirmed struct{}
 
-// SuccessorLost reports that the successor has ended, or was killed for exceeding its time.
+// SuccessorLost reports that the successor has ended, could not be started, or was killed because it timed out.
 type SuccessorLost struct{ Err error }
 
-// PredecessorEnded reports that the process that this one replaces has ended.
+// PredecessorEnded reports the end of the process that this one has replaced.
 type PredecessorEnded struct{}
 
-// StopRequested requests the daemon's end.
+// StopRequested requests that the daemon drains and ends.
 type StopRequested struct{ Cause string }
 
-// Finished reports that the drain has ended, or, with Err, that the daemon failed.
+// Finished reports that the daemon has ended: after a drain, or with Err because it failed.
 type Finished struct{ Err error }
 
 func (Listening) isEvent()          {}
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -1,27 +1,27 @@
-// Package lifecycle is a daemon's life cycle as a state machine: Machine.Handle takes an event and returns the actions
-// that follow from it. It does no I/O and has no clock. Package daemon feeds it and carries out its actions.
+// Package lifecycle implements the lifecycle of a daemon as a state machine: Machine.Handle takes an event and returns the
+// resulting actions. It does no I/O and has no clock. Package daemon passes it events and performs the actions.
 //
 //	starting -> warming -> ready <-> reloading
 //	                       ready <-> handing over -> draining
 //	    any of them -> draining -> ended
 //
-// A daemon that was ready serves by the old configuration while it reloads. It serves too while it hands over to a
-// successor process; where that is lost before the end of its probation, the daemon continues as before.
+// A daemon that was ready continues to serve by the old configuration while it reloads. It also serves while it hands
+// over to a successor process. If it loses the successor before the end of the probation, it continues as before.
 package lifecycle
 
 import "fmt"
 
-// State is a state of the daemon. Its text is in the daemon's status and log.
+// State is a state of the daemon's lifecycle.
 type State int
 
 // The states.
 const (
 	Starting    State = iota // not listening yet
-	Warming                  // listening; some required service can't serve yet
+	Warming                  // listening; at least one required service can't serve yet
 	Ready                    // every required service can serve
-	Reloading                // a configuration is being read and put in force
-	HandingOver              // a successor starts, takes over and serves its probation
-	Draining                 // ends what is in flight
+	Reloading                // a configuration is being loaded and applied
+	HandingOver              // a successor starts, takes over and is on probation
+	Draining                 // completing the requests in flight
 	Ended
 )
 
@@ -30,19 +30,19 @@
 	return [...]string{"starting", "warming", "ready", "reloading", "handing over", "draining", "ended"}[s]
 }
 
-// Machine is the life cycle of one daemon, from Starting on. Its zero value is a daemon without a predecessor. It
-// is not safe for concurrent use.
+// Machine is the state machine of one daemon, beginning in Starting. Its zero value is the machine of a daemon without a
+// predecessor. It is not safe for concurrent use.
 type Machine struct {
 	state            State
 	areServicesReady bool           // every required service has been able to serve
-	pendingReload    string         // cause of a reload that is to start later; empty for none
-	pendingUpgrade   string         // cause of an upgrade that is to start later; empty for none
-	hasPredecessor   bool           // the process that this one replaces still runs
+	pendingReload    string         // cause of a deferred reload; empty for none
+	pendingUpgrade   string         // cause of a deferred upgrade; empty for none
+	hasPredecessor   bool           // whether the process that this one replaces still runs
 	successor        successorPhase // noSuccessor unless HandingOver
-	actions          []Action       // that Handle returns
+	actions          []Action       // result of the current call of Handle
 }
 
-// successorPhase is what a successor has reached.
+// successorPhase is the progress of a successor.
 type successorPhase int
 
 const (
@@ -52,14 +52,14 @@
 	successorServing
 )
 
-// NewSuccessor returns the machine of a process that takes a predecessor's place. It starts no upgrade before
-// PredecessorEnded: what is left to spend is never divided among three processes.
+// NewSuccessor returns the machine of a process that replaces a predecessor. It defers upgrades until PredecessorEnded, so
+// that the remaining quota is never divided among three processes.
 func NewSuccessor() Machine { return Machine{hasPredecessor: true} }
 
 // State returns the current state.
 func (m *Machine) State() State { return m.state }
 
-// Handle takes an event and returns the actions that follow, in order. The slice is valid until the next call.
+// Handle processes an event and returns the resulting actions in order. The slice is valid until the next call.
 func (m *Machine) Handle(e Event) []Action {
 	m.actions = m.actions[:0]
 	if m.state == Ended {
@@ -102,7 +102,7 @@
 	return m.actions
 }
 
-// enterSteadyState enters Warming or Ready, and starts what is pending.
+// enterSteadyState enters Warming or Ready and starts a pending reload or upgrade.
 func (m *Machine) enterSteadyState(cause string) {
 	next := Warming
 	if m.areServicesReady {
@@ -160,7 +160,7 @@
 	}
 	m.successor = successorServing
 	m.emit(YieldToSuccessor{})
-	if m.pendingReload != "" { // the successor may have read the file before the request
+	if m.pendingReload != "" { // the successor may have loaded the configuration before the request
 		m.pendingReload = ""
 		m.emit(ForwardReload{})
 	}
@@ -193,7 +193,7 @@
 		}
 		m.pendingReload = cause
 	case Starting, Reloading:
-		// One more reload serves all requests that arrive meanwhile.
+		// A single further reload serves all requests that arrive until it starts.
 		m.pendingReload = cause
 	case Draining:
 		m.transition(Draining, "no reload while draining: "+cause)
@@ -223,7 +223,8 @@
 		m.transition(Draining, "stop requested again: "+cause)
 		return
 	}
-	// A successor that serves is the daemon by now: its end is requested from it, not from this process.
+	// A serving successor has replaced this process as the daemon, so only this process ends: the successor is not killed
+	// and the supervisor is not notified.
 	isSuccessorServing := m.successor == successorServing
 	isSuccessorStarting := m.successor != noSuccessor && !isSuccessorServing
 	m.successor = noSuccessor
@@ -247,7 +248,7 @@
 	m.transition(Ended, cause)
 }
 
-// transition enters a state, which may be the current one, and logs it.
+// transition enters a state, possibly the current one, and emits LogTransition.
 func (m *Machine) transition(next State, cause string) {
 	m.emit(LogTransition{m.state, next, cause})
 	m.state = next
--- a/internal/state/boot_clock.go
+++ b/internal/state/boot_clock.go
@@ -9,10 +9,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootIDPath names the machine's boot; see random(4).
+// bootIDPath is the file that identifies the current boot of the machine; see random(4).
 const bootIDPath = "/proc/sys/kernel/random/boot_id"
 
-// bootID is that of this boot; empty where it is not known.
+// bootID returns the id of the current boot, or an empty string if it is unknown.
 var bootID = sync.OnceValue(func() string {
 	raw, err := os.ReadFile(bootIDPath)
 	if err != nil {
@@ -21,8 +21,8 @@
 	return strings.TrimSpace(string(raw))
 })
 
-// uptime is the time since the machine's boot, which no step of the wall clock changes and which all processes
-// share; 0 where it is not known.
+// uptime returns the time since the machine's boot, or 0 if it is unknown. Steps of the wall clock do not affect it, and it
+// is the same for all processes.
 func uptime() time.Duration {
 	var now unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &now) != nil {
@@ -31,15 +31,15 @@
 	return time.Duration(now.Nano())
 }
 
-// Stamp sets the time at which the checkpoint was taken to now.
+// Stamp sets the time at which the checkpoint was taken to the current time.
 func (c *Checkpoint) Stamp() {
 	c.TakenAt = time.Now()
 	c.BootID = bootID()
 	c.Uptime = uptime()
 }
 
-// Age is the time since the checkpoint was taken, at least 0. It is real time as long as the machine has not booted
-// since, and otherwise that of the wall clock.
+// Age returns the time since the checkpoint was taken, at least 0. It is measured by the machine's uptime if the machine
+// has not rebooted since, and otherwise by the wall clock.
 func (c *Checkpoint) Age() time.Duration {
 	if c.BootID != "" && c.BootID == bootID() {
 		return max(0, uptime()-c.Uptime)
--- a/internal/state/checkpoint.go
+++ b/internal/state/checkpoint.go
@@ -1,10 +1,9 @@
-// Package state encodes what a node has spent and learned, and stores it in the daemon's state
-// directory: for a successor process during a binary upgrade, and for the next start.
+// Package state encodes checkpoints of a node, which contain its quota usage and estimates, for a successor process in a
+// binary upgrade. It also stores them in the daemon's state directory for the next start.
 //
-// Decoded data may originate from another version of the program, from a truncated or damaged file, or from
-// an untrusted writer: size, checksum and version are checked before anything of it is used. Package node
-// builds checkpoints; package daemon stores them and hands them over. Encode and Decode are safe for
-// concurrent use; a Store is not.
+// Encoded data may originate from another version of the program, from a truncated or damaged file, or from an untrusted
+// writer, so size, checksum and version are checked before any of it is used. Package node builds checkpoints; package
+// daemon stores them and hands them over. Encode and Decode are safe for concurrent use; a Store is not.
 package state
 
 import (
@@ -19,42 +18,42 @@
 	"lockflow/internal/service"
 )
 
-// Version is the version of the encoding. Decode rejects every other one: the meaning of its fields is not known, and a
-// start without a checkpoint is safer than a hard limit that is opened anew.
+// Version is the version of the encoding. Decode rejects every other one, because the meaning of its fields is unknown. A
+// start without a checkpoint is safer than a wrong one, by which customers could use a hard limit's quota a second time.
 const Version = 1
 
-// maxSize is the largest encoded checkpoint, in bytes without its header. Encode drops the customers whose
-// last request is the oldest until a checkpoint fits.
+// maxSize is the maximum size of an encoded checkpoint, in bytes without the header. Encode drops the least recently
+// active customers until the checkpoint fits.
 const maxSize = 32 << 20
 
-// A file begins with a header: fileMagic, then the checksum of the rest in checksumSize bytes, big endian.
+// An encoded checkpoint begins with a header: fileMagic, then the checksum of the body in checksumSize bytes, big endian.
 const (
 	fileMagic    = "lockflow state\n"
 	checksumSize = 4
 	headerSize   = len(fileMagic) + checksumSize
 )
 
-// Checkpoint is what a node has spent and learned.
+// Checkpoint contains the quota usage and the estimates of a node.
 type Checkpoint struct {
 	Version    int                      `cbor:"version"` // equals Version in what Decode returns
 	TakenAt    time.Time                `cbor:"at"`      // wall-clock time; see Age
 	BootID     string                   `cbor:"boot_id,omitempty"`
-	Uptime     time.Duration            `cbor:"uptime,omitempty"` // of the machine since that boot
-	Generation int                      `cbor:"generation"`       // of the configuration in force
-	Clean      bool                     `cbor:"clean"`            // written at the end of a graceful shutdown: nothing was spent since
+	Uptime     time.Duration            `cbor:"uptime,omitempty"` // time since the boot with BootID
+	Generation int                      `cbor:"generation"`       // generation of the configuration in force
+	Clean      bool                     `cbor:"clean"`            // written at the end of a graceful shutdown: no quota was used since
 	Services   map[string]service.State `cbor:"services"`         // by service name
-	// ScatterGathers (key gathers) holds what the wait policies of scatter-gather services have learned, by
-	// service name, as package waitpolicy encodes it. It is omitted where there are none.
+	// ScatterGathers (key gathers) contains the learned models of the wait policies of scatter-gather services, by
+	// service name, as package waitpolicy encodes them. It is omitted if there are none.
 	ScatterGathers map[string][]byte `cbor:"gathers,omitempty"`
 }
 
-// Errors of Decode and Load, in addition to VersionError, for errors.Is.
+// Errors that Decode and Load wrap, in addition to VersionError.
 var (
 	ErrNotState = errors.New("not a state file")
 	ErrDamaged  = errors.New("damaged, the checksum differs")
 )
 
-// VersionError is the error of Decode for a checkpoint of another Version.
+// VersionError is the error of Decode for a checkpoint whose version is not Version.
 type VersionError struct{ Version int }
 
 // Error names both versions.
@@ -62,8 +61,8 @@
 	return fmt.Sprintf("it is of version %d, not %d", e.Version, Version)
 }
 
-// Encode returns the stored form of c: a header with a checksum, then c as CBOR of at most maxSize bytes.
-// It drops the older half of each service's customers as often as that takes.
+// Encode returns c in its stored form: a header with a checksum, then c as CBOR of at most maxSize bytes. As long as c is
+// too large, it drops the less recently active half of each service's customers.
 func Encode(c Checkpoint) ([]byte, error) {
 	c.Version = Version
 	for {
@@ -81,8 +80,8 @@
 	}
 }
 
-// dropOlderHalf removes the older half of each service's customers, which are sorted from the most recent
-// on. It returns false where there were none.
+// dropOlderHalf removes the less recently active half of each service's customers, which are sorted from the most recent
+// to the oldest. It returns false if there were no customers.
 func dropOlderHalf(c *Checkpoint) bool {
 	remaining := make(map[string]service.State, len(c.Services))
 	dropped := false
@@ -96,7 +95,7 @@
 	return dropped
 }
 
-// Decode returns the checkpoint that Encode wrote as raw, or an error and an empty one.
+// Decode returns the checkpoint that Encode encoded as raw. With an error it returns an empty checkpoint.
 func Decode(raw []byte) (Checkpoint, error) {
 	if len(raw) < headerSize || string(raw[:len(fileMagic)]) != fileMagic {
 		return Checkpoint{}, fmt.Errorf("reading the state: %w", ErrNotState)
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -18,26 +18,26 @@
 	checkpointName = "state"
 )
 
-// Store is a daemon's state directory, locked by it: it holds the checkpoint and the lock file.
-// It is not safe for concurrent use.
+// Store is a daemon's locked state directory, which contains the checkpoint and the lock file. It is not safe for
+// concurrent use.
 type Store struct {
 	directory string
 	lock      *os.File
 }
 
-// LockedError is the error of Open where another process has the lock.
+// LockedError is the error of Open if another process has the lock.
 type LockedError struct {
 	Directory string
 	ProcessID string // as the other process has recorded it
 }
 
-// Error names the directory and the other process.
+// Error returns a message with the directory and the other process's id.
 func (e *LockedError) Error() string {
 	return fmt.Sprintf("state directory %s: another daemon has it: process %s", e.Directory, e.ProcessID)
 }
 
-// Open creates the directory where it is missing and locks it. Where another process has the lock, the
-// error is a *LockedError. inheritedLock is the lock file of the predecessor in a binary upgrade, or nil.
+// Open locks the directory, which it creates if it does not exist. If another process has the lock, the error is a
+// *LockedError. inheritedLock is the lock file of the predecessor in a binary upgrade, or nil.
 func Open(directory string, inheritedLock *os.File) (*Store, error) {
 	if err := os.MkdirAll(directory, 0o700); err != nil {
 		return nil, fmt.Errorf("state directory: %w", err)
@@ -60,14 +60,14 @@
 	}
 	s := &Store{directory, lock}
 	s.RecordProcessID()
-	if err := durable.RemoveLeftovers(s.path()); err != nil { // they cost space, and nothing else
+	if err := durable.RemoveLeftovers(s.path()); err != nil { // not fatal: leftover files only occupy disk space
 		slog.Warn("temporary files of interrupted writes not removed", "dir", directory, "err", err)
 	}
 	return s, nil
 }
 
-// RecordProcessID writes this process's id into the lock file, for the error of a second daemon's Open.
-// A failure is ignored: a disk that can't be written is no reason not to serve.
+// RecordProcessID writes this process's id to the lock file, which a second daemon's Open shows in its error. A failure is
+// ignored, because the daemon can serve without a writable disk.
 func (s *Store) RecordProcessID() {
 	id := fmt.Sprintln(os.Getpid())
 	if s.lock.Truncate(0) == nil {
@@ -75,11 +75,11 @@
 	}
 }
 
-// Directory returns the path given to Open.
+// Directory returns the path that was passed to Open.
 func (s *Store) Directory() string { return s.directory }
 
-// LockFile returns the locked file, which remains the store's. It is locked as long as any process has
-// the file open.
+// LockFile returns the lock file, which the store still has to close. It is locked as long as any process has the file
+// open.
 func (s *Store) LockFile() *os.File { return s.lock }
 
 // Close closes the lock file.
@@ -87,7 +87,7 @@
 
 func (s *Store) path() string { return filepath.Join(s.directory, checkpointName) }
 
-// Load returns the checkpoint that was saved last. The error wraps fs.ErrNotExist where there is none.
+// Load returns the last saved checkpoint. The error wraps fs.ErrNotExist if there is none.
 func (s *Store) Load() (Checkpoint, error) {
 	info, err := os.Stat(s.path())
 	if err != nil {
@@ -115,10 +115,9 @@
 	return nil
 }
 
-// Consume loads the checkpoint of the last run and saves it as not clean, so that a crash before the next
-// Save is not mistaken for a graceful shutdown. The returned checkpoint is Clean only where that save
-// succeeded; where it failed, a usable checkpoint is returned with the error. found is false where there is no
-// checkpoint, as at the first start.
+// Consume loads the checkpoint of the last run and saves it as not clean, so that a crash before the next Save is not
+// mistaken for a graceful shutdown. The returned checkpoint is Clean only if that save succeeded; if it failed, a usable
+// checkpoint is returned together with the error. found is false if there is no checkpoint, as at the first start.
 func (s *Store) Consume() (c Checkpoint, found bool, err error) {
 	c, err = s.Load()
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/supervise/listeners.go
+++ b/internal/supervise/listeners.go
@@ -8,7 +8,7 @@
 )
 
 // InheritedListeners returns the listeners that the service manager has passed to this process (LISTEN_FDS,
-// LISTEN_FDNAMES), by name. Two listeners of one name are an error, and so is a descriptor that is no stream socket.
+// LISTEN_FDNAMES), by name. It returns an error if two listeners have the same name or a descriptor is not a stream socket.
 func InheritedListeners() (map[string]net.Listener, error) {
 	byName, err := activation.ListenersWithNames()
 	if err != nil {
--- a/internal/supervise/notify.go
+++ b/internal/supervise/notify.go
@@ -1,6 +1,6 @@
-// Package supervise has the daemon's side of a service manager's protocols: systemd's notifications (sd_notify(3)), its
-// watchdog, and socket activation (sd_listen_fds(3)). It also has the pid file, whose lock keeps a second daemon from
-// starting. Package daemon uses it. Without a service manager the notifications do nothing.
+// Package supervise implements the daemon's side of systemd's service manager protocols: notifications (sd_notify(3)), the
+// watchdog, and socket activation (sd_listen_fds(3)). It also implements the pid file, whose lock prevents a second daemon
+// from starting. Package daemon uses it. Without a service manager the notifications do nothing.
 //
 // The functions are safe for concurrent use; a PIDFile is not.
 package supervise
@@ -23,27 +23,28 @@
 	return nil
 }
 
-// NotifyReady notifies that the daemon serves, also at the end of a reload.
+// NotifyReady notifies the service manager that the daemon serves, at the start and at the end of a reload.
 func NotifyReady(status string) error { return Notify(daemon.SdNotifyReady, "STATUS="+status) }
 
-// NotifyReloading notifies that a reload has started, with the monotonic time that systemd requires.
+// NotifyReloading notifies the service manager that a reload has started, with the monotonic time that systemd requires.
 func NotifyReloading() error {
 	return Notify(daemon.SdNotifyReloading, daemon.SdNotifyMonotonicUsec())
 }
 
-// NotifyMainPID notifies which process is the daemon from now on. The process that is the daemon until then calls it.
+// NotifyMainPID notifies the service manager that another process is the daemon's main process from now on. The main
+// process until then has to call it.
 func NotifyMainPID(pid int) error { return Notify(fmt.Sprint("MAINPID=", pid)) }
 
-// NotifyStopping notifies that the daemon drains.
+// NotifyStopping notifies the service manager that the daemon drains.
 func NotifyStopping() error { return Notify(daemon.SdNotifyStopping) }
 
-// notificationsPerTimeout is how often the watchdog is notified in the time after which it would kill the daemon
-// (WATCHDOG_USEC), so that one notification may be late.
+// notificationsPerTimeout is the number of notifications within the watchdog's timeout (WATCHDOG_USEC), after which it
+// kills the daemon. With 2, a single late notification does no harm.
 const notificationsPerTimeout = 2
 
-// RunWatchdog notifies the service manager's watchdog until ctx ends. It calls isAlive before each notification, with a
-// context that ends when the next one is due, and leaves out those for which isAlive returns false. Without a watchdog
-// it returns at once.
+// RunWatchdog notifies the service manager's watchdog until ctx ends. Before each notification it calls isAlive with a
+// context that ends when the next one is due, and omits the notification if isAlive returns false. Without a watchdog it
+// returns immediately.
 func RunWatchdog(ctx context.Context, isAlive func(context.Context) bool) error {
 	timeout, err := daemon.SdWatchdogEnabled(false)
 	if err != nil {
--- a/internal/supervise/pidfile.go
+++ b/internal/supervise/pidfile.go
@@ -9,29 +9,29 @@
 	"syscall"
 )
 
-// maxPIDSize is how much of another daemon's pid file an error shows, in bytes.
+// maxShownPIDSize is the maximum number of bytes of another daemon's pid file that an error shows.
 const maxShownPIDSize = 32
 
-// PIDFile is a file with the daemon's process id, locked as long as any process of the daemon has it open. The methods
-// do nothing on a nil PIDFile, which stands for a daemon without one.
+// PIDFile is a file that contains the daemon's process id and is locked as long as any process of the daemon has it open.
+// A nil PIDFile represents a daemon without one; its methods do nothing.
 type PIDFile struct {
 	file *os.File
 	path string
 }
 
-// RunningError is the error of CreatePIDFile where another process has the lock.
+// RunningError is the error of CreatePIDFile if another process has the lock.
 type RunningError struct {
 	Path      string
 	ProcessID string // as the other process has recorded it
 }
 
-// Error names the file and the other process.
+// Error returns a message with the file and the other process's id.
 func (e *RunningError) Error() string {
 	return fmt.Sprintf("%s: another daemon runs: process %s", e.Path, e.ProcessID)
 }
 
-// CreatePIDFile creates the file at path or takes over one that is not locked, locks it and writes this process's id.
-// Where another process has the lock, the error is a *RunningError.
+// CreatePIDFile locks the file at path, which it creates if it does not exist, and writes this process's id to it. If
+// another process has the lock, the error is a *RunningError.
 func CreatePIDFile(path string) (*PIDFile, error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
@@ -51,18 +51,18 @@
 	return p, nil
 }
 
-// readProcessID returns the recorded id, as far as it can be read.
+// readProcessID returns the recorded id, or an empty string if it cannot be read.
 func readProcessID(file *os.File) string {
 	content := make([]byte, maxShownPIDSize)
 	n, _ := file.Read(content)
 	return strings.TrimSpace(string(content[:n]))
 }
 
-// AdoptPIDFile returns the locked pid file at path that a successor inherits in a binary upgrade. It names the
-// predecessor until RecordProcessID.
+// AdoptPIDFile returns the locked pid file at path that a successor has inherited in a binary upgrade. It contains the
+// predecessor's id until RecordProcessID is called.
 func AdoptPIDFile(file *os.File, path string) *PIDFile { return &PIDFile{file: file, path: path} }
 
-// RecordProcessID writes this process's id.
+// RecordProcessID replaces the recorded id by this process's id.
 func (p *PIDFile) RecordProcessID() error {
 	if p == nil {
 		return nil
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// File returns the locked file, which remains p's; nil for a nil PIDFile.
+// File returns the locked file, which p still has to close, or nil if p is nil.
 func (p *PIDFile) File() *os.File {
 	if p == nil {
 		return nil
@@ -85,7 +85,7 @@
 	return p.file
 }
 
-// Release closes the file and leaves it to the other process of the daemon.
+// Release closes the file without removing it, because the daemon's other process still uses it.
 func (p *PIDFile) Release() error {
 	if p == nil {
 		return nil
@@ -98,7 +98,7 @@
 	if p == nil {
 		return nil
 	}
-	// Removed before it is unlocked: otherwise a daemon that locks it in between would lose its file.
+	// The file is removed before it is unlocked. Otherwise a new daemon could lock it in between and lose its file.
 	err := os.Remove(p.path)
 	return errors.Join(err, p.file.Close())
 }
--- a/internal/upgrade/message.go
+++ b/internal/upgrade/message.go
@@ -1,16 +1,16 @@
-// Package upgrade replaces a running process by a new one without a gap in service. The new process, the
-// successor, inherits open files; it reports when it could serve, receives what the old process, its predecessor,
-// has spent and learned, reports when it accepts connections, and receives what was left when the predecessor
-// ends. The package carries the messages; package lifecycle decides what follows from them, and package daemon
-// uses both.
+// Package upgrade replaces a running process by a new one without a gap in service. The new process, the successor,
+// inherits open files from the old one, its predecessor. The successor reports that it is able to serve, receives the
+// predecessor's checkpoint, reports that it accepts connections, and receives the predecessor's final checkpoint when
+// the predecessor ends. The package exchanges the messages; package lifecycle decides which actions result from them, and
+// package daemon uses both.
 //
 // The processes are connected by a pair of stream sockets. A message is a kind (one byte), a length (four bytes,
 // big endian) and a body of that length:
 //
-//	successor -> predecessor   P prepared            could serve, waits for a checkpoint
-//	predecessor -> successor   S checkpoint          what was spent and learned
+//	successor -> predecessor   P prepared            is able to serve, waits for a checkpoint
+//	predecessor -> successor   S checkpoint          a fraction of the remaining quota, and the estimates
 //	successor -> predecessor   T took over           accepts connections
-//	predecessor -> successor   R final checkpoint    what was left at its end
+//	predecessor -> successor   R final checkpoint    the remaining quota at the predecessor's end
 package upgrade
 
 import (
@@ -22,14 +22,14 @@
 // EnvironmentVariable is the environment variable that describes, as JSON, what a successor inherits.
 const EnvironmentVariable = "LOCKFLOW_SUCCEEDS"
 
-// protocolVersion is the version of the messages. A successor of another version ends at once, and its predecessor
+// protocolVersion is the version of the messages. A successor with another version ends immediately, and its predecessor
 // continues.
 const protocolVersion = 1
 
-// maxMessageSize is the largest body of a message, in bytes.
+// maxMessageSize is the maximum size of a message's body, in bytes.
 const maxMessageSize = 40 << 20
 
-// headerSize is the size of a message's kind and length.
+// headerSize is the size of a message's kind and length, in bytes.
 const headerSize = 1 + 4
 
 type messageKind byte
@@ -45,7 +45,7 @@
 type inheritance struct {
 	Version    int            `json:"version"`
 	Connection int            `json:"conn"`  // descriptor of the socket to the predecessor
-	Files      map[string]int `json:"files"` // descriptors by name
+	Files      map[string]int `json:"files"` // file descriptors by name
 }
 
 func writeMessage(w io.Writer, kind messageKind, body []byte) error {
@@ -57,7 +57,7 @@
 	return err
 }
 
-// readMessage reads one message. The error is io.EOF where r ends before it.
+// readMessage reads one message. The error is io.EOF if r ends before the message begins.
 func readMessage(r io.Reader) (messageKind, []byte, error) {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
--- a/internal/upgrade/predecessor.go
+++ b/internal/upgrade/predecessor.go
@@ -10,14 +10,14 @@
 	"syscall"
 )
 
-// Predecessor is the old process, as its successor sees it. TakeFile, TakeListeners and CloseUnclaimed are not safe
-// for concurrent use; the Await methods and AnnounceTakeOver are called one after the other.
+// Predecessor is the successor's connection to the old process. TakeFile, TakeListeners and CloseUnclaimed are not safe
+// for concurrent use. The Await methods and AnnounceTakeOver must not be called concurrently with each other.
 type Predecessor struct {
 	conn  net.Conn
-	files map[string]*os.File // inherited and not taken yet, by name
+	files map[string]*os.File // inherited files that have not been taken, by name
 }
 
-// ProtocolError is the error of Join where the predecessor's messages are of another version.
+// ProtocolError is the error of PredecessorFromEnvironment if the predecessor has another protocol version.
 type ProtocolError struct{ Version int }
 
 // Error names both versions.
@@ -25,7 +25,8 @@
 	return fmt.Sprintf("the old process has protocol version %d, this one %d", e.Version, protocolVersion)
 }
 
-// Join returns the process whose place this one is to take, by its environment. It returns nil where there is none.
+// PredecessorFromEnvironment returns the process that this one is to replace, as EnvironmentVariable describes it, or nil
+// if the variable is not set.
 func PredecessorFromEnvironment(getenv func(string) string) (*Predecessor, error) {
 	encoded := getenv(EnvironmentVariable)
 	if encoded == "" {
@@ -39,7 +40,7 @@
 		return nil, fmt.Errorf("%s: %w", EnvironmentVariable, ProtocolError{Version: inherited.Version})
 	}
 	socket := os.NewFile(uintptr(inherited.Connection), "predecessor")
-	defer socket.Close() //nolint:errcheck // net.FileConn copies it
+	defer socket.Close() //nolint:errcheck // net.FileConn duplicates the descriptor
 	conn, err := net.FileConn(socket)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", EnvironmentVariable, err)
@@ -52,7 +53,7 @@
 	return predecessor, nil
 }
 
-// TakeFile returns an inherited file, which becomes the caller's; nil where there is none of that name.
+// TakeFile returns the inherited file of that name, or nil if there is none. The caller has to close it.
 func (p *Predecessor) TakeFile(name string) *os.File {
 	file := p.files[name]
 	delete(p.files, name)
@@ -62,13 +63,13 @@
 // CloseUnclaimed closes the inherited files that were not taken.
 func (p *Predecessor) CloseUnclaimed() {
 	for name, file := range p.files {
-		_ = file.Close() // a socket or a lock that is not needed
+		_ = file.Close() // an unused socket or lock file, to which nothing was written
 		delete(p.files, name)
 	}
 }
 
-// TakeListeners returns the inherited files whose names begin with prefix, as listeners, by the rest of their
-// names. They become the caller's.
+// TakeListeners returns the inherited files whose names begin with prefix as listeners, by the rest of their names. The
+// caller has to close them.
 func (p *Predecessor) TakeListeners(prefix string) (map[string]net.Listener, error) {
 	listeners := make(map[string]net.Listener)
 	for name := range p.files {
@@ -78,7 +79,7 @@
 		}
 		file := p.TakeFile(name)
 		listener, err := net.FileListener(file)
-		_ = file.Close() // net.FileListener copies it
+		_ = file.Close() // net.FileListener duplicates the descriptor
 		if err != nil {
 			return nil, fmt.Errorf("taking over the listener of %s: %w", address, err)
 		}
@@ -87,8 +88,8 @@
 	return listeners, nil
 }
 
-// AwaitCheckpoint reports that this process could serve and waits for the predecessor's checkpoint. After an error
-// the predecessor has ended or sent something else, and there will be no checkpoint.
+// AwaitCheckpoint reports that this process is able to serve and waits for the predecessor's checkpoint. An error means
+// that the predecessor has ended or sent another message, and that no checkpoint will arrive.
 func (p *Predecessor) AwaitCheckpoint() ([]byte, error) {
 	checkpoint, err := p.requestCheckpoint()
 	if err != nil {
@@ -119,15 +120,15 @@
 	return nil
 }
 
-// AwaitFinalCheckpoint waits for the predecessor's end and returns its final checkpoint, nil where it sent none. It
-// closes the connection: no method may be called after it.
+// AwaitFinalCheckpoint waits for the predecessor's end and returns its final checkpoint, or nil if it sent none. It closes
+// the connection, so no method may be called after it.
 func (p *Predecessor) AwaitFinalCheckpoint() []byte {
 	defer p.conn.Close()
 	kind, body, err := readMessage(p.conn)
 	if err != nil || kind != messageFinalCheckpoint {
 		return nil
 	}
-	// The predecessor ends with its connection, not with this message.
+	// The predecessor still runs after this message. The connection closes when it ends.
 	_, _ = io.Copy(io.Discard, p.conn)
 	return body
 }
--- a/internal/upgrade/successor.go
+++ b/internal/upgrade/successor.go
@@ -14,29 +14,29 @@
 	"syscall"
 )
 
-// Program is a new process that is to start.
+// Program describes the process that Start starts.
 type Program struct {
 	Path  string
-	Args  []string // without the program's name
+	Args  []string // arguments without the program's name
 	Env   []string
-	Files map[string]*os.File // that it inherits, by name; they remain the caller's
-	Log   io.Writer           // its standard output and error; nil for this process's
+	Files map[string]*os.File // files that it inherits, by name; the caller still has to close them
+	Log   io.Writer           // receives its standard output and error; nil for those of this process
 }
 
-// Event is something that a successor did.
+// Event is a step of a successor's take-over.
 type Event int
 
-// The events, in their order. Ended is always the last one.
+// The events, in the order in which they occur. Ended is always the last one.
 const (
-	Prepared Event = iota // it could serve, and waits for a checkpoint
+	Prepared Event = iota // it is able to serve and waits for a checkpoint
 	TookOver              // it accepts connections
 	Ended
 )
 
-// eventCount is how many events a successor can have; none of them waits for its receiver.
+// eventCount is the maximum number of events of a successor. Their channel has this capacity, so that a send never blocks.
 const eventCount = 3
 
-// Successor is the new process, as its predecessor sees it. Its methods are safe for concurrent use.
+// Successor is the new process and the predecessor's connection to it. Its methods are safe for concurrent use.
 type Successor struct {
 	cmd      *exec.Cmd
 	conn     net.Conn
@@ -45,11 +45,11 @@
 	killOnce sync.Once
 }
 
-// firstInheritedDescriptor is that of the first of exec.Cmd's ExtraFiles.
+// firstInheritedDescriptor is the descriptor of the first of exec.Cmd's ExtraFiles in the new process.
 const firstInheritedDescriptor = 3
 
-// Start starts a successor, which runs until it ends or is killed; it may outlive this process. The caller receives its
-// events up to Ended.
+// Start starts a successor, which runs until it ends or is killed and may outlive this process. The caller has to receive
+// its events up to Ended.
 func Start(p Program) (*Successor, error) {
 	s, err := start(p)
 	if err != nil {
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer successorEnd.Close() //nolint:errcheck // the successor has a copy
+	defer successorEnd.Close() //nolint:errcheck // the successor has a duplicate
 	cmd, err := command(p, successorEnd)
 	if err == nil {
 		err = cmd.Start()
@@ -76,9 +76,9 @@
 	return &Successor{cmd: cmd, conn: conn, events: make(chan Event, eventCount)}, nil
 }
 
-// command returns the command that starts p with its files and the socket connection.
+// command returns the command that starts p, which inherits the files of p and the socket connection.
 func command(p Program, connection *os.File) (*exec.Cmd, error) {
-	cmd := exec.CommandContext(context.Background(), p.Path, p.Args...) // it outlives this process
+	cmd := exec.CommandContext(context.Background(), p.Path, p.Args...) // not cancelled: the process may outlive this one
 	inherited := inheritance{
 		Version:    protocolVersion,
 		Connection: firstInheritedDescriptor,
@@ -103,8 +103,8 @@
 	return cmd, nil
 }
 
-// Environment returns env without the variables that are meant for this process alone: EnvironmentVariable and
-// those of systemd's socket activation and watchdog.
+// Environment returns env without the variables that are intended only for this process: EnvironmentVariable and those of
+// systemd's socket activation and watchdog.
 func Environment(env []string) []string {
 	var inherited []string
 	for _, variable := range env {
@@ -118,14 +118,14 @@
 	return inherited
 }
 
-// socketPair returns two connected sockets, this process's and the one that the successor inherits.
+// socketPair returns two connected sockets: one for this process and one that the successor inherits.
 func socketPair() (conn net.Conn, successorEnd *os.File, err error) {
 	descriptors, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, nil, err
 	}
 	file := os.NewFile(uintptr(descriptors[0]), "successor")
-	defer file.Close() //nolint:errcheck // net.FileConn copies it
+	defer file.Close() //nolint:errcheck // net.FileConn duplicates the descriptor
 	successorEnd = os.NewFile(uintptr(descriptors[1]), "predecessor")
 	if conn, err = net.FileConn(file); err != nil {
 		return nil, nil, errors.Join(err, successorEnd.Close())
@@ -133,12 +133,12 @@
 	return conn, successorEnd, nil
 }
 
-// watch sends events until the successor has ended.
+// watch sends the successor's events until it has ended.
 func (s *Successor) watch() {
 	connErr := s.receiveEvents()
 	isConnectionClosed := errors.Is(connErr, io.EOF) || errors.Is(connErr, net.ErrClosed)
 	if !isConnectionClosed {
-		s.cmd.Process.Kill() // nothing that it sends can be relied on
+		s.cmd.Process.Kill() // the connection failed or a message violated the protocol, so later messages are not reliable
 	}
 	err := s.cmd.Wait()
 	switch {
@@ -154,8 +154,8 @@
 	close(s.events)
 }
 
-// receiveEvents sends the successor's messages as events. It returns why there are no more: io.EOF where the
-// successor has closed its connection, as a process that ends does.
+// receiveEvents reads the successor's messages and sends them as events. It returns the error that ended this: io.EOF if
+// the successor has closed its connection, as it does when it ends.
 func (s *Successor) receiveEvents() error {
 	next := Prepared
 	for {
@@ -172,27 +172,28 @@
 	}
 }
 
-// successorMessages are the messages by which a successor reports its events. Ended has none.
+// successorMessages maps the events to the messages that report them. Ended has no message.
 var successorMessages = map[Event]messageKind{
 	Prepared: messagePrepared,
 	TookOver: messageTookOver,
 }
 
-// PID returns its process id.
+// PID returns the process id of the successor.
 func (s *Successor) PID() int { return s.cmd.Process.Pid }
 
-// Events returns the channel of its events, which is closed after Ended.
+// Events returns the channel of the successor's events, which is closed after Ended.
 func (s *Successor) Events() <-chan Event { return s.events }
 
-// Err returns why it ended. It may be called after Ended was received.
+// Err returns why the successor ended. It may only be called after Ended was received.
 func (s *Successor) Err() error { return s.endCause }
 
-// SendCheckpoint sends what was spent and learned.
+// SendCheckpoint sends an encoded checkpoint.
 func (s *Successor) SendCheckpoint(checkpoint []byte) error {
 	return s.send(messageCheckpoint, checkpoint)
 }
 
-// SendFinalCheckpoint sends what is left at this process's end. The successor ignores what is sent after it.
+// SendFinalCheckpoint sends the encoded checkpoint with the remaining quota at this process's end. The successor ignores
+// any later message.
 func (s *Successor) SendFinalCheckpoint(checkpoint []byte) error {
 	return s.send(messageFinalCheckpoint, checkpoint)
 }
@@ -204,10 +205,10 @@
 	return nil
 }
 
-// Signal sends it a signal.
+// Signal sends a signal to the successor.
 func (s *Successor) Signal(sig os.Signal) error { return s.cmd.Process.Signal(sig) }
 
-// Kill kills it; Ended follows.
+// Kill kills the successor. The event Ended follows.
 func (s *Successor) Kill() {
 	s.killOnce.Do(func() { s.cmd.Process.Kill() })
 }
