--- a/internal/daemon/commands_test.go
+++ b/internal/daemon/commands_test.go
@@ -16,7 +16,7 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// changedSettings returns a command for the configuration file with old replaced by new.
+// changedSettings returns an operation that replaces the configuration file by its content with old replaced by new.
 func (r *daemonProcess) changedSettings(old, new string) desiredstate.Operation {
 	r.t.Helper()
 	raw, err := os.ReadFile(r.directory + "/c.toml")
@@ -37,7 +37,7 @@
 	return err
 }
 
-// checkError checks that err is want, or nil where that is nil.
+// checkError checks that err wraps want, or is nil if want is nil.
 func (r *daemonProcess) checkError(action string, err, want error) {
 	r.t.Helper()
 	if !errors.Is(err, want) || want == nil && err != nil {
@@ -60,8 +60,8 @@
 	return desiredstate.Hash(raw)
 }
 
-// A member accepts commands of one owner, over a reload, kill -9 and an upgrade, and runs each once, however often
-// it is sent. One that fails leaves the member as it was.
+// Across a reload, kill -9 and an upgrade, a member accepts commands only from the owner of the granted epoch, and runs
+// each a single time, however often it is sent. A command that fails leaves the settings and the desired state unchanged.
 func TestCommandRunsOnceOverReloadKillAndUpgrade(t *testing.T) {
 	r := startDaemon(t, "")
 	settings := r.changedSettings("rate = 100000", "rate = 90000")
@@ -85,7 +85,7 @@
 		t.Errorf("%+v", s)
 	}
 	checkRestartCommand(r)
-	// The trials of fleets count these two lines.
+	// The fleet trials count these two log lines.
 	for line, want := range map[string]int{`msg="command started" id=s/1 epoch=7 owner=me `: 1, `msg="coordinator epoch granted" epoch=7 owner=me` + "\n": 1} {
 		if count := strings.Count(r.log.String(), line); count != want {
 			t.Errorf("%q is logged %d times, not %d", line, count, want)
@@ -93,7 +93,7 @@
 	}
 	r.checkError("a newer epoch", r.claimEpoch(8, "me", ""), nil)
 	r.checkError("the old one", r.sendCommand(7, "s/2", settings), manage.ErrStale)
-	// By hand: another hash than the one that is wanted.
+	// A change of the file by hand results in another hash than the desired one.
 	r.writeConfig("rate = 100000", "rate = 80000")
 	if _, err := r.control.Reload(context.Background()); err != nil {
 		t.Fatal(err)
@@ -103,7 +103,7 @@
 	}
 }
 
-// checkFailingCommands checks that commands which fail or are rejected leave r with the settings of current.
+// checkFailingCommands checks that r keeps the settings of current after commands that fail or are rejected.
 func checkFailingCommands(r *daemonProcess, current desiredstate.Operation) {
 	r.t.Helper()
 	for name, operation := range map[string]desiredstate.Operation{
@@ -122,7 +122,8 @@
 	r.checkError("a program that is none", r.sendCommand(7, "p/0", desiredstate.Operation{Kind: desiredstate.KindProgram, Path: r.directory}), manage.ErrInvalid)
 }
 
-// checkRestartCommand sends a restart three times at once: it runs once, and each sender gets its outcome.
+// checkRestartCommand sends a restart three times concurrently and checks that it runs a single time and that each sender
+// gets its outcome.
 func checkRestartCommand(r *daemonProcess) {
 	r.t.Helper()
 	oldPID := r.status().PID
@@ -133,7 +134,7 @@
 	succeeded := 0
 	for range 3 {
 		err := <-answers
-		for errors.Is(err, manage.ErrBusy) || err != nil && !errors.As(err, new(manage.RejectedError)) { // it came between both processes
+		for errors.Is(err, manage.ErrBusy) || err != nil && !errors.As(err, new(manage.RejectedError)) { // the request arrived between the two processes
 			err = r.sendCommand(7, "c/1", desiredstate.Operation{Kind: desiredstate.KindRestart})
 		}
 		if r.checkError("restart", err, nil); err == nil {
@@ -148,8 +149,8 @@
 	}
 }
 
-// A command to upgrade fails where the successor can't take over or ends in its probation, and the old process goes
-// on with the newest desired state.
+// A command to upgrade fails if the successor can't take over or ends during its probation. The old process continues
+// with the newest desired state.
 func TestFailedUpgradeCommandLeavesOldProcessServing(t *testing.T) {
 	for successorFault, probation := range map[string]string{"dies": "300ms", "fails after it took over": "30s"} {
 		t.Run(successorFault, func(t *testing.T) {
@@ -169,8 +170,8 @@
 	}
 }
 
-// A command of settings that was interrupted by kill -9, at each of its steps, is finished by the next start, or runs
-// when it is sent again, or is rolled back where the daemon can't start with it.
+// A command to replace the settings that kill -9 has interrupted, at any of its steps, is finished by the next start, or
+// runs when it is sent again, or is rolled back if the daemon can't start with the new settings.
 func TestInterruptedSettingsCommandIsRecovered(t *testing.T) {
 	r := startDaemon(t, "")
 	r.checkError("a claim", r.claimEpoch(7, "me", ""), nil)
@@ -195,16 +196,16 @@
 	}
 }
 
-// interruption is a step of a command of settings after which its process was killed.
+// interruption is a step of a settings command after which the process was killed.
 type interruption struct {
 	name       string
-	change     string            // of the configuration's text
-	isOldSaved bool              // the old text was saved for a rollback
-	isReplaced bool              // the configuration file was replaced
-	wantCode   desiredstate.Code // of the command after the start; empty where it was interrupted
+	change     string            // change of the configuration text
+	isOldSaved bool              // whether the old text was saved for a rollback
+	isReplaced bool              // whether the configuration file was replaced
+	wantCode   desiredstate.Code // code of the command after the start; empty if it is interrupted
 }
 
-// prepare writes what the killed process would have left of the command id, which wants w.
+// prepare writes the files that the killed process would have left of the command id with the given operation.
 func (c interruption) prepare(t *testing.T, r *daemonProcess, id string, operation desiredstate.Operation) *desiredstate.File {
 	t.Helper()
 	file, err := desiredstate.Open(r.directory+"/state", nil)
@@ -231,8 +232,8 @@
 	return file
 }
 
-// checkRecovery checks the outcome of the command after the start, and what it does when it is sent again; was is
-// the status before.
+// checkRecovery checks the outcome of the command after the start, and its result when it is sent again. before is the
+// status before the kill.
 func (c interruption) checkRecovery(t *testing.T, r *daemonProcess, id string, operation desiredstate.Operation, before manage.Status) {
 	t.Helper()
 	s := r.status()
@@ -259,8 +260,8 @@
 	}
 }
 
-// A command of settings that is sent again after kill -9 at any moment of it succeeds, and the configuration file, the
-// settings in force and the desired state agree.
+// A settings command that is sent again after kill -9 at any time during its run succeeds. The configuration file, the
+// settings in force and the desired state then agree.
 func TestKillDuringSettingsCommandLeavesOneState(t *testing.T) {
 	r := startDaemon(t, "")
 	r.checkError("a claim", r.claimEpoch(7, "me", ""), nil)
@@ -268,7 +269,7 @@
 		settings := r.changedSettings("depth = 100000", fmt.Sprintf("depth = 100000 # %d", i))
 		pid := r.status().PID
 		killTimer := time.AfterFunc(time.Duration(3*i)*time.Millisecond, func() { syscall.Kill(pid, syscall.SIGKILL) })
-		_ = r.sendCommand(7, fmt.Sprint("s/", i), settings) // its answer may be lost
+		_ = r.sendCommand(7, fmt.Sprint("s/", i), settings) // the kill may lose the answer
 		killTimer.Stop()
 		syscall.Kill(pid, syscall.SIGKILL)
 		testkit.Until(t, "the end", func() bool { return hasEnded(pid) })
@@ -281,7 +282,7 @@
 	}
 }
 
-// A member that can't read its desired state rejects every coordinator until a claim says that it knows of the loss.
+// A member that can't read its desired state rejects every coordinator until a claim contains the token of the loss.
 func TestUnreadableDesiredStateNeedsNewClaim(t *testing.T) {
 	r := startDaemon(t, "")
 	r.checkError("a claim", r.claimEpoch(9, "you", ""), nil)
@@ -295,7 +296,7 @@
 		t.Fatal(err)
 	}
 	r.start("")
-	r.killAndWait() // it does not forget that it has lost it
+	r.killAndWait() // the loss is still known after another restart
 	r.start("")
 	s := r.status()
 	if s.LostToken == "" || !strings.Contains(strings.Join(s.DegradedConditions, " "), "orders") {
@@ -307,7 +308,7 @@
 	if s := r.status(); s.LostToken != "" || s.Epoch != 10 || strings.Contains(strings.Join(s.DegradedConditions, " "), "orders") {
 		t.Errorf("%+v", s)
 	}
-	// What can't be written is not granted, and not done.
+	// Claims and commands that can't be saved are rejected and have no effect.
 	if err := os.Rename(r.directory+"/state", r.directory+"/gone"); err != nil {
 		t.Fatal(err)
 	}
@@ -324,8 +325,8 @@
 	r.checkError("the claim too", r.claimEpoch(11, "me", ""), nil)
 }
 
-// A member whose desired state is drained ends, and started again stays drained: it has no listeners, but accepts
-// claims, settings and the command to serve.
+// A member whose desired state becomes drained ends, and is drained after each restart. It then has no listeners, but
+// accepts claims, settings and the command to serve.
 func TestDrainedDaemonStaysDrainedUntilServe(t *testing.T) {
 	r := startDaemon(t, "")
 	r.checkError("a claim", r.claimEpoch(7, "me", ""), nil)
@@ -360,7 +361,7 @@
 	if s := r.status(); !s.IsReady() || s.ConfigHash != settings.Hash || s.DesiredState.Drained || s.Epoch != 8 || s.LastCommand.ID != "v/1" {
 		t.Errorf("%+v", s)
 	}
-	// The owner's own hand.
+	// The operator drains and serves through the control socket, without a coordinator.
 	pid = r.status().PID
 	if _, err := r.control.DrainAndStay(context.Background()); err != nil {
 		t.Error(err)
@@ -374,8 +375,8 @@
 	r.awaitStatus("ready", func(s manage.Status) bool { return s.IsReady() })
 }
 
-// Without a state directory a member keeps its epoch over an upgrade, reports that a crash loses it, and rejects a
-// command to drain.
+// Without a state directory a member keeps its epoch across an upgrade, reports that a crash loses the epoch, and rejects
+// a command to drain.
 func TestEpochOutlivesUpgradeWithoutStateDirectory(t *testing.T) {
 	r := startDaemonWith(t, "", nil, "state = \"DIR/state\"\ncheckpoint = \"20ms\"\n", "")
 	r.checkError("a claim", r.claimEpoch(7, "me", ""), nil)
@@ -389,13 +390,13 @@
 	}
 }
 
-// A member's instance statistics count requests that were served and requests beyond a hard limit.
+// A member's instance statistics count requests that were served and requests that were rejected by a hard limit.
 func TestInstanceStatsCountServedAndRejected(t *testing.T) {
-	// A rate at which nothing comes back, however long the asking takes.
+	// At 0.01 units/s no token is refilled, however long the requests take.
 	r := startDaemonWith(t, "", nil, "ceiling_rate = 50", "ceiling_rate = 0.01")
 	before := r.status().Statistics
-	served := r.sendRequests(60)                                                                                            // of a burst of 50
-	r.awaitStatus("the last is counted", func(s manage.Status) bool { return s.Statistics.Requests >= before.Requests+60 }) // it is answered first
+	served := r.sendRequests(60)                                                                                            // the burst is 50
+	r.awaitStatus("the last is counted", func(s manage.Status) bool { return s.Statistics.Requests >= before.Requests+60 }) // a request is answered before it is counted
 	stats, ok := r.status().Statistics.Since(before)
 	if !ok || stats.Requests != 60 || int(stats.Delays.Total()) != served || int(stats.Rejected) != 60-served || stats.OverQuota != stats.Rejected || stats.OverQuota == 0 ||
 		stats.OfferedWeight != float64(served) || stats.Served != float64(served)-float64(stats.Late) || stats.Units < float64(served) || stats.Failed+stats.Breaches+stats.Panics > 0 || stats.CPU <= 0 || stats.MemoryKB <= 0 {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -18,8 +18,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// An upgrade under load, and a second one by the successor, lose no request, forward none twice, refuse no
-// connection and leave no degraded condition.
+// An upgrade under load, and then an upgrade of the successor, lose no request, forward none twice, refuse no connection
+// and leave no degraded condition.
 func TestUpgradeUnderLoadLosesNoRequest(t *testing.T) {
 	r := startDaemon(t, "")
 	ctx, stop := context.WithCancel(context.Background())
@@ -33,7 +33,7 @@
 		r.awaitStatus("the successor", func(s manage.Status) bool { return s.PID != old.PID && s.IsReady() })
 		testkit.Until(t, "the old one's end", func() bool { return hasEnded(old.PID) })
 		if generation == 0 {
-			r.writeConfig("rate = 100000", "rate = 90000") // reloads go on as before
+			r.writeConfig("rate = 100000", "rate = 90000") // a reload works after an upgrade
 			if s, err := r.control.Reload(ctx); err != nil || s.Generation != 2 {
 				t.Errorf("reload: generation %d, %v", s.Generation, err)
 			}
@@ -49,7 +49,7 @@
 	}
 }
 
-// Where the configuration file names another state directory at the upgrade, the successor locks that one.
+// If the configuration file has another state directory at the upgrade, the successor locks that directory.
 func TestUpgradeLocksChangedStateDirectory(t *testing.T) {
 	r := startDaemon(t, "")
 	old := r.status()
@@ -77,7 +77,7 @@
 			switch successorFault {
 			case "hangs":
 				old, new = `within = "20s"`, `within = "200ms"`
-			case "fails after it took over": // before it has proved itself, however long that takes it here
+			case "fails after it took over": // long enough that the fault occurs before the end of the probation on a slow machine
 				old, new = `probation = "300ms"`, `probation = "30s"`
 			}
 			r := startDaemonWith(t, successorFault, nil, old, new)
@@ -86,8 +86,8 @@
 	}
 }
 
-// checkFailedUpgrade upgrades r, whose successor has a fault, and checks that the upgrade's error has why in it
-// (empty for none) and that the old process serves, names itself in the pid file and can be drained.
+// checkFailedUpgrade upgrades r to a faulty successor. It checks that the upgrade's error contains wantError (empty for no
+// error), and that the old process serves, is recorded in the pid file and can be drained.
 func checkFailedUpgrade(t *testing.T, r *daemonProcess, successorFault, wantError string) {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
@@ -107,7 +107,7 @@
 	c.Close()
 	stop()
 	results := run.Wait()
-	if successorFault == "fails after it took over" { // what it had taken ended with it
+	if successorFault == "fails after it took over" { // the requests that the successor had accepted ended with it
 		for _, s := range results {
 			s.Lost = 0
 		}
@@ -122,7 +122,7 @@
 	testkit.Until(t, "the end", func() bool { return hasEnded(before.PID) })
 }
 
-// SIGTERM during an upgrade ends both processes, also with a reload pending.
+// SIGTERM during an upgrade ends both processes, even with a pending reload.
 func TestStopSignalDuringUpgradeEndsBothProcesses(t *testing.T) {
 	r := startDaemon(t, "hangs")
 	old := r.status()
@@ -142,8 +142,8 @@
 	}
 }
 
-// A hard limit over restarts: after a graceful shutdown its bucket has what was left; after kill -9 it starts
-// empty and the status lists a degraded condition.
+// After a graceful restart the token bucket of a hard limit has its remaining tokens. After kill -9 it starts empty, and
+// the status lists a degraded condition.
 func TestHardLimitOverRestarts(t *testing.T) {
 	r := startDaemon(t, "")
 	startedAt := time.Now()
@@ -163,14 +163,14 @@
 		}
 		served += r.sendRequests(60)
 	}
-	// The first start's slack and what the rate gave, the client's own time included.
+	// The slack of the first start, and the refill at the rate over the time in which the client also ran.
 	if maxServed := 2 + 50*time.Since(startedAt).Seconds() + 1; float64(served) > maxServed {
 		t.Errorf("%d units, at most %.0f were due", served, maxServed)
 	}
 }
 
-// A hard limit that a quota lease store lends is not exceeded, by the servers' own count, over upgrades, kill -9
-// and graceful restarts, and each new process gets a lease in the end.
+// A hard limit whose quota is leased from a quota lease store is not exceeded, by the servers' own count, across upgrades,
+// kill -9 and graceful restarts, and each new process eventually gets a lease.
 func TestSharedHardLimitOverProcesses(t *testing.T) {
 	leaseStore, err := redistest.Start()
 	if err != nil {
@@ -195,7 +195,7 @@
 				t.Fatal(err)
 			}
 			r.awaitStatus("the successor", func(s manage.Status) bool { return s.PID != pid && s.IsReady() })
-			if i == 0 { // else the next one comes while the old one drains
+			if i == 0 { // in the other rounds the next step begins while the old process drains
 				testkit.Until(t, "the old one's end", func() bool { return hasEnded(pid) })
 			}
 		case 1:
@@ -220,12 +220,12 @@
 	}
 }
 
-// A state directory that can't be written any more is a degraded condition while that lasts, and the daemon serves
-// on; so is a configuration file that can't be read.
+// An unwritable state directory is a degraded condition as long as it is unwritable, and the daemon continues to serve.
+// The same applies to a configuration file that can't be loaded.
 func TestUnwritableStateDirectoryIsDegradedCondition(t *testing.T) {
 	r := startDaemon(t, "")
 	r.awaitStatus("a checkpoint", func(manage.Status) bool { _, err := os.Stat(r.directory + "/state/state"); return err == nil })
-	if err := os.Rename(r.directory+"/state", r.directory+"/gone"); err != nil { // the daemon may be writing into it
+	if err := os.Rename(r.directory+"/state", r.directory+"/gone"); err != nil { // renamed, since the daemon may be writing to it
 		t.Fatal(err)
 	}
 	r.awaitStatus("the doubt", func(s manage.Status) bool {
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -24,8 +24,8 @@
 	"lockflow/internal/upgrade"
 )
 
-// The test's own executable is the daemon where roleVariable is set; its value is the fault of a successor,
-// empty for none.
+// faultVariable makes the test executable run the daemon. Its value is the fault of a process that runs as successor, or
+// empty for no fault.
 const faultVariable = "LOCKFLOW_TEST_DAEMON"
 
 func TestMain(m *testing.M) {
@@ -89,7 +89,7 @@
 class = "update"
 `
 
-// daemonProcess is a daemon as a process of its own, between fake servers and clients.
+// daemonProcess is a daemon that runs in a separate process between fake servers and clients.
 type daemonProcess struct {
 	t         *testing.T
 	directory string
@@ -117,14 +117,14 @@
 	return s.buffer.String()
 }
 
-// startDaemon starts a daemon and waits until it is ready; successorFault is what its successors do.
+// startDaemon starts a daemon and waits until it is ready. successorFault is the fault of its successors.
 func startDaemon(t *testing.T, successorFault string) *daemonProcess {
 	t.Helper()
 	return startDaemonWith(t, successorFault, nil, "", "")
 }
 
-// startDaemonWith is startDaemon with servers that check a hard limit, and with old replaced by new in the
-// configuration.
+// startDaemonWith is startDaemon with servers that check a hard limit by monitor, unless it is nil, and with old replaced
+// by new in the configuration.
 func startDaemonWith(t *testing.T, successorFault string, monitor *fake.HardLimitMonitor, old, new string) *daemonProcess {
 	t.Helper()
 	r := &daemonProcess{t: t, directory: testkit.ShortDir(t)}
@@ -144,7 +144,7 @@
 	t.Cleanup(func() {
 		if s, err := r.control.Status(context.Background()); err == nil {
 			syscall.Kill(s.PID, syscall.SIGKILL)
-			testkit.Until(t, "the daemon's end", func() bool { return hasEnded(s.PID) }) // it writes into r.dir
+			testkit.Until(t, "the daemon's end", func() bool { return hasEnded(s.PID) }) // until then it writes to r.directory
 		}
 		r.process.Process.Kill()
 		testkit.Until(t, "the first daemon's end", func() bool { return hasEnded(r.process.Process.Pid) })
@@ -171,7 +171,7 @@
 	r.address = r.status().Listeners[0]
 }
 
-// run starts the daemon's process.
+// startProcess starts the daemon's process without waiting until it is ready.
 func (r *daemonProcess) startProcess(successorFault string) {
 	r.t.Helper()
 	r.process = exec.Command(os.Args[0], "serve", "--config", r.directory+"/c.toml", "--pid-file", r.directory+"/pid", "--control", r.control.Path)
@@ -200,8 +200,8 @@
 	})
 }
 
-// hasEnded tells whether a process has ended with all of its threads: one whose first thread alone has ended
-// is a zombie that still has open files and locks.
+// hasEnded reports whether a process has ended with all of its threads. A process of which only the first thread has
+// ended is a zombie that still has open files and locks.
 func hasEnded(pid int) bool {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -233,7 +233,7 @@
 	}
 }
 
-// sendRequests sends n requests of an enterprise customer and returns how many were served.
+// sendRequests sends n requests of an enterprise customer and returns the number of served requests.
 func (r *daemonProcess) sendRequests(n int) (served int) {
 	r.t.Helper()
 	for range n {
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// actionWords returns actions as these tests write them.
+// formatActions returns actions in the notation of these tests.
 func formatActions(actions []Action) string {
 	var words []string
 	for _, a := range actions {
@@ -42,7 +42,7 @@
 	return strings.Join(words, " ")
 }
 
-// step is an event and the actions that follow from it.
+// step is an event and the expected actions, in the notation of formatActions.
 type step struct {
 	event Event
 	want  string
@@ -50,10 +50,10 @@
 
 var errBadFile = errors.New("bad file")
 
-// readySteps lead to Ready.
+// readySteps lead from Starting to Ready.
 var readySteps = []step{{Listening{}, "starting>warming"}, {ServicesReady{}, "warming>ready READY"}}
 
-// stepsFromReady are sequences of events that start in Ready.
+// stepsFromReady are sequences of steps that begin in Ready, by test name.
 var stepsFromReady = map[string][]step{
 	"an ordinary life": {
 		{ReloadRequested{"SIGHUP"}, "ready>reloading RELOADING load"},
@@ -141,7 +141,7 @@
 	},
 }
 
-// checkSteps has m handle the events of steps and checks the actions.
+// checkSteps passes the events of steps to m and checks the actions.
 func checkSteps(t *testing.T, m *Machine, steps []step) {
 	t.Helper()
 	for i, s := range steps {
@@ -178,7 +178,7 @@
 	})
 }
 
-// A successor that is to be upgraded itself waits until its predecessor has ended.
+// An upgrade of a successor is deferred until its predecessor has ended.
 func TestUpgradeWaitsForPredecessorToEnd(t *testing.T) {
 	m := NewSuccessor()
 	checkSteps(t, &m, []step{
@@ -189,20 +189,20 @@
 	})
 }
 
-// environment is a machine and what its actions have led to, as far as that decides which events may come.
+// modelState is a machine and the effects of its actions that determine which events may occur next.
 type modelState struct {
 	machine            Machine
 	isReloading        bool
-	successor          int // 0 no successor, 1 starts, 2 prepared, 3 was given, 4 takes clients, 5 takes them alone
+	successor          int // 0 no successor, 1 starting, 2 prepared, 3 has the checkpoint, 4 accepts connections on probation, 5 confirmed
 	isDraining         bool
-	areListenersPaused bool   // new connections are the successor's
-	hasSentCheckpoint  bool   // the successor has a part of what is left
-	lastNotification   string // what the supervisor heard last
+	areListenersPaused bool   // new connections are left to the successor
+	hasSentCheckpoint  bool   // the successor has a fraction of the remaining quota
+	lastNotification   string // the last one that was sent to the supervisor
 }
 
-// In every state that any order of events can reach: some process accepts connections until the drain; a checkpoint
-// that was sent is taken back or its receiver goes on; each reload is followed by its end; there is one drain;
-// nothing follows the end.
+// In every state that any order of events can reach: some process accepts connections until the drain; the quota of a
+// checkpoint that was sent is reclaimed unless its receiver continues; the state is Reloading exactly while a reload runs;
+// there is at most one drain; no action follows the end.
 func TestInvariantsInEveryReachableState(t *testing.T) {
 	initial := []modelState{{}, {machine: NewSuccessor()}}
 	visited := make(map[string]bool)
@@ -244,7 +244,7 @@
 	}
 }
 
-// apply returns the environment after an event; false where the machine has ended.
+// apply returns the state after an event, and false if the machine has ended. It fails the test if an invariant is violated.
 func (m modelState) apply(t *testing.T, e Event) (modelState, bool) {
 	t.Helper()
 	before := m
@@ -278,7 +278,7 @@
 	return m, m.machine.State() != Ended
 }
 
-// perform updates the environment by an action. It returns why the action is wrong there, or nothing.
+// perform updates the state by an action. It returns why the action is wrong in that state, or an empty string.
 func (m *modelState) perform(a Action, before modelState) string {
 	switch a := a.(type) {
 	case StartReload:
@@ -303,7 +303,7 @@
 	return ""
 }
 
-// performOnSuccessor is perform of the actions that concern a successor.
+// performSuccessorAction is perform for the actions that concern a successor.
 func (m *modelState) performSuccessorAction(a Action, before modelState) string {
 	switch a.(type) {
 	case SpawnSuccessor:
@@ -338,7 +338,7 @@
 	return ""
 }
 
-// brokenInvariant returns what does not hold between two events, or nothing.
+// violatedInvariant returns which invariant is violated between two events, or an empty string.
 func (m *modelState) violatedInvariant() string {
 	state := m.machine.State()
 	switch {
@@ -353,9 +353,9 @@
 	return ""
 }
 
-// Over random events: one reload runs at a time, each request before the drain is followed by a reload that starts
-// later; a supervisor is notified READY after each RELOADING unless it is notified STOPPING; there is one drain;
-// nothing follows the end.
+// Under random events: at most one reload runs at a time; each reload request before the drain is followed by a reload
+// that starts later; the supervisor is notified READY after each RELOADING unless it is notified STOPPING; there is at
+// most one drain; no action follows the end.
 func TestInvariantsOverRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r randomRun
@@ -373,12 +373,12 @@
 	})
 }
 
-// randomRun is a machine under random events and what its actions have led to.
+// randomRun is a machine under random events and the effects of its actions.
 type randomRun struct {
 	machine             Machine
 	isReloading         bool
 	isDraining          bool
-	isReloadOutstanding bool // requested, and none has started since
+	isReloadOutstanding bool // a reload was requested, and none has started since
 	hasEnded            bool
 	lastNotification    string
 }
@@ -405,7 +405,7 @@
 	}
 }
 
-// finishReload ends the reload that runs, if any.
+// finishReload ends the running reload, if any.
 func (r *randomRun) finishReload(t *rapid.T) {
 	if r.isReloading {
 		r.isReloading = false
@@ -413,7 +413,7 @@
 	}
 }
 
-// handle has the machine handle an event and checks its actions.
+// handle passes an event to the machine and checks its actions.
 func (r *randomRun) handle(t *rapid.T, e Event) {
 	actions := r.machine.Handle(e)
 	if r.hasEnded && len(actions) > 0 {
--- a/internal/state/checkpoint_test.go
+++ b/internal/state/checkpoint_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// Decode rejects a checkpoint with any byte changed, removed or added, and returns nothing of it.
+// Decode rejects a checkpoint that has any byte changed or added or is truncated, and returns an empty one.
 func TestDecodeRejectsDamagedData(t *testing.T) {
 	raw, err := Encode(sampleCheckpoint(2))
 	if err != nil {
@@ -82,7 +82,7 @@
 	return append(binary.BigEndian.AppendUint32([]byte(fileMagic), codec.Checksum(body)), body...)
 }
 
-// Encode drops the customers whose last request is the oldest from a checkpoint that is too large.
+// Encode drops the least recently active customers from a checkpoint that is too large.
 func TestEncodeDropsOldestCustomersOfLargeCheckpoint(t *testing.T) {
 	checkpoint := sampleCheckpoint(0)
 	serviceState := checkpoint.Services["a"]
@@ -137,7 +137,7 @@
 	if err := store.Save(clean); err != nil {
 		t.Fatal(err)
 	}
-	for i, want := range []bool{true, false} { // the second time as after a crash
+	for i, want := range []bool{true, false} { // the second Consume is like the start after a crash
 		got, found, err := store.Consume()
 		if err != nil || !found || got.Clean != want || got.Generation != 4 {
 			t.Errorf("start %d: %+v, %v, %v", i, got, found, err)
@@ -152,7 +152,7 @@
 	if err := store.Close(); err != nil {
 		t.Error(err)
 	}
-	if store, err = Open(dir, nil); err != nil { // the lock ended with its owner
+	if store, err = Open(dir, nil); err != nil { // the lock was released by Close
 		t.Fatal(err)
 	}
 	defer store.Close()
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -8,8 +8,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// Encode writes the golden file, which an earlier build wrote, byte for byte, also after Decode has read it.
-// go test ./internal/state -run Golden -update replaces the file.
+// Encode produces the golden file of an earlier build byte for byte, also from the checkpoint that Decode returns for it.
+// To replace the file: go test ./internal/state -run Golden -update
 func TestGoldenCheckpoint(t *testing.T) {
 	var sample Checkpoint
 	testkit.Sample("cbor", &sample)
@@ -21,7 +21,7 @@
 	requireUnchangedByReencoding(t, raw)
 }
 
-// A checkpoint of a build that knew no uptime and no starts of servers is read, and written as it was.
+// A checkpoint of a build without uptimes and start times of servers is decoded, and encoded without a change.
 func TestGoldenCheckpointWithoutUptime(t *testing.T) {
 	raw, err := os.ReadFile("testdata/golden/state")
 	if err != nil {
--- a/internal/state/keys_test.go
+++ b/internal/state/keys_test.go
@@ -6,5 +6,5 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// A node's checkpoint, with the checkpoints of services in it, has an explicit key for every field.
+// Every field of a node's checkpoint, including its services' checkpoints, has an explicit key.
 func TestKeysAreWritten(t *testing.T) { testkit.RequireKeys(t, "cbor", Checkpoint{}) }
--- a/internal/state/temporary_files_test.go
+++ b/internal/state/temporary_files_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A checkpoint is written beside the state, whatever the system's folder for temporary files is: that may be on memory,
-// or full.
+// The temporary file of a checkpoint is written in the state directory and not in the system's directory for temporary
+// files, which may be in memory or full.
 func TestCheckpointIsWrittenBesideState(t *testing.T) {
 	system, directory := t.TempDir(), t.TempDir()
 	t.Setenv("TMPDIR", system)
@@ -29,7 +29,8 @@
 	}
 }
 
-// What a kill in the middle of writing a checkpoint has left is removed at the next start, and nothing else is.
+// Temporary files that remain when the process is killed while writing a checkpoint are removed at the next start. No
+// other file is removed.
 func TestLeftoversOfKilledWritesAreRemoved(t *testing.T) {
 	directory := t.TempDir()
 	for _, name := range []string{".state123456", ".state7", "state", "other", ".statement"} {
--- a/internal/supervise/supervise_test.go
+++ b/internal/supervise/supervise_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// The watchdog is notified only while the daemon is alive.
+// The watchdog is notified only while isAlive returns true.
 func TestWatchdogNotifiesWhileAlive(t *testing.T) {
 	messages := testkit.Supervisor(t)
 	t.Setenv("WATCHDOG_USEC", "20000")
@@ -61,7 +61,7 @@
 	isAlive.Store(false)
 	checksBefore := checks.Load()
 	testkit.Until(t, "checks while it is not alive", func() bool { return checks.Load() > checksBefore+3 })
-	for len(messages) > 0 { // from before
+	for len(messages) > 0 { // sent before isAlive changed
 		<-messages
 	}
 	checksBefore = checks.Load()
@@ -101,7 +101,7 @@
 	if _, err := os.Stat(path); !os.IsNotExist(err) {
 		t.Errorf("still there: %v", err)
 	}
-	// One that a killed daemon left is taken over.
+	// A file that a killed daemon has left is taken over.
 	if err := os.WriteFile(path, []byte("999999999\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/upgrade/golden_test.go
+++ b/internal/upgrade/golden_test.go
@@ -7,13 +7,13 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// The environment variable of a successor has the keys of earlier builds. go test ./internal/upgrade -run Golden -update
-// replaces the golden files.
+// The value of a successor's environment variable has the same keys as in earlier builds. To replace the golden files:
+// go test ./internal/upgrade -run Golden -update
 func TestGoldenInheritance(t *testing.T) {
 	testkit.GoldenSample(t, "json", "testdata/golden/inherits.json", &inheritance{})
 }
 
-// The messages between the two processes are the bytes that earlier builds sent.
+// The messages between the two processes have the same encoding as in earlier builds.
 func TestGoldenMessages(t *testing.T) {
 	messages := []struct {
 		kind messageKind
--- a/internal/upgrade/keys_test.go
+++ b/internal/upgrade/keys_test.go
@@ -6,5 +6,5 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// The environment variable of a successor has an explicit key for every field.
+// Every field in the value of a successor's environment variable has an explicit key.
 func TestKeysAreWritten(t *testing.T) { testkit.RequireKeys(t, "json", inheritance{}) }
--- a/internal/upgrade/processes_test.go
+++ b/internal/upgrade/processes_test.go
@@ -14,7 +14,7 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// The test's own executable is the successor where roleVariable is set; its value is what it does.
+// roleVariable makes the test executable run as a successor. Its value selects the successor's behavior.
 const roleVariable = "LOCKFLOW_TEST_ROLE"
 
 func TestMain(m *testing.M) {
@@ -24,7 +24,7 @@
 	os.Exit(m.Run())
 }
 
-// runSuccessor is the main function of a successor; it returns the exit code.
+// runSuccessor is the main function of a successor. It returns the exit code.
 func runSuccessor(role string) int {
 	predecessor, err := PredecessorFromEnvironment(os.Getenv)
 	if err != nil || predecessor == nil {
@@ -100,7 +100,7 @@
 	if e := testkit.Next(t, successor.Events()); e != TookOver {
 		t.Fatal(e, successor.Err())
 	}
-	listener.Close() // the socket stays: the successor has it
+	listener.Close() // the socket remains open in the successor
 	client, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -108,7 +108,7 @@
 	if err := successor.SendFinalCheckpoint([]byte("rest")); err != nil {
 		t.Fatal(err)
 	}
-	successor.conn.(*net.UnixConn).CloseWrite() // as this process's end would
+	successor.conn.(*net.UnixConn).CloseWrite() // as the end of this process would do
 	raw, err := io.ReadAll(client)
 	if err != nil || string(raw) != state+" then rest" {
 		t.Errorf("%d bytes, %v", len(raw), err)
@@ -118,7 +118,8 @@
 	}
 }
 
-// A successor that dies, sends what is no message or out of order, or panics is ended, and Err has the cause.
+// A successor that exits, sends an invalid message or one out of order, or panics ends or is killed, and Err returns the
+// cause.
 func TestFailedSuccessorEnds(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -126,7 +127,7 @@
 	}
 	defer listener.Close()
 	for role, want := range map[string]struct {
-		events    int // before its end
+		events    int // before Ended
 		wantError string
 	}{"dies": {0, "exit status 7"}, "babbles": {0, "killed"}, "hurries": {0, "killed"}, "panics": {2, "exit status 2"}} {
 		t.Run(role, func(t *testing.T) {
