--- a/internal/daemon/checkpoint.go
+++ b/internal/daemon/checkpoint.go
@@ -59,7 +59,7 @@
 		}
 		switch {
 		case err != nil && !hasFailed:
-			slog.Error("checkpoint save failed, a start after a crash will know less", "err", err)
+			slog.Error("checkpoint not saved, a crash loses the estimates since the last one", "err", err)
 			d.conditions.add(conditionStateDirectory, err.Error())
 		case err == nil && hasFailed:
 			slog.Info("checkpoint saved again")
@@ -79,7 +79,7 @@
 	age := checkpoint.Age().Round(time.Millisecond)
 	switch {
 	case err != nil && checkpoint.Services == nil:
-		slog.Warn("checkpoint unreadable, hard limits start with their slack and servers as unknown", "err", err)
+		slog.Warn("checkpoint unreadable, hard limits start with their slack and servers without estimates", "err", err)
 		d.conditions.add(conditionLastCheckpoint, err.Error())
 	case !found:
 		slog.Info("no checkpoint of an earlier run", "dir", d.cfg.Process.StateDir)
@@ -88,7 +88,7 @@
 		if err != nil {
 			cause = err.Error()
 		}
-		slog.Warn("no clean checkpoint, hard limits start empty and servers warm up as if unseen", "cause", cause, "age", age)
+		slog.Warn("no clean checkpoint, hard limits start empty and servers warm up as if new", "cause", cause, "age", age)
 		d.conditions.add(conditionQuotaUsage, cause)
 		d.node.Restore(checkpoint, control.TrustEstimates)
 	default: // the last run ended by a graceful shutdown
@@ -131,7 +131,7 @@
 	d.checkpointer.stop()
 	if d.hasServingSuccessor() {
 		if err := d.sendFinalCheckpoint(); err != nil {
-			slog.Warn("upgrade: final checkpoint not sent, what was left is lost", "err", err)
+			slog.Warn("upgrade: final checkpoint not sent to successor, remaining quota is lost", "err", err)
 		}
 		return
 	}
@@ -141,6 +141,6 @@
 	checkpoint := d.node.Checkpoint()
 	checkpoint.Clean = true
 	if err := d.store.Save(checkpoint); err != nil {
-		slog.Warn("final checkpoint save failed, the next start won't know what was spent", "err", err)
+		slog.Warn("final checkpoint not saved, the quota usage is unknown at the next start", "err", err)
 	}
 }
--- a/internal/daemon/commands_test.go
+++ b/internal/daemon/commands_test.go
@@ -41,7 +41,7 @@
 func (r *daemonProcess) checkError(action string, err, want error) {
 	r.t.Helper()
 	if !errors.Is(err, want) || want == nil && err != nil {
-		r.t.Errorf("%s: %v, not %v", action, err, want)
+		r.t.Errorf("%s: error %v, want %v", action, err, want)
 	}
 }
 
@@ -65,14 +65,14 @@
 func TestCommandRunsOnceOverReloadKillAndUpgrade(t *testing.T) {
 	r := startDaemon(t, "")
 	settings := r.changedSettings("rate = 100000", "rate = 90000")
-	r.checkError("an order before any claim", r.sendCommand(7, "s/1", settings), manage.ErrStale)
+	r.checkError("a command before any claim", r.sendCommand(7, "s/1", settings), manage.ErrStale)
 	r.checkError("a claim", r.claimEpoch(7, "me", ""), nil)
 	for range 3 {
 		r.checkError("settings", r.sendCommand(7, "s/1", settings), nil)
 	}
 	s := r.status()
 	if s.Generation != 2 || s.ConfigHash != settings.Hash || r.configHash() != settings.Hash || s.Epoch != 7 || s.Owner != "me" || s.LastCommand != (desiredstate.Outcome{ID: "s/1", Code: desiredstate.CodeOK}) || s.DesiredState.Hash != settings.Hash {
-		t.Errorf("%+v", s)
+		t.Errorf("unexpected status: %+v", s)
 	}
 	checkFailingCommands(r, settings)
 	r.killAndWait()
@@ -80,9 +80,9 @@
 	r.checkError("an old epoch", r.claimEpoch(6, "me", ""), manage.ErrStale)
 	r.checkError("another owner", r.claimEpoch(7, "you", ""), manage.ErrStale)
 	generation := r.status().Generation
-	r.checkError("once more after kill -9", r.sendCommand(7, "s/1", settings), nil)
+	r.checkError("the same command after kill -9", r.sendCommand(7, "s/1", settings), nil)
 	if s := r.status(); s.Generation != generation || s.ConfigHash != settings.Hash || s.DesiredState.Hash != settings.Hash {
-		t.Errorf("%+v", s)
+		t.Errorf("unexpected status: %+v", s)
 	}
 	checkRestartCommand(r)
 	// The fleet trials count these two log lines.
@@ -92,14 +92,14 @@
 		}
 	}
 	r.checkError("a newer epoch", r.claimEpoch(8, "me", ""), nil)
-	r.checkError("the old one", r.sendCommand(7, "s/2", settings), manage.ErrStale)
+	r.checkError("a command of the old epoch", r.sendCommand(7, "s/2", settings), manage.ErrStale)
 	// A change of the file by hand results in another hash than the desired one.
 	r.writeConfig("rate = 100000", "rate = 80000")
 	if _, err := r.control.Reload(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	if s := r.status(); s.ConfigHash != r.configHash() || s.DesiredState.Hash != settings.Hash || s.ConfigHash == settings.Hash {
-		t.Errorf("drift: %+v", s)
+		t.Errorf("status after a change by hand: %+v", s)
 	}
 }
 
@@ -107,19 +107,19 @@
 func checkFailingCommands(r *daemonProcess, current desiredstate.Operation) {
 	r.t.Helper()
 	for name, operation := range map[string]desiredstate.Operation{
-		"an unknown key":     r.changedSettings("[plans.standard]", "[plans.standard]\nx = 1"),
-		"needs a restart":    r.changedSettings("/state\"", "/other\""),
-		"an address in vain": r.changedSettings(`address = "127.0.0.1:0"`, `address = "192.0.2.1:9"`),
+		"an unknown key":                 r.changedSettings("[plans.standard]", "[plans.standard]\nx = 1"),
+		"a change that needs a restart":  r.changedSettings("/state\"", "/other\""),
+		"an address that can't be bound": r.changedSettings(`address = "127.0.0.1:0"`, `address = "192.0.2.1:9"`),
 	} {
 		for range 2 {
 			r.checkError(name, r.sendCommand(7, "bad/"+name, operation), manage.ErrFailed)
 		}
 		if s := r.status(); s.Generation != 2 || s.ConfigHash != current.Hash || s.DesiredState.Hash != current.Hash || r.configHash() != current.Hash || len(s.DegradedConditions) > 0 {
-			r.t.Errorf("%s: %+v", name, s)
+			r.t.Errorf("%s: unexpected status: %+v", name, s)
 		}
 	}
-	r.checkError("another act by the same id", r.sendCommand(7, "s/1", desiredstate.Operation{Kind: desiredstate.KindRestart}), manage.ErrInvalid)
-	r.checkError("a program that is none", r.sendCommand(7, "p/0", desiredstate.Operation{Kind: desiredstate.KindProgram, Path: r.directory}), manage.ErrInvalid)
+	r.checkError("another operation with the same id", r.sendCommand(7, "s/1", desiredstate.Operation{Kind: desiredstate.KindRestart}), manage.ErrInvalid)
+	r.checkError("a program that is a directory", r.sendCommand(7, "p/0", desiredstate.Operation{Kind: desiredstate.KindProgram, Path: r.directory}), manage.ErrInvalid)
 }
 
 // checkRestartCommand sends a restart three times concurrently and checks that it runs a single time and that each sender
@@ -141,18 +141,18 @@
 			succeeded++
 		}
 	}
-	r.awaitStatus("the new process alone", func(s manage.Status) bool {
+	r.awaitStatus("the new process without the old one", func(s manage.Status) bool {
 		return s.PID != oldPID && hasEnded(oldPID) && s.LastCommand.ID == "c/1" && s.LastCommand.Code == desiredstate.CodeOK
 	})
 	if s := r.status(); succeeded != 3 || s.Epoch != 7 || s.RunningCommand != "" || strings.Count(r.log.String(), "upgrade: successor started") != 1 {
-		r.t.Errorf("%+v", s)
+		r.t.Errorf("unexpected status: %+v", s)
 	}
 }
 
 // A command to upgrade fails if the successor can't take over or ends during its probation. The old process continues
 // with the newest desired state.
 func TestFailedUpgradeCommandLeavesOldProcessServing(t *testing.T) {
-	for successorFault, probation := range map[string]string{"dies": "300ms", "fails after it took over": "30s"} {
+	for successorFault, probation := range map[string]string{"dies": "300ms", "exits after the take-over": "30s"} {
 		t.Run(successorFault, func(t *testing.T) {
 			t.Parallel()
 			r := startDaemonWith(t, successorFault, nil, `probation = "300ms"`, fmt.Sprintf("probation = %q", probation))
@@ -163,9 +163,9 @@
 				r.checkError("the program", r.sendCommand(7, "p/1", operation), manage.ErrFailed)
 			}
 			if s := r.status(); s.PID != before.PID || s.DesiredState.Program != "" || s.LastCommand.Code != desiredstate.CodeFailed || s.Epoch != 7 || s.RunningCommand != "" {
-				t.Errorf("%+v", s)
+				t.Errorf("unexpected status: %+v", s)
 			}
-			r.checkError("what comes next", r.sendCommand(7, "s/1", r.changedSettings("rate = 100000", "rate = 90000")), nil)
+			r.checkError("a command after the failed upgrade", r.sendCommand(7, "s/1", r.changedSettings("rate = 100000", "rate = 90000")), nil)
 		})
 	}
 }
@@ -176,10 +176,10 @@
 	r := startDaemon(t, "")
 	r.checkError("a claim", r.claimEpoch(7, "me", ""), nil)
 	for i, c := range []interruption{
-		{"written down alone", "# 1", false, false, ""},
-		{"the old text is kept", "# 2", true, false, ""},
-		{"the file is replaced", "# 3", true, true, desiredstate.CodeOK},
-		{"can't start", "listeners", true, true, desiredstate.CodeFailed},
+		{"command saved", "# 1", false, false, ""},
+		{"old settings saved", "# 2", true, false, ""},
+		{"file replaced", "# 3", true, true, desiredstate.CodeOK},
+		{"file replaced, start fails", "listeners", true, true, desiredstate.CodeFailed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			id := fmt.Sprint("s/", i)
@@ -238,25 +238,25 @@
 	t.Helper()
 	s := r.status()
 	if isRecorded := s.LastCommand.ID == id; isRecorded != (c.wantCode != "") || isRecorded && s.LastCommand.Code != c.wantCode || s.Epoch != 7 || s.RunningCommand != "" {
-		t.Fatalf("%+v", s)
+		t.Fatalf("unexpected status: %+v", s)
 	}
 	switch c.wantCode {
 	case desiredstate.CodeFailed:
 		if s.ConfigHash != before.ConfigHash || r.configHash() != before.ConfigHash || s.DesiredState.Hash != before.DesiredState.Hash {
-			t.Errorf("%+v", s)
+			t.Errorf("unexpected status: %+v", s)
 		}
 		r.checkError("again", r.sendCommand(7, id, operation), manage.ErrFailed)
 	default:
 		if s.DesiredState.Hash != operation.Hash || (s.ConfigHash == operation.Hash) != c.isReplaced {
-			t.Errorf("%+v", s)
+			t.Errorf("unexpected status: %+v", s)
 		}
 		r.checkError("again", r.sendCommand(7, id, operation), nil)
 		if s := r.status(); s.ConfigHash != operation.Hash || r.configHash() != operation.Hash {
-			t.Errorf("%+v", s)
+			t.Errorf("unexpected status: %+v", s)
 		}
 	}
 	if _, err := os.Stat(r.directory + "/state/settings.old"); !os.IsNotExist(err) {
-		t.Errorf("the saved old settings are left: %v", err)
+		t.Errorf("the saved old settings were not removed: %v", err)
 	}
 }
 
@@ -274,10 +274,10 @@
 		syscall.Kill(pid, syscall.SIGKILL)
 		testkit.Until(t, "the end", func() bool { return hasEnded(pid) })
 		r.start("")
-		r.checkError("asked again", r.sendCommand(7, fmt.Sprint("s/", i), settings), nil)
+		r.checkError("the command sent again", r.sendCommand(7, fmt.Sprint("s/", i), settings), nil)
 		if s := r.status(); s.ConfigHash != settings.Hash || r.configHash() != settings.Hash || s.DesiredState.Hash != settings.Hash || s.Epoch != 7 ||
 			strings.Count(r.log.String(), fmt.Sprintf("ended\" id=s/%d code=ok", i)) > 1 {
-			t.Fatalf("%d: %+v", i, s)
+			t.Fatalf("round %d: unexpected status: %+v", i, s)
 		}
 	}
 }
@@ -300,29 +300,29 @@
 	r.start("")
 	s := r.status()
 	if s.LostToken == "" || !strings.Contains(strings.Join(s.DegradedConditions, " "), "orders") {
-		t.Errorf("%+v", s)
+		t.Errorf("unexpected status: %+v", s)
 	}
 	r.checkError("an old epoch", r.claimEpoch(7, "me", ""), manage.ErrLost)
-	r.checkError("its order", r.sendCommand(7, "s/1", desiredstate.Operation{Kind: desiredstate.KindRestart}), manage.ErrLost)
-	r.checkError("a claim that knows", r.claimEpoch(10, "me", s.LostToken), nil)
+	r.checkError("a command of the old epoch", r.sendCommand(7, "s/1", desiredstate.Operation{Kind: desiredstate.KindRestart}), manage.ErrLost)
+	r.checkError("a claim with the token of the loss", r.claimEpoch(10, "me", s.LostToken), nil)
 	if s := r.status(); s.LostToken != "" || s.Epoch != 10 || strings.Contains(strings.Join(s.DegradedConditions, " "), "orders") {
-		t.Errorf("%+v", s)
+		t.Errorf("unexpected status: %+v", s)
 	}
 	// Claims and commands that can't be saved are rejected and have no effect.
 	if err := os.Rename(r.directory+"/state", r.directory+"/gone"); err != nil {
 		t.Fatal(err)
 	}
-	r.checkError("a claim that can't be kept", r.claimEpoch(11, "me", ""), manage.ErrNotSaved)
+	r.checkError("a claim that can't be saved", r.claimEpoch(11, "me", ""), manage.ErrNotSaved)
 	settings := r.changedSettings("rate = 100000", "rate = 90000")
-	r.checkError("an order that can't be kept", r.sendCommand(10, "s/1", settings), manage.ErrNotSaved)
+	r.checkError("a command that can't be saved", r.sendCommand(10, "s/1", settings), manage.ErrNotSaved)
 	if s := r.status(); s.Epoch != 10 || s.ConfigHash == settings.Hash || s.DesiredState.Hash != "" || r.configHash() != s.ConfigHash || !strings.Contains(strings.Join(s.DegradedConditions, " "), "orders") {
-		t.Errorf("%+v", s)
+		t.Errorf("unexpected status: %+v", s)
 	}
 	if err := os.Rename(r.directory+"/gone", r.directory+"/state"); err != nil {
 		t.Fatal(err)
 	}
-	r.checkError("the same once it can", r.sendCommand(10, "s/1", settings), nil)
-	r.checkError("the claim too", r.claimEpoch(11, "me", ""), nil)
+	r.checkError("the command when it can be saved", r.sendCommand(10, "s/1", settings), nil)
+	r.checkError("the claim when it can be saved", r.claimEpoch(11, "me", ""), nil)
 }
 
 // A member whose desired state becomes drained ends, and is drained after each restart. It then has no listeners, but
@@ -340,7 +340,7 @@
 		})
 		if c, err := net.Dial("tcp", r.address); err == nil {
 			c.Close()
-			t.Error("it takes clients")
+			t.Error("a drained daemon accepts connections")
 		}
 		pid := r.status().PID
 		if _, err := r.control.Drain(context.Background()); err != nil {
@@ -351,7 +351,7 @@
 	r.startProcess("")
 	r.awaitStatus("drained", func(s manage.Status) bool { return s.State == manage.StateDrained })
 	r.checkError("an old epoch", r.claimEpoch(6, "me", ""), manage.ErrStale)
-	r.checkError("a newer one", r.claimEpoch(8, "me", ""), nil)
+	r.checkError("a newer epoch", r.claimEpoch(8, "me", ""), nil)
 	r.checkError("a restart", r.sendCommand(8, "c/1", desiredstate.Operation{Kind: desiredstate.KindRestart}), manage.ErrInvalid)
 	settings := r.changedSettings("rate = 100000", "rate = 90000")
 	r.checkError("settings", r.sendCommand(8, "s/1", settings), nil)
@@ -359,7 +359,7 @@
 		r.checkError("serve", r.sendCommand(8, "v/1", desiredstate.Operation{Kind: desiredstate.KindServe}), nil)
 	}
 	if s := r.status(); !s.IsReady() || s.ConfigHash != settings.Hash || s.DesiredState.Drained || s.Epoch != 8 || s.LastCommand.ID != "v/1" {
-		t.Errorf("%+v", s)
+		t.Errorf("unexpected status: %+v", s)
 	}
 	// The operator drains and serves through the control socket, without a coordinator.
 	pid = r.status().PID
@@ -370,7 +370,7 @@
 	r.startProcess("")
 	r.awaitStatus("drained", func(s manage.Status) bool { return s.State == manage.StateDrained })
 	if s, err := r.control.Serve(context.Background()); err != nil || s.State == manage.StateDrained {
-		t.Errorf("%+v, %v", s, err)
+		t.Errorf("serve: status %+v, error %v", s, err)
 	}
 	r.awaitStatus("ready", func(s manage.Status) bool { return s.IsReady() })
 }
@@ -382,11 +382,11 @@
 	r.checkError("a claim", r.claimEpoch(7, "me", ""), nil)
 	r.checkError("drain", r.sendCommand(7, "d/1", desiredstate.Operation{Kind: desiredstate.KindDrain}), manage.ErrInvalid)
 	r.checkError("restart", r.sendCommand(7, "c/1", desiredstate.Operation{Kind: desiredstate.KindRestart}), nil)
-	r.awaitStatus("the new process alone", func(s manage.Status) bool {
+	r.awaitStatus("the new process without the old one", func(s manage.Status) bool {
 		return s.LastCommand.ID == "c/1" && s.LastCommand.Code == desiredstate.CodeOK
 	})
 	if s := r.status(); s.Epoch != 7 || !s.IsVolatile {
-		t.Errorf("%+v", s)
+		t.Errorf("unexpected status: %+v", s)
 	}
 }
 
@@ -395,11 +395,11 @@
 	// At 0.01 units/s no token is refilled, however long the requests take.
 	r := startDaemonWith(t, "", nil, "ceiling_rate = 50", "ceiling_rate = 0.01")
 	before := r.status().Statistics
-	served := r.sendRequests(60)                                                                                            // the burst is 50
-	r.awaitStatus("the last is counted", func(s manage.Status) bool { return s.Statistics.Requests >= before.Requests+60 }) // a request is answered before it is counted
+	served := r.sendRequests(60)                                                                                                   // the burst is 50
+	r.awaitStatus("statistics of all requests", func(s manage.Status) bool { return s.Statistics.Requests >= before.Requests+60 }) // a request is answered before it is counted
 	stats, ok := r.status().Statistics.Since(before)
 	if !ok || stats.Requests != 60 || int(stats.Delays.Total()) != served || int(stats.Rejected) != 60-served || stats.OverQuota != stats.Rejected || stats.OverQuota == 0 ||
 		stats.OfferedWeight != float64(served) || stats.Served != float64(served)-float64(stats.Late) || stats.Units < float64(served) || stats.Failed+stats.Breaches+stats.Panics > 0 || stats.CPU <= 0 || stats.MemoryKB <= 0 {
-		t.Errorf("served %d: %+v", served, stats)
+		t.Errorf("%d served, statistics %+v", served, stats)
 	}
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -31,21 +31,21 @@
 			t.Fatal(err)
 		}
 		r.awaitStatus("the successor", func(s manage.Status) bool { return s.PID != old.PID && s.IsReady() })
-		testkit.Until(t, "the old one's end", func() bool { return hasEnded(old.PID) })
+		testkit.Until(t, "the end of the old process", func() bool { return hasEnded(old.PID) })
 		if generation == 0 {
 			r.writeConfig("rate = 100000", "rate = 90000") // a reload works after an upgrade
 			if s, err := r.control.Reload(ctx); err != nil || s.Generation != 2 {
-				t.Errorf("reload: generation %d, %v", s.Generation, err)
+				t.Errorf("reload: generation %d, error %v", s.Generation, err)
 			}
 		}
 	}
 	stop()
 	r.checkResults(run.Wait())
 	if raw, _ := os.ReadFile(r.directory + "/pid"); strings.TrimSpace(string(raw)) != fmt.Sprint(r.status().PID) {
-		t.Errorf("the pid file says %q", raw)
+		t.Errorf("the pid file contains %q", raw)
 	}
 	if s := r.status(); s.Generation != 2 || len(s.DegradedConditions) > 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("unexpected status: %+v", s)
 	}
 }
 
@@ -60,7 +60,7 @@
 	r.awaitStatus("the successor", func(s manage.Status) bool { return s.PID != old.PID && s.IsReady() })
 	raw, err := os.ReadFile(r.directory + "/other/lock")
 	if err != nil || strings.TrimSpace(string(raw)) != fmt.Sprint(r.status().PID) {
-		t.Errorf("the new lock says %q, %v", raw, err)
+		t.Errorf("the new lock file contains %q, error %v", raw, err)
 	}
 	if s, err := state.Open(r.directory+"/other", nil); err == nil {
 		s.Close()
@@ -70,14 +70,14 @@
 
 // A successor that fails before or after it takes over leaves the old process serving.
 func TestFailedUpgradeLeavesOldProcessServing(t *testing.T) {
-	for successorFault, wantError := range map[string]string{"dies": "exit status 7", "hangs": "not ready within", "fails after it took over": ""} {
+	for successorFault, wantError := range map[string]string{"dies": "exit status 7", "hangs": "not ready within", "exits after the take-over": ""} {
 		t.Run(successorFault, func(t *testing.T) {
 			t.Parallel()
 			old, new := "", ""
 			switch successorFault {
 			case "hangs":
 				old, new = `within = "20s"`, `within = "200ms"`
-			case "fails after it took over": // long enough that the fault occurs before the end of the probation on a slow machine
+			case "exits after the take-over": // long enough that the fault occurs before the end of the probation on a slow machine
 				old, new = `probation = "300ms"`, `probation = "30s"`
 			}
 			r := startDaemonWith(t, successorFault, nil, old, new)
@@ -96,9 +96,9 @@
 	before := r.status()
 	_, err := r.control.Upgrade(ctx, "")
 	if wantError != "" && (err == nil || !strings.Contains(err.Error(), wantError)) || wantError == "" && err != nil {
-		t.Errorf("%v", err)
+		t.Errorf("upgrade: error %v", err)
 	}
-	r.awaitStatus("going on", func(s manage.Status) bool { return s.PID == before.PID && s.IsReady() && s.SuccessorPID == 0 })
+	r.awaitStatus("the old process without a successor", func(s manage.Status) bool { return s.PID == before.PID && s.IsReady() && s.SuccessorPID == 0 })
 	testkit.Until(t, "more answers", func() bool { return run.Snapshot()["read"].Served > 50 })
 	c, err := net.Dial("tcp", r.address)
 	if err != nil {
@@ -107,14 +107,14 @@
 	c.Close()
 	stop()
 	results := run.Wait()
-	if successorFault == "fails after it took over" { // the requests that the successor had accepted ended with it
+	if successorFault == "exits after the take-over" { // the requests that the successor had accepted ended with it
 		for _, s := range results {
 			s.Lost = 0
 		}
 	}
 	r.checkResults(results)
 	if raw, _ := os.ReadFile(r.directory + "/pid"); strings.TrimSpace(string(raw)) != fmt.Sprint(before.PID) {
-		t.Errorf("the pid file says %q", raw)
+		t.Errorf("the pid file contains %q", raw)
 	}
 	if _, err := r.control.Drain(context.Background()); err != nil {
 		t.Error(err)
@@ -133,12 +133,12 @@
 	successorPID := r.status().SuccessorPID
 	r.process.Process.Signal(syscall.SIGHUP)
 	r.process.Process.Signal(syscall.SIGTERM)
-	testkit.Until(t, "both ends", func() bool { return hasEnded(old.PID) && hasEnded(successorPID) })
+	testkit.Until(t, "the end of both processes", func() bool { return hasEnded(old.PID) && hasEnded(successorPID) })
 	if _, err := os.Stat(r.directory + "/pid"); !os.IsNotExist(err) {
-		t.Errorf("the pid file is left: %v", err)
+		t.Errorf("the pid file was not removed: %v", err)
 	}
 	if _, err := os.Stat(r.control.Path); !os.IsNotExist(err) {
-		t.Errorf("the control socket is left: %v", err)
+		t.Errorf("the control socket was not removed: %v", err)
 	}
 }
 
@@ -159,13 +159,13 @@
 		testkit.Until(t, "the end", func() bool { return hasEnded(pid) })
 		r.start("")
 		if conditions := r.status().DegradedConditions; (len(conditions) > 0) != kill {
-			t.Errorf("start %d: it distrusts %v", i, conditions)
+			t.Errorf("start %d: degraded conditions %v", i, conditions)
 		}
 		served += r.sendRequests(60)
 	}
 	// The slack of the first start, and the refill at the rate over the time in which the client also ran.
 	if maxServed := 2 + 50*time.Since(startedAt).Seconds() + 1; float64(served) > maxServed {
-		t.Errorf("%d units, at most %.0f were due", served, maxServed)
+		t.Errorf("%d units served, want at most %.0f", served, maxServed)
 	}
 }
 
@@ -184,7 +184,7 @@
 	sendUntilServed := func() {
 		t.Helper()
 		served := 0
-		testkit.Until(t, "requests that are served", func() bool { served += r.sendRequests(20); return served >= 20 })
+		testkit.Until(t, "20 served requests", func() bool { served += r.sendRequests(20); return served >= 20 })
 	}
 	sendUntilServed()
 	for i := range 6 {
@@ -196,7 +196,7 @@
 			}
 			r.awaitStatus("the successor", func(s manage.Status) bool { return s.PID != pid && s.IsReady() })
 			if i == 0 { // in the other rounds the next step begins while the old process drains
-				testkit.Until(t, "the old one's end", func() bool { return hasEnded(pid) })
+				testkit.Until(t, "the end of the old process", func() bool { return hasEnded(pid) })
 			}
 		case 1:
 			syscall.Kill(pid, syscall.SIGKILL)
@@ -211,12 +211,12 @@
 		}
 		sendUntilServed()
 	}
-	r.awaitStatus("a counter that lends", func(s manage.Status) bool {
+	r.awaitStatus("a quota lease", func(s manage.Status) bool {
 		return len(s.Services[0].HardLimits) == 1 && s.Services[0].HardLimits[0].CanBorrow
 	})
 	maxExcess, units := monitor.MaxExcess()
-	if t.Logf("%.0f units, %.1f beyond the bound", units, maxExcess); maxExcess > 0 || leaseStore.ScriptRuns() == 0 {
-		t.Errorf("%.1f units beyond the bound; %d calls", maxExcess, leaseStore.ScriptRuns())
+	if t.Logf("%.0f units, %.1f above the bound", units, maxExcess); maxExcess > 0 || leaseStore.ScriptRuns() == 0 {
+		t.Errorf("%.1f units above the bound; %d script runs in the lease store", maxExcess, leaseStore.ScriptRuns())
 	}
 }
 
@@ -228,23 +228,23 @@
 	if err := os.Rename(r.directory+"/state", r.directory+"/gone"); err != nil { // renamed, since the daemon may be writing to it
 		t.Fatal(err)
 	}
-	r.awaitStatus("the doubt", func(s manage.Status) bool {
+	r.awaitStatus("the degraded condition", func(s manage.Status) bool {
 		return len(s.DegradedConditions) == 1 && strings.Contains(s.DegradedConditions[0], "state directory")
 	})
 	if n := r.sendRequests(1); n != 1 {
-		t.Error("it doesn't serve")
+		t.Error("the request was not served")
 	}
 	if err := os.Mkdir(r.directory+"/state", 0o700); err != nil {
 		t.Fatal(err)
 	}
-	r.awaitStatus("the end of the doubt", func(s manage.Status) bool { return len(s.DegradedConditions) == 0 })
+	r.awaitStatus("the end of the degraded condition", func(s manage.Status) bool { return len(s.DegradedConditions) == 0 })
 	if err := os.WriteFile(r.directory+"/c.toml", []byte("x = 1"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := r.control.Reload(context.Background()); err == nil || !strings.Contains(err.Error(), "c.toml:1: x: unknown key") {
-		t.Errorf("a bad reload: %v", err)
+		t.Errorf("reload of an invalid file: error %v", err)
 	}
 	if s := r.status(); s.Generation != 1 || len(s.DegradedConditions) != 1 {
-		t.Errorf("%+v", s)
+		t.Errorf("unexpected status: %+v", s)
 	}
 }
--- a/internal/daemon/drained.go
+++ b/internal/daemon/drained.go
@@ -40,7 +40,7 @@
 // ends the daemon before that.
 func (d *daemon) runDrained(ctx context.Context) (*drainedDaemon, error) {
 	if d.cfg.Process.ControlSocket == "" {
-		return nil, errors.New("the desired state is drained, and there is no control socket by which serving could be requested")
+		return nil, errors.New("desired state is drained, but process.control is not set, so serving cannot be requested")
 	}
 	r := &drainedDaemon{
 		daemon:         d,
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -42,7 +42,7 @@
 	if err == nil {
 		d.node.Restore(checkpoint, control.TrustAll)
 	} else {
-		slog.Warn("upgrade: no checkpoint received, nothing is known of what was spent", "err", err)
+		slog.Warn("upgrade: no checkpoint received from predecessor, its quota usage is unknown", "err", err)
 		d.conditions.add(conditionQuotaUsage, err.Error())
 	}
 	d.takeOverDesiredState()
@@ -56,7 +56,7 @@
 	d.checkpointer.ownsFile.Store(true)
 	d.node.ResumeListeners()
 	if err := d.predecessor.AnnounceTakeOver(); err != nil {
-		slog.Warn("upgrade: predecessor has ended", "err", err)
+		slog.Warn("upgrade: take-over not announced, predecessor may have ended", "err", err)
 	}
 	go func() { // run does not wait for it: the predecessor may outlive this process
 		d.post(receivedFinalCheckpoint{d.predecessor.AwaitFinalCheckpoint()})
@@ -70,7 +70,7 @@
 	if checkpoint, err := state.Decode(received.encoded); err == nil {
 		d.node.Rejoin(&checkpoint)
 	} else {
-		slog.Warn("upgrade: no final checkpoint received, the predecessor's part of quotas is lost", "err", err)
+		slog.Warn("upgrade: no final checkpoint received, predecessor's remaining quota is lost", "err", err)
 		d.node.Rejoin(nil)
 	}
 	d.recoverCommand()
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -39,7 +39,7 @@
 			os.Exit(7)
 		case "hangs":
 			time.Sleep(time.Minute)
-		case "fails after it took over":
+		case "exits after the take-over":
 			go func() {
 				control := os.Args[len(os.Args)-1]
 				for {
@@ -144,10 +144,10 @@
 	t.Cleanup(func() {
 		if s, err := r.control.Status(context.Background()); err == nil {
 			syscall.Kill(s.PID, syscall.SIGKILL)
-			testkit.Until(t, "the daemon's end", func() bool { return hasEnded(s.PID) }) // until then it writes to r.directory
+			testkit.Until(t, "the end of the daemon", func() bool { return hasEnded(s.PID) }) // until then it writes to r.directory
 		}
 		r.process.Process.Kill()
-		testkit.Until(t, "the first daemon's end", func() bool { return hasEnded(r.process.Process.Pid) })
+		testkit.Until(t, "the end of the started process", func() bool { return hasEnded(r.process.Process.Pid) })
 		if t.Failed() {
 			t.Log(r.log.String())
 		}
@@ -225,11 +225,11 @@
 	r.t.Helper()
 	for kind, s := range results {
 		if s.Lost+s.Wrong+s.Failed > 0 || s.Served < s.Calls/2 || s.Calls == 0 {
-			r.t.Errorf("%s: %+v", kind, *s)
+			r.t.Errorf("%s requests: unexpected results: %+v", kind, *s)
 		}
 	}
 	if c := r.pool.Executions.Counts(); c.DuplicateEffects > 0 || c.MaxInFlight > 1 {
-		r.t.Errorf("%+v", c)
+		r.t.Errorf("unexpected executions: %+v", c)
 	}
 }
 
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -69,7 +69,7 @@
 		slog.Error("settings rollback failed", "id", running.ID, "err", err)
 		return false
 	}
-	slog.Error("settings rolled back, the daemon can't start with a command's", "id", running.ID, "err", cause)
+	slog.Error("settings rolled back, daemon could not start with the settings of a command", "id", running.ID, "err", cause)
 	m.record(m.desiredState.Finish(fmt.Errorf("the daemon was interrupted, and could not start with it: %w", cause)))
 	m.store.RemoveOldSettings()
 	return true
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -88,7 +88,7 @@
 	}
 	fields := strings.Fields(string(raw))
 	if len(fields) < 2 {
-		return 0, errors.New("/proc/self/statm has no resident pages")
+		return 0, errors.New("/proc/self/statm has no field for resident pages")
 	}
 	return strconv.Atoi(fields[1])
 }
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -55,7 +55,7 @@
 
 // stepsFromReady are sequences of steps that begin in Ready, by test name.
 var stepsFromReady = map[string][]step{
-	"an ordinary life": {
+	"reload and stop": {
 		{ReloadRequested{"SIGHUP"}, "ready>reloading RELOADING load"},
 		{ReloadFinished{}, "reloading>ready READY"},
 		{StopRequested{"SIGTERM"}, "ready>draining STOPPING drain"},
@@ -63,18 +63,18 @@
 		{StopRequested{"SIGTERM"}, ""},
 		{ReloadRequested{"SIGHUP"}, ""},
 	},
-	"a bad file": {
+	"failed reload": {
 		{ReloadRequested{"SIGHUP"}, "ready>reloading RELOADING load"},
 		{ReloadFinished{errBadFile}, "reloading>ready READY"},
 	},
-	"many reloads": {
+	"requests during a reload": {
 		{ReloadRequested{"1"}, "ready>reloading RELOADING load"},
 		{ReloadRequested{"2"}, ""},
 		{ReloadRequested{"3"}, ""},
 		{ReloadFinished{}, "reloading>ready READY ready>reloading RELOADING load"},
 		{ReloadFinished{}, "reloading>ready READY"},
 	},
-	"stop in a reload": {
+	"stop during a reload": {
 		{ReloadRequested{"1"}, "ready>reloading RELOADING load"},
 		{StopRequested{"SIGTERM"}, "reloading>draining STOPPING drain"},
 		{ReloadFinished{}, ""},
@@ -82,8 +82,8 @@
 		{StopRequested{"again"}, "draining>draining"},
 		{Finished{}, "draining>ended"},
 	},
-	"a failure": {{Finished{errBadFile}, "ready>ended"}},
-	"an upgrade": {
+	"failure of the daemon": {{Finished{errBadFile}, "ready>ended"}},
+	"successful upgrade": {
 		{UpgradeRequested{"x"}, "ready>handing over spawn"},
 		{SuccessorPrepared{}, "give"},
 		{SuccessorTookOver{}, "yield"},
@@ -91,7 +91,7 @@
 		{SuccessorLost{errBadFile}, ""},
 		{Finished{}, "draining>ended"},
 	},
-	"a successor that can't": {
+	"successor lost before the take-over": {
 		{UpgradeRequested{"x"}, "ready>handing over spawn"},
 		{SuccessorLost{errBadFile}, "resume handing over>ready"},
 		{SuccessorPrepared{}, ""},
@@ -99,28 +99,28 @@
 		{SuccessorPrepared{}, "give"},
 		{SuccessorLost{errBadFile}, "resume handing over>ready"},
 	},
-	"ready, then it panics": {
+	"successor lost after the take-over": {
 		{UpgradeRequested{"x"}, "ready>handing over spawn"},
 		{SuccessorPrepared{}, "give"},
 		{SuccessorTookOver{}, "yield"},
 		{SuccessorLost{errBadFile}, "resume handing over>ready"},
 		{ReloadRequested{"x"}, "ready>reloading RELOADING load"},
 	},
-	"stop before it took over": {
+	"stop before the take-over": {
 		{UpgradeRequested{"x"}, "ready>handing over spawn"},
 		{SuccessorPrepared{}, "give"},
 		{StopRequested{"SIGTERM"}, "handing over>draining abandon STOPPING drain"},
 		{SuccessorTookOver{}, ""},
 		{SuccessorConfirmed{}, ""},
 	},
-	"stop after it took over": {
+	"stop after the take-over": {
 		{UpgradeRequested{"x"}, "ready>handing over spawn"},
 		{SuccessorPrepared{}, "give"},
 		{SuccessorTookOver{}, "yield"},
 		{StopRequested{"SIGTERM"}, "handing over>draining drain"},
 		{SuccessorConfirmed{}, ""},
 	},
-	"reload while it starts": {
+	"reload while the successor starts": {
 		{UpgradeRequested{"x"}, "ready>handing over spawn"},
 		{ReloadRequested{"x"}, ""},
 		{SuccessorPrepared{}, "give"},
@@ -128,12 +128,12 @@
 		{ReloadRequested{"x"}, "forward"},
 		{SuccessorConfirmed{}, "handing over>draining drain"},
 	},
-	"reload, and it fails": {
+	"reload, then successor lost": {
 		{UpgradeRequested{"x"}, "ready>handing over spawn"},
 		{ReloadRequested{"x"}, ""},
 		{SuccessorLost{errBadFile}, "resume handing over>ready ready>reloading RELOADING load"},
 	},
-	"upgrade in a reload": {
+	"upgrade during a reload": {
 		{ReloadRequested{"x"}, "ready>reloading RELOADING load"},
 		{UpgradeRequested{"x"}, ""},
 		{ReloadFinished{}, "reloading>ready READY ready>handing over spawn"},
@@ -146,7 +146,7 @@
 	t.Helper()
 	for i, s := range steps {
 		if got := formatActions(m.Handle(s.event)); got != s.want {
-			t.Fatalf("step %d: %T: %q, not %q", i+1, s.event, got, s.want)
+			t.Fatalf("step %d: %T: actions %q, want %q", i+1, s.event, got, s.want)
 		}
 	}
 }
@@ -157,7 +157,7 @@
 			checkSteps(t, new(Machine), append(slices.Clone(readySteps), steps...))
 		})
 	}
-	t.Run("reload before it listens", func(t *testing.T) {
+	t.Run("reload before listening", func(t *testing.T) {
 		checkSteps(t, new(Machine), []step{
 			{ReloadRequested{"early"}, ""},
 			{ServicesReady{}, ""},
@@ -240,7 +240,7 @@
 		}
 	}
 	if len(visited) < 60 {
-		t.Errorf("only %d states", len(visited))
+		t.Errorf("%d states visited, want at least 60", len(visited))
 	}
 }
 
@@ -266,7 +266,7 @@
 	hadEnded := m.machine.State() == Ended
 	for _, a := range m.machine.Handle(e) {
 		if hadEnded {
-			fail("an action after the end")
+			fail("action after the end")
 		}
 		if violation := m.perform(a, before); violation != "" {
 			fail("%s", violation)
@@ -283,18 +283,18 @@
 	switch a := a.(type) {
 	case StartReload:
 		if m.isReloading || m.isDraining || m.successor > 0 {
-			return "a reload"
+			return "reload started while reloading, draining or upgrading"
 		}
 		m.isReloading = true
 	case StartDrain:
 		if m.isDraining {
-			return "drained twice"
+			return "second drain"
 		}
 		m.isDraining = true
 	case NotifySupervisor:
 		m.lastNotification = []string{"READY", "RELOADING", "STOPPING"}[a.Notification]
 		if before.lastNotification == "STOPPING" {
-			return "notified " + m.lastNotification
+			return "notification after STOPPING: " + m.lastNotification
 		}
 	case LogTransition:
 	default:
@@ -308,29 +308,29 @@
 	switch a.(type) {
 	case SpawnSuccessor:
 		if m.successor > 0 || m.isDraining || m.isReloading || before.machine.hasPredecessor && m.machine.hasPredecessor {
-			return "a successor"
+			return "successor started while another process exists, reloading or draining"
 		}
 		m.successor = 1
 	case SendCheckpoint:
 		if m.hasSentCheckpoint || m.successor != 2 {
-			return "sent a checkpoint twice"
+			return "checkpoint sent to a successor that is not prepared, or a second time"
 		}
 		m.hasSentCheckpoint, m.successor = true, 3
 	case YieldToSuccessor:
 		if m.successor != 4 {
-			return "yielded to nobody"
+			return "yielded without a successor that accepts connections"
 		}
 		m.areListenersPaused = true
 	case ResumeAlone:
 		if m.successor != 0 {
-			return "resumed beside a successor"
+			return "resumed while a successor runs"
 		}
 		m.areListenersPaused, m.hasSentCheckpoint = false, false
 	case KillSuccessor:
 		m.successor, m.hasSentCheckpoint = 0, false
 	case ForwardReload:
 		if m.successor != 4 {
-			return "nobody to reload"
+			return "reload forwarded without a successor that accepts connections"
 		}
 	default:
 		return fmt.Sprintf("unknown action %T", a)
@@ -343,12 +343,12 @@
 	state := m.machine.State()
 	switch {
 	case m.areListenersPaused && m.successor < 4 && !m.isDraining:
-		return "nobody takes connections"
+		return "no process accepts connections"
 	case m.hasSentCheckpoint && m.successor < 3 && !m.isDraining:
-		return "a part of what is left is nobody's"
+		return "no process has the quota of the sent checkpoint"
 	case state == Reloading != (m.isReloading && !m.isDraining) && state != Ended,
 		m.lastNotification == "RELOADING" && !m.isReloading && !m.isDraining:
-		return fmt.Sprintf("%v while reloading %v", state, m.isReloading)
+		return fmt.Sprintf("state %v while reloading is %v", state, m.isReloading)
 	}
 	return ""
 }
@@ -368,7 +368,7 @@
 		}
 		state := r.machine.State()
 		if !r.isDraining && !r.hasEnded && (r.isReloadOutstanding || state == Reloading || r.lastNotification == "RELOADING") {
-			t.Fatalf("in %v, a reload owed %v, notified %q", state, r.isReloadOutstanding, r.lastNotification)
+			t.Fatalf("state %v, reload outstanding %v, last notification %q", state, r.isReloadOutstanding, r.lastNotification)
 		}
 	})
 }
@@ -417,18 +417,18 @@
 func (r *randomRun) handle(t *rapid.T, e Event) {
 	actions := r.machine.Handle(e)
 	if r.hasEnded && len(actions) > 0 {
-		t.Fatalf("%q after the end", formatActions(actions))
+		t.Fatalf("actions %q after the end", formatActions(actions))
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
 		case StartReload:
 			if r.isReloading || r.isDraining {
-				t.Fatalf("a reload while reloading %v, draining %v", r.isReloading, r.isDraining)
+				t.Fatalf("reload started while reloading %v, draining %v", r.isReloading, r.isDraining)
 			}
 			r.isReloading, r.isReloadOutstanding = true, false
 		case StartDrain:
 			if r.isDraining {
-				t.Fatalf("drained twice")
+				t.Fatalf("second drain")
 			}
 			r.isDraining = true
 		case NotifySupervisor:
@@ -443,7 +443,7 @@
 func (r *randomRun) notify(t *rapid.T, notification string) {
 	last := r.lastNotification
 	if last == "STOPPING" || last == "RELOADING" && notification == "RELOADING" || last == "" && notification == "RELOADING" {
-		t.Fatalf("%s after %q", notification, last)
+		t.Fatalf("notification %s after %q", notification, last)
 	}
 	r.lastNotification = notification
 }
--- a/internal/state/checkpoint.go
+++ b/internal/state/checkpoint.go
@@ -50,7 +50,7 @@
 // Errors that Decode and Load wrap, in addition to VersionError.
 var (
 	ErrNotState = errors.New("not a state file")
-	ErrDamaged  = errors.New("damaged, the checksum differs")
+	ErrDamaged  = errors.New("damaged data: checksum mismatch")
 )
 
 // VersionError is the error of Decode for a checkpoint whose version is not Version.
@@ -58,7 +58,7 @@
 
 // Error names both versions.
 func (e VersionError) Error() string {
-	return fmt.Sprintf("it is of version %d, not %d", e.Version, Version)
+	return fmt.Sprintf("unsupported version %d, expected %d", e.Version, Version)
 }
 
 // Encode returns c in its stored form: a header with a checksum, then c as CBOR of at most maxSize bytes. As long as c is
@@ -68,14 +68,14 @@
 	for {
 		body, err := cbor.Marshal(c)
 		if err != nil {
-			return nil, fmt.Errorf("writing the state: %w", err)
+			return nil, fmt.Errorf("encoding the checkpoint: %w", err)
 		}
 		if len(body) <= maxSize {
 			header := binary.BigEndian.AppendUint32([]byte(fileMagic), codec.Checksum(body))
 			return append(header, body...), nil
 		}
 		if !dropOlderHalf(&c) {
-			return nil, fmt.Errorf("writing the state: %d bytes are more than %d", len(body), maxSize)
+			return nil, fmt.Errorf("encoding the checkpoint: %d bytes without customers exceed the maximum of %d", len(body), maxSize)
 		}
 	}
 }
@@ -98,21 +98,21 @@
 // Decode returns the checkpoint that Encode encoded as raw. With an error it returns an empty checkpoint.
 func Decode(raw []byte) (Checkpoint, error) {
 	if len(raw) < headerSize || string(raw[:len(fileMagic)]) != fileMagic {
-		return Checkpoint{}, fmt.Errorf("reading the state: %w", ErrNotState)
+		return Checkpoint{}, fmt.Errorf("decoding the checkpoint: %w", ErrNotState)
 	}
 	if len(raw) > maxSize+headerSize {
-		return Checkpoint{}, fmt.Errorf("reading the state: %d bytes are more than %d", len(raw), maxSize)
+		return Checkpoint{}, fmt.Errorf("decoding the checkpoint: %d bytes exceed the maximum of %d", len(raw), maxSize)
 	}
 	body := raw[headerSize:]
 	if sum := binary.BigEndian.Uint32(raw[len(fileMagic):]); sum != codec.Checksum(body) {
-		return Checkpoint{}, fmt.Errorf("reading the state: %w", ErrDamaged)
+		return Checkpoint{}, fmt.Errorf("decoding the checkpoint: %w", ErrDamaged)
 	}
 	var c Checkpoint
 	if err := codec.Decoder.Unmarshal(body, &c); err != nil {
-		return Checkpoint{}, fmt.Errorf("reading the state: %w", err)
+		return Checkpoint{}, fmt.Errorf("decoding the checkpoint: %w", err)
 	}
 	if c.Version != Version {
-		return Checkpoint{}, fmt.Errorf("reading the state: %w", VersionError{c.Version})
+		return Checkpoint{}, fmt.Errorf("decoding the checkpoint: %w", VersionError{c.Version})
 	}
 	return c, nil
 }
--- a/internal/state/checkpoint_test.go
+++ b/internal/state/checkpoint_test.go
@@ -49,7 +49,7 @@
 		t.Fatal(got.TakenAt, err)
 	}
 	if got.TakenAt = want.TakenAt; !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v\nnot %+v", got, want)
+		t.Errorf("decoded %+v, want %+v", got, want)
 	}
 }
 
@@ -63,18 +63,18 @@
 		bad := bytes.Clone(raw)
 		bad[i] ^= 0x20
 		if checkpoint, err := Decode(bad); err == nil || checkpoint.Services != nil {
-			t.Errorf("byte %d changed: %+v", i, checkpoint)
+			t.Errorf("byte %d changed: decoded %+v", i, checkpoint)
 		}
 		if _, err := Decode(raw[:i]); err == nil {
-			t.Errorf("cut after %d", i)
+			t.Errorf("no error after truncation to %d bytes", i)
 		}
 	}
 	if _, err := Decode(append(bytes.Clone(raw), 0)); err == nil {
-		t.Error("a byte more")
+		t.Error("no error with an additional byte")
 	}
 	otherVersion := withChecksum([]byte{0xa1, 0x67, 'v', 'e', 'r', 's', 'i', 'o', 'n', 2})
-	if _, err := Decode(otherVersion); !errors.Is(err, VersionError{2}) || !strings.Contains(err.Error(), "version 2, not 1") {
-		t.Errorf("another version: %v", err)
+	if _, err := Decode(otherVersion); !errors.Is(err, VersionError{2}) || !strings.Contains(err.Error(), "unsupported version 2, expected 1") {
+		t.Errorf("another version: error %v", err)
 	}
 }
 
@@ -100,7 +100,7 @@
 		t.Fatal(err)
 	}
 	if customers := got.Services["a"].Checkpoint.Customers; len(customers) != 20 || !strings.HasPrefix(customers[0].ID, "0") {
-		t.Errorf("%d customers are left", len(customers))
+		t.Errorf("%d customers are left, want the 20 most recent", len(customers))
 	}
 }
 
@@ -114,7 +114,7 @@
 			return
 		}
 		if _, err := Encode(checkpoint); err != nil {
-			t.Errorf("what was read can't be written: %v", err)
+			t.Errorf("encoding the decoded checkpoint: %v", err)
 		}
 	})
 }
@@ -126,11 +126,11 @@
 		t.Fatal(err)
 	}
 	var locked *LockedError
-	if _, err := Open(dir, nil); !errors.As(err, &locked) || !strings.Contains(err.Error(), fmt.Sprint("another daemon has it: process ", os.Getpid())) {
-		t.Errorf("a second daemon: %v", err)
+	if _, err := Open(dir, nil); !errors.As(err, &locked) || !strings.Contains(err.Error(), fmt.Sprint("is locked by another daemon: process ", os.Getpid())) {
+		t.Errorf("Open of a locked directory: error %v", err)
 	}
 	if _, found, err := store.Consume(); found || err != nil {
-		t.Errorf("of nothing: %v, %v", found, err)
+		t.Errorf("Consume without a checkpoint: found %v, error %v", found, err)
 	}
 	clean := sampleCheckpoint(1)
 	clean.Clean = true
@@ -140,14 +140,14 @@
 	for i, want := range []bool{true, false} { // the second Consume is like the start after a crash
 		got, found, err := store.Consume()
 		if err != nil || !found || got.Clean != want || got.Generation != 4 {
-			t.Errorf("start %d: %+v, %v, %v", i, got, found, err)
+			t.Errorf("start %d: checkpoint %+v, found %v, error %v", i, got, found, err)
 		}
 	}
 	if err := os.WriteFile(store.path(), []byte("half a sta"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, found, err := store.Consume(); !found || err == nil {
-		t.Errorf("damaged: %v, %v", found, err)
+		t.Errorf("Consume of a damaged file: found %v, error %v", found, err)
 	}
 	if err := store.Close(); err != nil {
 		t.Error(err)
@@ -157,6 +157,6 @@
 	}
 	defer store.Close()
 	if _, err := Open("/proc/no/such", nil); err == nil {
-		t.Error("no such place, and no error")
+		t.Error("no error for a directory that can't be created")
 	}
 }
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	if encoded, err := Encode(checkpoint); err != nil || !bytes.Equal(encoded, raw) {
-		t.Errorf("it is not written as it was read: %v", err)
+		t.Errorf("the decoded checkpoint is encoded differently: %v", err)
 	}
 	if err := testkit.RoundTrip("cbor", raw[headerSize:], new(Checkpoint)); err != nil {
 		t.Error(err)
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -33,7 +33,7 @@
 
 // Error returns a message with the directory and the other process's id.
 func (e *LockedError) Error() string {
-	return fmt.Sprintf("state directory %s: another daemon has it: process %s", e.Directory, e.ProcessID)
+	return fmt.Sprintf("state directory %s is locked by another daemon: process %s", e.Directory, e.ProcessID)
 }
 
 // Open locks the directory, which it creates if it does not exist. If another process has the lock, the error is a
@@ -91,14 +91,14 @@
 func (s *Store) Load() (Checkpoint, error) {
 	info, err := os.Stat(s.path())
 	if err != nil {
-		return Checkpoint{}, fmt.Errorf("reading the state: %w", err)
+		return Checkpoint{}, fmt.Errorf("reading the checkpoint: %w", err)
 	}
 	if limit := int64(maxSize + headerSize); info.Size() > limit {
-		return Checkpoint{}, fmt.Errorf("reading the state: %s has %d bytes, more than %d", s.path(), info.Size(), limit)
+		return Checkpoint{}, fmt.Errorf("reading the checkpoint: %s has %d bytes, which exceeds the maximum of %d", s.path(), info.Size(), limit)
 	}
 	raw, err := os.ReadFile(s.path())
 	if err != nil {
-		return Checkpoint{}, fmt.Errorf("reading the state: %w", err)
+		return Checkpoint{}, fmt.Errorf("reading the checkpoint: %w", err)
 	}
 	return Decode(raw)
 }
@@ -110,7 +110,7 @@
 		return err
 	}
 	if err := durable.ReplaceFile(s.path(), raw, 0o600); err != nil {
-		return fmt.Errorf("writing the state: %w", err)
+		return fmt.Errorf("writing the checkpoint: %w", err)
 	}
 	return nil
 }
--- a/internal/state/temporary_files_test.go
+++ b/internal/state/temporary_files_test.go
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	if info, err := os.Stat(system); err != nil || !info.ModTime().Equal(old) {
-		t.Errorf("the system's temporary folder was written to: %v, %v", info.ModTime(), err)
+		t.Errorf("the system's temporary directory was modified: at %v, error %v", info.ModTime(), err)
 	}
 }
 
@@ -45,11 +45,11 @@
 	defer store.Close()
 	left, err := filepath.Glob(filepath.Join(directory, "*"))
 	if err != nil || len(left) != 4 {
-		t.Errorf("%v, %v", left, err)
+		t.Errorf("files left: %v, error %v", left, err)
 	}
 	for _, name := range []string{".state123456", ".state7"} {
 		if _, err := os.Lstat(filepath.Join(directory, name)); !os.IsNotExist(err) {
-			t.Errorf("%s is left: %v", name, err)
+			t.Errorf("%s was not removed: %v", name, err)
 		}
 	}
 	if _, err := os.Lstat(filepath.Join(directory, ".statement")); err != nil {
--- a/internal/supervise/listeners.go
+++ b/internal/supervise/listeners.go
@@ -12,16 +12,16 @@
 func InheritedListeners() (map[string]net.Listener, error) {
 	byName, err := activation.ListenersWithNames()
 	if err != nil {
-		return nil, fmt.Errorf("taking over listeners: %w", err)
+		return nil, fmt.Errorf("inheriting listeners: %w", err)
 	}
 	listeners := make(map[string]net.Listener)
 	for name, sameNameListeners := range byName {
 		for _, listener := range sameNameListeners {
 			if listener == nil {
-				return nil, fmt.Errorf("taking over listeners: %q is no stream socket", name)
+				return nil, fmt.Errorf("inheriting listeners: %q is not a stream socket", name)
 			}
 			if listeners[name] != nil {
-				return nil, fmt.Errorf("taking over listeners: %q is given twice", name)
+				return nil, fmt.Errorf("inheriting listeners: duplicate name %q", name)
 			}
 			listeners[name] = listener
 		}
--- a/internal/supervise/notify.go
+++ b/internal/supervise/notify.go
@@ -48,7 +48,7 @@
 func RunWatchdog(ctx context.Context, isAlive func(context.Context) bool) error {
 	timeout, err := daemon.SdWatchdogEnabled(false)
 	if err != nil {
-		return fmt.Errorf("reading the watchdog's time: %w", err)
+		return fmt.Errorf("reading the watchdog timeout: %w", err)
 	}
 	if timeout <= 0 {
 		return nil
--- a/internal/supervise/pidfile.go
+++ b/internal/supervise/pidfile.go
@@ -27,7 +27,7 @@
 
 // Error returns a message with the file and the other process's id.
 func (e *RunningError) Error() string {
-	return fmt.Sprintf("%s: another daemon runs: process %s", e.Path, e.ProcessID)
+	return fmt.Sprintf("%s is locked by another daemon: process %s", e.Path, e.ProcessID)
 }
 
 // CreatePIDFile locks the file at path, which it creates if it does not exist, and writes this process's id to it. If
@@ -35,7 +35,7 @@
 func CreatePIDFile(path string) (*PIDFile, error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
-		return nil, fmt.Errorf("writing the process id: %w", err)
+		return nil, fmt.Errorf("opening the pid file: %w", err)
 	}
 	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		defer file.Close() //nolint:errcheck // nothing was written
@@ -72,7 +72,7 @@
 		_, err = p.file.WriteAt([]byte(strconv.Itoa(os.Getpid())+"\n"), 0)
 	}
 	if err != nil {
-		return fmt.Errorf("writing the process id: %w", err)
+		return fmt.Errorf("writing the pid file: %w", err)
 	}
 	return nil
 }
--- a/internal/supervise/supervise_test.go
+++ b/internal/supervise/supervise_test.go
@@ -14,7 +14,7 @@
 func TestNotificationsReachSupervisor(t *testing.T) {
 	t.Setenv("NOTIFY_SOCKET", "")
 	if err := NotifyReady("x"); err != nil {
-		t.Errorf("with no supervisor: %v", err)
+		t.Errorf("without a supervisor: %v", err)
 	}
 	messages := testkit.Supervisor(t)
 	for _, err := range []error{NotifyReady("3 services"), NotifyReloading(), NotifyStopping()} {
@@ -23,17 +23,17 @@
 		}
 	}
 	if s := testkit.Next(t, messages); s != "READY=1\nSTATUS=3 services" {
-		t.Errorf("%q", s)
+		t.Errorf("unexpected notification %q", s)
 	}
 	if s := testkit.Next(t, messages); !strings.HasPrefix(s, "RELOADING=1\nMONOTONIC_USEC=") || len(s) < len("RELOADING=1\nMONOTONIC_USEC=1") {
-		t.Errorf("%q", s)
+		t.Errorf("unexpected notification %q", s)
 	}
 	if s := testkit.Next(t, messages); s != "STOPPING=1" {
-		t.Errorf("%q", s)
+		t.Errorf("unexpected notification %q", s)
 	}
 	t.Setenv("NOTIFY_SOCKET", filepath.Join(t.TempDir(), "nobody"))
 	if err := NotifyStopping(); err == nil {
-		t.Error("nobody listens, and no error")
+		t.Error("no error for a socket without a listener")
 	}
 }
 
@@ -55,19 +55,19 @@
 	}()
 	for range 3 {
 		if s := testkit.Next(t, messages); s != "WATCHDOG=1" {
-			t.Errorf("%q", s)
+			t.Errorf("unexpected notification %q", s)
 		}
 	}
 	isAlive.Store(false)
 	checksBefore := checks.Load()
-	testkit.Until(t, "checks while it is not alive", func() bool { return checks.Load() > checksBefore+3 })
+	testkit.Until(t, "checks while isAlive returns false", func() bool { return checks.Load() > checksBefore+3 })
 	for len(messages) > 0 { // sent before isAlive changed
 		<-messages
 	}
 	checksBefore = checks.Load()
-	testkit.Until(t, "more checks while it is not alive", func() bool { return checks.Load() > checksBefore+3 })
+	testkit.Until(t, "more checks while isAlive returns false", func() bool { return checks.Load() > checksBefore+3 })
 	if len(messages) > 0 {
-		t.Errorf("a daemon that is not alive notified %q", <-messages)
+		t.Errorf("notified %q while isAlive returns false", <-messages)
 	}
 	cancel()
 	if err := testkit.Next(t, ended); err != nil {
@@ -77,12 +77,12 @@
 	if err := os.Unsetenv("WATCHDOG_USEC"); err != nil {
 		t.Fatal(err)
 	}
-	if err := RunWatchdog(context.Background(), func(context.Context) bool { t.Error("checked"); return true }); err != nil {
+	if err := RunWatchdog(context.Background(), func(context.Context) bool { t.Error("isAlive called without a watchdog"); return true }); err != nil {
 		t.Error(err)
 	}
 	t.Setenv("WATCHDOG_USEC", "soon")
 	if err := RunWatchdog(context.Background(), nil); err == nil {
-		t.Error("an odd time was taken")
+		t.Error("no error for an invalid WATCHDOG_USEC")
 	}
 }
 
@@ -92,14 +92,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := CreatePIDFile(path); err == nil || !strings.Contains(err.Error(), "another daemon runs: process ") {
-		t.Errorf("a second one: %v", err)
+	if _, err := CreatePIDFile(path); err == nil || !strings.Contains(err.Error(), "is locked by another daemon: process ") {
+		t.Errorf("CreatePIDFile of a locked file: error %v", err)
 	}
 	if err := pidFile.Close(); err != nil {
 		t.Error(err)
 	}
 	if _, err := os.Stat(path); !os.IsNotExist(err) {
-		t.Errorf("still there: %v", err)
+		t.Errorf("pid file not removed: %v", err)
 	}
 	// A file that a killed daemon has left is taken over.
 	if err := os.WriteFile(path, []byte("999999999\n"), 0o600); err != nil {
@@ -110,10 +110,10 @@
 	}
 	defer pidFile.Close()
 	if raw, _ := os.ReadFile(path); strings.Contains(string(raw), "999999999") {
-		t.Errorf("%q", raw)
+		t.Errorf("pid file contains %q", raw)
 	}
 	if _, err := CreatePIDFile(filepath.Join(path, "no")); err == nil {
-		t.Error("no such folder, and no error")
+		t.Error("no error for a path below a file")
 	}
 	if err := (*PIDFile)(nil).Close(); err != nil {
 		t.Error(err)
@@ -123,6 +123,6 @@
 func TestNoListenersWithoutSupervisor(t *testing.T) {
 	t.Setenv("LISTEN_FDS", "")
 	if listeners, err := InheritedListeners(); err != nil || len(listeners) > 0 {
-		t.Errorf("%v, %v", listeners, err)
+		t.Errorf("listeners %v, error %v", listeners, err)
 	}
 }
--- a/internal/upgrade/golden_test.go
+++ b/internal/upgrade/golden_test.go
@@ -29,10 +29,10 @@
 	for _, m := range messages {
 		kind, body, err := readMessage(r)
 		if err != nil || kind != m.kind || string(body) != m.body {
-			t.Errorf("%q %q: %v, not %q %q", byte(kind), body, err, byte(m.kind), m.body)
+			t.Errorf("read kind %q, body %q, error %v; want kind %q, body %q", byte(kind), body, err, byte(m.kind), m.body)
 		}
 	}
 	if r.Len() > 0 {
-		t.Errorf("%d bytes are left", r.Len())
+		t.Errorf("%d bytes left after the last message", r.Len())
 	}
 }
--- a/internal/upgrade/message.go
+++ b/internal/upgrade/message.go
@@ -50,7 +50,7 @@
 
 func writeMessage(w io.Writer, kind messageKind, body []byte) error {
 	if len(body) > maxMessageSize {
-		return fmt.Errorf("a message of %d bytes is more than %d", len(body), maxMessageSize)
+		return fmt.Errorf("message body of %d bytes exceeds the maximum of %d", len(body), maxMessageSize)
 	}
 	header := binary.BigEndian.AppendUint32([]byte{byte(kind)}, uint32(len(body)))
 	_, err := w.Write(append(header, body...))
@@ -65,7 +65,7 @@
 	}
 	size := binary.BigEndian.Uint32(header[1:])
 	if size > maxMessageSize {
-		return 0, nil, fmt.Errorf("a message of %d bytes is more than %d", size, maxMessageSize)
+		return 0, nil, fmt.Errorf("message body of %d bytes exceeds the maximum of %d", size, maxMessageSize)
 	}
 	body := make([]byte, size)
 	if _, err := io.ReadFull(r, body); err != nil {
--- a/internal/upgrade/predecessor.go
+++ b/internal/upgrade/predecessor.go
@@ -22,7 +22,7 @@
 
 // Error names both versions.
 func (e ProtocolError) Error() string {
-	return fmt.Sprintf("the old process has protocol version %d, this one %d", e.Version, protocolVersion)
+	return fmt.Sprintf("predecessor has protocol version %d, this process has %d", e.Version, protocolVersion)
 }
 
 // PredecessorFromEnvironment returns the process that this one is to replace, as EnvironmentVariable describes it, or nil
@@ -81,7 +81,7 @@
 		listener, err := net.FileListener(file)
 		_ = file.Close() // net.FileListener duplicates the descriptor
 		if err != nil {
-			return nil, fmt.Errorf("taking over the listener of %s: %w", address, err)
+			return nil, fmt.Errorf("taking over the listener at %s: %w", address, err)
 		}
 		listeners[address] = listener
 	}
@@ -93,7 +93,7 @@
 func (p *Predecessor) AwaitCheckpoint() ([]byte, error) {
 	checkpoint, err := p.requestCheckpoint()
 	if err != nil {
-		return nil, fmt.Errorf("taking over: no checkpoint from the old process: %w", err)
+		return nil, fmt.Errorf("taking over: receiving the predecessor's checkpoint: %w", err)
 	}
 	return checkpoint, nil
 }
@@ -107,7 +107,7 @@
 		return nil, err
 	}
 	if kind != messageCheckpoint {
-		return nil, fmt.Errorf("it sent the message %q, not a checkpoint", byte(kind))
+		return nil, fmt.Errorf("received message of kind %q, expected a checkpoint", byte(kind))
 	}
 	return body, nil
 }
@@ -115,7 +115,7 @@
 // AnnounceTakeOver reports that this process accepts connections.
 func (p *Predecessor) AnnounceTakeOver() error {
 	if err := writeMessage(p.conn, messageTookOver, nil); err != nil {
-		return fmt.Errorf("taking over: %w", err)
+		return fmt.Errorf("announcing the take-over: %w", err)
 	}
 	return nil
 }
--- a/internal/upgrade/processes_test.go
+++ b/internal/upgrade/processes_test.go
@@ -54,7 +54,7 @@
 		if predecessor.AnnounceTakeOver() != nil {
 			return 8
 		}
-		panic("a second later")
+		panic("after the take-over")
 	}
 	if err := predecessor.AnnounceTakeOver(); err != nil {
 		return 6
@@ -111,7 +111,7 @@
 	successor.conn.(*net.UnixConn).CloseWrite() // as the end of this process would do
 	raw, err := io.ReadAll(client)
 	if err != nil || string(raw) != state+" then rest" {
-		t.Errorf("%d bytes, %v", len(raw), err)
+		t.Errorf("answer of %d bytes, error %v", len(raw), err)
 	}
 	if e := testkit.Next(t, successor.Events()); e != Ended {
 		t.Error(e)
@@ -141,12 +141,12 @@
 				}
 			}
 			if eventCount != want.events || !strings.Contains(successor.Err().Error(), want.wantError) {
-				t.Errorf("%d events, %v", eventCount, successor.Err())
+				t.Errorf("%d events, then error %v", eventCount, successor.Err())
 			}
 		})
 	}
 	if _, err := Start(Program{Path: "/no/such/program"}); err == nil {
-		t.Error("no such program, and no error")
+		t.Error("no error for a missing program")
 	}
 }
 
@@ -159,7 +159,7 @@
 	} {
 		p, err := PredecessorFromEnvironment(func(string) string { return variable })
 		if want == "" && (p != nil || err != nil) || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
-			t.Errorf("%q: %v, %v", variable, p, err)
+			t.Errorf("variable %q: predecessor %v, error %v", variable, p, err)
 		}
 	}
 }
@@ -170,7 +170,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		kind, body, err := readMessage(bytes.NewReader(raw))
 		if err == nil && (len(raw) < 5+len(body) || kind != messageKind(raw[0]) || binary.BigEndian.Uint32(raw[1:]) != uint32(len(body))) {
-			t.Errorf("%q: %q %q", raw, kind, body)
+			t.Errorf("input %q: read kind %q, body %q", raw, kind, body)
 		}
 	})
 }
--- a/internal/upgrade/successor.go
+++ b/internal/upgrade/successor.go
@@ -200,7 +200,7 @@
 
 func (s *Successor) send(kind messageKind, body []byte) error {
 	if err := writeMessage(s.conn, kind, body); err != nil {
-		return fmt.Errorf("sending to the successor: %w", err)
+		return fmt.Errorf("sending a message to the successor: %w", err)
 	}
 	return nil
 }
