--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -18,8 +18,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// An upgrade under load, and a second one by the successor, lose no request, forward none twice, refuse no
-// connection and leave no degraded condition.
+// An upgrade under load, and then an upgrade of the successor, lose no request, forward none twice, refuse no connection
+// and leave no degraded condition.
 func TestUpgradeUnderLoadLosesNoRequest(t *testing.T) {
 	r := startDaemon(t, "")
 	ctx, stop := context.WithCancel(context.Background())
@@ -31,25 +31,25 @@
 			t.Fatal(err)
 		}
 		r.awaitStatus("the successor", func(s manage.Status) bool { return s.PID != old.PID && s.IsReady() })
-		testkit.Until(t, "the old one's end", func() bool { return hasEnded(old.PID) })
+		testkit.Until(t, "the end of the old process", func() bool { return hasEnded(old.PID) })
 		if generation == 0 {
-			r.writeConfig("rate = 100000", "rate = 90000") // reloads go on as before
+			r.writeConfig("rate = 100000", "rate = 90000") // a reload works after an upgrade
 			if s, err := r.control.Reload(ctx); err != nil || s.Generation != 2 {
-				t.Errorf("reload: generation %d, %v", s.Generation, err)
+				t.Errorf("reload: generation %d, error %v", s.Generation, err)
 			}
 		}
 	}
 	stop()
 	r.checkResults(run.Wait())
 	if raw, _ := os.ReadFile(r.directory + "/pid"); strings.TrimSpace(string(raw)) != fmt.Sprint(r.status().PID) {
-		t.Errorf("the pid file says %q", raw)
+		t.Errorf("the pid file contains %q", raw)
 	}
 	if s := r.status(); s.Generation != 2 || len(s.DegradedConditions) > 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("unexpected status: %+v", s)
 	}
 }
 
-// Where the configuration file names another state directory at the upgrade, the successor locks that one.
+// If the configuration file has another state directory at the upgrade, the successor locks that directory.
 func TestUpgradeLocksChangedStateDirectory(t *testing.T) {
 	r := startDaemon(t, "")
 	old := r.status()
@@ -60,7 +60,7 @@
 	r.awaitStatus("the successor", func(s manage.Status) bool { return s.PID != old.PID && s.IsReady() })
 	raw, err := os.ReadFile(r.directory + "/other/lock")
 	if err != nil || strings.TrimSpace(string(raw)) != fmt.Sprint(r.status().PID) {
-		t.Errorf("the new lock says %q, %v", raw, err)
+		t.Errorf("the new lock file contains %q, error %v", raw, err)
 	}
 	if s, err := state.Open(r.directory+"/other", nil); err == nil {
 		s.Close()
@@ -70,35 +70,35 @@
 
 // A successor that fails before or after it takes over leaves the old process serving.
 func TestFailedUpgradeLeavesOldProcessServing(t *testing.T) {
-	for successorFault, why := range map[string]string{"dies": "exit status 7", "hangs": "not ready within", "fails after it took over": ""} {
+	for successorFault, wantError := range map[string]string{"dies": "exit status 7", "hangs": "not ready within", "exits after the take-over": ""} {
 		t.Run(successorFault, func(t *testing.T) {
 			t.Parallel()
 			old, new := "", ""
 			switch successorFault {
 			case "hangs":
 				old, new = `within = "20s"`, `within = "200ms"`
-			case "fails after it took over": // before it has proved itself, however long that takes it here
+			case "exits after the take-over": // long enough that the fault occurs before the end of the probation on a slow machine
 				old, new = `probation = "300ms"`, `probation = "30s"`
 			}
 			r := startDaemonWith(t, successorFault, nil, old, new)
-			checkFailedUpgrade(t, r, successorFault, why)
+			checkFailedUpgrade(t, r, successorFault, wantError)
 		})
 	}
 }
 
-// checkFailedUpgrade upgrades r, whose successor has a fault, and checks that the upgrade's error has why in it
-// (empty for none) and that the old process serves, names itself in the pid file and can be drained.
-func checkFailedUpgrade(t *testing.T, r *daemonProcess, successorFault, why string) {
+// checkFailedUpgrade upgrades r to a faulty successor. It checks that the upgrade's error contains wantError (empty for no
+// error), and that the old process serves, is recorded in the pid file and can be drained.
+func checkFailedUpgrade(t *testing.T, r *daemonProcess, successorFault, wantError string) {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	run := r.startLoad(ctx, 2)
-	was := r.status()
+	before := r.status()
 	_, err := r.control.Upgrade(ctx, "")
-	if why != "" && (err == nil || !strings.Contains(err.Error(), why)) || why == "" && err != nil {
-		t.Errorf("%v", err)
+	if wantError != "" && (err == nil || !strings.Contains(err.Error(), wantError)) || wantError == "" && err != nil {
+		t.Errorf("upgrade: error %v", err)
 	}
-	r.awaitStatus("going on", func(s manage.Status) bool { return s.PID == was.PID && s.IsReady() && s.SuccessorPID == 0 })
+	r.awaitStatus("the old process without a successor", func(s manage.Status) bool { return s.PID == before.PID && s.IsReady() && s.SuccessorPID == 0 })
 	testkit.Until(t, "more answers", func() bool { return run.Snapshot()["read"].Served > 50 })
 	c, err := net.Dial("tcp", r.address)
 	if err != nil {
@@ -107,22 +107,22 @@
 	c.Close()
 	stop()
 	results := run.Wait()
-	if successorFault == "fails after it took over" { // what it had taken ended with it
+	if successorFault == "exits after the take-over" { // the requests that the successor had accepted ended with it
 		for _, s := range results {
 			s.Lost = 0
 		}
 	}
 	r.checkResults(results)
-	if raw, _ := os.ReadFile(r.directory + "/pid"); strings.TrimSpace(string(raw)) != fmt.Sprint(was.PID) {
-		t.Errorf("the pid file says %q", raw)
+	if raw, _ := os.ReadFile(r.directory + "/pid"); strings.TrimSpace(string(raw)) != fmt.Sprint(before.PID) {
+		t.Errorf("the pid file contains %q", raw)
 	}
 	if _, err := r.control.Drain(context.Background()); err != nil {
 		t.Error(err)
 	}
-	testkit.Until(t, "the end", func() bool { return hasEnded(was.PID) })
+	testkit.Until(t, "the end", func() bool { return hasEnded(before.PID) })
 }
 
-// SIGTERM during an upgrade ends both processes, also with a reload pending.
+// SIGTERM during an upgrade ends both processes, even with a pending reload.
 func TestStopSignalDuringUpgradeEndsBothProcesses(t *testing.T) {
 	r := startDaemon(t, "hangs")
 	old := r.status()
@@ -133,17 +133,17 @@
 	successorPID := r.status().SuccessorPID
 	r.process.Process.Signal(syscall.SIGHUP)
 	r.process.Process.Signal(syscall.SIGTERM)
-	testkit.Until(t, "both ends", func() bool { return hasEnded(old.PID) && hasEnded(successorPID) })
+	testkit.Until(t, "the end of both processes", func() bool { return hasEnded(old.PID) && hasEnded(successorPID) })
 	if _, err := os.Stat(r.directory + "/pid"); !os.IsNotExist(err) {
-		t.Errorf("the pid file is left: %v", err)
+		t.Errorf("the pid file was not removed: %v", err)
 	}
 	if _, err := os.Stat(r.control.Path); !os.IsNotExist(err) {
-		t.Errorf("the control socket is left: %v", err)
+		t.Errorf("the control socket was not removed: %v", err)
 	}
 }
 
-// A hard limit over restarts: after a graceful shutdown its bucket has what was left; after kill -9 it starts
-// empty and the status lists a degraded condition.
+// After a graceful restart the token bucket of a hard limit has its remaining tokens. After kill -9 it starts empty, and
+// the status lists a degraded condition.
 func TestHardLimitOverRestarts(t *testing.T) {
 	r := startDaemon(t, "")
 	startedAt := time.Now()
@@ -159,34 +159,34 @@
 		testkit.Until(t, "the end", func() bool { return hasEnded(pid) })
 		r.start("")
 		if conditions := r.status().DegradedConditions; (len(conditions) > 0) != kill {
-			t.Errorf("start %d: it distrusts %v", i, conditions)
+			t.Errorf("start %d: degraded conditions %v", i, conditions)
 		}
 		served += r.sendRequests(60)
 	}
-	// The first start's slack and what the rate gave, the client's own time included.
+	// The slack of the first start, and the refill at the rate over the time in which the client also ran.
 	if maxServed := 2 + 50*time.Since(startedAt).Seconds() + 1; float64(served) > maxServed {
-		t.Errorf("%d units, at most %.0f were due", served, maxServed)
+		t.Errorf("%d units served, want at most %.0f", served, maxServed)
 	}
 }
 
-// A hard limit that a quota lease store lends is not exceeded, by the servers' own count, over upgrades, kill -9
-// and graceful restarts, and each new process gets a lease in the end.
+// A hard limit whose quota is leased from a quota lease store is not exceeded, by the servers' own count, across upgrades,
+// kill -9 and graceful restarts, and each new process eventually gets a lease.
 func TestSharedHardLimitOverProcesses(t *testing.T) {
-	counter, err := redistest.Start()
+	leaseStore, err := redistest.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(counter.Close)
-	b := quotalease.Rules{Instances: 1, Term: 200 * time.Millisecond, MaxDrift: 0.001}.Bound(quotalease.HardLimit{Rate: 50, Burst: 50})
-	monitor := &fake.HardLimitMonitor{Rate: b.Rate, Burst: b.Burst}
+	t.Cleanup(leaseStore.Close)
+	bound := quotalease.Rules{Instances: 1, Term: 200 * time.Millisecond, MaxDrift: 0.001}.Bound(quotalease.HardLimit{Rate: 50, Burst: 50})
+	monitor := &fake.HardLimitMonitor{Rate: bound.Rate, Burst: bound.Burst}
 	r := startDaemonWith(t, "", monitor, "[services.a]", fmt.Sprintf("[services.a]\ncounter = { addresses = [%q], term = \"200ms\", pledge = \"400ms\", "+
-		"settle = \"500ms\", over = 0.5 }", counter.Addr()))
-	more := func() {
+		"settle = \"500ms\", over = 0.5 }", leaseStore.Addr()))
+	sendUntilServed := func() {
 		t.Helper()
-		n := 0
-		testkit.Until(t, "requests that are served", func() bool { n += r.sendRequests(20); return n >= 20 })
+		served := 0
+		testkit.Until(t, "20 served requests", func() bool { served += r.sendRequests(20); return served >= 20 })
 	}
-	more()
+	sendUntilServed()
 	for i := range 6 {
 		pid := r.status().PID
 		switch i % 3 {
@@ -195,8 +195,8 @@
 				t.Fatal(err)
 			}
 			r.awaitStatus("the successor", func(s manage.Status) bool { return s.PID != pid && s.IsReady() })
-			if i == 0 { // else the next one comes while the old one drains
-				testkit.Until(t, "the old one's end", func() bool { return hasEnded(pid) })
+			if i == 0 { // in the other rounds the next step begins while the old process drains
+				testkit.Until(t, "the end of the old process", func() bool { return hasEnded(pid) })
 			}
 		case 1:
 			syscall.Kill(pid, syscall.SIGKILL)
@@ -209,42 +209,42 @@
 			testkit.Until(t, "the end", func() bool { return hasEnded(pid) })
 			r.start("")
 		}
-		more()
+		sendUntilServed()
 	}
-	r.awaitStatus("a counter that lends", func(s manage.Status) bool {
+	r.awaitStatus("a quota lease", func(s manage.Status) bool {
 		return len(s.Services[0].HardLimits) == 1 && s.Services[0].HardLimits[0].CanBorrow
 	})
-	worst, units := monitor.MaxExcess()
-	if t.Logf("%.0f units, %.1f beyond the bound", units, worst); worst > 0 || counter.ScriptRuns() == 0 {
-		t.Errorf("%.1f units beyond the bound; %d calls", worst, counter.ScriptRuns())
+	maxExcess, units := monitor.MaxExcess()
+	if t.Logf("%.0f units, %.1f above the bound", units, maxExcess); maxExcess > 0 || leaseStore.ScriptRuns() == 0 {
+		t.Errorf("%.1f units above the bound; %d script runs in the lease store", maxExcess, leaseStore.ScriptRuns())
 	}
 }
 
-// A state directory that can't be written any more is a degraded condition while that lasts, and the daemon serves
-// on; so is a configuration file that can't be read.
+// An unwritable state directory is a degraded condition as long as it is unwritable, and the daemon continues to serve.
+// The same applies to a configuration file that can't be loaded.
 func TestUnwritableStateDirectoryIsDegradedCondition(t *testing.T) {
 	r := startDaemon(t, "")
 	r.awaitStatus("a checkpoint", func(manage.Status) bool { _, err := os.Stat(r.directory + "/state/state"); return err == nil })
-	if err := os.Rename(r.directory+"/state", r.directory+"/gone"); err != nil { // the daemon may be writing into it
+	if err := os.Rename(r.directory+"/state", r.directory+"/gone"); err != nil { // renamed, since the daemon may be writing to it
 		t.Fatal(err)
 	}
-	r.awaitStatus("the doubt", func(s manage.Status) bool {
+	r.awaitStatus("the degraded condition", func(s manage.Status) bool {
 		return len(s.DegradedConditions) == 1 && strings.Contains(s.DegradedConditions[0], "state directory")
 	})
 	if n := r.sendRequests(1); n != 1 {
-		t.Error("it doesn't serve")
+		t.Error("the request was not served")
 	}
 	if err := os.Mkdir(r.directory+"/state", 0o700); err != nil {
 		t.Fatal(err)
 	}
-	r.awaitStatus("the end of the doubt", func(s manage.Status) bool { return len(s.DegradedConditions) == 0 })
+	r.awaitStatus("the end of the degraded condition", func(s manage.Status) bool { return len(s.DegradedConditions) == 0 })
 	if err := os.WriteFile(r.directory+"/c.toml", []byte("x = 1"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := r.control.Reload(context.Background()); err == nil || !strings.Contains(err.Error(), "c.toml:1: x: unknown key") {
-		t.Errorf("a bad reload: %v", err)
+		t.Errorf("reload of an invalid file: error %v", err)
 	}
 	if s := r.status(); s.Generation != 1 || len(s.DegradedConditions) != 1 {
-		t.Errorf("%+v", s)
+		t.Errorf("unexpected status: %+v", s)
 	}
 }
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -24,22 +24,22 @@
 	"lockflow/internal/upgrade"
 )
 
-// The test's own executable is the daemon where roleVariable is set; its value is the fault of a successor,
-// empty for none.
-const roleVariable = "LOCKFLOW_TEST_DAEMON"
+// faultVariable makes the test executable run the daemon. Its value is the fault of a process that runs as successor, or
+// empty for no fault.
+const faultVariable = "LOCKFLOW_TEST_DAEMON"
 
 func TestMain(m *testing.M) {
-	r, ok := os.LookupEnv(roleVariable)
+	fault, ok := os.LookupEnv(faultVariable)
 	if !ok {
 		os.Exit(m.Run())
 	}
 	if os.Getenv(upgrade.EnvironmentVariable) != "" {
-		switch r {
+		switch fault {
 		case "dies":
 			os.Exit(7)
 		case "hangs":
 			time.Sleep(time.Minute)
-		case "fails after it took over":
+		case "exits after the take-over":
 			go func() {
 				control := os.Args[len(os.Args)-1]
 				for {
@@ -89,7 +89,7 @@
 class = "update"
 `
 
-// daemonProcess is a daemon as a process of its own, between fake servers and clients.
+// daemonProcess is a daemon that runs in a separate process between fake servers and clients.
 type daemonProcess struct {
 	t         *testing.T
 	directory string
@@ -101,30 +101,30 @@
 }
 
 type syncBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
 func (s *syncBuffer) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.b.Write(p)
+	return s.buffer.Write(p)
 }
 
 func (s *syncBuffer) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.b.String()
+	return s.buffer.String()
 }
 
-// startDaemon starts a daemon and waits until it is ready; successorFault is what its successors do.
+// startDaemon starts a daemon and waits until it is ready. successorFault is the fault of its successors.
 func startDaemon(t *testing.T, successorFault string) *daemonProcess {
 	t.Helper()
 	return startDaemonWith(t, successorFault, nil, "", "")
 }
 
-// startDaemonWith is startDaemon with servers that check a hard limit, and with old replaced by new in the
-// configuration.
+// startDaemonWith is startDaemon with servers that check a hard limit by monitor, unless it is nil, and with old replaced
+// by new in the configuration.
 func startDaemonWith(t *testing.T, successorFault string, monitor *fake.HardLimitMonitor, old, new string) *daemonProcess {
 	t.Helper()
 	r := &daemonProcess{t: t, directory: testkit.ShortDir(t)}
@@ -144,10 +144,10 @@
 	t.Cleanup(func() {
 		if s, err := r.control.Status(context.Background()); err == nil {
 			syscall.Kill(s.PID, syscall.SIGKILL)
-			testkit.Until(t, "the daemon's end", func() bool { return hasEnded(s.PID) }) // it writes into r.dir
+			testkit.Until(t, "the end of the daemon", func() bool { return hasEnded(s.PID) }) // until then it writes to r.directory
 		}
 		r.process.Process.Kill()
-		testkit.Until(t, "the first daemon's end", func() bool { return hasEnded(r.process.Process.Pid) })
+		testkit.Until(t, "the end of the started process", func() bool { return hasEnded(r.process.Process.Pid) })
 		if t.Failed() {
 			t.Log(r.log.String())
 		}
@@ -166,16 +166,16 @@
 
 func (r *daemonProcess) start(successorFault string) {
 	r.t.Helper()
-	r.run(successorFault)
+	r.startProcess(successorFault)
 	r.awaitStatus("ready", func(s manage.Status) bool { return s.IsReady() })
 	r.address = r.status().Listeners[0]
 }
 
-// run starts the daemon's process.
-func (r *daemonProcess) run(successorFault string) {
+// startProcess starts the daemon's process without waiting until it is ready.
+func (r *daemonProcess) startProcess(successorFault string) {
 	r.t.Helper()
 	r.process = exec.Command(os.Args[0], "serve", "--config", r.directory+"/c.toml", "--pid-file", r.directory+"/pid", "--control", r.control.Path)
-	r.process.Env = append(os.Environ(), roleVariable+"="+successorFault)
+	r.process.Env = append(os.Environ(), faultVariable+"="+successorFault)
 	r.process.Stdout, r.process.Stderr = &r.log, &r.log
 	if err := r.process.Start(); err != nil {
 		r.t.Fatal(err)
@@ -192,16 +192,16 @@
 	return s
 }
 
-func (r *daemonProcess) awaitStatus(what string, is func(manage.Status) bool) {
+func (r *daemonProcess) awaitStatus(condition string, matches func(manage.Status) bool) {
 	r.t.Helper()
-	testkit.Until(r.t, what, func() bool {
+	testkit.Until(r.t, condition, func() bool {
 		s, err := r.control.Status(context.Background())
-		return err == nil && is(s)
+		return err == nil && matches(s)
 	})
 }
 
-// hasEnded tells whether a process has ended with all of its threads: one whose first thread alone has ended
-// is a zombie that still has open files and locks.
+// hasEnded reports whether a process has ended with all of its threads. A process of which only the first thread has
+// ended is a zombie that still has open files and locks.
 func hasEnded(pid int) bool {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -225,15 +225,15 @@
 	r.t.Helper()
 	for kind, s := range results {
 		if s.Lost+s.Wrong+s.Failed > 0 || s.Served < s.Calls/2 || s.Calls == 0 {
-			r.t.Errorf("%s: %+v", kind, *s)
+			r.t.Errorf("%s requests: unexpected results: %+v", kind, *s)
 		}
 	}
 	if c := r.pool.Executions.Counts(); c.DuplicateEffects > 0 || c.MaxInFlight > 1 {
-		r.t.Errorf("%+v", c)
+		r.t.Errorf("unexpected executions: %+v", c)
 	}
 }
 
-// sendRequests sends n requests of an enterprise customer and returns how many were served.
+// sendRequests sends n requests of an enterprise customer and returns the number of served requests.
 func (r *daemonProcess) sendRequests(n int) (served int) {
 	r.t.Helper()
 	for range n {
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -10,39 +10,39 @@
 	"pgregory.net/rapid"
 )
 
-// actionWords returns actions as these tests write them.
-func actionWords(actions []Action) string {
-	var w []string
+// formatActions returns actions in the notation of these tests.
+func formatActions(actions []Action) string {
+	var words []string
 	for _, a := range actions {
 		switch a := a.(type) {
 		case LogTransition:
-			w = append(w, fmt.Sprintf("%v>%v", a.From, a.To))
+			words = append(words, fmt.Sprintf("%v>%v", a.From, a.To))
 		case StartReload:
-			w = append(w, "load")
+			words = append(words, "load")
 		case StartDrain:
-			w = append(w, "drain")
+			words = append(words, "drain")
 		case NotifySupervisor:
-			w = append(w, []string{"READY", "RELOADING", "STOPPING"}[a.Notification])
+			words = append(words, []string{"READY", "RELOADING", "STOPPING"}[a.Notification])
 		case SpawnSuccessor:
-			w = append(w, "spawn")
+			words = append(words, "spawn")
 		case SendCheckpoint:
-			w = append(w, "give")
+			words = append(words, "give")
 		case YieldToSuccessor:
-			w = append(w, "yield")
+			words = append(words, "yield")
 		case ResumeAlone:
-			w = append(w, "resume")
+			words = append(words, "resume")
 		case KillSuccessor:
-			w = append(w, "abandon")
+			words = append(words, "abandon")
 		case ForwardReload:
-			w = append(w, "forward")
+			words = append(words, "forward")
 		default:
-			w = append(w, fmt.Sprintf("unknown %T", a))
+			words = append(words, fmt.Sprintf("unknown %T", a))
 		}
 	}
-	return strings.Join(w, " ")
+	return strings.Join(words, " ")
 }
 
-// step is an event and the actions that follow from it.
+// step is an event and the expected actions, in the notation of formatActions.
 type step struct {
 	event Event
 	want  string
@@ -50,12 +50,12 @@
 
 var errBadFile = errors.New("bad file")
 
-// readySteps lead to Ready.
+// readySteps lead from Starting to Ready.
 var readySteps = []step{{Listening{}, "starting>warming"}, {ServicesReady{}, "warming>ready READY"}}
 
-// stepsFromReady are sequences of events that start in Ready.
+// stepsFromReady are sequences of steps that begin in Ready, by test name.
 var stepsFromReady = map[string][]step{
-	"an ordinary life": {
+	"reload and stop": {
 		{ReloadRequested{"SIGHUP"}, "ready>reloading RELOADING load"},
 		{ReloadFinished{}, "reloading>ready READY"},
 		{StopRequested{"SIGTERM"}, "ready>draining STOPPING drain"},
@@ -63,18 +63,18 @@
 		{StopRequested{"SIGTERM"}, ""},
 		{ReloadRequested{"SIGHUP"}, ""},
 	},
-	"a bad file": {
+	"failed reload": {
 		{ReloadRequested{"SIGHUP"}, "ready>reloading RELOADING load"},
 		{ReloadFinished{errBadFile}, "reloading>ready READY"},
 	},
-	"many reloads": {
+	"requests during a reload": {
 		{ReloadRequested{"1"}, "ready>reloading RELOADING load"},
 		{ReloadRequested{"2"}, ""},
 		{ReloadRequested{"3"}, ""},
 		{ReloadFinished{}, "reloading>ready READY ready>reloading RELOADING load"},
 		{ReloadFinished{}, "reloading>ready READY"},
 	},
-	"stop in a reload": {
+	"stop during a reload": {
 		{ReloadRequested{"1"}, "ready>reloading RELOADING load"},
 		{StopRequested{"SIGTERM"}, "reloading>draining STOPPING drain"},
 		{ReloadFinished{}, ""},
@@ -82,8 +82,8 @@
 		{StopRequested{"again"}, "draining>draining"},
 		{Finished{}, "draining>ended"},
 	},
-	"a failure": {{Finished{errBadFile}, "ready>ended"}},
-	"an upgrade": {
+	"failure of the daemon": {{Finished{errBadFile}, "ready>ended"}},
+	"successful upgrade": {
 		{UpgradeRequested{"x"}, "ready>handing over spawn"},
 		{SuccessorPrepared{}, "give"},
 		{SuccessorTookOver{}, "yield"},
@@ -91,7 +91,7 @@
 		{SuccessorLost{errBadFile}, ""},
 		{Finished{}, "draining>ended"},
 	},
-	"a successor that can't": {
+	"successor lost before the take-over": {
 		{UpgradeRequested{"x"}, "ready>handing over spawn"},
 		{SuccessorLost{errBadFile}, "resume handing over>ready"},
 		{SuccessorPrepared{}, ""},
@@ -99,28 +99,28 @@
 		{SuccessorPrepared{}, "give"},
 		{SuccessorLost{errBadFile}, "resume handing over>ready"},
 	},
-	"ready, then it panics": {
+	"successor lost after the take-over": {
 		{UpgradeRequested{"x"}, "ready>handing over spawn"},
 		{SuccessorPrepared{}, "give"},
 		{SuccessorTookOver{}, "yield"},
 		{SuccessorLost{errBadFile}, "resume handing over>ready"},
 		{ReloadRequested{"x"}, "ready>reloading RELOADING load"},
 	},
-	"stop before it took over": {
+	"stop before the take-over": {
 		{UpgradeRequested{"x"}, "ready>handing over spawn"},
 		{SuccessorPrepared{}, "give"},
 		{StopRequested{"SIGTERM"}, "handing over>draining abandon STOPPING drain"},
 		{SuccessorTookOver{}, ""},
 		{SuccessorConfirmed{}, ""},
 	},
-	"stop after it took over": {
+	"stop after the take-over": {
 		{UpgradeRequested{"x"}, "ready>handing over spawn"},
 		{SuccessorPrepared{}, "give"},
 		{SuccessorTookOver{}, "yield"},
 		{StopRequested{"SIGTERM"}, "handing over>draining drain"},
 		{SuccessorConfirmed{}, ""},
 	},
-	"reload while it starts": {
+	"reload while the successor starts": {
 		{UpgradeRequested{"x"}, "ready>handing over spawn"},
 		{ReloadRequested{"x"}, ""},
 		{SuccessorPrepared{}, "give"},
@@ -128,12 +128,12 @@
 		{ReloadRequested{"x"}, "forward"},
 		{SuccessorConfirmed{}, "handing over>draining drain"},
 	},
-	"reload, and it fails": {
+	"reload, then successor lost": {
 		{UpgradeRequested{"x"}, "ready>handing over spawn"},
 		{ReloadRequested{"x"}, ""},
 		{SuccessorLost{errBadFile}, "resume handing over>ready ready>reloading RELOADING load"},
 	},
-	"upgrade in a reload": {
+	"upgrade during a reload": {
 		{ReloadRequested{"x"}, "ready>reloading RELOADING load"},
 		{UpgradeRequested{"x"}, ""},
 		{ReloadFinished{}, "reloading>ready READY ready>handing over spawn"},
@@ -141,12 +141,12 @@
 	},
 }
 
-// checkSteps has m handle the events of steps and checks the actions.
+// checkSteps passes the events of steps to m and checks the actions.
 func checkSteps(t *testing.T, m *Machine, steps []step) {
 	t.Helper()
 	for i, s := range steps {
-		if got := actionWords(m.Handle(s.event)); got != s.want {
-			t.Fatalf("step %d: %T: %q, not %q", i+1, s.event, got, s.want)
+		if got := formatActions(m.Handle(s.event)); got != s.want {
+			t.Fatalf("step %d: %T: actions %q, want %q", i+1, s.event, got, s.want)
 		}
 	}
 }
@@ -157,7 +157,7 @@
 			checkSteps(t, new(Machine), append(slices.Clone(readySteps), steps...))
 		})
 	}
-	t.Run("reload before it listens", func(t *testing.T) {
+	t.Run("reload before listening", func(t *testing.T) {
 		checkSteps(t, new(Machine), []step{
 			{ReloadRequested{"early"}, ""},
 			{ServicesReady{}, ""},
@@ -178,7 +178,7 @@
 	})
 }
 
-// A successor that is to be upgraded itself waits until its predecessor has ended.
+// An upgrade of a successor is deferred until its predecessor has ended.
 func TestUpgradeWaitsForPredecessorToEnd(t *testing.T) {
 	m := NewSuccessor()
 	checkSteps(t, &m, []step{
@@ -189,37 +189,37 @@
 	})
 }
 
-// environment is a machine and what its actions have led to, as far as that decides which events may come.
-type environment struct {
-	machine           Machine
-	isReloading       bool
-	successor         int // 0 no successor, 1 starts, 2 prepared, 3 was given, 4 takes clients, 5 takes them alone
-	isDraining        bool
-	isPaused          bool   // new connections are the successor's
-	hasSentCheckpoint bool   // the successor has a part of what is left
-	lastNotification  string // what the supervisor heard last
+// modelState is a machine and the effects of its actions that determine which events may occur next.
+type modelState struct {
+	machine            Machine
+	isReloading        bool
+	successor          int // 0 no successor, 1 starting, 2 prepared, 3 has the checkpoint, 4 accepts connections on probation, 5 confirmed
+	isDraining         bool
+	areListenersPaused bool   // new connections are left to the successor
+	hasSentCheckpoint  bool   // the successor has a fraction of the remaining quota
+	lastNotification   string // the last one that was sent to the supervisor
 }
 
-// In every state that any order of events can reach: some process accepts connections until the drain; a checkpoint
-// that was sent is taken back or its receiver goes on; each reload is followed by its end; there is one drain;
-// nothing follows the end.
+// In every state that any order of events can reach: some process accepts connections until the drain; the quota of a
+// checkpoint that was sent is reclaimed unless its receiver continues; the state is Reloading exactly while a reload runs;
+// there is at most one drain; no action follows the end.
 func TestInvariantsInEveryReachableState(t *testing.T) {
-	first := []environment{{}, {machine: NewSuccessor()}}
+	initial := []modelState{{}, {machine: NewSuccessor()}}
 	visited := make(map[string]bool)
-	key := func(w environment) string { w.machine.actions = nil; return fmt.Sprintf("%+v", w) }
-	todo := slices.Clone(first)
-	for len(todo) > 0 {
-		w := todo[0]
-		todo = todo[1:]
-		if visited[key(w)] {
+	key := func(current modelState) string { current.machine.actions = nil; return fmt.Sprintf("%+v", current) }
+	queue := slices.Clone(initial)
+	for len(queue) > 0 {
+		current := queue[0]
+		queue = queue[1:]
+		if visited[key(current)] {
 			continue
 		}
-		visited[key(w)] = true
+		visited[key(current)] = true
 		events := []Event{Listening{}, ServicesReady{}, ReloadRequested{"x"}, UpgradeRequested{"x"}, StopRequested{"x"}, PredecessorEnded{}}
-		if w.isReloading {
+		if current.isReloading {
 			events = append(events, ReloadFinished{}, ReloadFinished{errors.New("bad")})
 		}
-		switch w.successor {
+		switch current.successor {
 		case 1:
 			events = append(events, SuccessorPrepared{})
 		case 3:
@@ -227,110 +227,110 @@
 		case 4:
 			events = append(events, SuccessorConfirmed{})
 		}
-		if w.successor > 0 {
+		if current.successor > 0 {
 			events = append(events, SuccessorLost{errors.New("gone")})
 		}
-		if w.isDraining {
+		if current.isDraining {
 			events = append(events, Finished{})
 		}
 		for _, e := range events {
-			if n, ok := w.apply(t, e); ok {
-				todo = append(todo, n)
+			if next, ok := current.apply(t, e); ok {
+				queue = append(queue, next)
 			}
 		}
 	}
 	if len(visited) < 60 {
-		t.Errorf("only %d states", len(visited))
+		t.Errorf("%d states visited, want at least 60", len(visited))
 	}
 }
 
-// apply returns the environment after an event; false where the machine has ended.
-func (w environment) apply(t *testing.T, e Event) (environment, bool) {
+// apply returns the state after an event, and false if the machine has ended. It fails the test if an invariant is violated.
+func (m modelState) apply(t *testing.T, e Event) (modelState, bool) {
 	t.Helper()
-	before := w
+	before := m
 	fail := func(format string, args ...any) {
 		t.Helper()
 		t.Fatalf("%T in %+v: %s", e, before, fmt.Sprintf(format, args...))
 	}
 	switch e.(type) {
 	case ReloadFinished:
-		w.isReloading = false
+		m.isReloading = false
 	case SuccessorPrepared, SuccessorTookOver:
-		w.successor++
+		m.successor++
 	case SuccessorConfirmed:
-		w.successor = 5
+		m.successor = 5
 	case SuccessorLost:
-		w.successor = 0
+		m.successor = 0
 	}
-	w.machine.actions = nil
-	hadEnded := w.machine.State() == Ended
-	for _, a := range w.machine.Handle(e) {
+	m.machine.actions = nil
+	hadEnded := m.machine.State() == Ended
+	for _, a := range m.machine.Handle(e) {
 		if hadEnded {
-			fail("an action after the end")
+			fail("action after the end")
 		}
-		if broken := w.perform(a, before); broken != "" {
-			fail("%s", broken)
+		if violation := m.perform(a, before); violation != "" {
+			fail("%s", violation)
 		}
 	}
-	if broken := w.brokenInvariant(); broken != "" {
-		fail("%s", broken)
+	if violation := m.violatedInvariant(); violation != "" {
+		fail("%s", violation)
 	}
-	return w, w.machine.State() != Ended
+	return m, m.machine.State() != Ended
 }
 
-// perform updates the environment by an action. It returns why the action is wrong there, or nothing.
-func (w *environment) perform(a Action, before environment) string {
+// perform updates the state by an action. It returns why the action is wrong in that state, or an empty string.
+func (m *modelState) perform(a Action, before modelState) string {
 	switch a := a.(type) {
 	case StartReload:
-		if w.isReloading || w.isDraining || w.successor > 0 {
-			return "a reload"
+		if m.isReloading || m.isDraining || m.successor > 0 {
+			return "reload started while reloading, draining or upgrading"
 		}
-		w.isReloading = true
+		m.isReloading = true
 	case StartDrain:
-		if w.isDraining {
-			return "drained twice"
+		if m.isDraining {
+			return "second drain"
 		}
-		w.isDraining = true
+		m.isDraining = true
 	case NotifySupervisor:
-		w.lastNotification = []string{"READY", "RELOADING", "STOPPING"}[a.Notification]
+		m.lastNotification = []string{"READY", "RELOADING", "STOPPING"}[a.Notification]
 		if before.lastNotification == "STOPPING" {
-			return "notified " + w.lastNotification
+			return "notification after STOPPING: " + m.lastNotification
 		}
 	case LogTransition:
 	default:
-		return w.performOnSuccessor(a, before)
+		return m.performSuccessorAction(a, before)
 	}
 	return ""
 }
 
-// performOnSuccessor is perform of the actions that concern a successor.
-func (w *environment) performOnSuccessor(a Action, before environment) string {
+// performSuccessorAction is perform for the actions that concern a successor.
+func (m *modelState) performSuccessorAction(a Action, before modelState) string {
 	switch a.(type) {
 	case SpawnSuccessor:
-		if w.successor > 0 || w.isDraining || w.isReloading || before.machine.hasPredecessor && w.machine.hasPredecessor {
-			return "a successor"
+		if m.successor > 0 || m.isDraining || m.isReloading || before.machine.hasPredecessor && m.machine.hasPredecessor {
+			return "successor started while another process exists, reloading or draining"
 		}
-		w.successor = 1
+		m.successor = 1
 	case SendCheckpoint:
-		if w.hasSentCheckpoint || w.successor != 2 {
-			return "sent a checkpoint twice"
+		if m.hasSentCheckpoint || m.successor != 2 {
+			return "checkpoint sent to a successor that is not prepared, or a second time"
 		}
-		w.hasSentCheckpoint, w.successor = true, 3
+		m.hasSentCheckpoint, m.successor = true, 3
 	case YieldToSuccessor:
-		if w.successor != 4 {
-			return "yielded to nobody"
+		if m.successor != 4 {
+			return "yielded without a successor that accepts connections"
 		}
-		w.isPaused = true
+		m.areListenersPaused = true
 	case ResumeAlone:
-		if w.successor != 0 {
-			return "resumed beside a successor"
+		if m.successor != 0 {
+			return "resumed while a successor runs"
 		}
-		w.isPaused, w.hasSentCheckpoint = false, false
+		m.areListenersPaused, m.hasSentCheckpoint = false, false
 	case KillSuccessor:
-		w.successor, w.hasSentCheckpoint = 0, false
+		m.successor, m.hasSentCheckpoint = 0, false
 	case ForwardReload:
-		if w.successor != 4 {
-			return "nobody to reload"
+		if m.successor != 4 {
+			return "reload forwarded without a successor that accepts connections"
 		}
 	default:
 		return fmt.Sprintf("unknown action %T", a)
@@ -338,24 +338,24 @@
 	return ""
 }
 
-// brokenInvariant returns what does not hold between two events, or nothing.
-func (w *environment) brokenInvariant() string {
-	state := w.machine.State()
+// violatedInvariant returns which invariant is violated between two events, or an empty string.
+func (m *modelState) violatedInvariant() string {
+	state := m.machine.State()
 	switch {
-	case w.isPaused && w.successor < 4 && !w.isDraining:
-		return "nobody takes connections"
-	case w.hasSentCheckpoint && w.successor < 3 && !w.isDraining:
-		return "a part of what is left is nobody's"
-	case state == Reloading != (w.isReloading && !w.isDraining) && state != Ended,
-		w.lastNotification == "RELOADING" && !w.isReloading && !w.isDraining:
-		return fmt.Sprintf("%v while reloading %v", state, w.isReloading)
+	case m.areListenersPaused && m.successor < 4 && !m.isDraining:
+		return "no process accepts connections"
+	case m.hasSentCheckpoint && m.successor < 3 && !m.isDraining:
+		return "no process has the quota of the sent checkpoint"
+	case state == Reloading != (m.isReloading && !m.isDraining) && state != Ended,
+		m.lastNotification == "RELOADING" && !m.isReloading && !m.isDraining:
+		return fmt.Sprintf("state %v while reloading is %v", state, m.isReloading)
 	}
 	return ""
 }
 
-// Over random events: one reload runs at a time, each request before the drain is followed by a reload that starts
-// later; a supervisor is notified READY after each RELOADING unless it is notified STOPPING; there is one drain;
-// nothing follows the end.
+// Under random events: at most one reload runs at a time; each reload request before the drain is followed by a reload
+// that starts later; the supervisor is notified READY after each RELOADING unless it is notified STOPPING; there is at
+// most one drain; no action follows the end.
 func TestInvariantsOverRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r randomRun
@@ -367,20 +367,20 @@
 			r.finishReload(t)
 		}
 		state := r.machine.State()
-		if !r.isDraining && !r.hasEnded && (r.isReloadOwed || state == Reloading || r.lastNotification == "RELOADING") {
-			t.Fatalf("in %v, a reload owed %v, notified %q", state, r.isReloadOwed, r.lastNotification)
+		if !r.isDraining && !r.hasEnded && (r.isReloadOutstanding || state == Reloading || r.lastNotification == "RELOADING") {
+			t.Fatalf("state %v, reload outstanding %v, last notification %q", state, r.isReloadOutstanding, r.lastNotification)
 		}
 	})
 }
 
-// randomRun is a machine under random events and what its actions have led to.
+// randomRun is a machine under random events and the effects of its actions.
 type randomRun struct {
-	machine          Machine
-	isReloading      bool
-	isDraining       bool
-	isReloadOwed     bool // requested, and none has started since
-	hasEnded         bool
-	lastNotification string
+	machine             Machine
+	isReloading         bool
+	isDraining          bool
+	isReloadOutstanding bool // a reload was requested, and none has started since
+	hasEnded            bool
+	lastNotification    string
 }
 
 func (r *randomRun) handleRandomEvent(t *rapid.T) {
@@ -390,7 +390,7 @@
 	case 1, 2:
 		r.handle(t, ServicesReady{})
 	case 3, 4, 5:
-		r.isReloadOwed = r.isReloadOwed || !r.isDraining && !r.hasEnded
+		r.isReloadOutstanding = r.isReloadOutstanding || !r.isDraining && !r.hasEnded
 		r.handle(t, ReloadRequested{"x"})
 	case 6, 7, 8, 9:
 		r.finishReload(t)
@@ -405,7 +405,7 @@
 	}
 }
 
-// finishReload ends the reload that runs, if any.
+// finishReload ends the running reload, if any.
 func (r *randomRun) finishReload(t *rapid.T) {
 	if r.isReloading {
 		r.isReloading = false
@@ -413,26 +413,26 @@
 	}
 }
 
-// handle has the machine handle an event and checks its actions.
+// handle passes an event to the machine and checks its actions.
 func (r *randomRun) handle(t *rapid.T, e Event) {
 	actions := r.machine.Handle(e)
 	if r.hasEnded && len(actions) > 0 {
-		t.Fatalf("%q after the end", actionWords(actions))
+		t.Fatalf("actions %q after the end", formatActions(actions))
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
 		case StartReload:
 			if r.isReloading || r.isDraining {
-				t.Fatalf("a reload while reloading %v, draining %v", r.isReloading, r.isDraining)
+				t.Fatalf("reload started while reloading %v, draining %v", r.isReloading, r.isDraining)
 			}
-			r.isReloading, r.isReloadOwed = true, false
+			r.isReloading, r.isReloadOutstanding = true, false
 		case StartDrain:
 			if r.isDraining {
-				t.Fatalf("drained twice")
+				t.Fatalf("second drain")
 			}
 			r.isDraining = true
 		case NotifySupervisor:
-			r.notify(t, actionWords([]Action{a}))
+			r.notify(t, formatActions([]Action{a}))
 		case LogTransition:
 			r.hasEnded = r.hasEnded || a.To == Ended
 		}
@@ -440,10 +440,10 @@
 }
 
 // notify checks the order of notifications.
-func (r *randomRun) notify(t *rapid.T, next string) {
+func (r *randomRun) notify(t *rapid.T, notification string) {
 	last := r.lastNotification
-	if last == "STOPPING" || last == "RELOADING" && next == "RELOADING" || last == "" && next == "RELOADING" {
-		t.Fatalf("%s after %q", next, last)
+	if last == "STOPPING" || last == "RELOADING" && notification == "RELOADING" || last == "" && notification == "RELOADING" {
+		t.Fatalf("notification %s after %q", notification, last)
 	}
-	r.lastNotification = next
+	r.lastNotification = notification
 }
--- a/internal/state/checkpoint_test.go
+++ b/internal/state/checkpoint_test.go
@@ -49,11 +49,11 @@
 		t.Fatal(got.TakenAt, err)
 	}
 	if got.TakenAt = want.TakenAt; !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v\nnot %+v", got, want)
+		t.Errorf("decoded %+v, want %+v", got, want)
 	}
 }
 
-// Decode rejects a checkpoint with any byte changed, removed or added, and returns nothing of it.
+// Decode rejects a checkpoint that has any byte changed or added or is truncated, and returns an empty one.
 func TestDecodeRejectsDamagedData(t *testing.T) {
 	raw, err := Encode(sampleCheckpoint(2))
 	if err != nil {
@@ -62,19 +62,19 @@
 	for i := range raw {
 		bad := bytes.Clone(raw)
 		bad[i] ^= 0x20
-		if s, err := Decode(bad); err == nil || s.Services != nil {
-			t.Errorf("byte %d changed: %+v", i, s)
+		if checkpoint, err := Decode(bad); err == nil || checkpoint.Services != nil {
+			t.Errorf("byte %d changed: decoded %+v", i, checkpoint)
 		}
 		if _, err := Decode(raw[:i]); err == nil {
-			t.Errorf("cut after %d", i)
+			t.Errorf("no error after truncation to %d bytes", i)
 		}
 	}
 	if _, err := Decode(append(bytes.Clone(raw), 0)); err == nil {
-		t.Error("a byte more")
+		t.Error("no error with an additional byte")
 	}
 	otherVersion := withChecksum([]byte{0xa1, 0x67, 'v', 'e', 'r', 's', 'i', 'o', 'n', 2})
-	if _, err := Decode(otherVersion); !errors.Is(err, VersionError{2}) || !strings.Contains(err.Error(), "version 2, not 1") {
-		t.Errorf("another version: %v", err)
+	if _, err := Decode(otherVersion); !errors.Is(err, VersionError{2}) || !strings.Contains(err.Error(), "unsupported version 2, expected 1") {
+		t.Errorf("another version: error %v", err)
 	}
 }
 
@@ -82,16 +82,16 @@
 	return append(binary.BigEndian.AppendUint32([]byte(fileMagic), codec.Checksum(body)), body...)
 }
 
-// Encode drops the customers whose last request is the oldest from a checkpoint that is too large.
+// Encode drops the least recently active customers from a checkpoint that is too large.
 func TestEncodeDropsOldestCustomersOfLargeCheckpoint(t *testing.T) {
-	s := sampleCheckpoint(0)
-	c := s.Services["a"]
-	long := strings.Repeat("x", 1<<20)
+	checkpoint := sampleCheckpoint(0)
+	serviceState := checkpoint.Services["a"]
+	padding := strings.Repeat("x", 1<<20)
 	for i := range 40 {
-		c.Checkpoint.Customers = append(c.Checkpoint.Customers, control.CustomerCheckpoint{ID: fmt.Sprint(i, long), Plan: "p"})
+		serviceState.Checkpoint.Customers = append(serviceState.Checkpoint.Customers, control.CustomerCheckpoint{ID: fmt.Sprint(i, padding), Plan: "p"})
 	}
-	s.Services["a"] = c
-	raw, err := Encode(s)
+	checkpoint.Services["a"] = serviceState
+	raw, err := Encode(checkpoint)
 	if err != nil || len(raw) > maxSize+64 {
 		t.Fatal(len(raw), err)
 	}
@@ -99,8 +99,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if all := got.Services["a"].Checkpoint.Customers; len(all) != 20 || !strings.HasPrefix(all[0].ID, "0") {
-		t.Errorf("%d customers are left", len(all))
+	if customers := got.Services["a"].Checkpoint.Customers; len(customers) != 20 || !strings.HasPrefix(customers[0].ID, "0") {
+		t.Errorf("%d customers are left, want the 20 most recent", len(customers))
 	}
 }
 
@@ -109,54 +109,54 @@
 	f.Add(raw)
 	f.Add([]byte{0xbf, 0xff})
 	f.Fuzz(func(t *testing.T, body []byte) {
-		s, err := Decode(withChecksum(body))
+		checkpoint, err := Decode(withChecksum(body))
 		if err != nil {
 			return
 		}
-		if _, err := Encode(s); err != nil {
-			t.Errorf("what was read can't be written: %v", err)
+		if _, err := Encode(checkpoint); err != nil {
+			t.Errorf("encoding the decoded checkpoint: %v", err)
 		}
 	})
 }
 
 func TestStoreLocksDirectoryAndMarksCheckpointConsumed(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "new", "dir")
-	s, err := Open(dir, nil)
+	store, err := Open(dir, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var locked *LockedError
-	if _, err := Open(dir, nil); !errors.As(err, &locked) || !strings.Contains(err.Error(), fmt.Sprint("another daemon has it: process ", os.Getpid())) {
-		t.Errorf("a second daemon: %v", err)
+	if _, err := Open(dir, nil); !errors.As(err, &locked) || !strings.Contains(err.Error(), fmt.Sprint("is locked by another daemon: process ", os.Getpid())) {
+		t.Errorf("Open of a locked directory: error %v", err)
 	}
-	if _, found, err := s.Consume(); found || err != nil {
-		t.Errorf("of nothing: %v, %v", found, err)
+	if _, found, err := store.Consume(); found || err != nil {
+		t.Errorf("Consume without a checkpoint: found %v, error %v", found, err)
 	}
 	clean := sampleCheckpoint(1)
 	clean.Clean = true
-	if err := s.Save(clean); err != nil {
+	if err := store.Save(clean); err != nil {
 		t.Fatal(err)
 	}
-	for i, want := range []bool{true, false} { // the second time as after a crash
-		got, found, err := s.Consume()
+	for i, want := range []bool{true, false} { // the second Consume is like the start after a crash
+		got, found, err := store.Consume()
 		if err != nil || !found || got.Clean != want || got.Generation != 4 {
-			t.Errorf("start %d: %+v, %v, %v", i, got, found, err)
+			t.Errorf("start %d: checkpoint %+v, found %v, error %v", i, got, found, err)
 		}
 	}
-	if err := os.WriteFile(s.path(), []byte("half a sta"), 0o600); err != nil {
+	if err := os.WriteFile(store.path(), []byte("half a sta"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, found, err := s.Consume(); !found || err == nil {
-		t.Errorf("damaged: %v, %v", found, err)
+	if _, found, err := store.Consume(); !found || err == nil {
+		t.Errorf("Consume of a damaged file: found %v, error %v", found, err)
 	}
-	if err := s.Close(); err != nil {
+	if err := store.Close(); err != nil {
 		t.Error(err)
 	}
-	if s, err = Open(dir, nil); err != nil { // the lock ended with its owner
+	if store, err = Open(dir, nil); err != nil { // the lock was released by Close
 		t.Fatal(err)
 	}
-	defer s.Close()
+	defer store.Close()
 	if _, err := Open("/proc/no/such", nil); err == nil {
-		t.Error("no such place, and no error")
+		t.Error("no error for a directory that can't be created")
 	}
 }
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -8,8 +8,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// Encode writes the golden file, which an earlier build wrote, byte for byte, also after Decode has read it.
-// go test ./internal/state -run Golden -update replaces the file.
+// Encode produces the golden file of an earlier build byte for byte, also from the checkpoint that Decode returns for it.
+// To replace the file: go test ./internal/state -run Golden -update
 func TestGoldenCheckpoint(t *testing.T) {
 	var sample Checkpoint
 	testkit.Sample("cbor", &sample)
@@ -18,26 +18,26 @@
 		t.Fatal(err)
 	}
 	raw := testkit.GoldenBytes(t, "testdata/golden/state-with-uptime", got)
-	requireWrittenAsRead(t, raw)
+	requireUnchangedByReencoding(t, raw)
 }
 
-// A checkpoint of a build that knew no uptime and no starts of servers is read, and written as it was.
+// A checkpoint of a build without uptimes and start times of servers is decoded, and encoded without a change.
 func TestGoldenCheckpointWithoutUptime(t *testing.T) {
 	raw, err := os.ReadFile("testdata/golden/state")
 	if err != nil {
 		t.Fatal(err)
 	}
-	requireWrittenAsRead(t, raw)
+	requireUnchangedByReencoding(t, raw)
 }
 
-func requireWrittenAsRead(t *testing.T, raw []byte) {
+func requireUnchangedByReencoding(t *testing.T, raw []byte) {
 	t.Helper()
-	s, err := Decode(raw)
+	checkpoint, err := Decode(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if encoded, err := Encode(s); err != nil || !bytes.Equal(encoded, raw) {
-		t.Errorf("it is not written as it was read: %v", err)
+	if encoded, err := Encode(checkpoint); err != nil || !bytes.Equal(encoded, raw) {
+		t.Errorf("the decoded checkpoint is encoded differently: %v", err)
 	}
 	if err := testkit.RoundTrip("cbor", raw[headerSize:], new(Checkpoint)); err != nil {
 		t.Error(err)
--- a/internal/state/temporary_files_test.go
+++ b/internal/state/temporary_files_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A checkpoint is written beside the state, whatever the system's folder for temporary files is: that may be on memory,
-// or full.
+// The temporary file of a checkpoint is written in the state directory and not in the system's directory for temporary
+// files, which may be in memory or full.
 func TestCheckpointIsWrittenBesideState(t *testing.T) {
 	system, directory := t.TempDir(), t.TempDir()
 	t.Setenv("TMPDIR", system)
@@ -25,11 +25,12 @@
 		t.Fatal(err)
 	}
 	if info, err := os.Stat(system); err != nil || !info.ModTime().Equal(old) {
-		t.Errorf("the system's temporary folder was written to: %v, %v", info.ModTime(), err)
+		t.Errorf("the system's temporary directory was modified: at %v, error %v", info.ModTime(), err)
 	}
 }
 
-// What a kill in the middle of writing a checkpoint has left is removed at the next start, and nothing else is.
+// Temporary files that remain when the process is killed while writing a checkpoint are removed at the next start. No
+// other file is removed.
 func TestLeftoversOfKilledWritesAreRemoved(t *testing.T) {
 	directory := t.TempDir()
 	for _, name := range []string{".state123456", ".state7", "state", "other", ".statement"} {
@@ -44,11 +45,11 @@
 	defer store.Close()
 	left, err := filepath.Glob(filepath.Join(directory, "*"))
 	if err != nil || len(left) != 4 {
-		t.Errorf("%v, %v", left, err)
+		t.Errorf("files left: %v, error %v", left, err)
 	}
 	for _, name := range []string{".state123456", ".state7"} {
 		if _, err := os.Lstat(filepath.Join(directory, name)); !os.IsNotExist(err) {
-			t.Errorf("%s is left: %v", name, err)
+			t.Errorf("%s was not removed: %v", name, err)
 		}
 	}
 	if _, err := os.Lstat(filepath.Join(directory, ".statement")); err != nil {
