--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -44,6 +44,6 @@
 	if segment := route.FirstSegment("/" + name); segment != name || name == "" {
 		t.Errorf("", "%q is no segment of a path", name)
 	}
-	t.Done()
+	t.ReportUnknownKeys()
 	return class
 }
--- a/internal/config/counter_test.go
+++ b/internal/config/counter_test.go
@@ -8,7 +8,7 @@
 	"lockflow/internal/quotalease"
 )
 
-const withCounter = `
+const counterTemplate = `
 protocol = "http"
 [process]
 instances = 3
@@ -28,8 +28,8 @@
 `
 
 // What can't be kept by its figures is refused at load, by line, with the arithmetic.
-func TestCounter(t *testing.T) {
-	c, err := Parse("c.toml", []byte(strings.Replace(withCounter, "MORE", "", 1)))
+func TestQuotaCounterSettings(t *testing.T) {
+	c, err := Parse("c.toml", []byte(strings.Replace(counterTemplate, "MORE", "", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 	if got.Rules != want || got.Name != "app" || len(got.HardLimits) != 1 || got.HardLimits["enterprise"] != (quotalease.HardLimit{Rate: 30, Burst: 60}) {
 		t.Errorf("%+v", got)
 	}
-	for more, wrong := range map[string]string{
+	for extra, wantError := range map[string]string{
 		`, term = "4s", pledge = "4s"`:              "plan enterprise: a minute may hold 180.2 + 60*30.03 units, which is 6.6% more than 60 + 60*30, and not 5.0%",
 		`, term = "4s", pledge = "4s", over = 0.07`: "",
 		`, term = "3s"`:                             "term 3s, pledge 2s",
@@ -49,29 +49,29 @@
 		`, password_file = "relative"`:              "password_file",
 		`, tokens = 1`:                              "unknown key",
 	} {
-		text := strings.Replace(withCounter, "MORE", more, 1)
-		if strings.Contains(more, "addresses") {
-			text = strings.Replace(withCounter, `addresses = ["127.0.0.1:6379"]MORE`, more[2:], 1)
+		text := strings.Replace(counterTemplate, "MORE", extra, 1)
+		if strings.Contains(extra, "addresses") {
+			text = strings.Replace(counterTemplate, `addresses = ["127.0.0.1:6379"]MORE`, extra[2:], 1)
 		}
 		_, err := Parse("c.toml", []byte(text))
-		if (err == nil) != (wrong == "") || err != nil && (!strings.Contains(err.Error(), wrong) || !strings.Contains(err.Error(), "c.toml:13")) {
-			t.Errorf("%s: %v", more, err)
+		if (err == nil) != (wantError == "") || err != nil && (!strings.Contains(err.Error(), wantError) || !strings.Contains(err.Error(), "c.toml:13")) {
+			t.Errorf("%s: %v", extra, err)
 		}
 	}
-	for _, bad := range []string{`["127.0.0.1"]`, `["127.0.0.1:1", "127.0.0.1:1"]`} {
-		if _, err := Parse("c.toml", []byte(strings.Replace(withCounter, `["127.0.0.1:6379"]MORE`, bad, 1))); err == nil {
-			t.Errorf("%s is taken", bad)
+	for _, addresses := range []string{`["127.0.0.1"]`, `["127.0.0.1:1", "127.0.0.1:1"]`} {
+		if _, err := Parse("c.toml", []byte(strings.Replace(counterTemplate, `["127.0.0.1:6379"]MORE`, addresses, 1))); err == nil {
+			t.Errorf("%s is taken", addresses)
 		}
 	}
-	none := strings.Replace(strings.Replace(withCounter, "ceiling_rate = 30\nceiling_burst = 60\n", "", 1), "MORE", "", 1)
-	if _, err := Parse("c.toml", []byte(none)); err == nil || !strings.Contains(err.Error(), "no plan of the service has a ceiling") {
+	withoutHardLimit := strings.Replace(strings.Replace(counterTemplate, "ceiling_rate = 30\nceiling_burst = 60\n", "", 1), "MORE", "", 1)
+	if _, err := Parse("c.toml", []byte(withoutHardLimit)); err == nil || !strings.Contains(err.Error(), "no plan of the service has a ceiling") {
 		t.Errorf("%v", err)
 	}
-	two := strings.Replace(strings.Replace(withCounter, "MORE", "", 1), "[[routes]]", `[services.other]
+	withSharedName := strings.Replace(strings.Replace(counterTemplate, "MORE", "", 1), "[[routes]]", `[services.other]
 counter = { addresses = ["127.0.0.1:6379"], name = "app" }
 source = { kind = "static", servers = [{ endpoint = "127.0.0.1:1" }] }
 [[routes]]`, 1)
-	if _, err := Parse("c.toml", []byte(two)); err == nil || !strings.Contains(err.Error(), `another service counts as "app"`) {
+	if _, err := Parse("c.toml", []byte(withSharedName)); err == nil || !strings.Contains(err.Error(), `another service counts as "app"`) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/config/differences.go
+++ b/internal/config/differences.go
@@ -18,7 +18,7 @@
 )
 
 // haveNames tells whether the items of a list have names: the key of their first field is "name".
-func haveNames(list reflect.Type) bool {
+func haveNamedItems(list reflect.Type) bool {
 	return list.Elem().Kind() == reflect.Struct && list.Elem().Field(0).Tag.Get(keyTag) == "name"
 }
 
@@ -32,7 +32,7 @@
 	case reflect.Struct:
 		return fieldDifferences(path, a, b)
 	case reflect.Slice:
-		if haveNames(a.Type()) {
+		if haveNamedItems(a.Type()) {
 			return itemDifferences(path, a, b)
 		}
 	}
--- a/internal/config/drain_test.go
+++ b/internal/config/drain_test.go
@@ -10,7 +10,7 @@
 
 // A drain by the platform's configuration is over before SIGKILL may come, whatever the deadlines, and
 // lets in what may still come.
-func TestPlatformDrainFitsTheDeadlines(t *testing.T) {
+func TestPlatformDrainFitsDeadlines(t *testing.T) {
 	raw, err := os.ReadFile("testdata/config.json")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/endpoint_source.go
+++ b/internal/config/endpoint_source.go
@@ -41,7 +41,7 @@
 	if source.Kind == discovery.Static && t.Has("servers") && len(source.Endpoints) == 0 {
 		t.Errorf("servers", "there is none")
 	}
-	t.Done()
+	t.ReportUnknownKeys()
 	return source
 }
 
@@ -63,6 +63,6 @@
 		endpoint.Protocol = discovery.Protocols[t.OneOf("protocol", discovery.Protocols...)]
 	}
 	checkAddress(t, "endpoint", endpoint.Address)
-	t.Done()
+	t.ReportUnknownKeys()
 	return endpoint
 }
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -32,7 +32,7 @@
 
 // maxReadTime is for how long reading a file is retried while descriptors or memory are short. A node of
 // the platform has to follow a new discovery service within 4 s of its signal.
-const maxReadTime = 3 * time.Second
+const maxReadRetryTime = 3 * time.Second
 
 // Inherited is the prefix of a listener's address that names a socket which the supervisor passes on.
 const Inherited = "systemd:"
@@ -57,7 +57,7 @@
 // readFile reads a configuration file, and retries while descriptors or memory are short: nobody would
 // repeat the start or the reload that failed for it.
 func readFile(path string) (raw []byte, err error) {
-	err = shortage.Retry(context.Background(), maxReadTime, shortage.OfResources, func() (err error) {
+	err = shortage.Retry(context.Background(), maxReadRetryTime, shortage.OfResources, func() (err error) {
 		raw, err = os.ReadFile(path)
 		return err
 	})
@@ -121,7 +121,7 @@
 	}
 	r.divideResources(process, &c, services)
 	r.readRoutes(t, &c)
-	t.Done()
+	t.ReportUnknownKeys()
 	return c
 }
 
@@ -132,7 +132,7 @@
 	t := root.Sub("metrics")
 	address := t.String("address", "")
 	checkAddress(t, "address", address)
-	t.Done()
+	t.ReportUnknownKeys()
 	return address
 }
 
@@ -158,7 +158,7 @@
 			t.Errorf("address", "%q is given twice", address)
 		}
 		all = append(all, address)
-		t.Done()
+		t.ReportUnknownKeys()
 	}
 	if len(all) == 0 {
 		root.Errorf("listeners", "there is none")
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -14,7 +14,7 @@
 )
 
 // Each file of the corpus is wrong where a comment says "# want KEY: TEXT", and nowhere else.
-func TestBadFiles(t *testing.T) {
+func TestInvalidFilesReportEachError(t *testing.T) {
 	paths, err := filepath.Glob("testdata/bad/*.toml")
 	if err != nil || len(paths) < 40 {
 		t.Fatalf("%d files, %v", len(paths), err)
@@ -52,7 +52,7 @@
 	}
 }
 
-const good = `
+const validFile = `
 protocol = "platform"
 [process]
 cores = 2
@@ -123,8 +123,8 @@
 headers = ["X-Kind", "X-Version: 2"]
 `
 
-func TestGoodFile(t *testing.T) {
-	c, err := Parse("good.toml", []byte(good))
+func TestValidFile(t *testing.T) {
+	c, err := Parse("good.toml", []byte(validFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -180,7 +180,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validFile))
 	paths, _ := filepath.Glob("testdata/bad/*.toml")
 	for _, path := range paths {
 		if raw, err := os.ReadFile(path); err == nil {
--- a/internal/config/gather.go
+++ b/internal/config/gather.go
@@ -99,8 +99,8 @@
 	if t.Has("share") {
 		g.Share = r.readGatherShare(t.Sub("share"), name)
 	}
-	t.Done()
-	service.Done()
+	t.ReportUnknownKeys()
+	service.ReportUnknownKeys()
 	return g
 }
 
@@ -118,20 +118,20 @@
 }
 
 // readGatherDeadline reads one of the words for a deadline, or a fixed one.
-func readGatherDeadline(t tree.Table) (word string, fixed time.Duration) {
-	word = t.String("deadline", DeadlineLearned)
-	if word == DeadlineLearned || word == DeadlineNone {
-		return word, 0
+func readGatherDeadline(t tree.Table) (mode string, fixed time.Duration) {
+	mode = t.String("deadline", DeadlineLearned)
+	if mode == DeadlineLearned || mode == DeadlineNone {
+		return mode, 0
 	}
-	if _, err := time.ParseDuration(word); err != nil {
-		t.Errorf("deadline", `%q is neither "learned", "none" nor a time such as "250ms"`, word)
+	if _, err := time.ParseDuration(mode); err != nil {
+		t.Errorf("deadline", `%q is neither "learned", "none" nor a time such as "250ms"`, mode)
 	}
 	return "", t.Duration("deadline", time.Second, time.Millisecond, day)
 }
 
 // readParts reads the services that are queried, and their weights.
 func readParts(t tree.Table) []GatherPart {
-	names := t.Texts("parts")
+	names := t.Strings("parts")
 	if len(names) == 0 {
 		t.Errorf("parts", "there is none")
 	}
@@ -180,7 +180,7 @@
 // readGatherShare reads where learned deadlines are shared, by the keys of a counter.
 func (r *reader) readGatherShare(t tree.Table, name string) GatherShare {
 	share := GatherShare{
-		Addresses:    t.Texts("addresses"),
+		Addresses:    t.Strings("addresses"),
 		Name:         t.String("name", name),
 		Username:     t.String("username", ""),
 		PasswordFile: readPath(t, "password_file"),
@@ -193,7 +193,7 @@
 		checkAddress(t, "addresses", address)
 	}
 	checkKeyName(t, share.Name)
-	t.Done()
+	t.ReportUnknownKeys()
 	return share
 }
 
--- a/internal/config/gather_check.go
+++ b/internal/config/gather_check.go
@@ -16,7 +16,7 @@
 	for i := range c.Gathers {
 		gather := &c.Gathers[i]
 		walk := gatherWalk{
-			table: services.Sub(gather.Name).Sub("gather"), config: c, reachedThrough: make(map[string]string),
+			table: services.Sub(gather.Name).Sub("gather"), config: c, queriedBy: make(map[string]string),
 		}
 		walk.visit(gather, nil)
 	}
@@ -48,10 +48,10 @@
 
 // gatherWalk visits all that one scatter-gather service reaches, until the first error.
 type gatherWalk struct {
-	table          tree.Table // of the service, where errors are reported
-	config         *Config
-	reachedThrough map[string]string // by part: the service that queries it
-	isInvalid      bool
+	table     tree.Table // of the service, where errors are reported
+	config    *Config
+	queriedBy map[string]string // by part: the service that queries it
+	isInvalid bool
 }
 
 // visit visits the parts of a service that is reached through others.
@@ -66,7 +66,7 @@
 			w.isInvalid = true
 			return
 		}
-		w.reachedThrough[part.Name] = gather.Name
+		w.queriedBy[part.Name] = gather.Name
 		if inner != nil {
 			w.visit(inner, above)
 		}
@@ -86,7 +86,7 @@
 	if inner == nil && i < 0 {
 		return w.fail("%q is no service", part)
 	}
-	if other, isReached := w.reachedThrough[part]; isReached {
+	if other, isReached := w.queriedBy[part]; isReached {
 		return w.fail("%q is reached twice, through %s and %s: its answer would be there twice", part, other, gather.Name)
 	}
 	if inner != nil && inner.Merge != gather.Merge {
@@ -98,7 +98,7 @@
 	if inner == nil && w.config.Services[i].HTTP == nil {
 		return w.fail(`%q does not speak "http"`, part)
 	}
-	if len(w.reachedThrough) == maxGatherParts {
+	if len(w.queriedBy) == maxGatherParts {
 		return w.fail("it reaches more than %d parts", maxGatherParts)
 	}
 	return true
@@ -133,19 +133,19 @@
 
 // checkGatherRoute reports a route whose requests a scatter-gather service can't take: they have to be of
 // a class that is idempotent at every part.
-func (r *reader) checkGatherRoute(t tree.Table, one Route, c *Config, gather *Gather) {
-	if len(one.Upgrade) > 0 {
+func (r *reader) checkGatherRoute(t tree.Table, route Route, c *Config, gather *Gather) {
+	if len(route.Upgrade) > 0 {
 		t.Errorf("upgrade", "not to a service that gathers")
 	}
-	key, class := "as", one.RequestClass
+	key, class := "as", route.RequestClass
 	if class == "" {
 		class = ClassRead
 		key = "service"
-		if one.Method != "" {
+		if route.Method != "" {
 			key = "method"
 		}
-		if one.Method != "" && !protocol.IsSafeMethod(one.Method) {
-			t.Errorf("method", "%s scatters only where the route names a class that is free to repeat (as = ...)", one.Method)
+		if route.Method != "" && !protocol.IsSafeMethod(route.Method) {
+			t.Errorf("method", "%s scatters only where the route names a class that is free to repeat (as = ...)", route.Method)
 			return
 		}
 	}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -15,12 +15,12 @@
 	for _, v := range []any{&after.Process, &after.Listeners, &after.Metrics, &after.Routes, &after.Services, &after.Gathers} {
 		testkit.Sample("", v)
 	}
-	was, is := Service{Name: "s"}, &after.Services[0]
-	is.Name = was.Name
-	is.Settings.Classes[0].Name, is.Settings.Plans[0].Name = "c", "p"
-	was.Settings.Classes, was.Settings.Plans = []control.Class{{Name: "c"}}, []control.Plan{{Name: "p"}}
+	oldService, newService := Service{Name: "s"}, &after.Services[0]
+	newService.Name = oldService.Name
+	newService.Settings.Classes[0].Name, newService.Settings.Plans[0].Name = "c", "p"
+	oldService.Settings.Classes, oldService.Settings.Plans = []control.Class{{Name: "c"}}, []control.Plan{{Name: "p"}}
 	after.Gathers[0].Name, after.Gathers[0].Parts[0].Name, after.Routes[0].Name = "g", "part", "r"
-	before := Config{Services: []Service{was}, Gathers: []Gather{{Name: "g", Parts: []GatherPart{{Name: "part"}}}}, Routes: make([]Route, 1)}
+	before := Config{Services: []Service{oldService}, Gathers: []Gather{{Name: "g", Parts: []GatherPart{{Name: "part"}}}}, Routes: make([]Route, 1)}
 	before.Routes[0].Name = "r"
 	var keys strings.Builder
 	for _, c := range Compare(before, after) {
--- a/internal/config/guaranteed.go
+++ b/internal/config/guaranteed.go
@@ -18,26 +18,26 @@
 // divide reads the parts of services that name one, and gives each of the others an even part of the rest,
 // as if there were one service more: that one's part can only be borrowed.
 func (d *dividedResource) divide(c *Config, services []tree.Table) {
-	left := d.total
-	var unnamed []int
+	remaining := d.total
+	var unspecified []int
 	for i, service := range services {
 		t := service.Sub("guaranteed")
 		if !t.Has(d.key) {
-			unnamed = append(unnamed, i)
+			unspecified = append(unspecified, i)
 			continue
 		}
 		part := d.readPart(t, d.key)
-		if left -= part; left < 0 && left+part >= 0 {
-			t.Errorf(d.key, "the parts named up to here sum to %g, more than the %g that the process has for services", d.total-left, d.total)
+		if remaining -= part; remaining < 0 && remaining+part >= 0 {
+			t.Errorf(d.key, "the parts named up to here sum to %g, more than the %g that the process has for services", d.total-remaining, d.total)
 		}
 		d.setPart(&c.Services[i].Guaranteed, part)
 	}
-	for _, i := range unnamed {
-		even := math.Max(0, left) / float64(len(unnamed)+1)
+	for _, i := range unspecified {
+		evenPart := math.Max(0, remaining) / float64(len(unspecified)+1)
 		if d.isInteger {
-			even = math.Floor(even)
+			evenPart = math.Floor(evenPart)
 		}
-		d.setPart(&c.Services[i].Guaranteed, even)
+		d.setPart(&c.Services[i].Guaranteed, evenPart)
 	}
 }
 
@@ -102,7 +102,7 @@
 func checkBytes(c *Config, services []tree.Table) {
 	for i, service := range services {
 		t := service.Sub("guaranteed")
-		t.Done()
+		t.ReportUnknownKeys()
 		needed := c.Services[i].maxRequestBytes()
 		if t.Has("bytes") && c.Services[i].Guaranteed.Bytes < needed {
 			t.Errorf("bytes", "it holds no single request: body and answer may have %d", needed)
--- a/internal/config/http.go
+++ b/internal/config/http.go
@@ -95,7 +95,7 @@
 			rules.RetryStatuses = append(rules.RetryStatuses, int(status))
 		}
 	}
-	for _, text := range t.Texts("never_ran") {
+	for _, text := range t.Strings("never_ran") {
 		proof, err := responseclass.ParseProof(text)
 		if err != nil {
 			t.Errorf("never_ran", "%v", err)
@@ -168,15 +168,15 @@
 		if identifier, ok := readIdentifier(table); ok {
 			options.Identifiers = append(options.Identifiers, identifier)
 		}
-		table.Done()
+		table.ReportUnknownKeys()
 	}
 	options.TrustedProxies = readTrustedProxies(service)
-	t.Done()
+	t.ReportUnknownKeys()
 }
 
 func readTrustedProxies(t tree.Table) []netip.Prefix {
 	var proxies []netip.Prefix
-	for _, text := range t.Texts("trusted_proxies") {
+	for _, text := range t.Strings("trusted_proxies") {
 		prefix, err := netip.ParsePrefix(text)
 		if address, addressErr := netip.ParseAddr(text); err != nil && addressErr == nil {
 			prefix, err = netip.PrefixFrom(address, address.BitLen()), nil
@@ -234,7 +234,7 @@
 // readUpgrades reads the protocols that a route's requests may switch to.
 func readUpgrades(t tree.Table) []string {
 	var protocols []string
-	for _, name := range t.Texts("upgrade") {
+	for _, name := range t.Strings("upgrade") {
 		if name == "" || strings.ContainsAny(name, " ,\t") {
 			t.Errorf("upgrade", "%q is no name of a protocol", name)
 		}
--- a/internal/config/http_test.go
+++ b/internal/config/http_test.go
@@ -11,7 +11,7 @@
 )
 
 // A listener, a service with its servers and a route are enough.
-func TestLeast(t *testing.T) {
+func TestMinimalFile(t *testing.T) {
 	c, err := Parse("least.toml", []byte("[[listeners]]\naddress = \"127.0.0.1:0\"\n[services.app]\nsource = { kind = \"static\", servers = [{ endpoint = \"127.0.0.1:1\" }] }\n[[routes]]\nservice = \"app\"\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -39,11 +39,11 @@
 	}
 	s := c.Services[0]
 	h := s.HTTP
-	once := h.ClassWithoutKey["checkout"]
+	withoutKey := h.ClassWithoutKey["checkout"]
 	var names []string
 	for _, k := range s.Settings.Classes {
 		names = append(names, k.Name)
-		if k.Name == once && (k.Idempotency != control.NotIdempotent || k.PriorityWeight != 5) {
+		if k.Name == withoutKey && (k.Idempotency != control.NotIdempotent || k.PriorityWeight != 5) {
 			t.Errorf("%+v", k)
 		}
 	}
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -39,6 +39,6 @@
 	if plan.HardLimitRate > 0 && plan.QuotaRate > plan.HardLimitRate {
 		t.Errorf("ceiling_rate", "%g is below the rate of %g", plan.HardLimitRate, plan.QuotaRate)
 	}
-	t.Done()
+	t.ReportUnknownKeys()
 	return plan
 }
--- a/internal/config/plan_test.go
+++ b/internal/config/plan_test.go
@@ -33,11 +33,11 @@
 		"a route's host":    {"*.docs.example", "*.docs2.example", "applied routes.documents.host *.docs.example *.docs2.example"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			changed := strings.Replace(good, tc.old, tc.new, 1)
-			if tc.old != "" && changed == good {
+			changed := strings.Replace(validFile, tc.old, tc.new, 1)
+			if tc.old != "" && changed == validFile {
 				t.Fatal("nothing was changed")
 			}
-			a, err := Parse("old", []byte(good))
+			a, err := Parse("old", []byte(validFile))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -66,11 +66,11 @@
 }
 
 func TestCompareServices(t *testing.T) {
-	a, err := Parse("old", []byte(good))
+	a, err := Parse("old", []byte(validFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := Parse("new", []byte(strings.NewReplacer("services.documents", "services.papers", `"documents"`, `"papers"`).Replace(good)))
+	b, err := Parse("new", []byte(strings.NewReplacer("services.documents", "services.papers", `"documents"`, `"papers"`).Replace(validFile)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,21 +90,21 @@
 }
 
 // Every field that a plan compares says its key: a rename of the field changes no plan.
-func TestPlanKeysAreWritten(t *testing.T) {
+func TestComparedFieldsHavePlanKeys(t *testing.T) {
 	seen := make(map[reflect.Type]bool)
-	var walk func(of reflect.Type)
-	walk = func(of reflect.Type) {
+	var walk func(typ reflect.Type)
+	walk = func(typ reflect.Type) {
 		switch {
-		case seen[of]:
-		case of.Kind() == reflect.Slice && haveNames(of):
-			walk(of.Elem())
-		case of.Kind() == reflect.Struct:
-			seen[of] = true
-			for i := range of.NumField() {
-				f := of.Field(i)
+		case seen[typ]:
+		case typ.Kind() == reflect.Slice && haveNamedItems(typ):
+			walk(typ.Elem())
+		case typ.Kind() == reflect.Struct:
+			seen[typ] = true
+			for i := range typ.NumField() {
+				f := typ.Field(i)
 				key := f.Tag.Get(keyTag)
 				if key == "" && !f.Anonymous {
-					t.Errorf("%v.%s has no key in a %s tag", of, f.Name, keyTag)
+					t.Errorf("%v.%s has no key in a %s tag", typ, f.Name, keyTag)
 				}
 				if key != noKey {
 					walk(f.Type)
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -102,7 +102,7 @@
 
 // service returns the one service of the platform's file.
 func (f *platformFile) service() (Service, error) {
-	s := Service{
+	result := Service{
 		Source:           discovery.Source{Address: f.Discovery},
 		Required:         true,
 		MaxBodyBytes:     protocol.MaxBodyBytes,
@@ -110,24 +110,24 @@
 		Known:            f.knownEndpoints(),
 	}
 	var err error
-	if s.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return s, fmt.Errorf("seed: %w", err)
+	if result.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
+		return result, fmt.Errorf("seed: %w", err)
 	}
 	paths, err := flatten(f.Settings)
 	if err != nil {
-		return s, fmt.Errorf("settings: %w", err)
+		return result, fmt.Errorf("settings: %w", err)
 	}
-	if s.Settings, err = wire.Settings(paths); err != nil {
-		return s, fmt.Errorf("settings: %w", err)
+	if result.Settings, err = wire.Settings(paths); err != nil {
+		return result, fmt.Errorf("settings: %w", err)
 	}
 	// Lists that are pushed come from an agent of this node alone; a service that has to be polled is shared.
-	s.Source.IsOwnAgent = !s.Settings.ListOnRequest
-	s.Settings.ListOnRequest = false // over sockets the list is always watched
-	if s.Keepalive, err = milliseconds(paths, "limits.keepalive", defaultPlatformKeepalive); err != nil {
-		return s, err
+	result.Source.IsOwnAgent = !result.Settings.ListOnRequest
+	result.Settings.ListOnRequest = false // over sockets the list is always watched
+	if result.Keepalive, err = milliseconds(paths, "limits.keepalive", defaultPlatformKeepalive); err != nil {
+		return result, err
 	}
-	s.ConnectTimeout, err = milliseconds(paths, "limits.connect-timeout", defaultPlatformConnectTimeout)
-	return s, err
+	result.ConnectTimeout, err = milliseconds(paths, "limits.connect-timeout", defaultPlatformConnectTimeout)
+	return result, err
 }
 
 // knownEndpoints returns the endpoint list to begin with. An invalid one does not prevent the start, as
@@ -162,10 +162,10 @@
 const maxMilliseconds = 1e9
 
 // milliseconds returns a duration among the settings that package control does not read.
-func milliseconds(paths map[string]string, path string, missing time.Duration) (time.Duration, error) {
+func milliseconds(paths map[string]string, path string, fallback time.Duration) (time.Duration, error) {
 	text, ok := paths[path]
 	if !ok {
-		return missing, nil
+		return fallback, nil
 	}
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(v > 0 && v < maxMilliseconds) {
@@ -179,12 +179,12 @@
 func flatten(raw json.RawMessage) (map[string]string, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
-	var tree map[string]any
-	if err := decoder.Decode(&tree); err != nil {
+	var document map[string]any
+	if err := decoder.Decode(&document); err != nil {
 		return nil, err
 	}
 	paths := make(map[string]string)
-	flattenInto(paths, "", tree)
+	flattenInto(paths, "", document)
 	return paths, nil
 }
 
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -34,54 +34,54 @@
 }
 
 // Whether lists are pushed tells whose discovery it is: an agent of the node's own, or one that all share.
-func TestWhoseDiscovery(t *testing.T) {
+func TestDiscoveryModeSelectsOwnAgent(t *testing.T) {
 	raw, err := os.ReadFile("testdata/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for mode, agent := range map[string]bool{"pushed": true, "on_request": false} {
+	for mode, isOwnAgent := range map[string]bool{"pushed": true, "on_request": false} {
 		c, err := ParsePlatform([]byte(strings.NewReplacer(`"discovery": "pushed"`, `"discovery": "`+mode+`"`).Replace(string(raw))))
-		if err != nil || c.Services[0].Source.IsOwnAgent != agent {
+		if err != nil || c.Services[0].Source.IsOwnAgent != isOwnAgent {
 			t.Errorf("%s: %+v, %v", mode, c.Services[0].Source, err)
 		}
 	}
 }
 
 // A list from before that can't be used, or not all of it, is no reason not to start.
-func TestOddKnownListIsNoFailedStart(t *testing.T) {
+func TestInvalidKnownEndpointsDoNotPreventStart(t *testing.T) {
 	raw, err := os.ReadFile("testdata/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	const good = `{"uid": "s-1", "endpoint": "127.0.0.1:9", "state": "up"}`
+	const validEndpoint = `{"uid": "s-1", "endpoint": "127.0.0.1:9", "state": "up"}`
 	for name, tc := range map[string]struct {
-		known     string
-		used, odd int
+		known          string
+		valid, invalid int
 	}{
-		"all good":    {`{"rev": 7, "targets": [` + good + `]}`, 1, 0},
-		"some odd":    {`{"rev": 7, "targets": [{"state": "up"}, ` + good + `, null, 5, {"uid": "s-2", "endpoint": "here", "state": "up"}]}`, 1, 4},
+		"all good":    {`{"rev": 7, "targets": [` + validEndpoint + `]}`, 1, 0},
+		"some odd":    {`{"rev": 7, "targets": [{"state": "up"}, ` + validEndpoint + `, null, 5, {"uid": "s-2", "endpoint": "here", "state": "up"}]}`, 1, 4},
 		"no object":   {`"none"`, 0, 1},
 		"no list":     {`{"rev": 7, "targets": {}}`, 0, 1},
 		"all odd":     {`{"rev": 7, "all": true, "targets": [{"uid": 5}]}`, 0, 1},
 		"null":        {`null`, 0, 0},
-		"version odd": {`{"rev": "x", "targets": [` + good + `]}`, 0, 1},
+		"version odd": {`{"rev": "x", "targets": [` + validEndpoint + `]}`, 0, 1},
 	} {
 		text := strings.Replace(string(raw), `"known"`, `"known": `+tc.known+`, "before"`, 1)
 		c, err := ParsePlatform([]byte(text))
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
-		} else if k := c.Services[0].Known; len(k.Endpoints) != tc.used || k.Invalid.Count != tc.odd {
+		} else if k := c.Services[0].Known; len(k.Endpoints) != tc.valid || k.Invalid.Count != tc.invalid {
 			t.Errorf("%s: %+v", name, k)
 		}
 	}
 }
 
-func TestBadConfigIsNamed(t *testing.T) {
-	good, err := os.ReadFile("testdata/config.json")
+func TestInvalidPlatformFileErrors(t *testing.T) {
+	valid, err := os.ReadFile("testdata/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, tc := range map[string]struct{ old, new, tells string }{
+	for name, tc := range map[string]struct{ old, new, wantError string }{
 		"not JSON":     {`{"name"`, `{name`, "invalid"},
 		"no address":   {`"127.0.0.1:0"`, `""`, "listen"},
 		"no port":      {`"127.0.0.1:1"`, `"127.0.0.1"`, "discovery"},
@@ -99,11 +99,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "config.json")
-			if err := os.WriteFile(path, []byte(strings.Replace(string(good), tc.old, tc.new, 1)), 0o600); err != nil {
+			if err := os.WriteFile(path, []byte(strings.Replace(string(valid), tc.old, tc.new, 1)), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if _, err := LoadPlatform(path); err == nil || !strings.Contains(err.Error(), tc.tells) {
-				t.Errorf("%v does not tell %q", err, tc.tells)
+			if _, err := LoadPlatform(path); err == nil || !strings.Contains(err.Error(), tc.wantError) {
+				t.Errorf("%v does not tell %q", err, tc.wantError)
 			}
 		})
 	}
@@ -114,11 +114,11 @@
 
 // FuzzPlatform: what is read can be served by, and what can't is one line.
 func FuzzPlatform(f *testing.F) {
-	good, err := os.ReadFile("testdata/config.json")
+	valid, err := os.ReadFile("testdata/config.json")
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(good)
+	f.Add(valid)
 	f.Add([]byte(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{"group-size":1,"classes":[{"effect":"free","aim":1,"deadline":"1"}],"tariffs":[null]}}`))
 	f.Add([]byte(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{"classes":{"count":2},"classes.count":1e9}}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
--- a/internal/config/process.go
+++ b/internal/config/process.go
@@ -39,7 +39,7 @@
 		t.Errorf("checkpoint", "only with a state directory")
 	}
 	p.Upgrade = readUpgrade(t.Sub("upgrade"))
-	t.Done()
+	t.ReportUnknownKeys()
 	return p
 }
 
@@ -52,7 +52,7 @@
 	if drain.Idle > drain.Accept || drain.Accept > drain.Max {
 		t.Errorf("accept", "idle, accept and most come in this order: %v, %v, %v", drain.Idle, drain.Accept, drain.Max)
 	}
-	t.Done()
+	t.ReportUnknownKeys()
 	return drain
 }
 
@@ -61,6 +61,6 @@
 		ReadyTimeout: t.Duration("within", 15*time.Second, 10*time.Millisecond, day),
 		Probation:    t.Duration("probation", 2*time.Second, 0, day),
 	}
-	t.Done()
+	t.ReportUnknownKeys()
 	return upgrade
 }
--- a/internal/config/quota_counter.go
+++ b/internal/config/quota_counter.go
@@ -18,7 +18,7 @@
 // reported here.
 func (r *reader) readCounter(t tree.Table, name string, plans []control.Plan) Counter {
 	c := Counter{
-		Addresses:    t.Texts("addresses"),
+		Addresses:    t.Strings("addresses"),
 		Name:         t.String("name", name),
 		Username:     t.String("username", ""),
 		PasswordFile: readPath(t, "password_file"),
@@ -49,7 +49,7 @@
 	if len(c.HardLimits) == 0 {
 		t.Errorf("addresses", "no plan of the service has a ceiling")
 	}
-	t.Done()
+	t.ReportUnknownKeys()
 	return c
 }
 
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -23,23 +23,23 @@
 	names := make(map[string]bool)
 	reached := make(map[string]bool)
 	for i, t := range tables {
-		one := readRoute(t, i)
-		if names[one.Name] {
-			t.Errorf("name", "%q is given twice", one.Name)
+		parsed := readRoute(t, i)
+		if names[parsed.Name] {
+			t.Errorf("name", "%q is given twice", parsed.Name)
 		}
-		names[one.Name] = true
-		if gather := c.findGather(one.Service); gather != nil {
-			reached[one.Service] = true
-			r.checkGatherRoute(t, one, c, gather)
-		} else if service := services[one.Service]; service != nil {
-			reached[one.Service] = true
-			checkRoute(t, one, service)
+		names[parsed.Name] = true
+		if gather := c.findGather(parsed.Service); gather != nil {
+			reached[parsed.Service] = true
+			r.checkGatherRoute(t, parsed, c, gather)
+		} else if service := services[parsed.Service]; service != nil {
+			reached[parsed.Service] = true
+			checkRoute(t, parsed, service)
 		} else {
-			t.Errorf("service", "%q is no service", one.Service)
+			t.Errorf("service", "%q is no service", parsed.Service)
 		}
-		t.Done()
-		c.Routes = append(c.Routes, one)
-		rules = append(rules, one.Rule)
+		t.ReportUnknownKeys()
+		c.Routes = append(c.Routes, parsed)
+		rules = append(rules, parsed.Rule)
 	}
 	_, problems := route.New(rules)
 	for _, problem := range problems {
@@ -55,23 +55,23 @@
 
 // readRoute reads the route at an index of the file's list.
 func readRoute(t tree.Table, index int) Route {
-	one := Route{RequestClass: t.String("as", "")}
-	one.Name = t.String("name", "")
-	if one.Name == "" {
-		one.Name = fmt.Sprintf("route-%d", index+1)
+	parsed := Route{RequestClass: t.String("as", "")}
+	parsed.Name = t.String("name", "")
+	if parsed.Name == "" {
+		parsed.Name = fmt.Sprintf("route-%d", index+1)
 	}
-	one.Service = t.String("service", "")
-	one.Host = t.String("host", "")
-	one.Path = t.String("path", "")
-	one.Prefix = t.String("prefix", "")
-	one.Method = t.String("method", "")
-	one.Class = t.String("class", "")
-	one.Upgrade = readUpgrades(t)
-	for _, text := range t.Texts("headers") {
+	parsed.Service = t.String("service", "")
+	parsed.Host = t.String("host", "")
+	parsed.Path = t.String("path", "")
+	parsed.Prefix = t.String("prefix", "")
+	parsed.Method = t.String("method", "")
+	parsed.Class = t.String("class", "")
+	parsed.Upgrade = readUpgrades(t)
+	for _, text := range t.Strings("headers") {
 		name, value, hasValue := strings.Cut(text, ":")
-		one.Headers = append(one.Headers, route.Header{Name: name, Value: strings.Trim(value, " \t"), Any: !hasValue})
+		parsed.Headers = append(parsed.Headers, route.Header{Name: name, Value: strings.Trim(value, " \t"), Any: !hasValue})
 	}
-	return one
+	return parsed
 }
 
 // checkRoute reports a route of which no request could be served by its service.
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -52,7 +52,7 @@
 	s.Source = r.readSource(t)
 	s.Record = readRecord(t, name)
 	t.Sub("guaranteed") // read by divideResources once all services are known
-	t.Done()
+	t.ReportUnknownKeys()
 	return s
 }
 
@@ -96,7 +96,7 @@
 	if record.Dir != "" && strings.ContainsAny(name, "/\\*?[") {
 		t.Errorf("dir", "the service's name %q can't begin a file's", name)
 	}
-	t.Done()
+	t.ReportUnknownKeys()
 	return record
 }
 
@@ -112,7 +112,7 @@
 	if t.Has("tls") {
 		servers.TLS = readTLS(t.Sub("tls"))
 	}
-	t.Done()
+	t.ReportUnknownKeys()
 	return servers
 }
 
@@ -127,7 +127,7 @@
 	if (options.Cert == "") != (options.Key == "") {
 		t.Errorf("cert", "a certificate needs its key, and a key its certificate")
 	}
-	t.Done()
+	t.ReportUnknownKeys()
 	return options
 }
 
@@ -140,7 +140,7 @@
 		}
 		return all
 	}
-	names := t.Texts(key)
+	names := t.Strings(key)
 	if len(names) == 0 {
 		t.Errorf(key, "there is none")
 	}
--- a/internal/config/tree/merge.go
+++ b/internal/config/tree/merge.go
@@ -18,7 +18,7 @@
 // key counts as read. Neither document is changed.
 func (t Table) MergeOver(base Table, named ...string) Table {
 	root := base.node.clone()
-	for _, key := range t.Texts(RemovedKeys) {
+	for _, key := range t.Strings(RemovedKeys) {
 		if !remove(root, key, named) {
 			t.Errorf(RemovedKeys, "%q is not in the base", key)
 		}
@@ -26,10 +26,10 @@
 	change := t.node.clone()
 	delete(change.table, RemovedKeys)
 	for _, key := range named {
-		c, b := change.table[key], root.table[key]
-		areLists := c != nil && b != nil && c.isList && b.isList
+		changed, inBase := change.table[key], root.table[key]
+		areLists := changed != nil && inBase != nil && changed.isList && inBase.isList
 		if areLists {
-			b.array = mergeByName(b.array, c.array)
+			inBase.array = mergeByName(inBase.array, changed.array)
 			delete(change.table, key)
 		}
 	}
@@ -39,8 +39,8 @@
 
 func (n *Node) clone() *Node {
 	c := *n
-	c.read = false
-	c.merged = true
+	c.isRead = false
+	c.isMerged = true
 	c.array = nil
 	c.table = nil
 	for _, item := range n.array {
@@ -48,8 +48,8 @@
 	}
 	if n.table != nil {
 		c.table = make(map[string]*Node, len(n.table))
-		for key, in := range n.table {
-			c.table[key] = in.clone()
+		for key, child := range n.table {
+			c.table[key] = child.clone()
 		}
 	}
 	return &c
@@ -58,45 +58,45 @@
 // remove removes a dotted key and tells whether it was there.
 func remove(root *Node, key string, named []string) bool {
 	first, rest, _ := strings.Cut(key, ".")
-	if in := root.table[first]; in != nil && slices.Contains(named, first) {
-		i := slices.IndexFunc(in.array, func(n *Node) bool { return n.name() == rest })
+	if list := root.table[first]; list != nil && slices.Contains(named, first) {
+		i := slices.IndexFunc(list.array, func(n *Node) bool { return n.name() == rest })
 		if rest == "" || i < 0 {
 			return false
 		}
-		in.array = slices.Delete(in.array, i, i+1)
+		list.array = slices.Delete(list.array, i, i+1)
 		return true
 	}
-	at, last := root, first
+	node, last := root, first
 	for rest != "" {
-		if at = at.table[last]; at == nil || at.table == nil {
+		if node = node.table[last]; node == nil || node.table == nil {
 			return false
 		}
 		last, rest, _ = strings.Cut(rest, ".")
 	}
-	if at.table[last] == nil {
+	if node.table[last] == nil {
 		return false
 	}
-	delete(at.table, last)
+	delete(node.table, last)
 	return true
 }
 
 func (n *Node) name() string {
-	if in := n.table["name"]; in != nil {
-		s, _ := in.value.(string)
+	if nameNode := n.table["name"]; nameNode != nil {
+		s, _ := nameNode.value.(string)
 		return s
 	}
 	return ""
 }
 
 func mergeByName(base, change []*Node) []*Node {
-	place := make(map[string]int, len(base))
+	indexByName := make(map[string]int, len(base))
 	for i, n := range base {
 		if name := n.name(); name != "" {
-			place[name] = i
+			indexByName[name] = i
 		}
 	}
 	for _, n := range change {
-		if i, ok := place[n.name()]; ok {
+		if i, ok := indexByName[n.name()]; ok {
 			base[i] = n
 		} else {
 			base = append(base, n)
@@ -130,8 +130,8 @@
 	switch {
 	case n.table != nil:
 		m := make(map[string]any, len(n.table))
-		for key, in := range n.table {
-			m[key] = in.plainValue()
+		for key, child := range n.table {
+			m[key] = child.plainValue()
 		}
 		return m
 	case n.isList:
--- a/internal/config/tree/table.go
+++ b/internal/config/tree/table.go
@@ -29,33 +29,33 @@
 // table itself.
 func (t Table) Errorf(key, format string, args ...any) {
 	n := t.node
-	if in := t.node.table[key]; in != nil {
-		n = in
+	if child := t.node.table[key]; child != nil {
+		n = child
 	}
 	t.ItemErrorf(n, key, format, args...)
 }
 
 // ItemErrorf records an error of an item of a key's list.
 func (t Table) ItemErrorf(n *Node, key, format string, args ...any) {
-	at := t.path
+	keyPath := t.path
 	if key != "" {
-		at = t.Path(key)
+		keyPath = t.Path(key)
 	}
-	t.reading.Errorf(n.file, n.line, at, format, args...)
+	t.reading.Errorf(n.file, n.line, keyPath, format, args...)
 }
 
 // Has tells whether a key is given.
 func (t Table) Has(key string) bool { return t.node.table[key] != nil }
 
 // get returns the value of a key, and false where it is missing or, as an error, of another type.
-func get[T any](t Table, key, want string) (v T, ok bool) {
+func get[T any](t Table, key, expected string) (v T, ok bool) {
 	n := t.node.table[key]
 	if n == nil {
 		return v, false
 	}
-	n.read = true
+	n.isRead = true
 	if v, ok = n.value.(T); !ok {
-		t.Errorf(key, "it has to be %s", want)
+		t.Errorf(key, "it has to be %s", expected)
 	}
 	return v, ok
 }
@@ -77,14 +77,14 @@
 }
 
 // OneOf reads one of several words and returns its index; 0 where the key is missing.
-func (t Table) OneOf(key string, words ...string) int {
+func (t Table) OneOf(key string, values ...string) int {
 	if !t.Has(key) {
 		return 0
 	}
 	v, ok := get[string](t, key, "a text")
-	i := slices.Index(words, v)
+	i := slices.Index(values, v)
 	if ok && i < 0 {
-		t.Errorf(key, "%q is none of %s", v, strings.Join(words, ", "))
+		t.Errorf(key, "%q is none of %s", v, strings.Join(values, ", "))
 	}
 	return max(i, 0)
 }
@@ -114,7 +114,7 @@
 	if n == nil {
 		return fallback
 	}
-	n.read = true
+	n.isRead = true
 	v, ok := n.value.(float64)
 	if i, isInteger := n.value.(int64); isInteger {
 		v, ok = float64(i), true
@@ -168,7 +168,7 @@
 	if n == nil {
 		return fallback
 	}
-	n.read = true
+	n.isRead = true
 	v, ok := n.value.(int64)
 	if text, isText := n.value.(string); isText {
 		v, ok = parseSize(text)
@@ -185,7 +185,7 @@
 }
 
 // Texts reads a list of distinct texts.
-func (t Table) Texts(key string) []string {
+func (t Table) Strings(key string) []string {
 	var all []string
 	for i, n := range t.List(key) {
 		v, ok := n.value.(string)
@@ -207,7 +207,7 @@
 	if n == nil {
 		return nil
 	}
-	n.read = true
+	n.isRead = true
 	if !n.isList {
 		t.Errorf(key, "it has to be a list")
 	}
@@ -231,7 +231,7 @@
 	if n == nil {
 		return Table{t.reading, &Node{file: t.node.file, line: t.node.line, table: map[string]*Node{}}, t.Path(key)}
 	}
-	n.read = true
+	n.isRead = true
 	if n.table == nil {
 		t.Errorf(key, "it has to be a table")
 		n = &Node{file: n.file, line: n.line, table: map[string]*Node{}}
@@ -241,28 +241,28 @@
 
 // NamedTables reads the tables in a table, in the order of their lines; those of merged documents in the
 // order of their names.
-func (t Table) NamedTables(key string) (names []string, each []Table) {
-	in := t.Sub(key)
-	for name := range in.node.table {
+func (t Table) NamedTables(key string) (names []string, tables []Table) {
+	parent := t.Sub(key)
+	for name := range parent.node.table {
 		names = append(names, name)
 	}
 	sort.Slice(names, func(i, j int) bool {
-		a, b := in.node.table[names[i]], in.node.table[names[j]]
-		if in.node.merged {
+		a, b := parent.node.table[names[i]], parent.node.table[names[j]]
+		if parent.node.isMerged {
 			return names[i] < names[j]
 		}
 		return cmp.Or(cmp.Compare(a.line, b.line), cmp.Compare(names[i], names[j])) < 0
 	})
 	for _, name := range names {
-		each = append(each, in.Sub(name))
+		tables = append(tables, parent.Sub(name))
 	}
-	return names, each
+	return names, tables
 }
 
 // Done records an error for each key of the table that was not read.
-func (t Table) Done() {
+func (t Table) ReportUnknownKeys() {
 	for key, n := range t.node.table {
-		if !n.read {
+		if !n.isRead {
 			t.ItemErrorf(n, key, "unknown key")
 		}
 	}
@@ -274,7 +274,7 @@
 	if n == nil {
 		return nil
 	}
-	n.read = true
+	n.isRead = true
 	return n.value
 }
 
--- a/internal/config/tree/tree.go
+++ b/internal/config/tree/tree.go
@@ -47,10 +47,10 @@
 	table map[string]*Node // nil unless it is a table
 	array []*Node          // of a list
 	// value is that of a scalar: string, int64, float64, bool, toml.LocalDate, or unsupported.
-	value  any
-	isList bool
-	read   bool // by a Table; others are unknown keys
-	merged bool // from several documents: its keys are in the order of their names, as Text writes them
+	value    any
+	isList   bool
+	isRead   bool // by a Table; others are unknown keys
+	isMerged bool // from several documents: its keys are in the order of their names, as Text writes them
 }
 
 // unsupported is the value of a type that no key has: a time.
@@ -68,19 +68,19 @@
 // Reading collects the errors of the documents that are read with it. The zero value is ready for use. It is
 // not safe for concurrent use.
 type Reading struct {
-	problems FieldErrors
-	reported map[FieldError]bool // by place
+	fieldErrors FieldErrors
+	reported    map[FieldError]bool // by place
 }
 
 // Err returns all errors as FieldErrors, by file and line; nil where there are none.
 func (r *Reading) Err() error {
-	if r.problems == nil {
+	if r.fieldErrors == nil {
 		return nil
 	}
-	slices.SortStableFunc(r.problems, func(a, b FieldError) int {
+	slices.SortStableFunc(r.fieldErrors, func(a, b FieldError) int {
 		return cmp.Or(cmp.Compare(a.File, b.File), cmp.Compare(a.Line, b.Line), cmp.Compare(a.Key, b.Key))
 	})
-	return r.problems
+	return r.fieldErrors
 }
 
 // Errorf records an error at a place. Of several errors at one place only the first is recorded, as the
@@ -98,7 +98,7 @@
 		return
 	}
 	r.reported[place] = true
-	r.problems = append(r.problems, p)
+	r.fieldErrors = append(r.fieldErrors, p)
 }
 
 // Parse reads a document. Errors name it by name. Of a text that is no TOML only the first error is
@@ -127,15 +127,15 @@
 	}
 	p.Reset(raw)
 	root := &Node{file: name, line: 1, table: map[string]*Node{}}
-	at := root
+	current := root
 	for p.NextExpression() {
 		switch e := p.Expression(); e.Kind {
 		case unstable.Table:
-			at = open(root, p, e.Key(), false)
+			current = openTable(root, p, e.Key(), false)
 		case unstable.ArrayTable:
-			at = open(root, p, e.Key(), true)
+			current = openTable(root, p, e.Key(), true)
 		case unstable.KeyValue:
-			put(at, p, e)
+			setValue(current, p, e)
 		}
 	}
 	return root
@@ -158,16 +158,16 @@
 }
 
 // open returns the table of a header, which may exist; that of an array is always new.
-func open(at *Node, p *parser, key unstable.Iterator, element bool) *Node {
+func openTable(parent *Node, p *parser, key unstable.Iterator, element bool) *Node {
 	for key.Next() {
 		k, line, last := string(key.Node().Data), p.line(key.Node()), key.IsLast()
-		next := at.table[k]
+		next := parent.table[k]
 		if next == nil {
 			next = &Node{file: p.file, line: line, isList: last && element}
 			if !next.isList {
 				next.table = map[string]*Node{}
 			}
-			at.table[k] = next
+			parent.table[k] = next
 		}
 		if last && !element {
 			next.line = line
@@ -178,24 +178,24 @@
 		if next.isList {
 			next = next.array[len(next.array)-1]
 		}
-		at = next
+		parent = next
 	}
-	return at
+	return parent
 }
 
 // put sets the value of a line with a key and a value.
-func put(at *Node, p *parser, e *unstable.Node) {
+func setValue(node *Node, p *parser, e *unstable.Node) {
 	key := e.Key()
 	for key.Next() {
 		k, line := string(key.Node().Data), p.line(key.Node())
 		if key.IsLast() {
-			at.table[k] = value(p, e.Value(), line)
+			node.table[k] = value(p, e.Value(), line)
 			return
 		}
-		if at.table[k] == nil {
-			at.table[k] = &Node{file: p.file, line: line, table: map[string]*Node{}}
+		if node.table[k] == nil {
+			node.table[k] = &Node{file: p.file, line: line, table: map[string]*Node{}}
 		}
-		at = at.table[k]
+		node = node.table[k]
 	}
 }
 
@@ -219,7 +219,7 @@
 	case unstable.InlineTable:
 		n.table = map[string]*Node{}
 		for it := v.Children(); it.Next(); {
-			put(n, p, it.Node())
+			setValue(n, p, it.Node())
 		}
 	case unstable.LocalDate:
 		var d toml.LocalDate
--- a/internal/customer/customer_test.go
+++ b/internal/customer/customer_test.go
@@ -32,7 +32,7 @@
 }
 
 func TestIdentify(t *testing.T) {
-	b := New(Options{
+	directory := New(Options{
 		DefaultPlan: "basic", MaxUnknown: 10, TrustedProxies: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")},
 		Identifiers: []Identifier{{Kind: Header, Name: "X-Key", IsSecret: true}, {Kind: Query, Name: "account"}, {Kind: Cookie, Name: "sid"}, {Kind: Address}},
 	})
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.plans.Store(&names)
+	directory.plans.Store(&names)
 	for _, tc := range []struct {
 		r          *http.Request
 		name, plan string
@@ -55,7 +55,7 @@
 		{request("/"), "127.0.0.1", "basic"},
 		{request("/?account=" + strings.Repeat("x", 300)), HashedName(strings.Repeat("x", 300)), "basic"},
 	} {
-		name, plan := b.Identify(tc.r, time.Now())
+		name, plan := directory.Identify(tc.r, time.Now())
 		if name != tc.name || plan != tc.plan {
 			t.Errorf("%s %v: %q, %q, not %q, %q", tc.r.URL, tc.r.Header, name, plan, tc.name, tc.plan)
 		}
@@ -71,17 +71,17 @@
 // However many names are invented, only a limited number is tracked. Active customers keep their places, and
 // the places of idle ones go to others.
 func TestUnknownCustomersAreBounded(t *testing.T) {
-	b := New(Options{Identifiers: []Identifier{{Kind: Header, Name: "X-Name"}}, MaxUnknown: 1000})
+	directory := New(Options{Identifiers: []Identifier{{Kind: Header, Name: "X-Name"}}, MaxUnknown: 1000})
 	now := time.Now()
-	of := func(name string) string {
-		got, _ := b.Identify(request("/", "X-Name: "+name), now)
+	identify := func(name string) string {
+		got, _ := directory.Identify(request("/", "X-Name: "+name), now)
 		return got
 	}
-	regular := of("regular")
+	regular := identify("regular")
 	seen := make(map[string]bool)
 	for i := range 1_000_000 {
-		seen[b.nameOfUnknown(fmt.Sprint("invented-", i), now)] = true
-		if i%5000 == 0 && of("regular") != regular {
+		seen[directory.nameOfUnknown(fmt.Sprint("invented-", i), now)] = true
+		if i%5000 == 0 && identify("regular") != regular {
 			t.Fatal("a regular one lost its place")
 		}
 	}
@@ -89,7 +89,7 @@
 		t.Errorf("%d customers of a flood", len(seen))
 	}
 	now = now.Add(2 * unknownIdleTime)
-	if got := of("new"); got != "new" {
+	if got := identify("new"); got != "new" {
 		t.Errorf("after a minute a new one is %q", got)
 	}
 }
@@ -117,18 +117,18 @@
 		}
 	}
 	write("a,gold\n")
-	b := New(Options{File: path})
-	if err := b.Load(any); err != nil {
+	directory := New(Options{File: path})
+	if err := directory.Load(any); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { b.Follow(ctx, any); close(done) }()
+	go func() { directory.Follow(ctx, any); close(done) }()
 	write("a,silver\nb,gold\n")
-	testkit.Until(t, "the new file", func() bool { return b.NameCount() == 2 })
+	testkit.Until(t, "the new file", func() bool { return directory.NameCount() == 2 })
 	write("bad line\n")
 	write("a,gold\nb,gold\nc,gold\n") // a bad one in between changes nothing
-	testkit.Until(t, "the last file", func() bool { return b.NameCount() == 3 })
+	testkit.Until(t, "the last file", func() bool { return directory.NameCount() == 3 })
 	cancel()
 	<-done
 }
@@ -144,11 +144,11 @@
 }
 
 func BenchmarkIdentify(b *testing.B) {
-	book := New(Options{Identifiers: []Identifier{{Kind: Header, Name: "X-Name"}}, MaxUnknown: 1000, DefaultPlan: "p"})
+	directory := New(Options{Identifiers: []Identifier{{Kind: Header, Name: "X-Name"}}, MaxUnknown: 1000, DefaultPlan: "p"})
 	r := request("/", "X-Name: acme")
 	now := time.Now()
 	b.ReportAllocs()
 	for b.Loop() {
-		book.Identify(r, now)
+		directory.Identify(r, now)
 	}
 }
--- a/internal/customer/plan_file.go
+++ b/internal/customer/plan_file.go
@@ -21,7 +21,7 @@
 )
 
 // secretMark begins a name in the file that stands for the hash of what follows.
-const secretMark = "secret:"
+const secretPrefix = "secret:"
 
 // Errors of a line of the file.
 var (
@@ -46,7 +46,7 @@
 	records := csv.NewReader(in)
 	records.FieldsPerRecord, records.Comment, records.TrimLeadingSpace, records.ReuseRecord = 2, '#', true, true
 	plansByName := make(map[string]string)
-	plans := make(map[string]string) // shares one copy of each plan's name
+	internedPlans := make(map[string]string) // shares one copy of each plan's name
 	for {
 		record, err := records.Read()
 		if errors.Is(err, io.EOF) {
@@ -60,10 +60,10 @@
 			line, _ := records.FieldPos(0)
 			return nil, fmt.Errorf("%s:%d: %w", path, line, err)
 		}
-		if _, ok := plans[plan]; !ok {
-			plans[plan] = strings.Clone(plan)
+		if _, ok := internedPlans[plan]; !ok {
+			internedPlans[plan] = strings.Clone(plan)
 		}
-		plansByName[strings.Clone(name)] = plans[plan] // a record's strings share the memory of its line
+		plansByName[strings.Clone(name)] = internedPlans[plan] // a record's strings share the memory of its line
 	}
 }
 
@@ -85,7 +85,7 @@
 
 // customerName returns the customer's name for a name in the file.
 func customerName(name string) string {
-	if secret, ok := strings.CutPrefix(name, secretMark); ok && secret != "" {
+	if secret, ok := strings.CutPrefix(name, secretPrefix); ok && secret != "" {
 		return HashedName(secret)
 	}
 	return name
@@ -107,14 +107,14 @@
 	if err == nil && info.Size() > maxFileBytes {
 		err = fmt.Errorf("%s: %d bytes are more than %d", d.File, info.Size(), maxFileBytes)
 	}
-	var all map[string]string
+	var loadedPlans map[string]string
 	if err == nil {
-		all, err = ParseFile(d.File, f, isPlan)
+		loadedPlans, err = ParseFile(d.File, f, isPlan)
 	}
 	if err != nil {
 		return fmt.Errorf("reading the customers: %w", err)
 	}
-	d.plans.Store(&all)
+	d.plans.Store(&loadedPlans)
 	return nil
 }
 
--- a/internal/fleetfile/fleetfile.go
+++ b/internal/fleetfile/fleetfile.go
@@ -117,7 +117,7 @@
 	}
 	isBaseUsed := false
 	for i, name := range names {
-		if !validName(name) {
+		if !isValidName(name) {
 			tables[i].Errorf("", "%q is no name: letters, digits, '-' and '_', at most %d", name, maxNameBytes)
 		}
 		isBaseUsed = isBaseUsed || !tables[i].Has("config")
@@ -127,7 +127,7 @@
 		root.Errorf("base", "every region has a config of its own: nothing stands on it")
 	}
 	f.Waivers = readWaivers(root, names)
-	root.Done()
+	root.ReportUnknownKeys()
 	slices.SortFunc(f.All, func(a, b Region) int { return strings.Compare(a.Name, b.Name) })
 	if err := t.Err(); err != nil {
 		return File{}, err
@@ -162,15 +162,15 @@
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(r.dir, path)
 	}
-	got, known := r.files[path]
-	if !known {
-		got.raw, got.err = r.read(path)
-		r.files[path] = got
+	file, isRead := r.files[path]
+	if !isRead {
+		file.raw, file.err = r.read(path)
+		r.files[path] = file
 	}
-	if got.err != nil {
-		t.Errorf(key, "%v", got.err)
+	if file.err != nil {
+		t.Errorf(key, "%v", file.err)
 	}
-	return path, got.raw, got.err == nil
+	return path, file.raw, file.err == nil
 }
 
 // readDocument reads and parses the file that a key names.
@@ -184,13 +184,13 @@
 
 // readRegion reads one region. hasBaseKey tells whether the file names a base, hasBase whether it could be read.
 func (r *reader) readRegion(name string, t tree.Table, hasBaseKey bool, base tree.Table, hasBase bool) Region {
-	one := Region{Name: name, Listeners: t.Texts("listeners"), Instances: int(t.Integer("instances", 0, 1, 1<<20))}
-	for _, l := range one.Listeners {
+	region := Region{Name: name, Listeners: t.Strings("listeners"), Instances: int(t.Integer("instances", 0, 1, 1<<20))}
+	for _, l := range region.Listeners {
 		if host, port, err := net.SplitHostPort(l); err != nil || host == "" || port == "" {
 			t.Errorf("listeners", "%q is no host:port", l)
 		}
 	}
-	r.readMembers(name, t, &one)
+	r.readMembers(name, t, &region)
 	hasConfig := t.Has("config")
 	hasChange := t.Has("change")
 	switch {
@@ -201,8 +201,8 @@
 	case hasConfig:
 		if path, raw, ok := r.readFile(t, "config"); ok {
 			if doc, ok := r.tree.Parse(path, raw); ok {
-				one.Text = raw
-				one.readConfig(doc, "")
+				region.Text = raw
+				region.readConfig(doc, "")
 			}
 		}
 	case !hasBaseKey && hasChange:
@@ -211,42 +211,42 @@
 	case !hasBaseKey:
 		t.Errorf("config", "it has to be said what its members run")
 	case !hasChange && hasBase:
-		one.setMerged(t, base.MergeOver(base.Empty(), routesKey), base)
+		region.setMerged(t, base.MergeOver(base.Empty(), routesKey), base)
 	case hasChange:
 		if doc, ok := r.readDocument(t, "change"); ok && hasBase {
-			one.setMerged(t, doc.MergeOver(base, routesKey), base)
+			region.setMerged(t, doc.MergeOver(base, routesKey), base)
 		}
 	}
-	t.Done()
-	r.bytes += len(one.Text)
+	t.ReportUnknownKeys()
+	r.bytes += len(region.Text)
 	if r.bytes > maxBytes && !r.isTooLarge {
 		r.isTooLarge = true
 		t.Errorf("", "the configurations up to here have %d bytes together, more than %d", r.bytes, maxBytes)
 	}
-	one.Hash = desiredstate.Hash(one.Text)
-	one.Config.Hash = one.Hash
-	return one
+	region.Hash = desiredstate.Hash(region.Text)
+	region.Config.Hash = region.Hash
+	return region
 }
 
 // setMerged sets the region's configuration to doc, a base with a change merged into it.
-func (one *Region) setMerged(t tree.Table, doc, base tree.Table) {
+func (region *Region) setMerged(t tree.Table, doc, base tree.Table) {
 	var err error
-	if one.Text, err = doc.Text(); err != nil {
+	if region.Text, err = doc.Text(); err != nil {
 		t.Errorf("change", "%v", err)
 	}
-	one.readConfig(doc, base.Node().File())
+	region.readConfig(doc, base.Node().File())
 }
 
 // readConfig reads the configuration and the origins of its routes. base is the path of the base; "" is none.
-func (one *Region) readConfig(doc tree.Table, base string) {
-	one.Config = config.Read(doc)
+func (region *Region) readConfig(doc tree.Table, base string) {
+	region.Config = config.Read(doc)
 	for _, n := range doc.List(routesKey) {
-		one.origins = append(one.origins, origin{base != "" && n.File() == base, n.Line()})
+		region.origins = append(region.origins, origin{base != "" && n.File() == base, n.Line()})
 	}
 }
 
 // readMembers reads the members of a region, a list of control sockets.
-func (r *reader) readMembers(region string, t tree.Table, one *Region) {
+func (r *reader) readMembers(regionName string, t tree.Table, region *Region) {
 	zone := t.String("zone", "")
 	for i, n := range t.List("members") {
 		m, ok := readMember(t, n, i, zone)
@@ -259,7 +259,7 @@
 			t.ItemErrorf(n, "members", "%q is no absolute path", m.Socket)
 		case len(m.Socket) > maxSocketPath:
 			t.ItemErrorf(n, "members", "%d bytes are more than the %d that the address of a Unix socket may have", len(m.Socket), maxSocketPath)
-		case isKnown && other == region:
+		case isKnown && other == regionName:
 			t.ItemErrorf(n, "members", "%q is given twice", m.Socket)
 		case isKnown:
 			t.ItemErrorf(n, "members", "%q is a member of region %s too", m.Socket, other)
@@ -267,9 +267,9 @@
 			t.ItemErrorf(n, "members", "the regions have more than %d members", maxMembers)
 			return
 		default:
-			r.members[socket] = region
+			r.members[socket] = regionName
 			m.Socket = socket
-			one.Members = append(one.Members, m)
+			region.Members = append(region.Members, m)
 		}
 	}
 	if n := t.List("members"); len(n) == 0 {
@@ -288,7 +288,7 @@
 			return Member{}, false
 		}
 		m := Member{Socket: item.String("socket", ""), Zone: item.String("zone", zone)}
-		item.Done()
+		item.ReportUnknownKeys()
 		return m, true
 	}
 	t.ItemErrorf(n, "members", "item %d has to be a path or { socket, zone }", i+1)
@@ -296,7 +296,7 @@
 }
 
 // validName tells whether a name has letters, digits, '-' and '_' only, and a length up to maxNameBytes.
-func validName(s string) bool {
+func isValidName(s string) bool {
 	return s != "" && len(s) <= maxNameBytes && !strings.ContainsFunc(s, isInvalidInName)
 }
 
--- a/internal/fleetfile/fleetfile_test.go
+++ b/internal/fleetfile/fleetfile_test.go
@@ -15,7 +15,7 @@
 	"lockflow/internal/regions/mixture"
 )
 
-const whole = `protocol = "http"
+const baseText = `protocol = "http"
 [process]
 instances = 4
 [[listeners]]
@@ -38,7 +38,7 @@
 prefix = "/old"
 `
 
-const change = `without = ["routes.old", "classes.read"]
+const changeText = `without = ["routes.old", "classes.read"]
 [process]
 instances = 6
 [[routes]]
@@ -59,7 +59,7 @@
 prefix = "/aa"
 `
 
-const good = `base = "base.toml"
+const validFile = `base = "base.toml"
 [regions.north]
 members = ["/run/0.sock", { socket = "/run//1.sock", zone = "b" }]
 zone = "a"
@@ -83,7 +83,7 @@
 `
 
 func files(more ...string) func(string) ([]byte, error) {
-	all := map[string]string{"/f/base.toml": whole, "/f/sub/south.toml": change, "/f/bad.toml": whole + "x = 1\n"}
+	all := map[string]string{"/f/base.toml": baseText, "/f/sub/south.toml": changeText, "/f/bad.toml": baseText + "x = 1\n"}
 	for i := 0; i < len(more); i += 2 {
 		all["/f/"+more[i]] = more[i+1]
 	}
@@ -96,7 +96,7 @@
 }
 
 func TestRegions(t *testing.T) {
-	f, err := Parse("/f/FLEET.toml", []byte(good), files())
+	f, err := Parse("/f/FLEET.toml", []byte(validFile), files())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,48 +119,48 @@
 		t.Errorf("%q, lines %+v", got, south.Routes)
 	}
 	for _, one := range f.All {
-		again, err := config.Parse("text", one.Text)
-		if sum := sha256.Sum256(one.Text); err != nil || !reflect.DeepEqual(again, one.Config) || hex.EncodeToString(sum[:]) != one.Hash {
+		reparsed, err := config.Parse("text", one.Text)
+		if sum := sha256.Sum256(one.Text); err != nil || !reflect.DeepEqual(reparsed, one.Config) || hex.EncodeToString(sum[:]) != one.Hash {
 			t.Errorf("%s: the text is not what was read: %v\n%s", one.Name, err, one.Text)
 		}
 	}
 	// A whole configuration goes on to members byte by byte.
 	f, err = Parse("/f/FLEET.toml", []byte("[regions.a]\nconfig='base.toml'\nmembers=['/a']"), files())
-	if err != nil || string(f.All[0].Text) != whole || f.Regions()[0].Routes[1].Line != 18 {
+	if err != nil || string(f.All[0].Text) != baseText || f.Regions()[0].Routes[1].Line != 18 {
 		t.Errorf("%v %+v", err, f)
 	}
 }
 
 // A gatherer is a service of its name, which leads where all that it reaches does, and has the file's
 // classes. Its parts' plans and servers are counted with them alone.
-func TestGatherer(t *testing.T) {
+func TestGatherService(t *testing.T) {
 	const inner = "[services.pod]\nsource={kind='static',servers=[{endpoint='10.9.0.1:80'}]}\n[services.west.gather]\nparts=['pod']\nmerge='ndjson'\n" +
 		"[services.all.gather]\nparts=['app','west']\nmerge='ndjson'\nLEAST\n[[routes]]\nname='many'\nservice='all'\nprefix='/all'\n"
-	of := func(least string) regions.Region {
-		f, err := Parse("/f/FLEET.toml", []byte("[regions.a]\nconfig='g.toml'\nmembers=['/a']"), files("g.toml", whole+strings.Replace(inner, "LEAST", least, 1)))
+	regionWith := func(extra string) regions.Region {
+		f, err := Parse("/f/FLEET.toml", []byte("[regions.a]\nconfig='g.toml'\nmembers=['/a']"), files("g.toml", baseText+strings.Replace(inner, "LEAST", extra, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		return f.Regions()[0]
 	}
-	r := of("")
+	r := regionWith("")
 	all, app := r.Services[3], r.Services[0]
 	if all.Name != "all" || !all.GenericHTTP || all.Gather != "app, west [pod as ndjson, at least 0.5] as ndjson, at least 0.5" ||
 		strings.Join(all.Destinations, " ") != "10.1.0.1:80 10.9.0.1:80" || all.Servers != nil || all.Plans != nil || !reflect.DeepEqual(all.Classes, app.Classes) || r.Instances != 4 {
 		t.Errorf("%+v", all)
 	}
 	for _, other := range []string{"least=0.6", "weights=[2,1]"} {
-		if of(other).Services[3].Gather == all.Gather {
+		if regionWith(other).Services[3].Gather == all.Gather {
 			t.Errorf("%s makes no difference", other)
 		}
 	}
-	if of("deadline='none'\nhalf_life='2s'").Services[3].Gather != all.Gather || of("weights=[2,2]").Services[3].Gather != all.Gather {
+	if regionWith("deadline='none'\nhalf_life='2s'").Services[3].Gather != all.Gather || regionWith("weights=[2,2]").Services[3].Gather != all.Gather {
 		t.Error("what no answer shows makes a difference")
 	}
 }
 
 // Each is told by one line with file, line and key.
-func TestBadFiles(t *testing.T) {
+func TestInvalidFileErrors(t *testing.T) {
 	region := func(more string) string { return "[regions.a]\nconfig = 'base.toml'\nmembers = ['/a']\n" + more }
 	waiver := "[[waivers]]\nkind='dead'\nregions=['a']\nrules=['x']\nreason='r'\n"
 	for text, want := range map[string]string{
@@ -209,7 +209,7 @@
 }
 
 func TestWaive(t *testing.T) {
-	f, err := Parse("/f/FLEET.toml", []byte(good), files())
+	f, err := Parse("/f/FLEET.toml", []byte(validFile), files())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -235,19 +235,19 @@
 
 // What mixture proposes can be written into a region's own file, whatever differs.
 func TestIntermediate(t *testing.T) {
-	const more = "[services.app]\ncold='4s'\n[classes.w]\nrepeats='keyed'\nkey_scope='zone'\nrepeat_window='9s'\n[plans.gold]\nceiling_rate=20\nceiling_burst=90\nceiling_slack=3\n[process]\ninstances=3\n"
-	const less = "[services.app]\ncold='8s'\ncold_from=0.5\n[classes.w]\nrepeats='keyed'\nkey_scope='group'\nrepeat_window='20s'\n[plans.gold]\nceiling_slack=1\n"
-	var ends []Region
-	for _, change := range []string{more, less} {
+	const first = "[services.app]\ncold='4s'\n[classes.w]\nrepeats='keyed'\nkey_scope='zone'\nrepeat_window='9s'\n[plans.gold]\nceiling_rate=20\nceiling_burst=90\nceiling_slack=3\n[process]\ninstances=3\n"
+	const second = "[services.app]\ncold='8s'\ncold_from=0.5\n[classes.w]\nrepeats='keyed'\nkey_scope='group'\nrepeat_window='20s'\n[plans.gold]\nceiling_slack=1\n"
+	var regionsToMix []Region
+	for _, change := range []string{first, second} {
 		f, err := Parse("/f/FLEET.toml", []byte("base='base.toml'\n[regions.a]\nchange='sub/south.toml'\nmembers=['/a']"), files("sub/south.toml", change))
 		if err != nil {
 			t.Fatal(err)
 		}
-		ends = append(ends, f.All[0])
+		regionsToMix = append(regionsToMix, f.All[0])
 	}
-	mid := mixture.Strictest(ends[0].Region(), ends[1].Region())
-	got, err := ends[0].Intermediate(mid)
-	if err != nil || got.Hash == ends[0].Hash || got.Region().Instances != mid.Instances {
+	mid := mixture.Strictest(regionsToMix[0].Region(), regionsToMix[1].Region())
+	got, err := regionsToMix[0].Intermediate(mid)
+	if err != nil || got.Hash == regionsToMix[0].Hash || got.Region().Instances != mid.Instances {
 		t.Fatalf("%v\n%s", err, got.Text)
 	}
 	for _, want := range []string{"instances = 4", "ceiling_rate = 20.0", "ceiling_burst = 60.0", "ceiling_slack = 1.0", "cold = '8s'", "cold_from = 0.15", "repeat_window = '9s'", "key_scope = 'group'"} {
@@ -258,7 +258,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(good, change)
+	f.Add(validFile, changeText)
 	f.Add("[regions.a]\nconfig='base.toml'\nmembers=['/a', {socket=1}]", "[services]\napp = 1\nroutes = [1]")
 	f.Add("base='base.toml'\n[regions.a]\nchange='sub/south.toml'\nmembers=['/a']", "without=['services.app.source.kind','routes.','.']\n[plans.x]\nprice=inf\nd=1979-05-27T07:32:00")
 	f.Fuzz(func(t *testing.T, fleet, changed string) {
@@ -267,8 +267,8 @@
 			t.Errorf("%T %v", err, err)
 		}
 		for _, one := range got.All {
-			again, err := config.Parse("text", one.Text)
-			if err != nil || len(one.Members) == 0 || !reflect.DeepEqual(again, one.Config) {
+			reparsed, err := config.Parse("text", one.Text)
+			if err != nil || len(one.Members) == 0 || !reflect.DeepEqual(reparsed, one.Config) {
 				t.Errorf("%+v: %v", one, err)
 			}
 		}
--- a/internal/fleetfile/gather_test.go
+++ b/internal/fleetfile/gather_test.go
@@ -10,7 +10,7 @@
 
 // A gatherer leads wherever its parts lead: regions that gather from each other go round, unless what comes
 // from another region is told by its Via and led to servers.
-func TestGatherersLead(t *testing.T) {
+func TestLoopsThroughGatherServices(t *testing.T) {
 	text := func(other, more string) []byte {
 		return []byte(fmt.Sprintf(`[services.here]
 source = { kind = "static", servers = [{ endpoint = "127.0.0.1:9001" }] }
--- a/internal/fleetfile/intermediate.go
+++ b/internal/fleetfile/intermediate.go
@@ -16,38 +16,38 @@
 // Intermediate returns the region with settings that package mixture proposes: what they change in instances, hard
 // limits, classes and slow start is written into the region's own configuration. It fails if the configuration can't
 // express them.
-func (one Region) Intermediate(proposed regions.Region) (Region, error) {
+func (region Region) Intermediate(proposed regions.Region) (Region, error) {
 	doc := make(map[string]any)
-	if err := toml.Unmarshal(one.Text, &doc); err != nil {
-		return Region{}, fmt.Errorf("region %s: %w", one.Name, err)
+	if err := toml.Unmarshal(region.Text, &doc); err != nil {
+		return Region{}, fmt.Errorf("region %s: %w", region.Name, err)
 	}
-	current := one.Region()
-	if proposed.Instances != current.Instances && one.Instances == 0 {
+	current := region.Region()
+	if proposed.Instances != current.Instances && region.Instances == 0 {
 		subTable(doc, "process")["instances"] = int64(proposed.Instances)
 	}
 	for i, s := range proposed.Services {
 		if i >= len(current.Services) || current.Services[i].Name != s.Name {
-			return Region{}, fmt.Errorf("region %s has no service %q there", one.Name, s.Name)
+			return Region{}, fmt.Errorf("region %s has no service %q there", region.Name, s.Name)
 		}
 		writeService(doc, current.Services[i], s)
 	}
 	text, err := toml.Marshal(doc)
 	if err != nil {
-		return Region{}, fmt.Errorf("region %s: %w", one.Name, err)
+		return Region{}, fmt.Errorf("region %s: %w", region.Name, err)
 	}
-	if one.Config, err = config.Parse(one.Name+" (intermediate)", text); err != nil {
+	if region.Config, err = config.Parse(region.Name+" (intermediate)", text); err != nil {
 		return Region{}, err
 	}
-	one.Text = text
-	if one.Instances > 0 {
-		one.Instances = proposed.Instances
+	region.Text = text
+	if region.Instances > 0 {
+		region.Instances = proposed.Instances
 	}
-	one.Hash = one.Config.Hash
-	written := one.Region()
+	region.Hash = region.Config.Hash
+	written := region.Region()
 	if written.Instances != proposed.Instances || !reflect.DeepEqual(sortedByName(written.Services), sortedByName(proposed.Services)) {
-		return Region{}, fmt.Errorf("region %s: its file can't say the intermediate settings", one.Name)
+		return Region{}, fmt.Errorf("region %s: its file can't say the intermediate settings", region.Name)
 	}
-	return one, nil
+	return region, nil
 }
 
 // writeService writes what differs between a service before and after into doc.
--- a/internal/fleetfile/regions.go
+++ b/internal/fleetfile/regions.go
@@ -20,44 +20,44 @@
 }
 
 // Region returns the region in the form of package regions.
-func (one Region) Region() regions.Region {
-	r := regions.Region{Name: one.Name, Listeners: one.Listeners, Instances: 1, Members: len(one.Members)}
-	if len(r.Listeners) == 0 {
-		for _, l := range one.Config.Listeners {
+func (region Region) Region() regions.Region {
+	result := regions.Region{Name: region.Name, Listeners: region.Listeners, Instances: 1, Members: len(region.Members)}
+	if len(result.Listeners) == 0 {
+		for _, l := range region.Config.Listeners {
 			if !strings.HasPrefix(l, config.Inherited) {
-				r.Listeners = append(r.Listeners, l)
+				result.Listeners = append(result.Listeners, l)
 			}
 		}
 	}
-	for i, rule := range one.Config.Routes {
+	for i, rule := range region.Config.Routes {
 		route := regions.Route{Rule: rule.Rule, RequestClass: rule.RequestClass}
-		if i < len(one.origins) {
-			route.Base = one.origins[i].isBase
-			route.Line = one.origins[i].line
+		if i < len(region.origins) {
+			route.Base = region.origins[i].isBase
+			route.Line = region.origins[i].line
 		}
 		if route.Base {
 			route.Line = 0 // a line of another file
 		}
-		r.Routes = append(r.Routes, route)
+		result.Routes = append(result.Routes, route)
 	}
-	for _, s := range one.Config.Services {
-		r.Services = append(r.Services, service(s))
-		r.Instances = s.Settings.GroupSize // one for the process
-		r.Shared = r.Shared || s.Counter.Name != ""
+	for _, s := range region.Config.Services {
+		result.Services = append(result.Services, regionService(s))
+		result.Instances = s.Settings.GroupSize // one for the process
+		result.Shared = result.Shared || s.Counter.Name != ""
 	}
-	for i := range one.Config.Gathers {
-		r.Services = append(r.Services, gatherService(&one.Config.Gathers[i], one.Config))
+	for i := range region.Config.Gathers {
+		result.Services = append(result.Services, gatherService(&region.Config.Gathers[i], region.Config))
 	}
-	if one.Instances > 0 {
-		r.Instances = one.Instances
+	if region.Instances > 0 {
+		result.Instances = region.Instances
 	}
-	return r
+	return result
 }
 
 // service returns a service with servers of its own.
-func service(s config.Service) regions.Service {
+func regionService(s config.Service) regions.Service {
 	settings := s.Settings
-	v := regions.Service{
+	result := regions.Service{
 		Name:        s.Name,
 		GenericHTTP: s.HTTP != nil,
 		Classes:     settings.Classes,
@@ -70,19 +70,19 @@
 	}
 	if s.Counter.Name != "" {
 		// A counter is a name at its addresses: the same name at others is another counter.
-		v.Counter = s.Counter.Name + " at " + strings.Join(slices.Sorted(slices.Values(s.Counter.Addresses)), ",")
+		result.Counter = s.Counter.Name + " at " + strings.Join(slices.Sorted(slices.Values(s.Counter.Addresses)), ",")
 	}
 	switch s.Source.Kind {
 	case discovery.Watch:
-		v.Source = "discovery at " + s.Source.Address
+		result.Source = "discovery at " + s.Source.Address
 	case discovery.File:
-		v.Source = "file " + s.Source.Path
+		result.Source = "file " + s.Source.Path
 	}
 	for _, endpoint := range s.Source.Endpoints {
-		v.Servers = append(v.Servers, endpoint.UID)
-		v.Destinations = append(v.Destinations, endpoint.Address)
+		result.Servers = append(result.Servers, endpoint.UID)
+		result.Destinations = append(result.Destinations, endpoint.Address)
 	}
-	return v
+	return result
 }
 
 // maxGatherDepth ends the recursion into nested gather services; a configuration has fewer levels.
@@ -90,25 +90,25 @@
 
 // gatherService returns a scatter-gather service. It has no plans and servers: those of its parts count.
 func gatherService(g *config.Gather, c config.Config) regions.Service {
-	v := regions.Service{Name: g.Name, GenericHTTP: true, Gather: gatherForm(g, c, maxGatherDepth)}
+	result := regions.Service{Name: g.Name, GenericHTTP: true, Gather: gatherDescription(g, c, maxGatherDepth)}
 	forEachPartService(g, c, maxGatherDepth, func(s *config.Service) {
 		// All classes of the file, also those that can't be scattered: a change of their idempotency matters here too.
-		v.Classes = s.Settings.Classes
+		result.Classes = s.Settings.Classes
 		for _, endpoint := range s.Source.Endpoints {
-			v.Destinations = append(v.Destinations, endpoint.Address)
+			result.Destinations = append(result.Destinations, endpoint.Address)
 		}
 	})
-	return v
+	return result
 }
 
 // forEachPartService calls each with every service with servers that a gather service queries, directly or by another
 // gather service, down to depth levels.
-func forEachPartService(g *config.Gather, c config.Config, depth int, each func(*config.Service)) {
+func forEachPartService(g *config.Gather, c config.Config, depth int, visit func(*config.Service)) {
 	for _, p := range g.Parts {
 		if i := slices.IndexFunc(c.Services, func(s config.Service) bool { return s.Name == p.Name }); i >= 0 {
-			each(&c.Services[i])
+			visit(&c.Services[i])
 		} else if inner := findGather(p.Name, c); inner != nil && depth > 0 {
-			forEachPartService(inner, c, depth-1, each)
+			forEachPartService(inner, c, depth-1, visit)
 		}
 	}
 }
@@ -123,7 +123,7 @@
 
 // gatherForm describes what clients see of a gather service in its responses: the parts with their weights, in order,
 // the merge and the minimum. Its wait policy is no part of it. Nested services are included down to depth levels.
-func gatherForm(g *config.Gather, c config.Config, depth int) string {
+func gatherDescription(g *config.Gather, c config.Config, depth int) string {
 	hasEqualWeights := !slices.ContainsFunc(g.Parts, func(p config.GatherPart) bool { return p.Weight != g.Parts[0].Weight })
 	var parts []string
 	for _, p := range g.Parts {
@@ -132,7 +132,7 @@
 			text += fmt.Sprintf(" (weight %g)", p.Weight)
 		}
 		if inner := findGather(p.Name, c); inner != nil && depth > 0 {
-			text += " [" + gatherForm(inner, c, depth-1) + "]"
+			text += " [" + gatherDescription(inner, c, depth-1) + "]"
 		}
 		parts = append(parts, text)
 	}
--- a/internal/fleetfile/waivers.go
+++ b/internal/fleetfile/waivers.go
@@ -52,8 +52,8 @@
 	}
 	w := Waiver{
 		Kind:    waivableKinds[t.OneOf("kind", kinds...)],
-		Regions: t.Texts("regions"),
-		Rules:   t.Texts("rules"),
+		Regions: t.Strings("regions"),
+		Rules:   t.Strings("rules"),
 		Reason:  strings.TrimSpace(t.String("reason", "")),
 		Line:    t.Node().Line(),
 	}
@@ -74,7 +74,7 @@
 		}
 	}
 	w.Until = readUntil(t)
-	t.Done()
+	t.ReportUnknownKeys()
 	return w
 }
 
@@ -136,10 +136,10 @@
 func (w *Waiving) Left(all []regions.Conflict) (remaining []regions.Conflict) {
 	for _, c := range all {
 		isWaived := false
-		for i, one := range w.file.Waivers {
-			if one.waives(c) {
+		for i, waiver := range w.file.Waivers {
+			if waiver.waives(c) {
 				w.used[i] = true
-				isWaived = isWaived || w.now.Before(one.Until)
+				isWaived = isWaived || w.now.Before(waiver.Until)
 			}
 		}
 		if !isWaived {
@@ -151,15 +151,15 @@
 
 // Conflicts returns a conflict for each waiver that has expired, or that covered nothing so far.
 func (w *Waiving) Conflicts() (conflicts []regions.Conflict) {
-	for i, one := range w.file.Waivers {
-		c := regions.Conflict{Kind: WaiverKind, Severity: regions.Warning, Regions: slices.Sorted(slices.Values(one.Regions)), Rules: one.Rules}
-		last := one.Until.AddDate(0, 0, -1).Format(time.DateOnly)
+	for i, waiver := range w.file.Waivers {
+		c := regions.Conflict{Kind: WaiverKind, Severity: regions.Warning, Regions: slices.Sorted(slices.Values(waiver.Regions)), Rules: waiver.Rules}
+		last := waiver.Until.AddDate(0, 0, -1).Format(time.DateOnly)
 		switch {
-		case !w.now.Before(one.Until):
+		case !w.now.Before(waiver.Until):
 			c.Severity = regions.Error
-			c.Why = fmt.Sprintf("%s:%d: the waiver of %s has expired on %s (%s)", w.file.Path, one.Line, one.Kind, last, one.Reason)
+			c.Why = fmt.Sprintf("%s:%d: the waiver of %s has expired on %s (%s)", w.file.Path, waiver.Line, waiver.Kind, last, waiver.Reason)
 		case !w.used[i]:
-			c.Why = fmt.Sprintf("%s:%d: the waiver of %s until %s waives nothing: no such conflict (%s)", w.file.Path, one.Line, one.Kind, last, one.Reason)
+			c.Why = fmt.Sprintf("%s:%d: the waiver of %s until %s waives nothing: no such conflict (%s)", w.file.Path, waiver.Line, waiver.Kind, last, waiver.Reason)
 		default:
 			continue
 		}
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -25,7 +25,7 @@
 		b = appendPair(beginLine(b, "call_out", instance), " xid=", a.ID)
 		b = strconv.AppendUint(append(b, " server="...), uint64(a.Server), 10)
 		if a.Timeout != 0 {
-			b = appendMS(append(b, " within="...), a.Timeout)
+			b = appendMilliseconds(append(b, " within="...), a.Timeout)
 		}
 	case control.CancelAttempt:
 		b = appendPair(beginLine(b, "withdraw", instance), " xid=", a.ID)
@@ -33,12 +33,12 @@
 	case control.Reject:
 		b = appendPair(beginLine(b, "busy", instance), " xid=", a.ID)
 		if a.RetryAfter > 0 {
-			b = appendMS(append(b, " backoff="...), a.RetryAfter)
+			b = appendMilliseconds(append(b, " backoff="...), a.RetryAfter)
 		}
 	case control.Fail:
 		b = appendPair(beginLine(b, "finish_error", instance), " xid=", a.ID)
 	case control.StartTimer:
-		b = appendMS(append(beginLine(b, "arm", instance), " offset="...), a.After)
+		b = appendMilliseconds(append(beginLine(b, "arm", instance), " offset="...), a.After)
 		b = strconv.AppendUint(append(b, " label="...), a.Label, 10)
 	case control.CheckHealth:
 		b = strconv.AppendUint(append(beginLine(b, "poll", instance), " server="...), uint64(a.Server), 10)
@@ -63,7 +63,7 @@
 	case control.AddToCounter:
 		b = strconv.AppendUint(append(beginLine(b, "incr", instance), " cname="...), a.Name, 10)
 		b = strconv.AppendFloat(append(b, " by="...), a.Add, 'f', -1, 64)
-		b = appendMS(append(b, " expire-in="...), a.Lifetime)
+		b = appendMilliseconds(append(b, " expire-in="...), a.Lifetime)
 	case control.LogLine:
 		return appendText(beginLine(b, "remark", instance), a.Text)
 	default:
@@ -80,7 +80,7 @@
 func appendPair(b []byte, key, value string) []byte { return append(append(b, key...), value...) }
 
 // appendMS appends a duration in milliseconds, truncated to microseconds.
-func appendMS(b []byte, d time.Duration) []byte {
+func appendMilliseconds(b []byte, d time.Duration) []byte {
 	return strconv.AppendFloat(b, float64(d/time.Microsecond)/1000, 'f', -1, 64)
 }
 
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -54,13 +54,13 @@
 	return false
 }
 
-func (f *fields) text(key string, needed bool) string {
+func (f *fields) text(key string, isRequired bool) string {
 	for i, k := range f.keys {
 		if k == key {
 			return f.values[i]
 		}
 	}
-	if needed {
+	if isRequired {
 		f.fail(key, errors.New("is missing"))
 	}
 	return ""
@@ -75,8 +75,8 @@
 	return v, err
 }
 
-func (f *fields) number(key string, needed bool) float64 {
-	s := f.text(key, needed)
+func (f *fields) number(key string, isRequired bool) float64 {
+	s := f.text(key, isRequired)
 	if s == "" {
 		return 0
 	}
@@ -91,8 +91,8 @@
 const maxMilliseconds = 1e12
 
 // milliseconds reads a duration in milliseconds, rounded to microseconds.
-func (f *fields) milliseconds(key string, needed bool) time.Duration {
-	v := f.number(key, needed)
+func (f *fields) milliseconds(key string, isRequired bool) time.Duration {
+	v := f.number(key, isRequired)
 	if math.Abs(v) > maxMilliseconds {
 		f.fail(key, fmt.Errorf("%g ms is out of range", v))
 		return 0
@@ -104,8 +104,8 @@
 	return time.Duration(math.Round(v*1000)) * time.Microsecond
 }
 
-func (f *fields) integer(key string, needed bool) int64 {
-	s := f.text(key, needed)
+func (f *fields) integer(key string, isRequired bool) int64 {
+	s := f.text(key, isRequired)
 	if s == "" {
 		return 0
 	}
@@ -116,8 +116,8 @@
 	return v
 }
 
-func (f *fields) unsigned(key string, needed bool) uint64 {
-	s := f.text(key, needed)
+func (f *fields) unsigned(key string, isRequired bool) uint64 {
+	s := f.text(key, isRequired)
 	if s == "" {
 		return 0
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,7 +10,7 @@
 	"lockflow/control"
 )
 
-const opening = "open_instance who=3 salt=77 classes.count=1 classes.0.aim=4000.0 classes.0.deadline=10000.0 " +
+const openLine = "open_instance who=3 salt=77 classes.count=1 classes.0.aim=4000.0 classes.0.deadline=10000.0 " +
 	"classes.0.effect=guarded classes.0.key-scope=cell classes.0.name=submit classes.0.repeat-window=5000.0 " +
 	"classes.0.stream=false classes.0.worth=1.0 contract.cold=18000.0 contract.fall-multiple=2.5 " +
 	"discovery=on_request domain.cost-after=true domain.meter-period=1000.0 group-size=2 self-index=1 " +
@@ -29,7 +29,7 @@
 }
 
 func TestSettings(t *testing.T) {
-	b := decode(t, batch(opening))
+	b := decode(t, batch(openLine))
 	s := b.Inputs[0].Open.Settings
 	if b.Now != 10250*time.Microsecond || b.Inputs[0].Instance != 3 || b.Inputs[0].Open.Seed != 77 {
 		t.Errorf("%+v", b)
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestMalformedLinesAreNamed(t *testing.T) {
+func TestMalformedLineErrors(t *testing.T) {
 	for text, wants := range map[string][]string{
 		"hello\n":           {"line 1", "clock"},
 		"clock ts=x\nend\n": {"line 1", "ts"},
@@ -137,7 +137,7 @@
 }
 
 func FuzzDecoder(f *testing.F) {
-	f.Add(batch(opening))
+	f.Add(batch(openLine))
 	f.Add(batch("request who=3 xid=0a class=submit terms=start client-id=9f ttl=240.0 weight=2 spread=3\n"))
 	f.Add(batch("discovery who=3 kind=patch serial=4 members=1\nitem condition=on server=5\n"))
 	f.Add(batch("response who=3 xid=0a server=51 reason=100 pressure=cpu:0.6,rps:1\n"))
@@ -153,8 +153,8 @@
 }
 
 // A quota that makes no sense is named, once; whatever a site may leave out or set to nothing is none.
-func TestDoubts(t *testing.T) {
-	plain := []control.Plan{
+func TestInvalidSettings(t *testing.T) {
+	validPlans := []control.Plan{
 		{Name: "none"},
 		{Name: "open", MaxInFlight: 3},
 		{Name: "open with a store", MaxInFlight: 1, QuotaBurst: 4},
@@ -164,8 +164,8 @@
 		{Name: "all", QuotaRate: 1, QuotaBurst: 4, HardLimitRate: 2, HardLimitBurst: 9},
 	}
 	for name, tc := range map[string]struct {
-		plan  control.Plan
-		tells string
+		plan      control.Plan
+		wantError string
 	}{
 		"nothing":              {control.Plan{Price: 1, OverQuotaCost: 1}, ""},
 		"no depth":             {control.Plan{QuotaRate: 3}, "tariffs.7.depth: "},
@@ -174,8 +174,8 @@
 		"no burst":             {control.Plan{HardLimitRate: 3, HardLimitSlack: 9}, "tariffs.7.hard-burst: "},
 		"no ceiling rate":      {control.Plan{QuotaRate: 1, QuotaBurst: 9, HardLimitBurst: 3}, "tariffs.7.cap-rate: "},
 	} {
-		all := InvalidSettings(control.Settings{MaxUnits: 4, Plans: append(plain, tc.plan)})
-		if tc.tells == "" && len(all) > 0 || tc.tells != "" && (len(all) != 1 || !strings.Contains(all[0].Error(), tc.tells)) {
+		all := InvalidSettings(control.Settings{MaxUnits: 4, Plans: append(validPlans, tc.plan)})
+		if tc.wantError == "" && len(all) > 0 || tc.wantError != "" && (len(all) != 1 || !strings.Contains(all[0].Error(), tc.wantError)) {
 			t.Errorf("%s: %v", name, all)
 		}
 	}
