--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -8,7 +8,7 @@
 	"lockflow/internal/route"
 )
 
-// defaultDeadlineMultiple is the deadline of a class that names none, in latency objectives.
+// defaultDeadlineMultiple is the default deadline of a class, as a multiple of its latency objective.
 const defaultDeadlineMultiple = 4
 
 // readClass reads classes.NAME: the latency objective and the retry terms of requests.
--- a/internal/config/differences.go
+++ b/internal/config/differences.go
@@ -7,23 +7,23 @@
 	"slices"
 )
 
-// keyTag is the struct tag with the key of a field in plans. It need not be the field's name or its key in
-// the file: plans keep their keys when fields are renamed.
+// keyTag is the struct tag that holds a field's key in plans. The key may differ from the field's name and from
+// its key in the file, so that plans keep their keys when fields are renamed.
 const keyTag = "plan"
 
 // Special values of the tag.
 const (
-	inlineKey = ",inline" // the struct's fields have keys as if they were in its place
+	inlineKey = ",inline" // the struct's fields are reported as fields of the enclosing struct
 	noKey     = "-"       // the field is compared elsewhere
 )
 
-// haveNames tells whether the items of a list have names: the key of their first field is "name".
+// haveNamedItems reports whether the items of a list have names: the key of their first field is "name".
 func haveNamedItems(list reflect.Type) bool {
 	return list.Elem().Kind() == reflect.Struct && list.Elem().Field(0).Tag.Get(keyTag) == "name"
 }
 
-// differences returns the differences between two values of one type, by key below path. Structs are
-// compared by field and lists of named items by name; other values are printed as a whole.
+// differences returns the differences between two values of one type, with keys that start with path. Structs
+// are compared by field and lists of named items by name; other values are printed as a whole.
 func differences(path string, a, b reflect.Value) (p Plan) {
 	if reflect.DeepEqual(a.Interface(), b.Interface()) {
 		return nil
--- a/internal/config/drain.go
+++ b/internal/config/drain.go
@@ -6,29 +6,29 @@
 	"lockflow/control"
 )
 
-// The platform's schedule of planned restarts, from SIGTERM.
+// The platform's schedule of a planned restart, measured from SIGTERM.
 const (
-	lateConnectionPeriod = 400 * time.Millisecond // new connections may still arrive
-	minKillDelay         = 700 * time.Millisecond // SIGKILL comes this long after the longest deadline, or later
-	maxDrainDeadline     = 3 * time.Second        // longer deadlines count as this
+	lateConnectionPeriod = 400 * time.Millisecond // in which new connections may still arrive
+	minKillDelay         = 700 * time.Millisecond // between the longest deadline and the earliest SIGKILL
+	maxDrainDeadline     = 3 * time.Second        // longer deadlines are treated as this one
 )
 
 const (
-	exitMargin     = 400 * time.Millisecond // before SIGKILL, to write the last responses and exit
-	maxAcceptDelay = 100 * time.Millisecond // by which a node short of CPU may accept a connection late
+	exitMargin     = 400 * time.Millisecond // before SIGKILL, for writing the last responses and exiting
+	maxAcceptDelay = 100 * time.Millisecond // with which a node short of CPU may accept a connection
 	maxAccept      = time.Second
 )
 
-// PlatformDrain fits the platform's schedule for any deadlines.
+// PlatformDrain is the drain for the longest deadlines that the platform's schedule allows for.
 var PlatformDrain = platformDrain(maxDrainDeadline)
 
-// platformDrain returns the drain that fits the platform's schedule for a longest deadline. Connections
-// that may still arrive are accepted, and requests in flight have until the last moment from which the
-// process is sure to exit before SIGKILL.
+// platformDrain returns the drain that fits the platform's schedule, given the longest deadline of any class.
+// Connections that may still arrive are accepted, and requests in flight may run until the last moment that
+// leaves the process time to exit before SIGKILL.
 func platformDrain(longest time.Duration) Drain {
 	d := Drain{Idle: lateConnectionPeriod + maxAcceptDelay}
 	d.Max = max(min(longest, maxDrainDeadline)+minKillDelay-exitMargin, d.Idle)
-	d.Accept = min(maxAccept, (d.Idle+d.Max)/2) // the second half is for the requests accepted last
+	d.Accept = min(maxAccept, (d.Idle+d.Max)/2) // leaves the second half to the requests accepted last
 	return d
 }
 
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -30,15 +30,15 @@
 	maxSocketPath    = 107 // bytes; unix(7): sun_path without its final zero
 )
 
-// maxReadTime is for how long reading a file is retried while descriptors or memory are short. A node of
-// the platform has to follow a new discovery service within 4 s of its signal.
+// maxReadRetryTime is how long reading a file is retried while descriptors or memory are short. It is below 4 s
+// because a node of the platform has to follow a new discovery service within 4 s of the reload signal.
 const maxReadRetryTime = 3 * time.Second
 
-// Inherited is the prefix of a listener's address that names a socket which the supervisor passes on.
+// Inherited is the prefix of a listener's address that names a socket passed on by the supervisor.
 const Inherited = "systemd:"
 
-// Load reads the TOML file at path. An error is of type FieldErrors, with every one that was found, or says
-// why the file can't be read.
+// Load reads the TOML file at path. An error is a FieldErrors with all errors in the file, or the reason why the
+// file can't be read.
 func Load(path string) (Config, error) {
 	info, err := os.Stat(path)
 	if err == nil && info.Size() > maxFileBytes {
@@ -54,8 +54,8 @@
 	return Parse(path, raw)
 }
 
-// readFile reads a configuration file, and retries while descriptors or memory are short: nobody would
-// repeat the start or the reload that failed for it.
+// readFile reads a configuration file. It retries while descriptors or memory are short, because a start or a
+// reload that failed for this reason would not be repeated.
 func readFile(path string) (raw []byte, err error) {
 	err = shortage.Retry(context.Background(), maxReadRetryTime, shortage.OfResources, func() (err error) {
 		raw, err = os.ReadFile(path)
@@ -67,7 +67,7 @@
 	return raw, nil
 }
 
-// Parse reads the text of a TOML file. Errors are of type FieldErrors and name the file by name.
+// Parse reads the text of a TOML file. An error is a FieldErrors, in which name identifies the file.
 func Parse(name string, raw []byte) (Config, error) {
 	var reading tree.Reading
 	var c Config
@@ -81,14 +81,14 @@
 	return c, nil
 }
 
-// reader holds what several parts of a file refer to.
+// reader holds the state that is shared by the readers of a file's parts.
 type reader struct {
 	classes         map[string]control.Class
 	plans           map[string]control.Plan
-	groupSize       int // of the replica group, and which of it this instance is
+	groupSize       int // of the replica group; groupIndex is this instance's index in it
 	groupIndex      int
 	counterNames    map[string]bool
-	defaultProtocol int // of services that name none; an index of protocols
+	defaultProtocol int // of services that specify none; an index of protocols
 }
 
 // Read reads a document. The result is valid only if the document's reading has no errors.
--- a/internal/config/gather.go
+++ b/internal/config/gather.go
@@ -10,12 +10,12 @@
 
 // Bounds of a scatter-gather service.
 const (
-	maxGatherParts = 256 // of one, and of all that it reaches
-	maxGatherDepth = 4   // scatter-gather services above each other
+	maxGatherParts = 256 // that one service queries, directly or through others
+	maxGatherDepth = 4   // levels of nested scatter-gather services
 	maxHalfLife    = time.Hour
 )
 
-// Merges are the ways to merge the results of the parts.
+// Merges lists the formats in which the results of the parts can be merged.
 var Merges = []string{"json-array", "ndjson"}
 
 // Values of Gather.Deadline.
@@ -30,7 +30,7 @@
 	Weight float64 `plan:"weight"`
 }
 
-// GatherShare is where instances share what they learn; the zero value shares nothing.
+// GatherShare configures how instances share learned deadlines; the zero value disables sharing.
 type GatherShare struct {
 	Addresses    []string      `plan:"addresses"` // host:port of Redis servers
 	Name         string        `plan:"name"`      // prefix of the keys
@@ -39,24 +39,24 @@
 	CallTimeout  time.Duration `plan:"within"`
 }
 
-// Gather is a scatter-gather service: it queries others and returns their results as one. It has no servers
-// and no account of its own; all resources that it uses are its parts'.
+// Gather is a scatter-gather service: it queries other services and returns their results as one. It has no
+// servers and no guaranteed resources of its own: all resources that it uses belong to its parts.
 type Gather struct {
 	Name              string                   `plan:"name"`
 	Parts             []GatherPart             `plan:"parts"` // in the order of the results
 	Merge             string                   `plan:"merge"` // one of Merges
-	MinWeightFraction float64                  `plan:"least"` // of the parts' weight, without which there is no result
+	MinWeightFraction float64                  `plan:"least"` // minimum fraction of the parts' weight for a result
 	HalfLife          time.Duration            `plan:"half_life"`
 	Deadline          string                   `plan:"deadline"`    // DeadlineLearned, DeadlineNone, or "" for FixedDeadline
 	FixedDeadline     time.Duration            `plan:"fixed"`       // from a query's arrival
-	Classes           map[string]control.Class `plan:"classes"`     // that its requests may have: the idempotent ones
-	MaxBodyBytes      int64                    `plan:"body"`        // of a request's body, which is buffered completely
+	Classes           map[string]control.Class `plan:"classes"`     // that its requests may have: the idempotent classes
+	MaxBodyBytes      int64                    `plan:"body"`        // of a request's body, all of which is buffered
 	TimeHeader        string                   `plan:"time_header"` // by which a client shortens its deadline; "" is none
-	MaxRetryAfter     time.Duration            `plan:"retry_after"` // that a rejected client is told; 0 tells none
+	MaxRetryAfter     time.Duration            `plan:"retry_after"` // upper bound of the Retry-After in rejections; 0 sends none
 	Share             GatherShare              `plan:"share"`
 }
 
-// splitGathers reads the scatter-gather services among a file's services and returns the others.
+// splitGathers reads the scatter-gather services among a file's services into c and returns the other services.
 func (r *reader) splitGathers(c *Config, names []string, services []tree.Table) (serviceNames []string, tables []tree.Table) {
 	for i, name := range names {
 		if services[i].Has("gather") {
@@ -104,7 +104,8 @@
 	return g
 }
 
-// idempotentClasses returns the file's idempotent classes by name, and the class read by default.
+// idempotentClasses returns the file's idempotent classes by name, and the default class read unless the file
+// defines it otherwise.
 func (r *reader) idempotentClasses() map[string]control.Class {
 	classes := map[string]control.Class{ClassRead: defaultClass(ClassRead, control.Idempotent)}
 	for name, class := range r.classes {
@@ -117,7 +118,7 @@
 	return classes
 }
 
-// readGatherDeadline reads one of the words for a deadline, or a fixed one.
+// readGatherDeadline reads a deadline: either one of the modes, or a fixed duration with the mode "".
 func readGatherDeadline(t tree.Table) (mode string, fixed time.Duration) {
 	mode = t.String("deadline", DeadlineLearned)
 	if mode == DeadlineLearned || mode == DeadlineNone {
@@ -149,7 +150,7 @@
 	return parts
 }
 
-// isASCII tells whether a text consists of printable ASCII without spaces.
+// isASCII reports whether a text consists of printable ASCII without spaces.
 func isASCII(text string) bool {
 	return !strings.ContainsFunc(text, func(c rune) bool { return c <= ' ' || c >= 0x7f })
 }
@@ -177,7 +178,7 @@
 	}
 }
 
-// readGatherShare reads where learned deadlines are shared, by the keys of a counter.
+// readGatherShare reads where learned deadlines are shared. Its keys are the same as those of a counter.
 func (r *reader) readGatherShare(t tree.Table, name string) GatherShare {
 	share := GatherShare{
 		Addresses:    t.Strings("addresses"),
@@ -207,8 +208,8 @@
 	return nil
 }
 
-// compareGathers returns the differences between scatter-gather services. All of them come into force
-// without a restart: queries in flight finish with the settings that they started with.
+// compareGathers returns the differences between scatter-gather services. All of them take effect without a
+// restart: queries in flight finish with the settings that they started with.
 func compareGathers(old, new []Gather) Plan {
 	return compareNamed("services.", old, new, func(g Gather) string { return g.Name },
 		func(key string, _ Gather) Change { return Change{Effect: Started, What: key} },
--- a/internal/config/gather_check.go
+++ b/internal/config/gather_check.go
@@ -9,8 +9,8 @@
 	"lockflow/internal/protocol"
 )
 
-// checkGathers checks what scatter-gather services reach, and adds the services that reached ones query to
-// reached.
+// checkGathers checks the services that scatter-gather services query, and adds to reached those that are queried
+// by a service in reached. It reports scatter-gather services that no route leads to.
 func (r *reader) checkGathers(root tree.Table, c *Config, reached map[string]bool) {
 	services := root.Sub("services")
 	for i := range c.Gathers {
@@ -28,7 +28,7 @@
 	}
 }
 
-// markParts marks the parts of reached services as reached: they may have no route of their own.
+// markParts marks the parts of reached services as reached, since parts need no route of their own.
 func (c *Config) markParts(reached map[string]bool) {
 	for isChanged := true; isChanged; {
 		isChanged = false
@@ -46,15 +46,16 @@
 	}
 }
 
-// gatherWalk visits all that one scatter-gather service reaches, until the first error.
+// gatherWalk visits all services that one scatter-gather service queries, directly or through others, until the
+// first error.
 type gatherWalk struct {
-	table     tree.Table // of the service, where errors are reported
+	table     tree.Table // of the service, which errors are reported for
 	config    *Config
-	queriedBy map[string]string // by part: the service that queries it
+	queriedBy map[string]string // by part: the scatter-gather service that queries it
 	isInvalid bool
 }
 
-// visit visits the parts of a service that is reached through others.
+// visit visits the parts of a service. above names the services through which it is reached.
 func (w *gatherWalk) visit(gather *Gather, above []string) {
 	above = append(above, gather.Name)
 	for _, part := range gather.Parts {
@@ -73,8 +74,8 @@
 	}
 }
 
-// isValidPart reports a part that a service can't query. inner is the part as a scatter-gather service, nil
-// where it has servers of its own.
+// isValidPart returns whether a service can query a part, and reports an error if it can't. inner is the part as
+// a scatter-gather service; nil if the part has servers of its own.
 func (w *gatherWalk) isValidPart(gather *Gather, part string, inner *Gather, above []string) bool {
 	if part == gather.Name {
 		return w.fail("%q is the service itself", part)
@@ -104,14 +105,14 @@
 	return true
 }
 
-// fail reports an error of the parts and returns false.
+// fail reports an error for the key parts and returns false.
 func (w *gatherWalk) fail(format string, args ...any) bool {
 	w.table.Errorf("parts", format, args...)
 	return false
 }
 
-// leafServices returns the services with servers that a scatter-gather service reaches over at most depth
-// others. The bound ends the recursion for services that query each other in a cycle.
+// leafServices returns the services with app servers that a scatter-gather service queries, down to depth levels.
+// The bound ends the recursion for services that query each other in a cycle.
 func (c *Config) leafServices(gather *Gather, depth int) (leaves []*Service) {
 	if depth == 0 {
 		return nil
@@ -159,7 +160,7 @@
 	}
 	for _, service := range c.leafServices(gather, maxGatherDepth) {
 		hasClass := slices.ContainsFunc(service.Settings.Classes, func(k control.Class) bool { return k.Name == class })
-		if !hasClass && service.HTTP != nil { // without HTTP, checkGathers reports the part
+		if !hasClass && service.HTTP != nil { // a part without HTTP is reported by checkGathers
 			t.Errorf(key, "its part %s has no class %q", service.Name, class)
 			return
 		}
--- a/internal/config/guaranteed.go
+++ b/internal/config/guaranteed.go
@@ -6,7 +6,7 @@
 	"lockflow/internal/config/tree"
 )
 
-// dividedResource is a resource of the process of which services have guaranteed parts.
+// dividedResource is a resource of the process that is divided into guaranteed parts of the services.
 type dividedResource struct {
 	key       string
 	total     float64
@@ -15,8 +15,8 @@
 	setPart   func(*Amounts, float64)
 }
 
-// divide reads the parts of services that name one, and gives each of the others an even part of the rest,
-// as if there were one service more: that one's part can only be borrowed.
+// divide reads the parts that services specify and divides the remainder evenly among the other services. It
+// counts one service more than there are, whose part remains free for borrowing.
 func (d *dividedResource) divide(c *Config, services []tree.Table) {
 	remaining := d.total
 	var unspecified []int
@@ -81,9 +81,9 @@
 	checkBytes(c, services)
 }
 
-// checkTotalRequests bounds the requests in flight by the connections that the services' guaranteed ones
-// leave: each has a connection of its client, and with more of them the clients of other services might
-// have none.
+// checkTotalRequests bounds the requests in flight by the descriptors that the services' guaranteed connections
+// leave. Each request occupies a client connection, so with more requests of one service the clients of others
+// might get no connection.
 func checkTotalRequests(process tree.Table, c *Config) {
 	capacity := c.Process.Total.Descriptors
 	for _, service := range c.Services {
@@ -98,7 +98,8 @@
 	}
 }
 
-// checkBytes reports services whose parts, or the process's bytes, are too few for a single request.
+// checkBytes reports services whose guaranteed part, or the process's total, of bytes is too small for a single
+// request.
 func checkBytes(c *Config, services []tree.Table) {
 	for i, service := range services {
 		t := service.Sub("guaranteed")
--- a/internal/config/http.go
+++ b/internal/config/http.go
@@ -22,8 +22,8 @@
 	PlanDefault = "default"
 )
 
-// withoutKeySuffix is added to the name of a class of requests with an idempotency key, for the class of
-// those without one.
+// withoutKeySuffix is appended to the name of a class that needs an idempotency key, to name the class for its
+// requests without a key.
 const withoutKeySuffix = " (no key)"
 
 const (
@@ -35,22 +35,22 @@
 	minIdleTimeout            = 100 * time.Millisecond
 )
 
-// HTTP is the settings that only services of generic HTTP have.
+// HTTP holds the settings that only services of generic HTTP have.
 type HTTP struct {
-	ClassWithoutKey   map[string]string // by class with an idempotency key: that of requests without one
+	ClassWithoutKey   map[string]string // by class that needs an idempotency key: the class of requests without one
 	Customers         customer.Options
-	TimeoutHeader     string // by which a client shortens its deadline; "" is none
+	TimeoutHeader     string // by which a client shortens its deadline; "" disables it
 	SendTimeLeft      bool   // to servers, in a header
 	SendRequestID     bool   // to servers, in a header
-	RetryBufferBytes  int64  // of a request's body that are kept for a retry
+	RetryBufferBytes  int64  // of a request's body, kept for a retry
 	IdleTimeout       time.Duration
-	MinBytesPerSecond int64 // at which a client has to send and to read; 0 is any
+	MinBytesPerSecond int64 // minimum rate at which a client has to send and to read; 0 is none
 	ResponseRules     responseclass.Rules
 	AllowUnderscores  bool // in names of headers
 	ForwardingHeaders hopheaders.ForwardingFormat
 }
 
-// maxRequestBytes is how many bytes one request and its response can take in memory.
+// maxRequestBytes returns how many bytes one request and its response can take in memory.
 func (s *Service) maxRequestBytes() int64 {
 	if s.HTTP != nil {
 		return s.HTTP.RetryBufferBytes + s.MaxResponseBytes
@@ -81,7 +81,7 @@
 	r.readCustomers(t, s)
 }
 
-// readResponseRules reads which responses are retried elsewhere and which prove that a request never ran.
+// readResponseRules reads which responses are retried at another server and which prove that a request never ran.
 func readResponseRules(t tree.Table) responseclass.Rules {
 	rules := responseclass.DefaultRules()
 	if t.Has("elsewhere") {
@@ -105,8 +105,8 @@
 	return rules
 }
 
-// addDefaults adds the classes and the plan that generic HTTP needs and the file doesn't have. Each class
-// with an idempotency key gets a second one for requests without a key: those must not run twice.
+// addDefaults adds the classes and the plan that generic HTTP needs and the file doesn't define. For each class
+// that needs an idempotency key it adds another one for requests without a key, which must not run twice.
 func (r *reader) addDefaults(s *Service) {
 	r.addDefaultClass(s, ClassRead, control.Idempotent)
 	r.addDefaultClass(s, ClassWrite, control.NotIdempotent)
@@ -130,7 +130,8 @@
 	}
 }
 
-// addDefaultClass adds a class to a service that has none of its name: the file's, or else one with defaults.
+// addDefaultClass adds a class to a service that has none of this name: the file's class, or else one with
+// default settings.
 func (r *reader) addDefaultClass(s *Service, name string, idempotency control.Idempotency) {
 	if slices.ContainsFunc(s.Settings.Classes, func(class control.Class) bool { return class.Name == name }) {
 		return
@@ -148,7 +149,7 @@
 	}
 }
 
-// readCustomers reads how requests are assigned to customers and these to plans.
+// readCustomers reads how requests are assigned to customers, and customers to plans.
 func (r *reader) readCustomers(service tree.Table, s *Service) {
 	t := service.Sub("customers")
 	options := &s.HTTP.Customers
@@ -190,7 +191,7 @@
 	return proxies
 }
 
-// readIdentifier reads by what a customer is identified: { header = "X-Key" }, query, cookie or address = true.
+// readIdentifier reads what identifies a customer: { header = "X-Key" }, query, cookie or address = true.
 func readIdentifier(t tree.Table) (identifier customer.Identifier, ok bool) {
 	identifier.IsSecret = t.Bool("secret", false)
 	given := 0
--- a/internal/config/overrides.go
+++ b/internal/config/overrides.go
@@ -7,16 +7,16 @@
 	"path/filepath"
 )
 
-// Overrides are settings of the command line that take the place of the file's, so that several instances
-// share one file. Zero fields leave the file's settings.
+// Overrides are command-line settings that override those of the file, so that several instances can share one
+// file. Zero fields leave the file's settings in place.
 type Overrides struct {
 	Listen              string // host:port
 	ControlSocket       string // absolute path
 	StateDir            string // absolute path
-	Instances, Instance int    // both, where Instances is not 0
+	Instances, Instance int    // used together; 0 Instances leaves both as in the file
 }
 
-// Check returns an error for the first setting that can't be used.
+// Check returns an error for the first invalid setting.
 func (o Overrides) Check() error {
 	if o.Listen != "" {
 		if _, port, err := net.SplitHostPort(o.Listen); err != nil || port == "" {
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// Apply replaces settings of c by those that are set; it changes nothing on an error.
+// Apply replaces the settings of c that o overrides; it changes nothing on an error.
 func (o Overrides) Apply(c *Config) error {
 	if err := o.Check(); err != nil {
 		return err
--- a/internal/config/plan_test.go
+++ b/internal/config/plan_test.go
@@ -13,7 +13,7 @@
 // Each change of a file is planned as what it takes, by the key that changed.
 func TestCompare(t *testing.T) {
 	for name, tc := range map[string]struct {
-		old, new string // in the good file
+		old, new string // in validFile
 		want     string // effect, key, from, to of each change
 	}{
 		"nothing":           {"", "", ""},
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -38,8 +38,8 @@
 	return c, nil
 }
 
-// platformFile is the platform's file. Its keys are in lower case; they are read in any case, and errors
-// name them as the tags do.
+// platformFile is the content of the platform's file. The file has its keys in lower case; decoding ignores
+// their case, and its errors name them as the tags do.
 type platformFile struct {
 	Name      string `json:"Name"`
 	Listen    string `json:"Listen"`
@@ -54,7 +54,7 @@
 	Settings json.RawMessage `json:"Settings"`
 }
 
-// validate returns an error for addresses and limits that can't be used. A limit that is missing is none.
+// validate returns an error for invalid addresses and limits. A missing limit means no limit.
 func (f *platformFile) validate() error {
 	if f.Listen == "" || f.Discovery == "" {
 		return errors.New("listen and discovery must both be given")
@@ -120,9 +120,9 @@
 	if result.Settings, err = wire.Settings(paths); err != nil {
 		return result, fmt.Errorf("settings: %w", err)
 	}
-	// Lists that are pushed come from an agent of this node alone; a service that has to be polled is shared.
+	// A discovery service that pushes its list is an agent of this node alone; one that is polled is shared.
 	result.Source.IsOwnAgent = !result.Settings.ListOnRequest
-	result.Settings.ListOnRequest = false // over sockets the list is always watched
+	result.Settings.ListOnRequest = false // outside the test bench the list is always watched
 	if result.Keepalive, err = milliseconds(paths, "limits.keepalive", defaultPlatformKeepalive); err != nil {
 		return result, err
 	}
@@ -130,8 +130,8 @@
 	return result, err
 }
 
-// knownEndpoints returns the endpoint list to begin with. An invalid one does not prevent the start, as
-// discovery sends the list anyway.
+// knownEndpoints returns the initial endpoint list. An invalid one does not prevent the start, since discovery
+// sends the list anyway.
 func (f *platformFile) knownEndpoints() (known discovery.EndpointList) {
 	if len(f.Known) == 0 {
 		return known
@@ -142,8 +142,8 @@
 	return known
 }
 
-// CheckAddress returns an error for an address that can't be connected to or listened on. The port has to
-// be a number: without name service there are no named ones.
+// CheckAddress returns an error for an address that can't be connected to or listened on. The port has to be
+// numeric, since there is no name service to look up named ports.
 func CheckAddress(address string) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -161,7 +161,7 @@
 // maxMilliseconds is the exclusive bound of a duration in the platform's settings.
 const maxMilliseconds = 1e9
 
-// milliseconds returns a duration among the settings that package control does not read.
+// milliseconds returns one of the durations that are not part of control.Settings.
 func milliseconds(paths map[string]string, path string, fallback time.Duration) (time.Duration, error) {
 	text, ok := paths[path]
 	if !ok {
--- a/internal/config/process.go
+++ b/internal/config/process.go
@@ -7,7 +7,7 @@
 	"lockflow/internal/limits"
 )
 
-// readProcess reads process: what all services of a process share.
+// readProcess reads the table process: the settings and resources that all services share.
 func (r *reader) readProcess(t tree.Table) Process {
 	p := Process{
 		Shared:      true,
--- a/internal/config/quota_counter.go
+++ b/internal/config/quota_counter.go
@@ -14,8 +14,8 @@
 // defaultCallTimeout is the timeout of a call to a Redis server.
 const defaultCallTimeout = 200 * time.Millisecond
 
-// readCounter reads how a service's hard limits are shared. Leases that could not keep to the limits are
-// reported here.
+// readCounter reads how a service's hard limits are shared over the replica group. It reports lease rules by which
+// a minute's usage could exceed a hard limit by more than the allowed fraction.
 func (r *reader) readCounter(t tree.Table, name string, plans []control.Plan) Counter {
 	c := Counter{
 		Addresses:    t.Strings("addresses"),
@@ -53,7 +53,7 @@
 	return c
 }
 
-// checkCounter reports addresses, names and rules that can't be used.
+// checkCounter reports invalid addresses, names and lease rules.
 func (r *reader) checkCounter(t tree.Table, c *Counter) {
 	if len(c.Addresses) == 0 {
 		t.Errorf("addresses", "a counter needs one at least")
@@ -67,7 +67,7 @@
 		}
 	}
 	checkKeyName(t, c.Name)
-	if r.counterNames[c.Name] { // both would have the complete hard limit
+	if r.counterNames[c.Name] { // each of the two services would have the complete hard limit
 		t.Errorf("name", "another service counts as %q", c.Name)
 	}
 	r.counterNames[c.Name] = true
@@ -76,7 +76,7 @@
 	}
 }
 
-// checkKeyName reports a name that can't be a part of the keys of a Redis server.
+// checkKeyName reports a name that can't be part of a Redis key.
 func checkKeyName(t tree.Table, name string) {
 	if name == "" || strings.ContainsAny(name, "{} \t\r\n") {
 		t.Errorf("name", "%q can't be a part of keys", name)
--- a/internal/config/reload_plan.go
+++ b/internal/config/reload_plan.go
@@ -10,15 +10,15 @@
 	"lockflow/internal/discovery"
 )
 
-// Effect is how a change comes into force.
+// Effect is the way in which a change takes effect.
 type Effect string
 
 // The effects of changes.
 const (
-	Applied  Effect = "applied"  // while everything goes on
+	Applied  Effect = "applied"  // in place, without interrupting a service
 	Started  Effect = "started"  // a new service is started
-	Replaced Effect = "replaced" // a service is replaced by another, which takes over its quotas and what it has learned
-	Ended    Effect = "ended"    // a service completes its requests in flight and ends
+	Replaced Effect = "replaced" // a service is replaced by another, which takes over its quotas and its learned state
+	Ended    Effect = "ended"    // a service ends after completing its requests in flight
 	Restart  Effect = "restart"  // only after a restart of the process
 )
 
@@ -30,11 +30,11 @@
 	To     string `json:"to,omitempty"`   // "" where it is removed
 }
 
-// Plan is the changes of a reload from one configuration to another, in an order that depends on the two
-// alone.
+// Plan lists the changes of a reload from one configuration to another. Their order depends on the two
+// configurations alone.
 type Plan []Change
 
-// Restarts returns the changes that need a restart; a reload with any is rejected.
+// Restarts returns the changes that need a restart of the process; a reload with such changes is rejected.
 func (p Plan) Restarts() Plan {
 	var restarts Plan
 	for _, change := range p {
@@ -113,8 +113,8 @@
 		func(key string, r Route) Change { return Change{Applied, key, "to " + r.Service, ""} })
 }
 
-// compareNamed returns the differences between two lists of named items, in the order of the names. added
-// and removed return the change of an item that is in one list alone.
+// compareNamed returns the differences between two lists of named items, ordered by name. added and removed
+// return the change for an item that only the new or only the old list has.
 func compareNamed[T any](prefix string, old, new []T, name func(T) string, added, removed func(key string, item T) Change) (p Plan) {
 	oldByName, newByName := byName(old, name), byName(new, name)
 	names := maps.Clone(oldByName)
@@ -146,7 +146,7 @@
 	return byName(services, func(s Service) string { return s.Name })
 }
 
-// withoutReloadable returns the service without the fields that can change while it runs.
+// withoutReloadable returns the service with the fields cleared that can change while it runs.
 func (s Service) withoutReloadable() Service {
 	s.Source = discovery.Source{}
 	s.Known = discovery.EndpointList{}
@@ -156,8 +156,8 @@
 	return s
 }
 
-// Replaces tells whether a change from s to other needs a new service in the place of the running one, as
-// something differs that can't change while it runs.
+// Replaces reports whether a change from s to other needs a new service in place of the running one, because
+// fields differ that can't change while it runs.
 func (s Service) Replaces(other Service) bool {
 	return !reflect.DeepEqual(s.withoutReloadable(), other.withoutReloadable())
 }
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -74,16 +74,16 @@
 	return parsed
 }
 
-// checkRoute reports a route of which no request could be served by its service.
+// checkRoute reports a route whose requests can never be served by its service.
 func checkRoute(t tree.Table, r Route, s *Service) {
 	if len(r.Upgrade) > 0 && s.HTTP == nil {
 		t.Errorf("upgrade", `only to a service of protocol = "http"`)
 	}
-	if s.HTTP != nil && r.RequestClass == "" { // classes follow from the method
+	if s.HTTP != nil && r.RequestClass == "" { // the method determines the class
 		return
 	}
 	name, key := classOfRoute(r)
-	if name == "" || len(s.Settings.Classes) == 0 { // a service without classes is reported elsewhere
+	if name == "" || len(s.Settings.Classes) == 0 { // readNames reports a service without classes
 		return
 	}
 	for _, class := range s.Settings.Classes {
@@ -99,7 +99,7 @@
 	t.Errorf(key, "can never be served: service %s has no class %q (as = ... names one)", s.Name, name)
 }
 
-// classOfRoute returns the class that a route's requests have, "" for several, and the key that decides it.
+// classOfRoute returns the class of a route's requests, "" if they may have several, and the key that determines it.
 func classOfRoute(r Route) (name, key string) {
 	switch {
 	case r.RequestClass != "":
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -14,7 +14,7 @@
 	"lockflow/internal/upstream"
 )
 
-// protocols are those of a service's clients; the first is the default of a file.
+// protocols are the protocols that a service's clients can use; the first one is the default.
 var protocols = []string{protocolGenericHTTP, "platform"}
 
 const protocolGenericHTTP = "http"
@@ -51,7 +51,7 @@
 	}
 	s.Source = r.readSource(t)
 	s.Record = readRecord(t, name)
-	t.Sub("guaranteed") // read by divideResources once all services are known
+	t.Sub("guaranteed") // marked as read; divideResources reads it once all services are known
 	t.ReportUnknownKeys()
 	return s
 }
@@ -64,7 +64,7 @@
 	return protocols[r.defaultProtocol]
 }
 
-// readSettings reads the settings of the deciding module, without classes and plans.
+// readSettings reads the settings of the decision module, without classes and plans.
 func (r *reader) readSettings(t tree.Table) control.Settings {
 	settings := control.Settings{
 		SelfIndex:        r.groupIndex,
@@ -100,7 +100,7 @@
 	return record
 }
 
-// readServers reads how a service's app servers are connected to.
+// readServers reads the settings for connections to a service's app servers.
 func readServers(t tree.Table) Servers {
 	servers := Servers{
 		Protocol:           upstream.Protocol(t.OneOf("protocol", discovery.Protocols...)),
@@ -131,8 +131,8 @@
 	return options
 }
 
-// readNames reads which of the file's classes or plans a service has. The default is all of them;
-// mayBeNone tells whether the file may have none.
+// readNames reads which of the file's classes or plans a service has; the default is all of them. mayBeNone
+// allows a file without any.
 func (r *reader) readNames(t tree.Table, key string, all []string, mayBeNone bool) []string {
 	if !t.Has(key) {
 		if len(all) == 0 && !mayBeNone {
--- a/internal/config/tree/merge.go
+++ b/internal/config/tree/merge.go
@@ -8,14 +8,14 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// RemovedKeys is the key of a change with the list of the dotted keys that it removes from the base. A table
-// of a list whose items have names is removed by the list's key and its name.
+// RemovedKeys is the key under which a change lists the dotted keys to remove from the base. A table in a list
+// of named tables is given by the list's key and the table's name, such as "routes.old".
 const RemovedKeys = "without"
 
-// MergeOver returns the base with a change applied to it, as one document. Tables are merged by key. In the
-// lists of the top level whose keys are in named, a table of the change replaces the one of its name, or is
-// appended. Any other value of the change replaces the base's. Each value keeps its file and line, and no
-// key counts as read. Neither document is changed.
+// MergeOver returns the base with the change t applied to it, as one document. Tables are merged by key. In the
+// top-level lists whose keys are in named, a table of the change replaces the base's table with the same name,
+// or is appended if there is none. Any other value of the change replaces the base's. Values keep their file
+// and line, and all keys are marked as unread. Neither document is modified.
 func (t Table) MergeOver(base Table, named ...string) Table {
 	root := base.node.clone()
 	for _, key := range t.Strings(RemovedKeys) {
@@ -55,7 +55,7 @@
 	return &c
 }
 
-// remove removes a dotted key and tells whether it was there.
+// remove removes a dotted key and reports whether it was present.
 func remove(root *Node, key string, named []string) bool {
 	first, rest, _ := strings.Cut(key, ".")
 	if list := root.table[first]; list != nil && slices.Contains(named, first) {
@@ -125,7 +125,7 @@
 	return raw, nil
 }
 
-// plainValue returns the node as the type that the TOML library encodes.
+// plainValue returns the node's value in a type that the TOML library can encode.
 func (n *Node) plainValue() any {
 	switch {
 	case n.table != nil:
@@ -141,7 +141,7 @@
 		}
 		return all
 	case n.value == unsupported{}:
-		return "" // no key has a time: reading has recorded an error
+		return "" // no key accepts a time, so reading it has recorded an error
 	}
 	return n.value
 }
--- a/internal/config/tree/table.go
+++ b/internal/config/tree/table.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Table reads a table of a document key by key and records which keys were read. A missing key reads as
-// its fallback; for a value that can't be used an error is recorded, and it reads as the fallback too.
+// Table reads a table of a document key by key and records which keys were read. A missing key yields the
+// fallback; an invalid value is recorded as an error and yields the fallback too.
 type Table struct {
 	reading *Reading
 	node    *Node
@@ -25,8 +25,8 @@
 // Path returns the dotted path of a key of the table.
 func (t Table) Path(key string) string { return strings.TrimPrefix(t.path+"."+key, ".") }
 
-// Errorf records an error of a key, with the line of the table where the key is missing. The key "" is the
-// table itself.
+// Errorf records an error for a key, at the key's line or, if the key is missing, at the table's. The key ""
+// stands for the table itself.
 func (t Table) Errorf(key, format string, args ...any) {
 	n := t.node
 	if child := t.node.table[key]; child != nil {
@@ -35,7 +35,7 @@
 	t.ItemErrorf(n, key, format, args...)
 }
 
-// ItemErrorf records an error of an item of a key's list.
+// ItemErrorf records an error for the item n of a key's list, at the item's line.
 func (t Table) ItemErrorf(n *Node, key, format string, args ...any) {
 	keyPath := t.path
 	if key != "" {
@@ -44,10 +44,10 @@
 	t.reading.Errorf(n.file, n.line, keyPath, format, args...)
 }
 
-// Has tells whether a key is given.
+// Has reports whether a key is present.
 func (t Table) Has(key string) bool { return t.node.table[key] != nil }
 
-// get returns the value of a key, and false where it is missing or, as an error, of another type.
+// get returns the value of a key. ok is false if the key is missing or, with an error recorded, of another type.
 func get[T any](t Table, key, expected string) (v T, ok bool) {
 	n := t.node.table[key]
 	if n == nil {
@@ -60,7 +60,7 @@
 	return v, ok
 }
 
-// String reads a text. It is no fmt.Stringer.
+// String reads a string. It does not implement fmt.Stringer.
 func (t Table) String(key, fallback string) string {
 	if v, ok := get[string](t, key, "a text"); ok {
 		return v
@@ -76,7 +76,7 @@
 	return fallback
 }
 
-// OneOf reads one of several words and returns its index; 0 where the key is missing.
+// OneOf reads one of several allowed strings and returns its index; 0 if the key is missing or invalid.
 func (t Table) OneOf(key string, values ...string) int {
 	if !t.Has(key) {
 		return 0
@@ -98,10 +98,10 @@
 	return bounded(t, key, v, fallback, lower, upper)
 }
 
-// bounded returns a value that is between two bounds, inclusive; for any other it records an error and
-// returns the fallback.
+// bounded returns v if it is between two bounds, inclusive; otherwise it records an error and returns the
+// fallback.
 func bounded[T cmp.Ordered](t Table, key string, v, fallback, lower, upper T) T {
-	if !(v >= lower && v <= upper) { // also for NaN
+	if !(v >= lower && v <= upper) { // negated so that NaN is rejected
 		t.Errorf(key, "%v is not within %v and %v", v, lower, upper)
 		return fallback
 	}
@@ -140,13 +140,13 @@
 	return bounded(t, key, d, fallback, lower, upper)
 }
 
-// sizeUnits are the units of sizes, in bytes. "B" is the last, as it ends the others too.
+// sizeUnits are the units of sizes, in bytes. "B" comes last because it is a suffix of the others.
 var sizeUnits = []struct {
 	name  string
 	bytes int64
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"B", 1}}
 
-// parseSize returns the bytes of a text such as "16MiB".
+// parseSize parses a size such as "16MiB" and returns it in bytes.
 func parseSize(text string) (bytes int64, ok bool) {
 	for _, unit := range sizeUnits {
 		digits, hasUnit := strings.CutSuffix(text, unit.name)
@@ -162,7 +162,7 @@
 	return 0, false
 }
 
-// Size reads a number of bytes between two bounds, inclusive: an integer or a text such as "16MiB".
+// Size reads a number of bytes between two bounds, inclusive: an integer or a string such as "16MiB".
 func (t Table) Size(key string, fallback, lower, upper int64) int64 {
 	n := t.node.table[key]
 	if n == nil {
@@ -184,7 +184,7 @@
 	return v
 }
 
-// Texts reads a list of distinct texts.
+// Strings reads a list of distinct strings.
 func (t Table) Strings(key string) []string {
 	var all []string
 	for i, n := range t.List(key) {
@@ -201,7 +201,7 @@
 	return all
 }
 
-// List reads a list of any values; it is empty where the key is missing.
+// List reads a list of values of any type; it is empty if the key is missing.
 func (t Table) List(key string) []*Node {
 	n := t.node.table[key]
 	if n == nil {
@@ -214,7 +214,7 @@
 	return n.array
 }
 
-// Tables reads a list of tables; items of other types are recorded as errors and left out.
+// Tables reads a list of tables; items of other types are recorded as errors and skipped.
 func (t Table) Tables(key string) []Table {
 	var all []Table
 	for i, n := range t.List(key) {
@@ -225,7 +225,7 @@
 	return all
 }
 
-// Sub reads a table; it is empty where the key is missing.
+// Sub reads a nested table; it is empty if the key is missing.
 func (t Table) Sub(key string) Table {
 	n := t.node.table[key]
 	if n == nil {
@@ -239,8 +239,7 @@
 	return Table{t.reading, n, t.Path(key)}
 }
 
-// NamedTables reads the tables in a table, in the order of their lines; those of merged documents in the
-// order of their names.
+// NamedTables reads the tables nested in a table, ordered by line or, in a merged document, by name.
 func (t Table) NamedTables(key string) (names []string, tables []Table) {
 	parent := t.Sub(key)
 	for name := range parent.node.table {
@@ -259,7 +258,7 @@
 	return names, tables
 }
 
-// Done records an error for each key of the table that was not read.
+// ReportUnknownKeys records an error for each key of the table that was not read.
 func (t Table) ReportUnknownKeys() {
 	for key, n := range t.node.table {
 		if !n.isRead {
@@ -268,7 +267,7 @@
 	}
 }
 
-// Value returns the value of a key, of any type; nil where it is missing, a table or a list.
+// Value returns the value of a key, of any scalar type; nil if the key is missing or holds a table or a list.
 func (t Table) Value(key string) any {
 	n := t.node.table[key]
 	if n == nil {
@@ -287,7 +286,7 @@
 	return Table{t.reading, n, path}, n.table != nil
 }
 
-// Empty returns an empty document of the same reading.
+// Empty returns an empty document that records its errors in the same Reading.
 func (t Table) Empty() Table {
 	return Table{t.reading, &Node{file: t.node.file, line: 1, table: map[string]*Node{}}, ""}
 }
--- a/internal/config/tree/tree.go
+++ b/internal/config/tree/tree.go
@@ -1,5 +1,5 @@
-// Package tree reads TOML documents and records all errors in them with their file, line and key, unknown
-// keys among them. It also merges a document that changes another into it.
+// Package tree reads TOML documents and records all their errors, unknown keys included, with file, line and
+// key. It also merges a document of changes into a base document.
 package tree
 
 import (
@@ -14,11 +14,11 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// FieldError is one error in a file, with its place.
+// FieldError is an error in a file, with its location.
 type FieldError struct {
 	File string
 	Line int    // from 1
-	Key  string // dotted; "" is the file as a whole
+	Key  string // dotted; "" stands for the whole file
 	Text string
 }
 
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("%s:%d: %s: %s", p.File, p.Line, p.Key, p.Text)
 }
 
-// FieldErrors are all errors in files, by file and line.
+// FieldErrors is a list of errors, ordered by file and line.
 type FieldErrors []FieldError
 
 func (ps FieldErrors) Error() string {
@@ -40,23 +40,23 @@
 	return strings.Join(lines, "\n")
 }
 
-// Node is a value of a TOML document with its place: a table, a list or a scalar.
+// Node is a value of a TOML document with its location: a table, a list or a scalar.
 type Node struct {
 	file  string
 	line  int
 	table map[string]*Node // nil unless it is a table
 	array []*Node          // of a list
-	// value is that of a scalar: string, int64, float64, bool, toml.LocalDate, or unsupported.
+	// value holds a scalar: a string, int64, float64, bool, toml.LocalDate or unsupported.
 	value    any
 	isList   bool
-	isRead   bool // by a Table; others are unknown keys
-	isMerged bool // from several documents: its keys are in the order of their names, as Text writes them
+	isRead   bool // by a Table; keys that stay unread are reported as unknown
+	isMerged bool // created by MergeOver: its tables are ordered by name, as Text writes them
 }
 
-// unsupported is the value of a type that no key has: a time.
+// unsupported stands for a value of a type that no key accepts: a time.
 type unsupported struct{}
 
-// File returns the name of the value's file.
+// File returns the name of the file that holds the value.
 func (n *Node) File() string { return n.file }
 
 // Line returns the value's line, from 1.
@@ -65,14 +65,14 @@
 // Value returns a string, int64, float64, bool or toml.LocalDate; nil for a table or a list.
 func (n *Node) Value() any { return n.value }
 
-// Reading collects the errors of the documents that are read with it. The zero value is ready for use. It is
+// Reading collects the errors of the documents that are read through it. The zero value is ready for use. It is
 // not safe for concurrent use.
 type Reading struct {
 	fieldErrors FieldErrors
-	reported    map[FieldError]bool // by place
+	reported    map[FieldError]bool // by location
 }
 
-// Err returns all errors as FieldErrors, by file and line; nil where there are none.
+// Err returns all errors as FieldErrors, ordered by file and line; nil if there are none.
 func (r *Reading) Err() error {
 	if r.fieldErrors == nil {
 		return nil
@@ -83,8 +83,8 @@
 	return r.fieldErrors
 }
 
-// Errorf records an error at a place. Of several errors at one place only the first is recorded, as the
-// others mostly follow from it.
+// Errorf records an error at a location. Only the first error at each location is recorded, as the others
+// are mostly consequences of it.
 func (r *Reading) Errorf(file string, line int, key, format string, args ...any) {
 	if r.reported == nil {
 		r.reported = make(map[FieldError]bool)
@@ -92,7 +92,7 @@
 	p := FieldError{file, line, key, fmt.Sprintf(format, args...)}
 	place := FieldError{File: file, Line: line, Key: key}
 	if key == "" {
-		place = p // a file as a whole may have several errors
+		place = p // a whole file may have several errors
 	}
 	if r.reported[place] {
 		return
@@ -101,8 +101,8 @@
 	r.fieldErrors = append(r.fieldErrors, p)
 }
 
-// Parse reads a document. Errors name it by name. Of a text that is no TOML only the first error is
-// recorded, and ok is false.
+// Parse reads a document; name identifies it in errors. If the text is not valid TOML, only its first error is
+// recorded and ok is false.
 func (r *Reading) Parse(name string, raw []byte) (t Table, ok bool) {
 	root := r.parse(name, raw)
 	return Table{r, root, ""}, root != nil
@@ -141,8 +141,8 @@
 	return root
 }
 
-// parser finds lines by their offsets: the library's own method counts from the top of the document for
-// each place.
+// parser looks up lines by their offsets, because the library's own method counts lines from the start of the
+// document on each call.
 type parser struct {
 	unstable.Parser
 	file  string
@@ -157,7 +157,8 @@
 	return i
 }
 
-// open returns the table of a header, which may exist; that of an array is always new.
+// openTable returns the table of a header and creates it if it does not exist. The header of an array of tables
+// always appends a new table.
 func openTable(parent *Node, p *parser, key unstable.Iterator, element bool) *Node {
 	for key.Next() {
 		k, line, last := string(key.Node().Data), p.line(key.Node()), key.IsLast()
@@ -183,7 +184,7 @@
 	return parent
 }
 
-// put sets the value of a line with a key and a value.
+// setValue sets the value of a key-value line and creates the tables of a dotted key.
 func setValue(node *Node, p *parser, e *unstable.Node) {
 	key := e.Key()
 	for key.Next() {
@@ -208,7 +209,7 @@
 	case unstable.Bool:
 		n.value = text == "true"
 	case unstable.Integer:
-		n.value, _ = strconv.ParseInt(strings.TrimPrefix(text, "+"), 0, 64) // valid: it was unmarshalled
+		n.value, _ = strconv.ParseInt(strings.TrimPrefix(text, "+"), 0, 64) // valid, since toml.Unmarshal has accepted it
 	case unstable.Float:
 		n.value, _ = strconv.ParseFloat(text, 64)
 	case unstable.Array:
--- a/internal/customer/customer.go
+++ b/internal/customer/customer.go
@@ -30,8 +30,8 @@
 
 const (
 	maxNameBytes    = 256         // a longer name is hashed
-	unknownIdleTime = time.Minute // after which the place of an unknown customer may go to another
-	overflowBuckets = 64          // that the unknown customers beyond the limit share
+	unknownIdleTime = time.Minute // after which the slot of an unknown customer may go to another one
+	overflowBuckets = 64          // shared by the unknown customers beyond the limit
 )
 
 // Kind is the part of a request that identifies its customer.
@@ -57,7 +57,7 @@
 	IsSecret bool
 }
 
-// nameOf returns the customer's name in a request; empty if it has none.
+// nameOf returns the customer's name in a request, or "" if the request has none.
 func (i Identifier) nameOf(r *http.Request, clientAddr func() netip.Addr) string {
 	value := ""
 	switch i.Kind {
@@ -108,8 +108,8 @@
 
 // Options configure how the customers of a service are identified.
 type Options struct {
-	Identifiers    []Identifier // tried in order; the first name counts
-	File           string       // that assigns plans to customers; empty for none
+	Identifiers    []Identifier // tried in order; the first one with a name is used
+	File           string       // path of the file that assigns plans to customers; "" if there is none
 	DefaultPlan    string       // of customers that the file does not name
 	MaxUnknown     int          // customers that are tracked without being in the file (configuration key strangers)
 	TrustedProxies []netip.Prefix
@@ -119,18 +119,18 @@
 // and Follow must not be called by several goroutines at a time.
 type Directory struct {
 	Options
-	plans      atomic.Pointer[map[string]string] // by customer, as the file in force has them; nil before it is loaded
+	plans      atomic.Pointer[map[string]string] // by customer, from the file in force; nil before it is loaded
 	loadedFile os.FileInfo                       // of the last Load
 
 	mu      sync.Mutex
-	unknown *simplelru.LRU[string, time.Time] // when each was last seen; nil if MaxUnknown is 0
+	unknown *simplelru.LRU[string, time.Time] // time each unknown customer was last seen; nil if MaxUnknown is 0
 }
 
 // New returns a Directory that has not loaded its file yet.
 func New(o Options) *Directory {
 	d := &Directory{Options: o}
 	if o.MaxUnknown > 0 {
-		d.unknown, _ = simplelru.NewLRU[string, time.Time](o.MaxUnknown, nil) // fails for a size of 0 only
+		d.unknown, _ = simplelru.NewLRU[string, time.Time](o.MaxUnknown, nil) // fails only for a size of 0 or less
 	}
 	return d
 }
@@ -160,8 +160,9 @@
 	return hopheaders.ClientAddr(r.Header, peer.Addr(), d.TrustedProxies)
 }
 
-// nameOfUnknown returns the customer that a name not in the file counts as: itself while there is a place for
-// it, else an overflow bucket. Otherwise a flood of invented names would exhaust the memory for customers.
+// nameOfUnknown returns the customer for a name that is not in the file: the name itself while the number of
+// unknown customers allows it, else an overflow bucket. Without the limit, a flood of invented names would exhaust
+// the memory for customers.
 func (d *Directory) nameOfUnknown(name string, now time.Time) string {
 	if d.unknown == nil {
 		return overflowName(name)
--- a/internal/customer/plan_file.go
+++ b/internal/customer/plan_file.go
@@ -17,10 +17,10 @@
 const (
 	maxFileBytes = 64 << 20
 	maxNames     = 2_000_000
-	pollInterval = time.Second // between two looks at the file
+	pollInterval = time.Second // between checks of the file for changes
 )
 
-// secretMark begins a name in the file that stands for the hash of what follows.
+// secretPrefix is the prefix of a name in the file that stands for the hash of the rest of the name.
 const secretPrefix = "secret:"
 
 // Errors of a line of the file.
@@ -40,8 +40,8 @@
 }
 
 // ParseFile parses lines "NAME,PLAN" (RFC 4180; a line that begins with # is a comment) into plans by name.
-// A name that begins with "secret:" stands for the hash of what follows, see Identifier.IsSecret. isPlan
-// reports whether the service has a plan. path is for errors, which name the file and the line.
+// A name that begins with "secret:" stands for the hash of the rest, see Identifier.IsSecret. isPlan reports
+// whether the service has a plan. Errors name the file by path, and the line.
 func ParseFile(path string, in io.Reader, isPlan func(string) bool) (map[string]string, error) {
 	records := csv.NewReader(in)
 	records.FieldsPerRecord, records.Comment, records.TrimLeadingSpace, records.ReuseRecord = 2, '#', true, true
@@ -67,7 +67,7 @@
 	}
 }
 
-// checkRecord checks a line against the service's plans and the lines before it.
+// checkRecord checks a line against the service's plans and the preceding lines.
 func checkRecord(name, plan string, plansByName map[string]string, isPlan func(string) bool) error {
 	_, isDuplicate := plansByName[name]
 	switch {
@@ -91,8 +91,8 @@
 	return name
 }
 
-// Load loads the file, if there is one, and puts it in force. After an error the previous one stays in
-// force. isPlan reports whether the service has a plan.
+// Load loads the file, if there is one, and puts it in force. On an error the previous one stays in force.
+// isPlan reports whether the service has a plan.
 func (d *Directory) Load(isPlan func(string) bool) error {
 	if d.File == "" {
 		return nil
--- a/internal/fleetfile/fleetfile.go
+++ b/internal/fleetfile/fleetfile.go
@@ -28,10 +28,10 @@
 	maxSocketPath = 107 // sun_path of unix(7) without its terminating zero
 )
 
-// routesKey is the list whose items a change merges by name, and does not replace.
+// routesKey is the key of the list whose items a change merges by name instead of replacing the list.
 const routesKey = "routes"
 
-// File is a fleet file with the configurations that it names. It does not change after it is read.
+// File is a fleet file with the configurations that it names. It is not modified after it is read.
 type File struct {
 	Path    string
 	All     []Region // by name
@@ -41,17 +41,17 @@
 // Region is one region.
 type Region struct {
 	Name      string
-	Listeners []string // host:port by which other regions reach it; by default those of its configuration
-	Instances int      // group size that its members assume; 0 is that of its configuration
+	Listeners []string // host:port at which other regions reach it; by default those of its configuration
+	Instances int      // group size that its members assume; 0 stands for that of its configuration
 	Members   []Member // in the file's order
 	Config    config.Config
 	Text      []byte // complete configuration of its members
 	Hash      string // SHA-256 of Text in hex
 
-	origins []origin // of the routes, by index
+	origins []origin // of Config.Routes, by index
 }
 
-// origin is the place of a route.
+// origin is the location of a route's definition.
 type origin struct {
 	isBase bool // in the base, which regions share
 	line   int
@@ -64,7 +64,7 @@
 }
 
 // Load reads the file at path and the files that it names, whose paths are relative to it. An error is a
-// config.FieldErrors with all that is wrong.
+// config.FieldErrors with all errors found.
 func Load(path string) (File, error) {
 	raw, err := readFile(path)
 	if err != nil {
@@ -79,15 +79,15 @@
 		return nil, err
 	}
 	defer f.Close()                                           //nolint:errcheck // only read
-	raw, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1)) // also of a pipe, which has no size
+	raw, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1)) // limited while reading, as a pipe has no size
 	if err == nil && len(raw) > maxFileBytes {
 		err = fmt.Errorf("reading %s: more than %d bytes", path, maxFileBytes)
 	}
 	return raw, err
 }
 
-// Parse reads a fleet file's text. path is its place in errors, and read returns the files that it names. Errors are as
-// those of Load.
+// Parse reads a fleet file's text. path names it in errors, and read returns the contents of the files that it names.
+// Errors are the same as those of Load.
 func Parse(path string, raw []byte, read func(path string) ([]byte, error)) (File, error) {
 	var t tree.Reading
 	root, ok := t.Parse(path, raw)
@@ -182,7 +182,7 @@
 	return r.tree.Parse(path, raw)
 }
 
-// readRegion reads one region. hasBaseKey tells whether the file names a base, hasBase whether it could be read.
+// readRegion reads one region. hasBaseKey means that the file names a base, and hasBase that it could be read.
 func (r *reader) readRegion(name string, t tree.Table, hasBaseKey bool, base tree.Table, hasBase bool) Region {
 	region := Region{Name: name, Listeners: t.Strings("listeners"), Instances: int(t.Integer("instances", 0, 1, 1<<20))}
 	for _, l := range region.Listeners {
@@ -237,7 +237,7 @@
 	region.readConfig(doc, base.Node().File())
 }
 
-// readConfig reads the configuration and the origins of its routes. base is the path of the base; "" is none.
+// readConfig reads the configuration and the origins of its routes. base is the path of the base, or "".
 func (region *Region) readConfig(doc tree.Table, base string) {
 	region.Config = config.Read(doc)
 	for _, n := range doc.List(routesKey) {
@@ -295,12 +295,12 @@
 	return Member{}, false
 }
 
-// validName tells whether a name has letters, digits, '-' and '_' only, and a length up to maxNameBytes.
+// isValidName reports whether a name consists of letters, digits, '-' and '_', and has at most maxNameBytes.
 func isValidName(s string) bool {
 	return s != "" && len(s) <= maxNameBytes && !strings.ContainsFunc(s, isInvalidInName)
 }
 
-// isInvalidInName tells whether a character may not be in a name.
+// isInvalidInName reports whether a character is not allowed in a name.
 func isInvalidInName(r rune) bool {
 	switch {
 	case r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r >= '0' && r <= '9':
--- a/internal/fleetfile/intermediate.go
+++ b/internal/fleetfile/intermediate.go
@@ -13,9 +13,9 @@
 	"lockflow/internal/regions"
 )
 
-// Intermediate returns the region with settings that package mixture proposes: what they change in instances, hard
-// limits, classes and slow start is written into the region's own configuration. It fails if the configuration can't
-// express them.
+// Intermediate returns the region with the settings that package mixture proposes: their changes of instances, hard
+// limits, classes and slow start are written into the region's own configuration. It fails if the configuration
+// can't express them.
 func (region Region) Intermediate(proposed regions.Region) (Region, error) {
 	doc := make(map[string]any)
 	if err := toml.Unmarshal(region.Text, &doc); err != nil {
@@ -50,10 +50,10 @@
 	return region, nil
 }
 
-// writeService writes what differs between a service before and after into doc.
+// writeService writes the differences between a service before and after into doc.
 func writeService(doc map[string]any, before, after regions.Service) {
 	for k, c := range after.Classes {
-		isDerived := strings.Contains(c.Name, " ") // follows from another class
+		isDerived := strings.Contains(c.Name, " ") // derived from another class, which is written instead
 		if k < len(before.Classes) && !isDerived && !reflect.DeepEqual(c, before.Classes[k]) {
 			writeClass(subTable(subTable(doc, "classes"), c.Name), c)
 		}
@@ -71,7 +71,8 @@
 	}
 }
 
-// sortedByName returns services by name, with their classes and plans by name: writing a file changes their order.
+// sortedByName returns services, their classes and their plans ordered by name, since writing a file changes their
+// order.
 func sortedByName(all []regions.Service) []regions.Service {
 	all = slices.SortedFunc(slices.Values(all), func(a, b regions.Service) int { return strings.Compare(a.Name, b.Name) })
 	for i := range all {
@@ -82,7 +83,7 @@
 	return all
 }
 
-// subTable returns a table of a table, and makes it if there is none.
+// subTable returns the table at a key of doc, and creates it if there is none.
 func subTable(doc map[string]any, key string) map[string]any {
 	t, ok := doc[key].(map[string]any)
 	if !ok {
@@ -92,7 +93,7 @@
 	return t
 }
 
-// writePlan writes a plan's rates.
+// writePlan writes a plan's quota rate and hard limit.
 func writePlan(t map[string]any, p control.Plan) {
 	if p.QuotaRate > 0 {
 		t["rate"] = p.QuotaRate
--- a/internal/fleetfile/regions.go
+++ b/internal/fleetfile/regions.go
@@ -10,7 +10,7 @@
 	"lockflow/internal/regions"
 )
 
-// Regions returns the fleet's regions in the form of package regions, by name.
+// Regions returns the fleet's regions as values of package regions, ordered by name.
 func (f File) Regions() []regions.Region {
 	all := make([]regions.Region, len(f.All))
 	for i, one := range f.All {
@@ -19,7 +19,7 @@
 	return all
 }
 
-// Region returns the region in the form of package regions.
+// Region returns the region as a value of package regions.
 func (region Region) Region() regions.Region {
 	result := regions.Region{Name: region.Name, Listeners: region.Listeners, Instances: 1, Members: len(region.Members)}
 	if len(result.Listeners) == 0 {
@@ -36,13 +36,13 @@
 			route.Line = region.origins[i].line
 		}
 		if route.Base {
-			route.Line = 0 // a line of another file
+			route.Line = 0 // the line is in the base and not in the region's own file
 		}
 		result.Routes = append(result.Routes, route)
 	}
 	for _, s := range region.Config.Services {
 		result.Services = append(result.Services, regionService(s))
-		result.Instances = s.Settings.GroupSize // one for the process
+		result.Instances = s.Settings.GroupSize // the same for all services of a process
 		result.Shared = result.Shared || s.Counter.Name != ""
 	}
 	for i := range region.Config.Gathers {
@@ -54,7 +54,7 @@
 	return result
 }
 
-// service returns a service with servers of its own.
+// regionService converts a service with app servers.
 func regionService(s config.Service) regions.Service {
 	settings := s.Settings
 	result := regions.Service{
@@ -69,7 +69,7 @@
 		},
 	}
 	if s.Counter.Name != "" {
-		// A counter is a name at its addresses: the same name at others is another counter.
+		// Name and addresses identify a counter: the same name at other addresses is another counter.
 		result.Counter = s.Counter.Name + " at " + strings.Join(slices.Sorted(slices.Values(s.Counter.Addresses)), ",")
 	}
 	switch s.Source.Kind {
@@ -85,14 +85,14 @@
 	return result
 }
 
-// maxGatherDepth ends the recursion into nested gather services; a configuration has fewer levels.
+// maxGatherDepth bounds the recursion into nested gather services; valid configurations have fewer levels.
 const maxGatherDepth = 16
 
-// gatherService returns a scatter-gather service. It has no plans and servers: those of its parts count.
+// gatherService converts a scatter-gather service. It has no plans and servers: those of its parts apply.
 func gatherService(g *config.Gather, c config.Config) regions.Service {
 	result := regions.Service{Name: g.Name, GenericHTTP: true, Gather: gatherDescription(g, c, maxGatherDepth)}
 	forEachPartService(g, c, maxGatherDepth, func(s *config.Service) {
-		// All classes of the file, also those that can't be scattered: a change of their idempotency matters here too.
+		// All classes of the file, including those that can't be scattered: a change of their idempotency matters too.
 		result.Classes = s.Settings.Classes
 		for _, endpoint := range s.Source.Endpoints {
 			result.Destinations = append(result.Destinations, endpoint.Address)
@@ -101,8 +101,8 @@
 	return result
 }
 
-// forEachPartService calls each with every service with servers that a gather service queries, directly or by another
-// gather service, down to depth levels.
+// forEachPartService calls visit for every service with app servers that a gather service queries, directly or
+// through another gather service, down to depth levels.
 func forEachPartService(g *config.Gather, c config.Config, depth int, visit func(*config.Service)) {
 	for _, p := range g.Parts {
 		if i := slices.IndexFunc(c.Services, func(s config.Service) bool { return s.Name == p.Name }); i >= 0 {
@@ -113,7 +113,7 @@
 	}
 }
 
-// findGather returns the gather service of a name, and nil if there is none.
+// findGather returns the gather service with a name, or nil if there is none.
 func findGather(name string, c config.Config) *config.Gather {
 	if i := slices.IndexFunc(c.Gathers, func(g config.Gather) bool { return g.Name == name }); i >= 0 {
 		return &c.Gathers[i]
@@ -121,8 +121,9 @@
 	return nil
 }
 
-// gatherForm describes what clients see of a gather service in its responses: the parts with their weights, in order,
-// the merge and the minimum. Its wait policy is no part of it. Nested services are included down to depth levels.
+// gatherDescription describes the properties of a gather service that clients can see in its answers: the parts
+// with their weights, in order, the merge format and the minimum weight. It leaves out the wait policy. Nested
+// services are included down to depth levels.
 func gatherDescription(g *config.Gather, c config.Config, depth int) string {
 	hasEqualWeights := !slices.ContainsFunc(g.Parts, func(p config.GatherPart) bool { return p.Weight != g.Parts[0].Weight })
 	var parts []string
--- a/internal/fleetfile/waivers.go
+++ b/internal/fleetfile/waivers.go
@@ -12,7 +12,7 @@
 	"lockflow/internal/regions"
 )
 
-// WaiverKind is the kind of a conflict that concerns a waiver itself: one that has expired, or waives nothing.
+// WaiverKind is the kind of a conflict about a waiver that has expired or waives nothing.
 const WaiverKind regions.Kind = "waiver"
 
 // waivableKinds are the kinds of conflicts that can be waived.
@@ -21,7 +21,7 @@
 	regions.LoopKind, regions.DeadKind,
 }
 
-// Waiver is an entry of [[waivers]]: conflicts that the operator accepts.
+// Waiver is an entry of [[waivers]]: it lists conflicts that the operator accepts.
 type Waiver struct {
 	Kind    regions.Kind
 	Regions []string  // a conflict is waived only if all its regions are among these
@@ -97,7 +97,7 @@
 	return time.Time{}
 }
 
-// waives tells whether the waiver covers a conflict, expired or not.
+// waives reports whether the waiver covers a conflict, whether it has expired or not.
 func (w Waiver) waives(c regions.Conflict) bool {
 	if c.Kind != w.Kind {
 		return false
@@ -109,7 +109,7 @@
 	}
 	hasRules := false
 	for _, r := range c.Rules {
-		if r == "" { // of a region without a rule
+		if r == "" { // the region has no rule
 			continue
 		}
 		hasRules = true
@@ -120,14 +120,15 @@
 	return hasRules
 }
 
-// Waiving applies a file's waivers at one time, and notes which of them were used. It is for one goroutine.
+// Waiving applies a file's waivers as of one point in time, and records which of them were used. It is not safe for
+// concurrent use.
 type Waiving struct {
 	file File
 	now  time.Time
 	used []bool
 }
 
-// Waiving returns the file's waivers at a time, none of them used.
+// Waiving returns a Waiving for the file's waivers as of now, with none of them used.
 func (f File) Waiving(now time.Time) *Waiving {
 	return &Waiving{file: f, now: now, used: make([]bool, len(f.Waivers))}
 }
@@ -149,7 +150,7 @@
 	return remaining
 }
 
-// Conflicts returns a conflict for each waiver that has expired, or that covered nothing so far.
+// Conflicts returns a conflict for each waiver that has expired or has not covered any conflict so far.
 func (w *Waiving) Conflicts() (conflicts []regions.Conflict) {
 	for i, waiver := range w.file.Waivers {
 		c := regions.Conflict{Kind: WaiverKind, Severity: regions.Warning, Regions: slices.Sorted(slices.Values(waiver.Regions)), Rules: waiver.Rules}
@@ -168,7 +169,7 @@
 	return conflicts
 }
 
-// Waive returns the conflicts of all that no waiver in force covers, and those of the waivers themselves.
+// Waive returns the conflicts in all that no waiver in force covers, and the conflicts about the waivers themselves.
 func (f File) Waive(all []regions.Conflict, now time.Time) []regions.Conflict {
 	w := f.Waiving(now)
 	return append(w.Left(all), w.Conflicts()...)
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -1,6 +1,5 @@
-// Package protocol defines what clients, edge nodes and app servers share of the platform's protocol
-// (PROTOCOL): the names of its headers, its limits, and how its numbers are parsed. It does no I/O and
-// keeps no state.
+// Package protocol defines the parts of the platform's protocol (PROTOCOL) that clients, edge nodes and app
+// servers share: header names, limits, and the parsing of numbers. It does no I/O and keeps no state.
 package protocol
 
 import (
@@ -13,7 +12,7 @@
 // MaxBodyBytes limits the body of any message.
 const MaxBodyBytes = 64 << 10
 
-// Headers of requests and answers. The names on the wire are older than the terms of docs/glossary.md.
+// Headers of requests and answers. The names on the wire predate the terms of docs/glossary.md.
 const (
 	HeaderID             = "X-Correlation-Id"
 	HeaderPlan           = "X-Tariff"
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,5 +1,5 @@
-// Package wire converts between the operators' text protocol and the types of package control. Names on the
-// wire are older than the terms of docs/glossary.md; they are mapped here and nowhere else.
+// Package wire converts between the operators' text protocol and the types of package control. The names on the
+// wire predate the terms of docs/glossary.md; only this package maps them.
 package wire
 
 import (
@@ -27,7 +27,7 @@
 	Event    control.Event
 }
 
-// Batch is the events of one moment.
+// Batch holds the events of one point in time.
 type Batch struct {
 	Now    time.Duration
 	Inputs []Input
@@ -44,7 +44,7 @@
 // NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder { return &Decoder{reader: bufio.NewReaderSize(r, bufferBytes)} }
 
-// readLine reads a line without its line break. It returns io.EOF only where no text is left.
+// readLine reads a line without its line break. It returns io.EOF only if no text is left.
 func (d *Decoder) readLine() (string, error) {
 	s, err := d.reader.ReadString('\n')
 	if err != nil && (!errors.Is(err, io.EOF) || s == "") {
@@ -58,7 +58,7 @@
 	return fmt.Errorf("line %d: %s: %w", d.line, name, err)
 }
 
-// Next reads one batch. It returns io.EOF where the input ends between batches; other errors name the line.
+// Next reads one batch. It returns io.EOF if the input ends between batches; other errors name the line.
 func (d *Decoder) Next() (Batch, error) {
 	var batch Batch
 	var err error
@@ -87,7 +87,7 @@
 	}
 }
 
-// readClock reads the line that starts a batch, after any empty ones.
+// readClock reads the line that starts a batch, and skips empty lines before it.
 func (d *Decoder) readClock() (time.Duration, error) {
 	line, err := d.readLine()
 	for err == nil && line == "" {
@@ -131,7 +131,7 @@
 	return in, true, nil
 }
 
-// readControlEvent reads an event that consists of one line; nil for unknown names.
+// readControlEvent reads an event that consists of one line. It returns nil for unknown names.
 func readControlEvent(name string, f *fields) control.Event {
 	switch name {
 	case "request":
@@ -287,8 +287,8 @@
 	return endpoint
 }
 
-// readLoad reads the load report of a server, nil where there is none. Unknown names are skipped; what is
-// not reported is -1.
+// readLoad reads the load report of a server; nil if there is none. Unknown names are skipped, and values that
+// are not reported are -1.
 func readLoad(f *fields) *control.LoadReport {
 	text := f.text("pressure", false)
 	if text == "" {
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -18,7 +18,7 @@
 	return appendText(beginLine(b, "bail_out", instance), text)
 }
 
-// AppendAction appends the line of one action of an instance. It panics for a type that has no text.
+// AppendAction appends the line of one action of an instance. It panics for a type that the protocol does not have.
 func AppendAction(b []byte, instance int, a control.Action) []byte {
 	switch a := a.(type) {
 	case control.Send:
@@ -84,8 +84,8 @@
 	return strconv.AppendFloat(b, float64(d/time.Microsecond)/1000, 'f', -1, 64)
 }
 
-// appendText appends a text as the last field of a line, with its control characters as spaces, and ends the
-// line.
+// appendText appends a text as the last field of a line, with control characters replaced by spaces, and ends
+// the line.
 func appendText(b []byte, text string) []byte {
 	text = strings.Map(func(r rune) rune {
 		if r < ' ' {
@@ -96,7 +96,7 @@
 	return append(appendPair(b, " body-text=", text), '\n')
 }
 
-// hexOrDash encodes bytes as hex; "-" is none.
+// hexOrDash encodes bytes as hex, or as "-" if there are none.
 func hexOrDash(raw []byte) string {
 	if len(raw) == 0 {
 		return "-"
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -11,7 +11,7 @@
 )
 
 // fields holds the key=value pairs of one line and the first error in them. Its methods read a value by its
-// key; a missing one reads as zero, and is an error if it is needed.
+// key; a missing value reads as zero, and is an error if it is required.
 type fields struct {
 	keys, values []string
 	err          error
@@ -38,7 +38,7 @@
 	return f
 }
 
-// fail records an error of a key, unless there is one already.
+// fail records an error for a key, unless an error is already recorded.
 func (f *fields) fail(key string, err error) {
 	if f.err == nil {
 		f.err = fmt.Errorf("field %s: %w", key, err)
@@ -87,7 +87,7 @@
 	return v
 }
 
-// maxMilliseconds bounds durations: some thirty years.
+// maxMilliseconds bounds durations to about thirty years.
 const maxMilliseconds = 1e12
 
 // milliseconds reads a duration in milliseconds, rounded to microseconds.
@@ -148,7 +148,7 @@
 	}
 }
 
-// bytes reads bytes in hex; "-" is none.
+// bytes reads bytes in hex; "-" stands for none.
 func (f *fields) bytes(key string) []byte {
 	s := f.text(key, false)
 	if s == "" || s == "-" {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,7 +9,7 @@
 	"lockflow/control"
 )
 
-// readOpen reads the start of an instance. Unknown settings are skipped, and invalid ones are left for
+// readOpen reads the line that starts an instance. Unknown settings are skipped; invalid ones are left to
 // control.New to reject.
 func (d *Decoder) readOpen(rest string) (Input, error) {
 	f := parseFields(rest)
@@ -31,9 +31,8 @@
 	return in, nil
 }
 
-// Settings reads settings that are given as texts by dotted path: a list of objects has its length at
-// ".count" and its items at ".0", ".1" and so on. Unknown paths are skipped. The error names the path of the
-// first setting that is invalid.
+// Settings reads settings from strings by dotted path: a list of objects has its length at ".count" and its items
+// at ".0", ".1" and so on. Unknown paths are skipped. The error names the path of the first invalid setting.
 func Settings(byPath map[string]string) (control.Settings, error) { return readSettings(byPath, true) }
 
 func readSettings(byPath map[string]string, isStrict bool) (control.Settings, error) {
@@ -49,12 +48,12 @@
 	return settings, r.err
 }
 
-// settingsReader reads settings by their paths. The names of the paths are older than the terms of
-// docs/glossary.md; this is the one place that maps them.
+// settingsReader reads settings by their paths. The names in the paths predate the terms of docs/glossary.md; only
+// this type maps them.
 type settingsReader struct {
 	*fields
 	byPath   map[string]string
-	isStrict bool // numbers have to be finite and not negative, and integers complete
+	isStrict bool // numbers have to be finite and not negative, and integers without a fraction
 }
 
 func (r *settingsReader) number(key string) float64 {
@@ -71,7 +70,8 @@
 	return v
 }
 
-// integer reads an integer. A fraction is not truncated, as the result could mean that there is no limit.
+// integer reads an integer. In strict mode a fraction is an error: truncated to 0 it could mean that there is no
+// limit.
 func (r *settingsReader) integer(key string) int {
 	v := r.number(key)
 	if r.isStrict && (v != math.Trunc(v) || v > math.MaxInt32) {
@@ -119,7 +119,7 @@
 	return s
 }
 
-// count reads the length of a list. It can't be above the number of settings, which bounds the allocation.
+// count reads the length of a list. To bound the allocation, it can't exceed the number of settings.
 func (r *settingsReader) count(list string) int {
 	n := r.number(list + ".count")
 	if !(n >= 0 && n <= float64(len(r.keys))) {
--- a/internal/wire/validate.go
+++ b/internal/wire/validate.go
@@ -8,7 +8,7 @@
 	"lockflow/control"
 )
 
-// validate records an error for the first setting, by its path, that is invalid for any module.
+// validate records an error, with its path, for the first setting that is invalid for every module.
 func (r *settingsReader) validate(s *control.Settings) {
 	for i, class := range s.Classes {
 		for name, v := range map[string]time.Duration{"aim": class.LatencyObjective, "deadline": class.Deadline} {
@@ -37,14 +37,14 @@
 		return
 	}
 	if _, hasCount := r.byPath["tariffs.count"]; hasCount {
-		s.Plans = []control.Plan{{Price: 1}} // for all customers, as none is named and none has a quota
+		s.Plans = []control.Plan{{Price: 1}} // for all customers: the list is present but empty
 	} else {
 		r.fail("tariffs", errors.New("there are none"))
 	}
 }
 
-// validateNames records an error for a class or plan without a name of its own: of two with one name, a
-// request could mean one and get the terms of the other.
+// validateNames records an error for a class or plan whose name is missing or not unique: of two with the same
+// name, a request could mean one and get the terms of the other.
 func (r *settingsReader) validateNames(s *control.Settings) {
 	classes, plans := map[string]bool{}, map[string]bool{}
 	for i, class := range s.Classes {
@@ -55,7 +55,7 @@
 	}
 }
 
-// checkName adds a name to those of a list.
+// checkName records an error for a name that is empty or already in names, and adds it to names.
 func (r *settingsReader) checkName(names map[string]bool, path, name string) {
 	switch {
 	case name == "":
@@ -66,8 +66,8 @@
 	names[name] = true
 }
 
-// InvalidSettings returns an error, with its path, for each number of a quota or hard limit that is invalid
-// but can be ignored: it limits or frees only the customers of its plan.
+// InvalidSettings returns an error, with its path, for each number of a quota or hard limit that is invalid but
+// can be ignored, because it affects only the customers of its plan.
 func InvalidSettings(s control.Settings) []error {
 	var invalid []error
 	add := func(plan int, name, format string, args ...any) {
