--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -39,7 +39,7 @@
 		}
 	}
 	if needsKey && class.RepeatWindow == 0 {
-		t.Errorf("repeat_window", "a keyed class needs one")
+		t.Errorf("repeat_window", `a class with repeats = "keyed" needs one`)
 	}
 	if segment := route.FirstSegment("/" + name); segment != name || name == "" {
 		t.Errorf("", "%q is no segment of a path", name)
--- a/internal/config/counter_test.go
+++ b/internal/config/counter_test.go
@@ -39,11 +39,11 @@
 		t.Errorf("%+v", got)
 	}
 	for extra, wantError := range map[string]string{
-		`, term = "4s", pledge = "4s"`:              "plan enterprise: a minute may hold 180.2 + 60*30.03 units, which is 6.6% more than 60 + 60*30, and not 5.0%",
+		`, term = "4s", pledge = "4s"`:              "plan enterprise: up to 180.2 + 60*30.03 units may be used in a minute, 6.6% more than 60 + 60*30; at most 5.0% are allowed",
 		`, term = "4s", pledge = "4s", over = 0.07`: "",
 		`, term = "3s"`:                             "term 3s, pledge 2s",
 		`, addresses = []`:                          "addresses",
-		`, name = "a b"`:                            `"a b" can't be a part of keys`,
+		`, name = "a b"`:                            `"a b" can't be part of a key`,
 		`, within = "1s"`:                           "within",
 		`, drift = 0.5`:                             "drift",
 		`, password_file = "relative"`:              "password_file",
@@ -60,18 +60,18 @@
 	}
 	for _, addresses := range []string{`["127.0.0.1"]`, `["127.0.0.1:1", "127.0.0.1:1"]`} {
 		if _, err := Parse("c.toml", []byte(strings.Replace(counterTemplate, `["127.0.0.1:6379"]MORE`, addresses, 1))); err == nil {
-			t.Errorf("%s is taken", addresses)
+			t.Errorf("addresses = %s is accepted", addresses)
 		}
 	}
 	withoutHardLimit := strings.Replace(strings.Replace(counterTemplate, "ceiling_rate = 30\nceiling_burst = 60\n", "", 1), "MORE", "", 1)
-	if _, err := Parse("c.toml", []byte(withoutHardLimit)); err == nil || !strings.Contains(err.Error(), "no plan of the service has a ceiling") {
+	if _, err := Parse("c.toml", []byte(withoutHardLimit)); err == nil || !strings.Contains(err.Error(), "no plan of the service has a hard limit") {
 		t.Errorf("%v", err)
 	}
 	withSharedName := strings.Replace(strings.Replace(counterTemplate, "MORE", "", 1), "[[routes]]", `[services.other]
 counter = { addresses = ["127.0.0.1:6379"], name = "app" }
 source = { kind = "static", servers = [{ endpoint = "127.0.0.1:1" }] }
 [[routes]]`, 1)
-	if _, err := Parse("c.toml", []byte(withSharedName)); err == nil || !strings.Contains(err.Error(), `another service counts as "app"`) {
+	if _, err := Parse("c.toml", []byte(withSharedName)); err == nil || !strings.Contains(err.Error(), `another service has a counter of the name "app"`) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/config/drain_test.go
+++ b/internal/config/drain_test.go
@@ -31,7 +31,7 @@
 				}
 				d, kill := c.Process.Drain, min(longest, 3*time.Second)+700*time.Millisecond
 				if d.Idle <= 400*time.Millisecond || d.Accept < d.Idle || d.Max < d.Accept {
-					t.Errorf("%+v: clients may come for 0.4 s", d)
+					t.Errorf("%+v: connections may arrive for 0.4 s", d)
 				}
 				// The answers that are given last are written in 0.3 s. With the shortest deadlines that goes
 				// before what may still come.
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -42,7 +42,7 @@
 func Load(path string) (Config, error) {
 	info, err := os.Stat(path)
 	if err == nil && info.Size() > maxFileBytes {
-		err = fmt.Errorf("%d bytes are more than %d", info.Size(), int64(maxFileBytes))
+		err = fmt.Errorf("the file's %d bytes are more than the %d allowed", info.Size(), int64(maxFileBytes))
 	}
 	if err != nil {
 		return Config{}, fmt.Errorf("reading the configuration: %w", err)
@@ -113,7 +113,7 @@
 		t.Errorf("services", "there is none")
 	}
 	if len(names) > maxServices {
-		t.Errorf("services", "%d are more than %d", len(names), maxServices)
+		t.Errorf("services", "%d services are more than the %d allowed", len(names), maxServices)
 	}
 	names, services = r.splitGathers(&c, names, services)
 	for i, name := range names {
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -39,11 +39,11 @@
 			}
 			for i, p := range got {
 				if i >= len(want) || p.Line != want[i].Line || want[i].Key != "" && p.Key != want[i].Key || !strings.Contains(p.Text, want[i].Text) {
-					t.Errorf("told %v", p)
+					t.Errorf("unexpected error %v", p)
 				}
 			}
 			if len(got) != len(want) {
-				t.Errorf("%d told, not %d", len(got), len(want))
+				t.Errorf("%d errors, not %d", len(got), len(want))
 			}
 			if first := got[0].Error(); !strings.HasPrefix(first, path+":") {
 				t.Errorf("%q does not begin with the file", first)
--- a/internal/config/gather.go
+++ b/internal/config/gather.go
@@ -91,7 +91,7 @@
 	}
 	g.MinWeightFraction = t.Number("least", 0.5, 0, 1)
 	if g.MinWeightFraction <= 0 {
-		t.Errorf("least", "%g is not above 0: an answer of nothing is none", g.MinWeightFraction)
+		t.Errorf("least", "%g is not above 0: a result needs at least one part", g.MinWeightFraction)
 	}
 	g.HalfLife = t.Duration("half_life", time.Second, time.Millisecond, maxHalfLife)
 	g.Deadline, g.FixedDeadline = readGatherDeadline(t)
@@ -134,10 +134,10 @@
 func readParts(t tree.Table) []GatherPart {
 	names := t.Strings("parts")
 	if len(names) == 0 {
-		t.Errorf("parts", "there is none")
+		t.Errorf("parts", "no part is listed")
 	}
 	if len(names) > maxGatherParts {
-		t.Errorf("parts", "%d are more than %d", len(names), maxGatherParts)
+		t.Errorf("parts", "%d parts are more than the %d allowed", len(names), maxGatherParts)
 	}
 	var parts []GatherPart
 	for _, name := range names {
@@ -188,7 +188,7 @@
 		CallTimeout:  t.Duration("within", defaultCallTimeout, time.Millisecond, time.Minute),
 	}
 	if len(share.Addresses) == 0 {
-		t.Errorf("addresses", "sharing needs one at least")
+		t.Errorf("addresses", "sharing needs at least one address")
 	}
 	for _, address := range share.Addresses {
 		checkAddress(t, "addresses", address)
--- a/internal/config/guaranteed.go
+++ b/internal/config/guaranteed.go
@@ -28,7 +28,7 @@
 		}
 		part := d.readPart(t, d.key)
 		if remaining -= part; remaining < 0 && remaining+part >= 0 {
-			t.Errorf(d.key, "the parts named up to here sum to %g, more than the %g that the process has for services", d.total-remaining, d.total)
+			t.Errorf(d.key, "the parts of the services up to this one sum to %g, more than the %g that the process has for services", d.total-remaining, d.total)
 		}
 		d.setPart(&c.Services[i].Guaranteed, part)
 	}
@@ -106,9 +106,9 @@
 		t.ReportUnknownKeys()
 		needed := c.Services[i].maxRequestBytes()
 		if t.Has("bytes") && c.Services[i].Guaranteed.Bytes < needed {
-			t.Errorf("bytes", "it holds no single request: body and answer may have %d", needed)
+			t.Errorf("bytes", "it holds no single request: the bodies of request and response may take %d bytes", needed)
 		} else if needed > c.Process.Total.Bytes {
-			service.Errorf("answer", "body and answer of one request may have %d bytes, more than the %d of the process",
+			service.Errorf("answer", "the bodies of one request and its response may take %d bytes, more than the %d of the process",
 				needed, c.Process.Total.Bytes)
 		}
 	}
--- a/internal/config/http.go
+++ b/internal/config/http.go
@@ -89,7 +89,7 @@
 		for _, item := range t.List("elsewhere") {
 			status, ok := item.Value().(int64)
 			if !ok || status < 500 || status > 599 || slices.Contains(rules.RetryStatuses, int(status)) {
-				t.ItemErrorf(item, "elsewhere", "it has to be a list of statuses from 500 to 599, none twice")
+				t.ItemErrorf(item, "elsewhere", "it has to be a list of statuses from 500 to 599, without duplicates")
 				continue
 			}
 			rules.RetryStatuses = append(rules.RetryStatuses, int(status))
@@ -162,7 +162,7 @@
 		t.Errorf("default_plan", "%q is no plan of the service", options.DefaultPlan)
 	}
 	if len(s.Settings.Plans) > 1 && !t.Has("default_plan") {
-		t.Errorf("default_plan", "it has to be said which of %d plans whoever has none has", len(s.Settings.Plans))
+		t.Errorf("default_plan", "it has to be said which of %d plans applies to customers without one", len(s.Settings.Plans))
 	}
 	options.MaxUnknown = int(t.Integer("strangers", 4096, 0, maxUnknownClients))
 	for _, table := range t.Tables("by") {
@@ -207,7 +207,7 @@
 			identifier.Name = t.String(key, "")
 		}
 		if identifier.Name == "" {
-			t.Errorf(key, "it names nothing")
+			t.Errorf(key, "its value is empty: it names nothing")
 		}
 	}
 	if t.Bool("address", false) {
@@ -225,7 +225,7 @@
 	name := t.String(key, "")
 	for _, b := range []byte(name) {
 		if b <= ' ' || b >= 0x7f || strings.IndexByte("\"(),/:;<=>?@[\\]{}", b) >= 0 {
-			t.Errorf(key, "%q is no name of a header", name)
+			t.Errorf(key, "%q is no name of a header field", name)
 			return ""
 		}
 	}
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -20,13 +20,13 @@
 		HardLimitSlack: t.Number("ceiling_slack", 0, 0, maxNumber),
 	}
 	if plan.QuotaRate > 0 && plan.QuotaBurst == 0 {
-		t.Errorf("depth", "a rate needs one: units that may be used at once")
+		t.Errorf("depth", "a rate needs one: the number of units that may be used at once")
 	}
 	if t.Has("depth") && plan.QuotaRate == 0 {
 		t.Errorf("depth", "only with a rate")
 	}
 	if plan.HardLimitRate > 0 && plan.HardLimitBurst == 0 {
-		t.Errorf("ceiling_burst", "a ceiling needs one")
+		t.Errorf("ceiling_burst", "a ceiling_rate needs one")
 	}
 	for _, key := range []string{"ceiling_burst", "ceiling_slack"} {
 		if t.Has(key) && plan.HardLimitRate == 0 {
--- a/internal/config/plan_test.go
+++ b/internal/config/plan_test.go
@@ -35,7 +35,7 @@
 		t.Run(name, func(t *testing.T) {
 			changed := strings.Replace(validFile, tc.old, tc.new, 1)
 			if tc.old != "" && changed == validFile {
-				t.Fatal("nothing was changed")
+				t.Fatal("the file does not contain the text to replace")
 			}
 			a, err := Parse("old", []byte(validFile))
 			if err != nil {
@@ -59,7 +59,7 @@
 				t.Errorf("%s\nnot %s", text, tc.want)
 			}
 			if n := len(Compare(a, b).Restarts()); n != strings.Count(tc.want, "restart ") {
-				t.Errorf("%d need a restart", n)
+				t.Errorf("%d changes need a restart", n)
 			}
 		})
 	}
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -65,10 +65,10 @@
 		}
 	}
 	if sockets := f.Limits.Sockets; sockets != 0 && sockets < limits.MinDescriptors {
-		return fmt.Errorf("limits.sockets: %g leaves no room for connections; %d is the least", sockets, limits.MinDescriptors)
+		return fmt.Errorf("limits.sockets: %g leaves no descriptors for connections; the minimum is %d", sockets, limits.MinDescriptors)
 	}
 	if f.Limits.MemoryMB < 0 || f.Limits.Cores < 0 {
-		return fmt.Errorf("limits: cores and memory_mb: %v and %v, of which one is negative", f.Limits.Cores, f.Limits.MemoryMB)
+		return fmt.Errorf("limits: cores and memory_mb: neither of %v and %v may be negative", f.Limits.Cores, f.Limits.MemoryMB)
 	}
 	return nil
 }
@@ -150,7 +150,7 @@
 		return err
 	}
 	if _, err := strconv.ParseUint(port, 10, 16); err != nil {
-		return fmt.Errorf("%q: the port is no number below 65536", address)
+		return fmt.Errorf("%q: the port is not a number from 0 to 65535", address)
 	}
 	if _, err := url.Parse("http://" + address); err != nil {
 		return fmt.Errorf("%q: %q is no host", address, host)
@@ -169,7 +169,7 @@
 	}
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(v > 0 && v < maxMilliseconds) {
-		return 0, fmt.Errorf("settings: %s: %q is no span in milliseconds", path, text)
+		return 0, fmt.Errorf("settings: %s: %q is not a positive duration in milliseconds", path, text)
 	}
 	return time.Duration(v * float64(time.Millisecond)), nil
 }
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -103,12 +103,12 @@
 				t.Fatal(err)
 			}
 			if _, err := LoadPlatform(path); err == nil || !strings.Contains(err.Error(), tc.wantError) {
-				t.Errorf("%v does not tell %q", err, tc.wantError)
+				t.Errorf("%v does not contain %q", err, tc.wantError)
 			}
 		})
 	}
 	if _, err := LoadPlatform(filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("a missing file was taken")
+		t.Error("a missing file was accepted")
 	}
 }
 
@@ -125,7 +125,7 @@
 		c, err := ParsePlatform(raw)
 		if err != nil {
 			if strings.Contains(err.Error(), "\n") {
-				t.Errorf("more than a line: %q", err)
+				t.Errorf("error of more than one line: %q", err)
 			}
 			return
 		}
--- a/internal/config/quota_counter.go
+++ b/internal/config/quota_counter.go
@@ -42,12 +42,12 @@
 		c.HardLimits[plan.Name] = limit
 		if excess := c.Rules.MaxExcess(limit, time.Minute); excess > maxExcess {
 			bound := c.Rules.Bound(limit)
-			t.Errorf("over", "plan %s: a minute may hold %.4g + 60*%.4g units, which is %.1f%% more than %.4g + 60*%.4g, and not %.1f%%: its term is too long, or clocks too wrong",
+			t.Errorf("over", "plan %s: up to %.4g + 60*%.4g units may be used in a minute, %.1f%% more than %.4g + 60*%.4g; at most %.1f%% are allowed: the term or the clock drift is too large",
 				plan.Name, bound.Burst, bound.Rate, 100*excess, limit.Burst, limit.Rate, 100*maxExcess)
 		}
 	}
 	if len(c.HardLimits) == 0 {
-		t.Errorf("addresses", "no plan of the service has a ceiling")
+		t.Errorf("addresses", "no plan of the service has a hard limit (ceiling_rate)")
 	}
 	t.ReportUnknownKeys()
 	return c
@@ -56,19 +56,19 @@
 // checkCounter reports invalid addresses, names and lease rules.
 func (r *reader) checkCounter(t tree.Table, c *Counter) {
 	if len(c.Addresses) == 0 {
-		t.Errorf("addresses", "a counter needs one at least")
+		t.Errorf("addresses", "a counter needs at least one address")
 	}
 	for i, address := range c.Addresses {
 		if _, _, err := net.SplitHostPort(address); err != nil {
 			t.Errorf("addresses", "%q: %v", address, err)
 		}
 		if slices.Contains(c.Addresses[:i], address) {
-			t.Errorf("addresses", "%q is there twice", address)
+			t.Errorf("addresses", "%q is given twice", address)
 		}
 	}
 	checkKeyName(t, c.Name)
 	if r.counterNames[c.Name] { // each of the two services would have the complete hard limit
-		t.Errorf("name", "another service counts as %q", c.Name)
+		t.Errorf("name", "another service has a counter of the name %q", c.Name)
 	}
 	r.counterNames[c.Name] = true
 	if err := c.Rules.Validate(); err != nil {
@@ -79,6 +79,6 @@
 // checkKeyName reports a name that can't be part of a Redis key.
 func checkKeyName(t tree.Table, name string) {
 	if name == "" || strings.ContainsAny(name, "{} \t\r\n") {
-		t.Errorf("name", "%q can't be a part of keys", name)
+		t.Errorf("name", "%q can't be part of a key: it is empty or has a brace or white space", name)
 	}
 }
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -94,7 +94,7 @@
 		t.Errorf("dir", "it has to be said where the recordings go")
 	}
 	if record.Dir != "" && strings.ContainsAny(name, "/\\*?[") {
-		t.Errorf("dir", "the service's name %q can't begin a file's", name)
+		t.Errorf("dir", "the service's name %q can't be the start of a file's name", name)
 	}
 	t.ReportUnknownKeys()
 	return record
--- a/internal/customer/customer_test.go
+++ b/internal/customer/customer_test.go
@@ -64,7 +64,7 @@
 		}
 	}
 	if name, plan := New(Options{DefaultPlan: "p"}).Identify(request("/"), time.Now()); name != Anonymous || plan != "p" {
-		t.Errorf("of no way: %q, %q", name, plan)
+		t.Errorf("without identifiers: %q, %q", name, plan)
 	}
 }
 
@@ -82,22 +82,22 @@
 	for i := range 1_000_000 {
 		seen[directory.nameOfUnknown(fmt.Sprint("invented-", i), now)] = true
 		if i%5000 == 0 && identify("regular") != regular {
-			t.Fatal("a regular one lost its place")
+			t.Fatal("an active customer is no longer tracked")
 		}
 	}
 	if len(seen) > 1000+overflowBuckets {
-		t.Errorf("%d customers of a flood", len(seen))
+		t.Errorf("a flood of names is tracked as %d customers", len(seen))
 	}
 	now = now.Add(2 * unknownIdleTime)
 	if got := identify("new"); got != "new" {
-		t.Errorf("after a minute a new one is %q", got)
+		t.Errorf("a new customer, with all others idle, is %q", got)
 	}
 }
 
 func TestParseFileRejectsMalformedFiles(t *testing.T) {
 	for text, want := range map[string]string{
-		"a": "f: record on line 1: wrong number", "a,gold\nc": "line 2", "a,gold\na,gold": "f:2: a name that is given twice",
-		",gold": "f:1: a name of no bytes", "ok,gold\nx,lead": `f:2: "lead" is no plan`, "\"a,gold": "f: ",
+		"a": "f: record on line 1: wrong number", "a,gold\nc": "line 2", "a,gold\na,gold": "f:2: the name is given twice",
+		",gold": "f:1: the name is empty or too long", "ok,gold\nx,lead": `f:2: "lead" is no plan`, "\"a,gold": "f: ",
 	} {
 		_, err := ParseFile("f", strings.NewReader(text), func(p string) bool { return p == "gold" })
 		if err == nil || !strings.Contains(err.Error(), want) {
--- a/internal/customer/plan_file.go
+++ b/internal/customer/plan_file.go
@@ -25,8 +25,8 @@
 
 // Errors of a line of the file.
 var (
-	errNameLength    = errors.New("a name of no bytes, or of too many")
-	errDuplicateName = errors.New("a name that is given twice")
+	errNameLength    = errors.New("the name is empty or too long")
+	errDuplicateName = errors.New("the name is given twice")
 )
 
 // planOf returns the plan that the file in force assigns to a customer.
@@ -78,7 +78,7 @@
 	case !isPlan(plan):
 		return fmt.Errorf("%q is no plan of the service", plan)
 	case len(plansByName) >= maxNames:
-		return fmt.Errorf("more than %d names", maxNames)
+		return fmt.Errorf("the file has more than %d names", maxNames)
 	}
 	return nil
 }
@@ -105,7 +105,7 @@
 	info, err := f.Stat()
 	d.loadedFile = info
 	if err == nil && info.Size() > maxFileBytes {
-		err = fmt.Errorf("%s: %d bytes are more than %d", d.File, info.Size(), maxFileBytes)
+		err = fmt.Errorf("%s: %d bytes are more than the %d allowed", d.File, info.Size(), maxFileBytes)
 	}
 	var loadedPlans map[string]string
 	if err == nil {
@@ -139,6 +139,6 @@
 		}
 		return err
 	}, func(err error) {
-		slog.Warn("reloading the customer file failed: the previous one stays in force", "err", err)
+		slog.Warn("reloading the customer file failed; the previous version stays in force", "err", err)
 	})
 }
--- a/internal/fleetfile/fleetfile.go
+++ b/internal/fleetfile/fleetfile.go
@@ -112,7 +112,7 @@
 	case len(names) == 0:
 		root.Errorf("regions", "there is none")
 	case len(names) > maxRegions:
-		root.Errorf("regions", "%d are more than %d", len(names), maxRegions)
+		root.Errorf("regions", "%d regions are more than the %d allowed", len(names), maxRegions)
 		return File{}, t.Err()
 	}
 	isBaseUsed := false
@@ -124,7 +124,7 @@
 		f.All = append(f.All, r.readRegion(name, tables[i], root.Has("base"), base, hasBase))
 	}
 	if root.Has("base") && !isBaseUsed && len(names) > 0 {
-		root.Errorf("base", "every region has a config of its own: nothing stands on it")
+		root.Errorf("base", "every region has a config of its own: the base is not used")
 	}
 	f.Waivers = readWaivers(root, names)
 	root.ReportUnknownKeys()
@@ -156,7 +156,7 @@
 func (r *reader) readFile(t tree.Table, key string) (path string, raw []byte, ok bool) {
 	path = t.String(key, "")
 	if path == "" {
-		t.Errorf(key, "it has to name a file")
+		t.Errorf(key, "it has to be the path of a file")
 		return "", nil, false
 	}
 	if !filepath.IsAbs(path) {
@@ -195,7 +195,7 @@
 	hasChange := t.Has("change")
 	switch {
 	case hasConfig && hasChange:
-		t.Errorf("change", "not beside config: that is a whole configuration")
+		t.Errorf("change", "not beside config, which is a complete configuration")
 		t.Value("config")
 		t.Value("change")
 	case hasConfig:
@@ -206,10 +206,10 @@
 			}
 		}
 	case !hasBaseKey && hasChange:
-		t.Errorf("change", "there is no base that it could change")
+		t.Errorf("change", "there is no base to apply it to")
 		t.Value("change")
 	case !hasBaseKey:
-		t.Errorf("config", "it has to be said what its members run")
+		t.Errorf("config", "it has to be said what its members run: neither a config nor a base is given")
 	case !hasChange && hasBase:
 		region.setMerged(t, base.MergeOver(base.Empty(), routesKey), base)
 	case hasChange:
@@ -221,7 +221,7 @@
 	r.bytes += len(region.Text)
 	if r.bytes > maxBytes && !r.isTooLarge {
 		r.isTooLarge = true
-		t.Errorf("", "the configurations up to here have %d bytes together, more than %d", r.bytes, maxBytes)
+		t.Errorf("", "the configurations up to this region's have %d bytes in total, more than the %d allowed", r.bytes, maxBytes)
 	}
 	region.Hash = desiredstate.Hash(region.Text)
 	region.Config.Hash = region.Hash
--- a/internal/fleetfile/fleetfile_test.go
+++ b/internal/fleetfile/fleetfile_test.go
@@ -121,7 +121,7 @@
 	for _, one := range f.All {
 		reparsed, err := config.Parse("text", one.Text)
 		if sum := sha256.Sum256(one.Text); err != nil || !reflect.DeepEqual(reparsed, one.Config) || hex.EncodeToString(sum[:]) != one.Hash {
-			t.Errorf("%s: the text is not what was read: %v\n%s", one.Name, err, one.Text)
+			t.Errorf("%s: the text does not parse to the same configuration: %v\n%s", one.Name, err, one.Text)
 		}
 	}
 	// A whole configuration goes on to members byte by byte.
@@ -151,11 +151,11 @@
 	}
 	for _, other := range []string{"least=0.6", "weights=[2,1]"} {
 		if regionWith(other).Services[3].Gather == all.Gather {
-			t.Errorf("%s makes no difference", other)
+			t.Errorf("%s does not change the description", other)
 		}
 	}
 	if regionWith("deadline='none'\nhalf_life='2s'").Services[3].Gather != all.Gather || regionWith("weights=[2,2]").Services[3].Gather != all.Gather {
-		t.Error("what no answer shows makes a difference")
+		t.Error("settings that no answer shows change the description")
 	}
 }
 
--- a/internal/fleetfile/intermediate.go
+++ b/internal/fleetfile/intermediate.go
@@ -27,7 +27,7 @@
 	}
 	for i, s := range proposed.Services {
 		if i >= len(current.Services) || current.Services[i].Name != s.Name {
-			return Region{}, fmt.Errorf("region %s has no service %q there", region.Name, s.Name)
+			return Region{}, fmt.Errorf("region %s has no service %q at the proposed position", region.Name, s.Name)
 		}
 		writeService(doc, current.Services[i], s)
 	}
@@ -45,7 +45,7 @@
 	region.Hash = region.Config.Hash
 	written := region.Region()
 	if written.Instances != proposed.Instances || !reflect.DeepEqual(sortedByName(written.Services), sortedByName(proposed.Services)) {
-		return Region{}, fmt.Errorf("region %s: its file can't say the intermediate settings", region.Name)
+		return Region{}, fmt.Errorf("region %s: its configuration can't express the intermediate settings", region.Name)
 	}
 	return region, nil
 }
--- a/internal/fleetfile/waivers.go
+++ b/internal/fleetfile/waivers.go
@@ -36,7 +36,7 @@
 	var all []Waiver
 	tables := root.Tables("waivers")
 	if len(tables) > maxWaivers {
-		root.Errorf("waivers", "%d are more than %d", len(tables), maxWaivers)
+		root.Errorf("waivers", "%d waivers are more than the %d allowed", len(tables), maxWaivers)
 		return nil
 	}
 	for _, t := range tables {
@@ -65,7 +65,7 @@
 	}
 	for key, missing := range isMissing {
 		if missing {
-			t.Errorf(key, "a waiver needs it")
+			t.Errorf(key, "every waiver needs it")
 		}
 	}
 	for _, name := range w.Regions {
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -98,7 +98,7 @@
 	}
 	name, rest, _ := strings.Cut(line, " ")
 	if name != "clock" {
-		return 0, d.fail(name, errors.New("a batch begins with clock"))
+		return 0, d.fail(name, errors.New("a batch has to begin with clock"))
 	}
 	f := parseFields(rest)
 	now := f.milliseconds("ts", true)
@@ -252,7 +252,7 @@
 		}
 		name, rest, _ := strings.Cut(line, " ")
 		if name != "item" {
-			return nil, d.fail(name, errors.New("an item was expected"))
+			return nil, d.fail(name, errors.New("not an item of the endpoint list"))
 		}
 		f := parseFields(rest)
 		endpoint := readEndpoint(f)
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -143,7 +143,7 @@
 	case "", "0", "false":
 		return false
 	default:
-		f.fail(key, fmt.Errorf("%q is no bool", s))
+		f.fail(key, fmt.Errorf("%q is not a boolean", s))
 		return false
 	}
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -75,7 +75,7 @@
 func (r *settingsReader) integer(key string) int {
 	v := r.number(key)
 	if r.isStrict && (v != math.Trunc(v) || v > math.MaxInt32) {
-		r.fail(key, fmt.Errorf("%g is no whole number, or too large", v))
+		r.fail(key, fmt.Errorf("%g is not an integer, or too large", v))
 	}
 	return int(v)
 }
@@ -123,7 +123,7 @@
 func (r *settingsReader) count(list string) int {
 	n := r.number(list + ".count")
 	if !(n >= 0 && n <= float64(len(r.keys))) {
-		r.fail(list+".count", fmt.Errorf("%g items cannot be in these settings", n))
+		r.fail(list+".count", fmt.Errorf("%g is not a valid length: it is negative or more than the number of settings", n))
 		return 0
 	}
 	return int(n)
--- a/internal/wire/validate.go
+++ b/internal/wire/validate.go
@@ -31,7 +31,7 @@
 	}
 	r.validateNames(s)
 	if len(s.Classes) == 0 {
-		r.fail("classes", errors.New("there are none"))
+		r.fail("classes", errors.New("the list is missing or empty"))
 	}
 	if len(s.Plans) > 0 {
 		return
@@ -39,7 +39,7 @@
 	if _, hasCount := r.byPath["tariffs.count"]; hasCount {
 		s.Plans = []control.Plan{{Price: 1}} // for all customers: the list is present but empty
 	} else {
-		r.fail("tariffs", errors.New("there are none"))
+		r.fail("tariffs", errors.New("the list is missing"))
 	}
 }
 
@@ -59,7 +59,7 @@
 func (r *settingsReader) checkName(names map[string]bool, path, name string) {
 	switch {
 	case name == "":
-		r.fail(path, errors.New("there is none"))
+		r.fail(path, errors.New("the name is missing"))
 	case names[name]:
 		r.fail(path, fmt.Errorf("%q is given twice", name))
 	}
@@ -79,13 +79,13 @@
 			add(i, "depth", "%g units are fewer than the %g of one request", plan.QuotaBurst, maxUnits)
 		}
 		if plan.QuotaRate == 0 && plan.QuotaBurst > 0 && plan.MaxInFlight == 0 {
-			add(i, "quota-rate", "a store of %g units is no quota without one", plan.QuotaBurst)
+			add(i, "quota-rate", "a burst of %g units needs a quota rate", plan.QuotaBurst)
 		}
 		if plan.HardLimitRate > 0 && plan.HardLimitBurst < maxUnits {
 			add(i, "hard-burst", "%g units are fewer than the %g of one request", plan.HardLimitBurst, maxUnits)
 		}
 		if plan.HardLimitRate == 0 && plan.HardLimitBurst > 0 {
-			add(i, "cap-rate", "a store of %g units is no ceiling without one", plan.HardLimitBurst)
+			add(i, "cap-rate", "a burst of %g units needs a hard limit rate", plan.HardLimitBurst)
 		}
 	}
 	return invalid
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -99,12 +99,12 @@
 	} {
 		_, err := NewDecoder(strings.NewReader(text)).Next()
 		if err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("%q was accepted", text)
 			continue
 		}
 		for _, w := range wants {
 			if !strings.Contains(err.Error(), w) {
-				t.Errorf("%q: %v does not tell %q", text, err, w)
+				t.Errorf("%q: %v does not contain %q", text, err, w)
 			}
 		}
 	}
@@ -180,6 +180,6 @@
 		}
 	}
 	if all := InvalidSettings(control.Settings{Plans: []control.Plan{{QuotaRate: 1, QuotaBurst: 1}}}); len(all) > 0 {
-		t.Errorf("of one unit each: %v", all)
+		t.Errorf("burst of one unit: %v", all)
 	}
 }
