--- a/internal/config/counter_test.go
+++ b/internal/config/counter_test.go
@@ -27,7 +27,8 @@
 as = "read"
 `
 
-// What can't be kept by its figures is refused at load, by line, with the arithmetic.
+// Settings of a quota counter with which a hard limit can't be kept are rejected on load, with their line and the
+// arithmetic.
 func TestQuotaCounterSettings(t *testing.T) {
 	c, err := Parse("c.toml", []byte(strings.Replace(counterTemplate, "MORE", "", 1)))
 	if err != nil {
--- a/internal/config/drain_test.go
+++ b/internal/config/drain_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A drain by the platform's configuration is over before SIGKILL may come, whatever the deadlines, and
-// lets in what may still come.
+// For any deadlines, the drain of a platform configuration ends before SIGKILL may be sent, and accepts connections
+// for as long as new ones may arrive.
 func TestPlatformDrainFitsDeadlines(t *testing.T) {
 	raw, err := os.ReadFile("testdata/config.json")
 	if err != nil {
@@ -33,8 +33,8 @@
 				if d.Idle <= 400*time.Millisecond || d.Accept < d.Idle || d.Max < d.Accept {
 					t.Errorf("%+v: connections may arrive for 0.4 s", d)
 				}
-				// The answers that are given last are written in 0.3 s. With the shortest deadlines that goes
-				// before what may still come.
+				// Writing the last answers takes up to 0.3 s. With the shortest deadlines this time is not left, because
+				// accepting connections that may still arrive has priority.
 				if within := kill - 300*time.Millisecond; d.Max >= within && longest > 100*time.Millisecond || d.Max >= kill {
 					t.Errorf("%+v: SIGKILL may come at %v", d, kill)
 				}
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -13,7 +13,7 @@
 	"lockflow/internal/service"
 )
 
-// Each file of the corpus is wrong where a comment says "# want KEY: TEXT", and nowhere else.
+// Each file of the corpus has errors exactly on the lines that have a comment "# want KEY: TEXT".
 func TestInvalidFilesReportEachError(t *testing.T) {
 	paths, err := filepath.Glob("testdata/bad/*.toml")
 	if err != nil || len(paths) < 40 {
@@ -147,8 +147,8 @@
 	if p := r.Settings.Plans[0]; p.QuotaRate != 12.5 || p.HardLimitRate != 25 || p.HardLimitSlack != 4 {
 		t.Errorf("%+v", p)
 	}
-	// 288 descriptors are for services, of which 100 are named: the rest is split in two, one
-	// half of which nobody owns.
+	// Services have 288 descriptors, of which one service specifies 100. The rest is split in two: one half is
+	// guaranteed to the other service, and one remains free for borrowing.
 	if r.Guaranteed.Descriptors != 100 || d.Guaranteed.Descriptors != 94 || r.Guaranteed.Requests != 40 || d.Guaranteed.Requests != 30 {
 		t.Errorf("%+v, %+v", r.Guaranteed, d.Guaranteed)
 	}
@@ -166,7 +166,7 @@
 	}
 }
 
-// The examples under deploy/ load.
+// The example files in deploy/ are valid.
 func TestExamples(t *testing.T) {
 	paths, err := filepath.Glob("../../deploy/[dlw]*.toml")
 	if err != nil || len(paths) == 0 {
--- a/internal/config/gather.go
+++ b/internal/config/gather.go
@@ -51,7 +51,7 @@
 	FixedDeadline     time.Duration            `plan:"fixed"`       // from a query's arrival
 	Classes           map[string]control.Class `plan:"classes"`     // that its requests may have: the idempotent classes
 	MaxBodyBytes      int64                    `plan:"body"`        // of a request's body, all of which is buffered
-	TimeHeader        string                   `plan:"time_header"` // by which a client shortens its deadline; "" is none
+	TimeHeader        string                   `plan:"time_header"` // by which a client shortens its deadline; "" disables it
 	MaxRetryAfter     time.Duration            `plan:"retry_after"` // upper bound of the Retry-After in rejections; 0 sends none
 	Share             GatherShare              `plan:"share"`
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -8,8 +8,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// A change of everything that a plan compares is told under the keys that earlier builds told; go test
-// ./internal/config -run Golden -update writes the file anew. What values were and are is left out.
+// A reload that changes everything that plans compare reports the same keys as earlier builds did. The golden file
+// leaves out the values; go test ./internal/config -run Golden -update rewrites it.
 func TestGoldenPlanKeys(t *testing.T) {
 	var after Config
 	for _, v := range []any{&after.Process, &after.Listeners, &after.Metrics, &after.Routes, &after.Services, &after.Gathers} {
--- a/internal/config/http_test.go
+++ b/internal/config/http_test.go
@@ -10,7 +10,7 @@
 	"lockflow/internal/customer"
 )
 
-// A listener, a service with its servers and a route are enough.
+// A listener, a service with its servers and a route make a valid configuration.
 func TestMinimalFile(t *testing.T) {
 	c, err := Parse("least.toml", []byte("[[listeners]]\naddress = \"127.0.0.1:0\"\n[services.app]\nsource = { kind = \"static\", servers = [{ endpoint = \"127.0.0.1:1\" }] }\n[[routes]]\nservice = \"app\"\n"))
 	if err != nil {
--- a/internal/config/plan_test.go
+++ b/internal/config/plan_test.go
@@ -10,7 +10,7 @@
 	"lockflow/internal/route"
 )
 
-// Each change of a file is planned as what it takes, by the key that changed.
+// For each change of a file, the plan has the effect that it requires, under the key that changed.
 func TestCompare(t *testing.T) {
 	for name, tc := range map[string]struct {
 		old, new string // in validFile
@@ -41,7 +41,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			// A route to the documents stays where the one is taken away.
+			// If the change leaves the service documents without a route, a route to it is added.
 			b, err := Parse("new", []byte(strings.ReplaceAll(changed, "\x00", "")))
 			if err != nil && name == "a route's service" {
 				changed += "\n[[routes]]\nname = \"more\"\nservice = \"documents\"\nhost = \"more.example\"\nas = \"roster-read\"\n"
@@ -89,7 +89,7 @@
 	}
 }
 
-// Every field that a plan compares says its key: a rename of the field changes no plan.
+// Every field that plans compare has its key in a tag, so that renaming the field does not change plans.
 func TestComparedFieldsHavePlanKeys(t *testing.T) {
 	seen := make(map[reflect.Type]bool)
 	var walk func(typ reflect.Type)
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -122,7 +122,7 @@
 	}
 	// A discovery service that pushes its list is an agent of this node alone; one that is polled is shared.
 	result.Source.IsOwnAgent = !result.Settings.ListOnRequest
-	result.Settings.ListOnRequest = false // outside the test bench the list is always watched
+	result.Settings.ListOnRequest = false // over sockets the process always watches the list: the module need not request it
 	if result.Keepalive, err = milliseconds(paths, "limits.keepalive", defaultPlatformKeepalive); err != nil {
 		return result, err
 	}
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// Whether lists are pushed tells whose discovery it is: an agent of the node's own, or one that all share.
+// A discovery service that pushes its lists is the node's own agent; one that is polled is shared by all nodes.
 func TestDiscoveryModeSelectsOwnAgent(t *testing.T) {
 	raw, err := os.ReadFile("testdata/config.json")
 	if err != nil {
@@ -47,7 +47,7 @@
 	}
 }
 
-// A list from before that can't be used, or not all of it, is no reason not to start.
+// A known endpoint list that is partly or wholly invalid does not prevent the start.
 func TestInvalidKnownEndpointsDoNotPreventStart(t *testing.T) {
 	raw, err := os.ReadFile("testdata/config.json")
 	if err != nil {
@@ -112,7 +112,7 @@
 	}
 }
 
-// FuzzPlatform: what is read can be served by, and what can't is one line.
+// FuzzPlatform checks that a configuration that is accepted can be served, and that an error is a single line.
 func FuzzPlatform(f *testing.F) {
 	valid, err := os.ReadFile("testdata/config.json")
 	if err != nil {
@@ -131,7 +131,7 @@
 		}
 		m, err := control.New(c.Services[0].Settings, 1)
 		if err != nil {
-			return // the module names it
+			return // settings that only the module rejects
 		}
 		for _, k := range c.Services[0].Settings.Classes {
 			m.Handle(0, control.Request{ID: "a", Class: k.Name, Plan: c.Services[0].Settings.Plans[0].Name, Units: 1, FanOut: 1, Timeout: k.Deadline})
--- a/internal/config/reload_plan.go
+++ b/internal/config/reload_plan.go
@@ -26,8 +26,8 @@
 type Change struct {
 	Effect Effect `json:"effect"`
 	What   string `json:"what"`           // the key, as in the file
-	From   string `json:"from,omitempty"` // "" where the key is new
-	To     string `json:"to,omitempty"`   // "" where it is removed
+	From   string `json:"from,omitempty"` // "" if the key is new
+	To     string `json:"to,omitempty"`   // "" if the key is removed
 }
 
 // Plan lists the changes of a reload from one configuration to another. Their order depends on the two
--- a/internal/customer/customer_test.go
+++ b/internal/customer/customer_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// However many names are invented, only a limited number is tracked. Active customers keep their places, and
-// the places of idle ones go to others.
+// However many names clients invent, only a limited number is tracked. Active customers stay tracked, and idle ones
+// are evicted for others.
 func TestUnknownCustomersAreBounded(t *testing.T) {
 	directory := New(Options{Identifiers: []Identifier{{Kind: Header, Name: "X-Name"}}, MaxUnknown: 1000})
 	now := time.Now()
@@ -127,7 +127,7 @@
 	write("a,silver\nb,gold\n")
 	testkit.Until(t, "the new file", func() bool { return directory.NameCount() == 2 })
 	write("bad line\n")
-	write("a,gold\nb,gold\nc,gold\n") // a bad one in between changes nothing
+	write("a,gold\nb,gold\nc,gold\n") // the invalid file in between is ignored
 	testkit.Until(t, "the last file", func() bool { return directory.NameCount() == 3 })
 	cancel()
 	<-done
--- a/internal/fleetfile/fleetfile_test.go
+++ b/internal/fleetfile/fleetfile_test.go
@@ -124,15 +124,15 @@
 			t.Errorf("%s: the text does not parse to the same configuration: %v\n%s", one.Name, err, one.Text)
 		}
 	}
-	// A whole configuration goes on to members byte by byte.
+	// A complete configuration is passed on to members unchanged, byte for byte.
 	f, err = Parse("/f/FLEET.toml", []byte("[regions.a]\nconfig='base.toml'\nmembers=['/a']"), files())
 	if err != nil || string(f.All[0].Text) != baseText || f.Regions()[0].Routes[1].Line != 18 {
 		t.Errorf("%v %+v", err, f)
 	}
 }
 
-// A gatherer is a service of its name, which leads where all that it reaches does, and has the file's
-// classes. Its parts' plans and servers are counted with them alone.
+// A scatter-gather service appears as a service of its name, with the destinations of all services that it queries
+// and the file's classes. The plans and servers of its parts appear with the parts only.
 func TestGatherService(t *testing.T) {
 	const inner = "[services.pod]\nsource={kind='static',servers=[{endpoint='10.9.0.1:80'}]}\n[services.west.gather]\nparts=['pod']\nmerge='ndjson'\n" +
 		"[services.all.gather]\nparts=['app','west']\nmerge='ndjson'\nLEAST\n[[routes]]\nname='many'\nservice='all'\nprefix='/all'\n"
@@ -159,7 +159,7 @@
 	}
 }
 
-// Each is told by one line with file, line and key.
+// Each error is reported on one line, with file, line and key.
 func TestInvalidFileErrors(t *testing.T) {
 	region := func(more string) string { return "[regions.a]\nconfig = 'base.toml'\nmembers = ['/a']\n" + more }
 	waiver := "[[waivers]]\nkind='dead'\nregions=['a']\nrules=['x']\nreason='r'\n"
@@ -233,7 +233,8 @@
 	}
 }
 
-// What mixture proposes can be written into a region's own file, whatever differs.
+// The settings that package mixture proposes can be written into a region's own configuration, whichever of them
+// differ.
 func TestIntermediate(t *testing.T) {
 	const first = "[services.app]\ncold='4s'\n[classes.w]\nrepeats='keyed'\nkey_scope='zone'\nrepeat_window='9s'\n[plans.gold]\nceiling_rate=20\nceiling_burst=90\nceiling_slack=3\n[process]\ninstances=3\n"
 	const second = "[services.app]\ncold='8s'\ncold_from=0.5\n[classes.w]\nrepeats='keyed'\nkey_scope='group'\nrepeat_window='20s'\n[plans.gold]\nceiling_slack=1\n"
--- a/internal/fleetfile/gather_test.go
+++ b/internal/fleetfile/gather_test.go
@@ -8,8 +8,8 @@
 	"lockflow/internal/regions"
 )
 
-// A gatherer leads wherever its parts lead: regions that gather from each other go round, unless what comes
-// from another region is told by its Via and led to servers.
+// A scatter-gather service forwards to wherever its parts do: regions that gather from each other form a loop, unless
+// a route recognises requests from another region by their Via header and sends them to servers.
 func TestLoopsThroughGatherServices(t *testing.T) {
 	text := func(other, more string) []byte {
 		return []byte(fmt.Sprintf(`[services.here]
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -152,7 +152,8 @@
 	})
 }
 
-// A quota that makes no sense is named, once; whatever a site may leave out or set to nothing is none.
+// Each inconsistent quota or hard limit is reported once; numbers that are missing or 0 mean no limit and are not
+// reported.
 func TestInvalidSettings(t *testing.T) {
 	validPlans := []control.Plan{
 		{Name: "none"},
