--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -10,15 +10,15 @@
 	"lockflow/control"
 )
 
-func TestConfig(t *testing.T) {
+func TestPlatformFile(t *testing.T) {
 	c, err := LoadPlatform("testdata/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	one := c.Services[0]
-	s := one.Settings
-	if one.Seed != 0x8c1f30d27a5be964 || c.Process.Descriptors != 1024 || c.Process.MemoryMB != 192 || one.Known.Revision != 7 ||
-		one.Keepalive != 15*time.Second || one.ConnectTimeout != 250*time.Millisecond || c.Process.Shared || c.Routes != nil {
+	service := c.Services[0]
+	s := service.Settings
+	if service.Seed != 0x8c1f30d27a5be964 || c.Process.Descriptors != 1024 || c.Process.MemoryMB != 192 || service.Known.Revision != 7 ||
+		service.Keepalive != 15*time.Second || service.ConnectTimeout != 250*time.Millisecond || c.Process.Shared || c.Routes != nil {
 		t.Errorf("%+v", c)
 	}
 	if s.GroupSize != 2 || !s.UnitsInResponse || !s.RetriesAreMarked || s.MaxAttempts != 6 || s.WarmupTime != 15*time.Second ||
--- a/internal/fleetfile/fleetfile_test.go
+++ b/internal/fleetfile/fleetfile_test.go
@@ -118,10 +118,10 @@
 	if want := "all GET,new ,aa "; strings.Join(got, ",") != want || south.Routes[1].Line != 8 || !north.Routes[1].Base || north.Routes[1].Line != 0 {
 		t.Errorf("%q, lines %+v", got, south.Routes)
 	}
-	for _, one := range f.All {
-		reparsed, err := config.Parse("text", one.Text)
-		if sum := sha256.Sum256(one.Text); err != nil || !reflect.DeepEqual(reparsed, one.Config) || hex.EncodeToString(sum[:]) != one.Hash {
-			t.Errorf("%s: the text does not parse to the same configuration: %v\n%s", one.Name, err, one.Text)
+	for _, region := range f.All {
+		reparsed, err := config.Parse("text", region.Text)
+		if sum := sha256.Sum256(region.Text); err != nil || !reflect.DeepEqual(reparsed, region.Config) || hex.EncodeToString(sum[:]) != region.Hash {
+			t.Errorf("%s: the text does not parse to the same configuration: %v\n%s", region.Name, err, region.Text)
 		}
 	}
 	// A complete configuration is passed on to members unchanged, byte for byte.
@@ -267,10 +267,10 @@
 		if problems := config.FieldErrors(nil); err != nil && (!errors.As(err, &problems) || len(problems) == 0) {
 			t.Errorf("%T %v", err, err)
 		}
-		for _, one := range got.All {
-			reparsed, err := config.Parse("text", one.Text)
-			if err != nil || len(one.Members) == 0 || !reflect.DeepEqual(reparsed, one.Config) {
-				t.Errorf("%+v: %v", one, err)
+		for _, region := range got.All {
+			reparsed, err := config.Parse("text", region.Text)
+			if err != nil || len(region.Members) == 0 || !reflect.DeepEqual(reparsed, region.Config) {
+				t.Errorf("%+v: %v", region, err)
 			}
 		}
 	})
--- a/internal/fleetfile/regions.go
+++ b/internal/fleetfile/regions.go
@@ -13,8 +13,8 @@
 // Regions returns the fleet's regions as values of package regions, ordered by name.
 func (f File) Regions() []regions.Region {
 	all := make([]regions.Region, len(f.All))
-	for i, one := range f.All {
-		all[i] = one.Region()
+	for i, region := range f.All {
+		all[i] = region.Region()
 	}
 	return all
 }
