--- a/internal/config/counter_test.go
+++ b/internal/config/counter_test.go
@@ -37,7 +37,7 @@
 	got := c.Services[0].Counter
 	want := quotalease.Rules{Instances: 3, Term: time.Second, ReservationTime: 2 * time.Second, ResizeTime: 10 * time.Second, MaxDrift: 0.001}
 	if got.Rules != want || got.Name != "app" || len(got.HardLimits) != 1 || got.HardLimits["enterprise"] != (quotalease.HardLimit{Rate: 30, Burst: 60}) {
-		t.Errorf("%+v", got)
+		t.Errorf("counter %+v", got)
 	}
 	for extra, wantError := range map[string]string{
 		`, term = "4s", pledge = "4s"`:              "plan enterprise: up to 180.2 + 60*30.03 units may be used in a minute, 6.6% more than 60 + 60*30; at most 5.0% are allowed",
@@ -56,7 +56,7 @@
 		}
 		_, err := Parse("c.toml", []byte(text))
 		if (err == nil) != (wantError == "") || err != nil && (!strings.Contains(err.Error(), wantError) || !strings.Contains(err.Error(), "c.toml:13")) {
-			t.Errorf("%s: %v", extra, err)
+			t.Errorf("%s: error %v", extra, err)
 		}
 	}
 	for _, addresses := range []string{`["127.0.0.1"]`, `["127.0.0.1:1", "127.0.0.1:1"]`} {
@@ -66,13 +66,13 @@
 	}
 	withoutHardLimit := strings.Replace(strings.Replace(counterTemplate, "ceiling_rate = 30\nceiling_burst = 60\n", "", 1), "MORE", "", 1)
 	if _, err := Parse("c.toml", []byte(withoutHardLimit)); err == nil || !strings.Contains(err.Error(), "no plan of the service has a hard limit") {
-		t.Errorf("%v", err)
+		t.Errorf("no hard limit: %v", err)
 	}
 	withSharedName := strings.Replace(strings.Replace(counterTemplate, "MORE", "", 1), "[[routes]]", `[services.other]
 counter = { addresses = ["127.0.0.1:6379"], name = "app" }
 source = { kind = "static", servers = [{ endpoint = "127.0.0.1:1" }] }
 [[routes]]`, 1)
 	if _, err := Parse("c.toml", []byte(withSharedName)); err == nil || !strings.Contains(err.Error(), `another service has a counter of the name "app"`) {
-		t.Errorf("%v", err)
+		t.Errorf("shared counter name: %v", err)
 	}
 }
--- a/internal/config/drain_test.go
+++ b/internal/config/drain_test.go
@@ -27,19 +27,19 @@
 				}
 				longest := time.Duration(ms) * time.Millisecond
 				if k := c.Services[0].Settings.Classes[0]; k.Deadline != longest {
-					t.Fatalf("%+v", k)
+					t.Fatalf("longest deadline not set: %+v", k)
 				}
 				d, kill := c.Process.Drain, min(longest, 3*time.Second)+700*time.Millisecond
 				if d.Idle <= 400*time.Millisecond || d.Accept < d.Idle || d.Max < d.Accept {
-					t.Errorf("%+v: connections may arrive for 0.4 s", d)
+					t.Errorf("%+v: steps out of order, or too early for connections that may arrive for 0.4 s", d)
 				}
 				// Writing the last answers takes up to 0.3 s. With the shortest deadlines this time is not left, because
 				// accepting connections that may still arrive has priority.
 				if within := kill - 300*time.Millisecond; d.Max >= within && longest > 100*time.Millisecond || d.Max >= kill {
-					t.Errorf("%+v: SIGKILL may come at %v", d, kill)
+					t.Errorf("%+v: not over before SIGKILL, which may come at %v", d, kill)
 				}
 				if longest >= 3*time.Second && d != (Drain{500 * time.Millisecond, time.Second, 3300 * time.Millisecond}) {
-					t.Errorf("%+v", d)
+					t.Errorf("drain of the longest deadline %+v", d)
 				}
 			})
 		}
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -17,7 +17,7 @@
 func TestInvalidFilesReportEachError(t *testing.T) {
 	paths, err := filepath.Glob("testdata/bad/*.toml")
 	if err != nil || len(paths) < 40 {
-		t.Fatalf("%d files, %v", len(paths), err)
+		t.Fatalf("%d files, at least 40 expected, %v", len(paths), err)
 	}
 	for _, path := range paths {
 		t.Run(strings.TrimSuffix(filepath.Base(path), ".toml"), func(t *testing.T) {
@@ -28,7 +28,7 @@
 			_, err = Parse(path, raw)
 			var got FieldErrors
 			if !errors.As(err, &got) {
-				t.Fatalf("%v", err)
+				t.Fatalf("error %v is no FieldErrors", err)
 			}
 			var want FieldErrors
 			for i, line := range strings.Split(string(raw), "\n") {
@@ -129,7 +129,7 @@
 		t.Fatal(err)
 	}
 	if p := c.Process; p.Cores != 2 || p.Descriptors != 512 || p.Total.Descriptors != 488 || p.Total.Bytes != 32<<20 || p.ClientDescriptors != 200 || !p.Shared {
-		t.Errorf("%+v", p)
+		t.Errorf("process %+v", p)
 	}
 	byName := make(map[string]Service)
 	for _, s := range c.Services {
@@ -138,30 +138,30 @@
 	r, d := byName["rosters"], byName["documents"]
 	if s := r.Settings; s.GroupSize != 4 || s.SelfIndex != 3 || !s.UnitsInResponse || s.MaxUnits != 4 || len(s.Classes) != 2 || len(s.Plans) != 1 ||
 		s.MaxRetryAfter != time.Second || s.MeterPeriod != time.Second || s.MaxAttempts != 6 {
-		t.Errorf("%+v", s)
+		t.Errorf("settings %+v", s)
 	}
 	if k := r.Settings.Classes[1]; k.Idempotency != control.IdempotentWithKey || k.KeyScope != control.ScopeCell || k.RepeatWindow != 15*time.Second ||
 		k.Deadline != 8*time.Second {
-		t.Errorf("%+v", k)
+		t.Errorf("class %+v", k)
 	}
 	if p := r.Settings.Plans[0]; p.QuotaRate != 12.5 || p.HardLimitRate != 25 || p.HardLimitSlack != 4 {
-		t.Errorf("%+v", p)
+		t.Errorf("plan %+v", p)
 	}
 	// Services have 288 descriptors, of which one service specifies 100. The rest is split in two: one half is
 	// guaranteed to the other service, and one remains free for borrowing.
 	if r.Guaranteed.Descriptors != 100 || d.Guaranteed.Descriptors != 94 || r.Guaranteed.Requests != 40 || d.Guaranteed.Requests != 30 {
-		t.Errorf("%+v, %+v", r.Guaranteed, d.Guaranteed)
+		t.Errorf("guaranteed: %+v, %+v", r.Guaranteed, d.Guaranteed)
 	}
 	if d.OnPanic != service.RestartService || d.Required || d.MaxResponseBytes != 1<<20 || d.Source.Kind != discovery.Static || len(d.Source.Endpoints) != 2 ||
 		d.Source.Endpoints[0].UID != "127.0.0.1:9001" || d.Source.Endpoints[1].State != "draining" {
-		t.Errorf("%+v", d)
+		t.Errorf("service %+v", d)
 	}
 	if r := c.Routes[1]; r.RequestClass != "roster-read" || r.Headers[0].Name != "X-Kind" || !r.Headers[0].Any || r.Headers[1].Value != "2" {
-		t.Errorf("%+v", r)
+		t.Errorf("route %+v", r)
 	}
 	for _, s := range c.Services {
 		if _, err := control.New(s.Settings, 1); err != nil {
-			t.Errorf("%s: %v", s.Name, err)
+			t.Errorf("service %s: %v", s.Name, err)
 		}
 	}
 }
@@ -170,7 +170,7 @@
 func TestExamples(t *testing.T) {
 	paths, err := filepath.Glob("../../deploy/[dlw]*.toml")
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("%v, %v", paths, err)
+		t.Fatalf("no examples: %v, %v", paths, err)
 	}
 	for _, path := range paths {
 		if _, err := Load(path); err != nil {
@@ -190,10 +190,10 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		c, err := Parse("f", raw)
 		if err == nil && (len(c.Services) == 0 || len(c.Routes) == 0 || len(c.Listeners) == 0) {
-			t.Errorf("%+v", c)
+			t.Errorf("incomplete configuration accepted: %+v", c)
 		}
 		if p := FieldErrors(nil); err != nil && (!errors.As(err, &p) || len(p) == 0) {
-			t.Errorf("%T %v", err, err)
+			t.Errorf("error of type %T: %v", err, err)
 		}
 	})
 }
--- a/internal/config/plan_test.go
+++ b/internal/config/plan_test.go
@@ -56,7 +56,7 @@
 				got = append(got, strings.Join([]string{string(c.Effect), c.What, c.From, c.To}, " "))
 			}
 			if text := strings.Join(got, "; "); text != tc.want {
-				t.Errorf("%s\nnot %s", text, tc.want)
+				t.Errorf("plan %s\nnot %s", text, tc.want)
 			}
 			if n := len(Compare(a, b).Restarts()); n != strings.Count(tc.want, "restart ") {
 				t.Errorf("%d changes need a restart", n)
@@ -80,7 +80,7 @@
 	}
 	want := map[string]Effect{"services.papers": Started, "services.documents": Ended, "routes.documents": Applied, "routes.papers": Applied}
 	if len(got) != len(want) {
-		t.Errorf("%v", got)
+		t.Errorf("effects %v", got)
 	}
 	for k, e := range want {
 		if got[k] != e {
@@ -117,7 +117,7 @@
 	}
 	for _, nested := range []any{Amounts{}, control.Settings{}, control.Class{}, control.Plan{}, quotalease.Rules{}, route.Rule{}, GatherPart{}} {
 		if !seen[reflect.TypeOf(nested)] {
-			t.Errorf("%T was not reached", nested)
+			t.Errorf("no field of type %T is compared", nested)
 		}
 	}
 }
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -19,7 +19,7 @@
 	s := service.Settings
 	if service.Seed != 0x8c1f30d27a5be964 || c.Process.Descriptors != 1024 || c.Process.MemoryMB != 192 || service.Known.Revision != 7 ||
 		service.Keepalive != 15*time.Second || service.ConnectTimeout != 250*time.Millisecond || c.Process.Shared || c.Routes != nil {
-		t.Errorf("%+v", c)
+		t.Errorf("configuration %+v", c)
 	}
 	if s.GroupSize != 2 || !s.UnitsInResponse || !s.RetriesAreMarked || s.MaxAttempts != 6 || s.WarmupTime != 15*time.Second ||
 		len(s.Classes) != 2 || len(s.Plans) != 2 {
@@ -42,7 +42,7 @@
 	for mode, isOwnAgent := range map[string]bool{"pushed": true, "on_request": false} {
 		c, err := ParsePlatform([]byte(strings.NewReplacer(`"discovery": "pushed"`, `"discovery": "`+mode+`"`).Replace(string(raw))))
 		if err != nil || c.Services[0].Source.IsOwnAgent != isOwnAgent {
-			t.Errorf("%s: %+v, %v", mode, c.Services[0].Source, err)
+			t.Errorf("discovery %s: source %+v, %v", mode, c.Services[0].Source, err)
 		}
 	}
 }
@@ -71,7 +71,7 @@
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 		} else if k := c.Services[0].Known; len(k.Endpoints) != tc.valid || k.Invalid.Count != tc.invalid {
-			t.Errorf("%s: %+v", name, k)
+			t.Errorf("%s: known endpoints %+v", name, k)
 		}
 	}
 }
--- a/internal/customer/customer_test.go
+++ b/internal/customer/customer_test.go
@@ -57,10 +57,10 @@
 	} {
 		name, plan := directory.Identify(tc.r, time.Now())
 		if name != tc.name || plan != tc.plan {
-			t.Errorf("%s %v: %q, %q, not %q, %q", tc.r.URL, tc.r.Header, name, plan, tc.name, tc.plan)
+			t.Errorf("%s %v: customer and plan %q, %q, not %q, %q", tc.r.URL, tc.r.Header, name, plan, tc.name, tc.plan)
 		}
 		if strings.Contains(name, "k-1") {
-			t.Error("a secret is shown")
+			t.Error("the name contains the secret")
 		}
 	}
 	if name, plan := New(Options{DefaultPlan: "p"}).Identify(request("/"), time.Now()); name != Anonymous || plan != "p" {
@@ -101,7 +101,7 @@
 	} {
 		_, err := ParseFile("f", strings.NewReader(text), func(p string) bool { return p == "gold" })
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, not %s", text, err, want)
+			t.Errorf("%q: error %v, not %s", text, err, want)
 		}
 	}
 }
@@ -138,7 +138,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		all, err := ParseFile("f", strings.NewReader(text), any)
 		if (all == nil) == (err == nil) {
-			t.Errorf("%q: %v, %v", text, all, err)
+			t.Errorf("%q: not exactly one of plans and error: %v, %v", text, all, err)
 		}
 	})
 }
--- a/internal/fleetfile/fleetfile_test.go
+++ b/internal/fleetfile/fleetfile_test.go
@@ -103,20 +103,20 @@
 	all := f.Regions()
 	north, south := all[0], all[1]
 	if m := f.All[0].Members; !reflect.DeepEqual(m, []Member{{"/run/0.sock", "a"}, {"/run/1.sock", "b"}}) {
-		t.Errorf("%+v", m)
+		t.Errorf("members %+v", m)
 	}
 	if north.Instances != 4 || north.Members != 2 || south.Instances != 8 || south.Listeners[0] != "south.example:80" || north.Listeners[0] != "10.0.0.1:80" {
-		t.Errorf("%+v\n%+v", north, south)
+		t.Errorf("regions %+v\n%+v", north, south)
 	}
 	if s := south.Services[1]; !s.GenericHTTP || s.Servers[0] != "a" || s.Destinations[0] != "10.1.0.1:80" || s.Source != "" || s.Plans[0].HardLimitRate != 30 {
-		t.Errorf("%+v", s)
+		t.Errorf("service %+v", s)
 	}
 	var got []string
 	for _, r := range south.Routes {
 		got = append(got, r.Name+" "+r.Method+map[bool]string{true: " base"}[r.Base])
 	}
 	if want := "all GET,new ,aa "; strings.Join(got, ",") != want || south.Routes[1].Line != 8 || !north.Routes[1].Base || north.Routes[1].Line != 0 {
-		t.Errorf("%q, lines %+v", got, south.Routes)
+		t.Errorf("routes %q, lines %+v", got, south.Routes)
 	}
 	for _, region := range f.All {
 		reparsed, err := config.Parse("text", region.Text)
@@ -127,7 +127,7 @@
 	// A complete configuration is passed on to members unchanged, byte for byte.
 	f, err = Parse("/f/FLEET.toml", []byte("[regions.a]\nconfig='base.toml'\nmembers=['/a']"), files())
 	if err != nil || string(f.All[0].Text) != baseText || f.Regions()[0].Routes[1].Line != 18 {
-		t.Errorf("%v %+v", err, f)
+		t.Errorf("error %v, file %+v", err, f)
 	}
 }
 
@@ -147,7 +147,7 @@
 	all, app := r.Services[3], r.Services[0]
 	if all.Name != "all" || !all.GenericHTTP || all.Gather != "app, west [pod as ndjson, at least 0.5] as ndjson, at least 0.5" ||
 		strings.Join(all.Destinations, " ") != "10.1.0.1:80 10.9.0.1:80" || all.Servers != nil || all.Plans != nil || !reflect.DeepEqual(all.Classes, app.Classes) || r.Instances != 4 {
-		t.Errorf("%+v", all)
+		t.Errorf("gather service %+v", all)
 	}
 	for _, other := range []string{"least=0.6", "weights=[2,1]"} {
 		if regionWith(other).Services[3].Gather == all.Gather {
@@ -194,12 +194,12 @@
 		_, err := Parse("/f/FLEET.toml", []byte(text), files("lost.toml", "without = ['routes.none']", "wrong.toml", "[[routes]]\nname='n'\nservice='nope'\nprefix='/n'"))
 		got, lines := config.FieldErrors(nil), strings.Split(want, "\n")
 		if !errors.As(err, &got) || len(got) != len(lines) {
-			t.Errorf("%s\ntold %v\nwant %s", text, err, want)
+			t.Errorf("%s\ngot %v\nwant %s", text, err, want)
 			continue
 		}
 		for i, line := range lines {
 			if !strings.Contains(got[i].Error(), line) {
-				t.Errorf("%s\ntold %v\nwant %s", text, got[i], line)
+				t.Errorf("%s\ngot %v\nwant %s", text, got[i], line)
 			}
 		}
 	}
@@ -223,13 +223,13 @@
 			got = append(got, string(left.Kind))
 		}
 		if strings.Join(got, " ") != want {
-			t.Errorf("%s: left %q, not %q", day, got, want)
+			t.Errorf("%s: conflicts left %q, not %q", day, got, want)
 		}
 	}
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	others := []regions.Conflict{c("service", "north south", "new"), c("coverage", "north east", "new"), c("coverage", "north south", "new all"), c("coverage", "north south", "")}
 	if left := f.Waive(others, now); len(left) != len(others)+2 || left[4].Kind != WaiverKind || !strings.Contains(left[4].Why, "FLEET.toml:10: ") || !strings.Contains(left[4].Why, "waives nothing") {
-		t.Errorf("%+v", left)
+		t.Errorf("conflicts left %+v", left)
 	}
 }
 
@@ -253,7 +253,7 @@
 	}
 	for _, want := range []string{"instances = 4", "ceiling_rate = 20.0", "ceiling_burst = 60.0", "ceiling_slack = 1.0", "cold = '8s'", "cold_from = 0.15", "repeat_window = '9s'", "key_scope = 'group'"} {
 		if !strings.Contains(string(got.Text), want) {
-			t.Errorf("no %s in\n%s", want, got.Text)
+			t.Errorf("%s missing in\n%s", want, got.Text)
 		}
 	}
 }
@@ -265,12 +265,12 @@
 	f.Fuzz(func(t *testing.T, fleet, changed string) {
 		got, err := Parse("/f/FLEET.toml", []byte(fleet), files("sub/south.toml", changed))
 		if problems := config.FieldErrors(nil); err != nil && (!errors.As(err, &problems) || len(problems) == 0) {
-			t.Errorf("%T %v", err, err)
+			t.Errorf("error of type %T: %v", err, err)
 		}
 		for _, region := range got.All {
 			reparsed, err := config.Parse("text", region.Text)
 			if err != nil || len(region.Members) == 0 || !reflect.DeepEqual(reparsed, region.Config) {
-				t.Errorf("%+v: %v", region, err)
+				t.Errorf("region %+v: %v", region, err)
 			}
 		}
 	})
--- a/internal/fleetfile/gather_test.go
+++ b/internal/fleetfile/gather_test.go
@@ -44,12 +44,12 @@
 		loops := 0
 		for _, c := range got {
 			if c.Kind != regions.LoopKind || c.Severity != regions.Error || c.Witness == nil || c.Witness.Path != "/visits" || c.Witness.Headers["Via"] != nil && more == "" {
-				t.Errorf("%+v", c)
+				t.Errorf("conflict %+v", c)
 			}
 			loops++
 		}
 		if loops != want {
-			t.Errorf("%q: %d loops: %+v", more, loops, got)
+			t.Errorf("extra routes %q: %d loops: %+v", more, loops, got)
 		}
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -32,7 +32,7 @@
 	b := decode(t, batch(openLine))
 	s := b.Inputs[0].Open.Settings
 	if b.Now != 10250*time.Microsecond || b.Inputs[0].Instance != 3 || b.Inputs[0].Open.Seed != 77 {
-		t.Errorf("%+v", b)
+		t.Errorf("batch %+v", b)
 	}
 	k := s.Classes[0]
 	if k.Idempotency != control.IdempotentWithKey || k.KeyScope != control.ScopeCell || k.RepeatWindow != 5*time.Second {
@@ -62,7 +62,7 @@
 		"started who=3 xid=0a n=0 server=51 delay-seen=9.25\n"+
 		"power_off who=3\n"))
 	if len(b.Inputs) != 10 {
-		t.Fatalf("%d inputs", len(b.Inputs))
+		t.Fatalf("%d inputs, not 10", len(b.Inputs))
 	}
 	l := b.Inputs[0].Event.(control.EndpointList)
 	if l.Kind != control.ListCached || len(l.Endpoints) != 2 || l.Endpoints[1].State != control.Draining ||
@@ -131,7 +131,7 @@
 		"remark who=3 body-text=two servers known\n":  control.LogLine{Text: "two\nservers known"},
 	} {
 		if got := string(AppendAction(nil, 3, a)); got != want {
-			t.Errorf("%#v: %q, not %q", a, got, want)
+			t.Errorf("%#v: line %q, not %q", a, got, want)
 		}
 	}
 }
