--- a/internal/customer/customer.go
+++ b/internal/customer/customer.go
@@ -30,7 +30,7 @@
 
 const (
 	maxNameBytes    = 256         // a longer name is hashed
-	unknownIdleTime = time.Minute // after which the slot of an unknown customer may go to another one
+	unknownIdleTime = time.Minute // after which an unknown customer may lose its place to another
 	overflowBuckets = 64          // shared by the unknown customers beyond the limit
 )
 
