--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -58,13 +58,13 @@
 		known          string
 		valid, invalid int
 	}{
-		"all good":    {`{"rev": 7, "targets": [` + validEndpoint + `]}`, 1, 0},
-		"some odd":    {`{"rev": 7, "targets": [{"state": "up"}, ` + validEndpoint + `, null, 5, {"uid": "s-2", "endpoint": "here", "state": "up"}]}`, 1, 4},
-		"no object":   {`"none"`, 0, 1},
-		"no list":     {`{"rev": 7, "targets": {}}`, 0, 1},
-		"all odd":     {`{"rev": 7, "all": true, "targets": [{"uid": 5}]}`, 0, 1},
-		"null":        {`null`, 0, 0},
-		"version odd": {`{"rev": "x", "targets": [` + validEndpoint + `]}`, 0, 1},
+		"all valid":        {`{"rev": 7, "targets": [` + validEndpoint + `]}`, 1, 0},
+		"some invalid":     {`{"rev": 7, "targets": [{"state": "up"}, ` + validEndpoint + `, null, 5, {"uid": "s-2", "endpoint": "here", "state": "up"}]}`, 1, 4},
+		"no object":        {`"none"`, 0, 1},
+		"no list":          {`{"rev": 7, "targets": {}}`, 0, 1},
+		"all invalid":      {`{"rev": 7, "all": true, "targets": [{"uid": 5}]}`, 0, 1},
+		"null":             {`null`, 0, 0},
+		"invalid revision": {`{"rev": "x", "targets": [` + validEndpoint + `]}`, 0, 1},
 	} {
 		text := strings.Replace(string(raw), `"known"`, `"known": `+tc.known+`, "before"`, 1)
 		c, err := ParsePlatform([]byte(text))
@@ -82,20 +82,20 @@
 		t.Fatal(err)
 	}
 	for name, tc := range map[string]struct{ old, new, wantError string }{
-		"not JSON":     {`{"name"`, `{name`, "invalid"},
-		"no address":   {`"127.0.0.1:0"`, `""`, "listen"},
-		"no port":      {`"127.0.0.1:1"`, `"127.0.0.1"`, "discovery"},
-		"odd seed":     {"8c1f30d27a5be964", "xyz", "seed"},
-		"odd figure":   {`"aim": 2000.0`, `"aim": "soon"`, "aim"},
-		"odd effect":   {`"guarded"`, `"maybe"`, "effect"},
-		"odd span":     {`"keepalive": 15000.0`, `"keepalive": -1`, "keepalive"},
-		"no settings":  {`"settings"`, `"unsettled"`, "settings"},
-		"port a word":  {`"127.0.0.1:1"`, `"127.0.0.1:watch"`, "discovery: "},
-		"port too big": {`"127.0.0.1:0"`, `"127.0.0.1:65536"`, "listen: "},
-		"odd host":     {`"127.0.0.1:1"`, `"127.0. 0.1:1"`, "discovery: "},
-		"no sockets":   {`"sockets": 1024`, `"sockets": 25`, "limits.sockets"},
-		"odd memory":   {`"memory_mb": 192`, `"memory_mb": -1`, "memory_mb"},
-		"wrong nature": {`"cores": 1.0`, `"cores": "many"`, "Cores"},
+		"not JSON":         {`{"name"`, `{name`, "invalid"},
+		"no address":       {`"127.0.0.1:0"`, `""`, "listen"},
+		"no port":          {`"127.0.0.1:1"`, `"127.0.0.1"`, "discovery"},
+		"invalid seed":     {"8c1f30d27a5be964", "xyz", "seed"},
+		"invalid number":   {`"aim": 2000.0`, `"aim": "soon"`, "aim"},
+		"invalid effect":   {`"guarded"`, `"maybe"`, "effect"},
+		"invalid duration": {`"keepalive": 15000.0`, `"keepalive": -1`, "keepalive"},
+		"no settings":      {`"settings"`, `"unsettled"`, "settings"},
+		"named port":       {`"127.0.0.1:1"`, `"127.0.0.1:watch"`, "discovery: "},
+		"port too large":   {`"127.0.0.1:0"`, `"127.0.0.1:65536"`, "listen: "},
+		"invalid host":     {`"127.0.0.1:1"`, `"127.0. 0.1:1"`, "discovery: "},
+		"too few sockets":  {`"sockets": 1024`, `"sockets": 25`, "limits.sockets"},
+		"invalid memory":   {`"memory_mb": 192`, `"memory_mb": -1`, "memory_mb"},
+		"wrong type":       {`"cores": 1.0`, `"cores": "many"`, "Cores"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "config.json")
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -158,7 +158,7 @@
 	validPlans := []control.Plan{
 		{Name: "none"},
 		{Name: "open", MaxInFlight: 3},
-		{Name: "open with a store", MaxInFlight: 1, QuotaBurst: 4},
+		{Name: "in flight with burst", MaxInFlight: 1, QuotaBurst: 4},
 		{Name: "rate", QuotaRate: 0.1, QuotaBurst: 4},
 		{Name: "both", QuotaRate: 1, QuotaBurst: 8, MaxInFlight: 2},
 		{Name: "ceiling", HardLimitRate: 2, HardLimitBurst: 4, HardLimitSlack: 0.4},
@@ -168,12 +168,12 @@
 		plan      control.Plan
 		wantError string
 	}{
-		"nothing":              {control.Plan{Price: 1, OverQuotaCost: 1}, ""},
-		"no depth":             {control.Plan{QuotaRate: 3}, "tariffs.7.depth: "},
-		"depth below the most": {control.Plan{QuotaRate: 3, QuotaBurst: 3.9}, "tariffs.7.depth: "},
-		"no rate":              {control.Plan{QuotaBurst: 5}, "tariffs.7.quota-rate: "},
-		"no burst":             {control.Plan{HardLimitRate: 3, HardLimitSlack: 9}, "tariffs.7.hard-burst: "},
-		"no ceiling rate":      {control.Plan{QuotaRate: 1, QuotaBurst: 9, HardLimitBurst: 3}, "tariffs.7.cap-rate: "},
+		"nothing":                         {control.Plan{Price: 1, OverQuotaCost: 1}, ""},
+		"no burst of the quota":           {control.Plan{QuotaRate: 3}, "tariffs.7.depth: "},
+		"burst below the largest request": {control.Plan{QuotaRate: 3, QuotaBurst: 3.9}, "tariffs.7.depth: "},
+		"no rate of the quota":            {control.Plan{QuotaBurst: 5}, "tariffs.7.quota-rate: "},
+		"no burst of the hard limit":      {control.Plan{HardLimitRate: 3, HardLimitSlack: 9}, "tariffs.7.hard-burst: "},
+		"no rate of the hard limit":       {control.Plan{QuotaRate: 1, QuotaBurst: 9, HardLimitBurst: 3}, "tariffs.7.cap-rate: "},
 	} {
 		all := InvalidSettings(control.Settings{MaxUnits: 4, Plans: append(validPlans, tc.plan)})
 		if tc.wantError == "" && len(all) > 0 || tc.wantError != "" && (len(all) != 1 || !strings.Contains(all[0].Error(), tc.wantError)) {
