--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -8,7 +8,7 @@
 	"lockflow/internal/route"
 )
 
-// defaultDeadlineMultiple is the deadline of a class that names none, in latency objectives.
+// defaultDeadlineMultiple is the default deadline of a class, as a multiple of its latency objective.
 const defaultDeadlineMultiple = 4
 
 // readClass reads classes.NAME: the latency objective and the retry terms of requests.
@@ -39,11 +39,11 @@
 		}
 	}
 	if needsKey && class.RepeatWindow == 0 {
-		t.Errorf("repeat_window", "a keyed class needs one")
+		t.Errorf("repeat_window", `a class with repeats = "keyed" needs one`)
 	}
 	if segment := route.FirstSegment("/" + name); segment != name || name == "" {
 		t.Errorf("", "%q is no segment of a path", name)
 	}
-	t.Done()
+	t.ReportUnknownKeys()
 	return class
 }
--- a/internal/config/gather_check.go
+++ b/internal/config/gather_check.go
@@ -9,14 +9,14 @@
 	"lockflow/internal/protocol"
 )
 
-// checkGathers checks what scatter-gather services reach, and adds the services that reached ones query to
-// reached.
+// checkGathers checks the services that scatter-gather services query, and adds to reached those that are queried
+// by a service in reached. It reports scatter-gather services that no route leads to.
 func (r *reader) checkGathers(root tree.Table, c *Config, reached map[string]bool) {
 	services := root.Sub("services")
 	for i := range c.Gathers {
 		gather := &c.Gathers[i]
 		walk := gatherWalk{
-			table: services.Sub(gather.Name).Sub("gather"), config: c, reachedThrough: make(map[string]string),
+			table: services.Sub(gather.Name).Sub("gather"), config: c, queriedBy: make(map[string]string),
 		}
 		walk.visit(gather, nil)
 	}
@@ -28,7 +28,7 @@
 	}
 }
 
-// markParts marks the parts of reached services as reached: they may have no route of their own.
+// markParts marks the parts of reached services as reached, since parts need no route of their own.
 func (c *Config) markParts(reached map[string]bool) {
 	for isChanged := true; isChanged; {
 		isChanged = false
@@ -46,15 +46,16 @@
 	}
 }
 
-// gatherWalk visits all that one scatter-gather service reaches, until the first error.
+// gatherWalk visits all services that one scatter-gather service queries, directly or through others, until the
+// first error.
 type gatherWalk struct {
-	table          tree.Table // of the service, where errors are reported
-	config         *Config
-	reachedThrough map[string]string // by part: the service that queries it
-	isInvalid      bool
+	table     tree.Table // of the service, which errors are reported for
+	config    *Config
+	queriedBy map[string]string // by part: the scatter-gather service that queries it
+	isInvalid bool
 }
 
-// visit visits the parts of a service that is reached through others.
+// visit visits the parts of a service. above names the services through which it is reached.
 func (w *gatherWalk) visit(gather *Gather, above []string) {
 	above = append(above, gather.Name)
 	for _, part := range gather.Parts {
@@ -66,15 +67,15 @@
 			w.isInvalid = true
 			return
 		}
-		w.reachedThrough[part.Name] = gather.Name
+		w.queriedBy[part.Name] = gather.Name
 		if inner != nil {
 			w.visit(inner, above)
 		}
 	}
 }
 
-// isValidPart reports a part that a service can't query. inner is the part as a scatter-gather service, nil
-// where it has servers of its own.
+// isValidPart returns whether a service can query a part, and reports an error if it can't. inner is the part as
+// a scatter-gather service; nil if the part has servers of its own.
 func (w *gatherWalk) isValidPart(gather *Gather, part string, inner *Gather, above []string) bool {
 	if part == gather.Name {
 		return w.fail("%q is the service itself", part)
@@ -86,7 +87,7 @@
 	if inner == nil && i < 0 {
 		return w.fail("%q is no service", part)
 	}
-	if other, isReached := w.reachedThrough[part]; isReached {
+	if other, isReached := w.queriedBy[part]; isReached {
 		return w.fail("%q is reached twice, through %s and %s: its answer would be there twice", part, other, gather.Name)
 	}
 	if inner != nil && inner.Merge != gather.Merge {
@@ -98,20 +99,20 @@
 	if inner == nil && w.config.Services[i].HTTP == nil {
 		return w.fail(`%q does not speak "http"`, part)
 	}
-	if len(w.reachedThrough) == maxGatherParts {
+	if len(w.queriedBy) == maxGatherParts {
 		return w.fail("it reaches more than %d parts", maxGatherParts)
 	}
 	return true
 }
 
-// fail reports an error of the parts and returns false.
+// fail reports an error for the key parts and returns false.
 func (w *gatherWalk) fail(format string, args ...any) bool {
 	w.table.Errorf("parts", format, args...)
 	return false
 }
 
-// leafServices returns the services with servers that a scatter-gather service reaches over at most depth
-// others. The bound ends the recursion for services that query each other in a cycle.
+// leafServices returns the services with app servers that a scatter-gather service queries, down to depth levels.
+// The bound ends the recursion for services that query each other in a cycle.
 func (c *Config) leafServices(gather *Gather, depth int) (leaves []*Service) {
 	if depth == 0 {
 		return nil
@@ -133,19 +134,19 @@
 
 // checkGatherRoute reports a route whose requests a scatter-gather service can't take: they have to be of
 // a class that is idempotent at every part.
-func (r *reader) checkGatherRoute(t tree.Table, one Route, c *Config, gather *Gather) {
-	if len(one.Upgrade) > 0 {
+func (r *reader) checkGatherRoute(t tree.Table, route Route, c *Config, gather *Gather) {
+	if len(route.Upgrade) > 0 {
 		t.Errorf("upgrade", "not to a service that gathers")
 	}
-	key, class := "as", one.RequestClass
+	key, class := "as", route.RequestClass
 	if class == "" {
 		class = ClassRead
 		key = "service"
-		if one.Method != "" {
+		if route.Method != "" {
 			key = "method"
 		}
-		if one.Method != "" && !protocol.IsSafeMethod(one.Method) {
-			t.Errorf("method", "%s scatters only where the route names a class that is free to repeat (as = ...)", one.Method)
+		if route.Method != "" && !protocol.IsSafeMethod(route.Method) {
+			t.Errorf("method", "%s scatters only where the route names a class that is free to repeat (as = ...)", route.Method)
 			return
 		}
 	}
@@ -159,7 +160,7 @@
 	}
 	for _, service := range c.leafServices(gather, maxGatherDepth) {
 		hasClass := slices.ContainsFunc(service.Settings.Classes, func(k control.Class) bool { return k.Name == class })
-		if !hasClass && service.HTTP != nil { // without HTTP, checkGathers reports the part
+		if !hasClass && service.HTTP != nil { // a part without HTTP is reported by checkGathers
 			t.Errorf(key, "its part %s has no class %q", service.Name, class)
 			return
 		}
--- a/internal/config/guaranteed.go
+++ b/internal/config/guaranteed.go
@@ -6,7 +6,7 @@
 	"lockflow/internal/config/tree"
 )
 
-// dividedResource is a resource of the process of which services have guaranteed parts.
+// dividedResource is a resource of the process that is divided into guaranteed parts of the services.
 type dividedResource struct {
 	key       string
 	total     float64
@@ -15,29 +15,29 @@
 	setPart   func(*Amounts, float64)
 }
 
-// divide reads the parts of services that name one, and gives each of the others an even part of the rest,
-// as if there were one service more: that one's part can only be borrowed.
+// divide reads the parts that services specify and divides the remainder evenly among the other services. It
+// counts one service more than there are, whose part remains free for borrowing.
 func (d *dividedResource) divide(c *Config, services []tree.Table) {
-	left := d.total
-	var unnamed []int
+	remaining := d.total
+	var unspecified []int
 	for i, service := range services {
 		t := service.Sub("guaranteed")
 		if !t.Has(d.key) {
-			unnamed = append(unnamed, i)
+			unspecified = append(unspecified, i)
 			continue
 		}
 		part := d.readPart(t, d.key)
-		if left -= part; left < 0 && left+part >= 0 {
-			t.Errorf(d.key, "the parts named up to here sum to %g, more than the %g that the process has for services", d.total-left, d.total)
+		if remaining -= part; remaining < 0 && remaining+part >= 0 {
+			t.Errorf(d.key, "the parts of the services up to this one sum to %g, more than the %g that the process has for services", d.total-remaining, d.total)
 		}
 		d.setPart(&c.Services[i].Guaranteed, part)
 	}
-	for _, i := range unnamed {
-		even := math.Max(0, left) / float64(len(unnamed)+1)
+	for _, i := range unspecified {
+		evenPart := math.Max(0, remaining) / float64(len(unspecified)+1)
 		if d.isInteger {
-			even = math.Floor(even)
+			evenPart = math.Floor(evenPart)
 		}
-		d.setPart(&c.Services[i].Guaranteed, even)
+		d.setPart(&c.Services[i].Guaranteed, evenPart)
 	}
 }
 
@@ -81,9 +81,9 @@
 	checkBytes(c, services)
 }
 
-// checkTotalRequests bounds the requests in flight by the connections that the services' guaranteed ones
-// leave: each has a connection of its client, and with more of them the clients of other services might
-// have none.
+// checkTotalRequests bounds the requests in flight by the descriptors that the services' guaranteed connections
+// leave. Each request occupies a client connection, so with more requests of one service the clients of others
+// might get no connection.
 func checkTotalRequests(process tree.Table, c *Config) {
 	capacity := c.Process.Total.Descriptors
 	for _, service := range c.Services {
@@ -98,16 +98,17 @@
 	}
 }
 
-// checkBytes reports services whose parts, or the process's bytes, are too few for a single request.
+// checkBytes reports services whose guaranteed part, or the process's total, of bytes is too small for a single
+// request.
 func checkBytes(c *Config, services []tree.Table) {
 	for i, service := range services {
 		t := service.Sub("guaranteed")
-		t.Done()
+		t.ReportUnknownKeys()
 		needed := c.Services[i].maxRequestBytes()
 		if t.Has("bytes") && c.Services[i].Guaranteed.Bytes < needed {
-			t.Errorf("bytes", "it holds no single request: body and answer may have %d", needed)
+			t.Errorf("bytes", "it holds no single request: the bodies of request and response may take %d bytes", needed)
 		} else if needed > c.Process.Total.Bytes {
-			service.Errorf("answer", "body and answer of one request may have %d bytes, more than the %d of the process",
+			service.Errorf("answer", "the bodies of one request and its response may take %d bytes, more than the %d of the process",
 				needed, c.Process.Total.Bytes)
 		}
 	}
--- a/internal/config/plan_test.go
+++ b/internal/config/plan_test.go
@@ -10,10 +10,10 @@
 	"lockflow/internal/route"
 )
 
-// Each change of a file is planned as what it takes, by the key that changed.
+// For each change of a file, the plan has the effect that it requires, under the key that changed.
 func TestCompare(t *testing.T) {
 	for name, tc := range map[string]struct {
-		old, new string // in the good file
+		old, new string // in validFile
 		want     string // effect, key, from, to of each change
 	}{
 		"nothing":           {"", "", ""},
@@ -33,15 +33,15 @@
 		"a route's host":    {"*.docs.example", "*.docs2.example", "applied routes.documents.host *.docs.example *.docs2.example"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			changed := strings.Replace(good, tc.old, tc.new, 1)
-			if tc.old != "" && changed == good {
-				t.Fatal("nothing was changed")
+			changed := strings.Replace(validFile, tc.old, tc.new, 1)
+			if tc.old != "" && changed == validFile {
+				t.Fatal("the file does not contain the text to replace")
 			}
-			a, err := Parse("old", []byte(good))
+			a, err := Parse("old", []byte(validFile))
 			if err != nil {
 				t.Fatal(err)
 			}
-			// A route to the documents stays where the one is taken away.
+			// If the change leaves the service documents without a route, a route to it is added.
 			b, err := Parse("new", []byte(strings.ReplaceAll(changed, "\x00", "")))
 			if err != nil && name == "a route's service" {
 				changed += "\n[[routes]]\nname = \"more\"\nservice = \"documents\"\nhost = \"more.example\"\nas = \"roster-read\"\n"
@@ -56,21 +56,21 @@
 				got = append(got, strings.Join([]string{string(c.Effect), c.What, c.From, c.To}, " "))
 			}
 			if text := strings.Join(got, "; "); text != tc.want {
-				t.Errorf("%s\nnot %s", text, tc.want)
+				t.Errorf("plan %s\nnot %s", text, tc.want)
 			}
 			if n := len(Compare(a, b).Restarts()); n != strings.Count(tc.want, "restart ") {
-				t.Errorf("%d need a restart", n)
+				t.Errorf("%d changes need a restart", n)
 			}
 		})
 	}
 }
 
 func TestCompareServices(t *testing.T) {
-	a, err := Parse("old", []byte(good))
+	a, err := Parse("old", []byte(validFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := Parse("new", []byte(strings.NewReplacer("services.documents", "services.papers", `"documents"`, `"papers"`).Replace(good)))
+	b, err := Parse("new", []byte(strings.NewReplacer("services.documents", "services.papers", `"documents"`, `"papers"`).Replace(validFile)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,7 +80,7 @@
 	}
 	want := map[string]Effect{"services.papers": Started, "services.documents": Ended, "routes.documents": Applied, "routes.papers": Applied}
 	if len(got) != len(want) {
-		t.Errorf("%v", got)
+		t.Errorf("effects %v", got)
 	}
 	for k, e := range want {
 		if got[k] != e {
@@ -89,22 +89,22 @@
 	}
 }
 
-// Every field that a plan compares says its key: a rename of the field changes no plan.
-func TestPlanKeysAreWritten(t *testing.T) {
+// Every field that plans compare has its key in a tag, so that renaming the field does not change plans.
+func TestComparedFieldsHavePlanKeys(t *testing.T) {
 	seen := make(map[reflect.Type]bool)
-	var walk func(of reflect.Type)
-	walk = func(of reflect.Type) {
+	var walk func(typ reflect.Type)
+	walk = func(typ reflect.Type) {
 		switch {
-		case seen[of]:
-		case of.Kind() == reflect.Slice && haveNames(of):
-			walk(of.Elem())
-		case of.Kind() == reflect.Struct:
-			seen[of] = true
-			for i := range of.NumField() {
-				f := of.Field(i)
+		case seen[typ]:
+		case typ.Kind() == reflect.Slice && haveNamedItems(typ):
+			walk(typ.Elem())
+		case typ.Kind() == reflect.Struct:
+			seen[typ] = true
+			for i := range typ.NumField() {
+				f := typ.Field(i)
 				key := f.Tag.Get(keyTag)
 				if key == "" && !f.Anonymous {
-					t.Errorf("%v.%s has no key in a %s tag", of, f.Name, keyTag)
+					t.Errorf("%v.%s has no key in a %s tag", typ, f.Name, keyTag)
 				}
 				if key != noKey {
 					walk(f.Type)
@@ -117,7 +117,7 @@
 	}
 	for _, nested := range []any{Amounts{}, control.Settings{}, control.Class{}, control.Plan{}, quotalease.Rules{}, route.Rule{}, GatherPart{}} {
 		if !seen[reflect.TypeOf(nested)] {
-			t.Errorf("%T was not reached", nested)
+			t.Errorf("no field of type %T is compared", nested)
 		}
 	}
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -38,8 +38,8 @@
 	return c, nil
 }
 
-// platformFile is the platform's file. Its keys are in lower case; they are read in any case, and errors
-// name them as the tags do.
+// platformFile is the content of the platform's file. The file has its keys in lower case; decoding ignores
+// their case, and its errors name them as the tags do.
 type platformFile struct {
 	Name      string `json:"Name"`
 	Listen    string `json:"Listen"`
@@ -54,7 +54,7 @@
 	Settings json.RawMessage `json:"Settings"`
 }
 
-// validate returns an error for addresses and limits that can't be used. A limit that is missing is none.
+// validate returns an error for invalid addresses and limits. A missing limit means no limit.
 func (f *platformFile) validate() error {
 	if f.Listen == "" || f.Discovery == "" {
 		return errors.New("listen and discovery must both be given")
@@ -65,10 +65,10 @@
 		}
 	}
 	if sockets := f.Limits.Sockets; sockets != 0 && sockets < limits.MinDescriptors {
-		return fmt.Errorf("limits.sockets: %g leaves no room for connections; %d is the least", sockets, limits.MinDescriptors)
+		return fmt.Errorf("limits.sockets: %g leaves no descriptors for connections; the minimum is %d", sockets, limits.MinDescriptors)
 	}
 	if f.Limits.MemoryMB < 0 || f.Limits.Cores < 0 {
-		return fmt.Errorf("limits: cores and memory_mb: %v and %v, of which one is negative", f.Limits.Cores, f.Limits.MemoryMB)
+		return fmt.Errorf("limits: cores and memory_mb: neither of %v and %v may be negative", f.Limits.Cores, f.Limits.MemoryMB)
 	}
 	return nil
 }
@@ -102,7 +102,7 @@
 
 // service returns the one service of the platform's file.
 func (f *platformFile) service() (Service, error) {
-	s := Service{
+	result := Service{
 		Source:           discovery.Source{Address: f.Discovery},
 		Required:         true,
 		MaxBodyBytes:     protocol.MaxBodyBytes,
@@ -110,28 +110,28 @@
 		Known:            f.knownEndpoints(),
 	}
 	var err error
-	if s.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return s, fmt.Errorf("seed: %w", err)
+	if result.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
+		return result, fmt.Errorf("seed: %w", err)
 	}
 	paths, err := flatten(f.Settings)
 	if err != nil {
-		return s, fmt.Errorf("settings: %w", err)
+		return result, fmt.Errorf("settings: %w", err)
 	}
-	if s.Settings, err = wire.Settings(paths); err != nil {
-		return s, fmt.Errorf("settings: %w", err)
+	if result.Settings, err = wire.Settings(paths); err != nil {
+		return result, fmt.Errorf("settings: %w", err)
 	}
-	// Lists that are pushed come from an agent of this node alone; a service that has to be polled is shared.
-	s.Source.IsOwnAgent = !s.Settings.ListOnRequest
-	s.Settings.ListOnRequest = false // over sockets the list is always watched
-	if s.Keepalive, err = milliseconds(paths, "limits.keepalive", defaultPlatformKeepalive); err != nil {
-		return s, err
+	// A discovery service that pushes its list is an agent of this node alone; one that is polled is shared.
+	result.Source.IsOwnAgent = !result.Settings.ListOnRequest
+	result.Settings.ListOnRequest = false // over sockets the process always watches the list: the module need not request it
+	if result.Keepalive, err = milliseconds(paths, "limits.keepalive", defaultPlatformKeepalive); err != nil {
+		return result, err
 	}
-	s.ConnectTimeout, err = milliseconds(paths, "limits.connect-timeout", defaultPlatformConnectTimeout)
-	return s, err
+	result.ConnectTimeout, err = milliseconds(paths, "limits.connect-timeout", defaultPlatformConnectTimeout)
+	return result, err
 }
 
-// knownEndpoints returns the endpoint list to begin with. An invalid one does not prevent the start, as
-// discovery sends the list anyway.
+// knownEndpoints returns the initial endpoint list. An invalid one does not prevent the start, since discovery
+// sends the list anyway.
 func (f *platformFile) knownEndpoints() (known discovery.EndpointList) {
 	if len(f.Known) == 0 {
 		return known
@@ -142,15 +142,15 @@
 	return known
 }
 
-// CheckAddress returns an error for an address that can't be connected to or listened on. The port has to
-// be a number: without name service there are no named ones.
+// CheckAddress returns an error for an address that can't be connected to or listened on. The port has to be
+// numeric, since there is no name service to look up named ports.
 func CheckAddress(address string) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
 		return err
 	}
 	if _, err := strconv.ParseUint(port, 10, 16); err != nil {
-		return fmt.Errorf("%q: the port is no number below 65536", address)
+		return fmt.Errorf("%q: the port is not a number from 0 to 65535", address)
 	}
 	if _, err := url.Parse("http://" + address); err != nil {
 		return fmt.Errorf("%q: %q is no host", address, host)
@@ -161,15 +161,15 @@
 // maxMilliseconds is the exclusive bound of a duration in the platform's settings.
 const maxMilliseconds = 1e9
 
-// milliseconds returns a duration among the settings that package control does not read.
-func milliseconds(paths map[string]string, path string, missing time.Duration) (time.Duration, error) {
+// milliseconds returns one of the durations that are not part of control.Settings.
+func milliseconds(paths map[string]string, path string, fallback time.Duration) (time.Duration, error) {
 	text, ok := paths[path]
 	if !ok {
-		return missing, nil
+		return fallback, nil
 	}
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(v > 0 && v < maxMilliseconds) {
-		return 0, fmt.Errorf("settings: %s: %q is no span in milliseconds", path, text)
+		return 0, fmt.Errorf("settings: %s: %q is not a positive duration in milliseconds", path, text)
 	}
 	return time.Duration(v * float64(time.Millisecond)), nil
 }
@@ -179,12 +179,12 @@
 func flatten(raw json.RawMessage) (map[string]string, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
-	var tree map[string]any
-	if err := decoder.Decode(&tree); err != nil {
+	var document map[string]any
+	if err := decoder.Decode(&document); err != nil {
 		return nil, err
 	}
 	paths := make(map[string]string)
-	flattenInto(paths, "", tree)
+	flattenInto(paths, "", document)
 	return paths, nil
 }
 
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -10,16 +10,16 @@
 	"lockflow/control"
 )
 
-func TestConfig(t *testing.T) {
+func TestPlatformFile(t *testing.T) {
 	c, err := LoadPlatform("testdata/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	one := c.Services[0]
-	s := one.Settings
-	if one.Seed != 0x8c1f30d27a5be964 || c.Process.Descriptors != 1024 || c.Process.MemoryMB != 192 || one.Known.Revision != 7 ||
-		one.Keepalive != 15*time.Second || one.ConnectTimeout != 250*time.Millisecond || c.Process.Shared || c.Routes != nil {
-		t.Errorf("%+v", c)
+	service := c.Services[0]
+	s := service.Settings
+	if service.Seed != 0x8c1f30d27a5be964 || c.Process.Descriptors != 1024 || c.Process.MemoryMB != 192 || service.Known.Revision != 7 ||
+		service.Keepalive != 15*time.Second || service.ConnectTimeout != 250*time.Millisecond || c.Process.Shared || c.Routes != nil {
+		t.Errorf("configuration %+v", c)
 	}
 	if s.GroupSize != 2 || !s.UnitsInResponse || !s.RetriesAreMarked || s.MaxAttempts != 6 || s.WarmupTime != 15*time.Second ||
 		len(s.Classes) != 2 || len(s.Plans) != 2 {
@@ -33,105 +33,105 @@
 	}
 }
 
-// Whether lists are pushed tells whose discovery it is: an agent of the node's own, or one that all share.
-func TestWhoseDiscovery(t *testing.T) {
+// A discovery service that pushes its lists is the node's own agent; one that is polled is shared by all nodes.
+func TestDiscoveryModeSelectsOwnAgent(t *testing.T) {
 	raw, err := os.ReadFile("testdata/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for mode, agent := range map[string]bool{"pushed": true, "on_request": false} {
+	for mode, isOwnAgent := range map[string]bool{"pushed": true, "on_request": false} {
 		c, err := ParsePlatform([]byte(strings.NewReplacer(`"discovery": "pushed"`, `"discovery": "`+mode+`"`).Replace(string(raw))))
-		if err != nil || c.Services[0].Source.IsOwnAgent != agent {
-			t.Errorf("%s: %+v, %v", mode, c.Services[0].Source, err)
+		if err != nil || c.Services[0].Source.IsOwnAgent != isOwnAgent {
+			t.Errorf("discovery %s: source %+v, %v", mode, c.Services[0].Source, err)
 		}
 	}
 }
 
-// A list from before that can't be used, or not all of it, is no reason not to start.
-func TestOddKnownListIsNoFailedStart(t *testing.T) {
+// A known endpoint list that is partly or wholly invalid does not prevent the start.
+func TestInvalidKnownEndpointsDoNotPreventStart(t *testing.T) {
 	raw, err := os.ReadFile("testdata/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	const good = `{"uid": "s-1", "endpoint": "127.0.0.1:9", "state": "up"}`
+	const validEndpoint = `{"uid": "s-1", "endpoint": "127.0.0.1:9", "state": "up"}`
 	for name, tc := range map[string]struct {
-		known     string
-		used, odd int
+		known          string
+		valid, invalid int
 	}{
-		"all good":    {`{"rev": 7, "targets": [` + good + `]}`, 1, 0},
-		"some odd":    {`{"rev": 7, "targets": [{"state": "up"}, ` + good + `, null, 5, {"uid": "s-2", "endpoint": "here", "state": "up"}]}`, 1, 4},
-		"no object":   {`"none"`, 0, 1},
-		"no list":     {`{"rev": 7, "targets": {}}`, 0, 1},
-		"all odd":     {`{"rev": 7, "all": true, "targets": [{"uid": 5}]}`, 0, 1},
-		"null":        {`null`, 0, 0},
-		"version odd": {`{"rev": "x", "targets": [` + good + `]}`, 0, 1},
+		"all valid":        {`{"rev": 7, "targets": [` + validEndpoint + `]}`, 1, 0},
+		"some invalid":     {`{"rev": 7, "targets": [{"state": "up"}, ` + validEndpoint + `, null, 5, {"uid": "s-2", "endpoint": "here", "state": "up"}]}`, 1, 4},
+		"no object":        {`"none"`, 0, 1},
+		"no list":          {`{"rev": 7, "targets": {}}`, 0, 1},
+		"all invalid":      {`{"rev": 7, "all": true, "targets": [{"uid": 5}]}`, 0, 1},
+		"null":             {`null`, 0, 0},
+		"invalid revision": {`{"rev": "x", "targets": [` + validEndpoint + `]}`, 0, 1},
 	} {
 		text := strings.Replace(string(raw), `"known"`, `"known": `+tc.known+`, "before"`, 1)
 		c, err := ParsePlatform([]byte(text))
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
-		} else if k := c.Services[0].Known; len(k.Endpoints) != tc.used || k.Invalid.Count != tc.odd {
-			t.Errorf("%s: %+v", name, k)
+		} else if k := c.Services[0].Known; len(k.Endpoints) != tc.valid || k.Invalid.Count != tc.invalid {
+			t.Errorf("%s: known endpoints %+v", name, k)
 		}
 	}
 }
 
-func TestBadConfigIsNamed(t *testing.T) {
-	good, err := os.ReadFile("testdata/config.json")
+func TestInvalidPlatformFileErrors(t *testing.T) {
+	valid, err := os.ReadFile("testdata/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, tc := range map[string]struct{ old, new, tells string }{
-		"not JSON":     {`{"name"`, `{name`, "invalid"},
-		"no address":   {`"127.0.0.1:0"`, `""`, "listen"},
-		"no port":      {`"127.0.0.1:1"`, `"127.0.0.1"`, "discovery"},
-		"odd seed":     {"8c1f30d27a5be964", "xyz", "seed"},
-		"odd figure":   {`"aim": 2000.0`, `"aim": "soon"`, "aim"},
-		"odd effect":   {`"guarded"`, `"maybe"`, "effect"},
-		"odd span":     {`"keepalive": 15000.0`, `"keepalive": -1`, "keepalive"},
-		"no settings":  {`"settings"`, `"unsettled"`, "settings"},
-		"port a word":  {`"127.0.0.1:1"`, `"127.0.0.1:watch"`, "discovery: "},
-		"port too big": {`"127.0.0.1:0"`, `"127.0.0.1:65536"`, "listen: "},
-		"odd host":     {`"127.0.0.1:1"`, `"127.0. 0.1:1"`, "discovery: "},
-		"no sockets":   {`"sockets": 1024`, `"sockets": 25`, "limits.sockets"},
-		"odd memory":   {`"memory_mb": 192`, `"memory_mb": -1`, "memory_mb"},
-		"wrong nature": {`"cores": 1.0`, `"cores": "many"`, "Cores"},
+	for name, tc := range map[string]struct{ old, new, wantError string }{
+		"not JSON":         {`{"name"`, `{name`, "invalid"},
+		"no address":       {`"127.0.0.1:0"`, `""`, "listen"},
+		"no port":          {`"127.0.0.1:1"`, `"127.0.0.1"`, "discovery"},
+		"invalid seed":     {"8c1f30d27a5be964", "xyz", "seed"},
+		"invalid number":   {`"aim": 2000.0`, `"aim": "soon"`, "aim"},
+		"invalid effect":   {`"guarded"`, `"maybe"`, "effect"},
+		"invalid duration": {`"keepalive": 15000.0`, `"keepalive": -1`, "keepalive"},
+		"no settings":      {`"settings"`, `"unsettled"`, "settings"},
+		"named port":       {`"127.0.0.1:1"`, `"127.0.0.1:watch"`, "discovery: "},
+		"port too large":   {`"127.0.0.1:0"`, `"127.0.0.1:65536"`, "listen: "},
+		"invalid host":     {`"127.0.0.1:1"`, `"127.0. 0.1:1"`, "discovery: "},
+		"too few sockets":  {`"sockets": 1024`, `"sockets": 25`, "limits.sockets"},
+		"invalid memory":   {`"memory_mb": 192`, `"memory_mb": -1`, "memory_mb"},
+		"wrong type":       {`"cores": 1.0`, `"cores": "many"`, "Cores"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "config.json")
-			if err := os.WriteFile(path, []byte(strings.Replace(string(good), tc.old, tc.new, 1)), 0o600); err != nil {
+			if err := os.WriteFile(path, []byte(strings.Replace(string(valid), tc.old, tc.new, 1)), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if _, err := LoadPlatform(path); err == nil || !strings.Contains(err.Error(), tc.tells) {
-				t.Errorf("%v does not tell %q", err, tc.tells)
+			if _, err := LoadPlatform(path); err == nil || !strings.Contains(err.Error(), tc.wantError) {
+				t.Errorf("%v does not contain %q", err, tc.wantError)
 			}
 		})
 	}
 	if _, err := LoadPlatform(filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("a missing file was taken")
+		t.Error("a missing file was accepted")
 	}
 }
 
-// FuzzPlatform: what is read can be served by, and what can't is one line.
+// FuzzPlatform checks that a configuration that is accepted can be served, and that an error is a single line.
 func FuzzPlatform(f *testing.F) {
-	good, err := os.ReadFile("testdata/config.json")
+	valid, err := os.ReadFile("testdata/config.json")
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(good)
+	f.Add(valid)
 	f.Add([]byte(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{"group-size":1,"classes":[{"effect":"free","aim":1,"deadline":"1"}],"tariffs":[null]}}`))
 	f.Add([]byte(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{"classes":{"count":2},"classes.count":1e9}}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		c, err := ParsePlatform(raw)
 		if err != nil {
 			if strings.Contains(err.Error(), "\n") {
-				t.Errorf("more than a line: %q", err)
+				t.Errorf("error of more than one line: %q", err)
 			}
 			return
 		}
 		m, err := control.New(c.Services[0].Settings, 1)
 		if err != nil {
-			return // the module names it
+			return // settings that only the module rejects
 		}
 		for _, k := range c.Services[0].Settings.Classes {
 			m.Handle(0, control.Request{ID: "a", Class: k.Name, Plan: c.Services[0].Settings.Plans[0].Name, Units: 1, FanOut: 1, Timeout: k.Deadline})
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -14,7 +14,7 @@
 	"lockflow/internal/upstream"
 )
 
-// protocols are those of a service's clients; the first is the default of a file.
+// protocols are the protocols that a service's clients can use; the first one is the default.
 var protocols = []string{protocolGenericHTTP, "platform"}
 
 const protocolGenericHTTP = "http"
@@ -51,8 +51,8 @@
 	}
 	s.Source = r.readSource(t)
 	s.Record = readRecord(t, name)
-	t.Sub("guaranteed") // read by divideResources once all services are known
-	t.Done()
+	t.Sub("guaranteed") // marked as read; divideResources reads it once all services are known
+	t.ReportUnknownKeys()
 	return s
 }
 
@@ -64,7 +64,7 @@
 	return protocols[r.defaultProtocol]
 }
 
-// readSettings reads the settings of the deciding module, without classes and plans.
+// readSettings reads the settings of the decision module, without classes and plans.
 func (r *reader) readSettings(t tree.Table) control.Settings {
 	settings := control.Settings{
 		SelfIndex:        r.groupIndex,
@@ -94,13 +94,13 @@
 		t.Errorf("dir", "it has to be said where the recordings go")
 	}
 	if record.Dir != "" && strings.ContainsAny(name, "/\\*?[") {
-		t.Errorf("dir", "the service's name %q can't begin a file's", name)
+		t.Errorf("dir", "the service's name %q can't be the start of a file's name", name)
 	}
-	t.Done()
+	t.ReportUnknownKeys()
 	return record
 }
 
-// readServers reads how a service's app servers are connected to.
+// readServers reads the settings for connections to a service's app servers.
 func readServers(t tree.Table) Servers {
 	servers := Servers{
 		Protocol:           upstream.Protocol(t.OneOf("protocol", discovery.Protocols...)),
@@ -112,7 +112,7 @@
 	if t.Has("tls") {
 		servers.TLS = readTLS(t.Sub("tls"))
 	}
-	t.Done()
+	t.ReportUnknownKeys()
 	return servers
 }
 
@@ -127,12 +127,12 @@
 	if (options.Cert == "") != (options.Key == "") {
 		t.Errorf("cert", "a certificate needs its key, and a key its certificate")
 	}
-	t.Done()
+	t.ReportUnknownKeys()
 	return options
 }
 
-// readNames reads which of the file's classes or plans a service has. The default is all of them;
-// mayBeNone tells whether the file may have none.
+// readNames reads which of the file's classes or plans a service has; the default is all of them. mayBeNone
+// allows a file without any.
 func (r *reader) readNames(t tree.Table, key string, all []string, mayBeNone bool) []string {
 	if !t.Has(key) {
 		if len(all) == 0 && !mayBeNone {
@@ -140,7 +140,7 @@
 		}
 		return all
 	}
-	names := t.Texts(key)
+	names := t.Strings(key)
 	if len(names) == 0 {
 		t.Errorf(key, "there is none")
 	}
--- a/internal/config/tree/merge.go
+++ b/internal/config/tree/merge.go
@@ -8,17 +8,17 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// RemovedKeys is the key of a change with the list of the dotted keys that it removes from the base. A table
-// of a list whose items have names is removed by the list's key and its name.
+// RemovedKeys is the key under which a change lists the dotted keys to remove from the base. A table in a list
+// of named tables is given by the list's key and the table's name, such as "routes.old".
 const RemovedKeys = "without"
 
-// MergeOver returns the base with a change applied to it, as one document. Tables are merged by key. In the
-// lists of the top level whose keys are in named, a table of the change replaces the one of its name, or is
-// appended. Any other value of the change replaces the base's. Each value keeps its file and line, and no
-// key counts as read. Neither document is changed.
+// MergeOver returns the base with the change t applied to it, as one document. Tables are merged by key. In the
+// top-level lists whose keys are in named, a table of the change replaces the base's table with the same name,
+// or is appended if there is none. Any other value of the change replaces the base's. Values keep their file
+// and line, and all keys are marked as unread. Neither document is modified.
 func (t Table) MergeOver(base Table, named ...string) Table {
 	root := base.node.clone()
-	for _, key := range t.Texts(RemovedKeys) {
+	for _, key := range t.Strings(RemovedKeys) {
 		if !remove(root, key, named) {
 			t.Errorf(RemovedKeys, "%q is not in the base", key)
 		}
@@ -26,10 +26,10 @@
 	change := t.node.clone()
 	delete(change.table, RemovedKeys)
 	for _, key := range named {
-		c, b := change.table[key], root.table[key]
-		areLists := c != nil && b != nil && c.isList && b.isList
+		changed, inBase := change.table[key], root.table[key]
+		areLists := changed != nil && inBase != nil && changed.isList && inBase.isList
 		if areLists {
-			b.array = mergeByName(b.array, c.array)
+			inBase.array = mergeByName(inBase.array, changed.array)
 			delete(change.table, key)
 		}
 	}
@@ -39,8 +39,8 @@
 
 func (n *Node) clone() *Node {
 	c := *n
-	c.read = false
-	c.merged = true
+	c.isRead = false
+	c.isMerged = true
 	c.array = nil
 	c.table = nil
 	for _, item := range n.array {
@@ -48,55 +48,55 @@
 	}
 	if n.table != nil {
 		c.table = make(map[string]*Node, len(n.table))
-		for key, in := range n.table {
-			c.table[key] = in.clone()
+		for key, child := range n.table {
+			c.table[key] = child.clone()
 		}
 	}
 	return &c
 }
 
-// remove removes a dotted key and tells whether it was there.
+// remove removes a dotted key and reports whether it was present.
 func remove(root *Node, key string, named []string) bool {
 	first, rest, _ := strings.Cut(key, ".")
-	if in := root.table[first]; in != nil && slices.Contains(named, first) {
-		i := slices.IndexFunc(in.array, func(n *Node) bool { return n.name() == rest })
+	if list := root.table[first]; list != nil && slices.Contains(named, first) {
+		i := slices.IndexFunc(list.array, func(n *Node) bool { return n.name() == rest })
 		if rest == "" || i < 0 {
 			return false
 		}
-		in.array = slices.Delete(in.array, i, i+1)
+		list.array = slices.Delete(list.array, i, i+1)
 		return true
 	}
-	at, last := root, first
+	node, last := root, first
 	for rest != "" {
-		if at = at.table[last]; at == nil || at.table == nil {
+		if node = node.table[last]; node == nil || node.table == nil {
 			return false
 		}
 		last, rest, _ = strings.Cut(rest, ".")
 	}
-	if at.table[last] == nil {
+	if node.table[last] == nil {
 		return false
 	}
-	delete(at.table, last)
+	delete(node.table, last)
 	return true
 }
 
 func (n *Node) name() string {
-	if in := n.table["name"]; in != nil {
-		s, _ := in.value.(string)
+	if nameNode := n.table["name"]; nameNode != nil {
+		s, _ := nameNode.value.(string)
 		return s
 	}
 	return ""
 }
 
 func mergeByName(base, change []*Node) []*Node {
-	place := make(map[string]int, len(base))
+	indexByName := make(map[string]int, len(base))
 	for i, n := range base {
 		if name := n.name(); name != "" {
-			place[name] = i
+			indexByName[name] = i
 		}
 	}
 	for _, n := range change {
-		if i, ok := place[n.name()]; ok {
+		if i, ok := indexByName[n.name()]; ok {
 			base[i] = n
 		} else {
 			base = append(base, n)
@@ -125,13 +125,13 @@
 	return raw, nil
 }
 
-// plainValue returns the node as the type that the TOML library encodes.
+// plainValue returns the node's value in a type that the TOML library can encode.
 func (n *Node) plainValue() any {
 	switch {
 	case n.table != nil:
 		m := make(map[string]any, len(n.table))
-		for key, in := range n.table {
-			m[key] = in.plainValue()
+		for key, child := range n.table {
+			m[key] = child.plainValue()
 		}
 		return m
 	case n.isList:
@@ -141,7 +141,7 @@
 		}
 		return all
 	case n.value == unsupported{}:
-		return "" // no key has a time: reading has recorded an error
+		return "" // no key accepts a time, so reading it has recorded an error
 	}
 	return n.value
 }
--- a/internal/customer/plan_file.go
+++ b/internal/customer/plan_file.go
@@ -17,16 +17,16 @@
 const (
 	maxFileBytes = 64 << 20
 	maxNames     = 2_000_000
-	pollInterval = time.Second // between two looks at the file
+	pollInterval = time.Second // between checks of the file for changes
 )
 
-// secretMark begins a name in the file that stands for the hash of what follows.
-const secretMark = "secret:"
+// secretPrefix is the prefix of a name in the file that stands for the hash of the rest of the name.
+const secretPrefix = "secret:"
 
 // Errors of a line of the file.
 var (
-	errNameLength    = errors.New("a name of no bytes, or of too many")
-	errDuplicateName = errors.New("a name that is given twice")
+	errNameLength    = errors.New("the name is empty or too long")
+	errDuplicateName = errors.New("the name is given twice")
 )
 
 // planOf returns the plan that the file in force assigns to a customer.
@@ -40,13 +40,13 @@
 }
 
 // ParseFile parses lines "NAME,PLAN" (RFC 4180; a line that begins with # is a comment) into plans by name.
-// A name that begins with "secret:" stands for the hash of what follows, see Identifier.IsSecret. isPlan
-// reports whether the service has a plan. path is for errors, which name the file and the line.
+// A name that begins with "secret:" stands for the hash of the rest, see Identifier.IsSecret. isPlan reports
+// whether the service has a plan. Errors name the file by path, and the line.
 func ParseFile(path string, in io.Reader, isPlan func(string) bool) (map[string]string, error) {
 	records := csv.NewReader(in)
 	records.FieldsPerRecord, records.Comment, records.TrimLeadingSpace, records.ReuseRecord = 2, '#', true, true
 	plansByName := make(map[string]string)
-	plans := make(map[string]string) // shares one copy of each plan's name
+	internedPlans := make(map[string]string) // shares one copy of each plan's name
 	for {
 		record, err := records.Read()
 		if errors.Is(err, io.EOF) {
@@ -60,14 +60,14 @@
 			line, _ := records.FieldPos(0)
 			return nil, fmt.Errorf("%s:%d: %w", path, line, err)
 		}
-		if _, ok := plans[plan]; !ok {
-			plans[plan] = strings.Clone(plan)
+		if _, ok := internedPlans[plan]; !ok {
+			internedPlans[plan] = strings.Clone(plan)
 		}
-		plansByName[strings.Clone(name)] = plans[plan] // a record's strings share the memory of its line
+		plansByName[strings.Clone(name)] = internedPlans[plan] // a record's strings share the memory of its line
 	}
 }
 
-// checkRecord checks a line against the service's plans and the lines before it.
+// checkRecord checks a line against the service's plans and the preceding lines.
 func checkRecord(name, plan string, plansByName map[string]string, isPlan func(string) bool) error {
 	_, isDuplicate := plansByName[name]
 	switch {
@@ -78,21 +78,21 @@
 	case !isPlan(plan):
 		return fmt.Errorf("%q is no plan of the service", plan)
 	case len(plansByName) >= maxNames:
-		return fmt.Errorf("more than %d names", maxNames)
+		return fmt.Errorf("the file has more than %d names", maxNames)
 	}
 	return nil
 }
 
 // customerName returns the customer's name for a name in the file.
 func customerName(name string) string {
-	if secret, ok := strings.CutPrefix(name, secretMark); ok && secret != "" {
+	if secret, ok := strings.CutPrefix(name, secretPrefix); ok && secret != "" {
 		return HashedName(secret)
 	}
 	return name
 }
 
-// Load loads the file, if there is one, and puts it in force. After an error the previous one stays in
-// force. isPlan reports whether the service has a plan.
+// Load loads the file, if there is one, and puts it in force. On an error the previous one stays in force.
+// isPlan reports whether the service has a plan.
 func (d *Directory) Load(isPlan func(string) bool) error {
 	if d.File == "" {
 		return nil
@@ -105,16 +105,16 @@
 	info, err := f.Stat()
 	d.loadedFile = info
 	if err == nil && info.Size() > maxFileBytes {
-		err = fmt.Errorf("%s: %d bytes are more than %d", d.File, info.Size(), maxFileBytes)
+		err = fmt.Errorf("%s: %d bytes are more than the %d allowed", d.File, info.Size(), maxFileBytes)
 	}
-	var all map[string]string
+	var loadedPlans map[string]string
 	if err == nil {
-		all, err = ParseFile(d.File, f, isPlan)
+		loadedPlans, err = ParseFile(d.File, f, isPlan)
 	}
 	if err != nil {
 		return fmt.Errorf("reading the customers: %w", err)
 	}
-	d.plans.Store(&all)
+	d.plans.Store(&loadedPlans)
 	return nil
 }
 
@@ -139,6 +139,6 @@
 		}
 		return err
 	}, func(err error) {
-		slog.Warn("reloading the customer file failed: the previous one stays in force", "err", err)
+		slog.Warn("reloading the customer file failed; the previous version stays in force", "err", err)
 	})
 }
--- a/internal/fleetfile/fleetfile.go
+++ b/internal/fleetfile/fleetfile.go
@@ -28,10 +28,10 @@
 	maxSocketPath = 107 // sun_path of unix(7) without its terminating zero
 )
 
-// routesKey is the list whose items a change merges by name, and does not replace.
+// routesKey is the key of the list whose items a change merges by name instead of replacing the list.
 const routesKey = "routes"
 
-// File is a fleet file with the configurations that it names. It does not change after it is read.
+// File is a fleet file with the configurations that it names. It is not modified after it is read.
 type File struct {
 	Path    string
 	All     []Region // by name
@@ -41,17 +41,17 @@
 // Region is one region.
 type Region struct {
 	Name      string
-	Listeners []string // host:port by which other regions reach it; by default those of its configuration
-	Instances int      // group size that its members assume; 0 is that of its configuration
+	Listeners []string // host:port at which other regions reach it; by default those of its configuration
+	Instances int      // group size that its members assume; 0 stands for that of its configuration
 	Members   []Member // in the file's order
 	Config    config.Config
 	Text      []byte // complete configuration of its members
 	Hash      string // SHA-256 of Text in hex
 
-	origins []origin // of the routes, by index
+	origins []origin // of Config.Routes, by index
 }
 
-// origin is the place of a route.
+// origin is the location of a route's definition.
 type origin struct {
 	isBase bool // in the base, which regions share
 	line   int
@@ -64,7 +64,7 @@
 }
 
 // Load reads the file at path and the files that it names, whose paths are relative to it. An error is a
-// config.FieldErrors with all that is wrong.
+// config.FieldErrors with all errors found.
 func Load(path string) (File, error) {
 	raw, err := readFile(path)
 	if err != nil {
@@ -79,15 +79,15 @@
 		return nil, err
 	}
 	defer f.Close()                                           //nolint:errcheck // only read
-	raw, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1)) // also of a pipe, which has no size
+	raw, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1)) // limited while reading, as a pipe has no size
 	if err == nil && len(raw) > maxFileBytes {
 		err = fmt.Errorf("reading %s: more than %d bytes", path, maxFileBytes)
 	}
 	return raw, err
 }
 
-// Parse reads a fleet file's text. path is its place in errors, and read returns the files that it names. Errors are as
-// those of Load.
+// Parse reads a fleet file's text. path names it in errors, and read returns the contents of the files that it names.
+// Errors are the same as those of Load.
 func Parse(path string, raw []byte, read func(path string) ([]byte, error)) (File, error) {
 	var t tree.Reading
 	root, ok := t.Parse(path, raw)
@@ -112,22 +112,22 @@
 	case len(names) == 0:
 		root.Errorf("regions", "there is none")
 	case len(names) > maxRegions:
-		root.Errorf("regions", "%d are more than %d", len(names), maxRegions)
+		root.Errorf("regions", "%d regions are more than the %d allowed", len(names), maxRegions)
 		return File{}, t.Err()
 	}
 	isBaseUsed := false
 	for i, name := range names {
-		if !validName(name) {
+		if !isValidName(name) {
 			tables[i].Errorf("", "%q is no name: letters, digits, '-' and '_', at most %d", name, maxNameBytes)
 		}
 		isBaseUsed = isBaseUsed || !tables[i].Has("config")
 		f.All = append(f.All, r.readRegion(name, tables[i], root.Has("base"), base, hasBase))
 	}
 	if root.Has("base") && !isBaseUsed && len(names) > 0 {
-		root.Errorf("base", "every region has a config of its own: nothing stands on it")
+		root.Errorf("base", "every region has a config of its own: the base is not used")
 	}
 	f.Waivers = readWaivers(root, names)
-	root.Done()
+	root.ReportUnknownKeys()
 	slices.SortFunc(f.All, func(a, b Region) int { return strings.Compare(a.Name, b.Name) })
 	if err := t.Err(); err != nil {
 		return File{}, err
@@ -156,21 +156,21 @@
 func (r *reader) readFile(t tree.Table, key string) (path string, raw []byte, ok bool) {
 	path = t.String(key, "")
 	if path == "" {
-		t.Errorf(key, "it has to name a file")
+		t.Errorf(key, "it has to be the path of a file")
 		return "", nil, false
 	}
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(r.dir, path)
 	}
-	got, known := r.files[path]
-	if !known {
-		got.raw, got.err = r.read(path)
-		r.files[path] = got
+	file, isRead := r.files[path]
+	if !isRead {
+		file.raw, file.err = r.read(path)
+		r.files[path] = file
 	}
-	if got.err != nil {
-		t.Errorf(key, "%v", got.err)
+	if file.err != nil {
+		t.Errorf(key, "%v", file.err)
 	}
-	return path, got.raw, got.err == nil
+	return path, file.raw, file.err == nil
 }
 
 // readDocument reads and parses the file that a key names.
@@ -182,71 +182,71 @@
 	return r.tree.Parse(path, raw)
 }
 
-// readRegion reads one region. hasBaseKey tells whether the file names a base, hasBase whether it could be read.
+// readRegion reads one region. hasBaseKey means that the file names a base, and hasBase that it could be read.
 func (r *reader) readRegion(name string, t tree.Table, hasBaseKey bool, base tree.Table, hasBase bool) Region {
-	one := Region{Name: name, Listeners: t.Texts("listeners"), Instances: int(t.Integer("instances", 0, 1, 1<<20))}
-	for _, l := range one.Listeners {
+	region := Region{Name: name, Listeners: t.Strings("listeners"), Instances: int(t.Integer("instances", 0, 1, 1<<20))}
+	for _, l := range region.Listeners {
 		if host, port, err := net.SplitHostPort(l); err != nil || host == "" || port == "" {
 			t.Errorf("listeners", "%q is no host:port", l)
 		}
 	}
-	r.readMembers(name, t, &one)
+	r.readMembers(name, t, &region)
 	hasConfig := t.Has("config")
 	hasChange := t.Has("change")
 	switch {
 	case hasConfig && hasChange:
-		t.Errorf("change", "not beside config: that is a whole configuration")
+		t.Errorf("change", "not beside config, which is a complete configuration")
 		t.Value("config")
 		t.Value("change")
 	case hasConfig:
 		if path, raw, ok := r.readFile(t, "config"); ok {
 			if doc, ok := r.tree.Parse(path, raw); ok {
-				one.Text = raw
-				one.readConfig(doc, "")
+				region.Text = raw
+				region.readConfig(doc, "")
 			}
 		}
 	case !hasBaseKey && hasChange:
-		t.Errorf("change", "there is no base that it could change")
+		t.Errorf("change", "there is no base to apply it to")
 		t.Value("change")
 	case !hasBaseKey:
-		t.Errorf("config", "it has to be said what its members run")
+		t.Errorf("config", "it has to be said what its members run: neither a config nor a base is given")
 	case !hasChange && hasBase:
-		one.setMerged(t, base.MergeOver(base.Empty(), routesKey), base)
+		region.setMerged(t, base.MergeOver(base.Empty(), routesKey), base)
 	case hasChange:
 		if doc, ok := r.readDocument(t, "change"); ok && hasBase {
-			one.setMerged(t, doc.MergeOver(base, routesKey), base)
+			region.setMerged(t, doc.MergeOver(base, routesKey), base)
 		}
 	}
-	t.Done()
-	r.bytes += len(one.Text)
+	t.ReportUnknownKeys()
+	r.bytes += len(region.Text)
 	if r.bytes > maxBytes && !r.isTooLarge {
 		r.isTooLarge = true
-		t.Errorf("", "the configurations up to here have %d bytes together, more than %d", r.bytes, maxBytes)
+		t.Errorf("", "the configurations up to this region's have %d bytes in total, more than the %d allowed", r.bytes, maxBytes)
 	}
-	one.Hash = desiredstate.Hash(one.Text)
-	one.Config.Hash = one.Hash
-	return one
+	region.Hash = desiredstate.Hash(region.Text)
+	region.Config.Hash = region.Hash
+	return region
 }
 
 // setMerged sets the region's configuration to doc, a base with a change merged into it.
-func (one *Region) setMerged(t tree.Table, doc, base tree.Table) {
+func (region *Region) setMerged(t tree.Table, doc, base tree.Table) {
 	var err error
-	if one.Text, err = doc.Text(); err != nil {
+	if region.Text, err = doc.Text(); err != nil {
 		t.Errorf("change", "%v", err)
 	}
-	one.readConfig(doc, base.Node().File())
+	region.readConfig(doc, base.Node().File())
 }
 
-// readConfig reads the configuration and the origins of its routes. base is the path of the base; "" is none.
-func (one *Region) readConfig(doc tree.Table, base string) {
-	one.Config = config.Read(doc)
+// readConfig reads the configuration and the origins of its routes. base is the path of the base, or "".
+func (region *Region) readConfig(doc tree.Table, base string) {
+	region.Config = config.Read(doc)
 	for _, n := range doc.List(routesKey) {
-		one.origins = append(one.origins, origin{base != "" && n.File() == base, n.Line()})
+		region.origins = append(region.origins, origin{base != "" && n.File() == base, n.Line()})
 	}
 }
 
 // readMembers reads the members of a region, a list of control sockets.
-func (r *reader) readMembers(region string, t tree.Table, one *Region) {
+func (r *reader) readMembers(regionName string, t tree.Table, region *Region) {
 	zone := t.String("zone", "")
 	for i, n := range t.List("members") {
 		m, ok := readMember(t, n, i, zone)
@@ -259,7 +259,7 @@
 			t.ItemErrorf(n, "members", "%q is no absolute path", m.Socket)
 		case len(m.Socket) > maxSocketPath:
 			t.ItemErrorf(n, "members", "%d bytes are more than the %d that the address of a Unix socket may have", len(m.Socket), maxSocketPath)
-		case isKnown && other == region:
+		case isKnown && other == regionName:
 			t.ItemErrorf(n, "members", "%q is given twice", m.Socket)
 		case isKnown:
 			t.ItemErrorf(n, "members", "%q is a member of region %s too", m.Socket, other)
@@ -267,9 +267,9 @@
 			t.ItemErrorf(n, "members", "the regions have more than %d members", maxMembers)
 			return
 		default:
-			r.members[socket] = region
+			r.members[socket] = regionName
 			m.Socket = socket
-			one.Members = append(one.Members, m)
+			region.Members = append(region.Members, m)
 		}
 	}
 	if n := t.List("members"); len(n) == 0 {
@@ -288,19 +288,19 @@
 			return Member{}, false
 		}
 		m := Member{Socket: item.String("socket", ""), Zone: item.String("zone", zone)}
-		item.Done()
+		item.ReportUnknownKeys()
 		return m, true
 	}
 	t.ItemErrorf(n, "members", "item %d has to be a path or { socket, zone }", i+1)
 	return Member{}, false
 }
 
-// validName tells whether a name has letters, digits, '-' and '_' only, and a length up to maxNameBytes.
-func validName(s string) bool {
+// isValidName reports whether a name consists of letters, digits, '-' and '_', and has at most maxNameBytes.
+func isValidName(s string) bool {
 	return s != "" && len(s) <= maxNameBytes && !strings.ContainsFunc(s, isInvalidInName)
 }
 
-// isInvalidInName tells whether a character may not be in a name.
+// isInvalidInName reports whether a character is not allowed in a name.
 func isInvalidInName(r rune) bool {
 	switch {
 	case r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r >= '0' && r <= '9':
--- a/internal/fleetfile/gather_test.go
+++ b/internal/fleetfile/gather_test.go
@@ -8,9 +8,9 @@
 	"lockflow/internal/regions"
 )
 
-// A gatherer leads wherever its parts lead: regions that gather from each other go round, unless what comes
-// from another region is told by its Via and led to servers.
-func TestGatherersLead(t *testing.T) {
+// A scatter-gather service forwards to wherever its parts do: regions that gather from each other form a loop, unless
+// a route recognises requests from another region by their Via header and sends them to servers.
+func TestLoopsThroughGatherServices(t *testing.T) {
 	text := func(other, more string) []byte {
 		return []byte(fmt.Sprintf(`[services.here]
 source = { kind = "static", servers = [{ endpoint = "127.0.0.1:9001" }] }
@@ -44,12 +44,12 @@
 		loops := 0
 		for _, c := range got {
 			if c.Kind != regions.LoopKind || c.Severity != regions.Error || c.Witness == nil || c.Witness.Path != "/visits" || c.Witness.Headers["Via"] != nil && more == "" {
-				t.Errorf("%+v", c)
+				t.Errorf("conflict %+v", c)
 			}
 			loops++
 		}
 		if loops != want {
-			t.Errorf("%q: %d loops: %+v", more, loops, got)
+			t.Errorf("extra routes %q: %d loops: %+v", more, loops, got)
 		}
 	}
 }
--- a/internal/fleetfile/waivers.go
+++ b/internal/fleetfile/waivers.go
@@ -12,7 +12,7 @@
 	"lockflow/internal/regions"
 )
 
-// WaiverKind is the kind of a conflict that concerns a waiver itself: one that has expired, or waives nothing.
+// WaiverKind is the kind of a conflict about a waiver that has expired or waives nothing.
 const WaiverKind regions.Kind = "waiver"
 
 // waivableKinds are the kinds of conflicts that can be waived.
@@ -21,7 +21,7 @@
 	regions.LoopKind, regions.DeadKind,
 }
 
-// Waiver is an entry of [[waivers]]: conflicts that the operator accepts.
+// Waiver is an entry of [[waivers]]: it lists conflicts that the operator accepts.
 type Waiver struct {
 	Kind    regions.Kind
 	Regions []string  // a conflict is waived only if all its regions are among these
@@ -36,7 +36,7 @@
 	var all []Waiver
 	tables := root.Tables("waivers")
 	if len(tables) > maxWaivers {
-		root.Errorf("waivers", "%d are more than %d", len(tables), maxWaivers)
+		root.Errorf("waivers", "%d waivers are more than the %d allowed", len(tables), maxWaivers)
 		return nil
 	}
 	for _, t := range tables {
@@ -52,8 +52,8 @@
 	}
 	w := Waiver{
 		Kind:    waivableKinds[t.OneOf("kind", kinds...)],
-		Regions: t.Texts("regions"),
-		Rules:   t.Texts("rules"),
+		Regions: t.Strings("regions"),
+		Rules:   t.Strings("rules"),
 		Reason:  strings.TrimSpace(t.String("reason", "")),
 		Line:    t.Node().Line(),
 	}
@@ -65,7 +65,7 @@
 	}
 	for key, missing := range isMissing {
 		if missing {
-			t.Errorf(key, "a waiver needs it")
+			t.Errorf(key, "every waiver needs it")
 		}
 	}
 	for _, name := range w.Regions {
@@ -74,7 +74,7 @@
 		}
 	}
 	w.Until = readUntil(t)
-	t.Done()
+	t.ReportUnknownKeys()
 	return w
 }
 
@@ -97,7 +97,7 @@
 	return time.Time{}
 }
 
-// waives tells whether the waiver covers a conflict, expired or not.
+// waives reports whether the waiver covers a conflict, whether it has expired or not.
 func (w Waiver) waives(c regions.Conflict) bool {
 	if c.Kind != w.Kind {
 		return false
@@ -109,7 +109,7 @@
 	}
 	hasRules := false
 	for _, r := range c.Rules {
-		if r == "" { // of a region without a rule
+		if r == "" { // the region has no rule
 			continue
 		}
 		hasRules = true
@@ -120,14 +120,15 @@
 	return hasRules
 }
 
-// Waiving applies a file's waivers at one time, and notes which of them were used. It is for one goroutine.
+// Waiving applies a file's waivers as of one point in time, and records which of them were used. It is not safe for
+// concurrent use.
 type Waiving struct {
 	file File
 	now  time.Time
 	used []bool
 }
 
-// Waiving returns the file's waivers at a time, none of them used.
+// Waiving returns a Waiving for the file's waivers as of now, with none of them used.
 func (f File) Waiving(now time.Time) *Waiving {
 	return &Waiving{file: f, now: now, used: make([]bool, len(f.Waivers))}
 }
@@ -136,10 +137,10 @@
 func (w *Waiving) Left(all []regions.Conflict) (remaining []regions.Conflict) {
 	for _, c := range all {
 		isWaived := false
-		for i, one := range w.file.Waivers {
-			if one.waives(c) {
+		for i, waiver := range w.file.Waivers {
+			if waiver.waives(c) {
 				w.used[i] = true
-				isWaived = isWaived || w.now.Before(one.Until)
+				isWaived = isWaived || w.now.Before(waiver.Until)
 			}
 		}
 		if !isWaived {
@@ -149,17 +150,17 @@
 	return remaining
 }
 
-// Conflicts returns a conflict for each waiver that has expired, or that covered nothing so far.
+// Conflicts returns a conflict for each waiver that has expired or has not covered any conflict so far.
 func (w *Waiving) Conflicts() (conflicts []regions.Conflict) {
-	for i, one := range w.file.Waivers {
-		c := regions.Conflict{Kind: WaiverKind, Severity: regions.Warning, Regions: slices.Sorted(slices.Values(one.Regions)), Rules: one.Rules}
-		last := one.Until.AddDate(0, 0, -1).Format(time.DateOnly)
+	for i, waiver := range w.file.Waivers {
+		c := regions.Conflict{Kind: WaiverKind, Severity: regions.Warning, Regions: slices.Sorted(slices.Values(waiver.Regions)), Rules: waiver.Rules}
+		last := waiver.Until.AddDate(0, 0, -1).Format(time.DateOnly)
 		switch {
-		case !w.now.Before(one.Until):
+		case !w.now.Before(waiver.Until):
 			c.Severity = regions.Error
-			c.Why = fmt.Sprintf("%s:%d: the waiver of %s has expired on %s (%s)", w.file.Path, one.Line, one.Kind, last, one.Reason)
+			c.Why = fmt.Sprintf("%s:%d: the waiver of %s has expired on %s (%s)", w.file.Path, waiver.Line, waiver.Kind, last, waiver.Reason)
 		case !w.used[i]:
-			c.Why = fmt.Sprintf("%s:%d: the waiver of %s until %s waives nothing: no such conflict (%s)", w.file.Path, one.Line, one.Kind, last, one.Reason)
+			c.Why = fmt.Sprintf("%s:%d: the waiver of %s until %s waives nothing: no such conflict (%s)", w.file.Path, waiver.Line, waiver.Kind, last, waiver.Reason)
 		default:
 			continue
 		}
@@ -168,7 +169,7 @@
 	return conflicts
 }
 
-// Waive returns the conflicts of all that no waiver in force covers, and those of the waivers themselves.
+// Waive returns the conflicts in all that no waiver in force covers, and the conflicts about the waivers themselves.
 func (f File) Waive(all []regions.Conflict, now time.Time) []regions.Conflict {
 	w := f.Waiving(now)
 	return append(w.Left(all), w.Conflicts()...)
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -11,7 +11,7 @@
 )
 
 // fields holds the key=value pairs of one line and the first error in them. Its methods read a value by its
-// key; a missing one reads as zero, and is an error if it is needed.
+// key; a missing value reads as zero, and is an error if it is required.
 type fields struct {
 	keys, values []string
 	err          error
@@ -38,7 +38,7 @@
 	return f
 }
 
-// fail records an error of a key, unless there is one already.
+// fail records an error for a key, unless an error is already recorded.
 func (f *fields) fail(key string, err error) {
 	if f.err == nil {
 		f.err = fmt.Errorf("field %s: %w", key, err)
@@ -54,13 +54,13 @@
 	return false
 }
 
-func (f *fields) text(key string, needed bool) string {
+func (f *fields) text(key string, isRequired bool) string {
 	for i, k := range f.keys {
 		if k == key {
 			return f.values[i]
 		}
 	}
-	if needed {
+	if isRequired {
 		f.fail(key, errors.New("is missing"))
 	}
 	return ""
@@ -75,8 +75,8 @@
 	return v, err
 }
 
-func (f *fields) number(key string, needed bool) float64 {
-	s := f.text(key, needed)
+func (f *fields) number(key string, isRequired bool) float64 {
+	s := f.text(key, isRequired)
 	if s == "" {
 		return 0
 	}
@@ -87,12 +87,12 @@
 	return v
 }
 
-// maxMilliseconds bounds durations: some thirty years.
+// maxMilliseconds bounds durations to about thirty years.
 const maxMilliseconds = 1e12
 
 // milliseconds reads a duration in milliseconds, rounded to microseconds.
-func (f *fields) milliseconds(key string, needed bool) time.Duration {
-	v := f.number(key, needed)
+func (f *fields) milliseconds(key string, isRequired bool) time.Duration {
+	v := f.number(key, isRequired)
 	if math.Abs(v) > maxMilliseconds {
 		f.fail(key, fmt.Errorf("%g ms is out of range", v))
 		return 0
@@ -104,8 +104,8 @@
 	return time.Duration(math.Round(v*1000)) * time.Microsecond
 }
 
-func (f *fields) integer(key string, needed bool) int64 {
-	s := f.text(key, needed)
+func (f *fields) integer(key string, isRequired bool) int64 {
+	s := f.text(key, isRequired)
 	if s == "" {
 		return 0
 	}
@@ -116,8 +116,8 @@
 	return v
 }
 
-func (f *fields) unsigned(key string, needed bool) uint64 {
-	s := f.text(key, needed)
+func (f *fields) unsigned(key string, isRequired bool) uint64 {
+	s := f.text(key, isRequired)
 	if s == "" {
 		return 0
 	}
@@ -143,12 +143,12 @@
 	case "", "0", "false":
 		return false
 	default:
-		f.fail(key, fmt.Errorf("%q is no bool", s))
+		f.fail(key, fmt.Errorf("%q is not a boolean", s))
 		return false
 	}
 }
 
-// bytes reads bytes in hex; "-" is none.
+// bytes reads bytes in hex; "-" stands for none.
 func (f *fields) bytes(key string) []byte {
 	s := f.text(key, false)
 	if s == "" || s == "-" {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,7 +10,7 @@
 	"lockflow/control"
 )
 
-const opening = "open_instance who=3 salt=77 classes.count=1 classes.0.aim=4000.0 classes.0.deadline=10000.0 " +
+const openLine = "open_instance who=3 salt=77 classes.count=1 classes.0.aim=4000.0 classes.0.deadline=10000.0 " +
 	"classes.0.effect=guarded classes.0.key-scope=cell classes.0.name=submit classes.0.repeat-window=5000.0 " +
 	"classes.0.stream=false classes.0.worth=1.0 contract.cold=18000.0 contract.fall-multiple=2.5 " +
 	"discovery=on_request domain.cost-after=true domain.meter-period=1000.0 group-size=2 self-index=1 " +
@@ -29,10 +29,10 @@
 }
 
 func TestSettings(t *testing.T) {
-	b := decode(t, batch(opening))
+	b := decode(t, batch(openLine))
 	s := b.Inputs[0].Open.Settings
 	if b.Now != 10250*time.Microsecond || b.Inputs[0].Instance != 3 || b.Inputs[0].Open.Seed != 77 {
-		t.Errorf("%+v", b)
+		t.Errorf("batch %+v", b)
 	}
 	k := s.Classes[0]
 	if k.Idempotency != control.IdempotentWithKey || k.KeyScope != control.ScopeCell || k.RepeatWindow != 5*time.Second {
@@ -62,7 +62,7 @@
 		"started who=3 xid=0a n=0 server=51 delay-seen=9.25\n"+
 		"power_off who=3\n"))
 	if len(b.Inputs) != 10 {
-		t.Fatalf("%d inputs", len(b.Inputs))
+		t.Fatalf("%d inputs, not 10", len(b.Inputs))
 	}
 	l := b.Inputs[0].Event.(control.EndpointList)
 	if l.Kind != control.ListCached || len(l.Endpoints) != 2 || l.Endpoints[1].State != control.Draining ||
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestMalformedLinesAreNamed(t *testing.T) {
+func TestMalformedLineErrors(t *testing.T) {
 	for text, wants := range map[string][]string{
 		"hello\n":           {"line 1", "clock"},
 		"clock ts=x\nend\n": {"line 1", "ts"},
@@ -99,12 +99,12 @@
 	} {
 		_, err := NewDecoder(strings.NewReader(text)).Next()
 		if err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("%q was accepted", text)
 			continue
 		}
 		for _, w := range wants {
 			if !strings.Contains(err.Error(), w) {
-				t.Errorf("%q: %v does not tell %q", text, err, w)
+				t.Errorf("%q: %v does not contain %q", text, err, w)
 			}
 		}
 	}
@@ -131,13 +131,13 @@
 		"remark who=3 body-text=two servers known\n":  control.LogLine{Text: "two\nservers known"},
 	} {
 		if got := string(AppendAction(nil, 3, a)); got != want {
-			t.Errorf("%#v: %q, not %q", a, got, want)
+			t.Errorf("%#v: line %q, not %q", a, got, want)
 		}
 	}
 }
 
 func FuzzDecoder(f *testing.F) {
-	f.Add(batch(opening))
+	f.Add(batch(openLine))
 	f.Add(batch("request who=3 xid=0a class=submit terms=start client-id=9f ttl=240.0 weight=2 spread=3\n"))
 	f.Add(batch("discovery who=3 kind=patch serial=4 members=1\nitem condition=on server=5\n"))
 	f.Add(batch("response who=3 xid=0a server=51 reason=100 pressure=cpu:0.6,rps:1\n"))
@@ -152,34 +152,35 @@
 	})
 }
 
-// A quota that makes no sense is named, once; whatever a site may leave out or set to nothing is none.
-func TestDoubts(t *testing.T) {
-	plain := []control.Plan{
+// Each inconsistent quota or hard limit is reported once; numbers that are missing or 0 mean no limit and are not
+// reported.
+func TestInvalidSettings(t *testing.T) {
+	validPlans := []control.Plan{
 		{Name: "none"},
 		{Name: "open", MaxInFlight: 3},
-		{Name: "open with a store", MaxInFlight: 1, QuotaBurst: 4},
+		{Name: "in flight with burst", MaxInFlight: 1, QuotaBurst: 4},
 		{Name: "rate", QuotaRate: 0.1, QuotaBurst: 4},
 		{Name: "both", QuotaRate: 1, QuotaBurst: 8, MaxInFlight: 2},
 		{Name: "ceiling", HardLimitRate: 2, HardLimitBurst: 4, HardLimitSlack: 0.4},
 		{Name: "all", QuotaRate: 1, QuotaBurst: 4, HardLimitRate: 2, HardLimitBurst: 9},
 	}
 	for name, tc := range map[string]struct {
-		plan  control.Plan
-		tells string
+		plan      control.Plan
+		wantError string
 	}{
-		"nothing":              {control.Plan{Price: 1, OverQuotaCost: 1}, ""},
-		"no depth":             {control.Plan{QuotaRate: 3}, "tariffs.7.depth: "},
-		"depth below the most": {control.Plan{QuotaRate: 3, QuotaBurst: 3.9}, "tariffs.7.depth: "},
-		"no rate":              {control.Plan{QuotaBurst: 5}, "tariffs.7.quota-rate: "},
-		"no burst":             {control.Plan{HardLimitRate: 3, HardLimitSlack: 9}, "tariffs.7.hard-burst: "},
-		"no ceiling rate":      {control.Plan{QuotaRate: 1, QuotaBurst: 9, HardLimitBurst: 3}, "tariffs.7.cap-rate: "},
+		"nothing":                         {control.Plan{Price: 1, OverQuotaCost: 1}, ""},
+		"no burst of the quota":           {control.Plan{QuotaRate: 3}, "tariffs.7.depth: "},
+		"burst below the largest request": {control.Plan{QuotaRate: 3, QuotaBurst: 3.9}, "tariffs.7.depth: "},
+		"no rate of the quota":            {control.Plan{QuotaBurst: 5}, "tariffs.7.quota-rate: "},
+		"no burst of the hard limit":      {control.Plan{HardLimitRate: 3, HardLimitSlack: 9}, "tariffs.7.hard-burst: "},
+		"no rate of the hard limit":       {control.Plan{QuotaRate: 1, QuotaBurst: 9, HardLimitBurst: 3}, "tariffs.7.cap-rate: "},
 	} {
-		all := InvalidSettings(control.Settings{MaxUnits: 4, Plans: append(plain, tc.plan)})
-		if tc.tells == "" && len(all) > 0 || tc.tells != "" && (len(all) != 1 || !strings.Contains(all[0].Error(), tc.tells)) {
+		all := InvalidSettings(control.Settings{MaxUnits: 4, Plans: append(validPlans, tc.plan)})
+		if tc.wantError == "" && len(all) > 0 || tc.wantError != "" && (len(all) != 1 || !strings.Contains(all[0].Error(), tc.wantError)) {
 			t.Errorf("%s: %v", name, all)
 		}
 	}
 	if all := InvalidSettings(control.Settings{Plans: []control.Plan{{QuotaRate: 1, QuotaBurst: 1}}}); len(all) > 0 {
-		t.Errorf("of one unit each: %v", all)
+		t.Errorf("burst of one unit: %v", all)
 	}
 }
