--- a/internal/discovery/endpoint_list.go
+++ b/internal/discovery/endpoint_list.go
@@ -70,14 +70,14 @@
 	if err == nil {
 		return endpoint, nil
 	}
-	var stopped struct {
+	var unavailable struct {
 		UID   string `json:"uid"`
 		State string `json:"state"`
 	}
-	isIdentified := json.Unmarshal(raw, &stopped) == nil && stopped.UID != ""
-	isStopped := stopped.State != "" && stopped.State != stateUp
-	if isIdentified && isStopped {
-		return Endpoint{UID: stopped.UID, State: stopped.State}, nil
+	isIdentified := json.Unmarshal(raw, &unavailable) == nil && unavailable.UID != ""
+	isUnavailable := unavailable.State != "" && unavailable.State != stateUp
+	if isIdentified && isUnavailable {
+		return Endpoint{UID: unavailable.UID, State: unavailable.State}, nil
 	}
 	return Endpoint{}, err
 }
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -22,12 +22,12 @@
 	// HasCachedList is set before Run where a list is known from an earlier run, so that the first call may be delayed.
 	HasCachedList bool
 
-	mu           sync.Mutex
-	source       Source
-	hasMoved     bool               // SetSource has been called
-	isMoving     bool               // nothing has arrived from source since SetSource
-	revision     int64              // of the list that is known of source; 0 for none
-	cancelSource context.CancelFunc // has Run follow source
+	mu                  sync.Mutex
+	source              Source
+	hasMoved            bool               // SetSource has been called
+	isAwaitingNewSource bool               // nothing has arrived from source since SetSource
+	revision            int64              // of the list that is known of source; 0 for none
+	cancelSource        context.CancelFunc // has Run follow source
 }
 
 // NewFeed makes a feed of a source. revision is that of the list which is known of it, 0 where none is. pacer delays
@@ -50,12 +50,12 @@
 func (f *Feed) SetSource(source Source) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.isMoving && f.source.Equal(source) {
+	if f.isAwaitingNewSource && f.source.Equal(source) {
 		return
 	}
 	f.source = source
 	f.hasMoved = true
-	f.isMoving = true
+	f.isAwaitingNewSource = true
 	f.revision = 0 // revisions of two discoveries can't be compared: the new one has to send its complete list
 	f.cancelSource()
 }
@@ -68,7 +68,7 @@
 }
 
 // enterSource returns the source to follow, and a context that ends when there is another one or ctx ends.
-func (f *Feed) enterSource(ctx context.Context) (context.Context, sourceState) {
+func (f *Feed) currentSource(ctx context.Context) (context.Context, sourceState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	sourceContext, cancel := context.WithCancel(ctx)
@@ -79,7 +79,7 @@
 // receive delivers a message of the source.
 func (f *Feed) receive(list EndpointList) {
 	f.mu.Lock()
-	f.isMoving = false
+	f.isAwaitingNewSource = false
 	f.mu.Unlock()
 	f.deliver(list)
 }
@@ -87,7 +87,7 @@
 // Run follows the sources until ctx ends.
 func (f *Feed) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		sourceContext, source := f.enterSource(ctx)
+		sourceContext, source := f.currentSource(ctx)
 		switch source.Kind {
 		case Watch:
 			f.watch(sourceContext, source)
--- a/internal/discovery/keys_test.go
+++ b/internal/discovery/keys_test.go
@@ -7,4 +7,6 @@
 )
 
 // Lists of servers, as they are fetched, have a written key for every field.
-func TestKeysAreWritten(t *testing.T) { testkit.RequireKeys(t, "json", EndpointList{}, Endpoint{}) }
+func TestFieldsHaveExplicitKeys(t *testing.T) {
+	testkit.RequireKeys(t, "json", EndpointList{}, Endpoint{})
+}
--- a/internal/discovery/pacer.go
+++ b/internal/discovery/pacer.go
@@ -60,19 +60,19 @@
 // time since the last message of a watch. As long as a call can be answered by the deadline for missed events, the delay
 // ends in time for that. Afterwards the time of the failed call counts instead: a discovery that has become reachable
 // has another missedEventDeadline from then on.
-func (p *Pacer) RetryDelay(lived, silence time.Duration) time.Duration {
-	if lived >= stableWatchTime {
+func (p *Pacer) RetryDelay(lifetime, silence time.Duration) time.Duration {
+	if lifetime >= stableWatchTime {
 		p.failures = 0
 	}
 	window := minRetryDelay
 	if p.GroupSize > 1 {
-		window = min(p.groupTime()<<min(p.failures, maxBackoffDoublings), maxWindow)
+		window = min(p.groupCallPeriod()<<min(p.failures, maxBackoffDoublings), maxWindow)
 	}
-	left := maxCallDelay - silence
-	if left < minRetryDelay && lived < stableWatchTime {
-		left = maxCallDelay - lived
+	remaining := maxCallDelay - silence
+	if remaining < minRetryDelay && lifetime < stableWatchTime {
+		remaining = maxCallDelay - lifetime
 	}
-	window = min(window, max(left, minRetryDelay))
+	window = min(window, max(remaining, minRetryDelay))
 	p.failures++
 	return p.drawDelay(minRetryDelay, window)
 }
@@ -82,25 +82,25 @@
 // A call before the discovery has worked off its queue would be rejected too, which costs it work. The first call of all,
 // and the first after a move, are retried as after any other failure: a discovery that has just started rejects calls
 // without being busy.
-func (p *Pacer) RejectionDelay(lasted, silence time.Duration) time.Duration {
+func (p *Pacer) RejectionDelay(callDuration, silence time.Duration) time.Duration {
 	if p.failures == 0 || p.GroupSize <= 1 {
-		return p.RetryDelay(lasted, silence)
+		return p.RetryDelay(callDuration, silence)
 	}
-	groupTime := p.groupTime()
-	shortest := max(min(maxAnswerTime, groupTime)-lasted, minRetryDelay)
-	longest := min(shortest+min(maxRejectionSpread, groupTime), maxWindow)
-	switch left := maxCallDelay - silence; {
-	case left >= shortest:
-		longest = min(longest, left)
+	groupCallPeriod := p.groupCallPeriod()
+	shortest := max(min(maxAnswerTime, groupCallPeriod)-callDuration, minRetryDelay)
+	longest := min(shortest+min(maxRejectionSpread, groupCallPeriod), maxWindow)
+	switch remaining := maxCallDelay - silence; {
+	case remaining >= shortest:
+		longest = min(longest, remaining)
 	case p.failures > 1:
-		longest = min(shortest+groupTime<<min(p.failures, maxBackoffDoublings), maxWindow)
+		longest = min(shortest+groupCallPeriod<<min(p.failures, maxBackoffDoublings), maxWindow)
 	}
 	p.failures++
 	return p.drawDelay(shortest, longest)
 }
 
 // groupTime is the time in which each instance of the group may call once.
-func (p *Pacer) groupTime() time.Duration { return callInterval * time.Duration(p.GroupSize) }
+func (p *Pacer) groupCallPeriod() time.Duration { return callInterval * time.Duration(p.GroupSize) }
 
 // peers is the number of other instances.
 func (p *Pacer) peers() time.Duration { return time.Duration(max(0, p.GroupSize-1)) }
--- a/internal/discovery/pacer_test.go
+++ b/internal/discovery/pacer_test.go
@@ -21,10 +21,10 @@
 }
 
 // call makes a call; isAnswered is whether it was answered in time, after some time either way.
-func (d *simulatedDiscovery) call() (isAnswered bool, after time.Duration) {
+func (d *simulatedDiscovery) call() (isAnswered bool, elapsed time.Duration) {
 	d.busyUntil = max(d.busyUntil, d.Now()) + d.serviceTime
-	if elapsed := d.busyUntil - d.Now(); elapsed <= d.maxWait {
-		return true, elapsed
+	if answerTime := d.busyUntil - d.Now(); answerTime <= d.maxWait {
+		return true, answerTime
 	}
 	d.busyUntil -= d.serviceTime / 2 // a rejection costs time too
 	if d.rejectsAtOnce {
@@ -35,33 +35,33 @@
 
 // groupResult is when nine in ten instances of a group, and all, had a watch, 0 for never, and the number of calls.
 type groupResult struct {
-	nineInTen, all time.Duration
-	calls          int
+	p90, fullGroupTime time.Duration
+	calls              int
 }
 
 // simulateGroup has instances open their watches, all from one moment on. first and again are their delays.
-func simulateGroup(instances int, serviceTime time.Duration, rejectsAtOnce bool, first func(i int) time.Duration, again func(i int, lasted, now time.Duration) time.Duration) (result groupResult) {
+func simulateGroup(instances int, serviceTime time.Duration, rejectsAtOnce bool, firstDelay func(i int) time.Duration, retryDelay func(i int, lasted, now time.Duration) time.Duration) (result groupResult) {
 	d := &simulatedDiscovery{serviceTime: serviceTime, maxWait: 2 * time.Second, rejectsAtOnce: rejectsAtOnce}
 	watches := 0
 	var call func(i int)
 	call = func(i int) {
 		result.calls++
-		isAnswered, after := d.call()
-		d.After(after, func() {
+		isAnswered, elapsed := d.call()
+		d.After(elapsed, func() {
 			if !isAnswered {
-				d.After(again(i, after, d.Now()), func() { call(i) })
+				d.After(retryDelay(i, elapsed, d.Now()), func() { call(i) })
 				return
 			}
 			if watches++; watches == (instances*9+9)/10 {
-				result.nineInTen = d.Now()
+				result.p90 = d.Now()
 			}
 			if watches == instances {
-				result.all = d.Now()
+				result.fullGroupTime = d.Now()
 			}
 		})
 	}
 	for i := range instances {
-		d.At(first(i), func() { call(i) })
+		d.At(firstDelay(i), func() { call(i) })
 	}
 	d.Run(time.Minute)
 	return result
@@ -77,27 +77,27 @@
 }
 
 // rejections is whether a discovery rejects calls at once, or once they have waited.
-var rejections = map[string]bool{"at once": true, "late": false}
+var rejectsAtOnceByName = map[string]bool{"at once": true, "late": false}
 
 // TestSimultaneousStartNotifiesWholeGroup starts a group at once, the greater part of which is rejected and calls again:
 // all have to receive a list, and no later than without pacing.
 func TestSimultaneousStartNotifiesWholeGroup(t *testing.T) {
-	for how, atOnce := range rejections {
+	for rejection, rejectsAtOnce := range rejectsAtOnceByName {
 		for _, n := range []int{1, 2, 8, 40, 80, 400} {
-			for _, all := range []time.Duration{2 * time.Second, 5 * time.Second, 8 * time.Second} { // for one call of each
-				serviceTime := all / time.Duration(max(40, n))
+			for _, fullGroupTime := range []time.Duration{2 * time.Second, 5 * time.Second, 8 * time.Second} { // for one call of each
+				serviceTime := fullGroupTime / time.Duration(max(40, n))
 				pacers := newGroup(n)
-				paced := simulateGroup(n, serviceTime, atOnce, func(i int) time.Duration { return pacers[i].FirstDelay() },
+				paced := simulateGroup(n, serviceTime, rejectsAtOnce, func(i int) time.Duration { return pacers[i].FirstDelay() },
 					func(i int, lasted, now time.Duration) time.Duration { return pacers[i].RejectionDelay(lasted, now) })
-				bound := all + 3*callInterval*time.Duration(n) + maxCallDelay
-				if paced.nineInTen == 0 || paced.nineInTen > bound {
-					t.Errorf("%d instances, %v for a call of each, rejected %s: %+v", n, all, how, paced)
+				bound := fullGroupTime + 3*callInterval*time.Duration(n) + maxCallDelay
+				if paced.p90 == 0 || paced.p90 > bound {
+					t.Errorf("%d instances, %v for a call of each, rejected %s: %+v", n, fullGroupTime, rejection, paced)
 				}
-				if n < 80 || all < 5*time.Second {
+				if n < 80 || fullGroupTime < 5*time.Second {
 					continue
 				}
-				if unpaced := simulateUnpacedGroup(n, serviceTime, atOnce); unpaced.nineInTen > 0 && unpaced.nineInTen < paced.nineInTen {
-					t.Errorf("%d instances, %v, rejected %s: %+v without pacing, %+v with it", n, all, how, unpaced, paced)
+				if unpaced := simulateUnpacedGroup(n, serviceTime, rejectsAtOnce); unpaced.p90 > 0 && unpaced.p90 < paced.p90 {
+					t.Errorf("%d instances, %v, rejected %s: %+v without pacing, %+v with it", n, fullGroupTime, rejection, unpaced, paced)
 				}
 			}
 		}
@@ -117,19 +117,19 @@
 // its lists in time from a discovery that can answer all of it in time, within the 2 s of grace from one that nearly
 // can, and soon from one that can't, by few calls each, whether it rejects calls at once or late.
 func TestSimultaneousSilenceNotifiesWholeGroup(t *testing.T) {
-	for how, atOnce := range rejections {
+	for rejection, rejectsAtOnce := range rejectsAtOnceByName {
 		for _, n := range []int{1, 3, 40, 300} {
-			for _, all := range []time.Duration{2 * time.Second, 3500 * time.Millisecond, 5 * time.Second, 8 * time.Second} { // for one call of each
+			for _, fullGroupTime := range []time.Duration{2 * time.Second, 3500 * time.Millisecond, 5 * time.Second, 8 * time.Second} { // for one call of each
 				for _, silence := range []time.Duration{0, watchSilenceTimeout} {
 					pacers := newGroup(n)
 					// The clock begins as the silence is noticed.
-					got := simulateGroup(n, all/time.Duration(max(40, n)), atOnce, func(i int) time.Duration { return pacers[i].RetryDelay(time.Minute, silence) },
+					got := simulateGroup(n, fullGroupTime/time.Duration(max(40, n)), rejectsAtOnce, func(i int) time.Duration { return pacers[i].RetryDelay(time.Minute, silence) },
 						func(i int, lasted, now time.Duration) time.Duration {
 							return pacers[i].RejectionDelay(lasted, silence+now)
 						})
-					limit := silenceLimits(all, silence)
-					if got.nineInTen == 0 || got.nineInTen > limit.nineInTen || got.all > limit.all || got.calls >= limit.calls*n && n > 1 {
-						t.Errorf("%d instances, silent for %v, %v for a call of each, rejected %s: %+v", n, silence, all, how, got)
+					limit := silenceLimits(fullGroupTime, silence)
+					if got.p90 == 0 || got.p90 > limit.p90 || got.fullGroupTime > limit.fullGroupTime || got.calls >= limit.calls*n && n > 1 {
+						t.Errorf("%d instances, silent for %v, %v for a call of each, rejected %s: %+v", n, silence, fullGroupTime, rejection, got)
 					}
 				}
 			}
@@ -139,14 +139,14 @@
 
 // silenceLimits are the limits for a group that was silent for some time; calls is for each instance. all is the time in
 // which the discovery answers one call of each.
-func silenceLimits(all, silence time.Duration) groupResult {
+func silenceLimits(fullGroupTime, silence time.Duration) groupResult {
 	const grace = 2 * time.Second
-	limit := groupResult{nineInTen: all + maxWindow, all: all + maxWindow + maxAnswerTime, calls: 2}
-	switch all {
+	limit := groupResult{p90: fullGroupTime + maxWindow, fullGroupTime: fullGroupTime + maxWindow + maxAnswerTime, calls: 2}
+	switch fullGroupTime {
 	case maxAnswerTime: // it can answer them all in time
-		limit.nineInTen, limit.all = missedEventDeadline-silence, missedEventDeadline-silence
+		limit.p90, limit.fullGroupTime = missedEventDeadline-silence, missedEventDeadline-silence
 	case 3500 * time.Millisecond:
-		limit.nineInTen, limit.all = missedEventDeadline+grace-silence, missedEventDeadline+grace-silence
+		limit.p90, limit.fullGroupTime = missedEventDeadline+grace-silence, missedEventDeadline+grace-silence
 	case maxWindow:
 		limit.calls = 3
 	}
@@ -176,38 +176,38 @@
 // checkRetryDelay draws a call that failed.
 func checkRetryDelay(t *rapid.T, p *Pacer) {
 	silence := time.Duration(rapid.Int64Range(0, int64(2*missedEventDeadline)).Draw(t, "quiet"))
-	lived := time.Duration(rapid.Int64Range(0, int64(2*stableWatchTime)).Draw(t, "lived"))
-	after := p.RetryDelay(lived, silence)
-	if after < minRetryDelay || after > maxWindow || p.GroupSize == 1 && after > minRetryDelay {
-		t.Fatalf("a group of %d calls again after %v", p.GroupSize, after)
+	lifetime := time.Duration(rapid.Int64Range(0, int64(2*stableWatchTime)).Draw(t, "lived"))
+	delay := p.RetryDelay(lifetime, silence)
+	if delay < minRetryDelay || delay > maxWindow || p.GroupSize == 1 && delay > minRetryDelay {
+		t.Fatalf("a group of %d calls again after %v", p.GroupSize, delay)
 	}
-	if since := min(lived, silence); since+minRetryDelay <= maxCallDelay && since+after > maxCallDelay {
-		t.Fatalf("after a call that failed in %v, silent for %v, it calls again after %v", lived, silence, after)
+	if elapsed := min(lifetime, silence); elapsed+minRetryDelay <= maxCallDelay && elapsed+delay > maxCallDelay {
+		t.Fatalf("after a call that failed in %v, silent for %v, it calls again after %v", lifetime, silence, delay)
 	}
-	if silence+minRetryDelay <= maxCallDelay && silence+after > maxCallDelay {
-		t.Fatalf("silent for %v, it calls again after %v", silence, after)
+	if silence+minRetryDelay <= maxCallDelay && silence+delay > maxCallDelay {
+		t.Fatalf("silent for %v, it calls again after %v", silence, delay)
 	}
-	if silence+minRetryDelay > maxCallDelay && lived >= stableWatchTime && after > minRetryDelay {
-		t.Fatalf("delayed for %v by itself, it calls again after %v", silence, after)
+	if silence+minRetryDelay > maxCallDelay && lifetime >= stableWatchTime && delay > minRetryDelay {
+		t.Fatalf("delayed for %v by itself, it calls again after %v", silence, delay)
 	}
 }
 
 // checkRejectionDelay draws a call that was rejected after the deadline for missed events.
 func checkRejectionDelay(t *rapid.T, p *Pacer) {
-	lasted := time.Duration(rapid.Int64Range(0, int64(maxAnswerTime)).Draw(t, "lasted"))
+	callDuration := time.Duration(rapid.Int64Range(0, int64(maxAnswerTime)).Draw(t, "lasted"))
 	isFirst := p.failures == 0
-	after := p.RejectionDelay(lasted, missedEventDeadline)
-	if after < minRetryDelay || after > maxWindow || p.GroupSize == 1 && after > minRetryDelay {
-		t.Fatalf("a group of %d, rejected, calls again after %v", p.GroupSize, after)
+	delay := p.RejectionDelay(callDuration, missedEventDeadline)
+	if delay < minRetryDelay || delay > maxWindow || p.GroupSize == 1 && delay > minRetryDelay {
+		t.Fatalf("a group of %d, rejected, calls again after %v", p.GroupSize, delay)
 	}
-	if !isFirst && p.GroupSize >= 20 && lasted+after < maxAnswerTime {
-		t.Fatalf("rejected, it calls again %v after its call", lasted+after)
+	if !isFirst && p.GroupSize >= 20 && callDuration+delay < maxAnswerTime {
+		t.Fatalf("rejected, it calls again %v after its call", callDuration+delay)
 	}
 }
 
 func TestPacerDelaysAreBounded(t *testing.T) {
-	one := Pacer{}
-	if one.FirstDelay() != 0 || one.MoveDelay() != 0 || one.RetryDelay(0, 0) != minRetryDelay {
+	single := Pacer{}
+	if single.FirstDelay() != 0 || single.MoveDelay() != 0 || single.RetryDelay(0, 0) != minRetryDelay {
 		t.Error("one instance waits for others")
 	}
 	p := Pacer{GroupSize: 80, Rand: rand.New(rand.NewPCG(1, 2))}
@@ -234,17 +234,17 @@
 func TestOwnAgentIsCalledWithoutPacing(t *testing.T) {
 	f := NewFeed(Source{}, 41, Pacer{GroupSize: 300, Rand: rand.New(rand.NewPCG(1, 2))}, nil)
 	for _, agent := range []bool{true, false} {
-		first, moved, again := time.Duration(0), time.Duration(0), time.Duration(0)
+		maxFirst, maxMove, maxRetry := time.Duration(0), time.Duration(0), time.Duration(0)
 		for range 100 {
 			p := f.pacerFor(Source{IsOwnAgent: agent})
-			first, moved, again = max(first, p.FirstDelay()), max(moved, p.MoveDelay()), max(again, p.RetryDelay(0, missedEventDeadline))
+			maxFirst, maxMove, maxRetry = max(maxFirst, p.FirstDelay()), max(maxMove, p.MoveDelay()), max(maxRetry, p.RetryDelay(0, missedEventDeadline))
 		}
 		if !agent {
-			if first < time.Second || again < maxCallDelay*9/10 || again > maxCallDelay {
-				t.Errorf("a shared discovery is called within %v, and again within %v", first, again)
+			if maxFirst < time.Second || maxRetry < maxCallDelay*9/10 || maxRetry > maxCallDelay {
+				t.Errorf("a shared discovery is called within %v, and again within %v", maxFirst, maxRetry)
 			}
-		} else if first > 0 || moved > 0 || again > minRetryDelay {
-			t.Errorf("the own agent is called after %v, when moved after %v, again after %v", first, moved, again)
+		} else if maxFirst > 0 || maxMove > 0 || maxRetry > minRetryDelay {
+			t.Errorf("the own agent is called after %v, when moved after %v, again after %v", maxFirst, maxMove, maxRetry)
 		}
 	}
 }
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -20,26 +20,26 @@
 // scriptedCall is what a discovery does with one call: what it sends at once and 2 s later, and whether the watch ends
 // then or falls silent. One of the zero value accepts the call and sends nothing.
 type scriptedCall struct {
-	sends, later  string
-	ends          bool
-	beats         bool // goes on with heartbeats instead
-	neverConnects bool
-	dialTimesOut  bool // the same, and the dialer's own timeout ends it first
+	firstText, secondText string
+	endsWatch             bool
+	sendsHeartbeats       bool // goes on with heartbeats instead
+	neverConnects         bool
+	dialTimesOut          bool // the same, and the dialer's own timeout ends it first
 }
 
 const responseHead = "HTTP/1.1 200 OK\r\n\r\n"
 
 var (
-	beating  = scriptedCall{sends: responseHead + "\n", later: "\n"}
-	mute     = scriptedCall{}
-	headOnly = scriptedCall{sends: responseHead}
-	cutHead  = scriptedCall{sends: "HTTP/1.1 200 OK\r\nX-"}
-	cutShort = scriptedCall{sends: responseHead + "\n", later: `{"rev":44,"all":fal`}
-	cutLater = scriptedCall{sends: responseHead + `{"rev":44,"all":fal`, beats: true}
-	cutNext  = scriptedCall{sends: responseHead + `{"rev":43}` + "\n" + `{"rev":44,`, beats: true}
-	reset    = scriptedCall{sends: responseHead + "\n", later: "\n", ends: true}
-	away     = scriptedCall{neverConnects: true}
-	timedOut = scriptedCall{dialTimesOut: true}
+	silentAfterHeartbeats          = scriptedCall{firstText: responseHead + "\n", secondText: "\n"}
+	unanswered                     = scriptedCall{}
+	headOnly                       = scriptedCall{firstText: responseHead}
+	truncatedHead                  = scriptedCall{firstText: "HTTP/1.1 200 OK\r\nX-"}
+	truncatedMessage               = scriptedCall{firstText: responseHead + "\n", secondText: `{"rev":44,"all":fal`}
+	truncatedMessageWithHeartbeats = scriptedCall{firstText: responseHead + `{"rev":44,"all":fal`, sendsHeartbeats: true}
+	truncatedSecondMessage         = scriptedCall{firstText: responseHead + `{"rev":43}` + "\n" + `{"rev":44,`, sendsHeartbeats: true}
+	endedAfterHeartbeats           = scriptedCall{firstText: responseHead + "\n", secondText: "\n", endsWatch: true}
+	unreachable                    = scriptedCall{neverConnects: true}
+	dialTimeout                    = scriptedCall{dialTimesOut: true}
 )
 
 // finalAnswer is the list that a scripted discovery sends after its script.
@@ -51,15 +51,15 @@
 	script []scriptedCall
 	tasks  sync.WaitGroup // that have to end within the test's bubble
 
-	mu        sync.Mutex
-	calls     int
-	lastHeard time.Time // when a call of the script was made, or it last sent something
+	mu           sync.Mutex
+	calls        int
+	lastActivity time.Time // when a call of the script was made, or it last sent something
 }
 
-func (d *scriptedDiscovery) markHeard() {
+func (d *scriptedDiscovery) recordActivity() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.lastHeard = time.Now()
+	d.lastActivity = time.Now()
 }
 
 // nextCall is what the discovery does with the next call.
@@ -68,9 +68,9 @@
 	defer d.mu.Unlock()
 	d.calls++
 	if d.calls > len(d.script) {
-		return scriptedCall{sends: finalAnswer}, true
+		return scriptedCall{firstText: finalAnswer}, true
 	}
-	d.lastHeard = time.Now()
+	d.lastActivity = time.Now()
 	return d.script[d.calls-1], false
 }
 
@@ -99,28 +99,28 @@
 	if isFinal {
 		time.Sleep(maxAnswerTime)
 	}
-	for _, text := range []string{call.sends, call.later} {
+	for _, text := range []string{call.firstText, call.secondText} {
 		if text != "" {
 			if _, err := io.WriteString(conn, text); err == nil && !isFinal {
-				d.markHeard()
+				d.recordActivity()
 			}
 			time.Sleep(2 * time.Second)
 		}
 	}
-	for call.beats {
+	for call.sendsHeartbeats {
 		if _, err := io.WriteString(conn, "\n"); err != nil {
 			return
 		}
 		time.Sleep(2 * time.Second)
 	}
-	if !call.ends {
+	if !call.endsWatch {
 		io.Copy(io.Discard, conn) // until the other side gives up
 	}
 }
 
 // playScript runs a feed on a scripted discovery. It returns when the script was last heard, or called where it sent
 // nothing, and when the list behind it was delivered.
-func playScript(t *testing.T, f *Feed, script []scriptedCall) (lastHeard, delivered time.Time) {
+func runScript(t *testing.T, f *Feed, script []scriptedCall) (lastActivity, delivered time.Time) {
 	done := make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
 	d := &scriptedDiscovery{script: script}
@@ -140,28 +140,28 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.lastHeard, delivered
+	return d.lastActivity, delivered
 }
 
 // What a watch misses has to be known 6 s after it fell silent, wherever in its answer that was, for groups of every
 // size: by then another one has delivered it, though its answer takes as long as answers may.
 func TestSilentWatchIsReopenedInTime(t *testing.T) {
 	for name, script := range map[string][]scriptedCall{
-		"after a heartbeat":         {beating},
-		"from its start":            {mute},
-		"in its head":               {cutHead},
+		"after a heartbeat":         {silentAfterHeartbeats},
+		"from its start":            {unanswered},
+		"in its head":               {truncatedHead},
 		"behind its head":           {headOnly},
-		"in a message":              {cutShort},
-		"in one, with heartbeats":   {cutLater},
-		"in the next, the same":     {cutNext},
-		"never connected":           {away},
-		"by the dialer's clock":     {timedOut},
-		"twice by it":               {reset, timedOut, timedOut},
-		"reset":                     {reset},
-		"silent, and mute":          {beating, mute},
-		"reset, and mute":           {reset, mute},
-		"mute again and again":      {mute, mute, mute, mute},
-		"away, and silent in a row": {away, headOnly, cutShort, away},
+		"in a message":              {truncatedMessage},
+		"in one, with heartbeats":   {truncatedMessageWithHeartbeats},
+		"in the next, the same":     {truncatedSecondMessage},
+		"never connected":           {unreachable},
+		"by the dialer's clock":     {dialTimeout},
+		"twice by it":               {endedAfterHeartbeats, dialTimeout, dialTimeout},
+		"reset":                     {endedAfterHeartbeats},
+		"silent, and mute":          {silentAfterHeartbeats, unanswered},
+		"reset, and mute":           {endedAfterHeartbeats, unanswered},
+		"mute again and again":      {unanswered, unanswered, unanswered, unanswered},
+		"away, and silent in a row": {unreachable, headOnly, truncatedMessage, unreachable},
 	} {
 		for _, group := range []int{1, 3, 40, 300} {
 			for _, agent := range []bool{true, false} {
@@ -169,9 +169,9 @@
 					for seed := range uint64(8) {
 						synctest.Test(t, func(t *testing.T) {
 							f := NewFeed(Source{Address: "discovery:1", IsOwnAgent: agent}, 41, Pacer{GroupSize: group, Rand: rand.New(rand.NewPCG(seed, 1))}, nil)
-							silent, delivered := playScript(t, f, script)
-							if late := delivered.Sub(silent); late > missedEventDeadline-deadlineMargin/2 {
-								t.Errorf("delivered %v after the silence began, of %v", late, missedEventDeadline)
+							silentSince, delivered := runScript(t, f, script)
+							if delay := delivered.Sub(silentSince); delay > missedEventDeadline-deadlineMargin/2 {
+								t.Errorf("delivered %v after the silence began, of %v", delay, missedEventDeadline)
 							}
 						})
 					}
@@ -184,7 +184,7 @@
 // After a move the list has to be known 4 s later, also where the move comes before the first call, and where the
 // first call is rejected.
 func TestMovedFeedReceivesListInTime(t *testing.T) {
-	rejected := scriptedCall{sends: "HTTP/1.1 503 Service Unavailable\r\n\r\n"}
+	rejected := scriptedCall{firstText: "HTTP/1.1 503 Service Unavailable\r\n\r\n"}
 	for _, group := range []int{1, 3, 40, 300} {
 		for seed := range uint64(20) {
 			synctest.Test(t, func(t *testing.T) {
@@ -192,18 +192,18 @@
 				f.HasCachedList = true
 				f.SetSource(Source{Address: "discovery:1"})
 				moved := time.Now()
-				_, delivered := playScript(t, f, nil)
-				if late := delivered.Sub(moved); late > missedEventDeadline-moveTimeSpent {
-					t.Errorf("group of %d: delivered %v after the move", group, late)
+				_, delivered := runScript(t, f, nil)
+				if delay := delivered.Sub(moved); delay > missedEventDeadline-moveTimeSpent {
+					t.Errorf("group of %d: delivered %v after the move", group, delay)
 				}
 			})
 			synctest.Test(t, func(t *testing.T) {
 				f := NewFeed(Source{Address: "old:1"}, 41, Pacer{GroupSize: group, Rand: rand.New(rand.NewPCG(seed, 1))}, nil)
 				f.SetSource(Source{Address: "discovery:1"})
 				moved := time.Now()
-				_, delivered := playScript(t, f, []scriptedCall{rejected})
-				if late := delivered.Sub(moved); late > missedEventDeadline-moveTimeSpent {
-					t.Errorf("group of %d: delivered %v after the move, though rejected once", group, late)
+				_, delivered := runScript(t, f, []scriptedCall{rejected})
+				if delay := delivered.Sub(moved); delay > missedEventDeadline-moveTimeSpent {
+					t.Errorf("group of %d: delivered %v after the move, though rejected once", group, delay)
 				}
 			})
 		}
@@ -223,7 +223,7 @@
 					timer := time.AfterFunc(later, func() { f.SetSource(Source{Address: "discovery:1"}) })
 					defer timer.Stop()
 				}
-				_, delivered := playScript(t, f, nil)
+				_, delivered := runScript(t, f, nil)
 				if late := delivered.Sub(moved); late > missedEventDeadline-moveTimeSpent {
 					t.Errorf("group of %d: delivered %v after the first move", group, late)
 				}
@@ -234,15 +234,15 @@
 
 // After a move in any state of the watch, also twice or back to the old discovery, the list is delivered 4 s later.
 func TestMoveDuringWatchReceivesListInTime(t *testing.T) {
-	for name, old := range map[string]scriptedCall{
-		"beating": beating, "mute": mute, "in its head": cutHead, "behind its head": headOnly, "in a message": cutShort,
-		"in one, with heartbeats": cutNext, "never connected": away, "by the dialer's clock": timedOut, "reset": reset,
+	for name, state := range map[string]scriptedCall{
+		"beating": silentAfterHeartbeats, "mute": unanswered, "in its head": truncatedHead, "behind its head": headOnly, "in a message": truncatedMessage,
+		"in one, with heartbeats": truncatedSecondMessage, "never connected": unreachable, "by the dialer's clock": dialTimeout, "reset": endedAfterHeartbeats,
 	} {
 		for _, group := range []int{1, 3, 40, 300} {
 			for _, at := range []time.Duration{500 * time.Millisecond, 2500 * time.Millisecond, watchSilenceTimeout, watchSilenceTimeout + minRetryDelay/2} {
-				for move, to := range map[string][]string{"once": {"discovery:1"}, "twice": {"discovery:1", "discovery:1"}, "and back": {"discovery:1", "old:1"}} {
+				for move, targets := range map[string][]string{"once": {"discovery:1"}, "twice": {"discovery:1", "discovery:1"}, "and back": {"discovery:1", "old:1"}} {
 					t.Run(fmt.Sprint(name, " ", group, " ", at, " ", move), func(t *testing.T) {
-						synctest.Test(t, func(t *testing.T) { checkMove(t, old, group, at, to) })
+						synctest.Test(t, func(t *testing.T) { checkMove(t, state, group, at, targets) })
 					})
 				}
 			}
@@ -251,17 +251,17 @@
 }
 
 // checkMove moves a feed whose watch is in some state to one discovery after another.
-func checkMove(t *testing.T, old scriptedCall, groupSize int, at time.Duration, to []string) {
+func checkMove(t *testing.T, state scriptedCall, groupSize int, at time.Duration, targets []string) {
 	f := NewFeed(Source{Address: "old:1"}, 41, Pacer{GroupSize: groupSize, Rand: rand.New(rand.NewPCG(1, 1))}, nil)
 	var moved time.Time
 	move := time.AfterFunc(at, func() {
 		moved = time.Now()
-		for _, address := range to {
+		for _, address := range targets {
 			f.SetSource(Source{Address: address})
 		}
 	})
 	defer move.Stop()
-	if _, delivered := playScript(t, f, []scriptedCall{old}); delivered.Sub(moved) > missedEventDeadline-moveTimeSpent || delivered.Before(moved) {
+	if _, delivered := runScript(t, f, []scriptedCall{state}); delivered.Sub(moved) > missedEventDeadline-moveTimeSpent || delivered.Before(moved) {
 		t.Errorf("delivered %v after the move", delivered.Sub(moved))
 	}
 }
@@ -272,7 +272,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := NewFeed(Source{Address: "discovery:1"}, 41, Pacer{}, func(EndpointList) {})
-				d := &scriptedDiscovery{script: []scriptedCall{{sends: responseHead + text, beats: true}}}
+				d := &scriptedDiscovery{script: []scriptedCall{{firstText: responseHead + text, sendsHeartbeats: true}}}
 				f.transport = &http.Transport{DisableKeepAlives: true, DialContext: d.dial}
 				ctx, cancel := context.WithTimeout(t.Context(), 5*watchSilenceTimeout)
 				defer cancel()
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -23,6 +23,6 @@
 
 // Equal reports whether two sources are the same.
 func (s Source) Equal(other Source) bool {
-	isSamePlace := s.Kind == other.Kind && s.Address == other.Address && s.Path == other.Path
-	return isSamePlace && s.IsOwnAgent == other.IsOwnAgent && slices.Equal(s.Endpoints, other.Endpoints)
+	isSameLocation := s.Kind == other.Kind && s.Address == other.Address && s.Path == other.Path
+	return isSameLocation && s.IsOwnAgent == other.IsOwnAgent && slices.Equal(s.Endpoints, other.Endpoints)
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -23,13 +23,13 @@
 
 func startWatch(t *testing.T, a *testkit.Agent, rev int64, silence time.Duration) (<-chan EndpointList, *Feed) {
 	delivered := make(chan EndpointList, 100)
-	w := NewFeed(Source{Address: a.Addr()}, rev, Pacer{}, func(l EndpointList) { delivered <- l })
-	w.silenceTimeout = silence
+	feed := NewFeed(Source{Address: a.Addr()}, rev, Pacer{}, func(l EndpointList) { delivered <- l })
+	feed.silenceTimeout = silence
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); w.Run(ctx) }()
+	go func() { defer close(done); feed.Run(ctx) }()
 	t.Cleanup(func() { cancel(); <-done })
-	return delivered, w
+	return delivered, feed
 }
 
 const activeEndpointMessage = `{"rev":43,"all":false,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:9","az":"a","model":"m2","pod_group":3,"state":"up","boot_ms":1700000000000}]}` + "\n"
@@ -78,13 +78,13 @@
 	if q := testkit.Next(t, a.Polled); strings.Contains(q, "from") {
 		t.Errorf("called %s", q)
 	}
-	for _, all := range []struct {
+	for _, message := range []struct {
 		rev        int64
 		isComplete bool
 	}{{5, false}, {5, false}, {9, false}, {9, true}, {9, true}, {11, false}} {
-		a.Lines <- fmt.Sprintf(`{"all":%v,"targets":[],"rev":%d}`+"\n", all.isComplete, all.rev)
-		if l := testkit.Next(t, delivered); l.Revision != all.rev || l.IsComplete != all.isComplete {
-			t.Errorf("delivered %+v, not %+v", l, all)
+		a.Lines <- fmt.Sprintf(`{"all":%v,"targets":[],"rev":%d}`+"\n", message.isComplete, message.rev)
+		if l := testkit.Next(t, delivered); l.Revision != message.rev || l.IsComplete != message.isComplete {
+			t.Errorf("delivered %+v, not %+v", l, message)
 		}
 	}
 	a.Lines <- `{"rev":5,"all":false,"targets":[{"uid":"s-1","state":"removed"}]}` + "\n"
@@ -114,9 +114,9 @@
 // where the old one is gone and a retry is being delayed.
 func TestWatchFollowsNewSource(t *testing.T) {
 	old, other := testkit.NewAgent(t), testkit.NewAgent(t)
-	delivered, w := startWatch(t, old, 41, testkit.WaitTimeout)
+	delivered, feed := startWatch(t, old, 41, testkit.WaitTimeout)
 	testkit.Next(t, old.Polled)
-	w.SetSource(Source{Address: other.Addr()})
+	feed.SetSource(Source{Address: other.Addr()})
 	if q := testkit.Next(t, other.Polled); strings.Contains(q, "from") {
 		t.Errorf("called %s", q)
 	}
@@ -124,8 +124,8 @@
 	if l := testkit.Next(t, delivered); l.Revision != 2 || !l.IsComplete {
 		t.Errorf("delivered %+v", l)
 	}
-	w.SetSource(Source{Address: "127.0.0.1:1"}) // nobody listens there
-	w.SetSource(Source{Address: old.Addr()})
+	feed.SetSource(Source{Address: "127.0.0.1:1"}) // nobody listens there
+	feed.SetSource(Source{Address: old.Addr()})
 	if q := testkit.Next(t, old.Polled); strings.Contains(q, "from") {
 		t.Errorf("called %s", q)
 	}
@@ -219,29 +219,29 @@
 // What a watch that falls silent misses has to be known 6 s after that: by then it is open again.
 func TestSilenceTimeoutLeavesTimeForRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		here, there := net.Pipe()
-		opened := make(chan time.Duration, 10)
+		clientConn, serverConn := net.Pipe()
+		callTimes := make(chan time.Duration, 10)
 		startedAt := time.Now()
 		w := newWatcher("agent", 41, watchSilenceTimeout, &Pacer{}, func(EndpointList) {})
 		w.client.Transport = &http.Transport{DisableKeepAlives: true, DialContext: func(context.Context, string, string) (net.Conn, error) {
-			opened <- time.Since(startedAt)
-			if len(opened) > 1 {
+			callTimes <- time.Since(startedAt)
+			if len(callTimes) > 1 {
 				return nil, errors.New("nobody")
 			}
 			go func() {
-				http.ReadRequest(bufio.NewReader(there))
-				io.WriteString(there, "HTTP/1.1 200 OK\r\n\r\n\n") // a heartbeat, and silence
+				http.ReadRequest(bufio.NewReader(serverConn))
+				io.WriteString(serverConn, "HTTP/1.1 200 OK\r\n\r\n\n") // a heartbeat, and silence
 			}()
-			return here, nil
+			return clientConn, nil
 		}}
 		ctx, cancel := context.WithCancel(t.Context())
 		go w.run(ctx, 0)
 		time.Sleep(6 * time.Second)
 		cancel()
 		synctest.Wait()
-		there.Close()
-		<-opened
-		if at := <-opened; at != watchSilenceTimeout+minRetryDelay {
+		serverConn.Close()
+		<-callTimes
+		if at := <-callTimes; at != watchSilenceTimeout+minRetryDelay {
 			t.Errorf("opened again after %v", at)
 		}
 	})
@@ -271,7 +271,7 @@
 }
 
 // Wherever the network cuts what a watch sends (in a character, a number, between CR and LF), the same is delivered.
-func TestWatchResumesAfterCutAtAnyByte(t *testing.T) {
+func TestWatchReadsMessagesSplitAtAnyByte(t *testing.T) {
 	const text = "\r\n\n" + `{"rev":43,"all":true,"more":{"x":[1,2]},"targets":[` + "\r\n" + `  {"uid":"s-é","endpoint":"127.0.0.1:9","az":"Zürich","model":"\u00fc}","pod_group":31,"state":"up","boot_ms":1.7e12}]}` +
 		"\n \r\n" + `{"rev":44,"targets":[{"uid":"s-é","state":"draining"}]}{"rev":45,"targets":[]}` + "\r\n"
 	want := []EndpointList{
@@ -279,14 +279,14 @@
 		{Revision: 44, Endpoints: []Endpoint{{UID: "s-é", State: "draining"}}},
 		{Revision: 45},
 	}
-	pieces := map[string]func() io.Reader{"bytes": func() io.Reader { return iotest.OneByteReader(strings.NewReader(text)) }}
+	bodies := map[string]func() io.Reader{"bytes": func() io.Reader { return iotest.OneByteReader(strings.NewReader(text)) }}
 	for i := range text {
-		pieces[strconv.Itoa(i)] = func() io.Reader { return io.MultiReader(strings.NewReader(text[:i]), strings.NewReader(text[i:])) }
+		bodies[strconv.Itoa(i)] = func() io.Reader { return io.MultiReader(strings.NewReader(text[:i]), strings.NewReader(text[i:])) }
 	}
-	for name, in := range pieces {
+	for name, body := range bodies {
 		var delivered []EndpointList
 		w := newWatcher("a:1", 41, testkit.WaitTimeout, &Pacer{}, func(l EndpointList) { delivered = append(delivered, l) })
-		w.client.Transport = bodyTransport(in)
+		w.client.Transport = bodyTransport(body)
 		if hasData, err := w.watch(t.Context()); !hasData || err != nil || w.revision != 45 || !reflect.DeepEqual(delivered, want) {
 			t.Errorf("cut at %s: %v, %v, delivered %+v", name, hasData, err, delivered)
 		}
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -10,86 +10,86 @@
 
 var base = time.UnixMilli(1_800_000_000_000)
 
-func at(ms int) time.Time { return base.Add(time.Duration(ms) * time.Millisecond) }
+func afterBase(ms int) time.Time { return base.Add(time.Duration(ms) * time.Millisecond) }
 
 // Two instances each see a part of a customer's use; only their lines together tell that it is
 // beyond its quota, and that a server had two of their attempts at once.
-func TestFleetIsAddedUp(t *testing.T) {
-	var one, two bytes.Buffer
-	w, v := NewWriter(&one), NewWriter(&two)
-	for _, x := range []*Writer{w, v} {
-		x.Plan(Plan{At: base, Name: "basic", Price: 1, QuotaRate: 1, QuotaBurst: 3})
-		x.State(State{At: at(100), ConcurrencyLimit: 4, AcceptedRequests: 1, AttemptsInFlight: 1, IdleConnections: 2, ListedServers: 5, AvailableServers: 4})
+func TestSumOfSeveralInstances(t *testing.T) {
+	var firstLog, secondLog bytes.Buffer
+	firstWriter, secondWriter := NewWriter(&firstLog), NewWriter(&secondLog)
+	for _, writer := range []*Writer{firstWriter, secondWriter} {
+		writer.Plan(Plan{At: base, Name: "basic", Price: 1, QuotaRate: 1, QuotaBurst: 3})
+		writer.State(State{At: afterBase(100), ConcurrencyLimit: 4, AcceptedRequests: 1, AttemptsInFlight: 1, IdleConnections: 2, ListedServers: 5, AvailableServers: 4})
 	}
 	r := Request{At: base, Class: "read", Plan: "basic", Customer: 7, FanOut: 2, Units: 2, Outcome: "served", Duration: 300 * time.Millisecond, Attempts: 1}
-	w.Request(r)
-	w.Attempt(Attempt{At: base, Server: "s 1", Class: "read", Reason: "ok", Duration: 300 * time.Millisecond, ServerAge: time.Second, ServiceMS: 200, Utilization: 0.5, QueueLength: 0})
-	r.At = at(100)
-	v.Request(r)
-	v.Attempt(Attempt{At: at(100), Server: "s 1", Class: "read", Reason: "ok", Duration: 300 * time.Millisecond, ServerAge: -time.Millisecond, IsOnNewConnection: true, ServiceMS: -1, Utilization: -1, QueueLength: -1})
-	r.At, r.Outcome, r.Cause, r.Attempts = at(1900), "refused", "by_chance", 0
-	v.Request(r)
-	r.At, r.Outcome, r.Cause = at(2000), "refused", "over_store"
+	firstWriter.Request(r)
+	firstWriter.Attempt(Attempt{At: base, Server: "s 1", Class: "read", Reason: "ok", Duration: 300 * time.Millisecond, ServerAge: time.Second, ServiceMS: 200, Utilization: 0.5, QueueLength: 0})
+	r.At = afterBase(100)
+	secondWriter.Request(r)
+	secondWriter.Attempt(Attempt{At: afterBase(100), Server: "s 1", Class: "read", Reason: "ok", Duration: 300 * time.Millisecond, ServerAge: -time.Millisecond, IsOnNewConnection: true, ServiceMS: -1, Utilization: -1, QueueLength: -1})
+	r.At, r.Outcome, r.Cause, r.Attempts = afterBase(1900), "refused", "by_chance", 0
+	secondWriter.Request(r)
+	r.At, r.Outcome, r.Cause = afterBase(2000), "refused", "over_store"
 	r.Units = 3
-	w.Request(r)
+	firstWriter.Request(r)
 
-	a := Summer{LatencyObjectiveMS: 200}
-	for name, b := range map[string]*bytes.Buffer{"n0": &one, "n1": &two} {
-		if err := a.Read(name, b); err != nil {
+	summer := Summer{LatencyObjectiveMS: 200}
+	for name, log := range map[string]*bytes.Buffer{"n0": &firstLog, "n1": &secondLog} {
+		if err := summer.Read(name, log); err != nil {
 			t.Fatal(err)
 		}
 	}
-	s := a.Sum()
-	if s.Instances != 2 || s.Skipped != 0 || len(s.Seconds) != 3 || len(s.Servers) != 1 || len(s.Plans) != 1 {
-		t.Fatalf("%+v", s)
+	sum := summer.Sum()
+	if sum.Instances != 2 || sum.Skipped != 0 || len(sum.Seconds) != 3 || len(sum.Servers) != 1 || len(sum.Plans) != 1 {
+		t.Fatalf("%+v", sum)
 	}
-	first := s.Seconds[0]
+	first := sum.Seconds[0]
 	if first.Requests["served"] != 2 || first.InTime != 0 || first.Attempts["ok"] != 2 || first.NewConnections != 1 || first.AtStartingServers != 1 ||
 		first.MeanAttemptMS != 300 || first.ConcurrencyLimit != 4 || first.AvailableServers != 4 {
 		t.Errorf("%+v", first)
 	}
-	if x := s.Servers[0]; x.Server != "s_1" || x.Instances != 2 || x.PeakInFlight != 2 || x.MeanReportedMS != 200 || x.MeanUtilization != 0.5 {
-		t.Errorf("%+v", x)
+	if writer := sum.Servers[0]; writer.Server != "s_1" || writer.Instances != 2 || writer.PeakInFlight != 2 || writer.MeanReportedMS != 200 || writer.MeanUtilization != 0.5 {
+		t.Errorf("%+v", writer)
 	}
 	// 3 units at first, 2 sent; 1.1 at the second; 2.9 and 3 at the refusals.
-	if p := s.Plans[0]; p.Customers != 1 || p.SentUnderQuota != 2 || p.SentOverQuota != 2 || p.RejectedUnderQuota != 5 || p.RejectedOverQuota != 0 {
+	if p := sum.Plans[0]; p.Customers != 1 || p.SentUnderQuota != 2 || p.SentOverQuota != 2 || p.RejectedUnderQuota != 5 || p.RejectedOverQuota != 0 {
 		t.Errorf("%+v", p)
 	}
 }
 
-func TestLinesOfOthersAreNoTally(t *testing.T) {
-	a := Summer{}
+func TestUnparsableLinesAreSkipped(t *testing.T) {
+	summer := Summer{}
 	log := "2026 INFO serving\ntally\ntally a 1\ntally x 1 2\ntally s 1 NaN 1 1 1 1 1 1\ntally r\x00\n"
-	if err := a.Read("n0", strings.NewReader(log)); err != nil {
+	if err := summer.Read("n0", strings.NewReader(log)); err != nil {
 		t.Fatal(err)
 	}
-	if s := a.Sum(); s.Skipped != 4 || len(s.Seconds) != 0 {
+	if s := summer.Sum(); s.Skipped != 4 || len(s.Seconds) != 0 {
 		t.Errorf("%+v", s)
 	}
-	if err := a.Read("n0", strings.NewReader(strings.Repeat("x", maxLineBytes+1))); err == nil {
+	if err := summer.Read("n0", strings.NewReader(strings.Repeat("x", maxLineBytes+1))); err == nil {
 		t.Error("a line without end was read")
 	}
 }
 
 // failing is a log that can't be written.
-type failing struct{ calls int }
+type failingLog struct{ calls int }
 
-func (f *failing) Write([]byte) (int, error) { f.calls++; return 0, errors.New("full") }
+func (f *failingLog) Write([]byte) (int, error) { f.calls++; return 0, errors.New("full") }
 
-func TestFailingLogIsLeftAlone(t *testing.T) {
-	f := &failing{}
-	w := NewWriter(f)
+func TestFailingLogIsNotWrittenAfterFirstError(t *testing.T) {
+	log := &failingLog{}
+	w := NewWriter(log)
 	for range 3 {
 		w.State(State{})
 	}
-	if f.calls != 1 {
-		t.Errorf("%d calls of a log that fails", f.calls)
+	if log.calls != 1 {
+		t.Errorf("%d calls of a log that fails", log.calls)
 	}
-	var none *Writer
-	none.State(State{})
-	none.Attempt(Attempt{})
-	none.Request(Request{})
-	none.Plan(Plan{})
+	var nilWriter *Writer
+	nilWriter.State(State{})
+	nilWriter.Attempt(Attempt{})
+	nilWriter.Request(Request{})
+	nilWriter.Plan(Plan{})
 }
 
 func FuzzRead(f *testing.F) {
--- a/internal/eventlog/golden_test.go
+++ b/internal/eventlog/golden_test.go
@@ -27,16 +27,16 @@
 	w.State(State{At: at, ConcurrencyLimit: 12.5, AcceptedRequests: 4, AttemptsInFlight: 3, IdleConnections: 5, ListedServers: 8, AvailableServers: 7})
 
 	raw := testkit.GoldenBytes(t, "testdata/golden/lines", lines.Bytes())
-	var a Summer
-	if err := a.Read("one", bytes.NewReader(raw)); err != nil {
+	var summer Summer
+	if err := summer.Read("one", bytes.NewReader(raw)); err != nil {
 		t.Fatal(err)
 	}
-	s := a.Sum()
-	if s.Skipped > 0 || s.Instances != 1 || len(s.Seconds) != 1 || len(s.Servers) != 1 || len(s.Plans) != 1 {
-		t.Fatalf("%+v", s)
+	sum := summer.Sum()
+	if sum.Skipped > 0 || sum.Instances != 1 || len(sum.Seconds) != 1 || len(sum.Servers) != 1 || len(sum.Plans) != 1 {
+		t.Fatalf("%+v", sum)
 	}
 	want := ServerSum{Server: "s_1", Attempts: 1, Reasons: map[string]int{"ok": 1}, Instances: 1, MeanAttemptMS: 15, MeanReportedMS: 9.5, MeanUtilization: 0.75, PeakInFlight: 1}
-	if !reflect.DeepEqual(s.Servers[0], want) {
-		t.Errorf("%+v", s.Servers[0])
+	if !reflect.DeepEqual(sum.Servers[0], want) {
+		t.Errorf("%+v", sum.Servers[0])
 	}
 }
--- a/internal/eventlog/sums.go
+++ b/internal/eventlog/sums.go
@@ -172,8 +172,8 @@
 		attempts[a.server] = append(attempts[a.server], a)
 	}
 	var all []ServerSum
-	for server, its := range attempts {
-		all = append(all, sumServer(server, its, start))
+	for server, serverAttempts := range attempts {
+		all = append(all, sumServer(server, serverAttempts, start))
 	}
 	slices.SortFunc(all, func(a, b ServerSum) int {
 		return cmp.Or(cmp.Compare(b.MeanAttemptMS, a.MeanAttemptMS), cmp.Compare(a.Server, b.Server))
--- a/internal/groupsize/groupsize_test.go
+++ b/internal/groupsize/groupsize_test.go
@@ -18,7 +18,7 @@
 
 // Servers that have in flight what a group of some size sends them: the estimate is near, whether or not a
 // report counts the request that it answers, and a wrong size is noticed.
-func TestEstimateIsNearAndContradictsAWrongSize(t *testing.T) {
+func TestEstimateIsAccurateAndContradictsWrongSize(t *testing.T) {
 	for _, tc := range []struct {
 		size, configured int
 		mean             float64 // that one instance has in flight at a server
--- a/internal/leasestore/golden_test.go
+++ b/internal/leasestore/golden_test.go
@@ -17,14 +17,14 @@
 // file anew.
 func TestGoldenCounter(t *testing.T) {
 	var text strings.Builder
-	c := New(Options{Address: "127.0.0.1:1", KeyPrefix: "care"})
-	t.Cleanup(func() { _ = c.Close() })
-	fmt.Fprintln(&text, "key", c.keys)
+	client := New(Options{Address: "127.0.0.1:1", KeyPrefix: "care"})
+	t.Cleanup(func() { _ = client.Close() })
+	fmt.Fprintln(&text, "key", client.keys)
 
 	now := time.Unix(1_700_000_000, 0)
-	s := redistest.New()
-	s.SetClock(func() time.Time { return now })
-	id := eval(t, s, &quotalease.StoreCall{HolderID: "x"}).StoreID
+	server := redistest.New()
+	server.SetClock(func() time.Time { return now })
+	id := evalScript(t, server, &quotalease.StoreCall{HolderID: "x"}).StoreID
 	var last quotalease.StoreCall
 	for step := range 5 { // a part that is pledged for a time comes to hold units
 		now = now.Add(time.Second)
@@ -33,7 +33,7 @@
 			last.Requests = []quotalease.LeaseRequest{{Key: "p c", Limit: quotalease.HardLimit{Rate: 30, Burst: 60}, Units: 4, MinUnits: 1.5}}
 			last.Returns = []quotalease.LeaseReturn{{Key: "p d", Token: 3, Units: 2.5}}
 		}
-		if a := eval(t, s, &last); step == 4 && len(a.Grants) != 1 {
+		if a := evalScript(t, server, &last); step == 4 && len(a.Grants) != 1 {
 			t.Errorf("%+v lends nothing", a)
 		}
 	}
@@ -41,7 +41,7 @@
 
 	base := "{x}:" + id
 	for _, key := range []string{":m", ":p", ":l:1:8"} {
-		fields, _ := s.Do("HGETALL", base+key).([]any)
+		fields, _ := server.Do("HGETALL", base+key).([]any)
 		var pairs []string
 		for i := 0; i+1 < len(fields); i += 2 {
 			pairs = append(pairs, fmt.Sprintf("%v=%v", fields[i], fields[i+1]))
@@ -49,6 +49,6 @@
 		slices.Sort(pairs)
 		fmt.Fprintln(&text, "hash", key, pairs)
 	}
-	fmt.Fprintln(&text, "text :s:1:p c", s.Do("GET", base+":s:1:p c"))
+	fmt.Fprintln(&text, "text :s:1:p c", server.Do("GET", base+":s:1:p c"))
 	testkit.GoldenBytes(t, "testdata/golden/counter.txt", []byte(strings.ReplaceAll(text.String(), id, "ID")))
 }
--- a/internal/leasestore/leasestore_test.go
+++ b/internal/leasestore/leasestore_test.go
@@ -15,13 +15,13 @@
 
 var rules = quotalease.Rules{Instances: 4, Term: time.Second, ReservationTime: 2 * time.Second, ResizeTime: 2 * time.Second}
 
-func eval(t *testing.T, s *redistest.Server, q *quotalease.StoreCall) quotalease.StoreReply {
+func evalScript(t *testing.T, server *redistest.Server, call *quotalease.StoreCall) quotalease.StoreReply {
 	t.Helper()
 	args := []string{"EVAL", scriptSource, "1", "{x}"}
-	for _, a := range EncodeCall(q, rules) {
-		args = append(args, fmt.Sprint(a))
+	for _, decoded := range EncodeCall(call, rules) {
+		args = append(args, fmt.Sprint(decoded))
 	}
-	reply := s.Do(args...)
+	reply := server.Do(args...)
 	list, ok := reply.([]any)
 	if !ok {
 		t.Fatalf("%v", reply)
@@ -30,28 +30,28 @@
 	for i, v := range list {
 		raw[i] = v.(string)
 	}
-	a, err := DecodeReply(raw)
+	decoded, err := DecodeReply(raw)
 	if err != nil {
 		t.Fatalf("%v: %q", err, raw)
 	}
-	return a
+	return decoded
 }
 
 // The script answers each call as quotalease.Counter does, whatever is asked in whatever order while
 // the clock steps, data is forgotten, and returns are made up.
-func TestScriptIsTheCounter(t *testing.T) {
-	lent, returned := 0, 0
+func TestScriptMatchesStore(t *testing.T) {
+	grantCount, returnCount := 0, 0
 	for seed := range uint64(15) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		now := time.Unix(1_700_000_000, 0)
-		s := redistest.New()
-		s.SetClock(func() time.Time { return now })
-		id := eval(t, s, &quotalease.StoreCall{HolderID: "x"}).StoreID
-		c := quotalease.NewStore(rules, id)
-		c.Handle(time.Duration(now.UnixMicro())*time.Microsecond, quotalease.StoreCall{HolderID: "x"})
+		server := redistest.New()
+		server.SetClock(func() time.Time { return now })
+		id := evalScript(t, server, &quotalease.StoreCall{HolderID: "x"}).StoreID
+		store := quotalease.NewStore(rules, id)
+		store.Handle(time.Duration(now.UnixMicro())*time.Microsecond, quotalease.StoreCall{HolderID: "x"})
 		var grants []quotalease.Grant
-		var owner []string
-		echo := time.Duration(now.UnixMicro()) * time.Microsecond
+		var holders []string
+		echoedTime := time.Duration(now.UnixMicro()) * time.Microsecond
 		for step := range 300 {
 			now = now.Add(time.Duration(rng.IntN(200)) * time.Millisecond)
 			switch rng.IntN(60) {
@@ -60,18 +60,18 @@
 			case 1:
 				now = now.Add(time.Duration(rng.IntN(30)) * time.Second)
 			}
-			q := quotalease.StoreCall{HolderID: fmt.Sprint("i", rng.IntN(4)), StoreID: id, EchoedTime: echo - time.Duration(rng.IntN(2500))*time.Millisecond}
+			call := quotalease.StoreCall{HolderID: fmt.Sprint("i", rng.IntN(4)), StoreID: id, EchoedTime: echoedTime - time.Duration(rng.IntN(2500))*time.Millisecond}
 			if rng.IntN(4) > 0 {
-				q.ReservedFraction = 0.25
+				call.ReservedFraction = 0.25
 			}
 			if rng.IntN(50) == 0 {
-				q.LastToken = uint64(rng.IntN(2000))
+				call.LastToken = uint64(rng.IntN(2000))
 			}
 			if rng.IntN(30) == 0 {
-				q.StoreID = "another"
+				call.StoreID = "another"
 			}
 			for range rng.IntN(3) {
-				q.Requests = append(q.Requests, quotalease.LeaseRequest{
+				call.Requests = append(call.Requests, quotalease.LeaseRequest{
 					Key: fmt.Sprint("k ", rng.IntN(3)), Limit: quotalease.HardLimit{Rate: 30, Burst: 60},
 					Units: rng.Float64() * 20, MinUnits: rng.Float64() * 4,
 				})
@@ -80,38 +80,38 @@
 				if len(grants) > 0 {
 					i := rng.IntN(len(grants))
 					g := grants[i]
-					if q.HolderID = owner[i]; rng.IntN(4) == 0 {
-						q.HolderID = "i1"
+					if call.HolderID = holders[i]; rng.IntN(4) == 0 {
+						call.HolderID = "i1"
 					}
-					q.Returns = append(q.Returns, quotalease.LeaseReturn{Key: g.Key, Token: g.Token, Units: g.Units * rng.Float64() * 1.5})
-					returned++
+					call.Returns = append(call.Returns, quotalease.LeaseReturn{Key: g.Key, Token: g.Token, Units: g.Units * rng.Float64() * 1.5})
+					returnCount++
 				}
 			}
-			at := time.Duration(now.UnixMicro()) * time.Microsecond
-			want, got := c.Handle(at, q), eval(t, s, &q)
-			same := want.StoreID == got.StoreID && want.StoreTime == got.StoreTime && want.IsLending == got.IsLending && len(want.Grants) == len(got.Grants)
-			for i := 0; same && i < len(want.Grants); i++ {
+			storeTime := time.Duration(now.UnixMicro()) * time.Microsecond
+			want, got := store.Handle(storeTime, call), evalScript(t, server, &call)
+			isEqual := want.StoreID == got.StoreID && want.StoreTime == got.StoreTime && want.IsLending == got.IsLending && len(want.Grants) == len(got.Grants)
+			for i := 0; isEqual && i < len(want.Grants); i++ {
 				w, g := want.Grants[i], got.Grants[i]
-				same = w.Key == g.Key && w.Token == g.Token && math.Abs(w.Units-g.Units) < 1e-6
+				isEqual = w.Key == g.Key && w.Token == g.Token && math.Abs(w.Units-g.Units) < 1e-6
 			}
-			if !same {
-				t.Fatalf("seed %d, step %d: %+v\nthe counter: %+v\nthe script:  %+v", seed, step, q, want, got)
+			if !isEqual {
+				t.Fatalf("seed %d, step %d: %+v\nthe counter: %+v\nthe script:  %+v", seed, step, call, want, got)
 			}
 			for _, g := range got.Grants {
-				grants, owner = append(grants, g), append(owner, q.HolderID)
+				grants, holders = append(grants, g), append(holders, call.HolderID)
 			}
-			lent += len(got.Grants)
+			grantCount += len(got.Grants)
 			if want.StoreID == id {
-				echo = at
+				echoedTime = storeTime
 			}
 		}
 	}
-	if t.Logf("%d grants, %d returns", lent, returned); lent < 200 || returned < 200 {
+	if t.Logf("%d grants, %d returns", grantCount, returnCount); grantCount < 200 || returnCount < 200 {
 		t.Error("too little was played")
 	}
 }
 
-func start(t *testing.T) (*redistest.Server, *Client) {
+func startClient(t *testing.T) (*redistest.Server, *Client) {
 	t.Helper()
 	s, err := redistest.Start()
 	if err != nil {
@@ -126,13 +126,13 @@
 // A call over the network: a script that is not known yet is brought, an error is told once and
 // nothing is sent again.
 func TestCalls(t *testing.T) {
-	s, c := start(t)
+	s, c := startClient(t)
 	call := func() (quotalease.StoreReply, error) {
 		return c.Call(context.Background(), &quotalease.StoreCall{HolderID: "i", Seq: 7})
 	}
-	a, err := call()
-	if err != nil || a.StoreID == "" || a.Seq != 7 || a.IsLending || s.ScriptRuns() != 1 {
-		t.Fatalf("%+v, %v, %d calls", a, err, s.ScriptRuns())
+	reply, err := call()
+	if err != nil || reply.StoreID == "" || reply.Seq != 7 || reply.IsLending || s.ScriptRuns() != 1 {
+		t.Fatalf("%+v, %v, %d calls", reply, err, s.ScriptRuns())
 	}
 	for _, text := range []string{
 		"LOADING Redis is loading the dataset in memory", "READONLY You can't write against a read only replica.",
@@ -148,14 +148,14 @@
 		t.Errorf("%d calls", n)
 	}
 	s.Replace()
-	b, err := call()
+	replyAfterReplacement, err := call()
 	for range 3 { // connections of the pool that were cut
 		if err != nil {
-			b, err = call()
+			replyAfterReplacement, err = call()
 		}
 	}
-	if err != nil || b.StoreID == a.StoreID {
-		t.Errorf("after it was replaced: %+v, %v", b, err)
+	if err != nil || replyAfterReplacement.StoreID == reply.StoreID {
+		t.Errorf("after it was replaced: %+v, %v", replyAfterReplacement, err)
 	}
 	s.SetFaults(redistest.Faults{IsSilent: true})
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
@@ -166,14 +166,14 @@
 }
 
 func TestPassword(t *testing.T) {
-	s, c := start(t)
+	s, c := startClient(t)
 	s.SetPassword("secret")
 	if _, err := c.Call(t.Context(), &quotalease.StoreCall{}); err == nil || !strings.Contains(err.Error(), "NOAUTH") {
 		t.Errorf("without: %v", err)
 	}
-	for password, fine := range map[string]bool{"secret": true, "other": false} {
+	for password, isAccepted := range map[string]bool{"secret": true, "other": false} {
 		c := New(Options{Address: s.Addr(), Password: password, KeyPrefix: "a", Timeout: 5 * time.Second, Rules: rules})
-		if _, err := c.Call(t.Context(), &quotalease.StoreCall{}); (err == nil) != fine {
+		if _, err := c.Call(t.Context(), &quotalease.StoreCall{}); (err == nil) != isAccepted {
 			t.Errorf("%s: %v", password, err)
 		}
 		c.Close()
@@ -186,13 +186,13 @@
 	f.Add("id\x00-1\x001")
 	f.Add("id\x001\x001\x00k\x005\x00NaN")
 	f.Fuzz(func(t *testing.T, raw string) {
-		a, err := DecodeReply(strings.Split(raw, "\x00"))
+		reply, err := DecodeReply(strings.Split(raw, "\x00"))
 		if err != nil {
 			return
 		}
-		for _, g := range a.Grants {
-			if !(g.Units > 0) || math.IsInf(g.Units, 0) || a.StoreID == "" || a.StoreTime < 0 {
-				t.Errorf("%q: %+v", raw, a)
+		for _, g := range reply.Grants {
+			if !(g.Units > 0) || math.IsInf(g.Units, 0) || reply.StoreID == "" || reply.StoreTime < 0 {
+				t.Errorf("%q: %+v", raw, reply)
 			}
 		}
 	})
--- a/internal/metrics/gathers.go
+++ b/internal/metrics/gathers.go
@@ -35,7 +35,7 @@
 			}
 		}
 		p.add(&gatherDeadline, s.Deadline.Seconds(), s.Name)
-		p.add(&gatherKnown, oneIf(s.IsKnown), s.Name)
+		p.add(&gatherKnown, boolValue(s.IsKnown), s.Name)
 		p.add(&gatherExplored, float64(s.Learned.Explored), s.Name)
 		p.add(&gatherChanges, float64(s.Learned.Changes), s.Name)
 		if shared := s.Shared; shared != nil {
--- a/internal/metrics/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -15,28 +15,28 @@
 )
 
 // sampled is a source that tells samples, and the counts of a service that has had no request.
-type sampled struct {
+type sampleSource struct {
 	status    []node.Status
-	gathering []scattergather.Status
+	gatherers []scattergather.Status
 	member    manage.Status
 	counts    map[string]*service.RequestCounts
 }
 
-func (s *sampled) Status() []node.Status                            { return s.status }
-func (s *sampled) Generation() int                                  { return 3 }
-func (s *sampled) RetiredServices() []node.RetiredService           { return make([]node.RetiredService, 2) }
-func (s *sampled) RequestCounts() map[string]*service.RequestCounts { return s.counts }
-func (s *sampled) GathererStatus() []scattergather.Status           { return s.gathering }
-func (s *sampled) Member() manage.Status                            { return s.member }
+func (s *sampleSource) Status() []node.Status                            { return s.status }
+func (s *sampleSource) Generation() int                                  { return 3 }
+func (s *sampleSource) RetiredServices() []node.RetiredService           { return make([]node.RetiredService, 2) }
+func (s *sampleSource) RequestCounts() map[string]*service.RequestCounts { return s.counts }
+func (s *sampleSource) GathererStatus() []scattergather.Status           { return s.gatherers }
+func (s *sampleSource) Member() manage.Status                            { return s.member }
 
 // A scrape has the names, kinds, labels and values that it had from earlier builds; go test ./internal/metrics
 // -run Golden -update writes the file anew. Help texts and what the process tells of itself are left out, and
 // lines are sorted.
 func TestGoldenMetrics(t *testing.T) {
 	text := strings.Replace(testkit.Small, "[process]", "[metrics]\naddress = \"127.0.0.1:0\"\n[process]", 1)
-	s := sampled{counts: benchtest.Begin(t, text, nil).Node.RequestCounts()}
+	s := sampleSource{counts: benchtest.Begin(t, text, nil).Node.RequestCounts()}
 	testkit.Sample("json", &s.status)
-	testkit.Sample("json", &s.gathering)
+	testkit.Sample("json", &s.gatherers)
 	testkit.Sample("json", &s.member)
 	var page bytes.Buffer
 	if err := Write(&page, &s); err != nil {
--- a/internal/metrics/page.go
+++ b/internal/metrics/page.go
@@ -40,7 +40,7 @@
 	metrics.WriteGaugeFloat64(b, name.String(), v) // values of all kinds have the same form
 }
 
-func oneIf(b bool) float64 {
+func boolValue(b bool) float64 {
 	if b {
 		return 1
 	}
@@ -51,9 +51,9 @@
 func (p *page) addMember(s *manage.Status) {
 	statistics := &s.Statistics
 	p.add(&settings, 1, s.ConfigHash)
-	p.add(&isDesiredConfig, oneIf(s.DesiredState.Hash == "" || s.DesiredState.Hash == s.ConfigHash))
+	p.add(&isDesiredConfig, boolValue(s.DesiredState.Hash == "" || s.DesiredState.Hash == s.ConfigHash))
 	p.add(&epoch, float64(s.Epoch))
-	p.add(&hasLostEpochs, oneIf(s.LostToken != ""))
+	p.add(&hasLostEpochs, boolValue(s.LostToken != ""))
 	p.add(&priorityWeight, statistics.OfferedWeight, "asked")
 	p.add(&priorityWeight, statistics.Served, "served")
 	p.add(&units, statistics.Units)
@@ -73,8 +73,8 @@
 	p.add(&idleConnections, float64(s.IdleConnections), s.Name)
 	p.add(&restarts, float64(s.Restarts), s.Name)
 	for _, store := range s.HardLimits {
-		p.add(&storeLends, oneIf(store.CanBorrow), s.Name, store.StoreName)
-		p.add(&storeOwnQuota, oneIf(store.UsesOwnQuota), s.Name, store.StoreName)
+		p.add(&storeLends, boolValue(store.CanBorrow), s.Name, store.StoreName)
+		p.add(&storeOwnQuota, boolValue(store.UsesOwnQuota), s.Name, store.StoreName)
 		p.add(&storeLeasedUnits, store.LeasedUnits, s.Name, store.StoreName)
 		p.add(&storeQueuedRequests, float64(store.QueuedRequests), s.Name, store.StoreName)
 		p.add(&storeCalls, float64(store.Calls), s.Name, store.StoreName)
--- a/internal/record/digest.go
+++ b/internal/record/digest.go
@@ -20,7 +20,7 @@
 	codeDisconnect
 	codeLogLine
 	codeAddToCounter
-	codeRareAction // any other action, with a text
+	codeOtherAction // any other action, with a text
 )
 
 // Digest appends actions to buffer in a form of their own, and returns it: equal actions give equal bytes. The form is
@@ -56,7 +56,7 @@
 	case control.AddToCounter:
 		return binary.AppendUvarint(append(buffer, codeAddToCounter), math.Float64bits(a.Add))
 	default:
-		return appendText(append(buffer, codeRareAction), rareActionText(a))
+		return appendText(append(buffer, codeOtherAction), otherActionText(a))
 	}
 }
 
@@ -67,7 +67,7 @@
 
 // rareActionText is the text that Digest appends for an action without a form of its own. It is stored in recordings,
 // so it must not change with the names of types and fields.
-func rareActionText(action control.Action) string {
+func otherActionText(action control.Action) string {
 	switch a := action.(type) {
 	case control.CheckHealth:
 		return fmt.Sprintf("control.Probe {Server:%d}", a.Server)
--- a/internal/record/digest_test.go
+++ b/internal/record/digest_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestDigestTextOfRareActions holds the texts that recordings of earlier builds were digested with.
-func TestDigestTextOfRareActions(t *testing.T) {
+func TestDigestTextOfOtherActions(t *testing.T) {
 	cases := []struct {
 		action control.Action
 		want   string
@@ -19,7 +19,7 @@
 		{control.SendPeerMessage{To: -1, Raw: []byte{1, 200}}, "control.Say {To:-1 Raw:[1 200]}"},
 	}
 	for _, c := range cases {
-		if got := rareActionText(c.action); got != c.want {
+		if got := otherActionText(c.action); got != c.want {
 			t.Errorf("%T: text %q, want %q", c.action, got, c.want)
 		}
 	}
--- a/internal/record/golden_amd64_test.go
+++ b/internal/record/golden_amd64_test.go
@@ -45,13 +45,13 @@
 
 // history is what the services of a recording see.
 type history struct {
-	settings    control.Settings
-	classes     []string         // that are asked, each as often
-	reasons     []control.Reason // that attempts end with, each as often
-	customers   int
-	requestRate float64       // part of the steps that bring a request; else an attempt ends
-	stepTime    time.Duration // the longest that passes between two steps
-	cold        bool          // servers are replaced by cold ones
+	settings        control.Settings
+	classes         []string         // that are asked, each as often
+	reasons         []control.Reason // that attempts end with, each as often
+	customers       int
+	requestRate     float64       // part of the steps that bring a request; else an attempt ends
+	maxStepTime     time.Duration // the longest that passes between two steps
+	replacesServers bool          // servers are replaced by cold ones
 }
 
 // mixedReasons are ends of attempts, a third of which failed.
@@ -89,23 +89,23 @@
 
 // histories are the recordings' by name. Each section of a history is a recording of its own.
 var histories = map[string]history{
-	"effects":   {settings: baseSettings(), classes: []string{"read", "update", "transfer", "watch", "unknown"}, reasons: mixedReasons, customers: 4, requestRate: 0.5, stepTime: 30 * time.Millisecond},
-	"quotas":    {settings: quotaSettings(), classes: []string{"read", "update"}, reasons: mixedReasons, customers: 2, requestRate: 0.55, stepTime: 40 * time.Millisecond},
-	"cold":      {settings: baseSettings(), classes: []string{"read", "update"}, reasons: mixedReasons, customers: 4, requestRate: 0.5, stepTime: 60 * time.Millisecond, cold: true},
-	"hand-over": {settings: quotaSettings(), classes: []string{"read", "update", "transfer"}, reasons: mixedReasons, customers: 3, requestRate: 0.5, stepTime: 30 * time.Millisecond, cold: true},
+	"effects":   {settings: baseSettings(), classes: []string{"read", "update", "transfer", "watch", "unknown"}, reasons: mixedReasons, customers: 4, requestRate: 0.5, maxStepTime: 30 * time.Millisecond},
+	"quotas":    {settings: quotaSettings(), classes: []string{"read", "update"}, reasons: mixedReasons, customers: 2, requestRate: 0.55, maxStepTime: 40 * time.Millisecond},
+	"cold":      {settings: baseSettings(), classes: []string{"read", "update"}, reasons: mixedReasons, customers: 4, requestRate: 0.5, maxStepTime: 60 * time.Millisecond, replacesServers: true},
+	"hand-over": {settings: quotaSettings(), classes: []string{"read", "update", "transfer"}, reasons: mixedReasons, customers: 3, requestRate: 0.5, maxStepTime: 30 * time.Millisecond, replacesServers: true},
 }
 
 // historian has recorded modules live through a history.
-type historian struct {
+type historyRecorder struct {
 	*driver
-	t       *testing.T
-	history history
-	dir     string
-	servers uint32 // that there have been; the latest are listed
-	ids     int
+	t           *testing.T
+	history     history
+	dir         string
+	lastServer  uint32 // that there have been; the latest are listed
+	lastRequest int
 }
 
-func (h *historian) record(seed uint64, name string) *Module {
+func (h *historyRecorder) newModule(seed uint64, name string) *Module {
 	c, err := control.New(h.history.settings, seed)
 	if err != nil {
 		h.t.Fatal(err)
@@ -118,65 +118,65 @@
 }
 
 // endpoint is a server's entry in the list, in one of two zones and of two cells.
-func (h *historian) endpoint(server uint32, state control.EndpointState) control.Endpoint {
+func (h *historyRecorder) endpoint(server uint32, state control.EndpointState) control.Endpoint {
 	return control.Endpoint{Server: server, State: state, Zone: []string{"west", "east"}[server%2], Cell: int(server / 2 % 2), Size: 1}
 }
 
 // list tells the module of all servers.
-func (h *historian) list(kind control.ListKind) {
+func (h *historyRecorder) sendList(kind control.ListKind) {
 	l := control.EndpointList{Kind: kind}
-	for server := h.servers - listedServers + 1; server <= h.servers; server++ {
+	for server := h.lastServer - listedServers + 1; server <= h.lastServer; server++ {
 		l.Endpoints = append(l.Endpoints, h.endpoint(server, control.Active))
 	}
 	h.handle(l)
 }
 
 // replace has a cold server come and an old one drain.
-func (h *historian) replace() {
-	h.servers++
-	fresh := h.endpoint(h.servers, control.Active)
+func (h *historyRecorder) replaceServer() {
+	h.lastServer++
+	fresh := h.endpoint(h.lastServer, control.Active)
 	fresh.HasStartedAt, fresh.StartedAt = true, h.now
-	h.handle(control.EndpointList{Kind: control.ListPatch, Endpoints: []control.Endpoint{fresh, h.endpoint(h.servers-listedServers, control.Draining)}})
+	h.handle(control.EndpointList{Kind: control.ListPatch, Endpoints: []control.Endpoint{fresh, h.endpoint(h.lastServer-listedServers, control.Draining)}})
 }
 
 // step brings a request, the end of an attempt, or other news.
-func (h *historian) step(i int) {
-	h.pass(time.Duration(h.rng.Int64N(int64(h.history.stepTime))))
-	if h.history.cold && i%100 == 50 {
-		h.replace()
+func (h *historyRecorder) step(i int) {
+	h.advance(time.Duration(h.rng.Int64N(int64(h.history.maxStepTime))))
+	if h.history.replacesServers && i%100 == 50 {
+		h.replaceServer()
 	}
 	switch {
 	case i%140 == 60:
 		h.handle(control.EndpointList{Kind: control.ListFailed})
 	case i%140 == 90:
-		h.list(control.ListCached)
+		h.sendList(control.ListCached)
 	case i%140 == 130:
-		h.list(control.ListComplete)
+		h.sendList(control.ListComplete)
 	case h.rng.Float64() < h.history.requestRate || len(h.sent) == 0:
-		h.request()
+		h.sendRequest()
 	default:
-		h.respond(h.take(h.rng.IntN(len(h.sent))), h.response())
+		h.respond(h.removeSent(h.rng.IntN(len(h.sent))), h.randomResult())
 	}
 }
 
-func (h *historian) request() {
-	h.ids++
+func (h *historyRecorder) sendRequest() {
+	h.lastRequest++
 	plans := h.history.settings.Plans
 	r := control.Request{
-		ID: fmt.Sprint("r", h.ids), Class: h.history.classes[h.rng.IntN(len(h.history.classes))], Plan: plans[h.rng.IntN(len(plans))].Name,
+		ID: fmt.Sprint("r", h.lastRequest), Class: h.history.classes[h.rng.IntN(len(h.history.classes))], Plan: plans[h.rng.IntN(len(plans))].Name,
 		Customer: fmt.Sprint("c", h.rng.IntN(h.history.customers)), Timeout: 3 * time.Second, Units: float64(1 + h.rng.IntN(3)), FanOut: 1 + h.rng.IntN(2),
-		IsOverCapacity: h.ids%97 == 0, HasPendingBody: h.ids%13 == 0,
+		IsOverCapacity: h.lastRequest%97 == 0, HasPendingBody: h.lastRequest%13 == 0,
 	}
-	if h.ids%9 == 0 { // a later attempt of its client
+	if h.lastRequest%9 == 0 { // a later attempt of its client
 		r.IsRetry, r.Timeout = true, time.Duration(500+h.rng.IntN(2000))*time.Millisecond
 	}
 	h.handle(r)
-	if h.ids%23 == 0 {
+	if h.lastRequest%23 == 0 {
 		h.handle(control.ClientGone{ID: r.ID})
 	}
 }
 
-func (h *historian) response() control.AttemptResult {
+func (h *historyRecorder) randomResult() control.AttemptResult {
 	s := h.history.settings
 	r := control.AttemptResult{Reason: h.history.reasons[h.rng.IntN(len(h.history.reasons))], Delay: time.Duration(1+h.rng.IntN(90)) * time.Millisecond}
 	r.IsFinal = r.Reason == control.OK
@@ -190,59 +190,59 @@
 }
 
 // respond has an answer that streams begin before it ends.
-func (h *historian) respond(s control.Send, r control.AttemptResult) {
+func (h *historyRecorder) respond(s control.Send, r control.AttemptResult) {
 	if r.IsFinal && h.rng.IntN(4) == 0 {
 		h.handle(control.ResponseStarted{ID: s.ID, Attempt: h.attempts[s.ID], Server: s.Server, Delay: r.Delay})
-		h.pass(5 * time.Millisecond)
+		h.advance(5 * time.Millisecond)
 	}
 	h.driver.respond(s, r)
 }
 
 // handOver has a successor take half of what the module may spend, and the rest once both have served.
-func (h *historian) handOver(steps int) {
+func (h *historyRecorder) handOver(steps int) {
 	predecessor := h.driver
-	next := &historian{
-		t: h.t, history: h.history, dir: h.dir, servers: h.servers, ids: 1000,
-		driver: &driver{module: h.record(2, "successor"), rng: h.rng, now: h.now, attempts: make(map[string]int)},
+	successor := &historyRecorder{
+		t: h.t, history: h.history, dir: h.dir, lastServer: h.lastServer, lastRequest: 1000,
+		driver: &driver{module: h.newModule(2, "successor"), rng: h.rng, now: h.now, attempts: make(map[string]int)},
 	}
-	next.list(control.ListComplete)
-	given := predecessor.module.HandOver(h.now, 0.5)
-	next.module.Restore(next.now, given, control.TrustAll)
+	successor.sendList(control.ListComplete)
+	checkpoint := predecessor.module.HandOver(h.now, 0.5)
+	successor.module.Restore(successor.now, checkpoint, control.TrustAll)
 	for i := range steps {
 		h.step(i)
-		next.step(i)
+		successor.step(i)
 	}
-	now := max(h.now, next.now)
-	rest := predecessor.module.HandOver(now, 1)
-	next.now = now
-	next.module.ReclaimRates(now, &rest)
+	now := max(h.now, successor.now)
+	remainder := predecessor.module.HandOver(now, 1)
+	successor.now = now
+	successor.module.ReclaimRates(now, &remainder)
 	for i := range steps {
-		next.step(i)
+		successor.step(i)
 	}
-	if err := next.module.Close(); err != nil {
+	if err := successor.module.Close(); err != nil {
 		h.t.Fatal(err)
 	}
 }
 
 // recordHistory records a history, and puts its sections where the golden recordings are.
 func recordHistory(t *testing.T, name string) {
-	h := &historian{t: t, history: histories[name], dir: t.TempDir(), servers: listedServers}
-	h.driver = &driver{module: h.record(1, "service"), rng: rand.New(rand.NewPCG(7, 41)), now: time.Hour, attempts: make(map[string]int)}
-	h.list(control.ListComplete)
+	recorder := &historyRecorder{t: t, history: histories[name], dir: t.TempDir(), lastServer: listedServers}
+	recorder.driver = &driver{module: recorder.newModule(1, "service"), rng: rand.New(rand.NewPCG(7, 41)), now: time.Hour, attempts: make(map[string]int)}
+	recorder.sendList(control.ListComplete)
 	steps := historySteps
 	if name == "hand-over" {
 		steps /= 3
 	}
 	for i := range steps {
-		h.step(i)
+		recorder.step(i)
 	}
 	if name == "hand-over" {
-		h.handOver(steps)
+		recorder.handOver(steps)
 	}
-	if err := h.module.Close(); err != nil {
+	if err := recorder.module.Close(); err != nil {
 		t.Fatal(err)
 	}
-	for i, path := range sections(t, h.dir) {
+	for i, path := range sectionPaths(t, recorder.dir) {
 		service, _, _ := strings.Cut(filepath.Base(path), "-")
 		raw, err := os.ReadFile(path)
 		if err == nil {
@@ -255,20 +255,20 @@
 }
 
 // replayed is a recording that is played again.
-type replayed struct {
-	t        *testing.T
-	path     string
-	reader   *Reader
-	shadow   *control.Controller // takes the same events, to have its state looked at
-	effects  map[string]control.Idempotency
-	sends    map[string]int
-	cold     map[uint32]bool
-	decided  *decisiondigest.Digest
-	features map[string]bool
-	other    int // events that were answered otherwise than recorded
+type goldenReplay struct {
+	t                  *testing.T
+	path               string
+	reader             *Reader
+	shadow             *control.Controller // takes the same events, to have its state looked at
+	requestIdempotency map[string]control.Idempotency
+	attemptCounts      map[string]int
+	hasStartTime       map[uint32]bool
+	decisions          *decisiondigest.Digest
+	features           map[string]bool
+	differences        int // events that were answered otherwise than recorded
 }
 
-func openRecording(t *testing.T, path string) *replayed {
+func openRecording(t *testing.T, path string) *goldenReplay {
 	t.Helper()
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -277,9 +277,9 @@
 	if len(raw) > maxRecordingBytes {
 		t.Errorf("%s: %d bytes are more than %d", path, len(raw), maxRecordingBytes)
 	}
-	p := &replayed{
-		t: t, path: path, decided: decisiondigest.New(), features: make(map[string]bool), effects: make(map[string]control.Idempotency),
-		sends: make(map[string]int), cold: make(map[uint32]bool),
+	p := &goldenReplay{
+		t: t, path: path, decisions: decisiondigest.New(), features: make(map[string]bool), requestIdempotency: make(map[string]control.Idempotency),
+		attemptCounts: make(map[string]int), hasStartTime: make(map[uint32]bool),
 	}
 	if p.reader, err = Open(bytes.NewReader(raw)); err != nil {
 		t.Fatalf("%s: %v", path, err)
@@ -291,18 +291,18 @@
 }
 
 // play plays the recording and returns its line of the golden file.
-func (p *replayed) play() string {
+func (p *goldenReplay) replay() string {
 	p.t.Helper()
 	events, sum, err := p.reader.Replay(func(s Step) error {
 		if !s.IsAsRecorded {
-			if p.other++; p.other == 1 {
+			if p.differences++; p.differences == 1 {
 				p.t.Errorf("%s: at %v %T is answered otherwise than recorded, by %v", p.path, s.Now, s.Event, s.Actions)
 			}
 		}
-		p.decided.AddActions(s.Now, 0, s.Actions)
-		p.noteEvent(s.Event)
+		p.decisions.AddActions(s.Now, 0, s.Actions)
+		p.recordEventFeatures(s.Event)
 		for _, action := range s.Actions {
-			p.noteAction(action)
+			p.recordActionFeatures(action)
 		}
 		p.shadow.Handle(s.Now, s.Event)
 		return nil
@@ -314,23 +314,23 @@
 	if err := state.AddImage(p.shadow.Image()); err != nil {
 		p.t.Fatal(err)
 	}
-	return fmt.Sprintf("%s events=%d replay=%016x decisions=%s state=%s", filepath.Base(p.path), events, sum, p.decided.Sum(), state.Sum())
+	return fmt.Sprintf("%s events=%d replay=%016x decisions=%s state=%s", filepath.Base(p.path), events, sum, p.decisions.Sum(), state.Sum())
 }
 
 var listNames = map[control.ListKind]string{control.ListPatch: "patch", control.ListComplete: "complete", control.ListCached: "stale", control.ListFailed: "failed"}
 
-func (p *replayed) noteEvent(event control.Event) {
+func (p *goldenReplay) recordEventFeatures(event control.Event) {
 	switch e := event.(type) {
 	case control.Request:
 		for _, class := range p.reader.Settings().Classes {
 			if class.Name == e.Class {
-				p.effects[e.ID] = class.Idempotency
+				p.requestIdempotency[e.ID] = class.Idempotency
 			}
 		}
 	case control.EndpointList:
 		p.features["list: "+listNames[e.Kind]] = true
 		for _, m := range e.Endpoints {
-			p.cold[m.Server] = m.HasStartedAt
+			p.hasStartTime[m.Server] = m.HasStartedAt
 		}
 	case control.AttemptResult:
 		p.features["metered use"] = p.features["metered use"] || e.QuotaUsage > 0
@@ -341,19 +341,19 @@
 	}
 }
 
-var effectNames = map[control.Idempotency]string{control.Idempotent: "free", control.IdempotentWithKey: "guarded", control.NotIdempotent: "single-shot"}
+var idempotencyNames = map[control.Idempotency]string{control.Idempotent: "free", control.IdempotentWithKey: "guarded", control.NotIdempotent: "single-shot"}
 
-func (p *replayed) noteAction(action control.Action) {
+func (p *goldenReplay) recordActionFeatures(action control.Action) {
 	switch a := action.(type) {
 	case control.Send:
 		kind := "attempt"
-		if p.sends[a.ID]++; p.sends[a.ID] > 1 {
+		if p.attemptCounts[a.ID]++; p.attemptCounts[a.ID] > 1 {
 			kind = "retry"
 		}
-		if effect, known := p.effects[a.ID]; known {
-			p.features[kind+" of a "+effectNames[effect]+" request"] = true
+		if idempotency, known := p.requestIdempotency[a.ID]; known {
+			p.features[kind+" of a "+idempotencyNames[idempotency]+" request"] = true
 		}
-		if p.cold[a.Server] {
+		if p.hasStartTime[a.Server] {
 			p.features["attempt at a cold server"] = true
 		}
 	case control.Reject:
@@ -381,7 +381,7 @@
 	}
 	for _, path := range paths {
 		p := openRecording(t, path)
-		lines = append(lines, p.play())
+		lines = append(lines, p.replay())
 		maps.Copy(features, p.features)
 	}
 	for _, feature := range recordedFeatures {
--- a/internal/record/keys_test.go
+++ b/internal/record/keys_test.go
@@ -22,12 +22,12 @@
 }
 
 // Recordings have a written key for every field: of a section's head with its settings and image, and of each event.
-func TestKeysAreWritten(t *testing.T) {
+func TestFieldsHaveExplicitKeys(t *testing.T) {
 	testkit.RequireKeys(t, "cbor", slices.Concat([]any{sectionHeader{}, recordedEvent{}}, events)...)
 }
 
 // An event that is not among those checked would go unchecked.
-func TestKeysOfAllEvents(t *testing.T) {
+func TestKeysAreCheckedForAllEvents(t *testing.T) {
 	if len(events) != len(eventDecoders) {
 		t.Fatalf("%d events are checked, recordings know %d", len(events), len(eventDecoders))
 	}
--- a/internal/record/reader.go
+++ b/internal/record/reader.go
@@ -87,22 +87,22 @@
 	if err != nil {
 		return 0, 0, fmt.Errorf("resuming the module: %w", err)
 	}
-	all := xxhash.New()
+	digester := xxhash.New()
 	for {
 		body, err := readFrame(r.source)
 		if errors.Is(err, io.EOF) {
-			return events, all.Sum64(), nil
+			return events, digester.Sum64(), nil
 		}
 		if err != nil {
-			return events, all.Sum64(), fmt.Errorf("event %d: %w", events+1, err)
+			return events, digester.Sum64(), fmt.Errorf("event %d: %w", events+1, err)
 		}
 		recorded, event, err := decodeRecorded(body)
 		if err != nil {
-			return events, all.Sum64(), fmt.Errorf("event %d: %w", events+1, err)
+			return events, digester.Sum64(), fmt.Errorf("event %d: %w", events+1, err)
 		}
 		actions := controller.Handle(recorded.Now, event)
 		actionDigest := Digest(nil, actions)
-		_, _ = all.Write(actionDigest) // never fails
+		_, _ = digester.Write(actionDigest) // never fails
 		events++
 		step := Step{
 			Now:          recorded.Now,
@@ -111,7 +111,7 @@
 			IsAsRecorded: xxhash.Sum64(actionDigest) == recorded.Digest,
 		}
 		if err := handle(step); err != nil {
-			return events, all.Sum64(), err
+			return events, digester.Sum64(), err
 		}
 	}
 }
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -31,7 +31,7 @@
 }
 
 // recordRandomHistory has a recorded module take a history by chance, as a service would bring it.
-func recordRandomHistory(t testing.TB, seed uint64, steps int, o Options, between func(m *Module, step int)) {
+func recordRandomHistory(t testing.TB, seed uint64, steps int, o Options, afterStep func(m *Module, step int)) {
 	t.Helper()
 	c, err := control.New(settings, seed)
 	if err != nil {
@@ -48,22 +48,22 @@
 	}
 	d.handle(list)
 	for step := range steps {
-		d.pass(time.Duration(d.rng.IntN(10)) * time.Millisecond)
-		if k := d.rng.IntN(10); k < 5 {
+		d.advance(time.Duration(d.rng.IntN(10)) * time.Millisecond)
+		if choice := d.rng.IntN(10); choice < 5 {
 			d.handle(control.Request{
-				ID: fmt.Sprint(step), Class: []string{"read", "write"}[k%2], Plan: []string{"a", "b"}[step%2], Customer: fmt.Sprint(d.rng.IntN(5)),
-				Timeout: 3 * time.Second, Units: float64(1 + d.rng.IntN(3)), FanOut: 2, HasPendingBody: k == 4,
+				ID: fmt.Sprint(step), Class: []string{"read", "write"}[choice%2], Plan: []string{"a", "b"}[step%2], Customer: fmt.Sprint(d.rng.IntN(5)),
+				Timeout: 3 * time.Second, Units: float64(1 + d.rng.IntN(3)), FanOut: 2, HasPendingBody: choice == 4,
 			})
 		} else if len(d.sent) > 0 {
-			s := d.take(d.rng.IntN(len(d.sent)))
-			why := []control.Reason{control.OK, control.OK, control.OK, control.Errored, control.RejectedByServer, control.ConnectFailed, control.TimedOut}[d.rng.IntN(7)]
-			d.respond(s, control.AttemptResult{
-				Reason: why, IsFinal: why == control.OK, QuotaUsage: d.rng.IntN(200), ActualUnits: 1,
+			send := d.removeSent(d.rng.IntN(len(d.sent)))
+			reason := []control.Reason{control.OK, control.OK, control.OK, control.Errored, control.RejectedByServer, control.ConnectFailed, control.TimedOut}[d.rng.IntN(7)]
+			d.respond(send, control.AttemptResult{
+				Reason: reason, IsFinal: reason == control.OK, QuotaUsage: d.rng.IntN(200), ActualUnits: 1,
 				Delay: time.Millisecond, Load: &control.LoadReport{InFlight: 2, Utilization: 0.5},
 			})
 		}
-		if between != nil {
-			between(m, step)
+		if afterStep != nil {
+			afterStep(m, step)
 		}
 	}
 	if err := m.Close(); err != nil {
@@ -99,8 +99,8 @@
 }
 
 // pass lets time pass, at whose end all timers come that are due.
-func (d *driver) pass(span time.Duration) {
-	d.now += span
+func (d *driver) advance(duration time.Duration) {
+	d.now += duration
 	for i := 0; i < len(d.timers); i++ {
 		if due := d.timers[i]; due.due <= d.now {
 			d.timers = append(d.timers[:i], d.timers[i+1:]...)
@@ -111,7 +111,7 @@
 }
 
 // take removes an attempt from those that are out.
-func (d *driver) take(i int) control.Send {
+func (d *driver) removeSent(i int) control.Send {
 	s := d.sent[i]
 	d.sent = append(d.sent[:i], d.sent[i+1:]...)
 	return s
@@ -124,16 +124,16 @@
 	d.handle(r)
 }
 
-func sections(t testing.TB, dir string) []string {
+func sectionPaths(t testing.TB, dir string) []string {
 	t.Helper()
-	all, err := filepath.Glob(filepath.Join(dir, "*"+Suffix))
-	if err != nil || len(all) == 0 {
-		t.Fatalf("%d sections, %v", len(all), err)
+	paths, err := filepath.Glob(filepath.Join(dir, "*"+Suffix))
+	if err != nil || len(paths) == 0 {
+		t.Fatalf("%d sections, %v", len(paths), err)
 	}
-	return all
+	return paths
 }
 
-var errDiffers = errors.New("other actions")
+var errDifferentActions = errors.New("other actions")
 
 func replayAll(raw []byte) (n int, sum uint64, err error) {
 	r, err := Open(bytes.NewReader(raw))
@@ -142,7 +142,7 @@
 	}
 	return r.Replay(func(s Step) error {
 		if !s.IsAsRecorded {
-			return errDiffers
+			return errDifferentActions
 		}
 		return nil
 	})
@@ -160,7 +160,7 @@
 				m.ReclaimRates(time.Hour+time.Duration(step)*5*time.Millisecond, &given)
 			}
 		})
-		for _, path := range sections(t, dir) {
+		for _, path := range sectionPaths(t, dir) {
 			raw, err := os.ReadFile(path)
 			if err != nil {
 				t.Fatal(err)
@@ -181,11 +181,11 @@
 func TestRotation(t *testing.T) {
 	dir := t.TempDir()
 	recordRandomHistory(t, 1, 20_000, Options{Service: "s", Dir: dir, MaxBytes: 1 << 20}, nil)
-	all := sections(t, dir)
-	if len(all) != filesPerService {
-		t.Errorf("%d files", len(all))
+	paths := sectionPaths(t, dir)
+	if len(paths) != filesPerService {
+		t.Errorf("%d files", len(paths))
 	}
-	for _, path := range all {
+	for _, path := range paths {
 		raw, err := os.ReadFile(path)
 		if err != nil || len(raw) > 1<<20/filesPerService+1<<16 {
 			t.Errorf("%s: %d bytes, %v", path, len(raw), err)
@@ -200,7 +200,7 @@
 func TestDamagedRecordings(t *testing.T) {
 	dir := t.TempDir()
 	recordRandomHistory(t, 2, 2000, Options{Service: "s", Dir: dir, MaxBytes: 64 << 20}, nil)
-	raw, err := os.ReadFile(sections(t, dir)[0])
+	raw, err := os.ReadFile(sectionPaths(t, dir)[0])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -219,10 +219,10 @@
 }
 
 // Another decision than the recorded one is found at the event where it is made.
-func TestOtherDecisionIsFound(t *testing.T) {
+func TestReplayDetectsDifferentDecision(t *testing.T) {
 	dir := t.TempDir()
 	recordRandomHistory(t, 3, 500, Options{Service: "s", Dir: dir, MaxBytes: 64 << 20}, nil)
-	raw, err := os.ReadFile(sections(t, dir)[0])
+	raw, err := os.ReadFile(sectionPaths(t, dir)[0])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -232,14 +232,14 @@
 	}
 	r.header.Settings.Plans[0].QuotaRate /= 10 // as another build would decide
 	r.header.Settings.Plans[0].QuotaBurst /= 10
-	at := 0
+	events := 0
 	if _, _, err = r.Replay(func(s Step) error {
-		if at++; !s.IsAsRecorded {
-			return errDiffers
+		if events++; !s.IsAsRecorded {
+			return errDifferentActions
 		}
 		return nil
-	}); !errors.Is(err, errDiffers) {
-		t.Errorf("no difference in %d events: %v", at, err)
+	}); !errors.Is(err, errDifferentActions) {
+		t.Errorf("no difference in %d events: %v", events, err)
 	}
 }
 
