--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -219,13 +219,13 @@
 				f := NewFeed(Source{Address: "old:1"}, 41, Pacer{GroupSize: group, Rand: rand.New(rand.NewPCG(seed, 1))}, nil)
 				f.SetSource(Source{Address: "discovery:1"})
 				moved := time.Now()
-				for _, later := range []time.Duration{0, 900 * time.Millisecond, 1900 * time.Millisecond} {
-					timer := time.AfterFunc(later, func() { f.SetSource(Source{Address: "discovery:1"}) })
+				for _, offset := range []time.Duration{0, 900 * time.Millisecond, 1900 * time.Millisecond} {
+					timer := time.AfterFunc(offset, func() { f.SetSource(Source{Address: "discovery:1"}) })
 					defer timer.Stop()
 				}
 				_, delivered := runScript(t, f, nil)
-				if late := delivered.Sub(moved); late > missedEventDeadline-moveTimeSpent {
-					t.Errorf("group of %d: delivered %v after the first move", group, late)
+				if delay := delivered.Sub(moved); delay > missedEventDeadline-moveTimeSpent {
+					t.Errorf("group of %d: delivered %v after the first move", group, delay)
 				}
 			})
 		}
@@ -239,10 +239,10 @@
 		"in one, with heartbeats": truncatedSecondMessage, "never connected": unreachable, "by the dialer's clock": dialTimeout, "reset": endedAfterHeartbeats,
 	} {
 		for _, group := range []int{1, 3, 40, 300} {
-			for _, at := range []time.Duration{500 * time.Millisecond, 2500 * time.Millisecond, watchSilenceTimeout, watchSilenceTimeout + minRetryDelay/2} {
+			for _, moveAt := range []time.Duration{500 * time.Millisecond, 2500 * time.Millisecond, watchSilenceTimeout, watchSilenceTimeout + minRetryDelay/2} {
 				for move, targets := range map[string][]string{"once": {"discovery:1"}, "twice": {"discovery:1", "discovery:1"}, "and back": {"discovery:1", "old:1"}} {
-					t.Run(fmt.Sprint(name, " ", group, " ", at, " ", move), func(t *testing.T) {
-						synctest.Test(t, func(t *testing.T) { checkMove(t, state, group, at, targets) })
+					t.Run(fmt.Sprint(name, " ", group, " ", moveAt, " ", move), func(t *testing.T) {
+						synctest.Test(t, func(t *testing.T) { checkMove(t, state, group, moveAt, targets) })
 					})
 				}
 			}
@@ -251,10 +251,10 @@
 }
 
 // checkMove moves a feed whose watch is in some state to one discovery after another.
-func checkMove(t *testing.T, state scriptedCall, groupSize int, at time.Duration, targets []string) {
+func checkMove(t *testing.T, state scriptedCall, groupSize int, moveAt time.Duration, targets []string) {
 	f := NewFeed(Source{Address: "old:1"}, 41, Pacer{GroupSize: groupSize, Rand: rand.New(rand.NewPCG(1, 1))}, nil)
 	var moved time.Time
-	move := time.AfterFunc(at, func() {
+	move := time.AfterFunc(moveAt, func() {
 		moved = time.Now()
 		for _, address := range targets {
 			f.SetSource(Source{Address: address})
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -17,9 +17,9 @@
 func TestSumOfSeveralInstances(t *testing.T) {
 	var firstLog, secondLog bytes.Buffer
 	firstWriter, secondWriter := NewWriter(&firstLog), NewWriter(&secondLog)
-	for _, writer := range []*Writer{firstWriter, secondWriter} {
-		writer.Plan(Plan{At: base, Name: "basic", Price: 1, QuotaRate: 1, QuotaBurst: 3})
-		writer.State(State{At: afterBase(100), ConcurrencyLimit: 4, AcceptedRequests: 1, AttemptsInFlight: 1, IdleConnections: 2, ListedServers: 5, AvailableServers: 4})
+	for _, x := range []*Writer{firstWriter, secondWriter} {
+		x.Plan(Plan{At: base, Name: "basic", Price: 1, QuotaRate: 1, QuotaBurst: 3})
+		x.State(State{At: afterBase(100), ConcurrencyLimit: 4, AcceptedRequests: 1, AttemptsInFlight: 1, IdleConnections: 2, ListedServers: 5, AvailableServers: 4})
 	}
 	r := Request{At: base, Class: "read", Plan: "basic", Customer: 7, FanOut: 2, Units: 2, Outcome: "served", Duration: 300 * time.Millisecond, Attempts: 1}
 	firstWriter.Request(r)
@@ -48,8 +48,8 @@
 		first.MeanAttemptMS != 300 || first.ConcurrencyLimit != 4 || first.AvailableServers != 4 {
 		t.Errorf("%+v", first)
 	}
-	if writer := sum.Servers[0]; writer.Server != "s_1" || writer.Instances != 2 || writer.PeakInFlight != 2 || writer.MeanReportedMS != 200 || writer.MeanUtilization != 0.5 {
-		t.Errorf("%+v", writer)
+	if x := sum.Servers[0]; x.Server != "s_1" || x.Instances != 2 || x.PeakInFlight != 2 || x.MeanReportedMS != 200 || x.MeanUtilization != 0.5 {
+		t.Errorf("%+v", x)
 	}
 	// 3 units at first, 2 sent; 1.1 at the second; 2.9 and 3 at the refusals.
 	if p := sum.Plans[0]; p.Customers != 1 || p.SentUnderQuota != 2 || p.SentOverQuota != 2 || p.RejectedUnderQuota != 5 || p.RejectedOverQuota != 0 {
--- a/internal/leasestore/leasestore_test.go
+++ b/internal/leasestore/leasestore_test.go
@@ -113,41 +113,41 @@
 
 func startClient(t *testing.T) (*redistest.Server, *Client) {
 	t.Helper()
-	s, err := redistest.Start()
+	server, err := redistest.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.Close)
-	c := New(Options{Address: s.Addr(), KeyPrefix: "a", Timeout: 5 * time.Second, Rules: rules})
+	t.Cleanup(server.Close)
+	c := New(Options{Address: server.Addr(), KeyPrefix: "a", Timeout: 5 * time.Second, Rules: rules})
 	t.Cleanup(func() { c.Close() })
-	return s, c
+	return server, c
 }
 
 // A call over the network: a script that is not known yet is brought, an error is told once and
 // nothing is sent again.
 func TestCalls(t *testing.T) {
-	s, c := startClient(t)
+	server, client := startClient(t)
 	call := func() (quotalease.StoreReply, error) {
-		return c.Call(context.Background(), &quotalease.StoreCall{HolderID: "i", Seq: 7})
+		return client.Call(context.Background(), &quotalease.StoreCall{HolderID: "i", Seq: 7})
 	}
 	reply, err := call()
-	if err != nil || reply.StoreID == "" || reply.Seq != 7 || reply.IsLending || s.ScriptRuns() != 1 {
-		t.Fatalf("%+v, %v, %d calls", reply, err, s.ScriptRuns())
+	if err != nil || reply.StoreID == "" || reply.Seq != 7 || reply.IsLending || server.ScriptRuns() != 1 {
+		t.Fatalf("%+v, %v, %d calls", reply, err, server.ScriptRuns())
 	}
 	for _, text := range []string{
 		"LOADING Redis is loading the dataset in memory", "READONLY You can't write against a read only replica.",
 		"MOVED 3999 127.0.0.1:6381", "NOAUTH Authentication required.", "OOM command not allowed when used memory > 'maxmemory'.",
 	} {
-		s.SetFaults(redistest.Faults{Error: text})
+		server.SetFaults(redistest.Faults{Error: text})
 		if _, err := call(); err == nil || !strings.Contains(err.Error(), strings.Fields(text)[0]) {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
-	s.SetFaults(redistest.Faults{})
-	if n := s.ScriptRuns(); n != 1 {
+	server.SetFaults(redistest.Faults{})
+	if n := server.ScriptRuns(); n != 1 {
 		t.Errorf("%d calls", n)
 	}
-	s.Replace()
+	server.Replace()
 	replyAfterReplacement, err := call()
 	for range 3 { // connections of the pool that were cut
 		if err != nil {
@@ -157,22 +157,22 @@
 	if err != nil || replyAfterReplacement.StoreID == reply.StoreID {
 		t.Errorf("after it was replaced: %+v, %v", replyAfterReplacement, err)
 	}
-	s.SetFaults(redistest.Faults{IsSilent: true})
+	server.SetFaults(redistest.Faults{IsSilent: true})
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
-	if _, err := c.Call(ctx, &quotalease.StoreCall{}); err == nil {
+	if _, err := client.Call(ctx, &quotalease.StoreCall{}); err == nil {
 		t.Error("no answer, and no error")
 	}
 }
 
 func TestPassword(t *testing.T) {
-	s, c := startClient(t)
-	s.SetPassword("secret")
+	server, c := startClient(t)
+	server.SetPassword("secret")
 	if _, err := c.Call(t.Context(), &quotalease.StoreCall{}); err == nil || !strings.Contains(err.Error(), "NOAUTH") {
 		t.Errorf("without: %v", err)
 	}
 	for password, isAccepted := range map[string]bool{"secret": true, "other": false} {
-		c := New(Options{Address: s.Addr(), Password: password, KeyPrefix: "a", Timeout: 5 * time.Second, Rules: rules})
+		c := New(Options{Address: server.Addr(), Password: password, KeyPrefix: "a", Timeout: 5 * time.Second, Rules: rules})
 		if _, err := c.Call(t.Context(), &quotalease.StoreCall{}); (err == nil) != isAccepted {
 			t.Errorf("%s: %v", password, err)
 		}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -66,7 +66,7 @@
 	results := run.Wait()["rosters"]
 	families := scrape(t, h)
 	serverCounts := bench.Pools["rosters"].Executions.Counts()
-	for what, values := range map[string][2]float64{
+	for metric, values := range map[string][2]float64{
 		"served":     {sumValues(families["lockflow_requests_total"], "service=rosters", "outcome=served"), float64(results.Served)},
 		"refused":    {sumValues(families["lockflow_requests_total"], "service=rosters", "outcome=refused"), float64(results.Rejected)},
 		"refusals":   {sumValues(families["lockflow_refusals_total"], "service=rosters"), float64(results.Rejected)},
@@ -77,7 +77,7 @@
 		"documents":  {sumValues(families["lockflow_requests_total"], "service=documents"), 0},
 	} {
 		if values[0] != values[1] {
-			t.Errorf("%s: %g is told, %g was counted", what, values[0], values[1])
+			t.Errorf("%s: %g is told, %g was counted", metric, values[0], values[1])
 		}
 	}
 	if results.Served == 0 || sumValues(families["lockflow_attempts_bound"], "service=rosters") <= 0 || sumValues(families["lockflow_part_guaranteed"], "service=rosters", "limit=held") != 60 {
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -31,13 +31,13 @@
 }
 
 // recordRandomHistory has a recorded module take a history by chance, as a service would bring it.
-func recordRandomHistory(t testing.TB, seed uint64, steps int, o Options, afterStep func(m *Module, step int)) {
+func recordRandomHistory(t testing.TB, seed uint64, steps int, options Options, afterStep func(m *Module, step int)) {
 	t.Helper()
 	c, err := control.New(settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, err := New(c, settings, o)
+	m, err := New(c, settings, options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,7 +135,7 @@
 
 var errDifferentActions = errors.New("other actions")
 
-func replayAll(raw []byte) (n int, sum uint64, err error) {
+func replayAll(raw []byte) (events int, sum uint64, err error) {
 	r, err := Open(bytes.NewReader(raw))
 	if err != nil {
 		return 0, 0, err
