--- a/internal/discovery/endpoint_list.go
+++ b/internal/discovery/endpoint_list.go
@@ -11,16 +11,16 @@
 	"lockflow/control"
 )
 
-// EndpointList is one message of discovery: the complete list of a service's endpoints, or changes of it. Decoding it
-// from JSON leaves out the entries that are invalid.
+// EndpointList is one message from a discovery: the complete list of a service's endpoints, or changes to that list.
+// Decoding it from JSON leaves out invalid entries.
 type EndpointList struct {
-	Revision   int64          `json:"rev"`     // `rev` on the wire; grows with every change
-	IsComplete bool           `json:"all"`     // `all` on the wire; otherwise the message holds changed endpoints only
+	Revision   int64          `json:"rev"`     // `rev` on the wire; increases with every change
+	IsComplete bool           `json:"all"`     // `all` on the wire; if false, the message holds changed endpoints only
 	Endpoints  []Endpoint     `json:"targets"` // `targets` on the wire
 	Invalid    InvalidEntries `json:"-"`
 }
 
-// InvalidEntries counts the entries that were left out of a message.
+// InvalidEntries counts the entries of a message that were left out because they are invalid.
 type InvalidEntries struct {
 	Count      int
 	FirstError error // of the first such entry
@@ -33,9 +33,9 @@
 	}
 }
 
-// UnmarshalJSON decodes a message entry by entry and leaves out the invalid ones. An entry for a server that is not
-// up needs a uid and a state only. A complete list without a valid entry is an error: it must not be taken for a
-// service without servers.
+// UnmarshalJSON decodes a message entry by entry and leaves out invalid entries. An entry for a server that is not up
+// needs only a uid and a state. A complete list that has entries but no valid one is an error, because it would
+// otherwise mean that the service has no servers.
 func (l *EndpointList) UnmarshalJSON(raw []byte) error {
 	var message struct {
 		Rev     int64             `json:"rev"`
@@ -60,7 +60,8 @@
 	return nil
 }
 
-// decodeEndpoint decodes one entry. Of an invalid one for a server that is not up, it returns the uid and the state.
+// decodeEndpoint decodes one entry. For an invalid entry of a server that is not up, it returns the uid and the state
+// only.
 func decodeEndpoint(raw json.RawMessage) (Endpoint, error) {
 	var endpoint Endpoint
 	err := json.Unmarshal(raw, &endpoint)
@@ -82,7 +83,7 @@
 	return Endpoint{}, err
 }
 
-// The states of a server on the wire. Every other one is that of a server that drains.
+// The states of a server on the wire. Any other state is treated as draining.
 const (
 	stateUp      = "up"
 	stateRemoved = "removed"
@@ -94,17 +95,17 @@
 	Address     string  `json:"endpoint"` // host and port
 	Zone        string  `json:"az"`
 	Model       string  `json:"model"`
-	Group       int     `json:"pod_group"` // cell: the servers that drop repeats together
-	State       string  `json:"state"`     // "up", "draining", "removed", or one that is not known
+	Group       int     `json:"pod_group"` // cell: servers that detect repeated requests jointly
+	State       string  `json:"state"`     // "up", "draining", "removed", or an unknown state
 	Capacity    float64 `json:"capacity_hint"`
-	StartedAtMS float64 `json:"boot_ms"`            // when it last started, Unix time in milliseconds; 0 for long ago
-	Protocol    string  `json:"protocol,omitempty"` // one of Protocols; "" is that of the service
+	StartedAtMS float64 `json:"boot_ms"`            // time of the last start, Unix time in milliseconds; 0 if long ago
+	Protocol    string  `json:"protocol,omitempty"` // one of Protocols; "" means the service's protocol
 }
 
-// Protocols are the values of Endpoint.Protocol.
+// Protocols are the valid non-empty values of Endpoint.Protocol.
 var Protocols = []string{"http/1.1", "http/2", "http/2 or 1.1"}
 
-// Validate returns an error where any entry is invalid, for lists that an operator wrote.
+// Validate returns an error if any entry is invalid. It is meant for lists that an operator wrote.
 func (l *EndpointList) Validate() error {
 	if l.Invalid.Count > 0 {
 		return l.Invalid.FirstError
@@ -130,7 +131,8 @@
 	return nil
 }
 
-// EndpointState returns the state in the decision module's terms. A server in an unknown state gets no new requests.
+// EndpointState converts the state to the decision module's type. An unknown state is taken for draining, so that the
+// server gets no new requests.
 func (e *Endpoint) EndpointState() control.EndpointState {
 	switch e.State {
 	case stateUp:
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -1,6 +1,6 @@
-// Package discovery gets the endpoint list of a service: the app servers that may serve its requests. A Feed follows
-// a Source, which is a discovery of the platform's protocol, a file or the configuration itself, and delivers each list
-// and each change. Package service runs one Feed for each service; package config reads Sources.
+// Package discovery obtains the endpoint list of a service: the app servers that may serve its requests. A Feed follows
+// a Source, which is a discovery server that speaks the platform's protocol, a file, or the configuration itself, and
+// delivers each list and each change. Package service runs one Feed per service; package config parses Sources.
 package discovery
 
 import (
@@ -10,28 +10,29 @@
 	"time"
 )
 
-// Feed follows one source after another and delivers what each lists. The list of a new source replaces that of its
-// predecessor once it has arrived, and not before.
+// Feed follows the current source and delivers its endpoint lists. After a change of source, the old source's list
+// stays in force until the new source's list has arrived.
 type Feed struct {
 	deliver        func(EndpointList) // called on the goroutine of Run
-	silenceTimeout time.Duration      // after which a watch is presumed broken
+	silenceTimeout time.Duration      // a watch without data or heartbeat for this long is presumed broken
 	fileInterval   time.Duration      // between two checks of a file
-	pacer          Pacer              // of calls to a discovery that the group shares; see pacerFor
-	transport      http.RoundTripper  // nil is the network; tests set another
+	pacer          Pacer              // delays calls to a discovery that the group shares; see pacerFor
+	transport      http.RoundTripper  // replaces the network in tests; otherwise nil
 
-	// HasCachedList is set before Run where a list is known from an earlier run, so that the first call may be delayed.
+	// HasCachedList tells that a list is known from an earlier run, so that the first call may be delayed. It must be
+	// set before Run.
 	HasCachedList bool
 
 	mu                  sync.Mutex
 	source              Source
 	hasMoved            bool               // SetSource has been called
-	isAwaitingNewSource bool               // nothing has arrived from source since SetSource
-	revision            int64              // of the list that is known of source; 0 for none
-	cancelSource        context.CancelFunc // has Run follow source
+	isAwaitingNewSource bool               // no message has arrived from source since SetSource
+	revision            int64              // of the latest known list of source; 0 if none is known
+	cancelSource        context.CancelFunc // makes Run switch to source
 }
 
-// NewFeed makes a feed of a source. revision is that of the list which is known of it, 0 where none is. pacer delays
-// the calls to a discovery. Run calls deliver, on its own goroutine.
+// NewFeed returns a feed that follows source. revision is the revision of the latest known list of that source, or 0 if
+// none is known. pacer delays the calls to a discovery. Run calls deliver on its own goroutine.
 func NewFeed(source Source, revision int64, pacer Pacer, deliver func(EndpointList)) *Feed {
 	return &Feed{
 		deliver:        deliver,
@@ -44,9 +45,9 @@
 	}
 }
 
-// SetSource makes the feed follow another source at once. It may be called at any time, from any goroutine. While
-// nothing has arrived from a source, setting the same one does nothing: a call that is cancelled repeatedly would
-// be answered too late.
+// SetSource makes the feed follow another source immediately. It may be called at any time, from any goroutine. Setting
+// the same source before its first message has arrived has no effect: each call would cancel the pending request to the
+// discovery, whose answer would then arrive too late.
 func (f *Feed) SetSource(source Source) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -56,18 +57,18 @@
 	f.source = source
 	f.hasMoved = true
 	f.isAwaitingNewSource = true
-	f.revision = 0 // revisions of two discoveries can't be compared: the new one has to send its complete list
+	f.revision = 0 // revisions of different discoveries can't be compared, so the new one has to send its complete list
 	f.cancelSource()
 }
 
-// sourceState is a source to follow, as it was when Run started to.
+// sourceState is a copy of the feed's source and its state at the time when Run starts to follow it.
 type sourceState struct {
 	Source
 	revision int64
 	hasMoved bool
 }
 
-// enterSource returns the source to follow, and a context that ends when there is another one or ctx ends.
+// currentSource returns the source to follow, and a context that ends when SetSource replaces the source or ctx ends.
 func (f *Feed) currentSource(ctx context.Context) (context.Context, sourceState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -76,7 +77,7 @@
 	return sourceContext, sourceState{f.source, f.revision, f.hasMoved}
 }
 
-// receive delivers a message of the source.
+// receive delivers a message of the current source.
 func (f *Feed) receive(list EndpointList) {
 	f.mu.Lock()
 	f.isAwaitingNewSource = false
@@ -100,7 +101,7 @@
 	}
 }
 
-// watch follows a discovery until ctx ends.
+// watch follows a discovery server until ctx ends.
 func (f *Feed) watch(ctx context.Context, source sourceState) {
 	pacer := f.pacerFor(source.Source)
 	w := newWatcher(source.Address, source.revision, f.silenceTimeout, &pacer, f.receive)
@@ -118,8 +119,8 @@
 	w.run(ctx, delay)
 }
 
-// pacerFor is the pacer of calls to a source. Calls to an instance's own agent compete with no other's, so they are not
-// spread: the instance would serve by an old list while its agent has the new one.
+// pacerFor returns the pacer for calls to a source. Calls to an instance's own agent are not spread, because no other
+// instance calls that agent, and a delay would only make the instance use an old list for longer.
 func (f *Feed) pacerFor(source Source) Pacer {
 	pacer := f.pacer
 	if source.IsOwnAgent {
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -16,7 +16,7 @@
 	maxFileBytes      = 4 << 20
 )
 
-// followFile delivers the list in a file, also each time that the file changes, until ctx ends. An unreadable or
+// followFile delivers the list in a file at first and after each change of the file, until ctx ends. An unreadable or
 // invalid file leaves the previous list in force and is logged once.
 func (f *Feed) followFile(ctx context.Context, path string) {
 	read := func() error {
@@ -31,7 +31,7 @@
 	})
 }
 
-// ReadFile reads a file that holds a complete list as JSON, in the form of discovery's messages.
+// ReadFile reads a complete list from a file that has the JSON format of an EndpointList.
 func ReadFile(path string) (EndpointList, error) {
 	var list EndpointList
 	info, err := os.Stat(path)
--- a/internal/discovery/watch_stream.go
+++ b/internal/discovery/watch_stream.go
@@ -11,15 +11,15 @@
 
 const maxMessageBytes = 4 << 20
 
-// watchStream reads the body of a watch: JSON objects, which may extend over several lines, with heartbeats, which are
-// empty lines, between them.
+// watchStream reads the response body of a watch: JSON objects, which may extend over several lines, separated by
+// heartbeats, which are empty lines.
 type watchStream struct {
 	*watcher
 	body         io.Reader
-	decoder      *json.Decoder // reads this stream
-	silenceTimer *time.Timer   // ends the watch
-	hasData      bool          // anything has arrived
-	isMidMessage bool          // a message has started and not ended
+	decoder      *json.Decoder // reads through Read
+	silenceTimer *time.Timer   // cancels the watch when it fires
+	hasData      bool          // any byte has arrived
+	isMidMessage bool          // a message has started but not ended
 	bytesRead    int64
 }
 
@@ -29,7 +29,7 @@
 	return s
 }
 
-// readMessages applies messages until the watch ends, which is no error, or fails.
+// readMessages applies messages until the watch ends or fails. An end of the response body is not an error.
 func (s *watchStream) readMessages() error {
 	for isFirst := true; ; isFirst = false {
 		var list EndpointList
@@ -47,8 +47,9 @@
 	}
 }
 
-// Read reads for the decoder. It limits a message by the bytes since the end of the previous one, and restarts the
-// silence timer. Heartbeats within a message don't restart it: a message that was cut off would keep the watch open.
+// Read supplies the decoder with data. It limits the size of a message, counted from the end of the previous one, and
+// restarts the silence timer. Heartbeats within a message don't restart the timer, because they would keep a watch open
+// whose message was cut off.
 func (s *watchStream) Read(p []byte) (int, error) {
 	if s.bytesRead-s.decoder.InputOffset() > maxMessageBytes {
 		return 0, fmt.Errorf("a message of more than %d bytes", maxMessageBytes)
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -14,26 +14,26 @@
 	"lockflow/control"
 )
 
-// watchSilenceTimeout is the time without data or heartbeat after which a watch is presumed broken: one and a half times
-// the interval of heartbeats, and longer than an answer takes.
+// watchSilenceTimeout is the time without data or heartbeat after which a watch is presumed broken. It is one and a half
+// times the heartbeat interval, and longer than maxAnswerTime.
 const watchSilenceTimeout = 3 * time.Second
 
-// Errors of a call to a discovery that decide when the next one is made.
+// Errors of a call to a discovery that determine the delay of the next call.
 var (
 	errSilent   = errors.New("no data or heartbeat in time")
 	errRejected = errors.New("discovery rejected the call")
 )
 
-// watcher watches the endpoint list at one address, and opens a new watch when one breaks. It is not safe for concurrent
-// use.
+// watcher watches the endpoint list of the discovery at one address, and opens a new watch whenever one ends. It is not
+// safe for concurrent use.
 type watcher struct {
 	client         *http.Client
 	url            string
-	revision       int64 // of the last message that was applied; 0 requests a complete list
+	revision       int64 // of the last applied message; 0 requests a complete list
 	silenceTimeout time.Duration
 	pacer          *Pacer
 	deliver        func(EndpointList)
-	lastReceived   time.Time // when a message or heartbeat arrived last
+	lastReceived   time.Time // arrival of the last message or heartbeat
 }
 
 func newWatcher(
@@ -54,7 +54,7 @@
 	}
 }
 
-// run watches until ctx ends, after a first delay.
+// run waits for the first delay and then keeps a watch open until ctx ends.
 func (w *watcher) run(ctx context.Context, delay time.Duration) {
 	for {
 		select {
@@ -80,11 +80,12 @@
 	}
 }
 
-// watch opens one watch and reads it until it ends. hasData reports whether anything arrived.
+// watch opens one watch and reads it until it ends. hasData reports whether any byte of the response body arrived.
 func (w *watcher) watch(ctx context.Context) (hasData bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	// Ends a call whose connection is never made, and a watch that stops without an end: a heartbeat is due every 2 s.
+	// The timer ends a call whose connection is never established, and a watch that falls silent: a heartbeat is due
+	// every 2 s.
 	silenceTimer := time.AfterFunc(w.silenceTimeout, func() { cancel(errSilent) })
 	defer silenceTimer.Stop()
 	response, err := w.call(ctx)
@@ -98,7 +99,7 @@
 	return stream.hasData, err
 }
 
-// call opens a watch from the revision that is known.
+// call requests a watch that starts after the last applied revision.
 func (w *watcher) call(ctx context.Context) (*http.Response, error) {
 	url := w.url
 	if w.revision > 0 {
@@ -119,8 +120,9 @@
 	return response, nil
 }
 
-// classifyCallError wraps the error of a call without an answer: the discovery could not be reached, which includes the
-// dialer's own timeout, or it was reached and ended the call.
+// classifyCallError classifies the error of a call without a response. A dial error, the dialer's own timeout included,
+// means that the discovery was not reached. Any other error, except that of the silence timer, means that the discovery
+// was reached and ended the call, and is wrapped as a rejection.
 func classifyCallError(err error) error {
 	opError, ok := errors.AsType[*net.OpError](err)
 	isDial := ok && opError.Op == "dial"
@@ -133,8 +135,8 @@
 	return fmt.Errorf("%w: %w", errRejected, err)
 }
 
-// apply delivers one message of a watch. With an error the watch has to be reopened: from the revision of the last
-// message that was applied, or for a complete list.
+// apply delivers one message of a watch. After an error the watch has to be reopened, either from the last applied
+// revision or, if revision is 0, for a complete list.
 func (w *watcher) apply(list EndpointList, isFirst bool) error {
 	if list.Revision < w.revision && !(list.IsComplete && isFirst) {
 		return w.applyOlder(list)
@@ -144,9 +146,10 @@
 	return nil
 }
 
-// applyOlder handles a message of a revision before the one that is known. Either the discovery has restarted its count,
-// and its changes don't fit the list, or the message is late and its servers may have drained since. That a server is
-// not up is true in either case and is delivered; the rest needs a complete list.
+// applyOlder handles a message with a lower revision than the last applied one. Either the discovery has restarted its
+// revision count, so that its changes don't apply to the known list, or the message is out of order and its servers may
+// have started to drain since. In either case it is safe to deliver the servers that are not up; for the others a
+// complete list is requested.
 func (w *watcher) applyOlder(list EndpointList) error {
 	w.revision = 0
 	list.IsComplete = false
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,9 +1,9 @@
-// Package eventlog writes what one instance did, one event a line, and sums the lines of many instances.
-// No instance sees what a fleet does to a server: only the lines of all of them show it. Writing is off by
-// default and meant for finding the cause of a fault.
+// Package eventlog writes a log of one instance's events, one line per event, and aggregates the logs of many
+// instances. The load that a fleet puts on a server is not visible to any single instance, only in the logs of
+// all of them. Writing is off by default and meant for diagnosing faults.
 //
-// A line is LinePrefix, a letter for the kind of event, and fields that are separated by spaces. Logs of
-// several builds are summed together, so the fields of a kind and their order don't change.
+// A line consists of LinePrefix, a letter for the kind of event, and fields separated by spaces. Logs of
+// different builds are aggregated together, so the fields of a kind and their order must not change.
 package eventlog
 
 import (
@@ -24,41 +24,41 @@
 	planLine    = 'p'
 )
 
-// Attempt is an attempt that has ended.
+// Attempt is the event of an attempt that has ended.
 type Attempt struct {
 	At                time.Time // when it started
 	Server            string    // UID
 	Class             string
 	Number            int    // among the request's attempts, from 0
-	Reason            string // for its end, as in metrics
+	Reason            string // why it ended, as in metrics
 	Duration          time.Duration
-	ServerAge         time.Duration // of the server's process when the attempt started; -1 ms is unknown or long
+	ServerAge         time.Duration // age of the server's process when the attempt started; -1 ms if it is unknown or the server started long ago
 	IsServerDraining  bool          // the server was not available when the attempt ended
 	IsOnNewConnection bool
-	ActualUnits       float64 // 0 is not reported
-	QuotaUsage        int     // 1 + per cent of the quota's rate; 0 is not reported
-	// ServiceMS, Utilization and QueueLength are from the server's load report; negative where it has none.
+	ActualUnits       float64 // 0 if not reported
+	QuotaUsage        int     // 1 + per cent of the quota's rate; 0 if not reported
+	// ServiceMS, Utilization and QueueLength are from the server's load report; negative if it lacks them.
 	ServiceMS, Utilization, QueueLength float64
 	ID                                  string // of the request; left out if empty
 }
 
-// Request is a request that has its final answer.
+// Request is the event of a request that has received its final answer.
 type Request struct {
 	At       time.Time // when it arrived
 	Class    string
 	Plan     string
-	Customer uint32 // a hash of the name, which tells customers apart without naming them
-	FanOut   int    // instances that the customer's requests come through
-	IsRetry  bool   // by the client
+	Customer uint32 // hash of the name, which distinguishes customers without disclosing their names
+	FanOut   int    // number of instances that receive requests of this customer
+	IsRetry  bool   // the client marked it as a retry
 	Units    float64
 	Outcome  string // served, refused, failed or left
-	Cause    string // "" where it was served
+	Cause    string // "" if it was served
 	Duration time.Duration
 	Attempts int
 	ID       string // left out if empty
 }
 
-// State is the state of an instance at one moment; one is written every second.
+// State is the state of an instance at one time; it is written every second.
 type State struct {
 	At               time.Time
 	ConcurrencyLimit float64
@@ -69,8 +69,8 @@
 	AvailableServers int
 }
 
-// Plan is a plan of the settings, against which the use of its customers is judged; each is written at the
-// start.
+// Plan is a plan from the settings, with which the usage of its customers is compared; all plans are written at
+// startup.
 type Plan struct {
 	At             time.Time
 	Name           string
@@ -83,22 +83,22 @@
 	HardLimitSlack float64 // units
 }
 
-// Writer writes lines. A nil Writer writes nothing. It is safe for concurrent use.
+// Writer writes the lines of an event log. A nil Writer discards all events. It is safe for concurrent use.
 type Writer struct {
 	mu        sync.Mutex
 	out       io.Writer
 	buffer    []byte
-	hasFailed bool // nothing more is written
+	hasFailed bool // a write has failed; later events are discarded
 }
 
-// NewWriter returns a Writer that calls out once for each line.
+// NewWriter returns a Writer that calls out.Write once per line.
 func NewWriter(out io.Writer) *Writer { return &Writer{out: out} }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 func unixMS(t time.Time) float64 { return float64(t.UnixMicro()) / 1000 }
 
-// Attempt writes a line for an attempt.
+// Attempt writes the line of an attempt.
 func (w *Writer) Attempt(a Attempt) {
 	if w == nil {
 		return
@@ -108,7 +108,7 @@
 		a.ServiceMS, a.Utilization, a.QueueLength, optionalWord(a.ID))
 }
 
-// Request writes a line for a request.
+// Request writes the line of a request.
 func (w *Writer) Request(r Request) {
 	if w == nil {
 		return
@@ -117,7 +117,7 @@
 		word(r.Outcome), word(r.Cause), milliseconds(r.Duration), r.Attempts, optionalWord(r.ID))
 }
 
-// State writes a line for a state.
+// State writes the line of a state.
 func (w *Writer) State(s State) {
 	if w == nil {
 		return
@@ -126,7 +126,7 @@
 		s.ListedServers, s.AvailableServers)
 }
 
-// Plan writes a line for a plan.
+// Plan writes the line of a plan.
 func (w *Writer) Plan(p Plan) {
 	if w == nil {
 		return
@@ -135,10 +135,11 @@
 		p.HardLimitBurst, p.HardLimitSlack)
 }
 
-// optionalWord is a word that is left out if it is empty, as by builds that did not have the field.
+// optionalWord is a word that is left out if it is empty. The line then equals that of an older build without the
+// field.
 type optionalWord string
 
-// word is a text that is written without spaces, so that a text of a peer can't end a field.
+// word is a text that is written without spaces, so that text received from a peer can't break a line's fields.
 type word string
 
 func (w *Writer) writeLine(kind byte, fields ...any) {
@@ -167,14 +168,15 @@
 		}
 	}
 	w.buffer = append(line, '\n')
-	// A full or closed log would cost each request a failing call, so the first error ends the writing.
+	// With a full disk or a closed file, every request would cost a failing call, so the first error stops all writing.
 	_, err := w.out.Write(w.buffer)
 	w.hasFailed = err != nil
 }
 
 const maxWordBytes = 40
 
-// appendWord appends a text as one field: "-" if it is empty, and without spaces and unprintable bytes.
+// appendWord appends a text as one field. An empty text becomes "-"; spaces and bytes that are not printable ASCII
+// become "_"; a long text is truncated to maxWordBytes.
 func appendWord(line []byte, text string) []byte {
 	if text == "" {
 		return append(line, '-')
--- a/internal/eventlog/quotas.go
+++ b/internal/eventlog/quotas.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// bucket is the token bucket of one customer. at is in milliseconds.
+// bucket is the token bucket of one customer. at is the time of the last refill in milliseconds.
 type bucket struct{ tokens, at float64 }
 
-// refill adds the tokens of the time since the last refill.
+// refill adds the tokens that have accrued since the last refill.
 func (b *bucket) refill(p plan, at float64) {
 	b.tokens, b.at = min(p.quotaBurst, b.tokens+(at-b.at)/1000*p.quotaRate), at
 }
 
-// sumPlans replays the token bucket of each customer over the requests through all instances.
+// sumPlans replays the token bucket of each customer over the customer's requests at all instances.
 func (s *Summer) sumPlans() []PlanSum {
 	buckets := make(map[string]*bucket)
 	sums := make(map[string]*PlanSum)
@@ -45,7 +45,7 @@
 	return all
 }
 
-// addRequest adds a request to the sum, and takes its units from the customer's bucket if it was sent
+// addRequest adds a request to the sum, and takes its units from the customer's bucket if it was forwarded and
 // within the quota.
 func (p *PlanSum) addRequest(customer *bucket, r request) {
 	p.Requests++
--- a/internal/eventlog/reader.go
+++ b/internal/eventlog/reader.go
@@ -9,25 +9,25 @@
 	"strings"
 )
 
-// maxLineBytes is the length of the longest line of a log that is read.
+// maxLineBytes limits the length of a line that is read.
 const maxLineBytes = 1 << 16
 
-// maxNumber bounds the numbers in a line, which are summed.
+// maxNumber limits the absolute value of the numbers in a line, which are summed.
 const maxNumber = 1e15
 
-// Summer reads the logs of a fleet's instances and sums their events. The zero value is ready for use. It
+// Summer reads the logs of a fleet's instances and aggregates their events. The zero value is ready for use. It
 // is not safe for concurrent use.
 type Summer struct {
-	LatencyObjectiveMS float64 // within which a served request is in time; 0 is any time
+	LatencyObjectiveMS float64 // a served request counts as in time up to this duration; 0 means no limit
 	instances          map[string]bool
-	skipped            int // lines that can't be parsed
+	skipped            int // lines with the prefix that could not be parsed
 	attempts           []attempt
 	requests           []request
 	states             []state
 	plans              map[string]plan
 }
 
-// attempt is a parsed attempt line. Times are in milliseconds, of the Unix epoch or as durations.
+// attempt is a parsed attempt line. Times are in milliseconds: at since the Unix epoch, the others as durations.
 type attempt struct {
 	at, durationMS, serverAgeMS, reportedMS, utilization float64
 	server, instance, reason                             string
@@ -51,8 +51,8 @@
 // plan is a parsed plan line.
 type plan struct{ quotaRate, quotaBurst float64 }
 
-// Read reads the log of one instance. Lines without the prefix are ignored; those with it that can't be
-// parsed are counted. It fails where the log can't be read, or has a line that is too long.
+// Read reads the log of one instance. Lines without the prefix are ignored; lines with the prefix that can't be
+// parsed are counted. It returns an error if the log can't be read or has a line longer than maxLineBytes.
 func (s *Summer) Read(instance string, log io.Reader) error {
 	if s.plans == nil {
 		s.plans = make(map[string]plan)
@@ -75,12 +75,13 @@
 	return nil
 }
 
-// fieldCounts are the numbers of fields of a line by its kind, which is the first field.
+// fieldCounts has the number of fields of a line by its kind, which is the first field.
 var fieldCounts = map[string]int{
 	string(attemptLine): 15, string(requestLine): 12, string(stateLine): 8, string(planLine): 10,
 }
 
-// hasFieldCount tells whether a line has as many fields as its kind. Some may end with a request's ID.
+// hasFieldCount reports whether a line has the number of fields of its kind. Lines of attempts and requests may have
+// the request's ID as an additional last field.
 func hasFieldCount(fields []string) bool {
 	if len(fields) == 0 {
 		return false
@@ -90,7 +91,7 @@
 	return len(fields) == count || mayHaveID && len(fields) == count+1
 }
 
-// addLine adds a line that was split into fields; false where it can't be parsed.
+// addLine parses a line that was split into fields and adds it. It returns false if the line can't be parsed.
 func (s *Summer) addLine(instance string, fields []string) bool {
 	if !hasFieldCount(fields) {
 		return false
@@ -117,7 +118,7 @@
 	return !parser.hasFailed
 }
 
-// lineParser parses the fields of a line, in the order in which Writer writes them.
+// lineParser parses the fields of a line, whose order is that of Writer.
 type lineParser struct {
 	fields    []string
 	hasFailed bool
--- a/internal/eventlog/sums.go
+++ b/internal/eventlog/sums.go
@@ -5,22 +5,23 @@
 	"slices"
 )
 
-// startingServerMS is the age of a server's process, in milliseconds, below which it counts as just started.
+// startingServerMS is the age of a server's process, in milliseconds, below which the server counts as recently
+// started.
 const startingServerMS = 15000
 
 const millisecondsPerSecond = 1000
 
-// Second is what a complete fleet did in one second.
+// Second aggregates the events of a complete fleet in one second.
 type Second struct {
-	Second            int            `json:"at"`       // since the first event
-	Requests          map[string]int `json:"requests"` // by outcome, and those not served by cause
+	Second            int            `json:"at"`       // seconds since the first event
+	Requests          map[string]int `json:"requests"` // by outcome; those that were not served also by cause
 	InTime            int            `json:"in_time"`  // served within the latency objective
 	Attempts          map[string]int `json:"attempts"` // by reason
 	NewConnections    int            `json:"dialed"`
-	AtStartingServers int            `json:"young"`   // attempts at servers that had just started
-	MeanAttemptMS     float64        `json:"took_ms"` // duration of the attempts
+	AtStartingServers int            `json:"young"`   // attempts at recently started servers
+	MeanAttemptMS     float64        `json:"took_ms"` // mean duration of the attempts
 
-	// Means of the instances that wrote a state in this second.
+	// Means over the states that instances wrote in this second.
 	ConcurrencyLimit float64 `json:"bound"`
 	AttemptsInFlight float64 `json:"out"`
 	AcceptedRequests float64 `json:"held"`
@@ -28,21 +29,21 @@
 	AvailableServers float64 `json:"up"`
 }
 
-// ServerSum is what a complete fleet sent to one server.
+// ServerSum aggregates the attempts of a complete fleet at one server.
 type ServerSum struct {
 	Server          string         `json:"server"`
 	Attempts        int            `json:"attempts"`
 	Reasons         map[string]int `json:"reasons"`
-	Instances       int            `json:"from"`       // that sent to it
-	MeanAttemptMS   float64        `json:"took_ms"`    // duration of successful attempts
-	MeanReportedMS  float64        `json:"told_ms"`    // service time in load reports; -1 without any
-	MeanUtilization float64        `json:"util"`       // in load reports; -1 without any
-	PeakInFlight    int            `json:"most"`       // of all instances together
-	FirstSecond     int            `json:"first_at_s"` // of the first attempt
+	Instances       int            `json:"from"`       // number of instances that sent attempts to it
+	MeanAttemptMS   float64        `json:"took_ms"`    // mean duration of successful attempts
+	MeanReportedMS  float64        `json:"told_ms"`    // mean service time in load reports; -1 without any
+	MeanUtilization float64        `json:"util"`       // mean in load reports; -1 without any
+	PeakInFlight    int            `json:"most"`       // attempts of all instances together
+	FirstSecond     int            `json:"first_at_s"` // second of the first attempt
 }
 
-// PlanSum is what the customers of one plan requested and used, compared with their quotas as if one node
-// had seen all of it. Units are the estimates of the requests.
+// PlanSum compares the usage of one plan's customers with their quotas as if a single node had received all
+// requests. Units are the estimates in the requests.
 type PlanSum struct {
 	Plan               string  `json:"plan"`
 	Customers          int     `json:"customers"`
@@ -53,16 +54,16 @@
 	RejectedOverQuota  float64 `json:"refused_over"` // units
 }
 
-// Sum is the sum of a fleet's logs.
+// Sum aggregates the logs of a fleet.
 type Sum struct {
 	Instances int         `json:"instances"`
-	Skipped   int         `json:"skipped"` // lines with the prefix that can't be parsed
+	Skipped   int         `json:"skipped"` // lines with the prefix that could not be parsed
 	Seconds   []Second    `json:"seconds"`
-	Servers   []ServerSum `json:"servers"` // the slowest first
+	Servers   []ServerSum `json:"servers"` // by mean duration, longest first
 	Plans     []PlanSum   `json:"plans"`   // by name
 }
 
-// Sum returns the sum of the logs that were read.
+// Sum returns the aggregate of the logs that were read.
 func (s *Summer) Sum() Sum {
 	sum := Sum{Instances: len(s.instances), Skipped: s.skipped}
 	if len(s.requests) == 0 && len(s.attempts) == 0 {
@@ -88,11 +89,11 @@
 	return min(s.requests[0].at, s.attempts[0].at)
 }
 
-// secondSums collects the sums of seconds, from which the means are computed.
+// secondSums accumulates sums per second, from which the means are computed.
 type secondSums struct {
 	start   float64 // in milliseconds
 	seconds map[int]*Second
-	states  map[int]float64 // that were written, by second
+	states  map[int]float64 // number of states written, by second
 }
 
 func (c *secondSums) at(ms float64) *Second {
@@ -144,7 +145,7 @@
 	second.AvailableServers += s.availableServers
 }
 
-// means returns the seconds in their order, with means in the place of sums.
+// means replaces the sums by means and returns the seconds in order.
 func (c *secondSums) means() []Second {
 	var all []Second
 	for i, second := range c.seconds {
@@ -181,7 +182,7 @@
 	return all
 }
 
-// sumServer sums the attempts at one server, which are in the order of their starts.
+// sumServer aggregates the attempts at one server, which must be sorted by start time.
 func sumServer(server string, attempts []attempt, start float64) ServerSum {
 	sum := ServerSum{
 		Server: server, Attempts: len(attempts), Reasons: make(map[string]int), MeanReportedMS: -1, MeanUtilization: -1,
@@ -211,7 +212,7 @@
 	return sum
 }
 
-// peakInFlight returns the largest number of attempts in flight at one moment.
+// peakInFlight returns the largest number of attempts that were in flight at the same time.
 func peakInFlight(attempts []attempt) int {
 	type step struct {
 		at    float64
--- a/internal/groupsize/groupsize.go
+++ b/internal/groupsize/groupsize.go
@@ -1,7 +1,7 @@
-// Package groupsize estimates how many instances share a service's servers, from what servers report
-// of their load: where all instances send alike, a server has as many times what one of them has in
-// flight there as there are instances. It is for noticing that the group size in the settings is wrong;
-// nothing is decided by it. It does no I/O and takes the time as an argument.
+// Package groupsize estimates how many instances share a service's servers from the servers' load reports: if all
+// instances send the same load, the number of requests that a server has in flight is the number that one
+// instance has in flight there times the number of instances. The estimate only serves to detect a wrong group
+// size in the settings; no decision depends on it. The package does no I/O and takes the time as an argument.
 package groupsize
 
 import (
@@ -10,27 +10,28 @@
 )
 
 const (
-	decayTime             = 2 * time.Minute // after which a report has lost 63% of its weight
-	minLocalAttempts      = 40.0            // own attempts beside the answered ones that an estimate needs
-	contradictionMinRatio = 1.6             // of estimate and configuration, or its inverse, that contradicts
+	decayTime             = 2 * time.Minute // a report loses 63% of its weight in this time
+	minLocalAttempts      = 40.0            // decayed number of concurrent own attempts that an estimate requires
+	contradictionMinRatio = 1.6             // a ratio above this, or below its inverse, contradicts the configured size
 )
 
 // Estimator estimates the group size of one service. It is not safe for concurrent use.
 type Estimator struct {
 	configured float64
-	reported   float64 // decaying sum over reports of the attempts that the server had in flight
-	local      float64 // and of those that this instance had in flight there, without the answered ones
-	reports    float64 // decaying number of reports
+	reported   float64 // decayed sum over reports of the attempts that the server had in flight
+	local      float64 // decayed sum over reports of this instance's attempts in flight there, without the answered one
+	reports    float64 // decayed number of reports
 	updatedAt  time.Duration
 }
 
-// New returns an estimator for a group that is configured to have a number of instances.
+// New returns an estimator for a group whose configured size is the given number of instances.
 func New(configured int) *Estimator {
 	return &Estimator{configured: math.Max(1, float64(configured))}
 }
 
-// AddReport takes a load report: the server had inFlight attempts, of which local are this instance's;
-// the answered one does not count. A report that is no number of attempts is ignored.
+// AddReport adds a load report: the server had inFlight attempts in flight, of which local were this instance's,
+// not counting the attempt whose response has the report. A report with a negative, infinite or NaN inFlight or
+// a negative or NaN local is ignored.
 func (e *Estimator) AddReport(now time.Duration, inFlight, local float64) {
 	if !(inFlight >= 0) || !(local >= 0) || math.IsInf(inFlight, 0) {
 		return
@@ -52,8 +53,8 @@
 	e.updatedAt = now
 }
 
-// Range returns the bounds of the group size by the reports, which leave open whether a server counts
-// the request that it answers. It returns false while there are too few reports.
+// Range returns the lower and the upper bound of the estimated group size. They differ because the reports don't
+// tell whether a server counts the request that it is answering. ok is false while there are too few reports.
 func (e *Estimator) Range(now time.Duration) (low, high float64, ok bool) {
 	e.decay(now)
 	if e.local < minLocalAttempts {
@@ -64,7 +65,7 @@
 	return low, high, true
 }
 
-// ContradictsConfiguration tells whether the reports contradict the configured size.
+// ContradictsConfiguration reports whether the estimated range contradicts the configured size.
 func (e *Estimator) ContradictsConfiguration(now time.Duration) bool {
 	low, high, ok := e.Range(now)
 	if !ok {
--- a/internal/leasestore/leasestore.go
+++ b/internal/leasestore/leasestore.go
@@ -1,5 +1,5 @@
-// Package leasestore makes calls of quotalease.Holder to a Redis server, on which a script is the lease store.
-// It decides nothing, and retries no call.
+// Package leasestore sends the calls of a quotalease.Holder to a Redis server, on which a Lua script implements the
+// lease store. It makes no decisions and retries no call.
 package leasestore
 
 import (
@@ -20,14 +20,14 @@
 
 var script = redis.NewScript(scriptSource)
 
-// Sizes of the encoded parts of a call, in script arguments.
+// Number of script arguments that encode each part of a call.
 const (
 	callArgs    = 9
 	requestArgs = 5
 	returnArgs  = 3
 )
 
-// Sizes of the decoded parts of a reply, in strings.
+// Number of strings that encode each part of a reply.
 const (
 	replyHeaderFields = 3
 	grantFields       = 3
@@ -36,14 +36,14 @@
 // Limits of the values in a reply.
 const (
 	maxStoreMicroseconds = 1 << 52
-	tokenBits            = 53 // Lua numbers hold no larger integers
+	tokenBits            = 53 // Lua numbers represent integers exactly up to 53 bits
 	maxGrantUnits        = 1e15
 )
 
 // maxConnections limits the connections to one server.
 const maxConnections = 2
 
-// errMalformedReply is wrapped by the errors of DecodeReply.
+// errMalformedReply is wrapped by all errors of DecodeReply.
 var errMalformedReply = errors.New("malformed reply")
 
 // Options configure the client of one lease store.
@@ -51,7 +51,7 @@
 	Address   string // host:port
 	Username  string
 	Password  string
-	KeyPrefix string // of the store's keys on the server; the same at all instances
+	KeyPrefix string // prefix of the store's keys on the server; must be the same at all instances
 	Timeout   time.Duration
 	Rules     quotalease.Rules
 }
@@ -60,10 +60,10 @@
 type Client struct {
 	options Options
 	redis   *redis.Client
-	keys    []string // of the script
+	keys    []string // KEYS argument of the script
 }
 
-// New returns a client that connects with its first call.
+// New returns a client. It connects to the server only when Call is first called.
 func New(options Options) *Client {
 	return &Client{
 		options: options,
@@ -74,7 +74,7 @@
 			Password:              options.Password,
 			Protocol:              2,
 			DisableIdentity:       true,
-			MaxRetries:            -1, // the holder decides on retries, as a call that is sent twice counts twice
+			MaxRetries:            -1, // a call that is sent twice counts twice, so only the holder may retry
 			DialerRetries:         1,
 			PoolSize:              maxConnections,
 			MaxActiveConns:        maxConnections,
@@ -88,14 +88,14 @@
 	}
 }
 
-// Close closes the connections; calls that are in flight fail.
+// Close closes the connections; calls in flight fail.
 func (c *Client) Close() error { return c.redis.Close() }
 
-// Call makes one call within Options.Timeout. Its errors name the store's address.
+// Call makes one call, which is limited to Options.Timeout. Its errors contain the store's address.
 func (c *Client) Call(ctx context.Context, call *quotalease.StoreCall) (quotalease.StoreReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.options.Timeout)
 	defer cancel()
-	// Run sends the script again only if the server did not know it, and so did not run it.
+	// Run sends a second command only if the server did not have the script cached, and so did not run it.
 	raw, err := script.Run(ctx, c.redis, c.keys, EncodeCall(call, c.options.Rules)...).StringSlice()
 	if err != nil {
 		return quotalease.StoreReply{}, fmt.Errorf("lease store %s: %w", c.options.Address, err)
@@ -110,7 +110,7 @@
 
 func formatNumber(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
 
-// EncodeCall returns the script's arguments for a call. Times are in microseconds.
+// EncodeCall returns the script's arguments for a call, with times in microseconds.
 func EncodeCall(call *quotalease.StoreCall, rules quotalease.Rules) []any {
 	args := make([]any, 0, callArgs+requestArgs*len(call.Requests)+returnArgs*len(call.Returns))
 	args = append(args, call.HolderID, call.StoreID, call.EchoedTime.Microseconds(), formatNumber(call.ReservedFraction), call.LastToken)
@@ -127,8 +127,8 @@
 	return args
 }
 
-// DecodeReply decodes the script's reply, all but its Seq: the store's identity, its time in microseconds and
-// "1" if it lends, then key, token and units of each grant.
+// DecodeReply decodes the script's reply: the store's identity, its time in microseconds and "1" if it lends,
+// followed by the key, token and units of each grant. It does not set Seq, which the reply does not contain.
 func DecodeReply(raw []string) (reply quotalease.StoreReply, err error) {
 	if len(raw) < replyHeaderFields || (len(raw)-replyHeaderFields)%grantFields != 0 || raw[0] == "" {
 		return reply, errMalformedReply
@@ -148,7 +148,7 @@
 	return reply, nil
 }
 
-// decodeGrant decodes the strings of one grant.
+// decodeGrant decodes the three strings of one grant.
 func decodeGrant(key, token, units string) (grant quotalease.Grant, err error) {
 	grant.Key = key
 	grant.Token, err = strconv.ParseUint(token, 10, tokenBits)
--- a/internal/metrics/families.go
+++ b/internal/metrics/families.go
@@ -1,14 +1,14 @@
 package metrics
 
-// family is the values of one metric. The values of its labels are names of the configuration and words
-// that are listed in package service.
+// family describes a metric family. Its label values are names from the configuration and the constant words
+// listed in package service.
 type family struct {
 	name, kind, help string
 	labels           []string
 }
 
-// Metrics of services and of the process, by Prometheus' conventions for names and units. Names and help
-// texts keep older words than docs/glossary.md.
+// Metrics of services and of the process, which follow Prometheus' conventions for names and units. Names and
+// help texts are an external interface and keep older terms than docs/glossary.md uses.
 var (
 	requests            = family{"requests_total", "counter", "Requests by their final answer.", []string{"service", "class", "outcome"}}
 	rejections          = family{"refusals_total", "counter", "Refused requests by what refused them.", []string{"service", "class", "reason"}}
@@ -38,7 +38,7 @@
 	retiredServices     = family{"older_services", "gauge", "Services of earlier generations that still hold requests.", nil}
 )
 
-// Metrics of a member of a fleet.
+// Metrics of an instance that is a member of a fleet.
 var (
 	settings        = family{"settings_info", "gauge", "The configuration in force, by its hash.", []string{"hash"}}
 	isDesiredConfig = family{"settings_as_wanted", "gauge", "Whether the configuration in force is the one that was ordered last.", nil}
--- a/internal/metrics/gathers.go
+++ b/internal/metrics/gathers.go
@@ -2,7 +2,7 @@
 
 import "lockflow/internal/scattergather"
 
-// GatherSource is a Source with scatter-gather services; *node.Node is one.
+// GatherSource is a Source that has scatter-gather services; *node.Node implements it.
 type GatherSource interface{ GathererStatus() []scattergather.Status }
 
 // Metrics of scatter-gather services.
@@ -21,7 +21,7 @@
 	gatherTrust            = family{"gather_trust", "gauge", "In what other instances have learned, 0 to 1.", []string{"service"}}
 )
 
-// addGathers adds the state of the scatter-gather services.
+// addGathers adds the metrics of the scatter-gather services.
 func (p *page) addGathers(source GatherSource) {
 	for _, s := range source.GathererStatus() {
 		for _, outcome := range scattergather.Outcomes {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics writes the state of a node in Prometheus' text format. All but the counts of requests is
-// collected at each scrape, so that metrics that nobody scrapes cost nothing.
+// Package metrics writes the state of a node in Prometheus' text format. Everything except the request counts
+// is collected during a scrape, so that metrics cost nothing if nobody scrapes them.
 package metrics
 
 import (
@@ -18,7 +18,7 @@
 	"lockflow/internal/service"
 )
 
-// Source is what metrics are collected from; *node.Node is one.
+// Source provides the values of metrics; *node.Node implements it.
 type Source interface {
 	Status() []node.Status
 	Generation() int
@@ -28,11 +28,11 @@
 
 // Member is a Source that is a member of a fleet.
 type Member interface {
-	// Member returns a status with at least the hash, the epoch, the desired state and the statistics.
+	// Member returns a status that has at least the hash, the epoch, the desired state and the statistics.
 	Member() manage.Status
 }
 
-// Write writes the metrics of a source.
+// Write writes the metrics of a source and of the process, with families sorted by name.
 func Write(w io.Writer, source Source) error {
 	p := &page{values: make(map[*family]*bytes.Buffer)}
 	p.add(&generation, float64(source.Generation()))
--- a/internal/metrics/page.go
+++ b/internal/metrics/page.go
@@ -13,15 +13,16 @@
 	"lockflow/internal/service"
 )
 
-// page is the response to one scrape. The values of a family have to follow each other.
+// page collects the response to one scrape. It groups values by family, because the text format requires the values of
+// a family to be adjacent.
 type page struct {
-	order  []*family // with values
+	order  []*family // families that have values
 	values map[*family]*bytes.Buffer
 }
 
 var escape = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
-// add adds a value with the values of its family's labels, in the labels' order.
+// add adds a value to a family. labels are the label values in the order of the family's label names.
 func (p *page) add(f *family, v float64, labels ...string) {
 	b := p.values[f]
 	if b == nil {
@@ -37,7 +38,7 @@
 	if len(labels) > 0 {
 		name.WriteByte('}')
 	}
-	metrics.WriteGaugeFloat64(b, name.String(), v) // values of all kinds have the same form
+	metrics.WriteGaugeFloat64(b, name.String(), v) // counters and gauges have the same text format
 }
 
 func boolValue(b bool) float64 {
@@ -47,7 +48,7 @@
 	return 0
 }
 
-// addMember adds what a member of a fleet reports of itself.
+// addMember adds the metrics of a fleet member.
 func (p *page) addMember(s *manage.Status) {
 	statistics := &s.Statistics
 	p.add(&settings, 1, s.ConfigHash)
@@ -63,7 +64,7 @@
 	p.add(&overQuotaTotal, float64(statistics.OverQuota))
 }
 
-// addService adds the state of one service.
+// addService adds the metrics of one service's state.
 func (p *page) addService(s *node.Status) {
 	p.add(&acceptedRequests, float64(s.Requests), s.Name)
 	p.add(&attemptsInFlight, float64(s.AttemptsInFlight), s.Name)
@@ -96,7 +97,7 @@
 	p.addUsage(s.Name, "dials", s.Resources.Dials)
 }
 
-// addUsage adds a service's use of a resource of the process.
+// addUsage adds a service's usage of one of the process's resources.
 func (p *page) addUsage(service, resource string, usage limits.Usage) {
 	p.add(&resourceUsed, float64(usage.Used), service, resource)
 	p.add(&resourceGuaranteed, float64(usage.Guaranteed), service, resource)
--- a/internal/metrics/serve.go
+++ b/internal/metrics/serve.go
@@ -14,12 +14,13 @@
 const (
 	scrapeTimeout  = 5 * time.Second
 	idleTimeout    = time.Minute
-	maxScrapes     = 4 // at once
+	maxScrapes     = 4 // concurrent
 	maxHeaderBytes = 16 << 10
 	contentType    = "text/plain; version=0.0.4; charset=utf-8"
 )
 
-// Handler returns a handler for scrapes of a source at /metrics. More than a few scrapes at once are rejected.
+// Handler returns a handler that serves the metrics of a source at /metrics. It rejects a scrape while maxScrapes others
+// are running.
 func Handler(source Source) http.Handler {
 	running := make(chan struct{}, maxScrapes)
 	mux := http.NewServeMux()
@@ -32,12 +33,12 @@
 			return
 		}
 		w.Header().Set("Content-Type", contentType)
-		_ = Write(w, source) // fails where the client is gone
+		_ = Write(w, source) // fails only if the client has disconnected
 	})
 	return mux
 }
 
-// Serve answers scrapes of a source on a listener until ctx ends.
+// Serve serves the metrics of a source on a listener until ctx ends.
 func Serve(ctx context.Context, l net.Listener, source Source) error {
 	server := &http.Server{
 		Handler:           Handler(source),
--- a/internal/record/digest.go
+++ b/internal/record/digest.go
@@ -8,7 +8,7 @@
 	"lockflow/control"
 )
 
-// actionCode identifies the type of an action in a digest. The numbers are part of what recordings hold.
+// actionCode identifies the type of an action in a digest. Recordings store digests, so the numbers must not change.
 type actionCode = byte
 
 const (
@@ -20,11 +20,11 @@
 	codeDisconnect
 	codeLogLine
 	codeAddToCounter
-	codeOtherAction // any other action, with a text
+	codeOtherAction // any other action, encoded as text
 )
 
-// Digest appends actions to buffer in a form of their own, and returns it: equal actions give equal bytes. The form is
-// part of what recordings hold; it has some fields of the actions only.
+// Digest appends an encoding of actions to buffer and returns it: equal actions give equal bytes. Recordings store a
+// hash of the encoding, so it must not change. It contains only some of the actions' fields.
 func Digest(buffer []byte, actions []control.Action) []byte {
 	for _, action := range actions {
 		buffer = appendAction(buffer, action)
@@ -65,8 +65,8 @@
 	return append(buffer, text...)
 }
 
-// rareActionText is the text that Digest appends for an action without a form of its own. It is stored in recordings,
-// so it must not change with the names of types and fields.
+// otherActionText returns the text that Digest appends for an action without a binary encoding. Recordings store a hash
+// of it, so it must not change when types or fields are renamed.
 func otherActionText(action control.Action) string {
 	switch a := action.(type) {
 	case control.CheckHealth:
--- a/internal/record/event.go
+++ b/internal/record/event.go
@@ -9,10 +9,10 @@
 	"lockflow/internal/codec"
 )
 
-// eventKind identifies the type of an event in recordings.
+// eventKind identifies the type of a recorded event.
 type eventKind uint8
 
-// The kinds. Their numbers are stored.
+// The kinds of event. Recordings store their numbers, so they must not change.
 const (
 	kindEndpointList eventKind = iota + 1
 	kindRequest
@@ -25,7 +25,7 @@
 	kindCounterResult
 )
 
-// eventDecoders are the decoders of the events' bodies.
+// eventDecoders decode the body of an event by its kind.
 var eventDecoders = map[eventKind]func(cbor.RawMessage) (control.Event, error){
 	kindEndpointList:      decodeEvent[control.EndpointList],
 	kindRequest:           decodeEvent[control.Request],
@@ -44,7 +44,7 @@
 	return event, err
 }
 
-// kindOf returns the kind of an event, or an error for a type that recordings don't know.
+// kindOf returns the kind of an event, or an error for a type that can't be recorded.
 func kindOf(event control.Event) (eventKind, error) {
 	switch event.(type) {
 	case control.EndpointList:
--- a/internal/record/frame.go
+++ b/internal/record/frame.go
@@ -11,8 +11,8 @@
 
 const (
 	fileMagic       = "lockflow recording\n"
-	frameHeaderSize = 4 + 4     // the body's length and its checksum
-	maxFrameBytes   = 256 << 20 // of a body that is read
+	frameHeaderSize = 4 + 4     // length and checksum of the body
+	maxFrameBytes   = 256 << 20 // limit for bodies that are read
 )
 
 var errAlteredFrame = errors.New("a frame was altered: its checksum differs")
@@ -24,8 +24,8 @@
 	return append(buffer, body...)
 }
 
-// readFrame returns the body of the next frame. The error is io.EOF at the end, also where that cuts a frame off: the
-// process may have been killed.
+// readFrame returns the body of the next frame. The error is io.EOF at the end of the file, even in the middle of a
+// frame, because the recording process may have been killed.
 func readFrame(source io.Reader) ([]byte, error) {
 	var header [frameHeaderSize]byte
 	if _, err := io.ReadFull(source, header[:]); err != nil {
--- a/internal/record/reader.go
+++ b/internal/record/reader.go
@@ -13,32 +13,32 @@
 	"lockflow/internal/codec"
 )
 
-// ErrNotRecording is the error of Open for what is no recording at all.
+// ErrNotRecording is the error of Open for data that is not a recording.
 var ErrNotRecording = errors.New("not a recording")
 
-// Section is what a section says of itself.
+// Section describes a section of a recording.
 type Section struct {
 	Service    string
 	StartedAt  time.Time
-	LostEvents int64 // losses of the module before the section
+	LostEvents int64 // losses between the start of the recording and this section
 }
 
-// Step is an event with the actions by which the resumed module answers it.
+// Step is an event with the actions that the resumed module returned for it.
 type Step struct {
 	Now          time.Duration
 	Event        control.Event
 	Actions      []control.Action // valid until the next step
-	IsAsRecorded bool             // the recorded module answered it by the same actions
+	IsAsRecorded bool             // the recorded module returned the same actions
 }
 
 // Reader reads a section. It is not safe for concurrent use.
 type Reader struct {
-	source io.Reader // behind the header
+	source io.Reader // positioned after the header
 	header sectionHeader
 }
 
-// Open reads the beginning of a section. The error wraps ErrNotRecording for what is none; a recording may also be
-// damaged, or of another Version.
+// Open reads the header of a section. The error wraps ErrNotRecording if the data is not a recording; other errors mean
+// a damaged recording or one of another Version.
 func Open(source io.Reader) (*Reader, error) {
 	decompressor, err := gzip.NewReader(source)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return readHeader(decompressor)
 }
 
-// readHeader reads the beginning of a section that is not compressed.
+// readHeader reads the header of a section that is already decompressed.
 func readHeader(source io.Reader) (*Reader, error) {
 	magic := make([]byte, len(fileMagic))
 	if _, err := io.ReadFull(source, magic); err != nil || string(magic) != fileMagic {
@@ -67,7 +67,7 @@
 	return r, nil
 }
 
-// Section returns what the section says of itself.
+// Section returns the description in the section's header.
 func (r *Reader) Section() Section {
 	return Section{
 		Service:    r.header.Service,
@@ -79,9 +79,9 @@
 // Settings returns the settings of the recorded module.
 func (r *Reader) Settings() control.Settings { return r.header.Settings }
 
-// Replay resumes the module and has it handle the section's events. It calls handle after each, and ends with the
-// section or with an error of handle, which it returns. It returns the number of events and a digest of all actions,
-// also with an error. It can be called once.
+// Replay resumes the module from the section's image and passes it the recorded events. It calls handle after each
+// event, and stops at the end of the section or when handle returns an error, which it returns. The number of replayed
+// events and the digest of all their actions are valid with an error too. Replay can be called only once.
 func (r *Reader) Replay(handle func(Step) error) (events int, digest uint64, err error) {
 	controller, err := control.Resume(r.header.Settings, r.header.Image)
 	if err != nil {
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,12 +1,13 @@
-// Package record writes what a decision module handled to files that rotate, so that its decisions can be replayed.
+// Package record writes the events that a decision module handles to rotating files, so that its decisions can be
+// replayed.
 //
-// A file is a section of a recording. It stands alone: compressed by gzip, it has fileMagic and then frames, each a
-// length and a checksum (four bytes each, big endian) before a body of CBOR. The first frame is a sectionHeader with the
-// module's settings and complete state, every other one a recordedEvent. An event may be cut off at the end, as the
-// process may have been killed.
+// Each file is one section of a recording and can be replayed without the others. Its gzip-compressed content is
+// fileMagic followed by frames; a frame is a length and a checksum (four bytes each, big endian) and a CBOR body. The
+// first frame is a sectionHeader with the module's settings and complete state, every other one a recordedEvent. The
+// last event may be cut off, because the process may have been killed.
 //
-// Recording never makes the module wait: a batch of events that the writer can't take at once is lost and ends the
-// section, and the header of the next one has the number of losses.
+// Recording never blocks the module: a batch of events that the writer can't accept immediately is lost and ends the
+// section, and the header of the next section has the number of losses.
 package record
 
 import (
@@ -20,25 +21,25 @@
 	"lockflow/control"
 )
 
-// Version is the version of the files' form. A Reader takes no other one.
+// Version is the version of the file format. A Reader rejects all others.
 const Version = 1
 
-// Suffix is the suffix of the files' names.
+// Suffix is the file name suffix of recordings.
 const Suffix = ".lfrec"
 
 // Limits of a recording.
 const (
-	filesPerService  = 4        // among which Options.MaxBytes is divided
-	maxBatchBytes    = 64 << 10 // of events that are passed to the writer at once
+	filesPerService  = 4        // Options.MaxBytes is divided among them
+	maxBatchBytes    = 64 << 10 // a larger batch of events is passed to the writer
 	maxBatchAge      = time.Second
-	maxQueuedBatches = 64 // that wait for the writer
+	maxQueuedBatches = 64 // capacity of the writer's queue
 )
 
 // Options configures a service's recording.
 type Options struct {
 	Service  string
-	Dir      string // is made where it is missing
-	MaxBytes int64  // of all files of the service, before they are compressed
+	Dir      string // created if it does not exist
+	MaxBytes int64  // limit for all files of the service together, before compression
 }
 
 // sectionHeader is the first frame of a section.
@@ -46,36 +47,38 @@
 	Version    int              `cbor:"Version"`
 	Service    string           `cbor:"Service"`
 	StartedAt  time.Time        `cbor:"At"`
-	LostEvents int64            `cbor:"Lost"` // losses before this section, since the module was made
+	LostEvents int64            `cbor:"Lost"` // losses before this section, since the module was created
 	Settings   control.Settings `cbor:"Settings"`
 	Image      control.Image    `cbor:"Image"`
 }
 
-// recordedEvent is an event and the digest of the actions that answered it. The order of its fields is stored.
+// recordedEvent is an event and the digest of the actions that the module returned for it. It is stored as an array, so
+// the order of its fields must not change.
 type recordedEvent struct {
 	_      struct{} `cbor:",toarray"`
 	Now    time.Duration
 	Kind   eventKind
-	Body   cbor.RawMessage // the event
-	Digest uint64          // xxHash of what Digest appends
+	Body   cbor.RawMessage // the encoded event
+	Digest uint64          // xxHash of the output of Digest
 }
 
-// Module is a controller whose events are recorded. As a controller, it is not safe for concurrent use.
+// Module is a controller whose events are recorded. Like a controller, it is not safe for concurrent use.
 type Module struct {
 	*control.Controller
 	options  Options
 	settings control.Settings
 	writer   *sectionWriter
 
-	needsSection   bool // the next event begins a section
+	needsSection   bool // the next event starts a new section
 	batch          []byte
 	batchStartedAt time.Time
 	sectionBytes   int64
 	lostEvents     int64
-	digest         []byte // buffer for Handle
+	digest         []byte // buffer that Handle reuses
 }
 
-// New returns a module that records a controller with these settings from its next event on. Close ends it.
+// New returns a module that records a controller with these settings, starting with its next event. Close ends the
+// recording.
 func New(controller *control.Controller, settings control.Settings, options Options) (*Module, error) {
 	if err := os.MkdirAll(options.Dir, 0o700); err != nil {
 		return nil, fmt.Errorf("recording: %w", err)
@@ -89,7 +92,8 @@
 	}, nil
 }
 
-// Handle has the controller handle an event, and records both. The slice is valid until the next call.
+// Handle passes an event to the controller, and records the event and a digest of the resulting actions. The returned
+// slice is valid until the next call.
 func (m *Module) Handle(now time.Duration, event control.Event) []control.Action {
 	if m.needsSection {
 		m.startSection()
@@ -124,8 +128,8 @@
 	return cbor.Marshal(recordedEvent{Now: now, Kind: kind, Body: body, Digest: xxhash.Sum64(m.digest)})
 }
 
-// Restore, RestoreServers, ReclaimRates, HandOver and PredecessorEnded change the controller without an event. The section can't be
-// replayed past them, so another one begins.
+// Restore, RestoreServers, ReclaimRates, HandOver and PredecessorEnded change the controller's state without an event.
+// Replay could not reproduce that, so each of them makes the next event start a new section.
 
 // Restore is Controller.Restore.
 func (m *Module) Restore(now time.Duration, checkpoint control.Checkpoint, trust control.Trust) {
@@ -157,8 +161,8 @@
 	m.needsSection = true
 }
 
-// Close writes what is left and waits for the writer. No method may be called after it. The error is always nil: the
-// writer logs its own.
+// Close flushes the last batch and waits until the writer has finished. No method may be called after it. The error is
+// always nil, because the writer logs its own errors.
 func (m *Module) Close() error {
 	m.flush()
 	m.writer.close()
@@ -193,7 +197,7 @@
 	m.sectionBytes += int64(len(body)) + frameHeaderSize
 }
 
-// flush passes the batch to the writer. Where the writer can't take it, the batch is lost and the section ends.
+// flush passes the batch to the writer. If the writer's queue is full, the batch is lost and the section ends.
 func (m *Module) flush() {
 	if len(m.batch) == 0 {
 		return
@@ -204,7 +208,7 @@
 	m.batch = nil
 }
 
-// recordLoss counts a loss, of an event or of a batch, and ends the section.
+// recordLoss counts the loss of an event or of a batch, and ends the section.
 func (m *Module) recordLoss() {
 	m.lostEvents++
 	m.needsSection = true
--- a/internal/record/section_writer.go
+++ b/internal/record/section_writer.go
@@ -11,21 +11,21 @@
 	"time"
 )
 
-// batch is what a module passes to its writer: the beginning of a section, or frames of it.
+// batch is an item in the writer's queue: the start of a section, or frames of the current section.
 type batch struct {
 	startsSection bool
 	frames        []byte
 }
 
-// sectionWriter writes a file for each section and removes the oldest files. Its goroutine ends with close.
+// sectionWriter writes one file per section and removes the oldest files. It runs a goroutine that close ends.
 type sectionWriter struct {
 	options Options
 	batches chan batch
 	done    chan struct{} // closed when the goroutine has ended
 
-	// The goroutine alone uses the fields below.
+	// Only the goroutine uses the fields below.
 
-	file       *os.File // nil between sections, and where one could not be opened
+	file       *os.File // nil between sections, and if the section's file could not be created
 	compressor *gzip.Writer
 }
 
@@ -39,7 +39,7 @@
 	return w
 }
 
-// enqueue passes a batch to the writer. It returns false, without waiting, where too many are queued.
+// enqueue adds a batch to the writer's queue without blocking. It returns false if the queue is full.
 func (w *sectionWriter) enqueue(b batch) bool {
 	select {
 	case w.batches <- b:
@@ -49,7 +49,7 @@
 	}
 }
 
-// close waits until all that is queued is written.
+// close ends the goroutine after it has written all queued batches.
 func (w *sectionWriter) close() {
 	close(w.batches)
 	<-w.done
@@ -75,8 +75,8 @@
 		return
 	}
 	w.file = file
-	w.compressor, _ = gzip.NewWriterLevel(file, gzip.BestSpeed) // fails for invalid levels only
-	_, _ = w.compressor.Write([]byte(fileMagic))                // endSection reports an error
+	w.compressor, _ = gzip.NewWriterLevel(file, gzip.BestSpeed) // fails only for invalid levels
+	_, _ = w.compressor.Write([]byte(fileMagic))                // endSection reports any error
 }
 
 func (w *sectionWriter) writeFrames(frames []byte) {
@@ -84,7 +84,7 @@
 		return
 	}
 	if _, err := w.compressor.Write(frames); err == nil {
-		_ = w.compressor.Flush() // as in startSection
+		_ = w.compressor.Flush() // endSection reports any error
 	}
 }
 
@@ -98,13 +98,13 @@
 	w.file = nil
 }
 
-// createFile creates a section's file, after it has removed the oldest files above the service's limit.
+// createFile removes the oldest files so that the service stays within filesPerService, and creates a section's file.
 func (w *sectionWriter) createFile() (*os.File, error) {
 	files, err := filepath.Glob(filepath.Join(w.options.Dir, w.options.Service+"-*"+Suffix))
 	if err != nil {
 		return nil, err
 	}
-	slices.Sort(files) // by age: names hold the time
+	slices.Sort(files) // oldest first: names contain the creation time
 	for len(files) >= filesPerService {
 		if err := os.Remove(files[0]); err != nil {
 			return nil, err
