--- a/internal/discovery/keys_test.go
+++ b/internal/discovery/keys_test.go
@@ -6,7 +6,7 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// Lists of servers, as they are fetched, have a written key for every field.
+// Every field of an endpoint list has an explicit JSON key, so that renaming a field doesn't change the wire format.
 func TestFieldsHaveExplicitKeys(t *testing.T) {
 	testkit.RequireKeys(t, "json", EndpointList{}, Endpoint{})
 }
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// outage is how a discovery fails until it is back.
+// outage is the way in which a discovery fails until it recovers.
 type outage string
 
 const (
@@ -27,8 +27,9 @@
 	neverAnswers       outage = "calls get no answer"
 )
 
-// notifiedAfterOutage returns how long after its return the list of a discovery was delivered that was out for some time,
-// where each answer takes some time. A call that was not answered meanwhile is answered at the return.
+// deliveryDelayAfterOutage runs feed on a discovery that fails for duration and takes answerTime for each answer
+// afterwards. It returns the time from the recovery until the discovery's list was delivered. Calls that are pending at
+// the recovery are answered then.
 func deliveryDelayAfterOutage(t *testing.T, kind outage, duration, answerTime time.Duration, feed *Feed) time.Duration {
 	ctx, cancel := context.WithCancel(t.Context())
 	var tasks sync.WaitGroup
@@ -71,10 +72,10 @@
 	}
 }
 
-// However a discovery failed, and for however long, what it has at its return is delivered 6 s later at the latest,
-// for groups of every size; what an agent has is delivered at once. A large group that is rejected, by an answer or
-// by an end before one, waits for longer: with shorter delays a discovery that takes a call of each in 8 s notifies
-// nobody, as TestSimultaneousSilenceNotifiesWholeGroup shows, which checks that case.
+// The list of a recovered discovery is delivered within 6 s of the recovery, whatever the kind and duration of the
+// outage and the group size; that of an instance's own agent within two shortest retry delays. Large groups whose calls are
+// rejected or reset are left out, because they wait longer: with shorter delays a discovery that needs 8 s to answer
+// one call of each instance would notify none of them. TestSimultaneousSilenceNotifiesWholeGroup checks that case.
 func TestEventsArriveInTimeAfterOutage(t *testing.T) {
 	for _, kind := range []outage{refusesConnections, resetsCalls, endsWatches, rejectsCalls, neverAnswers} {
 		for _, group := range []int{1, 3, 24, 300} {
@@ -84,7 +85,7 @@
 				}
 				t.Run(fmt.Sprintf("%s/%d/agent=%v", kind, group, agent), func(t *testing.T) {
 					limit, answerTime := missedEventDeadline, maxAnswerTime
-					if agent { // it answers at once
+					if agent { // an agent answers immediately
 						limit, answerTime = 2*minRetryDelay, 0
 					}
 					for _, duration := range []time.Duration{300 * time.Millisecond, 4 * time.Second, 8 * time.Second, 13 * time.Second} {
--- a/internal/discovery/pacer_test.go
+++ b/internal/discovery/pacer_test.go
@@ -10,36 +10,38 @@
 	"lockflow/internal/simulation/vtime"
 )
 
-// simulatedDiscovery answers one call after another at a fixed rate, also those that have timed out, and rejects those
-// that would wait for too long.
+// simulatedDiscovery processes calls one after another at a fixed rate, including calls that have timed out, and rejects
+// calls that would wait longer than maxWait.
 type simulatedDiscovery struct {
 	vtime.Clock
-	busyUntil     time.Duration // when the last call that it accepted is done
+	busyUntil     time.Duration // when the last accepted call will be finished
 	serviceTime   time.Duration
 	maxWait       time.Duration
-	rejectsAtOnce bool // and not once the caller has waited
+	rejectsAtOnce bool // otherwise a call is rejected only after it has waited
 }
 
-// call makes a call; isAnswered is whether it was answered in time, after some time either way.
+// call makes a call. It returns whether the call is answered in time, and the time until its answer or rejection.
 func (d *simulatedDiscovery) call() (isAnswered bool, elapsed time.Duration) {
 	d.busyUntil = max(d.busyUntil, d.Now()) + d.serviceTime
 	if answerTime := d.busyUntil - d.Now(); answerTime <= d.maxWait {
 		return true, answerTime
 	}
-	d.busyUntil -= d.serviceTime / 2 // a rejection costs time too
+	d.busyUntil -= d.serviceTime / 2 // a rejection costs half the service time
 	if d.rejectsAtOnce {
 		return false, 0
 	}
 	return false, min(d.maxWait, d.busyUntil-d.Now())
 }
 
-// groupResult is when nine in ten instances of a group, and all, had a watch, 0 for never, and the number of calls.
+// groupResult has the times at which 90% and 100% of a group's instances had a watch, 0 for never, and the number of
+// calls.
 type groupResult struct {
 	p90, fullGroupTime time.Duration
 	calls              int
 }
 
-// simulateGroup has instances open their watches, all from one moment on. first and again are their delays.
+// simulateGroup simulates instances that all start to open a watch at the same time. firstDelay and retryDelay return
+// the delays of their calls.
 func simulateGroup(instances int, serviceTime time.Duration, rejectsAtOnce bool, firstDelay func(i int) time.Duration, retryDelay func(i int, lasted, now time.Duration) time.Duration) (result groupResult) {
 	d := &simulatedDiscovery{serviceTime: serviceTime, maxWait: 2 * time.Second, rejectsAtOnce: rejectsAtOnce}
 	watches := 0
@@ -67,7 +69,7 @@
 	return result
 }
 
-// newGroup makes the pacers of a group.
+// newGroup returns the pacers of a group's instances.
 func newGroup(size int) []Pacer {
 	pacers := make([]Pacer, size)
 	for i := range pacers {
@@ -76,15 +78,16 @@
 	return pacers
 }
 
-// rejections is whether a discovery rejects calls at once, or once they have waited.
+// rejectsAtOnceByName has the values of simulatedDiscovery.rejectsAtOnce by their names in messages.
 var rejectsAtOnceByName = map[string]bool{"at once": true, "late": false}
 
-// TestSimultaneousStartNotifiesWholeGroup starts a group at once, the greater part of which is rejected and calls again:
-// all have to receive a list, and no later than without pacing.
+// TestSimultaneousStartNotifiesWholeGroup starts all instances of a group at the same time, so that in large groups most
+// calls are rejected and retried. 90% of the instances must receive a list within a bound, and no later than without
+// pacing.
 func TestSimultaneousStartNotifiesWholeGroup(t *testing.T) {
 	for rejection, rejectsAtOnce := range rejectsAtOnceByName {
 		for _, n := range []int{1, 2, 8, 40, 80, 400} {
-			for _, fullGroupTime := range []time.Duration{2 * time.Second, 5 * time.Second, 8 * time.Second} { // for one call of each
+			for _, fullGroupTime := range []time.Duration{2 * time.Second, 5 * time.Second, 8 * time.Second} { // per call of each instance
 				serviceTime := fullGroupTime / time.Duration(max(40, n))
 				pacers := newGroup(n)
 				paced := simulateGroup(n, serviceTime, rejectsAtOnce, func(i int) time.Duration { return pacers[i].FirstDelay() },
@@ -104,7 +107,8 @@
 	}
 }
 
-// simulateUnpacedGroup has instances start at once and call again after 100 ms, doubled up to 500 ms, in step.
+// simulateUnpacedGroup simulates instances that start at the same time and retry in lockstep, after 100 ms that double
+// up to 500 ms.
 func simulateUnpacedGroup(n int, serviceTime time.Duration, rejectsAtOnce bool) groupResult {
 	failures := make([]int, n)
 	return simulateGroup(n, serviceTime, rejectsAtOnce, func(int) time.Duration { return 0 }, func(i int, _, _ time.Duration) time.Duration {
@@ -113,16 +117,17 @@
 	})
 }
 
-// TestSimultaneousSilenceNotifiesWholeGroup has the watches of a group fall silent, or end, in one moment. The group has
-// its lists in time from a discovery that can answer all of it in time, within the 2 s of grace from one that nearly
-// can, and soon from one that can't, by few calls each, whether it rejects calls at once or late.
+// TestSimultaneousSilenceNotifiesWholeGroup ends the watches of a whole group, or makes them fall silent, at the same
+// time. The group must receive its lists in time from a discovery that is fast enough to answer all of it in time,
+// within 2 s of grace from one that nearly is, and soon from one that is not, with few calls per instance, whether the
+// discovery rejects calls immediately or late.
 func TestSimultaneousSilenceNotifiesWholeGroup(t *testing.T) {
 	for rejection, rejectsAtOnce := range rejectsAtOnceByName {
 		for _, n := range []int{1, 3, 40, 300} {
-			for _, fullGroupTime := range []time.Duration{2 * time.Second, 3500 * time.Millisecond, 5 * time.Second, 8 * time.Second} { // for one call of each
+			for _, fullGroupTime := range []time.Duration{2 * time.Second, 3500 * time.Millisecond, 5 * time.Second, 8 * time.Second} { // per call of each instance
 				for _, silence := range []time.Duration{0, watchSilenceTimeout} {
 					pacers := newGroup(n)
-					// The clock begins as the silence is noticed.
+					// The simulated clock starts when the silence is detected.
 					got := simulateGroup(n, fullGroupTime/time.Duration(max(40, n)), rejectsAtOnce, func(i int) time.Duration { return pacers[i].RetryDelay(time.Minute, silence) },
 						func(i int, lasted, now time.Duration) time.Duration {
 							return pacers[i].RejectionDelay(lasted, silence+now)
@@ -137,13 +142,13 @@
 	}
 }
 
-// silenceLimits are the limits for a group that was silent for some time; calls is for each instance. all is the time in
-// which the discovery answers one call of each.
+// silenceLimits returns the limits for a group whose watches were silent for some time; the limit of calls is per
+// instance. fullGroupTime is the time in which the discovery answers one call of each instance.
 func silenceLimits(fullGroupTime, silence time.Duration) groupResult {
 	const grace = 2 * time.Second
 	limit := groupResult{p90: fullGroupTime + maxWindow, fullGroupTime: fullGroupTime + maxWindow + maxAnswerTime, calls: 2}
 	switch fullGroupTime {
-	case maxAnswerTime: // it can answer them all in time
+	case maxAnswerTime: // fast enough to answer the whole group in time
 		limit.p90, limit.fullGroupTime = missedEventDeadline-silence, missedEventDeadline-silence
 	case 3500 * time.Millisecond:
 		limit.p90, limit.fullGroupTime = missedEventDeadline+grace-silence, missedEventDeadline+grace-silence
@@ -153,8 +158,9 @@
 	return limit
 }
 
-// TestRetryDelayKeepsMissedEventDeadline checks that, whatever has failed before, a call that can still be answered in
-// time is made in time, and later ones within the time that a discovery takes to answer the whole group.
+// TestRetryDelayKeepsMissedEventDeadline checks that after any sequence of failures a call that can still be answered by
+// the deadline is made early enough, and a later one within maxWindow, the time in which a discovery answers the whole
+// group.
 func TestRetryDelayKeepsMissedEventDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Pacer{GroupSize: rapid.IntRange(1, 1000).Draw(t, "group"), Rand: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))}
@@ -173,7 +179,7 @@
 	})
 }
 
-// checkRetryDelay draws a call that failed.
+// checkRetryDelay draws a failed call and checks the delay of its retry.
 func checkRetryDelay(t *rapid.T, p *Pacer) {
 	silence := time.Duration(rapid.Int64Range(0, int64(2*missedEventDeadline)).Draw(t, "quiet"))
 	lifetime := time.Duration(rapid.Int64Range(0, int64(2*stableWatchTime)).Draw(t, "lived"))
@@ -192,7 +198,8 @@
 	}
 }
 
-// checkRejectionDelay draws a call that was rejected after the deadline for missed events.
+// checkRejectionDelay draws a call that was rejected when missedEventDeadline had passed, and checks the delay of its
+// retry.
 func checkRejectionDelay(t *rapid.T, p *Pacer) {
 	callDuration := time.Duration(rapid.Int64Range(0, int64(maxAnswerTime)).Draw(t, "lasted"))
 	isFirst := p.failures == 0
@@ -229,8 +236,8 @@
 	}
 }
 
-// An instance of a large group calls its own agent at once, after each start, move and break: it would serve by an old
-// list while it waits.
+// An instance of a large group calls its own agent without a spread delay after a start, a move or a broken watch,
+// because it would use an old list while it waits.
 func TestOwnAgentIsCalledWithoutPacing(t *testing.T) {
 	f := NewFeed(Source{}, 41, Pacer{GroupSize: 300, Rand: rand.New(rand.NewPCG(1, 2))}, nil)
 	for _, agent := range []bool{true, false} {
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -17,14 +17,14 @@
 	"time"
 )
 
-// scriptedCall is what a discovery does with one call: what it sends at once and 2 s later, and whether the watch ends
-// then or falls silent. One of the zero value accepts the call and sends nothing.
+// scriptedCall is what a discovery does with one call: the texts that it sends immediately and 2 s later, and whether
+// the watch then ends or falls silent. The zero value accepts the call and sends nothing.
 type scriptedCall struct {
 	firstText, secondText string
 	endsWatch             bool
-	sendsHeartbeats       bool // goes on with heartbeats instead
+	sendsHeartbeats       bool // continues with heartbeats instead of silence
 	neverConnects         bool
-	dialTimesOut          bool // the same, and the dialer's own timeout ends it first
+	dialTimesOut          bool // never connects, and the dialer's own timeout fires before the silence timeout
 }
 
 const responseHead = "HTTP/1.1 200 OK\r\n\r\n"
@@ -42,18 +42,18 @@
 	dialTimeout                    = scriptedCall{dialTimesOut: true}
 )
 
-// finalAnswer is the list that a scripted discovery sends after its script.
+// finalAnswer is the answer of a scripted discovery to calls after the end of its script.
 const finalAnswer = responseHead + `{"rev":45,"all":true,"targets":[]}` + "\n"
 
-// scriptedDiscovery answers one call after another by a script, and the calls after it with finalAnswer, which takes
+// scriptedDiscovery answers one call after another as its script says, and later calls with finalAnswer after
 // maxAnswerTime.
 type scriptedDiscovery struct {
 	script []scriptedCall
-	tasks  sync.WaitGroup // that have to end within the test's bubble
+	tasks  sync.WaitGroup // goroutines that have to end within the test's synctest bubble
 
 	mu           sync.Mutex
 	calls        int
-	lastActivity time.Time // when a call of the script was made, or it last sent something
+	lastActivity time.Time // of the script: the last time that it was called or sent a text
 }
 
 func (d *scriptedDiscovery) recordActivity() {
@@ -62,7 +62,7 @@
 	d.lastActivity = time.Now()
 }
 
-// nextCall is what the discovery does with the next call.
+// nextCall returns what the discovery does with the next call.
 func (d *scriptedDiscovery) nextCall() (call scriptedCall, isFinal bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -74,13 +74,13 @@
 	return d.script[d.calls-1], false
 }
 
-// dial connects a call.
+// dial accepts the connection of a call, unless the script says otherwise.
 func (d *scriptedDiscovery) dial(context.Context, string, string) (net.Conn, error) {
 	d.tasks.Add(1)
 	defer d.tasks.Done()
 	call, isFinal := d.nextCall()
 	if call.neverConnects {
-		time.Sleep(time.Hour) // http.Transport goes on with a dial that nobody waits for
+		time.Sleep(time.Hour) // http.Transport continues a dial after its request was cancelled
 		return nil, errors.New("nobody came")
 	}
 	if call.dialTimesOut {
@@ -92,7 +92,7 @@
 	return client, nil
 }
 
-// serve answers a call.
+// serve answers a call as the script says.
 func (d *scriptedDiscovery) serve(conn net.Conn, call scriptedCall, isFinal bool) {
 	defer conn.Close()
 	http.ReadRequest(bufio.NewReader(conn))
@@ -114,12 +114,12 @@
 		time.Sleep(2 * time.Second)
 	}
 	if !call.endsWatch {
-		io.Copy(io.Discard, conn) // until the other side gives up
+		io.Copy(io.Discard, conn) // until the client closes the connection
 	}
 }
 
-// playScript runs a feed on a scripted discovery. It returns when the script was last heard, or called where it sent
-// nothing, and when the list behind it was delivered.
+// runScript runs a feed on a scripted discovery. It returns the time when the script last sent a text or was called, and
+// the time when finalAnswer was delivered.
 func runScript(t *testing.T, f *Feed, script []scriptedCall) (lastActivity, delivered time.Time) {
 	done := make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -143,8 +143,9 @@
 	return d.lastActivity, delivered
 }
 
-// What a watch misses has to be known 6 s after it fell silent, wherever in its answer that was, for groups of every
-// size: by then another one has delivered it, though its answer takes as long as answers may.
+// A change that a silent watch missed must be delivered within 6 s of the start of the silence, at whatever point of the
+// answer it began and for every group size: a new watch must deliver the list by then, although its answer takes
+// maxAnswerTime.
 func TestSilentWatchIsReopenedInTime(t *testing.T) {
 	for name, script := range map[string][]scriptedCall{
 		"after a heartbeat":         {silentAfterHeartbeats},
@@ -181,8 +182,8 @@
 	}
 }
 
-// After a move the list has to be known 4 s later, also where the move comes before the first call, and where the
-// first call is rejected.
+// After a move the list must be delivered within 4 s, even if the move precedes the first call or the first call to the
+// new discovery is rejected.
 func TestMovedFeedReceivesListInTime(t *testing.T) {
 	rejected := scriptedCall{firstText: "HTTP/1.1 503 Service Unavailable\r\n\r\n"}
 	for _, group := range []int{1, 3, 40, 300} {
@@ -210,8 +211,8 @@
 	}
 }
 
-// A configuration that is read again before the new discovery has answered leaves the call to it alone, however
-// often: the time counts from the first.
+// Setting the same new source repeatedly, as reloads of the configuration do, must not restart the call to it: the list
+// must be delivered within 4 s of the first SetSource.
 func TestRepeatedMoveKeepsCallInProgress(t *testing.T) {
 	for _, group := range []int{1, 40, 300} {
 		for seed := range uint64(20) {
@@ -232,7 +233,8 @@
 	}
 }
 
-// After a move in any state of the watch, also twice or back to the old discovery, the list is delivered 4 s later.
+// After a move in any state of the watch, also after a repeated one or one back to the old discovery, the list is
+// delivered within 4 s.
 func TestMoveDuringWatchReceivesListInTime(t *testing.T) {
 	for name, state := range map[string]scriptedCall{
 		"beating": silentAfterHeartbeats, "mute": unanswered, "in its head": truncatedHead, "behind its head": headOnly, "in a message": truncatedMessage,
@@ -250,7 +252,7 @@
 	}
 }
 
-// checkMove moves a feed whose watch is in some state to one discovery after another.
+// checkMove moves a feed whose watch is in some state to the target discoveries, one after another.
 func checkMove(t *testing.T, state scriptedCall, groupSize int, moveAt time.Duration, targets []string) {
 	f := NewFeed(Source{Address: "old:1"}, 41, Pacer{GroupSize: groupSize, Rand: rand.New(rand.NewPCG(1, 1))}, nil)
 	var moved time.Time
@@ -266,7 +268,7 @@
 	}
 }
 
-// Heartbeats keep a watch open, before the first message and after it.
+// Heartbeats keep a watch open, both before and after its first message.
 func TestHeartbeatsKeepWatchOpen(t *testing.T) {
 	for name, text := range map[string]string{"before a message": "\n", "after a message": `{"rev":43}` + "\n"} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -99,7 +99,7 @@
 	return stream.hasData, err
 }
 
-// call requests a watch that starts after the last applied revision.
+// call requests a watch from the last applied revision on.
 func (w *watcher) call(ctx context.Context) (*http.Response, error) {
 	url := w.url
 	if w.revision > 0 {
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -34,7 +34,8 @@
 
 const activeEndpointMessage = `{"rev":43,"all":false,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:9","az":"a","model":"m2","pod_group":3,"state":"up","boot_ms":1700000000000}]}` + "\n"
 
-// After each way in which a watch can break, the next one begins at the last revision that was applied.
+// After a watch has ended in any way, the next one requests changes from the last applied revision, or the complete list
+// if the discovery has restarted its revision count.
 func TestWatchResumesFromRevision(t *testing.T) {
 	for name, tc := range map[string]struct{ line, from string }{
 		"ended":             {"", "from=43"},
@@ -70,8 +71,8 @@
 	}
 }
 
-// Revisions may repeat and leave some out; after one that goes back the complete list is requested, which may be of any
-// revision. Changes before any complete list are of the one that is known.
+// Revisions may repeat and skip numbers. After a lower revision the complete list is requested, which may have any
+// revision. Changes that precede any complete list apply to the known list.
 func TestRevisionsOutOfOrder(t *testing.T) {
 	a := testkit.NewAgent(t)
 	delivered, _ := startWatch(t, a, 0, testkit.WaitTimeout)
@@ -100,7 +101,7 @@
 	}
 }
 
-// A silent watch is presumed broken, though its connection is open.
+// A silent watch is presumed broken and reopened, although its connection is still open.
 func TestSilentWatchIsReopened(t *testing.T) {
 	a := testkit.NewAgent(t)
 	startWatch(t, a, 41, 50*time.Millisecond)
@@ -110,8 +111,8 @@
 	}
 }
 
-// After a move the complete list of the new discovery is requested at once, whatever the revision of the old one, also
-// where the old one is gone and a retry is being delayed.
+// After a move the complete list of the new discovery is requested immediately, whatever the revision of the old one's
+// list, even if the old discovery is unreachable and a retry is being delayed.
 func TestWatchFollowsNewSource(t *testing.T) {
 	old, other := testkit.NewAgent(t), testkit.NewAgent(t)
 	delivered, feed := startWatch(t, old, 41, testkit.WaitTimeout)
@@ -124,14 +125,15 @@
 	if l := testkit.Next(t, delivered); l.Revision != 2 || !l.IsComplete {
 		t.Errorf("delivered %+v", l)
 	}
-	feed.SetSource(Source{Address: "127.0.0.1:1"}) // nobody listens there
+	feed.SetSource(Source{Address: "127.0.0.1:1"}) // no server listens there
 	feed.SetSource(Source{Address: old.Addr()})
 	if q := testkit.Next(t, old.Polled); strings.Contains(q, "from") {
 		t.Errorf("called %s", q)
 	}
 }
 
-// An invalid entry doesn't affect the others, and draining is applied whatever else is in its entry.
+// An invalid entry doesn't affect other entries, and a draining or removed state is applied even if the rest of its
+// entry is invalid.
 func TestInvalidEntriesAreIgnored(t *testing.T) {
 	a := testkit.NewAgent(t)
 	delivered, _ := startWatch(t, a, 41, testkit.WaitTimeout)
@@ -150,8 +152,8 @@
 	}
 }
 
-// After changes of an older revision, of a discovery that counts anew or sends out of order, the complete list is
-// requested; but draining in them is delivered as it arrives, as the next answer may take some seconds.
+// After changes of a lower revision, from a discovery that has restarted its count or sends out of order, the complete
+// list is requested. Its answer may take some seconds, so draining states in those changes are delivered immediately.
 func TestDrainingOfOlderRevisionIsApplied(t *testing.T) {
 	a := testkit.NewAgent(t)
 	delivered, _ := startWatch(t, a, 41, testkit.WaitTimeout)
@@ -169,8 +171,9 @@
 	}
 }
 
-// A complete list of an older revision than what the same watch has sent adds no servers that are up: one that has
-// drained since would get requests again. At the beginning of a watch it is the list of a discovery that counts anew.
+// A complete list with a lower revision than an earlier message of the same watch adds no servers that are up, because
+// one that has started to drain since would get requests again. As the first message of a watch, it comes from a
+// discovery that has restarted its count, and is applied.
 func TestCompleteListOutOfOrder(t *testing.T) {
 	a := testkit.NewAgent(t)
 	delivered, _ := startWatch(t, a, 41, testkit.WaitTimeout)
@@ -193,8 +196,8 @@
 	}
 }
 
-// A message may be indented, so that it extends over many lines, with empty lines between messages. One that is too long
-// ends the watch.
+// A message may be indented over many lines, with empty lines between messages. A message that is too long ends the
+// watch.
 func TestIndentedMessagesAreRead(t *testing.T) {
 	var line, indented bytes.Buffer
 	line.WriteString(activeEndpointMessage)
@@ -216,7 +219,8 @@
 	}
 }
 
-// What a watch that falls silent misses has to be known 6 s after that: by then it is open again.
+// A silent watch is reopened after the silence timeout and the shortest retry delay, which leaves time to deliver missed
+// changes by the 6 s deadline.
 func TestSilenceTimeoutLeavesTimeForRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clientConn, serverConn := net.Pipe()
@@ -230,7 +234,7 @@
 			}
 			go func() {
 				http.ReadRequest(bufio.NewReader(serverConn))
-				io.WriteString(serverConn, "HTTP/1.1 200 OK\r\n\r\n\n") // a heartbeat, and silence
+				io.WriteString(serverConn, "HTTP/1.1 200 OK\r\n\r\n\n") // a heartbeat followed by silence
 			}()
 			return clientConn, nil
 		}}
@@ -263,14 +267,15 @@
 	})
 }
 
-// bodyTransport is a transport that gives each call the same answer.
+// bodyTransport is a transport that answers every call with the body that the function returns.
 type bodyTransport func() io.Reader
 
 func (a bodyTransport) RoundTrip(*http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(a())}, nil
 }
 
-// Wherever the network cuts what a watch sends (in a character, a number, between CR and LF), the same is delivered.
+// A watch delivers the same messages wherever the network splits its data: in a character, in a number, or between CR
+// and LF.
 func TestWatchReadsMessagesSplitAtAnyByte(t *testing.T) {
 	const text = "\r\n\n" + `{"rev":43,"all":true,"more":{"x":[1,2]},"targets":[` + "\r\n" + `  {"uid":"s-é","endpoint":"127.0.0.1:9","az":"Zürich","model":"\u00fc}","pod_group":31,"state":"up","boot_ms":1.7e12}]}` +
 		"\n \r\n" + `{"rev":44,"targets":[{"uid":"s-é","state":"draining"}]}{"rev":45,"targets":[]}` + "\r\n"
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -12,8 +12,8 @@
 
 func afterBase(ms int) time.Time { return base.Add(time.Duration(ms) * time.Millisecond) }
 
-// Two instances each see a part of a customer's use; only their lines together tell that it is
-// beyond its quota, and that a server had two of their attempts at once.
+// Two instances each receive a part of a customer's requests. Only the sum of their logs shows that the customer
+// is over quota, and that a server had an attempt of each instance in flight at the same time.
 func TestSumOfSeveralInstances(t *testing.T) {
 	var firstLog, secondLog bytes.Buffer
 	firstWriter, secondWriter := NewWriter(&firstLog), NewWriter(&secondLog)
@@ -51,7 +51,7 @@
 	if x := sum.Servers[0]; x.Server != "s_1" || x.Instances != 2 || x.PeakInFlight != 2 || x.MeanReportedMS != 200 || x.MeanUtilization != 0.5 {
 		t.Errorf("%+v", x)
 	}
-	// 3 units at first, 2 sent; 1.1 at the second; 2.9 and 3 at the refusals.
+	// The bucket has 3 units at first, of which 2 are sent; 1.1 at the second request; 2.9 and 3 at the rejections.
 	if p := sum.Plans[0]; p.Customers != 1 || p.SentUnderQuota != 2 || p.SentOverQuota != 2 || p.RejectedUnderQuota != 5 || p.RejectedOverQuota != 0 {
 		t.Errorf("%+v", p)
 	}
@@ -71,7 +71,7 @@
 	}
 }
 
-// failing is a log that can't be written.
+// failingLog is a log whose writes always fail.
 type failingLog struct{ calls int }
 
 func (f *failingLog) Write([]byte) (int, error) { f.calls++; return 0, errors.New("full") }
--- a/internal/eventlog/golden_test.go
+++ b/internal/eventlog/golden_test.go
@@ -9,8 +9,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// Lines are those that earlier builds wrote, and are read: logs of several builds are added up together. go test
-// ./internal/eventlog -run Golden -update writes the file anew.
+// Lines are written as earlier builds wrote them, and can be read, because logs of different builds are aggregated
+// together. go test ./internal/eventlog -run Golden -update rewrites the file.
 func TestGoldenLines(t *testing.T) {
 	at := time.Unix(1_790_000_000, 250_000_000)
 	var lines bytes.Buffer
--- a/internal/groupsize/groupsize_test.go
+++ b/internal/groupsize/groupsize_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// poisson draws a number of a mean.
+// poisson draws a Poisson-distributed number with the given mean.
 func poisson(rng *rand.Rand, mean float64) float64 {
 	n, product := 0.0, rng.Float64()
 	for limit := math.Exp(-mean); product > limit; n++ {
@@ -16,12 +16,12 @@
 	return n
 }
 
-// Servers that have in flight what a group of some size sends them: the estimate is near, whether or not a
-// report counts the request that it answers, and a wrong size is noticed.
+// With servers that have in flight the load of a group of a known size, the estimate is close to that size and a wrong
+// configuration is detected, whether or not a report counts the request that the server is answering.
 func TestEstimateIsAccurateAndContradictsWrongSize(t *testing.T) {
 	for _, tc := range []struct {
 		size, configured int
-		mean             float64 // that one instance has in flight at a server
+		mean             float64 // number of requests that one instance has in flight at a server
 		contradicts      bool
 	}{
 		{40, 40, 0.3, false},
@@ -59,7 +59,7 @@
 func TestFewOrOldReportsGiveNoEstimate(t *testing.T) {
 	estimator := New(4)
 	for range 1000 {
-		estimator.AddReport(time.Second, 40, 0) // no attempt of this instance beside
+		estimator.AddReport(time.Second, 40, 0) // without other attempts of this instance
 		estimator.AddReport(time.Second, math.NaN(), 1)
 		estimator.AddReport(time.Second, math.Inf(1), 1)
 		estimator.AddReport(time.Second, -1, 1)
--- a/internal/leasestore/golden_test.go
+++ b/internal/leasestore/golden_test.go
@@ -12,9 +12,9 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// What instances of earlier builds ask a counter, and the keys and fields under which it stores what it lends, are
-// the same: they share one counter with this build. go test ./internal/leasestore -run Golden -update writes the
-// file anew.
+// The arguments of a call and the keys and fields in which the script stores leases are the same as in earlier builds,
+// because instances of those builds share one lease store with this build. go test ./internal/leasestore -run Golden
+// -update rewrites the file.
 func TestGoldenCounter(t *testing.T) {
 	var text strings.Builder
 	client := New(Options{Address: "127.0.0.1:1", KeyPrefix: "care"})
@@ -26,7 +26,7 @@
 	server.SetClock(func() time.Time { return now })
 	id := evalScript(t, server, &quotalease.StoreCall{HolderID: "x"}).StoreID
 	var last quotalease.StoreCall
-	for step := range 5 { // a part that is pledged for a time comes to hold units
+	for step := range 5 { // a reservation accrues units only after some time
 		now = now.Add(time.Second)
 		last = quotalease.StoreCall{HolderID: "x", StoreID: id, EchoedTime: time.Duration(now.UnixMicro()) * time.Microsecond, ReservedFraction: 0.5, LastToken: 7}
 		if step == 4 {
--- a/internal/leasestore/leasestore_test.go
+++ b/internal/leasestore/leasestore_test.go
@@ -37,8 +37,8 @@
 	return decoded
 }
 
-// The script answers each call as quotalease.Counter does, whatever is asked in whatever order while
-// the clock steps, data is forgotten, and returns are made up.
+// The script answers each call as quotalease.Store does, for random calls in random order, while the clock jumps
+// forwards and backwards, a token shows that the store has lost data, and holders return wrong amounts.
 func TestScriptMatchesStore(t *testing.T) {
 	grantCount, returnCount := 0, 0
 	for seed := range uint64(15) {
@@ -123,8 +123,8 @@
 	return server, c
 }
 
-// A call over the network: a script that is not known yet is brought, an error is told once and
-// nothing is sent again.
+// Calls over the network: a script that the server does not know yet is sent to it, an error is returned, and no
+// call is retried.
 func TestCalls(t *testing.T) {
 	server, client := startClient(t)
 	call := func() (quotalease.StoreReply, error) {
@@ -149,7 +149,7 @@
 	}
 	server.Replace()
 	replyAfterReplacement, err := call()
-	for range 3 { // connections of the pool that were cut
+	for range 3 { // the pool may still have connections that were closed
 		if err != nil {
 			replyAfterReplacement, err = call()
 		}
@@ -180,7 +180,7 @@
 	}
 }
 
-// Bad answers are errors; none panics, and no grant is read that is not one.
+// Malformed replies are errors and cause no panic, and no invalid grant is decoded.
 func FuzzParse(f *testing.F) {
 	f.Add("id\x001700000000000000\x001\x00k\x005\x002.5")
 	f.Add("id\x00-1\x001")
--- a/internal/metrics/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -14,7 +14,7 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// sampled is a source that tells samples, and the counts of a service that has had no request.
+// sampleSource is a source with sample values, and with the request counts of a service that has received no request.
 type sampleSource struct {
 	status    []node.Status
 	gatherers []scattergather.Status
@@ -29,9 +29,8 @@
 func (s *sampleSource) GathererStatus() []scattergather.Status           { return s.gatherers }
 func (s *sampleSource) Member() manage.Status                            { return s.member }
 
-// A scrape has the names, kinds, labels and values that it had from earlier builds; go test ./internal/metrics
-// -run Golden -update writes the file anew. Help texts and what the process tells of itself are left out, and
-// lines are sorted.
+// A scrape has the same names, kinds, labels and values as with earlier builds; go test ./internal/metrics -run
+// Golden -update rewrites the file. Help texts and process metrics are left out, and lines are sorted.
 func TestGoldenMetrics(t *testing.T) {
 	text := strings.Replace(testkit.Small, "[process]", "[metrics]\naddress = \"127.0.0.1:0\"\n[process]", 1)
 	s := sampleSource{counts: benchtest.Begin(t, text, nil).Node.RequestCounts()}
--- a/internal/metrics/leak_test.go
+++ b/internal/metrics/leak_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// No test leaves a goroutine behind.
+// The package's tests fail if one of them leaks a goroutine.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -20,7 +20,7 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// scrape reads what a handler tells, with the parser that Prometheus has.
+// scrape scrapes a handler and parses the response with Prometheus' own parser.
 func scrape(t *testing.T, h http.Handler) map[string]*dto.MetricFamily {
 	t.Helper()
 	w := httptest.NewRecorder()
@@ -33,7 +33,7 @@
 	return families
 }
 
-// sum adds up a family's values whose labels have all the given ones, "k=v" each.
+// sumValues sums a family's values that have all the given labels, each in the form "k=v".
 func sumValues(f *dto.MetricFamily, labels ...string) (v float64) {
 	for _, m := range f.GetMetric() {
 		var labelPairs []string
@@ -51,8 +51,8 @@
 	return v
 }
 
-// What is told is what clients and servers have counted, over a reload too; without the setting
-// nothing is counted.
+// Metrics equal the counts of clients and servers, also across a reload; without the metrics setting, requests
+// are not counted.
 func TestMetricsMatchClientAndServerCounts(t *testing.T) {
 	text := strings.Replace(testbench.WithDescriptors(256), "[process]", "[metrics]\naddress = \"127.0.0.1:0\"\n[process]", 1)
 	bench := benchtest.Begin(t, text, testbench.DemoServers(1))
@@ -88,7 +88,7 @@
 	}
 }
 
-// Where servers are spoken to by HTTP/2, its connections and streams are told, and only there.
+// HTTP/2 connections and streams have metrics if servers are called over HTTP/2, and only then.
 func TestHTTP2Metrics(t *testing.T) {
 	app, err := fake.HTTP2Server{UID: "s0", Streams: 7}.Start()
 	if err != nil {
@@ -123,7 +123,7 @@
 	}
 }
 
-// What a service has of shared ceilings is told by counter, and only where some are shared.
+// The state of shared hard limits has metrics per lease store, and only if a service shares hard limits.
 func TestLeaseStoreMetrics(t *testing.T) {
 	store, err := redistest.Start()
 	if err != nil {
@@ -152,7 +152,7 @@
 
 func TestServeReturnsErrorForClosedListener(t *testing.T) {
 	bench := benchtest.Begin(t, testbench.WithDescriptors(256), testbench.DemoServers(1))
-	httpServer := httptest.NewServer(nil) // only for its listener
+	httpServer := httptest.NewServer(nil) // used only for its listener
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	httpServer.Listener.Close()
--- a/internal/record/digest_test.go
+++ b/internal/record/digest_test.go
@@ -7,7 +7,8 @@
 	"lockflow/control"
 )
 
-// TestDigestTextOfRareActions holds the texts that recordings of earlier builds were digested with.
+// TestDigestTextOfOtherActions compares the texts with those that the digests in recordings of earlier builds are based
+// on.
 func TestDigestTextOfOtherActions(t *testing.T) {
 	cases := []struct {
 		action control.Action
@@ -25,7 +26,8 @@
 	}
 }
 
-// The digest of each action is what recordings were written with: a rename in the module changes none.
+// The digest of each action equals that of the builds whose recordings exist: a rename in package control must not
+// change it.
 func TestDigestOfEachAction(t *testing.T) {
 	for _, c := range []struct {
 		action control.Action
--- a/internal/record/golden_amd64_test.go
+++ b/internal/record/golden_amd64_test.go
@@ -17,11 +17,11 @@
 	"lockflow/internal/simulation/decisiondigest"
 )
 
-// updateRecordings records the histories anew and writes the golden file:
+// updateRecordings makes TestGoldenRecordings record the histories again and write the golden file:
 //
 //	go test ./internal/record -run '^TestGoldenRecordings$' -update-recordings
 //
-// A build that has to decide as those before it replays the recordings that are there.
+// Without the flag, the test replays the existing recordings, to check that a build decides as earlier builds did.
 var updateRecordings = flag.Bool("update-recordings", false, "writes the recordings in testdata and their digests anew")
 
 const (
@@ -32,7 +32,7 @@
 	listedServers     = 4
 )
 
-// recordedFeatures are the kinds of event, state and decision that the recordings have to hold together.
+// recordedFeatures are the kinds of event, state and decision that the recordings taken together must contain.
 var recordedFeatures = []string{
 	"attempt of a free request", "retry of a free request",
 	"attempt of a guarded request", "retry of a guarded request",
@@ -43,24 +43,24 @@
 	"client left", "stream started", "list: patch", "list: complete", "list: stale", "list: failed",
 }
 
-// history is what the services of a recording see.
+// history describes the random events of a recording.
 type history struct {
 	settings        control.Settings
-	classes         []string         // that are asked, each as often
-	reasons         []control.Reason // that attempts end with, each as often
+	classes         []string         // of requests, with equal probability
+	reasons         []control.Reason // of attempts' ends, with equal probability
 	customers       int
-	requestRate     float64       // part of the steps that bring a request; else an attempt ends
-	maxStepTime     time.Duration // the longest that passes between two steps
-	replacesServers bool          // servers are replaced by cold ones
+	requestRate     float64       // fraction of steps that send a request; in the others an attempt ends
+	maxStepTime     time.Duration // maximum time between two steps
+	replacesServers bool          // servers are replaced by recently started ones
 }
 
-// mixedReasons are ends of attempts, a third of which failed.
+// mixedReasons are reasons for the end of attempts, a third of them failures.
 var mixedReasons = []control.Reason{
 	control.OK, control.OK, control.OK, control.OK, control.OK, control.OK, control.OK, control.OK, control.OK, control.OK, control.OK, control.OK,
 	control.Errored, control.RejectedByServer, control.ConnectFailed, control.TimedOut, control.ResetByPeer, control.Cancelled,
 }
 
-// baseSettings are those of a group of two with a class of each effect.
+// baseSettings returns the settings of a group of two, with a class for each kind of idempotency.
 func baseSettings() control.Settings {
 	return control.Settings{
 		GroupSize: 2, Zone: "west", MaxAttempts: 4, ListOnRequest: true, CanCancel: true, RetriesAreMarked: true, SupportsRetryAfter: true, MaxRetryAfter: time.Second,
@@ -75,7 +75,7 @@
 	}
 }
 
-// quotaSettings adds metered quotas, open quotas and ceilings.
+// quotaSettings returns baseSettings with metered quotas, in-flight quotas and hard limits.
 func quotaSettings() control.Settings {
 	s := baseSettings()
 	s.MeterPeriod, s.UnitsInResponse = time.Second, true
@@ -87,7 +87,7 @@
 	return s
 }
 
-// histories are the recordings' by name. Each section of a history is a recording of its own.
+// histories are the histories of the recordings by name. Each section of a history is stored as a separate recording.
 var histories = map[string]history{
 	"effects":   {settings: baseSettings(), classes: []string{"read", "update", "transfer", "watch", "unknown"}, reasons: mixedReasons, customers: 4, requestRate: 0.5, maxStepTime: 30 * time.Millisecond},
 	"quotas":    {settings: quotaSettings(), classes: []string{"read", "update"}, reasons: mixedReasons, customers: 2, requestRate: 0.55, maxStepTime: 40 * time.Millisecond},
@@ -95,13 +95,13 @@
 	"hand-over": {settings: quotaSettings(), classes: []string{"read", "update", "transfer"}, reasons: mixedReasons, customers: 3, requestRate: 0.5, maxStepTime: 30 * time.Millisecond, replacesServers: true},
 }
 
-// historian has recorded modules live through a history.
+// historyRecorder passes the events of a history to recorded modules.
 type historyRecorder struct {
 	*driver
 	t           *testing.T
 	history     history
 	dir         string
-	lastServer  uint32 // that there have been; the latest are listed
+	lastServer  uint32 // number of servers so far; the latest listedServers are listed
 	lastRequest int
 }
 
@@ -117,12 +117,12 @@
 	return m
 }
 
-// endpoint is a server's entry in the list, in one of two zones and of two cells.
+// endpoint returns a server's entry in the endpoint list, in one of two zones and one of two cells.
 func (h *historyRecorder) endpoint(server uint32, state control.EndpointState) control.Endpoint {
 	return control.Endpoint{Server: server, State: state, Zone: []string{"west", "east"}[server%2], Cell: int(server / 2 % 2), Size: 1}
 }
 
-// list tells the module of all servers.
+// sendList sends the module a list of all current servers.
 func (h *historyRecorder) sendList(kind control.ListKind) {
 	l := control.EndpointList{Kind: kind}
 	for server := h.lastServer - listedServers + 1; server <= h.lastServer; server++ {
@@ -131,7 +131,7 @@
 	h.handle(l)
 }
 
-// replace has a cold server come and an old one drain.
+// replaceServer adds a recently started server and drains the oldest one.
 func (h *historyRecorder) replaceServer() {
 	h.lastServer++
 	fresh := h.endpoint(h.lastServer, control.Active)
@@ -139,7 +139,7 @@
 	h.handle(control.EndpointList{Kind: control.ListPatch, Endpoints: []control.Endpoint{fresh, h.endpoint(h.lastServer-listedServers, control.Draining)}})
 }
 
-// step brings a request, the end of an attempt, or other news.
+// step sends the module a request, the end of an attempt, or an event of the endpoint list.
 func (h *historyRecorder) step(i int) {
 	h.advance(time.Duration(h.rng.Int64N(int64(h.history.maxStepTime))))
 	if h.history.replacesServers && i%100 == 50 {
@@ -167,7 +167,7 @@
 		Customer: fmt.Sprint("c", h.rng.IntN(h.history.customers)), Timeout: 3 * time.Second, Units: float64(1 + h.rng.IntN(3)), FanOut: 1 + h.rng.IntN(2),
 		IsOverCapacity: h.lastRequest%97 == 0, HasPendingBody: h.lastRequest%13 == 0,
 	}
-	if h.lastRequest%9 == 0 { // a later attempt of its client
+	if h.lastRequest%9 == 0 { // a retry by the client
 		r.IsRetry, r.Timeout = true, time.Duration(500+h.rng.IntN(2000))*time.Millisecond
 	}
 	h.handle(r)
@@ -189,7 +189,7 @@
 	return r
 }
 
-// respond has an answer that streams begin before it ends.
+// respond ends an attempt; for one in four final results, a streaming response starts before.
 func (h *historyRecorder) respond(s control.Send, r control.AttemptResult) {
 	if r.IsFinal && h.rng.IntN(4) == 0 {
 		h.handle(control.ResponseStarted{ID: s.ID, Attempt: h.attempts[s.ID], Server: s.Server, Delay: r.Delay})
@@ -198,7 +198,8 @@
 	h.driver.respond(s, r)
 }
 
-// handOver has a successor take half of what the module may spend, and the rest once both have served.
+// handOver hands half of the module's unspent tokens and refill rates over to a successor, and the rest after both have
+// handled requests.
 func (h *historyRecorder) handOver(steps int) {
 	predecessor := h.driver
 	successor := &historyRecorder{
@@ -224,7 +225,7 @@
 	}
 }
 
-// recordHistory records a history, and puts its sections where the golden recordings are.
+// recordHistory records a history and copies its sections to recordingsDir.
 func recordHistory(t *testing.T, name string) {
 	recorder := &historyRecorder{t: t, history: histories[name], dir: t.TempDir(), lastServer: listedServers}
 	recorder.driver = &driver{module: recorder.newModule(1, "service"), rng: rand.New(rand.NewPCG(7, 41)), now: time.Hour, attempts: make(map[string]int)}
@@ -254,18 +255,18 @@
 	}
 }
 
-// replayed is a recording that is played again.
+// goldenReplay is the replay of one golden recording.
 type goldenReplay struct {
 	t                  *testing.T
 	path               string
 	reader             *Reader
-	shadow             *control.Controller // takes the same events, to have its state looked at
+	shadow             *control.Controller // handles the same events, to expose the state at the end
 	requestIdempotency map[string]control.Idempotency
 	attemptCounts      map[string]int
 	hasStartTime       map[uint32]bool
 	decisions          *decisiondigest.Digest
 	features           map[string]bool
-	differences        int // events that were answered otherwise than recorded
+	differences        int // events whose actions differ from the recorded ones
 }
 
 func openRecording(t *testing.T, path string) *goldenReplay {
@@ -290,7 +291,7 @@
 	return p
 }
 
-// play plays the recording and returns its line of the golden file.
+// replay replays the recording and returns its line of the golden file.
 func (p *goldenReplay) replay() string {
 	p.t.Helper()
 	events, sum, err := p.reader.Replay(func(s Step) error {
@@ -365,8 +366,8 @@
 	}
 }
 
-// Recordings of an earlier build replay without a difference, and their digests are as they were then: of
-// every action with all its fields, of which a recording has some only, and of the state at the end.
+// Recordings of an earlier build replay without a difference, and their digests equal those in the golden file: of
+// all actions with all their fields, of which a recording stores only some, and of the state at the end.
 func TestGoldenRecordings(t *testing.T) {
 	if *updateRecordings {
 		for _, name := range slices.Sorted(maps.Keys(histories)) {
--- a/internal/record/keys_test.go
+++ b/internal/record/keys_test.go
@@ -8,7 +8,7 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// events has one of each event that recordings hold, in the order of their numbers.
+// events has one event of each kind that is recorded, in the order of the kinds' numbers.
 var events = []any{
 	control.EndpointList{},
 	control.Request{},
@@ -21,12 +21,13 @@
 	control.CounterResult{},
 }
 
-// Recordings have a written key for every field: of a section's head with its settings and image, and of each event.
+// Every stored field has an explicit CBOR key, so that renaming a field doesn't change the file format: those of the
+// section header with its settings and image, and those of each event.
 func TestFieldsHaveExplicitKeys(t *testing.T) {
 	testkit.RequireKeys(t, "cbor", slices.Concat([]any{sectionHeader{}, recordedEvent{}}, events)...)
 }
 
-// An event that is not among those checked would go unchecked.
+// The list of events covers every kind that is recorded, so that the keys of a new kind are checked too.
 func TestKeysAreCheckedForAllEvents(t *testing.T) {
 	if len(events) != len(eventDecoders) {
 		t.Fatalf("%d events are checked, recordings know %d", len(events), len(eventDecoders))
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -30,7 +30,7 @@
 	Plans: []control.Plan{{Name: "a", Price: 1, QuotaRate: 20, QuotaBurst: 40}, {Name: "b", Price: 2, QuotaRate: 20, QuotaBurst: 20, HardLimitRate: 40, HardLimitBurst: 40, HardLimitSlack: 4}},
 }
 
-// recordRandomHistory has a recorded module take a history by chance, as a service would bring it.
+// recordRandomHistory records a module that handles random events in the order in which a service would send them.
 func recordRandomHistory(t testing.TB, seed uint64, steps int, options Options, afterStep func(m *Module, step int)) {
 	t.Helper()
 	c, err := control.New(settings, seed)
@@ -71,13 +71,13 @@
 	}
 }
 
-// driver has a recorded module take events at its own clock, and brings the timers that it arms.
+// driver passes events to a recorded module with a simulated clock, and fires the timers that the module starts.
 type driver struct {
 	module   *Module
 	rng      *rand.Rand
 	now      time.Duration
-	sent     []control.Send // attempts that are out
-	attempts map[string]int // that have ended, by request
+	sent     []control.Send // attempts in flight
+	attempts map[string]int // number of ended attempts by request
 	timers   []pendingTimer
 }
 
@@ -86,7 +86,7 @@
 	timer control.TimerFired
 }
 
-// handle has the module take an event.
+// handle passes an event to the module and keeps the attempts and timers that the module starts.
 func (d *driver) handle(e control.Event) {
 	for _, a := range d.module.Handle(d.now, e) {
 		switch a := a.(type) {
@@ -98,7 +98,7 @@
 	}
 }
 
-// pass lets time pass, at whose end all timers come that are due.
+// advance advances the clock and then fires all timers that are due.
 func (d *driver) advance(duration time.Duration) {
 	d.now += duration
 	for i := 0; i < len(d.timers); i++ {
@@ -110,14 +110,14 @@
 	}
 }
 
-// take removes an attempt from those that are out.
+// removeSent removes an attempt from those in flight and returns it.
 func (d *driver) removeSent(i int) control.Send {
 	s := d.sent[i]
 	d.sent = append(d.sent[:i], d.sent[i+1:]...)
 	return s
 }
 
-// respond ends an attempt.
+// respond ends an attempt with a result.
 func (d *driver) respond(s control.Send, r control.AttemptResult) {
 	r.ID, r.Attempt, r.Server = s.ID, d.attempts[s.ID], s.Server
 	d.attempts[s.ID]++
@@ -148,8 +148,8 @@
 	})
 }
 
-// Whatever happened, each section plays again to the last action, also where the module's state was
-// changed by no event between.
+// Every section replays with the recorded actions up to its last event, even if the module's state was changed
+// without an event between two sections.
 func TestReplay(t *testing.T) {
 	events := 0
 	for seed := range uint64(60) {
@@ -177,7 +177,7 @@
 	t.Logf("%d events", events)
 }
 
-// Files rotate within their bound, and each stands alone.
+// Files rotate within their size limit, and each can be replayed without the others.
 func TestRotation(t *testing.T) {
 	dir := t.TempDir()
 	recordRandomHistory(t, 1, 20_000, Options{Service: "s", Dir: dir, MaxBytes: 1 << 20}, nil)
@@ -196,7 +196,7 @@
 	}
 }
 
-// A recording that was cut off is replayed up to there; what is none is rejected.
+// A truncated recording is replayed up to the end of the data; data that is not a recording is rejected.
 func TestDamagedRecordings(t *testing.T) {
 	dir := t.TempDir()
 	recordRandomHistory(t, 2, 2000, Options{Service: "s", Dir: dir, MaxBytes: 64 << 20}, nil)
@@ -218,7 +218,7 @@
 	}
 }
 
-// Another decision than the recorded one is found at the event where it is made.
+// Replay detects a decision that differs from the recorded one.
 func TestReplayDetectsDifferentDecision(t *testing.T) {
 	dir := t.TempDir()
 	recordRandomHistory(t, 3, 500, Options{Service: "s", Dir: dir, MaxBytes: 64 << 20}, nil)
@@ -230,7 +230,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.header.Settings.Plans[0].QuotaRate /= 10 // as another build would decide
+	r.header.Settings.Plans[0].QuotaRate /= 10 // makes the replay decide differently, as another build might
 	r.header.Settings.Plans[0].QuotaBurst /= 10
 	events := 0
 	if _, _, err = r.Replay(func(s Step) error {
@@ -243,7 +243,7 @@
 	}
 }
 
-// Frames of any bytes, with checksums that fit, are replayed or rejected, with no panic.
+// Frames of arbitrary bytes with a valid checksum are replayed or rejected, without a panic.
 func FuzzFrames(f *testing.F) {
 	frame := func(b, raw []byte) []byte {
 		b = binary.BigEndian.AppendUint32(b, uint32(len(raw)))
@@ -263,7 +263,7 @@
 	f.Fuzz(func(t *testing.T, kind uint8, now int64, body []byte) {
 		event, err := cbor.Marshal(recordedEvent{Now: time.Duration(now), Kind: eventKind(kind), Body: body})
 		if err != nil {
-			return // no CBOR
+			return // body is not valid CBOR
 		}
 		r, err := readHeader(bytes.NewReader(frame(frame([]byte(fileMagic), first), event)))
 		if err != nil {
