--- a/internal/discovery/endpoint_list.go
+++ b/internal/discovery/endpoint_list.go
@@ -120,13 +120,13 @@
 
 func (e *Endpoint) validate() error {
 	if e.UID == "" {
-		return errors.New("a target has no uid")
+		return errors.New("target without uid")
 	}
 	if _, _, err := net.SplitHostPort(e.Address); err != nil && e.EndpointState() == control.Active {
 		return fmt.Errorf("target %s: %w", e.UID, err)
 	}
 	if e.Protocol != "" && !slices.Contains(Protocols, e.Protocol) {
-		return fmt.Errorf("target %s: protocol %q is none of %s", e.UID, e.Protocol, strings.Join(Protocols, ", "))
+		return fmt.Errorf("target %s: protocol %q is not one of %s", e.UID, e.Protocol, strings.Join(Protocols, ", "))
 	}
 	return nil
 }
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -36,20 +36,20 @@
 	var list EndpointList
 	info, err := os.Stat(path)
 	if err == nil && info.Size() > maxFileBytes {
-		err = fmt.Errorf("%s: %d bytes are more than %d", path, info.Size(), maxFileBytes)
+		err = fmt.Errorf("%s: file has %d bytes, more than the limit of %d", path, info.Size(), maxFileBytes)
 	}
 	if err != nil {
-		return list, fmt.Errorf("reading the server list: %w", err)
+		return list, fmt.Errorf("reading endpoint list: %w", err)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return list, fmt.Errorf("reading the server list: %w", err)
+		return list, fmt.Errorf("reading endpoint list: %w", err)
 	}
 	if err := json.Unmarshal(raw, &list); err != nil {
-		return list, fmt.Errorf("server list %s: %w", path, err)
+		return list, fmt.Errorf("decoding endpoint list %s: %w", path, err)
 	}
 	if err := list.Validate(); err != nil {
-		return list, fmt.Errorf("server list %s: %w", path, err)
+		return list, fmt.Errorf("invalid endpoint list %s: %w", path, err)
 	}
 	list.IsComplete = true
 	return list, nil
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -67,7 +67,7 @@
 	case at := <-delivered:
 		return at.Sub(restoredAt)
 	case <-time.After(time.Hour):
-		t.Error("never delivered")
+		t.Error("no list delivered within an hour")
 		return time.Hour
 	}
 }
@@ -93,7 +93,7 @@
 							synctest.Test(t, func(t *testing.T) {
 								feed := NewFeed(Source{Address: "discovery:1", IsOwnAgent: agent}, 41, Pacer{GroupSize: group, Rand: rand.New(rand.NewPCG(seed, 1))}, nil)
 								if delay := deliveryDelayAfterOutage(t, kind, duration, answerTime, feed); delay > limit {
-									t.Errorf("out for %v, delivered %v after the return", duration, delay)
+									t.Errorf("outage of %v: list delivered %v after the recovery", duration, delay)
 								}
 							})
 						}
--- a/internal/discovery/pacer_test.go
+++ b/internal/discovery/pacer_test.go
@@ -94,13 +94,13 @@
 					func(i int, lasted, now time.Duration) time.Duration { return pacers[i].RejectionDelay(lasted, now) })
 				bound := fullGroupTime + 3*callInterval*time.Duration(n) + maxCallDelay
 				if paced.p90 == 0 || paced.p90 > bound {
-					t.Errorf("%d instances, %v for a call of each, rejected %s: %+v", n, fullGroupTime, rejection, paced)
+					t.Errorf("%d instances, %v per call of each instance, rejected %s: result %+v", n, fullGroupTime, rejection, paced)
 				}
 				if n < 80 || fullGroupTime < 5*time.Second {
 					continue
 				}
 				if unpaced := simulateUnpacedGroup(n, serviceTime, rejectsAtOnce); unpaced.p90 > 0 && unpaced.p90 < paced.p90 {
-					t.Errorf("%d instances, %v, rejected %s: %+v without pacing, %+v with it", n, fullGroupTime, rejection, unpaced, paced)
+					t.Errorf("%d instances, %v per call of each instance, rejected %s: result %+v without pacing, %+v with pacing", n, fullGroupTime, rejection, unpaced, paced)
 				}
 			}
 		}
@@ -134,7 +134,7 @@
 						})
 					limit := silenceLimits(fullGroupTime, silence)
 					if got.p90 == 0 || got.p90 > limit.p90 || got.fullGroupTime > limit.fullGroupTime || got.calls >= limit.calls*n && n > 1 {
-						t.Errorf("%d instances, silent for %v, %v for a call of each, rejected %s: %+v", n, silence, fullGroupTime, rejection, got)
+						t.Errorf("%d instances, silent for %v, %v per call of each instance, rejected %s: result %+v", n, silence, fullGroupTime, rejection, got)
 					}
 				}
 			}
@@ -171,10 +171,10 @@
 			checkRejectionDelay(t, &p)
 		}
 		if d := p.FirstDelay(); d+maxAnswerTime > missedEventDeadline {
-			t.Fatalf("the first call comes after %v", d)
+			t.Fatalf("first call delayed by %v, too late for the deadline", d)
 		}
 		if d := p.MoveDelay(); d+maxAnswerTime > missedEventDeadline-moveTimeSpent {
-			t.Fatalf("the first call after a move comes after %v", d)
+			t.Fatalf("first call after a move delayed by %v, too late for the deadline", d)
 		}
 	})
 }
@@ -185,16 +185,16 @@
 	lifetime := time.Duration(rapid.Int64Range(0, int64(2*stableWatchTime)).Draw(t, "lived"))
 	delay := p.RetryDelay(lifetime, silence)
 	if delay < minRetryDelay || delay > maxWindow || p.GroupSize == 1 && delay > minRetryDelay {
-		t.Fatalf("a group of %d calls again after %v", p.GroupSize, delay)
+		t.Fatalf("group of %d: retry delay %v out of range", p.GroupSize, delay)
 	}
 	if elapsed := min(lifetime, silence); elapsed+minRetryDelay <= maxCallDelay && elapsed+delay > maxCallDelay {
-		t.Fatalf("after a call that failed in %v, silent for %v, it calls again after %v", lifetime, silence, delay)
+		t.Fatalf("call failed after %v, watch silent for %v: retry delay %v misses the deadline", lifetime, silence, delay)
 	}
 	if silence+minRetryDelay <= maxCallDelay && silence+delay > maxCallDelay {
-		t.Fatalf("silent for %v, it calls again after %v", silence, delay)
+		t.Fatalf("watch silent for %v: retry delay %v misses the deadline", silence, delay)
 	}
 	if silence+minRetryDelay > maxCallDelay && lifetime >= stableWatchTime && delay > minRetryDelay {
-		t.Fatalf("delayed for %v by itself, it calls again after %v", silence, delay)
+		t.Fatalf("stable watch silent for %v: retry delay %v exceeds the minimum", silence, delay)
 	}
 }
 
@@ -205,33 +205,33 @@
 	isFirst := p.failures == 0
 	delay := p.RejectionDelay(callDuration, missedEventDeadline)
 	if delay < minRetryDelay || delay > maxWindow || p.GroupSize == 1 && delay > minRetryDelay {
-		t.Fatalf("a group of %d, rejected, calls again after %v", p.GroupSize, delay)
+		t.Fatalf("group of %d: retry delay %v after a rejection out of range", p.GroupSize, delay)
 	}
 	if !isFirst && p.GroupSize >= 20 && callDuration+delay < maxAnswerTime {
-		t.Fatalf("rejected, it calls again %v after its call", callDuration+delay)
+		t.Fatalf("retry %v after the start of the rejected call, before maxAnswerTime", callDuration+delay)
 	}
 }
 
 func TestPacerDelaysAreBounded(t *testing.T) {
 	single := Pacer{}
 	if single.FirstDelay() != 0 || single.MoveDelay() != 0 || single.RetryDelay(0, 0) != minRetryDelay {
-		t.Error("one instance waits for others")
+		t.Error("delays of a single instance exceed the minimum")
 	}
 	p := Pacer{GroupSize: 80, Rand: rand.New(rand.NewPCG(1, 2))}
 	for range 1000 {
 		if d := p.FirstDelay(); d < 0 || d >= maxCallDelay {
-			t.Fatalf("first after %v", d)
+			t.Fatalf("first delay %v out of range", d)
 		}
 		if d := p.MoveDelay(); d < 0 || d >= maxMoveDelay {
-			t.Fatalf("moved after %v", d)
+			t.Fatalf("move delay %v out of range", d)
 		}
 		for range 4 {
 			if d := p.RetryDelay(0, missedEventDeadline); d < minRetryDelay || d >= maxCallDelay {
-				t.Fatalf("again after %v", d)
+				t.Fatalf("retry delay %v out of range", d)
 			}
 		}
 		if p.RetryDelay(stableWatchTime, 0); p.failures != 1 {
-			t.Fatalf("%d failures are remembered after a watch that lived", p.failures)
+			t.Fatalf("%d consecutive failures counted after a stable watch, want 1", p.failures)
 		}
 	}
 }
@@ -248,10 +248,10 @@
 		}
 		if !agent {
 			if maxFirst < time.Second || maxRetry < maxCallDelay*9/10 || maxRetry > maxCallDelay {
-				t.Errorf("a shared discovery is called within %v, and again within %v", maxFirst, maxRetry)
+				t.Errorf("shared discovery: maximum first delay %v, maximum retry delay %v", maxFirst, maxRetry)
 			}
 		} else if maxFirst > 0 || maxMove > 0 || maxRetry > minRetryDelay {
-			t.Errorf("the own agent is called after %v, when moved after %v, again after %v", maxFirst, maxMove, maxRetry)
+			t.Errorf("own agent: maximum first delay %v, move delay %v, retry delay %v", maxFirst, maxMove, maxRetry)
 		}
 	}
 }
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -81,7 +81,7 @@
 	call, isFinal := d.nextCall()
 	if call.neverConnects {
 		time.Sleep(time.Hour) // http.Transport continues a dial after its request was cancelled
-		return nil, errors.New("nobody came")
+		return nil, errors.New("connection never established")
 	}
 	if call.dialTimesOut {
 		time.Sleep(watchSilenceTimeout - time.Nanosecond)
@@ -136,7 +136,7 @@
 	select {
 	case <-done:
 	case <-time.After(time.Hour):
-		t.Error("never delivered")
+		t.Error("no list delivered within an hour")
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -172,7 +172,7 @@
 							f := NewFeed(Source{Address: "discovery:1", IsOwnAgent: agent}, 41, Pacer{GroupSize: group, Rand: rand.New(rand.NewPCG(seed, 1))}, nil)
 							silentSince, delivered := runScript(t, f, script)
 							if delay := delivered.Sub(silentSince); delay > missedEventDeadline-deadlineMargin/2 {
-								t.Errorf("delivered %v after the silence began, of %v", delay, missedEventDeadline)
+								t.Errorf("list delivered %v after the silence began, deadline %v", delay, missedEventDeadline)
 							}
 						})
 					}
@@ -195,7 +195,7 @@
 				moved := time.Now()
 				_, delivered := runScript(t, f, nil)
 				if delay := delivered.Sub(moved); delay > missedEventDeadline-moveTimeSpent {
-					t.Errorf("group of %d: delivered %v after the move", group, delay)
+					t.Errorf("group of %d: list delivered %v after the move", group, delay)
 				}
 			})
 			synctest.Test(t, func(t *testing.T) {
@@ -204,7 +204,7 @@
 				moved := time.Now()
 				_, delivered := runScript(t, f, []scriptedCall{rejected})
 				if delay := delivered.Sub(moved); delay > missedEventDeadline-moveTimeSpent {
-					t.Errorf("group of %d: delivered %v after the move, though rejected once", group, delay)
+					t.Errorf("group of %d: list delivered %v after the move, with one rejected call", group, delay)
 				}
 			})
 		}
@@ -226,7 +226,7 @@
 				}
 				_, delivered := runScript(t, f, nil)
 				if delay := delivered.Sub(moved); delay > missedEventDeadline-moveTimeSpent {
-					t.Errorf("group of %d: delivered %v after the first move", group, delay)
+					t.Errorf("group of %d: list delivered %v after the first move", group, delay)
 				}
 			})
 		}
@@ -264,7 +264,7 @@
 	})
 	defer move.Stop()
 	if _, delivered := runScript(t, f, []scriptedCall{state}); delivered.Sub(moved) > missedEventDeadline-moveTimeSpent || delivered.Before(moved) {
-		t.Errorf("delivered %v after the move", delivered.Sub(moved))
+		t.Errorf("list delivered %v after the move", delivered.Sub(moved))
 	}
 }
 
@@ -281,7 +281,7 @@
 				f.Run(ctx)
 				d.tasks.Wait()
 				if d.calls != 1 {
-					t.Errorf("%d calls in %v", d.calls, 5*watchSilenceTimeout)
+					t.Errorf("%d calls in %v, want 1", d.calls, 5*watchSilenceTimeout)
 				}
 			})
 		})
--- a/internal/discovery/watch_stream.go
+++ b/internal/discovery/watch_stream.go
@@ -52,7 +52,7 @@
 // whose message was cut off.
 func (s *watchStream) Read(p []byte) (int, error) {
 	if s.bytesRead-s.decoder.InputOffset() > maxMessageBytes {
-		return 0, fmt.Errorf("a message of more than %d bytes", maxMessageBytes)
+		return 0, fmt.Errorf("discovery message exceeds %d bytes", maxMessageBytes)
 	}
 	n, err := s.body.Read(p)
 	if n > 0 {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -20,7 +20,7 @@
 
 // Errors of a call to a discovery that determine the delay of the next call.
 var (
-	errSilent   = errors.New("no data or heartbeat in time")
+	errSilent   = errors.New("no data or heartbeat within the silence timeout")
 	errRejected = errors.New("discovery rejected the call")
 )
 
@@ -157,5 +157,5 @@
 	if len(list.Endpoints) > 0 {
 		w.deliver(list)
 	}
-	return fmt.Errorf("discovery: version went back to %d", list.Revision)
+	return fmt.Errorf("discovery: revision decreased to %d", list.Revision)
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -41,14 +41,14 @@
 		"ended":             {"", "from=43"},
 		"cut off in a line": {`{"rev":44,"all":fal`, "from=43"},
 		"not JSON":          {"<html>\n", "from=43"},
-		"nothing of use":    {`{"rev":44,"all":true,"targets":[{"uid":"s-2","state":"up"}]}` + "\n", "from=43"},
-		"counts anew":       {`{"rev":3,"targets":[]}` + "\n", ""},
+		"no valid entry":    {`{"rev":44,"all":true,"targets":[{"uid":"s-2","state":"up"}]}` + "\n", "from=43"},
+		"revision reset":    {`{"rev":3,"targets":[]}` + "\n", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := testkit.NewAgent(t)
 			delivered, _ := startWatch(t, a, 41, testkit.WaitTimeout)
 			if q := testkit.Next(t, a.Polled); !strings.Contains(q, "watch=1&from=41") {
-				t.Errorf("called %s", q)
+				t.Errorf("call with query %s, want watch=1&from=41", q)
 			}
 			a.Lines <- "\n" // a heartbeat
 			a.Lines <- activeEndpointMessage
@@ -61,7 +61,7 @@
 			}
 			q := testkit.Next(t, a.Polled)
 			if tc.from == "" && strings.Contains(q, "from") || !strings.Contains(q, tc.from) {
-				t.Errorf("called %s", q)
+				t.Errorf("call with query %s", q)
 			}
 			a.Lines <- strings.Replace(activeEndpointMessage, "43", "45", 1)
 			if l := testkit.Next(t, delivered); l.Revision != 45 {
@@ -85,7 +85,7 @@
 	}{{5, false}, {5, false}, {9, false}, {9, true}, {9, true}, {11, false}} {
 		a.Lines <- fmt.Sprintf(`{"all":%v,"targets":[],"rev":%d}`+"\n", message.isComplete, message.rev)
 		if l := testkit.Next(t, delivered); l.Revision != message.rev || l.IsComplete != message.isComplete {
-			t.Errorf("delivered %+v, not %+v", l, message)
+			t.Errorf("delivered %+v, want %+v", l, message)
 		}
 	}
 	a.Lines <- `{"rev":5,"all":false,"targets":[{"uid":"s-1","state":"removed"}]}` + "\n"
@@ -143,11 +143,11 @@
 		`{"uid":"s-1","endpoint":"127.0.0.1:9","state":"up","boot_ms":"soon"},{"uid":"s-5","endpoint":"127.0.0.1:9","state":"up"}]}` + "\n"
 	l := testkit.Next(t, delivered)
 	if l.Revision != 44 || l.Invalid.Count != 5 || len(l.Endpoints) != 3 {
-		t.Fatalf("%+v", l)
+		t.Fatalf("delivered %+v, want revision 44 with 5 invalid entries and 3 endpoints", l)
 	}
 	for i, want := range []Endpoint{{UID: "s-3", State: "draining"}, {UID: "s-4", State: "removed"}, {UID: "s-5", Address: "127.0.0.1:9", State: "up"}} {
 		if l.Endpoints[i] != want {
-			t.Errorf("%+v, want %+v", l.Endpoints[i], want)
+			t.Errorf("endpoint %+v, want %+v", l.Endpoints[i], want)
 		}
 	}
 }
@@ -230,7 +230,7 @@
 		w.client.Transport = &http.Transport{DisableKeepAlives: true, DialContext: func(context.Context, string, string) (net.Conn, error) {
 			callTimes <- time.Since(startedAt)
 			if len(callTimes) > 1 {
-				return nil, errors.New("nobody")
+				return nil, errors.New("no server")
 			}
 			go func() {
 				http.ReadRequest(bufio.NewReader(serverConn))
@@ -246,7 +246,7 @@
 		serverConn.Close()
 		<-callTimes
 		if at := <-callTimes; at != watchSilenceTimeout+minRetryDelay {
-			t.Errorf("opened again after %v", at)
+			t.Errorf("watch reopened after %v", at)
 		}
 	})
 }
@@ -293,7 +293,7 @@
 		w := newWatcher("a:1", 41, testkit.WaitTimeout, &Pacer{}, func(l EndpointList) { delivered = append(delivered, l) })
 		w.client.Transport = bodyTransport(body)
 		if hasData, err := w.watch(t.Context()); !hasData || err != nil || w.revision != 45 || !reflect.DeepEqual(delivered, want) {
-			t.Errorf("cut at %s: %v, %v, delivered %+v", name, hasData, err, delivered)
+			t.Errorf("split at %s: hasData %v, error %v, delivered %+v", name, hasData, err, delivered)
 		}
 	}
 }
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -41,19 +41,19 @@
 	}
 	sum := summer.Sum()
 	if sum.Instances != 2 || sum.Skipped != 0 || len(sum.Seconds) != 3 || len(sum.Servers) != 1 || len(sum.Plans) != 1 {
-		t.Fatalf("%+v", sum)
+		t.Fatalf("sum %+v, want 2 instances, 3 seconds, 1 server and 1 plan", sum)
 	}
 	first := sum.Seconds[0]
 	if first.Requests["served"] != 2 || first.InTime != 0 || first.Attempts["ok"] != 2 || first.NewConnections != 1 || first.AtStartingServers != 1 ||
 		first.MeanAttemptMS != 300 || first.ConcurrencyLimit != 4 || first.AvailableServers != 4 {
-		t.Errorf("%+v", first)
+		t.Errorf("first second %+v", first)
 	}
 	if x := sum.Servers[0]; x.Server != "s_1" || x.Instances != 2 || x.PeakInFlight != 2 || x.MeanReportedMS != 200 || x.MeanUtilization != 0.5 {
-		t.Errorf("%+v", x)
+		t.Errorf("server %+v", x)
 	}
 	// The bucket has 3 units at first, of which 2 are sent; 1.1 at the second request; 2.9 and 3 at the rejections.
 	if p := sum.Plans[0]; p.Customers != 1 || p.SentUnderQuota != 2 || p.SentOverQuota != 2 || p.RejectedUnderQuota != 5 || p.RejectedOverQuota != 0 {
-		t.Errorf("%+v", p)
+		t.Errorf("plan %+v", p)
 	}
 }
 
@@ -64,17 +64,17 @@
 		t.Fatal(err)
 	}
 	if s := summer.Sum(); s.Skipped != 4 || len(s.Seconds) != 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("sum %+v, want 4 skipped lines and no seconds", s)
 	}
 	if err := summer.Read("n0", strings.NewReader(strings.Repeat("x", maxLineBytes+1))); err == nil {
-		t.Error("a line without end was read")
+		t.Error("no error for a line longer than maxLineBytes")
 	}
 }
 
 // failingLog is a log whose writes always fail.
 type failingLog struct{ calls int }
 
-func (f *failingLog) Write([]byte) (int, error) { f.calls++; return 0, errors.New("full") }
+func (f *failingLog) Write([]byte) (int, error) { f.calls++; return 0, errors.New("disk full") }
 
 func TestFailingLogIsNotWrittenAfterFirstError(t *testing.T) {
 	log := &failingLog{}
@@ -83,7 +83,7 @@
 		w.State(State{})
 	}
 	if log.calls != 1 {
-		t.Errorf("%d calls of a log that fails", log.calls)
+		t.Errorf("%d writes to a failing log, want 1", log.calls)
 	}
 	var nilWriter *Writer
 	nilWriter.State(State{})
--- a/internal/eventlog/golden_test.go
+++ b/internal/eventlog/golden_test.go
@@ -33,10 +33,10 @@
 	}
 	sum := summer.Sum()
 	if sum.Skipped > 0 || sum.Instances != 1 || len(sum.Seconds) != 1 || len(sum.Servers) != 1 || len(sum.Plans) != 1 {
-		t.Fatalf("%+v", sum)
+		t.Fatalf("sum %+v, want 1 instance, 1 second, 1 server and 1 plan", sum)
 	}
 	want := ServerSum{Server: "s_1", Attempts: 1, Reasons: map[string]int{"ok": 1}, Instances: 1, MeanAttemptMS: 15, MeanReportedMS: 9.5, MeanUtilization: 0.75, PeakInFlight: 1}
 	if !reflect.DeepEqual(sum.Servers[0], want) {
-		t.Errorf("%+v", sum.Servers[0])
+		t.Errorf("server %+v", sum.Servers[0])
 	}
 }
--- a/internal/eventlog/reader.go
+++ b/internal/eventlog/reader.go
@@ -68,7 +68,7 @@
 		}
 	}
 	if err := lines.Err(); errors.Is(err, bufio.ErrTooLong) {
-		return fmt.Errorf("a line of more than %d bytes", maxLineBytes)
+		return fmt.Errorf("line exceeds %d bytes", maxLineBytes)
 	} else if err != nil {
 		return err
 	}
--- a/internal/groupsize/groupsize_test.go
+++ b/internal/groupsize/groupsize_test.go
@@ -46,10 +46,10 @@
 			}
 			low, high, ok := estimator.Range(now)
 			if size := float64(tc.size); !ok || low > 1.25*size || high < 0.8*size {
-				t.Errorf("%d instances are estimated at %.1f to %.1f, %v", tc.size, low, high, ok)
+				t.Errorf("%d instances: estimated range %.1f to %.1f, ok %v", tc.size, low, high, ok)
 			}
 			if contradicts := estimator.ContradictsConfiguration(now); contradicts != tc.contradicts {
-				t.Errorf("%d instances, %d configured: contradicted %v (%.1f to %.1f)",
+				t.Errorf("%d instances, %d configured: contradicts is %v (range %.1f to %.1f)",
 					tc.size, tc.configured, contradicts, low, high)
 			}
 		}
@@ -65,15 +65,15 @@
 		estimator.AddReport(time.Second, -1, 1)
 	}
 	if _, high, ok := estimator.Range(time.Second); ok || estimator.ContradictsConfiguration(time.Second) {
-		t.Errorf("an estimate of up to %g without attempts of this instance", high)
+		t.Errorf("estimate of up to %g without attempts of this instance", high)
 	}
 	for range 50 {
 		estimator.AddReport(time.Second, 40, 1)
 	}
 	if !estimator.ContradictsConfiguration(time.Second) {
-		t.Error("40 instances are not noticed where 4 are configured")
+		t.Error("no contradiction with 40 instances where 4 are configured")
 	}
 	if estimator.ContradictsConfiguration(time.Hour) {
-		t.Error("reports of an hour ago contradict the configuration")
+		t.Error("reports from an hour ago contradict the configuration")
 	}
 }
--- a/internal/leasestore/golden_test.go
+++ b/internal/leasestore/golden_test.go
@@ -34,7 +34,7 @@
 			last.Returns = []quotalease.LeaseReturn{{Key: "p d", Token: 3, Units: 2.5}}
 		}
 		if a := evalScript(t, server, &last); step == 4 && len(a.Grants) != 1 {
-			t.Errorf("%+v lends nothing", a)
+			t.Errorf("no grant in reply %+v", a)
 		}
 	}
 	fmt.Fprintln(&text, "asked", EncodeCall(&last, rules))
--- a/internal/leasestore/leasestore_test.go
+++ b/internal/leasestore/leasestore_test.go
@@ -24,7 +24,7 @@
 	reply := server.Do(args...)
 	list, ok := reply.([]any)
 	if !ok {
-		t.Fatalf("%v", reply)
+		t.Fatalf("reply %v is not a list", reply)
 	}
 	raw := make([]string, len(list))
 	for i, v := range list {
@@ -95,7 +95,7 @@
 				isEqual = w.Key == g.Key && w.Token == g.Token && math.Abs(w.Units-g.Units) < 1e-6
 			}
 			if !isEqual {
-				t.Fatalf("seed %d, step %d: %+v\nthe counter: %+v\nthe script:  %+v", seed, step, call, want, got)
+				t.Fatalf("seed %d, step %d: %+v\nstore:  %+v\nscript: %+v", seed, step, call, want, got)
 			}
 			for _, g := range got.Grants {
 				grants, holders = append(grants, g), append(holders, call.HolderID)
@@ -107,7 +107,7 @@
 		}
 	}
 	if t.Logf("%d grants, %d returns", grantCount, returnCount); grantCount < 200 || returnCount < 200 {
-		t.Error("too little was played")
+		t.Error("want at least 200 grants and 200 returns")
 	}
 }
 
@@ -132,7 +132,7 @@
 	}
 	reply, err := call()
 	if err != nil || reply.StoreID == "" || reply.Seq != 7 || reply.IsLending || server.ScriptRuns() != 1 {
-		t.Fatalf("%+v, %v, %d calls", reply, err, server.ScriptRuns())
+		t.Fatalf("reply %+v, error %v, %d script runs", reply, err, server.ScriptRuns())
 	}
 	for _, text := range []string{
 		"LOADING Redis is loading the dataset in memory", "READONLY You can't write against a read only replica.",
@@ -140,12 +140,12 @@
 	} {
 		server.SetFaults(redistest.Faults{Error: text})
 		if _, err := call(); err == nil || !strings.Contains(err.Error(), strings.Fields(text)[0]) {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("server error %s: call returned %v", text, err)
 		}
 	}
 	server.SetFaults(redistest.Faults{})
 	if n := server.ScriptRuns(); n != 1 {
-		t.Errorf("%d calls", n)
+		t.Errorf("%d script runs, want 1", n)
 	}
 	server.Replace()
 	replyAfterReplacement, err := call()
@@ -155,13 +155,13 @@
 		}
 	}
 	if err != nil || replyAfterReplacement.StoreID == reply.StoreID {
-		t.Errorf("after it was replaced: %+v, %v", replyAfterReplacement, err)
+		t.Errorf("after the server was replaced: reply %+v, error %v", replyAfterReplacement, err)
 	}
 	server.SetFaults(redistest.Faults{IsSilent: true})
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	if _, err := client.Call(ctx, &quotalease.StoreCall{}); err == nil {
-		t.Error("no answer, and no error")
+		t.Error("no error from a server that does not answer")
 	}
 }
 
@@ -169,12 +169,12 @@
 	server, c := startClient(t)
 	server.SetPassword("secret")
 	if _, err := c.Call(t.Context(), &quotalease.StoreCall{}); err == nil || !strings.Contains(err.Error(), "NOAUTH") {
-		t.Errorf("without: %v", err)
+		t.Errorf("call without password: error %v", err)
 	}
 	for password, isAccepted := range map[string]bool{"secret": true, "other": false} {
 		c := New(Options{Address: server.Addr(), Password: password, KeyPrefix: "a", Timeout: 5 * time.Second, Rules: rules})
 		if _, err := c.Call(t.Context(), &quotalease.StoreCall{}); (err == nil) != isAccepted {
-			t.Errorf("%s: %v", password, err)
+			t.Errorf("call with password %s: error %v", password, err)
 		}
 		c.Close()
 	}
@@ -192,7 +192,7 @@
 		}
 		for _, g := range reply.Grants {
 			if !(g.Units > 0) || math.IsInf(g.Units, 0) || reply.StoreID == "" || reply.StoreTime < 0 {
-				t.Errorf("%q: %+v", raw, reply)
+				t.Errorf("%q: invalid reply accepted: %+v", raw, reply)
 			}
 		}
 	})
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -28,7 +28,7 @@
 	p := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := p.TextToMetricFamilies(w.Body)
 	if err != nil || w.Code != http.StatusOK {
-		t.Fatalf("%d: %v", w.Code, err)
+		t.Fatalf("scrape: status %d, error %v", w.Code, err)
 	}
 	return families
 }
@@ -77,14 +77,14 @@
 		"documents":  {sumValues(families["lockflow_requests_total"], "service=documents"), 0},
 	} {
 		if values[0] != values[1] {
-			t.Errorf("%s: %g is told, %g was counted", metric, values[0], values[1])
+			t.Errorf("%s: metric is %g, want %g", metric, values[0], values[1])
 		}
 	}
 	if results.Served == 0 || sumValues(families["lockflow_attempts_bound"], "service=rosters") <= 0 || sumValues(families["lockflow_part_guaranteed"], "service=rosters", "limit=held") != 60 {
-		t.Errorf("%d served, %v", results.Served, families["lockflow_attempts_bound"])
+		t.Errorf("%d requests served, concurrency limit %v", results.Served, families["lockflow_attempts_bound"])
 	}
 	if uncounted := benchtest.Begin(t, testbench.WithDescriptors(256), testbench.DemoServers(1)); len(uncounted.Node.RequestCounts()) > 0 {
-		t.Error("counted without being asked")
+		t.Error("requests counted without the metrics setting")
 	}
 }
 
@@ -107,19 +107,19 @@
 	stop()
 	run.Wait()
 	h := Handler(bench.Node)
-	testkit.Until(t, "the last stream's end", func() bool { return sumValues(scrape(t, h)["lockflow_server_streams"], "state=open") == 0 })
+	testkit.Until(t, "end of the last stream", func() bool { return sumValues(scrape(t, h)["lockflow_server_streams"], "state=open") == 0 })
 	families := scrape(t, h)
 	for name, want := range map[string]float64{"server_connections_shared": 1, "server_stream_waits": 0, "servers_fallen_back": 0} {
 		metricFamily := families["lockflow_"+name]
 		if metricFamily == nil || sumValues(metricFamily, "service=a") != want {
-			t.Errorf("%s is %v", name, metricFamily)
+			t.Errorf("metric %s has wrong values: %v", name, metricFamily)
 		}
 	}
 	if room := sumValues(families["lockflow_server_streams"], "state=room"); room != 7 {
-		t.Errorf("room for %g streams", room)
+		t.Errorf("capacity for %g more streams, want 7", room)
 	}
 	if metricFamily := scrape(t, Handler(benchtest.Begin(t, testkit.Small, nil).Node))["lockflow_server_streams"]; metricFamily != nil {
-		t.Errorf("over HTTP/1.1: %v", metricFamily)
+		t.Errorf("HTTP/2 metrics of a service over HTTP/1.1: %v", metricFamily)
 	}
 }
 
@@ -135,18 +135,18 @@
 		"\"], term = \"50ms\", pledge = \"100ms\", settle = \"100ms\" }", 1)
 	bench := benchtest.Begin(t, text, nil)
 	h := Handler(bench.Node)
-	testkit.Until(t, "a counter that lends", func() bool {
+	testkit.Until(t, "a lending lease store", func() bool {
 		families := scrape(t, h)
 		return sumValues(families["lockflow_counter_lends"], "service=a", "counter="+store.Addr()) == 1 && sumValues(families["lockflow_counter_own_part"]) == 0
 	})
 	if n := sumValues(scrape(t, h)["lockflow_counter_calls_total"], "service=a"); n < 2 {
-		t.Errorf("%g calls", n)
+		t.Errorf("%g calls to the lease store, want at least 2", n)
 	}
 	store.SetFaults(redistest.Faults{IsSilent: true})
 	store.CloseConns()
-	testkit.Until(t, "a part of its own", func() bool { return sumValues(scrape(t, h)["lockflow_counter_own_part"]) == 1 })
+	testkit.Until(t, "use of the instance's own quota", func() bool { return sumValues(scrape(t, h)["lockflow_counter_own_part"]) == 1 })
 	if metricFamily := scrape(t, Handler(benchtest.Begin(t, testkit.Small, nil).Node))["lockflow_counter_lends"]; metricFamily != nil {
-		t.Errorf("with nothing shared: %v", metricFamily)
+		t.Errorf("lease store metrics without shared hard limits: %v", metricFamily)
 	}
 }
 
@@ -158,7 +158,7 @@
 	httpServer.Listener.Close()
 	go func() { ended <- Serve(ctx, httpServer.Listener, bench.Node) }()
 	if err := <-ended; err == nil {
-		t.Error("a closed listener, and no error")
+		t.Error("no error for a closed listener")
 	}
 	stop()
 	httpServer.Close()
--- a/internal/record/digest_test.go
+++ b/internal/record/digest_test.go
@@ -48,7 +48,7 @@
 		{control.SendPeerMessage{To: 2}, "0919" + text("control.Say {To:2 Raw:[]}")},
 	} {
 		if got := hex.EncodeToString(Digest(nil, []control.Action{c.action})); got != c.want {
-			t.Errorf("%T %+v: %s, not %s", c.action, c.action, got, c.want)
+			t.Errorf("%T %+v: digest %s, want %s", c.action, c.action, got, c.want)
 		}
 	}
 }
--- a/internal/record/event.go
+++ b/internal/record/event.go
@@ -66,5 +66,5 @@
 	case control.CounterResult:
 		return kindCounterResult, nil
 	}
-	return 0, fmt.Errorf("recordings have no events of type %T", event)
+	return 0, fmt.Errorf("events of type %T can't be recorded", event)
 }
--- a/internal/record/frame.go
+++ b/internal/record/frame.go
@@ -15,7 +15,7 @@
 	maxFrameBytes   = 256 << 20 // limit for bodies that are read
 )
 
-var errAlteredFrame = errors.New("a frame was altered: its checksum differs")
+var errAlteredFrame = errors.New("corrupt frame: checksum mismatch")
 
 // appendFrame appends a frame with this body to buffer.
 func appendFrame(buffer, body []byte) []byte {
@@ -33,7 +33,7 @@
 	}
 	size := binary.BigEndian.Uint32(header[:])
 	if size > maxFrameBytes {
-		return nil, fmt.Errorf("a frame has %d bytes, more than %d", size, maxFrameBytes)
+		return nil, fmt.Errorf("frame has %d bytes, more than the limit of %d", size, maxFrameBytes)
 	}
 	body, err := io.ReadAll(io.LimitReader(source, int64(size)))
 	if err != nil || len(body) < int(size) {
--- a/internal/record/golden_amd64_test.go
+++ b/internal/record/golden_amd64_test.go
@@ -22,7 +22,7 @@
 //	go test ./internal/record -run '^TestGoldenRecordings$' -update-recordings
 //
 // Without the flag, the test replays the existing recordings, to check that a build decides as earlier builds did.
-var updateRecordings = flag.Bool("update-recordings", false, "writes the recordings in testdata and their digests anew")
+var updateRecordings = flag.Bool("update-recordings", false, "records the recordings in testdata again and writes their digests")
 
 const (
 	recordingsDir     = "testdata/recordings"
@@ -37,10 +37,10 @@
 	"attempt of a free request", "retry of a free request",
 	"attempt of a guarded request", "retry of a guarded request",
 	"attempt of a single-shot request",
-	"attempt at a cold server", "failed: no_further", "list followed", "metered use",
+	"attempt at a recently started server", "failed: no_further", "list watched", "quota usage reported",
 	"refused: by_chance", "refused: no_further", "refused: no_room", "refused: no_turn", "refused: over_ceiling", "refused: over_store",
 	"refused: too_late", "refused: unknown", "refused: yields",
-	"client left", "stream started", "list: patch", "list: complete", "list: stale", "list: failed",
+	"client gone", "stream started", "list: patch", "list: complete", "list: stale", "list: failed",
 }
 
 // history describes the random events of a recording.
@@ -276,7 +276,7 @@
 		t.Fatal(err)
 	}
 	if len(raw) > maxRecordingBytes {
-		t.Errorf("%s: %d bytes are more than %d", path, len(raw), maxRecordingBytes)
+		t.Errorf("%s: recording has %d bytes, more than the limit of %d", path, len(raw), maxRecordingBytes)
 	}
 	p := &goldenReplay{
 		t: t, path: path, decisions: decisiondigest.New(), features: make(map[string]bool), requestIdempotency: make(map[string]control.Idempotency),
@@ -297,7 +297,7 @@
 	events, sum, err := p.reader.Replay(func(s Step) error {
 		if !s.IsAsRecorded {
 			if p.differences++; p.differences == 1 {
-				p.t.Errorf("%s: at %v %T is answered otherwise than recorded, by %v", p.path, s.Now, s.Event, s.Actions)
+				p.t.Errorf("%s: at %v the actions for %T differ from the recorded ones: %v", p.path, s.Now, s.Event, s.Actions)
 			}
 		}
 		p.decisions.AddActions(s.Now, 0, s.Actions)
@@ -334,11 +334,11 @@
 			p.hasStartTime[m.Server] = m.HasStartedAt
 		}
 	case control.AttemptResult:
-		p.features["metered use"] = p.features["metered use"] || e.QuotaUsage > 0
+		p.features["quota usage reported"] = p.features["quota usage reported"] || e.QuotaUsage > 0
 	case control.ResponseStarted:
 		p.features["stream started"] = true
 	case control.ClientGone:
-		p.features["client left"] = true
+		p.features["client gone"] = true
 	}
 }
 
@@ -355,14 +355,14 @@
 			p.features[kind+" of a "+idempotencyNames[idempotency]+" request"] = true
 		}
 		if p.hasStartTime[a.Server] {
-			p.features["attempt at a cold server"] = true
+			p.features["attempt at a recently started server"] = true
 		}
 	case control.Reject:
 		p.features["refused: "+a.Cause.String()] = true
 	case control.Fail:
 		p.features["failed: "+a.Cause.String()] = true
 	case control.WatchEndpoints:
-		p.features["list followed"] = true
+		p.features["list watched"] = true
 	}
 }
 
@@ -387,7 +387,7 @@
 	}
 	for _, feature := range recordedFeatures {
 		if !features[feature] {
-			t.Errorf("no recording holds %q", feature)
+			t.Errorf("no recording contains %q", feature)
 		}
 	}
 	text := strings.Join(lines, "\n") + "\n"
--- a/internal/record/keys_test.go
+++ b/internal/record/keys_test.go
@@ -30,11 +30,11 @@
 // The list of events covers every kind that is recorded, so that the keys of a new kind are checked too.
 func TestKeysAreCheckedForAllEvents(t *testing.T) {
 	if len(events) != len(eventDecoders) {
-		t.Fatalf("%d events are checked, recordings know %d", len(events), len(eventDecoders))
+		t.Fatalf("%d kinds of event are checked, but %d are recorded", len(events), len(eventDecoders))
 	}
 	for i, e := range events {
 		if kind, err := kindOf(e.(control.Event)); err != nil || int(kind) != i+1 {
-			t.Errorf("%T is number %d, not %d: %v", e, kind, i+1, err)
+			t.Errorf("%T has kind %d, want %d: %v", e, kind, i+1, err)
 		}
 	}
 }
--- a/internal/record/reader.go
+++ b/internal/record/reader.go
@@ -62,7 +62,7 @@
 		return nil, fmt.Errorf("reading the recording's header: %w", err)
 	}
 	if r.header.Version != Version {
-		return nil, fmt.Errorf("reading the recording's header: it is of version %d, not %d", r.header.Version, Version)
+		return nil, fmt.Errorf("reading the recording's header: unsupported version %d, want %d", r.header.Version, Version)
 	}
 	return r, nil
 }
@@ -122,7 +122,7 @@
 	}
 	decode, ok := eventDecoders[recorded.Kind]
 	if !ok {
-		return recorded, nil, fmt.Errorf("unknown kind %d", recorded.Kind)
+		return recorded, nil, fmt.Errorf("unknown event kind %d", recorded.Kind)
 	}
 	event, err = decode(recorded.Body)
 	return recorded, event, err
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -81,7 +81,7 @@
 // recording.
 func New(controller *control.Controller, settings control.Settings, options Options) (*Module, error) {
 	if err := os.MkdirAll(options.Dir, 0o700); err != nil {
-		return nil, fmt.Errorf("recording: %w", err)
+		return nil, fmt.Errorf("creating the recording directory: %w", err)
 	}
 	return &Module{
 		Controller:   controller,
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -128,12 +128,12 @@
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(dir, "*"+Suffix))
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("%d sections, %v", len(paths), err)
+		t.Fatalf("%d sections found, error %v", len(paths), err)
 	}
 	return paths
 }
 
-var errDifferentActions = errors.New("other actions")
+var errDifferentActions = errors.New("actions differ from the recorded ones")
 
 func replayAll(raw []byte) (events int, sum uint64, err error) {
 	r, err := Open(bytes.NewReader(raw))
@@ -170,7 +170,7 @@
 				t.Fatalf("seed %d, %s: after %d events: %v", seed, path, n, err)
 			}
 			if _, repeated, _ := replayAll(raw); repeated != sum {
-				t.Fatalf("seed %d: two replays differ", seed)
+				t.Fatalf("seed %d: two replays have different digests", seed)
 			}
 		}
 	}
@@ -183,15 +183,15 @@
 	recordRandomHistory(t, 1, 20_000, Options{Service: "s", Dir: dir, MaxBytes: 1 << 20}, nil)
 	paths := sectionPaths(t, dir)
 	if len(paths) != filesPerService {
-		t.Errorf("%d files", len(paths))
+		t.Errorf("%d files, want filesPerService", len(paths))
 	}
 	for _, path := range paths {
 		raw, err := os.ReadFile(path)
 		if err != nil || len(raw) > 1<<20/filesPerService+1<<16 {
-			t.Errorf("%s: %d bytes, %v", path, len(raw), err)
+			t.Errorf("%s: file of %d bytes, error %v", path, len(raw), err)
 		}
 		if n, _, err := replayAll(raw); err != nil || n == 0 {
-			t.Errorf("%s: %d events, %v", path, n, err)
+			t.Errorf("%s: %d events replayed, error %v", path, n, err)
 		}
 	}
 }
@@ -206,14 +206,14 @@
 	}
 	eventCount, _, err := replayAll(raw)
 	if err != nil || eventCount < 1000 {
-		t.Fatalf("%d events, %v", eventCount, err)
+		t.Fatalf("%d events replayed, error %v", eventCount, err)
 	}
 	if n, _, err := replayAll(raw[:len(raw)/2]); err != nil || n == 0 || n >= eventCount {
-		t.Errorf("cut off: %d of %d events, %v", n, eventCount, err)
+		t.Errorf("truncated recording: %d of %d events replayed, error %v", n, eventCount, err)
 	}
 	for _, bad := range [][]byte{nil, []byte("noise"), raw[:20]} {
 		if _, _, err := replayAll(bad); err == nil {
-			t.Errorf("%d bytes are a recording", len(bad))
+			t.Errorf("invalid data of %d bytes accepted as a recording", len(bad))
 		}
 	}
 }
@@ -239,7 +239,7 @@
 		}
 		return nil
 	}); !errors.Is(err, errDifferentActions) {
-		t.Errorf("no difference in %d events: %v", events, err)
+		t.Errorf("no difference detected in %d events: error %v", events, err)
 	}
 }
 
