--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -16,7 +16,7 @@
 	maxFileBytes      = 4 << 20
 )
 
-// followFile delivers the list in a file, also each time that the file changes, until ctx ends. An unreadable or
+// followFile delivers the list in a file at first and after each change of the file, until ctx ends. An unreadable or
 // invalid file leaves the previous list in force and is logged once.
 func (f *Feed) followFile(ctx context.Context, path string) {
 	read := func() error {
@@ -31,25 +31,25 @@
 	})
 }
 
-// ReadFile reads a file that holds a complete list as JSON, in the form of discovery's messages.
+// ReadFile reads a complete list from a file that has the JSON format of an EndpointList.
 func ReadFile(path string) (EndpointList, error) {
 	var list EndpointList
 	info, err := os.Stat(path)
 	if err == nil && info.Size() > maxFileBytes {
-		err = fmt.Errorf("%s: %d bytes are more than %d", path, info.Size(), maxFileBytes)
+		err = fmt.Errorf("%s: file has %d bytes, more than the limit of %d", path, info.Size(), maxFileBytes)
 	}
 	if err != nil {
-		return list, fmt.Errorf("reading the server list: %w", err)
+		return list, fmt.Errorf("reading endpoint list: %w", err)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return list, fmt.Errorf("reading the server list: %w", err)
+		return list, fmt.Errorf("reading endpoint list: %w", err)
 	}
 	if err := json.Unmarshal(raw, &list); err != nil {
-		return list, fmt.Errorf("server list %s: %w", path, err)
+		return list, fmt.Errorf("decoding endpoint list %s: %w", path, err)
 	}
 	if err := list.Validate(); err != nil {
-		return list, fmt.Errorf("server list %s: %w", path, err)
+		return list, fmt.Errorf("invalid endpoint list %s: %w", path, err)
 	}
 	list.IsComplete = true
 	return list, nil
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -23,31 +23,32 @@
 
 func startWatch(t *testing.T, a *testkit.Agent, rev int64, silence time.Duration) (<-chan EndpointList, *Feed) {
 	delivered := make(chan EndpointList, 100)
-	w := NewFeed(Source{Address: a.Addr()}, rev, Pacer{}, func(l EndpointList) { delivered <- l })
-	w.silenceTimeout = silence
+	feed := NewFeed(Source{Address: a.Addr()}, rev, Pacer{}, func(l EndpointList) { delivered <- l })
+	feed.silenceTimeout = silence
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); w.Run(ctx) }()
+	go func() { defer close(done); feed.Run(ctx) }()
 	t.Cleanup(func() { cancel(); <-done })
-	return delivered, w
+	return delivered, feed
 }
 
 const activeEndpointMessage = `{"rev":43,"all":false,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:9","az":"a","model":"m2","pod_group":3,"state":"up","boot_ms":1700000000000}]}` + "\n"
 
-// After each way in which a watch can break, the next one begins at the last revision that was applied.
+// After a watch has ended in any way, the next one requests changes from the last applied revision, or the complete list
+// if the discovery has restarted its revision count.
 func TestWatchResumesFromRevision(t *testing.T) {
 	for name, tc := range map[string]struct{ line, from string }{
 		"ended":             {"", "from=43"},
 		"cut off in a line": {`{"rev":44,"all":fal`, "from=43"},
 		"not JSON":          {"<html>\n", "from=43"},
-		"nothing of use":    {`{"rev":44,"all":true,"targets":[{"uid":"s-2","state":"up"}]}` + "\n", "from=43"},
-		"counts anew":       {`{"rev":3,"targets":[]}` + "\n", ""},
+		"no valid entry":    {`{"rev":44,"all":true,"targets":[{"uid":"s-2","state":"up"}]}` + "\n", "from=43"},
+		"revision reset":    {`{"rev":3,"targets":[]}` + "\n", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := testkit.NewAgent(t)
 			delivered, _ := startWatch(t, a, 41, testkit.WaitTimeout)
 			if q := testkit.Next(t, a.Polled); !strings.Contains(q, "watch=1&from=41") {
-				t.Errorf("called %s", q)
+				t.Errorf("call with query %s, want watch=1&from=41", q)
 			}
 			a.Lines <- "\n" // a heartbeat
 			a.Lines <- activeEndpointMessage
@@ -60,7 +61,7 @@
 			}
 			q := testkit.Next(t, a.Polled)
 			if tc.from == "" && strings.Contains(q, "from") || !strings.Contains(q, tc.from) {
-				t.Errorf("called %s", q)
+				t.Errorf("call with query %s", q)
 			}
 			a.Lines <- strings.Replace(activeEndpointMessage, "43", "45", 1)
 			if l := testkit.Next(t, delivered); l.Revision != 45 {
@@ -70,21 +71,21 @@
 	}
 }
 
-// Revisions may repeat and leave some out; after one that goes back the complete list is requested, which may be of any
-// revision. Changes before any complete list are of the one that is known.
+// Revisions may repeat and skip numbers. After a lower revision the complete list is requested, which may have any
+// revision. Changes that precede any complete list apply to the known list.
 func TestRevisionsOutOfOrder(t *testing.T) {
 	a := testkit.NewAgent(t)
 	delivered, _ := startWatch(t, a, 0, testkit.WaitTimeout)
 	if q := testkit.Next(t, a.Polled); strings.Contains(q, "from") {
 		t.Errorf("called %s", q)
 	}
-	for _, all := range []struct {
+	for _, message := range []struct {
 		rev        int64
 		isComplete bool
 	}{{5, false}, {5, false}, {9, false}, {9, true}, {9, true}, {11, false}} {
-		a.Lines <- fmt.Sprintf(`{"all":%v,"targets":[],"rev":%d}`+"\n", all.isComplete, all.rev)
-		if l := testkit.Next(t, delivered); l.Revision != all.rev || l.IsComplete != all.isComplete {
-			t.Errorf("delivered %+v, not %+v", l, all)
+		a.Lines <- fmt.Sprintf(`{"all":%v,"targets":[],"rev":%d}`+"\n", message.isComplete, message.rev)
+		if l := testkit.Next(t, delivered); l.Revision != message.rev || l.IsComplete != message.isComplete {
+			t.Errorf("delivered %+v, want %+v", l, message)
 		}
 	}
 	a.Lines <- `{"rev":5,"all":false,"targets":[{"uid":"s-1","state":"removed"}]}` + "\n"
@@ -100,7 +101,7 @@
 	}
 }
 
-// A silent watch is presumed broken, though its connection is open.
+// A silent watch is presumed broken and reopened, although its connection is still open.
 func TestSilentWatchIsReopened(t *testing.T) {
 	a := testkit.NewAgent(t)
 	startWatch(t, a, 41, 50*time.Millisecond)
@@ -110,13 +111,13 @@
 	}
 }
 
-// After a move the complete list of the new discovery is requested at once, whatever the revision of the old one, also
-// where the old one is gone and a retry is being delayed.
+// After a move the complete list of the new discovery is requested immediately, whatever the revision of the old one's
+// list, even if the old discovery is unreachable and a retry is being delayed.
 func TestWatchFollowsNewSource(t *testing.T) {
 	old, other := testkit.NewAgent(t), testkit.NewAgent(t)
-	delivered, w := startWatch(t, old, 41, testkit.WaitTimeout)
+	delivered, feed := startWatch(t, old, 41, testkit.WaitTimeout)
 	testkit.Next(t, old.Polled)
-	w.SetSource(Source{Address: other.Addr()})
+	feed.SetSource(Source{Address: other.Addr()})
 	if q := testkit.Next(t, other.Polled); strings.Contains(q, "from") {
 		t.Errorf("called %s", q)
 	}
@@ -124,14 +125,15 @@
 	if l := testkit.Next(t, delivered); l.Revision != 2 || !l.IsComplete {
 		t.Errorf("delivered %+v", l)
 	}
-	w.SetSource(Source{Address: "127.0.0.1:1"}) // nobody listens there
-	w.SetSource(Source{Address: old.Addr()})
+	feed.SetSource(Source{Address: "127.0.0.1:1"}) // no server listens there
+	feed.SetSource(Source{Address: old.Addr()})
 	if q := testkit.Next(t, old.Polled); strings.Contains(q, "from") {
 		t.Errorf("called %s", q)
 	}
 }
 
-// An invalid entry doesn't affect the others, and draining is applied whatever else is in its entry.
+// An invalid entry doesn't affect other entries, and a draining or removed state is applied even if the rest of its
+// entry is invalid.
 func TestInvalidEntriesAreIgnored(t *testing.T) {
 	a := testkit.NewAgent(t)
 	delivered, _ := startWatch(t, a, 41, testkit.WaitTimeout)
@@ -141,17 +143,17 @@
 		`{"uid":"s-1","endpoint":"127.0.0.1:9","state":"up","boot_ms":"soon"},{"uid":"s-5","endpoint":"127.0.0.1:9","state":"up"}]}` + "\n"
 	l := testkit.Next(t, delivered)
 	if l.Revision != 44 || l.Invalid.Count != 5 || len(l.Endpoints) != 3 {
-		t.Fatalf("%+v", l)
+		t.Fatalf("delivered %+v, want revision 44 with 5 invalid entries and 3 endpoints", l)
 	}
 	for i, want := range []Endpoint{{UID: "s-3", State: "draining"}, {UID: "s-4", State: "removed"}, {UID: "s-5", Address: "127.0.0.1:9", State: "up"}} {
 		if l.Endpoints[i] != want {
-			t.Errorf("%+v, want %+v", l.Endpoints[i], want)
+			t.Errorf("endpoint %+v, want %+v", l.Endpoints[i], want)
 		}
 	}
 }
 
-// After changes of an older revision, of a discovery that counts anew or sends out of order, the complete list is
-// requested; but draining in them is delivered as it arrives, as the next answer may take some seconds.
+// After changes of a lower revision, from a discovery that has restarted its count or sends out of order, the complete
+// list is requested. Its answer may take some seconds, so draining states in those changes are delivered immediately.
 func TestDrainingOfOlderRevisionIsApplied(t *testing.T) {
 	a := testkit.NewAgent(t)
 	delivered, _ := startWatch(t, a, 41, testkit.WaitTimeout)
@@ -169,8 +171,9 @@
 	}
 }
 
-// A complete list of an older revision than what the same watch has sent adds no servers that are up: one that has
-// drained since would get requests again. At the beginning of a watch it is the list of a discovery that counts anew.
+// A complete list with a lower revision than an earlier message of the same watch adds no servers that are up, because
+// one that has started to drain since would get requests again. As the first message of a watch, it comes from a
+// discovery that has restarted its count, and is applied.
 func TestCompleteListOutOfOrder(t *testing.T) {
 	a := testkit.NewAgent(t)
 	delivered, _ := startWatch(t, a, 41, testkit.WaitTimeout)
@@ -193,8 +196,8 @@
 	}
 }
 
-// A message may be indented, so that it extends over many lines, with empty lines between messages. One that is too long
-// ends the watch.
+// A message may be indented over many lines, with empty lines between messages. A message that is too long ends the
+// watch.
 func TestIndentedMessagesAreRead(t *testing.T) {
 	var line, indented bytes.Buffer
 	line.WriteString(activeEndpointMessage)
@@ -216,33 +219,34 @@
 	}
 }
 
-// What a watch that falls silent misses has to be known 6 s after that: by then it is open again.
+// A silent watch is reopened after the silence timeout and the shortest retry delay, which leaves time to deliver missed
+// changes by the 6 s deadline.
 func TestSilenceTimeoutLeavesTimeForRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		here, there := net.Pipe()
-		opened := make(chan time.Duration, 10)
+		clientConn, serverConn := net.Pipe()
+		callTimes := make(chan time.Duration, 10)
 		startedAt := time.Now()
 		w := newWatcher("agent", 41, watchSilenceTimeout, &Pacer{}, func(EndpointList) {})
 		w.client.Transport = &http.Transport{DisableKeepAlives: true, DialContext: func(context.Context, string, string) (net.Conn, error) {
-			opened <- time.Since(startedAt)
-			if len(opened) > 1 {
-				return nil, errors.New("nobody")
+			callTimes <- time.Since(startedAt)
+			if len(callTimes) > 1 {
+				return nil, errors.New("no server")
 			}
 			go func() {
-				http.ReadRequest(bufio.NewReader(there))
-				io.WriteString(there, "HTTP/1.1 200 OK\r\n\r\n\n") // a heartbeat, and silence
+				http.ReadRequest(bufio.NewReader(serverConn))
+				io.WriteString(serverConn, "HTTP/1.1 200 OK\r\n\r\n\n") // a heartbeat followed by silence
 			}()
-			return here, nil
+			return clientConn, nil
 		}}
 		ctx, cancel := context.WithCancel(t.Context())
 		go w.run(ctx, 0)
 		time.Sleep(6 * time.Second)
 		cancel()
 		synctest.Wait()
-		there.Close()
-		<-opened
-		if at := <-opened; at != watchSilenceTimeout+minRetryDelay {
-			t.Errorf("opened again after %v", at)
+		serverConn.Close()
+		<-callTimes
+		if at := <-callTimes; at != watchSilenceTimeout+minRetryDelay {
+			t.Errorf("watch reopened after %v", at)
 		}
 	})
 }
@@ -263,15 +267,16 @@
 	})
 }
 
-// bodyTransport is a transport that gives each call the same answer.
+// bodyTransport is a transport that answers every call with the body that the function returns.
 type bodyTransport func() io.Reader
 
 func (a bodyTransport) RoundTrip(*http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(a())}, nil
 }
 
-// Wherever the network cuts what a watch sends (in a character, a number, between CR and LF), the same is delivered.
-func TestWatchResumesAfterCutAtAnyByte(t *testing.T) {
+// A watch delivers the same messages wherever the network splits its data: in a character, in a number, or between CR
+// and LF.
+func TestWatchReadsMessagesSplitAtAnyByte(t *testing.T) {
 	const text = "\r\n\n" + `{"rev":43,"all":true,"more":{"x":[1,2]},"targets":[` + "\r\n" + `  {"uid":"s-é","endpoint":"127.0.0.1:9","az":"Zürich","model":"\u00fc}","pod_group":31,"state":"up","boot_ms":1.7e12}]}` +
 		"\n \r\n" + `{"rev":44,"targets":[{"uid":"s-é","state":"draining"}]}{"rev":45,"targets":[]}` + "\r\n"
 	want := []EndpointList{
@@ -279,16 +284,16 @@
 		{Revision: 44, Endpoints: []Endpoint{{UID: "s-é", State: "draining"}}},
 		{Revision: 45},
 	}
-	pieces := map[string]func() io.Reader{"bytes": func() io.Reader { return iotest.OneByteReader(strings.NewReader(text)) }}
+	bodies := map[string]func() io.Reader{"bytes": func() io.Reader { return iotest.OneByteReader(strings.NewReader(text)) }}
 	for i := range text {
-		pieces[strconv.Itoa(i)] = func() io.Reader { return io.MultiReader(strings.NewReader(text[:i]), strings.NewReader(text[i:])) }
+		bodies[strconv.Itoa(i)] = func() io.Reader { return io.MultiReader(strings.NewReader(text[:i]), strings.NewReader(text[i:])) }
 	}
-	for name, in := range pieces {
+	for name, body := range bodies {
 		var delivered []EndpointList
 		w := newWatcher("a:1", 41, testkit.WaitTimeout, &Pacer{}, func(l EndpointList) { delivered = append(delivered, l) })
-		w.client.Transport = bodyTransport(in)
+		w.client.Transport = bodyTransport(body)
 		if hasData, err := w.watch(t.Context()); !hasData || err != nil || w.revision != 45 || !reflect.DeepEqual(delivered, want) {
-			t.Errorf("cut at %s: %v, %v, delivered %+v", name, hasData, err, delivered)
+			t.Errorf("split at %s: hasData %v, error %v, delivered %+v", name, hasData, err, delivered)
 		}
 	}
 }
--- a/internal/eventlog/golden_test.go
+++ b/internal/eventlog/golden_test.go
@@ -9,8 +9,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// Lines are those that earlier builds wrote, and are read: logs of several builds are added up together. go test
-// ./internal/eventlog -run Golden -update writes the file anew.
+// Lines are written as earlier builds wrote them, and can be read, because logs of different builds are aggregated
+// together. go test ./internal/eventlog -run Golden -update rewrites the file.
 func TestGoldenLines(t *testing.T) {
 	at := time.Unix(1_790_000_000, 250_000_000)
 	var lines bytes.Buffer
@@ -27,16 +27,16 @@
 	w.State(State{At: at, ConcurrencyLimit: 12.5, AcceptedRequests: 4, AttemptsInFlight: 3, IdleConnections: 5, ListedServers: 8, AvailableServers: 7})
 
 	raw := testkit.GoldenBytes(t, "testdata/golden/lines", lines.Bytes())
-	var a Summer
-	if err := a.Read("one", bytes.NewReader(raw)); err != nil {
+	var summer Summer
+	if err := summer.Read("one", bytes.NewReader(raw)); err != nil {
 		t.Fatal(err)
 	}
-	s := a.Sum()
-	if s.Skipped > 0 || s.Instances != 1 || len(s.Seconds) != 1 || len(s.Servers) != 1 || len(s.Plans) != 1 {
-		t.Fatalf("%+v", s)
+	sum := summer.Sum()
+	if sum.Skipped > 0 || sum.Instances != 1 || len(sum.Seconds) != 1 || len(sum.Servers) != 1 || len(sum.Plans) != 1 {
+		t.Fatalf("sum %+v, want 1 instance, 1 second, 1 server and 1 plan", sum)
 	}
 	want := ServerSum{Server: "s_1", Attempts: 1, Reasons: map[string]int{"ok": 1}, Instances: 1, MeanAttemptMS: 15, MeanReportedMS: 9.5, MeanUtilization: 0.75, PeakInFlight: 1}
-	if !reflect.DeepEqual(s.Servers[0], want) {
-		t.Errorf("%+v", s.Servers[0])
+	if !reflect.DeepEqual(sum.Servers[0], want) {
+		t.Errorf("server %+v", sum.Servers[0])
 	}
 }
--- a/internal/groupsize/groupsize_test.go
+++ b/internal/groupsize/groupsize_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// poisson draws a number of a mean.
+// poisson draws a Poisson-distributed number with the given mean.
 func poisson(rng *rand.Rand, mean float64) float64 {
 	n, product := 0.0, rng.Float64()
 	for limit := math.Exp(-mean); product > limit; n++ {
@@ -16,12 +16,12 @@
 	return n
 }
 
-// Servers that have in flight what a group of some size sends them: the estimate is near, whether or not a
-// report counts the request that it answers, and a wrong size is noticed.
-func TestEstimateIsNearAndContradictsAWrongSize(t *testing.T) {
+// With servers that have in flight the load of a group of a known size, the estimate is close to that size and a wrong
+// configuration is detected, whether or not a report counts the request that the server is answering.
+func TestEstimateIsAccurateAndContradictsWrongSize(t *testing.T) {
 	for _, tc := range []struct {
 		size, configured int
-		mean             float64 // that one instance has in flight at a server
+		mean             float64 // number of requests that one instance has in flight at a server
 		contradicts      bool
 	}{
 		{40, 40, 0.3, false},
@@ -46,10 +46,10 @@
 			}
 			low, high, ok := estimator.Range(now)
 			if size := float64(tc.size); !ok || low > 1.25*size || high < 0.8*size {
-				t.Errorf("%d instances are estimated at %.1f to %.1f, %v", tc.size, low, high, ok)
+				t.Errorf("%d instances: estimated range %.1f to %.1f, ok %v", tc.size, low, high, ok)
 			}
 			if contradicts := estimator.ContradictsConfiguration(now); contradicts != tc.contradicts {
-				t.Errorf("%d instances, %d configured: contradicted %v (%.1f to %.1f)",
+				t.Errorf("%d instances, %d configured: contradicts is %v (range %.1f to %.1f)",
 					tc.size, tc.configured, contradicts, low, high)
 			}
 		}
@@ -59,21 +59,21 @@
 func TestFewOrOldReportsGiveNoEstimate(t *testing.T) {
 	estimator := New(4)
 	for range 1000 {
-		estimator.AddReport(time.Second, 40, 0) // no attempt of this instance beside
+		estimator.AddReport(time.Second, 40, 0) // without other attempts of this instance
 		estimator.AddReport(time.Second, math.NaN(), 1)
 		estimator.AddReport(time.Second, math.Inf(1), 1)
 		estimator.AddReport(time.Second, -1, 1)
 	}
 	if _, high, ok := estimator.Range(time.Second); ok || estimator.ContradictsConfiguration(time.Second) {
-		t.Errorf("an estimate of up to %g without attempts of this instance", high)
+		t.Errorf("estimate of up to %g without attempts of this instance", high)
 	}
 	for range 50 {
 		estimator.AddReport(time.Second, 40, 1)
 	}
 	if !estimator.ContradictsConfiguration(time.Second) {
-		t.Error("40 instances are not noticed where 4 are configured")
+		t.Error("no contradiction with 40 instances where 4 are configured")
 	}
 	if estimator.ContradictsConfiguration(time.Hour) {
-		t.Error("reports of an hour ago contradict the configuration")
+		t.Error("reports from an hour ago contradict the configuration")
 	}
 }
--- a/internal/metrics/page.go
+++ b/internal/metrics/page.go
@@ -13,15 +13,16 @@
 	"lockflow/internal/service"
 )
 
-// page is the response to one scrape. The values of a family have to follow each other.
+// page collects the response to one scrape. It groups values by family, because the text format requires the values of
+// a family to be adjacent.
 type page struct {
-	order  []*family // with values
+	order  []*family // families that have values
 	values map[*family]*bytes.Buffer
 }
 
 var escape = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
-// add adds a value with the values of its family's labels, in the labels' order.
+// add adds a value to a family. labels are the label values in the order of the family's label names.
 func (p *page) add(f *family, v float64, labels ...string) {
 	b := p.values[f]
 	if b == nil {
@@ -37,23 +38,23 @@
 	if len(labels) > 0 {
 		name.WriteByte('}')
 	}
-	metrics.WriteGaugeFloat64(b, name.String(), v) // values of all kinds have the same form
+	metrics.WriteGaugeFloat64(b, name.String(), v) // counters and gauges have the same text format
 }
 
-func oneIf(b bool) float64 {
+func boolValue(b bool) float64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// addMember adds what a member of a fleet reports of itself.
+// addMember adds the metrics of a fleet member.
 func (p *page) addMember(s *manage.Status) {
 	statistics := &s.Statistics
 	p.add(&settings, 1, s.ConfigHash)
-	p.add(&isDesiredConfig, oneIf(s.DesiredState.Hash == "" || s.DesiredState.Hash == s.ConfigHash))
+	p.add(&isDesiredConfig, boolValue(s.DesiredState.Hash == "" || s.DesiredState.Hash == s.ConfigHash))
 	p.add(&epoch, float64(s.Epoch))
-	p.add(&hasLostEpochs, oneIf(s.LostToken != ""))
+	p.add(&hasLostEpochs, boolValue(s.LostToken != ""))
 	p.add(&priorityWeight, statistics.OfferedWeight, "asked")
 	p.add(&priorityWeight, statistics.Served, "served")
 	p.add(&units, statistics.Units)
@@ -63,7 +64,7 @@
 	p.add(&overQuotaTotal, float64(statistics.OverQuota))
 }
 
-// addService adds the state of one service.
+// addService adds the metrics of one service's state.
 func (p *page) addService(s *node.Status) {
 	p.add(&acceptedRequests, float64(s.Requests), s.Name)
 	p.add(&attemptsInFlight, float64(s.AttemptsInFlight), s.Name)
@@ -73,8 +74,8 @@
 	p.add(&idleConnections, float64(s.IdleConnections), s.Name)
 	p.add(&restarts, float64(s.Restarts), s.Name)
 	for _, store := range s.HardLimits {
-		p.add(&storeLends, oneIf(store.CanBorrow), s.Name, store.StoreName)
-		p.add(&storeOwnQuota, oneIf(store.UsesOwnQuota), s.Name, store.StoreName)
+		p.add(&storeLends, boolValue(store.CanBorrow), s.Name, store.StoreName)
+		p.add(&storeOwnQuota, boolValue(store.UsesOwnQuota), s.Name, store.StoreName)
 		p.add(&storeLeasedUnits, store.LeasedUnits, s.Name, store.StoreName)
 		p.add(&storeQueuedRequests, float64(store.QueuedRequests), s.Name, store.StoreName)
 		p.add(&storeCalls, float64(store.Calls), s.Name, store.StoreName)
@@ -96,7 +97,7 @@
 	p.addUsage(s.Name, "dials", s.Resources.Dials)
 }
 
-// addUsage adds a service's use of a resource of the process.
+// addUsage adds a service's usage of one of the process's resources.
 func (p *page) addUsage(service, resource string, usage limits.Usage) {
 	p.add(&resourceUsed, float64(usage.Used), service, resource)
 	p.add(&resourceGuaranteed, float64(usage.Guaranteed), service, resource)
--- a/internal/record/digest_test.go
+++ b/internal/record/digest_test.go
@@ -7,8 +7,9 @@
 	"lockflow/control"
 )
 
-// TestDigestTextOfRareActions holds the texts that recordings of earlier builds were digested with.
-func TestDigestTextOfRareActions(t *testing.T) {
+// TestDigestTextOfOtherActions compares the texts with those that the digests in recordings of earlier builds are based
+// on.
+func TestDigestTextOfOtherActions(t *testing.T) {
 	cases := []struct {
 		action control.Action
 		want   string
@@ -19,13 +20,14 @@
 		{control.SendPeerMessage{To: -1, Raw: []byte{1, 200}}, "control.Say {To:-1 Raw:[1 200]}"},
 	}
 	for _, c := range cases {
-		if got := rareActionText(c.action); got != c.want {
+		if got := otherActionText(c.action); got != c.want {
 			t.Errorf("%T: text %q, want %q", c.action, got, c.want)
 		}
 	}
 }
 
-// The digest of each action is what recordings were written with: a rename in the module changes none.
+// The digest of each action equals that of the builds whose recordings exist: a rename in package control must not
+// change it.
 func TestDigestOfEachAction(t *testing.T) {
 	for _, c := range []struct {
 		action control.Action
@@ -46,7 +48,7 @@
 		{control.SendPeerMessage{To: 2}, "0919" + text("control.Say {To:2 Raw:[]}")},
 	} {
 		if got := hex.EncodeToString(Digest(nil, []control.Action{c.action})); got != c.want {
-			t.Errorf("%T %+v: %s, not %s", c.action, c.action, got, c.want)
+			t.Errorf("%T %+v: digest %s, want %s", c.action, c.action, got, c.want)
 		}
 	}
 }
--- a/internal/record/frame.go
+++ b/internal/record/frame.go
@@ -11,11 +11,11 @@
 
 const (
 	fileMagic       = "lockflow recording\n"
-	frameHeaderSize = 4 + 4     // the body's length and its checksum
-	maxFrameBytes   = 256 << 20 // of a body that is read
+	frameHeaderSize = 4 + 4     // length and checksum of the body
+	maxFrameBytes   = 256 << 20 // limit for bodies that are read
 )
 
-var errAlteredFrame = errors.New("a frame was altered: its checksum differs")
+var errAlteredFrame = errors.New("corrupt frame: checksum mismatch")
 
 // appendFrame appends a frame with this body to buffer.
 func appendFrame(buffer, body []byte) []byte {
@@ -24,8 +24,8 @@
 	return append(buffer, body...)
 }
 
-// readFrame returns the body of the next frame. The error is io.EOF at the end, also where that cuts a frame off: the
-// process may have been killed.
+// readFrame returns the body of the next frame. The error is io.EOF at the end of the file, even in the middle of a
+// frame, because the recording process may have been killed.
 func readFrame(source io.Reader) ([]byte, error) {
 	var header [frameHeaderSize]byte
 	if _, err := io.ReadFull(source, header[:]); err != nil {
@@ -33,7 +33,7 @@
 	}
 	size := binary.BigEndian.Uint32(header[:])
 	if size > maxFrameBytes {
-		return nil, fmt.Errorf("a frame has %d bytes, more than %d", size, maxFrameBytes)
+		return nil, fmt.Errorf("frame has %d bytes, more than the limit of %d", size, maxFrameBytes)
 	}
 	body, err := io.ReadAll(io.LimitReader(source, int64(size)))
 	if err != nil || len(body) < int(size) {
--- a/internal/record/golden_amd64_test.go
+++ b/internal/record/golden_amd64_test.go
@@ -17,12 +17,12 @@
 	"lockflow/internal/simulation/decisiondigest"
 )
 
-// updateRecordings records the histories anew and writes the golden file:
+// updateRecordings makes TestGoldenRecordings record the histories again and write the golden file:
 //
 //	go test ./internal/record -run '^TestGoldenRecordings$' -update-recordings
 //
-// A build that has to decide as those before it replays the recordings that are there.
-var updateRecordings = flag.Bool("update-recordings", false, "writes the recordings in testdata and their digests anew")
+// Without the flag, the test replays the existing recordings, to check that a build decides as earlier builds did.
+var updateRecordings = flag.Bool("update-recordings", false, "records the recordings in testdata again and writes their digests")
 
 const (
 	recordingsDir     = "testdata/recordings"
@@ -32,35 +32,35 @@
 	listedServers     = 4
 )
 
-// recordedFeatures are the kinds of event, state and decision that the recordings have to hold together.
+// recordedFeatures are the kinds of event, state and decision that the recordings taken together must contain.
 var recordedFeatures = []string{
 	"attempt of a free request", "retry of a free request",
 	"attempt of a guarded request", "retry of a guarded request",
 	"attempt of a single-shot request",
-	"attempt at a cold server", "failed: no_further", "list followed", "metered use",
+	"attempt at a recently started server", "failed: no_further", "list watched", "quota usage reported",
 	"refused: by_chance", "refused: no_further", "refused: no_room", "refused: no_turn", "refused: over_ceiling", "refused: over_store",
 	"refused: too_late", "refused: unknown", "refused: yields",
-	"client left", "stream started", "list: patch", "list: complete", "list: stale", "list: failed",
+	"client gone", "stream started", "list: patch", "list: complete", "list: stale", "list: failed",
 }
 
-// history is what the services of a recording see.
+// history describes the random events of a recording.
 type history struct {
-	settings    control.Settings
-	classes     []string         // that are asked, each as often
-	reasons     []control.Reason // that attempts end with, each as often
-	customers   int
-	requestRate float64       // part of the steps that bring a request; else an attempt ends
-	stepTime    time.Duration // the longest that passes between two steps
-	cold        bool          // servers are replaced by cold ones
+	settings        control.Settings
+	classes         []string         // of requests, with equal probability
+	reasons         []control.Reason // of attempts' ends, with equal probability
+	customers       int
+	requestRate     float64       // fraction of steps that send a request; in the others an attempt ends
+	maxStepTime     time.Duration // maximum time between two steps
+	replacesServers bool          // servers are replaced by recently started ones
 }
 
-// mixedReasons are ends of attempts, a third of which failed.
+// mixedReasons are reasons for the end of attempts, a third of them failures.
 var mixedReasons = []control.Reason{
 	control.OK, control.OK, control.OK, control.OK, control.OK, control.OK, control.OK, control.OK, control.OK, control.OK, control.OK, control.OK,
 	control.Errored, control.RejectedByServer, control.ConnectFailed, control.TimedOut, control.ResetByPeer, control.Cancelled,
 }
 
-// baseSettings are those of a group of two with a class of each effect.
+// baseSettings returns the settings of a group of two, with a class for each kind of idempotency.
 func baseSettings() control.Settings {
 	return control.Settings{
 		GroupSize: 2, Zone: "west", MaxAttempts: 4, ListOnRequest: true, CanCancel: true, RetriesAreMarked: true, SupportsRetryAfter: true, MaxRetryAfter: time.Second,
@@ -75,7 +75,7 @@
 	}
 }
 
-// quotaSettings adds metered quotas, open quotas and ceilings.
+// quotaSettings returns baseSettings with metered quotas, in-flight quotas and hard limits.
 func quotaSettings() control.Settings {
 	s := baseSettings()
 	s.MeterPeriod, s.UnitsInResponse = time.Second, true
@@ -87,25 +87,25 @@
 	return s
 }
 
-// histories are the recordings' by name. Each section of a history is a recording of its own.
+// histories are the histories of the recordings by name. Each section of a history is stored as a separate recording.
 var histories = map[string]history{
-	"effects":   {settings: baseSettings(), classes: []string{"read", "update", "transfer", "watch", "unknown"}, reasons: mixedReasons, customers: 4, requestRate: 0.5, stepTime: 30 * time.Millisecond},
-	"quotas":    {settings: quotaSettings(), classes: []string{"read", "update"}, reasons: mixedReasons, customers: 2, requestRate: 0.55, stepTime: 40 * time.Millisecond},
-	"cold":      {settings: baseSettings(), classes: []string{"read", "update"}, reasons: mixedReasons, customers: 4, requestRate: 0.5, stepTime: 60 * time.Millisecond, cold: true},
-	"hand-over": {settings: quotaSettings(), classes: []string{"read", "update", "transfer"}, reasons: mixedReasons, customers: 3, requestRate: 0.5, stepTime: 30 * time.Millisecond, cold: true},
+	"effects":   {settings: baseSettings(), classes: []string{"read", "update", "transfer", "watch", "unknown"}, reasons: mixedReasons, customers: 4, requestRate: 0.5, maxStepTime: 30 * time.Millisecond},
+	"quotas":    {settings: quotaSettings(), classes: []string{"read", "update"}, reasons: mixedReasons, customers: 2, requestRate: 0.55, maxStepTime: 40 * time.Millisecond},
+	"cold":      {settings: baseSettings(), classes: []string{"read", "update"}, reasons: mixedReasons, customers: 4, requestRate: 0.5, maxStepTime: 60 * time.Millisecond, replacesServers: true},
+	"hand-over": {settings: quotaSettings(), classes: []string{"read", "update", "transfer"}, reasons: mixedReasons, customers: 3, requestRate: 0.5, maxStepTime: 30 * time.Millisecond, replacesServers: true},
 }
 
-// historian has recorded modules live through a history.
-type historian struct {
+// historyRecorder passes the events of a history to recorded modules.
+type historyRecorder struct {
 	*driver
-	t       *testing.T
-	history history
-	dir     string
-	servers uint32 // that there have been; the latest are listed
-	ids     int
+	t           *testing.T
+	history     history
+	dir         string
+	lastServer  uint32 // number of servers so far; the latest listedServers are listed
+	lastRequest int
 }
 
-func (h *historian) record(seed uint64, name string) *Module {
+func (h *historyRecorder) newModule(seed uint64, name string) *Module {
 	c, err := control.New(h.history.settings, seed)
 	if err != nil {
 		h.t.Fatal(err)
@@ -117,66 +117,66 @@
 	return m
 }
 
-// endpoint is a server's entry in the list, in one of two zones and of two cells.
-func (h *historian) endpoint(server uint32, state control.EndpointState) control.Endpoint {
+// endpoint returns a server's entry in the endpoint list, in one of two zones and one of two cells.
+func (h *historyRecorder) endpoint(server uint32, state control.EndpointState) control.Endpoint {
 	return control.Endpoint{Server: server, State: state, Zone: []string{"west", "east"}[server%2], Cell: int(server / 2 % 2), Size: 1}
 }
 
-// list tells the module of all servers.
-func (h *historian) list(kind control.ListKind) {
+// sendList sends the module a list of all current servers.
+func (h *historyRecorder) sendList(kind control.ListKind) {
 	l := control.EndpointList{Kind: kind}
-	for server := h.servers - listedServers + 1; server <= h.servers; server++ {
+	for server := h.lastServer - listedServers + 1; server <= h.lastServer; server++ {
 		l.Endpoints = append(l.Endpoints, h.endpoint(server, control.Active))
 	}
 	h.handle(l)
 }
 
-// replace has a cold server come and an old one drain.
-func (h *historian) replace() {
-	h.servers++
-	fresh := h.endpoint(h.servers, control.Active)
+// replaceServer adds a recently started server and drains the oldest one.
+func (h *historyRecorder) replaceServer() {
+	h.lastServer++
+	fresh := h.endpoint(h.lastServer, control.Active)
 	fresh.HasStartedAt, fresh.StartedAt = true, h.now
-	h.handle(control.EndpointList{Kind: control.ListPatch, Endpoints: []control.Endpoint{fresh, h.endpoint(h.servers-listedServers, control.Draining)}})
+	h.handle(control.EndpointList{Kind: control.ListPatch, Endpoints: []control.Endpoint{fresh, h.endpoint(h.lastServer-listedServers, control.Draining)}})
 }
 
-// step brings a request, the end of an attempt, or other news.
-func (h *historian) step(i int) {
-	h.pass(time.Duration(h.rng.Int64N(int64(h.history.stepTime))))
-	if h.history.cold && i%100 == 50 {
-		h.replace()
+// step sends the module a request, the end of an attempt, or an event of the endpoint list.
+func (h *historyRecorder) step(i int) {
+	h.advance(time.Duration(h.rng.Int64N(int64(h.history.maxStepTime))))
+	if h.history.replacesServers && i%100 == 50 {
+		h.replaceServer()
 	}
 	switch {
 	case i%140 == 60:
 		h.handle(control.EndpointList{Kind: control.ListFailed})
 	case i%140 == 90:
-		h.list(control.ListCached)
+		h.sendList(control.ListCached)
 	case i%140 == 130:
-		h.list(control.ListComplete)
+		h.sendList(control.ListComplete)
 	case h.rng.Float64() < h.history.requestRate || len(h.sent) == 0:
-		h.request()
+		h.sendRequest()
 	default:
-		h.respond(h.take(h.rng.IntN(len(h.sent))), h.response())
+		h.respond(h.removeSent(h.rng.IntN(len(h.sent))), h.randomResult())
 	}
 }
 
-func (h *historian) request() {
-	h.ids++
+func (h *historyRecorder) sendRequest() {
+	h.lastRequest++
 	plans := h.history.settings.Plans
 	r := control.Request{
-		ID: fmt.Sprint("r", h.ids), Class: h.history.classes[h.rng.IntN(len(h.history.classes))], Plan: plans[h.rng.IntN(len(plans))].Name,
+		ID: fmt.Sprint("r", h.lastRequest), Class: h.history.classes[h.rng.IntN(len(h.history.classes))], Plan: plans[h.rng.IntN(len(plans))].Name,
 		Customer: fmt.Sprint("c", h.rng.IntN(h.history.customers)), Timeout: 3 * time.Second, Units: float64(1 + h.rng.IntN(3)), FanOut: 1 + h.rng.IntN(2),
-		IsOverCapacity: h.ids%97 == 0, HasPendingBody: h.ids%13 == 0,
+		IsOverCapacity: h.lastRequest%97 == 0, HasPendingBody: h.lastRequest%13 == 0,
 	}
-	if h.ids%9 == 0 { // a later attempt of its client
+	if h.lastRequest%9 == 0 { // a retry by the client
 		r.IsRetry, r.Timeout = true, time.Duration(500+h.rng.IntN(2000))*time.Millisecond
 	}
 	h.handle(r)
-	if h.ids%23 == 0 {
+	if h.lastRequest%23 == 0 {
 		h.handle(control.ClientGone{ID: r.ID})
 	}
 }
 
-func (h *historian) response() control.AttemptResult {
+func (h *historyRecorder) randomResult() control.AttemptResult {
 	s := h.history.settings
 	r := control.AttemptResult{Reason: h.history.reasons[h.rng.IntN(len(h.history.reasons))], Delay: time.Duration(1+h.rng.IntN(90)) * time.Millisecond}
 	r.IsFinal = r.Reason == control.OK
@@ -189,60 +189,61 @@
 	return r
 }
 
-// respond has an answer that streams begin before it ends.
-func (h *historian) respond(s control.Send, r control.AttemptResult) {
+// respond ends an attempt; for one in four final results, a streaming response starts before.
+func (h *historyRecorder) respond(s control.Send, r control.AttemptResult) {
 	if r.IsFinal && h.rng.IntN(4) == 0 {
 		h.handle(control.ResponseStarted{ID: s.ID, Attempt: h.attempts[s.ID], Server: s.Server, Delay: r.Delay})
-		h.pass(5 * time.Millisecond)
+		h.advance(5 * time.Millisecond)
 	}
 	h.driver.respond(s, r)
 }
 
-// handOver has a successor take half of what the module may spend, and the rest once both have served.
-func (h *historian) handOver(steps int) {
+// handOver hands half of the module's unspent tokens and refill rates over to a successor, and the rest after both have
+// handled requests.
+func (h *historyRecorder) handOver(steps int) {
 	predecessor := h.driver
-	next := &historian{
-		t: h.t, history: h.history, dir: h.dir, servers: h.servers, ids: 1000,
-		driver: &driver{module: h.record(2, "successor"), rng: h.rng, now: h.now, attempts: make(map[string]int)},
+	successor := &historyRecorder{
+		t: h.t, history: h.history, dir: h.dir, lastServer: h.lastServer, lastRequest: 1000,
+		driver: &driver{module: h.newModule(2, "successor"), rng: h.rng, now: h.now, attempts: make(map[string]int)},
 	}
-	next.list(control.ListComplete)
-	given := predecessor.module.HandOver(h.now, 0.5)
-	next.module.Restore(next.now, given, control.TrustAll)
+	successor.sendList(control.ListComplete)
+	checkpoint := predecessor.module.HandOver(h.now, 0.5)
+	successor.module.Restore(successor.now, checkpoint, control.TrustAll)
 	for i := range steps {
 		h.step(i)
-		next.step(i)
+		successor.step(i)
 	}
-	now := max(h.now, next.now)
-	rest := predecessor.module.HandOver(now, 1)
-	next.now = now
-	next.module.ReclaimRates(now, &rest)
+	now := max(h.now, successor.now)
+	remainder := predecessor.module.HandOver(now, 1)
+	successor.now = now
+	successor.module.ReclaimRates(now, &remainder)
 	for i := range steps {
-		next.step(i)
+		successor.step(i)
 	}
-	if err := next.module.Close(); err != nil {
+	if err := successor.module.Close(); err != nil {
 		h.t.Fatal(err)
 	}
 }
 
-// recordHistory records a history, and puts its sections where the golden recordings are.
+// recordHistory records a history and copies its sections to recordingsDir.
 func recordHistory(t *testing.T, name string) {
-	h := &historian{t: t, history: histories[name], dir: t.TempDir(), servers: listedServers}
-	h.driver = &driver{module: h.record(1, "service"), rng: rand.New(rand.NewPCG(7, 41)), now: time.Hour, attempts: make(map[string]int)}
-	h.list(control.ListComplete)
+	recorder := &historyRecorder{t: t, history: histories[name], dir: t.TempDir(), lastServer: listedServers}
+	recorder.driver = &driver{module: recorder.newModule(1, "service"), rng: rand.New(rand.NewPCG(7, 41)), now: time.Hour, attempts: make(map[string]int)}
+	recorder.sendList(control.ListComplete)
 	steps := historySteps
 	if name == "hand-over" {
 		steps /= 3
 	}
 	for i := range steps {
-		h.step(i)
+		recorder.step(i)
 	}
 	if name == "hand-over" {
-		h.handOver(steps)
+		recorder.handOver(steps)
 	}
-	if err := h.module.Close(); err != nil {
+	if err := recorder.module.Close(); err != nil {
 		t.Fatal(err)
 	}
-	for i, path := range sections(t, h.dir) {
+	for i, path := range sectionPaths(t, recorder.dir) {
 		service, _, _ := strings.Cut(filepath.Base(path), "-")
 		raw, err := os.ReadFile(path)
 		if err == nil {
@@ -254,32 +255,32 @@
 	}
 }
 
-// replayed is a recording that is played again.
-type replayed struct {
-	t        *testing.T
-	path     string
-	reader   *Reader
-	shadow   *control.Controller // takes the same events, to have its state looked at
-	effects  map[string]control.Idempotency
-	sends    map[string]int
-	cold     map[uint32]bool
-	decided  *decisiondigest.Digest
-	features map[string]bool
-	other    int // events that were answered otherwise than recorded
+// goldenReplay is the replay of one golden recording.
+type goldenReplay struct {
+	t                  *testing.T
+	path               string
+	reader             *Reader
+	shadow             *control.Controller // handles the same events, to expose the state at the end
+	requestIdempotency map[string]control.Idempotency
+	attemptCounts      map[string]int
+	hasStartTime       map[uint32]bool
+	decisions          *decisiondigest.Digest
+	features           map[string]bool
+	differences        int // events whose actions differ from the recorded ones
 }
 
-func openRecording(t *testing.T, path string) *replayed {
+func openRecording(t *testing.T, path string) *goldenReplay {
 	t.Helper()
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(raw) > maxRecordingBytes {
-		t.Errorf("%s: %d bytes are more than %d", path, len(raw), maxRecordingBytes)
+		t.Errorf("%s: recording has %d bytes, more than the limit of %d", path, len(raw), maxRecordingBytes)
 	}
-	p := &replayed{
-		t: t, path: path, decided: decisiondigest.New(), features: make(map[string]bool), effects: make(map[string]control.Idempotency),
-		sends: make(map[string]int), cold: make(map[uint32]bool),
+	p := &goldenReplay{
+		t: t, path: path, decisions: decisiondigest.New(), features: make(map[string]bool), requestIdempotency: make(map[string]control.Idempotency),
+		attemptCounts: make(map[string]int), hasStartTime: make(map[uint32]bool),
 	}
 	if p.reader, err = Open(bytes.NewReader(raw)); err != nil {
 		t.Fatalf("%s: %v", path, err)
@@ -290,19 +291,19 @@
 	return p
 }
 
-// play plays the recording and returns its line of the golden file.
-func (p *replayed) play() string {
+// replay replays the recording and returns its line of the golden file.
+func (p *goldenReplay) replay() string {
 	p.t.Helper()
 	events, sum, err := p.reader.Replay(func(s Step) error {
 		if !s.IsAsRecorded {
-			if p.other++; p.other == 1 {
-				p.t.Errorf("%s: at %v %T is answered otherwise than recorded, by %v", p.path, s.Now, s.Event, s.Actions)
+			if p.differences++; p.differences == 1 {
+				p.t.Errorf("%s: at %v the actions for %T differ from the recorded ones: %v", p.path, s.Now, s.Event, s.Actions)
 			}
 		}
-		p.decided.AddActions(s.Now, 0, s.Actions)
-		p.noteEvent(s.Event)
+		p.decisions.AddActions(s.Now, 0, s.Actions)
+		p.recordEventFeatures(s.Event)
 		for _, action := range s.Actions {
-			p.noteAction(action)
+			p.recordActionFeatures(action)
 		}
 		p.shadow.Handle(s.Now, s.Event)
 		return nil
@@ -314,59 +315,59 @@
 	if err := state.AddImage(p.shadow.Image()); err != nil {
 		p.t.Fatal(err)
 	}
-	return fmt.Sprintf("%s events=%d replay=%016x decisions=%s state=%s", filepath.Base(p.path), events, sum, p.decided.Sum(), state.Sum())
+	return fmt.Sprintf("%s events=%d replay=%016x decisions=%s state=%s", filepath.Base(p.path), events, sum, p.decisions.Sum(), state.Sum())
 }
 
 var listNames = map[control.ListKind]string{control.ListPatch: "patch", control.ListComplete: "complete", control.ListCached: "stale", control.ListFailed: "failed"}
 
-func (p *replayed) noteEvent(event control.Event) {
+func (p *goldenReplay) recordEventFeatures(event control.Event) {
 	switch e := event.(type) {
 	case control.Request:
 		for _, class := range p.reader.Settings().Classes {
 			if class.Name == e.Class {
-				p.effects[e.ID] = class.Idempotency
+				p.requestIdempotency[e.ID] = class.Idempotency
 			}
 		}
 	case control.EndpointList:
 		p.features["list: "+listNames[e.Kind]] = true
 		for _, m := range e.Endpoints {
-			p.cold[m.Server] = m.HasStartedAt
+			p.hasStartTime[m.Server] = m.HasStartedAt
 		}
 	case control.AttemptResult:
-		p.features["metered use"] = p.features["metered use"] || e.QuotaUsage > 0
+		p.features["quota usage reported"] = p.features["quota usage reported"] || e.QuotaUsage > 0
 	case control.ResponseStarted:
 		p.features["stream started"] = true
 	case control.ClientGone:
-		p.features["client left"] = true
+		p.features["client gone"] = true
 	}
 }
 
-var effectNames = map[control.Idempotency]string{control.Idempotent: "free", control.IdempotentWithKey: "guarded", control.NotIdempotent: "single-shot"}
+var idempotencyNames = map[control.Idempotency]string{control.Idempotent: "free", control.IdempotentWithKey: "guarded", control.NotIdempotent: "single-shot"}
 
-func (p *replayed) noteAction(action control.Action) {
+func (p *goldenReplay) recordActionFeatures(action control.Action) {
 	switch a := action.(type) {
 	case control.Send:
 		kind := "attempt"
-		if p.sends[a.ID]++; p.sends[a.ID] > 1 {
+		if p.attemptCounts[a.ID]++; p.attemptCounts[a.ID] > 1 {
 			kind = "retry"
 		}
-		if effect, known := p.effects[a.ID]; known {
-			p.features[kind+" of a "+effectNames[effect]+" request"] = true
+		if idempotency, known := p.requestIdempotency[a.ID]; known {
+			p.features[kind+" of a "+idempotencyNames[idempotency]+" request"] = true
 		}
-		if p.cold[a.Server] {
-			p.features["attempt at a cold server"] = true
+		if p.hasStartTime[a.Server] {
+			p.features["attempt at a recently started server"] = true
 		}
 	case control.Reject:
 		p.features["refused: "+a.Cause.String()] = true
 	case control.Fail:
 		p.features["failed: "+a.Cause.String()] = true
 	case control.WatchEndpoints:
-		p.features["list followed"] = true
+		p.features["list watched"] = true
 	}
 }
 
-// Recordings of an earlier build replay without a difference, and their digests are as they were then: of
-// every action with all its fields, of which a recording has some only, and of the state at the end.
+// Recordings of an earlier build replay without a difference, and their digests equal those in the golden file: of
+// all actions with all their fields, of which a recording stores only some, and of the state at the end.
 func TestGoldenRecordings(t *testing.T) {
 	if *updateRecordings {
 		for _, name := range slices.Sorted(maps.Keys(histories)) {
@@ -381,12 +382,12 @@
 	}
 	for _, path := range paths {
 		p := openRecording(t, path)
-		lines = append(lines, p.play())
+		lines = append(lines, p.replay())
 		maps.Copy(features, p.features)
 	}
 	for _, feature := range recordedFeatures {
 		if !features[feature] {
-			t.Errorf("no recording holds %q", feature)
+			t.Errorf("no recording contains %q", feature)
 		}
 	}
 	text := strings.Join(lines, "\n") + "\n"
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -30,14 +30,14 @@
 	Plans: []control.Plan{{Name: "a", Price: 1, QuotaRate: 20, QuotaBurst: 40}, {Name: "b", Price: 2, QuotaRate: 20, QuotaBurst: 20, HardLimitRate: 40, HardLimitBurst: 40, HardLimitSlack: 4}},
 }
 
-// recordRandomHistory has a recorded module take a history by chance, as a service would bring it.
-func recordRandomHistory(t testing.TB, seed uint64, steps int, o Options, between func(m *Module, step int)) {
+// recordRandomHistory records a module that handles random events in the order in which a service would send them.
+func recordRandomHistory(t testing.TB, seed uint64, steps int, options Options, afterStep func(m *Module, step int)) {
 	t.Helper()
 	c, err := control.New(settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, err := New(c, settings, o)
+	m, err := New(c, settings, options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,22 +48,22 @@
 	}
 	d.handle(list)
 	for step := range steps {
-		d.pass(time.Duration(d.rng.IntN(10)) * time.Millisecond)
-		if k := d.rng.IntN(10); k < 5 {
+		d.advance(time.Duration(d.rng.IntN(10)) * time.Millisecond)
+		if choice := d.rng.IntN(10); choice < 5 {
 			d.handle(control.Request{
-				ID: fmt.Sprint(step), Class: []string{"read", "write"}[k%2], Plan: []string{"a", "b"}[step%2], Customer: fmt.Sprint(d.rng.IntN(5)),
-				Timeout: 3 * time.Second, Units: float64(1 + d.rng.IntN(3)), FanOut: 2, HasPendingBody: k == 4,
+				ID: fmt.Sprint(step), Class: []string{"read", "write"}[choice%2], Plan: []string{"a", "b"}[step%2], Customer: fmt.Sprint(d.rng.IntN(5)),
+				Timeout: 3 * time.Second, Units: float64(1 + d.rng.IntN(3)), FanOut: 2, HasPendingBody: choice == 4,
 			})
 		} else if len(d.sent) > 0 {
-			s := d.take(d.rng.IntN(len(d.sent)))
-			why := []control.Reason{control.OK, control.OK, control.OK, control.Errored, control.RejectedByServer, control.ConnectFailed, control.TimedOut}[d.rng.IntN(7)]
-			d.respond(s, control.AttemptResult{
-				Reason: why, IsFinal: why == control.OK, QuotaUsage: d.rng.IntN(200), ActualUnits: 1,
+			send := d.removeSent(d.rng.IntN(len(d.sent)))
+			reason := []control.Reason{control.OK, control.OK, control.OK, control.Errored, control.RejectedByServer, control.ConnectFailed, control.TimedOut}[d.rng.IntN(7)]
+			d.respond(send, control.AttemptResult{
+				Reason: reason, IsFinal: reason == control.OK, QuotaUsage: d.rng.IntN(200), ActualUnits: 1,
 				Delay: time.Millisecond, Load: &control.LoadReport{InFlight: 2, Utilization: 0.5},
 			})
 		}
-		if between != nil {
-			between(m, step)
+		if afterStep != nil {
+			afterStep(m, step)
 		}
 	}
 	if err := m.Close(); err != nil {
@@ -71,13 +71,13 @@
 	}
 }
 
-// driver has a recorded module take events at its own clock, and brings the timers that it arms.
+// driver passes events to a recorded module with a simulated clock, and fires the timers that the module starts.
 type driver struct {
 	module   *Module
 	rng      *rand.Rand
 	now      time.Duration
-	sent     []control.Send // attempts that are out
-	attempts map[string]int // that have ended, by request
+	sent     []control.Send // attempts in flight
+	attempts map[string]int // number of ended attempts by request
 	timers   []pendingTimer
 }
 
@@ -86,7 +86,7 @@
 	timer control.TimerFired
 }
 
-// handle has the module take an event.
+// handle passes an event to the module and keeps the attempts and timers that the module starts.
 func (d *driver) handle(e control.Event) {
 	for _, a := range d.module.Handle(d.now, e) {
 		switch a := a.(type) {
@@ -98,9 +98,9 @@
 	}
 }
 
-// pass lets time pass, at whose end all timers come that are due.
-func (d *driver) pass(span time.Duration) {
-	d.now += span
+// advance advances the clock and then fires all timers that are due.
+func (d *driver) advance(duration time.Duration) {
+	d.now += duration
 	for i := 0; i < len(d.timers); i++ {
 		if due := d.timers[i]; due.due <= d.now {
 			d.timers = append(d.timers[:i], d.timers[i+1:]...)
@@ -110,46 +110,46 @@
 	}
 }
 
-// take removes an attempt from those that are out.
-func (d *driver) take(i int) control.Send {
+// removeSent removes an attempt from those in flight and returns it.
+func (d *driver) removeSent(i int) control.Send {
 	s := d.sent[i]
 	d.sent = append(d.sent[:i], d.sent[i+1:]...)
 	return s
 }
 
-// respond ends an attempt.
+// respond ends an attempt with a result.
 func (d *driver) respond(s control.Send, r control.AttemptResult) {
 	r.ID, r.Attempt, r.Server = s.ID, d.attempts[s.ID], s.Server
 	d.attempts[s.ID]++
 	d.handle(r)
 }
 
-func sections(t testing.TB, dir string) []string {
+func sectionPaths(t testing.TB, dir string) []string {
 	t.Helper()
-	all, err := filepath.Glob(filepath.Join(dir, "*"+Suffix))
-	if err != nil || len(all) == 0 {
-		t.Fatalf("%d sections, %v", len(all), err)
+	paths, err := filepath.Glob(filepath.Join(dir, "*"+Suffix))
+	if err != nil || len(paths) == 0 {
+		t.Fatalf("%d sections found, error %v", len(paths), err)
 	}
-	return all
+	return paths
 }
 
-var errDiffers = errors.New("other actions")
+var errDifferentActions = errors.New("actions differ from the recorded ones")
 
-func replayAll(raw []byte) (n int, sum uint64, err error) {
+func replayAll(raw []byte) (events int, sum uint64, err error) {
 	r, err := Open(bytes.NewReader(raw))
 	if err != nil {
 		return 0, 0, err
 	}
 	return r.Replay(func(s Step) error {
 		if !s.IsAsRecorded {
-			return errDiffers
+			return errDifferentActions
 		}
 		return nil
 	})
 }
 
-// Whatever happened, each section plays again to the last action, also where the module's state was
-// changed by no event between.
+// Every section replays with the recorded actions up to its last event, even if the module's state was changed
+// without an event between two sections.
 func TestReplay(t *testing.T) {
 	events := 0
 	for seed := range uint64(60) {
@@ -160,7 +160,7 @@
 				m.ReclaimRates(time.Hour+time.Duration(step)*5*time.Millisecond, &given)
 			}
 		})
-		for _, path := range sections(t, dir) {
+		for _, path := range sectionPaths(t, dir) {
 			raw, err := os.ReadFile(path)
 			if err != nil {
 				t.Fatal(err)
@@ -170,59 +170,59 @@
 				t.Fatalf("seed %d, %s: after %d events: %v", seed, path, n, err)
 			}
 			if _, repeated, _ := replayAll(raw); repeated != sum {
-				t.Fatalf("seed %d: two replays differ", seed)
+				t.Fatalf("seed %d: two replays have different digests", seed)
 			}
 		}
 	}
 	t.Logf("%d events", events)
 }
 
-// Files rotate within their bound, and each stands alone.
+// Files rotate within their size limit, and each can be replayed without the others.
 func TestRotation(t *testing.T) {
 	dir := t.TempDir()
 	recordRandomHistory(t, 1, 20_000, Options{Service: "s", Dir: dir, MaxBytes: 1 << 20}, nil)
-	all := sections(t, dir)
-	if len(all) != filesPerService {
-		t.Errorf("%d files", len(all))
+	paths := sectionPaths(t, dir)
+	if len(paths) != filesPerService {
+		t.Errorf("%d files, want filesPerService", len(paths))
 	}
-	for _, path := range all {
+	for _, path := range paths {
 		raw, err := os.ReadFile(path)
 		if err != nil || len(raw) > 1<<20/filesPerService+1<<16 {
-			t.Errorf("%s: %d bytes, %v", path, len(raw), err)
+			t.Errorf("%s: file of %d bytes, error %v", path, len(raw), err)
 		}
 		if n, _, err := replayAll(raw); err != nil || n == 0 {
-			t.Errorf("%s: %d events, %v", path, n, err)
+			t.Errorf("%s: %d events replayed, error %v", path, n, err)
 		}
 	}
 }
 
-// A recording that was cut off is replayed up to there; what is none is rejected.
+// A truncated recording is replayed up to the end of the data; data that is not a recording is rejected.
 func TestDamagedRecordings(t *testing.T) {
 	dir := t.TempDir()
 	recordRandomHistory(t, 2, 2000, Options{Service: "s", Dir: dir, MaxBytes: 64 << 20}, nil)
-	raw, err := os.ReadFile(sections(t, dir)[0])
+	raw, err := os.ReadFile(sectionPaths(t, dir)[0])
 	if err != nil {
 		t.Fatal(err)
 	}
 	eventCount, _, err := replayAll(raw)
 	if err != nil || eventCount < 1000 {
-		t.Fatalf("%d events, %v", eventCount, err)
+		t.Fatalf("%d events replayed, error %v", eventCount, err)
 	}
 	if n, _, err := replayAll(raw[:len(raw)/2]); err != nil || n == 0 || n >= eventCount {
-		t.Errorf("cut off: %d of %d events, %v", n, eventCount, err)
+		t.Errorf("truncated recording: %d of %d events replayed, error %v", n, eventCount, err)
 	}
 	for _, bad := range [][]byte{nil, []byte("noise"), raw[:20]} {
 		if _, _, err := replayAll(bad); err == nil {
-			t.Errorf("%d bytes are a recording", len(bad))
+			t.Errorf("invalid data of %d bytes accepted as a recording", len(bad))
 		}
 	}
 }
 
-// Another decision than the recorded one is found at the event where it is made.
-func TestOtherDecisionIsFound(t *testing.T) {
+// Replay detects a decision that differs from the recorded one.
+func TestReplayDetectsDifferentDecision(t *testing.T) {
 	dir := t.TempDir()
 	recordRandomHistory(t, 3, 500, Options{Service: "s", Dir: dir, MaxBytes: 64 << 20}, nil)
-	raw, err := os.ReadFile(sections(t, dir)[0])
+	raw, err := os.ReadFile(sectionPaths(t, dir)[0])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -230,20 +230,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.header.Settings.Plans[0].QuotaRate /= 10 // as another build would decide
+	r.header.Settings.Plans[0].QuotaRate /= 10 // makes the replay decide differently, as another build might
 	r.header.Settings.Plans[0].QuotaBurst /= 10
-	at := 0
+	events := 0
 	if _, _, err = r.Replay(func(s Step) error {
-		if at++; !s.IsAsRecorded {
-			return errDiffers
+		if events++; !s.IsAsRecorded {
+			return errDifferentActions
 		}
 		return nil
-	}); !errors.Is(err, errDiffers) {
-		t.Errorf("no difference in %d events: %v", at, err)
+	}); !errors.Is(err, errDifferentActions) {
+		t.Errorf("no difference detected in %d events: error %v", events, err)
 	}
 }
 
-// Frames of any bytes, with checksums that fit, are replayed or rejected, with no panic.
+// Frames of arbitrary bytes with a valid checksum are replayed or rejected, without a panic.
 func FuzzFrames(f *testing.F) {
 	frame := func(b, raw []byte) []byte {
 		b = binary.BigEndian.AppendUint32(b, uint32(len(raw)))
@@ -263,7 +263,7 @@
 	f.Fuzz(func(t *testing.T, kind uint8, now int64, body []byte) {
 		event, err := cbor.Marshal(recordedEvent{Now: time.Duration(now), Kind: eventKind(kind), Body: body})
 		if err != nil {
-			return // no CBOR
+			return // body is not valid CBOR
 		}
 		r, err := readHeader(bytes.NewReader(frame(frame([]byte(fileMagic), first), event)))
 		if err != nil {
