--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -106,7 +106,7 @@
 
 // Client performs the TLS handshake of a connection to an address and returns the protocol that was agreed
 // on (ALPN); it is empty for a server without ALPN. It does not close the connection after an error.
-func (s *Store) Client(ctx context.Context, c net.Conn, address string, protocols []string) (*tls.Conn, string, error) {
+func (s *Store) Client(ctx context.Context, rawConn net.Conn, address string, protocols []string) (*tls.Conn, string, error) {
 	config := s.current.Load().Clone()
 	config.NextProtos = protocols
 	config.ServerName = s.Name
@@ -117,7 +117,7 @@
 		}
 		config.ServerName = host
 	}
-	conn := tls.Client(c, config)
+	conn := tls.Client(rawConn, config)
 	if err := conn.HandshakeContext(ctx); err != nil {
 		return nil, "", fmt.Errorf("handshake: %w", err)
 	}
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -19,22 +19,22 @@
 		examples: []string{"lockflow check deploy/lockflow.toml", "lockflow check --fleet deploy/fleet.toml --json   # 0 none, 1 conflicts, 2 unusable input"},
 		setup: func(set flags) func(context.Context, *Env, []string) error {
 			asJSON := set.Bool("json", false, "prints what is wrong as JSON")
-			fleet := set.String("fleet", "", "`FILE` that names regions; tells requests that they treat differently, and sums that pass")
+			fleetPath := set.String("fleet", "", "`FILE` that names regions; tells requests that they treat differently, and sums that pass")
 			return func(_ context.Context, e *Env, args []string) error {
-				if *fleet != "" && len(args) == 0 {
-					return checkFleet(e, *fleet, *asJSON)
+				if *fleetPath != "" && len(args) == 0 {
+					return checkFleet(e, *fleetPath, *asJSON)
 				}
-				if len(args) != 1 || *fleet != "" {
+				if len(args) != 1 || *fleetPath != "" {
 					return usageError("check takes one file")
 				}
-				return check(e, args[0], *asJSON)
+				return checkConfig(e, args[0], *asJSON)
 			}
 		},
 	}
 }
 
 // check prints whether a configuration can be used, and all that is wrong in it.
-func check(e *Env, path string, asJSON bool) error {
+func checkConfig(e *Env, path string, asJSON bool) error {
 	cfg, err := config.Load(path)
 	var problems config.FieldErrors
 	if err != nil && !errors.As(err, &problems) {
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -105,11 +105,11 @@
 // no command tree, which would cost memory and time for nothing.
 func Run(ctx context.Context, e *Env, args []string) int {
 	if len(args) == 0 {
-		return e.exit(serveByEnvironment(ctx, e))
+		return e.reportExit(serveByEnvironment(ctx, e))
 	}
 	root := newRootCommand(e)
 	root.SetArgs(args)
-	return e.exit(root.ExecuteContext(ctx))
+	return e.reportExit(root.ExecuteContext(ctx))
 }
 
 // newRootCommand returns the command tree, with help, completion and a version.
@@ -126,7 +126,7 @@
 		Version:           version(),
 		SilenceErrors:     true,
 		SilenceUsage:      true,
-		PersistentPreRunE: func(*cobra.Command, []string) error { return log.set(e.Err) },
+		PersistentPreRunE: func(*cobra.Command, []string) error { return log.setDefaultLogger(e.Err) },
 	}
 	root.SetOut(e.Out)
 	root.SetErr(e.Err)
@@ -141,7 +141,7 @@
 	root.PersistentFlags().StringVar(&log.format, "log-format", "text", "`FORM` of log lines: text or json")
 	root.PersistentFlags().StringVar(&log.level, "log-level", "info", "`LEVEL` from which on lines are logged: debug, info, warn or error")
 	for _, c := range commands() {
-		root.AddCommand(c.cobra(e))
+		root.AddCommand(c.newCobraCommand(e))
 	}
 	root.SetHelpCommand(&cobra.Command{
 		Use:   "help [COMMAND]",
@@ -175,7 +175,7 @@
 }
 
 // cobra returns the command in cobra's form.
-func (c *command) cobra(e *Env) *cobra.Command {
+func (c *command) newCobraCommand(e *Env) *cobra.Command {
 	cobraCommand := &cobra.Command{
 		Use:                   c.name + " " + c.args,
 		Short:                 c.summary,
@@ -217,7 +217,7 @@
 }
 
 // set sets the default logger.
-func (l *logFlags) set(w io.Writer) error {
+func (l *logFlags) setDefaultLogger(w io.Writer) error {
 	var o slog.HandlerOptions
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(l.level)); err != nil {
@@ -236,7 +236,7 @@
 }
 
 // exit prints an error that has not been printed, and returns its exit code.
-func (e *Env) exit(err error) int {
+func (e *Env) reportExit(err error) int {
 	switch {
 	case err == nil:
 		return ExitOK
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -17,10 +17,10 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-const example = "../../deploy/lockflow.toml"
+const exampleConfig = "../../deploy/lockflow.toml"
 
 // run runs a command line and gives its exit code and what it printed.
-func run(t *testing.T, env map[string]string, args ...string) (code int, out, errs string) {
+func runCommand(t *testing.T, env map[string]string, args ...string) (code int, out, errs string) {
 	t.Helper()
 	var o, e bytes.Buffer
 	hup := make(chan os.Signal)
@@ -30,12 +30,12 @@
 }
 
 // Each setting that can't be ends the start with 2 and is named by file and path.
-func TestPlatformSettingsThatCannotBe(t *testing.T) {
+func TestInvalidPlatformSettings(t *testing.T) {
 	raw, err := os.ReadFile("../config/testdata/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for old, tc := range map[string]struct{ new, tells string }{
+	for old, tc := range map[string]struct{ new, want string }{
 		`"self-index": 0`:      {`"self-index": 2`, "self-index"},
 		`"group-size": 2`:      {`"group-size": 0`, "group-size"},
 		`"quota-rate": 0.5`:    {`"quota-rate": -0.5`, "tariffs.0.quota-rate"},
@@ -61,11 +61,11 @@
 			t.Fatal(err)
 		}
 		var logged strings.Builder
-		was := slog.Default()
+		previousLogger := slog.Default()
 		slog.SetDefault(slog.New(slog.NewTextHandler(&logged, nil)))
-		code, out, errs := run(t, map[string]string{"NODE_CONFIG": path})
-		slog.SetDefault(was)
-		if all := out + errs + logged.String(); code != ExitUsage || !strings.Contains(all, tc.tells) || !strings.Contains(all, path) {
+		code, out, errs := runCommand(t, map[string]string{"NODE_CONFIG": path})
+		slog.SetDefault(previousLogger)
+		if all := out + errs + logged.String(); code != ExitUsage || !strings.Contains(all, tc.want) || !strings.Contains(all, path) {
 			t.Errorf("%s: exit %d\n%s", tc.new, code, all)
 		}
 	}
@@ -76,7 +76,7 @@
 	if err := os.WriteFile(bad, []byte("x = 1\ny = 2\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	raw, err := os.ReadFile(example)
+	raw, err := os.ReadFile(exampleConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,12 +87,12 @@
 		}
 		return path
 	}
-	moved, grown := variant("127.0.0.1:8500", "127.0.0.1:8600"), variant("cores = 1", "cores = 1\nstate = \"/var/lib/lockflow\"")
+	discoveryMoved, stateAdded := variant("127.0.0.1:8500", "127.0.0.1:8600"), variant("cores = 1", "cores = 1\nstate = \"/var/lib/lockflow\"")
 	for name, tc := range map[string]struct {
-		args  []string
-		env   map[string]string
-		code  int
-		tells string // somewhere in what is printed
+		args []string
+		env  map[string]string
+		code int
+		want string // somewhere in what is printed
 	}{
 		"help":               {[]string{"help"}, nil, ExitOK, "check       checks a configuration"},
 		"help of one":        {[]string{"help", "route"}, nil, ExitOK, "--host HOST"},
@@ -101,41 +101,41 @@
 		"no such command":    {[]string{"nope"}, nil, ExitUsage, `"nope"`},
 		"a near miss":        {[]string{"serv"}, nil, ExitUsage, "did you mean serve?"},
 		"version":            {[]string{"--version"}, nil, ExitOK, "lockflow "},
-		"log format":         {[]string{"check", example, "--log-format", "xml"}, nil, ExitUsage, "text, json"},
-		"log level":          {[]string{"check", example, "--log-level", "loud"}, nil, ExitUsage, "debug, info"},
+		"log format":         {[]string{"check", exampleConfig, "--log-format", "xml"}, nil, ExitUsage, "text, json"},
+		"log level":          {[]string{"check", exampleConfig, "--log-level", "loud"}, nil, ExitUsage, "debug, info"},
 		"log as JSON":        {[]string{"serve", "--config", bad + "no", "--log-format", "json"}, nil, ExitFailed, `"level":"ERROR"`},
 		"completion":         {[]string{"completion", "bash"}, nil, ExitOK, "__start_lockflow"},
 		"no such flag":       {[]string{"check", "--nope"}, nil, ExitUsage, "nope"},
 		"check of none":      {[]string{"check"}, nil, ExitUsage, "one file"},
 		"check of two":       {[]string{"check", bad, bad}, nil, ExitUsage, "one file"},
-		"check":              {[]string{"check", example}, nil, ExitOK, "3 services, 5 routes"},
+		"check":              {[]string{"check", exampleConfig}, nil, ExitOK, "3 services, 5 routes"},
 		"check of a bad one": {[]string{"check", bad}, nil, ExitFailed, bad + ":2: y: unknown key"},
 		"check of a lost":    {[]string{"check", bad + "no"}, nil, ExitFailed, "no such file"},
 		"check as JSON":      {[]string{"check", bad, "--json"}, nil, ExitFailed, `"key":"y"`},
-		"check a good as":    {[]string{"check", "--json", example}, nil, ExitOK, "[]"},
+		"check a good as":    {[]string{"check", "--json", exampleConfig}, nil, ExitOK, "[]"},
 		"serve of none":      {[]string{"serve"}, nil, ExitUsage, "LOCKFLOW_CONFIG"},
 		"serve a bad one":    {[]string{"serve", "--config", bad}, nil, ExitFailed, bad + ":1: x: unknown key"},
 		"serve by LOCKFLOW":  {nil, map[string]string{"LOCKFLOW_CONFIG": bad}, ExitFailed, bad + ":1: x: unknown key"},
 		"both named":         {nil, map[string]string{"LOCKFLOW_CONFIG": bad, "NODE_CONFIG": bad}, ExitUsage, "both"},
 		"route of none":      {[]string{"route"}, nil, ExitUsage, "--config"},
-		"route":              {[]string{"route", "--config", example, "--host", "care.example", "--path", "/plans/7"}, nil, ExitOK, "documents"},
-		"no route":           {[]string{"route", "--config", example, "--host", "care.example", "--path", "/x"}, nil, ExitFailed, "no route"},
-		"route of odd path":  {[]string{"route", "--config", example, "--path", "/a/../b"}, nil, ExitFailed, ""},
-		"route odd header":   {[]string{"route", "--config", example, "--path", "/", "--header", "x"}, nil, ExitUsage, "colon"},
-		"plan of one":        {[]string{"plan", example}, nil, ExitUsage, "two files"},
-		"plan of the same":   {[]string{"plan", example, example}, nil, ExitOK, "nothing changes"},
-		"plan as JSON":       {[]string{"plan", example, example, "--json"}, nil, ExitOK, "[]"},
-		"plan of a change":   {[]string{"plan", example, moved}, nil, ExitOK, "discovery at 127.0.0.1:8500 -> discovery at 127.0.0.1:8600"},
-		"plan of a restart":  {[]string{"plan", example, grown}, nil, ExitFailed, "need a restart"},
-		"plan of a bad one":  {[]string{"plan", example, bad}, nil, ExitFailed, bad + ":1: x"},
+		"route":              {[]string{"route", "--config", exampleConfig, "--host", "care.example", "--path", "/plans/7"}, nil, ExitOK, "documents"},
+		"no route":           {[]string{"route", "--config", exampleConfig, "--host", "care.example", "--path", "/x"}, nil, ExitFailed, "no route"},
+		"route of odd path":  {[]string{"route", "--config", exampleConfig, "--path", "/a/../b"}, nil, ExitFailed, ""},
+		"route odd header":   {[]string{"route", "--config", exampleConfig, "--path", "/", "--header", "x"}, nil, ExitUsage, "colon"},
+		"plan of one":        {[]string{"plan", exampleConfig}, nil, ExitUsage, "two files"},
+		"plan of the same":   {[]string{"plan", exampleConfig, exampleConfig}, nil, ExitOK, "nothing changes"},
+		"plan as JSON":       {[]string{"plan", exampleConfig, exampleConfig, "--json"}, nil, ExitOK, "[]"},
+		"plan of a change":   {[]string{"plan", exampleConfig, discoveryMoved}, nil, ExitOK, "discovery at 127.0.0.1:8500 -> discovery at 127.0.0.1:8600"},
+		"plan of a restart":  {[]string{"plan", exampleConfig, stateAdded}, nil, ExitFailed, "need a restart"},
+		"plan of a bad one":  {[]string{"plan", exampleConfig, bad}, nil, ExitFailed, bad + ":1: x"},
 		"demo for too short": {[]string{"demo", "--for", "1ms"}, nil, ExitUsage, "300ms"},
 		"measure of none":    {[]string{"measure"}, nil, ExitUsage, "isolation, proxy"},
 		"measure of what":    {[]string{"measure", "luck"}, nil, ExitUsage, "luck"},
 		"measure too many":   {[]string{"measure", "proxy", "--connections", "0"}, nil, ExitUsage, "1000"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			code, out, errs := run(t, tc.env, tc.args...)
-			if code != tc.code || !strings.Contains(out+errs, tc.tells) {
+			code, out, errs := runCommand(t, tc.env, tc.args...)
+			if code != tc.code || !strings.Contains(out+errs, tc.want) {
 				t.Errorf("exit %d\n%s%s", code, out, errs)
 			}
 		})
@@ -159,12 +159,12 @@
 			t.Errorf("%s is not as it was; go test ./internal/command -update writes it anew (%v)\n%s", path, err, got)
 		}
 	}
-	_, out, _ := run(t, nil, "help")
+	_, out, _ := runCommand(t, nil, "help")
 	golden("lockflow", out)
 	for _, c := range commands() {
-		_, out, errs := run(t, nil, c.name, "--help")
+		_, out, errs := runCommand(t, nil, c.name, "--help")
 		golden(c.name, out+errs)
-		if _, again, _ := run(t, nil, "help", c.name); again != out {
+		if _, helpOutput, _ := runCommand(t, nil, "help", c.name); helpOutput != out {
 			t.Errorf("help %s and %s --help differ", c.name, c.name)
 		}
 	}
@@ -172,12 +172,12 @@
 
 // The man pages under docs/man are those of the commands as they are.
 func TestManPages(t *testing.T) {
-	dir, kept := t.TempDir(), filepath.Join("..", "..", "docs", "man")
+	dir, committed := t.TempDir(), filepath.Join("..", "..", "docs", "man")
 	if testkit.IsUpdating() {
-		if err := os.MkdirAll(kept, 0o755); err != nil {
+		if err := os.MkdirAll(committed, 0o755); err != nil {
 			t.Fatal(err)
 		}
-		dir = kept
+		dir = committed
 	}
 	root := newRootCommand(&Env{Out: io.Discard, Err: io.Discard})
 	root.DisableAutoGenTag = true
@@ -188,7 +188,7 @@
 	pages, _ := filepath.Glob(filepath.Join(dir, "*.1"))
 	for _, p := range pages {
 		got, _ := os.ReadFile(p)
-		want, err := os.ReadFile(filepath.Join(kept, filepath.Base(p)))
+		want, err := os.ReadFile(filepath.Join(committed, filepath.Base(p)))
 		if err != nil || !bytes.Equal(got, want) {
 			t.Errorf("docs/man/%s is not of these commands; go test ./internal/command -update writes it anew (%v)", filepath.Base(p), err)
 		}
@@ -199,7 +199,7 @@
 }
 
 func TestRouteAsJSON(t *testing.T) {
-	code, out, _ := run(t, nil, "route", "--json", "--config", example, "--host", "CARE.example:443", "--path", "/notes/4?x=1", "--method", "POST")
+	code, out, _ := runCommand(t, nil, "route", "--json", "--config", exampleConfig, "--host", "CARE.example:443", "--path", "/notes/4?x=1", "--method", "POST")
 	var got struct {
 		Service, Route, Class, Host, Path string
 		Why                               []string
@@ -215,7 +215,7 @@
 
 // The demo, in short: it ends well only if each request had exactly one final answer.
 func TestDemo(t *testing.T) {
-	code, out, errs := run(t, nil, "demo", "--for", "1500ms", "--json")
+	code, out, errs := runCommand(t, nil, "demo", "--for", "1500ms", "--json")
 	var got struct {
 		Fine   bool
 		Phases []struct {
@@ -239,7 +239,7 @@
 
 // A day by name keeps the rules and says so; a guard taken out that is found is no failure.
 func TestSimulateDays(t *testing.T) {
-	for args, tells := range map[string]string{
+	for args, want := range map[string]string{
 		"--day calm,join --instances 2,8 --for 12s":          "none",
 		"--day herd --instances 3 --for 12s --json":          `"broken":{}`,
 		"--day mutations --instances 40 --for 20s --seed 4":  "found: a final answer is given twice (answer)",
@@ -247,12 +247,12 @@
 		"--quota clinic --instances 4 --policy module":       "clinic, 4 instances, module, mean of 1",
 		"--quota all --instances 2 --for 12s --json":         `"policy":"late use"`,
 	} {
-		if code, out, errs := run(t, nil, append([]string{"simulate"}, strings.Fields(args)...)...); code != ExitOK || !strings.Contains(out, tells) {
+		if code, out, errs := runCommand(t, nil, append([]string{"simulate"}, strings.Fields(args)...)...); code != ExitOK || !strings.Contains(out, want) {
 			t.Errorf("%s: exit %d\n%s%s", args, code, out, errs)
 		}
 	}
 	for _, args := range []string{"--day calm,tuesday", "--day calm --instances 0", "--quota moon", "--quota all --seeds 0", "--quota all --policy none"} {
-		if code, _, errs := run(t, nil, append([]string{"simulate"}, strings.Fields(args)...)...); code != ExitUsage || errs == "" {
+		if code, _, errs := runCommand(t, nil, append([]string{"simulate"}, strings.Fields(args)...)...); code != ExitUsage || errs == "" {
 			t.Errorf("%s: exit %d %s", args, code, errs)
 		}
 	}
--- a/internal/command/daemon_test.go
+++ b/internal/command/daemon_test.go
@@ -15,31 +15,31 @@
 
 // A supervisor hears of each step of a daemon's life: READY once it serves, RELOADING with the
 // time and READY behind it also where the file is bad, STOPPING before the end.
-func TestDaemonTellsItsSupervisor(t *testing.T) {
+func TestDaemonNotifiesSupervisor(t *testing.T) {
 	dir := t.TempDir()
-	file, pid := filepath.Join(dir, "c.toml"), filepath.Join(dir, "pid")
+	configPath, pidPath := filepath.Join(dir, "c.toml"), filepath.Join(dir, "pid")
 	write := func(text string) {
-		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(configPath, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	write(testkit.Small)
-	told := testkit.Supervisor(t)
+	notifications := testkit.Supervisor(t)
 	ctx, stop := context.WithCancel(context.Background())
 	hup := make(chan os.Signal)
 	var out, errs bytes.Buffer
 	code := make(chan int, 1)
 	go func() {
-		code <- Run(ctx, &Env{Getenv: func(string) string { return "" }, Out: &out, Err: &errs, ReloadSignals: hup}, []string{"serve", "--config", file, "--pid-file", pid})
+		code <- Run(ctx, &Env{Getenv: func(string) string { return "" }, Out: &out, Err: &errs, ReloadSignals: hup}, []string{"serve", "--config", configPath, "--pid-file", pidPath})
 	}()
 	expect := func(want string) {
 		t.Helper()
-		if got := testkit.Next(t, told); !strings.HasPrefix(got, want) {
+		if got := testkit.Next(t, notifications); !strings.HasPrefix(got, want) {
 			t.Fatalf("told %q, not %q", got, want)
 		}
 	}
 	expect("READY=1\nSTATUS=1 services on 127.0.0.1:")
-	if raw, err := os.ReadFile(pid); err != nil || string(raw) != fmt.Sprintln(os.Getpid()) {
+	if raw, err := os.ReadFile(pidPath); err != nil || string(raw) != fmt.Sprintln(os.Getpid()) {
 		t.Errorf("pid file: %q, %v", raw, err)
 	}
 	for _, text := range []string{strings.Replace(testkit.Small, "services.a", "services.b", 1) + "\n", "x = 1", testkit.Small} {
@@ -56,7 +56,7 @@
 	if c := testkit.Next(t, code); c != ExitOK {
 		t.Errorf("exit %d: %s", c, errs.String())
 	}
-	if _, err := os.Stat(pid); !os.IsNotExist(err) {
+	if _, err := os.Stat(pidPath); !os.IsNotExist(err) {
 		t.Errorf("the pid file is left: %v", err)
 	}
 }
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -59,7 +59,7 @@
 }
 
 // phase is the result of a third of the demo.
-type phase struct {
+type phaseResult struct {
 	Name    string                  `json:"phase"`
 	Results map[string]*fake.Result `json:"results"`
 	P99     map[string]float64      `json:"p99_ms"`
@@ -73,55 +73,55 @@
 	old := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil))) // the printed tables are the report
 	defer slog.SetDefault(old)
-	l, err := testbench.Start(testbench.WithDescriptors(d.descriptors), testbench.DemoServers(d.seed))
+	bench, err := testbench.Start(testbench.WithDescriptors(d.descriptors), testbench.DemoServers(d.seed))
 	if err != nil {
 		return err
 	}
-	defer l.Stop() //nolint:errcheck // what failed is reported while it runs
-	if err := l.Ready(ctx); err != nil {
+	defer bench.Stop() //nolint:errcheck // what failed is reported while it runs
+	if err := bench.Ready(ctx); err != nil {
 		return err
 	}
 	output := e.Out
 	if d.json {
 		output = io.Discard
 	}
-	fmt.Fprintf(output, "two services on %s, %d descriptors; the document servers stall in the middle third\n\n", l.Node.Addr(), d.descriptors)
+	fmt.Fprintf(output, "two services on %s, %d descriptors; the document servers stall in the middle third\n\n", bench.Node.Addr(), d.descriptors)
 	fmt.Fprintf(output, "%-8s %-8s %-10s %7s %7s %8s %7s %6s %12s %12s\n", "time", "phase", "service", "calls/s", "served", "refused", "failed",
 		"held", "descriptors", "bytes")
 	startedAt := time.Now()
-	var phases []phase
+	var phases []phaseResult
 	for i, name := range []string{"before", "stalled", "after"} {
-		l.Pools["documents"].Stall(i == 1)
-		p := phase{Name: name}
-		p.Results = d.play(ctx, l, startedAt, name, uint64(i), output)
+		bench.Pools["documents"].Stall(i == 1)
+		p := phaseResult{Name: name}
+		p.Results = d.runPhase(ctx, bench, startedAt, name, uint64(i), output)
 		p.P99 = make(map[string]float64)
 		for k, r := range p.Results {
 			p.P99[k] = float64(r.Quantile(0.99).Microseconds()) / 1000
 		}
 		phases = append(phases, p)
 	}
-	stopped := l.Stop()
-	return d.summary(e, l, phases, stopped)
+	stopErr := bench.Stop()
+	return d.printSummary(e, bench, phases, stopErr)
 }
 
 // play sends the calls of a phase, and prints a line a second.
-func (d *demo) play(ctx context.Context, l *testbench.Bench, startedAt time.Time, name string, n uint64, output io.Writer) map[string]*fake.Result {
+func (d *demo) runPhase(ctx context.Context, bench *testbench.Bench, startedAt time.Time, name string, phaseIndex uint64, output io.Writer) map[string]*fake.Result {
 	ctx, cancel := context.WithTimeout(ctx, d.duration/3)
 	defer cancel()
 	runs := []*fake.Run{
-		fake.Clients{Addr: l.Node.Addr(), Seed: d.seed + 10*n, Call: testbench.RosterCall, Interval: 5 * time.Millisecond, Workers: 64}.Start(ctx),
-		fake.Clients{Addr: l.Node.Addr(), Seed: d.seed + 10*n + 1, Call: testbench.DocumentCall, Interval: 10 * time.Millisecond, Workers: 256}.Start(ctx),
+		fake.Clients{Addr: bench.Node.Addr(), Seed: d.seed + 10*phaseIndex, Call: testbench.RosterCall, Interval: 5 * time.Millisecond, Workers: 64}.Start(ctx),
+		fake.Clients{Addr: bench.Node.Addr(), Seed: d.seed + 10*phaseIndex + 1, Call: testbench.DocumentCall, Interval: 10 * time.Millisecond, Workers: 256}.Start(ctx),
 	}
 	last := make(map[string]fake.Result)
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
-	for more := true; more; {
+	for isRunning := true; isRunning; {
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			more = false
+			isRunning = false
 		}
-		if !more {
+		if !isRunning {
 			break // the summary has the last part of a second
 		}
 		now := make(map[string]fake.Result)
@@ -130,7 +130,7 @@
 				now[k] = v
 			}
 		}
-		for i, st := range l.Node.Status() {
+		for i, st := range bench.Node.Status() {
 			k := demoKinds[len(demoKinds)-1-i] // services are sorted by name, which is the opposite order
 			a, b := last[k], now[k]
 			fmt.Fprintf(output, "%-8s %-8s %-10s %7d %7d %8d %7d %6d %6d of %-3d %12d\n", time.Since(startedAt).Round(100*time.Millisecond), name, k,
@@ -149,20 +149,20 @@
 }
 
 // summary prints the results of all phases, and fails unless each request had exactly one final answer.
-func (d *demo) summary(e *Env, l *testbench.Bench, phases []phase, stopped error) error {
-	fine := stopped == nil
+func (d *demo) printSummary(e *Env, bench *testbench.Bench, phases []phaseResult, stopErr error) error {
+	isCorrect := stopErr == nil
 	for _, p := range phases {
 		for _, r := range p.Results {
-			fine = fine && r.Lost+r.Wrong == 0 && r.Calls > 0
+			isCorrect = isCorrect && r.Lost+r.Wrong == 0 && r.Calls > 0
 		}
 	}
-	tallies := make(map[string]fake.Counts)
+	counts := make(map[string]fake.Counts)
 	for _, k := range demoKinds {
-		tallies[k] = l.Pools[k].Executions.Counts()
-		fine = fine && tallies[k].DuplicateEffects == 0 && tallies[k].MaxInFlight <= 1
+		counts[k] = bench.Pools[k].Executions.Counts()
+		isCorrect = isCorrect && counts[k].DuplicateEffects == 0 && counts[k].MaxInFlight <= 1
 	}
 	if d.json {
-		if err := json.NewEncoder(e.Out).Encode(map[string]any{"fine": fine, "phases": phases, "servers": tallies}); err != nil {
+		if err := json.NewEncoder(e.Out).Encode(map[string]any{"fine": isCorrect, "phases": phases, "servers": counts}); err != nil {
 			return err
 		}
 	} else {
@@ -175,12 +175,12 @@
 						r.Quantile(0.5).Round(100*time.Microsecond), r.Quantile(0.99).Round(100*time.Microsecond), r.Rejected, r.Failed, r.Lost, r.Wrong)
 				}
 			}
-			c := tallies[k]
+			c := counts[k]
 			fmt.Fprintf(e.Out, "%-10s servers: %d attempts, %d requests ran, %d more than once, %d effects twice\n", k, c.Attempts, c.Requests,
 				c.Repeated, c.DuplicateEffects)
 		}
 	}
-	if !fine {
+	if !isCorrect {
 		fmt.Fprintln(e.Err, "not every request had exactly one final answer")
 		return errReported
 	}
--- a/internal/command/event_log.go
+++ b/internal/command/event_log.go
@@ -33,16 +33,16 @@
 				if len(args) == 0 || *objective < 0 || *maxServers < 0 {
 					return usageError("tally takes the logs of one instance each; see lockflow tally --help")
 				}
-				a := eventlog.Summer{LatencyObjectiveMS: float64(*objective) / float64(time.Millisecond)}
+				summer := eventlog.Summer{LatencyObjectiveMS: float64(*objective) / float64(time.Millisecond)}
 				for _, path := range args {
-					if err := readEventLog(&a, path); err != nil {
+					if err := readEventLog(&summer, path); err != nil {
 						return err
 					}
 					if ctx.Err() != nil {
 						return ctx.Err()
 					}
 				}
-				s := a.Sum()
+				s := summer.Sum()
 				if len(s.Seconds) == 0 {
 					return fmt.Errorf("tally: no line of a tally in %d logs; LOCKFLOW_TALLY=1 has an instance write them", len(args))
 				}
@@ -57,13 +57,13 @@
 }
 
 // readEventLog adds the event log of one instance, which its file is named after.
-func readEventLog(a *eventlog.Summer, path string) error {
+func readEventLog(summer *eventlog.Summer, path string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return fmt.Errorf("tally: %w", err)
 	}
 	defer f.Close() //nolint:errcheck // only read
-	if err := a.Read(strings.TrimSuffix(filepath.Base(path), ".log"), f); err != nil {
+	if err := summer.Read(strings.TrimSuffix(filepath.Base(path), ".log"), f); err != nil {
 		return fmt.Errorf("tally: %s: %w", path, err)
 	}
 	return nil
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -110,14 +110,14 @@
 }
 
 // runOnMembers runs an operation on all members.
-func (f *fleetFlags) runOnMembers(ctx context.Context, e *Env, what string) error {
+func (f *fleetFlags) runOnMembers(ctx context.Context, e *Env, operation string) error {
 	var members []fleet.Member
 	var err error
 	switch {
 	case countSet(f.dir, f.sockets, f.file) != 1:
-		return usageError("fleet %s takes one of --dir DIR, --sockets FILE and --fleet FLEET.toml", what)
+		return usageError("fleet %s takes one of --dir DIR, --sockets FILE and --fleet FLEET.toml", operation)
 	case f.file != "":
-		return f.runOnRegions(ctx, e, what)
+		return f.runOnRegions(ctx, e, operation)
 	case f.dir != "":
 		members, err = fleet.MembersInDirectory(f.dir)
 	default:
@@ -126,24 +126,24 @@
 	if err != nil {
 		return err
 	}
-	switch what {
+	switch operation {
 	case "status":
 		return f.status(ctx, e, members)
 	case "drain", "serve":
-		return f.setDrained(ctx, e, members, what == "drain")
+		return f.setDrained(ctx, e, members, operation == "drain")
 	case "reload":
 		text, err := f.readConfig()
 		if err != nil {
 			return err
 		}
-		return f.startChange(ctx, e, what, fleet.WithSettings(members, text), nil)
+		return f.startChange(ctx, e, operation, fleet.WithSettings(members, text), nil)
 	case "upgrade":
 		if f.program != "" && !filepath.IsAbs(f.program) {
 			return usageError("fleet upgrade: program %q is no absolute path", f.program)
 		}
-		return f.startChange(ctx, e, what, fleet.WithSettings(members, nil), nil)
+		return f.startChange(ctx, e, operation, fleet.WithSettings(members, nil), nil)
 	}
-	return usageError("fleet: there is no %q: run, status, reload, upgrade, drain, serve", what)
+	return usageError("fleet: there is no %q: run, status, reload, upgrade, drain, serve", operation)
 }
 
 // readConfig reads and checks the new settings; nil is those of each member's own file.
--- a/internal/command/golden_test.go
+++ b/internal/command/golden_test.go
@@ -28,7 +28,7 @@
 		"route":       {"route", "--config", in("old.toml"), "--host", "care.example", "--path", "/plans/7", "--json"},
 		"allowance":   {"allowance", "explain", "--config", in("old.toml"), "--plan", "enterprise", "--json"},
 	} {
-		_, out, errs := run(t, nil, args...)
+		_, out, errs := runCommand(t, nil, args...)
 		if out == "" {
 			t.Errorf("%s prints nothing: %s", name, errs)
 			continue
@@ -40,7 +40,7 @@
 // What other commands print as JSON has the keys that earlier builds printed.
 func TestGoldenReports(t *testing.T) {
 	for name, v := range map[string]any{
-		"findings": &findings{}, "replayed": &replayed{}, "played": &playedDay{}, "phase": &phase{}, "event-log": &eventlog.Sum{},
+		"findings": &findings{}, "replayed": &replayResult{}, "played": &dayResult{}, "phase": &phaseResult{}, "event-log": &eventlog.Sum{},
 		"balance": &balancesim.Report{}, "simulated": &fleetsim.Report{}, "simulated-quota": &fleetsim.QuotaReport{},
 		"simulated-rollout": &rolloutsim.Report{}, "simulated-gather": &waitpolicysim.Report{}, "simulated-share": &waitpolicysim.ShareReport{},
 		"measured-proxy": &measure.ProxyRow{}, "measured-servers": &measure.ServersRow{}, "measured-bodies": &measure.BodiesRow{},
--- a/internal/command/keys_test.go
+++ b/internal/command/keys_test.go
@@ -19,7 +19,7 @@
 // What commands print with --json has a written key for every field.
 func TestKeysAreWritten(t *testing.T) {
 	testkit.RequireKeys(t, "json",
-		config.Plan{}, findings{}, replayed{}, playedDay{}, phase{}, eventlog.Sum{},
+		config.Plan{}, findings{}, replayResult{}, dayResult{}, phaseResult{}, eventlog.Sum{},
 		quotalease.HardLimit{}, []quotalease.Guarantee{}, map[string]fake.Counts{},
 		[]fleet.StatusReply{}, fleet.Progress{}, []fleet.MemberState{},
 		[]balancesim.Report{}, []fleetsim.Report{}, []fleetsim.QuotaReport{}, []rolloutsim.Report{},
--- a/internal/command/measure.go
+++ b/internal/command/measure.go
@@ -94,7 +94,7 @@
 	set.Uint64Var(&m.fleet.Seed, "seed", 1, "fleet, faults, change, soak: `N` of the disturbances' chance")
 	set.StringVar(&m.skew.Previous, "previous", "", "upgrade: `PATH` of another build, from which and to which is upgraded")
 	set.IntVar(&m.skew.Requests, "requests", skewRequests, "upgrade, with --previous: `N` answered between two changes")
-	m.script = faultFlags(set, &m.faults)
+	m.script = addFaultFlags(set, &m.faults)
 	set.StringVar(&m.kinds, "kinds", "settings,program", "rollout: `KIND,KIND...` of changes: settings, program")
 	set.BoolVar(&m.asJSON, "json", false, "prints the figures as JSON")
 }
--- a/internal/command/measure_faults.go
+++ b/internal/command/measure_faults.go
@@ -22,7 +22,7 @@
 )
 
 // faultFlags declares the flags of measure faults and change, and returns that of the script's file.
-func faultFlags(set flags, o *measure.FaultsOptions) (file *string) {
+func addFaultFlags(set flags, o *measure.FaultsOptions) (file *string) {
 	set.IntVar(&o.Processes, "processes", 3, "faults, change, soak, rollout: `N` nodes; change: a third of them in each of three regions")
 	set.IntVar(&o.Seeds, "seeds", 20, "faults, change, soak: `N` scripts or plays, of --seed and those after it")
 	set.IntVar(&o.Faults, "faults", 0, "faults, change: `N` in a script; 0 is one for each link and process, and one more")
--- a/internal/command/measure_rollout.go
+++ b/internal/command/measure_rollout.go
@@ -48,12 +48,12 @@
 
 // printRolloutTrial prints the ends of all changes, and the sums of what the coordinators did.
 func printRolloutTrial(w io.Writer, r *measure.RolloutReport) {
-	ends := make(map[string]int)
+	outcomes := make(map[string]int)
 	for _, row := range r.Rows {
-		ends[fmt.Sprintf("%s, %s: all %s", row.Kind, row.Recovery, row.State)]++
+		outcomes[fmt.Sprintf("%s, %s: all %s", row.Kind, row.Recovery, row.State)]++
 	}
-	for _, end := range sortedKeys(ends) {
-		fmt.Fprintf(w, "%5d  %s\n", ends[end], end)
+	for _, outcome := range sortedKeys(outcomes) {
+		fmt.Fprintf(w, "%5d  %s\n", outcomes[outcome], outcome)
 	}
 	for _, kind := range sortedKeys(r.Writes) {
 		fmt.Fprintf(w, "%5d  writes of a change of %s\n", r.Writes[kind], kind)
--- a/internal/command/measure_soak.go
+++ b/internal/command/measure_soak.go
@@ -20,8 +20,8 @@
 
 // soakClients is how many clients each node of a soak test has, and soakFlood how many more each has in every second test.
 const (
-	soakClients = 4
-	soakFlood   = 18
+	soakClients      = 4
+	soakFloodClients = 18
 )
 
 // soakOptions are the options of measure soak.
@@ -59,9 +59,9 @@
 			Seed:         o.seed + uint64(i),
 		}
 		if options.Seed%2 == 1 {
-			options.Flood = soakFlood
+			options.Flood = soakFloodClients
 		}
-		report, err := playSoak(ctx, options)
+		report, err := runSoak(ctx, options)
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", options.Seed, err)
 		}
@@ -77,7 +77,7 @@
 }
 
 // playSoak runs the soak test of one seed, and removes its files unless it failed.
-func playSoak(ctx context.Context, o soak.Options) (*soak.Report, error) {
+func runSoak(ctx context.Context, o soak.Options) (*soak.Report, error) {
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
 		return nil, err
 	}
--- a/internal/command/plan.go
+++ b/internal/command/plan.go
@@ -22,22 +22,22 @@
 		},
 		setup: func(set flags) func(context.Context, *Env, []string) error {
 			asJSON := set.Bool("json", false, "prints it as JSON")
-			fleet := set.Bool("fleet", false, "the files name regions; tells the order in which these may change, and conflicts on the way")
+			isFleet := set.Bool("fleet", false, "the files name regions; tells the order in which these may change, and conflicts on the way")
 			return func(_ context.Context, e *Env, args []string) error {
 				if len(args) != 2 {
 					return usageError("plan takes two files")
 				}
-				if *fleet {
+				if *isFleet {
 					return planFleet(e, args[0], args[1], *asJSON)
 				}
-				return plan(e, args[0], args[1], *asJSON)
+				return printPlan(e, args[0], args[1], *asJSON)
 			}
 		},
 	}
 }
 
 // plan prints the changes between two configurations. It fails if a reload would be rejected.
-func plan(e *Env, oldPath, newPath string, asJSON bool) error {
+func printPlan(e *Env, oldPath, newPath string, asJSON bool) error {
 	old, err := config.Load(oldPath)
 	if err != nil {
 		return err
@@ -46,27 +46,27 @@
 	if err != nil {
 		return err
 	}
-	p := config.Compare(old, new)
+	changes := config.Compare(old, new)
 	if asJSON {
-		if p == nil {
-			p = config.Plan{}
+		if changes == nil {
+			changes = config.Plan{}
 		}
-		if err := json.NewEncoder(e.Out).Encode(p); err != nil {
+		if err := json.NewEncoder(e.Out).Encode(changes); err != nil {
 			return err
 		}
 	} else {
 		w := tabwriter.NewWriter(e.Out, 0, 0, 2, ' ', 0)
-		for _, c := range p {
+		for _, c := range changes {
 			fmt.Fprintf(w, "%s\t%s\t%s\n", c.Effect, c.What, formatValues(c))
 		}
-		if len(p) == 0 {
+		if len(changes) == 0 {
 			fmt.Fprintln(w, "nothing changes")
 		}
 		if err := w.Flush(); err != nil {
 			return err
 		}
 	}
-	if n := len(p.Restarts()); n > 0 {
+	if n := len(changes.Restarts()); n > 0 {
 		fmt.Fprintf(e.Err, "%d changes need a restart: a reload would be refused\n", n)
 		return errReported
 	}
--- a/internal/command/proxy.go
+++ b/internal/command/proxy.go
@@ -27,7 +27,7 @@
 			listen := set.String("listen", "127.0.0.1:8080", "`ADDRESS` for clients")
 			to := set.StringSlice("to", nil, "`ADDRESS`es of the app servers")
 			duration := set.Duration("for", 0, "`TIME` after which it drains and ends; 0 is never")
-			show := set.Bool("print", false, "prints the configuration and serves nothing")
+			printsConfig := set.Bool("print", false, "prints the configuration and serves nothing")
 			return func(ctx context.Context, e *Env, args []string) error {
 				if len(args) > 0 || len(*to) == 0 || *duration < 0 {
 					return usageError("proxy takes the servers' addresses (--to) and nothing else beside its flags")
@@ -36,7 +36,7 @@
 				if err != nil {
 					return usageError("proxy: %v", err)
 				}
-				if *show {
+				if *printsConfig {
 					_, err := fmt.Fprint(e.Out, text)
 					return err
 				}
--- a/internal/command/quota_lease.go
+++ b/internal/command/quota_lease.go
@@ -26,7 +26,7 @@
 			set.StringVar(&x.plan, "plan", "", "`NAME` of the plan")
 			set.IntVar(&x.rules.Instances, "instances", 0, "`N` instances that a ceiling is divided over; the file's without it")
 			set.Float64Var(&x.units, "units", 1, "`N` units of a request")
-			set.IntVar(&x.spread, "spread", 0, "`N` instances that the customer comes through; all without it")
+			set.IntVar(&x.activeInstances, "spread", 0, "`N` instances that the customer comes through; all without it")
 			set.DurationVar(&x.rules.Term, "term", 0, "`TIME` for which units are lent; the file's or 1s without it")
 			set.DurationVar(&x.rules.ReservationTime, "pledge", 0, "`TIME` for which an instance pledges its part; the file's or 2s without it")
 			set.DurationVar(&x.rules.ResizeTime, "settle", 0, "`TIME` within which all instances know of another number of them; the file's or 10s without it")
@@ -44,17 +44,17 @@
 
 // leaseExplanation are the flags of the command "allowance".
 type leaseExplanation struct {
-	file   string
-	plan   string
-	rules  quotalease.Rules // zeros are those of the file
-	units  float64          // of a request
-	spread int              // instances that the customer comes through; 0 is all
-	json   bool
+	file            string
+	plan            string
+	rules           quotalease.Rules // zeros are those of the file
+	units           float64          // of a request
+	activeInstances int              // instances that the customer comes through; 0 is all
+	json            bool
 }
 
 // isValid tells whether the flags that are needed are given, and in range.
 func (x *leaseExplanation) isValid() bool {
-	return x.file != "" && x.plan != "" && x.units > 0 && x.spread >= 0
+	return x.file != "" && x.plan != "" && x.units > 0 && x.activeInstances >= 0
 }
 
 // Rules of a file without a shared counter.
@@ -109,24 +109,24 @@
 	case limit.Rate == 0:
 		return fmt.Errorf("%s: plan %q has no ceiling", x.file, x.plan)
 	}
-	if x.spread == 0 || x.spread > x.rules.Instances {
-		x.spread = x.rules.Instances
+	if x.activeInstances == 0 || x.activeInstances > x.rules.Instances {
+		x.activeInstances = x.rules.Instances
 	}
 	if err := x.rules.Validate(); err != nil {
 		return err
 	}
-	promises := x.rules.Guarantees(limit, x.units, x.spread)
+	guarantees := x.rules.Guarantees(limit, x.units, x.activeInstances)
 	if x.json {
-		return json.NewEncoder(e.Out).Encode(map[string]any{"ceiling": limit, "bound": x.rules.Bound(limit), "promises": promises})
+		return json.NewEncoder(e.Out).Encode(map[string]any{"ceiling": limit, "bound": x.rules.Bound(limit), "promises": guarantees})
 	}
 	fmt.Fprintf(e.Out, "plan %s: %g units a second, %g at once; %d instances, traffic through %d of them, requests of %g units\n", x.plan, limit.Rate,
-		limit.Burst, x.rules.Instances, x.spread, x.units)
+		limit.Burst, x.rules.Instances, x.activeInstances, x.units)
 	bound := x.rules.Bound(limit)
 	fmt.Fprintf(e.Out, "in any window, whatever fails: %.4g units and %.4g a second; the rate by clocks wrong by %g, the units by a term of %v\n\n",
 		bound.Burst, bound.Rate, x.rules.MaxDrift, x.rules.Term)
 	w := tabwriter.NewWriter(e.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "case\tbeyond in a minute\tuse\twhy")
-	for _, p := range promises {
+	for _, p := range guarantees {
 		fmt.Fprintf(w, "%s\t%.1f%%\t%.1f%%\t%s\n", p.Case, 100*p.Excess, 100*p.Utilization, p.Reason)
 	}
 	return w.Flush()
--- a/internal/command/quota_lease_test.go
+++ b/internal/command/quota_lease_test.go
@@ -18,8 +18,8 @@
 		t.Fatal(err)
 	}
 	for args, want := range map[string]struct {
-		code  int
-		tells string
+		code   int
+		output string
 	}{
 		"--plan enterprise --instances 40 --units 4":  {ExitOK, "the store of one part, 1.5 units, never fills up to one request"},
 		"--plan enterprise --instances 40 --spread 4": {ExitOK, "10.0%"},
@@ -34,12 +34,12 @@
 		"--plan enterprise --instances 40 --drift 0.005 --json": {ExitOK, `"case":"the counter answers"`},
 		"--plan enterprise --instances 40 --drift 0.5 --json":   {ExitFailed, "drift 0.5"},
 	} {
-		code, out, errs := run(t, nil, append([]string{"allowance", "explain", "--config", file}, strings.Fields(args)...)...)
-		if code != want.code || !strings.Contains(out+errs, want.tells) {
+		code, out, errs := runCommand(t, nil, append([]string{"allowance", "explain", "--config", file}, strings.Fields(args)...)...)
+		if code != want.code || !strings.Contains(out+errs, want.output) {
 			t.Errorf("%s: exit %d\n%s%s", args, code, out, errs)
 		}
 	}
-	_, out, _ := run(t, nil, "allowance", "explain", "--config", file, "--plan", "enterprise", "--instances", "40", "--json")
+	_, out, _ := runCommand(t, nil, "allowance", "explain", "--config", file, "--plan", "enterprise", "--instances", "40", "--json")
 	var got struct {
 		Bound    quotalease.HardLimit
 		Promises []quotalease.Guarantee
--- a/internal/command/regions.go
+++ b/internal/command/regions.go
@@ -80,12 +80,12 @@
 	if err != nil {
 		return err
 	}
-	waiving := new.Waiving(time.Now())
+	waivers := new.Waiving(time.Now())
 	checkMixtures := mixture.NewIncrementalCheck()
 	check := func(all []regions.Region) []regions.Conflict {
 		var remaining []regions.Conflict
 		for _, c := range checkMixtures(all) {
-			if len(waiving.Left([]regions.Conflict{mixture.WithoutGenerations(c)})) > 0 {
+			if len(waivers.Left([]regions.Conflict{mixture.WithoutGenerations(c)})) > 0 {
 				remaining = append(remaining, c)
 			}
 		}
@@ -93,20 +93,20 @@
 	}
 	newRegions := new.Regions()
 	found := findings{Conflicts: check(newRegions)}
-	r := mixture.Order(old.Regions(), newRegions, check)
-	found.Cycle = r.Cycle
-	found.Transient = r.Transient
-	found.Conflicts = append(found.Conflicts, r.Blocked...)
-	found.Conflicts = append(found.Conflicts, waiving.Conflicts()...)
-	if found.Intermediate, err = intermediateConfigs(old, r.Intermediate); err != nil {
+	result := mixture.Order(old.Regions(), newRegions, check)
+	found.Cycle = result.Cycle
+	found.Transient = result.Transient
+	found.Conflicts = append(found.Conflicts, result.Blocked...)
+	found.Conflicts = append(found.Conflicts, waivers.Conflicts()...)
+	if found.Intermediate, err = intermediateConfigs(old, result.Intermediate); err != nil {
 		return err
 	}
-	for _, name := range r.IntermediateOrder {
+	for _, name := range result.IntermediateOrder {
 		found.Order = append(found.Order, name+intermediateSuffix)
 	}
-	found.Order = append(found.Order, r.Order...)
+	found.Order = append(found.Order, result.Order...)
 	if !asJSON {
-		found.explain(e.Out, r)
+		found.explain(e.Out, result)
 	}
 	return found.report(e, asJSON)
 }
@@ -136,16 +136,16 @@
 }
 
 // explain prints the order, or why there is none.
-func (f findings) explain(w io.Writer, r mixture.Result) {
+func (f findings) explain(w io.Writer, result mixture.Result) {
 	switch {
-	case r.Order != nil && len(r.Order) == 0 && len(r.Cycle) == 0:
+	case result.Order != nil && len(result.Order) == 0 && len(result.Cycle) == 0:
 		fmt.Fprintln(w, "no region changes")
 		return
-	case len(r.Cycle) > 0:
-		fmt.Fprintf(w, "no order as it is: %s in the way of each other\n", strings.Join(r.Cycle, ", "))
+	case len(result.Cycle) > 0:
+		fmt.Fprintf(w, "no order as it is: %s in the way of each other\n", strings.Join(result.Cycle, ", "))
 	}
-	if r.Order == nil {
-		if r.IsIncomplete {
+	if result.Order == nil {
+		if result.IsIncomplete {
 			fmt.Fprintln(w, "the search ended by its bound: an order may exist")
 		}
 		fmt.Fprintln(w, "no intermediate settings help: waive what is meant until the change is through, or change less at once")
@@ -154,9 +154,9 @@
 		fmt.Fprintf(w, "%d. %s\n", i+1, step)
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	for _, th := range f.Intermediate {
-		for _, c := range th.Changes {
-			fmt.Fprintf(t, "%s\t%s\t%s\n", th.Region+intermediateSuffix, c.What, formatValues(c))
+	for _, intermediate := range f.Intermediate {
+		for _, c := range intermediate.Changes {
+			fmt.Fprintf(t, "%s\t%s\t%s\n", intermediate.Region+intermediateSuffix, c.What, formatValues(c))
 		}
 	}
 	for _, c := range f.Transient {
--- a/internal/command/regions_test.go
+++ b/internal/command/regions_test.go
@@ -13,7 +13,7 @@
 )
 
 // file is a configuration of one service, with what further lines say. SERVER and RATE are its own.
-func file(more string) string {
+func regionConfig(replacements string) string {
 	text := `[process]
 instances = 8
 [[listeners]]
@@ -33,36 +33,36 @@
 service = "app"
 prefix = "/app"
 `
-	words := map[string]string{"HOST": "north.example", "TERMS": "never", "RATE": "30", "BURST": "60", "SERVER": "a.example", "MORE": ""}
-	for _, w := range strings.Split(more, ";") {
-		if k, v, ok := strings.Cut(w, "="); ok && words[k] != "" || k == "MORE" {
-			words[k] = v
+	values := map[string]string{"HOST": "north.example", "TERMS": "never", "RATE": "30", "BURST": "60", "SERVER": "a.example", "MORE": ""}
+	for _, w := range strings.Split(replacements, ";") {
+		if k, v, ok := strings.Cut(w, "="); ok && values[k] != "" || k == "MORE" {
+			values[k] = v
 		}
 	}
-	for k, v := range words {
+	for k, v := range values {
 		text = strings.ReplaceAll(text, k, v)
 	}
 	return text
 }
 
 // fleetOf writes a fleet of north and south, of four members each.
-func fleetOf(t *testing.T, north, south, more string) string {
+func writeFleet(t *testing.T, north, south, waivers string) string {
 	t.Helper()
 	dir, text := t.TempDir(), ""
 	for name, region := range map[string]string{"north": north, "south": south} {
-		if err := os.WriteFile(filepath.Join(dir, name+".toml"), []byte(file(region)), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, name+".toml"), []byte(regionConfig(region)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		text += fmt.Sprintf("[regions.%s]\nconfig = '%s.toml'\nmembers = ['/%[1]s/0', '/%[1]s/1', '/%[1]s/2', '/%[1]s/3']\nlisteners = ['%[1]s.example:80']\n", name, name)
 	}
 	path := filepath.Join(dir, "fleet.toml")
-	if err := os.WriteFile(path, []byte(text+more), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(text+waivers), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return path
 }
 
-func kinds(all []regions.Conflict) (names []string) {
+func conflictKinds(all []regions.Conflict) (names []string) {
 	for _, c := range all {
 		names = append(names, string(c.Kind))
 	}
@@ -71,44 +71,44 @@
 }
 
 // gatherer is a service that asks app and pod; all of /all leads to it.
-func gatherer(more string) string {
-	return "MORE=[services.pod]\nsource={kind='static',servers=[{endpoint='pod.example:80'}]}\n[services.all.gather]\nmerge='json-array'\n" + more +
+func gatherService(settings string) string {
+	return "MORE=[services.pod]\nsource={kind='static',servers=[{endpoint='pod.example:80'}]}\n[services.all.gather]\nmerge='json-array'\n" + settings +
 		"\n[[routes]]\nname='all'\nservice='all'\nprefix='/all'\n"
 }
 
-const other = "[services.b]\nsource = { kind = 'static', servers = [{ uid = 'b', endpoint = 'b.example:80' }] }\n"
+const serviceB = "[services.b]\nsource = { kind = 'static', servers = [{ uid = 'b', endpoint = 'b.example:80' }] }\n"
 
 // Each kind of conflict is told by the command, with exit code 1, a request that shows it, and as a table.
 func TestCheckFleet(t *testing.T) {
 	waiver := "[[waivers]]\nkind = 'coverage'\nregions = ['north', 'south']\nrules = ['x', 'app']\nreason = 'tried first'\nuntil = "
 	x := "MORE=[[routes]]\nname = 'x'\nservice = 'app'\nprefix = '/x'\n"
-	for name, tc := range map[string]struct{ north, south, more, kinds string }{
+	for name, tc := range map[string]struct{ north, south, more, conflictKinds string }{
 		"none":                      {"", "", "", ""},
-		"service":                   {"MORE=" + other + "[[routes]]\nname='x'\nservice='b'\nprefix='/app/x'\n", "MORE=" + other + "[[routes]]\nname='x'\nservice='b'\nprefix='/app/y'\n", "", "service"},
+		"service":                   {"MORE=" + serviceB + "[[routes]]\nname='x'\nservice='b'\nprefix='/app/x'\n", "MORE=" + serviceB + "[[routes]]\nname='x'\nservice='b'\nprefix='/app/y'\n", "", "service"},
 		"coverage":                  {x, "", "", "coverage"},
 		"terms":                     {"TERMS=free", "", "", "terms"},
 		"ceiling":                   {"RATE=30", "RATE=20", "", "ceiling"},
 		"cold":                      {"MORE=fall_multiple = 9.0", "MORE=fall_multiple = 0.2", "", "cold"},
 		"loop":                      {"SERVER=south.example", "SERVER=north.example", "", "loop"},
-		"loop through a gatherer":   {"SERVER=south.example;" + gatherer("parts=['pod','app']"), "SERVER=north.example;" + gatherer("parts=['pod','app']"), "", "loop"},
-		"loop through one of two":   {"SERVER=south.example;" + gatherer("parts=['pod','app']"), "MORE=" + strings.ReplaceAll(other, "b.", "north.") + "[[routes]]\nname='all'\nservice='b'\nprefix='/all'\n", "", "coverage loop service"},
-		"gatherers alike":           {gatherer("parts=['pod','app']"), gatherer("parts=['pod','app']"), "", ""},
-		"they wait for other times": {gatherer("parts=['pod','app']"), gatherer("parts=['pod','app']\ndeadline='1s'\nhalf_life='2s'"), "", ""},
-		"they gather other parts":   {gatherer("parts=['pod','app']"), gatherer("parts=['pod']"), "", "service"},
-		"a route to a gatherer":     {gatherer("parts=['pod']"), gatherer("parts=['pod']") + "[[routes]]\nname='x'\nservice='all'\nprefix='/x'\n", "", "coverage"},
+		"loop through a gatherer":   {"SERVER=south.example;" + gatherService("parts=['pod','app']"), "SERVER=north.example;" + gatherService("parts=['pod','app']"), "", "loop"},
+		"loop through one of two":   {"SERVER=south.example;" + gatherService("parts=['pod','app']"), "MORE=" + strings.ReplaceAll(serviceB, "b.", "north.") + "[[routes]]\nname='all'\nservice='b'\nprefix='/all'\n", "", "coverage loop service"},
+		"gatherers alike":           {gatherService("parts=['pod','app']"), gatherService("parts=['pod','app']"), "", ""},
+		"they wait for other times": {gatherService("parts=['pod','app']"), gatherService("parts=['pod','app']\ndeadline='1s'\nhalf_life='2s'"), "", ""},
+		"they gather other parts":   {gatherService("parts=['pod','app']"), gatherService("parts=['pod']"), "", "service"},
+		"a route to a gatherer":     {gatherService("parts=['pod']"), gatherService("parts=['pod']") + "[[routes]]\nname='x'\nservice='all'\nprefix='/x'\n", "", "coverage"},
 		"dead":                      {x + "[[routes]]\nname = 'k'\nservice = 'app'\nclass = 'x'\n", x, "", "dead"},
 		"waived":                    {x, "", waiver + "2999-01-01", ""},
 		"expired":                   {x, "", waiver + "2020-01-01", "coverage waiver"},
 		"unused":                    {"", "", waiver + "2999-01-01", "waiver"},
 	} {
-		path := fleetOf(t, tc.north, tc.south, tc.more)
-		code, out, errs := run(t, nil, "check", "--fleet", path, "--json")
+		path := writeFleet(t, tc.north, tc.south, tc.more)
+		code, out, errs := runCommand(t, nil, "check", "--fleet", path, "--json")
 		var got findings
 		if err := json.Unmarshal([]byte(out), &got); err != nil {
 			t.Errorf("%s: %v\n%s%s", name, err, out, errs)
 			continue
 		}
-		if strings.Join(kinds(got.Conflicts), " ") != tc.kinds || (code == ExitOK) != (tc.kinds == "") || code == ExitUsage {
+		if strings.Join(conflictKinds(got.Conflicts), " ") != tc.conflictKinds || (code == ExitOK) != (tc.conflictKinds == "") || code == ExitUsage {
 			t.Errorf("%s: exit %d\n%s%s", name, code, out, errs)
 		}
 		for _, c := range got.Conflicts {
@@ -116,60 +116,60 @@
 				t.Errorf("%s: %+v", name, c)
 			}
 		}
-		if code2, out, _ := run(t, nil, "check", "--fleet", path); code2 != code || len(got.Conflicts) > 0 && !strings.Contains(out, got.Conflicts[0].Why) || code == ExitOK && !strings.Contains(out, "fine: 2 regions, 8 members") {
-			t.Errorf("%s: exit %d\n%s", name, code2, out)
+		if tableCode, out, _ := runCommand(t, nil, "check", "--fleet", path); tableCode != code || len(got.Conflicts) > 0 && !strings.Contains(out, got.Conflicts[0].Why) || code == ExitOK && !strings.Contains(out, "fine: 2 regions, 8 members") {
+			t.Errorf("%s: exit %d\n%s", name, tableCode, out)
 		}
 	}
 }
 
 // A plan tells the order, what is in the way, and the settings by which it goes on.
 func TestPlanFleet(t *testing.T) {
-	moved := func(to string) string {
-		return "MORE=" + other + "[[routes]]\nname='x'\nservice='" + to + "'\nprefix='/x'\n[[routes]]\nname='y'\nservice='b'\nprefix='/y'\n"
+	movedRoute := func(to string) string {
+		return "MORE=" + serviceB + "[[routes]]\nname='x'\nservice='" + to + "'\nprefix='/x'\n[[routes]]\nname='y'\nservice='b'\nprefix='/y'\n"
 	}
-	for name, tc := range map[string]struct{ old, new, more, kinds, order, circle string }{
+	for name, tc := range map[string]struct{ old, new, more, conflictKinds, order, cycle string }{
 		"nothing":             {"", "", "", "", "", ""},
 		"one after the other": {"RATE=40", "RATE=50", "", "", "north south", ""},
-		"both get a route":    {"", moved("b"), "", "", "north south", ""},
+		"both get a route":    {"", movedRoute("b"), "", "", "north south", ""},
 		"through the smaller": {"RATE=40;BURST=60", "RATE=50;BURST=50", "", "ceiling", "north (intermediate) south (intermediate) north south", "north south"},
-		"both move a route":   {moved("app"), moved("b"), "", "service", "", "north south"},
+		"both move a route":   {movedRoute("app"), movedRoute("b"), "", "service", "", "north south"},
 		"as is meant": {
-			moved("app"), moved("b"), "[[waivers]]\nkind='service'\nregions=['north', 'south']\nrules=['x']\nreason='moves'\nuntil=2999-01-01", "",
+			movedRoute("app"), movedRoute("b"), "[[waivers]]\nkind='service'\nregions=['north', 'south']\nrules=['x']\nreason='moves'\nuntil=2999-01-01", "",
 			"north south", "",
 		},
 	} {
-		old, new := fleetOf(t, tc.old, tc.old, ""), fleetOf(t, tc.new, tc.new, tc.more)
-		code, out, errs := run(t, nil, "plan", "--fleet", old, new, "--json")
+		old, new := writeFleet(t, tc.old, tc.old, ""), writeFleet(t, tc.new, tc.new, tc.more)
+		code, out, errs := runCommand(t, nil, "plan", "--fleet", old, new, "--json")
 		var got findings
 		if err := json.Unmarshal([]byte(out), &got); err != nil {
 			t.Errorf("%s: %v\n%s%s", name, err, out, errs)
 			continue
 		}
-		all := []string{strings.Join(kinds(got.Conflicts), " "), strings.Join(got.Order, " "), strings.Join(got.Cycle, " ")}
-		if !slices.Equal(all, []string{tc.kinds, tc.order, tc.circle}) || (code == ExitOK) != (tc.kinds == "") {
+		all := []string{strings.Join(conflictKinds(got.Conflicts), " "), strings.Join(got.Order, " "), strings.Join(got.Cycle, " ")}
+		if !slices.Equal(all, []string{tc.conflictKinds, tc.order, tc.cycle}) || (code == ExitOK) != (tc.conflictKinds == "") {
 			t.Errorf("%s: exit %d, %q\n%s%s", name, code, all, out, errs)
 		}
-		for _, th := range got.Intermediate {
-			if !strings.Contains(th.Text, "ceiling_rate = 40.0") || !strings.Contains(th.Text, "ceiling_burst = 50.0") || len(th.Changes) != 1 || len(th.Hash) != 64 {
-				t.Errorf("%s: %+v", name, th)
+		for _, intermediate := range got.Intermediate {
+			if !strings.Contains(intermediate.Text, "ceiling_rate = 40.0") || !strings.Contains(intermediate.Text, "ceiling_burst = 50.0") || len(intermediate.Changes) != 1 || len(intermediate.Hash) != 64 {
+				t.Errorf("%s: %+v", name, intermediate)
 			}
 		}
-		if code2, out, _ := run(t, nil, "plan", "--fleet", old, new); code2 != code || len(got.Order) > 0 && !strings.Contains(out, "1. "+got.Order[0]) {
-			t.Errorf("%s: exit %d\n%s", name, code2, out)
+		if tableCode, out, _ := runCommand(t, nil, "plan", "--fleet", old, new); tableCode != code || len(got.Order) > 0 && !strings.Contains(out, "1. "+got.Order[0]) {
+			t.Errorf("%s: exit %d\n%s", name, tableCode, out)
 		}
 	}
 }
 
 // What can't be used is told by file, line and key, with exit code 2.
 func TestUnusableFleet(t *testing.T) {
-	bad := fleetOf(t, "", "", "x = 1\n")
+	bad := writeFleet(t, "", "", "x = 1\n")
 	for _, args := range [][]string{{"check", "--fleet", bad}, {"check", "--fleet", bad + "no"}, {"plan", "--fleet", bad, bad}, {"plan", "--fleet", bad}, {"check", "--fleet", bad, bad}} {
-		code, out, errs := run(t, nil, args...)
+		code, out, errs := runCommand(t, nil, args...)
 		if code != ExitUsage || out != "" || !strings.Contains(errs, "lockflow: ") && !strings.Contains(errs, "fleet.toml:9: regions.south.x: unknown key") && !strings.Contains(errs, "fleet.toml:9: regions.north.x: unknown key") && !strings.Contains(errs, "no such file") {
 			t.Errorf("%v: exit %d\n%s%s", args, code, out, errs)
 		}
 	}
-	code, out, errs := run(t, nil, "check", "--fleet", "../../deploy/fleet.toml")
+	code, out, errs := runCommand(t, nil, "check", "--fleet", "../../deploy/fleet.toml")
 	if code != ExitOK || !strings.Contains(out, "2 regions") {
 		t.Errorf("the example: exit %d\n%s%s", code, out, errs)
 	}
--- a/internal/command/replay.go
+++ b/internal/command/replay.go
@@ -14,7 +14,7 @@
 )
 
 // maxStepsBefore is how many events before a difference are printed.
-const maxStepsBefore = 8
+const maxPrecedingSteps = 8
 
 // replayCommand returns the command "replay".
 func replayCommand() command {
@@ -28,14 +28,14 @@
 			"lockflow replay --steps --id 4f rosters-00001.lfrec    # what became of one request",
 		},
 		setup: func(set flags) func(context.Context, *Env, []string) error {
-			steps := set.Bool("steps", false, "prints each event with the actions that answer it")
-			id := set.String("id", "", "prints the events and actions of the request `ID` only")
+			printsSteps := set.Bool("steps", false, "prints each event with the actions that answer it")
+			requestID := set.String("id", "", "prints the events and actions of the request `ID` only")
 			asJSON := set.Bool("json", false, "prints a JSON object a file")
 			return func(ctx context.Context, e *Env, args []string) error {
 				if len(args) == 0 {
 					return usageError("replay takes files of recordings")
 				}
-				p := &replayer{env: e, steps: *steps || *id != "", id: *id, json: *asJSON}
+				p := &replayer{env: e, printsSteps: *printsSteps || *requestID != "", requestID: *requestID, json: *asJSON}
 				return p.replayAll(ctx, args)
 			}
 		},
@@ -45,14 +45,14 @@
 // replayer replays recordings and prints the results.
 type replayer struct {
 	env            *Env
-	steps          bool   // prints the steps
-	id             string // only those of this request; "" is all
+	printsSteps    bool   // prints the steps
+	requestID      string // only those of this request; "" is all
 	json           bool
 	hasDifferences bool // some actions were not as recorded
 }
 
 // replayed is the result of one file.
-type replayed struct {
+type replayResult struct {
 	File    string    `json:"file"`
 	Service string    `json:"service"`
 	At      time.Time `json:"at"`
@@ -68,7 +68,7 @@
 // replayAll replays recordings in turn and prints the result of each. It fails if one differs.
 func (p *replayer) replayAll(ctx context.Context, paths []string) error {
 	w := tabwriter.NewWriter(p.env.Out, 0, 0, 2, ' ', 0)
-	if !p.steps && !p.json {
+	if !p.printsSteps && !p.json {
 		fmt.Fprintln(w, "service\tbegins\tevents\tactions' digest\tlost before\tsame\t")
 	}
 	for _, path := range paths {
@@ -94,30 +94,30 @@
 }
 
 // replayFile replays one recording up to its end or its first difference.
-func (p *replayer) replayFile(ctx context.Context, path string) (replayed, error) {
+func (p *replayer) replayFile(ctx context.Context, path string) (replayResult, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return replayed{}, fmt.Errorf("replaying: %w", err)
+		return replayResult{}, fmt.Errorf("replaying: %w", err)
 	}
 	defer f.Close() //nolint:errcheck // only read
 	r, err := record.Open(f)
 	if err != nil {
-		return replayed{}, fmt.Errorf("replaying %s: %w", path, err)
+		return replayResult{}, fmt.Errorf("replaying %s: %w", path, err)
 	}
-	out := replayed{File: path, Same: true}
+	result := replayResult{File: path, Same: true}
 	section := r.Section()
-	out.Service = section.Service
-	out.At = section.StartedAt
-	out.Lost = section.LostEvents
-	var before []string
-	out.Events, out.Digest, err = r.Replay(func(s record.Step) error {
-		if p.steps && (p.id == "" || concerns(s, p.id)) {
+	result.Service = section.Service
+	result.At = section.StartedAt
+	result.Lost = section.LostEvents
+	var preceding []string
+	result.Events, result.Digest, err = r.Replay(func(s record.Step) error {
+		if p.printsSteps && (p.requestID == "" || concernsRequest(s, p.requestID)) {
 			fmt.Fprintln(p.env.Out, formatStep(s))
 		}
-		if len(before) == maxStepsBefore {
-			before = before[1:]
+		if len(preceding) == maxPrecedingSteps {
+			preceding = preceding[1:]
 		}
-		before = append(before, formatStep(s))
+		preceding = append(preceding, formatStep(s))
 		if !s.IsAsRecorded {
 			return errDiffers
 		}
@@ -125,17 +125,17 @@
 	})
 	if errors.Is(err, errDiffers) {
 		p.hasDifferences = true
-		out.Same = false
+		result.Same = false
 		err = nil
-		fmt.Fprintf(p.env.Err, "%s: event %d comes out otherwise than it was recorded; what led there:\n", path, out.Events)
-		for _, l := range before {
+		fmt.Fprintf(p.env.Err, "%s: event %d comes out otherwise than it was recorded; what led there:\n", path, result.Events)
+		for _, l := range preceding {
 			fmt.Fprintln(p.env.Err, l)
 		}
 	}
 	if err != nil {
 		err = fmt.Errorf("replaying %s: %w", path, err)
 	}
-	return out, err
+	return result, err
 }
 
 // formatStep formats an event and its actions.
@@ -149,7 +149,7 @@
 }
 
 // concerns tells whether a step is about the request with an id.
-func concerns(s record.Step, id string) bool {
+func concernsRequest(s record.Step, id string) bool {
 	switch e := s.Event.(type) {
 	case control.Request:
 		return e.ID == id
--- a/internal/command/rollout.go
+++ b/internal/command/rollout.go
@@ -17,7 +17,7 @@
 )
 
 // runOnRegions runs an operation on all members of a fleet file.
-func (f *fleetFlags) runOnRegions(ctx context.Context, e *Env, what string) error {
+func (f *fleetFlags) runOnRegions(ctx context.Context, e *Env, operation string) error {
 	file, err := fleetfile.Load(f.file)
 	if err != nil {
 		return err
@@ -30,27 +30,27 @@
 	for i, m := range placed {
 		members[i] = m.Member
 	}
-	switch what {
+	switch operation {
 	case "status":
 		return f.status(ctx, e, members)
 	case "drain", "serve":
-		return f.setDrained(ctx, e, members, what == "drain")
+		return f.setDrained(ctx, e, members, operation == "drain")
 	case "upgrade":
-		return f.startChange(ctx, e, what, placed, nil)
+		return f.startChange(ctx, e, operation, placed, nil)
 	case "reload":
 		return f.reloadRegions(ctx, e, file, placed)
 	}
-	return usageError("fleet: there is no %q: run, status, reload, upgrade, drain, serve", what)
+	return usageError("fleet: there is no %q: run, status, reload, upgrade, drain, serve", operation)
 }
 
 // reloadRegions starts a change to the settings of a fleet file, or resumes one.
 func (f *fleetFlags) reloadRegions(ctx context.Context, e *Env, file fleetfile.File, members []fleet.Placed) error {
-	const what = "reload"
+	const operation = "reload"
 	if f.config != "" {
 		return usageError("fleet reload takes one of --config and --fleet, whose regions name theirs")
 	}
 	if f.resume || f.rollBack { // by the rollout log
-		return f.startChange(ctx, e, what, members, nil)
+		return f.startChange(ctx, e, operation, members, nil)
 	}
 	planned, order, err := fleet.PlanRegions(ctx, file, time.Now())
 	var conflict *fleet.ConflictError
@@ -61,12 +61,12 @@
 	if err != nil {
 		return err
 	}
-	return f.startChange(ctx, e, what, planned, order)
+	return f.startChange(ctx, e, operation, planned, order)
 }
 
 // startChange starts a change of settings or, for upgrade, of the program over a fleet, or resumes the unfinished one.
 // order has the regions of each phase; nil is one region.
-func (f *fleetFlags) startChange(ctx context.Context, e *Env, what string, members []fleet.Placed, order [][]string) error {
+func (f *fleetFlags) startChange(ctx context.Context, e *Env, operation string, members []fleet.Placed, order [][]string) error {
 	log, err := fleet.OpenRolloutLog(f.logDirectory())
 	if err != nil {
 		return err
@@ -78,23 +78,23 @@
 	unfinished := log.Unfinished()
 	if f.resume || f.rollBack {
 		if log.Change == nil {
-			return fmt.Errorf("fleet %s: the rollout log %s holds no change", what, f.logDirectory())
+			return fmt.Errorf("fleet %s: the rollout log %s holds no change", operation, f.logDirectory())
 		}
 		return f.runRollout(ctx, e, log)
 	}
 	if unfinished != "" {
-		return fmt.Errorf("fleet %s: the change of %s is unfinished, %s: go on with --resume, or back with --take-back", what,
+		return fmt.Errorf("fleet %s: the change of %s is unfinished, %s: go on with --resume, or back with --take-back", operation,
 			log.Change.StartedAt.Format(time.DateTime), unfinished)
 	}
-	change, err := f.newChange(ctx, what, members, order, log)
+	change, err := f.newChange(ctx, operation, members, order, log)
 	if errors.Is(err, fleet.ErrUnchanged) {
 		return f.reloadUnchanged(ctx, e, members)
 	}
 	if err != nil {
 		return err
 	}
-	if lost := change.MembersWithoutOldSettings(); len(lost) > 0 {
-		fmt.Fprintf(e.Err, "lockflow: what %s run is in no file any more: it can't be rolled back there\n", strings.Join(lost, ", "))
+	if unrecoverable := change.MembersWithoutOldSettings(); len(unrecoverable) > 0 {
+		fmt.Fprintf(e.Err, "lockflow: what %s run is in no file any more: it can't be rolled back there\n", strings.Join(unrecoverable, ", "))
 	}
 	if err := log.Begin(change); err != nil {
 		return err
@@ -103,10 +103,10 @@
 }
 
 // newChange returns a change by the flags.
-func (f *fleetFlags) newChange(ctx context.Context, what string, members []fleet.Placed, order [][]string, log *fleet.RolloutLog) (*fleet.Change, error) {
+func (f *fleetFlags) newChange(ctx context.Context, operation string, members []fleet.Placed, order [][]string, log *fleet.RolloutLog) (*fleet.Change, error) {
 	plan := f.plan(f.timeout)
 	plan.RegionOrder = order
-	if what == "upgrade" {
+	if operation == "upgrade" {
 		return fleet.NewProgramChange(ctx, members, plan, f.program, f.logDirectory())
 	}
 	knownSettings := map[string]string{}
--- a/internal/command/route.go
+++ b/internal/command/route.go
@@ -45,14 +45,14 @@
 				if *path == "" || *target == "" || len(args) > 0 {
 					return usageError("route takes --config FILE and --path PATH")
 				}
-				return findRoute(e, *path, *host, *target, *method, headers, *asJSON)
+				return explainRoute(e, *path, *host, *target, *method, headers, *asJSON)
 			}
 		},
 	}
 }
 
 // findRoute prints where a request goes, read as the front reads it.
-func findRoute(e *Env, file, host, target, method string, headers []string, asJSON bool) error {
+func explainRoute(e *Env, file, host, target, method string, headers []string, asJSON bool) error {
 	cfg, err := config.Load(file)
 	if err != nil {
 		return err
@@ -89,19 +89,19 @@
 		fmt.Fprintln(e.Err, "no route")
 		return errReported
 	}
-	won := cfg.Routes[matches[0].Index]
-	class := won.RequestClass
+	selected := cfg.Routes[matches[0].Index]
+	class := selected.RequestClass
 	if class == "" {
-		class = classOf(cfg, won.Service, method, path)
+		class = classOf(cfg, selected.Service, method, path)
 	}
 	if asJSON {
 		return json.NewEncoder(e.Out).Encode(map[string]any{
-			"service": won.Service, "route": won.Name, "class": class,
+			"service": selected.Service, "route": selected.Name, "class": class,
 			"host": host, "path": path, "why": matches[0].Conditions,
 		})
 	}
 	w := tabwriter.NewWriter(e.Out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "service\t%s\nroute\t%s\nclass\t%s\nread as\t%s %s%s\nwhy\t%s\n", won.Service, won.Name, class, method, host,
+	fmt.Fprintf(w, "service\t%s\nroute\t%s\nclass\t%s\nread as\t%s %s%s\nwhy\t%s\n", selected.Service, selected.Name, class, method, host,
 		path, strings.Join(matches[0].Conditions, ", "))
 	for _, m := range matches[1:] {
 		r := cfg.Routes[m.Index]
--- a/internal/command/simulate.go
+++ b/internal/command/simulate.go
@@ -52,7 +52,7 @@
 			set.DurationVar(&o.Duration, "for", defaultDuration, "`TIME` that is played")
 			set.Uint64Var(&o.Seed, "seed", 1, "`N` that everything follows from")
 			days := set.String("day", "", "`NAME,NAME...` of days, which hold the fleet to the five rules: "+strings.Join(fleetsim.DayNames, ", ")+"; or all, or mutations")
-			scattered, quotas := gatherFlag(set), quotaFlag(set)
+			simulateGather, simulateQuotas := gatherFlags(set), quotaFlags(set)
 			asJSON := set.Bool("json", false, "prints the reports as a JSON list, with each second of the cold server")
 			var r rolloutSimulation
 			r.addFlags(set)
@@ -60,22 +60,22 @@
 				if len(args) > 0 {
 					return errSimulateUsage
 				}
-				if played, err := scattered(ctx, e, *instances, o.Seed, *asJSON); played {
+				if isSelected, err := simulateGather(ctx, e, *instances, o.Seed, *asJSON); isSelected {
 					return err
 				}
-				q := fleetsim.QuotaOptions{Seed: o.Seed, Load: o.Load / defaultLoad, Duration: unlessDefault(o.Duration)}
-				if played, err := quotas(ctx, e, *instances, q, *asJSON); played {
+				q := fleetsim.QuotaOptions{Seed: o.Seed, Load: o.Load / defaultLoad, Duration: zeroIfDefault(o.Duration)}
+				if isSelected, err := simulateQuotas(ctx, e, *instances, q, *asJSON); isSelected {
 					return err
 				}
 				if r.isEnabled && *days == "" {
 					r.seed = o.Seed
-					return r.play(ctx, e, *instances, *asJSON)
+					return r.run(ctx, e, *instances, *asJSON)
 				}
 				if *days != "" && !r.isEnabled {
-					d := fleetsim.DayOptions{GroupSize: o.GroupSize, Seed: o.Seed, Load: o.Load / defaultLoad, Duration: unlessDefault(o.Duration)}
-					return playDays(ctx, e, *days, *instances, d, *asJSON)
+					d := fleetsim.DayOptions{GroupSize: o.GroupSize, Seed: o.Seed, Load: o.Load / defaultLoad, Duration: zeroIfDefault(o.Duration)}
+					return simulateDays(ctx, e, *days, *instances, d, *asJSON)
 				}
-				return playFleets(ctx, e, o, *instances, *lags, *asJSON)
+				return simulateFleets(ctx, e, o, *instances, *lags, *asJSON)
 			}
 		},
 	}
@@ -85,7 +85,7 @@
 var errSimulateUsage = usageError("simulate: its flags are off; it takes 12 s of play or more")
 
 // unlessDefault returns a duration that was given, and 0 for the default one.
-func unlessDefault(duration time.Duration) time.Duration {
+func zeroIfDefault(duration time.Duration) time.Duration {
 	if duration == defaultDuration {
 		return 0
 	}
@@ -98,14 +98,14 @@
 		o.Servers >= 1 && o.Servers <= 1000 &&
 		o.ServerRate > 0 &&
 		o.Load > 0 &&
-		o.Duration >= minFleetPlay
+		o.Duration >= minFleetDuration
 }
 
 // minFleetPlay is the shortest time that is simulated.
-const minFleetPlay = 12 * time.Second
+const minFleetDuration = 12 * time.Second
 
 // playFleets simulates a server that warms up and a hard limit, for each group size and each lag of watch events.
-func playFleets(ctx context.Context, e *Env, o fleetsim.Options, instances, lags string, asJSON bool) error {
+func simulateFleets(ctx context.Context, e *Env, o fleetsim.Options, instances, lags string, asJSON bool) error {
 	if !isValidFleetSimulation(&o) {
 		return errSimulateUsage
 	}
@@ -164,14 +164,14 @@
 }
 
 // playedDay is a day's report. With a mutation it names the guard that was disabled.
-type playedDay struct {
+type dayResult struct {
 	fleetsim.DayReport
 	Mutation string          `json:"mutation,omitempty"`
 	Rule     fleetrules.Rule `json:"rule,omitempty"` // that the mutation breaks
 }
 
 // isAsExpected tells whether no rule was broken or, with a mutation, its own one.
-func (p *playedDay) isAsExpected() bool {
+func (p *dayResult) isAsExpected() bool {
 	if p.Mutation != "" {
 		return p.Broken[p.Rule] > 0
 	}
@@ -179,50 +179,50 @@
 }
 
 // playDays simulates days at each group size. It fails if a rule is broken, or a mutation is not detected.
-func playDays(ctx context.Context, e *Env, names, instances string, o fleetsim.DayOptions, asJSON bool) error {
+func simulateDays(ctx context.Context, e *Env, names, instances string, o fleetsim.DayOptions, asJSON bool) error {
 	sizes, err := groupSizes(instances)
 	if err != nil {
 		return err
 	}
-	todo, options, err := daysToPlay(names, sizes, o)
+	results, options, err := selectDays(names, sizes, o)
 	if err != nil {
 		return err
 	}
-	wrong := 0
+	unexpected := 0
 	for i, o := range options {
-		what := cmp.Or(todo[i].Mutation, fleetsim.DayHelp(o.Day))
+		what := cmp.Or(results[i].Mutation, fleetsim.DayHelp(o.Day))
 		fmt.Fprintf(e.Err, "playing %s with %d instances: %s\n", o.Day, o.Instances, what)
-		if todo[i].DayReport, err = fleetsim.Day(o); err != nil {
+		if results[i].DayReport, err = fleetsim.Day(o); err != nil {
 			return err
 		}
-		if !todo[i].isAsExpected() {
-			wrong++
+		if !results[i].isAsExpected() {
+			unexpected++
 		}
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 	}
 	if asJSON {
-		if err := json.NewEncoder(e.Out).Encode(todo); err != nil {
+		if err := json.NewEncoder(e.Out).Encode(results); err != nil {
 			return err
 		}
 	} else {
-		printDays(e.Out, todo)
+		printDays(e.Out, results)
 	}
-	if wrong > 0 {
-		return fmt.Errorf("simulate: %d of %d days did not go as they have to", wrong, len(todo))
+	if unexpected > 0 {
+		return fmt.Errorf("simulate: %d of %d days did not go as they have to", unexpected, len(results))
 	}
 	return nil
 }
 
 // daysToPlay returns the days that names select, at each group size, and the options of each.
-func daysToPlay(names string, sizes []int, o fleetsim.DayOptions) (todo []playedDay, options []fleetsim.DayOptions, err error) {
+func selectDays(names string, sizes []int, o fleetsim.DayOptions) (results []dayResult, options []fleetsim.DayOptions, err error) {
 	for _, n := range sizes {
 		o.Instances = n
 		if names == "mutations" {
 			for i := range fleetsim.Mutations {
 				m := &fleetsim.Mutations[i]
-				todo = append(todo, playedDay{Mutation: m.Name, Rule: m.Rule})
+				results = append(results, dayResult{Mutation: m.Name, Rule: m.Rule})
 				options = append(options, m.Options(o))
 			}
 			continue
@@ -236,15 +236,15 @@
 				return nil, nil, usageError("simulate: day: %q is none of %s, all, mutations", name, strings.Join(fleetsim.DayNames, ", "))
 			}
 			o.Day = name
-			todo = append(todo, playedDay{})
+			results = append(results, dayResult{})
 			options = append(options, o)
 		}
 	}
-	return todo, options, nil
+	return results, options, nil
 }
 
 // printDays prints a line for each day, and what was detected or broken.
-func printDays(w io.Writer, all []playedDay) {
+func printDays(w io.Writer, all []dayResult) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "day\tinstances\tservers\tfirst tries\ttries\tattempts\tserved\tbeyond quota\tfailed\thandshakes\tcold: worst of its limit\tbroken\t")
 	for i := range all {
--- a/internal/command/simulate_gather.go
+++ b/internal/command/simulate_gather.go
@@ -15,7 +15,7 @@
 
 // gatherFlag declares --gather, and returns a function that simulates scatter-gather queries if it is given: the wait
 // policies in each world and, for each group size, how fast the instances learn together.
-func gatherFlag(set flags) func(ctx context.Context, e *Env, instances string, seed uint64, asJSON bool) (played bool, err error) {
+func gatherFlags(set flags) func(ctx context.Context, e *Env, instances string, seed uint64, asJSON bool) (isSelected bool, err error) {
 	names, _ := waitpolicysim.Worlds()
 	worlds := set.String("gather", "", "`NAME,NAME...` of worlds in which scattered queries are ended: "+strings.Join(names, ", ")+"; or all. "+
 		"With --instances, how fast so many learn together")
@@ -38,20 +38,20 @@
 				return true, err
 			}
 		}
-		all, shared, err := playWorlds(ctx, e, list, sizes, *queries, seed)
+		all, shared, err := simulateWorlds(ctx, e, list, sizes, *queries, seed)
 		if err != nil {
 			return true, err
 		}
 		if asJSON {
 			return true, json.NewEncoder(e.Out).Encode(map[string]any{"worlds": all, "shared": shared})
 		}
-		printGathered(e.Out, all, shared)
+		printWaitPolicies(e.Out, all, shared)
 		return true, nil
 	}
 }
 
 // playWorlds simulates wait policies in each world, and how fast instances learn together there.
-func playWorlds(ctx context.Context, e *Env, list []string, sizes []int, queries int, seed uint64) (all []waitpolicysim.Report, shared []waitpolicysim.ShareReport, err error) {
+func simulateWorlds(ctx context.Context, e *Env, list []string, sizes []int, queries int, seed uint64) (all []waitpolicysim.Report, shared []waitpolicysim.ShareReport, err error) {
 	names, help := waitpolicysim.Worlds()
 	for _, name := range list {
 		i := slices.Index(names, name)
@@ -64,11 +64,11 @@
 			return nil, nil, err
 		}
 		all = append(all, r)
-		together, err := playShared(ctx, e, name, sizes, seed)
+		worldShared, err := simulateSharedLearning(ctx, e, name, sizes, seed)
 		if err != nil {
 			return nil, nil, err
 		}
-		shared = append(shared, together...)
+		shared = append(shared, worldShared...)
 		if ctx.Err() != nil {
 			return nil, nil, ctx.Err()
 		}
@@ -77,7 +77,7 @@
 }
 
 // playShared simulates how fast instances learn together in a world, for each group size.
-func playShared(ctx context.Context, e *Env, world string, sizes []int, seed uint64) (all []waitpolicysim.ShareReport, err error) {
+func simulateSharedLearning(ctx context.Context, e *Env, world string, sizes []int, seed uint64) (all []waitpolicysim.ShareReport, err error) {
 	for _, n := range sizes {
 		fmt.Fprintf(e.Err, "playing %s: %d learn together\n", world, n)
 		r, err := waitpolicysim.RunShared(waitpolicysim.ShareOptions{World: world, Instances: n, Seed: seed})
@@ -92,7 +92,7 @@
 }
 
 // printGathered prints a line for each world, and one for each group size.
-func printGathered(w io.Writer, all []waitpolicysim.Report, shared []waitpolicysim.ShareReport) {
+func printWaitPolicies(w io.Writer, all []waitpolicysim.Report, shared []waitpolicysim.ShareReport) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "world\toracle earns\tof it: learned\tbest fixed\tat\tp95\tno deadline\tknows all, same plan\tparts in answers\ttook\tlooks\tchanges told\tspent to learn\t")
 	for _, r := range all {
--- a/internal/command/simulate_quota.go
+++ b/internal/command/simulate_quota.go
@@ -18,7 +18,7 @@
 
 // quotaFlag declares --quota, and returns a function that simulates worlds of quotas if it is given: the calm day under
 // the module and under policies that see the true state late, for each seed.
-func quotaFlag(set flags) func(ctx context.Context, e *Env, instances string, o fleetsim.QuotaOptions, asJSON bool) (played bool, err error) {
+func quotaFlags(set flags) func(ctx context.Context, e *Env, instances string, o fleetsim.QuotaOptions, asJSON bool) (isSelected bool, err error) {
 	worlds := set.String("quota", "", "`NAME,NAME...` of worlds of quotas in which the calm day is played, by the module and by policies that see the true state late: "+
 		strings.Join(fleetsim.QuotaNames, ", ")+"; or all")
 	seeds := set.Int("seeds", 1, "`N` seeds with which each world of --quota is played, from --seed on")
@@ -45,7 +45,7 @@
 		}
 		o.PolicyDelay = -1
 		o.ExplainsAdmission = *why
-		all, err := playQuotas(ctx, e, quotaPlays(o, list, sizes, *seeds, policies))
+		all, err := runQuotaSimulations(ctx, e, quotaSimulations(o, list, sizes, *seeds, policies))
 		if err != nil {
 			return true, err
 		}
@@ -58,11 +58,11 @@
 }
 
 // quotaPlays returns the options of every simulation: each world at each group size with each seed under each policy.
-func quotaPlays(o fleetsim.QuotaOptions, worlds []string, sizes []int, seeds int, policies []string) (all []fleetsim.QuotaOptions) {
-	first := o.Seed
+func quotaSimulations(o fleetsim.QuotaOptions, worlds []string, sizes []int, seeds int, policies []string) (all []fleetsim.QuotaOptions) {
+	firstSeed := o.Seed
 	for _, o.World = range worlds {
 		for _, o.Instances = range sizes {
-			for o.Seed = first; o.Seed < first+uint64(seeds); o.Seed++ {
+			for o.Seed = firstSeed; o.Seed < firstSeed+uint64(seeds); o.Seed++ {
 				for _, p := range policies {
 					o.Policy = fleetsim.Policy(p)
 					all = append(all, o)
@@ -83,23 +83,23 @@
 }
 
 // playQuotas runs simulations, as many at a time as there are processors. The reports are in the order of todo.
-func playQuotas(ctx context.Context, e *Env, todo []fleetsim.QuotaOptions) ([]fleetsim.QuotaReport, error) {
-	all := make([]fleetsim.QuotaReport, len(todo))
-	errs := make([]error, len(todo))
-	free := make(chan struct{}, runtime.GOMAXPROCS(0))
-	var playing sync.WaitGroup
-	for i, o := range todo {
-		free <- struct{}{}
+func runQuotaSimulations(ctx context.Context, e *Env, simulations []fleetsim.QuotaOptions) ([]fleetsim.QuotaReport, error) {
+	all := make([]fleetsim.QuotaReport, len(simulations))
+	errs := make([]error, len(simulations))
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
+	var running sync.WaitGroup
+	for i, o := range simulations {
+		slots <- struct{}{}
 		if ctx.Err() != nil {
 			break
 		}
 		fmt.Fprintf(e.Err, "playing %s with %d instances, seed %d, %s: %s\n", o.World, o.Instances, o.Seed, o.Policy, fleetsim.QuotaHelp(o.World))
-		playing.Go(func() {
+		running.Go(func() {
 			all[i], errs[i] = fleetsim.Quotas(o)
-			<-free
+			<-slots
 		})
 	}
-	playing.Wait()
+	running.Wait()
 	return all, errors.Join(append(errs, ctx.Err())...)
 }
 
@@ -110,21 +110,21 @@
 	fmt.Fprintln(t, "world\tinstances\tseed\tpolicy\tlate s\tfirst tries\ttries\tserved\tbeyond: price\tmore than the lowest other\tof the units\trefused\twith room: of tries\tof requests\tnever sent on\t")
 	for i := range all {
 		r := &all[i]
-		more := ""
+		priceAbove := ""
 		if i%policies == 0 && policies > 1 {
-			more = fmt.Sprintf("%+.3f", priceAboveLowest(all[i:i+policies]))
+			priceAbove = fmt.Sprintf("%+.3f", priceAboveLowest(all[i:i+policies]))
 		}
 		fmt.Fprintf(t, "%s\t%d\t%d\t%s\t%.2f\t%d\t%d\t%.3f\t%.3f\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t\n", r.World, r.Instances, r.Seed, r.Policy, r.DelaySeconds, r.Calls, r.Requests,
-			r.Served, r.OverQuotaPrice, more, r.OverQuotaFraction, r.RejectedFraction, r.RequestsRejectedWithCapacity, r.CallsRejectedWithCapacity, r.CallsLostWithCapacity)
+			r.Served, r.OverQuotaPrice, priceAbove, r.OverQuotaFraction, r.RejectedFraction, r.RequestsRejectedWithCapacity, r.CallsRejectedWithCapacity, r.CallsLostWithCapacity)
 	}
 	t.Flush()
-	for from := 0; from < len(all); {
-		to := from
-		for to < len(all) && all[to].World == all[from].World && all[to].Instances == all[from].Instances {
-			to += policies
+	for start := 0; start < len(all); {
+		end := start
+		for end < len(all) && all[end].World == all[start].World && all[end].Instances == all[start].Instances {
+			end += policies
 		}
-		printSorts(w, all[from:to], policies)
-		from = to
+		printCategories(w, all[start:end], policies)
+		start = end
 	}
 }
 
@@ -156,15 +156,15 @@
 		means.price += r.OverQuotaPrice / n
 		means.priceAbove += priceAboveLowest(all[i:i+policies]) / n
 		means.withCapacity += r.RequestsRejectedWithCapacity / n
-		for sort, cells := range r.Cells {
-			if means.cells[sort] == nil {
-				means.cells[sort] = map[string]*fleetsim.Cell{}
+		for category, cells := range r.Cells {
+			if means.cells[category] == nil {
+				means.cells[category] = map[string]*fleetsim.Cell{}
 			}
 			for name, c := range cells {
-				sum := means.cells[sort][name]
+				sum := means.cells[category][name]
 				if sum == nil {
 					sum = &fleetsim.Cell{}
-					means.cells[sort][name] = sum
+					means.cells[category][name] = sum
 				}
 				sum.Add(c, n)
 			}
@@ -174,17 +174,17 @@
 }
 
 // printSorts prints the means of one world and group size, and each sort of tries.
-func printSorts(w io.Writer, all []fleetsim.QuotaReport, policies int) {
+func printCategories(w io.Writer, all []fleetsim.QuotaReport, policies int) {
 	means := meanQuotas(all, policies)
 	fmt.Fprintf(w, "\n%s, %d instances, %s, mean of %.0f: served %.3f, price beyond quotas %.3f, %+.3f more than the lowest other, refused with room %.3f of the tries\n",
 		all[0].World, all[0].Instances, all[0].Policy, float64(len(all)/policies), means.served, means.price, means.priceAbove, means.withCapacity)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "sort\tof\ttries\toffered\tof the price\tbeyond, of its units\trefused\twith room\t")
-	for _, sort := range fleetsim.CellNames {
-		cells := means.cells[sort]
+	for _, category := range fleetsim.CellNames {
+		cells := means.cells[category]
 		for _, name := range slices.Sorted(maps.Keys(cells)) {
 			c := cells[name]
-			fmt.Fprintf(t, "%s\t%s\t%d\t%.3f\t%.3f\t%.3f\t%s\t%s\t\n", sort, name, c.Requests, c.OfferedWeight, c.OverQuotaPrice, c.OverQuotaUnits/max(1, c.ForwardedUnits),
+			fmt.Fprintf(t, "%s\t%s\t%d\t%.3f\t%.3f\t%.3f\t%s\t%s\t\n", category, name, c.Requests, c.OfferedWeight, c.OverQuotaPrice, c.OverQuotaUnits/max(1, c.ForwardedUnits),
 				formatShare(c.Rejections, c.Requests), formatShare(c.RejectedWithCapacity, c.Requests))
 		}
 	}
@@ -192,9 +192,9 @@
 }
 
 // formatShare formats a part of the tries; cells without tries have rejections alone, which are printed as they are.
-func formatShare(n, tries int) string {
-	if tries == 0 {
+func formatShare(n, requests int) string {
+	if requests == 0 {
 		return fmt.Sprint(n)
 	}
-	return fmt.Sprintf("%.3f", float64(n)/float64(tries))
+	return fmt.Sprintf("%.3f", float64(n)/float64(requests))
 }
--- a/internal/command/simulate_rollout.go
+++ b/internal/command/simulate_rollout.go
@@ -61,7 +61,7 @@
 }
 
 // play runs the simulations and prints their reports.
-func (p *rolloutSimulation) play(ctx context.Context, e *Env, instances string, asJSON bool) error {
+func (p *rolloutSimulation) run(ctx context.Context, e *Env, instances string, asJSON bool) error {
 	sizes, err := groupSizes(instances)
 	if err != nil {
 		return err
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestRemoveLeftoversOfMissingFolder(t *testing.T) {
+func TestRemoveLeftoversOfMissingDirectory(t *testing.T) {
 	if err := RemoveLeftovers(filepath.Join(t.TempDir(), "none", "file")); err != nil {
 		t.Error(err)
 	}
--- a/internal/hopheaders/hopheaders.go
+++ b/internal/hopheaders/hopheaders.go
@@ -127,9 +127,9 @@
 
 // addXForwarded adds the peer to X-Forwarded-For, and sets the other X-Forwarded fields if there are none.
 func addXForwarded(out http.Header, from Peer, addr string) {
-	before := out["X-Forwarded-For"]
-	if len(before) > 0 {
-		out["X-Forwarded-For"] = []string{strings.Join(before, ", ") + ", " + addr}
+	previous := out["X-Forwarded-For"]
+	if len(previous) > 0 {
+		out["X-Forwarded-For"] = []string{strings.Join(previous, ", ") + ", " + addr}
 	} else {
 		out["X-Forwarded-For"] = []string{addr}
 	}
@@ -151,8 +151,8 @@
 	if from.Host != "" && !strings.ContainsAny(from.Host, "\"\\") {
 		element += `;host="` + from.Host + `"`
 	}
-	before := out["Forwarded"]
-	out["Forwarded"] = append(before[:len(before):len(before)], element)
+	previous := out["Forwarded"]
+	out["Forwarded"] = append(previous[:len(previous):len(previous)], element)
 }
 
 // IsTrusted reports whether one of the prefixes contains an address.
--- a/internal/hopheaders/hopheaders_test.go
+++ b/internal/hopheaders/hopheaders_test.go
@@ -15,34 +15,34 @@
 		"Proxy-Authorization": {"secret"}, "Expect": {"100-continue"},
 	}
 	peer := Peer{Addr: netip.MustParseAddr("::ffff:127.0.0.1"), Host: "h:1", Proto: "http"}
-	base := func(h http.Header) http.Header {
+	withCommonFields := func(h http.Header) http.Header {
 		h["Accept"], h["Te"], h["Via"] = []string{"a", "b"}, []string{"trailers"}, []string{"1.0 old", "1.1 lockflow"}
 		return h
 	}
-	own := func() http.Header {
-		return base(http.Header{"X-Forwarded-For": {"127.0.0.1"}, "X-Forwarded-Host": {"h:1"}, "X-Forwarded-Proto": {"http"}})
+	untrustedPeerFields := func() http.Header {
+		return withCommonFields(http.Header{"X-Forwarded-For": {"127.0.0.1"}, "X-Forwarded-Host": {"h:1"}, "X-Forwarded-Proto": {"http"}})
 	}
 	trusted := peer
 	trusted.IsTrusted = true
-	six := peer
-	six.Addr = netip.MustParseAddr("fe80::1%eth0")
+	ipv6Peer := peer
+	ipv6Peer.Addr = netip.MustParseAddr("fe80::1%eth0")
 	for name, tc := range map[string]struct {
-		from  Peer
-		tells ForwardingFormat
-		want  http.Header
+		from   Peer
+		format ForwardingFormat
+		want   http.Header
 	}{
-		"an untrusted peer": {peer, XForwarded, own()},
-		"a trusted proxy": {trusted, XForwarded, base(http.Header{
+		"an untrusted peer": {peer, XForwarded, untrustedPeerFields()},
+		"a trusted proxy": {trusted, XForwarded, withCommonFields(http.Header{
 			"X-Forwarded-For": {"1.1.1.1, 127.0.0.1"}, "X-Forwarded-Host": {"forged"},
 			"X-Forwarded-Proto": {"http"}, "Forwarded": {"for=1.1.1.1"},
 		})},
-		"RFC 7239":                  {peer, Forwarded, base(http.Header{"Forwarded": {`for=127.0.0.1;proto=http;host="h:1"`}})},
-		"RFC 7239, a trusted proxy": {trusted, Both, base(http.Header{"Forwarded": {"for=1.1.1.1", `for=127.0.0.1;proto=http;host="h:1"`}, "X-Forwarded-For": {"1.1.1.1, 127.0.0.1"}, "X-Forwarded-Host": {"forged"}, "X-Forwarded-Proto": {"http"}})},
-		"RFC 7239 over IPv6":        {six, Forwarded, base(http.Header{"Forwarded": {`for="[fe80::1]";proto=http;host="h:1"`}})},
-		"nothing":                   {trusted, None, base(http.Header{})},
+		"RFC 7239":                  {peer, Forwarded, withCommonFields(http.Header{"Forwarded": {`for=127.0.0.1;proto=http;host="h:1"`}})},
+		"RFC 7239, a trusted proxy": {trusted, Both, withCommonFields(http.Header{"Forwarded": {"for=1.1.1.1", `for=127.0.0.1;proto=http;host="h:1"`}, "X-Forwarded-For": {"1.1.1.1, 127.0.0.1"}, "X-Forwarded-Host": {"forged"}, "X-Forwarded-Proto": {"http"}})},
+		"RFC 7239 over IPv6":        {ipv6Peer, Forwarded, withCommonFields(http.Header{"Forwarded": {`for="[fe80::1]";proto=http;host="h:1"`}})},
+		"nothing":                   {trusted, None, withCommonFields(http.Header{})},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := ForwardRequest(in, tc.from, tc.tells, false); !reflect.DeepEqual(got, tc.want) {
+			if got := ForwardRequest(in, tc.from, tc.format, false); !reflect.DeepEqual(got, tc.want) {
 				t.Errorf("%v\nnot %v", got, tc.want)
 			}
 		})
--- a/internal/instancestats/instancestats.go
+++ b/internal/instancestats/instancestats.go
@@ -14,9 +14,9 @@
 type Delays [delayBuckets]uint64
 
 const (
-	delayBuckets = 64
-	delaySteps   = 4                // buckets for each doubling
-	minDelay     = time.Millisecond // upper edge of the first bucket
+	delayBuckets       = 64
+	bucketsPerDoubling = 4                // buckets for each doubling
+	minDelay           = time.Millisecond // upper edge of the first bucket
 )
 
 // Edge returns the upper edge of a bucket, which is not part of it.
@@ -24,9 +24,9 @@
 	if i >= delayBuckets-1 {
 		return math.MaxInt64
 	}
-	doubling := i / delaySteps
-	part := i % delaySteps
-	return minDelay << doubling * time.Duration(delaySteps+part) / delaySteps
+	doubling := i / bucketsPerDoubling
+	step := i % bucketsPerDoubling
+	return minDelay << doubling * time.Duration(bucketsPerDoubling+step) / bucketsPerDoubling
 }
 
 // Bucket returns the index of the bucket that counts a delay.
@@ -35,8 +35,8 @@
 		return 0
 	}
 	doubling := bits.Len64(uint64(delay/minDelay)) - 1
-	part := int((delay - minDelay<<doubling) * delaySteps / (minDelay << doubling))
-	return min(doubling*delaySteps+part+1, delayBuckets-1)
+	step := int((delay - minDelay<<doubling) * bucketsPerDoubling / (minDelay << doubling))
+	return min(doubling*bucketsPerDoubling+step+1, delayBuckets-1)
 }
 
 // Add counts a delay.
@@ -52,12 +52,12 @@
 
 // Quantile returns the upper edge of the bucket that holds a quantile, and 0 if no delay is counted. For the last
 // bucket, which has no edge, it returns that of the one before. share is from 0 to 1.
-func (d *Delays) Quantile(share float64) time.Duration {
+func (d *Delays) Quantile(fraction float64) time.Duration {
 	total := d.Total()
 	if total == 0 {
 		return 0
 	}
-	rank := uint64(math.Ceil(share * float64(total)))
+	rank := uint64(math.Ceil(fraction * float64(total)))
 	counted := uint64(0)
 	for i, count := range d {
 		counted += count
@@ -89,11 +89,11 @@
 
 // Since returns what was counted after an earlier reading of the same process, with the later reading's Began and
 // MemoryKB. It returns false if the readings are of different processes or in the wrong order.
-func (f Statistics) Since(earlier Statistics) (Statistics, bool) {
-	if !f.Began.Equal(earlier.Began) || f.Requests < earlier.Requests || f.CPU < earlier.CPU {
+func (s Statistics) Since(earlier Statistics) (Statistics, bool) {
+	if !s.Began.Equal(earlier.Began) || s.Requests < earlier.Requests || s.CPU < earlier.CPU {
 		return Statistics{}, false
 	}
-	difference := f
+	difference := s
 	difference.OfferedWeight -= earlier.OfferedWeight
 	difference.Served -= earlier.Served
 	difference.Requests -= earlier.Requests
@@ -113,20 +113,20 @@
 }
 
 // Add adds the counts of another instance or another time. Began and MemoryKB do not change.
-func (f *Statistics) Add(other Statistics) {
-	f.OfferedWeight += other.OfferedWeight
-	f.Served += other.Served
-	f.Requests += other.Requests
-	f.Rejected += other.Rejected
-	f.OverQuota += other.OverQuota
-	f.Failed += other.Failed
-	f.Late += other.Late
-	f.ClientsGone += other.ClientsGone
-	f.Units += other.Units
-	f.Breaches += other.Breaches
-	f.Panics += other.Panics
-	f.CPU += other.CPU
-	for i := range f.Delays {
-		f.Delays[i] += other.Delays[i]
+func (s *Statistics) Add(other Statistics) {
+	s.OfferedWeight += other.OfferedWeight
+	s.Served += other.Served
+	s.Requests += other.Requests
+	s.Rejected += other.Rejected
+	s.OverQuota += other.OverQuota
+	s.Failed += other.Failed
+	s.Late += other.Late
+	s.ClientsGone += other.ClientsGone
+	s.Units += other.Units
+	s.Breaches += other.Breaches
+	s.Panics += other.Panics
+	s.CPU += other.CPU
+	for i := range s.Delays {
+		s.Delays[i] += other.Delays[i]
 	}
 }
--- a/internal/instancestats/instancestats_test.go
+++ b/internal/instancestats/instancestats_test.go
@@ -9,29 +9,29 @@
 
 func TestBucketHoldsItsDelay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := time.Duration(rapid.Int64Range(0, int64(200*time.Hour)).Draw(t, "delay"))
-		i := Bucket(d)
-		if d >= Edge(i) || i > 0 && d < Edge(i-1) {
-			t.Fatalf("%v is in bucket %d, which ends at %v", d, i, Edge(i))
+		delay := time.Duration(rapid.Int64Range(0, int64(200*time.Hour)).Draw(t, "delay"))
+		bucket := Bucket(delay)
+		if delay >= Edge(bucket) || bucket > 0 && delay < Edge(bucket-1) {
+			t.Fatalf("%v is in bucket %d, which ends at %v", delay, bucket, Edge(bucket))
 		}
 	})
 }
 
 func TestSinceUndoesAdd(t *testing.T) {
-	a := Statistics{Began: time.Unix(1, 0), OfferedWeight: 3, Served: 2, Requests: 4, Rejected: 1, Units: 4, CPU: 5}
-	a.Delays.Add(20 * time.Millisecond)
-	more := Statistics{Began: a.Began, OfferedWeight: 1, Requests: 2, Failed: 2, Late: 1, CPU: 7}
-	more.Delays.Add(time.Second)
-	sum := a
-	sum.Add(more)
-	if got, ok := sum.Since(a); !ok || got != more {
-		t.Errorf("got %+v, %v; want %+v", got, ok, more)
+	earlier := Statistics{Began: time.Unix(1, 0), OfferedWeight: 3, Served: 2, Requests: 4, Rejected: 1, Units: 4, CPU: 5}
+	earlier.Delays.Add(20 * time.Millisecond)
+	added := Statistics{Began: earlier.Began, OfferedWeight: 1, Requests: 2, Failed: 2, Late: 1, CPU: 7}
+	added.Delays.Add(time.Second)
+	sum := earlier
+	sum.Add(added)
+	if got, ok := sum.Since(earlier); !ok || got != added {
+		t.Errorf("got %+v, %v; want %+v", got, ok, added)
 	}
-	if p := sum.Delays.Quantile(0.99); p < time.Second || p > 1300*time.Millisecond {
-		t.Errorf("p99 %v", p)
+	if p99 := sum.Delays.Quantile(0.99); p99 < time.Second || p99 > 1300*time.Millisecond {
+		t.Errorf("p99 %v", p99)
 	}
 	sum.Began = time.Unix(2, 0)
-	if _, ok := sum.Since(a); ok {
+	if _, ok := sum.Since(earlier); ok {
 		t.Error("another process's figures were compared")
 	}
 }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -19,28 +19,28 @@
 	SlowStartOverrun             // this node alone stays within the budget of a server that warms up
 	LateAnswer                   // a request has its final answer at most lateAnswerGrace after its deadline
 	ClosedUnanswered             // a connection is not closed with a request on it that was read and not answered
-	rules
+	ruleCount
 )
 
-var names = [rules]string{
+var names = [ruleCount]string{
 	"parallel_attempt", "unsafe_retry", "too_many_attempts", "slow_start_overrun", "late_answer", "closed_unanswered",
 }
 
 // String is the rule's name in logs and metrics.
 func (r Rule) String() string { return names[r] }
 
-var violations [rules]atomic.Uint64
+var violations [ruleCount]atomic.Uint64
 
 // Violated counts and logs a violation of a rule by a request; why holds the figures that show it. It is safe for
 // concurrent use.
-func Violated(rule Rule, requestID, why string) {
+func Violated(rule Rule, requestID, details string) {
 	violations[rule].Add(1)
-	slog.Error("invariant violated", "rule", rule.String(), "request", requestID, "why", why)
+	slog.Error("invariant violated", "rule", rule.String(), "request", requestID, "why", details)
 }
 
 // Each calls f with the number of violations of each rule in this process.
 func Each(f func(rule Rule, violations uint64)) {
-	for rule := range rules {
+	for rule := range ruleCount {
 		f(rule, violations[rule].Load())
 	}
 }
--- a/internal/loglimit/logs.go
+++ b/internal/loglimit/logs.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	perSecond = 1   // lines of one text, once the burst is used up
-	burst     = 20  // lines of one text at once
-	maxTexts  = 512 // texts with a limiter
+	perSecond   = 1   // lines of one text, once the burst is used up
+	burst       = 20  // lines of one text at once
+	maxMessages = 512 // texts with a limiter
 )
 
 // Suppressed is the key of the number of lines with the same text that were suppressed before a line.
@@ -25,41 +25,41 @@
 // is safe for concurrent use. It has limiters for at most 512 texts and discards all of them beyond
 // that number; texts are constants of the program, so this is not expected.
 func Limit(h slog.Handler) slog.Handler {
-	return &limited{Handler: h, texts: &texts{byKey: make(map[string]*text)}}
+	return &limitingHandler{Handler: h, limiters: &limiters{byKey: make(map[string]*limiter)}}
 }
 
 // limited is a handler that shares its limiters with the handlers derived from it.
-type limited struct {
+type limitingHandler struct {
 	slog.Handler
-	texts *texts
+	limiters *limiters
 }
 
 // texts are the limiters by level and message. It is safe for concurrent use.
-type texts struct {
+type limiters struct {
 	mu    sync.Mutex
-	byKey map[string]*text
+	byKey map[string]*limiter
 }
 
 // text is the limiter of one text.
-type text struct {
-	limit      *rate.Limiter
+type limiter struct {
+	tokens     *rate.Limiter
 	suppressed int64 // lines since the last one that passed
 }
 
 // pass reports whether a line of a text may be written at a time, and if so, how many lines of the
 // text were suppressed before it.
-func (t *texts) pass(key string, at time.Time) (suppressed int64, ok bool) {
+func (t *limiters) allow(key string, at time.Time) (suppressed int64, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	entry := t.byKey[key]
 	if entry == nil {
-		if len(t.byKey) >= maxTexts {
+		if len(t.byKey) >= maxMessages {
 			clear(t.byKey)
 		}
-		entry = &text{limit: rate.NewLimiter(perSecond, burst)}
+		entry = &limiter{tokens: rate.NewLimiter(perSecond, burst)}
 		t.byKey[key] = entry
 	}
-	if !entry.limit.AllowN(at, 1) {
+	if !entry.tokens.AllowN(at, 1) {
 		entry.suppressed++
 		return 0, false
 	}
@@ -69,11 +69,11 @@
 }
 
 // Handle writes a line, or suppresses and counts it.
-func (l *limited) Handle(ctx context.Context, r slog.Record) error {
+func (l *limitingHandler) Handle(ctx context.Context, r slog.Record) error {
 	if r.Level < slog.LevelInfo {
 		return l.Handler.Handle(ctx, r)
 	}
-	suppressed, ok := l.texts.pass(r.Level.String()+r.Message, r.Time)
+	suppressed, ok := l.limiters.allow(r.Level.String()+r.Message, r.Time)
 	if !ok {
 		return nil
 	}
@@ -85,11 +85,11 @@
 }
 
 // WithAttrs returns a handler with additional attributes that shares the limiters.
-func (l *limited) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &limited{Handler: l.Handler.WithAttrs(attrs), texts: l.texts}
+func (l *limitingHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &limitingHandler{Handler: l.Handler.WithAttrs(attrs), limiters: l.limiters}
 }
 
 // WithGroup returns a handler with a group that shares the limiters.
-func (l *limited) WithGroup(name string) slog.Handler {
-	return &limited{Handler: l.Handler.WithGroup(name), texts: l.texts}
+func (l *limitingHandler) WithGroup(name string) slog.Handler {
+	return &limitingHandler{Handler: l.Handler.WithGroup(name), limiters: l.limiters}
 }
--- a/internal/loglimit/logs_test.go
+++ b/internal/loglimit/logs_test.go
@@ -38,10 +38,10 @@
 		if n := len(lines()); n != burst+103 {
 			t.Errorf("%d lines with 100 of debug", n)
 		}
-		for i := range 3 * maxTexts {
+		for i := range 3 * maxMessages {
 			log.Info(strings.Repeat("x", i))
 		}
-		if n := len(log.Handler().(*limited).texts.byKey); n > maxTexts {
+		if n := len(log.Handler().(*limitingHandler).limiters.byKey); n > maxMessages {
 			t.Errorf("%d texts are kept", n)
 		}
 	})
--- a/internal/validation/validation.go
+++ b/internal/validation/validation.go
@@ -58,7 +58,7 @@
 	line        [maxLineBytes]byte // its beginning, without the line end
 	lineLength  int                // bytes used in line
 	isTruncated bool               // it is longer than maxLineBytes
-	lineEnd     [8]byte            // its last bytes, for the version of a long request line
+	lineTail    [8]byte            // its last bytes, for the version of a long request line
 	endsWithCR  bool               // its last byte so far is a CR
 
 	// The current message.
@@ -99,13 +99,13 @@
 		if s.err == nil {
 			s.endLine()
 		}
-		s.startLine()
+		s.resetLine()
 	}
 	return s.err
 }
 
 // startLine prepares for the next line.
-func (s *Scanner) startLine() {
+func (s *Scanner) resetLine() {
 	s.lineLength = 0
 	s.isTruncated = false
 	s.endsWithCR = false
@@ -128,11 +128,11 @@
 	n := copy(s.line[s.lineLength:], p)
 	s.lineLength += n
 	s.isTruncated = s.isTruncated || n < len(p)
-	if len(p) >= len(s.lineEnd) {
-		copy(s.lineEnd[:], p[len(p)-len(s.lineEnd):])
+	if len(p) >= len(s.lineTail) {
+		copy(s.lineTail[:], p[len(p)-len(s.lineTail):])
 	} else {
-		copy(s.lineEnd[:], s.lineEnd[len(p):])
-		copy(s.lineEnd[len(s.lineEnd)-len(p):], p)
+		copy(s.lineTail[:], s.lineTail[len(p):])
+		copy(s.lineTail[len(s.lineTail)-len(p):], p)
 	}
 }
 
@@ -179,7 +179,7 @@
 		s.isInterim = len(line) > 11 && line[9] == '1' && string(line[9:12]) != "101"
 		return
 	}
-	s.isHTTP10 = string(s.lineEnd[:7]) != "HTTP/1." || s.lineEnd[7] == '0'
+	s.isHTTP10 = string(s.lineTail[:7]) != "HTTP/1." || s.lineTail[7] == '0'
 }
 
 // readField checks a header field and notes those that frame the body.
@@ -193,8 +193,8 @@
 	case !ok || len(name) != len("content-length") && len(name) != len("transfer-encoding"):
 	case strings.EqualFold(string(name), "content-length"):
 		n, ok := parseDigits(bytes.Trim(value, " \t"))
-		isContradiction := s.contentLengthCount > 0 && n != s.contentLength
-		if !ok || s.isTruncated || isContradiction {
+		isConflicting := s.contentLengthCount > 0 && n != s.contentLength
+		if !ok || s.isTruncated || isConflicting {
 			s.err = ErrContentLength
 		}
 		s.contentLength = n
--- a/internal/validation/validation_test.go
+++ b/internal/validation/validation_test.go
@@ -82,13 +82,13 @@
 	f.Add([]byte("POST / HTTP/1.0\r\nContent-Length: 0\r\ntransfer-encoding : chunked\r\n\r\n"))
 	f.Add([]byte("GET / HTTP/1.1\nHost: h\n\nGET / HTTP/1.1\nHost: h\n\n"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		in := bufio.NewReader(bytes.NewReader(raw))
-		at := func() int { return len(raw) - in.Buffered() }
+		reader := bufio.NewReader(bytes.NewReader(raw))
+		consumed := func() int { return len(raw) - reader.Buffered() }
 		if len(raw) > 4000 { // the reader would hold a part of it
 			return
 		}
 		for range 10 {
-			r, err := http.ReadRequest(in)
+			r, err := http.ReadRequest(reader)
 			if err != nil {
 				return
 			}
@@ -96,11 +96,11 @@
 				return
 			}
 			var s Scanner
-			if s.Feed(raw[:at()]) != nil {
+			if s.Feed(raw[:consumed()]) != nil {
 				return // refused
 			}
 			if s.state != inHead || s.hasStartLine || s.bytesToSkip > 0 {
-				t.Fatalf("the library ends a message at %d of %q; the scanner is in state %d, %d bytes to come", at(), raw, s.state, s.bytesToSkip)
+				t.Fatalf("the library ends a message at %d of %q; the scanner is in state %d, %d bytes to come", consumed(), raw, s.state, s.bytesToSkip)
 			}
 		}
 	})
