--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -1,5 +1,5 @@
 // Package certs holds the TLS configuration of connections to app servers: certificate authorities, a client
-// certificate, and the name that servers have to prove. It follows the files that these are in.
+// certificate, and the name that server certificates must be valid for. It reloads the PEM files when they change.
 package certs
 
 import (
@@ -16,33 +16,33 @@
 	"lockflow/internal/filewatch"
 )
 
-// Options configure TLS. The zero value is no TLS. The tags are the keys of plans.
+// Options configure TLS. The zero value disables TLS. The tags are the keys under which a config.Plan lists changes.
 type Options struct {
 	On   bool   `plan:"on"`
-	CA   string `plan:"c_a"`  // PEM file of certificate authorities; "" is the system's
-	Cert string `plan:"cert"` // PEM file of the client certificate and its intermediate ones; "" is none
-	Key  string `plan:"key"`  // PEM file of its private key
-	Name string `plan:"name"` // that a server's certificate has to be for; "" is the host of its address
+	CA   string `plan:"c_a"`  // PEM file of certificate authorities; "" selects those of the system
+	Cert string `plan:"cert"` // PEM file of the client certificate and its intermediates; "" is none
+	Key  string `plan:"key"`  // PEM file of the private key of Cert
+	Name string `plan:"name"` // host name that a server's certificate must be valid for; "" is the host of its address
 }
 
-// Store holds the configuration that was loaded last. It is safe for concurrent use, except that Follow must
-// not run twice at a time.
+// Store holds the TLS configuration that was loaded last. It is safe for concurrent use, except that only one
+// call of Follow may run at a time.
 type Store struct {
 	Options
 	current     atomic.Pointer[tls.Config]
-	loadedFiles map[string]os.FileInfo // as Load found them, by path
+	loadedFiles map[string]os.FileInfo // state of each file when Load read it, by path
 }
 
-// Load returns a Store with the configuration of the files.
+// Load returns a Store with the configuration read from the files of o.
 func Load(o Options) (*Store, error) {
 	s := &Store{Options: o, loadedFiles: make(map[string]os.FileInfo)}
 	for _, path := range []string{o.CA, o.Cert, o.Key} {
-		s.loadedFiles[path], _ = os.Stat(path) // before it is read, so that Follow notices any later change
+		s.loadedFiles[path], _ = os.Stat(path) // taken before the file is read, so that Follow detects any later change
 	}
 	return s, s.load()
 }
 
-// load reads all files and puts the configuration in force. After an error the previous one stays in force.
+// load reads all files and replaces the current configuration. After an error the previous one stays in use.
 func (s *Store) load() error {
 	config := &tls.Config{MinVersion: tls.VersionTLS12}
 	if s.CA != "" {
@@ -82,9 +82,9 @@
 	return pair, nil
 }
 
-// Follow loads the files again when one has changed, until ctx ends. It polls them at each interval. Errors
-// are passed to report, each text once; the previous configuration stays in force. report may be called
-// from several goroutines at a time.
+// Follow polls the files at each interval and reloads them all when one has changed, until ctx is done. After
+// an error the previous configuration stays in use, and the error is passed to report; filewatch.Follow
+// suppresses repetitions. report may be called concurrently.
 func (s *Store) Follow(ctx context.Context, interval time.Duration, report func(error)) {
 	done := make(chan struct{})
 	paths := []string{s.CA, s.Cert, s.Key}
@@ -101,11 +101,11 @@
 	}
 }
 
-// ErrProtocol means that a server agreed to none of the protocols that it was offered.
+// ErrProtocol is the error for a server that selected none of the protocols offered to it.
 var ErrProtocol = errors.New("the server agreed to no protocol that was offered")
 
-// Client performs the TLS handshake of a connection to an address and returns the protocol that was agreed
-// on (ALPN); it is empty for a server without ALPN. It does not close the connection after an error.
+// Client performs the TLS handshake on a connection to an address. It returns the protocol negotiated by ALPN,
+// which is empty for a server without ALPN. After an error it leaves the connection open.
 func (s *Store) Client(ctx context.Context, rawConn net.Conn, address string, protocols []string) (*tls.Conn, string, error) {
 	config := s.current.Load().Clone()
 	config.NextProtos = protocols
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -20,7 +20,7 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// self makes a certificate that vouches for itself, and its key.
+// newSelfSignedCert returns a self-signed certificate and its key, in PEM form.
 func newSelfSignedCert(t *testing.T, notAfter time.Time) (cert, key []byte) {
 	t.Helper()
 	privateKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -57,7 +57,7 @@
 	return path
 }
 
-// What can't be used is one error that names the file.
+// Files that can't be used must give an error that names the file.
 func TestLoad(t *testing.T) {
 	dir := testDirectory(t.TempDir())
 	cert, key := newSelfSignedCert(t, time.Now().Add(time.Hour))
@@ -81,7 +81,7 @@
 	}
 }
 
-// hello does a handshake with a server that has a certificate and tells what came of it.
+// handshake performs a handshake with a server that uses a certificate, and returns the negotiated protocol.
 func handshake(store *Store, cert, key []byte, serverProtocols ...string) (string, error) {
 	pair, err := tls.X509KeyPair(cert, key)
 	if err != nil {
@@ -109,8 +109,8 @@
 	return protocol, err
 }
 
-// Servers have to show the right name under an authority of the file; files that change are read
-// anew, those that can't be used leave what was in force.
+// Servers must prove the expected name with a certificate of an authority in the file. A changed file is
+// reloaded; one that can't be used leaves the previous configuration in use.
 func TestFollow(t *testing.T) {
 	dir := testDirectory(t.TempDir())
 	first, firstKey := newSelfSignedCert(t, time.Now().Add(time.Hour))
@@ -135,7 +135,7 @@
 	}
 	store.Name = ""
 
-	dir.replaceFile(t, "ca", []byte("nothing")) // after it was read, before it is followed: a change like any other
+	dir.replaceFile(t, "ca", []byte("nothing")) // a change between Load and Follow must be detected too
 	ctx, cancel := context.WithCancel(t.Context())
 	reported, done := make(chan error, 10), make(chan struct{})
 	go func() { store.Follow(ctx, time.Millisecond, func(err error) { reported <- err }); close(done) }()
--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,5 +1,5 @@
-// Package codec has what the forms of all stored data share: a CBOR decoder with bounds, as input is not
-// trusted, and a checksum. It is safe for concurrent use.
+// Package codec holds what all formats of stored data share: a checksum, and a CBOR decoder with size limits,
+// since its input is not trusted. It is safe for concurrent use.
 package codec
 
 import (
@@ -8,13 +8,13 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Bounds of what Decoder reads.
+// Size limits of Decoder.
 const (
-	maxElements     = 1 << 20 // of an array, and pairs of a map
+	maxElements     = 1 << 20 // elements of an array, or pairs of a map
 	maxNestedLevels = 16
 )
 
-// Decoder decodes CBOR of bounded shape. Indefinite lengths and maps with a key twice are errors.
+// Decoder decodes CBOR within the size limits. It rejects indefinite lengths and duplicate map keys.
 var Decoder = newDecoder()
 
 func newDecoder() cbor.DecMode {
@@ -26,7 +26,7 @@
 		IndefLength:      cbor.IndefLengthForbidden,
 	}.DecMode()
 	if err != nil {
-		panic(err) // the options are constants
+		panic(err) // can't happen: the options are constants
 	}
 	return mode
 }
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -1,5 +1,5 @@
-// Package durable replaces files atomically: after a crash, a file is either the old one or the new one, and what a call
-// without an error has written is there. The directories have to be on a lasting file system.
+// Package durable replaces files atomically: after a crash, a file has either its old or its new content, and content
+// whose write has returned no error is not lost. The directories must be on persistent storage.
 package durable
 
 import (
@@ -13,9 +13,9 @@
 	"github.com/google/renameio/v2"
 )
 
-// ReplaceFile replaces or creates the file at path: it writes a temporary file in the same directory, syncs that, renames
-// it and syncs the directory. After an error the file is the old one, or, where only the last sync has failed, the new
-// one, which a power failure may undo.
+// ReplaceFile replaces or creates the file at path: it writes a temporary file in the same directory, syncs it, renames
+// it to path and syncs the directory. After an error the file has its old content or, if only the sync of the directory
+// failed, the new content, which a power failure may undo.
 func ReplaceFile(path string, content []byte, mode os.FileMode) error {
 	directory := filepath.Dir(path)
 	if err := renameio.WriteFile(path, content, mode, renameio.WithTempDir(directory)); err != nil {
@@ -33,8 +33,8 @@
 	return directory.Sync()
 }
 
-// RemoveLeftovers removes the temporary files that ReplaceFile has left for the file at path where its process was
-// killed: those of its name after a dot and before digits. It must not be called while the file is replaced.
+// RemoveLeftovers removes temporary files of the file at path that ReplaceFile left behind when its process was killed.
+// Their names are a dot, the name of the file, and digits. It must not run while the file is being replaced.
 func RemoveLeftovers(path string) error {
 	directory := filepath.Dir(path)
 	prefix := "." + filepath.Base(path)
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -21,7 +21,7 @@
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o640 {
 		t.Errorf("%v, %v", info.Mode(), err)
 	}
-	// A folder can't be replaced by a file: the rename fails, and leaves nothing.
+	// A file can't replace a directory: the rename fails, and no temporary file is left.
 	occupied := filepath.Join(directory, "folder")
 	if err := os.MkdirAll(filepath.Join(occupied, "x"), 0o700); err != nil {
 		t.Fatal(err)
--- a/internal/filewatch/filewatch.go
+++ b/internal/filewatch/filewatch.go
@@ -1,5 +1,5 @@
-// Package filewatch notices changes of a file by polling. That works on every file system, and for files
-// that are put in place by a rename.
+// Package filewatch detects changes of a file by polling, which works on every file system and for files
+// that are replaced by a rename.
 package filewatch
 
 import (
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// Follow calls load at once and whenever the file at path has changed, until ctx ends. A file in the state
-// loaded counts as loaded; nil is none. The file is polled at each interval. Errors of polling and loading
-// are passed to report, each text once until the next successful load. All calls are from the goroutine of
-// Follow.
+// Follow polls the file at path at each interval until ctx is done, and calls load whenever the file has
+// changed. loaded is the state of the file that has already been loaded; if it is nil, or the file differs
+// from it, load is called at once. Errors of polling and loading are passed to report, except one with the
+// same text as the last one reported since a successful load. load and report are called from the goroutine
+// that calls Follow.
 func Follow(ctx context.Context, path string, interval time.Duration, loaded os.FileInfo, load func() error, report func(error)) {
 	reported := ""
 	ticker := time.NewTicker(interval)
@@ -36,8 +37,8 @@
 	}
 }
 
-// hasChanged compares a file with its loaded state. A file that a rename has put in place is another one
-// even if size and time are the same.
+// hasChanged reports whether a file differs from its loaded state. A file that was replaced by a rename
+// differs even if its size and modification time are the same.
 func hasChanged(loaded, info os.FileInfo) bool {
 	if loaded == nil || !os.SameFile(loaded, info) {
 		return true
--- a/internal/hopheaders/hopheaders.go
+++ b/internal/hopheaders/hopheaders.go
@@ -88,7 +88,7 @@
 	return false
 }
 
-// ForwardAnswer sets in out the header fields with which a server's answer is forwarded to the client.
+// ForwardAnswer sets in out the header fields with which a server's response is forwarded to the client.
 func ForwardAnswer(out, in http.Header) {
 	for k, v := range in {
 		out[k] = v
@@ -103,10 +103,10 @@
 	out["Via"] = append(v[:len(v):len(v)], "1.1 "+Alias)
 }
 
-// forwardingFields are all fields that describe clients.
+// forwardingFields are all header fields that describe clients to servers.
 var forwardingFields = []string{"X-Forwarded-For", "X-Forwarded-Host", "X-Forwarded-Proto", "Forwarded"}
 
-// addForwarding adds the peer to the forwarding fields. Those of an untrusted peer are replaced.
+// addForwarding adds the peer to the forwarding fields. Fields set by an untrusted peer are dropped first.
 func addForwarding(out http.Header, from Peer, format ForwardingFormat) {
 	if !from.IsTrusted || format == None {
 		for _, name := range forwardingFields {
@@ -161,12 +161,12 @@
 	return slices.ContainsFunc(prefixes, func(p netip.Prefix) bool { return p.Contains(addr) })
 }
 
-// maxChainLength limits how many proxies are followed back to a client.
+// maxChainLength limits how many proxies ClientAddr traces back to find a client.
 const maxChainLength = 32
 
 // ClientAddr returns the address of the client of a request that came through proxies: going back from
-// the peer, the first address that is not a trusted proxy. Fields set by an untrusted one are ignored. If
-// an entry of the chain is not an address, the last trusted proxy before it is returned.
+// the peer, the first address that is not a trusted proxy. Fields set by an untrusted peer are ignored. If
+// an entry of the chain is not an address, the trusted proxy that reported the entry is returned.
 func ClientAddr(h http.Header, peer netip.Addr, trusted []netip.Prefix) netip.Addr {
 	addr := peer.Unmap().WithZone("")
 	if len(trusted) == 0 || !IsTrusted(addr, trusted) {
--- a/internal/hopheaders/hopheaders_test.go
+++ b/internal/hopheaders/hopheaders_test.go
@@ -62,7 +62,7 @@
 		h    http.Header
 		want string
 	}{
-		{"127.0.0.1", http.Header{"X-Forwarded-For": {"6.6.6.6, 9.9.9.9"}}, "9.9.9.9"}, // the left is forged
+		{"127.0.0.1", http.Header{"X-Forwarded-For": {"6.6.6.6, 9.9.9.9"}}, "9.9.9.9"}, // the client forged the left entry
 		{"127.0.0.1", http.Header{"X-Forwarded-For": {"6.6.6.6", "9.9.9.9, 127.0.0.2"}}, "9.9.9.9"},
 		{"8.8.8.8", http.Header{"X-Forwarded-For": {"6.6.6.6"}}, "8.8.8.8"},
 		{"127.0.0.1", nil, "127.0.0.1"},
@@ -70,7 +70,7 @@
 		{"127.0.0.1", http.Header{"Forwarded": {`for="[2001:db8::1]:80";by=x, for="_hidden,;x"`}}, "127.0.0.1"},
 		{"127.0.0.1", http.Header{"Forwarded": {`for=6.6.6.6`, `For="[2001:db8::1]:80";by=x`}, "X-Forwarded-For": {"6.6.6.6"}}, "2001:db8::1"},
 		{"::ffff:127.0.0.1", http.Header{"X-Forwarded-For": {"9.9.9.9:1234"}}, "9.9.9.9"},
-		{"127.0.0.1", http.Header{"X-Forwarded-For": {"fd00::1"}}, "fd00::1"}, // all are proxies: the first of them
+		{"127.0.0.1", http.Header{"X-Forwarded-For": {"fd00::1"}}, "fd00::1"}, // all are trusted proxies: the first one is returned
 	} {
 		if got := ClientAddr(tc.h, netip.MustParseAddr(tc.peer), proxies); got.String() != tc.want {
 			t.Errorf("%s %v: %v, not %s", tc.peer, tc.h, got, tc.want)
--- a/internal/instancestats/instancestats.go
+++ b/internal/instancestats/instancestats.go
@@ -1,6 +1,6 @@
-// Package instancestats holds what one instance has counted of its own service since its process began, in a form
-// that instances can be compared by. Counts only grow, so that the difference of two readings is what was counted
-// between them. It does no I/O.
+// Package instancestats holds the counts that one instance keeps of the service it provides since its process started,
+// in a form that allows instances to be compared. Counts never decrease, so the difference of two readings is what was
+// counted between them. The package does no I/O.
 package instancestats
 
 import (
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// Delays is a histogram of response times: bucket i counts those under Edge(i) and not under Edge(i-1), the last one
-// all longer ones.
+// Delays is a histogram of response times: bucket i counts times from Edge(i-1) to just below Edge(i), and the last
+// bucket counts all longer ones.
 type Delays [delayBuckets]uint64
 
 const (
 	delayBuckets       = 64
-	bucketsPerDoubling = 4                // buckets for each doubling
+	bucketsPerDoubling = 4                // buckets for each doubling of the delay
 	minDelay           = time.Millisecond // upper edge of the first bucket
 )
 
-// Edge returns the upper edge of a bucket, which is not part of it.
+// Edge returns the exclusive upper edge of a bucket.
 func Edge(i int) time.Duration {
 	if i >= delayBuckets-1 {
 		return math.MaxInt64
@@ -51,7 +51,7 @@
 }
 
 // Quantile returns the upper edge of the bucket that holds a quantile, and 0 if no delay is counted. For the last
-// bucket, which has no edge, it returns that of the one before. share is from 0 to 1.
+// bucket, which has no upper edge, it returns its lower edge. fraction is from 0 to 1.
 func (d *Delays) Quantile(fraction float64) time.Duration {
 	total := d.Total()
 	if total == 0 {
@@ -68,27 +68,27 @@
 	return Edge(delayBuckets - 2)
 }
 
-// Statistics are one instance's counts since Began. Requests weigh by the priority weight of their class.
+// Statistics are one instance's counts since Began. OfferedWeight and Served sum the priority weights of requests' classes.
 type Statistics struct {
-	Began         time.Time     `json:"began"`    // start of the process, by which a restart is known
-	OfferedWeight float64       `json:"asked"`    // priority weight of requests, without those over a quota
-	Served        float64       `json:"served"`   // priority weight of requests served within their latency objective
-	Requests      uint64        `json:"requests"` // that have ended, with any outcome
+	Began         time.Time     `json:"began"`    // start of the process, which identifies it across readings
+	OfferedWeight float64       `json:"asked"`    // total priority weight of requests, without those over a quota
+	Served        float64       `json:"served"`   // total priority weight of requests served within their latency objective
+	Requests      uint64        `json:"requests"` // requests that have ended, with any outcome
 	Rejected      uint64        `json:"refused"`
-	OverQuota     uint64        `json:"beyond"` // part of Rejected that exceeded a quota or hard limit
+	OverQuota     uint64        `json:"beyond"` // the requests in Rejected that exceeded a quota or hard limit
 	Failed        uint64        `json:"failed"`
-	Late          uint64        `json:"late"`      // served after the latency objective
+	Late          uint64        `json:"late"`      // requests served later than their latency objective
 	ClientsGone   uint64        `json:"left"`      // requests whose client closed its connection
-	Units         float64       `json:"units"`     // forwarded, as hard limits count them
-	Breaches      uint64        `json:"breaches"`  // invariant violations that the instance has seen itself
-	Panics        uint64        `json:"panics"`    // of modules
-	CPU           time.Duration `json:"cpu"`       // time of the process
-	MemoryKB      int           `json:"memory_kb"` // resident; a state that may also fall
-	Delays        Delays        `json:"delays"`    // of served requests
+	Units         float64       `json:"units"`     // units forwarded, as hard limits count them
+	Breaches      uint64        `json:"breaches"`  // invariant violations that the instance detected itself (package invariant)
+	Panics        uint64        `json:"panics"`    // panics of decision modules
+	CPU           time.Duration `json:"cpu"`       // CPU time of the process
+	MemoryKB      int           `json:"memory_kb"` // resident memory; a current value, which may decrease
+	Delays        Delays        `json:"delays"`    // response times of served requests
 }
 
-// Since returns what was counted after an earlier reading of the same process, with the later reading's Began and
-// MemoryKB. It returns false if the readings are of different processes or in the wrong order.
+// Since returns what was counted since an earlier reading of the same process, with the Began and MemoryKB of the
+// later reading. It returns false if the readings are of different processes or in the wrong order.
 func (s Statistics) Since(earlier Statistics) (Statistics, bool) {
 	if !s.Began.Equal(earlier.Began) || s.Requests < earlier.Requests || s.CPU < earlier.CPU {
 		return Statistics{}, false
@@ -112,7 +112,7 @@
 	return difference, true
 }
 
-// Add adds the counts of another instance or another time. Began and MemoryKB do not change.
+// Add adds the counts of another instance or of another period. Began and MemoryKB do not change.
 func (s *Statistics) Add(other Statistics) {
 	s.OfferedWeight += other.OfferedWeight
 	s.Served += other.Served
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package invariant counts, while the node runs, how often it has broken a rule that holds whatever its modules decide.
-// A violation is a fault of the program: it is logged with the request's id, so that the request can be followed, and
-// counted for metrics. Where the guard that finds one can prevent the effect, it does.
+// Package invariant counts violations of rules that must hold at run time whatever the decision modules decide.
+// A violation is a bug in the node: it is counted for metrics and logged with the request's id, so that the request can
+// be traced. A check that detects a violation also prevents its effect where it can.
 package invariant
 
 import (
@@ -8,17 +8,17 @@
 	"sync/atomic"
 )
 
-// Rule is a rule that the node checks of itself.
+// Rule is an invariant that the node checks at run time.
 type Rule int
 
 // The rules.
 const (
-	ParallelAttempt  Rule = iota // an attempt begins only once the one before has ended
-	UnsafeRetry                  // a request that may have run is sent again only where that can't run it twice
-	TooManyAttempts              // a request has no more attempts than the settings allow
-	SlowStartOverrun             // this node alone stays within the budget of a server that warms up
-	LateAnswer                   // a request has its final answer at most lateAnswerGrace after its deadline
-	ClosedUnanswered             // a connection is not closed with a request on it that was read and not answered
+	ParallelAttempt  Rule = iota // an attempt starts only after the request's previous one has ended
+	UnsafeRetry                  // a request that a server may have executed is retried only if that can't execute it twice
+	TooManyAttempts              // a request has no more attempts than its settings allow
+	SlowStartOverrun             // this node's own load on a server that is warming up stays within the server's budget
+	LateAnswer                   // a request gets its final answer at most lateAnswerGrace after its deadline
+	ClosedUnanswered             // no connection is closed while a request that was read from it has no answer
 	ruleCount
 )
 
@@ -31,7 +31,7 @@
 
 var violations [ruleCount]atomic.Uint64
 
-// Violated counts and logs a violation of a rule by a request; why holds the figures that show it. It is safe for
+// Violated counts and logs a violation of a rule by a request; details holds the values that prove it. It is safe for
 // concurrent use.
 func Violated(rule Rule, requestID, details string) {
 	violations[rule].Add(1)
@@ -45,5 +45,5 @@
 	}
 }
 
-// Violations is how often a rule was violated in this process.
+// Violations returns the number of violations of a rule in this process.
 func Violations(rule Rule) uint64 { return violations[rule].Load() }
--- a/internal/loglimit/logs.go
+++ b/internal/loglimit/logs.go
@@ -1,5 +1,5 @@
-// Package loglimit rate-limits log lines, so that clients can't fill the log with lines that they
-// cause. The next line of a limited text carries the number of suppressed ones.
+// Package loglimit rate-limits log lines, so that clients can't fill the log with lines that their
+// requests cause. After lines of a message were suppressed, the next one carries their number.
 package loglimit
 
 import (
@@ -12,42 +12,42 @@
 )
 
 const (
-	perSecond   = 1   // lines of one text, once the burst is used up
-	burst       = 20  // lines of one text at once
-	maxMessages = 512 // texts with a limiter
+	perSecond   = 1   // lines of one message, once the burst is used up
+	burst       = 20  // lines of one message at once
+	maxMessages = 512 // messages with a limiter
 )
 
-// Suppressed is the key of the number of lines with the same text that were suppressed before a line.
+// Suppressed is the attribute key for the number of lines with the same message that were suppressed before a line.
 const Suppressed = "suppressed"
 
-// Limit wraps a handler so that of each text (level and message) at most a burst of 20 lines and
-// then one a second pass. Debug lines are not limited, as an operator has enabled them. The handler
-// is safe for concurrent use. It has limiters for at most 512 texts and discards all of them beyond
-// that number; texts are constants of the program, so this is not expected.
+// Limit wraps a handler so that of each message (with its level) at most a burst of 20 lines and then
+// one line a second pass. Debug lines are not limited, since an operator has enabled them. The handler
+// is safe for concurrent use. It keeps limiters for at most 512 messages; one more message discards
+// all limiters. Messages are constants of the program, so this is not expected.
 func Limit(h slog.Handler) slog.Handler {
 	return &limitingHandler{Handler: h, limiters: &limiters{byKey: make(map[string]*limiter)}}
 }
 
-// limited is a handler that shares its limiters with the handlers derived from it.
+// limitingHandler is a handler that shares its limiters with the handlers derived from it.
 type limitingHandler struct {
 	slog.Handler
 	limiters *limiters
 }
 
-// texts are the limiters by level and message. It is safe for concurrent use.
+// limiters holds the limiters by level and message. It is safe for concurrent use.
 type limiters struct {
 	mu    sync.Mutex
 	byKey map[string]*limiter
 }
 
-// text is the limiter of one text.
+// limiter limits the lines of one message.
 type limiter struct {
 	tokens     *rate.Limiter
 	suppressed int64 // lines since the last one that passed
 }
 
-// pass reports whether a line of a text may be written at a time, and if so, how many lines of the
-// text were suppressed before it.
+// allow reports whether a line may be written at a time, and if so, how many lines of the same level
+// and message were suppressed before it.
 func (t *limiters) allow(key string, at time.Time) (suppressed int64, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -68,7 +68,7 @@
 	return suppressed, true
 }
 
-// Handle writes a line, or suppresses and counts it.
+// Handle writes a line, or suppresses it and counts it as suppressed.
 func (l *limitingHandler) Handle(ctx context.Context, r slog.Record) error {
 	if r.Level < slog.LevelInfo {
 		return l.Handler.Handle(ctx, r)
--- a/internal/loglimit/logs_test.go
+++ b/internal/loglimit/logs_test.go
@@ -20,7 +20,7 @@
 		if n := len(lines()); n != burst {
 			t.Errorf("%d lines of a flood, not %d", n, burst)
 		}
-		log.Error("bad client") // another level is another text
+		log.Error("bad client") // each level has its own limiter
 		log.Info("other")
 		if n := len(lines()); n != burst+2 {
 			t.Errorf("a flood keeps others out: %d lines", n)
--- a/internal/validation/validation.go
+++ b/internal/validation/validation.go
@@ -6,7 +6,7 @@
 //   - a CR that does not end a line (2.2)
 //   - a Transfer-Encoding in an HTTP/1.0 message (6.1)
 //
-// A Scanner is fed the bytes that net/http reads from a connection; it changes nothing and does no I/O.
+// A Scanner is fed the bytes that net/http reads from a connection; it does not change them and does no I/O.
 // Packages front and upstream scan the connections of clients and servers with it.
 package validation
 
@@ -18,7 +18,7 @@
 	"strings"
 )
 
-// Reasons to reject a message. Their texts are sent to clients.
+// Errors for which a message is rejected. Their texts are sent to clients.
 var (
 	ErrFraming                = errors.New("both Content-Length and Transfer-Encoding")
 	ErrContentLength          = errors.New("no single Content-Length")
@@ -29,7 +29,7 @@
 	ErrChunkSize              = errors.New("a chunk with no size")
 )
 
-// maxLineBytes is how much of a line is buffered. It is enough for the fields that frame a message.
+// maxLineBytes is the length up to which a line is buffered. It suffices for the fields that frame a message.
 const maxLineBytes = 96
 
 // state is the part of a message that the next line belongs to.
@@ -46,27 +46,27 @@
 // Scanner scans the bytes that one side of a connection sends, in order. Its zero value expects the
 // first byte of a request. It is not safe for concurrent use.
 type Scanner struct {
-	// ReadsAnswers has the Scanner scan answers in place of requests. It stops after the head of the first
-	// final answer, and after an upgrade.
+	// ReadsAnswers makes the Scanner scan responses instead of requests. It stops after the head of the first
+	// final response, and after an upgrade.
 	ReadsAnswers bool
 
 	err         error // the first violation
 	state       state
-	bytesToSkip int64 // rest of the current body or chunk
+	bytesToSkip int64 // bytes left of the current body or chunk
 
 	// The current line.
-	line        [maxLineBytes]byte // its beginning, without the line end
+	line        [maxLineBytes]byte // the beginning of the line, without the line end
 	lineLength  int                // bytes used in line
-	isTruncated bool               // it is longer than maxLineBytes
-	lineTail    [8]byte            // its last bytes, for the version of a long request line
-	endsWithCR  bool               // its last byte so far is a CR
+	isTruncated bool               // the line is longer than maxLineBytes
+	lineTail    [8]byte            // the last bytes of the line, which hold the HTTP version of a long request line
+	endsWithCR  bool               // the last byte read of the line is a CR
 
 	// The current message.
 	hasStartLine       bool
 	isHTTP10           bool
-	isInterim          bool // an answer with a 1xx status other than 101
+	isInterim          bool // the message is a response with a 1xx status other than 101
 	contentLength      int64
-	contentLengthCount int // Content-Length fields so far
+	contentLengthCount int // Content-Length fields read so far
 	isChunked          bool
 }
 
@@ -104,7 +104,7 @@
 	return s.err
 }
 
-// startLine prepares for the next line.
+// resetLine prepares for the next line.
 func (s *Scanner) resetLine() {
 	s.lineLength = 0
 	s.isTruncated = false
@@ -171,7 +171,7 @@
 	}
 }
 
-// readStartLine determines the HTTP version, and whether an answer is an interim one.
+// readStartLine determines the HTTP version, and whether a response is an interim one.
 func (s *Scanner) readStartLine(line []byte) {
 	if s.ReadsAnswers {
 		s.isHTTP10 = bytes.HasPrefix(line, []byte("HTTP/1.0"))
@@ -182,7 +182,7 @@
 	s.isHTTP10 = string(s.lineTail[:7]) != "HTTP/1." || s.lineTail[7] == '0'
 }
 
-// readField checks a header field and notes those that frame the body.
+// readField checks a header field, and stores the values of the fields that frame the body.
 func (s *Scanner) readField(line []byte) {
 	if line[0] == ' ' || line[0] == '\t' {
 		s.err = ErrLineFolding
@@ -218,7 +218,7 @@
 	return n, len(digits) > 0
 }
 
-// endHead checks the framing of a message and determines what follows its head.
+// endHead checks the framing of a message and sets the state for what follows its head.
 func (s *Scanner) endHead() {
 	switch {
 	case s.isChunked && s.contentLengthCount > 0:
@@ -237,7 +237,7 @@
 	}
 }
 
-// endMessage expects the head of the next message; a body that is to be skipped precedes it.
+// endMessage makes the scanner expect the head of the next message, after any bytes still to be skipped.
 func (s *Scanner) endMessage() {
 	s.state = inHead
 	s.hasStartLine = false
@@ -248,7 +248,7 @@
 	s.isChunked = false
 }
 
-// readChunkSize parses the line before a chunk, without its extensions.
+// readChunkSize parses the size in the line before a chunk, and ignores chunk extensions.
 func (s *Scanner) readChunkSize(line []byte) {
 	size, _, _ := bytes.Cut(line, []byte(";"))
 	n, err := strconv.ParseUint(string(bytes.TrimRight(size, " \t")), 16, 63)
--- a/internal/validation/validation_test.go
+++ b/internal/validation/validation_test.go
@@ -44,7 +44,7 @@
 		"chunk too long":    {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", ErrChunkSize},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for _, size := range []int{1, 3, len(tc.text)} { // however it comes in pieces
+			for _, size := range []int{1, 3, len(tc.text)} { // bytes that each Feed gets
 				var s Scanner
 				var err error
 				for rest := []byte(tc.text); len(rest) > 0; {
@@ -74,8 +74,8 @@
 	}
 }
 
-// Of the input that the scanner accepts, net/http finds the same messages: as many, and the next one begins at
-// the same byte.
+// Guards against request smuggling: net/http must split all input that the scanner accepts into the same
+// messages, each ending at the same byte.
 func FuzzScannerAgreesWithNetHTTP(f *testing.F) {
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\nGET / HTTP/1.1\r\nHost: h\r\n\r\n"))
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\nHost: h\r\n\r\n"))
@@ -84,7 +84,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		reader := bufio.NewReader(bytes.NewReader(raw))
 		consumed := func() int { return len(raw) - reader.Buffered() }
-		if len(raw) > 4000 { // the reader would hold a part of it
+		if len(raw) > 4000 { // longer input does not fit in the reader's buffer, so consumed would be wrong
 			return
 		}
 		for range 10 {
@@ -97,7 +97,7 @@
 			}
 			var s Scanner
 			if s.Feed(raw[:consumed()]) != nil {
-				return // refused
+				return // rejected
 			}
 			if s.state != inHead || s.hasStartLine || s.bytesToSkip > 0 {
 				t.Fatalf("the library ends a message at %d of %q; the scanner is in state %d, %d bytes to come", consumed(), raw, s.state, s.bytesToSkip)
