--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// check prints whether a configuration can be used, and all that is wrong in it.
+// checkConfig prints whether a configuration is valid, and all errors in it.
 func checkConfig(e *Env, path string, asJSON bool) error {
 	cfg, err := config.Load(path)
 	var problems config.FieldErrors
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,5 +1,5 @@
-// Package command is lockflow's command line. Each command reads its flags, calls the package that does the work, and
-// prints the result. cmd/lockflow is its caller.
+// Package command implements lockflow's command line. Each command reads its flags, calls the package that does the
+// work, and prints the result. cmd/lockflow calls Main.
 package command
 
 import (
@@ -34,28 +34,28 @@
 	Getenv func(string) string
 	Out    io.Writer
 	Err    io.Writer
-	// ReloadSignals receives each SIGHUP. The signal is never left to its default, which would end the program, also
-	// not while a node starts or drains.
+	// ReloadSignals receives each SIGHUP. The signal is caught for the whole life of the program, since its default
+	// action would end a node that starts or drains.
 	ReloadSignals <-chan os.Signal
-	// UpgradeSignals receives each SIGUSR2, in the same way.
+	// UpgradeSignals receives each SIGUSR2, which is caught for the same reason.
 	UpgradeSignals <-chan os.Signal
-	// Args is the complete command line, for a successor of this process.
+	// Args is the command line without the program's name. An upgrade starts the successor with it.
 	Args []string
 }
 
-// errUsage means that a command was called wrongly.
+// errUsage means that a command was called with wrong arguments or flags.
 var errUsage = errors.New("usage")
 
-// errConfig means that the platform's configuration can't be used.
+// errConfig means that the platform's configuration is invalid.
 var errConfig = errors.New("bad configuration")
 
-// errReported is a failure that has been printed completely.
+// errReported means that a command failed and has already printed why.
 var errReported = errors.New("told")
 
-// errStuck is a change of a fleet that was stopped and not completely rolled back, which has been printed.
+// errStuck means that a change of a fleet was stopped and not completely rolled back. It has already been printed.
 var errStuck = errors.New("stuck")
 
-// Limits of the descriptors that a node between fake peers may hold.
+// Limits of the flag --descriptors: the file descriptors of a node that runs between fake peers.
 const (
 	minDescriptors = 192
 	maxDescriptors = 1 << 16
@@ -68,10 +68,10 @@
 type command struct {
 	name     string
 	summary  string
-	group    string // in the list of commands
+	group    string // under which help lists the command
 	args     string // in the usage line
 	examples []string
-	// setup declares the flags, and returns the function that runs the command with its arguments.
+	// setup declares the command's flags, and returns the function that runs the command with its arguments.
 	setup func(flags) func(ctx context.Context, e *Env, args []string) error
 }
 
@@ -82,7 +82,7 @@
 	groupTrials  = "trying"
 )
 
-// commands returns all commands, in the order of the list.
+// commands returns all commands, in the order in which help lists them.
 func commands() []command {
 	return []command{
 		serveCommand(), proxyCommand(), statusCommand(), upgradeCommand(), fleetCommand(), checkCommand(), planCommand(), routeCommand(),
@@ -101,8 +101,8 @@
 	return Run(ctx, &Env{Getenv: os.Getenv, Out: os.Stdout, Err: os.Stderr, ReloadSignals: hup, UpgradeSignals: usr2, Args: args}, args)
 }
 
-// Run runs a command line in an environment, and returns its exit code. Without arguments, as on the platform, it builds
-// no command tree, which would cost memory and time for nothing.
+// Run runs a command line in an environment, and returns its exit code. Without arguments, as on the platform, it serves
+// without building the command tree, which would waste memory and time.
 func Run(ctx context.Context, e *Env, args []string) int {
 	if len(args) == 0 {
 		return e.reportExit(serveByEnvironment(ctx, e))
@@ -151,7 +151,7 @@
 	return root
 }
 
-// rejectUnknownCommand returns an error for the root's arguments, which are no command, and suggests similar ones.
+// rejectUnknownCommand returns an error for arguments that name no command, and suggests similar commands.
 func rejectUnknownCommand(c *cobra.Command, args []string) error {
 	err := cobra.NoArgs(c, args)
 	if err == nil || len(args) == 0 {
@@ -174,7 +174,7 @@
 	return target.Help()
 }
 
-// cobra returns the command in cobra's form.
+// newCobraCommand returns the command as a cobra.Command.
 func (c *command) newCobraCommand(e *Env) *cobra.Command {
 	cobraCommand := &cobra.Command{
 		Use:                   c.name + " " + c.args,
@@ -213,10 +213,10 @@
 // logFlags are the flags of logging.
 type logFlags struct {
 	format string // text or json
-	level  string // as slog.Level names it
+	level  string // a name that slog.Level can parse
 }
 
-// set sets the default logger.
+// setDefaultLogger sets the default logger by the flags.
 func (l *logFlags) setDefaultLogger(w io.Writer) error {
 	var o slog.HandlerOptions
 	var level slog.Level
@@ -235,7 +235,7 @@
 	return nil
 }
 
-// exit prints an error that has not been printed, and returns its exit code.
+// reportExit prints an error unless it has already been printed, and returns its exit code.
 func (e *Env) reportExit(err error) int {
 	switch {
 	case err == nil:
@@ -263,7 +263,7 @@
 	return ExitFailed
 }
 
-// executable returns the path of this program.
+// executable returns the path of this program's executable.
 func executable() (string, error) {
 	path, err := os.Executable()
 	if err != nil {
@@ -272,7 +272,7 @@
 	return path, nil
 }
 
-// usageError returns an error for a command that was called wrongly.
+// usageError returns an error that wraps errUsage.
 func usageError(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", errUsage, fmt.Sprintf(format, args...))
 }
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -19,7 +19,7 @@
 
 const exampleConfig = "../../deploy/lockflow.toml"
 
-// run runs a command line and gives its exit code and what it printed.
+// runCommand runs a command line and returns its exit code and output.
 func runCommand(t *testing.T, env map[string]string, args ...string) (code int, out, errs string) {
 	t.Helper()
 	var o, e bytes.Buffer
@@ -29,7 +29,7 @@
 	return code, o.String(), e.String()
 }
 
-// Each setting that can't be ends the start with 2 and is named by file and path.
+// With an invalid platform setting the program must exit with code 2 and name the file and the setting.
 func TestInvalidPlatformSettings(t *testing.T) {
 	raw, err := os.ReadFile("../config/testdata/config.json")
 	if err != nil {
@@ -92,7 +92,7 @@
 		args []string
 		env  map[string]string
 		code int
-		want string // somewhere in what is printed
+		want string // must be part of the output
 	}{
 		"help":               {[]string{"help"}, nil, ExitOK, "check       checks a configuration"},
 		"help of one":        {[]string{"help", "route"}, nil, ExitOK, "--host HOST"},
@@ -142,7 +142,7 @@
 	}
 }
 
-// What each command says of itself is as in the golden files, from which the man page is made too.
+// Guards the help of each command: it must be the same as in the golden files, and as help COMMAND prints it.
 func TestHelp(t *testing.T) {
 	golden := func(name, got string) {
 		t.Helper()
@@ -170,7 +170,7 @@
 	}
 }
 
-// The man pages under docs/man are those of the commands as they are.
+// Guards against outdated man pages: those under docs/man must be what the commands generate.
 func TestManPages(t *testing.T) {
 	dir, committed := t.TempDir(), filepath.Join("..", "..", "docs", "man")
 	if testkit.IsUpdating() {
@@ -213,7 +213,7 @@
 	}
 }
 
-// The demo, in short: it ends well only if each request had exactly one final answer.
+// A short run of the demo, which succeeds only if each request had exactly one final answer.
 func TestDemo(t *testing.T) {
 	code, out, errs := runCommand(t, nil, "demo", "--for", "1500ms", "--json")
 	var got struct {
@@ -226,8 +226,8 @@
 		t.Fatalf("exit %d, %v: %s%s", code, err, out, errs)
 	}
 	for i, p := range got.Phases {
-		// Not all: where the machine's cores are busy with other work, calls come late, in bursts that
-		// the bound turns away. Rosters that the stalled documents held up would be served next to none.
+		// A quarter suffices: on a busy machine calls are sent late, in bursts of which the concurrency
+		// limit rejects a part. If the stalled documents held up the rosters, almost none would be served.
 		if r := p.Results["rosters"]; r.Calls == 0 || r.Served < r.Calls/4 || r.Lost > 0 {
 			t.Errorf("phase %d: %+v", i+1, r)
 		}
@@ -237,7 +237,7 @@
 	}
 }
 
-// A day by name keeps the rules and says so; a guard taken out that is found is no failure.
+// Days must keep the rules and report so. A detected mutation, which disables a guard, is not a failure.
 func TestSimulateDays(t *testing.T) {
 	for args, want := range map[string]string{
 		"--day calm,join --instances 2,8 --for 12s":          "none",
--- a/internal/command/daemon.go
+++ b/internal/command/daemon.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// upgradeDaemon upgrades a daemon, and returns once its successor serves. An empty program is the one that runs.
+// upgradeDaemon upgrades a daemon, and returns once its successor serves. If program is empty, the daemon starts its current program.
 func upgradeDaemon(ctx context.Context, e *Env, control, program string) error {
 	m := fleet.Member{Name: control, Client: manage.Client{Path: control}}
 	before, err := m.Client.Status(ctx)
--- a/internal/command/daemon_test.go
+++ b/internal/command/daemon_test.go
@@ -13,8 +13,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// A supervisor hears of each step of a daemon's life: READY once it serves, RELOADING with the
-// time and READY behind it also where the file is bad, STOPPING before the end.
+// A daemon must notify its supervisor of each step of its lifecycle: READY once it serves, RELOADING with the
+// time and then READY for each reload, also of an invalid file, and STOPPING before it ends.
 func TestDaemonNotifiesSupervisor(t *testing.T) {
 	dir := t.TempDir()
 	configPath, pidPath := filepath.Join(dir, "c.toml"), filepath.Join(dir, "pid")
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// demo is one run of the command "demo".
+// demo holds the flags of the command "demo".
 type demo struct {
 	duration    time.Duration
 	seed        uint64
@@ -44,13 +44,13 @@
 	json        bool
 }
 
-// Limits of the demo's duration.
+// Limits of the flag --for of the demo.
 const (
 	minDemoTime = 300 * time.Millisecond
 	maxDemoTime = time.Hour
 )
 
-// isValid tells whether the flags are in range.
+// isValid reports whether the flags are in range.
 func (d *demo) isValid() bool {
 	if d.duration < minDemoTime || d.duration > maxDemoTime {
 		return false
@@ -58,7 +58,7 @@
 	return d.descriptors >= minDescriptors && d.descriptors <= maxDescriptors
 }
 
-// phase is the result of a third of the demo.
+// phaseResult is the result of one phase, a third of the demo's duration.
 type phaseResult struct {
 	Name    string                  `json:"phase"`
 	Results map[string]*fake.Result `json:"results"`
@@ -71,13 +71,13 @@
 // run runs the three phases and prints the summary.
 func (d *demo) run(ctx context.Context, e *Env) error {
 	old := slog.Default()
-	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil))) // the printed tables are the report
+	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil))) // the printed tables report what logs would
 	defer slog.SetDefault(old)
 	bench, err := testbench.Start(testbench.WithDescriptors(d.descriptors), testbench.DemoServers(d.seed))
 	if err != nil {
 		return err
 	}
-	defer bench.Stop() //nolint:errcheck // what failed is reported while it runs
+	defer bench.Stop() //nolint:errcheck // the success path checks the error of its own Stop
 	if err := bench.Ready(ctx); err != nil {
 		return err
 	}
@@ -104,7 +104,7 @@
 	return d.printSummary(e, bench, phases, stopErr)
 }
 
-// play sends the calls of a phase, and prints a line a second.
+// runPhase sends the calls of a phase, and prints a line for each service every second.
 func (d *demo) runPhase(ctx context.Context, bench *testbench.Bench, startedAt time.Time, name string, phaseIndex uint64, output io.Writer) map[string]*fake.Result {
 	ctx, cancel := context.WithTimeout(ctx, d.duration/3)
 	defer cancel()
@@ -122,7 +122,7 @@
 			isRunning = false
 		}
 		if !isRunning {
-			break // the summary has the last part of a second
+			break // the summary includes the calls of the last, incomplete second
 		}
 		now := make(map[string]fake.Result)
 		for _, r := range runs {
@@ -131,7 +131,7 @@
 			}
 		}
 		for i, st := range bench.Node.Status() {
-			k := demoKinds[len(demoKinds)-1-i] // services are sorted by name, which is the opposite order
+			k := demoKinds[len(demoKinds)-1-i] // Status sorts services by name, which is the reverse of demoKinds
 			a, b := last[k], now[k]
 			fmt.Fprintf(output, "%-8s %-8s %-10s %7d %7d %8d %7d %6d %6d of %-3d %12d\n", time.Since(startedAt).Round(100*time.Millisecond), name, k,
 				b.Calls-a.Calls, b.Served-a.Served, b.Rejected-a.Rejected, b.Failed-a.Failed, st.Requests,
@@ -148,7 +148,7 @@
 	return all
 }
 
-// summary prints the results of all phases, and fails unless each request had exactly one final answer.
+// printSummary prints the results of all phases, and fails unless each request had exactly one final answer.
 func (d *demo) printSummary(e *Env, bench *testbench.Bench, phases []phaseResult, stopErr error) error {
 	isCorrect := stopErr == nil
 	for _, p := range phases {
--- a/internal/command/event_log.go
+++ b/internal/command/event_log.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// readEventLog adds the event log of one instance, which its file is named after.
+// readEventLog adds the event log of one instance, whose name is the base name of the file without ".log".
 func readEventLog(summer *eventlog.Summer, path string) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -69,10 +69,10 @@
 	return nil
 }
 
-// rejectionCauses are the causes of rejections that are printed, in the order of their columns.
+// rejectionCauses are the causes of rejections that printEventLog prints, in the order of their columns.
 var rejectionCauses = []string{"no_turn", "no_further", "yields", "over_store", "by_chance", "over_ceiling", "too_late"}
 
-// printEventLog prints the sums by second, by server and by plan. maxServers limits the servers.
+// printEventLog prints the sums by second, by server and by plan. maxServers limits the rows of servers.
 func printEventLog(w io.Writer, s *eventlog.Sum, maxServers int) {
 	fmt.Fprintf(w, "%d instances; %d lines of theirs can't be read\n\n", s.Instances, s.Skipped)
 	t := tabwriter.NewWriter(w, 0, 0, 1, ' ', tabwriter.AlignRight)
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -13,20 +13,20 @@
 // drainTimeout is how long instances may drain before they are killed.
 const drainTimeout = 20 * time.Second
 
-// fleetFlags are the flags of lockflow fleet.
+// fleetFlags holds the flags of the command "fleet".
 type fleetFlags struct {
-	// Where the members are; one of these is given.
-	dir     string // of the instances of a fleet run
-	sockets string // file with control sockets
-	file    string // fleet file
+	// The source of the members; exactly one of these is given, except to status of a single daemon.
+	dir     string // directory of the instances that fleet run started
+	sockets string // file with a path of a control socket per line
+	file    string // fleet file: regions and their members
 
 	config    string
 	program   string
 	host      string
 	port      int
 	instances int
-	groupSize int           // 0 is instances
-	timeout   time.Duration // of a member to be ready
+	groupSize int           // group size that instances are told; 0 is instances
+	timeout   time.Duration // within which a member must be ready
 	json      bool
 	rolloutFlags
 }
@@ -79,7 +79,7 @@
 	}
 }
 
-// run runs a fleet until ctx is done, and then drains it.
+// run starts a fleet, waits until ctx is done, and drains the fleet.
 func (f *fleetFlags) run(ctx context.Context, e *Env) error {
 	if f.config == "" || f.dir == "" || f.instances < 1 {
 		return usageError("fleet run takes --config FILE, --dir DIR and --instances N")
@@ -146,7 +146,7 @@
 	return usageError("fleet: there is no %q: run, status, reload, upgrade, drain, serve", operation)
 }
 
-// readConfig reads and checks the new settings; nil is those of each member's own file.
+// readConfig reads and checks the new settings. It returns nil if no file is given: each member then reloads its own file.
 func (f *fleetFlags) readConfig() ([]byte, error) {
 	if f.config == "" {
 		return nil, nil
@@ -158,7 +158,8 @@
 	return text, fleet.CheckSettings(f.config, text)
 }
 
-// setDrained sets whether members are to stay drained, also after a restart. It goes on after a member that fails.
+// setDrained sets whether members are to be drained; with a state directory they stay so after a restart. It continues
+// after a member that fails.
 func (f *fleetFlags) setDrained(ctx context.Context, e *Env, members []fleet.Member, isDrained bool) error {
 	hasFailed := false
 	for _, m := range members {
--- a/internal/command/fleet_status.go
+++ b/internal/command/fleet_status.go
@@ -11,8 +11,8 @@
 	"lockflow/internal/fleet"
 )
 
-// status prints the status of all members, and of the newest change. It fails if a member does not answer or is not as
-// desired.
+// status prints the status of all members, and the progress of the newest change. It fails if a member does not answer
+// or is not in its desired state.
 func (f *fleetFlags) status(ctx context.Context, e *Env, members []fleet.Member) error {
 	all := fleet.PollStatus(ctx, members)
 	isAsDesired := true
--- a/internal/command/golden_test.go
+++ b/internal/command/golden_test.go
@@ -13,10 +13,11 @@
 	"lockflow/internal/trials/measure"
 )
 
-// Files of earlier builds; go test ./internal/command -run Golden -update writes them anew.
+// goldenDir has outputs of earlier builds. go test ./internal/command -run Golden -update rewrites them.
 const goldenDir = "testdata/golden"
 
-// What commands print as JSON of the configurations in testdata/golden is what earlier builds printed.
+// Guards the JSON output that operators' tools parse: for the configurations in testdata/golden, commands must print what
+// earlier builds printed.
 func TestGoldenOutputs(t *testing.T) {
 	in := func(name string) string { return filepath.Join(goldenDir, name) }
 	for name, args := range map[string][]string{
@@ -37,7 +38,7 @@
 	}
 }
 
-// What other commands print as JSON has the keys that earlier builds printed.
+// Guards the keys of the JSON output of the other commands: they must be those that earlier builds printed.
 func TestGoldenReports(t *testing.T) {
 	for name, v := range map[string]any{
 		"findings": &findings{}, "replayed": &replayResult{}, "played": &dayResult{}, "phase": &phaseResult{}, "event-log": &eventlog.Sum{},
--- a/internal/command/keys_test.go
+++ b/internal/command/keys_test.go
@@ -16,7 +16,7 @@
 	"lockflow/internal/trials/measure"
 )
 
-// What commands print with --json has a written key for every field.
+// Each field of what commands print with --json must have a key in its tag, so that a renamed field keeps its key.
 func TestKeysAreWritten(t *testing.T) {
 	testkit.RequireKeys(t, "json",
 		config.Plan{}, findings{}, replayResult{}, dayResult{}, phaseResult{}, eventlog.Sum{},
--- a/internal/command/measure.go
+++ b/internal/command/measure.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// measureFlags are the flags of measure. Each one's help names the measurements that it is for.
+// measureFlags holds the flags of measure. The usage of each flag names the measurements that it applies to.
 type measureFlags struct {
 	rounds         int
 	duration       time.Duration
@@ -99,17 +99,17 @@
 	set.BoolVar(&m.asJSON, "json", false, "prints the figures as JSON")
 }
 
-// Flags that stay the same for all measurements of a kind.
+// Limits of flags, and parameters of measurements that have no flag.
 const (
 	minMeasureTime    = 100 * time.Millisecond
 	maxStalledClients = 10000
 	reloadInterval    = 150 * time.Millisecond
 	reloadClients     = 48
 	upgradeClients    = 16
-	serverWork        = time.Millisecond // of a call, in measure servers
+	serverWork        = time.Millisecond // duration of a call in measure servers
 )
 
-// run takes the measurement that args name.
+// run runs the measurement that args name.
 func (m *measureFlags) run(ctx context.Context, e *Env, args []string) error {
 	if len(args) != 1 {
 		return usageError("measure takes one of isolation, proxy, servers, bodies, balance, reload, upgrade, fleet, faults, change, soak, gather, rollout")
@@ -157,7 +157,7 @@
 	return usageError("there is no measurement %q: isolation, proxy, servers, bodies, balance, reload, upgrade, fleet, faults, change, soak, gather, rollout", name)
 }
 
-// finishTrial removes a trial's directory, unless the trial has failed: then it prints where the files of owner are.
+// finishTrial removes a trial's directory. If the trial has failed, it keeps the directory and prints where owner's files are.
 func finishTrial(e *Env, directory, owner string, hasFailed bool) error {
 	if !hasFailed {
 		return os.RemoveAll(directory)
@@ -166,7 +166,7 @@
 	return errReported
 }
 
-// printReport prints a report as JSON, or as print does.
+// printReport prints a report as JSON, or calls print.
 func printReport(e *Env, report any, asJSON bool, print func(io.Writer)) error {
 	if asJSON {
 		return json.NewEncoder(e.Out).Encode(report)
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// isValid tells whether the flags that several measurements share are in range.
+// isValid reports whether the flags that several measurements share are in range.
 func (m *measureFlags) isValid() bool {
 	if m.rounds < 1 || m.duration < minMeasureTime {
 		return false
@@ -196,7 +196,7 @@
 	}, m.asJSON)
 }
 
-// runProxy measures a proxy, or is the one that it is compared with.
+// runProxy measures the node against a reverse proxy, or serves as that proxy if --serve is given.
 func (m *measureFlags) runProxy(ctx context.Context, e *Env) error {
 	if m.proxyServers != "" {
 		return measure.ServeProxy(ctx, strings.Split(m.proxyServers, ","), e.Err)
@@ -213,7 +213,7 @@
 	return measureBodies(ctx, e, o, m.sizes, m.directions, m.asJSON)
 }
 
-// runUpgrade measures upgrades of this build, or between it and another one.
+// runUpgrade measures upgrades of this build, or between this build and another one if --previous is given.
 func (m *measureFlags) runUpgrade(ctx context.Context, e *Env) error {
 	if m.skew.Previous != "" {
 		m.skew.Rounds = m.rounds
--- a/internal/command/measure_balance.go
+++ b/internal/command/measure_balance.go
@@ -12,10 +12,10 @@
 	"lockflow/internal/simulation/balancesim"
 )
 
-// minBalanceTime is the shortest play in which the fault, which starts after 10 s, shows.
+// minBalanceTime is the shortest simulation in which the fault, which starts after 10 s, has an effect.
 const minBalanceTime = 12 * time.Second
 
-// measureBalance plays policies of choosing a server at each load, in virtual time.
+// measureBalance simulates load balancing policies at each load, in virtual time.
 func measureBalance(ctx context.Context, e *Env, o balancesim.Options, loads string, asJSON bool) error {
 	if o.Duration < minBalanceTime {
 		o.Duration = time.Minute
--- a/internal/command/measure_bodies.go
+++ b/internal/command/measure_bodies.go
@@ -10,7 +10,7 @@
 	"lockflow/internal/trials/measure"
 )
 
-// measureBodies compares downloads and uploads with ReverseProxy.
+// measureBodies compares downloads and uploads through the node with those through ReverseProxy.
 func measureBodies(ctx context.Context, e *Env, o measure.BodiesOptions, sizes, directions string, asJSON bool) error {
 	for field := range strings.SplitSeq(sizes, ",") {
 		n, err := strconv.ParseInt(field, 10, 64)
--- a/internal/command/measure_faults.go
+++ b/internal/command/measure_faults.go
@@ -14,14 +14,14 @@
 	"lockflow/internal/trials/regiontrial"
 )
 
-// Peers of a node under faults.
+// Numbers of fake servers and clients in trials under faults.
 const (
 	faultServers       = 2
 	faultClients       = 4
 	changeFaultClients = 3
 )
 
-// faultFlags declares the flags of measure faults and change, and returns that of the script's file.
+// addFaultFlags declares the flags of measure faults and change, and returns the value of --script.
 func addFaultFlags(set flags, o *measure.FaultsOptions) (file *string) {
 	set.IntVar(&o.Processes, "processes", 3, "faults, change, soak, rollout: `N` nodes; change: a third of them in each of three regions")
 	set.IntVar(&o.Seeds, "seeds", 20, "faults, change, soak: `N` scripts or plays, of --seed and those after it")
@@ -30,7 +30,7 @@
 	return set.String("script", "", "faults, change: `FILE` of a script that is tried instead of drawn ones")
 }
 
-// isValidFaults tells whether the flags are in range. A change needs three regions of the same size.
+// isValidFaults reports whether the flags are in range. A change needs three regions of the same size.
 func isValidFaults(o *measure.FaultsOptions, isChange bool) bool {
 	if isChange && o.Processes%3 > 0 {
 		return false
@@ -41,7 +41,7 @@
 		o.Shrinks >= 0 && o.Shrinks <= 10_000
 }
 
-// measureFaults runs trials of nodes under faults, or of a change of regions under them.
+// measureFaults runs trials of nodes under faults, or of a change of regions under faults.
 func measureFaults(ctx context.Context, e *Env, o measure.FaultsOptions, isChange bool, file string, asJSON bool) error {
 	what := "faults"
 	o.Progress = e.Err
@@ -80,7 +80,7 @@
 	return finishTrial(e, o.Dir, "nodes'", failure != "")
 }
 
-// runChangeTrial measures and prints changes under faults, and returns the first failure; "" is none.
+// runChangeTrial runs and prints trials of changes under faults, and returns the first failure; "" is none.
 func runChangeTrial(ctx context.Context, e *Env, o measure.FaultsOptions, asJSON bool) (failure string, err error) {
 	report, err := measure.Change(ctx, o)
 	if err != nil {
@@ -89,7 +89,7 @@
 	return report.Failing, printReport(e, report, asJSON, func(w io.Writer) { printChange(w, report) })
 }
 
-// runFaultTrial measures and prints nodes under faults, and returns the first failure; "" is none.
+// runFaultTrial runs and prints trials of nodes under faults, and returns the first failure; "" is none.
 func runFaultTrial(ctx context.Context, e *Env, o measure.FaultsOptions, asJSON bool) (failure string, err error) {
 	report, err := measure.Faults(ctx, o)
 	if err != nil {
@@ -98,7 +98,7 @@
 	return report.Failing, printReport(e, report, asJSON, func(w io.Writer) { printFaults(w, report) })
 }
 
-// faultScript reads a script, which has to be for a number of processes and links.
+// faultScript reads a script, which must have the given numbers of processes and links.
 func faultScript(file string, processes, links int) (*faultnet.Script, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -114,7 +114,7 @@
 	return &s, nil
 }
 
-// printChange prints a line for each change, and the shortest script that fails.
+// printChange prints a line for each trial, and the shortest script that fails.
 func printChange(w io.Writer, r *measure.ChangeReport) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "seed\tfaults\tnodes killed\tcoordinators' exits\tmore after\tnew at once\tdecisions\tepochs\torders\trequests\tserved\tbroken by the fault\t"+
--- a/internal/command/measure_fleet.go
+++ b/internal/command/measure_fleet.go
@@ -13,7 +13,7 @@
 	"lockflow/internal/trials/measure"
 )
 
-// isValidFleet tells whether the flags of measure fleet are in range.
+// isValidFleet reports whether the flags of measure fleet are in range.
 func isValidFleet(o *measure.FleetOptions) bool {
 	return o.Instances >= 1 && o.Instances <= 1000 &&
 		o.GroupSize >= 0 &&
@@ -24,7 +24,7 @@
 		o.NewServerInterval >= 0
 }
 
-// measureFleet disturbs a fleet of real processes by chance, and checks the service's rules.
+// measureFleet disturbs a fleet of real processes at random, and checks that the service keeps its rules.
 func measureFleet(ctx context.Context, e *Env, o measure.FleetOptions, asJSON bool) error {
 	if !isValidFleet(&o) {
 		return usageError("measure fleet: its flags are off; see lockflow measure --help")
--- a/internal/command/measure_gather.go
+++ b/internal/command/measure_gather.go
@@ -8,7 +8,7 @@
 	"lockflow/internal/trials/measure"
 )
 
-// gatherWorkers is how many queries run at once.
+// gatherWorkers is how many queries run concurrently.
 const gatherWorkers = 8
 
 // measureGather compares scatter-gather queries with the same calls made by the client.
--- a/internal/command/measure_isolation.go
+++ b/internal/command/measure_isolation.go
@@ -8,7 +8,7 @@
 	"lockflow/internal/trials/measure"
 )
 
-// measureIsolation measures what one pool's stall does to the other pool's service.
+// measureIsolation measures how a stall of one pool's servers affects the service of the other pool.
 func measureIsolation(ctx context.Context, e *Env, o measure.IsolationOptions, asJSON bool) error {
 	got, err := measure.RunIsolation(ctx, o)
 	if err != nil {
--- a/internal/command/measure_proxy.go
+++ b/internal/command/measure_proxy.go
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// maxConnections limits each number of the flag --connections.
+// maxConnections limits each number in the flag --connections.
 const maxConnections = 1000
 
 // parseConnections reads the flag --connections.
@@ -52,7 +52,7 @@
 	return all, nil
 }
 
-// measureServers compares HTTP/2 with HTTP/1.1 to the app servers.
+// measureServers compares HTTP/2 with HTTP/1.1 on connections to the app servers.
 func measureServers(ctx context.Context, e *Env, o measure.ServersOptions, connections string, asJSON bool) (err error) {
 	if o.Concurrency, err = parseConnections(connections); err != nil {
 		return err
--- a/internal/command/measure_restarts.go
+++ b/internal/command/measure_restarts.go
@@ -10,7 +10,7 @@
 	"lockflow/internal/trials/measure"
 )
 
-// measureReloads compares runs with reloads and without.
+// measureReloads compares runs with reloads to runs without them.
 func measureReloads(ctx context.Context, e *Env, o measure.ReloadOptions, asJSON bool) error {
 	rows, err := measure.Reloads(ctx, o)
 	if err != nil {
@@ -29,7 +29,7 @@
 	return t.Flush()
 }
 
-// measureUpgrades measures response times around upgrades and at other times.
+// measureUpgrades measures response times around upgrades, and at other times for comparison.
 func measureUpgrades(ctx context.Context, e *Env, o measure.UpgradeOptions, asJSON bool) error {
 	var err error
 	if o.Program, err = executable(); err != nil {
--- a/internal/command/measure_rollout.go
+++ b/internal/command/measure_rollout.go
@@ -16,7 +16,7 @@
 // rolloutClients is how many clients send requests during a rollout.
 const rolloutClients = 2
 
-// measureRollout kills coordinators of staged changes at each write of their log, and checks how others go on.
+// measureRollout kills coordinators of staged changes at each write of the rollout log, and checks how others resume.
 func measureRollout(ctx context.Context, e *Env, o measure.RolloutOptions, kinds string, asJSON bool) (err error) {
 	o.Clients = rolloutClients
 	o.Progress = e.Err
@@ -46,7 +46,7 @@
 	return finishTrial(e, o.Dir, "nodes'", len(report.Wrong) > 0)
 }
 
-// printRolloutTrial prints the ends of all changes, and the sums of what the coordinators did.
+// printRolloutTrial prints the outcomes of all changes, and totals of what the coordinators did.
 func printRolloutTrial(w io.Writer, r *measure.RolloutReport) {
 	outcomes := make(map[string]int)
 	for _, row := range r.Rows {
--- a/internal/command/measure_skew.go
+++ b/internal/command/measure_skew.go
@@ -11,12 +11,12 @@
 	"lockflow/internal/trials/versionskew"
 )
 
-// Bounds of measure upgrade --previous.
+// Limits and parameters of measure upgrade --previous.
 const (
 	maxSkewRounds   = 50
 	skewTimeout     = 30 * time.Minute
 	skewClients     = 8
-	skewRequests    = 1000 // answered between two upgrades, by default
+	skewRequests    = 1000 // default number of answered requests between two upgrades
 	maxSkewRequests = 1_000_000
 )
 
--- a/internal/command/measure_soak.go
+++ b/internal/command/measure_soak.go
@@ -15,25 +15,25 @@
 	"lockflow/internal/trials/soak"
 )
 
-// soakPackage is the program that is built with faults, in the repository in which measure soak runs.
+// soakPackage is the program that measure soak builds with fault injection, in the repository that it runs in.
 const soakPackage = "lockflow/cmd/lockflow"
 
-// soakClients is how many clients each node of a soak test has, and soakFlood how many more each has in every second test.
+// soakClients is the number of clients of each node in a soak test, soakFloodClients the number added in every second test.
 const (
 	soakClients      = 4
 	soakFloodClients = 18
 )
 
-// soakOptions are the options of measure soak.
+// soakOptions holds the options of measure soak.
 type soakOptions struct {
 	nodes    int
-	seeds    int           // how many
-	seed     uint64        // the first
+	seeds    int           // number of seeds
+	seed     uint64        // first seed
 	duration time.Duration // of each seed
 }
 
-// measureSoak runs a soak test for each seed, in the repository's directory, also after one that fails. The files of a
-// failed one are not removed.
+// measureSoak runs a soak test for each seed, in the repository's directory. It continues after a test that fails, whose
+// files it does not remove.
 func measureSoak(ctx context.Context, e *Env, o soakOptions, asJSON bool) error {
 	if o.nodes < 1 || o.nodes > 64 || o.seeds < 1 || o.seeds > 100_000 {
 		return usageError("measure soak: its flags are off; see lockflow measure --help")
@@ -76,7 +76,7 @@
 	return os.RemoveAll(directory)
 }
 
-// playSoak runs the soak test of one seed, and removes its files unless it failed.
+// runSoak runs the soak test of one seed, and removes its files unless it failed.
 func runSoak(ctx context.Context, o soak.Options) (*soak.Report, error) {
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
 		return nil, err
--- a/internal/command/plan.go
+++ b/internal/command/plan.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// plan prints the changes between two configurations. It fails if a reload would be rejected.
+// printPlan prints the changes between two configurations. It fails if a reload would be rejected.
 func printPlan(e *Env, oldPath, newPath string, asJSON bool) error {
 	old, err := config.Load(oldPath)
 	if err != nil {
--- a/internal/command/proxy.go
+++ b/internal/command/proxy.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// proxyConfig returns the configuration of a proxy to some app servers.
+// proxyConfig returns the TOML configuration of a proxy to app servers.
 func proxyConfig(listen string, servers []string) (string, error) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[[listeners]]\naddress = %s\n\n[services.app.source]\nkind = \"static\"\n", strconv.Quote(listen))
@@ -62,7 +62,7 @@
 	return b.String(), nil
 }
 
-// serveProxy serves by a configuration for a time; 0 is until ctx is done.
+// serveProxy serves by a configuration for a duration, or until ctx is done; a duration of 0 is unlimited.
 func serveProxy(ctx context.Context, e *Env, text string, duration time.Duration) error {
 	cfg, err := config.Parse("proxy", []byte(text))
 	if err != nil {
--- a/internal/command/quota_lease.go
+++ b/internal/command/quota_lease.go
@@ -42,22 +42,22 @@
 	}
 }
 
-// leaseExplanation are the flags of the command "allowance".
+// leaseExplanation holds the flags of the command "allowance".
 type leaseExplanation struct {
 	file            string
 	plan            string
-	rules           quotalease.Rules // zeros are those of the file
-	units           float64          // of a request
+	rules           quotalease.Rules // zeros are replaced by the values of the file
+	units           float64          // units of one request
 	activeInstances int              // instances that the customer comes through; 0 is all
 	json            bool
 }
 
-// isValid tells whether the flags that are needed are given, and in range.
+// isValid reports whether the required flags are given and in range.
 func (x *leaseExplanation) isValid() bool {
 	return x.file != "" && x.plan != "" && x.units > 0 && x.activeInstances >= 0
 }
 
-// Rules of a file without a shared counter.
+// Defaults of the rules for a file without a shared counter.
 const (
 	defaultTerm            = time.Second
 	defaultReservationTime = 2 * time.Second
@@ -65,7 +65,7 @@
 	defaultMaxDrift        = 0.001
 )
 
-// findLimit returns the plan's hard limit, and completes the rules by those of its service.
+// findLimit returns the plan's hard limit, and sets rules without a flag to those of the plan's service.
 func (x *leaseExplanation) findLimit(cfg *config.Config) (limit quotalease.HardLimit, isFound bool) {
 	for _, s := range cfg.Services {
 		for _, p := range s.Settings.Plans {
@@ -96,7 +96,7 @@
 	return limit, isFound
 }
 
-// run prints what the rules guarantee of a plan's hard limit.
+// run prints what the rules guarantee for a plan's hard limit.
 func (x *leaseExplanation) run(e *Env) error {
 	cfg, err := config.Load(x.file)
 	if err != nil {
--- a/internal/command/regions.go
+++ b/internal/command/regions.go
@@ -15,31 +15,31 @@
 	"lockflow/internal/regions/mixture"
 )
 
-// errUnusable means input that can't be checked; it wraps the config.FieldErrors.
+// errUnusable means that a fleet file can't be checked. The returned errors wrap it and the config.FieldErrors.
 var errUnusable = errors.New("unusable")
 
 // findings is the result of checking a fleet, or of planning its change.
 type findings struct {
 	Conflicts    []regions.Conflict   `json:"conflicts"`
-	Order        []string             `json:"order"` // the steps of a change; "NAME (intermediate)" is the first of two
+	Order        []string             `json:"order"` // steps of the change; "NAME (intermediate)" is a region's step to intermediate settings
 	Cycle        []string             `json:"circle,omitempty"`
 	Intermediate []intermediateConfig `json:"through,omitempty"`
 	Transient    []regions.Conflict   `json:"passing,omitempty"`
 }
 
-// intermediateConfig is a configuration that a region runs between its old and new one.
+// intermediateConfig is a configuration that a region runs between its old and its new one.
 type intermediateConfig struct {
 	Region    string      `json:"region"`
 	Instances int         `json:"instances"` // group size that its members assume
 	Hash      string      `json:"hash"`
 	Text      string      `json:"text"`
-	Changes   config.Plan `json:"changes"` // from the old one
+	Changes   config.Plan `json:"changes"` // from the old configuration
 }
 
-// intermediateSuffix marks a step to intermediate settings.
+// intermediateSuffix follows the region's name in a step to intermediate settings.
 const intermediateSuffix = " (intermediate)"
 
-// loadFleet reads a fleet file; errors wrap errUnusable.
+// loadFleet reads a fleet file. Its errors wrap errUnusable.
 func loadFleet(path string) (fleetfile.File, error) {
 	f, err := fleetfile.Load(path)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return f, err
 }
 
-// checkFleet prints the conflicts between the regions of a fleet file.
+// checkFleet prints the conflicts between the regions of a fleet file, except waived ones.
 func checkFleet(e *Env, path string, asJSON bool) error {
 	f, err := loadFleet(path)
 	if err != nil {
@@ -69,8 +69,8 @@
 	return n
 }
 
-// planFleet prints an order of the regions for a change from one fleet file to another, and the conflicts of the change
-// and of all mixtures on its way. The new file's waivers count for the mixtures too.
+// planFleet prints an order in which regions can change from one fleet file to another, and the conflicts of the new
+// configurations and of all mixtures of old and new ones on the way. The new file's waivers apply to mixtures too.
 func planFleet(e *Env, oldPath, newPath string, asJSON bool) error {
 	old, err := loadFleet(oldPath)
 	if err != nil {
@@ -111,7 +111,7 @@
 	return found.report(e, asJSON)
 }
 
-// intermediateConfigs returns the configurations of regions with proposed settings.
+// intermediateConfigs returns the configurations of regions with their proposed intermediate settings.
 func intermediateConfigs(old fleetfile.File, proposed []regions.Region) ([]intermediateConfig, error) {
 	var all []intermediateConfig
 	for _, p := range proposed {
@@ -135,7 +135,7 @@
 	return all, nil
 }
 
-// explain prints the order, or why there is none.
+// explain prints the order of the change, or why there is none.
 func (f findings) explain(w io.Writer, result mixture.Result) {
 	switch {
 	case result.Order != nil && len(result.Order) == 0 && len(result.Cycle) == 0:
--- a/internal/command/regions_test.go
+++ b/internal/command/regions_test.go
@@ -12,7 +12,8 @@
 	"lockflow/internal/regions"
 )
 
-// file is a configuration of one service, with what further lines say. SERVER and RATE are its own.
+// regionConfig returns a configuration of one service. replacements lists values for its placeholders, as KEY=VALUE
+// separated by semicolons; the value of MORE is further lines.
 func regionConfig(replacements string) string {
 	text := `[process]
 instances = 8
@@ -45,7 +46,7 @@
 	return text
 }
 
-// fleetOf writes a fleet of north and south, of four members each.
+// writeFleet writes a fleet file with the regions north and south, of four members each, and returns its path.
 func writeFleet(t *testing.T, north, south, waivers string) string {
 	t.Helper()
 	dir, text := t.TempDir(), ""
@@ -70,7 +71,7 @@
 	return slices.Compact(names)
 }
 
-// gatherer is a service that asks app and pod; all of /all leads to it.
+// gatherService returns a replacement with a scatter-gather service "all", to which /all is routed, and a service "pod".
 func gatherService(settings string) string {
 	return "MORE=[services.pod]\nsource={kind='static',servers=[{endpoint='pod.example:80'}]}\n[services.all.gather]\nmerge='json-array'\n" + settings +
 		"\n[[routes]]\nname='all'\nservice='all'\nprefix='/all'\n"
@@ -78,7 +79,8 @@
 
 const serviceB = "[services.b]\nsource = { kind = 'static', servers = [{ uid = 'b', endpoint = 'b.example:80' }] }\n"
 
-// Each kind of conflict is told by the command, with exit code 1, a request that shows it, and as a table.
+// The command must report each kind of conflict with exit code 1, as JSON with a request that shows the conflict and as a
+// table.
 func TestCheckFleet(t *testing.T) {
 	waiver := "[[waivers]]\nkind = 'coverage'\nregions = ['north', 'south']\nrules = ['x', 'app']\nreason = 'tried first'\nuntil = "
 	x := "MORE=[[routes]]\nname = 'x'\nservice = 'app'\nprefix = '/x'\n"
@@ -122,7 +124,7 @@
 	}
 }
 
-// A plan tells the order, what is in the way, and the settings by which it goes on.
+// A plan must report the order of the regions, the conflicts that prevent one, and intermediate settings that allow one.
 func TestPlanFleet(t *testing.T) {
 	movedRoute := func(to string) string {
 		return "MORE=" + serviceB + "[[routes]]\nname='x'\nservice='" + to + "'\nprefix='/x'\n[[routes]]\nname='y'\nservice='b'\nprefix='/y'\n"
@@ -160,7 +162,7 @@
 	}
 }
 
-// What can't be used is told by file, line and key, with exit code 2.
+// An invalid fleet file must be reported by file, line and key, with exit code 2.
 func TestUnusableFleet(t *testing.T) {
 	bad := writeFleet(t, "", "", "x = 1\n")
 	for _, args := range [][]string{{"check", "--fleet", bad}, {"check", "--fleet", bad + "no"}, {"plan", "--fleet", bad, bad}, {"plan", "--fleet", bad}, {"check", "--fleet", bad, bad}} {
--- a/internal/command/replay.go
+++ b/internal/command/replay.go
@@ -13,7 +13,7 @@
 	"lockflow/internal/record"
 )
 
-// maxStepsBefore is how many events before a difference are printed.
+// maxPrecedingSteps is how many steps up to a difference are printed, including the one that differs.
 const maxPrecedingSteps = 8
 
 // replayCommand returns the command "replay".
@@ -45,13 +45,13 @@
 // replayer replays recordings and prints the results.
 type replayer struct {
 	env            *Env
-	printsSteps    bool   // prints the steps
-	requestID      string // only those of this request; "" is all
+	printsSteps    bool   // print each step
+	requestID      string // print only the steps of this request; "" is all
 	json           bool
-	hasDifferences bool // some actions were not as recorded
+	hasDifferences bool // the actions of some step differed from the recorded ones
 }
 
-// replayed is the result of one file.
+// replayResult is the result of one file.
 type replayResult struct {
 	File    string    `json:"file"`
 	Service string    `json:"service"`
@@ -62,10 +62,10 @@
 	Same    bool      `json:"same"`
 }
 
-// errDiffers ends a replay at a difference.
+// errDiffers ends a replay at the first step whose actions differ from the recorded ones.
 var errDiffers = errors.New("other actions than were recorded")
 
-// replayAll replays recordings in turn and prints the result of each. It fails if one differs.
+// replayAll replays recordings one after the other and prints the result of each. It fails if one differs.
 func (p *replayer) replayAll(ctx context.Context, paths []string) error {
 	w := tabwriter.NewWriter(p.env.Out, 0, 0, 2, ' ', 0)
 	if !p.printsSteps && !p.json {
@@ -148,7 +148,7 @@
 	return text
 }
 
-// concerns tells whether a step is about the request with an id.
+// concernsRequest reports whether a step's event or one of its actions is about the request with an id.
 func concernsRequest(s record.Step, id string) bool {
 	switch e := s.Event.(type) {
 	case control.Request:
--- a/internal/command/rollout.go
+++ b/internal/command/rollout.go
@@ -49,7 +49,7 @@
 	if f.config != "" {
 		return usageError("fleet reload takes one of --config and --fleet, whose regions name theirs")
 	}
-	if f.resume || f.rollBack { // by the rollout log
+	if f.resume || f.rollBack { // the rollout log has the change
 		return f.startChange(ctx, e, operation, members, nil)
 	}
 	planned, order, err := fleet.PlanRegions(ctx, file, time.Now())
@@ -64,8 +64,8 @@
 	return f.startChange(ctx, e, operation, planned, order)
 }
 
-// startChange starts a change of settings or, for upgrade, of the program over a fleet, or resumes the unfinished one.
-// order has the regions of each phase; nil is one region.
+// startChange starts a change of the settings or, for upgrade, of the program of a fleet, or resumes the unfinished
+// change. order lists the regions of each phase; nil is a fleet of one region.
 func (f *fleetFlags) startChange(ctx context.Context, e *Env, operation string, members []fleet.Placed, order [][]string) error {
 	log, err := fleet.OpenRolloutLog(f.logDirectory())
 	if err != nil {
@@ -102,7 +102,7 @@
 	return f.runRollout(ctx, e, log)
 }
 
-// newChange returns a change by the flags.
+// newChange returns the change that the flags describe.
 func (f *fleetFlags) newChange(ctx context.Context, operation string, members []fleet.Placed, order [][]string, log *fleet.RolloutLog) (*fleet.Change, error) {
 	plan := f.plan(f.timeout)
 	plan.RegionOrder = order
@@ -116,16 +116,16 @@
 	return fleet.NewSettingsChange(ctx, members, plan, knownSettings)
 }
 
-// killAt kills this process at the write that --kill-at names.
+// killAt kills this process before or after the write of the rollout log that --kill-at selects.
 func (f *fleetFlags) killAt(number int, isWritten bool) {
 	if isWritten && number == f.killAtWrite || !isWritten && number == -f.killAtWrite {
-		_ = syscall.Kill(os.Getpid(), syscall.SIGKILL) // a process may always signal itself
-		select {}                                      // the signal may take a moment
+		_ = syscall.Kill(os.Getpid(), syscall.SIGKILL) // can't fail: a process may always signal itself
+		select {}                                      // wait for the signal, which is delivered asynchronously
 	}
 }
 
-// reloadUnchanged has members reload settings that have not changed: files that these name, such as certificates, may
-// have.
+// reloadUnchanged makes members reload settings that have not changed, because files that the settings name, such as
+// certificates, may have changed.
 func (f *fleetFlags) reloadUnchanged(ctx context.Context, e *Env, members []fleet.Placed) error {
 	for _, m := range members {
 		memberCtx, cancel := context.WithTimeout(ctx, f.timeout)
@@ -145,7 +145,7 @@
 	return json.NewEncoder(e.Out).Encode(map[string]any{"result": rollout.ResultDone, "why": "the settings are the same", "members": []string{}})
 }
 
-// runRollout runs the change of a log, and prints how it ended.
+// runRollout runs the change of a rollout log, and prints its outcome.
 func (f *fleetFlags) runRollout(ctx context.Context, e *Env, log *fleet.RolloutLog) error {
 	options := fleet.RolloutOptions{Progress: e.Out, Resume: f.resume || f.rollBack, RollBack: f.rollBack}
 	if f.json {
--- a/internal/command/rollout_flags.go
+++ b/internal/command/rollout_flags.go
@@ -7,10 +7,10 @@
 	"lockflow/internal/rollout"
 )
 
-// rolloutFlags are the flags of a staged change.
+// rolloutFlags holds the flags of a staged change.
 type rolloutFlags struct {
 	stages            string
-	logDir            string // of the rollout log; "" is the default
+	logDir            string // directory of the rollout log; "" selects the default of logDirectory
 	maxUnavailable    int
 	minBake           time.Duration
 	maxBake           time.Duration
@@ -18,9 +18,9 @@
 	disableRollback   bool
 	resume            bool
 	rollBack          bool
-	killAtWrite       int // for tests: after this write, or before it if negative
+	killAtWrite       int // for tests: kill the coordinator after this write of the rollout log, or before it if negative
 
-	// Older names of maxUnavailable and minBake.
+	// Values of the deprecated flags --batch for maxUnavailable and --pause for minBake.
 	batch int
 	pause time.Duration
 }
@@ -38,11 +38,11 @@
 	set.IntVar(&f.batch, "batch", 0, "reload, upgrade: the same as at-once")
 	set.DurationVar(&f.pause, "pause", 0, "reload, upgrade: the same as bake")
 	set.IntVar(&f.killAtWrite, "kill-at", 0, "is for tests: the coordinator kills itself after write `N` of its journal, or before write -N")
-	_ = set.MarkHidden("kill-at") // fails for a flag that is not there alone
+	_ = set.MarkHidden("kill-at") // fails only for an undeclared flag
 	set.BoolVar(&f.disableRollback, "no-rollback", false, "reload, upgrade: leaves what was changed where it does worse or fails")
 }
 
-// check returns a usage error for flags that do not fit, and applies their older names.
+// check applies the deprecated flags, and returns a usage error for flags that are out of range or contradict each other.
 func (f *rolloutFlags) check() error {
 	if f.batch > 0 {
 		f.maxUnavailable = f.batch
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// plan returns the plan of the flags, which check has accepted, without members.
+// plan returns a rollout plan without members by the flags. check must have accepted the flags.
 func (f *rolloutFlags) plan(memberTimeout time.Duration) rollout.Plan {
 	stages, _ := rollout.ParseStages(f.stages)
 	return rollout.Plan{
@@ -89,7 +89,7 @@
 	return f.sockets + f.file + ".rollout"
 }
 
-// countSet counts the texts that are not empty.
+// countSet returns the number of strings that are not empty.
 func countSet(all ...string) (n int) {
 	for _, s := range all {
 		if s != "" {
--- a/internal/command/rollout_progress.go
+++ b/internal/command/rollout_progress.go
@@ -37,7 +37,7 @@
 	printMemberStates(w, p.Members)
 }
 
-// printMeasures prints a line for each measure of the judge.
+// printMeasures prints a line for each measure by which the new version is compared with the old one.
 func printMeasures(w io.Writer, measures []fleet.MeasureResult) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "  measure\told\tnew\tnew - old\tharm from\t")
@@ -54,7 +54,7 @@
 	t.Flush()
 }
 
-// printMemberStates prints members that need the operator, and how many are in each other state.
+// printMemberStates prints each member that needs the operator's attention, and the number of members in each other state.
 func printMemberStates(w io.Writer, members []fleet.MemberState) {
 	counts := make(map[string]int)
 	for _, m := range members {
@@ -70,7 +70,7 @@
 	}
 }
 
-// formatOptional formats a value that may not be known.
+// formatOptional formats a value; nil is an unknown one.
 func formatOptional(value *float64) string {
 	if value == nil {
 		return "?"
@@ -78,8 +78,8 @@
 	return fmt.Sprintf("%.4g", *value)
 }
 
-// readProgress reads the progress of the fleet's newest change; nil is none. A log that can't be read is reported, and
-// does not fail the command.
+// readProgress reads the progress of the fleet's newest change; nil is none. An error of reading the rollout log is
+// printed, and does not fail the command.
 func (f *fleetFlags) readProgress(e *Env) *fleet.Progress {
 	p, err := fleet.ReadProgress(f.logDirectory())
 	if err != nil {
--- a/internal/command/route.go
+++ b/internal/command/route.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// findRoute prints where a request goes, read as the front reads it.
+// explainRoute prints the service and route of a request, whose target and host it parses as the front does.
 func explainRoute(e *Env, file, host, target, method string, headers []string, asJSON bool) error {
 	cfg, err := config.Load(file)
 	if err != nil {
@@ -80,7 +80,7 @@
 	for _, r := range cfg.Routes {
 		rules = append(rules, r.Rule)
 	}
-	router, _ := route.New(rules) // without problems: the file was read with them
+	router, _ := route.New(rules) // can't fail: config.Load has checked the rules
 	matches := router.Explain(host, path, method, header)
 	if len(matches) == 0 {
 		if asJSON {
@@ -110,7 +110,7 @@
 	return w.Flush()
 }
 
-// classOf is the class of a request whose route names none.
+// classOf returns the class of a request whose route names none.
 func classOf(cfg config.Config, service, method, path string) string {
 	for _, s := range cfg.Services {
 		switch {
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	gcPercent    = 400 // as of debug.SetGCPercent: there is more memory than CPU time to spare
-	heapFraction = 0.6 // of the process's memory, for the Go runtime
+	gcPercent    = 400 // for debug.SetGCPercent; above the default of 100, as memory is more plentiful than CPU time
+	heapFraction = 0.6 // part of the process's memory that is the Go runtime's memory limit
 )
 
-// eventLogVariable names the environment variable that switches event logs on, if it is not empty.
+// eventLogVariable names the environment variable that enables event logs if it is not empty.
 const eventLogVariable = "LOCKFLOW_TALLY"
 
 // serveCommand returns the command "serve".
@@ -60,7 +60,7 @@
 	}
 }
 
-// serveFile serves by a TOML configuration, as a daemon.
+// serveFile runs a daemon with a TOML configuration.
 func serveFile(ctx context.Context, e *Env, path, pidFile string, o config.Overrides) error {
 	program, err := executable()
 	if err != nil {
@@ -92,7 +92,7 @@
 	})
 }
 
-// serveByEnvironment serves by the configuration that the environment names, as the program does without arguments.
+// serveByEnvironment serves by the configuration that the environment names. The program does so without arguments.
 func serveByEnvironment(ctx context.Context, e *Env) error {
 	own, platform := e.Getenv("LOCKFLOW_CONFIG"), e.Getenv("NODE_CONFIG")
 	switch {
@@ -106,8 +106,8 @@
 	return servePlatform(ctx, e, platform)
 }
 
-// servePlatform serves by the platform's configuration until ctx is done. At the start the environment overrides the
-// file; a reload uses the file alone, and changes nothing if it can't be used.
+// servePlatform serves by the platform's configuration until ctx is done. At the start, environment variables override
+// addresses of the file. A reload uses the file alone, and changes nothing if the file is invalid.
 func servePlatform(ctx context.Context, e *Env, path string) error {
 	cfg, err := loadPlatform(path)
 	if err != nil {
@@ -153,10 +153,10 @@
 	return cfg, err
 }
 
-// wrapConfigError wraps an error of the platform's configuration in errConfig: a restart with the same file is no use.
+// wrapConfigError wraps an error of the platform's configuration in errConfig: a restart with the same file would fail too.
 func wrapConfigError(err error) error { return fmt.Errorf("%w: %w", errConfig, err) }
 
-// applyRuntimeLimits sets the Go runtime's limits by the cores and the memory of the process.
+// applyRuntimeLimits sets the Go runtime's limits by the cores and memory that the configuration grants the process.
 func applyRuntimeLimits(cfg config.Config) {
 	if cores := cfg.Process.Cores; cores > 0 || !cfg.Process.Shared {
 		runtime.GOMAXPROCS(int(math.Max(1, math.Ceil(cores))))
--- a/internal/command/simulate.go
+++ b/internal/command/simulate.go
@@ -16,8 +16,8 @@
 	"lockflow/internal/simulation/fleetsim"
 )
 
-// Defaults of flags that a named day does not take as given: its load is relative to defaultLoad, and its length is its
-// own at defaultDuration.
+// Defaults of the flags --load and --for. The load of a named day is scaled by --load relative to defaultLoad, and the
+// day keeps its own length if --for is defaultDuration.
 const (
 	defaultLoad     = 0.7
 	defaultDuration = 30 * time.Second
@@ -81,10 +81,10 @@
 	}
 }
 
-// errSimulateUsage is the error for flags that do not fit.
+// errSimulateUsage is the error for arguments, or for flags that are out of range.
 var errSimulateUsage = usageError("simulate: its flags are off; it takes 12 s of play or more")
 
-// unlessDefault returns a duration that was given, and 0 for the default one.
+// zeroIfDefault returns the duration, or 0 if it is the default of the flag --for.
 func zeroIfDefault(duration time.Duration) time.Duration {
 	if duration == defaultDuration {
 		return 0
@@ -92,7 +92,7 @@
 	return duration
 }
 
-// isValidFleetSimulation tells whether the flags are in range.
+// isValidFleetSimulation reports whether the flags are in range.
 func isValidFleetSimulation(o *fleetsim.Options) bool {
 	return o.GroupSize >= 0 &&
 		o.Servers >= 1 && o.Servers <= 1000 &&
@@ -101,10 +101,10 @@
 		o.Duration >= minFleetDuration
 }
 
-// minFleetPlay is the shortest time that is simulated.
+// minFleetDuration is the shortest time that is simulated.
 const minFleetDuration = 12 * time.Second
 
-// playFleets simulates a server that warms up and a hard limit, for each group size and each lag of watch events.
+// simulateFleets simulates a server that warms up and a hard limit, for each group size and each lag of watch events.
 func simulateFleets(ctx context.Context, e *Env, o fleetsim.Options, instances, lags string, asJSON bool) error {
 	if !isValidFleetSimulation(&o) {
 		return errSimulateUsage
@@ -163,14 +163,14 @@
 	return all, nil
 }
 
-// playedDay is a day's report. With a mutation it names the guard that was disabled.
+// dayResult is the report of a day. Mutation names the guard that was disabled, if any.
 type dayResult struct {
 	fleetsim.DayReport
 	Mutation string          `json:"mutation,omitempty"`
-	Rule     fleetrules.Rule `json:"rule,omitempty"` // that the mutation breaks
+	Rule     fleetrules.Rule `json:"rule,omitempty"` // rule that the mutation breaks
 }
 
-// isAsExpected tells whether no rule was broken or, with a mutation, its own one.
+// isAsExpected reports whether no rule was broken or, with a mutation, the rule that the mutation breaks was.
 func (p *dayResult) isAsExpected() bool {
 	if p.Mutation != "" {
 		return p.Broken[p.Rule] > 0
@@ -178,7 +178,7 @@
 	return len(p.Broken) == 0
 }
 
-// playDays simulates days at each group size. It fails if a rule is broken, or a mutation is not detected.
+// simulateDays simulates days at each group size. It fails if a rule is broken, or if a mutation is not detected.
 func simulateDays(ctx context.Context, e *Env, names, instances string, o fleetsim.DayOptions, asJSON bool) error {
 	sizes, err := groupSizes(instances)
 	if err != nil {
@@ -215,7 +215,7 @@
 	return nil
 }
 
-// daysToPlay returns the days that names select, at each group size, and the options of each.
+// selectDays returns the days that names select, at each group size, and the simulation options of each.
 func selectDays(names string, sizes []int, o fleetsim.DayOptions) (results []dayResult, options []fleetsim.DayOptions, err error) {
 	for _, n := range sizes {
 		o.Instances = n
@@ -243,7 +243,7 @@
 	return results, options, nil
 }
 
-// printDays prints a line for each day, and what was detected or broken.
+// printDays prints a line for each day, then which mutations were detected and which rules were broken.
 func printDays(w io.Writer, all []dayResult) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "day\tinstances\tservers\tfirst tries\ttries\tattempts\tserved\tbeyond quota\tfailed\thandshakes\tcold: worst of its limit\tbroken\t")
--- a/internal/command/simulate_gather.go
+++ b/internal/command/simulate_gather.go
@@ -13,8 +13,9 @@
 	"lockflow/internal/simulation/waitpolicysim"
 )
 
-// gatherFlag declares --gather, and returns a function that simulates scatter-gather queries if it is given: the wait
-// policies in each world and, for each group size, how fast the instances learn together.
+// gatherFlags declares --gather and --queries, and returns a function that, if --gather is given, simulates
+// scatter-gather queries: the wait policies in each world and, for each group size, how fast instances that share their
+// observations learn.
 func gatherFlags(set flags) func(ctx context.Context, e *Env, instances string, seed uint64, asJSON bool) (isSelected bool, err error) {
 	names, _ := waitpolicysim.Worlds()
 	worlds := set.String("gather", "", "`NAME,NAME...` of worlds in which scattered queries are ended: "+strings.Join(names, ", ")+"; or all. "+
@@ -50,7 +51,7 @@
 	}
 }
 
-// playWorlds simulates wait policies in each world, and how fast instances learn together there.
+// simulateWorlds simulates wait policies in each world, and how fast instances that share their observations learn there.
 func simulateWorlds(ctx context.Context, e *Env, list []string, sizes []int, queries int, seed uint64) (all []waitpolicysim.Report, shared []waitpolicysim.ShareReport, err error) {
 	names, help := waitpolicysim.Worlds()
 	for _, name := range list {
@@ -76,7 +77,7 @@
 	return all, shared, nil
 }
 
-// playShared simulates how fast instances learn together in a world, for each group size.
+// simulateSharedLearning simulates how fast instances that share their observations learn in a world, for each group size.
 func simulateSharedLearning(ctx context.Context, e *Env, world string, sizes []int, seed uint64) (all []waitpolicysim.ShareReport, err error) {
 	for _, n := range sizes {
 		fmt.Fprintf(e.Err, "playing %s: %d learn together\n", world, n)
@@ -91,7 +92,7 @@
 	return all, nil
 }
 
-// printGathered prints a line for each world, and one for each group size.
+// printWaitPolicies prints a line for each world, and one for each world and group size.
 func printWaitPolicies(w io.Writer, all []waitpolicysim.Report, shared []waitpolicysim.ShareReport) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "world\toracle earns\tof it: learned\tbest fixed\tat\tp95\tno deadline\tknows all, same plan\tparts in answers\ttook\tlooks\tchanges told\tspent to learn\t")
--- a/internal/command/simulate_quota.go
+++ b/internal/command/simulate_quota.go
@@ -16,8 +16,9 @@
 	"lockflow/internal/simulation/fleetsim"
 )
 
-// quotaFlag declares --quota, and returns a function that simulates worlds of quotas if it is given: the calm day under
-// the module and under policies that see the true state late, for each seed.
+// quotaFlags declares --quota and the flags that go with it, and returns a function that, if --quota is given, simulates
+// worlds of quotas: for each seed, the day "calm" under the decision module and under policies that see the true state
+// with a delay.
 func quotaFlags(set flags) func(ctx context.Context, e *Env, instances string, o fleetsim.QuotaOptions, asJSON bool) (isSelected bool, err error) {
 	worlds := set.String("quota", "", "`NAME,NAME...` of worlds of quotas in which the calm day is played, by the module and by policies that see the true state late: "+
 		strings.Join(fleetsim.QuotaNames, ", ")+"; or all")
@@ -57,7 +58,7 @@
 	}
 }
 
-// quotaPlays returns the options of every simulation: each world at each group size with each seed under each policy.
+// quotaSimulations returns the options of every simulation: each world at each group size with each seed under each policy.
 func quotaSimulations(o fleetsim.QuotaOptions, worlds []string, sizes []int, seeds int, policies []string) (all []fleetsim.QuotaOptions) {
 	firstSeed := o.Seed
 	for _, o.World = range worlds {
@@ -82,7 +83,7 @@
 	return names
 }
 
-// playQuotas runs simulations, as many at a time as there are processors. The reports are in the order of todo.
+// runQuotaSimulations runs simulations, GOMAXPROCS at a time. The reports are in the order of simulations.
 func runQuotaSimulations(ctx context.Context, e *Env, simulations []fleetsim.QuotaOptions) ([]fleetsim.QuotaReport, error) {
 	all := make([]fleetsim.QuotaReport, len(simulations))
 	errs := make([]error, len(simulations))
@@ -103,8 +104,8 @@
 	return all, errors.Join(append(errs, ctx.Err())...)
 }
 
-// printQuotas prints a line for each report, and then the results of each sort of tries under the first policy over all
-// seeds of a world. Reports are in groups of one for each policy.
+// printQuotas prints a line for each report, and then the results of each category of requests under the first policy
+// over all seeds of a world. Consecutive reports form groups of one for each policy.
 func printQuotas(w io.Writer, all []fleetsim.QuotaReport, policies int) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "world\tinstances\tseed\tpolicy\tlate s\tfirst tries\ttries\tserved\tbeyond: price\tmore than the lowest other\tof the units\trefused\twith room: of tries\tof requests\tnever sent on\t")
@@ -128,7 +129,7 @@
 	}
 }
 
-// priceAboveLowest returns how much the price of the first policy exceeds the lowest of the others.
+// priceAboveLowest returns how much the price of the first policy exceeds the lowest price of the others.
 func priceAboveLowest(group []fleetsim.QuotaReport) float64 {
 	lowest := group[min(1, len(group)-1)].OverQuotaPrice
 	for _, r := range group[1:] {
@@ -137,16 +138,16 @@
 	return group[0].OverQuotaPrice - lowest
 }
 
-// quotaMeans are means over the seeds of a world.
+// quotaMeans holds means over the seeds of a world.
 type quotaMeans struct {
 	served       float64
 	price        float64
-	priceAbove   float64                              // the lowest of the other policies
-	withCapacity float64                              // part of the tries that were rejected in spite of capacity
-	cells        map[string]map[string]*fleetsim.Cell // by sort and name; sums for counts
+	priceAbove   float64                              // difference to the lowest price of the other policies
+	withCapacity float64                              // part of the requests that were rejected although there was capacity
+	cells        map[string]map[string]*fleetsim.Cell // by category and name; counts are sums, not means
 }
 
-// meanQuotas returns the means of the first policy.
+// meanQuotas returns the means over the reports of the first policy.
 func meanQuotas(all []fleetsim.QuotaReport, policies int) quotaMeans {
 	n := float64(len(all) / policies)
 	means := quotaMeans{cells: map[string]map[string]*fleetsim.Cell{}}
@@ -173,7 +174,7 @@
 	return means
 }
 
-// printSorts prints the means of one world and group size, and each sort of tries.
+// printCategories prints the means of one world and group size, and a line for each category of requests.
 func printCategories(w io.Writer, all []fleetsim.QuotaReport, policies int) {
 	means := meanQuotas(all, policies)
 	fmt.Fprintf(w, "\n%s, %d instances, %s, mean of %.0f: served %.3f, price beyond quotas %.3f, %+.3f more than the lowest other, refused with room %.3f of the tries\n",
@@ -191,7 +192,7 @@
 	t.Flush()
 }
 
-// formatShare formats a part of the tries; cells without tries have rejections alone, which are printed as they are.
+// formatShare formats n as a part of requests. Without requests it formats n itself: some cells count rejections alone.
 func formatShare(n, requests int) string {
 	if requests == 0 {
 		return fmt.Sprint(n)
--- a/internal/command/simulate_rollout.go
+++ b/internal/command/simulate_rollout.go
@@ -13,7 +13,7 @@
 	"lockflow/internal/simulation/rolloutsim"
 )
 
-// rolloutSimulation are the flags of simulate --rollout, which simulates staged changes.
+// rolloutSimulation holds the flags of simulate --rollout, which simulates staged changes.
 type rolloutSimulation struct {
 	isEnabled     bool
 	traffic       string
@@ -38,7 +38,7 @@
 	set.DurationVar(&p.faultInterval, "fault-every", time.Hour, "rollout: `TIME` between faults of the world")
 }
 
-// harmNames returns the names of the harms that a change may do.
+// harmNames returns the names of the harms that a simulated change can do.
 func harmNames() (all []string) {
 	for _, h := range rolloutsim.Harms {
 		all = append(all, h.Name)
@@ -46,7 +46,7 @@
 	return all
 }
 
-// parseNames returns the names in a list, or all known ones for "all". flag is named in errors.
+// parseNames returns the names in a list, or all known ones for "all". Errors name flag.
 func parseNames(flag, list string, known []string) ([]string, error) {
 	if list == "all" {
 		return known, nil
@@ -60,7 +60,7 @@
 	return all, nil
 }
 
-// play runs the simulations and prints their reports.
+// run runs the simulations and prints their reports.
 func (p *rolloutSimulation) run(ctx context.Context, e *Env, instances string, asJSON bool) error {
 	sizes, err := groupSizes(instances)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// options returns the options of every simulation: each size, traffic, harm, judge and mutation.
+// options returns the options of every simulation: each combination of size, traffic, harm, judge and mutation.
 func (p *rolloutSimulation) options(sizes []int, traffics, harms, judges, without []string) (all []rolloutsim.Options) {
 	o := rolloutsim.Options{Rate: p.rate, Runs: p.runs, FaultInterval: p.faultInterval, Seed: p.seed}
 	for _, o.Instances = range sizes {
