--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -48,11 +48,11 @@
 	if s.CA != "" {
 		pem, err := os.ReadFile(s.CA)
 		if err != nil {
-			return fmt.Errorf("authorities: %w", err)
+			return fmt.Errorf("reading certificate authorities: %w", err)
 		}
 		config.RootCAs = x509.NewCertPool()
 		if !config.RootCAs.AppendCertsFromPEM(pem) {
-			return fmt.Errorf("authorities: %s: no certificate in it", s.CA)
+			return fmt.Errorf("certificate authorities: %s holds no PEM certificate", s.CA)
 		}
 	}
 	if s.Cert != "" {
@@ -70,14 +70,14 @@
 func (s *Store) loadCertificate() (tls.Certificate, error) {
 	pair, err := tls.LoadX509KeyPair(s.Cert, s.Key)
 	if err != nil {
-		return pair, fmt.Errorf("certificate: %s, %s: %w", s.Cert, s.Key, err)
+		return pair, fmt.Errorf("loading client certificate %s with key %s: %w", s.Cert, s.Key, err)
 	}
 	leaf, err := x509.ParseCertificate(pair.Certificate[0])
 	if err != nil {
-		return pair, fmt.Errorf("certificate: %s: %w", s.Cert, err)
+		return pair, fmt.Errorf("parsing client certificate %s: %w", s.Cert, err)
 	}
 	if time.Now().After(leaf.NotAfter) {
-		return pair, fmt.Errorf("certificate: %s: it ended %s", s.Cert, leaf.NotAfter.Format(time.RFC3339))
+		return pair, fmt.Errorf("client certificate %s: expired at %s", s.Cert, leaf.NotAfter.Format(time.RFC3339))
 	}
 	return pair, nil
 }
@@ -102,7 +102,7 @@
 }
 
 // ErrProtocol is the error for a server that selected none of the protocols offered to it.
-var ErrProtocol = errors.New("the server agreed to no protocol that was offered")
+var ErrProtocol = errors.New("server selected none of the offered protocols")
 
 // Client performs the TLS handshake on a connection to an address. It returns the protocol negotiated by ALPN,
 // which is empty for a server without ALPN. After an error it leaves the connection open.
@@ -113,13 +113,13 @@
 	if config.ServerName == "" {
 		host, _, err := net.SplitHostPort(address)
 		if err != nil {
-			return nil, "", fmt.Errorf("the server's name: %w", err)
+			return nil, "", fmt.Errorf("finding the server name for TLS: %w", err)
 		}
 		config.ServerName = host
 	}
 	conn := tls.Client(rawConn, config)
 	if err := conn.HandshakeContext(ctx); err != nil {
-		return nil, "", fmt.Errorf("handshake: %w", err)
+		return nil, "", fmt.Errorf("TLS handshake: %w", err)
 	}
 	return conn, conn.ConnectionState().NegotiatedProtocol, nil
 }
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -67,16 +67,16 @@
 		options Options
 		want    string
 	}{
-		"all":                  {Options{CA: good, Cert: good, Key: goodKey}, ""},
-		"the system's":         {Options{}, ""},
-		"no authorities there": {Options{CA: string(dir) + "/none"}, "none: no such file"},
-		"nothing in them":      {Options{CA: goodKey}, "no certificate in it"},
-		"another's key":        {Options{Cert: good, Key: dir.replaceFile(t, "old.key", expiredKey)}, "does not match"},
-		"half a file":          {Options{Cert: dir.replaceFile(t, "half", cert[:len(cert)/2]), Key: goodKey}, "half"},
-		"one that has ended":   {Options{Cert: dir.replaceFile(t, "old", expired), Key: dir.replaceFile(t, "old.key", expiredKey)}, "old: it ended"},
+		"all":                                    {Options{CA: good, Cert: good, Key: goodKey}, ""},
+		"system authorities":                     {Options{}, ""},
+		"missing authorities file":               {Options{CA: string(dir) + "/none"}, "none: no such file"},
+		"authorities file without a certificate": {Options{CA: goodKey}, "holds no PEM certificate"},
+		"key of another certificate":             {Options{Cert: good, Key: dir.replaceFile(t, "old.key", expiredKey)}, "does not match"},
+		"truncated certificate":                  {Options{Cert: dir.replaceFile(t, "half", cert[:len(cert)/2]), Key: goodKey}, "half"},
+		"expired certificate":                    {Options{Cert: dir.replaceFile(t, "old", expired), Key: dir.replaceFile(t, "old.key", expiredKey)}, "old: expired at"},
 	} {
 		if _, err := Load(tc.options); (err == nil) != (tc.want == "") || err != nil && !strings.Contains(err.Error(), tc.want) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v", name, err)
 		}
 	}
 }
@@ -121,17 +121,17 @@
 		t.Fatal(err)
 	}
 	if p, err := handshake(store, first, firstKey, "h2"); p != "h2" || err != nil {
-		t.Errorf("%q, %v", p, err)
+		t.Errorf("server that selects h2: got protocol %q, error %v", p, err)
 	}
 	if p, err := handshake(store, first, firstKey); p != "" || err != nil {
-		t.Errorf("a server that knows nothing of protocols: %q, %v", p, err)
+		t.Errorf("server without ALPN: got protocol %q, error %v", p, err)
 	}
 	if _, err := handshake(store, second, secondKey); err == nil {
-		t.Error("another authority's server is trusted")
+		t.Error("server with a certificate of another authority is trusted")
 	}
 	store.Name = "other"
 	if _, err := handshake(store, first, firstKey); err == nil {
-		t.Error("another name is taken")
+		t.Error("server with a certificate for another name is trusted")
 	}
 	store.Name = ""
 
@@ -139,16 +139,16 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	reported, done := make(chan error, 10), make(chan struct{})
 	go func() { store.Follow(ctx, time.Millisecond, func(err error) { reported <- err }); close(done) }()
-	if err := testkit.Next(t, reported); !strings.Contains(err.Error(), "no certificate") {
+	if err := testkit.Next(t, reported); !strings.Contains(err.Error(), "holds no PEM certificate") {
 		t.Error(err)
 	}
 	if _, err := handshake(store, first, firstKey); err != nil {
-		t.Errorf("after a bad file: %v", err)
+		t.Errorf("server of the first authority is rejected after an invalid authorities file: %v", err)
 	}
 	dir.replaceFile(t, "ca", second)
-	testkit.Until(t, "the second authority", func() bool { _, err := handshake(store, second, secondKey); return err == nil })
+	testkit.Until(t, "the second authority is trusted", func() bool { _, err := handshake(store, second, secondKey); return err == nil })
 	if _, err := handshake(store, first, firstKey); err == nil {
-		t.Error("the first authority is still trusted")
+		t.Error("server of the first authority is still trusted after its authority was replaced")
 	}
 	cancel()
 	<-done
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -25,7 +25,7 @@
 					return checkFleet(e, *fleetPath, *asJSON)
 				}
 				if len(args) != 1 || *fleetPath != "" {
-					return usageError("check takes one file")
+					return usageError("check takes exactly one file, or --fleet FILE and no arguments")
 				}
 				return checkConfig(e, args[0], *asJSON)
 			}
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -47,7 +47,7 @@
 var errUsage = errors.New("usage")
 
 // errConfig means that the platform's configuration is invalid.
-var errConfig = errors.New("bad configuration")
+var errConfig = errors.New("invalid configuration")
 
 // errReported means that a command failed and has already printed why.
 var errReported = errors.New("told")
@@ -161,14 +161,14 @@
 	if similar := c.SuggestionsFor(args[0]); len(similar) > 0 {
 		suggestion = "; did you mean " + strings.Join(similar, " or ") + "?"
 	}
-	return usageError("there is no command %q%s; lockflow help lists them", args[0], suggestion)
+	return usageError("unknown command %q%s; lockflow help lists all commands", args[0], suggestion)
 }
 
 // showHelp prints the help of the command that args name.
 func showHelp(c *cobra.Command, args []string) error {
 	target, _, err := c.Root().Find(args)
 	if err != nil || target == nil || len(args) > 0 && target == c.Root() {
-		return usageError("there is no command %q; lockflow help lists them", strings.Join(args, " "))
+		return usageError("unknown command %q; lockflow help lists all commands", strings.Join(args, " "))
 	}
 	target.InitDefaultHelpFlag()
 	return target.Help()
@@ -221,7 +221,7 @@
 	var o slog.HandlerOptions
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(l.level)); err != nil {
-		return usageError("log-level: %q is none of debug, info, warn, error", l.level)
+		return usageError("log-level: %q is not one of debug, info, warn, error", l.level)
 	}
 	o.Level = level
 	switch l.format {
@@ -230,7 +230,7 @@
 	case "json":
 		slog.SetDefault(slog.New(loglimit.Limit(slog.NewJSONHandler(w, &o))))
 	default:
-		return usageError("log-format: %q is none of text, json", l.format)
+		return usageError("log-format: %q is not one of text, json", l.format)
 	}
 	return nil
 }
@@ -256,7 +256,7 @@
 		}
 		return ExitFailed
 	}
-	slog.Error("lockflow ends", "err", err)
+	slog.Error("lockflow exits with an error", "err", err)
 	if errors.Is(err, errConfig) {
 		return ExitUsage
 	}
@@ -267,7 +267,7 @@
 func executable() (string, error) {
 	path, err := os.Executable()
 	if err != nil {
-		return "", fmt.Errorf("finding the program's own file: %w", err)
+		return "", fmt.Errorf("finding the path of this program: %w", err)
 	}
 	return path, nil
 }
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -54,7 +54,7 @@
 		`"enterprise"`:         {`"basic"`, "tariffs.1.name"},
 	} {
 		if !strings.Contains(string(raw), old) {
-			t.Fatalf("the file has no %s", old)
+			t.Fatalf("the platform configuration has no %s to replace", old)
 		}
 		path := filepath.Join(t.TempDir(), "config.json")
 		if err := os.WriteFile(path, []byte(strings.Replace(string(raw), old, tc.new, 1)), 0o600); err != nil {
@@ -66,7 +66,7 @@
 		code, out, errs := runCommand(t, map[string]string{"NODE_CONFIG": path})
 		slog.SetDefault(previousLogger)
 		if all := out + errs + logged.String(); code != ExitUsage || !strings.Contains(all, tc.want) || !strings.Contains(all, path) {
-			t.Errorf("%s: exit %d\n%s", tc.new, code, all)
+			t.Errorf("%s: got exit code %d\n%s", tc.new, code, all)
 		}
 	}
 }
@@ -94,49 +94,49 @@
 		code int
 		want string // must be part of the output
 	}{
-		"help":               {[]string{"help"}, nil, ExitOK, "check       checks a configuration"},
-		"help of one":        {[]string{"help", "route"}, nil, ExitOK, "--host HOST"},
-		"help flag":          {[]string{"check", "--help"}, nil, ExitOK, "Examples:"},
-		"help of none":       {[]string{"help", "nope"}, nil, ExitUsage, `"nope"`},
-		"no such command":    {[]string{"nope"}, nil, ExitUsage, `"nope"`},
-		"a near miss":        {[]string{"serv"}, nil, ExitUsage, "did you mean serve?"},
-		"version":            {[]string{"--version"}, nil, ExitOK, "lockflow "},
-		"log format":         {[]string{"check", exampleConfig, "--log-format", "xml"}, nil, ExitUsage, "text, json"},
-		"log level":          {[]string{"check", exampleConfig, "--log-level", "loud"}, nil, ExitUsage, "debug, info"},
-		"log as JSON":        {[]string{"serve", "--config", bad + "no", "--log-format", "json"}, nil, ExitFailed, `"level":"ERROR"`},
-		"completion":         {[]string{"completion", "bash"}, nil, ExitOK, "__start_lockflow"},
-		"no such flag":       {[]string{"check", "--nope"}, nil, ExitUsage, "nope"},
-		"check of none":      {[]string{"check"}, nil, ExitUsage, "one file"},
-		"check of two":       {[]string{"check", bad, bad}, nil, ExitUsage, "one file"},
-		"check":              {[]string{"check", exampleConfig}, nil, ExitOK, "3 services, 5 routes"},
-		"check of a bad one": {[]string{"check", bad}, nil, ExitFailed, bad + ":2: y: unknown key"},
-		"check of a lost":    {[]string{"check", bad + "no"}, nil, ExitFailed, "no such file"},
-		"check as JSON":      {[]string{"check", bad, "--json"}, nil, ExitFailed, `"key":"y"`},
-		"check a good as":    {[]string{"check", "--json", exampleConfig}, nil, ExitOK, "[]"},
-		"serve of none":      {[]string{"serve"}, nil, ExitUsage, "LOCKFLOW_CONFIG"},
-		"serve a bad one":    {[]string{"serve", "--config", bad}, nil, ExitFailed, bad + ":1: x: unknown key"},
-		"serve by LOCKFLOW":  {nil, map[string]string{"LOCKFLOW_CONFIG": bad}, ExitFailed, bad + ":1: x: unknown key"},
-		"both named":         {nil, map[string]string{"LOCKFLOW_CONFIG": bad, "NODE_CONFIG": bad}, ExitUsage, "both"},
-		"route of none":      {[]string{"route"}, nil, ExitUsage, "--config"},
-		"route":              {[]string{"route", "--config", exampleConfig, "--host", "care.example", "--path", "/plans/7"}, nil, ExitOK, "documents"},
-		"no route":           {[]string{"route", "--config", exampleConfig, "--host", "care.example", "--path", "/x"}, nil, ExitFailed, "no route"},
-		"route of odd path":  {[]string{"route", "--config", exampleConfig, "--path", "/a/../b"}, nil, ExitFailed, ""},
-		"route odd header":   {[]string{"route", "--config", exampleConfig, "--path", "/", "--header", "x"}, nil, ExitUsage, "colon"},
-		"plan of one":        {[]string{"plan", exampleConfig}, nil, ExitUsage, "two files"},
-		"plan of the same":   {[]string{"plan", exampleConfig, exampleConfig}, nil, ExitOK, "nothing changes"},
-		"plan as JSON":       {[]string{"plan", exampleConfig, exampleConfig, "--json"}, nil, ExitOK, "[]"},
-		"plan of a change":   {[]string{"plan", exampleConfig, discoveryMoved}, nil, ExitOK, "discovery at 127.0.0.1:8500 -> discovery at 127.0.0.1:8600"},
-		"plan of a restart":  {[]string{"plan", exampleConfig, stateAdded}, nil, ExitFailed, "need a restart"},
-		"plan of a bad one":  {[]string{"plan", exampleConfig, bad}, nil, ExitFailed, bad + ":1: x"},
-		"demo for too short": {[]string{"demo", "--for", "1ms"}, nil, ExitUsage, "300ms"},
-		"measure of none":    {[]string{"measure"}, nil, ExitUsage, "isolation, proxy"},
-		"measure of what":    {[]string{"measure", "luck"}, nil, ExitUsage, "luck"},
-		"measure too many":   {[]string{"measure", "proxy", "--connections", "0"}, nil, ExitUsage, "1000"},
+		"help":                                  {[]string{"help"}, nil, ExitOK, "check       checks a configuration"},
+		"help of a command":                     {[]string{"help", "route"}, nil, ExitOK, "--host HOST"},
+		"help flag":                             {[]string{"check", "--help"}, nil, ExitOK, "Examples:"},
+		"help of an unknown command":            {[]string{"help", "nope"}, nil, ExitUsage, `"nope"`},
+		"unknown command":                       {[]string{"nope"}, nil, ExitUsage, `"nope"`},
+		"similar command":                       {[]string{"serv"}, nil, ExitUsage, "did you mean serve?"},
+		"version":                               {[]string{"--version"}, nil, ExitOK, "lockflow "},
+		"log format":                            {[]string{"check", exampleConfig, "--log-format", "xml"}, nil, ExitUsage, "text, json"},
+		"log level":                             {[]string{"check", exampleConfig, "--log-level", "loud"}, nil, ExitUsage, "debug, info"},
+		"log as JSON":                           {[]string{"serve", "--config", bad + "no", "--log-format", "json"}, nil, ExitFailed, `"level":"ERROR"`},
+		"completion":                            {[]string{"completion", "bash"}, nil, ExitOK, "__start_lockflow"},
+		"unknown flag":                          {[]string{"check", "--nope"}, nil, ExitUsage, "nope"},
+		"check without a file":                  {[]string{"check"}, nil, ExitUsage, "one file"},
+		"check of two files":                    {[]string{"check", bad, bad}, nil, ExitUsage, "one file"},
+		"check":                                 {[]string{"check", exampleConfig}, nil, ExitOK, "3 services, 5 routes"},
+		"check of an invalid file":              {[]string{"check", bad}, nil, ExitFailed, bad + ":2: y: unknown key"},
+		"check of a missing file":               {[]string{"check", bad + "no"}, nil, ExitFailed, "no such file"},
+		"check of an invalid file as JSON":      {[]string{"check", bad, "--json"}, nil, ExitFailed, `"key":"y"`},
+		"check of a valid file as JSON":         {[]string{"check", "--json", exampleConfig}, nil, ExitOK, "[]"},
+		"serve without a file":                  {[]string{"serve"}, nil, ExitUsage, "LOCKFLOW_CONFIG"},
+		"serve with an invalid file":            {[]string{"serve", "--config", bad}, nil, ExitFailed, bad + ":1: x: unknown key"},
+		"serve by LOCKFLOW_CONFIG":              {nil, map[string]string{"LOCKFLOW_CONFIG": bad}, ExitFailed, bad + ":1: x: unknown key"},
+		"two configurations in the environment": {nil, map[string]string{"LOCKFLOW_CONFIG": bad, "NODE_CONFIG": bad}, ExitUsage, "both"},
+		"route without flags":                   {[]string{"route"}, nil, ExitUsage, "--config"},
+		"route":                                 {[]string{"route", "--config", exampleConfig, "--host", "care.example", "--path", "/plans/7"}, nil, ExitOK, "documents"},
+		"no route":                              {[]string{"route", "--config", exampleConfig, "--host", "care.example", "--path", "/x"}, nil, ExitFailed, "no route"},
+		"route of an invalid path":              {[]string{"route", "--config", exampleConfig, "--path", "/a/../b"}, nil, ExitFailed, ""},
+		"route of an invalid header":            {[]string{"route", "--config", exampleConfig, "--path", "/", "--header", "x"}, nil, ExitUsage, "colon"},
+		"plan of one file":                      {[]string{"plan", exampleConfig}, nil, ExitUsage, "two files"},
+		"plan without a change":                 {[]string{"plan", exampleConfig, exampleConfig}, nil, ExitOK, "nothing changes"},
+		"plan as JSON":                          {[]string{"plan", exampleConfig, exampleConfig, "--json"}, nil, ExitOK, "[]"},
+		"plan of a change":                      {[]string{"plan", exampleConfig, discoveryMoved}, nil, ExitOK, "discovery at 127.0.0.1:8500 -> discovery at 127.0.0.1:8600"},
+		"plan that needs a restart":             {[]string{"plan", exampleConfig, stateAdded}, nil, ExitFailed, "need a restart"},
+		"plan of an invalid file":               {[]string{"plan", exampleConfig, bad}, nil, ExitFailed, bad + ":1: x"},
+		"demo with too short a time":            {[]string{"demo", "--for", "1ms"}, nil, ExitUsage, "300ms"},
+		"measure without a name":                {[]string{"measure"}, nil, ExitUsage, "isolation, proxy"},
+		"measure with an unknown name":          {[]string{"measure", "luck"}, nil, ExitUsage, "luck"},
+		"measure with invalid connections":      {[]string{"measure", "proxy", "--connections", "0"}, nil, ExitUsage, "1000"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			code, out, errs := runCommand(t, tc.env, tc.args...)
 			if code != tc.code || !strings.Contains(out+errs, tc.want) {
-				t.Errorf("exit %d\n%s%s", code, out, errs)
+				t.Errorf("got exit code %d and output\n%s%s", code, out, errs)
 			}
 		})
 	}
@@ -156,7 +156,7 @@
 			}
 		}
 		if want, err := os.ReadFile(path); err != nil || string(want) != got {
-			t.Errorf("%s is not as it was; go test ./internal/command -update writes it anew (%v)\n%s", path, err, got)
+			t.Errorf("%s differs from the help; go test ./internal/command -update rewrites it (%v)\n%s", path, err, got)
 		}
 	}
 	_, out, _ := runCommand(t, nil, "help")
@@ -165,7 +165,7 @@
 		_, out, errs := runCommand(t, nil, c.name, "--help")
 		golden(c.name, out+errs)
 		if _, helpOutput, _ := runCommand(t, nil, "help", c.name); helpOutput != out {
-			t.Errorf("help %s and %s --help differ", c.name, c.name)
+			t.Errorf("outputs of help %s and %s --help differ", c.name, c.name)
 		}
 	}
 }
@@ -190,11 +190,11 @@
 		got, _ := os.ReadFile(p)
 		want, err := os.ReadFile(filepath.Join(committed, filepath.Base(p)))
 		if err != nil || !bytes.Equal(got, want) {
-			t.Errorf("docs/man/%s is not of these commands; go test ./internal/command -update writes it anew (%v)", filepath.Base(p), err)
+			t.Errorf("docs/man/%s differs from the generated page; go test ./internal/command -update rewrites it (%v)", filepath.Base(p), err)
 		}
 	}
 	if len(pages) < len(commands()) {
-		t.Errorf("%d pages", len(pages))
+		t.Errorf("got %d man pages, fewer than there are commands", len(pages))
 	}
 }
 
@@ -205,11 +205,11 @@
 		Why                               []string
 	}
 	if err := json.Unmarshal([]byte(out), &got); code != ExitOK || err != nil {
-		t.Fatalf("exit %d, %v: %s", code, err, out)
+		t.Fatalf("got exit code %d, JSON error %v: %s", code, err, out)
 	}
 	if got.Service != "notes" || got.Route != "write-notes" || got.Class != "note-write" || got.Host != "care.example" || got.Path != "/notes/4" ||
 		len(got.Why) != 3 {
-		t.Errorf("%+v", got)
+		t.Errorf("got route %+v", got)
 	}
 }
 
@@ -223,17 +223,17 @@
 		}
 	}
 	if err := json.Unmarshal([]byte(out), &got); code != ExitOK || err != nil || !got.Fine || len(got.Phases) != 3 {
-		t.Fatalf("exit %d, %v: %s%s", code, err, out, errs)
+		t.Fatalf("got exit code %d, JSON error %v: %s%s", code, err, out, errs)
 	}
 	for i, p := range got.Phases {
 		// A quarter suffices: on a busy machine calls are sent late, in bursts of which the concurrency
 		// limit rejects a part. If the stalled documents held up the rosters, almost none would be served.
 		if r := p.Results["rosters"]; r.Calls == 0 || r.Served < r.Calls/4 || r.Lost > 0 {
-			t.Errorf("phase %d: %+v", i+1, r)
+			t.Errorf("phase %d: got results of rosters %+v", i+1, r)
 		}
 	}
 	if d := got.Phases[1].Results["documents"]; d.Served > 0 {
-		t.Errorf("a stalled pool served %d", d.Served)
+		t.Errorf("the stalled pool of documents served %d calls, want none", d.Served)
 	}
 }
 
@@ -248,12 +248,12 @@
 		"--quota all --instances 2 --for 12s --json":         `"policy":"late use"`,
 	} {
 		if code, out, errs := runCommand(t, nil, append([]string{"simulate"}, strings.Fields(args)...)...); code != ExitOK || !strings.Contains(out, want) {
-			t.Errorf("%s: exit %d\n%s%s", args, code, out, errs)
+			t.Errorf("simulate %s: got exit code %d and output\n%s%s", args, code, out, errs)
 		}
 	}
 	for _, args := range []string{"--day calm,tuesday", "--day calm --instances 0", "--quota moon", "--quota all --seeds 0", "--quota all --policy none"} {
 		if code, _, errs := runCommand(t, nil, append([]string{"simulate"}, strings.Fields(args)...)...); code != ExitUsage || errs == "" {
-			t.Errorf("%s: exit %d %s", args, code, errs)
+			t.Errorf("simulate %s: got exit code %d, want a usage error: %s", args, code, errs)
 		}
 	}
 }
--- a/internal/command/daemon.go
+++ b/internal/command/daemon.go
@@ -25,7 +25,7 @@
 			return func(ctx context.Context, e *Env, args []string) error {
 				isProgramValid := *program == "" || filepath.IsAbs(*program)
 				if *control == "" || len(args) > 0 || !isProgramValid || *timeout <= 0 {
-					return usageError("upgrade takes --control PATH, and as program an absolute path")
+					return usageError("upgrade takes --control PATH, an absolute path for --program, --within above 0, and no arguments")
 				}
 				ctx, cancel := context.WithTimeout(ctx, *timeout)
 				defer cancel()
@@ -67,7 +67,7 @@
 			set.BoolVar(&f.json, "json", false, "prints JSON")
 			return func(ctx context.Context, e *Env, args []string) error {
 				if *control == "" || len(args) > 0 {
-					return usageError("status takes --control PATH")
+					return usageError("status takes --control PATH and no arguments")
 				}
 				return f.status(ctx, e, []fleet.Member{{Name: *control, Client: manage.Client{Path: *control}}})
 			}
--- a/internal/command/daemon_test.go
+++ b/internal/command/daemon_test.go
@@ -35,12 +35,12 @@
 	expect := func(want string) {
 		t.Helper()
 		if got := testkit.Next(t, notifications); !strings.HasPrefix(got, want) {
-			t.Fatalf("told %q, not %q", got, want)
+			t.Fatalf("supervisor got notification %q, want prefix %q", got, want)
 		}
 	}
 	expect("READY=1\nSTATUS=1 services on 127.0.0.1:")
 	if raw, err := os.ReadFile(pidPath); err != nil || string(raw) != fmt.Sprintln(os.Getpid()) {
-		t.Errorf("pid file: %q, %v", raw, err)
+		t.Errorf("got pid file %q, error %v", raw, err)
 	}
 	for _, text := range []string{strings.Replace(testkit.Small, "services.a", "services.b", 1) + "\n", "x = 1", testkit.Small} {
 		if strings.Contains(text, "services.b") {
@@ -54,9 +54,9 @@
 	stop()
 	expect("STOPPING=1")
 	if c := testkit.Next(t, code); c != ExitOK {
-		t.Errorf("exit %d: %s", c, errs.String())
+		t.Errorf("got exit code %d: %s", c, errs.String())
 	}
 	if _, err := os.Stat(pidPath); !os.IsNotExist(err) {
-		t.Errorf("the pid file is left: %v", err)
+		t.Errorf("the pid file was not removed: %v", err)
 	}
 }
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -28,7 +28,7 @@
 			set.BoolVar(&d.json, "json", false, "prints only the summary, as JSON")
 			return func(ctx context.Context, e *Env, args []string) error {
 				if len(args) > 0 || !d.isValid() {
-					return usageError("demo takes --for from 300ms to 1h and --descriptors from 192 to 65536, and nothing else")
+					return usageError("demo takes --for from 300ms to 1h, --descriptors from 192 to 65536, and no arguments")
 				}
 				return d.run(ctx, e)
 			}
--- a/internal/command/event_log.go
+++ b/internal/command/event_log.go
@@ -31,7 +31,7 @@
 			asJSON := set.Bool("json", false, "prints all of it as JSON")
 			return func(ctx context.Context, e *Env, args []string) error {
 				if len(args) == 0 || *objective < 0 || *maxServers < 0 {
-					return usageError("tally takes the logs of one instance each; see lockflow tally --help")
+					return usageError("tally takes at least one log, each of one instance, and no negative flags; see lockflow tally --help")
 				}
 				summer := eventlog.Summer{LatencyObjectiveMS: float64(*objective) / float64(time.Millisecond)}
 				for _, path := range args {
@@ -44,7 +44,7 @@
 				}
 				s := summer.Sum()
 				if len(s.Seconds) == 0 {
-					return fmt.Errorf("tally: no line of a tally in %d logs; LOCKFLOW_TALLY=1 has an instance write them", len(args))
+					return fmt.Errorf("tally: no event log lines in %d logs; an instance writes them if LOCKFLOW_TALLY=1 is set", len(args))
 				}
 				if *asJSON {
 					return json.NewEncoder(e.Out).Encode(s)
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -62,10 +62,10 @@
 			set.BoolVar(&f.json, "json", false, "prints JSON")
 			return func(ctx context.Context, e *Env, args []string) error {
 				if len(args) != 1 {
-					return usageError("fleet takes one of run, status, reload, upgrade, drain, serve")
+					return usageError("fleet takes exactly one of run, status, reload, upgrade, drain, serve")
 				}
 				if f.timeout <= 0 {
-					return usageError("fleet: within: %v is off", f.timeout)
+					return usageError("fleet: within: %v is not above 0", f.timeout)
 				}
 				if err := f.check(); err != nil {
 					return err
@@ -82,7 +82,7 @@
 // run starts a fleet, waits until ctx is done, and drains the fleet.
 func (f *fleetFlags) run(ctx context.Context, e *Env) error {
 	if f.config == "" || f.dir == "" || f.instances < 1 {
-		return usageError("fleet run takes --config FILE, --dir DIR and --instances N")
+		return usageError("fleet run takes --config FILE, --dir DIR and --instances N of 1 or more")
 	}
 	program, err := executable()
 	if err != nil {
@@ -115,7 +115,7 @@
 	var err error
 	switch {
 	case countSet(f.dir, f.sockets, f.file) != 1:
-		return usageError("fleet %s takes one of --dir DIR, --sockets FILE and --fleet FLEET.toml", operation)
+		return usageError("fleet %s takes exactly one of --dir DIR, --sockets FILE and --fleet FLEET.toml", operation)
 	case f.file != "":
 		return f.runOnRegions(ctx, e, operation)
 	case f.dir != "":
@@ -143,7 +143,7 @@
 		}
 		return f.startChange(ctx, e, operation, fleet.WithSettings(members, nil), nil)
 	}
-	return usageError("fleet: there is no %q: run, status, reload, upgrade, drain, serve", operation)
+	return usageError("fleet: %q is not one of run, status, reload, upgrade, drain, serve", operation)
 }
 
 // readConfig reads and checks the new settings. It returns nil if no file is given: each member then reloads its own file.
@@ -153,7 +153,7 @@
 	}
 	text, err := os.ReadFile(f.config)
 	if err != nil {
-		return nil, fmt.Errorf("fleet reload: %w", err)
+		return nil, fmt.Errorf("fleet reload: reading the new configuration: %w", err)
 	}
 	return text, fleet.CheckSettings(f.config, text)
 }
--- a/internal/command/golden_test.go
+++ b/internal/command/golden_test.go
@@ -31,7 +31,7 @@
 	} {
 		_, out, errs := runCommand(t, nil, args...)
 		if out == "" {
-			t.Errorf("%s prints nothing: %s", name, errs)
+			t.Errorf("%s: no standard output; standard error: %s", name, errs)
 			continue
 		}
 		testkit.GoldenBytes(t, in(name+".json"), []byte(out))
--- a/internal/command/measure.go
+++ b/internal/command/measure.go
@@ -112,11 +112,11 @@
 // run runs the measurement that args name.
 func (m *measureFlags) run(ctx context.Context, e *Env, args []string) error {
 	if len(args) != 1 {
-		return usageError("measure takes one of isolation, proxy, servers, bodies, balance, reload, upgrade, fleet, faults, change, soak, gather, rollout")
+		return usageError("measure takes exactly one of isolation, proxy, servers, bodies, balance, reload, upgrade, fleet, faults, change, soak, gather, rollout")
 	}
 	name := args[0]
 	if !m.isValid() {
-		return usageError("measure %s: its flags are off; see lockflow measure --help", name)
+		return usageError("measure %s: --rounds, --for, --crowd or --descriptors is out of range; see lockflow measure --help", name)
 	}
 	logger := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -154,7 +154,7 @@
 		o := measure.RolloutOptions{Members: m.faults.Processes, Seed: m.fleet.Seed}
 		return measureRollout(ctx, e, o, m.kinds, m.asJSON)
 	}
-	return usageError("there is no measurement %q: isolation, proxy, servers, bodies, balance, reload, upgrade, fleet, faults, change, soak, gather, rollout", name)
+	return usageError("measure: %q is not one of isolation, proxy, servers, bodies, balance, reload, upgrade, fleet, faults, change, soak, gather, rollout", name)
 }
 
 // finishTrial removes a trial's directory. If the trial has failed, it keeps the directory and prints where owner's files are.
@@ -202,7 +202,7 @@
 		return measure.ServeProxy(ctx, strings.Split(m.proxyServers, ","), e.Err)
 	}
 	if m.protocol != "platform" && m.protocol != "http" {
-		return usageError("protocol: %q is neither platform nor http", m.protocol)
+		return usageError("measure proxy: protocol: %q is neither platform nor http", m.protocol)
 	}
 	o := measure.ProxyOptions{Protocol: m.protocol, Rounds: m.rounds, Duration: m.duration, Progress: e.Err}
 	return measureProxy(ctx, e, o, m.connections, m.asJSON)
--- a/internal/command/measure_balance.go
+++ b/internal/command/measure_balance.go
@@ -26,7 +26,7 @@
 	for field := range strings.SplitSeq(loads, ",") {
 		load, err := strconv.ParseFloat(field, 64)
 		if err != nil || !(load > 0 && load <= 2) {
-			return usageError("loads: %q is none from 0 to 2", field)
+			return usageError("measure balance: loads: %q is not a number above 0 and up to 2", field)
 		}
 		o.Load = load
 		for _, c := range balancesim.Cases {
--- a/internal/command/measure_bodies.go
+++ b/internal/command/measure_bodies.go
@@ -15,18 +15,18 @@
 	for field := range strings.SplitSeq(sizes, ",") {
 		n, err := strconv.ParseInt(field, 10, 64)
 		if err != nil || n < 1 || n > 1<<40 {
-			return usageError("sizes: %q is none of 1 to 2^40", field)
+			return usageError("measure bodies: sizes: %q is not a number from 1 to 2^40", field)
 		}
 		o.Sizes = append(o.Sizes, n)
 	}
 	list := strings.Split(directions, ",")
 	for _, direction := range list {
 		if direction != "down" && direction != "up" && direction != "both" {
-			return usageError("ways: %q is none of down, up, both", direction)
+			return usageError("measure bodies: ways: %q is not one of down, up, both", direction)
 		}
 	}
 	if o.Workers < 1 || o.Workers > 800 || o.MemoryMB < 16 {
-		return usageError("bodies takes --workers from 1 to 800 and --memory from 16")
+		return usageError("measure bodies takes --workers from 1 to 800 and --memory of 16 or more")
 	}
 	var err error
 	if o.Program, err = executable(); err != nil {
--- a/internal/command/measure_faults.go
+++ b/internal/command/measure_faults.go
@@ -54,7 +54,7 @@
 		links = regiontrial.Links(o.Processes / 3)
 	}
 	if !isValidFaults(&o, isChange) {
-		return usageError("measure %s: its flags are off; see lockflow measure --help", what)
+		return usageError("measure %s: --processes, --seeds, --faults or --shrinks is out of range; see lockflow measure --help", what)
 	}
 	var err error
 	if file != "" {
@@ -66,7 +66,7 @@
 		return err
 	}
 	if o.Dir, err = os.MkdirTemp("", "lockflow-"); err != nil {
-		return fmt.Errorf("measuring %s: %w", what, err)
+		return fmt.Errorf("measure %s: creating a temporary directory: %w", what, err)
 	}
 	var failure string
 	if isChange {
@@ -102,7 +102,7 @@
 func faultScript(file string, processes, links int) (*faultnet.Script, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
-		return nil, fmt.Errorf("reading a script: %w", err)
+		return nil, fmt.Errorf("reading a fault script: %w", err)
 	}
 	s, err := faultnet.Parse(string(raw))
 	if err != nil {
--- a/internal/command/measure_fleet.go
+++ b/internal/command/measure_fleet.go
@@ -27,14 +27,14 @@
 // measureFleet disturbs a fleet of real processes at random, and checks that the service keeps its rules.
 func measureFleet(ctx context.Context, e *Env, o measure.FleetOptions, asJSON bool) error {
 	if !isValidFleet(&o) {
-		return usageError("measure fleet: its flags are off; see lockflow measure --help")
+		return usageError("measure fleet: a flag is out of range; see lockflow measure --help")
 	}
 	var err error
 	if o.Program, err = executable(); err != nil {
 		return err
 	}
 	if o.Dir, err = os.MkdirTemp("", "lockflow-"); err != nil {
-		return fmt.Errorf("measuring a fleet: %w", err)
+		return fmt.Errorf("measure fleet: creating a temporary directory: %w", err)
 	}
 	o.Progress = e.Err
 	report, err := measure.Fleet(ctx, o)
--- a/internal/command/measure_proxy.go
+++ b/internal/command/measure_proxy.go
@@ -45,7 +45,7 @@
 	for field := range strings.SplitSeq(connections, ",") {
 		n, err := strconv.Atoi(field)
 		if err != nil || n < 1 || n > maxConnections {
-			return nil, usageError("connections: %q is none of 1 to 1000", field)
+			return nil, usageError("measure: connections: %q is not a number from 1 to 1000", field)
 		}
 		all = append(all, n)
 	}
--- a/internal/command/measure_restarts.go
+++ b/internal/command/measure_restarts.go
@@ -36,7 +36,7 @@
 		return err
 	}
 	if o.Dir, err = os.MkdirTemp("", "lockflow-"); err != nil {
-		return fmt.Errorf("measuring upgrades: %w", err)
+		return fmt.Errorf("measure upgrade: creating a temporary directory: %w", err)
 	}
 	defer os.RemoveAll(o.Dir) //nolint:errcheck // a temporary directory
 	r, err := measure.Upgrades(ctx, o)
--- a/internal/command/measure_rollout.go
+++ b/internal/command/measure_rollout.go
@@ -28,13 +28,13 @@
 		o.Kinds = append(o.Kinds, kind)
 	}
 	if o.Members < 2 || o.Members > 64 {
-		return usageError("measure rollout: processes: %d are none of 2 to 64", o.Members)
+		return usageError("measure rollout: processes: %d is not from 2 to 64", o.Members)
 	}
 	if o.Program, err = executable(); err != nil {
 		return err
 	}
 	if o.Dir, err = os.MkdirTemp("", "lockflow-"); err != nil {
-		return fmt.Errorf("measuring rollouts: %w", err)
+		return fmt.Errorf("measure rollout: creating a temporary directory: %w", err)
 	}
 	report, err := measure.Rollout(ctx, o)
 	if err != nil {
--- a/internal/command/measure_skew.go
+++ b/internal/command/measure_skew.go
@@ -26,16 +26,16 @@
 		return usageError("measure upgrade --previous takes --rounds from 1 to %d and --requests from 1 to %d", maxSkewRounds, maxSkewRequests)
 	}
 	if o.Previous, err = filepath.Abs(o.Previous); err != nil {
-		return fmt.Errorf("finding the previous build: %w", err)
+		return fmt.Errorf("making the path of the previous build absolute: %w", err)
 	}
 	if info, err := os.Stat(o.Previous); err != nil || info.IsDir() {
-		return usageError("measure upgrade: --previous %s is no program", o.Previous)
+		return usageError("measure upgrade: --previous %s is missing or a directory, not a program", o.Previous)
 	}
 	if o.Current, err = executable(); err != nil {
 		return err
 	}
 	if o.Dir, err = os.MkdirTemp("", "lockflow-"); err != nil {
-		return fmt.Errorf("trying two builds: %w", err)
+		return fmt.Errorf("measure upgrade: creating a temporary directory: %w", err)
 	}
 	o.Env = os.Environ()
 	o.Clients = skewClients
--- a/internal/command/measure_soak.go
+++ b/internal/command/measure_soak.go
@@ -36,15 +36,15 @@
 // files it does not remove.
 func measureSoak(ctx context.Context, e *Env, o soakOptions, asJSON bool) error {
 	if o.nodes < 1 || o.nodes > 64 || o.seeds < 1 || o.seeds > 100_000 {
-		return usageError("measure soak: its flags are off; see lockflow measure --help")
+		return usageError("measure soak: --processes or --seeds is out of range; see lockflow measure --help")
 	}
 	directory, err := os.MkdirTemp("", "lockflow-soak-")
 	if err != nil {
-		return fmt.Errorf("measuring soak: %w", err)
+		return fmt.Errorf("measure soak: creating a temporary directory: %w", err)
 	}
 	program := filepath.Join(directory, "lockflow")
 	if err := faultbuild.Build(ctx, soakPackage, program, directory); err != nil {
-		return fmt.Errorf("measuring soak, which builds the program anew: %w", err)
+		return fmt.Errorf("measure soak: building the program with faults: %w", err)
 	}
 	hasFailed := false
 	for i := range o.seeds {
@@ -63,7 +63,7 @@
 		}
 		report, err := runSoak(ctx, options)
 		if err != nil {
-			return fmt.Errorf("seed %d: %w", options.Seed, err)
+			return fmt.Errorf("measure soak: seed %d: %w", options.Seed, err)
 		}
 		hasFailed = hasFailed || len(report.Wrong) > 0
 		if err := printSoak(e, report, options.Dir, asJSON); err != nil {
--- a/internal/command/plan.go
+++ b/internal/command/plan.go
@@ -25,7 +25,7 @@
 			isFleet := set.Bool("fleet", false, "the files name regions; tells the order in which these may change, and conflicts on the way")
 			return func(_ context.Context, e *Env, args []string) error {
 				if len(args) != 2 {
-					return usageError("plan takes two files")
+					return usageError("plan takes exactly two files")
 				}
 				if *isFleet {
 					return planFleet(e, args[0], args[1], *asJSON)
--- a/internal/command/proxy.go
+++ b/internal/command/proxy.go
@@ -30,7 +30,7 @@
 			printsConfig := set.Bool("print", false, "prints the configuration and serves nothing")
 			return func(ctx context.Context, e *Env, args []string) error {
 				if len(args) > 0 || len(*to) == 0 || *duration < 0 {
-					return usageError("proxy takes the servers' addresses (--to) and nothing else beside its flags")
+					return usageError("proxy takes --to with at least one address, --for of 0 or more, and no arguments")
 				}
 				text, err := proxyConfig(*listen, *to)
 				if err != nil {
@@ -52,7 +52,7 @@
 	fmt.Fprintf(&b, "[[listeners]]\naddress = %s\n\n[services.app.source]\nkind = \"static\"\n", strconv.Quote(listen))
 	for i, addr := range append([]string{listen}, servers...) {
 		if _, port, err := net.SplitHostPort(addr); err != nil || port == "" {
-			return "", fmt.Errorf("%q is no host:port", addr)
+			return "", fmt.Errorf("address %q is not of the form host:port", addr)
 		}
 		if i > 0 {
 			fmt.Fprintf(&b, "\n[[services.app.source.servers]]\nendpoint = %s\n", strconv.Quote(addr))
--- a/internal/command/quota_lease.go
+++ b/internal/command/quota_lease.go
@@ -34,7 +34,7 @@
 			set.BoolVar(&x.json, "json", false, "prints JSON")
 			return func(_ context.Context, e *Env, args []string) error {
 				if len(args) != 1 || args[0] != "explain" || !x.isValid() {
-					return usageError("allowance takes explain with --config and --plan, --units above 0, --spread of 0 or more, and nothing else")
+					return usageError("allowance takes explain with --config and --plan, --units above 0, --spread of 0 or more, and no other arguments")
 				}
 				return x.run(e)
 			}
@@ -105,7 +105,7 @@
 	limit, isFound := x.findLimit(&cfg)
 	switch {
 	case !isFound:
-		return fmt.Errorf("%s: no plan %q", x.file, x.plan)
+		return fmt.Errorf("%s: no plan %q in this configuration", x.file, x.plan)
 	case limit.Rate == 0:
 		return fmt.Errorf("%s: plan %q has no ceiling", x.file, x.plan)
 	}
--- a/internal/command/quota_lease_test.go
+++ b/internal/command/quota_lease_test.go
@@ -36,7 +36,7 @@
 	} {
 		code, out, errs := runCommand(t, nil, append([]string{"allowance", "explain", "--config", file}, strings.Fields(args)...)...)
 		if code != want.code || !strings.Contains(out+errs, want.output) {
-			t.Errorf("%s: exit %d\n%s%s", args, code, out, errs)
+			t.Errorf("allowance explain %s: got exit code %d and output\n%s%s", args, code, out, errs)
 		}
 	}
 	_, out, _ := runCommand(t, nil, "allowance", "explain", "--config", file, "--plan", "enterprise", "--instances", "40", "--json")
@@ -45,11 +45,11 @@
 		Promises []quotalease.Guarantee
 	}
 	if err := json.Unmarshal([]byte(out), &got); err != nil || got.Bound.Burst <= 60 || len(got.Promises) < 6 {
-		t.Errorf("%v: %s", err, out)
+		t.Errorf("got JSON error %v, output %s", err, out)
 	}
 	for _, p := range got.Promises {
 		if p.Excess < 0 || p.Utilization < 0 || p.Utilization > 1 || p.Reason == "" {
-			t.Errorf("%+v", p)
+			t.Errorf("got guarantee %+v out of range or without a reason", p)
 		}
 	}
 }
--- a/internal/command/regions_test.go
+++ b/internal/command/regions_test.go
@@ -85,23 +85,23 @@
 	waiver := "[[waivers]]\nkind = 'coverage'\nregions = ['north', 'south']\nrules = ['x', 'app']\nreason = 'tried first'\nuntil = "
 	x := "MORE=[[routes]]\nname = 'x'\nservice = 'app'\nprefix = '/x'\n"
 	for name, tc := range map[string]struct{ north, south, more, conflictKinds string }{
-		"none":                      {"", "", "", ""},
-		"service":                   {"MORE=" + serviceB + "[[routes]]\nname='x'\nservice='b'\nprefix='/app/x'\n", "MORE=" + serviceB + "[[routes]]\nname='x'\nservice='b'\nprefix='/app/y'\n", "", "service"},
-		"coverage":                  {x, "", "", "coverage"},
-		"terms":                     {"TERMS=free", "", "", "terms"},
-		"ceiling":                   {"RATE=30", "RATE=20", "", "ceiling"},
-		"cold":                      {"MORE=fall_multiple = 9.0", "MORE=fall_multiple = 0.2", "", "cold"},
-		"loop":                      {"SERVER=south.example", "SERVER=north.example", "", "loop"},
-		"loop through a gatherer":   {"SERVER=south.example;" + gatherService("parts=['pod','app']"), "SERVER=north.example;" + gatherService("parts=['pod','app']"), "", "loop"},
-		"loop through one of two":   {"SERVER=south.example;" + gatherService("parts=['pod','app']"), "MORE=" + strings.ReplaceAll(serviceB, "b.", "north.") + "[[routes]]\nname='all'\nservice='b'\nprefix='/all'\n", "", "coverage loop service"},
-		"gatherers alike":           {gatherService("parts=['pod','app']"), gatherService("parts=['pod','app']"), "", ""},
-		"they wait for other times": {gatherService("parts=['pod','app']"), gatherService("parts=['pod','app']\ndeadline='1s'\nhalf_life='2s'"), "", ""},
-		"they gather other parts":   {gatherService("parts=['pod','app']"), gatherService("parts=['pod']"), "", "service"},
-		"a route to a gatherer":     {gatherService("parts=['pod']"), gatherService("parts=['pod']") + "[[routes]]\nname='x'\nservice='all'\nprefix='/x'\n", "", "coverage"},
-		"dead":                      {x + "[[routes]]\nname = 'k'\nservice = 'app'\nclass = 'x'\n", x, "", "dead"},
-		"waived":                    {x, "", waiver + "2999-01-01", ""},
-		"expired":                   {x, "", waiver + "2020-01-01", "coverage waiver"},
-		"unused":                    {"", "", waiver + "2999-01-01", "waiver"},
+		"none":                                  {"", "", "", ""},
+		"service":                               {"MORE=" + serviceB + "[[routes]]\nname='x'\nservice='b'\nprefix='/app/x'\n", "MORE=" + serviceB + "[[routes]]\nname='x'\nservice='b'\nprefix='/app/y'\n", "", "service"},
+		"coverage":                              {x, "", "", "coverage"},
+		"terms":                                 {"TERMS=free", "", "", "terms"},
+		"ceiling":                               {"RATE=30", "RATE=20", "", "ceiling"},
+		"cold":                                  {"MORE=fall_multiple = 9.0", "MORE=fall_multiple = 0.2", "", "cold"},
+		"loop":                                  {"SERVER=south.example", "SERVER=north.example", "", "loop"},
+		"loop through a scatter-gather service": {"SERVER=south.example;" + gatherService("parts=['pod','app']"), "SERVER=north.example;" + gatherService("parts=['pod','app']"), "", "loop"},
+		"loop through one of two":               {"SERVER=south.example;" + gatherService("parts=['pod','app']"), "MORE=" + strings.ReplaceAll(serviceB, "b.", "north.") + "[[routes]]\nname='all'\nservice='b'\nprefix='/all'\n", "", "coverage loop service"},
+		"equal scatter-gather services":         {gatherService("parts=['pod','app']"), gatherService("parts=['pod','app']"), "", ""},
+		"different wait times of scatter-gather services": {gatherService("parts=['pod','app']"), gatherService("parts=['pod','app']\ndeadline='1s'\nhalf_life='2s'"), "", ""},
+		"different parts of scatter-gather services":      {gatherService("parts=['pod','app']"), gatherService("parts=['pod']"), "", "service"},
+		"a route to a scatter-gather service":             {gatherService("parts=['pod']"), gatherService("parts=['pod']") + "[[routes]]\nname='x'\nservice='all'\nprefix='/x'\n", "", "coverage"},
+		"dead":                                            {x + "[[routes]]\nname = 'k'\nservice = 'app'\nclass = 'x'\n", x, "", "dead"},
+		"waived":                                          {x, "", waiver + "2999-01-01", ""},
+		"expired":                                         {x, "", waiver + "2020-01-01", "coverage waiver"},
+		"unused":                                          {"", "", waiver + "2999-01-01", "waiver"},
 	} {
 		path := writeFleet(t, tc.north, tc.south, tc.more)
 		code, out, errs := runCommand(t, nil, "check", "--fleet", path, "--json")
@@ -111,11 +111,11 @@
 			continue
 		}
 		if strings.Join(conflictKinds(got.Conflicts), " ") != tc.conflictKinds || (code == ExitOK) != (tc.conflictKinds == "") || code == ExitUsage {
-			t.Errorf("%s: exit %d\n%s%s", name, code, out, errs)
+			t.Errorf("%s: got exit code %d and output\n%s%s", name, code, out, errs)
 		}
 		for _, c := range got.Conflicts {
 			if len(c.Regions) == 0 || len(c.Rules) == 0 || c.Why == "" || (c.Witness == nil) != slices.Contains([]regions.Kind{"ceiling", "cold", "waiver"}, c.Kind) {
-				t.Errorf("%s: %+v", name, c)
+				t.Errorf("%s: got incomplete conflict %+v", name, c)
 			}
 		}
 		if tableCode, out, _ := runCommand(t, nil, "check", "--fleet", path); tableCode != code || len(got.Conflicts) > 0 && !strings.Contains(out, got.Conflicts[0].Why) || code == ExitOK && !strings.Contains(out, "fine: 2 regions, 8 members") {
@@ -130,12 +130,12 @@
 		return "MORE=" + serviceB + "[[routes]]\nname='x'\nservice='" + to + "'\nprefix='/x'\n[[routes]]\nname='y'\nservice='b'\nprefix='/y'\n"
 	}
 	for name, tc := range map[string]struct{ old, new, more, conflictKinds, order, cycle string }{
-		"nothing":             {"", "", "", "", "", ""},
-		"one after the other": {"RATE=40", "RATE=50", "", "", "north south", ""},
-		"both get a route":    {"", movedRoute("b"), "", "", "north south", ""},
-		"through the smaller": {"RATE=40;BURST=60", "RATE=50;BURST=50", "", "ceiling", "north (intermediate) south (intermediate) north south", "north south"},
-		"both move a route":   {movedRoute("app"), movedRoute("b"), "", "service", "", "north south"},
-		"as is meant": {
+		"nothing":                    {"", "", "", "", "", ""},
+		"one after the other":        {"RATE=40", "RATE=50", "", "", "north south", ""},
+		"both get a route":           {"", movedRoute("b"), "", "", "north south", ""},
+		"through the smaller values": {"RATE=40;BURST=60", "RATE=50;BURST=50", "", "ceiling", "north (intermediate) south (intermediate) north south", "north south"},
+		"both move a route":          {movedRoute("app"), movedRoute("b"), "", "service", "", "north south"},
+		"both move a route, waived": {
 			movedRoute("app"), movedRoute("b"), "[[waivers]]\nkind='service'\nregions=['north', 'south']\nrules=['x']\nreason='moves'\nuntil=2999-01-01", "",
 			"north south", "",
 		},
@@ -149,11 +149,11 @@
 		}
 		all := []string{strings.Join(conflictKinds(got.Conflicts), " "), strings.Join(got.Order, " "), strings.Join(got.Cycle, " ")}
 		if !slices.Equal(all, []string{tc.conflictKinds, tc.order, tc.cycle}) || (code == ExitOK) != (tc.conflictKinds == "") {
-			t.Errorf("%s: exit %d, %q\n%s%s", name, code, all, out, errs)
+			t.Errorf("%s: got exit code %d; conflicts, order and cycle %q\n%s%s", name, code, all, out, errs)
 		}
 		for _, intermediate := range got.Intermediate {
 			if !strings.Contains(intermediate.Text, "ceiling_rate = 40.0") || !strings.Contains(intermediate.Text, "ceiling_burst = 50.0") || len(intermediate.Changes) != 1 || len(intermediate.Hash) != 64 {
-				t.Errorf("%s: %+v", name, intermediate)
+				t.Errorf("%s: got unexpected intermediate configuration %+v", name, intermediate)
 			}
 		}
 		if tableCode, out, _ := runCommand(t, nil, "plan", "--fleet", old, new); tableCode != code || len(got.Order) > 0 && !strings.Contains(out, "1. "+got.Order[0]) {
@@ -168,11 +168,11 @@
 	for _, args := range [][]string{{"check", "--fleet", bad}, {"check", "--fleet", bad + "no"}, {"plan", "--fleet", bad, bad}, {"plan", "--fleet", bad}, {"check", "--fleet", bad, bad}} {
 		code, out, errs := runCommand(t, nil, args...)
 		if code != ExitUsage || out != "" || !strings.Contains(errs, "lockflow: ") && !strings.Contains(errs, "fleet.toml:9: regions.south.x: unknown key") && !strings.Contains(errs, "fleet.toml:9: regions.north.x: unknown key") && !strings.Contains(errs, "no such file") {
-			t.Errorf("%v: exit %d\n%s%s", args, code, out, errs)
+			t.Errorf("%v: got exit code %d and output\n%s%s", args, code, out, errs)
 		}
 	}
 	code, out, errs := runCommand(t, nil, "check", "--fleet", "../../deploy/fleet.toml")
 	if code != ExitOK || !strings.Contains(out, "2 regions") {
-		t.Errorf("the example: exit %d\n%s%s", code, out, errs)
+		t.Errorf("deploy/fleet.toml: got exit code %d and output\n%s%s", code, out, errs)
 	}
 }
--- a/internal/command/replay.go
+++ b/internal/command/replay.go
@@ -33,7 +33,7 @@
 			asJSON := set.Bool("json", false, "prints a JSON object a file")
 			return func(ctx context.Context, e *Env, args []string) error {
 				if len(args) == 0 {
-					return usageError("replay takes files of recordings")
+					return usageError("replay takes at least one file of a recording")
 				}
 				p := &replayer{env: e, printsSteps: *printsSteps || *requestID != "", requestID: *requestID, json: *asJSON}
 				return p.replayAll(ctx, args)
@@ -63,7 +63,7 @@
 }
 
 // errDiffers ends a replay at the first step whose actions differ from the recorded ones.
-var errDiffers = errors.New("other actions than were recorded")
+var errDiffers = errors.New("actions differ from the recorded ones")
 
 // replayAll replays recordings one after the other and prints the result of each. It fails if one differs.
 func (p *replayer) replayAll(ctx context.Context, paths []string) error {
@@ -97,7 +97,7 @@
 func (p *replayer) replayFile(ctx context.Context, path string) (replayResult, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return replayResult{}, fmt.Errorf("replaying: %w", err)
+		return replayResult{}, fmt.Errorf("opening a recording to replay: %w", err)
 	}
 	defer f.Close() //nolint:errcheck // only read
 	r, err := record.Open(f)
--- a/internal/command/rollout.go
+++ b/internal/command/rollout.go
@@ -40,14 +40,14 @@
 	case "reload":
 		return f.reloadRegions(ctx, e, file, placed)
 	}
-	return usageError("fleet: there is no %q: run, status, reload, upgrade, drain, serve", operation)
+	return usageError("fleet: %q is not one of run, status, reload, upgrade, drain, serve", operation)
 }
 
 // reloadRegions starts a change to the settings of a fleet file, or resumes one.
 func (f *fleetFlags) reloadRegions(ctx context.Context, e *Env, file fleetfile.File, members []fleet.Placed) error {
 	const operation = "reload"
 	if f.config != "" {
-		return usageError("fleet reload takes one of --config and --fleet, whose regions name theirs")
+		return usageError("fleet reload takes only one of --config and --fleet: the regions of a fleet file name their configurations")
 	}
 	if f.resume || f.rollBack { // the rollout log has the change
 		return f.startChange(ctx, e, operation, members, nil)
@@ -78,12 +78,12 @@
 	unfinished := log.Unfinished()
 	if f.resume || f.rollBack {
 		if log.Change == nil {
-			return fmt.Errorf("fleet %s: the rollout log %s holds no change", operation, f.logDirectory())
+			return fmt.Errorf("fleet %s: the rollout log %s holds no change to resume or roll back", operation, f.logDirectory())
 		}
 		return f.runRollout(ctx, e, log)
 	}
 	if unfinished != "" {
-		return fmt.Errorf("fleet %s: the change of %s is unfinished, %s: go on with --resume, or back with --take-back", operation,
+		return fmt.Errorf("fleet %s: the change of %s is unfinished (%s): resume it with --resume, or roll it back with --take-back", operation,
 			log.Change.StartedAt.Format(time.DateTime), unfinished)
 	}
 	change, err := f.newChange(ctx, operation, members, order, log)
@@ -135,7 +135,7 @@
 		}
 		cancel()
 		if err != nil {
-			return fmt.Errorf("member %s: %w", m.Name, err)
+			return fmt.Errorf("reloading unchanged settings of member %s: %w", m.Name, err)
 		}
 	}
 	if !f.json {
--- a/internal/command/rollout_flags.go
+++ b/internal/command/rollout_flags.go
@@ -52,11 +52,11 @@
 	}
 	switch {
 	case f.maxUnavailable < 0 || f.batch < 0 || f.pause < 0:
-		return usageError("fleet: at-once, batch and pause: %d, %d and %v are off", f.maxUnavailable, f.batch, f.pause)
+		return usageError("fleet: at-once, batch and pause: one of %d, %d and %v is negative", f.maxUnavailable, f.batch, f.pause)
 	case f.minBake <= 0 || f.maxBake < f.minBake:
-		return usageError("fleet: bake and bake-most: %v and %v are off", f.minBake, f.maxBake)
+		return usageError("fleet: bake and bake-most: %v must be above 0, and %v no less", f.minBake, f.maxBake)
 	case f.resume && f.rollBack:
-		return usageError("fleet: one of resume and take-back")
+		return usageError("fleet: resume and take-back exclude each other")
 	}
 	if _, err := rollout.ParseStages(f.stages); err != nil {
 		return usageError("fleet: %v", err)
--- a/internal/command/route.go
+++ b/internal/command/route.go
@@ -33,7 +33,7 @@
 			asJSON := set.Bool("json", false, `prints {"service":...,"route":...}`)
 			set.Func("header", "`'K: V'` of the request; may be given again", func(s string) error {
 				if !strings.Contains(s, ":") {
-					return fmt.Errorf("%q has no colon", s)
+					return fmt.Errorf("header %q has no colon", s)
 				}
 				headers = append(headers, s)
 				return nil
@@ -43,7 +43,7 @@
 					*path = e.Getenv("LOCKFLOW_CONFIG")
 				}
 				if *path == "" || *target == "" || len(args) > 0 {
-					return usageError("route takes --config FILE and --path PATH")
+					return usageError("route takes --config FILE (or LOCKFLOW_CONFIG), --path PATH, and no arguments")
 				}
 				return explainRoute(e, *path, *host, *target, *method, headers, *asJSON)
 			}
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -49,7 +49,7 @@
 					*path = e.Getenv("LOCKFLOW_CONFIG")
 				}
 				if *path == "" || len(args) > 0 {
-					return usageError("serve takes one configuration: --config FILE, or LOCKFLOW_CONFIG")
+					return usageError("serve takes exactly one configuration, by --config FILE or LOCKFLOW_CONFIG, and no arguments")
 				}
 				if err := o.Check(); err != nil {
 					return usageError("serve: %v", err)
@@ -67,7 +67,7 @@
 		return err
 	}
 	if path, err = filepath.Abs(path); err != nil {
-		return fmt.Errorf("finding the configuration: %w", err)
+		return fmt.Errorf("making the path of the configuration absolute: %w", err)
 	}
 	override := func(cfg config.Config, err error) (config.Config, error) {
 		if err == nil {
@@ -97,11 +97,11 @@
 	own, platform := e.Getenv("LOCKFLOW_CONFIG"), e.Getenv("NODE_CONFIG")
 	switch {
 	case own != "" && platform != "":
-		return usageError("LOCKFLOW_CONFIG and NODE_CONFIG both name a configuration")
+		return usageError("LOCKFLOW_CONFIG and NODE_CONFIG are both set; set only one")
 	case own != "":
 		return serveFile(ctx, e, own, "", config.Overrides{})
 	case platform == "":
-		return errors.New("NODE_CONFIG names no configuration file")
+		return errors.New("no configuration: neither LOCKFLOW_CONFIG nor NODE_CONFIG is set")
 	}
 	return servePlatform(ctx, e, platform)
 }
--- a/internal/command/simulate.go
+++ b/internal/command/simulate.go
@@ -82,7 +82,7 @@
 }
 
 // errSimulateUsage is the error for arguments, or for flags that are out of range.
-var errSimulateUsage = usageError("simulate: its flags are off; it takes 12 s of play or more")
+var errSimulateUsage = usageError("simulate: arguments given or flags out of range; --for takes 12s or more; see lockflow simulate --help")
 
 // zeroIfDefault returns the duration, or 0 if it is the default of the flag --for.
 func zeroIfDefault(duration time.Duration) time.Duration {
@@ -118,7 +118,7 @@
 		for field := range strings.SplitSeq(lags, ",") {
 			lag, err := time.ParseDuration(field)
 			if err != nil || lag < 0 {
-				return usageError("simulate: lag: %q is no time", field)
+				return usageError("simulate: lag: %q is not a duration of 0 or more", field)
 			}
 			o.Instances = n
 			o.NotificationLag = lag
@@ -156,7 +156,7 @@
 	for field := range strings.SplitSeq(list, ",") {
 		n, err := strconv.Atoi(field)
 		if err != nil || n < 1 || n > 10000 {
-			return nil, usageError("simulate: instances: %q is none of 1 to 10000", field)
+			return nil, usageError("simulate: instances: %q is not a number from 1 to 10000", field)
 		}
 		all = append(all, n)
 	}
@@ -210,7 +210,7 @@
 		printDays(e.Out, results)
 	}
 	if unexpected > 0 {
-		return fmt.Errorf("simulate: %d of %d days did not go as they have to", unexpected, len(results))
+		return fmt.Errorf("simulate: in %d of %d days a rule was broken or a mutation not detected", unexpected, len(results))
 	}
 	return nil
 }
@@ -233,7 +233,7 @@
 		}
 		for _, name := range list {
 			if !slices.Contains(fleetsim.DayNames, name) {
-				return nil, nil, usageError("simulate: day: %q is none of %s, all, mutations", name, strings.Join(fleetsim.DayNames, ", "))
+				return nil, nil, usageError("simulate: day: %q is not one of %s, all, mutations", name, strings.Join(fleetsim.DayNames, ", "))
 			}
 			o.Day = name
 			results = append(results, dayResult{})
--- a/internal/command/simulate_gather.go
+++ b/internal/command/simulate_gather.go
@@ -26,7 +26,7 @@
 			return false, nil
 		}
 		if *queries < 100 || *queries > 10_000_000 {
-			return true, usageError("simulate: queries: %d is none of 100 to 10000000", *queries)
+			return true, usageError("simulate: queries: %d is not from 100 to 10000000", *queries)
 		}
 		list := names
 		if *worlds != "all" {
@@ -57,7 +57,7 @@
 	for _, name := range list {
 		i := slices.Index(names, name)
 		if i < 0 {
-			return nil, nil, usageError("simulate: gather: %q is none of %s, all", name, strings.Join(names, ", "))
+			return nil, nil, usageError("simulate: gather: %q is not one of %s, all", name, strings.Join(names, ", "))
 		}
 		fmt.Fprintf(e.Err, "playing %s: %s\n", name, help[i])
 		r, err := waitpolicysim.Run(waitpolicysim.Options{World: name, Queries: queries, Seed: seed})
--- a/internal/command/simulate_quota.go
+++ b/internal/command/simulate_quota.go
@@ -30,7 +30,7 @@
 			return false, nil
 		}
 		if *seeds < 1 || *seeds > 100 {
-			return true, usageError("simulate: seeds: %d is none of 1 to 100", *seeds)
+			return true, usageError("simulate: seeds: %d is not from 1 to 100", *seeds)
 		}
 		list, err := parseNames("quota", *worlds, fleetsim.QuotaNames)
 		if err != nil {
--- a/internal/command/simulate_rollout.go
+++ b/internal/command/simulate_rollout.go
@@ -54,7 +54,7 @@
 	all := strings.Split(list, ",")
 	for _, n := range all {
 		if !slices.Contains(known, n) {
-			return nil, usageError("simulate: %s: %q is none of %s, all", flag, n, strings.Join(known, ", "))
+			return nil, usageError("simulate: %s: %q is not one of %s, all", flag, n, strings.Join(known, ", "))
 		}
 	}
 	return all, nil
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -43,7 +43,7 @@
 		return nil
 	}
 	if err != nil {
-		return fmt.Errorf("looking for temporary files: %w", err)
+		return fmt.Errorf("listing the directory of temporary files: %w", err)
 	}
 	var removeErrors []error
 	for _, entry := range entries {
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -15,11 +15,11 @@
 		}
 		raw, err := os.ReadFile(path)
 		if err != nil || string(raw) != text {
-			t.Errorf("%q, %v", raw, err)
+			t.Errorf("replaced file: got content %q, error %v", raw, err)
 		}
 	}
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o640 {
-		t.Errorf("%v, %v", info.Mode(), err)
+		t.Errorf("replaced file: got mode %v, error %v; want 0640", info.Mode(), err)
 	}
 	// A file can't replace a directory: the rename fails, and no temporary file is left.
 	occupied := filepath.Join(directory, "folder")
@@ -27,13 +27,13 @@
 		t.Fatal(err)
 	}
 	if err := ReplaceFile(occupied, []byte("x"), 0o600); err == nil {
-		t.Error("a folder was replaced")
+		t.Error("a directory was replaced by a file")
 	}
 	if entries, err := os.ReadDir(directory); err != nil || len(entries) != 2 {
-		t.Errorf("%v, %v", entries, err)
+		t.Errorf("after a failed replacement: got directory entries %v, error %v; want 2 entries", entries, err)
 	}
 	if err := ReplaceFile(filepath.Join(directory, "none", "file"), nil, 0o600); err == nil {
-		t.Error("a file was made in a folder that is not there")
+		t.Error("a file was written in a missing directory")
 	}
 }
 
--- a/internal/hopheaders/hopheaders_test.go
+++ b/internal/hopheaders/hopheaders_test.go
@@ -43,15 +43,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := ForwardRequest(in, tc.from, tc.format, false); !reflect.DeepEqual(got, tc.want) {
-				t.Errorf("%v\nnot %v", got, tc.want)
+				t.Errorf("got header fields %v\nwant %v", got, tc.want)
 			}
 		})
 	}
 	if len(in["Via"]) != 1 || in["X-Forwarded-For"][0] != "1.1.1.1" {
-		t.Error("the client's own fields were changed")
+		t.Error("ForwardRequest changed the header fields of the incoming request")
 	}
 	if got := ForwardRequest(in, peer, None, true); got["Transfer_encoding"] == nil {
-		t.Error("an underscore that is allowed")
+		t.Error("field with an underscore was dropped although underscores are allowed")
 	}
 }
 
@@ -73,7 +73,7 @@
 		{"127.0.0.1", http.Header{"X-Forwarded-For": {"fd00::1"}}, "fd00::1"}, // all are trusted proxies: the first one is returned
 	} {
 		if got := ClientAddr(tc.h, netip.MustParseAddr(tc.peer), proxies); got.String() != tc.want {
-			t.Errorf("%s %v: %v, not %s", tc.peer, tc.h, got, tc.want)
+			t.Errorf("peer %s, header fields %v: got client %v, want %s", tc.peer, tc.h, got, tc.want)
 		}
 	}
 }
@@ -84,10 +84,10 @@
 		all := []netip.Prefix{netip.MustParsePrefix("0.0.0.0/0"), netip.MustParsePrefix("::/0")}
 		peer := netip.MustParseAddr("127.0.0.1")
 		if a := ClientAddr(http.Header{"X-Forwarded-For": {x}}, peer, all); !a.IsValid() {
-			t.Errorf("%q: no address", x)
+			t.Errorf("X-Forwarded-For %q: got no valid address", x)
 		}
 		if a := ClientAddr(http.Header{"Forwarded": {forwarded}}, peer, all); !a.IsValid() {
-			t.Errorf("%q: no address", forwarded)
+			t.Errorf("Forwarded %q: got no valid address", forwarded)
 		}
 	})
 }
--- a/internal/instancestats/instancestats_test.go
+++ b/internal/instancestats/instancestats_test.go
@@ -12,7 +12,7 @@
 		delay := time.Duration(rapid.Int64Range(0, int64(200*time.Hour)).Draw(t, "delay"))
 		bucket := Bucket(delay)
 		if delay >= Edge(bucket) || bucket > 0 && delay < Edge(bucket-1) {
-			t.Fatalf("%v is in bucket %d, which ends at %v", delay, bucket, Edge(bucket))
+			t.Fatalf("delay %v was put in bucket %d, whose upper edge is %v", delay, bucket, Edge(bucket))
 		}
 	})
 }
@@ -25,13 +25,13 @@
 	sum := earlier
 	sum.Add(added)
 	if got, ok := sum.Since(earlier); !ok || got != added {
-		t.Errorf("got %+v, %v; want %+v", got, ok, added)
+		t.Errorf("Since: got %+v, %v; want %+v, true", got, ok, added)
 	}
 	if p99 := sum.Delays.Quantile(0.99); p99 < time.Second || p99 > 1300*time.Millisecond {
-		t.Errorf("p99 %v", p99)
+		t.Errorf("got p99 %v, want 1s to 1.3s", p99)
 	}
 	sum.Began = time.Unix(2, 0)
 	if _, ok := sum.Since(earlier); ok {
-		t.Error("another process's figures were compared")
+		t.Error("Since accepted readings of different processes")
 	}
 }
--- a/internal/validation/validation_test.go
+++ b/internal/validation/validation_test.go
@@ -53,7 +53,7 @@
 					rest = rest[n:]
 				}
 				if !errors.Is(err, tc.want) {
-					t.Errorf("in pieces of %d: %v, not %v", size, err, tc.want)
+					t.Errorf("fed in pieces of %d bytes: got error %v, want %v", size, err, tc.want)
 				}
 			}
 		})
@@ -69,7 +69,7 @@
 	} {
 		s := Scanner{ReadsAnswers: true}
 		if err := s.Feed([]byte(text)); !errors.Is(err, want) {
-			t.Errorf("%q: %v, not %v", text, err, want)
+			t.Errorf("%q: got error %v, want %v", text, err, want)
 		}
 	}
 }
@@ -100,7 +100,7 @@
 				return // rejected
 			}
 			if s.state != inHead || s.hasStartLine || s.bytesToSkip > 0 {
-				t.Fatalf("the library ends a message at %d of %q; the scanner is in state %d, %d bytes to come", consumed(), raw, s.state, s.bytesToSkip)
+				t.Fatalf("net/http ends a message at byte %d of %q; the scanner is in state %d and skips %d more bytes", consumed(), raw, s.state, s.bytesToSkip)
 			}
 		}
 	})
@@ -113,7 +113,7 @@
 	var s Scanner
 	for b.Loop() {
 		if s.Feed(head) != nil {
-			b.Fatal("refused")
+			b.Fatal("valid request head was rejected")
 		}
 	}
 }
