--- a/internal/command/quota_lease.go
+++ b/internal/command/quota_lease.go
@@ -48,7 +48,7 @@
 	plan            string
 	rules           quotalease.Rules // zeros are replaced by the values of the file
 	units           float64          // units of one request
-	activeInstances int              // instances that the customer comes through; 0 is all
+	activeInstances int              // instances that receive the customer's requests; 0 is all
 	json            bool
 }
 
--- a/internal/command/rollout_flags.go
+++ b/internal/command/rollout_flags.go
@@ -20,7 +20,7 @@
 	rollBack          bool
 	killAtWrite       int // for tests: kill the coordinator after this write of the rollout log, or before it if negative
 
-	// Values of the deprecated flags --batch for maxUnavailable and --pause for minBake.
+	// Values of --batch and --pause, which are older names of the flags for maxUnavailable and minBake.
 	batch int
 	pause time.Duration
 }
