--- a/internal/command/event_log.go
+++ b/internal/command/event_log.go
@@ -31,20 +31,20 @@
 			asJSON := set.Bool("json", false, "prints all of it as JSON")
 			return func(ctx context.Context, e *Env, args []string) error {
 				if len(args) == 0 || *objective < 0 || *maxServers < 0 {
-					return usageError("tally takes the logs of one instance each; see lockflow tally --help")
+					return usageError("tally takes at least one log, each of one instance, and no negative flags; see lockflow tally --help")
 				}
-				a := eventlog.Summer{LatencyObjectiveMS: float64(*objective) / float64(time.Millisecond)}
+				summer := eventlog.Summer{LatencyObjectiveMS: float64(*objective) / float64(time.Millisecond)}
 				for _, path := range args {
-					if err := readEventLog(&a, path); err != nil {
+					if err := readEventLog(&summer, path); err != nil {
 						return err
 					}
 					if ctx.Err() != nil {
 						return ctx.Err()
 					}
 				}
-				s := a.Sum()
+				s := summer.Sum()
 				if len(s.Seconds) == 0 {
-					return fmt.Errorf("tally: no line of a tally in %d logs; LOCKFLOW_TALLY=1 has an instance write them", len(args))
+					return fmt.Errorf("tally: no event log lines in %d logs; an instance writes them if LOCKFLOW_TALLY=1 is set", len(args))
 				}
 				if *asJSON {
 					return json.NewEncoder(e.Out).Encode(s)
@@ -56,23 +56,23 @@
 	}
 }
 
-// readEventLog adds the event log of one instance, which its file is named after.
-func readEventLog(a *eventlog.Summer, path string) error {
+// readEventLog adds the event log of one instance, whose name is the base name of the file without ".log".
+func readEventLog(summer *eventlog.Summer, path string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return fmt.Errorf("tally: %w", err)
 	}
 	defer f.Close() //nolint:errcheck // only read
-	if err := a.Read(strings.TrimSuffix(filepath.Base(path), ".log"), f); err != nil {
+	if err := summer.Read(strings.TrimSuffix(filepath.Base(path), ".log"), f); err != nil {
 		return fmt.Errorf("tally: %s: %w", path, err)
 	}
 	return nil
 }
 
-// rejectionCauses are the causes of rejections that are printed, in the order of their columns.
+// rejectionCauses are the causes of rejections that printEventLog prints, in the order of their columns.
 var rejectionCauses = []string{"no_turn", "no_further", "yields", "over_store", "by_chance", "over_ceiling", "too_late"}
 
-// printEventLog prints the sums by second, by server and by plan. maxServers limits the servers.
+// printEventLog prints the sums by second, by server and by plan. maxServers limits the rows of servers.
 func printEventLog(w io.Writer, s *eventlog.Sum, maxServers int) {
 	fmt.Fprintf(w, "%d instances; %d lines of theirs can't be read\n\n", s.Instances, s.Skipped)
 	t := tabwriter.NewWriter(w, 0, 0, 1, ' ', tabwriter.AlignRight)
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -13,20 +13,20 @@
 // drainTimeout is how long instances may drain before they are killed.
 const drainTimeout = 20 * time.Second
 
-// fleetFlags are the flags of lockflow fleet.
+// fleetFlags holds the flags of the command "fleet".
 type fleetFlags struct {
-	// Where the members are; one of these is given.
-	dir     string // of the instances of a fleet run
-	sockets string // file with control sockets
-	file    string // fleet file
+	// The source of the members; exactly one of these is given, except to status of a single daemon.
+	dir     string // directory of the instances that fleet run started
+	sockets string // file with a path of a control socket per line
+	file    string // fleet file: regions and their members
 
 	config    string
 	program   string
 	host      string
 	port      int
 	instances int
-	groupSize int           // 0 is instances
-	timeout   time.Duration // of a member to be ready
+	groupSize int           // group size that instances are told; 0 is instances
+	timeout   time.Duration // within which a member must be ready
 	json      bool
 	rolloutFlags
 }
@@ -62,10 +62,10 @@
 			set.BoolVar(&f.json, "json", false, "prints JSON")
 			return func(ctx context.Context, e *Env, args []string) error {
 				if len(args) != 1 {
-					return usageError("fleet takes one of run, status, reload, upgrade, drain, serve")
+					return usageError("fleet takes exactly one of run, status, reload, upgrade, drain, serve")
 				}
 				if f.timeout <= 0 {
-					return usageError("fleet: within: %v is off", f.timeout)
+					return usageError("fleet: within: %v is not above 0", f.timeout)
 				}
 				if err := f.check(); err != nil {
 					return err
@@ -79,10 +79,10 @@
 	}
 }
 
-// run runs a fleet until ctx is done, and then drains it.
+// run starts a fleet, waits until ctx is done, and drains the fleet.
 func (f *fleetFlags) run(ctx context.Context, e *Env) error {
 	if f.config == "" || f.dir == "" || f.instances < 1 {
-		return usageError("fleet run takes --config FILE, --dir DIR and --instances N")
+		return usageError("fleet run takes --config FILE, --dir DIR and --instances N of 1 or more")
 	}
 	program, err := executable()
 	if err != nil {
@@ -110,14 +110,14 @@
 }
 
 // runOnMembers runs an operation on all members.
-func (f *fleetFlags) runOnMembers(ctx context.Context, e *Env, what string) error {
+func (f *fleetFlags) runOnMembers(ctx context.Context, e *Env, operation string) error {
 	var members []fleet.Member
 	var err error
 	switch {
 	case countSet(f.dir, f.sockets, f.file) != 1:
-		return usageError("fleet %s takes one of --dir DIR, --sockets FILE and --fleet FLEET.toml", what)
+		return usageError("fleet %s takes exactly one of --dir DIR, --sockets FILE and --fleet FLEET.toml", operation)
 	case f.file != "":
-		return f.runOnRegions(ctx, e, what)
+		return f.runOnRegions(ctx, e, operation)
 	case f.dir != "":
 		members, err = fleet.MembersInDirectory(f.dir)
 	default:
@@ -126,39 +126,40 @@
 	if err != nil {
 		return err
 	}
-	switch what {
+	switch operation {
 	case "status":
 		return f.status(ctx, e, members)
 	case "drain", "serve":
-		return f.setDrained(ctx, e, members, what == "drain")
+		return f.setDrained(ctx, e, members, operation == "drain")
 	case "reload":
 		text, err := f.readConfig()
 		if err != nil {
 			return err
 		}
-		return f.startChange(ctx, e, what, fleet.WithSettings(members, text), nil)
+		return f.startChange(ctx, e, operation, fleet.WithSettings(members, text), nil)
 	case "upgrade":
 		if f.program != "" && !filepath.IsAbs(f.program) {
 			return usageError("fleet upgrade: program %q is no absolute path", f.program)
 		}
-		return f.startChange(ctx, e, what, fleet.WithSettings(members, nil), nil)
+		return f.startChange(ctx, e, operation, fleet.WithSettings(members, nil), nil)
 	}
-	return usageError("fleet: there is no %q: run, status, reload, upgrade, drain, serve", what)
+	return usageError("fleet: %q is not one of run, status, reload, upgrade, drain, serve", operation)
 }
 
-// readConfig reads and checks the new settings; nil is those of each member's own file.
+// readConfig reads and checks the new settings. It returns nil if no file is given: each member then reloads its own file.
 func (f *fleetFlags) readConfig() ([]byte, error) {
 	if f.config == "" {
 		return nil, nil
 	}
 	text, err := os.ReadFile(f.config)
 	if err != nil {
-		return nil, fmt.Errorf("fleet reload: %w", err)
+		return nil, fmt.Errorf("fleet reload: reading the new configuration: %w", err)
 	}
 	return text, fleet.CheckSettings(f.config, text)
 }
 
-// setDrained sets whether members are to stay drained, also after a restart. It goes on after a member that fails.
+// setDrained sets whether members are to be drained; with a state directory they stay so after a restart. It continues
+// after a member that fails.
 func (f *fleetFlags) setDrained(ctx context.Context, e *Env, members []fleet.Member, isDrained bool) error {
 	hasFailed := false
 	for _, m := range members {
--- a/internal/command/golden_test.go
+++ b/internal/command/golden_test.go
@@ -13,10 +13,11 @@
 	"lockflow/internal/trials/measure"
 )
 
-// Files of earlier builds; go test ./internal/command -run Golden -update writes them anew.
+// goldenDir has outputs of earlier builds. go test ./internal/command -run Golden -update rewrites them.
 const goldenDir = "testdata/golden"
 
-// What commands print as JSON of the configurations in testdata/golden is what earlier builds printed.
+// Guards the JSON output that operators' tools parse: for the configurations in testdata/golden, commands must print what
+// earlier builds printed.
 func TestGoldenOutputs(t *testing.T) {
 	in := func(name string) string { return filepath.Join(goldenDir, name) }
 	for name, args := range map[string][]string{
@@ -28,19 +29,19 @@
 		"route":       {"route", "--config", in("old.toml"), "--host", "care.example", "--path", "/plans/7", "--json"},
 		"allowance":   {"allowance", "explain", "--config", in("old.toml"), "--plan", "enterprise", "--json"},
 	} {
-		_, out, errs := run(t, nil, args...)
+		_, out, errs := runCommand(t, nil, args...)
 		if out == "" {
-			t.Errorf("%s prints nothing: %s", name, errs)
+			t.Errorf("%s: no standard output; standard error: %s", name, errs)
 			continue
 		}
 		testkit.GoldenBytes(t, in(name+".json"), []byte(out))
 	}
 }
 
-// What other commands print as JSON has the keys that earlier builds printed.
+// Guards the keys of the JSON output of the other commands: they must be those that earlier builds printed.
 func TestGoldenReports(t *testing.T) {
 	for name, v := range map[string]any{
-		"findings": &findings{}, "replayed": &replayed{}, "played": &playedDay{}, "phase": &phase{}, "event-log": &eventlog.Sum{},
+		"findings": &findings{}, "replayed": &replayResult{}, "played": &dayResult{}, "phase": &phaseResult{}, "event-log": &eventlog.Sum{},
 		"balance": &balancesim.Report{}, "simulated": &fleetsim.Report{}, "simulated-quota": &fleetsim.QuotaReport{},
 		"simulated-rollout": &rolloutsim.Report{}, "simulated-gather": &waitpolicysim.Report{}, "simulated-share": &waitpolicysim.ShareReport{},
 		"measured-proxy": &measure.ProxyRow{}, "measured-servers": &measure.ServersRow{}, "measured-bodies": &measure.BodiesRow{},
--- a/internal/command/measure_balance.go
+++ b/internal/command/measure_balance.go
@@ -12,10 +12,10 @@
 	"lockflow/internal/simulation/balancesim"
 )
 
-// minBalanceTime is the shortest play in which the fault, which starts after 10 s, shows.
+// minBalanceTime is the shortest simulation in which the fault, which starts after 10 s, has an effect.
 const minBalanceTime = 12 * time.Second
 
-// measureBalance plays policies of choosing a server at each load, in virtual time.
+// measureBalance simulates load balancing policies at each load, in virtual time.
 func measureBalance(ctx context.Context, e *Env, o balancesim.Options, loads string, asJSON bool) error {
 	if o.Duration < minBalanceTime {
 		o.Duration = time.Minute
@@ -26,7 +26,7 @@
 	for field := range strings.SplitSeq(loads, ",") {
 		load, err := strconv.ParseFloat(field, 64)
 		if err != nil || !(load > 0 && load <= 2) {
-			return usageError("loads: %q is none from 0 to 2", field)
+			return usageError("measure balance: loads: %q is not a number above 0 and up to 2", field)
 		}
 		o.Load = load
 		for _, c := range balancesim.Cases {
--- a/internal/command/measure_proxy.go
+++ b/internal/command/measure_proxy.go
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// maxConnections limits each number of the flag --connections.
+// maxConnections limits each number in the flag --connections.
 const maxConnections = 1000
 
 // parseConnections reads the flag --connections.
@@ -45,14 +45,14 @@
 	for field := range strings.SplitSeq(connections, ",") {
 		n, err := strconv.Atoi(field)
 		if err != nil || n < 1 || n > maxConnections {
-			return nil, usageError("connections: %q is none of 1 to 1000", field)
+			return nil, usageError("measure: connections: %q is not a number from 1 to 1000", field)
 		}
 		all = append(all, n)
 	}
 	return all, nil
 }
 
-// measureServers compares HTTP/2 with HTTP/1.1 to the app servers.
+// measureServers compares HTTP/2 with HTTP/1.1 on connections to the app servers.
 func measureServers(ctx context.Context, e *Env, o measure.ServersOptions, connections string, asJSON bool) (err error) {
 	if o.Concurrency, err = parseConnections(connections); err != nil {
 		return err
--- a/internal/command/measure_restarts.go
+++ b/internal/command/measure_restarts.go
@@ -10,7 +10,7 @@
 	"lockflow/internal/trials/measure"
 )
 
-// measureReloads compares runs with reloads and without.
+// measureReloads compares runs with reloads to runs without them.
 func measureReloads(ctx context.Context, e *Env, o measure.ReloadOptions, asJSON bool) error {
 	rows, err := measure.Reloads(ctx, o)
 	if err != nil {
@@ -29,14 +29,14 @@
 	return t.Flush()
 }
 
-// measureUpgrades measures response times around upgrades and at other times.
+// measureUpgrades measures response times around upgrades, and at other times for comparison.
 func measureUpgrades(ctx context.Context, e *Env, o measure.UpgradeOptions, asJSON bool) error {
 	var err error
 	if o.Program, err = executable(); err != nil {
 		return err
 	}
 	if o.Dir, err = os.MkdirTemp("", "lockflow-"); err != nil {
-		return fmt.Errorf("measuring upgrades: %w", err)
+		return fmt.Errorf("measure upgrade: creating a temporary directory: %w", err)
 	}
 	defer os.RemoveAll(o.Dir) //nolint:errcheck // a temporary directory
 	r, err := measure.Upgrades(ctx, o)
--- a/internal/command/measure_rollout.go
+++ b/internal/command/measure_rollout.go
@@ -16,7 +16,7 @@
 // rolloutClients is how many clients send requests during a rollout.
 const rolloutClients = 2
 
-// measureRollout kills coordinators of staged changes at each write of their log, and checks how others go on.
+// measureRollout kills coordinators of staged changes at each write of the rollout log, and checks how others resume.
 func measureRollout(ctx context.Context, e *Env, o measure.RolloutOptions, kinds string, asJSON bool) (err error) {
 	o.Clients = rolloutClients
 	o.Progress = e.Err
@@ -28,13 +28,13 @@
 		o.Kinds = append(o.Kinds, kind)
 	}
 	if o.Members < 2 || o.Members > 64 {
-		return usageError("measure rollout: processes: %d are none of 2 to 64", o.Members)
+		return usageError("measure rollout: processes: %d is not from 2 to 64", o.Members)
 	}
 	if o.Program, err = executable(); err != nil {
 		return err
 	}
 	if o.Dir, err = os.MkdirTemp("", "lockflow-"); err != nil {
-		return fmt.Errorf("measuring rollouts: %w", err)
+		return fmt.Errorf("measure rollout: creating a temporary directory: %w", err)
 	}
 	report, err := measure.Rollout(ctx, o)
 	if err != nil {
@@ -46,14 +46,14 @@
 	return finishTrial(e, o.Dir, "nodes'", len(report.Wrong) > 0)
 }
 
-// printRolloutTrial prints the ends of all changes, and the sums of what the coordinators did.
+// printRolloutTrial prints the outcomes of all changes, and totals of what the coordinators did.
 func printRolloutTrial(w io.Writer, r *measure.RolloutReport) {
-	ends := make(map[string]int)
+	outcomes := make(map[string]int)
 	for _, row := range r.Rows {
-		ends[fmt.Sprintf("%s, %s: all %s", row.Kind, row.Recovery, row.State)]++
+		outcomes[fmt.Sprintf("%s, %s: all %s", row.Kind, row.Recovery, row.State)]++
 	}
-	for _, end := range sortedKeys(ends) {
-		fmt.Fprintf(w, "%5d  %s\n", ends[end], end)
+	for _, outcome := range sortedKeys(outcomes) {
+		fmt.Fprintf(w, "%5d  %s\n", outcomes[outcome], outcome)
 	}
 	for _, kind := range sortedKeys(r.Writes) {
 		fmt.Fprintf(w, "%5d  writes of a change of %s\n", r.Writes[kind], kind)
--- a/internal/command/proxy.go
+++ b/internal/command/proxy.go
@@ -27,16 +27,16 @@
 			listen := set.String("listen", "127.0.0.1:8080", "`ADDRESS` for clients")
 			to := set.StringSlice("to", nil, "`ADDRESS`es of the app servers")
 			duration := set.Duration("for", 0, "`TIME` after which it drains and ends; 0 is never")
-			show := set.Bool("print", false, "prints the configuration and serves nothing")
+			printsConfig := set.Bool("print", false, "prints the configuration and serves nothing")
 			return func(ctx context.Context, e *Env, args []string) error {
 				if len(args) > 0 || len(*to) == 0 || *duration < 0 {
-					return usageError("proxy takes the servers' addresses (--to) and nothing else beside its flags")
+					return usageError("proxy takes --to with at least one address, --for of 0 or more, and no arguments")
 				}
 				text, err := proxyConfig(*listen, *to)
 				if err != nil {
 					return usageError("proxy: %v", err)
 				}
-				if *show {
+				if *printsConfig {
 					_, err := fmt.Fprint(e.Out, text)
 					return err
 				}
@@ -46,13 +46,13 @@
 	}
 }
 
-// proxyConfig returns the configuration of a proxy to some app servers.
+// proxyConfig returns the TOML configuration of a proxy to app servers.
 func proxyConfig(listen string, servers []string) (string, error) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[[listeners]]\naddress = %s\n\n[services.app.source]\nkind = \"static\"\n", strconv.Quote(listen))
 	for i, addr := range append([]string{listen}, servers...) {
 		if _, port, err := net.SplitHostPort(addr); err != nil || port == "" {
-			return "", fmt.Errorf("%q is no host:port", addr)
+			return "", fmt.Errorf("address %q is not of the form host:port", addr)
 		}
 		if i > 0 {
 			fmt.Fprintf(&b, "\n[[services.app.source.servers]]\nendpoint = %s\n", strconv.Quote(addr))
@@ -62,7 +62,7 @@
 	return b.String(), nil
 }
 
-// serveProxy serves by a configuration for a time; 0 is until ctx is done.
+// serveProxy serves by a configuration for a duration, or until ctx is done; a duration of 0 is unlimited.
 func serveProxy(ctx context.Context, e *Env, text string, duration time.Duration) error {
 	cfg, err := config.Parse("proxy", []byte(text))
 	if err != nil {
--- a/internal/command/quota_lease_test.go
+++ b/internal/command/quota_lease_test.go
@@ -18,8 +18,8 @@
 		t.Fatal(err)
 	}
 	for args, want := range map[string]struct {
-		code  int
-		tells string
+		code   int
+		output string
 	}{
 		"--plan enterprise --instances 40 --units 4":  {ExitOK, "the store of one part, 1.5 units, never fills up to one request"},
 		"--plan enterprise --instances 40 --spread 4": {ExitOK, "10.0%"},
@@ -34,22 +34,22 @@
 		"--plan enterprise --instances 40 --drift 0.005 --json": {ExitOK, `"case":"the counter answers"`},
 		"--plan enterprise --instances 40 --drift 0.5 --json":   {ExitFailed, "drift 0.5"},
 	} {
-		code, out, errs := run(t, nil, append([]string{"allowance", "explain", "--config", file}, strings.Fields(args)...)...)
-		if code != want.code || !strings.Contains(out+errs, want.tells) {
-			t.Errorf("%s: exit %d\n%s%s", args, code, out, errs)
+		code, out, errs := runCommand(t, nil, append([]string{"allowance", "explain", "--config", file}, strings.Fields(args)...)...)
+		if code != want.code || !strings.Contains(out+errs, want.output) {
+			t.Errorf("allowance explain %s: got exit code %d and output\n%s%s", args, code, out, errs)
 		}
 	}
-	_, out, _ := run(t, nil, "allowance", "explain", "--config", file, "--plan", "enterprise", "--instances", "40", "--json")
+	_, out, _ := runCommand(t, nil, "allowance", "explain", "--config", file, "--plan", "enterprise", "--instances", "40", "--json")
 	var got struct {
 		Bound    quotalease.HardLimit
 		Promises []quotalease.Guarantee
 	}
 	if err := json.Unmarshal([]byte(out), &got); err != nil || got.Bound.Burst <= 60 || len(got.Promises) < 6 {
-		t.Errorf("%v: %s", err, out)
+		t.Errorf("got JSON error %v, output %s", err, out)
 	}
 	for _, p := range got.Promises {
 		if p.Excess < 0 || p.Utilization < 0 || p.Utilization > 1 || p.Reason == "" {
-			t.Errorf("%+v", p)
+			t.Errorf("got guarantee %+v out of range or without a reason", p)
 		}
 	}
 }
--- a/internal/command/regions.go
+++ b/internal/command/regions.go
@@ -15,31 +15,31 @@
 	"lockflow/internal/regions/mixture"
 )
 
-// errUnusable means input that can't be checked; it wraps the config.FieldErrors.
+// errUnusable means that a fleet file can't be checked. The returned errors wrap it and the config.FieldErrors.
 var errUnusable = errors.New("unusable")
 
 // findings is the result of checking a fleet, or of planning its change.
 type findings struct {
 	Conflicts    []regions.Conflict   `json:"conflicts"`
-	Order        []string             `json:"order"` // the steps of a change; "NAME (intermediate)" is the first of two
+	Order        []string             `json:"order"` // steps of the change; "NAME (intermediate)" is a region's step to intermediate settings
 	Cycle        []string             `json:"circle,omitempty"`
 	Intermediate []intermediateConfig `json:"through,omitempty"`
 	Transient    []regions.Conflict   `json:"passing,omitempty"`
 }
 
-// intermediateConfig is a configuration that a region runs between its old and new one.
+// intermediateConfig is a configuration that a region runs between its old and its new one.
 type intermediateConfig struct {
 	Region    string      `json:"region"`
 	Instances int         `json:"instances"` // group size that its members assume
 	Hash      string      `json:"hash"`
 	Text      string      `json:"text"`
-	Changes   config.Plan `json:"changes"` // from the old one
+	Changes   config.Plan `json:"changes"` // from the old configuration
 }
 
-// intermediateSuffix marks a step to intermediate settings.
+// intermediateSuffix follows the region's name in a step to intermediate settings.
 const intermediateSuffix = " (intermediate)"
 
-// loadFleet reads a fleet file; errors wrap errUnusable.
+// loadFleet reads a fleet file. Its errors wrap errUnusable.
 func loadFleet(path string) (fleetfile.File, error) {
 	f, err := fleetfile.Load(path)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return f, err
 }
 
-// checkFleet prints the conflicts between the regions of a fleet file.
+// checkFleet prints the conflicts between the regions of a fleet file, except waived ones.
 func checkFleet(e *Env, path string, asJSON bool) error {
 	f, err := loadFleet(path)
 	if err != nil {
@@ -69,8 +69,8 @@
 	return n
 }
 
-// planFleet prints an order of the regions for a change from one fleet file to another, and the conflicts of the change
-// and of all mixtures on its way. The new file's waivers count for the mixtures too.
+// planFleet prints an order in which regions can change from one fleet file to another, and the conflicts of the new
+// configurations and of all mixtures of old and new ones on the way. The new file's waivers apply to mixtures too.
 func planFleet(e *Env, oldPath, newPath string, asJSON bool) error {
 	old, err := loadFleet(oldPath)
 	if err != nil {
@@ -80,12 +80,12 @@
 	if err != nil {
 		return err
 	}
-	waiving := new.Waiving(time.Now())
+	waivers := new.Waiving(time.Now())
 	checkMixtures := mixture.NewIncrementalCheck()
 	check := func(all []regions.Region) []regions.Conflict {
 		var remaining []regions.Conflict
 		for _, c := range checkMixtures(all) {
-			if len(waiving.Left([]regions.Conflict{mixture.WithoutGenerations(c)})) > 0 {
+			if len(waivers.Left([]regions.Conflict{mixture.WithoutGenerations(c)})) > 0 {
 				remaining = append(remaining, c)
 			}
 		}
@@ -93,25 +93,25 @@
 	}
 	newRegions := new.Regions()
 	found := findings{Conflicts: check(newRegions)}
-	r := mixture.Order(old.Regions(), newRegions, check)
-	found.Cycle = r.Cycle
-	found.Transient = r.Transient
-	found.Conflicts = append(found.Conflicts, r.Blocked...)
-	found.Conflicts = append(found.Conflicts, waiving.Conflicts()...)
-	if found.Intermediate, err = intermediateConfigs(old, r.Intermediate); err != nil {
+	result := mixture.Order(old.Regions(), newRegions, check)
+	found.Cycle = result.Cycle
+	found.Transient = result.Transient
+	found.Conflicts = append(found.Conflicts, result.Blocked...)
+	found.Conflicts = append(found.Conflicts, waivers.Conflicts()...)
+	if found.Intermediate, err = intermediateConfigs(old, result.Intermediate); err != nil {
 		return err
 	}
-	for _, name := range r.IntermediateOrder {
+	for _, name := range result.IntermediateOrder {
 		found.Order = append(found.Order, name+intermediateSuffix)
 	}
-	found.Order = append(found.Order, r.Order...)
+	found.Order = append(found.Order, result.Order...)
 	if !asJSON {
-		found.explain(e.Out, r)
+		found.explain(e.Out, result)
 	}
 	return found.report(e, asJSON)
 }
 
-// intermediateConfigs returns the configurations of regions with proposed settings.
+// intermediateConfigs returns the configurations of regions with their proposed intermediate settings.
 func intermediateConfigs(old fleetfile.File, proposed []regions.Region) ([]intermediateConfig, error) {
 	var all []intermediateConfig
 	for _, p := range proposed {
@@ -135,17 +135,17 @@
 	return all, nil
 }
 
-// explain prints the order, or why there is none.
-func (f findings) explain(w io.Writer, r mixture.Result) {
+// explain prints the order of the change, or why there is none.
+func (f findings) explain(w io.Writer, result mixture.Result) {
 	switch {
-	case r.Order != nil && len(r.Order) == 0 && len(r.Cycle) == 0:
+	case result.Order != nil && len(result.Order) == 0 && len(result.Cycle) == 0:
 		fmt.Fprintln(w, "no region changes")
 		return
-	case len(r.Cycle) > 0:
-		fmt.Fprintf(w, "no order as it is: %s in the way of each other\n", strings.Join(r.Cycle, ", "))
+	case len(result.Cycle) > 0:
+		fmt.Fprintf(w, "no order as it is: %s in the way of each other\n", strings.Join(result.Cycle, ", "))
 	}
-	if r.Order == nil {
-		if r.IsIncomplete {
+	if result.Order == nil {
+		if result.IsIncomplete {
 			fmt.Fprintln(w, "the search ended by its bound: an order may exist")
 		}
 		fmt.Fprintln(w, "no intermediate settings help: waive what is meant until the change is through, or change less at once")
@@ -154,9 +154,9 @@
 		fmt.Fprintf(w, "%d. %s\n", i+1, step)
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	for _, th := range f.Intermediate {
-		for _, c := range th.Changes {
-			fmt.Fprintf(t, "%s\t%s\t%s\n", th.Region+intermediateSuffix, c.What, formatValues(c))
+	for _, intermediate := range f.Intermediate {
+		for _, c := range intermediate.Changes {
+			fmt.Fprintf(t, "%s\t%s\t%s\n", intermediate.Region+intermediateSuffix, c.What, formatValues(c))
 		}
 	}
 	for _, c := range f.Transient {
--- a/internal/command/rollout.go
+++ b/internal/command/rollout.go
@@ -17,7 +17,7 @@
 )
 
 // runOnRegions runs an operation on all members of a fleet file.
-func (f *fleetFlags) runOnRegions(ctx context.Context, e *Env, what string) error {
+func (f *fleetFlags) runOnRegions(ctx context.Context, e *Env, operation string) error {
 	file, err := fleetfile.Load(f.file)
 	if err != nil {
 		return err
@@ -30,27 +30,27 @@
 	for i, m := range placed {
 		members[i] = m.Member
 	}
-	switch what {
+	switch operation {
 	case "status":
 		return f.status(ctx, e, members)
 	case "drain", "serve":
-		return f.setDrained(ctx, e, members, what == "drain")
+		return f.setDrained(ctx, e, members, operation == "drain")
 	case "upgrade":
-		return f.startChange(ctx, e, what, placed, nil)
+		return f.startChange(ctx, e, operation, placed, nil)
 	case "reload":
 		return f.reloadRegions(ctx, e, file, placed)
 	}
-	return usageError("fleet: there is no %q: run, status, reload, upgrade, drain, serve", what)
+	return usageError("fleet: %q is not one of run, status, reload, upgrade, drain, serve", operation)
 }
 
 // reloadRegions starts a change to the settings of a fleet file, or resumes one.
 func (f *fleetFlags) reloadRegions(ctx context.Context, e *Env, file fleetfile.File, members []fleet.Placed) error {
-	const what = "reload"
+	const operation = "reload"
 	if f.config != "" {
-		return usageError("fleet reload takes one of --config and --fleet, whose regions name theirs")
+		return usageError("fleet reload takes only one of --config and --fleet: the regions of a fleet file name their configurations")
 	}
-	if f.resume || f.rollBack { // by the rollout log
-		return f.startChange(ctx, e, what, members, nil)
+	if f.resume || f.rollBack { // the rollout log has the change
+		return f.startChange(ctx, e, operation, members, nil)
 	}
 	planned, order, err := fleet.PlanRegions(ctx, file, time.Now())
 	var conflict *fleet.ConflictError
@@ -61,12 +61,12 @@
 	if err != nil {
 		return err
 	}
-	return f.startChange(ctx, e, what, planned, order)
+	return f.startChange(ctx, e, operation, planned, order)
 }
 
-// startChange starts a change of settings or, for upgrade, of the program over a fleet, or resumes the unfinished one.
-// order has the regions of each phase; nil is one region.
-func (f *fleetFlags) startChange(ctx context.Context, e *Env, what string, members []fleet.Placed, order [][]string) error {
+// startChange starts a change of the settings or, for upgrade, of the program of a fleet, or resumes the unfinished
+// change. order lists the regions of each phase; nil is a fleet of one region.
+func (f *fleetFlags) startChange(ctx context.Context, e *Env, operation string, members []fleet.Placed, order [][]string) error {
 	log, err := fleet.OpenRolloutLog(f.logDirectory())
 	if err != nil {
 		return err
@@ -78,23 +78,23 @@
 	unfinished := log.Unfinished()
 	if f.resume || f.rollBack {
 		if log.Change == nil {
-			return fmt.Errorf("fleet %s: the rollout log %s holds no change", what, f.logDirectory())
+			return fmt.Errorf("fleet %s: the rollout log %s holds no change to resume or roll back", operation, f.logDirectory())
 		}
 		return f.runRollout(ctx, e, log)
 	}
 	if unfinished != "" {
-		return fmt.Errorf("fleet %s: the change of %s is unfinished, %s: go on with --resume, or back with --take-back", what,
+		return fmt.Errorf("fleet %s: the change of %s is unfinished (%s): resume it with --resume, or roll it back with --take-back", operation,
 			log.Change.StartedAt.Format(time.DateTime), unfinished)
 	}
-	change, err := f.newChange(ctx, what, members, order, log)
+	change, err := f.newChange(ctx, operation, members, order, log)
 	if errors.Is(err, fleet.ErrUnchanged) {
 		return f.reloadUnchanged(ctx, e, members)
 	}
 	if err != nil {
 		return err
 	}
-	if lost := change.MembersWithoutOldSettings(); len(lost) > 0 {
-		fmt.Fprintf(e.Err, "lockflow: what %s run is in no file any more: it can't be rolled back there\n", strings.Join(lost, ", "))
+	if unrecoverable := change.MembersWithoutOldSettings(); len(unrecoverable) > 0 {
+		fmt.Fprintf(e.Err, "lockflow: what %s run is in no file any more: it can't be rolled back there\n", strings.Join(unrecoverable, ", "))
 	}
 	if err := log.Begin(change); err != nil {
 		return err
@@ -102,11 +102,11 @@
 	return f.runRollout(ctx, e, log)
 }
 
-// newChange returns a change by the flags.
-func (f *fleetFlags) newChange(ctx context.Context, what string, members []fleet.Placed, order [][]string, log *fleet.RolloutLog) (*fleet.Change, error) {
+// newChange returns the change that the flags describe.
+func (f *fleetFlags) newChange(ctx context.Context, operation string, members []fleet.Placed, order [][]string, log *fleet.RolloutLog) (*fleet.Change, error) {
 	plan := f.plan(f.timeout)
 	plan.RegionOrder = order
-	if what == "upgrade" {
+	if operation == "upgrade" {
 		return fleet.NewProgramChange(ctx, members, plan, f.program, f.logDirectory())
 	}
 	knownSettings := map[string]string{}
@@ -116,16 +116,16 @@
 	return fleet.NewSettingsChange(ctx, members, plan, knownSettings)
 }
 
-// killAt kills this process at the write that --kill-at names.
+// killAt kills this process before or after the write of the rollout log that --kill-at selects.
 func (f *fleetFlags) killAt(number int, isWritten bool) {
 	if isWritten && number == f.killAtWrite || !isWritten && number == -f.killAtWrite {
-		_ = syscall.Kill(os.Getpid(), syscall.SIGKILL) // a process may always signal itself
-		select {}                                      // the signal may take a moment
+		_ = syscall.Kill(os.Getpid(), syscall.SIGKILL) // can't fail: a process may always signal itself
+		select {}                                      // wait for the signal, which is delivered asynchronously
 	}
 }
 
-// reloadUnchanged has members reload settings that have not changed: files that these name, such as certificates, may
-// have.
+// reloadUnchanged makes members reload settings that have not changed, because files that the settings name, such as
+// certificates, may have changed.
 func (f *fleetFlags) reloadUnchanged(ctx context.Context, e *Env, members []fleet.Placed) error {
 	for _, m := range members {
 		memberCtx, cancel := context.WithTimeout(ctx, f.timeout)
@@ -135,7 +135,7 @@
 		}
 		cancel()
 		if err != nil {
-			return fmt.Errorf("member %s: %w", m.Name, err)
+			return fmt.Errorf("reloading unchanged settings of member %s: %w", m.Name, err)
 		}
 	}
 	if !f.json {
@@ -145,7 +145,7 @@
 	return json.NewEncoder(e.Out).Encode(map[string]any{"result": rollout.ResultDone, "why": "the settings are the same", "members": []string{}})
 }
 
-// runRollout runs the change of a log, and prints how it ended.
+// runRollout runs the change of a rollout log, and prints its outcome.
 func (f *fleetFlags) runRollout(ctx context.Context, e *Env, log *fleet.RolloutLog) error {
 	options := fleet.RolloutOptions{Progress: e.Out, Resume: f.resume || f.rollBack, RollBack: f.rollBack}
 	if f.json {
--- a/internal/command/route.go
+++ b/internal/command/route.go
@@ -33,7 +33,7 @@
 			asJSON := set.Bool("json", false, `prints {"service":...,"route":...}`)
 			set.Func("header", "`'K: V'` of the request; may be given again", func(s string) error {
 				if !strings.Contains(s, ":") {
-					return fmt.Errorf("%q has no colon", s)
+					return fmt.Errorf("header %q has no colon", s)
 				}
 				headers = append(headers, s)
 				return nil
@@ -43,16 +43,16 @@
 					*path = e.Getenv("LOCKFLOW_CONFIG")
 				}
 				if *path == "" || *target == "" || len(args) > 0 {
-					return usageError("route takes --config FILE and --path PATH")
+					return usageError("route takes --config FILE (or LOCKFLOW_CONFIG), --path PATH, and no arguments")
 				}
-				return findRoute(e, *path, *host, *target, *method, headers, *asJSON)
+				return explainRoute(e, *path, *host, *target, *method, headers, *asJSON)
 			}
 		},
 	}
 }
 
-// findRoute prints where a request goes, read as the front reads it.
-func findRoute(e *Env, file, host, target, method string, headers []string, asJSON bool) error {
+// explainRoute prints the service and route of a request, whose target and host it parses as the front does.
+func explainRoute(e *Env, file, host, target, method string, headers []string, asJSON bool) error {
 	cfg, err := config.Load(file)
 	if err != nil {
 		return err
@@ -80,7 +80,7 @@
 	for _, r := range cfg.Routes {
 		rules = append(rules, r.Rule)
 	}
-	router, _ := route.New(rules) // without problems: the file was read with them
+	router, _ := route.New(rules) // can't fail: config.Load has checked the rules
 	matches := router.Explain(host, path, method, header)
 	if len(matches) == 0 {
 		if asJSON {
@@ -89,19 +89,19 @@
 		fmt.Fprintln(e.Err, "no route")
 		return errReported
 	}
-	won := cfg.Routes[matches[0].Index]
-	class := won.RequestClass
+	selected := cfg.Routes[matches[0].Index]
+	class := selected.RequestClass
 	if class == "" {
-		class = classOf(cfg, won.Service, method, path)
+		class = classOf(cfg, selected.Service, method, path)
 	}
 	if asJSON {
 		return json.NewEncoder(e.Out).Encode(map[string]any{
-			"service": won.Service, "route": won.Name, "class": class,
+			"service": selected.Service, "route": selected.Name, "class": class,
 			"host": host, "path": path, "why": matches[0].Conditions,
 		})
 	}
 	w := tabwriter.NewWriter(e.Out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "service\t%s\nroute\t%s\nclass\t%s\nread as\t%s %s%s\nwhy\t%s\n", won.Service, won.Name, class, method, host,
+	fmt.Fprintf(w, "service\t%s\nroute\t%s\nclass\t%s\nread as\t%s %s%s\nwhy\t%s\n", selected.Service, selected.Name, class, method, host,
 		path, strings.Join(matches[0].Conditions, ", "))
 	for _, m := range matches[1:] {
 		r := cfg.Routes[m.Index]
@@ -110,7 +110,7 @@
 	return w.Flush()
 }
 
-// classOf is the class of a request whose route names none.
+// classOf returns the class of a request whose route names none.
 func classOf(cfg config.Config, service, method, path string) string {
 	for _, s := range cfg.Services {
 		switch {
--- a/internal/command/simulate.go
+++ b/internal/command/simulate.go
@@ -16,8 +16,8 @@
 	"lockflow/internal/simulation/fleetsim"
 )
 
-// Defaults of flags that a named day does not take as given: its load is relative to defaultLoad, and its length is its
-// own at defaultDuration.
+// Defaults of the flags --load and --for. The load of a named day is scaled by --load relative to defaultLoad, and the
+// day keeps its own length if --for is defaultDuration.
 const (
 	defaultLoad     = 0.7
 	defaultDuration = 30 * time.Second
@@ -52,7 +52,7 @@
 			set.DurationVar(&o.Duration, "for", defaultDuration, "`TIME` that is played")
 			set.Uint64Var(&o.Seed, "seed", 1, "`N` that everything follows from")
 			days := set.String("day", "", "`NAME,NAME...` of days, which hold the fleet to the five rules: "+strings.Join(fleetsim.DayNames, ", ")+"; or all, or mutations")
-			scattered, quotas := gatherFlag(set), quotaFlag(set)
+			simulateGather, simulateQuotas := gatherFlags(set), quotaFlags(set)
 			asJSON := set.Bool("json", false, "prints the reports as a JSON list, with each second of the cold server")
 			var r rolloutSimulation
 			r.addFlags(set)
@@ -60,52 +60,52 @@
 				if len(args) > 0 {
 					return errSimulateUsage
 				}
-				if played, err := scattered(ctx, e, *instances, o.Seed, *asJSON); played {
+				if isSelected, err := simulateGather(ctx, e, *instances, o.Seed, *asJSON); isSelected {
 					return err
 				}
-				q := fleetsim.QuotaOptions{Seed: o.Seed, Load: o.Load / defaultLoad, Duration: unlessDefault(o.Duration)}
-				if played, err := quotas(ctx, e, *instances, q, *asJSON); played {
+				q := fleetsim.QuotaOptions{Seed: o.Seed, Load: o.Load / defaultLoad, Duration: zeroIfDefault(o.Duration)}
+				if isSelected, err := simulateQuotas(ctx, e, *instances, q, *asJSON); isSelected {
 					return err
 				}
 				if r.isEnabled && *days == "" {
 					r.seed = o.Seed
-					return r.play(ctx, e, *instances, *asJSON)
+					return r.run(ctx, e, *instances, *asJSON)
 				}
 				if *days != "" && !r.isEnabled {
-					d := fleetsim.DayOptions{GroupSize: o.GroupSize, Seed: o.Seed, Load: o.Load / defaultLoad, Duration: unlessDefault(o.Duration)}
-					return playDays(ctx, e, *days, *instances, d, *asJSON)
+					d := fleetsim.DayOptions{GroupSize: o.GroupSize, Seed: o.Seed, Load: o.Load / defaultLoad, Duration: zeroIfDefault(o.Duration)}
+					return simulateDays(ctx, e, *days, *instances, d, *asJSON)
 				}
-				return playFleets(ctx, e, o, *instances, *lags, *asJSON)
+				return simulateFleets(ctx, e, o, *instances, *lags, *asJSON)
 			}
 		},
 	}
 }
 
-// errSimulateUsage is the error for flags that do not fit.
-var errSimulateUsage = usageError("simulate: its flags are off; it takes 12 s of play or more")
+// errSimulateUsage is the error for arguments, or for flags that are out of range.
+var errSimulateUsage = usageError("simulate: arguments given or flags out of range; --for takes 12s or more; see lockflow simulate --help")
 
-// unlessDefault returns a duration that was given, and 0 for the default one.
-func unlessDefault(duration time.Duration) time.Duration {
+// zeroIfDefault returns the duration, or 0 if it is the default of the flag --for.
+func zeroIfDefault(duration time.Duration) time.Duration {
 	if duration == defaultDuration {
 		return 0
 	}
 	return duration
 }
 
-// isValidFleetSimulation tells whether the flags are in range.
+// isValidFleetSimulation reports whether the flags are in range.
 func isValidFleetSimulation(o *fleetsim.Options) bool {
 	return o.GroupSize >= 0 &&
 		o.Servers >= 1 && o.Servers <= 1000 &&
 		o.ServerRate > 0 &&
 		o.Load > 0 &&
-		o.Duration >= minFleetPlay
+		o.Duration >= minFleetDuration
 }
 
-// minFleetPlay is the shortest time that is simulated.
-const minFleetPlay = 12 * time.Second
+// minFleetDuration is the shortest time that is simulated.
+const minFleetDuration = 12 * time.Second
 
-// playFleets simulates a server that warms up and a hard limit, for each group size and each lag of watch events.
-func playFleets(ctx context.Context, e *Env, o fleetsim.Options, instances, lags string, asJSON bool) error {
+// simulateFleets simulates a server that warms up and a hard limit, for each group size and each lag of watch events.
+func simulateFleets(ctx context.Context, e *Env, o fleetsim.Options, instances, lags string, asJSON bool) error {
 	if !isValidFleetSimulation(&o) {
 		return errSimulateUsage
 	}
@@ -118,7 +118,7 @@
 		for field := range strings.SplitSeq(lags, ",") {
 			lag, err := time.ParseDuration(field)
 			if err != nil || lag < 0 {
-				return usageError("simulate: lag: %q is no time", field)
+				return usageError("simulate: lag: %q is not a duration of 0 or more", field)
 			}
 			o.Instances = n
 			o.NotificationLag = lag
@@ -156,73 +156,73 @@
 	for field := range strings.SplitSeq(list, ",") {
 		n, err := strconv.Atoi(field)
 		if err != nil || n < 1 || n > 10000 {
-			return nil, usageError("simulate: instances: %q is none of 1 to 10000", field)
+			return nil, usageError("simulate: instances: %q is not a number from 1 to 10000", field)
 		}
 		all = append(all, n)
 	}
 	return all, nil
 }
 
-// playedDay is a day's report. With a mutation it names the guard that was disabled.
-type playedDay struct {
+// dayResult is the report of a day. Mutation names the guard that was disabled, if any.
+type dayResult struct {
 	fleetsim.DayReport
 	Mutation string          `json:"mutation,omitempty"`
-	Rule     fleetrules.Rule `json:"rule,omitempty"` // that the mutation breaks
+	Rule     fleetrules.Rule `json:"rule,omitempty"` // rule that the mutation breaks
 }
 
-// isAsExpected tells whether no rule was broken or, with a mutation, its own one.
-func (p *playedDay) isAsExpected() bool {
+// isAsExpected reports whether no rule was broken or, with a mutation, the rule that the mutation breaks was.
+func (p *dayResult) isAsExpected() bool {
 	if p.Mutation != "" {
 		return p.Broken[p.Rule] > 0
 	}
 	return len(p.Broken) == 0
 }
 
-// playDays simulates days at each group size. It fails if a rule is broken, or a mutation is not detected.
-func playDays(ctx context.Context, e *Env, names, instances string, o fleetsim.DayOptions, asJSON bool) error {
+// simulateDays simulates days at each group size. It fails if a rule is broken, or if a mutation is not detected.
+func simulateDays(ctx context.Context, e *Env, names, instances string, o fleetsim.DayOptions, asJSON bool) error {
 	sizes, err := groupSizes(instances)
 	if err != nil {
 		return err
 	}
-	todo, options, err := daysToPlay(names, sizes, o)
+	results, options, err := selectDays(names, sizes, o)
 	if err != nil {
 		return err
 	}
-	wrong := 0
+	unexpected := 0
 	for i, o := range options {
-		what := cmp.Or(todo[i].Mutation, fleetsim.DayHelp(o.Day))
+		what := cmp.Or(results[i].Mutation, fleetsim.DayHelp(o.Day))
 		fmt.Fprintf(e.Err, "playing %s with %d instances: %s\n", o.Day, o.Instances, what)
-		if todo[i].DayReport, err = fleetsim.Day(o); err != nil {
+		if results[i].DayReport, err = fleetsim.Day(o); err != nil {
 			return err
 		}
-		if !todo[i].isAsExpected() {
-			wrong++
+		if !results[i].isAsExpected() {
+			unexpected++
 		}
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 	}
 	if asJSON {
-		if err := json.NewEncoder(e.Out).Encode(todo); err != nil {
+		if err := json.NewEncoder(e.Out).Encode(results); err != nil {
 			return err
 		}
 	} else {
-		printDays(e.Out, todo)
+		printDays(e.Out, results)
 	}
-	if wrong > 0 {
-		return fmt.Errorf("simulate: %d of %d days did not go as they have to", wrong, len(todo))
+	if unexpected > 0 {
+		return fmt.Errorf("simulate: in %d of %d days a rule was broken or a mutation not detected", unexpected, len(results))
 	}
 	return nil
 }
 
-// daysToPlay returns the days that names select, at each group size, and the options of each.
-func daysToPlay(names string, sizes []int, o fleetsim.DayOptions) (todo []playedDay, options []fleetsim.DayOptions, err error) {
+// selectDays returns the days that names select, at each group size, and the simulation options of each.
+func selectDays(names string, sizes []int, o fleetsim.DayOptions) (results []dayResult, options []fleetsim.DayOptions, err error) {
 	for _, n := range sizes {
 		o.Instances = n
 		if names == "mutations" {
 			for i := range fleetsim.Mutations {
 				m := &fleetsim.Mutations[i]
-				todo = append(todo, playedDay{Mutation: m.Name, Rule: m.Rule})
+				results = append(results, dayResult{Mutation: m.Name, Rule: m.Rule})
 				options = append(options, m.Options(o))
 			}
 			continue
@@ -233,18 +233,18 @@
 		}
 		for _, name := range list {
 			if !slices.Contains(fleetsim.DayNames, name) {
-				return nil, nil, usageError("simulate: day: %q is none of %s, all, mutations", name, strings.Join(fleetsim.DayNames, ", "))
+				return nil, nil, usageError("simulate: day: %q is not one of %s, all, mutations", name, strings.Join(fleetsim.DayNames, ", "))
 			}
 			o.Day = name
-			todo = append(todo, playedDay{})
+			results = append(results, dayResult{})
 			options = append(options, o)
 		}
 	}
-	return todo, options, nil
+	return results, options, nil
 }
 
-// printDays prints a line for each day, and what was detected or broken.
-func printDays(w io.Writer, all []playedDay) {
+// printDays prints a line for each day, then which mutations were detected and which rules were broken.
+func printDays(w io.Writer, all []dayResult) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "day\tinstances\tservers\tfirst tries\ttries\tattempts\tserved\tbeyond quota\tfailed\thandshakes\tcold: worst of its limit\tbroken\t")
 	for i := range all {
--- a/internal/command/simulate_gather.go
+++ b/internal/command/simulate_gather.go
@@ -13,9 +13,10 @@
 	"lockflow/internal/simulation/waitpolicysim"
 )
 
-// gatherFlag declares --gather, and returns a function that simulates scatter-gather queries if it is given: the wait
-// policies in each world and, for each group size, how fast the instances learn together.
-func gatherFlag(set flags) func(ctx context.Context, e *Env, instances string, seed uint64, asJSON bool) (played bool, err error) {
+// gatherFlags declares --gather and --queries, and returns a function that, if --gather is given, simulates
+// scatter-gather queries: the wait policies in each world and, for each group size, how fast instances that share their
+// observations learn.
+func gatherFlags(set flags) func(ctx context.Context, e *Env, instances string, seed uint64, asJSON bool) (isSelected bool, err error) {
 	names, _ := waitpolicysim.Worlds()
 	worlds := set.String("gather", "", "`NAME,NAME...` of worlds in which scattered queries are ended: "+strings.Join(names, ", ")+"; or all. "+
 		"With --instances, how fast so many learn together")
@@ -25,7 +26,7 @@
 			return false, nil
 		}
 		if *queries < 100 || *queries > 10_000_000 {
-			return true, usageError("simulate: queries: %d is none of 100 to 10000000", *queries)
+			return true, usageError("simulate: queries: %d is not from 100 to 10000000", *queries)
 		}
 		list := names
 		if *worlds != "all" {
@@ -38,25 +39,25 @@
 				return true, err
 			}
 		}
-		all, shared, err := playWorlds(ctx, e, list, sizes, *queries, seed)
+		all, shared, err := simulateWorlds(ctx, e, list, sizes, *queries, seed)
 		if err != nil {
 			return true, err
 		}
 		if asJSON {
 			return true, json.NewEncoder(e.Out).Encode(map[string]any{"worlds": all, "shared": shared})
 		}
-		printGathered(e.Out, all, shared)
+		printWaitPolicies(e.Out, all, shared)
 		return true, nil
 	}
 }
 
-// playWorlds simulates wait policies in each world, and how fast instances learn together there.
-func playWorlds(ctx context.Context, e *Env, list []string, sizes []int, queries int, seed uint64) (all []waitpolicysim.Report, shared []waitpolicysim.ShareReport, err error) {
+// simulateWorlds simulates wait policies in each world, and how fast instances that share their observations learn there.
+func simulateWorlds(ctx context.Context, e *Env, list []string, sizes []int, queries int, seed uint64) (all []waitpolicysim.Report, shared []waitpolicysim.ShareReport, err error) {
 	names, help := waitpolicysim.Worlds()
 	for _, name := range list {
 		i := slices.Index(names, name)
 		if i < 0 {
-			return nil, nil, usageError("simulate: gather: %q is none of %s, all", name, strings.Join(names, ", "))
+			return nil, nil, usageError("simulate: gather: %q is not one of %s, all", name, strings.Join(names, ", "))
 		}
 		fmt.Fprintf(e.Err, "playing %s: %s\n", name, help[i])
 		r, err := waitpolicysim.Run(waitpolicysim.Options{World: name, Queries: queries, Seed: seed})
@@ -64,11 +65,11 @@
 			return nil, nil, err
 		}
 		all = append(all, r)
-		together, err := playShared(ctx, e, name, sizes, seed)
+		worldShared, err := simulateSharedLearning(ctx, e, name, sizes, seed)
 		if err != nil {
 			return nil, nil, err
 		}
-		shared = append(shared, together...)
+		shared = append(shared, worldShared...)
 		if ctx.Err() != nil {
 			return nil, nil, ctx.Err()
 		}
@@ -76,8 +77,8 @@
 	return all, shared, nil
 }
 
-// playShared simulates how fast instances learn together in a world, for each group size.
-func playShared(ctx context.Context, e *Env, world string, sizes []int, seed uint64) (all []waitpolicysim.ShareReport, err error) {
+// simulateSharedLearning simulates how fast instances that share their observations learn in a world, for each group size.
+func simulateSharedLearning(ctx context.Context, e *Env, world string, sizes []int, seed uint64) (all []waitpolicysim.ShareReport, err error) {
 	for _, n := range sizes {
 		fmt.Fprintf(e.Err, "playing %s: %d learn together\n", world, n)
 		r, err := waitpolicysim.RunShared(waitpolicysim.ShareOptions{World: world, Instances: n, Seed: seed})
@@ -91,8 +92,8 @@
 	return all, nil
 }
 
-// printGathered prints a line for each world, and one for each group size.
-func printGathered(w io.Writer, all []waitpolicysim.Report, shared []waitpolicysim.ShareReport) {
+// printWaitPolicies prints a line for each world, and one for each world and group size.
+func printWaitPolicies(w io.Writer, all []waitpolicysim.Report, shared []waitpolicysim.ShareReport) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "world\toracle earns\tof it: learned\tbest fixed\tat\tp95\tno deadline\tknows all, same plan\tparts in answers\ttook\tlooks\tchanges told\tspent to learn\t")
 	for _, r := range all {
--- a/internal/validation/validation_test.go
+++ b/internal/validation/validation_test.go
@@ -44,7 +44,7 @@
 		"chunk too long":    {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", ErrChunkSize},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for _, size := range []int{1, 3, len(tc.text)} { // however it comes in pieces
+			for _, size := range []int{1, 3, len(tc.text)} { // bytes that each Feed gets
 				var s Scanner
 				var err error
 				for rest := []byte(tc.text); len(rest) > 0; {
@@ -53,7 +53,7 @@
 					rest = rest[n:]
 				}
 				if !errors.Is(err, tc.want) {
-					t.Errorf("in pieces of %d: %v, not %v", size, err, tc.want)
+					t.Errorf("fed in pieces of %d bytes: got error %v, want %v", size, err, tc.want)
 				}
 			}
 		})
@@ -69,26 +69,26 @@
 	} {
 		s := Scanner{ReadsAnswers: true}
 		if err := s.Feed([]byte(text)); !errors.Is(err, want) {
-			t.Errorf("%q: %v, not %v", text, err, want)
+			t.Errorf("%q: got error %v, want %v", text, err, want)
 		}
 	}
 }
 
-// Of the input that the scanner accepts, net/http finds the same messages: as many, and the next one begins at
-// the same byte.
+// Guards against request smuggling: net/http must split all input that the scanner accepts into the same
+// messages, each ending at the same byte.
 func FuzzScannerAgreesWithNetHTTP(f *testing.F) {
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\nGET / HTTP/1.1\r\nHost: h\r\n\r\n"))
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\nHost: h\r\n\r\n"))
 	f.Add([]byte("POST / HTTP/1.0\r\nContent-Length: 0\r\ntransfer-encoding : chunked\r\n\r\n"))
 	f.Add([]byte("GET / HTTP/1.1\nHost: h\n\nGET / HTTP/1.1\nHost: h\n\n"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		in := bufio.NewReader(bytes.NewReader(raw))
-		at := func() int { return len(raw) - in.Buffered() }
-		if len(raw) > 4000 { // the reader would hold a part of it
+		reader := bufio.NewReader(bytes.NewReader(raw))
+		consumed := func() int { return len(raw) - reader.Buffered() }
+		if len(raw) > 4000 { // longer input does not fit in the reader's buffer, so consumed would be wrong
 			return
 		}
 		for range 10 {
-			r, err := http.ReadRequest(in)
+			r, err := http.ReadRequest(reader)
 			if err != nil {
 				return
 			}
@@ -96,11 +96,11 @@
 				return
 			}
 			var s Scanner
-			if s.Feed(raw[:at()]) != nil {
-				return // refused
+			if s.Feed(raw[:consumed()]) != nil {
+				return // rejected
 			}
 			if s.state != inHead || s.hasStartLine || s.bytesToSkip > 0 {
-				t.Fatalf("the library ends a message at %d of %q; the scanner is in state %d, %d bytes to come", at(), raw, s.state, s.bytesToSkip)
+				t.Fatalf("net/http ends a message at byte %d of %q; the scanner is in state %d and skips %d more bytes", consumed(), raw, s.state, s.bytesToSkip)
 			}
 		}
 	})
@@ -113,7 +113,7 @@
 	var s Scanner
 	for b.Loop() {
 		if s.Feed(head) != nil {
-			b.Fatal("refused")
+			b.Fatal("valid request head was rejected")
 		}
 	}
 }
