--- a/internal/simulation/balancesim/sim.go
+++ b/internal/simulation/balancesim/sim.go
@@ -145,44 +145,44 @@
 }
 
 // send carries an attempt to a server and schedules its end.
-func (s *sim) send(c *call, to int) {
-	n := c.attempts
+func (s *sim) send(c *call, target int) {
+	attempt := c.attempts
 	c.attempts++
-	c.tried[to] = true
+	c.tried[target] = true
 	if c.arrivedAt >= faultsStart {
 		s.attempts++
 	}
-	end := func(after time.Duration, why control.Reason, final bool) {
-		s.After(after, func() { s.balancer.endAttempt(c, to, n, why, final) })
+	endAfter := func(delay time.Duration, reason control.Reason, isFinal bool) {
+		s.After(delay, func() { s.balancer.endAttempt(c, target, attempt, reason, isFinal) })
 	}
-	troubled := to == 0 && s.Now() >= faultsStart
-	if troubled && s.testCase.Cycle > 0 && s.Now()%s.testCase.Cycle < s.testCase.DownTime {
-		end(fastFailureTime, control.ConnectFailed, false)
+	isFaulty := target == 0 && s.Now() >= faultsStart
+	if isFaulty && s.testCase.Cycle > 0 && s.Now()%s.testCase.Cycle < s.testCase.DownTime {
+		endAfter(fastFailureTime, control.ConnectFailed, false)
 		return
 	}
-	if troubled && s.rng.Float64() < s.testCase.FailingFraction {
-		end(fastFailureTime, control.Errored, s.testCase.Status == 500)
+	if isFaulty && s.rng.Float64() < s.testCase.FailingFraction {
+		endAfter(fastFailureTime, control.Errored, s.testCase.Status == 500)
 		return
 	}
-	speed := s.testCase.Speeds[to]
-	if troubled && s.testCase.SlowDown > 0 {
+	speed := s.testCase.Speeds[target]
+	if isFaulty && s.testCase.SlowDown > 0 {
 		speed /= s.testCase.SlowDown
 	}
-	free := &s.servers[to].coreFreeAt
+	free := &s.servers[target].coreFreeAt
 	core := 0
 	for i := range free {
 		if free[i] < free[core] {
 			core = i
 		}
 	}
-	from := max(s.Now(), free[core])
+	startsAt := max(s.Now(), free[core])
 	duration := time.Duration(float64(meanWork) / speed * (0.5 + s.rng.Float64()))
-	left := c.arrivedAt + deadline - s.Now()
-	free[core] = from + duration
-	if done := from + duration - s.Now(); done <= left {
-		end(done, control.OK, true)
+	remaining := c.arrivedAt + deadline - s.Now()
+	free[core] = startsAt + duration
+	if responseTime := startsAt + duration - s.Now(); responseTime <= remaining {
+		endAfter(responseTime, control.OK, true)
 	} else {
-		end(left, control.TimedOut, false)
+		endAfter(remaining, control.TimedOut, false)
 	}
 }
 
@@ -193,7 +193,7 @@
 	rejected
 )
 
-func (s *sim) finish(c *call, how int) {
+func (s *sim) finish(c *call, outcome int) {
 	if s.calls[c.id] == nil {
 		return
 	}
@@ -201,7 +201,7 @@
 	if c.arrivedAt < faultsStart {
 		return
 	}
-	if s.outcomes[how]++; how == served {
+	if s.outcomes[outcome]++; outcome == served {
 		s.latencies = append(s.latencies, float64((s.Now()-c.arrivedAt).Microseconds())/1000)
 	}
 }
@@ -228,11 +228,11 @@
 }
 
 func fewestInFlight(p *simplePolicy, c *call) int {
-	best, at := -1, p.sim.rng.IntN(servers) // random order among equals
+	best, start := -1, p.sim.rng.IntN(servers) // random order among equals
 	for i := range servers {
-		k := (at + i) % servers
-		if !c.tried[k] && (best < 0 || p.inFlight[k] < p.inFlight[best]) {
-			best = k
+		candidate := (start + i) % servers
+		if !c.tried[candidate] && (best < 0 || p.inFlight[candidate] < p.inFlight[best]) {
+			best = candidate
 		}
 	}
 	return best
@@ -241,17 +241,17 @@
 func (p *simplePolicy) arrive(id int) { p.send(p.sim.calls[id]) }
 
 func (p *simplePolicy) send(c *call) {
-	to := p.choose(p, c)
-	p.inFlight[to]++
-	p.sim.send(c, to)
+	target := p.choose(p, c)
+	p.inFlight[target]++
+	p.sim.send(c, target)
 }
 
-func (p *simplePolicy) endAttempt(c *call, to, _ int, why control.Reason, final bool) {
-	p.inFlight[to]--
+func (p *simplePolicy) endAttempt(c *call, target, _ int, reason control.Reason, isFinal bool) {
+	p.inFlight[target]--
 	switch {
-	case why == control.OK:
+	case reason == control.OK:
 		p.sim.finish(c, served)
-	case final || c.attempts >= maxAttempts || why == control.TimedOut:
+	case isFinal || c.attempts >= maxAttempts || reason == control.TimedOut:
 		p.sim.finish(c, failed)
 	default:
 		p.send(c)
@@ -291,9 +291,9 @@
 				m.sim.send(c, int(a.Server)-1)
 			}
 		case control.Reject:
-			m.giveUp(a.ID)
+			m.finishUnserved(a.ID)
 		case control.Fail:
-			m.giveUp(a.ID)
+			m.finishUnserved(a.ID)
 		case control.StartTimer:
 			m.sim.After(a.After, func() { m.deliver(control.TimerFired{Label: a.Label}) })
 		}
@@ -301,7 +301,7 @@
 }
 
 // giveUp finishes a call that the module rejects or fails; one that was sent counts as failed in any case.
-func (m *module) giveUp(id string) {
+func (m *module) finishUnserved(id string) {
 	c := m.sim.calls[callNumber(id)]
 	switch {
 	case c == nil:
@@ -321,11 +321,11 @@
 	m.deliver(control.Request{ID: fmt.Sprint(id), Class: "read", Plan: "default", Customer: "anonymous", Timeout: deadline, Units: 1, FanOut: 1})
 }
 
-func (m *module) endAttempt(c *call, to, n int, why control.Reason, final bool) {
-	if why == control.OK {
+func (m *module) endAttempt(c *call, target, attempt int, reason control.Reason, isFinal bool) {
+	if reason == control.OK {
 		m.sim.finish(c, served)
-	} else if final {
+	} else if isFinal {
 		m.sim.finish(c, failed)
 	}
-	m.deliver(control.AttemptResult{ID: fmt.Sprint(c.id), Attempt: n, Server: uint32(to + 1), Reason: why, IsFinal: final})
+	m.deliver(control.AttemptResult{ID: fmt.Sprint(c.id), Attempt: attempt, Server: uint32(target + 1), Reason: reason, IsFinal: isFinal})
 }
--- a/internal/simulation/balancesim/sim_test.go
+++ b/internal/simulation/balancesim/sim_test.go
@@ -8,7 +8,7 @@
 
 // Without any report of load the module's choice is no worse than the plain ones where one server is
 // slow or fails, and the same seed gives the same run.
-func TestModuleAvoidsTrouble(t *testing.T) {
+func TestModuleAvoidsFaultyServers(t *testing.T) {
 	o := Options{Load: 0.5, Duration: 25 * time.Second, Seed: 3}
 	for _, c := range Cases {
 		t.Run(c.Name, func(t *testing.T) {
@@ -22,12 +22,12 @@
 					t.Fatalf("%+v", r)
 				}
 			}
-			m, rr := got["module"], got["round robin"]
-			if m.Served < rr.Served-0.01 || m.Served < got["least in flight"].Served-0.01 {
-				t.Errorf("module %+v\nround robin %+v\nleast in flight %+v", m, rr, got["least in flight"])
+			m, roundRobin := got["module"], got["round robin"]
+			if m.Served < roundRobin.Served-0.01 || m.Served < got["least in flight"].Served-0.01 {
+				t.Errorf("module %+v\nround robin %+v\nleast in flight %+v", m, roundRobin, got["least in flight"])
 			}
-			if again, _ := Run(c, "module", o); !reflect.DeepEqual(again, m) {
-				t.Errorf("the same seed gave\n%+v and\n%+v", m, again)
+			if repeated, _ := Run(c, "module", o); !reflect.DeepEqual(repeated, m) {
+				t.Errorf("the same seed gave\n%+v and\n%+v", m, repeated)
 			}
 		})
 	}
--- a/internal/simulation/decisiondigest/decisiondigest.go
+++ b/internal/simulation/decisiondigest/decisiondigest.go
@@ -145,9 +145,9 @@
 }
 
 // begin appends an action's tag and the text that it is about.
-func (d *Digest) begin(t tag, about string) {
+func (d *Digest) begin(t tag, subject string) {
 	d.buffer = append(d.buffer, byte(t))
-	d.text(about)
+	d.text(subject)
 }
 
 func (d *Digest) integer(v int64)          { d.buffer = binary.BigEndian.AppendUint64(d.buffer, uint64(v)) }
--- a/internal/simulation/fleetrules/rules.go
+++ b/internal/simulation/fleetrules/rules.go
@@ -19,11 +19,11 @@
 
 // The rules. Their values are the names in reports, where "cold" is a warming-up server and "ceiling" a hard limit.
 const (
-	Answer    Rule = "answer"  // one final answer for each request, in time
-	Twice     Rule = "twice"   // no duplicate effects of a request
-	Drain     Rule = "drain"   // no attempt to a server that is draining or gone
-	WarmingUp Rule = "cold"    // no overload of a server that is warming up
-	HardLimit Rule = "ceiling" // no customer above its hard limit
+	Answer          Rule = "answer"  // one final answer for each request, in time
+	DuplicateEffect Rule = "twice"   // no duplicate effects of a request
+	Drain           Rule = "drain"   // no attempt to a server that is draining or gone
+	WarmingUp       Rule = "cold"    // no overload of a server that is warming up
+	HardLimit       Rule = "ceiling" // no customer above its hard limit
 )
 
 // notifiedFraction is the fraction of a warming-up server's work that must come from nodes notified of its start for
@@ -34,7 +34,7 @@
 const maxBreaches = 100
 
 // Terms are the tolerances of the rules.
-type Terms struct {
+type Tolerances struct {
 	AnswerGrace      time.Duration // after a client's deadline, within which an answer is still in time
 	DrainGrace       time.Duration // after a node was notified of a drain, within which it may still send
 	OverloadWindow   time.Duration // over which the work of a warming-up server is summed
@@ -44,17 +44,17 @@
 
 // Breach is one violation of a rule.
 type Breach struct {
-	Rule   Rule          `json:"rule"`
-	At     time.Duration `json:"at_ns"`            // since the begin of the day
-	Node   int           `json:"node"`             // -1 is the complete fleet
-	ID     string        `json:"id,omitempty"`     // of the request; "" is none
-	Server uint32        `json:"server,omitempty"` // 0 is none
-	What   string        `json:"what"`             // a description
+	Rule        Rule          `json:"rule"`
+	At          time.Duration `json:"at_ns"`            // since the begin of the day
+	Node        int           `json:"node"`             // -1 is the complete fleet
+	ID          string        `json:"id,omitempty"`     // of the request; "" is none
+	Server      uint32        `json:"server,omitempty"` // 0 is none
+	Description string        `json:"what"`             // a description
 }
 
 // String returns the breach as one line.
 func (b Breach) String() string {
-	return fmt.Sprintf("%s at %.3f s, node %d, request %q, server %d: %s", b.Rule, b.At.Seconds(), b.Node, b.ID, b.Server, b.What)
+	return fmt.Sprintf("%s at %.3f s, node %d, request %q, server %d: %s", b.Rule, b.At.Seconds(), b.Node, b.ID, b.Server, b.Description)
 }
 
 // Server describes a server to a Checker.
@@ -68,7 +68,7 @@
 
 // Checker checks a fleet against the rules.
 type Checker struct {
-	Terms Terms
+	Tolerances Tolerances
 
 	servers           map[uint32]*server               // by id
 	requests          map[string]*request              // by id
@@ -97,15 +97,15 @@
 
 // request is the state of a request.
 type request struct {
-	node        int
-	class       *control.Class
-	deadline    time.Duration
-	answered    bool
-	excused     bool          // needs no answer: its client is gone, or its node was killed
-	inFlight    int           // attempts sent and not ended
-	mayRun      bool          // whether an attempt that has ended may have run
-	firstServer Server        // of the first attempt that may have run
-	firstSentAt time.Duration // of that attempt
+	node          int
+	class         *control.Class
+	deadline      time.Duration
+	answered      bool
+	needsNoAnswer bool          // needs no answer: its client is gone, or its node was killed
+	inFlight      int           // attempts sent and not ended
+	mayRun        bool          // whether an attempt that has ended may have run
+	firstServer   Server        // of the first attempt that may have run
+	firstSentAt   time.Duration // of that attempt
 }
 
 // hardLimitBucket is the token bucket of a customer's hard limit, as all nodes share it.
@@ -115,9 +115,9 @@
 }
 
 // New returns a Checker.
-func New(t Terms) *Checker {
+func New(t Tolerances) *Checker {
 	return &Checker{
-		Terms:         t,
+		Tolerances:    t,
 		servers:       map[uint32]*server{},
 		requests:      map[string]*request{},
 		notifications: map[int]map[uint32]time.Duration{},
@@ -149,17 +149,17 @@
 func (c *Checker) MaxWarmUpOverload() float64 { return c.maxWarmUpOverload }
 
 // Started records that a server has started or restarted.
-func (c *Checker) Started(id uint32, s Server) { c.servers[id] = &server{Server: s} }
+func (c *Checker) ServerStarted(id uint32, s Server) { c.servers[id] = &server{Server: s} }
 
 // Notified records that a node was notified, or counts as notified, that a server is available (up), or that it is
 // draining or gone.
-func (c *Checker) Notified(at time.Duration, node int, id uint32, up bool) {
+func (c *Checker) Notified(at time.Duration, node int, id uint32, isUp bool) {
 	notifiedAt := c.notifications[node]
 	if notifiedAt == nil {
 		notifiedAt = map[uint32]time.Duration{}
 		c.notifications[node] = notifiedAt
 	}
-	if up {
+	if isUp {
 		delete(notifiedAt, id)
 		return
 	}
@@ -169,50 +169,50 @@
 }
 
 // Taken records a request that has arrived at a node and whose client waits for ttl.
-func (c *Checker) Taken(at time.Duration, node int, id string, class *control.Class, ttl time.Duration) {
-	c.requests[id] = &request{node: node, class: class, deadline: at + ttl}
+func (c *Checker) RequestArrived(at time.Duration, node int, id string, class *control.Class, timeout time.Duration) {
+	c.requests[id] = &request{node: node, class: class, deadline: at + timeout}
 }
 
 // Sent records an attempt that a node sends. The first attempt of a request is charged to the customer's hard limit.
-func (c *Checker) Sent(at time.Duration, node int, id string, to uint32, first bool, plan *control.Plan, customer string, units float64) {
-	if notifiedAt, ok := c.notifications[node][to]; ok && at > notifiedAt+c.Terms.DrainGrace {
+func (c *Checker) AttemptSent(at time.Duration, node int, id string, server uint32, isFirst bool, plan *control.Plan, customer string, units float64) {
+	if notifiedAt, ok := c.notifications[node][server]; ok && at > notifiedAt+c.Tolerances.DrainGrace {
 		c.breach(Breach{
-			Rule: Drain, At: at, Node: node, ID: id, Server: to,
-			What: fmt.Sprintf("sent %.2f s after it was told that the server drains or is gone", (at - notifiedAt).Seconds()),
+			Rule: Drain, At: at, Node: node, ID: id, Server: server,
+			Description: fmt.Sprintf("sent %.2f s after it was told that the server drains or is gone", (at - notifiedAt).Seconds()),
 		})
 	}
 	if r := c.requests[id]; r != nil {
-		c.checkRetry(at, node, id, to, r)
+		c.checkRetry(at, node, id, server, r)
 		r.inFlight++
 	}
-	if first && plan.HardLimitRate > 0 {
+	if isFirst && plan.HardLimitRate > 0 {
 		c.chargeHardLimit(at, node, id, plan, customer, units)
 	}
 }
 
 // checkRetry checks an attempt against the previous ones of its request.
-func (c *Checker) checkRetry(at time.Duration, node int, id string, to uint32, r *request) {
-	report := func(what string) {
-		c.breach(Breach{Rule: Twice, At: at, Node: node, ID: id, Server: to, What: what})
+func (c *Checker) checkRetry(at time.Duration, node int, id string, server uint32, r *request) {
+	addBreach := func(description string) {
+		c.breach(Breach{Rule: DuplicateEffect, At: at, Node: node, ID: id, Server: server, Description: description})
 	}
 	if r.answered {
-		report("sent after its final answer")
+		addBreach("sent after its final answer")
 	}
 	if r.inFlight > 0 {
-		report("sent while an attempt is out")
+		addBreach("sent while an attempt is out")
 	}
 	if !r.mayRun {
 		return
 	}
-	target := c.servers[to]
+	target := c.servers[server]
 	switch class := r.class; {
 	case class.Idempotency == control.NotIdempotent:
-		report("sent again after an attempt that may have run")
+		addBreach("sent again after an attempt that may have run")
 	case class.Idempotency != control.IdempotentWithKey || target == nil:
 	case at > r.firstSentAt+class.RepeatWindow:
-		report(fmt.Sprintf("repeated %.2f s after the first that may have run", (at - r.firstSentAt).Seconds()))
+		addBreach(fmt.Sprintf("repeated %.2f s after the first that may have run", (at - r.firstSentAt).Seconds()))
 	case !sharesKeys(class.KeyScope, &target.Server, &r.firstServer):
-		report("repeated at a server of another group")
+		addBreach("repeated at a server of another group")
 	}
 }
 
@@ -229,37 +229,37 @@
 }
 
 // Ended records the end of an attempt that was sent at a time, and whether the server may have run it.
-func (c *Checker) Ended(id string, sent time.Duration, to uint32, mayRun bool) {
+func (c *Checker) AttemptEnded(id string, sentAt time.Duration, server uint32, mayRun bool) {
 	r := c.requests[id]
 	if r == nil {
 		return
 	}
 	r.inFlight--
-	if s := c.servers[to]; mayRun && !r.mayRun && s != nil {
+	if s := c.servers[server]; mayRun && !r.mayRun && s != nil {
 		r.mayRun = true
-		r.firstSentAt = sent
+		r.firstSentAt = sentAt
 		r.firstServer = s.Server
 	}
 }
 
 // Answered records a final answer. refused is whether the answer lets the client retry.
-func (c *Checker) Answered(at time.Duration, node int, id string, refused bool) {
+func (c *Checker) Answered(at time.Duration, node int, id string, isRejected bool) {
 	r := c.requests[id]
 	if r == nil {
 		return
 	}
 	switch {
 	case r.answered:
-		c.breach(Breach{Rule: Answer, At: at, Node: node, ID: id, What: "answered twice"})
-	case !r.excused && at > r.deadline+c.Terms.AnswerGrace:
+		c.breach(Breach{Rule: Answer, At: at, Node: node, ID: id, Description: "answered twice"})
+	case !r.needsNoAnswer && at > r.deadline+c.Tolerances.AnswerGrace:
 		c.breach(Breach{
 			Rule: Answer, At: at, Node: node, ID: id,
-			What: fmt.Sprintf("answered %.3f s past its client's time", (at - r.deadline).Seconds()),
+			Description: fmt.Sprintf("answered %.3f s past its client's time", (at - r.deadline).Seconds()),
 		})
 	}
 	mayHaveRun := r.mayRun || r.inFlight > 0
-	if refused && mayHaveRun && !isRetryHarmless(r.class) {
-		c.breach(Breach{Rule: Twice, At: at, Node: node, ID: id, What: "refused, as if trying again were harmless, though it may have run"})
+	if isRejected && mayHaveRun && !isRetryHarmless(r.class) {
+		c.breach(Breach{Rule: DuplicateEffect, At: at, Node: node, ID: id, Description: "refused, as if trying again were harmless, though it may have run"})
 	}
 	r.answered = true
 }
@@ -273,22 +273,22 @@
 }
 
 // Left records that the client of a request has closed its connection, so that the request needs no answer.
-func (c *Checker) Left(id string) {
+func (c *Checker) ClientDisconnected(id string) {
 	if r := c.requests[id]; r != nil {
-		r.excused = true
+		r.needsNoAnswer = true
 	}
 }
 
 // Killed records that a node has ended. owed is whether it ended by itself, which it may do only after it has answered
 // all requests; otherwise it was killed without warning.
-func (c *Checker) Killed(at time.Duration, node int, owed bool) {
+func (c *Checker) NodeEnded(at time.Duration, node int, isGraceful bool) {
 	for id, r := range c.requests {
-		if r.node != node || r.answered || r.excused {
+		if r.node != node || r.answered || r.needsNoAnswer {
 			continue
 		}
-		r.excused = true
-		if owed {
-			c.breach(Breach{Rule: Answer, At: at, Node: node, ID: id, What: "its instance ended without an answer"})
+		r.needsNoAnswer = true
+		if isGraceful {
+			c.breach(Breach{Rule: Answer, At: at, Node: node, ID: id, Description: "its instance ended without an answer"})
 		}
 	}
 	delete(c.notifications, node)
@@ -299,7 +299,7 @@
 
 // Arrived records work that has arrived at a server, rejected or not, in seconds of a core. notified is whether the
 // node that sent it was notified of the server's start.
-func (c *Checker) Arrived(at time.Duration, id uint32, seconds float64, notified bool) {
+func (c *Checker) WorkArrived(at time.Duration, id uint32, seconds float64, notified bool) {
 	s := c.servers[id]
 	if s == nil || s.Capacity == nil {
 		return
@@ -313,11 +313,11 @@
 	}
 	s.work = append(s.work, work{at: at, seconds: seconds, notified: notified})
 	s.add(seconds, notified)
-	for s.work[0].at <= at-c.Terms.OverloadWindow {
+	for s.work[0].at <= at-c.Tolerances.OverloadWindow {
 		s.add(-s.work[0].seconds, s.work[0].notified)
 		s.work = s.work[1:]
 	}
-	limit := c.Terms.warmUpLimit(capacity)
+	limit := c.Tolerances.warmUpLimit(capacity)
 	c.maxWarmUpOverload = math.Max(c.maxWarmUpOverload, s.totalWork/limit)
 	if s.totalWork <= limit || s.isOverloaded {
 		return
@@ -326,14 +326,14 @@
 	if s.notifiedWork > notifiedFraction*s.totalWork {
 		c.breach(Breach{
 			Rule: WarmingUp, At: at, Node: completeFleet, Server: id,
-			What: fmt.Sprintf("sent %.1f times what it can do at that moment", s.totalWork/(capacity*c.Terms.OverloadWindow.Seconds())),
+			Description: fmt.Sprintf("sent %.1f times what it can do at that moment", s.totalWork/(capacity*c.Tolerances.OverloadWindow.Seconds())),
 		})
 	}
 }
 
 // warmUpLimit returns the work, in seconds of a core, above which a warming-up server is overloaded: a multiple of its
 // capacity, plus a random deviation of 2*sqrt(N)+2 requests, where N is the number of requests of mean work in it.
-func (t *Terms) warmUpLimit(capacity float64) float64 {
+func (t *Tolerances) warmUpLimit(capacity float64) float64 {
 	work := t.OverloadMultiple * capacity * t.OverloadWindow.Seconds()
 	if t.MeanWork <= 0 {
 		return work
@@ -350,18 +350,18 @@
 }
 
 // chargeHardLimit charges a request to its customer's hard limit, which all nodes share.
-func (c *Checker) chargeHardLimit(at time.Duration, node int, id string, p *control.Plan, customer string, units float64) {
+func (c *Checker) chargeHardLimit(at time.Duration, node int, id string, plan *control.Plan, customer string, units float64) {
 	bucket := c.hardLimits[customer]
 	if bucket == nil {
-		bucket = &hardLimitBucket{tokens: p.HardLimitBurst, at: at}
+		bucket = &hardLimitBucket{tokens: plan.HardLimitBurst, at: at}
 		c.hardLimits[customer] = bucket
 	}
-	bucket.tokens = math.Min(p.HardLimitBurst, bucket.tokens+(at-bucket.at).Seconds()*p.HardLimitRate) - units
+	bucket.tokens = math.Min(plan.HardLimitBurst, bucket.tokens+(at-bucket.at).Seconds()*plan.HardLimitRate) - units
 	bucket.at = at
-	if bucket.tokens < -p.HardLimitSlack {
+	if bucket.tokens < -plan.HardLimitSlack {
 		c.breach(Breach{
 			Rule: HardLimit, At: at, Node: node, ID: id,
-			What: fmt.Sprintf("customer %s is %.1f units beyond its ceiling", customer, -bucket.tokens),
+			Description: fmt.Sprintf("customer %s is %.1f units beyond its ceiling", customer, -bucket.tokens),
 		})
 	}
 }
@@ -369,8 +369,8 @@
 // Close records the end of the day. Requests without an answer whose deadline has passed are breaches.
 func (c *Checker) Close(at time.Duration) {
 	for id, r := range c.requests {
-		if !r.answered && !r.excused && at > r.deadline+c.Terms.AnswerGrace {
-			c.breach(Breach{Rule: Answer, At: at, Node: r.node, ID: id, What: "never answered"})
+		if !r.answered && !r.needsNoAnswer && at > r.deadline+c.Tolerances.AnswerGrace {
+			c.breach(Breach{Rule: Answer, At: at, Node: r.node, ID: id, Description: "never answered"})
 		}
 	}
 }
--- a/internal/simulation/fleetsim/attempts.go
+++ b/internal/simulation/fleetsim/attempts.go
@@ -10,114 +10,114 @@
 // Attempts, from a node to a server and back.
 
 // send carries an attempt to its server and schedules its end.
-func (w *world) send(i int, a control.Send) {
-	t := w.nodes[i].inFlight[a.ID]
-	if t == nil { // its client is gone
-		w.deliver(i, control.AttemptResult{ID: a.ID, Server: a.Server, Reason: control.NotSent, IsFinal: true})
+func (w *world) send(instance int, a control.Send) {
+	request := w.nodes[instance].inFlight[a.ID]
+	if request == nil { // its client is gone
+		w.deliver(instance, control.AttemptResult{ID: a.ID, Server: a.Server, Reason: control.NotSent, IsFinal: true})
 		return
 	}
-	w.nodes[i].rejectedInRow = 0
-	n := t.attempts
-	t.attempts++
+	w.nodes[instance].rejectedInRow = 0
+	attempt := request.attempts
+	request.attempts++
 	sent := w.Now()
 	w.result.Attempts++
-	h, life := w.byID[a.Server], w.nodes[i].incarnation
-	ended := func(why control.Reason, ran, delivered bool) {
-		if delivered {
-			w.checker.Ended(a.ID, sent, h.id, ran)
-			w.script.quotas.endAttempt(t.call.customer)
+	host, initialIncarnation := w.hostByID[a.Server], w.nodes[instance].incarnation
+	finishAttempt := func(reason control.Reason, mayHaveRun, isDelivered bool) {
+		if isDelivered {
+			w.checker.AttemptEnded(a.ID, sent, host.id, mayHaveRun)
+			w.script.quotas.endAttempt(request.call.customer)
 		}
-		if w.nodes[i].incarnation == life && !w.nodes[i].down {
-			w.endAttempt(i, a.ID, n, h, why)
+		if w.nodes[instance].incarnation == initialIncarnation && !w.nodes[instance].down {
+			w.endAttempt(instance, a.ID, attempt, host, reason)
 		}
 	}
-	end := func(after time.Duration, why control.Reason, ran, delivered bool) {
-		w.After(after, func() { ended(why, ran, delivered) })
+	endAfter := func(delay time.Duration, reason control.Reason, mayHaveRun, isDelivered bool) {
+		w.After(delay, func() { finishAttempt(reason, mayHaveRun, isDelivered) })
 	}
-	after, connected := w.openConnection(i, h, t.deadline)
+	delay, connected := w.openConnection(instance, host, request.deadline)
 	if !connected { // no byte of the request was written
-		end(after, control.ConnectFailed, false, false)
+		endAfter(delay, control.ConnectFailed, false, false)
 		return
 	}
-	work := w.arriveAtServer(i, h, t, a.ID, n)
+	work := w.arriveAtServer(instance, host, request, a.ID, attempt)
 	switch {
-	case h.state == hostDraining || h.inFlight >= dayCores+maxServerQueue:
-		end(after+time.Millisecond, control.RejectedByServer, false, true)
+	case host.state == hostDraining || host.inFlight >= dayCores+maxServerQueue:
+		endAfter(delay+time.Millisecond, control.RejectedByServer, false, true)
 		return
-	case h.isFaulty && w.script.isFailing && w.rng.Float64() < 0.8:
-		end(after+2*time.Millisecond, control.Errored, true, true)
+	case host.isFaulty && w.script.isFailing && w.rng.Float64() < 0.8:
+		endAfter(delay+2*time.Millisecond, control.Errored, true, true)
 		return
 	}
-	done := w.serveWork(h, work) + after
-	draw, hl := w.rng.Float64(), h.incarnation
+	responseTime := w.serveWork(host, work) + delay
+	draw, hostIncarnation := w.rng.Float64(), host.incarnation
 	switch {
 	case draw < w.script.resetFraction:
-		end(time.Duration(w.rng.Float64()*float64(min(done, t.deadline-w.Now()))), control.ResetByPeer, true, true)
+		endAfter(time.Duration(w.rng.Float64()*float64(min(responseTime, request.deadline-w.Now()))), control.ResetByPeer, true, true)
 		if w.options.Mutation.resendsResets {
-			w.checker.Sent(w.Now(), i, a.ID, h.id, false, &w.rules.Plans[t.call.customer.plan], t.call.customer.name, t.call.units)
+			w.checker.AttemptSent(w.Now(), instance, a.ID, host.id, false, &w.rules.Plans[request.call.customer.plan], request.call.customer.name, request.call.units)
 		}
-	case w.Now()+done >= t.deadline:
-		end(t.deadline-w.Now(), control.TimedOut, true, true)
+	case w.Now()+responseTime >= request.deadline:
+		endAfter(request.deadline-w.Now(), control.TimedOut, true, true)
 	case draw < w.script.resetFraction+w.script.lostFraction+w.script.corruptFraction:
-		end(done, control.ResetByPeer, true, true)
+		endAfter(responseTime, control.ResetByPeer, true, true)
 	default:
-		w.After(done, func() {
-			why := control.OK
-			if h.incarnation != hl { // its process ended during the request
-				why = control.ResetByPeer
+		w.After(responseTime, func() {
+			reason := control.OK
+			if host.incarnation != hostIncarnation { // its process ended during the request
+				reason = control.ResetByPeer
 			}
-			ended(why, true, true)
+			finishAttempt(reason, true, true)
 		})
 	}
 }
 
 // arriveAtServer records that an attempt has arrived completely at a server, and draws its work in seconds of a core.
-func (w *world) arriveAtServer(i int, h *host, t *clientRequest, id string, n int) (work float64) {
-	c := t.call
+func (w *world) arriveAtServer(instance int, host *appServer, request *clientRequest, id string, attempt int) (work float64) {
+	c := request.call
 	plan := &w.rules.Plans[c.customer.plan]
-	w.checker.Sent(w.Now(), i, id, h.id, n == 0, plan, c.customer.name, c.units)
-	if n == 0 && w.script.quotas == nil {
+	w.checker.AttemptSent(w.Now(), instance, id, host.id, attempt == 0, plan, c.customer.name, c.units)
+	if attempt == 0 && w.script.quotas == nil {
 		w.chargeQuota(c, plan)
 	}
-	w.script.quotas.recordForwarded(i, t)
+	w.script.quotas.recordForwarded(instance, request)
 	work = dayWork * w.rng.ExpFloat64()
 	if w.options.Mutation.sendsTwice {
-		w.checker.Sent(w.Now(), i, id, h.id, false, plan, c.customer.name, c.units)
+		w.checker.AttemptSent(w.Now(), instance, id, host.id, false, plan, c.customer.name, c.units)
 	}
-	w.recordWork(i, h, work)
+	w.recordWork(instance, host, work)
 	return work
 }
 
 // openConnection returns how long connecting to a server takes, or how long until that fails.
-func (w *world) openConnection(i int, h *host, until time.Duration) (after time.Duration, connected bool) {
+func (w *world) openConnection(instance int, host *appServer, deadline time.Duration) (delay time.Duration, isConnected bool) {
 	switch {
-	case h.state == hostGone:
+	case host.state == hostGone:
 		return time.Millisecond, false
-	case h.state == hostSilent || w.Now() < h.disconnectedUntil:
-		return min(connectTime, until-w.Now()), false
+	case host.state == hostSilent || w.Now() < host.disconnectedUntil:
+		return min(connectTime, deadline-w.Now()), false
 	}
-	after = w.connectDelay(i, h)
-	if len(h.connections) > maxServerConnections || after > connectTime {
-		delete(h.connections, i)
-		return min(after, connectTime), false
+	delay = w.connectDelay(instance, host)
+	if len(host.connections) > maxServerConnections || delay > connectTime {
+		delete(host.connections, instance)
+		return min(delay, connectTime), false
 	}
-	return after, true
+	return delay, true
 }
 
 // connectDelay returns how long it takes until a request can be written to a server.
-func (w *world) connectDelay(i int, h *host) time.Duration {
-	last, ok := h.connections[i]
-	h.connections[i] = w.Now()
+func (w *world) connectDelay(instance int, host *appServer) time.Duration {
+	last, ok := host.connections[instance]
+	host.connections[instance] = w.Now()
 	if ok && w.Now()-last < idleConnectionTime {
 		return 500 * time.Microsecond
 	}
 	w.newConnections++
-	for k, at := range h.connections {
+	for other, at := range host.connections {
 		if w.Now()-at >= idleConnectionTime {
-			delete(h.connections, k)
+			delete(host.connections, other)
 		}
 	}
-	w.recordWork(i, h, handshakeWork)
+	w.recordWork(instance, host, handshakeWork)
 	if w.script.slowConnectFraction > 0 && w.rng.Float64() < w.script.slowConnectFraction {
 		return time.Duration(w.rng.Float64() * float64(maxSlowConnect))
 	}
@@ -125,61 +125,61 @@
 }
 
 // recordWork records work that has arrived at a server.
-func (w *world) recordWork(i int, h *host, work float64) {
+func (w *world) recordWork(instance int, host *appServer, work float64) {
 	isKnown := false
-	if life, ok := w.nodes[i].knownIncarnations[h.id]; ok {
-		isKnown = life == h.incarnation
+	if initialIncarnation, ok := w.nodes[instance].knownIncarnations[host.id]; ok {
+		isKnown = initialIncarnation == host.incarnation
 	}
-	w.checker.Arrived(w.Now(), h.id, work, isKnown)
+	w.checker.WorkArrived(w.Now(), host.id, work, isKnown)
 }
 
 // serveWork schedules work at a server and returns how long the response takes.
-func (w *world) serveWork(h *host, work float64) time.Duration {
-	core := firstFreeCore(h.coreFreeAt[:])
-	speed := warmthAt(w.Now() - h.bootedAt)
-	if h.isFaulty && !w.script.isFailing {
+func (w *world) serveWork(host *appServer, work float64) time.Duration {
+	core := firstFreeCore(host.coreFreeAt[:])
+	speed := warmthAt(w.Now() - host.bootedAt)
+	if host.isFaulty && !w.script.isFailing {
 		speed /= 5
 	}
 	duration := time.Duration(work / speed * float64(time.Second))
-	from := max(w.Now(), h.coreFreeAt[core])
-	h.coreFreeAt[core] = from + duration
-	h.smoothedTime += 0.1 * (duration.Seconds() - h.smoothedTime)
-	h.inFlight++
-	life := h.incarnation
-	w.At(h.coreFreeAt[core], func() {
-		if h.incarnation == life {
-			h.inFlight--
+	startsAt := max(w.Now(), host.coreFreeAt[core])
+	host.coreFreeAt[core] = startsAt + duration
+	host.smoothedTime += 0.1 * (duration.Seconds() - host.smoothedTime)
+	host.inFlight++
+	initialIncarnation := host.incarnation
+	w.At(host.coreFreeAt[core], func() {
+		if host.incarnation == initialIncarnation {
+			host.inFlight--
 		}
 	})
-	return h.coreFreeAt[core] - w.Now()
+	return host.coreFreeAt[core] - w.Now()
 }
 
 // loadReport returns the load report of a server, which is renewed at intervals.
-func (w *world) loadReport(h *host) *control.LoadReport {
-	if h.reportAt == 0 || w.Now()-h.reportAt >= loadReportInterval {
-		h.smoothedUtilization += 0.5 * (math.Min(1, float64(h.inFlight)/dayCores) - h.smoothedUtilization)
-		h.report = control.LoadReport{MeanLatencyMS: 1000 * h.smoothedTime, Utilization: h.smoothedUtilization, Queued: math.Max(0, float64(h.inFlight-dayCores)), InFlight: -1, RequestsPerSecond: -1, ErrorsPerSecond: -1}
-		h.reportAt = w.Now()
+func (w *world) loadReport(host *appServer) *control.LoadReport {
+	if host.reportAt == 0 || w.Now()-host.reportAt >= loadReportInterval {
+		host.smoothedUtilization += 0.5 * (math.Min(1, float64(host.inFlight)/dayCores) - host.smoothedUtilization)
+		host.report = control.LoadReport{MeanLatencyMS: 1000 * host.smoothedTime, Utilization: host.smoothedUtilization, Queued: math.Max(0, float64(host.inFlight-dayCores)), InFlight: -1, RequestsPerSecond: -1, ErrorsPerSecond: -1}
+		host.reportAt = w.Now()
 	}
-	l := h.report
+	l := host.report
 	return &l
 }
 
 // endAttempt delivers the end of an attempt to its node.
-func (w *world) endAttempt(i int, id string, n int, h *host, why control.Reason) {
-	t := w.nodes[i].inFlight[id]
-	e := control.AttemptResult{ID: id, Attempt: n, Server: h.id, Reason: why, IsFinal: t == nil}
-	if why == control.OK || why == control.RejectedByServer || why == control.Errored {
-		e.Load = w.loadReport(h)
-		if t != nil {
-			e.QuotaUsage = w.reportedUsage(i, t.call.customer)
+func (w *world) endAttempt(instance int, id string, attempt int, host *appServer, reason control.Reason) {
+	request := w.nodes[instance].inFlight[id]
+	result := control.AttemptResult{ID: id, Attempt: attempt, Server: host.id, Reason: reason, IsFinal: request == nil}
+	if reason == control.OK || reason == control.RejectedByServer || reason == control.Errored {
+		result.Load = w.loadReport(host)
+		if request != nil {
+			result.QuotaUsage = w.reportedUsage(instance, request.call.customer)
 		}
 	}
-	if why == control.OK && t != nil {
-		if e.ActualUnits, e.IsFinal = t.call.actualUnits, true; w.script.quotas == nil {
-			e.ActualUnits = math.Max(1, t.call.units+float64(w.rng.IntN(3)-1))
+	if reason == control.OK && request != nil {
+		if result.ActualUnits, result.IsFinal = request.call.actualUnits, true; w.script.quotas == nil {
+			result.ActualUnits = math.Max(1, request.call.units+float64(w.rng.IntN(3)-1))
 		}
-		w.finish(i, id, "served")
+		w.finish(instance, id, "served")
 	}
-	w.deliver(i, e)
+	w.deliver(instance, result)
 }
--- a/internal/simulation/fleetsim/clients.go
+++ b/internal/simulation/fleetsim/clients.go
@@ -18,29 +18,29 @@
 		w.script.quotas.drawCustomers(w)
 		return
 	}
-	set := &w.rules
+	settings := &w.rules
 	capacity := float64(len(w.hosts)) * dayCores / dayWork // requests a second
-	inside := offeredFraction * capacity
-	sum, offered := 0.0, 0.0
-	for i := 0; offered < inside; i++ {
-		c := &dayCustomer{name: fmt.Sprintf("c%d", i), plan: 0, fanOut: max(1, w.options.GroupSize/2)}
+	targetRate := offeredFraction * capacity
+	demandSum, offeredRate := 0.0, 0.0
+	for i := 0; offeredRate < targetRate; i++ {
+		customer := &dayCustomer{name: fmt.Sprintf("c%d", i), plan: 0, fanOut: max(1, w.options.GroupSize/2)}
 		if i%8 == 0 {
-			c.plan, c.fanOut = 1, min(4, w.options.GroupSize)
+			customer.plan, customer.fanOut = 1, min(4, w.options.GroupSize)
 		}
-		c.firstNode, c.preferredNode = w.clientRand.IntN(w.options.Instances), w.clientRand.IntN(c.fanOut)
-		part := 0.2 + 0.5*w.clientRand.Float64()
-		switch x := w.clientRand.Float64(); {
-		case x < 0.1:
-			part = 2.5 + 2*w.clientRand.Float64()
-		case x < 0.25:
-			part = 0.95
+		customer.firstNode, customer.preferredNode = w.clientRand.IntN(w.options.Instances), w.clientRand.IntN(customer.fanOut)
+		usageFraction := 0.2 + 0.5*w.clientRand.Float64()
+		switch draw := w.clientRand.Float64(); {
+		case draw < 0.1:
+			usageFraction = 2.5 + 2*w.clientRand.Float64()
+		case draw < 0.25:
+			usageFraction = 0.95
 		}
-		rate := part * set.Plans[c.plan].QuotaRate / 2.5 // divided by the mean units of a request
-		sum += rate
-		offered += math.Min(part, 1) * set.Plans[c.plan].QuotaRate / 2.5
-		w.drawnCustomers, w.demandSums = append(w.drawnCustomers, c), append(w.demandSums, sum)
+		rate := usageFraction * settings.Plans[customer.plan].QuotaRate / 2.5 // divided by the mean units of a request
+		demandSum += rate
+		offeredRate += math.Min(usageFraction, 1) * settings.Plans[customer.plan].QuotaRate / 2.5
+		w.drawnCustomers, w.demandSums = append(w.drawnCustomers, customer), append(w.demandSums, demandSum)
 	}
-	w.arrivalRate = sum * w.options.Load
+	w.arrivalRate = demandSum * w.options.Load
 }
 
 // arrive starts a call, and schedules the next one.
@@ -48,9 +48,9 @@
 	if w.Now() >= w.options.Duration {
 		return
 	}
-	x := w.clientRand.Float64() * w.demandSums[len(w.demandSums)-1]
-	k, _ := slices.BinarySearch(w.demandSums, x)
-	cust := w.drawnCustomers[min(k, len(w.drawnCustomers)-1)]
+	draw := w.clientRand.Float64() * w.demandSums[len(w.demandSums)-1]
+	index, _ := slices.BinarySearch(w.demandSums, draw)
+	cust := w.drawnCustomers[min(index, len(w.drawnCustomers)-1)]
 	if w.script.hasFreshCustomers && w.clientRand.Float64() < 0.5 { // a customer with one call only
 		w.freshCustomers++
 		cust = &dayCustomer{name: fmt.Sprintf("f%d", w.freshCustomers), fanOut: cust.fanOut, plan: cust.plan, firstNode: cust.firstNode}
@@ -58,11 +58,11 @@
 	c := &call{arrivedAt: w.Now(), customer: cust, class: w.clientRand.IntN(2), units: float64(1 + w.clientRand.IntN(maxUnits))}
 	p := &w.rules.Plans[cust.plan]
 	c.weight = w.rules.Classes[c.class].PriorityWeight * p.Price * c.units
-	q := w.quotaOf(cust, p)
-	q.offered = math.Min(p.QuotaBurst, q.offered+(w.Now()-q.offeredAt).Seconds()*p.QuotaRate)
-	q.offeredAt = w.Now()
-	if c.isUnderQuota = q.offered >= c.units; c.isUnderQuota {
-		q.offered -= c.units
+	quota := w.quotaOf(cust, p)
+	quota.offeredTokens = math.Min(p.QuotaBurst, quota.offeredTokens+(w.Now()-quota.offeredAt).Seconds()*p.QuotaRate)
+	quota.offeredAt = w.Now()
+	if c.isUnderQuota = quota.offeredTokens >= c.units; c.isUnderQuota {
+		quota.offeredTokens -= c.units
 		w.countWeight(c, c.weight, 0)
 	}
 	w.result.Calls++
@@ -70,23 +70,23 @@
 	w.After(time.Duration(w.clientRand.ExpFloat64()/w.arrivalRate*float64(time.Second)), w.arrive)
 }
 
-func (w *world) quotaOf(c *dayCustomer, p *control.Plan) *quota {
-	q := w.quotas[c.name]
+func (w *world) quotaOf(customer *dayCustomer, plan *control.Plan) *quota {
+	q := w.quotas[customer.name]
 	if q == nil {
-		q = &quota{offered: p.QuotaBurst, forwarded: p.QuotaBurst, offeredAt: w.Now(), forwardedAt: w.Now()}
-		w.quotas[c.name] = q
+		q = &quota{offeredTokens: plan.QuotaBurst, forwardedTokens: plan.QuotaBurst, offeredAt: w.Now(), forwardedAt: w.Now()}
+		w.quotas[customer.name] = q
 	}
 	return q
 }
 
 // chargeQuota charges a forwarded call to the customer's true quota and its meter.
-func (w *world) chargeQuota(c *call, p *control.Plan) {
-	q := w.quotaOf(c.customer, p)
-	q.forwarded = math.Min(p.QuotaBurst, q.forwarded+(w.Now()-q.forwardedAt).Seconds()*p.QuotaRate)
-	q.forwardedAt = w.Now()
+func (w *world) chargeQuota(c *call, plan *control.Plan) {
+	quota := w.quotaOf(c.customer, plan)
+	quota.forwardedTokens = math.Min(plan.QuotaBurst, quota.forwardedTokens+(w.Now()-quota.forwardedAt).Seconds()*plan.QuotaRate)
+	quota.forwardedAt = w.Now()
 	w.sentUnits += c.units
-	if q.forwarded >= c.units {
-		q.forwarded -= c.units
+	if quota.forwardedTokens >= c.units {
+		quota.forwardedTokens -= c.units
 	} else {
 		w.overQuotaUnits += c.units
 	}
@@ -95,12 +95,12 @@
 		m = &meter{}
 		w.meters[c.customer.name] = m
 	}
-	m.roll(int(w.Now() / time.Second))
+	m.advance(int(w.Now() / time.Second))
 	m.current += c.units
 }
 
 // roll advances a meter to a period.
-func (m *meter) roll(period int) {
+func (m *meter) advance(period int) {
 	for ; m.period < period; m.period++ {
 		m.periodUnits = append(m.periodUnits, m.current)
 		if m.current = 0; len(m.periodUnits) > 4 {
@@ -111,90 +111,90 @@
 
 // reportedUsage returns the quota usage that a response reports: 1 + per cent of the rate in the last period
 // that the meter has summed; 0 is no report.
-func (w *world) reportedUsage(i int, c *dayCustomer) int {
+func (w *world) reportedUsage(instance int, customer *dayCustomer) int {
 	if w.script.quotas != nil {
-		return w.script.quotas.reportedUsage(i, c)
+		return w.script.quotas.reportedUsage(instance, customer)
 	}
-	m := w.meters[c.name]
+	m := w.meters[customer.name]
 	if m == nil || w.meterDown {
 		return 0
 	}
-	m.roll(int(w.Now() / time.Second))
+	m.advance(int(w.Now() / time.Second))
 	if len(m.periodUnits) < meterLagPeriods {
 		return 0
 	}
-	return 1 + int(math.Round(100*m.periodUnits[len(m.periodUnits)-meterLagPeriods]/w.rules.Plans[c.plan].QuotaRate))
+	return 1 + int(math.Round(100*m.periodUnits[len(m.periodUnits)-meterLagPeriods]/w.rules.Plans[customer.plan].QuotaRate))
 }
 
 // chooseNode draws the node that a request arrives at.
 func (w *world) chooseNode(c *call) int {
 	if w.script.quotas != nil {
-		return w.script.quotas.nodeFor(c)
+		return w.script.quotas.chooseRequestNode(c)
 	}
-	k := w.clientRand.IntN(c.customer.fanOut)
+	index := w.clientRand.IntN(c.customer.fanOut)
 	if w.clientRand.Float64() < 0.2 {
-		k = c.customer.preferredNode
+		index = c.customer.preferredNode
 	}
-	return (c.customer.firstNode + k) % len(w.nodes)
+	return (c.customer.firstNode + index) % len(w.nodes)
 }
 
 // sendRequest sends a request of a call to a running node among those of its customer.
 func (w *world) sendRequest(c *call) {
-	left := c.arrivedAt + dayDeadline - w.Now()
-	if left < 10*time.Millisecond {
+	remaining := c.arrivedAt + dayDeadline - w.Now()
+	if remaining < 10*time.Millisecond {
 		return
 	}
-	i := -1
+	instance := -1
 	for range 6 {
-		at := w.chooseNode(c)
-		if n := w.nodes[at]; !n.down && !n.closing {
-			i = at
+		candidate := w.chooseNode(c)
+		if node := w.nodes[candidate]; !node.down && !node.closing {
+			instance = candidate
 			break
 		}
 	}
-	if i < 0 {
+	if instance < 0 {
 		w.retryLater(c, false)
 		return
 	}
 	c.requests++
 	w.lastID++
 	w.result.Requests++
-	t := &clientRequest{id: fmt.Sprintf("r%d", w.lastID), call: c, deadline: w.Now() + left}
-	n, set := w.nodes[i], &w.rules
-	n.inFlight[t.id] = t
-	w.checker.Taken(w.Now(), i, t.id, &set.Classes[c.class], left)
-	if !w.script.quotas.admitRequest(i, t) {
-		w.finish(i, t.id, "refused")
+	request := &clientRequest{id: fmt.Sprintf("r%d", w.lastID), call: c, deadline: w.Now() + remaining}
+	node, settings := w.nodes[instance], &w.rules
+	node.inFlight[request.id] = request
+	w.checker.RequestArrived(w.Now(), instance, request.id, &settings.Classes[c.class], remaining)
+	if !w.script.quotas.admitRequest(instance, request) {
+		w.finish(instance, request.id, "refused")
 		return
 	}
 	r := control.Request{
-		ID: t.id, Class: set.Classes[c.class].Name, Plan: set.Plans[c.customer.plan].Name, Customer: c.customer.name,
-		Timeout: left, Units: c.units, FanOut: c.customer.fanOut, FirstGateway: c.customer.firstNode, IsRetry: c.requests > 1, IsWrite: c.class == 1,
+		ID: request.id, Class: settings.Classes[c.class].Name, Plan: settings.Plans[c.customer.plan].Name, Customer: c.customer.name,
+		Timeout: remaining, Units: c.units, FanOut: c.customer.fanOut, FirstGateway: c.customer.firstNode, IsRetry: c.requests > 1, IsWrite: c.class == 1,
 	}
-	if n.grantsFullHardLimit {
+	if node.grantsFullHardLimit {
 		r.FanOut = 1
 	}
-	life := n.incarnation
+	initialIncarnation := node.incarnation
 	if w.clientRand.Float64() < w.script.leavingFraction {
-		w.After(time.Duration(w.clientRand.Float64()*float64(left)/4), func() {
-			if n.incarnation == life && !n.down && n.inFlight[t.id] != nil {
-				w.checker.Left(t.id)
-				delete(n.inFlight, t.id)
-				w.deliver(i, control.ClientGone{ID: t.id})
+		w.After(time.Duration(w.clientRand.Float64()*float64(remaining)/4), func() {
+			if node.incarnation == initialIncarnation && !node.down && node.inFlight[request.id] != nil {
+				w.checker.ClientDisconnected(request.id)
+				delete(node.inFlight, request.id)
+				w.deliver(instance, control.ClientGone{ID: request.id})
 			}
 		})
 	}
-	w.deliver(i, r)
+	w.deliver(instance, r)
 }
 
 // retryLater schedules a client's retry, up to a few.
-func (w *world) retryLater(c *call, eager bool) {
-	maxTries, wait := 4, 100*time.Millisecond+time.Duration(w.clientRand.Int64N(int64(700*time.Millisecond)))
-	if eager {
-		maxTries, wait = 6, time.Duration(w.clientRand.Int64N(int64(100*time.Millisecond)))
+func (w *world) retryLater(c *call, immediately bool) {
+	maxRequests, delay := 4, 100*time.Millisecond+time.Duration(w.clientRand.Int64N(int64(700*time.Millisecond)))
+	if immediately {
+		maxRequests, delay = 6, time.Duration(w.clientRand.Int64N(int64(100*time.Millisecond)))
 	}
-	if c.isServed || c.requests >= maxTries || w.clientRand.Float64() < 0.2 {
+	if c.isServed || c.requests >= maxRequests || w.clientRand.Float64() < 0.2 {
 		return
 	}
-	w.After(wait, func() { w.sendRequest(c) })
+	w.After(delay, func() { w.sendRequest(c) })
 }
--- a/internal/simulation/fleetsim/days.go
+++ b/internal/simulation/fleetsim/days.go
@@ -13,7 +13,7 @@
 // of the day, so that a shorter day has the same events.
 
 // dayPlan is the script of a day. Fractions are 0 by default.
-type dayPlan struct {
+type dayScript struct {
 	help   string // one line of help
 	script func(w *world)
 
@@ -36,7 +36,7 @@
 var DayNames = []string{"calm", "roll", "herd", "zone", "split", "join", "long"}
 
 // days are the scripts by name.
-var days = map[string]dayPlan{
+var days = map[string]dayScript{
 	"calm": {help: "no fault; a burst of half as much again", script: func(w *world) {
 		w.At(w.timeAt(0.4), func() { w.arrivalRate *= 1.5 })
 		w.At(w.timeAt(0.6), func() { w.arrivalRate /= 1.5 })
@@ -108,33 +108,33 @@
 // DayHelp describes a day in one line.
 func DayHelp(name string) string { return days[name].help }
 
-func (w *world) timeAt(p float64) time.Duration {
-	return time.Duration(p * float64(w.options.Duration))
+func (w *world) timeAt(fraction float64) time.Duration {
+	return time.Duration(fraction * float64(w.options.Duration))
 }
 
 // replaceServers replaces a fraction of the available servers by new ones, in steps between two fractions of
 // the day: the new server is listed, then the old one drains, then it is gone.
-func (w *world) replaceServers(part, from, to float64) {
+func (w *world) replaceServers(fraction, from, to float64) {
 	w.At(w.timeAt(from), func() {
-		var old []*host
-		for _, h := range w.hosts {
-			if h.state == hostUp && !h.isFaulty && !h.isLeaving {
-				old = append(old, h)
+		var old []*appServer
+		for _, host := range w.hosts {
+			if host.state == hostUp && !host.isFaulty && !host.isBeingReplaced {
+				old = append(old, host)
 			}
 		}
 		w.rng.Shuffle(len(old), func(i, j int) { old[i], old[j] = old[j], old[i] })
-		old = old[:int(part*float64(len(old)))]
+		old = old[:int(fraction*float64(len(old)))]
 		const steps = 8
-		for i, h := range old {
-			h.isLeaving = true
+		for i, host := range old {
+			host.isBeingReplaced = true
 			w.After(w.timeAt(to-from)*time.Duration(i*steps/len(old))/steps, func() {
-				w.boot(h.zone, h.cell)
-				w.After(1500*time.Millisecond, func() { w.drain(h) })
+				w.boot(host.zone, host.cell)
+				w.After(1500*time.Millisecond, func() { w.drain(host) })
 				remaining := 6 * time.Second
 				if w.script.hasLongDrains && i%3 == 0 { // longer than a node that was never notified may send to it
 					remaining = 14 * time.Second
 				}
-				w.After(remaining, func() { w.remove(h) })
+				w.After(remaining, func() { w.remove(host) })
 			})
 		}
 	})
@@ -142,10 +142,10 @@
 
 // loseZone makes a zone's servers silent for some time, and then restarts them.
 func (w *world) loseZone(duration time.Duration) {
-	for _, h := range w.hosts {
-		if h.zone == "z0" && h.state == hostUp {
-			h.state = hostSilent
-			w.After(duration, func() { w.reboot(h) })
+	for _, host := range w.hosts {
+		if host.zone == "z0" && host.state == hostUp {
+			host.state = hostSilent
+			w.After(duration, func() { w.reboot(host) })
 		}
 	}
 }
@@ -165,10 +165,10 @@
 
 // disconnectServers disconnects one server of every so many from the network for some time. They continue to
 // work.
-func (w *world) disconnectServers(duration time.Duration, of int) {
-	for i, h := range w.hosts {
-		if i%of == 0 && h.state == hostUp {
-			h.disconnectedUntil = w.Now() + duration
+func (w *world) disconnectServers(duration time.Duration, interval int) {
+	for i, host := range w.hosts {
+		if i%interval == 0 && host.state == hostUp {
+			host.disconnectedUntil = w.Now() + duration
 		}
 	}
 }
@@ -181,7 +181,7 @@
 	Day  string
 
 	settings           func(w *world, n *node)
-	list               func(w *world, m []listed) []listed
+	filterList         func(w *world, m []listedEndpoint) []listedEndpoint
 	dropsTimers        bool // timers of requests never fire
 	sendsTwice         bool // attempts are sent twice
 	answersTwice       bool // final answers are given twice
@@ -209,8 +209,8 @@
 var Mutations = []Mutation{
 	{Name: "the group's size is taken as 1", Rule: fleetrules.WarmingUp, Day: "join", Instances: 120, settings: func(_ *world, n *node) { n.settings.GroupSize, n.settings.SelfIndex = 1, 0 }},
 	{Name: "a cold server is held able to do all from its start", Rule: fleetrules.WarmingUp, Day: "herd", settings: func(_ *world, n *node) { n.settings.InitialCapacity, n.settings.OverloadMultiple = 1, 50 }},
-	{Name: "drains are not heard", Rule: fleetrules.Drain, Day: "join", list: func(_ *world, m []listed) []listed {
-		var up []listed
+	{Name: "drains are not heard", Rule: fleetrules.Drain, Day: "join", filterList: func(_ *world, m []listedEndpoint) []listedEndpoint {
+		var up []listedEndpoint
 		for _, one := range m {
 			if one.isUp {
 				up = append(up, one)
@@ -219,11 +219,11 @@
 		return up
 	}},
 	{Name: "a silent watch is not opened anew", Rule: fleetrules.Drain, Day: "join", keepsSilentWatches: true},
-	{Name: "a repeat may go to any server", Rule: fleetrules.Twice, Day: "split", settings: func(_ *world, n *node) { n.settings.Classes[1].KeyScope = 0 }},
-	{Name: "a repeat may go at any time", Rule: fleetrules.Twice, Day: "split", Load: 2, settings: func(_ *world, n *node) { n.settings.Classes[1].RepeatWindow = time.Hour }},
-	{Name: "an attempt goes out twice", Rule: fleetrules.Twice, Day: "calm", sendsTwice: true},
-	{Name: "the transport sends again what was reset", Rule: fleetrules.Twice, Day: "split", resendsResets: true},
-	{Name: "what may have run is refused", Rule: fleetrules.Twice, Day: "split", Load: 3, rejectsFailures: true},
+	{Name: "a repeat may go to any server", Rule: fleetrules.DuplicateEffect, Day: "split", settings: func(_ *world, n *node) { n.settings.Classes[1].KeyScope = 0 }},
+	{Name: "a repeat may go at any time", Rule: fleetrules.DuplicateEffect, Day: "split", Load: 2, settings: func(_ *world, n *node) { n.settings.Classes[1].RepeatWindow = time.Hour }},
+	{Name: "an attempt goes out twice", Rule: fleetrules.DuplicateEffect, Day: "calm", sendsTwice: true},
+	{Name: "the transport sends again what was reset", Rule: fleetrules.DuplicateEffect, Day: "split", resendsResets: true},
+	{Name: "what may have run is refused", Rule: fleetrules.DuplicateEffect, Day: "split", Load: 3, rejectsFailures: true},
 	{Name: "neither ceiling nor quota is looked at", Rule: fleetrules.HardLimit, Day: "calm", Load: 2, settings: func(_ *world, n *node) {
 		n.settings.Plans[1].HardLimitRate, n.settings.Plans[1].QuotaRate = 0, 0
 	}},
@@ -233,11 +233,11 @@
 	{Name: "what is held at an end is dropped", Rule: fleetrules.Answer, Day: "roll", dropsInFlight: true},
 }
 
-func stream(seed uint64, name uint64) *rand.Rand {
-	return rand.New(rand.NewPCG(seed, name*0x9e3779b97f4a7c15+1))
+func newRand(seed uint64, streamID uint64) *rand.Rand {
+	return rand.New(rand.NewPCG(seed, streamID*0x9e3779b97f4a7c15+1))
 }
 
-func dayOf(name string) (dayPlan, error) {
+func dayByName(name string) (dayScript, error) {
 	d, ok := days[name]
 	if !ok {
 		return d, fmt.Errorf("there is no day %q; there are %v", name, DayNames)
--- a/internal/simulation/fleetsim/days_test.go
+++ b/internal/simulation/fleetsim/days_test.go
@@ -10,7 +10,7 @@
 	"lockflow/internal/simulation/fleetrules"
 )
 
-func day(t *testing.T, o DayOptions) DayReport {
+func runDayOrFail(t *testing.T, o DayOptions) DayReport {
 	t.Helper()
 	r, err := Day(o)
 	if err != nil {
@@ -20,30 +20,30 @@
 }
 
 // No rule is broken on any day at any size, and most of what was asked for inside quotas is served.
-func TestDaysKeepTheRules(t *testing.T) {
+func TestDaysBreakNoRule(t *testing.T) {
 	for _, n := range []int{2, 8, 80} {
 		for _, name := range DayNames {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				r := day(t, DayOptions{Day: name, Instances: n, Duration: 20 * time.Second, Seed: 4})
+				r := runDayOrFail(t, DayOptions{Day: name, Instances: n, Duration: 20 * time.Second, Seed: 4})
 				if len(r.Broken) > 0 || r.Served < 0.5 || r.Calls < 100 {
 					t.Errorf("%d instances: %+v", n, r)
 				}
-				if starved := meanStarved(t, name, n); starved > 0.15 {
+				if starved := meanStarvedFraction(t, name, n); starved > 0.15 {
 					t.Errorf("%d instances: %.3f of what customers ask within quotas is that of starved ones", n, starved)
 				}
 				if n < 80 { // of a few servers too little is left where one is lost
 					return
 				}
 				// The half holds for each class, and for each third.
-				for k, part := range r.Classes {
-					if part < 0.5 {
-						t.Errorf("%d instances: class %s %.3f: %+v", n, k, part, r)
+				for k, fraction := range r.Classes {
+					if fraction < 0.5 {
+						t.Errorf("%d instances: class %s %.3f: %+v", n, k, fraction, r)
 					}
 				}
-				for k, part := range r.Thirds {
-					if part < 0.5 {
-						t.Errorf("%d instances: third %d %.3f: %+v", n, k, part, r)
+				for k, fraction := range r.Thirds {
+					if fraction < 0.5 {
+						t.Errorf("%d instances: third %d %.3f: %+v", n, k, fraction, r)
 					}
 				}
 			})
@@ -53,12 +53,12 @@
 
 // meanStarved is the mean of DayReport.Starved over some seeds, on each of which no rule is broken: of a few instances
 // one seed's figure says little, as a single customer may be a tenth of it.
-func meanStarved(t *testing.T, name string, instances int) float64 {
+func meanStarvedFraction(t *testing.T, name string, instances int) float64 {
 	t.Helper()
 	const seeds = 8
 	sum := 0.0
 	for seed := range uint64(seeds) {
-		r := day(t, DayOptions{Day: name, Instances: instances, Duration: 20 * time.Second, Seed: 1 + seed})
+		r := runDayOrFail(t, DayOptions{Day: name, Instances: instances, Duration: 20 * time.Second, Seed: 1 + seed})
 		if sum += r.StarvedFraction; len(r.Broken) > 0 {
 			t.Errorf("%d instances, seed %d: %+v", instances, 1+seed, r)
 		}
@@ -67,21 +67,21 @@
 }
 
 // Nor where hundreds of instances are killed at once and clients come again and again, in a short form.
-func TestThreeHundredInstancesKeepTheRules(t *testing.T) {
-	r := day(t, DayOptions{Day: "herd", Instances: 300, Duration: 10 * time.Second, Load: 2, Seed: 4})
+func TestThreeHundredInstancesBreakNoRule(t *testing.T) {
+	r := runDayOrFail(t, DayOptions{Day: "herd", Instances: 300, Duration: 10 * time.Second, Load: 2, Seed: 4})
 	if len(r.Broken) > 0 || r.Served < 0.5 || r.MaxWarmUpOverload == 0 {
 		t.Errorf("%+v", r)
 	}
 }
 
 // The same seed gives the same day, whatever map order a run meets; another seed gives another.
-func TestSameSeedSameDay(t *testing.T) {
+func TestSameSeedGivesSameDay(t *testing.T) {
 	o := DayOptions{Day: "split", Instances: 12, Duration: 12 * time.Second, Seed: 5}
-	a, b := day(t, o), day(t, o)
+	a, b := runDayOrFail(t, o), runDayOrFail(t, o)
 	if !reflect.DeepEqual(a, b) {
 		t.Errorf("%+v\n%+v", a, b)
 	}
-	if o.Seed++; reflect.DeepEqual(a, day(t, o)) {
+	if o.Seed++; reflect.DeepEqual(a, runDayOrFail(t, o)) {
 		t.Error("the seed changes nothing")
 	}
 	for _, o := range []DayOptions{{Day: "none", Instances: 1}, {Day: "calm"}, {Day: "calm", Instances: 1, GroupSize: -1}} {
@@ -92,17 +92,17 @@
 }
 
 // Each guard that is taken out is found, by the rule that it keeps.
-func TestMutationsAreFound(t *testing.T) {
+func TestMutationsBreakTheirRule(t *testing.T) {
 	for _, m := range Mutations {
 		t.Run(m.Name, func(t *testing.T) {
 			t.Parallel()
 			o := m.Options(DayOptions{Instances: 40, Duration: 20 * time.Second, Seed: 4})
 			without := o
 			without.Mutation = nil
-			if r := day(t, without); len(r.Broken) > 0 {
+			if r := runDayOrFail(t, without); len(r.Broken) > 0 {
 				t.Errorf("without it: %+v", r)
 			}
-			if r := day(t, o); r.Broken[m.Rule] == 0 {
+			if r := runDayOrFail(t, o); r.Broken[m.Rule] == 0 {
 				t.Errorf("the rule %q holds: %+v", m.Rule, r)
 			}
 		})
@@ -110,17 +110,17 @@
 }
 
 // A report's sums don't hang on the order of a map.
-func TestSumsAreTheSame(t *testing.T) {
-	w := &world{rules: control.Settings{Classes: make([]control.Class, 2)}, checker: fleetrules.New(fleetrules.Terms{}), customers: map[*dayCustomer]*weightTotals{}}
+func TestReportIsIndependentOfMapOrder(t *testing.T) {
+	w := &world{rules: control.Settings{Classes: make([]control.Class, 2)}, checker: fleetrules.New(fleetrules.Tolerances{}), customerTotals: map[*dayCustomer]*weightTotals{}}
 	for i := range 50 {
-		asked := 1 / float64(i+1)
-		w.customers[&dayCustomer{name: fmt.Sprint(i)}] = &weightTotals{offered: asked}
-		w.totalWeight.offered += asked
+		weight := 1 / float64(i+1)
+		w.customerTotals[&dayCustomer{name: fmt.Sprint(i)}] = &weightTotals{offered: weight}
+		w.totalWeight.offered += weight
 	}
 	first := w.report().StarvedFraction
 	for range 20 {
-		if again := w.report().StarvedFraction; again != first {
-			t.Fatalf("%v and %v", again, first)
+		if repeated := w.report().StarvedFraction; repeated != first {
+			t.Fatalf("%v and %v", repeated, first)
 		}
 	}
 }
--- a/internal/simulation/fleetsim/decisions_amd64_test.go
+++ b/internal/simulation/fleetsim/decisions_amd64_test.go
@@ -23,35 +23,35 @@
 var updateDecisions = flag.Bool("update-decisions", false, "writes testdata/decisions.golden anew")
 
 const (
-	goldenDecisions = "testdata/decisions.golden"
-	decisionSeeds   = 3
-	decisionLasts   = 8 * time.Second
-	imageEvery      = 256 // events, after which the state of the instance that handled the last one is added
+	goldenDecisions  = "testdata/decisions.golden"
+	decisionSeeds    = 3
+	decisionDuration = 8 * time.Second
+	imageInterval    = 256 // events, after which the state of the instance that handled the last one is added
 )
 
 var decisionFleets = []int{2, 80}
 
 // decisionDays are the days whose decisions are pinned, by name. Together they reach what decisionFeatures lists.
-var decisionDays = map[string]func(p *pinnedDay) error{
-	"calm":  (*pinnedDay).playNamed,
-	"roll":  (*pinnedDay).playNamed,
-	"herd":  (*pinnedDay).playNamed,
-	"zone":  (*pinnedDay).playNamed,
-	"split": (*pinnedDay).playNamed,
-	"join":  (*pinnedDay).playNamed,
-	"long":  (*pinnedDay).playNamed,
-	"single-shot": func(p *pinnedDay) error {
+var decisionDays = map[string]func(p *recordedDay) error{
+	"calm":  (*recordedDay).runNamed,
+	"roll":  (*recordedDay).runNamed,
+	"herd":  (*recordedDay).runNamed,
+	"zone":  (*recordedDay).runNamed,
+	"split": (*recordedDay).runNamed,
+	"join":  (*recordedDay).runNamed,
+	"long":  (*recordedDay).runNamed,
+	"single-shot": func(p *recordedDay) error {
 		mutation := &Mutation{settings: func(_ *world, n *node) { n.settings.Classes[1].Idempotency = control.NotIdempotent }}
-		return p.play(DayOptions{Day: "split", Mutation: mutation, Load: 2}, days["split"])
+		return p.runDay(DayOptions{Day: "split", Mutation: mutation, Load: 2}, days["split"])
 	},
-	"hand-over": func(p *pinnedDay) error {
-		return p.play(DayOptions{Day: "hand-over"}, dayPlan{script: p.handOverAll})
+	"hand-over": func(p *recordedDay) error {
+		return p.runDay(DayOptions{Day: "hand-over"}, dayScript{script: p.handOverAll})
 	},
-	"clinic":   (*pinnedDay).playQuotas,
-	"library":  (*pinnedDay).playQuotas,
-	"archive":  (*pinnedDay).playQuotas,
-	"cableway": (*pinnedDay).playQuotas,
-	"kiosk":    (*pinnedDay).playQuotas,
+	"clinic":   (*recordedDay).runQuotas,
+	"library":  (*recordedDay).runQuotas,
+	"archive":  (*recordedDay).runQuotas,
+	"cableway": (*recordedDay).runQuotas,
+	"kiosk":    (*recordedDay).runQuotas,
 }
 
 // decisionFeatures are the kinds of decision that the days have to reach, so that the digests hold them.
@@ -65,16 +65,16 @@
 	"hand-over", "restored exactly", "restored as learned", "rejoined",
 }
 
-var effectNames = map[control.Idempotency]string{control.Idempotent: "free", control.IdempotentWithKey: "guarded", control.NotIdempotent: "single-shot"}
+var idempotencyNames = map[control.Idempotency]string{control.Idempotent: "free", control.IdempotentWithKey: "guarded", control.NotIdempotent: "single-shot"}
 
 // pinnedDay is one play of a day, with the digests of what its instances decide.
-type pinnedDay struct {
+type recordedDay struct {
 	day       string
 	instances int
 	seed      uint64
 
 	events, actions int
-	decided         *decisiondigest.Digest // every action of every instance, in order
+	decisions       *decisiondigest.Digest // every action of every instance, in order
 	state           *decisiondigest.Digest // now and then of an instance, of what is handed over, and of every instance at the end
 	world           *world
 	features        map[string]bool
@@ -82,41 +82,41 @@
 }
 
 // playPinned plays a day.
-func playPinned(day string, instances int, seed uint64) (*pinnedDay, error) {
-	p := &pinnedDay{
-		day: day, instances: instances, seed: seed, decided: decisiondigest.New(), state: decisiondigest.New(),
+func recordDay(day string, instances int, seed uint64) (*recordedDay, error) {
+	p := &recordedDay{
+		day: day, instances: instances, seed: seed, decisions: decisiondigest.New(), state: decisiondigest.New(),
 		features: make(map[string]bool),
 	}
 	if err := decisionDays[day](p); err != nil {
 		return nil, err
 	}
 	for _, n := range p.world.nodes {
-		p.noteError(p.state.AddImage(n.controller.Image()))
+		p.recordError(p.state.AddImage(n.controller.Image()))
 	}
 	return p, p.err
 }
 
-func (p *pinnedDay) playNamed() error { return p.play(DayOptions{Day: p.day}, days[p.day]) }
+func (p *recordedDay) runNamed() error { return p.runDay(DayOptions{Day: p.day}, days[p.day]) }
 
-func (p *pinnedDay) play(o DayOptions, plan dayPlan) error {
-	o.Instances, o.Seed, o.Duration, o.observe = p.instances, p.seed, decisionLasts, p.observe
-	_, err := play(o, plan)
+func (p *recordedDay) runDay(o DayOptions, plan dayScript) error {
+	o.Instances, o.Seed, o.Duration, o.observe = p.instances, p.seed, decisionDuration, p.observe
+	_, err := runDay(o, plan)
 	return err
 }
 
-func (p *pinnedDay) playQuotas() error {
-	_, err := Quotas(QuotaOptions{World: p.day, Policy: ByModule, Instances: p.instances, Seed: p.seed, Duration: decisionLasts, observe: p.observe})
+func (p *recordedDay) runQuotas() error {
+	_, err := Quotas(QuotaOptions{World: p.day, Policy: ByModule, Instances: p.instances, Seed: p.seed, Duration: decisionDuration, observe: p.observe})
 	return err
 }
 
 // observe adds an event's actions to the digest.
-func (p *pinnedDay) observe(w *world, instance int, event control.Event, actions []control.Action) {
+func (p *recordedDay) observe(w *world, instance int, event control.Event, actions []control.Action) {
 	p.world = w
 	p.events++
 	p.actions += len(actions)
-	p.decided.AddActions(w.Now(), instance, actions)
-	if p.events%imageEvery == 0 {
-		p.noteError(p.state.AddImage(w.nodes[instance].controller.Image()))
+	p.decisions.AddActions(w.Now(), instance, actions)
+	if p.events%imageInterval == 0 {
+		p.recordError(p.state.AddImage(w.nodes[instance].controller.Image()))
 	}
 	if response, ok := event.(control.AttemptResult); ok && response.QuotaUsage > 0 {
 		p.features["metered use told"] = true
@@ -124,7 +124,7 @@
 	for _, action := range actions {
 		switch a := action.(type) {
 		case control.Send:
-			p.noteAttempt(w, instance, a)
+			p.recordAttempt(w, instance, a)
 		case control.Reject:
 			p.features["refused: "+a.Cause.String()] = true
 		case control.Fail:
@@ -134,7 +134,7 @@
 }
 
 // noteAttempt notes what kind of attempt starts.
-func (p *pinnedDay) noteAttempt(w *world, instance int, a control.Send) {
+func (p *recordedDay) recordAttempt(w *world, instance int, a control.Send) {
 	n := w.nodes[instance]
 	t := n.inFlight[a.ID]
 	if t == nil {
@@ -144,15 +144,15 @@
 	if t.attempts > 0 {
 		kind = "retry"
 	}
-	p.features[kind+" of a "+effectNames[n.settings.Classes[t.call.class].Idempotency]+" request"] = true
-	if warmthAt(w.Now()-w.byID[a.Server].bootedAt) < 1 {
+	p.features[kind+" of a "+idempotencyNames[n.settings.Classes[t.call.class].Idempotency]+" request"] = true
+	if warmthAt(w.Now()-w.hostByID[a.Server].bootedAt) < 1 {
 		p.features["attempt at a cold server"] = true
 	}
 }
 
 // handOverAll is a day's script: half of the servers start cold while every instance hands over to a
 // successor, one after another.
-func (p *pinnedDay) handOverAll(w *world) {
+func (p *recordedDay) handOverAll(w *world) {
 	w.replaceServers(0.5, 0.1, 0.5)
 	for i := range w.nodes {
 		w.At(w.timeAt(0.2+0.6*float64(i)/float64(len(w.nodes))), func() { p.handOver(w, i) })
@@ -161,39 +161,39 @@
 
 // handOver has an instance hand half of what it may spend to a successor, and the rest a second later. Every
 // other successor doesn't trust what it is handed to be exact.
-func (p *pinnedDay) handOver(w *world, instance int) {
-	now, old := w.Now()+firstUse, w.nodes[instance].controller
-	given := old.HandOver(now, 0.5)
-	p.noteError(p.state.AddCheckpoint(given))
+func (p *recordedDay) handOver(w *world, instance int) {
+	now, predecessor := w.Now()+moduleClockOffset, w.nodes[instance].controller
+	checkpoint := predecessor.HandOver(now, 0.5)
+	p.recordError(p.state.AddCheckpoint(checkpoint))
 	p.features["hand-over"] = true
 	w.kill(instance)
 	w.start(instance)
 	successor := w.nodes[instance].controller
 	if instance%2 == 0 {
-		successor.Restore(now, given, control.TrustAll)
+		successor.Restore(now, checkpoint, control.TrustAll)
 		p.features["restored exactly"] = true
 	} else {
-		successor.Restore(now, given, control.TrustEstimates)
+		successor.Restore(now, checkpoint, control.TrustEstimates)
 		p.features["restored as learned"] = true
 	}
 	w.After(time.Second, func() {
-		rest := old.HandOver(w.Now()+firstUse, 1)
-		p.noteError(p.state.AddCheckpoint(rest))
-		successor.ReclaimRates(w.Now()+firstUse, &rest)
+		remaining := predecessor.HandOver(w.Now()+moduleClockOffset, 1)
+		p.recordError(p.state.AddCheckpoint(remaining))
+		successor.ReclaimRates(w.Now()+moduleClockOffset, &remaining)
 		p.features["rejoined"] = true
 	})
 }
 
-func (p *pinnedDay) noteError(err error) {
+func (p *recordedDay) recordError(err error) {
 	if p.err == nil {
 		p.err = err
 	}
 }
 
 // line is the play as the golden file has it.
-func (p *pinnedDay) line() string {
+func (p *recordedDay) goldenLine() string {
 	return fmt.Sprintf("%s instances=%d seed=%d events=%d actions=%d decisions=%s state=%s", p.day, p.instances, p.seed, p.events, p.actions,
-		p.decided.Sum(), p.state.Sum())
+		p.decisions.Sum(), p.state.Sum())
 }
 
 // Every controller of every day returns the same actions in the same order as when the golden file was
@@ -208,13 +208,13 @@
 				for seed := uint64(1); seed <= decisionSeeds; seed++ {
 					t.Run(fmt.Sprintf("%s/%d/%d", day, instances, seed), func(t *testing.T) {
 						t.Parallel()
-						p, err := playPinned(day, instances, seed)
+						p, err := recordDay(day, instances, seed)
 						if err != nil {
 							t.Fatal(err)
 						}
 						lock.Lock()
 						defer lock.Unlock()
-						lines = append(lines, p.line())
+						lines = append(lines, p.goldenLine())
 						maps.Copy(features, p.features)
 					})
 				}
--- a/internal/simulation/fleetsim/hard_test.go
+++ b/internal/simulation/fleetsim/hard_test.go
@@ -11,11 +11,11 @@
 func TestHardDays(t *testing.T) {
 	never := 24 * time.Hour
 	for name, tc := range map[string]struct {
-		script func(w *world)
-		least  float64 // served
+		script    func(w *world)
+		minServed float64 // served
 	}{
 		"all servers gone at once, others later": {func(w *world) {
-			old := append([]*host(nil), w.hosts...)
+			old := append([]*appServer(nil), w.hosts...)
 			w.At(w.timeAt(0.3), func() {
 				for _, h := range old {
 					w.drain(h)
@@ -71,8 +71,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for _, n := range []int{1, 3, 40} {
-				r, err := play(DayOptions{Day: "hard", Instances: n, Duration: 15 * time.Second, Seed: 2}, dayPlan{script: tc.script})
-				if err != nil || len(r.Broken) > 0 || r.Served < tc.least {
+				r, err := runDay(DayOptions{Day: "hard", Instances: n, Duration: 15 * time.Second, Seed: 2}, dayScript{script: tc.script})
+				if err != nil || len(r.Broken) > 0 || r.Served < tc.minServed {
 					t.Errorf("%d instances: %v %+v", n, err, r)
 				}
 			}
@@ -82,14 +82,14 @@
 
 // A group that is told too small passes ceilings and cold servers' limits; one told too large keeps
 // both and serves less.
-func TestWrongSizes(t *testing.T) {
+func TestWrongGroupSizes(t *testing.T) {
 	for _, tc := range []struct {
-		instances, told int
-		want            fleetrules.Rule
+		instances, groupSize int
+		want                 fleetrules.Rule
 	}{{120, 1, fleetrules.WarmingUp}, {40, 40, ""}, {40, 160, ""}} {
-		r := day(t, DayOptions{Day: "join", Instances: tc.instances, GroupSize: tc.told, Duration: 15 * time.Second, Seed: 4, Load: 2})
+		r := runDayOrFail(t, DayOptions{Day: "join", Instances: tc.instances, GroupSize: tc.groupSize, Duration: 15 * time.Second, Seed: 4, Load: 2})
 		if tc.want == "" && len(r.Broken) > 0 || tc.want != "" && r.Broken[tc.want] == 0 || r.Served < 0.4 {
-			t.Errorf("told %d: %+v", tc.told, r)
+			t.Errorf("told %d: %+v", tc.groupSize, r)
 		}
 	}
 }
--- a/internal/simulation/fleetsim/instances.go
+++ b/internal/simulation/fleetsim/instances.go
@@ -11,9 +11,9 @@
 
 // Nodes: their starts, ends, endpoint lists and decisions.
 
-func (w *world) settings(i int) control.Settings {
+func (w *world) settings(instance int) control.Settings {
 	s := control.Settings{
-		SelfIndex: i % w.options.GroupSize, GroupSize: w.options.GroupSize, MaxAttempts: 6, MaxRetryAfter: time.Second, CanCancel: true, RetriesAreMarked: true,
+		SelfIndex: instance % w.options.GroupSize, GroupSize: w.options.GroupSize, MaxAttempts: 6, MaxRetryAfter: time.Second, CanCancel: true, RetriesAreMarked: true,
 		DrainGrace: 2 * time.Second, WarmupTime: 15 * time.Second, InitialCapacity: 0.15, OverloadWindow: 2 * time.Second, OverloadMultiple: 2.5,
 		MeterPeriod: time.Second, UnitsInResponse: true, MaxUnits: maxUnits,
 		Classes: []control.Class{
@@ -33,13 +33,13 @@
 }
 
 // start starts or restarts a node, with the current endpoint list from its agent.
-func (w *world) start(i int) {
-	n := w.nodes[i]
-	n.settings, n.grantsFullHardLimit = w.settings(i), false
+func (w *world) start(instance int) {
+	n := w.nodes[instance]
+	n.settings, n.grantsFullHardLimit = w.settings(instance), false
 	if m := w.options.Mutation; m.settings != nil {
 		m.settings(w, n)
 	}
-	c, err := control.New(n.settings, w.options.Seed*1_000_003+uint64(i)*1009+uint64(n.incarnation))
+	c, err := control.New(n.settings, w.options.Seed*1_000_003+uint64(instance)*1009+uint64(n.incarnation))
 	if err != nil {
 		panic(fmt.Sprintf("the settings of a day: %v", err)) // the settings are constant
 	}
@@ -51,43 +51,43 @@
 	n.watchSilentUntil = 0
 	n.rejectedInRow = 0
 	n.incarnation++
-	var now []listed
-	for _, h := range w.hosts {
-		e := w.endpointOf(h)
-		if h.bootedAt > w.Now()-listDelayOfStart && h.bootedAt >= 0 {
+	var endpoints []listedEndpoint
+	for _, host := range w.hosts {
+		endpoint := w.endpointOf(host)
+		if host.bootedAt > w.Now()-startListingDelay && host.bootedAt >= 0 {
 			continue // not listed yet
 		}
-		n.knownIncarnations[h.id] = h.incarnation
-		if !e.isUp {
-			w.checker.Notified(w.Now(), i, h.id, false)
+		n.knownIncarnations[host.id] = host.incarnation
+		if !endpoint.isUp {
+			w.checker.Notified(w.Now(), instance, host.id, false)
 		}
-		if h.state != hostGone {
-			now = append(now, e)
+		if host.state != hostGone {
+			endpoints = append(endpoints, endpoint)
 		}
 	}
-	w.sendList(i, control.ListComplete, now)
+	w.sendList(instance, control.ListComplete, endpoints)
 }
 
-func (w *world) sendList(i int, kind control.ListKind, m []listed) {
-	if hide := w.options.Mutation.list; hide != nil {
-		m = hide(w, slices.Clone(m))
+func (w *world) sendList(instance int, kind control.ListKind, endpoints []listedEndpoint) {
+	if filter := w.options.Mutation.filterList; filter != nil {
+		endpoints = filter(w, slices.Clone(endpoints))
 	}
-	e := control.EndpointList{Kind: kind}
-	for _, one := range m {
-		e.Endpoints = append(e.Endpoints, one.Endpoint)
+	list := control.EndpointList{Kind: kind}
+	for _, endpoint := range endpoints {
+		list.Endpoints = append(list.Endpoints, endpoint.Endpoint)
 	}
-	w.deliver(i, e)
+	w.deliver(instance, list)
 }
 
 // kill ends a node without warning; the clients of its requests in flight may retry.
-func (w *world) kill(i int) { w.endNode(i, false) }
+func (w *world) kill(instance int) { w.endNode(instance, false) }
 
-func (w *world) endNode(i int, owed bool) {
-	n := w.nodes[i]
+func (w *world) endNode(instance int, isGraceful bool) {
+	n := w.nodes[instance]
 	if n.down {
 		return
 	}
-	w.checker.Killed(w.Now(), i, owed)
+	w.checker.NodeEnded(w.Now(), instance, isGraceful)
 	n.down = true
 	n.incarnation++
 	for _, id := range slices.Sorted(maps.Keys(n.inFlight)) {
@@ -98,61 +98,61 @@
 
 // terminate restarts a node as planned: requests arrive for a moment still; those in flight at the end of
 // the grace period fail.
-func (w *world) terminate(i int) {
-	n := w.nodes[i]
-	life, grace := n.incarnation, termGrace
-	drops := w.options.Mutation.dropsInFlight
-	if drops {
+func (w *world) terminate(instance int) {
+	n := w.nodes[instance]
+	initialIncarnation, grace := n.incarnation, termGrace
+	dropsRequests := w.options.Mutation.dropsInFlight
+	if dropsRequests {
 		grace = 0
 	}
-	w.After(300*time.Millisecond, func() { n.closing = n.closing || n.incarnation == life })
+	w.After(300*time.Millisecond, func() { n.closing = n.closing || n.incarnation == initialIncarnation })
 	w.After(grace, func() {
-		if n.incarnation != life {
+		if n.incarnation != initialIncarnation {
 			return
 		}
-		if !drops {
+		if !dropsRequests {
 			for _, id := range slices.Sorted(maps.Keys(n.inFlight)) {
-				w.finish(i, id, "failed")
+				w.finish(instance, id, "failed")
 			}
 		}
-		w.endNode(i, true)
-		w.After(500*time.Millisecond, func() { w.start(i) })
+		w.endNode(instance, true)
+		w.After(500*time.Millisecond, func() { w.start(instance) })
 	})
 }
 
 // deliver has a node's module handle an event and performs its actions.
-func (w *world) deliver(i int, e control.Event) {
-	n := w.nodes[i]
+func (w *world) deliver(instance int, event control.Event) {
+	n := w.nodes[instance]
 	if n.down {
 		return
 	}
-	actions := slices.Clone(n.controller.Handle(w.Now()+firstUse, e))
+	actions := slices.Clone(n.controller.Handle(w.Now()+moduleClockOffset, event))
 	if w.options.observe != nil {
-		w.options.observe(w, i, e, actions)
+		w.options.observe(w, instance, event, actions)
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
 		case control.Send:
-			w.send(i, a)
+			w.send(instance, a)
 		case control.Reject:
-			if t := n.inFlight[a.ID]; t != nil {
-				t.rejectionCause = a.Cause
+			if request := n.inFlight[a.ID]; request != nil {
+				request.rejectionCause = a.Cause
 			}
-			w.finish(i, a.ID, "refused")
+			w.finish(instance, a.ID, "refused")
 		case control.Fail:
 			if w.options.Mutation.rejectsFailures {
-				w.finish(i, a.ID, "refused")
+				w.finish(instance, a.ID, "refused")
 			} else {
-				w.finish(i, a.ID, "failed")
+				w.finish(instance, a.ID, "failed")
 			}
 		case control.StartTimer:
 			if w.options.Mutation.dropsTimers && a.Label != 0 {
 				continue
 			}
-			life := n.incarnation
+			initialIncarnation := n.incarnation
 			w.After(a.After, func() {
-				if n.incarnation == life {
-					w.deliver(i, control.TimerFired{Label: a.Label})
+				if n.incarnation == initialIncarnation {
+					w.deliver(instance, control.TimerFired{Label: a.Label})
 				}
 			})
 		}
@@ -160,20 +160,20 @@
 }
 
 // finish gives a client its final answer: served, refused or failed.
-func (w *world) finish(i int, id, how string) {
-	t := w.nodes[i].inFlight[id]
-	if t == nil {
+func (w *world) finish(instance int, id, outcome string) {
+	request := w.nodes[instance].inFlight[id]
+	if request == nil {
 		return
 	}
-	w.checker.Answered(w.Now(), i, id, how == "refused")
+	w.checker.Answered(w.Now(), instance, id, outcome == "refused")
 	if w.options.Mutation.answersTwice {
-		w.checker.Answered(w.Now(), i, id, how == "refused")
+		w.checker.Answered(w.Now(), instance, id, outcome == "refused")
 	}
-	delete(w.nodes[i].inFlight, id)
-	switch how {
+	delete(w.nodes[instance].inFlight, id)
+	switch outcome {
 	case "served":
-		w.script.quotas.recordServed(t)
-		if c := t.call; !c.isServed {
+		w.script.quotas.recordServed(request)
+		if c := request.call; !c.isServed {
 			c.isServed = true
 			if duration := w.Now() - c.arrivedAt; c.isUnderQuota && duration <= dayLatencyObjective {
 				w.countWeight(c, 0, c.weight)
@@ -182,13 +182,13 @@
 			}
 		}
 	case "failed":
-		if w.failedRequests++; t.call.class == 0 {
-			w.retryLater(t.call, w.script.retriesImmediately)
+		if w.failedRequests++; request.call.class == 0 {
+			w.retryLater(request.call, w.script.retriesImmediately)
 		}
 	default:
-		w.countRejection(w.nodes[i])
-		w.script.quotas.recordRejection(i, t)
-		w.retryLater(t.call, w.script.retriesImmediately)
+		w.countRejection(w.nodes[instance])
+		w.script.quotas.recordRejection(instance, request)
+		w.retryLater(request.call, w.script.retriesImmediately)
 	}
 }
 
--- a/internal/simulation/fleetsim/quota_account.go
+++ b/internal/simulation/fleetsim/quota_account.go
@@ -60,23 +60,23 @@
 
 // charge records a request that is forwarded for the first time. It takes its units if it is within the quota,
 // and nothing otherwise.
-func (a *quotaAccount) charge(now time.Duration, units float64) (inside bool) {
+func (a *quotaAccount) charge(now time.Duration, units float64) (isUnderQuota bool) {
 	a.refill(now)
-	if inside = a.hasQuota(units); inside && a.plan.QuotaRate > 0 {
+	if isUnderQuota = a.hasQuota(units); isUnderQuota && a.plan.QuotaRate > 0 {
 		a.tokens -= units
 	}
 	a.recordState()
-	if u := a.currentUsage(now); u != nil {
-		u.units += units
+	if usage := a.currentUsage(now); usage != nil {
+		usage.units += units
 	}
-	return inside
+	return isUnderQuota
 }
 
 // missingQuota describes what a request over its quota lacks.
 func (a *quotaAccount) missingQuota(now time.Duration, units float64) string {
 	a.refill(now)
-	switch open := a.plan.MaxInFlight > 0 && a.inFlight >= a.plan.MaxInFlight; {
-	case !open:
+	switch isInFlightQuotaUsed := a.plan.MaxInFlight > 0 && a.inFlight >= a.plan.MaxInFlight; {
+	case !isInFlightQuotaUsed:
 		return "units"
 	case a.plan.QuotaRate == 0 || a.tokens >= units:
 		return "a place"
@@ -93,8 +93,8 @@
 	a.refill(now)
 	a.inFlight++
 	a.recordState()
-	if u := a.currentUsage(now); u != nil {
-		u.maxInFlight = max(u.maxInFlight, a.inFlight)
+	if usage := a.currentUsage(now); usage != nil {
+		usage.maxInFlight = max(usage.maxInFlight, a.inFlight)
 	}
 }
 
@@ -106,12 +106,12 @@
 }
 
 // settle charges the units that a request within the quota used beyond those charged, or refunds them.
-func (a *quotaAccount) settle(now time.Duration, more float64) {
+func (a *quotaAccount) settle(now time.Duration, difference float64) {
 	if a.plan.QuotaRate == 0 {
 		return
 	}
 	a.refill(now)
-	a.tokens = math.Min(a.plan.QuotaBurst, a.tokens-more)
+	a.tokens = math.Min(a.plan.QuotaBurst, a.tokens-difference)
 	a.recordState()
 }
 
@@ -145,17 +145,17 @@
 
 // reportedUsage returns what the meter reports of the last period that it has summed: 1 + per cent of the
 // rate, or of the in-flight quota where there is no rate; 0 is no report.
-func (a *quotaAccount) reportedUsage(now, late time.Duration) int {
+func (a *quotaAccount) reportedUsage(now, delay time.Duration) int {
 	a.currentUsage(now)
-	if a.period == 0 || now < late+a.period {
+	if a.period == 0 || now < delay+a.period {
 		return 0
 	}
-	u := a.usages[int((now-late)/a.period)-1]
+	usage := a.usages[int((now-delay)/a.period)-1]
 	switch {
 	case a.plan.QuotaRate > 0:
-		return 1 + int(math.Round(100*u.units/(a.plan.QuotaRate*a.period.Seconds())))
+		return 1 + int(math.Round(100*usage.units/(a.plan.QuotaRate*a.period.Seconds())))
 	case a.plan.MaxInFlight > 0:
-		return 1 + int(math.Round(100*float64(u.maxInFlight)/float64(a.plan.MaxInFlight)))
+		return 1 + int(math.Round(100*float64(usage.maxInFlight)/float64(a.plan.MaxInFlight)))
 	}
 	return 0
 }
--- a/internal/simulation/fleetsim/quota_day.go
+++ b/internal/simulation/fleetsim/quota_day.go
@@ -24,13 +24,13 @@
 // delay, which no node can. LateStore admits what the bucket had then, less what the same node has admitted
 // since. LateUse admits with the probability that limits what was requested then to the quota.
 const (
-	ByModule  Policy = "module"
-	LateStore Policy = "late store"
-	LateUse   Policy = "late use"
+	ByModule      Policy = "module"
+	DelayedBucket Policy = "late store"
+	DelayedUsage  Policy = "late use"
 )
 
 // Policies are all policies, in the order of reports.
-var Policies = []Policy{ByModule, LateStore, LateUse}
+var Policies = []Policy{ByModule, DelayedBucket, DelayedUsage}
 
 // QuotaOptions configure Quotas.
 type QuotaOptions struct {
@@ -110,19 +110,19 @@
 	policyDelay          time.Duration // of the policy
 	plans                []control.Plan
 	rates                []float64
-	guessCV              float64
+	estimateLogDeviation float64
 	skew                 float64
 	otherNodeFraction    float64 // of retries
 	accounts             map[*dayCustomer]*quotaAccount
-	guessedAccounts      map[*dayCustomer]*quotaAccount // charged by guesses alone
+	estimatedAccounts    map[*dayCustomer]*quotaAccount // charged by guesses alone
 	singleGateway        map[*dayCustomer]*quotaAccount // of a single gateway for all calls
-	known                map[nodeCustomer]*customerKnowledge
+	knowledgeByNode      map[nodeCustomer]*customerKnowledge
 	result               QuotaReport
 	offeredWeight        float64
 	servedWeight         float64 // within quotas
 	overQuotaPrice       float64
 	forwardedUnits       float64 // of all forwarded requests
-	excess               struct{ in, over float64 }
+	excess               struct{ underQuota, overQuota float64 }
 	policyRand           *rand.Rand // of LateUse
 	overQuotaUnits       float64
 	rejections           int
@@ -133,41 +133,41 @@
 // Quotas simulates the calm day with the customers and quotas of a deployment. The same options give the same
 // report, and all policies have the same calls.
 func Quotas(o QuotaOptions) (QuotaReport, error) {
-	f := quotaDeployments[o.World]
-	if f == nil {
+	deployment := quotaDeployments[o.World]
+	if deployment == nil {
 		return QuotaReport{}, fmt.Errorf("there is no world of quotas %q; there are %v", o.World, QuotaNames)
 	}
-	p, err := dayOf("calm")
+	script, err := dayByName("calm")
 	if err != nil {
 		return QuotaReport{}, err
 	}
-	_, rep, err := playQuotas(o, f, p)
+	_, rep, err := runQuotas(o, deployment, script)
 	return rep, err
 }
 
 // playQuotas simulates a day by its script with the quotas of a deployment.
-func playQuotas(o QuotaOptions, f *quotaDeployment, p dayPlan) (*quotaDay, QuotaReport, error) {
-	q := &quotaDay{deployment: f, policy: o.Policy, explainsAdmission: o.ExplainsAdmission && o.Policy == ByModule, accounts: map[*dayCustomer]*quotaAccount{}, singleGateway: map[*dayCustomer]*quotaAccount{}, guessedAccounts: map[*dayCustomer]*quotaAccount{}, known: map[nodeCustomer]*customerKnowledge{}}
-	r := stream(o.Seed, 3)
-	q.plans, q.rates = f.drawPlans(r)
-	q.meterDelay = time.Duration(f.meterDelay.draw(r) * float64(time.Second))
-	q.policyRand = stream(o.Seed, 4)
-	q.guessCV = f.guessCV.draw(r)
-	q.skew = f.skew.draw(r)
-	q.otherNodeFraction = f.otherNodeFraction.draw(r)
+func runQuotas(o QuotaOptions, f *quotaDeployment, script dayScript) (*quotaDay, QuotaReport, error) {
+	q := &quotaDay{deployment: f, policy: o.Policy, explainsAdmission: o.ExplainsAdmission && o.Policy == ByModule, accounts: map[*dayCustomer]*quotaAccount{}, singleGateway: map[*dayCustomer]*quotaAccount{}, estimatedAccounts: map[*dayCustomer]*quotaAccount{}, knowledgeByNode: map[nodeCustomer]*customerKnowledge{}}
+	rng := newRand(o.Seed, 3)
+	q.plans, q.rates = f.drawPlans(rng)
+	q.meterDelay = time.Duration(f.meterDelay.draw(rng) * float64(time.Second))
+	q.policyRand = newRand(o.Seed, 4)
+	q.estimateLogDeviation = f.estimateLogDeviation.draw(rng)
+	q.skew = f.skew.draw(rng)
+	q.otherNodeFraction = f.otherNodeFraction.draw(rng)
 	if q.policyDelay = o.PolicyDelay; o.PolicyDelay < 0 {
 		if q.policyDelay = f.meterPeriod + q.meterDelay; f.meterPeriod == 0 {
 			q.policyDelay = 2 * time.Second
 		}
 	}
-	p.quotas = q
-	day, err := play(DayOptions{Day: "calm", Instances: o.Instances, Duration: o.Duration, Load: o.Load, Seed: o.Seed, observe: o.observe}, p)
+	script.quotas = q
+	day, err := runDay(DayOptions{Day: "calm", Instances: o.Instances, Duration: o.Duration, Load: o.Load, Seed: o.Seed, observe: o.observe}, script)
 	if err != nil {
 		return nil, QuotaReport{}, err
 	}
-	rep := q.report(day)
-	rep.World, rep.Policy = o.World, o.Policy
-	return q, rep, nil
+	quotaReport := q.report(day)
+	quotaReport.World, quotaReport.Policy = o.World, o.Policy
+	return q, quotaReport, nil
 }
 
 // settings changes the settings of the nodes.
@@ -177,7 +177,7 @@
 	}
 	s.Plans = append([]control.Plan(nil), q.plans...)
 	s.MeterPeriod = q.deployment.meterPeriod
-	s.UnitsInResponse = q.deployment.units == guessed
+	s.UnitsInResponse = q.deployment.units == estimated
 	s.MaxUnits = q.deployment.maxUnits
 	if q.policy != ByModule { // the module then has no quota and no meter
 		s.MeterPeriod = 0
@@ -192,39 +192,39 @@
 // drawCustomers draws customers of each plan until their load is its share.
 func (q *quotaDay) drawCustomers(w *world) {
 	q.world = w
-	inside := quotaOfferedFraction * float64(len(w.hosts)) * dayCores / dayWork
-	cost := q.deployment.meanCost()
+	targetRate := quotaOfferedFraction * float64(len(w.hosts)) * dayCores / dayWork
+	meanUnits := q.deployment.meanActualUnits()
 	r := w.clientRand
 	full, heavy, spiky := q.deployment.full.draw(r), q.deployment.heavy.draw(r), q.deployment.spiky.draw(r)
-	n := 0
-	for p, terms := range q.deployment.plans {
-		rate := q.rates[p] / cost
-		for offered := 0.0; offered < terms.share*inside; n++ {
-			d := &demand{rng: stream(w.options.Seed, uint64(1000+n)), kind: calmKind, usualRate: q.deployment.usageFraction.draw(r)}
-			part := d.usualRate
-			switch x := r.Float64(); {
-			case x < full:
+	number := 0
+	for planIndex, terms := range q.deployment.plans {
+		rate := q.rates[planIndex] / meanUnits
+		for offered := 0.0; offered < terms.share*targetRate; number++ {
+			d := &demand{rng: newRand(w.options.Seed, uint64(1000+number)), kind: calmKind, usualRate: q.deployment.usageFraction.draw(r)}
+			offeredFraction := d.usualRate
+			switch sample := r.Float64(); {
+			case sample < full:
 				d.kind, d.usualRate = fullKind, 0.95
-				part = d.usualRate
-			case x < full+heavy:
+				offeredFraction = d.usualRate
+			case sample < full+heavy:
 				d.kind, d.usualRate = heavyKind, q.deployment.heavyMultiple.draw(r)
-				part = 1
-			case x < full+heavy+spiky:
+				offeredFraction = 1
+			case sample < full+heavy+spiky:
 				d.kind, d.spikeRate = spikyKind, q.deployment.spikeMultiple.draw(r)
 				for at := q.deployment.spikeInterval.draw(r) * r.Float64(); at < w.options.Duration.Seconds(); at += q.deployment.spikeInterval.draw(r) {
-					ends := at + q.deployment.spikeDuration.draw(r)
-					d.spikes = append(d.spikes, [2]time.Duration{seconds(at), seconds(ends)})
+					endsAt := at + q.deployment.spikeDuration.draw(r)
+					d.spikes = append(d.spikes, [2]time.Duration{seconds(at), seconds(endsAt)})
 				}
 			}
-			offered += part * rate
+			offered += offeredFraction * rate
 			d.usualRate, d.spikeRate = d.usualRate*rate, d.spikeRate*rate
-			c := &dayCustomer{name: fmt.Sprintf("q%d", n), plan: p, firstNode: r.IntN(w.options.Instances), fanOut: q.drawFanOut(&q.plans[p], terms, r), demand: d}
-			w.drawnCustomers = append(w.drawnCustomers, c)
-			q.accounts[c] = newQuotaAccount(&q.plans[p], q.deployment.meterPeriod)
-			q.singleGateway[c] = newQuotaAccount(&q.plans[p], 0)
-			q.guessedAccounts[c] = newQuotaAccount(&q.plans[p], 0)
-			q.shiftWeights(c)
-			w.At(200*time.Millisecond, func() { q.arrive(c) })
+			customer := &dayCustomer{name: fmt.Sprintf("q%d", number), plan: planIndex, firstNode: r.IntN(w.options.Instances), fanOut: q.drawFanOut(&q.plans[planIndex], terms, r), demand: d}
+			w.drawnCustomers = append(w.drawnCustomers, customer)
+			q.accounts[customer] = newQuotaAccount(&q.plans[planIndex], q.deployment.meterPeriod)
+			q.singleGateway[customer] = newQuotaAccount(&q.plans[planIndex], 0)
+			q.estimatedAccounts[customer] = newQuotaAccount(&q.plans[planIndex], 0)
+			q.shiftWeights(customer)
+			w.At(200*time.Millisecond, func() { q.arrive(customer) })
 		}
 	}
 	w.arrivalRate = w.options.Load
@@ -234,49 +234,49 @@
 
 // drawFanOut draws the number of a customer's nodes: at least two, and with a hard limit at most so many that
 // each can forward two of the largest requests at once.
-func (q *quotaDay) drawFanOut(p *control.Plan, t quotaPlan, r *rand.Rand) int {
-	n := t.fanOut.draw(r) * float64(q.world.options.Instances)
-	if p.HardLimitRate > 0 {
-		n = math.Min(n, p.HardLimitBurst/(2*q.deployment.maxUnits))
+func (q *quotaDay) drawFanOut(plan *control.Plan, ranges quotaPlan, rng *rand.Rand) int {
+	n := ranges.fanOut.draw(rng) * float64(q.world.options.Instances)
+	if plan.HardLimitRate > 0 {
+		n = math.Min(n, plan.HardLimitBurst/(2*q.deployment.maxUnits))
 	}
 	return min(max(int(n), 2), q.world.options.Instances)
 }
 
-func (q *quotaDay) shiftWeights(c *dayCustomer) {
-	c.demand.drawWeights(q.skew, c.fanOut)
-	q.world.After(seconds(q.deployment.shiftInterval.draw(c.demand.rng)), func() { q.shiftWeights(c) })
+func (q *quotaDay) shiftWeights(customer *dayCustomer) {
+	customer.demand.drawWeights(q.skew, customer.fanOut)
+	q.world.After(seconds(q.deployment.shiftInterval.draw(customer.demand.rng)), func() { q.shiftWeights(customer) })
 }
 
 // arrive starts a customer's calls: arrivals at the largest rate are thinned to the current rate.
-func (q *quotaDay) arrive(c *dayCustomer) {
-	w, d := q.world, c.demand
+func (q *quotaDay) arrive(customer *dayCustomer) {
+	w, d := q.world, customer.demand
 	if w.Now() >= w.options.Duration {
 		return
 	}
 	maxRate := math.Max(d.usualRate, d.spikeRate) * maxScriptedBurst * w.options.Load
 	if rate, _ := d.rateAt(w.Now()); d.rng.Float64()*maxRate < rate*w.arrivalRate {
-		q.startCall(c)
+		q.startCall(customer)
 	}
-	w.After(seconds(d.rng.ExpFloat64()/maxRate), func() { q.arrive(c) })
+	w.After(seconds(d.rng.ExpFloat64()/maxRate), func() { q.arrive(customer) })
 }
 
 // startCall starts a call, which the single gateway decides on too.
 func (q *quotaDay) startCall(cust *dayCustomer) {
 	w, d := q.world, cust.demand
 	c := &call{arrivedAt: w.Now(), customer: cust, class: d.rng.IntN(2)}
-	c.units, c.actualUnits = q.deployment.drawUnits(c.class, q.guessCV, d.rng)
+	c.units, c.actualUnits = q.deployment.drawUnits(c.class, q.estimateLogDeviation, d.rng)
 	p := &q.plans[cust.plan]
 	c.weight = w.rules.Classes[c.class].PriorityWeight * p.Price * c.actualUnits
-	one, duration := q.singleGateway[cust], seconds(dayWork*d.rng.ExpFloat64())
-	if c.isUnderQuota = one.charge(w.Now(), c.units); c.isUnderQuota {
-		one.settle(w.Now(), c.actualUnits-c.units)
-		one.beginAttempt(w.Now())
-		w.After(duration, func() { one.endAttempt(w.Now()) })
+	account, duration := q.singleGateway[cust], seconds(dayWork*d.rng.ExpFloat64())
+	if c.isUnderQuota = account.charge(w.Now(), c.units); c.isUnderQuota {
+		account.settle(w.Now(), c.actualUnits-c.units)
+		account.beginAttempt(w.Now())
+		w.After(duration, func() { account.endAttempt(w.Now()) })
 		w.countWeight(c, c.weight, 0)
 		q.offeredWeight += c.weight
-		q.excess.in += c.units
+		q.excess.underQuota += c.units
 	} else {
-		q.excess.over += c.units
+		q.excess.overQuota += c.units
 	}
 	c.node = (cust.firstNode + d.chooseNode(d.rng)) % len(w.nodes)
 	w.result.Calls++
@@ -284,7 +284,7 @@
 }
 
 // nodeFor returns the node that a request arrives at; that of a retry is mostly the one before.
-func (q *quotaDay) nodeFor(c *call) int {
+func (q *quotaDay) chooseRequestNode(c *call) int {
 	if c.requests > 0 && q.world.clientRand.Float64() < q.otherNodeFraction {
 		c.node = (c.customer.firstNode + c.customer.demand.chooseNode(q.world.clientRand)) % len(q.world.nodes)
 	}
@@ -292,10 +292,10 @@
 }
 
 // Add adds the counts of another cell, and its fractions divided by n.
-func (c *Cell) Add(o *Cell, n float64) {
-	c.Requests += o.Requests
-	c.Rejections += o.Rejections
-	c.RejectedWithCapacity += o.RejectedWithCapacity
-	c.ForwardedUnits, c.OverQuotaUnits = c.ForwardedUnits+o.ForwardedUnits, c.OverQuotaUnits+o.OverQuotaUnits
-	c.OverQuotaPrice, c.OfferedWeight = c.OverQuotaPrice+o.OverQuotaPrice/n, c.OfferedWeight+o.OfferedWeight/n
+func (c *Cell) Add(other *Cell, divisor float64) {
+	c.Requests += other.Requests
+	c.Rejections += other.Rejections
+	c.RejectedWithCapacity += other.RejectedWithCapacity
+	c.ForwardedUnits, c.OverQuotaUnits = c.ForwardedUnits+other.ForwardedUnits, c.OverQuotaUnits+other.OverQuotaUnits
+	c.OverQuotaPrice, c.OfferedWeight = c.OverQuotaPrice+other.OverQuotaPrice/divisor, c.OfferedWeight+other.OfferedWeight/divisor
 }
--- a/internal/simulation/fleetsim/quota_judge.go
+++ b/internal/simulation/fleetsim/quota_judge.go
@@ -15,38 +15,38 @@
 
 const nodeStartPeriod = 5 * time.Second
 
-func (q *quotaDay) knownAt(i int, c *dayCustomer) *customerKnowledge {
-	k := q.known[nodeCustomer{i, c}]
-	if k == nil {
-		k = &customerKnowledge{}
-		q.known[nodeCustomer{i, c}] = k
+func (q *quotaDay) knowledgeOf(instance int, customer *dayCustomer) *customerKnowledge {
+	knowledge := q.knowledgeByNode[nodeCustomer{instance, customer}]
+	if knowledge == nil {
+		knowledge = &customerKnowledge{}
+		q.knowledgeByNode[nodeCustomer{instance, customer}] = knowledge
 	}
-	return k
+	return knowledge
 }
 
 // cellOf returns the cell of a sort and value.
-func (q *quotaDay) cellOf(sort, name string) *Cell {
+func (q *quotaDay) cellOf(dimension, value string) *Cell {
 	if q.result.Cells == nil {
 		q.result.Cells = map[string]map[string]*Cell{}
 	}
-	if q.result.Cells[sort] == nil {
-		q.result.Cells[sort] = map[string]*Cell{}
+	if q.result.Cells[dimension] == nil {
+		q.result.Cells[dimension] = map[string]*Cell{}
 	}
-	c := q.result.Cells[sort][name]
-	if c == nil {
-		c = &Cell{}
-		q.result.Cells[sort][name] = c
+	cell := q.result.Cells[dimension][value]
+	if cell == nil {
+		cell = &Cell{}
+		q.result.Cells[dimension][value] = cell
 	}
-	return c
+	return cell
 }
 
 // cellsOf returns the cells that count a request at its arrival.
-func (q *quotaDay) cellsOf(t *clientRequest, k *customerKnowledge) []*Cell {
-	now, c := q.world.Now(), t.call.customer
+func (q *quotaDay) cellsOf(request *clientRequest, k *customerKnowledge) []*Cell {
+	now, c := q.world.Now(), request.call.customer
 	_, pattern := c.demand.rateAt(now)
 	knowledge := k.describe(now)
 	attempt := "first"
-	if t.call.requests > 1 {
+	if request.call.requests > 1 {
 		attempt = "repeat"
 	}
 	age := "older"
@@ -87,59 +87,59 @@
 }
 
 // admitRequest sorts a request that arrives at a node, and tells whether the policy passes it to the module.
-func (q *quotaDay) admitRequest(i int, t *clientRequest) bool {
+func (q *quotaDay) admitRequest(instance int, request *clientRequest) bool {
 	if q == nil {
 		return true
 	}
-	now, c := q.world.Now(), t.call.customer
-	k := q.knownAt(i, c)
-	t.cells = q.cellsOf(t, k)
-	for _, one := range t.cells {
-		one.Requests++
+	now, c := q.world.Now(), request.call.customer
+	knowledge := q.knowledgeOf(instance, c)
+	request.cells = q.cellsOf(request, knowledge)
+	for _, cell := range request.cells {
+		cell.Requests++
 	}
-	if c := t.call; c.requests == 1 && c.isUnderQuota {
-		for _, one := range t.cells {
-			one.OfferedWeight += c.weight
+	if c := request.call; c.requests == 1 && c.isUnderQuota {
+		for _, cell := range request.cells {
+			cell.OfferedWeight += c.weight
 		}
 	}
-	if q.explainsAdmission && k.hasReading {
-		t.admissionRemainder, t.hasReading = q.admissionRemainder(i, c), true
+	if q.explainsAdmission && knowledge.hasReading {
+		request.admissionRemainder, request.hasReading = q.admissionRemainder(instance, c), true
 	}
 	isAdmitted := true
 	switch q.policy {
-	case LateStore:
-		if isAdmitted = q.hasUnusedQuota(now, k, c, t.call.units); isAdmitted {
-			k.admissions = append(k.admissions, admission{t.id, now, t.call.units})
+	case DelayedBucket:
+		if isAdmitted = q.hasUnusedQuota(now, knowledge, c, request.call.units); isAdmitted {
+			knowledge.admissions = append(knowledge.admissions, admission{request.id, now, request.call.units})
 		}
-	case LateUse:
-		isAdmitted = q.policyRand.Float64() < q.admissionProbability(now, c, t.call.units)
+	case DelayedUsage:
+		isAdmitted = q.policyRand.Float64() < q.admissionProbability(now, c, request.call.units)
 	}
-	q.accounts[c].recordRequest(now, t.call.units)
-	t.rejectionCause = control.CauseQuota
+	q.accounts[c].recordRequest(now, request.call.units)
+	request.rejectionCause = control.CauseQuota
 	return isAdmitted
 }
 
 // hasUnusedQuota tells whether the true quota before the policy's delay, less what this node has admitted since,
 // suffices for a request.
-func (q *quotaDay) hasUnusedQuota(now time.Duration, k *customerKnowledge, c *dayCustomer, units float64) bool {
-	was, plan := q.accounts[c].stateAt(now-q.policyDelay), &q.plans[c.plan]
-	for len(k.admissions) > 0 && k.admissions[0].at < now-q.policyDelay {
-		k.admissions = k.admissions[1:]
+func (q *quotaDay) hasUnusedQuota(now time.Duration, knowledge *customerKnowledge, customer *dayCustomer, units float64) bool {
+	state, plan := q.accounts[customer].stateAt(now-q.policyDelay), &q.plans[customer.plan]
+	for len(knowledge.admissions) > 0 && knowledge.admissions[0].at < now-q.policyDelay {
+		knowledge.admissions = knowledge.admissions[1:]
 	}
-	for _, g := range k.admissions {
-		was.tokens -= g.units
-		was.inFlight++
+	for _, admission := range knowledge.admissions {
+		state.tokens -= admission.units
+		state.inFlight++
 	}
-	return (plan.QuotaRate == 0 || was.tokens >= units) && (plan.MaxInFlight == 0 || was.inFlight < plan.MaxInFlight)
+	return (plan.QuotaRate == 0 || state.tokens >= units) && (plan.MaxInFlight == 0 || state.inFlight < plan.MaxInFlight)
 }
 
 // admissionRemainder returns the remainder of the module's error diffusion for a customer at a node, which each
 // probabilistic admission changes; -1 is none.
-func (q *quotaDay) admissionRemainder(i int, c *dayCustomer) float64 {
+func (q *quotaDay) admissionRemainder(instance int, c *dayCustomer) float64 {
 	key := q.plans[c.plan].Name + " " + c.name
-	for _, one := range q.world.nodes[i].controller.Image().Customers {
-		if one.Key == key {
-			return one.AdmissionRemainder
+	for _, image := range q.world.nodes[instance].controller.Image().Customers {
+		if image.Key == key {
+			return image.AdmissionRemainder
 		}
 	}
 	return -1
@@ -147,11 +147,11 @@
 
 // admissionReason describes by what a request was admitted. One that has waited counts as admitted by
 // probability if another of its customer was meanwhile.
-func (q *quotaDay) admissionReason(i int, t *clientRequest) string {
+func (q *quotaDay) admissionReason(instance int, request *clientRequest) string {
 	switch {
-	case !t.hasReading:
+	case !request.hasReading:
 		return "not read here"
-	case math.Abs(q.admissionRemainder(i, t.call.customer)-t.admissionRemainder) < epsilon:
+	case math.Abs(q.admissionRemainder(instance, request.call.customer)-request.admissionRemainder) < epsilon:
 		return "by the store, or at no chance"
 	}
 	return "by chance"
@@ -159,70 +159,70 @@
 
 // admissionProbability returns the probability that limits what was requested before the delay to the rate and
 // the bucket over twice the delay, and to half of the in-flight quota.
-func (q *quotaDay) admissionProbability(now time.Duration, c *dayCustomer, units float64) float64 {
-	plan, span := &q.plans[c.plan], max(q.policyDelay, 500*time.Millisecond)
-	was := q.accounts[c].stateAt(now - q.policyDelay)
-	before := q.accounts[c].stateAt(now - q.policyDelay - span)
-	offered, tries := (was.offered-before.offered)/span.Seconds(), float64(was.requests-before.requests)/span.Seconds()
-	p := 1.0
+func (q *quotaDay) admissionProbability(now time.Duration, customer *dayCustomer, units float64) float64 {
+	plan, span := &q.plans[customer.plan], max(q.policyDelay, 500*time.Millisecond)
+	state := q.accounts[customer].stateAt(now - q.policyDelay)
+	earlier := q.accounts[customer].stateAt(now - q.policyDelay - span)
+	offered, requestRate := (state.offered-earlier.offered)/span.Seconds(), float64(state.requests-earlier.requests)/span.Seconds()
+	probability := 1.0
 	if plan.QuotaRate > 0 {
-		p = math.Max(0, plan.QuotaRate+(was.tokens-units)/(2*span.Seconds())) / math.Max(epsilon, offered)
+		probability = math.Max(0, plan.QuotaRate+(state.tokens-units)/(2*span.Seconds())) / math.Max(epsilon, offered)
 	}
 	if plan.MaxInFlight > 0 {
-		p = math.Min(p, 0.5*float64(plan.MaxInFlight)/math.Max(epsilon, tries*dayWork))
+		probability = math.Min(probability, 0.5*float64(plan.MaxInFlight)/math.Max(epsilon, requestRate*dayWork))
 	}
-	return p
+	return probability
 }
 
 // recordForwarded records an attempt that has arrived completely at a server, and charges the first of a request.
-func (q *quotaDay) recordForwarded(i int, t *clientRequest) {
+func (q *quotaDay) recordForwarded(instance int, request *clientRequest) {
 	if q == nil {
 		return
 	}
-	now, c, p := q.world.Now(), t.call, &q.plans[t.call.customer.plan]
-	l := q.accounts[c.customer]
-	if !t.isForwarded {
-		t.isForwarded, c.isForwarded = true, true
-		lacks := l.missingQuota(now, c.units)
-		t.isUnderQuota = l.charge(now, c.units)
-		rough := "beyond too"
-		if q.guessedAccounts[c.customer].charge(now, c.units) {
-			rough = "inside without settling"
+	now, c, p := q.world.Now(), request.call, &q.plans[request.call.customer.plan]
+	account := q.accounts[c.customer]
+	if !request.isForwarded {
+		request.isForwarded, c.isForwarded = true, true
+		missing := account.missingQuota(now, c.units)
+		request.isUnderQuota = account.charge(now, c.units)
+		estimateOutcome := "beyond too"
+		if q.estimatedAccounts[c.customer].charge(now, c.units) {
+			estimateOutcome = "inside without settling"
 		}
-		q.knownAt(i, c.customer).hasForwarded = true
+		q.knowledgeOf(instance, c.customer).hasForwarded = true
 		q.forwardedUnits += c.units
-		if !t.isUnderQuota {
+		if !request.isUnderQuota {
 			q.overQuotaPrice += p.OverQuotaCost * c.weight
 			q.overQuotaUnits += c.units
-			t.cells = append(t.cells, q.cellOf("lacks", lacks), q.cellOf("guesses", rough))
+			request.cells = append(request.cells, q.cellOf("lacks", missing), q.cellOf("guesses", estimateOutcome))
 		}
 		if q.explainsAdmission {
-			t.cells = append(t.cells, q.cellOf("let in", q.admissionReason(i, t)))
+			request.cells = append(request.cells, q.cellOf("let in", q.admissionReason(instance, request)))
 		}
-		for _, one := range t.cells {
-			if one.ForwardedUnits += c.units; !t.isUnderQuota {
-				one.OverQuotaUnits += c.units
-				one.OverQuotaPrice += p.OverQuotaCost * c.weight
+		for _, cell := range request.cells {
+			if cell.ForwardedUnits += c.units; !request.isUnderQuota {
+				cell.OverQuotaUnits += c.units
+				cell.OverQuotaPrice += p.OverQuotaCost * c.weight
 			}
 		}
 	}
-	l.beginAttempt(now)
-	q.guessedAccounts[c.customer].beginAttempt(now)
+	account.beginAttempt(now)
+	q.estimatedAccounts[c.customer].beginAttempt(now)
 }
 
-func (q *quotaDay) endAttempt(c *dayCustomer) {
+func (q *quotaDay) endAttempt(customer *dayCustomer) {
 	if q != nil {
-		q.accounts[c].endAttempt(q.world.Now())
-		q.guessedAccounts[c].endAttempt(q.world.Now())
+		q.accounts[customer].endAttempt(q.world.Now())
+		q.estimatedAccounts[customer].endAttempt(q.world.Now())
 	}
 }
 
 // recordServed records a request that was served.
-func (q *quotaDay) recordServed(t *clientRequest) {
-	if q == nil || !t.isUnderQuota {
+func (q *quotaDay) recordServed(request *clientRequest) {
+	if q == nil || !request.isUnderQuota {
 		return
 	}
-	c, k := t.call, &q.world.rules.Classes[t.call.class]
+	c, k := request.call, &q.world.rules.Classes[request.call.class]
 	q.accounts[c.customer].settle(q.world.Now(), c.actualUnits-c.units)
 	if c.isServed {
 		return
@@ -235,33 +235,33 @@
 }
 
 // recordRejection records a request that was rejected.
-func (q *quotaDay) recordRejection(i int, t *clientRequest) {
+func (q *quotaDay) recordRejection(instance int, request *clientRequest) {
 	if q == nil {
 		return
 	}
 	q.rejections++
-	k := q.knownAt(i, t.call.customer)
-	for n, g := range k.admissions {
-		if g.id == t.id {
-			k.admissions = append(k.admissions[:n:n], k.admissions[n+1:]...)
+	knowledge := q.knowledgeOf(instance, request.call.customer)
+	for n, admission := range knowledge.admissions {
+		if admission.id == request.id {
+			knowledge.admissions = append(knowledge.admissions[:n:n], knowledge.admissions[n+1:]...)
 			break
 		}
 	}
-	hasCapacity := q.accounts[t.call.customer].hasCapacity(q.world.Now())
-	cells := append(t.cells[:len(t.cells):len(t.cells)], q.cellOf("refused", t.rejectionCause.String()))
-	for _, one := range cells {
-		if one.Rejections++; hasCapacity {
-			one.RejectedWithCapacity++
+	hasCapacity := q.accounts[request.call.customer].hasCapacity(q.world.Now())
+	cells := append(request.cells[:len(request.cells):len(request.cells)], q.cellOf("refused", request.rejectionCause.String()))
+	for _, cell := range cells {
+		if cell.Rejections++; hasCapacity {
+			cell.RejectedWithCapacity++
 		}
 	}
 	if !hasCapacity {
 		return
 	}
-	if q.rejectedWithCapacity++; !t.call.rejectedWithCapacity {
-		t.call.rejectedWithCapacity = true
+	if q.rejectedWithCapacity++; !request.call.rejectedWithCapacity {
+		request.call.rejectedWithCapacity = true
 		q.calls.rejectedWithCapacity++
 		q.world.At(q.world.options.Duration+dayDeadline, func() {
-			if !t.call.isForwarded {
+			if !request.call.isForwarded {
 				q.calls.lost++
 			}
 		})
@@ -269,16 +269,16 @@
 }
 
 // reportedUsage returns the quota usage that a response reports to a node.
-func (q *quotaDay) reportedUsage(i int, c *dayCustomer) int {
+func (q *quotaDay) reportedUsage(instance int, customer *dayCustomer) int {
 	if q.policy != ByModule {
 		return 0
 	}
-	used := q.accounts[c].reportedUsage(q.world.Now(), q.meterDelay)
-	if used > 0 {
-		k := q.knownAt(i, c)
-		k.hasReading, k.lastReading = true, q.world.Now()
+	usage := q.accounts[customer].reportedUsage(q.world.Now(), q.meterDelay)
+	if usage > 0 {
+		knowledge := q.knowledgeOf(instance, customer)
+		knowledge.hasReading, knowledge.lastReading = true, q.world.Now()
 	}
-	return used
+	return usage
 }
 
 func (q *quotaDay) report(day DayReport) QuotaReport {
@@ -293,17 +293,17 @@
 	} else if q.deployment.meterPeriod == 0 {
 		r.DelaySeconds = 0
 	}
-	per := func(n int, of int) float64 { return float64(n) / math.Max(1, float64(of)) }
+	fraction := func(n int, total int) float64 { return float64(n) / math.Max(1, float64(total)) }
 	r.Served = q.servedWeight / math.Max(1, q.offeredWeight)
 	r.OverQuotaPrice = q.overQuotaPrice / math.Max(1, q.offeredWeight)
 	r.OverQuotaFraction = q.overQuotaUnits / math.Max(1, q.forwardedUnits)
-	r.Excess = q.excess.over / math.Max(1, q.excess.in)
-	r.RejectedFraction, r.RequestsRejectedWithCapacity = per(q.rejections, r.Requests), per(q.rejectedWithCapacity, r.Requests)
-	r.CallsRejectedWithCapacity, r.CallsLostWithCapacity = per(q.calls.rejectedWithCapacity, r.Calls), per(q.calls.lost, r.Calls)
-	for _, sort := range r.Cells {
-		for _, c := range sort {
-			c.OverQuotaPrice /= math.Max(epsilon, q.overQuotaPrice)
-			c.OfferedWeight /= math.Max(epsilon, q.offeredWeight)
+	r.Excess = q.excess.overQuota / math.Max(1, q.excess.underQuota)
+	r.RejectedFraction, r.RequestsRejectedWithCapacity = fraction(q.rejections, r.Requests), fraction(q.rejectedWithCapacity, r.Requests)
+	r.CallsRejectedWithCapacity, r.CallsLostWithCapacity = fraction(q.calls.rejectedWithCapacity, r.Calls), fraction(q.calls.lost, r.Calls)
+	for _, cells := range r.Cells {
+		for _, cell := range cells {
+			cell.OverQuotaPrice /= math.Max(epsilon, q.overQuotaPrice)
+			cell.OfferedWeight /= math.Max(epsilon, q.offeredWeight)
 		}
 	}
 	return r
--- a/internal/simulation/fleetsim/quota_test.go
+++ b/internal/simulation/fleetsim/quota_test.go
@@ -9,7 +9,7 @@
 	"lockflow/control"
 )
 
-func quotas(t *testing.T, o QuotaOptions) QuotaReport {
+func runQuotasOrFail(t *testing.T, o QuotaOptions) QuotaReport {
 	t.Helper()
 	r, err := Quotas(o)
 	if err != nil {
@@ -19,49 +19,49 @@
 }
 
 // A history made by hand has the price, the refusals with room and the readings that follow from the terms.
-func TestQuotasAreBooked(t *testing.T) {
+func TestQuotaAccounting(t *testing.T) {
 	const s = time.Second
 	w := &world{rules: control.Settings{Classes: []control.Class{{LatencyObjective: 3 * s, LateWeightFraction: 0.5}}}}
 	cust := &dayCustomer{name: "c", fanOut: 1, demand: &demand{kind: calmKind}}
 	q := &quotaDay{
-		world: w, policy: ByModule, deployment: &quotaDeployment{units: guessed, meterPeriod: s}, meterDelay: s / 2, known: map[nodeCustomer]*customerKnowledge{}, offeredWeight: 100,
+		world: w, policy: ByModule, deployment: &quotaDeployment{units: estimated, meterPeriod: s}, meterDelay: s / 2, knowledgeByNode: map[nodeCustomer]*customerKnowledge{}, offeredWeight: 100,
 		plans: []control.Plan{{Name: "p", QuotaRate: 2, QuotaBurst: 4, MaxInFlight: 2, OverQuotaCost: 0.5}},
 	}
 	q.accounts = map[*dayCustomer]*quotaAccount{cust: newQuotaAccount(&q.plans[0], s)}
-	q.guessedAccounts = map[*dayCustomer]*quotaAccount{cust: newQuotaAccount(&q.plans[0], 0)}
-	tried := func(at time.Duration, units, cost, worth float64) *clientRequest {
-		tr := &clientRequest{call: &call{arrivedAt: at, customer: cust, units: units, actualUnits: cost, weight: worth, requests: 1}}
+	q.estimatedAccounts = map[*dayCustomer]*quotaAccount{cust: newQuotaAccount(&q.plans[0], 0)}
+	arrives := func(at time.Duration, units, trueUnits, callWeight float64) *clientRequest {
+		request := &clientRequest{call: &call{arrivedAt: at, customer: cust, units: units, actualUnits: trueUnits, weight: callWeight, requests: 1}}
 		w.At(at, func() {
-			q.admitRequest(0, tr)
-			q.recordForwarded(0, tr)
+			q.admitRequest(0, request)
+			q.recordForwarded(0, request)
 		})
-		return tr
+		return request
 	}
-	ends := func(at time.Duration, tr *clientRequest) {
+	ends := func(at time.Duration, request *clientRequest) {
 		w.At(at, func() {
 			q.endAttempt(cust)
-			q.recordServed(tr)
-			tr.call.isServed = true
+			q.recordServed(request)
+			request.call.isServed = true
 		})
 	}
 	for _, tc := range []struct {
-		at                 time.Duration
-		units, cost, worth float64
-		ends               time.Duration
-		inside             bool
+		at                           time.Duration
+		units, trueUnits, callWeight float64
+		ends                         time.Duration
+		wantUnderQuota               bool
 	}{
-		{at: 0, units: 3, cost: 3, worth: 20, ends: 3 * s / 2, inside: true},       // 4 are there, 1 is left
-		{at: s / 2, units: 3, cost: 3, worth: 40, ends: 3 * s / 4, inside: false},  // 2 are there: it takes nothing
-		{at: s, units: 3, cost: 4, worth: 10, ends: 5 * s / 4, inside: true},       // 3 are there; it turns out to be 4
-		{at: 7 * s / 4, units: 1, cost: 1, worth: 30, ends: 9 * s, inside: false},  // 0.5 is there, not 1.5
-		{at: 5 * s, units: 1, cost: 1, worth: 10, ends: 9 * s, inside: true},       // full; the second attempt out
-		{at: 51 * s / 10, units: 1, cost: 1, worth: 6, ends: 9 * s, inside: false}, // a third
+		{at: 0, units: 3, trueUnits: 3, callWeight: 20, ends: 3 * s / 2, wantUnderQuota: true},       // 4 are there, 1 is left
+		{at: s / 2, units: 3, trueUnits: 3, callWeight: 40, ends: 3 * s / 4, wantUnderQuota: false},  // 2 are there: it takes nothing
+		{at: s, units: 3, trueUnits: 4, callWeight: 10, ends: 5 * s / 4, wantUnderQuota: true},       // 3 are there; it turns out to be 4
+		{at: 7 * s / 4, units: 1, trueUnits: 1, callWeight: 30, ends: 9 * s, wantUnderQuota: false},  // 0.5 is there, not 1.5
+		{at: 5 * s, units: 1, trueUnits: 1, callWeight: 10, ends: 9 * s, wantUnderQuota: true},       // full; the second attempt out
+		{at: 51 * s / 10, units: 1, trueUnits: 1, callWeight: 6, ends: 9 * s, wantUnderQuota: false}, // a third
 	} {
-		tr := tried(tc.at, tc.units, tc.cost, tc.worth)
-		ends(tc.ends, tr)
+		request := arrives(tc.at, tc.units, tc.trueUnits, tc.callWeight)
+		ends(tc.ends, request)
 		w.At(tc.at+1, func() {
-			if tr.isUnderQuota != tc.inside {
-				t.Errorf("at %v: inside is %v", tc.at, tr.isUnderQuota)
+			if request.isUnderQuota != tc.wantUnderQuota {
+				t.Errorf("at %v: inside is %v", tc.at, request.isUnderQuota)
 			}
 		})
 	}
@@ -82,7 +82,7 @@
 	if math.Abs(r.OverQuotaPrice-want) > 1e-9 || math.Abs(r.OverQuotaFraction-5.0/12) > 1e-9 || r.RejectedFraction != 0.3 || r.RequestsRejectedWithCapacity != 0.2 || r.CallsRejectedWithCapacity != 1.0/6 {
 		t.Errorf("%+v", r)
 	}
-	if worth := 20 + 10 + 0.5*10; r.Served != worth/100 { // the last came after its aim
+	if callWeight := 20 + 10 + 0.5*10; r.Served != callWeight/100 { // the last came after its aim
 		t.Errorf("served %v", r.Served)
 	}
 	if c := r.Cells["lacks"]; c["units"].OverQuotaUnits != 4 || c["a place"].OverQuotaUnits != 1 || r.Cells["refused"]["by_chance"].RejectedWithCapacity != 2 {
@@ -95,25 +95,25 @@
 
 // A policy that sees the true store at once lets next to nothing through beyond quotas, in every world: what
 // waits for a turn while others come. One that sees it late lets more through. All see the same first tries.
-func TestSeeingAtOnceCostsNothing(t *testing.T) {
+func TestUndelayedBucketPolicyCostsLittle(t *testing.T) {
 	for _, name := range QuotaNames {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			o := QuotaOptions{World: name, Policy: LateStore, Instances: 12, Duration: 10 * time.Second, Seed: 3}
-			now := quotas(t, o)
-			if o.PolicyDelay = -1; now.OverQuotaPrice > 0.05 || now.Served < 0.8 || len(now.Broken) > 0 {
-				t.Errorf("at once: %+v", now)
+			o := QuotaOptions{World: name, Policy: DelayedBucket, Instances: 12, Duration: 10 * time.Second, Seed: 3}
+			undelayed := runQuotasOrFail(t, o)
+			if o.PolicyDelay = -1; undelayed.OverQuotaPrice > 0.05 || undelayed.Served < 0.8 || len(undelayed.Broken) > 0 {
+				t.Errorf("at once: %+v", undelayed)
 			}
-			if late := quotas(t, o); late.Calls != now.Calls || late.OverQuotaPrice < now.OverQuotaPrice+0.01 {
-				t.Errorf("late: %+v", late)
+			if delayed := runQuotasOrFail(t, o); delayed.Calls != undelayed.Calls || delayed.OverQuotaPrice < undelayed.OverQuotaPrice+0.01 {
+				t.Errorf("late: %+v", delayed)
 			}
 			o.Policy = ByModule
-			r := quotas(t, o)
-			if r.Calls != now.Calls || r.Served < 0.6 || r.OverQuotaPrice <= 0 || len(r.Broken) > 0 {
+			r := runQuotasOrFail(t, o)
+			if r.Calls != undelayed.Calls || r.Served < 0.6 || r.OverQuotaPrice <= 0 || len(r.Broken) > 0 {
 				t.Errorf("module: %+v", r)
 			}
-			if again := quotas(t, o); !reflect.DeepEqual(r, again) {
-				t.Errorf("%+v\n%+v", r, again)
+			if repeated := runQuotasOrFail(t, o); !reflect.DeepEqual(r, repeated) {
+				t.Errorf("%+v\n%+v", r, repeated)
 			}
 		})
 	}
--- a/internal/simulation/fleetsim/quota_world.go
+++ b/internal/simulation/fleetsim/quota_world.go
@@ -21,32 +21,32 @@
 type unitsKind int
 
 const (
-	oneUnit unitsKind = iota
-	byClass           // an update has two
-	bySize            // known at arrival
-	guessed           // by size, of which a guess is known at arrival; the response has the true units
+	oneUnit   unitsKind = iota
+	byClass             // an update has two
+	bySize              // known at arrival
+	estimated           // by size, of which a guess is known at arrival; the response has the true units
 )
 
 // quotaPlan is the terms of a plan.
 type quotaPlan struct {
-	name        string
-	share       float64 // of the load within quotas
-	price       float64
-	overCost    float64    // of a request over its quota, as a fraction of its weight
-	rate        valueRange // units a second, by which demand is drawn too
-	burst       valueRange // bucket, in seconds of the rate
-	maxInFlight valueRange // in multiples of the attempts that the rate has in flight at idle servers
-	hasNoRate   bool       // maxInFlight is the only limit
-	hardLimit   valueRange // in multiples of rate and burst
-	fanOut      valueRange // of the group, as a fraction
+	name          string
+	share         float64 // of the load within quotas
+	price         float64
+	overQuotaCost float64    // of a request over its quota, as a fraction of its weight
+	rate          valueRange // units a second, by which demand is drawn too
+	burst         valueRange // bucket, in seconds of the rate
+	maxInFlight   valueRange // in multiples of the attempts that the rate has in flight at idle servers
+	hasNoRate     bool       // maxInFlight is the only limit
+	hardLimit     valueRange // in multiples of rate and burst
+	fanOut        valueRange // of the group, as a fraction
 }
 
 // quotaDeployment is the quotas and the customers of one deployment.
 type quotaDeployment struct {
-	help     string // one line of help
-	units    unitsKind
-	maxUnits float64    // of a request
-	guessCV  valueRange // standard deviation of the logarithm of a guess
+	help                 string // one line of help
+	units                unitsKind
+	maxUnits             float64    // of a request
+	estimateLogDeviation valueRange // standard deviation of the logarithm of a guess
 	// Fractions of the customers that request nearly all of their quota, far more, and far more in spikes.
 	full, heavy, spiky                          valueRange
 	usageFraction, heavyMultiple, spikeMultiple valueRange // in multiples of the quota's rate, for all others and these two
@@ -62,13 +62,13 @@
 
 var quotaDeployments = map[string]*quotaDeployment{
 	"clinic": {
-		help: "guessed units, three plans of wide sets and small stores, the dearest with a ceiling", units: guessed, maxUnits: 4, guessCV: valueRange{0.35, 0.65},
+		help: "guessed units, three plans of wide sets and small stores, the dearest with a ceiling", units: estimated, maxUnits: 4, estimateLogDeviation: valueRange{0.35, 0.65},
 		usageFraction: valueRange{0.2, 0.45}, full: valueRange{0.09, 0.21}, heavy: valueRange{0.08, 0.12}, heavyMultiple: valueRange{2.7, 4.8}, spiky: valueRange{0.12, 0.22}, spikeMultiple: valueRange{4.3, 7.8},
 		spikeDuration: valueRange{0.6, 4.8}, spikeInterval: valueRange{11, 24}, skew: valueRange{0.8, 1.5}, shiftInterval: valueRange{3.3, 6.7}, otherNodeFraction: valueRange{0.05, 0.75}, meterPeriod: time.Second, meterDelay: valueRange{0.6, 1.3},
 		plans: []quotaPlan{
-			{name: "basic", share: 0.25, price: 0.7, overCost: 0.6, rate: valueRange{1.2, 2}, burst: valueRange{4.2, 5.6}, fanOut: valueRange{0.5, 1}},
-			{name: "standard", share: 0.32, price: 1.1, overCost: 0.8, rate: valueRange{2.7, 4.5}, burst: valueRange{3.2, 5.8}, fanOut: valueRange{0.5, 1}},
-			{name: "enterprise", share: 0.43, price: 1.4, overCost: 1.2, rate: valueRange{11, 17}, burst: valueRange{1.2, 2.4}, hardLimit: valueRange{1.8, 2.5}, fanOut: valueRange{0.5, 1}},
+			{name: "basic", share: 0.25, price: 0.7, overQuotaCost: 0.6, rate: valueRange{1.2, 2}, burst: valueRange{4.2, 5.6}, fanOut: valueRange{0.5, 1}},
+			{name: "standard", share: 0.32, price: 1.1, overQuotaCost: 0.8, rate: valueRange{2.7, 4.5}, burst: valueRange{3.2, 5.8}, fanOut: valueRange{0.5, 1}},
+			{name: "enterprise", share: 0.43, price: 1.4, overQuotaCost: 1.2, rate: valueRange{11, 17}, burst: valueRange{1.2, 2.4}, hardLimit: valueRange{1.8, 2.5}, fanOut: valueRange{0.5, 1}},
 		},
 	},
 	"library": {
@@ -76,19 +76,19 @@
 		usageFraction: valueRange{0.17, 0.45}, full: valueRange{0.09, 0.21}, heavy: valueRange{0.07, 0.13}, heavyMultiple: valueRange{2.8, 4.8}, spiky: valueRange{0.15, 0.24}, spikeMultiple: valueRange{3, 6.3},
 		spikeDuration: valueRange{1.7, 4.2}, spikeInterval: valueRange{12, 23}, skew: valueRange{0.8, 1.5}, shiftInterval: valueRange{3.4, 8.7}, otherNodeFraction: valueRange{0.05, 0.6}, meterPeriod: time.Second, meterDelay: valueRange{0.6, 1.3},
 		plans: []quotaPlan{
-			{name: "basic", share: 0.25, price: 0.9, overCost: 1.2, rate: valueRange{1.9, 3.1}, burst: valueRange{3.3, 5.6}, fanOut: valueRange{0.5, 1}},
-			{name: "standard", share: 0.32, price: 1.3, overCost: 1.2, rate: valueRange{9.5, 15}, hasNoRate: true, maxInFlight: valueRange{2.2, 3}, fanOut: valueRange{0.5, 1}},
-			{name: "enterprise", share: 0.43, price: 1.8, overCost: 1.2, rate: valueRange{38, 60}, burst: valueRange{1.3, 2.9}, fanOut: valueRange{0.5, 1}},
+			{name: "basic", share: 0.25, price: 0.9, overQuotaCost: 1.2, rate: valueRange{1.9, 3.1}, burst: valueRange{3.3, 5.6}, fanOut: valueRange{0.5, 1}},
+			{name: "standard", share: 0.32, price: 1.3, overQuotaCost: 1.2, rate: valueRange{9.5, 15}, hasNoRate: true, maxInFlight: valueRange{2.2, 3}, fanOut: valueRange{0.5, 1}},
+			{name: "enterprise", share: 0.43, price: 1.8, overQuotaCost: 1.2, rate: valueRange{38, 60}, burst: valueRange{1.3, 2.9}, fanOut: valueRange{0.5, 1}},
 		},
 	},
 	"archive": {
-		help: "guessed units, one plan with both limits, weights that shift seldom", units: guessed, maxUnits: 3, guessCV: valueRange{0.3, 0.6},
+		help: "guessed units, one plan with both limits, weights that shift seldom", units: estimated, maxUnits: 3, estimateLogDeviation: valueRange{0.3, 0.6},
 		usageFraction: valueRange{0.2, 0.45}, full: valueRange{0.1, 0.25}, heavy: valueRange{0.05, 0.12}, heavyMultiple: valueRange{2, 4.5}, spiky: valueRange{0.1, 0.22}, spikeMultiple: valueRange{3, 7},
 		spikeDuration: valueRange{0.8, 4.5}, spikeInterval: valueRange{11, 24}, skew: valueRange{0.5, 1.4}, shiftInterval: valueRange{4, 12}, otherNodeFraction: valueRange{0.05, 0.7}, meterPeriod: time.Second, meterDelay: valueRange{0.6, 1.3},
 		plans: []quotaPlan{
-			{name: "basic", share: 0.25, price: 0.8, overCost: 0.6, rate: valueRange{1.5, 2.5}, burst: valueRange{4, 6}, fanOut: valueRange{0.4, 1}},
-			{name: "standard", share: 0.32, price: 1.2, overCost: 0.9, rate: valueRange{5, 9}, burst: valueRange{2, 4}, maxInFlight: valueRange{2, 3}, fanOut: valueRange{0.5, 1}},
-			{name: "enterprise", share: 0.43, price: 1.5, overCost: 1.2, rate: valueRange{16, 26}, burst: valueRange{1.5, 3}, hardLimit: valueRange{1.8, 2.5}, fanOut: valueRange{0.4, 1}},
+			{name: "basic", share: 0.25, price: 0.8, overQuotaCost: 0.6, rate: valueRange{1.5, 2.5}, burst: valueRange{4, 6}, fanOut: valueRange{0.4, 1}},
+			{name: "standard", share: 0.32, price: 1.2, overQuotaCost: 0.9, rate: valueRange{5, 9}, burst: valueRange{2, 4}, maxInFlight: valueRange{2, 3}, fanOut: valueRange{0.5, 1}},
+			{name: "enterprise", share: 0.43, price: 1.5, overQuotaCost: 1.2, rate: valueRange{16, 26}, burst: valueRange{1.5, 3}, hardLimit: valueRange{1.8, 2.5}, fanOut: valueRange{0.4, 1}},
 		},
 	},
 	"cableway": {
@@ -96,8 +96,8 @@
 		usageFraction: valueRange{0.2, 0.5}, full: valueRange{0.1, 0.25}, heavy: valueRange{0.05, 0.1}, heavyMultiple: valueRange{1.8, 4}, spiky: valueRange{0.1, 0.2}, spikeMultiple: valueRange{2, 6},
 		spikeDuration: valueRange{0.5, 4}, spikeInterval: valueRange{10, 25}, skew: valueRange{0.4, 1.2}, shiftInterval: valueRange{5, 15}, otherNodeFraction: valueRange{0.1, 0.6}, meterPeriod: 1500 * time.Millisecond, meterDelay: valueRange{0.6, 1.2},
 		plans: []quotaPlan{
-			{name: "basic", share: 0.4, price: 0.9, overCost: 0.7, rate: valueRange{3, 6}, burst: valueRange{2.5, 5}, fanOut: valueRange{0.3, 0.8}},
-			{name: "standard", share: 0.6, price: 1.3, overCost: 1, rate: valueRange{14, 24}, burst: valueRange{1.2, 3}, fanOut: valueRange{0.5, 1}},
+			{name: "basic", share: 0.4, price: 0.9, overQuotaCost: 0.7, rate: valueRange{3, 6}, burst: valueRange{2.5, 5}, fanOut: valueRange{0.3, 0.8}},
+			{name: "standard", share: 0.6, price: 1.3, overQuotaCost: 1, rate: valueRange{14, 24}, burst: valueRange{1.2, 3}, fanOut: valueRange{0.5, 1}},
 		},
 	},
 	"kiosk": {
@@ -105,8 +105,8 @@
 		usageFraction: valueRange{0.15, 0.5}, full: valueRange{0.1, 0.3}, heavy: valueRange{0.04, 0.12}, heavyMultiple: valueRange{1.6, 4}, spiky: valueRange{0.1, 0.25}, spikeMultiple: valueRange{2, 6},
 		spikeDuration: valueRange{0.5, 4}, spikeInterval: valueRange{10, 25}, skew: valueRange{0.3, 1}, shiftInterval: valueRange{5, 25}, otherNodeFraction: valueRange{0, 0.6},
 		plans: []quotaPlan{
-			{name: "basic", share: 0.5, price: 1, overCost: 0.6, rate: valueRange{3, 5}, burst: valueRange{2, 4}, fanOut: valueRange{0.01, 0.05}},
-			{name: "standard", share: 0.5, price: 1.3, overCost: 0.9, rate: valueRange{8, 14}, burst: valueRange{1.5, 3}, fanOut: valueRange{0.02, 0.1}},
+			{name: "basic", share: 0.5, price: 1, overQuotaCost: 0.6, rate: valueRange{3, 5}, burst: valueRange{2, 4}, fanOut: valueRange{0.01, 0.05}},
+			{name: "standard", share: 0.5, price: 1.3, overQuotaCost: 0.9, rate: valueRange{8, 14}, burst: valueRange{1.5, 3}, fanOut: valueRange{0.02, 0.1}},
 		},
 	},
 }
@@ -115,50 +115,50 @@
 func QuotaHelp(name string) string { return quotaDeployments[name].help }
 
 // drawUnits draws the units of a request: those known at arrival, and the true ones.
-func (f *quotaDeployment) drawUnits(class int, cv float64, r *rand.Rand) (units, cost float64) {
+func (f *quotaDeployment) drawUnits(class int, logDeviation float64, r *rand.Rand) (units, actualUnits float64) {
 	switch f.units {
 	case byClass:
-		cost = float64(1 + class)
-	case bySize, guessed:
-		cost = min(f.maxUnits, math.Ceil(1.3*r.ExpFloat64()))
+		actualUnits = float64(1 + class)
+	case bySize, estimated:
+		actualUnits = min(f.maxUnits, math.Ceil(1.3*r.ExpFloat64()))
 	default:
-		cost = 1
+		actualUnits = 1
 	}
-	if units = cost; f.units == guessed {
-		units = min(f.maxUnits, max(1, math.Round(cost*math.Exp(cv*r.NormFloat64()))))
+	if units = actualUnits; f.units == estimated {
+		units = min(f.maxUnits, max(1, math.Round(actualUnits*math.Exp(logDeviation*r.NormFloat64()))))
 	}
-	return units, cost
+	return units, actualUnits
 }
 
 // meanCost returns the mean of the true units of a request.
-func (f *quotaDeployment) meanCost() float64 {
-	r, sum := stream(1, 7), 0.0
+func (f *quotaDeployment) meanActualUnits() float64 {
+	r, sum := newRand(1, 7), 0.0
 	const draws = 4096
 	for i := range draws {
-		_, cost := f.drawUnits(i%2, 0, r)
-		sum += cost
+		_, actualUnits := f.drawUnits(i%2, 0, r)
+		sum += actualUnits
 	}
 	return sum / draws
 }
 
 // drawPlans draws the plans, and the rate by which the demand for each is drawn.
 func (f *quotaDeployment) drawPlans(r *rand.Rand) (plans []control.Plan, rates []float64) {
-	for _, t := range f.plans {
-		rate := t.rate.draw(r)
-		p := control.Plan{Name: t.name, Price: t.price, OverQuotaCost: t.overCost}
-		if t.maxInFlight != (valueRange{}) {
-			p.MaxInFlight = max(2, int(math.Ceil(t.maxInFlight.draw(r)*rate/f.meanCost()*dayWork)))
+	for _, ranges := range f.plans {
+		rate := ranges.rate.draw(r)
+		plan := control.Plan{Name: ranges.name, Price: ranges.price, OverQuotaCost: ranges.overQuotaCost}
+		if ranges.maxInFlight != (valueRange{}) {
+			plan.MaxInFlight = max(2, int(math.Ceil(ranges.maxInFlight.draw(r)*rate/f.meanActualUnits()*dayWork)))
 		}
-		if !t.hasNoRate {
-			p.QuotaRate, p.QuotaBurst = rate, max(2*f.maxUnits, rate*t.burst.draw(r))
+		if !ranges.hasNoRate {
+			plan.QuotaRate, plan.QuotaBurst = rate, max(2*f.maxUnits, rate*ranges.burst.draw(r))
 		}
-		if t.hardLimit != (valueRange{}) {
-			x := t.hardLimit.draw(r)
-			p.QuotaBurst = max(p.QuotaBurst, 4*f.maxUnits)
-			p.HardLimitRate, p.HardLimitBurst = x*rate, x*p.QuotaBurst
-			p.HardLimitSlack = max(0.1*p.HardLimitBurst, f.maxUnits)
+		if ranges.hardLimit != (valueRange{}) {
+			multiple := ranges.hardLimit.draw(r)
+			plan.QuotaBurst = max(plan.QuotaBurst, 4*f.maxUnits)
+			plan.HardLimitRate, plan.HardLimitBurst = multiple*rate, multiple*plan.QuotaBurst
+			plan.HardLimitSlack = max(0.1*plan.HardLimitBurst, f.maxUnits)
 		}
-		plans, rates = append(plans, p), append(rates, rate)
+		plans, rates = append(plans, plan), append(rates, rate)
 	}
 	return plans, rates
 }
@@ -176,12 +176,12 @@
 
 // demand is the load of one customer.
 type demand struct {
-	rng       *rand.Rand // its own, so that all policies have the same calls
-	kind      demandKind
-	usualRate float64 // requests a second
-	spikeRate float64 // the same in a spike
-	spikes    [][2]time.Duration
-	weights   []float64 // running sums, by node
+	rng        *rand.Rand // its own, so that all policies have the same calls
+	kind       demandKind
+	usualRate  float64 // requests a second
+	spikeRate  float64 // the same in a spike
+	spikes     [][2]time.Duration
+	weightSums []float64 // running sums, by node
 }
 
 func (d *demand) inSpike(at time.Duration) bool {
@@ -197,17 +197,17 @@
 }
 
 // drawWeights draws the weights of the customer's nodes.
-func (d *demand) drawWeights(skew float64, spread int) {
-	d.weights = make([]float64, spread)
+func (d *demand) drawWeights(skew float64, fanOut int) {
+	d.weightSums = make([]float64, fanOut)
 	sum := 0.0
-	for i := range d.weights {
+	for i := range d.weightSums {
 		sum += math.Exp(skew * d.rng.NormFloat64())
-		d.weights[i] = sum
+		d.weightSums[i] = sum
 	}
 }
 
 // chooseNode draws the index of a node by its weight.
 func (d *demand) chooseNode(r *rand.Rand) int {
-	k, _ := slices.BinarySearch(d.weights, r.Float64()*d.weights[len(d.weights)-1])
-	return min(k, len(d.weights)-1)
+	index, _ := slices.BinarySearch(d.weightSums, r.Float64()*d.weightSums[len(d.weightSums)-1])
+	return min(index, len(d.weightSums)-1)
 }
--- a/internal/simulation/fleetsim/sim.go
+++ b/internal/simulation/fleetsim/sim.go
@@ -75,19 +75,19 @@
 	rng     *rand.Rand
 
 	controllers []*control.Controller
-	weights     []float64 // running sums, of the nodes' shares
+	weightSums  []float64 // running sums, of the nodes' shares
 	servers     []*server
 	lastID      int // of a call
 
-	result       Report
-	plainCalls   int
-	served       int
-	recentSends  []time.Duration // at the warming-up server, within overloadWindow
-	sent         map[int]int     // at the warming-up server, by second
-	tokens       float64         // in the customer's true bucket
-	tokensAt     time.Duration
-	limitedUnits float64
-	pending      map[string]pendingCall
+	result         Report
+	plainCalls     int
+	served         int
+	recentSends    []time.Duration // at the warming-up server, within overloadWindow
+	sent           map[int]int     // at the warming-up server, by second
+	tokens         float64         // in the customer's true bucket
+	tokensAt       time.Duration
+	hardLimitUnits float64
+	pending        map[string]pendingCall
 }
 
 type pendingCall struct {
@@ -127,27 +127,27 @@
 		s.servers = append(s.servers, &server{})
 		members = append(members, control.Endpoint{Server: uint32(i + 1), Size: 1})
 	}
-	sum := 0.0
+	weightSum := 0.0
 	for i := range o.Instances {
-		c, err := control.New(settings(o, i), o.Seed*1_000_003+uint64(i))
+		controller, err := control.New(settings(o, i), o.Seed*1_000_003+uint64(i))
 		if err != nil {
 			return Report{}, fmt.Errorf("simulating instance %d: %w", i, err)
 		}
-		s.controllers = append(s.controllers, c)
+		s.controllers = append(s.controllers, controller)
 		if o.IsUneven && i%10 != 0 {
-			sum += 0.1
+			weightSum += 0.1
 		} else {
-			sum++
+			weightSum++
 		}
-		s.weights = append(s.weights, sum)
+		s.weightSums = append(s.weightSums, weightSum)
 	}
-	for g := range s.controllers {
+	for node := range s.controllers {
 		// Nodes do not all start at the same moment.
-		s.At(time.Duration(s.rng.Int64N(int64(100*time.Millisecond))), func() { s.deliver(g, control.EndpointList{Kind: control.ListComplete, Endpoints: members}) })
-		learns := joinsAt + time.Duration(float64(o.NotificationLag)*float64(g+1)/float64(o.Instances))
+		s.At(time.Duration(s.rng.Int64N(int64(100*time.Millisecond))), func() { s.deliver(node, control.EndpointList{Kind: control.ListComplete, Endpoints: members}) })
+		notifiedAt := joinsAt + time.Duration(float64(o.NotificationLag)*float64(node+1)/float64(o.Instances))
 		endpoint := control.Endpoint{Server: uint32(o.Servers + 1), Size: 1, HasStartedAt: true, StartedAt: joinsAt}
-		s.At(learns, func() {
-			s.deliver(g, control.EndpointList{Kind: control.ListPatch, Endpoints: []control.Endpoint{endpoint}})
+		s.At(notifiedAt, func() {
+			s.deliver(node, control.EndpointList{Kind: control.ListPatch, Endpoints: []control.Endpoint{endpoint}})
 		})
 	}
 	s.At(joinsAt, func() { s.servers = append(s.servers, &server{warmingUp: true, startedAt: joinsAt}) })
@@ -157,16 +157,16 @@
 	return s.report(), nil
 }
 
-func setDefault[T comparable](v *T, d T) {
+func setDefault[T comparable](value *T, defaultValue T) {
 	var zero T
-	if *v == zero {
-		*v = d
+	if *value == zero {
+		*value = defaultValue
 	}
 }
 
-func settings(o Options, i int) control.Settings {
+func settings(o Options, instance int) control.Settings {
 	return control.Settings{
-		SelfIndex: i % o.GroupSize, GroupSize: o.GroupSize, MaxAttempts: 3, SupportsRetryAfter: true, MaxRetryAfter: time.Second, CanCancel: true,
+		SelfIndex: instance % o.GroupSize, GroupSize: o.GroupSize, MaxAttempts: 3, SupportsRetryAfter: true, MaxRetryAfter: time.Second, CanCancel: true,
 		DrainGrace: 2 * time.Second, WarmupTime: warmUpTime, InitialCapacity: warmUpInitial, OverloadWindow: overloadWindow, OverloadMultiple: overloadMultiple,
 		Classes: []control.Class{{Name: "read", LatencyObjective: latencyObjective, Deadline: deadline, PriorityWeight: 1}},
 		Plans: []control.Plan{
@@ -177,61 +177,61 @@
 }
 
 // deliver has a node's module handle an event and performs its actions.
-func (s *sim) deliver(g int, e control.Event) {
-	for _, a := range append([]control.Action(nil), s.controllers[g].Handle(s.Now()+time.Hour, shiftStarts(e))...) {
+func (s *sim) deliver(node int, event control.Event) {
+	for _, a := range append([]control.Action(nil), s.controllers[node].Handle(s.Now()+time.Hour, shiftStarts(event))...) {
 		switch a := a.(type) {
 		case control.Send:
-			s.send(g, a)
+			s.send(node, a)
 		case control.Reject:
 			delete(s.pending, a.ID)
 		case control.Fail:
 			delete(s.pending, a.ID)
 		case control.StartTimer:
-			s.At(s.Now()+a.After, func() { s.deliver(g, control.TimerFired{Label: a.Label}) })
+			s.At(s.Now()+a.After, func() { s.deliver(node, control.TimerFired{Label: a.Label}) })
 		}
 	}
 }
 
 // shiftStarts converts the start times of a list to the modules' clock, which is an hour ahead, so that a start
 // at 0 is long ago.
-func shiftStarts(e control.Event) control.Event {
-	l, ok := e.(control.EndpointList)
+func shiftStarts(event control.Event) control.Event {
+	list, ok := event.(control.EndpointList)
 	if !ok {
-		return e
+		return event
 	}
-	members := append([]control.Endpoint(nil), l.Endpoints...)
+	members := append([]control.Endpoint(nil), list.Endpoints...)
 	for i := range members {
 		members[i].StartedAt += time.Hour
 	}
-	l.Endpoints = members
-	return l
+	list.Endpoints = members
+	return list
 }
 
 // arrive starts a call, and schedules the next one of its kind.
 func (s *sim) arrive(hasHardLimit bool) {
 	rate := s.options.Load * s.options.ServerRate * float64(s.options.Servers)
-	r := control.Request{Class: "read", Timeout: deadline, Units: 1, FanOut: s.options.GroupSize}
+	request := control.Request{Class: "read", Timeout: deadline, Units: 1, FanOut: s.options.GroupSize}
 	if hasHardLimit {
 		rate = s.options.HardLimitLoad * hardLimitRate
-		r.Plan, r.Customer = "enterprise", "the one"
+		request.Plan, request.Customer = "enterprise", "the one"
 	} else {
-		r.Plan, r.Customer = "standard", fmt.Sprint(s.rng.IntN(customers))
+		request.Plan, request.Customer = "standard", fmt.Sprint(s.rng.IntN(customers))
 		s.plainCalls++
 	}
 	s.lastID++
 	s.result.Calls++
-	r.ID = fmt.Sprint(s.lastID)
-	s.pending[r.ID] = pendingCall{hasHardLimit: hasHardLimit}
-	s.deliver(s.instance(), r)
+	request.ID = fmt.Sprint(s.lastID)
+	s.pending[request.ID] = pendingCall{hasHardLimit: hasHardLimit}
+	s.deliver(s.drawNode(), request)
 	s.At(s.Now()+time.Duration(s.rng.ExpFloat64()/rate*float64(time.Second)), func() { s.arrive(hasHardLimit) })
 }
 
 // instance draws a node by its weight.
-func (s *sim) instance() int {
-	x := s.rng.Float64() * s.weights[len(s.weights)-1]
-	lo, hi := 0, len(s.weights)-1
+func (s *sim) drawNode() int {
+	draw := s.rng.Float64() * s.weightSums[len(s.weightSums)-1]
+	lo, hi := 0, len(s.weightSums)-1
 	for lo < hi {
-		if mid := (lo + hi) / 2; s.weights[mid] <= x {
+		if mid := (lo + hi) / 2; s.weightSums[mid] <= draw {
 			lo = mid + 1
 		} else {
 			hi = mid
@@ -241,31 +241,31 @@
 }
 
 // send carries an attempt to a server and schedules its end.
-func (s *sim) send(g int, a control.Send) {
-	p := s.pending[a.ID]
-	n := p.attempts
-	p.attempts++
-	s.pending[a.ID] = p
-	if n == 0 && p.hasHardLimit {
+func (s *sim) send(node int, a control.Send) {
+	call := s.pending[a.ID]
+	attempt := call.attempts
+	call.attempts++
+	s.pending[a.ID] = call
+	if attempt == 0 && call.hasHardLimit {
 		s.tokens = math.Min(hardLimitBurst, s.tokens+(s.Now()-s.tokensAt).Seconds()*hardLimitRate) - 1
 		s.tokensAt = s.Now()
 		s.result.MaxOverHardLimit = math.Max(s.result.MaxOverHardLimit, -s.tokens)
-		s.limitedUnits++
+		s.hardLimitUnits++
 	}
-	to := s.servers[a.Server-1]
-	if to.warmingUp {
-		s.recordWarmUpSend(to)
+	server := s.servers[a.Server-1]
+	if server.warmingUp {
+		s.recordWarmUpSend(server)
 	}
-	core := firstFreeCore(to.coreFreeAt[:])
-	work := cores / s.options.ServerRate * (0.5 + s.rng.Float64()) / to.warmth(s.Now())
-	from := max(s.Now(), to.coreFreeAt[core])
-	done := from + time.Duration(work*float64(time.Second))
-	if done > s.Now()+deadline { // it times out
-		s.At(s.Now()+deadline, func() { s.endAttempt(g, a, n, control.TimedOut) })
+	core := firstFreeCore(server.coreFreeAt[:])
+	work := cores / s.options.ServerRate * (0.5 + s.rng.Float64()) / server.warmth(s.Now())
+	startsAt := max(s.Now(), server.coreFreeAt[core])
+	endsAt := startsAt + time.Duration(work*float64(time.Second))
+	if endsAt > s.Now()+deadline { // it times out
+		s.At(s.Now()+deadline, func() { s.endAttempt(node, a, attempt, control.TimedOut) })
 		return
 	}
-	to.coreFreeAt[core] = done
-	s.At(done, func() { s.endAttempt(g, a, n, control.OK) })
+	server.coreFreeAt[core] = endsAt
+	s.At(endsAt, func() { s.endAttempt(node, a, attempt, control.OK) })
 }
 
 // firstFreeCore returns the core that is free first.
@@ -284,22 +284,22 @@
 	for s.Now()-s.recentSends[0] > overloadWindow {
 		s.recentSends = s.recentSends[1:]
 	}
-	if w := to.warmth(s.Now()); w < 1 {
+	if speed := to.warmth(s.Now()); speed < 1 {
 		s.sent[int((s.Now()-joinsAt).Seconds())]++
-		can := overloadWindow.Seconds() * w * s.options.ServerRate
+		capacity := overloadWindow.Seconds() * speed * s.options.ServerRate
 		if len(s.recentSends) > 1 { // a single request never counts as overload
-			s.result.MaxWarmUpOverload = math.Max(s.result.MaxWarmUpOverload, float64(len(s.recentSends))/(overloadMultiple*can))
+			s.result.MaxWarmUpOverload = math.Max(s.result.MaxWarmUpOverload, float64(len(s.recentSends))/(overloadMultiple*capacity))
 		}
 	}
 }
 
-func (s *sim) endAttempt(g int, a control.Send, n int, why control.Reason) {
-	p := s.pending[a.ID]
-	if why == control.OK && !p.hasHardLimit {
+func (s *sim) endAttempt(node int, a control.Send, attempt int, reason control.Reason) {
+	call := s.pending[a.ID]
+	if reason == control.OK && !call.hasHardLimit {
 		s.served++
 	}
-	s.deliver(g, control.AttemptResult{ID: a.ID, Attempt: n, Server: a.Server, Reason: why, IsFinal: why == control.OK})
-	if why == control.OK {
+	s.deliver(node, control.AttemptResult{ID: a.ID, Attempt: attempt, Server: a.Server, Reason: reason, IsFinal: reason == control.OK})
+	if reason == control.OK {
 		delete(s.pending, a.ID)
 	}
 }
@@ -307,14 +307,14 @@
 func (s *sim) report() Report {
 	r := s.result
 	r.Served = float64(s.served) / math.Max(1, float64(s.plainCalls))
-	r.HardLimitUse = s.limitedUnits / (hardLimitRate*(s.options.Duration-time.Second).Seconds() + 1)
-	sent, can := 0.0, 0.0
+	r.HardLimitUse = s.hardLimitUnits / (hardLimitRate*(s.options.Duration-time.Second).Seconds() + 1)
+	sent, capacity := 0.0, 0.0
 	for second := range int(math.Min(warmUpTime.Seconds(), (s.options.Duration - joinsAt).Seconds())) {
-		w := (&server{warmingUp: true, startedAt: joinsAt}).warmth(joinsAt + time.Duration(second)*time.Second + time.Second/2)
-		one := Point{Second: float64(second), SentCalls: float64(s.sent[second]), Capacity: w * s.options.ServerRate, OverloadLimit: overloadMultiple * w * s.options.ServerRate}
-		sent, can = sent+one.SentCalls, can+one.Capacity
-		r.Trace = append(r.Trace, one)
+		speed := (&server{warmingUp: true, startedAt: joinsAt}).warmth(joinsAt + time.Duration(second)*time.Second + time.Second/2)
+		point := Point{Second: float64(second), SentCalls: float64(s.sent[second]), Capacity: speed * s.options.ServerRate, OverloadLimit: overloadMultiple * speed * s.options.ServerRate}
+		sent, capacity = sent+point.SentCalls, capacity+point.Capacity
+		r.Trace = append(r.Trace, point)
 	}
-	r.WarmUpShare = sent / math.Max(1, can)
+	r.WarmUpShare = sent / math.Max(1, capacity)
 	return r
 }
--- a/internal/simulation/fleetsim/sim_test.go
+++ b/internal/simulation/fleetsim/sim_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func run(t *testing.T, o Options) Report {
+func runOrFail(t *testing.T, o Options) Report {
 	t.Helper()
 	r, err := Run(o)
 	if err != nil {
@@ -19,10 +19,10 @@
 // the news; where the size is ignored, both are passed. Wrong sizes have a price that is known.
 func TestFortyInstances(t *testing.T) {
 	for name, tc := range map[string]struct {
-		o              Options
-		holdsC, holdsL bool // the cold server's limit, the ceiling
-		leastServed    float64
-		leastUsed      float64
+		o                                  Options
+		withinWarmUpLimit, withinHardLimit bool // the cold server's limit, the ceiling
+		minServed                          float64
+		minHardLimitUse                    float64
 	}{
 		"as told":               {Options{Instances: 40}, true, true, 0.97, 0.5},
 		"late news":             {Options{Instances: 40, NotificationLag: 5 * time.Second}, true, true, 0.97, 0.5},
@@ -34,18 +34,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			tc.o.Seed = 3
-			r := run(t, tc.o)
+			r := runOrFail(t, tc.o)
 			r.Trace = nil
-			if r.MaxWarmUpOverload <= 1 != tc.holdsC || r.MaxOverHardLimit <= hardLimitSlack != tc.holdsL || r.Served < tc.leastServed || r.HardLimitUse < tc.leastUsed {
+			if r.MaxWarmUpOverload <= 1 != tc.withinWarmUpLimit || r.MaxOverHardLimit <= hardLimitSlack != tc.withinHardLimit || r.Served < tc.minServed || r.HardLimitUse < tc.minHardLimitUse {
 				t.Errorf("%+v", r)
 			}
 		})
 	}
 }
 
-func TestSameSeedSameRun(t *testing.T) {
+func TestSameSeedGivesSameRun(t *testing.T) {
 	o := Options{Instances: 10, Seed: 5, Duration: 12 * time.Second}
-	if a, b := run(t, o), run(t, o); !reflect.DeepEqual(a, b) {
+	if a, b := runOrFail(t, o), runOrFail(t, o); !reflect.DeepEqual(a, b) {
 		t.Errorf("%+v\n%+v", a, b)
 	}
 	if _, err := Run(Options{Instances: 1, GroupSize: -1}); err == nil {
--- a/internal/simulation/fleetsim/world.go
+++ b/internal/simulation/fleetsim/world.go
@@ -31,8 +31,8 @@
 	handshakeWork        = 1e-3
 	idleConnectionTime   = 15 * time.Second
 	connectTime          = 250 * time.Millisecond
-	listDelayOfStart     = time.Second             // from a server's start until it is listed
-	listDelayOfEnd       = 2 * time.Second         // from a server's drain or end until that is listed
+	startListingDelay    = time.Second             // from a server's start until it is listed
+	endListingDelay      = 2 * time.Second         // from a server's drain or end until that is listed
 	maxNotificationDelay = 6 * time.Second         // after a change, or since a watch is silent, when a node counts as notified
 	watchSilence         = 3200 * time.Millisecond // until a silent watch is detected and a new one has sent what was missed
 	maxSlowConnect       = time.Second             // of a slow connection
@@ -44,7 +44,7 @@
 	rejectedAllMin = 15 // consecutive rejections over rejectedAllFor that count as rejecting all requests
 	rejectedAllFor = 4 * time.Second
 
-	firstUse = time.Hour // of the modules' clock, at the start of a day
+	moduleClockOffset = time.Hour // of the modules' clock, at the start of a day
 )
 
 // DayOptions configure Day. Zero fields have the defaults given.
@@ -96,12 +96,12 @@
 )
 
 // host is a simulated app server.
-type host struct {
+type appServer struct {
 	id                  uint32
 	zone                string
 	cell                int
 	state               hostState
-	isLeaving           bool
+	isBeingReplaced     bool
 	isFaulty            bool
 	disconnectedUntil   time.Duration
 	bootedAt            time.Duration // start; negative is long ago
@@ -116,7 +116,7 @@
 }
 
 // listed is an endpoint of the list, and whether it is listed as available.
-type listed struct {
+type listedEndpoint struct {
 	control.Endpoint
 	isUp bool
 }
@@ -184,15 +184,15 @@
 type world struct {
 	vtime.Clock
 	options        DayOptions
-	script         dayPlan
+	script         dayScript
 	rules          control.Settings // without the mutation
 	rng            *rand.Rand       // of the world; clients have their own, so that all variants have the same arrivals
 	clientRand     *rand.Rand
 	checker        *fleetrules.Checker
 	result         DayReport
 	nodes          []*node
-	hosts          []*host
-	byID           map[uint32]*host
+	hosts          []*appServer
+	hostByID       map[uint32]*appServer
 	drawnCustomers []*dayCustomer
 	demandSums     []float64 // running sums of the customers' demand
 	freshCustomers int
@@ -207,7 +207,7 @@
 	classes          [2]weightTotals
 	plans            []weightTotals
 	thirds           [3]weightTotals
-	customers        map[*dayCustomer]*weightTotals
+	customerTotals   map[*dayCustomer]*weightTotals
 	sentUnits        float64
 	overQuotaUnits   float64
 	failedRequests   int
@@ -215,8 +215,8 @@
 }
 
 type quota struct {
-	offered, forwarded     float64
-	offeredAt, forwardedAt time.Duration
+	offeredTokens, forwardedTokens float64
+	offeredAt, forwardedAt         time.Duration
 }
 
 type meter struct {
@@ -233,29 +233,29 @@
 // countWeight adds the weight of a call, offered or served, to all totals that it belongs to.
 func (w *world) countWeight(c *call, offered, served float64) {
 	third := min(2, int(3*c.arrivedAt/w.options.Duration))
-	own := w.customers[c.customer]
-	if own == nil {
-		own = &weightTotals{}
-		w.customers[c.customer] = own
+	ofCustomer := w.customerTotals[c.customer]
+	if ofCustomer == nil {
+		ofCustomer = &weightTotals{}
+		w.customerTotals[c.customer] = ofCustomer
 	}
-	for _, one := range []*weightTotals{&w.totalWeight, &w.classes[c.class], &w.plans[c.customer.plan], &w.thirds[third], own} {
-		one.offered += offered
-		one.served += served
+	for _, totals := range []*weightTotals{&w.totalWeight, &w.classes[c.class], &w.plans[c.customer.plan], &w.thirds[third], ofCustomer} {
+		totals.offered += offered
+		totals.served += served
 	}
 }
 
 // Day simulates a day of a fleet with the real module in each node, and checks it against the rules of package
 // fleetrules. The same options give the same report.
 func Day(o DayOptions) (DayReport, error) {
-	p, err := dayOf(o.Day)
+	script, err := dayByName(o.Day)
 	if err != nil {
 		return DayReport{}, err
 	}
-	return play(o, p)
+	return runDay(o, script)
 }
 
 // play simulates a day by its script.
-func play(o DayOptions, p dayPlan) (DayReport, error) {
+func runDay(o DayOptions, p dayScript) (DayReport, error) {
 	if o.Instances < 1 || o.GroupSize < 0 || o.Load < 0 {
 		return DayReport{}, fmt.Errorf("simulating %q: %d instances, %d told", o.Day, o.Instances, o.GroupSize)
 	}
@@ -269,18 +269,18 @@
 	}
 	setDefault(&o.Duration, 25*time.Second)
 	w := &world{
-		options: o, script: p, rng: stream(o.Seed, 1), clientRand: stream(o.Seed, 2), byID: map[uint32]*host{},
-		quotas: map[string]*quota{}, meters: map[string]*meter{}, customers: map[*dayCustomer]*weightTotals{},
+		options: o, script: p, rng: newRand(o.Seed, 1), clientRand: newRand(o.Seed, 2), hostByID: map[uint32]*appServer{},
+		quotas: map[string]*quota{}, meters: map[string]*meter{}, customerTotals: map[*dayCustomer]*weightTotals{},
 	}
 	w.rules = w.settings(0)
 	w.plans = make([]weightTotals, len(w.rules.Plans))
-	w.checker = fleetrules.New(fleetrules.Terms{
+	w.checker = fleetrules.New(fleetrules.Tolerances{
 		AnswerGrace: 55 * time.Millisecond, DrainGrace: 2050 * time.Millisecond,
 		OverloadWindow: 2 * time.Second, OverloadMultiple: 2.5, MeanWork: dayWork,
 	})
 	for i := range max(4, int(serversPerNode*float64(o.Instances))) {
-		h := w.newHost(fmt.Sprintf("z%d", i%dayZones), i/dayCellSize, -time.Hour)
-		h.isFaulty = w.rng.Float64() < p.faultyFraction
+		host := w.newHost(fmt.Sprintf("z%d", i%dayZones), i/dayCellSize, -time.Hour)
+		host.isFaulty = w.rng.Float64() < p.faultyFraction
 	}
 	w.result = DayReport{Day: o.Day, Instances: o.Instances, Servers: len(w.hosts), Seed: o.Seed}
 	w.drawCustomers()
@@ -317,9 +317,9 @@
 		r.Thirds[i] = w.thirds[i].servedFraction()
 	}
 	byName := func(a, b *dayCustomer) int { return strings.Compare(a.name, b.name) }
-	for _, cust := range slices.SortedFunc(maps.Keys(w.customers), byName) { // a fixed order, so that rounding is the same each time
-		if c := w.customers[cust]; c.servedFraction() < 0.1 {
-			r.StarvedFraction += c.offered / math.Max(1, w.totalWeight.offered)
+	for _, customer := range slices.SortedFunc(maps.Keys(w.customerTotals), byName) { // a fixed order, so that rounding is the same each time
+		if totals := w.customerTotals[customer]; totals.servedFraction() < 0.1 {
+			r.StarvedFraction += totals.offered / math.Max(1, w.totalWeight.offered)
 		}
 	}
 	r.OverQuotaFraction = w.overQuotaUnits / math.Max(1, w.sentUnits)
--- a/internal/simulation/vtime/vtime.go
+++ b/internal/simulation/vtime/vtime.go
@@ -9,9 +9,9 @@
 // Clock is a virtual clock with a queue of scheduled events. The zero value is at time 0 without
 // events. It is not safe for concurrent use.
 type Clock struct {
-	now   time.Duration
-	seq   uint64 // number of events scheduled so far
-	queue queue
+	now      time.Duration
+	sequence uint64 // number of events scheduled so far
+	queue    queue
 }
 
 // Now returns the virtual time: that of the event that runs or ran last.
@@ -19,28 +19,28 @@
 
 // At schedules an event at a time, or now if that time has passed. Events of the same time run in
 // the order in which they were scheduled.
-func (c *Clock) At(t time.Duration, do func()) {
-	c.seq++
-	heap.Push(&c.queue, event{at: max(t, c.now), seq: c.seq, do: do})
+func (c *Clock) At(t time.Duration, run func()) {
+	c.sequence++
+	heap.Push(&c.queue, event{at: max(t, c.now), sequence: c.sequence, run: run})
 }
 
 // After schedules an event after a duration.
-func (c *Clock) After(d time.Duration, do func()) { c.At(c.now+d, do) }
+func (c *Clock) After(d time.Duration, run func()) { c.At(c.now+d, run) }
 
 // Run runs all events up to and including a time, also those that they schedule.
 func (c *Clock) Run(until time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].at <= until {
 		next := heap.Pop(&c.queue).(event)
 		c.now = next.at
-		next.do()
+		next.run()
 	}
 }
 
 // event is a scheduled event.
 type event struct {
-	at  time.Duration
-	seq uint64 // orders events of the same time
-	do  func()
+	at       time.Duration
+	sequence uint64 // orders events of the same time
+	run      func()
 }
 
 // queue is a heap of events by time, then by sequence number.
@@ -51,7 +51,7 @@
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
 	}
-	return q[i].seq < q[j].seq
+	return q[i].sequence < q[j].sequence
 }
 func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
