--- a/internal/simulation/balancesim/sim.go
+++ b/internal/simulation/balancesim/sim.go
@@ -1,6 +1,6 @@
-// Package balancesim simulates one node in virtual time with app servers that send no load reports, and compares
-// the decision module's choice of server with round robin and with least in flight. The module is the real one;
-// servers and clients are a model. All results follow from the seed.
+// Package balancesim simulates one node in virtual time with app servers that send no load reports. It compares the
+// server selection of the real decision module with round robin and with least in flight. Servers and clients are
+// modelled. The same seed gives the same results.
 package balancesim
 
 import (
@@ -16,32 +16,32 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Constants of the model.
+// Parameters of the model.
 const (
 	servers         = 8
 	cores           = 4
-	meanWork        = 20 * time.Millisecond // of a call, on one core of a server of speed 1
+	meanWork        = 20 * time.Millisecond // mean service time of a call on one core of a server with speed 1
 	deadline        = 5 * time.Second
-	maxAttempts     = 3 // of a call
+	maxAttempts     = 3 // per call, including the first attempt
 	faultsStart     = 10 * time.Second
 	fastFailureTime = time.Millisecond
 )
 
-// Case is a set of servers and the fault of the first of them, from faultsStart on.
+// Case is a set of servers and the fault of the first server, which begins at faultsStart.
 type Case struct {
 	Name   string
 	Speeds [servers]float64
-	// Faults of the first server.
-	SlowDown        float64       // factor of its service times; 0 is none
-	Status          int           // that it answers at once: 500 is final, 503 may be retried at another server
-	FailingFraction float64       // of its calls that it answers with Status
-	DownTime        time.Duration // of each Cycle, during which it refuses connections
+	// The fault of the first server.
+	SlowDown        float64       // factor by which its service times increase; 0 means no slowdown
+	Status          int           // status of its immediate error responses: 500 is final, 503 may be retried at another server
+	FailingFraction float64       // fraction of attempts that it answers with Status
+	DownTime        time.Duration // time at the start of each Cycle during which it refuses connections
 	Cycle           time.Duration
 }
 
 var equalSpeeds = [servers]float64{1, 1, 1, 1, 1, 1, 1, 1}
 
-// Cases are all cases.
+// Cases lists all cases.
 var Cases = []Case{
 	{Name: "equal", Speeds: equalSpeeds},
 	{Name: "unequal, 1 to 8", Speeds: [servers]float64{0.5, 0.5, 1, 1, 2, 2, 4, 4}},
@@ -52,31 +52,31 @@
 	{Name: "one flaps, down 1 s of 3", Speeds: equalSpeeds, DownTime: time.Second, Cycle: 3 * time.Second},
 }
 
-// Policies are the policies that are compared, in this order.
+// Policies lists the compared policies in the order of reports.
 var Policies = []string{"module", "round robin", "least in flight"}
 
-// Options configure Run.
+// Options configures Run.
 type Options struct {
-	Load     float64 // fraction of the capacity of all servers
+	Load     float64 // offered load, as a fraction of the capacity of all servers
 	Duration time.Duration
 	Seed     uint64
 }
 
-// Report is the result of a case under a policy, from faultsStart on.
+// Report is the result of a case with a policy. It counts the calls that start at faultsStart or later.
 type Report struct {
 	Case           string  `json:"case"`
 	Policy         string  `json:"policy"`
 	Calls          int     `json:"calls"`
-	Served         float64 `json:"served"` // fraction of the calls
-	Failed         float64 `json:"failed"` // fraction that was answered with 5xx, reset or too late
+	Served         float64 `json:"served"` // fraction of the calls that were served
+	Failed         float64 `json:"failed"` // fraction of the calls that were answered with 5xx, reset or timed out
 	Refused        float64 `json:"refused"`
-	P50            float64 `json:"p50_ms"` // of served calls
+	P50            float64 `json:"p50_ms"` // latency percentile of the served calls
 	P99            float64 `json:"p99_ms"`
-	RetriesPerCall float64 `json:"extra"` // attempts after the first, for each call
+	RetriesPerCall float64 `json:"extra"` // attempts after the first, per call
 }
 
-// balancer chooses servers. It is called for new calls and for the ends of attempts, and sends attempts and
-// finishes calls by methods of sim.
+// balancer chooses servers. It is called for each new call and each result of an attempt. It sends attempts and finishes
+// calls with methods of sim.
 type balancer interface {
 	arrive(id int)
 	endAttempt(c *call, server, n int, why control.Reason, final bool)
@@ -93,7 +93,7 @@
 	lastID    int
 	result    Report
 	latencies []float64
-	outcomes  [3]int // by outcome
+	outcomes  [3]int // number of calls, indexed by outcome
 	attempts  int
 }
 
@@ -106,7 +106,7 @@
 	tried     [servers]bool
 }
 
-// Run simulates one case under one policy.
+// Run simulates one case with one policy.
 func Run(c Case, policy string, o Options) (Report, error) {
 	s := &sim{options: o, testCase: c, rng: rand.New(rand.NewPCG(o.Seed, 31)), calls: make(map[int]*call)}
 	s.result = Report{Case: c.Name, Policy: policy}
@@ -129,7 +129,7 @@
 	return s.report(), nil
 }
 
-// arrive starts a call, and schedules the next one.
+// arrive starts a call and schedules the next one.
 func (s *sim) arrive() {
 	rate := 0.0
 	for _, v := range s.testCase.Speeds {
@@ -144,7 +144,7 @@
 	s.After(time.Duration(s.rng.ExpFloat64()/(rate*s.options.Load)*float64(time.Second)), s.arrive)
 }
 
-// send carries an attempt to a server and schedules its end.
+// send delivers an attempt to a server and schedules its end.
 func (s *sim) send(c *call, target int) {
 	attempt := c.attempts
 	c.attempts++
@@ -218,8 +218,8 @@
 	return r
 }
 
-// simplePolicy is a policy that has no state but the attempts in flight: it sends each call at once, and retries
-// where that is allowed.
+// simplePolicy is a balancer without admission control or learned state. It sends each call immediately and retries it
+// where a retry is allowed.
 type simplePolicy struct {
 	sim      *sim
 	choose   func(*simplePolicy, *call) int
@@ -228,7 +228,7 @@
 }
 
 func fewestInFlight(p *simplePolicy, c *call) int {
-	best, start := -1, p.sim.rng.IntN(servers) // random order among equals
+	best, start := -1, p.sim.rng.IntN(servers) // a random start avoids a preference among equally loaded servers
 	for i := range servers {
 		candidate := (start + i) % servers
 		if !c.tried[candidate] && (best < 0 || p.inFlight[candidate] < p.inFlight[best]) {
@@ -258,7 +258,7 @@
 	}
 }
 
-// module is the decision module with the settings of a service of generic HTTP.
+// module is the decision module with the settings of a generic HTTP service.
 type module struct {
 	sim        *sim
 	controller *control.Controller
@@ -300,7 +300,7 @@
 	}
 }
 
-// giveUp finishes a call that the module rejects or fails; one that was sent counts as failed in any case.
+// finishUnserved finishes a call that the module rejects or fails. A call that has been sent to a server counts as failed.
 func (m *module) finishUnserved(id string) {
 	c := m.sim.calls[callNumber(id)]
 	switch {
--- a/internal/simulation/balancesim/sim_test.go
+++ b/internal/simulation/balancesim/sim_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Without any report of load the module's choice is no worse than the plain ones where one server is
-// slow or fails, and the same seed gives the same run.
+// Without load reports, the module serves at least as large a fraction of the calls as round robin and least in flight,
+// less 0.01, also if one server is slow or fails. The same seed gives the same report.
 func TestModuleAvoidsFaultyServers(t *testing.T) {
 	o := Options{Load: 0.5, Duration: 25 * time.Second, Seed: 3}
 	for _, c := range Cases {
--- a/internal/simulation/decisiondigest/decisiondigest.go
+++ b/internal/simulation/decisiondigest/decisiondigest.go
@@ -1,14 +1,14 @@
-// Package decisiondigest reduces what controllers decide, and the state that they decide from, to digests
-// that tests compare with golden values. It holds a refactoring to the same decisions bit for bit.
+// Package decisiondigest computes digests of the actions and the state of controllers. Tests compare the digests with
+// golden values, to verify that a refactoring keeps all decisions bit for bit.
 //
-// A digest depends on no Go identifier of package control: an action is written by explicit fields in an
-// order of this package's own, and state by the keys of its stored form, sorted. Renaming a type or a
-// field of Go alone therefore changes no digest, and renaming a stored key does.
+// A digest does not depend on Go identifiers of package control. Actions are encoded field by field in an order that
+// this package defines, and state is encoded by the keys of its stored form, sorted. Renaming a Go type or field
+// therefore changes no digest, but renaming a stored key does.
 //
-// Digests depend on floating-point arithmetic, and so on the machine. Compilers for other architectures, and
-// for amd64 with GOAMD64=v3, may fuse x*y+z into one rounding; math.Exp takes fused instructions on amd64
-// where the processor has FMA. Golden values are of amd64 with GOAMD64=v1 and FMA; every digest of a state
-// is another with GOAMD64=v3 or with GODEBUG=cpu.fma=off.
+// Digests depend on floating-point arithmetic and therefore on the machine. Compilers for other architectures, and for
+// amd64 with GOAMD64=v3, may compute x*y+z with a single rounding, and math.Exp uses fused instructions on amd64
+// processors with FMA. The golden values are those of amd64 with GOAMD64=v1 and FMA. With GOAMD64=v3 or
+// GODEBUG=cpu.fma=off, every digest of a state differs.
 package decisiondigest
 
 import (
@@ -25,10 +25,10 @@
 	"lockflow/control"
 )
 
-// sumBytes is how much of a SHA-256 sum a golden file has.
+// sumBytes is the number of bytes of a SHA-256 sum that a digest has.
 const sumBytes = 16
 
-// tag is the byte that begins an action's canonical form. Golden values depend on these numbers.
+// tag is the first byte of an action's canonical form. Golden values depend on the numbers of the tags.
 type tag byte
 
 const (
@@ -46,7 +46,7 @@
 	tagLogLine
 )
 
-// stateEncoding writes floats in all their 64 bits, and map keys and fields sorted.
+// stateEncoding encodes floats with all 64 bits, and map keys and fields in sorted order.
 var stateEncoding = func() cbor.EncMode {
 	m, err := cbor.EncOptions{Sort: cbor.SortCoreDeterministic, ShortestFloat: cbor.ShortestFloatNone}.EncMode()
 	if err != nil {
@@ -61,13 +61,13 @@
 	buffer []byte
 }
 
-// New begins a digest.
+// New returns the digest of an empty sequence.
 func New() *Digest { return &Digest{hash: sha256.New()} }
 
-// Sum is the digest of what was added so far, in hexadecimal.
+// Sum returns the digest of everything added so far, in hexadecimal.
 func (d *Digest) Sum() string { return hex.EncodeToString(d.hash.Sum(nil)[:sumBytes]) }
 
-// AddActions adds the actions that an instance's controller answered one event with, in their order.
+// AddActions adds the actions that an instance's controller returned for one event, in their order.
 func (d *Digest) AddActions(now time.Duration, instance int, actions []control.Action) {
 	d.buffer = d.buffer[:0]
 	d.duration(now)
@@ -76,13 +76,13 @@
 	for _, a := range actions {
 		d.action(a)
 	}
-	_, _ = d.hash.Write(d.buffer) // a hash gives no error
+	_, _ = d.hash.Write(d.buffer) // a hash never returns an error
 }
 
-// AddImage adds a controller's complete state.
+// AddImage adds the complete state of a controller.
 func (d *Digest) AddImage(image control.Image) error { return d.addState(image) }
 
-// AddCheckpoint adds what a controller hands over to its successor.
+// AddCheckpoint adds the checkpoint that a controller hands over to its successor.
 func (d *Digest) AddCheckpoint(checkpoint control.Checkpoint) error { return d.addState(checkpoint) }
 
 func (d *Digest) addState(state any) error {
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// action appends an action's canonical form: its tag, then every field.
+// action appends the canonical form of an action: its tag, then each of its fields.
 func (d *Digest) action(action control.Action) {
 	switch a := action.(type) {
 	case control.Send:
@@ -144,7 +144,7 @@
 	}
 }
 
-// begin appends an action's tag and the text that it is about.
+// begin appends the tag of an action and its subject, such as a request ID.
 func (d *Digest) begin(t tag, subject string) {
 	d.buffer = append(d.buffer, byte(t))
 	d.text(subject)
@@ -156,7 +156,7 @@
 func (d *Digest) float(v float64)          { d.unsigned(math.Float64bits(v)) }
 func (d *Digest) text(v string)            { d.bytes([]byte(v)) }
 
-// bytes appends a length and what is that long.
+// bytes appends the length of v and then v.
 func (d *Digest) bytes(v []byte) {
 	d.integer(int64(len(v)))
 	d.buffer = append(d.buffer, v...)
--- a/internal/simulation/fleetrules/rules.go
+++ b/internal/simulation/fleetrules/rules.go
@@ -1,7 +1,7 @@
-// Package fleetrules checks the actions of a complete fleet against the five rules: one final answer for each
-// request, in time; no duplicate effects; no new attempts to draining servers; no overload of warming-up servers;
-// hard limits are kept. Its input is the requests that arrived, their attempts and their results, whichever way nodes
-// decide. A Checker is not safe for concurrent use, and must be called in the order of the events' times.
+// Package fleetrules checks the actions of a complete fleet against five rules: one final answer for each request, in
+// time; no duplicate effects; no new attempts to draining servers; no overload of warming-up servers; no customer above
+// its hard limit. Its input is the requests that nodes received, their attempts and their results; it does not depend on
+// how nodes decide. A Checker is not safe for concurrent use and must be called in the order of the events' times.
 package fleetrules
 
 import (
@@ -17,7 +17,7 @@
 // Rule is one of the five rules.
 type Rule string
 
-// The rules. Their values are the names in reports, where "cold" is a warming-up server and "ceiling" a hard limit.
+// The rules. Their values are the names in reports, in which "cold" stands for a warming-up server and "ceiling" for a hard limit.
 const (
 	Answer          Rule = "answer"  // one final answer for each request, in time
 	DuplicateEffect Rule = "twice"   // no duplicate effects of a request
@@ -30,26 +30,26 @@
 // an overload to be a breach.
 const notifiedFraction = 2.0 / 3
 
-// maxBreaches is the maximum number of breaches that a Checker stores; further ones are only counted.
+// maxBreaches is the maximum number of breaches that a Checker stores. Further breaches are only counted.
 const maxBreaches = 100
 
-// Terms are the tolerances of the rules.
+// Tolerances are the tolerances of the rules.
 type Tolerances struct {
-	AnswerGrace      time.Duration // after a client's deadline, within which an answer is still in time
-	DrainGrace       time.Duration // after a node was notified of a drain, within which it may still send
-	OverloadWindow   time.Duration // over which the work of a warming-up server is summed
-	OverloadMultiple float64       // of a warming-up server's current capacity, above which it is overloaded
-	MeanWork         float64       // of a request, in seconds of a core; 0 allows no random deviation
+	AnswerGrace      time.Duration // time after a client's deadline within which an answer is still in time
+	DrainGrace       time.Duration // time after a node was notified of a drain within which it may still send attempts
+	OverloadWindow   time.Duration // window over which the work of a warming-up server is summed
+	OverloadMultiple float64       // multiple of a warming-up server's current capacity above which it is overloaded
+	MeanWork         float64       // mean work of a request, in core-seconds; 0 allows no random deviation
 }
 
 // Breach is one violation of a rule.
 type Breach struct {
 	Rule        Rule          `json:"rule"`
-	At          time.Duration `json:"at_ns"`            // since the begin of the day
-	Node        int           `json:"node"`             // -1 is the complete fleet
-	ID          string        `json:"id,omitempty"`     // of the request; "" is none
-	Server      uint32        `json:"server,omitempty"` // 0 is none
-	Description string        `json:"what"`             // a description
+	At          time.Duration `json:"at_ns"`            // time since the start of the day
+	Node        int           `json:"node"`             // -1 means the complete fleet
+	ID          string        `json:"id,omitempty"`     // ID of the request; "" means none
+	Server      uint32        `json:"server,omitempty"` // 0 means none
+	Description string        `json:"what"`             // description of the breach
 }
 
 // String returns the breach as one line.
@@ -61,8 +61,8 @@
 type Server struct {
 	Zone string
 	Cell int
-	// Capacity returns the capacity at a time, in seconds of a core a second, and whether the server is warming
-	// up at that time. Nil is a warm server.
+	// Capacity returns the capacity at a time, in core-seconds a second, and whether the server is warming up at that
+	// time. Nil means that the server is warm.
 	Capacity func(at time.Duration) (work float64, warmingUp bool)
 }
 
@@ -72,7 +72,7 @@
 
 	servers           map[uint32]*server               // by id
 	requests          map[string]*request              // by id
-	notifications     map[int]map[uint32]time.Duration // by node and server: when it was notified that the server is draining or gone
+	notifications     map[int]map[uint32]time.Duration // by node and server: when the node was notified that the server is draining or gone
 	hardLimits        map[string]*hardLimitBucket      // by customer
 	counts            map[Rule]int
 	breaches          []Breach
@@ -82,17 +82,17 @@
 // server is the state of a server since its last start.
 type server struct {
 	Server
-	work         []work  // within the overload window, while warming up
-	totalWork    float64 // sum of work, in seconds of a core
+	work         []work  // attempts within the overload window, recorded only during warm-up
+	totalWork    float64 // sum of work, in core-seconds
 	notifiedWork float64 // part of totalWork from nodes that were notified of the server's start
-	isOverloaded bool    // whether it was overloaded since its start
+	isOverloaded bool    // whether the server has been overloaded since its start
 }
 
 // work is the work of one attempt.
 type work struct {
 	at       time.Duration
-	seconds  float64 // of a core
-	notified bool    // whether its node was notified of the server's start
+	seconds  float64 // in core-seconds
+	notified bool    // whether the node that sent it was notified of the server's start
 }
 
 // request is the state of a request.
@@ -101,14 +101,14 @@
 	class         *control.Class
 	deadline      time.Duration
 	answered      bool
-	needsNoAnswer bool          // needs no answer: its client is gone, or its node was killed
-	inFlight      int           // attempts sent and not ended
+	needsNoAnswer bool          // its client has disconnected or its node was killed
+	inFlight      int           // number of attempts that have not ended
 	mayRun        bool          // whether an attempt that has ended may have run
-	firstServer   Server        // of the first attempt that may have run
-	firstSentAt   time.Duration // of that attempt
+	firstServer   Server        // server of the first attempt that may have run
+	firstSentAt   time.Duration // time at which that attempt was sent
 }
 
-// hardLimitBucket is the token bucket of a customer's hard limit, as all nodes share it.
+// hardLimitBucket is the token bucket of a customer's hard limit over all nodes.
 type hardLimitBucket struct {
 	tokens float64
 	at     time.Duration // when tokens was computed
@@ -134,7 +134,7 @@
 	}
 }
 
-// Broken returns the number of breaches by rule; rules without breaches have no entry.
+// Broken returns the number of breaches by rule. Rules without breaches have no entry.
 func (c *Checker) Broken() map[Rule]int { return c.counts }
 
 // Breaches returns the stored breaches, at most 100, sorted by time.
@@ -145,13 +145,13 @@
 	return c.breaches
 }
 
-// MaxWarmUpOverload returns the largest load of a warming-up server relative to its limit.
+// MaxWarmUpOverload returns the largest load of a warming-up server relative to its overload limit.
 func (c *Checker) MaxWarmUpOverload() float64 { return c.maxWarmUpOverload }
 
-// Started records that a server has started or restarted.
+// ServerStarted records that a server has started or restarted.
 func (c *Checker) ServerStarted(id uint32, s Server) { c.servers[id] = &server{Server: s} }
 
-// Notified records that a node was notified, or counts as notified, that a server is available (up), or that it is
+// Notified records that a node was notified, or counts as notified, that a server is available (isUp) or that it is
 // draining or gone.
 func (c *Checker) Notified(at time.Duration, node int, id uint32, isUp bool) {
 	notifiedAt := c.notifications[node]
@@ -168,12 +168,12 @@
 	}
 }
 
-// Taken records a request that has arrived at a node and whose client waits for ttl.
+// RequestArrived records a request that a node has received and whose client waits for timeout.
 func (c *Checker) RequestArrived(at time.Duration, node int, id string, class *control.Class, timeout time.Duration) {
 	c.requests[id] = &request{node: node, class: class, deadline: at + timeout}
 }
 
-// Sent records an attempt that a node sends. The first attempt of a request is charged to the customer's hard limit.
+// AttemptSent records an attempt that a node sends. The first attempt of a request is charged to the customer's hard limit.
 func (c *Checker) AttemptSent(at time.Duration, node int, id string, server uint32, isFirst bool, plan *control.Plan, customer string, units float64) {
 	if notifiedAt, ok := c.notifications[node][server]; ok && at > notifiedAt+c.Tolerances.DrainGrace {
 		c.breach(Breach{
@@ -216,7 +216,7 @@
 	}
 }
 
-// sharesKeys reports whether two servers recognize each other's idempotency keys of a scope.
+// sharesKeys reports whether two servers recognize each other's idempotency keys, given the scope of the keys.
 func sharesKeys(scope control.KeyScope, a, b *Server) bool {
 	switch scope {
 	case control.ScopeCell:
@@ -228,7 +228,7 @@
 	}
 }
 
-// Ended records the end of an attempt that was sent at a time, and whether the server may have run it.
+// AttemptEnded records the end of an attempt that was sent at sentAt, and whether the server may have run it.
 func (c *Checker) AttemptEnded(id string, sentAt time.Duration, server uint32, mayRun bool) {
 	r := c.requests[id]
 	if r == nil {
@@ -242,7 +242,7 @@
 	}
 }
 
-// Answered records a final answer. refused is whether the answer lets the client retry.
+// Answered records a final answer. isRejected is whether the answer allows the client to retry.
 func (c *Checker) Answered(at time.Duration, node int, id string, isRejected bool) {
 	r := c.requests[id]
 	if r == nil {
@@ -272,15 +272,15 @@
 	return class.Idempotency == control.Idempotent
 }
 
-// Left records that the client of a request has closed its connection, so that the request needs no answer.
+// ClientDisconnected records that the client of a request has closed its connection, so that the request needs no answer.
 func (c *Checker) ClientDisconnected(id string) {
 	if r := c.requests[id]; r != nil {
 		r.needsNoAnswer = true
 	}
 }
 
-// Killed records that a node has ended. owed is whether it ended by itself, which it may do only after it has answered
-// all requests; otherwise it was killed without warning.
+// NodeEnded records that a node has ended. isGraceful is whether the node shut down by itself, which it may do only after
+// it has answered all requests; otherwise it was killed without warning.
 func (c *Checker) NodeEnded(at time.Duration, node int, isGraceful bool) {
 	for id, r := range c.requests {
 		if r.node != node || r.answered || r.needsNoAnswer {
@@ -294,11 +294,11 @@
 	delete(c.notifications, node)
 }
 
-// completeFleet is the node of a breach that the nodes caused together.
+// completeFleet is the node number of a breach that several nodes caused together.
 const completeFleet = -1
 
-// Arrived records work that has arrived at a server, rejected or not, in seconds of a core. notified is whether the
-// node that sent it was notified of the server's start.
+// WorkArrived records work that a server has received, rejected or not, in core-seconds. notified is whether the node
+// that sent it was notified of the server's start.
 func (c *Checker) WorkArrived(at time.Duration, id uint32, seconds float64, notified bool) {
 	s := c.servers[id]
 	if s == nil || s.Capacity == nil {
@@ -322,7 +322,7 @@
 	if s.totalWork <= limit || s.isOverloaded {
 		return
 	}
-	s.isOverloaded = true // only the first overload counts, whichever nodes caused it
+	s.isOverloaded = true // only the first overload is checked, regardless of the nodes that caused it
 	if s.notifiedWork > notifiedFraction*s.totalWork {
 		c.breach(Breach{
 			Rule: WarmingUp, At: at, Node: completeFleet, Server: id,
@@ -331,8 +331,9 @@
 	}
 }
 
-// warmUpLimit returns the work, in seconds of a core, above which a warming-up server is overloaded: a multiple of its
-// capacity, plus a random deviation of 2*sqrt(N)+2 requests, where N is the number of requests of mean work in it.
+// warmUpLimit returns the work within OverloadWindow, in core-seconds, above which a warming-up server is overloaded. It
+// is OverloadMultiple times the capacity plus a random deviation of 2*sqrt(N)+2 requests, where N is the number of
+// requests of mean work in that multiple.
 func (t *Tolerances) warmUpLimit(capacity float64) float64 {
 	work := t.OverloadMultiple * capacity * t.OverloadWindow.Seconds()
 	if t.MeanWork <= 0 {
@@ -341,7 +342,7 @@
 	return work + t.MeanWork*(2*math.Sqrt(work/t.MeanWork)+2)
 }
 
-// add adds work to the sums, or removes it if it is negative.
+// add adds work to the sums. Negative work is removed from them.
 func (s *server) add(work float64, notified bool) {
 	s.totalWork += work
 	if notified {
@@ -349,7 +350,7 @@
 	}
 }
 
-// chargeHardLimit charges a request to its customer's hard limit, which all nodes share.
+// chargeHardLimit charges a request to its customer's hard limit, which applies to the sum over all nodes.
 func (c *Checker) chargeHardLimit(at time.Duration, node int, id string, plan *control.Plan, customer string, units float64) {
 	bucket := c.hardLimits[customer]
 	if bucket == nil {
@@ -366,7 +367,7 @@
 	}
 }
 
-// Close records the end of the day. Requests without an answer whose deadline has passed are breaches.
+// Close records the end of the day. A request whose deadline has passed without an answer is a breach.
 func (c *Checker) Close(at time.Duration) {
 	for id, r := range c.requests {
 		if !r.answered && !r.needsNoAnswer && at > r.deadline+c.Tolerances.AnswerGrace {
--- a/internal/simulation/fleetrules/rules_test.go
+++ b/internal/simulation/fleetrules/rules_test.go
@@ -10,7 +10,7 @@
 
 const s = time.Second
 
-// The classes and plans of the histories below.
+// The classes and plans that the histories use.
 var (
 	readClass          = &control.Class{Name: "read", Idempotency: control.Idempotent}
 	nonIdempotentClass = &control.Class{Name: "once", Idempotency: control.NotIdempotent}
@@ -27,7 +27,7 @@
 
 func warmingUpCapacity(time.Duration) (float64, bool) { return 1, true }
 
-// histories are sequences of events by name, with the rule that each breaks; "" is none.
+// histories are sequences of events by name, with the rule that each of them breaks; "" means none.
 var histories = map[string]struct {
 	want   Rule
 	events func(c *Checker)
@@ -162,7 +162,7 @@
 	}},
 }
 
-// Each history breaks one rule or none.
+// Each history breaks exactly the expected rule, once, or none.
 func TestRules(t *testing.T) {
 	for name, tc := range histories {
 		t.Run(name, func(t *testing.T) {
--- a/internal/simulation/fleetsim/acceptance_test.go
+++ b/internal/simulation/fleetsim/acceptance_test.go
@@ -9,10 +9,10 @@
 	"lockflow/internal/simulation/fleetrules"
 )
 
-// The terms of the fleet's acceptance that are about decisions, played with the real modules.
+// This file has the acceptance tests of the fleet that depend on decisions. They simulate fleets with the real decision modules.
 
-// Twenty to thirty instances keep cold servers from falling where new ones join and others come back cold
-// under a burst, and a cold server is sent work all the same.
+// With 20 to 30 instances, warming-up servers are not overloaded when new servers join and others restart during a
+// burst, but they do receive work.
 func TestThrongDoesNotOverloadWarmingUpServers(t *testing.T) {
 	for _, instances := range []int{20, 24, 30} {
 		for seed := range uint64(3) {
@@ -27,8 +27,8 @@
 	}
 }
 
-// Whatever effect the settings of a day give a class, and however short its window is, no effect comes twice,
-// and at least a third of each class and of each plan is served.
+// For each idempotency of a class, and with a short repeat window, no request has duplicate effects, and at least a
+// third of the load of each class and of each plan is served.
 func TestNoDuplicateEffects(t *testing.T) {
 	for name, set := range map[string]func(k *control.Class){
 		"safe":         func(k *control.Class) { k.Idempotency = control.Idempotent },
@@ -59,7 +59,7 @@
 	}
 }
 
-// Taking an unsafe class for a safe one, and a day's short window for the usual one, are found.
+// The checker finds duplicate effects if nodes treat a class as idempotent that is not, or assume too long a repeat window.
 func TestDuplicateEffectsAreDetected(t *testing.T) {
 	for name, tc := range map[string]struct{ actual, assumed func(k *control.Class) }{
 		"unsafe as safe": {func(k *control.Class) { k.Idempotency = control.NotIdempotent }, func(k *control.Class) { k.Idempotency = control.Idempotent }},
@@ -83,8 +83,8 @@
 	}
 }
 
-// On quiet days and where all instances restart, hardly one rejects all that it gets for 4 s, and each plan has
-// its part.
+// On a day without faults, and when all instances restart, at most a tenth of the instances reject all requests for 4 s,
+// and at least half of each plan's load is served.
 func TestFewInstancesRejectAll(t *testing.T) {
 	for _, dayName := range []string{"calm", "roll"} {
 		for _, instances := range []int{8, 80, 300} {
@@ -104,8 +104,8 @@
 	}
 }
 
-// On a quiet day the price of what goes beyond quotas is at most 0.1 over that of a policy that sees the true
-// stores late.
+// On a day without faults, the price of over-quota requests exceeds that of the policy DelayedBucket, which knows the
+// exact bucket state with a delay, by at most 0.1.
 func TestOverQuotaPriceIsNearDelayedBucketPolicy(t *testing.T) {
 	for _, name := range QuotaNames {
 		t.Run(name, func(t *testing.T) {
--- a/internal/simulation/fleetsim/attempts.go
+++ b/internal/simulation/fleetsim/attempts.go
@@ -7,12 +7,12 @@
 	"lockflow/control"
 )
 
-// Attempts, from a node to a server and back.
+// This file simulates attempts, from the node that sends them to their results.
 
-// send carries an attempt to its server and schedules its end.
+// send delivers an attempt to its server and schedules its end.
 func (w *world) send(instance int, a control.Send) {
 	request := w.nodes[instance].inFlight[a.ID]
-	if request == nil { // its client is gone
+	if request == nil { // the client has disconnected
 		w.deliver(instance, control.AttemptResult{ID: a.ID, Server: a.Server, Reason: control.NotSent, IsFinal: true})
 		return
 	}
@@ -35,7 +35,7 @@
 		w.After(delay, func() { finishAttempt(reason, mayHaveRun, isDelivered) })
 	}
 	delay, connected := w.openConnection(instance, host, request.deadline)
-	if !connected { // no byte of the request was written
+	if !connected { // nothing of the request was written
 		endAfter(delay, control.ConnectFailed, false, false)
 		return
 	}
@@ -63,7 +63,7 @@
 	default:
 		w.After(responseTime, func() {
 			reason := control.OK
-			if host.incarnation != hostIncarnation { // its process ended during the request
+			if host.incarnation != hostIncarnation { // the server's process ended while it handled the request
 				reason = control.ResetByPeer
 			}
 			finishAttempt(reason, true, true)
@@ -71,7 +71,7 @@
 	}
 }
 
-// arriveAtServer records that an attempt has arrived completely at a server, and draws its work in seconds of a core.
+// arriveAtServer records that a server has received an attempt completely and draws the attempt's work in core-seconds.
 func (w *world) arriveAtServer(instance int, host *appServer, request *clientRequest, id string, attempt int) (work float64) {
 	c := request.call
 	plan := &w.rules.Plans[c.customer.plan]
@@ -88,7 +88,7 @@
 	return work
 }
 
-// openConnection returns how long connecting to a server takes, or how long until that fails.
+// openConnection returns the time until a connection to a server is open, or until the attempt to open one has failed.
 func (w *world) openConnection(instance int, host *appServer, deadline time.Duration) (delay time.Duration, isConnected bool) {
 	switch {
 	case host.state == hostGone:
@@ -104,7 +104,7 @@
 	return delay, true
 }
 
-// connectDelay returns how long it takes until a request can be written to a server.
+// connectDelay returns the time until a request can be written to a server, which is short if its connection is still open.
 func (w *world) connectDelay(instance int, host *appServer) time.Duration {
 	last, ok := host.connections[instance]
 	host.connections[instance] = w.Now()
@@ -124,7 +124,7 @@
 	return 3 * time.Millisecond
 }
 
-// recordWork records work that has arrived at a server.
+// recordWork records work that a server has received, for the overload check of warming-up servers.
 func (w *world) recordWork(instance int, host *appServer, work float64) {
 	isKnown := false
 	if initialIncarnation, ok := w.nodes[instance].knownIncarnations[host.id]; ok {
@@ -133,7 +133,7 @@
 	w.checker.WorkArrived(w.Now(), host.id, work, isKnown)
 }
 
-// serveWork schedules work at a server and returns how long the response takes.
+// serveWork schedules work on a server's core and returns the time until the response.
 func (w *world) serveWork(host *appServer, work float64) time.Duration {
 	core := firstFreeCore(host.coreFreeAt[:])
 	speed := warmthAt(w.Now() - host.bootedAt)
@@ -154,7 +154,7 @@
 	return host.coreFreeAt[core] - w.Now()
 }
 
-// loadReport returns the load report of a server, which is renewed at intervals.
+// loadReport returns the load report of a server, which is updated at most every loadReportInterval.
 func (w *world) loadReport(host *appServer) *control.LoadReport {
 	if host.reportAt == 0 || w.Now()-host.reportAt >= loadReportInterval {
 		host.smoothedUtilization += 0.5 * (math.Min(1, float64(host.inFlight)/dayCores) - host.smoothedUtilization)
@@ -165,7 +165,7 @@
 	return &l
 }
 
-// endAttempt delivers the end of an attempt to its node.
+// endAttempt passes the result of an attempt to the node that sent it.
 func (w *world) endAttempt(instance int, id string, attempt int, host *appServer, reason control.Reason) {
 	request := w.nodes[instance].inFlight[id]
 	result := control.AttemptResult{ID: id, Attempt: attempt, Server: host.id, Reason: reason, IsFinal: request == nil}
--- a/internal/simulation/fleetsim/clients.go
+++ b/internal/simulation/fleetsim/clients.go
@@ -9,17 +9,17 @@
 	"lockflow/control"
 )
 
-// Customers, their calls and their quotas.
+// This file simulates customers, their calls and their quotas.
 
-// drawCustomers draws the customers. Most use a part of their quota, some nearly all of it, and some
-// request several times as much.
+// drawCustomers draws customers until their load within quotas reaches offeredFraction of the servers' capacity. Most
+// customers use 20 to 70 % of their quota, 15 % use 95 % of it, and 10 % request 2.5 to 4.5 times their quota.
 func (w *world) drawCustomers() {
 	if w.script.quotas != nil {
 		w.script.quotas.drawCustomers(w)
 		return
 	}
 	settings := &w.rules
-	capacity := float64(len(w.hosts)) * dayCores / dayWork // requests a second
+	capacity := float64(len(w.hosts)) * dayCores / dayWork // in requests a second
 	targetRate := offeredFraction * capacity
 	demandSum, offeredRate := 0.0, 0.0
 	for i := 0; offeredRate < targetRate; i++ {
@@ -35,7 +35,7 @@
 		case draw < 0.25:
 			usageFraction = 0.95
 		}
-		rate := usageFraction * settings.Plans[customer.plan].QuotaRate / 2.5 // divided by the mean units of a request
+		rate := usageFraction * settings.Plans[customer.plan].QuotaRate / 2.5 // 2.5 is the mean of the units of a request
 		demandSum += rate
 		offeredRate += math.Min(usageFraction, 1) * settings.Plans[customer.plan].QuotaRate / 2.5
 		w.drawnCustomers, w.demandSums = append(w.drawnCustomers, customer), append(w.demandSums, demandSum)
@@ -43,7 +43,7 @@
 	w.arrivalRate = demandSum * w.options.Load
 }
 
-// arrive starts a call, and schedules the next one.
+// arrive starts a call and schedules the next one.
 func (w *world) arrive() {
 	if w.Now() >= w.options.Duration {
 		return
@@ -51,7 +51,7 @@
 	draw := w.clientRand.Float64() * w.demandSums[len(w.demandSums)-1]
 	index, _ := slices.BinarySearch(w.demandSums, draw)
 	cust := w.drawnCustomers[min(index, len(w.drawnCustomers)-1)]
-	if w.script.hasFreshCustomers && w.clientRand.Float64() < 0.5 { // a customer with one call only
+	if w.script.hasFreshCustomers && w.clientRand.Float64() < 0.5 { // a new customer that makes one call only
 		w.freshCustomers++
 		cust = &dayCustomer{name: fmt.Sprintf("f%d", w.freshCustomers), fanOut: cust.fanOut, plan: cust.plan, firstNode: cust.firstNode}
 	}
@@ -79,7 +79,7 @@
 	return q
 }
 
-// chargeQuota charges a forwarded call to the customer's true quota and its meter.
+// chargeQuota charges a forwarded call to the customer's quota over all nodes and to its meter.
 func (w *world) chargeQuota(c *call, plan *control.Plan) {
 	quota := w.quotaOf(c.customer, plan)
 	quota.forwardedTokens = math.Min(plan.QuotaBurst, quota.forwardedTokens+(w.Now()-quota.forwardedAt).Seconds()*plan.QuotaRate)
@@ -99,7 +99,7 @@
 	m.current += c.units
 }
 
-// roll advances a meter to a period.
+// advance advances a meter to a period and keeps the units of the last four complete periods.
 func (m *meter) advance(period int) {
 	for ; m.period < period; m.period++ {
 		m.periodUnits = append(m.periodUnits, m.current)
@@ -109,8 +109,8 @@
 	}
 }
 
-// reportedUsage returns the quota usage that a response reports: 1 + per cent of the rate in the last period
-// that the meter has summed; 0 is no report.
+// reportedUsage returns the quota usage that a response reports: 1 plus the usage in the last metered period, in per
+// cent of the quota's rate. 0 means that the response has no report.
 func (w *world) reportedUsage(instance int, customer *dayCustomer) int {
 	if w.script.quotas != nil {
 		return w.script.quotas.reportedUsage(instance, customer)
@@ -126,7 +126,7 @@
 	return 1 + int(math.Round(100*m.periodUnits[len(m.periodUnits)-meterLagPeriods]/w.rules.Plans[customer.plan].QuotaRate))
 }
 
-// chooseNode draws the node that a request arrives at.
+// chooseNode draws the node that receives a request.
 func (w *world) chooseNode(c *call) int {
 	if w.script.quotas != nil {
 		return w.script.quotas.chooseRequestNode(c)
@@ -138,7 +138,7 @@
 	return (c.customer.firstNode + index) % len(w.nodes)
 }
 
-// sendRequest sends a request of a call to a running node among those of its customer.
+// sendRequest sends a request of a call to a node of its customer that accepts requests. If six draws find none, the client retries.
 func (w *world) sendRequest(c *call) {
 	remaining := c.arrivedAt + dayDeadline - w.Now()
 	if remaining < 10*time.Millisecond {
@@ -187,7 +187,7 @@
 	w.deliver(instance, r)
 }
 
-// retryLater schedules a client's retry, up to a few.
+// retryLater schedules a client's retry of a call. A call has at most 4 requests, or 6 if the client retries immediately.
 func (w *world) retryLater(c *call, immediately bool) {
 	maxRequests, delay := 4, 100*time.Millisecond+time.Duration(w.clientRand.Int64N(int64(700*time.Millisecond)))
 	if immediately {
--- a/internal/simulation/fleetsim/days.go
+++ b/internal/simulation/fleetsim/days.go
@@ -9,33 +9,33 @@
 	"lockflow/internal/simulation/fleetrules"
 )
 
-// Scripts of days: what happens to servers, nodes, endpoint lists, the meter and clients. Times are fractions
-// of the day, so that a shorter day has the same events.
+// This file has the scripts of days. A script schedules the events of servers, nodes, endpoint lists, the meter and
+// clients. Most of its times are fractions of the day, so that a shorter day has the same events.
 
-// dayPlan is the script of a day. Fractions are 0 by default.
+// dayScript is the script of a day. All fractions default to 0.
 type dayScript struct {
-	help   string // one line of help
+	help   string // one-line description
 	script func(w *world)
 
-	faultyFraction              float64       // of the servers, from the start
-	isFailing                   bool          // faulty servers fail at once; otherwise they are slow
-	lostFraction, resetFraction float64       // of responses, and of attempts
-	corruptFraction             float64       // of responses
-	leavingFraction             float64       // of requests whose client disconnects early
-	retriesImmediately          bool          // clients retry sooner and more often
-	listDelay                   time.Duration // added to that of endpoint lists
-	slowConnectFraction         float64       // of new connections, which take up to maxSlowConnect
-	hasLongDrains               bool          // some servers drain longer
-	hasFreshCustomers           bool          // half of the calls are of customers with one call only
-	quotas                      *quotaDay     // customers and quotas of a deployment; nil has those of world
-	// settings changes the settings of this day; nil leaves them.
+	faultyFraction              float64       // fraction of the initial servers that are faulty
+	isFailing                   bool          // faulty servers fail 80 % of their requests at once; otherwise they are five times slower
+	lostFraction, resetFraction float64       // fraction of responses that are lost, and of attempts whose connection is reset
+	corruptFraction             float64       // fraction of responses that are corrupt
+	leavingFraction             float64       // fraction of requests whose client disconnects before the answer
+	retriesImmediately          bool          // clients retry within 100 ms, and more often
+	listDelay                   time.Duration // additional delay of endpoint lists
+	slowConnectFraction         float64       // fraction of new connections that take up to maxSlowConnect
+	hasLongDrains               bool          // one in three replaced servers drains longer
+	hasFreshCustomers           bool          // half of the calls come from new customers that make one call only
+	quotas                      *quotaDay     // customers and quotas of a deployment; nil uses those of world
+	// settings changes the nodes' settings for this day; nil changes nothing.
 	settings func(s *control.Settings)
 }
 
-// DayNames are the days of the fleet test, in its order. Day plays "throng" too.
+// DayNames are the days that the fleet test simulates, in this order. Day also accepts "throng".
 var DayNames = []string{"calm", "roll", "herd", "zone", "split", "join", "long"}
 
-// days are the scripts by name.
+// days maps the names of days to their scripts.
 var days = map[string]dayScript{
 	"calm": {help: "no fault; a burst of half as much again", script: func(w *world) {
 		w.At(w.timeAt(0.4), func() { w.arrivalRate *= 1.5 })
@@ -48,7 +48,7 @@
 			at := w.timeAt(0.2 + 0.6*float64(i/tenth)/10)
 			w.At(at, func() { w.terminate(i) })
 		}
-		w.At(w.timeAt(0.45), func() { w.listsSilentUntil = w.Now() + 4*time.Second }) // the new discovery service has to be connected first
+		w.At(w.timeAt(0.45), func() { w.listsSilentUntil = w.Now() + 4*time.Second }) // no list arrives until the nodes have connected to the new discovery service
 	}},
 	"herd": {help: "seven in ten instances killed at once during a release", faultyFraction: 1.0 / 8, isFailing: true, script: func(w *world) {
 		w.replaceServers(0.5, 0.3, 0.7)
@@ -105,15 +105,15 @@
 	}},
 }
 
-// DayHelp describes a day in one line.
+// DayHelp returns a one-line description of a day.
 func DayHelp(name string) string { return days[name].help }
 
 func (w *world) timeAt(fraction float64) time.Duration {
 	return time.Duration(fraction * float64(w.options.Duration))
 }
 
-// replaceServers replaces a fraction of the available servers by new ones, in steps between two fractions of
-// the day: the new server is listed, then the old one drains, then it is gone.
+// replaceServers replaces a fraction of the available servers by new ones, in steps between two fractions of the day.
+// For each, the new server starts and is listed, then the old one drains, then the old one ends.
 func (w *world) replaceServers(fraction, from, to float64) {
 	w.At(w.timeAt(from), func() {
 		var old []*appServer
@@ -131,7 +131,7 @@
 				w.boot(host.zone, host.cell)
 				w.After(1500*time.Millisecond, func() { w.drain(host) })
 				remaining := 6 * time.Second
-				if w.script.hasLongDrains && i%3 == 0 { // longer than a node that was never notified may send to it
+				if w.script.hasLongDrains && i%3 == 0 { // longer than the time after which a node that was not notified still sends to the server
 					remaining = 14 * time.Second
 				}
 				w.After(remaining, func() { w.remove(host) })
@@ -140,7 +140,7 @@
 	})
 }
 
-// loseZone makes a zone's servers silent for some time, and then restarts them.
+// loseZone makes the servers of zone "z0" unreachable for a time and then restarts them.
 func (w *world) loseZone(duration time.Duration) {
 	for _, host := range w.hosts {
 		if host.zone == "z0" && host.state == hostUp {
@@ -150,8 +150,8 @@
 	}
 }
 
-// silenceWatches makes six in ten watches silent: their nodes are not notified until they have detected that
-// and opened new ones.
+// silenceWatches makes the watches of six in ten nodes silent. Such a node receives no watch events until it has
+// detected the silence and opened a new watch.
 func (w *world) silenceWatches() {
 	for _, n := range w.nodes {
 		if w.rng.Float64() < 0.6 {
@@ -163,8 +163,8 @@
 	}
 }
 
-// disconnectServers disconnects one server of every so many from the network for some time. They continue to
-// work.
+// disconnectServers disconnects every interval-th server from the network for a time. The servers continue to process
+// the requests that they have received.
 func (w *world) disconnectServers(duration time.Duration, interval int) {
 	for i, host := range w.hosts {
 		if i%interval == 0 && host.state == hostUp {
@@ -173,30 +173,30 @@
 	}
 }
 
-// Mutation removes one safeguard between a node's module and the world. The checker has to find that the
-// rule is then broken on the day.
+// Mutation removes one safeguard of a node. A test verifies that the checker then finds breaches of the mutation's rule
+// on the mutation's day.
 type Mutation struct {
 	Name string
-	Rule fleetrules.Rule // that is broken
+	Rule fleetrules.Rule // the rule that the mutation breaks
 	Day  string
 
 	settings           func(w *world, n *node)
 	filterList         func(w *world, m []listedEndpoint) []listedEndpoint
-	dropsTimers        bool // timers of requests never fire
-	sendsTwice         bool // attempts are sent twice
-	answersTwice       bool // final answers are given twice
-	rejectsFailures    bool // failed requests are answered as rejected, as if a retry were harmless
-	dropsInFlight      bool // a node that is terminated drops its requests in flight
-	keepsSilentWatches bool // silent watches are not replaced
-	resendsResets      bool // the transport resends attempts whose connection was reset
-
-	// Load and Instances are the load and the smallest number of nodes at which the broken rule shows; 0 is
-	// the default.
+	dropsTimers        bool // timers with a label other than 0, which are those of requests, never fire
+	sendsTwice         bool // each attempt arrives at its server twice
+	answersTwice       bool // each final answer is given twice
+	rejectsFailures    bool // failed requests are answered as rejected, which tells clients that a retry is harmless
+	dropsInFlight      bool // a node drops its requests in flight at a planned restart
+	keepsSilentWatches bool // nodes do not replace silent watches
+	resendsResets      bool // the transport sends an attempt again if its connection was reset
+
+	// Load and Instances are the load and the minimum number of nodes at which the checker finds the breach. 0 keeps the
+	// value of the DayOptions.
 	Load      float64
 	Instances int
 }
 
-// Options returns the options under which the mutation has to be found.
+// Options returns the options of a day on which the checker has to find the mutation's breaches.
 func (m *Mutation) Options(o DayOptions) DayOptions {
 	o.Day, o.Mutation, o.Instances = m.Day, m, max(o.Instances, m.Instances)
 	if m.Load > 0 {
@@ -205,7 +205,7 @@
 	return o
 }
 
-// Mutations are all mutations.
+// Mutations lists all mutations.
 var Mutations = []Mutation{
 	{Name: "the group's size is taken as 1", Rule: fleetrules.WarmingUp, Day: "join", Instances: 120, settings: func(_ *world, n *node) { n.settings.GroupSize, n.settings.SelfIndex = 1, 0 }},
 	{Name: "a cold server is held able to do all from its start", Rule: fleetrules.WarmingUp, Day: "herd", settings: func(_ *world, n *node) { n.settings.InitialCapacity, n.settings.OverloadMultiple = 1, 50 }},
--- a/internal/simulation/fleetsim/days_test.go
+++ b/internal/simulation/fleetsim/days_test.go
@@ -19,7 +19,7 @@
 	return r
 }
 
-// No rule is broken on any day at any size, and most of what was asked for inside quotas is served.
+// No rule is broken on any day at any fleet size, and at least half of the load within quotas is served.
 func TestDaysBreakNoRule(t *testing.T) {
 	for _, n := range []int{2, 8, 80} {
 		for _, name := range DayNames {
@@ -32,10 +32,10 @@
 				if starved := meanStarvedFraction(t, name, n); starved > 0.15 {
 					t.Errorf("%d instances: %.3f of what customers ask within quotas is that of starved ones", n, starved)
 				}
-				if n < 80 { // of a few servers too little is left where one is lost
+				if n < 80 { // with few servers, the loss of one leaves too little capacity
 					return
 				}
-				// The half holds for each class, and for each third.
+				// At least half is served of each class and in each third of the day.
 				for k, fraction := range r.Classes {
 					if fraction < 0.5 {
 						t.Errorf("%d instances: class %s %.3f: %+v", n, k, fraction, r)
@@ -51,8 +51,8 @@
 	}
 }
 
-// meanStarved is the mean of DayReport.Starved over some seeds, on each of which no rule is broken: of a few instances
-// one seed's figure says little, as a single customer may be a tenth of it.
+// meanStarvedFraction returns the mean of DayReport.StarvedFraction over 8 seeds and fails the test if a rule is broken
+// with any of them. With few instances a single seed is not significant, since one customer may be a tenth of the load.
 func meanStarvedFraction(t *testing.T, name string, instances int) float64 {
 	t.Helper()
 	const seeds = 8
@@ -66,7 +66,7 @@
 	return sum / seeds
 }
 
-// Nor where hundreds of instances are killed at once and clients come again and again, in a short form.
+// No rule is broken on a short day on which most of 300 instances are killed at once and their clients retry.
 func TestThreeHundredInstancesBreakNoRule(t *testing.T) {
 	r := runDayOrFail(t, DayOptions{Day: "herd", Instances: 300, Duration: 10 * time.Second, Load: 2, Seed: 4})
 	if len(r.Broken) > 0 || r.Served < 0.5 || r.MaxWarmUpOverload == 0 {
@@ -74,7 +74,7 @@
 	}
 }
 
-// The same seed gives the same day, whatever map order a run meets; another seed gives another.
+// The same seed gives the same report, independent of map iteration order; another seed gives another report.
 func TestSameSeedGivesSameDay(t *testing.T) {
 	o := DayOptions{Day: "split", Instances: 12, Duration: 12 * time.Second, Seed: 5}
 	a, b := runDayOrFail(t, o), runDayOrFail(t, o)
@@ -91,7 +91,7 @@
 	}
 }
 
-// Each guard that is taken out is found, by the rule that it keeps.
+// Each mutation, which removes a safeguard, breaks the rule that the safeguard enforces. Without it no rule is broken.
 func TestMutationsBreakTheirRule(t *testing.T) {
 	for _, m := range Mutations {
 		t.Run(m.Name, func(t *testing.T) {
@@ -109,7 +109,7 @@
 	}
 }
 
-// A report's sums don't hang on the order of a map.
+// The sums of a report do not depend on map iteration order, which would change the rounding.
 func TestReportIsIndependentOfMapOrder(t *testing.T) {
 	w := &world{rules: control.Settings{Classes: make([]control.Class, 2)}, checker: fleetrules.New(fleetrules.Tolerances{}), customerTotals: map[*dayCustomer]*weightTotals{}}
 	for i := range 50 {
--- a/internal/simulation/fleetsim/decisions_amd64_test.go
+++ b/internal/simulation/fleetsim/decisions_amd64_test.go
@@ -15,23 +15,23 @@
 	"lockflow/internal/simulation/decisiondigest"
 )
 
-// updateDecisions writes the golden file anew:
+// updateDecisions rewrites the golden file:
 //
 //	go test ./internal/simulation/fleetsim -run '^TestDecisionsAreUnchanged$' -update-decisions
 //
-// A change of package control that means to decide as before has no cause to do so.
+// A change of package control that is meant to keep all decisions must not rewrite it.
 var updateDecisions = flag.Bool("update-decisions", false, "writes testdata/decisions.golden anew")
 
 const (
 	goldenDecisions  = "testdata/decisions.golden"
 	decisionSeeds    = 3
 	decisionDuration = 8 * time.Second
-	imageInterval    = 256 // events, after which the state of the instance that handled the last one is added
+	imageInterval    = 256 // number of events after which the state of the instance that handled the last one is added to the digest
 )
 
 var decisionFleets = []int{2, 80}
 
-// decisionDays are the days whose decisions are pinned, by name. Together they reach what decisionFeatures lists.
+// decisionDays are the days, by name, whose decisions are compared with the golden file. Together they cover decisionFeatures.
 var decisionDays = map[string]func(p *recordedDay) error{
 	"calm":  (*recordedDay).runNamed,
 	"roll":  (*recordedDay).runNamed,
@@ -54,7 +54,7 @@
 	"kiosk":    (*recordedDay).runQuotas,
 }
 
-// decisionFeatures are the kinds of decision that the days have to reach, so that the digests hold them.
+// decisionFeatures are the kinds of decisions that the days have to cover, so that the digests depend on each of them.
 var decisionFeatures = []string{
 	"attempt of a free request", "retry of a free request",
 	"attempt of a guarded request", "retry of a guarded request",
@@ -67,21 +67,21 @@
 
 var idempotencyNames = map[control.Idempotency]string{control.Idempotent: "free", control.IdempotentWithKey: "guarded", control.NotIdempotent: "single-shot"}
 
-// pinnedDay is one play of a day, with the digests of what its instances decide.
+// recordedDay is one simulation of a day with the digests of the decisions and the state of its instances.
 type recordedDay struct {
 	day       string
 	instances int
 	seed      uint64
 
 	events, actions int
-	decisions       *decisiondigest.Digest // every action of every instance, in order
-	state           *decisiondigest.Digest // now and then of an instance, of what is handed over, and of every instance at the end
+	decisions       *decisiondigest.Digest // digest of every action of every instance, in order
+	state           *decisiondigest.Digest // digest of an instance's state every imageInterval events, of each checkpoint, and of all states at the end
 	world           *world
 	features        map[string]bool
-	err             error // the first one of a digest
+	err             error // the first error of a digest
 }
 
-// playPinned plays a day.
+// recordDay simulates a day and returns its digests.
 func recordDay(day string, instances int, seed uint64) (*recordedDay, error) {
 	p := &recordedDay{
 		day: day, instances: instances, seed: seed, decisions: decisiondigest.New(), state: decisiondigest.New(),
@@ -109,7 +109,7 @@
 	return err
 }
 
-// observe adds an event's actions to the digest.
+// observe adds the actions of an event to the digest.
 func (p *recordedDay) observe(w *world, instance int, event control.Event, actions []control.Action) {
 	p.world = w
 	p.events++
@@ -133,7 +133,7 @@
 	}
 }
 
-// noteAttempt notes what kind of attempt starts.
+// recordAttempt records the kind of an attempt as covered.
 func (p *recordedDay) recordAttempt(w *world, instance int, a control.Send) {
 	n := w.nodes[instance]
 	t := n.inFlight[a.ID]
@@ -150,8 +150,8 @@
 	}
 }
 
-// handOverAll is a day's script: half of the servers start cold while every instance hands over to a
-// successor, one after another.
+// handOverAll is the script of a day on which half of the servers are replaced by new ones, which have to warm up, while
+// the instances hand over to successors one after another.
 func (p *recordedDay) handOverAll(w *world) {
 	w.replaceServers(0.5, 0.1, 0.5)
 	for i := range w.nodes {
@@ -159,8 +159,8 @@
 	}
 }
 
-// handOver has an instance hand half of what it may spend to a successor, and the rest a second later. Every
-// other successor doesn't trust what it is handed to be exact.
+// handOver has an instance hand over half of its budgets to a successor, and the rest one second later. Every other
+// successor restores the checkpoint with TrustEstimates, which takes over estimates only.
 func (p *recordedDay) handOver(w *world, instance int) {
 	now, predecessor := w.Now()+moduleClockOffset, w.nodes[instance].controller
 	checkpoint := predecessor.HandOver(now, 0.5)
@@ -190,14 +190,14 @@
 	}
 }
 
-// line is the play as the golden file has it.
+// goldenLine returns the line of this simulation in the golden file.
 func (p *recordedDay) goldenLine() string {
 	return fmt.Sprintf("%s instances=%d seed=%d events=%d actions=%d decisions=%s state=%s", p.day, p.instances, p.seed, p.events, p.actions,
 		p.decisions.Sum(), p.state.Sum())
 }
 
-// Every controller of every day returns the same actions in the same order as when the golden file was
-// written, and ends in the same state, bit for bit.
+// On every day, each controller returns the same actions in the same order as when the golden file was written, and ends
+// in the same state, bit for bit.
 func TestDecisionsAreUnchanged(t *testing.T) {
 	var lock sync.Mutex
 	var lines []string
@@ -230,7 +230,7 @@
 	compareGolden(t, lines)
 }
 
-// compareGolden holds the plays against the golden file, or writes it.
+// compareGolden compares the lines with the golden file, or writes it with -update-decisions.
 func compareGolden(t *testing.T, lines []string) {
 	t.Helper()
 	if *updateDecisions {
--- a/internal/simulation/fleetsim/hard_test.go
+++ b/internal/simulation/fleetsim/hard_test.go
@@ -7,12 +7,12 @@
 	"lockflow/internal/simulation/fleetrules"
 )
 
-// Days that no list of troubles names. The rules hold on them too, and what can be served is.
+// The rules also hold on days with faults that no day in DayNames has, and a minimum of the load is served.
 func TestHardDays(t *testing.T) {
 	never := 24 * time.Hour
 	for name, tc := range map[string]struct {
 		script    func(w *world)
-		minServed float64 // served
+		minServed float64 // minimum served fraction of the load within quotas
 	}{
 		"all servers gone at once, others later": {func(w *world) {
 			old := append([]*appServer(nil), w.hosts...)
@@ -28,7 +28,7 @@
 				}
 			})
 		}, 0.25},
-		// Little is served: with no warm server to go by, all together send each cold one a unit a second.
+		// Little is served: without a warm server as a reference, all nodes together send each warming-up server one unit a second.
 		"an empty list for 3 s, then all cold": {func(w *world) {
 			for _, h := range w.hosts {
 				h.bootedAt = 0
@@ -80,8 +80,8 @@
 	}
 }
 
-// A group that is told too small passes ceilings and cold servers' limits; one told too large keeps
-// both and serves less.
+// Nodes whose group size is configured too small overload warming-up servers. Nodes whose group size is configured too
+// large break no rule, but serve less.
 func TestWrongGroupSizes(t *testing.T) {
 	for _, tc := range []struct {
 		instances, groupSize int
--- a/internal/simulation/fleetsim/instances.go
+++ b/internal/simulation/fleetsim/instances.go
@@ -9,7 +9,7 @@
 	"lockflow/control"
 )
 
-// Nodes: their starts, ends, endpoint lists and decisions.
+// This file simulates nodes: their starts and ends, the endpoint lists that they receive, and their decisions.
 
 func (w *world) settings(instance int) control.Settings {
 	s := control.Settings{
@@ -32,7 +32,7 @@
 	return s
 }
 
-// start starts or restarts a node, with the current endpoint list from its agent.
+// start starts or restarts a node and delivers the current endpoint list to it.
 func (w *world) start(instance int) {
 	n := w.nodes[instance]
 	n.settings, n.grantsFullHardLimit = w.settings(instance), false
@@ -41,7 +41,7 @@
 	}
 	c, err := control.New(n.settings, w.options.Seed*1_000_003+uint64(instance)*1009+uint64(n.incarnation))
 	if err != nil {
-		panic(fmt.Sprintf("the settings of a day: %v", err)) // the settings are constant
+		panic(fmt.Sprintf("the settings of a day: %v", err)) // the settings are constants, so an error is a fault of this package
 	}
 	n.controller = c
 	n.down = false
@@ -55,7 +55,7 @@
 	for _, host := range w.hosts {
 		endpoint := w.endpointOf(host)
 		if host.bootedAt > w.Now()-startListingDelay && host.bootedAt >= 0 {
-			continue // not listed yet
+			continue // the endpoint list does not contain it yet
 		}
 		n.knownIncarnations[host.id] = host.incarnation
 		if !endpoint.isUp {
@@ -79,7 +79,7 @@
 	w.deliver(instance, list)
 }
 
-// kill ends a node without warning; the clients of its requests in flight may retry.
+// kill ends a node without warning. Clients of its requests in flight may retry.
 func (w *world) kill(instance int) { w.endNode(instance, false) }
 
 func (w *world) endNode(instance int, isGraceful bool) {
@@ -96,8 +96,8 @@
 	n.inFlight = nil
 }
 
-// terminate restarts a node as planned: requests arrive for a moment still; those in flight at the end of
-// the grace period fail.
+// terminate performs a planned restart of a node. Requests continue to arrive for 300 ms; those still in flight at the
+// end of the grace period fail.
 func (w *world) terminate(instance int) {
 	n := w.nodes[instance]
 	initialIncarnation, grace := n.incarnation, termGrace
@@ -120,7 +120,7 @@
 	})
 }
 
-// deliver has a node's module handle an event and performs its actions.
+// deliver passes an event to a node's decision module and performs the resulting actions.
 func (w *world) deliver(instance int, event control.Event) {
 	n := w.nodes[instance]
 	if n.down {
@@ -159,7 +159,7 @@
 	}
 }
 
-// finish gives a client its final answer: served, refused or failed.
+// finish gives a client the final answer to a request. The outcome is "served", "refused" or "failed".
 func (w *world) finish(instance int, id, outcome string) {
 	request := w.nodes[instance].inFlight[id]
 	if request == nil {
@@ -192,7 +192,7 @@
 	}
 }
 
-// countRejection counts a rejection, and marks a node that rejects all requests.
+// countRejection counts a rejection and records whether the node now counts as rejecting all requests.
 func (w *world) countRejection(n *node) {
 	if n.rejectedInRow == 0 {
 		n.rejectingSince = w.Now()
--- a/internal/simulation/fleetsim/quota_account.go
+++ b/internal/simulation/fleetsim/quota_account.go
@@ -7,21 +7,21 @@
 	"lockflow/control"
 )
 
-// quotaAccount is the true state of a customer's quota over the complete group, and its meter.
+// quotaAccount is the exact state of a customer's quota over all nodes of the group, with the meter of its usage.
 type quotaAccount struct {
 	plan     *control.Plan
 	tokens   float64
 	at       time.Duration
-	inFlight int     // attempts
-	offered  float64 // units of all requests so far
+	inFlight int     // number of attempts in flight
+	offered  float64 // sum of the units of all requests so far
 	requests int
 
-	history []accountState // states after each change
+	history []accountState // the state after each change
 	period  time.Duration
-	usages  []periodUsage // by period of the meter
+	usages  []periodUsage // by meter period
 }
 
-// accountState is the state of a quota at one time, and what was requested until then.
+// accountState is the state of a quota at one time, with the number and the units of all requests up to that time.
 type accountState struct {
 	at       time.Duration
 	tokens   float64
@@ -30,10 +30,10 @@
 	requests int
 }
 
-// periodUsage is the usage in one period of the meter.
+// periodUsage is the usage in one meter period.
 type periodUsage struct {
 	units       float64
-	maxInFlight int // attempts at one time
+	maxInFlight int // maximum number of attempts in flight at one time
 }
 
 func newQuotaAccount(p *control.Plan, period time.Duration) *quotaAccount {
@@ -45,12 +45,12 @@
 	a.at = now
 }
 
-// recordState adds the current state to the history.
+// recordState appends the current state to the history.
 func (a *quotaAccount) recordState() {
 	a.history = append(a.history, accountState{a.at, a.tokens, a.inFlight, a.offered, a.requests})
 }
 
-// recordRequest records a request that arrives at a node.
+// recordRequest records a request that a node has received.
 func (a *quotaAccount) recordRequest(now time.Duration, units float64) {
 	a.refill(now)
 	a.offered += units
@@ -58,8 +58,8 @@
 	a.recordState()
 }
 
-// charge records a request that is forwarded for the first time. It takes its units if it is within the quota,
-// and nothing otherwise.
+// charge records the first attempt of a request. It takes the request's units if the request is within the quota, and
+// no units otherwise. It returns whether the request is within the quota.
 func (a *quotaAccount) charge(now time.Duration, units float64) (isUnderQuota bool) {
 	a.refill(now)
 	if isUnderQuota = a.hasQuota(units); isUnderQuota && a.plan.QuotaRate > 0 {
@@ -72,7 +72,7 @@
 	return isUnderQuota
 }
 
-// missingQuota describes what a request over its quota lacks.
+// missingQuota returns which part of the quota is exhausted for a request: its units, its in-flight quota, or both.
 func (a *quotaAccount) missingQuota(now time.Duration, units float64) string {
 	a.refill(now)
 	switch isInFlightQuotaUsed := a.plan.MaxInFlight > 0 && a.inFlight >= a.plan.MaxInFlight; {
@@ -88,7 +88,7 @@
 	return (a.plan.QuotaRate == 0 || a.tokens >= units) && (a.plan.MaxInFlight == 0 || a.inFlight < a.plan.MaxInFlight)
 }
 
-// beginAttempt records the start of an attempt, also of a retry.
+// beginAttempt records the start of an attempt, first or retried.
 func (a *quotaAccount) beginAttempt(now time.Duration) {
 	a.refill(now)
 	a.inFlight++
@@ -105,7 +105,7 @@
 	a.recordState()
 }
 
-// settle charges the units that a request within the quota used beyond those charged, or refunds them.
+// settle charges the difference between the actual units of a request within the quota and its charged units. A negative difference is refunded.
 func (a *quotaAccount) settle(now time.Duration, difference float64) {
 	if a.plan.QuotaRate == 0 {
 		return
@@ -115,13 +115,13 @@
 	a.recordState()
 }
 
-// hasCapacity tells whether at least half of the quota is unused.
+// hasCapacity reports whether at least half of the quota is unused.
 func (a *quotaAccount) hasCapacity(now time.Duration) bool {
 	a.refill(now)
 	return (a.plan.QuotaRate == 0 || a.tokens >= a.plan.QuotaBurst/2) && (a.plan.MaxInFlight == 0 || 2*a.inFlight <= a.plan.MaxInFlight)
 }
 
-// stateAt returns the state at an earlier time; before the start the bucket was full.
+// stateAt returns the state at an earlier time. Before the first recorded state the bucket is full.
 func (a *quotaAccount) stateAt(at time.Duration) accountState {
 	for i := len(a.history) - 1; i >= 0; i-- {
 		if s := a.history[i]; s.at <= at {
@@ -132,7 +132,7 @@
 	return accountState{at: at, tokens: a.plan.QuotaBurst}
 }
 
-// currentUsage returns the usage of the current period; nil without a meter.
+// currentUsage returns the usage of the current meter period, or nil if there is no meter.
 func (a *quotaAccount) currentUsage(now time.Duration) *periodUsage {
 	if a.period == 0 {
 		return nil
@@ -143,8 +143,8 @@
 	return &a.usages[len(a.usages)-1]
 }
 
-// reportedUsage returns what the meter reports of the last period that it has summed: 1 + per cent of the
-// rate, or of the in-flight quota where there is no rate; 0 is no report.
+// reportedUsage returns the meter's report on the last period whose end is at least delay ago: 1 plus the usage in per
+// cent of the quota's rate, or of the in-flight quota if there is no rate. 0 means that there is no report.
 func (a *quotaAccount) reportedUsage(now, delay time.Duration) int {
 	a.currentUsage(now)
 	if a.period == 0 || now < delay+a.period {
--- a/internal/simulation/fleetsim/quota_bound_test.go
+++ b/internal/simulation/fleetsim/quota_bound_test.go
@@ -9,27 +9,27 @@
 	"lockflow/internal/simulation/fleetrules"
 )
 
-// boundDraw are the settings of a play: one plan, of whose customers all or half ask x times their quota and
-// the others a part of it.
+// boundCase has the drawn settings of one simulation: one plan, of whose customers all or half request demandMultiple
+// times their quota and the others a fraction of it.
 type boundCase struct {
 	instances, nodesPerCustomer int
-	demandMultiple              float64 // 0 has nobody ask beyond
-	heavy                       float64 // part of the customers that ask so
-	usual                       float64 // what the others ask, in parts of the rate
+	demandMultiple              float64 // 0 means that no customer requests more than its quota
+	heavy                       float64 // fraction of the customers that request demandMultiple times their quota
+	usual                       float64 // request rate of the other customers, as a fraction of the quota's rate
 	bucketSize                  float64
-	restarts                    string        // which instances start again
-	from, to                    time.Duration // that are counted, in whole periods of the meter
+	restarts                    string        // which instances restart: "none", "a third" or "all"
+	from, to                    time.Duration // measured time span, in complete meter periods
 	world                       quotaDeployment
 }
 
 const (
-	restartTime  = 4 * time.Second         // when they end
-	learningTime = 1500 * time.Millisecond // for first readings, from the first that could be told
-	measuredTime = 6 * time.Second         // that is counted, at least
+	restartTime  = 4 * time.Second         // time at which the restarting instances end
+	learningTime = 1500 * time.Millisecond // time allowed for first readings, from the earliest possible report on
+	measuredTime = 6 * time.Second         // minimum measured time span
 )
 
-// The sorts of plays: customers of any set and rate; those of wide sets and low rates, of whom most
-// instances get a request once, if at all; the same two where nobody asks beyond.
+// The patterns of customers: any number of nodes and any rate; many nodes and low rates, so that most instances receive
+// at most one request of a customer; and each of the two without customers that request more than their quota.
 type customerPattern int
 
 const (
@@ -39,16 +39,16 @@
 	calmRareCustomers
 )
 
-// drawBound draws settings, the same for a seed each time.
+// drawBoundCase draws a case; the same seed and arguments give the same case.
 func drawBoundCase(seed uint64, instances int, restarts string, pattern customerPattern) boundCase {
 	r := newRand(seed, 50)
 	pick := func(of ...int) int { return of[r.IntN(len(of))] }
 	d := boundCase{instances: instances, restarts: restarts, usual: 0.2 + 0.3*r.Float64(), demandMultiple: 2 + 3*r.Float64(), heavy: 1}
-	if instances >= 30 { // else there are few customers
+	if instances >= 30 { // smaller fleets have too few customers
 		d.heavy = 0.5 * float64(pick(1, 2))
 	}
 	d.nodesPerCustomer = min(instances, pick(1, 2+r.IntN(8), (instances+1)/2, instances))
-	maxRate := 40.0 // rate
+	maxRate := 40.0 // in units a second
 	if pattern == rareCustomers || pattern == calmRareCustomers {
 		d.nodesPerCustomer, d.demandMultiple, maxRate = pick((instances+1)/2, instances), 3+2*r.Float64(), 2
 	}
@@ -63,7 +63,7 @@
 	f.meterPeriod = seconds(0.5 + 1.5*r.Float64())
 	delay := 0.2 + 1.3*r.Float64()
 	f.meterDelay = valueRange{delay, delay}
-	// All is well within what the servers can do: it is quotas that refuse.
+	// The load is well below the servers' capacity, so that only quotas cause rejections.
 	capacity := math.Max(4, serversPerNode*float64(instances)) * dayCores / dayWork
 	rate := math.Min(math.Pow(maxRate, r.Float64()), 0.3*capacity*f.meanActualUnits()/math.Max(1, d.demandMultiple))
 	d.bucketSize = f.maxUnits + 4*rate*r.Float64()*r.Float64()
@@ -75,7 +75,7 @@
 		name: "plan", price: 1, overQuotaCost: 0.5 + 0.7*r.Float64(), rate: valueRange{rate, rate}, fanOut: valueRange{1, 1},
 		share: load * (d.heavy + calm) / (d.heavy*d.demandMultiple + calm) / quotaOfferedFraction,
 	}
-	if r.IntN(2) == 0 && d.bucketSize >= f.maxUnits*float64(d.nodesPerCustomer) { // each may send two of the largest at once
+	if r.IntN(2) == 0 && d.bucketSize >= f.maxUnits*float64(d.nodesPerCustomer) { // each node's part of the bucket holds two requests of maximum units
 		plan.hardLimit = valueRange{2, 2}
 	}
 	f.plans = []quotaPlan{plan}
@@ -91,7 +91,7 @@
 	return d
 }
 
-// script has the drawn depth and sets take the place of the world's, and instances start again.
+// script replaces the bucket size and the customers' nodes of the deployment by the drawn ones, and restarts instances.
 func (d *boundCase) script(w *world) {
 	q := w.script.quotas
 	p := &q.plans[0]
@@ -119,15 +119,18 @@
 	})
 }
 
-// mostUnseen bounds what is sent on of customers that ask x times their rate and come unseen, in parts of
-// the rate, by the rule for those: of a plan's use by first readings, a try is refused by the part beyond.
+// maxRareUsage returns an upper limit of the usage of customers that request x times their quota's rate, in multiples of
+// that rate, if nodes have no reading of a customer when its requests arrive. Nodes then reject such a request with a
+// probability that is the over-quota fraction of the plan's usage in first readings.
 //
-// Where h of the customers send s times their rate and the others u, that part is at least h(s-1)/(hs+(1-h)u),
-// for each is read once: readings that scatter only add to it, those who ask more are read sooner, and what was
-// sent before anything was learned is more. So a try passes by a <= (h+(1-h)u)/(hs+(1-h)u) at the most. One
-// that is refused comes again three times at the most, each by 0.8; as the chance carries its remainder on, the
-// k-th passes by min(a, 1-(k-1)a) at the most. So s <= x*sum(0.8^(k-1)*min(a, 1-(k-1)a)), which falls as s grows:
-// the bound is where both are the same. With nobody calm and no repeats it is s = x/s, the root of x.
+// If a fraction h (heavy) of the customers forwards s times their rate and the others u (usual) times, that fraction is at least
+// h(s-1)/(hs+(1-h)u), since each customer is read once. Scatter of the readings only increases it, customers that request
+// more are read sooner, and more was forwarded before the first readings. So a request is admitted with a probability of
+// at most a <= (h+(1-h)u)/(hs+(1-h)u). A rejected request is retried at most three times, each time with probability 0.8.
+// Since error diffusion keeps the remainder of the probability, the k-th request of a call is admitted with a probability
+// of at most min(a, 1-(k-1)a). So s <= x*sum(0.8^(k-1)*min(a, 1-(k-1)a)). The right side decreases as s increases, so the
+// limit is the s at which both sides are equal. If all customers exceed their quota (h = 1) and none retries, this is
+// s = x/s, so s is the square root of x.
 func maxRareUsage(x, heavy, usual float64) float64 {
 	calm := (1 - heavy) * usual
 	lo, hi := 1.0, x
@@ -148,18 +151,19 @@
 	return hi
 }
 
-// most bounds the units that are sent on of so many customers beyond their quotas: of a customer that comes
-// unseen as above, of one that is metered wherever it comes by its rate and a store, and by a mean of both in
-// between. What comes by chance comes in requests, for which three deviations are allowed.
+// limit returns an upper limit of the units forwarded for a number of customers that exceed their quotas. For a customer
+// without readings at its nodes it is maxRareUsage, for one with readings at all its nodes its rate plus one bucket, and
+// for customers in between a mean of both, so the larger of the two covers all. Since random arrivals come in requests
+// of up to maxUnits, three standard deviations are added.
 func (d *boundCase) limit(customers float64) float64 {
 	rate, span := d.world.plans[0].rate[0], (d.to - d.from).Seconds()
 	limit := customers * math.Max(maxRareUsage(d.demandMultiple, d.heavy, d.usual)*rate*span, rate*span+d.bucketSize)
 	return limit + 3*math.Sqrt(limit*d.world.maxUnits)
 }
 
-// Whatever the plan, the meter and the group, and however its instances began, what a fleet sends on of
-// customers beyond their quotas is bounded, no ceiling is broken, and what is asked inside quotas is served.
-// Without the rule for customers that come unseen, plays of them with 220 instances and more are beyond the bound.
+// For random plans, meters, groups and restarts, the units that a fleet forwards for customers over their quotas are
+// limited, no hard limit is broken, and requests within quotas are served. Without the rule for customers of whom a node
+// has no reading, simulations of such customers with 220 instances or more exceed the limit.
 func TestFleetLimitsOverQuotaUnits(t *testing.T) {
 	seed := uint64(100)
 	play := func(restarts string, pattern customerPattern, sizes ...int) {
@@ -180,7 +184,7 @@
 	}
 }
 
-// holds plays the draw and holds it to its bounds.
+// holds simulates the case and checks its limits.
 func (d boundCase) holds(t *testing.T, seed uint64) {
 	q, r, err := runQuotas(QuotaOptions{Policy: ByModule, Instances: d.instances, Duration: d.to, Load: 1, Seed: seed}, &d.world, dayScript{script: d.script})
 	if err != nil {
@@ -202,10 +206,10 @@
 	if r.Broken[fleetrules.HardLimit] > 0 {
 		t.Errorf("broken: %v", r.Broken)
 	}
-	if r.Served < 0.75 && d.instances > 1 { // one alone serves nothing while it starts again
+	if r.Served < 0.75 && d.instances > 1 { // a single instance serves nothing while it restarts
 		t.Errorf("of what is inside %.2f is served", r.Served)
 	}
-	// Where the rate gives a period less than some requests, readings of calm customers are beyond it too.
+	// If the rate allows only a few requests in a meter period, readings of customers within their quota exceed the rate too.
 	limit, holds := 0.05, d.world.plans[0].rate[0]*d.world.meterPeriod.Seconds()/d.world.meanActualUnits()
 	if holds < 4 {
 		limit = 0.12
--- a/internal/simulation/fleetsim/quota_day.go
+++ b/internal/simulation/fleetsim/quota_day.go
@@ -10,66 +10,67 @@
 	"lockflow/internal/simulation/fleetrules"
 )
 
-// The calm day with the customers and quotas of a deployment, compared with a single gateway for all requests.
+// This file simulates the day "calm" with the customers and quotas of a deployment. The reference is a single gateway that decides on all calls.
 
 const (
 	quotaOfferedFraction = 0.45 // load within quotas, as a fraction of the servers' capacity
-	maxScriptedBurst     = 1.5  // largest factor by which a day's script raises the load
+	maxScriptedBurst     = 1.5  // largest factor by which a day's script increases the load
 )
 
-// Policy is what decides on quotas.
+// Policy selects what decides whether a request is within its quota.
 type Policy string
 
-// The policies: the module, and two that know the true state of each quota over the complete group with a
-// delay, which no node can. LateStore admits what the bucket had then, less what the same node has admitted
-// since. LateUse admits with the probability that limits what was requested then to the quota.
+// The policies: the decision module, and two references that know the exact state of each quota over the complete
+// group with a delay, which no real node can. DelayedBucket admits a request if the delayed bucket state, less what the
+// same node has admitted since, suffices. DelayedUsage admits with the probability that limits the usage at the delayed
+// time to the quota.
 const (
 	ByModule      Policy = "module"
 	DelayedBucket Policy = "late store"
 	DelayedUsage  Policy = "late use"
 )
 
-// Policies are all policies, in the order of reports.
+// Policies lists all policies in the order of reports.
 var Policies = []Policy{ByModule, DelayedBucket, DelayedUsage}
 
-// QuotaOptions configure Quotas.
+// QuotaOptions configures Quotas.
 type QuotaOptions struct {
 	World             string
 	Policy            Policy
-	PolicyDelay       time.Duration // of LateStore and LateUse; negative is a meter period and the meter's delay, or 2 s without a meter
+	PolicyDelay       time.Duration // of DelayedBucket and DelayedUsage; negative means the meter's period plus its delay, or 2 s without a meter
 	Instances         int
-	Duration          time.Duration // 25 s if it is 0
-	Load              float64       // in multiples of the usual load; 1
+	Duration          time.Duration // 0 means the default of 25 s
+	Load              float64       // in multiples of the usual load; default 1
 	Seed              uint64
-	ExplainsAdmission bool // counts by what the module admitted requests; takes three times as long
+	ExplainsAdmission bool // counts requests by the reason of their admission by the module; triples the run time
 
 	observe observer // may be nil
 }
 
-// QuotaReport is the result of Quotas. Weights are fractions of what a single gateway for all calls would
-// admit.
+// QuotaReport is the result of Quotas. Weights are fractions of the weight that a single gateway for all calls would
+// admit as within quotas.
 type QuotaReport struct {
 	World                        string                  `json:"world"`
 	Policy                       Policy                  `json:"policy"`
 	Instances                    int                     `json:"instances"`
 	Seed                         uint64                  `json:"seed"`
-	DelaySeconds                 float64                 `json:"late_s"` // of the meter, or of the policy
+	DelaySeconds                 float64                 `json:"late_s"` // delay of the meter with ByModule, and of the policy otherwise
 	Calls                        int                     `json:"first_tries"`
 	Requests                     int                     `json:"tries"`
-	Served                       float64                 `json:"served"` // weight of requests within quotas that were served; late ones count by late_share
-	OverQuotaPrice               float64                 `json:"price"`  // over_cost times the weight of the requests over quotas
-	OverQuotaFraction            float64                 `json:"beyond"` // of the forwarded units
-	Excess                       float64                 `json:"excess"` // units of calls that a single gateway would reject, relative to the others
+	Served                       float64                 `json:"served"` // weight of served requests within quotas; late ones count by LateWeightFraction
+	OverQuotaPrice               float64                 `json:"price"`  // weight of the requests over quota, each times the plan's OverQuotaCost
+	OverQuotaFraction            float64                 `json:"beyond"` // fraction of the forwarded units that were over quota
+	Excess                       float64                 `json:"excess"` // units of calls that a single gateway would reject, relative to those that it would admit
 	RejectedFraction             float64                 `json:"refused"`
-	RequestsRejectedWithCapacity float64                 `json:"refused_with_room"`          // fraction of the requests, rejected while half of the quota was unused
-	CallsRejectedWithCapacity    float64                 `json:"requests_refused_with_room"` // fraction of the calls with such a request
-	CallsLostWithCapacity        float64                 `json:"requests_lost_with_room"`    // and of those that were never forwarded
+	RequestsRejectedWithCapacity float64                 `json:"refused_with_room"`          // fraction of the requests rejected while at least half of the quota was unused
+	CallsRejectedWithCapacity    float64                 `json:"requests_refused_with_room"` // fraction of the calls with at least one such request
+	CallsLostWithCapacity        float64                 `json:"requests_lost_with_room"`    // fraction of the calls with such a request that were never forwarded
 	Broken                       map[fleetrules.Rule]int `json:"broken"`
-	// Cells are the same numbers by sort of request (CellNames) and by value.
+	// Cells are these results by dimension (CellNames) and by the value of the dimension.
 	Cells map[string]map[string]*Cell `json:"cells"`
 }
 
-// Cell is the result of the requests of one sort and value.
+// Cell is the result of the requests that have one value of a dimension.
 type Cell struct {
 	Requests             int     `json:"tries"`
 	ForwardedUnits       float64 `json:"sent"`   // units
@@ -80,18 +81,18 @@
 	OfferedWeight        float64 `json:"offered"` // fraction of the total
 }
 
-// nodeCustomer is a customer at one node.
+// nodeCustomer identifies a customer at one node.
 type nodeCustomer struct {
 	node int
 	cust *dayCustomer
 }
 
-// customerKnowledge is what one node can know of a customer.
+// customerKnowledge is the information that one node has about a customer.
 type customerKnowledge struct {
 	hasForwarded bool
 	hasReading   bool
 	lastReading  time.Duration
-	admissions   []admission // with LateStore
+	admissions   []admission // used by DelayedBucket only
 }
 
 type admission struct {
@@ -100,38 +101,38 @@
 	units float64
 }
 
-// quotaDay is the part of a day that Quotas adds. Its methods do nothing on nil.
+// quotaDay is the state that Quotas adds to a day. The methods that every day calls accept nil and then do nothing.
 type quotaDay struct {
 	world                *world
 	deployment           *quotaDeployment
 	policy               Policy
 	explainsAdmission    bool
-	meterDelay           time.Duration // of the meter
-	policyDelay          time.Duration // of the policy
+	meterDelay           time.Duration // from the end of a meter period until its usage is reported
+	policyDelay          time.Duration // age of the state that DelayedBucket and DelayedUsage decide on
 	plans                []control.Plan
 	rates                []float64
 	estimateLogDeviation float64
 	skew                 float64
-	otherNodeFraction    float64 // of retries
+	otherNodeFraction    float64 // fraction of retries that draw a new node
 	accounts             map[*dayCustomer]*quotaAccount
-	estimatedAccounts    map[*dayCustomer]*quotaAccount // charged by guesses alone
-	singleGateway        map[*dayCustomer]*quotaAccount // of a single gateway for all calls
+	estimatedAccounts    map[*dayCustomer]*quotaAccount // charged by estimated units alone, without settling
+	singleGateway        map[*dayCustomer]*quotaAccount // accounts of a single gateway that decides on all calls
 	knowledgeByNode      map[nodeCustomer]*customerKnowledge
 	result               QuotaReport
 	offeredWeight        float64
-	servedWeight         float64 // within quotas
+	servedWeight         float64 // served weight within quotas
 	overQuotaPrice       float64
-	forwardedUnits       float64 // of all forwarded requests
+	forwardedUnits       float64 // units of all forwarded requests
 	excess               struct{ underQuota, overQuota float64 }
-	policyRand           *rand.Rand // of LateUse
+	policyRand           *rand.Rand // used by DelayedUsage only
 	overQuotaUnits       float64
 	rejections           int
 	rejectedWithCapacity int
 	calls                struct{ rejectedWithCapacity, lost int }
 }
 
-// Quotas simulates the calm day with the customers and quotas of a deployment. The same options give the same
-// report, and all policies have the same calls.
+// Quotas simulates the day "calm" with the customers and quotas of a deployment. The same options give the same report,
+// and all policies receive the same calls.
 func Quotas(o QuotaOptions) (QuotaReport, error) {
 	deployment := quotaDeployments[o.World]
 	if deployment == nil {
@@ -145,7 +146,7 @@
 	return rep, err
 }
 
-// playQuotas simulates a day by its script with the quotas of a deployment.
+// runQuotas simulates a day according to its script with the customers and quotas of a deployment.
 func runQuotas(o QuotaOptions, f *quotaDeployment, script dayScript) (*quotaDay, QuotaReport, error) {
 	q := &quotaDay{deployment: f, policy: o.Policy, explainsAdmission: o.ExplainsAdmission && o.Policy == ByModule, accounts: map[*dayCustomer]*quotaAccount{}, singleGateway: map[*dayCustomer]*quotaAccount{}, estimatedAccounts: map[*dayCustomer]*quotaAccount{}, knowledgeByNode: map[nodeCustomer]*customerKnowledge{}}
 	rng := newRand(o.Seed, 3)
@@ -170,7 +171,7 @@
 	return q, quotaReport, nil
 }
 
-// settings changes the settings of the nodes.
+// settings applies the deployment's plans and meter to the nodes' settings.
 func (q *quotaDay) settings(s *control.Settings) {
 	if q == nil {
 		return
@@ -179,7 +180,7 @@
 	s.MeterPeriod = q.deployment.meterPeriod
 	s.UnitsInResponse = q.deployment.units == estimated
 	s.MaxUnits = q.deployment.maxUnits
-	if q.policy != ByModule { // the module then has no quota and no meter
+	if q.policy != ByModule { // the policy replaces the module's quotas and meter
 		s.MeterPeriod = 0
 		for i := range s.Plans {
 			s.Plans[i].QuotaRate = 0
@@ -189,7 +190,7 @@
 	}
 }
 
-// drawCustomers draws customers of each plan until their load is its share.
+// drawCustomers draws customers of each plan until their load within quotas reaches the plan's share.
 func (q *quotaDay) drawCustomers(w *world) {
 	q.world = w
 	targetRate := quotaOfferedFraction * float64(len(w.hosts)) * dayCores / dayWork
@@ -232,8 +233,8 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// drawFanOut draws the number of a customer's nodes: at least two, and with a hard limit at most so many that
-// each can forward two of the largest requests at once.
+// drawFanOut draws the number of nodes that receive a customer's requests. It is at least two. With a hard limit it is
+// limited so that each node's part of the bucket holds two requests of maximum units.
 func (q *quotaDay) drawFanOut(plan *control.Plan, ranges quotaPlan, rng *rand.Rand) int {
 	n := ranges.fanOut.draw(rng) * float64(q.world.options.Instances)
 	if plan.HardLimitRate > 0 {
@@ -247,7 +248,7 @@
 	q.world.After(seconds(q.deployment.shiftInterval.draw(customer.demand.rng)), func() { q.shiftWeights(customer) })
 }
 
-// arrive starts a customer's calls: arrivals at the largest rate are thinned to the current rate.
+// arrive starts a customer's calls. It draws arrivals at the maximum rate and drops a part of them to get the current rate.
 func (q *quotaDay) arrive(customer *dayCustomer) {
 	w, d := q.world, customer.demand
 	if w.Now() >= w.options.Duration {
@@ -260,7 +261,7 @@
 	w.After(seconds(d.rng.ExpFloat64()/maxRate), func() { q.arrive(customer) })
 }
 
-// startCall starts a call, which the single gateway decides on too.
+// startCall starts a call and has the single gateway, the reference, decide on it too.
 func (q *quotaDay) startCall(cust *dayCustomer) {
 	w, d := q.world, cust.demand
 	c := &call{arrivedAt: w.Now(), customer: cust, class: d.rng.IntN(2)}
@@ -283,7 +284,7 @@
 	w.sendRequest(c)
 }
 
-// nodeFor returns the node that a request arrives at; that of a retry is mostly the one before.
+// chooseRequestNode returns the node that receives a request. A retry goes to the previous node unless it draws another one.
 func (q *quotaDay) chooseRequestNode(c *call) int {
 	if c.requests > 0 && q.world.clientRand.Float64() < q.otherNodeFraction {
 		c.node = (c.customer.firstNode + c.customer.demand.chooseNode(q.world.clientRand)) % len(q.world.nodes)
@@ -291,7 +292,7 @@
 	return c.node
 }
 
-// Add adds the counts of another cell, and its fractions divided by n.
+// Add adds the counts of another cell, and its fractions divided by divisor.
 func (c *Cell) Add(other *Cell, divisor float64) {
 	c.Requests += other.Requests
 	c.Rejections += other.Rejections
--- a/internal/simulation/fleetsim/quota_judge.go
+++ b/internal/simulation/fleetsim/quota_judge.go
@@ -8,9 +8,9 @@
 	"lockflow/control"
 )
 
-// What Quotas records and reports, and the decisions of the late policies.
+// This file records and reports the results of Quotas and decides for the policies DelayedBucket and DelayedUsage.
 
-// CellNames are the sorts by which a report counts requests.
+// CellNames are the dimensions by which a report counts requests.
 var CellNames = []string{"plan", "spread", "customer", "known here", "customer known here", "try", "node", "let in", "lacks", "guesses", "refused"}
 
 const nodeStartPeriod = 5 * time.Second
@@ -24,7 +24,7 @@
 	return knowledge
 }
 
-// cellOf returns the cell of a sort and value.
+// cellOf returns the cell of a dimension and value, which it creates if necessary.
 func (q *quotaDay) cellOf(dimension, value string) *Cell {
 	if q.result.Cells == nil {
 		q.result.Cells = map[string]map[string]*Cell{}
@@ -40,7 +40,7 @@
 	return cell
 }
 
-// cellsOf returns the cells that count a request at its arrival.
+// cellsOf returns the cells that count a request from its arrival on.
 func (q *quotaDay) cellsOf(request *clientRequest, k *customerKnowledge) []*Cell {
 	now, c := q.world.Now(), request.call.customer
 	_, pattern := c.demand.rateAt(now)
@@ -71,7 +71,7 @@
 	}
 }
 
-// describe returns how recent a node's knowledge of a customer is.
+// describe returns how recent a node's last reading of a customer is.
 func (k *customerKnowledge) describe(now time.Duration) string {
 	switch age := now - k.lastReading; {
 	case k.hasReading && age <= 3*time.Second:
@@ -86,7 +86,7 @@
 	return "never asked"
 }
 
-// admitRequest sorts a request that arrives at a node, and tells whether the policy passes it to the module.
+// admitRequest counts a request that a node receives and reports whether the policy passes it to the module.
 func (q *quotaDay) admitRequest(instance int, request *clientRequest) bool {
 	if q == nil {
 		return true
@@ -119,8 +119,8 @@
 	return isAdmitted
 }
 
-// hasUnusedQuota tells whether the true quota before the policy's delay, less what this node has admitted since,
-// suffices for a request.
+// hasUnusedQuota reports whether the exact quota state before the policy's delay, less what this node has admitted
+// since, suffices for a request.
 func (q *quotaDay) hasUnusedQuota(now time.Duration, knowledge *customerKnowledge, customer *dayCustomer, units float64) bool {
 	state, plan := q.accounts[customer].stateAt(now-q.policyDelay), &q.plans[customer.plan]
 	for len(knowledge.admissions) > 0 && knowledge.admissions[0].at < now-q.policyDelay {
@@ -133,8 +133,8 @@
 	return (plan.QuotaRate == 0 || state.tokens >= units) && (plan.MaxInFlight == 0 || state.inFlight < plan.MaxInFlight)
 }
 
-// admissionRemainder returns the remainder of the module's error diffusion for a customer at a node, which each
-// probabilistic admission changes; -1 is none.
+// admissionRemainder returns the remainder of the module's error diffusion for a customer at a node. Each probabilistic
+// admission changes the remainder. It returns -1 if the module has no state of the customer.
 func (q *quotaDay) admissionRemainder(instance int, c *dayCustomer) float64 {
 	key := q.plans[c.plan].Name + " " + c.name
 	for _, image := range q.world.nodes[instance].controller.Image().Customers {
@@ -145,8 +145,9 @@
 	return -1
 }
 
-// admissionReason describes by what a request was admitted. One that has waited counts as admitted by
-// probability if another of its customer was meanwhile.
+// admissionReason returns the reason why a request was admitted, which it infers from a change of the remainder since
+// the request's arrival. A request that has waited in a queue also counts as admitted by probability if another request
+// of its customer was so admitted meanwhile.
 func (q *quotaDay) admissionReason(instance int, request *clientRequest) string {
 	switch {
 	case !request.hasReading:
@@ -157,8 +158,8 @@
 	return "by chance"
 }
 
-// admissionProbability returns the probability that limits what was requested before the delay to the rate and
-// the bucket over twice the delay, and to half of the in-flight quota.
+// admissionProbability returns the probability that limits the usage requested before the policy's delay to the quota's
+// rate plus the bucket's tokens over twice the delay (at least 500 ms), and the attempts in flight to half of the in-flight quota.
 func (q *quotaDay) admissionProbability(now time.Duration, customer *dayCustomer, units float64) float64 {
 	plan, span := &q.plans[customer.plan], max(q.policyDelay, 500*time.Millisecond)
 	state := q.accounts[customer].stateAt(now - q.policyDelay)
@@ -174,7 +175,8 @@
 	return probability
 }
 
-// recordForwarded records an attempt that has arrived completely at a server, and charges the first of a request.
+// recordForwarded records an attempt that a server has received completely. The first attempt of a request is charged to
+// the customer's accounts.
 func (q *quotaDay) recordForwarded(instance int, request *clientRequest) {
 	if q == nil {
 		return
@@ -268,7 +270,7 @@
 	}
 }
 
-// reportedUsage returns the quota usage that a response reports to a node.
+// reportedUsage returns the quota usage that a response reports to a node, and records that the node has a reading.
 func (q *quotaDay) reportedUsage(instance int, customer *dayCustomer) int {
 	if q.policy != ByModule {
 		return 0
--- a/internal/simulation/fleetsim/quota_test.go
+++ b/internal/simulation/fleetsim/quota_test.go
@@ -18,7 +18,7 @@
 	return r
 }
 
-// A history made by hand has the price, the refusals with room and the readings that follow from the terms.
+// A scripted sequence of requests gives the price, the rejections with unused quota and the readings that follow from the plan.
 func TestQuotaAccounting(t *testing.T) {
 	const s = time.Second
 	w := &world{rules: control.Settings{Classes: []control.Class{{LatencyObjective: 3 * s, LateWeightFraction: 0.5}}}}
@@ -50,12 +50,12 @@
 		ends                         time.Duration
 		wantUnderQuota               bool
 	}{
-		{at: 0, units: 3, trueUnits: 3, callWeight: 20, ends: 3 * s / 2, wantUnderQuota: true},       // 4 are there, 1 is left
-		{at: s / 2, units: 3, trueUnits: 3, callWeight: 40, ends: 3 * s / 4, wantUnderQuota: false},  // 2 are there: it takes nothing
-		{at: s, units: 3, trueUnits: 4, callWeight: 10, ends: 5 * s / 4, wantUnderQuota: true},       // 3 are there; it turns out to be 4
-		{at: 7 * s / 4, units: 1, trueUnits: 1, callWeight: 30, ends: 9 * s, wantUnderQuota: false},  // 0.5 is there, not 1.5
-		{at: 5 * s, units: 1, trueUnits: 1, callWeight: 10, ends: 9 * s, wantUnderQuota: true},       // full; the second attempt out
-		{at: 51 * s / 10, units: 1, trueUnits: 1, callWeight: 6, ends: 9 * s, wantUnderQuota: false}, // a third
+		{at: 0, units: 3, trueUnits: 3, callWeight: 20, ends: 3 * s / 2, wantUnderQuota: true},       // of 4 tokens, 1 remains
+		{at: s / 2, units: 3, trueUnits: 3, callWeight: 40, ends: 3 * s / 4, wantUnderQuota: false},  // 2 tokens do not suffice, so none is taken
+		{at: s, units: 3, trueUnits: 4, callWeight: 10, ends: 5 * s / 4, wantUnderQuota: true},       // 3 tokens suffice, but the actual units are 4
+		{at: 7 * s / 4, units: 1, trueUnits: 1, callWeight: 30, ends: 9 * s, wantUnderQuota: false},  // there is 0.5 of a token, not 1.5, since the actual units were settled
+		{at: 5 * s, units: 1, trueUnits: 1, callWeight: 10, ends: 9 * s, wantUnderQuota: true},       // the bucket is full; this is the second attempt in flight
+		{at: 51 * s / 10, units: 1, trueUnits: 1, callWeight: 6, ends: 9 * s, wantUnderQuota: false}, // a third attempt exceeds the in-flight quota of 2
 	} {
 		request := arrives(tc.at, tc.units, tc.trueUnits, tc.callWeight)
 		ends(tc.ends, request)
@@ -66,7 +66,7 @@
 		})
 	}
 	refused := &clientRequest{call: &call{customer: cust}, rejectionCause: control.CauseProbability}
-	for _, at := range []time.Duration{6 * s, 11 * s, 12 * s} { // two are out, none, none
+	for _, at := range []time.Duration{6 * s, 11 * s, 12 * s} { // attempts in flight: two, none, none
 		w.At(at, func() { q.recordRejection(0, refused) })
 	}
 	for at, want := range map[time.Duration]int{s: 0, 3 * s / 2: 1 + 300, 5 * s / 2: 1 + 200, 7 * s: 1 + 100, 8 * s: 1} {
@@ -82,7 +82,7 @@
 	if math.Abs(r.OverQuotaPrice-want) > 1e-9 || math.Abs(r.OverQuotaFraction-5.0/12) > 1e-9 || r.RejectedFraction != 0.3 || r.RequestsRejectedWithCapacity != 0.2 || r.CallsRejectedWithCapacity != 1.0/6 {
 		t.Errorf("%+v", r)
 	}
-	if callWeight := 20 + 10 + 0.5*10; r.Served != callWeight/100 { // the last came after its aim
+	if callWeight := 20 + 10 + 0.5*10; r.Served != callWeight/100 { // the last one was served after the latency objective and counts half
 		t.Errorf("served %v", r.Served)
 	}
 	if c := r.Cells["lacks"]; c["units"].OverQuotaUnits != 4 || c["a place"].OverQuotaUnits != 1 || r.Cells["refused"]["by_chance"].RejectedWithCapacity != 2 {
@@ -93,8 +93,9 @@
 	}
 }
 
-// A policy that sees the true store at once lets next to nothing through beyond quotas, in every world: what
-// waits for a turn while others come. One that sees it late lets more through. All see the same first tries.
+// In every deployment, a policy that knows the exact bucket state without delay forwards almost nothing over quota: only
+// requests that wait in a queue while others are charged. With a delay it forwards more. All policies receive the same
+// calls.
 func TestUndelayedBucketPolicyCostsLittle(t *testing.T) {
 	for _, name := range QuotaNames {
 		t.Run(name, func(t *testing.T) {
--- a/internal/simulation/fleetsim/quota_world.go
+++ b/internal/simulation/fleetsim/quota_world.go
@@ -9,55 +9,55 @@
 	"lockflow/control"
 )
 
-// Deployments of quotas: the load of customers, the terms of their plans, and the meter of their usage. Each is
-// a table of ranges, from which a seed draws the values.
+// This file has the deployments that Quotas simulates: the load of customers, their plans, and the meter of their usage.
+// Each deployment is a table of ranges from which values are drawn by a seed.
 
-// valueRange is a range from which values are drawn evenly; the zero value means that there is none.
+// valueRange is a range from which values are drawn uniformly. The zero value means that the described value is not used.
 type valueRange [2]float64
 
 func (s valueRange) draw(r *rand.Rand) float64 { return s[0] + (s[1]-s[0])*r.Float64() }
 
-// unitsKind is how the units of a request are determined.
+// unitsKind selects how the units of a request are determined.
 type unitsKind int
 
 const (
 	oneUnit   unitsKind = iota
-	byClass             // an update has two
-	bySize              // known at arrival
-	estimated           // by size, of which a guess is known at arrival; the response has the true units
+	byClass             // a read has one unit, an update has two
+	bySize              // drawn per request and known at arrival
+	estimated           // drawn per request; an estimate is known at arrival, and the response has the actual units
 )
 
-// quotaPlan is the terms of a plan.
+// quotaPlan describes a plan by the ranges of its values.
 type quotaPlan struct {
 	name          string
-	share         float64 // of the load within quotas
+	share         float64 // fraction of the load within quotas
 	price         float64
-	overQuotaCost float64    // of a request over its quota, as a fraction of its weight
-	rate          valueRange // units a second, by which demand is drawn too
-	burst         valueRange // bucket, in seconds of the rate
-	maxInFlight   valueRange // in multiples of the attempts that the rate has in flight at idle servers
-	hasNoRate     bool       // maxInFlight is the only limit
-	hardLimit     valueRange // in multiples of rate and burst
-	fanOut        valueRange // of the group, as a fraction
+	overQuotaCost float64    // cost of a request over quota, as a fraction of its weight
+	rate          valueRange // in units a second; the demand of customers is drawn from it too
+	burst         valueRange // bucket size, in seconds of the rate
+	maxInFlight   valueRange // in multiples of the attempts in flight that the rate causes if the servers are idle
+	hasNoRate     bool       // whether maxInFlight is the only limit
+	hardLimit     valueRange // in multiples of rate and bucket size
+	fanOut        valueRange // as a fraction of the group
 }
 
-// quotaDeployment is the quotas and the customers of one deployment.
+// quotaDeployment describes the quotas and customers of one deployment.
 type quotaDeployment struct {
 	help                 string // one line of help
 	units                unitsKind
-	maxUnits             float64    // of a request
-	estimateLogDeviation valueRange // standard deviation of the logarithm of a guess
-	// Fractions of the customers that request nearly all of their quota, far more, and far more in spikes.
+	maxUnits             float64    // maximum units of a request
+	estimateLogDeviation valueRange // standard deviation of the logarithm of an estimate relative to the actual units
+	// Fractions of the customers that request 95 % of their quota, a multiple of it, and a multiple of it during spikes.
 	full, heavy, spiky                          valueRange
-	usageFraction, heavyMultiple, spikeMultiple valueRange // in multiples of the quota's rate, for all others and these two
+	usageFraction, heavyMultiple, spikeMultiple valueRange // multiples of the quota's rate: of the other customers, of heavy ones, of spiky ones during spikes
 	spikeDuration, spikeInterval                valueRange // in seconds
-	skew, shiftInterval, otherNodeFraction      valueRange // standard deviation of the logarithms of the nodes' weights; seconds until these change; fraction of retries
+	skew, shiftInterval, otherNodeFraction      valueRange // log-scale standard deviation of node weights; seconds until these change; fraction of retries that draw a new node
 	meterPeriod                                 time.Duration
-	meterDelay                                  valueRange // seconds from the end of a period to its report
+	meterDelay                                  valueRange // in seconds, from the end of a period until its usage is reported
 	plans                                       []quotaPlan
 }
 
-// QuotaNames are the deployments that Quotas simulates.
+// QuotaNames are the names of the deployments that Quotas simulates.
 var QuotaNames = []string{"clinic", "library", "archive", "cableway", "kiosk"}
 
 var quotaDeployments = map[string]*quotaDeployment{
@@ -111,10 +111,10 @@
 	},
 }
 
-// QuotaHelp describes a deployment in one line.
+// QuotaHelp returns a one-line description of a deployment.
 func QuotaHelp(name string) string { return quotaDeployments[name].help }
 
-// drawUnits draws the units of a request: those known at arrival, and the true ones.
+// drawUnits draws the units of a request: the units known at arrival and the actual units.
 func (f *quotaDeployment) drawUnits(class int, logDeviation float64, r *rand.Rand) (units, actualUnits float64) {
 	switch f.units {
 	case byClass:
@@ -130,7 +130,7 @@
 	return units, actualUnits
 }
 
-// meanCost returns the mean of the true units of a request.
+// meanActualUnits returns the mean of the actual units of a request, over 4096 draws.
 func (f *quotaDeployment) meanActualUnits() float64 {
 	r, sum := newRand(1, 7), 0.0
 	const draws = 4096
@@ -141,7 +141,7 @@
 	return sum / draws
 }
 
-// drawPlans draws the plans, and the rate by which the demand for each is drawn.
+// drawPlans draws the plans, and for each the rate in units a second from which the demand of its customers is drawn.
 func (f *quotaDeployment) drawPlans(r *rand.Rand) (plans []control.Plan, rates []float64) {
 	for _, ranges := range f.plans {
 		rate := ranges.rate.draw(r)
@@ -163,7 +163,7 @@
 	return plans, rates
 }
 
-// demandKind is the pattern of a customer's load.
+// demandKind names the pattern of a customer's load.
 type demandKind string
 
 const (
@@ -176,19 +176,19 @@
 
 // demand is the load of one customer.
 type demand struct {
-	rng        *rand.Rand // its own, so that all policies have the same calls
+	rng        *rand.Rand // separate for each customer, so that all policies have the same calls
 	kind       demandKind
-	usualRate  float64 // requests a second
-	spikeRate  float64 // the same in a spike
+	usualRate  float64 // in requests a second
+	spikeRate  float64 // in requests a second, during a spike
 	spikes     [][2]time.Duration
-	weightSums []float64 // running sums, by node
+	weightSums []float64 // prefix sums of the nodes' weights
 }
 
 func (d *demand) inSpike(at time.Duration) bool {
 	return slices.ContainsFunc(d.spikes, func(s [2]time.Duration) bool { return s[0] <= at && at < s[1] })
 }
 
-// rateAt returns the requests a second at a time, and their pattern.
+// rateAt returns the rate at a time, in requests a second, and the pattern of the load at that time.
 func (d *demand) rateAt(at time.Duration) (float64, demandKind) {
 	if d.inSpike(at) {
 		return d.spikeRate, inSpike
@@ -196,7 +196,7 @@
 	return d.usualRate, d.kind
 }
 
-// drawWeights draws the weights of the customer's nodes.
+// drawWeights draws the log-normal weights of the customer's nodes.
 func (d *demand) drawWeights(skew float64, fanOut int) {
 	d.weightSums = make([]float64, fanOut)
 	sum := 0.0
@@ -206,7 +206,7 @@
 	}
 }
 
-// chooseNode draws the index of a node by its weight.
+// chooseNode draws the index of a node with probability proportional to its weight.
 func (d *demand) chooseNode(r *rand.Rand) int {
 	index, _ := slices.BinarySearch(d.weightSums, r.Float64()*d.weightSums[len(d.weightSums)-1])
 	return min(index, len(d.weightSums)-1)
--- a/internal/simulation/fleetsim/servers.go
+++ b/internal/simulation/fleetsim/servers.go
@@ -8,7 +8,7 @@
 	"lockflow/internal/simulation/fleetrules"
 )
 
-// App servers and the endpoint lists with them.
+// This file simulates app servers and the watch events about them.
 
 func (w *world) newHost(zone string, cell int, startedAt time.Duration) *appServer {
 	host := &appServer{id: uint32(len(w.hosts) + 1), zone: zone, cell: cell, bootedAt: startedAt, connections: map[int]time.Duration{}}
@@ -26,13 +26,13 @@
 	}})
 }
 
-// warmthAt returns the fraction of its full speed that a server has some time after its start, as the
-// settings assume.
+// warmthAt returns the speed of a server at a time after its start, as a fraction of its full speed. It follows the
+// warm-up curve of the nodes' settings: from 0.15 to 1 within 15 s.
 func warmthAt(sinceStart time.Duration) float64 {
 	return math.Min(1, 0.15+0.85*sinceStart.Seconds()/15)
 }
 
-// boot starts a new server, which is listed some time later.
+// boot starts a new server. The endpoint list contains it after startListingDelay.
 func (w *world) boot(zone string, cell int) {
 	host := w.newHost(zone, cell, w.Now())
 	w.After(startListingDelay, func() { w.announce(host, true) })
@@ -76,8 +76,8 @@
 	return listedEndpoint{endpoint, isUp}
 }
 
-// announce sends a watch event to every node's agent, each with a delay of its own and the one of this day.
-// After maxNotificationDelay a node counts as notified in any case.
+// announce sends a watch event about a server to every node. The delay of each node is random, plus the list delay of
+// the day's script. A node counts as notified of a removal at the latest after maxNotificationDelay.
 func (w *world) announce(host *appServer, isUp bool) {
 	endpoint, initialIncarnation, changedAt := w.endpointOf(host), host.incarnation, w.Now()
 	for instance := range w.nodes {
--- a/internal/simulation/fleetsim/sim.go
+++ b/internal/simulation/fleetsim/sim.go
@@ -1,8 +1,8 @@
-// Package fleetsim simulates fleets of nodes in virtual time. The decision modules are the real ones; servers,
-// discovery and clients are a model. All results follow from the seed.
+// Package fleetsim simulates fleets of nodes in virtual time. Each node runs the real decision module; servers,
+// discovery and clients are modelled. The same seed gives the same results.
 //
-// Run simulates one warming-up server and one customer with a hard limit, Day a day with faults, and Quotas
-// a day of customers with quotas.
+// Run simulates a fleet with one warming-up server and one customer with a hard limit, Day simulates a scripted day
+// with faults, and Quotas simulates a day on which customers are subject to quotas.
 package fleetsim
 
 import (
@@ -15,7 +15,7 @@
 	"lockflow/internal/simulation/vtime"
 )
 
-// Constants of the model of Run.
+// Parameters of the model that Run simulates.
 const (
 	latencyObjective = time.Second
 	deadline         = 3 * time.Second
@@ -25,23 +25,23 @@
 	overloadMultiple = 2.5
 	cores            = 4
 	joinsAt          = 10 * time.Second // when the warming-up server starts
-	customers        = 2000             // without a hard limit
+	customers        = 2000             // number of customers without a hard limit
 	hardLimitRate    = 30.0
 	hardLimitBurst   = 60.0
 	hardLimitSlack   = 6.0
 )
 
-// Options configure Run. Zero fields have the defaults given.
+// Options configures Run. A zero field takes the default named in its comment.
 type Options struct {
-	Instances       int           // of the fleet
-	GroupSize       int           // that nodes are configured with; Instances
-	NotificationLag time.Duration // after which the last node is notified of the warming-up server; the others are before, evenly
-	IsUneven        bool          // some nodes receive ten times the load of others
-	Servers         int           // warm ones; 20
-	ServerRate      float64       // calls a second that a warm server can serve; 100
-	Load            float64       // offered, as a fraction of what all warm servers can serve; 0.7
-	HardLimitLoad   float64       // offered by the customer, in multiples of its hard limit; 3
-	Duration        time.Duration // 30 s
+	Instances       int           // number of nodes in the fleet
+	GroupSize       int           // group size in the nodes' settings; default Instances
+	NotificationLag time.Duration // delay until the last node is notified of the warming-up server; the other nodes are notified at even intervals before
+	IsUneven        bool          // one node in ten receives ten times the load of each other node
+	Servers         int           // number of warm servers; default 20
+	ServerRate      float64       // calls a second that a warm server can serve; default 100
+	Load            float64       // offered load, as a fraction of the capacity of all warm servers; default 0.7
+	HardLimitLoad   float64       // load offered by the customer with a hard limit, in multiples of that limit; default 3
+	Duration        time.Duration // default 30 s
 	Seed            uint64
 }
 
@@ -52,39 +52,39 @@
 	Lag               time.Duration `json:"lag_ns"`
 	Uneven            bool          `json:"uneven"`
 	Calls             int           `json:"calls"`
-	Served            float64       `json:"served"`     // fraction of the calls without a hard limit
-	MaxWarmUpOverload float64       `json:"cold"`       // largest load of the warming-up server in overloadWindow, relative to its limit
-	WarmUpShare       float64       `json:"cold_share"` // load of that server while warming up, relative to its capacity
-	MaxOverHardLimit  float64       `json:"over"`       // largest excess of the customer over its hard limit, in units
-	HardLimitUse      float64       `json:"used"`       // units that the customer used, relative to its hard limit
+	Served            float64       `json:"served"`     // served fraction of the calls whose customers have no hard limit
+	MaxWarmUpOverload float64       `json:"cold"`       // largest load of the warming-up server within overloadWindow, relative to its overload limit
+	WarmUpShare       float64       `json:"cold_share"` // load of that server during warm-up, relative to its capacity
+	MaxOverHardLimit  float64       `json:"over"`       // largest excess of the customer with a hard limit over that limit, in units
+	HardLimitUse      float64       `json:"used"`       // units used by the customer with a hard limit, relative to that limit
 	Trace             []Point       `json:"trace,omitempty"`
 }
 
-// Point is one second of the warming-up server. Numbers are of calls a second.
+// Point describes the warming-up server during one second; rates are in calls a second.
 type Point struct {
 	Second        float64 `json:"second"`
-	SentCalls     float64 `json:"sent"`  // received
-	Capacity      float64 `json:"can"`   // of the server
-	OverloadLimit float64 `json:"limit"` // beyond which the server is overloaded
+	SentCalls     float64 `json:"sent"`  // calls received
+	Capacity      float64 `json:"can"`   // rate that the server can serve
+	OverloadLimit float64 `json:"limit"` // rate above which the server is overloaded
 }
 
-// sim is the state of Run.
+// sim is the state of one Run.
 type sim struct {
 	vtime.Clock
 	options Options
 	rng     *rand.Rand
 
 	controllers []*control.Controller
-	weightSums  []float64 // running sums, of the nodes' shares
+	weightSums  []float64 // prefix sums of the nodes' load weights
 	servers     []*server
-	lastID      int // of a call
+	lastID      int // ID of the last call
 
 	result         Report
 	plainCalls     int
 	served         int
-	recentSends    []time.Duration // at the warming-up server, within overloadWindow
-	sent           map[int]int     // at the warming-up server, by second
-	tokens         float64         // in the customer's true bucket
+	recentSends    []time.Duration // times of attempts sent to the warming-up server within overloadWindow
+	sent           map[int]int     // number of attempts sent to the warming-up server, by second since joinsAt
+	tokens         float64         // tokens in the token bucket that the hard limit allows the customer over all nodes
 	tokensAt       time.Duration
 	hardLimitUnits float64
 	pending        map[string]pendingCall
@@ -95,14 +95,14 @@
 	attempts     int
 }
 
-// server is an app server: cores that serve one call after another, at a speed that grows while warming up.
+// server is an app server. Each core serves one call at a time, at a speed that increases during warm-up.
 type server struct {
 	coreFreeAt [cores]time.Duration
-	startedAt  time.Duration // of a warming-up server
+	startedAt  time.Duration // meaningful only for a warming-up server
 	warmingUp  bool
 }
 
-// warmth returns the fraction of its full speed that a server has at a time.
+// warmth returns the server's speed at a time, as a fraction of its full speed.
 func (s *server) warmth(now time.Duration) float64 {
 	if !s.warmingUp {
 		return 1
@@ -142,7 +142,7 @@
 		s.weightSums = append(s.weightSums, weightSum)
 	}
 	for node := range s.controllers {
-		// Nodes do not all start at the same moment.
+		// Node starts are spread over 100 ms.
 		s.At(time.Duration(s.rng.Int64N(int64(100*time.Millisecond))), func() { s.deliver(node, control.EndpointList{Kind: control.ListComplete, Endpoints: members}) })
 		notifiedAt := joinsAt + time.Duration(float64(o.NotificationLag)*float64(node+1)/float64(o.Instances))
 		endpoint := control.Endpoint{Server: uint32(o.Servers + 1), Size: 1, HasStartedAt: true, StartedAt: joinsAt}
@@ -176,7 +176,7 @@
 	}
 }
 
-// deliver has a node's module handle an event and performs its actions.
+// deliver passes an event to a node's decision module and performs the resulting actions.
 func (s *sim) deliver(node int, event control.Event) {
 	for _, a := range append([]control.Action(nil), s.controllers[node].Handle(s.Now()+time.Hour, shiftStarts(event))...) {
 		switch a := a.(type) {
@@ -192,8 +192,8 @@
 	}
 }
 
-// shiftStarts converts the start times of a list to the modules' clock, which is an hour ahead, so that a start
-// at 0 is long ago.
+// shiftStarts converts the start times in an endpoint list to the modules' clock. That clock is one hour ahead of the
+// simulation's, so a server with start time 0 started long ago.
 func shiftStarts(event control.Event) control.Event {
 	list, ok := event.(control.EndpointList)
 	if !ok {
@@ -207,7 +207,7 @@
 	return list
 }
 
-// arrive starts a call, and schedules the next one of its kind.
+// arrive starts a call, with or without a hard limit, and schedules the next call of the same kind.
 func (s *sim) arrive(hasHardLimit bool) {
 	rate := s.options.Load * s.options.ServerRate * float64(s.options.Servers)
 	request := control.Request{Class: "read", Timeout: deadline, Units: 1, FanOut: s.options.GroupSize}
@@ -226,7 +226,7 @@
 	s.At(s.Now()+time.Duration(s.rng.ExpFloat64()/rate*float64(time.Second)), func() { s.arrive(hasHardLimit) })
 }
 
-// instance draws a node by its weight.
+// drawNode draws a node at random with probability proportional to its load weight.
 func (s *sim) drawNode() int {
 	draw := s.rng.Float64() * s.weightSums[len(s.weightSums)-1]
 	lo, hi := 0, len(s.weightSums)-1
@@ -240,7 +240,7 @@
 	return lo
 }
 
-// send carries an attempt to a server and schedules its end.
+// send delivers an attempt to a server and schedules its end.
 func (s *sim) send(node int, a control.Send) {
 	call := s.pending[a.ID]
 	attempt := call.attempts
@@ -260,7 +260,7 @@
 	work := cores / s.options.ServerRate * (0.5 + s.rng.Float64()) / server.warmth(s.Now())
 	startsAt := max(s.Now(), server.coreFreeAt[core])
 	endsAt := startsAt + time.Duration(work*float64(time.Second))
-	if endsAt > s.Now()+deadline { // it times out
+	if endsAt > s.Now()+deadline { // the attempt times out
 		s.At(s.Now()+deadline, func() { s.endAttempt(node, a, attempt, control.TimedOut) })
 		return
 	}
@@ -268,7 +268,7 @@
 	s.At(endsAt, func() { s.endAttempt(node, a, attempt, control.OK) })
 }
 
-// firstFreeCore returns the core that is free first.
+// firstFreeCore returns the index of the core that becomes free first.
 func firstFreeCore(free []time.Duration) int {
 	core := 0
 	for i := range free {
@@ -287,7 +287,7 @@
 	if speed := to.warmth(s.Now()); speed < 1 {
 		s.sent[int((s.Now()-joinsAt).Seconds())]++
 		capacity := overloadWindow.Seconds() * speed * s.options.ServerRate
-		if len(s.recentSends) > 1 { // a single request never counts as overload
+		if len(s.recentSends) > 1 { // a single attempt never counts as overload
 			s.result.MaxWarmUpOverload = math.Max(s.result.MaxWarmUpOverload, float64(len(s.recentSends))/(overloadMultiple*capacity))
 		}
 	}
--- a/internal/simulation/fleetsim/sim_test.go
+++ b/internal/simulation/fleetsim/sim_test.go
@@ -15,12 +15,13 @@
 	return r
 }
 
-// A fleet of forty shares a cold server and a ceiling by its size alone, however late and uneven
-// the news; where the size is ignored, both are passed. Wrong sizes have a price that is known.
+// Forty nodes keep the overload limit of a warming-up server and a customer's hard limit by their group size alone, with
+// late notifications and uneven load too. If they ignore the group size, both limits are exceeded. Wrong group sizes
+// exceed the hard limit or use less of it.
 func TestFortyInstances(t *testing.T) {
 	for name, tc := range map[string]struct {
 		o                                  Options
-		withinWarmUpLimit, withinHardLimit bool // the cold server's limit, the ceiling
+		withinWarmUpLimit, withinHardLimit bool // whether the overload limit of the warming-up server, and the hard limit, must be kept
 		minServed                          float64
 		minHardLimitUse                    float64
 	}{
--- a/internal/simulation/fleetsim/world.go
+++ b/internal/simulation/fleetsim/world.go
@@ -14,74 +14,74 @@
 	"lockflow/internal/simulation/vtime"
 )
 
-// Constants of the simulated days: a service whose requests take a quarter of a second and whose clients wait
-// for ten.
+// Parameters of the simulated days: requests to the service take a quarter of a second on average, and its clients
+// wait ten seconds.
 const (
-	dayWork              = 0.25 // mean of a request, in seconds of a core
+	dayWork              = 0.25 // mean work of a request, in core-seconds
 	dayLatencyObjective  = 3 * time.Second
 	dayDeadline          = 10 * time.Second
-	dayRepeatWindow      = time.Second // within which a cell's servers drop repeats
+	dayRepeatWindow      = time.Second // time within which the servers of a cell recognize a repeated idempotency key
 	dayCores             = 4
-	maxServerQueue       = 80 // requests beyond its cores
+	maxServerQueue       = 80 // requests that a server accepts in addition to one per core
 	maxServerConnections = 400
 	dayCellSize          = 6
 	dayZones             = 3
-	serversPerNode       = 0.6 // servers for each node
-	offeredFraction      = 0.5 // load within quotas, as a fraction of the servers' capacity
+	serversPerNode       = 0.6 // number of servers per node
+	offeredFraction      = 0.5 // offered load within quotas, as a fraction of the servers' capacity
 	handshakeWork        = 1e-3
 	idleConnectionTime   = 15 * time.Second
 	connectTime          = 250 * time.Millisecond
-	startListingDelay    = time.Second             // from a server's start until it is listed
-	endListingDelay      = 2 * time.Second         // from a server's drain or end until that is listed
-	maxNotificationDelay = 6 * time.Second         // after a change, or since a watch is silent, when a node counts as notified
-	watchSilence         = 3200 * time.Millisecond // until a silent watch is detected and a new one has sent what was missed
-	maxSlowConnect       = time.Second             // of a slow connection
+	startListingDelay    = time.Second             // from a server's start until the endpoint list contains it
+	endListingDelay      = 2 * time.Second         // from a server's drain or end until the endpoint list shows it
+	maxNotificationDelay = 6 * time.Second         // after a change, or after a watch becomes silent, until a node counts as notified
+	watchSilence         = 3200 * time.Millisecond // until a node has detected a silent watch and received the missed watch events on a new one
+	maxSlowConnect       = time.Second             // upper limit of the connect time of a slow connection
 	loadReportInterval   = 400 * time.Millisecond
-	meterLagPeriods      = 2 // of a second each; the period before the last complete one is reported
+	meterLagPeriods      = 2 // in periods of one second: the meter reports the period before the last complete one
 	termGrace            = 3 * time.Second
 	maxUnits             = 4
 
-	rejectedAllMin = 15 // consecutive rejections over rejectedAllFor that count as rejecting all requests
+	rejectedAllMin = 15 // a node with this many consecutive rejections over rejectedAllFor counts as rejecting all requests
 	rejectedAllFor = 4 * time.Second
 
-	moduleClockOffset = time.Hour // of the modules' clock, at the start of a day
+	moduleClockOffset = time.Hour // reading of the modules' clock at the start of a day
 )
 
-// DayOptions configure Day. Zero fields have the defaults given.
+// DayOptions configures Day. A zero field takes the default named in its comment.
 type DayOptions struct {
 	Day       string
 	Instances int
-	GroupSize int           // that nodes are configured with; Instances
-	Duration  time.Duration // 25 s; 120 s for the long day
-	Load      float64       // in multiples of half of the servers' capacity; 1
+	GroupSize int           // group size in the nodes' settings; default Instances
+	Duration  time.Duration // default 25 s, or 120 s on the day "long"
+	Load      float64       // offered load within quotas, in multiples of half of the servers' capacity (offeredFraction); default 1
 	Seed      uint64
-	Mutation  *Mutation // nil is none
+	Mutation  *Mutation // nil applies no mutation
 
 	observe observer // may be nil
 }
 
-// observer is called with each event that a node's module handles, and its actions.
+// observer is called with each event that a node's decision module handles and the resulting actions.
 type observer func(w *world, instance int, event control.Event, actions []control.Action)
 
-// DayReport is the result of a day. Weight is that of priorities, prices and units.
+// DayReport is the result of a day. The weight of a call is its priority weight times its plan's price times its units.
 type DayReport struct {
 	Day               string                  `json:"day"`
 	Instances         int                     `json:"instances"`
-	Servers           int                     `json:"servers"` // at the start
+	Servers           int                     `json:"servers"` // number of servers at the start of the day
 	Seed              uint64                  `json:"seed"`
 	Calls             int                     `json:"first_tries"`
 	Requests          int                     `json:"tries"`
 	Attempts          int                     `json:"attempts"`
-	Served            float64                 `json:"served"`     // fraction of the weight offered within quotas that was served within the latency objective
-	Classes           map[string]float64      `json:"classes"`    // the same by class
-	Thirds            [3]float64              `json:"thirds"`     // by third of the day
-	Plans             map[string]float64      `json:"plans"`      // by plan
-	RejectingFraction float64                 `json:"rejecting"`  // fraction of the nodes that rejected all requests for rejectedAllFor
-	StarvedFraction   float64                 `json:"starved"`    // fraction of that weight of customers that were served less than a tenth of theirs
-	OverQuotaFraction float64                 `json:"beyond"`     // fraction of the forwarded units
-	FailedFraction    float64                 `json:"failed"`     // fraction of the requests
-	Handshakes        float64                 `json:"handshakes"` // new connections to servers for each call
-	MaxWarmUpOverload float64                 `json:"cold"`       // largest load of a warming-up server relative to its limit
+	Served            float64                 `json:"served"`     // served fraction of the weight offered within quotas; late reads count a fifth, late updates nothing
+	Classes           map[string]float64      `json:"classes"`    // Served by class
+	Thirds            [3]float64              `json:"thirds"`     // Served by third of the day
+	Plans             map[string]float64      `json:"plans"`      // Served by plan
+	RejectingFraction float64                 `json:"rejecting"`  // fraction of the nodes that rejected all requests for at least rejectedAllFor
+	StarvedFraction   float64                 `json:"starved"`    // fraction of that weight offered by customers with less than a tenth of theirs served
+	OverQuotaFraction float64                 `json:"beyond"`     // fraction of the forwarded units that were over quota
+	FailedFraction    float64                 `json:"failed"`     // fraction of the requests that failed
+	Handshakes        float64                 `json:"handshakes"` // new connections to servers per call
+	MaxWarmUpOverload float64                 `json:"cold"`       // largest load of a warming-up server relative to its overload limit
 	Broken            map[fleetrules.Rule]int `json:"broken"`
 	Breaches          []fleetrules.Breach     `json:"breaches,omitempty"`
 }
@@ -91,11 +91,11 @@
 const (
 	hostUp hostState = iota
 	hostDraining
-	hostSilent // its machine is lost: no packet is answered
-	hostGone   // its process has ended: connections are refused
+	hostSilent // its machine is unreachable: connection attempts time out
+	hostGone   // its process has ended: connection attempts are refused
 )
 
-// host is a simulated app server.
+// appServer is a simulated app server.
 type appServer struct {
 	id                  uint32
 	zone                string
@@ -104,18 +104,18 @@
 	isBeingReplaced     bool
 	isFaulty            bool
 	disconnectedUntil   time.Duration
-	bootedAt            time.Duration // start; negative is long ago
-	incarnation         int           // number of its starts; work of an earlier one is lost
+	bootedAt            time.Duration // start time; a negative time means long ago
+	incarnation         int           // incremented at each restart and at removal; work of an earlier incarnation is lost
 	coreFreeAt          [dayCores]time.Duration
 	inFlight            int
-	connections         map[int]time.Duration // last use, by node
-	smoothedUtilization float64               // fraction of its cores
+	connections         map[int]time.Duration // time of last use, by node
+	smoothedUtilization float64               // exponentially smoothed fraction of busy cores
 	smoothedTime        float64
 	report              control.LoadReport
 	reportAt            time.Duration
 }
 
-// listed is an endpoint of the list, and whether it is listed as available.
+// listedEndpoint is an entry of the endpoint list and whether that entry shows the server as available.
 type listedEndpoint struct {
 	control.Endpoint
 	isUp bool
@@ -126,29 +126,29 @@
 	controller          *control.Controller
 	settings            control.Settings
 	grantsFullHardLimit bool
-	incarnation         int // number of its starts
+	incarnation         int // incremented at each start and each end of the node
 	down                bool
 	closing             bool
 	inFlight            map[string]*clientRequest
-	knownIncarnations   map[uint32]int // by server, as it was notified
-	watchSilentSince    time.Duration  // since when its watch is silent
-	watchSilentUntil    time.Duration  // when a new watch is open; 0 is never silent
+	knownIncarnations   map[uint32]int // incarnation of each server of which the node was last notified
+	watchSilentSince    time.Duration  // time at which its watch became silent
+	watchSilentUntil    time.Duration  // time at which a new watch replaces the silent one; 0 means that the watch was never silent
 
-	rejectedInRow  int           // consecutive rejections, without an attempt
-	rejectingSince time.Duration // the first of these
-	hasRejectedAll bool          // it has rejected all requests at some time
+	rejectedInRow  int           // consecutive rejections since the last attempt
+	rejectingSince time.Duration // time of the first of these rejections
+	hasRejectedAll bool          // whether it rejected all requests for rejectedAllFor at any time
 }
 
-// dayCustomer is a customer and the nodes that its requests arrive at.
+// dayCustomer is a customer and the range of nodes that receive its requests.
 type dayCustomer struct {
 	name              string
 	plan              int
 	firstNode, fanOut int
-	preferredNode     int     // among its nodes; it receives a fifth of the requests
-	demand            *demand // with Quotas
+	preferredNode     int     // offset from firstNode of the node that receives a fifth of the requests in addition to its even share of the others
+	demand            *demand // used by Quotas only
 }
 
-// call is a client's call with all its requests: the first and its retries.
+// call is a call of a client. It consists of a first request and its retries.
 type call struct {
 	arrivedAt    time.Duration
 	customer     *dayCustomer
@@ -159,25 +159,25 @@
 	weight       float64
 	isServed     bool
 
-	// With Quotas only. rejectedWithCapacity tells that a request was rejected while half of the quota was unused.
+	// Used by Quotas only. rejectedWithCapacity is whether a request was rejected while at least half of the quota was unused.
 	actualUnits          float64
 	node                 int
 	isForwarded          bool
 	rejectedWithCapacity bool
 }
 
-// clientRequest is one request at a node.
+// clientRequest is one request of a call, as received by a node.
 type clientRequest struct {
 	id       string
 	call     *call
 	deadline time.Duration
 	attempts int
 
-	// With Quotas only: whether it was forwarded, and within its quota; the cells that count it.
+	// Used by Quotas only: whether the request was forwarded, whether it was within the quota, and the cells that count it.
 	isForwarded, isUnderQuota bool
 	cells                     []*Cell
 	rejectionCause            control.Cause
-	admissionRemainder        float64 // of the module's error diffusion, if hasReading
+	admissionRemainder        float64 // remainder of the module's error diffusion at arrival; valid if hasReading
 	hasReading                bool
 }
 
@@ -185,8 +185,8 @@
 	vtime.Clock
 	options        DayOptions
 	script         dayScript
-	rules          control.Settings // without the mutation
-	rng            *rand.Rand       // of the world; clients have their own, so that all variants have the same arrivals
+	rules          control.Settings // settings without the mutation
+	rng            *rand.Rand       // for servers and the network; clients use clientRand, so that all variants of a day have the same arrivals
 	clientRand     *rand.Rand
 	checker        *fleetrules.Checker
 	result         DayReport
@@ -194,16 +194,16 @@
 	hosts          []*appServer
 	hostByID       map[uint32]*appServer
 	drawnCustomers []*dayCustomer
-	demandSums     []float64 // running sums of the customers' demand
+	demandSums     []float64 // prefix sums of the customers' demand
 	freshCustomers int
-	arrivalRate    float64 // calls a second
+	arrivalRate    float64 // in calls a second
 	lastID         int
-	quotas         map[string]*quota // true quotas, by customer
+	quotas         map[string]*quota // exact quota state over all nodes, by customer
 	meters         map[string]*meter
 
 	listsSilentUntil time.Duration
 	meterDown        bool
-	totalWeight      weightTotals // of all customers
+	totalWeight      weightTotals // over all customers
 	classes          [2]weightTotals
 	plans            []weightTotals
 	thirds           [3]weightTotals
@@ -222,15 +222,15 @@
 type meter struct {
 	period      int
 	current     float64
-	periodUnits []float64 // of the last periods
+	periodUnits []float64 // units of each of the last periods
 }
 
-// weightTotals is the weight offered within quotas, and what of it was served in time.
+// weightTotals is the weight offered within quotas and the part of it that was served.
 type weightTotals struct{ offered, served float64 }
 
 func (w *weightTotals) servedFraction() float64 { return w.served / math.Max(1, w.offered) }
 
-// countWeight adds the weight of a call, offered or served, to all totals that it belongs to.
+// countWeight adds the offered and served weight of a call to all totals that include the call.
 func (w *world) countWeight(c *call, offered, served float64) {
 	third := min(2, int(3*c.arrivedAt/w.options.Duration))
 	ofCustomer := w.customerTotals[c.customer]
@@ -244,7 +244,7 @@
 	}
 }
 
-// Day simulates a day of a fleet with the real module in each node, and checks it against the rules of package
+// Day simulates a day of a fleet whose nodes run the real decision module and checks it against the rules of package
 // fleetrules. The same options give the same report.
 func Day(o DayOptions) (DayReport, error) {
 	script, err := dayByName(o.Day)
@@ -254,7 +254,7 @@
 	return runDay(o, script)
 }
 
-// play simulates a day by its script.
+// runDay simulates a day according to its script.
 func runDay(o DayOptions, p dayScript) (DayReport, error) {
 	if o.Instances < 1 || o.GroupSize < 0 || o.Load < 0 {
 		return DayReport{}, fmt.Errorf("simulating %q: %d instances, %d told", o.Day, o.Instances, o.GroupSize)
@@ -317,7 +317,7 @@
 		r.Thirds[i] = w.thirds[i].servedFraction()
 	}
 	byName := func(a, b *dayCustomer) int { return strings.Compare(a.name, b.name) }
-	for _, customer := range slices.SortedFunc(maps.Keys(w.customerTotals), byName) { // a fixed order, so that rounding is the same each time
+	for _, customer := range slices.SortedFunc(maps.Keys(w.customerTotals), byName) { // a fixed order of summation gives the same rounding in each run
 		if totals := w.customerTotals[customer]; totals.servedFraction() < 0.1 {
 			r.StarvedFraction += totals.offered / math.Max(1, w.totalWeight.offered)
 		}
--- a/internal/simulation/vtime/vtime.go
+++ b/internal/simulation/vtime/vtime.go
@@ -1,4 +1,4 @@
-// Package vtime is a discrete-event scheduler with virtual time, on which simulations run.
+// Package vtime is a discrete-event scheduler with virtual time for simulations.
 package vtime
 
 import (
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Clock is a virtual clock with a queue of scheduled events. The zero value is at time 0 without
-// events. It is not safe for concurrent use.
+// Clock is a virtual clock with a queue of scheduled events. The zero value is at time 0 and has no events. It is not
+// safe for concurrent use.
 type Clock struct {
 	now      time.Duration
 	sequence uint64 // number of events scheduled so far
 	queue    queue
 }
 
-// Now returns the virtual time: that of the event that runs or ran last.
+// Now returns the virtual time, which is the time of the event that runs now or ran last.
 func (c *Clock) Now() time.Duration { return c.now }
 
-// At schedules an event at a time, or now if that time has passed. Events of the same time run in
-// the order in which they were scheduled.
+// At schedules an event at a time, or at the current time if that time has passed. Events with the same time run in the
+// order in which they were scheduled.
 func (c *Clock) At(t time.Duration, run func()) {
 	c.sequence++
 	heap.Push(&c.queue, event{at: max(t, c.now), sequence: c.sequence, run: run})
@@ -27,7 +27,7 @@
 // After schedules an event after a duration.
 func (c *Clock) After(d time.Duration, run func()) { c.At(c.now+d, run) }
 
-// Run runs all events up to and including a time, also those that they schedule.
+// Run runs all events up to and including a time, including those that other events schedule.
 func (c *Clock) Run(until time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].at <= until {
 		next := heap.Pop(&c.queue).(event)
@@ -39,7 +39,7 @@
 // event is a scheduled event.
 type event struct {
 	at       time.Duration
-	sequence uint64 // orders events of the same time
+	sequence uint64 // orders events with the same time
 	run      func()
 }
 
--- a/internal/simulation/vtime/vtime_test.go
+++ b/internal/simulation/vtime/vtime_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Each event runs once, at its time and in order; events that are late or after the end are neither
-// lost nor run early.
+// Each event runs once, at its time and in order. Events scheduled for a past time, or for a time after the end of Run,
+// are neither lost nor run early.
 func TestEventOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c Clock
