--- a/internal/simulation/balancesim/sim.go
+++ b/internal/simulation/balancesim/sim.go
@@ -122,7 +122,7 @@
 	case "least in flight":
 		s.balancer = &simplePolicy{sim: s, choose: fewestInFlight}
 	default:
-		return Report{}, fmt.Errorf("there is no policy %q", policy)
+		return Report{}, fmt.Errorf("unknown policy %q", policy)
 	}
 	s.At(0, s.arrive)
 	s.Run(o.Duration + deadline)
@@ -272,7 +272,7 @@
 		Plans:   []control.Plan{{Name: "default", Price: 1}},
 	}, s.options.Seed)
 	if err != nil {
-		return nil, fmt.Errorf("starting the module: %w", err)
+		return nil, fmt.Errorf("creating the decision module: %w", err)
 	}
 	m := &module{s, c}
 	var members []control.Endpoint
--- a/internal/simulation/balancesim/sim_test.go
+++ b/internal/simulation/balancesim/sim_test.go
@@ -27,11 +27,11 @@
 				t.Errorf("module %+v\nround robin %+v\nleast in flight %+v", m, roundRobin, got["least in flight"])
 			}
 			if repeated, _ := Run(c, "module", o); !reflect.DeepEqual(repeated, m) {
-				t.Errorf("the same seed gave\n%+v and\n%+v", m, repeated)
+				t.Errorf("the same seed gave different reports:\n%+v\n%+v", m, repeated)
 			}
 		})
 	}
-	if _, err := Run(Cases[0], "by chance", o); err == nil {
-		t.Error("a policy that is none")
+	if _, err := Run(Cases[0], "no such policy", o); err == nil {
+		t.Error("no error for an unknown policy")
 	}
 }
--- a/internal/simulation/decisiondigest/decisiondigest.go
+++ b/internal/simulation/decisiondigest/decisiondigest.go
@@ -88,7 +88,7 @@
 func (d *Digest) addState(state any) error {
 	raw, err := stateEncoding.Marshal(state)
 	if err != nil {
-		return fmt.Errorf("digest of a state: %w", err)
+		return fmt.Errorf("encoding a state for its digest: %w", err)
 	}
 	d.buffer = d.buffer[:0]
 	d.bytes(raw)
--- a/internal/simulation/fleetrules/rules_test.go
+++ b/internal/simulation/fleetrules/rules_test.go
@@ -33,16 +33,16 @@
 	events func(c *Checker)
 }{
 	"answered in time": {"", func(c *Checker) { c.RequestArrived(0, 1, "a", readClass, s); c.Answered(s, 1, "a", false) }},
-	"within the grace": {"", func(c *Checker) {
+	"answered within the grace period": {"", func(c *Checker) {
 		c.RequestArrived(0, 1, "a", readClass, s)
 		c.Answered(s+100*time.Millisecond, 1, "a", false)
 	}},
-	"late":               {Answer, func(c *Checker) { c.RequestArrived(0, 1, "a", readClass, s); c.Answered(2*s, 1, "a", false) }},
-	"never":              {Answer, func(c *Checker) { c.RequestArrived(0, 1, "a", readClass, s) }},
-	"its client left":    {"", func(c *Checker) { c.RequestArrived(0, 1, "a", readClass, s); c.ClientDisconnected("a") }},
-	"its instance died":  {"", func(c *Checker) { c.RequestArrived(0, 1, "a", readClass, s); c.NodeEnded(s/2, 1, false) }},
-	"its instance ended": {Answer, func(c *Checker) { c.RequestArrived(0, 1, "a", readClass, s); c.NodeEnded(s/2, 1, true) }},
-	"another's ended": {"", func(c *Checker) {
+	"late":                     {Answer, func(c *Checker) { c.RequestArrived(0, 1, "a", readClass, s); c.Answered(2*s, 1, "a", false) }},
+	"never":                    {Answer, func(c *Checker) { c.RequestArrived(0, 1, "a", readClass, s) }},
+	"client disconnected":      {"", func(c *Checker) { c.RequestArrived(0, 1, "a", readClass, s); c.ClientDisconnected("a") }},
+	"instance killed":          {"", func(c *Checker) { c.RequestArrived(0, 1, "a", readClass, s); c.NodeEnded(s/2, 1, false) }},
+	"instance ended by itself": {Answer, func(c *Checker) { c.RequestArrived(0, 1, "a", readClass, s); c.NodeEnded(s/2, 1, true) }},
+	"another instance ended": {"", func(c *Checker) {
 		c.RequestArrived(0, 1, "a", readClass, s)
 		c.NodeEnded(s/2, 2, true)
 		c.Answered(s, 1, "a", true)
@@ -52,111 +52,111 @@
 		c.Answered(0, 1, "a", true)
 		c.Answered(0, 1, "a", true)
 	}},
-	"sent after its end": {DuplicateEffect, func(c *Checker) {
+	"sent after the final answer": {DuplicateEffect, func(c *Checker) {
 		c.RequestArrived(0, 1, "a", readClass, s)
 		c.Answered(0, 1, "a", true)
 		sendAttempt(c, 0, 1, true)
 	}},
-	"two out": {DuplicateEffect, func(c *Checker) {
+	"two attempts in flight": {DuplicateEffect, func(c *Checker) {
 		c.RequestArrived(0, 1, "a", readClass, s)
 		sendAttempt(c, 0, 1, true)
 		sendAttempt(c, 0, 1, false)
 		c.ClientDisconnected("a")
 	}},
-	"again, never ran": {"", func(c *Checker) {
+	"retry, first never ran": {"", func(c *Checker) {
 		c.RequestArrived(0, 1, "a", nonIdempotentClass, s)
 		sendAttempt(c, 0, 1, true)
 		c.AttemptEnded("a", 0, 1, false)
 		sendAttempt(c, 0, 3, false)
 		c.ClientDisconnected("a")
 	}},
-	"again, may have run": {DuplicateEffect, func(c *Checker) {
+	"retry, first may have run": {DuplicateEffect, func(c *Checker) {
 		c.RequestArrived(0, 1, "a", nonIdempotentClass, s)
 		sendAttempt(c, 0, 1, true)
 		c.AttemptEnded("a", 0, 1, true)
 		sendAttempt(c, 0, 1, false)
 		c.ClientDisconnected("a")
 	}},
-	"the same cell": {"", func(c *Checker) {
+	"retry in the same cell": {"", func(c *Checker) {
 		c.RequestArrived(0, 1, "a", cellKeyClass, s)
 		sendAttempt(c, 0, 1, true)
 		c.AttemptEnded("a", 0, 1, true)
 		sendAttempt(c, s, 2, false)
 		c.ClientDisconnected("a")
 	}},
-	"another cell": {DuplicateEffect, func(c *Checker) {
+	"retry in another cell": {DuplicateEffect, func(c *Checker) {
 		c.RequestArrived(0, 1, "a", cellKeyClass, s)
 		sendAttempt(c, 0, 1, true)
 		c.AttemptEnded("a", 0, 1, true)
 		sendAttempt(c, s, 3, false)
 		c.ClientDisconnected("a")
 	}},
-	"past the window": {DuplicateEffect, func(c *Checker) {
+	"retry after the repeat window": {DuplicateEffect, func(c *Checker) {
 		c.RequestArrived(0, 1, "a", cellKeyClass, s)
 		sendAttempt(c, 0, 1, true)
 		c.AttemptEnded("a", 0, 1, true)
 		sendAttempt(c, 6*s, 2, false)
 		c.ClientDisconnected("a")
 	}},
-	"refused, may have run": {DuplicateEffect, func(c *Checker) {
+	"rejected, may have run": {DuplicateEffect, func(c *Checker) {
 		c.RequestArrived(0, 1, "a", cellKeyClass, s)
 		sendAttempt(c, 0, 1, true)
 		c.AttemptEnded("a", 0, 1, true)
 		c.Answered(0, 1, "a", true)
 	}},
-	"refused, group of all": {"", func(c *Checker) {
+	"rejected, may have run, keys shared by all servers": {"", func(c *Checker) {
 		c.RequestArrived(0, 1, "a", globalKeyClass, s)
 		sendAttempt(c, 0, 1, true)
 		c.AttemptEnded("a", 0, 1, true)
 		c.Answered(0, 1, "a", true)
 	}},
-	"drained, in grace": {"", func(c *Checker) { c.Notified(0, 1, 1, false); c.Notified(s, 1, 1, false); sendAttempt(c, 2*s, 1, true) }},
-	"drained, past it":  {Drain, func(c *Checker) { c.Notified(0, 1, 1, false); c.Notified(s, 1, 1, false); sendAttempt(c, 3*s, 1, true) }},
-	"drained, back up":  {"", func(c *Checker) { c.Notified(0, 1, 1, false); c.Notified(s, 1, 1, true); sendAttempt(c, 3*s, 1, true) }},
-	"another was told":  {"", func(c *Checker) { c.Notified(0, 2, 1, false); sendAttempt(c, 3*s, 1, true) }},
-	"cold, within": {"", func(c *Checker) {
+	"draining, within the grace period": {"", func(c *Checker) { c.Notified(0, 1, 1, false); c.Notified(s, 1, 1, false); sendAttempt(c, 2*s, 1, true) }},
+	"draining, after the grace period":  {Drain, func(c *Checker) { c.Notified(0, 1, 1, false); c.Notified(s, 1, 1, false); sendAttempt(c, 3*s, 1, true) }},
+	"draining, then up":                 {"", func(c *Checker) { c.Notified(0, 1, 1, false); c.Notified(s, 1, 1, true); sendAttempt(c, 3*s, 1, true) }},
+	"draining, another node notified":   {"", func(c *Checker) { c.Notified(0, 2, 1, false); sendAttempt(c, 3*s, 1, true) }},
+	"warming up, within the limit": {"", func(c *Checker) {
 		c.ServerStarted(9, Server{Capacity: warmingUpCapacity})
 		c.WorkArrived(0, 9, 4, true)
 		c.WorkArrived(3*s, 9, 4, true)
 	}},
-	"cold, beyond": {WarmingUp, func(c *Checker) {
+	"warming up, over the limit": {WarmingUp, func(c *Checker) {
 		c.ServerStarted(9, Server{Capacity: warmingUpCapacity})
 		c.WorkArrived(0, 9, 4, true)
 		c.WorkArrived(s, 9, 4, true)
 		c.WorkArrived(s, 9, 4, true)
 	}},
-	"cold, by untold ones": {"", func(c *Checker) {
+	"warming up, overloaded by nodes not notified": {"", func(c *Checker) {
 		c.ServerStarted(9, Server{Capacity: warmingUpCapacity})
 		c.WorkArrived(0, 9, 4, true)
 		c.WorkArrived(s, 9, 4, false)
 	}},
-	"cold, by chance": {"", func(c *Checker) { // N is 8, so the limit is 8 + 2*sqrt(8) + 2 requests of 1.25 s: 19.6 s
+	"warming up, within the random deviation": {"", func(c *Checker) { // N is 8, so the limit is 8 + 2*sqrt(8) + 2 requests of 1.25 s: 19.6 s
 		c.Tolerances.MeanWork = 1.25
 		c.Tolerances.OverloadMultiple = 5
 		c.ServerStarted(9, Server{Capacity: warmingUpCapacity})
 		c.WorkArrived(0, 9, 19.5, true)
 	}},
-	"cold, beyond chance": {WarmingUp, func(c *Checker) {
+	"warming up, over the random deviation": {WarmingUp, func(c *Checker) {
 		c.Tolerances.MeanWork = 1.25
 		c.Tolerances.OverloadMultiple = 5
 		c.ServerStarted(9, Server{Capacity: warmingUpCapacity})
 		c.WorkArrived(0, 9, 19.6, true)
 	}},
-	"cold, fell by untold ones first": {"", func(c *Checker) {
+	"warming up, first overloaded by nodes not notified": {"", func(c *Checker) {
 		c.ServerStarted(9, Server{Capacity: warmingUpCapacity})
 		c.WorkArrived(0, 9, 6, false)
 		c.WorkArrived(s, 9, 60, true)
 	}},
-	"ceiling, kept": {"", func(c *Checker) {
+	"hard limit, within": {"", func(c *Checker) {
 		c.AttemptSent(0, 1, "a", 1, true, hardLimitPlan, "x", 11)
 		c.AttemptSent(s, 1, "b", 1, true, hardLimitPlan, "x", 2)
 		c.AttemptSent(s, 1, "c", 1, true, hardLimitPlan, "y", 9)
 	}},
-	"ceiling, repeats": {"", func(c *Checker) {
+	"hard limit, a retry is not charged": {"", func(c *Checker) {
 		c.AttemptSent(0, 1, "a", 1, true, hardLimitPlan, "x", 10)
 		c.AttemptSent(0, 1, "a", 1, false, hardLimitPlan, "x", 10)
 	}},
-	"ceiling, passed": {HardLimit, func(c *Checker) {
+	"hard limit, exceeded": {HardLimit, func(c *Checker) {
 		c.AttemptSent(0, 1, "a", 1, true, hardLimitPlan, "x", 10)
 		c.AttemptSent(s/2, 2, "b", 1, true, hardLimitPlan, "x", 3)
 	}},
@@ -177,7 +177,7 @@
 			}
 			for _, b := range c.Breaches() {
 				if !strings.Contains(b.String(), string(b.Rule)) {
-					t.Errorf("%v does not name its rule", b)
+					t.Errorf("the text of breach %v does not contain its rule", b)
 				}
 			}
 		})
--- a/internal/simulation/fleetsim/acceptance_test.go
+++ b/internal/simulation/fleetsim/acceptance_test.go
@@ -31,10 +31,10 @@
 // third of the load of each class and of each plan is served.
 func TestNoDuplicateEffects(t *testing.T) {
 	for name, set := range map[string]func(k *control.Class){
-		"safe":         func(k *control.Class) { k.Idempotency = control.Idempotent },
-		"unsafe":       func(k *control.Class) { k.Idempotency = control.NotIdempotent },
-		"short window": func(k *control.Class) { k.RepeatWindow = 150 * time.Millisecond },
-		"keyed by all, short window": func(k *control.Class) {
+		"safe":                func(k *control.Class) { k.Idempotency = control.Idempotent },
+		"unsafe":              func(k *control.Class) { k.Idempotency = control.NotIdempotent },
+		"short repeat window": func(k *control.Class) { k.RepeatWindow = 150 * time.Millisecond },
+		"keys shared by all servers, short repeat window": func(k *control.Class) {
 			k.KeyScope, k.RepeatWindow = control.ScopeAll, 150*time.Millisecond
 		},
 	} {
@@ -50,7 +50,7 @@
 				for of, parts := range map[string]map[string]float64{"class": r.Classes, "plan": r.Plans} {
 					for k, fraction := range parts {
 						if fraction < 1.0/3 {
-							t.Errorf("%s %s: %.3f is served: %+v", of, k, fraction, r)
+							t.Errorf("%s %s: served fraction %.3f, expected at least 1/3: %+v", of, k, fraction, r)
 						}
 					}
 				}
@@ -62,8 +62,8 @@
 // The checker finds duplicate effects if nodes treat a class as idempotent that is not, or assume too long a repeat window.
 func TestDuplicateEffectsAreDetected(t *testing.T) {
 	for name, tc := range map[string]struct{ actual, assumed func(k *control.Class) }{
-		"unsafe as safe": {func(k *control.Class) { k.Idempotency = control.NotIdempotent }, func(k *control.Class) { k.Idempotency = control.Idempotent }},
-		"the usual window": {
+		"not idempotent taken as idempotent": {func(k *control.Class) { k.Idempotency = control.NotIdempotent }, func(k *control.Class) { k.Idempotency = control.Idempotent }},
+		"repeat window too long": {
 			func(k *control.Class) { k.RepeatWindow = 150 * time.Millisecond },
 			func(k *control.Class) { k.RepeatWindow = 15 * time.Second },
 		},
@@ -92,11 +92,11 @@
 				t.Parallel()
 				r := runDayOrFail(t, DayOptions{Day: dayName, Instances: instances, Duration: 20 * time.Second, Seed: 7})
 				if r.RejectingFraction > 0.1 || len(r.Broken) > 0 {
-					t.Errorf("%.2f of them reject all: %+v", r.RejectingFraction, r)
+					t.Errorf("fraction %.2f of the instances rejects all requests, expected at most 0.1: %+v", r.RejectingFraction, r)
 				}
 				for name, fraction := range r.Plans {
 					if fraction < 0.5 {
-						t.Errorf("plan %s: %.3f is served: %+v", name, fraction, r)
+						t.Errorf("plan %s: served fraction %.3f, expected at least 0.5: %+v", name, fraction, r)
 					}
 				}
 			})
@@ -115,7 +115,7 @@
 			o.Policy, o.PolicyDelay = DelayedBucket, -1
 			delayed := runQuotasOrFail(t, o)
 			if module.OverQuotaPrice > delayed.OverQuotaPrice+0.1 {
-				t.Errorf("price %.3f, the late-seeing policy's %.3f", module.OverQuotaPrice, delayed.OverQuotaPrice)
+				t.Errorf("over-quota price %.3f, more than 0.1 above %.3f, that of the policy DelayedBucket", module.OverQuotaPrice, delayed.OverQuotaPrice)
 			}
 		})
 	}
--- a/internal/simulation/fleetsim/days.go
+++ b/internal/simulation/fleetsim/days.go
@@ -240,7 +240,7 @@
 func dayByName(name string) (dayScript, error) {
 	d, ok := days[name]
 	if !ok {
-		return d, fmt.Errorf("there is no day %q; there are %v", name, DayNames)
+		return d, fmt.Errorf("unknown day %q; expected one of %v", name, DayNames)
 	}
 	return d, nil
 }
--- a/internal/simulation/fleetsim/days_test.go
+++ b/internal/simulation/fleetsim/days_test.go
@@ -30,7 +30,7 @@
 					t.Errorf("%d instances: %+v", n, r)
 				}
 				if starved := meanStarvedFraction(t, name, n); starved > 0.15 {
-					t.Errorf("%d instances: %.3f of what customers ask within quotas is that of starved ones", n, starved)
+					t.Errorf("%d instances: starved customers offer a fraction of %.3f of the weight within quotas, expected at most 0.15", n, starved)
 				}
 				if n < 80 { // with few servers, the loss of one leaves too little capacity
 					return
@@ -38,12 +38,12 @@
 				// At least half is served of each class and in each third of the day.
 				for k, fraction := range r.Classes {
 					if fraction < 0.5 {
-						t.Errorf("%d instances: class %s %.3f: %+v", n, k, fraction, r)
+						t.Errorf("%d instances: class %s: served fraction %.3f, expected at least 0.5: %+v", n, k, fraction, r)
 					}
 				}
 				for k, fraction := range r.Thirds {
 					if fraction < 0.5 {
-						t.Errorf("%d instances: third %d %.3f: %+v", n, k, fraction, r)
+						t.Errorf("%d instances: third %d of the day: served fraction %.3f, expected at least 0.5: %+v", n, k, fraction, r)
 					}
 				}
 			})
@@ -79,14 +79,14 @@
 	o := DayOptions{Day: "split", Instances: 12, Duration: 12 * time.Second, Seed: 5}
 	a, b := runDayOrFail(t, o), runDayOrFail(t, o)
 	if !reflect.DeepEqual(a, b) {
-		t.Errorf("%+v\n%+v", a, b)
+		t.Errorf("the same seed gave different reports:\n%+v\n%+v", a, b)
 	}
 	if o.Seed++; reflect.DeepEqual(a, runDayOrFail(t, o)) {
-		t.Error("the seed changes nothing")
+		t.Error("another seed gave the same report")
 	}
 	for _, o := range []DayOptions{{Day: "none", Instances: 1}, {Day: "calm"}, {Day: "calm", Instances: 1, GroupSize: -1}} {
 		if _, err := Day(o); err == nil {
-			t.Errorf("%+v was played", o)
+			t.Errorf("no error for invalid options %+v", o)
 		}
 	}
 }
@@ -100,10 +100,10 @@
 			without := o
 			without.Mutation = nil
 			if r := runDayOrFail(t, without); len(r.Broken) > 0 {
-				t.Errorf("without it: %+v", r)
+				t.Errorf("rules broken without the mutation: %+v", r)
 			}
 			if r := runDayOrFail(t, o); r.Broken[m.Rule] == 0 {
-				t.Errorf("the rule %q holds: %+v", m.Rule, r)
+				t.Errorf("the mutation did not break rule %q: %+v", m.Rule, r)
 			}
 		})
 	}
@@ -120,7 +120,7 @@
 	first := w.report().StarvedFraction
 	for range 20 {
 		if repeated := w.report().StarvedFraction; repeated != first {
-			t.Fatalf("%v and %v", repeated, first)
+			t.Fatalf("StarvedFraction differs between reports of the same state: %v and %v", repeated, first)
 		}
 	}
 }
--- a/internal/simulation/fleetsim/decisions_amd64_test.go
+++ b/internal/simulation/fleetsim/decisions_amd64_test.go
@@ -20,7 +20,7 @@
 //	go test ./internal/simulation/fleetsim -run '^TestDecisionsAreUnchanged$' -update-decisions
 //
 // A change of package control that is meant to keep all decisions must not rewrite it.
-var updateDecisions = flag.Bool("update-decisions", false, "writes testdata/decisions.golden anew")
+var updateDecisions = flag.Bool("update-decisions", false, "rewrite testdata/decisions.golden")
 
 const (
 	goldenDecisions  = "testdata/decisions.golden"
@@ -59,10 +59,10 @@
 	"attempt of a free request", "retry of a free request",
 	"attempt of a guarded request", "retry of a guarded request",
 	"attempt of a single-shot request", "retry of a single-shot request",
-	"attempt at a cold server", "failed: no_further", "metered use told",
+	"attempt at a warming-up server", "failed: no_further", "quota usage reported",
 	"refused: by_chance", "refused: no_further", "refused: no_turn", "refused: over_ceiling", "refused: over_store",
 	"refused: too_late", "refused: yields",
-	"hand-over", "restored exactly", "restored as learned", "rejoined",
+	"hand-over", "restored exactly", "restored estimates", "rejoined",
 }
 
 var idempotencyNames = map[control.Idempotency]string{control.Idempotent: "free", control.IdempotentWithKey: "guarded", control.NotIdempotent: "single-shot"}
@@ -119,7 +119,7 @@
 		p.recordError(p.state.AddImage(w.nodes[instance].controller.Image()))
 	}
 	if response, ok := event.(control.AttemptResult); ok && response.QuotaUsage > 0 {
-		p.features["metered use told"] = true
+		p.features["quota usage reported"] = true
 	}
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -146,7 +146,7 @@
 	}
 	p.features[kind+" of a "+idempotencyNames[n.settings.Classes[t.call.class].Idempotency]+" request"] = true
 	if warmthAt(w.Now()-w.hostByID[a.Server].bootedAt) < 1 {
-		p.features["attempt at a cold server"] = true
+		p.features["attempt at a warming-up server"] = true
 	}
 }
 
@@ -174,7 +174,7 @@
 		p.features["restored exactly"] = true
 	} else {
 		successor.Restore(now, checkpoint, control.TrustEstimates)
-		p.features["restored as learned"] = true
+		p.features["restored estimates"] = true
 	}
 	w.After(time.Second, func() {
 		remaining := predecessor.HandOver(w.Now()+moduleClockOffset, 1)
@@ -223,7 +223,7 @@
 	})
 	for _, feature := range decisionFeatures {
 		if !features[feature] {
-			t.Errorf("no day reaches %q", feature)
+			t.Errorf("no day covers %q", feature)
 		}
 	}
 	slices.Sort(lines)
@@ -245,11 +245,11 @@
 	}
 	golden := strings.Split(strings.TrimSuffix(string(raw), "\n"), "\n")
 	if len(golden) != len(lines) {
-		t.Errorf("%d plays, and the golden file has %d", len(lines), len(golden))
+		t.Errorf("%d simulations, but the golden file has %d", len(lines), len(golden))
 	}
 	for i := range min(len(golden), len(lines)) {
 		if lines[i] != golden[i] {
-			t.Errorf("decided otherwise:\n got %s\nwant %s", lines[i], golden[i])
+			t.Errorf("decisions or state differ from the golden file:\n got %s\nwant %s", lines[i], golden[i])
 		}
 	}
 }
--- a/internal/simulation/fleetsim/hard_test.go
+++ b/internal/simulation/fleetsim/hard_test.go
@@ -29,7 +29,7 @@
 			})
 		}, 0.25},
 		// Little is served: without a warm server as a reference, all nodes together send each warming-up server one unit a second.
-		"an empty list for 3 s, then all cold": {func(w *world) {
+		"an empty list for 3 s, then all servers warming up": {func(w *world) {
 			for _, h := range w.hosts {
 				h.bootedAt = 0
 				w.register(h)
@@ -37,7 +37,7 @@
 			}
 		}, 0.08},
 		"all servers silent for 4 s": {func(w *world) { w.At(w.timeAt(0.3), func() { w.disconnectServers(4*time.Second, 1) }) }, 0.4},
-		"lists never come": {func(w *world) {
+		"no watch event arrives": {func(w *world) {
 			w.listsSilentUntil = never
 			w.replaceServers(0.4, 0.2, 0.6)
 		}, 0.5},
@@ -52,7 +52,7 @@
 			}
 			w.replaceServers(0.3, 0.3, 0.5)
 		}, 0.6},
-		"told to end twice, and killed meanwhile": {func(w *world) {
+		"two planned restarts, a third killed meanwhile": {func(w *world) {
 			for i := range w.nodes {
 				w.At(w.timeAt(0.3), func() { w.terminate(i) })
 				w.At(w.timeAt(0.3)+time.Second, func() { w.terminate(i) })
@@ -62,7 +62,7 @@
 				}
 			}
 		}, 0.3},
-		"every server back under its id with a new start": {func(w *world) {
+		"every server restarted with the same ID": {func(w *world) {
 			for i, h := range w.hosts {
 				w.At(w.timeAt(0.3)+time.Duration(i)*200*time.Millisecond, func() { w.reboot(h) })
 			}
@@ -89,7 +89,7 @@
 	}{{120, 1, fleetrules.WarmingUp}, {40, 40, ""}, {40, 160, ""}} {
 		r := runDayOrFail(t, DayOptions{Day: "join", Instances: tc.instances, GroupSize: tc.groupSize, Duration: 15 * time.Second, Seed: 4, Load: 2})
 		if tc.want == "" && len(r.Broken) > 0 || tc.want != "" && r.Broken[tc.want] == 0 || r.Served < 0.4 {
-			t.Errorf("told %d: %+v", tc.groupSize, r)
+			t.Errorf("configured group size %d: %+v", tc.groupSize, r)
 		}
 	}
 }
--- a/internal/simulation/fleetsim/instances.go
+++ b/internal/simulation/fleetsim/instances.go
@@ -41,7 +41,7 @@
 	}
 	c, err := control.New(n.settings, w.options.Seed*1_000_003+uint64(instance)*1009+uint64(n.incarnation))
 	if err != nil {
-		panic(fmt.Sprintf("the settings of a day: %v", err)) // the settings are constants, so an error is a fault of this package
+		panic(fmt.Sprintf("invalid settings of a simulated day: %v", err)) // the settings are constants, so an error is a fault of this package
 	}
 	n.controller = c
 	n.down = false
--- a/internal/simulation/fleetsim/quota_bound_test.go
+++ b/internal/simulation/fleetsim/quota_bound_test.go
@@ -170,7 +170,7 @@
 		for _, instances := range sizes {
 			seed++
 			seed := seed
-			t.Run(fmt.Sprintf("%d/%d instances, %s again", seed, instances, restarts), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d/%d instances, restarted: %s", seed, instances, restarts), func(t *testing.T) {
 				t.Parallel()
 				drawBoundCase(seed, instances, restarts, pattern).holds(t, seed)
 			})
@@ -201,13 +201,13 @@
 		}
 	}
 	if limit := d.limit(heavy); d.heavy > 0 && (heavy == 0 || sent > limit) {
-		t.Errorf("%.0f units of %.0f customers are sent on, not %.0f at most", sent, heavy, limit)
+		t.Errorf("%.0f units of %.0f customers over quota were forwarded, expected at most %.0f", sent, heavy, limit)
 	}
 	if r.Broken[fleetrules.HardLimit] > 0 {
-		t.Errorf("broken: %v", r.Broken)
+		t.Errorf("hard limits exceeded: %v", r.Broken)
 	}
 	if r.Served < 0.75 && d.instances > 1 { // a single instance serves nothing while it restarts
-		t.Errorf("of what is inside %.2f is served", r.Served)
+		t.Errorf("served fraction of the weight within quotas %.2f, expected at least 0.75", r.Served)
 	}
 	// If the rate allows only a few requests in a meter period, readings of customers within their quota exceed the rate too.
 	limit, holds := 0.05, d.world.plans[0].rate[0]*d.world.meterPeriod.Seconds()/d.world.meanActualUnits()
@@ -215,6 +215,6 @@
 		limit = 0.12
 	}
 	if c := r.Cells["refused"]["by_chance"]; d.heavy == 0 && c != nil && float64(c.Rejections) > limit*float64(r.Requests) {
-		t.Errorf("of %d tries %d are refused by chance with nobody beyond", r.Requests, c.Rejections)
+		t.Errorf("of %d requests, %d were rejected by probability although no customer exceeds its quota", r.Requests, c.Rejections)
 	}
 }
--- a/internal/simulation/fleetsim/quota_day.go
+++ b/internal/simulation/fleetsim/quota_day.go
@@ -136,7 +136,7 @@
 func Quotas(o QuotaOptions) (QuotaReport, error) {
 	deployment := quotaDeployments[o.World]
 	if deployment == nil {
-		return QuotaReport{}, fmt.Errorf("there is no world of quotas %q; there are %v", o.World, QuotaNames)
+		return QuotaReport{}, fmt.Errorf("unknown quota deployment %q; expected one of %v", o.World, QuotaNames)
 	}
 	script, err := dayByName("calm")
 	if err != nil {
--- a/internal/simulation/fleetsim/quota_test.go
+++ b/internal/simulation/fleetsim/quota_test.go
@@ -61,7 +61,7 @@
 		ends(tc.ends, request)
 		w.At(tc.at+1, func() {
 			if request.isUnderQuota != tc.wantUnderQuota {
-				t.Errorf("at %v: inside is %v", tc.at, request.isUnderQuota)
+				t.Errorf("request at %v: isUnderQuota is %v", tc.at, request.isUnderQuota)
 			}
 		})
 	}
@@ -72,7 +72,7 @@
 	for at, want := range map[time.Duration]int{s: 0, 3 * s / 2: 1 + 300, 5 * s / 2: 1 + 200, 7 * s: 1 + 100, 8 * s: 1} {
 		w.At(at, func() {
 			if got := q.reportedUsage(0, cust); got != want {
-				t.Errorf("told at %v: %d, not %d", at, got, want)
+				t.Errorf("usage reported at %v: got %d, want %d", at, got, want)
 			}
 		})
 	}
@@ -83,7 +83,7 @@
 		t.Errorf("%+v", r)
 	}
 	if callWeight := 20 + 10 + 0.5*10; r.Served != callWeight/100 { // the last one was served after the latency objective and counts half
-		t.Errorf("served %v", r.Served)
+		t.Errorf("served fraction %v", r.Served)
 	}
 	if c := r.Cells["lacks"]; c["units"].OverQuotaUnits != 4 || c["a place"].OverQuotaUnits != 1 || r.Cells["refused"]["by_chance"].RejectedWithCapacity != 2 {
 		t.Errorf("%+v", c)
@@ -103,10 +103,10 @@
 			o := QuotaOptions{World: name, Policy: DelayedBucket, Instances: 12, Duration: 10 * time.Second, Seed: 3}
 			undelayed := runQuotasOrFail(t, o)
 			if o.PolicyDelay = -1; undelayed.OverQuotaPrice > 0.05 || undelayed.Served < 0.8 || len(undelayed.Broken) > 0 {
-				t.Errorf("at once: %+v", undelayed)
+				t.Errorf("DelayedBucket without delay: %+v", undelayed)
 			}
 			if delayed := runQuotasOrFail(t, o); delayed.Calls != undelayed.Calls || delayed.OverQuotaPrice < undelayed.OverQuotaPrice+0.01 {
-				t.Errorf("late: %+v", delayed)
+				t.Errorf("DelayedBucket with delay: %+v", delayed)
 			}
 			o.Policy = ByModule
 			r := runQuotasOrFail(t, o)
@@ -114,11 +114,11 @@
 				t.Errorf("module: %+v", r)
 			}
 			if repeated := runQuotasOrFail(t, o); !reflect.DeepEqual(r, repeated) {
-				t.Errorf("%+v\n%+v", r, repeated)
+				t.Errorf("the same options gave different reports:\n%+v\n%+v", r, repeated)
 			}
 		})
 	}
 	if _, err := Quotas(QuotaOptions{World: "none", Instances: 3}); err == nil {
-		t.Error("a world that is not there was played")
+		t.Error("no error for an unknown deployment")
 	}
 }
--- a/internal/simulation/fleetsim/sim_test.go
+++ b/internal/simulation/fleetsim/sim_test.go
@@ -25,13 +25,13 @@
 		minServed                          float64
 		minHardLimitUse                    float64
 	}{
-		"as told":               {Options{Instances: 40}, true, true, 0.97, 0.5},
-		"late news":             {Options{Instances: 40, NotificationLag: 5 * time.Second}, true, true, 0.97, 0.5},
-		"uneven":                {Options{Instances: 40, NotificationLag: 2 * time.Second, IsUneven: true}, true, true, 0.97, 0.2},
-		"20 told, 40 real":      {Options{Instances: 40, GroupSize: 20}, true, false, 0.97, 0.5},
-		"40 told, 3 real":       {Options{Instances: 3, GroupSize: 40}, true, true, 0.85, 0.05},
-		"the size is ignored":   {Options{Instances: 40, GroupSize: 1, ServerRate: 10, Load: 0.95}, false, false, 0, 0.5},
-		"slow servers, as told": {Options{Instances: 40, ServerRate: 10, Load: 0.95}, true, true, 0, 0.5},
+		"correct group size":               {Options{Instances: 40}, true, true, 0.97, 0.5},
+		"late notifications":               {Options{Instances: 40, NotificationLag: 5 * time.Second}, true, true, 0.97, 0.5},
+		"uneven":                           {Options{Instances: 40, NotificationLag: 2 * time.Second, IsUneven: true}, true, true, 0.97, 0.2},
+		"group size 20 of 40":              {Options{Instances: 40, GroupSize: 20}, true, false, 0.97, 0.5},
+		"group size 40 of 3":               {Options{Instances: 3, GroupSize: 40}, true, true, 0.85, 0.05},
+		"group size ignored":               {Options{Instances: 40, GroupSize: 1, ServerRate: 10, Load: 0.95}, false, false, 0, 0.5},
+		"slow servers, correct group size": {Options{Instances: 40, ServerRate: 10, Load: 0.95}, true, true, 0, 0.5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tc.o.Seed = 3
@@ -47,9 +47,9 @@
 func TestSameSeedGivesSameRun(t *testing.T) {
 	o := Options{Instances: 10, Seed: 5, Duration: 12 * time.Second}
 	if a, b := runOrFail(t, o), runOrFail(t, o); !reflect.DeepEqual(a, b) {
-		t.Errorf("%+v\n%+v", a, b)
+		t.Errorf("the same seed gave different reports:\n%+v\n%+v", a, b)
 	}
 	if _, err := Run(Options{Instances: 1, GroupSize: -1}); err == nil {
-		t.Error("a group of -1")
+		t.Error("no error for group size -1")
 	}
 }
--- a/internal/simulation/fleetsim/world.go
+++ b/internal/simulation/fleetsim/world.go
@@ -257,7 +257,7 @@
 // runDay simulates a day according to its script.
 func runDay(o DayOptions, p dayScript) (DayReport, error) {
 	if o.Instances < 1 || o.GroupSize < 0 || o.Load < 0 {
-		return DayReport{}, fmt.Errorf("simulating %q: %d instances, %d told", o.Day, o.Instances, o.GroupSize)
+		return DayReport{}, fmt.Errorf("invalid options of day %q: %d instances, group size %d", o.Day, o.Instances, o.GroupSize)
 	}
 	setDefault(&o.GroupSize, o.Instances)
 	setDefault(&o.Load, 1)
--- a/internal/simulation/vtime/vtime_test.go
+++ b/internal/simulation/vtime/vtime_test.go
@@ -21,7 +21,7 @@
 			scheduled++
 			c.At(at, func() {
 				if c.Now() < at {
-					t.Fatalf("due at %v, played at %v", at, c.Now())
+					t.Fatalf("event scheduled for %v ran at %v", at, c.Now())
 				}
 				ran = append(ran, c.Now())
 				if depth < 2 {
@@ -35,15 +35,15 @@
 		c.Run(until)
 		for i := 1; i < len(ran); i++ {
 			if ran[i] < ran[i-1] {
-				t.Fatal("out of order")
+				t.Fatal("events ran out of order")
 			}
 		}
 		if n := len(ran); n > 0 && ran[n-1] > until {
-			t.Fatal("played beyond the end")
+			t.Fatal("an event after the end of Run ran")
 		}
 		c.Run(time.Hour)
 		if len(ran) != scheduled {
-			t.Fatalf("%d played of %d", len(ran), scheduled)
+			t.Fatalf("%d of %d scheduled events ran", len(ran), scheduled)
 		}
 	})
 }
