--- a/internal/simulation/balancesim/sim.go
+++ b/internal/simulation/balancesim/sim.go
@@ -1,6 +1,6 @@
-// Package balancesim simulates one node in virtual time with app servers that send no load reports, and compares
-// the decision module's choice of server with round robin and with least in flight. The module is the real one;
-// servers and clients are a model. All results follow from the seed.
+// Package balancesim simulates one node in virtual time with app servers that send no load reports. It compares the
+// server selection of the real decision module with round robin and with least in flight. Servers and clients are
+// modelled. The same seed gives the same results.
 package balancesim
 
 import (
@@ -16,32 +16,32 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Constants of the model.
+// Parameters of the model.
 const (
 	servers         = 8
 	cores           = 4
-	meanWork        = 20 * time.Millisecond // of a call, on one core of a server of speed 1
+	meanWork        = 20 * time.Millisecond // mean service time of a call on one core of a server with speed 1
 	deadline        = 5 * time.Second
-	maxAttempts     = 3 // of a call
+	maxAttempts     = 3 // per call, including the first attempt
 	faultsStart     = 10 * time.Second
 	fastFailureTime = time.Millisecond
 )
 
-// Case is a set of servers and the fault of the first of them, from faultsStart on.
+// Case is a set of servers and the fault of the first server, which begins at faultsStart.
 type Case struct {
 	Name   string
 	Speeds [servers]float64
-	// Faults of the first server.
-	SlowDown        float64       // factor of its service times; 0 is none
-	Status          int           // that it answers at once: 500 is final, 503 may be retried at another server
-	FailingFraction float64       // of its calls that it answers with Status
-	DownTime        time.Duration // of each Cycle, during which it refuses connections
+	// The fault of the first server.
+	SlowDown        float64       // factor by which its service times increase; 0 means no slowdown
+	Status          int           // status of its immediate error responses: 500 is final, 503 may be retried at another server
+	FailingFraction float64       // fraction of attempts that it answers with Status
+	DownTime        time.Duration // time at the start of each Cycle during which it refuses connections
 	Cycle           time.Duration
 }
 
 var equalSpeeds = [servers]float64{1, 1, 1, 1, 1, 1, 1, 1}
 
-// Cases are all cases.
+// Cases lists all cases.
 var Cases = []Case{
 	{Name: "equal", Speeds: equalSpeeds},
 	{Name: "unequal, 1 to 8", Speeds: [servers]float64{0.5, 0.5, 1, 1, 2, 2, 4, 4}},
@@ -52,31 +52,31 @@
 	{Name: "one flaps, down 1 s of 3", Speeds: equalSpeeds, DownTime: time.Second, Cycle: 3 * time.Second},
 }
 
-// Policies are the policies that are compared, in this order.
+// Policies lists the compared policies in the order of reports.
 var Policies = []string{"module", "round robin", "least in flight"}
 
-// Options configure Run.
+// Options configures Run.
 type Options struct {
-	Load     float64 // fraction of the capacity of all servers
+	Load     float64 // offered load, as a fraction of the capacity of all servers
 	Duration time.Duration
 	Seed     uint64
 }
 
-// Report is the result of a case under a policy, from faultsStart on.
+// Report is the result of a case with a policy. It counts the calls that start at faultsStart or later.
 type Report struct {
 	Case           string  `json:"case"`
 	Policy         string  `json:"policy"`
 	Calls          int     `json:"calls"`
-	Served         float64 `json:"served"` // fraction of the calls
-	Failed         float64 `json:"failed"` // fraction that was answered with 5xx, reset or too late
+	Served         float64 `json:"served"` // fraction of the calls that were served
+	Failed         float64 `json:"failed"` // fraction of the calls that were answered with 5xx, reset or timed out
 	Refused        float64 `json:"refused"`
-	P50            float64 `json:"p50_ms"` // of served calls
+	P50            float64 `json:"p50_ms"` // latency percentile of the served calls
 	P99            float64 `json:"p99_ms"`
-	RetriesPerCall float64 `json:"extra"` // attempts after the first, for each call
+	RetriesPerCall float64 `json:"extra"` // attempts after the first, per call
 }
 
-// balancer chooses servers. It is called for new calls and for the ends of attempts, and sends attempts and
-// finishes calls by methods of sim.
+// balancer chooses servers. It is called for each new call and each result of an attempt. It sends attempts and finishes
+// calls with methods of sim.
 type balancer interface {
 	arrive(id int)
 	endAttempt(c *call, server, n int, why control.Reason, final bool)
@@ -93,7 +93,7 @@
 	lastID    int
 	result    Report
 	latencies []float64
-	outcomes  [3]int // by outcome
+	outcomes  [3]int // number of calls, indexed by outcome
 	attempts  int
 }
 
@@ -106,7 +106,7 @@
 	tried     [servers]bool
 }
 
-// Run simulates one case under one policy.
+// Run simulates one case with one policy.
 func Run(c Case, policy string, o Options) (Report, error) {
 	s := &sim{options: o, testCase: c, rng: rand.New(rand.NewPCG(o.Seed, 31)), calls: make(map[int]*call)}
 	s.result = Report{Case: c.Name, Policy: policy}
@@ -122,14 +122,14 @@
 	case "least in flight":
 		s.balancer = &simplePolicy{sim: s, choose: fewestInFlight}
 	default:
-		return Report{}, fmt.Errorf("there is no policy %q", policy)
+		return Report{}, fmt.Errorf("unknown policy %q", policy)
 	}
 	s.At(0, s.arrive)
 	s.Run(o.Duration + deadline)
 	return s.report(), nil
 }
 
-// arrive starts a call, and schedules the next one.
+// arrive starts a call and schedules the next one.
 func (s *sim) arrive() {
 	rate := 0.0
 	for _, v := range s.testCase.Speeds {
@@ -144,45 +144,45 @@
 	s.After(time.Duration(s.rng.ExpFloat64()/(rate*s.options.Load)*float64(time.Second)), s.arrive)
 }
 
-// send carries an attempt to a server and schedules its end.
-func (s *sim) send(c *call, to int) {
-	n := c.attempts
+// send delivers an attempt to a server and schedules its end.
+func (s *sim) send(c *call, target int) {
+	attempt := c.attempts
 	c.attempts++
-	c.tried[to] = true
+	c.tried[target] = true
 	if c.arrivedAt >= faultsStart {
 		s.attempts++
 	}
-	end := func(after time.Duration, why control.Reason, final bool) {
-		s.After(after, func() { s.balancer.endAttempt(c, to, n, why, final) })
+	endAfter := func(delay time.Duration, reason control.Reason, isFinal bool) {
+		s.After(delay, func() { s.balancer.endAttempt(c, target, attempt, reason, isFinal) })
 	}
-	troubled := to == 0 && s.Now() >= faultsStart
-	if troubled && s.testCase.Cycle > 0 && s.Now()%s.testCase.Cycle < s.testCase.DownTime {
-		end(fastFailureTime, control.ConnectFailed, false)
+	isFaulty := target == 0 && s.Now() >= faultsStart
+	if isFaulty && s.testCase.Cycle > 0 && s.Now()%s.testCase.Cycle < s.testCase.DownTime {
+		endAfter(fastFailureTime, control.ConnectFailed, false)
 		return
 	}
-	if troubled && s.rng.Float64() < s.testCase.FailingFraction {
-		end(fastFailureTime, control.Errored, s.testCase.Status == 500)
+	if isFaulty && s.rng.Float64() < s.testCase.FailingFraction {
+		endAfter(fastFailureTime, control.Errored, s.testCase.Status == 500)
 		return
 	}
-	speed := s.testCase.Speeds[to]
-	if troubled && s.testCase.SlowDown > 0 {
+	speed := s.testCase.Speeds[target]
+	if isFaulty && s.testCase.SlowDown > 0 {
 		speed /= s.testCase.SlowDown
 	}
-	free := &s.servers[to].coreFreeAt
+	free := &s.servers[target].coreFreeAt
 	core := 0
 	for i := range free {
 		if free[i] < free[core] {
 			core = i
 		}
 	}
-	from := max(s.Now(), free[core])
+	startsAt := max(s.Now(), free[core])
 	duration := time.Duration(float64(meanWork) / speed * (0.5 + s.rng.Float64()))
-	left := c.arrivedAt + deadline - s.Now()
-	free[core] = from + duration
-	if done := from + duration - s.Now(); done <= left {
-		end(done, control.OK, true)
+	remaining := c.arrivedAt + deadline - s.Now()
+	free[core] = startsAt + duration
+	if responseTime := startsAt + duration - s.Now(); responseTime <= remaining {
+		endAfter(responseTime, control.OK, true)
 	} else {
-		end(left, control.TimedOut, false)
+		endAfter(remaining, control.TimedOut, false)
 	}
 }
 
@@ -193,7 +193,7 @@
 	rejected
 )
 
-func (s *sim) finish(c *call, how int) {
+func (s *sim) finish(c *call, outcome int) {
 	if s.calls[c.id] == nil {
 		return
 	}
@@ -201,7 +201,7 @@
 	if c.arrivedAt < faultsStart {
 		return
 	}
-	if s.outcomes[how]++; how == served {
+	if s.outcomes[outcome]++; outcome == served {
 		s.latencies = append(s.latencies, float64((s.Now()-c.arrivedAt).Microseconds())/1000)
 	}
 }
@@ -218,8 +218,8 @@
 	return r
 }
 
-// simplePolicy is a policy that has no state but the attempts in flight: it sends each call at once, and retries
-// where that is allowed.
+// simplePolicy is a balancer without admission control or learned state. It sends each call immediately and retries it
+// where a retry is allowed.
 type simplePolicy struct {
 	sim      *sim
 	choose   func(*simplePolicy, *call) int
@@ -228,11 +228,11 @@
 }
 
 func fewestInFlight(p *simplePolicy, c *call) int {
-	best, at := -1, p.sim.rng.IntN(servers) // random order among equals
+	best, start := -1, p.sim.rng.IntN(servers) // a random start avoids a preference among equally loaded servers
 	for i := range servers {
-		k := (at + i) % servers
-		if !c.tried[k] && (best < 0 || p.inFlight[k] < p.inFlight[best]) {
-			best = k
+		candidate := (start + i) % servers
+		if !c.tried[candidate] && (best < 0 || p.inFlight[candidate] < p.inFlight[best]) {
+			best = candidate
 		}
 	}
 	return best
@@ -241,24 +241,24 @@
 func (p *simplePolicy) arrive(id int) { p.send(p.sim.calls[id]) }
 
 func (p *simplePolicy) send(c *call) {
-	to := p.choose(p, c)
-	p.inFlight[to]++
-	p.sim.send(c, to)
+	target := p.choose(p, c)
+	p.inFlight[target]++
+	p.sim.send(c, target)
 }
 
-func (p *simplePolicy) endAttempt(c *call, to, _ int, why control.Reason, final bool) {
-	p.inFlight[to]--
+func (p *simplePolicy) endAttempt(c *call, target, _ int, reason control.Reason, isFinal bool) {
+	p.inFlight[target]--
 	switch {
-	case why == control.OK:
+	case reason == control.OK:
 		p.sim.finish(c, served)
-	case final || c.attempts >= maxAttempts || why == control.TimedOut:
+	case isFinal || c.attempts >= maxAttempts || reason == control.TimedOut:
 		p.sim.finish(c, failed)
 	default:
 		p.send(c)
 	}
 }
 
-// module is the decision module with the settings of a service of generic HTTP.
+// module is the decision module with the settings of a generic HTTP service.
 type module struct {
 	sim        *sim
 	controller *control.Controller
@@ -272,7 +272,7 @@
 		Plans:   []control.Plan{{Name: "default", Price: 1}},
 	}, s.options.Seed)
 	if err != nil {
-		return nil, fmt.Errorf("starting the module: %w", err)
+		return nil, fmt.Errorf("creating the decision module: %w", err)
 	}
 	m := &module{s, c}
 	var members []control.Endpoint
@@ -291,17 +291,17 @@
 				m.sim.send(c, int(a.Server)-1)
 			}
 		case control.Reject:
-			m.giveUp(a.ID)
+			m.finishUnserved(a.ID)
 		case control.Fail:
-			m.giveUp(a.ID)
+			m.finishUnserved(a.ID)
 		case control.StartTimer:
 			m.sim.After(a.After, func() { m.deliver(control.TimerFired{Label: a.Label}) })
 		}
 	}
 }
 
-// giveUp finishes a call that the module rejects or fails; one that was sent counts as failed in any case.
-func (m *module) giveUp(id string) {
+// finishUnserved finishes a call that the module rejects or fails. A call that has been sent to a server counts as failed.
+func (m *module) finishUnserved(id string) {
 	c := m.sim.calls[callNumber(id)]
 	switch {
 	case c == nil:
@@ -321,11 +321,11 @@
 	m.deliver(control.Request{ID: fmt.Sprint(id), Class: "read", Plan: "default", Customer: "anonymous", Timeout: deadline, Units: 1, FanOut: 1})
 }
 
-func (m *module) endAttempt(c *call, to, n int, why control.Reason, final bool) {
-	if why == control.OK {
+func (m *module) endAttempt(c *call, target, attempt int, reason control.Reason, isFinal bool) {
+	if reason == control.OK {
 		m.sim.finish(c, served)
-	} else if final {
+	} else if isFinal {
 		m.sim.finish(c, failed)
 	}
-	m.deliver(control.AttemptResult{ID: fmt.Sprint(c.id), Attempt: n, Server: uint32(to + 1), Reason: why, IsFinal: final})
+	m.deliver(control.AttemptResult{ID: fmt.Sprint(c.id), Attempt: attempt, Server: uint32(target + 1), Reason: reason, IsFinal: isFinal})
 }
--- a/internal/simulation/fleetsim/hard_test.go
+++ b/internal/simulation/fleetsim/hard_test.go
@@ -7,15 +7,15 @@
 	"lockflow/internal/simulation/fleetrules"
 )
 
-// Days that no list of troubles names. The rules hold on them too, and what can be served is.
+// The rules also hold on days with faults that no day in DayNames has, and a minimum of the load is served.
 func TestHardDays(t *testing.T) {
 	never := 24 * time.Hour
 	for name, tc := range map[string]struct {
-		script func(w *world)
-		least  float64 // served
+		script    func(w *world)
+		minServed float64 // minimum served fraction of the load within quotas
 	}{
 		"all servers gone at once, others later": {func(w *world) {
-			old := append([]*host(nil), w.hosts...)
+			old := append([]*appServer(nil), w.hosts...)
 			w.At(w.timeAt(0.3), func() {
 				for _, h := range old {
 					w.drain(h)
@@ -28,8 +28,8 @@
 				}
 			})
 		}, 0.25},
-		// Little is served: with no warm server to go by, all together send each cold one a unit a second.
-		"an empty list for 3 s, then all cold": {func(w *world) {
+		// Little is served: without a warm server as a reference, all nodes together send each warming-up server one unit a second.
+		"an empty list for 3 s, then all servers warming up": {func(w *world) {
 			for _, h := range w.hosts {
 				h.bootedAt = 0
 				w.register(h)
@@ -37,7 +37,7 @@
 			}
 		}, 0.08},
 		"all servers silent for 4 s": {func(w *world) { w.At(w.timeAt(0.3), func() { w.disconnectServers(4*time.Second, 1) }) }, 0.4},
-		"lists never come": {func(w *world) {
+		"no watch event arrives": {func(w *world) {
 			w.listsSilentUntil = never
 			w.replaceServers(0.4, 0.2, 0.6)
 		}, 0.5},
@@ -52,7 +52,7 @@
 			}
 			w.replaceServers(0.3, 0.3, 0.5)
 		}, 0.6},
-		"told to end twice, and killed meanwhile": {func(w *world) {
+		"two planned restarts, a third killed meanwhile": {func(w *world) {
 			for i := range w.nodes {
 				w.At(w.timeAt(0.3), func() { w.terminate(i) })
 				w.At(w.timeAt(0.3)+time.Second, func() { w.terminate(i) })
@@ -62,7 +62,7 @@
 				}
 			}
 		}, 0.3},
-		"every server back under its id with a new start": {func(w *world) {
+		"every server restarted with the same ID": {func(w *world) {
 			for i, h := range w.hosts {
 				w.At(w.timeAt(0.3)+time.Duration(i)*200*time.Millisecond, func() { w.reboot(h) })
 			}
@@ -71,8 +71,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for _, n := range []int{1, 3, 40} {
-				r, err := play(DayOptions{Day: "hard", Instances: n, Duration: 15 * time.Second, Seed: 2}, dayPlan{script: tc.script})
-				if err != nil || len(r.Broken) > 0 || r.Served < tc.least {
+				r, err := runDay(DayOptions{Day: "hard", Instances: n, Duration: 15 * time.Second, Seed: 2}, dayScript{script: tc.script})
+				if err != nil || len(r.Broken) > 0 || r.Served < tc.minServed {
 					t.Errorf("%d instances: %v %+v", n, err, r)
 				}
 			}
@@ -80,16 +80,16 @@
 	}
 }
 
-// A group that is told too small passes ceilings and cold servers' limits; one told too large keeps
-// both and serves less.
-func TestWrongSizes(t *testing.T) {
+// Nodes whose group size is configured too small overload warming-up servers. Nodes whose group size is configured too
+// large break no rule, but serve less.
+func TestWrongGroupSizes(t *testing.T) {
 	for _, tc := range []struct {
-		instances, told int
-		want            fleetrules.Rule
+		instances, groupSize int
+		want                 fleetrules.Rule
 	}{{120, 1, fleetrules.WarmingUp}, {40, 40, ""}, {40, 160, ""}} {
-		r := day(t, DayOptions{Day: "join", Instances: tc.instances, GroupSize: tc.told, Duration: 15 * time.Second, Seed: 4, Load: 2})
+		r := runDayOrFail(t, DayOptions{Day: "join", Instances: tc.instances, GroupSize: tc.groupSize, Duration: 15 * time.Second, Seed: 4, Load: 2})
 		if tc.want == "" && len(r.Broken) > 0 || tc.want != "" && r.Broken[tc.want] == 0 || r.Served < 0.4 {
-			t.Errorf("told %d: %+v", tc.told, r)
+			t.Errorf("configured group size %d: %+v", tc.groupSize, r)
 		}
 	}
 }
--- a/internal/simulation/fleetsim/quota_test.go
+++ b/internal/simulation/fleetsim/quota_test.go
@@ -9,7 +9,7 @@
 	"lockflow/control"
 )
 
-func quotas(t *testing.T, o QuotaOptions) QuotaReport {
+func runQuotasOrFail(t *testing.T, o QuotaOptions) QuotaReport {
 	t.Helper()
 	r, err := Quotas(o)
 	if err != nil {
@@ -18,61 +18,61 @@
 	return r
 }
 
-// A history made by hand has the price, the refusals with room and the readings that follow from the terms.
-func TestQuotasAreBooked(t *testing.T) {
+// A scripted sequence of requests gives the price, the rejections with unused quota and the readings that follow from the plan.
+func TestQuotaAccounting(t *testing.T) {
 	const s = time.Second
 	w := &world{rules: control.Settings{Classes: []control.Class{{LatencyObjective: 3 * s, LateWeightFraction: 0.5}}}}
 	cust := &dayCustomer{name: "c", fanOut: 1, demand: &demand{kind: calmKind}}
 	q := &quotaDay{
-		world: w, policy: ByModule, deployment: &quotaDeployment{units: guessed, meterPeriod: s}, meterDelay: s / 2, known: map[nodeCustomer]*customerKnowledge{}, offeredWeight: 100,
+		world: w, policy: ByModule, deployment: &quotaDeployment{units: estimated, meterPeriod: s}, meterDelay: s / 2, knowledgeByNode: map[nodeCustomer]*customerKnowledge{}, offeredWeight: 100,
 		plans: []control.Plan{{Name: "p", QuotaRate: 2, QuotaBurst: 4, MaxInFlight: 2, OverQuotaCost: 0.5}},
 	}
 	q.accounts = map[*dayCustomer]*quotaAccount{cust: newQuotaAccount(&q.plans[0], s)}
-	q.guessedAccounts = map[*dayCustomer]*quotaAccount{cust: newQuotaAccount(&q.plans[0], 0)}
-	tried := func(at time.Duration, units, cost, worth float64) *clientRequest {
-		tr := &clientRequest{call: &call{arrivedAt: at, customer: cust, units: units, actualUnits: cost, weight: worth, requests: 1}}
+	q.estimatedAccounts = map[*dayCustomer]*quotaAccount{cust: newQuotaAccount(&q.plans[0], 0)}
+	arrives := func(at time.Duration, units, trueUnits, callWeight float64) *clientRequest {
+		request := &clientRequest{call: &call{arrivedAt: at, customer: cust, units: units, actualUnits: trueUnits, weight: callWeight, requests: 1}}
 		w.At(at, func() {
-			q.admitRequest(0, tr)
-			q.recordForwarded(0, tr)
+			q.admitRequest(0, request)
+			q.recordForwarded(0, request)
 		})
-		return tr
+		return request
 	}
-	ends := func(at time.Duration, tr *clientRequest) {
+	ends := func(at time.Duration, request *clientRequest) {
 		w.At(at, func() {
 			q.endAttempt(cust)
-			q.recordServed(tr)
-			tr.call.isServed = true
+			q.recordServed(request)
+			request.call.isServed = true
 		})
 	}
 	for _, tc := range []struct {
-		at                 time.Duration
-		units, cost, worth float64
-		ends               time.Duration
-		inside             bool
+		at                           time.Duration
+		units, trueUnits, callWeight float64
+		ends                         time.Duration
+		wantUnderQuota               bool
 	}{
-		{at: 0, units: 3, cost: 3, worth: 20, ends: 3 * s / 2, inside: true},       // 4 are there, 1 is left
-		{at: s / 2, units: 3, cost: 3, worth: 40, ends: 3 * s / 4, inside: false},  // 2 are there: it takes nothing
-		{at: s, units: 3, cost: 4, worth: 10, ends: 5 * s / 4, inside: true},       // 3 are there; it turns out to be 4
-		{at: 7 * s / 4, units: 1, cost: 1, worth: 30, ends: 9 * s, inside: false},  // 0.5 is there, not 1.5
-		{at: 5 * s, units: 1, cost: 1, worth: 10, ends: 9 * s, inside: true},       // full; the second attempt out
-		{at: 51 * s / 10, units: 1, cost: 1, worth: 6, ends: 9 * s, inside: false}, // a third
+		{at: 0, units: 3, trueUnits: 3, callWeight: 20, ends: 3 * s / 2, wantUnderQuota: true},       // of 4 tokens, 1 remains
+		{at: s / 2, units: 3, trueUnits: 3, callWeight: 40, ends: 3 * s / 4, wantUnderQuota: false},  // 2 tokens do not suffice, so none is taken
+		{at: s, units: 3, trueUnits: 4, callWeight: 10, ends: 5 * s / 4, wantUnderQuota: true},       // 3 tokens suffice, but the actual units are 4
+		{at: 7 * s / 4, units: 1, trueUnits: 1, callWeight: 30, ends: 9 * s, wantUnderQuota: false},  // there is 0.5 of a token, not 1.5, since the actual units were settled
+		{at: 5 * s, units: 1, trueUnits: 1, callWeight: 10, ends: 9 * s, wantUnderQuota: true},       // the bucket is full; this is the second attempt in flight
+		{at: 51 * s / 10, units: 1, trueUnits: 1, callWeight: 6, ends: 9 * s, wantUnderQuota: false}, // a third attempt exceeds the in-flight quota of 2
 	} {
-		tr := tried(tc.at, tc.units, tc.cost, tc.worth)
-		ends(tc.ends, tr)
+		request := arrives(tc.at, tc.units, tc.trueUnits, tc.callWeight)
+		ends(tc.ends, request)
 		w.At(tc.at+1, func() {
-			if tr.isUnderQuota != tc.inside {
-				t.Errorf("at %v: inside is %v", tc.at, tr.isUnderQuota)
+			if request.isUnderQuota != tc.wantUnderQuota {
+				t.Errorf("request at %v: isUnderQuota is %v", tc.at, request.isUnderQuota)
 			}
 		})
 	}
 	refused := &clientRequest{call: &call{customer: cust}, rejectionCause: control.CauseProbability}
-	for _, at := range []time.Duration{6 * s, 11 * s, 12 * s} { // two are out, none, none
+	for _, at := range []time.Duration{6 * s, 11 * s, 12 * s} { // attempts in flight: two, none, none
 		w.At(at, func() { q.recordRejection(0, refused) })
 	}
 	for at, want := range map[time.Duration]int{s: 0, 3 * s / 2: 1 + 300, 5 * s / 2: 1 + 200, 7 * s: 1 + 100, 8 * s: 1} {
 		w.At(at, func() {
 			if got := q.reportedUsage(0, cust); got != want {
-				t.Errorf("told at %v: %d, not %d", at, got, want)
+				t.Errorf("usage reported at %v: got %d, want %d", at, got, want)
 			}
 		})
 	}
@@ -82,8 +82,8 @@
 	if math.Abs(r.OverQuotaPrice-want) > 1e-9 || math.Abs(r.OverQuotaFraction-5.0/12) > 1e-9 || r.RejectedFraction != 0.3 || r.RequestsRejectedWithCapacity != 0.2 || r.CallsRejectedWithCapacity != 1.0/6 {
 		t.Errorf("%+v", r)
 	}
-	if worth := 20 + 10 + 0.5*10; r.Served != worth/100 { // the last came after its aim
-		t.Errorf("served %v", r.Served)
+	if callWeight := 20 + 10 + 0.5*10; r.Served != callWeight/100 { // the last one was served after the latency objective and counts half
+		t.Errorf("served fraction %v", r.Served)
 	}
 	if c := r.Cells["lacks"]; c["units"].OverQuotaUnits != 4 || c["a place"].OverQuotaUnits != 1 || r.Cells["refused"]["by_chance"].RejectedWithCapacity != 2 {
 		t.Errorf("%+v", c)
@@ -93,31 +93,32 @@
 	}
 }
 
-// A policy that sees the true store at once lets next to nothing through beyond quotas, in every world: what
-// waits for a turn while others come. One that sees it late lets more through. All see the same first tries.
-func TestSeeingAtOnceCostsNothing(t *testing.T) {
+// In every deployment, a policy that knows the exact bucket state without delay forwards almost nothing over quota: only
+// requests that wait in a queue while others are charged. With a delay it forwards more. All policies receive the same
+// calls.
+func TestUndelayedBucketPolicyCostsLittle(t *testing.T) {
 	for _, name := range QuotaNames {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			o := QuotaOptions{World: name, Policy: LateStore, Instances: 12, Duration: 10 * time.Second, Seed: 3}
-			now := quotas(t, o)
-			if o.PolicyDelay = -1; now.OverQuotaPrice > 0.05 || now.Served < 0.8 || len(now.Broken) > 0 {
-				t.Errorf("at once: %+v", now)
+			o := QuotaOptions{World: name, Policy: DelayedBucket, Instances: 12, Duration: 10 * time.Second, Seed: 3}
+			undelayed := runQuotasOrFail(t, o)
+			if o.PolicyDelay = -1; undelayed.OverQuotaPrice > 0.05 || undelayed.Served < 0.8 || len(undelayed.Broken) > 0 {
+				t.Errorf("DelayedBucket without delay: %+v", undelayed)
 			}
-			if late := quotas(t, o); late.Calls != now.Calls || late.OverQuotaPrice < now.OverQuotaPrice+0.01 {
-				t.Errorf("late: %+v", late)
+			if delayed := runQuotasOrFail(t, o); delayed.Calls != undelayed.Calls || delayed.OverQuotaPrice < undelayed.OverQuotaPrice+0.01 {
+				t.Errorf("DelayedBucket with delay: %+v", delayed)
 			}
 			o.Policy = ByModule
-			r := quotas(t, o)
-			if r.Calls != now.Calls || r.Served < 0.6 || r.OverQuotaPrice <= 0 || len(r.Broken) > 0 {
+			r := runQuotasOrFail(t, o)
+			if r.Calls != undelayed.Calls || r.Served < 0.6 || r.OverQuotaPrice <= 0 || len(r.Broken) > 0 {
 				t.Errorf("module: %+v", r)
 			}
-			if again := quotas(t, o); !reflect.DeepEqual(r, again) {
-				t.Errorf("%+v\n%+v", r, again)
+			if repeated := runQuotasOrFail(t, o); !reflect.DeepEqual(r, repeated) {
+				t.Errorf("the same options gave different reports:\n%+v\n%+v", r, repeated)
 			}
 		})
 	}
 	if _, err := Quotas(QuotaOptions{World: "none", Instances: 3}); err == nil {
-		t.Error("a world that is not there was played")
+		t.Error("no error for an unknown deployment")
 	}
 }
