--- a/internal/testsupport/fake/client.go
+++ b/internal/testsupport/fake/client.go
@@ -85,8 +85,8 @@
 // Run is a run of clients. Its methods are safe for concurrent use.
 type Run struct {
 	Clients
-	done chan struct{}
-	next atomic.Int64 // request number
+	done              chan struct{}
+	lastRequestNumber atomic.Int64 // request number
 
 	mu      sync.Mutex
 	results map[string]*Result // by kind
--- a/internal/testsupport/fake/client_worker.go
+++ b/internal/testsupport/fake/client_worker.go
@@ -16,8 +16,8 @@
 
 const (
 	// maxLinks limits the connections of a worker.
-	maxLinks    = 4
-	dialTimeout = 5 * time.Second
+	maxWorkerConns = 4
+	dialTimeout    = 5 * time.Second
 	// answerGrace is added to the deadline of an attempt: an answer is late, not lost, on a busy machine.
 	answerGrace = 10 * time.Second
 	// maxAbortDelay limits the time until a client abandons an attempt.
@@ -25,21 +25,21 @@
 )
 
 var (
-	errUnread  = errors.New("the connection was closed before the request was read")
-	errAborted = errors.New("the client left")
-	errNoConn  = errors.New("no connection came up")
+	errClosedBeforeRead = errors.New("the connection was closed before the request was read")
+	errAborted          = errors.New("the client left")
+	errNoConn           = errors.New("no connection came up")
 )
 
 // worker is one client.
 type worker struct {
 	run *Run
 	rng *rand.Rand
-	*link
-	links map[string]*link // by address
+	*clientConn
+	conns map[string]*clientConn // by address
 }
 
 // link is a worker's connection to one address.
-type link struct {
+type clientConn struct {
 	addr string
 	conn net.Conn // nil is not connected
 	in   *bufio.Reader
@@ -50,42 +50,42 @@
 	w := &worker{
 		run:   r,
 		rng:   rand.New(rand.NewPCG(r.Seed, uint64(i)+firstWorkerStream)),
-		links: make(map[string]*link),
+		conns: make(map[string]*clientConn),
 	}
-	w.useLink(r.Addr)
+	w.useAddress(r.Addr)
 	return w
 }
 
 // useLink sends the next attempt to an address.
-func (w *worker) useLink(addr string) {
-	w.link = w.links[addr]
-	if w.link != nil {
+func (w *worker) useAddress(addr string) {
+	w.clientConn = w.conns[addr]
+	if w.clientConn != nil {
 		return
 	}
-	if len(w.links) >= maxLinks {
-		w.evictLink()
+	if len(w.conns) >= maxWorkerConns {
+		w.evictConn()
 	}
-	w.link = &link{addr: addr}
-	w.links[addr] = w.link
+	w.clientConn = &clientConn{addr: addr}
+	w.conns[addr] = w.clientConn
 }
 
 // evictLink closes any one of the worker's connections.
-func (w *worker) evictLink() {
-	for addr, l := range w.links {
-		l.hangUp()
-		delete(w.links, addr)
+func (w *worker) evictConn() {
+	for addr, l := range w.conns {
+		l.disconnect()
+		delete(w.conns, addr)
 		return
 	}
 }
 
 // close closes all of the worker's connections.
 func (w *worker) close() {
-	for _, l := range w.links {
-		l.hangUp()
+	for _, l := range w.conns {
+		l.disconnect()
 	}
 }
 
-func (l *link) hangUp() {
+func (l *clientConn) disconnect() {
 	if l.conn != nil {
 		l.conn.Close()
 		l.conn = nil
@@ -93,7 +93,7 @@
 }
 
 // connect establishes the connection, if there is none.
-func (l *link) connect() error {
+func (l *clientConn) connect() error {
 	if l.conn != nil {
 		return nil
 	}
@@ -148,22 +148,22 @@
 // attempt sends one request and returns its status, 0 without an answer, and the Retry-After.
 func (w *worker) attempt(c Call, number int) (status int, retryAfter time.Duration) {
 	if w.run.PickAddress != nil {
-		w.useLink(w.run.PickAddress(w.rng, c, w.addr))
+		w.useAddress(w.run.PickAddress(w.rng, c, w.addr))
 	}
-	id := fmt.Sprintf("%x-%x", w.run.Seed, w.run.next.Add(1))
+	id := fmt.Sprintf("%x-%x", w.run.Seed, w.run.lastRequestNumber.Add(1))
 	w.run.count(c.Kind, func(s *Result) { s.Attempts++ })
 	sent := time.Now()
 	isAborted := w.run.AbortFraction > 0 && w.rng.Float64() < w.run.AbortFraction
 	reply, err := w.exchange(c, id, number, isAborted)
 	// The node may close a connection between two requests. If that crosses a request that it has not read, the
 	// client sends it again with the same ID (PROTOCOL).
-	if errors.Is(err, errUnread) {
+	if errors.Is(err, errClosedBeforeRead) {
 		w.run.count(c.Kind, func(s *Result) { s.Resent++ })
 		reply, err = w.exchange(c, id, number, isAborted)
 	}
 	duration := time.Since(sent)
 	if w.run.ConnPerAttempt {
-		w.hangUp()
+		w.disconnect()
 	}
 	if w.run.OnAnswer != nil {
 		w.run.OnAnswer(Answer{Sent: sent, Duration: duration, Status: reply.status, IsUnconnected: errors.Is(err, errNoConn)})
@@ -222,7 +222,7 @@
 	}
 	defer func() {
 		if err != nil {
-			w.hangUp()
+			w.disconnect()
 		}
 	}()
 	w.conn.SetDeadline(time.Now().Add(c.Deadline + answerGrace))
@@ -242,7 +242,7 @@
 }
 
 // readReply reads an answer, and closes the connection if that says so.
-func (l *link) readReply(method string) (reply, error) {
+func (l *clientConn) readReply(method string) (reply, error) {
 	response, err := http.ReadResponse(l.in, &http.Request{Method: method})
 	if err != nil {
 		return reply{}, err
@@ -250,7 +250,7 @@
 	defer response.Body.Close()
 	raw, err := io.ReadAll(response.Body)
 	if response.Close {
-		l.hangUp()
+		l.disconnect()
 	}
 	if err != nil {
 		return reply{}, err
@@ -264,11 +264,11 @@
 
 // requestError wraps an error before the first byte of an answer: errUnread if the connection had been used before
 // and has not timed out.
-func (l *link) requestError(err error) error {
+func (l *clientConn) requestError(err error) error {
 	var networkError net.Error
 	isTimeout := errors.As(err, &networkError) && networkError.Timeout()
 	if l.used && !isTimeout {
-		return fmt.Errorf("%w: %w", errUnread, err)
+		return fmt.Errorf("%w: %w", errClosedBeforeRead, err)
 	}
 	return err
 }
--- a/internal/testsupport/fake/discovery.go
+++ b/internal/testsupport/fake/discovery.go
@@ -35,7 +35,7 @@
 func (r *Running) Entry() Entry {
 	entry := Entry{UID: r.UID, Endpoint: r.Addr(), Zone: r.Zone, Group: r.Place, State: stateUp, Capacity: 1}
 	if r.WarmUp > 0 {
-		entry.BootMS = float64(r.started.UnixMilli())
+		entry.BootMS = float64(r.startedAt.UnixMilli())
 	}
 	return entry
 }
--- a/internal/testsupport/fake/fake_test.go
+++ b/internal/testsupport/fake/fake_test.go
@@ -12,7 +12,7 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-func running(t *testing.T, s Server) *Running {
+func startServer(t *testing.T, s Server) *Running {
 	t.Helper()
 	r, err := s.Start()
 	if err != nil {
@@ -23,26 +23,26 @@
 }
 
 // clients ask servers directly: what they tally is what the servers did.
-func ask(t *testing.T, r *Running, calls int, change func(*Clients, *Call)) *Result {
+func runClients(t *testing.T, r *Running, calls int, modify func(*Clients, *Call)) *Result {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	c := Clients{Addr: r.Addr(), Seed: r.Seed, Workers: 1}
-	one := Call{Kind: "x", Host: "h", Method: "GET", Path: "/x", Plan: "p", Deadline: 5 * time.Second}
-	if change != nil {
-		change(&c, &one)
+	template := Call{Kind: "x", Host: "h", Method: "GET", Path: "/x", Plan: "p", Deadline: 5 * time.Second}
+	if modify != nil {
+		modify(&c, &template)
 	}
-	made := 0
+	callCount := 0
 	c.Call = func(*rand.Rand) Call {
-		if made++; made == calls {
+		if callCount++; callCount == calls {
 			cancel()
 		}
-		return one
+		return template
 	}
 	return c.Start(ctx).Wait()["x"]
 }
 
-func TestFaultsAreTallied(t *testing.T) {
+func TestFaultsAreCounted(t *testing.T) {
 	for name, tc := range map[string]struct {
 		f    Faults
 		want func(*Result, Counts) bool
@@ -57,8 +57,8 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := running(t, Server{UID: "s", Faults: tc.f, Seed: 5})
-			if got := ask(t, r, 50, nil); !tc.want(got, r.Executions.Counts()) {
+			r := startServer(t, Server{UID: "s", Faults: tc.f, Seed: 5})
+			if got := runClients(t, r, 50, nil); !tc.want(got, r.Executions.Counts()) {
 				t.Errorf("clients %+v, servers %+v", *got, r.Executions.Counts())
 			}
 		})
@@ -68,37 +68,37 @@
 // A group drops a repeat of a key: it runs without an effect.
 func TestRepeatsAreDropped(t *testing.T) {
 	g := &Group{Window: time.Hour}
-	tally := &Executions{}
-	for _, r := range []*Running{running(t, Server{UID: "a", Group: g, Executions: tally, Seed: 1}), running(t, Server{UID: "b", Group: g, Executions: tally, Seed: 2})} {
-		ask(t, r, 2, func(_ *Clients, c *Call) { c.Method, c.Key = "POST", "same" })
+	executions := &Executions{}
+	for _, r := range []*Running{startServer(t, Server{UID: "a", Group: g, Executions: executions, Seed: 1}), startServer(t, Server{UID: "b", Group: g, Executions: executions, Seed: 2})} {
+		runClients(t, r, 2, func(_ *Clients, c *Call) { c.Method, c.Key = "POST", "same" })
 	}
-	if c := tally.Counts(); c.Requests != 4 || c.DuplicateEffects != 0 {
+	if c := executions.Counts(); c.Requests != 4 || c.DuplicateEffects != 0 {
 		t.Errorf("one group: %+v", c)
 	}
-	ask(t, running(t, Server{UID: "c", Executions: tally, Seed: 3}), 1, func(_ *Clients, c *Call) { c.Method, c.Key = "POST", "same" })
-	if c := tally.Counts(); c.DuplicateEffects != 1 {
+	runClients(t, startServer(t, Server{UID: "c", Executions: executions, Seed: 3}), 1, func(_ *Clients, c *Call) { c.Method, c.Key = "POST", "same" })
+	if c := executions.Counts(); c.DuplicateEffects != 1 {
 		t.Errorf("another group: %+v", c)
 	}
 }
 
 // A cold server bears so much and falls over for good when it is sent more.
-func TestFallsOver(t *testing.T) {
-	cold := Server{UID: "s", Work: time.Millisecond, Cores: 1, WarmUp: time.Hour, InitialSpeed: 0.1, OverloadWindow: time.Hour, OverloadFactor: 0.0001}
-	r := running(t, cold)
-	got := ask(t, r, 100, func(_ *Clients, c *Call) { c.Units = 1 })
-	if fallen, worst := r.Collapsed(); !fallen || worst <= 1 || got.Served == 0 || got.Lost == 0 {
-		t.Errorf("fallen %v, %g, %+v", fallen, worst, *got)
-	}
-	cold.OverloadFactor = 1e9
-	r = running(t, cold)
-	ask(t, r, 5, nil)
-	if fallen, worst := r.Collapsed(); fallen || worst >= 1 {
-		t.Errorf("fallen %v, %g", fallen, worst)
+func TestServerCollapsesWhileWarmingUp(t *testing.T) {
+	warmingUp := Server{UID: "s", Work: time.Millisecond, Cores: 1, WarmUp: time.Hour, InitialSpeed: 0.1, OverloadWindow: time.Hour, OverloadFactor: 0.0001}
+	r := startServer(t, warmingUp)
+	got := runClients(t, r, 100, func(_ *Clients, c *Call) { c.Units = 1 })
+	if hasCollapsed, maxOverload := r.Collapsed(); !hasCollapsed || maxOverload <= 1 || got.Served == 0 || got.Lost == 0 {
+		t.Errorf("fallen %v, %g, %+v", hasCollapsed, maxOverload, *got)
+	}
+	warmingUp.OverloadFactor = 1e9
+	r = startServer(t, warmingUp)
+	runClients(t, r, 5, nil)
+	if hasCollapsed, maxOverload := r.Collapsed(); hasCollapsed || maxOverload >= 1 {
+		t.Errorf("fallen %v, %g", hasCollapsed, maxOverload)
 	}
 }
 
 func TestQueueIsBounded(t *testing.T) {
-	r := running(t, Server{UID: "s", Cores: 1, Queue: 2})
+	r := startServer(t, Server{UID: "s", Cores: 1, Queue: 2})
 	r.Stall()
 	ctx, cancel := context.WithCancel(context.Background())
 	run := Clients{Addr: r.Addr(), Workers: 3, Call: func(*rand.Rand) Call {
@@ -114,8 +114,8 @@
 
 func TestMeterAndReports(t *testing.T) {
 	m := &Meter{Period: 20 * time.Millisecond, Rate: 100}
-	r := running(t, Server{UID: "s", Meter: m, Work: time.Millisecond, Cores: 2})
-	seen := 0
+	r := startServer(t, Server{UID: "s", Meter: m, Work: time.Millisecond, Cores: 2})
+	answerCount := 0
 	testkit.Until(t, "use of a finished period", func() bool {
 		req, _ := http.NewRequest("GET", "http://"+r.Addr()+"/x?account=0000000000000001", nil)
 		req.Header.Set("X-Correlation-Id", "x")
@@ -129,11 +129,11 @@
 		if resp.Header.Get("X-True-Cost") != "2" || !strings.Contains(resp.Header.Get("X-Backend-Load"), "latency_ms=") {
 			t.Fatalf("%v", resp.Header)
 		}
-		seen++
+		answerCount++
 		used := resp.Header.Get("X-Allowance-Used")
 		return used != "" && used != "0"
 	})
-	if seen < 2 {
+	if answerCount < 2 {
 		t.Error("use was told at once")
 	}
 }
--- a/internal/testsupport/fake/http2_conn.go
+++ b/internal/testsupport/fake/http2_conn.go
@@ -32,22 +32,22 @@
 
 // http2Conn is a connection of a RunningHTTP2. One goroutine serves it.
 type http2Conn struct {
-	server     *RunningHTTP2
-	conn       net.Conn
-	rng        *rand.Rand
-	in         *bufio.Reader
-	out        bytes.Buffer // frames that were not sent yet
-	frames     *http2.Framer
-	block      bytes.Buffer // header block of encoder
-	encoder    *hpack.Encoder
-	streams    map[uint32]*http2Stream // open, by ID
-	unanswered []*http2Stream          // received completely
-	lastID     uint32                  // higher streams are ignored
-	highest    uint32                  // stream ID
-	isLowered  bool                    // the limit of concurrent streams
-	cutRead    int                     // bytes that may still be read, or unlimited
-	cutSent    int                     // bytes that may still be sent, or unlimited
-	isEnding   bool                    // closed after the next flush
+	server               *RunningHTTP2
+	conn                 net.Conn
+	rng                  *rand.Rand
+	in                   *bufio.Reader
+	out                  bytes.Buffer // frames that were not sent yet
+	frames               *http2.Framer
+	headerBlock          bytes.Buffer // header block of encoder
+	encoder              *hpack.Encoder
+	streams              map[uint32]*http2Stream // open, by ID
+	unanswered           []*http2Stream          // received completely
+	lastStreamID         uint32                  // higher streams are ignored
+	highestStreamID      uint32                  // stream ID
+	isStreamLimitLowered bool                    // the limit of concurrent streams
+	remainingRead        int                     // bytes that may still be read, or unlimited
+	remainingSent        int                     // bytes that may still be sent, or unlimited
+	isEnding             bool                    // closed after the next flush
 }
 
 // http2Stream is a request.
@@ -61,27 +61,27 @@
 
 func newHTTP2Conn(server *RunningHTTP2, conn net.Conn, rng *rand.Rand) *http2Conn {
 	return &http2Conn{
-		server:  server,
-		conn:    conn,
-		rng:     rng,
-		streams: make(map[uint32]*http2Stream),
-		lastID:  maxStreamID,
-		cutRead: unlimited,
-		cutSent: unlimited,
+		server:        server,
+		conn:          conn,
+		rng:           rng,
+		streams:       make(map[uint32]*http2Stream),
+		lastStreamID:  maxStreamID,
+		remainingRead: unlimited,
+		remainingSent: unlimited,
 	}
 }
 
 // Read reads from the connection, up to the byte after which it is cut.
 func (c *http2Conn) Read(buffer []byte) (int, error) {
-	if c.cutRead == 0 {
+	if c.remainingRead == 0 {
 		return 0, net.ErrClosed
 	}
-	if c.cutRead > 0 {
-		buffer = buffer[:min(len(buffer), c.cutRead)]
+	if c.remainingRead > 0 {
+		buffer = buffer[:min(len(buffer), c.remainingRead)]
 	}
 	n, err := c.conn.Read(buffer)
-	if c.cutRead > 0 {
-		c.cutRead -= n
+	if c.remainingRead > 0 {
+		c.remainingRead -= n
 	}
 	return n, err
 }
@@ -89,13 +89,13 @@
 // flush sends frames, up to the byte after which the connection is cut; false at its end.
 func (c *http2Conn) flush() bool {
 	data := c.out.Bytes()
-	if c.cutSent >= 0 {
-		data = data[:min(len(data), c.cutSent)]
-		c.cutSent -= len(data)
+	if c.remainingSent >= 0 {
+		data = data[:min(len(data), c.remainingSent)]
+		c.remainingSent -= len(data)
 	}
 	_, err := c.conn.Write(data)
 	c.out.Reset()
-	return err == nil && c.cutSent != 0
+	return err == nil && c.remainingSent != 0
 }
 
 // draw reports whether a fault of the given probability happens. It draws no random number for 0.
@@ -117,7 +117,7 @@
 	}
 	c.frames = http2.NewFramer(&c.out, c.in)
 	c.frames.ReadMetaHeaders = hpack.NewDecoder(headerTableBytes, nil)
-	c.encoder = hpack.NewEncoder(&c.block)
+	c.encoder = hpack.NewEncoder(&c.headerBlock)
 	c.writeStreamLimit(c.server.Streams)
 	if !c.flush() {
 		return
@@ -142,10 +142,10 @@
 	faults := &c.server.Faults
 	maxOffset := cmp.Or(faults.MaxCutOffset, defaultMaxCutOffset)
 	if c.draw(faults.CutRead) {
-		c.cutRead = len(http2.ClientPreface) + c.rng.IntN(maxOffset)
+		c.remainingRead = len(http2.ClientPreface) + c.rng.IntN(maxOffset)
 	}
 	if c.draw(faults.CutSent) {
-		c.cutSent = 1 + c.rng.IntN(maxOffset/2)
+		c.remainingSent = 1 + c.rng.IntN(maxOffset/2)
 	}
 }
 
@@ -201,10 +201,10 @@
 
 // beginStream handles the header of a request.
 func (c *http2Conn) beginStream(frame *http2.MetaHeadersFrame) {
-	if frame.StreamID > c.lastID {
+	if frame.StreamID > c.lastStreamID {
 		return
 	}
-	c.highest = frame.StreamID
+	c.highestStreamID = frame.StreamID
 	s := newHTTP2Stream(frame)
 	faults := &c.server.Faults
 	if c.draw(faults.Refuse) {
@@ -262,7 +262,7 @@
 		}
 	}
 	c.unanswered = c.unanswered[:0]
-	if c.isLowered && len(c.streams) == 0 { // otherwise the client could wait forever
+	if c.isStreamLimitLowered && len(c.streams) == 0 { // otherwise the client could wait forever
 		c.restoreStreamLimit()
 	}
 }
@@ -284,16 +284,16 @@
 // changeStreamLimit restores a lowered limit of concurrent streams, or lowers it with the fault's probability.
 func (c *http2Conn) changeStreamLimit() {
 	switch {
-	case c.isLowered:
+	case c.isStreamLimitLowered:
 		c.restoreStreamLimit()
 	case c.draw(c.server.Faults.Lower):
-		c.isLowered = true
+		c.isStreamLimitLowered = true
 		c.writeStreamLimit(uint32(c.rng.IntN(maxLoweredStreams + 1)))
 	}
 }
 
 func (c *http2Conn) restoreStreamLimit() {
-	c.isLowered = false
+	c.isStreamLimitLowered = false
 	c.writeStreamLimit(c.server.Streams)
 }
 
@@ -303,16 +303,16 @@
 	case 0: // graceful: the first GOAWAY only announces the second
 		c.frames.WriteGoAway(maxStreamID, http2.ErrCodeNo, nil)
 		c.flush()
-		c.lastID = c.highest
-		c.frames.WriteGoAway(c.lastID, http2.ErrCodeNo, nil)
+		c.lastStreamID = c.highestStreamID
+		c.frames.WriteGoAway(c.lastStreamID, http2.ErrCodeNo, nil)
 	case 1: // at once
-		c.lastID = c.highest
-		c.frames.WriteGoAway(c.lastID, http2.ErrCodeInternal, []byte("at once"))
+		c.lastStreamID = c.highestStreamID
+		c.frames.WriteGoAway(c.lastStreamID, http2.ErrCodeInternal, []byte("at once"))
 		c.isEnding = true
 	case 2: // with a decreasing last stream ID
-		c.frames.WriteGoAway(c.highest+futureStreams, http2.ErrCodeNo, nil)
-		c.lastID = c.highest
-		c.frames.WriteGoAway(c.lastID, http2.ErrCodeNo, nil)
+		c.frames.WriteGoAway(c.highestStreamID+futureStreams, http2.ErrCodeNo, nil)
+		c.lastStreamID = c.highestStreamID
+		c.frames.WriteGoAway(c.lastStreamID, http2.ErrCodeNo, nil)
 	}
 }
 
@@ -321,10 +321,10 @@
 	delete(c.streams, s.id)
 	s.end()
 	body := c.server.UID + " " + s.requestID
-	c.block.Reset()
+	c.headerBlock.Reset()
 	c.encoder.WriteField(hpack.HeaderField{Name: ":status", Value: strconv.Itoa(status)})
 	c.encoder.WriteField(hpack.HeaderField{Name: "content-length", Value: strconv.Itoa(len(body))})
 	c.encoder.WriteField(hpack.HeaderField{Name: "x-backend-load", Value: "inflight=1,util=0.5"})
-	c.frames.WriteHeaders(http2.HeadersFrameParam{StreamID: s.id, BlockFragment: c.block.Bytes(), EndHeaders: true})
+	c.frames.WriteHeaders(http2.HeadersFrameParam{StreamID: s.id, BlockFragment: c.headerBlock.Bytes(), EndHeaders: true})
 	c.frames.WriteData(s.id, true, []byte(body))
 }
--- a/internal/testsupport/fake/server.go
+++ b/internal/testsupport/fake/server.go
@@ -54,25 +54,25 @@
 // Running is an app server that serves. Its methods are safe for concurrent use.
 type Running struct {
 	Server
-	listener net.Listener
-	http     *http.Server
-	cores    chan struct{} // nil is unlimited
-	started  time.Time
-
-	mu           sync.Mutex
-	rng          *rand.Rand
-	stalled      chan struct{} // closed when the stall ends; nil is not stalled
-	draining     time.Time     // from when on requests are late; zero is never
-	hasCollapsed bool
-	queue        int
-	working      int
-	arrived      []arrival      // in the last OverloadWindow
-	maxOverload  float64        // maximum of received units over what it can bear
-	lateRequests int            // received while draining
-	latency      float64        // ms, exponential average, without waiting
-	endRequests  map[int]func() // by request number: ends one in flight
-	requestCount int
-	isClosed     bool
+	listener  net.Listener
+	http      *http.Server
+	cores     chan struct{} // nil is unlimited
+	startedAt time.Time
+
+	mu             sync.Mutex
+	rng            *rand.Rand
+	stalled        chan struct{} // closed when the stall ends; nil is not stalled
+	drainDeadline  time.Time     // from when on requests are late; zero is never
+	hasCollapsed   bool
+	queueLength    int
+	executing      int
+	recentArrivals []arrival      // in the last OverloadWindow
+	maxOverload    float64        // maximum of received units over what it can bear
+	lateRequests   int            // received while draining
+	latencyMS      float64        // ms, exponential average, without waiting
+	endRequests    map[int]func() // by request number: ends one in flight
+	requestCount   int
+	isClosed       bool
 
 	requestsByVersion [maxHTTPVersion + 1]int // by the major version of HTTP
 	conns             int
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("starting app server %s: %w", s.UID, err)
 	}
-	r := &Running{Server: s, listener: listener, started: time.Now(), rng: rand.New(rand.NewPCG(s.Seed, serverStream))}
+	r := &Running{Server: s, listener: listener, startedAt: time.Now(), rng: rand.New(rand.NewPCG(s.Seed, serverStream))}
 	if s.Executions == nil {
 		r.Executions = &Executions{}
 	}
@@ -170,7 +170,7 @@
 func (r *Running) Drain(after time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.draining = time.Now().Add(after)
+	r.drainDeadline = time.Now().Add(after)
 }
 
 // LateRequests returns the number of requests that were received while draining.
--- a/internal/testsupport/fake/server_overload.go
+++ b/internal/testsupport/fake/server_overload.go
@@ -20,7 +20,7 @@
 	if r.WarmUp <= 0 {
 		return 1
 	}
-	return min(1, r.InitialSpeed+(1-r.InitialSpeed)*now.Sub(r.started).Seconds()/r.WarmUp.Seconds())
+	return min(1, r.InitialSpeed+(1-r.InitialSpeed)*now.Sub(r.startedAt).Seconds()/r.WarmUp.Seconds())
 }
 
 // canCollapse reports whether overload is measured now. r.mu is locked.
@@ -34,17 +34,17 @@
 	if !r.canCollapse(now) {
 		return !r.hasCollapsed
 	}
-	r.arrived = append(r.arrived, arrival{at: now, units: units})
-	for len(r.arrived) > 0 && now.Sub(r.arrived[0].at) > r.OverloadWindow {
-		r.arrived = r.arrived[1:]
+	r.recentArrivals = append(r.recentArrivals, arrival{at: now, units: units})
+	for len(r.recentArrivals) > 0 && now.Sub(r.recentArrivals[0].at) > r.OverloadWindow {
+		r.recentArrivals = r.recentArrivals[1:]
 	}
 	received := 0.0
-	for _, a := range r.arrived {
+	for _, a := range r.recentArrivals {
 		received += a.units
 	}
 	capacity := r.OverloadWindow.Seconds() * r.speed(now) * float64(r.Cores) / r.Work.Seconds()
 	r.maxOverload = max(r.maxOverload, received/(r.OverloadFactor*capacity))
-	if received > r.OverloadFactor*capacity && len(r.arrived) > 1 { // a single request is never too much
+	if received > r.OverloadFactor*capacity && len(r.recentArrivals) > 1 { // a single request is never too much
 		r.hasCollapsed = true
 	}
 	return !r.hasCollapsed
--- a/internal/testsupport/fake/server_requests.go
+++ b/internal/testsupport/fake/server_requests.go
@@ -95,13 +95,13 @@
 	if !r.recordLoad(time.Now(), units) {
 		return isDropped, nil
 	}
-	if !r.draining.IsZero() && time.Now().After(r.draining) {
+	if !r.drainDeadline.IsZero() && time.Now().After(r.drainDeadline) {
 		r.lateRequests++
 	}
-	if r.Queue > 0 && r.queue >= r.Queue || r.rng.Float64() < r.Faults.Reject {
+	if r.Queue > 0 && r.queueLength >= r.Queue || r.rng.Float64() < r.Faults.Reject {
 		return isRejected, nil
 	}
-	r.queue++
+	r.queueLength++
 	return isAdmitted, r.stalled
 }
 
@@ -115,17 +115,17 @@
 		defer func() { <-r.cores }()
 	}
 	r.mu.Lock()
-	r.queue--
-	r.working++
+	r.queueLength--
+	r.executing++
 	duration := time.Duration(float64(r.Work) * units / r.speed(time.Now()))
 	draw := r.rng.Float64()
-	r.latency += latencySmoothing * (float64(duration)/float64(time.Millisecond) - r.latency)
+	r.latencyMS += latencySmoothing * (float64(duration)/float64(time.Millisecond) - r.latencyMS)
 	r.mu.Unlock()
 	if duration > 0 {
 		time.Sleep(duration)
 	}
 	r.mu.Lock()
-	r.working--
+	r.executing--
 	r.mu.Unlock()
 	return draw
 }
@@ -163,8 +163,8 @@
 func (r *Running) answer(w http.ResponseWriter, request *http.Request, id string, units float64) {
 	header := w.Header()
 	r.mu.Lock()
-	header.Set("X-Backend-Load", fmt.Sprintf("inflight=%d,latency_ms=%.3f,util=%.2f,queue=%d", r.queue+r.working, r.latency,
-		float64(r.working)/float64(max(r.Cores, 1)), r.queue))
+	header.Set("X-Backend-Load", fmt.Sprintf("inflight=%d,latency_ms=%.3f,util=%.2f,queue=%d", r.queueLength+r.executing, r.latencyMS,
+		float64(r.executing)/float64(max(r.Cores, 1)), r.queueLength))
 	r.mu.Unlock()
 	if r.Meter != nil {
 		if used := r.Meter.Use(request.URL.Query().Get("account"), units); used >= 0 {
--- a/internal/testsupport/generichttptest/differential_test.go
+++ b/internal/testsupport/generichttptest/differential_test.go
@@ -27,12 +27,12 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // begin starts a node before origins, until the test ends.
-func begin(t testing.TB, origins ...*fake.Origin) *testbench.GenericHTTP {
+func startNode(t testing.TB, origins ...*fake.Origin) *testbench.GenericHTTP {
 	t.Helper()
-	return beginWith(t, `drain = { idle = "0s", accept = "0s", most = "1s" }`, "", "", origins...)
+	return startNodeWithConfig(t, `drain = { idle = "0s", accept = "0s", most = "1s" }`, "", "", origins...)
 }
 
-func beginWith(t testing.TB, process, service, more string, origins ...*fake.Origin) *testbench.GenericHTTP {
+func startNodeWithConfig(t testing.TB, process, service, more string, origins ...*fake.Origin) *testbench.GenericHTTP {
 	t.Helper()
 	o, err := testbench.StartGenericHTTP(origins, process, service, more)
 	if err != nil {
@@ -52,26 +52,26 @@
 	name, method, target, script string
 	fields                       []string
 	body                         int64  // bytes
-	frame                        string // length, chunked; "" is none
+	framing                      string // length, chunked; "" is none
 	trailer                      bool
-	old                          bool // HTTP/1.0
+	isHTTP10                     bool // HTTP/1.0
 }
 
 // corpus is every method, status, framing, size and side thing, not each with each other.
 func corpus() []exchange {
-	var all []exchange
+	var exchanges []exchange
 	add := func(e exchange) {
 		if e.target == "" {
 			e.target = "/a/b"
 		}
-		e.name = fmt.Sprintf("%03d %s %s %s %s %d", len(all), e.method, e.target, e.script, e.frame, e.body)
-		all = append(all, e)
+		e.name = fmt.Sprintf("%03d %s %s %s %s %d", len(exchanges), e.method, e.target, e.script, e.framing, e.body)
+		exchanges = append(exchanges, e)
 	}
 	methods := []string{"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS", "PROPFIND", "M-SEARCH", "QUERY"}
 	for _, m := range methods {
-		for _, frame := range []string{"length", "chunked", "close"} {
+		for _, framing := range []string{"length", "chunked", "close"} {
 			for _, n := range []int{0, 1, 500, 70000, 300000} {
-				add(exchange{method: m, script: fmt.Sprintf("frame=%s&body=%d", frame, n)})
+				add(exchange{method: m, script: fmt.Sprintf("frame=%s&body=%d", framing, n)})
 			}
 		}
 	}
@@ -85,19 +85,19 @@
 			if status == 304 {
 				n = 0
 			}
-			add(exchange{method: m, script: fmt.Sprintf("status=%d&body=%d", status, n), frame: frameOf(m), body: int64(len(m))})
+			add(exchange{method: m, script: fmt.Sprintf("status=%d&body=%d", status, n), framing: framingOf(m), body: int64(len(m))})
 		}
 	}
 	for _, m := range []string{"POST", "PUT", "DELETE", "GET", "QUERY"} {
-		for _, frame := range []string{"length", "chunked"} {
+		for _, framing := range []string{"length", "chunked"} {
 			for _, n := range []int64{0, 1, 4096, 4097, 65536, 65537, 400000} {
-				add(exchange{method: m, frame: frame, body: n, script: "body=10"})
+				add(exchange{method: m, framing: framing, body: n, script: "body=10"})
 			}
 		}
 	}
 	for _, target := range []string{"/", "/?", "/a?b=c&b=d;e", "/%41/%7e?x=%zz", "/a;p=1/b", "/caf%C3%A9", "/a'b(c)!$&*+,=:@", "/a?x=/../y", "/x?" + strings.Repeat("q", 2000)} {
-		for _, old := range []bool{false, true} {
-			add(exchange{method: "GET", target: target, script: "body=5", old: old})
+		for _, isHTTP10 := range []bool{false, true} {
+			add(exchange{method: "GET", target: target, script: "body=5", isHTTP10: isHTTP10})
 		}
 	}
 	for _, s := range []string{
@@ -107,7 +107,7 @@
 		"type=text/event-stream&body=300", "body=3000&every=1ms&frame=chunked", "body=100&frame=none", "status=204&interim=103",
 	} {
 		for _, m := range []string{"GET", "POST", "HEAD"} {
-			add(exchange{method: m, script: s, frame: frameOf(m), body: int64(len(m))})
+			add(exchange{method: m, script: s, framing: framingOf(m), body: int64(len(m))})
 		}
 	}
 	for _, f := range []string{
@@ -116,12 +116,12 @@
 		"X-Request-Id: r-1", "Idempotency-Key: k", "User-Agent: u/1", "Accept-Encoding: gzip", "Keep-Alive: timeout=5", "Cache-Control: no-store",
 	} {
 		add(exchange{method: "GET", fields: []string{f}, script: "body=5"})
-		add(exchange{method: "POST", fields: []string{f}, script: "body=5", frame: "chunked", body: 10, trailer: true})
+		add(exchange{method: "POST", fields: []string{f}, script: "body=5", framing: "chunked", body: 10, trailer: true})
 	}
-	return all
+	return exchanges
 }
 
-func frameOf(method string) string {
+func framingOf(method string) string {
 	if method == "POST" {
 		return "length"
 	}
@@ -129,7 +129,7 @@
 }
 
 // view is what a client sees of an answer.
-type view struct {
+type clientView struct {
 	status   string
 	fields   string
 	interims []string
@@ -140,14 +140,14 @@
 
 func (e exchange) write(w io.Writer, host string) {
 	version := "1.1"
-	if e.old {
+	if e.isHTTP10 {
 		version = "1.0"
 	}
 	fmt.Fprintf(w, "%s %s HTTP/%s\r\nHost: %s\r\n%s: %s\r\n", e.method, e.target, version, host, fake.HeaderScript, e.script)
 	for _, f := range e.fields {
 		fmt.Fprintf(w, "%s\r\n", f)
 	}
-	switch e.frame {
+	switch e.framing {
 	case "length":
 		fmt.Fprintf(w, "Content-Length: %d\r\n\r\n", e.body)
 		io.Copy(w, fake.PatternReader(e.body))
@@ -174,10 +174,10 @@
 }
 
 // send plays an exchange on a new connection.
-func (e exchange) send(addr, host string) view {
+func (e exchange) send(addr, host string) clientView {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
-		return view{err: err.Error()}
+		return clientView{err: err.Error()}
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(testkit.WaitTimeout))
@@ -185,8 +185,8 @@
 	return readView(bufio.NewReader(c), e.method)
 }
 
-func readView(in *bufio.Reader, method string) view {
-	var v view
+func readView(in *bufio.Reader, method string) clientView {
+	var v clientView
 	for {
 		r, err := http.ReadResponse(in, &http.Request{Method: method})
 		if err != nil {
@@ -209,7 +209,7 @@
 }
 
 // what an origin sees, less what docs/http.md says that the node sets or drops.
-func seenText(r fake.Request) string {
+func describeRequest(r fake.Request) string {
 	h := r.Header.Clone()
 	without := []string{"Via", "X-Forwarded-For", "X-Forwarded-Host", "X-Forwarded-Proto", "Connection", "Keep-Alive", "X-Drop"}
 	return fmt.Sprintf("%s %s\nHost: %s\n%s\n%s %d %s whole=%v\ntrailer %s", r.Method, r.Target, r.Host, fake.Fields(h, without...),
@@ -217,7 +217,7 @@
 }
 
 // alike takes from what a client sees straight what docs/http.md says that the node leaves out.
-func alike(direct view) view {
+func normalizeDirect(direct clientView) clientView {
 	if direct.status == "304" {
 		direct.fields = strings.TrimPrefix(direct.fields, "Content-Length: 0\n")
 	}
@@ -226,97 +226,97 @@
 
 // Straight to an origin and through the node a client sees the same, and so does the origin.
 func TestDifferential(t *testing.T) {
-	seen := make(chan fake.Request, 100)
-	origin := &fake.Origin{OnRequest: func(r fake.Request) { seen <- r }}
-	o := begin(t, origin)
-	all := corpus()
-	if len(all) < 300 {
-		t.Fatalf("%d exchanges", len(all))
+	received := make(chan fake.Request, 100)
+	origin := &fake.Origin{OnRequest: func(r fake.Request) { received <- r }}
+	o := startNode(t, origin)
+	exchanges := corpus()
+	if len(exchanges) < 300 {
+		t.Fatalf("%d exchanges", len(exchanges))
 	}
-	t.Logf("%d exchanges", len(all))
-	proxied := reverseProxy(t, origin.Addr())
-	differ := make(map[string]int)
-	for _, e := range all {
+	t.Logf("%d exchanges", len(exchanges))
+	reverseProxyAddr := reverseProxy(t, origin.Addr())
+	differences := make(map[string]int)
+	for _, e := range exchanges {
 		host := "app.example:81"
 		direct := e.send(origin.Addr(), host)
-		atOrigin := testkit.Next(t, seen)
-		through := e.send(o.Node.Addr(), host)
-		var atOrigin2 fake.Request
+		directRequest := testkit.Next(t, received)
+		viaNode := e.send(o.Node.Addr(), host)
+		var forwardedRequest fake.Request
 		select {
-		case atOrigin2 = <-seen:
+		case forwardedRequest = <-received:
 		case <-time.After(testkit.WaitTimeout):
-			t.Fatalf("%s: it never came: %+v", e.name, through)
+			t.Fatalf("%s: it never came: %+v", e.name, viaNode)
 		}
 		for more := true; more; { // 502 to 504 of a safe method are tried again
 			select {
-			case <-seen:
+			case <-received:
 			default:
 				more = false
 			}
 		}
-		if a, b := fmt.Sprintf("%+v", alike(direct)), fmt.Sprintf("%+v", through); a != b {
+		if a, b := fmt.Sprintf("%+v", normalizeDirect(direct)), fmt.Sprintf("%+v", viaNode); a != b {
 			t.Errorf("%s: the client sees\n%s\nstraight, and through the node\n%s", e.name, a, b)
 		}
-		if a, b := seenText(atOrigin), seenText(atOrigin2); a != b {
+		if a, b := describeRequest(directRequest), describeRequest(forwardedRequest); a != b {
 			t.Errorf("%s: the origin sees\n%s\nstraight, and through the node\n%s", e.name, a, b)
 		}
-		other := e.send(proxied, host)
+		viaReverseProxy := e.send(reverseProxyAddr, host)
 		select {
-		case r := <-seen:
-			for kind := range why(e, direct, other, atOrigin, r) {
-				differ[kind]++
+		case r := <-received:
+			for kind := range explainDifferences(e, direct, viaReverseProxy, directRequest, r) {
+				differences[kind]++
 			}
 		case <-time.After(testkit.WaitTimeout):
-			t.Errorf("%s: ReverseProxy never sent it: %s %s", e.name, other.status, other.err)
+			t.Errorf("%s: ReverseProxy never sent it: %s %s", e.name, viaReverseProxy.status, viaReverseProxy.err)
 		}
 	}
-	for kind, n := range differ {
-		t.Logf("ReverseProxy, in %d of %d: %s", n, len(all), kind)
+	for kind, n := range differences {
+		t.Logf("ReverseProxy, in %d of %d: %s", n, len(exchanges), kind)
 	}
 }
 
 // why explains in what the standard library's proxy differs from a direct way; what is not
 // explained is given as it is, on several lines.
-func why(e exchange, direct, other view, straight, through fake.Request) map[string]bool {
+func explainDifferences(e exchange, direct, proxied clientView, directRequest, proxiedRequest fake.Request) map[string]bool {
 	kinds := make(map[string]bool)
-	was, is := direct.fields, other.fields
-	if without := strings.Replace(is, "Content-Type: application/octet-stream\n", "", 1); without != is && !strings.Contains(was, "Content-Type") {
+	directFields, proxiedFields := direct.fields, proxied.fields
+	if without := strings.Replace(proxiedFields, "Content-Type: application/octet-stream\n", "", 1); without != proxiedFields && !strings.Contains(directFields, "Content-Type") {
 		kinds["Content-Type is guessed where the server tells none"] = true
-		is = without
+		proxiedFields = without
 	}
-	if without := strings.Replace(is, "Trailer: X-Sum\n", "", 1); without != is && e.method == "HEAD" {
+	if without := strings.Replace(proxiedFields, "Trailer: X-Sum\n", "", 1); without != proxiedFields && e.method == "HEAD" {
 		kinds["Trailer goes to a HEAD"] = true
-		is = without
+		proxiedFields = without
 	}
-	if without := strings.Replace(is, "Content-Length: 0\n", "", 1); without == was && without != is {
+	if without := strings.Replace(proxiedFields, "Content-Length: 0\n", "", 1); without == directFields && without != proxiedFields {
 		kinds["Content-Length: 0 is told where an empty body ended with its connection"] = true
-		is = without
+		proxiedFields = without
 	}
-	if alike(direct).fields != is || direct.status != other.status || direct.body != other.body || direct.trailer != other.trailer ||
-		fmt.Sprint(direct.interims) != fmt.Sprint(other.interims) {
-		kinds[fmt.Sprintf("the client sees\n%+v\nnot\n%+v", other, direct)] = true
+	if normalizeDirect(direct).fields != proxiedFields || direct.status != proxied.status || direct.body != proxied.body || direct.trailer != proxied.trailer ||
+		fmt.Sprint(direct.interims) != fmt.Sprint(proxied.interims) {
+		kinds[fmt.Sprintf("the client sees\n%+v\nnot\n%+v", proxied, direct)] = true
 	}
-	if straight.Framing == "none" && through.Framing == "length" && through.Bytes == 0 {
+	if directRequest.Framing == "none" && proxiedRequest.Framing == "length" && proxiedRequest.Bytes == 0 {
 		kinds["Content-Length: 0 is told of a body that is none"] = true
-		through.Framing = "none"
-		through.Header = through.Header.Clone()
-		through.Header.Del("Content-Length")
+		proxiedRequest.Framing = "none"
+		proxiedRequest.Header = proxiedRequest.Header.Clone()
+		proxiedRequest.Header.Del("Content-Length")
 	}
-	if straight.Target != through.Target && strings.Contains(straight.Target, "?") {
+	if directRequest.Target != proxiedRequest.Target && strings.Contains(directRequest.Target, "?") {
 		kinds["a query is cleaned: what stands in it with a semicolon or a bad escape is dropped"] = true
-		through.Target = straight.Target
+		proxiedRequest.Target = directRequest.Target
 	}
-	if straight.Framing == "length" && straight.Bytes == 0 && through.Framing == "none" {
+	if directRequest.Framing == "length" && directRequest.Bytes == 0 && proxiedRequest.Framing == "none" {
 		kinds["Content-Length: 0 is dropped from a method that mostly has no body"] = true
-		through.Framing = "length"
-		through.Header = through.Header.Clone()
-		through.Header.Set("Content-Length", "0")
+		proxiedRequest.Framing = "length"
+		proxiedRequest.Header = proxiedRequest.Header.Clone()
+		proxiedRequest.Header.Set("Content-Length", "0")
 	}
-	if fake.Fields(straight.Trailer) != "" && fake.Fields(through.Trailer) == "" {
+	if fake.Fields(directRequest.Trailer) != "" && fake.Fields(proxiedRequest.Trailer) == "" {
 		kinds["trailers of a request are dropped"] = true
-		through.Trailer = straight.Trailer
+		proxiedRequest.Trailer = directRequest.Trailer
 	}
-	if a, b := seenText(straight), seenText(through); a != b {
+	if a, b := describeRequest(directRequest), describeRequest(proxiedRequest); a != b {
 		kinds["the origin sees\n"+b+"\nnot\n"+a] = true
 	}
 	return kinds
--- a/internal/testsupport/generichttptest/hard_test.go
+++ b/internal/testsupport/generichttptest/hard_test.go
@@ -30,7 +30,7 @@
 }
 
 // ask writes a request's head with a script.
-func ask(c net.Conn, method, script string, fields ...string) {
+func writeRequestHead(c net.Conn, method, script string, fields ...string) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s /x HTTP/1.1\r\nHost: h\r\n%s: %s\r\n", method, fake.HeaderScript, script)
 	for _, f := range fields {
@@ -39,7 +39,7 @@
 	io.WriteString(c, b.String()+"\r\n")
 }
 
-func answered(t testing.TB, in *bufio.Reader) *http.Response {
+func readResponse(t testing.TB, in *bufio.Reader) *http.Response {
 	t.Helper()
 	r, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -49,7 +49,7 @@
 }
 
 // idle waits until the node holds nothing.
-func idle(t testing.TB, o *testbench.GenericHTTP) {
+func waitUntilIdle(t testing.TB, o *testbench.GenericHTTP) {
 	t.Helper()
 	testkit.Until(t, "nothing is held", func() bool {
 		st := o.Node.Status()[0]
@@ -57,96 +57,96 @@
 	})
 }
 
-type record struct {
-	mu  sync.Mutex
-	all []fake.Request
+type requestLog struct {
+	mu       sync.Mutex
+	requests []fake.Request
 }
 
-func (r *record) saw(q fake.Request) {
+func (r *requestLog) record(q fake.Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.all = append(r.all, q)
+	r.requests = append(r.requests, q)
 }
 
-func (r *record) list() []fake.Request {
+func (r *requestLog) list() []fake.Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]fake.Request(nil), r.all...)
+	return append([]fake.Request(nil), r.requests...)
 }
 
 // Answers of 404 speak against no server: both go on being asked.
-func TestNotFoundIsNoFailure(t *testing.T) {
-	var at [2]atomic.Int64
+func TestNotFoundIsNotAServerFailure(t *testing.T) {
+	var attemptCounts [2]atomic.Int64
 	var origins []*fake.Origin
 	for i := range 2 {
-		origins = append(origins, &fake.Origin{OnRequest: func(fake.Request) { at[i].Add(1) }})
+		origins = append(origins, &fake.Origin{OnRequest: func(fake.Request) { attemptCounts[i].Add(1) }})
 	}
-	o := begin(t, origins...)
+	o := startNode(t, origins...)
 	c, in := dial(t, o)
 	for range 200 {
-		ask(c, "GET", "status=404&body=3")
-		r := answered(t, in)
+		writeRequestHead(c, "GET", "status=404&body=3")
+		r := readResponse(t, in)
 		io.Copy(io.Discard, r.Body)
 		if r.StatusCode != 404 {
 			t.Fatal(r.Status)
 		}
 	}
-	if a, b := at[0].Load(), at[1].Load(); a+b != 200 {
+	if a, b := attemptCounts[0].Load(), attemptCounts[1].Load(); a+b != 200 {
 		t.Errorf("%d and %d attempts of 200 requests", a, b)
 	}
 }
 
 // A server may answer before it has read the body, and go on reading it.
 func TestEarlyAnswer(t *testing.T) {
-	var seen record
-	o := begin(t, &fake.Origin{OnRequest: seen.saw})
+	var received requestLog
+	o := startNode(t, &fake.Origin{OnRequest: received.record})
 	c, in := dial(t, o)
 	const n = 1 << 20
-	ask(c, "POST", "early=1&body=100000&frame=chunked", fmt.Sprintf("Content-Length: %d", n))
+	writeRequestHead(c, "POST", "early=1&body=100000&frame=chunked", fmt.Sprintf("Content-Length: %d", n))
 	io.CopyN(c, fake.PatternReader(n), n/2)
-	r := answered(t, in)
+	r := readResponse(t, in)
 	got, err := io.ReadAll(r.Body) // the whole answer, while half of the body is to come
 	if err != nil || r.StatusCode != 200 || len(got) != 100000 {
 		t.Fatalf("%s, %d bytes, %v", r.Status, len(got), err)
 	}
-	idle(t, o)
+	waitUntilIdle(t, o)
 }
 
 // An answer too long to be held that breaks before any of it is out is 502 to the client, whose
 // connection goes on; one that breaks later ends it.
-func TestLongAnswerBreaksEarly(t *testing.T) {
-	o := begin(t, &fake.Origin{})
+func TestLongAnswerAborted(t *testing.T) {
+	o := startNode(t, &fake.Origin{})
 	c, in := dial(t, o)
 	for _, cut := range []int{400, 1501, 3000} {
-		ask(c, "POST", fmt.Sprintf("body=200000&cut=%d", cut), "Content-Length: 0")
-		if r := answered(t, in); r.StatusCode != 502 || r.Close {
+		writeRequestHead(c, "POST", fmt.Sprintf("body=200000&cut=%d", cut), "Content-Length: 0")
+		if r := readResponse(t, in); r.StatusCode != 502 || r.Close {
 			t.Fatalf("cut at %d: %s, close %v", cut, r.Status, r.Close)
 		} else if body, err := io.ReadAll(r.Body); err != nil || strings.Contains(string(body), "\x00") || r.Header.Get("X-Origin") != "" {
 			t.Errorf("cut at %d: %q, %v, %v", cut, body, err, r.Header)
 		}
 	}
-	ask(c, "POST", "body=200000&cut=100000", "Content-Length: 0")
-	if r := answered(t, in); r.StatusCode != 200 {
+	writeRequestHead(c, "POST", "body=200000&cut=100000", "Content-Length: 0")
+	if r := readResponse(t, in); r.StatusCode != 200 {
 		t.Error(r.Status)
 	} else if n, err := io.Copy(io.Discard, r.Body); err == nil || n >= 200000 {
 		t.Errorf("%d bytes, %v", n, err)
 	}
-	idle(t, o)
+	waitUntilIdle(t, o)
 }
 
 // A final answer that comes while an upload is under way is given at once, and the rest is not read.
 func TestAnswerDuringUpload(t *testing.T) {
-	var seen record
-	o := begin(t, &fake.Origin{OnRequest: seen.saw})
+	var received requestLog
+	o := startNode(t, &fake.Origin{OnRequest: received.record})
 	for _, status := range []int{413, 401} {
 		c, in := dial(t, o)
-		ask(c, "PUT", fmt.Sprintf("status=%d&body=9&unread=1", status), "Content-Length: 2000000000")
+		writeRequestHead(c, "PUT", fmt.Sprintf("status=%d&body=9&unread=1", status), "Content-Length: 2000000000")
 		sent := make(chan int64)
 		go func() {
 			n, _ := io.Copy(c, fake.PatternReader(2000000000))
 			sent <- n
 		}()
-		r := answered(t, in)
+		r := readResponse(t, in)
 		if got, err := io.ReadAll(r.Body); r.StatusCode != status || len(got) != 9 || err != nil || !r.Close {
 			t.Errorf("%s, %q, %v, close %v", r.Status, got, err, r.Close)
 		}
@@ -154,16 +154,16 @@
 			t.Error("all of it was read")
 		}
 	}
-	idle(t, o)
-	if n := len(seen.list()); n != 2 {
+	waitUntilIdle(t, o)
+	if n := len(received.list()); n != 2 {
 		t.Errorf("%d attempts", n)
 	}
 }
 
 // An upload whose client stops half way is never taken for whole, and nothing of it stays.
-func TestUploadStopsHalfWay(t *testing.T) {
-	var seen record
-	o := begin(t, &fake.Origin{OnRequest: seen.saw})
+func TestAbortedUpload(t *testing.T) {
+	var received requestLog
+	o := startNode(t, &fake.Origin{OnRequest: received.record})
 	for _, tc := range []struct{ framing, body string }{
 		{"Transfer-Encoding: chunked", "5\r\nhello\r\n"},
 		{"Transfer-Encoding: chunked", "5\r\nhello\r\n5\r\nhe"},
@@ -171,7 +171,7 @@
 		{"Transfer-Encoding: chunked", "5\r\nhello\r\nno size\r\n"},
 	} {
 		c, in := dial(t, o)
-		ask(c, "POST", "body=5", tc.framing)
+		writeRequestHead(c, "POST", "body=5", tc.framing)
 		io.WriteString(c, tc.body)
 		c.(*net.TCPConn).CloseWrite()
 		if r, err := http.ReadResponse(in, nil); err == nil && r.StatusCode != 400 {
@@ -179,13 +179,13 @@
 		}
 		c.Close()
 	}
-	idle(t, o)
-	for _, r := range seen.list() {
+	waitUntilIdle(t, o)
+	for _, r := range received.list() {
 		if r.IsComplete {
 			t.Errorf("a server took %d bytes for whole", r.Bytes)
 		}
 	}
-	if n := len(seen.list()); n > 4 {
+	if n := len(received.list()); n > 4 {
 		t.Errorf("%d attempts of 4 requests", n)
 	}
 }
@@ -193,16 +193,16 @@
 // A server that resets an upload after more than what is held was sent: no other attempt, whatever
 // the class permits. After less, a request that may run again goes elsewhere.
 func TestResetDuringUpload(t *testing.T) {
-	var seen record
-	o := begin(t, &fake.Origin{OnRequest: seen.saw}, &fake.Origin{OnRequest: seen.saw})
+	var received requestLog
+	o := startNode(t, &fake.Origin{OnRequest: received.record}, &fake.Origin{OnRequest: received.record})
 	for _, tc := range []struct {
 		method   string
 		at       int
 		attempts int
 	}{{"POST", 1 << 20, 1}, {"OPTIONS", 1 << 20, 1}, {"POST", 100, 1}, {"OPTIONS", 100, 2}} {
-		before := len(seen.list())
+		before := len(received.list())
 		c, in := dial(t, o)
-		ask(c, tc.method, fmt.Sprintf("reset=%d", tc.at), "Transfer-Encoding: chunked")
+		writeRequestHead(c, tc.method, fmt.Sprintf("reset=%d", tc.at), "Transfer-Encoding: chunked")
 		if tc.at < 1000 {
 			fmt.Fprintf(c, "%x\r\n%s\r\n0\r\n\r\n", 2000, strings.Repeat("x", 2000))
 		} else {
@@ -214,13 +214,13 @@
 				}
 			}()
 		}
-		r := answered(t, in)
+		r := readResponse(t, in)
 		if r.StatusCode != 502 {
 			t.Errorf("%s: %s", tc.method, r.Status)
 		}
 		c.Close()
-		idle(t, o)
-		if n := len(seen.list()) - before; tc.attempts == 1 && n != 1 || n < tc.attempts {
+		waitUntilIdle(t, o)
+		if n := len(received.list()) - before; tc.attempts == 1 && n != 1 || n < tc.attempts {
 			t.Errorf("%s reset at %d: %d attempts, not %d", tc.method, tc.at, n, tc.attempts)
 		}
 	}
@@ -230,34 +230,34 @@
 
 // A deadline counts to an answer's first byte: events go on beyond it, each as it comes.
 func TestEventsBeyondTheDeadline(t *testing.T) {
-	o := beginWith(t, "", "", shortDeadline, &fake.Origin{})
+	o := startNodeWithConfig(t, "", "", shortDeadline, &fake.Origin{})
 	c, in := dial(t, o)
-	begun := time.Now()
-	ask(c, "GET", "type=text/event-stream&frame=chunked&body=20480&every=50ms")
-	r := answered(t, in)
+	startedAt := time.Now()
+	writeRequestHead(c, "GET", "type=text/event-stream&frame=chunked&body=20480&every=50ms")
+	r := readResponse(t, in)
 	first := make([]byte, 1024)
 	if _, err := io.ReadFull(r.Body, first); err != nil {
 		t.Fatal(err)
 	}
-	at := time.Since(begun)
+	firstPartDelay := time.Since(startedAt)
 	rest, err := io.ReadAll(r.Body)
-	if took := time.Since(begun); err != nil || len(rest) != 19*1024 || took < 900*time.Millisecond || at > took/2 {
-		t.Errorf("%d bytes, %v, the first after %v of %v", len(rest), err, at, took)
+	if duration := time.Since(startedAt); err != nil || len(rest) != 19*1024 || duration < 900*time.Millisecond || firstPartDelay > duration/2 {
+		t.Errorf("%d bytes, %v, the first after %v of %v", len(rest), err, firstPartDelay, duration)
 	}
-	ask(c, "GET", "silent=1")
-	if r := answered(t, in); r.StatusCode != 504 {
+	writeRequestHead(c, "GET", "silent=1")
+	if r := readResponse(t, in); r.StatusCode != 504 {
 		t.Errorf("a silent server: %s", r.Status)
 	}
 }
 
 // A body that waits for 100 is sent after a while where the server never says it.
 func TestExpect(t *testing.T) {
-	var seen record
-	o := begin(t, &fake.Origin{OnRequest: seen.saw})
+	var received requestLog
+	o := startNode(t, &fake.Origin{OnRequest: received.record})
 	for script, want := range map[string]string{"body=5": "100", "never100=1&body=5": "100", "unread=1&status=413&body=0": "413"} {
 		c, in := dial(t, o)
-		ask(c, "PUT", script, "Expect: 100-continue", "Content-Length: 100000")
-		r := answered(t, in)
+		writeRequestHead(c, "PUT", script, "Expect: 100-continue", "Content-Length: 100000")
+		r := readResponse(t, in)
 		if fmt.Sprint(r.StatusCode) != want {
 			t.Errorf("%s: first %s", script, r.Status)
 		}
@@ -265,25 +265,25 @@
 			continue
 		}
 		io.Copy(c, fake.PatternReader(100000))
-		if r = answered(t, in); r.StatusCode != 200 {
+		if r = readResponse(t, in); r.StatusCode != 200 {
 			t.Errorf("%s: then %s", script, r.Status)
 		}
 	}
-	for _, r := range seen.list() {
+	for _, r := range received.list() {
 		if r.IsComplete && r.Hash != fake.HashOf(100000) {
 			t.Errorf("%d bytes", r.Bytes)
 		}
 	}
 	c, in := dial(t, o)
-	ask(c, "PUT", "", "Expect: tea", "Content-Length: 1")
-	if r := answered(t, in); r.StatusCode != 417 {
+	writeRequestHead(c, "PUT", "", "Expect: tea", "Content-Length: 1")
+	if r := readResponse(t, in); r.StatusCode != 417 {
 		t.Errorf("Expect: tea: %s", r.Status)
 	}
 }
 
 // What a server sends beyond its answer belongs to nobody, and what it sends spoilt is no answer.
-func TestUntidyServers(t *testing.T) {
-	o := begin(t, &fake.Origin{})
+func TestMalformedResponses(t *testing.T) {
+	o := startNode(t, &fake.Origin{})
 	c, in := dial(t, o)
 	for i, tc := range []struct {
 		script string
@@ -300,8 +300,8 @@
 		{"cut=40&body=10", 502},
 		{"body=7", 200},
 	} {
-		ask(c, "POST", strings.ReplaceAll(tc.script, " ", "+"), "Content-Length: 0")
-		r := answered(t, in)
+		writeRequestHead(c, "POST", strings.ReplaceAll(tc.script, " ", "+"), "Content-Length: 0")
+		r := readResponse(t, in)
 		b, err := io.ReadAll(r.Body)
 		if r.StatusCode != tc.status || err != nil {
 			t.Errorf("%d %s: %s %v, not %d", i, tc.script, r.Status, err, tc.status)
@@ -314,8 +314,8 @@
 
 // What could mean two things is refused before a server sees anything of it.
 func TestAmbiguousRequests(t *testing.T) {
-	var seen record
-	o := begin(t, &fake.Origin{OnRequest: seen.saw})
+	var received requestLog
+	o := startNode(t, &fake.Origin{OnRequest: received.record})
 	for _, text := range []string{
 		"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 		"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\nGET /hidden HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -332,26 +332,26 @@
 	} {
 		c, in := dial(t, o)
 		io.WriteString(c, text)
-		r := answered(t, in)
+		r := readResponse(t, in)
 		if r.StatusCode < 400 || r.StatusCode > 501 {
 			t.Errorf("%q: %s", text, r.Status)
 		}
 		c.Close()
 	}
-	if l := seen.list(); len(l) > 0 {
+	if l := received.list(); len(l) > 0 {
 		t.Errorf("a server saw %+v", l)
 	}
 }
 
 // The node's own answers say what happened, in the form that is asked for, and when to return.
-func TestOwnAnswers(t *testing.T) {
-	gone := &fake.Origin{}
-	o := begin(t, gone)
-	gone.Close()
+func TestGeneratedAnswers(t *testing.T) {
+	stoppedOrigin := &fake.Origin{}
+	o := startNode(t, stoppedOrigin)
+	stoppedOrigin.Close()
 	for accept, kind := range map[string]string{"*/*": "text/plain; charset=utf-8", "application/json": "application/problem+json"} {
 		c, in := dial(t, o)
-		ask(c, "GET", "", "Accept: "+accept)
-		r := answered(t, in)
+		writeRequestHead(c, "GET", "", "Accept: "+accept)
+		r := readResponse(t, in)
 		b, _ := io.ReadAll(r.Body)
 		if r.Header.Get("Content-Type") != kind || r.StatusCode != 502 && r.StatusCode != 503 || len(b) < 20 {
 			t.Errorf("%s: %s %v %q", accept, r.Status, r.Header, b)
@@ -363,18 +363,18 @@
 }
 
 // tunnelled opens a tunnel and has something go round in it.
-func tunnelled(t testing.TB, o *testbench.GenericHTTP) (net.Conn, *bufio.Reader) {
+func openTunnel(t testing.TB, o *testbench.GenericHTTP) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, in := dial(t, o)
-	ask(c, "GET", "upgrade=1", "Connection: Upgrade", "Upgrade: echo")
-	if r := answered(t, in); r.StatusCode != 101 || r.Header.Get("Upgrade") != "echo" {
+	writeRequestHead(c, "GET", "upgrade=1", "Connection: Upgrade", "Upgrade: echo")
+	if r := readResponse(t, in); r.StatusCode != 101 || r.Header.Get("Upgrade") != "echo" {
 		t.Fatalf("%s %v", r.Status, r.Header)
 	}
-	round(t, c, in, "\r\r\nanything\x00")
+	requireEcho(t, c, in, "\r\r\nanything\x00")
 	return c, in
 }
 
-func round(t testing.TB, c net.Conn, in *bufio.Reader, text string) {
+func requireEcho(t testing.TB, c net.Conn, in *bufio.Reader, text string) {
 	t.Helper()
 	io.WriteString(c, text)
 	got := make([]byte, len(text))
@@ -384,9 +384,9 @@
 }
 
 func TestTunnel(t *testing.T) {
-	var seen record
-	o := begin(t, &fake.Origin{OnRequest: seen.saw})
-	c, in := tunnelled(t, o)
+	var received requestLog
+	o := startNode(t, &fake.Origin{OnRequest: received.record})
+	c, in := openTunnel(t, o)
 	if st := o.Node.Status()[0]; st.OpenStreams != 1 || st.AttemptsInFlight != 1 || st.Resources.Requests.Used != 1 {
 		t.Errorf("%+v", st)
 	}
@@ -394,14 +394,14 @@
 	if rest, err := io.ReadAll(in); err != nil || len(rest) > 0 {
 		t.Errorf("after the end: %q, %v", rest, err)
 	}
-	idle(t, o)
+	waitUntilIdle(t, o)
 	// Another protocol than the route allows is not asked for.
 	c, in = dial(t, o)
-	ask(c, "GET", "body=3", "Connection: Upgrade", "Upgrade: h2c")
-	if r := answered(t, in); r.StatusCode != 200 {
+	writeRequestHead(c, "GET", "body=3", "Connection: Upgrade", "Upgrade: h2c")
+	if r := readResponse(t, in); r.StatusCode != 200 {
 		t.Error(r.Status)
 	}
-	for _, r := range seen.list() {
+	for _, r := range received.list() {
 		if r.Header.Get("Upgrade") == "h2c" {
 			t.Error("h2c went on")
 		}
@@ -424,22 +424,22 @@
 		}
 	}()
 	testkit.Until(t, "ready", func() bool { return o.Node.Status()[0].Ready })
-	type open struct {
+	type openConn struct {
 		c  net.Conn
 		in *bufio.Reader
 	}
-	var echo, events []open
+	var echo, events []openConn
 	for range tunnels {
-		c, in := tunnelled(t, o)
-		echo = append(echo, open{c, in})
+		c, in := openTunnel(t, o)
+		echo = append(echo, openConn{c, in})
 	}
 	for range streams {
 		c, in := dial(t, o)
-		ask(c, "GET", "type=text/event-stream&frame=chunked&body=100000000&every=20ms")
-		if r := answered(t, in); r.StatusCode != 200 {
+		writeRequestHead(c, "GET", "type=text/event-stream&frame=chunked&body=100000000&every=20ms")
+		if r := readResponse(t, in); r.StatusCode != 200 {
 			t.Fatal(r.Status)
 		}
-		events = append(events, open{c, in})
+		events = append(events, openConn{c, in})
 	}
 	if st := o.Node.Status()[0]; st.OpenStreams != streams+tunnels {
 		t.Errorf("%d streams", st.OpenStreams)
@@ -455,7 +455,7 @@
 		t.Errorf("%d older services", n)
 	}
 	for i, e := range echo {
-		round(t, e.c, e.in, fmt.Sprint("after the reload ", i))
+		requireEcho(t, e.c, e.in, fmt.Sprint("after the reload ", i))
 	}
 	p := make([]byte, 1024)
 	for _, e := range events {
@@ -465,7 +465,7 @@
 	}
 	o.Drain()
 	for i, e := range echo {
-		round(t, e.c, e.in, fmt.Sprint("while it drains ", i))
+		requireEcho(t, e.c, e.in, fmt.Sprint("while it drains ", i))
 	}
 	if err := o.Stop(); err != nil {
 		t.Error(err)
@@ -479,15 +479,15 @@
 
 // A client that reads slowly keeps its own window waiting and nobody else.
 func TestSlowReader(t *testing.T) {
-	o := begin(t, &fake.Origin{})
+	o := startNode(t, &fake.Origin{})
 	slow, in := dial(t, o)
 	slow.(*net.TCPConn).SetReadBuffer(4 << 10)
-	ask(slow, "GET", "body=10000000000")
-	answered(t, in)
+	writeRequestHead(slow, "GET", "body=10000000000")
+	readResponse(t, in)
 	c, other := dial(t, o)
 	for range 300 {
-		ask(c, "GET", "body=5")
-		r := answered(t, other)
+		writeRequestHead(c, "GET", "body=5")
+		r := readResponse(t, other)
 		if _, err := io.Copy(io.Discard, r.Body); err != nil || r.StatusCode != 200 {
 			t.Fatal(r.Status, err)
 		}
@@ -496,17 +496,17 @@
 		t.Errorf("%d streams, %d bytes", st.OpenStreams, st.Resources.BufferedBytes.Used)
 	}
 	slow.Close()
-	idle(t, o)
+	waitUntilIdle(t, o)
 }
 
 // Streams of one service that have outlived their time give way where another asks for its own.
-func TestStreamsGiveWay(t *testing.T) {
+func TestStreamsAreEvicted(t *testing.T) {
 	long, short := &fake.Origin{}, &fake.Origin{}
 	if err := short.Start(); err != nil {
 		t.Fatal(err)
 	}
 	defer short.Close()
-	more := fmt.Sprintf(`[classes.read]
+	services := fmt.Sprintf(`[classes.read]
 aim = "300ms"
 deadline = "300ms"
 repeats = "free"
@@ -525,11 +525,11 @@
 prefix = "/other"
 as = "patient"
 `, short.Addr())
-	o := beginWith(t, "held = 20\ndrain = { idle = \"0s\", accept = \"0s\", most = \"300ms\" }", "guaranteed = { held = 5 }", more, long)
+	o := startNodeWithConfig(t, "held = 20\ndrain = { idle = \"0s\", accept = \"0s\", most = \"300ms\" }", "guaranteed = { held = 5 }", services, long)
 	var open []net.Conn
 	for range 40 {
 		c, in := dial(t, o)
-		ask(c, "GET", "type=text/event-stream&frame=chunked&body=100000000&every=20ms")
+		writeRequestHead(c, "GET", "type=text/event-stream&frame=chunked&body=100000000&every=20ms")
 		if r, err := http.ReadResponse(in, nil); err == nil && r.StatusCode == 200 {
 			open = append(open, c)
 		}
@@ -537,11 +537,11 @@
 	if len(open) < 6 {
 		t.Fatalf("%d streams open", len(open))
 	}
-	served := func() (n int) {
-		var all sync.WaitGroup
-		var ok atomic.Int64
+	countServed := func() (n int) {
+		var clients sync.WaitGroup
+		var servedCount atomic.Int64
 		for range 10 {
-			all.Go(func() {
+			clients.Go(func() {
 				c, err := net.Dial("tcp", o.Node.Addr())
 				if err != nil {
 					return
@@ -550,17 +550,17 @@
 				c.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 				fmt.Fprintf(c, "GET /other HTTP/1.1\r\nHost: h\r\n%s: wait=50ms&body=1\r\n\r\n", fake.HeaderScript)
 				if r, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil && r.StatusCode == 200 {
-					ok.Add(1)
+					servedCount.Add(1)
 				}
 			})
 		}
-		all.Wait()
-		return int(ok.Load())
+		clients.Wait()
+		return int(servedCount.Load())
 	}
-	if n := served(); n == 10 {
+	if n := countServed(); n == 10 {
 		t.Error("all that is the other's own was there: nothing of it was lent")
 	}
-	testkit.Until(t, "the other has all that is its own", func() bool { return served() == 10 })
+	testkit.Until(t, "the other has all that is its own", func() bool { return countServed() == 10 })
 	if st := o.Node.Status()[0]; st.CutStreams == 0 || st.OpenStreams == 0 || st.OpenStreams >= len(open) {
 		t.Errorf("%d of %d streams are left, %d broken off", st.OpenStreams, len(open), st.CutStreams)
 	}
@@ -575,7 +575,7 @@
 	}
 	defer other.Close()
 	process := "descriptors = 512\nclients = 250\nheld = 200\ndrain = { idle = \"0s\", accept = \"0s\", most = \"300ms\" }"
-	more := fmt.Sprintf(`[services.other]
+	services := fmt.Sprintf(`[services.other]
 source = { kind = "static", servers = [{ endpoint = %q }] }
 guaranteed = { held = 60, descriptors = 60 }
 [[routes]]
@@ -585,31 +585,31 @@
 service = "other"
 prefix = "/other"
 `, other.Addr())
-	o := beginWith(t, process, "guaranteed = { held = 60, descriptors = 60 }", more, &fake.Origin{})
+	o := startNodeWithConfig(t, process, "guaranteed = { held = 60, descriptors = 60 }", services, &fake.Origin{})
 	for range 150 {
 		c, _ := dial(t, o)
-		ask(c, "POST", "silent=1", "Transfer-Encoding: chunked")
+		writeRequestHead(c, "POST", "silent=1", "Transfer-Encoding: chunked")
 		fmt.Fprintf(c, "%x\r\n%s\r\n", 100_000, strings.Repeat("x", 100_000))
 	}
 	testkit.Until(t, "the uploads are held", func() bool { return o.Node.Status()[0].Requests > 2 })
-	var all sync.WaitGroup
-	var lost atomic.Int64
+	var clients sync.WaitGroup
+	var failedClients atomic.Int64
 	for range 4 {
-		all.Go(func() {
+		clients.Go(func() {
 			c, in := dial(t, o)
 			for range 100 {
 				fmt.Fprintf(c, "GET /other HTTP/1.1\r\nHost: h\r\n%s: body=500\r\n\r\n", fake.HeaderScript)
 				r, err := http.ReadResponse(in, nil)
 				if err != nil || r.StatusCode != 200 {
-					lost.Add(1)
+					failedClients.Add(1)
 					return
 				}
 				io.Copy(io.Discard, r.Body)
 			}
 		})
 	}
-	all.Wait()
-	if n := lost.Load(); n > 0 {
+	clients.Wait()
+	if n := failedClients.Load(); n > 0 {
 		t.Errorf("%d of 4 clients of the other service were not served", n)
 	}
 }
--- a/internal/testsupport/generichttptest/http2_test.go
+++ b/internal/testsupport/generichttptest/http2_test.go
@@ -27,7 +27,7 @@
 )
 
 // both is an origin that speaks HTTP/1.1 and, to whoever begins with it, HTTP/2.
-func both(t testing.TB, serve http.HandlerFunc) *httptest.Server {
+func startDualProtocolOrigin(t testing.TB, serve http.HandlerFunc) *httptest.Server {
 	s := httptest.NewUnstartedServer(serve)
 	s.Config.Protocols = new(http.Protocols)
 	s.Config.Protocols.SetHTTP1(true)
@@ -38,12 +38,12 @@
 }
 
 // one is an origin as the only server of a list.
-func one(origin *httptest.Server) string {
+func staticServer(origin *httptest.Server) string {
 	return "{ endpoint = \"" + origin.Listener.Addr().String() + "\" }"
 }
 
 // over2 is a node that speaks HTTP/2 to a list of servers; what stands behind its service may be more.
-func over2(t testing.TB, servers, more string) *node.Node {
+func startHTTP2Node(t testing.TB, servers, more string) *node.Node {
 	t.Helper()
 	if more == "" {
 		more = "[[routes]]\nservice = \"app\"\nupgrade = [\"echo\"]\n"
@@ -72,7 +72,7 @@
 }
 
 // answers is an origin's handler that tells what it was asked and answers by the query.
-func answers(w http.ResponseWriter, r *http.Request) {
+func serveByQuery(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	sum := sha256.New()
 	n, err := io.Copy(sum, r.Body)
@@ -106,7 +106,7 @@
 	if q.Has("flush") {
 		w.(http.Flusher).Flush()
 	}
-	io.Copy(w, io.LimitReader(&letters{}, int64(size)))
+	io.Copy(w, io.LimitReader(&alphabetReader{}, int64(size)))
 	if q.Has("trailer") {
 		h.Set("X-Sum", "sum")
 	}
@@ -116,34 +116,34 @@
 }
 
 // letters are some, by their place.
-type letters struct{ at int }
+type alphabetReader struct{ offset int }
 
-func (l *letters) Read(p []byte) (int, error) {
+func (l *alphabetReader) Read(p []byte) (int, error) {
 	for i := range p {
-		p[i] = 'a' + byte((l.at+i)%26)
+		p[i] = 'a' + byte((l.offset+i)%26)
 	}
-	l.at += len(p)
+	l.offset += len(p)
 	return len(p), nil
 }
 
 // What a client sees straight and through a node that speaks HTTP/2 is the same, and so is what
 // the origin is asked.
-func TestOverHTTP2IsTheSame(t *testing.T) {
-	origin := both(t, answers)
-	n := over2(t, one(origin), "")
-	type ask struct {
+func TestHTTP2ForwardingIsTransparent(t *testing.T) {
+	origin := startDualProtocolOrigin(t, serveByQuery)
+	n := startHTTP2Node(t, staticServer(origin), "")
+	type testRequest struct {
 		method, query string
 		body          int
 		chunked       bool
 		fields        map[string]string
 	}
-	var all []ask
+	var requests []testRequest
 	for _, m := range []string{"GET", "HEAD", "POST", "PUT", "DELETE", "OPTIONS", "QUERY"} {
 		for _, size := range []string{"size=0", "size=0&length", "size=1", "size=500&length", "size=70000&length", "size=300000", "size=300000&length", "size=20&flush&trailer"} {
-			all = append(all, ask{method: m, query: size})
+			requests = append(requests, testRequest{method: m, query: size})
 		}
 		for _, b := range []int{1, 4096, 4097, 70000, 400000} {
-			all = append(all, ask{method: m, query: "size=5&length", body: b}, ask{method: m, query: "size=5", body: b, chunked: true})
+			requests = append(requests, testRequest{method: m, query: "size=5&length", body: b}, testRequest{method: m, query: "size=5", body: b, chunked: true})
 		}
 	}
 	for _, status := range []int{201, 204, 206, 301, 304, 400, 404, 418, 429, 500, 501, 503} {
@@ -151,16 +151,16 @@
 		if status == 204 || status == 304 {
 			size = "size=0"
 		}
-		all = append(all, ask{method: "GET", query: fmt.Sprint(size, "&status=", status)}, ask{method: "POST", query: fmt.Sprint(size, "&status=", status), body: 3})
+		requests = append(requests, testRequest{method: "GET", query: fmt.Sprint(size, "&status=", status)}, testRequest{method: "POST", query: fmt.Sprint(size, "&status=", status), body: 3})
 	}
-	all = append(all, ask{method: "GET", query: "early&size=5"}, ask{method: "GET", query: "size=5", fields: map[string]string{"X-One": "a", "Cookie": "a=b; c=d", "Te": "trailers"}},
-		ask{method: "POST", query: "size=5", body: 70000, fields: map[string]string{"Expect": "100-continue"}})
+	requests = append(requests, testRequest{method: "GET", query: "early&size=5"}, testRequest{method: "GET", query: "size=5", fields: map[string]string{"X-One": "a", "Cookie": "a=b; c=d", "Te": "trailers"}},
+		testRequest{method: "POST", query: "size=5", body: 70000, fields: map[string]string{"Expect": "100-continue"}})
 	client := &http.Client{Transport: &http.Transport{DisableCompression: true}, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 	t.Cleanup(client.CloseIdleConnections)
-	see := func(a ask, addr string) string {
+	describeAnswer := func(a testRequest, addr string) string {
 		var body io.Reader
 		if a.body > 0 {
-			body = io.LimitReader(&letters{}, int64(a.body))
+			body = io.LimitReader(&alphabetReader{}, int64(a.body))
 			if !a.chunked {
 				body = bytes.NewReader(bytes.Repeat([]byte("b"), a.body))
 			}
@@ -190,17 +190,17 @@
 		}
 		return fmt.Sprint(resp.Status, h, size, fmt.Sprintf("%x", sum.Sum(nil)[:4]), err, resp.Trailer)
 	}
-	for _, a := range all {
-		straight, through := see(a, origin.Listener.Addr().String()), see(a, n.Addr())
-		if straight != through {
-			t.Errorf("%+v:\n%s\n%s", a, straight, through)
+	for _, a := range requests {
+		direct, proxied := describeAnswer(a, origin.Listener.Addr().String()), describeAnswer(a, n.Addr())
+		if direct != proxied {
+			t.Errorf("%+v:\n%s\n%s", a, direct, proxied)
 		}
 	}
 }
 
 // An answer of 1xx goes on to the client as it comes.
 func TestEarlyHintsOverHTTP2(t *testing.T) {
-	n := over2(t, one(both(t, answers)), "")
+	n := startHTTP2Node(t, staticServer(startDualProtocolOrigin(t, serveByQuery)), "")
 	c, err := net.Dial("tcp", n.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -221,8 +221,8 @@
 // A reader that takes nothing keeps its own stream waiting: others on the same connection go on, and
 // what is held of it stays within the window.
 func TestSlowReaderOverHTTP2(t *testing.T) {
-	origin := both(t, answers)
-	n := over2(t, one(origin), "")
+	origin := startDualProtocolOrigin(t, serveByQuery)
+	n := startHTTP2Node(t, staticServer(origin), "")
 	slow, err := net.Dial("tcp", n.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -254,9 +254,9 @@
 
 // What breaks off on either side is told to the other: an answer that is cut off is not taken for
 // whole, and a client that leaves has its request ended.
-func TestBreaksOverHTTP2(t *testing.T) {
-	gone := make(chan struct{})
-	origin := both(t, func(w http.ResponseWriter, r *http.Request) {
+func TestAbortsOverHTTP2(t *testing.T) {
+	requestCanceled := make(chan struct{})
+	origin := startDualProtocolOrigin(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/wait" {
 			for r.Context().Err() == nil { // that a client has left is noticed as more is written
 				io.WriteString(w, "data: x\n\n")
@@ -266,12 +266,12 @@
 				case <-r.Context().Done():
 				}
 			}
-			close(gone)
+			close(requestCanceled)
 			return
 		}
-		answers(w, r)
+		serveByQuery(w, r)
 	})
-	n := over2(t, one(origin), "")
+	n := startHTTP2Node(t, staticServer(origin), "")
 	for _, query := range []string{"size=200000&cut", "size=200000&length&cut&flush", "size=10&flush&cut"} {
 		r, err := http.Get("http://" + n.Addr() + "/x?" + query)
 		if err != nil {
@@ -282,35 +282,35 @@
 		}
 		r.Body.Close()
 	}
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	req, _ := http.NewRequestWithContext(ctx, "GET", "http://"+n.Addr()+"/wait", nil)
 	r, err := http.DefaultClient.Do(req)
 	if err != nil {
 		t.Fatal(err)
 	}
-	leave()
+	cancel()
 	r.Body.Close()
-	testkit.Next(t, gone)
+	testkit.Next(t, requestCanceled)
 	http.DefaultClient.CloseIdleConnections()
 }
 
 // Uploads go on as they come, past every window, and a server that answers before the end is heard.
 func TestUploadsOverHTTP2(t *testing.T) {
-	origin := both(t, func(w http.ResponseWriter, r *http.Request) {
+	origin := startDualProtocolOrigin(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/early" {
 			w.WriteHeader(http.StatusRequestEntityTooLarge)
 			return
 		}
-		answers(w, r)
+		serveByQuery(w, r)
 	})
-	n := over2(t, one(origin), "")
+	n := startHTTP2Node(t, staticServer(origin), "")
 	const size = 30 << 20
-	begun := time.Now()
-	r, err := http.Post("http://"+n.Addr()+"/x?size=3", "application/octet-stream", io.LimitReader(&letters{}, size))
+	startedAt := time.Now()
+	r, err := http.Post("http://"+n.Addr()+"/x?size=3", "application/octet-stream", io.LimitReader(&alphabetReader{}, size))
 	if err != nil || r.StatusCode != 200 || !strings.Contains(r.Header.Get("X-Asked"), fmt.Sprint(" ", size, " ")) {
 		t.Fatal(r, err)
 	}
-	t.Logf("%d bytes in %v", size, time.Since(begun))
+	t.Logf("%d bytes in %v", size, time.Since(startedAt))
 	r.Body.Close()
 	c, err := net.Dial("tcp", n.Addr())
 	if err != nil {
@@ -326,29 +326,29 @@
 
 // posts sends requests with effects, of any size and framing, through a node to servers of HTTP/2 that
 // break at any byte; it tells what the servers ran, and how many clients were told of a success.
-func posts(t *testing.T, n int, service string) (c fake.Counts, ok int64) {
-	tally := &fake.Executions{}
+func sendPosts(t *testing.T, n int, service string) (counts fake.Counts, servedCount int64) {
+	executions := &fake.Executions{}
 	f := fake.HTTP2Faults{Refuse: 0.05, Reset: 0.03, Error: 0.02, Early: 0.05, Lower: 0.05, GoAway: 0.05, CutRead: 0.4, CutSent: 0.4, MaxCutOffset: 60000}
-	var list []string
+	var servers []string
 	for i := range 3 {
-		s, err := fake.HTTP2Server{UID: fmt.Sprint("s", i), Executions: tally, Faults: f, Seed: uint64(i), Streams: 10}.Start()
+		s, err := fake.HTTP2Server{UID: fmt.Sprint("s", i), Executions: executions, Faults: f, Seed: uint64(i), Streams: 10}.Start()
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(s.Close)
-		list = append(list, fmt.Sprintf("{ endpoint = %q }", s.Addr()))
+		servers = append(servers, fmt.Sprintf("{ endpoint = %q }", s.Addr()))
 	}
-	node := over2(t, strings.Join(list, ", "), service)
+	node := startHTTP2Node(t, strings.Join(servers, ", "), service)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 20}, Timeout: testkit.WaitTimeout}
 	defer client.CloseIdleConnections()
-	var next, served atomic.Int64
-	var all sync.WaitGroup
+	var lastSeed, served atomic.Int64
+	var clients sync.WaitGroup
 	for range 16 {
-		all.Go(func() {
-			for seed := next.Add(1); seed <= int64(n); seed = next.Add(1) {
+		clients.Go(func() {
+			for seed := lastSeed.Add(1); seed <= int64(n); seed = lastSeed.Add(1) {
 				rng := rand.New(rand.NewPCG(uint64(seed), 3))
 				size := int64([]int{0, 1, 300, 5000, 40000}[rng.IntN(5)])
-				body := io.LimitReader(&letters{}, size)
+				body := io.LimitReader(&alphabetReader{}, size)
 				if rng.IntN(2) == 0 {
 					raw, _ := io.ReadAll(body)
 					body = bytes.NewReader(raw)
@@ -369,24 +369,24 @@
 				raw, err := io.ReadAll(resp.Body)
 				resp.Body.Close()
 				if resp.StatusCode == 200 {
-					if served.Add(1); err != nil || !strings.HasSuffix(string(raw), " "+id) || tally.Runs(id) == 0 {
-						t.Errorf("%s: %q, %v, and it ran %d times", id, raw, err, tally.Runs(id))
+					if served.Add(1); err != nil || !strings.HasSuffix(string(raw), " "+id) || executions.Runs(id) == 0 {
+						t.Errorf("%s: %q, %v, and it ran %d times", id, raw, err, executions.Runs(id))
 					}
 				}
 			}
 		})
 	}
-	all.Wait()
-	return tally.Counts(), served.Load()
+	clients.Wait()
+	return executions.Counts(), served.Load()
 }
 
 // Whatever breaks at whatever byte, a request that may not run again doesn't; and the check finds it
 // where a file says that it may.
 func TestPostsOverHTTP2(t *testing.T) {
-	if c, ok := posts(t, 1000, brief); c.Repeated > 0 || c.DuplicateEffects > 0 || c.MaxInFlight > 1 || ok < 600 {
+	if c, ok := sendPosts(t, 1000, readWriteClasses); c.Repeated > 0 || c.DuplicateEffects > 0 || c.MaxInFlight > 1 || ok < 600 {
 		t.Errorf("%+v, %d served", c, ok)
 	}
-	if c, _ := posts(t, 400, strings.Replace(brief, `repeats = "never"`, `repeats = "free"`, 1)); c.Repeated == 0 {
+	if c, _ := sendPosts(t, 400, strings.Replace(readWriteClasses, `repeats = "never"`, `repeats = "free"`, 1)); c.Repeated == 0 {
 		t.Error("requests that ran again were not found")
 	}
 }
--- a/internal/testsupport/generichttptest/mutations_test.go
+++ b/internal/testsupport/generichttptest/mutations_test.go
@@ -26,31 +26,31 @@
 
 // pastHeld is a request that is sent again though the beginning of its body is gone: a further
 // attempt sends what is left of it.
-type pastHeld struct {
+type retryPastBuffer struct {
 	*upstream.RelayedRequest
-	src io.Reader
+	remainingBody io.Reader
 }
 
-func (p pastHeld) CanRetry() bool { return true }
+func (p retryPastBuffer) CanRetry() bool { return true }
 
-func (p pastHeld) Attempt(ctx, life context.Context, u *upstream.Upstream, pool *upstream.Pool) upstream.Outcome {
+func (p retryPastBuffer) Attempt(ctx, life context.Context, u *upstream.Upstream, pool *upstream.Pool) upstream.Outcome {
 	q := *p.RelayedRequest
-	q.Body = retrybuffer.New(p.src, 0, nil)
+	q.Body = retrybuffer.New(p.remainingBody, 0, nil)
 	return q.Attempt(ctx, life, u, pool)
 }
 
 // afterFirstByte is a request that is sent again when an answer breaks that the client has the
 // beginning of: what comes then is put behind it.
-type afterFirstByte struct{ *upstream.RelayedRequest }
+type retryAfterFirstByte struct{ *upstream.RelayedRequest }
 
-func (a afterFirstByte) Attempt(ctx, life context.Context, u *upstream.Upstream, pool *upstream.Pool) upstream.Outcome {
+func (a retryAfterFirstByte) Attempt(ctx, life context.Context, u *upstream.Upstream, pool *upstream.Pool) upstream.Outcome {
 	o := a.RelayedRequest.Attempt(ctx, life, u, pool)
 	if o.Stream == nil {
 		return o
 	}
-	given, err := io.ReadAll(o.Stream)
+	delivered, err := io.ReadAll(o.Stream)
 	o.Stream.Close()
-	o.Stream, o.Body, o.IsFinal = nil, given, true
+	o.Stream, o.Body, o.IsFinal = nil, delivered, true
 	if err == nil {
 		return o
 	}
@@ -62,7 +62,7 @@
 			next.Stream.Close()
 		}
 		if next.Status == http.StatusOK && err == nil {
-			o.Body = append(given, rest...)
+			o.Body = append(delivered, rest...)
 			return o
 		}
 		err = nil
@@ -71,22 +71,22 @@
 }
 
 // shared is a body that a left attempt may still read while another does.
-type shared struct {
+type lockedReader struct {
 	mu sync.Mutex
 	r  io.Reader
 }
 
-func (s *shared) Read(p []byte) (int, error) {
+func (s *lockedReader) Read(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.r.Read(p)
 }
 
 // faultyOrigins starts three origins that draw faults, and lists them.
-func faultyOrigins(t *testing.T, c *tally) (origins []*fake.Origin, src discovery.Source) {
+func faultyOrigins(t *testing.T, c *attemptRecorder) (origins []*fake.Origin, src discovery.Source) {
 	src.Kind = discovery.Static
 	for i := range 3 {
-		o := &fake.Origin{OnRequest: c.saw, Fault: faults, Seed: uint64(i)}
+		o := &fake.Origin{OnRequest: c.record, Fault: injectFault, Seed: uint64(i)}
 		if err := o.Start(); err != nil {
 			t.Fatal(err)
 		}
@@ -98,8 +98,8 @@
 
 // direct plays seeds at a service with no front before it, and gives what was wrong. wrap makes the
 // request that the service sends; nil leaves it as it is.
-func direct(t *testing.T, seeds int, wrap func(*upstream.RelayedRequest, io.Reader) service.Forwarder) (wrong []string, served int) {
-	c := &tally{came: make(map[string]int)}
+func runService(t *testing.T, seeds int, wrap func(*upstream.RelayedRequest, io.Reader) service.Forwarder) (violations []string, served int) {
+	c := &attemptRecorder{attemptCounts: make(map[string]int)}
 	origins, src := faultyOrigins(t, c)
 	ready := make(chan struct{})
 	s, err := service.New(service.Options{
@@ -119,32 +119,32 @@
 	testkit.Next(t, ready)
 	rules := responseclass.DefaultRules()
 	var mu sync.Mutex
-	var all sync.WaitGroup
-	next := 0
+	var clients sync.WaitGroup
+	lastSeed := 0
 	for range 8 {
-		all.Go(func() {
+		clients.Go(func() {
 			for {
 				mu.Lock()
-				next++
-				seed := next
+				lastSeed++
+				seed := lastSeed
 				mu.Unlock()
 				if seed > seeds {
 					return
 				}
 				rng := rand.New(rand.NewPCG(uint64(seed), 22))
-				size, want := int64(rng.IntN(200_000)), int64(100_000+rng.IntN(200_000))
-				from := &shared{r: fake.PatternReader(size)}
+				size, wantBytes := int64(rng.IntN(200_000)), int64(100_000+rng.IntN(200_000))
+				body := &lockedReader{r: fake.PatternReader(size)}
 				q := &upstream.RelayedRequest{
 					RequestMethod: "POST", Target: "/x", Host: "h", ContentLength: -1, ResponseRules: &rules, MaxBufferedBytes: 1 << 16, IdleTimeout: time.Second, AnswerTimeout: time.Second,
-					Header: http.Header{fake.HeaderScript: {fmt.Sprintf("frame=chunked&body=%d", want)}, "X-Request-Id": {fmt.Sprint(seed)}, "X-Want": {fake.HashOf(size)}},
-					Body:   retrybuffer.New(from, 1<<16, nil),
+					Header: http.Header{fake.HeaderScript: {fmt.Sprintf("frame=chunked&body=%d", wantBytes)}, "X-Request-Id": {fmt.Sprint(seed)}, "X-Want": {fake.HashOf(size)}},
+					Body:   retrybuffer.New(body, 1<<16, nil),
 				}
 				x := &service.Exchange{
 					Forwarder: service.Forwarder(q), Deadline: time.Now().Add(2 * time.Second),
 					Request: control.Request{ID: fmt.Sprint(seed), Class: "any", Plan: "p", Customer: "c", Units: 1, FanOut: 1, HasPendingBody: true},
 				}
 				if wrap != nil {
-					x.Forwarder = wrap(q, from)
+					x.Forwarder = wrap(q, body)
 				}
 				a, ok := s.Do(ctx, x)
 				if !ok {
@@ -153,15 +153,15 @@
 				n, hash, err := readAnswer(a)
 				mu.Lock()
 				if a.Status == http.StatusOK && err == nil {
-					if served++; n != want || hash != fake.HashOf(want) {
-						wrong = append(wrong, fmt.Sprintf("seed %d: %d bytes for the whole %d", seed, n, want))
+					if served++; n != wantBytes || hash != fake.HashOf(wantBytes) {
+						violations = append(violations, fmt.Sprintf("seed %d: %d bytes for the whole %d", seed, n, wantBytes))
 					}
 				}
 				mu.Unlock()
 			}
 		})
 	}
-	all.Wait()
+	clients.Wait()
 	cancel()
 	if err := testkit.Next(t, done); err != nil {
 		t.Error(err)
@@ -169,10 +169,10 @@
 	for _, o := range origins {
 		o.Close()
 	}
-	for _, id := range c.bad {
-		wrong = append(wrong, id+": a server took for whole what was not sent")
+	for _, id := range c.corruptIDs {
+		violations = append(violations, id+": a server took for whole what was not sent")
 	}
-	return wrong, served
+	return violations, served
 }
 
 // readAnswer reads an answer's body to its end, and gives its length and hash.
@@ -188,20 +188,20 @@
 }
 
 // What the tallies hold is held by what they are to hold: taken away, they find it.
-func TestMutationsAreFound(t *testing.T) {
-	if wrong, served := direct(t, 300, nil); len(wrong) > 0 || served < 50 {
-		t.Errorf("%d served, %v", served, wrong)
+func TestFaultyForwardersAreDetected(t *testing.T) {
+	if violations, served := runService(t, 300, nil); len(violations) > 0 || served < 50 {
+		t.Errorf("%d served, %v", served, violations)
 	}
 	for name, wrap := range map[string]func(*upstream.RelayedRequest, io.Reader) service.Forwarder{
-		"replay past the held part": func(q *upstream.RelayedRequest, src io.Reader) service.Forwarder { return pastHeld{q, src} },
+		"replay past the held part": func(q *upstream.RelayedRequest, src io.Reader) service.Forwarder { return retryPastBuffer{q, src} },
 		"retry after the first byte": func(q *upstream.RelayedRequest, _ io.Reader) service.Forwarder {
-			return afterFirstByte{q}
+			return retryAfterFirstByte{q}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			wrong, served := direct(t, 300, wrap)
-			t.Logf("%d served, %d wrong", served, len(wrong))
-			if len(wrong) == 0 {
+			violations, served := runService(t, 300, wrap)
+			t.Logf("%d served, %d wrong", served, len(violations))
+			if len(violations) == 0 {
 				t.Error("it was not found")
 			}
 		})
--- a/internal/testsupport/redistest/redistest.go
+++ b/internal/testsupport/redistest/redistest.go
@@ -29,7 +29,7 @@
 	mu         sync.Mutex
 	data       map[string]entry // by key
 	runID      string
-	starts     int                           // number of run IDs so far
+	startCount int                           // number of run IDs so far
 	scripts    map[string]*lua.FunctionProto // by SHA-1
 	now        func() time.Time
 	faults     Faults
@@ -106,8 +106,8 @@
 // Replace replaces the server by an empty one with another run ID, and closes the connections.
 func (s *Server) Replace() {
 	s.mu.Lock()
-	s.starts++
-	s.runID = fmt.Sprintf("%040d", s.starts)
+	s.startCount++
+	s.runID = fmt.Sprintf("%040d", s.startCount)
 	s.data = make(map[string]entry)
 	clear(s.scripts)
 	s.mu.Unlock()
--- a/internal/testsupport/scattergathertest/faults_test.go
+++ b/internal/testsupport/scattergathertest/faults_test.go
@@ -16,16 +16,16 @@
 )
 
 // faulty is instances of the program over pools and a store that all stand behind links.
-type faulty struct {
-	t     *testing.T
-	pools []*pool
-	links []*faultnet.Link // by pool, then the store's
-	nodes []*proc
-	names []string
-	c     tally
+type faultyCluster struct {
+	t         *testing.T
+	pools     []*pool
+	links     []*faultnet.Link // by pool, then the store's
+	instances []*instance
+	names     []string
+	answers   answerCounts
 }
 
-func (f *faulty) link(to string) string {
+func (f *faultyCluster) listenLink(to string) string {
 	l, err := faultnet.Listen(to)
 	if err != nil {
 		f.t.Fatal(err)
@@ -35,64 +35,64 @@
 	return l.Addr()
 }
 
-func newFaulty(t *testing.T, pools, nodes int) *faulty {
+func newFaultyCluster(t *testing.T, pools, instances int) *faultyCluster {
 	store, err := redistest.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(store.Close)
-	f := &faulty{t: t}
-	text, parts := strings.Replace(head, "[process]", "[process]\nstate = \"DIR/state\"", 1), ""
+	f := &faultyCluster{t: t}
+	text, parts := strings.Replace(baseConfig, "[process]", "[process]\nstate = \"DIR/state\"", 1), ""
 	for i := range pools {
 		p := newPool(t, fmt.Sprint("p", i))
-		p.says(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintf(w, "[%q]", p.name) })
+		p.setHandler(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintf(w, "[%q]", p.name) })
 		f.pools, f.names = append(f.pools, p), append(f.names, p.name)
-		text += fmt.Sprintf("[services.%s]\nplans = [\"free\"]\nsource = { kind = \"static\", servers = [{ endpoint = %q }] }\n", p.name, f.link(p.Addr()))
+		text += fmt.Sprintf("[services.%s]\nplans = [\"free\"]\nsource = { kind = \"static\", servers = [{ endpoint = %q }] }\n", p.name, f.listenLink(p.Addr()))
 		parts += fmt.Sprintf("%q, ", p.name)
 	}
-	shared := f.link(store.Addr())
-	for i := range nodes {
-		wait := "half_life = \"100ms\"\ndeadline = \"learned\""
+	storeAddress := f.listenLink(store.Addr())
+	for i := range instances {
+		waitPolicy := "half_life = \"100ms\"\ndeadline = \"learned\""
 		if i == 0 { // whose answers lack what is not there, and nothing that is only slow on busy cores
-			wait = "half_life = \"10s\"\ndeadline = \"2s\""
+			waitPolicy = "half_life = \"10s\"\ndeadline = \"2s\""
 		}
-		f.nodes = append(f.nodes, run(t, text+district("parts = ["+parts+"]\nleast = 0.4\n"+wait+"\nshare = { addresses = [\""+shared+"\"] }")))
+		f.instances = append(f.instances, startInstance(t, text+gatheringService("parts = ["+parts+"]\nleast = 0.4\n"+waitPolicy+"\nshare = { addresses = [\""+storeAddress+"\"] }")))
 	}
 	t.Cleanup(http.DefaultClient.CloseIdleConnections)
 	return f
 }
 
 // wave has each instance asked so many times, one after another.
-func (f *faulty) wave(n int, of ...*proc) {
+func (f *faultyCluster) queryAll(n int, instances ...*instance) {
 	var clients sync.WaitGroup
-	for _, p := range of {
+	for _, p := range instances {
 		clients.Go(func() {
 			for range n {
-				f.c.ask(p, f.names)
+				f.answers.query(p, f.names)
 			}
 		})
 	}
 	clients.Wait()
 }
 
-func (f *faulty) asked() int {
-	f.c.mu.Lock()
-	defer f.c.mu.Unlock()
-	return f.c.asked
+func (f *faultyCluster) queries() int {
+	f.answers.mu.Lock()
+	defer f.answers.mu.Unlock()
+	return f.answers.queries
 }
 
 // each holds that so many pools, from the first on, were sent each query once since they had counted so
 // many, less those which a module could not take in time on busy cores: they are missing in answers.
-func (f *faulty) each(pools, queries int, since []int) {
+func (f *faultyCluster) requireQueriedByAll(pools, queries int, since []int) {
 	f.t.Helper()
 	for i, p := range f.pools[:pools] {
-		if n := p.Count() - since[i]; n > queries || n < queries-f.c.cut {
+		if n := p.Count() - since[i]; n > queries || n < queries-f.answers.partial {
 			f.t.Errorf("%s was sent %d of %d queries", p.name, n, queries)
 		}
 	}
 }
 
-func (f *faulty) counts() (all []int) {
+func (f *faultyCluster) requestCounts() (all []int) {
 	for _, p := range f.pools {
 		all = append(all, p.Count())
 	}
@@ -101,25 +101,25 @@
 
 // silentPool has one pool fall silent: the others are sent each query once and are in each answer that waits for
 // them.
-func (f *faulty) silentPool(t *testing.T) {
+func (f *faultyCluster) checkSilentPool(t *testing.T) {
 	t.Helper()
 	if err := f.links[4].Set(script.Fault{Kind: script.Cut}); err != nil {
 		t.Fatal(err)
 	}
-	since, asked, cut := f.counts(), f.asked(), f.c.cut
-	f.wave(1, f.nodes[0])
-	if f.c.cut != cut+1 || f.c.refused > 0 {
-		t.Error("an answer that waits two seconds:", f.c.String())
+	since, queries, partial := f.requestCounts(), f.queries(), f.answers.partial
+	f.queryAll(1, f.instances[0])
+	if f.answers.partial != partial+1 || f.answers.rejected > 0 {
+		t.Error("an answer that waits two seconds:", f.answers.String())
 	}
-	for i, n := range f.counts()[:4] {
+	for i, n := range f.requestCounts()[:4] {
 		if n != since[i]+1 {
 			t.Errorf("%s was sent %d for it", f.pools[i].name, n-since[i])
 		}
 	}
-	f.wave(8, f.nodes[1:]...)
-	f.each(4, f.asked()-asked, since)
-	if f.pools[4].Count() != since[4] || f.c.refused+f.c.lost > 0 {
-		t.Errorf("the silent pool was sent %d; %s", f.pools[4].Count()-since[4], f.c.String())
+	f.queryAll(8, f.instances[1:]...)
+	f.requireQueriedByAll(4, f.queries()-queries, since)
+	if f.pools[4].Count() != since[4] || f.answers.rejected+f.answers.lost > 0 {
+		t.Errorf("the silent pool was sent %d; %s", f.pools[4].Count()-since[4], f.answers.String())
 	}
 	if err := f.links[4].Heal(); err != nil {
 		t.Fatal(err)
@@ -132,19 +132,19 @@
 // answer, which holds what it claims. Once all is healed each instance has whole answers again, and hears
 // from the others.
 func TestFaultsBetween(t *testing.T) {
-	f := newFaulty(t, 5, 6)
-	f.wave(20, f.nodes...)
-	f.each(5, f.asked(), make([]int, 5))
-	if f.c.refused+f.c.lost > 0 || f.c.whole == 0 {
-		t.Error("while nothing was wrong:", f.c.String())
+	f := newFaultyCluster(t, 5, 6)
+	f.queryAll(20, f.instances...)
+	f.requireQueriedByAll(5, f.queries(), make([]int, 5))
+	if f.answers.rejected+f.answers.lost > 0 || f.answers.complete == 0 {
+		t.Error("while nothing was wrong:", f.answers.String())
 	}
 
-	f.silentPool(t)
+	f.checkSilentPool(t)
 
 	s := faultnet.Draw(7, faultnet.Spec{Links: len(f.links), For: 4 * time.Second, Faults: 10})
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("%s\nby\n%v", f.c.String(), s)
+			t.Logf("%s\nby\n%v", f.answers.String(), s)
 		}
 	})
 	p, err := faultnet.NewPlayer(s, f.links, nil)
@@ -153,7 +153,7 @@
 	}
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
-	for _, n := range f.nodes[1:] {
+	for _, n := range f.instances[1:] {
 		for range 2 {
 			clients.Go(func() {
 				for {
@@ -161,15 +161,15 @@
 					case <-stop:
 						return
 					default:
-						f.c.ask(n, f.names)
+						f.answers.query(n, f.names)
 					}
 				}
 			})
 		}
 	}
 	for p.Next() {
-		n := f.asked()
-		testkit.Until(t, "more answers", func() bool { return f.asked() >= n+16 })
+		n := f.queries()
+		testkit.Until(t, "more answers", func() bool { return f.queries() >= n+16 })
 	}
 	close(stop)
 	clients.Wait()
@@ -178,23 +178,23 @@
 			t.Error(e)
 		}
 	}
-	if f.c.lost > 0 || f.c.cut == 0 {
-		t.Error("by the script:", f.c.String())
+	if f.answers.lost > 0 || f.answers.partial == 0 {
+		t.Error("by the script:", f.answers.String())
 	}
 	for _, l := range f.links {
 		if err := l.Heal(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for _, n := range f.nodes {
+	for _, n := range f.instances {
 		testkit.Until(t, "a whole answer", func() bool {
-			before := f.c.whole
-			f.wave(1, n)
-			return f.c.whole > before
+			before := f.answers.complete
+			f.queryAll(1, n)
+			return f.answers.complete > before
 		})
 	}
-	for _, n := range f.nodes {
-		n.until("what others learned", func(s manage.Status) bool {
+	for _, n := range f.instances {
+		n.waitForStatus("what others learned", func(s manage.Status) bool {
 			return s.ScatterGathers[0].Shared.Members > 0 && s.ScatterGathers[0].InFlight == 0
 		})
 	}
--- a/internal/testsupport/scattergathertest/node_test.go
+++ b/internal/testsupport/scattergathertest/node_test.go
@@ -25,29 +25,29 @@
 // pool is a service's one server, which answers with elements that name it. It answers while open.
 type pool struct {
 	*testkit.App
-	name string
-	mu   sync.Mutex
-	gate chan struct{} // closed is open
-	say  http.HandlerFunc
+	name    string
+	mu      sync.Mutex
+	gate    chan struct{} // closed is open
+	handler http.HandlerFunc
 }
 
 func newPool(t *testing.T, name string) *pool {
 	p := &pool{name: name, gate: make(chan struct{})}
 	close(p.gate)
-	p.say = func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintf(w, ` [ %q , {"of":%q} ] `, name, name) }
-	over := make(chan struct{})
+	p.handler = func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintf(w, ` [ %q , {"of":%q} ] `, name, name) }
+	testEnded := make(chan struct{})
 	p.App = testkit.NewApp(t, func(w http.ResponseWriter, r *http.Request) {
 		p.mu.Lock()
-		gate, say := p.gate, p.say
+		gate, handler := p.gate, p.handler
 		p.mu.Unlock()
 		select {
 		case <-gate:
-			say(w, r)
+			handler(w, r)
 		case <-r.Context().Done():
-		case <-over:
+		case <-testEnded:
 		}
 	})
-	t.Cleanup(func() { close(over) })
+	t.Cleanup(func() { close(testEnded) })
 	return p
 }
 
@@ -63,17 +63,17 @@
 	close(p.gate)
 }
 
-func (p *pool) says(h http.HandlerFunc) {
+func (p *pool) setHandler(h http.HandlerFunc) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.say = h
+	p.handler = h
 }
 
 func service(p *pool, more string) string {
 	return fmt.Sprintf("[services.%s]\n%s\nsource = { kind = \"static\", servers = [{ endpoint = %q }] }\n", p.name, more, p.Addr())
 }
 
-const head = `
+const baseConfig = `
 [process]
 descriptors = 1024
 drain = { idle = "0s", accept = "0s", most = "5s" }
@@ -91,31 +91,31 @@
 depth = 2
 `
 
-func district(gather string) string {
+func gatheringService(gather string) string {
 	return "[services.district.gather]\nmerge = \"json-array\"\n" + gather + "\n[[routes]]\nservice = \"district\"\n" +
 		"[[routes]]\nservice = \"district\"\npath = \"/search\"\nmethod = \"POST\"\nas = \"search\"\n"
 }
 
 // rig is a node with pools a, b and c.
-type rig struct {
+type testNode struct {
 	*node.Node
-	t       *testing.T
-	a, b, c *pool
-	more    map[string]string // of services' settings
+	t               *testing.T
+	a, b, c         *pool
+	serviceSettings map[string]string // of services' settings
 }
 
-func (r *rig) text(gather string) string {
-	s := head
+func (r *testNode) configText(gather string) string {
+	s := baseConfig
 	for _, p := range []*pool{r.a, r.b, r.c} {
-		s += service(p, cmp.Or(r.more[p.name], `plans = ["free"]`))
+		s += service(p, cmp.Or(r.serviceSettings[p.name], `plans = ["free"]`))
 	}
 	return s + gather
 }
 
-func start(t *testing.T, gather string, more map[string]string) *rig {
+func startNode(t *testing.T, gather string, serviceSettings map[string]string) *testNode {
 	t.Helper()
-	r := &rig{t: t, a: newPool(t, "a"), b: newPool(t, "b"), c: newPool(t, "c"), more: more}
-	cfg, err := config.Parse("test", []byte(r.text(gather)))
+	r := &testNode{t: t, a: newPool(t, "a"), b: newPool(t, "b"), c: newPool(t, "c"), serviceSettings: serviceSettings}
+	cfg, err := config.Parse("test", []byte(r.configText(gather)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,12 +123,12 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- r.Run(ctx) }()
+	done := make(chan error, 1)
+	go func() { done <- r.Run(ctx) }()
 	t.Cleanup(func() {
 		http.DefaultClient.CloseIdleConnections()
 		stop()
-		if err := testkit.Next(t, ended); err != nil {
+		if err := testkit.Next(t, done); err != nil {
 			t.Error(err)
 		}
 	})
@@ -143,7 +143,7 @@
 	header         http.Header
 }
 
-func (r *rig) ask(method, path, body string, fields ...string) answer {
+func (r *testNode) query(method, path, body string, fields ...string) answer {
 	r.t.Helper()
 	req, err := http.NewRequest(method, "http://"+r.Addr()+path, strings.NewReader(body))
 	if err != nil {
@@ -165,7 +165,7 @@
 }
 
 // is holds an answer against what it should be, and its body against what it claims.
-func (r *rig) is(a answer, status int, parts, missing, body string) {
+func (r *testNode) requireAnswer(a answer, status int, parts, missing, body string) {
 	r.t.Helper()
 	if a.status != status || a.parts != parts || a.missing != missing || status == 200 && body != "-" && a.body != body {
 		r.t.Errorf("%d, %q without %q: %s", a.status, a.parts, a.missing, a.body)
@@ -173,7 +173,7 @@
 }
 
 // idle waits until no service holds anything.
-func (r *rig) idle() {
+func (r *testNode) waitUntilIdle() {
 	r.t.Helper()
 	testkit.Until(r.t, "nothing is held", func() bool {
 		return !slices.ContainsFunc(r.Status(), func(s node.Status) bool {
@@ -182,7 +182,7 @@
 	})
 }
 
-func of(names ...string) string {
+func mergedBody(names ...string) string {
 	var all []string
 	for _, n := range names {
 		all = append(all, fmt.Sprintf("%q , {\"of\":%q}", n, n))
@@ -190,36 +190,36 @@
 	return "[" + strings.Join(all, ",") + "]"
 }
 
-const fixed = `parts = ["a", "b", "c"]
+const fixedDeadline = `parts = ["a", "b", "c"]
 least = 0.6
 deadline = "2s"
 half_life = "10s"`
 
 // The test's own program is the node where this variable is set.
-const role = "LOCKFLOW_TEST_SCATTER"
+const nodeVariable = "LOCKFLOW_TEST_SCATTER"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(role) != "" {
+	if os.Getenv(nodeVariable) != "" {
 		os.Exit(command.Main(os.Args[1:]))
 	}
 	goleak.VerifyTestMain(m)
 }
 
-var patient = strings.Replace(fixed, "2s", "15s", 1)
+var longDeadline = strings.Replace(fixedDeadline, "2s", "15s", 1)
 
 func TestWholePartialAndTooFew(t *testing.T) {
-	r := start(t, district(patient), nil)
-	r.is(r.ask("GET", "/x", ""), 200, "3/3", "", of("a", "b", "c"))
-	a := r.ask("HEAD", "/x", "")
-	if r.is(a, 200, "3/3", "", ""); a.header.Get("Content-Length") != fmt.Sprint(len(of("a", "b", "c"))) {
+	r := startNode(t, gatheringService(longDeadline), nil)
+	r.requireAnswer(r.query("GET", "/x", ""), 200, "3/3", "", mergedBody("a", "b", "c"))
+	a := r.query("HEAD", "/x", "")
+	if r.requireAnswer(a, 200, "3/3", "", ""); a.header.Get("Content-Length") != fmt.Sprint(len(mergedBody("a", "b", "c"))) {
 		t.Errorf("length %s", a.header.Get("Content-Length"))
 	}
-	r.is(r.ask("POST", "/x", ""), 405, "", "", "")
-	r.is(r.ask("POST", "/search", strings.Repeat("x", 9000)), 200, "3/3", "", of("a", "b", "c"))
+	r.requireAnswer(r.query("POST", "/x", ""), 405, "", "", "")
+	r.requireAnswer(r.query("POST", "/search", strings.Repeat("x", 9000)), 200, "3/3", "", mergedBody("a", "b", "c"))
 	if seen := r.b.Requests(); seen[len(seen)-1] != "POST /search  "+strings.Repeat("x", 9000) {
 		t.Errorf("the body came as %.80q", seen[len(seen)-1])
 	}
-	r.is(r.ask("POST", "/search", strings.Repeat("x", 70000)), 413, "", "", "")
+	r.requireAnswer(r.query("POST", "/search", strings.Repeat("x", 70000)), 413, "", "", "")
 	for name, bad := range map[string]http.HandlerFunc{
 		"an error":      func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500); io.WriteString(w, "[1]") },
 		"not found":     func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(404); io.WriteString(w, "[1]") },
@@ -243,29 +243,29 @@
 			io.WriteString(w, "["+strings.Repeat("1,", 300<<10)+"1]")
 		},
 	} {
-		r.b.says(bad)
-		a := r.ask("GET", "/x", "")
-		if a.status != 200 || a.parts != "2/3" || a.missing != "b" || a.body != of("a", "c") {
+		r.b.setHandler(bad)
+		a := r.query("GET", "/x", "")
+		if a.status != 200 || a.parts != "2/3" || a.missing != "b" || a.body != mergedBody("a", "c") {
 			t.Errorf("%s: %+v", name, a)
 		}
 	}
-	r.a.says(testkit.Reset)
-	r.is(r.ask("GET", "/x", ""), 503, "", "", "")
+	r.a.setHandler(testkit.Reset)
+	r.requireAnswer(r.query("GET", "/x", ""), 503, "", "", "")
 	st := r.GathererStatus()[0]
 	if st.Queries["whole"] != 3 || st.Queries["partial"] != 9 || st.Queries["too_few"] != 1 || st.MissingCounts["b"] != 10 || st.MissingCounts["c"] > 1 {
 		t.Errorf("%+v", st)
 	}
-	r.idle()
+	r.waitUntilIdle()
 }
 
 // A part that says nothing costs the others nothing: it is cut at the deadline, and what it answers
 // later is thrown away.
 func TestStalled(t *testing.T) {
 	t.Parallel() // it waits for deadlines, which are long for where cores are busy
-	r := start(t, district(fixed), nil)
+	r := startNode(t, gatheringService(fixedDeadline), nil)
 	r.c.stall()
 	for range 2 {
-		r.is(r.ask("GET", "/x", ""), 200, "2/3", "c", of("a", "b"))
+		r.requireAnswer(r.query("GET", "/x", ""), 200, "2/3", "c", mergedBody("a", "b"))
 	}
 	if r.a.Count() != 2 || r.b.Count() != 2 || r.c.Count() < 1 || r.c.Count() > 2 {
 		t.Errorf("asked %d, %d and %d times", r.a.Count(), r.b.Count(), r.c.Count())
@@ -274,27 +274,27 @@
 	r.c.release() // late answers teach, and are nobody's
 	// The first late answer makes c look as slow as its latency objective. Its module then admits a request only
 	// while no attempt is in flight, so the next query has to wait until both late answers are in.
-	r.idle()
-	r.is(r.ask("GET", "/x", ""), 200, "3/3", "", of("a", "b", "c"))
-	r.idle()
+	r.waitUntilIdle()
+	r.requireAnswer(r.query("GET", "/x", ""), 200, "3/3", "", mergedBody("a", "b", "c"))
+	r.waitUntilIdle()
 	if after := r.GathererStatus()[0].Learned; after.Sketches < before.Sketches || after.Queries != 3 {
 		t.Errorf("%+v after %+v", after, before)
 	}
 	// A client that leaves ends all.
 	r.c.stall()
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	req, _ := http.NewRequestWithContext(ctx, "GET", "http://"+r.Addr()+"/x", nil)
 	n := r.c.Count()
 	go func() {
 		testkit.Until(t, "it is asked", func() bool { return r.c.Count() > n })
-		leave()
+		cancel()
 	}()
 	if resp, err := http.DefaultClient.Do(req); err == nil {
 		resp.Body.Close()
 	}
 	testkit.Until(t, "it has left", func() bool { return r.GathererStatus()[0].Queries["left"] == 1 })
 	r.c.release()
-	r.idle()
+	r.waitUntilIdle()
 	testkit.Until(t, "nothing is open", func() bool { return r.GathererStatus()[0].InFlight == 0 })
 	if n := r.GathererStatus()[0].Learned.Queries; n != 4 { // else what one that explored may cost is never given back
 		t.Errorf("%d queries are settled", n)
@@ -302,24 +302,24 @@
 }
 
 // The client's time goes before all: an answer with what there is, in time.
-func TestClientsTime(t *testing.T) {
+func TestClientDeadline(t *testing.T) {
 	t.Parallel()
-	r := start(t, strings.Replace(district(strings.Replace(fixed, "2s", "none", 1)), "[services.district.gather]", "[services.district]\ntime_header = \"X-Wait\"\n[services.district.gather]", 1), nil)
+	r := startNode(t, strings.Replace(gatheringService(strings.Replace(fixedDeadline, "2s", "none", 1)), "[services.district.gather]", "[services.district]\ntime_header = \"X-Wait\"\n[services.district.gather]", 1), nil)
 	r.c.stall()
-	r.is(r.ask("GET", "/x", "", "X-Wait", "3s"), 200, "2/3", "c", of("a", "b"))
+	r.requireAnswer(r.query("GET", "/x", "", "X-Wait", "3s"), 200, "2/3", "c", mergedBody("a", "b"))
 	r.b.stall()
-	r.is(r.ask("GET", "/x", "", "X-Wait", "3s"), 503, "", "", "")
-	r.is(r.ask("GET", "/x", "", "X-Wait", "soon"), 400, "", "", "")
+	r.requireAnswer(r.query("GET", "/x", "", "X-Wait", "3s"), 503, "", "", "")
+	r.requireAnswer(r.query("GET", "/x", "", "X-Wait", "soon"), 400, "", "", "")
 	r.b.release()
 	r.c.release()
 }
 
 // A quota that refuses at one part has the query refused as a whole: no part is sent anything.
 func TestQuota(t *testing.T) {
-	r := start(t, district(patient), map[string]string{"b": `plans = ["tight"]`})
+	r := startNode(t, gatheringService(longDeadline), map[string]string{"b": `plans = ["tight"]`})
 	served := 0
 	for range 12 {
-		switch a := r.ask("GET", "/x", ""); {
+		switch a := r.query("GET", "/x", ""); {
 		case a.status == 200 && a.parts == "3/3":
 			served++
 		case a.status != 503 || a.header.Get("Retry-After") == "" || !strings.Contains(a.body, "the quota of a part, b"):
@@ -343,34 +343,34 @@
 			t.Errorf("%s holds %d", s.Name, s.Requests)
 		}
 	}
-	r.idle()
+	r.waitUntilIdle()
 }
 
 // Gatherers of gatherers, in this process and beyond it, count by what they hold.
 func TestTwoLevels(t *testing.T) {
 	t.Parallel()
 	west := "[services.west.gather]\nparts = [\"b\", \"c\"]\nleast = 0.5\nmerge = \"json-array\"\ndeadline = \"2s\"\nhalf_life = \"10s\"\n"
-	r := start(t, west+district("parts = [\"a\", \"west\"]\nweights = [3, 1]\nleast = 0.6\ndeadline = \"4s\"\nhalf_life = \"10s\""), nil)
-	r.is(r.ask("GET", "/x", ""), 200, "3/3", "", of("a", "b", "c"))
+	r := startNode(t, west+gatheringService("parts = [\"a\", \"west\"]\nweights = [3, 1]\nleast = 0.6\ndeadline = \"4s\"\nhalf_life = \"10s\""), nil)
+	r.requireAnswer(r.query("GET", "/x", ""), 200, "3/3", "", mergedBody("a", "b", "c"))
 	r.c.stall()
-	r.is(r.ask("GET", "/x", ""), 200, "2/3", "west/c", of("a", "b"))
+	r.requireAnswer(r.query("GET", "/x", ""), 200, "2/3", "west/c", mergedBody("a", "b"))
 	r.b.stall()
-	r.is(r.ask("GET", "/x", ""), 200, "1/3", "west", of("a"))
+	r.requireAnswer(r.query("GET", "/x", ""), 200, "1/3", "west", mergedBody("a"))
 	r.b.release()
 	r.c.release()
-	r.b.says(func(w http.ResponseWriter, _ *http.Request) { // another gatherer, of four
+	r.b.setHandler(func(w http.ResponseWriter, _ *http.Request) { // another gatherer, of four
 		w.Header().Set("Lockflow-Parts", "2/4")
 		w.Header().Set("Lockflow-Missing", "p, q/r")
 		io.WriteString(w, "[1,2]")
 	})
-	r.is(r.ask("GET", "/x", ""), 200, "4/6", "west/b/p, west/b/q/r", "["+strings.Trim(of("a"), "[]")+",1,2,"+strings.Trim(of("c"), "[]")+"]")
-	r.idle()
+	r.requireAnswer(r.query("GET", "/x", ""), 200, "4/6", "west/b/p, west/b/q/r", "["+strings.Trim(mergedBody("a"), "[]")+",1,2,"+strings.Trim(mergedBody("c"), "[]")+"]")
+	r.waitUntilIdle()
 }
 
 // The settings change under load, and nothing is lost: each query has one answer, and none claims
 // what it doesn't hold.
 func TestReloadUnderLoad(t *testing.T) {
-	r := start(t, district(patient), nil)
+	r := startNode(t, gatheringService(longDeadline), nil)
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
 	for range 4 {
@@ -381,24 +381,24 @@
 					return
 				default:
 				}
-				a := r.ask("GET", "/x", "")
+				a := r.query("GET", "/x", "")
 				var all []any
-				held, n := 0, 0
-				_, _ = fmt.Sscanf(a.parts, "%d/%d", &held, &n) // 0 and 0 of an answer without parts
+				received, n := 0, 0
+				_, _ = fmt.Sscanf(a.parts, "%d/%d", &received, &n) // 0 and 0 of an answer without parts
 				if err := json.Unmarshal([]byte(a.body), &all); a.status == 503 {
 					continue // busy cores: it is counted below
-				} else if a.status != 200 || err != nil || len(all) != 2*held || (held < n) != (a.missing != "") {
+				} else if a.status != 200 || err != nil || len(all) != 2*received || (received < n) != (a.missing != "") {
 					t.Errorf("%+v: %v", a, err)
 				}
 			}
 		})
 	}
 	for i := range 12 {
-		text := []string{district(patient), district(strings.Replace(patient, `, "c"]`, "]", 1)), district(strings.Replace(patient, "15s", "none", 1))}[i%3]
+		configText := []string{gatheringService(longDeadline), gatheringService(strings.Replace(longDeadline, `, "c"]`, "]", 1)), gatheringService(strings.Replace(longDeadline, "15s", "none", 1))}[i%3]
 		if i%3 == 1 {
-			text += "[[routes]]\nservice = \"c\"\npath = \"/c\"\n"
+			configText += "[[routes]]\nservice = \"c\"\npath = \"/c\"\n"
 		}
-		cfg, err := config.Parse("test", []byte(r.text(text)))
+		cfg, err := config.Parse("test", []byte(r.configText(configText)))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testsupport/scattergathertest/process_test.go
+++ b/internal/testsupport/scattergathertest/process_test.go
@@ -22,23 +22,23 @@
 )
 
 // proc is an instance of the program as a process of its own.
-type proc struct {
-	t      *testing.T
-	dir    string
-	client manage.Client
-	cmd    *exec.Cmd
-	addr   atomic.Pointer[string]
-	dead   atomic.Bool // it was killed: what it owed is lost
+type instance struct {
+	t        *testing.T
+	dir      string
+	client   manage.Client
+	cmd      *exec.Cmd
+	addr     atomic.Pointer[string]
+	isKilled atomic.Bool // it was killed: what it owed is lost
 }
 
-func run(t *testing.T, text string) *proc {
-	p := &proc{t: t, dir: testkit.ShortDir(t)}
+func startInstance(t *testing.T, text string) *instance {
+	p := &instance{t: t, dir: testkit.ShortDir(t)}
 	p.client.Path = filepath.Join(p.dir, "c.sock")
-	p.write(text)
+	p.writeConfig(text)
 	t.Cleanup(func() {
 		if s, err := p.client.Status(context.Background()); err == nil {
 			syscall.Kill(s.PID, syscall.SIGKILL)
-			testkit.Until(t, "the end", func() bool { return syscall.Kill(s.PID, 0) != nil || zombie(s.PID) })
+			testkit.Until(t, "the end", func() bool { return syscall.Kill(s.PID, 0) != nil || isZombie(s.PID) })
 		}
 		p.cmd.Process.Kill()
 		p.cmd.Wait()
@@ -47,37 +47,37 @@
 	return p
 }
 
-func zombie(pid int) bool {
+func isZombie(pid int) bool {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	return err != nil || strings.Contains(string(raw), ") Z ")
 }
 
-func (p *proc) write(text string) {
+func (p *instance) writeConfig(text string) {
 	if err := os.WriteFile(p.dir+"/c.toml", []byte(strings.ReplaceAll(text, "DIR", p.dir)), 0o600); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-func (p *proc) start() {
+func (p *instance) start() {
 	p.t.Helper()
 	p.cmd = exec.Command(os.Args[0], "serve", "--config", p.dir+"/c.toml", "--control", p.client.Path)
-	p.cmd.Env = append(os.Environ(), role+"=1")
+	p.cmd.Env = append(os.Environ(), nodeVariable+"=1")
 	if err := p.cmd.Start(); err != nil {
 		p.t.Fatal(err)
 	}
-	p.until("ready", func(s manage.Status) bool { return s.IsReady() })
+	p.waitForStatus("ready", func(s manage.Status) bool { return s.IsReady() })
 	addr := p.status().Listeners[0]
 	p.addr.Store(&addr)
-	p.dead.Store(false)
+	p.isKilled.Store(false)
 }
 
-func (p *proc) kill() {
-	p.dead.Store(true)
+func (p *instance) kill() {
+	p.isKilled.Store(true)
 	p.cmd.Process.Kill()
 	p.cmd.Wait()
 }
 
-func (p *proc) status() manage.Status {
+func (p *instance) status() manage.Status {
 	s, err := p.client.Status(context.Background())
 	if err != nil {
 		p.t.Fatal(err)
@@ -85,33 +85,33 @@
 	return s
 }
 
-func (p *proc) until(what string, is func(manage.Status) bool) {
+func (p *instance) waitForStatus(what string, condition func(manage.Status) bool) {
 	p.t.Helper()
 	testkit.Until(p.t, what, func() bool {
 		s, err := p.client.Status(context.Background())
-		return err == nil && is(s)
+		return err == nil && condition(s)
 	})
 }
 
 // tally is what clients were answered.
-type tally struct {
-	mu                sync.Mutex
-	asked, whole, cut int
-	refused, lost     int
+type answerCounts struct {
+	mu                         sync.Mutex
+	queries, complete, partial int
+	rejected, lost             int
 }
 
-func (c *tally) String() string {
-	return fmt.Sprintf("%d asked, %d whole, %d cut, %d refused, %d lost", c.asked, c.whole, c.cut, c.refused, c.lost)
+func (c *answerCounts) String() string {
+	return fmt.Sprintf("%d asked, %d whole, %d cut, %d refused, %d lost", c.queries, c.complete, c.partial, c.rejected, c.lost)
 }
 
 // ask asks once and holds the answer against what it claims: each of all names is in it, or named as
 // missing.
-func (c *tally) ask(p *proc, all []string) {
+func (c *answerCounts) query(p *instance, all []string) {
 	c.mu.Lock()
-	c.asked++
+	c.queries++
 	c.mu.Unlock()
-	at := p.addr.Load()
-	resp, err := http.DefaultClient.Get("http://" + *at + "/x")
+	address := p.addr.Load()
+	resp, err := http.DefaultClient.Get("http://" + *address + "/x")
 	var body []byte
 	if err == nil {
 		body, err = io.ReadAll(resp.Body)
@@ -121,38 +121,38 @@
 	defer c.mu.Unlock()
 	switch {
 	case err != nil:
-		if c.lost++; !p.dead.Load() && p.addr.Load() == at {
+		if c.lost++; !p.isKilled.Load() && p.addr.Load() == address {
 			p.t.Errorf("lost: %v", err)
 		}
 		return
 	case resp.StatusCode != 200:
-		c.refused++
+		c.rejected++
 		return
 	}
-	var names []string
-	if err := json.Unmarshal(body, &names); err != nil {
+	var elements []string
+	if err := json.Unmarshal(body, &elements); err != nil {
 		p.t.Errorf("%q: %v", body, err)
 	}
-	held, of := 0, 0
-	if _, err := fmt.Sscanf(resp.Header.Get("Lockflow-Parts"), "%d/%d", &held, &of); err != nil {
+	received, total := 0, 0
+	if _, err := fmt.Sscanf(resp.Header.Get("Lockflow-Parts"), "%d/%d", &received, &total); err != nil {
 		p.t.Error(err)
 	}
 	missing := strings.FieldsFunc(resp.Header.Get("Lockflow-Missing"), func(c rune) bool { return c == ',' || c == ' ' })
-	if held == of {
-		c.whole++
+	if received == total {
+		c.complete++
 	} else {
-		c.cut++
+		c.partial++
 	}
-	left := slices.Clone(missing)
+	remaining := slices.Clone(missing)
 	for _, n := range all {
-		is := slices.Contains(names, n)
-		named := slices.IndexFunc(left, func(m string) bool { return m == n || strings.HasPrefix(n, m+"/") })
-		if is == (named >= 0) {
-			p.t.Errorf("%s in %v without %v", n, names, missing)
+		isReceived := slices.Contains(elements, n)
+		missingIndex := slices.IndexFunc(remaining, func(m string) bool { return m == n || strings.HasPrefix(n, m+"/") })
+		if isReceived == (missingIndex >= 0) {
+			p.t.Errorf("%s in %v without %v", n, elements, missing)
 		}
 	}
-	if len(names) != held {
-		p.t.Errorf("%d/%d: %v", held, of, names)
+	if len(elements) != received {
+		p.t.Errorf("%d/%d: %v", received, total, elements)
 	}
 }
 
@@ -161,7 +161,7 @@
 	t.Helper()
 	for i := range 5 {
 		p := newPool(t, fmt.Sprint("p", i))
-		p.says(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintf(w, "[%q]", p.name) })
+		p.setHandler(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintf(w, "[%q]", p.name) })
 		pools = append(pools, p)
 		services += service(p, `plans = ["free"]`)
 		all, quoted = append(all, p.name), append(quoted, fmt.Sprintf("%q", p.name))
@@ -171,22 +171,22 @@
 
 // wereAsked checks that pools were sent each of n queries: never twice, and each but for what a node with busy cores
 // does not send in time.
-func wereAsked(t *testing.T, when string, n int, of []*pool) {
+func requireQueried(t *testing.T, phase string, queries int, pools []*pool) {
 	t.Helper()
-	for _, p := range of {
-		is := p.Count()
-		testkit.Until(t, fmt.Sprintf("%s was asked %d times by %d queries%s", p.name, is, n, when), func() bool { return p.Count() >= n*9/10 })
-		if p.Count() > n {
-			t.Errorf("%s was asked %d times by %d queries%s", p.name, p.Count(), n, when)
+	for _, p := range pools {
+		count := p.Count()
+		testkit.Until(t, fmt.Sprintf("%s was asked %d times by %d queries%s", p.name, count, queries, phase), func() bool { return p.Count() >= queries*9/10 })
+		if p.Count() > queries {
+			t.Errorf("%s was asked %d times by %d queries%s", p.name, p.Count(), queries, phase)
 		}
 	}
 }
 
 // reloads has an instance take other settings four times; it goes on with what it has learned.
-func reloads(t *testing.T, p *proc, text string) {
+func reloadRepeatedly(t *testing.T, p *instance, text string) {
 	t.Helper()
 	for i := range 4 {
-		p.write(strings.Replace(text, `half_life = "400ms"`, fmt.Sprintf(`half_life = "%dms"`, 300+100*i), 1))
+		p.writeConfig(strings.Replace(text, `half_life = "400ms"`, fmt.Sprintf(`half_life = "%dms"`, 300+100*i), 1))
 		if s, err := p.client.Reload(context.Background()); err != nil || s.Generation != i+2 || !s.ScatterGathers[0].IsKnown {
 			t.Errorf("%+v, %v", s, err)
 		}
@@ -194,7 +194,7 @@
 }
 
 // bothLevels checks an answer of the upper instance, under whose parts the lower ones' parts are named.
-func bothLevels(t *testing.T, top *proc) {
+func requireTwoLevelAnswer(t *testing.T, top *instance) {
 	t.Helper()
 	resp, err := http.Get("http://" + *top.addr.Load() + "/x")
 	if err != nil {
@@ -203,11 +203,11 @@
 	raw, _ := io.ReadAll(resp.Body)
 	resp.Body.Close()
 	var names []string
-	held, of := 0, 0
-	if _, err := fmt.Sscanf(resp.Header.Get("Lockflow-Parts"), "%d/%d", &held, &of); err != nil {
+	received, total := 0, 0
+	if _, err := fmt.Sscanf(resp.Header.Get("Lockflow-Parts"), "%d/%d", &received, &total); err != nil {
 		t.Error(err)
 	}
-	if err := json.Unmarshal(raw, &names); err != nil || resp.StatusCode != 200 || len(names) != held || of != 10 {
+	if err := json.Unmarshal(raw, &names); err != nil || resp.StatusCode != 200 || len(names) != received || total != 10 {
 		t.Errorf("%d %s: %q, %v", resp.StatusCode, resp.Header.Get("Lockflow-Parts"), raw, err)
 	}
 }
@@ -222,79 +222,79 @@
 	}
 	t.Cleanup(store.Close)
 	pools, services, all, quoted := startPools(t)
-	process := strings.Replace(head, "[process]", "[process]\nstate = \"DIR/state\"\ncheckpoint = \"20ms\"\nupgrade = { probation = \"100ms\" }", 1)
-	gather := "[services.district]\ntime_header = \"X-Time-Left\"\n" + district("parts = ["+strings.Join(quoted, ", ")+
+	process := strings.Replace(baseConfig, "[process]", "[process]\nstate = \"DIR/state\"\ncheckpoint = \"20ms\"\nupgrade = { probation = \"100ms\" }", 1)
+	gather := "[services.district]\ntime_header = \"X-Time-Left\"\n" + gatheringService("parts = ["+strings.Join(quoted, ", ")+
 		"]\nleast = 0.4\nhalf_life = \"400ms\"\ndeadline = \"learned\"\nshare = { addresses = [\""+store.Addr()+"\"] }")
 	text := process + services + gather
-	var low []*proc
+	var lower []*instance
 	for range 3 {
-		low = append(low, run(t, text))
+		lower = append(lower, startInstance(t, text))
 	}
-	upper := process
+	upperConfig := process
 	for i, name := range []string{"near", "far"} {
-		upper += fmt.Sprintf("[services.%s]\nplans = [\"free\"]\nsend_time = true\nsource = { kind = \"static\", servers = [{ endpoint = %q }] }\n", name, *low[2-i].addr.Load())
+		upperConfig += fmt.Sprintf("[services.%s]\nplans = [\"free\"]\nsend_time = true\nsource = { kind = \"static\", servers = [{ endpoint = %q }] }\n", name, *lower[2-i].addr.Load())
 	}
 	// The names of what the lower ones hold are alike, so the upper one's are told apart by its parts.
-	top := run(t, upper+district("parts = [\"near\", \"far\"]\nleast = 0.4\nhalf_life = \"2s\"\ndeadline = \"none\""))
+	top := startInstance(t, upperConfig+gatheringService("parts = [\"near\", \"far\"]\nleast = 0.4\nhalf_life = \"2s\"\ndeadline = \"none\""))
 
-	var c tally
-	wave := func(n int, of ...*proc) {
+	var answers answerCounts
+	queryAll := func(n int, instances ...*instance) {
 		var clients sync.WaitGroup
-		for _, p := range of {
+		for _, p := range instances {
 			clients.Go(func() {
 				for range n {
-					c.ask(p, all)
+					answers.query(p, all)
 				}
 			})
 		}
 		clients.Wait()
 	}
-	wave(60, low...)
-	low[0].until("enough is learned", func(s manage.Status) bool { return s.ScatterGathers[0].IsKnown })
-	if c.refused+c.lost > 0 || c.whole == 0 {
-		t.Error(c.String())
+	queryAll(60, lower...)
+	lower[0].waitForStatus("enough is learned", func(s manage.Status) bool { return s.ScatterGathers[0].IsKnown })
+	if answers.rejected+answers.lost > 0 || answers.complete == 0 {
+		t.Error(answers.String())
 	}
-	wereAsked(t, "", c.asked, pools)
+	requireQueried(t, "", answers.queries, pools)
 	pools[4].stall()
-	wave(15, low...)
-	wereAsked(t, ", while another stalled", c.asked, pools[:4])
-	if c.refused+c.lost > 0 || c.cut < 45 {
-		t.Error("while a pool stalled:", c.String())
+	queryAll(15, lower...)
+	requireQueried(t, ", while another stalled", answers.queries, pools[:4])
+	if answers.rejected+answers.lost > 0 || answers.partial < 45 {
+		t.Error("while a pool stalled:", answers.String())
 	}
 	// All that happens to instances, under load.
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
-	for _, p := range low {
+	for _, p := range lower {
 		clients.Go(func() {
 			for {
 				select {
 				case <-stop:
 					return
 				default:
-					c.ask(p, all)
+					answers.query(p, all)
 				}
 			}
 		})
 	}
-	learned := low[0].status().ScatterGathers[0].Learned.Sketches
-	low[0].kill()
-	low[0].start()
-	if g := low[0].status().ScatterGathers[0]; !g.IsKnown || g.Learned.Sketches < learned {
+	learned := lower[0].status().ScatterGathers[0].Learned.Sketches
+	lower[0].kill()
+	lower[0].start()
+	if g := lower[0].status().ScatterGathers[0]; !g.IsKnown || g.Learned.Sketches < learned {
 		t.Errorf("after a kill %+v", g)
 	}
-	old := low[1].status()
-	if _, err := low[1].client.Upgrade(context.Background(), ""); err != nil {
+	old := lower[1].status()
+	if _, err := lower[1].client.Upgrade(context.Background(), ""); err != nil {
 		t.Fatal(err)
 	}
-	low[1].until("a successor that knows", func(s manage.Status) bool { return s.PID != old.PID && s.IsReady() && s.ScatterGathers[0].IsKnown })
-	reloads(t, low[2], text)
+	lower[1].waitForStatus("a successor that knows", func(s manage.Status) bool { return s.PID != old.PID && s.IsReady() && s.ScatterGathers[0].IsKnown })
+	reloadRepeatedly(t, lower[2], text)
 	pools[4].release()
 	close(stop)
 	clients.Wait()
-	if c.refused > 0 {
-		t.Error(c.String())
+	if answers.rejected > 0 {
+		t.Error(answers.String())
 	}
-	bothLevels(t, top)
-	low[2].until("what others learned", func(s manage.Status) bool { return s.ScatterGathers[0].Shared.Members > 0 })
+	requireTwoLevelAnswer(t, top)
+	lower[2].waitForStatus("what others learned", func(s manage.Status) bool { return s.ScatterGathers[0].Shared.Members > 0 })
 	http.DefaultClient.CloseIdleConnections()
 }
