--- a/internal/testsupport/fake/client.go
+++ b/internal/testsupport/fake/client.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Streams of random numbers, in addition to Clients.Seed: of the open loop, and of the first worker.
+// Random number streams, used as the second seed value next to Clients.Seed: of the open loop and of the first worker.
 const (
 	openLoopStream    = 5
 	firstWorkerStream = 100
 )
 
-// Call is what a client wants, over all its attempts.
+// Call is a request of a client, which may take several attempts.
 type Call struct {
-	Kind              string // under which it is counted
+	Kind              string // key of the Result in which the call is counted
 	Host              string
 	Method            string
 	Path              string
@@ -25,58 +25,58 @@
 	Key               string // idempotency key
 	Body              string
 	Units             int
-	Spread            int           // fan-out of the customer; 0 is one
+	Spread            int           // fan-out of the customer; 0 means 1
 	First             int           // number of the first instance of its fan-out
-	RetryOnlyRejected bool          // no retry after an answer that leaves open whether it was executed
+	RetryOnlyRejected bool          // no retry after an answer from which it is unknown whether the request was executed
 	Deadline          time.Duration // of an attempt
-	Headers           []string      // more lines, "K: V"
+	Headers           []string      // additional header lines, "K: V"
 }
 
-// Clients configure clients that send calls on persistent connections, without pipelining.
+// Clients configures clients that send calls over persistent connections without pipelining.
 type Clients struct {
 	Addr           string
-	PickAddress    func(rng *rand.Rand, c Call, last string) string // address of each attempt; nil is Addr
-	WasKilled      func(addr string, since time.Time) bool          // whether a node was killed since then; nil is never
+	PickAddress    func(rng *rand.Rand, c Call, last string) string // returns the address for an attempt; if nil, Addr is used
+	WasKilled      func(addr string, since time.Time) bool          // reports whether the node was killed since then; nil means never
 	Seed           uint64
 	Call           func(rng *rand.Rand) Call // returns the next call
-	Retries        int                       // maximum, after rejections and failures
-	RetryTimeout   time.Duration             // of a call, after which it is not retried; 0 is none
+	Retries        int                       // maximum number of retries after rejections and failures
+	RetryTimeout   time.Duration             // time after which a call is no longer retried; 0 means no limit
 	RetryPause     time.Duration             // before each retry
-	AbortFraction  float64                   // of the attempts, which the client abandons
-	Interval       time.Duration             // open loop: between two calls; 0 is a closed loop
-	Workers        int                       // concurrent calls; of an open loop at most
-	ConnPerAttempt bool                      // a new connection for each attempt
+	AbortFraction  float64                   // fraction of the attempts that the client abandons
+	Interval       time.Duration             // time between two calls of an open loop; 0 means a closed loop
+	Workers        int                       // number of concurrent calls; in an open loop their maximum
+	ConnPerAttempt bool                      // open a new connection for each attempt
 	OnAnswer       func(Answer)              // called concurrently at the end of each attempt; may be nil
 }
 
-// Answer is how an attempt ended.
+// Answer is the outcome of an attempt.
 type Answer struct {
 	Sent          time.Time
 	Duration      time.Duration
-	Status        int  // 0 is no answer
+	Status        int  // 0 if there was no answer
 	IsUnconnected bool // no connection was established
 }
 
-// Result are the counts of the calls of one kind.
+// Result holds the counts of the calls of one kind.
 type Result struct {
 	Calls       int `json:"calls"`
 	Attempts    int `json:"tries"`
-	Served      int `json:"served"`  // calls
+	Served      int `json:"served"`  // calls that were served
 	Rejected    int `json:"refused"` // attempts answered 429 or 503
 	Failed      int `json:"failed"`  // attempts with another status than 200
 	Aborted     int `json:"left"`    // attempts that the client abandoned
-	Lost        int `json:"lost"`    // attempts without a complete answer
-	Killed      int `json:"killed"`  // the same, of a node that was killed meanwhile
+	Lost        int `json:"lost"`    // attempts without a complete answer that are not counted as Aborted, Killed or Unconnected
+	Killed      int `json:"killed"`  // attempts without a complete answer whose node was killed in the meantime
 	Unconnected int `json:"closed"`  // attempts for which no connection was established
-	Wrong       int `json:"wrong"`   // answers to another request
+	Wrong       int `json:"wrong"`   // answers whose body has another request's ID
 	Late        int `json:"late"`    // answers after the attempt's deadline
-	Resent      int `json:"resent"`  // requests that crossed the close of their connection
-	Unsent      int `json:"unsent"`  // calls of an open loop without a free worker
+	Resent      int `json:"resent"`  // requests sent again because the connection was closed before they were read
+	Unsent      int `json:"unsent"`  // calls of an open loop that were not sent, as no worker was free
 
-	Durations Times `json:"-"` // of calls that were served, from the first attempt on
+	Durations Times `json:"-"` // of served calls, measured from the first attempt
 }
 
-// Quantile returns the duration that a fraction of the served calls, from 0 to 1, did not exceed.
+// Quantile returns the duration that the given fraction (0 to 1) of the served calls did not exceed.
 func (r *Result) Quantile(fraction float64) time.Duration { return r.Durations.Quantile(fraction) }
 
 // ServedFraction returns the fraction of the calls that were served.
@@ -86,13 +86,13 @@
 type Run struct {
 	Clients
 	done              chan struct{}
-	lastRequestNumber atomic.Int64 // request number
+	lastRequestNumber atomic.Int64 // number of the last request, for request IDs
 
 	mu      sync.Mutex
 	results map[string]*Result // by kind
 }
 
-// Start has the clients send until ctx ends.
+// Start starts the clients, which send calls until ctx is done.
 func (c Clients) Start(ctx context.Context) *Run {
 	r := &Run{Clients: c, done: make(chan struct{}), results: make(map[string]*Result)}
 	go func() {
@@ -106,7 +106,7 @@
 	return r
 }
 
-// closedLoop has each worker send a call after another.
+// closedLoop has each worker send calls one after another.
 func (r *Run) closedLoop(ctx context.Context) {
 	var workers sync.WaitGroup
 	for i := range max(r.Workers, 1) {
@@ -121,7 +121,7 @@
 	workers.Wait()
 }
 
-// openLoop sends a call in each interval, by a free worker.
+// openLoop sends one call per interval through a free worker. If none is free, the call is counted as unsent.
 func (r *Run) openLoop(ctx context.Context) {
 	var calls sync.WaitGroup
 	defer calls.Wait()
@@ -166,7 +166,7 @@
 	return r.results
 }
 
-// Snapshot returns the results so far by kind, without durations.
+// Snapshot returns the current results by kind, without durations.
 func (r *Run) Snapshot() map[string]Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -179,7 +179,7 @@
 	return snapshot
 }
 
-// count modifies the result of a kind.
+// count applies modify to the result of a kind, which is created if necessary.
 func (r *Run) count(kind string, modify func(*Result)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testsupport/fake/client_worker.go
+++ b/internal/testsupport/fake/client_worker.go
@@ -15,12 +15,13 @@
 )
 
 const (
-	// maxLinks limits the connections of a worker.
+	// maxWorkerConns limits the connections of a worker.
 	maxWorkerConns = 4
 	dialTimeout    = 5 * time.Second
-	// answerGrace is added to the deadline of an attempt: an answer is late, not lost, on a busy machine.
+	// answerGrace is the time that a client waits for an answer after the attempt's deadline, so that an answer delayed by
+	// a busy machine is counted as late, not as lost.
 	answerGrace = 10 * time.Second
-	// maxAbortDelay limits the time until a client abandons an attempt.
+	// maxAbortDelay is the maximum time after which a client abandons an attempt, if it does so.
 	maxAbortDelay = 20 * time.Millisecond
 )
 
@@ -30,7 +31,7 @@
 	errNoConn           = errors.New("no connection came up")
 )
 
-// worker is one client.
+// worker is one client, which sends one request at a time.
 type worker struct {
 	run *Run
 	rng *rand.Rand
@@ -38,12 +39,12 @@
 	conns map[string]*clientConn // by address
 }
 
-// link is a worker's connection to one address.
+// clientConn is a worker's connection to one address.
 type clientConn struct {
 	addr string
-	conn net.Conn // nil is not connected
+	conn net.Conn // nil if not connected
 	in   *bufio.Reader
-	used bool // the connection has had an answer
+	used bool // an answer was received on the connection
 }
 
 func (r *Run) worker(i int) *worker {
@@ -56,7 +57,7 @@
 	return w
 }
 
-// useLink sends the next attempt to an address.
+// useAddress selects the address, and its connection, for the next attempt.
 func (w *worker) useAddress(addr string) {
 	w.clientConn = w.conns[addr]
 	if w.clientConn != nil {
@@ -69,7 +70,7 @@
 	w.conns[addr] = w.clientConn
 }
 
-// evictLink closes any one of the worker's connections.
+// evictConn closes and removes an arbitrary connection of the worker.
 func (w *worker) evictConn() {
 	for addr, l := range w.conns {
 		l.disconnect()
@@ -92,7 +93,7 @@
 	}
 }
 
-// connect establishes the connection, if there is none.
+// connect establishes the connection if it is not established.
 func (l *clientConn) connect() error {
 	if l.conn != nil {
 		return nil
@@ -107,12 +108,12 @@
 	return nil
 }
 
-// isRejection reports whether a status says that a request was not executed.
+// isRejection reports whether a status means that the request was not executed.
 func isRejection(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// call makes a call with all its attempts.
+// call makes a call, with retries.
 func (w *worker) call(c Call) {
 	startedAt := time.Now()
 	w.run.count(c.Kind, func(s *Result) { s.Calls++ })
@@ -137,7 +138,7 @@
 }
 
 // mayRetry reports whether a call is retried after an attempt that was not served. A client with a single address does
-// not retry without an answer.
+// not retry an attempt that got no answer.
 func (w *worker) mayRetry(c Call, number, status int) bool {
 	if number >= w.run.Retries || status == 0 && w.run.PickAddress == nil {
 		return false
@@ -145,7 +146,7 @@
 	return !c.RetryOnlyRejected || isRejection(status)
 }
 
-// attempt sends one request and returns its status, 0 without an answer, and the Retry-After.
+// attempt sends one request and returns the status, which is 0 if there was no answer, and the Retry-After of the answer.
 func (w *worker) attempt(c Call, number int) (status int, retryAfter time.Duration) {
 	if w.run.PickAddress != nil {
 		w.useAddress(w.run.PickAddress(w.rng, c, w.addr))
@@ -155,8 +156,8 @@
 	sent := time.Now()
 	isAborted := w.run.AbortFraction > 0 && w.rng.Float64() < w.run.AbortFraction
 	reply, err := w.exchange(c, id, number, isAborted)
-	// The node may close a connection between two requests. If that crosses a request that it has not read, the
-	// client sends it again with the same ID (PROTOCOL).
+	// The node may close a connection between two requests. If it does so while a request is on its way that it has not
+	// read, the client sends the request again with the same ID (PROTOCOL).
 	if errors.Is(err, errClosedBeforeRead) {
 		w.run.count(c.Kind, func(s *Result) { s.Resent++ })
 		reply, err = w.exchange(c, id, number, isAborted)
@@ -181,12 +182,12 @@
 	return reply.status, reply.retryAfter
 }
 
-// countError counts an attempt without an answer.
+// countError counts an attempt that got no answer.
 func (w *worker) countError(s *Result, err error, sent time.Time) {
 	switch {
 	case errors.Is(err, errAborted):
 		s.Aborted++
-	case errors.Is(err, errNoConn) && w.run.PickAddress != nil: // the client uses another address
+	case errors.Is(err, errNoConn) && w.run.PickAddress != nil: // the client retries at another address
 		s.Unconnected++
 	case w.run.WasKilled != nil && w.run.WasKilled(w.addr, sent):
 		s.Killed++
@@ -195,7 +196,7 @@
 	}
 }
 
-// countAnswer counts an answer. isOwn is whether its body names the request.
+// countAnswer counts an answer. isOwn reports whether its body contains the ID of the request.
 func (r *Result) countAnswer(status int, isOwn bool) {
 	switch {
 	case status == http.StatusOK && !isOwn:
@@ -208,7 +209,7 @@
 	}
 }
 
-// reply is a complete answer; the zero value is none.
+// reply is a complete answer. The zero value means that there was none.
 type reply struct {
 	status     int
 	retryAfter time.Duration
@@ -241,7 +242,7 @@
 	return w.readReply(c.Method)
 }
 
-// readReply reads an answer, and closes the connection if that says so.
+// readReply reads an answer, and closes the connection if the answer requires it (Connection: close).
 func (l *clientConn) readReply(method string) (reply, error) {
 	response, err := http.ReadResponse(l.in, &http.Request{Method: method})
 	if err != nil {
@@ -262,8 +263,8 @@
 	return received, nil
 }
 
-// requestError wraps an error before the first byte of an answer: errUnread if the connection had been used before
-// and has not timed out.
+// requestError classifies an error that occurred before the first byte of an answer. It wraps errClosedBeforeRead if the
+// connection was used before and the error is not a timeout: the node probably closed the connection while it was idle.
 func (l *clientConn) requestError(err error) error {
 	var networkError net.Error
 	isTimeout := errors.As(err, &networkError) && networkError.Timeout()
@@ -273,7 +274,7 @@
 	return err
 }
 
-// requestText returns a request as it is sent (PROTOCOL).
+// requestText returns the bytes of a request on the wire (PROTOCOL).
 func requestText(c Call, id string, attempt int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s?account=%016x HTTP/1.1\r\nHost: %s\r\nX-Correlation-Id: %s\r\nX-Tariff: %s\r\nX-Time-Left: %dm\r\n",
--- a/internal/testsupport/fake/discovery.go
+++ b/internal/testsupport/fake/discovery.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// heartbeatInterval is how often a watch without changes sends an empty line (PROTOCOL: 2 s).
+// heartbeatInterval is the interval at which an empty line is sent on a watch without changes (PROTOCOL: 2 s).
 const heartbeatInterval = time.Second
 
 // States of servers in discovery (PROTOCOL).
@@ -28,10 +28,10 @@
 	Group    int     `json:"pod_group"`
 	State    string  `json:"state"`
 	Capacity float64 `json:"capacity_hint"`
-	BootMS   float64 `json:"boot_ms"` // Unix time in milliseconds; 0 is not known
+	BootMS   float64 `json:"boot_ms"` // start time as Unix time in milliseconds; 0 if unknown
 }
 
-// Entry returns the server's entry, with the state up. Only a server that warms up reports when it has started.
+// Entry returns the server's entry, with the state up. Only a server that warms up reports its start time.
 func (r *Running) Entry() Entry {
 	entry := Entry{UID: r.UID, Endpoint: r.Addr(), Zone: r.Zone, Group: r.Place, State: stateUp, Capacity: 1}
 	if r.WarmUp > 0 {
@@ -46,15 +46,15 @@
 	http     *http.Server
 
 	mu       sync.Mutex
-	lag      func() time.Duration // of each watch; nil is none
+	lag      func() time.Duration // returns the delay of a new watch's changes; nil means none
 	revision int
-	changes  []change // of all revisions
+	changes  []change // changes of all revisions, in order
 	isSilent bool
-	changed  chan struct{} // closed at each change
+	changed  chan struct{} // closed and replaced at each change
 	closed   chan struct{}
 }
 
-// change is the change of one entry in a revision.
+// change is a change of one entry, with its revision.
 type change struct {
 	revision int
 	entry    Entry
@@ -75,13 +75,13 @@
 // Addr returns the address that the discovery listens on.
 func (d *Discovery) Addr() string { return d.listener.Addr().String() }
 
-// Close ends the discovery with all its watches.
+// Close stops the discovery and ends all its watches.
 func (d *Discovery) Close() {
 	close(d.closed)
 	d.http.Close()
 }
 
-// Publish adds or changes entries in a new revision. An entry with the state "removed" is removed.
+// Publish adds or changes entries in a new revision. An entry with the state "removed" is removed from the list.
 func (d *Discovery) Publish(entries ...Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -92,14 +92,14 @@
 	d.notify()
 }
 
-// notify wakes all watches. d.mu is locked.
+// notify wakes all watches. d.mu must be locked.
 func (d *Discovery) notify() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// SetLag delays the changes of each watch that begins from now on by what lag returns for it. lag is called
-// concurrently.
+// SetLag delays the changes on each watch opened from now on. lag is called once per watch and returns its delay. It is
+// called with the discovery locked.
 func (d *Discovery) SetLag(lag func() time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -116,7 +116,7 @@
 	return d.lag()
 }
 
-// SetSilent has the discovery send nothing, also on open watches, or send again.
+// SetSilent stops or resumes all sending, on open watches too.
 func (d *Discovery) SetSilent(isSilent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -124,14 +124,14 @@
 	d.notify()
 }
 
-// message is a line of a watch.
+// message is one line of a watch or the answer to a poll.
 type message struct {
 	Revision int     `json:"rev"`
-	IsAll    bool    `json:"all"` // the complete list, not a change
+	IsAll    bool    `json:"all"` // the line contains the complete list, not the changes
 	Targets  []Entry `json:"targets"`
 }
 
-// update is what a watch has to send.
+// update is the message that a watch has to send next.
 type update struct {
 	message  message
 	changed  chan struct{} // closed at the next change
--- a/internal/testsupport/fake/executions.go
+++ b/internal/testsupport/fake/executions.go
@@ -1,6 +1,6 @@
-// Package fake has the peers of a node on loopback addresses: app servers, discovery and clients, with seeded faults,
-// and counts of all that was executed and answered. It is for tests, measurements and the demo, and shares no code
-// with what it checks.
+// Package fake provides the peers of a node on loopback addresses: app servers, discovery and clients, with seeded fault
+// injection and counts of everything that was executed and answered. It is used by tests, measurements and the demo, and
+// shares no code with the code that it checks.
 package fake
 
 import (
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// Executions counts what app servers have executed. Servers may share one. The zero value is empty; it is safe for
-// concurrent use.
+// Executions counts the requests that app servers executed. Several servers may share one. The zero value is empty. It is
+// safe for concurrent use.
 type Executions struct {
 	mu          sync.Mutex
-	runs        map[string]int // by request ID: attempts that were executed, with those dropped as repeats
-	effects     map[string]int // by idempotency key, or request ID without one: executions with an effect
-	inFlight    map[string]int // by request ID: attempts
-	maxInFlight int            // attempts of one request
+	runs        map[string]int // by request ID: executed attempts, including those that had no effect as repeats
+	effects     map[string]int // by idempotency key, or by request ID if there is none: executions with an effect
+	inFlight    map[string]int // by request ID: attempts in flight
+	maxInFlight int            // maximum number of attempts of one request in flight
 	attempts    int
 	rejected    int
 	units       float64
 }
 
-// begin records an attempt that was received.
+// begin records a received attempt.
 func (e *Executions) begin(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -45,7 +45,7 @@
 	}
 }
 
-// execute records that an attempt was executed.
+// execute records an executed attempt.
 func (e *Executions) execute(id, key string, hasEffect bool, units float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -59,25 +59,25 @@
 	}
 }
 
-// reject records that an attempt was rejected unprocessed.
+// reject records an attempt that was rejected unprocessed.
 func (e *Executions) reject() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.rejected++
 }
 
-// Counts are the counts of Executions.
+// Counts holds the counts of Executions.
 type Counts struct {
-	Attempts         int     `json:"attempts"` // received completely
-	Requests         int     `json:"requests"` // that were executed
-	Rejected         int     `json:"turned"`   // attempts, unprocessed
+	Attempts         int     `json:"attempts"` // attempts received completely
+	Requests         int     `json:"requests"` // requests that were executed
+	Rejected         int     `json:"turned"`   // attempts rejected unprocessed
 	Repeated         int     `json:"again"`    // requests that were executed more than once
-	DuplicateEffects int     `json:"twice"`    // keys, or requests without one, with more than one effect
-	MaxInFlight      int     `json:"most_out"` // attempts of one request
-	Units            float64 `json:"units"`    // of all executions
+	DuplicateEffects int     `json:"twice"`    // idempotency keys, or requests without a key, with more than one effect
+	MaxInFlight      int     `json:"most_out"` // maximum number of attempts of one request in flight
+	Units            float64 `json:"units"`    // units of all executions
 }
 
-// Counts returns the counts so far.
+// Counts returns the current counts.
 func (e *Executions) Counts() Counts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -108,8 +108,8 @@
 	return e.runs[id]
 }
 
-// Group is a group of servers that drop repeats of an idempotency key together. The zero value, and nil, drop nothing.
-// It is safe for concurrent use.
+// Group is a group of servers that share a record of idempotency keys and drop repeats of a key. The zero value and nil
+// drop nothing. It is safe for concurrent use.
 type Group struct {
 	Window time.Duration // repeat window
 
@@ -117,7 +117,7 @@
 	lastUsed map[string]time.Time // by key
 }
 
-// isFirst reports whether a key was not used in the repeat window, and records its use.
+// isFirst reports whether a key was not used within the repeat window. If so, it records the use.
 func (g *Group) isFirst(key string) bool {
 	if g == nil || g.Window == 0 || key == "" {
 		return true
--- a/internal/testsupport/fake/fake_test.go
+++ b/internal/testsupport/fake/fake_test.go
@@ -22,7 +22,7 @@
 	return r
 }
 
-// clients ask servers directly: what they tally is what the servers did.
+// runClients makes calls to a server directly, without a node, so that the results must match what the server did.
 func runClients(t *testing.T, r *Running, calls int, modify func(*Clients, *Call)) *Result {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -65,7 +65,8 @@
 	}
 }
 
-// A group drops a repeat of a key: it runs without an effect.
+// A group drops the repeat of an idempotency key: the request is executed without an effect. Servers that are not in the
+// group don't know the key.
 func TestRepeatsAreDropped(t *testing.T) {
 	g := &Group{Window: time.Hour}
 	executions := &Executions{}
@@ -81,7 +82,7 @@
 	}
 }
 
-// A cold server bears so much and falls over for good when it is sent more.
+// A server that warms up collapses permanently when its load exceeds the limit.
 func TestServerCollapsesWhileWarmingUp(t *testing.T) {
 	warmingUp := Server{UID: "s", Work: time.Millisecond, Cores: 1, WarmUp: time.Hour, InitialSpeed: 0.1, OverloadWindow: time.Hour, OverloadFactor: 0.0001}
 	r := startServer(t, warmingUp)
@@ -138,7 +139,7 @@
 	}
 }
 
-// Discovery tells changes to who has a version, and the whole list to who has none.
+// Discovery sends the changes to a client that names a known revision, and the complete list to others.
 func TestDiscovery(t *testing.T) {
 	d, err := StartDiscovery()
 	if err != nil {
--- a/internal/testsupport/fake/hard_limit.go
+++ b/internal/testsupport/fake/hard_limit.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// HardLimitMonitor measures by how much customers exceed a hard limit of Rate units a second and Burst at once, each.
-// It rejects nothing. It is safe for concurrent use; a nil monitor records nothing.
+// HardLimitMonitor measures by how much customers exceed a hard limit, which is a token bucket of Rate units per second
+// and Burst units for each customer. It rejects nothing. It is safe for concurrent use. A nil monitor records nothing.
 type HardLimitMonitor struct {
 	Rate          float64
 	Burst         float64
-	FirstCustomer uint64 // customers from this number on have the limit
+	FirstCustomer uint64 // only customers with this number or a higher one have the limit
 
 	mu        sync.Mutex
 	buckets   map[uint64]*bucket // by customer
-	maxExcess float64            // units
+	maxExcess float64            // units by which a customer exceeded its limit
 	units     float64
 }
 
-// bucket is the token bucket of a customer; below zero is an excess.
+// bucket is the token bucket of a customer. Negative tokens are the excess over the limit.
 type bucket struct {
 	tokens    float64
 	updatedAt time.Time
 }
 
-// record records the units of a request.
+// record charges the units of a request to its customer's bucket.
 func (m *HardLimitMonitor) record(account string, units float64) {
 	if m == nil {
 		return
@@ -51,7 +51,7 @@
 	m.units += units
 }
 
-// MaxExcess returns the largest excess of a customer, and the units that all of them used.
+// MaxExcess returns the largest excess of any customer in units, and the total units of all limited customers.
 func (m *HardLimitMonitor) MaxExcess() (maxExcess, units float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/testsupport/fake/http2.go
+++ b/internal/testsupport/fake/http2.go
@@ -14,40 +14,40 @@
 	defaultStreams = 100
 	// defaultMaxCutOffset is the default of HTTP2Faults.MaxCutOffset.
 	defaultMaxCutOffset = 3000
-	// Streams of random numbers: of a server, in addition to its seed, and of its connections.
+	// Random number streams, used as the second seed value: of a server and of its connections.
 	http2ServerStream = 9
 	http2ConnStream   = 1
 )
 
-// HTTP2Faults are the fractions of the requests, or of the connections, with each fault, from 0 to 1.
+// HTTP2Faults holds the probability of each fault, from 0 to 1, of a request or of a connection.
 type HTTP2Faults struct {
-	// Of requests.
+	// Faults of requests.
 	Refuse float64 // reset with REFUSED_STREAM, and not executed
 	Reset  float64 // executed, and reset with another code
 	Error  float64 // executed, and answered 500
 	Early  float64 // executed and answered before the body was read
 	Lower  float64 // the limit of concurrent streams decreases, down to 0, and is restored later
-	GoAway float64 // GOAWAY: gracefully in two steps, at once, or with a decreasing last stream ID
+	GoAway float64 // GOAWAY: gracefully in two steps, immediately, or with a decreasing last stream ID
 
-	// Of connections.
-	CutRead float64 // closed after some byte that was read
-	CutSent float64 // closed after some byte that was sent
+	// Faults of connections.
+	CutRead float64 // closed after a random number of bytes was read
+	CutSent float64 // closed after a random number of bytes was sent
 
-	MaxCutOffset int // the last byte after which a connection may be closed; 0 is 3000
+	MaxCutOffset int // maximum number of bytes after which a connection is closed; 0 means 3000
 }
 
 // HTTP2Server configures an app server that speaks HTTP/2 with prior knowledge.
 type HTTP2Server struct {
 	UID        string
-	Executions *Executions // nil is one of its own
-	Group      *Group      // that drops repeats together with it; may be nil
+	Executions *Executions // if nil, the server has its own
+	Group      *Group      // servers that drop repeats together with this one; may be nil
 	Faults     HTTP2Faults
 	Seed       uint64
-	Streams    uint32        // maximum concurrent streams of a connection; 0 is 100
-	Work       time.Duration // of each request
+	Streams    uint32        // maximum concurrent streams of a connection; 0 means 100
+	Work       time.Duration // execution time of each request
 }
 
-// RunningHTTP2 is an HTTP/2 server that serves. Its methods are safe for concurrent use.
+// RunningHTTP2 is a running HTTP/2 app server. Its methods are safe for concurrent use.
 type RunningHTTP2 struct {
 	HTTP2Server
 	listener net.Listener
@@ -107,14 +107,14 @@
 // Addr returns the address that the server listens on.
 func (r *RunningHTTP2) Addr() string { return r.listener.Addr().String() }
 
-// Dials returns the number of connections that were accepted, and the maximum open at once.
+// Dials returns the number of accepted connections and the maximum number open at the same time.
 func (r *RunningHTTP2) Dials() (total, maxOpen int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.dials, r.maxConns
 }
 
-// Close ends the server with all its connections.
+// Close stops the server and closes all its connections.
 func (r *RunningHTTP2) Close() {
 	r.listener.Close()
 	r.mu.Lock()
--- a/internal/testsupport/fake/http2_conn.go
+++ b/internal/testsupport/fake/http2_conn.go
@@ -18,45 +18,45 @@
 const (
 	headerTableBytes = 4096
 	maxStreamID      = 1<<31 - 1
-	// maxUnanswered is the number of requests from which on they are answered though more can be read.
+	// maxUnanswered is the maximum number of executed requests that wait for more input before they are answered.
 	maxUnanswered = 2
-	// maxLoweredStreams limits the number of streams while it is lowered.
+	// maxLoweredStreams is the maximum of a lowered limit of concurrent streams.
 	maxLoweredStreams = 2
-	// futureStreams is how far a first GOAWAY is above the highest stream.
+	// futureStreams is how far the last stream ID of a first GOAWAY is above the highest stream ID received.
 	futureStreams = 1000
 	unlimited     = -1
 )
 
-// resetCodes are error codes of a reset that do not tell whether the request was executed.
+// resetCodes are RST_STREAM error codes from which it is unknown whether the request was executed.
 var resetCodes = []http2.ErrCode{http2.ErrCodeNo, http2.ErrCodeProtocol, http2.ErrCodeInternal, http2.ErrCodeCancel, http2.ErrCodeEnhanceYourCalm}
 
-// http2Conn is a connection of a RunningHTTP2. One goroutine serves it.
+// http2Conn is a connection of a RunningHTTP2. It is served by a single goroutine.
 type http2Conn struct {
 	server               *RunningHTTP2
 	conn                 net.Conn
 	rng                  *rand.Rand
 	in                   *bufio.Reader
-	out                  bytes.Buffer // frames that were not sent yet
+	out                  bytes.Buffer // frames not sent yet
 	frames               *http2.Framer
-	headerBlock          bytes.Buffer // header block of encoder
+	headerBlock          bytes.Buffer // output of encoder
 	encoder              *hpack.Encoder
-	streams              map[uint32]*http2Stream // open, by ID
-	unanswered           []*http2Stream          // received completely
-	lastStreamID         uint32                  // higher streams are ignored
-	highestStreamID      uint32                  // stream ID
-	isStreamLimitLowered bool                    // the limit of concurrent streams
-	remainingRead        int                     // bytes that may still be read, or unlimited
-	remainingSent        int                     // bytes that may still be sent, or unlimited
-	isEnding             bool                    // closed after the next flush
+	streams              map[uint32]*http2Stream // open streams by ID
+	unanswered           []*http2Stream          // completely received and executed requests
+	lastStreamID         uint32                  // the last stream ID of a GOAWAY; higher streams are ignored
+	highestStreamID      uint32                  // highest stream ID received
+	isStreamLimitLowered bool                    // the limit of concurrent streams is lowered
+	remainingRead        int                     // bytes that may be read before the connection is cut, or unlimited
+	remainingSent        int                     // bytes that may be sent before the connection is cut, or unlimited
+	isEnding             bool                    // the connection is closed after the next flush
 }
 
-// http2Stream is a request.
+// http2Stream is a stream with its request.
 type http2Stream struct {
 	id        uint32
 	requestID string
 	key       string // idempotency key
 	units     float64
-	end       func() // records that it is no longer in flight
+	end       func() // records that the request is no longer in flight
 }
 
 func newHTTP2Conn(server *RunningHTTP2, conn net.Conn, rng *rand.Rand) *http2Conn {
@@ -71,7 +71,7 @@
 	}
 }
 
-// Read reads from the connection, up to the byte after which it is cut.
+// Read reads from the connection up to the byte after which the connection is cut.
 func (c *http2Conn) Read(buffer []byte) (int, error) {
 	if c.remainingRead == 0 {
 		return 0, net.ErrClosed
@@ -86,7 +86,8 @@
 	return n, err
 }
 
-// flush sends frames, up to the byte after which the connection is cut; false at its end.
+// flush sends the pending frames, up to the byte after which the connection is cut. It returns false if the connection is
+// cut or the write failed.
 func (c *http2Conn) flush() bool {
 	data := c.out.Bytes()
 	if c.remainingSent >= 0 {
@@ -98,12 +99,12 @@
 	return err == nil && c.remainingSent != 0
 }
 
-// draw reports whether a fault of the given probability happens. It draws no random number for 0.
+// draw reports whether a fault of the given probability occurs. A probability of 0 consumes no random number.
 func (c *http2Conn) draw(probability float64) bool {
 	return probability > 0 && c.rng.Float64() < probability
 }
 
-// serve serves the connection to its end.
+// serve serves the connection until it ends.
 func (c *http2Conn) serve() {
 	c.drawCuts()
 	defer func() {
@@ -137,7 +138,7 @@
 	}
 }
 
-// drawCuts chooses the bytes after which the connection is cut.
+// drawCuts draws the numbers of bytes after which the connection is cut.
 func (c *http2Conn) drawCuts() {
 	faults := &c.server.Faults
 	maxOffset := cmp.Or(faults.MaxCutOffset, defaultMaxCutOffset)
@@ -186,7 +187,7 @@
 	}
 }
 
-// handleData returns the flow-control window of a part of a body, which is discarded.
+// handleData discards a part of a body and returns its flow-control window to the client.
 func (c *http2Conn) handleData(frame *http2.DataFrame) {
 	if n := frame.Length; n > 0 {
 		c.frames.WriteWindowUpdate(0, n)
@@ -199,7 +200,7 @@
 	}
 }
 
-// beginStream handles the header of a request.
+// beginStream handles the header of a request, which opens a stream.
 func (c *http2Conn) beginStream(frame *http2.MetaHeadersFrame) {
 	if frame.StreamID > c.lastStreamID {
 		return
@@ -242,13 +243,13 @@
 	c.server.Executions.execute(s.requestID, s.key, c.server.Group.isFirst(s.key), s.units)
 }
 
-// requestComplete executes a request that was received completely. It is answered later.
+// requestComplete executes a completely received request, which answerAll answers later.
 func (c *http2Conn) requestComplete(s *http2Stream) {
 	c.execute(s)
 	c.unanswered = append(c.unanswered, s)
 }
 
-// answerAll answers the executed requests in random order, with the connection's faults between them.
+// answerAll answers the executed requests in random order, and injects the connection's faults between them.
 func (c *http2Conn) answerAll() {
 	c.rng.Shuffle(len(c.unanswered), func(i, j int) { c.unanswered[i], c.unanswered[j] = c.unanswered[j], c.unanswered[i] })
 	for _, s := range c.unanswered {
@@ -262,7 +263,7 @@
 		}
 	}
 	c.unanswered = c.unanswered[:0]
-	if c.isStreamLimitLowered && len(c.streams) == 0 { // otherwise the client could wait forever
+	if c.isStreamLimitLowered && len(c.streams) == 0 { // without answers to come, a client with a limit of 0 would wait forever
 		c.restoreStreamLimit()
 	}
 }
@@ -281,7 +282,8 @@
 	}
 }
 
-// changeStreamLimit restores a lowered limit of concurrent streams, or lowers it with the fault's probability.
+// changeStreamLimit restores the limit of concurrent streams if it is lowered; otherwise it lowers the limit with the
+// fault's probability.
 func (c *http2Conn) changeStreamLimit() {
 	switch {
 	case c.isStreamLimitLowered:
@@ -300,12 +302,12 @@
 // goAway ends the connection in one of three ways.
 func (c *http2Conn) goAway() {
 	switch c.rng.IntN(3) {
-	case 0: // graceful: the first GOAWAY only announces the second
+	case 0: // gracefully: the first GOAWAY only announces the second
 		c.frames.WriteGoAway(maxStreamID, http2.ErrCodeNo, nil)
 		c.flush()
 		c.lastStreamID = c.highestStreamID
 		c.frames.WriteGoAway(c.lastStreamID, http2.ErrCodeNo, nil)
-	case 1: // at once
+	case 1: // immediately, with an error
 		c.lastStreamID = c.highestStreamID
 		c.frames.WriteGoAway(c.lastStreamID, http2.ErrCodeInternal, []byte("at once"))
 		c.isEnding = true
--- a/internal/testsupport/fake/keys_test.go
+++ b/internal/testsupport/fake/keys_test.go
@@ -6,5 +6,5 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// Messages of the discovery stand-in have a written key for every field.
+// Every field of the fake discovery's messages has an explicit JSON key.
 func TestKeysAreWritten(t *testing.T) { testkit.RequireKeys(t, "json", message{}) }
--- a/internal/testsupport/fake/leak_test.go
+++ b/internal/testsupport/fake/leak_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// No test leaves a goroutine behind.
+// TestMain checks that no test leaks a goroutine.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/testsupport/fake/meter.go
+++ b/internal/testsupport/fake/meter.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Meter measures the usage of each customer and reports it late, as the percentage of the last period's allowance. It
-// is safe for concurrent use.
+// Meter measures the usage of each customer. It reports the usage of the previous period, as a percentage of a period's
+// allowance. It is safe for concurrent use.
 type Meter struct {
 	Period time.Duration
-	Rate   float64 // units a second that are 100 percent
+	Rate   float64 // allowance of a customer in units per second (100 percent)
 
 	mu          sync.Mutex
 	usage       map[string]periodUsage // by customer
 	periodStart time.Time
 }
 
-// periodUsage are the units of a customer in two periods.
+// periodUsage holds the units of a customer in the current and the previous period.
 type periodUsage struct {
 	current float64
 	last    float64
 }
 
-// Use records a customer's units and returns its percentage of the last period's allowance.
+// Use records a customer's units and returns its usage of the previous period as a percentage of the allowance.
 func (m *Meter) Use(customer string, units float64) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -33,7 +33,7 @@
 	return int(100 * used.last / (m.Rate * m.Period.Seconds()))
 }
 
-// advance begins a new period if the current one is over.
+// advance starts a new period if the current one has ended. After two periods without a call all usage is discarded.
 func (m *Meter) advance(now time.Time) {
 	if m.usage == nil || now.Sub(m.periodStart) >= 2*m.Period {
 		m.usage = make(map[string]periodUsage)
--- a/internal/testsupport/fake/origin.go
+++ b/internal/testsupport/fake/origin.go
@@ -18,13 +18,13 @@
 	"time"
 )
 
-// HeaderScript is the header by which a request tells an Origin how to answer, as a query:
+// HeaderScript is the request header that specifies how an Origin answers, in the form of a URL query:
 //
-//	status=200        of the final answer
-//	body=N            bytes of Pattern
+//	status=200        status of the final answer
+//	body=N            length of the body in bytes, filled from Pattern
 //	frame=length      or chunked, close (the body ends with the connection), none (no body and no length)
-//	trailer=1         announced and sent; announced, sent: only that
-//	interim=103       a 1xx answer before the final one; may be repeated
+//	trailer=1         a trailer is announced and sent; announced or sent: only that
+//	interim=103       an interim response (1xx) before the final answer; may be repeated
 //	early=1           the answer is sent before the body is read
 //	unread=1          the body is not read, and the connection is closed after the answer
 //	cut=N             the connection is closed, or reset if N is odd, after N bytes of the answer
@@ -32,33 +32,34 @@
 //	silent=1          no answer
 //	twice=1           the answer is sent twice
 //	raw=TEXT          TEXT is sent, and nothing else
-//	wait=TIME         before the answer
-//	every=TIME        between parts of the body, each of 1 KiB and flushed
+//	wait=TIME         pause before the answer
+//	every=TIME        pause after each part of the body; parts have 1 KiB and are flushed
 //	old=1             HTTP/1.0
-//	type=TEXT         Content-Type
-//	upgrade=1         switch to the protocol that was requested, and echo all that is received
-//	never100=1        no 100 for Expect
+//	type=TEXT         Content-Type of the answer
+//	upgrade=1         switch to the requested protocol and echo everything received
+//	never100=1        no 100 (Continue) for a request with Expect
 const HeaderScript = "X-Script"
 
 const (
-	// originStream is the stream of an origin's random numbers, in addition to its seed.
+	// originStream is the random number stream of an origin, used as the second seed value.
 	originStream = 11
-	// lingerTime is how long an origin reads after an answer to an unread request, so that the answer is not lost.
+	// lingerTime is how long an origin keeps reading after answering an unread request. Closing with unread data would
+	// reset the connection, and the client could lose the answer.
 	lingerTime        = 500 * time.Millisecond
 	originBufferBytes = 16 << 10
 )
 
-// errScripted ends a connection because the script says so.
+// errScripted is returned to end a connection as the script requires.
 var errScripted = errors.New("the script ends the connection")
 
-// Origin is an app server of generic HTTP on raw connections, which can answer correctly or not. It is safe for
-// concurrent use.
+// Origin is an app server for generic HTTP. It works on raw connections, so that it can also send malformed or incomplete
+// answers. It is safe for concurrent use.
 type Origin struct {
-	// Fault may modify the script of each request; nil modifies none.
+	// Fault may modify the script of each request to inject faults. May be nil.
 	Fault func(rng *rand.Rand, script url.Values)
-	// Work is how long each request takes, in addition to its script.
+	// Work is the execution time of each request, in addition to the pauses of its script.
 	Work time.Duration
-	// OnRequest is called with each request that was read or has failed; may be nil.
+	// OnRequest is called with each request that was read or whose reading failed. May be nil.
 	OnRequest func(Request)
 	Seed      uint64
 
@@ -71,7 +72,7 @@
 	connCount  int
 }
 
-// Request is what an Origin has received.
+// Request is a request as an Origin received it.
 type Request struct {
 	Method     string
 	Target     string
@@ -82,10 +83,10 @@
 	Bytes      int64  // of the body
 	Hash       string // of the body
 	IsComplete bool
-	Conn       int // number of its connection
+	Conn       int // number of the connection
 }
 
-// Start has the origin listen on a free port of the loopback address.
+// Start starts the origin on a free port of the loopback address.
 func (o *Origin) Start() error {
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", loopbackAddress)
 	if err != nil {
@@ -125,14 +126,14 @@
 // Addr returns the address that the origin listens on.
 func (o *Origin) Addr() string { return o.listener.Addr().String() }
 
-// ConnCount returns the number of connections that were accepted.
+// ConnCount returns the number of accepted connections.
 func (o *Origin) ConnCount() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.connCount
 }
 
-// Close ends the origin with all its connections.
+// Close stops the origin and closes all its connections.
 func (o *Origin) Close() {
 	o.listener.Close()
 	o.mu.Lock()
@@ -144,7 +145,7 @@
 	o.goroutines.Wait()
 }
 
-// serve answers the requests of one connection.
+// serve serves the requests of one connection.
 func (o *Origin) serve(conn net.Conn, number int) {
 	in := bufio.NewReaderSize(conn, originBufferBytes)
 	for {
@@ -168,7 +169,7 @@
 	}
 }
 
-// serveRequest answers one request; an error ends the connection.
+// serveRequest serves one request. An error ends the connection.
 func (o *Origin) serveRequest(a *originAnswer, connNumber int) error {
 	received := newRequest(a.request, connNumber)
 	report := sync.OnceFunc(func() {
@@ -206,7 +207,7 @@
 	return a.send()
 }
 
-// newRequest returns a request whose body was not read yet.
+// newRequest returns the record of a request whose body has not been read yet.
 func newRequest(request *http.Request, connNumber int) Request {
 	received := Request{
 		Method:  request.Method,
@@ -225,7 +226,7 @@
 	return received
 }
 
-// readBody reads the body, up to where the script resets the connection.
+// readBody reads the body, or only the part before the reset that the script specifies.
 func (r *Request) readBody(request *http.Request, script url.Values) (err error) {
 	h := sha256.New()
 	body := io.Reader(request.Body)
@@ -239,8 +240,8 @@
 	return err
 }
 
-// closeLingering ends the output of a connection and reads for a while, so that the client receives the answer before
-// it is reset.
+// closeLingering closes the write side of a connection and discards input for lingerTime, so that the client receives the
+// answer before the connection is reset.
 func closeLingering(conn net.Conn, in io.Reader) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -259,7 +260,7 @@
 	conn.Close()
 }
 
-// Fields returns header fields as sorted lines, without some of them, for comparisons.
+// Fields returns the header fields, except the excluded ones, as sorted lines for comparisons.
 func Fields(header http.Header, without ...string) string {
 	var lines []string
 	for name, values := range header {
--- a/internal/testsupport/fake/origin_answer.go
+++ b/internal/testsupport/fake/origin_answer.go
@@ -14,10 +14,10 @@
 const (
 	answerBufferBytes = 8 << 10
 	bodyPartBytes     = 16 << 10
-	pausedPartBytes   = 1 << 10 // with pauses between the parts
+	pausedPartBytes   = 1 << 10 // if there are pauses between the parts
 )
 
-// originAnswer is an Origin's answer to one request, by its script.
+// originAnswer is an Origin's answer to one request, as its script specifies.
 type originAnswer struct {
 	origin  *Origin
 	conn    net.Conn
@@ -26,13 +26,13 @@
 	script  url.Values
 }
 
-// limitedWriter fails after a number of bytes.
+// limitedWriter fails after a given number of bytes.
 type limitedWriter struct {
 	writer    io.Writer
 	remaining int64
 }
 
-// Write writes data up to the limit; an error is returned if it is reached.
+// Write writes data up to the limit, and returns errScripted if data exceeds it.
 func (l *limitedWriter) Write(data []byte) (int, error) {
 	n, err := l.writer.Write(data[:min(int64(len(data)), l.remaining)])
 	l.remaining -= int64(n)
@@ -42,7 +42,7 @@
 	return n, err
 }
 
-// send sends the answer; an error ends the connection.
+// send sends the answer. An error ends the connection.
 func (a *originAnswer) send() error {
 	if wait, err := time.ParseDuration(a.script.Get("wait")); err == nil {
 		time.Sleep(wait)
@@ -82,7 +82,7 @@
 	return frame == "close" || frame == "none" || a.script.Has("old") || a.request.Close
 }
 
-// writeAll writes the answer as often as the script says.
+// writeAll writes the answer one or more times, as the script specifies.
 func (a *originAnswer) writeAll(w *bufio.Writer) error {
 	for range 1 + len(a.script["twice"]) {
 		if err := a.write(w); err != nil {
@@ -154,7 +154,7 @@
 	w.WriteString("\r\n")
 }
 
-// writeLastChunk ends a chunked body, with the trailer of the script.
+// writeLastChunk ends a chunked body and writes the trailer, if the script has one.
 func (a *originAnswer) writeLastChunk(w *bufio.Writer) {
 	w.WriteString("0\r\n")
 	if trailer := a.script.Get("trailer"); trailer == "1" || trailer == "sent" {
@@ -163,7 +163,7 @@
 	w.WriteString("\r\n")
 }
 
-// writeBody writes bytes of Pattern in parts, with the script's pauses.
+// writeBody writes a body of Pattern in parts, with the pauses that the script specifies.
 func (a *originAnswer) writeBody(w *bufio.Writer, length int64, isChunked bool) error {
 	partBytes := int64(bodyPartBytes)
 	pause, err := time.ParseDuration(a.script.Get("every"))
--- a/internal/testsupport/fake/pattern.go
+++ b/internal/testsupport/fake/pattern.go
@@ -7,13 +7,14 @@
 	"io"
 )
 
-// hashBytes is the length of a short hash, before it is encoded.
+// hashBytes is the length of a short hash in bytes, before hex encoding.
 const hashBytes = 8
 
-// Pattern returns the byte of a generated body at an offset. No part of a body equals another.
+// Pattern returns the byte at an offset of a generated body. The terms of higher order make the parts of a body differ, so
+// that a missing, repeated or displaced part is detected.
 func Pattern(offset int64) byte { return byte(offset*131 + offset>>8*31 + offset>>16*17) }
 
-// PatternReader returns a reader of the first bytes of Pattern.
+// PatternReader returns a reader of the first length bytes of Pattern.
 func PatternReader(length int64) io.Reader { return &patternReader{length: length} }
 
 type patternReader struct {
@@ -21,7 +22,7 @@
 	length int64
 }
 
-// Read reads the next bytes of Pattern.
+// Read implements io.Reader.
 func (p *patternReader) Read(buffer []byte) (int, error) {
 	if p.offset >= p.length {
 		return 0, io.EOF
@@ -34,10 +35,10 @@
 	return n, nil
 }
 
-// HashOf returns the hash, as in Request, of the first bytes of Pattern.
+// HashOf returns the hash of the first length bytes of Pattern, in the form of Request.Hash.
 func HashOf(length int64) string {
 	h := sha256.New()
-	_, _ = io.Copy(h, PatternReader(length)) // neither side of it fails
+	_, _ = io.Copy(h, PatternReader(length)) // neither the reader nor the hash returns an error
 	return shortHash(h)
 }
 
--- a/internal/testsupport/fake/server.go
+++ b/internal/testsupport/fake/server.go
@@ -14,67 +14,68 @@
 // loopbackAddress has the system choose a port.
 const loopbackAddress = "127.0.0.1:0"
 
-// serverStream is the stream of a server's random numbers, in addition to its seed.
+// serverStream is the random number stream of a server, used as the second seed value.
 const serverStream = 3
 
-// Faults are the fractions of a server's requests with each fault, from 0 to 1.
+// Faults holds the probability of each fault of a server's requests, from 0 to 1.
 type Faults struct {
 	Error   float64 // executed, and answered 500
-	Reset   float64 // executed; the connection closes without an answer
+	Reset   float64 // executed; the connection is closed without an answer
 	Corrupt float64 // executed; the answer cannot be parsed, and the connection remains open
 	Reject  float64 // rejected unprocessed, although there is capacity
 }
 
-// Server configures an app server. The zero value has no work, unlimited cores and no warm-up.
+// Server configures an app server. With the zero value requests take no time, cores are unlimited and there is no warm-up.
 type Server struct {
 	UID        string
 	Zone       string
-	Place      int         // number of its group
-	Group      *Group      // that drops repeats together with it; may be nil
-	Executions *Executions // nil is one of its own
+	Place      int         // number of the server's group
+	Group      *Group      // servers that drop repeats together with this one; may be nil
+	Executions *Executions // if nil, the server has its own
 	Meter      *Meter      // may be nil
 	HardLimit  *HardLimitMonitor
 
-	Work   time.Duration // of one unit on one core
-	Cores  int           // 0 is unlimited
-	Queue  int           // requests that may wait for a core, beyond which they are rejected; 0 is unlimited
+	Work   time.Duration // time that one unit takes on one core
+	Cores  int           // 0 means unlimited
+	Queue  int           // maximum number of requests that wait for a core, above which requests are rejected; 0 means unlimited
 	Faults Faults
 	Seed   uint64
 	HTTP2  bool   // also speaks HTTP/2 with prior knowledge
-	Listen string // address to listen on; empty is a free port of the loopback address
+	Listen string // address to listen on; if empty, a free port of the loopback address
 
-	// A server that warms up begins with InitialSpeed of its speed, 0 to 1, which increases linearly. It collapses
-	// if it receives more than OverloadFactor times what it can work off, over OverloadWindow.
+	// A server that warms up starts with the fraction InitialSpeed (0 to 1) of its full speed. The speed increases linearly
+	// over WarmUp. While it warms up, the server collapses if it receives, within OverloadWindow, more than OverloadFactor
+	// times the units that it can execute in that time.
 	WarmUp         time.Duration
 	InitialSpeed   float64
 	OverloadWindow time.Duration
 	OverloadFactor float64
 }
 
-// Running is an app server that serves. Its methods are safe for concurrent use.
+// Running is a running app server. Its methods are safe for concurrent use.
 type Running struct {
 	Server
 	listener  net.Listener
 	http      *http.Server
-	cores     chan struct{} // nil is unlimited
+	cores     chan struct{} // semaphore; nil if the number is unlimited
 	startedAt time.Time
 
 	mu             sync.Mutex
 	rng            *rand.Rand
-	stalled        chan struct{} // closed when the stall ends; nil is not stalled
-	drainDeadline  time.Time     // from when on requests are late; zero is never
+	stalled        chan struct{} // closed when the stall ends; nil if the server is not stalled
+	drainDeadline  time.Time     // requests received after this time are late; zero means never
 	hasCollapsed   bool
 	queueLength    int
 	executing      int
-	recentArrivals []arrival      // in the last OverloadWindow
-	maxOverload    float64        // maximum of received units over what it can bear
-	lateRequests   int            // received while draining
-	latencyMS      float64        // ms, exponential average, without waiting
-	endRequests    map[int]func() // by request number: ends one in flight
+	recentArrivals []arrival      // arrivals within the last OverloadWindow
+	maxOverload    float64        // maximum ratio of the received units to the number at which the server collapses
+	lateRequests   int            // requests received after drainDeadline
+	latencyMS      float64        // exponential moving average of the execution time, without the wait for a core
+	endRequests    map[int]func() // by request number: records that the request is no longer in flight
 	requestCount   int
 	isClosed       bool
 
-	requestsByVersion [maxHTTPVersion + 1]int // by the major version of HTTP
+	requestsByVersion [maxHTTPVersion + 1]int // indexed by the major version of HTTP
 	conns             int
 	dials             int
 	maxConns          int
@@ -118,14 +119,14 @@
 	}
 }
 
-// Dials returns the number of connections that were accepted, and the maximum open at once.
+// Dials returns the number of accepted connections and the maximum number open at the same time.
 func (r *Running) Dials() (total, maxOpen int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.dials, r.maxConns
 }
 
-// RequestsByVersion returns the number of requests with HTTP/1 and with HTTP/2.
+// RequestsByVersion returns the numbers of requests received over HTTP/1 and over HTTP/2.
 func (r *Running) RequestsByVersion() (http1, http2 int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -135,11 +136,11 @@
 // Addr returns the address that the server listens on.
 func (r *Running) Addr() string { return r.listener.Addr().String() }
 
-// Close ends the server with all its connections and requests.
+// Close stops the server, closes its connections and ends its requests.
 func (r *Running) Close() {
 	r.mu.Lock()
 	r.isClosed = true
-	for _, end := range r.endRequests { // before their clients notice
+	for _, end := range r.endRequests { // before clients see their connections close and retry
 		end()
 	}
 	r.mu.Unlock()
@@ -147,7 +148,7 @@
 	r.http.Close()
 }
 
-// Stall delays all requests, also later ones, until Resume.
+// Stall blocks all requests that are received from now on until Resume is called.
 func (r *Running) Stall() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -156,7 +157,7 @@
 	}
 }
 
-// Resume ends a stall.
+// Resume ends a stall and releases the blocked requests.
 func (r *Running) Resume() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -166,14 +167,14 @@
 	}
 }
 
-// Drain counts the requests that arrive later than after from now, for LateRequests.
+// Drain marks the server as draining: requests received later than the duration after from now are counted as late.
 func (r *Running) Drain(after time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.drainDeadline = time.Now().Add(after)
 }
 
-// LateRequests returns the number of requests that were received while draining.
+// LateRequests returns the number of requests received after the time set by Drain.
 func (r *Running) LateRequests() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testsupport/fake/server_overload.go
+++ b/internal/testsupport/fake/server_overload.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// arrival is a request that was received while the server warmed up.
+// arrival is a request received while the server was warming up.
 type arrival struct {
 	at    time.Time
 	units float64
 }
 
-// Collapsed reports whether the server has collapsed, and the maximum of received units over what it can bear.
+// Collapsed reports whether the server has collapsed, and the maximum ratio of the units received within OverloadWindow
+// to the number at which it collapses.
 func (r *Running) Collapsed() (hasCollapsed bool, maxOverload float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.hasCollapsed, r.maxOverload
 }
 
-// speed returns the fraction of its full speed that the server has reached. r.mu is locked.
+// speed returns the current speed of the server as a fraction of its full speed. r.mu must be locked.
 func (r *Running) speed(now time.Time) float64 {
 	if r.WarmUp <= 0 {
 		return 1
@@ -23,13 +24,15 @@
 	return min(1, r.InitialSpeed+(1-r.InitialSpeed)*now.Sub(r.startedAt).Seconds()/r.WarmUp.Seconds())
 }
 
-// canCollapse reports whether overload is measured now. r.mu is locked.
+// canCollapse reports whether overload is measured, which is so while a server with an overload limit warms up. r.mu must
+// be locked.
 func (r *Running) canCollapse(now time.Time) bool {
 	isConfigured := r.OverloadWindow > 0 && r.OverloadFactor > 0 && r.Cores > 0
 	return isConfigured && r.speed(now) < 1
 }
 
-// recordLoad records a request's units and reports whether the server has not collapsed. r.mu is locked.
+// recordLoad records a request's units and reports whether the server is still working, that is, has not collapsed. r.mu
+// must be locked.
 func (r *Running) recordLoad(now time.Time, units float64) bool {
 	if !r.canCollapse(now) {
 		return !r.hasCollapsed
@@ -44,7 +47,7 @@
 	}
 	capacity := r.OverloadWindow.Seconds() * r.speed(now) * float64(r.Cores) / r.Work.Seconds()
 	r.maxOverload = max(r.maxOverload, received/(r.OverloadFactor*capacity))
-	if received > r.OverloadFactor*capacity && len(r.recentArrivals) > 1 { // a single request is never too much
+	if received > r.OverloadFactor*capacity && len(r.recentArrivals) > 1 { // a single request never causes a collapse
 		r.hasCollapsed = true
 	}
 	return !r.hasCollapsed
--- a/internal/testsupport/fake/server_requests.go
+++ b/internal/testsupport/fake/server_requests.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// latencySmoothing is the weight of the last request in the reported latency.
+// latencySmoothing is the weight of the latest request in the exponential moving average of the reported latency.
 const latencySmoothing = 0.2
 
-// admission is what a server decides of a request that it receives.
+// admission is a server's decision on a received request.
 type admission int
 
 const (
@@ -22,7 +22,7 @@
 	isDropped // the server has collapsed
 )
 
-// ServeHTTP serves a request of the platform's protocol. It is executed even if its client has left.
+// ServeHTTP serves a request of the platform's protocol. A request is executed even if its client has disconnected.
 func (r *Running) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	id := request.Header.Get("X-Correlation-Id")
 	key := request.Header.Get("Idempotency-Key")
@@ -62,8 +62,9 @@
 	r.answer(w, request, id, units)
 }
 
-// beginRequest records a request in flight; false if the server is closed. end records its end, before whoever sees
-// the end may retry it; release does so too, and forgets the request.
+// beginRequest records a request in flight; ok is false if the server is closed. end records that the request is no
+// longer in flight. It must be called before the client can observe the end, since the client may then retry the
+// request. release calls end and removes the request from the server's list.
 func (r *Running) beginRequest(id string, httpVersion int) (end, release func(), ok bool) {
 	end = sync.OnceFunc(func() { r.Executions.end(id) })
 	r.mu.Lock()
@@ -88,7 +89,7 @@
 	return end, release, true
 }
 
-// admit decides on a request. stalled is what an admitted one has to wait for; nil is nothing.
+// admit decides on a request. An admitted request has to wait until stalled is closed; nil means no wait.
 func (r *Running) admit(units float64) (decision admission, stalled chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -105,7 +106,8 @@
 	return isAdmitted, r.stalled
 }
 
-// work waits for a core and works on it. It returns the random number by which the request's fault is chosen.
+// work waits for a free core and occupies it for the request's duration. It returns the random number that selects the
+// request's fault.
 func (r *Running) work(units float64, stalled chan struct{}) float64 {
 	if stalled != nil {
 		<-stalled
@@ -130,7 +132,7 @@
 	return draw
 }
 
-// answer answers with the fault that was drawn, if any; end is called before the connection closes.
+// answer answers with the fault that draw selects, if any. end is called before the connection is closed.
 func (f *Faults) answer(w http.ResponseWriter, draw float64, end func()) (isFaulty bool) {
 	switch {
 	case draw < f.Error:
@@ -146,7 +148,7 @@
 	return true
 }
 
-// answerCorrupt answers with a header that cannot be parsed and leaves the connection open until the client closes it.
+// answerCorrupt sends a header that cannot be parsed and leaves the connection open until the client closes it.
 func answerCorrupt(w http.ResponseWriter) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
@@ -186,7 +188,7 @@
 	}
 }
 
-// unitsOf returns the units of a request; 1 if it has none.
+// unitsOf returns the units in the request's X-Weight header, or 1 if there are none.
 func unitsOf(request *http.Request) float64 {
 	for pair := range strings.SplitSeq(request.Header.Get("X-Weight"), ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(pair), "units=")
--- a/internal/testsupport/generichttptest/differential_test.go
+++ b/internal/testsupport/generichttptest/differential_test.go
@@ -1,5 +1,5 @@
-// Package generichttptest holds the tests of generic HTTP through a whole node, against origins that
-// answer well or in any other way.
+// Package generichttptest tests the forwarding of generic HTTP through a complete node to origins that answer correctly
+// or inject faults.
 package generichttptest
 
 import (
@@ -26,7 +26,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// begin starts a node before origins, until the test ends.
+// startNode starts origins and a node that forwards to them. They are stopped when the test ends.
 func startNode(t testing.TB, origins ...*fake.Origin) *testbench.GenericHTTP {
 	t.Helper()
 	return startNodeWithConfig(t, `drain = { idle = "0s", accept = "0s", most = "1s" }`, "", "", origins...)
@@ -47,7 +47,7 @@
 	return o
 }
 
-// exchange is a request and what its script has the origin answer.
+// exchange is a request together with the script of the origin's answer.
 type exchange struct {
 	name, method, target, script string
 	fields                       []string
@@ -57,7 +57,8 @@
 	isHTTP10                     bool // HTTP/1.0
 }
 
-// corpus is every method, status, framing, size and side thing, not each with each other.
+// corpus returns exchanges that cover all methods, statuses, framings, sizes and other features of HTTP, though not every
+// combination of them.
 func corpus() []exchange {
 	var exchanges []exchange
 	add := func(e exchange) {
@@ -128,7 +129,7 @@
 	return ""
 }
 
-// view is what a client sees of an answer.
+// clientView is an answer as a client receives it.
 type clientView struct {
 	status   string
 	fields   string
@@ -173,7 +174,7 @@
 	io.WriteString(w, "\r\n")
 }
 
-// send plays an exchange on a new connection.
+// send sends the request on a new connection and returns the answer.
 func (e exchange) send(addr, host string) clientView {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -208,7 +209,8 @@
 	}
 }
 
-// what an origin sees, less what docs/http.md says that the node sets or drops.
+// describeRequest describes a request as an origin received it, without the fields that the node sets or drops according to
+// docs/http.md.
 func describeRequest(r fake.Request) string {
 	h := r.Header.Clone()
 	without := []string{"Via", "X-Forwarded-For", "X-Forwarded-Host", "X-Forwarded-Proto", "Connection", "Keep-Alive", "X-Drop"}
@@ -216,7 +218,7 @@
 		r.Framing, r.Bytes, r.Hash, r.IsComplete, fake.Fields(r.Trailer))
 }
 
-// alike takes from what a client sees straight what docs/http.md says that the node leaves out.
+// normalizeDirect removes from an answer received directly from an origin what the node removes according to docs/http.md.
 func normalizeDirect(direct clientView) clientView {
 	if direct.status == "304" {
 		direct.fields = strings.TrimPrefix(direct.fields, "Content-Length: 0\n")
@@ -224,7 +226,8 @@
 	return direct
 }
 
-// Straight to an origin and through the node a client sees the same, and so does the origin.
+// A client must receive the same answer directly from an origin and through the node, and the origin must receive the same
+// request. Differences of the standard library's ReverseProxy are only logged, for comparison.
 func TestDifferential(t *testing.T) {
 	received := make(chan fake.Request, 100)
 	origin := &fake.Origin{OnRequest: func(r fake.Request) { received <- r }}
@@ -247,7 +250,7 @@
 		case <-time.After(testkit.WaitTimeout):
 			t.Fatalf("%s: it never came: %+v", e.name, viaNode)
 		}
-		for more := true; more; { // 502 to 504 of a safe method are tried again
+		for more := true; more; { // discards retries: 502 to 504 are retried for a safe method
 			select {
 			case <-received:
 			default:
@@ -275,8 +278,8 @@
 	}
 }
 
-// why explains in what the standard library's proxy differs from a direct way; what is not
-// explained is given as it is, on several lines.
+// explainDifferences classifies the differences between an exchange through the standard library's proxy and a direct one.
+// A difference without a known explanation is returned in full, on several lines.
 func explainDifferences(e exchange, direct, proxied clientView, directRequest, proxiedRequest fake.Request) map[string]bool {
 	kinds := make(map[string]bool)
 	directFields, proxiedFields := direct.fields, proxied.fields
@@ -322,7 +325,7 @@
 	return kinds
 }
 
-// reverseProxy is the standard library's in the same place.
+// reverseProxy starts the standard library's reverse proxy in front of the origin and returns its address.
 func reverseProxy(t *testing.T, to string) string {
 	u, err := url.Parse("http://" + to)
 	if err != nil {
--- a/internal/testsupport/generichttptest/hard_test.go
+++ b/internal/testsupport/generichttptest/hard_test.go
@@ -17,7 +17,7 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// dial connects to a node until the test ends.
+// dial connects to a node. The connection is closed when the test ends.
 func dial(t testing.TB, o *testbench.GenericHTTP) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", o.Node.Addr())
@@ -29,7 +29,7 @@
 	return c, bufio.NewReader(c)
 }
 
-// ask writes a request's head with a script.
+// writeRequestHead writes the head of a request with a script for the origin.
 func writeRequestHead(c net.Conn, method, script string, fields ...string) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s /x HTTP/1.1\r\nHost: h\r\n%s: %s\r\n", method, fake.HeaderScript, script)
@@ -48,7 +48,7 @@
 	return r
 }
 
-// idle waits until the node holds nothing.
+// waitUntilIdle waits until the node has no requests, streams or buffered bytes.
 func waitUntilIdle(t testing.TB, o *testbench.GenericHTTP) {
 	t.Helper()
 	testkit.Until(t, "nothing is held", func() bool {
@@ -74,7 +74,7 @@
 	return append([]fake.Request(nil), r.requests...)
 }
 
-// Answers of 404 speak against no server: both go on being asked.
+// An answer of 404 does not count as a failure of the server, so each of 200 requests is answered 404 after one attempt.
 func TestNotFoundIsNotAServerFailure(t *testing.T) {
 	var attemptCounts [2]atomic.Int64
 	var origins []*fake.Origin
@@ -96,7 +96,8 @@
 	}
 }
 
-// A server may answer before it has read the body, and go on reading it.
+// A server may answer before it has read the request's body and continue reading. The client must receive the complete
+// answer while it is still sending.
 func TestEarlyAnswer(t *testing.T) {
 	var received requestLog
 	o := startNode(t, &fake.Origin{OnRequest: received.record})
@@ -105,15 +106,15 @@
 	writeRequestHead(c, "POST", "early=1&body=100000&frame=chunked", fmt.Sprintf("Content-Length: %d", n))
 	io.CopyN(c, fake.PatternReader(n), n/2)
 	r := readResponse(t, in)
-	got, err := io.ReadAll(r.Body) // the whole answer, while half of the body is to come
+	got, err := io.ReadAll(r.Body) // the complete answer, while half of the request's body has not been sent
 	if err != nil || r.StatusCode != 200 || len(got) != 100000 {
 		t.Fatalf("%s, %d bytes, %v", r.Status, len(got), err)
 	}
 	waitUntilIdle(t, o)
 }
 
-// An answer too long to be held that breaks before any of it is out is 502 to the client, whose
-// connection goes on; one that breaks later ends it.
+// If an answer that is too long to be buffered breaks before any part of it was forwarded, the client receives 502 and its
+// connection remains usable. If the answer breaks later, the client's connection is closed.
 func TestLongAnswerAborted(t *testing.T) {
 	o := startNode(t, &fake.Origin{})
 	c, in := dial(t, o)
@@ -134,7 +135,7 @@
 	waitUntilIdle(t, o)
 }
 
-// A final answer that comes while an upload is under way is given at once, and the rest is not read.
+// A final answer received during an upload is forwarded immediately, and the rest of the upload is not read.
 func TestAnswerDuringUpload(t *testing.T) {
 	var received requestLog
 	o := startNode(t, &fake.Origin{OnRequest: received.record})
@@ -160,7 +161,7 @@
 	}
 }
 
-// An upload whose client stops half way is never taken for whole, and nothing of it stays.
+// An upload that its client aborts must not look complete to a server, must not be retried, and leaves nothing reserved.
 func TestAbortedUpload(t *testing.T) {
 	var received requestLog
 	o := startNode(t, &fake.Origin{OnRequest: received.record})
@@ -190,8 +191,8 @@
 	}
 }
 
-// A server that resets an upload after more than what is held was sent: no other attempt, whatever
-// the class permits. After less, a request that may run again goes elsewhere.
+// A server resets the connection during an upload. If more than the retry buffer was sent, there must be no retry, even if
+// the class permits it. If less was sent, a request that may be repeated is retried at another server.
 func TestResetDuringUpload(t *testing.T) {
 	var received requestLog
 	o := startNode(t, &fake.Origin{OnRequest: received.record}, &fake.Origin{OnRequest: received.record})
@@ -228,7 +229,8 @@
 
 const shortDeadline = "[classes.read]\naim = \"100ms\"\ndeadline = \"300ms\"\nrepeats = \"free\"\n[[routes]]\nservice = \"app\"\nupgrade = [\"echo\"]\n"
 
-// A deadline counts to an answer's first byte: events go on beyond it, each as it comes.
+// A deadline applies up to the first byte of an answer: an event stream continues after it, and each event is forwarded
+// immediately.
 func TestEventsBeyondTheDeadline(t *testing.T) {
 	o := startNodeWithConfig(t, "", "", shortDeadline, &fake.Origin{})
 	c, in := dial(t, o)
@@ -250,7 +252,8 @@
 	}
 }
 
-// A body that waits for 100 is sent after a while where the server never says it.
+// A client that waits for 100 (Continue) receives it after a delay even if the server never sends it, unless the server
+// sends a final answer first.
 func TestExpect(t *testing.T) {
 	var received requestLog
 	o := startNode(t, &fake.Origin{OnRequest: received.record})
@@ -281,7 +284,8 @@
 	}
 }
 
-// What a server sends beyond its answer belongs to nobody, and what it sends spoilt is no answer.
+// Bytes that a server sends after its answer must not become the answer of another request, and a malformed response is
+// answered with 502.
 func TestMalformedResponses(t *testing.T) {
 	o := startNode(t, &fake.Origin{})
 	c, in := dial(t, o)
@@ -312,7 +316,7 @@
 	}
 }
 
-// What could mean two things is refused before a server sees anything of it.
+// An ambiguous or malformed request (request smuggling) is rejected before any of it reaches a server.
 func TestAmbiguousRequests(t *testing.T) {
 	var received requestLog
 	o := startNode(t, &fake.Origin{OnRequest: received.record})
@@ -343,7 +347,7 @@
 	}
 }
 
-// The node's own answers say what happened, in the form that is asked for, and when to return.
+// The node's own error answers describe the error in the content type that the client accepts; a 503 has a Retry-After.
 func TestGeneratedAnswers(t *testing.T) {
 	stoppedOrigin := &fake.Origin{}
 	o := startNode(t, stoppedOrigin)
@@ -362,7 +366,7 @@
 	}
 }
 
-// tunnelled opens a tunnel and has something go round in it.
+// openTunnel opens a tunnel to an echo server and checks that it echoes.
 func openTunnel(t testing.TB, o *testbench.GenericHTTP) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, in := dial(t, o)
@@ -395,7 +399,7 @@
 		t.Errorf("after the end: %q, %v", rest, err)
 	}
 	waitUntilIdle(t, o)
-	// Another protocol than the route allows is not asked for.
+	// An upgrade to a protocol that the route does not allow is not forwarded.
 	c, in = dial(t, o)
 	writeRequestHead(c, "GET", "body=3", "Connection: Upgrade", "Upgrade: h2c")
 	if r := readResponse(t, in); r.StatusCode != 200 {
@@ -408,11 +412,12 @@
 	}
 }
 
-// Open streams and tunnels outlive a reload that replaces their service; a drain gives them the
-// time that it has and ends.
+// Open streams and tunnels survive a reload that replaces their service. A drain lets them continue until its timeout, then
+// closes them.
 func TestReloadAndDrainWithStreams(t *testing.T) {
 	const streams, tunnels = 200, 50
-	// Tunnels are opened first: each counts as one of what the module lets out until it has begun.
+	// Tunnels are opened first, since each counts as an attempt in flight for the module's concurrency limit until it is
+	// established.
 	process := "descriptors = 4096\ndrain = { idle = \"0s\", accept = \"0s\", most = \"700ms\" }\nclients = 800\nbytes = \"256MiB\""
 	o, err := testbench.StartGenericHTTP([]*fake.Origin{{}, {}}, process, "", "")
 	if err != nil {
@@ -477,7 +482,7 @@
 	}
 }
 
-// A client that reads slowly keeps its own window waiting and nobody else.
+// A client that reads slowly delays only its own answer, and little of that answer is buffered.
 func TestSlowReader(t *testing.T) {
 	o := startNode(t, &fake.Origin{})
 	slow, in := dial(t, o)
@@ -499,7 +504,7 @@
 	waitUntilIdle(t, o)
 }
 
-// Streams of one service that have outlived their time give way where another asks for its own.
+// Streams that are past their deadline are closed when another service needs its guaranteed resources.
 func TestStreamsAreEvicted(t *testing.T) {
 	long, short := &fake.Origin{}, &fake.Origin{}
 	if err := short.Start(); err != nil {
@@ -566,8 +571,8 @@
 	}
 }
 
-// Uploads that hang at one service's silent servers take nothing that is another's: isolation with
-// streams in place of calls.
+// Uploads that hang at the silent servers of one service must not use the guaranteed resources of another: isolation of
+// services for streams instead of short requests.
 func TestIsolationWithStreams(t *testing.T) {
 	other := &fake.Origin{}
 	if err := other.Start(); err != nil {
--- a/internal/testsupport/generichttptest/http2_test.go
+++ b/internal/testsupport/generichttptest/http2_test.go
@@ -26,7 +26,7 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// both is an origin that speaks HTTP/1.1 and, to whoever begins with it, HTTP/2.
+// startDualProtocolOrigin starts an origin that serves HTTP/1.1, and HTTP/2 to clients with prior knowledge.
 func startDualProtocolOrigin(t testing.TB, serve http.HandlerFunc) *httptest.Server {
 	s := httptest.NewUnstartedServer(serve)
 	s.Config.Protocols = new(http.Protocols)
@@ -37,12 +37,13 @@
 	return s
 }
 
-// one is an origin as the only server of a list.
+// staticServer returns the configuration of an origin as the only server of a list.
 func staticServer(origin *httptest.Server) string {
 	return "{ endpoint = \"" + origin.Listener.Addr().String() + "\" }"
 }
 
-// over2 is a node that speaks HTTP/2 to a list of servers; what stands behind its service may be more.
+// startHTTP2Node starts a node that forwards over HTTP/2 to a list of servers. more is the configuration after the service;
+// if it is empty, a route that allows upgrades.
 func startHTTP2Node(t testing.TB, servers, more string) *node.Node {
 	t.Helper()
 	if more == "" {
@@ -71,7 +72,7 @@
 	return n
 }
 
-// answers is an origin's handler that tells what it was asked and answers by the query.
+// serveByQuery is an origin's handler that reports the request in header fields and answers as the query specifies.
 func serveByQuery(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	sum := sha256.New()
@@ -115,7 +116,7 @@
 	}
 }
 
-// letters are some, by their place.
+// alphabetReader is an endless reader of the alphabet, repeated.
 type alphabetReader struct{ offset int }
 
 func (l *alphabetReader) Read(p []byte) (int, error) {
@@ -126,8 +127,8 @@
 	return len(p), nil
 }
 
-// What a client sees straight and through a node that speaks HTTP/2 is the same, and so is what
-// the origin is asked.
+// A client must receive the same answer directly from an origin and through a node that forwards over HTTP/2. The answer
+// also reports the request as the origin received it, which must be the same too.
 func TestHTTP2ForwardingIsTransparent(t *testing.T) {
 	origin := startDualProtocolOrigin(t, serveByQuery)
 	n := startHTTP2Node(t, staticServer(origin), "")
@@ -184,8 +185,8 @@
 		for _, k := range []string{"Via", "X-Forwarded-For", "Date", "Connection", "Keep-Alive", "Trailer"} {
 			h.Del(k)
 		}
-		h.Del("X-Got-Expect")                    // is answered by whoever is asked
-		if resp.ContentLength < 0 || size == 0 { // the framing of what has no length is each one's own
+		h.Del("X-Got-Expect")                    // Expect may be answered by the node instead of the origin
+		if resp.ContentLength < 0 || size == 0 { // without a length each hop chooses the framing
 			h.Del("Content-Length")
 		}
 		return fmt.Sprint(resp.Status, h, size, fmt.Sprintf("%x", sum.Sum(nil)[:4]), err, resp.Trailer)
@@ -198,7 +199,7 @@
 	}
 }
 
-// An answer of 1xx goes on to the client as it comes.
+// An interim response (1xx) is forwarded to the client when it is received, before the final answer.
 func TestEarlyHintsOverHTTP2(t *testing.T) {
 	n := startHTTP2Node(t, staticServer(startDualProtocolOrigin(t, serveByQuery)), "")
 	c, err := net.Dial("tcp", n.Addr())
@@ -218,8 +219,8 @@
 	}
 }
 
-// A reader that takes nothing keeps its own stream waiting: others on the same connection go on, and
-// what is held of it stays within the window.
+// A client that does not read its answer blocks only its own stream: other streams of the same connection proceed, and what
+// is buffered of the blocked answer stays within the flow-control window.
 func TestSlowReaderOverHTTP2(t *testing.T) {
 	origin := startDualProtocolOrigin(t, serveByQuery)
 	n := startHTTP2Node(t, staticServer(origin), "")
@@ -252,13 +253,13 @@
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// What breaks off on either side is told to the other: an answer that is cut off is not taken for
-// whole, and a client that leaves has its request ended.
+// An abort on one side is propagated to the other: a truncated answer must not look complete to the client, and the
+// request of a client that disconnects must be canceled at the server.
 func TestAbortsOverHTTP2(t *testing.T) {
 	requestCanceled := make(chan struct{})
 	origin := startDualProtocolOrigin(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/wait" {
-			for r.Context().Err() == nil { // that a client has left is noticed as more is written
+			for r.Context().Err() == nil { // the node notices the disconnected client when it writes to it
 				io.WriteString(w, "data: x\n\n")
 				w.(http.Flusher).Flush()
 				select {
@@ -275,7 +276,7 @@
 	for _, query := range []string{"size=200000&cut", "size=200000&length&cut&flush", "size=10&flush&cut"} {
 		r, err := http.Get("http://" + n.Addr() + "/x?" + query)
 		if err != nil {
-			continue // a 502 or a break: both tell
+			continue // the client detects the abort; it may also receive a 502
 		}
 		if _, err := io.ReadAll(r.Body); err == nil && r.StatusCode == 200 && !strings.Contains(query, "length") {
 			t.Errorf("%s: taken for whole", query)
@@ -294,7 +295,8 @@
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// Uploads go on as they come, past every window, and a server that answers before the end is heard.
+// Uploads larger than every flow-control window are forwarded, and an answer that a server sends before the end of the
+// upload reaches the client.
 func TestUploadsOverHTTP2(t *testing.T) {
 	origin := startDualProtocolOrigin(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/early" {
@@ -324,8 +326,8 @@
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// posts sends requests with effects, of any size and framing, through a node to servers of HTTP/2 that
-// break at any byte; it tells what the servers ran, and how many clients were told of a success.
+// sendPosts sends POST requests of various sizes and framings through a node to HTTP/2 servers whose connections may break
+// after any byte. It returns what the servers executed and how many requests were answered with 200.
 func sendPosts(t *testing.T, n int, service string) (counts fake.Counts, servedCount int64) {
 	executions := &fake.Executions{}
 	f := fake.HTTP2Faults{Refuse: 0.05, Reset: 0.03, Error: 0.02, Early: 0.05, Lower: 0.05, GoAway: 0.05, CutRead: 0.4, CutSent: 0.4, MaxCutOffset: 60000}
@@ -358,7 +360,7 @@
 					t.Error(err)
 					return
 				}
-				r.GetBody = nil // the client sends nothing again by itself
+				r.GetBody = nil // prevents the client from retrying
 				id := fmt.Sprint("r-", seed)
 				r.Header.Set("X-Correlation-Id", id)
 				resp, err := client.Do(r)
@@ -380,8 +382,8 @@
 	return executions.Counts(), served.Load()
 }
 
-// Whatever breaks at whatever byte, a request that may not run again doesn't; and the check finds it
-// where a file says that it may.
+// A request whose class forbids retries must not be executed twice, after whichever byte a connection breaks. The second
+// part verifies that the check detects repeated executions, with a configuration that allows retries.
 func TestPostsOverHTTP2(t *testing.T) {
 	if c, ok := sendPosts(t, 1000, readWriteClasses); c.Repeated > 0 || c.DuplicateEffects > 0 || c.MaxInFlight > 1 || ok < 600 {
 		t.Errorf("%+v, %d served", c, ok)
--- a/internal/testsupport/generichttptest/mutations_test.go
+++ b/internal/testsupport/generichttptest/mutations_test.go
@@ -24,8 +24,8 @@
 	"lockflow/internal/upstream"
 )
 
-// pastHeld is a request that is sent again though the beginning of its body is gone: a further
-// attempt sends what is left of it.
+// retryPastBuffer is a faulty request that is retried although the beginning of its body is no longer buffered: a retry
+// sends only the remaining body.
 type retryPastBuffer struct {
 	*upstream.RelayedRequest
 	remainingBody io.Reader
@@ -39,8 +39,8 @@
 	return q.Attempt(ctx, life, u, pool)
 }
 
-// afterFirstByte is a request that is sent again when an answer breaks that the client has the
-// beginning of: what comes then is put behind it.
+// retryAfterFirstByte is a faulty request that is retried when its answer breaks after the client has received the
+// beginning: the body of the retry's answer is appended to the received part.
 type retryAfterFirstByte struct{ *upstream.RelayedRequest }
 
 func (a retryAfterFirstByte) Attempt(ctx, life context.Context, u *upstream.Upstream, pool *upstream.Pool) upstream.Outcome {
@@ -70,7 +70,7 @@
 	return o
 }
 
-// shared is a body that a left attempt may still read while another does.
+// lockedReader is a request body that an abandoned attempt may still read while a retry reads it.
 type lockedReader struct {
 	mu sync.Mutex
 	r  io.Reader
@@ -82,7 +82,7 @@
 	return s.r.Read(p)
 }
 
-// faultyOrigins starts three origins that draw faults, and lists them.
+// faultyOrigins starts three origins with random faults and returns them with a discovery source that lists them.
 func faultyOrigins(t *testing.T, c *attemptRecorder) (origins []*fake.Origin, src discovery.Source) {
 	src.Kind = discovery.Static
 	for i := range 3 {
@@ -96,8 +96,8 @@
 	return origins, src
 }
 
-// direct plays seeds at a service with no front before it, and gives what was wrong. wrap makes the
-// request that the service sends; nil leaves it as it is.
+// runService sends one random request per seed to a service without a front, and returns descriptions of the violations.
+// wrap replaces the request that the service forwards; nil leaves it unchanged.
 func runService(t *testing.T, seeds int, wrap func(*upstream.RelayedRequest, io.Reader) service.Forwarder) (violations []string, served int) {
 	c := &attemptRecorder{attemptCounts: make(map[string]int)}
 	origins, src := faultyOrigins(t, c)
@@ -175,7 +175,7 @@
 	return violations, served
 }
 
-// readAnswer reads an answer's body to its end, and gives its length and hash.
+// readAnswer reads an answer's body to the end and returns its length and hash.
 func readAnswer(a service.Answer) (n int64, hash string, err error) {
 	in := io.Reader(bytes.NewReader(a.Body))
 	if a.Stream != nil {
@@ -187,7 +187,8 @@
 	return n, hex.EncodeToString(h.Sum(nil)[:8]), err
 }
 
-// What the tallies hold is held by what they are to hold: taken away, they find it.
+// The checks of attempt accounting must be able to fail: with requests that break a rule of retries on purpose they report
+// violations, and without them none.
 func TestFaultyForwardersAreDetected(t *testing.T) {
 	if violations, served := runService(t, 300, nil); len(violations) > 0 || served < 50 {
 		t.Errorf("%d served, %v", served, violations)
--- a/internal/testsupport/generichttptest/tallies_test.go
+++ b/internal/testsupport/generichttptest/tallies_test.go
@@ -21,11 +21,12 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// tally is what origins ran, by request. An attempt of which a server has read any byte may have run.
+// attemptRecorder counts the attempts that origins received, by request. Any attempt of which a server has read a byte
+// counts, since it may have been executed.
 type attemptRecorder struct {
 	mu            sync.Mutex
 	attemptCounts map[string]int
-	corruptIDs    []string // bodies taken for whole that are not what was sent
+	corruptIDs    []string // requests whose body a server received as complete although it differs from the sent one
 }
 
 func (c *attemptRecorder) record(r fake.Request) {
@@ -38,7 +39,7 @@
 	}
 }
 
-// faults has a server break off at any byte, either way, or fall silent.
+// injectFault makes a server abort a request or an answer at a random byte, answer with an error, or not answer.
 func injectFault(rng *rand.Rand, s url.Values) {
 	switch rng.IntN(10) {
 	case 0:
@@ -58,13 +59,13 @@
 	}
 }
 
-// chance is one request that a seed draws, and how its client behaves.
+// randomRequest is a request drawn from a seed, with the behaviour of its client.
 type randomRequest struct {
 	method             string
 	body               int64
 	isChunked          bool
-	closeAfterSent     int64 // the client closes after so many bytes of the request; below zero it stays
-	closeAfterReceived int64 // and after so many of the answer
+	closeAfterSent     int64 // number of request bytes after which the client closes the connection; negative means never
+	closeAfterReceived int64 // number of answer bytes after which the client closes the connection; negative means never
 	script             string
 }
 
@@ -83,8 +84,8 @@
 	return c
 }
 
-// play sends a request and tells what its client took for a whole answer: ok is one of the
-// status 200 with its body's length and hash.
+// send sends the request and returns the status of the answer and the length and hash of its body. isComplete reports
+// whether the client received an answer that looks complete; its status need not be 200.
 func (ch randomRequest) send(addr, id string) (status int, n int64, hash string, isComplete bool) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -122,7 +123,7 @@
 	return r.StatusCode, n, hex.EncodeToString(h.Sum(nil)[:8]), err == nil && (ch.closeAfterReceived < 0 || n < ch.closeAfterReceived)
 }
 
-// stopAt closes a connection after some bytes.
+// closingWriter closes a connection after a given number of bytes.
 type closingWriter struct {
 	conn      net.Conn
 	remaining int64
@@ -136,7 +137,7 @@
 	return n, err
 }
 
-// run plays many seeds and gives what was wrong.
+// runSeeds sends one random request per seed through a node and returns descriptions of the violations.
 func runSeeds(t *testing.T, seeds int, service, more string) (violations []string, served int64) {
 	c := &attemptRecorder{attemptCounts: make(map[string]int)}
 	var origins []*fake.Origin
@@ -180,7 +181,7 @@
 	clients.Wait()
 	waitUntilIdle(t, o)
 	for _, origin := range origins {
-		origin.Close() // what its connections still read is told before
+		origin.Close() // waits for its connections, so that all requests are recorded
 	}
 	for id, n := range c.attemptCounts {
 		if _, isNonIdempotent := nonIdempotent.Load(id); isNonIdempotent && n > 1 {
@@ -205,8 +206,8 @@
 service = "app"
 `
 
-// Whatever breaks at whatever byte, on either side: no single-shot request comes to a server twice,
-// no client takes a part of an answer for the whole, no server a part of a request.
+// After whichever byte a client or a server aborts, a request that may not be repeated reaches servers at most once, no
+// client receives a truncated answer that looks complete, and no server a truncated request that looks complete.
 func TestAttemptAccounting(t *testing.T) {
 	seeds := 2000
 	if testing.Short() {
@@ -222,7 +223,7 @@
 	}
 }
 
-// The same with a class that says that any request may run again: the check must find it.
+// With a class that allows any request to be repeated, the check must detect repeated requests.
 func TestAttemptAccountingDetectsRetry(t *testing.T) {
 	violations, _ := runSeeds(t, 400, "", strings.Replace(readWriteClasses, `repeats = "never"`, `repeats = "free"`, 1))
 	if len(violations) == 0 {
--- a/internal/testsupport/redistest/command.go
+++ b/internal/testsupport/redistest/command.go
@@ -15,12 +15,12 @@
 	errWrongType = errors.New("WRONGTYPE Operation against a key holding the wrong kind of value")
 )
 
-// minArguments are the known commands with their minimum numbers of arguments.
+// minArguments maps each supported command to its minimum number of arguments.
 var minArguments = map[string]int{
 	"TIME": 0, "INFO": 0, "GET": 1, "SET": 2, "DEL": 1, "HGET": 2, "HMGET": 2, "HGETALL": 1, "HSET": 3, "HDEL": 2, "PEXPIRE": 2,
 }
 
-// Do runs one command and returns its reply: nil, an error, an int, a string or a list of those.
+// Do runs one command and returns its reply: nil, an error, an int, a string, a status or a list of these.
 func (s *Server) Do(args ...string) any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -35,7 +35,7 @@
 	return s.run(args)
 }
 
-// get returns the value of a key, which it removes if it has expired.
+// get returns the value of a key. An expired key is removed.
 func (s *Server) get(key string) (value entry, ok bool) {
 	value, ok = s.data[key]
 	if ok && !value.expiresAt.IsZero() && !s.now().Before(value.expiresAt) {
@@ -45,7 +45,7 @@
 	return value, ok
 }
 
-// run runs a command, other than a script. s.mu is locked.
+// run runs a command other than PING or a script. s.mu must be locked.
 func (s *Server) run(args []string) any {
 	name, args := strings.ToUpper(args[0]), args[1:]
 	required, isKnown := minArguments[name]
@@ -152,7 +152,7 @@
 	}
 }
 
-// fieldReply returns the reply for one field of a hash: nil if it does not exist.
+// fieldReply returns the reply for one field of a hash, which is nil if the field does not exist.
 func fieldReply(hash map[string]string, field string) any {
 	if text, ok := hash[field]; ok {
 		return text
--- a/internal/testsupport/redistest/connection.go
+++ b/internal/testsupport/redistest/connection.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Replies to AUTH, and without it, as Redis sends them.
+// Error replies to a wrong AUTH and to commands without authentication, as Redis sends them.
 var (
 	errWrongPassword = errors.New("WRONGPASS invalid username-password pair or user is disabled.") //nolint:revive,staticcheck // the text that Redis sends
 	errNoAuth        = errors.New("NOAUTH Authentication required.")                               //nolint:revive,staticcheck // the text that Redis sends
 )
 
-// serve answers the commands of one connection.
+// serve runs the commands of one connection.
 func (s *Server) serve(conn net.Conn) {
 	defer func() {
 		conn.Close()
--- a/internal/testsupport/redistest/redistest.go
+++ b/internal/testsupport/redistest/redistest.go
@@ -1,6 +1,6 @@
-// Package redistest is a fake Redis server for tests: as much of RESP 2 and of the commands as the scripts of lease
-// and model stores use, with scripts run by an embedded Lua interpreter. It can be slow, unresponsive, replaced by an
-// empty server, restored to an older state, reject all commands, or show another time.
+// Package redistest provides a fake Redis server for tests. It implements the part of RESP 2 and the commands that the
+// scripts of the lease and model stores use, and runs scripts in an embedded Lua interpreter. The server can be slow or
+// unresponsive, be replaced by an empty one, be restored to an older state, reject all commands, or have another clock.
 package redistest
 
 import (
@@ -14,11 +14,11 @@
 	lua "github.com/yuin/gopher-lua"
 )
 
-// Faults are the faults of a server. The zero value is none.
+// Faults holds the faults that a server injects. The zero value injects none.
 type Faults struct {
-	Delay    time.Duration // before each reply
-	Error    string        // reply to all commands, such as "LOADING Redis is loading"; empty is none
-	IsSilent bool          // commands are read and not answered
+	Delay    time.Duration // delay of each reply
+	Error    string        // error reply to all commands, such as "LOADING Redis is loading"; empty means none
+	IsSilent bool          // commands are read but not answered
 }
 
 // Server is a fake Redis server. Its methods are safe for concurrent use.
@@ -29,21 +29,21 @@
 	mu         sync.Mutex
 	data       map[string]entry // by key
 	runID      string
-	startCount int                           // number of run IDs so far
+	startCount int                           // number of run IDs assigned, from which the next one is made
 	scripts    map[string]*lua.FunctionProto // by SHA-1
 	now        func() time.Time
 	faults     Faults
-	password   string // empty is none
+	password   string // empty if none is required
 	conns      map[net.Conn]bool
 	scriptRuns int
 	isClosed   bool
 }
 
-// entry is the value of a key: a string, or a hash if that is not nil.
+// entry is the value of a key: a hash if hash is not nil, otherwise a string.
 type entry struct {
 	text      string
 	hash      map[string]string
-	expiresAt time.Time // zero is never
+	expiresAt time.Time // zero means never
 }
 
 // Start starts a server on a free port of the loopback address.
@@ -58,7 +58,7 @@
 	return s, nil
 }
 
-// New returns a server that does not listen. Do runs commands on it.
+// New returns a server that does not listen. Commands are run with Do.
 func New() *Server {
 	s := &Server{now: time.Now, conns: make(map[net.Conn]bool), scripts: make(map[string]*lua.FunctionProto)}
 	s.Replace()
@@ -84,7 +84,7 @@
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Close ends the server with all its connections.
+// Close stops the server and closes all its connections.
 func (s *Server) Close() {
 	s.listener.Close()
 	s.mu.Lock()
@@ -103,7 +103,8 @@
 	}
 }
 
-// Replace replaces the server by an empty one with another run ID, and closes the connections.
+// Replace simulates the replacement of the server by an empty one: it assigns another run ID, removes all data and scripts
+// and closes the connections.
 func (s *Server) Replace() {
 	s.mu.Lock()
 	s.startCount++
@@ -121,21 +122,21 @@
 	s.faults = faults
 }
 
-// SetPassword has the server require AUTH with a password.
+// SetPassword makes the server require AUTH with the password.
 func (s *Server) SetPassword(password string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.password = password
 }
 
-// SetClock sets the server's clock. now is called with the server locked.
+// SetClock sets the server's clock. now is called with the server's mutex locked.
 func (s *Server) SetClock(now func() time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.now = now
 }
 
-// ScriptRuns returns the number of scripts that were run.
+// ScriptRuns returns the number of script executions.
 func (s *Server) ScriptRuns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,7 +153,7 @@
 	return len(s.data)
 }
 
-// Snapshot returns a function that restores all data to what it is now.
+// Snapshot takes a copy of all data and returns a function that restores it.
 func (s *Server) Snapshot() (restore func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testsupport/redistest/resp.go
+++ b/internal/testsupport/redistest/resp.go
@@ -8,16 +8,16 @@
 	"strings"
 )
 
-// Limits of a command.
+// Limits on the size of a command.
 const (
 	maxArguments     = 1 << 20
 	maxArgumentBytes = 1 << 20
 )
 
-// status is a simple string reply.
+// status is a simple string reply, such as OK.
 type status string
 
-// readCommand reads a command: an array of bulk strings.
+// readCommand reads a command, which is an array of bulk strings.
 func readCommand(in *bufio.Reader) ([]string, error) {
 	n, err := readLength(in, '*')
 	if err != nil || n < 1 || n > maxArguments {
@@ -38,7 +38,7 @@
 	return args, nil
 }
 
-// readLength reads the line that begins an array or a bulk string.
+// readLength reads the length line of an array ('*') or a bulk string ('$').
 func readLength(in *bufio.Reader, kind byte) (int, error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
@@ -50,7 +50,7 @@
 	return strconv.Atoi(strings.TrimRight(line[1:], "\r\n"))
 }
 
-// appendReply appends the encoding of a reply, as Do returns it.
+// appendReply appends the RESP encoding of a reply as returned by Do.
 func appendReply(encoded []byte, reply any) []byte {
 	switch reply := reply.(type) {
 	case nil:
--- a/internal/testsupport/redistest/script.go
+++ b/internal/testsupport/redistest/script.go
@@ -13,11 +13,11 @@
 
 var errNoScript = errors.New("NOSCRIPT No matching script. Please use EVAL.") //nolint:revive,staticcheck // the text that Redis sends
 
-// lineBreaks replaces the line breaks of errors, which end an error reply.
+// lineBreaks replaces the line breaks in error texts, since a line break ends an error reply.
 var lineBreaks = strings.NewReplacer("\n", " ", "\r", " ")
 
-// eval runs a script: args are its source, or its SHA-1 with isHash, the number of keys, the keys and the arguments.
-// s.mu is locked.
+// eval runs EVAL, or EVALSHA if isHash is set. args are the script's source or SHA-1, the number of keys, the keys and the
+// arguments. s.mu must be locked.
 func (s *Server) eval(isHash bool, args []string) any {
 	if len(args) < 2 {
 		return errors.New("ERR wrong number of arguments for 'eval' command")
@@ -42,7 +42,7 @@
 	return s.runScript(script, args[2:2+keyCount], args[2+keyCount:])
 }
 
-// load compiles a script, if it is not known, and returns its SHA-1.
+// load compiles a script, unless it is cached, and returns its SHA-1.
 func (s *Server) load(source string) (hash string, err error) {
 	sum := sha1.Sum([]byte(source))
 	hash = hex.EncodeToString(sum[:])
@@ -59,7 +59,7 @@
 	return hash, nil
 }
 
-// runScript runs a script in an interpreter of its own.
+// runScript runs a script in a new interpreter.
 func (s *Server) runScript(script *lua.FunctionProto, keys, args []string) any {
 	state := lua.NewState()
 	defer state.Close()
@@ -75,7 +75,7 @@
 	return fromLua(state.Get(-1))
 }
 
-// callFromScript is redis.call.
+// callFromScript implements redis.call.
 func (s *Server) callFromScript(state *lua.LState) int {
 	var command []string
 	for i := 1; i <= state.GetTop(); i++ {
@@ -97,7 +97,7 @@
 	return table
 }
 
-// toLua converts a reply to a value of a script.
+// toLua converts a reply to a Lua value.
 func toLua(state *lua.LState, reply any) lua.LValue {
 	switch reply := reply.(type) {
 	case nil:
--- a/internal/testsupport/scattergathertest/faults_test.go
+++ b/internal/testsupport/scattergathertest/faults_test.go
@@ -15,11 +15,11 @@
 	"lockflow/internal/trials/faultnet/script"
 )
 
-// faulty is instances of the program over pools and a store that all stand behind links.
+// faultyCluster is a set of lockflow instances that reach their pools and their store through links with injected faults.
 type faultyCluster struct {
 	t         *testing.T
 	pools     []*pool
-	links     []*faultnet.Link // by pool, then the store's
+	links     []*faultnet.Link // one per pool, then the link of the store
 	instances []*instance
 	names     []string
 	answers   answerCounts
@@ -53,7 +53,7 @@
 	storeAddress := f.listenLink(store.Addr())
 	for i := range instances {
 		waitPolicy := "half_life = \"100ms\"\ndeadline = \"learned\""
-		if i == 0 { // whose answers lack what is not there, and nothing that is only slow on busy cores
+		if i == 0 { // its answers lack parts that do not answer, but not those that are merely slow on a busy machine
 			waitPolicy = "half_life = \"10s\"\ndeadline = \"2s\""
 		}
 		f.instances = append(f.instances, startInstance(t, text+gatheringService("parts = ["+parts+"]\nleast = 0.4\n"+waitPolicy+"\nshare = { addresses = [\""+storeAddress+"\"] }")))
@@ -62,7 +62,7 @@
 	return f
 }
 
-// wave has each instance asked so many times, one after another.
+// queryAll sends n queries to each instance, one after another. Instances are queried concurrently.
 func (f *faultyCluster) queryAll(n int, instances ...*instance) {
 	var clients sync.WaitGroup
 	for _, p := range instances {
@@ -81,8 +81,9 @@
 	return f.answers.queries
 }
 
-// each holds that so many pools, from the first on, were sent each query once since they had counted so
-// many, less those which a module could not take in time on busy cores: they are missing in answers.
+// requireQueriedByAll checks that each of the first pools was sent every query once, in addition to the requests counted in
+// since. Queries that a module could not admit in time on a busy machine are allowed for: their parts are missing in
+// answers.
 func (f *faultyCluster) requireQueriedByAll(pools, queries int, since []int) {
 	f.t.Helper()
 	for i, p := range f.pools[:pools] {
@@ -99,8 +100,8 @@
 	return all
 }
 
-// silentPool has one pool fall silent: the others are sent each query once and are in each answer that waits for
-// them.
+// checkSilentPool cuts the link of one pool. The other pools must be sent each query once, and their results must be in each
+// answer whose deadline is long enough.
 func (f *faultyCluster) checkSilentPool(t *testing.T) {
 	t.Helper()
 	if err := f.links[4].Set(script.Fault{Kind: script.Cut}); err != nil {
@@ -126,11 +127,10 @@
 	}
 }
 
-// Six instances over five pools, the pools and the store that they share in behind links. First one pool
-// falls silent: the others are sent each query once and are in each answer that waits for them. Then a
-// script befalls all links, a step whenever so many more queries have been answered: each query has one
-// answer, which holds what it claims. Once all is healed each instance has whole answers again, and hears
-// from the others.
+// Six instances query five pools and share what they learn in a store; pools and store are behind links. First one pool stops
+// answering: the others must be sent each query once, and be in each answer whose deadline is long enough. Then a random
+// fault script runs on all links, one step per 16 queries: each query must have one answer, whose header states exactly the
+// results in the body. After all links are healed, each instance must give complete answers and receive learned data again.
 func TestFaultsBetween(t *testing.T) {
 	f := newFaultyCluster(t, 5, 6)
 	f.queryAll(20, f.instances...)
--- a/internal/testsupport/scattergathertest/node_test.go
+++ b/internal/testsupport/scattergathertest/node_test.go
@@ -1,4 +1,4 @@
-// Package scattergathertest tries gathering services as clients and servers see them.
+// Package scattergathertest tests scatter-gather services through a complete node, from the view of clients and servers.
 package scattergathertest
 
 import (
@@ -22,12 +22,13 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// pool is a service's one server, which answers with elements that name it. It answers while open.
+// pool is the only server of a service. It answers with array elements that contain its name. While it is stalled it does
+// not answer.
 type pool struct {
 	*testkit.App
 	name    string
 	mu      sync.Mutex
-	gate    chan struct{} // closed is open
+	gate    chan struct{} // requests wait until it is closed
 	handler http.HandlerFunc
 }
 
@@ -96,12 +97,12 @@
 		"[[routes]]\nservice = \"district\"\npath = \"/search\"\nmethod = \"POST\"\nas = \"search\"\n"
 }
 
-// rig is a node with pools a, b and c.
+// testNode is a node with pools a, b and c.
 type testNode struct {
 	*node.Node
 	t               *testing.T
 	a, b, c         *pool
-	serviceSettings map[string]string // of services' settings
+	serviceSettings map[string]string // additional settings by service
 }
 
 func (r *testNode) configText(gather string) string {
@@ -164,7 +165,7 @@
 	return answer{resp.StatusCode, resp.Header.Get("Lockflow-Parts"), resp.Header.Get("Lockflow-Missing"), string(raw), resp.Header}
 }
 
-// is holds an answer against what it should be, and its body against what it claims.
+// requireAnswer checks an answer. The body is checked only for the status 200, and not if the expected body is "-".
 func (r *testNode) requireAnswer(a answer, status int, parts, missing, body string) {
 	r.t.Helper()
 	if a.status != status || a.parts != parts || a.missing != missing || status == 200 && body != "-" && a.body != body {
@@ -172,7 +173,7 @@
 	}
 }
 
-// idle waits until no service holds anything.
+// waitUntilIdle waits until no service has requests or buffered bytes.
 func (r *testNode) waitUntilIdle() {
 	r.t.Helper()
 	testkit.Until(r.t, "nothing is held", func() bool {
@@ -195,7 +196,7 @@
 deadline = "2s"
 half_life = "10s"`
 
-// The test's own program is the node where this variable is set.
+// nodeVariable is the environment variable that makes the test binary run as lockflow itself.
 const nodeVariable = "LOCKFLOW_TEST_SCATTER"
 
 func TestMain(m *testing.M) {
@@ -258,10 +259,10 @@
 	r.waitUntilIdle()
 }
 
-// A part that says nothing costs the others nothing: it is cut at the deadline, and what it answers
-// later is thrown away.
+// A part that does not answer must not delay or lose the others' results: the query is answered without it at the
+// deadline. A late result of the part is used only for learning, and is never added to an answer.
 func TestStalled(t *testing.T) {
-	t.Parallel() // it waits for deadlines, which are long for where cores are busy
+	t.Parallel() // the test waits for deadlines, which are long so that they are met on busy machines
 	r := startNode(t, gatheringService(fixedDeadline), nil)
 	r.c.stall()
 	for range 2 {
@@ -271,7 +272,7 @@
 		t.Errorf("asked %d, %d and %d times", r.a.Count(), r.b.Count(), r.c.Count())
 	}
 	before := r.GathererStatus()[0].Learned
-	r.c.release() // late answers teach, and are nobody's
+	r.c.release() // late results are learned from but are part of no answer
 	// The first late answer makes c look as slow as its latency objective. Its module then admits a request only
 	// while no attempt is in flight, so the next query has to wait until both late answers are in.
 	r.waitUntilIdle()
@@ -280,7 +281,7 @@
 	if after := r.GathererStatus()[0].Learned; after.Sketches < before.Sketches || after.Queries != 3 {
 		t.Errorf("%+v after %+v", after, before)
 	}
-	// A client that leaves ends all.
+	// The disconnect of a client ends its query and all attempts of it.
 	r.c.stall()
 	ctx, cancel := context.WithCancel(context.Background())
 	req, _ := http.NewRequestWithContext(ctx, "GET", "http://"+r.Addr()+"/x", nil)
@@ -296,12 +297,13 @@
 	r.c.release()
 	r.waitUntilIdle()
 	testkit.Until(t, "nothing is open", func() bool { return r.GathererStatus()[0].InFlight == 0 })
-	if n := r.GathererStatus()[0].Learned.Queries; n != 4 { // else what one that explored may cost is never given back
+	if n := r.GathererStatus()[0].Learned.Queries; n != 4 { // otherwise the exploration budget of a query is never returned
 		t.Errorf("%d queries are settled", n)
 	}
 }
 
-// The client's time goes before all: an answer with what there is, in time.
+// The deadline that a client sends limits the wait even if the service has none: the query is answered in time with the
+// results received so far. A malformed deadline is answered with 400.
 func TestClientDeadline(t *testing.T) {
 	t.Parallel()
 	r := startNode(t, strings.Replace(gatheringService(strings.Replace(fixedDeadline, "2s", "none", 1)), "[services.district.gather]", "[services.district]\ntime_header = \"X-Wait\"\n[services.district.gather]", 1), nil)
@@ -314,7 +316,7 @@
 	r.c.release()
 }
 
-// A quota that refuses at one part has the query refused as a whole: no part is sent anything.
+// If the quota of one part rejects a query, the entire query is rejected and no part is sent a request.
 func TestQuota(t *testing.T) {
 	r := startNode(t, gatheringService(longDeadline), map[string]string{"b": `plans = ["tight"]`})
 	served := 0
@@ -337,7 +339,8 @@
 	if n := r.GathererStatus()[0].Queries["quota"]; n != uint64(12-served) {
 		t.Errorf("%d refused by quota", n)
 	}
-	// What refuses is asked first: the others have not even heard of most.
+	// No service has a request in flight: the part that rejects is charged first, so most rejected queries never reached
+	// the other parts.
 	for _, s := range r.Status() {
 		if s.Requests != 0 {
 			t.Errorf("%s holds %d", s.Name, s.Requests)
@@ -346,7 +349,8 @@
 	r.waitUntilIdle()
 }
 
-// Gatherers of gatherers, in this process and beyond it, count by what they hold.
+// A part may itself be a scatter-gather service, in the same process or in another one. The counts of received and missing
+// parts in an answer are then those of the innermost parts.
 func TestTwoLevels(t *testing.T) {
 	t.Parallel()
 	west := "[services.west.gather]\nparts = [\"b\", \"c\"]\nleast = 0.5\nmerge = \"json-array\"\ndeadline = \"2s\"\nhalf_life = \"10s\"\n"
@@ -358,7 +362,7 @@
 	r.requireAnswer(r.query("GET", "/x", ""), 200, "1/3", "west", mergedBody("a"))
 	r.b.release()
 	r.c.release()
-	r.b.setHandler(func(w http.ResponseWriter, _ *http.Request) { // another gatherer, of four
+	r.b.setHandler(func(w http.ResponseWriter, _ *http.Request) { // the answer of a scatter-gather service with four parts
 		w.Header().Set("Lockflow-Parts", "2/4")
 		w.Header().Set("Lockflow-Missing", "p, q/r")
 		io.WriteString(w, "[1,2]")
@@ -367,8 +371,7 @@
 	r.waitUntilIdle()
 }
 
-// The settings change under load, and nothing is lost: each query has one answer, and none claims
-// what it doesn't hold.
+// Reloads under load lose no query: each query has one answer, whose header states exactly the results in the body.
 func TestReloadUnderLoad(t *testing.T) {
 	r := startNode(t, gatheringService(longDeadline), nil)
 	stop := make(chan struct{})
@@ -384,9 +387,9 @@
 				a := r.query("GET", "/x", "")
 				var all []any
 				received, n := 0, 0
-				_, _ = fmt.Sscanf(a.parts, "%d/%d", &received, &n) // 0 and 0 of an answer without parts
+				_, _ = fmt.Sscanf(a.parts, "%d/%d", &received, &n) // received and n remain 0 for an answer without parts
 				if err := json.Unmarshal([]byte(a.body), &all); a.status == 503 {
-					continue // busy cores: it is counted below
+					continue // can happen on a busy machine; the status checked below limits the number
 				} else if a.status != 200 || err != nil || len(all) != 2*received || (received < n) != (a.missing != "") {
 					t.Errorf("%+v: %v", a, err)
 				}
--- a/internal/testsupport/scattergathertest/process_test.go
+++ b/internal/testsupport/scattergathertest/process_test.go
@@ -21,14 +21,14 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// proc is an instance of the program as a process of its own.
+// instance is an instance of lockflow that runs as a separate process.
 type instance struct {
 	t        *testing.T
 	dir      string
 	client   manage.Client
 	cmd      *exec.Cmd
 	addr     atomic.Pointer[string]
-	isKilled atomic.Bool // it was killed: what it owed is lost
+	isKilled atomic.Bool // the process was killed, so its unanswered queries are lost
 }
 
 func startInstance(t *testing.T, text string) *instance {
@@ -93,7 +93,7 @@
 	})
 }
 
-// tally is what clients were answered.
+// answerCounts counts the answers that clients received.
 type answerCounts struct {
 	mu                         sync.Mutex
 	queries, complete, partial int
@@ -104,7 +104,7 @@
 	return fmt.Sprintf("%d asked, %d whole, %d cut, %d refused, %d lost", c.queries, c.complete, c.partial, c.rejected, c.lost)
 }
 
-// ask asks once and holds the answer against what it claims: each of all names is in it, or named as
+// query sends one query and checks that the answer is consistent: each of all names must be either in the body or listed as
 // missing.
 func (c *answerCounts) query(p *instance, all []string) {
 	c.mu.Lock()
@@ -156,7 +156,8 @@
 	}
 }
 
-// startPools starts five pools, and gives their services, their names, and the names as TOML has them.
+// startPools starts five pools and returns them with the configuration of their services, their names, and the names quoted
+// for TOML.
 func startPools(t *testing.T) (pools []*pool, services string, all, quoted []string) {
 	t.Helper()
 	for i := range 5 {
@@ -169,8 +170,8 @@
 	return pools, services, all, quoted
 }
 
-// wereAsked checks that pools were sent each of n queries: never twice, and each but for what a node with busy cores
-// does not send in time.
+// requireQueried checks that each pool was sent every query at most once, and at least 90 percent of the queries: on a busy
+// machine a node does not send all of them in time.
 func requireQueried(t *testing.T, phase string, queries int, pools []*pool) {
 	t.Helper()
 	for _, p := range pools {
@@ -182,7 +183,7 @@
 	}
 }
 
-// reloads has an instance take other settings four times; it goes on with what it has learned.
+// reloadRepeatedly reloads an instance four times with changed settings. The instance must retain its learned latencies.
 func reloadRepeatedly(t *testing.T, p *instance, text string) {
 	t.Helper()
 	for i := range 4 {
@@ -193,7 +194,7 @@
 	}
 }
 
-// bothLevels checks an answer of the upper instance, under whose parts the lower ones' parts are named.
+// requireTwoLevelAnswer checks an answer of the upper instance, whose parts are the parts of the lower instances.
 func requireTwoLevelAnswer(t *testing.T, top *instance) {
 	t.Helper()
 	resp, err := http.Get("http://" + *top.addr.Load() + "/x")
@@ -212,9 +213,9 @@
 	}
 }
 
-// Instances of the program over five pools that share what they learn, and one over two of them. A
-// pool stalls, one instance is killed, one gives way to a successor, and one's settings change: each
-// query has one answer, which claims what it holds, and the other pools are asked once for each.
+// Three instances query the same five pools and share what they learn; another instance queries two of them. A pool stalls,
+// one instance is killed, one is replaced by a successor, and one is reloaded. Each query must have one answer, whose header
+// states exactly the results in the body, and each other pool must be queried once for it.
 func TestProcesses(t *testing.T) {
 	store, err := redistest.Start()
 	if err != nil {
@@ -234,7 +235,7 @@
 	for i, name := range []string{"near", "far"} {
 		upperConfig += fmt.Sprintf("[services.%s]\nplans = [\"free\"]\nsend_time = true\nsource = { kind = \"static\", servers = [{ endpoint = %q }] }\n", name, *lower[2-i].addr.Load())
 	}
-	// The names of what the lower ones hold are alike, so the upper one's are told apart by its parts.
+	// The lower instances have the same part names, so the upper instance distinguishes them by its own parts' names.
 	top := startInstance(t, upperConfig+gatheringService("parts = [\"near\", \"far\"]\nleast = 0.4\nhalf_life = \"2s\"\ndeadline = \"none\""))
 
 	var answers answerCounts
@@ -261,7 +262,7 @@
 	if answers.rejected+answers.lost > 0 || answers.partial < 45 {
 		t.Error("while a pool stalled:", answers.String())
 	}
-	// All that happens to instances, under load.
+	// An instance is killed, one is replaced and one is reloaded under load.
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
 	for _, p := range lower {
--- a/internal/testsupport/testbench/benchtest/benchtest.go
+++ b/internal/testsupport/testbench/benchtest/benchtest.go
@@ -10,7 +10,7 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// Begin starts a bench, as testbench.Start does, and waits until its node is ready. It is stopped when the test ends.
+// Begin starts a bench with testbench.Start and waits until its node is ready. The bench is stopped when the test ends.
 func Begin(t testing.TB, text string, servers map[string][]fake.Server) *testbench.Bench {
 	t.Helper()
 	bench, err := testbench.Start(text, servers)
--- a/internal/testsupport/testbench/generic_http.go
+++ b/internal/testsupport/testbench/generic_http.go
@@ -10,7 +10,7 @@
 	"lockflow/internal/testsupport/fake"
 )
 
-// GenericHTTP is a node with one service, app, that serves generic HTTP from origins.
+// GenericHTTP is a node with a single service, app, which forwards generic HTTP to origins.
 type GenericHTTP struct {
 	Node    *node.Node
 	Origins []*fake.Origin
@@ -20,9 +20,9 @@
 	err  error
 }
 
-// StartGenericHTTP starts origins and a node. process and service are lines of the configuration's sections [process]
-// and [services.app]; more is the end of the configuration. In them @origins is replaced by the list of the origins as
-// static servers.
+// StartGenericHTTP starts origins and a node. process and service are the lines of the configuration's sections [process]
+// and [services.app]; more is appended to the configuration. @origins in any of them is replaced by the list of the
+// origins as static servers.
 func StartGenericHTTP(origins []*fake.Origin, process, service, more string) (*GenericHTTP, error) {
 	g := &GenericHTTP{done: make(chan error, 1), stop: func() {}}
 	for _, origin := range origins {
@@ -46,7 +46,8 @@
 	return g, nil
 }
 
-// Config parses the configuration of StartGenericHTTP. Without more it has a route that allows upgrades.
+// Config parses the configuration of StartGenericHTTP. If more is empty, the configuration gets a route to the service
+// that allows upgrades.
 func (g *GenericHTTP) Config(process, service, more string) (config.Config, error) {
 	if more == "" {
 		more = "[[routes]]\nservice = \"app\"\nupgrade = [\"echo\", \"websocket\"]\n"
@@ -64,7 +65,7 @@
 	return "[" + strings.Join(servers, ", ") + "]"
 }
 
-// Stop drains the node and ends the origins. It returns the node's error. Later calls only return it again. It is not
+// Stop drains the node, stops the origins and returns the node's error. Later calls only return the same error. It is not
 // safe for concurrent use.
 func (g *GenericHTTP) Stop() error {
 	if g.done != nil {
@@ -76,7 +77,7 @@
 	return g.err
 }
 
-// Drain begins to drain the node. Stop waits for the end.
+// Drain starts draining the node. Stop waits until the node has stopped.
 func (g *GenericHTTP) Drain() { g.stop() }
 
 func (g *GenericHTTP) closeOrigins() {
--- a/internal/testsupport/testbench/scenario.go
+++ b/internal/testsupport/testbench/scenario.go
@@ -11,8 +11,8 @@
 	"lockflow/internal/testsupport/fake"
 )
 
-// Demo is the configuration of a node with two services, rosters and documents, for Start. Its limits are for 256
-// descriptors.
+// Demo is the configuration, for Start, of a node with two services, rosters and documents. Its resource limits are
+// set for 256 descriptors.
 //
 //go:embed demo.toml
 var Demo string
@@ -20,7 +20,7 @@
 // repeatWindow is the repeat window of the roster servers.
 const repeatWindow = 15 * time.Second
 
-// DemoServers returns the app servers of Demo by service. They are fast, so that a short run has many requests.
+// DemoServers returns the app servers of Demo by service. They are fast, so that many requests fit into a short run.
 func DemoServers(seed uint64) map[string][]fake.Server {
 	groups := []*fake.Group{{Window: repeatWindow}, {Window: repeatWindow}}
 	var rosters, documents []fake.Server
@@ -62,13 +62,13 @@
 	}
 }
 
-// WithDescriptors returns Demo for another number of descriptors.
+// WithDescriptors returns Demo with another number of descriptors.
 func WithDescriptors(n int) string {
 	return strings.Replace(Demo, "descriptors = 256", fmt.Sprintf("descriptors = %d", n), 1)
 }
 
-// WithLongDeadlines returns Demo for another number of descriptors, with long deadlines for documents, so that their
-// clients use their resources for long.
+// WithLongDeadlines returns Demo with another number of descriptors and with long deadlines for documents, so that
+// requests for documents occupy resources for a long time.
 func WithLongDeadlines(descriptors int) string {
 	return strings.Replace(WithDescriptors(descriptors), "[classes.doc-read]\naim = \"500ms\"\ndeadline = \"2s\"",
 		"[classes.doc-read]\naim = \"10s\"\ndeadline = \"20s\"", 1)
--- a/internal/testsupport/testbench/testbench.go
+++ b/internal/testsupport/testbench/testbench.go
@@ -1,4 +1,4 @@
-// Package testbench runs a node between fake peers on loopback addresses, for the demo, tests and measurements.
+// Package testbench runs a node with fake peers on loopback addresses for the demo, tests and measurements.
 package testbench
 
 import (
@@ -13,7 +13,7 @@
 	"lockflow/internal/testsupport/fake"
 )
 
-// Bench is a node with the app servers and the discovery of each of its services.
+// Bench is a node with fake app servers and a fake discovery for each of its services.
 type Bench struct {
 	Node  *node.Node
 	Pools map[string]*Pool // by service
@@ -24,11 +24,11 @@
 	err  error
 }
 
-// Pool has the fake peers of one service.
+// Pool contains the fake peers of one service.
 type Pool struct {
 	Discovery  *fake.Discovery
 	Servers    []*fake.Running
-	Executions *fake.Executions // of all servers
+	Executions *fake.Executions // shared by the servers that had none of their own
 }
 
 // Stall stalls or resumes all servers.
@@ -42,7 +42,7 @@
 	}
 }
 
-// Close ends the servers and the discovery.
+// Close stops the servers and the discovery.
 func (p *Pool) Close() {
 	for _, s := range p.Servers {
 		s.Close()
@@ -52,7 +52,7 @@
 	}
 }
 
-// StartPool starts servers and a discovery with their entries. Those without Executions share one.
+// StartPool starts servers and a discovery that lists them. Servers without Executions share one.
 func StartPool(servers []fake.Server) (*Pool, error) {
 	discovery, err := fake.StartDiscovery()
 	if err != nil {
@@ -76,8 +76,8 @@
 	return p, nil
 }
 
-// Start starts the servers of each service, and a node with the configuration in text. In it @NAME is replaced by the
-// address of the discovery of service NAME.
+// Start starts the servers and the discovery of each service, and a node with the configuration in text. In the
+// configuration, @NAME is replaced by the address of the discovery of service NAME.
 func Start(text string, servers map[string][]fake.Server) (*Bench, error) {
 	b := &Bench{Pools: make(map[string]*Pool), done: make(chan error, 1), stop: func() {}}
 	for name, s := range servers {
@@ -102,7 +102,7 @@
 	return b, nil
 }
 
-// Ready waits until every service of the node has a server, or ctx ends.
+// Ready waits until every service of the node is ready, or ctx is done.
 func (b *Bench) Ready(ctx context.Context) error {
 	for {
 		isReady := true
@@ -120,7 +120,7 @@
 	}
 }
 
-// Config parses a configuration, in which @NAME is replaced as Start does.
+// Config parses a configuration after replacing @NAME in it as Start does.
 func (b *Bench) Config(text string) (config.Config, error) {
 	for name, p := range b.Pools {
 		text = strings.ReplaceAll(text, "@"+name+`"`, p.Discovery.Addr()+`"`)
@@ -128,7 +128,7 @@
 	return config.Parse("lab.toml", []byte(text))
 }
 
-// Reload has the node load another configuration, in which @NAME is replaced as Start does.
+// Reload loads another configuration into the node after replacing @NAME in it as Start does.
 func (b *Bench) Reload(text string) error {
 	cfg, err := b.Config(text)
 	if err != nil {
@@ -137,7 +137,7 @@
 	return b.Node.Reload(cfg)
 }
 
-// Stop drains the node and ends the bench. It returns the node's error. Later calls only return it again.
+// Stop drains the node, stops its fake peers and returns the node's error. Later calls only return the same error.
 func (b *Bench) Stop() error {
 	b.once.Do(func() {
 		b.stop()
--- a/internal/testsupport/testbench/testbench_test.go
+++ b/internal/testsupport/testbench/testbench_test.go
@@ -10,7 +10,7 @@
 	"lockflow/internal/testsupport/testbench/benchtest"
 )
 
-// play runs clients for a duration and returns their results by kind.
+// play runs clients against the node for a duration and returns their results by kind.
 func play(l *testbench.Bench, duration time.Duration, clients ...fake.Clients) map[string]*fake.Result {
 	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
@@ -33,7 +33,7 @@
 	got := play(l, time.Second, fake.Clients{Call: testbench.RosterCall, Interval: 10 * time.Millisecond, Workers: 32, Seed: 1},
 		fake.Clients{Call: testbench.DocumentCall, Interval: 20 * time.Millisecond, Workers: 32, Seed: 2})
 	for kind, r := range got {
-		// On a busy machine calls arrive in bursts, of which the concurrency limit rejects some.
+		// On a busy machine calls arrive in bursts, and the concurrency limit rejects a part of each burst.
 		if r.Served < r.Calls/4 || r.Calls == 0 || r.Lost+r.Wrong > 0 {
 			t.Errorf("%s: %+v", kind, *r)
 		}
--- a/internal/testsupport/testkit/backlog.go
+++ b/internal/testsupport/testkit/backlog.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// FullBacklogAddress returns a loopback address that accepts no connection: its listener's backlog is full. The
-// listener is closed when the test ends.
+// FullBacklogAddress returns a loopback address on which connection attempts get no answer, as the listener's backlog is
+// full. The listener is closed when the test ends.
 func FullBacklogAddress(t *testing.T) string {
 	t.Helper()
-	const maxBacklog = 10 // more than any system makes of a backlog of 0
+	const maxBacklog = 10 // above the actual limit of any system for a backlog of 0
 	descriptor, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testsupport/testkit/golden.go
+++ b/internal/testsupport/testkit/golden.go
@@ -14,15 +14,15 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// update has tests write their golden files anew: go test ./internal/NAME -run Golden -update. If a file changes, earlier
-// builds have to be able to read the new encoding, or its version has to be increased.
+// update makes tests rewrite their golden files: go test ./internal/NAME -run Golden -update. If a file changes, earlier
+// builds must be able to read the new encoding, or its version must be increased.
 var update = flag.Bool("update", false, "writes golden files anew")
 
-// IsUpdating reports whether golden files are written anew.
+// IsUpdating reports whether golden files are rewritten.
 func IsUpdating() bool { return *update }
 
-// GoldenBytes returns the content of a golden file. With -update, got is written to it first. Otherwise the test fails
-// if got is not nil and differs from the file.
+// GoldenBytes returns the content of a golden file. With -update, got is first written to the file unless it is nil.
+// Otherwise the test fails if got is not nil and differs from the file.
 func GoldenBytes(t testing.TB, path string, got []byte) []byte {
 	t.Helper()
 	if *update && got != nil {
@@ -43,8 +43,9 @@
 	return want
 }
 
-// GoldenSample checks a type against the golden file of its Sample: the sample is encoded to the same bytes, and they are
-// decoded, with no unknown key, to a value that is encoded to them. v is a pointer to a zero value.
+// GoldenSample checks a type against the golden file of its Sample: the sample must be encoded to the content of the file,
+// and the content must be decoded, without unknown keys, to a value that is encoded to the same bytes. v is a pointer to a
+// zero value of the type.
 func GoldenSample(t testing.TB, format, path string, v any) {
 	t.Helper()
 	sample := reflect.New(reflect.TypeOf(v).Elem()).Interface()
@@ -59,8 +60,8 @@
 	}
 }
 
-// RoundTrip decodes raw into what v points to, and encodes that. It returns an error for keys that the type does not
-// know, drops or changes.
+// RoundTrip decodes raw into the value that v points to and encodes it again. It returns an error if raw has a key that
+// the type does not know, or if the encoding differs from raw.
 func RoundTrip(format string, raw []byte, v any) error {
 	if err := decode(format, raw, v); err != nil {
 		return fmt.Errorf("reading %T: %w", v, err)
@@ -107,7 +108,7 @@
 	return fmt.Errorf("format %q is not known", format)
 }
 
-// firstDifference describes the first difference of two texts, with some context.
+// firstDifference describes the first difference between two texts with some context.
 func firstDifference(got, want []byte) string {
 	const before, shown = 24, 64
 	i := 0
--- a/internal/testsupport/testkit/golden_test.go
+++ b/internal/testsupport/testkit/golden_test.go
@@ -18,7 +18,7 @@
 	Share float64 `json:"share" cbor:"share"`
 }
 
-// renamed is stored with other names in Go and another order: its sample is the same.
+// renamed has the keys of stored with other Go names and in another order, so its sample must be the same.
 type renamed struct {
 	Nested *struct {
 		Part   float64 `json:"share" cbor:"share"`
@@ -41,7 +41,7 @@
 	}
 }
 
-// What a reader does not know, and what it drops or changes, is an error.
+// RoundTrip returns an error for an unknown key and for content that decoding drops or changes.
 func TestRoundTrip(t *testing.T) {
 	var sample stored
 	Sample("json", &sample)
@@ -53,7 +53,7 @@
 		if err := RoundTrip(format, raw, new(stored)); err != nil {
 			t.Error(err)
 		}
-		// The same length, so that CBOR stays whole.
+		// The replacement has the key's length, so that the CBOR encoding remains well-formed.
 		for _, key := range []string{"name", "times", "inner", "count", "share"} {
 			other := strings.Replace(string(raw), key, strings.Repeat("x", len(key)), 1)
 			if other == string(raw) {
--- a/internal/testsupport/testkit/keys.go
+++ b/internal/testsupport/testkit/keys.go
@@ -8,16 +8,16 @@
 	"testing"
 )
 
-// marshalers are, by format, the methods with which a type encodes itself, so that its fields have no keys.
+// marshalers lists, by format, the methods with which a type encodes itself. The fields of such a type need no keys.
 var marshalers = map[string][]string{
 	"cbor": {"MarshalCBOR", "MarshalBinary"},
 	"json": {"MarshalJSON", "MarshalText"},
 	"toml": {"MarshalText"},
 }
 
-// RequireKeys fails a test if an encoded type has an exported field without a key in a tag of the format ("cbor", "json"
-// or "toml"): a rename of the field would change what is stored or sent. roots are values of the types that are passed
-// to the encoder or decoder. All types that they reach through pointers, slices, arrays, maps, nested and embedded
+// RequireKeys fails a test if an encoded type has an exported field without a key in its tag for the format ("cbor", "json"
+// or "toml"): renaming the field would change the stored or sent encoding. roots are values of the types that are passed
+// to the encoder or decoder. All types reachable from them through pointers, slices, arrays, maps, nested and embedded
 // structs are checked too.
 func RequireKeys(t testing.TB, format string, roots ...any) {
 	t.Helper()
@@ -26,7 +26,7 @@
 	}
 }
 
-// MissingKeys returns the fields for which RequireKeys fails, sorted.
+// MissingKeys returns a sorted description of each field for which RequireKeys fails.
 func MissingKeys(format string, roots ...any) []string {
 	w := keyChecker{format: format, visited: make(map[reflect.Type]bool)}
 	for _, root := range roots {
@@ -36,7 +36,7 @@
 	return w.missing
 }
 
-// keyChecker checks each type once.
+// keyChecker collects the fields without keys, visiting each type once.
 type keyChecker struct {
 	format  string
 	visited map[reflect.Type]bool
@@ -84,7 +84,7 @@
 		case tag == "-":
 			continue
 		case f.Anonymous && key == "":
-			// Its fields are encoded as the outer struct's.
+			// The fields of an embedded struct are encoded as fields of the outer struct.
 		case !f.IsExported():
 			continue
 		case key == "" && !array:
@@ -94,7 +94,7 @@
 	}
 }
 
-// isEncodedAsArray reports whether a struct is encoded by the order of its fields, without keys.
+// isEncodedAsArray reports whether a struct is encoded as an array of its fields, without keys.
 func isEncodedAsArray(t reflect.Type, format string) bool {
 	f, ok := t.FieldByName("_")
 	return ok && strings.Contains(f.Tag.Get(format), ",toarray")
--- a/internal/testsupport/testkit/keys_test.go
+++ b/internal/testsupport/testkit/keys_test.go
@@ -8,8 +8,8 @@
 
 type tagged struct {
 	Name  string `json:"name"`
-	Other string // not encoded by this name: it has no tag
-	local int    //nolint:unused // an unexported field, which no encoder writes
+	Other string // has no tag, so it is reported
+	local int    //nolint:unused // unexported, so no encoder writes it
 	Skip  int    `json:"-"`
 	When  time.Time
 }
@@ -29,7 +29,7 @@
 	Empty int                  `json:",omitempty"`
 }
 
-// Of every way in which an encoder reaches a field, one without a key is found.
+// A field without a key is found in every position from which an encoder can reach it.
 func TestMissingKeys(t *testing.T) {
 	for _, c := range []struct {
 		format string
--- a/internal/testsupport/testkit/sample.go
+++ b/internal/testsupport/testkit/sample.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// sampleDepth limits the samples of recursive types.
+// sampleDepth limits the nesting depth of samples, which is infinite for recursive types.
 const sampleDepth = 12
 
-// sampleStart is the earliest time in samples, in Unix seconds.
+// sampleStart is the earliest time in a sample, in Unix seconds.
 const sampleStart = 1_790_000_000
 
-// Sample sets every exported field that the format encodes, of what v points to, to a value that is not zero. Lists and
-// maps have one item. A value depends on the keys by which its field is reached, not on its Go name or position, so that
-// the sample of a type does not change when fields are renamed or moved.
+// Sample sets every exported field that the format encodes, in the value that v points to, to a non-zero value. Slices and
+// maps get one item. The value of a field depends on the path of keys that leads to it, not on its Go name or position, so
+// that the sample of a type does not change when fields are renamed or moved.
 func Sample(format string, v any) {
 	sampler{format}.fill(reflect.ValueOf(v).Elem(), "", 0)
 }
--- a/internal/testsupport/testkit/testkit.go
+++ b/internal/testsupport/testkit/testkit.go
@@ -1,5 +1,5 @@
-// Package testkit has what the tests of several packages share: scripted peers, waits with a timeout, golden files, and
-// checks of encoded types.
+// Package testkit contains helpers shared by the tests of several packages: scripted peers, waits with a timeout, golden
+// files, and checks of encoded types.
 package testkit
 
 import (
@@ -19,13 +19,13 @@
 	"lockflow/internal/protocol"
 )
 
-// WaitTimeout limits every wait of a test. Nothing is expected to take nearly as long.
+// WaitTimeout limits every wait of a test. It is far above the expected duration of any wait.
 const WaitTimeout = 30 * time.Second
 
-// channelCapacity is the capacity of the channels of fakes.
+// channelCapacity is the capacity of the channels of the fake peers.
 const channelCapacity = 100
 
-// Small is a configuration of one service with a static server that does not exist.
+// Small is a configuration with one service, whose static server does not exist.
 const Small = `
 protocol = "platform"
 [process]
@@ -42,7 +42,7 @@
 as = "read"
 `
 
-// Next receives the next value of a channel. The test fails if there is none in time.
+// Next receives the next value of a channel. The test fails if there is none within WaitTimeout.
 func Next[T any](t testing.TB, c <-chan T) T {
 	t.Helper()
 	select {
@@ -54,8 +54,8 @@
 	}
 }
 
-// Supervisor is a fake of systemd's side of the notify protocol (sd_notify(3)), which NOTIFY_SOCKET names until the test
-// ends. It returns the messages.
+// Supervisor starts a fake of systemd's side of the notify protocol (sd_notify(3)) and sets NOTIFY_SOCKET to its socket
+// until the test ends. It returns the received messages.
 func Supervisor(t testing.TB) <-chan string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "notify")
@@ -78,8 +78,8 @@
 	return messages
 }
 
-// ShortDir returns a temporary directory with a path that is short enough for a Unix socket in it, whatever the test's
-// name. It is removed when the test ends.
+// ShortDir creates a temporary directory whose path is short enough for a Unix socket in it, independent of the test's
+// name. The directory is removed when the test ends.
 func ShortDir(t testing.TB) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "lf")
@@ -94,7 +94,7 @@
 	return dir
 }
 
-// Until polls a condition until it is true. The test fails if it is not in time.
+// Until polls a condition until it is true. The test fails if that takes longer than WaitTimeout.
 func Until(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(WaitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -105,15 +105,15 @@
 	t.Fatalf("%s: not in time", what)
 }
 
-// Agent is a fake discovery that sends what a test has it send.
+// Agent is a fake discovery that sends the lines given by a test.
 type Agent struct {
 	*httptest.Server
 	Polled chan string   // the request URI of each watch
-	Lines  chan string   // to send; "" ends the watch
+	Lines  chan string   // lines to send; "" ends the watch
 	quit   chan struct{} // closed when the test ends
 }
 
-// NewAgent starts an agent, which is closed when the test ends.
+// NewAgent starts an Agent, which is closed when the test ends.
 func NewAgent(t testing.TB) *Agent {
 	a := &Agent{Polled: make(chan string, channelCapacity), Lines: make(chan string, channelCapacity), quit: make(chan struct{})}
 	a.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -146,11 +146,11 @@
 type App struct {
 	*httptest.Server
 	mu              sync.Mutex
-	requests        []string        // method, URI and key of each request
-	clientAddresses map[string]bool // addresses of connections
+	requests        []string        // method, URI, idempotency key and body of each request
+	clientAddresses map[string]bool // remote addresses of the connections
 }
 
-// NewApp starts an app server with a handler, which is closed when the test ends.
+// NewApp starts an app server that answers with the handler. The server is closed when the test ends.
 func NewApp(t testing.TB, serve http.HandlerFunc) *App {
 	a := &App{clientAddresses: make(map[string]bool)}
 	a.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -166,32 +166,32 @@
 	return a
 }
 
-// Requests returns method, URI, idempotency key and body of each request so far.
+// Requests returns the method, URI, idempotency key and body of each request received so far.
 func (a *App) Requests() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.requests)
 }
 
-// Dials returns the number of connections with requests so far.
+// Dials returns the number of connections on which a request was received so far.
 func (a *App) Dials() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.clientAddresses)
 }
 
-// Count returns the number of requests so far.
+// Count returns the number of requests received so far.
 func (a *App) Count() int { return len(a.Requests()) }
 
 // Addr returns the address that it listens on.
 func (a *App) Addr() string { return a.Listener.Addr().String() }
 
-// Served answers 200 with the ID of the request.
+// Served answers 200 with the request's ID in the body.
 func Served(w http.ResponseWriter, r *http.Request) {
 	io.WriteString(w, "served "+r.Header.Get(protocol.HeaderID))
 }
 
-// Hijack takes over the connection of a request.
+// Hijack takes over the connection of a request from the HTTP server.
 func Hijack(w http.ResponseWriter) net.Conn {
 	c, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
@@ -203,7 +203,7 @@
 // Reset closes the connection of a request without an answer.
 func Reset(w http.ResponseWriter, _ *http.Request) { Hijack(w).Close() }
 
-// Never returns a handler that blocks until the client leaves or the test ends.
+// Never returns a handler that never answers: it blocks until the client disconnects or the test ends.
 func Never(t testing.TB) http.HandlerFunc {
 	testEnded := make(chan struct{})
 	t.Cleanup(func() { close(testEnded) })
