--- a/internal/testsupport/fake/client_worker.go
+++ b/internal/testsupport/fake/client_worker.go
@@ -26,9 +26,9 @@
 )
 
 var (
-	errClosedBeforeRead = errors.New("the connection was closed before the request was read")
-	errAborted          = errors.New("the client left")
-	errNoConn           = errors.New("no connection came up")
+	errClosedBeforeRead = errors.New("connection closed before the request was read")
+	errAborted          = errors.New("attempt abandoned by the client")
+	errNoConn           = errors.New("connection not established")
 )
 
 // worker is one client, which sends one request at a time.
--- a/internal/testsupport/fake/fake_test.go
+++ b/internal/testsupport/fake/fake_test.go
@@ -74,11 +74,11 @@
 		runClients(t, r, 2, func(_ *Clients, c *Call) { c.Method, c.Key = "POST", "same" })
 	}
 	if c := executions.Counts(); c.Requests != 4 || c.DuplicateEffects != 0 {
-		t.Errorf("one group: %+v", c)
+		t.Errorf("servers of one group: got %+v", c)
 	}
 	runClients(t, startServer(t, Server{UID: "c", Executions: executions, Seed: 3}), 1, func(_ *Clients, c *Call) { c.Method, c.Key = "POST", "same" })
 	if c := executions.Counts(); c.DuplicateEffects != 1 {
-		t.Errorf("another group: %+v", c)
+		t.Errorf("server of another group: got %+v", c)
 	}
 }
 
@@ -88,13 +88,13 @@
 	r := startServer(t, warmingUp)
 	got := runClients(t, r, 100, func(_ *Clients, c *Call) { c.Units = 1 })
 	if hasCollapsed, maxOverload := r.Collapsed(); !hasCollapsed || maxOverload <= 1 || got.Served == 0 || got.Lost == 0 {
-		t.Errorf("fallen %v, %g, %+v", hasCollapsed, maxOverload, *got)
+		t.Errorf("got collapsed %v, maximum overload %g, results %+v", hasCollapsed, maxOverload, *got)
 	}
 	warmingUp.OverloadFactor = 1e9
 	r = startServer(t, warmingUp)
 	runClients(t, r, 5, nil)
 	if hasCollapsed, maxOverload := r.Collapsed(); hasCollapsed || maxOverload >= 1 {
-		t.Errorf("fallen %v, %g", hasCollapsed, maxOverload)
+		t.Errorf("got collapsed %v, maximum overload %g, want no collapse", hasCollapsed, maxOverload)
 	}
 }
 
@@ -105,7 +105,7 @@
 	run := Clients{Addr: r.Addr(), Workers: 3, Call: func(*rand.Rand) Call {
 		return Call{Kind: "x", Host: "h", Method: "GET", Path: "/x", Plan: "p", Deadline: 5 * time.Second}
 	}, RetryPause: time.Millisecond}.Start(ctx)
-	testkit.Until(t, "one turned away", func() bool { return r.Executions.Counts().Rejected > 0 })
+	testkit.Until(t, "a request is rejected", func() bool { return r.Executions.Counts().Rejected > 0 })
 	cancel()
 	r.Resume()
 	if got := run.Wait()["x"]; got.Served < 2 || got.Rejected == 0 || got.Lost > 0 {
@@ -117,7 +117,7 @@
 	m := &Meter{Period: 20 * time.Millisecond, Rate: 100}
 	r := startServer(t, Server{UID: "s", Meter: m, Work: time.Millisecond, Cores: 2})
 	answerCount := 0
-	testkit.Until(t, "use of a finished period", func() bool {
+	testkit.Until(t, "usage of a completed period is reported", func() bool {
 		req, _ := http.NewRequest("GET", "http://"+r.Addr()+"/x?account=0000000000000001", nil)
 		req.Header.Set("X-Correlation-Id", "x")
 		req.Header.Set("X-Weight", "units=2,spread=1")
@@ -135,7 +135,7 @@
 		return used != "" && used != "0"
 	})
 	if answerCount < 2 {
-		t.Error("use was told at once")
+		t.Error("usage was reported before the end of its period")
 	}
 }
 
@@ -168,6 +168,6 @@
 	}
 	d.SetSilent(true)
 	if l := get(""); l != "" {
-		t.Errorf("%q while silent", l)
+		t.Errorf("got %q from a silent discovery", l)
 	}
 }
--- a/internal/testsupport/fake/origin.go
+++ b/internal/testsupport/fake/origin.go
@@ -50,7 +50,7 @@
 )
 
 // errScripted is returned to end a connection as the script requires.
-var errScripted = errors.New("the script ends the connection")
+var errScripted = errors.New("connection ended by the script")
 
 // Origin is an app server for generic HTTP. It works on raw connections, so that it can also send malformed or incomplete
 // answers. It is safe for concurrent use.
--- a/internal/testsupport/generichttptest/differential_test.go
+++ b/internal/testsupport/generichttptest/differential_test.go
@@ -214,7 +214,7 @@
 func describeRequest(r fake.Request) string {
 	h := r.Header.Clone()
 	without := []string{"Via", "X-Forwarded-For", "X-Forwarded-Host", "X-Forwarded-Proto", "Connection", "Keep-Alive", "X-Drop"}
-	return fmt.Sprintf("%s %s\nHost: %s\n%s\n%s %d %s whole=%v\ntrailer %s", r.Method, r.Target, r.Host, fake.Fields(h, without...),
+	return fmt.Sprintf("%s %s\nHost: %s\n%s\n%s %d %s complete=%v\ntrailer %s", r.Method, r.Target, r.Host, fake.Fields(h, without...),
 		r.Framing, r.Bytes, r.Hash, r.IsComplete, fake.Fields(r.Trailer))
 }
 
@@ -234,7 +234,7 @@
 	o := startNode(t, origin)
 	exchanges := corpus()
 	if len(exchanges) < 300 {
-		t.Fatalf("%d exchanges", len(exchanges))
+		t.Fatalf("got %d exchanges, want at least 300", len(exchanges))
 	}
 	t.Logf("%d exchanges", len(exchanges))
 	reverseProxyAddr := reverseProxy(t, origin.Addr())
@@ -248,7 +248,7 @@
 		select {
 		case forwardedRequest = <-received:
 		case <-time.After(testkit.WaitTimeout):
-			t.Fatalf("%s: it never came: %+v", e.name, viaNode)
+			t.Fatalf("%s: the origin received no request; the client received %+v", e.name, viaNode)
 		}
 		for more := true; more; { // discards retries: 502 to 504 are retried for a safe method
 			select {
@@ -258,10 +258,10 @@
 			}
 		}
 		if a, b := fmt.Sprintf("%+v", normalizeDirect(direct)), fmt.Sprintf("%+v", viaNode); a != b {
-			t.Errorf("%s: the client sees\n%s\nstraight, and through the node\n%s", e.name, a, b)
+			t.Errorf("%s: the client receives\n%s\ndirectly, and through the node\n%s", e.name, a, b)
 		}
 		if a, b := describeRequest(directRequest), describeRequest(forwardedRequest); a != b {
-			t.Errorf("%s: the origin sees\n%s\nstraight, and through the node\n%s", e.name, a, b)
+			t.Errorf("%s: the origin receives\n%s\ndirectly, and through the node\n%s", e.name, a, b)
 		}
 		viaReverseProxy := e.send(reverseProxyAddr, host)
 		select {
@@ -270,11 +270,11 @@
 				differences[kind]++
 			}
 		case <-time.After(testkit.WaitTimeout):
-			t.Errorf("%s: ReverseProxy never sent it: %s %s", e.name, viaReverseProxy.status, viaReverseProxy.err)
+			t.Errorf("%s: ReverseProxy forwarded no request: %s %s", e.name, viaReverseProxy.status, viaReverseProxy.err)
 		}
 	}
 	for kind, n := range differences {
-		t.Logf("ReverseProxy, in %d of %d: %s", n, len(exchanges), kind)
+		t.Logf("ReverseProxy differs in %d of %d exchanges: %s", n, len(exchanges), kind)
 	}
 }
 
@@ -284,33 +284,33 @@
 	kinds := make(map[string]bool)
 	directFields, proxiedFields := direct.fields, proxied.fields
 	if without := strings.Replace(proxiedFields, "Content-Type: application/octet-stream\n", "", 1); without != proxiedFields && !strings.Contains(directFields, "Content-Type") {
-		kinds["Content-Type is guessed where the server tells none"] = true
+		kinds["Content-Type is guessed if the server sends none"] = true
 		proxiedFields = without
 	}
 	if without := strings.Replace(proxiedFields, "Trailer: X-Sum\n", "", 1); without != proxiedFields && e.method == "HEAD" {
-		kinds["Trailer goes to a HEAD"] = true
+		kinds["Trailer is sent in an answer to HEAD"] = true
 		proxiedFields = without
 	}
 	if without := strings.Replace(proxiedFields, "Content-Length: 0\n", "", 1); without == directFields && without != proxiedFields {
-		kinds["Content-Length: 0 is told where an empty body ended with its connection"] = true
+		kinds["Content-Length: 0 is added to an empty body that ended with its connection"] = true
 		proxiedFields = without
 	}
 	if normalizeDirect(direct).fields != proxiedFields || direct.status != proxied.status || direct.body != proxied.body || direct.trailer != proxied.trailer ||
 		fmt.Sprint(direct.interims) != fmt.Sprint(proxied.interims) {
-		kinds[fmt.Sprintf("the client sees\n%+v\nnot\n%+v", proxied, direct)] = true
+		kinds[fmt.Sprintf("the client receives\n%+v\nnot\n%+v", proxied, direct)] = true
 	}
 	if directRequest.Framing == "none" && proxiedRequest.Framing == "length" && proxiedRequest.Bytes == 0 {
-		kinds["Content-Length: 0 is told of a body that is none"] = true
+		kinds["Content-Length: 0 is added to a request without a body"] = true
 		proxiedRequest.Framing = "none"
 		proxiedRequest.Header = proxiedRequest.Header.Clone()
 		proxiedRequest.Header.Del("Content-Length")
 	}
 	if directRequest.Target != proxiedRequest.Target && strings.Contains(directRequest.Target, "?") {
-		kinds["a query is cleaned: what stands in it with a semicolon or a bad escape is dropped"] = true
+		kinds["query parameters with a semicolon or an invalid escape are dropped"] = true
 		proxiedRequest.Target = directRequest.Target
 	}
 	if directRequest.Framing == "length" && directRequest.Bytes == 0 && proxiedRequest.Framing == "none" {
-		kinds["Content-Length: 0 is dropped from a method that mostly has no body"] = true
+		kinds["Content-Length: 0 is dropped for a method that usually has no body"] = true
 		proxiedRequest.Framing = "length"
 		proxiedRequest.Header = proxiedRequest.Header.Clone()
 		proxiedRequest.Header.Set("Content-Length", "0")
@@ -320,7 +320,7 @@
 		proxiedRequest.Trailer = directRequest.Trailer
 	}
 	if a, b := describeRequest(directRequest), describeRequest(proxiedRequest); a != b {
-		kinds["the origin sees\n"+b+"\nnot\n"+a] = true
+		kinds["the origin receives\n"+b+"\nnot\n"+a] = true
 	}
 	return kinds
 }
--- a/internal/testsupport/generichttptest/hard_test.go
+++ b/internal/testsupport/generichttptest/hard_test.go
@@ -51,7 +51,7 @@
 // waitUntilIdle waits until the node has no requests, streams or buffered bytes.
 func waitUntilIdle(t testing.TB, o *testbench.GenericHTTP) {
 	t.Helper()
-	testkit.Until(t, "nothing is held", func() bool {
+	testkit.Until(t, "the node is idle", func() bool {
 		st := o.Node.Status()[0]
 		return st.Requests == 0 && st.Resources.Requests.Used == 0 && st.Resources.BufferedBytes.Used == 0 && st.OpenStreams == 0
 	})
@@ -92,7 +92,7 @@
 		}
 	}
 	if a, b := attemptCounts[0].Load(), attemptCounts[1].Load(); a+b != 200 {
-		t.Errorf("%d and %d attempts of 200 requests", a, b)
+		t.Errorf("%d and %d attempts for 200 requests, want 200 in total", a, b)
 	}
 }
 
@@ -108,7 +108,7 @@
 	r := readResponse(t, in)
 	got, err := io.ReadAll(r.Body) // the complete answer, while half of the request's body has not been sent
 	if err != nil || r.StatusCode != 200 || len(got) != 100000 {
-		t.Fatalf("%s, %d bytes, %v", r.Status, len(got), err)
+		t.Fatalf("got status %s, %d bytes, error %v, want 200 with 100000 bytes", r.Status, len(got), err)
 	}
 	waitUntilIdle(t, o)
 }
@@ -121,16 +121,16 @@
 	for _, cut := range []int{400, 1501, 3000} {
 		writeRequestHead(c, "POST", fmt.Sprintf("body=200000&cut=%d", cut), "Content-Length: 0")
 		if r := readResponse(t, in); r.StatusCode != 502 || r.Close {
-			t.Fatalf("cut at %d: %s, close %v", cut, r.Status, r.Close)
+			t.Fatalf("cut at %d: got status %s, close %v, want 502 on a connection that remains open", cut, r.Status, r.Close)
 		} else if body, err := io.ReadAll(r.Body); err != nil || strings.Contains(string(body), "\x00") || r.Header.Get("X-Origin") != "" {
-			t.Errorf("cut at %d: %q, %v, %v", cut, body, err, r.Header)
+			t.Errorf("cut at %d: got body %q, error %v, header %v, want the node's own answer", cut, body, err, r.Header)
 		}
 	}
 	writeRequestHead(c, "POST", "body=200000&cut=100000", "Content-Length: 0")
 	if r := readResponse(t, in); r.StatusCode != 200 {
 		t.Error(r.Status)
 	} else if n, err := io.Copy(io.Discard, r.Body); err == nil || n >= 200000 {
-		t.Errorf("%d bytes, %v", n, err)
+		t.Errorf("got %d bytes, error %v, want an error before 200000 bytes", n, err)
 	}
 	waitUntilIdle(t, o)
 }
@@ -149,15 +149,15 @@
 		}()
 		r := readResponse(t, in)
 		if got, err := io.ReadAll(r.Body); r.StatusCode != status || len(got) != 9 || err != nil || !r.Close {
-			t.Errorf("%s, %q, %v, close %v", r.Status, got, err, r.Close)
+			t.Errorf("got status %s, body %q, error %v, close %v", r.Status, got, err, r.Close)
 		}
 		if n := testkit.Next(t, sent); n >= 2000000000 {
-			t.Error("all of it was read")
+			t.Error("the complete upload was read")
 		}
 	}
 	waitUntilIdle(t, o)
 	if n := len(received.list()); n != 2 {
-		t.Errorf("%d attempts", n)
+		t.Errorf("got %d attempts, want 2", n)
 	}
 }
 
@@ -176,18 +176,18 @@
 		io.WriteString(c, tc.body)
 		c.(*net.TCPConn).CloseWrite()
 		if r, err := http.ReadResponse(in, nil); err == nil && r.StatusCode != 400 {
-			t.Errorf("%s: %s", tc.framing, r.Status)
+			t.Errorf("%s: got status %s, want 400 or a closed connection", tc.framing, r.Status)
 		}
 		c.Close()
 	}
 	waitUntilIdle(t, o)
 	for _, r := range received.list() {
 		if r.IsComplete {
-			t.Errorf("a server took %d bytes for whole", r.Bytes)
+			t.Errorf("a server received an aborted upload of %d bytes as complete", r.Bytes)
 		}
 	}
 	if n := len(received.list()); n > 4 {
-		t.Errorf("%d attempts of 4 requests", n)
+		t.Errorf("%d attempts for 4 requests", n)
 	}
 }
 
@@ -217,12 +217,12 @@
 		}
 		r := readResponse(t, in)
 		if r.StatusCode != 502 {
-			t.Errorf("%s: %s", tc.method, r.Status)
+			t.Errorf("%s: got status %s, want 502", tc.method, r.Status)
 		}
 		c.Close()
 		waitUntilIdle(t, o)
 		if n := len(received.list()) - before; tc.attempts == 1 && n != 1 || n < tc.attempts {
-			t.Errorf("%s reset at %d: %d attempts, not %d", tc.method, tc.at, n, tc.attempts)
+			t.Errorf("%s reset at %d: got %d attempts, want %d", tc.method, tc.at, n, tc.attempts)
 		}
 	}
 }
@@ -244,11 +244,11 @@
 	firstPartDelay := time.Since(startedAt)
 	rest, err := io.ReadAll(r.Body)
 	if duration := time.Since(startedAt); err != nil || len(rest) != 19*1024 || duration < 900*time.Millisecond || firstPartDelay > duration/2 {
-		t.Errorf("%d bytes, %v, the first after %v of %v", len(rest), err, firstPartDelay, duration)
+		t.Errorf("got %d bytes, error %v, first part after %v of %v", len(rest), err, firstPartDelay, duration)
 	}
 	writeRequestHead(c, "GET", "silent=1")
 	if r := readResponse(t, in); r.StatusCode != 504 {
-		t.Errorf("a silent server: %s", r.Status)
+		t.Errorf("server without answer: got status %s, want 504", r.Status)
 	}
 }
 
@@ -262,25 +262,25 @@
 		writeRequestHead(c, "PUT", script, "Expect: 100-continue", "Content-Length: 100000")
 		r := readResponse(t, in)
 		if fmt.Sprint(r.StatusCode) != want {
-			t.Errorf("%s: first %s", script, r.Status)
+			t.Errorf("%s: got first status %s", script, r.Status)
 		}
 		if r.StatusCode != 100 {
 			continue
 		}
 		io.Copy(c, fake.PatternReader(100000))
 		if r = readResponse(t, in); r.StatusCode != 200 {
-			t.Errorf("%s: then %s", script, r.Status)
+			t.Errorf("%s: got final status %s, want 200", script, r.Status)
 		}
 	}
 	for _, r := range received.list() {
 		if r.IsComplete && r.Hash != fake.HashOf(100000) {
-			t.Errorf("%d bytes", r.Bytes)
+			t.Errorf("a server received a complete body of %d bytes with wrong content", r.Bytes)
 		}
 	}
 	c, in := dial(t, o)
 	writeRequestHead(c, "PUT", "", "Expect: tea", "Content-Length: 1")
 	if r := readResponse(t, in); r.StatusCode != 417 {
-		t.Errorf("Expect: tea: %s", r.Status)
+		t.Errorf("Expect: tea: got status %s, want 417", r.Status)
 	}
 }
 
@@ -308,10 +308,10 @@
 		r := readResponse(t, in)
 		b, err := io.ReadAll(r.Body)
 		if r.StatusCode != tc.status || err != nil {
-			t.Errorf("%d %s: %s %v, not %d", i, tc.script, r.Status, err, tc.status)
+			t.Errorf("%d %s: got status %s, error %v, want %d", i, tc.script, r.Status, err, tc.status)
 		}
 		if r.StatusCode == 200 && len(b) != 9 && len(b) != 7 {
-			t.Errorf("%d %s: %d bytes", i, tc.script, len(b))
+			t.Errorf("%d %s: got %d bytes, want 7 or 9", i, tc.script, len(b))
 		}
 	}
 }
@@ -338,12 +338,12 @@
 		io.WriteString(c, text)
 		r := readResponse(t, in)
 		if r.StatusCode < 400 || r.StatusCode > 501 {
-			t.Errorf("%q: %s", text, r.Status)
+			t.Errorf("%q: got status %s, want 400 to 501", text, r.Status)
 		}
 		c.Close()
 	}
 	if l := received.list(); len(l) > 0 {
-		t.Errorf("a server saw %+v", l)
+		t.Errorf("a server received %+v", l)
 	}
 }
 
@@ -358,10 +358,10 @@
 		r := readResponse(t, in)
 		b, _ := io.ReadAll(r.Body)
 		if r.Header.Get("Content-Type") != kind || r.StatusCode != 502 && r.StatusCode != 503 || len(b) < 20 {
-			t.Errorf("%s: %s %v %q", accept, r.Status, r.Header, b)
+			t.Errorf("%s: got status %s, header %v, body %q", accept, r.Status, r.Header, b)
 		}
 		if r.StatusCode == 503 && r.Header.Get("Retry-After") != "1" {
-			t.Errorf("Retry-After: %q", r.Header.Get("Retry-After"))
+			t.Errorf("got Retry-After %q, want 1", r.Header.Get("Retry-After"))
 		}
 	}
 }
@@ -372,7 +372,7 @@
 	c, in := dial(t, o)
 	writeRequestHead(c, "GET", "upgrade=1", "Connection: Upgrade", "Upgrade: echo")
 	if r := readResponse(t, in); r.StatusCode != 101 || r.Header.Get("Upgrade") != "echo" {
-		t.Fatalf("%s %v", r.Status, r.Header)
+		t.Fatalf("got status %s, header %v, want 101 with the protocol echo", r.Status, r.Header)
 	}
 	requireEcho(t, c, in, "\r\r\nanything\x00")
 	return c, in
@@ -383,7 +383,7 @@
 	io.WriteString(c, text)
 	got := make([]byte, len(text))
 	if _, err := io.ReadFull(in, got); err != nil || string(got) != text {
-		t.Fatalf("%q, %v", got, err)
+		t.Fatalf("got echo %q, error %v", got, err)
 	}
 }
 
@@ -392,11 +392,11 @@
 	o := startNode(t, &fake.Origin{OnRequest: received.record})
 	c, in := openTunnel(t, o)
 	if st := o.Node.Status()[0]; st.OpenStreams != 1 || st.AttemptsInFlight != 1 || st.Resources.Requests.Used != 1 {
-		t.Errorf("%+v", st)
+		t.Errorf("status with one open tunnel: %+v", st)
 	}
 	c.(*net.TCPConn).CloseWrite()
 	if rest, err := io.ReadAll(in); err != nil || len(rest) > 0 {
-		t.Errorf("after the end: %q, %v", rest, err)
+		t.Errorf("after the end of the tunnel: got %q, error %v", rest, err)
 	}
 	waitUntilIdle(t, o)
 	// An upgrade to a protocol that the route does not allow is not forwarded.
@@ -407,7 +407,7 @@
 	}
 	for _, r := range received.list() {
 		if r.Header.Get("Upgrade") == "h2c" {
-			t.Error("h2c went on")
+			t.Error("the upgrade to h2c was forwarded")
 		}
 	}
 }
@@ -447,7 +447,7 @@
 		events = append(events, openConn{c, in})
 	}
 	if st := o.Node.Status()[0]; st.OpenStreams != streams+tunnels {
-		t.Errorf("%d streams", st.OpenStreams)
+		t.Errorf("got %d open streams", st.OpenStreams)
 	}
 	cfg, err := o.Config(process, "attempts = 4", "")
 	if err == nil {
@@ -457,7 +457,7 @@
 		t.Fatal(err)
 	}
 	if n := len(o.Node.RetiredServices()); n != 1 {
-		t.Errorf("%d older services", n)
+		t.Errorf("got %d retired services, want 1", n)
 	}
 	for i, e := range echo {
 		requireEcho(t, e.c, e.in, fmt.Sprint("after the reload ", i))
@@ -498,7 +498,7 @@
 		}
 	}
 	if st := o.Node.Status()[0]; st.OpenStreams != 1 || st.Resources.BufferedBytes.Used > 1<<20 {
-		t.Errorf("%d streams, %d bytes", st.OpenStreams, st.Resources.BufferedBytes.Used)
+		t.Errorf("got %d open streams, want 1; %d bytes buffered, want at most 1 MiB", st.OpenStreams, st.Resources.BufferedBytes.Used)
 	}
 	slow.Close()
 	waitUntilIdle(t, o)
@@ -540,7 +540,7 @@
 		}
 	}
 	if len(open) < 6 {
-		t.Fatalf("%d streams open", len(open))
+		t.Fatalf("only %d streams were opened, want at least 6", len(open))
 	}
 	countServed := func() (n int) {
 		var clients sync.WaitGroup
@@ -563,11 +563,11 @@
 		return int(servedCount.Load())
 	}
 	if n := countServed(); n == 10 {
-		t.Error("all that is the other's own was there: nothing of it was lent")
+		t.Error("the other service's guaranteed resources were all free: the streams used none of them")
 	}
-	testkit.Until(t, "the other has all that is its own", func() bool { return countServed() == 10 })
+	testkit.Until(t, "the other service has its guaranteed resources", func() bool { return countServed() == 10 })
 	if st := o.Node.Status()[0]; st.CutStreams == 0 || st.OpenStreams == 0 || st.OpenStreams >= len(open) {
-		t.Errorf("%d of %d streams are left, %d broken off", st.OpenStreams, len(open), st.CutStreams)
+		t.Errorf("%d of %d streams are open, %d were evicted", st.OpenStreams, len(open), st.CutStreams)
 	}
 }
 
@@ -596,7 +596,7 @@
 		writeRequestHead(c, "POST", "silent=1", "Transfer-Encoding: chunked")
 		fmt.Fprintf(c, "%x\r\n%s\r\n", 100_000, strings.Repeat("x", 100_000))
 	}
-	testkit.Until(t, "the uploads are held", func() bool { return o.Node.Status()[0].Requests > 2 })
+	testkit.Until(t, "uploads are in flight", func() bool { return o.Node.Status()[0].Requests > 2 })
 	var clients sync.WaitGroup
 	var failedClients atomic.Int64
 	for range 4 {
--- a/internal/testsupport/generichttptest/http2_test.go
+++ b/internal/testsupport/generichttptest/http2_test.go
@@ -194,7 +194,7 @@
 	for _, a := range requests {
 		direct, proxied := describeAnswer(a, origin.Listener.Addr().String()), describeAnswer(a, n.Addr())
 		if direct != proxied {
-			t.Errorf("%+v:\n%s\n%s", a, direct, proxied)
+			t.Errorf("%+v: direct answer\n%s\nanswer through the node\n%s", a, direct, proxied)
 		}
 	}
 }
@@ -212,10 +212,10 @@
 	line, _ := in.ReadLine()
 	h, err := in.ReadMIMEHeader()
 	if !strings.Contains(line, "103") || h.Get("X-Early") != "1" || err != nil {
-		t.Errorf("%q, %v, %v", line, h, err)
+		t.Errorf("got status line %q, header %v, error %v, want 103 with X-Early", line, h, err)
 	}
 	if line, _ = in.ReadLine(); !strings.Contains(line, "200") {
-		t.Errorf("%q", line)
+		t.Errorf("got final status line %q, want status 200", line)
 	}
 }
 
@@ -246,10 +246,10 @@
 		r.Body.Close()
 	}
 	if st := n.Status()[0]; st.OpenStreams != 1 || st.Resources.Descriptors.Used > 8 {
-		t.Errorf("%d streams, %d descriptors", st.OpenStreams, st.Resources.Descriptors.Used)
+		t.Errorf("%d open streams, want 1; %d descriptors used, want at most 8", st.OpenStreams, st.Resources.Descriptors.Used)
 	}
 	slow.Close()
-	testkit.Until(t, "the stream is let go", func() bool { return n.Status()[0].OpenStreams == 0 })
+	testkit.Until(t, "the stream has ended", func() bool { return n.Status()[0].OpenStreams == 0 })
 	http.DefaultClient.CloseIdleConnections()
 }
 
@@ -279,7 +279,7 @@
 			continue // the client detects the abort; it may also receive a 502
 		}
 		if _, err := io.ReadAll(r.Body); err == nil && r.StatusCode == 200 && !strings.Contains(query, "length") {
-			t.Errorf("%s: taken for whole", query)
+			t.Errorf("%s: truncated answer received as complete", query)
 		}
 		r.Body.Close()
 	}
@@ -321,7 +321,7 @@
 	defer c.Close()
 	io.WriteString(c, "POST /early HTTP/1.1\r\nHost: h\r\nContent-Length: 1000000\r\n\r\n"+strings.Repeat("x", 10000))
 	if r, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || r.StatusCode != http.StatusRequestEntityTooLarge {
-		t.Errorf("%v, %v", r, err)
+		t.Errorf("got response %v, error %v, want status 413", r, err)
 	}
 	http.DefaultClient.CloseIdleConnections()
 }
@@ -372,7 +372,7 @@
 				resp.Body.Close()
 				if resp.StatusCode == 200 {
 					if served.Add(1); err != nil || !strings.HasSuffix(string(raw), " "+id) || executions.Runs(id) == 0 {
-						t.Errorf("%s: %q, %v, and it ran %d times", id, raw, err, executions.Runs(id))
+						t.Errorf("%s: got body %q, error %v, executed %d times", id, raw, err, executions.Runs(id))
 					}
 				}
 			}
@@ -386,9 +386,9 @@
 // part verifies that the check detects repeated executions, with a configuration that allows retries.
 func TestPostsOverHTTP2(t *testing.T) {
 	if c, ok := sendPosts(t, 1000, readWriteClasses); c.Repeated > 0 || c.DuplicateEffects > 0 || c.MaxInFlight > 1 || ok < 600 {
-		t.Errorf("%+v, %d served", c, ok)
+		t.Errorf("got counts %+v, %d served, want no repeated executions and at least 600 served", c, ok)
 	}
 	if c, _ := sendPosts(t, 400, strings.Replace(readWriteClasses, `repeats = "never"`, `repeats = "free"`, 1)); c.Repeated == 0 {
-		t.Error("requests that ran again were not found")
+		t.Error("repeated executions were not detected")
 	}
 }
--- a/internal/testsupport/generichttptest/mutations_test.go
+++ b/internal/testsupport/generichttptest/mutations_test.go
@@ -154,7 +154,7 @@
 				mu.Lock()
 				if a.Status == http.StatusOK && err == nil {
 					if served++; n != wantBytes || hash != fake.HashOf(wantBytes) {
-						violations = append(violations, fmt.Sprintf("seed %d: %d bytes for the whole %d", seed, n, wantBytes))
+						violations = append(violations, fmt.Sprintf("seed %d: complete answer of %d bytes or wrong content, want %d bytes", seed, n, wantBytes))
 					}
 				}
 				mu.Unlock()
@@ -170,7 +170,7 @@
 		o.Close()
 	}
 	for _, id := range c.corruptIDs {
-		violations = append(violations, id+": a server took for whole what was not sent")
+		violations = append(violations, id+": a server received a complete body that differs from the sent one")
 	}
 	return violations, served
 }
@@ -191,19 +191,19 @@
 // violations, and without them none.
 func TestFaultyForwardersAreDetected(t *testing.T) {
 	if violations, served := runService(t, 300, nil); len(violations) > 0 || served < 50 {
-		t.Errorf("%d served, %v", served, violations)
+		t.Errorf("%d served, want at least 50; violations: %v", served, violations)
 	}
 	for name, wrap := range map[string]func(*upstream.RelayedRequest, io.Reader) service.Forwarder{
-		"replay past the held part": func(q *upstream.RelayedRequest, src io.Reader) service.Forwarder { return retryPastBuffer{q, src} },
+		"retry past the buffered part": func(q *upstream.RelayedRequest, src io.Reader) service.Forwarder { return retryPastBuffer{q, src} },
 		"retry after the first byte": func(q *upstream.RelayedRequest, _ io.Reader) service.Forwarder {
 			return retryAfterFirstByte{q}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			violations, served := runService(t, 300, wrap)
-			t.Logf("%d served, %d wrong", served, len(violations))
+			t.Logf("%d served, %d violations", served, len(violations))
 			if len(violations) == 0 {
-				t.Error("it was not found")
+				t.Error("no violation was detected")
 			}
 		})
 	}
--- a/internal/testsupport/generichttptest/tallies_test.go
+++ b/internal/testsupport/generichttptest/tallies_test.go
@@ -173,7 +173,7 @@
 				servedCount.Add(1)
 				s, _ := url.ParseQuery(ch.script)
 				if want, _ := strconv.ParseInt(s.Get("body"), 10, 64); n != want || hash != fake.HashOf(want) {
-					report("seed %d: a client took %d bytes for the whole %d", seed, n, want)
+					report("seed %d: a client received a complete answer of %d bytes or wrong content, want %d bytes", seed, n, want)
 				}
 			}
 		})
@@ -185,11 +185,11 @@
 	}
 	for id, n := range c.attemptCounts {
 		if _, isNonIdempotent := nonIdempotent.Load(id); isNonIdempotent && n > 1 {
-			report("%s came to servers %d times", id, n)
+			report("%s reached servers %d times", id, n)
 		}
 	}
 	for _, id := range c.corruptIDs {
-		report("%s: a server took for whole what was not sent", id)
+		report("%s: a server received a complete body that differs from the sent one", id)
 	}
 	return violations, servedCount.Load()
 }
@@ -214,12 +214,12 @@
 		seeds = 300
 	}
 	violations, served := runSeeds(t, seeds, "", readWriteClasses)
-	t.Logf("%d seeds, %d served whole", seeds, served)
+	t.Logf("%d seeds, %d served completely", seeds, served)
 	if len(violations) > 0 {
-		t.Errorf("%d wrong, the first: %s", len(violations), violations[0])
+		t.Errorf("%d violations, the first: %s", len(violations), violations[0])
 	}
 	if served < int64(seeds)/4 {
-		t.Errorf("only %d of %d were served", served, seeds)
+		t.Errorf("only %d of %d requests were served", served, seeds)
 	}
 }
 
@@ -227,6 +227,6 @@
 func TestAttemptAccountingDetectsRetry(t *testing.T) {
 	violations, _ := runSeeds(t, 400, "", strings.Replace(readWriteClasses, `repeats = "never"`, `repeats = "free"`, 1))
 	if len(violations) == 0 {
-		t.Error("requests that ran again were not found")
+		t.Error("repeated requests were not detected")
 	}
 }
--- a/internal/testsupport/redistest/resp.go
+++ b/internal/testsupport/redistest/resp.go
@@ -21,13 +21,13 @@
 func readCommand(in *bufio.Reader) ([]string, error) {
 	n, err := readLength(in, '*')
 	if err != nil || n < 1 || n > maxArguments {
-		return nil, fmt.Errorf("an array of %d: %w", n, err)
+		return nil, fmt.Errorf("reading a command: array length %d: %w", n, err)
 	}
 	args := make([]string, n)
 	for i := range args {
 		size, err := readLength(in, '$')
 		if err != nil || size < 0 || size > maxArgumentBytes {
-			return nil, fmt.Errorf("a string of %d: %w", size, err)
+			return nil, fmt.Errorf("reading a command: bulk string length %d: %w", size, err)
 		}
 		raw := make([]byte, size+len("\r\n"))
 		if _, err := io.ReadFull(in, raw); err != nil {
@@ -45,7 +45,7 @@
 		return 0, err
 	}
 	if line[0] != kind {
-		return 0, fmt.Errorf("%q in place of %q", line, kind)
+		return 0, fmt.Errorf("got line %q, want one that begins with %q", line, kind)
 	}
 	return strconv.Atoi(strings.TrimRight(line[1:], "\r\n"))
 }
@@ -70,5 +70,5 @@
 		}
 		return encoded
 	}
-	panic(fmt.Sprintf("a reply of %T", reply))
+	panic(fmt.Sprintf("cannot encode a reply of type %T", reply))
 }
--- a/internal/testsupport/redistest/script.go
+++ b/internal/testsupport/redistest/script.go
@@ -117,7 +117,7 @@
 		}
 		return table
 	}
-	panic(fmt.Sprintf("a reply of %T", reply))
+	panic(fmt.Sprintf("cannot convert a reply of type %T to Lua", reply))
 }
 
 // fromLua converts a script's result to a reply.
--- a/internal/testsupport/scattergathertest/faults_test.go
+++ b/internal/testsupport/scattergathertest/faults_test.go
@@ -88,7 +88,7 @@
 	f.t.Helper()
 	for i, p := range f.pools[:pools] {
 		if n := p.Count() - since[i]; n > queries || n < queries-f.answers.partial {
-			f.t.Errorf("%s was sent %d of %d queries", p.name, n, queries)
+			f.t.Errorf("%s received %d requests for %d queries", p.name, n, queries)
 		}
 	}
 }
@@ -110,17 +110,17 @@
 	since, queries, partial := f.requestCounts(), f.queries(), f.answers.partial
 	f.queryAll(1, f.instances[0])
 	if f.answers.partial != partial+1 || f.answers.rejected > 0 {
-		t.Error("an answer that waits two seconds:", f.answers.String())
+		t.Error("answer with a deadline of 2 s:", f.answers.String())
 	}
 	for i, n := range f.requestCounts()[:4] {
 		if n != since[i]+1 {
-			t.Errorf("%s was sent %d for it", f.pools[i].name, n-since[i])
+			t.Errorf("%s received %d requests for one query, want 1", f.pools[i].name, n-since[i])
 		}
 	}
 	f.queryAll(8, f.instances[1:]...)
 	f.requireQueriedByAll(4, f.queries()-queries, since)
 	if f.pools[4].Count() != since[4] || f.answers.rejected+f.answers.lost > 0 {
-		t.Errorf("the silent pool was sent %d; %s", f.pools[4].Count()-since[4], f.answers.String())
+		t.Errorf("the silent pool received %d requests, want 0; %s", f.pools[4].Count()-since[4], f.answers.String())
 	}
 	if err := f.links[4].Heal(); err != nil {
 		t.Fatal(err)
@@ -136,7 +136,7 @@
 	f.queryAll(20, f.instances...)
 	f.requireQueriedByAll(5, f.queries(), make([]int, 5))
 	if f.answers.rejected+f.answers.lost > 0 || f.answers.complete == 0 {
-		t.Error("while nothing was wrong:", f.answers.String())
+		t.Error("without faults:", f.answers.String())
 	}
 
 	f.checkSilentPool(t)
@@ -144,7 +144,7 @@
 	s := faultnet.Draw(7, faultnet.Spec{Links: len(f.links), For: 4 * time.Second, Faults: 10})
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("%s\nby\n%v", f.answers.String(), s)
+			t.Logf("%s\nwith the fault script\n%v", f.answers.String(), s)
 		}
 	})
 	p, err := faultnet.NewPlayer(s, f.links, nil)
@@ -179,7 +179,7 @@
 		}
 	}
 	if f.answers.lost > 0 || f.answers.partial == 0 {
-		t.Error("by the script:", f.answers.String())
+		t.Error("with the fault script:", f.answers.String())
 	}
 	for _, l := range f.links {
 		if err := l.Heal(); err != nil {
@@ -187,14 +187,14 @@
 		}
 	}
 	for _, n := range f.instances {
-		testkit.Until(t, "a whole answer", func() bool {
+		testkit.Until(t, "a complete answer", func() bool {
 			before := f.answers.complete
 			f.queryAll(1, n)
 			return f.answers.complete > before
 		})
 	}
 	for _, n := range f.instances {
-		n.waitForStatus("what others learned", func(s manage.Status) bool {
+		n.waitForStatus("data learned by other instances is received", func(s manage.Status) bool {
 			return s.ScatterGathers[0].Shared.Members > 0 && s.ScatterGathers[0].InFlight == 0
 		})
 	}
--- a/internal/testsupport/scattergathertest/node_test.go
+++ b/internal/testsupport/scattergathertest/node_test.go
@@ -169,14 +169,14 @@
 func (r *testNode) requireAnswer(a answer, status int, parts, missing, body string) {
 	r.t.Helper()
 	if a.status != status || a.parts != parts || a.missing != missing || status == 200 && body != "-" && a.body != body {
-		r.t.Errorf("%d, %q without %q: %s", a.status, a.parts, a.missing, a.body)
+		r.t.Errorf("got status %d, parts %q, missing %q, body %s", a.status, a.parts, a.missing, a.body)
 	}
 }
 
 // waitUntilIdle waits until no service has requests or buffered bytes.
 func (r *testNode) waitUntilIdle() {
 	r.t.Helper()
-	testkit.Until(r.t, "nothing is held", func() bool {
+	testkit.Until(r.t, "all services are idle", func() bool {
 		return !slices.ContainsFunc(r.Status(), func(s node.Status) bool {
 			return s.Requests != 0 || s.Resources.Requests.Used != 0 || s.Resources.BufferedBytes.Used != 0
 		})
@@ -213,12 +213,12 @@
 	r.requireAnswer(r.query("GET", "/x", ""), 200, "3/3", "", mergedBody("a", "b", "c"))
 	a := r.query("HEAD", "/x", "")
 	if r.requireAnswer(a, 200, "3/3", "", ""); a.header.Get("Content-Length") != fmt.Sprint(len(mergedBody("a", "b", "c"))) {
-		t.Errorf("length %s", a.header.Get("Content-Length"))
+		t.Errorf("got Content-Length %s for HEAD", a.header.Get("Content-Length"))
 	}
 	r.requireAnswer(r.query("POST", "/x", ""), 405, "", "", "")
 	r.requireAnswer(r.query("POST", "/search", strings.Repeat("x", 9000)), 200, "3/3", "", mergedBody("a", "b", "c"))
 	if seen := r.b.Requests(); seen[len(seen)-1] != "POST /search  "+strings.Repeat("x", 9000) {
-		t.Errorf("the body came as %.80q", seen[len(seen)-1])
+		t.Errorf("the part received the request %.80q", seen[len(seen)-1])
 	}
 	r.requireAnswer(r.query("POST", "/search", strings.Repeat("x", 70000)), 413, "", "", "")
 	for name, bad := range map[string]http.HandlerFunc{
@@ -235,7 +235,7 @@
 			w.Header().Set("Content-Encoding", "gzip")
 			io.WriteString(w, `[1]`)
 		},
-		"a claim that can't be": func(w http.ResponseWriter, _ *http.Request) {
+		"an impossible parts header": func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Lockflow-Parts", "3/2")
 			io.WriteString(w, `[1]`)
 		},
@@ -269,7 +269,7 @@
 		r.requireAnswer(r.query("GET", "/x", ""), 200, "2/3", "c", mergedBody("a", "b"))
 	}
 	if r.a.Count() != 2 || r.b.Count() != 2 || r.c.Count() < 1 || r.c.Count() > 2 {
-		t.Errorf("asked %d, %d and %d times", r.a.Count(), r.b.Count(), r.c.Count())
+		t.Errorf("got %d, %d and %d requests, want 2, 2 and 1 or 2", r.a.Count(), r.b.Count(), r.c.Count())
 	}
 	before := r.GathererStatus()[0].Learned
 	r.c.release() // late results are learned from but are part of no answer
@@ -279,7 +279,7 @@
 	r.requireAnswer(r.query("GET", "/x", ""), 200, "3/3", "", mergedBody("a", "b", "c"))
 	r.waitUntilIdle()
 	if after := r.GathererStatus()[0].Learned; after.Sketches < before.Sketches || after.Queries != 3 {
-		t.Errorf("%+v after %+v", after, before)
+		t.Errorf("got learned data %+v after %+v", after, before)
 	}
 	// The disconnect of a client ends its query and all attempts of it.
 	r.c.stall()
@@ -287,18 +287,18 @@
 	req, _ := http.NewRequestWithContext(ctx, "GET", "http://"+r.Addr()+"/x", nil)
 	n := r.c.Count()
 	go func() {
-		testkit.Until(t, "it is asked", func() bool { return r.c.Count() > n })
+		testkit.Until(t, "the stalled part receives a request", func() bool { return r.c.Count() > n })
 		cancel()
 	}()
 	if resp, err := http.DefaultClient.Do(req); err == nil {
 		resp.Body.Close()
 	}
-	testkit.Until(t, "it has left", func() bool { return r.GathererStatus()[0].Queries["left"] == 1 })
+	testkit.Until(t, "the query is counted as left by its client", func() bool { return r.GathererStatus()[0].Queries["left"] == 1 })
 	r.c.release()
 	r.waitUntilIdle()
-	testkit.Until(t, "nothing is open", func() bool { return r.GathererStatus()[0].InFlight == 0 })
+	testkit.Until(t, "no query is in flight", func() bool { return r.GathererStatus()[0].InFlight == 0 })
 	if n := r.GathererStatus()[0].Learned.Queries; n != 4 { // otherwise the exploration budget of a query is never returned
-		t.Errorf("%d queries are settled", n)
+		t.Errorf("%d queries are learned from, want 4", n)
 	}
 }
 
@@ -329,21 +329,21 @@
 		}
 	}
 	if served == 0 || served == 12 {
-		t.Fatalf("%d of 12 served: no test of a quota", served)
+		t.Fatalf("%d of 12 queries served: the quota was not tested", served)
 	}
 	for _, p := range []*pool{r.a, r.b, r.c} {
 		if p.Count() != served {
-			t.Errorf("%s was sent %d, and %d were served", p.name, p.Count(), served)
+			t.Errorf("%s received %d requests, want %d as queries served", p.name, p.Count(), served)
 		}
 	}
 	if n := r.GathererStatus()[0].Queries["quota"]; n != uint64(12-served) {
-		t.Errorf("%d refused by quota", n)
+		t.Errorf("%d queries rejected by quota", n)
 	}
 	// No service has a request in flight: the part that rejects is charged first, so most rejected queries never reached
 	// the other parts.
 	for _, s := range r.Status() {
 		if s.Requests != 0 {
-			t.Errorf("%s holds %d", s.Name, s.Requests)
+			t.Errorf("%s has %d requests in flight, want 0", s.Name, s.Requests)
 		}
 	}
 	r.waitUntilIdle()
@@ -409,7 +409,7 @@
 			t.Fatal(err)
 		}
 		n := r.a.Count()
-		testkit.Until(t, "some are served", func() bool { return r.a.Count() > n+20 })
+		testkit.Until(t, "20 more requests are served", func() bool { return r.a.Count() > n+20 })
 	}
 	close(stop)
 	clients.Wait()
@@ -419,6 +419,6 @@
 	}
 	before := r.Checkpoint()
 	if len(before.ScatterGathers["district"]) == 0 {
-		t.Error("nothing of what was learned is kept")
+		t.Error("the checkpoint has no learned data")
 	}
 }
--- a/internal/testsupport/scattergathertest/process_test.go
+++ b/internal/testsupport/scattergathertest/process_test.go
@@ -38,7 +38,7 @@
 	t.Cleanup(func() {
 		if s, err := p.client.Status(context.Background()); err == nil {
 			syscall.Kill(s.PID, syscall.SIGKILL)
-			testkit.Until(t, "the end", func() bool { return syscall.Kill(s.PID, 0) != nil || isZombie(s.PID) })
+			testkit.Until(t, "the process has ended", func() bool { return syscall.Kill(s.PID, 0) != nil || isZombie(s.PID) })
 		}
 		p.cmd.Process.Kill()
 		p.cmd.Wait()
@@ -122,7 +122,7 @@
 	switch {
 	case err != nil:
 		if c.lost++; !p.isKilled.Load() && p.addr.Load() == address {
-			p.t.Errorf("lost: %v", err)
+			p.t.Errorf("query got no answer: %v", err)
 		}
 		return
 	case resp.StatusCode != 200:
@@ -131,7 +131,7 @@
 	}
 	var elements []string
 	if err := json.Unmarshal(body, &elements); err != nil {
-		p.t.Errorf("%q: %v", body, err)
+		p.t.Errorf("decoding the body %q: %v", body, err)
 	}
 	received, total := 0, 0
 	if _, err := fmt.Sscanf(resp.Header.Get("Lockflow-Parts"), "%d/%d", &received, &total); err != nil {
@@ -148,11 +148,11 @@
 		isReceived := slices.Contains(elements, n)
 		missingIndex := slices.IndexFunc(remaining, func(m string) bool { return m == n || strings.HasPrefix(n, m+"/") })
 		if isReceived == (missingIndex >= 0) {
-			p.t.Errorf("%s in %v without %v", n, elements, missing)
+			p.t.Errorf("%s must be either received or missing: received %v, missing %v", n, elements, missing)
 		}
 	}
 	if len(elements) != received {
-		p.t.Errorf("%d/%d: %v", received, total, elements)
+		p.t.Errorf("Lockflow-Parts is %d/%d, received %v", received, total, elements)
 	}
 }
 
@@ -176,9 +176,9 @@
 	t.Helper()
 	for _, p := range pools {
 		count := p.Count()
-		testkit.Until(t, fmt.Sprintf("%s was asked %d times by %d queries%s", p.name, count, queries, phase), func() bool { return p.Count() >= queries*9/10 })
+		testkit.Until(t, fmt.Sprintf("%s received %d requests for %d queries%s; it receives at least 90 percent", p.name, count, queries, phase), func() bool { return p.Count() >= queries*9/10 })
 		if p.Count() > queries {
-			t.Errorf("%s was asked %d times by %d queries%s", p.name, p.Count(), queries, phase)
+			t.Errorf("%s received %d requests for %d queries%s", p.name, p.Count(), queries, phase)
 		}
 	}
 }
@@ -189,7 +189,7 @@
 	for i := range 4 {
 		p.writeConfig(strings.Replace(text, `half_life = "400ms"`, fmt.Sprintf(`half_life = "%dms"`, 300+100*i), 1))
 		if s, err := p.client.Reload(context.Background()); err != nil || s.Generation != i+2 || !s.ScatterGathers[0].IsKnown {
-			t.Errorf("%+v, %v", s, err)
+			t.Errorf("after the reload: got status %+v, error %v", s, err)
 		}
 	}
 }
@@ -209,7 +209,7 @@
 		t.Error(err)
 	}
 	if err := json.Unmarshal(raw, &names); err != nil || resp.StatusCode != 200 || len(names) != received || total != 10 {
-		t.Errorf("%d %s: %q, %v", resp.StatusCode, resp.Header.Get("Lockflow-Parts"), raw, err)
+		t.Errorf("got status %d, parts %s, body %q, error %v", resp.StatusCode, resp.Header.Get("Lockflow-Parts"), raw, err)
 	}
 }
 
@@ -251,7 +251,7 @@
 		clients.Wait()
 	}
 	queryAll(60, lower...)
-	lower[0].waitForStatus("enough is learned", func(s manage.Status) bool { return s.ScatterGathers[0].IsKnown })
+	lower[0].waitForStatus("the latencies of the parts are learned", func(s manage.Status) bool { return s.ScatterGathers[0].IsKnown })
 	if answers.rejected+answers.lost > 0 || answers.complete == 0 {
 		t.Error(answers.String())
 	}
@@ -281,13 +281,13 @@
 	lower[0].kill()
 	lower[0].start()
 	if g := lower[0].status().ScatterGathers[0]; !g.IsKnown || g.Learned.Sketches < learned {
-		t.Errorf("after a kill %+v", g)
+		t.Errorf("learned data after a kill: %+v", g)
 	}
 	old := lower[1].status()
 	if _, err := lower[1].client.Upgrade(context.Background(), ""); err != nil {
 		t.Fatal(err)
 	}
-	lower[1].waitForStatus("a successor that knows", func(s manage.Status) bool { return s.PID != old.PID && s.IsReady() && s.ScatterGathers[0].IsKnown })
+	lower[1].waitForStatus("the successor is ready and has the learned data", func(s manage.Status) bool { return s.PID != old.PID && s.IsReady() && s.ScatterGathers[0].IsKnown })
 	reloadRepeatedly(t, lower[2], text)
 	pools[4].release()
 	close(stop)
@@ -296,6 +296,6 @@
 		t.Error(answers.String())
 	}
 	requireTwoLevelAnswer(t, top)
-	lower[2].waitForStatus("what others learned", func(s manage.Status) bool { return s.ScatterGathers[0].Shared.Members > 0 })
+	lower[2].waitForStatus("data learned by other instances is received", func(s manage.Status) bool { return s.ScatterGathers[0].Shared.Members > 0 })
 	http.DefaultClient.CloseIdleConnections()
 }
--- a/internal/testsupport/testbench/testbench.go
+++ b/internal/testsupport/testbench/testbench.go
@@ -115,7 +115,7 @@
 		select {
 		case <-time.After(time.Millisecond):
 		case <-ctx.Done():
-			return fmt.Errorf("waiting for the node: %w", ctx.Err())
+			return fmt.Errorf("waiting for the node to become ready: %w", ctx.Err())
 		}
 	}
 }
--- a/internal/testsupport/testkit/backlog.go
+++ b/internal/testsupport/testkit/backlog.go
@@ -37,6 +37,6 @@
 		}
 		t.Cleanup(func() { _ = connection.Close() })
 	}
-	t.Fatalf("%d connections came up on a backlog of 0", maxBacklog)
+	t.Fatalf("%d connections were established with a backlog of 0", maxBacklog)
 	return ""
 }
--- a/internal/testsupport/testkit/golden.go
+++ b/internal/testsupport/testkit/golden.go
@@ -16,7 +16,7 @@
 
 // update makes tests rewrite their golden files: go test ./internal/NAME -run Golden -update. If a file changes, earlier
 // builds must be able to read the new encoding, or its version must be increased.
-var update = flag.Bool("update", false, "writes golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 // IsUpdating reports whether golden files are rewritten.
 func IsUpdating() bool { return *update }
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	if got != nil && !bytes.Equal(got, want) {
-		t.Errorf("%s: what is written is not as it was: %s", path, firstDifference(got, want))
+		t.Errorf("%s: the encoding differs from the golden file: %s", path, firstDifference(got, want))
 	}
 	return want
 }
@@ -64,14 +64,14 @@
 // the type does not know, or if the encoding differs from raw.
 func RoundTrip(format string, raw []byte, v any) error {
 	if err := decode(format, raw, v); err != nil {
-		return fmt.Errorf("reading %T: %w", v, err)
+		return fmt.Errorf("decoding %T: %w", v, err)
 	}
 	encoded, err := encode(format, v)
 	if err != nil {
-		return fmt.Errorf("writing %T again: %w", v, err)
+		return fmt.Errorf("encoding %T: %w", v, err)
 	}
 	if !bytes.Equal(encoded, raw) {
-		return fmt.Errorf("%T is not written as it was read: %s", v, firstDifference(encoded, raw))
+		return fmt.Errorf("%T is encoded differently than read: %s", v, firstDifference(encoded, raw))
 	}
 	return nil
 }
@@ -83,7 +83,7 @@
 	case "json":
 		return json.Marshal(v)
 	}
-	return nil, fmt.Errorf("format %q is not known", format)
+	return nil, fmt.Errorf("unknown format %q", format)
 }
 
 func decode(format string, raw []byte, v any) error {
@@ -101,11 +101,11 @@
 			return err
 		}
 		if d.More() {
-			return errors.New("there is more behind it")
+			return errors.New("data after the value")
 		}
 		return nil
 	}
-	return fmt.Errorf("format %q is not known", format)
+	return fmt.Errorf("unknown format %q", format)
 }
 
 // firstDifference describes the first difference between two texts with some context.
@@ -117,5 +117,5 @@
 	}
 	from := max(0, i-before)
 	cut := func(b []byte) []byte { return b[min(from, len(b)):min(i+shown, len(b))] }
-	return fmt.Sprintf("at byte %d %q is %q", i, cut(want), cut(got))
+	return fmt.Sprintf("at byte %d: want %q, got %q", i, cut(want), cut(got))
 }
--- a/internal/testsupport/testkit/golden_test.go
+++ b/internal/testsupport/testkit/golden_test.go
@@ -34,7 +34,7 @@
 	Sample("json", &a)
 	Sample("json", &b)
 	if a.Skip != 0 || a.Name == "" || len(a.Times) != 1 || a.Inner.Count == 0 || a.Inner.Share == 0 {
-		t.Errorf("%+v is not a full sample", a)
+		t.Errorf("%+v has fields with zero values, or a value for an excluded field", a)
 	}
 	if a.Name != b.Label || a.Inner.Count != b.Nested.Number || a.Inner.Share != b.Nested.Part {
 		t.Errorf("%+v and %+v differ", a, b)
@@ -57,21 +57,21 @@
 		for _, key := range []string{"name", "times", "inner", "count", "share"} {
 			other := strings.Replace(string(raw), key, strings.Repeat("x", len(key)), 1)
 			if other == string(raw) {
-				t.Fatalf("%s: there is no key %s", format, key)
+				t.Fatalf("%s: the sample has no key %s", format, key)
 			}
 			if RoundTrip(format, []byte(other), new(stored)) == nil {
-				t.Errorf("%s: an unknown key in the place of %s is taken", format, key)
+				t.Errorf("%s: an unknown key in place of %s was accepted", format, key)
 			}
 		}
 	}
 	for raw, why := range map[string]string{
-		`{"name":"a","times":null,"inner":null}{}`:      "more behind",
-		`{"NAME":"a","times":null,"inner":null}`:        "not written as it was read",
-		`{"name":"a","times":null}`:                     "not written as it was read",
+		`{"name":"a","times":null,"inner":null}{}`:      "data after the value",
+		`{"NAME":"a","times":null,"inner":null}`:        "encoded differently than read",
+		`{"name":"a","times":null}`:                     "encoded differently than read",
 		`{"name":"a","times":null,"inner":{},"more":1}`: "unknown field",
 	} {
 		if err := RoundTrip("json", []byte(raw), new(stored)); err == nil || !strings.Contains(err.Error(), why) {
-			t.Errorf("%s: %v, not %s", raw, err, why)
+			t.Errorf("%s: got error %v, want one with %q", raw, err, why)
 		}
 	}
 }
--- a/internal/testsupport/testkit/keys.go
+++ b/internal/testsupport/testkit/keys.go
@@ -57,7 +57,7 @@
 	case reflect.Struct:
 		w.fields(t)
 	case reflect.Interface:
-		w.missing = append(w.missing, fmt.Sprintf("%s is of type %v, whose values are not known: list them as roots", path, t))
+		w.missing = append(w.missing, fmt.Sprintf("%s is of type %v, whose concrete types are unknown: list them as roots", path, t))
 	}
 }
 
--- a/internal/testsupport/testkit/keys_test.go
+++ b/internal/testsupport/testkit/keys_test.go
@@ -38,7 +38,7 @@
 	}{
 		{"json", &outer{}, []string{
 			"testkit.nested.Depth has no key in a json tag",
-			"testkit.outer.Any is of type interface {}, whose values are not known: list them as roots",
+			"testkit.outer.Any is of type interface {}, whose concrete types are unknown: list them as roots",
 			"testkit.outer.Empty has no key in a json tag",
 			"testkit.tagged.Other has no key in a json tag",
 			"testkit.tagged.When has no key in a json tag",
@@ -47,7 +47,7 @@
 		{"json", map[string]time.Time{}, nil},
 	} {
 		if got := MissingKeys(c.format, c.root); !slices.Equal(got, c.want) {
-			t.Errorf("%s of %T: %q, not %q", c.format, c.root, got, c.want)
+			t.Errorf("%s of %T: got %q, want %q", c.format, c.root, got, c.want)
 		}
 	}
 }
--- a/internal/testsupport/testkit/testkit.go
+++ b/internal/testsupport/testkit/testkit.go
@@ -49,7 +49,7 @@
 	case v := <-c:
 		return v
 	case <-time.After(WaitTimeout):
-		t.Fatal("nothing was received in time")
+		t.Fatal("timed out waiting to receive a value")
 		panic("unreachable")
 	}
 }
@@ -102,7 +102,7 @@
 			return
 		}
 	}
-	t.Fatalf("%s: not in time", what)
+	t.Fatalf("timed out waiting for the condition: %s", what)
 }
 
 // Agent is a fake discovery that sends the lines given by a test.
