--- a/internal/testsupport/scattergathertest/node_test.go
+++ b/internal/testsupport/scattergathertest/node_test.go
@@ -339,8 +339,8 @@
 	if n := r.GathererStatus()[0].Queries["quota"]; n != uint64(12-served) {
 		t.Errorf("%d queries rejected by quota", n)
 	}
-	// No service has a request in flight: the part that rejects is charged first, so most rejected queries never reached
-	// the other parts.
+	// No service has a request in flight. The module of the part that rejected the last query is consulted first for the
+	// next one, so most rejected queries never reach the modules of the other parts.
 	for _, s := range r.Status() {
 		if s.Requests != 0 {
 			t.Errorf("%s has %d requests in flight, want 0", s.Name, s.Requests)
