--- a/internal/testsupport/scattergathertest/process_test.go
+++ b/internal/testsupport/scattergathertest/process_test.go
@@ -251,7 +251,7 @@
 		clients.Wait()
 	}
 	queryAll(60, lower...)
-	lower[0].waitForStatus("the latencies of the parts are learned", func(s manage.Status) bool { return s.ScatterGathers[0].IsKnown })
+	lower[0].waitForStatus("the model has enough data to decide", func(s manage.Status) bool { return s.ScatterGathers[0].IsKnown })
 	if answers.rejected+answers.lost > 0 || answers.complete == 0 {
 		t.Error(answers.String())
 	}
