--- a/internal/testsupport/scattergathertest/node_test.go
+++ b/internal/testsupport/scattergathertest/node_test.go
@@ -217,8 +217,8 @@
 	}
 	r.requireAnswer(r.query("POST", "/x", ""), 405, "", "", "")
 	r.requireAnswer(r.query("POST", "/search", strings.Repeat("x", 9000)), 200, "3/3", "", mergedBody("a", "b", "c"))
-	if seen := r.b.Requests(); seen[len(seen)-1] != "POST /search  "+strings.Repeat("x", 9000) {
-		t.Errorf("the part received the request %.80q", seen[len(seen)-1])
+	if received := r.b.Requests(); received[len(received)-1] != "POST /search  "+strings.Repeat("x", 9000) {
+		t.Errorf("the part received the request %.80q", received[len(received)-1])
 	}
 	r.requireAnswer(r.query("POST", "/search", strings.Repeat("x", 70000)), 413, "", "", "")
 	for name, bad := range map[string]http.HandlerFunc{
--- a/internal/testsupport/testbench/testbench_test.go
+++ b/internal/testsupport/testbench/testbench_test.go
@@ -10,27 +10,27 @@
 	"lockflow/internal/testsupport/testbench/benchtest"
 )
 
-// play runs clients against the node for a duration and returns their results by kind.
-func play(l *testbench.Bench, duration time.Duration, clients ...fake.Clients) map[string]*fake.Result {
+// runClients runs clients against the node for a duration and returns their results by kind.
+func runClients(bench *testbench.Bench, duration time.Duration, clients ...fake.Clients) map[string]*fake.Result {
 	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
 	var runs []*fake.Run
 	for i, c := range clients {
-		c.Addr, c.Seed = l.Node.Addr(), c.Seed+uint64(i)
+		c.Addr, c.Seed = bench.Node.Addr(), c.Seed+uint64(i)
 		runs = append(runs, c.Start(ctx))
 	}
-	all := make(map[string]*fake.Result)
+	results := make(map[string]*fake.Result)
 	for _, r := range runs {
 		for k, v := range r.Wait() {
-			all[k] = v
+			results[k] = v
 		}
 	}
-	return all
+	return results
 }
 
 func TestDemoServes(t *testing.T) {
-	l := benchtest.Begin(t, testbench.Demo, testbench.DemoServers(1))
-	got := play(l, time.Second, fake.Clients{Call: testbench.RosterCall, Interval: 10 * time.Millisecond, Workers: 32, Seed: 1},
+	bench := benchtest.Begin(t, testbench.Demo, testbench.DemoServers(1))
+	got := runClients(bench, time.Second, fake.Clients{Call: testbench.RosterCall, Interval: 10 * time.Millisecond, Workers: 32, Seed: 1},
 		fake.Clients{Call: testbench.DocumentCall, Interval: 20 * time.Millisecond, Workers: 32, Seed: 2})
 	for kind, r := range got {
 		// On a busy machine calls arrive in bursts, and the concurrency limit rejects a part of each burst.
@@ -39,7 +39,7 @@
 		}
 		t.Logf("%s: %d calls, p50 %v, p99 %v", kind, r.Calls, r.Quantile(0.5), r.Quantile(0.99))
 	}
-	for name, p := range l.Pools {
+	for name, p := range bench.Pools {
 		if c := p.Executions.Counts(); c.Repeated+c.DuplicateEffects > 0 || c.MaxInFlight > 1 {
 			t.Errorf("%s: %+v", name, c)
 		}
