--- a/internal/testsupport/fake/http2_conn.go
+++ b/internal/testsupport/fake/http2_conn.go
@@ -18,92 +18,93 @@
 const (
 	headerTableBytes = 4096
 	maxStreamID      = 1<<31 - 1
-	// maxUnanswered is the number of requests from which on they are answered though more can be read.
+	// maxUnanswered is the maximum number of executed requests that wait for more input before they are answered.
 	maxUnanswered = 2
-	// maxLoweredStreams limits the number of streams while it is lowered.
+	// maxLoweredStreams is the maximum of a lowered limit of concurrent streams.
 	maxLoweredStreams = 2
-	// futureStreams is how far a first GOAWAY is above the highest stream.
+	// futureStreams is how far the last stream ID of a first GOAWAY is above the highest stream ID received.
 	futureStreams = 1000
 	unlimited     = -1
 )
 
-// resetCodes are error codes of a reset that do not tell whether the request was executed.
+// resetCodes are RST_STREAM error codes from which it is unknown whether the request was executed.
 var resetCodes = []http2.ErrCode{http2.ErrCodeNo, http2.ErrCodeProtocol, http2.ErrCodeInternal, http2.ErrCodeCancel, http2.ErrCodeEnhanceYourCalm}
 
-// http2Conn is a connection of a RunningHTTP2. One goroutine serves it.
+// http2Conn is a connection of a RunningHTTP2. It is served by a single goroutine.
 type http2Conn struct {
-	server     *RunningHTTP2
-	conn       net.Conn
-	rng        *rand.Rand
-	in         *bufio.Reader
-	out        bytes.Buffer // frames that were not sent yet
-	frames     *http2.Framer
-	block      bytes.Buffer // header block of encoder
-	encoder    *hpack.Encoder
-	streams    map[uint32]*http2Stream // open, by ID
-	unanswered []*http2Stream          // received completely
-	lastID     uint32                  // higher streams are ignored
-	highest    uint32                  // stream ID
-	isLowered  bool                    // the limit of concurrent streams
-	cutRead    int                     // bytes that may still be read, or unlimited
-	cutSent    int                     // bytes that may still be sent, or unlimited
-	isEnding   bool                    // closed after the next flush
+	server               *RunningHTTP2
+	conn                 net.Conn
+	rng                  *rand.Rand
+	in                   *bufio.Reader
+	out                  bytes.Buffer // frames not sent yet
+	frames               *http2.Framer
+	headerBlock          bytes.Buffer // output of encoder
+	encoder              *hpack.Encoder
+	streams              map[uint32]*http2Stream // open streams by ID
+	unanswered           []*http2Stream          // completely received and executed requests
+	lastStreamID         uint32                  // the last stream ID of a GOAWAY; higher streams are ignored
+	highestStreamID      uint32                  // highest stream ID received
+	isStreamLimitLowered bool                    // the limit of concurrent streams is lowered
+	remainingRead        int                     // bytes that may be read before the connection is cut, or unlimited
+	remainingSent        int                     // bytes that may be sent before the connection is cut, or unlimited
+	isEnding             bool                    // the connection is closed after the next flush
 }
 
-// http2Stream is a request.
+// http2Stream is a stream with its request.
 type http2Stream struct {
 	id        uint32
 	requestID string
 	key       string // idempotency key
 	units     float64
-	end       func() // records that it is no longer in flight
+	end       func() // records that the request is no longer in flight
 }
 
 func newHTTP2Conn(server *RunningHTTP2, conn net.Conn, rng *rand.Rand) *http2Conn {
 	return &http2Conn{
-		server:  server,
-		conn:    conn,
-		rng:     rng,
-		streams: make(map[uint32]*http2Stream),
-		lastID:  maxStreamID,
-		cutRead: unlimited,
-		cutSent: unlimited,
+		server:        server,
+		conn:          conn,
+		rng:           rng,
+		streams:       make(map[uint32]*http2Stream),
+		lastStreamID:  maxStreamID,
+		remainingRead: unlimited,
+		remainingSent: unlimited,
 	}
 }
 
-// Read reads from the connection, up to the byte after which it is cut.
+// Read reads from the connection up to the byte after which the connection is cut.
 func (c *http2Conn) Read(buffer []byte) (int, error) {
-	if c.cutRead == 0 {
+	if c.remainingRead == 0 {
 		return 0, net.ErrClosed
 	}
-	if c.cutRead > 0 {
-		buffer = buffer[:min(len(buffer), c.cutRead)]
+	if c.remainingRead > 0 {
+		buffer = buffer[:min(len(buffer), c.remainingRead)]
 	}
 	n, err := c.conn.Read(buffer)
-	if c.cutRead > 0 {
-		c.cutRead -= n
+	if c.remainingRead > 0 {
+		c.remainingRead -= n
 	}
 	return n, err
 }
 
-// flush sends frames, up to the byte after which the connection is cut; false at its end.
+// flush sends the pending frames, up to the byte after which the connection is cut. It returns false if the connection is
+// cut or the write failed.
 func (c *http2Conn) flush() bool {
 	data := c.out.Bytes()
-	if c.cutSent >= 0 {
-		data = data[:min(len(data), c.cutSent)]
-		c.cutSent -= len(data)
+	if c.remainingSent >= 0 {
+		data = data[:min(len(data), c.remainingSent)]
+		c.remainingSent -= len(data)
 	}
 	_, err := c.conn.Write(data)
 	c.out.Reset()
-	return err == nil && c.cutSent != 0
+	return err == nil && c.remainingSent != 0
 }
 
-// draw reports whether a fault of the given probability happens. It draws no random number for 0.
+// draw reports whether a fault of the given probability occurs. A probability of 0 consumes no random number.
 func (c *http2Conn) draw(probability float64) bool {
 	return probability > 0 && c.rng.Float64() < probability
 }
 
-// serve serves the connection to its end.
+// serve serves the connection until it ends.
 func (c *http2Conn) serve() {
 	c.drawCuts()
 	defer func() {
@@ -117,7 +118,7 @@
 	}
 	c.frames = http2.NewFramer(&c.out, c.in)
 	c.frames.ReadMetaHeaders = hpack.NewDecoder(headerTableBytes, nil)
-	c.encoder = hpack.NewEncoder(&c.block)
+	c.encoder = hpack.NewEncoder(&c.headerBlock)
 	c.writeStreamLimit(c.server.Streams)
 	if !c.flush() {
 		return
@@ -137,15 +138,15 @@
 	}
 }
 
-// drawCuts chooses the bytes after which the connection is cut.
+// drawCuts draws the numbers of bytes after which the connection is cut.
 func (c *http2Conn) drawCuts() {
 	faults := &c.server.Faults
 	maxOffset := cmp.Or(faults.MaxCutOffset, defaultMaxCutOffset)
 	if c.draw(faults.CutRead) {
-		c.cutRead = len(http2.ClientPreface) + c.rng.IntN(maxOffset)
+		c.remainingRead = len(http2.ClientPreface) + c.rng.IntN(maxOffset)
 	}
 	if c.draw(faults.CutSent) {
-		c.cutSent = 1 + c.rng.IntN(maxOffset/2)
+		c.remainingSent = 1 + c.rng.IntN(maxOffset/2)
 	}
 }
 
@@ -186,7 +187,7 @@
 	}
 }
 
-// handleData returns the flow-control window of a part of a body, which is discarded.
+// handleData discards a part of a body and returns its flow-control window to the client.
 func (c *http2Conn) handleData(frame *http2.DataFrame) {
 	if n := frame.Length; n > 0 {
 		c.frames.WriteWindowUpdate(0, n)
@@ -199,12 +200,12 @@
 	}
 }
 
-// beginStream handles the header of a request.
+// beginStream handles the header of a request, which opens a stream.
 func (c *http2Conn) beginStream(frame *http2.MetaHeadersFrame) {
-	if frame.StreamID > c.lastID {
+	if frame.StreamID > c.lastStreamID {
 		return
 	}
-	c.highest = frame.StreamID
+	c.highestStreamID = frame.StreamID
 	s := newHTTP2Stream(frame)
 	faults := &c.server.Faults
 	if c.draw(faults.Refuse) {
@@ -242,13 +243,13 @@
 	c.server.Executions.execute(s.requestID, s.key, c.server.Group.isFirst(s.key), s.units)
 }
 
-// requestComplete executes a request that was received completely. It is answered later.
+// requestComplete executes a completely received request, which answerAll answers later.
 func (c *http2Conn) requestComplete(s *http2Stream) {
 	c.execute(s)
 	c.unanswered = append(c.unanswered, s)
 }
 
-// answerAll answers the executed requests in random order, with the connection's faults between them.
+// answerAll answers the executed requests in random order, and injects the connection's faults between them.
 func (c *http2Conn) answerAll() {
 	c.rng.Shuffle(len(c.unanswered), func(i, j int) { c.unanswered[i], c.unanswered[j] = c.unanswered[j], c.unanswered[i] })
 	for _, s := range c.unanswered {
@@ -262,7 +263,7 @@
 		}
 	}
 	c.unanswered = c.unanswered[:0]
-	if c.isLowered && len(c.streams) == 0 { // otherwise the client could wait forever
+	if c.isStreamLimitLowered && len(c.streams) == 0 { // without answers to come, a client with a limit of 0 would wait forever
 		c.restoreStreamLimit()
 	}
 }
@@ -281,38 +282,39 @@
 	}
 }
 
-// changeStreamLimit restores a lowered limit of concurrent streams, or lowers it with the fault's probability.
+// changeStreamLimit restores the limit of concurrent streams if it is lowered; otherwise it lowers the limit with the
+// fault's probability.
 func (c *http2Conn) changeStreamLimit() {
 	switch {
-	case c.isLowered:
+	case c.isStreamLimitLowered:
 		c.restoreStreamLimit()
 	case c.draw(c.server.Faults.Lower):
-		c.isLowered = true
+		c.isStreamLimitLowered = true
 		c.writeStreamLimit(uint32(c.rng.IntN(maxLoweredStreams + 1)))
 	}
 }
 
 func (c *http2Conn) restoreStreamLimit() {
-	c.isLowered = false
+	c.isStreamLimitLowered = false
 	c.writeStreamLimit(c.server.Streams)
 }
 
 // goAway ends the connection in one of three ways.
 func (c *http2Conn) goAway() {
 	switch c.rng.IntN(3) {
-	case 0: // graceful: the first GOAWAY only announces the second
+	case 0: // gracefully: the first GOAWAY only announces the second
 		c.frames.WriteGoAway(maxStreamID, http2.ErrCodeNo, nil)
 		c.flush()
-		c.lastID = c.highest
-		c.frames.WriteGoAway(c.lastID, http2.ErrCodeNo, nil)
-	case 1: // at once
-		c.lastID = c.highest
-		c.frames.WriteGoAway(c.lastID, http2.ErrCodeInternal, []byte("at once"))
+		c.lastStreamID = c.highestStreamID
+		c.frames.WriteGoAway(c.lastStreamID, http2.ErrCodeNo, nil)
+	case 1: // immediately, with an error
+		c.lastStreamID = c.highestStreamID
+		c.frames.WriteGoAway(c.lastStreamID, http2.ErrCodeInternal, []byte("at once"))
 		c.isEnding = true
 	case 2: // with a decreasing last stream ID
-		c.frames.WriteGoAway(c.highest+futureStreams, http2.ErrCodeNo, nil)
-		c.lastID = c.highest
-		c.frames.WriteGoAway(c.lastID, http2.ErrCodeNo, nil)
+		c.frames.WriteGoAway(c.highestStreamID+futureStreams, http2.ErrCodeNo, nil)
+		c.lastStreamID = c.highestStreamID
+		c.frames.WriteGoAway(c.lastStreamID, http2.ErrCodeNo, nil)
 	}
 }
 
@@ -321,10 +323,10 @@
 	delete(c.streams, s.id)
 	s.end()
 	body := c.server.UID + " " + s.requestID
-	c.block.Reset()
+	c.headerBlock.Reset()
 	c.encoder.WriteField(hpack.HeaderField{Name: ":status", Value: strconv.Itoa(status)})
 	c.encoder.WriteField(hpack.HeaderField{Name: "content-length", Value: strconv.Itoa(len(body))})
 	c.encoder.WriteField(hpack.HeaderField{Name: "x-backend-load", Value: "inflight=1,util=0.5"})
-	c.frames.WriteHeaders(http2.HeadersFrameParam{StreamID: s.id, BlockFragment: c.block.Bytes(), EndHeaders: true})
+	c.frames.WriteHeaders(http2.HeadersFrameParam{StreamID: s.id, BlockFragment: c.headerBlock.Bytes(), EndHeaders: true})
 	c.frames.WriteData(s.id, true, []byte(body))
 }
--- a/internal/testsupport/generichttptest/mutations_test.go
+++ b/internal/testsupport/generichttptest/mutations_test.go
@@ -24,33 +24,33 @@
 	"lockflow/internal/upstream"
 )
 
-// pastHeld is a request that is sent again though the beginning of its body is gone: a further
-// attempt sends what is left of it.
-type pastHeld struct {
+// retryPastBuffer is a faulty request that is retried although the beginning of its body is no longer buffered: a retry
+// sends only the remaining body.
+type retryPastBuffer struct {
 	*upstream.RelayedRequest
-	src io.Reader
+	remainingBody io.Reader
 }
 
-func (p pastHeld) CanRetry() bool { return true }
+func (p retryPastBuffer) CanRetry() bool { return true }
 
-func (p pastHeld) Attempt(ctx, life context.Context, u *upstream.Upstream, pool *upstream.Pool) upstream.Outcome {
+func (p retryPastBuffer) Attempt(ctx, life context.Context, u *upstream.Upstream, pool *upstream.Pool) upstream.Outcome {
 	q := *p.RelayedRequest
-	q.Body = retrybuffer.New(p.src, 0, nil)
+	q.Body = retrybuffer.New(p.remainingBody, 0, nil)
 	return q.Attempt(ctx, life, u, pool)
 }
 
-// afterFirstByte is a request that is sent again when an answer breaks that the client has the
-// beginning of: what comes then is put behind it.
-type afterFirstByte struct{ *upstream.RelayedRequest }
+// retryAfterFirstByte is a faulty request that is retried when its answer breaks after the client has received the
+// beginning: the body of the retry's answer is appended to the received part.
+type retryAfterFirstByte struct{ *upstream.RelayedRequest }
 
-func (a afterFirstByte) Attempt(ctx, life context.Context, u *upstream.Upstream, pool *upstream.Pool) upstream.Outcome {
+func (a retryAfterFirstByte) Attempt(ctx, life context.Context, u *upstream.Upstream, pool *upstream.Pool) upstream.Outcome {
 	o := a.RelayedRequest.Attempt(ctx, life, u, pool)
 	if o.Stream == nil {
 		return o
 	}
-	given, err := io.ReadAll(o.Stream)
+	delivered, err := io.ReadAll(o.Stream)
 	o.Stream.Close()
-	o.Stream, o.Body, o.IsFinal = nil, given, true
+	o.Stream, o.Body, o.IsFinal = nil, delivered, true
 	if err == nil {
 		return o
 	}
@@ -62,7 +62,7 @@
 			next.Stream.Close()
 		}
 		if next.Status == http.StatusOK && err == nil {
-			o.Body = append(given, rest...)
+			o.Body = append(delivered, rest...)
 			return o
 		}
 		err = nil
@@ -70,23 +70,23 @@
 	return o
 }
 
-// shared is a body that a left attempt may still read while another does.
-type shared struct {
+// lockedReader is a request body that an abandoned attempt may still read while a retry reads it.
+type lockedReader struct {
 	mu sync.Mutex
 	r  io.Reader
 }
 
-func (s *shared) Read(p []byte) (int, error) {
+func (s *lockedReader) Read(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.r.Read(p)
 }
 
-// faultyOrigins starts three origins that draw faults, and lists them.
-func faultyOrigins(t *testing.T, c *tally) (origins []*fake.Origin, src discovery.Source) {
+// faultyOrigins starts three origins with random faults and returns them with a discovery source that lists them.
+func faultyOrigins(t *testing.T, c *attemptRecorder) (origins []*fake.Origin, src discovery.Source) {
 	src.Kind = discovery.Static
 	for i := range 3 {
-		o := &fake.Origin{OnRequest: c.saw, Fault: faults, Seed: uint64(i)}
+		o := &fake.Origin{OnRequest: c.record, Fault: injectFault, Seed: uint64(i)}
 		if err := o.Start(); err != nil {
 			t.Fatal(err)
 		}
@@ -96,10 +96,10 @@
 	return origins, src
 }
 
-// direct plays seeds at a service with no front before it, and gives what was wrong. wrap makes the
-// request that the service sends; nil leaves it as it is.
-func direct(t *testing.T, seeds int, wrap func(*upstream.RelayedRequest, io.Reader) service.Forwarder) (wrong []string, served int) {
-	c := &tally{came: make(map[string]int)}
+// runService sends one random request per seed to a service without a front, and returns descriptions of the violations.
+// wrap replaces the request that the service forwards; nil leaves it unchanged.
+func runService(t *testing.T, seeds int, wrap func(*upstream.RelayedRequest, io.Reader) service.Forwarder) (violations []string, served int) {
+	c := &attemptRecorder{attemptCounts: make(map[string]int)}
 	origins, src := faultyOrigins(t, c)
 	ready := make(chan struct{})
 	s, err := service.New(service.Options{
@@ -119,32 +119,32 @@
 	testkit.Next(t, ready)
 	rules := responseclass.DefaultRules()
 	var mu sync.Mutex
-	var all sync.WaitGroup
-	next := 0
+	var clients sync.WaitGroup
+	lastSeed := 0
 	for range 8 {
-		all.Go(func() {
+		clients.Go(func() {
 			for {
 				mu.Lock()
-				next++
-				seed := next
+				lastSeed++
+				seed := lastSeed
 				mu.Unlock()
 				if seed > seeds {
 					return
 				}
 				rng := rand.New(rand.NewPCG(uint64(seed), 22))
-				size, want := int64(rng.IntN(200_000)), int64(100_000+rng.IntN(200_000))
-				from := &shared{r: fake.PatternReader(size)}
+				size, wantBytes := int64(rng.IntN(200_000)), int64(100_000+rng.IntN(200_000))
+				body := &lockedReader{r: fake.PatternReader(size)}
 				q := &upstream.RelayedRequest{
 					RequestMethod: "POST", Target: "/x", Host: "h", ContentLength: -1, ResponseRules: &rules, MaxBufferedBytes: 1 << 16, IdleTimeout: time.Second, AnswerTimeout: time.Second,
-					Header: http.Header{fake.HeaderScript: {fmt.Sprintf("frame=chunked&body=%d", want)}, "X-Request-Id": {fmt.Sprint(seed)}, "X-Want": {fake.HashOf(size)}},
-					Body:   retrybuffer.New(from, 1<<16, nil),
+					Header: http.Header{fake.HeaderScript: {fmt.Sprintf("frame=chunked&body=%d", wantBytes)}, "X-Request-Id": {fmt.Sprint(seed)}, "X-Want": {fake.HashOf(size)}},
+					Body:   retrybuffer.New(body, 1<<16, nil),
 				}
 				x := &service.Exchange{
 					Forwarder: service.Forwarder(q), Deadline: time.Now().Add(2 * time.Second),
 					Request: control.Request{ID: fmt.Sprint(seed), Class: "any", Plan: "p", Customer: "c", Units: 1, FanOut: 1, HasPendingBody: true},
 				}
 				if wrap != nil {
-					x.Forwarder = wrap(q, from)
+					x.Forwarder = wrap(q, body)
 				}
 				a, ok := s.Do(ctx, x)
 				if !ok {
@@ -153,15 +153,15 @@
 				n, hash, err := readAnswer(a)
 				mu.Lock()
 				if a.Status == http.StatusOK && err == nil {
-					if served++; n != want || hash != fake.HashOf(want) {
-						wrong = append(wrong, fmt.Sprintf("seed %d: %d bytes for the whole %d", seed, n, want))
+					if served++; n != wantBytes || hash != fake.HashOf(wantBytes) {
+						violations = append(violations, fmt.Sprintf("seed %d: complete answer of %d bytes or wrong content, want %d bytes", seed, n, wantBytes))
 					}
 				}
 				mu.Unlock()
 			}
 		})
 	}
-	all.Wait()
+	clients.Wait()
 	cancel()
 	if err := testkit.Next(t, done); err != nil {
 		t.Error(err)
@@ -169,13 +169,13 @@
 	for _, o := range origins {
 		o.Close()
 	}
-	for _, id := range c.bad {
-		wrong = append(wrong, id+": a server took for whole what was not sent")
+	for _, id := range c.corruptIDs {
+		violations = append(violations, id+": a server received a complete body that differs from the sent one")
 	}
-	return wrong, served
+	return violations, served
 }
 
-// readAnswer reads an answer's body to its end, and gives its length and hash.
+// readAnswer reads an answer's body to the end and returns its length and hash.
 func readAnswer(a service.Answer) (n int64, hash string, err error) {
 	in := io.Reader(bytes.NewReader(a.Body))
 	if a.Stream != nil {
@@ -187,22 +187,23 @@
 	return n, hex.EncodeToString(h.Sum(nil)[:8]), err
 }
 
-// What the tallies hold is held by what they are to hold: taken away, they find it.
-func TestMutationsAreFound(t *testing.T) {
-	if wrong, served := direct(t, 300, nil); len(wrong) > 0 || served < 50 {
-		t.Errorf("%d served, %v", served, wrong)
+// The checks of attempt accounting must be able to fail: with requests that break a rule of retries on purpose they report
+// violations, and without them none.
+func TestFaultyForwardersAreDetected(t *testing.T) {
+	if violations, served := runService(t, 300, nil); len(violations) > 0 || served < 50 {
+		t.Errorf("%d served, want at least 50; violations: %v", served, violations)
 	}
 	for name, wrap := range map[string]func(*upstream.RelayedRequest, io.Reader) service.Forwarder{
-		"replay past the held part": func(q *upstream.RelayedRequest, src io.Reader) service.Forwarder { return pastHeld{q, src} },
+		"retry past the buffered part": func(q *upstream.RelayedRequest, src io.Reader) service.Forwarder { return retryPastBuffer{q, src} },
 		"retry after the first byte": func(q *upstream.RelayedRequest, _ io.Reader) service.Forwarder {
-			return afterFirstByte{q}
+			return retryAfterFirstByte{q}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			wrong, served := direct(t, 300, wrap)
-			t.Logf("%d served, %d wrong", served, len(wrong))
-			if len(wrong) == 0 {
-				t.Error("it was not found")
+			violations, served := runService(t, 300, wrap)
+			t.Logf("%d served, %d violations", served, len(violations))
+			if len(violations) == 0 {
+				t.Error("no violation was detected")
 			}
 		})
 	}
--- a/internal/testsupport/redistest/resp.go
+++ b/internal/testsupport/redistest/resp.go
@@ -8,26 +8,26 @@
 	"strings"
 )
 
-// Limits of a command.
+// Limits on the size of a command.
 const (
 	maxArguments     = 1 << 20
 	maxArgumentBytes = 1 << 20
 )
 
-// status is a simple string reply.
+// status is a simple string reply, such as OK.
 type status string
 
-// readCommand reads a command: an array of bulk strings.
+// readCommand reads a command, which is an array of bulk strings.
 func readCommand(in *bufio.Reader) ([]string, error) {
 	n, err := readLength(in, '*')
 	if err != nil || n < 1 || n > maxArguments {
-		return nil, fmt.Errorf("an array of %d: %w", n, err)
+		return nil, fmt.Errorf("reading a command: array length %d: %w", n, err)
 	}
 	args := make([]string, n)
 	for i := range args {
 		size, err := readLength(in, '$')
 		if err != nil || size < 0 || size > maxArgumentBytes {
-			return nil, fmt.Errorf("a string of %d: %w", size, err)
+			return nil, fmt.Errorf("reading a command: bulk string length %d: %w", size, err)
 		}
 		raw := make([]byte, size+len("\r\n"))
 		if _, err := io.ReadFull(in, raw); err != nil {
@@ -38,19 +38,19 @@
 	return args, nil
 }
 
-// readLength reads the line that begins an array or a bulk string.
+// readLength reads the length line of an array ('*') or a bulk string ('$').
 func readLength(in *bufio.Reader, kind byte) (int, error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
 		return 0, err
 	}
 	if line[0] != kind {
-		return 0, fmt.Errorf("%q in place of %q", line, kind)
+		return 0, fmt.Errorf("got line %q, want one that begins with %q", line, kind)
 	}
 	return strconv.Atoi(strings.TrimRight(line[1:], "\r\n"))
 }
 
-// appendReply appends the encoding of a reply, as Do returns it.
+// appendReply appends the RESP encoding of a reply as returned by Do.
 func appendReply(encoded []byte, reply any) []byte {
 	switch reply := reply.(type) {
 	case nil:
@@ -70,5 +70,5 @@
 		}
 		return encoded
 	}
-	panic(fmt.Sprintf("a reply of %T", reply))
+	panic(fmt.Sprintf("cannot encode a reply of type %T", reply))
 }
--- a/internal/testsupport/testkit/keys_test.go
+++ b/internal/testsupport/testkit/keys_test.go
@@ -8,8 +8,8 @@
 
 type tagged struct {
 	Name  string `json:"name"`
-	Other string // not encoded by this name: it has no tag
-	local int    //nolint:unused // an unexported field, which no encoder writes
+	Other string // has no tag, so it is reported
+	local int    //nolint:unused // unexported, so no encoder writes it
 	Skip  int    `json:"-"`
 	When  time.Time
 }
@@ -29,7 +29,7 @@
 	Empty int                  `json:",omitempty"`
 }
 
-// Of every way in which an encoder reaches a field, one without a key is found.
+// A field without a key is found in every position from which an encoder can reach it.
 func TestMissingKeys(t *testing.T) {
 	for _, c := range []struct {
 		format string
@@ -38,7 +38,7 @@
 	}{
 		{"json", &outer{}, []string{
 			"testkit.nested.Depth has no key in a json tag",
-			"testkit.outer.Any is of type interface {}, whose values are not known: list them as roots",
+			"testkit.outer.Any is of type interface {}, whose concrete types are unknown: list them as roots",
 			"testkit.outer.Empty has no key in a json tag",
 			"testkit.tagged.Other has no key in a json tag",
 			"testkit.tagged.When has no key in a json tag",
@@ -47,7 +47,7 @@
 		{"json", map[string]time.Time{}, nil},
 	} {
 		if got := MissingKeys(c.format, c.root); !slices.Equal(got, c.want) {
-			t.Errorf("%s of %T: %q, not %q", c.format, c.root, got, c.want)
+			t.Errorf("%s of %T: got %q, want %q", c.format, c.root, got, c.want)
 		}
 	}
 }
