--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -143,7 +143,7 @@
 		}
 		return f.startChange(ctx, e, operation, fleet.WithSettings(members, nil), nil)
 	}
-	return usageError("fleet: %q is not one of run, status, reload, upgrade, drain, serve", operation)
+	return usageError("fleet: there is no %q: run, status, reload, upgrade, drain, serve", operation)
 }
 
 // readConfig reads and checks the new settings. It returns nil if no file is given: each member then reloads its own file.
--- a/internal/command/rollout.go
+++ b/internal/command/rollout.go
@@ -40,7 +40,7 @@
 	case "reload":
 		return f.reloadRegions(ctx, e, file, placed)
 	}
-	return usageError("fleet: %q is not one of run, status, reload, upgrade, drain, serve", operation)
+	return usageError("fleet: there is no %q: run, status, reload, upgrade, drain, serve", operation)
 }
 
 // reloadRegions starts a change to the settings of a fleet file, or resumes one.
