--- a/cmd/lockflow/fleet_test.go
+++ b/cmd/lockflow/fleet_test.go
@@ -39,7 +39,7 @@
 func TestFleetCommands(t *testing.T) {
 	bin, dir := build(t), testkit.ShortDir(t)
 	config := filepath.Join(dir, "c.toml")
-	text := strings.Replace(testkit.Small, "[process]", "[process]\nupgrade = { within = \"10s\", probation = \"100ms\" }", 1)
+	text := strings.Replace(testkit.SmallConfig, "[process]", "[process]\nupgrade = { within = \"10s\", probation = \"100ms\" }", 1)
 	write := func(name, text string) string {
 		path := filepath.Join(dir, name)
 		if err := os.WriteFile(path, []byte(text), 0o700); err != nil {
--- a/cmd/lockflow/keeper_test.go
+++ b/cmd/lockflow/keeper_test.go
@@ -76,7 +76,7 @@
 // what runs.
 func TestKeeper(t *testing.T) {
 	k := &kept{t: t, bin: build(t), dir: testkit.ShortDir(t)}
-	text := strings.Replace(testkit.Small, "[process]", "[process]\nupgrade = { within = \"10s\", probation = \"50ms\" }", 1)
+	text := strings.Replace(testkit.SmallConfig, "[process]", "[process]\nupgrade = { within = \"10s\", probation = \"50ms\" }", 1)
 	next := filepath.Join(k.dir, "next")
 	raw, err := os.ReadFile(k.bin)
 	if err == nil {
--- a/cmd/lockflow/main_test.go
+++ b/cmd/lockflow/main_test.go
@@ -301,7 +301,7 @@
 	}
 	defer socket.Close()
 	config := filepath.Join(t.TempDir(), "c.toml")
-	if err := os.WriteFile(config, []byte(strings.Replace(testkit.Small, "127.0.0.1:0", "systemd:clients", 1)), 0o600); err != nil {
+	if err := os.WriteFile(config, []byte(strings.Replace(testkit.SmallConfig, "127.0.0.1:0", "systemd:clients", 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for name, want := range map[string]bool{"clients": true, "others": false} {
--- a/cmd/lockflow/shortage_test.go
+++ b/cmd/lockflow/shortage_test.go
@@ -59,7 +59,7 @@
 	}{{"listening", faultbuild.Socket, syscall.ENFILE}, {"buffers", faultbuild.Socket, syscall.ENOBUFS}, {"reading its configuration", faultbuild.Open, syscall.ENFILE}} {
 		t.Run(tc.name, func(t *testing.T) {
 			table, config := newFaultTable(t), filepath.Join(t.TempDir(), "config.json")
-			agent := testkit.NewAgent(t)
+			agent := testkit.NewFakeDiscovery(t)
 			writeConfig(t, config, agent.Addr())
 			table.Fail(tc.call, tc.errno, 1)
 			p := startFaultyPlatform(t, table, config)
@@ -75,7 +75,7 @@
 // would follow a discovery that is gone.
 func TestReloadOutlastsShortage(t *testing.T) {
 	table, config := newFaultTable(t), filepath.Join(t.TempDir(), "config.json")
-	first, second := testkit.NewAgent(t), testkit.NewAgent(t)
+	first, second := testkit.NewFakeDiscovery(t), testkit.NewFakeDiscovery(t)
 	writeConfig(t, config, first.Addr())
 	p := startFaultyPlatform(t, table, config)
 	p.listens()
@@ -98,7 +98,7 @@
 	}{{faultbuild.Socket, syscall.ENFILE}, {faultbuild.Connect, syscall.EADDRNOTAVAIL}, {faultbuild.Connect, syscall.EAGAIN}} {
 		t.Run(tc.errno.Error(), func(t *testing.T) {
 			table := newFaultTable(t)
-			app := testkit.NewApp(t, testkit.Served)
+			app := testkit.NewApp(t, testkit.AnswerServed)
 			p := startFaulty(t, table, strings.Replace(tunnelConfig, "@server", app.Addr(), 1))
 			p.listens()
 			status := make(chan int, 1)
--- a/cmd/lockflow/term_test.go
+++ b/cmd/lockflow/term_test.go
@@ -109,7 +109,7 @@
 
 func newBackend(t *testing.T) *backend {
 	b := &backend{came: make(chan string, 1000), let: make(chan struct{}), seen: make(map[string]int)}
-	never := testkit.Never(t)
+	never := testkit.BlockUntilCanceled(t)
 	b.App = testkit.NewApp(t, func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Correlation-Id")
 		b.mu.Lock()
@@ -469,7 +469,7 @@
 		s.sockets = 1024
 		t.Run(fmt.Sprint(s.effect, " ", s.deadline, " before it listens"), func(t *testing.T) {
 			t.Parallel()
-			config := s.config(t, testkit.NewAgent(t).Addr())
+			config := s.config(t, testkit.NewFakeDiscovery(t).Addr())
 			text, err := os.ReadFile(config)
 			if err != nil {
 				t.Fatal(err)
@@ -495,7 +495,7 @@
 		})
 		t.Run(fmt.Sprint(s.effect, " ", s.deadline, " before it has a server"), func(t *testing.T) {
 			t.Parallel()
-			p := launch(t, s.config(t, testkit.NewAgent(t).Addr()), "")
+			p := launch(t, s.config(t, testkit.NewFakeDiscovery(t).Addr()), "")
 			p.listens()
 			before, kept, silent := s.call(t, p.addr), s.call(t, p.addr), s.call(t, p.addr)
 			before.ask("a", "enterprise")
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -54,7 +54,7 @@
 	res = buf
 	defer func() {
 		if p := recover(); p != nil {
-			res = wire.AppendBailOut(buf, in.Instance, fmt.Sprint("panic: ", p))
+			res = wire.AppendModuleFailure(buf, in.Instance, fmt.Sprint("panic: ", p))
 		}
 	}()
 	switch {
@@ -62,7 +62,7 @@
 		delete(hosted, in.Instance)
 		c, err := control.New(in.Open.Settings, in.Open.Seed)
 		if err != nil {
-			return wire.AppendBailOut(res, in.Instance, err.Error())
+			return wire.AppendModuleFailure(res, in.Instance, err.Error())
 		}
 		hosted[in.Instance] = c
 	case in.PowerOff:
--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -39,9 +39,9 @@
 	closeOnce sync.Once
 }
 
-// Persistently wraps a listener so that Accept retries after errors. Accept fails only with net.ErrClosed after the
+// NewRetryingListener wraps a listener so that Accept retries after errors. Accept fails only with net.ErrClosed after the
 // listener has been closed, or with a timeout error after a deadline of the listener has passed.
-func Persistently(l net.Listener, purpose Purpose) *Listener {
+func NewRetryingListener(l net.Listener, purpose Purpose) *Listener {
 	return &Listener{Listener: l, purpose: purpose, closed: make(chan struct{})}
 }
 
--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -68,7 +68,7 @@
 		errs := []error{syscall.ENETDOWN, syscall.ETIMEDOUT, syscall.ENOBUFS, errors.New("not a system error"), nil}
 		inner := &scriptedListener{errs: errs}
 		before := countFailures()
-		conn, err := Persistently(inner, Metrics).Accept()
+		conn, err := NewRetryingListener(inner, Metrics).Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -87,7 +87,7 @@
 func TestBackoffIsBoundedAndEndsOnClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		inner := &scriptedListener{errs: []error{syscall.EMFILE}}
-		l := Persistently(inner, Clients)
+		l := NewRetryingListener(inner, Clients)
 		ended := make(chan error)
 		go func() {
 			_, err := l.Accept()
@@ -112,7 +112,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := Persistently(socket, Clients)
+	l := NewRetryingListener(socket, Clients)
 	defer l.Close()
 	socket.(*net.TCPListener).SetDeadline(time.Now())
 	if _, err := l.Accept(); !errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -18,11 +18,11 @@
 
 // Options configure TLS. The zero value disables TLS. The tags are the keys under which a config.Plan lists changes.
 type Options struct {
-	On   bool   `plan:"on"`
-	CA   string `plan:"c_a"`  // PEM file of certificate authorities; "" selects those of the system
-	Cert string `plan:"cert"` // PEM file of the client certificate and its intermediates; "" is none
-	Key  string `plan:"key"`  // PEM file of the private key of Cert
-	Name string `plan:"name"` // host name that a server's certificate must be valid for; "" is the host of its address
+	Enabled bool   `plan:"on"`
+	CA      string `plan:"c_a"`  // PEM file of certificate authorities; "" selects those of the system
+	Cert    string `plan:"cert"` // PEM file of the client certificate and its intermediates; "" is none
+	Key     string `plan:"key"`  // PEM file of the private key of Cert
+	Name    string `plan:"name"` // host name that a server's certificate must be valid for; "" is the host of its address
 }
 
 // Store holds the TLS configuration that was loaded last. It is safe for concurrent use, except that only one
--- a/internal/command/daemon_test.go
+++ b/internal/command/daemon_test.go
@@ -23,7 +23,7 @@
 			t.Fatal(err)
 		}
 	}
-	write(testkit.Small)
+	write(testkit.SmallConfig)
 	notifications := testkit.Supervisor(t)
 	ctx, stop := context.WithCancel(context.Background())
 	hup := make(chan os.Signal)
@@ -42,7 +42,7 @@
 	if raw, err := os.ReadFile(pidPath); err != nil || string(raw) != fmt.Sprintln(os.Getpid()) {
 		t.Errorf("got pid file %q, error %v", raw, err)
 	}
-	for _, text := range []string{strings.Replace(testkit.Small, "services.a", "services.b", 1) + "\n", "x = 1", testkit.Small} {
+	for _, text := range []string{strings.Replace(testkit.SmallConfig, "services.a", "services.b", 1) + "\n", "x = 1", testkit.SmallConfig} {
 		if strings.Contains(text, "services.b") {
 			text = strings.Replace(text, `service = "a"`, `service = "b"`, 1)
 		}
--- a/internal/command/event_log.go
+++ b/internal/command/event_log.go
@@ -33,7 +33,7 @@
 				if len(args) == 0 || *objective < 0 || *maxServers < 0 {
 					return usageError("tally takes at least one log, each of one instance, and no negative flags; see lockflow tally --help")
 				}
-				summer := eventlog.Summer{LatencyObjectiveMS: float64(*objective) / float64(time.Millisecond)}
+				summer := eventlog.Aggregator{LatencyObjectiveMS: float64(*objective) / float64(time.Millisecond)}
 				for _, path := range args {
 					if err := readEventLog(&summer, path); err != nil {
 						return err
@@ -57,7 +57,7 @@
 }
 
 // readEventLog adds the event log of one instance, whose name is the base name of the file without ".log".
-func readEventLog(summer *eventlog.Summer, path string) error {
+func readEventLog(summer *eventlog.Aggregator, path string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return fmt.Errorf("tally: %w", err)
--- a/internal/command/quota_lease_test.go
+++ b/internal/command/quota_lease_test.go
@@ -13,7 +13,7 @@
 
 func TestAllowance(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "c.toml")
-	text := strings.Replace(testkit.Small, "[plans.p]", "[plans.p]\n[plans.enterprise]\nceiling_rate = 30\nceiling_burst = 60", 1)
+	text := strings.Replace(testkit.SmallConfig, "[plans.p]", "[plans.p]\n[plans.enterprise]\nceiling_rate = 30\nceiling_burst = 60", 1)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/command/rollout.go
+++ b/internal/command/rollout.go
@@ -44,7 +44,7 @@
 }
 
 // reloadRegions starts a change to the settings of a fleet file, or resumes one.
-func (f *fleetFlags) reloadRegions(ctx context.Context, e *Env, file fleetfile.File, members []fleet.Placed) error {
+func (f *fleetFlags) reloadRegions(ctx context.Context, e *Env, file fleetfile.File, members []fleet.PlacedMember) error {
 	const operation = "reload"
 	if f.config != "" {
 		return usageError("fleet reload takes only one of --config and --fleet: the regions of a fleet file name their configurations")
@@ -66,7 +66,7 @@
 
 // startChange starts a change of the settings or, for upgrade, of the program of a fleet, or resumes the unfinished
 // change. order lists the regions of each phase; nil is a fleet of one region.
-func (f *fleetFlags) startChange(ctx context.Context, e *Env, operation string, members []fleet.Placed, order [][]string) error {
+func (f *fleetFlags) startChange(ctx context.Context, e *Env, operation string, members []fleet.PlacedMember, order [][]string) error {
 	log, err := fleet.OpenRolloutLog(f.logDirectory())
 	if err != nil {
 		return err
@@ -103,7 +103,7 @@
 }
 
 // newChange returns the change that the flags describe.
-func (f *fleetFlags) newChange(ctx context.Context, operation string, members []fleet.Placed, order [][]string, log *fleet.RolloutLog) (*fleet.Change, error) {
+func (f *fleetFlags) newChange(ctx context.Context, operation string, members []fleet.PlacedMember, order [][]string, log *fleet.RolloutLog) (*fleet.Change, error) {
 	plan := f.plan(f.timeout)
 	plan.RegionOrder = order
 	if operation == "upgrade" {
@@ -126,7 +126,7 @@
 
 // reloadUnchanged makes members reload settings that have not changed, because files that the settings name, such as
 // certificates, may have changed.
-func (f *fleetFlags) reloadUnchanged(ctx context.Context, e *Env, members []fleet.Placed) error {
+func (f *fleetFlags) reloadUnchanged(ctx context.Context, e *Env, members []fleet.PlacedMember) error {
 	for _, m := range members {
 		memberCtx, cancel := context.WithTimeout(ctx, f.timeout)
 		status, err := m.Client.Status(memberCtx)
--- a/internal/command/simulate_quota.go
+++ b/internal/command/simulate_quota.go
@@ -21,7 +21,7 @@
 // with a delay.
 func quotaFlags(set flags) func(ctx context.Context, e *Env, instances string, o fleetsim.QuotaOptions, asJSON bool) (isSelected bool, err error) {
 	worlds := set.String("quota", "", "`NAME,NAME...` of worlds of quotas in which the calm day is played, by the module and by policies that see the true state late: "+
-		strings.Join(fleetsim.QuotaNames, ", ")+"; or all")
+		strings.Join(fleetsim.DeploymentNames, ", ")+"; or all")
 	seeds := set.Int("seeds", 1, "`N` seeds with which each world of --quota is played, from --seed on")
 	policy := set.String("policy", "all", "quota: `NAME,NAME...` of who decides: "+strings.Join(policyNames(), ", ")+"; or all")
 	why := set.Bool("why", false, "quota: tells by what the module let tries in, which takes three times as long")
@@ -32,7 +32,7 @@
 		if *seeds < 1 || *seeds > 100 {
 			return true, usageError("simulate: seeds: %d is not from 1 to 100", *seeds)
 		}
-		list, err := parseNames("quota", *worlds, fleetsim.QuotaNames)
+		list, err := parseNames("quota", *worlds, fleetsim.DeploymentNames)
 		if err != nil {
 			return true, err
 		}
@@ -61,7 +61,7 @@
 // quotaSimulations returns the options of every simulation: each world at each group size with each seed under each policy.
 func quotaSimulations(o fleetsim.QuotaOptions, worlds []string, sizes []int, seeds int, policies []string) (all []fleetsim.QuotaOptions) {
 	firstSeed := o.Seed
-	for _, o.World = range worlds {
+	for _, o.Deployment = range worlds {
 		for _, o.Instances = range sizes {
 			for o.Seed = firstSeed; o.Seed < firstSeed+uint64(seeds); o.Seed++ {
 				for _, p := range policies {
@@ -94,9 +94,9 @@
 		if ctx.Err() != nil {
 			break
 		}
-		fmt.Fprintf(e.Err, "playing %s with %d instances, seed %d, %s: %s\n", o.World, o.Instances, o.Seed, o.Policy, fleetsim.QuotaHelp(o.World))
+		fmt.Fprintf(e.Err, "playing %s with %d instances, seed %d, %s: %s\n", o.Deployment, o.Instances, o.Seed, o.Policy, fleetsim.DeploymentHelp(o.Deployment))
 		running.Go(func() {
-			all[i], errs[i] = fleetsim.Quotas(o)
+			all[i], errs[i] = fleetsim.RunQuotas(o)
 			<-slots
 		})
 	}
@@ -115,13 +115,13 @@
 		if i%policies == 0 && policies > 1 {
 			priceAbove = fmt.Sprintf("%+.3f", priceAboveLowest(all[i:i+policies]))
 		}
-		fmt.Fprintf(t, "%s\t%d\t%d\t%s\t%.2f\t%d\t%d\t%.3f\t%.3f\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t\n", r.World, r.Instances, r.Seed, r.Policy, r.DelaySeconds, r.Calls, r.Requests,
+		fmt.Fprintf(t, "%s\t%d\t%d\t%s\t%.2f\t%d\t%d\t%.3f\t%.3f\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t\n", r.Deployment, r.Instances, r.Seed, r.Policy, r.DelaySeconds, r.Calls, r.Requests,
 			r.Served, r.OverQuotaPrice, priceAbove, r.OverQuotaFraction, r.RejectedFraction, r.RequestsRejectedWithCapacity, r.CallsRejectedWithCapacity, r.CallsLostWithCapacity)
 	}
 	t.Flush()
 	for start := 0; start < len(all); {
 		end := start
-		for end < len(all) && all[end].World == all[start].World && all[end].Instances == all[start].Instances {
+		for end < len(all) && all[end].Deployment == all[start].Deployment && all[end].Instances == all[start].Instances {
 			end += policies
 		}
 		printCategories(w, all[start:end], policies)
@@ -178,10 +178,10 @@
 func printCategories(w io.Writer, all []fleetsim.QuotaReport, policies int) {
 	means := meanQuotas(all, policies)
 	fmt.Fprintf(w, "\n%s, %d instances, %s, mean of %.0f: served %.3f, price beyond quotas %.3f, %+.3f more than the lowest other, refused with room %.3f of the tries\n",
-		all[0].World, all[0].Instances, all[0].Policy, float64(len(all)/policies), means.served, means.price, means.priceAbove, means.withCapacity)
+		all[0].Deployment, all[0].Instances, all[0].Policy, float64(len(all)/policies), means.served, means.price, means.priceAbove, means.withCapacity)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "sort\tof\ttries\toffered\tof the price\tbeyond, of its units\trefused\twith room\t")
-	for _, category := range fleetsim.CellNames {
+	for _, category := range fleetsim.CellDimensions {
 		cells := means.cells[category]
 		for _, name := range slices.Sorted(maps.Keys(cells)) {
 			c := cells[name]
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -57,7 +57,7 @@
 // readFile reads a configuration file. It retries while descriptors or memory are short, because a start or a
 // reload that failed for this reason would not be repeated.
 func readFile(path string) (raw []byte, err error) {
-	err = shortage.Retry(context.Background(), maxReadRetryTime, shortage.OfResources, func() (err error) {
+	err = shortage.Retry(context.Background(), maxReadRetryTime, shortage.IsResourceShortage, func() (err error) {
 		raw, err = os.ReadFile(path)
 		return err
 	})
--- a/internal/config/gather.go
+++ b/internal/config/gather.go
@@ -15,8 +15,8 @@
 	maxHalfLife    = time.Hour
 )
 
-// Merges lists the formats in which the results of the parts can be merged.
-var Merges = []string{"json-array", "ndjson"}
+// MergeFormats lists the formats in which the results of the parts can be merged.
+var MergeFormats = []string{"json-array", "ndjson"}
 
 // Values of Gather.Deadline.
 const (
@@ -85,9 +85,9 @@
 		service.Errorf("protocol", `a gathering service speaks "http" only`)
 	}
 	t := service.Sub("gather")
-	g.Merge = Merges[t.OneOf("merge", Merges...)]
+	g.Merge = MergeFormats[t.OneOf("merge", MergeFormats...)]
 	if !t.Has("merge") {
-		t.Errorf("merge", "it has to be said: one of %s", strings.Join(Merges, ", "))
+		t.Errorf("merge", "it has to be said: one of %s", strings.Join(MergeFormats, ", "))
 	}
 	g.MinWeightFraction = t.Number("least", 0.5, 0, 1)
 	if g.MinWeightFraction <= 0 {
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -118,11 +118,11 @@
 
 func readTLS(t tree.Table) certs.Options {
 	options := certs.Options{
-		On:   true,
-		CA:   readPath(t, "ca"),
-		Cert: readPath(t, "cert"),
-		Key:  readPath(t, "key"),
-		Name: t.String("name", ""),
+		Enabled: true,
+		CA:      readPath(t, "ca"),
+		Cert:    readPath(t, "cert"),
+		Key:     readPath(t, "key"),
+		Name:    t.String("name", ""),
 	}
 	if (options.Cert == "") != (options.Key == "") {
 		t.Errorf("cert", "a certificate needs its key, and a key its certificate")
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -21,7 +21,7 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-func startWatch(t *testing.T, a *testkit.Agent, rev int64, silence time.Duration) (<-chan EndpointList, *Feed) {
+func startWatch(t *testing.T, a *testkit.FakeDiscovery, rev int64, silence time.Duration) (<-chan EndpointList, *Feed) {
 	delivered := make(chan EndpointList, 100)
 	feed := NewFeed(Source{Address: a.Addr()}, rev, Pacer{}, func(l EndpointList) { delivered <- l })
 	feed.silenceTimeout = silence
@@ -45,7 +45,7 @@
 		"revision reset":    {`{"rev":3,"targets":[]}` + "\n", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := testkit.NewAgent(t)
+			a := testkit.NewFakeDiscovery(t)
 			delivered, _ := startWatch(t, a, 41, testkit.WaitTimeout)
 			if q := testkit.Next(t, a.Polled); !strings.Contains(q, "watch=1&from=41") {
 				t.Errorf("call with query %s, want watch=1&from=41", q)
@@ -74,7 +74,7 @@
 // Revisions may repeat and skip numbers. After a lower revision the complete list is requested, which may have any
 // revision. Changes that precede any complete list apply to the known list.
 func TestRevisionsOutOfOrder(t *testing.T) {
-	a := testkit.NewAgent(t)
+	a := testkit.NewFakeDiscovery(t)
 	delivered, _ := startWatch(t, a, 0, testkit.WaitTimeout)
 	if q := testkit.Next(t, a.Polled); strings.Contains(q, "from") {
 		t.Errorf("called %s", q)
@@ -103,7 +103,7 @@
 
 // A silent watch is presumed broken and reopened, although its connection is still open.
 func TestSilentWatchIsReopened(t *testing.T) {
-	a := testkit.NewAgent(t)
+	a := testkit.NewFakeDiscovery(t)
 	startWatch(t, a, 41, 50*time.Millisecond)
 	testkit.Next(t, a.Polled)
 	if q := testkit.Next(t, a.Polled); !strings.Contains(q, "from=41") {
@@ -114,7 +114,7 @@
 // After a move the complete list of the new discovery is requested immediately, whatever the revision of the old one's
 // list, even if the old discovery is unreachable and a retry is being delayed.
 func TestWatchFollowsNewSource(t *testing.T) {
-	old, other := testkit.NewAgent(t), testkit.NewAgent(t)
+	old, other := testkit.NewFakeDiscovery(t), testkit.NewFakeDiscovery(t)
 	delivered, feed := startWatch(t, old, 41, testkit.WaitTimeout)
 	testkit.Next(t, old.Polled)
 	feed.SetSource(Source{Address: other.Addr()})
@@ -135,7 +135,7 @@
 // An invalid entry doesn't affect other entries, and a draining or removed state is applied even if the rest of its
 // entry is invalid.
 func TestInvalidEntriesAreIgnored(t *testing.T) {
-	a := testkit.NewAgent(t)
+	a := testkit.NewFakeDiscovery(t)
 	delivered, _ := startWatch(t, a, 41, testkit.WaitTimeout)
 	testkit.Next(t, a.Polled)
 	a.Lines <- `{"rev":44,"targets":[{"endpoint":"127.0.0.1:9","state":"up"},{"uid":"s-2","state":"up"},7,null,` +
@@ -155,7 +155,7 @@
 // After changes of a lower revision, from a discovery that has restarted its count or sends out of order, the complete
 // list is requested. Its answer may take some seconds, so draining states in those changes are delivered immediately.
 func TestDrainingOfOlderRevisionIsApplied(t *testing.T) {
-	a := testkit.NewAgent(t)
+	a := testkit.NewFakeDiscovery(t)
 	delivered, _ := startWatch(t, a, 41, testkit.WaitTimeout)
 	testkit.Next(t, a.Polled)
 	a.Lines <- activeEndpointMessage
@@ -175,7 +175,7 @@
 // one that has started to drain since would get requests again. As the first message of a watch, it comes from a
 // discovery that has restarted its count, and is applied.
 func TestCompleteListOutOfOrder(t *testing.T) {
-	a := testkit.NewAgent(t)
+	a := testkit.NewFakeDiscovery(t)
 	delivered, _ := startWatch(t, a, 41, testkit.WaitTimeout)
 	testkit.Next(t, a.Polled)
 	const older = `{"rev":7,"all":true,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:9","state":"up"}]}` + "\n"
@@ -204,7 +204,7 @@
 	if err := json.Indent(&indented, line.Bytes(), "", "  "); err != nil {
 		t.Fatal(err)
 	}
-	a := testkit.NewAgent(t)
+	a := testkit.NewFakeDiscovery(t)
 	delivered, _ := startWatch(t, a, 41, testkit.WaitTimeout)
 	testkit.Next(t, a.Polled)
 	for i := range 3 {
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -33,7 +33,7 @@
 	r.Units = 3
 	firstWriter.Request(r)
 
-	summer := Summer{LatencyObjectiveMS: 200}
+	summer := Aggregator{LatencyObjectiveMS: 200}
 	for name, log := range map[string]*bytes.Buffer{"n0": &firstLog, "n1": &secondLog} {
 		if err := summer.Read(name, log); err != nil {
 			t.Fatal(err)
@@ -58,7 +58,7 @@
 }
 
 func TestUnparsableLinesAreSkipped(t *testing.T) {
-	summer := Summer{}
+	summer := Aggregator{}
 	log := "2026 INFO serving\ntally\ntally a 1\ntally x 1 2\ntally s 1 NaN 1 1 1 1 1 1\ntally r\x00\n"
 	if err := summer.Read("n0", strings.NewReader(log)); err != nil {
 		t.Fatal(err)
@@ -95,7 +95,7 @@
 func FuzzRead(f *testing.F) {
 	f.Add("tally a 1 s-1 read 0 ok 1 -1 false true 2 3 4 0.5 0\ntally p 1 basic 1 1 3 1 0 0 0\ntally r 1 read basic 7 2 false 2 served - 3 1\n")
 	f.Fuzz(func(_ *testing.T, log string) {
-		a := Summer{}
+		a := Aggregator{}
 		_ = a.Read("n0", strings.NewReader(log))
 		a.Sum()
 	})
--- a/internal/eventlog/golden_test.go
+++ b/internal/eventlog/golden_test.go
@@ -27,7 +27,7 @@
 	w.State(State{At: at, ConcurrencyLimit: 12.5, AcceptedRequests: 4, AttemptsInFlight: 3, IdleConnections: 5, ListedServers: 8, AvailableServers: 7})
 
 	raw := testkit.GoldenBytes(t, "testdata/golden/lines", lines.Bytes())
-	var summer Summer
+	var summer Aggregator
 	if err := summer.Read("one", bytes.NewReader(raw)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/eventlog/quotas.go
+++ b/internal/eventlog/quotas.go
@@ -14,7 +14,7 @@
 }
 
 // sumPlans replays the token bucket of each customer over the customer's requests at all instances.
-func (s *Summer) sumPlans() []PlanSum {
+func (s *Aggregator) sumPlans() []PlanSum {
 	buckets := make(map[string]*bucket)
 	sums := make(map[string]*PlanSum)
 	for _, r := range s.requests {
--- a/internal/eventlog/reader.go
+++ b/internal/eventlog/reader.go
@@ -15,9 +15,9 @@
 // maxNumber limits the absolute value of the numbers in a line, which are summed.
 const maxNumber = 1e15
 
-// Summer reads the logs of a fleet's instances and aggregates their events. The zero value is ready for use. It
+// Aggregator reads the logs of a fleet's instances and aggregates their events. The zero value is ready for use. It
 // is not safe for concurrent use.
-type Summer struct {
+type Aggregator struct {
 	LatencyObjectiveMS float64 // a served request counts as in time up to this duration; 0 means no limit
 	instances          map[string]bool
 	skipped            int // lines with the prefix that could not be parsed
@@ -53,7 +53,7 @@
 
 // Read reads the log of one instance. Lines without the prefix are ignored; lines with the prefix that can't be
 // parsed are counted. It returns an error if the log can't be read or has a line longer than maxLineBytes.
-func (s *Summer) Read(instance string, log io.Reader) error {
+func (s *Aggregator) Read(instance string, log io.Reader) error {
 	if s.plans == nil {
 		s.plans = make(map[string]plan)
 		s.instances = make(map[string]bool)
@@ -92,7 +92,7 @@
 }
 
 // addLine parses a line that was split into fields and adds it. It returns false if the line can't be parsed.
-func (s *Summer) addLine(instance string, fields []string) bool {
+func (s *Aggregator) addLine(instance string, fields []string) bool {
 	if !hasFieldCount(fields) {
 		return false
 	}
--- a/internal/eventlog/sums.go
+++ b/internal/eventlog/sums.go
@@ -64,7 +64,7 @@
 }
 
 // Sum returns the aggregate of the logs that were read.
-func (s *Summer) Sum() Sum {
+func (s *Aggregator) Sum() Sum {
 	sum := Sum{Instances: len(s.instances), Skipped: s.skipped}
 	if len(s.requests) == 0 && len(s.attempts) == 0 {
 		return sum
@@ -79,7 +79,7 @@
 }
 
 // start returns the time of the first request or attempt.
-func (s *Summer) start() float64 {
+func (s *Aggregator) start() float64 {
 	switch {
 	case len(s.requests) == 0:
 		return s.attempts[0].at
@@ -104,7 +104,7 @@
 	return c.seconds[i]
 }
 
-func (s *Summer) sumSeconds(start float64) []Second {
+func (s *Aggregator) sumSeconds(start float64) []Second {
 	sums := &secondSums{start: start, seconds: make(map[int]*Second), states: make(map[int]float64)}
 	for _, r := range s.requests {
 		second := sums.at(r.at)
@@ -167,7 +167,7 @@
 	return all
 }
 
-func (s *Summer) sumServers(start float64) []ServerSum {
+func (s *Aggregator) sumServers(start float64) []ServerSum {
 	attempts := make(map[string][]attempt)
 	for _, a := range s.attempts {
 		attempts[a.server] = append(attempts[a.server], a)
--- a/internal/fleet/change.go
+++ b/internal/fleet/change.go
@@ -33,8 +33,8 @@
 	Programs      map[string]string `json:"programs,omitempty"` // paths of executables by hash of their content
 }
 
-// Placed is a member with its region and zone, and the settings that it is to run.
-type Placed struct {
+// PlacedMember is a member with its region and zone, and the settings that it is to run.
+type PlacedMember struct {
 	Member
 	Region string
 	Zone   string
@@ -45,10 +45,10 @@
 
 // WithSettings returns the members as one region in which all are to run the same settings. A nil text stands for the
 // content of each member's own configuration file.
-func WithSettings(members []Member, text []byte) []Placed {
-	all := make([]Placed, len(members))
+func WithSettings(members []Member, text []byte) []PlacedMember {
+	all := make([]PlacedMember, len(members))
 	for i, m := range members {
-		all[i] = Placed{Member: m, Texts: [][]byte{text}}
+		all[i] = PlacedMember{Member: m, Texts: [][]byte{text}}
 	}
 	return all
 }
@@ -62,7 +62,7 @@
 
 // requireReady polls all members and returns their statuses. It fails if a member does not answer or is not in its
 // desired state, or, with mustServe, if a member is not ready.
-func requireReady(ctx context.Context, members []Placed, mustServe bool) ([]manage.Status, error) {
+func requireReady(ctx context.Context, members []PlacedMember, mustServe bool) ([]manage.Status, error) {
 	polled := make([]Member, len(members))
 	for i, m := range members {
 		polled[i] = m.Member
--- a/internal/fleet/program_change.go
+++ b/internal/fleet/program_change.go
@@ -20,7 +20,7 @@
 // current content of the file from which each member was started. plan has no members yet; they are added to it. A
 // running program whose file has been replaced since is copied to dir, so that the change can be rolled back. If every
 // member already runs its new program, the change restarts all of them.
-func NewProgramChange(ctx context.Context, members []Placed, plan rollout.Plan, path, dir string) (*Change, error) {
+func NewProgramChange(ctx context.Context, members []PlacedMember, plan rollout.Plan, path, dir string) (*Change, error) {
 	statuses, err := requireReady(ctx, members, true)
 	if err != nil {
 		return nil, err
--- a/internal/fleet/regions.go
+++ b/internal/fleet/regions.go
@@ -34,12 +34,12 @@
 
 // MembersInRegions returns the members that a fleet file names, with their regions and zones but without settings. It
 // fails if there are none.
-func MembersInRegions(f fleetfile.File) ([]Placed, error) {
-	var all []Placed
+func MembersInRegions(f fleetfile.File) ([]PlacedMember, error) {
+	var all []PlacedMember
 	for _, r := range f.All {
 		for _, m := range r.Members {
 			member := Member{m.Socket, manage.Client{Path: m.Socket}}
-			all = append(all, Placed{Member: member, Region: r.Name, Zone: m.Zone})
+			all = append(all, PlacedMember{Member: member, Region: r.Name, Zone: m.Zone})
 		}
 	}
 	if len(all) == 0 {
@@ -52,7 +52,7 @@
 // in each phase. It polls the members for the settings that they currently run. For a change that would cause a
 // conflict between regions, in its final or an intermediate state, it returns a *ConflictError. Waivers that have
 // expired at now do not apply.
-func PlanRegions(ctx context.Context, f fleetfile.File, now time.Time) ([]Placed, [][]string, error) {
+func PlanRegions(ctx context.Context, f fleetfile.File, now time.Time) ([]PlacedMember, [][]string, error) {
 	members, err := MembersInRegions(f)
 	if err != nil {
 		return nil, nil, err
@@ -98,7 +98,7 @@
 }
 
 // newRegionsChange returns the change from the settings that the members run to those of a fleet file.
-func newRegionsChange(f fleetfile.File, members []Placed, statuses []manage.Status) (*regionsChange, error) {
+func newRegionsChange(f fleetfile.File, members []PlacedMember, statuses []manage.Status) (*regionsChange, error) {
 	c := &regionsChange{texts: make(map[string][]byte)}
 	for _, r := range f.All {
 		text, err := currentSettings(members, statuses, r)
@@ -194,7 +194,7 @@
 
 // currentSettings returns the settings that the members of a region run, leaving out members that already run the new
 // ones. It fails if the members run different settings, or if no member's file has these settings any more.
-func currentSettings(members []Placed, statuses []manage.Status, r fleetfile.Region) ([]byte, error) {
+func currentSettings(members []PlacedMember, statuses []manage.Status, r fleetfile.Region) ([]byte, error) {
 	hash := ""
 	firstMember := "" // name of the first member that runs hash
 	var text []byte
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -212,7 +212,7 @@
 	if env == nil {
 		env = os.Environ()
 	}
-	cmd.Env = upgrade.Environment(env)
+	cmd.Env = upgrade.FilterEnvironment(env)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	return cmd
 }
--- a/internal/fleet/settings_change.go
+++ b/internal/fleet/settings_change.go
@@ -15,7 +15,7 @@
 // NewSettingsChange returns a change of the members' settings. plan has no members yet; they are added to it. known has
 // the settings of earlier changes by hash, for members whose settings are no longer in any file. It replaces nil Texts
 // of members by the content of their files, and returns ErrUnchanged if there is nothing to do.
-func NewSettingsChange(ctx context.Context, members []Placed, plan rollout.Plan, known map[string]string) (*Change, error) {
+func NewSettingsChange(ctx context.Context, members []PlacedMember, plan rollout.Plan, known map[string]string) (*Change, error) {
 	statuses, err := requireReady(ctx, members, false)
 	if err != nil {
 		return nil, err
@@ -70,19 +70,19 @@
 }
 
 // addMember adds a member to the plan.
-func (c *Change) addMember(m *Placed, versions []string) {
+func (c *Change) addMember(m *PlacedMember, versions []string) {
 	c.Plan.Members = append(c.Plan.Members, rollout.Member{Name: m.Name, Region: m.Region, Zone: m.Zone, Versions: versions})
 	c.Sockets = append(c.Sockets, m.Client.Path)
 }
 
 // hasText reports whether one of the member's new settings has the given hash.
-func (m *Placed) hasText(hash string) bool {
+func (m *PlacedMember) hasText(hash string) bool {
 	return slices.ContainsFunc(m.Texts, func(text []byte) bool { return desiredstate.Hash(text) == hash })
 }
 
 // readSettings returns the settings in the members' files by hash, and replaces nil Texts by the content of the
 // member's file.
-func readSettings(members []Placed, statuses []manage.Status) (map[string]string, error) {
+func readSettings(members []PlacedMember, statuses []manage.Status) (map[string]string, error) {
 	files := make(map[string]string)
 	for i, status := range statuses {
 		raw, err := os.ReadFile(status.ConfigPath)
@@ -104,7 +104,7 @@
 
 // addIntermediateSettings inserts a generation of intermediate settings, if the old and new settings of any member may
 // not be in force at the same time. Members that need none keep their old settings in that generation.
-func addIntermediateSettings(statuses []manage.Status, members []Placed, files map[string]string) error {
+func addIntermediateSettings(statuses []manage.Status, members []PlacedMember, files map[string]string) error {
 	intermediates := make(map[settingsPair][]byte)
 	isAnyNeeded := false
 	for i, status := range statuses {
@@ -138,7 +138,7 @@
 
 // prevailingSettings returns, by region, the hash of the settings that most members run. It leaves out members that
 // already run the new ones.
-func prevailingSettings(statuses []manage.Status, members []Placed) map[string]string {
+func prevailingSettings(statuses []manage.Status, members []PlacedMember) map[string]string {
 	type settings struct{ region, hash string }
 	counts := make(map[settings]int)
 	prevailing := make(map[string]string)
--- a/internal/front/client_conn.go
+++ b/internal/front/client_conn.go
@@ -46,7 +46,7 @@
 		return false, false
 	}
 	state := socketpoll.Poll(c.rawConn)
-	return state.IsReadable, state.IsHalfShut || state.IsBroken
+	return state.IsReadable, state.IsHalfClosed || state.IsBroken
 }
 
 // maxUnreadBytes limits how much unread input a client that must send one request at a time may have
--- a/internal/front/generic_answer.go
+++ b/internal/front/generic_answer.go
@@ -26,7 +26,7 @@
 		return
 	}
 	header := w.Header()
-	hopheaders.ForwardAnswer(header, answer.Header)
+	hopheaders.ForwardResponse(header, answer.Header)
 	if len(header["Content-Type"]) == 0 {
 		header["Content-Type"] = nil // keeps net/http from guessing the type from the body
 	}
--- a/internal/front/generic_call.go
+++ b/internal/front/generic_call.go
@@ -122,7 +122,7 @@
 		return
 	}
 	header := c.writer.Header()
-	hopheaders.ForwardAnswer(header, interim)
+	hopheaders.ForwardResponse(header, interim)
 	_ = c.controller.SetWriteDeadline(time.Now().Add(c.idleTimeout))
 	c.writer.WriteHeader(status)
 	clear(header)
--- a/internal/front/generic_http.go
+++ b/internal/front/generic_http.go
@@ -158,7 +158,7 @@
 		ResponseRules:    &o.ResponseRules,
 		MaxBufferedBytes: o.MaxBufferedAnswerBytes,
 		IdleTimeout:      o.IdleTimeout,
-		AnswerTimeout:    timeout,
+		ResponseTimeout:  timeout,
 		SendTimeLeft:     o.SendTimeLeft,
 	}
 	if o.SendRequestID && len(relay.Header[requestIDHeader]) == 0 {
--- a/internal/h2/stream.go
+++ b/internal/h2/stream.go
@@ -83,14 +83,14 @@
 	signal(s.readable)
 }
 
-// ReadBy sets the deadline of Head and Read, including calls in progress; the zero time means no deadline.
-func (s *Stream) ReadBy(deadline time.Time) {
+// SetReadDeadline sets the deadline of Head and Read, including calls in progress; the zero time means no deadline.
+func (s *Stream) SetReadDeadline(deadline time.Time) {
 	s.deadlines[reading].set(deadline)
 	signal(s.readable)
 }
 
-// WriteBy sets the deadline of Write, including a call in progress; the zero time means no deadline.
-func (s *Stream) WriteBy(deadline time.Time) {
+// SetWriteDeadline sets the deadline of Write, including a call in progress; the zero time means no deadline.
+func (s *Stream) SetWriteDeadline(deadline time.Time) {
 	s.deadlines[writing].set(deadline)
 	signal(s.writable)
 }
@@ -220,8 +220,8 @@
 // Done returns a channel that is closed when the stream has ended.
 func (s *Stream) Done() <-chan struct{} { return s.ended }
 
-// Ended returns the event that ended the stream, or nil if the stream has not ended.
-func (s *Stream) Ended() *Event {
+// Result returns the event that ended the stream, or nil if the stream has not ended.
+func (s *Stream) Result() *Event {
 	s.conn.mu.Lock()
 	defer s.conn.mu.Unlock()
 	return s.end
--- a/internal/hopheaders/hopheaders.go
+++ b/internal/hopheaders/hopheaders.go
@@ -88,8 +88,8 @@
 	return false
 }
 
-// ForwardAnswer sets in out the header fields with which a server's response is forwarded to the client.
-func ForwardAnswer(out, in http.Header) {
+// ForwardResponse sets in out the header fields with which a server's response is forwarded to the client.
+func ForwardResponse(out, in http.Header) {
 	for k, v := range in {
 		out[k] = v
 	}
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -196,7 +196,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := NewSocketLimiter(MinDescriptors)
 				var evictable atomic.Bool
-				s.OnEvict(func() bool {
+				s.SetEvictFuncs(func() bool {
 					if !evictable.CompareAndSwap(true, false) {
 						return false
 					}
@@ -246,7 +246,7 @@
 			connections := MaxConnections(limit)
 			reserved := min(ReservedForServers, connections/2)
 			servers := 0
-			s.OnEvict(nil, func(keep int) bool {
+			s.SetEvictFuncs(nil, func(keep int) bool {
 				if servers <= keep {
 					return false
 				}
--- a/internal/limits/socket_limiter.go
+++ b/internal/limits/socket_limiter.go
@@ -86,10 +86,10 @@
 	return s.clients + s.servers
 }
 
-// OnEvict sets the functions that close one idle connection of a client or to an app server and report whether there was
+// SetEvictFuncs sets the functions that close one idle connection of a client or to an app server and report whether there was
 // one. The server function closes a connection only if there are more than keep. Nil leaves a function unchanged.
-// OnEvict must be called before the first connection is acquired.
-func (s *SocketLimiter) OnEvict(client func() bool, server func(keep int) bool) {
+// SetEvictFuncs must be called before the first connection is acquired.
+func (s *SocketLimiter) SetEvictFuncs(client func() bool, server func(keep int) bool) {
 	if client != nil {
 		s.evictClient = client
 	}
--- a/internal/manage/server.go
+++ b/internal/manage/server.go
@@ -175,7 +175,7 @@
 
 func newOwnerListener(l *net.UnixListener) *ownerListener {
 	return &ownerListener{
-		Listener: accept.Persistently(l, accept.Control),
+		Listener: accept.NewRetryingListener(l, accept.Control),
 		slots:    make(chan struct{}, maxConnections),
 	}
 }
--- a/internal/metrics/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -32,7 +32,7 @@
 // A scrape has the same names, kinds, labels and values as with earlier builds; go test ./internal/metrics -run
 // Golden -update rewrites the file. Help texts and process metrics are left out, and lines are sorted.
 func TestGoldenMetrics(t *testing.T) {
-	text := strings.Replace(testkit.Small, "[process]", "[metrics]\naddress = \"127.0.0.1:0\"\n[process]", 1)
+	text := strings.Replace(testkit.SmallConfig, "[process]", "[metrics]\naddress = \"127.0.0.1:0\"\n[process]", 1)
 	s := sampleSource{counts: benchtest.Begin(t, text, nil).Node.RequestCounts()}
 	testkit.Sample("json", &s.status)
 	testkit.Sample("json", &s.gatherers)
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -95,7 +95,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(app.Close)
-	text := strings.Replace(testkit.Small, "[services.a]", "[services.a]\nservers = { protocol = \"http/2\" }", 1)
+	text := strings.Replace(testkit.SmallConfig, "[services.a]", "[services.a]\nservers = { protocol = \"http/2\" }", 1)
 	text = strings.Replace(text, "127.0.0.1:1\"", app.Addr()+"\"", 1)
 	bench := benchtest.Begin(t, text, nil)
 	ctx, stop := context.WithCancel(t.Context())
@@ -118,7 +118,7 @@
 	if room := sumValues(families["lockflow_server_streams"], "state=room"); room != 7 {
 		t.Errorf("capacity for %g more streams, want 7", room)
 	}
-	if metricFamily := scrape(t, Handler(benchtest.Begin(t, testkit.Small, nil).Node))["lockflow_server_streams"]; metricFamily != nil {
+	if metricFamily := scrape(t, Handler(benchtest.Begin(t, testkit.SmallConfig, nil).Node))["lockflow_server_streams"]; metricFamily != nil {
 		t.Errorf("HTTP/2 metrics of a service over HTTP/1.1: %v", metricFamily)
 	}
 }
@@ -130,7 +130,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(store.Close)
-	text := strings.Replace(testkit.Small, "[plans.p]", "[plans.p]\nceiling_rate = 10\nceiling_burst = 10", 1)
+	text := strings.Replace(testkit.SmallConfig, "[plans.p]", "[plans.p]\nceiling_rate = 10\nceiling_burst = 10", 1)
 	text = strings.Replace(text, "[services.a]", "[services.a]\ncounter = { addresses = [\""+store.Addr()+
 		"\"], term = \"50ms\", pledge = \"100ms\", settle = \"100ms\" }", 1)
 	bench := benchtest.Begin(t, text, nil)
@@ -145,7 +145,7 @@
 	store.SetFaults(redistest.Faults{IsSilent: true})
 	store.CloseConns()
 	testkit.Until(t, "use of the instance's own quota", func() bool { return sumValues(scrape(t, h)["lockflow_counter_own_part"]) == 1 })
-	if metricFamily := scrape(t, Handler(benchtest.Begin(t, testkit.Small, nil).Node))["lockflow_counter_lends"]; metricFamily != nil {
+	if metricFamily := scrape(t, Handler(benchtest.Begin(t, testkit.SmallConfig, nil).Node))["lockflow_counter_lends"]; metricFamily != nil {
 		t.Errorf("lease store metrics without shared hard limits: %v", metricFamily)
 	}
 }
--- a/internal/metrics/serve.go
+++ b/internal/metrics/serve.go
@@ -50,7 +50,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
-	if err := server.Serve(accept.Persistently(l, accept.Metrics)); !errors.Is(err, http.ErrServerClosed) {
+	if err := server.Serve(accept.NewRetryingListener(l, accept.Metrics)); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serving metrics: %w", err)
 	}
 	return nil
--- a/internal/node/client_connections_test.go
+++ b/internal/node/client_connections_test.go
@@ -72,7 +72,7 @@
 // an app server. The client gets one answer and its connection is closed.
 func TestSmuggledRequestsAreNotForwarded(t *testing.T) {
 	r := newTestNode(t)
-	app := testkit.NewApp(t, testkit.Served)
+	app := testkit.NewApp(t, testkit.AnswerServed)
 	r.setEndpoints(endpointOf(app, "s-1", 0))
 	const post = "POST /visit-update?account=00000000b4d65521 HTTP/1.1\r\nHost: origin.svc\r\n" + validHeaders
 	smuggled := strings.ReplaceAll(strings.Replace(post, "POST /visit-update", "GET /roster-read", 1), "raw", "hidden") + "\r\n"
@@ -107,7 +107,7 @@
 func TestSilentClientsAreEvicted(t *testing.T) {
 	r := newTestNode(t)
 	r.node.limiter.(*exclusiveLimiter).sockets.SetLimit(limits.ReservedForServers + 20)
-	app := testkit.NewApp(t, testkit.Served)
+	app := testkit.NewApp(t, testkit.AnswerServed)
 	r.setEndpoints(endpointOf(app, "s-1", 0))
 	r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1"))
 	for range 60 {
--- a/internal/node/drain_requests_test.go
+++ b/internal/node/drain_requests_test.go
@@ -17,7 +17,7 @@
 	app := testkit.NewApp(t, func(w http.ResponseWriter, req *http.Request) {
 		arrived <- struct{}{}
 		<-finish
-		testkit.Served(w, req)
+		testkit.AnswerServed(w, req)
 	})
 	r.setEndpoints(endpointOf(app, "s-1", 0))
 	answers := make(chan *http.Response, 2)
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -39,7 +39,7 @@
 	old := makeSharedLimiter
 	makeSharedLimiter = func(cfg *config.Config, f *front.Front) resourceLimiter {
 		limiter := &limiterWithoutGuarantees{newSharedLimiter(cfg, f), limits.NewSocketLimiter(cfg.Process.Descriptors)}
-		limiter.sockets.OnEvict(f.Evict, nil)
+		limiter.sockets.SetEvictFuncs(f.Evict, nil)
 		return limiter
 	}
 	return func() { makeSharedLimiter = old }
--- a/internal/node/fixtures_test.go
+++ b/internal/node/fixtures_test.go
@@ -44,7 +44,7 @@
 	for _, name := range []string{"a", "b"} {
 		for i := range 2 {
 			pools[name] = append(pools[name], fake.Server{
-				UID: fmt.Sprint(name, i), Work: serviceTime, Place: i,
+				UID: fmt.Sprint(name, i), Work: serviceTime, GroupNumber: i,
 				Group: &fake.Group{Window: 15 * time.Second},
 			})
 		}
--- a/internal/node/flood_test.go
+++ b/internal/node/flood_test.go
@@ -97,7 +97,7 @@
 			requestHealth(t, client)
 			idle = append(idle, client)
 		}
-		app := testkit.NewApp(t, testkit.Served)
+		app := testkit.NewApp(t, testkit.AnswerServed)
 		r.setEndpoints(endpointOf(app, "s-1", 0))
 		if status := requestHealth(t, dialTo(t, r.node.Addr())); status != http.StatusOK {
 			t.Errorf("health check: status %d, want 200", status)
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -19,7 +19,7 @@
 type testNode struct {
 	http.Transport // not http.DefaultTransport, whose idle connections any httptest.Server.Close closes
 	t              *testing.T
-	agent          *testkit.Agent
+	agent          *testkit.FakeDiscovery
 	node           *Node
 	runContext     context.Context
 	stop           context.CancelFunc
@@ -60,7 +60,7 @@
 
 func newIdleTestNodeWithConfig(t *testing.T, cfg config.Config) *testNode {
 	t.Helper()
-	r := &testNode{t: t, agent: testkit.NewAgent(t), ended: make(chan error, 1), revision: 7}
+	r := &testNode{t: t, agent: testkit.NewFakeDiscovery(t), ended: make(chan error, 1), revision: 7}
 	cfg.Services[0].Source.Address = r.agent.Addr()
 	var err error
 	if r.node, err = New(cfg); err != nil {
@@ -166,7 +166,7 @@
 func (r *testNode) holdRequest() <-chan int {
 	r.t.Helper()
 	accepted := make(chan struct{})
-	silent := testkit.Never(r.t)
+	silent := testkit.BlockUntilCanceled(r.t)
 	app := testkit.NewApp(r.t, func(w http.ResponseWriter, req *http.Request) { close(accepted); silent(w, req) })
 	r.setEndpoints(endpointOf(app, "s-1", 0))
 	answered := make(chan int, 1)
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -36,7 +36,7 @@
 			continue
 		}
 		var l *listener
-		err := shortage.Retry(context.Background(), retryTime, shortage.OfResources, func() (err error) {
+		err := shortage.Retry(context.Background(), retryTime, shortage.IsResourceShortage, func() (err error) {
 			l, err = n.openListener(address)
 			return err
 		})
@@ -66,7 +66,7 @@
 		done:              ctx.Done(),
 		serveEnded:        make(chan struct{}),
 	}
-	persistent := accept.Persistently(socketQueue{socket, l}, accept.Clients)
+	persistent := accept.NewRetryingListener(socketQueue{socket, l}, accept.Clients)
 	l.Listener = limits.Listen(ctx, persistent, n.limiter.clientSockets())
 	return l, nil
 }
--- a/internal/node/memory_test.go
+++ b/internal/node/memory_test.go
@@ -24,7 +24,7 @@
 			}
 			cfg.Process.MemoryMB, cfg.Process.Drain = mb, config.Drain{}
 			r := newTestNodeWithConfig(t, cfg)
-			app := testkit.NewApp(t, testkit.Served)
+			app := testkit.NewApp(t, testkit.AnswerServed)
 			r.setEndpoints(endpointOf(app, "s-1", 0))
 			maxRequests := mb << 20 / 2 / (2 * protocol.MaxBodyBytes) // each may have a body and an answer of maximum size
 			var admitted []*service.Exchange
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	if e, ok := n.limiter.(*exclusiveLimiter); ok {
-		e.sockets.OnEvict(n.front.Evict, n.services[cfg.Services[0].Name].Upstream().Evict)
+		e.sockets.SetEvictFuncs(n.front.Evict, n.services[cfg.Services[0].Name].Upstream().Evict)
 	}
 	listeners, err := n.openListeners(cfg.Listeners, startListenRetryTime)
 	if err != nil {
--- a/internal/node/nodelay_test.go
+++ b/internal/node/nodelay_test.go
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	listener := &recordingListener{Listener: tcp}
-	cfg.Services[0].Source.Address = testkit.NewAgent(t).Addr()
+	cfg.Services[0].Source.Address = testkit.NewFakeDiscovery(t).Addr()
 	n, err := NewInheriting(cfg, map[string]net.Listener{cfg.Listeners[0]: listener})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/platform_settings_test.go
+++ b/internal/node/platform_settings_test.go
@@ -104,7 +104,7 @@
 		t.Fatal(err)
 	}
 	r := newTestNodeWithPlatformConfig(t, raw)
-	app := testkit.NewApp(t, testkit.Served)
+	app := testkit.NewApp(t, testkit.AnswerServed)
 	r.setEndpoints(endpointOf(app, "s-1", 0))
 	s := r.node.services[""].cfg.Settings
 	for i, k := range s.Classes {
@@ -147,7 +147,7 @@
 	r := newTestNodeWithPlatformConfig(t, raw)
 	app := testkit.NewApp(t, func(w http.ResponseWriter, req *http.Request) {
 		w.Header().Set(protocol.HeaderTrueCost, "1e300")
-		testkit.Served(w, req)
+		testkit.AnswerServed(w, req)
 	})
 	r.setEndpoints(endpointOf(app, "s-1", 0))
 	for i, tc := range []struct {
@@ -204,7 +204,7 @@
 			app := testkit.NewApp(t, func(w http.ResponseWriter, req *http.Request) {
 				w.Header().Set(protocol.HeaderQuotaUsed, "120")
 				w.Header().Set(protocol.HeaderTrueCost, "3")
-				testkit.Served(w, req)
+				testkit.AnswerServed(w, req)
 			})
 			r.setEndpoints(endpointOf(app, "s-1", 0))
 			for i := range 20 {
@@ -224,7 +224,7 @@
 // TestRequestTargetIsForwardedUnchanged sends request targets that url.URL would normalize.
 func TestRequestTargetIsForwardedUnchanged(t *testing.T) {
 	r := newTestNode(t)
-	app := testkit.NewApp(t, testkit.Served)
+	app := testkit.NewApp(t, testkit.AnswerServed)
 	r.setEndpoints(endpointOf(app, "s-1", 0))
 	for i, path := range []string{"/roster-read/ä", "/roster-read/a|b^c\"", "/roster-read/%7e%2f%2F//x/../.", "/roster%2dread", "/roster-read/a#b", "/roster-read"} {
 		for _, query := range []string{"?account=00000000b4d65521", "?account=00000000b4d65521&x=ä|%7e"} {
@@ -278,7 +278,7 @@
 // Invalid and malformed entries of an endpoint list do not affect the other entries.
 func TestInvalidEndpointEntriesDoNotAffectOthers(t *testing.T) {
 	r := newTestNode(t)
-	app := testkit.NewApp(t, testkit.Served)
+	app := testkit.NewApp(t, testkit.AnswerServed)
 	validEntry := fmt.Sprintf(`{"uid":"s-1","endpoint":%q,"az":"z1","state":"up","capacity_hint":1.0,"boot_ms":0,"later":{"a":[1]}}`, app.Addr())
 	send := func(line string) {
 		t.Helper()
--- a/internal/node/random_settings_test.go
+++ b/internal/node/random_settings_test.go
@@ -62,7 +62,7 @@
 				w.Header().Set(protocol.HeaderQuotaUsed, "90")
 				w.Header().Set(protocol.HeaderTrueCost, "2")
 				w.Header().Set(protocol.HeaderBackendLoad, "util=0.5,latency_ms=2")
-				testkit.Served(w, req)
+				testkit.AnswerServed(w, req)
 			}
 		})
 	}
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -33,7 +33,7 @@
 // checkReadyFromCachedEndpoints runs a node with a server from a cached endpoint list and with its discovery agent at
 // address. If address is nil, the agent answers late.
 func checkReadyFromCachedEndpoints(t *testing.T, address func(*testing.T) string) {
-	served := testkit.NewApp(t, testkit.Served)
+	served := testkit.NewApp(t, testkit.AnswerServed)
 	cfg, err := config.LoadPlatform("../config/testdata/config.json")
 	if err != nil {
 		t.Fatal(err)
@@ -63,7 +63,7 @@
 	if address != nil {
 		return
 	}
-	other := testkit.NewApp(t, testkit.Served)
+	other := testkit.NewApp(t, testkit.AnswerServed)
 	r.revision = 50
 	r.setEndpoints(discovery.Endpoint{UID: "s-1", State: "draining"}, endpointOf(other, "s-2", 0))
 	r.do(r.newRequest(http.MethodGet, "/roster-read", "id-2"))
--- a/internal/node/reload_load_test.go
+++ b/internal/node/reload_load_test.go
@@ -36,7 +36,7 @@
 		case 2:
 			fmt.Fprintf(&b, "[services.%s.source]\nkind = \"static\"\n", name)
 			for _, s := range bench.Pools[name].Servers {
-				fmt.Fprintf(&b, "[[services.%s.source.servers]]\nuid = %q\nendpoint = %q\ngroup = %d\n", name, s.UID, s.Addr(), s.Place)
+				fmt.Fprintf(&b, "[[services.%s.source.servers]]\nuid = %q\nendpoint = %q\ngroup = %d\n", name, s.UID, s.Addr(), s.GroupNumber)
 			}
 		}
 	}
--- a/internal/node/requests_test.go
+++ b/internal/node/requests_test.go
@@ -23,7 +23,7 @@
 		}
 		w.Header().Set("Content-Type", "text/x-roster")
 		w.Header().Set(protocol.HeaderQuotaUsed, "85")
-		testkit.Served(w, req)
+		testkit.AnswerServed(w, req)
 	})
 	r.setEndpoints(endpointOf(app, "s-1", 0))
 	post := r.newRequest(http.MethodPost, "/visit-update/a%2Fb/c", "id-1")
@@ -100,7 +100,7 @@
 // TestInvalidRequestsAreRejected checks that invalid requests are answered with a 4xx status and not forwarded.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	r := newTestNode(t)
-	app := testkit.NewApp(t, testkit.Served)
+	app := testkit.NewApp(t, testkit.AnswerServed)
 	r.setEndpoints(endpointOf(app, "s-1", 0))
 	for name, tc := range invalidRequests {
 		t.Run(name, func(t *testing.T) {
@@ -130,7 +130,7 @@
 // A request that the decision module rejects is answered without being forwarded, with a Retry-After header.
 func TestRejectionHasRetryAfter(t *testing.T) {
 	r := newTestNode(t)
-	app := testkit.NewApp(t, testkit.Served)
+	app := testkit.NewApp(t, testkit.AnswerServed)
 	r.setEndpoints(endpointOf(app, "s-1", 0))
 	for i := range 100 {
 		req := r.newRequest(http.MethodGet, "/roster-read", "id-"+strconv.Itoa(i))
--- a/internal/node/servers_test.go
+++ b/internal/node/servers_test.go
@@ -22,7 +22,7 @@
 			testkit.Reset(w, req)
 			return
 		}
-		testkit.Served(w, req)
+		testkit.AnswerServed(w, req)
 	}
 	a, b := testkit.NewApp(t, serve), testkit.NewApp(t, serve)
 	r.setEndpoints(endpointOf(a, "s-1", 0), endpointOf(b, "s-2", 1))
@@ -78,7 +78,7 @@
 	app := testkit.NewApp(t, func(w http.ResponseWriter, req *http.Request) {
 		arrived <- struct{}{}
 		<-finish
-		testkit.Served(w, req)
+		testkit.AnswerServed(w, req)
 	})
 	r.setEndpoints(endpointOf(app, "s-1", 0))
 	ctx, leave := context.WithCancel(context.Background())
@@ -110,8 +110,8 @@
 // A draining app server gets no new requests, and idle connections to it are closed.
 func TestDrainingServerGetsNoRequests(t *testing.T) {
 	r := newTestNode(t)
-	a := testkit.NewApp(t, testkit.Served)
-	b := testkit.NewApp(t, testkit.Served)
+	a := testkit.NewApp(t, testkit.AnswerServed)
+	b := testkit.NewApp(t, testkit.AnswerServed)
 	r.setEndpoints(endpointOf(a, "s-1", 0))
 	r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1"))
 	draining := endpointOf(a, "s-1", 0)
@@ -133,7 +133,7 @@
 // An app server can come back at another address.
 func TestServerChangesAddress(t *testing.T) {
 	r := newTestNode(t)
-	a, b := testkit.NewApp(t, testkit.Served), testkit.NewApp(t, testkit.Served)
+	a, b := testkit.NewApp(t, testkit.AnswerServed), testkit.NewApp(t, testkit.AnswerServed)
 	r.setEndpoints(endpointOf(a, "s-1", 0))
 	r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1"))
 	r.setEndpoints(endpointOf(b, "s-1", 0))
@@ -159,7 +159,7 @@
 			close(arrived)
 			<-finish
 		}
-		testkit.Served(w, req)
+		testkit.AnswerServed(w, req)
 	})
 	r.setEndpoints(endpointOf(app, "s-1", 0))
 	answered := make(chan int, 1)
@@ -186,7 +186,7 @@
 // The node keeps no state of removed app servers.
 func TestRemovedServersLeaveNoState(t *testing.T) {
 	r := newTestNode(t)
-	app := testkit.NewApp(t, testkit.Served)
+	app := testkit.NewApp(t, testkit.AnswerServed)
 	for i := range 50 {
 		up := endpointOf(app, "s-"+strconv.Itoa(i), 0)
 		r.setEndpoints(up)
--- a/internal/node/services.go
+++ b/internal/node/services.go
@@ -112,7 +112,7 @@
 	options := n.serviceOptions(r, hasMetrics)
 	if sharesUpstream {
 		options.SharedUpstream = predecessor.Upstream()
-	} else if cfg.Servers.TLS.On {
+	} else if cfg.Servers.TLS.Enabled {
 		if options.Upstream.TLS, err = certs.Load(cfg.Servers.TLS); err != nil {
 			return fmt.Errorf("service %s: servers.tls: %w", cfg.Name, err)
 		}
@@ -177,7 +177,7 @@
 		KeepAliveTimeout: cfg.Keepalive,
 		MaxBodyBytes:     int(cfg.MaxResponseBytes),
 		SocketLimiter:    n.limiter.upstreamSockets(r.account),
-		QuietPeriod:      upstream.SecondAnswerDelay,
+		QuietPeriod:      upstream.SecondResponseDelay,
 		HTTP2: upstream.HTTP2Options{
 			MaxStreams:       cfg.Servers.MaxStreams,
 			MaxConnections:   cfg.Servers.MaxConnections,
--- a/internal/scattergather/call.go
+++ b/internal/scattergather/call.go
@@ -34,7 +34,7 @@
 				r.deliver(partEvent{leaf: leaf, isAdmission: true})
 			}
 		},
-		OnLateEnd: func(end service.LateEnd, duration time.Duration) {
+		OnLateOutcome: func(end service.LateOutcome, duration time.Duration) {
 			r.observe(leaf, waitpolicy.Outcome{
 				Duration: duration,
 				Censored: end == service.LateUnknown,
--- a/internal/service/attempts_test.go
+++ b/internal/service/attempts_test.go
@@ -18,7 +18,7 @@
 // TestRetryAfterRepeatWindowIsNotSent checks that a retry whose connection is established after the repeat window
 // is never written, and that the module is notified that it was not sent.
 func TestRetryAfterRepeatWindowIsNotSent(t *testing.T) {
-	app := testkit.NewApp(t, testkit.Served)
+	app := testkit.NewApp(t, testkit.AnswerServed)
 	for name, tc := range map[string]struct {
 		begin time.Duration
 		want  int
--- a/internal/service/client_departure_test.go
+++ b/internal/service/client_departure_test.go
@@ -236,7 +236,7 @@
 		x.Forwarder = newForwarder(r.t, http.MethodPost, "body", h)
 		return x
 	}
-	x.Forwarder = &upstream.RelayedRequest{RequestMethod: http.MethodGet, Target: "/x", Host: "h", Header: h, ContentLength: -1, ResponseRules: &responseclass.Rules{}, MaxBufferedBytes: 100, IdleTimeout: testkit.WaitTimeout, AnswerTimeout: testkit.WaitTimeout}
+	x.Forwarder = &upstream.RelayedRequest{RequestMethod: http.MethodGet, Target: "/x", Host: "h", Header: h, ContentLength: -1, ResponseRules: &responseclass.Rules{}, MaxBufferedBytes: 100, IdleTimeout: testkit.WaitTimeout, ResponseTimeout: testkit.WaitTimeout}
 	return x
 }
 
--- a/internal/service/gate.go
+++ b/internal/service/gate.go
@@ -15,9 +15,9 @@
 	// OnDecision is called once, with whether the module has admitted the request. If it has not, Do returns
 	// the answer. OnDecision may not be called at all if Do returns at once.
 	OnDecision func(isAdmitted bool)
-	// OnLateEnd is called once after the request was abandoned: with the outcome of its last attempt and the time
+	// OnLateOutcome is called once after the request was abandoned: with the outcome of its last attempt and the time
 	// since the request started, or immediately with LateUnknown if no attempt is in flight. It may be nil.
-	OnLateEnd func(end LateEnd, duration time.Duration)
+	OnLateOutcome func(end LateOutcome, duration time.Duration)
 	// Linger limits the time for which attempts continue after the request was abandoned; 0 is no limit.
 	Linger time.Duration
 
@@ -30,12 +30,12 @@
 	pendingSends []control.Send // deferred until the gate opens
 }
 
-// LateEnd is the outcome of an attempt of an abandoned request.
-type LateEnd uint8
+// LateOutcome is the outcome of an attempt of an abandoned request.
+type LateOutcome uint8
 
 // The outcomes of attempts of abandoned requests.
 const (
-	LateUnknown LateEnd = iota // the attempt was stopped before its outcome was known
+	LateUnknown LateOutcome = iota // the attempt was stopped before its outcome was known
 	LateServed
 	LateFailed
 )
@@ -50,11 +50,11 @@
 	g.OnDecision(isAdmitted)
 }
 
-// reportLateOutcome calls OnLateEnd unless it was called before.
-func (g *Gate) reportLateOutcome(end LateEnd, x *Exchange) {
-	if g.OnLateEnd != nil {
-		g.OnLateEnd(end, time.Since(x.startedAt))
-		g.OnLateEnd = nil
+// reportLateOutcome calls OnLateOutcome unless it was called before.
+func (g *Gate) reportLateOutcome(end LateOutcome, x *Exchange) {
+	if g.OnLateOutcome != nil {
+		g.OnLateOutcome(end, time.Since(x.startedAt))
+		g.OnLateOutcome = nil
 	}
 }
 
--- a/internal/service/server_removal_test.go
+++ b/internal/service/server_removal_test.go
@@ -27,7 +27,7 @@
 
 func newRemovalTest(t *testing.T, idempotency control.Idempotency) *removalTest {
 	r := &removalTest{
-		t: t, app: testkit.NewApp(t, testkit.Served), listed: make(chan struct{}, 10), results: make(chan control.AttemptResult, 10),
+		t: t, app: testkit.NewApp(t, testkit.AnswerServed), listed: make(chan struct{}, 10), results: make(chan control.AttemptResult, 10),
 	}
 	o := Options{Settings: testSettings(), NewModule: moduleOf(moduleFunc(r.handle))}
 	o.Settings.Classes[0].Idempotency = idempotency
--- a/internal/shortage/shortage.go
+++ b/internal/shortage/shortage.go
@@ -25,12 +25,12 @@
 	portErrors = []error{syscall.EADDRNOTAVAIL, syscall.EAGAIN}
 )
 
-// OfResources reports whether an error is due to a shortage of descriptors, memory or buffers on this machine.
-func OfResources(err error) bool { return isAnyOf(err, resourceErrors) }
+// IsResourceShortage reports whether an error is due to a shortage of descriptors, memory or buffers on this machine.
+func IsResourceShortage(err error) bool { return isAnyOf(err, resourceErrors) }
 
-// OfDial reports whether a dial error is due to a shortage of descriptors, memory, buffers or ports on this machine,
+// IsDialShortage reports whether a dial error is due to a shortage of descriptors, memory, buffers or ports on this machine,
 // so that it says nothing about the peer.
-func OfDial(err error) bool { return OfResources(err) || isAnyOf(err, portErrors) }
+func IsDialShortage(err error) bool { return IsResourceShortage(err) || isAnyOf(err, portErrors) }
 
 func isAnyOf(err error, targets []error) bool {
 	return slices.ContainsFunc(targets, func(target error) bool { return errors.Is(err, target) })
--- a/internal/shortage/shortage_test.go
+++ b/internal/shortage/shortage_test.go
@@ -23,7 +23,7 @@
 		fmt.Errorf("reading: %w", &os.PathError{Op: "open", Path: "x", Err: syscall.ENOENT}): false,
 		fmt.Errorf("waiting: %w", context.DeadlineExceeded):                                  false,
 	} {
-		if OfDial(err) != want {
+		if IsDialShortage(err) != want {
 			t.Errorf("OfDial(%v) is %v", err, !want)
 		}
 	}
@@ -32,7 +32,7 @@
 func TestRetryEndsWithShortageLimitOrContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls := 0
-		if err := Retry(t.Context(), time.Second, OfResources, func() error {
+		if err := Retry(t.Context(), time.Second, IsResourceShortage, func() error {
 			if calls++; calls < 5 {
 				return syscall.ENFILE
 			}
@@ -41,11 +41,11 @@
 			t.Errorf("got error %v after %d calls, want none after 5", err, calls)
 		}
 		permanentError := errors.New("another error")
-		if err := Retry(t.Context(), time.Second, OfResources, func() error { return permanentError }); !errors.Is(err, permanentError) {
+		if err := Retry(t.Context(), time.Second, IsResourceShortage, func() error { return permanentError }); !errors.Is(err, permanentError) {
 			t.Error(err)
 		}
 		startedAt := time.Now()
-		if err := Retry(t.Context(), time.Second, OfResources, func() error { return syscall.ENFILE }); !errors.Is(err, syscall.ENFILE) {
+		if err := Retry(t.Context(), time.Second, IsResourceShortage, func() error { return syscall.ENFILE }); !errors.Is(err, syscall.ENFILE) {
 			t.Error(err)
 		}
 		if elapsed := time.Since(startedAt); elapsed > time.Second || elapsed < time.Second-maxBackoff {
@@ -53,7 +53,7 @@
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 		defer cancel()
-		if err := Retry(ctx, time.Second, OfResources, func() error { return syscall.EMFILE }); !errors.Is(err, syscall.EMFILE) {
+		if err := Retry(ctx, time.Second, IsResourceShortage, func() error { return syscall.EMFILE }); !errors.Is(err, syscall.EMFILE) {
 			t.Error(err)
 		}
 	})
--- a/internal/simulation/fleetsim/acceptance_test.go
+++ b/internal/simulation/fleetsim/acceptance_test.go
@@ -107,10 +107,10 @@
 // On a day without faults, the price of over-quota requests exceeds that of the policy DelayedBucket, which knows the
 // exact bucket state with a delay, by at most 0.1.
 func TestOverQuotaPriceIsNearDelayedBucketPolicy(t *testing.T) {
-	for _, name := range QuotaNames {
+	for _, name := range DeploymentNames {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			o := QuotaOptions{World: name, Policy: ByModule, Instances: 100, Duration: 15 * time.Second, Seed: 5}
+			o := QuotaOptions{Deployment: name, Policy: ByModule, Instances: 100, Duration: 15 * time.Second, Seed: 5}
 			module := runQuotasOrFail(t, o)
 			o.Policy, o.PolicyDelay = DelayedBucket, -1
 			delayed := runQuotasOrFail(t, o)
--- a/internal/simulation/fleetsim/decisions_amd64_test.go
+++ b/internal/simulation/fleetsim/decisions_amd64_test.go
@@ -105,7 +105,7 @@
 }
 
 func (p *recordedDay) runQuotas() error {
-	_, err := Quotas(QuotaOptions{World: p.day, Policy: ByModule, Instances: p.instances, Seed: p.seed, Duration: decisionDuration, observe: p.observe})
+	_, err := RunQuotas(QuotaOptions{Deployment: p.day, Policy: ByModule, Instances: p.instances, Seed: p.seed, Duration: decisionDuration, observe: p.observe})
 	return err
 }
 
--- a/internal/simulation/fleetsim/quota_day.go
+++ b/internal/simulation/fleetsim/quota_day.go
@@ -35,7 +35,7 @@
 
 // QuotaOptions configures Quotas.
 type QuotaOptions struct {
-	World             string
+	Deployment        string
 	Policy            Policy
 	PolicyDelay       time.Duration // of DelayedBucket and DelayedUsage; negative means the meter's period plus its delay, or 2 s without a meter
 	Instances         int
@@ -50,7 +50,7 @@
 // QuotaReport is the result of Quotas. Weights are fractions of the weight that a single gateway for all calls would
 // admit as within quotas.
 type QuotaReport struct {
-	World                        string                  `json:"world"`
+	Deployment                   string                  `json:"world"`
 	Policy                       Policy                  `json:"policy"`
 	Instances                    int                     `json:"instances"`
 	Seed                         uint64                  `json:"seed"`
@@ -66,7 +66,7 @@
 	CallsRejectedWithCapacity    float64                 `json:"requests_refused_with_room"` // fraction of the calls with at least one such request
 	CallsLostWithCapacity        float64                 `json:"requests_lost_with_room"`    // fraction of the calls with such a request that were never forwarded
 	Broken                       map[fleetrules.Rule]int `json:"broken"`
-	// Cells are these results by dimension (CellNames) and by the value of the dimension.
+	// Cells are these results by dimension (CellDimensions) and by the value of the dimension.
 	Cells map[string]map[string]*Cell `json:"cells"`
 }
 
@@ -131,12 +131,12 @@
 	calls                struct{ rejectedWithCapacity, lost int }
 }
 
-// Quotas simulates the day "calm" with the customers and quotas of a deployment. The same options give the same report,
+// RunQuotas simulates the day "calm" with the customers and quotas of a deployment. The same options give the same report,
 // and all policies receive the same calls.
-func Quotas(o QuotaOptions) (QuotaReport, error) {
-	deployment := quotaDeployments[o.World]
+func RunQuotas(o QuotaOptions) (QuotaReport, error) {
+	deployment := quotaDeployments[o.Deployment]
 	if deployment == nil {
-		return QuotaReport{}, fmt.Errorf("unknown quota deployment %q; expected one of %v", o.World, QuotaNames)
+		return QuotaReport{}, fmt.Errorf("unknown quota deployment %q; expected one of %v", o.Deployment, DeploymentNames)
 	}
 	script, err := dayByName("calm")
 	if err != nil {
@@ -167,7 +167,7 @@
 		return nil, QuotaReport{}, err
 	}
 	quotaReport := q.report(day)
-	quotaReport.World, quotaReport.Policy = o.World, o.Policy
+	quotaReport.Deployment, quotaReport.Policy = o.Deployment, o.Policy
 	return q, quotaReport, nil
 }
 
--- a/internal/simulation/fleetsim/quota_judge.go
+++ b/internal/simulation/fleetsim/quota_judge.go
@@ -10,8 +10,8 @@
 
 // This file records and reports the results of Quotas and decides for the policies DelayedBucket and DelayedUsage.
 
-// CellNames are the dimensions by which a report counts requests.
-var CellNames = []string{"plan", "spread", "customer", "known here", "customer known here", "try", "node", "let in", "lacks", "guesses", "refused"}
+// CellDimensions are the dimensions by which a report counts requests.
+var CellDimensions = []string{"plan", "spread", "customer", "known here", "customer known here", "try", "node", "let in", "lacks", "guesses", "refused"}
 
 const nodeStartPeriod = 5 * time.Second
 
--- a/internal/simulation/fleetsim/quota_test.go
+++ b/internal/simulation/fleetsim/quota_test.go
@@ -11,7 +11,7 @@
 
 func runQuotasOrFail(t *testing.T, o QuotaOptions) QuotaReport {
 	t.Helper()
-	r, err := Quotas(o)
+	r, err := RunQuotas(o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,10 +97,10 @@
 // requests that wait in a queue while others are charged. With a delay it forwards more. All policies receive the same
 // calls.
 func TestUndelayedBucketPolicyCostsLittle(t *testing.T) {
-	for _, name := range QuotaNames {
+	for _, name := range DeploymentNames {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			o := QuotaOptions{World: name, Policy: DelayedBucket, Instances: 12, Duration: 10 * time.Second, Seed: 3}
+			o := QuotaOptions{Deployment: name, Policy: DelayedBucket, Instances: 12, Duration: 10 * time.Second, Seed: 3}
 			undelayed := runQuotasOrFail(t, o)
 			if o.PolicyDelay = -1; undelayed.OverQuotaPrice > 0.05 || undelayed.Served < 0.8 || len(undelayed.Broken) > 0 {
 				t.Errorf("DelayedBucket without delay: %+v", undelayed)
@@ -118,7 +118,7 @@
 			}
 		})
 	}
-	if _, err := Quotas(QuotaOptions{World: "none", Instances: 3}); err == nil {
+	if _, err := RunQuotas(QuotaOptions{Deployment: "none", Instances: 3}); err == nil {
 		t.Error("no error for an unknown deployment")
 	}
 }
--- a/internal/simulation/fleetsim/quota_world.go
+++ b/internal/simulation/fleetsim/quota_world.go
@@ -9,7 +9,7 @@
 	"lockflow/control"
 )
 
-// This file has the deployments that Quotas simulates: the load of customers, their plans, and the meter of their usage.
+// This file has the deployments that RunQuotas simulates: the load of customers, their plans, and the meter of their usage.
 // Each deployment is a table of ranges from which values are drawn by a seed.
 
 // valueRange is a range from which values are drawn uniformly. The zero value means that the described value is not used.
@@ -57,8 +57,8 @@
 	plans                                       []quotaPlan
 }
 
-// QuotaNames are the names of the deployments that Quotas simulates.
-var QuotaNames = []string{"clinic", "library", "archive", "cableway", "kiosk"}
+// DeploymentNames are the names of the deployments that RunQuotas simulates.
+var DeploymentNames = []string{"clinic", "library", "archive", "cableway", "kiosk"}
 
 var quotaDeployments = map[string]*quotaDeployment{
 	"clinic": {
@@ -111,8 +111,8 @@
 	},
 }
 
-// QuotaHelp returns a one-line description of a deployment.
-func QuotaHelp(name string) string { return quotaDeployments[name].help }
+// DeploymentHelp returns a one-line description of a deployment.
+func DeploymentHelp(name string) string { return quotaDeployments[name].help }
 
 // drawUnits draws the units of a request: the units known at arrival and the actual units.
 func (f *quotaDeployment) drawUnits(class int, logDeviation float64, r *rand.Rand) (units, actualUnits float64) {
--- a/internal/simulation/fleetsim/sim.go
+++ b/internal/simulation/fleetsim/sim.go
@@ -2,7 +2,7 @@
 // discovery and clients are modelled. The same seed gives the same results.
 //
 // Run simulates a fleet with one warming-up server and one customer with a hard limit, Day simulates a scripted day
-// with faults, and Quotas simulates a day on which customers are subject to quotas.
+// with faults, and RunQuotas simulates a day on which customers are subject to quotas.
 package fleetsim
 
 import (
--- a/internal/simulation/fleetsim/world.go
+++ b/internal/simulation/fleetsim/world.go
@@ -145,7 +145,7 @@
 	plan              int
 	firstNode, fanOut int
 	preferredNode     int     // offset from firstNode of the node that receives a fifth of the requests in addition to its even share of the others
-	demand            *demand // used by Quotas only
+	demand            *demand // used by RunQuotas only
 }
 
 // call is a call of a client. It consists of a first request and its retries.
@@ -159,7 +159,7 @@
 	weight       float64
 	isServed     bool
 
-	// Used by Quotas only. rejectedWithCapacity is whether a request was rejected while at least half of the quota was unused.
+	// Used by RunQuotas only. rejectedWithCapacity is whether a request was rejected while at least half of the quota was unused.
 	actualUnits          float64
 	node                 int
 	isForwarded          bool
@@ -173,7 +173,7 @@
 	deadline time.Duration
 	attempts int
 
-	// Used by Quotas only: whether the request was forwarded, whether it was within the quota, and the cells that count it.
+	// Used by RunQuotas only: whether the request was forwarded, whether it was within the quota, and the cells that count it.
 	isForwarded, isUnderQuota bool
 	cells                     []*Cell
 	rejectionCause            control.Cause
--- a/internal/socketpoll/socketpoll.go
+++ b/internal/socketpoll/socketpoll.go
@@ -10,9 +10,9 @@
 
 // State is the state of a socket.
 type State struct {
-	IsReadable bool // a read or accept would not block: there are bytes, a connection to accept, or the peer's close
-	IsHalfShut bool // the peer has closed its sending side
-	IsBroken   bool // the connection is closed in both directions or has failed
+	IsReadable   bool // a read or accept would not block: there are bytes, a connection to accept, or the peer's close
+	IsHalfClosed bool // the peer has closed its sending side
+	IsBroken     bool // the connection is closed in both directions or has failed
 }
 
 // Poll returns the state of a socket. It repeats the system call if a signal interrupts it. For a socket that is closed on
--- a/internal/socketpoll/socketpoll_test.go
+++ b/internal/socketpoll/socketpoll_test.go
@@ -47,12 +47,12 @@
 	peer.Write([]byte("x"))
 	awaitState(t, local, State{IsReadable: true})
 	peer.CloseWrite()
-	awaitState(t, local, State{IsReadable: true, IsHalfShut: true})
+	awaitState(t, local, State{IsReadable: true, IsHalfClosed: true})
 	local.Close()
 	awaitState(t, local, State{})
 
 	local, peer = tcpPair(t)
 	peer.SetLinger(0)
 	peer.Close()
-	awaitState(t, local, State{IsReadable: true, IsHalfShut: true, IsBroken: true})
+	awaitState(t, local, State{IsReadable: true, IsHalfClosed: true, IsBroken: true})
 }
--- a/internal/testsupport/fake/discovery.go
+++ b/internal/testsupport/fake/discovery.go
@@ -33,7 +33,7 @@
 
 // Entry returns the server's entry, with the state up. Only a server that warms up reports its start time.
 func (r *Running) Entry() Entry {
-	entry := Entry{UID: r.UID, Endpoint: r.Addr(), Zone: r.Zone, Group: r.Place, State: stateUp, Capacity: 1}
+	entry := Entry{UID: r.UID, Endpoint: r.Addr(), Zone: r.Zone, Group: r.GroupNumber, State: stateUp, Capacity: 1}
 	if r.WarmUp > 0 {
 		entry.BootMS = float64(r.startedAt.UnixMilli())
 	}
--- a/internal/testsupport/fake/server.go
+++ b/internal/testsupport/fake/server.go
@@ -27,13 +27,13 @@
 
 // Server configures an app server. With the zero value requests take no time, cores are unlimited and there is no warm-up.
 type Server struct {
-	UID        string
-	Zone       string
-	Place      int         // number of the server's group
-	Group      *Group      // servers that drop repeats together with this one; may be nil
-	Executions *Executions // if nil, the server has its own
-	Meter      *Meter      // may be nil
-	HardLimit  *HardLimitMonitor
+	UID         string
+	Zone        string
+	GroupNumber int         // number of the server's group
+	Group       *Group      // servers that drop repeats together with this one; may be nil
+	Executions  *Executions // if nil, the server has its own
+	Meter       *Meter      // may be nil
+	HardLimit   *HardLimitMonitor
 
 	Work   time.Duration // time that one unit takes on one core
 	Cores  int           // 0 means unlimited
--- a/internal/testsupport/generichttptest/mutations_test.go
+++ b/internal/testsupport/generichttptest/mutations_test.go
@@ -135,7 +135,7 @@
 				size, wantBytes := int64(rng.IntN(200_000)), int64(100_000+rng.IntN(200_000))
 				body := &lockedReader{r: fake.PatternReader(size)}
 				q := &upstream.RelayedRequest{
-					RequestMethod: "POST", Target: "/x", Host: "h", ContentLength: -1, ResponseRules: &rules, MaxBufferedBytes: 1 << 16, IdleTimeout: time.Second, AnswerTimeout: time.Second,
+					RequestMethod: "POST", Target: "/x", Host: "h", ContentLength: -1, ResponseRules: &rules, MaxBufferedBytes: 1 << 16, IdleTimeout: time.Second, ResponseTimeout: time.Second,
 					Header: http.Header{fake.HeaderScript: {fmt.Sprintf("frame=chunked&body=%d", wantBytes)}, "X-Request-Id": {fmt.Sprint(seed)}, "X-Want": {fake.HashOf(size)}},
 					Body:   retrybuffer.New(body, 1<<16, nil),
 				}
--- a/internal/testsupport/testbench/scenario.go
+++ b/internal/testsupport/testbench/scenario.go
@@ -26,7 +26,7 @@
 	var rosters, documents []fake.Server
 	for i := range 4 {
 		rosters = append(rosters, fake.Server{
-			UID: fmt.Sprint("roster-", i+1), Place: i % 2, Group: groups[i%2],
+			UID: fmt.Sprint("roster-", i+1), GroupNumber: i % 2, Group: groups[i%2],
 			Work: 10 * time.Millisecond, Cores: 4, Queue: 64, Seed: seed + uint64(i),
 		})
 	}
--- a/internal/testsupport/testkit/testkit.go
+++ b/internal/testsupport/testkit/testkit.go
@@ -25,8 +25,8 @@
 // channelCapacity is the capacity of the channels of the fake peers.
 const channelCapacity = 100
 
-// Small is a configuration with one service, whose static server does not exist.
-const Small = `
+// SmallConfig is a configuration with one service, whose static server does not exist.
+const SmallConfig = `
 protocol = "platform"
 [process]
 drain = { idle = "0s", accept = "0s", most = "1s" }
@@ -105,17 +105,17 @@
 	t.Fatalf("timed out waiting for the condition: %s", what)
 }
 
-// Agent is a fake discovery that sends the lines given by a test.
-type Agent struct {
+// FakeDiscovery is a fake discovery that sends the lines given by a test.
+type FakeDiscovery struct {
 	*httptest.Server
 	Polled chan string   // the request URI of each watch
 	Lines  chan string   // lines to send; "" ends the watch
 	quit   chan struct{} // closed when the test ends
 }
 
-// NewAgent starts an Agent, which is closed when the test ends.
-func NewAgent(t testing.TB) *Agent {
-	a := &Agent{Polled: make(chan string, channelCapacity), Lines: make(chan string, channelCapacity), quit: make(chan struct{})}
+// NewFakeDiscovery starts a FakeDiscovery, which is closed when the test ends.
+func NewFakeDiscovery(t testing.TB) *FakeDiscovery {
+	a := &FakeDiscovery{Polled: make(chan string, channelCapacity), Lines: make(chan string, channelCapacity), quit: make(chan struct{})}
 	a.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		a.Polled <- r.URL.RequestURI()
 		w.WriteHeader(http.StatusOK)
@@ -140,7 +140,7 @@
 }
 
 // Addr returns the address that it listens on.
-func (a *Agent) Addr() string { return a.Listener.Addr().String() }
+func (a *FakeDiscovery) Addr() string { return a.Listener.Addr().String() }
 
 // App is a fake app server that records its requests.
 type App struct {
@@ -186,8 +186,8 @@
 // Addr returns the address that it listens on.
 func (a *App) Addr() string { return a.Listener.Addr().String() }
 
-// Served answers 200 with the request's ID in the body.
-func Served(w http.ResponseWriter, r *http.Request) {
+// AnswerServed answers 200 with the request's ID in the body.
+func AnswerServed(w http.ResponseWriter, r *http.Request) {
 	io.WriteString(w, "served "+r.Header.Get(protocol.HeaderID))
 }
 
@@ -203,8 +203,8 @@
 // Reset closes the connection of a request without an answer.
 func Reset(w http.ResponseWriter, _ *http.Request) { Hijack(w).Close() }
 
-// Never returns a handler that never answers: it blocks until the client disconnects or the test ends.
-func Never(t testing.TB) http.HandlerFunc {
+// BlockUntilCanceled returns a handler that never answers: it blocks until the client disconnects or the test ends.
+func BlockUntilCanceled(t testing.TB) http.HandlerFunc {
 	testEnded := make(chan struct{})
 	t.Cleanup(func() { close(testEnded) })
 	return func(_ http.ResponseWriter, r *http.Request) {
--- a/internal/trials/versionskew/process.go
+++ b/internal/trials/versionskew/process.go
@@ -36,7 +36,7 @@
 // run runs a command of the build and returns its standard output; an error includes all output.
 func (b build) run(ctx context.Context, args ...string) ([]byte, error) {
 	cmd := exec.CommandContext(ctx, b.path, args...)
-	cmd.Env = upgrade.Environment(b.env)
+	cmd.Env = upgrade.FilterEnvironment(b.env)
 	var stdout, stderr bytes.Buffer
 	cmd.Stdout = &stdout
 	cmd.Stderr = &stderr
@@ -71,7 +71,7 @@
 	// The process outlives ctx: it ends by stop, kill or an upgrade.
 	cmd := exec.CommandContext(context.WithoutCancel(ctx), b.path, "serve", "--config", d.config(), "--listen", listen, "--instances", "1", "--instance", "0",
 		"--pid-file", filepath.Join(d.dir, "pid"), "--control", d.client.Path)
-	cmd.Env = upgrade.Environment(b.env)
+	cmd.Env = upgrade.FilterEnvironment(b.env)
 	cmd.Stdout = log
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
--- a/internal/upgrade/successor.go
+++ b/internal/upgrade/successor.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		return nil, err
 	}
-	cmd.Env = append(Environment(p.Env), EnvironmentVariable+"="+string(encoded))
+	cmd.Env = append(FilterEnvironment(p.Env), EnvironmentVariable+"="+string(encoded))
 	cmd.Stdout = os.Stdout
 	cmd.Stderr = os.Stderr
 	if p.Log != nil {
@@ -103,9 +103,9 @@
 	return cmd, nil
 }
 
-// Environment returns env without the variables that are intended only for this process: EnvironmentVariable and those of
+// FilterEnvironment returns env without the variables that are intended only for this process: EnvironmentVariable and those of
 // systemd's socket activation and watchdog.
-func Environment(env []string) []string {
+func FilterEnvironment(env []string) []string {
 	var inherited []string
 	for _, variable := range env {
 		name, _, _ := strings.Cut(variable, "=")
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -73,7 +73,7 @@
 // or ports, which is no failure of the server.
 func (u *Upstream) dialTCP(ctx context.Context, endpoint string) (conn net.Conn, err error) {
 	dialer := net.Dialer{Timeout: u.ConnectTimeout, KeepAlive: -1}
-	err = shortage.Retry(ctx, u.ConnectTimeout, shortage.OfDial, func() (err error) {
+	err = shortage.Retry(ctx, u.ConnectTimeout, shortage.IsDialShortage, func() (err error) {
 		conn, err = dialer.DialContext(ctx, "tcp", endpoint)
 		return err
 	})
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -28,5 +28,5 @@
 // of the app server.
 func isNodeError(err error) bool {
 	isOneOf := func(nodeError error) bool { return errors.Is(err, nodeError) }
-	return slices.ContainsFunc(nodeErrors, isOneOf) || shortage.OfDial(err)
+	return slices.ContainsFunc(nodeErrors, isOneOf) || shortage.IsDialShortage(err)
 }
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -19,7 +19,7 @@
 // newTestUpstream creates an Upstream whose idle connections are evicted when the limit of sockets is reached.
 func newTestUpstream(keepalive time.Duration, sockets *limits.SocketLimiter) *Upstream {
 	upstream := New(Options{ConnectTimeout: testkit.WaitTimeout, KeepAliveTimeout: keepalive, SocketLimiter: sockets})
-	sockets.OnEvict(nil, upstream.Evict)
+	sockets.SetEvictFuncs(nil, upstream.Evict)
 	return upstream
 }
 
--- a/internal/upstream/http1_attempt.go
+++ b/internal/upstream/http1_attempt.go
@@ -35,7 +35,7 @@
 	headScanner          validation.Scanner
 	headBytesLeft        int
 	isReadingBody        bool // the final head has been read
-	lacksContextDeadline bool // ctx has no deadline: AnswerTimeout applies, from the last byte of the request
+	lacksContextDeadline bool // ctx has no deadline: ResponseTimeout applies, from the last byte of the request
 	hasConnDeadline      bool // a deadline is set on the connection
 
 	bodySendEnded    chan struct{} // closed when sending of the body has ended; nil if the body was written with the head
@@ -52,7 +52,7 @@
 // run makes the attempt.
 func (a *http1Attempt) run(ctx, lifetime context.Context) Outcome {
 	a.request.Method = a.RequestMethod
-	a.headScanner.ReadsAnswers = true
+	a.headScanner.ReadsResponses = true
 	a.conn.responses.start(time.Time{}, maxHeadBytes)
 	a.conn.responses.attempt = a
 	a.stopContextWatch = context.AfterFunc(ctx, a.conn.interrupt)
@@ -201,7 +201,7 @@
 		return
 	}
 	if a.isRequestWritten.Load() {
-		a.conn.readBy(time.Now().Add(a.AnswerTimeout))
+		a.conn.readBy(time.Now().Add(a.ResponseTimeout))
 	} else {
 		a.conn.readBy(time.Time{}) // sendBody sets write deadlines of its own
 	}
--- a/internal/upstream/http2_attempt.go
+++ b/internal/upstream/http2_attempt.go
@@ -25,7 +25,7 @@
 	*RelayedRequest
 	stream               *h2.Stream
 	stopContextWatch     func() bool // stops waiting for the context that ends the attempt
-	lacksContextDeadline bool        // ctx has no deadline: AnswerTimeout applies, from the last byte of the request
+	lacksContextDeadline bool        // ctx has no deadline: ResponseTimeout applies, from the last byte of the request
 	trailers             http.Header // trailers of the response: announced names, with their values once they have arrived
 
 	streamsBody      bool          // the body is not written with the head
@@ -168,7 +168,7 @@
 	if lengths := header["Content-Length"]; len(lengths) > 0 {
 		length, _ = strconv.ParseInt(lengths[0], 10, 64) // validated by the connection
 	}
-	if event := a.stream.Ended(); event != nil && event.Err == nil && !a.stream.HasMore() {
+	if event := a.stream.Result(); event != nil && event.Err == nil && !a.stream.HasMore() {
 		return 0 // there is no body, whatever the header states
 	}
 	a.recordTrailerNames(header)
@@ -207,7 +207,7 @@
 	}
 	outcome := Outcome{Reason: control.ResetByPeer, Err: err}
 	unprocessed := control.Reason(0)
-	if event := a.stream.Ended(); event != nil {
+	if event := a.stream.Result(); event != nil {
 		unprocessed = unprocessedReason(*event)
 	}
 	switch {
@@ -224,12 +224,12 @@
 // setHeadDeadline limits the wait for the response, starting now, if ctx has no deadline.
 func (a *http2Attempt) setHeadDeadline() {
 	if a.lacksContextDeadline {
-		a.stream.ReadBy(time.Now().Add(a.AnswerTimeout))
+		a.stream.SetReadDeadline(time.Now().Add(a.ResponseTimeout))
 	}
 }
 
 // extendReadDeadline limits the time of the next read of the response's body.
-func (a *http2Attempt) extendReadDeadline() { a.stream.ReadBy(time.Now().Add(a.IdleTimeout)) }
+func (a *http2Attempt) extendReadDeadline() { a.stream.SetReadDeadline(time.Now().Add(a.IdleTimeout)) }
 
 // sendBody sends the body as it arrives. A client error ends the attempt. A server error is reported by the goroutine
 // that reads the response.
@@ -262,7 +262,7 @@
 
 // writePiece writes one piece of the body.
 func (a *http2Attempt) writePiece(piece []byte) error {
-	a.stream.WriteBy(time.Now().Add(a.IdleTimeout))
+	a.stream.SetWriteDeadline(time.Now().Add(a.IdleTimeout))
 	_, err := a.stream.Write(piece)
 	return err
 }
--- a/internal/upstream/idle_test.go
+++ b/internal/upstream/idle_test.go
@@ -50,7 +50,7 @@
 	app := testkit.NewApp(t, func(w http.ResponseWriter, r *http.Request) {
 		clientAddresses = append(clientAddresses, r.RemoteAddr)
 		if !hijack {
-			testkit.Served(w, r)
+			testkit.AnswerServed(w, r)
 			return
 		}
 		conn := testkit.Hijack(w)
@@ -96,7 +96,7 @@
 
 // TestMissingDescriptorIsNotServerFault checks that an attempt that gets no file descriptor counts as not sent.
 func TestMissingDescriptorIsNotServerFault(t *testing.T) {
-	app := testkit.NewApp(t, testkit.Served)
+	app := testkit.NewApp(t, testkit.AnswerServed)
 	sockets := limits.NewSocketLimiter(0)
 	sockets.SetLimit(0)
 	upstream := newTestUpstream(testkit.WaitTimeout, sockets)
@@ -108,8 +108,8 @@
 // TestIdleConnectionIsEvictedAtSocketLimit checks that at the limit of sockets an idle connection is closed to make room
 // for a new one.
 func TestIdleConnectionIsEvictedAtSocketLimit(t *testing.T) {
-	app := testkit.NewApp(t, testkit.Served)
-	other := testkit.NewApp(t, testkit.Served)
+	app := testkit.NewApp(t, testkit.AnswerServed)
+	other := testkit.NewApp(t, testkit.AnswerServed)
 	sockets := limits.NewSocketLimiter(0)
 	sockets.SetLimit(1)
 	upstream := newTestUpstream(2*testkit.WaitTimeout, sockets)
--- a/internal/upstream/nodelay_test.go
+++ b/internal/upstream/nodelay_test.go
@@ -12,7 +12,7 @@
 // TestServerConnectionsSetNoDelay checks that TCP_NODELAY is set, so that the system does not delay small writes: the
 // last byte of a request would arrive late, and closing a connection with unread bytes would drop it.
 func TestServerConnectionsSetNoDelay(t *testing.T) {
-	app := testkit.NewApp(t, testkit.Served)
+	app := testkit.NewApp(t, testkit.AnswerServed)
 	upstream := newTestUpstream(testkit.WaitTimeout, limits.NewSocketLimiter(1024))
 	for name, offered := range map[string]string{"HTTP/1.1": alpnHTTP1, "HTTP/2": alpnHTTP2} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -8,10 +8,10 @@
 	"lockflow/control"
 )
 
-// SecondAnswerDelay is how long after a response a second one may arrive. The system of a server that does not set
+// SecondResponseDelay is how long after a response a second one may arrive. The system of a server that does not set
 // TCP_NODELAY delays small writes until the previous one is acknowledged, which happens after 40 ms or with the
 // next request.
-const SecondAnswerDelay = 50 * time.Millisecond
+const SecondResponseDelay = 50 * time.Millisecond
 
 // maxConnectionsInQuietPeriod is the number of connections to a server that may be in their quiet period before a
 // request uses one of them early.
--- a/internal/upstream/relayed_request.go
+++ b/internal/upstream/relayed_request.go
@@ -51,7 +51,7 @@
 	ResponseRules    *responseclass.Rules
 	MaxBufferedBytes int           // limit of a buffered response body
 	IdleTimeout      time.Duration // limit for transferring BodyWindowBytes of a body
-	AnswerTimeout    time.Duration // limit from the last byte of the request to the first of the response, if ctx has no deadline
+	ResponseTimeout  time.Duration // limit from the last byte of the request to the first of the response, if ctx has no deadline
 	SendTimeLeft     bool          // adds a header field with the time that the node will wait
 
 	InterimWriter InterimWriter // nil discards interim responses
@@ -96,7 +96,7 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		return timeUntil(deadline)
 	}
-	return r.AnswerTimeout
+	return r.ResponseTimeout
 }
 
 // inlineBody returns a complete body that is small enough to be written together with the head.
--- a/internal/upstream/relayed_request_test.go
+++ b/internal/upstream/relayed_request_test.go
@@ -43,7 +43,7 @@
 			from, body := io.Pipe()
 			request := &RelayedRequest{
 				RequestMethod: http.MethodPost, Target: "/x", Host: "h", ContentLength: -1, Body: retrybuffer.New(from, 0, nil), ResponseRules: &responseclass.Rules{},
-				IdleTimeout: testkit.WaitTimeout, AnswerTimeout: testkit.WaitTimeout,
+				IdleTimeout: testkit.WaitTimeout, ResponseTimeout: testkit.WaitTimeout,
 			}
 			outcome := request.Attempt(context.Background(), context.Background(), upstream, upstream.NewPool(listener.Addr().String(), ProtocolHTTP1))
 			if outcome.Stream == nil {
@@ -80,7 +80,7 @@
 func TestPartialStatusLineIsRejected(t *testing.T) {
 	upstream := newTestUpstream(testkit.WaitTimeout, limits.NewSocketLimiter(1024))
 	pool := upstream.NewPool(startRawServer(t, "HTTP/1.1 200 OHTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\nok", false), ProtocolHTTP1)
-	request := &RelayedRequest{RequestMethod: http.MethodGet, Target: "/x", Host: "h", ContentLength: -1, ResponseRules: &responseclass.Rules{}, MaxBufferedBytes: 100, IdleTimeout: testkit.WaitTimeout, AnswerTimeout: testkit.WaitTimeout}
+	request := &RelayedRequest{RequestMethod: http.MethodGet, Target: "/x", Host: "h", ContentLength: -1, ResponseRules: &responseclass.Rules{}, MaxBufferedBytes: 100, IdleTimeout: testkit.WaitTimeout, ResponseTimeout: testkit.WaitTimeout}
 	if outcome := request.Attempt(t.Context(), t.Context(), upstream, pool); outcome.Reason != control.ResetByPeer || outcome.Status != 0 {
 		t.Errorf("outcome %+v, want a reset without a status", outcome)
 	}
@@ -93,7 +93,7 @@
 	pool := upstream.NewPool(server.Addr(), ProtocolHTTP2)
 	request := &RelayedRequest{
 		RequestMethod: "POST", Target: "/x", Host: "h", Header: http.Header{protocol.HeaderID: {"a"}}, ContentLength: 4,
-		Body: retrybuffer.New(strings.NewReader("body"), 1000, nil), ResponseRules: &responseclass.Rules{}, MaxBufferedBytes: 1000, IdleTimeout: testkit.WaitTimeout, AnswerTimeout: testkit.WaitTimeout,
+		Body: retrybuffer.New(strings.NewReader("body"), 1000, nil), ResponseRules: &responseclass.Rules{}, MaxBufferedBytes: 1000, IdleTimeout: testkit.WaitTimeout, ResponseTimeout: testkit.WaitTimeout,
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
--- a/internal/upstream/second_answer_test.go
+++ b/internal/upstream/second_answer_test.go
@@ -108,8 +108,8 @@
 		server.respond(okResponse)
 	}
 	io.WriteString(conn, secondResponse)
-	server.upstream.QuietPeriod = SecondAnswerDelay
-	time.Sleep(SecondAnswerDelay) // the quiet period has to end
+	server.upstream.QuietPeriod = SecondResponseDelay
+	time.Sleep(SecondResponseDelay) // the quiet period has to end
 	if next := server.startRequest(); next.clientAddress == conn.clientAddress {
 		t.Error("request written on a connection with a pending second response")
 	}
--- a/internal/upstream/shared_connections_test.go
+++ b/internal/upstream/shared_connections_test.go
@@ -76,7 +76,7 @@
 // TestFallbackToHTTP1 checks that HTTP/1.1 is used for the fallback period with a server that does not support HTTP/2,
 // and only if the protocol setting allows it.
 func TestFallbackToHTTP1(t *testing.T) {
-	app := testkit.NewApp(t, testkit.Served)
+	app := testkit.NewApp(t, testkit.AnswerServed)
 	upstream := newHTTP2Upstream(HTTP2Options{})
 	pool := upstream.NewPool(app.Addr(), ProtocolPreferHTTP2)
 	for i := range 3 {
@@ -165,7 +165,7 @@
 func startTLSServer(hasHTTP2 bool, dials *atomic.Int64, proto *atomic.Value) *httptest.Server {
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		proto.Store(r.Proto)
-		testkit.Served(w, r)
+		testkit.AnswerServed(w, r)
 	}))
 	server.EnableHTTP2 = hasHTTP2
 	server.Config.ErrorLog = log.New(io.Discard, "", 0)
--- a/internal/validation/validation.go
+++ b/internal/validation/validation.go
@@ -46,9 +46,9 @@
 // Scanner scans the bytes that one side of a connection sends, in order. Its zero value expects the
 // first byte of a request. It is not safe for concurrent use.
 type Scanner struct {
-	// ReadsAnswers makes the Scanner scan responses instead of requests. It stops after the head of the first
+	// ReadsResponses makes the Scanner scan responses instead of requests. It stops after the head of the first
 	// final response, and after an upgrade.
-	ReadsAnswers bool
+	ReadsResponses bool
 
 	err         error // the first violation
 	state       state
@@ -77,7 +77,7 @@
 }
 
 // Reset makes the scanner expect a new message.
-func (s *Scanner) Reset() { *s = Scanner{ReadsAnswers: s.ReadsAnswers} }
+func (s *Scanner) Reset() { *s = Scanner{ReadsResponses: s.ReadsResponses} }
 
 // Feed scans the next bytes. After an error it returns the same error for all following bytes, because
 // the end of the malformed message is unknown.
@@ -173,7 +173,7 @@
 
 // readStartLine determines the HTTP version, and whether a response is an interim one.
 func (s *Scanner) readStartLine(line []byte) {
-	if s.ReadsAnswers {
+	if s.ReadsResponses {
 		s.isHTTP10 = bytes.HasPrefix(line, []byte("HTTP/1.0"))
 		// No HTTP message follows a 101 (Switching Protocols).
 		s.isInterim = len(line) > 11 && line[9] == '1' && string(line[9:12]) != "101"
@@ -225,9 +225,9 @@
 		s.err = ErrFraming
 	case s.isChunked && s.isHTTP10:
 		s.err = ErrHTTP10TransferEncoding
-	case s.ReadsAnswers && s.isInterim:
+	case s.ReadsResponses && s.isInterim:
 		s.endMessage()
-	case s.ReadsAnswers:
+	case s.ReadsResponses:
 		s.Stop()
 	case s.isChunked:
 		s.state = inChunkSize
--- a/internal/validation/validation_test.go
+++ b/internal/validation/validation_test.go
@@ -67,7 +67,7 @@
 		"HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n":                                                        ErrHTTP10TransferEncoding,
 		"HTTP/1.1 200 OK\r\nA: b\r\n c\r\n\r\n":                                                                        ErrLineFolding,
 	} {
-		s := Scanner{ReadsAnswers: true}
+		s := Scanner{ReadsResponses: true}
 		if err := s.Feed([]byte(text)); !errors.Is(err, want) {
 			t.Errorf("%q: got error %v, want %v", text, err, want)
 		}
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -13,8 +13,8 @@
 // AppendEnd appends the line that ends a reply.
 func AppendEnd(b []byte) []byte { return append(b, "yield\n"...) }
 
-// AppendBailOut appends the line that reports that an instance's module has failed.
-func AppendBailOut(b []byte, instance int, text string) []byte {
+// AppendModuleFailure appends the line that reports that an instance's module has failed.
+func AppendModuleFailure(b []byte, instance int, text string) []byte {
 	return appendText(beginLine(b, "bail_out", instance), text)
 }
 
