--- a/internal/trials/faultnet/faultbuild/faultbuild_test.go
+++ b/internal/trials/faultnet/faultbuild/faultbuild_test.go
@@ -62,17 +62,17 @@
 		t.Fatal(err)
 	}
 	lines := bufio.NewScanner(out)
-	answer := func() string {
+	query := func() string {
 		fmt.Fprintln(in)
 		lines.Scan()
 		return lines.Text()
 	}
-	if got := answer(); !strings.HasPrefix(got, "0s ") || !strings.Contains(got, "refused") {
+	if got := query(); !strings.HasPrefix(got, "0s ") || !strings.Contains(got, "refused") {
 		t.Errorf("without faults: %s", got)
 	}
 	table.StepClock(-time.Hour)
 	table.Fail(Connect, syscall.EADDRNOTAVAIL, 1)
-	if got := answer(); !strings.HasPrefix(got, "-1h0m0s ") || !strings.Contains(got, "cannot assign requested address") {
+	if got := query(); !strings.HasPrefix(got, "-1h0m0s ") || !strings.Contains(got, "cannot assign requested address") {
 		t.Errorf("with faults: %s", got)
 	}
 	if table.Injected(Connect) == 0 {
@@ -80,7 +80,7 @@
 	}
 	table.Heal(Connect)
 	table.StepClock(0)
-	if got := answer(); !strings.HasPrefix(got, "0s ") || !strings.Contains(got, "refused") {
+	if got := query(); !strings.HasPrefix(got, "0s ") || !strings.Contains(got, "refused") {
 		t.Errorf("without faults again: %s", got)
 	}
 	in.Close()
--- a/internal/trials/faultnet/history/exchange.go
+++ b/internal/trials/faultnet/history/exchange.go
@@ -10,19 +10,19 @@
 // Exchanges counts what became of requests: final answers at the clients, effects at the servers,
 // and generations at the members. The zero value is ready; its methods are safe for concurrent use.
 type Exchanges struct {
-	mu          sync.Mutex
-	started     time.Time
-	requests    map[string]*requestOutcome
-	effects     map[string][]string // the servers that had an effect, by its key
-	generations map[string][]Generation
-	wanted      map[string]bool
-	wrong       []string
-	dropped     int
+	mu                sync.Mutex
+	started           time.Time
+	requests          map[string]*requestOutcome
+	effects           map[string][]string // the servers that had an effect, by its key
+	generations       map[string][]Generation
+	wantedGenerations map[string]bool
+	violations        []string
+	dropped           int
 }
 
 type requestOutcome struct {
-	answers []string
-	lost    string // why there was none
+	answers      []string
+	brokenReason string // why there was none
 }
 
 // Generation is what a member ran at a time.
@@ -35,7 +35,7 @@
 	if x.requests == nil {
 		x.started = time.Now()
 		x.requests, x.effects = make(map[string]*requestOutcome), make(map[string][]string)
-		x.generations, x.wanted = make(map[string][]Generation), make(map[string]bool)
+		x.generations, x.wantedGenerations = make(map[string][]Generation), make(map[string]bool)
 	}
 }
 
@@ -53,7 +53,7 @@
 	defer x.mu.Unlock()
 	x.init()
 	if x.requests[id] != nil {
-		x.wrong = append(x.wrong, fmt.Sprintf("request %s: asked twice", id))
+		x.violations = append(x.violations, fmt.Sprintf("request %s: asked twice", id))
 		return
 	}
 	if x.hasCapacity(len(x.requests)) {
@@ -68,16 +68,18 @@
 
 // Broken notes that no answer will come and why: the connection was reset, or the client's time
 // has ended. What a fault on the client's side of the node explains may end so.
-func (x *Exchanges) Broken(id, why string) { x.update(id, func(a *requestOutcome) { a.lost = why }) }
+func (x *Exchanges) Broken(id, reason string) {
+	x.update(id, func(a *requestOutcome) { a.brokenReason = reason })
+}
 
-func (x *Exchanges) update(id string, f func(*requestOutcome)) {
+func (x *Exchanges) update(id string, change func(*requestOutcome)) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.init()
 	if a := x.requests[id]; a != nil {
-		f(a)
+		change(a)
 	} else if x.dropped == 0 {
-		x.wrong = append(x.wrong, fmt.Sprintf("request %s: answered, and never asked", id))
+		x.violations = append(x.violations, fmt.Sprintf("request %s: answered, and never asked", id))
 	}
 }
 
@@ -96,7 +98,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.init()
-	x.wanted[hash] = true
+	x.wantedGenerations[hash] = true
 }
 
 // Reported notes the generation that a member told; one that it told last is noted once.
@@ -125,42 +127,42 @@
 func (x *Exchanges) Check(unanswered func(why string) bool) []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	wrong := slices.Clone(x.wrong)
+	violations := slices.Clone(x.violations)
 	if x.dropped > 0 {
-		wrong = append(wrong, fmt.Sprintf("%d notes more than %d", x.dropped, MaxEntries))
+		violations = append(violations, fmt.Sprintf("%d notes more than %d", x.dropped, MaxEntries))
 	}
 	for id, a := range x.requests {
 		switch n := len(a.answers); {
 		case n > 1:
-			wrong = append(wrong, fmt.Sprintf("request %s: %d final answers: %v", id, n, a.answers))
-		case n == 1 && a.lost != "":
-			wrong = append(wrong, fmt.Sprintf("request %s: answered %s, and broken: %s", id, a.answers[0], a.lost))
-		case n == 0 && (a.lost == "" || unanswered == nil || !unanswered(a.lost)):
-			wrong = append(wrong, fmt.Sprintf("request %s: no final answer: %s", id, a.lost))
+			violations = append(violations, fmt.Sprintf("request %s: %d final answers: %v", id, n, a.answers))
+		case n == 1 && a.brokenReason != "":
+			violations = append(violations, fmt.Sprintf("request %s: answered %s, and broken: %s", id, a.answers[0], a.brokenReason))
+		case n == 0 && (a.brokenReason == "" || unanswered == nil || !unanswered(a.brokenReason)):
+			violations = append(violations, fmt.Sprintf("request %s: no final answer: %s", id, a.brokenReason))
 		}
 	}
-	for key, at := range x.effects {
-		if len(at) > 1 {
-			wrong = append(wrong, fmt.Sprintf("effect %s: %d times, at %v", key, len(at), at))
+	for key, servers := range x.effects {
+		if len(servers) > 1 {
+			violations = append(violations, fmt.Sprintf("effect %s: %d times, at %v", key, len(servers), servers))
 		}
 	}
 	for member, all := range x.generations {
 		for _, g := range all {
-			if len(x.wanted) > 0 && !x.wanted[g.Hash] {
-				wrong = append(wrong, fmt.Sprintf("member %s at %v: generation %s, which nobody wants", member, g.At.Round(time.Millisecond), g.Hash))
+			if len(x.wantedGenerations) > 0 && !x.wantedGenerations[g.Hash] {
+				violations = append(violations, fmt.Sprintf("member %s at %v: generation %s, which nobody wants", member, g.At.Round(time.Millisecond), g.Hash))
 			}
 		}
 	}
-	slices.Sort(wrong)
-	return wrong
+	slices.Sort(violations)
+	return violations
 }
 
 // Wrong notes a violation that was seen at once.
 func (x *Exchanges) Wrong(format string, args ...any) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.init(); x.hasCapacity(len(x.wrong)) {
-		x.wrong = append(x.wrong, fmt.Sprintf(format, args...))
+	if x.init(); x.hasCapacity(len(x.violations)) {
+		x.violations = append(x.violations, fmt.Sprintf(format, args...))
 	}
 }
 
--- a/internal/trials/faultnet/history/history.go
+++ b/internal/trials/faultnet/history/history.go
@@ -21,7 +21,7 @@
 const MaxEntries = 200_000
 
 // checkTime is the timeout of one check.
-const checkTime = 20 * time.Second
+const checkTimeout = 20 * time.Second
 
 // Unknown is the outcome of an operation whose answer was lost: it may have happened then, or
 // later, or never.
@@ -126,11 +126,11 @@
 	m.Partition = nil
 	var illegal, undecided error
 	for _, part := range parts {
-		switch porcupine.CheckOperationsTimeout(m, part, checkTime) {
+		switch porcupine.CheckOperationsTimeout(m, part, checkTimeout) {
 		case porcupine.Illegal:
 			illegal = errors.Join(illegal, fmt.Errorf("no order explains these %d operations:\n%s", len(part), describe(m, part)))
 		case porcupine.Unknown:
-			undecided = errors.Join(undecided, fmt.Errorf("%w: %d operations were not checked within %v", ErrUndecided, len(part), checkTime))
+			undecided = errors.Join(undecided, fmt.Errorf("%w: %d operations were not checked within %v", ErrUndecided, len(part), checkTimeout))
 		}
 	}
 	if illegal != nil {
--- a/internal/trials/faultnet/history/history_test.go
+++ b/internal/trials/faultnet/history/history_test.go
@@ -13,37 +13,37 @@
 type member struct {
 	mu    sync.Mutex
 	name  string
-	seen  MemberState
+	state MemberState
 	fault string
 }
 
-func (m *member) do(op any) any {
+func (m *member) apply(op any) any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch op := op.(type) {
 	case Claim:
-		same := op.Epoch == m.seen.Epoch && (op.Owner == m.seen.Owner || m.fault == "two owners")
-		if op.Epoch > m.seen.Epoch || same || m.fault == "older epoch" {
-			m.seen.Epoch, m.seen.Owner = op.Epoch, op.Owner
+		isSameEpoch := op.Epoch == m.state.Epoch && (op.Owner == m.state.Owner || m.fault == "two owners")
+		if op.Epoch > m.state.Epoch || isSameEpoch || m.fault == "older epoch" {
+			m.state.Epoch, m.state.Owner = op.Epoch, op.Owner
 			return Granted
 		}
 		return Refused
 	case Order:
-		if op.Epoch != m.seen.Epoch && m.fault != "stale order" || op.Owner != m.seen.Owner && m.fault == "" {
+		if op.Epoch != m.state.Epoch && m.fault != "stale order" || op.Owner != m.state.Owner && m.fault == "" {
 			return Stale
 		}
-		if op.ID == m.seen.Order && m.fault != "twice" {
+		if op.ID == m.state.Order && m.fault != "twice" {
 			return AlreadyDone
 		}
-		m.seen.Order = op.ID
+		m.state.Order = op.ID
 		return Done
 	}
-	return m.seen
+	return m.state
 }
 
 // play has coordinators claim, order and look at once, and lose answers, before or after the
 // member has heard.
-func play(h *History, seed uint64, fault string) {
+func runCoordinators(h *History, seed uint64, fault string) {
 	members := []*member{{name: "a"}, {name: "b", fault: fault}, {name: "c"}}
 	var all sync.WaitGroup
 	for c := range 4 {
@@ -64,9 +64,9 @@
 				case 0: // never heard
 					done(Unknown{})
 				case 1: // the answer was lost
-					m.do(op)
+					m.apply(op)
 				default:
-					done(m.do(op))
+					done(m.apply(op))
 				}
 			}
 		})
@@ -80,7 +80,7 @@
 		found := 0
 		for seed := range uint64(20) {
 			var h History
-			play(&h, seed, fault)
+			runCoordinators(&h, seed, fault)
 			if err := h.CheckOwnership(); err != nil {
 				found++
 				if fault == "" || !strings.Contains(err.Error(), "a member: no order explains") {
@@ -161,8 +161,8 @@
 			t.Errorf("%d: want %s in\n%s", i, want, got)
 		}
 	}
-	if asked, answered := x.Counts(); asked != 6 || answered != 4 {
-		t.Error(asked, answered)
+	if requested, answered := x.Counts(); requested != 6 || answered != 4 {
+		t.Error(requested, answered)
 	}
 }
 
--- a/internal/trials/faultnet/history/ownership.go
+++ b/internal/trials/faultnet/history/ownership.go
@@ -86,26 +86,26 @@
 		Init: func() any { return MemberState{} },
 		Step: func(state, input, output any) (bool, any) {
 			s := state.(MemberState)
-			_, lost := output.(Unknown)
+			_, isUnknown := output.(Unknown)
 			if output == Nothing {
 				return true, s
 			}
 			switch op := input.(type) {
 			case Claim:
-				takes := op.Epoch > s.Epoch || op.Epoch == s.Epoch && op.Owner == s.Owner
-				if takes {
+				isGrantable := op.Epoch > s.Epoch || op.Epoch == s.Epoch && op.Owner == s.Owner
+				if isGrantable {
 					s.Epoch, s.Owner = op.Epoch, op.Owner
 				}
-				return lost || output == Granted && takes || output == Refused && !takes, s
+				return isUnknown || output == Granted && isGrantable || output == Refused && !isGrantable, s
 			case Order:
 				switch {
 				case op.Epoch != s.Epoch || op.Owner != s.Owner:
-					return lost || output == Stale, s
+					return isUnknown || output == Stale, s
 				case op.ID == s.Order:
-					return lost || output == AlreadyDone || output == DoneOrAlreadyDone, s
+					return isUnknown || output == AlreadyDone || output == DoneOrAlreadyDone, s
 				}
 				s.Order = op.ID
-				return lost || output == Done || output == DoneOrAlreadyDone, s
+				return isUnknown || output == Done || output == DoneOrAlreadyDone, s
 			case ReadStatus:
 				reported, ok := output.(MemberState)
 				return ok && reported.Epoch == s.Epoch && reported.Owner == s.Owner && (reported.Order == "" || reported.Order == s.Order), s
@@ -126,13 +126,13 @@
 			if !ok {
 				return false, s
 			}
-			takes := op.Epoch > s.Epoch || op.Epoch == s.Epoch && op.Owner == s.Owner
-			switch _, lost := output.(Unknown); {
+			isGrantable := op.Epoch > s.Epoch || op.Epoch == s.Epoch && op.Owner == s.Owner
+			switch _, isUnknown := output.(Unknown); {
 			case output == Refused:
 				return true, s
-			case lost && !takes:
+			case isUnknown && !isGrantable:
 				return true, s
-			case !takes:
+			case !isGrantable:
 				return false, s
 			}
 			return true, MemberState{Epoch: op.Epoch, Owner: op.Owner}
@@ -173,33 +173,33 @@
 	return "", 0, "", ""
 }
 
-func partitionBy(all []porcupine.Operation, key func(porcupine.Operation) string) (parts [][]porcupine.Operation) {
-	place := make(map[string]int)
-	for _, o := range all {
+func partitionBy(operations []porcupine.Operation, key func(porcupine.Operation) string) (parts [][]porcupine.Operation) {
+	indexes := make(map[string]int)
+	for _, o := range operations {
 		k := key(o)
-		at, there := place[k]
-		if !there {
-			at = len(parts)
-			place[k] = at
+		index, ok := indexes[k]
+		if !ok {
+			index = len(parts)
+			indexes[k] = index
 			parts = append(parts, nil)
 		}
-		parts[at] = append(parts[at], o)
+		parts[index] = append(parts[index], o)
 	}
 	return parts
 }
 
 // Filter returns the history of the operations for which is returns true.
-func (h *History) Filter(is func(op any) bool) *History {
-	of := &History{}
+func (h *History) Filter(keep func(op any) bool) *History {
+	filtered := &History{}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	of.started, of.dropped = h.started, h.dropped
+	filtered.started, filtered.dropped = h.started, h.dropped
 	for _, e := range h.entries {
-		if is(e.Op) {
-			of.entries = append(of.entries, e)
+		if keep(e.Op) {
+			filtered.entries = append(filtered.entries, e)
 		}
 	}
-	return of
+	return filtered
 }
 
 // CheckOwnership checks claims, orders and status reads against Members, and acquisitions against Ownership.
--- a/internal/trials/faultnet/link/conn.go
+++ b/internal/trials/faultnet/link/conn.go
@@ -22,7 +22,7 @@
 }
 
 // piece is the result of one read: a chunk of bytes, the end of a direction, or both.
-type piece struct {
+type chunk struct {
 	data []byte
 	at   time.Time // when it was read
 	end  error     // the read error that ended the direction; io.EOF for a regular close
@@ -50,34 +50,34 @@
 
 // reset resets the connection because of a fault and counts it.
 func (c *conn) reset() {
-	c.link.add(func(n *Counts) { n.Resets++ })
+	c.link.updateCounts(func(n *Counts) { n.Resets++ })
 	c.end(true)
 }
 
 // run copies both directions until they have ended.
 func (c *conn) run() {
 	defer c.end(false)
-	var both sync.WaitGroup
-	queues := [2]chan piece{make(chan piece, maxQueuedChunks), make(chan piece, maxQueuedChunks)}
-	both.Go(func() { c.read(c.client, queues[0]) })
-	both.Go(func() {
+	var directions sync.WaitGroup
+	queues := [2]chan chunk{make(chan chunk, maxQueuedChunks), make(chan chunk, maxQueuedChunks)}
+	directions.Go(func() { c.read(c.client, queues[0]) })
+	directions.Go(func() {
 		if !c.dial() {
 			close(c.dialed)
 			return
 		}
 		close(c.dialed)
-		both.Go(func() { c.read(c.server, queues[1]) })
-		both.Go(func() { c.write(0, c.server, queues[0]) })
+		directions.Go(func() { c.read(c.server, queues[1]) })
+		directions.Go(func() { c.write(0, c.server, queues[0]) })
 		c.write(1, c.client, queues[1])
 	})
-	both.Wait()
+	directions.Wait()
 }
 
 // dial connects to the link's target once the forward direction is neither cut nor held. It reports
 // whether the connection is established; on failure the client's connection is reset.
 func (c *conn) dial() bool {
 	for {
-		r := c.link.now()
+		r := c.link.currentRules()
 		if forth := &r.directions[0]; !forth.cut && !forth.hold {
 			break
 		}
@@ -97,28 +97,28 @@
 		}
 	}()
 	network, addr := c.link.target()
-	to, err := (&net.Dialer{}).DialContext(ctx, network, addr)
+	dialedConn, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 	if err != nil {
-		c.link.add(func(n *Counts) { n.Failed++ })
+		c.link.updateCounts(func(n *Counts) { n.Failed++ })
 		c.end(true)
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ended {
-		to.Close()
+		dialedConn.Close()
 		return false
 	}
-	c.server = to
+	c.server = dialedConn
 	return true
 }
 
 // read queues what it reads from one side. The channel's capacity bounds the bytes in flight.
-func (c *conn) read(from net.Conn, to chan<- piece) {
+func (c *conn) read(from net.Conn, to chan<- chunk) {
 	for {
 		data := make([]byte, chunkBytes)
 		n, err := from.Read(data)
-		p := piece{data: data[:n], at: time.Now(), end: err}
+		p := chunk{data: data[:n], at: time.Now(), end: err}
 		select {
 		case to <- p:
 		case <-c.done:
@@ -142,16 +142,16 @@
 
 // write delivers the queued bytes of one direction according to the rules in force, then closes
 // that direction.
-func (c *conn) write(direction int, to net.Conn, from <-chan piece) {
+func (c *conn) write(direction int, to net.Conn, from <-chan chunk) {
 	w := &writer{conn: c, direction: direction, to: to}
 	for {
-		var p piece
+		var p chunk
 		select {
 		case p = <-from:
 		case <-c.done:
 			return
 		}
-		if !w.pass(&p) {
+		if !w.deliver(&p) {
 			return
 		}
 		if p.end != nil {
@@ -162,16 +162,16 @@
 }
 
 // pass delivers or drops a piece. It returns false once the connection has ended.
-func (w *writer) pass(p *piece) bool {
+func (w *writer) deliver(p *chunk) bool {
 	for first := true; first || len(p.data) > 0; first = false {
-		r, ok := w.due(w.direction, p.at, len(p.data) > 0)
+		r, ok := w.awaitDelivery(w.direction, p.at, len(p.data) > 0)
 		if !ok {
 			return false
 		}
-		w.follow(r)
+		w.applyRules(r)
 		rule := &r.directions[w.direction]
 		if w.direction == 1 && len(p.data) > 0 && (r.lost || r.blackhole) && !w.hasDropped {
-			w.lose(len(p.data))
+			w.countLost(len(p.data))
 			if r.lost {
 				w.reset()
 				return false
@@ -182,7 +182,7 @@
 		if rule.cut || w.hasDropped {
 			// A cut drops the end of a direction as it drops its bytes.
 			w.hasDropped = true
-			w.lose(len(p.data))
+			w.countLost(len(p.data))
 			return true
 		}
 		if len(p.data) == 0 {
@@ -196,7 +196,7 @@
 }
 
 // follow applies the current rules. The byte count of a reset goes on if that rule is unchanged.
-func (w *writer) follow(r *rules) {
+func (w *writer) applyRules(r *rules) {
 	if r == w.applied {
 		return
 	}
@@ -213,7 +213,7 @@
 
 // writeSome writes as much of a piece as the rule allows at once. It returns false once the
 // connection has ended.
-func (w *writer) writeSome(p *piece, r *rules, rule *directionRules) bool {
+func (w *writer) writeSome(p *chunk, r *rules, rule *directionRules) bool {
 	n := len(p.data)
 	if rule.limit != nil {
 		n = min(n, burstBytes)
@@ -221,7 +221,7 @@
 	if rule.reset {
 		n = min(n, rule.resetAfter-w.delivered)
 	}
-	if rule.limit != nil && n > 0 && !w.wait(r, rule, n) {
+	if rule.limit != nil && n > 0 && !w.awaitRate(r, rule, n) {
 		return true // the rules have changed
 	}
 	if n > 0 {
@@ -242,7 +242,7 @@
 
 // count adds n delivered bytes to the link's counts.
 func (w *writer) count(n int) {
-	w.link.add(func(s *Counts) {
+	w.link.updateCounts(func(s *Counts) {
 		if w.direction == 0 {
 			s.Forth += int64(n)
 		} else {
@@ -255,7 +255,7 @@
 func (w *writer) finish(end error) {
 	if w.hasDropped {
 		// After a loss a TCP stack would retransmit until the fault is over.
-		w.healed()
+		w.awaitNoDropRules()
 		w.end(true)
 		return
 	}
@@ -267,9 +267,9 @@
 }
 
 // healed waits until no rule drops bytes any more, or the connection has ended.
-func (c *conn) healed() {
+func (c *conn) awaitNoDropRules() {
 	for {
-		r := c.link.now()
+		r := c.link.currentRules()
 		if !r.directions[0].cut && !r.directions[1].cut && !r.lost && !r.blackhole {
 			return
 		}
@@ -281,13 +281,13 @@
 	}
 }
 
-func (c *conn) lose(n int) { c.link.add(func(s *Counts) { s.Lost += int64(n) }) }
+func (c *conn) countLost(n int) { c.link.updateCounts(func(s *Counts) { s.Lost += int64(n) }) }
 
 // due waits until bytes read at the given time may be delivered: while the direction is held, and
 // for its delay. It returns the rules in force at that time, or false once the connection has ended.
-func (c *conn) due(direction int, at time.Time, data bool) (*rules, bool) {
+func (c *conn) awaitDelivery(direction int, at time.Time, data bool) (*rules, bool) {
 	for {
-		r := c.link.now()
+		r := c.link.currentRules()
 		w := &r.directions[direction]
 		if w.cut || direction == 1 && data && (r.lost || r.blackhole) {
 			return r, true // dropped bytes need no delay
@@ -311,7 +311,7 @@
 
 // wait reserves n bytes of the rate limit and waits for them. It returns false, without the
 // reservation, if the rules have changed or the connection has ended meanwhile.
-func (c *conn) wait(r *rules, w *directionRules, n int) bool {
+func (c *conn) awaitRate(r *rules, w *directionRules, n int) bool {
 	reservation := w.limit.ReserveN(time.Now(), n)
 	timer := time.NewTimer(reservation.Delay())
 	defer timer.Stop()
--- a/internal/trials/faultnet/link/link.go
+++ b/internal/trials/faultnet/link/link.go
@@ -26,13 +26,13 @@
 	socketDir    string // directory of a Unix socket; "" for TCP
 	reservedPort int    // descriptor of the socket that reserves the TCP port; -1 is none
 
-	mu       sync.Mutex
-	listener net.Listener // nil while connections are refused
-	rules    *rules
-	conns    map[*conn]bool
-	counts   Counts
-	closed   bool
-	all      sync.WaitGroup
+	mu         sync.Mutex
+	listener   net.Listener // nil while connections are refused
+	rules      *rules
+	conns      map[*conn]bool
+	counts     Counts
+	closed     bool
+	goroutines sync.WaitGroup
 }
 
 // Counts are the totals of a link since it was started.
@@ -77,7 +77,7 @@
 func Listen(to string) (*Link, error) {
 	l := &Link{targetAddr: to, reservedPort: -1, rules: &rules{changed: make(chan struct{})}, conns: make(map[*conn]bool)}
 	var err error
-	if l.unix() {
+	if l.isUnix() {
 		if l.socketDir, err = os.MkdirTemp("", "lf"); err == nil {
 			l.addr = filepath.Join(l.socketDir, "s")
 		}
@@ -85,7 +85,7 @@
 		l.reservedPort, l.addr, err = reservePort()
 	}
 	if err == nil {
-		err = l.open()
+		err = l.startListening()
 	}
 	if err != nil {
 		_ = l.Close() // the first error is the one reported
@@ -94,7 +94,7 @@
 	return l, nil
 }
 
-func (l *Link) unix() bool { return strings.Contains(l.targetAddr, "/") }
+func (l *Link) isUnix() bool { return strings.Contains(l.targetAddr, "/") }
 
 // Addr returns the address at which the link listens; it never changes.
 func (l *Link) Addr() string { return l.addr }
@@ -114,17 +114,17 @@
 	return l.counts
 }
 
-func (l *Link) add(f func(*Counts)) {
+func (l *Link) updateCounts(update func(*Counts)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	f(&l.counts)
+	update(&l.counts)
 }
 
 // Set replaces the faults in force. The byte count of a reset starts again unless that fault is
 // unchanged; rate limits that are unchanged keep their tokens.
-func (l *Link) Set(all ...script.Fault) error {
+func (l *Link) Set(faults ...script.Fault) error {
 	r := &rules{changed: make(chan struct{})}
-	for _, f := range all {
+	for _, f := range faults {
 		if !f.Kind.OfLink() {
 			return fmt.Errorf("a link has no fault %v", f.Kind)
 		}
@@ -138,7 +138,7 @@
 		}
 		for i, direction := range []script.Direction{script.Forth, script.Back} {
 			if f.Direction.Has(direction) {
-				r.directions[i].add(f)
+				r.directions[i].addFault(f)
 			}
 		}
 	}
@@ -160,7 +160,7 @@
 		l.listener = nil
 		return err
 	}
-	return l.open()
+	return l.startListening()
 }
 
 // Heal ends all faults. A connection that lost bytes never delivers any again.
@@ -178,7 +178,7 @@
 }
 
 // add merges a fault into the rules of one direction.
-func (w *directionRules) add(f script.Fault) {
+func (w *directionRules) addFault(f script.Fault) {
 	switch f.Kind {
 	case script.Cut:
 		w.cut = true
@@ -221,7 +221,7 @@
 		c.end(false)
 	}
 	l.mu.Unlock()
-	l.all.Wait()
+	l.goroutines.Wait()
 	if l.reservedPort >= 0 {
 		err = errors.Join(err, releasePort(l.reservedPort))
 		l.reservedPort = -1
@@ -233,21 +233,21 @@
 }
 
 // open starts accepting connections. The caller holds mu or has the only reference to the link.
-func (l *Link) open() error {
-	var at net.Listener
+func (l *Link) startListening() error {
+	var newListener net.Listener
 	var err error
-	if l.unix() {
-		at, err = (&net.ListenConfig{}).Listen(context.Background(), "unix", l.addr)
+	if l.isUnix() {
+		newListener, err = (&net.ListenConfig{}).Listen(context.Background(), "unix", l.addr)
 	} else {
-		at, err = listenOnReservedPort(l.addr)
+		newListener, err = listenOnReservedPort(l.addr)
 	}
 	if err != nil {
 		return err
 	}
-	l.listener = at
-	l.all.Go(func() {
+	l.listener = newListener
+	l.goroutines.Go(func() {
 		for {
-			c, err := at.Accept()
+			c, err := newListener.Accept()
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
@@ -255,14 +255,14 @@
 				time.Sleep(acceptRetryDelay)
 				continue
 			}
-			l.take(c)
+			l.startProxying(c)
 		}
 	})
 	return nil
 }
 
 // take starts proxying an accepted connection.
-func (l *Link) take(from net.Conn) {
+func (l *Link) startProxying(from net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
@@ -272,7 +272,7 @@
 	l.counts.Conns++
 	c := &conn{link: l, client: from, done: make(chan struct{}), dialed: make(chan struct{})}
 	l.conns[c] = true
-	l.all.Go(func() {
+	l.goroutines.Go(func() {
 		c.run()
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -281,7 +281,7 @@
 }
 
 // now returns the rules in force.
-func (l *Link) now() *rules {
+func (l *Link) currentRules() *rules {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rules
@@ -291,7 +291,7 @@
 func (l *Link) target() (network, addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.unix() {
+	if l.isUnix() {
 		return "unix", l.targetAddr
 	}
 	return "tcp", l.targetAddr
--- a/internal/trials/faultnet/link/link_test.go
+++ b/internal/trials/faultnet/link/link_test.go
@@ -20,14 +20,14 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // rig is an echo server, a link to it and a client.
-type rig struct {
+type fixture struct {
 	*Link
 	t     *testing.T
 	got   chan string // what the server received, or "end" for a closed connection
 	conns []net.Conn
 }
 
-func newRig(t *testing.T, network string) *rig {
+func newFixture(t *testing.T, network string) *fixture {
 	addr := "127.0.0.1:0"
 	if network == "unix" {
 		addr = filepath.Join(t.TempDir(), "s")
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, got: make(chan string, 1000)}
+	r := &fixture{t: t, got: make(chan string, 1000)}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -77,7 +77,7 @@
 	return r
 }
 
-func (r *rig) dial() (net.Conn, error) {
+func (r *fixture) dial() (net.Conn, error) {
 	network := "tcp"
 	if strings.Contains(r.Addr(), "/") {
 		network = "unix"
@@ -90,7 +90,7 @@
 	return c, err
 }
 
-func (r *rig) conn() net.Conn {
+func (r *fixture) mustDial() net.Conn {
 	r.t.Helper()
 	c, err := r.dial()
 	if err != nil {
@@ -99,14 +99,14 @@
 	return c
 }
 
-func (r *rig) set(all ...script.Fault) {
+func (r *fixture) set(all ...script.Fault) {
 	r.t.Helper()
 	if err := r.Set(all...); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-func (r *rig) say(c net.Conn, text string) {
+func (r *fixture) send(c net.Conn, text string) {
 	r.t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		r.t.Fatal(err)
@@ -114,9 +114,9 @@
 }
 
 // echo sends a text and expects the same text back.
-func (r *rig) echo(c net.Conn, text string) {
+func (r *fixture) echo(c net.Conn, text string) {
 	r.t.Helper()
-	r.say(c, text)
+	r.send(c, text)
 	if b, err := io.ReadAll(io.LimitReader(c, int64(len(text)))); string(b) != text {
 		r.t.Fatalf("%q came back, %v", b, err)
 	}
@@ -127,13 +127,13 @@
 	}
 }
 
-func (r *rig) until(what string, is func(Counts) bool) {
+func (r *fixture) awaitCounts(what string, is func(Counts) bool) {
 	r.t.Helper()
 	testkit.Until(r.t, what, func() bool { return is(r.Counts()) })
 }
 
 // ended returns how a connection has ended for the client: eof or reset.
-func (r *rig) ended(c net.Conn) string {
+func (r *fixture) closeResult(c net.Conn) string {
 	r.t.Helper()
 	_, err := io.Copy(io.Discard, c)
 	switch {
@@ -146,64 +146,64 @@
 }
 
 // each runs a test over TCP and Unix sockets.
-func each(t *testing.T, f func(t *testing.T, r *rig)) {
+func forEachNetwork(t *testing.T, f func(t *testing.T, r *fixture)) {
 	for _, network := range []string{"tcp", "unix"} {
-		t.Run(network, func(t *testing.T) { f(t, newRig(t, network)) })
+		t.Run(network, func(t *testing.T) { f(t, newFixture(t, network)) })
 	}
 }
 
 // Without faults bytes flow in both directions, a half-close leaves the other direction open, and a
 // reset is passed on.
-func TestPlain(t *testing.T) {
-	each(t, func(t *testing.T, r *rig) {
-		c := r.conn()
+func TestForwardingWithoutFaults(t *testing.T) {
+	forEachNetwork(t, func(t *testing.T, r *fixture) {
+		c := r.mustDial()
 		r.echo(c, "hello")
-		r.say(c, "last")
+		r.send(c, "last")
 		c.(interface{ CloseWrite() error }).CloseWrite()
 		if b, err := io.ReadAll(c); string(b) != "last" || err != nil {
 			t.Errorf("%q, %v", b, err)
 		}
-		none := "127.0.0.1:1"
+		unusedAddr := "127.0.0.1:1"
 		if r.socketDir != "" {
-			none = r.socketDir + "/none"
+			unusedAddr = r.socketDir + "/none"
 		}
-		r.To(none)
+		r.To(unusedAddr)
 		if c, err := r.dial(); err == nil { // otherwise the reset arrived during the dial
-			r.ended(c) // immediately, as the target is gone
+			r.closeResult(c) // immediately, as the target is gone
 		} else if !errors.Is(err, syscall.ECONNRESET) {
 			t.Error(err)
 		}
-		r.until("all is counted", func(n Counts) bool { return n == Counts{Failed: 1, Conns: 2, Forth: 9, Back: 9} })
+		r.awaitCounts("all is counted", func(n Counts) bool { return n == Counts{Failed: 1, Conns: 2, Forth: 9, Back: 9} })
 	})
 }
 
 // A cut drops bytes and keeps the connection; a connection that lost bytes delivers none afterwards,
 // in either direction.
 func TestCut(t *testing.T) {
-	each(t, func(t *testing.T, r *rig) {
-		forth, back, spared := r.conn(), r.conn(), r.conn()
-		for _, c := range []net.Conn{forth, back, spared} {
+	forEachNetwork(t, func(t *testing.T, r *fixture) {
+		forth, back, untouched := r.mustDial(), r.mustDial(), r.mustDial()
+		for _, c := range []net.Conn{forth, back, untouched} {
 			r.echo(c, "up")
 		}
 		r.set(script.Fault{Kind: script.Cut, Direction: script.Forth})
-		r.say(forth, "gone")
-		r.until("lost", func(n Counts) bool { return n.Lost == 4 })
-		during := r.conn()
+		r.send(forth, "gone")
+		r.awaitCounts("lost", func(n Counts) bool { return n.Lost == 4 })
+		during := r.mustDial()
 		r.set(script.Fault{Kind: script.Cut, Direction: script.Back})
-		r.say(back, "heard")
+		r.send(back, "heard")
 		if got := testkit.Next(t, r.got); got != "heard" {
 			t.Errorf("the server got %q", got)
 		}
-		r.until("lost", func(n Counts) bool { return n.Lost == 9 })
+		r.awaitCounts("lost", func(n Counts) bool { return n.Lost == 9 })
 		if err := r.Heal(); err != nil {
 			t.Fatal(err)
 		}
-		r.echo(spared, "still")
+		r.echo(untouched, "still")
 		r.echo(during, "late")
-		r.say(forth, "never")
-		r.until("lost", func(n Counts) bool { return n.Lost == 14 })
-		r.say(back, "heard")
-		r.until("lost", func(n Counts) bool { return n.Lost == 19 })
+		r.send(forth, "never")
+		r.awaitCounts("lost", func(n Counts) bool { return n.Lost == 14 })
+		r.send(back, "heard")
+		r.awaitCounts("lost", func(n Counts) bool { return n.Lost == 19 })
 		if n := r.Counts(); n.Resets != 0 {
 			t.Errorf("%+v", n)
 		}
@@ -216,12 +216,12 @@
 
 // Held bytes are delivered once the fault ends; delayed bytes arrive in order, with their delays
 // overlapping; a rate limit delivers bytes at its rate.
-func TestTimes(t *testing.T) {
-	each(t, func(t *testing.T, r *rig) {
-		c := r.conn()
+func TestDelays(t *testing.T) {
+	forEachNetwork(t, func(t *testing.T, r *fixture) {
+		c := r.mustDial()
 		r.echo(c, "up")
 		r.set(script.Fault{Kind: script.Hold})
-		r.say(c, "held")
+		r.send(c, "held")
 		select {
 		case got := <-r.got:
 			t.Errorf("the server got %q", got)
@@ -229,25 +229,25 @@
 		}
 		r.set(script.Fault{Kind: script.Late, Direction: script.Forth, Delay: 20 * time.Millisecond},
 			script.Fault{Kind: script.Slow, Direction: script.Back, Rate: 2000})
-		begun := time.Now()
+		started := time.Now()
 		r.echo(c, "") // nothing
 		if got := testkit.Next(t, r.got); got != "held" {
 			t.Errorf("the server got %q", got)
 		}
-		r.say(c, strings.Repeat("x", 160))
+		r.send(c, strings.Repeat("x", 160))
 		if b, err := io.ReadAll(io.LimitReader(c, 164)); len(b) != 164 {
 			t.Errorf("%q, %v", b, err)
 		}
-		if took := time.Since(begun); took < 60*time.Millisecond { // a delay of 20 ms, and 100 bytes beyond the burst at 2000 a second
-			t.Errorf("in %v", took)
+		if elapsed := time.Since(started); elapsed < 60*time.Millisecond { // a delay of 20 ms, and 100 bytes beyond the burst at 2000 a second
+			t.Errorf("in %v", elapsed)
 		}
 	})
 }
 
 // A connection is reset after a number of bytes of one direction, a response is lost after its
 // request was delivered, and new connections are refused while old ones stay open.
-func TestBreaks(t *testing.T) {
-	each(t, func(t *testing.T, r *rig) {
+func TestResetsAndRefusals(t *testing.T) {
+	forEachNetwork(t, func(t *testing.T, r *fixture) {
 		want := "reset"
 		if r.socketDir != "" { // Unix sockets have no reset
 			want = "eof"
@@ -260,10 +260,10 @@
 			{script.Fault{Kind: script.Reset, Direction: script.Back, Bytes: 4}, "abcdef", "abcd"},
 			{script.Fault{Kind: script.Lost}, "abcdef", ""},
 		} {
-			c := r.conn()
+			c := r.mustDial()
 			r.echo(c, "up")
 			r.set(f.fault)
-			r.say(c, "abcdef")
+			r.send(c, "abcdef")
 			var b bytes.Buffer
 			if _, err := io.Copy(&b, c); (want == "reset") != errors.Is(err, syscall.ECONNRESET) || b.Len() > len(f.came) {
 				t.Errorf("%v: %q, %v", f.fault, &b, err)
@@ -276,7 +276,7 @@
 			}
 			r.set()
 		}
-		c := r.conn()
+		c := r.mustDial()
 		r.echo(c, "up")
 		r.set(script.Fault{Kind: script.Refuse})
 		if _, err := r.dial(); !errors.Is(err, syscall.ECONNREFUSED) && !errors.Is(err, syscall.ENOENT) {
@@ -284,18 +284,18 @@
 		}
 		r.echo(c, "stays")
 		r.set(script.Fault{Kind: script.Blackhole})
-		r.echo(r.conn(), "")
-		r.say(c, "asked")
+		r.echo(r.mustDial(), "")
+		r.send(c, "asked")
 		if got := testkit.Next(t, r.got); got != "asked" {
 			t.Errorf("the server got %q", got)
 		}
-		r.until("lost", func(n Counts) bool { return n.Lost == 6+5 })
+		r.awaitCounts("lost", func(n Counts) bool { return n.Lost == 6+5 })
 		r.Break()
-		if got := r.ended(c); got != want {
+		if got := r.closeResult(c); got != want {
 			t.Errorf("broken: %s", got)
 		}
 		r.set()
-		r.echo(r.conn(), "again")
+		r.echo(r.mustDial(), "again")
 		if err := r.Set(script.Fault{Kind: script.Kill}); err == nil {
 			t.Error("a link was killed")
 		}
@@ -303,10 +303,10 @@
 }
 
 // The bytes buffered in a link are bounded: a writer blocks once the other end does not read.
-func TestBound(t *testing.T) {
-	r := newRig(t, "tcp")
+func TestBufferedBytesAreBounded(t *testing.T) {
+	r := newFixture(t, "tcp")
 	r.set(script.Fault{Kind: script.Hold})
-	c := r.conn()
+	c := r.mustDial()
 	c.(*net.TCPConn).SetWriteBuffer(1 << 10)
 	c.SetWriteDeadline(time.Now().Add(200 * time.Millisecond))
 	n, err := c.Write(make([]byte, 64<<20))
--- a/internal/trials/faultnet/link/port.go
+++ b/internal/trials/faultnet/link/port.go
@@ -20,15 +20,15 @@
 	if err == nil {
 		err = unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
 	}
-	var at unix.Sockaddr
+	var bound unix.Sockaddr
 	if err == nil {
-		at, err = unix.Getsockname(fd)
+		bound, err = unix.Getsockname(fd)
 	}
 	if err != nil {
 		_ = unix.Close(fd) // the first error is the one reported
 		return -1, "", fmt.Errorf("a socket that holds a port: %w", err)
 	}
-	return fd, fmt.Sprintf("127.0.0.1:%d", at.(*unix.SockaddrInet4).Port), nil
+	return fd, fmt.Sprintf("127.0.0.1:%d", bound.(*unix.SockaddrInet4).Port), nil
 }
 
 // releasePort ends a reservation.
--- a/internal/trials/faultnet/play.go
+++ b/internal/trials/faultnet/play.go
@@ -71,18 +71,18 @@
 	if p.Before != nil {
 		p.Before(st)
 	}
-	for i, all := range st.Links {
-		if err := p.Links[i].Set(all...); err != nil {
+	for i, faults := range st.Links {
+		if err := p.Links[i].Set(faults...); err != nil {
 			e.Err = errors.Join(e.Err, fmt.Errorf("link %d: %w", i, err))
 		}
 	}
 	var procs sync.WaitGroup
 	var mu sync.Mutex
-	for i, all := range st.Procs {
+	for i, faults := range st.Procs {
 		down := p.down[i]
-		p.down[i] = has(all, script.Kill)
+		p.down[i] = hasKind(faults, script.Kill)
 		procs.Go(func() { // a kill waits for the end
-			if err := applyFaults(p.Procs[i], down, all); err != nil {
+			if err := applyFaults(p.Procs[i], down, faults); err != nil {
 				mu.Lock()
 				defer mu.Unlock()
 				e.Err = errors.Join(e.Err, fmt.Errorf("process %d: %w", i, err))
@@ -100,8 +100,8 @@
 	return true
 }
 
-func has(all []Fault, k script.Kind) bool {
-	for _, f := range all {
+func hasKind(faults []Fault, k script.Kind) bool {
+	for _, f := range faults {
 		if f.Kind == k {
 			return true
 		}
@@ -110,21 +110,21 @@
 }
 
 // applyFaults puts exactly these faults in force on a process. down tells whether a fault has killed it.
-func applyFaults(p *Process, down bool, all []Fault) error {
+func applyFaults(p *Process, down bool, faults []Fault) error {
 	var clockOffset time.Duration
-	for _, f := range all {
+	for _, f := range faults {
 		if f.Kind == script.Clock {
 			clockOffset += f.Delay
 		}
 	}
 	var err error
 	if p.State != "" {
-		err = errors.Join(p.SetFull(has(all, script.Full)), p.SetReadOnly(has(all, script.ReadOnly)))
+		err = errors.Join(p.SetFull(hasKind(faults, script.Full)), p.SetReadOnly(hasKind(faults, script.ReadOnly)))
 	}
 	if p.ClockEnv != "" || p.OnClock != nil {
 		err = errors.Join(err, p.SetClock(clockOffset))
 	}
-	switch killed := has(all, script.Kill); {
+	switch killed := hasKind(faults, script.Kill); {
 	case killed:
 		return errors.Join(err, p.Kill())
 	case down:
@@ -132,7 +132,7 @@
 	case !p.Runs(): // it ended by itself, which its starter notices
 		return err
 	}
-	if has(all, script.Pause) {
+	if hasKind(faults, script.Pause) {
 		return errors.Join(err, p.Pause())
 	}
 	return errors.Join(err, p.Continue())
@@ -182,9 +182,9 @@
 		}
 	}
 	err := p.Heal()
-	all := p.Events()
-	for _, e := range all {
+	events := p.Events()
+	for _, e := range events {
 		err = errors.Join(err, e.Err)
 	}
-	return all, err
+	return events, err
 }
--- a/internal/trials/faultnet/play_test.go
+++ b/internal/trials/faultnet/play_test.go
@@ -19,7 +19,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // state is R, S or T of a process, as ps has it; "" where it does not run.
-func state(p *Process) string {
+func processState(p *Process) string {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID()))
 	_, rest, _ := strings.Cut(string(raw), ") ")
 	if !p.Runs() || rest == "" {
@@ -29,32 +29,32 @@
 }
 
 // isSo tells whether a link refuses, and a process runs and is stopped.
-func isSo(l *Link, p *Process, refused, runs, stopped bool) bool {
+func isInState(l *Link, p *Process, refused, runs, stopped bool) bool {
 	c, err := net.Dial("tcp", l.Addr())
 	if err == nil {
 		c.Close()
 	}
-	is := state(p)
+	is := processState(p)
 	return (err != nil) == refused && (is != "") == runs && (is == "T") == stopped
 }
 
 // echoServer gives the address of a server that sends back what comes, until the test ends.
 func echoServer(t *testing.T) string {
-	echo, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { echo.Close() })
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			c, err := echo.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() { io.Copy(c, c); c.Close() }()
 		}
 	}()
-	return echo.Addr().String()
+	return listener.Addr().String()
 }
 
 // Each step has what is in force then befall its link or process, overlaps too; a player that
@@ -79,19 +79,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	look := func(step string, refused, runs, stopped bool) {
+	awaitState := func(step string, refused, runs, stopped bool) {
 		t.Helper()
-		testkit.Until(t, step, func() bool { return isSo(l, p, refused, runs, stopped) })
+		testkit.Until(t, step, func() bool { return isInState(l, p, refused, runs, stopped) })
 	}
 	for name, cut := range map[string]int{"whole": 6, "cut short": 2} {
 		pl, err := NewPlayer(s, []*Link{l}, []*Process{p})
 		if err != nil {
 			t.Fatal(err)
 		}
-		heard := 0
-		pl.Before = func(script.Step) { heard++ }
+		callbacks := 0
+		pl.Before = func(script.Step) { callbacks++ }
 		pl.Done = func(e Event) {
-			if heard++; e.Err != nil {
+			if callbacks++; e.Err != nil {
 				t.Error(e)
 			}
 		}
@@ -106,12 +106,12 @@
 			if !pl.Next() {
 				t.Fatal("there was no step", i)
 			}
-			look(fmt.Sprint(name, i), want.refused, want.runs, want.stopped)
+			awaitState(fmt.Sprint(name, i), want.refused, want.runs, want.stopped)
 		}
-		if err := pl.Heal(); err != nil || pl.Next() || heard != 2*cut {
-			t.Errorf("%s: %v, heard %d", name, err, heard)
+		if err := pl.Heal(); err != nil || pl.Next() || callbacks != 2*cut {
+			t.Errorf("%s: %v, heard %d", name, err, callbacks)
 		}
-		look(name, false, true, false)
+		awaitState(name, false, true, false)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	s.For, s.Entries = time.Hour, []Entry{{To: time.Hour, Fault: Fault{Kind: script.Pause}}}
@@ -123,7 +123,7 @@
 	if events, err := pl.Play(ctx); err != nil || len(events) != 1 {
 		t.Errorf("%v, %v", events, err)
 	}
-	look("after a play that was ended", false, true, false)
+	awaitState("after a play that was ended", false, true, false)
 	s.Procs = 2
 	if _, err := Play(t.Context(), s, []*Link{l}, []*Process{p}); err == nil {
 		t.Error("a script of more processes than there are")
--- a/internal/trials/faultnet/process/disk.go
+++ b/internal/trials/faultnet/process/disk.go
@@ -26,7 +26,7 @@
 		return nil
 	}
 	p.full = full
-	if !p.runs() {
+	if !p.isRunning() {
 		return nil
 	}
 	return p.limit(full)
@@ -81,7 +81,7 @@
 // startBounded starts a command without CAP_DAC_OVERRIDE, so that file modes apply to root too. It
 // drops the capability from the bounding set of one thread, starts the command there and lets the
 // thread exit.
-func startBounded(cmd *exec.Cmd) error {
+func startWithoutDACOverride(cmd *exec.Cmd) error {
 	if os.Geteuid() != 0 {
 		return cmd.Start()
 	}
@@ -108,7 +108,7 @@
 		if err != nil {
 			continue
 		}
-		if !isRunningIn(string(raw), pgid) {
+		if !isRunningInGroup(string(raw), pgid) {
 			continue
 		}
 		if pid, err := strconv.Atoi(filepath.Base(filepath.Dir(path))); err == nil {
@@ -119,7 +119,7 @@
 }
 
 // isRunningIn reports whether a line of /proc/PID/stat is of a running process of a group.
-func isRunningIn(stat string, pgid int) bool {
+func isRunningInGroup(stat string, pgid int) bool {
 	// The form is "pid (name) state ppid pgrp ..."; the name may contain any character.
 	nameEnd := strings.LastIndexByte(stat, ')')
 	if nameEnd < 0 {
--- a/internal/trials/faultnet/process/process.go
+++ b/internal/trials/faultnet/process/process.go
@@ -56,7 +56,7 @@
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.runs() {
+	if p.isRunning() {
 		return ErrRuns
 	}
 	cmd := p.command()
@@ -111,7 +111,7 @@
 	cmd.Stdout = out
 	cmd.Stderr = out
 	if p.State != "" {
-		err = startBounded(cmd)
+		err = startWithoutDACOverride(cmd)
 	} else {
 		err = cmd.Start()
 	}
@@ -134,7 +134,7 @@
 func (discard) Close() error                { return nil }
 
 // runs reports whether any process of the group runs. The caller holds mu.
-func (p *Process) runs() bool {
+func (p *Process) isRunning() bool {
 	if p.cmd == nil {
 		return false
 	}
@@ -170,7 +170,7 @@
 func (p *Process) Runs() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.runs()
+	return p.isRunning()
 }
 
 // Signal sends a signal to the process and its successors. It returns ErrNone if none of them runs.
@@ -182,7 +182,7 @@
 
 // signal is Signal; the caller holds mu.
 func (p *Process) signal(s syscall.Signal) error {
-	if !p.runs() {
+	if !p.isRunning() {
 		return ErrNone
 	}
 	// The kernel doesn't reuse the id of a group that has a running process.
--- a/internal/trials/faultnet/process/process_test.go
+++ b/internal/trials/faultnet/process/process_test.go
@@ -19,13 +19,13 @@
 // to a file of its state directory and prints the result.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("WRITER_STATE"); dir != "" {
-		write(dir)
+		runWriter(dir)
 		return
 	}
 	os.Exit(m.Run())
 }
 
-func write(dir string) {
+func runWriter(dir string) {
 	parent := os.Getppid() // read first, so that the process also ends if the test is killed
 	fmt.Println("up, clock", os.Getenv("WRITER_CLOCK"))
 	for os.Getppid() == parent {
@@ -36,8 +36,8 @@
 			continue
 		}
 		err = renameio.WriteFile(filepath.Join(dir, "state"), raw, 0o600)
-		was, readErr := os.ReadFile(filepath.Join(dir, "state"))
-		fmt.Printf("%s: wrote %v, reads %q %v\n", raw, err, was, readErr)
+		contents, readErr := os.ReadFile(filepath.Join(dir, "state"))
+		fmt.Printf("%s: wrote %v, reads %q %v\n", raw, err, contents, readErr)
 		if err := os.Truncate(filepath.Join(dir, "ask"), 0); err != nil {
 			fmt.Println(err)
 		}
@@ -70,16 +70,16 @@
 	}
 	log := func() string { raw, _ := os.ReadFile(p.Log); return string(raw) }
 	n := 0
-	ask := func(want ...string) {
+	requestWrite := func(want ...string) {
 		t.Helper()
 		n++
 		must(os.WriteFile(filepath.Join(dir, "ask"), fmt.Appendf(nil, "q%d", n), 0o600))
-		at := fmt.Sprintf("q%d: wrote ", n)
-		testkit.Until(t, at, func() bool { _, line, ok := strings.Cut(log(), at); return ok && strings.Contains(line, "\n") })
-		_, line, _ := strings.Cut(log(), at)
+		prefix := fmt.Sprintf("q%d: wrote ", n)
+		testkit.Until(t, prefix, func() bool { _, line, ok := strings.Cut(log(), prefix); return ok && strings.Contains(line, "\n") })
+		_, line, _ := strings.Cut(log(), prefix)
 		for _, w := range want {
 			if !strings.Contains(line, w) {
-				t.Errorf("%s%s has no %q", at, line, w)
+				t.Errorf("%s%s has no %q", prefix, line, w)
 			}
 		}
 	}
@@ -91,15 +91,15 @@
 	if err := p.Start(); !errors.Is(err, ErrRuns) {
 		t.Errorf("a second start: %v", err)
 	}
-	ask("<nil>", `reads "q1" <nil>`)
+	requestWrite("<nil>", `reads "q1" <nil>`)
 	must(p.SetFull(true))
-	ask("file too large", `reads "q1" <nil>`)
+	requestWrite("file too large", `reads "q1" <nil>`)
 	must(p.SetFull(false))
-	ask("<nil>", `reads "q3"`)
+	requestWrite("<nil>", `reads "q3"`)
 	must(p.SetReadOnly(true))
-	ask("permission denied", `reads "q3" <nil>`)
+	requestWrite("permission denied", `reads "q3" <nil>`)
 	must(p.SetReadOnly(false))
-	ask("<nil>", `reads "q5"`)
+	requestWrite("<nil>", `reads "q5"`)
 	must(p.Pause())
 	testkit.Until(t, "stopped", func() bool {
 		raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID()))
@@ -112,7 +112,7 @@
 	must(p.SetFull(true))
 	must(p.SetClock(time.Hour))
 	must(p.Start())
-	ask("file too large")
+	requestWrite("file too large")
 	must(p.Stop(testkit.WaitTimeout))
 	ctx, cancel := context.WithTimeout(t.Context(), testkit.WaitTimeout)
 	defer cancel()
--- a/internal/trials/faultnet/script/script_test.go
+++ b/internal/trials/faultnet/script/script_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-var every = Spec{Links: 3, Procs: 2, For: 4 * time.Second, Faults: 12, ProcKinds: []Kind{Kill, Pause, Full, ReadOnly, Clock}}
+var allFaultKinds = Spec{Links: 3, Procs: 2, For: 4 * time.Second, Faults: 12, ProcKinds: []Kind{Kill, Pause, Full, ReadOnly, Clock}}
 
 // The same seed draws the same script, which is valid and equals its parsed text; its steps are in
 // order and leave no fault in force.
@@ -18,30 +18,30 @@
 	rapid.Check(t, func(t *rapid.T) {
 		o := Spec{
 			Links: rapid.IntRange(0, 4).Draw(t, "links"), Procs: rapid.IntRange(0, 4).Draw(t, "procs"),
-			For: time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "for")), Faults: rapid.IntRange(0, 20).Draw(t, "faults"), ProcKinds: every.ProcKinds,
+			For: time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "for")), Faults: rapid.IntRange(0, 20).Draw(t, "faults"), ProcKinds: allFaultKinds.ProcKinds,
 		}
 		seed := rapid.Uint64().Draw(t, "seed")
 		s := Draw(seed, o)
 		if err := s.Check(); err != nil {
 			t.Fatalf("%v\n%v", err, s)
 		}
-		back, err := Parse(s.String())
-		if err != nil || !reflect.DeepEqual(back, s) || !reflect.DeepEqual(Draw(seed, o), s) {
-			t.Fatalf("%v\n%v\n%v", err, s, back)
+		parsed, err := Parse(s.String())
+		if err != nil || !reflect.DeepEqual(parsed, s) || !reflect.DeepEqual(Draw(seed, o), s) {
+			t.Fatalf("%v\n%v\n%v", err, s, parsed)
 		}
 		var at time.Duration = -1
-		force := make(map[bool]map[int][]Fault)
-		force[true], force[false] = make(map[int][]Fault), make(map[int][]Fault)
+		inForce := make(map[bool]map[int][]Fault)
+		inForce[true], inForce[false] = make(map[int][]Fault), make(map[int][]Fault)
 		for _, st := range s.Steps() {
 			if st.At <= at {
 				t.Fatalf("a step at %v after %v", st.At, at)
 			}
 			at = st.At
 			for i, all := range st.Links {
-				force[true][i] = all
+				inForce[true][i] = all
 			}
 			for i, all := range st.Procs {
-				force[false][i] = all
+				inForce[false][i] = all
 			}
 			n := 0
 			for _, e := range s.Entries {
@@ -50,7 +50,7 @@
 					n++
 				}
 			}
-			for _, places := range force {
+			for _, places := range inForce {
 				for _, all := range places {
 					n -= len(all)
 				}
@@ -67,23 +67,23 @@
 
 // An invalid text is rejected with one error that names the line.
 func TestParse(t *testing.T) {
-	const head = "faults seed=1 links=1 procs=1 for=2s\n"
+	const header = "faults seed=1 links=1 procs=1 for=2s\n"
 	for _, tc := range []struct{ text, want string }{
 		{"", "line 0: no faults"},
 		{"link 0 0s..1s cut both", "line 1: "},
 		{"faults seed=1 links=-1 procs=1 for=2s", "line 1: -1 links"},
-		{head + "\n# why\nlink 1 0s..1s cut both", "line 4: fault 1: cut on number 1 of 1"},
-		{head + "link 0 1s..1s cut both", "from 1s to 1s"},
-		{head + "link 0 0s..3s cut both", "from 0s to 3s in 2s"},
-		{head + "link 0 0s-1s cut both", "is not from..to"},
-		{head + "link 0 0s..1s kill", `a link has no fault "kill"`},
-		{head + "proc 0 0s..1s cut", `a proc has no fault "cut"`},
-		{head + "link 0 0s..1s cut", "cut needs a way"},
-		{head + "link 0 0s..1s cut up", `"up" is none of both`},
-		{head + "link 0 0s..1s late both", "late takes 1 figures"},
-		{head + "link 0 0s..1s slow both 0", "its figures are off"},
-		{head + "link 0 0s..1s reset both x", "invalid syntax"},
-		{head + "link 0 0s..1s refuse back", "refuse takes 0 figures"},
+		{header + "\n# why\nlink 1 0s..1s cut both", "line 4: fault 1: cut on number 1 of 1"},
+		{header + "link 0 1s..1s cut both", "from 1s to 1s"},
+		{header + "link 0 0s..3s cut both", "from 0s to 3s in 2s"},
+		{header + "link 0 0s-1s cut both", "is not from..to"},
+		{header + "link 0 0s..1s kill", `a link has no fault "kill"`},
+		{header + "proc 0 0s..1s cut", `a proc has no fault "cut"`},
+		{header + "link 0 0s..1s cut", "cut needs a way"},
+		{header + "link 0 0s..1s cut up", `"up" is none of both`},
+		{header + "link 0 0s..1s late both", "late takes 1 figures"},
+		{header + "link 0 0s..1s slow both 0", "its figures are off"},
+		{header + "link 0 0s..1s reset both x", "invalid syntax"},
+		{header + "link 0 0s..1s refuse back", "refuse takes 0 figures"},
 		{strings.Repeat("#", maxTextBytes+1), "bytes"},
 	} {
 		if _, err := Parse(tc.text); err == nil || !strings.Contains(err.Error(), tc.want) {
@@ -93,15 +93,15 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(Draw(3, every).String())
+	f.Add(Draw(3, allFaultKinds).String())
 	f.Add("faults seed=1 links=1 procs=1 for=2s\nproc 0 0s..1s clock -1h # why")
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := Parse(text)
 		if err != nil {
 			return
 		}
-		again, err := Parse(s.String())
-		if err != nil || again.String() != s.String() || s.Check() != nil {
+		reparsed, err := Parse(s.String())
+		if err != nil || reparsed.String() != s.String() || s.Check() != nil {
 			t.Errorf("%v: %q -> %q, %v", err, text, s, s.Check())
 		}
 	})
@@ -110,7 +110,7 @@
 // A script is reduced to the two faults that matter, as short and mild as still fail, within the
 // limit of runs and deterministically.
 func TestShrink(t *testing.T) {
-	o := every
+	o := allFaultKinds
 	o.Faults = 40
 	for seed := range uint64(50) {
 		// It fails if a fault that drops bytes from server to client overlaps a kill of process 1.
@@ -129,11 +129,11 @@
 			continue
 		}
 		runs := 0
-		least := ShrinkWithRuns(s, 300, func(s Script) bool { runs++; return fails(s) })
-		if again := ShrinkWithRuns(s, 300, fails); !fails(least) || len(least.Entries) != 2 || runs > 300 || !reflect.DeepEqual(again, least) {
-			t.Fatalf("seed %d, %d runs:\n%v", seed, runs, least)
+		shrunk := ShrinkWithRuns(s, 300, func(s Script) bool { runs++; return fails(s) })
+		if repeated := ShrinkWithRuns(s, 300, fails); !fails(shrunk) || len(shrunk.Entries) != 2 || runs > 300 || !reflect.DeepEqual(repeated, shrunk) {
+			t.Fatalf("seed %d, %d runs:\n%v", seed, runs, shrunk)
 		}
-		for _, e := range least.Entries {
+		for _, e := range shrunk.Entries {
 			if e.To-e.From > 2*step || e.Kind.OfLink() && e.Direction != Back {
 				t.Errorf("seed %d: %v could be less", seed, e)
 			}
--- a/internal/trials/faultnet/script/shrink.go
+++ b/internal/trials/faultnet/script/shrink.go
@@ -16,7 +16,7 @@
 // halves before single ones (delta debugging), then shortens and weakens the remaining ones.
 func ShrinkWithRuns(s Script, runs int, fails func(Script) bool) Script {
 	sh := shrinker{script: s, runs: runs, fails: fails}
-	sh.leaveOut()
+	sh.removeEntries()
 	for sh.runs > 0 && sh.reduceFaults() {
 	}
 	sh.script.sort()
@@ -46,7 +46,7 @@
 }
 
 // leaveOut removes entries until none can be removed any more or no runs remain.
-func (sh *shrinker) leaveOut() {
+func (sh *shrinker) removeEntries() {
 	for before := -1; before != len(sh.script.Entries) && sh.runs > 0; {
 		before = len(sh.script.Entries)
 		for size := len(sh.script.Entries); size > 0; size /= 2 {
--- a/internal/trials/faultnet/script/text.go
+++ b/internal/trials/faultnet/script/text.go
@@ -56,40 +56,40 @@
 	if len(text) > maxTextBytes {
 		return s, fmt.Errorf("a script of %d bytes, %d are allowed", len(text), maxTextBytes)
 	}
-	headed := false
-	n := 0
+	hasHeader := false
+	lineNumber := 0
 	for line := range strings.Lines(text) {
-		n++
+		lineNumber++
 		line, _, _ = strings.Cut(line, "#")
 		words := strings.Fields(line)
 		if len(words) == 0 {
 			continue
 		}
 		var err error
-		if !headed {
-			headed = true
-			err = s.head(words)
+		if !hasHeader {
+			hasHeader = true
+			err = s.parseHeader(words)
 		} else {
 			err = s.addEntry(words)
 		}
 		if err != nil {
-			return Script{}, fmt.Errorf("line %d: %w", n, err)
+			return Script{}, fmt.Errorf("line %d: %w", lineNumber, err)
 		}
 	}
-	if !headed {
-		return s, fmt.Errorf("line %d: no %s", n, headForm)
+	if !hasHeader {
+		return s, fmt.Errorf("line %d: no %s", lineNumber, headerForm)
 	}
 	s.sort()
 	return s, nil
 }
 
 // headForm is the form of a script's header line, for errors.
-const headForm = "faults seed=.. links=.. procs=.. for=.."
+const headerForm = "faults seed=.. links=.. procs=.. for=.."
 
 // head parses the header line.
-func (s *Script) head(words []string) (err error) {
+func (s *Script) parseHeader(words []string) (err error) {
 	if words[0] != "faults" || len(words) != 5 {
-		return fmt.Errorf("%q is not %s", strings.Join(words, " "), headForm)
+		return fmt.Errorf("%q is not %s", strings.Join(words, " "), headerForm)
 	}
 	for i, key := range []string{"seed", "links", "procs", "for"} {
 		name, value, _ := strings.Cut(words[i+1], "=")
@@ -115,7 +115,7 @@
 
 // addEntry parses and checks the line of one fault.
 func (s *Script) addEntry(words []string) error {
-	e, err := entry(words)
+	e, err := parseEntry(words)
 	if err != nil {
 		return err
 	}
@@ -125,7 +125,7 @@
 }
 
 // entry parses the line of one fault.
-func entry(words []string) (e Entry, err error) {
+func parseEntry(words []string) (e Entry, err error) {
 	if len(words) < 4 || words[0] != "link" && words[0] != "proc" {
 		return e, fmt.Errorf("%q is not link or proc, number, from..to, fault", strings.Join(words, " "))
 	}
--- a/internal/trials/faultnet/traffic/conn.go
+++ b/internal/trials/faultnet/traffic/conn.go
@@ -75,7 +75,7 @@
 		}
 		c.conn = conn
 	}
-	c.in = bufio.NewReader(&patientReader{c, time.Now().Add(c.MaxTimeout)})
+	c.in = bufio.NewReader(&timeoutReader{c, time.Now().Add(c.MaxTimeout)})
 	c.conn.SetWriteDeadline(time.Now().Add(c.MaxTimeout))
 	if err := writeRequest(c.conn, request); err != nil {
 		return nil, err
@@ -98,17 +98,17 @@
 }
 
 // patientReader reads from a connection until its timeout has passed.
-type patientReader struct {
+type timeoutReader struct {
 	*Conn
-	until time.Time
+	deadline time.Time
 }
 
-func (r *patientReader) Read(b []byte) (int, error) {
+func (r *timeoutReader) Read(b []byte) (int, error) {
 	for {
 		r.conn.SetReadDeadline(time.Now().Add(r.FaultTimeout))
 		n, err := r.conn.Read(b)
 		isTimeout := errors.Is(err, os.ErrDeadlineExceeded)
-		if n > 0 || !isTimeout || r.IsFaultPossible(r.dialedAt) || time.Now().After(r.until) {
+		if n > 0 || !isTimeout || r.IsFaultPossible(r.dialedAt) || time.Now().After(r.deadline) {
 			return n, err
 		}
 	}
--- a/internal/trials/faultnet/traffic/faults.go
+++ b/internal/trials/faultnet/traffic/faults.go
@@ -9,11 +9,11 @@
 // ready; its methods are safe for concurrent use.
 type Faults[Part comparable] struct {
 	mu     sync.Mutex
-	byPart map[Part]interval
+	byPart map[Part]faultTimes
 }
 
 // interval is the time in which faults affected one part.
-type interval struct {
+type faultTimes struct {
 	active  int       // faults in force
 	lastEnd time.Time // when one ended last
 }
@@ -23,7 +23,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.byPart == nil {
-		f.byPart = make(map[Part]interval)
+		f.byPart = make(map[Part]faultTimes)
 	}
 	i := f.byPart[part]
 	i.active++
@@ -34,7 +34,7 @@
 func (f *Faults[Part]) End(part Part) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.byPart[part] = interval{active: f.byPart[part].active - 1, lastEnd: time.Now()}
+	f.byPart[part] = faultTimes{active: f.byPart[part].active - 1, lastEnd: time.Now()}
 }
 
 // IsPossible tells whether a fault may have affected a part since a time.
--- a/internal/trials/faultnet/trial/clients.go
+++ b/internal/trials/faultnet/trial/clients.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	excusedReadTimeout     = 3 * time.Second  // of a client that may have met a fault; above each class's deadline
+	faultReadTimeout       = 3 * time.Second  // of a client that may have met a fault; above each class's deadline
 	maxReadTimeout         = 20 * time.Second // of all other clients
-	maxPause               = 10 * time.Millisecond
+	maxThinkTime           = 10 * time.Millisecond
 	maxBufferedAnswerBytes = 64 << 10 // the node buffers answers up to this size, which are complete or missing
 )
 
@@ -35,8 +35,8 @@
 func (r *run) client(node, n int) *client {
 	c := &client{run: r, node: node, number: n, rng: rand.New(rand.NewPCG(r.options.Script.Seed, uint64(node*1000+n)))}
 	c.conn = traffic.Conn{
-		Addr:            func() string { return r.front(node) },
-		FaultTimeout:    excusedReadTimeout,
+		Addr:            func() string { return r.clientAddr(node) },
+		FaultTimeout:    faultReadTimeout,
 		MaxTimeout:      maxReadTimeout,
 		IsFaultPossible: func(dialedAt time.Time) bool { return r.isClientFaultPossible(node, dialedAt) },
 	}
@@ -66,12 +66,12 @@
 }
 
 // work sends until ctx ends.
-func (c *client) work(ctx context.Context) {
+func (c *client) sendRequests(ctx context.Context) {
 	defer c.conn.Close()
 	for ctx.Err() == nil {
 		c.send(c.drawRequest())
 		select {
-		case <-time.After(time.Duration(c.rng.Int64N(int64(maxPause)))):
+		case <-time.After(time.Duration(c.rng.Int64N(int64(maxThinkTime)))):
 		case <-ctx.Done():
 		}
 	}
@@ -79,24 +79,24 @@
 
 // send sends a request and records its outcome. It returns the server that served it, or "".
 func (c *client) send(q request) string {
-	c.notes.Requested(q.id)
+	c.exchanges.Requested(q.id)
 	sent := time.Now()
 	status, server, err := c.exchange(q)
 	c.lastOutcome = fmt.Sprintf("%s %s: %d in %v, %v", q.id, q.path, status, time.Since(sent).Round(time.Millisecond), err)
 	if err == nil {
-		c.notes.Answered(q.id, strconv.Itoa(status))
-		c.answered(c.node, q, status, c.isClientFaultPossible(c.node, c.conn.DialedAt()))
+		c.exchanges.Answered(q.id, strconv.Itoa(status))
+		c.checkAnswer(c.node, q, status, c.isClientFaultPossible(c.node, c.conn.DialedAt()))
 		return server
 	}
 	c.conn.Close()
-	why := "unexplained: "
+	reason := "unexplained: "
 	switch {
 	case c.isClientFaultPossible(c.node, c.conn.DialedAt()):
-		why = ""
+		reason = ""
 	case errors.Is(err, errShort) && q.answer > maxBufferedAnswerBytes && c.isUpstreamFaultPossible(c.node, c.conn.DialedAt()):
-		why = ""
+		reason = ""
 	}
-	c.notes.Broken(q.id, fmt.Sprintf("%s%s of %d bytes, answer of %d, after %v on a connection of %v: %v", why, q.method, q.body, q.answer,
+	c.exchanges.Broken(q.id, fmt.Sprintf("%s%s of %d bytes, answer of %d, after %v on a connection of %v: %v", reason, q.method, q.body, q.answer,
 		time.Since(sent).Round(time.Millisecond), time.Since(c.conn.DialedAt()).Round(time.Millisecond), err))
 	return ""
 }
@@ -107,7 +107,7 @@
 // exchange sends a request and checks the content of its answer.
 func (c *client) exchange(q request) (status int, server string, err error) {
 	if unread := c.conn.Unread(); unread > 0 {
-		c.notes.Wrong("node %d: %d bytes came behind an answer, before request %s", c.node, unread, q.id)
+		c.exchanges.Wrong("node %d: %d bytes came behind an answer, before request %s", c.node, unread, q.id)
 		c.conn.Close()
 	}
 	resp, err := c.conn.Send(traffic.Request{ //nolint:bodyclose // it is read to its end from a connection of our own
@@ -122,10 +122,10 @@
 		return 0, "", fmt.Errorf("%w: %d bytes: %w", errShort, n, err)
 	}
 	if resp.StatusCode == http.StatusOK {
-		want := crc32.NewIEEE()
-		_, _ = io.Copy(want, fake.PatternReader(q.answer))
-		if got := resp.Header.Get(traffic.IDField); got != q.id || n != q.answer || sum.Sum32() != want.Sum32() {
-			c.notes.Wrong("request %s: an answer to %q of %d bytes instead of %d, or with others in it", q.id, got, n, q.answer)
+		expected := crc32.NewIEEE()
+		_, _ = io.Copy(expected, fake.PatternReader(q.answer))
+		if got := resp.Header.Get(traffic.IDField); got != q.id || n != q.answer || sum.Sum32() != expected.Sum32() {
+			c.exchanges.Wrong("request %s: an answer to %q of %d bytes instead of %d, or with others in it", q.id, got, n, q.answer)
 		}
 	}
 	if resp.Close {
--- a/internal/trials/faultnet/trial/owners.go
+++ b/internal/trials/faultnet/trial/owners.go
@@ -17,7 +17,7 @@
 )
 
 // owners is how many coordinators claim the nodes at once.
-const owners = 2
+const ownerCount = 2
 
 // claimInterval bounds how often a coordinator claims: what a history holds has to be checked in
 // seconds.
@@ -40,7 +40,7 @@
 // coordinate goes on until ctx ends.
 func (w *owner) coordinate(ctx context.Context) {
 	for ctx.Err() == nil {
-		w.runRound(ctx, w.epoch(), true)
+		w.runRound(ctx, w.nextEpoch(), true)
 		select {
 		case <-time.After(claimInterval/2 + time.Duration(w.rng.Int64N(int64(claimInterval)))):
 		case <-ctx.Done():
@@ -49,13 +49,13 @@
 }
 
 // epoch is one that is newer than all that were told; another coordinator may choose the same.
-func (r *run) epoch() uint64 {
+func (r *run) nextEpoch() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.newestEpoch + 1
 }
 
-func (r *run) noteEpoch(e uint64) {
+func (r *run) observeEpoch(e uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.newestEpoch = max(r.newestEpoch, e)
@@ -63,26 +63,26 @@
 
 // send is one round; it gives how many nodes have carried the order out. linked has it go by the
 // links.
-func (w *owner) runRound(ctx context.Context, epoch uint64, linked bool) int {
+func (w *owner) runRound(ctx context.Context, epoch uint64, viaLink bool) int {
 	w.round++
-	own := w.ownership.Call(w.number, history.Acquire{Epoch: epoch, Owner: w.name})
+	recordAcquire := w.ownership.Call(w.number, history.Acquire{Epoch: epoch, Owner: w.name})
 	granted := make([]bool, w.options.Nodes)
 	n := w.forEachNode(func(i int) bool {
-		granted[i] = w.claim(ctx, i, epoch, linked)
+		granted[i] = w.claim(ctx, i, epoch, viaLink)
 		return granted[i]
 	})
 	if 2*n <= w.options.Nodes {
-		own(history.Refused)
+		recordAcquire(history.Refused)
 		return 0
 	}
-	own(history.Granted)
+	recordAcquire(history.Granted)
 	text := fmt.Sprintf("%s\n# as %s wants it, round %d\n", w.texts[0], w.name, w.round)
 	return w.forEachNode(func(i int) bool {
 		if !granted[i] {
 			return false
 		}
 		text := strings.Replace(text, w.texts[0], w.texts[i], 1)
-		return w.order(ctx, i, epoch, text, linked)
+		return w.sendCommand(ctx, i, epoch, text, viaLink)
 	})
 }
 
@@ -103,8 +103,8 @@
 	return n
 }
 
-func (w *owner) member(i int, linked bool) manage.Client {
-	if linked {
+func (w *owner) member(i int, viaLink bool) manage.Client {
+	if viaLink {
 		return manage.Client{Path: w.link(i, 1).Addr()}
 	}
 	return manage.Client{Path: w.control(i)}
@@ -112,8 +112,8 @@
 
 // controlTimeout is how long a node has for an answer: over a link faults may keep it for ever, else only busy
 // cores are in its way.
-func controlTimeout(linked bool) time.Duration {
-	if linked {
+func controlTimeout(viaLink bool) time.Duration {
+	if viaLink {
 		return controlCallTimeout
 	}
 	return recoveryTimeout
@@ -121,35 +121,35 @@
 
 func member(i int) string { return fmt.Sprint("node-", i) }
 
-func (w *owner) claim(ctx context.Context, i int, epoch uint64, linked bool) bool {
-	ctx, cancel := context.WithTimeout(ctx, controlTimeout(linked))
+func (w *owner) claim(ctx context.Context, i int, epoch uint64, viaLink bool) bool {
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout(viaLink))
 	defer cancel()
 	done := w.ownership.Call(w.number, history.Claim{Member: member(i), Epoch: epoch, Owner: w.name})
-	s, err := w.member(i, linked).Claim(ctx, manage.Claim{Epoch: epoch, Owner: w.name})
+	s, err := w.member(i, viaLink).Claim(ctx, manage.Claim{Epoch: epoch, Owner: w.name})
 	switch refused := (manage.RejectedError{}); {
 	case err == nil:
-		w.noteEpoch(max(epoch, s.Epoch))
+		w.observeEpoch(max(epoch, s.Epoch))
 		done(history.Granted)
 		return true
 	case errors.Is(err, manage.ErrStale):
-		w.noteEpoch(epoch)
+		w.observeEpoch(epoch)
 		done(history.Refused)
 	case errors.As(err, &refused):
 		done(history.Nothing)
-		w.mayRefuse(i, refused)
+		w.checkRejection(i, refused)
 	}
 	return false // and unknown, where there was no answer
 }
 
 // order orders settings, and asks again by the same id where the answer is lost.
-func (w *owner) order(ctx context.Context, i int, epoch uint64, text string, linked bool) bool {
+func (w *owner) sendCommand(ctx context.Context, i int, epoch uint64, text string, viaLink bool) bool {
 	id := fmt.Sprintf("%s/%d/%d", w.name, epoch, w.round)
-	o := manage.Command{Epoch: epoch, Owner: w.name, ID: id, Operation: manage.Operation{Kind: desiredstate.KindSettings, Text: text, Hash: desiredstate.Hash([]byte(text))}}
-	w.notes.WantGeneration(o.Operation.Hash)
+	command := manage.Command{Epoch: epoch, Owner: w.name, ID: id, Operation: manage.Operation{Kind: desiredstate.KindSettings, Text: text, Hash: desiredstate.Hash([]byte(text))}}
+	w.exchanges.WantGeneration(command.Operation.Hash)
 	for range 3 {
-		one, cancel := context.WithTimeout(ctx, controlTimeout(linked))
+		callCtx, cancel := context.WithTimeout(ctx, controlTimeout(viaLink))
 		done := w.ownership.Call(w.number, history.Order{Member: member(i), Epoch: epoch, Owner: w.name, ID: id})
-		_, err := w.member(i, linked).RunCommand(one, o)
+		_, err := w.member(i, viaLink).RunCommand(callCtx, command)
 		cancel()
 		switch refused := (manage.RejectedError{}); {
 		case err == nil:
@@ -163,7 +163,7 @@
 			return false
 		case errors.As(err, &refused):
 			done(history.Nothing)
-			w.mayRefuse(i, refused)
+			w.checkRejection(i, refused)
 		}
 		select {
 		case <-time.After(pollInterval):
@@ -175,25 +175,25 @@
 }
 
 // mayRefuse notes a refusal that no fault of a script explains.
-func (w *owner) mayRefuse(i int, r manage.RejectedError) {
+func (w *owner) checkRejection(i int, r manage.RejectedError) {
 	switch r.Code {
 	case desiredstate.CodeBusy, desiredstate.CodeNotSaved:
 	case "": // of no command: the node ends, or the request was malformed
 	default:
-		w.notes.Wrong("node %d refuses an owner: %s: %s", i, r.Code, r.Message)
+		w.exchanges.Wrong("node %d refuses an owner: %s: %s", i, r.Code, r.Message)
 	}
 }
 
 // settle has one owner bring all nodes to one state, once no fault is in force any more.
-func (r *run) settle(ctx context.Context) {
+func (r *run) converge(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
-	w := r.owner(owners)
-	for w.runRound(ctx, r.epoch(), false) < r.options.Nodes {
+	w := r.owner(ownerCount)
+	for w.runRound(ctx, r.nextEpoch(), false) < r.options.Nodes {
 		select {
 		case <-time.After(pollInterval):
 		case <-ctx.Done():
-			r.notes.Wrong("the nodes do not all come to one state: %v", ctx.Err())
+			r.exchanges.Wrong("the nodes do not all come to one state: %v", ctx.Err())
 			return
 		}
 	}
@@ -201,7 +201,7 @@
 		s, err := w.member(i, false).Status(ctx)
 		raw, fileErr := os.ReadFile(filepath.Join(r.dir(i), "lockflow.toml"))
 		if err != nil || fileErr != nil || s.ConfigHash != desiredstate.Hash(raw) || s.DesiredState.Hash != s.ConfigHash || s.Owner != w.name {
-			r.notes.Wrong("node %d: runs %s by %s, wants %s, its file is %s; %v, %v", i, s.ConfigHash, s.Owner, s.DesiredState.Hash, desiredstate.Hash(raw), err, fileErr)
+			r.exchanges.Wrong("node %d: runs %s by %s, wants %s, its file is %s; %v, %v", i, s.ConfigHash, s.Owner, s.DesiredState.Hash, desiredstate.Hash(raw), err, fileErr)
 		}
 		r.countStartedCommands(i)
 	}
@@ -209,7 +209,7 @@
 	case errors.Is(err, history.ErrUndecided):
 		r.undecided = err.Error()
 	case err != nil:
-		r.notes.Wrong("ownership: %v", err)
+		r.exchanges.Wrong("ownership: %v", err)
 	}
 }
 
@@ -218,17 +218,17 @@
 func (r *run) countStartedCommands(i int) {
 	raw, err := os.ReadFile(r.procs[i].Log)
 	if err != nil {
-		r.notes.Wrong("node %d: %v", i, err)
+		r.exchanges.Wrong("node %d: %v", i, err)
 	}
 	started := 0
 	for line := range strings.Lines(string(raw)) {
 		if _, rest, ok := strings.Cut(line, `msg="command started" id=`); ok {
 			id, _, _ := strings.Cut(rest, " ")
-			r.notes.Effect(member(i)+" "+id, member(i))
+			r.exchanges.Effect(member(i)+" "+id, member(i))
 			started++
 		}
 	}
 	if started == 0 {
-		r.notes.Wrong("node %d: its log has no command that was started", i)
+		r.exchanges.Wrong("node %d: its log has no command that was started", i)
 	}
 }
--- a/internal/trials/faultnet/trial/servers.go
+++ b/internal/trials/faultnet/trial/servers.go
@@ -20,23 +20,23 @@
 // servers are the fake servers of a trial. They drop repeats of an idempotency key as one group, and record each
 // effect.
 type servers struct {
-	notes *history.Exchanges
-	work  time.Duration
-	all   []*traffic.Server
-	addrs []string
+	exchanges *history.Exchanges
+	workTime  time.Duration
+	all       []*traffic.Server
+	addrs     []string
 
 	mu      sync.Mutex
 	keys    map[string]bool
 	effects map[string]bool // by ids of writes
 }
 
-func startServers(n int, work time.Duration, notes *history.Exchanges) (*servers, error) {
-	s := &servers{notes: notes, work: work, keys: make(map[string]bool), effects: make(map[string]bool)}
+func startServers(n int, workTime time.Duration, exchanges *history.Exchanges) (*servers, error) {
+	s := &servers{exchanges: exchanges, workTime: workTime, keys: make(map[string]bool), effects: make(map[string]bool)}
 	for i := range n {
 		name := "server-" + strconv.Itoa(i)
 		server, err := traffic.StartServer(
 			func(w http.ResponseWriter, r *http.Request) { s.serve(name, w, r) },
-			func(err error) { notes.Wrong("%s has ended: %v", name, err) },
+			func(err error) { exchanges.Wrong("%s has ended: %v", name, err) },
 		)
 		if err != nil {
 			s.close()
@@ -68,10 +68,10 @@
 		s.effects[id] = true
 		s.mu.Unlock()
 		if !isRepeat {
-			s.notes.Effect(id, name)
+			s.exchanges.Effect(id, name)
 		}
 	}
-	time.Sleep(s.work)
+	time.Sleep(s.workTime)
 	w.Header().Set(fieldServer, name)
 	traffic.WriteAnswer(w, r)
 }
--- a/internal/trials/faultnet/trial/sides.go
+++ b/internal/trials/faultnet/trial/sides.go
@@ -15,7 +15,7 @@
 }
 
 // explainedSide returns the side that a fault affects. ok is false if it affects no requests.
-func (r *run) explainedSide(e script.Entry) (side, bool) {
+func (r *run) affectedSide(e script.Entry) (side, bool) {
 	switch {
 	case !e.Kind.OfLink():
 		return side{node: e.On}, e.Kind == script.Kill || e.Kind == script.Pause
@@ -32,7 +32,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range st.Begins {
-		if s, ok := r.explainedSide(e); ok {
+		if s, ok := r.affectedSide(e); ok {
 			r.faults.Begin(s)
 		}
 		if e.Kind == script.Kill {
@@ -49,7 +49,7 @@
 		}
 	}
 	for _, e := range ev.Step.Ends {
-		s, ok := r.explainedSide(e)
+		s, ok := r.affectedSide(e)
 		if !ok {
 			continue
 		}
@@ -59,7 +59,7 @@
 				p := r.procs[e.On]
 				starts := p.Starts()
 				if err := r.awaitReady(context.Background(), e.On); err != nil && p.Runs() && p.Starts() == starts {
-					r.notes.Wrong("node %d: %v; %s", e.On, err, r.tail(e.On))
+					r.exchanges.Wrong("node %d: %v; %s", e.On, err, r.logTail(e.On))
 				}
 				r.faults.End(s)
 			})
--- a/internal/trials/faultnet/trial/trial.go
+++ b/internal/trials/faultnet/trial/trial.go
@@ -68,7 +68,7 @@
 const (
 	startTimeout       = 30 * time.Second
 	recoveryTimeout    = 60 * time.Second
-	serverWork         = 2 * time.Millisecond
+	serverWorkTime     = 2 * time.Millisecond
 	controlInterval    = 15 * time.Millisecond
 	controlCallTimeout = 2 * time.Second
 	pollInterval       = 2 * time.Millisecond
@@ -92,20 +92,20 @@
 
 // run is the state of a running trial.
 type run struct {
-	options Options
-	notes   *history.Exchanges
-	servers *servers
-	links   []*faultnet.Link
-	procs   []*faultnet.Process
-	starts  sync.WaitGroup
-	faults  traffic.Faults[side]
+	options   Options
+	exchanges *history.Exchanges
+	servers   *servers
+	links     []*faultnet.Link
+	procs     []*faultnet.Process
+	starts    sync.WaitGroup
+	faults    traffic.Faults[side]
 
 	mu             sync.Mutex
 	status         map[int]int // of answers
 	controlCalls   int
 	controlReplies int
 	kills          int
-	checks         int
+	servingChecks  int
 	newestEpoch    uint64 // epoch in any reply
 
 	ownership history.History
@@ -116,7 +116,7 @@
 // Run runs a trial of one script. It returns an error if the trial could not be run; violated rules
 // are in the report.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	r := &run{options: o, notes: &history.Exchanges{}, status: make(map[int]int)}
+	r := &run{options: o, exchanges: &history.Exchanges{}, status: make(map[int]int)}
 	player, err := faultnet.NewPlayer(o.Script, make([]*faultnet.Link, Links(o.Nodes, o.Servers)), make([]*faultnet.Process, o.Nodes))
 	if err != nil {
 		return nil, err
@@ -129,38 +129,38 @@
 	rep := &Report{Seed: o.Script.Seed, Faults: len(o.Script.Entries), StartDuration: time.Since(started)}
 	player.Links, player.Procs, player.Before, player.Done = r.links, r.procs, r.beforeStep, r.afterStep
 
-	sending, stop := context.WithCancel(ctx)
+	loadCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	var all sync.WaitGroup
+	var loadGoroutines sync.WaitGroup
 	for i := range o.Nodes {
 		for n := range o.Clients {
 			c := r.client(i, n)
-			all.Go(func() { c.work(sending) })
+			loadGoroutines.Go(func() { c.sendRequests(loadCtx) })
 		}
-		all.Go(func() { r.callControl(sending, i) })
+		loadGoroutines.Go(func() { r.callControl(loadCtx, i) })
 	}
-	for n := range owners {
-		all.Go(func() { r.owner(n).coordinate(sending) })
+	for n := range ownerCount {
+		loadGoroutines.Go(func() { r.owner(n).coordinate(loadCtx) })
 	}
 	events, err := player.Play(ctx)
-	healed := time.Now()
+	healedAt := time.Now()
 	r.starts.Wait()
 	for i := range o.Nodes {
 		if err := r.awaitServing(ctx, i); err != nil {
-			r.notes.Wrong("node %d does not serve again: %v; %s", i, err, r.tail(i))
+			r.exchanges.Wrong("node %d does not serve again: %v; %s", i, err, r.logTail(i))
 		}
 	}
-	rep.RecoveryTime = time.Since(healed)
+	rep.RecoveryTime = time.Since(healedAt)
 	stop()
-	all.Wait()
+	loadGoroutines.Wait()
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
 	if err != nil {
 		return nil, fmt.Errorf("carrying the script out: %w", err)
 	}
-	r.judge()
-	r.settle(ctx)
+	r.checkNodesAfterFaults()
+	r.converge(ctx)
 	r.report(rep)
 	for _, e := range events {
 		rep.Events = append(rep.Events, e.String())
@@ -170,9 +170,9 @@
 
 // report counts what came of the trial.
 func (r *run) report(rep *Report) {
-	rep.Wrong = r.notes.Check(func(why string) bool { return !strings.HasPrefix(why, "unexplained") })
-	rep.Requests, rep.Answered = r.notes.Counts()
-	rep.Effects = r.notes.Effects()
+	rep.Wrong = r.exchanges.Check(func(why string) bool { return !strings.HasPrefix(why, "unexplained") })
+	rep.Requests, rep.Answered = r.exchanges.Counts()
+	rep.Effects = r.exchanges.Effects()
 	rep.Undecided = r.undecided
 	rep.Broken = rep.Requests - rep.Answered
 	rep.Served, rep.ControlCalls, rep.ControlReplies, rep.Kills = r.status[200], r.controlCalls, r.controlReplies, r.kills
@@ -193,7 +193,7 @@
 
 // start starts all, and waits until it serves.
 func (r *run) start(ctx context.Context) (err error) {
-	if r.servers, err = startServers(r.options.Servers, serverWork, r.notes); err != nil {
+	if r.servers, err = startServers(r.options.Servers, serverWorkTime, r.exchanges); err != nil {
 		return err
 	}
 	for i := range r.options.Nodes {
@@ -202,22 +202,22 @@
 		if err := os.MkdirAll(state, 0o700); err != nil {
 			return fmt.Errorf("a trial: %w", err)
 		}
-		to := append([]string{unusedAddr, r.control(i)}, r.servers.addrs...)
-		var list []string
-		for n, addr := range to {
+		targets := append([]string{unusedAddr, r.control(i)}, r.servers.addrs...)
+		var entries []string
+		for n, addr := range targets {
 			l, err := faultnet.Listen(addr)
 			if err != nil {
 				return err
 			}
 			r.links = append(r.links, l)
 			if n >= 2 {
-				list = append(list, fmt.Sprintf("{ uid = \"server-%d\", endpoint = %q }", n-2, l.Addr()))
+				entries = append(entries, fmt.Sprintf("{ uid = \"server-%d\", endpoint = %q }", n-2, l.Addr()))
 			}
 		}
 		file := filepath.Join(dir, "lockflow.toml")
-		text := strings.NewReplacer("@servers", strings.Join(list, ", "), "@control", r.control(i), "@state", state).Replace(config)
+		text := strings.NewReplacer("@servers", strings.Join(entries, ", "), "@control", r.control(i), "@state", state).Replace(config)
 		r.texts = append(r.texts, text)
-		r.notes.WantGeneration(desiredstate.Hash([]byte(text)))
+		r.exchanges.WantGeneration(desiredstate.Hash([]byte(text)))
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			return fmt.Errorf("a trial: %w", err)
 		}
@@ -229,10 +229,10 @@
 	}
 	for i := range r.options.Nodes {
 		if err := r.awaitReady(ctx, i); err != nil {
-			return fmt.Errorf("node %d: %w; %s", i, err, r.tail(i))
+			return fmt.Errorf("node %d: %w; %s", i, err, r.logTail(i))
 		}
 		if err := r.awaitServing(ctx, i); err != nil {
-			return fmt.Errorf("node %d: %w; %s", i, err, r.tail(i))
+			return fmt.Errorf("node %d: %w; %s", i, err, r.logTail(i))
 		}
 	}
 	return nil
@@ -248,7 +248,7 @@
 func (r *run) link(node, at int) *faultnet.Link { return r.links[node*(2+r.options.Servers)+at] }
 
 // front is where clients find a node.
-func (r *run) front(node int) string { return r.link(node, 0).Addr() }
+func (r *run) clientAddr(node int) string { return r.link(node, 0).Addr() }
 
 func (r *run) close() {
 	for _, p := range r.procs {
@@ -289,13 +289,13 @@
 	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	r.mu.Lock()
-	r.checks++
-	c := r.client(i, r.options.Clients+r.checks) // with ids of its own
+	r.servingChecks++
+	c := r.client(i, r.options.Clients+r.servingChecks) // with ids of its own
 	r.mu.Unlock()
 	defer c.conn.Close()
-	for well := make(map[string]bool); len(well) < 3; {
-		if q := c.drawRequest(); !well[q.path] && c.send(q) != "" {
-			well[q.path] = true
+	for servedPaths := make(map[string]bool); len(servedPaths) < 3; {
+		if q := c.drawRequest(); !servedPaths[q.path] && c.send(q) != "" {
+			servedPaths[q.path] = true
 		}
 		select {
 		case <-time.After(pollInterval):
@@ -303,14 +303,14 @@
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			return fmt.Errorf("of %d requests only those of %v are answered well; all answers by status: %v; the last one: %s: %w", c.requestCount,
-				slices.Sorted(maps.Keys(well)), r.status, c.lastOutcome, ctx.Err())
+				slices.Sorted(maps.Keys(servedPaths)), r.status, c.lastOutcome, ctx.Err())
 		}
 	}
 	return nil
 }
 
 // tail is the end of a node's log.
-func (r *run) tail(i int) string {
+func (r *run) logTail(i int) string {
 	raw, err := os.ReadFile(r.procs[i].Log)
 	if err != nil {
 		return err.Error()
@@ -320,22 +320,22 @@
 
 // answered holds a final answer to what may be answered. excused tells that a fault on the
 // client's side may have broken the request off.
-func (r *run) answered(node int, q request, status int, excused bool) {
+func (r *run) checkAnswer(node int, q request, status int, isFaultPossible bool) {
 	r.mu.Lock()
 	r.status[status]++
 	r.mu.Unlock()
 	switch status {
 	case 200:
 		if q.method == "POST" && !r.servers.hasEffect(q.id) {
-			r.notes.Wrong("request %s: answered 200, and no server has had it", q.id)
+			r.exchanges.Wrong("request %s: answered 200, and no server has had it", q.id)
 		}
 	case 502, 503, 504, 429:
 	case 400, 408:
-		if !excused {
-			r.notes.Wrong("request %s: answered %d, and it came whole", q.id, status)
+		if !isFaultPossible {
+			r.exchanges.Wrong("request %s: answered %d, and it came whole", q.id, status)
 		}
 	default:
-		r.notes.Wrong("request %s: answered %d by node %d", q.id, status, node)
+		r.exchanges.Wrong("request %s: answered %d by node %d", q.id, status, node)
 	}
 }
 
@@ -352,7 +352,7 @@
 		if rng.IntN(10) == 0 {
 			call = c.Reload
 		} else {
-			recordStatus = r.ownership.Call(owners+1+i, history.ReadStatus{Member: member(i)})
+			recordStatus = r.ownership.Call(ownerCount+1+i, history.ReadStatus{Member: member(i)})
 		}
 		s, err := call(callCtx)
 		cancel()
@@ -364,14 +364,14 @@
 		r.mu.Unlock()
 		if err == nil {
 			if s.PID == last.PID && s.Generation < last.Generation {
-				r.notes.Wrong("node %d: generation %d after %d of the same process", i, s.Generation, last.Generation)
+				r.exchanges.Wrong("node %d: generation %d after %d of the same process", i, s.Generation, last.Generation)
 			}
 			last = s
 			recordStatus(history.MemberState{Epoch: s.Epoch, Owner: s.Owner})
-			r.noteEpoch(s.Epoch)
-			r.notes.Reported(member(i), s.ConfigHash)
+			r.observeEpoch(s.Epoch)
+			r.exchanges.Reported(member(i), s.ConfigHash)
 		} else if refused := (manage.RejectedError{}); errors.As(err, &refused) && !strings.Contains(refused.Message, "reload") {
-			r.notes.Wrong("node %d refuses what it is asked: %v", i, err)
+			r.exchanges.Wrong("node %d refuses what it is asked: %v", i, err)
 		}
 		select {
 		case <-time.After(controlInterval):
@@ -381,17 +381,17 @@
 }
 
 // judge tells what is wrong at the end.
-func (r *run) judge() {
+func (r *run) checkNodesAfterFaults() {
 	for i, p := range r.procs {
 		if !p.Runs() {
-			r.notes.Wrong("node %d has ended by itself: %v; %s", i, p.Wait(), r.tail(i))
+			r.exchanges.Wrong("node %d has ended by itself: %v; %s", i, p.Wait(), r.logTail(i))
 			continue
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 		_, err := manage.Client{Path: r.control(i)}.Reload(ctx)
 		cancel()
 		if err != nil {
-			r.notes.Wrong("node %d does not reload afterwards: %v", i, err)
+			r.exchanges.Wrong("node %d does not reload afterwards: %v", i, err)
 		}
 	}
 }
--- a/internal/trials/versionskew/compare.go
+++ b/internal/trials/versionskew/compare.go
@@ -72,13 +72,13 @@
 // differences returns the sorted paths at which two trees of maps, slices and values differ.
 func differences(a, b any, equal func(a, b any) bool) []string {
 	var paths []string
-	walk("", a, b, equal, &paths)
+	appendDifferences("", a, b, equal, &paths)
 	slices.Sort(paths)
 	return slices.Compact(paths)
 }
 
 // walk appends the paths below path at which two trees differ.
-func walk(path string, a, b any, equal func(a, b any) bool, paths *[]string) {
+func appendDifferences(path string, a, b any, equal func(a, b any) bool, paths *[]string) {
 	left, right := entries(a), entries(b)
 	if left == nil || right == nil {
 		if (left == nil) != (right == nil) || !equal(a, b) {
@@ -92,7 +92,7 @@
 			*paths = append(*paths, path+"."+key)
 			continue
 		}
-		walk(path+"."+key, value, other, equal, paths)
+		appendDifferences(path+"."+key, value, other, equal, paths)
 	}
 	for key := range right {
 		if _, ok := left[key]; !ok {
--- a/internal/trials/versionskew/compare_test.go
+++ b/internal/trials/versionskew/compare_test.go
@@ -33,7 +33,7 @@
 }
 
 // changed returns a checkpoint file with content that another build has changed.
-func changed(t *testing.T, raw []byte, change func(customer map[any]any)) []byte {
+func editCheckpoint(t *testing.T, raw []byte, change func(customer map[any]any)) []byte {
 	t.Helper()
 	var tree map[any]any
 	if err := cbor.Unmarshal(raw[stateHeader:], &tree); err != nil {
@@ -49,18 +49,18 @@
 	return append(header, body...)
 }
 
-func TestCheckpointOfTheSameBuildIsUnderstood(t *testing.T) {
+func TestCheckpointOfSameBuildIsDecodedCompletely(t *testing.T) {
 	decoded, paths, err := checkpointDifferences(exampleCheckpoint(t))
 	if err != nil || len(paths) > 0 {
 		t.Errorf("%v %v", paths, err)
 	}
-	if tokens(decoded) != 7 || limitOf(decoded) != 12.5 || latencies(decoded)["s-3"] != 0.1 {
+	if reservedTokens(decoded) != 7 || checkpointConcurrency(decoded) != 12.5 || latencies(decoded)["s-3"] != 0.1 {
 		t.Errorf("%+v", decoded)
 	}
 }
 
 // A field that another build renames or omits is reported by its path.
-func TestRenamedFieldOfACheckpointIsFound(t *testing.T) {
+func TestRenamedCheckpointFieldIsReported(t *testing.T) {
 	const customer = ".services.a.checkpoint.customers.[0]"
 	for name, tc := range map[string]struct {
 		change func(customer map[any]any)
@@ -71,7 +71,7 @@
 		"more":    {func(c map[any]any) { c["new"] = 1 }, []string{customer + ".new"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, paths, err := checkpointDifferences(changed(t, exampleCheckpoint(t), tc.change))
+			_, paths, err := checkpointDifferences(editCheckpoint(t, exampleCheckpoint(t), tc.change))
 			if err != nil || !slices.Equal(paths, tc.want) {
 				t.Errorf("%v %v", paths, err)
 			}
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestRenamedKeyOfAStatusIsFound(t *testing.T) {
+func TestRenamedStatusKeyIsReported(t *testing.T) {
 	raw, err := json.Marshal(manage.Status{PID: 7, Listeners: []string{"a"}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/trials/versionskew/judge.go
+++ b/internal/trials/versionskew/judge.go
@@ -9,9 +9,9 @@
 )
 
 // tokens returns the tokens left in the reserved customer's hard-limit bucket, or NaN if the checkpoint has none.
-func tokens(s state.Checkpoint) float64 {
-	for _, one := range s.Services {
-		for _, customer := range one.Checkpoint.Customers {
+func reservedTokens(s state.Checkpoint) float64 {
+	for _, serviceState := range s.Services {
+		for _, customer := range serviceState.Checkpoint.Customers {
 			if customer.Plan == reservedPlan {
 				return customer.HardLimitTokens
 			}
@@ -21,17 +21,17 @@
 }
 
 // limitOf returns the learned concurrency limit of a checkpoint, or NaN if it has none.
-func limitOf(s state.Checkpoint) float64 {
-	for _, one := range s.Services {
-		return one.Checkpoint.ConcurrencyLimit
+func checkpointConcurrency(s state.Checkpoint) float64 {
+	for _, serviceState := range s.Services {
+		return serviceState.Checkpoint.ConcurrencyLimit
 	}
 	return math.NaN()
 }
 
 // concurrency returns the concurrency limit of a status, or NaN if it has none.
-func concurrency(s manage.Status) float64 {
-	for _, one := range s.Services {
-		return one.ConcurrencyLimit
+func statusConcurrency(s manage.Status) float64 {
+	for _, serviceStatus := range s.Services {
+		return serviceStatus.ConcurrencyLimit
 	}
 	return math.NaN()
 }
@@ -71,20 +71,20 @@
 
 // compareServers reports a violation if an upgrade without load did not hand over the learned latencies of servers.
 func (t *trial) compareServers(step string, before, after state.Checkpoint) {
-	old := latencies(before)
-	now := latencies(after)
-	if len(old) != serverCount {
-		t.report.violation("%s: %d servers are known, not %d", step, len(old), serverCount)
-	}
-	for name, latency := range old {
-		if latency <= 0 || !near(latency, now[name], learnedTolerance) {
-			t.report.violation("%s: server %s had a latency of %.4f s, and has %.4f s", step, name, latency, now[name])
+	oldLatencies := latencies(before)
+	newLatencies := latencies(after)
+	if len(oldLatencies) != serverCount {
+		t.report.violation("%s: %d servers are known, not %d", step, len(oldLatencies), serverCount)
+	}
+	for name, latency := range oldLatencies {
+		if latency <= 0 || !near(latency, newLatencies[name], learnedTolerance) {
+			t.report.violation("%s: server %s had a latency of %.4f s, and has %.4f s", step, name, latency, newLatencies[name])
 		}
 	}
 }
 
 // compareOrders reports a violation if an upgrade lost the lease, commands or configuration of a coordinator.
-func (t *trial) compareOrders(step string, before, after manage.Status) {
+func (t *trial) compareOwnership(step string, before, after manage.Status) {
 	if before.Epoch == 0 || after.Epoch != before.Epoch || after.Owner != before.Owner {
 		t.report.violation("%s: epoch %d of %q was granted, now it is %d of %q", step, before.Epoch, before.Owner, after.Epoch, after.Owner)
 	}
@@ -111,7 +111,7 @@
 	if r.Limit.Excess > limitedSlack {
 		r.violation("limited: a customer was %.1f units beyond its hard limit, %d are allowed", r.Limit.Excess, limitedSlack)
 	}
-	if r.Limit.Units < usedMin*r.Limit.Allowed {
+	if r.Limit.Units < minUsedFraction*r.Limit.Allowed {
 		r.violation("limited: %.0f units of %.0f allowed were used", r.Limit.Units, r.Limit.Allowed)
 	}
 	if r.Servers.DuplicateEffects > 0 || r.Servers.ConcurrentAttempts > 1 {
--- a/internal/trials/versionskew/load.go
+++ b/internal/trials/versionskew/load.go
@@ -98,10 +98,10 @@
 	ctx, stop := context.WithCancel(ctx)
 	l := &load{stop: stop, started: time.Now(), changed: make(chan struct{})}
 	standard := fake.Clients{Addr: addr, Workers: n, Seed: 1, Call: standardCall, OnAnswer: func(fake.Answer) { l.count() }}
-	fresh := standard
-	fresh.ConnPerAttempt = true
-	fresh.Seed = 2
-	l.clients = []*fake.Run{standard.Start(ctx), fresh.Start(ctx)}
+	perRequest := standard
+	perRequest.ConnPerAttempt = true
+	perRequest.Seed = 2
+	l.clients = []*fake.Run{standard.Start(ctx), perRequest.Start(ctx)}
 	limited := fake.Clients{Addr: addr, Workers: limitedWorkers, Seed: 3, Interval: limitedInterval, Call: limitedCall}
 	l.limited = limited.Start(ctx)
 	return l
@@ -148,12 +148,12 @@
 }
 
 // await waits for n more answers.
-func (l *load) await(ctx context.Context, n int) error {
-	until, _ := l.progress()
-	until += n
+func (l *load) awaitAnswers(ctx context.Context, n int) error {
+	target, _ := l.progress()
+	target += n
 	for {
-		now, changed := l.progress()
-		if now >= until {
+		answered, changed := l.progress()
+		if answered >= target {
 			return nil
 		}
 		select {
@@ -196,7 +196,7 @@
 
 // spend sends one request of the reserved customer, which draws units from its token bucket. It returns an error unless
 // the request is served.
-func spend(ctx context.Context, addr string, units int) error {
+func spendUnits(ctx context.Context, addr string, units int) error {
 	url := fmt.Sprintf("http://%s/roster-read/week?account=%016x", addr, reservedCustomer)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
--- a/internal/trials/versionskew/process.go
+++ b/internal/trials/versionskew/process.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	pollInterval = 5 * time.Millisecond
-	stepTimeout  = 60 * time.Second
-	statusMax    = 1 << 20 // bytes
+	pollInterval   = 5 * time.Millisecond
+	stepTimeout    = 60 * time.Second
+	maxStatusBytes = 1 << 20 // bytes
 )
 
 // build is one build of lockflow.
@@ -80,7 +80,7 @@
 	exited := make(chan error, 1)
 	go func() { exited <- cmd.Wait() }()
 	var status manage.Status
-	err = eventually(ctx, func() (bool, error) {
+	err = pollUntil(ctx, func() (bool, error) {
 		select {
 		case err := <-exited:
 			return false, fmt.Errorf("process %d has ended: %w", cmd.Process.Pid, err)
@@ -103,7 +103,7 @@
 	if err != nil {
 		return err
 	}
-	return eventually(ctx, func() (bool, error) { return ended(status.PID), nil })
+	return pollUntil(ctx, func() (bool, error) { return hasExited(status.PID), nil })
 }
 
 // kill kills the serving process and its successor, if any, until the control socket no longer responds.
@@ -137,7 +137,7 @@
 		return nil, fmt.Errorf("asking for the status: %w", err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	raw, err := io.ReadAll(io.LimitReader(response.Body, statusMax))
+	raw, err := io.ReadAll(io.LimitReader(response.Body, maxStatusBytes))
 	if err != nil {
 		return nil, fmt.Errorf("asking for the status: %w", err)
 	}
@@ -160,7 +160,7 @@
 }
 
 // ended reports whether a process has exited; a zombie has.
-func ended(pid int) bool {
+func hasExited(pid int) bool {
 	if errors.Is(syscall.Kill(pid, 0), syscall.ESRCH) {
 		return true
 	}
@@ -176,11 +176,11 @@
 var errTimeout = errors.New("not in time")
 
 // eventually polls a condition until it is true, returns an error, or ctx ends.
-func eventually(ctx context.Context, is func() (bool, error)) error {
+func pollUntil(ctx context.Context, condition func() (bool, error)) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
-		ok, err := is()
+		ok, err := condition()
 		if err != nil || ok {
 			return err
 		}
--- a/internal/trials/versionskew/trial.go
+++ b/internal/trials/versionskew/trial.go
@@ -25,10 +25,10 @@
 
 const (
 	reservedPlan     = "reserved"
-	firstSpending    = 20  // units that the reserved customer spends at the start
+	initialSpending  = 20  // units that the reserved customer spends at the start
 	tokenTolerance   = 0.5 // units; the reserved bucket is refilled by 0.06 a minute
 	learnedTolerance = 0.2 // relative deviation of learned figures after an upgrade
-	usedMin          = 0.7 // fraction of the hard limit that customers who exceed it must get
+	minUsedFraction  = 0.7 // fraction of the hard limit that customers who exceed it must get
 )
 
 // Options are the builds of a trial and its extent.
@@ -99,7 +99,7 @@
 	t.addr = status.Listeners[0]
 	t.load = startLoad(ctx, t.addr, t.Clients)
 	defer t.load.stop()
-	if err := spend(ctx, t.addr, firstSpending); err != nil {
+	if err := spendUnits(ctx, t.addr, initialSpending); err != nil {
 		return err
 	}
 	if err := t.inspect(ctx, t.previous); err != nil {
@@ -107,7 +107,7 @@
 	}
 	for range t.Rounds {
 		for _, change := range t.replacements() {
-			if err := t.load.await(ctx, t.Requests); err != nil {
+			if err := t.load.awaitAnswers(ctx, t.Requests); err != nil {
 				return err
 			}
 			if err := t.prepare(ctx, change.to); err != nil {
@@ -118,7 +118,7 @@
 			}
 		}
 	}
-	if err := t.load.await(ctx, t.Requests); err != nil {
+	if err := t.load.awaitAnswers(ctx, t.Requests); err != nil {
 		return err
 	}
 	t.load.finish(t.report, t.backends)
@@ -175,7 +175,7 @@
 	if err := t.reload(ctx, coordinator); err != nil {
 		return err
 	}
-	return spend(ctx, t.addr, 1)
+	return spendUnits(ctx, t.addr, 1)
 }
 
 // upgrade upgrades the daemon and compares the state before and after.
@@ -187,19 +187,19 @@
 		return err
 	}
 	step := Step{Name: change.describe(kind)}
-	settled, err := t.freshCheckpoint(ctx, change.from)
+	checkpoint, err := t.freshCheckpoint(ctx, change.from)
 	if err != nil {
 		return err
 	}
-	step.Tokens[0] = tokens(settled)
+	step.Tokens[0] = reservedTokens(checkpoint)
 	started := time.Now()
-	first, err := t.replace(ctx, change.to, before.PID)
+	upgraded, err := t.replace(ctx, change.to, before.PID)
 	if err != nil {
 		return err
 	}
 	step.Duration = time.Since(started)
-	step.Concurrency = [2]float64{concurrency(before), concurrency(first)}
-	step.Tokens[1] = t.tokensLike(ctx, change.to, step.Tokens[0])
+	step.Concurrency = [2]float64{statusConcurrency(before), statusConcurrency(upgraded)}
+	step.Tokens[1] = t.awaitTokens(ctx, change.to, step.Tokens[0])
 	answered, _ := t.load.progress()
 	step.Requests = answered - t.answered
 	t.answered = answered
@@ -211,7 +211,7 @@
 	if err != nil {
 		return err
 	}
-	t.compareOrders(step.Name, before, after)
+	t.compareOwnership(step.Name, before, after)
 	if after.Program != change.to.path {
 		t.report.violation("%s: %s serves", step.Name, after.Program)
 	}
@@ -219,14 +219,14 @@
 }
 
 // replace upgrades by the command line of the new build and returns the first status of the new process.
-func (t *trial) replace(ctx context.Context, to build, old int) (first manage.Status, err error) {
+func (t *trial) replace(ctx context.Context, to build, oldPID int) (status manage.Status, err error) {
 	done := make(chan error, 1)
 	go func() {
 		_, err := to.run(ctx, "upgrade", "--control", t.daemon.client.Path, "--program", to.path)
 		done <- err
 	}()
 	isDone := false
-	err = eventually(ctx, func() (bool, error) {
+	err = pollUntil(ctx, func() (bool, error) {
 		if !isDone {
 			select {
 			case err := <-done:
@@ -238,13 +238,13 @@
 			}
 		}
 		var err error
-		first, err = t.daemon.client.Status(ctx)
-		return err == nil && first.PID != old, nil
+		status, err = t.daemon.client.Status(ctx)
+		return err == nil && status.PID != oldPID, nil
 	})
 	if err == nil && !isDone {
 		err = <-done
 	}
-	return first, err
+	return status, err
 }
 
 // reload changes the daemon's configuration by a coordinator of a build.
@@ -309,8 +309,8 @@
 		if err != nil {
 			return err
 		}
-		step.Tokens = [2]float64{tokens(before), tokens(after)}
-		step.Concurrency = [2]float64{limitOf(before), limitOf(after)}
+		step.Tokens = [2]float64{reservedTokens(before), reservedTokens(after)}
+		step.Concurrency = [2]float64{checkpointConcurrency(before), checkpointConcurrency(after)}
 		t.report.Steps = append(t.report.Steps, step)
 		t.compareTokens(step)
 		before = after
@@ -385,7 +385,7 @@
 func (t *trial) freshCheckpoint(ctx context.Context, writer build) (state.Checkpoint, error) {
 	var last time.Time
 	files := 0
-	err := eventually(ctx, func() (bool, error) {
+	err := pollUntil(ctx, func() (bool, error) {
 		info, err := os.Stat(t.daemon.checkpoint())
 		if err == nil && !info.ModTime().Equal(last) {
 			last = info.ModTime()
@@ -401,16 +401,16 @@
 
 // tokensLike waits until a checkpoint has as many tokens of the reserved customer as before, and returns those of the
 // last checkpoint read.
-func (t *trial) tokensLike(ctx context.Context, writer build, before float64) (left float64) {
+func (t *trial) awaitTokens(ctx context.Context, writer build, before float64) (left float64) {
 	ctx, cancel := context.WithTimeout(ctx, tokensTimeout)
 	defer cancel()
 	// The caller compares the tokens, so a timeout needs no error here.
-	_ = eventually(ctx, func() (bool, error) {
+	_ = pollUntil(ctx, func() (bool, error) {
 		checkpoint, err := t.readCheckpoint(writer.name)
 		if err != nil {
 			return false, err
 		}
-		left = tokens(checkpoint)
+		left = reservedTokens(checkpoint)
 		return math.Abs(left-before) < tokenTolerance, nil
 	})
 	return left
