--- a/internal/trials/faultnet/faultbuild/table.go
+++ b/internal/trials/faultnet/faultbuild/table.go
@@ -43,8 +43,8 @@
 	clockWord    = 0
 	wordsPerCall = 4
 	errnoWord    = 0 // of a call: the error it fails with
-	intervalWord = 1 // of a call: each interval-th call fails; 0 is none
-	injectedWord = 3 // of a call: how many calls have failed
+	intervalWord = 1 // of a call: every interval-th call fails; 0 if none does
+	injectedWord = 3 // of a call: number of calls that have failed
 )
 
 // words is the table's memory.
--- a/internal/trials/faultnet/faultnet.go
+++ b/internal/trials/faultnet/faultnet.go
@@ -1,7 +1,8 @@
-// Package faultnet injects faults into the links between processes of the program and into the
-// processes: by scripts drawn from a seed, links that carry the faults out, and processes that are
-// killed and paused. Calls and results are recorded in a history and checked
-// afterwards (internal/trials/faultnet/history). It is used by tests and measurements only.
+// Package faultnet injects faults into processes of the program and into the network links between
+// them. A script, which is generated from a seed, lists the faults; links, which are proxies, and
+// processes, which can be killed and paused, carry them out. Calls and their results are recorded in
+// a history, which is checked afterwards (internal/trials/faultnet/history). The package is used by
+// tests and measurements only.
 package faultnet
 
 import (
@@ -12,11 +13,11 @@
 )
 
 type (
-	// Script is a list of faults, by time.
+	// Script is a list of faults in order of time.
 	Script = script.Script
-	// Spec has the limits of drawn scripts.
+	// Spec contains the parameters of the scripts that Draw generates.
 	Spec = script.Spec
-	// Entry is a fault and its time.
+	// Entry is a fault with its place and time.
 	Entry = script.Entry
 	// Fault is one fault of a link or of a process.
 	Fault = script.Fault
@@ -28,13 +29,13 @@
 	History = history.History
 )
 
-// Draw gives the script of a seed.
+// Draw generates the script of a seed.
 func Draw(seed uint64, o Spec) Script { return script.Draw(seed, o) }
 
-// Parse reads a script that was printed.
+// Parse parses the text of Script.String.
 func Parse(text string) (Script, error) { return script.Parse(text) }
 
-// Shrink gives the least script it finds that still fails, in at most 200 tries.
+// Shrink returns the smallest script it finds that still fails. It runs at most 200 scripts.
 func Shrink(s Script, fails func(Script) bool) Script { return script.Shrink(s, fails) }
 
 // Listen starts a link to host:port or to the path of a Unix socket.
--- a/internal/trials/faultnet/history/exchange.go
+++ b/internal/trials/faultnet/history/exchange.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// Exchanges counts what became of requests: final answers at the clients, effects at the servers,
-// and generations at the members. The zero value is ready; its methods are safe for concurrent use.
+// Exchanges records the outcome of requests: final answers that clients received, effects at the
+// servers, and generations that members reported. The zero value is ready; its methods are safe for
+// concurrent use.
 type Exchanges struct {
 	mu                sync.Mutex
 	started           time.Time
 	requests          map[string]*requestOutcome
-	effects           map[string][]string // the servers that had an effect, by its key
+	effects           map[string][]string // names of the servers that executed an effect, by the effect's key
 	generations       map[string][]Generation
 	wantedGenerations map[string]bool
 	violations        []string
@@ -22,10 +23,10 @@
 
 type requestOutcome struct {
 	answers      []string
-	brokenReason string // why there was none
+	brokenReason string // why no answer will be received; empty if one may still be
 }
 
-// Generation is what a member ran at a time.
+// Generation is the hash of a configuration that a member ran, and the time of its first report.
 type Generation struct {
 	At   time.Duration
 	Hash string
@@ -47,7 +48,7 @@
 	return false
 }
 
-// Requested notes that a client sends a request with an id of its own.
+// Requested records that a client sends a request with a unique ID.
 func (x *Exchanges) Requested(id string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -61,13 +62,13 @@
 	}
 }
 
-// Answered notes a final answer that came for a request.
+// Answered records a final answer to a request.
 func (x *Exchanges) Answered(id, answer string) {
 	x.update(id, func(a *requestOutcome) { a.answers = append(a.answers, answer) })
 }
 
-// Broken notes that no answer will come and why: the connection was reset, or the client's time
-// has ended. What a fault on the client's side of the node explains may end so.
+// Broken records that a request will get no answer, and the reason: its connection was reset, or the
+// client timed out. That is allowed if a fault on the client's side of the node explains it.
 func (x *Exchanges) Broken(id, reason string) {
 	x.update(id, func(a *requestOutcome) { a.brokenReason = reason })
 }
@@ -83,7 +84,7 @@
 	}
 }
 
-// Effect notes that a server did something that must not happen twice.
+// Effect records that a server executed an effect, which must not happen twice.
 func (x *Exchanges) Effect(key, server string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -93,7 +94,8 @@
 	}
 }
 
-// WantGeneration notes a generation as one that somebody wants, from the begin on.
+// WantGeneration records a generation that a coordinator or the trial itself has requested. Members may
+// run such a generation at any time of the trial.
 func (x *Exchanges) WantGeneration(hash string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -101,7 +103,7 @@
 	x.wantedGenerations[hash] = true
 }
 
-// Reported notes the generation that a member told; one that it told last is noted once.
+// Reported records the generation that a member reported, unless its previous report was the same.
 func (x *Exchanges) Reported(member, hash string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -113,17 +115,17 @@
 	x.generations[member] = append(all, Generation{time.Since(x.started), hash})
 }
 
-// Generations are what members have run, in order.
+// Generations returns the generations that a member has reported, in order.
 func (x *Exchanges) Generations(member string) []Generation {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return slices.Clone(x.generations[member])
 }
 
-// Check lists what is wrong, sorted: a request with more than one final answer, or with neither
-// an answer nor a known reason for none; an effect that happened twice; a generation that nobody
-// wants. unanswered tells whether a request may end with no answer for the reason noted; nil is
-// none may.
+// Check returns the violations, sorted: a request with more than one final answer, or with neither an
+// answer nor an accepted reason for its absence; an effect that happened twice; a generation that was
+// never requested. unanswered reports whether a request may end without an answer for the recorded
+// reason; if it is nil, no request may.
 func (x *Exchanges) Check(unanswered func(why string) bool) []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -157,7 +159,7 @@
 	return violations
 }
 
-// Wrong notes a violation that was seen at once.
+// Wrong records a violation that the caller has detected.
 func (x *Exchanges) Wrong(format string, args ...any) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -166,7 +168,7 @@
 	}
 }
 
-// Counts tells how many requests were asked and how many of them answered.
+// Counts returns the number of requests and the number of those with at least one answer.
 func (x *Exchanges) Counts() (requests, answered int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -178,7 +180,7 @@
 	return len(x.requests), answered
 }
 
-// Effects is how many different effects have happened.
+// Effects returns the number of different effects that have happened.
 func (x *Exchanges) Effects() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/trials/faultnet/history/history.go
+++ b/internal/trials/faultnet/history/history.go
@@ -16,23 +16,23 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// MaxEntries bounds the operations of a history. A check of a longer one fails, so that no partial
-// history passes.
+// MaxEntries is the maximum number of operations of a history. The check of a longer one fails, so
+// that no partial history passes.
 const MaxEntries = 200_000
 
-// checkTime is the timeout of one check.
+// checkTimeout is the timeout of the check of one partition.
 const checkTimeout = 20 * time.Second
 
-// Unknown is the outcome of an operation whose answer was lost: it may have happened then, or
-// later, or never.
+// Unknown is the result of an operation whose reply was lost. The operation may have taken effect at
+// any time after its call, or not at all.
 type Unknown struct{}
 
 // Entry is one operation.
 type Entry struct {
 	Client       int
 	Op           any
-	Result       any           // Unknown{} where no answer came
-	Call, Return time.Duration // since the history began; Return counts only where the result is known
+	Result       any           // Unknown{} if no reply was received
+	Call, Return time.Duration // since the history began; Return is valid only if the result is known
 }
 
 // History is a list of operations in the order of their calls. The zero value is empty and ready;
@@ -44,7 +44,7 @@
 	dropped int
 }
 
-// now is the time since the first call. The caller holds mu.
+// now returns the time since the first call. The caller holds mu.
 func (h *History) now() time.Duration {
 	if h.started.IsZero() {
 		h.started = time.Now()
@@ -90,9 +90,11 @@
 		return fmt.Errorf("a history of %d operations more than %d", dropped, MaxEntries)
 	}
 	all := h.Entries()
-	// What may never have been need not be: mostly the rest explains itself, and then the check is
-	// short, as an operation that may stand anywhere is what makes it long. Next come those whose
-	// effect somebody has seen; leaving the others out can only make a history harder to explain.
+	// An operation with an unknown result may never have taken effect, so a history is legal if it has a
+	// linearization without such operations. Most histories have one, and it is found fast, whereas
+	// operations that may have any place in the order make the check long. If there is none, those
+	// operations are added whose effect another result shows. Leaving operations with an unknown result
+	// out can make a legal history look illegal, but never an illegal one legal.
 	if check(m, slices.DeleteFunc(slices.Clone(all), func(e Entry) bool { return e.Result == Unknown{} })) == nil {
 		return nil
 	}
@@ -102,8 +104,8 @@
 	return check(m, all)
 }
 
-// ErrUndecided is of a history of which the checker has found neither an order nor that there is none.
-// It proves nothing.
+// ErrUndecided is the error of a check that timed out: it has found no linearization, nor proved that
+// there is none. The history may be legal or illegal.
 var ErrUndecided = errors.New("undecided")
 
 func check(m Model, all []Entry) error {
@@ -111,7 +113,8 @@
 	for _, e := range all {
 		o := porcupine.Operation{ClientId: e.Client, Input: e.Op, Output: e.Result, Call: int64(e.Call), Return: int64(e.Return)}
 		if _, unknown := e.Result.(Unknown); unknown {
-			// Each of these may stand anywhere, which is what makes a check long.
+			// Such an operation may have any place in the order, which makes the check long. Reads have no
+			// effect, so they are left out.
 			if _, reads := e.Op.(ReadStatus); reads {
 				continue
 			}
@@ -139,7 +142,7 @@
 	return undecided
 }
 
-// maxDescribedOperations bounds the operations that an error lists.
+// maxDescribedOperations is the maximum number of operations that an error lists.
 const maxDescribedOperations = 60
 
 func describe(_ Model, part []porcupine.Operation) string {
--- a/internal/trials/faultnet/history/history_test.go
+++ b/internal/trials/faultnet/history/history_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// member is a thing as Members has it, or one with a fault planted.
+// member behaves like the model of Members, except for a fault that a test plants.
 type member struct {
 	mu    sync.Mutex
 	name  string
@@ -41,8 +41,8 @@
 	return m.state
 }
 
-// play has coordinators claim, order and look at once, and lose answers, before or after the
-// member has heard.
+// runCoordinators has coordinators send claims, orders and status reads concurrently. Some requests
+// and some replies are lost.
 func runCoordinators(h *History, seed uint64, fault string) {
 	members := []*member{{name: "a"}, {name: "b", fault: fault}, {name: "c"}}
 	var all sync.WaitGroup
@@ -61,9 +61,9 @@
 				}
 				done := h.Call(c, op)
 				switch rng.IntN(25) {
-				case 0: // never heard
+				case 0: // the request was lost
 					done(Unknown{})
-				case 1: // the answer was lost
+				case 1: // the reply was lost
 					m.apply(op)
 				default:
 					done(m.apply(op))
@@ -74,7 +74,7 @@
 	all.Wait()
 }
 
-// Members that are well pass, answers lost or not; each planted fault is found.
+// Members without a fault pass, although replies are lost; each planted fault is found.
 func TestMembers(t *testing.T) {
 	for _, fault := range []string{"", "two owners", "older epoch", "stale order", "twice"} {
 		found := 0
@@ -94,12 +94,12 @@
 	}
 }
 
-// The fleet's ownership only grows, in the order of real time, and an epoch is one owner's.
+// The epochs that are acquired only increase, in the order of real time, and each has one owner.
 func TestOwnership(t *testing.T) {
 	type call struct {
 		epoch  uint64
 		owner  string
-		result any // nil is none
+		result any // nil if no reply was received
 	}
 	for name, tc := range map[string]struct {
 		calls []call
@@ -109,7 +109,7 @@
 		"two owners":     {[]call{{1, "x", Granted}, {1, "y", Granted}}, false},
 		"falls":          {[]call{{2, "x", Granted}, {1, "y", Granted}}, false},
 		"lost, older":    {[]call{{1, "x", nil}, {2, "y", Granted}, {1, "x", Refused}}, true},
-		"lost, then two": {[]call{{5, "x", Granted}, {6, "y", nil}, {5, "x", Granted}}, true}, // the lost one may never have been
+		"lost, then two": {[]call{{5, "x", Granted}, {6, "y", nil}, {5, "x", Granted}}, true}, // the acquisition with an unknown result may not have happened
 		"lost, granted":  {[]call{{5, "x", Granted}, {6, "y", nil}, {6, "x", Granted}, {6, "y", Granted}}, false},
 	} {
 		var h History
@@ -128,7 +128,7 @@
 	}
 }
 
-// Each violation is told, and nothing else.
+// Check reports each violation, and nothing else.
 func TestExchanges(t *testing.T) {
 	var x Exchanges
 	x.WantGeneration("h1")
@@ -139,7 +139,7 @@
 	x.Answered("0", "200")
 	x.Broken("1", "reset")
 	x.Effect("k", "s1")
-	if wrong := x.Check(func(string) bool { return true }); len(wrong) != 4 { // 2 to 5 are open
+	if wrong := x.Check(func(string) bool { return true }); len(wrong) != 4 { // 2 to 5 have no answer
 		t.Errorf("%q", wrong)
 	}
 	x.Answered("2", "200")
@@ -166,19 +166,19 @@
 	}
 }
 
-// A history with many answers lost is decided by those whose effect was seen: the others could stand anywhere, in more
-// orders than can be tried.
+// A history with many lost replies is decided by the operations whose effect another result shows. The others may have any
+// place in the order, which gives more orders than can be tried.
 func TestHistoryWithManyLostAnswersIsDecided(t *testing.T) {
 	for _, tc := range []struct {
 		lost    int
 		seen    uint64
 		isLegal bool
-	}{{60, 60, true}, {6, 99, false}} { // nobody has claimed 99
+	}{{60, 60, true}, {6, 99, false}} { // no owner has claimed 99
 		h := &History{}
 		for i := range tc.lost {
-			h.Call(1+i, Claim{"m", uint64(1 + i), "owner"}) // its answer is lost
+			h.Call(1+i, Claim{"m", uint64(1 + i), "owner"}) // its reply is lost
 		}
-		h.Call(100, Claim{"m", 1, "other"})(Refused) // by one that was lost
+		h.Call(100, Claim{"m", 1, "other"})(Refused) // because of a claim whose reply was lost
 		h.Call(100, ReadStatus{"m"})(MemberState{Epoch: tc.seen, Owner: "owner"})
 		if err := h.CheckOwnership(); (err == nil) != tc.isLegal || errors.Is(err, ErrUndecided) {
 			t.Errorf("%d lost, %d seen: %v", tc.lost, tc.seen, err)
--- a/internal/trials/faultnet/history/ownership.go
+++ b/internal/trials/faultnet/history/ownership.go
@@ -14,7 +14,8 @@
 	Owner  string
 }
 
-// Order has a member do something once; its result is Done, Again, Carried or Stale.
+// Order is a command to a member, which must execute it once only; its result is Done, AlreadyDone,
+// DoneOrAlreadyDone or Stale.
 type Order struct {
 	Member string
 	Epoch  uint64
@@ -22,11 +23,11 @@
 	ID     string
 }
 
-// ReadStatus reads what a member says of itself; its result is a Seen.
+// ReadStatus reads the status of a member; its result is a MemberState.
 type ReadStatus struct{ Member string }
 
-// MemberState is the newest epoch that a member has granted, its owner, and the id of the member's last
-// order. A result with no order says nothing about it.
+// MemberState is the newest epoch that a member has granted, the epoch's owner, and the ID of the member's
+// last order. If Order is empty in a result, the last order is not known.
 type MemberState struct {
 	Epoch uint64
 	Owner string
@@ -40,12 +41,13 @@
 	Owner string
 }
 
-// Outcome is how an operation of ownership ended.
+// Outcome is the result of a Claim, an Order or an Acquire.
 type Outcome uint8
 
-// Outcomes of claims (Granted, Refused) and of orders: done now, done before and only acknowledged,
-// either of these, and rejected because of an outdated epoch. Nothing is an outcome of both: rejected
-// for another reason, without effect.
+// The outcomes. Those of claims are Granted and Refused. Those of orders are Done (executed now),
+// AlreadyDone (executed before and only acknowledged now), DoneOrAlreadyDone (one of these two) and
+// Stale (rejected because of an outdated epoch). Claims and orders that were rejected for any other
+// reason have the outcome Nothing: they had no effect.
 const (
 	Granted Outcome = iota + 1
 	Refused
@@ -65,9 +67,9 @@
 
 var outcomes = []string{"granted", "refused", "done", "again", "carried", "stale", "nothing"}
 
-// Members is the model of what members have granted: for each a register whose epoch only grows,
-// each epoch granted to one owner; an order is done under the newest epoch by its owner only, and
-// one whose id is the last one done is not done again. Each member is checked apart.
+// Members is the model of the members. Each is a register whose epoch only increases, and it grants
+// each epoch to one owner. It executes orders of the owner of its newest epoch only, and does not
+// execute an order with the ID of its last one. The members are checked independently.
 func Members() Model {
 	return Model{
 		Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
@@ -110,13 +112,14 @@
 				reported, ok := output.(MemberState)
 				return ok && reported.Epoch == s.Epoch && reported.Owner == s.Owner && (reported.Order == "" || reported.Order == s.Order), s
 			}
-			return false, s // Acquire is of the fleet, not of a member
+			return false, s // an Acquire concerns the fleet, not a member
 		},
 	}
 }
 
-// Ownership is the model of the fleet's owner: an epoch that is acquired is newer than all that
-// were, or the same by the same owner; never two owners of one. A refusal is always allowed.
+// Ownership is the model of the fleet's owner. An epoch that is acquired is newer than all that were
+// acquired before, or it is the newest one and its owner acquires it again; no epoch has two owners.
+// A refusal is always allowed.
 func Ownership() Model {
 	return Model{
 		Init: func() any { return MemberState{} },
@@ -140,7 +143,8 @@
 	}
 }
 
-// isObserved tells whether an operation's effect shows in another one's result: its epoch and owner, or its order.
+// isObserved reports whether the result of another operation shows the effect of e: its epoch and owner, and the ID of an
+// order.
 func isObserved(e Entry, all []Entry) bool {
 	member, epoch, owner, order := effectOf(e.Op)
 	return slices.ContainsFunc(all, func(other Entry) bool {
@@ -158,7 +162,7 @@
 	})
 }
 
-// effectOf is what an operation leaves where it takes effect; the member is empty for the fleet.
+// effectOf returns the member that an operation affects, which is empty for the fleet, and the values that it sets there.
 func effectOf(operation any) (member string, epoch uint64, owner, order string) {
 	switch op := operation.(type) {
 	case Claim:
@@ -188,7 +192,7 @@
 	return parts
 }
 
-// Filter returns the history of the operations for which is returns true.
+// Filter returns the history of the operations for which keep returns true.
 func (h *History) Filter(keep func(op any) bool) *History {
 	filtered := &History{}
 	h.mu.Lock()
--- a/internal/trials/faultnet/link/conn.go
+++ b/internal/trials/faultnet/link/conn.go
@@ -21,7 +21,7 @@
 	ended bool
 }
 
-// piece is the result of one read: a chunk of bytes, the end of a direction, or both.
+// chunk is the result of one read: bytes, the end of a direction, or both.
 type chunk struct {
 	data []byte
 	at   time.Time // when it was read
@@ -161,7 +161,7 @@
 	}
 }
 
-// pass delivers or drops a piece. It returns false once the connection has ended.
+// deliver delivers or drops a chunk. It returns false once the connection has ended.
 func (w *writer) deliver(p *chunk) bool {
 	for first := true; first || len(p.data) > 0; first = false {
 		r, ok := w.awaitDelivery(w.direction, p.at, len(p.data) > 0)
@@ -195,7 +195,7 @@
 	return true
 }
 
-// follow applies the current rules. The byte count of a reset goes on if that rule is unchanged.
+// applyRules adopts the current rules. The byte count of a reset continues if that rule is unchanged.
 func (w *writer) applyRules(r *rules) {
 	if r == w.applied {
 		return
@@ -211,7 +211,7 @@
 	return w.reset && other.reset && w.resetAfter == other.resetAfter
 }
 
-// writeSome writes as much of a piece as the rule allows at once. It returns false once the
+// writeSome writes as much of a chunk as the rule allows at once. It returns false once the
 // connection has ended.
 func (w *writer) writeSome(p *chunk, r *rules, rule *directionRules) bool {
 	n := len(p.data)
@@ -251,10 +251,11 @@
 	})
 }
 
-// finish passes the end of a direction on: a half-close for io.EOF, a reset for any other error.
+// finish forwards the end of a direction: a half-close for io.EOF, a reset for any other error.
 func (w *writer) finish(end error) {
 	if w.hasDropped {
-		// After a loss a TCP stack would retransmit until the fault is over.
+		// A TCP stack would retransmit the lost bytes while the fault lasts, so the connection stays open
+		// until then.
 		w.awaitNoDropRules()
 		w.end(true)
 		return
@@ -266,7 +267,7 @@
 	w.end(true)
 }
 
-// healed waits until no rule drops bytes any more, or the connection has ended.
+// awaitNoDropRules waits until no rule drops bytes any more, or the connection has ended.
 func (c *conn) awaitNoDropRules() {
 	for {
 		r := c.link.currentRules()
@@ -283,8 +284,8 @@
 
 func (c *conn) countLost(n int) { c.link.updateCounts(func(s *Counts) { s.Lost += int64(n) }) }
 
-// due waits until bytes read at the given time may be delivered: while the direction is held, and
-// for its delay. It returns the rules in force at that time, or false once the connection has ended.
+// awaitDelivery waits until bytes read at the given time may be delivered: while the direction is held,
+// and for its delay. It returns the rules in force at that time, or false once the connection has ended.
 func (c *conn) awaitDelivery(direction int, at time.Time, data bool) (*rules, bool) {
 	for {
 		r := c.link.currentRules()
@@ -309,8 +310,8 @@
 	}
 }
 
-// wait reserves n bytes of the rate limit and waits for them. It returns false, without the
-// reservation, if the rules have changed or the connection has ended meanwhile.
+// awaitRate reserves n bytes of the rate limit and waits until they may be sent. It cancels the
+// reservation and returns false if the rules have changed or the connection has ended meanwhile.
 func (c *conn) awaitRate(r *rules, w *directionRules, n int) bool {
 	reservation := w.limit.ReserveN(time.Now(), n)
 	timer := time.NewTimer(reservation.Delay())
--- a/internal/trials/faultnet/link/link.go
+++ b/internal/trials/faultnet/link/link.go
@@ -177,7 +177,7 @@
 	}
 }
 
-// add merges a fault into the rules of one direction.
+// addFault merges a fault into the rules of one direction.
 func (w *directionRules) addFault(f script.Fault) {
 	switch f.Kind {
 	case script.Cut:
@@ -232,7 +232,7 @@
 	return err
 }
 
-// open starts accepting connections. The caller holds mu or has the only reference to the link.
+// startListening starts accepting connections. The caller holds mu or has the only reference to the link.
 func (l *Link) startListening() error {
 	var newListener net.Listener
 	var err error
@@ -251,7 +251,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			if err != nil { // for example, out of descriptors
+			if err != nil { // for example, no file descriptor is available
 				time.Sleep(acceptRetryDelay)
 				continue
 			}
@@ -261,7 +261,7 @@
 	return nil
 }
 
-// take starts proxying an accepted connection.
+// startProxying starts forwarding an accepted connection.
 func (l *Link) startProxying(from net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -280,7 +280,7 @@
 	})
 }
 
-// now returns the rules in force.
+// currentRules returns the rules in force.
 func (l *Link) currentRules() *rules {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/trials/faultnet/link/link_test.go
+++ b/internal/trials/faultnet/link/link_test.go
@@ -19,11 +19,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// rig is an echo server, a link to it and a client.
+// fixture is an echo server, a link to it and the client's connections.
 type fixture struct {
 	*Link
 	t     *testing.T
-	got   chan string // what the server received, or "end" for a closed connection
+	got   chan string // data that the server received, or "end" when a connection was closed
 	conns []net.Conn
 }
 
@@ -132,7 +132,7 @@
 	testkit.Until(r.t, what, func() bool { return is(r.Counts()) })
 }
 
-// ended returns how a connection has ended for the client: eof or reset.
+// closeResult reads a connection until it ends and returns how it ended for the client: "eof", "reset" or another error.
 func (r *fixture) closeResult(c net.Conn) string {
 	r.t.Helper()
 	_, err := io.Copy(io.Discard, c)
@@ -145,7 +145,7 @@
 	return err.Error()
 }
 
-// each runs a test over TCP and Unix sockets.
+// forEachNetwork runs a test over TCP and over Unix sockets.
 func forEachNetwork(t *testing.T, f func(t *testing.T, r *fixture)) {
 	for _, network := range []string{"tcp", "unix"} {
 		t.Run(network, func(t *testing.T) { f(t, newFixture(t, network)) })
@@ -153,7 +153,7 @@
 }
 
 // Without faults bytes flow in both directions, a half-close leaves the other direction open, and a
-// reset is passed on.
+// reset is forwarded.
 func TestForwardingWithoutFaults(t *testing.T) {
 	forEachNetwork(t, func(t *testing.T, r *fixture) {
 		c := r.mustDial()
@@ -207,7 +207,7 @@
 		if n := r.Counts(); n.Resets != 0 {
 			t.Errorf("%+v", n)
 		}
-		forth.Close() // the close is passed on, as nothing is cut any more
+		forth.Close() // the close is forwarded, as no cut is in force any more
 		for got := ""; got != "end"; {
 			got = testkit.Next(t, r.got)
 		}
@@ -230,7 +230,7 @@
 		r.set(script.Fault{Kind: script.Late, Direction: script.Forth, Delay: 20 * time.Millisecond},
 			script.Fault{Kind: script.Slow, Direction: script.Back, Rate: 2000})
 		started := time.Now()
-		r.echo(c, "") // nothing
+		r.echo(c, "") // sends nothing
 		if got := testkit.Next(t, r.got); got != "held" {
 			t.Errorf("the server got %q", got)
 		}
@@ -310,7 +310,7 @@
 	c.(*net.TCPConn).SetWriteBuffer(1 << 10)
 	c.SetWriteDeadline(time.Now().Add(200 * time.Millisecond))
 	n, err := c.Write(make([]byte, 64<<20))
-	if n > 32<<20 || err == nil { // a few MiB are in the sockets' own buffers
+	if n > 32<<20 || err == nil { // the sockets' own buffers take a few MiB
 		t.Errorf("%d bytes were taken, %v", n, err)
 	}
 }
--- a/internal/trials/faultnet/play.go
+++ b/internal/trials/faultnet/play.go
@@ -12,9 +12,9 @@
 
 // Event is a completed step of a script.
 type Event struct {
-	At   time.Duration // since it began; when it had happened
+	At   time.Duration // time since the script began at which the step was completed
 	Step script.Step
-	Err  error // what could not be done
+	Err  error // joins the errors of links and processes; nil if there were none
 }
 
 func (e Event) String() string {
@@ -36,20 +36,20 @@
 type Player struct {
 	Links []*Link
 	Procs []*Process
-	// Before is told of a step ahead of it, Seen once it has happened; nil is nobody.
+	// Before is called before each step and Done after it; either may be nil.
 	Before func(script.Step)
 	Done   func(Event)
 
 	steps    []script.Step
 	nextStep int
 	started  time.Time
-	down     map[int]bool // processes that a fault holds down
+	down     map[int]bool // processes that a fault has killed and that are not restarted yet
 
 	mu     sync.Mutex
 	events []Event
 }
 
-// NewPlayer returns the player of a script whose numbers are those of links and processes.
+// NewPlayer returns a player of a script. The indexes in the script are those of links and procs.
 func NewPlayer(s Script, links []*Link, procs []*Process) (*Player, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -81,7 +81,7 @@
 	for i, faults := range st.Procs {
 		down := p.down[i]
 		p.down[i] = hasKind(faults, script.Kill)
-		procs.Go(func() { // a kill waits for the end
+		procs.Go(func() { // concurrent, as a kill waits until the process has ended
 			if err := applyFaults(p.Procs[i], down, faults); err != nil {
 				mu.Lock()
 				defer mu.Unlock()
@@ -109,7 +109,8 @@
 	return false
 }
 
-// applyFaults puts exactly these faults in force on a process. down tells whether a fault has killed it.
+// applyFaults puts exactly the given faults in force on a process. down reports whether an earlier fault has
+// killed it.
 func applyFaults(p *Process, down bool, faults []Fault) error {
 	var clockOffset time.Duration
 	for _, f := range faults {
@@ -129,7 +130,7 @@
 		return errors.Join(err, p.Kill())
 	case down:
 		err = errors.Join(err, p.Start())
-	case !p.Runs(): // it ended by itself, which its starter notices
+	case !p.Runs(): // it ended by itself, which the caller that started it has to detect
 		return err
 	}
 	if hasKind(faults, script.Pause) {
@@ -159,8 +160,8 @@
 	return err
 }
 
-// Play carries out a script by its times, starting now, until its end or the end of ctx, and ends
-// all faults. The error joins those of steps that failed.
+// Play carries out a script, each step at its time from now on, until the script or ctx ends. It then
+// ends all faults. The error joins those of steps that failed.
 func Play(ctx context.Context, s Script, links []*Link, procs []*Process) ([]Event, error) {
 	p, err := NewPlayer(s, links, procs)
 	if err != nil {
@@ -169,7 +170,8 @@
 	return p.Play(ctx)
 }
 
-// Play carries out what is left of the script by its times.
+// Play carries out the remaining steps, each at its time from now on, until they or ctx end. It then
+// ends all faults.
 func (p *Player) Play(ctx context.Context) ([]Event, error) {
 	p.started = time.Now()
 	for p.nextStep < len(p.steps) && ctx.Err() == nil {
--- a/internal/trials/faultnet/play_test.go
+++ b/internal/trials/faultnet/play_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// state is R, S or T of a process, as ps has it; "" where it does not run.
+// processState returns the state of a process as ps shows it, such as R, S or T; "" if it does not run.
 func processState(p *Process) string {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID()))
 	_, rest, _ := strings.Cut(string(raw), ") ")
@@ -28,7 +28,7 @@
 	return rest[:1]
 }
 
-// isSo tells whether a link refuses, and a process runs and is stopped.
+// isInState reports whether it is as given that a link refuses connections, and that a process runs and is stopped.
 func isInState(l *Link, p *Process, refused, runs, stopped bool) bool {
 	c, err := net.Dial("tcp", l.Addr())
 	if err == nil {
@@ -38,7 +38,7 @@
 	return (err != nil) == refused && (is != "") == runs && (is == "T") == stopped
 }
 
-// echoServer gives the address of a server that sends back what comes, until the test ends.
+// echoServer returns the address of a server that sends back what it receives until the test ends.
 func echoServer(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,8 +57,8 @@
 	return listener.Addr().String()
 }
 
-// Each step has what is in force then befall its link or process, overlaps too; a player that
-// stops half-way leaves nothing in force.
+// Each step puts the faults of its time in force on links and processes, also where faults overlap. Heal
+// ends all faults, also when steps remain.
 func TestPlayer(t *testing.T) {
 	l, err := Listen(echoServer(t))
 	if err != nil {
--- a/internal/trials/faultnet/process/disk.go
+++ b/internal/trials/faultnet/process/disk.go
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// startBounded starts a command without CAP_DAC_OVERRIDE, so that file modes apply to root too. It
+// startWithoutDACOverride starts a command without CAP_DAC_OVERRIDE, so that file modes apply to root too. It
 // drops the capability from the bounding set of one thread, starts the command there and lets the
 // thread exit.
 func startWithoutDACOverride(cmd *exec.Cmd) error {
@@ -99,7 +99,7 @@
 
 // groupOf returns the ids of the running processes of a group, without zombies.
 func groupOf(pgid int) (pids []int) {
-	if unix.Kill(-pgid, 0) == unix.ESRCH { // the common case, which saves reading /proc
+	if unix.Kill(-pgid, 0) == unix.ESRCH { // the common case, in which /proc need not be read
 		return nil
 	}
 	stats, _ := filepath.Glob("/proc/[0-9]*/stat")
@@ -118,7 +118,7 @@
 	return pids
 }
 
-// isRunningIn reports whether a line of /proc/PID/stat is of a running process of a group.
+// isRunningInGroup reports whether a line of /proc/PID/stat describes a running process of a group.
 func isRunningInGroup(stat string, pgid int) bool {
 	// The form is "pid (name) state ppid pgrp ..."; the name may contain any character.
 	nameEnd := strings.LastIndexByte(stat, ')')
--- a/internal/trials/faultnet/process/process.go
+++ b/internal/trials/faultnet/process/process.go
@@ -133,7 +133,7 @@
 func (discard) Write(b []byte) (int, error) { return len(b), nil }
 func (discard) Close() error                { return nil }
 
-// runs reports whether any process of the group runs. The caller holds mu.
+// isRunning reports whether any process of the group runs. The caller holds mu.
 func (p *Process) isRunning() bool {
 	if p.cmd == nil {
 		return false
--- a/internal/trials/faultnet/process/process_test.go
+++ b/internal/trials/faultnet/process/process_test.go
@@ -15,8 +15,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// TestMain is also the program that these tests start: it copies what it reads from the file "ask"
-// to a file of its state directory and prints the result.
+// TestMain is also the program that these tests start. It copies the contents of the file "ask" to a
+// file in its state directory and prints the result.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("WRITER_STATE"); dir != "" {
 		runWriter(dir)
@@ -29,7 +29,7 @@
 	parent := os.Getppid() // read first, so that the process also ends if the test is killed
 	fmt.Println("up, clock", os.Getenv("WRITER_CLOCK"))
 	for os.Getppid() == parent {
-		// The request comes through a file, which needs no connection to the process.
+		// The request is passed in a file, which needs no connection to the process.
 		raw, err := os.ReadFile(filepath.Join(dir, "ask"))
 		if err != nil || len(raw) == 0 {
 			time.Sleep(time.Millisecond)
--- a/internal/trials/faultnet/script/script.go
+++ b/internal/trials/faultnet/script/script.go
@@ -26,8 +26,8 @@
 	Blackhole             // requests are delivered, responses are dropped and the connection stays open
 	Refuse                // new connections are refused, open ones stay
 
-	Kill     // SIGKILL at the begin, a restart with the same arguments at the end
-	Pause    // SIGSTOP at the begin, SIGCONT at the end
+	Kill     // SIGKILL at the start, a restart with the same arguments at the end
+	Pause    // SIGSTOP at the start, SIGCONT at the end
 	Full     // no file of the process can grow
 	ReadOnly // the state directory of the process is read-only
 	Clock    // the wall clock of the process is Delay ahead, if the process supports an offset
@@ -45,7 +45,7 @@
 	return fmt.Sprintf("kind(%d)", uint8(k))
 }
 
-// OfLink reports whether the fault is one of links rather than of processes.
+// OfLink reports whether the fault applies to links rather than to processes.
 func (k Kind) OfLink() bool { return k < Kill }
 
 // directed reports whether the fault has a Direction.
@@ -104,13 +104,13 @@
 	Links       int           // number of links
 	Procs       int           // number of processes
 	For         time.Duration // duration of the script
-	Faults      int           // number of faults; 0 is one more than there are links and processes
+	Faults      int           // number of faults; 0 is the number of links and processes plus one
 	LinkKinds   []Kind        // kinds to draw from; nil is all
 	ProcKinds   []Kind        // kinds to draw from; nil is Kill and Pause, which every process supports
-	MinDuration time.Duration // of a fault; 0 is a twentieth of For
+	MinDuration time.Duration // minimum duration of a fault; 0 is a twentieth of For
 }
 
-// Draw returns the script of a seed, which has no faults if there are no links and no processes.
+// Draw generates the script of a seed. It has no faults if there are no links and no processes.
 func Draw(seed uint64, o Spec) Script {
 	s := Script{Seed: seed, Links: max(o.Links, 0), Procs: max(o.Procs, 0), For: max(o.For, 20*step)}
 	rng := rand.New(rand.NewPCG(seed, 0xfa017))
@@ -162,7 +162,7 @@
 	case Slow:
 		f.Rate = 1 << (6 + rng.IntN(10)) // 64 bytes a second to 32 KiB
 	case Reset:
-		f.Bytes = rng.IntN(1 << rng.IntN(13)) // mostly small: in the middle of a message's head
+		f.Bytes = rng.IntN(1 << rng.IntN(13)) // mostly small, so that the reset falls into a message's header
 	case Clock:
 		f.Delay = draw(rng, step, 2*time.Hour)
 		if rng.IntN(2) == 0 {
@@ -186,7 +186,7 @@
 	slices.SortStableFunc(s.Entries, func(a, b Entry) int { return cmp.Compare(a.From, b.From) })
 }
 
-// Check returns an error that names the first invalid figure of a script, or nil.
+// Check returns an error that describes the first invalid value of a script, or nil.
 func (s Script) Check() error {
 	if s.Links < 0 || s.Procs < 0 || s.For < 0 {
 		return fmt.Errorf("%d links, %d processes, for %v", s.Links, s.Procs, s.For)
@@ -236,8 +236,8 @@
 	At     time.Duration
 	Begins []Entry
 	Ends   []Entry
-	Links  map[int][]Fault // the faults in force from At on, of each link that changes; empty is healed
-	Procs  map[int][]Fault // the same of processes
+	Links  map[int][]Fault // faults in force from At on, for each link whose faults change; empty if all have ended
+	Procs  map[int][]Fault // the same for processes
 }
 
 // Steps returns the steps of a script in order of time. No fault is in force after the last one.
--- a/internal/trials/faultnet/script/script_test.go
+++ b/internal/trials/faultnet/script/script_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// An invalid text is rejected with one error that names the line.
+// Parse rejects an invalid text with an error that names the line.
 func TestParse(t *testing.T) {
 	const header = "faults seed=1 links=1 procs=1 for=2s\n"
 	for _, tc := range []struct{ text, want string }{
@@ -107,8 +107,8 @@
 	})
 }
 
-// A script is reduced to the two faults that matter, as short and mild as still fail, within the
-// limit of runs and deterministically.
+// A script is reduced to the two faults that cause the failure, each as short and weak as possible,
+// within the limit of runs and deterministically.
 func TestShrink(t *testing.T) {
 	o := allFaultKinds
 	o.Faults = 40
--- a/internal/trials/faultnet/script/shrink.go
+++ b/internal/trials/faultnet/script/shrink.go
@@ -45,7 +45,7 @@
 	return true
 }
 
-// leaveOut removes entries until none can be removed any more or no runs remain.
+// removeEntries removes entries until no entry can be removed any more or no runs remain.
 func (sh *shrinker) removeEntries() {
 	for before := -1; before != len(sh.script.Entries) && sh.runs > 0; {
 		before = len(sh.script.Entries)
--- a/internal/trials/faultnet/script/text.go
+++ b/internal/trials/faultnet/script/text.go
@@ -83,10 +83,10 @@
 	return s, nil
 }
 
-// headForm is the form of a script's header line, for errors.
+// headerForm is the form of a script's header line, for errors.
 const headerForm = "faults seed=.. links=.. procs=.. for=.."
 
-// head parses the header line.
+// parseHeader parses the header line.
 func (s *Script) parseHeader(words []string) (err error) {
 	if words[0] != "faults" || len(words) != 5 {
 		return fmt.Errorf("%q is not %s", strings.Join(words, " "), headerForm)
@@ -124,7 +124,7 @@
 	return Script{Links: s.Links, Procs: s.Procs, For: s.For, Entries: []Entry{e}}.Check()
 }
 
-// entry parses the line of one fault.
+// parseEntry parses the line of one fault.
 func parseEntry(words []string) (e Entry, err error) {
 	if len(words) < 4 || words[0] != "link" && words[0] != "proc" {
 		return e, fmt.Errorf("%q is not link or proc, number, from..to, fault", strings.Join(words, " "))
@@ -149,7 +149,7 @@
 	return e, err
 }
 
-// parseParameters parses the words after the fault's kind: its direction and its figure, if any.
+// parseParameters parses the words after the fault's kind: its direction and its numeric parameter, if any.
 func (f *Fault) parseParameters(words []string) (err error) {
 	if f.Kind.directed() {
 		if len(words) == 0 {
--- a/internal/trials/faultnet/traffic/conn.go
+++ b/internal/trials/faultnet/traffic/conn.go
@@ -1,5 +1,5 @@
-// Package traffic has what the trials under faults share: the connections of their clients, their fake servers,
-// and the record of which faults a connection may have met.
+// Package traffic contains what the fault trials share: the connections of their clients, their fake servers, and
+// the record of the faults that may have affected a connection.
 package traffic
 
 import (
@@ -24,20 +24,20 @@
 	ID     string
 	Method string
 	Path   string
-	Header [2]string // name and value of a further field; none if the value is empty
-	Body   int64     // bytes of a POST
-	Answer int64     // bytes that the answer is to have
+	Header [2]string // name and value of another header field; none if the value is empty
+	Body   int64     // body size of a POST in bytes
+	Answer int64     // body size in bytes that the request asks the server for
 }
 
 // Conn sends requests over a persistent connection, one at a time, without retries. It dials anew after Close.
 // It is for one goroutine.
 type Conn struct {
-	Addr func() string // that is dialed
-	// FaultTimeout is the read timeout of a connection that may have met a fault, MaxTimeout that of all others;
+	Addr func() string // returns the address to dial
+	// FaultTimeout is the read timeout of a connection that a fault may have affected, MaxTimeout that of all others;
 	// the latter is the timeout of dialing and writing too.
 	FaultTimeout time.Duration
 	MaxTimeout   time.Duration
-	// IsFaultPossible tells whether a fault may have affected a connection that was dialed at a time.
+	// IsFaultPossible reports whether a fault may have affected a connection that was dialed at a time.
 	IsFaultPossible func(dialedAt time.Time) bool
 
 	conn     net.Conn
@@ -45,10 +45,10 @@
 	dialedAt time.Time
 }
 
-// DialedAt is when dialing of the present or latest connection started.
+// DialedAt returns the time at which dialing of the current or latest connection started.
 func (c *Conn) DialedAt() time.Time { return c.dialedAt }
 
-// Unread is the number of bytes that were received after the latest answer.
+// Unread returns the number of bytes that were received after the latest answer.
 func (c *Conn) Unread() int {
 	if c.conn == nil {
 		return 0
@@ -97,7 +97,8 @@
 	return out.Flush()
 }
 
-// patientReader reads from a connection until its timeout has passed.
+// timeoutReader reads from a connection. A read times out at the deadline, or after FaultTimeout if a fault may have
+// affected the connection.
 type timeoutReader struct {
 	*Conn
 	deadline time.Time
--- a/internal/trials/faultnet/traffic/faults.go
+++ b/internal/trials/faultnet/traffic/faults.go
@@ -12,10 +12,10 @@
 	byPart map[Part]faultTimes
 }
 
-// interval is the time in which faults affected one part.
+// faultTimes records when faults affected one part.
 type faultTimes struct {
-	active  int       // faults in force
-	lastEnd time.Time // when one ended last
+	active  int       // number of faults in force
+	lastEnd time.Time // end of the fault that ended last
 }
 
 // Begin records that a fault of a part is about to begin.
@@ -37,7 +37,7 @@
 	f.byPart[part] = faultTimes{active: f.byPart[part].active - 1, lastEnd: time.Now()}
 }
 
-// IsPossible tells whether a fault may have affected a part since a time.
+// IsPossible reports whether a fault may have affected a part since a time.
 func (f *Faults[Part]) IsPossible(part Part, since time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/trials/faultnet/traffic/server.go
+++ b/internal/trials/faultnet/traffic/server.go
@@ -47,7 +47,7 @@
 	<-s.ended
 }
 
-// WriteAnswer answers a request with its id and as many bytes as it asks for.
+// WriteAnswer answers a request with its ID and with a body of the size that its query asks for.
 func WriteAnswer(w http.ResponseWriter, r *http.Request) {
 	n, _ := strconv.ParseInt(r.URL.Query().Get("n"), 10, 64)
 	w.Header().Set(IDField, r.Header.Get(IDField))
--- a/internal/trials/faultnet/trial/clients.go
+++ b/internal/trials/faultnet/trial/clients.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	faultReadTimeout       = 3 * time.Second  // of a client that may have met a fault; above each class's deadline
-	maxReadTimeout         = 20 * time.Second // of all other clients
+	faultReadTimeout       = 3 * time.Second  // of connections that a fault may have affected; above each class's deadline
+	maxReadTimeout         = 20 * time.Second // of all other connections
 	maxThinkTime           = 10 * time.Millisecond
-	maxBufferedAnswerBytes = 64 << 10 // the node buffers answers up to this size, which are complete or missing
+	maxBufferedAnswerBytes = 64 << 10 // the node buffers answers up to this size, so that a client gets them complete or not at all
 )
 
 // client sends requests to one node over persistent connections, one at a time, without retries.
@@ -29,7 +29,7 @@
 	rng          *rand.Rand
 	requestCount int
 	conn         traffic.Conn
-	lastOutcome  string // of the latest request
+	lastOutcome  string // of the latest request, for error messages
 }
 
 func (r *run) client(node, n int) *client {
@@ -65,7 +65,7 @@
 	return q
 }
 
-// work sends until ctx ends.
+// sendRequests sends requests until ctx ends.
 func (c *client) sendRequests(ctx context.Context) {
 	defer c.conn.Close()
 	for ctx.Err() == nil {
--- a/internal/trials/faultnet/trial/owners.go
+++ b/internal/trials/faultnet/trial/owners.go
@@ -16,15 +16,15 @@
 	"lockflow/internal/trials/faultnet/history"
 )
 
-// owners is how many coordinators claim the nodes at once.
+// ownerCount is the number of coordinators that claim the nodes concurrently.
 const ownerCount = 2
 
-// claimInterval bounds how often a coordinator claims: what a history holds has to be checked in
-// seconds.
+// claimInterval is the mean pause between two rounds of a coordinator. It limits the number of
+// operations, as the history has to be checked within seconds.
 const claimInterval = 80 * time.Millisecond
 
-// owner is a coordinator that claims all nodes for an epoch again and again, and orders those that
-// granted it once they are more than half.
+// owner is a coordinator. It repeatedly claims all nodes for a new epoch and, if more than half of them
+// grant it, sends a command to those that did.
 type owner struct {
 	*run
 	name   string
@@ -37,7 +37,7 @@
 	return &owner{run: r, name: fmt.Sprint("owner-", n), number: n, rng: rand.New(rand.NewPCG(r.options.Script.Seed, uint64(n)+7000))}
 }
 
-// coordinate goes on until ctx ends.
+// coordinate runs rounds until ctx ends.
 func (w *owner) coordinate(ctx context.Context) {
 	for ctx.Err() == nil {
 		w.runRound(ctx, w.nextEpoch(), true)
@@ -48,7 +48,8 @@
 	}
 }
 
-// epoch is one that is newer than all that were told; another coordinator may choose the same.
+// nextEpoch returns an epoch that is newer than all that were reported; another coordinator may choose
+// the same one.
 func (r *run) nextEpoch() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,8 +62,9 @@
 	r.newestEpoch = max(r.newestEpoch, e)
 }
 
-// send is one round; it gives how many nodes have carried the order out. linked has it go by the
-// links.
+// runRound claims all nodes and, if a majority grants the epoch, sends a command to those that did. It
+// returns the number of nodes that have executed the command. If viaLink is set, the calls pass through
+// the links.
 func (w *owner) runRound(ctx context.Context, epoch uint64, viaLink bool) int {
 	w.round++
 	recordAcquire := w.ownership.Call(w.number, history.Acquire{Epoch: epoch, Owner: w.name})
@@ -86,7 +88,7 @@
 	})
 }
 
-// forEachNode does something for all nodes at once, and counts those for which it went well.
+// forEachNode calls do for all nodes concurrently, and returns the number of nodes for which it returned true.
 func (w *owner) forEachNode(do func(i int) bool) (n int) {
 	var all sync.WaitGroup
 	var mu sync.Mutex
@@ -110,8 +112,8 @@
 	return manage.Client{Path: w.control(i)}
 }
 
-// controlTimeout is how long a node has for an answer: over a link faults may keep it for ever, else only busy
-// cores are in its way.
+// controlTimeout returns the timeout of a call to a node. Over a link, faults may delay the reply without limit, so the
+// timeout is short; without one, only a busy machine delays it, so the timeout is long.
 func controlTimeout(viaLink bool) time.Duration {
 	if viaLink {
 		return controlCallTimeout
@@ -138,10 +140,11 @@
 		done(history.Nothing)
 		w.checkRejection(i, refused)
 	}
-	return false // and unknown, where there was no answer
+	return false // the result stays Unknown if there was no reply
 }
 
-// order orders settings, and asks again by the same id where the answer is lost.
+// sendCommand sends a command with new settings. If the reply is lost, or the node rejects the command for a
+// reason other than its epoch, it sends the command again with the same ID, at most 3 times in all.
 func (w *owner) sendCommand(ctx context.Context, i int, epoch uint64, text string, viaLink bool) bool {
 	id := fmt.Sprintf("%s/%d/%d", w.name, epoch, w.round)
 	command := manage.Command{Epoch: epoch, Owner: w.name, ID: id, Operation: manage.Operation{Kind: desiredstate.KindSettings, Text: text, Hash: desiredstate.Hash([]byte(text))}}
@@ -174,17 +177,18 @@
 	return false
 }
 
-// mayRefuse notes a refusal that no fault of a script explains.
+// checkRejection records a violation if no fault of a script explains a rejection.
 func (w *owner) checkRejection(i int, r manage.RejectedError) {
 	switch r.Code {
 	case desiredstate.CodeBusy, desiredstate.CodeNotSaved:
-	case "": // of no command: the node ends, or the request was malformed
+	case "": // not the rejection of a command: the node shuts down, or the request was malformed
 	default:
 		w.exchanges.Wrong("node %d refuses an owner: %s: %s", i, r.Code, r.Message)
 	}
 }
 
-// settle has one owner bring all nodes to one state, once no fault is in force any more.
+// converge has one owner bring all nodes to the same state after all faults have ended. It then checks
+// that state, the logs and the history of ownership.
 func (r *run) converge(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
@@ -213,8 +217,8 @@
 	}
 }
 
-// countStartedCommands counts by a node's log the commands that it has begun, each an effect. The last one that settle had it run
-// is among them: a log without any is not understood.
+// countStartedCommands records each command that a node has started, according to its log, as an effect. The log contains at
+// least the last command that converge sent; if none is found, the log's format has changed.
 func (r *run) countStartedCommands(i int) {
 	raw, err := os.ReadFile(r.procs[i].Log)
 	if err != nil {
--- a/internal/trials/faultnet/trial/servers.go
+++ b/internal/trials/faultnet/trial/servers.go
@@ -17,8 +17,8 @@
 	fieldKey    = "Idempotency-Key"
 )
 
-// servers are the fake servers of a trial. They drop repeats of an idempotency key as one group, and record each
-// effect.
+// servers are the fake servers of a trial. They share the idempotency keys, so that a repeat has no effect on any of
+// them, and record each effect.
 type servers struct {
 	exchanges *history.Exchanges
 	workTime  time.Duration
@@ -27,7 +27,7 @@
 
 	mu      sync.Mutex
 	keys    map[string]bool
-	effects map[string]bool // by ids of writes
+	effects map[string]bool // IDs of the writes that were received completely
 }
 
 func startServers(n int, workTime time.Duration, exchanges *history.Exchanges) (*servers, error) {
@@ -76,7 +76,7 @@
 	traffic.WriteAnswer(w, r)
 }
 
-// hasEffect tells whether a write's effect happened.
+// hasEffect reports whether a write's effect happened.
 func (s *servers) hasEffect(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/trials/faultnet/trial/sides.go
+++ b/internal/trials/faultnet/trial/sides.go
@@ -14,7 +14,7 @@
 	isUpstream bool
 }
 
-// explainedSide returns the side that a fault affects. ok is false if it affects no requests.
+// affectedSide returns the side that a fault affects. ok is false if it affects no requests.
 func (r *run) affectedSide(e script.Entry) (side, bool) {
 	switch {
 	case !e.Kind.OfLink():
@@ -27,7 +27,7 @@
 	return side{node: e.On / (2 + r.options.Servers), isUpstream: true}, true
 }
 
-// beforeStep records faults before they begin, so that clients that meet one find it recorded.
+// beforeStep records faults before they begin, so that a client that a fault affects finds it recorded.
 func (r *run) beforeStep(st script.Step) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -45,7 +45,7 @@
 func (r *run) afterStep(ev faultnet.Event) {
 	for _, e := range ev.Step.Begins {
 		if e.Kind == script.Kill {
-			r.link(e.On, 0).To(unusedAddr) // the port may be another's by now
+			r.link(e.On, 0).To(unusedAddr) // another process may listen on the port by now
 		}
 	}
 	for _, e := range ev.Step.Ends {
@@ -55,7 +55,8 @@
 		}
 		if e.Kind == script.Kill && r.procs[e.On].Runs() {
 			r.starts.Go(func() {
-				// If it is killed again meanwhile, the start after that counts.
+				// If the process is killed again meanwhile, its failure to become ready is no violation: the
+				// start after that kill is checked.
 				p := r.procs[e.On]
 				starts := p.Starts()
 				if err := r.awaitReady(context.Background(), e.On); err != nil && p.Runs() && p.Starts() == starts {
@@ -72,13 +73,13 @@
 	}
 }
 
-// isClientFaultPossible tells whether a fault of the link to a node's clients or of its process may have
+// isClientFaultPossible reports whether a fault of the link from a node's clients or of its process may have
 // affected a connection since a time.
 func (r *run) isClientFaultPossible(node int, since time.Time) bool {
 	return r.faults.IsPossible(side{node: node}, since)
 }
 
-// isUpstreamFaultPossible tells the same of a node's links to its servers.
+// isUpstreamFaultPossible reports the same for a node's links to its servers.
 func (r *run) isUpstreamFaultPossible(node int, since time.Time) bool {
 	return r.faults.IsPossible(side{node: node, isUpstream: true}, since)
 }
--- a/internal/trials/faultnet/trial/trial.go
+++ b/internal/trials/faultnet/trial/trial.go
@@ -1,7 +1,7 @@
-// Package trial runs nodes between clients and stand-in servers, applies the faults of a script to
-// the links between them and to the nodes, and checks the results against the rules that
-// hold under any fault: one final answer, no effect twice, no answer without its effect, and all
-// serve again afterwards.
+// Package trial runs nodes between clients and fake servers, applies the faults of a script to the
+// nodes and to the links between all of them, and checks the results against rules that hold under
+// any fault: a request gets one final answer, no effect happens twice, no write succeeds without its
+// effect, and all nodes serve again after the faults.
 package trial
 
 import (
@@ -32,11 +32,11 @@
 
 // Options are the options of a trial.
 type Options struct {
-	Program string // absolute
-	Dir     string // for the nodes' files; short and empty
+	Program string // absolute path of the program
+	Dir     string // empty directory for the nodes' files; short, as it is part of the paths of Unix sockets
 	Nodes   int
 	Servers int
-	Clients int // of each node
+	Clients int // number of clients of each node
 	Script  faultnet.Script
 	OnEvent func(faultnet.Event) // may be nil
 }
@@ -47,21 +47,21 @@
 	Faults         int           `json:"faults"`
 	Requests       int           `json:"requests"`
 	Answered       int           `json:"answered"` // with a final answer of any kind
-	Served         int           `json:"served"`   // with 200
-	Broken         int           `json:"broken"`   // without one, as a fault of the client's way or of the process explains
+	Served         int           `json:"served"`   // answered with 200
+	Broken         int           `json:"broken"`   // without a final answer, which a fault has to explain
 	Effects        int           `json:"effects"`
-	ControlCalls   int           `json:"asked"`   // status and reload, by the control sockets
-	ControlReplies int           `json:"told"`    // of them, answered
-	OwnedEpochs    int           `json:"owned"`   // epochs that a coordinator has come to own
-	Orders         int           `json:"orders"`  // carried out, or told again
-	Kills          int           `json:"kills"`   //
+	ControlCalls   int           `json:"asked"`   // status and reload calls over the control sockets
+	ControlReplies int           `json:"told"`    // control calls that got a reply
+	OwnedEpochs    int           `json:"owned"`   // epochs that a coordinator has acquired
+	Orders         int           `json:"orders"`  // commands that were executed, or acknowledged as executed before
+	Kills          int           `json:"kills"`   // faults that killed a process
 	Resets         int           `json:"resets"`  // connections that a fault reset
-	Lost           int64         `json:"lost"`    // bytes that vanished
-	RecoveryTime   time.Duration `json:"back_ns"` // from the last fault's end until all serve again
+	Lost           int64         `json:"lost"`    // bytes that faults dropped
+	RecoveryTime   time.Duration `json:"back_ns"` // from the last fault's end until all nodes serve again
 	Wrong          []string      `json:"wrong"`
 	Events         []string      `json:"-"`
 	StartDuration  time.Duration `json:"-"`
-	Undecided      string        `json:"-"` // why the check of ownership has come to no verdict; "" is that it has
+	Undecided      string        `json:"-"` // why the check of ownership reached no verdict; "" if it reached one
 }
 
 // Timeouts and intervals of a trial.
@@ -74,11 +74,11 @@
 	pollInterval       = 2 * time.Millisecond
 )
 
-// Links is how many links a trial has: for each node its clients', its control socket's, and one
-// to each server, in that order.
+// Links returns the number of links of a trial. Each node has, in this order, one link from its
+// clients, one to its control socket and one to each server.
 func Links(nodes, servers int) int { return nodes * (2 + servers) }
 
-// Place names a link by its number.
+// Place returns the description of a link by its number.
 func Place(servers, n int) string {
 	node, at := n/(2+servers), n%(2+servers)
 	switch at {
@@ -101,16 +101,16 @@
 	faults    traffic.Faults[side]
 
 	mu             sync.Mutex
-	status         map[int]int // of answers
+	status         map[int]int // number of final answers by HTTP status
 	controlCalls   int
 	controlReplies int
 	kills          int
 	servingChecks  int
-	newestEpoch    uint64 // epoch in any reply
+	newestEpoch    uint64 // newest epoch in any reply
 
 	ownership history.History
-	texts     []string // the settings of each node
-	undecided string   // of Report
+	texts     []string // initial configuration of each node
+	undecided string   // Report.Undecided
 }
 
 // Run runs a trial of one script. It returns an error if the trial could not be run; violated rules
@@ -168,7 +168,7 @@
 	return rep, nil
 }
 
-// report counts what came of the trial.
+// report enters the results of the trial into rep.
 func (r *run) report(rep *Report) {
 	rep.Wrong = r.exchanges.Check(func(why string) bool { return !strings.HasPrefix(why, "unexplained") })
 	rep.Requests, rep.Answered = r.exchanges.Counts()
@@ -191,7 +191,7 @@
 	}
 }
 
-// start starts all, and waits until it serves.
+// start starts the servers, links and nodes, and waits until all nodes serve.
 func (r *run) start(ctx context.Context) (err error) {
 	if r.servers, err = startServers(r.options.Servers, serverWorkTime, r.exchanges); err != nil {
 		return err
@@ -238,31 +238,32 @@
 	return nil
 }
 
-// unusedAddr is an address at which nobody listens.
+// unusedAddr is an address on which nothing listens.
 const unusedAddr = "127.0.0.1:1"
 
 func (r *run) dir(i int) string     { return filepath.Join(r.options.Dir, strconv.Itoa(i)) }
 func (r *run) control(i int) string { return filepath.Join(r.dir(i), "c.sock") }
 
-// link is the link of a place of a node: 0 is its clients', 1 its owner's.
+// link returns a link of a node: at 0 is the one from its clients, at 1 the one to its control socket, and from 2 on
+// those to the servers.
 func (r *run) link(node, at int) *faultnet.Link { return r.links[node*(2+r.options.Servers)+at] }
 
-// front is where clients find a node.
+// clientAddr returns the address at which clients connect to a node.
 func (r *run) clientAddr(node int) string { return r.link(node, 0).Addr() }
 
 func (r *run) close() {
 	for _, p := range r.procs {
-		_ = p.Kill() // one that has ended already is well
+		_ = p.Kill() // best effort: the trial is over
 	}
 	for _, l := range r.links {
-		_ = l.Close() // the trial is over
+		_ = l.Close() // best effort: the trial is over
 	}
 	if r.servers != nil {
 		r.servers.close()
 	}
 }
 
-// awaitReady waits until a process has come up, and leads its clients' link to where it listens.
+// awaitReady waits until a process is ready, and directs the link from its clients to the address on which it listens.
 func (r *run) awaitReady(ctx context.Context, i int) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -283,14 +284,14 @@
 	}
 }
 
-// awaitServing waits until a node answers one request of each class well. That each server is asked
-// again is the choice of the node, which lets one that failed rest for a time.
+// awaitServing waits until a node has served one request of each class. It doesn't wait until every
+// server receives requests, as the node sends none to a server for some time after it has failed.
 func (r *run) awaitServing(ctx context.Context, i int) error {
 	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	r.mu.Lock()
 	r.servingChecks++
-	c := r.client(i, r.options.Clients+r.servingChecks) // with ids of its own
+	c := r.client(i, r.options.Clients+r.servingChecks) // a number that no other client has, so that request IDs are unique
 	r.mu.Unlock()
 	defer c.conn.Close()
 	for servedPaths := make(map[string]bool); len(servedPaths) < 3; {
@@ -309,7 +310,7 @@
 	return nil
 }
 
-// tail is the end of a node's log.
+// logTail returns the end of a node's log.
 func (r *run) logTail(i int) string {
 	raw, err := os.ReadFile(r.procs[i].Log)
 	if err != nil {
@@ -318,8 +319,8 @@
 	return "its log ends with: " + string(raw[max(len(raw)-600, 0):])
 }
 
-// answered holds a final answer to what may be answered. excused tells that a fault on the
-// client's side may have broken the request off.
+// checkAnswer checks that a final answer has a permitted status. isFaultPossible reports whether a
+// fault on the client's side may have truncated the request.
 func (r *run) checkAnswer(node int, q request, status int, isFaultPossible bool) {
 	r.mu.Lock()
 	r.status[status]++
@@ -339,8 +340,9 @@
 	}
 }
 
-// callControl asks a node by its control socket what it does, and has it read its file again, until ctx
-// ends. What it says has to be of the process that runs.
+// callControl requests a node's status over its control socket, and in one of 10 calls a reload, until ctx
+// ends. It records the states for the check of ownership, and checks that the generation of a process
+// never decreases.
 func (r *run) callControl(ctx context.Context, i int) {
 	rng := rand.New(rand.NewPCG(r.options.Script.Seed, uint64(i)+77))
 	c := manage.Client{Path: r.link(i, 1).Addr()}
@@ -380,7 +382,7 @@
 	}
 }
 
-// judge tells what is wrong at the end.
+// checkNodesAfterFaults checks that all nodes still run and reload their configuration.
 func (r *run) checkNodesAfterFaults() {
 	for i, p := range r.procs {
 		if !p.Runs() {
--- a/internal/trials/versionskew/compare.go
+++ b/internal/trials/versionskew/compare.go
@@ -77,7 +77,7 @@
 	return slices.Compact(paths)
 }
 
-// walk appends the paths below path at which two trees differ.
+// appendDifferences appends the paths below path at which two trees differ.
 func appendDifferences(path string, a, b any, equal func(a, b any) bool, paths *[]string) {
 	left, right := entries(a), entries(b)
 	if left == nil || right == nil {
--- a/internal/trials/versionskew/compare_test.go
+++ b/internal/trials/versionskew/compare_test.go
@@ -32,7 +32,8 @@
 	return raw
 }
 
-// changed returns a checkpoint file with content that another build has changed.
+// editCheckpoint returns a copy of a checkpoint file in which change has edited the customer, as another build might
+// have written it.
 func editCheckpoint(t *testing.T, raw []byte, change func(customer map[any]any)) []byte {
 	t.Helper()
 	var tree map[any]any
--- a/internal/trials/versionskew/judge.go
+++ b/internal/trials/versionskew/judge.go
@@ -8,7 +8,7 @@
 	"lockflow/internal/state"
 )
 
-// tokens returns the tokens left in the reserved customer's hard-limit bucket, or NaN if the checkpoint has none.
+// reservedTokens returns the tokens left in the reserved customer's hard-limit bucket, or NaN if the checkpoint has none.
 func reservedTokens(s state.Checkpoint) float64 {
 	for _, serviceState := range s.Services {
 		for _, customer := range serviceState.Checkpoint.Customers {
@@ -20,7 +20,7 @@
 	return math.NaN()
 }
 
-// limitOf returns the learned concurrency limit of a checkpoint, or NaN if it has none.
+// checkpointConcurrency returns the learned concurrency limit of a checkpoint, or NaN if it has none.
 func checkpointConcurrency(s state.Checkpoint) float64 {
 	for _, serviceState := range s.Services {
 		return serviceState.Checkpoint.ConcurrencyLimit
@@ -28,7 +28,7 @@
 	return math.NaN()
 }
 
-// concurrency returns the concurrency limit of a status, or NaN if it has none.
+// statusConcurrency returns the concurrency limit of a status, or NaN if it has none.
 func statusConcurrency(s manage.Status) float64 {
 	for _, serviceStatus := range s.Services {
 		return serviceStatus.ConcurrencyLimit
@@ -52,7 +52,7 @@
 	}
 }
 
-// near reports whether two figures differ by at most a fraction, the tolerance, of the first. It is false for NaN.
+// near reports whether two numbers differ by at most a fraction, the tolerance, of the first. It is false for NaN.
 func near(a, b, tolerance float64) bool { return math.Abs(a-b) <= tolerance*math.Abs(a) }
 
 // compareTokens reports a violation if a step did not hand over the tokens of the reserved customer.
@@ -83,7 +83,7 @@
 	}
 }
 
-// compareOrders reports a violation if an upgrade lost the lease, commands or configuration of a coordinator.
+// compareOwnership reports a violation if an upgrade lost the lease, commands or configuration of a coordinator.
 func (t *trial) compareOwnership(step string, before, after manage.Status) {
 	if before.Epoch == 0 || after.Epoch != before.Epoch || after.Owner != before.Owner {
 		t.report.violation("%s: epoch %d of %q was granted, now it is %d of %q", step, before.Epoch, before.Owner, after.Epoch, after.Owner)
@@ -96,7 +96,7 @@
 	}
 }
 
-// judge checks what clients and servers saw against the rules.
+// judge checks what clients and servers observed against the rules of the trial.
 func (t *trial) judge() {
 	r := t.report
 	for _, requests := range r.rows() {
--- a/internal/trials/versionskew/load.go
+++ b/internal/trials/versionskew/load.go
@@ -82,7 +82,7 @@
 type load struct {
 	stop    context.CancelFunc
 	started time.Time
-	clients []*fake.Run // of the standard plan: with persistent connections, and with one for each request
+	clients []*fake.Run // of the standard plan: one with persistent connections, one with a connection for each request
 	limited *fake.Run   // of the limited plan
 
 	mu       sync.Mutex
@@ -147,7 +147,7 @@
 	return l.answered, l.changed
 }
 
-// await waits for n more answers.
+// awaitAnswers waits for n more answers.
 func (l *load) awaitAnswers(ctx context.Context, n int) error {
 	target, _ := l.progress()
 	target += n
@@ -194,7 +194,7 @@
 	r.P99 = max(r.P99, result.Quantile(0.99))
 }
 
-// spend sends one request of the reserved customer, which draws units from its token bucket. It returns an error unless
+// spendUnits sends one request of the reserved customer, which draws units from its token bucket. It returns an error unless
 // the request is served.
 func spendUnits(ctx context.Context, addr string, units int) error {
 	url := fmt.Sprintf("http://%s/roster-read/week?account=%016x", addr, reservedCustomer)
--- a/internal/trials/versionskew/process.go
+++ b/internal/trials/versionskew/process.go
@@ -159,7 +159,7 @@
 	return members[0].Status, nil
 }
 
-// ended reports whether a process has exited; a zombie has.
+// hasExited reports whether a process has exited; a zombie has.
 func hasExited(pid int) bool {
 	if errors.Is(syscall.Kill(pid, 0), syscall.ESRCH) {
 		return true
@@ -175,7 +175,7 @@
 // errTimeout is the error of a condition that did not become true in time.
 var errTimeout = errors.New("not in time")
 
-// eventually polls a condition until it is true, returns an error, or ctx ends.
+// pollUntil polls a condition until it is true or returns an error, or ctx ends.
 func pollUntil(ctx context.Context, condition func() (bool, error)) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
--- a/internal/trials/versionskew/report.go
+++ b/internal/trials/versionskew/report.go
@@ -48,7 +48,7 @@
 // LimitReport is the use of the limited plan's hard limit.
 type LimitReport struct {
 	Units   float64 `json:"units"`   // units that reached the servers
-	Allowed float64 `json:"allowed"` // units that the rate allows in that time, without the burst
+	Allowed float64 `json:"allowed"` // units that the rate allows during the load, without the burst
 	Excess  float64 `json:"excess"`  // maximum units of a customer beyond its limit
 }
 
--- a/internal/trials/versionskew/trial.go
+++ b/internal/trials/versionskew/trial.go
@@ -27,7 +27,7 @@
 	reservedPlan     = "reserved"
 	initialSpending  = 20  // units that the reserved customer spends at the start
 	tokenTolerance   = 0.5 // units; the reserved bucket is refilled by 0.06 a minute
-	learnedTolerance = 0.2 // relative deviation of learned figures after an upgrade
+	learnedTolerance = 0.2 // maximum relative deviation of learned values after an upgrade
 	minUsedFraction  = 0.7 // fraction of the hard limit that customers who exceed it must get
 )
 
@@ -38,8 +38,8 @@
 	Dir      string    // for the daemon's files; short, as it holds the path of a Unix socket
 	Env      []string  // additional environment of all processes, "K=V"
 	Rounds   int       // number of upgrades to the current build and back
-	Clients  int       // number with a persistent connection, and of as many with a connection for each request
-	Requests int       // minimum number answered between two upgrades
+	Clients  int       // number of clients with a persistent connection; as many others use a connection for each request
+	Requests int       // minimum number of requests answered between two upgrades
 	Progress io.Writer // receives a line for each upgrade
 }
 
@@ -125,7 +125,7 @@
 	return t.idleUpgrades(ctx)
 }
 
-// idleUpgrades upgrades the daemon in both directions without load, so that learned figures must stay unchanged.
+// idleUpgrades upgrades the daemon in both directions without load, so that learned values must stay unchanged.
 func (t *trial) idleUpgrades(ctx context.Context) error {
 	for _, change := range t.replacements() {
 		before, err := t.freshCheckpoint(ctx, change.from)
@@ -167,7 +167,7 @@
 	return t.daemon.start(ctx, b, listen)
 }
 
-// prepare changes the configuration by a coordinator of the build that does not serve, and spends a unit of the reserved
+// prepare changes the configuration with a coordinator of the build that does not serve, and spends a unit of the reserved
 // customer. The next coordinator, of the other build, reads the rollout log of this one.
 func (t *trial) prepare(ctx context.Context, coordinator build) error {
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
@@ -218,7 +218,7 @@
 	return t.inspect(ctx, change.to)
 }
 
-// replace upgrades by the command line of the new build and returns the first status of the new process.
+// replace upgrades the daemon with the command line of the new build and returns the first status of the new process.
 func (t *trial) replace(ctx context.Context, to build, oldPID int) (status manage.Status, err error) {
 	done := make(chan error, 1)
 	go func() {
@@ -247,7 +247,7 @@
 	return status, err
 }
 
-// reload changes the daemon's configuration by a coordinator of a build.
+// reload changes the daemon's configuration with a coordinator of a build.
 func (t *trial) reload(ctx context.Context, coordinator build) error {
 	t.changes++
 	raw, err := os.ReadFile(t.daemon.config())
@@ -389,7 +389,7 @@
 		info, err := os.Stat(t.daemon.checkpoint())
 		if err == nil && !info.ModTime().Equal(last) {
 			last = info.ModTime()
-			files++ // the first one existed before
+			files++ // the first file that is counted existed before this call
 		}
 		return files > 2, nil
 	})
@@ -399,7 +399,7 @@
 	return t.readCheckpoint(writer.name)
 }
 
-// tokensLike waits until a checkpoint has as many tokens of the reserved customer as before, and returns those of the
+// awaitTokens waits until a checkpoint has as many tokens of the reserved customer as before, and returns those of the
 // last checkpoint read.
 func (t *trial) awaitTokens(ctx context.Context, writer build, before float64) (left float64) {
 	ctx, cancel := context.WithTimeout(ctx, tokensTimeout)
