--- a/internal/trials/faultnet/faultbuild/faultbuild.go
+++ b/internal/trials/faultnet/faultbuild/faultbuild.go
@@ -120,7 +120,7 @@
 func apply(changes []edit, name, text string) (string, error) {
 	for _, change := range changes {
 		if n := strings.Count(text, change.old); n != 1 {
-			return "", fmt.Errorf("%s has %d times, not once: %q", name, n, change.old)
+			return "", fmt.Errorf("%s contains this text %d times instead of one time: %q", name, n, change.old)
 		}
 		text = strings.Replace(text, change.old, change.new, 1)
 	}
--- a/internal/trials/faultnet/faultbuild/faultbuild_test.go
+++ b/internal/trials/faultnet/faultbuild/faultbuild_test.go
@@ -76,12 +76,12 @@
 		t.Errorf("with faults: %s", got)
 	}
 	if table.Injected(Connect) == 0 {
-		t.Error("no call was counted as failed")
+		t.Error("no connect call was counted as failed")
 	}
 	table.Heal(Connect)
 	table.StepClock(0)
 	if got := query(); !strings.HasPrefix(got, "0s ") || !strings.Contains(got, "refused") {
-		t.Errorf("without faults again: %s", got)
+		t.Errorf("after the faults: %s", got)
 	}
 	in.Close()
 	if err := cmd.Wait(); err != nil {
--- a/internal/trials/faultnet/history/history.go
+++ b/internal/trials/faultnet/history/history.go
@@ -87,7 +87,7 @@
 	dropped := h.dropped
 	h.mu.Unlock()
 	if dropped > 0 {
-		return fmt.Errorf("a history of %d operations more than %d", dropped, MaxEntries)
+		return fmt.Errorf("incomplete history: %d operations beyond the maximum of %d were not recorded", dropped, MaxEntries)
 	}
 	all := h.Entries()
 	// An operation with an unknown result may never have taken effect, so a history is legal if it has a
@@ -131,7 +131,7 @@
 	for _, part := range parts {
 		switch porcupine.CheckOperationsTimeout(m, part, checkTimeout) {
 		case porcupine.Illegal:
-			illegal = errors.Join(illegal, fmt.Errorf("no order explains these %d operations:\n%s", len(part), describe(m, part)))
+			illegal = errors.Join(illegal, fmt.Errorf("no linearization of these %d operations:\n%s", len(part), describe(m, part)))
 		case porcupine.Unknown:
 			undecided = errors.Join(undecided, fmt.Errorf("%w: %d operations were not checked within %v", ErrUndecided, len(part), checkTimeout))
 		}
--- a/internal/trials/faultnet/history/history_test.go
+++ b/internal/trials/faultnet/history/history_test.go
@@ -83,13 +83,13 @@
 			runCoordinators(&h, seed, fault)
 			if err := h.CheckOwnership(); err != nil {
 				found++
-				if fault == "" || !strings.Contains(err.Error(), "a member: no order explains") {
-					t.Errorf("%q, seed %d: %v", fault, seed, err)
+				if fault == "" || !strings.Contains(err.Error(), "member: no linearization of these") {
+					t.Errorf("fault %q, seed %d: unexpected error %v", fault, seed, err)
 				}
 			}
 		}
 		if fault != "" && found < 8 {
-			t.Errorf("%s was found with %d of 20 seeds", fault, found)
+			t.Errorf("fault %q was found with %d of 20 seeds, want at least 8", fault, found)
 		}
 	}
 }
@@ -124,7 +124,7 @@
 	}
 	h := History{dropped: 1}
 	if h.Check(Members()) == nil {
-		t.Error("a history with holes passed")
+		t.Error("the check of an incomplete history passed")
 	}
 }
 
@@ -140,7 +140,7 @@
 	x.Broken("1", "reset")
 	x.Effect("k", "s1")
 	if wrong := x.Check(func(string) bool { return true }); len(wrong) != 4 { // 2 to 5 have no answer
-		t.Errorf("%q", wrong)
+		t.Errorf("violations %q, want 4", wrong)
 	}
 	x.Answered("2", "200")
 	x.Answered("2", "502")
@@ -158,7 +158,7 @@
 		"request 4: no final answer", "request 5: asked twice", "request 9: answered, and never asked",
 	} {
 		if lines := strings.Split(got, "\n"); len(lines) != 7 || !strings.HasPrefix(lines[i], want) {
-			t.Errorf("%d: want %s in\n%s", i, want, got)
+			t.Errorf("violation %d: want 7 lines, and this one to begin with %q:\n%s", i, want, got)
 		}
 	}
 	if requested, answered := x.Counts(); requested != 6 || answered != 4 {
@@ -181,7 +181,7 @@
 		h.Call(100, Claim{"m", 1, "other"})(Refused) // because of a claim whose reply was lost
 		h.Call(100, ReadStatus{"m"})(MemberState{Epoch: tc.seen, Owner: "owner"})
 		if err := h.CheckOwnership(); (err == nil) != tc.isLegal || errors.Is(err, ErrUndecided) {
-			t.Errorf("%d lost, %d seen: %v", tc.lost, tc.seen, err)
+			t.Errorf("%d replies lost, epoch %d observed: %v", tc.lost, tc.seen, err)
 		}
 	}
 }
--- a/internal/trials/faultnet/history/ownership.go
+++ b/internal/trials/faultnet/history/ownership.go
@@ -217,10 +217,10 @@
 		return false
 	})
 	if err := members.Check(Members()); err != nil {
-		return fmt.Errorf("a member: %w", err)
+		return fmt.Errorf("member: %w", err)
 	}
 	if err := fleet.Check(Ownership()); err != nil {
-		return fmt.Errorf("the fleet's owner: %w", err)
+		return fmt.Errorf("fleet ownership: %w", err)
 	}
 	return nil
 }
--- a/internal/trials/faultnet/link/link.go
+++ b/internal/trials/faultnet/link/link.go
@@ -89,7 +89,7 @@
 	}
 	if err != nil {
 		_ = l.Close() // the first error is the one reported
-		return nil, fmt.Errorf("a link to %s: %w", to, err)
+		return nil, fmt.Errorf("starting a link to %s: %w", to, err)
 	}
 	return l, nil
 }
@@ -126,7 +126,7 @@
 	r := &rules{changed: make(chan struct{})}
 	for _, f := range faults {
 		if !f.Kind.OfLink() {
-			return fmt.Errorf("a link has no fault %v", f.Kind)
+			return fmt.Errorf("fault %v does not apply to links", f.Kind)
 		}
 		switch f.Kind {
 		case script.Lost:
--- a/internal/trials/faultnet/link/link_test.go
+++ b/internal/trials/faultnet/link/link_test.go
@@ -118,7 +118,7 @@
 	r.t.Helper()
 	r.send(c, text)
 	if b, err := io.ReadAll(io.LimitReader(c, int64(len(text)))); string(b) != text {
-		r.t.Fatalf("%q came back, %v", b, err)
+		r.t.Fatalf("received %q, want the text that was sent; error %v", b, err)
 	}
 	for got := ""; got != text; {
 		if p := testkit.Next(r.t, r.got); p != "end" { // of another connection
@@ -161,7 +161,7 @@
 		r.send(c, "last")
 		c.(interface{ CloseWrite() error }).CloseWrite()
 		if b, err := io.ReadAll(c); string(b) != "last" || err != nil {
-			t.Errorf("%q, %v", b, err)
+			t.Errorf("received %q, want \"last\"; error %v", b, err)
 		}
 		unusedAddr := "127.0.0.1:1"
 		if r.socketDir != "" {
@@ -173,7 +173,7 @@
 		} else if !errors.Is(err, syscall.ECONNRESET) {
 			t.Error(err)
 		}
-		r.awaitCounts("all is counted", func(n Counts) bool { return n == Counts{Failed: 1, Conns: 2, Forth: 9, Back: 9} })
+		r.awaitCounts("counts of both connections", func(n Counts) bool { return n == Counts{Failed: 1, Conns: 2, Forth: 9, Back: 9} })
 	})
 }
 
@@ -205,7 +205,7 @@
 		r.send(back, "heard")
 		r.awaitCounts("lost", func(n Counts) bool { return n.Lost == 19 })
 		if n := r.Counts(); n.Resets != 0 {
-			t.Errorf("%+v", n)
+			t.Errorf("a cut has reset connections: %+v", n)
 		}
 		forth.Close() // the close is forwarded, as no cut is in force any more
 		for got := ""; got != "end"; {
@@ -236,10 +236,10 @@
 		}
 		r.send(c, strings.Repeat("x", 160))
 		if b, err := io.ReadAll(io.LimitReader(c, 164)); len(b) != 164 {
-			t.Errorf("%q, %v", b, err)
+			t.Errorf("received %q, want 164 bytes; error %v", b, err)
 		}
 		if elapsed := time.Since(started); elapsed < 60*time.Millisecond { // a delay of 20 ms, and 100 bytes beyond the burst at 2000 a second
-			t.Errorf("in %v", elapsed)
+			t.Errorf("delivered within %v, want at least 60 ms", elapsed)
 		}
 	})
 }
@@ -266,7 +266,7 @@
 			r.send(c, "abcdef")
 			var b bytes.Buffer
 			if _, err := io.Copy(&b, c); (want == "reset") != errors.Is(err, syscall.ECONNRESET) || b.Len() > len(f.came) {
-				t.Errorf("%v: %q, %v", f.fault, &b, err)
+				t.Errorf("%v: the client received %q, error %v", f.fault, &b, err)
 			}
 			if got := testkit.Next(t, r.got); got != f.said {
 				t.Errorf("%v: the server got %q", f.fault, got)
@@ -280,7 +280,7 @@
 		r.echo(c, "up")
 		r.set(script.Fault{Kind: script.Refuse})
 		if _, err := r.dial(); !errors.Is(err, syscall.ECONNREFUSED) && !errors.Is(err, syscall.ENOENT) {
-			t.Errorf("a connection: %v", err)
+			t.Errorf("dialing a link that refuses connections: %v", err)
 		}
 		r.echo(c, "stays")
 		r.set(script.Fault{Kind: script.Blackhole})
@@ -292,12 +292,12 @@
 		r.awaitCounts("lost", func(n Counts) bool { return n.Lost == 6+5 })
 		r.Break()
 		if got := r.closeResult(c); got != want {
-			t.Errorf("broken: %s", got)
+			t.Errorf("after Break the connection ended with %s", got)
 		}
 		r.set()
 		r.echo(r.mustDial(), "again")
 		if err := r.Set(script.Fault{Kind: script.Kill}); err == nil {
-			t.Error("a link was killed")
+			t.Error("Set accepted a fault of processes")
 		}
 	})
 }
@@ -311,6 +311,6 @@
 	c.SetWriteDeadline(time.Now().Add(200 * time.Millisecond))
 	n, err := c.Write(make([]byte, 64<<20))
 	if n > 32<<20 || err == nil { // the sockets' own buffers take a few MiB
-		t.Errorf("%d bytes were taken, %v", n, err)
+		t.Errorf("the link accepted %d bytes, want at most 32 MiB and a time-out; error %v", n, err)
 	}
 }
--- a/internal/trials/faultnet/link/port.go
+++ b/internal/trials/faultnet/link/port.go
@@ -14,7 +14,7 @@
 func reservePort() (fd int, addr string, err error) {
 	fd, err = unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return -1, "", fmt.Errorf("a socket that holds a port: %w", err)
+		return -1, "", fmt.Errorf("reserving a port: %w", err)
 	}
 	err = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	if err == nil {
@@ -26,7 +26,7 @@
 	}
 	if err != nil {
 		_ = unix.Close(fd) // the first error is the one reported
-		return -1, "", fmt.Errorf("a socket that holds a port: %w", err)
+		return -1, "", fmt.Errorf("reserving a port: %w", err)
 	}
 	return fd, fmt.Sprintf("127.0.0.1:%d", bound.(*unix.SockaddrInet4).Port), nil
 }
--- a/internal/trials/faultnet/play.go
+++ b/internal/trials/faultnet/play.go
@@ -55,7 +55,7 @@
 		return nil, err
 	}
 	if s.Links > len(links) || s.Procs > len(procs) {
-		return nil, fmt.Errorf("a script of %d links and %d processes, there are %d and %d", s.Links, s.Procs, len(links), len(procs))
+		return nil, fmt.Errorf("script needs %d links and %d processes, got %d and %d", s.Links, s.Procs, len(links), len(procs))
 	}
 	return &Player{Links: links, Procs: procs, steps: s.Steps(), started: time.Now(), down: make(map[int]bool)}, nil
 }
--- a/internal/trials/faultnet/play_test.go
+++ b/internal/trials/faultnet/play_test.go
@@ -104,12 +104,12 @@
 			{false, true, false},
 		}[:cut] {
 			if !pl.Next() {
-				t.Fatal("there was no step", i)
+				t.Fatal("no step is left, want step", i)
 			}
 			awaitState(fmt.Sprint(name, i), want.refused, want.runs, want.stopped)
 		}
 		if err := pl.Heal(); err != nil || pl.Next() || callbacks != 2*cut {
-			t.Errorf("%s: %v, heard %d", name, err, callbacks)
+			t.Errorf("%s: Heal returned %v, %d callbacks were made", name, err, callbacks)
 		}
 		awaitState(name, false, true, false)
 	}
@@ -121,11 +121,11 @@
 	}
 	pl.Done = func(Event) { cancel() }
 	if events, err := pl.Play(ctx); err != nil || len(events) != 1 {
-		t.Errorf("%v, %v", events, err)
+		t.Errorf("Play with a cancelled context: events %v, error %v", events, err)
 	}
-	awaitState("after a play that was ended", false, true, false)
+	awaitState("after Play was cancelled", false, true, false)
 	s.Procs = 2
 	if _, err := Play(t.Context(), s, []*Link{l}, []*Process{p}); err == nil {
-		t.Error("a script of more processes than there are")
+		t.Error("a script for more processes than there are was accepted")
 	}
 }
--- a/internal/trials/faultnet/process/disk.go
+++ b/internal/trials/faultnet/process/disk.go
@@ -20,7 +20,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.State == "" {
-		return errors.New("a process without a state directory can't find it full")
+		return errors.New("cannot simulate a full disk: the process has no state directory")
 	}
 	if p.full == full {
 		return nil
@@ -45,7 +45,7 @@
 	var joined error
 	for _, pid := range p.group() {
 		if err := unix.Prlimit(pid, unix.RLIMIT_FSIZE, &limit, nil); err != nil && !errors.Is(err, unix.ESRCH) {
-			joined = errors.Join(joined, fmt.Errorf("bounding the files of process %d: %w", pid, err))
+			joined = errors.Join(joined, fmt.Errorf("setting the file size limit of process %d: %w", pid, err))
 		}
 	}
 	return joined
@@ -57,7 +57,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.State == "" {
-		return errors.New("a process without a state directory can't find it read-only")
+		return errors.New("cannot make the state directory read-only: the process has none")
 	}
 	if on == p.readOnly {
 		return nil
@@ -65,7 +65,7 @@
 	if on {
 		info, err := os.Stat(p.State)
 		if err != nil {
-			return fmt.Errorf("a state directory that is read-only: %w", err)
+			return fmt.Errorf("making the state directory read-only: %w", err)
 		}
 		p.mode = info.Mode().Perm()
 		if err := os.Chmod(p.State, p.mode&^0o222); err != nil {
@@ -89,7 +89,7 @@
 	go func() {
 		runtime.LockOSThread() // never unlocked, so that the thread exits with the goroutine
 		if err := unix.Prctl(unix.PR_CAPBSET_DROP, unix.CAP_DAC_OVERRIDE, 0, 0, 0); err != nil {
-			failed <- fmt.Errorf("a process of root that heeds modes needs CAP_SETPCAP here: %w", err)
+			failed <- fmt.Errorf("dropping CAP_DAC_OVERRIDE, which needs CAP_SETPCAP: %w", err)
 			return
 		}
 		failed <- cmd.Start()
--- a/internal/trials/faultnet/process/process.go
+++ b/internal/trials/faultnet/process/process.go
@@ -47,9 +47,9 @@
 
 var (
 	// ErrRuns is the error of starting a process that runs.
-	ErrRuns = errors.New("the process runs already")
+	ErrRuns = errors.New("process is already running")
 	// ErrNone is the error of signaling or awaiting a process that does not run.
-	ErrNone = errors.New("the process does not run")
+	ErrNone = errors.New("process is not running")
 )
 
 // Start starts the process. Faults of its state directory and clock stay in force.
@@ -275,7 +275,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if err := p.Gone(ctx); err != nil {
-		return errors.Join(fmt.Errorf("killed after %v: %w", timeout, err), p.Kill())
+		return errors.Join(fmt.Errorf("sent SIGKILL, as the process group did not exit within %v of SIGTERM: %w", timeout, err), p.Kill())
 	}
 	return nil
 }
--- a/internal/trials/faultnet/process/process_test.go
+++ b/internal/trials/faultnet/process/process_test.go
@@ -79,17 +79,17 @@
 		_, line, _ := strings.Cut(log(), prefix)
 		for _, w := range want {
 			if !strings.Contains(line, w) {
-				t.Errorf("%s%s has no %q", prefix, line, w)
+				t.Errorf("log line %s%s does not contain %q", prefix, line, w)
 			}
 		}
 	}
 	if err := p.Pause(); !errors.Is(err, ErrNone) || p.Kill() != nil || p.PID() != 0 || p.Runs() {
-		t.Errorf("before the first start: %v", err)
+		t.Errorf("before the first start: Pause returned %v", err)
 	}
 	must(p.SetClock(-time.Minute))
 	must(p.Start())
 	if err := p.Start(); !errors.Is(err, ErrRuns) {
-		t.Errorf("a second start: %v", err)
+		t.Errorf("second start returned %v, want the error for a running process", err)
 	}
 	requestWrite("<nil>", `reads "q1" <nil>`)
 	must(p.SetFull(true))
@@ -107,7 +107,7 @@
 	})
 	must(p.Kill())
 	if p.Runs() || p.Wait() == nil {
-		t.Error("it has ended well")
+		t.Error("after Kill the process is running or has exited without an error")
 	}
 	must(p.SetFull(true))
 	must(p.SetClock(time.Hour))
@@ -118,6 +118,6 @@
 	defer cancel()
 	must(p.Gone(ctx))
 	if got := log(); strings.Count(got, "up, clock -1m0s") != 1 || strings.Count(got, "up, clock 1h0m0s") != 1 || fmt.Sprint(offsets) != "[-1m0s 1h0m0s]" || p.Starts() != 2 {
-		t.Errorf("%v, %s", offsets, got)
+		t.Errorf("clock offsets %v, log:\n%s", offsets, got)
 	}
 }
--- a/internal/trials/faultnet/script/script.go
+++ b/internal/trials/faultnet/script/script.go
@@ -189,12 +189,12 @@
 // Check returns an error that describes the first invalid value of a script, or nil.
 func (s Script) Check() error {
 	if s.Links < 0 || s.Procs < 0 || s.For < 0 {
-		return fmt.Errorf("%d links, %d processes, for %v", s.Links, s.Procs, s.For)
+		return fmt.Errorf("negative number or duration: %d links, %d processes, for %v", s.Links, s.Procs, s.For)
 	}
 	for i, e := range s.Entries {
 		n := s.Procs
 		if e.Kind >= kinds || e.Direction > Back {
-			return fmt.Errorf("fault %d: %v %v", i+1, e.Kind, e.Direction)
+			return fmt.Errorf("fault %d: unknown kind or direction: %v %v", i+1, e.Kind, e.Direction)
 		}
 		if e.Kind.OfLink() {
 			n = s.Links
@@ -203,9 +203,9 @@
 		case e.On < 0 || e.On >= n:
 			return fmt.Errorf("fault %d: %v on number %d of %d", i+1, e.Kind, e.On, n)
 		case e.From < 0 || e.To <= e.From || e.To > s.For:
-			return fmt.Errorf("fault %d: from %v to %v in %v", i+1, e.From, e.To, s.For)
+			return fmt.Errorf("fault %d: from %v to %v is not a period within %v", i+1, e.From, e.To, s.For)
 		case !e.hasValidParameters():
-			return fmt.Errorf("fault %d: its figures are off: %v", i+1, e)
+			return fmt.Errorf("fault %d: parameters out of range: %v", i+1, e)
 		}
 	}
 	return nil
--- a/internal/trials/faultnet/script/script_test.go
+++ b/internal/trials/faultnet/script/script_test.go
@@ -23,18 +23,18 @@
 		seed := rapid.Uint64().Draw(t, "seed")
 		s := Draw(seed, o)
 		if err := s.Check(); err != nil {
-			t.Fatalf("%v\n%v", err, s)
+			t.Fatalf("Draw returned an invalid script: %v\n%v", err, s)
 		}
 		parsed, err := Parse(s.String())
 		if err != nil || !reflect.DeepEqual(parsed, s) || !reflect.DeepEqual(Draw(seed, o), s) {
-			t.Fatalf("%v\n%v\n%v", err, s, parsed)
+			t.Fatalf("Parse or a second Draw differs: %v\n%v\n%v", err, s, parsed)
 		}
 		var at time.Duration = -1
 		inForce := make(map[bool]map[int][]Fault)
 		inForce[true], inForce[false] = make(map[int][]Fault), make(map[int][]Fault)
 		for _, st := range s.Steps() {
 			if st.At <= at {
-				t.Fatalf("a step at %v after %v", st.At, at)
+				t.Fatalf("step at %v follows the step at %v", st.At, at)
 			}
 			at = st.At
 			for i, all := range st.Links {
@@ -56,12 +56,12 @@
 				}
 			}
 			if n != 0 {
-				t.Fatalf("at %v %d faults more should be in force\n%v", at, n, s)
+				t.Fatalf("at %v: %d faults in force are missing from the steps\n%v", at, n, s)
 			}
 		}
 	})
 	if len(seen) != int(kinds) {
-		t.Errorf("drawn were %d of %d kinds", len(seen), kinds)
+		t.Errorf("%d of %d kinds were drawn", len(seen), kinds)
 	}
 }
 
@@ -69,25 +69,25 @@
 func TestParse(t *testing.T) {
 	const header = "faults seed=1 links=1 procs=1 for=2s\n"
 	for _, tc := range []struct{ text, want string }{
-		{"", "line 0: no faults"},
+		{"", "line 0: missing header faults"},
 		{"link 0 0s..1s cut both", "line 1: "},
-		{"faults seed=1 links=-1 procs=1 for=2s", "line 1: -1 links"},
+		{"faults seed=1 links=-1 procs=1 for=2s", "line 1: negative number or duration: -1 links"},
 		{header + "\n# why\nlink 1 0s..1s cut both", "line 4: fault 1: cut on number 1 of 1"},
 		{header + "link 0 1s..1s cut both", "from 1s to 1s"},
-		{header + "link 0 0s..3s cut both", "from 0s to 3s in 2s"},
-		{header + "link 0 0s-1s cut both", "is not from..to"},
-		{header + "link 0 0s..1s kill", `a link has no fault "kill"`},
-		{header + "proc 0 0s..1s cut", `a proc has no fault "cut"`},
-		{header + "link 0 0s..1s cut", "cut needs a way"},
+		{header + "link 0 0s..3s cut both", "from 0s to 3s is not a period within 2s"},
+		{header + "link 0 0s-1s cut both", "is not of the form from..to"},
+		{header + "link 0 0s..1s kill", `link has no fault of kind "kill"`},
+		{header + "proc 0 0s..1s cut", `proc has no fault of kind "cut"`},
+		{header + "link 0 0s..1s cut", "cut needs a direction"},
 		{header + "link 0 0s..1s cut up", `"up" is none of both`},
-		{header + "link 0 0s..1s late both", "late takes 1 figures"},
-		{header + "link 0 0s..1s slow both 0", "its figures are off"},
+		{header + "link 0 0s..1s late both", "late has 1 numeric parameters"},
+		{header + "link 0 0s..1s slow both 0", "parameters out of range"},
 		{header + "link 0 0s..1s reset both x", "invalid syntax"},
-		{header + "link 0 0s..1s refuse back", "refuse takes 0 figures"},
+		{header + "link 0 0s..1s refuse back", "refuse has 0 numeric parameters"},
 		{strings.Repeat("#", maxTextBytes+1), "bytes"},
 	} {
 		if _, err := Parse(tc.text); err == nil || !strings.Contains(err.Error(), tc.want) {
-			t.Errorf("%.80q: %v, want %q", tc.text, err, tc.want)
+			t.Errorf("Parse(%.80q) returned error %v, want %q", tc.text, err, tc.want)
 		}
 	}
 }
@@ -131,16 +131,16 @@
 		runs := 0
 		shrunk := ShrinkWithRuns(s, 300, func(s Script) bool { runs++; return fails(s) })
 		if repeated := ShrinkWithRuns(s, 300, fails); !fails(shrunk) || len(shrunk.Entries) != 2 || runs > 300 || !reflect.DeepEqual(repeated, shrunk) {
-			t.Fatalf("seed %d, %d runs:\n%v", seed, runs, shrunk)
+			t.Fatalf("seed %d: after %d runs the script is not a deterministic failing one of two faults:\n%v", seed, runs, shrunk)
 		}
 		for _, e := range shrunk.Entries {
 			if e.To-e.From > 2*step || e.Kind.OfLink() && e.Direction != Back {
-				t.Errorf("seed %d: %v could be less", seed, e)
+				t.Errorf("seed %d: %v could be reduced further", seed, e)
 			}
 		}
 	}
 	runs := 0
 	if s := Draw(1, o); len(ShrinkWithRuns(s, 5, func(Script) bool { runs++; return false }).Entries) != 40 || runs != 5 {
-		t.Errorf("%d runs", runs)
+		t.Errorf("%d runs, want 5 and the script unchanged", runs)
 	}
 }
--- a/internal/trials/faultnet/script/text.go
+++ b/internal/trials/faultnet/script/text.go
@@ -54,7 +54,7 @@
 func Parse(text string) (Script, error) {
 	var s Script
 	if len(text) > maxTextBytes {
-		return s, fmt.Errorf("a script of %d bytes, %d are allowed", len(text), maxTextBytes)
+		return s, fmt.Errorf("script has %d bytes, the maximum is %d", len(text), maxTextBytes)
 	}
 	hasHeader := false
 	lineNumber := 0
@@ -77,7 +77,7 @@
 		}
 	}
 	if !hasHeader {
-		return s, fmt.Errorf("line %d: no %s", lineNumber, headerForm)
+		return s, fmt.Errorf("line %d: missing header %s", lineNumber, headerForm)
 	}
 	s.sort()
 	return s, nil
@@ -89,12 +89,12 @@
 // parseHeader parses the header line.
 func (s *Script) parseHeader(words []string) (err error) {
 	if words[0] != "faults" || len(words) != 5 {
-		return fmt.Errorf("%q is not %s", strings.Join(words, " "), headerForm)
+		return fmt.Errorf("header %q is not of the form %s", strings.Join(words, " "), headerForm)
 	}
 	for i, key := range []string{"seed", "links", "procs", "for"} {
 		name, value, _ := strings.Cut(words[i+1], "=")
 		if name != key {
-			return fmt.Errorf("%q instead of %s=", words[i+1], key)
+			return fmt.Errorf("got %q, want %s=", words[i+1], key)
 		}
 		switch key {
 		case "seed":
@@ -127,14 +127,14 @@
 // parseEntry parses the line of one fault.
 func parseEntry(words []string) (e Entry, err error) {
 	if len(words) < 4 || words[0] != "link" && words[0] != "proc" {
-		return e, fmt.Errorf("%q is not link or proc, number, from..to, fault", strings.Join(words, " "))
+		return e, fmt.Errorf("%q is not of the form: link or proc, index, from..to, fault", strings.Join(words, " "))
 	}
 	if e.On, err = strconv.Atoi(words[1]); err != nil {
 		return e, err
 	}
 	from, to, isRange := strings.Cut(words[2], "..")
 	if !isRange {
-		return e, fmt.Errorf("%q is not from..to", words[2])
+		return e, fmt.Errorf("%q is not of the form from..to", words[2])
 	}
 	if e.From, err = time.ParseDuration(from); err != nil {
 		return e, err
@@ -143,7 +143,7 @@
 		return e, err
 	}
 	if e.Kind = index(kindNames[:], words[3], kinds); e.Kind == kinds || e.Kind.OfLink() != (words[0] == "link") {
-		return e, fmt.Errorf("a %s has no fault %q", words[0], words[3])
+		return e, fmt.Errorf("%s has no fault of kind %q", words[0], words[3])
 	}
 	err = e.parseParameters(words[4:])
 	return e, err
@@ -153,10 +153,10 @@
 func (f *Fault) parseParameters(words []string) (err error) {
 	if f.Kind.directed() {
 		if len(words) == 0 {
-			return fmt.Errorf("%v needs a way: both, forth or back", f.Kind)
+			return fmt.Errorf("%v needs a direction: both, forth or back", f.Kind)
 		}
 		if f.Direction = index(directionNames[:], words[0], Back+1); f.Direction > Back {
-			return fmt.Errorf("%q is none of both, forth, back", words[0])
+			return fmt.Errorf("direction %q is none of both, forth, back", words[0])
 		}
 		words = words[1:]
 	}
@@ -166,7 +166,7 @@
 		wantedFigures = 1
 	}
 	if len(words) != wantedFigures {
-		return fmt.Errorf("%v takes %d figures, not %d", f.Kind, wantedFigures, len(words))
+		return fmt.Errorf("%v has %d numeric parameters, not %d", f.Kind, wantedFigures, len(words))
 	}
 	switch f.Kind {
 	case Late, Clock:
--- a/internal/trials/faultnet/traffic/server.go
+++ b/internal/trials/faultnet/traffic/server.go
@@ -25,7 +25,7 @@
 func StartServer(handler http.HandlerFunc, onFailure func(error)) (*Server, error) {
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("a fake server: %w", err)
+		return nil, fmt.Errorf("starting a fake server: %w", err)
 	}
 	s := &Server{
 		Addr:  listener.Addr().String(),
--- a/internal/trials/faultnet/trial/clients.go
+++ b/internal/trials/faultnet/trial/clients.go
@@ -102,7 +102,7 @@
 }
 
 // errShort is returned for an answer with an incomplete body.
-var errShort = errors.New("the answer is short")
+var errShort = errors.New("incomplete answer")
 
 // exchange sends a request and checks the content of its answer.
 func (c *client) exchange(q request) (status int, server string, err error) {
--- a/internal/trials/faultnet/trial/trial.go
+++ b/internal/trials/faultnet/trial/trial.go
@@ -157,7 +157,7 @@
 		return nil, ctx.Err()
 	}
 	if err != nil {
-		return nil, fmt.Errorf("carrying the script out: %w", err)
+		return nil, fmt.Errorf("running the script: %w", err)
 	}
 	r.checkNodesAfterFaults()
 	r.converge(ctx)
@@ -200,7 +200,7 @@
 		dir := r.dir(i)
 		state := filepath.Join(dir, "state")
 		if err := os.MkdirAll(state, 0o700); err != nil {
-			return fmt.Errorf("a trial: %w", err)
+			return fmt.Errorf("starting node processes: %w", err)
 		}
 		targets := append([]string{unusedAddr, r.control(i)}, r.servers.addrs...)
 		var entries []string
@@ -219,7 +219,7 @@
 		r.texts = append(r.texts, text)
 		r.exchanges.WantGeneration(desiredstate.Hash([]byte(text)))
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-			return fmt.Errorf("a trial: %w", err)
+			return fmt.Errorf("starting node processes: %w", err)
 		}
 		p := &process.Process{Path: r.options.Program, Log: filepath.Join(dir, "log"), State: state, Args: []string{"serve", "--config", file}}
 		r.procs = append(r.procs, p)
@@ -274,12 +274,12 @@
 			return nil
 		}
 		if !r.procs[i].Runs() {
-			return fmt.Errorf("it has ended: %w", r.procs[i].Wait())
+			return fmt.Errorf("process has exited: %w", r.procs[i].Wait())
 		}
 		select {
 		case <-time.After(pollInterval):
 		case <-ctx.Done():
-			return fmt.Errorf("it is not up: %w, %w", ctx.Err(), err)
+			return fmt.Errorf("process is not ready: %w, %w", ctx.Err(), err)
 		}
 	}
 }
@@ -303,7 +303,7 @@
 		case <-ctx.Done():
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			return fmt.Errorf("of %d requests only those of %v are answered well; all answers by status: %v; the last one: %s: %w", c.requestCount,
+			return fmt.Errorf("of %d requests, only requests of %v were served; answers by status: %v; latest request: %s: %w", c.requestCount,
 				slices.Sorted(maps.Keys(servedPaths)), r.status, c.lastOutcome, ctx.Err())
 		}
 	}
@@ -316,7 +316,7 @@
 	if err != nil {
 		return err.Error()
 	}
-	return "its log ends with: " + string(raw[max(len(raw)-600, 0):])
+	return "end of the log: " + string(raw[max(len(raw)-600, 0):])
 }
 
 // checkAnswer checks that a final answer has a permitted status. isFaultPossible reports whether a
--- a/internal/trials/versionskew/compare.go
+++ b/internal/trials/versionskew/compare.go
@@ -29,10 +29,10 @@
 	}
 	var before, after any
 	if err := cbor.Unmarshal(raw[stateHeader:], &before); err != nil {
-		return state.Checkpoint{}, nil, fmt.Errorf("reading a checkpoint: %w", err)
+		return state.Checkpoint{}, nil, fmt.Errorf("decoding a checkpoint: %w", err)
 	}
 	if err := cbor.Unmarshal(encoded[stateHeader:], &after); err != nil {
-		return state.Checkpoint{}, nil, fmt.Errorf("reading a checkpoint: %w", err)
+		return state.Checkpoint{}, nil, fmt.Errorf("decoding a checkpoint: %w", err)
 	}
 	return decoded, differences(before, after, reflect.DeepEqual), nil
 }
@@ -41,11 +41,11 @@
 func statusDifferences(raw []byte) (manage.Status, []string, error) {
 	var decoded manage.Status
 	if err := json.Unmarshal(raw, &decoded); err != nil {
-		return decoded, nil, fmt.Errorf("reading a status: %w", err)
+		return decoded, nil, fmt.Errorf("decoding a status: %w", err)
 	}
 	encoded, err := json.Marshal(decoded)
 	if err != nil {
-		return decoded, nil, fmt.Errorf("writing a status: %w", err)
+		return decoded, nil, fmt.Errorf("encoding a status: %w", err)
 	}
 	paths, err := jsonDifferences(raw, encoded, reflect.DeepEqual)
 	return decoded, paths, err
@@ -63,7 +63,7 @@
 		decoder := json.NewDecoder(bytes.NewReader(raw))
 		decoder.UseNumber()
 		if err := decoder.Decode(&trees[i]); err != nil {
-			return nil, fmt.Errorf("reading a status: %w", err)
+			return nil, fmt.Errorf("decoding a status: %w", err)
 		}
 	}
 	return differences(trees[0], trees[1], equal), nil
--- a/internal/trials/versionskew/compare_test.go
+++ b/internal/trials/versionskew/compare_test.go
@@ -53,10 +53,10 @@
 func TestCheckpointOfSameBuildIsDecodedCompletely(t *testing.T) {
 	decoded, paths, err := checkpointDifferences(exampleCheckpoint(t))
 	if err != nil || len(paths) > 0 {
-		t.Errorf("%v %v", paths, err)
+		t.Errorf("differences %v, error %v", paths, err)
 	}
 	if reservedTokens(decoded) != 7 || checkpointConcurrency(decoded) != 12.5 || latencies(decoded)["s-3"] != 0.1 {
-		t.Errorf("%+v", decoded)
+		t.Errorf("decoded checkpoint %+v", decoded)
 	}
 }
 
@@ -74,7 +74,7 @@
 		t.Run(name, func(t *testing.T) {
 			_, paths, err := checkpointDifferences(editCheckpoint(t, exampleCheckpoint(t), tc.change))
 			if err != nil || !slices.Equal(paths, tc.want) {
-				t.Errorf("%v %v", paths, err)
+				t.Errorf("differences %v, error %v", paths, err)
 			}
 		})
 	}
@@ -86,7 +86,7 @@
 		t.Fatal(err)
 	}
 	if _, paths, err := statusDifferences(raw); err != nil || len(paths) > 0 {
-		t.Errorf("the same build's: %v %v", paths, err)
+		t.Errorf("status of the same build: differences %v, error %v", paths, err)
 	}
 	var tree map[string]any
 	if err := json.Unmarshal(raw, &tree); err != nil {
@@ -100,9 +100,9 @@
 	}
 	want := []string{".pid", ".process"}
 	if _, paths, err := statusDifferences(other); err != nil || !slices.Equal(paths, want) {
-		t.Errorf("%v %v", paths, err)
+		t.Errorf("status differences %v, error %v", paths, err)
 	}
 	if paths, err := keyDifferences(raw, other); err != nil || !slices.Equal(paths, want) {
-		t.Errorf("%v %v", paths, err)
+		t.Errorf("key differences %v, error %v", paths, err)
 	}
 }
--- a/internal/trials/versionskew/load.go
+++ b/internal/trials/versionskew/load.go
@@ -200,7 +200,7 @@
 	url := fmt.Sprintf("http://%s/roster-read/week?account=%016x", addr, reservedCustomer)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
-		return fmt.Errorf("sending as the reserved customer: %w", err)
+		return fmt.Errorf("sending a request of the reserved customer: %w", err)
 	}
 	request.Host = "care.example"
 	id := "reserved-" + strconv.FormatInt(time.Now().UnixNano(), 16)
@@ -212,15 +212,15 @@
 	}
 	response, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(request)
 	if err != nil {
-		return fmt.Errorf("sending as the reserved customer: %w", err)
+		return fmt.Errorf("sending a request of the reserved customer: %w", err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return fmt.Errorf("sending as the reserved customer: %w", err)
+		return fmt.Errorf("sending a request of the reserved customer: %w", err)
 	}
 	if response.StatusCode != http.StatusOK || !strings.HasSuffix(string(body), " "+id) {
-		return fmt.Errorf("sending as the reserved customer: %s: %s", response.Status, body)
+		return fmt.Errorf("request of the reserved customer was not served: %s: %s", response.Status, body)
 	}
 	return nil
 }
--- a/internal/trials/versionskew/process.go
+++ b/internal/trials/versionskew/process.go
@@ -83,7 +83,7 @@
 	err = pollUntil(ctx, func() (bool, error) {
 		select {
 		case err := <-exited:
-			return false, fmt.Errorf("process %d has ended: %w", cmd.Process.Pid, err)
+			return false, fmt.Errorf("process %d has exited: %w", cmd.Process.Pid, err)
 		default:
 		}
 		var err error
@@ -130,16 +130,16 @@
 	}}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://daemon/v1/status", http.NoBody)
 	if err != nil {
-		return nil, fmt.Errorf("asking for the status: %w", err)
+		return nil, fmt.Errorf("requesting the daemon's status: %w", err)
 	}
 	response, err := transport.RoundTrip(request)
 	if err != nil {
-		return nil, fmt.Errorf("asking for the status: %w", err)
+		return nil, fmt.Errorf("requesting the daemon's status: %w", err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	raw, err := io.ReadAll(io.LimitReader(response.Body, maxStatusBytes))
 	if err != nil {
-		return nil, fmt.Errorf("asking for the status: %w", err)
+		return nil, fmt.Errorf("requesting the daemon's status: %w", err)
 	}
 	return raw, nil
 }
@@ -173,7 +173,7 @@
 }
 
 // errTimeout is the error of a condition that did not become true in time.
-var errTimeout = errors.New("not in time")
+var errTimeout = errors.New("condition not met in time")
 
 // pollUntil polls a condition until it is true or returns an error, or ctx ends.
 func pollUntil(ctx context.Context, condition func() (bool, error)) error {
--- a/internal/trials/versionskew/trial.go
+++ b/internal/trials/versionskew/trial.go
@@ -73,7 +73,7 @@
 	defer t.backends.Close()
 	text := strings.NewReplacer("@backends", t.backends.source(), "@state", t.daemon.stateDir()).Replace(configText)
 	if err := os.WriteFile(t.daemon.config(), []byte(text), 0o600); err != nil {
-		return nil, fmt.Errorf("trying two builds: %w", err)
+		return nil, fmt.Errorf("writing the daemon's configuration: %w", err)
 	}
 	defer t.daemon.kill()
 	if err = t.upgrades(ctx); err == nil {
