--- a/internal/trials/faultnet/play.go
+++ b/internal/trials/faultnet/play.go
@@ -12,9 +12,9 @@
 
 // Event is a completed step of a script.
 type Event struct {
-	At   time.Duration // since it began; when it had happened
+	At   time.Duration // time since the script began at which the step was completed
 	Step script.Step
-	Err  error // what could not be done
+	Err  error // joins the errors of links and processes; nil if there were none
 }
 
 func (e Event) String() string {
@@ -36,26 +36,26 @@
 type Player struct {
 	Links []*Link
 	Procs []*Process
-	// Before is told of a step ahead of it, Seen once it has happened; nil is nobody.
+	// Before is called before each step and Done after it; either may be nil.
 	Before func(script.Step)
 	Done   func(Event)
 
 	steps    []script.Step
 	nextStep int
 	started  time.Time
-	down     map[int]bool // processes that a fault holds down
+	down     map[int]bool // processes that a fault has killed and that are not restarted yet
 
 	mu     sync.Mutex
 	events []Event
 }
 
-// NewPlayer returns the player of a script whose numbers are those of links and processes.
+// NewPlayer returns a player of a script. The indexes in the script are those of links and procs.
 func NewPlayer(s Script, links []*Link, procs []*Process) (*Player, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
 	if s.Links > len(links) || s.Procs > len(procs) {
-		return nil, fmt.Errorf("a script of %d links and %d processes, there are %d and %d", s.Links, s.Procs, len(links), len(procs))
+		return nil, fmt.Errorf("script needs %d links and %d processes, got %d and %d", s.Links, s.Procs, len(links), len(procs))
 	}
 	return &Player{Links: links, Procs: procs, steps: s.Steps(), started: time.Now(), down: make(map[int]bool)}, nil
 }
@@ -71,18 +71,18 @@
 	if p.Before != nil {
 		p.Before(st)
 	}
-	for i, all := range st.Links {
-		if err := p.Links[i].Set(all...); err != nil {
+	for i, faults := range st.Links {
+		if err := p.Links[i].Set(faults...); err != nil {
 			e.Err = errors.Join(e.Err, fmt.Errorf("link %d: %w", i, err))
 		}
 	}
 	var procs sync.WaitGroup
 	var mu sync.Mutex
-	for i, all := range st.Procs {
+	for i, faults := range st.Procs {
 		down := p.down[i]
-		p.down[i] = has(all, script.Kill)
-		procs.Go(func() { // a kill waits for the end
-			if err := applyFaults(p.Procs[i], down, all); err != nil {
+		p.down[i] = hasKind(faults, script.Kill)
+		procs.Go(func() { // concurrent, as a kill waits until the process has ended
+			if err := applyFaults(p.Procs[i], down, faults); err != nil {
 				mu.Lock()
 				defer mu.Unlock()
 				e.Err = errors.Join(e.Err, fmt.Errorf("process %d: %w", i, err))
@@ -100,8 +100,8 @@
 	return true
 }
 
-func has(all []Fault, k script.Kind) bool {
-	for _, f := range all {
+func hasKind(faults []Fault, k script.Kind) bool {
+	for _, f := range faults {
 		if f.Kind == k {
 			return true
 		}
@@ -109,30 +109,31 @@
 	return false
 }
 
-// applyFaults puts exactly these faults in force on a process. down tells whether a fault has killed it.
-func applyFaults(p *Process, down bool, all []Fault) error {
+// applyFaults puts exactly the given faults in force on a process. down reports whether an earlier fault has
+// killed it.
+func applyFaults(p *Process, down bool, faults []Fault) error {
 	var clockOffset time.Duration
-	for _, f := range all {
+	for _, f := range faults {
 		if f.Kind == script.Clock {
 			clockOffset += f.Delay
 		}
 	}
 	var err error
 	if p.State != "" {
-		err = errors.Join(p.SetFull(has(all, script.Full)), p.SetReadOnly(has(all, script.ReadOnly)))
+		err = errors.Join(p.SetFull(hasKind(faults, script.Full)), p.SetReadOnly(hasKind(faults, script.ReadOnly)))
 	}
 	if p.ClockEnv != "" || p.OnClock != nil {
 		err = errors.Join(err, p.SetClock(clockOffset))
 	}
-	switch killed := has(all, script.Kill); {
+	switch killed := hasKind(faults, script.Kill); {
 	case killed:
 		return errors.Join(err, p.Kill())
 	case down:
 		err = errors.Join(err, p.Start())
-	case !p.Runs(): // it ended by itself, which its starter notices
+	case !p.Runs(): // it ended by itself, which the caller that started it has to detect
 		return err
 	}
-	if has(all, script.Pause) {
+	if hasKind(faults, script.Pause) {
 		return errors.Join(err, p.Pause())
 	}
 	return errors.Join(err, p.Continue())
@@ -159,8 +160,8 @@
 	return err
 }
 
-// Play carries out a script by its times, starting now, until its end or the end of ctx, and ends
-// all faults. The error joins those of steps that failed.
+// Play carries out a script, each step at its time from now on, until the script or ctx ends. It then
+// ends all faults. The error joins those of steps that failed.
 func Play(ctx context.Context, s Script, links []*Link, procs []*Process) ([]Event, error) {
 	p, err := NewPlayer(s, links, procs)
 	if err != nil {
@@ -169,7 +170,8 @@
 	return p.Play(ctx)
 }
 
-// Play carries out what is left of the script by its times.
+// Play carries out the remaining steps, each at its time from now on, until they or ctx end. It then
+// ends all faults.
 func (p *Player) Play(ctx context.Context) ([]Event, error) {
 	p.started = time.Now()
 	for p.nextStep < len(p.steps) && ctx.Err() == nil {
@@ -182,9 +184,9 @@
 		}
 	}
 	err := p.Heal()
-	all := p.Events()
-	for _, e := range all {
+	events := p.Events()
+	for _, e := range events {
 		err = errors.Join(err, e.Err)
 	}
-	return all, err
+	return events, err
 }
--- a/internal/trials/faultnet/process/disk.go
+++ b/internal/trials/faultnet/process/disk.go
@@ -20,13 +20,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.State == "" {
-		return errors.New("a process without a state directory can't find it full")
+		return errors.New("cannot simulate a full disk: the process has no state directory")
 	}
 	if p.full == full {
 		return nil
 	}
 	p.full = full
-	if !p.runs() {
+	if !p.isRunning() {
 		return nil
 	}
 	return p.limit(full)
@@ -45,7 +45,7 @@
 	var joined error
 	for _, pid := range p.group() {
 		if err := unix.Prlimit(pid, unix.RLIMIT_FSIZE, &limit, nil); err != nil && !errors.Is(err, unix.ESRCH) {
-			joined = errors.Join(joined, fmt.Errorf("bounding the files of process %d: %w", pid, err))
+			joined = errors.Join(joined, fmt.Errorf("setting the file size limit of process %d: %w", pid, err))
 		}
 	}
 	return joined
@@ -57,7 +57,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.State == "" {
-		return errors.New("a process without a state directory can't find it read-only")
+		return errors.New("cannot make the state directory read-only: the process has none")
 	}
 	if on == p.readOnly {
 		return nil
@@ -65,7 +65,7 @@
 	if on {
 		info, err := os.Stat(p.State)
 		if err != nil {
-			return fmt.Errorf("a state directory that is read-only: %w", err)
+			return fmt.Errorf("making the state directory read-only: %w", err)
 		}
 		p.mode = info.Mode().Perm()
 		if err := os.Chmod(p.State, p.mode&^0o222); err != nil {
@@ -78,10 +78,10 @@
 	return nil
 }
 
-// startBounded starts a command without CAP_DAC_OVERRIDE, so that file modes apply to root too. It
+// startWithoutDACOverride starts a command without CAP_DAC_OVERRIDE, so that file modes apply to root too. It
 // drops the capability from the bounding set of one thread, starts the command there and lets the
 // thread exit.
-func startBounded(cmd *exec.Cmd) error {
+func startWithoutDACOverride(cmd *exec.Cmd) error {
 	if os.Geteuid() != 0 {
 		return cmd.Start()
 	}
@@ -89,7 +89,7 @@
 	go func() {
 		runtime.LockOSThread() // never unlocked, so that the thread exits with the goroutine
 		if err := unix.Prctl(unix.PR_CAPBSET_DROP, unix.CAP_DAC_OVERRIDE, 0, 0, 0); err != nil {
-			failed <- fmt.Errorf("a process of root that heeds modes needs CAP_SETPCAP here: %w", err)
+			failed <- fmt.Errorf("dropping CAP_DAC_OVERRIDE, which needs CAP_SETPCAP: %w", err)
 			return
 		}
 		failed <- cmd.Start()
@@ -99,7 +99,7 @@
 
 // groupOf returns the ids of the running processes of a group, without zombies.
 func groupOf(pgid int) (pids []int) {
-	if unix.Kill(-pgid, 0) == unix.ESRCH { // the common case, which saves reading /proc
+	if unix.Kill(-pgid, 0) == unix.ESRCH { // the common case, in which /proc need not be read
 		return nil
 	}
 	stats, _ := filepath.Glob("/proc/[0-9]*/stat")
@@ -108,7 +108,7 @@
 		if err != nil {
 			continue
 		}
-		if !isRunningIn(string(raw), pgid) {
+		if !isRunningInGroup(string(raw), pgid) {
 			continue
 		}
 		if pid, err := strconv.Atoi(filepath.Base(filepath.Dir(path))); err == nil {
@@ -118,8 +118,8 @@
 	return pids
 }
 
-// isRunningIn reports whether a line of /proc/PID/stat is of a running process of a group.
-func isRunningIn(stat string, pgid int) bool {
+// isRunningInGroup reports whether a line of /proc/PID/stat describes a running process of a group.
+func isRunningInGroup(stat string, pgid int) bool {
 	// The form is "pid (name) state ppid pgrp ..."; the name may contain any character.
 	nameEnd := strings.LastIndexByte(stat, ')')
 	if nameEnd < 0 {
--- a/internal/trials/faultnet/process/process.go
+++ b/internal/trials/faultnet/process/process.go
@@ -47,16 +47,16 @@
 
 var (
 	// ErrRuns is the error of starting a process that runs.
-	ErrRuns = errors.New("the process runs already")
+	ErrRuns = errors.New("process is already running")
 	// ErrNone is the error of signaling or awaiting a process that does not run.
-	ErrNone = errors.New("the process does not run")
+	ErrNone = errors.New("process is not running")
 )
 
 // Start starts the process. Faults of its state directory and clock stay in force.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.runs() {
+	if p.isRunning() {
 		return ErrRuns
 	}
 	cmd := p.command()
@@ -111,7 +111,7 @@
 	cmd.Stdout = out
 	cmd.Stderr = out
 	if p.State != "" {
-		err = startBounded(cmd)
+		err = startWithoutDACOverride(cmd)
 	} else {
 		err = cmd.Start()
 	}
@@ -133,8 +133,8 @@
 func (discard) Write(b []byte) (int, error) { return len(b), nil }
 func (discard) Close() error                { return nil }
 
-// runs reports whether any process of the group runs. The caller holds mu.
-func (p *Process) runs() bool {
+// isRunning reports whether any process of the group runs. The caller holds mu.
+func (p *Process) isRunning() bool {
 	if p.cmd == nil {
 		return false
 	}
@@ -170,7 +170,7 @@
 func (p *Process) Runs() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.runs()
+	return p.isRunning()
 }
 
 // Signal sends a signal to the process and its successors. It returns ErrNone if none of them runs.
@@ -182,7 +182,7 @@
 
 // signal is Signal; the caller holds mu.
 func (p *Process) signal(s syscall.Signal) error {
-	if !p.runs() {
+	if !p.isRunning() {
 		return ErrNone
 	}
 	// The kernel doesn't reuse the id of a group that has a running process.
@@ -275,7 +275,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if err := p.Gone(ctx); err != nil {
-		return errors.Join(fmt.Errorf("killed after %v: %w", timeout, err), p.Kill())
+		return errors.Join(fmt.Errorf("sent SIGKILL, as the process group did not exit within %v of SIGTERM: %w", timeout, err), p.Kill())
 	}
 	return nil
 }
--- a/internal/trials/faultnet/script/text.go
+++ b/internal/trials/faultnet/script/text.go
@@ -54,47 +54,47 @@
 func Parse(text string) (Script, error) {
 	var s Script
 	if len(text) > maxTextBytes {
-		return s, fmt.Errorf("a script of %d bytes, %d are allowed", len(text), maxTextBytes)
+		return s, fmt.Errorf("script has %d bytes, the maximum is %d", len(text), maxTextBytes)
 	}
-	headed := false
-	n := 0
+	hasHeader := false
+	lineNumber := 0
 	for line := range strings.Lines(text) {
-		n++
+		lineNumber++
 		line, _, _ = strings.Cut(line, "#")
 		words := strings.Fields(line)
 		if len(words) == 0 {
 			continue
 		}
 		var err error
-		if !headed {
-			headed = true
-			err = s.head(words)
+		if !hasHeader {
+			hasHeader = true
+			err = s.parseHeader(words)
 		} else {
 			err = s.addEntry(words)
 		}
 		if err != nil {
-			return Script{}, fmt.Errorf("line %d: %w", n, err)
+			return Script{}, fmt.Errorf("line %d: %w", lineNumber, err)
 		}
 	}
-	if !headed {
-		return s, fmt.Errorf("line %d: no %s", n, headForm)
+	if !hasHeader {
+		return s, fmt.Errorf("line %d: missing header %s", lineNumber, headerForm)
 	}
 	s.sort()
 	return s, nil
 }
 
-// headForm is the form of a script's header line, for errors.
-const headForm = "faults seed=.. links=.. procs=.. for=.."
+// headerForm is the form of a script's header line, for errors.
+const headerForm = "faults seed=.. links=.. procs=.. for=.."
 
-// head parses the header line.
-func (s *Script) head(words []string) (err error) {
+// parseHeader parses the header line.
+func (s *Script) parseHeader(words []string) (err error) {
 	if words[0] != "faults" || len(words) != 5 {
-		return fmt.Errorf("%q is not %s", strings.Join(words, " "), headForm)
+		return fmt.Errorf("header %q is not of the form %s", strings.Join(words, " "), headerForm)
 	}
 	for i, key := range []string{"seed", "links", "procs", "for"} {
 		name, value, _ := strings.Cut(words[i+1], "=")
 		if name != key {
-			return fmt.Errorf("%q instead of %s=", words[i+1], key)
+			return fmt.Errorf("got %q, want %s=", words[i+1], key)
 		}
 		switch key {
 		case "seed":
@@ -115,7 +115,7 @@
 
 // addEntry parses and checks the line of one fault.
 func (s *Script) addEntry(words []string) error {
-	e, err := entry(words)
+	e, err := parseEntry(words)
 	if err != nil {
 		return err
 	}
@@ -124,17 +124,17 @@
 	return Script{Links: s.Links, Procs: s.Procs, For: s.For, Entries: []Entry{e}}.Check()
 }
 
-// entry parses the line of one fault.
-func entry(words []string) (e Entry, err error) {
+// parseEntry parses the line of one fault.
+func parseEntry(words []string) (e Entry, err error) {
 	if len(words) < 4 || words[0] != "link" && words[0] != "proc" {
-		return e, fmt.Errorf("%q is not link or proc, number, from..to, fault", strings.Join(words, " "))
+		return e, fmt.Errorf("%q is not of the form: link or proc, index, from..to, fault", strings.Join(words, " "))
 	}
 	if e.On, err = strconv.Atoi(words[1]); err != nil {
 		return e, err
 	}
 	from, to, isRange := strings.Cut(words[2], "..")
 	if !isRange {
-		return e, fmt.Errorf("%q is not from..to", words[2])
+		return e, fmt.Errorf("%q is not of the form from..to", words[2])
 	}
 	if e.From, err = time.ParseDuration(from); err != nil {
 		return e, err
@@ -143,20 +143,20 @@
 		return e, err
 	}
 	if e.Kind = index(kindNames[:], words[3], kinds); e.Kind == kinds || e.Kind.OfLink() != (words[0] == "link") {
-		return e, fmt.Errorf("a %s has no fault %q", words[0], words[3])
+		return e, fmt.Errorf("%s has no fault of kind %q", words[0], words[3])
 	}
 	err = e.parseParameters(words[4:])
 	return e, err
 }
 
-// parseParameters parses the words after the fault's kind: its direction and its figure, if any.
+// parseParameters parses the words after the fault's kind: its direction and its numeric parameter, if any.
 func (f *Fault) parseParameters(words []string) (err error) {
 	if f.Kind.directed() {
 		if len(words) == 0 {
-			return fmt.Errorf("%v needs a way: both, forth or back", f.Kind)
+			return fmt.Errorf("%v needs a direction: both, forth or back", f.Kind)
 		}
 		if f.Direction = index(directionNames[:], words[0], Back+1); f.Direction > Back {
-			return fmt.Errorf("%q is none of both, forth, back", words[0])
+			return fmt.Errorf("direction %q is none of both, forth, back", words[0])
 		}
 		words = words[1:]
 	}
@@ -166,7 +166,7 @@
 		wantedFigures = 1
 	}
 	if len(words) != wantedFigures {
-		return fmt.Errorf("%v takes %d figures, not %d", f.Kind, wantedFigures, len(words))
+		return fmt.Errorf("%v has %d numeric parameters, not %d", f.Kind, wantedFigures, len(words))
 	}
 	switch f.Kind {
 	case Late, Clock:
--- a/internal/trials/faultnet/traffic/faults.go
+++ b/internal/trials/faultnet/traffic/faults.go
@@ -9,13 +9,13 @@
 // ready; its methods are safe for concurrent use.
 type Faults[Part comparable] struct {
 	mu     sync.Mutex
-	byPart map[Part]interval
+	byPart map[Part]faultTimes
 }
 
-// interval is the time in which faults affected one part.
-type interval struct {
-	active  int       // faults in force
-	lastEnd time.Time // when one ended last
+// faultTimes records when faults affected one part.
+type faultTimes struct {
+	active  int       // number of faults in force
+	lastEnd time.Time // end of the fault that ended last
 }
 
 // Begin records that a fault of a part is about to begin.
@@ -23,7 +23,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.byPart == nil {
-		f.byPart = make(map[Part]interval)
+		f.byPart = make(map[Part]faultTimes)
 	}
 	i := f.byPart[part]
 	i.active++
@@ -34,10 +34,10 @@
 func (f *Faults[Part]) End(part Part) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.byPart[part] = interval{active: f.byPart[part].active - 1, lastEnd: time.Now()}
+	f.byPart[part] = faultTimes{active: f.byPart[part].active - 1, lastEnd: time.Now()}
 }
 
-// IsPossible tells whether a fault may have affected a part since a time.
+// IsPossible reports whether a fault may have affected a part since a time.
 func (f *Faults[Part]) IsPossible(part Part, since time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/trials/faultnet/traffic/server.go
+++ b/internal/trials/faultnet/traffic/server.go
@@ -25,7 +25,7 @@
 func StartServer(handler http.HandlerFunc, onFailure func(error)) (*Server, error) {
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("a fake server: %w", err)
+		return nil, fmt.Errorf("starting a fake server: %w", err)
 	}
 	s := &Server{
 		Addr:  listener.Addr().String(),
@@ -47,7 +47,7 @@
 	<-s.ended
 }
 
-// WriteAnswer answers a request with its id and as many bytes as it asks for.
+// WriteAnswer answers a request with its ID and with a body of the size that its query asks for.
 func WriteAnswer(w http.ResponseWriter, r *http.Request) {
 	n, _ := strconv.ParseInt(r.URL.Query().Get("n"), 10, 64)
 	w.Header().Set(IDField, r.Header.Get(IDField))
--- a/internal/trials/faultnet/trial/trial.go
+++ b/internal/trials/faultnet/trial/trial.go
@@ -1,7 +1,7 @@
-// Package trial runs nodes between clients and stand-in servers, applies the faults of a script to
-// the links between them and to the nodes, and checks the results against the rules that
-// hold under any fault: one final answer, no effect twice, no answer without its effect, and all
-// serve again afterwards.
+// Package trial runs nodes between clients and fake servers, applies the faults of a script to the
+// nodes and to the links between all of them, and checks the results against rules that hold under
+// any fault: a request gets one final answer, no effect happens twice, no write succeeds without its
+// effect, and all nodes serve again after the faults.
 package trial
 
 import (
@@ -32,11 +32,11 @@
 
 // Options are the options of a trial.
 type Options struct {
-	Program string // absolute
-	Dir     string // for the nodes' files; short and empty
+	Program string // absolute path of the program
+	Dir     string // empty directory for the nodes' files; short, as it is part of the paths of Unix sockets
 	Nodes   int
 	Servers int
-	Clients int // of each node
+	Clients int // number of clients of each node
 	Script  faultnet.Script
 	OnEvent func(faultnet.Event) // may be nil
 }
@@ -47,38 +47,38 @@
 	Faults         int           `json:"faults"`
 	Requests       int           `json:"requests"`
 	Answered       int           `json:"answered"` // with a final answer of any kind
-	Served         int           `json:"served"`   // with 200
-	Broken         int           `json:"broken"`   // without one, as a fault of the client's way or of the process explains
+	Served         int           `json:"served"`   // answered with 200
+	Broken         int           `json:"broken"`   // without a final answer, which a fault has to explain
 	Effects        int           `json:"effects"`
-	ControlCalls   int           `json:"asked"`   // status and reload, by the control sockets
-	ControlReplies int           `json:"told"`    // of them, answered
-	OwnedEpochs    int           `json:"owned"`   // epochs that a coordinator has come to own
-	Orders         int           `json:"orders"`  // carried out, or told again
-	Kills          int           `json:"kills"`   //
+	ControlCalls   int           `json:"asked"`   // status and reload calls over the control sockets
+	ControlReplies int           `json:"told"`    // control calls that got a reply
+	OwnedEpochs    int           `json:"owned"`   // epochs that a coordinator has acquired
+	Orders         int           `json:"orders"`  // commands that were executed, or acknowledged as executed before
+	Kills          int           `json:"kills"`   // faults that killed a process
 	Resets         int           `json:"resets"`  // connections that a fault reset
-	Lost           int64         `json:"lost"`    // bytes that vanished
-	RecoveryTime   time.Duration `json:"back_ns"` // from the last fault's end until all serve again
+	Lost           int64         `json:"lost"`    // bytes that faults dropped
+	RecoveryTime   time.Duration `json:"back_ns"` // from the last fault's end until all nodes serve again
 	Wrong          []string      `json:"wrong"`
 	Events         []string      `json:"-"`
 	StartDuration  time.Duration `json:"-"`
-	Undecided      string        `json:"-"` // why the check of ownership has come to no verdict; "" is that it has
+	Undecided      string        `json:"-"` // why the check of ownership reached no verdict; "" if it reached one
 }
 
 // Timeouts and intervals of a trial.
 const (
 	startTimeout       = 30 * time.Second
 	recoveryTimeout    = 60 * time.Second
-	serverWork         = 2 * time.Millisecond
+	serverWorkTime     = 2 * time.Millisecond
 	controlInterval    = 15 * time.Millisecond
 	controlCallTimeout = 2 * time.Second
 	pollInterval       = 2 * time.Millisecond
 )
 
-// Links is how many links a trial has: for each node its clients', its control socket's, and one
-// to each server, in that order.
+// Links returns the number of links of a trial. Each node has, in this order, one link from its
+// clients, one to its control socket and one to each server.
 func Links(nodes, servers int) int { return nodes * (2 + servers) }
 
-// Place names a link by its number.
+// Place returns the description of a link by its number.
 func Place(servers, n int) string {
 	node, at := n/(2+servers), n%(2+servers)
 	switch at {
@@ -92,31 +92,31 @@
 
 // run is the state of a running trial.
 type run struct {
-	options Options
-	notes   *history.Exchanges
-	servers *servers
-	links   []*faultnet.Link
-	procs   []*faultnet.Process
-	starts  sync.WaitGroup
-	faults  traffic.Faults[side]
+	options   Options
+	exchanges *history.Exchanges
+	servers   *servers
+	links     []*faultnet.Link
+	procs     []*faultnet.Process
+	starts    sync.WaitGroup
+	faults    traffic.Faults[side]
 
 	mu             sync.Mutex
-	status         map[int]int // of answers
+	status         map[int]int // number of final answers by HTTP status
 	controlCalls   int
 	controlReplies int
 	kills          int
-	checks         int
-	newestEpoch    uint64 // epoch in any reply
+	servingChecks  int
+	newestEpoch    uint64 // newest epoch in any reply
 
 	ownership history.History
-	texts     []string // the settings of each node
-	undecided string   // of Report
+	texts     []string // initial configuration of each node
+	undecided string   // Report.Undecided
 }
 
 // Run runs a trial of one script. It returns an error if the trial could not be run; violated rules
 // are in the report.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	r := &run{options: o, notes: &history.Exchanges{}, status: make(map[int]int)}
+	r := &run{options: o, exchanges: &history.Exchanges{}, status: make(map[int]int)}
 	player, err := faultnet.NewPlayer(o.Script, make([]*faultnet.Link, Links(o.Nodes, o.Servers)), make([]*faultnet.Process, o.Nodes))
 	if err != nil {
 		return nil, err
@@ -129,38 +129,38 @@
 	rep := &Report{Seed: o.Script.Seed, Faults: len(o.Script.Entries), StartDuration: time.Since(started)}
 	player.Links, player.Procs, player.Before, player.Done = r.links, r.procs, r.beforeStep, r.afterStep
 
-	sending, stop := context.WithCancel(ctx)
+	loadCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	var all sync.WaitGroup
+	var loadGoroutines sync.WaitGroup
 	for i := range o.Nodes {
 		for n := range o.Clients {
 			c := r.client(i, n)
-			all.Go(func() { c.work(sending) })
+			loadGoroutines.Go(func() { c.sendRequests(loadCtx) })
 		}
-		all.Go(func() { r.callControl(sending, i) })
+		loadGoroutines.Go(func() { r.callControl(loadCtx, i) })
 	}
-	for n := range owners {
-		all.Go(func() { r.owner(n).coordinate(sending) })
+	for n := range ownerCount {
+		loadGoroutines.Go(func() { r.owner(n).coordinate(loadCtx) })
 	}
 	events, err := player.Play(ctx)
-	healed := time.Now()
+	healedAt := time.Now()
 	r.starts.Wait()
 	for i := range o.Nodes {
 		if err := r.awaitServing(ctx, i); err != nil {
-			r.notes.Wrong("node %d does not serve again: %v; %s", i, err, r.tail(i))
+			r.exchanges.Wrong("node %d does not serve again: %v; %s", i, err, r.logTail(i))
 		}
 	}
-	rep.RecoveryTime = time.Since(healed)
+	rep.RecoveryTime = time.Since(healedAt)
 	stop()
-	all.Wait()
+	loadGoroutines.Wait()
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
 	if err != nil {
-		return nil, fmt.Errorf("carrying the script out: %w", err)
+		return nil, fmt.Errorf("running the script: %w", err)
 	}
-	r.judge()
-	r.settle(ctx)
+	r.checkNodesAfterFaults()
+	r.converge(ctx)
 	r.report(rep)
 	for _, e := range events {
 		rep.Events = append(rep.Events, e.String())
@@ -168,11 +168,11 @@
 	return rep, nil
 }
 
-// report counts what came of the trial.
+// report enters the results of the trial into rep.
 func (r *run) report(rep *Report) {
-	rep.Wrong = r.notes.Check(func(why string) bool { return !strings.HasPrefix(why, "unexplained") })
-	rep.Requests, rep.Answered = r.notes.Counts()
-	rep.Effects = r.notes.Effects()
+	rep.Wrong = r.exchanges.Check(func(why string) bool { return !strings.HasPrefix(why, "unexplained") })
+	rep.Requests, rep.Answered = r.exchanges.Counts()
+	rep.Effects = r.exchanges.Effects()
 	rep.Undecided = r.undecided
 	rep.Broken = rep.Requests - rep.Answered
 	rep.Served, rep.ControlCalls, rep.ControlReplies, rep.Kills = r.status[200], r.controlCalls, r.controlReplies, r.kills
@@ -191,35 +191,35 @@
 	}
 }
 
-// start starts all, and waits until it serves.
+// start starts the servers, links and nodes, and waits until all nodes serve.
 func (r *run) start(ctx context.Context) (err error) {
-	if r.servers, err = startServers(r.options.Servers, serverWork, r.notes); err != nil {
+	if r.servers, err = startServers(r.options.Servers, serverWorkTime, r.exchanges); err != nil {
 		return err
 	}
 	for i := range r.options.Nodes {
 		dir := r.dir(i)
 		state := filepath.Join(dir, "state")
 		if err := os.MkdirAll(state, 0o700); err != nil {
-			return fmt.Errorf("a trial: %w", err)
+			return fmt.Errorf("starting node processes: %w", err)
 		}
-		to := append([]string{unusedAddr, r.control(i)}, r.servers.addrs...)
-		var list []string
-		for n, addr := range to {
+		targets := append([]string{unusedAddr, r.control(i)}, r.servers.addrs...)
+		var entries []string
+		for n, addr := range targets {
 			l, err := faultnet.Listen(addr)
 			if err != nil {
 				return err
 			}
 			r.links = append(r.links, l)
 			if n >= 2 {
-				list = append(list, fmt.Sprintf("{ uid = \"server-%d\", endpoint = %q }", n-2, l.Addr()))
+				entries = append(entries, fmt.Sprintf("{ uid = \"server-%d\", endpoint = %q }", n-2, l.Addr()))
 			}
 		}
 		file := filepath.Join(dir, "lockflow.toml")
-		text := strings.NewReplacer("@servers", strings.Join(list, ", "), "@control", r.control(i), "@state", state).Replace(config)
+		text := strings.NewReplacer("@servers", strings.Join(entries, ", "), "@control", r.control(i), "@state", state).Replace(config)
 		r.texts = append(r.texts, text)
-		r.notes.WantGeneration(desiredstate.Hash([]byte(text)))
+		r.exchanges.WantGeneration(desiredstate.Hash([]byte(text)))
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-			return fmt.Errorf("a trial: %w", err)
+			return fmt.Errorf("starting node processes: %w", err)
 		}
 		p := &process.Process{Path: r.options.Program, Log: filepath.Join(dir, "log"), State: state, Args: []string{"serve", "--config", file}}
 		r.procs = append(r.procs, p)
@@ -229,40 +229,41 @@
 	}
 	for i := range r.options.Nodes {
 		if err := r.awaitReady(ctx, i); err != nil {
-			return fmt.Errorf("node %d: %w; %s", i, err, r.tail(i))
+			return fmt.Errorf("node %d: %w; %s", i, err, r.logTail(i))
 		}
 		if err := r.awaitServing(ctx, i); err != nil {
-			return fmt.Errorf("node %d: %w; %s", i, err, r.tail(i))
+			return fmt.Errorf("node %d: %w; %s", i, err, r.logTail(i))
 		}
 	}
 	return nil
 }
 
-// unusedAddr is an address at which nobody listens.
+// unusedAddr is an address on which nothing listens.
 const unusedAddr = "127.0.0.1:1"
 
 func (r *run) dir(i int) string     { return filepath.Join(r.options.Dir, strconv.Itoa(i)) }
 func (r *run) control(i int) string { return filepath.Join(r.dir(i), "c.sock") }
 
-// link is the link of a place of a node: 0 is its clients', 1 its owner's.
+// link returns a link of a node: at 0 is the one from its clients, at 1 the one to its control socket, and from 2 on
+// those to the servers.
 func (r *run) link(node, at int) *faultnet.Link { return r.links[node*(2+r.options.Servers)+at] }
 
-// front is where clients find a node.
-func (r *run) front(node int) string { return r.link(node, 0).Addr() }
+// clientAddr returns the address at which clients connect to a node.
+func (r *run) clientAddr(node int) string { return r.link(node, 0).Addr() }
 
 func (r *run) close() {
 	for _, p := range r.procs {
-		_ = p.Kill() // one that has ended already is well
+		_ = p.Kill() // best effort: the trial is over
 	}
 	for _, l := range r.links {
-		_ = l.Close() // the trial is over
+		_ = l.Close() // best effort: the trial is over
 	}
 	if r.servers != nil {
 		r.servers.close()
 	}
 }
 
-// awaitReady waits until a process has come up, and leads its clients' link to where it listens.
+// awaitReady waits until a process is ready, and directs the link from its clients to the address on which it listens.
 func (r *run) awaitReady(ctx context.Context, i int) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -273,74 +274,75 @@
 			return nil
 		}
 		if !r.procs[i].Runs() {
-			return fmt.Errorf("it has ended: %w", r.procs[i].Wait())
+			return fmt.Errorf("process has exited: %w", r.procs[i].Wait())
 		}
 		select {
 		case <-time.After(pollInterval):
 		case <-ctx.Done():
-			return fmt.Errorf("it is not up: %w, %w", ctx.Err(), err)
+			return fmt.Errorf("process is not ready: %w, %w", ctx.Err(), err)
 		}
 	}
 }
 
-// awaitServing waits until a node answers one request of each class well. That each server is asked
-// again is the choice of the node, which lets one that failed rest for a time.
+// awaitServing waits until a node has served one request of each class. It doesn't wait until every
+// server receives requests, as the node sends none to a server for some time after it has failed.
 func (r *run) awaitServing(ctx context.Context, i int) error {
 	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	r.mu.Lock()
-	r.checks++
-	c := r.client(i, r.options.Clients+r.checks) // with ids of its own
+	r.servingChecks++
+	c := r.client(i, r.options.Clients+r.servingChecks) // a number that no other client has, so that request IDs are unique
 	r.mu.Unlock()
 	defer c.conn.Close()
-	for well := make(map[string]bool); len(well) < 3; {
-		if q := c.drawRequest(); !well[q.path] && c.send(q) != "" {
-			well[q.path] = true
+	for servedPaths := make(map[string]bool); len(servedPaths) < 3; {
+		if q := c.drawRequest(); !servedPaths[q.path] && c.send(q) != "" {
+			servedPaths[q.path] = true
 		}
 		select {
 		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			return fmt.Errorf("of %d requests only those of %v are answered well; all answers by status: %v; the last one: %s: %w", c.requestCount,
-				slices.Sorted(maps.Keys(well)), r.status, c.lastOutcome, ctx.Err())
+			return fmt.Errorf("of %d requests, only requests of %v were served; answers by status: %v; latest request: %s: %w", c.requestCount,
+				slices.Sorted(maps.Keys(servedPaths)), r.status, c.lastOutcome, ctx.Err())
 		}
 	}
 	return nil
 }
 
-// tail is the end of a node's log.
-func (r *run) tail(i int) string {
+// logTail returns the end of a node's log.
+func (r *run) logTail(i int) string {
 	raw, err := os.ReadFile(r.procs[i].Log)
 	if err != nil {
 		return err.Error()
 	}
-	return "its log ends with: " + string(raw[max(len(raw)-600, 0):])
+	return "end of the log: " + string(raw[max(len(raw)-600, 0):])
 }
 
-// answered holds a final answer to what may be answered. excused tells that a fault on the
-// client's side may have broken the request off.
-func (r *run) answered(node int, q request, status int, excused bool) {
+// checkAnswer checks that a final answer has a permitted status. isFaultPossible reports whether a
+// fault on the client's side may have truncated the request.
+func (r *run) checkAnswer(node int, q request, status int, isFaultPossible bool) {
 	r.mu.Lock()
 	r.status[status]++
 	r.mu.Unlock()
 	switch status {
 	case 200:
 		if q.method == "POST" && !r.servers.hasEffect(q.id) {
-			r.notes.Wrong("request %s: answered 200, and no server has had it", q.id)
+			r.exchanges.Wrong("request %s: answered 200, and no server has had it", q.id)
 		}
 	case 502, 503, 504, 429:
 	case 400, 408:
-		if !excused {
-			r.notes.Wrong("request %s: answered %d, and it came whole", q.id, status)
+		if !isFaultPossible {
+			r.exchanges.Wrong("request %s: answered %d, and it came whole", q.id, status)
 		}
 	default:
-		r.notes.Wrong("request %s: answered %d by node %d", q.id, status, node)
+		r.exchanges.Wrong("request %s: answered %d by node %d", q.id, status, node)
 	}
 }
 
-// callControl asks a node by its control socket what it does, and has it read its file again, until ctx
-// ends. What it says has to be of the process that runs.
+// callControl requests a node's status over its control socket, and in one of 10 calls a reload, until ctx
+// ends. It records the states for the check of ownership, and checks that the generation of a process
+// never decreases.
 func (r *run) callControl(ctx context.Context, i int) {
 	rng := rand.New(rand.NewPCG(r.options.Script.Seed, uint64(i)+77))
 	c := manage.Client{Path: r.link(i, 1).Addr()}
@@ -352,7 +354,7 @@
 		if rng.IntN(10) == 0 {
 			call = c.Reload
 		} else {
-			recordStatus = r.ownership.Call(owners+1+i, history.ReadStatus{Member: member(i)})
+			recordStatus = r.ownership.Call(ownerCount+1+i, history.ReadStatus{Member: member(i)})
 		}
 		s, err := call(callCtx)
 		cancel()
@@ -364,14 +366,14 @@
 		r.mu.Unlock()
 		if err == nil {
 			if s.PID == last.PID && s.Generation < last.Generation {
-				r.notes.Wrong("node %d: generation %d after %d of the same process", i, s.Generation, last.Generation)
+				r.exchanges.Wrong("node %d: generation %d after %d of the same process", i, s.Generation, last.Generation)
 			}
 			last = s
 			recordStatus(history.MemberState{Epoch: s.Epoch, Owner: s.Owner})
-			r.noteEpoch(s.Epoch)
-			r.notes.Reported(member(i), s.ConfigHash)
+			r.observeEpoch(s.Epoch)
+			r.exchanges.Reported(member(i), s.ConfigHash)
 		} else if refused := (manage.RejectedError{}); errors.As(err, &refused) && !strings.Contains(refused.Message, "reload") {
-			r.notes.Wrong("node %d refuses what it is asked: %v", i, err)
+			r.exchanges.Wrong("node %d refuses what it is asked: %v", i, err)
 		}
 		select {
 		case <-time.After(controlInterval):
@@ -380,18 +382,18 @@
 	}
 }
 
-// judge tells what is wrong at the end.
-func (r *run) judge() {
+// checkNodesAfterFaults checks that all nodes still run and reload their configuration.
+func (r *run) checkNodesAfterFaults() {
 	for i, p := range r.procs {
 		if !p.Runs() {
-			r.notes.Wrong("node %d has ended by itself: %v; %s", i, p.Wait(), r.tail(i))
+			r.exchanges.Wrong("node %d has ended by itself: %v; %s", i, p.Wait(), r.logTail(i))
 			continue
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 		_, err := manage.Client{Path: r.control(i)}.Reload(ctx)
 		cancel()
 		if err != nil {
-			r.notes.Wrong("node %d does not reload afterwards: %v", i, err)
+			r.exchanges.Wrong("node %d does not reload afterwards: %v", i, err)
 		}
 	}
 }
--- a/internal/trials/versionskew/compare.go
+++ b/internal/trials/versionskew/compare.go
@@ -29,10 +29,10 @@
 	}
 	var before, after any
 	if err := cbor.Unmarshal(raw[stateHeader:], &before); err != nil {
-		return state.Checkpoint{}, nil, fmt.Errorf("reading a checkpoint: %w", err)
+		return state.Checkpoint{}, nil, fmt.Errorf("decoding a checkpoint: %w", err)
 	}
 	if err := cbor.Unmarshal(encoded[stateHeader:], &after); err != nil {
-		return state.Checkpoint{}, nil, fmt.Errorf("reading a checkpoint: %w", err)
+		return state.Checkpoint{}, nil, fmt.Errorf("decoding a checkpoint: %w", err)
 	}
 	return decoded, differences(before, after, reflect.DeepEqual), nil
 }
@@ -41,11 +41,11 @@
 func statusDifferences(raw []byte) (manage.Status, []string, error) {
 	var decoded manage.Status
 	if err := json.Unmarshal(raw, &decoded); err != nil {
-		return decoded, nil, fmt.Errorf("reading a status: %w", err)
+		return decoded, nil, fmt.Errorf("decoding a status: %w", err)
 	}
 	encoded, err := json.Marshal(decoded)
 	if err != nil {
-		return decoded, nil, fmt.Errorf("writing a status: %w", err)
+		return decoded, nil, fmt.Errorf("encoding a status: %w", err)
 	}
 	paths, err := jsonDifferences(raw, encoded, reflect.DeepEqual)
 	return decoded, paths, err
@@ -63,7 +63,7 @@
 		decoder := json.NewDecoder(bytes.NewReader(raw))
 		decoder.UseNumber()
 		if err := decoder.Decode(&trees[i]); err != nil {
-			return nil, fmt.Errorf("reading a status: %w", err)
+			return nil, fmt.Errorf("decoding a status: %w", err)
 		}
 	}
 	return differences(trees[0], trees[1], equal), nil
@@ -72,13 +72,13 @@
 // differences returns the sorted paths at which two trees of maps, slices and values differ.
 func differences(a, b any, equal func(a, b any) bool) []string {
 	var paths []string
-	walk("", a, b, equal, &paths)
+	appendDifferences("", a, b, equal, &paths)
 	slices.Sort(paths)
 	return slices.Compact(paths)
 }
 
-// walk appends the paths below path at which two trees differ.
-func walk(path string, a, b any, equal func(a, b any) bool, paths *[]string) {
+// appendDifferences appends the paths below path at which two trees differ.
+func appendDifferences(path string, a, b any, equal func(a, b any) bool, paths *[]string) {
 	left, right := entries(a), entries(b)
 	if left == nil || right == nil {
 		if (left == nil) != (right == nil) || !equal(a, b) {
@@ -92,7 +92,7 @@
 			*paths = append(*paths, path+"."+key)
 			continue
 		}
-		walk(path+"."+key, value, other, equal, paths)
+		appendDifferences(path+"."+key, value, other, equal, paths)
 	}
 	for key := range right {
 		if _, ok := left[key]; !ok {
--- a/internal/trials/versionskew/compare_test.go
+++ b/internal/trials/versionskew/compare_test.go
@@ -32,8 +32,9 @@
 	return raw
 }
 
-// changed returns a checkpoint file with content that another build has changed.
-func changed(t *testing.T, raw []byte, change func(customer map[any]any)) []byte {
+// editCheckpoint returns a copy of a checkpoint file in which change has edited the customer, as another build might
+// have written it.
+func editCheckpoint(t *testing.T, raw []byte, change func(customer map[any]any)) []byte {
 	t.Helper()
 	var tree map[any]any
 	if err := cbor.Unmarshal(raw[stateHeader:], &tree); err != nil {
@@ -49,18 +50,18 @@
 	return append(header, body...)
 }
 
-func TestCheckpointOfTheSameBuildIsUnderstood(t *testing.T) {
+func TestCheckpointOfSameBuildIsDecodedCompletely(t *testing.T) {
 	decoded, paths, err := checkpointDifferences(exampleCheckpoint(t))
 	if err != nil || len(paths) > 0 {
-		t.Errorf("%v %v", paths, err)
+		t.Errorf("differences %v, error %v", paths, err)
 	}
-	if tokens(decoded) != 7 || limitOf(decoded) != 12.5 || latencies(decoded)["s-3"] != 0.1 {
-		t.Errorf("%+v", decoded)
+	if reservedTokens(decoded) != 7 || checkpointConcurrency(decoded) != 12.5 || latencies(decoded)["s-3"] != 0.1 {
+		t.Errorf("decoded checkpoint %+v", decoded)
 	}
 }
 
 // A field that another build renames or omits is reported by its path.
-func TestRenamedFieldOfACheckpointIsFound(t *testing.T) {
+func TestRenamedCheckpointFieldIsReported(t *testing.T) {
 	const customer = ".services.a.checkpoint.customers.[0]"
 	for name, tc := range map[string]struct {
 		change func(customer map[any]any)
@@ -71,21 +72,21 @@
 		"more":    {func(c map[any]any) { c["new"] = 1 }, []string{customer + ".new"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, paths, err := checkpointDifferences(changed(t, exampleCheckpoint(t), tc.change))
+			_, paths, err := checkpointDifferences(editCheckpoint(t, exampleCheckpoint(t), tc.change))
 			if err != nil || !slices.Equal(paths, tc.want) {
-				t.Errorf("%v %v", paths, err)
+				t.Errorf("differences %v, error %v", paths, err)
 			}
 		})
 	}
 }
 
-func TestRenamedKeyOfAStatusIsFound(t *testing.T) {
+func TestRenamedStatusKeyIsReported(t *testing.T) {
 	raw, err := json.Marshal(manage.Status{PID: 7, Listeners: []string{"a"}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, paths, err := statusDifferences(raw); err != nil || len(paths) > 0 {
-		t.Errorf("the same build's: %v %v", paths, err)
+		t.Errorf("status of the same build: differences %v, error %v", paths, err)
 	}
 	var tree map[string]any
 	if err := json.Unmarshal(raw, &tree); err != nil {
@@ -99,9 +100,9 @@
 	}
 	want := []string{".pid", ".process"}
 	if _, paths, err := statusDifferences(other); err != nil || !slices.Equal(paths, want) {
-		t.Errorf("%v %v", paths, err)
+		t.Errorf("status differences %v, error %v", paths, err)
 	}
 	if paths, err := keyDifferences(raw, other); err != nil || !slices.Equal(paths, want) {
-		t.Errorf("%v %v", paths, err)
+		t.Errorf("key differences %v, error %v", paths, err)
 	}
 }
--- a/internal/trials/versionskew/load.go
+++ b/internal/trials/versionskew/load.go
@@ -82,7 +82,7 @@
 type load struct {
 	stop    context.CancelFunc
 	started time.Time
-	clients []*fake.Run // of the standard plan: with persistent connections, and with one for each request
+	clients []*fake.Run // of the standard plan: one with persistent connections, one with a connection for each request
 	limited *fake.Run   // of the limited plan
 
 	mu       sync.Mutex
@@ -98,10 +98,10 @@
 	ctx, stop := context.WithCancel(ctx)
 	l := &load{stop: stop, started: time.Now(), changed: make(chan struct{})}
 	standard := fake.Clients{Addr: addr, Workers: n, Seed: 1, Call: standardCall, OnAnswer: func(fake.Answer) { l.count() }}
-	fresh := standard
-	fresh.ConnPerAttempt = true
-	fresh.Seed = 2
-	l.clients = []*fake.Run{standard.Start(ctx), fresh.Start(ctx)}
+	perRequest := standard
+	perRequest.ConnPerAttempt = true
+	perRequest.Seed = 2
+	l.clients = []*fake.Run{standard.Start(ctx), perRequest.Start(ctx)}
 	limited := fake.Clients{Addr: addr, Workers: limitedWorkers, Seed: 3, Interval: limitedInterval, Call: limitedCall}
 	l.limited = limited.Start(ctx)
 	return l
@@ -147,13 +147,13 @@
 	return l.answered, l.changed
 }
 
-// await waits for n more answers.
-func (l *load) await(ctx context.Context, n int) error {
-	until, _ := l.progress()
-	until += n
+// awaitAnswers waits for n more answers.
+func (l *load) awaitAnswers(ctx context.Context, n int) error {
+	target, _ := l.progress()
+	target += n
 	for {
-		now, changed := l.progress()
-		if now >= until {
+		answered, changed := l.progress()
+		if answered >= target {
 			return nil
 		}
 		select {
@@ -194,13 +194,13 @@
 	r.P99 = max(r.P99, result.Quantile(0.99))
 }
 
-// spend sends one request of the reserved customer, which draws units from its token bucket. It returns an error unless
+// spendUnits sends one request of the reserved customer, which draws units from its token bucket. It returns an error unless
 // the request is served.
-func spend(ctx context.Context, addr string, units int) error {
+func spendUnits(ctx context.Context, addr string, units int) error {
 	url := fmt.Sprintf("http://%s/roster-read/week?account=%016x", addr, reservedCustomer)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
-		return fmt.Errorf("sending as the reserved customer: %w", err)
+		return fmt.Errorf("sending a request of the reserved customer: %w", err)
 	}
 	request.Host = "care.example"
 	id := "reserved-" + strconv.FormatInt(time.Now().UnixNano(), 16)
@@ -212,15 +212,15 @@
 	}
 	response, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(request)
 	if err != nil {
-		return fmt.Errorf("sending as the reserved customer: %w", err)
+		return fmt.Errorf("sending a request of the reserved customer: %w", err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return fmt.Errorf("sending as the reserved customer: %w", err)
+		return fmt.Errorf("sending a request of the reserved customer: %w", err)
 	}
 	if response.StatusCode != http.StatusOK || !strings.HasSuffix(string(body), " "+id) {
-		return fmt.Errorf("sending as the reserved customer: %s: %s", response.Status, body)
+		return fmt.Errorf("request of the reserved customer was not served: %s: %s", response.Status, body)
 	}
 	return nil
 }
--- a/internal/trials/versionskew/trial.go
+++ b/internal/trials/versionskew/trial.go
@@ -25,10 +25,10 @@
 
 const (
 	reservedPlan     = "reserved"
-	firstSpending    = 20  // units that the reserved customer spends at the start
+	initialSpending  = 20  // units that the reserved customer spends at the start
 	tokenTolerance   = 0.5 // units; the reserved bucket is refilled by 0.06 a minute
-	learnedTolerance = 0.2 // relative deviation of learned figures after an upgrade
-	usedMin          = 0.7 // fraction of the hard limit that customers who exceed it must get
+	learnedTolerance = 0.2 // maximum relative deviation of learned values after an upgrade
+	minUsedFraction  = 0.7 // fraction of the hard limit that customers who exceed it must get
 )
 
 // Options are the builds of a trial and its extent.
@@ -38,8 +38,8 @@
 	Dir      string    // for the daemon's files; short, as it holds the path of a Unix socket
 	Env      []string  // additional environment of all processes, "K=V"
 	Rounds   int       // number of upgrades to the current build and back
-	Clients  int       // number with a persistent connection, and of as many with a connection for each request
-	Requests int       // minimum number answered between two upgrades
+	Clients  int       // number of clients with a persistent connection; as many others use a connection for each request
+	Requests int       // minimum number of requests answered between two upgrades
 	Progress io.Writer // receives a line for each upgrade
 }
 
@@ -73,7 +73,7 @@
 	defer t.backends.Close()
 	text := strings.NewReplacer("@backends", t.backends.source(), "@state", t.daemon.stateDir()).Replace(configText)
 	if err := os.WriteFile(t.daemon.config(), []byte(text), 0o600); err != nil {
-		return nil, fmt.Errorf("trying two builds: %w", err)
+		return nil, fmt.Errorf("writing the daemon's configuration: %w", err)
 	}
 	defer t.daemon.kill()
 	if err = t.upgrades(ctx); err == nil {
@@ -99,7 +99,7 @@
 	t.addr = status.Listeners[0]
 	t.load = startLoad(ctx, t.addr, t.Clients)
 	defer t.load.stop()
-	if err := spend(ctx, t.addr, firstSpending); err != nil {
+	if err := spendUnits(ctx, t.addr, initialSpending); err != nil {
 		return err
 	}
 	if err := t.inspect(ctx, t.previous); err != nil {
@@ -107,7 +107,7 @@
 	}
 	for range t.Rounds {
 		for _, change := range t.replacements() {
-			if err := t.load.await(ctx, t.Requests); err != nil {
+			if err := t.load.awaitAnswers(ctx, t.Requests); err != nil {
 				return err
 			}
 			if err := t.prepare(ctx, change.to); err != nil {
@@ -118,14 +118,14 @@
 			}
 		}
 	}
-	if err := t.load.await(ctx, t.Requests); err != nil {
+	if err := t.load.awaitAnswers(ctx, t.Requests); err != nil {
 		return err
 	}
 	t.load.finish(t.report, t.backends)
 	return t.idleUpgrades(ctx)
 }
 
-// idleUpgrades upgrades the daemon in both directions without load, so that learned figures must stay unchanged.
+// idleUpgrades upgrades the daemon in both directions without load, so that learned values must stay unchanged.
 func (t *trial) idleUpgrades(ctx context.Context) error {
 	for _, change := range t.replacements() {
 		before, err := t.freshCheckpoint(ctx, change.from)
@@ -167,7 +167,7 @@
 	return t.daemon.start(ctx, b, listen)
 }
 
-// prepare changes the configuration by a coordinator of the build that does not serve, and spends a unit of the reserved
+// prepare changes the configuration with a coordinator of the build that does not serve, and spends a unit of the reserved
 // customer. The next coordinator, of the other build, reads the rollout log of this one.
 func (t *trial) prepare(ctx context.Context, coordinator build) error {
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
@@ -175,7 +175,7 @@
 	if err := t.reload(ctx, coordinator); err != nil {
 		return err
 	}
-	return spend(ctx, t.addr, 1)
+	return spendUnits(ctx, t.addr, 1)
 }
 
 // upgrade upgrades the daemon and compares the state before and after.
@@ -187,19 +187,19 @@
 		return err
 	}
 	step := Step{Name: change.describe(kind)}
-	settled, err := t.freshCheckpoint(ctx, change.from)
+	checkpoint, err := t.freshCheckpoint(ctx, change.from)
 	if err != nil {
 		return err
 	}
-	step.Tokens[0] = tokens(settled)
+	step.Tokens[0] = reservedTokens(checkpoint)
 	started := time.Now()
-	first, err := t.replace(ctx, change.to, before.PID)
+	upgraded, err := t.replace(ctx, change.to, before.PID)
 	if err != nil {
 		return err
 	}
 	step.Duration = time.Since(started)
-	step.Concurrency = [2]float64{concurrency(before), concurrency(first)}
-	step.Tokens[1] = t.tokensLike(ctx, change.to, step.Tokens[0])
+	step.Concurrency = [2]float64{statusConcurrency(before), statusConcurrency(upgraded)}
+	step.Tokens[1] = t.awaitTokens(ctx, change.to, step.Tokens[0])
 	answered, _ := t.load.progress()
 	step.Requests = answered - t.answered
 	t.answered = answered
@@ -211,22 +211,22 @@
 	if err != nil {
 		return err
 	}
-	t.compareOrders(step.Name, before, after)
+	t.compareOwnership(step.Name, before, after)
 	if after.Program != change.to.path {
 		t.report.violation("%s: %s serves", step.Name, after.Program)
 	}
 	return t.inspect(ctx, change.to)
 }
 
-// replace upgrades by the command line of the new build and returns the first status of the new process.
-func (t *trial) replace(ctx context.Context, to build, old int) (first manage.Status, err error) {
+// replace upgrades the daemon with the command line of the new build and returns the first status of the new process.
+func (t *trial) replace(ctx context.Context, to build, oldPID int) (status manage.Status, err error) {
 	done := make(chan error, 1)
 	go func() {
 		_, err := to.run(ctx, "upgrade", "--control", t.daemon.client.Path, "--program", to.path)
 		done <- err
 	}()
 	isDone := false
-	err = eventually(ctx, func() (bool, error) {
+	err = pollUntil(ctx, func() (bool, error) {
 		if !isDone {
 			select {
 			case err := <-done:
@@ -238,16 +238,16 @@
 			}
 		}
 		var err error
-		first, err = t.daemon.client.Status(ctx)
-		return err == nil && first.PID != old, nil
+		status, err = t.daemon.client.Status(ctx)
+		return err == nil && status.PID != oldPID, nil
 	})
 	if err == nil && !isDone {
 		err = <-done
 	}
-	return first, err
+	return status, err
 }
 
-// reload changes the daemon's configuration by a coordinator of a build.
+// reload changes the daemon's configuration with a coordinator of a build.
 func (t *trial) reload(ctx context.Context, coordinator build) error {
 	t.changes++
 	raw, err := os.ReadFile(t.daemon.config())
@@ -309,8 +309,8 @@
 		if err != nil {
 			return err
 		}
-		step.Tokens = [2]float64{tokens(before), tokens(after)}
-		step.Concurrency = [2]float64{limitOf(before), limitOf(after)}
+		step.Tokens = [2]float64{reservedTokens(before), reservedTokens(after)}
+		step.Concurrency = [2]float64{checkpointConcurrency(before), checkpointConcurrency(after)}
 		t.report.Steps = append(t.report.Steps, step)
 		t.compareTokens(step)
 		before = after
@@ -385,11 +385,11 @@
 func (t *trial) freshCheckpoint(ctx context.Context, writer build) (state.Checkpoint, error) {
 	var last time.Time
 	files := 0
-	err := eventually(ctx, func() (bool, error) {
+	err := pollUntil(ctx, func() (bool, error) {
 		info, err := os.Stat(t.daemon.checkpoint())
 		if err == nil && !info.ModTime().Equal(last) {
 			last = info.ModTime()
-			files++ // the first one existed before
+			files++ // the first file that is counted existed before this call
 		}
 		return files > 2, nil
 	})
@@ -399,18 +399,18 @@
 	return t.readCheckpoint(writer.name)
 }
 
-// tokensLike waits until a checkpoint has as many tokens of the reserved customer as before, and returns those of the
+// awaitTokens waits until a checkpoint has as many tokens of the reserved customer as before, and returns those of the
 // last checkpoint read.
-func (t *trial) tokensLike(ctx context.Context, writer build, before float64) (left float64) {
+func (t *trial) awaitTokens(ctx context.Context, writer build, before float64) (left float64) {
 	ctx, cancel := context.WithTimeout(ctx, tokensTimeout)
 	defer cancel()
 	// The caller compares the tokens, so a timeout needs no error here.
-	_ = eventually(ctx, func() (bool, error) {
+	_ = pollUntil(ctx, func() (bool, error) {
 		checkpoint, err := t.readCheckpoint(writer.name)
 		if err != nil {
 			return false, err
 		}
-		left = tokens(checkpoint)
+		left = reservedTokens(checkpoint)
 		return math.Abs(left-before) < tokenTolerance, nil
 	})
 	return left
