--- a/internal/simulation/rolloutsim/baseline_judges.go
+++ b/internal/simulation/rolloutsim/baseline_judges.go
@@ -84,7 +84,7 @@
 	if now-t.startedAt < thresholdMinTime || t.totals[newSide].Requests == 0 {
 		return canary.Verdict{}
 	}
-	if reason := t.harm(); reason != "" {
+	if reason := t.exceededMeasure(); reason != "" {
 		return canary.Verdict{Kind: canary.KindWorse, Reason: reason}
 	}
 	if now-t.startedAt < thresholdPassTime {
@@ -94,7 +94,7 @@
 }
 
 // harm returns the first measure of the new side that exceeds its threshold; "" is none.
-func (t *thresholdJudge) harm() string {
+func (t *thresholdJudge) exceededMeasure() string {
 	old, changed := &t.totals[oldSide], &t.totals[newSide]
 	share := func(count uint64, s *instancestats.Statistics) float64 {
 		return float64(count) / max(float64(s.Requests), 1)
--- a/internal/simulation/rolloutsim/draw.go
+++ b/internal/simulation/rolloutsim/draw.go
@@ -66,7 +66,7 @@
 type delayTails map[int]*delayTail
 
 // of returns the tail for a factor.
-func (t delayTails) of(factor float64) *delayTail {
+func (t delayTails) forFactor(factor float64) *delayTail {
 	key := int(math.Round(math.Log(factor) * factorSteps))
 	if known := t[key]; known != nil {
 		return known
--- a/internal/simulation/rolloutsim/report.go
+++ b/internal/simulation/rolloutsim/report.go
@@ -33,18 +33,18 @@
 }
 
 // newReport returns the report of all outcomes.
-func newReport(o *Options, all []outcome) Report {
+func newReport(o *Options, outcomes []outcome) Report {
 	r := Report{
 		Instances: o.Instances,
 		Traffic:   o.Traffic,
 		Harm:      o.Harm.Name,
 		Judge:     o.Judge,
 		Without:   o.Without,
-		Runs:      len(all),
+		Runs:      len(outcomes),
 		AtStage:   make([]int, len(stageTargets(o.Instances))),
 	}
 	var minutes, touched, harmed []float64
-	for _, x := range all {
+	for _, x := range outcomes {
 		switch x.kind {
 		case canary.KindWorse:
 			r.Worse++
--- a/internal/simulation/rolloutsim/service.go
+++ b/internal/simulation/rolloutsim/service.go
@@ -94,7 +94,7 @@
 	rejected := binomial(rng, requests-overQuota, rejectionRate*(1+2*c.warmUp))
 	forwarded := requests - overQuota - rejected
 	failed := binomial(rng, forwarded, c.failureShare)
-	late := w.tails.of(c.delayFactor).draw(rng, forwarded-failed, &total.Delays)
+	late := w.tails.forFactor(c.delayFactor).draw(rng, forwarded-failed, &total.Delays)
 	w.harmed += float64(forwarded) * c.harmShare
 	if w.options.Harm.DelayFactor > 0 && x.side == canary.SideNew {
 		w.harmed += float64(late)
--- a/internal/simulation/rolloutsim/sim.go
+++ b/internal/simulation/rolloutsim/sim.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	observedBefore     = 5 * time.Minute  // of the fleet before the first stage
-	undetectedTime     = 10 * time.Minute // after a rollout that has passed, until somebody sees the harm
-	stageSteps         = 10               // steps in which a stage's members change
-	maxControls        = 8                // of a stage
-	minFirstShare      = 0.5              // of the mean traffic, for the first member that changes
-	seedStep           = 7919             // between two rollouts
-	evaluationInterval = 3                // steps between two verdicts of a stage
-	lateInterval       = 9                // the same, after lateStep
-	lateStep           = 30
+	observedBefore         = 5 * time.Minute  // of the fleet before the first stage
+	undetectedTime         = 10 * time.Minute // after a rollout that has passed, until somebody sees the harm
+	stageSteps             = 10               // steps in which a stage's members change
+	maxControls            = 8                // of a stage
+	minFirstShare          = 0.5              // of the mean traffic, for the first member that changes
+	seedStep               = 7919             // between two rollouts
+	evaluationInterval     = 3                // steps between two verdicts of a stage
+	lateEvaluationInterval = 9                // the same, after lateStep
+	lateEvaluationStart    = 30
 )
 
 // stageShares are the parts of the fleet that have changed at the end of the stages after the first, which is one
@@ -60,34 +60,34 @@
 	if err := o.setDefaults(); err != nil {
 		return Report{}, err
 	}
-	all := make([]outcome, o.Runs)
+	outcomes := make([]outcome, o.Runs)
 	var next atomic.Int64
 	var workers sync.WaitGroup
 	for range min(o.Runs, runtime.GOMAXPROCS(0)) {
 		workers.Go(func() {
 			for i := int(next.Add(1)) - 1; i < o.Runs; i = int(next.Add(1)) - 1 {
-				all[i] = playOne(&o, o.Seed+uint64(i)*seedStep)
+				outcomes[i] = simulateRollout(&o, o.Seed+uint64(i)*seedStep)
 			}
 		})
 	}
 	workers.Wait()
-	return newReport(&o, all), nil
+	return newReport(&o, outcomes), nil
 }
 
 // stageTargets returns how many members have changed at the end of each stage.
 func stageTargets(members int) []int {
-	all := []int{1}
+	targets := []int{1}
 	for _, share := range stageShares {
 		target := int(math.Ceil(share * float64(members)))
-		if target > all[len(all)-1] {
-			all = append(all, target)
+		if target > targets[len(targets)-1] {
+			targets = append(targets, target)
 		}
 	}
-	return all
+	return targets
 }
 
 // playOne simulates one rollout.
-func playOne(o *Options, seed uint64) outcome {
+func simulateRollout(o *Options, seed uint64) outcome {
 	w := newWorld(o, seed)
 	r := &simulatedRollout{world: w, judge: newJudge(o), order: w.changeOrder()}
 	for w.now < observedBefore {
@@ -95,7 +95,7 @@
 	}
 	startedAt := w.now
 	for i, target := range stageTargets(o.Instances) {
-		verdict := r.playStage(target)
+		verdict := r.runStage(target)
 		if verdict.Kind != canary.KindPass {
 			return outcome{
 				kind:     verdict.Kind,
@@ -123,7 +123,7 @@
 }
 
 // playStage changes members up to a target, and returns the verdict that ends the stage.
-func (r *simulatedRollout) playStage(target int) canary.Verdict {
+func (r *simulatedRollout) runStage(target int) canary.Verdict {
 	w := r.world
 	r.judge.Begin(w.now, w.readings)
 	controls := min(target-r.changed, maxControls, (len(w.instances)-target+1)/2)
@@ -153,8 +153,8 @@
 
 // isEvaluated tells whether a step of a stage ends with a verdict.
 func isEvaluated(step int) bool {
-	if step > lateStep {
-		return step%lateInterval == 0
+	if step > lateEvaluationStart {
+		return step%lateEvaluationInterval == 0
 	}
 	return step%evaluationInterval == 0
 }
--- a/internal/simulation/rolloutsim/sim_test.go
+++ b/internal/simulation/rolloutsim/sim_test.go
@@ -27,24 +27,24 @@
 }
 
 func TestHarmfulChangesStop(t *testing.T) {
-	for _, h := range Harms[1:] {
-		r := simulate(t, Options{Instances: 40, Traffic: "uneven", Harm: h, Runs: 4, Seed: 3})
-		at := 0 // the latest stage at which all have to be stopped
+	for _, harm := range Harms[1:] {
+		r := simulate(t, Options{Instances: 40, Traffic: "uneven", Harm: harm, Runs: 4, Seed: 3})
+		latestStage := 0 // the latest stage at which all have to be stopped
 		switch {
-		case h.MinChangedShare > 0:
-			at = 2
-		case h.CrashInterval > 0 || h.FleetFailureShare > 0:
-			at = 3
+		case harm.MinChangedShare > 0:
+			latestStage = 2
+		case harm.CrashInterval > 0 || harm.FleetFailureShare > 0:
+			latestStage = 3
 		}
 		stopped := 0
-		for _, n := range r.AtStage[:at+1] {
+		for _, n := range r.AtStage[:latestStage+1] {
 			stopped += n
 		}
-		if stopped < 3 || h.FleetFailureShare == 0 && h.CrashInterval == 0 && stopped < 4 {
-			t.Errorf("%s: %+v", h.Name, r)
+		if stopped < 3 || harm.FleetFailureShare == 0 && harm.CrashInterval == 0 && stopped < 4 {
+			t.Errorf("%s: %+v", harm.Name, r)
 		}
-		if plain := simulate(t, Options{Instances: 40, Traffic: "uneven", Harm: h, Judge: "readiness", Runs: 2, Seed: 3}); plain.Passed < 2 || plain.Harmed < r.Harmed {
-			t.Errorf("readiness alone: %+v", plain)
+		if readinessReport := simulate(t, Options{Instances: 40, Traffic: "uneven", Harm: harm, Judge: "readiness", Runs: 2, Seed: 3}); readinessReport.Passed < 2 || readinessReport.Harmed < r.Harmed {
+			t.Errorf("readiness alone: %+v", readinessReport)
 		}
 	}
 }
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestSameSeedSamePlay(t *testing.T) {
+func TestSameSeedGivesSameReport(t *testing.T) {
 	o := Options{Instances: 12, Traffic: "bursty", Harm: Harms[6], Runs: 3, Seed: 9}
 	if a, b := simulate(t, o), simulate(t, o); !reflect.DeepEqual(a, b) {
 		t.Errorf("%+v\n%+v", a, b)
--- a/internal/simulation/rolloutsim/world.go
+++ b/internal/simulation/rolloutsim/world.go
@@ -19,13 +19,13 @@
 	meanMemoryKB   = 200e3
 	restartTime    = 20 * time.Second // after a crash
 	limitedShare   = 0.5              // part of the units that belongs to customers at their hard limits
-	meanAge        = 48 * time.Hour   // of processes at the start
+	meanProcessAge = 48 * time.Hour   // of processes at the start
 	burstInterval  = 600              // mean seconds between two bursts of an instance
 	minZoneMembers = 6                // a zone needs some members to be compared with each other
 	maxZones       = 3
 	zoneFaultShare = 0.25 // part of the faults that are of one zone
 	allZones       = -1
-	streamOfWorld  = 57 // of the random generator
+	worldStream    = 57 // of the random generator
 )
 
 // instance is one member of the simulated fleet.
@@ -74,7 +74,7 @@
 func newWorld(o *Options, seed uint64) *world {
 	w := &world{
 		options: o,
-		rng:     rand.New(rand.NewPCG(seed, streamOfWorld)),
+		rng:     rand.New(rand.NewPCG(seed, worldStream)),
 		zones:   min(maxZones, max(1, o.Instances/minZoneMembers)),
 		tails:   delayTails{},
 		epoch:   time.Unix(1e9, 0),
@@ -90,7 +90,7 @@
 		x.failureFactor = w.logNormal(0.5)
 		x.cpuFactor = w.logNormal(0.15)
 		x.memoryFactor = w.logNormal(0.2)
-		x.startedAt = -time.Duration(w.rng.ExpFloat64() * float64(meanAge))
+		x.startedAt = -time.Duration(w.rng.ExpFloat64() * float64(meanProcessAge))
 		w.instances = append(w.instances, x)
 	}
 	for _, x := range w.instances {
--- a/internal/simulation/waitpolicysim/sim.go
+++ b/internal/simulation/waitpolicysim/sim.go
@@ -90,7 +90,7 @@
 	for i := range options.Queries {
 		progress := float64(i) / float64(options.Queries)
 		durations, factor := w.draw(rng, progress)
-		r.play(progress, &durations, factor, i >= options.Warmup)
+		r.simulateQuery(progress, &durations, factor, i >= options.Warmup)
 	}
 	r.summarize()
 	r.report.StepsPerQuery = float64(learned.steps) / float64(options.Queries)
@@ -117,7 +117,7 @@
 }
 
 // play has each policy end one query. Queries of the warm-up are not counted.
-func (r *run) play(progress float64, durations *[partCount]time.Duration, factor float64, isCounted bool) {
+func (r *run) simulateQuery(progress float64, durations *[partCount]time.Duration, factor float64, isCounted bool) {
 	for i, p := range r.policies {
 		end := p.end(progress, durations, factor)
 		if !isCounted {
--- a/internal/simulation/waitpolicysim/sim_test.go
+++ b/internal/simulation/waitpolicysim/sim_test.go
@@ -11,7 +11,7 @@
 
 // The learned policy earns at least 95% of what the oracle does, more than no deadline and a percentile, and more
 // than any fixed time in a changing world.
-func TestLearnedIsNearTheOracle(t *testing.T) {
+func TestLearnedPolicyIsNearOracle(t *testing.T) {
 	for _, w := range worlds {
 		t.Run(w.name, func(t *testing.T) {
 			t.Parallel()
@@ -42,32 +42,32 @@
 
 // learnedPercentiles has queries answered at the 95th percentile of their parts' durations, as observed by that
 // policy itself. It returns the deadline after each thousand queries.
-func learnedPercentiles(w *world, censored bool) (all []time.Duration) {
+func learnedPercentiles(w *world, censored bool) (deadlines []time.Duration) {
 	rng, shares, deadline := rand.New(rand.NewPCG(1, 1)), w.shares(), clientDeadline
-	var seen waitpolicy.Sketch
+	var observed waitpolicy.Sketch
 	for i := range 8000 {
-		took, _ := w.draw(rng, 0)
-		e := endAfter(&shares, &took, deadline)
-		for _, d := range took {
-			if d <= e.at {
-				seen.Answered[waitpolicy.Bucket(d)]++
+		durations, _ := w.draw(rng, 0)
+		end := endAfter(&shares, &durations, deadline)
+		for _, d := range durations {
+			if d <= end.at {
+				observed.Answered[waitpolicy.Bucket(d)]++
 			} else if censored {
-				seen.Abandoned[waitpolicy.Bucket(e.at)]++
+				observed.Abandoned[waitpolicy.Bucket(end.at)]++
 			}
 		}
 		if i%200 == 199 {
-			deadline = seen.Quantile(0.95)
-			if seen.Weight() > 4000 {
-				var half waitpolicy.Sketch
-				half.Add(&seen, 0.5)
-				seen = half
+			deadline = observed.Quantile(0.95)
+			if observed.Weight() > 4000 {
+				var decayed waitpolicy.Sketch
+				decayed.Add(&observed, 0.5)
+				observed = decayed
 			}
 		}
 		if i%1000 == 999 {
-			all = append(all, deadline)
+			deadlines = append(deadlines, deadline)
 		}
 	}
-	return all
+	return deadlines
 }
 
 // A deadline that is learned from the parts in time alone abandons more and more of them. With abandoned parts counted
@@ -85,28 +85,28 @@
 		t.Error("without what was cut nothing is shown")
 	}
 	// A learner that does not count abandoned parts expects all to answer soon.
-	for name, least := range map[string]float64{"pareto": 0.99, "stalled": 0.5} {
+	for name, maxRatio := range map[string]float64{"pareto": 0.99, "stalled": 0.5} {
 		w, _ := findWorld(name)
-		earned := func(censored bool) (sum float64) {
-			l, rng, s := newLearner(w, waitpolicy.Options{Seed: 1}), rand.New(rand.NewPCG(1, 2)), normalizedSettings(w)
+		meanValue := func(censored bool) (sum float64) {
+			l, rng, policySettings := newLearner(w, waitpolicy.Options{Seed: 1}), rand.New(rand.NewPCG(1, 2)), normalizedSettings(w)
 			l.usesCensored = censored
 			for range 3000 {
-				took, c := w.draw(rng, 0)
-				e := l.end(0, &took, c)
-				sum += s.Value(e.arrivedShare, e.abandonedShare, load, e.at)
+				durations, commonFactor := w.draw(rng, 0)
+				queryResult := l.end(0, &durations, commonFactor)
+				sum += policySettings.Value(queryResult.arrivedShare, queryResult.abandonedShare, load, queryResult.at)
 			}
 			return sum / 3000
 		}
-		a, b := earned(true), earned(false)
-		if t.Logf("%s: %.3f, without what was cut %.3f", name, a, b); b > least*a {
+		a, b := meanValue(true), meanValue(false)
+		if t.Logf("%s: %.3f, without what was cut %.3f", name, a, b); b > maxRatio*a {
 			t.Errorf("%s: what was cut does not matter", name)
 		}
 	}
 }
 
 // Instances learn faster together. A misreporting one costs them little, and the loss of the store next to nothing.
-func TestLearnTogether(t *testing.T) {
-	play := func(o ShareOptions) ShareReport {
+func TestSharingSpeedsUpLearning(t *testing.T) {
+	simulate := func(o ShareOptions) ShareReport {
 		o.World, o.Queries, o.Seed = "pareto", 16, 1
 		r, err := RunShared(o)
 		if err != nil {
@@ -115,23 +115,23 @@
 		t.Logf("%+v: until %d, %.3f", o, r.QueriesToConverge, r.Values)
 		return r
 	}
-	alone, four := play(ShareOptions{Instances: 1, Groups: 60}), play(ShareOptions{Instances: 4, Groups: 15})
+	alone, four := simulate(ShareOptions{Instances: 1, Groups: 60}), simulate(ShareOptions{Instances: 4, Groups: 15})
 	if alone.QueriesToConverge < 0 || alone.QueriesToConverge > 12 || four.QueriesToConverge < 0 || four.QueriesToConverge >= alone.QueriesToConverge {
 		t.Error("four don't learn sooner than one")
 	}
-	late := func(r ShareReport) (sum float64) {
+	lateValue := func(r ShareReport) (sum float64) {
 		for _, v := range r.Values[6:] {
 			sum += v / float64(len(r.Values)-6)
 		}
 		return sum
 	}
-	honest := play(ShareOptions{Instances: 8, Groups: 6})
-	for _, liar := range []float64{0.02, 50} {
-		if lied := play(ShareOptions{Instances: 8, Groups: 6, MisreportFactor: liar}); late(lied) < late(honest)-0.05 {
-			t.Errorf("one of eight that tells %g times as long costs %.3f of %.3f", liar, late(honest)-late(lied), late(honest))
+	honest := simulate(ShareOptions{Instances: 8, Groups: 6})
+	for _, misreportFactor := range []float64{0.02, 50} {
+		if misreported := simulate(ShareOptions{Instances: 8, Groups: 6, MisreportFactor: misreportFactor}); lateValue(misreported) < lateValue(honest)-0.05 {
+			t.Errorf("one of eight that tells %g times as long costs %.3f of %.3f", misreportFactor, lateValue(honest)-lateValue(misreported), lateValue(honest))
 		}
 	}
-	if lost := play(ShareOptions{Instances: 8, Groups: 6, LostFrom: 6}); late(lost) < late(honest)-0.05 {
+	if storeLost := simulate(ShareOptions{Instances: 8, Groups: 6, LostFrom: 6}); lateValue(storeLost) < lateValue(honest)-0.05 {
 		t.Error("a lost store costs much")
 	}
 }
@@ -139,13 +139,13 @@
 // meanAnswerTime returns the mean duration of answers by an instance's current model, over the same queries each time.
 func meanAnswerTime(w *world, l *learner) (mean time.Duration) {
 	const n = 400
-	rng, f := rand.New(rand.NewPCG(5, 1)), l.model.Forecast(className, load)
-	b := queryPolicy{settings: l.settings, begin: func(q *waitpolicy.Query, _ float64, now time.Duration) {
-		q.Begin(l.settings, f, now, now+clientDeadline)
+	rng, forecast := rand.New(rand.NewPCG(5, 1)), l.model.Forecast(className, load)
+	forecastPolicy := queryPolicy{settings: l.settings, begin: func(q *waitpolicy.Query, _ float64, now time.Duration) {
+		q.Begin(l.settings, forecast, now, now+clientDeadline)
 	}}
 	for range n {
-		took, c := w.draw(rng, 0)
-		mean += b.end(0, &took, c).at / n
+		durations, commonFactor := w.draw(rng, 0)
+		mean += forecastPolicy.end(0, &durations, commonFactor).at / n
 	}
 	return mean
 }
@@ -160,25 +160,25 @@
 		g := newGroup(w, ShareOptions{Instances: 8}, 1)
 		rng := rand.New(rand.NewPCG(1, 1))
 		for i, l := range g.learners {
-			of := &slower
+			source := &slower
 			if i == 0 {
-				of = w
+				source = w
 			}
 			for range 25 {
-				took, c := of.draw(rng, 0)
-				l.end(0, &took, c)
+				durations, commonFactor := source.draw(rng, 0)
+				l.end(0, &durations, commonFactor)
 			}
 		}
-		last, worst := meanAnswerTime(w, g.learners[0]), 1.0
+		last, maxChange := meanAnswerTime(w, g.learners[0]), 1.0
 		for round := range 60 {
 			if err := g.exchange(rng, round/20 != 1); err != nil {
 				t.Fatal(err)
 			}
-			now := meanAnswerTime(w, g.learners[0])
-			worst = max(worst, float64(now)/float64(last), float64(last)/float64(now))
-			last = now
+			mean := meanAnswerTime(w, g.learners[0])
+			maxChange = max(maxChange, float64(mean)/float64(last), float64(last)/float64(mean))
+			last = mean
 		}
-		if t.Logf("others see %g times as long: by %.2f at the most", factor, worst); worst > 1.2 {
+		if t.Logf("others see %g times as long: by %.2f at the most", factor, maxChange); maxChange > 1.2 {
 			t.Error("the deadline jumps")
 		}
 	}
--- a/internal/trials/measure/bodies.go
+++ b/internal/trials/measure/bodies.go
@@ -86,24 +86,24 @@
 		for _, direction := range directions {
 			var nodes, proxies []Flow
 			for round := range o.Rounds {
-				a, err := o.flow(ctx, size, direction, "serve", "--config", file)
+				a, err := o.runFlow(ctx, size, direction, "serve", "--config", file)
 				if err != nil {
 					return rows, fmt.Errorf("measuring the node: %w", err)
 				}
-				b, err := o.flow(ctx, size, direction, "measure", "proxy", "--serve", l.Addr().String())
+				b, err := o.runFlow(ctx, size, direction, "measure", "proxy", "--serve", l.Addr().String())
 				if err != nil {
 					return rows, fmt.Errorf("measuring the proxy: %w", err)
 				}
 				nodes, proxies = append(nodes, a), append(proxies, b)
 				fmt.Fprintf(o.Progress, "%d bytes %s, round %d of %d: %.0f and %.0f MB/s\n", size, direction, round+1, o.Rounds, a.MBs, b.MBs)
 			}
-			rows = append(rows, BodiesRow{size, direction, middleFlow(nodes), middleFlow(proxies)})
+			rows = append(rows, BodiesRow{size, direction, medianFlow(nodes), medianFlow(proxies)})
 		}
 	}
 	return rows, nil
 }
 
-func middleFlow(all []Flow) Flow {
+func medianFlow(all []Flow) Flow {
 	m := Flow{
 		MBs: median(all, func(f Flow) float64 { return f.MBs }), CPU: median(all, func(f Flow) float64 { return f.CPU }),
 		Memory: median(all, func(f Flow) float64 { return f.Memory }),
@@ -141,25 +141,25 @@
 }
 
 // zeroReader reads n zeros.
-type zeroReader struct{ left int64 }
+type zeroReader struct{ remaining int64 }
 
 func (z *zeroReader) Read(p []byte) (int, error) {
-	if z.left == 0 {
+	if z.remaining == 0 {
 		return 0, io.EOF
 	}
-	n := int(min(z.left, int64(len(p))))
+	n := int(min(z.remaining, int64(len(p))))
 	clear(p[:n])
-	z.left -= int64(n)
+	z.remaining -= int64(n)
 	return n, nil
 }
 
 // watchMemory samples a process's resident memory; stop ends that and returns the peak, in MB.
-func watchMemory(pid int) (stop func() float64) {
+func samplePeakMemory(pid int) (stop func() float64) {
 	peakMB, ended, end := 0.0, make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
 		for {
-			peakMB = max(peakMB, residentOf(pid))
+			peakMB = max(peakMB, residentMemoryMB(pid))
 			select {
 			case <-time.After(20 * time.Millisecond):
 			case <-end:
@@ -176,7 +176,7 @@
 
 // flow has clients send or fetch bodies through a program for the measured duration; each body is
 // completed.
-func (o BodiesOptions) flow(ctx context.Context, size int64, direction string, args ...string) (Flow, error) {
+func (o BodiesOptions) runFlow(ctx context.Context, size int64, direction string, args ...string) (Flow, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	cmd, addr, err := launch(ctx, o.Program, args...)
@@ -185,29 +185,29 @@
 	}
 	defer cmd.Wait() //nolint:errcheck // it was killed
 	defer cmd.Process.Kill()
-	before, err := cpuOf(cmd.Process.Pid)
+	before, err := processCPUTime(cmd.Process.Pid)
 	if err != nil {
 		return Flow{}, err
 	}
 	transport := &http.Transport{MaxIdleConnsPerHost: 2 * o.Workers, DisableCompression: true}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport}
-	var bodies, bad, refused, moved atomic.Int64
-	var why atomic.Pointer[error]
+	var bodies, incomplete, rejected, transferred atomic.Int64
+	var firstError atomic.Pointer[error]
 	started := time.Now()
 	var all sync.WaitGroup
-	work := func(one func() (int64, error)) {
+	runWorker := func(transfer func() (int64, error)) {
 		for first := true; first || time.Since(started) < o.Duration; first = false {
-			n, err := one()
-			for errors.Is(err, errRefused) && time.Since(started) < refusedFor { // sent with Retry-After
-				refused.Add(1)
+			n, err := transfer()
+			for errors.Is(err, errRejected) && time.Since(started) < rejectionRetryPeriod { // sent with Retry-After
+				rejected.Add(1)
 				time.Sleep(time.Second)
-				n, err = one()
+				n, err = transfer()
 			}
-			moved.Add(n)
+			transferred.Add(n)
 			if err != nil {
-				bad.Add(1)
-				why.CompareAndSwap(nil, &err)
+				incomplete.Add(1)
+				firstError.CompareAndSwap(nil, &err)
 			} else {
 				bodies.Add(1)
 			}
@@ -215,35 +215,35 @@
 	}
 	for range o.Workers {
 		if direction != "up" {
-			all.Go(func() { work(func() (int64, error) { return fetch(client, addr, size) }) })
+			all.Go(func() { runWorker(func() (int64, error) { return fetch(client, addr, size) }) })
 		}
 		if direction != "down" {
-			all.Go(func() { work(func() (int64, error) { return send(client, addr, size) }) })
+			all.Go(func() { runWorker(func() (int64, error) { return send(client, addr, size) }) })
 		}
 	}
-	watched := watchMemory(cmd.Process.Pid)
+	stopSampling := samplePeakMemory(cmd.Process.Pid)
 	all.Wait()
 	elapsed := time.Since(started)
-	peakMB := watched()
-	after, err := cpuOf(cmd.Process.Pid)
+	peakMB := stopSampling()
+	after, err := processCPUTime(cmd.Process.Pid)
 	if err != nil {
 		return Flow{}, err
 	}
-	mb := float64(moved.Load()) / 1e6
-	f := Flow{MBs: mb / elapsed.Seconds(), CPU: float64((after - before).Milliseconds()) / mb, Memory: peakMB, Incomplete: bad.Load(), Bodies: bodies.Load(), Refused: refused.Load()}
-	if e := why.Load(); e != nil {
+	megabytes := float64(transferred.Load()) / 1e6
+	f := Flow{MBs: megabytes / elapsed.Seconds(), CPU: float64((after - before).Milliseconds()) / megabytes, Memory: peakMB, Incomplete: incomplete.Load(), Bodies: bodies.Load(), Refused: rejected.Load()}
+	if e := firstError.Load(); e != nil {
 		f.FirstError = (*e).Error()
 	}
 	return f, nil
 }
 
 var (
-	errCut     = errors.New("the body was cut")
-	errRefused = errors.New("refused")
+	errTruncated = errors.New("the body was cut")
+	errRejected  = errors.New("refused")
 )
 
 // refusedFor is how long a rejected client retries.
-const refusedFor = 5 * time.Minute
+const rejectionRetryPeriod = 5 * time.Minute
 
 func fetch(c *http.Client, addr string, size int64) (int64, error) {
 	r, err := get(context.Background(), c, "http://"+addr+"/x?n="+strconv.FormatInt(size, 10))
@@ -252,11 +252,11 @@
 	}
 	defer r.Body.Close()
 	if r.StatusCode == http.StatusServiceUnavailable {
-		return 0, errRefused
+		return 0, errRejected
 	}
 	n, err := io.Copy(io.Discard, r.Body)
 	if err == nil && (n != size || r.StatusCode != http.StatusOK) {
-		err = fmt.Errorf("%w: %s, %d bytes", errCut, r.Status, n)
+		err = fmt.Errorf("%w: %s, %d bytes", errTruncated, r.Status, n)
 	}
 	return n, err
 }
@@ -273,11 +273,11 @@
 	}
 	defer r.Body.Close()
 	if r.StatusCode == http.StatusServiceUnavailable {
-		return 0, errRefused
+		return 0, errRejected
 	}
 	reply, err := io.ReadAll(r.Body)
 	if err == nil && string(reply) != strconv.FormatInt(size, 10) {
-		err = fmt.Errorf("%w: %s, %q", errCut, r.Status, reply)
+		err = fmt.Errorf("%w: %s, %q", errTruncated, r.Status, reply)
 	}
 	if err != nil {
 		return 0, err
@@ -286,7 +286,7 @@
 }
 
 // residentOf returns the resident memory of a process, in 2^20 bytes, from /proc/PID/status (proc(5)).
-func residentOf(pid int) float64 {
+func residentMemoryMB(pid int) float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
--- a/internal/trials/measure/change.go
+++ b/internal/trials/measure/change.go
@@ -70,7 +70,7 @@
 	defer cancel()
 	started := time.Now()
 	var mu sync.Mutex
-	early := 0
+	servedEarly := 0
 	run := fake.Clients{Addr: l.Node.Addr(), Seed: seed, Workers: o.Clients, Call: func(rng *rand.Rand) fake.Call {
 		c := testbench.RosterCall(rng)
 		c.Method, c.Path, c.Body, c.Key = "POST", "/visit-update", "swap", strconv.FormatUint(rng.Uint64(), 16)
@@ -78,7 +78,7 @@
 	}, OnAnswer: func(a fake.Answer) {
 		if a.Status == 200 && a.Sent.Add(a.Duration).Sub(started) < o.Duration/4 {
 			mu.Lock()
-			early++
+			servedEarly++
 			mu.Unlock()
 		}
 	}}.Start(ctx)
@@ -104,7 +104,7 @@
 	}
 	r := run.Wait()["rosters"]
 	seconds := time.Since(started).Seconds()
-	row.Rate, row.First = float64(r.Served)/seconds, float64(early)/(o.Duration.Seconds()/4)
+	row.Rate, row.First = float64(r.Served)/seconds, float64(servedEarly)/(o.Duration.Seconds()/4)
 	row.P99, row.Refused, row.Lost = ms(r.Quantile(0.99)), r.Rejected, r.Lost+r.Wrong+r.Failed
 	row.Twice = l.Pools["rosters"].Executions.Counts().DuplicateEffects
 	return row, nil
@@ -161,17 +161,17 @@
 	load, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var mu sync.Mutex
-	var all []fake.Answer
+	var answers []fake.Answer
 	clients := fake.Clients{Addr: run.Addr(0), Workers: o.Clients, Call: visitUpdate, OnAnswer: func(a fake.Answer) {
 		mu.Lock()
 		defer mu.Unlock()
-		all = append(all, a)
+		answers = append(answers, a)
 	}}
 	persistent := clients.Start(load)
 	clients.ConnPerAttempt, clients.Seed = true, 1000
-	fresh := clients.Start(load)
+	nonPersistent := clients.Start(load)
 	rep := &UpgradeReport{}
-	var at []time.Time
+	var startTimes []time.Time
 	for i := range o.Upgrades {
 		select {
 		case <-time.After(o.Every):
@@ -187,36 +187,36 @@
 		if err := (&fleet.Upgrade{}).Do(ctx, m, before); err != nil {
 			return nil, fmt.Errorf("upgrade %d: %w", i+1, err)
 		}
-		at = append(at, started)
+		startTimes = append(startTimes, started)
 		rep.Durations = append(rep.Durations, time.Since(started).Milliseconds())
 		fmt.Fprintf(o.Progress, "upgrade %d of %d: %v until the old process had ended\n", i+1, o.Upgrades, time.Since(started).Round(time.Millisecond))
 	}
 	time.Sleep(o.Every)
 	cancel()
-	for _, r := range []map[string]*fake.Result{persistent.Wait(), fresh.Wait()} {
+	for _, r := range []map[string]*fake.Result{persistent.Wait(), nonPersistent.Wait()} {
 		x := r["x"]
 		rep.Calls, rep.Refused, rep.Lost = rep.Calls+x.Calls, rep.Refused+x.Rejected, rep.Lost+x.Lost+x.Wrong+x.Failed
 	}
-	rep.answers(all, at)
-	rep.Upgrades, rep.Twice = len(at), pool.Executions.Counts().DuplicateEffects
+	rep.addLatencies(answers, startTimes)
+	rep.Upgrades, rep.Twice = len(startTimes), pool.Executions.Counts().DuplicateEffects
 	return rep, nil
 }
 
 // answers adds the latencies of calls, around upgrades and at other times.
-func (r *UpgradeReport) answers(all []fake.Answer, upgrades []time.Time) {
+func (r *UpgradeReport) addLatencies(answers []fake.Answer, upgrades []time.Time) {
 	var around, quiet fake.Times
-	for _, a := range all {
+	for _, a := range answers {
 		if a.IsUnconnected {
 			r.NoConn++
 		}
-		near := slices.ContainsFunc(upgrades, func(t time.Time) bool { d := a.Sent.Sub(t); return d > -time.Second && d < time.Second })
-		if near {
+		isNear := slices.ContainsFunc(upgrades, func(t time.Time) bool { d := a.Sent.Sub(t); return d > -time.Second && d < time.Second })
+		if isNear {
 			around.Add(a.Duration)
 		} else {
 			quiet.Add(a.Duration)
 		}
 	}
-	r.Around, r.Quiet = times(&around), times(&quiet)
+	r.Around, r.Quiet = latencyTimes(&around), latencyTimes(&quiet)
 }
 
 // visitUpdate is a write with a key of its own.
@@ -227,6 +227,6 @@
 	}
 }
 
-func times(t *fake.Times) Times {
+func latencyTimes(t *fake.Times) Times {
 	return Times{N: t.Count(), P50: ms(t.Quantile(0.5)), P99: ms(t.Quantile(0.99)), Max: ms(t.Quantile(1))}
 }
--- a/internal/trials/measure/disturb.go
+++ b/internal/trials/measure/disturb.go
@@ -16,7 +16,7 @@
 // Disturbances of the instances of a measured fleet.
 
 // disturb disturbs an instance, unless another disturbance of it is running.
-func (r *fleetRig) disturb(ctx context.Context, i, what int) {
+func (r *fleetRig) disturb(ctx context.Context, i, kind int) {
 	r.mu.Lock()
 	if r.busy[i] {
 		r.mu.Unlock()
@@ -38,25 +38,25 @@
 		r.addFailure("instance %d does not answer: %v", i, err)
 		return
 	}
-	count := &r.report.Reloads
+	counter := &r.report.Reloads
 	switch {
-	case what < 5:
+	case kind < 5:
 		raw, _ := os.ReadFile(before.ConfigPath)
 		changed := strings.Replace(string(raw), "depth = 2000", "depth = 2001", 1)
 		if changed == string(raw) {
 			changed = strings.Replace(string(raw), "depth = 2001", "depth = 2000", 1)
 		}
 		err = (&fleet.Reload{New: []byte(changed)}).Do(disturbanceCtx, m, before)
-	case what < 8:
-		count = &r.report.Upgrades
+	case kind < 8:
+		counter = &r.report.Upgrades
 		err = (&fleet.Upgrade{}).Do(disturbanceCtx, m, before)
-	case what == drainDisturbance:
-		count = &r.report.Ends
+	case kind == drainDisturbance:
+		counter = &r.report.Ends
 		r.avoid(i)
 		err = syscall.Kill(before.PID, syscall.SIGTERM)
 		err = errors.Join(err, r.awaitRestart(disturbanceCtx, i, before.PID))
 	default:
-		count = &r.report.Kills
+		counter = &r.report.Kills
 		r.mu.Lock()
 		r.avoided[i] = true
 		r.killed[r.run.Addr(i)] = append(r.killed[r.run.Addr(i)], time.Now())
@@ -65,11 +65,11 @@
 		err = errors.Join(err, r.awaitRestart(disturbanceCtx, i, before.PID))
 	}
 	if err != nil {
-		r.addFailure("instance %d, disturbance %d: %v", i, what, err)
+		r.addFailure("instance %d, disturbance %d: %v", i, kind, err)
 		return
 	}
 	r.mu.Lock()
-	*count++
+	*counter++
 	r.mu.Unlock()
 }
 
--- a/internal/trials/measure/faults.go
+++ b/internal/trials/measure/faults.go
@@ -40,7 +40,7 @@
 
 // Faults runs a trial for each seed. It ends at the first that fails, and shortens its script.
 func Faults(ctx context.Context, o FaultsOptions) (*FaultsReport, error) {
-	rows, shortest, failing, err := overSeeds(ctx, o, "faults", func(seed uint64) faultnet.Script { return FaultsScript(o, seed) },
+	rows, shortest, failing, err := runSeeds(ctx, o, "faults", func(seed uint64) faultnet.Script { return FaultsScript(o, seed) },
 		func(dir string, s faultnet.Script) (*trial.Report, []string, error) {
 			got, err := trial.Run(ctx, trial.Options{Program: o.Program, Dir: dir, Nodes: o.Processes, Servers: o.Servers, Clients: o.Clients, Script: s})
 			if err != nil {
@@ -66,7 +66,7 @@
 // has a third of the processes.
 func Change(ctx context.Context, o FaultsOptions) (*ChangeReport, error) {
 	each := o.Processes / len(regiontrial.Regions())
-	rows, shortest, failing, err := overSeeds(ctx, o, "change", func(seed uint64) faultnet.Script { return regiontrial.Draw(seed, each, o.Faults, o.Duration) },
+	rows, shortest, failing, err := runSeeds(ctx, o, "change", func(seed uint64) faultnet.Script { return regiontrial.Draw(seed, each, o.Faults, o.Duration) },
 		func(dir string, s faultnet.Script) (*regiontrial.Report, []string, error) {
 			got, err := regiontrial.Run(ctx, regiontrial.Options{Program: o.Program, Dir: dir, NodesPerRegion: each, Clients: o.Clients, Script: s, Bake: time.Second})
 			if err != nil {
@@ -81,13 +81,13 @@
 
 // overSeeds runs the scripts of seeds, or the given one, until one fails, and shortens that. The files of
 // failed trials stay.
-func overSeeds[R any](ctx context.Context, o FaultsOptions, what string, draw func(seed uint64) faultnet.Script,
+func runSeeds[R any](ctx context.Context, o FaultsOptions, what string, draw func(seed uint64) faultnet.Script,
 	run func(dir string, s faultnet.Script) (R, []string, error), place func(link int) string,
 ) (rows []R, shortest, failing string, err error) {
-	tries := 0
-	try := func(s faultnet.Script) (got R, wrong []string, err error) {
-		tries++
-		dir := filepath.Join(o.Dir, fmt.Sprint(tries))
+	runs := 0
+	runScript := func(s faultnet.Script) (got R, wrong []string, err error) {
+		runs++
+		dir := filepath.Join(o.Dir, fmt.Sprint(runs))
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return got, nil, fmt.Errorf("measuring %s: %w", what, err)
 		}
@@ -108,7 +108,7 @@
 		} else {
 			s = draw(o.Seed + uint64(i))
 		}
-		got, wrong, err := try(s)
+		got, wrong, err := runScript(s)
 		if err != nil {
 			return rows, "", "", fmt.Errorf("seed %d: %w", s.Seed, err)
 		}
@@ -119,7 +119,7 @@
 		if o.Shrinks > 0 {
 			fmt.Fprintf(o.Progress, "seed %d is shortened by at most %d tries\n", s.Seed, o.Shrinks)
 			s = script.ShrinkWithRuns(s, o.Shrinks, func(s script.Script) bool {
-				_, wrong, err := try(s)
+				_, wrong, err := runScript(s)
 				return err == nil && len(wrong) > 0
 			})
 		}
--- a/internal/trials/measure/fleet.go
+++ b/internal/trials/measure/fleet.go
@@ -82,13 +82,13 @@
 
 // fleetRig is a fleet that is being measured.
 type fleetRig struct {
-	options   FleetOptions
-	run       *fleet.Run
-	discovery *fake.Discovery
-	events    *fake.Executions
-	limit     *fake.HardLimitMonitor
-	group     *fake.Group // all servers drop repeats of a key as one group, as a client may retry at another instance
-	report    *FleetReport
+	options    FleetOptions
+	run        *fleet.Run
+	discovery  *fake.Discovery
+	executions *fake.Executions
+	hardLimit  *fake.HardLimitMonitor
+	group      *fake.Group // all servers drop repeats of a key as one group, as a client may retry at another instance
+	report     *FleetReport
 
 	mu            sync.Mutex
 	avoided       map[int]bool           // instances that clients avoid
@@ -105,8 +105,8 @@
 // against the rules.
 func Fleet(ctx context.Context, o FleetOptions) (*FleetReport, error) {
 	r := &fleetRig{
-		options: o, events: &fake.Executions{}, group: &fake.Group{Window: 15 * time.Second}, avoided: make(map[int]bool), killed: make(map[string][]time.Time), busy: make(map[int]bool),
-		limit: &fake.HardLimitMonitor{Rate: hardLimitRate, Burst: hardLimitBurst, FirstCustomer: enterpriseFrom},
+		options: o, executions: &fake.Executions{}, group: &fake.Group{Window: 15 * time.Second}, avoided: make(map[int]bool), killed: make(map[string][]time.Time), busy: make(map[int]bool),
+		hardLimit: &fake.HardLimitMonitor{Rate: hardLimitRate, Burst: hardLimitBurst, FirstCustomer: enterpriseFrom},
 	}
 	r.report = &FleetReport{Instances: o.Instances, GroupSize: o.GroupSize, Slack: hardLimitSlack, P50: map[string]float64{}, P99: map[string]float64{}}
 	if o.GroupSize == 0 {
@@ -140,10 +140,10 @@
 		return nil, err
 	}
 	defer r.run.Stop(5 * time.Second) //nolint:errcheck // the measurement is complete
-	if err := r.idle(ctx); err != nil {
+	if err := r.measureIdle(ctx); err != nil {
 		return nil, err
 	}
-	r.play(ctx)
+	r.runLoad(ctx)
 	for _, a := range fleet.PollStatus(context.WithoutCancel(ctx), r.run.Members) {
 		if a.Status != nil && len(a.Status.Services) > 0 && a.Status.Services[0].IsGroupSizeContradicted {
 			r.report.DegradedInstances++
@@ -153,7 +153,7 @@
 	if err := r.run.Stop(30 * time.Second); err != nil {
 		r.report.Failed = append(r.report.Failed, err.Error())
 	}
-	r.judge()
+	r.checkResults()
 	return r.report, nil
 }
 
@@ -164,7 +164,7 @@
 }
 
 // idle measures the cost of instances without requests.
-func (r *fleetRig) idle(ctx context.Context) error {
+func (r *fleetRig) measureIdle(ctx context.Context) error {
 	before := fleet.PollStatus(ctx, r.run.Members)
 	used := make([]time.Duration, len(before))
 	for i, a := range before {
@@ -172,7 +172,7 @@
 			return fmt.Errorf("instance %s: %s", a.Member, a.Error)
 		}
 		var err error
-		if used[i], err = cpuOf(a.Status.PID); err != nil {
+		if used[i], err = processCPUTime(a.Status.PID); err != nil {
 			return err
 		}
 	}
@@ -192,7 +192,7 @@
 		n++
 		r.report.IdleMem += a.Status.MemoryKB
 		r.report.IdleFDs += a.Status.OpenDescriptors
-		now, err := cpuOf(a.Status.PID)
+		now, err := processCPUTime(a.Status.PID)
 		if err != nil {
 			return err
 		}
@@ -203,18 +203,18 @@
 }
 
 // play sends the load and disturbs the fleet meanwhile.
-func (r *fleetRig) play(ctx context.Context) {
+func (r *fleetRig) runLoad(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, r.options.Duration)
 	defer cancel()
 	started := time.Now()
 	run := fake.Clients{
 		Seed: r.options.Seed, Interval: time.Second / time.Duration(r.options.Rate), Workers: min(r.options.Rate, 600), Retries: 3, RetryPause: 100 * time.Millisecond, RetryTimeout: retryTimeout,
-		Call: fleetCall(r.report.GroupSize), PickAddress: r.pick, WasKilled: r.excused,
+		Call: fleetCall(r.report.GroupSize), PickAddress: r.pickAddress, WasKilled: r.wasKilledSince,
 	}.Start(ctx)
 	var all sync.WaitGroup
 	rng := rand.New(rand.NewPCG(r.options.Seed, 11))
 	if r.options.NewServerInterval > 0 {
-		all.Go(func() { r.change(ctx) })
+		all.Go(func() { r.replaceServers(ctx) })
 	}
 	if r.options.Every > 0 {
 		all.Go(func() { r.restartHalf(ctx) })
@@ -223,8 +223,8 @@
 		for more := true; more; {
 			select {
 			case <-t.C:
-				i, what := rng.IntN(r.options.Instances), rng.IntN(10)
-				all.Go(func() { r.disturb(ctx, i, what) })
+				i, kind := rng.IntN(r.options.Instances), rng.IntN(10)
+				all.Go(func() { r.disturb(ctx, i, kind) })
 			case <-ctx.Done():
 				more = false
 			}
@@ -236,7 +236,7 @@
 	for k, s := range r.report.Results {
 		r.report.P50[k], r.report.P99[k] = ms(s.Quantile(0.5)), ms(s.Quantile(0.99))
 	}
-	r.report.Servers = r.events.Counts()
+	r.report.Servers = r.executions.Counts()
 }
 
 // fleetCall returns calls of many customers, each with a fan-out of a few instances.
@@ -263,7 +263,7 @@
 
 // pick returns an instance of the customer's set that clients do not avoid, if possible another one than
 // the last.
-func (r *fleetRig) pick(rng *rand.Rand, c fake.Call, last string) string {
+func (r *fleetRig) pickAddress(rng *rand.Rand, c fake.Call, last string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	addr := ""
@@ -283,7 +283,7 @@
 	return addr
 }
 
-func (r *fleetRig) excused(addr string, since time.Time) bool {
+func (r *fleetRig) wasKilledSince(addr string, since time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, at := range r.killed[addr] {
@@ -301,7 +301,7 @@
 	defer r.mu.Unlock()
 	r.created++
 	s, err := fake.Server{
-		UID: fmt.Sprint("visits-", r.created), Group: r.group, Executions: r.events, HardLimit: r.limit,
+		UID: fmt.Sprint("visits-", r.created), Group: r.group, Executions: r.executions, HardLimit: r.hardLimit,
 		Work: r.options.Work, Cores: fleetCores, Queue: 64, WarmUp: warmUp, InitialSpeed: 0.15, OverloadWindow: 2 * time.Second, OverloadFactor: 2.5,
 	}.Start()
 	if err != nil {
@@ -316,7 +316,7 @@
 }
 
 // change repeatedly replaces the oldest server, which drains, by a new one that is warming up.
-func (r *fleetRig) change(ctx context.Context) {
+func (r *fleetRig) replaceServers(ctx context.Context) {
 	t := time.NewTicker(r.options.NewServerInterval)
 	defer t.Stop()
 	for {
@@ -354,7 +354,7 @@
 }
 
 // judge checks the counts against the rules.
-func (r *fleetRig) judge() {
+func (r *fleetRig) checkResults() {
 	rep := r.report
 	wrong := func(format string, args ...any) { rep.Wrong = append(rep.Wrong, fmt.Sprintf(format, args...)) }
 	for _, s := range r.removed {
@@ -368,7 +368,7 @@
 			rep.Overloaded++
 		}
 	}
-	rep.OverLimit, rep.EnterpriseUnits = r.limit.MaxExcess()
+	rep.OverLimit, rep.EnterpriseUnits = r.hardLimit.MaxExcess()
 	calls := 0
 	for kind, s := range rep.Results {
 		calls += s.Calls
--- a/internal/trials/measure/gather.go
+++ b/internal/trials/measure/gather.go
@@ -52,22 +52,22 @@
 		var queries, plain, ratios, p50 []float64
 		for round := range o.Rounds {
 			var cpu [2]float64
-			for i, gathers := range []bool{true, false} {
-				used, middle, failed, err := gatherRun(ctx, o, l.Addr().String(), n, gathers)
+			for i, isGathered := range []bool{true, false} {
+				used, medianTime, failed, err := gatherRun(ctx, o, l.Addr().String(), n, isGathered)
 				if err != nil {
 					return rows, fmt.Errorf("measuring %d parts: %w", n, err)
 				}
 				cpu[i] = used
 				row.Failed += failed
-				if gathers {
-					p50 = append(p50, middle)
+				if isGathered {
+					p50 = append(p50, medianTime)
 				}
 			}
 			queries, plain, ratios = append(queries, cpu[0]), append(plain, cpu[1]), append(ratios, cpu[0]/cpu[1])
 			fmt.Fprintf(o.Progress, "%d parts, round %d of %d: %.0f us a query, %.0f plainly\n", n, round+1, o.Rounds, cpu[0], cpu[1])
 		}
-		same := func(v float64) float64 { return v }
-		row.Query, row.Plain, row.Ratio, row.P50 = median(queries, same), median(plain, same), median(ratios, same), median(p50, same)
+		identity := func(v float64) float64 { return v }
+		row.Query, row.Plain, row.Ratio, row.P50 = median(queries, identity), median(plain, identity), median(ratios, identity), median(p50, identity)
 		row.Part, row.MinRatio, row.MaxRatio = row.Query/float64(n), ratios[0], ratios[0]
 		for _, r := range ratios {
 			row.MinRatio, row.MaxRatio = min(row.MinRatio, r), max(row.MaxRatio, r)
@@ -78,7 +78,7 @@
 }
 
 // gatherText is a node's configuration of so many parts, each also by a route of its own.
-func gatherText(server string, parts int) string {
+func gatherConfig(server string, parts int) string {
 	var names []string
 	s := "[process]\ndescriptors = 4096\n[[listeners]]\naddress = \"127.0.0.1:0\"\n"
 	for i := range parts {
@@ -90,7 +90,7 @@
 }
 
 // rounds has workers run rounds for a duration, and returns the duration of each and the number that failed.
-func rounds(ctx context.Context, workers int, duration time.Duration, round func() bool) (durations []time.Duration, failed int) {
+func runRounds(ctx context.Context, workers int, duration time.Duration, runRound func() bool) (durations []time.Duration, failed int) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	end := time.Now().Add(duration)
@@ -98,7 +98,7 @@
 		all.Go(func() {
 			for time.Now().Before(end) && ctx.Err() == nil {
 				started := time.Now()
-				ok := round()
+				ok := runRound()
 				mu.Lock()
 				durations = append(durations, time.Since(started))
 				if !ok {
@@ -113,8 +113,8 @@
 }
 
 // gatherRun returns the CPU of the node, in us, for a query or for the same calls sent separately.
-func gatherRun(ctx context.Context, o GatherOptions, server string, parts int, gathers bool) (cpu, p50 float64, failed int, err error) {
-	file, err := writeConfig(gatherText(server, parts))
+func gatherRun(ctx context.Context, o GatherOptions, server string, parts int, isGathered bool) (cpu, p50 float64, failed int, err error) {
+	file, err := writeConfig(gatherConfig(server, parts))
 	if err != nil {
 		return 0, 0, 0, err
 	}
@@ -135,8 +135,8 @@
 		_, err = io.Copy(io.Discard, resp.Body)
 		return err == nil && resp.StatusCode == http.StatusOK && (path != "/all" || resp.Header.Get("Lockflow-Parts") == fmt.Sprintf("%d/%d", parts, parts))
 	}
-	round := func() bool {
-		if gathers {
+	runRound := func() bool {
+		if isGathered {
 			return fetchAll("/all")
 		}
 		ok := true
@@ -145,14 +145,14 @@
 		}
 		return ok
 	}
-	rounds(ctx, o.Workers, o.Duration/4, round) // establishes connections and learns latencies
-	before, err := cpuOf(node.Process.Pid)
+	runRounds(ctx, o.Workers, o.Duration/4, runRound) // establishes connections and learns latencies
+	before, err := processCPUTime(node.Process.Pid)
 	if err != nil {
 		return 0, 0, 0, err
 	}
-	durations, failed := rounds(ctx, o.Workers, o.Duration, round)
+	durations, failed := runRounds(ctx, o.Workers, o.Duration, runRound)
 	n := len(durations)
-	after, err := cpuOf(node.Process.Pid)
+	after, err := processCPUTime(node.Process.Pid)
 	if err == nil && n == 0 {
 		err = fmt.Errorf("nothing was answered")
 	}
--- a/internal/trials/measure/isolation.go
+++ b/internal/trials/measure/isolation.go
@@ -59,11 +59,11 @@
 		fmt.Fprintf(o.Progress, "%d descriptors, round %d of %d: served %.4f and %.4f, p99 %.1f and %.1f ms\n", o.Descriptors, round+1, o.Rounds,
 			pair[0].Share, pair[1].Share, pair[0].P99, pair[1].P99)
 	}
-	out.Calm, out.Stalled, out.P99Ratio = middle(calm), middle(stalled), median(ratios, func(v float64) float64 { return v })
+	out.Calm, out.Stalled, out.P99Ratio = medianServed(calm), medianServed(stalled), median(ratios, func(v float64) float64 { return v })
 	return out, nil
 }
 
-func middle(all []Served) Served {
+func medianServed(all []Served) Served {
 	m := Served{
 		Share: median(all, func(s Served) float64 { return s.Share }), P50: median(all, func(s Served) float64 { return s.P50 }),
 		P99: median(all, func(s Served) float64 { return s.P99 }),
@@ -93,9 +93,9 @@
 		return c
 	}}.Start(ctx)
 	time.Sleep(2 * time.Second) // until all document clients have requests in flight
-	short, stop := context.WithTimeout(ctx, o.Duration)
+	rosterCtx, stop := context.WithTimeout(ctx, o.Duration)
 	defer stop()
-	rosters := fake.Clients{Addr: l.Node.Addr(), Seed: seed + 50, Call: testbench.RosterCall, Interval: 5 * time.Millisecond, Workers: 32}.Start(short)
+	rosters := fake.Clients{Addr: l.Node.Addr(), Seed: seed + 50, Call: testbench.RosterCall, Interval: 5 * time.Millisecond, Workers: 32}.Start(rosterCtx)
 	r := rosters.Wait()["rosters"]
 	for _, st := range l.Node.Status() {
 		parts = append(parts, fmt.Sprintf("%s: held %d of %d guaranteed, %d in all; connections to servers %d of %d; %.1f MiB; module %.4f s/s; %d turned away",
--- a/internal/trials/measure/proxy.go
+++ b/internal/trials/measure/proxy.go
@@ -41,7 +41,7 @@
 }
 
 // slowUnits is the work of a request of a slow client, relative to others.
-const slowUnits = 1000
+const slowRequestUnits = 1000
 
 // Side is the result of one run, or the medians of several.
 type Side struct {
@@ -125,7 +125,7 @@
 			nodes, proxies, ratios = append(nodes, a), append(proxies, b), append(ratios, a.CPU/b.CPU)
 			fmt.Fprintf(o.Progress, "%4d connections, round %d of %d: %.0f and %.0f us a request\n", n, round+1, o.Rounds, a.CPU, b.CPU)
 		}
-		row.Node, row.Proxy = middleSide(nodes), middleSide(proxies)
+		row.Node, row.Proxy = medianSide(nodes), medianSide(proxies)
 		row.Ratio = median(ratios, func(v float64) float64 { return v })
 		row.MinRatio, row.MaxRatio = floats.Min(ratios), floats.Max(ratios)
 		rows = append(rows, row)
@@ -145,7 +145,7 @@
 
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-func middleSide(all []Side) Side {
+func medianSide(all []Side) Side {
 	m := Side{
 		CPU: median(all, func(s Side) float64 { return s.CPU }), Rate: median(all, func(s Side) float64 { return s.Rate }),
 		P50: median(all, func(s Side) float64 { return s.P50 }), P99: median(all, func(s Side) float64 { return s.P99 }),
@@ -181,28 +181,28 @@
 	if o.slow > 0 {
 		slow := fake.Clients{Addr: addr, Seed: seed + 7, Workers: o.slow, Call: func(rng *rand.Rand) fake.Call {
 			c := call(rng)
-			c.Kind, c.Units = "slow", slowUnits
+			c.Kind, c.Units = "slow", slowRequestUnits
 			return c
 		}}
 		ended, stop := context.WithCancel(ctx)
 		defer slow.Start(ended).Wait()
 		defer stop()
 	}
-	play := func(duration time.Duration) *fake.Result {
+	sendLoad := func(duration time.Duration) *fake.Result {
 		ctx, cancel := context.WithTimeout(ctx, duration)
 		defer cancel()
 		return clients.Start(ctx).Wait()["x"]
 	}
-	play(o.Duration / 5) // connections are established and the concurrency limit grows
-	before, err := cpuOf(cmd.Process.Pid)
+	sendLoad(o.Duration / 5) // connections are established and the concurrency limit grows
+	before, err := processCPUTime(cmd.Process.Pid)
 	if err != nil {
 		return Side{}, err
 	}
 	started := time.Now()
 	clients.Seed += 1000
-	r := play(o.Duration)
+	r := sendLoad(o.Duration)
 	elapsed := time.Since(started)
-	after, err := cpuOf(cmd.Process.Pid)
+	after, err := processCPUTime(cmd.Process.Pid)
 	if err != nil {
 		return Side{}, err
 	}
@@ -235,7 +235,7 @@
 	if addr == "" {
 		err = fmt.Errorf("%s ended before it listened", args[0])
 	} else {
-		err = healthy(ctx, addr)
+		err = awaitHealthy(ctx, addr)
 	}
 	if err != nil {
 		cmd.Process.Kill()
@@ -245,7 +245,7 @@
 	return cmd, addr, nil
 }
 
-func healthy(ctx context.Context, addr string) error {
+func awaitHealthy(ctx context.Context, addr string) error {
 	for {
 		resp, err := get(ctx, http.DefaultClient, "http://"+addr+"/healthz")
 		if err == nil {
@@ -285,7 +285,7 @@
 }
 
 // cpuOf is the processor time that a process has used, from /proc/PID/stat (proc(5)).
-func cpuOf(pid int) (time.Duration, error) {
+func processCPUTime(pid int) (time.Duration, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, fmt.Errorf("reading the processor time: %w", err)
--- a/internal/trials/measure/rollout.go
+++ b/internal/trials/measure/rollout.go
@@ -73,19 +73,19 @@
 
 // rolloutRig is a fleet whose coordinators are killed.
 type rolloutRig struct {
-	options RolloutOptions
-	report  *RolloutReport
-	capture *controlCapture
-	run     *fleet.Run
-	rng     *rand.Rand
-	changes int
-	text    string    // of the settings at the start
-	program [2]string // each is what the other changes to
-	at      int
-	sockets string
+	options        RolloutOptions
+	report         *RolloutReport
+	capture        *controlCapture
+	run            *fleet.Run
+	rng            *rand.Rand
+	changeCount    int
+	text           string    // of the settings at the start
+	programs       [2]string // each is what the other changes to
+	currentProgram int
+	socketList     string
 
 	requests, lost, other atomic.Int64
-	firstLost             atomic.Pointer[string]
+	firstFailure          atomic.Pointer[string]
 }
 
 const rolloutConfig = `[process]
@@ -119,31 +119,31 @@
 	var clients sync.WaitGroup
 	for i := range o.Members {
 		for n := range o.Clients {
-			clients.Go(func() { r.client(ctx, fmt.Sprintf("%d-%d", i, n), r.run.Addr(i)) })
+			clients.Go(func() { r.sendRequests(ctx, fmt.Sprintf("%d-%d", i, n), r.run.Addr(i)) })
 		}
 	}
 	for _, kind := range o.Kinds {
-		if err := r.kills(ctx, kind); err != nil {
+		if err := r.killAtWrites(ctx, kind); err != nil {
 			return nil, fmt.Errorf("measuring rollouts: %w", err)
 		}
 	}
 	cancel()
 	clients.Wait()
-	r.judge()
+	r.checkResults()
 	return r.report, nil
 }
 
 // kills kills coordinators of one kind of change, after each write, and before it.
-func (r *rolloutRig) kills(ctx context.Context, kind desiredstate.Kind) error {
+func (r *rolloutRig) killAtWrites(ctx context.Context, kind desiredstate.Kind) error {
 	for i, at := range r.options.Kills {
-		if _, err := r.change(ctx, kind, at, r.options.Recoveries[i%len(r.options.Recoveries)]); err != nil {
+		if _, err := r.runChange(ctx, kind, at, r.options.Recoveries[i%len(r.options.Recoveries)]); err != nil {
 			return err
 		}
 	}
 	for n := 1; len(r.options.Kills) == 0; n++ {
 		for _, at := range []int{-n, n} {
 			for _, recovery := range r.options.Recoveries {
-				killed, err := r.change(ctx, kind, at, recovery)
+				killed, err := r.runChange(ctx, kind, at, recovery)
 				if err != nil || !killed {
 					r.report.Writes[string(kind)] = n - 1
 					return err
@@ -172,9 +172,9 @@
 	if err != nil {
 		return stop, err
 	}
-	for i := range r.program { // bytes after the end of a program do not affect it, but change its hash
-		r.program[i] = filepath.Join(r.options.Dir, fmt.Sprint("program-", i))
-		if err := os.WriteFile(r.program[i], append(bytes.Clone(raw), byte(i)), 0o700); err != nil {
+	for i := range r.programs { // bytes after the end of a program do not affect it, but change its hash
+		r.programs[i] = filepath.Join(r.options.Dir, fmt.Sprint("program-", i))
+		if err := os.WriteFile(r.programs[i], append(bytes.Clone(raw), byte(i)), 0o700); err != nil {
 			return stop, err
 		}
 	}
@@ -183,7 +183,7 @@
 	if err := os.WriteFile(config, []byte(r.text), 0o600); err != nil {
 		return stop, err
 	}
-	r.run, err = fleet.Start(ctx, fleet.Options{Program: r.program[0], Config: config, Dir: r.options.Dir, Instances: r.options.Members, Host: "127.0.0.1", StartTimeout: time.Minute})
+	r.run, err = fleet.Start(ctx, fleet.Options{Program: r.programs[0], Config: config, Dir: r.options.Dir, Instances: r.options.Members, Host: "127.0.0.1", StartTimeout: time.Minute})
 	if err != nil {
 		return stop, err
 	}
@@ -198,12 +198,12 @@
 		ends = append(ends, end)
 		fmt.Fprintln(&list, path)
 	}
-	r.sockets = filepath.Join(r.options.Dir, "members")
-	return stop, os.WriteFile(r.sockets, []byte(list.String()), 0o600)
+	r.socketList = filepath.Join(r.options.Dir, "members")
+	return stop, os.WriteFile(r.socketList, []byte(list.String()), 0o600)
 }
 
 // client sends requests to a member and counts the answers. The path identifies a request.
-func (r *rolloutRig) client(ctx context.Context, name, addr string) {
+func (r *rolloutRig) sendRequests(ctx context.Context, name, addr string) {
 	c := &http.Client{Transport: &http.Transport{}, Timeout: 20 * time.Second}
 	defer c.CloseIdleConnections()
 	for n := 0; ctx.Err() == nil; n++ {
@@ -219,11 +219,11 @@
 		case err != nil:
 			r.lost.Add(1)
 			why := fmt.Sprintf("%s at %s: %v", path, addr, err)
-			r.firstLost.CompareAndSwap(nil, &why)
+			r.firstFailure.CompareAndSwap(nil, &why)
 		case resp.StatusCode != http.StatusOK || string(body) != path:
 			r.other.Add(1)
 			why := fmt.Sprintf("%s at %s: %d %.80q", path, addr, resp.StatusCode, body)
-			r.firstLost.CompareAndSwap(nil, &why)
+			r.firstFailure.CompareAndSwap(nil, &why)
 		}
 		select {
 		case <-time.After(5 * time.Millisecond):
@@ -233,8 +233,8 @@
 }
 
 // coordinator runs a coordinator. killed tells that it ended by SIGKILL.
-func (r *rolloutRig) coordinator(ctx context.Context, kill int, args ...string) (code int, killed bool, output string, err error) {
-	args = append([]string{"fleet", "--sockets", r.sockets, "--journal", r.journal(), "--kill-at", strconv.Itoa(kill)}, args...)
+func (r *rolloutRig) runCoordinator(ctx context.Context, kill int, args ...string) (code int, killed bool, output string, err error) {
+	args = append([]string{"fleet", "--sockets", r.socketList, "--journal", r.journal(), "--kill-at", strconv.Itoa(kill)}, args...)
 	cmd := exec.CommandContext(ctx, r.options.Program, args...)
 	out, err := cmd.CombinedOutput()
 	if exit := (*exec.ExitError)(nil); err != nil && !errors.As(err, &exit) {
@@ -249,13 +249,13 @@
 // nextChange returns the command's arguments for the next change of a kind, and the hash that members run after it.
 func (r *rolloutRig) nextChange(kind desiredstate.Kind) (args []string, hash string, err error) {
 	if kind == desiredstate.KindProgram {
-		raw, err := os.ReadFile(r.program[1-r.at])
+		raw, err := os.ReadFile(r.programs[1-r.currentProgram])
 		if err != nil {
 			return nil, "", err
 		}
-		return []string{"upgrade", "--program", r.program[1-r.at]}, desiredstate.Hash(raw), nil
+		return []string{"upgrade", "--program", r.programs[1-r.currentProgram]}, desiredstate.Hash(raw), nil
 	}
-	text := []byte(r.text + fmt.Sprintf("# change %d\n", r.changes))
+	text := []byte(r.text + fmt.Sprintf("# change %d\n", r.changeCount))
 	path := filepath.Join(r.options.Dir, "next.toml")
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return nil, "", err
@@ -264,15 +264,15 @@
 }
 
 // addKilled adds a change whose first coordinator was killed to the report; none tells that it had not started.
-func (r *rolloutRig) addKilled(row RolloutRow, none bool) {
+func (r *rolloutRig) addKilled(row RolloutRow, notStarted bool) {
 	r.report.Rows, r.report.Killed = append(r.report.Rows, row), r.report.Killed+row.Killed
-	if none {
+	if notStarted {
 		r.report.Killed++
 	}
 }
 
 // state names what the members run now: the old, the new, or a mixture.
-func (r *rolloutRig) state(now map[string]int, old, next string) string {
+func (r *rolloutRig) stateName(now map[string]int, old, next string) string {
 	switch r.options.Members {
 	case now[next]:
 		return "new"
@@ -284,7 +284,7 @@
 }
 
 // changeEnd is how a change ended.
-type changeEnd struct {
+type changeOutcome struct {
 	notStarted    bool // the change was not started
 	wasKilled     bool // its first coordinator was
 	needsRollback bool // it had to be taken back
@@ -293,7 +293,7 @@
 }
 
 // isWrong tells whether the change may not leave members in a state.
-func (e *changeEnd) isWrong(state string) bool {
+func (e *changeOutcome) isWrong(state string) bool {
 	switch {
 	case state == "mixed":
 		return true
@@ -309,24 +309,24 @@
 }
 
 // change starts a change, kills its coordinator, and recovers it. killed tells whether the coordinator was killed.
-func (r *rolloutRig) change(ctx context.Context, kind desiredstate.Kind, kill int, recovery string) (killed bool, err error) {
+func (r *rolloutRig) runChange(ctx context.Context, kind desiredstate.Kind, kill int, recovery string) (killed bool, err error) {
 	started := time.Now()
-	r.changes++
+	r.changeCount++
 	args, next, err := r.nextChange(kind)
 	if err != nil {
 		return false, err
 	}
-	was, err := r.runningHashes(ctx, kind)
+	hashesBefore, err := r.runningHashes(ctx, kind)
 	if err != nil {
 		return false, err
 	}
-	old := slices.Sorted(maps.Keys(was))
+	old := slices.Sorted(maps.Keys(hashesBefore))
 	if len(old) != 1 {
-		return false, fmt.Errorf("members run %v before a change", was)
+		return false, fmt.Errorf("members run %v before a change", hashesBefore)
 	}
 	args = append(args, "--bake", "50ms", "--bake-most", "10s", "--within", "10s", "--unjudged")
 	row := RolloutRow{Kind: kind, Kill: kill, Recovery: recovery}
-	code, killed, output, err := r.coordinator(ctx, kill, args...)
+	code, killed, output, err := r.runCoordinator(ctx, kill, args...)
 	if err != nil {
 		return false, err
 	}
@@ -335,33 +335,33 @@
 		return false, err
 	}
 	// A coordinator that was killed before its first write has not started the change.
-	none := kill == -1 || len(records) == 0
+	isUnstarted := kill == -1 || len(records) == 0
 	log := output
 	flag, nextKill := "--"+strings.SplitN(recovery, ",", 2)[0], 0
 	if strings.HasSuffix(recovery, "again") {
 		nextKill = 1 + r.rng.IntN(8)
 	}
-	for cut := killed && !none; cut; nextKill = 0 {
+	for interrupted := killed && !isUnstarted; interrupted; nextKill = 0 {
 		row.Killed++
-		if code, cut, output, err = r.coordinator(ctx, nextKill, args[0], flag); err != nil {
+		if code, interrupted, output, err = r.runCoordinator(ctx, nextKill, args[0], flag); err != nil {
 			return false, err
 		}
 		log += "-- killed, then " + flag + "\n" + output
 	}
-	now, err := r.runningHashes(ctx, kind)
+	hashesAfter, err := r.runningHashes(ctx, kind)
 	if err != nil {
 		return false, err
 	}
-	row.State, row.Exit, row.Seconds = r.state(now, old[0], next), code, time.Since(started).Seconds()
+	row.State, row.Exit, row.Seconds = r.stateName(hashesAfter, old[0], next), code, time.Since(started).Seconds()
 	if row.State == "new" && kind == desiredstate.KindProgram {
-		r.at = 1 - r.at
+		r.currentProgram = 1 - r.currentProgram
 	}
-	end := changeEnd{notStarted: none, wasKilled: killed, needsRollback: strings.HasPrefix(recovery, "take-back"), foundFinished: strings.Contains(output, "the change is over"), exitCode: code}
+	end := changeOutcome{notStarted: isUnstarted, wasKilled: killed, needsRollback: strings.HasPrefix(recovery, "take-back"), foundFinished: strings.Contains(output, "the change is over"), exitCode: code}
 	if end.isWrong(row.State) {
-		r.report.Wrong = append(r.report.Wrong, fmt.Sprintf("%s, killed at write %d, then %s: exit %d, members run %v; before %v, next %.12s\n%s", kind, kill, recovery, code, now, old, next, log))
+		r.report.Wrong = append(r.report.Wrong, fmt.Sprintf("%s, killed at write %d, then %s: exit %d, members run %v; before %v, next %.12s\n%s", kind, kill, recovery, code, hashesAfter, old, next, log))
 	}
 	if killed {
-		r.addKilled(row, none)
+		r.addKilled(row, isUnstarted)
 	}
 	fmt.Fprintf(r.options.Progress, "%s, killed at write %d, %s: %s, exit %d, %.1f s, %d wrong\n", kind, kill, recovery, row.State, code, row.Seconds, len(r.report.Wrong))
 	if row.State == "mixed" {
@@ -394,13 +394,13 @@
 }
 
 // judge checks all observations against the rules.
-func (r *rolloutRig) judge() {
+func (r *rolloutRig) checkResults() {
 	p := r.report
 	p.Requests, p.Lost, p.Other = r.requests.Load(), r.lost.Load(), r.other.Load()
 	r.capture.mu.Lock()
 	p.Claims, p.Owned, p.Orders, p.Restarts = r.capture.claims, r.capture.owned, r.capture.completed, r.capture.restarts
 	r.capture.mu.Unlock()
-	if why := r.firstLost.Load(); why != nil {
+	if why := r.firstFailure.Load(); why != nil {
 		p.Wrong = append(p.Wrong, fmt.Sprintf("%d requests without an answer, %d with another one; the first: %s", p.Lost, p.Other, *why))
 	}
 	if err := r.capture.history.CheckOwnership(); err != nil {
--- a/internal/trials/measure/servers.go
+++ b/internal/trials/measure/servers.go
@@ -58,20 +58,20 @@
 			ratios = append(ratios, b.CPU/a.CPU)
 			fmt.Fprintf(o.Progress, "%4d at once, round %d of %d: %.0f and %.0f us a request\n", n, round+1, o.Rounds, a.CPU, b.CPU)
 		}
-		row.HTTP1, row.HTTP2 = middleServers(sides[0]), middleServers(sides[1])
+		row.HTTP1, row.HTTP2 = medianServersSide(sides[0]), medianServersSide(sides[1])
 		row.Ratio = median(ratios, func(v float64) float64 { return v })
 		rows = append(rows, row)
 	}
 	return rows, nil
 }
 
-func middleServers(all []ServersSide) (m ServersSide) {
+func medianServersSide(all []ServersSide) (m ServersSide) {
 	var sides []Side
 	for _, s := range all {
 		sides = append(sides, s.Side)
 	}
 	return ServersSide{
-		Side: middleSide(sides), Dials: median(all, func(s ServersSide) float64 { return s.Dials }),
+		Side: medianSide(sides), Dials: median(all, func(s ServersSide) float64 { return s.Dials }),
 		OpenConnections: median(all, func(s ServersSide) float64 { return s.OpenConnections }), P99WithSlowClients: median(all, func(s ServersSide) float64 { return s.P99WithSlowClients }),
 	}
 }
--- a/internal/trials/measure/tap.go
+++ b/internal/trials/measure/tap.go
@@ -21,23 +21,23 @@
 	history history.History
 	members int
 
-	mu        sync.Mutex
-	claims    int
-	completed int
-	restarts  int
-	owned     int
-	numbers   map[string]int // of owners, as clients of the history
-	attempts  map[history.Acquire]*claimAttempt
+	mu            sync.Mutex
+	claims        int
+	completed     int
+	restarts      int
+	owned         int
+	clientNumbers map[string]int // of owners, as clients of the history
+	claimAttempts map[history.Acquire]*claimAttempt
 }
 
 // claimAttempt is a coordinator's at an epoch.
 type claimAttempt struct {
 	granted map[string]bool
-	done    func(any)
+	finish  func(any)
 }
 
 func newControlCapture(members int) *controlCapture {
-	return &controlCapture{members: members, numbers: make(map[string]int), attempts: make(map[history.Acquire]*claimAttempt)}
+	return &controlCapture{members: members, clientNumbers: make(map[string]int), claimAttempts: make(map[history.Acquire]*claimAttempt)}
 }
 
 // open puts a tap at a path before a member's socket.
@@ -49,18 +49,18 @@
 	transport := &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "unix", to)
 	}}
-	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { t.pass(w, r, name, transport) })}
+	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { t.forward(w, r, name, transport) })}
 	go s.Serve(l) //nolint:errcheck // ends with its listener
 	return func() { s.Close() }, nil
 }
 
 // pass has a member answer, and notes it.
-func (t *controlCapture) pass(w http.ResponseWriter, r *http.Request, name string, transport *http.Transport) {
+func (t *controlCapture) forward(w http.ResponseWriter, r *http.Request, name string, transport *http.Transport) {
 	raw, err := io.ReadAll(r.Body)
 	if err != nil {
 		return // the request is incomplete and is not forwarded
 	}
-	note := t.recordRequest(r.URL.Path, name, raw)
+	recordReply := t.recordRequest(r.URL.Path, name, raw)
 	req, err := http.NewRequestWithContext(r.Context(), r.Method, "http://daemon"+r.URL.Path, bytes.NewReader(raw))
 	var resp *http.Response
 	if err == nil {
@@ -74,7 +74,7 @@
 	if err != nil { // the client sees a broken connection, as the proxy does
 		panic(http.ErrAbortHandler)
 	}
-	note(resp.StatusCode, answer)
+	recordReply(resp.StatusCode, answer)
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(resp.StatusCode)
 	w.Write(answer)
@@ -93,8 +93,8 @@
 	case "/v1/claim":
 		var c manage.Claim
 		_ = json.Unmarshal(raw, &c) // the member rejects a malformed claim
-		t.trying(c)
-		done := t.history.Call(t.number(c.Owner), history.Claim{Member: member, Epoch: c.Epoch, Owner: c.Owner})
+		t.recordClaim(c)
+		done := t.history.Call(t.clientNumber(c.Owner), history.Claim{Member: member, Epoch: c.Epoch, Owner: c.Owner})
 		return func(status int, answer []byte) {
 			switch {
 			case status == http.StatusOK:
@@ -109,7 +109,7 @@
 	case "/v1/order":
 		var o manage.Command
 		_ = json.Unmarshal(raw, &o) // the member rejects a malformed command
-		done := t.history.Call(t.number(o.Owner), history.Order{Member: member, Epoch: o.Epoch, Owner: o.Owner, ID: o.ID})
+		done := t.history.Call(t.clientNumber(o.Owner), history.Order{Member: member, Epoch: o.Epoch, Owner: o.Owner, ID: o.ID})
 		return func(status int, answer []byte) {
 			switch c := code(answer); {
 			case status == http.StatusOK || c == desiredstate.CodeFailed:
@@ -139,24 +139,24 @@
 }
 
 // number returns the client number of an owner in the history; status reads have 0.
-func (t *controlCapture) number(owner string) int {
+func (t *controlCapture) clientNumber(owner string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.numbers[owner] == 0 {
-		t.numbers[owner] = len(t.numbers) + 1
+	if t.clientNumbers[owner] == 0 {
+		t.clientNumbers[owner] = len(t.clientNumbers) + 1
 	}
-	return t.numbers[owner]
+	return t.clientNumbers[owner]
 }
 
 // trying notes the first claim of a coordinator's epoch.
-func (t *controlCapture) trying(c manage.Claim) {
-	n := t.number(c.Owner)
+func (t *controlCapture) recordClaim(c manage.Claim) {
+	n := t.clientNumber(c.Owner)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.claims++
 	a := history.Acquire{Epoch: c.Epoch, Owner: c.Owner}
-	if t.attempts[a] == nil {
-		t.attempts[a] = &claimAttempt{granted: make(map[string]bool), done: t.history.Call(n, a)}
+	if t.claimAttempts[a] == nil {
+		t.claimAttempts[a] = &claimAttempt{granted: make(map[string]bool), finish: t.history.Call(n, a)}
 	}
 }
 
@@ -164,13 +164,13 @@
 func (t *controlCapture) granted(c manage.Claim, member string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	a := t.attempts[history.Acquire{Epoch: c.Epoch, Owner: c.Owner}]
+	a := t.claimAttempts[history.Acquire{Epoch: c.Epoch, Owner: c.Owner}]
 	if a.granted[member] {
 		return
 	}
 	a.granted[member] = true
 	if n := len(a.granted); 2*n > t.members && 2*(n-1) <= t.members {
 		t.owned++
-		a.done(history.Granted)
+		a.finish(history.Granted)
 	}
 }
