--- a/internal/simulation/rolloutsim/baseline_judges.go
+++ b/internal/simulation/rolloutsim/baseline_judges.go
@@ -8,7 +8,8 @@
 	"lockflow/internal/instancestats"
 )
 
-// readinessJudge passes every stage whose members are ready.
+// readinessJudge ignores statistics and passes every stage at its first verdict, as a rollout does that only checks
+// whether members are ready.
 type readinessJudge struct{}
 
 func (readinessJudge) Begin(time.Duration, []canary.Reading)   {}
@@ -19,29 +20,29 @@
 
 // Times and thresholds of thresholdJudge.
 const (
-	thresholdMinTime   = time.Minute     // from a stage's begin to its first verdict
-	thresholdPassTime  = 5 * time.Minute // from a stage's begin to its pass
+	thresholdMinTime   = time.Minute     // from the start of a stage to its first verdict
+	thresholdPassTime  = 5 * time.Minute // from the start of a stage to its pass
 	maxShareDifference = 0.01
 	maxUnitsRatio      = 1.08
 	maxCostRatio       = 1.25
 )
 
-// Indexes of arrays with an entry for each side.
+// Indices into arrays with one entry for each side.
 const (
 	oldSide = iota
 	newSide
 	sideCount
 )
 
-// thresholdJudge compares the sums of both sides, as many rollout tools do: a stage stops once the new side exceeds the
-// old one by a fixed amount, and passes after a fixed time.
+// thresholdJudge compares the totals of both sides, as many rollout tools do: a stage stops once the new side exceeds
+// the old one by a fixed amount, and passes after a fixed time.
 type thresholdJudge struct {
-	startedAt time.Duration                       // of the stage
-	last      map[string]instancestats.Statistics // readings by member
+	startedAt time.Duration                       // start of the stage
+	last      map[string]instancestats.Statistics // last readings by member
 	totals    [sideCount]instancestats.Statistics
 	memoryKB  [sideCount]float64 // sum over readings
 	readings  [sideCount]float64
-	crashes   int // of the new side
+	crashes   int // number on the new side
 }
 
 // Begin starts a stage.
@@ -53,7 +54,7 @@
 	t.crashes = 0
 }
 
-// Observe adds what members counted since their last readings.
+// Observe adds the statistics that members have counted since their last readings.
 func (t *thresholdJudge) Observe(_ time.Duration, all []canary.Reading) {
 	if t.last == nil {
 		t.last = make(map[string]instancestats.Statistics)
@@ -79,7 +80,7 @@
 	}
 }
 
-// Verdict judges the stage by now.
+// Verdict judges the stage by the statistics observed until now.
 func (t *thresholdJudge) Verdict(now time.Duration) canary.Verdict {
 	if now-t.startedAt < thresholdMinTime || t.totals[newSide].Requests == 0 {
 		return canary.Verdict{}
@@ -93,7 +94,7 @@
 	return canary.Verdict{Kind: canary.KindPass}
 }
 
-// harm returns the first measure of the new side that exceeds its threshold; "" is none.
+// exceededMeasure returns the first measure of the new side that exceeds its threshold, or "" if none does.
 func (t *thresholdJudge) exceededMeasure() string {
 	old, changed := &t.totals[oldSide], &t.totals[newSide]
 	share := func(count uint64, s *instancestats.Statistics) float64 {
--- a/internal/simulation/rolloutsim/doc.go
+++ b/internal/simulation/rolloutsim/doc.go
@@ -1,6 +1,6 @@
-// Package rolloutsim simulates staged changes over fleets in virtual time. Instances draw their statistics from a model
-// of traffic, warm-up and faults of the environment, and a judge (internal/canary's, or a simpler one to compare it
-// with) decides when a stage has passed and when the change stops. All of it follows from the seed.
+// Package rolloutsim simulates staged rollouts over fleets in virtual time. Instances draw their statistics from a model
+// of traffic, warm-up and faults of the environment. A judge (that of internal/canary, or a simpler one as a baseline)
+// decides when a stage has passed and when the rollout stops. The seed determines the whole simulation.
 //
-// Package command is its caller (lockflow simulate --rollout); docs/rollout-figures.md has results.
+// Package command runs it for lockflow simulate --rollout; docs/rollout-figures.md lists results.
 package rolloutsim
--- a/internal/simulation/rolloutsim/draw.go
+++ b/internal/simulation/rolloutsim/draw.go
@@ -10,10 +10,10 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// maxExactMean is the mean above which counts are drawn from the normal distribution.
+// maxExactMean is the mean above which counts are drawn from the normal approximation.
 const maxExactMean = 30
 
-// poisson draws a Poisson count.
+// poisson draws a Poisson-distributed count.
 func poisson(r *rand.Rand, mean float64) int {
 	switch {
 	case !(mean > 0):
@@ -29,7 +29,8 @@
 	return count
 }
 
-// binomial draws how many of n happen, each with a probability. Rare ones are drawn as a Poisson count.
+// binomial draws the number of successes in n trials. If few successes or few failures are expected, it draws their
+// number from the Poisson approximation.
 func binomial(r *rand.Rand, n int, probability float64) int {
 	switch {
 	case n <= 0 || !(probability > 0):
@@ -44,28 +45,29 @@
 	return min(n, poisson(r, float64(n)*probability))
 }
 
-// Delays are lognormal. Only the slow tenth is drawn by bucket; the body is counted in one, since no measure uses it.
+// Delays are lognormal. Only the slowest tenth is drawn by bucket. All other delays are counted in one bucket, since no
+// measure depends on their distribution.
 const (
 	delayMedian      = 0.02   // s
-	delaySigma       = 0.8    // of the logarithm
+	delaySigma       = 0.8    // standard deviation of the logarithm
 	latencyObjective = 0.25   // s after which a response is late
-	tailQuantile     = 1.2816 // of the standard normal, at 0.9
-	maxRemainder     = 2e-5   // probability above the last bucket
-	factorSteps      = 50     // quantization of factors, for each unit of their logarithm
+	tailQuantile     = 1.2816 // 0.9 quantile of the standard normal distribution
+	maxRemainder     = 2e-5   // maximum probability of a delay above the last bucket
+	factorSteps      = 50     // quantization steps of a factor, per unit of its logarithm
 )
 
-// delayTail has the probabilities of the slow buckets, for delays that are longer by a factor.
+// delayTail holds the probabilities of the slow buckets for delays that are scaled by a factor.
 type delayTail struct {
-	bodyBucket  int       // counts all other delays
-	firstBucket int       // of shares
+	bodyBucket  int       // bucket that counts all delays below the tail
+	firstBucket int       // bucket of shares[0]
 	shares      []float64 // probability of each bucket
-	lateBucket  int       // the first one that is late
+	lateBucket  int       // first bucket of late responses
 }
 
-// delayTails are delayTails by quantized factor, each computed once.
+// delayTails caches delayTail values by quantized factor.
 type delayTails map[int]*delayTail
 
-// of returns the tail for a factor.
+// forFactor returns the tail of delays that are scaled by a factor.
 func (t delayTails) forFactor(factor float64) *delayTail {
 	key := int(math.Round(math.Log(factor) * factorSteps))
 	if known := t[key]; known != nil {
@@ -90,7 +92,7 @@
 	return tail
 }
 
-// draw adds n delays, and returns how many are late.
+// draw adds n random delays to a histogram, and returns how many of them are late.
 func (t *delayTail) draw(r *rand.Rand, n int, delays *instancestats.Delays) (late int) {
 	remaining := n
 	for i, share := range t.shares {
--- a/internal/simulation/rolloutsim/options.go
+++ b/internal/simulation/rolloutsim/options.go
@@ -9,7 +9,7 @@
 	"lockflow/internal/canary"
 )
 
-// Names of the judges: that of internal/canary, readiness alone, and fixed thresholds for the sums of both sides.
+// Names of the judges: canary.Judge, readiness checks alone, and fixed thresholds on the totals of both sides.
 const (
 	judgeEvidence  = "evidence"
 	judgeReadiness = "readiness"
@@ -19,8 +19,8 @@
 // Names of the kinds of traffic.
 const (
 	trafficEven   = "even"
-	trafficUneven = "uneven" // some instances get several times the mean
-	trafficBursty = "bursty" // uneven, with bursts of single customers
+	trafficUneven = "uneven" // some instances get several times the mean traffic
+	trafficBursty = "bursty" // as uneven, and single customers send bursts
 )
 
 // Judges are the names of the judges.
@@ -29,7 +29,8 @@
 // Traffics are the names of the kinds of traffic.
 var Traffics = []string{trafficEven, trafficUneven, trafficBursty}
 
-// Mutations disable guards of the judge, by name. The tolerance is disabled with others where it would hide the effect.
+// Mutations are sets of the judge's guards to disable, by name. The tolerance is disabled together with another guard
+// where it would hide the effect of disabling that one.
 var Mutations = map[string]canary.Guards{
 	"no slack":         {Tolerance: true},
 	"one look":         {Sequential: true, Tolerance: true},
@@ -39,24 +40,24 @@
 	"all of the above": {Sequential: true, Cluster: true, Control: true, Baseline: true, Tolerance: true},
 }
 
-// MutationNames returns the names of the mutations in order.
+// MutationNames returns the names of the mutations in alphabetical order.
 func MutationNames() []string { return slices.Sorted(maps.Keys(Mutations)) }
 
-// Harm is what a change does to the instances that have it. Zeros do nothing.
+// Harm describes the effects of a faulty change on the instances that run it. A zero field has no effect.
 type Harm struct {
 	Name              string
-	FailureShare      float64       // additional failures, of the requests
+	FailureShare      float64       // fraction of requests that fail in addition
 	After             time.Duration // age of the process at which the harm starts
-	MinChangedShare   float64       // changed part of the fleet at which the harm starts
-	DelayFactor       float64       // of all delays
-	OverLimit         float64       // additional units of customers at their hard limits, relative
-	MemoryGrowth      float64       // in a minute, relative to the memory at the start
+	MinChangedShare   float64       // changed fraction of the fleet at which the harm starts
+	DelayFactor       float64       // factor of all delays
+	OverLimit         float64       // relative increase of the units of customers at their hard limits
+	MemoryGrowth      float64       // growth per minute, relative to the memory at the start
 	CrashInterval     time.Duration // mean time between crashes
-	FleetFailureShare float64       // additional failures of all instances, at a completely changed fleet
-	ExtraCPU          float64       // for each request, relative
+	FleetFailureShare float64       // additional failures of all instances once the whole fleet has changed
+	ExtraCPU          float64       // relative increase of the CPU time of a request
 }
 
-// Harms are the harms that can be simulated. The first does nothing.
+// Harms are the harms that can be simulated. The first has no effect.
 var Harms = []Harm{
 	{Name: "none"},
 	{Name: "fails 10%", FailureShare: 0.1},
@@ -70,14 +71,14 @@
 	{Name: "hammers servers", FleetFailureShare: 0.1},
 }
 
-// Options are the options of a simulation. Zeros take the defaults.
+// Options are the options of a simulation. Zero fields take the defaults given in the comments.
 type Options struct {
 	Instances     int           // 40
-	Traffic       string        // one of Traffics; the first
-	Harm          Harm          // none
-	Judge         string        // one of Judges; the first
-	Without       string        // name of a mutation; none
-	Rate          float64       // requests in a second and instance; 20
+	Traffic       string        // one of Traffics; default the first
+	Harm          Harm          // default none
+	Judge         string        // one of Judges; default the first
+	Without       string        // name of a mutation; default none
+	Rate          float64       // requests per second of an instance; 20
 	FaultInterval time.Duration // mean time between faults of the environment; 1 h
 	Runs          int           // number of rollouts; 100
 	Seed          uint64
@@ -92,8 +93,7 @@
 	defaultRuns          = 100
 )
 
-// setDefaults sets the defaults, and the guards of the mutation. It returns an error for options that can't be
-// simulated.
+// setDefaults sets the defaults, and disables the guards of the mutation. It returns an error for invalid options.
 func (o *Options) setDefaults() error {
 	if o.Instances == 0 {
 		o.Instances = defaultInstances
--- a/internal/simulation/rolloutsim/report.go
+++ b/internal/simulation/rolloutsim/report.go
@@ -8,10 +8,10 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// maxReasons is how many reasons a report lists.
+// maxReasons is the maximum number of stop reasons in a report.
 const maxReasons = 5
 
-// Report is the result of many rollouts.
+// Report summarizes many simulated rollouts.
 type Report struct {
 	Instances  int      `json:"instances"`
 	Traffic    string   `json:"traffic"`
@@ -19,20 +19,20 @@
 	Judge      string   `json:"judge"`
 	Without    string   `json:"without,omitempty"`
 	Runs       int      `json:"runs"`
-	Worse      int      `json:"worse"`       // stopped as worse
-	NoEvidence int      `json:"no_evidence"` // stopped for lack of evidence
+	Worse      int      `json:"worse"`       // rollouts stopped because the new side is worse
+	NoEvidence int      `json:"no_evidence"` // rollouts stopped for lack of evidence
 	Passed     int      `json:"passed"`
-	Low        float64  `json:"worse_low"`  // lower 95% bound of the part that is stopped as worse, see Bounds
+	Low        float64  `json:"worse_low"`  // lower 95% confidence bound of the fraction stopped as worse, see Bounds
 	High       float64  `json:"worse_high"` // upper bound
-	AtStage    []int    `json:"at_stage"`   // number of stops of either kind, by stage from the first
+	AtStage    []int    `json:"at_stage"`   // number of stops of either kind by stage, the first at index 0
 	Minutes    float64  `json:"minutes"`    // median duration
-	Touched    float64  `json:"touched"`    // median of requests to changed instances
-	Harmed     float64  `json:"harmed"`     // median of requests lost by the change
+	Touched    float64  `json:"touched"`    // median number of requests to changed instances
+	Harmed     float64  `json:"harmed"`     // median number of requests lost by the change
 	HarmedP95  float64  `json:"harmed_95"`  // 95th percentile of requests lost by the change
-	Reasons    []string `json:"reasons"`    // of the first few stops
+	Reasons    []string `json:"reasons"`    // reasons of the first stops, at most maxReasons
 }
 
-// newReport returns the report of all outcomes.
+// newReport summarizes the outcomes.
 func newReport(o *Options, outcomes []outcome) Report {
 	r := Report{
 		Instances: o.Instances,
@@ -71,14 +71,14 @@
 	return r
 }
 
-// quantile returns a quantile of values, which it sorts.
+// quantile returns a quantile of values and sorts them in place.
 func quantile(values []float64, share float64) float64 {
 	slices.Sort(values)
 	return values[min(len(values)-1, int(share*float64(len(values))))]
 }
 
-// Bounds returns the 95% confidence interval of a probability of which count in total trials were observed
-// (Clopper-Pearson).
+// Bounds returns the Clopper-Pearson 95% confidence interval of the success probability after count successes in total
+// trials.
 func Bounds(count, total int) (low, high float64) {
 	low, high = 0, 1
 	if count > 0 {
--- a/internal/simulation/rolloutsim/service.go
+++ b/internal/simulation/rolloutsim/service.go
@@ -10,26 +10,26 @@
 
 const (
 	meanCrashInterval = 30 * 24 * time.Hour
-	heavyShare        = 0.1 // part of the requests whose priority weight is heavyWeight
+	heavyShare        = 0.1 // fraction of the requests whose priority weight is heavyWeight
 	heavyWeight       = 5
-	requestCPU        = 2e6 // ns
+	requestCPU        = 2e6 // ns of CPU time
 )
 
-// conditions are what an instance serves under in one interval.
+// conditions determine an instance's behaviour in one interval.
 type conditions struct {
-	load          float64 // of the day, around 1
+	load          float64 // factor of the daily load, around 1
 	age           time.Duration
 	warmUp        float64 // 1 for a new process, falling to 0
-	failureShare  float64 // of requests
+	failureShare  float64 // fraction of requests that fail
 	harmShare     float64 // part of failureShare that the change causes
 	delayFactor   float64
-	memoryGrowth  float64 // factor
-	overLimit     float64 // additional units of customers at their hard limits, relative
-	extraCPU      float64 // relative
+	memoryGrowth  float64 // factor of the memory
+	overLimit     float64 // relative increase of the units of customers at their hard limits
+	extraCPU      float64 // relative increase of the CPU time of a request
 	crashInterval time.Duration
 }
 
-// serve simulates an instance for an interval, and tells whether it serves at the end.
+// serve simulates an instance for an interval, and reports whether it serves at the end.
 func (w *world) serve(x *instance, load, changedShare float64) bool {
 	mean := w.options.Rate * interval.Seconds() * load * x.share
 	if w.options.Traffic == trafficBursty {
@@ -52,7 +52,8 @@
 	return true
 }
 
-// countMissed counts the requests to an instance that is down. Those to a changed one are lost by a harm that crashes.
+// countMissed counts the requests to an instance that is down. If the change causes crashes, requests to a changed
+// instance count as lost by the change.
 func (w *world) countMissed(x *instance, requests int) {
 	if x.side == canary.SideNew && w.options.Harm.CrashInterval > 0 {
 		w.touched += float64(requests)
@@ -60,7 +61,7 @@
 	}
 }
 
-// conditionsOf draws the conditions of an instance.
+// conditionsOf draws the conditions of an instance for one interval.
 func (w *world) conditionsOf(x *instance, load, changedShare float64) conditions {
 	harm := &w.options.Harm
 	c := conditions{load: load, age: w.now - x.startedAt, memoryGrowth: 1, crashInterval: meanCrashInterval}
@@ -80,7 +81,8 @@
 		c.crashInterval = cmp.Or(max(harm.CrashInterval, 0), c.crashInterval)
 		c.memoryGrowth += harm.MemoryGrowth * c.age.Minutes()
 	}
-	// Units above hard limits overload the app servers, which all instances share.
+	// Units above hard limits overload the app servers, which all instances share, so that unchanged instances see
+	// failures too.
 	c.harmShare += harm.FleetFailureShare*changedShare + 0.5*harm.OverLimit*limitedShare*changedShare
 	c.failureShare += c.harmShare
 	return c
@@ -90,7 +92,7 @@
 func (w *world) count(x *instance, requests int, c *conditions) {
 	rng := w.rng
 	total := &x.total
-	overQuota := binomial(rng, requests, 0.05*(0.75+0.25*x.burstFactor)) // a burst comes from one of many customers
+	overQuota := binomial(rng, requests, 0.05*(0.75+0.25*x.burstFactor)) // only one of many customers sends a burst
 	rejected := binomial(rng, requests-overQuota, rejectionRate*(1+2*c.warmUp))
 	forwarded := requests - overQuota - rejected
 	failed := binomial(rng, forwarded, c.failureShare)
--- a/internal/simulation/rolloutsim/sim.go
+++ b/internal/simulation/rolloutsim/sim.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	observedBefore         = 5 * time.Minute  // of the fleet before the first stage
-	undetectedTime         = 10 * time.Minute // after a rollout that has passed, until somebody sees the harm
-	stageSteps             = 10               // steps in which a stage's members change
-	maxControls            = 8                // of a stage
-	minFirstShare          = 0.5              // of the mean traffic, for the first member that changes
-	seedStep               = 7919             // between two rollouts
+	observedBefore         = 5 * time.Minute  // time for which the judge observes the fleet before the first stage
+	undetectedTime         = 10 * time.Minute // time after a passed rollout until an operator notices the harm
+	stageSteps             = 10               // steps over which the changes of a stage's members are spread
+	maxControls            = 8                // maximum number of control instances of a stage
+	minFirstShare          = 0.5              // minimum traffic of the first member that changes, relative to the mean
+	seedStep               = 7919             // difference between the seeds of consecutive rollouts
 	evaluationInterval     = 3                // steps between two verdicts of a stage
-	lateEvaluationInterval = 9                // the same, after lateStep
+	lateEvaluationInterval = 9                // steps between two verdicts after step lateEvaluationStart
 	lateEvaluationStart    = 30
 )
 
-// stageShares are the parts of the fleet that have changed at the end of the stages after the first, which is one
-// member.
+// stageShares are the fractions of the fleet that have changed at the end of each stage after the first. The first stage
+// changes one member.
 var stageShares = [...]float64{0.1, 0.5, 1}
 
-// judge decides about a rollout, as internal/canary's does.
+// judge decides whether a stage of a rollout passes; canary.Judge is one.
 type judge interface {
 	Begin(now time.Duration, before []canary.Reading)
 	Observe(now time.Duration, all []canary.Reading)
 	Verdict(now time.Duration) canary.Verdict
 }
 
-// newJudge returns the judge that the options name.
+// newJudge returns the judge named in the options.
 func newJudge(o *Options) judge {
 	switch o.Judge {
 	case judgeReadiness:
@@ -48,14 +48,14 @@
 // outcome is the result of one rollout.
 type outcome struct {
 	kind     canary.VerdictKind // KindPass, KindWorse or KindNoEvidence
-	stage    int                // that it was stopped in, from 1; 0 has passed
+	stage    int                // stage in which the rollout stopped, counted from 1; 0 if it passed
 	duration time.Duration
 	touched  float64 // requests to changed instances
 	harmed   float64 // requests lost by the change
-	reason   string  // of a stop
+	reason   string  // reason of the stop, if it was stopped
 }
 
-// Run simulates o.Runs rollouts, on all cores.
+// Run simulates o.Runs rollouts in parallel on all cores.
 func Run(o Options) (Report, error) {
 	if err := o.setDefaults(); err != nil {
 		return Report{}, err
@@ -86,7 +86,7 @@
 	return targets
 }
 
-// playOne simulates one rollout.
+// simulateRollout simulates one rollout.
 func simulateRollout(o *Options, seed uint64) outcome {
 	w := newWorld(o, seed)
 	r := &simulatedRollout{world: w, judge: newJudge(o), order: w.changeOrder()}
@@ -114,15 +114,15 @@
 	return outcome{kind: canary.KindPass, duration: duration, touched: w.touched, harmed: w.harmed}
 }
 
-// simulatedRollout is a rollout over a world.
+// simulatedRollout is a rollout over the instances of a world.
 type simulatedRollout struct {
 	world   *world
 	judge   judge
-	order   []int // in which instances change
-	changed int   // how many have
+	order   []int // indices of instances in the order in which they change
+	changed int   // number of instances that have changed
 }
 
-// playStage changes members up to a target, and returns the verdict that ends the stage.
+// runStage changes members until target of them have changed, and returns the verdict that ends the stage.
 func (r *simulatedRollout) runStage(target int) canary.Verdict {
 	w := r.world
 	r.judge.Begin(w.now, w.readings)
@@ -151,7 +151,7 @@
 	}
 }
 
-// isEvaluated tells whether a step of a stage ends with a verdict.
+// isEvaluated reports whether the judge is asked for a verdict after this step of a stage.
 func isEvaluated(step int) bool {
 	if step > lateEvaluationStart {
 		return step%lateEvaluationInterval == 0
@@ -159,7 +159,7 @@
 	return step%evaluationInterval == 0
 }
 
-// changeOrder returns the order in which instances change. The first one has enough traffic to be judged by.
+// changeOrder returns a random order in which instances change. The first instance has enough traffic to be judged.
 func (w *world) changeOrder() []int {
 	order := w.rng.Perm(len(w.instances))
 	i := slices.IndexFunc(order, func(k int) bool { return w.instances[k].share >= minFirstShare })
@@ -169,7 +169,7 @@
 	return order
 }
 
-// change restarts an instance with the new version and, if wanted, a control together with it.
+// change restarts an instance with the new version and, if hasControl is set, a control instance at the same time.
 func (w *world) change(x *instance, hasControl bool) {
 	w.restart(x, canary.SideNew, 0)
 	if hasControl {
@@ -177,10 +177,10 @@
 	}
 }
 
-// restartControl restarts the unchanged instance that is most like a changed one: in the same zone if there is one, and
-// with similar traffic.
+// restartControl restarts, as a control, the unchanged instance that is most similar to a changed one: in the same zone
+// if that has an unchanged instance, and with the closest traffic.
 func (w *world) restartControl(changed *instance) {
-	const otherZone = 100 // more than any difference of traffic
+	const otherZone = 100 // exceeds any difference of log traffic
 	distance := func(x *instance) float64 {
 		d := math.Abs(math.Log(x.share / changed.share))
 		if x.zone != changed.zone {
--- a/internal/simulation/rolloutsim/sim_test.go
+++ b/internal/simulation/rolloutsim/sim_test.go
@@ -14,7 +14,8 @@
 	return r
 }
 
-// A short form of the simulations in docs/rollout-figures.md.
+// Guards against false alarms: the judge must not stop a harmless change. These are shortened simulations of those in
+// docs/rollout-figures.md.
 func TestHarmlessChangesPass(t *testing.T) {
 	for _, traffic := range Traffics {
 		if r := simulate(t, Options{Instances: 4, Traffic: traffic, Runs: 40, Seed: 11}); r.Worse > 0 || r.Passed < 38 {
@@ -29,7 +30,7 @@
 func TestHarmfulChangesStop(t *testing.T) {
 	for _, harm := range Harms[1:] {
 		r := simulate(t, Options{Instances: 40, Traffic: "uneven", Harm: harm, Runs: 4, Seed: 3})
-		latestStage := 0 // the latest stage at which all have to be stopped
+		latestStage := 0 // index of the latest stage at which rollouts have to stop
 		switch {
 		case harm.MinChangedShare > 0:
 			latestStage = 2
@@ -49,7 +50,7 @@
 	}
 }
 
-// Without any one of its guards the judge stops harmless changes.
+// If one of its guards is disabled, the judge must stop harmless changes; otherwise the guard would have no effect.
 func TestGuardsAreNeeded(t *testing.T) {
 	for _, c := range []struct {
 		without         string
--- a/internal/simulation/rolloutsim/world.go
+++ b/internal/simulation/rolloutsim/world.go
@@ -12,28 +12,28 @@
 
 // Constants of the model that no option changes.
 const (
-	interval       = 10 * time.Second // of a step
-	failureRate    = 0.002            // of requests
-	rejectionRate  = 0.001            // of requests inside quotas
-	warmUpTime     = time.Minute      // time constant
+	interval       = 10 * time.Second // duration of a step
+	failureRate    = 0.002            // fraction of requests that fail
+	rejectionRate  = 0.001            // fraction of requests within quotas that are rejected
+	warmUpTime     = time.Minute      // time constant of the exponential warm-up
 	meanMemoryKB   = 200e3
-	restartTime    = 20 * time.Second // after a crash
-	limitedShare   = 0.5              // part of the units that belongs to customers at their hard limits
+	restartTime    = 20 * time.Second // time until an instance serves after a crash
+	limitedShare   = 0.5              // fraction of the units that belongs to customers at their hard limits
 	meanProcessAge = 48 * time.Hour   // of processes at the start
 	burstInterval  = 600              // mean seconds between two bursts of an instance
-	minZoneMembers = 6                // a zone needs some members to be compared with each other
+	minZoneMembers = 6                // a zone needs several members to be compared with each other
 	maxZones       = 3
-	zoneFaultShare = 0.25 // part of the faults that are of one zone
+	zoneFaultShare = 0.25 // fraction of the faults that affect only one zone
 	allZones       = -1
-	worldStream    = 57 // of the random generator
+	worldStream    = 57 // PCG stream of the random generator
 )
 
 // instance is one member of the simulated fleet.
 type instance struct {
 	id          string
 	zone        int
-	share       float64 // of the mean traffic
-	burstFactor float64 // of the traffic, while a burst lasts
+	share       float64 // traffic relative to the mean
+	burstFactor float64 // factor of the traffic while a burst lasts
 	burstEndsAt time.Duration
 
 	// Properties of the instance, as factors of the mean.
@@ -41,9 +41,9 @@
 	cpuFactor     float64
 	memoryFactor  float64
 
-	drift     float64       // of the logarithm of the failure rate; a random walk that returns to 0
-	startedAt time.Duration // of the process
-	servesAt  time.Duration // of the process, after a crash
+	drift     float64       // offset of the logarithm of the failure rate; a mean-reverting random walk around 0
+	startedAt time.Duration // start of the process
+	servesAt  time.Duration // time from which the process serves, later than its start after a crash
 	side      canary.Side
 	total     instancestats.Statistics
 }
@@ -55,22 +55,22 @@
 	rng       *rand.Rand
 	instances []*instance
 	now       time.Duration
-	epoch     time.Time // wall clock at now = 0
-	dayPhase  float64   // of the daily load, in radians
+	epoch     time.Time // wall-clock time at now = 0
+	dayPhase  float64   // phase of the daily load, in radians
 	tails     delayTails
 
-	// The fault of the environment.
+	// The current or last fault of the environment.
 	faultEndsAt       time.Duration
-	faultZone         int // or allZones
+	faultZone         int // index of the affected zone, or allZones
 	faultFailureShare float64
 	faultDelayFactor  float64
 
-	readings []canary.Reading // of the last step
+	readings []canary.Reading // readings of the last step
 	touched  float64          // requests to changed instances
 	harmed   float64          // requests that the change is expected to lose
 }
 
-// newWorld returns a fleet whose processes have run for some time.
+// newWorld returns a fleet whose processes have run for random times.
 func newWorld(o *Options, seed uint64) *world {
 	w := &world{
 		options: o,
@@ -105,7 +105,7 @@
 // logNormal draws a factor with a median of 1.
 func (w *world) logNormal(sigma float64) float64 { return math.Exp(sigma * w.rng.NormFloat64()) }
 
-// restart starts a new process of an instance on a side. It serves after a delay.
+// restart starts a new process of an instance on the given side. The process serves after a delay.
 func (w *world) restart(x *instance, side canary.Side, delay time.Duration) {
 	x.side = side
 	x.startedAt = w.now
@@ -139,7 +139,7 @@
 	return w.readings
 }
 
-// drawFault starts a fault of the environment by chance, if there is none.
+// drawFault randomly starts a fault of the environment if none is active.
 func (w *world) drawFault() {
 	if w.now <= w.faultEndsAt || w.rng.Float64() >= interval.Seconds()/w.options.FaultInterval.Seconds() {
 		return
@@ -153,12 +153,13 @@
 	}
 }
 
-// hasFault tells whether a fault of the environment affects an instance.
+// hasFault reports whether a fault of the environment affects an instance.
 func (w *world) hasFault(x *instance) bool {
 	return w.now < w.faultEndsAt && (w.faultZone == allZones || w.faultZone == x.zone)
 }
 
-// drawBurst returns the factor of an instance's traffic, which is above 1 in a burst.
+// drawBurst returns the factor of an instance's traffic, which is above 1 during a burst. It randomly starts a new burst
+// once the last one has ended.
 func (w *world) drawBurst(x *instance) float64 {
 	if w.now >= x.burstEndsAt {
 		x.burstFactor = 1
--- a/internal/simulation/waitpolicysim/oracle.go
+++ b/internal/simulation/waitpolicysim/oracle.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// The grid of times at which an optimal policy decides: steps of a doubling, from 1 ms to more than the client's
-	// deadline.
+	// An optimal policy decides at the times of a grid that is geometric from 1 ms up to the client's deadline.
 	gridStepsPerDoubling = 24
 	gridSteps            = 13 * gridStepsPerDoubling
-	// rebuildsPerRun is how often policies that know a changing world's distributions are built anew.
+	// rebuildsPerRun is the number of times in a run that policies that know the distributions are rebuilt if the
+	// world changes.
 	rebuildsPerRun = 100
 	// setCount is the number of sets of parts.
 	setCount = 1 << partCount
-	// minProbability is the smallest probability that is divided by.
+	// minProbability is the smallest probability that is used as a divisor.
 	minProbability = 1e-12
-	// factorSteps is the number of steps of the common factor, for each standard deviation.
+	// factorSteps is the number of quantization steps of the common factor per standard deviation.
 	factorSteps = 5
-	// maxFactor limits the common factor, in standard deviations.
+	// maxFactor is the maximum magnitude of the common factor, in standard deviations.
 	maxFactor = 4
 )
 
@@ -31,7 +31,8 @@
 	return times
 }()
 
-// newOracle returns the best policy that knows the distributions of a world. It is exact for independent parts.
+// newOracle returns the best policy that knows the distributions of a world. It is optimal for independent parts; for
+// correlated parts it is the planner of internal/waitpolicy.
 func newOracle(w *world) policy {
 	if w.correlation == 0 {
 		return &optimalPolicy{
@@ -45,16 +46,17 @@
 	return newPlanner(w)
 }
 
-// optimalPolicy is optimal for independent parts of known distributions, by dynamic programming: the value of a time
-// and a set of outstanding parts is that of answering, or of waiting, whichever is larger.
+// optimalPolicy is the optimal policy for independent parts of known distributions. It is computed by dynamic
+// programming over states, which consist of a time and the set of outstanding parts. The value of a state is the larger
+// one of answering now and of waiting.
 type optimalPolicy struct {
 	world           *world
 	settings        *waitpolicy.Settings
 	weights         [partCount]float64
-	rebuildInterval float64 // of the run, after which the policy for a changing world is built anew
-	builtAt         float64 // point of the run, 0 to 1
+	rebuildInterval float64 // fraction of the run after which the policy for a changing world is rebuilt
+	builtAt         float64 // progress of the run at the last build, 0 to 1
 	isBuilt         bool
-	stops           [][setCount]bool // by grid time and set of outstanding parts: answer
+	stops           [][setCount]bool // whether to answer, by grid time and set of outstanding parts
 	// answeredBy returns the probability that a part has answered after a duration.
 	answeredBy func(part int, progress float64, duration time.Duration) float64
 }
@@ -78,7 +80,7 @@
 		p.stops[gridSteps][set] = true
 	}
 	for step := gridSteps - 1; step >= 0; step-- {
-		var answers [partCount]float64 // probability of answering in this step
+		var answers [partCount]float64 // probability that a part which is outstanding answers in this step
 		for part := range answers {
 			if outstanding := 1 - answered[part][step]; outstanding > minProbability {
 				answers[part] = (answered[part][step+1] - answered[part][step]) / outstanding
@@ -96,7 +98,7 @@
 	}
 }
 
-// answeredProbabilities returns the probability that each part has answered by each grid time.
+// answeredProbabilities returns, by part and grid time, the probability that the part has answered by then.
 func (p *optimalPolicy) answeredProbabilities(progress float64) (answered [partCount][gridSteps + 1]float64) {
 	for part := range answered {
 		for step, duration := range grid {
@@ -106,7 +108,7 @@
 	return answered
 }
 
-// sharesOfSets returns the weight of each set of parts.
+// sharesOfSets returns the share of each set of parts.
 func (p *optimalPolicy) sharesOfSets() (shares [setCount]float64) {
 	for set := range shares {
 		for part := range partCount {
@@ -118,7 +120,8 @@
 	return shares
 }
 
-// advanceValues replaces the value of each set of outstanding parts by the mean over the parts that may answer.
+// advanceValues replaces the value of each set of outstanding parts, one step later, by its expectation before that
+// step. answers are the probabilities that each outstanding part answers during the step.
 func advanceValues(values *[setCount]float64, answers *[partCount]float64) {
 	for part := range partCount {
 		for set := len(values) - 1; set >= 0; set-- {
@@ -156,7 +159,7 @@
 		isStop := p.stops[step][outstanding] && end.arrivedShare >= minShare-shareTolerance
 		if isStop || step == gridSteps {
 			end.at = now
-			if step > 0 && last > grid[step-1] { // the answer did not have to wait for the grid time
+			if step > 0 && last > grid[step-1] { // the last part came between two grid times and ended the query
 				end.at = last
 			}
 			return end
@@ -165,10 +168,10 @@
 	return end
 }
 
-// commonFactorOracle knows the common factor of each query too. No policy can earn more.
+// commonFactorOracle also knows the common factor of each query. Its value is an upper bound for all policies.
 type commonFactorOracle struct {
 	world    *world
-	byFactor map[int]*optimalPolicy // by the factor's step
+	byFactor map[int]*optimalPolicy // by quantized factor
 }
 
 func (o *commonFactorOracle) end(progress float64, durations *[partCount]time.Duration, factor float64) queryEnd {
@@ -181,7 +184,7 @@
 	return p.end(progress, durations, factor)
 }
 
-// newPolicy returns the optimal policy for a value of the common factor, with which the parts are independent.
+// newPolicy returns the optimal policy for a value of the common factor. Given that value the parts are independent.
 func (o *commonFactorOracle) newPolicy(factor float64) *optimalPolicy {
 	w := o.world
 	return &optimalPolicy{
--- a/internal/simulation/waitpolicysim/policies.go
+++ b/internal/simulation/waitpolicysim/policies.go
@@ -11,24 +11,25 @@
 // className is the class of all queries.
 const className = "list"
 
-// lateHashFactor spreads the number of an outcome, to select those that are observed late.
+// lateHashFactor is the multiplier of a hash of outcome numbers that selects the outcomes that are observed late.
 const lateHashFactor = 0x9e3779b97f4a7c15
 
-// queryEnd is how a query ended.
+// queryEnd describes the end of a query.
 type queryEnd struct {
 	at             time.Duration
-	arrivedShare   float64 // of the parts' weight
-	abandonedShare float64 // of the parts' weight
+	arrivedShare   float64 // share of the parts' weight that has arrived
+	abandonedShare float64 // share of the parts' weight that was abandoned
 }
 
-// policy ends queries.
+// policy decides when queries end.
 type policy interface {
-	// end ends a query at a point of the simulation, 0 to 1, whose parts take the given times. The common factor of
-	// the parts' scores is only known to an oracle.
+	// end simulates a query whose parts take the given durations. progress is the completed fraction of the simulation,
+	// from 0 to 1. Only an oracle may use factor, the common factor of the parts' scores.
 	end(progress float64, durations *[partCount]time.Duration, factor float64) queryEnd
 }
 
-// endAfter returns how a query ends that answers after a fixed time, as soon as it has enough, or at once with all parts.
+// endAfter returns how a query ends that has a fixed timeout. It ends when all parts have answered, or after the timeout
+// as soon as minShare has arrived, or at the client's deadline.
 func endAfter(weights *[partCount]float64, durations *[partCount]time.Duration, timeout time.Duration) queryEnd {
 	order := [partCount]int{0, 1, 2, 3, 4}
 	slices.SortFunc(order[:], func(a, b int) int { return int(min(1, max(-1, durations[a]-durations[b]))) })
@@ -55,16 +56,16 @@
 
 // Sizes of percentilePolicy.
 const (
-	percentileQueries       = 500 // that the percentile is of
-	percentileUpdateQueries = 50  // between two updates
+	percentileQueries       = 500 // last queries whose parts' percentile is taken
+	percentileUpdateQueries = 50  // queries between two updates
 	percentilePercent       = 95
 )
 
-// percentilePolicy answers at the 95th percentile of the parts' last durations.
+// percentilePolicy uses the 95th percentile of the parts' last durations as the timeout.
 type percentilePolicy struct {
 	weights   [partCount]float64
-	durations [percentileQueries * partCount]time.Duration // a ring
-	count     int                                          // of durations, since the begin
+	durations [percentileQueries * partCount]time.Duration // ring buffer
+	count     int                                          // number of durations since the start
 	deadline  time.Duration
 }
 
@@ -88,17 +89,17 @@
 	}
 }
 
-// queryPolicy ends queries by internal/waitpolicy.
+// queryPolicy has internal/waitpolicy decide when queries end.
 type queryPolicy struct {
 	settings  *waitpolicy.Settings
 	query     waitpolicy.Query
 	begin     func(query *waitpolicy.Query, progress float64, now time.Duration)
-	startedAt time.Duration // of the last query
-	steps     int           // of all queries
+	startedAt time.Duration // start of the last query
+	steps     int           // decision steps of all queries
 	onEnd     func(end queryEnd, durations *[partCount]time.Duration, startedAt time.Duration)
 }
 
-// queryInterval is the time between the begins of two queries.
+// queryInterval is the time between the starts of two queries.
 const queryInterval = 100 * time.Millisecond
 
 func (p *queryPolicy) end(progress float64, durations *[partCount]time.Duration, _ float64) queryEnd {
@@ -116,7 +117,7 @@
 	return end
 }
 
-// run runs a query to its end, and returns the parts that have ended before.
+// run runs a query to its end, and reports which parts had answered by then.
 func (p *queryPolicy) run(durations *[partCount]time.Duration) (end queryEnd, hasEnded [partCount]bool) {
 	for {
 		p.steps++
@@ -143,7 +144,7 @@
 	}
 }
 
-// newPlanner returns a policy that knows the distributions of a world.
+// newPlanner returns a policy that decides as the learned one does, from the known distributions of a world.
 func newPlanner(w *world) *queryPolicy {
 	settings := normalizedSettings(w)
 	planner := &queryPolicy{settings: settings}
@@ -162,12 +163,12 @@
 	return planner
 }
 
-// learner is a policy with a model that learns from its queries.
+// learner is a policy whose model learns from its queries.
 type learner struct {
 	queryPolicy
 	model        *waitpolicy.Model
-	lateFraction float64 // of late outcomes that are observed; the others are censored
-	usesCensored bool    // false does not observe censored outcomes
+	lateFraction float64 // fraction of late outcomes that are observed; the others are censored
+	usesCensored bool    // whether the model observes censored outcomes
 	outcomes     uint64
 }
 
@@ -182,7 +183,7 @@
 	return l
 }
 
-// learn has the model observe the parts of a query.
+// learn has the model observe the outcomes of a query's parts.
 func (l *learner) learn(end queryEnd, durations *[partCount]time.Duration, startedAt time.Duration) {
 	l.model.Done(&l.query, className, startedAt+end.at)
 	for part, duration := range durations {
--- a/internal/simulation/waitpolicysim/sharing.go
+++ b/internal/simulation/waitpolicysim/sharing.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// exchangeInterval is the time between two exchanges.
+	// exchangeInterval is the time between two exchanges of reports.
 	exchangeInterval = 5 * time.Second
-	// lifetimeIntervals is the lifetime of reports, in intervals between exchanges.
+	// lifetimeIntervals is the lifetime of reports, as a multiple of exchangeInterval.
 	lifetimeIntervals = 12
 
 	defaultSharedQueries = 40
@@ -24,40 +24,42 @@
 	// defaultTotalInstances is the number of instances in all groups.
 	defaultTotalInstances = 200
 	minGroups             = 2
-	// A group has converged with the first of convergedQueries in a row that earn convergedValue of the oracle's.
+	// Groups have converged at the first of convergedQueries consecutive queries whose mean values are each at least
+	// convergedValue of the oracle's value.
 	convergedQueries = 5
 	convergedValue   = 0.9
-	// misreportQueries is the number of queries from which a misreporting instance learns.
+	// misreportQueries is the number of queries from which the misreported model learns.
 	misreportQueries = 600
 )
 
-// Streams of random numbers, in addition to the seed.
+// PCG streams of the random numbers.
 const (
 	sharedStream    = 0x73686172
 	misreportStream = 0x6c6965
 )
 
-// ShareOptions configure RunShared. Zero values have defaults.
+// ShareOptions configure RunShared. Zero fields take the defaults given in the comments.
 type ShareOptions struct {
 	World            string
-	Instances        int // in a group; 1 does not share
-	Queries          int // of each instance; 40
+	Instances        int // instances per group, required; with 1 nothing is shared
+	Queries          int // queries of each instance; 40
 	ExchangeInterval int // queries of each instance between two exchanges; 1
-	Groups           int // 200 instances in all
+	Groups           int // as many as make 200 instances in total
 	Seed             uint64
-	// MisreportFactor has the last instance of each group share durations that are longer by a factor; 0 is none.
+	// MisreportFactor makes the last instance of each group share durations that are longer by this factor; 0 disables
+	// misreporting.
 	MisreportFactor float64
-	LostFrom        int // query from which on no store replies; 0 is never
+	LostFrom        int // index of the query from which on no store replies; 0 means that it always replies
 }
 
-// ShareReport is how fast instances learn together.
+// ShareReport tells how fast instances learn that share their models.
 type ShareReport struct {
 	World     string `json:"world"`
 	Instances int    `json:"instances"`
 	Groups    int    `json:"groups"`
-	// Values are the mean values of an instance's first query, its second and so on, as fractions of the oracle's.
+	// Values are the mean values of the instances' queries by index, as fractions of the oracle's values.
 	Values            []float64 `json:"worth"`
-	QueriesToConverge int       `json:"until"` // queries before 90% of the oracle's value, or -1
+	QueriesToConverge int       `json:"until"` // queries before 90% of the oracle's value is reached, or -1
 }
 
 // RunShared simulates groups of instances that share their models.
@@ -106,7 +108,7 @@
 	rng          *rand.Rand
 	learners     []*learner
 	pools        []*pool.Pool // by instance
-	misreporting *learner     // whose model the last instance shares instead of its own; nil is none
+	misreporting *learner     // learner whose model the last instance shares instead of its own, or nil
 	now          time.Duration
 }
 
@@ -128,7 +130,7 @@
 
 func instanceID(i int) string { return fmt.Sprint("i", i) }
 
-// newMisreporting returns a learner that has learned from durations that are longer by a factor.
+// newMisreporting returns a learner that has learned from durations that are scaled by a factor.
 func newMisreporting(w *world, factor float64, seed uint64) *learner {
 	slower := *w
 	slower.delay = func(part int, progress, score float64) time.Duration {
@@ -143,7 +145,7 @@
 	return l
 }
 
-// run runs all queries of the group, and adds the values of its instances and of the oracle by query.
+// run runs all queries of the group, and adds the values of its instances and of the oracle to the sums by query.
 func (g *group) run(oracle policy, values, oracleValues []float64) error {
 	settings := normalizedSettings(g.world)
 	for i := range values {
@@ -164,7 +166,7 @@
 	return nil
 }
 
-// exchange has each instance write its model and read some of the others', as share.Sharer does.
+// exchange has each instance write its model and read some models of other instances, as share.Sharer does.
 func (g *group) exchange(rng *rand.Rand, isStoreAvailable bool) error {
 	g.now += exchangeInterval
 	reports, err := g.reports()
@@ -183,7 +185,7 @@
 	return nil
 }
 
-// reports returns what each instance writes.
+// reports returns the report that each instance writes.
 func (g *group) reports() ([][]byte, error) {
 	reports := make([][]byte, len(g.learners))
 	for i, l := range g.learners {
@@ -199,7 +201,7 @@
 	return reports, nil
 }
 
-// read adds as many reports to an instance's pool as one exchange reads, from an offset on.
+// read adds to an instance's pool as many reports as one exchange reads, starting at an offset.
 func (g *group) read(p *pool.Pool, reports [][]byte, offset int) error {
 	p.StoreReplied(g.now)
 	for i := range min(len(reports), share.MaxMembersRead) {
--- a/internal/simulation/waitpolicysim/sim.go
+++ b/internal/simulation/waitpolicysim/sim.go
@@ -15,40 +15,40 @@
 	defaultWarmup  = 2000
 )
 
-// Fixed times that are compared: from shortestFixedTime on, each longer than the one before by a factor.
+// The fixed timeouts that are compared form a geometric series that starts at shortestFixedTime.
 const (
 	shortestFixedTime = 20.0 // ms
 	fixedTimeFactor   = 1.05
 )
 
-// runStream is the stream of a run's random numbers, in addition to Options.Seed.
+// runStream is the PCG stream of a run's random numbers; Options.Seed is the seed.
 const runStream = 0x67617468
 
-// Options configure Run. Zero values have defaults.
+// Options configure Run. Zero fields take the defaults given in the comments.
 type Options struct {
 	World        string
 	Queries      int     // 20,000
-	Warmup       int     // queries that are not counted; 2,000
-	LateFraction float64 // of abandoned parts whose outcomes are observed; 0
+	Warmup       int     // first queries, which are not counted; 2,000
+	LateFraction float64 // fraction of abandoned parts whose outcomes are still observed; 0
 	Seed         uint64
 }
 
-// Report is what each policy earned: the mean value of a query, where a complete answer without delay is 1.
+// Report holds the mean value of a query under each policy. The value of a complete answer without delay is 1.
 type Report struct {
 	World              string           `json:"world"`
 	Queries            int              `json:"queries"`
-	IsChanging         bool             `json:"moves"`          // the world's distributions change
-	Oracle             float64          `json:"oracle"`         // knows the distributions
-	Learned            float64          `json:"learned"`        // knows nothing at the begin
-	None               float64          `json:"none"`           // waits for all parts, or the client's deadline
-	Fixed              float64          `json:"fixed"`          // the best fixed time, chosen afterwards
-	FixedTime          time.Duration    `json:"at_ns"`          // that time
-	P95                float64          `json:"p95"`            // of the parts of the last 500 queries, with late ones
-	Plan               float64          `json:"plan"`           // decides as Learned, but knows the distributions
-	CommonFactorOracle float64          `json:"told,omitempty"` // knows each query's common factor: the maximum
-	ArrivedShare       float64          `json:"share"`          // mean of learned answers
-	MeanDuration       time.Duration    `json:"took_ns"`        // of learned answers
-	StepsPerQuery      float64          `json:"looks"`          // of the learned policy
+	IsChanging         bool             `json:"moves"`          // whether the world's distributions change over time
+	Oracle             float64          `json:"oracle"`         // optimal policy that knows the distributions
+	Learned            float64          `json:"learned"`        // learned policy, which starts without observations
+	None               float64          `json:"none"`           // waits for all parts or the client's deadline
+	Fixed              float64          `json:"fixed"`          // best fixed timeout, chosen after the run
+	FixedTime          time.Duration    `json:"at_ns"`          // the timeout of Fixed
+	P95                float64          `json:"p95"`            // timeout at the 95th percentile of all parts of the last 500 queries, including late ones
+	Plan               float64          `json:"plan"`           // decides as Learned does, but knows the distributions
+	CommonFactorOracle float64          `json:"told,omitempty"` // knows each query's common factor too: the upper bound of all policies
+	ArrivedShare       float64          `json:"share"`          // mean of the learned policy's answers
+	MeanDuration       time.Duration    `json:"took_ns"`        // mean of the learned policy's answers
+	StepsPerQuery      float64          `json:"looks"`          // decision steps of the learned policy
 	Stats              waitpolicy.Stats `json:"stats"`
 }
 
@@ -58,7 +58,7 @@
 	learnedIndex
 	planIndex
 	p95Index
-	commonFactorIndex // only if the parts are correlated
+	commonFactorIndex // present only if the parts are correlated
 )
 
 // run is the state of Run.
@@ -67,10 +67,10 @@
 	settings   *waitpolicy.Settings
 	weights    [partCount]float64
 	policies   []policy
-	values     []float64 // sums, by policy
+	values     []float64 // sums of values by policy
 	fixedTimes []time.Duration
-	fixed      []float64 // sums of values, by fixed time
-	counted    int       // queries
+	fixed      []float64 // sums of values by fixed timeout
+	counted    int       // number of counted queries
 	report     Report
 }
 
@@ -116,7 +116,7 @@
 	return r
 }
 
-// play has each policy end one query. Queries of the warm-up are not counted.
+// simulateQuery has each policy end one query. Queries of the warm-up are not counted.
 func (r *run) simulateQuery(progress float64, durations *[partCount]time.Duration, factor float64, isCounted bool) {
 	for i, p := range r.policies {
 		end := p.end(progress, durations, factor)
@@ -138,7 +138,7 @@
 	}
 }
 
-// value returns the value of a query. One without an answer only costs what was abandoned.
+// value returns the value of a query. A query without an answer has only the cost of its abandoned parts.
 func (r *run) value(end queryEnd) float64 {
 	if end.arrivedShare == 0 {
 		return -r.settings.AbandonCost * load * end.abandonedShare
@@ -146,7 +146,7 @@
 	return r.settings.Value(end.arrivedShare, end.abandonedShare, load, end.at)
 }
 
-// summarize sets the report's means.
+// summarize turns the sums into the means of the report.
 func (r *run) summarize() {
 	queries := float64(r.counted)
 	report := &r.report
@@ -165,7 +165,7 @@
 	report.MeanDuration = time.Duration(float64(report.MeanDuration) / queries)
 }
 
-// fixedTimes returns the fixed times that are compared; the last is the client's deadline.
+// fixedTimes returns the fixed timeouts that are compared. The last one is the client's deadline.
 func fixedTimes() (times []time.Duration) {
 	for t := shortestFixedTime; t < float64(clientDeadline/time.Millisecond); t *= fixedTimeFactor {
 		times = append(times, milliseconds(t))
--- a/internal/simulation/waitpolicysim/sim_test.go
+++ b/internal/simulation/waitpolicysim/sim_test.go
@@ -9,8 +9,8 @@
 	"lockflow/internal/waitpolicy"
 )
 
-// The learned policy earns at least 95% of what the oracle does, more than no deadline and a percentile, and more
-// than any fixed time in a changing world.
+// The learned policy has to reach at least 95% of the oracle's value and more value than no timeout and than a percentile
+// timeout. In a changing world it also has to exceed the best fixed timeout.
 func TestLearnedPolicyIsNearOracle(t *testing.T) {
 	for _, w := range worlds {
 		t.Run(w.name, func(t *testing.T) {
@@ -40,8 +40,8 @@
 	}
 }
 
-// learnedPercentiles has queries answered at the 95th percentile of their parts' durations, as observed by that
-// policy itself. It returns the deadline after each thousand queries.
+// learnedPercentiles simulates queries that end at the 95th percentile of their parts' durations, as observed under this
+// deadline itself. It returns the deadline after each thousand queries.
 func learnedPercentiles(w *world, censored bool) (deadlines []time.Duration) {
 	rng, shares, deadline := rand.New(rand.NewPCG(1, 1)), w.shares(), clientDeadline
 	var observed waitpolicy.Sketch
@@ -70,8 +70,8 @@
 	return deadlines
 }
 
-// A deadline that is learned from the parts in time alone abandons more and more of them. With abandoned parts counted
-// as censored it is stable.
+// A deadline that is learned only from parts that answered in time decreases with each update, since it never observes the
+// slow parts that it abandons. If abandoned parts are counted as censored observations, the deadline stays stable.
 func TestCensoringKeepsDeadlineStable(t *testing.T) {
 	w, _ := findWorld("lognormal")
 	with, without := learnedPercentiles(w, true), learnedPercentiles(w, false)
@@ -84,7 +84,7 @@
 	if !slices.IsSortedFunc(without, func(a, b time.Duration) int { return int(b - a) }) || 2*without[last] > with[last] {
 		t.Error("without what was cut nothing is shown")
 	}
-	// A learner that does not count abandoned parts expects all to answer soon.
+	// A learner that does not observe abandoned parts underestimates the durations of all parts.
 	for name, maxRatio := range map[string]float64{"pareto": 0.99, "stalled": 0.5} {
 		w, _ := findWorld(name)
 		meanValue := func(censored bool) (sum float64) {
@@ -104,7 +104,8 @@
 	}
 }
 
-// Instances learn faster together. A misreporting one costs them little, and the loss of the store next to nothing.
+// Instances that share their models converge faster than a single one. One misreporting instance and the loss of the store
+// must each reduce the value by at most 0.05.
 func TestSharingSpeedsUpLearning(t *testing.T) {
 	simulate := func(o ShareOptions) ShareReport {
 		o.World, o.Queries, o.Seed = "pareto", 16, 1
@@ -136,7 +137,7 @@
 	}
 }
 
-// meanAnswerTime returns the mean duration of answers by an instance's current model, over the same queries each time.
+// meanAnswerTime returns the mean duration of answers under an instance's current model. Each call uses the same queries.
 func meanAnswerTime(w *world, l *learner) (mean time.Duration) {
 	const n = 400
 	rng, forecast := rand.New(rand.NewPCG(5, 1)), l.model.Forecast(className, load)
@@ -150,10 +151,10 @@
 	return mean
 }
 
-// From one exchange to the next the mean duration of answers changes by no more than a fifth, while a store is found,
-// lost, and found again.
+// The mean duration of answers must change by no more than a fifth from one exchange to the next while the store becomes
+// available, unavailable and available again. Otherwise answers to clients would change abruptly with the store's state.
 func TestSharingChangesDeadlinesGradually(t *testing.T) {
-	for _, factor := range []float64{0.4, 1, 2.5} { // of the other instances' durations
+	for _, factor := range []float64{0.4, 1, 2.5} { // factor of the other instances' durations
 		w, _ := findWorld("lognormal")
 		slower := *w
 		slower.delay = func(p int, at, s float64) time.Duration { return time.Duration(factor * float64(w.delay(p, at, s))) }
--- a/internal/simulation/waitpolicysim/world.go
+++ b/internal/simulation/waitpolicysim/world.go
@@ -1,6 +1,7 @@
-// Package waitpolicysim simulates scatter-gather queries in virtual time and compares policies to end them: the
-// learned one of internal/waitpolicy, an oracle that knows how long the parts take, fixed times, a percentile, and
-// none. Only the durations of the parts are modelled. A run is determined by its seed.
+// Package waitpolicysim simulates scatter-gather queries in virtual time and compares policies that decide when to end
+// them: the learned policy of internal/waitpolicy, an oracle that knows the distributions of the parts' durations, fixed
+// timeouts, a percentile of recent durations, and no timeout. Only the durations of the parts are modelled. The seed
+// determines the whole run.
 package waitpolicysim
 
 import (
@@ -12,32 +13,32 @@
 	"lockflow/internal/waitpolicy"
 )
 
-// What all worlds have in common.
+// Parameters that all worlds share.
 const (
-	halfLife       = 800 * time.Millisecond // of an answer's value
-	minShare       = 0.6                    // of the parts' weight, for an answer
+	halfLife       = 800 * time.Millisecond // time in which the value of an answer halves
+	minShare       = 0.6                    // minimum share of the parts' weight in an answer
 	clientDeadline = 5 * time.Second
 	load           = 0.5 // utilization of the parts
 	partCount      = 5
-	margin         = time.Millisecond // of the client's deadline
-	// shareTolerance is the rounding error that sums of shares may have.
+	margin         = time.Millisecond // time by which an answer precedes the client's deadline
+	// shareTolerance is the maximum rounding error of sums of shares.
 	shareTolerance = 1e-9
-	// maxMilliseconds limits durations.
+	// maxMilliseconds limits simulated durations, which would overflow otherwise.
 	maxMilliseconds = 1e9
 )
 
 // never is the duration of a part that does not answer.
 const never = time.Duration(math.MaxInt64)
 
-// world is a distribution of the parts' durations.
+// world is a joint distribution of the parts' durations.
 type world struct {
 	name        string
 	help        string
-	weights     []float64 // by part; nil is equal
-	correlation float64   // of the scores of a query's parts
-	isChanging  bool      // delay depends on progress
-	// delay returns the duration of a part for a standard normal score, at a point of the run from 0 to 1. It
-	// increases with the score.
+	weights     []float64 // by part; nil means equal weights
+	correlation float64   // correlation of the scores of a query's parts
+	isChanging  bool      // whether delay depends on progress
+	// delay returns the duration of a part for a standard normal score. progress is the completed fraction of the run,
+	// from 0 to 1. The duration increases with the score.
 	delay func(part int, progress, score float64) time.Duration
 }
 
@@ -45,12 +46,13 @@
 	return time.Duration(min(f, maxMilliseconds) * float64(time.Millisecond))
 }
 
-// lognormal returns the duration for a score, of a distribution with the given median in milliseconds.
+// lognormal returns the duration for a standard normal score under a lognormal distribution. The median is in
+// milliseconds.
 func lognormal(median, sigma, score float64) time.Duration {
 	return milliseconds(median * math.Exp(sigma*score))
 }
 
-// upperTail returns the probability of a larger standard normal score.
+// upperTail returns the probability that a standard normal variable exceeds score.
 func upperTail(score float64) float64 { return math.Erfc(score/math.Sqrt2) / 2 }
 
 // normalQuantile returns the standard normal quantile of a probability.
@@ -171,7 +173,7 @@
 	return s
 }
 
-// shares returns the parts' weights with a sum of 1.
+// shares returns the parts' weights, normalized to a sum of 1.
 func (w *world) shares() (shares [partCount]float64) {
 	sum := 0.0
 	for i := range shares {
@@ -197,13 +199,14 @@
 	return durations, factor
 }
 
-// Range and number of bisections of scores in answeredBy.
+// Range of scores and number of bisections in answeredBy.
 const (
 	maxBisectedScore = 9.0
 	bisections       = 50
 )
 
-// answeredBy returns the probability that a part has answered after a duration, by bisection of its delay.
+// answeredBy returns the probability that a part has answered after a duration. It finds the score whose delay is that
+// duration by bisection.
 func (w *world) answeredBy(part int, progress float64, duration time.Duration) float64 {
 	low, high := -maxBisectedScore, maxBisectedScore
 	if w.delay(part, progress, high) <= duration {
