--- a/internal/trials/measure/bodies.go
+++ b/internal/trials/measure/bodies.go
@@ -16,12 +16,12 @@
 	"time"
 )
 
-// BodiesOptions are the options of measuring bodies of some sizes through a node and a proxy.
+// BodiesOptions are the options of Bodies.
 type BodiesOptions struct {
 	Program  string
 	Sizes    []int64 // bytes of one body
-	Workers  int     // concurrent bodies, in one direction
-	Rounds   int     // pairs of runs a row
+	Workers  int     // concurrent bodies in each direction
+	Rounds   int     // pairs of runs per row
 	Duration time.Duration
 	MemoryMB int // memory limit of the node
 	Progress io.Writer
@@ -29,19 +29,19 @@
 
 // Flow is the result of one run, or the medians of several.
 type Flow struct {
-	MBs        float64 `json:"mb_s"`      // megabytes of 10^6 bytes a second
-	CPU        float64 `json:"cpu_ms_mb"` // of the process, in ms a megabyte
+	MBs        float64 `json:"mb_s"`      // megabytes of 10^6 bytes per second
+	CPU        float64 `json:"cpu_ms_mb"` // CPU time of the process per megabyte, in ms
 	Memory     float64 `json:"memory_mb"` // peak resident memory, in 2^20 bytes
 	Incomplete int64   `json:"bad"`       // incomplete bodies
-	Refused    int64   `json:"refused"`   // answers of 503, after which a client retries
+	Refused    int64   `json:"refused"`   // answers with status 503, after which a client retries
 	Bodies     int64   `json:"bodies"`    // complete bodies
-	FirstError string  `json:"why"`       // the error of the first incomplete body
+	FirstError string  `json:"why"`       // error of the first incomplete body
 }
 
-// BodiesRow compares node and proxy at a size, in one direction.
+// BodiesRow compares node and proxy for bodies of a size.
 type BodiesRow struct {
 	Size      int64  `json:"size"`
-	Direction string `json:"way"` // down, up, or both at once
+	Direction string `json:"way"` // down, up, or both at the same time
 	Node      Flow   `json:"node"`
 	Proxy     Flow   `json:"proxy"`
 }
@@ -63,7 +63,7 @@
 service = "app"
 `
 
-// Bodies compares a node with the standard library's reverse proxy on bodies of some sizes.
+// Bodies compares a node with the standard library's reverse proxy for bodies of the sizes in the options.
 func Bodies(ctx context.Context, o BodiesOptions, directions []string) ([]BodiesRow, error) {
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -73,7 +73,7 @@
 	go srv.Serve(l) //nolint:errcheck // ends with its listener
 	defer srv.Close()
 	var list []string
-	for i := range 8 { // as several servers of one address, as a proxy does not limit the load of one
+	for i := range 8 { // the node limits the load of each server and the proxy does not, so one address stands for several
 		list = append(list, fmt.Sprintf("{ uid = \"s%d\", endpoint = %q }", i, l.Addr().String()))
 	}
 	file, err := writeConfig(fmt.Sprintf(bodiesConfig, o.MemoryMB, strings.Join(list, ", ")))
@@ -119,7 +119,7 @@
 
 var zeros = make([]byte, 64<<10)
 
-// bodyServer sends as many bytes as a request asks for, or reads a request body and answers with its
+// bodyServer sends as many bytes as a GET request asks for, or reads the body of another request and answers with its
 // length.
 func bodyServer(w http.ResponseWriter, r *http.Request) {
 	if n, err := strconv.ParseInt(r.URL.Query().Get("n"), 10, 64); err == nil && r.Method == http.MethodGet {
@@ -140,7 +140,7 @@
 	}
 }
 
-// zeroReader reads n zeros.
+// zeroReader is a reader of as many zero bytes as remaining.
 type zeroReader struct{ remaining int64 }
 
 func (z *zeroReader) Read(p []byte) (int, error) {
@@ -153,7 +153,7 @@
 	return n, nil
 }
 
-// watchMemory samples a process's resident memory; stop ends that and returns the peak, in MB.
+// samplePeakMemory samples a process's resident memory. stop ends the sampling and returns the peak, in 2^20 bytes.
 func samplePeakMemory(pid int) (stop func() float64) {
 	peakMB, ended, end := 0.0, make(chan struct{}), make(chan struct{})
 	go func() {
@@ -174,8 +174,8 @@
 	}
 }
 
-// flow has clients send or fetch bodies through a program for the measured duration; each body is
-// completed.
+// runFlow has clients send or fetch bodies through a program for the duration in the options. A body that has begun by
+// then is completed.
 func (o BodiesOptions) runFlow(ctx context.Context, size int64, direction string, args ...string) (Flow, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -199,7 +199,7 @@
 	runWorker := func(transfer func() (int64, error)) {
 		for first := true; first || time.Since(started) < o.Duration; first = false {
 			n, err := transfer()
-			for errors.Is(err, errRejected) && time.Since(started) < rejectionRetryPeriod { // sent with Retry-After
+			for errors.Is(err, errRejected) && time.Since(started) < rejectionRetryPeriod { // the answer has a Retry-After header
 				rejected.Add(1)
 				time.Sleep(time.Second)
 				n, err = transfer()
@@ -242,7 +242,7 @@
 	errRejected  = errors.New("refused")
 )
 
-// refusedFor is how long a rejected client retries.
+// rejectionRetryPeriod is the time for which a client retries rejected requests.
 const rejectionRetryPeriod = 5 * time.Minute
 
 func fetch(c *http.Client, addr string, size int64) (int64, error) {
@@ -285,7 +285,7 @@
 	return size, nil
 }
 
-// residentOf returns the resident memory of a process, in 2^20 bytes, from /proc/PID/status (proc(5)).
+// residentMemoryMB returns the resident memory of a process, in 2^20 bytes, from /proc/PID/status (proc(5)).
 func residentMemoryMB(pid int) float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/internal/trials/measure/change.go
+++ b/internal/trials/measure/change.go
@@ -18,28 +18,28 @@
 	"lockflow/internal/testsupport/testbench"
 )
 
-// ReloadOptions are the options of measuring reloads.
+// ReloadOptions are the options of Reloads.
 type ReloadOptions struct {
 	Rounds   int
 	Duration time.Duration // of each run
-	Every    time.Duration // from one reload to the next
+	Every    time.Duration // interval between reloads
 	Clients  int
 	Progress io.Writer
 }
 
-// ReloadRow is a run without reloads, or with them.
+// ReloadRow is the result of a run with or without reloads.
 type ReloadRow struct {
 	Reloads int     `json:"reloads"`
-	Rate    float64 `json:"rate"`  // served a second
-	First   float64 `json:"first"` // the same, of the first quarter of the run
+	Rate    float64 `json:"rate"`  // calls served per second
+	First   float64 `json:"first"` // Rate in the first quarter of the run
 	P99     float64 `json:"p99_ms"`
 	Refused int     `json:"refused"`
 	Lost    int     `json:"lost"` // calls without an answer, with another call's answer, or failed
 	Twice   int     `json:"twice"`
 }
 
-// Reloads measures the cost of reloads that change services, in turn with runs without reloads. It returns
-// pairs of rows, the one without reloads first.
+// Reloads measures the cost of reloads that change services. Runs with and without reloads alternate. It returns pairs of
+// rows, the one without reloads first.
 func Reloads(ctx context.Context, o ReloadOptions) ([][2]ReloadRow, error) {
 	var rows [][2]ReloadRow
 	for round := range o.Rounds {
@@ -90,7 +90,7 @@
 			select {
 			case <-t.C:
 				text := testbench.WithDescriptors(512)
-				if row.Reloads%2 == 0 { // a plan and a limit change
+				if row.Reloads%2 == 0 { // alternates between 5 attempts and the default
 					text = strings.Replace(text, "[services.rosters]", "[services.rosters]\nattempts = 5", 1)
 				}
 				if err := l.Reload(text); err != nil {
@@ -110,17 +110,17 @@
 	return row, nil
 }
 
-// UpgradeOptions are the options of measuring upgrades.
+// UpgradeOptions are the options of Upgrades.
 type UpgradeOptions struct {
 	Program  string
 	Dir      string
 	Upgrades int
-	Every    time.Duration // from one to the next
-	Clients  int           // with a persistent connection, and as many with a new one for each call
+	Every    time.Duration // interval between upgrades
+	Clients  int           // clients with a persistent connection; as many again open a new one for each call
 	Progress io.Writer
 }
 
-// UpgradeReport is the result of upgrades under load.
+// UpgradeReport is the result of Upgrades.
 type UpgradeReport struct {
 	Upgrades  int     `json:"upgrades"`
 	Calls     int     `json:"calls"`
@@ -128,12 +128,12 @@
 	Refused   int     `json:"refused"`
 	Lost      int     `json:"lost"`
 	Twice     int     `json:"twice"`
-	Around    Times   `json:"around"` // of calls sent in the 2 s around an upgrade
-	Quiet     Times   `json:"quiet"`  // of all other calls
+	Around    Times   `json:"around"` // latencies of calls sent less than 1 s before or after the start of an upgrade, 2 s in all
+	Quiet     Times   `json:"quiet"`  // latencies of all other calls
 	Durations []int64 `json:"took_ms"`
 }
 
-// Times are quantiles of latencies in ms.
+// Times are the number and the quantiles of latencies in ms.
 type Times struct {
 	N   int     `json:"n"`
 	P50 float64 `json:"P50,omitempty"`
@@ -202,7 +202,8 @@
 	return rep, nil
 }
 
-// answers adds the latencies of calls, around upgrades and at other times.
+// addLatencies sets the latencies of calls around upgrades and of all other calls, and counts attempts without a
+// connection.
 func (r *UpgradeReport) addLatencies(answers []fake.Answer, upgrades []time.Time) {
 	var around, quiet fake.Times
 	for _, a := range answers {
@@ -219,7 +220,7 @@
 	r.Around, r.Quiet = latencyTimes(&around), latencyTimes(&quiet)
 }
 
-// visitUpdate is a write with a key of its own.
+// visitUpdate returns a write with a new idempotency key.
 func visitUpdate(rng *rand.Rand) fake.Call {
 	return fake.Call{
 		Kind: "x", Host: "care.example", Method: "POST", Path: "/visit-update", Plan: "standard", Body: "swap",
--- a/internal/trials/measure/disturb.go
+++ b/internal/trials/measure/disturb.go
@@ -13,9 +13,10 @@
 	"lockflow/internal/fleet"
 )
 
-// Disturbances of the instances of a measured fleet.
+// This file has the disturbances of the instances of a measured fleet.
 
-// disturb disturbs an instance, unless another disturbance of it is running.
+// disturb reloads, upgrades, restarts or kills an instance, depending on kind, unless another disturbance of that
+// instance is in progress.
 func (r *fleetRig) disturb(ctx context.Context, i, kind int) {
 	r.mu.Lock()
 	if r.busy[i] {
@@ -81,8 +82,8 @@
 	r.report.Failed = append(r.report.Failed, text)
 }
 
-// restartHalf restarts half of the instances at once in the middle of the run, just after a server that is
-// warming up was added, if any are.
+// restartHalf restarts half of the instances at the same time in the middle of the run. If the options add servers, it
+// starts one that warms up just before.
 func (r *fleetRig) restartHalf(ctx context.Context) {
 	select {
 	case <-time.After(r.options.Duration / 2):
@@ -102,10 +103,10 @@
 	all.Wait()
 }
 
-// drainDisturbance is the disturbance that drains an instance.
+// drainDisturbance is the kind of disturbance that drains and restarts an instance.
 const drainDisturbance = 8
 
-// avoid has clients avoid an instance, as a load balancer does before a planned shutdown.
+// avoid makes clients avoid an instance, as a load balancer does before a planned shutdown, and waits for leadTime.
 func (r *fleetRig) avoid(i int) {
 	r.mu.Lock()
 	r.avoided[i] = true
@@ -113,7 +114,7 @@
 	time.Sleep(leadTime)
 }
 
-// awaitRestart waits until an instance serves again, in another process.
+// awaitRestart waits until an instance is ready in a process other than pid.
 func (r *fleetRig) awaitRestart(ctx context.Context, i, pid int) error {
 	for {
 		if s, err := r.run.Members[i].Client.Status(ctx); err == nil && s.PID != pid && s.IsReady() {
--- a/internal/trials/measure/faults.go
+++ b/internal/trials/measure/faults.go
@@ -15,30 +15,30 @@
 	"lockflow/internal/trials/regiontrial"
 )
 
-// FaultsOptions are the options of trials under faults.
+// FaultsOptions are the options of Faults and Change.
 type FaultsOptions struct {
 	Program   string
-	Dir       string // short and empty; nodes' files of failed trials stay there
+	Dir       string // must be empty and its path short; the nodes' files of failed trials stay there
 	Processes int
 	Servers   int
-	Clients   int // of each process
-	Faults    int // of a script; 0 is one for each link and process, and one more
+	Clients   int // number of clients of each process
+	Faults    int // number of faults of a script; 0 means one for each link and process, plus one
 	Duration  time.Duration
 	Seed      uint64
 	Seeds     int
-	Script    *faultnet.Script // used instead of drawn ones
-	Shrinks   int              // runs for shortening a failed script; 0 is none
+	Script    *faultnet.Script // script that is used instead of random ones
+	Shrinks   int              // maximum runs to shorten a failed script; 0 disables shortening
 	Progress  io.Writer
 }
 
-// FaultsReport is the result of trials under faults.
+// FaultsReport is the result of Faults.
 type FaultsReport struct {
 	Rows           []*trial.Report `json:"rows"`
 	ShortestScript string          `json:"least,omitempty"`   // the shortened script of the first seed that failed
-	Failing        string          `json:"failing,omitempty"` // its violations
+	Failing        string          `json:"failing,omitempty"` // violations in that seed's trial
 }
 
-// Faults runs a trial for each seed. It ends at the first that fails, and shortens its script.
+// Faults runs a trial for each seed. It stops at the first trial that fails, and shortens the script of that one.
 func Faults(ctx context.Context, o FaultsOptions) (*FaultsReport, error) {
 	rows, shortest, failing, err := runSeeds(ctx, o, "faults", func(seed uint64) faultnet.Script { return FaultsScript(o, seed) },
 		func(dir string, s faultnet.Script) (*trial.Report, []string, error) {
@@ -55,15 +55,15 @@
 	return &FaultsReport{rows, shortest, failing}, err
 }
 
-// ChangeReport is the result of changes over three regions.
+// ChangeReport is the result of Change.
 type ChangeReport struct {
 	Rows           []*regiontrial.Report `json:"rows"`
 	ShortestScript string                `json:"least,omitempty"`
 	Failing        string                `json:"failing,omitempty"`
 }
 
-// Change does the same with a change over three regions that send scatter-gather queries to each other; each
-// has a third of the processes.
+// Change does the same as Faults with a change over three regions that send scatter-gather queries to each other. Each
+// region has a third of the processes.
 func Change(ctx context.Context, o FaultsOptions) (*ChangeReport, error) {
 	each := o.Processes / len(regiontrial.Regions())
 	rows, shortest, failing, err := runSeeds(ctx, o, "change", func(seed uint64) faultnet.Script { return regiontrial.Draw(seed, each, o.Faults, o.Duration) },
@@ -79,8 +79,8 @@
 	return &ChangeReport{rows, shortest, failing}, err
 }
 
-// overSeeds runs the scripts of seeds, or the given one, until one fails, and shortens that. The files of
-// failed trials stay.
+// runSeeds runs the random script of each seed, or only the script in the options, until one fails, and shortens that
+// one. The files of failed trials stay.
 func runSeeds[R any](ctx context.Context, o FaultsOptions, what string, draw func(seed uint64) faultnet.Script,
 	run func(dir string, s faultnet.Script) (R, []string, error), place func(link int) string,
 ) (rows []R, shortest, failing string, err error) {
@@ -128,7 +128,7 @@
 	return rows, "", "", nil
 }
 
-// FaultsScript is the script of a seed.
+// FaultsScript returns the random script of a seed.
 func FaultsScript(o FaultsOptions, seed uint64) faultnet.Script {
 	return faultnet.Draw(seed, faultnet.Spec{
 		Links: trial.Links(o.Processes, o.Servers), Procs: o.Processes, For: o.Duration, Faults: o.Faults,
@@ -136,7 +136,7 @@
 	})
 }
 
-// Legend returns the text of a script with comments on its links, which Parse reads.
+// Legend returns the text of a script with a comment on the endpoints of each link. Parse reads that text.
 func Legend(s faultnet.Script, place func(link int) string) string {
 	lines := strings.Split(strings.TrimSpace(s.String()), "\n")
 	for i, e := range s.Entries {
--- a/internal/trials/measure/fleet.go
+++ b/internal/trials/measure/fleet.go
@@ -26,34 +26,34 @@
 	fleetCores     = 2
 	fleetWarmup    = 6 * time.Second // as in fleet.toml
 	fleetLag       = 1500 * time.Millisecond
-	drainNotified  = 2 * time.Second // after which a draining server gets no new requests
+	drainNotified  = 2 * time.Second // time from notification after which a draining server must get no new requests
 	enterpriseFrom = 1 << 20
 	hardLimitRate  = 20 // as in fleet.toml
 	hardLimitBurst = 40
 	hardLimitSlack = 8
 	spread         = 4
-	retryTimeout   = 8 * time.Second        // after a client's first attempt; less than the repeat window
-	leadTime       = 150 * time.Millisecond // between clients avoiding an instance and its SIGTERM
+	retryTimeout   = 8 * time.Second        // measured from a client's first attempt; less than the repeat window
+	leadTime       = 150 * time.Millisecond // time for which clients avoid an instance before it gets SIGTERM
 )
 
-// FleetOptions are the options of measuring a fleet.
+// FleetOptions are the options of Fleet.
 type FleetOptions struct {
 	Program           string
-	Dir               string // for the instances' files; has to be short and empty
+	Dir               string // directory of the instances' files; must be empty and its path short
 	Env               []string
 	Instances         int
-	GroupSize         int // configured group size; 0 is Instances
+	GroupSize         int // configured group size; 0 means Instances
 	Duration          time.Duration
-	Every             time.Duration // from one disturbance to the next; 0 is none
-	Rate              int           // calls a second
-	Servers           int           // initial servers, of two cores each
-	Work              time.Duration // of a call on one core
-	NewServerInterval time.Duration // from one new server to the next; 0 is none
+	Every             time.Duration // interval between disturbances; 0 disables them
+	Rate              int           // calls per second
+	Servers           int           // initial servers, with two cores each
+	Work              time.Duration // CPU time of a call on one core
+	NewServerInterval time.Duration // interval between new servers; 0 disables them
 	Seed              uint64
 	Progress          io.Writer
 }
 
-// FleetReport is the result of measuring a fleet.
+// FleetReport is the result of Fleet.
 type FleetReport struct {
 	Instances         int                     `json:"instances"`
 	GroupSize         int                     `json:"told"`
@@ -63,36 +63,36 @@
 	Servers           fake.Counts             `json:"servers"`
 	Late              int                     `json:"late"`        // requests to a draining server, 2 s after the notification
 	WarmingUp         int                     `json:"cold"`        // servers that started during the run
-	Overloaded        int                     `json:"fallen"`      // of them, overloaded while warming up
-	WorstOverload     float64                 `json:"worst"`       // peak load of one, relative to its limit
-	OverLimit         float64                 `json:"over"`        // largest excess over a customer's hard limit, in units
+	Overloaded        int                     `json:"fallen"`      // number of WarmingUp that were overloaded while warming up
+	WorstOverload     float64                 `json:"worst"`       // peak load of a server while warming up, relative to its limit
+	OverLimit         float64                 `json:"over"`        // largest excess of a customer over its hard limit, in units
 	Slack             float64                 `json:"slack"`       // allowed excess
 	EnterpriseUnits   float64                 `json:"enterprise"`  // units of customers with a hard limit
 	Reloads           int                     `json:"reloads"`     //
 	Upgrades          int                     `json:"upgrades"`    //
-	Ends              int                     `json:"ends"`        // by SIGTERM, with a start after each
-	Kills             int                     `json:"kills"`       // by SIGKILL
+	Ends              int                     `json:"ends"`        // processes ended by SIGTERM and started again
+	Kills             int                     `json:"kills"`       // processes ended by SIGKILL
 	Failed            []string                `json:"failed"`      // disturbances that did not complete
-	IdleMem           int                     `json:"idle_kb"`     // resident, mean
-	IdleFDs           int                     `json:"idle_fds"`    // mean
-	IdleCPU           float64                 `json:"idle_cpu_ms"` // a second, mean
+	IdleMem           int                     `json:"idle_kb"`     // mean resident memory of an idle instance
+	IdleFDs           int                     `json:"idle_fds"`    // mean number of open descriptors of an idle instance
+	IdleCPU           float64                 `json:"idle_cpu_ms"` // mean CPU time of an idle instance per second
 	DegradedInstances int                     `json:"doubting"`    // instances with a contradicted group size at the end
 	Wrong             []string                `json:"wrong"`       // violated rules
 }
 
-// fleetRig is a fleet that is being measured.
+// fleetRig is the state of a measurement of a fleet.
 type fleetRig struct {
 	options    FleetOptions
 	run        *fleet.Run
 	discovery  *fake.Discovery
 	executions *fake.Executions
 	hardLimit  *fake.HardLimitMonitor
-	group      *fake.Group // all servers drop repeats of a key as one group, as a client may retry at another instance
+	group      *fake.Group // deduplicates keys across all servers, since a client may retry at another instance
 	report     *FleetReport
 
 	mu            sync.Mutex
 	avoided       map[int]bool           // instances that clients avoid
-	killed        map[string][]time.Time // when, by address
+	killed        map[string][]time.Time // times of kills, by address
 	servers       []*fake.Running
 	warmingUp     []*fake.Running
 	removed       []*fake.Running
@@ -101,8 +101,8 @@
 	progressMutex sync.Mutex
 }
 
-// Fleet runs a fleet of real processes under load and random disturbances and checks the result
-// against the rules.
+// Fleet runs a fleet of real processes under load and random disturbances. It checks the results against rules, such as
+// that no request is lost, and reports violations.
 func Fleet(ctx context.Context, o FleetOptions) (*FleetReport, error) {
 	r := &fleetRig{
 		options: o, executions: &fake.Executions{}, group: &fake.Group{Window: 15 * time.Second}, avoided: make(map[int]bool), killed: make(map[string][]time.Time), busy: make(map[int]bool),
@@ -118,7 +118,7 @@
 	}
 	defer r.discovery.Close()
 	var lags atomic.Uint64
-	r.discovery.SetLag(func() time.Duration { // differs by the order in which instances poll
+	r.discovery.SetLag(func() time.Duration { // varies over the polls, so that instances are notified at different times
 		return time.Duration(lags.Add(1)*7%10) * fleetLag / 10
 	})
 	defer r.closeServers()
@@ -163,7 +163,7 @@
 	fmt.Fprintf(r.options.Progress, format+"\n", args...)
 }
 
-// idle measures the cost of instances without requests.
+// measureIdle measures memory, descriptors and CPU time of instances without requests.
 func (r *fleetRig) measureIdle(ctx context.Context) error {
 	before := fleet.PollStatus(ctx, r.run.Members)
 	used := make([]time.Duration, len(before))
@@ -202,7 +202,7 @@
 	return nil
 }
 
-// play sends the load and disturbs the fleet meanwhile.
+// runLoad sends the load and disturbs the fleet while it lasts.
 func (r *fleetRig) runLoad(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, r.options.Duration)
 	defer cancel()
@@ -239,14 +239,14 @@
 	r.report.Servers = r.executions.Counts()
 }
 
-// fleetCall returns calls of many customers, each with a fan-out of a few instances.
+// fleetCall returns a generator of calls of many customers, each with a fan-out of a few instances.
 func fleetCall(instances int) func(*rand.Rand) fake.Call {
 	return func(rng *rand.Rand) fake.Call {
 		c := fake.Call{
 			Host: "care.example", Method: "GET", Path: "/roster-read/week", Kind: "roster-read", Plan: "standard",
 			Customer: rng.Uint64N(500), Deadline: 3 * time.Second, Spread: min(spread, instances),
 		}
-		if rng.IntN(3) == 0 { // a few exceed their hard limit
+		if rng.IntN(3) == 0 { // four customers, which exceed their hard limits
 			c.Customer, c.Plan = enterpriseFrom+rng.Uint64N(4), "enterprise"
 		}
 		c.First = int(c.Customer) * 7 % instances
@@ -261,8 +261,8 @@
 	}
 }
 
-// pick returns an instance of the customer's set that clients do not avoid, if possible another one than
-// the last.
+// pickAddress returns the address of a random instance of the customer's set that clients do not avoid, if possible
+// a different one from the last. If all are avoided, it returns one of them.
 func (r *fleetRig) pickAddress(rng *rand.Rand, c fake.Call, last string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -287,7 +287,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, at := range r.killed[addr] {
-		// The kill is noted before it happens.
+		// A kill is recorded before the signal is sent, so it may also hit an attempt that starts up to a second later.
 		if at.After(since.Add(-time.Second)) {
 			return true
 		}
@@ -295,7 +295,7 @@
 	return false
 }
 
-// startServer starts a server, which warms up for a time if warmUp is above 0.
+// startServer starts and publishes a server. It warms up for a time if warmUp is above 0.
 func (r *fleetRig) startServer(warmUp time.Duration) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -315,7 +315,7 @@
 	return nil
 }
 
-// change repeatedly replaces the oldest server, which drains, by a new one that is warming up.
+// replaceServers repeatedly starts a server that warms up, and drains and removes the oldest one.
 func (r *fleetRig) replaceServers(ctx context.Context) {
 	t := time.NewTicker(r.options.NewServerInterval)
 	defer t.Stop()
@@ -331,7 +331,7 @@
 		r.mu.Unlock()
 		e := old.Entry()
 		e.State = "draining"
-		old.Drain(fleetLag + drainNotified) // the last instance is notified by then
+		old.Drain(fleetLag + drainNotified) // all instances have been notified by then
 		r.discovery.Publish(e)
 		time.AfterFunc(fleetLag+drainNotified+2*time.Second, func() {
 			e.State = "removed"
@@ -353,7 +353,7 @@
 	}
 }
 
-// judge checks the counts against the rules.
+// checkResults checks the results against the rules.
 func (r *fleetRig) checkResults() {
 	rep := r.report
 	wrong := func(format string, args ...any) { rep.Wrong = append(rep.Wrong, fmt.Sprintf(format, args...)) }
--- a/internal/trials/measure/gather.go
+++ b/internal/trials/measure/gather.go
@@ -12,12 +12,12 @@
 	"time"
 )
 
-// GatherOptions are the options of measuring scatter-gather queries.
+// GatherOptions are the options of Gather.
 type GatherOptions struct {
-	Program  string // lockflow's own file, started anew for each run
-	Parts    []int  // each its own row
-	Workers  int    // clients
-	Rounds   int    // pairs of runs a row
+	Program  string // executable of lockflow, started for each run
+	Parts    []int  // numbers of parts, one for each row
+	Workers  int    // number of clients
+	Rounds   int    // pairs of runs per row
 	Duration time.Duration
 	Progress io.Writer
 }
@@ -25,19 +25,19 @@
 // GatherRow compares queries over a number of parts with the same calls sent one by one.
 type GatherRow struct {
 	Parts    int     `json:"parts"`
-	Query    float64 `json:"query_cpu_us"` // of the node, a query
-	Plain    float64 `json:"plain_cpu_us"` // of the node, as many plain calls
-	Part     float64 `json:"part_cpu_us"`  // of a query, a part
-	Ratio    float64 `json:"cpu_ratio"`    // median of the pairs'
+	Query    float64 `json:"query_cpu_us"` // CPU time of the node per query
+	Plain    float64 `json:"plain_cpu_us"` // CPU time of the node for as many separate calls
+	Part     float64 `json:"part_cpu_us"`  // CPU time of a query per part
+	Ratio    float64 `json:"cpu_ratio"`    // median of the pairs' ratios, query over separate calls
 	MinRatio float64 `json:"ratio_least"`
 	MaxRatio float64 `json:"ratio_most"`
-	P50      float64 `json:"p50_ms"` // of a query
+	P50      float64 `json:"p50_ms"` // median latency of a query
 	Failed   int     `json:"failed"` // incomplete answers
 }
 
 const gatherAnswer = `[{"visit":1,"name":"a"},{"visit":2,"name":"b"}]`
 
-// Gather measures the cost of a query and of the same calls sent separately, in turn.
+// Gather measures the cost of a query and that of the same calls sent separately. Both kinds of run alternate.
 func Gather(ctx context.Context, o GatherOptions) ([]GatherRow, error) {
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -77,7 +77,8 @@
 	return rows, nil
 }
 
-// gatherText is a node's configuration of so many parts, each also by a route of its own.
+// gatherConfig returns a node's configuration with a query over the given number of parts, each of which also has its
+// own route.
 func gatherConfig(server string, parts int) string {
 	var names []string
 	s := "[process]\ndescriptors = 4096\n[[listeners]]\naddress = \"127.0.0.1:0\"\n"
@@ -89,7 +90,7 @@
 		"[[routes]]\nservice = \"all\"\npath = \"/all\"\n"
 }
 
-// rounds has workers run rounds for a duration, and returns the duration of each and the number that failed.
+// runRounds has workers call runRound for a duration, and returns the duration of each call and the number that failed.
 func runRounds(ctx context.Context, workers int, duration time.Duration, runRound func() bool) (durations []time.Duration, failed int) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -112,7 +113,7 @@
 	return durations, failed
 }
 
-// gatherRun returns the CPU of the node, in us, for a query or for the same calls sent separately.
+// gatherRun returns the CPU time of the node, in us, for a query or for the same calls sent separately.
 func gatherRun(ctx context.Context, o GatherOptions, server string, parts int, isGathered bool) (cpu, p50 float64, failed int, err error) {
 	file, err := writeConfig(gatherConfig(server, parts))
 	if err != nil {
@@ -145,7 +146,7 @@
 		}
 		return ok
 	}
-	runRounds(ctx, o.Workers, o.Duration/4, runRound) // establishes connections and learns latencies
+	runRounds(ctx, o.Workers, o.Duration/4, runRound) // warm-up: connections are established and the node learns latencies
 	before, err := processCPUTime(node.Process.Pid)
 	if err != nil {
 		return 0, 0, 0, err
--- a/internal/trials/measure/isolation.go
+++ b/internal/trials/measure/isolation.go
@@ -11,35 +11,35 @@
 	"lockflow/internal/testsupport/testbench"
 )
 
-// IsolationOptions are the options of measuring a stalled pool.
+// IsolationOptions are the options of RunIsolation.
 type IsolationOptions struct {
 	Descriptors     int
 	Rounds          int           // pairs of runs
 	Duration        time.Duration // of one run
-	DocumentClients int           // clients of the documents
+	DocumentClients int           // clients of the documents service
 	Progress        io.Writer
 }
 
-// Isolation is the result of one service while the other's servers answered, and while they
+// Isolation is the result of the rosters service while the servers of the documents service answered, and while they
 // were stalled.
 type Isolation struct {
 	Descriptors int      `json:"descriptors"`
 	Calm        Served   `json:"calm"`
 	Stalled     Served   `json:"stalled"`
 	P99Ratio    float64  `json:"p99_ratio"` // median of the pairs' ratios, stalled over calm
-	Parts       []string `json:"parts"`     // of each service, in the last stalled run
+	Parts       []string `json:"parts"`     // resource usage of each service in the last stalled run
 }
 
-// Served is a service's figures; medians over the rounds.
+// Served holds the figures of a service in one run, or the medians over the rounds.
 type Served struct {
 	Share float64 `json:"share"`
 	P50   float64 `json:"p50_ms"`
 	P99   float64 `json:"p99_ms"`
-	Lost  int     `json:"lost"` // in all rounds
+	Lost  int     `json:"lost"` // sum over all rounds
 }
 
-// RunIsolation sends a steady stream of roster calls concurrently with many document clients,
-// with the document servers answering and stalled, in turn.
+// RunIsolation sends a steady stream of roster calls concurrently with many document clients. Runs with answering and
+// with stalled document servers alternate.
 func RunIsolation(ctx context.Context, o IsolationOptions) (Isolation, error) {
 	out := Isolation{Descriptors: o.Descriptors}
 	var calm, stalled []Served
@@ -87,7 +87,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	documents := fake.Clients{Addr: l.Node.Addr(), Seed: seed, Workers: o.DocumentClients, Call: func(rng *rand.Rand) fake.Call {
-		time.Sleep(time.Duration(300+rng.IntN(400)) * time.Millisecond) // of a person, or after a refusal
+		time.Sleep(time.Duration(300+rng.IntN(400)) * time.Millisecond) // a user's think time, or the pause after a rejection
 		c := testbench.DocumentCall(rng)
 		c.Deadline = 20 * time.Second
 		return c
--- a/internal/trials/measure/proxy.go
+++ b/internal/trials/measure/proxy.go
@@ -1,5 +1,5 @@
-// Package measure compares a node with other programs or settings: with the same fake peers and in
-// turn, so that a drift of the machine's speed does not affect the comparison.
+// Package measure compares a node with other programs or settings. The compared runs use the same fake peers and
+// alternate, so that a drift of the machine's speed does not affect the comparison.
 package measure
 
 import (
@@ -28,25 +28,25 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// ProxyOptions are the options of a comparison with net/http/httputil.ReverseProxy.
+// ProxyOptions are the options of Proxy.
 type ProxyOptions struct {
-	Program     string        // lockflow's own file, started anew as each of the two
-	Connections []int         // of clients, each its own row
-	Rounds      int           // pairs of runs a row
+	Program     string        // executable of lockflow, started as the node and as the proxy
+	Connections []int         // numbers of client connections, one for each row
+	Rounds      int           // pairs of runs per row
 	Duration    time.Duration // of one run
-	Protocol    string        // that the node speaks: "platform" or "http"
+	Protocol    string        // protocol of the node: "platform" or "http"
 	Progress    io.Writer
 
-	slow int // further clients whose requests take slowUnits times the servers' work
+	slow int // additional clients whose requests take slowRequestUnits times the servers' work
 }
 
-// slowUnits is the work of a request of a slow client, relative to others.
+// slowRequestUnits is the work of a slow client's request, relative to that of other requests.
 const slowRequestUnits = 1000
 
 // Side is the result of one run, or the medians of several.
 type Side struct {
-	CPU     float64 `json:"cpu_us"` // of the process, a request
-	Rate    float64 `json:"rate"`   // answers a second
+	CPU     float64 `json:"cpu_us"` // CPU time of the process per request
+	Rate    float64 `json:"rate"`   // answers per second
 	P50     float64 `json:"p50_ms"`
 	P99     float64 `json:"p99_ms"`
 	Refused int     `json:"refused"` // in all runs
@@ -88,7 +88,7 @@
 service = "rosters"
 `
 
-// Proxy compares a node with a reverse proxy.
+// Proxy compares a node with net/http/httputil.ReverseProxy.
 func Proxy(ctx context.Context, o ProxyOptions) ([]ProxyRow, error) {
 	var servers []fake.Server
 	for i := range 4 {
@@ -133,7 +133,7 @@
 	return rows, nil
 }
 
-// median returns the median of a value.
+// median returns the median of a value over all elements.
 func median[T any](all []T, of func(T) float64) float64 {
 	var v []float64
 	for _, one := range all {
@@ -157,7 +157,7 @@
 	return m
 }
 
-// run starts the program on one core, sends it load, and ends it.
+// run starts the program on one core, measures it under load, and ends it.
 func run(ctx context.Context, o ProxyOptions, connections int, seed uint64, args ...string) (Side, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -193,7 +193,7 @@
 		defer cancel()
 		return clients.Start(ctx).Wait()["x"]
 	}
-	sendLoad(o.Duration / 5) // connections are established and the concurrency limit grows
+	sendLoad(o.Duration / 5) // warm-up: connections are established and the concurrency limit grows
 	before, err := processCPUTime(cmd.Process.Pid)
 	if err != nil {
 		return Side{}, err
@@ -275,7 +275,7 @@
 	return file.Name(), nil
 }
 
-// get is a client's Get under a context.
+// get sends a GET request as http.Client.Get does, but with a context.
 func get(ctx context.Context, c *http.Client, url string) (*http.Response, error) {
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -284,7 +284,7 @@
 	return c.Do(q)
 }
 
-// cpuOf is the processor time that a process has used, from /proc/PID/stat (proc(5)).
+// processCPUTime returns the CPU time that a process has used, from /proc/PID/stat (proc(5)).
 func processCPUTime(pid int) (time.Duration, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -306,7 +306,8 @@
 	return time.Duration(sum) * 10 * time.Millisecond, nil
 }
 
-// ServeProxy is the other side: the standard library's reverse proxy over servers in turn.
+// ServeProxy serves as the proxy that Proxy and Bodies compare a node with: the standard library's reverse proxy, which
+// distributes requests round robin over servers.
 func ServeProxy(ctx context.Context, servers []string, log io.Writer) error {
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/trials/measure/rollout.go
+++ b/internal/trials/measure/rollout.go
@@ -26,52 +26,52 @@
 	"lockflow/internal/rolloutlog"
 )
 
-// rolloutRecoveries are the ways to recover from a killed coordinator: another one resumes or rolls back, which may
-// be killed too at one of its first writes.
+// rolloutRecoveries are the ways to recover from a killed coordinator: another coordinator resumes the change or rolls
+// it back. With "killed again" that one is killed too, at one of its first writes, and a third one takes over.
 var rolloutRecoveries = []string{"resume", "take-back", "resume, killed again", "take-back, killed again"}
 
-// RolloutOptions are the options of killing coordinators of staged changes.
+// RolloutOptions are the options of Rollout.
 type RolloutOptions struct {
 	Program    string
-	Dir        string // for all files; has to be short and empty
+	Dir        string // directory of all files; must be empty and its path short
 	Members    int
-	Kinds      []desiredstate.Kind // KindSettings, KindProgram
-	Kills      []int               // a coordinator is killed after write n, or before write -n; nil is each write of a change
-	Recoveries []string            // nil is all; more than one are taken in turn where Kills are given, and all at each write where not
-	Clients    int                 // of each member
+	Kinds      []desiredstate.Kind // KindSettings or KindProgram
+	Kills      []int               // writes to kill a coordinator at: after write n, or before it for -n; nil means each write of a change
+	Recoveries []string            // nil means all; taken in turn over Kills, or all of them at each write if Kills is empty
+	Clients    int                 // number of clients of each member
 	Seed       uint64
-	// Progress gets a line for each change.
+	// Progress receives a line for each change.
 	Progress io.Writer
 }
 
-// RolloutRow is a change whose coordinator was killed.
+// RolloutRow is the result of a change whose coordinator was killed.
 type RolloutRow struct {
 	Kind     desiredstate.Kind `json:"kind"`
-	Kill     int               `json:"kill"` // after this write, or before it where it is less than 0
+	Kill     int               `json:"kill"` // write after which it was killed, or before which if less than 0
 	Recovery string            `json:"way"`
-	Killed   int               `json:"killed"` // coordinators
-	State    string            `json:"state"`  // of all members at the end: new or old
-	Exit     int               `json:"exit"`   // of the last coordinator
+	Killed   int               `json:"killed"` // number of killed coordinators
+	State    string            `json:"state"`  // state of all members at the end: new or old
+	Exit     int               `json:"exit"`   // exit code of the last coordinator
 	Seconds  float64           `json:"seconds"`
 }
 
-// RolloutReport is the result of killing coordinators.
+// RolloutReport is the result of Rollout.
 type RolloutReport struct {
 	Rows            []RolloutRow   `json:"rows"`
-	Writes          map[string]int `json:"writes"` // of a complete change, by kind
+	Writes          map[string]int `json:"writes"` // number of writes of a complete change, by kind
 	Killed          int            `json:"killed"`
 	Claims          int            `json:"claims"`
-	Owned           int            `json:"owned"`  // epochs, each by one coordinator
-	Orders          int            `json:"orders"` // completed, or acknowledged again
+	Owned           int            `json:"owned"`  // epochs that a coordinator owned
+	Orders          int            `json:"orders"` // commands that completed or whose completion was repeated
 	Restarts        int            `json:"restarts"`
-	StartedCommands int            `json:"begun"` // commands that members have started, by their logs
+	StartedCommands int            `json:"begun"` // commands that members have started, according to their logs
 	Requests        int64          `json:"requests"`
 	Lost            int64          `json:"lost"`  // requests without an answer
-	Other           int64          `json:"other"` // answers that are another request's, or no 200
+	Other           int64          `json:"other"` // answers that belong to another request or have a status other than 200
 	Wrong           []string       `json:"wrong"`
 }
 
-// rolloutRig is a fleet whose coordinators are killed.
+// rolloutRig is the state of a run with a fleet whose coordinators are killed.
 type rolloutRig struct {
 	options        RolloutOptions
 	report         *RolloutReport
@@ -79,8 +79,8 @@
 	run            *fleet.Run
 	rng            *rand.Rand
 	changeCount    int
-	text           string    // of the settings at the start
-	programs       [2]string // each is what the other changes to
+	text           string    // settings at the start
+	programs       [2]string // program upgrades alternate between these two
 	currentProgram int
 	socketList     string
 
@@ -99,8 +99,8 @@
 service = "app"
 `
 
-// Rollout has a fleet of real processes under clients change again and again, and kills the coordinator at its
-// writes. After each another one has to bring all members to one state, the old or the new.
+// Rollout runs changes over a fleet of real processes under load, and kills the coordinator of each change at one of its
+// writes. After each kill another coordinator has to bring all members to the same state, the old or the new one.
 func Rollout(ctx context.Context, o RolloutOptions) (*RolloutReport, error) {
 	r := &rolloutRig{options: o, report: &RolloutReport{Writes: make(map[string]int)}, capture: newControlCapture(o.Members), rng: rand.New(rand.NewPCG(o.Seed, 5))}
 	if o.Progress == nil {
@@ -133,7 +133,8 @@
 	return r.report, nil
 }
 
-// kills kills coordinators of one kind of change, after each write, and before it.
+// killAtWrites runs changes of one kind, and kills their coordinators at the writes in the options, or before and after
+// each write.
 func (r *rolloutRig) killAtWrites(ctx context.Context, kind desiredstate.Kind) error {
 	for i, at := range r.options.Kills {
 		if _, err := r.runChange(ctx, kind, at, r.options.Recoveries[i%len(r.options.Recoveries)]); err != nil {
@@ -172,7 +173,7 @@
 	if err != nil {
 		return stop, err
 	}
-	for i := range r.programs { // bytes after the end of a program do not affect it, but change its hash
+	for i := range r.programs { // a byte appended to an executable changes its hash, but not its behaviour
 		r.programs[i] = filepath.Join(r.options.Dir, fmt.Sprint("program-", i))
 		if err := os.WriteFile(r.programs[i], append(bytes.Clone(raw), byte(i)), 0o700); err != nil {
 			return stop, err
@@ -202,7 +203,7 @@
 	return stop, os.WriteFile(r.socketList, []byte(list.String()), 0o600)
 }
 
-// client sends requests to a member and counts the answers. The path identifies a request.
+// sendRequests sends requests to a member until ctx ends, and counts the answers. The path identifies a request.
 func (r *rolloutRig) sendRequests(ctx context.Context, name, addr string) {
 	c := &http.Client{Transport: &http.Transport{}, Timeout: 20 * time.Second}
 	defer c.CloseIdleConnections()
@@ -232,7 +233,7 @@
 	}
 }
 
-// coordinator runs a coordinator. killed tells that it ended by SIGKILL.
+// runCoordinator runs a coordinator until it ends. killed reports whether it ended by SIGKILL.
 func (r *rolloutRig) runCoordinator(ctx context.Context, kill int, args ...string) (code int, killed bool, output string, err error) {
 	args = append([]string{"fleet", "--sockets", r.socketList, "--journal", r.journal(), "--kill-at", strconv.Itoa(kill)}, args...)
 	cmd := exec.CommandContext(ctx, r.options.Program, args...)
@@ -246,7 +247,8 @@
 
 func (r *rolloutRig) journal() string { return filepath.Join(r.options.Dir, "journal") }
 
-// nextChange returns the command's arguments for the next change of a kind, and the hash that members run after it.
+// nextChange returns the coordinator's arguments for the next change of a kind, and the hash of the settings or program
+// that members run after it.
 func (r *rolloutRig) nextChange(kind desiredstate.Kind) (args []string, hash string, err error) {
 	if kind == desiredstate.KindProgram {
 		raw, err := os.ReadFile(r.programs[1-r.currentProgram])
@@ -263,7 +265,8 @@
 	return []string{"reload", "--config", path}, desiredstate.Hash(text), nil
 }
 
-// addKilled adds a change whose first coordinator was killed to the report; none tells that it had not started.
+// addKilled adds to the report a change whose first coordinator was killed. notStarted tells that the coordinator was
+// killed before the change started.
 func (r *rolloutRig) addKilled(row RolloutRow, notStarted bool) {
 	r.report.Rows, r.report.Killed = append(r.report.Rows, row), r.report.Killed+row.Killed
 	if notStarted {
@@ -271,7 +274,8 @@
 	}
 }
 
-// state names what the members run now: the old, the new, or a mixture.
+// stateName returns "new" or "old" if all members run the same version, and "mixed" otherwise. now counts members by
+// hash.
 func (r *rolloutRig) stateName(now map[string]int, old, next string) string {
 	switch r.options.Members {
 	case now[next]:
@@ -283,16 +287,16 @@
 	}
 }
 
-// changeEnd is how a change ended.
+// changeOutcome describes how a change ended.
 type changeOutcome struct {
 	notStarted    bool // the change was not started
-	wasKilled     bool // its first coordinator was
-	needsRollback bool // it had to be taken back
-	foundFinished bool // the last coordinator found it over
-	exitCode      int  // the last coordinator's
+	wasKilled     bool // its first coordinator was killed
+	needsRollback bool // it had to be rolled back
+	foundFinished bool // the last coordinator found the change already finished
+	exitCode      int  // exit code of the last coordinator
 }
 
-// isWrong tells whether the change may not leave members in a state.
+// isWrong reports whether the members must not be in the given state after the change, or the exit code does not fit it.
 func (e *changeOutcome) isWrong(state string) bool {
 	switch {
 	case state == "mixed":
@@ -308,7 +312,8 @@
 	}
 }
 
-// change starts a change, kills its coordinator, and recovers it. killed tells whether the coordinator was killed.
+// runChange starts a change, kills its coordinator at a write, and recovers the change. killed reports whether the
+// coordinator was killed; it is false if the change has fewer writes.
 func (r *rolloutRig) runChange(ctx context.Context, kind desiredstate.Kind, kill int, recovery string) (killed bool, err error) {
 	started := time.Now()
 	r.changeCount++
@@ -334,7 +339,7 @@
 	if err != nil {
 		return false, err
 	}
-	// A coordinator that was killed before its first write has not started the change.
+	// A coordinator that is killed before its first write has not started the change.
 	isUnstarted := kill == -1 || len(records) == 0
 	log := output
 	flag, nextKill := "--"+strings.SplitN(recovery, ",", 2)[0], 0
@@ -370,7 +375,7 @@
 	return killed, nil
 }
 
-// runningHashes returns the hashes of the settings that members report, or of their processes' programs.
+// runningHashes counts members by the hash of the settings that they report, or of the executables of their processes.
 func (r *rolloutRig) runningHashes(ctx context.Context, kind desiredstate.Kind) (map[string]int, error) {
 	ctx, cancel := context.WithTimeout(ctx, 20*time.Second)
 	defer cancel()
@@ -393,7 +398,7 @@
 	return all, nil
 }
 
-// judge checks all observations against the rules.
+// checkResults checks all observations against the rules.
 func (r *rolloutRig) checkResults() {
 	p := r.report
 	p.Requests, p.Lost, p.Other = r.requests.Load(), r.lost.Load(), r.other.Load()
--- a/internal/trials/measure/servers.go
+++ b/internal/trials/measure/servers.go
@@ -12,34 +12,34 @@
 	"lockflow/internal/testsupport/testbench"
 )
 
-// ServersOptions are what a comparison of HTTP/1.1 and HTTP/2 to servers is made with.
+// ServersOptions are the options of Servers, the comparison of HTTP/1.1 and HTTP/2.
 type ServersOptions struct {
-	Program     string        // lockflow's own file, started anew for each run
-	Concurrency []int         // requests, each its own row
-	Rounds      int           // pairs of runs a row
+	Program     string        // executable of lockflow, started for each run
+	Concurrency []int         // numbers of concurrent requests, one for each row
+	Rounds      int           // pairs of runs per row
 	Duration    time.Duration // of one run
-	Work        time.Duration // of a server, a request
+	Work        time.Duration // time that a server works on a request
 	Progress    io.Writer
 }
 
 // ServersSide is the result of one protocol.
 type ServersSide struct {
 	Side
-	Dials           float64 `json:"dials"`       // connections made to the servers in a run: handshakes
-	OpenConnections float64 `json:"connections"` // peak number to all servers
-	// P99WithSlowClients is the p99 where four clients more have requests open that take a thousand times as long.
+	Dials           float64 `json:"dials"`       // connections opened to the servers in a run, each with a handshake
+	OpenConnections float64 `json:"connections"` // peak number of connections to all servers
+	// P99WithSlowClients is the p99 while four additional clients send requests that take a thousand times as long.
 	P99WithSlowClients float64 `json:"p99_beside_slow_ms"`
 }
 
-// ServersRow compares the protocols at a number of concurrent requests.
+// ServersRow compares the protocols with a number of concurrent requests.
 type ServersRow struct {
 	Concurrency int         `json:"at_once"`
 	HTTP1       ServersSide `json:"http1"`
 	HTTP2       ServersSide `json:"http2"`
-	Ratio       float64     `json:"cpu_ratio"` // median of the pairs', HTTP/2 over HTTP/1.1
+	Ratio       float64     `json:"cpu_ratio"` // median of the pairs' ratios, HTTP/2 over HTTP/1.1
 }
 
-// Servers compares HTTP/1.1 and HTTP/2 to the same fake servers, in turn.
+// Servers compares HTTP/1.1 and HTTP/2 between the node and the app servers. Runs with either protocol alternate.
 func Servers(ctx context.Context, o ServersOptions) ([]ServersRow, error) {
 	var rows []ServersRow
 	for _, n := range o.Concurrency {
@@ -76,7 +76,7 @@
 	}
 }
 
-// serversRun starts a node and servers for one run, so that its connections are counted alone.
+// serversRun starts a node and new servers for one run, so that only the connections of this run are counted.
 func serversRun(ctx context.Context, o ServersOptions, n int, seed uint64, protocol string) (s ServersSide, err error) {
 	var servers []fake.Server
 	for i := range 4 {
--- a/internal/trials/measure/tap.go
+++ b/internal/trials/measure/tap.go
@@ -15,8 +15,8 @@
 	"lockflow/internal/trials/faultnet/history"
 )
 
-// controlCapture is a proxy between coordinators and the control sockets of members that records requests and
-// replies in a history.
+// controlCapture is a proxy between coordinators and the control sockets of members. It records requests and replies in
+// a history.
 type controlCapture struct {
 	history history.History
 	members int
@@ -26,11 +26,11 @@
 	completed     int
 	restarts      int
 	owned         int
-	clientNumbers map[string]int // of owners, as clients of the history
+	clientNumbers map[string]int // numbers of owners as clients of the history
 	claimAttempts map[history.Acquire]*claimAttempt
 }
 
-// claimAttempt is a coordinator's at an epoch.
+// claimAttempt is a coordinator's attempt to own an epoch.
 type claimAttempt struct {
 	granted map[string]bool
 	finish  func(any)
@@ -40,7 +40,7 @@
 	return &controlCapture{members: members, clientNumbers: make(map[string]int), claimAttempts: make(map[history.Acquire]*claimAttempt)}
 }
 
-// open puts a tap at a path before a member's socket.
+// open listens on the socket at path, and forwards its requests to a member's socket at to.
 func (t *controlCapture) open(name, path, to string) (stop func(), err error) {
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "unix", path)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return func() { s.Close() }, nil
 }
 
-// pass has a member answer, and notes it.
+// forward forwards a request to a member, and records the request and its reply.
 func (t *controlCapture) forward(w http.ResponseWriter, r *http.Request, name string, transport *http.Transport) {
 	raw, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -71,7 +71,7 @@
 		defer resp.Body.Close()
 		answer, err = io.ReadAll(resp.Body)
 	}
-	if err != nil { // the client sees a broken connection, as the proxy does
+	if err != nil { // breaks the client's connection, as the member's connection broke
 		panic(http.ErrAbortHandler)
 	}
 	recordReply(resp.StatusCode, answer)
@@ -80,13 +80,13 @@
 	w.Write(answer)
 }
 
-// recordRequest records a request. The returned function records its reply.
+// recordRequest records a request in the history. The returned function records its reply.
 func (t *controlCapture) recordRequest(path, member string, raw []byte) func(status int, answer []byte) {
 	code := func(answer []byte) desiredstate.Code {
 		var f struct {
 			Code desiredstate.Code `json:"code"`
 		}
-		_ = json.Unmarshal(answer, &f) // an answer without a code
+		_ = json.Unmarshal(answer, &f) // the reply may have no code
 		return f.Code
 	}
 	switch path {
@@ -138,7 +138,7 @@
 	return func(int, []byte) {}
 }
 
-// number returns the client number of an owner in the history; status reads have 0.
+// clientNumber returns the client number of an owner in the history, which starts at 1. Status reads use 0.
 func (t *controlCapture) clientNumber(owner string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -148,7 +148,7 @@
 	return t.clientNumbers[owner]
 }
 
-// trying notes the first claim of a coordinator's epoch.
+// recordClaim counts a claim, and records the start of the coordinator's attempt with its first claim of an epoch.
 func (t *controlCapture) recordClaim(c manage.Claim) {
 	n := t.clientNumber(c.Owner)
 	t.mu.Lock()
@@ -160,7 +160,7 @@
 	}
 }
 
-// granted notes a member's grant. From that of more than half on the epoch is owned.
+// granted records that a member granted a claim. The epoch is owned once more than half of the members have granted it.
 func (t *controlCapture) granted(c manage.Claim, member string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/trials/measure/writeconfig_test.go
+++ b/internal/trials/measure/writeconfig_test.go
@@ -9,7 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// A file that can't be written in full is an error, and none is left behind.
+// If a configuration can't be written in full, writeConfig must return an error and remove the file. Otherwise a node would
+// start with a truncated configuration.
 func TestWriteConfig(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
@@ -32,8 +33,8 @@
 	}
 }
 
-// limitFileSize bounds what the process can write to a file, until the test ends. Go ignores the signal
-// that comes with it.
+// limitFileSize limits the size of files that the process writes until the test ends. Go ignores the SIGXFSZ signal of a
+// write that exceeds it.
 func limitFileSize(t *testing.T, bytes uint64) {
 	t.Helper()
 	var old unix.Rlimit
