--- a/internal/simulation/rolloutsim/options.go
+++ b/internal/simulation/rolloutsim/options.go
@@ -118,11 +118,11 @@
 	}
 	without, isKnown := Mutations[o.Without]
 	if o.Without != "" && !isKnown {
-		return fmt.Errorf("there is no mutation %q", o.Without)
+		return fmt.Errorf("rolloutsim: unknown mutation %q", o.Without)
 	}
 	o.JudgeOptions.Without = without
 	if !o.isValid() {
-		return fmt.Errorf("rolloutsim: %d instances, traffic %q, judge %q, rate %v, a fault every %v, %d runs: one of these is off",
+		return fmt.Errorf("rolloutsim: invalid option among %d instances (at least 2), traffic %q, judge %q, rate %v, fault interval %v (at least 10s), %d runs",
 			o.Instances, o.Traffic, o.Judge, o.Rate, o.FaultInterval, o.Runs)
 	}
 	return nil
--- a/internal/simulation/rolloutsim/sim_test.go
+++ b/internal/simulation/rolloutsim/sim_test.go
@@ -19,11 +19,11 @@
 func TestHarmlessChangesPass(t *testing.T) {
 	for _, traffic := range Traffics {
 		if r := simulate(t, Options{Instances: 4, Traffic: traffic, Runs: 40, Seed: 11}); r.Worse > 0 || r.Passed < 38 {
-			t.Errorf("%+v", r)
+			t.Errorf("harmless changes: want none stopped as worse and at least 38 of 40 passed: %+v", r)
 		}
 	}
 	if r := simulate(t, Options{Instances: 40, Traffic: "uneven", Runs: 4, Seed: 11}); r.Passed < 4 {
-		t.Errorf("%+v", r)
+		t.Errorf("harmless changes: want 4 of 4 passed: %+v", r)
 	}
 }
 
@@ -42,10 +42,10 @@
 			stopped += n
 		}
 		if stopped < 3 || harm.FleetFailureShare == 0 && harm.CrashInterval == 0 && stopped < 4 {
-			t.Errorf("%s: %+v", harm.Name, r)
+			t.Errorf("harm %q: too few of 4 rollouts stopped in time: %+v", harm.Name, r)
 		}
 		if readinessReport := simulate(t, Options{Instances: 40, Traffic: "uneven", Harm: harm, Judge: "readiness", Runs: 2, Seed: 3}); readinessReport.Passed < 2 || readinessReport.Harmed < r.Harmed {
-			t.Errorf("readiness alone: %+v", readinessReport)
+			t.Errorf("readiness judge: want both rollouts passed, with at least as many lost requests as under the evidence judge: %+v", readinessReport)
 		}
 	}
 }
@@ -58,7 +58,7 @@
 	}{{"request as unit", 4, 12}, {"no before", 4, 30}, {"no control", 40, 2}, {"one look", 40, 12}} {
 		r := simulate(t, Options{Instances: c.instances, Traffic: "uneven", Runs: c.runs, Seed: 7, Without: c.without})
 		if 12*r.Worse < c.runs {
-			t.Errorf("%+v", r)
+			t.Errorf("disabled guard: want at least a twelfth of the harmless changes stopped as worse: %+v", r)
 		}
 	}
 }
@@ -66,9 +66,9 @@
 func TestSameSeedGivesSameReport(t *testing.T) {
 	o := Options{Instances: 12, Traffic: "bursty", Harm: Harms[6], Runs: 3, Seed: 9}
 	if a, b := simulate(t, o), simulate(t, o); !reflect.DeepEqual(a, b) {
-		t.Errorf("%+v\n%+v", a, b)
+		t.Errorf("same seed, different reports:\n%+v\n%+v", a, b)
 	}
 	if _, err := Run(Options{Instances: 1}); err == nil {
-		t.Error("one instance was played")
+		t.Error("Run with 1 instance: no error; at least 2 are required")
 	}
 }
--- a/internal/simulation/waitpolicysim/sharing.go
+++ b/internal/simulation/waitpolicysim/sharing.go
@@ -69,7 +69,7 @@
 		return ShareReport{}, err
 	}
 	if options.Instances < 1 || options.Instances > maxInstances {
-		return ShareReport{}, fmt.Errorf("gathersim: %d instances; 1 to %d can be", options.Instances, maxInstances)
+		return ShareReport{}, fmt.Errorf("waitpolicysim: %d instances per group, want 1 to %d", options.Instances, maxInstances)
 	}
 	options.Queries = max(minSharedQueries, cmp.Or(options.Queries, defaultSharedQueries))
 	options.ExchangeInterval = cmp.Or(options.ExchangeInterval, 1)
--- a/internal/simulation/waitpolicysim/sim_test.go
+++ b/internal/simulation/waitpolicysim/sim_test.go
@@ -24,16 +24,16 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				t.Logf("oracle %.4f, of it learned %.3f, plan %.3f, fixed %.3f, p95 %.3f, none %.3f", r.Oracle, r.Learned/r.Oracle, r.Plan/r.Oracle,
+				t.Logf("oracle %.4f; relative to it: learned %.3f, plan %.3f, fixed %.3f, p95 %.3f, none %.3f", r.Oracle, r.Learned/r.Oracle, r.Plan/r.Oracle,
 					r.Fixed/r.Oracle, r.P95/r.Oracle, r.None/r.Oracle)
 				if r.Learned < 0.95*r.Oracle || r.Learned <= r.None || r.Learned <= r.P95 || w.isChanging && r.Learned <= r.Fixed {
-					t.Error("learned earns too little")
+					t.Error("learned policy: want at least 0.95 of the oracle's value and more than none, p95 and, in a changing world, fixed")
 				}
 				if r.Plan < 0.985*r.Oracle {
-					t.Error("the plan is no good even by true distributions")
+					t.Error("plan with known distributions: want at least 0.985 of the oracle's value")
 				}
 				if r.Stats.ExploreCost > 0.01*float64(n)+2 {
-					t.Errorf("exploring cost %g", r.Stats.ExploreCost)
+					t.Errorf("exploration cost %g, want at most 1%% of the number of queries, plus 2", r.Stats.ExploreCost)
 				}
 			}
 		})
@@ -75,14 +75,14 @@
 func TestCensoringKeepsDeadlineStable(t *testing.T) {
 	w, _ := findWorld("lognormal")
 	with, without := learnedPercentiles(w, true), learnedPercentiles(w, false)
-	t.Logf("with what was cut: %v", with)
-	t.Logf("without:           %v", without)
+	t.Logf("deadlines with censored observations:    %v", with)
+	t.Logf("deadlines without censored observations: %v", without)
 	last := len(with) - 1
 	if r := float64(with[last]) / float64(with[0]); r < 0.85 || r > 1.15 {
-		t.Error("with what was cut it does not stay")
+		t.Error("with censored observations the deadline changes by more than 15%")
 	}
 	if !slices.IsSortedFunc(without, func(a, b time.Duration) int { return int(b - a) }) || 2*without[last] > with[last] {
-		t.Error("without what was cut nothing is shown")
+		t.Error("without censored observations the deadline does not fall steadily to less than half")
 	}
 	// A learner that does not observe abandoned parts underestimates the durations of all parts.
 	for name, maxRatio := range map[string]float64{"pareto": 0.99, "stalled": 0.5} {
@@ -98,8 +98,8 @@
 			return sum / 3000
 		}
 		a, b := meanValue(true), meanValue(false)
-		if t.Logf("%s: %.3f, without what was cut %.3f", name, a, b); b > maxRatio*a {
-			t.Errorf("%s: what was cut does not matter", name)
+		if t.Logf("%s: mean value %.3f, without censored observations %.3f", name, a, b); b > maxRatio*a {
+			t.Errorf("%s: the mean value without censored observations is not lower", name)
 		}
 	}
 }
@@ -113,12 +113,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%+v: until %d, %.3f", o, r.QueriesToConverge, r.Values)
+		t.Logf("%+v: converged after %d queries, values %.3f", o, r.QueriesToConverge, r.Values)
 		return r
 	}
 	alone, four := simulate(ShareOptions{Instances: 1, Groups: 60}), simulate(ShareOptions{Instances: 4, Groups: 15})
 	if alone.QueriesToConverge < 0 || alone.QueriesToConverge > 12 || four.QueriesToConverge < 0 || four.QueriesToConverge >= alone.QueriesToConverge {
-		t.Error("four don't learn sooner than one")
+		t.Error("want convergence of a single instance within 12 queries, and earlier convergence of four instances")
 	}
 	lateValue := func(r ShareReport) (sum float64) {
 		for _, v := range r.Values[6:] {
@@ -129,11 +129,11 @@
 	honest := simulate(ShareOptions{Instances: 8, Groups: 6})
 	for _, misreportFactor := range []float64{0.02, 50} {
 		if misreported := simulate(ShareOptions{Instances: 8, Groups: 6, MisreportFactor: misreportFactor}); lateValue(misreported) < lateValue(honest)-0.05 {
-			t.Errorf("one of eight that tells %g times as long costs %.3f of %.3f", misreportFactor, lateValue(honest)-lateValue(misreported), lateValue(honest))
+			t.Errorf("one of eight instances that reports durations times %g costs a value of %.3f of %.3f, want at most 0.05", misreportFactor, lateValue(honest)-lateValue(misreported), lateValue(honest))
 		}
 	}
 	if storeLost := simulate(ShareOptions{Instances: 8, Groups: 6, LostFrom: 6}); lateValue(storeLost) < lateValue(honest)-0.05 {
-		t.Error("a lost store costs much")
+		t.Error("the loss of the store costs a value of more than 0.05")
 	}
 }
 
@@ -179,8 +179,8 @@
 			maxChange = max(maxChange, float64(mean)/float64(last), float64(last)/float64(mean))
 			last = mean
 		}
-		if t.Logf("others see %g times as long: by %.2f at the most", factor, maxChange); maxChange > 1.2 {
-			t.Error("the deadline jumps")
+		if t.Logf("other instances observe durations times %g: the mean answer time changes by a factor of at most %.2f", factor, maxChange); maxChange > 1.2 {
+			t.Error("the mean answer time changes by a factor of more than 1.2 between exchanges")
 		}
 	}
 }
--- a/internal/simulation/waitpolicysim/world.go
+++ b/internal/simulation/waitpolicysim/world.go
@@ -148,7 +148,7 @@
 			return &worlds[i], nil
 		}
 	}
-	return nil, fmt.Errorf("gathersim: there is no world %q", name)
+	return nil, fmt.Errorf("waitpolicysim: unknown world %q", name)
 }
 
 // settings returns the wait policy's settings.
--- a/internal/trials/measure/bodies.go
+++ b/internal/trials/measure/bodies.go
@@ -95,7 +95,7 @@
 					return rows, fmt.Errorf("measuring the proxy: %w", err)
 				}
 				nodes, proxies = append(nodes, a), append(proxies, b)
-				fmt.Fprintf(o.Progress, "%d bytes %s, round %d of %d: %.0f and %.0f MB/s\n", size, direction, round+1, o.Rounds, a.MBs, b.MBs)
+				fmt.Fprintf(o.Progress, "%d bytes %s, round %d of %d: node %.0f, proxy %.0f MB/s\n", size, direction, round+1, o.Rounds, a.MBs, b.MBs)
 			}
 			rows = append(rows, BodiesRow{size, direction, medianFlow(nodes), medianFlow(proxies)})
 		}
@@ -238,8 +238,8 @@
 }
 
 var (
-	errTruncated = errors.New("the body was cut")
-	errRejected  = errors.New("refused")
+	errTruncated = errors.New("body truncated")
+	errRejected  = errors.New("request rejected with status 503")
 )
 
 // rejectionRetryPeriod is the time for which a client retries rejected requests.
@@ -256,7 +256,7 @@
 	}
 	n, err := io.Copy(io.Discard, r.Body)
 	if err == nil && (n != size || r.StatusCode != http.StatusOK) {
-		err = fmt.Errorf("%w: %s, %d bytes", errTruncated, r.Status, n)
+		err = fmt.Errorf("%w: status %s, received %d bytes", errTruncated, r.Status, n)
 	}
 	return n, err
 }
@@ -277,7 +277,7 @@
 	}
 	reply, err := io.ReadAll(r.Body)
 	if err == nil && string(reply) != strconv.FormatInt(size, 10) {
-		err = fmt.Errorf("%w: %s, %q", errTruncated, r.Status, reply)
+		err = fmt.Errorf("%w: status %s, length counted by the server %q", errTruncated, r.Status, reply)
 	}
 	if err != nil {
 		return 0, err
--- a/internal/trials/measure/change.go
+++ b/internal/trials/measure/change.go
@@ -45,7 +45,7 @@
 	for round := range o.Rounds {
 		var pair [2]ReloadRow
 		for i, every := range []time.Duration{0, o.Every} {
-			fmt.Fprintf(o.Progress, "round %d of %d, reloads every %v\n", round+1, o.Rounds, every)
+			fmt.Fprintf(o.Progress, "round %d of %d, reload interval %v\n", round+1, o.Rounds, every)
 			r, err := reloadRun(ctx, o, every, uint64(round))
 			if err != nil {
 				return nil, err
@@ -189,7 +189,7 @@
 		}
 		startTimes = append(startTimes, started)
 		rep.Durations = append(rep.Durations, time.Since(started).Milliseconds())
-		fmt.Fprintf(o.Progress, "upgrade %d of %d: %v until the old process had ended\n", i+1, o.Upgrades, time.Since(started).Round(time.Millisecond))
+		fmt.Fprintf(o.Progress, "upgrade %d of %d: old process ended after %v\n", i+1, o.Upgrades, time.Since(started).Round(time.Millisecond))
 	}
 	time.Sleep(o.Every)
 	cancel()
--- a/internal/trials/measure/disturb.go
+++ b/internal/trials/measure/disturb.go
@@ -95,7 +95,7 @@
 			r.addFailure("a server: %v", err)
 		}
 	}
-	r.logProgress("half of the instances end and start again")
+	r.logProgress("restarting half of the instances")
 	var all sync.WaitGroup
 	for i := 0; i < r.options.Instances; i += 2 {
 		all.Go(func() { r.disturb(ctx, i, drainDisturbance) })
@@ -123,7 +123,7 @@
 		select {
 		case <-time.After(20 * time.Millisecond):
 		case <-ctx.Done():
-			return fmt.Errorf("it is not back: %w", ctx.Err())
+			return fmt.Errorf("waiting for the instance to serve after a restart: %w", ctx.Err())
 		}
 	}
 }
--- a/internal/trials/measure/faults.go
+++ b/internal/trials/measure/faults.go
@@ -46,9 +46,9 @@
 			if err != nil {
 				return nil, nil, err
 			}
-			fmt.Fprintf(o.Progress, "seed %d: %d faults, %d requests, %d wrong\n", s.Seed, got.Faults, got.Requests, len(got.Wrong))
+			fmt.Fprintf(o.Progress, "seed %d: %d faults, %d requests, %d violations\n", s.Seed, got.Faults, got.Requests, len(got.Wrong))
 			if got.Undecided != "" {
-				fmt.Fprintf(o.Progress, "seed %d proves nothing of ownership: %s\n", s.Seed, got.Undecided)
+				fmt.Fprintf(o.Progress, "seed %d: the ownership check is inconclusive: %s\n", s.Seed, got.Undecided)
 			}
 			return got, got.Wrong, nil
 		}, func(n int) string { return trial.Place(o.Servers, n) })
@@ -72,7 +72,7 @@
 			if err != nil {
 				return nil, nil, err
 			}
-			fmt.Fprintf(o.Progress, "seed %d: %d faults, coordinators %v, %d requests, %d wrong, %v\n", s.Seed, got.Faults, got.ExitCodes, got.Requests, len(got.Wrong),
+			fmt.Fprintf(o.Progress, "seed %d: %d faults, exit codes of coordinators %v, %d requests, %d violations, %v\n", s.Seed, got.Faults, got.ExitCodes, got.Requests, len(got.Wrong),
 				got.Duration.Round(time.Second))
 			return got, got.Wrong, nil
 		}, func(n int) string { return regiontrial.Place(each, n) })
@@ -117,7 +117,7 @@
 			continue
 		}
 		if o.Shrinks > 0 {
-			fmt.Fprintf(o.Progress, "seed %d is shortened by at most %d tries\n", s.Seed, o.Shrinks)
+			fmt.Fprintf(o.Progress, "seed %d: shortening the script with at most %d runs\n", s.Seed, o.Shrinks)
 			s = script.ShrinkWithRuns(s, o.Shrinks, func(s script.Script) bool {
 				_, wrong, err := runScript(s)
 				return err == nil && len(wrong) > 0
--- a/internal/trials/measure/fleet.go
+++ b/internal/trials/measure/fleet.go
@@ -131,7 +131,7 @@
 	if err := os.WriteFile(file, []byte(strings.ReplaceAll(fleetConfig, "@visits", r.discovery.Addr())), 0o600); err != nil {
 		return nil, fmt.Errorf("measuring a fleet: %w", err)
 	}
-	r.logProgress("%d instances start", o.Instances)
+	r.logProgress("starting %d instances", o.Instances)
 	r.run, err = fleet.Start(ctx, fleet.Options{
 		Program: o.Program, Env: o.Env, Config: file, Dir: o.Dir, Instances: o.Instances, GroupSize: o.GroupSize,
 		Host: "127.0.0.1", StartTimeout: time.Minute,
@@ -149,7 +149,7 @@
 			r.report.DegradedInstances++
 		}
 	}
-	r.logProgress("the instances end")
+	r.logProgress("stopping the instances")
 	if err := r.run.Stop(30 * time.Second); err != nil {
 		r.report.Failed = append(r.report.Failed, err.Error())
 	}
--- a/internal/trials/measure/gather.go
+++ b/internal/trials/measure/gather.go
@@ -41,7 +41,7 @@
 func Gather(ctx context.Context, o GatherOptions) ([]GatherRow, error) {
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("starting a server: %w", err)
+		return nil, fmt.Errorf("starting the app server: %w", err)
 	}
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, gatherAnswer) })}
 	go srv.Serve(l) //nolint:errcheck // ends with its listener
@@ -64,7 +64,7 @@
 				}
 			}
 			queries, plain, ratios = append(queries, cpu[0]), append(plain, cpu[1]), append(ratios, cpu[0]/cpu[1])
-			fmt.Fprintf(o.Progress, "%d parts, round %d of %d: %.0f us a query, %.0f plainly\n", n, round+1, o.Rounds, cpu[0], cpu[1])
+			fmt.Fprintf(o.Progress, "%d parts, round %d of %d: %.0f us of CPU per query, %.0f us for the same calls sent separately\n", n, round+1, o.Rounds, cpu[0], cpu[1])
 		}
 		identity := func(v float64) float64 { return v }
 		row.Query, row.Plain, row.Ratio, row.P50 = median(queries, identity), median(plain, identity), median(ratios, identity), median(p50, identity)
@@ -155,7 +155,7 @@
 	n := len(durations)
 	after, err := processCPUTime(node.Process.Pid)
 	if err == nil && n == 0 {
-		err = fmt.Errorf("nothing was answered")
+		err = fmt.Errorf("no query completed within the run")
 	}
 	if err != nil {
 		return 0, 0, failed, err
--- a/internal/trials/measure/isolation.go
+++ b/internal/trials/measure/isolation.go
@@ -56,7 +56,7 @@
 			}
 		}
 		calm, stalled, ratios = append(calm, pair[0]), append(stalled, pair[1]), append(ratios, pair[1].P99/pair[0].P99)
-		fmt.Fprintf(o.Progress, "%d descriptors, round %d of %d: served %.4f and %.4f, p99 %.1f and %.1f ms\n", o.Descriptors, round+1, o.Rounds,
+		fmt.Fprintf(o.Progress, "%d descriptors, round %d of %d: calm and stalled: served share %.4f and %.4f, p99 %.1f and %.1f ms\n", o.Descriptors, round+1, o.Rounds,
 			pair[0].Share, pair[1].Share, pair[0].P99, pair[1].P99)
 	}
 	out.Calm, out.Stalled, out.P99Ratio = medianServed(calm), medianServed(stalled), median(ratios, func(v float64) float64 { return v })
--- a/internal/trials/measure/proxy.go
+++ b/internal/trials/measure/proxy.go
@@ -123,7 +123,7 @@
 				return rows, fmt.Errorf("measuring the proxy: %w", err)
 			}
 			nodes, proxies, ratios = append(nodes, a), append(proxies, b), append(ratios, a.CPU/b.CPU)
-			fmt.Fprintf(o.Progress, "%4d connections, round %d of %d: %.0f and %.0f us a request\n", n, round+1, o.Rounds, a.CPU, b.CPU)
+			fmt.Fprintf(o.Progress, "%4d connections, round %d of %d: node %.0f, proxy %.0f us of CPU per request\n", n, round+1, o.Rounds, a.CPU, b.CPU)
 		}
 		row.Node, row.Proxy = medianSide(nodes), medianSide(proxies)
 		row.Ratio = median(ratios, func(v float64) float64 { return v })
@@ -207,7 +207,7 @@
 		return Side{}, err
 	}
 	if r == nil || r.Served == 0 {
-		return Side{}, fmt.Errorf("%s served nothing", args[0])
+		return Side{}, fmt.Errorf("process %q served no requests", args[0])
 	}
 	return Side{
 		CPU: float64((after - before).Microseconds()) / float64(r.Attempts), Rate: float64(r.Served) / elapsed.Seconds(),
@@ -233,7 +233,7 @@
 	}
 	go io.Copy(io.Discard, log) //nolint:errcheck // ends with the process
 	if addr == "" {
-		err = fmt.Errorf("%s ended before it listened", args[0])
+		err = fmt.Errorf("process %q ended before it logged its listen address", args[0])
 	} else {
 		err = awaitHealthy(ctx, addr)
 	}
@@ -293,7 +293,7 @@
 	_, rest, _ := strings.Cut(string(raw), ") ")
 	fields := strings.Fields(rest)
 	if len(fields) < 13 {
-		return 0, fmt.Errorf("reading the processor time: %q", raw)
+		return 0, fmt.Errorf("reading the processor time: too few fields in %q", raw)
 	}
 	sum := int64(0)
 	for _, f := range fields[11:13] { // utime and stime, in hundredths of a second
--- a/internal/trials/measure/rollout.go
+++ b/internal/trials/measure/rollout.go
@@ -327,7 +327,7 @@
 	}
 	old := slices.Sorted(maps.Keys(hashesBefore))
 	if len(old) != 1 {
-		return false, fmt.Errorf("members run %v before a change", hashesBefore)
+		return false, fmt.Errorf("members run different versions before a change (count by hash): %v", hashesBefore)
 	}
 	args = append(args, "--bake", "50ms", "--bake-most", "10s", "--within", "10s", "--unjudged")
 	row := RolloutRow{Kind: kind, Kill: kill, Recovery: recovery}
@@ -368,9 +368,9 @@
 	if killed {
 		r.addKilled(row, isUnstarted)
 	}
-	fmt.Fprintf(r.options.Progress, "%s, killed at write %d, %s: %s, exit %d, %.1f s, %d wrong\n", kind, kill, recovery, row.State, code, row.Seconds, len(r.report.Wrong))
+	fmt.Fprintf(r.options.Progress, "%s, killed at write %d, %s: state %s, exit code %d, %.1f s, %d violations\n", kind, kill, recovery, row.State, code, row.Seconds, len(r.report.Wrong))
 	if row.State == "mixed" {
-		return false, fmt.Errorf("members are left in a mixture: %s", r.report.Wrong[len(r.report.Wrong)-1])
+		return false, fmt.Errorf("members run a mixture of versions after a change: %s", r.report.Wrong[len(r.report.Wrong)-1])
 	}
 	return killed, nil
 }
--- a/internal/trials/measure/servers.go
+++ b/internal/trials/measure/servers.go
@@ -56,7 +56,7 @@
 			}
 			a, b := sides[0][round], sides[1][round]
 			ratios = append(ratios, b.CPU/a.CPU)
-			fmt.Fprintf(o.Progress, "%4d at once, round %d of %d: %.0f and %.0f us a request\n", n, round+1, o.Rounds, a.CPU, b.CPU)
+			fmt.Fprintf(o.Progress, "%4d concurrent requests, round %d of %d: HTTP/1.1 %.0f, HTTP/2 %.0f us of CPU per request\n", n, round+1, o.Rounds, a.CPU, b.CPU)
 		}
 		row.HTTP1, row.HTTP2 = medianServersSide(sides[0]), medianServersSide(sides[1])
 		row.Ratio = median(ratios, func(v float64) float64 { return v })
--- a/internal/trials/measure/tap.go
+++ b/internal/trials/measure/tap.go
@@ -44,7 +44,7 @@
 func (t *controlCapture) open(name, path, to string) (stop func(), err error) {
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "unix", path)
 	if err != nil {
-		return nil, fmt.Errorf("a tap: %w", err)
+		return nil, fmt.Errorf("listening on the capture socket: %w", err)
 	}
 	transport := &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "unix", to)
--- a/internal/trials/measure/writeconfig_test.go
+++ b/internal/trials/measure/writeconfig_test.go
@@ -19,17 +19,17 @@
 		t.Fatal(err)
 	}
 	if raw, err := os.ReadFile(path); err != nil || string(raw) != "a = 1\n" {
-		t.Errorf("%q, %v", raw, err)
+		t.Errorf("written configuration: got %q, %v", raw, err)
 	}
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
 	limitFileSize(t, 10)
 	if path, err := writeConfig(strings.Repeat("a = 1\n", 10)); err == nil {
-		t.Errorf("%s was written beyond the limit", path)
+		t.Errorf("%s was written without an error, although it exceeds the file size limit", path)
 	}
 	if left, err := filepath.Glob(filepath.Join(dir, "*")); err != nil || len(left) > 0 {
-		t.Errorf("%q are left, %v", left, err)
+		t.Errorf("files left after the failed write: %q, error %v", left, err)
 	}
 }
 
