--- a/internal/trials/measure/bodies.go
+++ b/internal/trials/measure/bodies.go
@@ -16,12 +16,12 @@
 	"time"
 )
 
-// BodiesOptions are the options of measuring bodies of some sizes through a node and a proxy.
+// BodiesOptions are the options of Bodies.
 type BodiesOptions struct {
 	Program  string
 	Sizes    []int64 // bytes of one body
-	Workers  int     // concurrent bodies, in one direction
-	Rounds   int     // pairs of runs a row
+	Workers  int     // concurrent bodies in each direction
+	Rounds   int     // pairs of runs per row
 	Duration time.Duration
 	MemoryMB int // memory limit of the node
 	Progress io.Writer
@@ -29,19 +29,19 @@
 
 // Flow is the result of one run, or the medians of several.
 type Flow struct {
-	MBs        float64 `json:"mb_s"`      // megabytes of 10^6 bytes a second
-	CPU        float64 `json:"cpu_ms_mb"` // of the process, in ms a megabyte
+	MBs        float64 `json:"mb_s"`      // megabytes of 10^6 bytes per second
+	CPU        float64 `json:"cpu_ms_mb"` // CPU time of the process per megabyte, in ms
 	Memory     float64 `json:"memory_mb"` // peak resident memory, in 2^20 bytes
 	Incomplete int64   `json:"bad"`       // incomplete bodies
-	Refused    int64   `json:"refused"`   // answers of 503, after which a client retries
+	Refused    int64   `json:"refused"`   // answers with status 503, after which a client retries
 	Bodies     int64   `json:"bodies"`    // complete bodies
-	FirstError string  `json:"why"`       // the error of the first incomplete body
+	FirstError string  `json:"why"`       // error of the first incomplete body
 }
 
-// BodiesRow compares node and proxy at a size, in one direction.
+// BodiesRow compares node and proxy for bodies of a size.
 type BodiesRow struct {
 	Size      int64  `json:"size"`
-	Direction string `json:"way"` // down, up, or both at once
+	Direction string `json:"way"` // down, up, or both at the same time
 	Node      Flow   `json:"node"`
 	Proxy     Flow   `json:"proxy"`
 }
@@ -63,7 +63,7 @@
 service = "app"
 `
 
-// Bodies compares a node with the standard library's reverse proxy on bodies of some sizes.
+// Bodies compares a node with the standard library's reverse proxy for bodies of the sizes in the options.
 func Bodies(ctx context.Context, o BodiesOptions, directions []string) ([]BodiesRow, error) {
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -73,7 +73,7 @@
 	go srv.Serve(l) //nolint:errcheck // ends with its listener
 	defer srv.Close()
 	var list []string
-	for i := range 8 { // as several servers of one address, as a proxy does not limit the load of one
+	for i := range 8 { // the node limits the load of each server and the proxy does not, so one address stands for several
 		list = append(list, fmt.Sprintf("{ uid = \"s%d\", endpoint = %q }", i, l.Addr().String()))
 	}
 	file, err := writeConfig(fmt.Sprintf(bodiesConfig, o.MemoryMB, strings.Join(list, ", ")))
@@ -86,24 +86,24 @@
 		for _, direction := range directions {
 			var nodes, proxies []Flow
 			for round := range o.Rounds {
-				a, err := o.flow(ctx, size, direction, "serve", "--config", file)
+				a, err := o.runFlow(ctx, size, direction, "serve", "--config", file)
 				if err != nil {
 					return rows, fmt.Errorf("measuring the node: %w", err)
 				}
-				b, err := o.flow(ctx, size, direction, "measure", "proxy", "--serve", l.Addr().String())
+				b, err := o.runFlow(ctx, size, direction, "measure", "proxy", "--serve", l.Addr().String())
 				if err != nil {
 					return rows, fmt.Errorf("measuring the proxy: %w", err)
 				}
 				nodes, proxies = append(nodes, a), append(proxies, b)
-				fmt.Fprintf(o.Progress, "%d bytes %s, round %d of %d: %.0f and %.0f MB/s\n", size, direction, round+1, o.Rounds, a.MBs, b.MBs)
+				fmt.Fprintf(o.Progress, "%d bytes %s, round %d of %d: node %.0f, proxy %.0f MB/s\n", size, direction, round+1, o.Rounds, a.MBs, b.MBs)
 			}
-			rows = append(rows, BodiesRow{size, direction, middleFlow(nodes), middleFlow(proxies)})
+			rows = append(rows, BodiesRow{size, direction, medianFlow(nodes), medianFlow(proxies)})
 		}
 	}
 	return rows, nil
 }
 
-func middleFlow(all []Flow) Flow {
+func medianFlow(all []Flow) Flow {
 	m := Flow{
 		MBs: median(all, func(f Flow) float64 { return f.MBs }), CPU: median(all, func(f Flow) float64 { return f.CPU }),
 		Memory: median(all, func(f Flow) float64 { return f.Memory }),
@@ -119,7 +119,7 @@
 
 var zeros = make([]byte, 64<<10)
 
-// bodyServer sends as many bytes as a request asks for, or reads a request body and answers with its
+// bodyServer sends as many bytes as a GET request asks for, or reads the body of another request and answers with its
 // length.
 func bodyServer(w http.ResponseWriter, r *http.Request) {
 	if n, err := strconv.ParseInt(r.URL.Query().Get("n"), 10, 64); err == nil && r.Method == http.MethodGet {
@@ -140,26 +140,26 @@
 	}
 }
 
-// zeroReader reads n zeros.
-type zeroReader struct{ left int64 }
+// zeroReader is a reader of as many zero bytes as remaining.
+type zeroReader struct{ remaining int64 }
 
 func (z *zeroReader) Read(p []byte) (int, error) {
-	if z.left == 0 {
+	if z.remaining == 0 {
 		return 0, io.EOF
 	}
-	n := int(min(z.left, int64(len(p))))
+	n := int(min(z.remaining, int64(len(p))))
 	clear(p[:n])
-	z.left -= int64(n)
+	z.remaining -= int64(n)
 	return n, nil
 }
 
-// watchMemory samples a process's resident memory; stop ends that and returns the peak, in MB.
-func watchMemory(pid int) (stop func() float64) {
+// samplePeakMemory samples a process's resident memory. stop ends the sampling and returns the peak, in 2^20 bytes.
+func samplePeakMemory(pid int) (stop func() float64) {
 	peakMB, ended, end := 0.0, make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
 		for {
-			peakMB = max(peakMB, residentOf(pid))
+			peakMB = max(peakMB, residentMemoryMB(pid))
 			select {
 			case <-time.After(20 * time.Millisecond):
 			case <-end:
@@ -174,9 +174,9 @@
 	}
 }
 
-// flow has clients send or fetch bodies through a program for the measured duration; each body is
-// completed.
-func (o BodiesOptions) flow(ctx context.Context, size int64, direction string, args ...string) (Flow, error) {
+// runFlow has clients send or fetch bodies through a program for the duration in the options. A body that has begun by
+// then is completed.
+func (o BodiesOptions) runFlow(ctx context.Context, size int64, direction string, args ...string) (Flow, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	cmd, addr, err := launch(ctx, o.Program, args...)
@@ -185,29 +185,29 @@
 	}
 	defer cmd.Wait() //nolint:errcheck // it was killed
 	defer cmd.Process.Kill()
-	before, err := cpuOf(cmd.Process.Pid)
+	before, err := processCPUTime(cmd.Process.Pid)
 	if err != nil {
 		return Flow{}, err
 	}
 	transport := &http.Transport{MaxIdleConnsPerHost: 2 * o.Workers, DisableCompression: true}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport}
-	var bodies, bad, refused, moved atomic.Int64
-	var why atomic.Pointer[error]
+	var bodies, incomplete, rejected, transferred atomic.Int64
+	var firstError atomic.Pointer[error]
 	started := time.Now()
 	var all sync.WaitGroup
-	work := func(one func() (int64, error)) {
+	runWorker := func(transfer func() (int64, error)) {
 		for first := true; first || time.Since(started) < o.Duration; first = false {
-			n, err := one()
-			for errors.Is(err, errRefused) && time.Since(started) < refusedFor { // sent with Retry-After
-				refused.Add(1)
+			n, err := transfer()
+			for errors.Is(err, errRejected) && time.Since(started) < rejectionRetryPeriod { // the answer has a Retry-After header
+				rejected.Add(1)
 				time.Sleep(time.Second)
-				n, err = one()
+				n, err = transfer()
 			}
-			moved.Add(n)
+			transferred.Add(n)
 			if err != nil {
-				bad.Add(1)
-				why.CompareAndSwap(nil, &err)
+				incomplete.Add(1)
+				firstError.CompareAndSwap(nil, &err)
 			} else {
 				bodies.Add(1)
 			}
@@ -215,35 +215,35 @@
 	}
 	for range o.Workers {
 		if direction != "up" {
-			all.Go(func() { work(func() (int64, error) { return fetch(client, addr, size) }) })
+			all.Go(func() { runWorker(func() (int64, error) { return fetch(client, addr, size) }) })
 		}
 		if direction != "down" {
-			all.Go(func() { work(func() (int64, error) { return send(client, addr, size) }) })
+			all.Go(func() { runWorker(func() (int64, error) { return send(client, addr, size) }) })
 		}
 	}
-	watched := watchMemory(cmd.Process.Pid)
+	stopSampling := samplePeakMemory(cmd.Process.Pid)
 	all.Wait()
 	elapsed := time.Since(started)
-	peakMB := watched()
-	after, err := cpuOf(cmd.Process.Pid)
+	peakMB := stopSampling()
+	after, err := processCPUTime(cmd.Process.Pid)
 	if err != nil {
 		return Flow{}, err
 	}
-	mb := float64(moved.Load()) / 1e6
-	f := Flow{MBs: mb / elapsed.Seconds(), CPU: float64((after - before).Milliseconds()) / mb, Memory: peakMB, Incomplete: bad.Load(), Bodies: bodies.Load(), Refused: refused.Load()}
-	if e := why.Load(); e != nil {
+	megabytes := float64(transferred.Load()) / 1e6
+	f := Flow{MBs: megabytes / elapsed.Seconds(), CPU: float64((after - before).Milliseconds()) / megabytes, Memory: peakMB, Incomplete: incomplete.Load(), Bodies: bodies.Load(), Refused: rejected.Load()}
+	if e := firstError.Load(); e != nil {
 		f.FirstError = (*e).Error()
 	}
 	return f, nil
 }
 
 var (
-	errCut     = errors.New("the body was cut")
-	errRefused = errors.New("refused")
+	errTruncated = errors.New("body truncated")
+	errRejected  = errors.New("request rejected with status 503")
 )
 
-// refusedFor is how long a rejected client retries.
-const refusedFor = 5 * time.Minute
+// rejectionRetryPeriod is the time for which a client retries rejected requests.
+const rejectionRetryPeriod = 5 * time.Minute
 
 func fetch(c *http.Client, addr string, size int64) (int64, error) {
 	r, err := get(context.Background(), c, "http://"+addr+"/x?n="+strconv.FormatInt(size, 10))
@@ -252,11 +252,11 @@
 	}
 	defer r.Body.Close()
 	if r.StatusCode == http.StatusServiceUnavailable {
-		return 0, errRefused
+		return 0, errRejected
 	}
 	n, err := io.Copy(io.Discard, r.Body)
 	if err == nil && (n != size || r.StatusCode != http.StatusOK) {
-		err = fmt.Errorf("%w: %s, %d bytes", errCut, r.Status, n)
+		err = fmt.Errorf("%w: status %s, received %d bytes", errTruncated, r.Status, n)
 	}
 	return n, err
 }
@@ -273,11 +273,11 @@
 	}
 	defer r.Body.Close()
 	if r.StatusCode == http.StatusServiceUnavailable {
-		return 0, errRefused
+		return 0, errRejected
 	}
 	reply, err := io.ReadAll(r.Body)
 	if err == nil && string(reply) != strconv.FormatInt(size, 10) {
-		err = fmt.Errorf("%w: %s, %q", errCut, r.Status, reply)
+		err = fmt.Errorf("%w: status %s, length counted by the server %q", errTruncated, r.Status, reply)
 	}
 	if err != nil {
 		return 0, err
@@ -285,8 +285,8 @@
 	return size, nil
 }
 
-// residentOf returns the resident memory of a process, in 2^20 bytes, from /proc/PID/status (proc(5)).
-func residentOf(pid int) float64 {
+// residentMemoryMB returns the resident memory of a process, in 2^20 bytes, from /proc/PID/status (proc(5)).
+func residentMemoryMB(pid int) float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
--- a/internal/trials/measure/change.go
+++ b/internal/trials/measure/change.go
@@ -18,34 +18,34 @@
 	"lockflow/internal/testsupport/testbench"
 )
 
-// ReloadOptions are the options of measuring reloads.
+// ReloadOptions are the options of Reloads.
 type ReloadOptions struct {
 	Rounds   int
 	Duration time.Duration // of each run
-	Every    time.Duration // from one reload to the next
+	Every    time.Duration // interval between reloads
 	Clients  int
 	Progress io.Writer
 }
 
-// ReloadRow is a run without reloads, or with them.
+// ReloadRow is the result of a run with or without reloads.
 type ReloadRow struct {
 	Reloads int     `json:"reloads"`
-	Rate    float64 `json:"rate"`  // served a second
-	First   float64 `json:"first"` // the same, of the first quarter of the run
+	Rate    float64 `json:"rate"`  // calls served per second
+	First   float64 `json:"first"` // Rate in the first quarter of the run
 	P99     float64 `json:"p99_ms"`
 	Refused int     `json:"refused"`
 	Lost    int     `json:"lost"` // calls without an answer, with another call's answer, or failed
 	Twice   int     `json:"twice"`
 }
 
-// Reloads measures the cost of reloads that change services, in turn with runs without reloads. It returns
-// pairs of rows, the one without reloads first.
+// Reloads measures the cost of reloads that change services. Runs with and without reloads alternate. It returns pairs of
+// rows, the one without reloads first.
 func Reloads(ctx context.Context, o ReloadOptions) ([][2]ReloadRow, error) {
 	var rows [][2]ReloadRow
 	for round := range o.Rounds {
 		var pair [2]ReloadRow
 		for i, every := range []time.Duration{0, o.Every} {
-			fmt.Fprintf(o.Progress, "round %d of %d, reloads every %v\n", round+1, o.Rounds, every)
+			fmt.Fprintf(o.Progress, "round %d of %d, reload interval %v\n", round+1, o.Rounds, every)
 			r, err := reloadRun(ctx, o, every, uint64(round))
 			if err != nil {
 				return nil, err
@@ -70,7 +70,7 @@
 	defer cancel()
 	started := time.Now()
 	var mu sync.Mutex
-	early := 0
+	servedEarly := 0
 	run := fake.Clients{Addr: l.Node.Addr(), Seed: seed, Workers: o.Clients, Call: func(rng *rand.Rand) fake.Call {
 		c := testbench.RosterCall(rng)
 		c.Method, c.Path, c.Body, c.Key = "POST", "/visit-update", "swap", strconv.FormatUint(rng.Uint64(), 16)
@@ -78,7 +78,7 @@
 	}, OnAnswer: func(a fake.Answer) {
 		if a.Status == 200 && a.Sent.Add(a.Duration).Sub(started) < o.Duration/4 {
 			mu.Lock()
-			early++
+			servedEarly++
 			mu.Unlock()
 		}
 	}}.Start(ctx)
@@ -90,7 +90,7 @@
 			select {
 			case <-t.C:
 				text := testbench.WithDescriptors(512)
-				if row.Reloads%2 == 0 { // a plan and a limit change
+				if row.Reloads%2 == 0 { // alternates between 5 attempts and the default
 					text = strings.Replace(text, "[services.rosters]", "[services.rosters]\nattempts = 5", 1)
 				}
 				if err := l.Reload(text); err != nil {
@@ -104,23 +104,23 @@
 	}
 	r := run.Wait()["rosters"]
 	seconds := time.Since(started).Seconds()
-	row.Rate, row.First = float64(r.Served)/seconds, float64(early)/(o.Duration.Seconds()/4)
+	row.Rate, row.First = float64(r.Served)/seconds, float64(servedEarly)/(o.Duration.Seconds()/4)
 	row.P99, row.Refused, row.Lost = ms(r.Quantile(0.99)), r.Rejected, r.Lost+r.Wrong+r.Failed
 	row.Twice = l.Pools["rosters"].Executions.Counts().DuplicateEffects
 	return row, nil
 }
 
-// UpgradeOptions are the options of measuring upgrades.
+// UpgradeOptions are the options of Upgrades.
 type UpgradeOptions struct {
 	Program  string
 	Dir      string
 	Upgrades int
-	Every    time.Duration // from one to the next
-	Clients  int           // with a persistent connection, and as many with a new one for each call
+	Every    time.Duration // interval between upgrades
+	Clients  int           // clients with a persistent connection; as many again open a new one for each call
 	Progress io.Writer
 }
 
-// UpgradeReport is the result of upgrades under load.
+// UpgradeReport is the result of Upgrades.
 type UpgradeReport struct {
 	Upgrades  int     `json:"upgrades"`
 	Calls     int     `json:"calls"`
@@ -128,12 +128,12 @@
 	Refused   int     `json:"refused"`
 	Lost      int     `json:"lost"`
 	Twice     int     `json:"twice"`
-	Around    Times   `json:"around"` // of calls sent in the 2 s around an upgrade
-	Quiet     Times   `json:"quiet"`  // of all other calls
+	Around    Times   `json:"around"` // latencies of calls sent less than 1 s before or after the start of an upgrade, 2 s in all
+	Quiet     Times   `json:"quiet"`  // latencies of all other calls
 	Durations []int64 `json:"took_ms"`
 }
 
-// Times are quantiles of latencies in ms.
+// Times are the number and the quantiles of latencies in ms.
 type Times struct {
 	N   int     `json:"n"`
 	P50 float64 `json:"P50,omitempty"`
@@ -161,17 +161,17 @@
 	load, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var mu sync.Mutex
-	var all []fake.Answer
+	var answers []fake.Answer
 	clients := fake.Clients{Addr: run.Addr(0), Workers: o.Clients, Call: visitUpdate, OnAnswer: func(a fake.Answer) {
 		mu.Lock()
 		defer mu.Unlock()
-		all = append(all, a)
+		answers = append(answers, a)
 	}}
 	persistent := clients.Start(load)
 	clients.ConnPerAttempt, clients.Seed = true, 1000
-	fresh := clients.Start(load)
+	nonPersistent := clients.Start(load)
 	rep := &UpgradeReport{}
-	var at []time.Time
+	var startTimes []time.Time
 	for i := range o.Upgrades {
 		select {
 		case <-time.After(o.Every):
@@ -187,39 +187,40 @@
 		if err := (&fleet.Upgrade{}).Do(ctx, m, before); err != nil {
 			return nil, fmt.Errorf("upgrade %d: %w", i+1, err)
 		}
-		at = append(at, started)
+		startTimes = append(startTimes, started)
 		rep.Durations = append(rep.Durations, time.Since(started).Milliseconds())
-		fmt.Fprintf(o.Progress, "upgrade %d of %d: %v until the old process had ended\n", i+1, o.Upgrades, time.Since(started).Round(time.Millisecond))
+		fmt.Fprintf(o.Progress, "upgrade %d of %d: old process ended after %v\n", i+1, o.Upgrades, time.Since(started).Round(time.Millisecond))
 	}
 	time.Sleep(o.Every)
 	cancel()
-	for _, r := range []map[string]*fake.Result{persistent.Wait(), fresh.Wait()} {
+	for _, r := range []map[string]*fake.Result{persistent.Wait(), nonPersistent.Wait()} {
 		x := r["x"]
 		rep.Calls, rep.Refused, rep.Lost = rep.Calls+x.Calls, rep.Refused+x.Rejected, rep.Lost+x.Lost+x.Wrong+x.Failed
 	}
-	rep.answers(all, at)
-	rep.Upgrades, rep.Twice = len(at), pool.Executions.Counts().DuplicateEffects
+	rep.addLatencies(answers, startTimes)
+	rep.Upgrades, rep.Twice = len(startTimes), pool.Executions.Counts().DuplicateEffects
 	return rep, nil
 }
 
-// answers adds the latencies of calls, around upgrades and at other times.
-func (r *UpgradeReport) answers(all []fake.Answer, upgrades []time.Time) {
+// addLatencies sets the latencies of calls around upgrades and of all other calls, and counts attempts without a
+// connection.
+func (r *UpgradeReport) addLatencies(answers []fake.Answer, upgrades []time.Time) {
 	var around, quiet fake.Times
-	for _, a := range all {
+	for _, a := range answers {
 		if a.IsUnconnected {
 			r.NoConn++
 		}
-		near := slices.ContainsFunc(upgrades, func(t time.Time) bool { d := a.Sent.Sub(t); return d > -time.Second && d < time.Second })
-		if near {
+		isNear := slices.ContainsFunc(upgrades, func(t time.Time) bool { d := a.Sent.Sub(t); return d > -time.Second && d < time.Second })
+		if isNear {
 			around.Add(a.Duration)
 		} else {
 			quiet.Add(a.Duration)
 		}
 	}
-	r.Around, r.Quiet = times(&around), times(&quiet)
+	r.Around, r.Quiet = latencyTimes(&around), latencyTimes(&quiet)
 }
 
-// visitUpdate is a write with a key of its own.
+// visitUpdate returns a write with a new idempotency key.
 func visitUpdate(rng *rand.Rand) fake.Call {
 	return fake.Call{
 		Kind: "x", Host: "care.example", Method: "POST", Path: "/visit-update", Plan: "standard", Body: "swap",
@@ -227,6 +228,6 @@
 	}
 }
 
-func times(t *fake.Times) Times {
+func latencyTimes(t *fake.Times) Times {
 	return Times{N: t.Count(), P50: ms(t.Quantile(0.5)), P99: ms(t.Quantile(0.99)), Max: ms(t.Quantile(1))}
 }
--- a/internal/trials/measure/disturb.go
+++ b/internal/trials/measure/disturb.go
@@ -13,10 +13,11 @@
 	"lockflow/internal/fleet"
 )
 
-// Disturbances of the instances of a measured fleet.
+// This file has the disturbances of the instances of a measured fleet.
 
-// disturb disturbs an instance, unless another disturbance of it is running.
-func (r *fleetRig) disturb(ctx context.Context, i, what int) {
+// disturb reloads, upgrades, restarts or kills an instance, depending on kind, unless another disturbance of that
+// instance is in progress.
+func (r *fleetRig) disturb(ctx context.Context, i, kind int) {
 	r.mu.Lock()
 	if r.busy[i] {
 		r.mu.Unlock()
@@ -38,25 +39,25 @@
 		r.addFailure("instance %d does not answer: %v", i, err)
 		return
 	}
-	count := &r.report.Reloads
+	counter := &r.report.Reloads
 	switch {
-	case what < 5:
+	case kind < 5:
 		raw, _ := os.ReadFile(before.ConfigPath)
 		changed := strings.Replace(string(raw), "depth = 2000", "depth = 2001", 1)
 		if changed == string(raw) {
 			changed = strings.Replace(string(raw), "depth = 2001", "depth = 2000", 1)
 		}
 		err = (&fleet.Reload{New: []byte(changed)}).Do(disturbanceCtx, m, before)
-	case what < 8:
-		count = &r.report.Upgrades
+	case kind < 8:
+		counter = &r.report.Upgrades
 		err = (&fleet.Upgrade{}).Do(disturbanceCtx, m, before)
-	case what == drainDisturbance:
-		count = &r.report.Ends
+	case kind == drainDisturbance:
+		counter = &r.report.Ends
 		r.avoid(i)
 		err = syscall.Kill(before.PID, syscall.SIGTERM)
 		err = errors.Join(err, r.awaitRestart(disturbanceCtx, i, before.PID))
 	default:
-		count = &r.report.Kills
+		counter = &r.report.Kills
 		r.mu.Lock()
 		r.avoided[i] = true
 		r.killed[r.run.Addr(i)] = append(r.killed[r.run.Addr(i)], time.Now())
@@ -65,11 +66,11 @@
 		err = errors.Join(err, r.awaitRestart(disturbanceCtx, i, before.PID))
 	}
 	if err != nil {
-		r.addFailure("instance %d, disturbance %d: %v", i, what, err)
+		r.addFailure("instance %d, disturbance %d: %v", i, kind, err)
 		return
 	}
 	r.mu.Lock()
-	*count++
+	*counter++
 	r.mu.Unlock()
 }
 
@@ -81,8 +82,8 @@
 	r.report.Failed = append(r.report.Failed, text)
 }
 
-// restartHalf restarts half of the instances at once in the middle of the run, just after a server that is
-// warming up was added, if any are.
+// restartHalf restarts half of the instances at the same time in the middle of the run. If the options add servers, it
+// starts one that warms up just before.
 func (r *fleetRig) restartHalf(ctx context.Context) {
 	select {
 	case <-time.After(r.options.Duration / 2):
@@ -94,7 +95,7 @@
 			r.addFailure("a server: %v", err)
 		}
 	}
-	r.logProgress("half of the instances end and start again")
+	r.logProgress("restarting half of the instances")
 	var all sync.WaitGroup
 	for i := 0; i < r.options.Instances; i += 2 {
 		all.Go(func() { r.disturb(ctx, i, drainDisturbance) })
@@ -102,10 +103,10 @@
 	all.Wait()
 }
 
-// drainDisturbance is the disturbance that drains an instance.
+// drainDisturbance is the kind of disturbance that drains and restarts an instance.
 const drainDisturbance = 8
 
-// avoid has clients avoid an instance, as a load balancer does before a planned shutdown.
+// avoid makes clients avoid an instance, as a load balancer does before a planned shutdown, and waits for leadTime.
 func (r *fleetRig) avoid(i int) {
 	r.mu.Lock()
 	r.avoided[i] = true
@@ -113,7 +114,7 @@
 	time.Sleep(leadTime)
 }
 
-// awaitRestart waits until an instance serves again, in another process.
+// awaitRestart waits until an instance is ready in a process other than pid.
 func (r *fleetRig) awaitRestart(ctx context.Context, i, pid int) error {
 	for {
 		if s, err := r.run.Members[i].Client.Status(ctx); err == nil && s.PID != pid && s.IsReady() {
@@ -122,7 +123,7 @@
 		select {
 		case <-time.After(20 * time.Millisecond):
 		case <-ctx.Done():
-			return fmt.Errorf("it is not back: %w", ctx.Err())
+			return fmt.Errorf("waiting for the instance to serve after a restart: %w", ctx.Err())
 		}
 	}
 }
--- a/internal/trials/measure/fleet.go
+++ b/internal/trials/measure/fleet.go
@@ -26,34 +26,34 @@
 	fleetCores     = 2
 	fleetWarmup    = 6 * time.Second // as in fleet.toml
 	fleetLag       = 1500 * time.Millisecond
-	drainNotified  = 2 * time.Second // after which a draining server gets no new requests
+	drainNotified  = 2 * time.Second // time from notification after which a draining server must get no new requests
 	enterpriseFrom = 1 << 20
 	hardLimitRate  = 20 // as in fleet.toml
 	hardLimitBurst = 40
 	hardLimitSlack = 8
 	spread         = 4
-	retryTimeout   = 8 * time.Second        // after a client's first attempt; less than the repeat window
-	leadTime       = 150 * time.Millisecond // between clients avoiding an instance and its SIGTERM
+	retryTimeout   = 8 * time.Second        // measured from a client's first attempt; less than the repeat window
+	leadTime       = 150 * time.Millisecond // time for which clients avoid an instance before it gets SIGTERM
 )
 
-// FleetOptions are the options of measuring a fleet.
+// FleetOptions are the options of Fleet.
 type FleetOptions struct {
 	Program           string
-	Dir               string // for the instances' files; has to be short and empty
+	Dir               string // directory of the instances' files; must be empty and its path short
 	Env               []string
 	Instances         int
-	GroupSize         int // configured group size; 0 is Instances
+	GroupSize         int // configured group size; 0 means Instances
 	Duration          time.Duration
-	Every             time.Duration // from one disturbance to the next; 0 is none
-	Rate              int           // calls a second
-	Servers           int           // initial servers, of two cores each
-	Work              time.Duration // of a call on one core
-	NewServerInterval time.Duration // from one new server to the next; 0 is none
+	Every             time.Duration // interval between disturbances; 0 disables them
+	Rate              int           // calls per second
+	Servers           int           // initial servers, with two cores each
+	Work              time.Duration // CPU time of a call on one core
+	NewServerInterval time.Duration // interval between new servers; 0 disables them
 	Seed              uint64
 	Progress          io.Writer
 }
 
-// FleetReport is the result of measuring a fleet.
+// FleetReport is the result of Fleet.
 type FleetReport struct {
 	Instances         int                     `json:"instances"`
 	GroupSize         int                     `json:"told"`
@@ -63,36 +63,36 @@
 	Servers           fake.Counts             `json:"servers"`
 	Late              int                     `json:"late"`        // requests to a draining server, 2 s after the notification
 	WarmingUp         int                     `json:"cold"`        // servers that started during the run
-	Overloaded        int                     `json:"fallen"`      // of them, overloaded while warming up
-	WorstOverload     float64                 `json:"worst"`       // peak load of one, relative to its limit
-	OverLimit         float64                 `json:"over"`        // largest excess over a customer's hard limit, in units
+	Overloaded        int                     `json:"fallen"`      // number of WarmingUp that were overloaded while warming up
+	WorstOverload     float64                 `json:"worst"`       // peak load of a server while warming up, relative to its limit
+	OverLimit         float64                 `json:"over"`        // largest excess of a customer over its hard limit, in units
 	Slack             float64                 `json:"slack"`       // allowed excess
 	EnterpriseUnits   float64                 `json:"enterprise"`  // units of customers with a hard limit
 	Reloads           int                     `json:"reloads"`     //
 	Upgrades          int                     `json:"upgrades"`    //
-	Ends              int                     `json:"ends"`        // by SIGTERM, with a start after each
-	Kills             int                     `json:"kills"`       // by SIGKILL
+	Ends              int                     `json:"ends"`        // processes ended by SIGTERM and started again
+	Kills             int                     `json:"kills"`       // processes ended by SIGKILL
 	Failed            []string                `json:"failed"`      // disturbances that did not complete
-	IdleMem           int                     `json:"idle_kb"`     // resident, mean
-	IdleFDs           int                     `json:"idle_fds"`    // mean
-	IdleCPU           float64                 `json:"idle_cpu_ms"` // a second, mean
+	IdleMem           int                     `json:"idle_kb"`     // mean resident memory of an idle instance
+	IdleFDs           int                     `json:"idle_fds"`    // mean number of open descriptors of an idle instance
+	IdleCPU           float64                 `json:"idle_cpu_ms"` // mean CPU time of an idle instance per second
 	DegradedInstances int                     `json:"doubting"`    // instances with a contradicted group size at the end
 	Wrong             []string                `json:"wrong"`       // violated rules
 }
 
-// fleetRig is a fleet that is being measured.
+// fleetRig is the state of a measurement of a fleet.
 type fleetRig struct {
-	options   FleetOptions
-	run       *fleet.Run
-	discovery *fake.Discovery
-	events    *fake.Executions
-	limit     *fake.HardLimitMonitor
-	group     *fake.Group // all servers drop repeats of a key as one group, as a client may retry at another instance
-	report    *FleetReport
+	options    FleetOptions
+	run        *fleet.Run
+	discovery  *fake.Discovery
+	executions *fake.Executions
+	hardLimit  *fake.HardLimitMonitor
+	group      *fake.Group // deduplicates keys across all servers, since a client may retry at another instance
+	report     *FleetReport
 
 	mu            sync.Mutex
 	avoided       map[int]bool           // instances that clients avoid
-	killed        map[string][]time.Time // when, by address
+	killed        map[string][]time.Time // times of kills, by address
 	servers       []*fake.Running
 	warmingUp     []*fake.Running
 	removed       []*fake.Running
@@ -101,12 +101,12 @@
 	progressMutex sync.Mutex
 }
 
-// Fleet runs a fleet of real processes under load and random disturbances and checks the result
-// against the rules.
+// Fleet runs a fleet of real processes under load and random disturbances. It checks the results against rules, such as
+// that no request is lost, and reports violations.
 func Fleet(ctx context.Context, o FleetOptions) (*FleetReport, error) {
 	r := &fleetRig{
-		options: o, events: &fake.Executions{}, group: &fake.Group{Window: 15 * time.Second}, avoided: make(map[int]bool), killed: make(map[string][]time.Time), busy: make(map[int]bool),
-		limit: &fake.HardLimitMonitor{Rate: hardLimitRate, Burst: hardLimitBurst, FirstCustomer: enterpriseFrom},
+		options: o, executions: &fake.Executions{}, group: &fake.Group{Window: 15 * time.Second}, avoided: make(map[int]bool), killed: make(map[string][]time.Time), busy: make(map[int]bool),
+		hardLimit: &fake.HardLimitMonitor{Rate: hardLimitRate, Burst: hardLimitBurst, FirstCustomer: enterpriseFrom},
 	}
 	r.report = &FleetReport{Instances: o.Instances, GroupSize: o.GroupSize, Slack: hardLimitSlack, P50: map[string]float64{}, P99: map[string]float64{}}
 	if o.GroupSize == 0 {
@@ -118,7 +118,7 @@
 	}
 	defer r.discovery.Close()
 	var lags atomic.Uint64
-	r.discovery.SetLag(func() time.Duration { // differs by the order in which instances poll
+	r.discovery.SetLag(func() time.Duration { // varies over the polls, so that instances are notified at different times
 		return time.Duration(lags.Add(1)*7%10) * fleetLag / 10
 	})
 	defer r.closeServers()
@@ -131,7 +131,7 @@
 	if err := os.WriteFile(file, []byte(strings.ReplaceAll(fleetConfig, "@visits", r.discovery.Addr())), 0o600); err != nil {
 		return nil, fmt.Errorf("measuring a fleet: %w", err)
 	}
-	r.logProgress("%d instances start", o.Instances)
+	r.logProgress("starting %d instances", o.Instances)
 	r.run, err = fleet.Start(ctx, fleet.Options{
 		Program: o.Program, Env: o.Env, Config: file, Dir: o.Dir, Instances: o.Instances, GroupSize: o.GroupSize,
 		Host: "127.0.0.1", StartTimeout: time.Minute,
@@ -140,20 +140,20 @@
 		return nil, err
 	}
 	defer r.run.Stop(5 * time.Second) //nolint:errcheck // the measurement is complete
-	if err := r.idle(ctx); err != nil {
+	if err := r.measureIdle(ctx); err != nil {
 		return nil, err
 	}
-	r.play(ctx)
+	r.runLoad(ctx)
 	for _, a := range fleet.PollStatus(context.WithoutCancel(ctx), r.run.Members) {
 		if a.Status != nil && len(a.Status.Services) > 0 && a.Status.Services[0].IsGroupSizeContradicted {
 			r.report.DegradedInstances++
 		}
 	}
-	r.logProgress("the instances end")
+	r.logProgress("stopping the instances")
 	if err := r.run.Stop(30 * time.Second); err != nil {
 		r.report.Failed = append(r.report.Failed, err.Error())
 	}
-	r.judge()
+	r.checkResults()
 	return r.report, nil
 }
 
@@ -163,8 +163,8 @@
 	fmt.Fprintf(r.options.Progress, format+"\n", args...)
 }
 
-// idle measures the cost of instances without requests.
-func (r *fleetRig) idle(ctx context.Context) error {
+// measureIdle measures memory, descriptors and CPU time of instances without requests.
+func (r *fleetRig) measureIdle(ctx context.Context) error {
 	before := fleet.PollStatus(ctx, r.run.Members)
 	used := make([]time.Duration, len(before))
 	for i, a := range before {
@@ -172,7 +172,7 @@
 			return fmt.Errorf("instance %s: %s", a.Member, a.Error)
 		}
 		var err error
-		if used[i], err = cpuOf(a.Status.PID); err != nil {
+		if used[i], err = processCPUTime(a.Status.PID); err != nil {
 			return err
 		}
 	}
@@ -192,7 +192,7 @@
 		n++
 		r.report.IdleMem += a.Status.MemoryKB
 		r.report.IdleFDs += a.Status.OpenDescriptors
-		now, err := cpuOf(a.Status.PID)
+		now, err := processCPUTime(a.Status.PID)
 		if err != nil {
 			return err
 		}
@@ -202,19 +202,19 @@
 	return nil
 }
 
-// play sends the load and disturbs the fleet meanwhile.
-func (r *fleetRig) play(ctx context.Context) {
+// runLoad sends the load and disturbs the fleet while it lasts.
+func (r *fleetRig) runLoad(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, r.options.Duration)
 	defer cancel()
 	started := time.Now()
 	run := fake.Clients{
 		Seed: r.options.Seed, Interval: time.Second / time.Duration(r.options.Rate), Workers: min(r.options.Rate, 600), Retries: 3, RetryPause: 100 * time.Millisecond, RetryTimeout: retryTimeout,
-		Call: fleetCall(r.report.GroupSize), PickAddress: r.pick, WasKilled: r.excused,
+		Call: fleetCall(r.report.GroupSize), PickAddress: r.pickAddress, WasKilled: r.wasKilledSince,
 	}.Start(ctx)
 	var all sync.WaitGroup
 	rng := rand.New(rand.NewPCG(r.options.Seed, 11))
 	if r.options.NewServerInterval > 0 {
-		all.Go(func() { r.change(ctx) })
+		all.Go(func() { r.replaceServers(ctx) })
 	}
 	if r.options.Every > 0 {
 		all.Go(func() { r.restartHalf(ctx) })
@@ -223,8 +223,8 @@
 		for more := true; more; {
 			select {
 			case <-t.C:
-				i, what := rng.IntN(r.options.Instances), rng.IntN(10)
-				all.Go(func() { r.disturb(ctx, i, what) })
+				i, kind := rng.IntN(r.options.Instances), rng.IntN(10)
+				all.Go(func() { r.disturb(ctx, i, kind) })
 			case <-ctx.Done():
 				more = false
 			}
@@ -236,17 +236,17 @@
 	for k, s := range r.report.Results {
 		r.report.P50[k], r.report.P99[k] = ms(s.Quantile(0.5)), ms(s.Quantile(0.99))
 	}
-	r.report.Servers = r.events.Counts()
+	r.report.Servers = r.executions.Counts()
 }
 
-// fleetCall returns calls of many customers, each with a fan-out of a few instances.
+// fleetCall returns a generator of calls of many customers, each with a fan-out of a few instances.
 func fleetCall(instances int) func(*rand.Rand) fake.Call {
 	return func(rng *rand.Rand) fake.Call {
 		c := fake.Call{
 			Host: "care.example", Method: "GET", Path: "/roster-read/week", Kind: "roster-read", Plan: "standard",
 			Customer: rng.Uint64N(500), Deadline: 3 * time.Second, Spread: min(spread, instances),
 		}
-		if rng.IntN(3) == 0 { // a few exceed their hard limit
+		if rng.IntN(3) == 0 { // four customers, which exceed their hard limits
 			c.Customer, c.Plan = enterpriseFrom+rng.Uint64N(4), "enterprise"
 		}
 		c.First = int(c.Customer) * 7 % instances
@@ -261,9 +261,9 @@
 	}
 }
 
-// pick returns an instance of the customer's set that clients do not avoid, if possible another one than
-// the last.
-func (r *fleetRig) pick(rng *rand.Rand, c fake.Call, last string) string {
+// pickAddress returns the address of a random instance of the customer's set that clients do not avoid, if possible
+// a different one from the last. If all are avoided, it returns one of them.
+func (r *fleetRig) pickAddress(rng *rand.Rand, c fake.Call, last string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	addr := ""
@@ -283,11 +283,11 @@
 	return addr
 }
 
-func (r *fleetRig) excused(addr string, since time.Time) bool {
+func (r *fleetRig) wasKilledSince(addr string, since time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, at := range r.killed[addr] {
-		// The kill is noted before it happens.
+		// A kill is recorded before the signal is sent, so it may also hit an attempt that starts up to a second later.
 		if at.After(since.Add(-time.Second)) {
 			return true
 		}
@@ -295,13 +295,13 @@
 	return false
 }
 
-// startServer starts a server, which warms up for a time if warmUp is above 0.
+// startServer starts and publishes a server. It warms up for a time if warmUp is above 0.
 func (r *fleetRig) startServer(warmUp time.Duration) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.created++
 	s, err := fake.Server{
-		UID: fmt.Sprint("visits-", r.created), Group: r.group, Executions: r.events, HardLimit: r.limit,
+		UID: fmt.Sprint("visits-", r.created), Group: r.group, Executions: r.executions, HardLimit: r.hardLimit,
 		Work: r.options.Work, Cores: fleetCores, Queue: 64, WarmUp: warmUp, InitialSpeed: 0.15, OverloadWindow: 2 * time.Second, OverloadFactor: 2.5,
 	}.Start()
 	if err != nil {
@@ -315,8 +315,8 @@
 	return nil
 }
 
-// change repeatedly replaces the oldest server, which drains, by a new one that is warming up.
-func (r *fleetRig) change(ctx context.Context) {
+// replaceServers repeatedly starts a server that warms up, and drains and removes the oldest one.
+func (r *fleetRig) replaceServers(ctx context.Context) {
 	t := time.NewTicker(r.options.NewServerInterval)
 	defer t.Stop()
 	for {
@@ -331,7 +331,7 @@
 		r.mu.Unlock()
 		e := old.Entry()
 		e.State = "draining"
-		old.Drain(fleetLag + drainNotified) // the last instance is notified by then
+		old.Drain(fleetLag + drainNotified) // all instances have been notified by then
 		r.discovery.Publish(e)
 		time.AfterFunc(fleetLag+drainNotified+2*time.Second, func() {
 			e.State = "removed"
@@ -353,8 +353,8 @@
 	}
 }
 
-// judge checks the counts against the rules.
-func (r *fleetRig) judge() {
+// checkResults checks the results against the rules.
+func (r *fleetRig) checkResults() {
 	rep := r.report
 	wrong := func(format string, args ...any) { rep.Wrong = append(rep.Wrong, fmt.Sprintf(format, args...)) }
 	for _, s := range r.removed {
@@ -368,7 +368,7 @@
 			rep.Overloaded++
 		}
 	}
-	rep.OverLimit, rep.EnterpriseUnits = r.limit.MaxExcess()
+	rep.OverLimit, rep.EnterpriseUnits = r.hardLimit.MaxExcess()
 	calls := 0
 	for kind, s := range rep.Results {
 		calls += s.Calls
--- a/internal/trials/measure/gather.go
+++ b/internal/trials/measure/gather.go
@@ -12,12 +12,12 @@
 	"time"
 )
 
-// GatherOptions are the options of measuring scatter-gather queries.
+// GatherOptions are the options of Gather.
 type GatherOptions struct {
-	Program  string // lockflow's own file, started anew for each run
-	Parts    []int  // each its own row
-	Workers  int    // clients
-	Rounds   int    // pairs of runs a row
+	Program  string // executable of lockflow, started for each run
+	Parts    []int  // numbers of parts, one for each row
+	Workers  int    // number of clients
+	Rounds   int    // pairs of runs per row
 	Duration time.Duration
 	Progress io.Writer
 }
@@ -25,23 +25,23 @@
 // GatherRow compares queries over a number of parts with the same calls sent one by one.
 type GatherRow struct {
 	Parts    int     `json:"parts"`
-	Query    float64 `json:"query_cpu_us"` // of the node, a query
-	Plain    float64 `json:"plain_cpu_us"` // of the node, as many plain calls
-	Part     float64 `json:"part_cpu_us"`  // of a query, a part
-	Ratio    float64 `json:"cpu_ratio"`    // median of the pairs'
+	Query    float64 `json:"query_cpu_us"` // CPU time of the node per query
+	Plain    float64 `json:"plain_cpu_us"` // CPU time of the node for as many separate calls
+	Part     float64 `json:"part_cpu_us"`  // CPU time of a query per part
+	Ratio    float64 `json:"cpu_ratio"`    // median of the pairs' ratios, query over separate calls
 	MinRatio float64 `json:"ratio_least"`
 	MaxRatio float64 `json:"ratio_most"`
-	P50      float64 `json:"p50_ms"` // of a query
+	P50      float64 `json:"p50_ms"` // median latency of a query
 	Failed   int     `json:"failed"` // incomplete answers
 }
 
 const gatherAnswer = `[{"visit":1,"name":"a"},{"visit":2,"name":"b"}]`
 
-// Gather measures the cost of a query and of the same calls sent separately, in turn.
+// Gather measures the cost of a query and that of the same calls sent separately. Both kinds of run alternate.
 func Gather(ctx context.Context, o GatherOptions) ([]GatherRow, error) {
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("starting a server: %w", err)
+		return nil, fmt.Errorf("starting the app server: %w", err)
 	}
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, gatherAnswer) })}
 	go srv.Serve(l) //nolint:errcheck // ends with its listener
@@ -52,22 +52,22 @@
 		var queries, plain, ratios, p50 []float64
 		for round := range o.Rounds {
 			var cpu [2]float64
-			for i, gathers := range []bool{true, false} {
-				used, middle, failed, err := gatherRun(ctx, o, l.Addr().String(), n, gathers)
+			for i, isGathered := range []bool{true, false} {
+				used, medianTime, failed, err := gatherRun(ctx, o, l.Addr().String(), n, isGathered)
 				if err != nil {
 					return rows, fmt.Errorf("measuring %d parts: %w", n, err)
 				}
 				cpu[i] = used
 				row.Failed += failed
-				if gathers {
-					p50 = append(p50, middle)
+				if isGathered {
+					p50 = append(p50, medianTime)
 				}
 			}
 			queries, plain, ratios = append(queries, cpu[0]), append(plain, cpu[1]), append(ratios, cpu[0]/cpu[1])
-			fmt.Fprintf(o.Progress, "%d parts, round %d of %d: %.0f us a query, %.0f plainly\n", n, round+1, o.Rounds, cpu[0], cpu[1])
+			fmt.Fprintf(o.Progress, "%d parts, round %d of %d: %.0f us of CPU per query, %.0f us for the same calls sent separately\n", n, round+1, o.Rounds, cpu[0], cpu[1])
 		}
-		same := func(v float64) float64 { return v }
-		row.Query, row.Plain, row.Ratio, row.P50 = median(queries, same), median(plain, same), median(ratios, same), median(p50, same)
+		identity := func(v float64) float64 { return v }
+		row.Query, row.Plain, row.Ratio, row.P50 = median(queries, identity), median(plain, identity), median(ratios, identity), median(p50, identity)
 		row.Part, row.MinRatio, row.MaxRatio = row.Query/float64(n), ratios[0], ratios[0]
 		for _, r := range ratios {
 			row.MinRatio, row.MaxRatio = min(row.MinRatio, r), max(row.MaxRatio, r)
@@ -77,8 +77,9 @@
 	return rows, nil
 }
 
-// gatherText is a node's configuration of so many parts, each also by a route of its own.
-func gatherText(server string, parts int) string {
+// gatherConfig returns a node's configuration with a query over the given number of parts, each of which also has its
+// own route.
+func gatherConfig(server string, parts int) string {
 	var names []string
 	s := "[process]\ndescriptors = 4096\n[[listeners]]\naddress = \"127.0.0.1:0\"\n"
 	for i := range parts {
@@ -89,8 +90,8 @@
 		"[[routes]]\nservice = \"all\"\npath = \"/all\"\n"
 }
 
-// rounds has workers run rounds for a duration, and returns the duration of each and the number that failed.
-func rounds(ctx context.Context, workers int, duration time.Duration, round func() bool) (durations []time.Duration, failed int) {
+// runRounds has workers call runRound for a duration, and returns the duration of each call and the number that failed.
+func runRounds(ctx context.Context, workers int, duration time.Duration, runRound func() bool) (durations []time.Duration, failed int) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	end := time.Now().Add(duration)
@@ -98,7 +99,7 @@
 		all.Go(func() {
 			for time.Now().Before(end) && ctx.Err() == nil {
 				started := time.Now()
-				ok := round()
+				ok := runRound()
 				mu.Lock()
 				durations = append(durations, time.Since(started))
 				if !ok {
@@ -112,9 +113,9 @@
 	return durations, failed
 }
 
-// gatherRun returns the CPU of the node, in us, for a query or for the same calls sent separately.
-func gatherRun(ctx context.Context, o GatherOptions, server string, parts int, gathers bool) (cpu, p50 float64, failed int, err error) {
-	file, err := writeConfig(gatherText(server, parts))
+// gatherRun returns the CPU time of the node, in us, for a query or for the same calls sent separately.
+func gatherRun(ctx context.Context, o GatherOptions, server string, parts int, isGathered bool) (cpu, p50 float64, failed int, err error) {
+	file, err := writeConfig(gatherConfig(server, parts))
 	if err != nil {
 		return 0, 0, 0, err
 	}
@@ -135,8 +136,8 @@
 		_, err = io.Copy(io.Discard, resp.Body)
 		return err == nil && resp.StatusCode == http.StatusOK && (path != "/all" || resp.Header.Get("Lockflow-Parts") == fmt.Sprintf("%d/%d", parts, parts))
 	}
-	round := func() bool {
-		if gathers {
+	runRound := func() bool {
+		if isGathered {
 			return fetchAll("/all")
 		}
 		ok := true
@@ -145,16 +146,16 @@
 		}
 		return ok
 	}
-	rounds(ctx, o.Workers, o.Duration/4, round) // establishes connections and learns latencies
-	before, err := cpuOf(node.Process.Pid)
+	runRounds(ctx, o.Workers, o.Duration/4, runRound) // warm-up: connections are established and the node learns latencies
+	before, err := processCPUTime(node.Process.Pid)
 	if err != nil {
 		return 0, 0, 0, err
 	}
-	durations, failed := rounds(ctx, o.Workers, o.Duration, round)
+	durations, failed := runRounds(ctx, o.Workers, o.Duration, runRound)
 	n := len(durations)
-	after, err := cpuOf(node.Process.Pid)
+	after, err := processCPUTime(node.Process.Pid)
 	if err == nil && n == 0 {
-		err = fmt.Errorf("nothing was answered")
+		err = fmt.Errorf("no query completed within the run")
 	}
 	if err != nil {
 		return 0, 0, failed, err
--- a/internal/trials/measure/proxy.go
+++ b/internal/trials/measure/proxy.go
@@ -1,5 +1,5 @@
-// Package measure compares a node with other programs or settings: with the same fake peers and in
-// turn, so that a drift of the machine's speed does not affect the comparison.
+// Package measure compares a node with other programs or settings. The compared runs use the same fake peers and
+// alternate, so that a drift of the machine's speed does not affect the comparison.
 package measure
 
 import (
@@ -28,25 +28,25 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// ProxyOptions are the options of a comparison with net/http/httputil.ReverseProxy.
+// ProxyOptions are the options of Proxy.
 type ProxyOptions struct {
-	Program     string        // lockflow's own file, started anew as each of the two
-	Connections []int         // of clients, each its own row
-	Rounds      int           // pairs of runs a row
+	Program     string        // executable of lockflow, started as the node and as the proxy
+	Connections []int         // numbers of client connections, one for each row
+	Rounds      int           // pairs of runs per row
 	Duration    time.Duration // of one run
-	Protocol    string        // that the node speaks: "platform" or "http"
+	Protocol    string        // protocol of the node: "platform" or "http"
 	Progress    io.Writer
 
-	slow int // further clients whose requests take slowUnits times the servers' work
+	slow int // additional clients whose requests take slowRequestUnits times the servers' work
 }
 
-// slowUnits is the work of a request of a slow client, relative to others.
-const slowUnits = 1000
+// slowRequestUnits is the work of a slow client's request, relative to that of other requests.
+const slowRequestUnits = 1000
 
 // Side is the result of one run, or the medians of several.
 type Side struct {
-	CPU     float64 `json:"cpu_us"` // of the process, a request
-	Rate    float64 `json:"rate"`   // answers a second
+	CPU     float64 `json:"cpu_us"` // CPU time of the process per request
+	Rate    float64 `json:"rate"`   // answers per second
 	P50     float64 `json:"p50_ms"`
 	P99     float64 `json:"p99_ms"`
 	Refused int     `json:"refused"` // in all runs
@@ -88,7 +88,7 @@
 service = "rosters"
 `
 
-// Proxy compares a node with a reverse proxy.
+// Proxy compares a node with net/http/httputil.ReverseProxy.
 func Proxy(ctx context.Context, o ProxyOptions) ([]ProxyRow, error) {
 	var servers []fake.Server
 	for i := range 4 {
@@ -123,9 +123,9 @@
 				return rows, fmt.Errorf("measuring the proxy: %w", err)
 			}
 			nodes, proxies, ratios = append(nodes, a), append(proxies, b), append(ratios, a.CPU/b.CPU)
-			fmt.Fprintf(o.Progress, "%4d connections, round %d of %d: %.0f and %.0f us a request\n", n, round+1, o.Rounds, a.CPU, b.CPU)
+			fmt.Fprintf(o.Progress, "%4d connections, round %d of %d: node %.0f, proxy %.0f us of CPU per request\n", n, round+1, o.Rounds, a.CPU, b.CPU)
 		}
-		row.Node, row.Proxy = middleSide(nodes), middleSide(proxies)
+		row.Node, row.Proxy = medianSide(nodes), medianSide(proxies)
 		row.Ratio = median(ratios, func(v float64) float64 { return v })
 		row.MinRatio, row.MaxRatio = floats.Min(ratios), floats.Max(ratios)
 		rows = append(rows, row)
@@ -133,7 +133,7 @@
 	return rows, nil
 }
 
-// median returns the median of a value.
+// median returns the median of a value over all elements.
 func median[T any](all []T, of func(T) float64) float64 {
 	var v []float64
 	for _, one := range all {
@@ -145,7 +145,7 @@
 
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-func middleSide(all []Side) Side {
+func medianSide(all []Side) Side {
 	m := Side{
 		CPU: median(all, func(s Side) float64 { return s.CPU }), Rate: median(all, func(s Side) float64 { return s.Rate }),
 		P50: median(all, func(s Side) float64 { return s.P50 }), P99: median(all, func(s Side) float64 { return s.P99 }),
@@ -157,7 +157,7 @@
 	return m
 }
 
-// run starts the program on one core, sends it load, and ends it.
+// run starts the program on one core, measures it under load, and ends it.
 func run(ctx context.Context, o ProxyOptions, connections int, seed uint64, args ...string) (Side, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -181,33 +181,33 @@
 	if o.slow > 0 {
 		slow := fake.Clients{Addr: addr, Seed: seed + 7, Workers: o.slow, Call: func(rng *rand.Rand) fake.Call {
 			c := call(rng)
-			c.Kind, c.Units = "slow", slowUnits
+			c.Kind, c.Units = "slow", slowRequestUnits
 			return c
 		}}
 		ended, stop := context.WithCancel(ctx)
 		defer slow.Start(ended).Wait()
 		defer stop()
 	}
-	play := func(duration time.Duration) *fake.Result {
+	sendLoad := func(duration time.Duration) *fake.Result {
 		ctx, cancel := context.WithTimeout(ctx, duration)
 		defer cancel()
 		return clients.Start(ctx).Wait()["x"]
 	}
-	play(o.Duration / 5) // connections are established and the concurrency limit grows
-	before, err := cpuOf(cmd.Process.Pid)
+	sendLoad(o.Duration / 5) // warm-up: connections are established and the concurrency limit grows
+	before, err := processCPUTime(cmd.Process.Pid)
 	if err != nil {
 		return Side{}, err
 	}
 	started := time.Now()
 	clients.Seed += 1000
-	r := play(o.Duration)
+	r := sendLoad(o.Duration)
 	elapsed := time.Since(started)
-	after, err := cpuOf(cmd.Process.Pid)
+	after, err := processCPUTime(cmd.Process.Pid)
 	if err != nil {
 		return Side{}, err
 	}
 	if r == nil || r.Served == 0 {
-		return Side{}, fmt.Errorf("%s served nothing", args[0])
+		return Side{}, fmt.Errorf("process %q served no requests", args[0])
 	}
 	return Side{
 		CPU: float64((after - before).Microseconds()) / float64(r.Attempts), Rate: float64(r.Served) / elapsed.Seconds(),
@@ -233,9 +233,9 @@
 	}
 	go io.Copy(io.Discard, log) //nolint:errcheck // ends with the process
 	if addr == "" {
-		err = fmt.Errorf("%s ended before it listened", args[0])
+		err = fmt.Errorf("process %q ended before it logged its listen address", args[0])
 	} else {
-		err = healthy(ctx, addr)
+		err = awaitHealthy(ctx, addr)
 	}
 	if err != nil {
 		cmd.Process.Kill()
@@ -245,7 +245,7 @@
 	return cmd, addr, nil
 }
 
-func healthy(ctx context.Context, addr string) error {
+func awaitHealthy(ctx context.Context, addr string) error {
 	for {
 		resp, err := get(ctx, http.DefaultClient, "http://"+addr+"/healthz")
 		if err == nil {
@@ -275,7 +275,7 @@
 	return file.Name(), nil
 }
 
-// get is a client's Get under a context.
+// get sends a GET request as http.Client.Get does, but with a context.
 func get(ctx context.Context, c *http.Client, url string) (*http.Response, error) {
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -284,8 +284,8 @@
 	return c.Do(q)
 }
 
-// cpuOf is the processor time that a process has used, from /proc/PID/stat (proc(5)).
-func cpuOf(pid int) (time.Duration, error) {
+// processCPUTime returns the CPU time that a process has used, from /proc/PID/stat (proc(5)).
+func processCPUTime(pid int) (time.Duration, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, fmt.Errorf("reading the processor time: %w", err)
@@ -293,7 +293,7 @@
 	_, rest, _ := strings.Cut(string(raw), ") ")
 	fields := strings.Fields(rest)
 	if len(fields) < 13 {
-		return 0, fmt.Errorf("reading the processor time: %q", raw)
+		return 0, fmt.Errorf("reading the processor time: too few fields in %q", raw)
 	}
 	sum := int64(0)
 	for _, f := range fields[11:13] { // utime and stime, in hundredths of a second
@@ -306,7 +306,8 @@
 	return time.Duration(sum) * 10 * time.Millisecond, nil
 }
 
-// ServeProxy is the other side: the standard library's reverse proxy over servers in turn.
+// ServeProxy serves as the proxy that Proxy and Bodies compare a node with: the standard library's reverse proxy, which
+// distributes requests round robin over servers.
 func ServeProxy(ctx context.Context, servers []string, log io.Writer) error {
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/trials/measure/rollout.go
+++ b/internal/trials/measure/rollout.go
@@ -26,66 +26,66 @@
 	"lockflow/internal/rolloutlog"
 )
 
-// rolloutRecoveries are the ways to recover from a killed coordinator: another one resumes or rolls back, which may
-// be killed too at one of its first writes.
+// rolloutRecoveries are the ways to recover from a killed coordinator: another coordinator resumes the change or rolls
+// it back. With "killed again" that one is killed too, at one of its first writes, and a third one takes over.
 var rolloutRecoveries = []string{"resume", "take-back", "resume, killed again", "take-back, killed again"}
 
-// RolloutOptions are the options of killing coordinators of staged changes.
+// RolloutOptions are the options of Rollout.
 type RolloutOptions struct {
 	Program    string
-	Dir        string // for all files; has to be short and empty
+	Dir        string // directory of all files; must be empty and its path short
 	Members    int
-	Kinds      []desiredstate.Kind // KindSettings, KindProgram
-	Kills      []int               // a coordinator is killed after write n, or before write -n; nil is each write of a change
-	Recoveries []string            // nil is all; more than one are taken in turn where Kills are given, and all at each write where not
-	Clients    int                 // of each member
+	Kinds      []desiredstate.Kind // KindSettings or KindProgram
+	Kills      []int               // writes to kill a coordinator at: after write n, or before it for -n; nil means each write of a change
+	Recoveries []string            // nil means all; taken in turn over Kills, or all of them at each write if Kills is empty
+	Clients    int                 // number of clients of each member
 	Seed       uint64
-	// Progress gets a line for each change.
+	// Progress receives a line for each change.
 	Progress io.Writer
 }
 
-// RolloutRow is a change whose coordinator was killed.
+// RolloutRow is the result of a change whose coordinator was killed.
 type RolloutRow struct {
 	Kind     desiredstate.Kind `json:"kind"`
-	Kill     int               `json:"kill"` // after this write, or before it where it is less than 0
+	Kill     int               `json:"kill"` // write after which it was killed, or before which if less than 0
 	Recovery string            `json:"way"`
-	Killed   int               `json:"killed"` // coordinators
-	State    string            `json:"state"`  // of all members at the end: new or old
-	Exit     int               `json:"exit"`   // of the last coordinator
+	Killed   int               `json:"killed"` // number of killed coordinators
+	State    string            `json:"state"`  // state of all members at the end: new or old
+	Exit     int               `json:"exit"`   // exit code of the last coordinator
 	Seconds  float64           `json:"seconds"`
 }
 
-// RolloutReport is the result of killing coordinators.
+// RolloutReport is the result of Rollout.
 type RolloutReport struct {
 	Rows            []RolloutRow   `json:"rows"`
-	Writes          map[string]int `json:"writes"` // of a complete change, by kind
+	Writes          map[string]int `json:"writes"` // number of writes of a complete change, by kind
 	Killed          int            `json:"killed"`
 	Claims          int            `json:"claims"`
-	Owned           int            `json:"owned"`  // epochs, each by one coordinator
-	Orders          int            `json:"orders"` // completed, or acknowledged again
+	Owned           int            `json:"owned"`  // epochs that a coordinator owned
+	Orders          int            `json:"orders"` // commands that completed or whose completion was repeated
 	Restarts        int            `json:"restarts"`
-	StartedCommands int            `json:"begun"` // commands that members have started, by their logs
+	StartedCommands int            `json:"begun"` // commands that members have started, according to their logs
 	Requests        int64          `json:"requests"`
 	Lost            int64          `json:"lost"`  // requests without an answer
-	Other           int64          `json:"other"` // answers that are another request's, or no 200
+	Other           int64          `json:"other"` // answers that belong to another request or have a status other than 200
 	Wrong           []string       `json:"wrong"`
 }
 
-// rolloutRig is a fleet whose coordinators are killed.
+// rolloutRig is the state of a run with a fleet whose coordinators are killed.
 type rolloutRig struct {
-	options RolloutOptions
-	report  *RolloutReport
-	capture *controlCapture
-	run     *fleet.Run
-	rng     *rand.Rand
-	changes int
-	text    string    // of the settings at the start
-	program [2]string // each is what the other changes to
-	at      int
-	sockets string
+	options        RolloutOptions
+	report         *RolloutReport
+	capture        *controlCapture
+	run            *fleet.Run
+	rng            *rand.Rand
+	changeCount    int
+	text           string    // settings at the start
+	programs       [2]string // program upgrades alternate between these two
+	currentProgram int
+	socketList     string
 
 	requests, lost, other atomic.Int64
-	firstLost             atomic.Pointer[string]
+	firstFailure          atomic.Pointer[string]
 }
 
 const rolloutConfig = `[process]
@@ -99,8 +99,8 @@
 service = "app"
 `
 
-// Rollout has a fleet of real processes under clients change again and again, and kills the coordinator at its
-// writes. After each another one has to bring all members to one state, the old or the new.
+// Rollout runs changes over a fleet of real processes under load, and kills the coordinator of each change at one of its
+// writes. After each kill another coordinator has to bring all members to the same state, the old or the new one.
 func Rollout(ctx context.Context, o RolloutOptions) (*RolloutReport, error) {
 	r := &rolloutRig{options: o, report: &RolloutReport{Writes: make(map[string]int)}, capture: newControlCapture(o.Members), rng: rand.New(rand.NewPCG(o.Seed, 5))}
 	if o.Progress == nil {
@@ -119,31 +119,32 @@
 	var clients sync.WaitGroup
 	for i := range o.Members {
 		for n := range o.Clients {
-			clients.Go(func() { r.client(ctx, fmt.Sprintf("%d-%d", i, n), r.run.Addr(i)) })
+			clients.Go(func() { r.sendRequests(ctx, fmt.Sprintf("%d-%d", i, n), r.run.Addr(i)) })
 		}
 	}
 	for _, kind := range o.Kinds {
-		if err := r.kills(ctx, kind); err != nil {
+		if err := r.killAtWrites(ctx, kind); err != nil {
 			return nil, fmt.Errorf("measuring rollouts: %w", err)
 		}
 	}
 	cancel()
 	clients.Wait()
-	r.judge()
+	r.checkResults()
 	return r.report, nil
 }
 
-// kills kills coordinators of one kind of change, after each write, and before it.
-func (r *rolloutRig) kills(ctx context.Context, kind desiredstate.Kind) error {
+// killAtWrites runs changes of one kind, and kills their coordinators at the writes in the options, or before and after
+// each write.
+func (r *rolloutRig) killAtWrites(ctx context.Context, kind desiredstate.Kind) error {
 	for i, at := range r.options.Kills {
-		if _, err := r.change(ctx, kind, at, r.options.Recoveries[i%len(r.options.Recoveries)]); err != nil {
+		if _, err := r.runChange(ctx, kind, at, r.options.Recoveries[i%len(r.options.Recoveries)]); err != nil {
 			return err
 		}
 	}
 	for n := 1; len(r.options.Kills) == 0; n++ {
 		for _, at := range []int{-n, n} {
 			for _, recovery := range r.options.Recoveries {
-				killed, err := r.change(ctx, kind, at, recovery)
+				killed, err := r.runChange(ctx, kind, at, recovery)
 				if err != nil || !killed {
 					r.report.Writes[string(kind)] = n - 1
 					return err
@@ -172,9 +173,9 @@
 	if err != nil {
 		return stop, err
 	}
-	for i := range r.program { // bytes after the end of a program do not affect it, but change its hash
-		r.program[i] = filepath.Join(r.options.Dir, fmt.Sprint("program-", i))
-		if err := os.WriteFile(r.program[i], append(bytes.Clone(raw), byte(i)), 0o700); err != nil {
+	for i := range r.programs { // a byte appended to an executable changes its hash, but not its behaviour
+		r.programs[i] = filepath.Join(r.options.Dir, fmt.Sprint("program-", i))
+		if err := os.WriteFile(r.programs[i], append(bytes.Clone(raw), byte(i)), 0o700); err != nil {
 			return stop, err
 		}
 	}
@@ -183,7 +184,7 @@
 	if err := os.WriteFile(config, []byte(r.text), 0o600); err != nil {
 		return stop, err
 	}
-	r.run, err = fleet.Start(ctx, fleet.Options{Program: r.program[0], Config: config, Dir: r.options.Dir, Instances: r.options.Members, Host: "127.0.0.1", StartTimeout: time.Minute})
+	r.run, err = fleet.Start(ctx, fleet.Options{Program: r.programs[0], Config: config, Dir: r.options.Dir, Instances: r.options.Members, Host: "127.0.0.1", StartTimeout: time.Minute})
 	if err != nil {
 		return stop, err
 	}
@@ -198,12 +199,12 @@
 		ends = append(ends, end)
 		fmt.Fprintln(&list, path)
 	}
-	r.sockets = filepath.Join(r.options.Dir, "members")
-	return stop, os.WriteFile(r.sockets, []byte(list.String()), 0o600)
+	r.socketList = filepath.Join(r.options.Dir, "members")
+	return stop, os.WriteFile(r.socketList, []byte(list.String()), 0o600)
 }
 
-// client sends requests to a member and counts the answers. The path identifies a request.
-func (r *rolloutRig) client(ctx context.Context, name, addr string) {
+// sendRequests sends requests to a member until ctx ends, and counts the answers. The path identifies a request.
+func (r *rolloutRig) sendRequests(ctx context.Context, name, addr string) {
 	c := &http.Client{Transport: &http.Transport{}, Timeout: 20 * time.Second}
 	defer c.CloseIdleConnections()
 	for n := 0; ctx.Err() == nil; n++ {
@@ -219,11 +220,11 @@
 		case err != nil:
 			r.lost.Add(1)
 			why := fmt.Sprintf("%s at %s: %v", path, addr, err)
-			r.firstLost.CompareAndSwap(nil, &why)
+			r.firstFailure.CompareAndSwap(nil, &why)
 		case resp.StatusCode != http.StatusOK || string(body) != path:
 			r.other.Add(1)
 			why := fmt.Sprintf("%s at %s: %d %.80q", path, addr, resp.StatusCode, body)
-			r.firstLost.CompareAndSwap(nil, &why)
+			r.firstFailure.CompareAndSwap(nil, &why)
 		}
 		select {
 		case <-time.After(5 * time.Millisecond):
@@ -232,9 +233,9 @@
 	}
 }
 
-// coordinator runs a coordinator. killed tells that it ended by SIGKILL.
-func (r *rolloutRig) coordinator(ctx context.Context, kill int, args ...string) (code int, killed bool, output string, err error) {
-	args = append([]string{"fleet", "--sockets", r.sockets, "--journal", r.journal(), "--kill-at", strconv.Itoa(kill)}, args...)
+// runCoordinator runs a coordinator until it ends. killed reports whether it ended by SIGKILL.
+func (r *rolloutRig) runCoordinator(ctx context.Context, kill int, args ...string) (code int, killed bool, output string, err error) {
+	args = append([]string{"fleet", "--sockets", r.socketList, "--journal", r.journal(), "--kill-at", strconv.Itoa(kill)}, args...)
 	cmd := exec.CommandContext(ctx, r.options.Program, args...)
 	out, err := cmd.CombinedOutput()
 	if exit := (*exec.ExitError)(nil); err != nil && !errors.As(err, &exit) {
@@ -246,16 +247,17 @@
 
 func (r *rolloutRig) journal() string { return filepath.Join(r.options.Dir, "journal") }
 
-// nextChange returns the command's arguments for the next change of a kind, and the hash that members run after it.
+// nextChange returns the coordinator's arguments for the next change of a kind, and the hash of the settings or program
+// that members run after it.
 func (r *rolloutRig) nextChange(kind desiredstate.Kind) (args []string, hash string, err error) {
 	if kind == desiredstate.KindProgram {
-		raw, err := os.ReadFile(r.program[1-r.at])
+		raw, err := os.ReadFile(r.programs[1-r.currentProgram])
 		if err != nil {
 			return nil, "", err
 		}
-		return []string{"upgrade", "--program", r.program[1-r.at]}, desiredstate.Hash(raw), nil
+		return []string{"upgrade", "--program", r.programs[1-r.currentProgram]}, desiredstate.Hash(raw), nil
 	}
-	text := []byte(r.text + fmt.Sprintf("# change %d\n", r.changes))
+	text := []byte(r.text + fmt.Sprintf("# change %d\n", r.changeCount))
 	path := filepath.Join(r.options.Dir, "next.toml")
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return nil, "", err
@@ -263,16 +265,18 @@
 	return []string{"reload", "--config", path}, desiredstate.Hash(text), nil
 }
 
-// addKilled adds a change whose first coordinator was killed to the report; none tells that it had not started.
-func (r *rolloutRig) addKilled(row RolloutRow, none bool) {
+// addKilled adds to the report a change whose first coordinator was killed. notStarted tells that the coordinator was
+// killed before the change started.
+func (r *rolloutRig) addKilled(row RolloutRow, notStarted bool) {
 	r.report.Rows, r.report.Killed = append(r.report.Rows, row), r.report.Killed+row.Killed
-	if none {
+	if notStarted {
 		r.report.Killed++
 	}
 }
 
-// state names what the members run now: the old, the new, or a mixture.
-func (r *rolloutRig) state(now map[string]int, old, next string) string {
+// stateName returns "new" or "old" if all members run the same version, and "mixed" otherwise. now counts members by
+// hash.
+func (r *rolloutRig) stateName(now map[string]int, old, next string) string {
 	switch r.options.Members {
 	case now[next]:
 		return "new"
@@ -283,17 +287,17 @@
 	}
 }
 
-// changeEnd is how a change ended.
-type changeEnd struct {
+// changeOutcome describes how a change ended.
+type changeOutcome struct {
 	notStarted    bool // the change was not started
-	wasKilled     bool // its first coordinator was
-	needsRollback bool // it had to be taken back
-	foundFinished bool // the last coordinator found it over
-	exitCode      int  // the last coordinator's
+	wasKilled     bool // its first coordinator was killed
+	needsRollback bool // it had to be rolled back
+	foundFinished bool // the last coordinator found the change already finished
+	exitCode      int  // exit code of the last coordinator
 }
 
-// isWrong tells whether the change may not leave members in a state.
-func (e *changeEnd) isWrong(state string) bool {
+// isWrong reports whether the members must not be in the given state after the change, or the exit code does not fit it.
+func (e *changeOutcome) isWrong(state string) bool {
 	switch {
 	case state == "mixed":
 		return true
@@ -308,25 +312,26 @@
 	}
 }
 
-// change starts a change, kills its coordinator, and recovers it. killed tells whether the coordinator was killed.
-func (r *rolloutRig) change(ctx context.Context, kind desiredstate.Kind, kill int, recovery string) (killed bool, err error) {
+// runChange starts a change, kills its coordinator at a write, and recovers the change. killed reports whether the
+// coordinator was killed; it is false if the change has fewer writes.
+func (r *rolloutRig) runChange(ctx context.Context, kind desiredstate.Kind, kill int, recovery string) (killed bool, err error) {
 	started := time.Now()
-	r.changes++
+	r.changeCount++
 	args, next, err := r.nextChange(kind)
 	if err != nil {
 		return false, err
 	}
-	was, err := r.runningHashes(ctx, kind)
+	hashesBefore, err := r.runningHashes(ctx, kind)
 	if err != nil {
 		return false, err
 	}
-	old := slices.Sorted(maps.Keys(was))
+	old := slices.Sorted(maps.Keys(hashesBefore))
 	if len(old) != 1 {
-		return false, fmt.Errorf("members run %v before a change", was)
+		return false, fmt.Errorf("members run different versions before a change (count by hash): %v", hashesBefore)
 	}
 	args = append(args, "--bake", "50ms", "--bake-most", "10s", "--within", "10s", "--unjudged")
 	row := RolloutRow{Kind: kind, Kill: kill, Recovery: recovery}
-	code, killed, output, err := r.coordinator(ctx, kill, args...)
+	code, killed, output, err := r.runCoordinator(ctx, kill, args...)
 	if err != nil {
 		return false, err
 	}
@@ -334,43 +339,43 @@
 	if err != nil {
 		return false, err
 	}
-	// A coordinator that was killed before its first write has not started the change.
-	none := kill == -1 || len(records) == 0
+	// A coordinator that is killed before its first write has not started the change.
+	isUnstarted := kill == -1 || len(records) == 0
 	log := output
 	flag, nextKill := "--"+strings.SplitN(recovery, ",", 2)[0], 0
 	if strings.HasSuffix(recovery, "again") {
 		nextKill = 1 + r.rng.IntN(8)
 	}
-	for cut := killed && !none; cut; nextKill = 0 {
+	for interrupted := killed && !isUnstarted; interrupted; nextKill = 0 {
 		row.Killed++
-		if code, cut, output, err = r.coordinator(ctx, nextKill, args[0], flag); err != nil {
+		if code, interrupted, output, err = r.runCoordinator(ctx, nextKill, args[0], flag); err != nil {
 			return false, err
 		}
 		log += "-- killed, then " + flag + "\n" + output
 	}
-	now, err := r.runningHashes(ctx, kind)
+	hashesAfter, err := r.runningHashes(ctx, kind)
 	if err != nil {
 		return false, err
 	}
-	row.State, row.Exit, row.Seconds = r.state(now, old[0], next), code, time.Since(started).Seconds()
+	row.State, row.Exit, row.Seconds = r.stateName(hashesAfter, old[0], next), code, time.Since(started).Seconds()
 	if row.State == "new" && kind == desiredstate.KindProgram {
-		r.at = 1 - r.at
+		r.currentProgram = 1 - r.currentProgram
 	}
-	end := changeEnd{notStarted: none, wasKilled: killed, needsRollback: strings.HasPrefix(recovery, "take-back"), foundFinished: strings.Contains(output, "the change is over"), exitCode: code}
+	end := changeOutcome{notStarted: isUnstarted, wasKilled: killed, needsRollback: strings.HasPrefix(recovery, "take-back"), foundFinished: strings.Contains(output, "the change is over"), exitCode: code}
 	if end.isWrong(row.State) {
-		r.report.Wrong = append(r.report.Wrong, fmt.Sprintf("%s, killed at write %d, then %s: exit %d, members run %v; before %v, next %.12s\n%s", kind, kill, recovery, code, now, old, next, log))
+		r.report.Wrong = append(r.report.Wrong, fmt.Sprintf("%s, killed at write %d, then %s: exit %d, members run %v; before %v, next %.12s\n%s", kind, kill, recovery, code, hashesAfter, old, next, log))
 	}
 	if killed {
-		r.addKilled(row, none)
+		r.addKilled(row, isUnstarted)
 	}
-	fmt.Fprintf(r.options.Progress, "%s, killed at write %d, %s: %s, exit %d, %.1f s, %d wrong\n", kind, kill, recovery, row.State, code, row.Seconds, len(r.report.Wrong))
+	fmt.Fprintf(r.options.Progress, "%s, killed at write %d, %s: state %s, exit code %d, %.1f s, %d violations\n", kind, kill, recovery, row.State, code, row.Seconds, len(r.report.Wrong))
 	if row.State == "mixed" {
-		return false, fmt.Errorf("members are left in a mixture: %s", r.report.Wrong[len(r.report.Wrong)-1])
+		return false, fmt.Errorf("members run a mixture of versions after a change: %s", r.report.Wrong[len(r.report.Wrong)-1])
 	}
 	return killed, nil
 }
 
-// runningHashes returns the hashes of the settings that members report, or of their processes' programs.
+// runningHashes counts members by the hash of the settings that they report, or of the executables of their processes.
 func (r *rolloutRig) runningHashes(ctx context.Context, kind desiredstate.Kind) (map[string]int, error) {
 	ctx, cancel := context.WithTimeout(ctx, 20*time.Second)
 	defer cancel()
@@ -393,14 +398,14 @@
 	return all, nil
 }
 
-// judge checks all observations against the rules.
-func (r *rolloutRig) judge() {
+// checkResults checks all observations against the rules.
+func (r *rolloutRig) checkResults() {
 	p := r.report
 	p.Requests, p.Lost, p.Other = r.requests.Load(), r.lost.Load(), r.other.Load()
 	r.capture.mu.Lock()
 	p.Claims, p.Owned, p.Orders, p.Restarts = r.capture.claims, r.capture.owned, r.capture.completed, r.capture.restarts
 	r.capture.mu.Unlock()
-	if why := r.firstLost.Load(); why != nil {
+	if why := r.firstFailure.Load(); why != nil {
 		p.Wrong = append(p.Wrong, fmt.Sprintf("%d requests without an answer, %d with another one; the first: %s", p.Lost, p.Other, *why))
 	}
 	if err := r.capture.history.CheckOwnership(); err != nil {
--- a/internal/trials/measure/writeconfig_test.go
+++ b/internal/trials/measure/writeconfig_test.go
@@ -9,7 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// A file that can't be written in full is an error, and none is left behind.
+// If a configuration can't be written in full, writeConfig must return an error and remove the file. Otherwise a node would
+// start with a truncated configuration.
 func TestWriteConfig(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
@@ -18,22 +19,22 @@
 		t.Fatal(err)
 	}
 	if raw, err := os.ReadFile(path); err != nil || string(raw) != "a = 1\n" {
-		t.Errorf("%q, %v", raw, err)
+		t.Errorf("written configuration: got %q, %v", raw, err)
 	}
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
 	limitFileSize(t, 10)
 	if path, err := writeConfig(strings.Repeat("a = 1\n", 10)); err == nil {
-		t.Errorf("%s was written beyond the limit", path)
+		t.Errorf("%s was written without an error, although it exceeds the file size limit", path)
 	}
 	if left, err := filepath.Glob(filepath.Join(dir, "*")); err != nil || len(left) > 0 {
-		t.Errorf("%q are left, %v", left, err)
+		t.Errorf("files left after the failed write: %q, error %v", left, err)
 	}
 }
 
-// limitFileSize bounds what the process can write to a file, until the test ends. Go ignores the signal
-// that comes with it.
+// limitFileSize limits the size of files that the process writes until the test ends. Go ignores the SIGXFSZ signal of a
+// write that exceeds it.
 func limitFileSize(t *testing.T, bytes uint64) {
 	t.Helper()
 	var old unix.Rlimit
