--- a/cmd/lockflow/disk_faults_test.go
+++ b/cmd/lockflow/disk_faults_test.go
@@ -13,7 +13,7 @@
 
 // A state directory whose disk fails for a while, in any call by which a checkpoint is written, costs no start and no
 // checkpoint that was there: the node tells it, writes again once the disk works, and the next start finds that.
-func TestCheckpointsOutlastDiskFaults(t *testing.T) {
+func TestCheckpointsSurviveDiskFaults(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		call  faultbuild.Call
@@ -31,7 +31,7 @@
 			table, state := newFaultTable(t), filepath.Join(t.TempDir(), "state")
 			config := strings.Replace(stateConfig, "@state\"", state+"\"\ncheckpoint = \"10ms\"", 1)
 			p := startFaulty(t, table, config)
-			p.listens()
+			p.waitUntilListening()
 			checkpoint := filepath.Join(state, "state")
 			testkit.Until(t, "a checkpoint", func() bool { _, err := os.Stat(checkpoint); return err == nil })
 			table.Fail(tc.call, tc.errno, 1)
@@ -43,17 +43,17 @@
 				before := table.Injected(tc.call)
 				testkit.Until(t, "a checkpoint that fails", func() bool { return table.Injected(tc.call) > before+2 })
 				table.Heal(tc.call)
-				p.until("checkpoint saved again")
+				p.waitForLog("checkpoint saved again")
 			}
-			p.end()
+			p.terminate()
 			left, err := filepath.Glob(filepath.Join(state, ".*"))
 			if err != nil || len(left) > 0 {
 				t.Errorf("temporary files are left: %v, %v", left, err)
 			}
 			next := startFaulty(t, table, config)
-			next.until("checkpoint restored")
-			next.listens()
-			next.end()
+			next.waitForLog("checkpoint restored")
+			next.waitUntilListening()
+			next.terminate()
 		})
 	}
 }
--- a/cmd/lockflow/fleet_test.go
+++ b/cmd/lockflow/fleet_test.go
@@ -56,9 +56,9 @@
 	if err := run.Start(); err != nil {
 		t.Fatal(err)
 	}
-	late := time.AfterFunc(time.Minute, func() { run.Process.Signal(os.Interrupt) })
+	interruptTimer := time.AfterFunc(time.Minute, func() { run.Process.Signal(os.Interrupt) })
 	t.Cleanup(func() { // the instances would outlive it
-		late.Stop()
+		interruptTimer.Stop()
 		run.Process.Signal(os.Interrupt)
 		run.Wait()
 	})
@@ -71,24 +71,24 @@
 			ready++
 		}
 	}
-	fleet := func(code int, tells string, args ...string) {
+	runFleet := func(code int, wantOutput string, args ...string) {
 		t.Helper()
 		cmd := exec.Command(bin, append([]string{"fleet", "--dir", dir}, args...)...)
 		raw, _ := cmd.CombinedOutput()
-		if cmd.ProcessState.ExitCode() != code || !strings.Contains(string(raw), tells) {
+		if cmd.ProcessState.ExitCode() != code || !strings.Contains(string(raw), wantOutput) {
 			t.Errorf("%v: exit %d\n%s", args, cmd.ProcessState.ExitCode(), raw)
 		}
 	}
-	good := write("good.toml", strings.Replace(text, "[plans.p]", "[plans.p]\nprice = 2", 1))
-	fleet(0, "3 changed", "reload", "--config", good, "--batch", "2", "--bake", "100ms", "--unjudged")
-	fleet(1, "bad.toml:1: x: unknown key", "reload", "--config", write("bad.toml", "x = 1"))
-	fleet(0, "ready", "status")
-	fleet(0, "3 changed", "upgrade", "--batch", "3", "--bake", "100ms", "--unjudged")
-	fleet(0, "the settings are the same", "reload")
-	fleet(0, "change of program, begun", "status")
-	fleet(1, "1 taken back", "upgrade", "--program", write("none.sh", "#!/bin/sh\nexit 3\n"))
-	fleet(2, "no absolute path", "upgrade", "--program", "next")
-	fleet(2, `no "luck"`, "luck")
+	validConfig := write("good.toml", strings.Replace(text, "[plans.p]", "[plans.p]\nprice = 2", 1))
+	runFleet(0, "3 changed", "reload", "--config", validConfig, "--batch", "2", "--bake", "100ms", "--unjudged")
+	runFleet(1, "bad.toml:1: x: unknown key", "reload", "--config", write("bad.toml", "x = 1"))
+	runFleet(0, "ready", "status")
+	runFleet(0, "3 changed", "upgrade", "--batch", "3", "--bake", "100ms", "--unjudged")
+	runFleet(0, "the settings are the same", "reload")
+	runFleet(0, "change of program, begun", "status")
+	runFleet(1, "1 taken back", "upgrade", "--program", write("none.sh", "#!/bin/sh\nexit 3\n"))
+	runFleet(2, "no absolute path", "upgrade", "--program", "next")
+	runFleet(2, `no "luck"`, "luck")
 	cmd := exec.Command(bin, "status", "--control", filepath.Join(dir, "1", "control.sock"), "--json")
 	raw, err := cmd.Output()
 	if err != nil || !strings.Contains(string(raw), `"generation":3`) {
--- a/cmd/lockflow/judged_test.go
+++ b/cmd/lockflow/judged_test.go
@@ -14,14 +14,14 @@
 
 // taking is a server of which a part of the answers takes long. The 99th percentile is among these, so that what
 // busy cores do to the others is not slow.
-func taking(t *testing.T, part float64, long time.Duration) string {
+func newServerWithSlowAnswers(t *testing.T, slowFraction float64, slowDelay time.Duration) string {
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		d := 15 * time.Millisecond
-		if rand.Float64() < part {
-			d = long
+		delay := 15 * time.Millisecond
+		if rand.Float64() < slowFraction {
+			delay = slowDelay
 		}
 		select {
-		case <-time.After(d):
+		case <-time.After(delay):
 		case <-r.Context().Done():
 		}
 	}))
@@ -31,12 +31,12 @@
 
 // What is harmless passes every stage by what is measured; what makes answers slow stops after one instance;
 // without traffic nothing is shown, and that stops too, but for a change that is to go on unjudged.
-func TestChangesAreJudged(t *testing.T) {
-	good, slow := taking(t, 0.03, 400*time.Millisecond), taking(t, 0.25, 1500*time.Millisecond)
-	next := func(r *running, server string) []string {
-		return []string{"reload", "--config", r.write("next.toml", ordinary(server)+"# next\n")}
+func TestRolloutStageVerdicts(t *testing.T) {
+	good, slow := newServerWithSlowAnswers(t, 0.03, 400*time.Millisecond), newServerWithSlowAnswers(t, 0.25, 1500*time.Millisecond)
+	reloadArgs := func(r *testFleet, server string) []string {
+		return []string{"reload", "--config", r.write("next.toml", serviceConfig(server)+"# next\n")}
 	}
-	another := func(r *running) []string {
+	upgradeArgs := func(r *testFleet) []string {
 		raw, err := os.ReadFile(r.bin)
 		if err != nil {
 			t.Fatal(err)
@@ -44,24 +44,24 @@
 		return []string{"upgrade", "--program", r.write("program", string(raw)+"\x00")}
 	}
 	for _, c := range []struct {
-		name    string
-		clients int
-		args    func(r *running) []string
-		flags   string
-		exit    int
-		says    []string
+		name       string
+		clients    int
+		args       func(r *testFleet) []string
+		flags      string
+		exit       int
+		wantOutput []string
 	}{
 		{
-			"harmless settings", 6, func(r *running) []string { return next(r, good) }, "--bake 1s --bake-most 2m", 0,
+			"harmless settings", 6, func(r *testFleet) []string { return reloadArgs(r, good) }, "--bake 1s --bake-most 2m", 0,
 			[]string{"stage 1: pass", "stage 2: pass", "stage 3: pass", "4 changed"},
 		},
-		{"harmless program", 6, another, "--bake 1s --bake-most 2m", 0, []string{"restarted as controls", "stage 2: pass", "stage 3: pass", "4 changed"}},
-		{"slow answers", 6, func(r *running) []string { return next(r, slow) }, "--bake 1s --bake-most 1m", 1, []string{"stage 1: worse: ", "1 taken back", "3 untouched"}},
-		{"nothing to judge by", 0, func(r *running) []string { return next(r, good) }, "--bake 1s --bake-most 2s", 1, []string{"no evidence", "1 taken back", "3 untouched"}},
-		{"unjudged", 0, func(r *running) []string { return next(r, good) }, "--bake 200ms --bake-most 1s --unjudged", 0, []string{"4 changed"}},
+		{"harmless program", 6, upgradeArgs, "--bake 1s --bake-most 2m", 0, []string{"restarted as controls", "stage 2: pass", "stage 3: pass", "4 changed"}},
+		{"slow answers", 6, func(r *testFleet) []string { return reloadArgs(r, slow) }, "--bake 1s --bake-most 1m", 1, []string{"stage 1: worse: ", "1 taken back", "3 untouched"}},
+		{"nothing to judge by", 0, func(r *testFleet) []string { return reloadArgs(r, good) }, "--bake 1s --bake-most 2s", 1, []string{"no evidence", "1 taken back", "3 untouched"}},
+		{"unjudged", 0, func(r *testFleet) []string { return reloadArgs(r, good) }, "--bake 200ms --bake-most 1s --unjudged", 0, []string{"4 changed"}},
 	} {
 		t.Run(strings.ReplaceAll(c.name, " ", "-"), func(t *testing.T) {
-			r := startFleet(t, ordinary(good), 4)
+			r := startFleet(t, serviceConfig(good), 4)
 			r.clients(c.clients)
 			testkit.Until(t, "each instance has served for a time", func() bool {
 				for i := range r.served {
@@ -71,10 +71,10 @@
 				}
 				return true
 			})
-			code, said := r.fleet(append(c.args(r), strings.Fields(c.flags)...)...)
-			t.Log(said)
-			for _, s := range c.says {
-				if !strings.Contains(said, s) {
+			code, output := r.runCommand(append(c.args(r), strings.Fields(c.flags)...)...)
+			t.Log(output)
+			for _, s := range c.wantOutput {
+				if !strings.Contains(output, s) {
 					t.Errorf("it does not say %q", s)
 				}
 			}
--- a/cmd/lockflow/keeper_test.go
+++ b/cmd/lockflow/keeper_test.go
@@ -19,54 +19,54 @@
 )
 
 // kept is a directory of instances and who keeps them.
-type kept struct {
+type supervisedFleet struct {
 	t        *testing.T
 	bin, dir string
-	keeper   *exec.Cmd
+	fleetRun *exec.Cmd
 }
 
 // run starts a keeper that says it is ready.
-func (k *kept) run() {
+func (k *supervisedFleet) startFleetRun() {
 	k.t.Helper()
-	k.keeper = exec.Command(k.bin, "fleet", "run", "--config", filepath.Join(k.dir, "c.toml"), "--dir", k.dir, "--instances", "2", "--port", "0")
+	k.fleetRun = exec.Command(k.bin, "fleet", "run", "--config", filepath.Join(k.dir, "c.toml"), "--dir", k.dir, "--instances", "2", "--port", "0")
 	var log bytes.Buffer
-	k.keeper.Stderr = &log
-	out, err := k.keeper.StdoutPipe()
+	k.fleetRun.Stderr = &log
+	out, err := k.fleetRun.StdoutPipe()
 	if err == nil {
-		err = k.keeper.Start()
+		err = k.fleetRun.Start()
 	}
 	if err != nil {
 		k.t.Fatal(err)
 	}
-	late := time.AfterFunc(time.Minute, func() { k.keeper.Process.Kill() })
-	defer late.Stop()
+	killTimer := time.AfterFunc(time.Minute, func() { k.fleetRun.Process.Kill() })
+	defer killTimer.Stop()
 	lines := bufio.NewScanner(out)
 	for n := 0; n < 3; n++ { // a head and both instances
 		if !lines.Scan() {
-			k.keeper.Wait()
+			k.fleetRun.Wait()
 			k.t.Fatalf("it says no more\n%s", &log)
 		}
 	}
 }
 
-func (k *kept) client(i int) manage.Client {
+func (k *supervisedFleet) controlClient(i int) manage.Client {
 	return manage.Client{Path: filepath.Join(k.dir, fmt.Sprint(i), "control.sock")}
 }
 
-func (k *kept) until(what string, i int, is func(manage.Status) bool) (s manage.Status) {
+func (k *supervisedFleet) waitForStatus(what string, i int, condition func(manage.Status) bool) (s manage.Status) {
 	k.t.Helper()
 	testkit.Until(k.t, what, func() (ok bool) {
 		var err error
-		s, err = k.client(i).Status(context.Background())
-		return err == nil && is(s)
+		s, err = k.controlClient(i).Status(context.Background())
+		return err == nil && condition(s)
 	})
 	return s
 }
 
-func (k *kept) fleet(tells string, args ...string) {
+func (k *supervisedFleet) runCommand(wantOutput string, args ...string) {
 	k.t.Helper()
 	out, err := exec.Command(k.bin, append([]string{"fleet", "--dir", k.dir}, args...)...).CombinedOutput()
-	if err != nil || !strings.Contains(string(out), tells) {
+	if err != nil || !strings.Contains(string(out), wantOutput) {
 		k.t.Errorf("%v: %v\n%s", args, err, out)
 	}
 }
@@ -74,13 +74,13 @@
 // What is wanted of instances outlives them and their keeper: drained stay drained until they are to serve,
 // settings and program are the last ordered, and a keeper that was killed is followed by one that takes over
 // what runs.
-func TestKeeper(t *testing.T) {
-	k := &kept{t: t, bin: build(t), dir: testkit.ShortDir(t)}
+func TestFleetRunRestoresDesiredState(t *testing.T) {
+	k := &supervisedFleet{t: t, bin: build(t), dir: testkit.ShortDir(t)}
 	text := strings.Replace(testkit.Small, "[process]", "[process]\nupgrade = { within = \"10s\", probation = \"50ms\" }", 1)
-	next := filepath.Join(k.dir, "next")
+	nextProgram := filepath.Join(k.dir, "next")
 	raw, err := os.ReadFile(k.bin)
 	if err == nil {
-		err = os.WriteFile(next, raw, 0o700)
+		err = os.WriteFile(nextProgram, raw, 0o700)
 	}
 	if err == nil {
 		err = os.WriteFile(filepath.Join(k.dir, "c.toml"), []byte(text), 0o600)
@@ -89,71 +89,71 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		if k.keeper == nil {
+		if k.fleetRun == nil {
 			return
 		}
-		k.keeper.Process.Signal(os.Interrupt)
-		k.keeper.Wait()
+		k.fleetRun.Process.Signal(os.Interrupt)
+		k.fleetRun.Wait()
 		for i := range 2 { // left where the test failed between two keepers
-			if s, err := k.client(i).Status(context.Background()); err == nil {
+			if s, err := k.controlClient(i).Status(context.Background()); err == nil {
 				syscall.Kill(s.PID, syscall.SIGKILL)
 			}
 		}
 	})
-	k.run()
+	k.startFleetRun()
 	ready := func(s manage.Status) bool { return s.IsReady() }
-	var was [2]manage.Status
-	for i := range was {
-		was[i] = k.until("ready", i, ready)
+	var before [2]manage.Status
+	for i := range before {
+		before[i] = k.waitForStatus("ready", i, ready)
 	}
-	k.fleet("drains", "drain")
-	for i := range was {
-		was[i] = k.until("drained", i, func(s manage.Status) bool { return s.State == manage.StateDrained && s.PID != was[i].PID })
+	k.runCommand("drains", "drain")
+	for i := range before {
+		before[i] = k.waitForStatus("drained", i, func(s manage.Status) bool { return s.State == manage.StateDrained && s.PID != before[i].PID })
 	}
-	k.fleet("drained", "status")
-	k.fleet("serves", "serve")
+	k.runCommand("drained", "status")
+	k.runCommand("serves", "serve")
 	ctx := context.Background()
-	order := func(id string, w desiredstate.Operation) {
+	sendCommand := func(id string, operation desiredstate.Operation) {
 		t.Helper()
-		_, err := k.client(0).RunCommand(ctx, desiredstate.Command{Epoch: 3, Owner: "me", ID: id, Operation: w})
+		_, err := k.controlClient(0).RunCommand(ctx, desiredstate.Command{Epoch: 3, Owner: "me", ID: id, Operation: operation})
 		if err != nil {
 			t.Error(id, err)
 		}
 	}
-	k.until("serving", 0, ready)
-	was[1] = k.until("serving", 1, ready)
-	if _, err := k.client(0).Claim(ctx, desiredstate.Claim{Epoch: 3, Owner: "me"}); err != nil {
+	k.waitForStatus("serving", 0, ready)
+	before[1] = k.waitForStatus("serving", 1, ready)
+	if _, err := k.controlClient(0).Claim(ctx, desiredstate.Claim{Epoch: 3, Owner: "me"}); err != nil {
 		t.Fatal(err)
 	}
-	order("p", desiredstate.Operation{Kind: desiredstate.KindProgram, Path: next})
-	k.until("the new program alone", 0, func(s manage.Status) bool { return s.IsReady() && s.Program == next && s.LastCommand.ID == "p" })
-	ordered := "# ordered\n" + text
-	order("s", desiredstate.Operation{Kind: desiredstate.KindSettings, Text: ordered, Hash: desiredstate.Hash([]byte(ordered))})
-	was[0] = k.until("the settings", 0, func(s manage.Status) bool { return s.ConfigHash == desiredstate.Hash([]byte(ordered)) })
+	sendCommand("p", desiredstate.Operation{Kind: desiredstate.KindProgram, Path: nextProgram})
+	k.waitForStatus("the new program alone", 0, func(s manage.Status) bool { return s.IsReady() && s.Program == nextProgram && s.LastCommand.ID == "p" })
+	nextConfig := "# ordered\n" + text
+	sendCommand("s", desiredstate.Operation{Kind: desiredstate.KindSettings, Text: nextConfig, Hash: desiredstate.Hash([]byte(nextConfig))})
+	before[0] = k.waitForStatus("the settings", 0, func(s manage.Status) bool { return s.ConfigHash == desiredstate.Hash([]byte(nextConfig)) })
 
-	k.keeper.Process.Kill()
-	k.keeper.Wait()
-	k.run()
-	for i := range was {
-		if s := k.until("taken over", i, ready); s.PID != was[i].PID {
-			t.Errorf("instance %d is process %d, was %d", i, s.PID, was[i].PID)
+	k.fleetRun.Process.Kill()
+	k.fleetRun.Wait()
+	k.startFleetRun()
+	for i := range before {
+		if s := k.waitForStatus("taken over", i, ready); s.PID != before[i].PID {
+			t.Errorf("instance %d is process %d, was %d", i, s.PID, before[i].PID)
 		}
 	}
-	if out, err := exec.Command(k.bin, k.keeper.Args[1:]...).CombinedOutput(); err == nil || !strings.Contains(string(out), "another fleet run") {
+	if out, err := exec.Command(k.bin, k.fleetRun.Args[1:]...).CombinedOutput(); err == nil || !strings.Contains(string(out), "another fleet run") {
 		t.Errorf("a second keeper: %v\n%s", err, out)
 	}
 	// One that was killed comes back as it was ordered; also where nobody kept it at that moment.
-	wanted := func(s manage.Status) bool {
-		return s.IsReady() && s.PID != was[0].PID && s.Program == next && s.ConfigHash == s.DesiredState.Hash && s.Epoch == 3
+	isInDesiredState := func(s manage.Status) bool {
+		return s.IsReady() && s.PID != before[0].PID && s.Program == nextProgram && s.ConfigHash == s.DesiredState.Hash && s.Epoch == 3
 	}
-	syscall.Kill(was[0].PID, syscall.SIGKILL)
-	was[0] = k.until("back as ordered", 0, wanted)
-	k.keeper.Process.Kill()
-	k.keeper.Wait()
-	syscall.Kill(was[0].PID, syscall.SIGKILL)
-	k.run()
-	k.until("back as ordered", 0, wanted)
-	if s := k.until("as it was", 1, ready); s.PID != was[1].PID || s.ConfigHash != desiredstate.Hash([]byte(text)) {
+	syscall.Kill(before[0].PID, syscall.SIGKILL)
+	before[0] = k.waitForStatus("back as ordered", 0, isInDesiredState)
+	k.fleetRun.Process.Kill()
+	k.fleetRun.Wait()
+	syscall.Kill(before[0].PID, syscall.SIGKILL)
+	k.startFleetRun()
+	k.waitForStatus("back as ordered", 0, isInDesiredState)
+	if s := k.waitForStatus("as it was", 1, ready); s.PID != before[1].PID || s.ConfigHash != desiredstate.Hash([]byte(text)) {
 		t.Errorf("%+v", s)
 	}
 }
--- a/cmd/lockflow/main_test.go
+++ b/cmd/lockflow/main_test.go
@@ -22,24 +22,24 @@
 )
 
 // programs is where build puts the program.
-var programs string
+var programDir string
 
 func TestMain(m *testing.M) {
 	var err error
-	if programs, err = os.MkdirTemp("", "lf"); err != nil {
+	if programDir, err = os.MkdirTemp("", "lf"); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 	code := m.Run()
-	if err := os.RemoveAll(programs); err != nil {
+	if err := os.RemoveAll(programDir); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		code = max(code, 1)
 	}
 	os.Exit(code)
 }
 
-var built = sync.OnceValue(func() error {
-	if out, err := exec.Command("go", "build", "-o", filepath.Join(programs, "lockflow"), ".").CombinedOutput(); err != nil {
+var buildProgram = sync.OnceValue(func() error {
+	if out, err := exec.Command("go", "build", "-o", filepath.Join(programDir, "lockflow"), ".").CombinedOutput(); err != nil {
 		return fmt.Errorf("%w: %s", err, out)
 	}
 	return nil
@@ -48,23 +48,23 @@
 // build gives the program, which is linked once for all tests.
 func build(t *testing.T) string {
 	t.Helper()
-	if err := built(); err != nil {
+	if err := buildProgram(); err != nil {
 		t.Fatal(err)
 	}
-	return filepath.Join(programs, "lockflow")
+	return filepath.Join(programDir, "lockflow")
 }
 
 // A start that can't be made is one clear line; exit code 2 where the configuration is at fault.
-func TestBadStart(t *testing.T) {
+func TestFailedStartLogsOneLine(t *testing.T) {
 	bin := build(t)
-	broken := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(broken, []byte("{"), 0o600); err != nil {
+	invalid := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(invalid, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for name, tc := range map[string]struct {
 		path string
 		code int
-	}{"none named": {"", 1}, "missing": {broken + ".no", 2}, "broken": {broken, 2}} {
+	}{"none named": {"", 1}, "missing": {invalid + ".no", 2}, "broken": {invalid, 2}} {
 		t.Run(name, func(t *testing.T) {
 			cmd := exec.Command(bin)
 			cmd.Env = append(os.Environ(), "NODE_CONFIG="+tc.path)
@@ -89,7 +89,7 @@
 func start(t *testing.T, config, discovery string) *program {
 	t.Helper()
 	p := launch(t, config, discovery)
-	p.listens()
+	p.waitUntilListening()
 	testkit.Until(t, "the program to be ready", func() bool {
 		resp, err := http.Get("http://" + p.addr + "/healthz")
 		if err != nil { // with few descriptors its connection may go for another
@@ -106,12 +106,12 @@
 	t.Helper()
 	p := &program{Cmd: exec.Command(build(t)), t: t}
 	p.Env = append(os.Environ(), "NODE_CONFIG="+config, "NODE_LISTEN=127.0.0.1:0", "NODE_DISCOVERY="+discovery)
-	p.scanLog()
+	p.startWithLog()
 	return p
 }
 
 // scanLog starts the program and reads its log from now on.
-func (p *program) scanLog() {
+func (p *program) startWithLog() {
 	p.t.Helper()
 	log, err := p.StderrPipe()
 	if err != nil {
@@ -121,26 +121,26 @@
 		p.t.Fatal(err)
 	}
 	// Ends the program where it hangs, and with it all waiting for it.
-	late := time.AfterFunc(time.Minute, func() { p.Process.Kill() })
-	p.t.Cleanup(func() { late.Stop(); p.Process.Kill() })
+	killTimer := time.AfterFunc(time.Minute, func() { p.Process.Kill() })
+	p.t.Cleanup(func() { killTimer.Stop(); p.Process.Kill() })
 	p.lines = bufio.NewScanner(log)
 }
 
 // listens waits until the program takes clients.
-func (p *program) listens() {
+func (p *program) waitUntilListening() {
 	p.t.Helper()
-	_, p.addr, _ = strings.Cut(p.until("listen="), "listen=")
+	_, p.addr, _ = strings.Cut(p.waitForLog("listen="), "listen=")
 }
 
 // until reads the log up to a line with a word in it.
-func (p *program) until(word string) string {
+func (p *program) waitForLog(text string) string {
 	p.t.Helper()
 	for p.lines.Scan() {
-		if strings.Contains(p.lines.Text(), word) {
+		if strings.Contains(p.lines.Text(), text) {
 			return p.lines.Text()
 		}
 	}
-	p.t.Fatalf("the program ended before it logged %q", word)
+	p.t.Fatalf("the program ended before it logged %q", text)
 	return ""
 }
 
@@ -152,7 +152,7 @@
 }
 
 // ask sends a request and gives what came of it.
-func (p *program) ask(id string) <-chan string {
+func (p *program) startRequest(id string) <-chan string {
 	p.t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+p.addr+"/roster-read?account=00000000b4d65521", nil)
 	if err != nil {
@@ -176,52 +176,52 @@
 }
 
 // discovery lists one app server and keeps its watches open.
-func discovery(t *testing.T, uid string, app *httptest.Server) *httptest.Server {
-	over := make(chan struct{})
+func newDiscovery(t *testing.T, uid string, app *httptest.Server) *httptest.Server {
+	closed := make(chan struct{})
 	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(w, `{"rev":9,"all":true,"targets":[{"uid":%q,"endpoint":%q,"az":"z1","state":"up"}]}`+"\n",
 			uid, app.Listener.Addr())
 		w.(http.Flusher).Flush()
 		select {
 		case <-r.Context().Done():
-		case <-over:
+		case <-closed:
 		}
 	}))
-	t.Cleanup(func() { close(over); d.Close() })
+	t.Cleanup(func() { close(closed); d.Close() })
 	return d
 }
 
 // holding is an app server that answers when it is let.
-func holding(t *testing.T) (app *httptest.Server, held chan struct{}, finish func()) {
-	held, let := make(chan struct{}), make(chan struct{})
-	finish = sync.OnceFunc(func() { close(let) })
+func newBlockingServer(t *testing.T) (app *httptest.Server, received chan struct{}, release func()) {
+	received, released := make(chan struct{}), make(chan struct{})
+	release = sync.OnceFunc(func() { close(released) })
 	app = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		close(held)
-		<-let
+		close(received)
+		<-released
 		io.WriteString(w, "done")
 	}))
-	t.Cleanup(func() { finish(); app.Close() })
-	return app, held, finish
+	t.Cleanup(func() { release(); app.Close() })
+	return app, received, release
 }
 
 const testConfig = "../../internal/config/testdata/config.json"
 
 // SIGTERM with work held: the client gets its answer, then the program ends well. A SIGHUP
 // meanwhile is harmless.
-func TestTermWithWorkHeld(t *testing.T) {
-	app, held, finish := holding(t)
-	p := start(t, testConfig, discovery(t, "s-1", app).Listener.Addr().String())
-	answer := p.ask("id-1")
-	<-held
+func TestTermWithRequestInFlight(t *testing.T) {
+	app, received, release := newBlockingServer(t)
+	p := start(t, testConfig, newDiscovery(t, "s-1", app).Listener.Addr().String())
+	answer := p.startRequest("id-1")
+	<-received
 	p.signal(syscall.SIGTERM)
-	p.until("draining")
+	p.waitForLog("draining")
 	p.signal(syscall.SIGHUP)
-	p.until("reloading")
-	finish()
+	p.waitForLog("reloading")
+	release()
 	if a := <-answer; a != "200 done close=true" {
 		t.Error(a)
 	}
-	p.until("drained")
+	p.waitForLog("drained")
 	if err := p.Wait(); err != nil {
 		t.Error(err)
 	}
@@ -229,13 +229,13 @@
 
 // SIGHUP has the program follow the discovery that the file now names, whatever the
 // environment said, and keep what it holds. A file that can't be used changes nothing.
-func TestHup(t *testing.T) {
-	app, held, finish := holding(t)
+func TestReloadOnSIGHUP(t *testing.T) {
+	app, received, release := newBlockingServer(t)
 	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, "other")
 	}))
 	t.Cleanup(other.Close)
-	first, second := discovery(t, "s-1", app), discovery(t, "s-2", other)
+	first, second := newDiscovery(t, "s-1", app), newDiscovery(t, "s-2", other)
 	raw, err := os.ReadFile(testConfig)
 	if err != nil {
 		t.Fatal(err)
@@ -248,33 +248,33 @@
 	}
 	write(string(raw))
 	p := start(t, config, first.Listener.Addr().String())
-	answer := p.ask("id-1")
-	<-held
+	answer := p.startRequest("id-1")
+	<-received
 
-	for bad, told := range map[string]string{
+	for invalid, want := range map[string]string{
 		"{": "configuration",
 		strings.Replace(string(raw), "127.0.0.1:1\"", "127.0.0.1:watch\"", 1): "discovery:",
 		strings.Replace(string(raw), `"aim": 2000.0`, `"aim": 0`, 1):          "classes.0.aim:",
 		strings.Replace(string(raw), `"enterprise"`, `"basic"`, 1):            "tariffs.1.name:",
 	} {
-		write(bad)
+		write(invalid)
 		p.signal(syscall.SIGHUP)
-		if line := p.until("the old configuration stays"); !strings.Contains(line, told) {
-			t.Errorf("%s doesn't tell %s", line, told)
+		if line := p.waitForLog("the old configuration stays"); !strings.Contains(line, want) {
+			t.Errorf("%s doesn't tell %s", line, want)
 		}
 	}
 
 	// What makes no sense is told, and no reason not to go on.
 	write(strings.NewReplacer("127.0.0.1:1\"", second.Listener.Addr().String()+"\"", `"depth": 8.0`, `"depth": 0.5`).Replace(string(raw)))
 	p.signal(syscall.SIGHUP)
-	p.until("tariffs.0.depth:")
-	p.until("reloading")
-	finish()
+	p.waitForLog("tariffs.0.depth:")
+	p.waitForLog("reloading")
+	release()
 	if a := <-answer; a != "200 done close=false" {
 		t.Errorf("what was held over the reload: %s", a)
 	}
 	for id := 2; ; id++ {
-		if a := <-p.ask(fmt.Sprint("id-", id)); a == "200 other close=false" {
+		if a := <-p.startRequest(fmt.Sprint("id-", id)); a == "200 other close=false" {
 			break
 		} else if p.ProcessState != nil {
 			t.Fatal("the program has ended")
@@ -282,7 +282,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	p.signal(syscall.SIGTERM)
-	p.until("drained")
+	p.waitForLog("drained")
 	if err := p.Wait(); err != nil {
 		t.Error(err)
 	}
@@ -317,17 +317,17 @@
 			if err := p.Start(); err != nil {
 				t.Fatal(err)
 			}
-			late := time.AfterFunc(time.Minute, func() { p.Process.Kill() })
-			defer func() { late.Stop(); p.Process.Kill() }()
+			killTimer := time.AfterFunc(time.Minute, func() { p.Process.Kill() })
+			defer func() { killTimer.Stop(); p.Process.Kill() }()
 			p.lines = bufio.NewScanner(log)
 			if !want {
-				p.until(`passed a socket \"others\" on that no listener names`)
+				p.waitForLog(`passed a socket \"others\" on that no listener names`)
 				if p.Wait(); p.ProcessState.ExitCode() != 1 {
 					t.Errorf("%v", p.ProcessState)
 				}
 				return
 			}
-			p.until("to=ready")
+			p.waitForLog("to=ready")
 			resp, err := http.Get("http://" + l.Addr().String() + "/healthz")
 			if err != nil {
 				t.Fatal(err)
@@ -337,7 +337,7 @@
 				t.Error(resp.Status)
 			}
 			p.signal(syscall.SIGTERM)
-			p.until("to=ended")
+			p.waitForLog("to=ended")
 			if err := p.Wait(); err != nil {
 				t.Error(err)
 			}
@@ -346,7 +346,7 @@
 }
 
 // The example units can be read, and name what there is.
-func TestUnits(t *testing.T) {
+func TestSystemdUnits(t *testing.T) {
 	for file, want := range map[string][]string{
 		"lockflow.service": {"Service Type notify-reload", "Service WatchdogSec 10", "Unit Requires lockflow.socket"},
 		"lockflow.socket":  {"Socket FileDescriptorName clients"},
--- a/cmd/lockflow/rollout_test.go
+++ b/cmd/lockflow/rollout_test.go
@@ -22,7 +22,7 @@
 )
 
 // ordinary is a configuration of one service that speaks generic HTTP before one server.
-func ordinary(server string) string {
+func serviceConfig(server string) string {
 	return fmt.Sprintf(`[process]
 upgrade = { within = "10s", probation = "100ms" }
 drain = { idle = "0s", accept = "0s", most = "1s" }
@@ -36,7 +36,7 @@
 }
 
 // running is a fleet that fleet run keeps, under clients that ask each instance again and again.
-type running struct {
+type testFleet struct {
 	t      *testing.T
 	bin    string
 	dir    string
@@ -45,9 +45,9 @@
 	served []atomic.Int64
 }
 
-func startFleet(t *testing.T, config string, n int) *running {
+func startFleet(t *testing.T, config string, n int) *testFleet {
 	t.Helper()
-	r := &running{t: t, bin: build(t), dir: testkit.ShortDir(t), failed: make([]atomic.Int64, n), served: make([]atomic.Int64, n)}
+	r := &testFleet{t: t, bin: build(t), dir: testkit.ShortDir(t), failed: make([]atomic.Int64, n), served: make([]atomic.Int64, n)}
 	run := exec.Command(r.bin, "fleet", "run", "--config", r.write("c.toml", config), "--dir", r.dir, "--instances", fmt.Sprint(n), "--port", "0")
 	out, err := run.StdoutPipe()
 	if err == nil {
@@ -56,9 +56,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	late := time.AfterFunc(5*time.Minute, func() { run.Process.Signal(os.Interrupt) })
+	interruptTimer := time.AfterFunc(5*time.Minute, func() { run.Process.Signal(os.Interrupt) })
 	t.Cleanup(func() { // the instances would outlive it
-		late.Stop()
+		interruptTimer.Stop()
 		run.Process.Signal(os.Interrupt)
 		run.Wait()
 	})
@@ -77,7 +77,7 @@
 	return r
 }
 
-func (r *running) write(name, text string) string {
+func (r *testFleet) write(name, text string) string {
 	path := filepath.Join(r.dir, name)
 	if err := os.WriteFile(path, []byte(text), 0o700); err != nil {
 		r.t.Fatal(err)
@@ -86,12 +86,12 @@
 }
 
 // clients ask every instance, a few at a time, until the test ends.
-func (r *running) clients(each int) {
+func (r *testFleet) clients(perInstance int) {
 	ctx, stop := context.WithCancel(context.Background())
-	var all sync.WaitGroup
+	var wait sync.WaitGroup
 	for i, addr := range r.addrs {
-		for range each {
-			all.Go(func() {
+		for range perInstance {
+			wait.Go(func() {
 				c := &http.Client{Transport: &http.Transport{}}
 				defer c.CloseIdleConnections()
 				for ctx.Err() == nil {
@@ -113,7 +113,7 @@
 			})
 		}
 	}
-	r.t.Cleanup(func() { stop(); all.Wait() })
+	r.t.Cleanup(func() { stop(); wait.Wait() })
 }
 
 type fleetStatus struct {
@@ -134,7 +134,7 @@
 	}
 }
 
-func (r *running) status() (s fleetStatus) {
+func (r *testFleet) status() (s fleetStatus) {
 	r.t.Helper()
 	out, err := exec.Command(r.bin, "fleet", "status", "--dir", r.dir, "--json").Output()
 	if json.Unmarshal(out, &s) != nil {
@@ -144,13 +144,13 @@
 }
 
 // fleet runs a command over the fleet and gives its exit code and what it said.
-func (r *running) fleet(args ...string) (int, string) {
+func (r *testFleet) runCommand(args ...string) (int, string) {
 	cmd := exec.Command(r.bin, append([]string{"fleet", "--dir", r.dir}, args...)...)
 	out, _ := cmd.CombinedOutput()
 	return cmd.ProcessState.ExitCode(), string(out)
 }
 
-func server(t *testing.T, status int) string {
+func newStatusServer(t *testing.T, status int) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }))
 	t.Cleanup(s.Close)
 	return s.URL
@@ -158,23 +158,23 @@
 
 // A change that fails every request stops after one instance and is taken back; a harmless one goes all
 // the way, judged.
-func TestChangeThatFails(t *testing.T) {
-	good, bad := server(t, http.StatusOK), server(t, http.StatusInternalServerError)
-	r := startFleet(t, ordinary(good), 4)
+func TestFailingChangeIsRolledBack(t *testing.T) {
+	good, bad := newStatusServer(t, http.StatusOK), newStatusServer(t, http.StatusInternalServerError)
+	r := startFleet(t, serviceConfig(good), 4)
 	r.clients(4)
 	before := r.status()
-	code, said := r.fleet("reload", "--config", r.write("bad.toml", ordinary(bad)), "--bake", "2s", "--bake-most", "20s")
-	if code != 1 || !strings.Contains(said, "1 taken back") || !strings.Contains(said, "3 untouched") {
-		t.Errorf("exit %d: %s", code, said)
+	code, output := r.runCommand("reload", "--config", r.write("bad.toml", serviceConfig(bad)), "--bake", "2s", "--bake-most", "20s")
+	if code != 1 || !strings.Contains(output, "1 taken back") || !strings.Contains(output, "3 untouched") {
+		t.Errorf("exit %d: %s", code, output)
 	}
-	hurt := 0
+	affected := 0
 	for i := range r.failed {
 		if r.failed[i].Load() > 0 {
-			hurt++
+			affected++
 		}
 	}
-	if hurt != 1 {
-		t.Errorf("clients of %d instances saw errors", hurt)
+	if affected != 1 {
+		t.Errorf("clients of %d instances saw errors", affected)
 	}
 	after := r.status()
 	for i := range after.Members {
@@ -185,14 +185,14 @@
 	if p := after.Rollout; p == nil || p.State != "taken back" || !strings.Contains(p.Cause, "worse") || len(p.Measures) == 0 || p.Counts["order"] != 2 {
 		t.Errorf("%+v", p)
 	}
-	t.Log(said)
+	t.Log(output)
 }
 
 // A coordinator that is killed after any of its decisions is followed by one that goes on, or takes all
 // back; two at once don't both own the fleet.
 func TestCoordinatorKilled(t *testing.T) {
-	r := startFleet(t, ordinary(server(t, http.StatusOK)), 3)
-	other := server(t, http.StatusNoContent)
+	r := startFleet(t, serviceConfig(newStatusServer(t, http.StatusOK)), 3)
+	other := newStatusServer(t, http.StatusNoContent)
 	journal := filepath.Join(r.dir, "rollout")
 	flags := []string{"--bake", "50ms", "--unjudged", "--within", "10s"}
 	hashes := func() map[string]int {
@@ -203,8 +203,8 @@
 		return all
 	}
 	for n, at := range []int{4, 5, 8, 13} {
-		was := hashes()
-		next := ordinary(other) + fmt.Sprintf("# %d\n", n)
+		before := hashes()
+		next := serviceConfig(other) + fmt.Sprintf("# %d\n", n)
 		cmd := exec.Command(r.bin, append([]string{"fleet", "--dir", r.dir, "reload", "--config", r.write("next.toml", next)}, flags...)...)
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
@@ -215,42 +215,42 @@
 		})
 		cmd.Process.Kill()
 		cmd.Wait()
-		code, said := 0, ""
+		code, output := 0, ""
 		if n%2 == 0 {
-			code, said = r.fleet("reload", "--resume")
+			code, output = r.runCommand("reload", "--resume")
 		} else {
-			code, said = r.fleet("reload", "--take-back")
+			code, output = r.runCommand("reload", "--take-back")
 		}
-		over := strings.Contains(said, "the change is over")
-		now := hashes()
-		switch changed := now[desiredstate.Hash([]byte(next))] == 3; {
-		case len(now) != 1 || !changed && now[one(was)] != 3:
-			t.Errorf("killed at %d: %v, before %v\n%s", at, now, was, said)
-		case !over && (n%2 == 0 && (code != 0 || !changed) || n%2 == 1 && (code != 1 || changed)):
-			t.Errorf("killed at %d: exit %d\n%s", at, code, said)
+		completed := strings.Contains(output, "the change is over")
+		after := hashes()
+		switch changed := after[desiredstate.Hash([]byte(next))] == 3; {
+		case len(after) != 1 || !changed && after[anyKey(before)] != 3:
+			t.Errorf("killed at %d: %v, before %v\n%s", at, after, before, output)
+		case !completed && (n%2 == 0 && (code != 0 || !changed) || n%2 == 1 && (code != 1 || changed)):
+			t.Errorf("killed at %d: exit %d\n%s", at, code, output)
 		}
 	}
 	// The journal is one coordinator's; another's, with a journal of its own, takes the fleet over at once.
-	first := exec.Command(r.bin, "fleet", "--dir", r.dir, "reload", "--config", r.write("long.toml", ordinary(other)+"# long\n"), "--bake", "1m", "--unjudged")
-	var told strings.Builder
-	first.Stderr = &told
+	first := exec.Command(r.bin, "fleet", "--dir", r.dir, "reload", "--config", r.write("long.toml", serviceConfig(other)+"# long\n"), "--bake", "1m", "--unjudged")
+	var firstOutput strings.Builder
+	first.Stderr = &firstOutput
 	if err := first.Start(); err != nil {
 		t.Fatal(err)
 	}
 	testkit.Until(t, "it watches", func() bool { p := r.status().Rollout; return p != nil && p.State == "watching" })
-	if code, said := r.fleet("reload", "--resume"); code != 1 || !strings.Contains(said, "another coordinator has it open") {
-		t.Errorf("a second one: exit %d, %s", code, said)
+	if code, output := r.runCommand("reload", "--resume"); code != 1 || !strings.Contains(output, "another coordinator has it open") {
+		t.Errorf("a second one: exit %d, %s", code, output)
 	}
-	code, said := r.fleet(append([]string{"reload", "--journal", filepath.Join(r.dir, "other"), "--config", r.write("last.toml", ordinary(other)+"# last\n")}, flags...)...)
-	if first.Wait(); code != 0 || first.ProcessState.ExitCode() != 3 || !strings.Contains(told.String(), "newer coordinator") {
-		t.Errorf("exit %d: %s\nthe first: exit %d, %s", code, said, first.ProcessState.ExitCode(), told.String())
+	code, output := r.runCommand(append([]string{"reload", "--journal", filepath.Join(r.dir, "other"), "--config", r.write("last.toml", serviceConfig(other)+"# last\n")}, flags...)...)
+	if first.Wait(); code != 0 || first.ProcessState.ExitCode() != 3 || !strings.Contains(firstOutput.String(), "newer coordinator") {
+		t.Errorf("exit %d: %s\nthe first: exit %d, %s", code, output, first.ProcessState.ExitCode(), firstOutput.String())
 	}
-	if now := hashes(); len(now) != 1 {
-		t.Errorf("%v", now)
+	if after := hashes(); len(after) != 1 {
+		t.Errorf("%v", after)
 	}
 }
 
-func one(m map[string]int) string {
+func anyKey(m map[string]int) string {
 	for k := range m {
 		return k
 	}
@@ -260,41 +260,41 @@
 // Regions change one after another, in an order without a conflict on the way; a change that would bring
 // one is not begun.
 func TestRegionsInOrder(t *testing.T) {
-	r := startFleet(t, ordinary(server(t, http.StatusOK)), 3)
-	file := func(north, south string) string {
+	r := startFleet(t, serviceConfig(newStatusServer(t, http.StatusOK)), 3)
+	writeFleetFile := func(north, south string) string {
 		r.write("north.toml", north)
 		r.write("south.toml", south)
 		return r.write("fleet.toml", fmt.Sprintf("[regions.north]\nconfig = \"north.toml\"\nlisteners = [\"10.0.0.1:80\"]\nmembers = [%q]\n[regions.south]\nconfig = \"south.toml\"\n"+
 			"listeners = [\"10.0.0.2:80\"]\nmembers = [%q, %q]\n", filepath.Join(r.dir, "0", "control.sock"), filepath.Join(r.dir, "1", "control.sock"), filepath.Join(r.dir, "2", "control.sock")))
 	}
-	over := func(args ...string) (int, string) {
+	runFleet := func(args ...string) (int, string) {
 		cmd := exec.Command(r.bin, append([]string{"fleet", "--bake", "50ms", "--unjudged"}, args...)...)
 		out, _ := cmd.CombinedOutput()
 		return cmd.ProcessState.ExitCode(), string(out)
 	}
-	next := ordinary(server(t, http.StatusNoContent))
-	if code, said := over("reload", "--fleet", file(next, next)); code != 0 || !strings.Contains(said, "3 changed") {
-		t.Errorf("exit %d: %s", code, said)
+	next := serviceConfig(newStatusServer(t, http.StatusNoContent))
+	if code, output := runFleet("reload", "--fleet", writeFleetFile(next, next)); code != 0 || !strings.Contains(output, "3 changed") {
+		t.Errorf("exit %d: %s", code, output)
 	}
 	// One region would send to another service what the other keeps.
-	elsewhere := strings.ReplaceAll(next, "app", "apps")
-	if code, said := over("reload", "--fleet", file(next, elsewhere)); code != 1 || !strings.Contains(said, "service: north, south") || !strings.Contains(said, "nothing was changed") {
-		t.Errorf("exit %d: %s", code, said)
+	conflicting := strings.ReplaceAll(next, "app", "apps")
+	if code, output := runFleet("reload", "--fleet", writeFleetFile(next, conflicting)); code != 1 || !strings.Contains(output, "service: north, south") || !strings.Contains(output, "nothing was changed") {
+		t.Errorf("exit %d: %s", code, output)
 	}
 	for i, m := range r.status().Members {
 		if m.Status.Hash != desiredstate.Hash([]byte(next)) {
 			t.Errorf("member %d", i)
 		}
 	}
-	if code, said := over("status", "--fleet", filepath.Join(r.dir, "fleet.toml")); code != 0 || !strings.Contains(said, "change of settings") {
-		t.Errorf("exit %d: %s", code, said)
+	if code, output := runFleet("status", "--fleet", filepath.Join(r.dir, "fleet.toml")); code != 0 || !strings.Contains(output, "change of settings") {
+		t.Errorf("exit %d: %s", code, output)
 	}
 }
 
 // A drained fleet stays so under the keeper that started it, until it is served again.
-func TestFleetDrains(t *testing.T) {
-	r := startFleet(t, ordinary(server(t, http.StatusOK)), 2)
-	lives := func() (lives []string) {
+func TestDrainLastsUntilServe(t *testing.T) {
+	r := startFleet(t, serviceConfig(newStatusServer(t, http.StatusOK)), 2)
+	lifecycles := func() (lifecycles []string) {
 		out, _ := exec.Command(r.bin, "fleet", "status", "--dir", r.dir, "--json").Output()
 		var s struct {
 			Members []struct{ Status *struct{ Life string } }
@@ -304,15 +304,15 @@
 		}
 		for _, m := range s.Members {
 			if m.Status != nil {
-				lives = append(lives, m.Status.Life)
+				lifecycles = append(lifecycles, m.Status.Life)
 			}
 		}
-		return lives
+		return lifecycles
 	}
 	for _, step := range []struct{ command, want string }{{"drain", "drained"}, {"serve", "ready"}} {
-		if code, said := r.fleet(step.command); code != 0 {
-			t.Fatalf("%s: exit %d, %s", step.command, code, said)
+		if code, output := r.runCommand(step.command); code != 0 {
+			t.Fatalf("%s: exit %d, %s", step.command, code, output)
 		}
-		testkit.Until(t, "all are "+step.want, func() bool { return fmt.Sprint(lives()) == fmt.Sprintf("[%s %s]", step.want, step.want) })
+		testkit.Until(t, "all are "+step.want, func() bool { return fmt.Sprint(lifecycles()) == fmt.Sprintf("[%s %s]", step.want, step.want) })
 	}
 }
--- a/cmd/lockflow/shortage_test.go
+++ b/cmd/lockflow/shortage_test.go
@@ -21,12 +21,12 @@
 // for nothing.
 func startFaultyPlatform(t *testing.T, table *faultbuild.Table, config string) *faultyProgram {
 	t.Helper()
-	if err := builtWithFaults(); err != nil {
+	if err := buildWithFaults(); err != nil {
 		t.Fatal(err)
 	}
-	p := &program{Cmd: exec.Command(filepath.Join(programs, "lockflow-faults")), t: t}
+	p := &program{Cmd: exec.Command(filepath.Join(programDir, "lockflow-faults")), t: t}
 	p.Env = append(os.Environ(), "NODE_CONFIG="+config, "NODE_LISTEN=127.0.0.1:0", table.Environment())
-	p.scanLog()
+	p.startWithLog()
 	return &faultyProgram{p, table}
 }
 
@@ -51,7 +51,7 @@
 }
 
 // A node starts though the system lacks descriptors or buffers for a moment: no start fails for that.
-func TestStartOutlastsShortage(t *testing.T) {
+func TestStartSurvivesTransientShortage(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		call  faultbuild.Call
@@ -65,20 +65,20 @@
 			p := startFaultyPlatform(t, table, config)
 			untilInjected(t, table, tc.call, 0)
 			table.Heal(tc.call)
-			p.listens()
-			p.end()
+			p.waitUntilListening()
+			p.terminate()
 		})
 	}
 }
 
 // A node that is told to read its configuration anew does so though it lacks a descriptor for a moment: without that it
 // would follow a discovery that is gone.
-func TestReloadOutlastsShortage(t *testing.T) {
+func TestReloadSurvivesTransientShortage(t *testing.T) {
 	table, config := newFaultTable(t), filepath.Join(t.TempDir(), "config.json")
 	first, second := testkit.NewAgent(t), testkit.NewAgent(t)
 	writeConfig(t, config, first.Addr())
 	p := startFaultyPlatform(t, table, config)
-	p.listens()
+	p.waitUntilListening()
 	testkit.Next(t, first.Polled)
 	writeConfig(t, config, second.Addr())
 	table.Fail(faultbuild.Open, syscall.EMFILE, 1)
@@ -86,12 +86,12 @@
 	untilInjected(t, table, faultbuild.Open, 0)
 	table.Heal(faultbuild.Open)
 	testkit.Next(t, second.Polled)
-	p.end()
+	p.terminate()
 }
 
 // A request is served though no connection to a server can be made for a moment, for want of descriptors, ports or
 // buffers of the node's own.
-func TestRequestOutlastsShortageOfConnections(t *testing.T) {
+func TestRequestSurvivesTransientConnectionShortage(t *testing.T) {
 	for _, tc := range []struct {
 		call  faultbuild.Call
 		errno syscall.Errno
@@ -100,7 +100,7 @@
 			table := newFaultTable(t)
 			app := testkit.NewApp(t, testkit.Served)
 			p := startFaulty(t, table, strings.Replace(tunnelConfig, "@server", app.Addr(), 1))
-			p.listens()
+			p.waitUntilListening()
 			status := make(chan int, 1)
 			table.Fail(tc.call, tc.errno, 1)
 			go func() {
@@ -117,7 +117,7 @@
 			if got := testkit.Next(t, status); got != http.StatusOK {
 				t.Errorf("status %d", got)
 			}
-			p.end()
+			p.terminate()
 		})
 	}
 }
--- a/cmd/lockflow/shutdown_queue_test.go
+++ b/cmd/lockflow/shutdown_queue_test.go
@@ -28,53 +28,53 @@
 type shutdownQueueCase struct {
 	name        string
 	descriptors int
-	play        func(*crossing)
+	run         func(*termTest)
 }
 
 var shutdownQueueCases = []shutdownQueueCase{
-	{"many clients wait", limits.MinDescriptors, func(x *crossing) {
-		x.playShutdownQueue(1, nil, nil)
+	{"many clients wait", limits.MinDescriptors, func(x *termTest) {
+		x.runShutdownQueue(1, nil, nil)
 	}},
-	{"an answered client begins another request and stays", limits.MinDescriptors, func(x *crossing) {
-		x.playShutdownQueue(1, (*caller).beginNextRequest, nil)
+	{"an answered client begins another request and stays", limits.MinDescriptors, func(x *termTest) {
+		x.runShutdownQueue(1, (*testClient).beginNextRequest, nil)
 	}},
-	{"several answered clients begin another request and stay", severalConnections, func(x *crossing) {
-		x.playShutdownQueue(2, (*caller).beginNextRequest, nil)
+	{"several answered clients begin another request and stay", severalConnections, func(x *termTest) {
+		x.runShutdownQueue(2, (*testClient).beginNextRequest, nil)
 	}},
-	{"waiting clients begin another request and stay", limits.MinDescriptors, func(x *crossing) {
-		x.playShutdownQueue(1, nil, (*caller).beginNextRequest)
+	{"waiting clients begin another request and stay", limits.MinDescriptors, func(x *termTest) {
+		x.runShutdownQueue(1, nil, (*testClient).beginNextRequest)
 	}},
-	{"waiting clients acknowledge late", limits.MinDescriptors, func(x *crossing) {
-		x.playShutdownQueue(1, (*caller).delayAcknowledgements, (*caller).delayAcknowledgements)
+	{"waiting clients acknowledge late", limits.MinDescriptors, func(x *termTest) {
+		x.runShutdownQueue(1, (*testClient).delayAcknowledgements, (*testClient).delayAcknowledgements)
 	}},
-	{"a client reads no answer", limits.MinDescriptors, func(x *crossing) {
+	{"a client reads no answer", limits.MinDescriptors, func(x *termTest) {
 		reader := x.clientThatReadsNothing()
-		x.waitUntilServed("large-0")
-		queued := x.queue(nil)
-		x.term()
-		x.allAnswered(queued)
+		x.waitUntilReceived("large-0")
+		queued := x.queueClients(nil)
+		x.sendSIGTERM()
+		x.requireAnswers(queued)
 		_ = reader.Close()
 	}},
-	{"silent clients wait first", limits.MinDescriptors, func(x *crossing) {
-		first := x.held("hang-0", "enterprise")
+	{"silent clients wait first", limits.MinDescriptors, func(x *termTest) {
+		first := x.inFlight("hang-0", "enterprise")
 		for range queuedClients {
-			x.client()
+			x.newClient()
 		}
-		queued := x.queue(nil)
-		x.term()
-		x.getsAnswer(first, "hang-0")
-		x.allAnswered(queued)
+		queued := x.queueClients(nil)
+		x.sendSIGTERM()
+		x.requireAnswer(first, "hang-0")
+		x.requireAnswers(queued)
 	}},
-	{"clients with half a request wait first", limits.MinDescriptors, func(x *crossing) {
-		first := x.held("hang-0", "enterprise")
+	{"clients with half a request wait first", limits.MinDescriptors, func(x *termTest) {
+		first := x.inFlight("hang-0", "enterprise")
 		for range 4 {
-			c := x.client()
-			io.WriteString(c, c.text("half", "enterprise")[:20])
+			c := x.newClient()
+			io.WriteString(c, c.requestText("half", "enterprise")[:20])
 		}
-		queued := x.queue(nil)
-		x.term()
-		x.getsAnswer(first, "hang-0")
-		x.allAnswered(queued)
+		queued := x.queueClients(nil)
+		x.sendSIGTERM()
+		x.requireAnswer(first, "hang-0")
+		x.requireAnswers(queued)
 	}},
 }
 
@@ -82,15 +82,15 @@
 // request there gets an answer, whatever clients that hold descriptors do.
 func TestShutdownAnswersClientsInListenerQueue(t *testing.T) {
 	for _, c := range shutdownQueueCases {
-		for _, s := range []site{sites[3], sites[5]} {
-			s.sockets = c.descriptors
+		for _, s := range []termSettings{termSettingsList[3], termSettingsList[5]} {
+			s.maxDescriptors = c.descriptors
 			t.Run(fmt.Sprint(c.name, " ", s.effect, " ", s.deadline), func(t *testing.T) {
 				t.Parallel()
 				app := newBackend(t)
-				config := s.config(t, discovery(t, "s-1", app.Server).Listener.Addr().String())
-				x := &crossing{T: t, site: s, program: start(t, config, ""), app: app, config: config}
-				c.play(x)
-				x.until("drained")
+				config := s.config(t, newDiscovery(t, "s-1", app.Server).Listener.Addr().String())
+				x := &termTest{T: t, termSettings: s, program: start(t, config, ""), app: app, config: config}
+				c.run(x)
+				x.waitForLog("drained")
 				if err := x.Wait(); err != nil {
 					t.Error(err)
 				}
@@ -101,31 +101,31 @@
 
 // playShutdownQueue has clients keep all descriptors, with a request each that its app server does not answer, while
 // others wait in the listener's queue, and ends the program. Each client's preparation follows its request.
-func (x *crossing) playShutdownQueue(holders int, prepareHolder, prepareQueued func(*caller)) {
+func (x *termTest) runShutdownQueue(holders int, prepareHolder, prepareQueued func(*testClient)) {
 	x.Helper()
-	var held []*caller
+	var inFlight []*testClient
 	for i := range holders {
-		c := x.held(fmt.Sprint("hang-", i), "enterprise")
+		c := x.inFlight(fmt.Sprint("hang-", i), "enterprise")
 		if prepareHolder != nil {
 			prepareHolder(c)
 		}
-		held = append(held, c)
+		inFlight = append(inFlight, c)
 	}
-	queued := x.queue(prepareQueued)
-	x.term()
-	for i, c := range held {
-		x.getsAnswer(c, fmt.Sprint("hang-", i))
+	queued := x.queueClients(prepareQueued)
+	x.sendSIGTERM()
+	for i, c := range inFlight {
+		x.requireAnswer(c, fmt.Sprint("hang-", i))
 	}
-	x.allAnswered(queued)
+	x.requireAnswers(queued)
 }
 
 // queue has clients send a request each over a new connection, which no descriptor is left for.
-func (x *crossing) queue(prepare func(*caller)) []*caller {
+func (x *termTest) queueClients(prepare func(*testClient)) []*testClient {
 	x.Helper()
-	var queued []*caller
+	var queued []*testClient
 	for i := range queuedClients {
-		c := x.client()
-		c.ask(fmt.Sprint("q-", i), "enterprise")
+		c := x.newClient()
+		c.sendRequest(fmt.Sprint("q-", i), "enterprise")
 		if prepare != nil {
 			prepare(c)
 		}
@@ -135,32 +135,32 @@
 }
 
 // allAnswered wants an answer for each client of queue. They read at the same time.
-func (x *crossing) allAnswered(queued []*caller) {
+func (x *termTest) requireAnswers(queued []*testClient) {
 	x.Helper()
 	var all sync.WaitGroup
 	for i, c := range queued {
-		all.Go(func() { x.getsAnswer(c, fmt.Sprint("q-", i)) })
+		all.Go(func() { x.requireAnswer(c, fmt.Sprint("q-", i)) })
 	}
 	all.Wait()
 }
 
 // getsAnswer wants an answer that is due, as answered does; on a busy machine it may come before SIGTERM, so that its
 // connection stays open.
-func (x *crossing) getsAnswer(c *caller, id string) {
+func (x *termTest) requireAnswer(c *testClient, id string) {
 	x.Helper()
-	status, body, _, err := c.answer()
-	if err != nil || !x.due(status, body, id) {
-		x.Errorf("%s: %d %q, %v; forwarded %d times", id, status, body, err, x.app.times(id))
+	status, body, _, err := c.readAnswer()
+	if err != nil || !x.isValidAnswer(status, body, id) {
+		x.Errorf("%s: %d %q, %v; forwarded %d times", id, status, body, err, x.app.requestCount(id))
 	}
 }
 
 // beginNextRequest sends the beginning of another request, of which the rest never comes.
-func (c *caller) beginNextRequest() {
-	io.WriteString(c, c.text("next", "enterprise")[:20])
+func (c *testClient) beginNextRequest() {
+	io.WriteString(c, c.requestText("next", "enterprise")[:20])
 }
 
 // delayAcknowledgements has the client's system acknowledge what it receives as late as it may.
-func (c *caller) delayAcknowledgements() {
+func (c *testClient) delayAcknowledgements() {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return
@@ -169,7 +169,7 @@
 }
 
 // clientThatReadsNothing sends a request whose answer its socket can't hold, and never reads.
-func (x *crossing) clientThatReadsNothing() *caller {
+func (x *termTest) clientThatReadsNothing() *testClient {
 	x.Helper()
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
@@ -183,15 +183,15 @@
 	}
 	x.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(testkit.WaitTimeout))
-	c := &caller{conn.(*net.TCPConn), bufio.NewReaderSize(conn, 16), x.site, nil}
-	c.ask("large-0", "enterprise")
+	c := &testClient{conn.(*net.TCPConn), bufio.NewReaderSize(conn, 16), x.termSettings, nil}
+	c.sendRequest("large-0", "enterprise")
 	return c
 }
 
 // waitUntilServed waits until the app server has got a request.
-func (x *crossing) waitUntilServed(id string) {
+func (x *termTest) waitUntilReceived(id string) {
 	x.Helper()
 	for got := ""; !strings.HasPrefix(got, id); {
-		got = testkit.Next(x.T, x.app.came)
+		got = testkit.Next(x.T, x.app.received)
 	}
 }
--- a/cmd/lockflow/skew_test.go
+++ b/cmd/lockflow/skew_test.go
@@ -11,7 +11,7 @@
 
 // Two builds take each other's place under load and by their files, and nothing is lost between them; here both
 // are this one. lockflow measure upgrade --previous PATH is the same with another build.
-func TestBuildsTakeEachOthersPlace(t *testing.T) {
+func TestUpgradeBetweenBuilds(t *testing.T) {
 	report, err := versionskew.Run(t.Context(), versionskew.Options{
 		Previous: build(t), Current: build(t), Dir: testkit.ShortDir(t),
 		Env: os.Environ(), Rounds: 1, Clients: 4, Requests: 100, Progress: io.Discard,
--- a/cmd/lockflow/stepped_clock_test.go
+++ b/cmd/lockflow/stepped_clock_test.go
@@ -23,12 +23,12 @@
 // clockSteps are how far the wall clock is stepped in the middle of a run.
 var clockSteps = []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour}
 
-var builtWithFaults = sync.OnceValue(func() error {
-	directory, err := os.MkdirTemp(programs, "overlay")
+var buildWithFaults = sync.OnceValue(func() error {
+	directory, err := os.MkdirTemp(programDir, "overlay")
 	if err != nil {
 		return err
 	}
-	return faultbuild.Build(context.Background(), ".", filepath.Join(programs, "lockflow-faults"), directory)
+	return faultbuild.Build(context.Background(), ".", filepath.Join(programDir, "lockflow-faults"), directory)
 })
 
 // faultyProgram is a running lockflow whose system calls and wall clock obey a table.
@@ -40,16 +40,16 @@
 // startFaulty starts `serve` with a configuration, whose first line that is logged with an address is its listener's.
 func startFaulty(t *testing.T, table *faultbuild.Table, config string) *faultyProgram {
 	t.Helper()
-	if err := builtWithFaults(); err != nil {
+	if err := buildWithFaults(); err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "lockflow.toml")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p := &program{Cmd: exec.Command(filepath.Join(programs, "lockflow-faults"), "serve", "--config", path), t: t}
+	p := &program{Cmd: exec.Command(filepath.Join(programDir, "lockflow-faults"), "serve", "--config", path), t: t}
 	p.Env = append(os.Environ(), table.Environment())
-	p.scanLog()
+	p.startWithLog()
 	return &faultyProgram{p, table}
 }
 
@@ -64,7 +64,7 @@
 }
 
 // end has the program end and discards the rest of its log.
-func (p *faultyProgram) end() {
+func (p *faultyProgram) terminate() {
 	p.t.Helper()
 	p.Process.Signal(syscall.SIGTERM)
 	for p.lines.Scan() {
@@ -105,7 +105,7 @@
 func TestClockStepDoesNotMoveTunnelTimeout(t *testing.T) {
 	table := newFaultTable(t)
 	p := startFaulty(t, table, strings.Replace(tunnelConfig, "@server", newTunnelServer(t), 1))
-	p.listens()
+	p.waitUntilListening()
 	for _, step := range clockSteps {
 		t.Run(step.String(), func(t *testing.T) {
 			table.StepClock(0)
@@ -130,7 +130,7 @@
 			}
 		})
 	}
-	p.end()
+	p.terminate()
 }
 
 const stateConfig = `
@@ -155,16 +155,16 @@
 			table := newFaultTable(t)
 			config := strings.Replace(stateConfig, "@state", filepath.Join(t.TempDir(), "state"), 1)
 			first := startFaulty(t, table, config)
-			first.listens()
-			first.end()
+			first.waitUntilListening()
+			first.terminate()
 			table.StepClock(step)
 			second := startFaulty(t, table, config)
-			_, text, _ := strings.Cut(second.until("checkpoint restored"), "age=")
+			_, text, _ := strings.Cut(second.waitForLog("checkpoint restored"), "age=")
 			if age, err := time.ParseDuration(text); err != nil || age < 0 || age > time.Minute {
 				t.Errorf("the checkpoint's age is %q, %v", text, err)
 			}
-			second.listens()
-			second.end()
+			second.waitUntilListening()
+			second.terminate()
 		})
 	}
 }
--- a/cmd/lockflow/term_test.go
+++ b/cmd/lockflow/term_test.go
@@ -21,14 +21,14 @@
 )
 
 // site is a setting that the crossings are played with.
-type site struct {
-	effect   string
-	deadline time.Duration // of the class
-	sockets  int           // limit on descriptors
+type termSettings struct {
+	effect         string
+	deadline       time.Duration // of the class
+	maxDescriptors int           // limit on descriptors
 }
 
 // config writes the platform's file of a site. Its one class is "work"; the plan "one" has one request out at a time.
-func (s site) config(t *testing.T, discovery string) string {
+func (s termSettings) config(t *testing.T, discovery string) string {
 	t.Helper()
 	raw, err := os.ReadFile(testConfig)
 	if err != nil {
@@ -39,7 +39,7 @@
 		fmt.Sprintf(`"work", "aim": %d, "deadline": %d, "effect": %q`, ms, ms, s.effect),
 		`"deadline": 7500.0, "effect": "guarded"`, `"deadline": 40.0, "effect": "guarded"`,
 		`"basic", "value-factor": 0.72, "quota-rate": 0.5, "depth": 8.0, "open": 0`, `"one", "value-factor": 0.72, "quota-rate": 1000, "depth": 1000, "open": 1`,
-		"127.0.0.1:1\"", discovery+"\"", `"sockets": 1024`, fmt.Sprintf(`"sockets": %d`, s.sockets)).Replace(string(raw))
+		"127.0.0.1:1\"", discovery+"\"", `"sockets": 1024`, fmt.Sprintf(`"sockets": %d`, s.maxDescriptors)).Replace(string(raw))
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -48,14 +48,14 @@
 }
 
 // caller is a client with one connection.
-type caller struct {
+type testClient struct {
 	*net.TCPConn
-	in   *bufio.Reader
-	site site
-	has  chan struct{} // closed once its next answer has begun; nil where nobody waits for that
+	in            *bufio.Reader
+	termSettings  termSettings
+	answerStarted chan struct{} // closed once its next answer has begun; nil where nobody waits for that
 }
 
-func (s site) call(t *testing.T, addr string) *caller {
+func (s termSettings) connect(t *testing.T, addr string) *testClient {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -63,28 +63,28 @@
 	}
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(testkit.WaitTimeout))
-	return &caller{c.(*net.TCPConn), bufio.NewReader(c), s, nil}
+	return &testClient{c.(*net.TCPConn), bufio.NewReader(c), s, nil}
 }
 
 // text is a request; one of a class that is not free has a body.
-func (c *caller) text(id, plan string) string {
+func (c *testClient) requestText(id, plan string) string {
 	method, rest := "GET", "\r\n"
-	switch c.site.effect {
+	switch c.termSettings.effect {
 	case "guarded":
 		method, rest = "POST", fmt.Sprintf("Idempotency-Key: k-%s\r\nContent-Length: 9\r\n\r\nsome body", id)
 	case "single_shot":
 		method, rest = "POST", "Content-Length: 9\r\n\r\nsome body"
 	}
 	return fmt.Sprintf("%s /work?account=00000000b4d65521 HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: %s\r\nX-Tariff: %s\r\nX-Time-Left: %dm\r\n%s",
-		method, id, plan, c.site.deadline.Milliseconds(), rest)
+		method, id, plan, c.termSettings.deadline.Milliseconds(), rest)
 }
 
-func (c *caller) ask(id, plan string) { io.WriteString(c, c.text(id, plan)) }
+func (c *testClient) sendRequest(id, plan string) { io.WriteString(c, c.requestText(id, plan)) }
 
 // answer reads one; status 0 is a connection that ended without a byte of it.
-func (c *caller) answer() (status int, body string, closes bool, err error) {
-	if c.has != nil {
-		<-c.has
+func (c *testClient) readAnswer() (status int, body string, closes bool, err error) {
+	if c.answerStarted != nil {
+		<-c.answerStarted
 	}
 	if _, err := c.in.Peek(1); err != nil {
 		return 0, "", true, nil
@@ -101,27 +101,27 @@
 // one that begins with "hold" when it is let, one with "large" by most that a body may hold.
 type backend struct {
 	*testkit.App
-	came chan string
-	let  chan struct{}
-	mu   sync.Mutex
-	seen map[string]int
+	received      chan string
+	release       chan struct{}
+	mu            sync.Mutex
+	requestCounts map[string]int
 }
 
 func newBackend(t *testing.T) *backend {
-	b := &backend{came: make(chan string, 1000), let: make(chan struct{}), seen: make(map[string]int)}
+	b := &backend{received: make(chan string, 1000), release: make(chan struct{}), requestCounts: make(map[string]int)}
 	never := testkit.Never(t)
 	b.App = testkit.NewApp(t, func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Correlation-Id")
 		b.mu.Lock()
-		b.seen[id]++
+		b.requestCounts[id]++
 		b.mu.Unlock()
-		b.came <- id
+		b.received <- id
 		switch {
 		case strings.HasPrefix(id, "hang"):
 			never(w, r)
 			return
 		case strings.HasPrefix(id, "hold"):
-			<-b.let
+			<-b.release
 		case strings.HasPrefix(id, "large"):
 			io.WriteString(w, strings.Repeat("x", 64<<10))
 			return
@@ -131,34 +131,34 @@
 	return b
 }
 
-func (b *backend) times(id string) int {
+func (b *backend) requestCount(id string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.seen[id]
+	return b.requestCounts[id]
 }
 
 // crossing is one play: a program that is ready, and what a test does with it.
-type crossing struct {
+type termTest struct {
 	*testing.T
-	site
+	termSettings
 	*program
 	app    *backend
 	config string
 }
 
-func (x *crossing) term() {
+func (x *termTest) sendSIGTERM() {
 	x.signal(syscall.SIGTERM)
-	x.until("draining")
+	x.waitForLog("draining")
 }
 
-func (x *crossing) client() *caller { return x.call(x.T, x.addr) }
+func (x *termTest) newClient() *testClient { return x.connect(x.T, x.addr) }
 
 // held has a client's request be at the app server.
-func (x *crossing) held(id, plan string) *caller {
+func (x *termTest) inFlight(id, plan string) *testClient {
 	x.Helper()
-	c := x.client()
-	c.ask(id, plan)
-	if got := testkit.Next(x.T, x.app.came); got != id {
+	c := x.newClient()
+	c.sendRequest(id, plan)
+	if got := testkit.Next(x.T, x.app.received); got != id {
 		x.Fatalf("%s came for %s", got, id)
 	}
 	return c
@@ -166,16 +166,16 @@
 
 // answered wants an answer that is due: the app server's, a failure of what was sent on, or a refusal of what
 // was not, or may be repeated. Which of them depends on the machine: times pass on busy cores.
-func (x *crossing) answered(c *caller, id string) {
+func (x *termTest) requireClosingAnswer(c *testClient, id string) {
 	x.Helper()
-	status, body, closes, err := c.answer()
-	if !closes || err != nil || !x.due(status, body, id) {
-		x.Errorf("%s: %d %q, closes %v, %v; sent on %d times", id, status, body, closes, err, x.app.times(id))
+	status, body, closes, err := c.readAnswer()
+	if !closes || err != nil || !x.isValidAnswer(status, body, id) {
+		x.Errorf("%s: %d %q, closes %v, %v; sent on %d times", id, status, body, closes, err, x.app.requestCount(id))
 	}
 }
 
-func (x *crossing) due(status int, body, id string) bool {
-	sent := x.app.times(id)
+func (x *termTest) isValidAnswer(status int, body, id string) bool {
+	sent := x.app.requestCount(id)
 	switch status {
 	case 200:
 		return sent > 0 && body == "done "+id
@@ -188,38 +188,38 @@
 }
 
 // rests is a client whose connection has carried a request and rests.
-func (x *crossing) rests() *caller {
+func (x *termTest) idleClient() *testClient {
 	x.Helper()
-	c := x.client()
-	c.ask("r", "enterprise")
-	if status, body, closes, err := c.answer(); !x.due(status, body, "r") || closes || err != nil {
+	c := x.newClient()
+	c.sendRequest("r", "enterprise")
+	if status, body, closes, err := c.readAnswer(); !x.isValidAnswer(status, body, "r") || closes || err != nil {
 		x.Fatalf("%d, closes %v, %v", status, closes, err)
 	}
 	return c
 }
 
 // noRoom is how crossings begin in which one client has a place and others wait in the accept queue.
-const noRoom = "in the socket"
+const descriptorsExhausted = "in the socket"
 
-func (x *crossing) waits() []*caller {
-	var all []*caller
+func (x *termTest) waiting() []*testClient {
+	var queued []*testClient
 	for i := range 3 {
-		c := x.client()
-		c.ask(fmt.Sprint("q-", i), "enterprise")
-		all = append(all, c)
+		c := x.newClient()
+		c.sendRequest(fmt.Sprint("q-", i), "enterprise")
+		queued = append(queued, c)
 	}
-	return all
+	return queued
 }
 
-func (x *crossing) all(waits []*caller) {
+func (x *termTest) allAnswered(queued []*testClient) {
 	x.Helper()
-	for i, c := range waits {
-		x.answered(c, fmt.Sprint("q-", i))
+	for i, c := range queued {
+		x.requireClosingAnswer(c, fmt.Sprint("q-", i))
 	}
 }
 
 // sites are short and long deadlines of classes that are safe to repeat, keyed, and unsafe to repeat.
-var sites = []site{
+var termSettingsList = []termSettings{
 	{effect: "free", deadline: 400 * time.Millisecond},
 	{effect: "guarded", deadline: 400 * time.Millisecond},
 	{effect: "single_shot", deadline: 400 * time.Millisecond},
@@ -229,103 +229,103 @@
 }
 
 // crossings are the instants at which SIGTERM comes, by what is owed to a client then.
-var crossings = map[string]func(*crossing){
-	"idle": func(x *crossing) { x.term() },
-	noRoom: func(x *crossing) {
-		first := x.held("hold-0", "enterprise")
-		waits := x.waits()
-		x.term()
-		close(x.app.let)
-		x.answered(first, "hold-0")
-		x.all(waits)
+var termCases = map[string]func(*termTest){
+	"idle": func(x *termTest) { x.sendSIGTERM() },
+	descriptorsExhausted: func(x *termTest) {
+		first := x.inFlight("hold-0", "enterprise")
+		waiting := x.waiting()
+		x.sendSIGTERM()
+		close(x.app.release)
+		x.requireClosingAnswer(first, "hold-0")
+		x.allAnswered(waiting)
 	},
-	noRoom + " up to the last step": func(x *crossing) {
-		first := x.held("hang-0", "enterprise")
-		waits := x.waits()
-		x.term()
-		x.answered(first, "hang-0")
-		x.all(waits)
+	descriptorsExhausted + " up to the last step": func(x *termTest) {
+		first := x.inFlight("hang-0", "enterprise")
+		waiting := x.waiting()
+		x.sendSIGTERM()
+		x.requireClosingAnswer(first, "hang-0")
+		x.allAnswered(waiting)
 	},
-	"silent, then asks": func(x *crossing) {
-		c, before := x.client(), x.held("hold-0", "enterprise") // taken behind the first
-		x.term()
-		c.ask("a", "enterprise")
-		x.answered(c, "a")
-		close(x.app.let)
-		x.answered(before, "hold-0")
+	"silent, then asks": func(x *termTest) {
+		c, before := x.newClient(), x.inFlight("hold-0", "enterprise") // taken behind the first
+		x.sendSIGTERM()
+		c.sendRequest("a", "enterprise")
+		x.requireClosingAnswer(c, "a")
+		close(x.app.release)
+		x.requireClosingAnswer(before, "hold-0")
 	},
 	// Those that rest are closed at a step of the drain, which the end of one of them tells.
-	"silent, then asks behind that": func(x *crossing) {
-		rests, silent := x.rests(), x.client()
-		x.term()
-		if status, _, _, err := rests.answer(); status != 0 || err != nil {
+	"silent, then asks behind that": func(x *termTest) {
+		idleClient, silent := x.idleClient(), x.newClient()
+		x.sendSIGTERM()
+		if status, _, _, err := idleClient.readAnswer(); status != 0 || err != nil {
 			x.Errorf("%d, %v", status, err)
 		}
-		silent.ask("a", "enterprise")
-		x.answered(silent, "a")
+		silent.sendRequest("a", "enterprise")
+		x.requireClosingAnswer(silent, "a")
 	},
 	// Its time would be over behind the last step.
-	"a server that hangs, up to the last step": func(x *crossing) {
-		rests, silent := x.rests(), x.client()
-		x.term()
-		_, _, _, _ = rests.answer() // how it ends is the case's above
-		silent.ask("hang-0", "enterprise")
-		x.answered(silent, "hang-0")
+	"a server that hangs, up to the last step": func(x *termTest) {
+		idleClient, silent := x.idleClient(), x.newClient()
+		x.sendSIGTERM()
+		_, _, _, _ = idleClient.readAnswer() // how it ends is the case's above
+		silent.sendRequest("hang-0", "enterprise")
+		x.requireClosingAnswer(silent, "hang-0")
 	},
-	"half a head": func(x *crossing) { x.halves(20) },
-	"half a body": func(x *crossing) { x.halves(-4) },
-	"in the module's queue": func(x *crossing) {
-		first := x.held("hold-0", "one")
+	"half a head": func(x *termTest) { x.sendInTwoParts(20) },
+	"half a body": func(x *termTest) { x.sendInTwoParts(-4) },
+	"in the module's queue": func(x *termTest) {
+		first := x.inFlight("hold-0", "one")
 		// Of two requests with one id the second is told so by the module's own goroutine once the
 		// other is there.
-		both := []*caller{x.client(), x.client()}
+		both := []*testClient{x.newClient(), x.newClient()}
 		for _, c := range both {
-			c.ask("b", "one")
+			c.sendRequest("b", "one")
 		}
-		waits := both[x.firstOf(both)^1]
-		x.term()
-		close(x.app.let)
-		x.answered(first, "hold-0")
-		x.answered(waits, "b")
+		waiting := both[x.firstAnswered(both)^1]
+		x.sendSIGTERM()
+		close(x.app.release)
+		x.requireClosingAnswer(first, "hold-0")
+		x.requireClosingAnswer(waiting, "b")
 	},
-	"in the module's queue up to the last step": func(x *crossing) {
-		first := x.held("hang-0", "one")
-		both := []*caller{x.client(), x.client()}
+	"in the module's queue up to the last step": func(x *termTest) {
+		first := x.inFlight("hang-0", "one")
+		both := []*testClient{x.newClient(), x.newClient()}
 		for _, c := range both {
-			c.ask("b", "one")
+			c.sendRequest("b", "one")
 		}
-		waits := both[x.firstOf(both)^1]
-		x.term()
-		x.answered(first, "hang-0")
-		x.answered(waits, "b")
+		waiting := both[x.firstAnswered(both)^1]
+		x.sendSIGTERM()
+		x.requireClosingAnswer(first, "hang-0")
+		x.requireClosingAnswer(waiting, "b")
 	},
-	"a server that hangs": func(x *crossing) {
-		c := x.held("hang-0", "enterprise")
-		x.term()
-		x.answered(c, "hang-0")
-		if n := x.app.times("hang-0"); x.effect != "free" && n != 1 {
+	"a server that hangs": func(x *termTest) {
+		c := x.inFlight("hang-0", "enterprise")
+		x.sendSIGTERM()
+		x.requireClosingAnswer(c, "hang-0")
+		if n := x.app.requestCount("hang-0"); x.effect != "free" && n != 1 {
 			x.Errorf("sent on %d times", n)
 		}
 	},
-	"asked anew": func(x *crossing) { // by who comes while it drains
-		first := x.held("hold-0", "enterprise")
-		x.term()
-		c := x.client()
-		c.ask("a", "enterprise")
-		x.answered(c, "a")
-		close(x.app.let)
-		x.answered(first, "hold-0")
+	"asked anew": func(x *termTest) { // by who comes while it drains
+		first := x.inFlight("hold-0", "enterprise")
+		x.sendSIGTERM()
+		c := x.newClient()
+		c.sendRequest("a", "enterprise")
+		x.requireClosingAnswer(c, "a")
+		close(x.app.release)
+		x.requireClosingAnswer(first, "hold-0")
 	},
-	"twice": func(x *crossing) {
-		c := x.held("hold-0", "enterprise")
-		x.term()
+	"twice": func(x *termTest) {
+		c := x.inFlight("hold-0", "enterprise")
+		x.sendSIGTERM()
 		x.signal(syscall.SIGTERM)
 		x.signal(syscall.SIGHUP) // behind it, and told of
-		x.until("reloading")
-		close(x.app.let)
-		x.answered(c, "hold-0")
+		x.waitForLog("reloading")
+		close(x.app.release)
+		x.requireClosingAnswer(c, "hold-0")
 	},
-	"slow client": func(x *crossing) {
+	"slow client": func(x *termTest) {
 		// Its segments and its buffer are small, so that the answer isn't in any socket whole.
 		d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(fd uintptr) {
@@ -339,46 +339,46 @@
 		}
 		defer nc.Close()
 		nc.SetDeadline(time.Now().Add(testkit.WaitTimeout))
-		c := &caller{nc.(*net.TCPConn), bufio.NewReaderSize(nc, 16), x.site, nil}
-		c.ask("large-0", "enterprise")
+		c := &testClient{nc.(*net.TCPConn), bufio.NewReaderSize(nc, 16), x.termSettings, nil}
+		c.sendRequest("large-0", "enterprise")
 		if _, err := c.in.Peek(1); err != nil { // it is being written
 			x.Fatal(err)
 		}
-		x.term()
-		if status, body, _, err := c.answer(); status != 200 || len(body) != 64<<10 || err != nil {
+		x.sendSIGTERM()
+		if status, body, _, err := c.readAnswer(); status != 200 || len(body) != 64<<10 || err != nil {
 			x.Errorf("%d, %d bytes, %v", status, len(body), err)
 		}
 	},
-	"kept connections, up to their end": func(x *crossing) {
+	"kept connections, up to their end": func(x *termTest) {
 		// Requests go on coming, from resting ones too, until the program ends each connection. One that
 		// crosses that end is begun neither.
 		const n = 24
 		var wait sync.WaitGroup
-		all := make([]*caller, n)
-		for i := range all {
-			all[i] = x.client()
+		allAnswered := make([]*testClient, n)
+		for i := range allAnswered {
+			allAnswered[i] = x.newClient()
 			id := fmt.Sprint("w-", i)
-			all[i].ask(id, "enterprise")
-			if status, body, closes, err := all[i].answer(); !x.due(status, body, id) || closes || err != nil {
+			allAnswered[i].sendRequest(id, "enterprise")
+			if status, body, closes, err := allAnswered[i].readAnswer(); !x.isValidAnswer(status, body, id) || closes || err != nil {
 				x.Fatalf("%d %q, closes %v, %v", status, body, closes, err)
 			}
 		}
-		x.term()
-		for i, c := range all {
+		x.sendSIGTERM()
+		for i, c := range allAnswered {
 			wait.Go(func() {
 				time.Sleep(time.Duration(i) * 25 * time.Millisecond) // before, at and behind the end of those that rest
 				id := fmt.Sprint("k-", i)
-				c.ask(id, "enterprise")
-				status, body, closes, err := c.answer()
-				if none := status == 0 && x.app.times(id) == 0; err != nil || !closes || !none && !x.due(status, body, id) {
-					x.Errorf("%s: %d, closes %v, %v; sent on %d times", id, status, closes, err, x.app.times(id))
+				c.sendRequest(id, "enterprise")
+				status, body, closes, err := c.readAnswer()
+				if none := status == 0 && x.app.requestCount(id) == 0; err != nil || !closes || !none && !x.isValidAnswer(status, body, id) {
+					x.Errorf("%s: %d, closes %v, %v; sent on %d times", id, status, closes, err, x.app.requestCount(id))
 				}
 			})
 		}
 		wait.Wait()
 	},
-	"during a reload": func(x *crossing) {
-		c := x.held("hold-0", "enterprise")
+	"during a reload": func(x *termTest) {
+		c := x.inFlight("hold-0", "enterprise")
 		text, err := os.ReadFile(x.config)
 		if err != nil {
 			x.Fatal(err)
@@ -395,31 +395,31 @@
 		if err != nil {
 			x.Fatal(err)
 		}
-		x.term()
+		x.sendSIGTERM()
 		f.Write(text)
 		f.Close()
-		x.until("reloading")
-		close(x.app.let)
-		x.answered(c, "hold-0")
+		x.waitForLog("reloading")
+		close(x.app.release)
+		x.requireClosingAnswer(c, "hold-0")
 	},
 }
 
 // SIGTERM at each instant at which something is owed to a client: all that was taken is answered, as
 // refused only where it was not sent on, nothing is sent on that gets no answer, and the program ends well.
 func TestTermAtEachInstant(t *testing.T) {
-	for _, s := range sites {
-		for name, play := range crossings {
+	for _, s := range termSettingsList {
+		for name, play := range termCases {
 			s := s
-			if s.sockets = 1024; strings.HasPrefix(name, noRoom) {
-				s.sockets = limits.MinDescriptors
+			if s.maxDescriptors = 1024; strings.HasPrefix(name, descriptorsExhausted) {
+				s.maxDescriptors = limits.MinDescriptors
 			}
 			t.Run(fmt.Sprint(s.effect, " ", s.deadline, " ", name), func(t *testing.T) {
 				t.Parallel()
 				app := newBackend(t)
-				config := s.config(t, discovery(t, "s-1", app.Server).Listener.Addr().String())
-				x := &crossing{T: t, site: s, program: start(t, config, ""), app: app, config: config}
+				config := s.config(t, newDiscovery(t, "s-1", app.Server).Listener.Addr().String())
+				x := &termTest{T: t, termSettings: s, program: start(t, config, ""), app: app, config: config}
 				play(x)
-				x.until("drained")
+				x.waitForLog("drained")
 				if err := x.Wait(); err != nil {
 					t.Error(err)
 				}
@@ -429,34 +429,34 @@
 }
 
 // halves has a request come in two parts, the first before SIGTERM.
-func (x *crossing) halves(at int) {
-	c, before := x.client(), x.held("hold-0", "enterprise")
-	text := c.text("a", "enterprise")
+func (x *termTest) sendInTwoParts(at int) {
+	c, before := x.newClient(), x.inFlight("hold-0", "enterprise")
+	requestText := c.requestText("a", "enterprise")
 	if at < 0 {
-		at += len(text)
+		at += len(requestText)
 	}
-	io.WriteString(c, text[:at])
-	x.term()
-	io.WriteString(c, text[at:])
-	x.answered(c, "a")
-	close(x.app.let)
-	x.answered(before, "hold-0")
+	io.WriteString(c, requestText[:at])
+	x.sendSIGTERM()
+	io.WriteString(c, requestText[at:])
+	x.requireClosingAnswer(c, "a")
+	close(x.app.release)
+	x.requireClosingAnswer(before, "hold-0")
 }
 
 // firstOf gives the first of two clients that gets its answer, that its id is taken.
-func (x *crossing) firstOf(both []*caller) int {
+func (x *termTest) firstAnswered(clients []*testClient) int {
 	x.Helper()
-	told := make(chan int, len(both))
-	for i, c := range both {
-		c.has = make(chan struct{})
+	answered := make(chan int, len(clients))
+	for i, c := range clients {
+		c.answerStarted = make(chan struct{})
 		go func() {
 			_, _ = c.in.Peek(1) // an error is answer's to find
-			close(c.has)
-			told <- i
+			close(c.answerStarted)
+			answered <- i
 		}()
 	}
-	i := testkit.Next(x.T, told)
-	if status, _, _, err := both[i].answer(); status != 409 || err != nil {
+	i := testkit.Next(x.T, answered)
+	if status, _, _, err := clients[i].readAnswer(); status != 409 || err != nil {
 		x.Fatalf("%d, %v", status, err)
 	}
 	return i
@@ -464,9 +464,9 @@
 
 // SIGTERM while the program starts: one that comes before it listens ends it well, and clients that come
 // before it has a server get their answers.
-func TestTermWhileItStarts(t *testing.T) {
-	for _, s := range sites {
-		s.sockets = 1024
+func TestTermDuringStart(t *testing.T) {
+	for _, s := range termSettingsList {
+		s.maxDescriptors = 1024
 		t.Run(fmt.Sprint(s.effect, " ", s.deadline, " before it listens"), func(t *testing.T) {
 			t.Parallel()
 			config := s.config(t, testkit.NewAgent(t).Addr())
@@ -488,7 +488,7 @@
 			p.signal(syscall.SIGTERM)
 			f.Write(text)
 			f.Close()
-			p.until("drained")
+			p.waitForLog("drained")
 			if err := p.Wait(); err != nil {
 				t.Error(err)
 			}
@@ -496,22 +496,22 @@
 		t.Run(fmt.Sprint(s.effect, " ", s.deadline, " before it has a server"), func(t *testing.T) {
 			t.Parallel()
 			p := launch(t, s.config(t, testkit.NewAgent(t).Addr()), "")
-			p.listens()
-			before, kept, silent := s.call(t, p.addr), s.call(t, p.addr), s.call(t, p.addr)
-			before.ask("a", "enterprise")
+			p.waitUntilListening()
+			before, kept, silent := s.connect(t, p.addr), s.connect(t, p.addr), s.connect(t, p.addr)
+			before.sendRequest("a", "enterprise")
 			io.WriteString(kept, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
-			if status, _, _, err := kept.answer(); status != 503 || err != nil {
+			if status, _, _, err := kept.readAnswer(); status != 503 || err != nil {
 				t.Errorf("not ready: %d, %v", status, err)
 			}
 			p.signal(syscall.SIGTERM)
-			p.until("draining")
-			silent.ask("b", "enterprise")
-			for _, c := range []*caller{before, silent} {
-				if status, _, _, err := c.answer(); status != 503 && status != 429 || err != nil {
+			p.waitForLog("draining")
+			silent.sendRequest("b", "enterprise")
+			for _, c := range []*testClient{before, silent} {
+				if status, _, _, err := c.readAnswer(); status != 503 && status != 429 || err != nil {
 					t.Errorf("%d, %v", status, err)
 				}
 			}
-			p.until("drained")
+			p.waitForLog("drained")
 			if err := p.Wait(); err != nil {
 				t.Error(err)
 			}
--- a/cmd/lockplot/main.go
+++ b/cmd/lockplot/main.go
@@ -27,29 +27,29 @@
 	}
 }
 
-func draw(from, to string) error {
-	raw, err := os.ReadFile(from)
+func draw(reportsPath, picturePath string) error {
+	raw, err := os.ReadFile(reportsPath)
 	if err != nil {
 		return err
 	}
-	var all []fleetsim.Report
-	if err := json.Unmarshal(raw, &all); err != nil {
-		return fmt.Errorf("reading %s: %w", from, err)
+	var reports []fleetsim.Report
+	if err := json.Unmarshal(raw, &reports); err != nil {
+		return fmt.Errorf("reading %s: %w", reportsPath, err)
 	}
-	if len(all) == 0 {
-		return fmt.Errorf("%s: there is no report in it", from)
+	if len(reports) == 0 {
+		return fmt.Errorf("%s: there is no report in it", reportsPath)
 	}
 	p := plot.New()
 	p.Title.Text = "What a cold server is sent"
 	p.X.Label.Text = "seconds since its start"
 	p.Y.Label.Text = "calls a second"
 	p.Legend.Top, p.Legend.Left = true, true
-	line := func(name string, r fleetsim.Report, of func(fleetsim.Point) float64, i int) error {
-		var xy plotter.XYs
-		for _, pt := range r.Trace {
-			xy = append(xy, plotter.XY{X: pt.Second, Y: of(pt)})
+	line := func(name string, r fleetsim.Report, value func(fleetsim.Point) float64, i int) error {
+		var points plotter.XYs
+		for _, point := range r.Trace {
+			points = append(points, plotter.XY{X: point.Second, Y: value(point)})
 		}
-		l, err := plotter.NewLine(xy)
+		l, err := plotter.NewLine(points)
 		if err != nil {
 			return fmt.Errorf("drawing %s: %w", name, err)
 		}
@@ -58,20 +58,20 @@
 		p.Legend.Add(name, l)
 		return nil
 	}
-	if err := line("it bears over 2 s", all[0], func(pt fleetsim.Point) float64 { return pt.OverloadLimit }, 0); err != nil {
+	if err := line("it bears over 2 s", reports[0], func(point fleetsim.Point) float64 { return point.OverloadLimit }, 0); err != nil {
 		return err
 	}
-	if err := line("it can do", all[0], func(pt fleetsim.Point) float64 { return pt.Capacity }, 1); err != nil {
+	if err := line("it can do", reports[0], func(point fleetsim.Point) float64 { return point.Capacity }, 1); err != nil {
 		return err
 	}
-	for i, r := range all {
+	for i, r := range reports {
 		name := fmt.Sprintf("%d instances, told %d, news up to %v late", r.Instances, r.GroupSize, r.Lag)
-		if err := line(name, r, func(pt fleetsim.Point) float64 { return pt.SentCalls }, i+2); err != nil {
+		if err := line(name, r, func(point fleetsim.Point) float64 { return point.SentCalls }, i+2); err != nil {
 			return err
 		}
 	}
-	if err := p.Save(8*vg.Inch, 4.5*vg.Inch, to); err != nil {
-		return fmt.Errorf("writing %s: %w", to, err)
+	if err := p.Save(8*vg.Inch, 4.5*vg.Inch, picturePath); err != nil {
+		return fmt.Errorf("writing %s: %w", picturePath, err)
 	}
 	return nil
 }
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const opening = "open_instance who=0 salt=1 classes.count=1 classes.0.aim=400 classes.0.deadline=1000 " +
+const openInstance = "open_instance who=0 salt=1 classes.count=1 classes.0.aim=400 classes.0.deadline=1000 " +
 	"classes.0.effect=free classes.0.name=c tariffs.count=1 tariffs.0.name=p self-index=0 group-size="
 
 func host(t *testing.T, in string) (string, error) {
@@ -15,9 +15,9 @@
 	return out.String(), err
 }
 
-func TestAStretchOfWire(t *testing.T) {
+func TestBatchesOfInputs(t *testing.T) {
 	out, err := host(t, "clock ts=1\nend\n"+
-		"clock ts=2\n"+opening+"1\ndiscovery who=0 kind=stale_copy members=1\nitem condition=on server=5\nend\n"+
+		"clock ts=2\n"+openInstance+"1\ndiscovery who=0 kind=stale_copy members=1\nitem condition=on server=5\nend\n"+
 		"clock ts=3\nrequest who=0 xid=0a class=c terms=p client-id=b ttl=900\nrequest who=9 xid=0b class=c terms=p ttl=9\nend\n")
 	if err != nil {
 		t.Fatal(err)
@@ -30,8 +30,8 @@
 	}
 }
 
-func TestSettingsWithoutSenseBailOut(t *testing.T) {
-	out, err := host(t, "clock ts=2\n"+opening+"0\nend\n")
+func TestInvalidSettingsBailOut(t *testing.T) {
+	out, err := host(t, "clock ts=2\n"+openInstance+"0\nend\n")
 	if err != nil || !strings.HasPrefix(out, "bail_out who=0 body-text=settings: group size") {
 		t.Errorf("%q, %v", out, err)
 	}
--- a/internal/ci/knownred/main.go
+++ b/internal/ci/knownred/main.go
@@ -162,11 +162,11 @@
 // testsMatching returns the module's tests whose names match the pattern.
 func testsMatching(pattern string) ([]testName, error) {
 	cmd := exec.CommandContext(context.Background(), "go", "test", "-json", "-list", pattern, "./...")
-	var problems bytes.Buffer
-	cmd.Stderr = &problems
+	var errorOutput bytes.Buffer
+	cmd.Stderr = &errorOutput
 	listing, err := cmd.Output()
 	if err != nil {
-		return nil, fmt.Errorf("listing the tests: %w: %s%s", err, problems.Bytes(), listing)
+		return nil, fmt.Errorf("listing the tests: %w: %s%s", err, errorOutput.Bytes(), listing)
 	}
 	names := regexp.MustCompile(pattern)
 	var tests []testName
--- a/internal/ci/naming/naming.go
+++ b/internal/ci/naming/naming.go
@@ -51,7 +51,7 @@
 }
 
 // falseFriends are names in which a plain word has its usual meaning in Go or in the field.
-var falseFriends = map[string]bool{
+var allowedNames = map[string]bool{
 	// Of type sync.Once, or functions that do a thing at most once.
 	"once": true, "closeOnce": true, "abortOnce": true, "doOnce": true, "endOnce": true, "releaseOnce": true, "killOnce": true,
 	// Take over: what a successor does with its predecessor's role.
@@ -166,7 +166,7 @@
 
 // plainWord returns the first plain word in a name in Go's case, or nothing.
 func plainWord(name string) string {
-	if falseFriends[name] {
+	if allowedNames[name] {
 		return ""
 	}
 	for _, word := range splitWords(name) {
--- a/internal/ci/naming/naming_test.go
+++ b/internal/ci/naming/naming_test.go
@@ -10,7 +10,7 @@
 const root = "../../.."
 
 // TestNoPackageHasPlainWords holds that no package declares a name with a plain word.
-func TestNoPackageHasPlainWords(t *testing.T) {
+func TestPackagesDeclareNoPlainWords(t *testing.T) {
 	directories, err := Packages(root)
 	if err != nil {
 		t.Fatal(err)
