--- a/cmd/lockflow/disk_faults_test.go
+++ b/cmd/lockflow/disk_faults_test.go
@@ -11,8 +11,8 @@
 	"lockflow/internal/trials/faultnet/faultbuild"
 )
 
-// A state directory whose disk fails for a while, in any call by which a checkpoint is written, costs no start and no
-// checkpoint that was there: the node tells it, writes again once the disk works, and the next start finds that.
+// A transient disk fault in any system call that writes a checkpoint neither prevents a start nor loses the last
+// checkpoint: the node logs the fault, writes checkpoints again after it, and the next start restores from one.
 func TestCheckpointsSurviveDiskFaults(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
--- a/cmd/lockflow/faults_test.go
+++ b/cmd/lockflow/faults_test.go
@@ -11,8 +11,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// Real nodes between clients and servers with faults on every link and on the nodes themselves, in
-// short: lockflow measure faults --seeds 300 is the long form.
+// Runs real nodes between clients and servers, with faults of the links and of the nodes. It is a short run
+// of `lockflow measure faults --seeds 300`. A script that does not fit the topology is rejected.
 func TestFaults(t *testing.T) {
 	bin, dir := build(t), testkit.ShortDir(t)
 	for name, args := range map[string][]string{
--- a/cmd/lockflow/fleet_test.go
+++ b/cmd/lockflow/fleet_test.go
@@ -14,8 +14,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// Forty real processes under load, reloaded, upgraded, ended and killed by chance while servers
-// drain and cold ones come, in short; lockflow measure fleet --for 10m is the long form.
+// Runs forty real processes under load that are reloaded, upgraded, terminated and killed at random while servers
+// drain and warming-up servers join. It is a short run of `lockflow measure fleet --for 10m`.
 func TestFortyInstances(t *testing.T) {
 	cmd := exec.Command(build(t), "measure", "fleet", "--instances", "40", "--for", "4s", "--every", "150ms", "--rate", "150", "--cold-every", "2s",
 		"--seed", "7", "--json")
@@ -34,8 +34,8 @@
 	}
 }
 
-// A fleet from the command line: it starts, tells its status, takes a good configuration over and a
-// bad one nowhere, upgrades, refuses a program that is none and goes back, and ends.
+// The fleet commands start a fleet, report its status, apply a valid configuration to all instances, reject an
+// invalid one before any instance has it, upgrade, roll back an upgrade to a program that fails to start, and stop.
 func TestFleetCommands(t *testing.T) {
 	bin, dir := build(t), testkit.ShortDir(t)
 	config := filepath.Join(dir, "c.toml")
@@ -57,7 +57,7 @@
 		t.Fatal(err)
 	}
 	interruptTimer := time.AfterFunc(time.Minute, func() { run.Process.Signal(os.Interrupt) })
-	t.Cleanup(func() { // the instances would outlive it
+	t.Cleanup(func() { // the instances would outlive a fleet run that is killed
 		interruptTimer.Stop()
 		run.Process.Signal(os.Interrupt)
 		run.Wait()
--- a/cmd/lockflow/judged_test.go
+++ b/cmd/lockflow/judged_test.go
@@ -12,8 +12,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// taking is a server of which a part of the answers takes long. The 99th percentile is among these, so that what
-// busy cores do to the others is not slow.
+// newServerWithSlowAnswers starts a server that delays a fraction of its answers by slowDelay. The 99th percentile is
+// one of these, so that delays of the other answers on a busy machine don't raise it.
 func newServerWithSlowAnswers(t *testing.T, slowFraction float64, slowDelay time.Duration) string {
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		delay := 15 * time.Millisecond
@@ -29,8 +29,8 @@
 	return s.URL
 }
 
-// What is harmless passes every stage by what is measured; what makes answers slow stops after one instance;
-// without traffic nothing is shown, and that stops too, but for a change that is to go on unjudged.
+// A harmless change passes the evaluation at every stage. A change that slows answers down is rolled back after
+// one instance. So is a change without traffic, for which there is no evidence, unless it runs with --unjudged.
 func TestRolloutStageVerdicts(t *testing.T) {
 	good, slow := newServerWithSlowAnswers(t, 0.03, 400*time.Millisecond), newServerWithSlowAnswers(t, 0.25, 1500*time.Millisecond)
 	reloadArgs := func(r *testFleet, server string) []string {
--- a/cmd/lockflow/keeper_test.go
+++ b/cmd/lockflow/keeper_test.go
@@ -18,14 +18,14 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// kept is a directory of instances and who keeps them.
+// supervisedFleet is a directory of two instances with the `fleet run` process that supervises them.
 type supervisedFleet struct {
 	t        *testing.T
 	bin, dir string
 	fleetRun *exec.Cmd
 }
 
-// run starts a keeper that says it is ready.
+// startFleetRun starts `fleet run` and waits until it has printed that both instances are ready.
 func (k *supervisedFleet) startFleetRun() {
 	k.t.Helper()
 	k.fleetRun = exec.Command(k.bin, "fleet", "run", "--config", filepath.Join(k.dir, "c.toml"), "--dir", k.dir, "--instances", "2", "--port", "0")
@@ -41,7 +41,7 @@
 	killTimer := time.AfterFunc(time.Minute, func() { k.fleetRun.Process.Kill() })
 	defer killTimer.Stop()
 	lines := bufio.NewScanner(out)
-	for n := 0; n < 3; n++ { // a head and both instances
+	for n := 0; n < 3; n++ { // a header and a line for each instance
 		if !lines.Scan() {
 			k.fleetRun.Wait()
 			k.t.Fatalf("it says no more\n%s", &log)
@@ -71,9 +71,9 @@
 	}
 }
 
-// What is wanted of instances outlives them and their keeper: drained stay drained until they are to serve,
-// settings and program are the last ordered, and a keeper that was killed is followed by one that takes over
-// what runs.
+// The desired state of instances persists when they or `fleet run` are killed: drained instances remain drained until
+// they are commanded to serve, and a restarted instance has the last commanded settings and program. A new `fleet run`
+// takes over the running instances of one that was killed.
 func TestFleetRunRestoresDesiredState(t *testing.T) {
 	k := &supervisedFleet{t: t, bin: build(t), dir: testkit.ShortDir(t)}
 	text := strings.Replace(testkit.Small, "[process]", "[process]\nupgrade = { within = \"10s\", probation = \"50ms\" }", 1)
@@ -94,7 +94,7 @@
 		}
 		k.fleetRun.Process.Signal(os.Interrupt)
 		k.fleetRun.Wait()
-		for i := range 2 { // left where the test failed between two keepers
+		for i := range 2 { // an instance still runs if the test failed while no fleet run did
 			if s, err := k.controlClient(i).Status(context.Background()); err == nil {
 				syscall.Kill(s.PID, syscall.SIGKILL)
 			}
@@ -142,7 +142,7 @@
 	if out, err := exec.Command(k.bin, k.fleetRun.Args[1:]...).CombinedOutput(); err == nil || !strings.Contains(string(out), "another fleet run") {
 		t.Errorf("a second keeper: %v\n%s", err, out)
 	}
-	// One that was killed comes back as it was ordered; also where nobody kept it at that moment.
+	// A killed instance is restarted in its desired state, also if no fleet run was up when it was killed.
 	isInDesiredState := func(s manage.Status) bool {
 		return s.IsReady() && s.PID != before[0].PID && s.Program == nextProgram && s.ConfigHash == s.DesiredState.Hash && s.Epoch == 3
 	}
--- a/cmd/lockflow/killed_test.go
+++ b/cmd/lockflow/killed_test.go
@@ -8,9 +8,9 @@
 	"lockflow/internal/trials/measure"
 )
 
-// A coordinator that is killed at some of its writes, before or after, is followed by another that brings all
-// to one state, by itself or killed again; all writes are tried by measure rollout. Clients get an
-// answer to each request, also of controls that start again beside a canary.
+// After a coordinator was killed before or after a write to its rollout log, another one brings all instances to the
+// same state, even if it is killed too. The test kills at some of the writes, `lockflow measure rollout` at all.
+// Clients get an answer to each request, also from controls, which restart together with the canary.
 func TestCoordinatorKilledAtWrites(t *testing.T) {
 	for kind, kills := range map[desiredstate.Kind][]int{desiredstate.KindSettings: {-1, 1, 5, -12}, desiredstate.KindProgram: {7, 9}} {
 		t.Run(string(kind), func(t *testing.T) {
--- a/cmd/lockflow/main.go
+++ b/cmd/lockflow/main.go
@@ -1,5 +1,5 @@
-// Command lockflow is an edge node: it takes requests from clients and passes
-// them on to app servers as the control module decides.
+// Command lockflow is an edge node: it accepts requests from clients and forwards
+// them to app servers as the control module decides.
 package main
 
 import (
--- a/cmd/lockflow/main_test.go
+++ b/cmd/lockflow/main_test.go
@@ -21,7 +21,7 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// programs is where build puts the program.
+// programDir is the directory that build writes the program to.
 var programDir string
 
 func TestMain(m *testing.M) {
@@ -45,7 +45,7 @@
 	return nil
 })
 
-// build gives the program, which is linked once for all tests.
+// build returns the path of the program, which is built once for all tests.
 func build(t *testing.T) string {
 	t.Helper()
 	if err := buildProgram(); err != nil {
@@ -54,7 +54,7 @@
 	return filepath.Join(programDir, "lockflow")
 }
 
-// A start that can't be made is one clear line; exit code 2 where the configuration is at fault.
+// A failed start prints exactly one line. The exit code is 2 if the configuration is missing or invalid.
 func TestFailedStartLogsOneLine(t *testing.T) {
 	bin := build(t)
 	invalid := filepath.Join(t.TempDir(), "config.json")
@@ -80,19 +80,19 @@
 type program struct {
 	*exec.Cmd
 	t     *testing.T
-	lines *bufio.Scanner // its log
-	addr  string         // where it takes clients
+	lines *bufio.Scanner // of its log
+	addr  string         // on which it listens for clients
 }
 
-// start starts the program and waits until it is ready. Without a discovery in the
-// environment that of the file counts.
+// start starts the program and waits until it is ready. If discovery is empty, the
+// program uses the discovery address of the configuration file.
 func start(t *testing.T, config, discovery string) *program {
 	t.Helper()
 	p := launch(t, config, discovery)
 	p.waitUntilListening()
 	testkit.Until(t, "the program to be ready", func() bool {
 		resp, err := http.Get("http://" + p.addr + "/healthz")
-		if err != nil { // with few descriptors its connection may go for another
+		if err != nil { // with a low limit on descriptors, this connection may be closed in favor of another
 			return false
 		}
 		resp.Body.Close()
@@ -101,7 +101,7 @@
 	return p
 }
 
-// launch starts the program and waits for nothing.
+// launch starts the program and returns without waiting until it listens.
 func launch(t *testing.T, config, discovery string) *program {
 	t.Helper()
 	p := &program{Cmd: exec.Command(build(t)), t: t}
@@ -110,7 +110,7 @@
 	return p
 }
 
-// scanLog starts the program and reads its log from now on.
+// startWithLog starts the program with a scanner of its log.
 func (p *program) startWithLog() {
 	p.t.Helper()
 	log, err := p.StderrPipe()
@@ -120,19 +120,19 @@
 	if err := p.Start(); err != nil {
 		p.t.Fatal(err)
 	}
-	// Ends the program where it hangs, and with it all waiting for it.
+	// Kills a program that hangs, which also ends each wait for its log or exit.
 	killTimer := time.AfterFunc(time.Minute, func() { p.Process.Kill() })
 	p.t.Cleanup(func() { killTimer.Stop(); p.Process.Kill() })
 	p.lines = bufio.NewScanner(log)
 }
 
-// listens waits until the program takes clients.
+// waitUntilListening waits until the program listens for clients, and stores its address.
 func (p *program) waitUntilListening() {
 	p.t.Helper()
 	_, p.addr, _ = strings.Cut(p.waitForLog("listen="), "listen=")
 }
 
-// until reads the log up to a line with a word in it.
+// waitForLog reads the log up to a line that contains text, and returns the line.
 func (p *program) waitForLog(text string) string {
 	p.t.Helper()
 	for p.lines.Scan() {
@@ -151,7 +151,7 @@
 	}
 }
 
-// ask sends a request and gives what came of it.
+// startRequest sends a request. The channel receives its answer or error as text.
 func (p *program) startRequest(id string) <-chan string {
 	p.t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+p.addr+"/roster-read?account=00000000b4d65521", nil)
@@ -175,7 +175,7 @@
 	return answer
 }
 
-// discovery lists one app server and keeps its watches open.
+// newDiscovery starts a discovery that lists one app server and keeps its watches open.
 func newDiscovery(t *testing.T, uid string, app *httptest.Server) *httptest.Server {
 	closed := make(chan struct{})
 	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -191,7 +191,7 @@
 	return d
 }
 
-// holding is an app server that answers when it is let.
+// newBlockingServer starts an app server that closes received on its only request and answers once release is called.
 func newBlockingServer(t *testing.T) (app *httptest.Server, received chan struct{}, release func()) {
 	received, released := make(chan struct{}), make(chan struct{})
 	release = sync.OnceFunc(func() { close(released) })
@@ -206,8 +206,8 @@
 
 const testConfig = "../../internal/config/testdata/config.json"
 
-// SIGTERM with work held: the client gets its answer, then the program ends well. A SIGHUP
-// meanwhile is harmless.
+// On SIGTERM with a request in flight, the client gets its answer, then the program exits with
+// code 0. A SIGHUP meanwhile does not disturb the shutdown.
 func TestTermWithRequestInFlight(t *testing.T) {
 	app, received, release := newBlockingServer(t)
 	p := start(t, testConfig, newDiscovery(t, "s-1", app).Listener.Addr().String())
@@ -227,8 +227,8 @@
 	}
 }
 
-// SIGHUP has the program follow the discovery that the file now names, whatever the
-// environment said, and keep what it holds. A file that can't be used changes nothing.
+// On SIGHUP, the program switches to the discovery in the reloaded file, which takes precedence over
+// the environment, and keeps its requests in flight. An invalid file changes nothing.
 func TestReloadOnSIGHUP(t *testing.T) {
 	app, received, release := newBlockingServer(t)
 	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -264,7 +264,7 @@
 		}
 	}
 
-	// What makes no sense is told, and no reason not to go on.
+	// A setting that is valid but unreasonable is logged as a warning and applied.
 	write(strings.NewReplacer("127.0.0.1:1\"", second.Listener.Addr().String()+"\"", `"depth": 8.0`, `"depth": 0.5`).Replace(string(raw)))
 	p.signal(syscall.SIGHUP)
 	p.waitForLog("tariffs.0.depth:")
@@ -288,7 +288,8 @@
 	}
 }
 
-// A supervisor's socket is listened on under its name, and clients are served on it.
+// The program listens on the socket that systemd passes under the listener's name, and serves clients on it. A socket
+// with a name of no listener prevents the start.
 func TestSocketActivation(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -306,7 +307,7 @@
 	}
 	for name, want := range map[string]bool{"clients": true, "others": false} {
 		t.Run(name, func(t *testing.T) {
-			// The process that a supervisor means is named by its id, which the shell keeps over exec.
+			// LISTEN_PID has to be the program's process ID. The shell sets it to its own, which exec keeps.
 			p := &program{Cmd: exec.Command("sh", "-c", "LISTEN_PID=$$ exec "+build(t)+" serve --config "+config), t: t}
 			p.Env = append(os.Environ(), "LISTEN_FDS=1", "LISTEN_FDNAMES="+name)
 			p.ExtraFiles = []*os.File{socket}
@@ -345,7 +346,7 @@
 	}
 }
 
-// The example units can be read, and name what there is.
+// The example systemd units can be parsed and have the options that the program relies on.
 func TestSystemdUnits(t *testing.T) {
 	for file, want := range map[string][]string{
 		"lockflow.service": {"Service Type notify-reload", "Service WatchdogSec 10", "Unit Requires lockflow.socket"},
--- a/cmd/lockflow/rollout_test.go
+++ b/cmd/lockflow/rollout_test.go
@@ -21,7 +21,7 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// ordinary is a configuration of one service that speaks generic HTTP before one server.
+// serviceConfig returns a configuration of one generic HTTP service with one server.
 func serviceConfig(server string) string {
 	return fmt.Sprintf(`[process]
 upgrade = { within = "10s", probation = "100ms" }
@@ -35,13 +35,13 @@
 `, strings.TrimPrefix(server, "http://"))
 }
 
-// running is a fleet that fleet run keeps, under clients that ask each instance again and again.
+// testFleet is a fleet that `fleet run` supervises, with clients that send requests to each instance in a loop.
 type testFleet struct {
 	t      *testing.T
 	bin    string
 	dir    string
 	addrs  []string
-	failed []atomic.Int64 // answers of 5xx, by instance
+	failed []atomic.Int64 // number of 5xx answers by instance
 	served []atomic.Int64
 }
 
@@ -57,7 +57,7 @@
 		t.Fatal(err)
 	}
 	interruptTimer := time.AfterFunc(5*time.Minute, func() { run.Process.Signal(os.Interrupt) })
-	t.Cleanup(func() { // the instances would outlive it
+	t.Cleanup(func() { // the instances would outlive a fleet run that is killed
 		interruptTimer.Stop()
 		run.Process.Signal(os.Interrupt)
 		run.Wait()
@@ -85,7 +85,7 @@
 	return path
 }
 
-// clients ask every instance, a few at a time, until the test ends.
+// clients starts clients for every instance, which send requests until the test ends.
 func (r *testFleet) clients(perInstance int) {
 	ctx, stop := context.WithCancel(context.Background())
 	var wait sync.WaitGroup
@@ -143,7 +143,7 @@
 	return s
 }
 
-// fleet runs a command over the fleet and gives its exit code and what it said.
+// runCommand runs a fleet command and returns its exit code and output.
 func (r *testFleet) runCommand(args ...string) (int, string) {
 	cmd := exec.Command(r.bin, append([]string{"fleet", "--dir", r.dir}, args...)...)
 	out, _ := cmd.CombinedOutput()
@@ -156,8 +156,7 @@
 	return s.URL
 }
 
-// A change that fails every request stops after one instance and is taken back; a harmless one goes all
-// the way, judged.
+// A change that makes every request fail is rolled back after one instance; the other instances never have it.
 func TestFailingChangeIsRolledBack(t *testing.T) {
 	good, bad := newStatusServer(t, http.StatusOK), newStatusServer(t, http.StatusInternalServerError)
 	r := startFleet(t, serviceConfig(good), 4)
@@ -188,8 +187,8 @@
 	t.Log(output)
 }
 
-// A coordinator that is killed after any of its decisions is followed by one that goes on, or takes all
-// back; two at once don't both own the fleet.
+// When a coordinator is killed after one of its decisions, another one completes the change or rolls it back on all
+// instances. Two coordinators at the same time don't both own the fleet.
 func TestCoordinatorKilled(t *testing.T) {
 	r := startFleet(t, serviceConfig(newStatusServer(t, http.StatusOK)), 3)
 	other := newStatusServer(t, http.StatusNoContent)
@@ -230,7 +229,7 @@
 			t.Errorf("killed at %d: exit %d\n%s", at, code, output)
 		}
 	}
-	// The journal is one coordinator's; another's, with a journal of its own, takes the fleet over at once.
+	// Only one coordinator can have a rollout log open. A coordinator with another rollout log takes the fleet over at once.
 	first := exec.Command(r.bin, "fleet", "--dir", r.dir, "reload", "--config", r.write("long.toml", serviceConfig(other)+"# long\n"), "--bake", "1m", "--unjudged")
 	var firstOutput strings.Builder
 	first.Stderr = &firstOutput
@@ -257,8 +256,8 @@
 	return ""
 }
 
-// Regions change one after another, in an order without a conflict on the way; a change that would bring
-// one is not begun.
+// A rollout changes regions one after another, in an order in which their configurations never conflict. A change
+// that would cause a conflict is not started.
 func TestRegionsInOrder(t *testing.T) {
 	r := startFleet(t, serviceConfig(newStatusServer(t, http.StatusOK)), 3)
 	writeFleetFile := func(north, south string) string {
@@ -276,7 +275,7 @@
 	if code, output := runFleet("reload", "--fleet", writeFleetFile(next, next)); code != 0 || !strings.Contains(output, "3 changed") {
 		t.Errorf("exit %d: %s", code, output)
 	}
-	// One region would send to another service what the other keeps.
+	// The regions would route the same requests to different services.
 	conflicting := strings.ReplaceAll(next, "app", "apps")
 	if code, output := runFleet("reload", "--fleet", writeFleetFile(next, conflicting)); code != 1 || !strings.Contains(output, "service: north, south") || !strings.Contains(output, "nothing was changed") {
 		t.Errorf("exit %d: %s", code, output)
@@ -291,7 +290,7 @@
 	}
 }
 
-// A drained fleet stays so under the keeper that started it, until it is served again.
+// A drained fleet under `fleet run` remains drained until it is commanded to serve.
 func TestDrainLastsUntilServe(t *testing.T) {
 	r := startFleet(t, serviceConfig(newStatusServer(t, http.StatusOK)), 2)
 	lifecycles := func() (lifecycles []string) {
@@ -300,7 +299,7 @@
 			Members []struct{ Status *struct{ Life string } }
 		}
 		if err := json.Unmarshal(out, &s); err != nil {
-			return nil // it can't tell yet
+			return nil // the status is not available yet
 		}
 		for _, m := range s.Members {
 			if m.Status != nil {
--- a/cmd/lockflow/shortage_test.go
+++ b/cmd/lockflow/shortage_test.go
@@ -14,11 +14,11 @@
 	"lockflow/internal/trials/faultnet/faultbuild"
 )
 
-// shortageTime is how long a shortage lasts in these tests: longer than a call of the system, shorter than a deadline.
+// shortageTime is the duration of a shortage in these tests: longer than a system call, shorter than a deadline.
 const shortageTime = 150 * time.Millisecond
 
-// startFaultyPlatform starts the platform's node with a configuration whose discovery is that of the file, and waits
-// for nothing.
+// startFaultyPlatform starts a node with the platform's settings in a configuration file, which has the address of the
+// discovery. It does not wait until the node listens.
 func startFaultyPlatform(t *testing.T, table *faultbuild.Table, config string) *faultyProgram {
 	t.Helper()
 	if err := buildWithFaults(); err != nil {
@@ -30,7 +30,7 @@
 	return &faultyProgram{p, table}
 }
 
-// writeConfig writes the platform's configuration with a discovery.
+// writeConfig writes the platform's configuration with the address of a discovery.
 func writeConfig(t *testing.T, path, discovery string) {
 	t.Helper()
 	raw, err := os.ReadFile(testConfig)
@@ -43,14 +43,14 @@
 	}
 }
 
-// untilInjected waits until a call has failed more often than before, and then for the rest of a shortage.
+// untilInjected waits until a system call has failed more than before times, and then for shortageTime.
 func untilInjected(t *testing.T, table *faultbuild.Table, call faultbuild.Call, before int) {
 	t.Helper()
 	testkit.Until(t, "a call that fails", func() bool { return table.Injected(call) > before })
 	time.Sleep(shortageTime)
 }
 
-// A node starts though the system lacks descriptors or buffers for a moment: no start fails for that.
+// A start does not fail because the system is out of descriptors or buffers for a moment.
 func TestStartSurvivesTransientShortage(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -71,8 +71,8 @@
 	}
 }
 
-// A node that is told to read its configuration anew does so though it lacks a descriptor for a moment: without that it
-// would follow a discovery that is gone.
+// A node reloads its configuration on SIGHUP even if it has no descriptor for the file for a moment. Otherwise it would
+// continue to watch a discovery that no longer exists.
 func TestReloadSurvivesTransientShortage(t *testing.T) {
 	table, config := newFaultTable(t), filepath.Join(t.TempDir(), "config.json")
 	first, second := testkit.NewAgent(t), testkit.NewAgent(t)
@@ -89,8 +89,8 @@
 	p.terminate()
 }
 
-// A request is served though no connection to a server can be made for a moment, for want of descriptors, ports or
-// buffers of the node's own.
+// A request is served even if the node can't connect to a server for a moment because the node's own system is out of
+// descriptors, ports or buffers.
 func TestRequestSurvivesTransientConnectionShortage(t *testing.T) {
 	for _, tc := range []struct {
 		call  faultbuild.Call
--- a/cmd/lockflow/shutdown_queue_test.go
+++ b/cmd/lockflow/shutdown_queue_test.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	queuedClients = 60 // that wait in the listener's queue when SIGTERM comes
+	queuedClients = 60 // that wait in the listener's accept queue when SIGTERM arrives
 
-	// severalConnections is a limit on descriptors that leaves two to clients and two to app servers.
+	// severalConnections is a limit on descriptors that allows two connections to clients and two to app servers.
 	severalConnections = limits.MinDescriptors + 2
 )
 
-// shutdownQueueCase is a way in which clients keep the descriptors that others wait for in the listener's queue.
+// shutdownQueueCase is a behavior of clients by which they occupy the descriptors that others in the accept queue wait for.
 type shutdownQueueCase struct {
 	name        string
 	descriptors int
@@ -78,8 +78,8 @@
 	}},
 }
 
-// Guards against the reset of clients in the listener's queue at the last step of a shutdown: whoever has sent a
-// request there gets an answer, whatever clients that hold descriptors do.
+// Guards against connection resets of clients in the accept queue at the last step of a shutdown: each of them that has
+// sent a request gets an answer, whatever the clients that occupy the descriptors do.
 func TestShutdownAnswersClientsInListenerQueue(t *testing.T) {
 	for _, c := range shutdownQueueCases {
 		for _, s := range []termSettings{termSettingsList[3], termSettingsList[5]} {
@@ -99,8 +99,8 @@
 	}
 }
 
-// playShutdownQueue has clients keep all descriptors, with a request each that its app server does not answer, while
-// others wait in the listener's queue, and ends the program. Each client's preparation follows its request.
+// runShutdownQueue terminates the program while clients occupy all descriptors, each with a request that the app server
+// does not answer, and others wait in the accept queue. The prepare functions are called after a client's request.
 func (x *termTest) runShutdownQueue(holders int, prepareHolder, prepareQueued func(*testClient)) {
 	x.Helper()
 	var inFlight []*testClient
@@ -119,7 +119,7 @@
 	x.requireAnswers(queued)
 }
 
-// queue has clients send a request each over a new connection, which no descriptor is left for.
+// queueClients has clients send a request each on a new connection, for which the program has no descriptor left.
 func (x *termTest) queueClients(prepare func(*testClient)) []*testClient {
 	x.Helper()
 	var queued []*testClient
@@ -134,7 +134,7 @@
 	return queued
 }
 
-// allAnswered wants an answer for each client of queue. They read at the same time.
+// requireAnswers requires an answer for each client of queueClients. The clients read concurrently.
 func (x *termTest) requireAnswers(queued []*testClient) {
 	x.Helper()
 	var all sync.WaitGroup
@@ -144,8 +144,8 @@
 	all.Wait()
 }
 
-// getsAnswer wants an answer that is due, as answered does; on a busy machine it may come before SIGTERM, so that its
-// connection stays open.
+// requireAnswer requires a valid answer, as requireClosingAnswer does, but not that the connection closes: on a busy
+// machine the answer may precede SIGTERM, and then the connection remains open.
 func (x *termTest) requireAnswer(c *testClient, id string) {
 	x.Helper()
 	status, body, _, err := c.readAnswer()
@@ -154,12 +154,12 @@
 	}
 }
 
-// beginNextRequest sends the beginning of another request, of which the rest never comes.
+// beginNextRequest sends the first bytes of another request, which is never completed.
 func (c *testClient) beginNextRequest() {
 	io.WriteString(c, c.requestText("next", "enterprise")[:20])
 }
 
-// delayAcknowledgements has the client's system acknowledge what it receives as late as it may.
+// delayAcknowledgements has the client's TCP stack delay its acknowledgements.
 func (c *testClient) delayAcknowledgements() {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -168,7 +168,7 @@
 	_ = raw.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_QUICKACK, 0) })
 }
 
-// clientThatReadsNothing sends a request whose answer its socket can't hold, and never reads.
+// clientThatReadsNothing sends a request whose answer exceeds its socket buffer, and never reads.
 func (x *termTest) clientThatReadsNothing() *testClient {
 	x.Helper()
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -188,7 +188,7 @@
 	return c
 }
 
-// waitUntilServed waits until the app server has got a request.
+// waitUntilReceived waits until the app server has received a request.
 func (x *termTest) waitUntilReceived(id string) {
 	x.Helper()
 	for got := ""; !strings.HasPrefix(got, id); {
--- a/cmd/lockflow/skew_test.go
+++ b/cmd/lockflow/skew_test.go
@@ -9,8 +9,8 @@
 	"lockflow/internal/trials/versionskew"
 )
 
-// Two builds take each other's place under load and by their files, and nothing is lost between them; here both
-// are this one. lockflow measure upgrade --previous PATH is the same with another build.
+// Two builds replace each other by upgrades under load and by restarts from their checkpoints, without loss. Both builds
+// are the current one here; `lockflow measure upgrade --previous PATH` runs the same with another build.
 func TestUpgradeBetweenBuilds(t *testing.T) {
 	report, err := versionskew.Run(t.Context(), versionskew.Options{
 		Previous: build(t), Current: build(t), Dir: testkit.ShortDir(t),
@@ -22,7 +22,7 @@
 	for _, violation := range report.Violations {
 		t.Error(violation)
 	}
-	const steps = 6 // upgrades under load, idle upgrades and restarts, each there and back
+	const steps = 6 // upgrades under load, idle upgrades and restarts, each in both directions
 	if len(report.Steps) != steps || report.Updates.Served == 0 {
 		t.Errorf("%+v", report)
 	}
--- a/cmd/lockflow/stepped_clock_test.go
+++ b/cmd/lockflow/stepped_clock_test.go
@@ -20,7 +20,7 @@
 	"lockflow/internal/trials/faultnet/faultbuild"
 )
 
-// clockSteps are how far the wall clock is stepped in the middle of a run.
+// clockSteps are the steps of the wall clock during a run.
 var clockSteps = []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour}
 
 var buildWithFaults = sync.OnceValue(func() error {
@@ -31,13 +31,13 @@
 	return faultbuild.Build(context.Background(), ".", filepath.Join(programDir, "lockflow-faults"), directory)
 })
 
-// faultyProgram is a running lockflow whose system calls and wall clock obey a table.
+// faultyProgram is a running lockflow with faults of its system calls and steps of its wall clock from a table.
 type faultyProgram struct {
 	*program
 	table *faultbuild.Table
 }
 
-// startFaulty starts `serve` with a configuration, whose first line that is logged with an address is its listener's.
+// startFaulty starts `lockflow serve` with a configuration whose listener is the first to be logged with its address.
 func startFaulty(t *testing.T, table *faultbuild.Table, config string) *faultyProgram {
 	t.Helper()
 	if err := buildWithFaults(); err != nil {
@@ -63,7 +63,7 @@
 	return table
 }
 
-// end has the program end and discards the rest of its log.
+// terminate sends SIGTERM, discards the rest of the log and requires that the program exits with code 0.
 func (p *faultyProgram) terminate() {
 	p.t.Helper()
 	p.Process.Signal(syscall.SIGTERM)
@@ -74,7 +74,7 @@
 	}
 }
 
-// newTunnelServer starts an app server that answers each request with 101 and is silent then.
+// newTunnelServer starts an app server that answers each request with 101 and then sends nothing.
 func newTunnelServer(t *testing.T) (address string) {
 	app := testkit.NewApp(t, func(w http.ResponseWriter, r *http.Request) {
 		conn := testkit.Hijack(w)
@@ -101,7 +101,7 @@
 upgrade = ["echo"]
 `
 
-// An idle tunnel is closed after its idle timeout, by the monotonic clock, whatever the wall clock does meanwhile.
+// An idle tunnel is closed after its idle timeout on the monotonic clock, despite steps of the wall clock.
 func TestClockStepDoesNotMoveTunnelTimeout(t *testing.T) {
 	table := newFaultTable(t)
 	p := startFaulty(t, table, strings.Replace(tunnelConfig, "@server", newTunnelServer(t), 1))
@@ -148,7 +148,7 @@
 service = "app"
 `
 
-// The age of the last run's checkpoint is a span of real time, whatever the wall clock did between the runs.
+// The age of the last run's checkpoint is the real elapsed time, despite steps of the wall clock between the runs.
 func TestClockStepDoesNotChangeAgeOfCheckpoint(t *testing.T) {
 	for _, step := range clockSteps {
 		t.Run(step.String(), func(t *testing.T) {
--- a/cmd/lockflow/term_test.go
+++ b/cmd/lockflow/term_test.go
@@ -20,14 +20,15 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// site is a setting that the crossings are played with.
+// termSettings are the settings of the program in a test case.
 type termSettings struct {
 	effect         string
-	deadline       time.Duration // of the class
+	deadline       time.Duration // of the class's requests
 	maxDescriptors int           // limit on descriptors
 }
 
-// config writes the platform's file of a site. Its one class is "work"; the plan "one" has one request out at a time.
+// config writes a configuration file with the platform's settings. Its only class is "work"; the plan "one" allows one
+// request in flight.
 func (s termSettings) config(t *testing.T, discovery string) string {
 	t.Helper()
 	raw, err := os.ReadFile(testConfig)
@@ -47,12 +48,12 @@
 	return path
 }
 
-// caller is a client with one connection.
+// testClient is a client with one connection.
 type testClient struct {
 	*net.TCPConn
 	in            *bufio.Reader
 	termSettings  termSettings
-	answerStarted chan struct{} // closed once its next answer has begun; nil where nobody waits for that
+	answerStarted chan struct{} // closed when the next answer has started; nil if nothing waits for that
 }
 
 func (s termSettings) connect(t *testing.T, addr string) *testClient {
@@ -66,7 +67,7 @@
 	return &testClient{c.(*net.TCPConn), bufio.NewReader(c), s, nil}
 }
 
-// text is a request; one of a class that is not free has a body.
+// requestText returns a request. It has a body unless the class is free.
 func (c *testClient) requestText(id, plan string) string {
 	method, rest := "GET", "\r\n"
 	switch c.termSettings.effect {
@@ -81,7 +82,7 @@
 
 func (c *testClient) sendRequest(id, plan string) { io.WriteString(c, c.requestText(id, plan)) }
 
-// answer reads one; status 0 is a connection that ended without a byte of it.
+// readAnswer reads an answer. Status 0 is a connection that was closed without a byte of an answer.
 func (c *testClient) readAnswer() (status int, body string, closes bool, err error) {
 	if c.answerStarted != nil {
 		<-c.answerStarted
@@ -97,8 +98,8 @@
 	return resp.StatusCode, string(raw), resp.Close, err
 }
 
-// backend is an app server whose requests a test holds. An id that begins with "hang" is never answered,
-// one that begins with "hold" when it is let, one with "large" by most that a body may hold.
+// backend is an app server that answers by the prefix of the request ID: never for "hang", after release is
+// closed for "hold", with the largest body that is allowed for "large", and immediately for others.
 type backend struct {
 	*testkit.App
 	received      chan string
@@ -137,7 +138,7 @@
 	return b.requestCounts[id]
 }
 
-// crossing is one play: a program that is ready, and what a test does with it.
+// termTest is a test case with a program that is ready and its app server.
 type termTest struct {
 	*testing.T
 	termSettings
@@ -153,7 +154,7 @@
 
 func (x *termTest) newClient() *testClient { return x.connect(x.T, x.addr) }
 
-// held has a client's request be at the app server.
+// inFlight returns a client whose request the app server has received.
 func (x *termTest) inFlight(id, plan string) *testClient {
 	x.Helper()
 	c := x.newClient()
@@ -164,8 +165,9 @@
 	return c
 }
 
-// answered wants an answer that is due: the app server's, a failure of what was sent on, or a refusal of what
-// was not, or may be repeated. Which of them depends on the machine: times pass on busy cores.
+// requireClosingAnswer requires a valid answer that closes the connection. An answer is valid if it is the app server's,
+// a failure of a request that was forwarded, or a rejection of one that was not forwarded or is safe to repeat. Which
+// of them it is depends on the machine's load, since timeouts may expire on busy cores.
 func (x *termTest) requireClosingAnswer(c *testClient, id string) {
 	x.Helper()
 	status, body, closes, err := c.readAnswer()
@@ -187,7 +189,7 @@
 	return false
 }
 
-// rests is a client whose connection has carried a request and rests.
+// idleClient returns a client whose connection is idle after one request.
 func (x *termTest) idleClient() *testClient {
 	x.Helper()
 	c := x.newClient()
@@ -198,7 +200,7 @@
 	return c
 }
 
-// noRoom is how crossings begin in which one client has a place and others wait in the accept queue.
+// descriptorsExhausted is the prefix of cases in which one client has a connection and others wait in the accept queue.
 const descriptorsExhausted = "in the socket"
 
 func (x *termTest) waiting() []*testClient {
@@ -218,7 +220,8 @@
 	}
 }
 
-// sites are short and long deadlines of classes that are safe to repeat, keyed, and unsafe to repeat.
+// termSettingsList combines short and long deadlines with classes that are safe to repeat, safe with an idempotency key,
+// and unsafe to repeat.
 var termSettingsList = []termSettings{
 	{effect: "free", deadline: 400 * time.Millisecond},
 	{effect: "guarded", deadline: 400 * time.Millisecond},
@@ -228,7 +231,7 @@
 	{effect: "single_shot", deadline: 1500 * time.Millisecond},
 }
 
-// crossings are the instants at which SIGTERM comes, by what is owed to a client then.
+// termCases are the states of clients and their requests in which SIGTERM arrives.
 var termCases = map[string]func(*termTest){
 	"idle": func(x *termTest) { x.sendSIGTERM() },
 	descriptorsExhausted: func(x *termTest) {
@@ -247,14 +250,14 @@
 		x.allAnswered(waiting)
 	},
 	"silent, then asks": func(x *termTest) {
-		c, before := x.newClient(), x.inFlight("hold-0", "enterprise") // taken behind the first
+		c, before := x.newClient(), x.inFlight("hold-0", "enterprise") // accepted after the silent one
 		x.sendSIGTERM()
 		c.sendRequest("a", "enterprise")
 		x.requireClosingAnswer(c, "a")
 		close(x.app.release)
 		x.requireClosingAnswer(before, "hold-0")
 	},
-	// Those that rest are closed at a step of the drain, which the end of one of them tells.
+	// The drain closes idle connections at one of its steps. The end of idleClient's connection shows that it is reached.
 	"silent, then asks behind that": func(x *termTest) {
 		idleClient, silent := x.idleClient(), x.newClient()
 		x.sendSIGTERM()
@@ -264,11 +267,11 @@
 		silent.sendRequest("a", "enterprise")
 		x.requireClosingAnswer(silent, "a")
 	},
-	// Its time would be over behind the last step.
+	// The request's deadline would expire after the last step of the drain.
 	"a server that hangs, up to the last step": func(x *termTest) {
 		idleClient, silent := x.idleClient(), x.newClient()
 		x.sendSIGTERM()
-		_, _, _, _ = idleClient.readAnswer() // how it ends is the case's above
+		_, _, _, _ = idleClient.readAnswer() // the case above checks how it ends
 		silent.sendRequest("hang-0", "enterprise")
 		x.requireClosingAnswer(silent, "hang-0")
 	},
@@ -276,8 +279,8 @@
 	"half a body": func(x *termTest) { x.sendInTwoParts(-4) },
 	"in the module's queue": func(x *termTest) {
 		first := x.inFlight("hold-0", "one")
-		// Of two requests with one id the second is told so by the module's own goroutine once the
-		// other is there.
+		// Of two requests with the same ID, the module's goroutine rejects the second once it has the first.
+		// The rejection shows that the first is in the module's queue.
 		both := []*testClient{x.newClient(), x.newClient()}
 		for _, c := range both {
 			c.sendRequest("b", "one")
@@ -307,7 +310,7 @@
 			x.Errorf("sent on %d times", n)
 		}
 	},
-	"asked anew": func(x *termTest) { // by who comes while it drains
+	"asked anew": func(x *termTest) { // on a connection that is opened during the drain
 		first := x.inFlight("hold-0", "enterprise")
 		x.sendSIGTERM()
 		c := x.newClient()
@@ -320,13 +323,13 @@
 		c := x.inFlight("hold-0", "enterprise")
 		x.sendSIGTERM()
 		x.signal(syscall.SIGTERM)
-		x.signal(syscall.SIGHUP) // behind it, and told of
+		x.signal(syscall.SIGHUP) // handled after the second SIGTERM, and logged
 		x.waitForLog("reloading")
 		close(x.app.release)
 		x.requireClosingAnswer(c, "hold-0")
 	},
 	"slow client": func(x *termTest) {
-		// Its segments and its buffer are small, so that the answer isn't in any socket whole.
+		// The client's segments and receive buffer are small, so that no socket buffer holds the complete answer.
 		d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(fd uintptr) {
 				unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 1)
@@ -341,7 +344,7 @@
 		nc.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 		c := &testClient{nc.(*net.TCPConn), bufio.NewReaderSize(nc, 16), x.termSettings, nil}
 		c.sendRequest("large-0", "enterprise")
-		if _, err := c.in.Peek(1); err != nil { // it is being written
+		if _, err := c.in.Peek(1); err != nil { // the answer is being written
 			x.Fatal(err)
 		}
 		x.sendSIGTERM()
@@ -350,8 +353,8 @@
 		}
 	},
 	"kept connections, up to their end": func(x *termTest) {
-		// Requests go on coming, from resting ones too, until the program ends each connection. One that
-		// crosses that end is begun neither.
+		// Clients send requests on idle connections until the program closes each connection. A request that arrives
+		// as its connection is closed gets no answer and must not be forwarded.
 		const n = 24
 		var wait sync.WaitGroup
 		allAnswered := make([]*testClient, n)
@@ -366,7 +369,7 @@
 		x.sendSIGTERM()
 		for i, c := range allAnswered {
 			wait.Go(func() {
-				time.Sleep(time.Duration(i) * 25 * time.Millisecond) // before, at and behind the end of those that rest
+				time.Sleep(time.Duration(i) * 25 * time.Millisecond) // before, at and after the close of idle connections
 				id := fmt.Sprint("k-", i)
 				c.sendRequest(id, "enterprise")
 				status, body, closes, err := c.readAnswer()
@@ -383,7 +386,7 @@
 		if err != nil {
 			x.Fatal(err)
 		}
-		// The program opens a pipe in the file's place, and waits in it.
+		// A named pipe replaces the file, so that the program blocks while it reads its configuration.
 		if err := os.Remove(x.config); err != nil {
 			x.Fatal(err)
 		}
@@ -391,7 +394,7 @@
 			x.Fatal(err)
 		}
 		x.signal(syscall.SIGHUP)
-		f, err := os.OpenFile(x.config, os.O_WRONLY, 0) // once it is opened for reading
+		f, err := os.OpenFile(x.config, os.O_WRONLY, 0) // returns when the program has opened the pipe for reading
 		if err != nil {
 			x.Fatal(err)
 		}
@@ -404,8 +407,8 @@
 	},
 }
 
-// SIGTERM at each instant at which something is owed to a client: all that was taken is answered, as
-// refused only where it was not sent on, nothing is sent on that gets no answer, and the program ends well.
+// SIGTERM in each state of a client or request: every accepted request is answered, rejected only if it was not
+// forwarded or is safe to repeat, no forwarded request is left without an answer, and the program exits with code 0.
 func TestTermAtEachInstant(t *testing.T) {
 	for _, s := range termSettingsList {
 		for name, play := range termCases {
@@ -428,7 +431,8 @@
 	}
 }
 
-// halves has a request come in two parts, the first before SIGTERM.
+// sendInTwoParts sends the first part of a request before SIGTERM and the rest after it. A negative position at is
+// counted from the request's end.
 func (x *termTest) sendInTwoParts(at int) {
 	c, before := x.newClient(), x.inFlight("hold-0", "enterprise")
 	requestText := c.requestText("a", "enterprise")
@@ -443,14 +447,14 @@
 	x.requireClosingAnswer(before, "hold-0")
 }
 
-// firstOf gives the first of two clients that gets its answer, that its id is taken.
+// firstAnswered returns the index of the client that is answered first: its request is rejected as a duplicate ID.
 func (x *termTest) firstAnswered(clients []*testClient) int {
 	x.Helper()
 	answered := make(chan int, len(clients))
 	for i, c := range clients {
 		c.answerStarted = make(chan struct{})
 		go func() {
-			_, _ = c.in.Peek(1) // an error is answer's to find
+			_, _ = c.in.Peek(1) // readAnswer reports the error
 			close(c.answerStarted)
 			answered <- i
 		}()
@@ -462,8 +466,8 @@
 	return i
 }
 
-// SIGTERM while the program starts: one that comes before it listens ends it well, and clients that come
-// before it has a server get their answers.
+// SIGTERM during the start: before the program listens, it exits with code 0; before it has an app server, clients
+// that are connected get their answers first.
 func TestTermDuringStart(t *testing.T) {
 	for _, s := range termSettingsList {
 		s.maxDescriptors = 1024
@@ -481,7 +485,7 @@
 				t.Fatal(err)
 			}
 			p := launch(t, config, "")
-			f, err := os.OpenFile(config, os.O_WRONLY, 0) // once it is opened for reading
+			f, err := os.OpenFile(config, os.O_WRONLY, 0) // returns when the program has opened the pipe for reading
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/cmd/lockplot/main.go
+++ b/cmd/lockplot/main.go
@@ -1,6 +1,6 @@
-// Command lockplot draws what lockflow simulate --json prints: what a cold server is sent each
-// second beside what it can do and what it bears. It is a program of its own so that the daemon
-// doesn't carry the drawing library.
+// Command lockplot plots reports of `lockflow simulate --json`: the calls that a warming-up server receives each
+// second, compared with its capacity and its overload limit. It is a separate program so that the daemon does not
+// link the plotting library.
 package main
 
 import (
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost hosts many instances of the control module and speaks the
-// wire text on standard input and output. It decides nothing.
+// Command wirehost runs instances of the control module behind the text protocol of
+// package wire, on standard input and output. It makes no decisions of its own.
 package main
 
 import (
@@ -21,7 +21,7 @@
 	}
 }
 
-// run answers batches until the input ends.
+// run replies to each batch of inputs until the end of the input.
 func run(in io.Reader, out io.Writer) error {
 	dec := wire.NewDecoder(in)
 	w := bufio.NewWriterSize(out, 1<<16)
@@ -48,8 +48,8 @@
 	}
 }
 
-// step hands one input to its instance and appends what the instance wants.
-// A panic of the module becomes a bail_out of that instance.
+// step passes one input to its instance and appends the instance's actions to buf.
+// A panic of the module is reported as a bail_out of that instance.
 func step(buf []byte, hosted map[int]*control.Controller, now time.Duration, in wire.Input) (res []byte) {
 	res = buf
 	defer func() {
--- a/internal/ci/knownred/main.go
+++ b/internal/ci/knownred/main.go
@@ -1,6 +1,6 @@
-// Command knownred runs the tests that KNOWN-RED.txt lists, in the directory it is started in, and prints
-// what go test -skip takes to leave them out. .ci/run calls it. An entry has five lines, and an empty line
-// stands between two entries:
+// Command knownred runs the tests that KNOWN-RED.txt in the working directory lists, and prints the pattern
+// with which go test -skip leaves them out. .ci/run calls it. An entry has five lines, and an empty line
+// separates two entries:
 //
 //	test: lockflow/internal/node TestOne
 //	command: go test -run '^TestOne$' ./internal/node
@@ -8,8 +8,8 @@
 //	seen: what the failure showed
 //	issue: 12
 //
-// Listed tests may fail. The command exits with 1 where an entry has another form, where the package has no
-// test of that name, or where a test of the same name that is not listed fails.
+// Listed tests may fail. The command exits with code 1 if an entry is malformed, if the package has no test of
+// that name, or if a test of the same name in another package fails and is not listed.
 package main
 
 import (
@@ -29,7 +29,7 @@
 
 const listFile = "KNOWN-RED.txt"
 
-// entryFields are the fields of an entry in their order, each with the form of its value.
+// entryFields are the fields of an entry in order, each with the pattern of its value.
 var entryFields = []struct {
 	name string
 	form *regexp.Regexp
@@ -41,7 +41,7 @@
 	{"issue", regexp.MustCompile(`^[1-9][0-9]*$`)},
 }
 
-// testName names one test of the module.
+// testName identifies a test of the module by its package and function.
 type testName struct{ importPath, function string }
 
 func (n testName) String() string { return n.importPath + " " + n.function }
@@ -65,8 +65,9 @@
 	fmt.Println(skipPattern)
 }
 
-// run runs the listed tests, writes their results to output, and returns the pattern of names to skip. As
-// -skip knows no packages, it runs tests of the same name elsewhere too, and returns an error if one fails.
+// run runs the listed tests, writes their results to output, and returns the pattern of names to skip. Since
+// -skip matches names in all packages, it also runs unlisted tests of the same names, and returns an error if
+// one of them fails.
 func run(list string, output io.Writer) (skipPattern string, err error) {
 	entries, err := parse(list)
 	if err != nil || len(entries) == 0 {
@@ -118,7 +119,7 @@
 	return "passes"
 }
 
-// parse reads the list. An error names the line of the first entry that has another form.
+// parse reads the list. An error gives the line of the first malformed entry.
 func parse(list string) ([]entry, error) {
 	if list == "" {
 		return nil, nil
@@ -136,7 +137,7 @@
 	return entries, nil
 }
 
-// parseEntry reads one entry, which begins on line firstLine of the list.
+// parseEntry reads one entry, which starts on line firstLine of the list.
 func parseEntry(text string, firstLine int) (entry, error) {
 	lines := strings.Split(text, "\n")
 	for i, field := range entryFields {
--- a/internal/ci/knownred/main_test.go
+++ b/internal/ci/knownred/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// An entry of KNOWN-RED.txt, others made from it, and test files that fail or pass.
+// An entry of KNOWN-RED.txt and contents of test files that fail or pass.
 const (
 	redEntry = "test: lockflow/one TestRed\n" +
 		"command: go test -run '^TestRed$' ./one\n" +
@@ -24,13 +24,13 @@
 	entryOfTwo = entryWith("lockflow/one", "lockflow/two")
 )
 
-// with returns redEntry with another text in one place.
+// entryWith returns redEntry with the first occurrence of old replaced.
 func entryWith(old, replacement string) string { return strings.Replace(redEntry, old, replacement, 1) }
 
 var knownRedCases = map[string]struct {
-	list        string // without one there is no file
+	list        string // KNOWN-RED.txt; no file if empty
 	one, two    string
-	lint        string // what .ci/lint is; nothing is one that finds nothing
+	lint        string // .ci/lint; a script without findings if empty
 	wantSuccess bool
 	wantOutput  string
 }{
@@ -65,8 +65,7 @@
 	"three entries, two of them of a name": {list: redEntry + "\n" + entryOfTwo + "\n" + greenEntry, one: failingTest, two: failingTest, wantSuccess: true, wantOutput: "known red, passes:\n" + greenEntry},
 }
 
-// TestKnownRed has .ci/run check a module of its own, in which what is listed fails or something
-// else does.
+// TestKnownRed runs .ci/run on a small module in which listed tests, other tests or the linter fail.
 func TestKnownRed(t *testing.T) {
 	for name, c := range knownRedCases {
 		t.Run(name, func(t *testing.T) {
@@ -92,19 +91,19 @@
 			}
 			writeFile(".ci/run", readFile("../../../.ci/run"), 0o755)
 			if c.lint == "" {
-				c.lint = "#!/bin/sh\n" // the real one takes tools that this module has not
+				c.lint = "#!/bin/sh\n" // the project's own needs tools that this module does not have
 			}
 			writeFile(".ci/lint", c.lint, 0o755)
 			writeFile("internal/ci/knownred/main.go", readFile("main.go"), 0o644)
-			writeFile("deploy/balancer.toml", "build = \"mkdir bin && cp /bin/sh bin/lockflow\"\n", 0o644) // quick, and linked dynamically
+			writeFile("deploy/balancer.toml", "build = \"mkdir bin && cp /bin/sh bin/lockflow\"\n", 0o644) // fast, and a dynamically linked program, as .ci/run expects
 			writeFile("go.mod", "module lockflow\n\ngo 1.26.0\n", 0o644)
 			writeFile("one/one_test.go", "package one\n\n"+c.one, 0o644)
 			writeFile("two/two_test.go", "package two\n\n"+c.two, 0o644)
 			if c.list != "" {
 				writeFile("KNOWN-RED.txt", c.list, 0o644)
 			}
-			// By the shell that its first line names: a file that was just written can't be executed while a
-			// process that another test starts has its descriptor.
+			// Run by the shell of its first line: a file that was just written can't be executed (ETXTBSY) while a
+			// process that a parallel test has forked still has its descriptor open for writing.
 			cmd := exec.Command("/bin/sh", filepath.Join(dir, ".ci/run"))
 			cmd.Dir = dir
 			cmd.Env = append(os.Environ(), "GOFLAGS=-count=1", "GOWORK=off")
--- a/internal/ci/naming/naming.go
+++ b/internal/ci/naming/naming.go
@@ -1,5 +1,5 @@
-// Package naming finds declared names that hold a plain word where docs/glossary.md has a term of the
-// field. Its test holds that no package has one. Only tests use it.
+// Package naming finds declared names that contain a plain word for which docs/glossary.md has a term of
+// the field. Its test fails if a package declares one. Only tests use it.
 package naming
 
 import (
@@ -14,8 +14,8 @@
 	"unicode"
 )
 
-// plainWords are the words, in lower case, that stand for a known concept elsewhere. Each leads to its
-// term in docs/glossary.md.
+// plainWords maps everyday words, in lower case, that were used for concepts with a usual name in the
+// field to their terms in docs/glossary.md.
 var plainWords = map[string]string{
 	"told": "notified, reported", "whole": "complete", "trouble": "fault", "troubles": "fault",
 	"worth": "priority weight", "aside": "ejected", "further": "retry", "aim": "latency objective",
@@ -30,7 +30,7 @@
 	"ledger": "rollout log", "tally": "event log", "standin": "fake", "stranger": "unknown client",
 	"strangers": "unknown clients", "crowd": "overflow bucket", "fate": "stream outcome", "fates": "stream outcomes",
 	"doubt": "degraded condition", "doubts": "degraded conditions", "moot": "not sent",
-	// Pronouns, adverbs and verbs that stand where the name of a thing should.
+	// Pronouns, adverbs and verbs in place of a noun that names the item.
 	"come": "arrived, received", "came": "arrived, received", "comes": "arrives",
 	"way": "direction, kind", "ways": "options", "lingers": "half-life of late results", "ahead": "margin, lead time",
 	"once": "the event that is awaited", "look": "evaluation", "looks": "evaluations", "looked": "last evaluated",
@@ -50,15 +50,15 @@
 	"knows": "has, known", "holds": "contains, satisfied", "stays": "remains", "speaks": "protocol", "carries": "contains",
 }
 
-// falseFriends are names in which a plain word has its usual meaning in Go or in the field.
+// allowedNames are names in which a plain word has its usual meaning in Go or in the field.
 var allowedNames = map[string]bool{
-	// Of type sync.Once, or functions that do a thing at most once.
+	// Values of type sync.Once, and functions with an effect at most once.
 	"once": true, "closeOnce": true, "abortOnce": true, "doOnce": true, "endOnce": true, "releaseOnce": true, "killOnce": true,
-	// Take over: what a successor does with its predecessor's role.
+	// "Take over" is the term for a successor that assumes its predecessor's role.
 	"SuccessorTookOver": true, "successorTookOver": true, "messageTookOver": true, "neverTookOver": true, "TookOver": true,
 }
 
-// Finding is one declared name that holds a plain word.
+// Finding is a declared name that contains a plain word.
 type Finding struct {
 	Position token.Position
 	Name     string
@@ -69,7 +69,7 @@
 	return fmt.Sprintf("%s: %s holds %q: %s", f.Position, f.Name, f.Word, plainWords[f.Word])
 }
 
-// Check returns the findings in the Go files of directory that are no tests, by position.
+// Check returns the findings in the Go files of directory, except tests, ordered by position.
 func Check(directory string) ([]Finding, error) {
 	files, err := filepath.Glob(filepath.Join(directory, "*.go"))
 	if err != nil {
@@ -98,7 +98,7 @@
 	return findings, nil
 }
 
-// Packages returns the directories below root that hold Go files, relative to it and sorted.
+// Packages returns the directories below root that contain Go files, relative to root and sorted.
 func Packages(root string) ([]string, error) {
 	hasGoFiles := map[string]bool{}
 	err := filepath.WalkDir(root, func(path string, entry os.DirEntry, err error) error {
@@ -128,8 +128,8 @@
 	return directories, nil
 }
 
-// declared returns the names that file declares: packages' and functions' constants, variables, types,
-// functions, fields, parameters and results.
+// declared returns the names that file declares at package level and in functions: constants, variables,
+// types, functions, fields, parameters and results.
 func declared(file *ast.File) []*ast.Ident {
 	var names []*ast.Ident
 	add := func(expression ast.Expr) {
@@ -164,7 +164,7 @@
 	return names
 }
 
-// plainWord returns the first plain word in a name in Go's case, or nothing.
+// plainWord returns the first plain word in a Go name, or the empty string.
 func plainWord(name string) string {
 	if allowedNames[name] {
 		return ""
@@ -177,7 +177,7 @@
 	return ""
 }
 
-// splitWords splits a name at its capitals: "maxAttemptsHTTP2" is max, attempts, http2.
+// splitWords splits a name at capitals and underscores, and returns its words in lower case: "maxAttemptsHTTP2" is max, attempts, http2.
 func splitWords(name string) []string {
 	var words []string
 	letters := []rune(name)
@@ -192,8 +192,8 @@
 	return words
 }
 
-// startsWord tells whether a word starts at index i: at a capital behind a small letter, or at the last
-// capital of a run that a small letter follows.
+// startsWord reports whether a word starts at index i: at a capital after a character that is not one, or at
+// the last of several capitals if a lower-case letter follows.
 func startsWord(letters []rune, i int) bool {
 	if !unicode.IsUpper(letters[i]) {
 		return false
--- a/internal/ci/naming/naming_test.go
+++ b/internal/ci/naming/naming_test.go
@@ -9,7 +9,7 @@
 
 const root = "../../.."
 
-// TestNoPackageHasPlainWords holds that no package declares a name with a plain word.
+// TestPackagesDeclareNoPlainWords checks that no package declares a name with a plain word.
 func TestPackagesDeclareNoPlainWords(t *testing.T) {
 	directories, err := Packages(root)
 	if err != nil {
