--- a/cmd/lockflow/main_test.go
+++ b/cmd/lockflow/main_test.go
@@ -264,7 +264,7 @@
 		}
 	}
 
-	// A setting that is valid but unreasonable is logged as a warning and applied.
+	// An invalid quota of a plan is logged as a warning and does not prevent the reload.
 	write(strings.NewReplacer("127.0.0.1:1\"", second.Listener.Addr().String()+"\"", `"depth": 8.0`, `"depth": 0.5`).Replace(string(raw)))
 	p.signal(syscall.SIGHUP)
 	p.waitForLog("tariffs.0.depth:")
