--- a/cmd/lockflow/disk_faults_test.go
+++ b/cmd/lockflow/disk_faults_test.go
@@ -41,14 +41,14 @@
 				table.Heal(tc.call)
 			} else {
 				before := table.Injected(tc.call)
-				testkit.Until(t, "a checkpoint that fails", func() bool { return table.Injected(tc.call) > before+2 })
+				testkit.Until(t, "failed checkpoints", func() bool { return table.Injected(tc.call) > before+2 })
 				table.Heal(tc.call)
 				p.waitForLog("checkpoint saved again")
 			}
 			p.terminate()
 			left, err := filepath.Glob(filepath.Join(state, ".*"))
 			if err != nil || len(left) > 0 {
-				t.Errorf("temporary files are left: %v, %v", left, err)
+				t.Errorf("temporary files remain: %v, %v", left, err)
 			}
 			next := startFaulty(t, table, config)
 			next.waitForLog("checkpoint restored")
--- a/cmd/lockflow/faults_test.go
+++ b/cmd/lockflow/faults_test.go
@@ -31,7 +31,7 @@
 			}
 			for _, r := range got.Rows {
 				if r.Faults == 0 || r.Served == 0 || r.Effects == 0 || r.Told == 0 || r.Served > r.Requests {
-					t.Errorf("%+v", r)
+					t.Errorf("incomplete run: %+v", r)
 				}
 			}
 		})
@@ -46,7 +46,7 @@
 		}
 		cmd := exec.Command(bin, "measure", "faults", "--script", file)
 		if out, _ := cmd.CombinedOutput(); cmd.ProcessState.ExitCode() != 2 || !strings.Contains(string(out), want) {
-			t.Errorf("exit %d, %s", cmd.ProcessState.ExitCode(), out)
+			t.Errorf("script of another topology: exit %d, %s", cmd.ProcessState.ExitCode(), out)
 		}
 	}
 }
--- a/cmd/lockflow/fleet_test.go
+++ b/cmd/lockflow/fleet_test.go
@@ -30,7 +30,7 @@
 		t.Fatalf("%v, %v: %s", err, jsonErr, out)
 	}
 	if len(got.Wrong) > 0 || got.Instances != 40 || got.Reloads == 0 || got.Cold == 0 || got.Results["visit-update"].Served == 0 {
-		t.Errorf("%s", out)
+		t.Errorf("unexpected report: %s", out)
 	}
 }
 
@@ -65,7 +65,7 @@
 	lines := bufio.NewScanner(out)
 	for ready := 0; ready < 3; {
 		if !lines.Scan() {
-			t.Fatalf("%d instances are ready, and it says no more", ready)
+			t.Fatalf("fleet run ended its output with %d of 3 instances ready", ready)
 		}
 		if strings.Contains(lines.Text(), " ready ") {
 			ready++
@@ -92,7 +92,7 @@
 	cmd := exec.Command(bin, "status", "--control", filepath.Join(dir, "1", "control.sock"), "--json")
 	raw, err := cmd.Output()
 	if err != nil || !strings.Contains(string(raw), `"generation":3`) {
-		t.Errorf("%s, %v", raw, err)
+		t.Errorf("status: %s, %v; want generation 3", raw, err)
 	}
 	run.Process.Signal(os.Interrupt)
 	if err := run.Wait(); err != nil {
@@ -100,7 +100,7 @@
 	}
 	for i := range 3 {
 		if _, err := os.Stat(filepath.Join(dir, strconv.Itoa(i), "pid")); !os.IsNotExist(err) {
-			t.Errorf("instance %d: %v", i, err)
+			t.Errorf("instance %d: pid file after the end: %v, want none", i, err)
 		}
 	}
 }
--- a/cmd/lockflow/judged_test.go
+++ b/cmd/lockflow/judged_test.go
@@ -63,7 +63,7 @@
 		t.Run(strings.ReplaceAll(c.name, " ", "-"), func(t *testing.T) {
 			r := startFleet(t, serviceConfig(good), 4)
 			r.clients(c.clients)
-			testkit.Until(t, "each instance has served for a time", func() bool {
+			testkit.Until(t, "enough served requests of each instance", func() bool {
 				for i := range r.served {
 					if c.clients > 0 && r.served[i].Load() < 1500 {
 						return false
@@ -75,14 +75,14 @@
 			t.Log(output)
 			for _, s := range c.wantOutput {
 				if !strings.Contains(output, s) {
-					t.Errorf("it does not say %q", s)
+					t.Errorf("the output does not contain %q", s)
 				}
 			}
 			if code != c.exit {
-				t.Errorf("exit %d", code)
+				t.Errorf("unexpected exit code %d", code)
 			}
 			if p := r.status().Rollout; t.Failed() {
-				t.Logf("%+v", p)
+				t.Logf("rollout status: %+v", p)
 			}
 		})
 	}
--- a/cmd/lockflow/keeper_test.go
+++ b/cmd/lockflow/keeper_test.go
@@ -44,7 +44,7 @@
 	for n := 0; n < 3; n++ { // a header and a line for each instance
 		if !lines.Scan() {
 			k.fleetRun.Wait()
-			k.t.Fatalf("it says no more\n%s", &log)
+			k.t.Fatalf("fleet run ended its output before both instances were ready\n%s", &log)
 		}
 	}
 }
@@ -126,34 +126,34 @@
 		t.Fatal(err)
 	}
 	sendCommand("p", desiredstate.Operation{Kind: desiredstate.KindProgram, Path: nextProgram})
-	k.waitForStatus("the new program alone", 0, func(s manage.Status) bool { return s.IsReady() && s.Program == nextProgram && s.LastCommand.ID == "p" })
+	k.waitForStatus("the new program without its predecessor", 0, func(s manage.Status) bool { return s.IsReady() && s.Program == nextProgram && s.LastCommand.ID == "p" })
 	nextConfig := "# ordered\n" + text
 	sendCommand("s", desiredstate.Operation{Kind: desiredstate.KindSettings, Text: nextConfig, Hash: desiredstate.Hash([]byte(nextConfig))})
-	before[0] = k.waitForStatus("the settings", 0, func(s manage.Status) bool { return s.ConfigHash == desiredstate.Hash([]byte(nextConfig)) })
+	before[0] = k.waitForStatus("the commanded settings", 0, func(s manage.Status) bool { return s.ConfigHash == desiredstate.Hash([]byte(nextConfig)) })
 
 	k.fleetRun.Process.Kill()
 	k.fleetRun.Wait()
 	k.startFleetRun()
 	for i := range before {
-		if s := k.waitForStatus("taken over", i, ready); s.PID != before[i].PID {
-			t.Errorf("instance %d is process %d, was %d", i, s.PID, before[i].PID)
+		if s := k.waitForStatus("takeover by the new fleet run", i, ready); s.PID != before[i].PID {
+			t.Errorf("instance %d has process ID %d, had %d", i, s.PID, before[i].PID)
 		}
 	}
 	if out, err := exec.Command(k.bin, k.fleetRun.Args[1:]...).CombinedOutput(); err == nil || !strings.Contains(string(out), "another fleet run") {
-		t.Errorf("a second keeper: %v\n%s", err, out)
+		t.Errorf("a second fleet run: %v\n%s", err, out)
 	}
 	// A killed instance is restarted in its desired state, also if no fleet run was up when it was killed.
 	isInDesiredState := func(s manage.Status) bool {
 		return s.IsReady() && s.PID != before[0].PID && s.Program == nextProgram && s.ConfigHash == s.DesiredState.Hash && s.Epoch == 3
 	}
 	syscall.Kill(before[0].PID, syscall.SIGKILL)
-	before[0] = k.waitForStatus("back as ordered", 0, isInDesiredState)
+	before[0] = k.waitForStatus("restart in the desired state", 0, isInDesiredState)
 	k.fleetRun.Process.Kill()
 	k.fleetRun.Wait()
 	syscall.Kill(before[0].PID, syscall.SIGKILL)
 	k.startFleetRun()
-	k.waitForStatus("back as ordered", 0, isInDesiredState)
-	if s := k.waitForStatus("as it was", 1, ready); s.PID != before[1].PID || s.ConfigHash != desiredstate.Hash([]byte(text)) {
-		t.Errorf("%+v", s)
+	k.waitForStatus("restart in the desired state", 0, isInDesiredState)
+	if s := k.waitForStatus("readiness of the other instance", 1, ready); s.PID != before[1].PID || s.ConfigHash != desiredstate.Hash([]byte(text)) {
+		t.Errorf("the other instance has changed: %+v", s)
 	}
 }
--- a/cmd/lockflow/killed_test.go
+++ b/cmd/lockflow/killed_test.go
@@ -22,7 +22,7 @@
 				t.Error(w)
 			}
 			if got.Killed < len(kills) || got.Owned == 0 || got.Requests == 0 || kind == desiredstate.KindProgram && got.Restarts == 0 {
-				t.Errorf("%+v", got)
+				t.Errorf("incomplete run: %+v", got)
 			}
 			t.Logf("%+v", got)
 		})
--- a/cmd/lockflow/main_test.go
+++ b/cmd/lockflow/main_test.go
@@ -70,7 +70,7 @@
 			cmd.Env = append(os.Environ(), "NODE_CONFIG="+tc.path)
 			out, err := cmd.CombinedOutput()
 			if cmd.ProcessState.ExitCode() != tc.code || strings.Count(string(out), "\n") != 1 {
-				t.Errorf("%v: %s", err, out)
+				t.Errorf("unexpected exit code or number of lines: %v: %s", err, out)
 			}
 		})
 	}
@@ -140,7 +140,7 @@
 			return p.lines.Text()
 		}
 	}
-	p.t.Fatalf("the program ended before it logged %q", text)
+	p.t.Fatalf("the program exited before it logged %q", text)
 	return ""
 }
 
@@ -260,7 +260,7 @@
 		write(invalid)
 		p.signal(syscall.SIGHUP)
 		if line := p.waitForLog("the old configuration stays"); !strings.Contains(line, want) {
-			t.Errorf("%s doesn't tell %s", line, want)
+			t.Errorf("log line %s does not contain %s", line, want)
 		}
 	}
 
@@ -271,13 +271,13 @@
 	p.waitForLog("reloading")
 	release()
 	if a := <-answer; a != "200 done close=false" {
-		t.Errorf("what was held over the reload: %s", a)
+		t.Errorf("answer to the request in flight during the reload: %s", a)
 	}
 	for id := 2; ; id++ {
 		if a := <-p.startRequest(fmt.Sprint("id-", id)); a == "200 other close=false" {
 			break
 		} else if p.ProcessState != nil {
-			t.Fatal("the program has ended")
+			t.Fatal("the program has exited")
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -324,7 +324,7 @@
 			if !want {
 				p.waitForLog(`passed a socket \"others\" on that no listener names`)
 				if p.Wait(); p.ProcessState.ExitCode() != 1 {
-					t.Errorf("%v", p.ProcessState)
+					t.Errorf("start with a socket of no listener: %v, want exit code 1", p.ProcessState)
 				}
 				return
 			}
@@ -367,7 +367,7 @@
 		}
 		for _, w := range want {
 			if !have[w] {
-				t.Errorf("%s lacks %q", file, w)
+				t.Errorf("%s does not contain option %q", file, w)
 			}
 		}
 	}
--- a/cmd/lockflow/rollout_test.go
+++ b/cmd/lockflow/rollout_test.go
@@ -65,7 +65,7 @@
 	lines := bufio.NewScanner(out)
 	for ready := 0; ready < n; {
 		if !lines.Scan() {
-			t.Fatalf("%d instances are ready, and it says no more", ready)
+			t.Fatalf("fleet run ended its output with %d instances ready", ready)
 		}
 		if strings.Contains(lines.Text(), " ready ") {
 			ready++
@@ -173,16 +173,16 @@
 		}
 	}
 	if affected != 1 {
-		t.Errorf("clients of %d instances saw errors", affected)
+		t.Errorf("clients of %d instances got errors, want 1", affected)
 	}
 	after := r.status()
 	for i := range after.Members {
 		if after.Members[i].Status.Hash != before.Members[i].Status.Hash {
-			t.Errorf("member %d does not run what it ran", i)
+			t.Errorf("member %d does not have its previous configuration", i)
 		}
 	}
 	if p := after.Rollout; p == nil || p.State != "taken back" || !strings.Contains(p.Cause, "worse") || len(p.Measures) == 0 || p.Counts["order"] != 2 {
-		t.Errorf("%+v", p)
+		t.Errorf("rollout status: %+v", p)
 	}
 	t.Log(output)
 }
@@ -208,7 +208,7 @@
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		testkit.Until(t, "a decision is written", func() bool {
+		testkit.Until(t, "a decision in the rollout log", func() bool {
 			records, _, _ := rolloutlog.Read(journal)
 			return len(records) >= at && strings.Contains(string(records[0]), fmt.Sprintf("# %d\\n", n))
 		})
@@ -224,9 +224,9 @@
 		after := hashes()
 		switch changed := after[desiredstate.Hash([]byte(next))] == 3; {
 		case len(after) != 1 || !changed && after[anyKey(before)] != 3:
-			t.Errorf("killed at %d: %v, before %v\n%s", at, after, before, output)
+			t.Errorf("killed at record %d: configurations %v, before %v\n%s", at, after, before, output)
 		case !completed && (n%2 == 0 && (code != 0 || !changed) || n%2 == 1 && (code != 1 || changed)):
-			t.Errorf("killed at %d: exit %d\n%s", at, code, output)
+			t.Errorf("killed at record %d: exit %d\n%s", at, code, output)
 		}
 	}
 	// Only one coordinator can have a rollout log open. A coordinator with another rollout log takes the fleet over at once.
@@ -236,16 +236,16 @@
 	if err := first.Start(); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Until(t, "it watches", func() bool { p := r.status().Rollout; return p != nil && p.State == "watching" })
+	testkit.Until(t, "the first coordinator watches the canary", func() bool { p := r.status().Rollout; return p != nil && p.State == "watching" })
 	if code, output := r.runCommand("reload", "--resume"); code != 1 || !strings.Contains(output, "another coordinator has it open") {
-		t.Errorf("a second one: exit %d, %s", code, output)
+		t.Errorf("a second coordinator: exit %d, %s", code, output)
 	}
 	code, output := r.runCommand(append([]string{"reload", "--journal", filepath.Join(r.dir, "other"), "--config", r.write("last.toml", serviceConfig(other)+"# last\n")}, flags...)...)
 	if first.Wait(); code != 0 || first.ProcessState.ExitCode() != 3 || !strings.Contains(firstOutput.String(), "newer coordinator") {
-		t.Errorf("exit %d: %s\nthe first: exit %d, %s", code, output, first.ProcessState.ExitCode(), firstOutput.String())
+		t.Errorf("the newer coordinator: exit %d: %s\nthe first: exit %d, %s", code, output, first.ProcessState.ExitCode(), firstOutput.String())
 	}
 	if after := hashes(); len(after) != 1 {
-		t.Errorf("%v", after)
+		t.Errorf("instances have different configurations: %v", after)
 	}
 }
 
@@ -282,7 +282,7 @@
 	}
 	for i, m := range r.status().Members {
 		if m.Status.Hash != desiredstate.Hash([]byte(next)) {
-			t.Errorf("member %d", i)
+			t.Errorf("member %d does not have the new configuration", i)
 		}
 	}
 	if code, output := runFleet("status", "--fleet", filepath.Join(r.dir, "fleet.toml")); code != 0 || !strings.Contains(output, "change of settings") {
--- a/cmd/lockflow/shortage_test.go
+++ b/cmd/lockflow/shortage_test.go
@@ -46,7 +46,7 @@
 // untilInjected waits until a system call has failed more than before times, and then for shortageTime.
 func untilInjected(t *testing.T, table *faultbuild.Table, call faultbuild.Call, before int) {
 	t.Helper()
-	testkit.Until(t, "a call that fails", func() bool { return table.Injected(call) > before })
+	testkit.Until(t, "a failed system call", func() bool { return table.Injected(call) > before })
 	time.Sleep(shortageTime)
 }
 
@@ -115,7 +115,7 @@
 			untilInjected(t, table, tc.call, 0)
 			table.Heal(tc.call)
 			if got := testkit.Next(t, status); got != http.StatusOK {
-				t.Errorf("status %d", got)
+				t.Errorf("got status %d, want 200", got)
 			}
 			p.terminate()
 		})
--- a/cmd/lockflow/shutdown_queue_test.go
+++ b/cmd/lockflow/shutdown_queue_test.go
@@ -150,7 +150,7 @@
 	x.Helper()
 	status, body, _, err := c.readAnswer()
 	if err != nil || !x.isValidAnswer(status, body, id) {
-		x.Errorf("%s: %d %q, %v; forwarded %d times", id, status, body, err, x.app.requestCount(id))
+		x.Errorf("request %s: got status %d, body %q, %v; forwarded %d times", id, status, body, err, x.app.requestCount(id))
 	}
 }
 
--- a/cmd/lockflow/stepped_clock_test.go
+++ b/cmd/lockflow/stepped_clock_test.go
@@ -117,16 +117,16 @@
 			fmt.Fprintf(conn, "GET / HTTP/1.1\r\nHost: h\r\nConnection: Upgrade\r\nUpgrade: echo\r\n\r\n")
 			in := bufio.NewReader(conn)
 			if answer, err := http.ReadResponse(in, nil); err != nil || answer.StatusCode != http.StatusSwitchingProtocols {
-				t.Fatalf("%v, %v", answer, err)
+				t.Fatalf("got answer %v, %v, want status 101", answer, err)
 			}
 			begun := time.Now()
 			table.StepClock(step)
 			conn.SetDeadline(begun.Add(testkit.WaitTimeout))
 			if _, err := in.ReadByte(); err == nil || os.IsTimeout(err) {
-				t.Errorf("the tunnel has not ended: %v", err)
+				t.Errorf("the tunnel is still open: %v", err)
 			}
 			if took := time.Since(begun); took < 400*time.Millisecond {
-				t.Errorf("the tunnel ended after %v", took)
+				t.Errorf("the tunnel was closed after %v, before its idle timeout", took)
 			}
 		})
 	}
@@ -161,7 +161,7 @@
 			second := startFaulty(t, table, config)
 			_, text, _ := strings.Cut(second.waitForLog("checkpoint restored"), "age=")
 			if age, err := time.ParseDuration(text); err != nil || age < 0 || age > time.Minute {
-				t.Errorf("the checkpoint's age is %q, %v", text, err)
+				t.Errorf("the checkpoint's age is %q (%v), want less than a minute", text, err)
 			}
 			second.waitUntilListening()
 			second.terminate()
--- a/cmd/lockflow/term_test.go
+++ b/cmd/lockflow/term_test.go
@@ -160,7 +160,7 @@
 	c := x.newClient()
 	c.sendRequest(id, plan)
 	if got := testkit.Next(x.T, x.app.received); got != id {
-		x.Fatalf("%s came for %s", got, id)
+		x.Fatalf("the app server received request %s, want %s", got, id)
 	}
 	return c
 }
@@ -172,7 +172,7 @@
 	x.Helper()
 	status, body, closes, err := c.readAnswer()
 	if !closes || err != nil || !x.isValidAnswer(status, body, id) {
-		x.Errorf("%s: %d %q, closes %v, %v; sent on %d times", id, status, body, closes, err, x.app.requestCount(id))
+		x.Errorf("request %s: got status %d, body %q, closes %v, %v; forwarded %d times", id, status, body, closes, err, x.app.requestCount(id))
 	}
 }
 
@@ -195,7 +195,7 @@
 	c := x.newClient()
 	c.sendRequest("r", "enterprise")
 	if status, body, closes, err := c.readAnswer(); !x.isValidAnswer(status, body, "r") || closes || err != nil {
-		x.Fatalf("%d, closes %v, %v", status, closes, err)
+		x.Fatalf("got status %d, closes %v, %v", status, closes, err)
 	}
 	return c
 }
@@ -262,7 +262,7 @@
 		idleClient, silent := x.idleClient(), x.newClient()
 		x.sendSIGTERM()
 		if status, _, _, err := idleClient.readAnswer(); status != 0 || err != nil {
-			x.Errorf("%d, %v", status, err)
+			x.Errorf("idle connection: got status %d, %v, want a close", status, err)
 		}
 		silent.sendRequest("a", "enterprise")
 		x.requireClosingAnswer(silent, "a")
@@ -307,7 +307,7 @@
 		x.sendSIGTERM()
 		x.requireClosingAnswer(c, "hang-0")
 		if n := x.app.requestCount("hang-0"); x.effect != "free" && n != 1 {
-			x.Errorf("sent on %d times", n)
+			x.Errorf("forwarded %d times, want 1", n)
 		}
 	},
 	"asked anew": func(x *termTest) { // on a connection that is opened during the drain
@@ -349,7 +349,7 @@
 		}
 		x.sendSIGTERM()
 		if status, body, _, err := c.readAnswer(); status != 200 || len(body) != 64<<10 || err != nil {
-			x.Errorf("%d, %d bytes, %v", status, len(body), err)
+			x.Errorf("got status %d, body of %d bytes, %v", status, len(body), err)
 		}
 	},
 	"kept connections, up to their end": func(x *termTest) {
@@ -363,7 +363,7 @@
 			id := fmt.Sprint("w-", i)
 			allAnswered[i].sendRequest(id, "enterprise")
 			if status, body, closes, err := allAnswered[i].readAnswer(); !x.isValidAnswer(status, body, id) || closes || err != nil {
-				x.Fatalf("%d %q, closes %v, %v", status, body, closes, err)
+				x.Fatalf("got status %d, body %q, closes %v, %v", status, body, closes, err)
 			}
 		}
 		x.sendSIGTERM()
@@ -374,7 +374,7 @@
 				c.sendRequest(id, "enterprise")
 				status, body, closes, err := c.readAnswer()
 				if none := status == 0 && x.app.requestCount(id) == 0; err != nil || !closes || !none && !x.isValidAnswer(status, body, id) {
-					x.Errorf("%s: %d, closes %v, %v; sent on %d times", id, status, closes, err, x.app.requestCount(id))
+					x.Errorf("request %s: got status %d, closes %v, %v; forwarded %d times", id, status, closes, err, x.app.requestCount(id))
 				}
 			})
 		}
@@ -461,7 +461,7 @@
 	}
 	i := testkit.Next(x.T, answered)
 	if status, _, _, err := clients[i].readAnswer(); status != 409 || err != nil {
-		x.Fatalf("%d, %v", status, err)
+		x.Fatalf("got status %d, %v, want 409", status, err)
 	}
 	return i
 }
@@ -505,14 +505,14 @@
 			before.sendRequest("a", "enterprise")
 			io.WriteString(kept, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
 			if status, _, _, err := kept.readAnswer(); status != 503 || err != nil {
-				t.Errorf("not ready: %d, %v", status, err)
+				t.Errorf("health check before readiness: got status %d, %v, want 503", status, err)
 			}
 			p.signal(syscall.SIGTERM)
 			p.waitForLog("draining")
 			silent.sendRequest("b", "enterprise")
 			for _, c := range []*testClient{before, silent} {
 				if status, _, _, err := c.readAnswer(); status != 503 && status != 429 || err != nil {
-					t.Errorf("%d, %v", status, err)
+					t.Errorf("got status %d, %v, want 503 or 429", status, err)
 				}
 			}
 			p.waitForLog("drained")
--- a/cmd/lockplot/main.go
+++ b/cmd/lockplot/main.go
@@ -37,7 +37,7 @@
 		return fmt.Errorf("reading %s: %w", reportsPath, err)
 	}
 	if len(reports) == 0 {
-		return fmt.Errorf("%s: there is no report in it", reportsPath)
+		return fmt.Errorf("%s: contains no reports", reportsPath)
 	}
 	p := plot.New()
 	p.Title.Text = "What a cold server is sent"
@@ -51,7 +51,7 @@
 		}
 		l, err := plotter.NewLine(points)
 		if err != nil {
-			return fmt.Errorf("drawing %s: %w", name, err)
+			return fmt.Errorf("plotting %s: %w", name, err)
 		}
 		l.Color, l.Dashes, l.Width = plotutil.Color(i), plotutil.Dashes(i/4), vg.Points(1.5)
 		p.Add(l)
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -23,22 +23,22 @@
 		t.Fatal(err)
 	}
 	if strings.Count(out, "yield\n") != 3 || !strings.Contains(out, "call_out who=0 xid=0a server=5") {
-		t.Errorf("replies:\n%s", out)
+		t.Errorf("unexpected replies:\n%s", out)
 	}
 	if strings.Contains(out, "who=9") {
-		t.Error("acted for an instance that was never started")
+		t.Error("got an action of instance 9, which was never opened")
 	}
 }
 
 func TestInvalidSettingsBailOut(t *testing.T) {
 	out, err := host(t, "clock ts=2\n"+openInstance+"0\nend\n")
 	if err != nil || !strings.HasPrefix(out, "bail_out who=0 body-text=settings: group size") {
-		t.Errorf("%q, %v", out, err)
+		t.Errorf("got %q, %v, want a bail_out of the settings", out, err)
 	}
 }
 
 func TestMalformedInputEndsTheProgram(t *testing.T) {
 	if _, err := host(t, "clock ts=2\nelapsed who=0 label=x\nend\n"); err == nil || !strings.Contains(err.Error(), "line 2") {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want one of line 2", err)
 	}
 }
--- a/internal/ci/knownred/main_test.go
+++ b/internal/ci/knownred/main_test.go
@@ -109,7 +109,7 @@
 			cmd.Env = append(os.Environ(), "GOFLAGS=-count=1", "GOWORK=off")
 			out, err := cmd.CombinedOutput()
 			if (err == nil) != c.wantSuccess || !strings.Contains(string(out), c.wantOutput) {
-				t.Errorf("ended with %v, wanted %v and %q:\n%s", err, c.wantSuccess, c.wantOutput, out)
+				t.Errorf(".ci/run: got error %v, want success %v and output %q:\n%s", err, c.wantSuccess, c.wantOutput, out)
 			}
 		})
 	}
