--- a/cmd/lockflow/term_test.go
+++ b/cmd/lockflow/term_test.go
@@ -411,7 +411,7 @@
 // forwarded or is safe to repeat, no forwarded request is left without an answer, and the program exits with code 0.
 func TestTermAtEachInstant(t *testing.T) {
 	for _, s := range termSettingsList {
-		for name, play := range termCases {
+		for name, run := range termCases {
 			s := s
 			if s.maxDescriptors = 1024; strings.HasPrefix(name, descriptorsExhausted) {
 				s.maxDescriptors = limits.MinDescriptors
@@ -421,7 +421,7 @@
 				app := newBackend(t)
 				config := s.config(t, newDiscovery(t, "s-1", app.Server).Listener.Addr().String())
 				x := &termTest{T: t, termSettings: s, program: start(t, config, ""), app: app, config: config}
-				play(x)
+				run(x)
 				x.waitForLog("drained")
 				if err := x.Wait(); err != nil {
 					t.Error(err)
@@ -501,10 +501,10 @@
 			t.Parallel()
 			p := launch(t, s.config(t, testkit.NewAgent(t).Addr()), "")
 			p.waitUntilListening()
-			before, kept, silent := s.connect(t, p.addr), s.connect(t, p.addr), s.connect(t, p.addr)
+			before, keepAlive, silent := s.connect(t, p.addr), s.connect(t, p.addr), s.connect(t, p.addr)
 			before.sendRequest("a", "enterprise")
-			io.WriteString(kept, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
-			if status, _, _, err := kept.readAnswer(); status != 503 || err != nil {
+			io.WriteString(keepAlive, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
+			if status, _, _, err := keepAlive.readAnswer(); status != 503 || err != nil {
 				t.Errorf("health check before readiness: got status %d, %v, want 503", status, err)
 			}
 			p.signal(syscall.SIGTERM)
