--- a/cmd/lockflow/disk_faults_test.go
+++ b/cmd/lockflow/disk_faults_test.go
@@ -11,9 +11,9 @@
 	"lockflow/internal/trials/faultnet/faultbuild"
 )
 
-// A state directory whose disk fails for a while, in any call by which a checkpoint is written, costs no start and no
-// checkpoint that was there: the node tells it, writes again once the disk works, and the next start finds that.
-func TestCheckpointsOutlastDiskFaults(t *testing.T) {
+// A transient disk fault in any system call that writes a checkpoint neither prevents a start nor loses the last
+// checkpoint: the node logs the fault, writes checkpoints again after it, and the next start restores from one.
+func TestCheckpointsSurviveDiskFaults(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		call  faultbuild.Call
@@ -31,7 +31,7 @@
 			table, state := newFaultTable(t), filepath.Join(t.TempDir(), "state")
 			config := strings.Replace(stateConfig, "@state\"", state+"\"\ncheckpoint = \"10ms\"", 1)
 			p := startFaulty(t, table, config)
-			p.listens()
+			p.waitUntilListening()
 			checkpoint := filepath.Join(state, "state")
 			testkit.Until(t, "a checkpoint", func() bool { _, err := os.Stat(checkpoint); return err == nil })
 			table.Fail(tc.call, tc.errno, 1)
@@ -41,19 +41,19 @@
 				table.Heal(tc.call)
 			} else {
 				before := table.Injected(tc.call)
-				testkit.Until(t, "a checkpoint that fails", func() bool { return table.Injected(tc.call) > before+2 })
+				testkit.Until(t, "failed checkpoints", func() bool { return table.Injected(tc.call) > before+2 })
 				table.Heal(tc.call)
-				p.until("checkpoint saved again")
+				p.waitForLog("checkpoint saved again")
 			}
-			p.end()
+			p.terminate()
 			left, err := filepath.Glob(filepath.Join(state, ".*"))
 			if err != nil || len(left) > 0 {
-				t.Errorf("temporary files are left: %v, %v", left, err)
+				t.Errorf("temporary files remain: %v, %v", left, err)
 			}
 			next := startFaulty(t, table, config)
-			next.until("checkpoint restored")
-			next.listens()
-			next.end()
+			next.waitForLog("checkpoint restored")
+			next.waitUntilListening()
+			next.terminate()
 		})
 	}
 }
--- a/cmd/lockflow/fleet_test.go
+++ b/cmd/lockflow/fleet_test.go
@@ -14,8 +14,8 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// Forty real processes under load, reloaded, upgraded, ended and killed by chance while servers
-// drain and cold ones come, in short; lockflow measure fleet --for 10m is the long form.
+// Runs forty real processes under load that are reloaded, upgraded, terminated and killed at random while servers
+// drain and warming-up servers join. It is a short run of `lockflow measure fleet --for 10m`.
 func TestFortyInstances(t *testing.T) {
 	cmd := exec.Command(build(t), "measure", "fleet", "--instances", "40", "--for", "4s", "--every", "150ms", "--rate", "150", "--cold-every", "2s",
 		"--seed", "7", "--json")
@@ -30,12 +30,12 @@
 		t.Fatalf("%v, %v: %s", err, jsonErr, out)
 	}
 	if len(got.Wrong) > 0 || got.Instances != 40 || got.Reloads == 0 || got.Cold == 0 || got.Results["visit-update"].Served == 0 {
-		t.Errorf("%s", out)
+		t.Errorf("unexpected report: %s", out)
 	}
 }
 
-// A fleet from the command line: it starts, tells its status, takes a good configuration over and a
-// bad one nowhere, upgrades, refuses a program that is none and goes back, and ends.
+// The fleet commands start a fleet, report its status, apply a valid configuration to all instances, reject an
+// invalid one before any instance has it, upgrade, roll back an upgrade to a program that fails to start, and stop.
 func TestFleetCommands(t *testing.T) {
 	bin, dir := build(t), testkit.ShortDir(t)
 	config := filepath.Join(dir, "c.toml")
@@ -56,43 +56,43 @@
 	if err := run.Start(); err != nil {
 		t.Fatal(err)
 	}
-	late := time.AfterFunc(time.Minute, func() { run.Process.Signal(os.Interrupt) })
-	t.Cleanup(func() { // the instances would outlive it
-		late.Stop()
+	interruptTimer := time.AfterFunc(time.Minute, func() { run.Process.Signal(os.Interrupt) })
+	t.Cleanup(func() { // the instances would outlive a fleet run that is killed
+		interruptTimer.Stop()
 		run.Process.Signal(os.Interrupt)
 		run.Wait()
 	})
 	lines := bufio.NewScanner(out)
 	for ready := 0; ready < 3; {
 		if !lines.Scan() {
-			t.Fatalf("%d instances are ready, and it says no more", ready)
+			t.Fatalf("fleet run ended its output with %d of 3 instances ready", ready)
 		}
 		if strings.Contains(lines.Text(), " ready ") {
 			ready++
 		}
 	}
-	fleet := func(code int, tells string, args ...string) {
+	runFleet := func(code int, wantOutput string, args ...string) {
 		t.Helper()
 		cmd := exec.Command(bin, append([]string{"fleet", "--dir", dir}, args...)...)
 		raw, _ := cmd.CombinedOutput()
-		if cmd.ProcessState.ExitCode() != code || !strings.Contains(string(raw), tells) {
+		if cmd.ProcessState.ExitCode() != code || !strings.Contains(string(raw), wantOutput) {
 			t.Errorf("%v: exit %d\n%s", args, cmd.ProcessState.ExitCode(), raw)
 		}
 	}
-	good := write("good.toml", strings.Replace(text, "[plans.p]", "[plans.p]\nprice = 2", 1))
-	fleet(0, "3 changed", "reload", "--config", good, "--batch", "2", "--bake", "100ms", "--unjudged")
-	fleet(1, "bad.toml:1: x: unknown key", "reload", "--config", write("bad.toml", "x = 1"))
-	fleet(0, "ready", "status")
-	fleet(0, "3 changed", "upgrade", "--batch", "3", "--bake", "100ms", "--unjudged")
-	fleet(0, "the settings are the same", "reload")
-	fleet(0, "change of program, begun", "status")
-	fleet(1, "1 taken back", "upgrade", "--program", write("none.sh", "#!/bin/sh\nexit 3\n"))
-	fleet(2, "no absolute path", "upgrade", "--program", "next")
-	fleet(2, `no "luck"`, "luck")
+	validConfig := write("good.toml", strings.Replace(text, "[plans.p]", "[plans.p]\nprice = 2", 1))
+	runFleet(0, "3 changed", "reload", "--config", validConfig, "--batch", "2", "--bake", "100ms", "--unjudged")
+	runFleet(1, "bad.toml:1: x: unknown key", "reload", "--config", write("bad.toml", "x = 1"))
+	runFleet(0, "ready", "status")
+	runFleet(0, "3 changed", "upgrade", "--batch", "3", "--bake", "100ms", "--unjudged")
+	runFleet(0, "the settings are the same", "reload")
+	runFleet(0, "change of program, begun", "status")
+	runFleet(1, "1 taken back", "upgrade", "--program", write("none.sh", "#!/bin/sh\nexit 3\n"))
+	runFleet(2, "no absolute path", "upgrade", "--program", "next")
+	runFleet(2, `no "luck"`, "luck")
 	cmd := exec.Command(bin, "status", "--control", filepath.Join(dir, "1", "control.sock"), "--json")
 	raw, err := cmd.Output()
 	if err != nil || !strings.Contains(string(raw), `"generation":3`) {
-		t.Errorf("%s, %v", raw, err)
+		t.Errorf("status: %s, %v; want generation 3", raw, err)
 	}
 	run.Process.Signal(os.Interrupt)
 	if err := run.Wait(); err != nil {
@@ -100,7 +100,7 @@
 	}
 	for i := range 3 {
 		if _, err := os.Stat(filepath.Join(dir, strconv.Itoa(i), "pid")); !os.IsNotExist(err) {
-			t.Errorf("instance %d: %v", i, err)
+			t.Errorf("instance %d: pid file after the end: %v, want none", i, err)
 		}
 	}
 }
--- a/cmd/lockflow/main_test.go
+++ b/cmd/lockflow/main_test.go
@@ -21,56 +21,56 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// programs is where build puts the program.
-var programs string
+// programDir is the directory that build writes the program to.
+var programDir string
 
 func TestMain(m *testing.M) {
 	var err error
-	if programs, err = os.MkdirTemp("", "lf"); err != nil {
+	if programDir, err = os.MkdirTemp("", "lf"); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 	code := m.Run()
-	if err := os.RemoveAll(programs); err != nil {
+	if err := os.RemoveAll(programDir); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		code = max(code, 1)
 	}
 	os.Exit(code)
 }
 
-var built = sync.OnceValue(func() error {
-	if out, err := exec.Command("go", "build", "-o", filepath.Join(programs, "lockflow"), ".").CombinedOutput(); err != nil {
+var buildProgram = sync.OnceValue(func() error {
+	if out, err := exec.Command("go", "build", "-o", filepath.Join(programDir, "lockflow"), ".").CombinedOutput(); err != nil {
 		return fmt.Errorf("%w: %s", err, out)
 	}
 	return nil
 })
 
-// build gives the program, which is linked once for all tests.
+// build returns the path of the program, which is built once for all tests.
 func build(t *testing.T) string {
 	t.Helper()
-	if err := built(); err != nil {
+	if err := buildProgram(); err != nil {
 		t.Fatal(err)
 	}
-	return filepath.Join(programs, "lockflow")
+	return filepath.Join(programDir, "lockflow")
 }
 
-// A start that can't be made is one clear line; exit code 2 where the configuration is at fault.
-func TestBadStart(t *testing.T) {
+// A failed start prints exactly one line. The exit code is 2 if the configuration is missing or invalid.
+func TestFailedStartLogsOneLine(t *testing.T) {
 	bin := build(t)
-	broken := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(broken, []byte("{"), 0o600); err != nil {
+	invalid := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(invalid, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for name, tc := range map[string]struct {
 		path string
 		code int
-	}{"none named": {"", 1}, "missing": {broken + ".no", 2}, "broken": {broken, 2}} {
+	}{"none named": {"", 1}, "missing": {invalid + ".no", 2}, "broken": {invalid, 2}} {
 		t.Run(name, func(t *testing.T) {
 			cmd := exec.Command(bin)
 			cmd.Env = append(os.Environ(), "NODE_CONFIG="+tc.path)
 			out, err := cmd.CombinedOutput()
 			if cmd.ProcessState.ExitCode() != tc.code || strings.Count(string(out), "\n") != 1 {
-				t.Errorf("%v: %s", err, out)
+				t.Errorf("unexpected exit code or number of lines: %v: %s", err, out)
 			}
 		})
 	}
@@ -80,19 +80,19 @@
 type program struct {
 	*exec.Cmd
 	t     *testing.T
-	lines *bufio.Scanner // its log
-	addr  string         // where it takes clients
+	lines *bufio.Scanner // of its log
+	addr  string         // on which it listens for clients
 }
 
-// start starts the program and waits until it is ready. Without a discovery in the
-// environment that of the file counts.
+// start starts the program and waits until it is ready. If discovery is empty, the
+// program uses the discovery address of the configuration file.
 func start(t *testing.T, config, discovery string) *program {
 	t.Helper()
 	p := launch(t, config, discovery)
-	p.listens()
+	p.waitUntilListening()
 	testkit.Until(t, "the program to be ready", func() bool {
 		resp, err := http.Get("http://" + p.addr + "/healthz")
-		if err != nil { // with few descriptors its connection may go for another
+		if err != nil { // with a low limit on descriptors, this connection may be closed in favor of another
 			return false
 		}
 		resp.Body.Close()
@@ -101,17 +101,17 @@
 	return p
 }
 
-// launch starts the program and waits for nothing.
+// launch starts the program and returns without waiting until it listens.
 func launch(t *testing.T, config, discovery string) *program {
 	t.Helper()
 	p := &program{Cmd: exec.Command(build(t)), t: t}
 	p.Env = append(os.Environ(), "NODE_CONFIG="+config, "NODE_LISTEN=127.0.0.1:0", "NODE_DISCOVERY="+discovery)
-	p.scanLog()
+	p.startWithLog()
 	return p
 }
 
-// scanLog starts the program and reads its log from now on.
-func (p *program) scanLog() {
+// startWithLog starts the program with a scanner of its log.
+func (p *program) startWithLog() {
 	p.t.Helper()
 	log, err := p.StderrPipe()
 	if err != nil {
@@ -120,27 +120,27 @@
 	if err := p.Start(); err != nil {
 		p.t.Fatal(err)
 	}
-	// Ends the program where it hangs, and with it all waiting for it.
-	late := time.AfterFunc(time.Minute, func() { p.Process.Kill() })
-	p.t.Cleanup(func() { late.Stop(); p.Process.Kill() })
+	// Kills a program that hangs, which also ends each wait for its log or exit.
+	killTimer := time.AfterFunc(time.Minute, func() { p.Process.Kill() })
+	p.t.Cleanup(func() { killTimer.Stop(); p.Process.Kill() })
 	p.lines = bufio.NewScanner(log)
 }
 
-// listens waits until the program takes clients.
-func (p *program) listens() {
+// waitUntilListening waits until the program listens for clients, and stores its address.
+func (p *program) waitUntilListening() {
 	p.t.Helper()
-	_, p.addr, _ = strings.Cut(p.until("listen="), "listen=")
+	_, p.addr, _ = strings.Cut(p.waitForLog("listen="), "listen=")
 }
 
-// until reads the log up to a line with a word in it.
-func (p *program) until(word string) string {
+// waitForLog reads the log up to a line that contains text, and returns the line.
+func (p *program) waitForLog(text string) string {
 	p.t.Helper()
 	for p.lines.Scan() {
-		if strings.Contains(p.lines.Text(), word) {
+		if strings.Contains(p.lines.Text(), text) {
 			return p.lines.Text()
 		}
 	}
-	p.t.Fatalf("the program ended before it logged %q", word)
+	p.t.Fatalf("the program exited before it logged %q", text)
 	return ""
 }
 
@@ -151,8 +151,8 @@
 	}
 }
 
-// ask sends a request and gives what came of it.
-func (p *program) ask(id string) <-chan string {
+// startRequest sends a request. The channel receives its answer or error as text.
+func (p *program) startRequest(id string) <-chan string {
 	p.t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+p.addr+"/roster-read?account=00000000b4d65521", nil)
 	if err != nil {
@@ -175,67 +175,67 @@
 	return answer
 }
 
-// discovery lists one app server and keeps its watches open.
-func discovery(t *testing.T, uid string, app *httptest.Server) *httptest.Server {
-	over := make(chan struct{})
+// newDiscovery starts a discovery that lists one app server and keeps its watches open.
+func newDiscovery(t *testing.T, uid string, app *httptest.Server) *httptest.Server {
+	closed := make(chan struct{})
 	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(w, `{"rev":9,"all":true,"targets":[{"uid":%q,"endpoint":%q,"az":"z1","state":"up"}]}`+"\n",
 			uid, app.Listener.Addr())
 		w.(http.Flusher).Flush()
 		select {
 		case <-r.Context().Done():
-		case <-over:
+		case <-closed:
 		}
 	}))
-	t.Cleanup(func() { close(over); d.Close() })
+	t.Cleanup(func() { close(closed); d.Close() })
 	return d
 }
 
-// holding is an app server that answers when it is let.
-func holding(t *testing.T) (app *httptest.Server, held chan struct{}, finish func()) {
-	held, let := make(chan struct{}), make(chan struct{})
-	finish = sync.OnceFunc(func() { close(let) })
+// newBlockingServer starts an app server that closes received on its only request and answers once release is called.
+func newBlockingServer(t *testing.T) (app *httptest.Server, received chan struct{}, release func()) {
+	received, released := make(chan struct{}), make(chan struct{})
+	release = sync.OnceFunc(func() { close(released) })
 	app = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		close(held)
-		<-let
+		close(received)
+		<-released
 		io.WriteString(w, "done")
 	}))
-	t.Cleanup(func() { finish(); app.Close() })
-	return app, held, finish
+	t.Cleanup(func() { release(); app.Close() })
+	return app, received, release
 }
 
 const testConfig = "../../internal/config/testdata/config.json"
 
-// SIGTERM with work held: the client gets its answer, then the program ends well. A SIGHUP
-// meanwhile is harmless.
-func TestTermWithWorkHeld(t *testing.T) {
-	app, held, finish := holding(t)
-	p := start(t, testConfig, discovery(t, "s-1", app).Listener.Addr().String())
-	answer := p.ask("id-1")
-	<-held
+// On SIGTERM with a request in flight, the client gets its answer, then the program exits with
+// code 0. A SIGHUP meanwhile does not disturb the shutdown.
+func TestTermWithRequestInFlight(t *testing.T) {
+	app, received, release := newBlockingServer(t)
+	p := start(t, testConfig, newDiscovery(t, "s-1", app).Listener.Addr().String())
+	answer := p.startRequest("id-1")
+	<-received
 	p.signal(syscall.SIGTERM)
-	p.until("draining")
+	p.waitForLog("draining")
 	p.signal(syscall.SIGHUP)
-	p.until("reloading")
-	finish()
+	p.waitForLog("reloading")
+	release()
 	if a := <-answer; a != "200 done close=true" {
 		t.Error(a)
 	}
-	p.until("drained")
+	p.waitForLog("drained")
 	if err := p.Wait(); err != nil {
 		t.Error(err)
 	}
 }
 
-// SIGHUP has the program follow the discovery that the file now names, whatever the
-// environment said, and keep what it holds. A file that can't be used changes nothing.
-func TestHup(t *testing.T) {
-	app, held, finish := holding(t)
+// On SIGHUP, the program switches to the discovery in the reloaded file, which takes precedence over
+// the environment, and keeps its requests in flight. An invalid file changes nothing.
+func TestReloadOnSIGHUP(t *testing.T) {
+	app, received, release := newBlockingServer(t)
 	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, "other")
 	}))
 	t.Cleanup(other.Close)
-	first, second := discovery(t, "s-1", app), discovery(t, "s-2", other)
+	first, second := newDiscovery(t, "s-1", app), newDiscovery(t, "s-2", other)
 	raw, err := os.ReadFile(testConfig)
 	if err != nil {
 		t.Fatal(err)
@@ -248,47 +248,48 @@
 	}
 	write(string(raw))
 	p := start(t, config, first.Listener.Addr().String())
-	answer := p.ask("id-1")
-	<-held
+	answer := p.startRequest("id-1")
+	<-received
 
-	for bad, told := range map[string]string{
+	for invalid, want := range map[string]string{
 		"{": "configuration",
 		strings.Replace(string(raw), "127.0.0.1:1\"", "127.0.0.1:watch\"", 1): "discovery:",
 		strings.Replace(string(raw), `"aim": 2000.0`, `"aim": 0`, 1):          "classes.0.aim:",
 		strings.Replace(string(raw), `"enterprise"`, `"basic"`, 1):            "tariffs.1.name:",
 	} {
-		write(bad)
+		write(invalid)
 		p.signal(syscall.SIGHUP)
-		if line := p.until("the old configuration stays"); !strings.Contains(line, told) {
-			t.Errorf("%s doesn't tell %s", line, told)
+		if line := p.waitForLog("the old configuration stays"); !strings.Contains(line, want) {
+			t.Errorf("log line %s does not contain %s", line, want)
 		}
 	}
 
-	// What makes no sense is told, and no reason not to go on.
+	// An invalid quota of a plan is logged as a warning and does not prevent the reload.
 	write(strings.NewReplacer("127.0.0.1:1\"", second.Listener.Addr().String()+"\"", `"depth": 8.0`, `"depth": 0.5`).Replace(string(raw)))
 	p.signal(syscall.SIGHUP)
-	p.until("tariffs.0.depth:")
-	p.until("reloading")
-	finish()
+	p.waitForLog("tariffs.0.depth:")
+	p.waitForLog("reloading")
+	release()
 	if a := <-answer; a != "200 done close=false" {
-		t.Errorf("what was held over the reload: %s", a)
+		t.Errorf("answer to the request in flight during the reload: %s", a)
 	}
 	for id := 2; ; id++ {
-		if a := <-p.ask(fmt.Sprint("id-", id)); a == "200 other close=false" {
+		if a := <-p.startRequest(fmt.Sprint("id-", id)); a == "200 other close=false" {
 			break
 		} else if p.ProcessState != nil {
-			t.Fatal("the program has ended")
+			t.Fatal("the program has exited")
 		}
 		time.Sleep(time.Millisecond)
 	}
 	p.signal(syscall.SIGTERM)
-	p.until("drained")
+	p.waitForLog("drained")
 	if err := p.Wait(); err != nil {
 		t.Error(err)
 	}
 }
 
-// A supervisor's socket is listened on under its name, and clients are served on it.
+// The program listens on the socket that systemd passes under the listener's name, and serves clients on it. A socket
+// with a name of no listener prevents the start.
 func TestSocketActivation(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -306,7 +307,7 @@
 	}
 	for name, want := range map[string]bool{"clients": true, "others": false} {
 		t.Run(name, func(t *testing.T) {
-			// The process that a supervisor means is named by its id, which the shell keeps over exec.
+			// LISTEN_PID has to be the program's process ID. The shell sets it to its own, which exec keeps.
 			p := &program{Cmd: exec.Command("sh", "-c", "LISTEN_PID=$$ exec "+build(t)+" serve --config "+config), t: t}
 			p.Env = append(os.Environ(), "LISTEN_FDS=1", "LISTEN_FDNAMES="+name)
 			p.ExtraFiles = []*os.File{socket}
@@ -317,17 +318,17 @@
 			if err := p.Start(); err != nil {
 				t.Fatal(err)
 			}
-			late := time.AfterFunc(time.Minute, func() { p.Process.Kill() })
-			defer func() { late.Stop(); p.Process.Kill() }()
+			killTimer := time.AfterFunc(time.Minute, func() { p.Process.Kill() })
+			defer func() { killTimer.Stop(); p.Process.Kill() }()
 			p.lines = bufio.NewScanner(log)
 			if !want {
-				p.until(`passed a socket \"others\" on that no listener names`)
+				p.waitForLog(`passed a socket \"others\" on that no listener names`)
 				if p.Wait(); p.ProcessState.ExitCode() != 1 {
-					t.Errorf("%v", p.ProcessState)
+					t.Errorf("start with a socket of no listener: %v, want exit code 1", p.ProcessState)
 				}
 				return
 			}
-			p.until("to=ready")
+			p.waitForLog("to=ready")
 			resp, err := http.Get("http://" + l.Addr().String() + "/healthz")
 			if err != nil {
 				t.Fatal(err)
@@ -337,7 +338,7 @@
 				t.Error(resp.Status)
 			}
 			p.signal(syscall.SIGTERM)
-			p.until("to=ended")
+			p.waitForLog("to=ended")
 			if err := p.Wait(); err != nil {
 				t.Error(err)
 			}
@@ -345,8 +346,8 @@
 	}
 }
 
-// The example units can be read, and name what there is.
-func TestUnits(t *testing.T) {
+// The example systemd units can be parsed and have the options that the program relies on.
+func TestSystemdUnits(t *testing.T) {
 	for file, want := range map[string][]string{
 		"lockflow.service": {"Service Type notify-reload", "Service WatchdogSec 10", "Unit Requires lockflow.socket"},
 		"lockflow.socket":  {"Socket FileDescriptorName clients"},
@@ -366,7 +367,7 @@
 		}
 		for _, w := range want {
 			if !have[w] {
-				t.Errorf("%s lacks %q", file, w)
+				t.Errorf("%s does not contain option %q", file, w)
 			}
 		}
 	}
--- a/cmd/lockflow/shortage_test.go
+++ b/cmd/lockflow/shortage_test.go
@@ -14,23 +14,23 @@
 	"lockflow/internal/trials/faultnet/faultbuild"
 )
 
-// shortageTime is how long a shortage lasts in these tests: longer than a call of the system, shorter than a deadline.
+// shortageTime is the duration of a shortage in these tests: longer than a system call, shorter than a deadline.
 const shortageTime = 150 * time.Millisecond
 
-// startFaultyPlatform starts the platform's node with a configuration whose discovery is that of the file, and waits
-// for nothing.
+// startFaultyPlatform starts a node with the platform's settings in a configuration file, which has the address of the
+// discovery. It does not wait until the node listens.
 func startFaultyPlatform(t *testing.T, table *faultbuild.Table, config string) *faultyProgram {
 	t.Helper()
-	if err := builtWithFaults(); err != nil {
+	if err := buildWithFaults(); err != nil {
 		t.Fatal(err)
 	}
-	p := &program{Cmd: exec.Command(filepath.Join(programs, "lockflow-faults")), t: t}
+	p := &program{Cmd: exec.Command(filepath.Join(programDir, "lockflow-faults")), t: t}
 	p.Env = append(os.Environ(), "NODE_CONFIG="+config, "NODE_LISTEN=127.0.0.1:0", table.Environment())
-	p.scanLog()
+	p.startWithLog()
 	return &faultyProgram{p, table}
 }
 
-// writeConfig writes the platform's configuration with a discovery.
+// writeConfig writes the platform's configuration with the address of a discovery.
 func writeConfig(t *testing.T, path, discovery string) {
 	t.Helper()
 	raw, err := os.ReadFile(testConfig)
@@ -43,15 +43,15 @@
 	}
 }
 
-// untilInjected waits until a call has failed more often than before, and then for the rest of a shortage.
+// untilInjected waits until a system call has failed more than before times, and then for shortageTime.
 func untilInjected(t *testing.T, table *faultbuild.Table, call faultbuild.Call, before int) {
 	t.Helper()
-	testkit.Until(t, "a call that fails", func() bool { return table.Injected(call) > before })
+	testkit.Until(t, "a failed system call", func() bool { return table.Injected(call) > before })
 	time.Sleep(shortageTime)
 }
 
-// A node starts though the system lacks descriptors or buffers for a moment: no start fails for that.
-func TestStartOutlastsShortage(t *testing.T) {
+// A start does not fail because the system is out of descriptors or buffers for a moment.
+func TestStartSurvivesTransientShortage(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		call  faultbuild.Call
@@ -65,20 +65,20 @@
 			p := startFaultyPlatform(t, table, config)
 			untilInjected(t, table, tc.call, 0)
 			table.Heal(tc.call)
-			p.listens()
-			p.end()
+			p.waitUntilListening()
+			p.terminate()
 		})
 	}
 }
 
-// A node that is told to read its configuration anew does so though it lacks a descriptor for a moment: without that it
-// would follow a discovery that is gone.
-func TestReloadOutlastsShortage(t *testing.T) {
+// A node reloads its configuration on SIGHUP even if it has no descriptor for the file for a moment. Otherwise it would
+// continue to watch a discovery that no longer exists.
+func TestReloadSurvivesTransientShortage(t *testing.T) {
 	table, config := newFaultTable(t), filepath.Join(t.TempDir(), "config.json")
 	first, second := testkit.NewFakeDiscovery(t), testkit.NewFakeDiscovery(t)
 	writeConfig(t, config, first.Addr())
 	p := startFaultyPlatform(t, table, config)
-	p.listens()
+	p.waitUntilListening()
 	testkit.Next(t, first.Polled)
 	writeConfig(t, config, second.Addr())
 	table.Fail(faultbuild.Open, syscall.EMFILE, 1)
@@ -86,12 +86,12 @@
 	untilInjected(t, table, faultbuild.Open, 0)
 	table.Heal(faultbuild.Open)
 	testkit.Next(t, second.Polled)
-	p.end()
+	p.terminate()
 }
 
-// A request is served though no connection to a server can be made for a moment, for want of descriptors, ports or
-// buffers of the node's own.
-func TestRequestOutlastsShortageOfConnections(t *testing.T) {
+// A request is served even if the node can't connect to a server for a moment because the node's own system is out of
+// descriptors, ports or buffers.
+func TestRequestSurvivesTransientConnectionShortage(t *testing.T) {
 	for _, tc := range []struct {
 		call  faultbuild.Call
 		errno syscall.Errno
@@ -100,7 +100,7 @@
 			table := newFaultTable(t)
 			app := testkit.NewApp(t, testkit.AnswerServed)
 			p := startFaulty(t, table, strings.Replace(tunnelConfig, "@server", app.Addr(), 1))
-			p.listens()
+			p.waitUntilListening()
 			status := make(chan int, 1)
 			table.Fail(tc.call, tc.errno, 1)
 			go func() {
@@ -115,9 +115,9 @@
 			untilInjected(t, table, tc.call, 0)
 			table.Heal(tc.call)
 			if got := testkit.Next(t, status); got != http.StatusOK {
-				t.Errorf("status %d", got)
+				t.Errorf("got status %d, want 200", got)
 			}
-			p.end()
+			p.terminate()
 		})
 	}
 }
--- a/cmd/lockflow/stepped_clock_test.go
+++ b/cmd/lockflow/stepped_clock_test.go
@@ -20,36 +20,36 @@
 	"lockflow/internal/trials/faultnet/faultbuild"
 )
 
-// clockSteps are how far the wall clock is stepped in the middle of a run.
+// clockSteps are the steps of the wall clock during a run.
 var clockSteps = []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour}
 
-var builtWithFaults = sync.OnceValue(func() error {
-	directory, err := os.MkdirTemp(programs, "overlay")
+var buildWithFaults = sync.OnceValue(func() error {
+	directory, err := os.MkdirTemp(programDir, "overlay")
 	if err != nil {
 		return err
 	}
-	return faultbuild.Build(context.Background(), ".", filepath.Join(programs, "lockflow-faults"), directory)
+	return faultbuild.Build(context.Background(), ".", filepath.Join(programDir, "lockflow-faults"), directory)
 })
 
-// faultyProgram is a running lockflow whose system calls and wall clock obey a table.
+// faultyProgram is a running lockflow with faults of its system calls and steps of its wall clock from a table.
 type faultyProgram struct {
 	*program
 	table *faultbuild.Table
 }
 
-// startFaulty starts `serve` with a configuration, whose first line that is logged with an address is its listener's.
+// startFaulty starts `lockflow serve` with a configuration whose listener is the first to be logged with its address.
 func startFaulty(t *testing.T, table *faultbuild.Table, config string) *faultyProgram {
 	t.Helper()
-	if err := builtWithFaults(); err != nil {
+	if err := buildWithFaults(); err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "lockflow.toml")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p := &program{Cmd: exec.Command(filepath.Join(programs, "lockflow-faults"), "serve", "--config", path), t: t}
+	p := &program{Cmd: exec.Command(filepath.Join(programDir, "lockflow-faults"), "serve", "--config", path), t: t}
 	p.Env = append(os.Environ(), table.Environment())
-	p.scanLog()
+	p.startWithLog()
 	return &faultyProgram{p, table}
 }
 
@@ -63,8 +63,8 @@
 	return table
 }
 
-// end has the program end and discards the rest of its log.
-func (p *faultyProgram) end() {
+// terminate sends SIGTERM, discards the rest of the log and requires that the program exits with code 0.
+func (p *faultyProgram) terminate() {
 	p.t.Helper()
 	p.Process.Signal(syscall.SIGTERM)
 	for p.lines.Scan() {
@@ -74,7 +74,7 @@
 	}
 }
 
-// newTunnelServer starts an app server that answers each request with 101 and is silent then.
+// newTunnelServer starts an app server that answers each request with 101 and then sends nothing.
 func newTunnelServer(t *testing.T) (address string) {
 	app := testkit.NewApp(t, func(w http.ResponseWriter, r *http.Request) {
 		conn := testkit.Hijack(w)
@@ -101,11 +101,11 @@
 upgrade = ["echo"]
 `
 
-// An idle tunnel is closed after its idle timeout, by the monotonic clock, whatever the wall clock does meanwhile.
+// An idle tunnel is closed after its idle timeout on the monotonic clock, despite steps of the wall clock.
 func TestClockStepDoesNotMoveTunnelTimeout(t *testing.T) {
 	table := newFaultTable(t)
 	p := startFaulty(t, table, strings.Replace(tunnelConfig, "@server", newTunnelServer(t), 1))
-	p.listens()
+	p.waitUntilListening()
 	for _, step := range clockSteps {
 		t.Run(step.String(), func(t *testing.T) {
 			table.StepClock(0)
@@ -117,20 +117,20 @@
 			fmt.Fprintf(conn, "GET / HTTP/1.1\r\nHost: h\r\nConnection: Upgrade\r\nUpgrade: echo\r\n\r\n")
 			in := bufio.NewReader(conn)
 			if answer, err := http.ReadResponse(in, nil); err != nil || answer.StatusCode != http.StatusSwitchingProtocols {
-				t.Fatalf("%v, %v", answer, err)
+				t.Fatalf("got answer %v, %v, want status 101", answer, err)
 			}
 			begun := time.Now()
 			table.StepClock(step)
 			conn.SetDeadline(begun.Add(testkit.WaitTimeout))
 			if _, err := in.ReadByte(); err == nil || os.IsTimeout(err) {
-				t.Errorf("the tunnel has not ended: %v", err)
+				t.Errorf("the tunnel is still open: %v", err)
 			}
 			if took := time.Since(begun); took < 400*time.Millisecond {
-				t.Errorf("the tunnel ended after %v", took)
+				t.Errorf("the tunnel was closed after %v, before its idle timeout", took)
 			}
 		})
 	}
-	p.end()
+	p.terminate()
 }
 
 const stateConfig = `
@@ -148,23 +148,23 @@
 service = "app"
 `
 
-// The age of the last run's checkpoint is a span of real time, whatever the wall clock did between the runs.
+// The age of the last run's checkpoint is the real elapsed time, despite steps of the wall clock between the runs.
 func TestClockStepDoesNotChangeAgeOfCheckpoint(t *testing.T) {
 	for _, step := range clockSteps {
 		t.Run(step.String(), func(t *testing.T) {
 			table := newFaultTable(t)
 			config := strings.Replace(stateConfig, "@state", filepath.Join(t.TempDir(), "state"), 1)
 			first := startFaulty(t, table, config)
-			first.listens()
-			first.end()
+			first.waitUntilListening()
+			first.terminate()
 			table.StepClock(step)
 			second := startFaulty(t, table, config)
-			_, text, _ := strings.Cut(second.until("checkpoint restored"), "age=")
+			_, text, _ := strings.Cut(second.waitForLog("checkpoint restored"), "age=")
 			if age, err := time.ParseDuration(text); err != nil || age < 0 || age > time.Minute {
-				t.Errorf("the checkpoint's age is %q, %v", text, err)
+				t.Errorf("the checkpoint's age is %q (%v), want less than a minute", text, err)
 			}
-			second.listens()
-			second.end()
+			second.waitUntilListening()
+			second.terminate()
 		})
 	}
 }
--- a/cmd/lockflow/term_test.go
+++ b/cmd/lockflow/term_test.go
@@ -20,15 +20,16 @@
 	"lockflow/internal/testsupport/testkit"
 )
 
-// site is a setting that the crossings are played with.
-type site struct {
-	effect   string
-	deadline time.Duration // of the class
-	sockets  int           // limit on descriptors
+// termSettings are the settings of the program in a test case.
+type termSettings struct {
+	effect         string
+	deadline       time.Duration // of the class's requests
+	maxDescriptors int           // limit on descriptors
 }
 
-// config writes the platform's file of a site. Its one class is "work"; the plan "one" has one request out at a time.
-func (s site) config(t *testing.T, discovery string) string {
+// config writes a configuration file with the platform's settings. Its only class is "work"; the plan "one" allows one
+// request in flight.
+func (s termSettings) config(t *testing.T, discovery string) string {
 	t.Helper()
 	raw, err := os.ReadFile(testConfig)
 	if err != nil {
@@ -39,7 +40,7 @@
 		fmt.Sprintf(`"work", "aim": %d, "deadline": %d, "effect": %q`, ms, ms, s.effect),
 		`"deadline": 7500.0, "effect": "guarded"`, `"deadline": 40.0, "effect": "guarded"`,
 		`"basic", "value-factor": 0.72, "quota-rate": 0.5, "depth": 8.0, "open": 0`, `"one", "value-factor": 0.72, "quota-rate": 1000, "depth": 1000, "open": 1`,
-		"127.0.0.1:1\"", discovery+"\"", `"sockets": 1024`, fmt.Sprintf(`"sockets": %d`, s.sockets)).Replace(string(raw))
+		"127.0.0.1:1\"", discovery+"\"", `"sockets": 1024`, fmt.Sprintf(`"sockets": %d`, s.maxDescriptors)).Replace(string(raw))
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -47,15 +48,15 @@
 	return path
 }
 
-// caller is a client with one connection.
-type caller struct {
+// testClient is a client with one connection.
+type testClient struct {
 	*net.TCPConn
-	in   *bufio.Reader
-	site site
-	has  chan struct{} // closed once its next answer has begun; nil where nobody waits for that
+	in            *bufio.Reader
+	termSettings  termSettings
+	answerStarted chan struct{} // closed when the next answer has started; nil if nothing waits for that
 }
 
-func (s site) call(t *testing.T, addr string) *caller {
+func (s termSettings) connect(t *testing.T, addr string) *testClient {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -63,28 +64,28 @@
 	}
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(testkit.WaitTimeout))
-	return &caller{c.(*net.TCPConn), bufio.NewReader(c), s, nil}
+	return &testClient{c.(*net.TCPConn), bufio.NewReader(c), s, nil}
 }
 
-// text is a request; one of a class that is not free has a body.
-func (c *caller) text(id, plan string) string {
+// requestText returns a request. It has a body unless the class is free.
+func (c *testClient) requestText(id, plan string) string {
 	method, rest := "GET", "\r\n"
-	switch c.site.effect {
+	switch c.termSettings.effect {
 	case "guarded":
 		method, rest = "POST", fmt.Sprintf("Idempotency-Key: k-%s\r\nContent-Length: 9\r\n\r\nsome body", id)
 	case "single_shot":
 		method, rest = "POST", "Content-Length: 9\r\n\r\nsome body"
 	}
 	return fmt.Sprintf("%s /work?account=00000000b4d65521 HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: %s\r\nX-Tariff: %s\r\nX-Time-Left: %dm\r\n%s",
-		method, id, plan, c.site.deadline.Milliseconds(), rest)
+		method, id, plan, c.termSettings.deadline.Milliseconds(), rest)
 }
 
-func (c *caller) ask(id, plan string) { io.WriteString(c, c.text(id, plan)) }
+func (c *testClient) sendRequest(id, plan string) { io.WriteString(c, c.requestText(id, plan)) }
 
-// answer reads one; status 0 is a connection that ended without a byte of it.
-func (c *caller) answer() (status int, body string, closes bool, err error) {
-	if c.has != nil {
-		<-c.has
+// readAnswer reads an answer. Status 0 is a connection that was closed without a byte of an answer.
+func (c *testClient) readAnswer() (status int, body string, closes bool, err error) {
+	if c.answerStarted != nil {
+		<-c.answerStarted
 	}
 	if _, err := c.in.Peek(1); err != nil {
 		return 0, "", true, nil
@@ -97,31 +98,31 @@
 	return resp.StatusCode, string(raw), resp.Close, err
 }
 
-// backend is an app server whose requests a test holds. An id that begins with "hang" is never answered,
-// one that begins with "hold" when it is let, one with "large" by most that a body may hold.
+// backend is an app server that answers by the prefix of the request ID: never for "hang", after release is
+// closed for "hold", with the largest body that is allowed for "large", and immediately for others.
 type backend struct {
 	*testkit.App
-	came chan string
-	let  chan struct{}
-	mu   sync.Mutex
-	seen map[string]int
+	received      chan string
+	release       chan struct{}
+	mu            sync.Mutex
+	requestCounts map[string]int
 }
 
 func newBackend(t *testing.T) *backend {
-	b := &backend{came: make(chan string, 1000), let: make(chan struct{}), seen: make(map[string]int)}
+	b := &backend{received: make(chan string, 1000), release: make(chan struct{}), requestCounts: make(map[string]int)}
 	never := testkit.BlockUntilCanceled(t)
 	b.App = testkit.NewApp(t, func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Correlation-Id")
 		b.mu.Lock()
-		b.seen[id]++
+		b.requestCounts[id]++
 		b.mu.Unlock()
-		b.came <- id
+		b.received <- id
 		switch {
 		case strings.HasPrefix(id, "hang"):
 			never(w, r)
 			return
 		case strings.HasPrefix(id, "hold"):
-			<-b.let
+			<-b.release
 		case strings.HasPrefix(id, "large"):
 			io.WriteString(w, strings.Repeat("x", 64<<10))
 			return
@@ -131,51 +132,52 @@
 	return b
 }
 
-func (b *backend) times(id string) int {
+func (b *backend) requestCount(id string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.seen[id]
+	return b.requestCounts[id]
 }
 
-// crossing is one play: a program that is ready, and what a test does with it.
-type crossing struct {
+// termTest is a test case with a program that is ready and its app server.
+type termTest struct {
 	*testing.T
-	site
+	termSettings
 	*program
 	app    *backend
 	config string
 }
 
-func (x *crossing) term() {
+func (x *termTest) sendSIGTERM() {
 	x.signal(syscall.SIGTERM)
-	x.until("draining")
+	x.waitForLog("draining")
 }
 
-func (x *crossing) client() *caller { return x.call(x.T, x.addr) }
+func (x *termTest) newClient() *testClient { return x.connect(x.T, x.addr) }
 
-// held has a client's request be at the app server.
-func (x *crossing) held(id, plan string) *caller {
+// inFlight returns a client whose request the app server has received.
+func (x *termTest) inFlight(id, plan string) *testClient {
 	x.Helper()
-	c := x.client()
-	c.ask(id, plan)
-	if got := testkit.Next(x.T, x.app.came); got != id {
-		x.Fatalf("%s came for %s", got, id)
+	c := x.newClient()
+	c.sendRequest(id, plan)
+	if got := testkit.Next(x.T, x.app.received); got != id {
+		x.Fatalf("the app server received request %s, want %s", got, id)
 	}
 	return c
 }
 
-// answered wants an answer that is due: the app server's, a failure of what was sent on, or a refusal of what
-// was not, or may be repeated. Which of them depends on the machine: times pass on busy cores.
-func (x *crossing) answered(c *caller, id string) {
+// requireClosingAnswer requires a valid answer that closes the connection. An answer is valid if it is the app server's,
+// a failure of a request that was forwarded, or a rejection of one that was not forwarded or is safe to repeat. Which
+// of them it is depends on the machine's load, since timeouts may expire on busy cores.
+func (x *termTest) requireClosingAnswer(c *testClient, id string) {
 	x.Helper()
-	status, body, closes, err := c.answer()
-	if !closes || err != nil || !x.due(status, body, id) {
-		x.Errorf("%s: %d %q, closes %v, %v; sent on %d times", id, status, body, closes, err, x.app.times(id))
+	status, body, closes, err := c.readAnswer()
+	if !closes || err != nil || !x.isValidAnswer(status, body, id) {
+		x.Errorf("request %s: got status %d, body %q, closes %v, %v; forwarded %d times", id, status, body, closes, err, x.app.requestCount(id))
 	}
 }
 
-func (x *crossing) due(status int, body, id string) bool {
-	sent := x.app.times(id)
+func (x *termTest) isValidAnswer(status int, body, id string) bool {
+	sent := x.app.requestCount(id)
 	switch status {
 	case 200:
 		return sent > 0 && body == "done "+id
@@ -187,39 +189,40 @@
 	return false
 }
 
-// rests is a client whose connection has carried a request and rests.
-func (x *crossing) rests() *caller {
+// idleClient returns a client whose connection is idle after one request.
+func (x *termTest) idleClient() *testClient {
 	x.Helper()
-	c := x.client()
-	c.ask("r", "enterprise")
-	if status, body, closes, err := c.answer(); !x.due(status, body, "r") || closes || err != nil {
-		x.Fatalf("%d, closes %v, %v", status, closes, err)
+	c := x.newClient()
+	c.sendRequest("r", "enterprise")
+	if status, body, closes, err := c.readAnswer(); !x.isValidAnswer(status, body, "r") || closes || err != nil {
+		x.Fatalf("got status %d, closes %v, %v", status, closes, err)
 	}
 	return c
 }
 
-// noRoom is how crossings begin in which one client has a place and others wait in the accept queue.
-const noRoom = "in the socket"
+// descriptorsExhausted is the prefix of cases in which one client has a connection and others wait in the accept queue.
+const descriptorsExhausted = "in the socket"
 
-func (x *crossing) waits() []*caller {
-	var all []*caller
+func (x *termTest) waiting() []*testClient {
+	var queued []*testClient
 	for i := range 3 {
-		c := x.client()
-		c.ask(fmt.Sprint("q-", i), "enterprise")
-		all = append(all, c)
+		c := x.newClient()
+		c.sendRequest(fmt.Sprint("q-", i), "enterprise")
+		queued = append(queued, c)
 	}
-	return all
+	return queued
 }
 
-func (x *crossing) all(waits []*caller) {
+func (x *termTest) allAnswered(queued []*testClient) {
 	x.Helper()
-	for i, c := range waits {
-		x.answered(c, fmt.Sprint("q-", i))
+	for i, c := range queued {
+		x.requireClosingAnswer(c, fmt.Sprint("q-", i))
 	}
 }
 
-// sites are short and long deadlines of classes that are safe to repeat, keyed, and unsafe to repeat.
-var sites = []site{
+// termSettingsList combines short and long deadlines with classes that are safe to repeat, safe with an idempotency key,
+// and unsafe to repeat.
+var termSettingsList = []termSettings{
 	{effect: "free", deadline: 400 * time.Millisecond},
 	{effect: "guarded", deadline: 400 * time.Millisecond},
 	{effect: "single_shot", deadline: 400 * time.Millisecond},
@@ -228,105 +231,105 @@
 	{effect: "single_shot", deadline: 1500 * time.Millisecond},
 }
 
-// crossings are the instants at which SIGTERM comes, by what is owed to a client then.
-var crossings = map[string]func(*crossing){
-	"idle": func(x *crossing) { x.term() },
-	noRoom: func(x *crossing) {
-		first := x.held("hold-0", "enterprise")
-		waits := x.waits()
-		x.term()
-		close(x.app.let)
-		x.answered(first, "hold-0")
-		x.all(waits)
+// termCases are the states of clients and their requests in which SIGTERM arrives.
+var termCases = map[string]func(*termTest){
+	"idle": func(x *termTest) { x.sendSIGTERM() },
+	descriptorsExhausted: func(x *termTest) {
+		first := x.inFlight("hold-0", "enterprise")
+		waiting := x.waiting()
+		x.sendSIGTERM()
+		close(x.app.release)
+		x.requireClosingAnswer(first, "hold-0")
+		x.allAnswered(waiting)
 	},
-	noRoom + " up to the last step": func(x *crossing) {
-		first := x.held("hang-0", "enterprise")
-		waits := x.waits()
-		x.term()
-		x.answered(first, "hang-0")
-		x.all(waits)
+	descriptorsExhausted + " up to the last step": func(x *termTest) {
+		first := x.inFlight("hang-0", "enterprise")
+		waiting := x.waiting()
+		x.sendSIGTERM()
+		x.requireClosingAnswer(first, "hang-0")
+		x.allAnswered(waiting)
 	},
-	"silent, then asks": func(x *crossing) {
-		c, before := x.client(), x.held("hold-0", "enterprise") // taken behind the first
-		x.term()
-		c.ask("a", "enterprise")
-		x.answered(c, "a")
-		close(x.app.let)
-		x.answered(before, "hold-0")
+	"silent, then asks": func(x *termTest) {
+		c, before := x.newClient(), x.inFlight("hold-0", "enterprise") // accepted after the silent one
+		x.sendSIGTERM()
+		c.sendRequest("a", "enterprise")
+		x.requireClosingAnswer(c, "a")
+		close(x.app.release)
+		x.requireClosingAnswer(before, "hold-0")
 	},
-	// Those that rest are closed at a step of the drain, which the end of one of them tells.
-	"silent, then asks behind that": func(x *crossing) {
-		rests, silent := x.rests(), x.client()
-		x.term()
-		if status, _, _, err := rests.answer(); status != 0 || err != nil {
-			x.Errorf("%d, %v", status, err)
+	// The drain closes idle connections at one of its steps. The end of idleClient's connection shows that it is reached.
+	"silent, then asks behind that": func(x *termTest) {
+		idleClient, silent := x.idleClient(), x.newClient()
+		x.sendSIGTERM()
+		if status, _, _, err := idleClient.readAnswer(); status != 0 || err != nil {
+			x.Errorf("idle connection: got status %d, %v, want a close", status, err)
 		}
-		silent.ask("a", "enterprise")
-		x.answered(silent, "a")
+		silent.sendRequest("a", "enterprise")
+		x.requireClosingAnswer(silent, "a")
 	},
-	// Its time would be over behind the last step.
-	"a server that hangs, up to the last step": func(x *crossing) {
-		rests, silent := x.rests(), x.client()
-		x.term()
-		_, _, _, _ = rests.answer() // how it ends is the case's above
-		silent.ask("hang-0", "enterprise")
-		x.answered(silent, "hang-0")
+	// The request's deadline would expire after the last step of the drain.
+	"a server that hangs, up to the last step": func(x *termTest) {
+		idleClient, silent := x.idleClient(), x.newClient()
+		x.sendSIGTERM()
+		_, _, _, _ = idleClient.readAnswer() // the case above checks how it ends
+		silent.sendRequest("hang-0", "enterprise")
+		x.requireClosingAnswer(silent, "hang-0")
 	},
-	"half a head": func(x *crossing) { x.halves(20) },
-	"half a body": func(x *crossing) { x.halves(-4) },
-	"in the module's queue": func(x *crossing) {
-		first := x.held("hold-0", "one")
-		// Of two requests with one id the second is told so by the module's own goroutine once the
-		// other is there.
-		both := []*caller{x.client(), x.client()}
+	"half a head": func(x *termTest) { x.sendInTwoParts(20) },
+	"half a body": func(x *termTest) { x.sendInTwoParts(-4) },
+	"in the module's queue": func(x *termTest) {
+		first := x.inFlight("hold-0", "one")
+		// Of two requests with the same ID, the module's goroutine rejects the second once it has the first.
+		// The rejection shows that the first is in the module's queue.
+		both := []*testClient{x.newClient(), x.newClient()}
 		for _, c := range both {
-			c.ask("b", "one")
+			c.sendRequest("b", "one")
 		}
-		waits := both[x.firstOf(both)^1]
-		x.term()
-		close(x.app.let)
-		x.answered(first, "hold-0")
-		x.answered(waits, "b")
+		waiting := both[x.firstAnswered(both)^1]
+		x.sendSIGTERM()
+		close(x.app.release)
+		x.requireClosingAnswer(first, "hold-0")
+		x.requireClosingAnswer(waiting, "b")
 	},
-	"in the module's queue up to the last step": func(x *crossing) {
-		first := x.held("hang-0", "one")
-		both := []*caller{x.client(), x.client()}
+	"in the module's queue up to the last step": func(x *termTest) {
+		first := x.inFlight("hang-0", "one")
+		both := []*testClient{x.newClient(), x.newClient()}
 		for _, c := range both {
-			c.ask("b", "one")
+			c.sendRequest("b", "one")
 		}
-		waits := both[x.firstOf(both)^1]
-		x.term()
-		x.answered(first, "hang-0")
-		x.answered(waits, "b")
+		waiting := both[x.firstAnswered(both)^1]
+		x.sendSIGTERM()
+		x.requireClosingAnswer(first, "hang-0")
+		x.requireClosingAnswer(waiting, "b")
 	},
-	"a server that hangs": func(x *crossing) {
-		c := x.held("hang-0", "enterprise")
-		x.term()
-		x.answered(c, "hang-0")
-		if n := x.app.times("hang-0"); x.effect != "free" && n != 1 {
-			x.Errorf("sent on %d times", n)
+	"a server that hangs": func(x *termTest) {
+		c := x.inFlight("hang-0", "enterprise")
+		x.sendSIGTERM()
+		x.requireClosingAnswer(c, "hang-0")
+		if n := x.app.requestCount("hang-0"); x.effect != "free" && n != 1 {
+			x.Errorf("forwarded %d times, want 1", n)
 		}
 	},
-	"asked anew": func(x *crossing) { // by who comes while it drains
-		first := x.held("hold-0", "enterprise")
-		x.term()
-		c := x.client()
-		c.ask("a", "enterprise")
-		x.answered(c, "a")
-		close(x.app.let)
-		x.answered(first, "hold-0")
+	"asked anew": func(x *termTest) { // on a connection that is opened during the drain
+		first := x.inFlight("hold-0", "enterprise")
+		x.sendSIGTERM()
+		c := x.newClient()
+		c.sendRequest("a", "enterprise")
+		x.requireClosingAnswer(c, "a")
+		close(x.app.release)
+		x.requireClosingAnswer(first, "hold-0")
 	},
-	"twice": func(x *crossing) {
-		c := x.held("hold-0", "enterprise")
-		x.term()
+	"twice": func(x *termTest) {
+		c := x.inFlight("hold-0", "enterprise")
+		x.sendSIGTERM()
 		x.signal(syscall.SIGTERM)
-		x.signal(syscall.SIGHUP) // behind it, and told of
-		x.until("reloading")
-		close(x.app.let)
-		x.answered(c, "hold-0")
+		x.signal(syscall.SIGHUP) // handled after the second SIGTERM, and logged
+		x.waitForLog("reloading")
+		close(x.app.release)
+		x.requireClosingAnswer(c, "hold-0")
 	},
-	"slow client": func(x *crossing) {
-		// Its segments and its buffer are small, so that the answer isn't in any socket whole.
+	"slow client": func(x *termTest) {
+		// The client's segments and receive buffer are small, so that no socket buffer holds the complete answer.
 		d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(fd uintptr) {
 				unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 1)
@@ -339,51 +342,51 @@
 		}
 		defer nc.Close()
 		nc.SetDeadline(time.Now().Add(testkit.WaitTimeout))
-		c := &caller{nc.(*net.TCPConn), bufio.NewReaderSize(nc, 16), x.site, nil}
-		c.ask("large-0", "enterprise")
-		if _, err := c.in.Peek(1); err != nil { // it is being written
+		c := &testClient{nc.(*net.TCPConn), bufio.NewReaderSize(nc, 16), x.termSettings, nil}
+		c.sendRequest("large-0", "enterprise")
+		if _, err := c.in.Peek(1); err != nil { // the answer is being written
 			x.Fatal(err)
 		}
-		x.term()
-		if status, body, _, err := c.answer(); status != 200 || len(body) != 64<<10 || err != nil {
-			x.Errorf("%d, %d bytes, %v", status, len(body), err)
+		x.sendSIGTERM()
+		if status, body, _, err := c.readAnswer(); status != 200 || len(body) != 64<<10 || err != nil {
+			x.Errorf("got status %d, body of %d bytes, %v", status, len(body), err)
 		}
 	},
-	"kept connections, up to their end": func(x *crossing) {
-		// Requests go on coming, from resting ones too, until the program ends each connection. One that
-		// crosses that end is begun neither.
+	"kept connections, up to their end": func(x *termTest) {
+		// Clients send requests on idle connections until the program closes each connection. A request that arrives
+		// as its connection is closed gets no answer and must not be forwarded.
 		const n = 24
 		var wait sync.WaitGroup
-		all := make([]*caller, n)
-		for i := range all {
-			all[i] = x.client()
+		allAnswered := make([]*testClient, n)
+		for i := range allAnswered {
+			allAnswered[i] = x.newClient()
 			id := fmt.Sprint("w-", i)
-			all[i].ask(id, "enterprise")
-			if status, body, closes, err := all[i].answer(); !x.due(status, body, id) || closes || err != nil {
-				x.Fatalf("%d %q, closes %v, %v", status, body, closes, err)
+			allAnswered[i].sendRequest(id, "enterprise")
+			if status, body, closes, err := allAnswered[i].readAnswer(); !x.isValidAnswer(status, body, id) || closes || err != nil {
+				x.Fatalf("got status %d, body %q, closes %v, %v", status, body, closes, err)
 			}
 		}
-		x.term()
-		for i, c := range all {
+		x.sendSIGTERM()
+		for i, c := range allAnswered {
 			wait.Go(func() {
-				time.Sleep(time.Duration(i) * 25 * time.Millisecond) // before, at and behind the end of those that rest
+				time.Sleep(time.Duration(i) * 25 * time.Millisecond) // before, at and after the close of idle connections
 				id := fmt.Sprint("k-", i)
-				c.ask(id, "enterprise")
-				status, body, closes, err := c.answer()
-				if none := status == 0 && x.app.times(id) == 0; err != nil || !closes || !none && !x.due(status, body, id) {
-					x.Errorf("%s: %d, closes %v, %v; sent on %d times", id, status, closes, err, x.app.times(id))
+				c.sendRequest(id, "enterprise")
+				status, body, closes, err := c.readAnswer()
+				if none := status == 0 && x.app.requestCount(id) == 0; err != nil || !closes || !none && !x.isValidAnswer(status, body, id) {
+					x.Errorf("request %s: got status %d, closes %v, %v; forwarded %d times", id, status, closes, err, x.app.requestCount(id))
 				}
 			})
 		}
 		wait.Wait()
 	},
-	"during a reload": func(x *crossing) {
-		c := x.held("hold-0", "enterprise")
+	"during a reload": func(x *termTest) {
+		c := x.inFlight("hold-0", "enterprise")
 		text, err := os.ReadFile(x.config)
 		if err != nil {
 			x.Fatal(err)
 		}
-		// The program opens a pipe in the file's place, and waits in it.
+		// A named pipe replaces the file, so that the program blocks while it reads its configuration.
 		if err := os.Remove(x.config); err != nil {
 			x.Fatal(err)
 		}
@@ -391,35 +394,35 @@
 			x.Fatal(err)
 		}
 		x.signal(syscall.SIGHUP)
-		f, err := os.OpenFile(x.config, os.O_WRONLY, 0) // once it is opened for reading
+		f, err := os.OpenFile(x.config, os.O_WRONLY, 0) // returns when the program has opened the pipe for reading
 		if err != nil {
 			x.Fatal(err)
 		}
-		x.term()
+		x.sendSIGTERM()
 		f.Write(text)
 		f.Close()
-		x.until("reloading")
-		close(x.app.let)
-		x.answered(c, "hold-0")
+		x.waitForLog("reloading")
+		close(x.app.release)
+		x.requireClosingAnswer(c, "hold-0")
 	},
 }
 
-// SIGTERM at each instant at which something is owed to a client: all that was taken is answered, as
-// refused only where it was not sent on, nothing is sent on that gets no answer, and the program ends well.
+// SIGTERM in each state of a client or request: every accepted request is answered, rejected only if it was not
+// forwarded or is safe to repeat, no forwarded request is left without an answer, and the program exits with code 0.
 func TestTermAtEachInstant(t *testing.T) {
-	for _, s := range sites {
-		for name, play := range crossings {
+	for _, s := range termSettingsList {
+		for name, run := range termCases {
 			s := s
-			if s.sockets = 1024; strings.HasPrefix(name, noRoom) {
-				s.sockets = limits.MinDescriptors
+			if s.maxDescriptors = 1024; strings.HasPrefix(name, descriptorsExhausted) {
+				s.maxDescriptors = limits.MinDescriptors
 			}
 			t.Run(fmt.Sprint(s.effect, " ", s.deadline, " ", name), func(t *testing.T) {
 				t.Parallel()
 				app := newBackend(t)
-				config := s.config(t, discovery(t, "s-1", app.Server).Listener.Addr().String())
-				x := &crossing{T: t, site: s, program: start(t, config, ""), app: app, config: config}
-				play(x)
-				x.until("drained")
+				config := s.config(t, newDiscovery(t, "s-1", app.Server).Listener.Addr().String())
+				x := &termTest{T: t, termSettings: s, program: start(t, config, ""), app: app, config: config}
+				run(x)
+				x.waitForLog("drained")
 				if err := x.Wait(); err != nil {
 					t.Error(err)
 				}
@@ -428,45 +431,46 @@
 	}
 }
 
-// halves has a request come in two parts, the first before SIGTERM.
-func (x *crossing) halves(at int) {
-	c, before := x.client(), x.held("hold-0", "enterprise")
-	text := c.text("a", "enterprise")
+// sendInTwoParts sends the first part of a request before SIGTERM and the rest after it. A negative position at is
+// counted from the request's end.
+func (x *termTest) sendInTwoParts(at int) {
+	c, before := x.newClient(), x.inFlight("hold-0", "enterprise")
+	requestText := c.requestText("a", "enterprise")
 	if at < 0 {
-		at += len(text)
+		at += len(requestText)
 	}
-	io.WriteString(c, text[:at])
-	x.term()
-	io.WriteString(c, text[at:])
-	x.answered(c, "a")
-	close(x.app.let)
-	x.answered(before, "hold-0")
+	io.WriteString(c, requestText[:at])
+	x.sendSIGTERM()
+	io.WriteString(c, requestText[at:])
+	x.requireClosingAnswer(c, "a")
+	close(x.app.release)
+	x.requireClosingAnswer(before, "hold-0")
 }
 
-// firstOf gives the first of two clients that gets its answer, that its id is taken.
-func (x *crossing) firstOf(both []*caller) int {
+// firstAnswered returns the index of the client that is answered first: its request is rejected as a duplicate ID.
+func (x *termTest) firstAnswered(clients []*testClient) int {
 	x.Helper()
-	told := make(chan int, len(both))
-	for i, c := range both {
-		c.has = make(chan struct{})
+	answered := make(chan int, len(clients))
+	for i, c := range clients {
+		c.answerStarted = make(chan struct{})
 		go func() {
-			_, _ = c.in.Peek(1) // an error is answer's to find
-			close(c.has)
-			told <- i
+			_, _ = c.in.Peek(1) // readAnswer reports the error
+			close(c.answerStarted)
+			answered <- i
 		}()
 	}
-	i := testkit.Next(x.T, told)
-	if status, _, _, err := both[i].answer(); status != 409 || err != nil {
-		x.Fatalf("%d, %v", status, err)
+	i := testkit.Next(x.T, answered)
+	if status, _, _, err := clients[i].readAnswer(); status != 409 || err != nil {
+		x.Fatalf("got status %d, %v, want 409", status, err)
 	}
 	return i
 }
 
-// SIGTERM while the program starts: one that comes before it listens ends it well, and clients that come
-// before it has a server get their answers.
-func TestTermWhileItStarts(t *testing.T) {
-	for _, s := range sites {
-		s.sockets = 1024
+// SIGTERM during the start: before the program listens, it exits with code 0; before it has an app server, clients
+// that are connected get their answers first.
+func TestTermDuringStart(t *testing.T) {
+	for _, s := range termSettingsList {
+		s.maxDescriptors = 1024
 		t.Run(fmt.Sprint(s.effect, " ", s.deadline, " before it listens"), func(t *testing.T) {
 			t.Parallel()
 			config := s.config(t, testkit.NewFakeDiscovery(t).Addr())
@@ -481,14 +485,14 @@
 				t.Fatal(err)
 			}
 			p := launch(t, config, "")
-			f, err := os.OpenFile(config, os.O_WRONLY, 0) // once it is opened for reading
+			f, err := os.OpenFile(config, os.O_WRONLY, 0) // returns when the program has opened the pipe for reading
 			if err != nil {
 				t.Fatal(err)
 			}
 			p.signal(syscall.SIGTERM)
 			f.Write(text)
 			f.Close()
-			p.until("drained")
+			p.waitForLog("drained")
 			if err := p.Wait(); err != nil {
 				t.Error(err)
 			}
@@ -496,22 +500,22 @@
 		t.Run(fmt.Sprint(s.effect, " ", s.deadline, " before it has a server"), func(t *testing.T) {
 			t.Parallel()
 			p := launch(t, s.config(t, testkit.NewFakeDiscovery(t).Addr()), "")
-			p.listens()
-			before, kept, silent := s.call(t, p.addr), s.call(t, p.addr), s.call(t, p.addr)
-			before.ask("a", "enterprise")
-			io.WriteString(kept, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
-			if status, _, _, err := kept.answer(); status != 503 || err != nil {
-				t.Errorf("not ready: %d, %v", status, err)
+			p.waitUntilListening()
+			before, keepAlive, silent := s.connect(t, p.addr), s.connect(t, p.addr), s.connect(t, p.addr)
+			before.sendRequest("a", "enterprise")
+			io.WriteString(keepAlive, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
+			if status, _, _, err := keepAlive.readAnswer(); status != 503 || err != nil {
+				t.Errorf("health check before readiness: got status %d, %v, want 503", status, err)
 			}
 			p.signal(syscall.SIGTERM)
-			p.until("draining")
-			silent.ask("b", "enterprise")
-			for _, c := range []*caller{before, silent} {
-				if status, _, _, err := c.answer(); status != 503 && status != 429 || err != nil {
-					t.Errorf("%d, %v", status, err)
+			p.waitForLog("draining")
+			silent.sendRequest("b", "enterprise")
+			for _, c := range []*testClient{before, silent} {
+				if status, _, _, err := c.readAnswer(); status != 503 && status != 429 || err != nil {
+					t.Errorf("got status %d, %v, want 503 or 429", status, err)
 				}
 			}
-			p.until("drained")
+			p.waitForLog("drained")
 			if err := p.Wait(); err != nil {
 				t.Error(err)
 			}
--- a/internal/ci/naming/naming_test.go
+++ b/internal/ci/naming/naming_test.go
@@ -9,8 +9,8 @@
 
 const root = "../../.."
 
-// TestNoPackageHasPlainWords holds that no package declares a name with a plain word.
-func TestNoPackageHasPlainWords(t *testing.T) {
+// TestPackagesDeclareNoPlainWords checks that no package declares a name with a plain word.
+func TestPackagesDeclareNoPlainWords(t *testing.T) {
 	directories, err := Packages(root)
 	if err != nil {
 		t.Fatal(err)
