--- a/internal/trials/regiontrial/change.go
+++ b/internal/trials/regiontrial/change.go
@@ -29,21 +29,21 @@
 )
 
 // coordinatorEnd is the result of a coordinator's process.
-type coordinatorEnd struct {
+type coordinatorResult struct {
 	exitCode int
 	output   string
 }
 
 // runCoordinator runs the real command over the fleet, and kills it once it has logged a number of decisions; 0
 // is never. Each decision is logged after it was written to the rollout log.
-func (r *run) runCoordinator(ctx context.Context, kill int, args ...string) (e coordinatorEnd, err error) {
+func (r *run) runCoordinator(ctx context.Context, kill int, args ...string) (e coordinatorResult, err error) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, r.options.Program, append([]string{"fleet", "reload"}, args...)...)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	var out bytes.Buffer
 	var mu sync.Mutex // of out
-	cmd.Stdout = writer(func(b []byte) (int, error) {
+	cmd.Stdout = writerFunc(func(b []byte) (int, error) {
 		mu.Lock()
 		defer mu.Unlock()
 		return out.Write(b)
@@ -67,7 +67,7 @@
 		}
 	}
 	_ = cmd.Wait() // ProcessState tells how it ended
-	e = coordinatorEnd{cmd.ProcessState.ExitCode(), out.String()}
+	e = coordinatorResult{cmd.ProcessState.ExitCode(), out.String()}
 	r.mu.Lock()
 	r.decisions += decisions
 	if e.exitCode == exitKilled && ctx.Err() == nil {
@@ -80,9 +80,9 @@
 	return e, nil
 }
 
-type writer func([]byte) (int, error)
+type writerFunc func([]byte) (int, error)
 
-func (w writer) Write(b []byte) (int, error) { return w(b) }
+func (w writerFunc) Write(b []byte) (int, error) { return w(b) }
 
 // readRolloutLog returns the change of a coordinator's rollout log; nil if there is none.
 func (r *run) readRolloutLog(name string) (*fleet.Change, error) {
@@ -98,7 +98,7 @@
 }
 
 // noteGenerations records what members run at each step of a rollout log's change as wanted.
-func (r *run) noteGenerations(name string) error {
+func (r *run) recordGenerations(name string) error {
 	c, err := r.readRolloutLog(name)
 	if err != nil || c == nil {
 		return err
@@ -107,18 +107,18 @@
 	defer r.mu.Unlock()
 	for i, m := range c.Plan.Members {
 		// A coordinator that starts during another's change knows fewer of its generations.
-		if n := member(i); len(m.Versions) > len(r.generationsByMember[n]) {
+		if n := memberName(i); len(m.Versions) > len(r.generationsByMember[n]) {
 			r.generationsByMember[n] = m.Versions
 		}
 		for _, h := range m.Versions {
-			r.notes.WantGeneration(h)
+			r.exchanges.WantGeneration(h)
 		}
 	}
 	return nil
 }
 
 // flags returns the flags of a change with a rollout log of a name.
-func (r *run) flags(fleetFile, journal string, more ...string) []string {
+func (r *run) changeFlags(fleetFile, journal string, more ...string) []string {
 	return append([]string{"--fleet", fleetFile, "--journal", filepath.Join(r.options.Dir, journal), "--within", "20s", "--stages", "1, 50%, 100%"}, more...)
 }
 
@@ -126,7 +126,7 @@
 // before anything is changed.
 func (r *run) expectRejection(ctx context.Context, file string) error {
 	for {
-		e, err := r.runCoordinator(ctx, 0, r.flags(file, "refused", "--unjudged", "--bake", "100ms")...)
+		e, err := r.runCoordinator(ctx, 0, r.changeFlags(file, "refused", "--unjudged", "--bake", "100ms")...)
 		if err != nil {
 			return err
 		}
@@ -135,7 +135,7 @@
 			return err
 		}
 		if c != nil || e.exitCode != exitRolledBack || !strings.Contains(e.output, "nothing was changed") {
-			r.notes.Wrong("a change with a conflict: exit %d, begun %v: %s", e.exitCode, c != nil, e.output)
+			r.exchanges.Wrong("a change with a conflict: exit %d, begun %v: %s", e.exitCode, c != nil, e.output)
 		}
 		if strings.Contains(e.output, "does not answer") || strings.Contains(e.output, "member ") && !strings.Contains(e.output, "loop") {
 			select { // a fault prevented the check: retry
@@ -146,16 +146,16 @@
 			}
 		}
 		if !strings.Contains(e.output, "loop: ") || !strings.Contains(e.output, "/visits") {
-			r.notes.Wrong("a change with a conflict is refused without saying why: %s", e.output)
+			r.exchanges.Wrong("a change with a conflict is refused without saying why: %s", e.output)
 		}
 		return nil
 	}
 }
 
 // startChange starts coordinators until one has written the change, and kills it after a number of decisions.
-func (r *run) startChange(ctx context.Context, file string, kill int, more ...string) (e coordinatorEnd, err error) {
+func (r *run) startChange(ctx context.Context, file string, kill int, more ...string) (e coordinatorResult, err error) {
 	for {
-		if e, err = r.runCoordinator(ctx, kill, r.flags(file, "journal", more...)...); err != nil {
+		if e, err = r.runCoordinator(ctx, kill, r.changeFlags(file, "journal", more...)...); err != nil {
 			return e, err
 		}
 		c, err := r.readRolloutLog("journal")
@@ -166,7 +166,7 @@
 			return e, nil
 		}
 		if e.exitCode != exitRolledBack && e.exitCode != exitKilled || !strings.Contains(e.output, "member ") {
-			r.notes.Wrong("a change could not be begun: exit %d: %s", e.exitCode, e.output)
+			r.exchanges.Wrong("a change could not be begun: exit %d: %s", e.exitCode, e.output)
 			return e, nil
 		}
 		select { // a member did not answer
@@ -181,9 +181,9 @@
 func (r *run) fleetState(ctx context.Context, hashes map[kind][]string) (k kind, isUniform bool, description string) {
 	counts := make(map[kind]int)
 	for i := range r.nodes() {
-		s, err := manage.Client{Path: r.fixture.socket(i)}.Status(ctx)
-		raw, fileErr := os.ReadFile(r.fixture.file(i))
-		description += fmt.Sprintf(" %s %.8s", member(i), s.ConfigHash)
+		s, err := manage.Client{Path: r.fixture.controlSocket(i)}.Status(ctx)
+		raw, fileErr := os.ReadFile(r.fixture.settingsPath(i))
+		description += fmt.Sprintf(" %s %.8s", memberName(i), s.ConfigHash)
 		if err != nil || fileErr != nil || !s.IsReady() || desiredstate.Hash(raw) != s.ConfigHash {
 			description += fmt.Sprintf(" (%s, its file %.8s; %v, %v)", s.State, desiredstate.Hash(raw), err, fileErr)
 			continue
--- a/internal/trials/regiontrial/checks.go
+++ b/internal/trials/regiontrial/checks.go
@@ -24,7 +24,7 @@
 // CheckNeighbours reports members that certainly ran generations at the same time that are no neighbours.
 // generations are each member's hashes in the order of the change. Between two consecutive status reads with the
 // same process and generation a member ran just that one, so reports are certain; changes between reads are missed.
-func CheckNeighbours(reads []StatusRead, generations map[string][]string) (wrong []string) {
+func CheckNeighbours(reads []StatusRead, generations map[string][]string) (violations []string) {
 	type span struct {
 		member   string
 		from, to time.Duration
@@ -33,15 +33,15 @@
 	}
 	last := make(map[string]StatusRead)
 	var all []span
-	for _, l := range reads {
-		was, ok := last[l.Member]
-		last[l.Member] = l
-		if !ok || was.PID != l.PID || was.Generation != l.Generation || was.Hash != l.Hash {
+	for _, read := range reads {
+		previous, ok := last[read.Member]
+		last[read.Member] = read
+		if !ok || previous.PID != read.PID || previous.Generation != read.Generation || previous.Hash != read.Hash {
 			continue
 		}
-		s := span{l.Member, was.To, l.From, -1, -1} // from the reply of one to the request of the other
-		for n, h := range generations[l.Member] {
-			if h != l.Hash {
+		s := span{read.Member, previous.To, read.From, -1, -1} // from the reply of one to the request of the other
+		for n, h := range generations[read.Member] {
+			if h != read.Hash {
 				continue
 			}
 			if s.first < 0 {
@@ -59,35 +59,35 @@
 		open = slices.DeleteFunc(open, func(o span) bool { return o.to < s.from })
 		for _, o := range open {
 			// A hash that a member has at several generations counts as the nearest.
-			if distance := max(s.first-o.last, o.first-s.last); distance > 1 && len(wrong) < maxReported {
-				wrong = append(wrong, fmt.Sprintf("%v: %s ran generation %d beside %s at %d", s.from.Round(time.Millisecond), s.member, s.first, o.member, o.first))
+			if distance := max(s.first-o.last, o.first-s.last); distance > 1 && len(violations) < maxReported {
+				violations = append(violations, fmt.Sprintf("%v: %s ran generation %d beside %s at %d", s.from.Round(time.Millisecond), s.member, s.first, o.member, o.first))
 			}
 		}
 		open = append(open, s)
 	}
-	return wrong
+	return violations
 }
 
 // maxReported bounds the violations that one check reports.
 const maxReported = 20
 
 // CheckOwners reports granted epochs of a member that decrease, and epochs with two owners.
-func CheckOwners(reads []StatusRead) (wrong []string) {
-	newest, of := make(map[string]uint64), make(map[uint64]string)
-	for _, l := range reads { // of one member in the order in which it answered
-		if l.Epoch < newest[l.Member] {
-			wrong = append(wrong, fmt.Sprintf("%s: epoch %d after %d", l.Member, l.Epoch, newest[l.Member]))
-		}
-		newest[l.Member] = max(newest[l.Member], l.Epoch)
-		if l.Epoch == 0 {
+func CheckOwners(reads []StatusRead) (violations []string) {
+	maxEpochs, owners := make(map[string]uint64), make(map[uint64]string)
+	for _, read := range reads { // of one member in the order in which it answered
+		if read.Epoch < maxEpochs[read.Member] {
+			violations = append(violations, fmt.Sprintf("%s: epoch %d after %d", read.Member, read.Epoch, maxEpochs[read.Member]))
+		}
+		maxEpochs[read.Member] = max(maxEpochs[read.Member], read.Epoch)
+		if read.Epoch == 0 {
 			continue
 		}
-		if o, ok := of[l.Epoch]; ok && o != l.Owner {
-			wrong = append(wrong, fmt.Sprintf("epoch %d is of two owners, %s and %s", l.Epoch, o, l.Owner))
+		if o, ok := owners[read.Epoch]; ok && o != read.Owner {
+			violations = append(violations, fmt.Sprintf("epoch %d is of two owners, %s and %s", read.Epoch, o, read.Owner))
 		}
-		of[l.Epoch] = l.Owner
+		owners[read.Epoch] = read.Owner
 	}
-	return wrong[:min(len(wrong), maxReported)]
+	return violations[:min(len(violations), maxReported)]
 }
 
 // MemberLog is what a member logged of coordinators.
@@ -101,7 +101,7 @@
 
 // Read reads a log. A command under an older epoch than one granted before, or by another owner, is a violation.
 // The line of a grant may be lost with the process.
-func (g *MemberLog) Read(member, log string, of map[uint64]string) {
+func (g *MemberLog) Read(member, log string, owners map[uint64]string) {
 	for line := range strings.Lines(log) {
 		_, rest, ok := strings.Cut(line, `msg="`)
 		if _, id, interrupted := strings.Cut(rest, "nothing of it remains\" id="); interrupted {
@@ -121,20 +121,20 @@
 			g.Wrong = append(g.Wrong, fmt.Sprintf("%s: epoch %d of %s after %d of %s: %s", member, epoch, fields["owner"], g.epoch, g.owner, strings.TrimSpace(rest)))
 		}
 		g.epoch, g.owner = epoch, fields["owner"]
-		if o, ok := of[epoch]; ok && o != g.owner {
+		if o, ok := owners[epoch]; ok && o != g.owner {
 			g.Wrong = append(g.Wrong, fmt.Sprintf("%s: epoch %d of %s is of %s elsewhere", member, epoch, g.owner, o))
 		}
-		of[epoch] = g.owner
+		owners[epoch] = g.owner
 		if grant {
 			g.Grants++
 			continue
 		}
-		g.addOrder(member, fields["id"])
+		g.addCommand(member, fields["id"])
 	}
 }
 
 // addOrder counts a command that was started. One that was started before is a violation.
-func (g *MemberLog) addOrder(member, id string) {
+func (g *MemberLog) addCommand(member, id string) {
 	g.Orders++
 	if g.started == nil {
 		g.started = make(map[string]bool)
@@ -158,16 +158,16 @@
 
 // MaxExcess returns the largest excess of requests over rate and burst in any interval. at is sorted.
 func MaxExcess(at []time.Duration, rate, burst float64) float64 {
-	worst, minimum := 0.0, 0.0
+	maxExcess, minimum := 0.0, 0.0
 	for n, t := range at {
 		// An interval from request k to request n has n-k+1 requests; minimum is the smallest k - rate*t_k.
 		v := float64(n) - rate*t.Seconds()
 		if n == 0 || v < minimum {
 			minimum = v
 		}
-		worst = max(worst, v-minimum+1-burst)
+		maxExcess = max(maxExcess, v-minimum+1-burst)
 	}
-	return worst
+	return maxExcess
 }
 
 // element is the answer of one pool to a query.
--- a/internal/trials/regiontrial/checks_test.go
+++ b/internal/trials/regiontrial/checks_test.go
@@ -12,8 +12,8 @@
 
 // Each check below finds what it is for, and nothing where all is well: here, neighbours that run settings
 // more than a phase apart.
-func TestNeighboursAreFound(t *testing.T) {
-	gens := map[string][]string{"a": {"a0", "a1", "a2"}, "b": {"b0", "b0", "b2"}, "c": {"c0", "c1", "c2"}}
+func TestCheckNeighbours(t *testing.T) {
+	generations := map[string][]string{"a": {"a0", "a1", "a2"}, "b": {"b0", "b0", "b2"}, "c": {"c0", "c1", "c2"}}
 	// runs is a member at a hash from one time to another, by looks of 2 ms.
 	runs := func(member, hash string, generation int, from, to time.Duration) (all []StatusRead) {
 		for at := from; at < to; at += 10 * ms {
@@ -22,8 +22,8 @@
 		return all
 	}
 	for name, tc := range map[string]struct {
-		looks []StatusRead
-		wrong int
+		reads      []StatusRead
+		violations int
 	}{
 		"in turn":           {slices.Concat(runs("a", "a0", 1, 0, 100*ms), runs("a", "a1", 2, 100*ms, 200*ms), runs("c", "c0", 1, 0, 150*ms), runs("c", "c1", 2, 150*ms, 200*ms)), 0},
 		"two apart":         {slices.Concat(runs("a", "a0", 1, 0, 100*ms), runs("c", "c0", 1, 0, 50*ms), runs("c", "c2", 3, 50*ms, 100*ms)), 1},
@@ -33,32 +33,32 @@
 		"not at one time":   {slices.Concat(runs("a", "a0", 1, 0, 50*ms), runs("c", "c2", 3, 60*ms, 100*ms)), 0},
 		"a process between": {[]StatusRead{{Member: "a", To: 1, PID: 1, Hash: "a0"}, {Member: "a", From: 99, To: 100, PID: 2, Hash: "a0"}, {Member: "c", To: 1, PID: 1, Hash: "c2"}, {Member: "c", From: 99, To: 100, PID: 1, Hash: "c2"}}, 0},
 	} {
-		if got := CheckNeighbours(tc.looks, gens); (len(got) > 0) != (tc.wrong > 0) {
+		if got := CheckNeighbours(tc.reads, generations); (len(got) > 0) != (tc.violations > 0) {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
 }
 
-func TestOwnersAreFound(t *testing.T) {
-	owned := func(all ...StatusRead) int { return len(CheckOwners(all)) }
-	if owned(StatusRead{Member: "a", Epoch: 1, Owner: "x"}, StatusRead{Member: "b", Epoch: 2, Owner: "y"}, StatusRead{Member: "a", Epoch: 2, Owner: "y"}) != 0 ||
-		owned(StatusRead{Member: "a", Epoch: 2, Owner: "y"}, StatusRead{Member: "a", Epoch: 1, Owner: "x"}) != 1 ||
-		owned(StatusRead{Member: "a", Epoch: 2, Owner: "y"}, StatusRead{Member: "b", Epoch: 2, Owner: "x"}) != 1 {
+func TestCheckOwners(t *testing.T) {
+	countViolations := func(all ...StatusRead) int { return len(CheckOwners(all)) }
+	if countViolations(StatusRead{Member: "a", Epoch: 1, Owner: "x"}, StatusRead{Member: "b", Epoch: 2, Owner: "y"}, StatusRead{Member: "a", Epoch: 2, Owner: "y"}) != 0 ||
+		countViolations(StatusRead{Member: "a", Epoch: 2, Owner: "y"}, StatusRead{Member: "a", Epoch: 1, Owner: "x"}) != 1 ||
+		countViolations(StatusRead{Member: "a", Epoch: 2, Owner: "y"}, StatusRead{Member: "b", Epoch: 2, Owner: "x"}) != 1 {
 		t.Error("owners")
 	}
 }
 
-func TestLogsAreRead(t *testing.T) {
+func TestMemberLog(t *testing.T) {
 	const (
-		grant = `level=INFO msg="coordinator epoch granted" epoch=%d owner=%s` + "\n"
-		begun = `level=INFO msg="command started" id=%s epoch=%d owner=%s kind=settings` + "\n"
-		cut   = `level=WARN msg="command interrupted by the end of its process, nothing of it remains" id=%s kind=settings` + "\n"
+		grant       = `level=INFO msg="coordinator epoch granted" epoch=%d owner=%s` + "\n"
+		started     = `level=INFO msg="command started" id=%s epoch=%d owner=%s kind=settings` + "\n"
+		interrupted = `level=WARN msg="command interrupted by the end of its process, nothing of it remains" id=%s kind=settings` + "\n"
 	)
 	for want, log := range map[string]string{
-		"":                 fmt.Sprintf(grant+begun+grant+begun+cut+begun, 3, "x", "1", 3, "x", 5, "y", "2", 5, "y", "2", "2", 5, "y"),
-		"after 5":          fmt.Sprintf(grant+begun, 5, "y", "1", 3, "x"),
-		"begun twice":      fmt.Sprintf(grant+begun+begun, 5, "y", "1", 5, "y", "1", 5, "y"),
-		"of x after 5":     fmt.Sprintf(grant+begun, 5, "y", "1", 5, "x"),
+		"":                 fmt.Sprintf(grant+started+grant+started+interrupted+started, 3, "x", "1", 3, "x", 5, "y", "2", 5, "y", "2", "2", 5, "y"),
+		"after 5":          fmt.Sprintf(grant+started, 5, "y", "1", 3, "x"),
+		"begun twice":      fmt.Sprintf(grant+started+started, 5, "y", "1", 5, "y", "1", 5, "y"),
+		"of x after 5":     fmt.Sprintf(grant+started, 5, "y", "1", 5, "x"),
 		"is of z":          fmt.Sprintf(grant, 9, "q"),
 		"epoch 4 of x aft": fmt.Sprintf(grant+grant, 5, "y", 4, "x"),
 	} {
@@ -70,20 +70,20 @@
 	}
 }
 
-func TestBeyondIsFound(t *testing.T) {
-	var even []time.Duration
+func TestMaxExcess(t *testing.T) {
+	var evenlySpaced []time.Duration
 	for i := range 100 {
-		even = append(even, time.Duration(i)*100*ms)
+		evenlySpaced = append(evenlySpaced, time.Duration(i)*100*ms)
 	}
-	if v := MaxExcess(even, 10, 1); v > 1e-9 {
+	if v := MaxExcess(evenlySpaced, 10, 1); v > 1e-9 {
 		t.Errorf("%g beyond 10 a second at 10 a second", v)
 	}
-	if v := MaxExcess(slices.Concat(even[:50], slices.Repeat([]time.Duration{even[50]}, 8), even[50:]), 10, 5); v < 3.9 || v > 4.1 {
+	if v := MaxExcess(slices.Concat(evenlySpaced[:50], slices.Repeat([]time.Duration{evenlySpaced[50]}, 8), evenlySpaced[50:]), 10, 5); v < 3.9 || v > 4.1 {
 		t.Errorf("%g beyond, with 8 more at once and 5 that may", v)
 	}
 }
 
-func TestClaimsAreHeld(t *testing.T) {
+func TestCheckParts(t *testing.T) {
 	body := func(pods ...string) string {
 		var all []string
 		for _, p := range pods {
@@ -93,7 +93,7 @@
 	}
 	for _, tc := range []struct {
 		parts, missing, body string
-		well                 bool
+		isValid              bool
 	}{
 		{"3/3", "", body("south", "north", "east"), true},
 		{"2/3", "here", body("north", "east"), true},
@@ -108,7 +108,7 @@
 		{"2/3", "east", strings.Replace(body("north", "south"), "7", "8", 1), false},
 		{"2/3", "east", "[", false},
 	} {
-		if err := CheckParts("south", "7", tc.parts, tc.missing, tc.body); (err == nil) != tc.well {
+		if err := CheckParts("south", "7", tc.parts, tc.missing, tc.body); (err == nil) != tc.isValid {
 			t.Errorf("%s without %q, %s: %v", tc.parts, tc.missing, tc.body, err)
 		}
 	}
--- a/internal/trials/regiontrial/clients.go
+++ b/internal/trials/regiontrial/clients.go
@@ -64,7 +64,7 @@
 }
 
 // work sends until ctx ends.
-func (c *client) work(ctx context.Context) {
+func (c *client) sendUntilDone(ctx context.Context) {
 	defer c.conn.Close()
 	for ctx.Err() == nil {
 		c.send(c.drawRequest())
@@ -77,21 +77,21 @@
 
 // send sends a request, records its outcome, and returns the status; 0 is none.
 func (c *client) send(q request) int {
-	c.notes.Requested(q.id)
+	c.exchanges.Requested(q.id)
 	started := time.Now()
 	resp, body, err := c.exchange(q) //nolint:bodyclose // exchange reads it to its end
 	if err != nil {
 		c.conn.Close()
-		why := "unexplained: "
+		prefix := "unexplained: "
 		if c.fixture.isClientFaultPossible(c.node, c.conn.DialedAt()) {
-			why = ""
+			prefix = ""
 		}
-		c.notes.Broken(q.id, fmt.Sprintf("%s%s %s after %v, on a connection of %v: %v", why, q.method, q.path, time.Since(started).Round(time.Millisecond),
+		c.exchanges.Broken(q.id, fmt.Sprintf("%s%s %s after %v, on a connection of %v: %v", prefix, q.method, q.path, time.Since(started).Round(time.Millisecond),
 			time.Since(c.conn.DialedAt()).Round(time.Millisecond), err))
 		return 0
 	}
-	c.notes.Answered(q.id, strconv.Itoa(resp.StatusCode))
-	c.answered(c.node, q, resp, body, c.fixture.isClientFaultPossible(c.node, c.conn.DialedAt()))
+	c.exchanges.Answered(q.id, strconv.Itoa(resp.StatusCode))
+	c.checkAnswer(c.node, q, resp, body, c.fixture.isClientFaultPossible(c.node, c.conn.DialedAt()))
 	if resp.Close {
 		c.conn.Close()
 	}
@@ -101,7 +101,7 @@
 // exchange sends a request and reads its answer.
 func (c *client) exchange(q request) (resp *http.Response, body string, err error) {
 	if unread := c.conn.Unread(); unread > 0 {
-		c.notes.Wrong("%s: %d bytes came behind an answer, before request %s", member(c.node), unread, q.id)
+		c.exchanges.Wrong("%s: %d bytes came behind an answer, before request %s", memberName(c.node), unread, q.id)
 		c.conn.Close()
 	}
 	resp, err = c.conn.Send(traffic.Request{
@@ -116,7 +116,7 @@
 
 // answered checks a final answer. excused tells that a fault on the client's side may have interrupted the
 // request.
-func (r *run) answered(node int, q request, resp *http.Response, body string, excused bool) {
+func (r *run) checkAnswer(node int, q request, resp *http.Response, body string, isFaultPossible bool) {
 	r.mu.Lock()
 	r.status[resp.StatusCode]++
 	r.mu.Unlock()
@@ -131,35 +131,35 @@
 			}
 			r.mu.Unlock()
 			if err := CheckParts(region, q.id, parts, missing, body); err != nil || q.path == "/write" {
-				r.notes.Wrong("request %s for %s: %v", q.id, q.path, err)
+				r.exchanges.Wrong("request %s for %s: %v", q.id, q.path, err)
 			}
 			return
 		}
 		if q.path == "/visits" {
-			r.notes.Wrong("request %s: a gathered answer that claims nothing: %.80q", q.id, body)
+			r.exchanges.Wrong("request %s: a gathered answer that claims nothing: %.80q", q.id, body)
 			return
 		}
 		if _, ran := r.effects.Load(q.id); q.path == "/write" && !ran {
-			r.notes.Wrong("request %s: answered 200, and no server has had it", q.id)
+			r.exchanges.Wrong("request %s: answered 200, and no server has had it", q.id)
 		}
 		var want strings.Builder
 		_, _ = io.Copy(&want, fake.PatternReader(q.answer))
 		if got := resp.Header.Get(traffic.IDField); got != q.id || body != want.String() {
-			r.notes.Wrong("request %s: an answer to %q of %d bytes instead of %d, or with others in it", q.id, got, len(body), q.answer)
+			r.exchanges.Wrong("request %s: an answer to %q of %d bytes instead of %d, or with others in it", q.id, got, len(body), q.answer)
 		}
 	case 502, 503, 504, 429:
 	case 400, 408:
-		if !excused {
-			r.notes.Wrong("request %s: answered %d, and it came whole", q.id, resp.StatusCode)
+		if !isFaultPossible {
+			r.exchanges.Wrong("request %s: answered %d, and it came whole", q.id, resp.StatusCode)
 		}
 	case http.StatusInternalServerError:
 		if !r.isHarmfulChangeActive.Load() || q.path != "/write" {
-			r.notes.Wrong("request %s: answered 500, which no server has sent", q.id)
+			r.exchanges.Wrong("request %s: answered 500, which no server has sent", q.id)
 		}
 		r.mu.Lock()
 		r.harmed++
 		r.mu.Unlock()
 	default:
-		r.notes.Wrong("request %s: answered %d by %s", q.id, resp.StatusCode, member(node))
+		r.exchanges.Wrong("request %s: answered %d by %s", q.id, resp.StatusCode, memberName(node))
 	}
 }
--- a/internal/trials/regiontrial/config.go
+++ b/internal/trials/regiontrial/config.go
@@ -12,7 +12,7 @@
 )
 
 //go:embed config.toml
-var template string
+var settingsTemplate string
 
 // regionNames are the regions of a trial, in the order of a gathered answer.
 var regionNames = []string{"north", "south", "east"}
@@ -53,11 +53,11 @@
 		}
 		names = append(names, name)
 		fmt.Fprintf(&otherServices, "[services.%s]\nconnect_timeout = \"200ms\"\nidle = \"5s\"\nplans = [\"free\"]\nsource = { kind = \"static\", servers = [%s] }\n", name,
-			list(name, r.fixture.entry(i)))
+			serverList(name, r.fixture.listenerAddrs(i)))
 	}
 	gather := fmt.Sprintf("parts = [%q, %q, %q]\nweights = [2, 1, 1]\nleast = 0.5\nhalf_life = \"300ms\"\ndeadline = \"learned\"\n", names[0], names[1], names[2])
 	routes := "[[routes]]\nname = \"list\"\nservice = \"app\"\npath = \"/list\"\n"
-	app := list("app-"+regionNames[region], r.fixture.apps(region))
+	app := serverList("app-"+regionNames[region], r.fixture.appAddrs(region))
 	if k != before {
 		gold, silver = unitsHigh, unitsLow
 		gather = fmt.Sprintf("parts = [%q, %q, %q]\nleast = 0.3\nhalf_life = \"200ms\"\ndeadline = \"400ms\"\n", names[1], names[0], names[2])
@@ -67,20 +67,20 @@
 		routes += fmt.Sprintf(partRoute, "district-part", "/visits")
 	}
 	if k == harmful {
-		app = list("failing", []string{r.failing.Addr})
+		app = serverList("failing", []string{r.failing.Addr})
 	}
 	fmt.Fprint(&servers, otherServices.String())
 	return strings.NewReplacer("@instances", strconv.Itoa(r.nodes()), "@gold", strconv.Itoa(gold), "@silver", strconv.Itoa(silver),
-		"@app", app, "@customers", r.customersFile(), "@here", list("here-"+regionNames[region], []string{r.fixture.pool(region)}),
-		"@others", servers.String(), "@gather", gather, "@routes", routes).Replace(template)
+		"@app", app, "@customers", r.customersFile(), "@here", serverList("here-"+regionNames[region], []string{r.fixture.poolAddr(region)}),
+		"@others", servers.String(), "@gather", gather, "@routes", routes).Replace(settingsTemplate)
 }
 
-func list(name string, addrs []string) string {
-	var all []string
+func serverList(name string, addrs []string) string {
+	var entries []string
 	for i, a := range addrs {
-		all = append(all, fmt.Sprintf("{ uid = \"%s-%d\", endpoint = %q }", name, i, a))
+		entries = append(entries, fmt.Sprintf("{ uid = \"%s-%d\", endpoint = %q }", name, i, a))
 	}
-	return strings.Join(all, ", ")
+	return strings.Join(entries, ", ")
 }
 
 func (r *run) customersFile() string { return filepath.Join(r.options.Dir, "customers.csv") }
@@ -103,7 +103,7 @@
 			members = append(members, strconv.Quote(r.fixture.control(i*r.options.NodesPerRegion+n).Addr()))
 		}
 		fmt.Fprintf(&file, "[regions.%s]\nconfig = %q\nlisteners = [%q, %q]\nmembers = [%s]\nzone = %q\n", region, region+".toml",
-			r.fixture.entry(i)[0], r.fixture.entry(i)[1], strings.Join(members, ", "), region)
+			r.fixture.listenerAddrs(i)[0], r.fixture.listenerAddrs(i)[1], strings.Join(members, ", "), region)
 	}
 	file.WriteString("[[waivers]]\nkind = \"service\"\nregions = [\"north\", \"south\", \"east\"]\nrules = [\"list\", \"list-part\"]\n" +
 		"reason = \"the list is gathered from this change on\"\nuntil = 2099-12-31\n")
--- a/internal/trials/regiontrial/fixture.go
+++ b/internal/trials/regiontrial/fixture.go
@@ -21,33 +21,33 @@
 
 // perRegion is how many links a region has: two to its listeners for other regions, two to its app's
 // servers, one to its pool. Those of nodes come first: to each, its clients' and its control socket's.
-const perRegion = 5
+const linksPerRegion = 5
 
 // Links returns the number of links of a trial with each nodes a region.
-func Links(each int) int { return regionCount * (2*each + perRegion) }
+func Links(nodesPerRegion int) int { return regionCount * (2*nodesPerRegion + linksPerRegion) }
 
 // Place returns a description of a link.
-func Place(each, n int) string {
-	nodes := regionCount * each
+func Place(nodesPerRegion, n int) string {
+	nodes := regionCount * nodesPerRegion
 	if n < 2*nodes {
-		return []string{"clients to ", "coordinators to "}[n%2] + member(n/2)
+		return []string{"clients to ", "coordinators to "}[n%2] + memberName(n/2)
 	}
 	n -= 2 * nodes
-	region, at := regionNames[n/perRegion], n%perRegion
+	region, position := regionNames[n/linksPerRegion], n%linksPerRegion
 	return [...]string{
 		"regions to the first listener of ", "regions to the second listener of ", region + " to app 0 of ", region + " to app 1 of ",
 		region + " to the pool of ",
-	}[at] + region
+	}[position] + region
 }
 
-func member(i int) string { return fmt.Sprint("node-", i) }
+func memberName(i int) string { return fmt.Sprint("node-", i) }
 
 // fixture has the links and processes of a trial, and the faults that clients may have met.
 type fixture struct {
-	each  int
-	dir   string
-	links []*faultnet.Link
-	procs []*faultnet.Process
+	nodesPerRegion int
+	dir            string
+	links          []*faultnet.Link
+	procs          []*faultnet.Process
 
 	starts sync.WaitGroup
 	faults traffic.Faults[int] // by the node whose clients they affect
@@ -57,46 +57,49 @@
 
 func (g *fixture) client(node int) *faultnet.Link  { return g.links[2*node] }
 func (g *fixture) control(node int) *faultnet.Link { return g.links[2*node+1] }
-func (g *fixture) regionLink(region, at int) *faultnet.Link {
-	return g.links[regionCount*2*g.each+region*perRegion+at]
+func (g *fixture) regionLink(region, position int) *faultnet.Link {
+	return g.links[regionCount*2*g.nodesPerRegion+region*linksPerRegion+position]
 }
 
-func (g *fixture) entry(region int) []string {
+func (g *fixture) listenerAddrs(region int) []string {
 	return []string{g.regionLink(region, 0).Addr(), g.regionLink(region, 1).Addr()}
 }
 
-func (g *fixture) apps(region int) []string {
+func (g *fixture) appAddrs(region int) []string {
 	return []string{g.regionLink(region, 2).Addr(), g.regionLink(region, 3).Addr()}
 }
-func (g *fixture) pool(region int) string { return g.regionLink(region, 4).Addr() }
+func (g *fixture) poolAddr(region int) string { return g.regionLink(region, 4).Addr() }
 
-func (g *fixture) socket(i int) string { return filepath.Join(g.dir, strconv.Itoa(i), "c.sock") }
-func (g *fixture) file(i int) string   { return filepath.Join(g.dir, strconv.Itoa(i), "lockflow.toml") }
+func (g *fixture) controlSocket(i int) string { return filepath.Join(g.dir, strconv.Itoa(i), "c.sock") }
+
+func (g *fixture) settingsPath(i int) string {
+	return filepath.Join(g.dir, strconv.Itoa(i), "lockflow.toml")
+}
 
 // redirectLinks leads a process's links to its address: its clients', and other regions' if it is one of the first.
 func (g *fixture) redirectLinks(i int, addr string) {
 	g.client(i).To(addr)
-	if at := i % g.each; at < 2 {
-		g.regionLink(i/g.each, at).To(addr)
+	if position := i % g.nodesPerRegion; position < 2 {
+		g.regionLink(i/g.nodesPerRegion, position).To(addr)
 	}
-	if g.each == 1 {
+	if g.nodesPerRegion == 1 {
 		g.regionLink(i, 1).To(addr)
 	}
 }
 
 // openLinks opens the links, to the fake servers of each region: two apps and a pool.
 func (g *fixture) openLinks(servers [][3]string) error {
-	var to []string
-	for i := range regionCount * g.each {
+	var targets []string
+	for i := range regionCount * g.nodesPerRegion {
 		if err := os.MkdirAll(filepath.Join(g.dir, strconv.Itoa(i), "state"), 0o700); err != nil {
 			return fmt.Errorf("a trial: %w", err)
 		}
-		to = append(to, unusedAddr, g.socket(i))
+		targets = append(targets, unusedAddr, g.controlSocket(i))
 	}
 	for _, s := range servers {
-		to = append(to, unusedAddr, unusedAddr, s[0], s[1], s[2])
+		targets = append(targets, unusedAddr, unusedAddr, s[0], s[1], s[2])
 	}
-	for _, addr := range to {
+	for _, addr := range targets {
 		l, err := faultnet.Listen(addr)
 		if err != nil {
 			return err
@@ -108,12 +111,12 @@
 
 // start starts all processes and waits until they are ready.
 func (g *fixture) start(ctx context.Context, program string) error {
-	for i := range regionCount * g.each {
+	for i := range regionCount * g.nodesPerRegion {
 		dir := filepath.Join(g.dir, strconv.Itoa(i))
 		state := filepath.Join(dir, "state")
 		g.procs = append(g.procs, &process.Process{Path: program, Log: filepath.Join(dir, "log"), State: state, Args: []string{
-			"serve", "--config", g.file(i),
-			"--control", g.socket(i), "--state", state,
+			"serve", "--config", g.settingsPath(i),
+			"--control", g.controlSocket(i), "--state", state,
 		}})
 		if err := g.procs[i].Start(); err != nil {
 			return err
@@ -141,24 +144,24 @@
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for {
-		s, err := manage.Client{Path: g.socket(i)}.Status(ctx)
+		s, err := manage.Client{Path: g.controlSocket(i)}.Status(ctx)
 		if err == nil && s.PID == g.procs[i].PID() && s.IsReady() && len(s.Listeners) > 0 {
 			g.redirectLinks(i, s.Listeners[0])
 			return nil
 		}
 		if !g.procs[i].Runs() {
-			return fmt.Errorf("%s has ended: %w; %s", member(i), g.procs[i].Wait(), g.tail(i))
+			return fmt.Errorf("%s has ended: %w; %s", memberName(i), g.procs[i].Wait(), g.logTail(i))
 		}
 		select {
 		case <-time.After(pollInterval):
 		case <-ctx.Done():
-			return fmt.Errorf("%s is not up: %w, %w; %s", member(i), ctx.Err(), err, g.tail(i))
+			return fmt.Errorf("%s is not up: %w, %w; %s", memberName(i), ctx.Err(), err, g.logTail(i))
 		}
 	}
 }
 
 // tail returns the end of a node's log.
-func (g *fixture) tail(i int) string {
+func (g *fixture) logTail(i int) string {
 	raw, err := os.ReadFile(g.procs[i].Log)
 	if err != nil {
 		return err.Error()
@@ -189,7 +192,7 @@
 }
 
 // afterStep records the end of faults: that of a kill when clients can reach the new process.
-func (g *fixture) afterStep(ev faultnet.Event, wrong func(string, ...any)) {
+func (g *fixture) afterStep(ev faultnet.Event, reportViolation func(string, ...any)) {
 	for _, e := range ev.Step.Begins {
 		if e.Kind == script.Kill {
 			g.redirectLinks(e.On, unusedAddr) // the port may be another's by now
@@ -208,7 +211,7 @@
 			// If it is killed again meanwhile, the start after that counts.
 			starts := g.procs[i].Starts()
 			if err := g.awaitReady(context.Background(), i); err != nil && g.procs[i].Runs() && g.procs[i].Starts() == starts {
-				wrong("%v", err)
+				reportViolation("%v", err)
 			}
 			g.faults.End(i)
 		})
@@ -222,9 +225,9 @@
 }
 
 // Draw draws a script for a trial with each nodes a region.
-func Draw(seed uint64, each, faults int, duration time.Duration) faultnet.Script {
+func Draw(seed uint64, nodesPerRegion, faults int, duration time.Duration) faultnet.Script {
 	return faultnet.Draw(seed, faultnet.Spec{
-		Links: Links(each), Procs: regionCount * each, For: duration, Faults: faults,
+		Links: Links(nodesPerRegion), Procs: regionCount * nodesPerRegion, For: duration, Faults: faults,
 		ProcKinds: []script.Kind{script.Kill, script.Pause, script.Full, script.ReadOnly},
 	})
 }
--- a/internal/trials/regiontrial/report.go
+++ b/internal/trials/regiontrial/report.go
@@ -41,13 +41,13 @@
 func (r *run) judge(rep *Report) {
 	for i, p := range r.fixture.procs {
 		if !p.Runs() {
-			r.notes.Wrong("%s has ended by itself: %v; %s", member(i), p.Wait(), r.fixture.tail(i))
+			r.exchanges.Wrong("%s has ended by itself: %v; %s", memberName(i), p.Wait(), r.fixture.logTail(i))
 		}
 	}
 	for _, g := range r.generationsByMember {
 		rep.Phases = max(rep.Phases, len(g)-1)
 	}
-	wrong := append(CheckNeighbours(r.statusReads, r.generationsByMember), CheckOwners(r.statusReads)...)
+	violations := append(CheckNeighbours(r.statusReads, r.generationsByMember), CheckOwners(r.statusReads)...)
 	owners := make(map[uint64]string)
 	for _, l := range r.statusReads {
 		if l.Epoch > 0 {
@@ -57,26 +57,26 @@
 	for i, p := range r.fixture.procs {
 		raw, err := os.ReadFile(p.Log)
 		if err != nil {
-			r.notes.Wrong("%s: %v", member(i), err)
+			r.exchanges.Wrong("%s: %v", memberName(i), err)
 		}
 		var g MemberLog
-		g.Read(member(i), string(raw), owners)
-		wrong = append(wrong, g.Wrong...)
+		g.Read(memberName(i), string(raw), owners)
+		violations = append(violations, g.Wrong...)
 		rep.Orders += g.Orders
 	}
 	for _, c := range customers {
-		at := slices.Clone(r.sent.times[c])
+		at := slices.Clone(r.forwarded.times[c])
 		slices.Sort(at)
 		rep.Metered += len(at)
 		// The change switches between two limits; the larger one holds for all. A bucket starts with its burst at most.
 		excess := MaxExcess(at, unitsHigh, unitsHigh)
-		if rep.MaxExcess = max(rep.MaxExcess, excess); excess > float64(slack(r.nodes())) {
-			wrong = append(wrong, fmt.Sprintf("customer %s: %.1f requests beyond its hard limit", c, excess))
+		if rep.MaxExcess = max(rep.MaxExcess, excess); excess > float64(allowedExcess(r.nodes())) {
+			violations = append(violations, fmt.Sprintf("customer %s: %.1f requests beyond its hard limit", c, excess))
 		}
 	}
-	rep.Wrong = append(wrong, r.notes.Check(func(why string) bool { return !strings.HasPrefix(why, "unexplained") })...)
-	rep.Requests, _ = r.notes.Counts()
-	rep.Effects = r.notes.Effects()
+	rep.Wrong = append(violations, r.exchanges.Check(func(why string) bool { return !strings.HasPrefix(why, "unexplained") })...)
+	rep.Requests, _ = r.exchanges.Counts()
+	rep.Effects = r.exchanges.Effects()
 	rep.Served, rep.Gathered, rep.Partial, rep.HarmedRequests = r.status[200], r.gathered, r.partial, r.harmed
 	for s, n := range r.status {
 		_ = s
@@ -84,9 +84,9 @@
 	}
 	rep.Broken = rep.Requests - rep.Broken
 	rep.KilledCoordinators, rep.Decisions, rep.Kills, rep.Epochs, rep.StatusReads = r.coordinatorsKilled, r.decisions, r.fixture.kills, len(owners), len(r.statusReads)
-	rep.Duration = time.Since(r.began)
+	rep.Duration = time.Since(r.startedAt)
 }
 
 // slack is the allowed excess over hard limits, in requests: an account that is charged at several instances at
 // once is counted in parts, each of which may be rounded up.
-func slack(nodes int) int { return nodes }
+func allowedExcess(nodes int) int { return nodes }
--- a/internal/trials/regiontrial/servers.go
+++ b/internal/trials/regiontrial/servers.go
@@ -25,7 +25,7 @@
 	times   map[string][]time.Duration
 }
 
-func (s *forwardedRequests) note(customer string) {
+func (s *forwardedRequests) record(customer string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.times == nil {
@@ -37,8 +37,8 @@
 }
 
 // startServer starts a fake server. Its unexpected end is a violation.
-func startServer(notes *history.Exchanges, handle http.HandlerFunc) (*traffic.Server, error) {
-	return traffic.StartServer(handle, func(err error) { notes.Wrong("a fake server has ended: %v", err) })
+func startServer(exchanges *history.Exchanges, handle http.HandlerFunc) (*traffic.Server, error) {
+	return traffic.StartServer(handle, func(err error) { exchanges.Wrong("a fake server has ended: %v", err) })
 }
 
 // pool answers queries with one element.
@@ -56,11 +56,11 @@
 			return // the request is incomplete: no effect
 		}
 		if c := q.Header.Get(fieldCustomer); c != "" {
-			r.sent.note(c)
+			r.forwarded.record(c)
 		}
 		id := q.Header.Get(traffic.IDField)
 		if q.Method == http.MethodPost {
-			r.notes.Effect(id, region)
+			r.exchanges.Effect(id, region)
 			r.effects.Store(id, true)
 		}
 		time.Sleep(serverWork)
@@ -68,4 +68,6 @@
 	}
 }
 
-func fails(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }
+func respondError(w http.ResponseWriter, _ *http.Request) {
+	w.WriteHeader(http.StatusInternalServerError)
+}
--- a/internal/trials/regiontrial/trial.go
+++ b/internal/trials/regiontrial/trial.go
@@ -49,14 +49,14 @@
 type run struct {
 	options               Options
 	fixture               *fixture
-	notes                 *history.Exchanges
-	sent                  forwardedRequests
+	exchanges             *history.Exchanges
+	forwarded             forwardedRequests
 	servers               []*traffic.Server
 	failing               *traffic.Server
 	effects               sync.Map // ids of writes whose effect happened
 	isHarmfulChangeActive atomic.Bool
 	rng                   *rand.Rand
-	began                 time.Time
+	startedAt             time.Time
 
 	mu                  sync.Mutex
 	status              map[int]int // of answers
@@ -75,8 +75,8 @@
 // the report.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	r := &run{
-		options: o, fixture: &fixture{each: o.NodesPerRegion, dir: o.Dir}, notes: &history.Exchanges{}, status: make(map[int]int), generationsByMember: make(map[string][]string),
-		rng: rand.New(rand.NewPCG(o.Script.Seed, 0xa70ce)), began: time.Now(),
+		options: o, fixture: &fixture{nodesPerRegion: o.NodesPerRegion, dir: o.Dir}, exchanges: &history.Exchanges{}, status: make(map[int]int), generationsByMember: make(map[string][]string),
+		rng: rand.New(rand.NewPCG(o.Script.Seed, 0xa70ce)), startedAt: time.Now(),
 	}
 	player, err := faultnet.NewPlayer(o.Script, make([]*faultnet.Link, Links(o.NodesPerRegion)), make([]*faultnet.Process, r.nodes()))
 	if err != nil {
@@ -89,24 +89,24 @@
 		return nil, err
 	}
 	player.Links, player.Procs, player.Before = r.fixture.links, r.fixture.procs, r.fixture.beforeStep
-	player.Done = func(ev faultnet.Event) { r.fixture.afterStep(ev, r.notes.Wrong) }
+	player.Done = func(ev faultnet.Event) { r.fixture.afterStep(ev, r.exchanges.Wrong) }
 
-	working, stop := context.WithCancel(ctx)
+	untilStopped, stop := context.WithCancel(ctx)
 	defer stop()
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	for i := range r.nodes() {
 		for n := range o.Clients {
 			c := r.client(i, n)
-			all.Go(func() { c.work(working) })
+			workers.Go(func() { c.sendUntilDone(untilStopped) })
 		}
-		all.Go(func() { r.readStatus(working, i) })
+		workers.Go(func() { r.readStatus(untilStopped, i) })
 	}
-	err = r.underFaults(ctx, player, rep, hashes, files)
+	err = r.changeUnderFaults(ctx, player, rep, hashes, files)
 	if err == nil {
-		err = r.afterFaults(ctx, rep, hashes, files)
+		err = r.completeAfterFaults(ctx, rep, hashes, files)
 	}
 	stop()
-	all.Wait()
+	workers.Wait()
 	if err = errors.Join(err, ctx.Err()); err != nil { // an interrupted trial proves nothing
 		return nil, err
 	}
@@ -119,12 +119,12 @@
 	var addresses [][3]string
 	for _, name := range regionNames {
 		var addrs [3]string
-		for n, handle := range []func(string) (*traffic.Server, error){
-			func(name string) (*traffic.Server, error) { return startServer(r.notes, r.app(name)) },
-			func(name string) (*traffic.Server, error) { return startServer(r.notes, r.app(name)) },
-			func(name string) (*traffic.Server, error) { return startServer(r.notes, r.pool(name)) },
+		for n, startOne := range []func(string) (*traffic.Server, error){
+			func(name string) (*traffic.Server, error) { return startServer(r.exchanges, r.app(name)) },
+			func(name string) (*traffic.Server, error) { return startServer(r.exchanges, r.app(name)) },
+			func(name string) (*traffic.Server, error) { return startServer(r.exchanges, r.pool(name)) },
 		} {
-			s, err := handle(name)
+			s, err := startOne(name)
 			if err != nil {
 				return nil, nil, err
 			}
@@ -132,7 +132,7 @@
 		}
 		addresses = append(addresses, addrs)
 	}
-	if r.failing, err = startServer(r.notes, fails); err != nil {
+	if r.failing, err = startServer(r.exchanges, respondError); err != nil {
 		return nil, nil, err
 	}
 	r.servers = append(r.servers, r.failing)
@@ -153,18 +153,18 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		found := slices.DeleteFunc(f.Waive(regions.Check(f.Regions()), time.Now()), func(c regions.Conflict) bool { return c.Severity != regions.Error })
-		if (len(found) > 0) != (k == conflicting) {
-			r.notes.Wrong("%s: %d conflicts: %+v", files[k], len(found), found)
+		conflicts := slices.DeleteFunc(f.Waive(regions.Check(f.Regions()), time.Now()), func(c regions.Conflict) bool { return c.Severity != regions.Error })
+		if (len(conflicts) > 0) != (k == conflicting) {
+			r.exchanges.Wrong("%s: %d conflicts: %+v", files[k], len(conflicts), conflicts)
 		}
 	}
 	for i := range r.nodes() {
-		r.notes.WantGeneration(hashes[before][i/r.options.NodesPerRegion])
-		if err := os.WriteFile(r.fixture.file(i), []byte(r.settingsText(i/r.options.NodesPerRegion, before)), 0o600); err != nil {
+		r.exchanges.WantGeneration(hashes[before][i/r.options.NodesPerRegion])
+		if err := os.WriteFile(r.fixture.settingsPath(i), []byte(r.settingsText(i/r.options.NodesPerRegion, before)), 0o600); err != nil {
 			return nil, nil, fmt.Errorf("a trial: %w", err)
 		}
 	}
-	r.sent.started = time.Now()
+	r.forwarded.started = time.Now()
 	if err := r.fixture.start(ctx, r.options.Program); err != nil {
 		return nil, nil, err
 	}
@@ -180,10 +180,10 @@
 
 // underFaults checks that the conflicting change is rejected and rolls the valid one out while the script
 // runs. The coordinator is killed twice; in between another one, with a rollout log of its own, is killed too.
-func (r *run) underFaults(ctx context.Context, player *faultnet.Player, rep *Report, hashes map[kind][]string, files map[kind]string) error {
+func (r *run) changeUnderFaults(ctx context.Context, player *faultnet.Player, rep *Report, hashes map[kind][]string, files map[kind]string) error {
 	// The intermediate settings are known once they are in a rollout log, before any command is sent.
 	for _, h := range hashes[after] {
-		r.notes.WantGeneration(h)
+		r.exchanges.WantGeneration(h)
 	}
 	played := make(chan error, 1)
 	go func() {
@@ -194,23 +194,23 @@
 		if err := r.expectRejection(ctx, files[conflicting]); err != nil {
 			return err
 		}
-		soft := []string{"--unjudged", "--bake", "100ms", "--bake-most", "5s"}
-		e, err := r.startChange(ctx, files[after], 2+r.rng.IntN(12), soft...)
+		unjudgedFlags := []string{"--unjudged", "--bake", "100ms", "--bake-most", "5s"}
+		e, err := r.startChange(ctx, files[after], 2+r.rng.IntN(12), unjudgedFlags...)
 		if err != nil {
 			return err
 		}
 		rep.ExitCodes = append(rep.ExitCodes, e.exitCode)
-		second := r.flags(files[after], "second", soft...)
+		second := r.changeFlags(files[after], "second", unjudgedFlags...)
 		for _, step := range []struct {
 			kill int
 			args []string
-		}{{2 + r.rng.IntN(12), second}, {2 + r.rng.IntN(16), r.flags(files[after], "journal", "--resume")}, {0, r.flags(files[after], "journal", "--resume")}} {
+		}{{2 + r.rng.IntN(12), second}, {2 + r.rng.IntN(16), r.changeFlags(files[after], "journal", "--resume")}, {0, r.changeFlags(files[after], "journal", "--resume")}} {
 			if e, err = r.runCoordinator(ctx, step.kill, step.args...); err != nil {
 				return err
 			}
 			rep.ExitCodes = append(rep.ExitCodes, e.exitCode)
 			if e.exitCode != exitCompleted && e.exitCode != exitRolledBack && e.exitCode != exitUndecided && e.exitCode != exitKilled {
-				r.notes.Wrong("a coordinator: exit %d: %s", e.exitCode, e.output)
+				r.exchanges.Wrong("a coordinator: exit %d: %s", e.exitCode, e.output)
 			}
 		}
 		return nil
@@ -220,43 +220,43 @@
 	}
 	r.fixture.starts.Wait()
 	for _, name := range []string{"journal", "second"} {
-		err = errors.Join(err, r.noteGenerations(name))
+		err = errors.Join(err, r.recordGenerations(name))
 	}
 	return err
 }
 
 // afterFaults checks the end of the change, completes it if necessary, and runs a harmful change.
-func (r *run) afterFaults(ctx context.Context, rep *Report, hashes map[kind][]string, files map[kind]string) error {
+func (r *run) completeAfterFaults(ctx context.Context, rep *Report, hashes map[kind][]string, files map[kind]string) error {
 	if err := r.awaitServing(ctx); err != nil {
-		r.notes.Wrong("%v", err)
+		r.exchanges.Wrong("%v", err)
 		return ctx.Err()
 	}
 	var outputs []string
-	last := rep.ExitCodes[len(rep.ExitCodes)-1]
+	lastExitCode := rep.ExitCodes[len(rep.ExitCodes)-1]
 	for tries := 0; ; tries++ {
 		k, isUniform, description := r.fleetState(ctx, hashes)
-		if isUniform && (k == before || k == after) && (tries > 0 || last != exitUndecided) {
+		if isUniform && (k == before || k == after) && (tries > 0 || lastExitCode != exitUndecided) {
 			rep.Changed, rep.ExtraCoordinators = k == after, tries
-			if tries == 0 && last == exitCompleted && !rep.Changed {
-				r.notes.Wrong("the change ended with %v, and all run the old settings", rep.ExitCodes)
+			if tries == 0 && lastExitCode == exitCompleted && !rep.Changed {
+				r.exchanges.Wrong("the change ended with %v, and all run the old settings", rep.ExitCodes)
 			}
 			break
 		}
-		if tries == 0 && last != exitUndecided {
-			r.notes.Wrong("the change ended with %v, and members run different settings:%s", rep.ExitCodes, description)
+		if tries == 0 && lastExitCode != exitUndecided {
+			r.exchanges.Wrong("the change ended with %v, and members run different settings:%s", rep.ExitCodes, description)
 		}
 		if tries == 4 {
-			r.notes.Wrong("the members do not all come to one state:%s; %s", description, strings.Join(outputs, "\n"))
+			r.exchanges.Wrong("the members do not all come to one state:%s; %s", description, strings.Join(outputs, "\n"))
 			return nil
 		}
 		// A member that the second coordinator left at one of its own generations runs settings that the first
 		// one's rollout log doesn't have: the first one ends undecided, and the second one's log rolls it back.
 		recovery := [][]string{{"journal", "--resume"}, {"second", "--take-back"}, {"journal", "--resume"}, {"journal", "--take-back"}}[tries]
-		what, err := r.resumeChange(ctx, files[after], recovery[0], recovery[1])
+		outcome, err := r.resumeChange(ctx, files[after], recovery[0], recovery[1])
 		if err != nil {
 			return err
 		}
-		outputs = append(outputs, what)
+		outputs = append(outputs, outcome)
 	}
 	if !rep.Changed {
 		if changed, err := r.changeWithoutFaults(ctx, hashes, files); err != nil || !changed {
@@ -272,7 +272,7 @@
 	if c, err := r.readRolloutLog(journal); err != nil || c == nil {
 		return fmt.Sprintf("%s: no change was started, %v", journal, err), nil
 	}
-	e, err := r.runCoordinator(ctx, 0, r.flags(file, journal, flag)...)
+	e, err := r.runCoordinator(ctx, 0, r.changeFlags(file, journal, flag)...)
 	if err != nil {
 		return "", err
 	}
@@ -281,15 +281,15 @@
 
 // changeWithoutFaults rolls the change out without faults.
 func (r *run) changeWithoutFaults(ctx context.Context, hashes map[kind][]string, files map[kind]string) (changed bool, err error) {
-	e, err := r.runCoordinator(ctx, 0, r.flags(files[after], "journal", "--unjudged", "--bake", "100ms", "--bake-most", "5s")...)
+	e, err := r.runCoordinator(ctx, 0, r.changeFlags(files[after], "journal", "--unjudged", "--bake", "100ms", "--bake-most", "5s")...)
 	if err != nil {
 		return false, err
 	}
-	if err := r.noteGenerations("journal"); err != nil {
+	if err := r.recordGenerations("journal"); err != nil {
 		return false, err
 	}
 	if k, isUniform, description := r.fleetState(ctx, hashes); e.exitCode != exitCompleted || !isUniform || k != after {
-		r.notes.Wrong("without faults the change ends with %d:%s: %s", e.exitCode, description, e.output[max(len(e.output)-1500, 0):])
+		r.exchanges.Wrong("without faults the change ends with %d:%s: %s", e.exitCode, description, e.output[max(len(e.output)-1500, 0):])
 		return false, nil
 	}
 	return true, nil
@@ -299,17 +299,17 @@
 // that ran it.
 func (r *run) runHarmfulChange(ctx context.Context, rep *Report, hashes map[kind][]string, files map[kind]string) error {
 	for _, h := range hashes[harmful] {
-		r.notes.WantGeneration(h)
+		r.exchanges.WantGeneration(h)
 	}
 	r.isHarmfulChangeActive.Store(true)
 	started := time.Now()
-	e, err := r.runCoordinator(ctx, 0, r.flags(files[harmful], "harmful", "--bake", r.options.Bake.String(), "--bake-most", "40s")...)
+	e, err := r.runCoordinator(ctx, 0, r.changeFlags(files[harmful], "harmful", "--bake", r.options.Bake.String(), "--bake-most", "40s")...)
 	if err != nil {
 		return err
 	}
 	rep.RollbackDuration = time.Since(started)
 	if k, isUniform, description := r.fleetState(ctx, hashes); e.exitCode != exitRolledBack || !isUniform || k != after || !strings.Contains(e.output, "1 taken back") {
-		r.notes.Wrong("a harmful change ends with %d:%s: %s", e.exitCode, description, e.output[max(len(e.output)-1500, 0):])
+		r.exchanges.Wrong("a harmful change ends with %d:%s: %s", e.exitCode, description, e.output[max(len(e.output)-1500, 0):])
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -328,15 +328,15 @@
 	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	for i := range r.nodes() {
-		c := r.client(i, 1000+int(time.Since(r.began)/time.Millisecond)) // with ids of its own
+		c := r.client(i, 1000+int(time.Since(r.startedAt)/time.Millisecond)) // with ids of its own
 		defer c.conn.Close()
-		for well := make(map[string]bool); len(well) < 2; {
+		for served := make(map[string]bool); len(served) < 2; {
 			q := c.drawRequest()
-			if q.customer == "" && q.path != "/list" && !well[q.path] && c.send(q) == 200 {
-				well[q.path] = true
+			if q.customer == "" && q.path != "/list" && !served[q.path] && c.send(q) == 200 {
+				served[q.path] = true
 			}
 			if ctx.Err() != nil {
-				return fmt.Errorf("%s serves only %v: %w; %s", member(i), well, ctx.Err(), r.fixture.tail(i))
+				return fmt.Errorf("%s serves only %v: %w; %s", memberName(i), served, ctx.Err(), r.fixture.logTail(i))
 			}
 		}
 	}
@@ -345,18 +345,18 @@
 
 // readStatus reads a member's status, without the links, until ctx ends.
 func (r *run) readStatus(ctx context.Context, i int) {
-	c := manage.Client{Path: r.fixture.socket(i)}
+	c := manage.Client{Path: r.fixture.controlSocket(i)}
 	for ctx.Err() == nil {
 		callCtx, cancel := context.WithTimeout(ctx, statusTimeout)
-		from := time.Since(r.began)
+		from := time.Since(r.startedAt)
 		s, err := c.Status(callCtx)
-		to := time.Since(r.began)
+		to := time.Since(r.startedAt)
 		cancel()
 		if err == nil {
-			r.notes.Reported(member(i), s.ConfigHash)
+			r.exchanges.Reported(memberName(i), s.ConfigHash)
 			r.mu.Lock()
 			if len(r.statusReads) < maxStatusReads {
-				r.statusReads = append(r.statusReads, StatusRead{member(i), from, to, s.PID, s.Generation, s.ConfigHash, s.Epoch, s.Owner})
+				r.statusReads = append(r.statusReads, StatusRead{memberName(i), from, to, s.PID, s.Generation, s.ConfigHash, s.Epoch, s.Owner})
 			}
 			r.mu.Unlock()
 		}
--- a/internal/trials/regiontrial/trial_test.go
+++ b/internal/trials/regiontrial/trial_test.go
@@ -11,10 +11,10 @@
 )
 
 // The test's own program is the node and the coordinator where this variable is set.
-const role = "LOCKFLOW_TEST_REGIONS"
+const roleVariable = "LOCKFLOW_TEST_REGIONS"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(role) != "" {
+	if os.Getenv(roleVariable) != "" {
 		os.Exit(command.Main(os.Args[1:]))
 	}
 	os.Exit(m.Run())
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Setenv(role, "1")
+	t.Setenv(roleVariable, "1")
 	s := regiontrial.Draw(11, 2, 12, 2*time.Second)
 	rep, err := regiontrial.Run(context.Background(), regiontrial.Options{Program: program, Dir: dir, NodesPerRegion: 2, Clients: 3, Script: s, Bake: time.Second})
 	if err != nil {
--- a/internal/trials/soak/client.go
+++ b/internal/trials/soak/client.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	maxPause     = 30 * time.Millisecond   // between two requests of a client
-	maxRest      = 600 * time.Millisecond  // of the occasional longer pause
-	badInputTime = 3 * time.Second         // within which a node ends an incomplete request
-	answerWait   = lateSlack + time.Second // after a deadline
+	maxPause                 = 30 * time.Millisecond   // between two requests of a client
+	maxLongPause             = 600 * time.Millisecond  // of the occasional longer pause
+	incompleteRequestTimeout = 3 * time.Second         // within which a node ends an incomplete request
+	answerWait               = lateSlack + time.Second // after a deadline
 )
 
 // client sends requests to one node, one at a time, over a persistent connection. It is not safe for concurrent use.
 type client struct {
-	play   *play
-	node   *node
-	number int
-	rng    *rand.Rand
-	made   int // number of requests drawn so far
-
-	conn     net.Conn      // nil is none
-	in       *bufio.Reader // of conn
-	openedAt time.Time     // of conn
-	used     int           // number of requests sent on conn
+	play         *play
+	node         *node
+	number       int
+	rng          *rand.Rand
+	requestCount int // number of requests drawn so far
+
+	conn       net.Conn      // nil is none
+	reader     *bufio.Reader // of conn
+	openedAt   time.Time     // of conn
+	sentOnConn int           // number of requests sent on conn
 }
 
 func newClient(p *play, n *node, number int) *client {
@@ -44,15 +44,15 @@
 	for ctx.Err() == nil {
 		switch n := c.rng.IntN(100); {
 		case n < 2:
-			c.stopMidway()
+			c.sendIncomplete()
 		case n < 8:
-			c.leave()
+			c.closeEarly()
 		default:
 			c.request()
 		}
 		pause := time.Duration(c.rng.Int64N(int64(maxPause)))
 		if c.rng.IntN(20) == 0 {
-			pause = time.Duration(c.rng.Int64N(int64(maxRest)))
+			pause = time.Duration(c.rng.Int64N(int64(maxLongPause)))
 		}
 		sleep(ctx, pause)
 	}
@@ -68,9 +68,9 @@
 
 // draw returns a new request and its bytes.
 func (c *client) draw() (*request, []byte) {
-	c.made++
+	c.requestCount++
 	r := &request{
-		id:       fmt.Sprintf("%s-c%d-%d", c.node.name, c.number, c.made),
+		id:       fmt.Sprintf("%s-c%d-%d", c.node.name, c.number, c.requestCount),
 		node:     c.node.name,
 		class:    classes[c.rng.IntN(len(classes))],
 		isCapped: c.rng.IntN(8) == 0,
@@ -125,9 +125,9 @@
 		return false
 	}
 	c.conn = conn
-	c.in = bufio.NewReader(conn)
+	c.reader = bufio.NewReader(conn)
 	c.openedAt = time.Now()
-	c.used = 0
+	c.sentOnConn = 0
 	return true
 }
 
@@ -142,34 +142,34 @@
 		if c.exchange(r, text) {
 			return
 		}
-		c.play.journal.resend()
+		c.play.journal.countResend()
 	}
 }
 
 // exchange sends a request once. It returns false if the request has to be sent again.
 func (c *client) exchange(r *request, text []byte) (done bool) {
 	started := time.Now()
-	isFirst := c.used == 0
-	c.used++
-	c.play.journal.sending(r)
+	isFirst := c.sentOnConn == 0
+	c.sentOnConn++
+	c.play.journal.recordSending(r)
 	if err := c.write(r, text); err != nil {
 		c.disconnect()
-		return c.withoutAnswer(r, started, isFirst, err)
+		return c.judgeUnanswered(r, started, isFirst, err)
 	}
 	_ = c.conn.SetReadDeadline(time.Now().Add(r.class.deadline + answerWait + c.play.journal.slack))
-	response, err := http.ReadResponse(c.in, nil)
+	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		c.disconnect()
-		return c.withoutAnswer(r, started, isFirst, err)
+		return c.judgeUnanswered(r, started, isFirst, err)
 	}
 	body, err := io.ReadAll(response.Body)
 	response.Body.Close()
 	if err != nil {
 		c.disconnect()
-		c.play.journal.unanswered(r, c.node.excuse(started, time.Now()), fmt.Sprintf("%d is cut behind %d bytes: %v", response.StatusCode, len(body), err))
+		c.play.journal.recordUnanswered(r, c.node.excuse(started, time.Now()), fmt.Sprintf("%d is cut behind %d bytes: %v", response.StatusCode, len(body), err))
 		return true
 	}
-	c.play.journal.answered(r, response.StatusCode, string(body), c.node.excuse(started, time.Now()), time.Now())
+	c.play.journal.recordAnswer(r, response.StatusCode, string(body), c.node.excuse(started, time.Now()), time.Now())
 	if response.Close {
 		c.disconnect()
 	}
@@ -190,13 +190,13 @@
 	if _, err := c.conn.Write(text); err != nil {
 		return err
 	}
-	c.play.journal.sent(r, time.Now())
+	c.play.journal.recordSent(r, time.Now())
 	return nil
 }
 
 // withoutAnswer judges a request whose connection ended, or timed out, without a byte of an answer. It returns false if
 // the request has to be sent again.
-func (c *client) withoutAnswer(r *request, started time.Time, isFirst bool, err error) (done bool) {
+func (c *client) judgeUnanswered(r *request, started time.Time, isFirst bool, err error) (done bool) {
 	j := c.play.journal
 	now := time.Now()
 	excuse := c.node.excuse(started, now)
@@ -204,7 +204,7 @@
 	if !isTimeout(err) && !j.wasForwarded(r) && !isSentOnNewConn {
 		return excuse != "" // the node closed the idle connection while the request was on its way
 	}
-	j.unanswered(r, excuse, fmt.Sprintf("%v after %v, first of its connection %v (opened %v before)",
+	j.recordUnanswered(r, excuse, fmt.Sprintf("%v after %v, first of its connection %v (opened %v before)",
 		err, now.Sub(started).Round(time.Millisecond), isFirst, started.Sub(c.openedAt).Round(time.Millisecond)))
 	return true
 }
@@ -216,21 +216,21 @@
 }
 
 // leave sends a request and closes the connection shortly after, without waiting for the answer.
-func (c *client) leave() {
+func (c *client) closeEarly() {
 	if !c.connect() {
 		return
 	}
 	r, text := c.draw()
-	c.play.journal.sending(r)
+	c.play.journal.recordSending(r)
 	if c.write(r, text) == nil {
 		time.Sleep(time.Duration(c.rng.Int64N(int64(60 * time.Millisecond))))
 	}
-	c.play.journal.leaves(r)
+	c.play.journal.recordEarlyClose(r)
 	c.disconnect()
 }
 
 // stopMidway sends an incomplete request and waits until the node closes the connection or answers.
-func (c *client) stopMidway() {
+func (c *client) sendIncomplete() {
 	c.disconnect()
 	if !c.connect() {
 		return
@@ -238,13 +238,13 @@
 	defer c.disconnect()
 	started := time.Now()
 	r, text := c.draw()
-	c.play.journal.sending(r)
+	c.play.journal.recordSending(r)
 	if _, err := c.conn.Write(text[:c.rng.IntN(len(text)-1)]); err != nil {
 		return
 	}
-	_ = c.conn.SetReadDeadline(started.Add(badInputTime + c.play.journal.slack))
+	_ = c.conn.SetReadDeadline(started.Add(incompleteRequestTimeout + c.play.journal.slack))
 	_, err := c.conn.Read(make([]byte, 1))
 	if isTimeout(err) && c.node.excuse(started, time.Now()) == "" {
-		c.play.journal.wrong("%s (%s): it stopped in the middle and has no error after %v", r.id, r.node, time.Since(started))
+		c.play.journal.addViolation("%s (%s): it stopped in the middle and has no error after %v", r.id, r.node, time.Since(started))
 	}
 }
--- a/internal/trials/soak/disturbances.go
+++ b/internal/trials/soak/disturbances.go
@@ -20,11 +20,11 @@
 	play *play
 	rng  *rand.Rand
 
-	mu     sync.Mutex
-	counts map[string]int  // by kind
-	list   []string        // a line for each disturbance
-	busy   map[string]bool // the places of running disturbances; each has at most one
-	active sync.WaitGroup
+	mu         sync.Mutex
+	counts     map[string]int  // by kind
+	list       []string        // a line for each disturbance
+	busyPlaces map[string]bool // the places of running disturbances; each has at most one
+	active     sync.WaitGroup
 }
 
 // disturbance is one drawn disturbance.
@@ -37,38 +37,38 @@
 }
 
 func newDisturbances(p *play, rng *rand.Rand) *disturbances {
-	return &disturbances{play: p, rng: rng, counts: make(map[string]int), busy: make(map[string]bool)}
+	return &disturbances{play: p, rng: rng, counts: make(map[string]int), busyPlaces: make(map[string]bool)}
 }
 
 // run begins disturbances at random times during Options.Duration, and returns once all have ended.
 func (t *disturbances) run(ctx context.Context) {
-	sleep(ctx, calmTime)
-	playing, cancel := context.WithTimeout(ctx, t.play.Duration)
+	sleep(ctx, undisturbedTime)
+	drawing, cancel := context.WithTimeout(ctx, t.play.Duration)
 	defer cancel()
-	for playing.Err() == nil {
+	for drawing.Err() == nil {
 		t.begin(ctx, t.draw())
-		sleep(playing, time.Duration(t.rng.Int64N(int64(2*time.Second)/int64(max(1, t.play.Disturbances)))))
+		sleep(drawing, time.Duration(t.rng.Int64N(int64(2*time.Second)/int64(max(1, t.play.Disturbances)))))
 	}
 	t.active.Wait()
 }
 
 // begin starts a disturbance unless one is running at its place.
-func (t *disturbances) begin(ctx context.Context, one disturbance) {
+func (t *disturbances) begin(ctx context.Context, drawn disturbance) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.busy[one.place] {
+	if t.busyPlaces[drawn.place] {
 		return
 	}
-	t.busy[one.place] = true
-	t.counts[one.kind]++
-	t.list = append(t.list, fmt.Sprintf("%v %s at %s for %v", time.Since(t.play.journal.started).Round(time.Millisecond), one.kind, one.place, one.duration.Round(time.Millisecond)))
+	t.busyPlaces[drawn.place] = true
+	t.counts[drawn.kind]++
+	t.list = append(t.list, fmt.Sprintf("%v %s at %s for %v", time.Since(t.play.journal.started).Round(time.Millisecond), drawn.kind, drawn.place, drawn.duration.Round(time.Millisecond)))
 	t.active.Go(func() {
-		if err := one.play(ctx, &one); err != nil && ctx.Err() == nil {
-			t.play.journal.wrong("the disturbance %q at %s: %v", one.kind, one.place, err)
+		if err := drawn.play(ctx, &drawn); err != nil && ctx.Err() == nil {
+			t.play.journal.addViolation("the disturbance %q at %s: %v", drawn.kind, drawn.place, err)
 		}
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		delete(t.busy, one.place)
+		delete(t.busyPlaces, drawn.place)
 	})
 }
 
@@ -79,17 +79,17 @@
 	s := t.play.servers[t.rng.IntN(len(t.play.servers))]
 	switch t.rng.IntN(8) {
 	case 0, 1:
-		return t.drawOfProcess(n, duration)
+		return t.drawProcessDisturbance(n, duration)
 	case 2:
-		return t.drawOfClock(n, duration)
+		return t.drawClockStep(n, duration)
 	case 3:
-		return t.drawOfCalls(n, duration)
+		return t.drawCallFault(n, duration)
 	case 4:
-		return t.drawOfLink(n, s, duration)
+		return t.drawLinkFault(n, s, duration)
 	case 5:
 		return silentDiscovery(n, 2*duration)
 	default:
-		return t.drawOfServer(s, duration)
+		return t.drawServerDisturbance(s, duration)
 	}
 }
 
@@ -98,16 +98,16 @@
 	const kind = "discovery is silent"
 	return disturbance{kind, n.name + " discovery", duration, func(ctx context.Context, t *disturbance) error {
 		defer n.beginMissingListEvents(kind)()
-		n.silence(true)
+		n.setDiscoverySilent(true)
 		sleep(ctx, t.duration)
-		n.silence(false)
+		n.setDiscoverySilent(false)
 		return nil
 	}}
 }
 
 // drawOfProcess draws a disturbance of a node's process: killed, suspended, moved to another discovery server or
 // terminated.
-func (t *disturbances) drawOfProcess(n *node, duration time.Duration) disturbance {
+func (t *disturbances) drawProcessDisturbance(n *node, duration time.Duration) disturbance {
 	place := n.name + " process"
 	switch t.rng.IntN(6) {
 	case 0:
@@ -122,11 +122,11 @@
 		}}
 	case 2, 3:
 		return disturbance{"new discovery", place, duration, func(ctx context.Context, t *disturbance) error {
-			if err := n.move(); err != nil {
+			if err := n.switchDiscovery(); err != nil {
 				return err
 			}
 			sleep(ctx, t.duration/4)
-			return n.move()
+			return n.switchDiscovery()
 		}}
 	}
 	plan := drawShutdown(t.rng)
@@ -140,7 +140,7 @@
 var clockSteps = []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour}
 
 // drawOfClock draws a step of a node's wall clock.
-func (t *disturbances) drawOfClock(n *node, duration time.Duration) disturbance {
+func (t *disturbances) drawClockStep(n *node, duration time.Duration) disturbance {
 	step := clockSteps[t.rng.IntN(len(clockSteps))]
 	return disturbance{"clock " + step.String(), n.name + " clock", duration, func(ctx context.Context, t *disturbance) error {
 		n.table.StepClock(step)
@@ -188,7 +188,7 @@
 }
 
 // drawOfCalls draws a fault of a node's system calls.
-func (t *disturbances) drawOfCalls(n *node, duration time.Duration) disturbance {
+func (t *disturbances) drawCallFault(n *node, duration time.Duration) disturbance {
 	fault := callFaults[t.rng.IntN(len(callFaults))]
 	interval := 1 + t.rng.IntN(7)
 	// A call that is retried immediately must not fail each time.
@@ -202,7 +202,7 @@
 	return disturbance{fault.name, n.name + " calls", duration, func(ctx context.Context, t *disturbance) error {
 		defer n.beginMissingListEvents(fault.name)() // calls to discovery may fail too
 		if fault.breaksClient {
-			end := n.begin(fault.name)
+			end := n.beginDisturbance(fault.name)
 			defer end()
 		}
 		n.table.Fail(fault.call, fault.errno, interval)
@@ -224,7 +224,7 @@
 }
 
 // drawOfLink draws a fault of the link between a node and an app server.
-func (t *disturbances) drawOfLink(n *node, s *server, duration time.Duration) disturbance {
+func (t *disturbances) drawLinkFault(n *node, s *server, duration time.Duration) disturbance {
 	fault := linkFaults[t.rng.IntN(len(linkFaults))]
 	link := n.linkTo(s)
 	return disturbance{"link " + fault.Kind.String(), n.name + " to " + s.uid, duration, func(ctx context.Context, t *disturbance) error {
@@ -238,7 +238,7 @@
 }
 
 // drawOfServer draws a disturbance of an app server: not listed as up, restarted or misbehaving.
-func (t *disturbances) drawOfServer(s *server, duration time.Duration) disturbance {
+func (t *disturbances) drawServerDisturbance(s *server, duration time.Duration) disturbance {
 	p := t.play
 	switch t.rng.IntN(4) {
 	case 0:
@@ -261,11 +261,11 @@
 			return err
 		}}
 	}
-	how := 1 + behaviour(t.rng.IntN(int(behaviours)-1))
-	return disturbance{"server " + behaviourNames[how], s.uid, duration, func(ctx context.Context, t *disturbance) error {
-		s.how.Store(int32(how))
+	mode := 1 + behaviour(t.rng.IntN(int(behaviourCount)-1))
+	return disturbance{"server " + behaviourNames[mode], s.uid, duration, func(ctx context.Context, t *disturbance) error {
+		s.mode.Store(int32(mode))
 		sleep(ctx, t.duration)
-		s.how.Store(int32(behaves))
+		s.mode.Store(int32(respondsNormally))
 		return nil
 	}}
 }
@@ -280,7 +280,7 @@
 }
 
 // silence stops or resumes the events of the node's discovery servers.
-func (n *node) silence(silent bool) {
+func (n *node) setDiscoverySilent(silent bool) {
 	for _, d := range n.discoveries {
 		d.SetSilent(silent)
 	}
--- a/internal/trials/soak/flood.go
+++ b/internal/trials/soak/flood.go
@@ -20,7 +20,7 @@
 	// floodDescriptors is a node's limit on descriptors under a flood: it leaves six to clients and six to app servers.
 	floodDescriptors = limits.MinDescriptors + 10
 
-	maxStay          = 1500 * time.Millisecond // for which a client of a flood keeps its connection at the longest
+	maxConnTime      = 1500 * time.Millisecond // for which a client of a flood keeps its connection at the longest
 	slowReadInterval = 20 * time.Millisecond   // between two reads of a slow reader
 	slowReadBytes    = 64                      // of one read of a slow reader
 	pipelineLength   = 4                       // requests that are sent at once
@@ -33,13 +33,13 @@
 // The behaviours. Clients that keep a descriptor in spite of the node, half requests and slow readers, are fewer in a flood
 // than a node has descriptors for clients.
 const (
-	lingering  floodBehaviour = iota // begins another request behind its first one, and stays
-	silent                           // sends nothing, and stays
-	leaving                          // sends a request and closes
-	pipelining                       // sends several requests at once
-	halting                          // stops in the middle of a request
-	slow                             // reads its answer slowly
-	floodBehaviours
+	keepingOpen       floodBehaviour = iota // begins another request behind its first one, and stays
+	silent                                  // sends nothing, and stays
+	closingEarly                            // sends a request and closes
+	pipelining                              // sends several requests at once
+	sendingIncomplete                       // stops in the middle of a request
+	readingSlowly                           // reads its answer slowly
+	floodBehaviourCount
 )
 
 // floodClient is one client of a flood: it connects again and again. Like client it is used by one goroutine.
@@ -52,7 +52,7 @@
 func newFloodClient(p *play, n *node, number int) *floodClient {
 	c := newClient(p, n, p.Clients+number)
 	c.rng = rand.New(rand.NewPCG(p.Seed, uint64(500_000+n.index*1000+number)))
-	return &floodClient{c, floodBehaviour(number % int(floodBehaviours))}
+	return &floodClient{c, floodBehaviour(number % int(floodBehaviourCount))}
 }
 
 // run opens connections until ctx ends.
@@ -60,8 +60,8 @@
 	defer c.disconnect()
 	for ctx.Err() == nil {
 		if c.connect() {
-			c.play.journal.floodConnected()
-			c.use(ctx)
+			c.play.journal.countFloodConnection()
+			c.useConn(ctx)
 			c.disconnect()
 		}
 		sleep(ctx, time.Duration(c.rng.Int64N(int64(maxPause))))
@@ -69,33 +69,35 @@
 }
 
 // use behaves on a new connection.
-func (c *floodClient) use(ctx context.Context) {
+func (c *floodClient) useConn(ctx context.Context) {
 	switch c.behaviour {
-	case lingering:
-		c.linger(ctx)
+	case keepingOpen:
+		c.keepOpen(ctx)
 	case silent:
-		sleep(ctx, c.stay())
-	case leaving:
-		c.leave()
+		sleep(ctx, c.drawConnTime())
+	case closingEarly:
+		c.closeEarly()
 	case pipelining:
 		c.pipeline()
-	case halting:
-		c.stopMidway()
-	case slow:
+	case sendingIncomplete:
+		c.sendIncomplete()
+	case readingSlowly:
 		c.readSlowly()
 	}
 }
 
 // stay draws how long a connection is kept.
-func (c *floodClient) stay() time.Duration { return time.Duration(c.rng.Int64N(int64(maxStay))) }
+func (c *floodClient) drawConnTime() time.Duration {
+	return time.Duration(c.rng.Int64N(int64(maxConnTime)))
+}
 
 // linger sends a request and the beginning of another one, and stays behind the answer.
-func (c *floodClient) linger(ctx context.Context) {
+func (c *floodClient) keepOpen(ctx context.Context) {
 	r, text := c.draw()
 	conn := c.conn
 	c.conn = unclosedConn{conn}
 	c.exchange(r, append(text, "GET /read?account"...))
-	sleep(ctx, c.stay())
+	sleep(ctx, c.drawConnTime())
 	conn.Close()
 }
 
@@ -111,13 +113,13 @@
 	first, text := c.draw()
 	for range pipelineLength - 1 {
 		next, nextText := c.draw()
-		c.play.journal.sending(next)
+		c.play.journal.recordSending(next)
 		text = append(text, nextText...)
 	}
 	c.exchange(first, text)
 	if c.conn != nil {
-		_ = c.conn.SetReadDeadline(time.Now().Add(c.stay()))
-		_, _ = io.Copy(io.Discard, c.in) // what follows is not owed
+		_ = c.conn.SetReadDeadline(time.Now().Add(c.drawConnTime()))
+		_, _ = io.Copy(io.Discard, c.reader) // what follows is not owed
 	}
 }
 
@@ -136,8 +138,8 @@
 	}
 	defer conn.Close()
 	r, text := c.draw()
-	c.play.journal.sending(r)
-	_ = conn.SetDeadline(time.Now().Add(maxStay))
+	c.play.journal.recordSending(r)
+	_ = conn.SetDeadline(time.Now().Add(maxConnTime))
 	if _, err := conn.Write(text); err != nil {
 		return
 	}
@@ -160,8 +162,8 @@
 
 // String returns the behaviour's name.
 func (b floodBehaviour) String() string {
-	names := [floodBehaviours]string{"lingering", "silent", "leaving", "pipelining", "halting", "slow"}
-	if b < 0 || b >= floodBehaviours {
+	names := [floodBehaviourCount]string{"lingering", "silent", "leaving", "pipelining", "halting", "slow"}
+	if b < 0 || b >= floodBehaviourCount {
 		return fmt.Sprint(int(b))
 	}
 	return names[b]
--- a/internal/trials/soak/journal.go
+++ b/internal/trials/soak/journal.go
@@ -11,12 +11,12 @@
 
 // Tolerances of the rules.
 const (
-	lateSlack    = 500 * time.Millisecond // after a deadline, within which an answer counts as late but not as lost
-	timeSlack    = 150 * time.Millisecond // of the deadline that an attempt carries, and of the grace time of a drain
-	goneSlack    = 100 * time.Millisecond // after a client's close, within which an attempt may begin
-	defaultSlack = 150 * time.Millisecond // of the journal's own clock readings
-	maxListDelay = 6 * time.Second        // after which a node counts as notified, even if its watch is broken (PROTOCOL)
-	maxWrong     = 40                     // violations reported by a run
+	lateSlack     = 500 * time.Millisecond // after a deadline, within which an answer counts as late but not as lost
+	timeSlack     = 150 * time.Millisecond // of the deadline that an attempt carries, and of the grace time of a drain
+	closeSlack    = 100 * time.Millisecond // after a client's close, within which an attempt may begin
+	defaultSlack  = 150 * time.Millisecond // of the journal's own clock readings
+	maxListDelay  = 6 * time.Second        // after which a node counts as notified, even if its watch is broken (PROTOCOL)
+	maxViolations = 40                     // violations reported by a run
 )
 
 // journal records what clients and app servers observe and checks it against the rules. It is safe for concurrent use.
@@ -30,12 +30,12 @@
 	started          time.Time
 	requests         map[string]*request  // by id
 	keys             map[string]time.Time // by cell and idempotency key: when the cell first ran it; repeats within the window are dropped
-	hard             hardLimit
-	slowStart        map[*server]*warmupLoad
-	errors           []string    // the violations, at most maxWrong
+	bucket           hardLimit
+	warmupLoads      map[*server]*warmupLoad
+	violations       []string    // the violations, at most maxWrong
 	excused          int         // requests without an answer that a disturbance explains
 	resent           int         // requests sent again
-	left             int         // requests whose client closed early
+	closedEarly      int         // requests whose client closed early
 	attempts         int         // attempts that reached app servers
 	effects          int         // executions by app servers
 	statuses         map[int]int // number of final answers by HTTP status
@@ -51,7 +51,7 @@
 	node     string
 	sentAt   time.Time // when its last byte was sent; zero if it was not
 	deadline time.Time
-	leftAt   time.Time // when its client closed early; zero if it did not
+	closedAt time.Time // when its client closed early; zero if it did not
 	attempts []attempt
 	effects  []string // where and when app servers ran it
 	isCapped bool     // whether it is of the plan with a hard limit
@@ -82,32 +82,32 @@
 		slack = defaultSlack
 	}
 	return &journal{
-		slack:     slack,
-		started:   time.Now(),
-		requests:  make(map[string]*request),
-		keys:      make(map[string]time.Time),
-		slowStart: make(map[*server]*warmupLoad),
-		statuses:  make(map[int]int),
-		hard:      hardLimit{tokens: hardBurst, at: time.Now()},
+		slack:       slack,
+		started:     time.Now(),
+		requests:    make(map[string]*request),
+		keys:        make(map[string]time.Time),
+		warmupLoads: make(map[*server]*warmupLoad),
+		statuses:    make(map[int]int),
+		bucket:      hardLimit{tokens: hardBurst, at: time.Now()},
 	}
 }
 
 // wrong records a violation.
-func (j *journal) wrong(format string, args ...any) {
+func (j *journal) addViolation(format string, args ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.addWrong(format, args...)
+	j.addViolationLocked(format, args...)
 }
 
 // addWrong is wrong with mu held.
-func (j *journal) addWrong(format string, args ...any) {
-	if len(j.errors) < maxWrong {
-		j.errors = append(j.errors, time.Since(j.started).Round(time.Millisecond).String()+": "+fmt.Sprintf(format, args...))
+func (j *journal) addViolationLocked(format string, args ...any) {
+	if len(j.violations) < maxViolations {
+		j.violations = append(j.violations, time.Since(j.started).Round(time.Millisecond).String()+": "+fmt.Sprintf(format, args...))
 	}
 }
 
 // sending records a request before its first byte is sent.
-func (j *journal) sending(r *request) {
+func (j *journal) recordSending(r *request) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r.sentAt = time.Time{} // reset if the request is sent again
@@ -115,7 +115,7 @@
 }
 
 // sent records that the last byte of a request was sent, from which its deadline counts.
-func (j *journal) sent(r *request, at time.Time) {
+func (j *journal) recordSent(r *request, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r.sentAt = at
@@ -123,11 +123,11 @@
 }
 
 // leaves records that a client is about to close its connection early.
-func (j *journal) leaves(r *request) {
+func (j *journal) recordEarlyClose(r *request) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	r.leftAt = time.Now()
-	j.left++
+	r.closedAt = time.Now()
+	j.closedEarly++
 }
 
 // wasForwarded reports whether an attempt of a request has reached an app server.
@@ -149,12 +149,12 @@
 	j.attempts++
 	r := j.requests[id]
 	if r == nil {
-		j.addWrong("%s: an attempt of %q, which no client sent", s.uid, id)
+		j.addViolationLocked("%s: an attempt of %q, which no client sent", s.uid, id)
 		return
 	}
 	j.checkAttempt(s, r, drainedAt, at, timeLeft)
 	if len(r.attempts) == 0 && r.isCapped {
-		j.draw(r, at)
+		j.consumeUnit(r, at)
 	}
 	r.attempts = append(r.attempts, attempt{at: at, server: s.uid, mayRun: mayRun})
 	j.load(s, startedAt, at)
@@ -164,16 +164,16 @@
 // holds mu.
 func (j *journal) checkAttempt(s *server, r *request, drainedAt, at time.Time, timeLeft string) {
 	if !drainedAt.IsZero() && at.Sub(drainedAt) > drainGrace+j.listDelay(r.node, drainedAt, at)+timeSlack+j.slack {
-		j.addWrong("%s (%s, %s): sent to %s, which drains since %v", r.id, r.class.name, r.node, s.uid, at.Sub(drainedAt))
+		j.addViolationLocked("%s (%s, %s): sent to %s, which drains since %v", r.id, r.class.name, r.node, s.uid, at.Sub(drainedAt))
 	}
-	if !r.leftAt.IsZero() && at.Sub(r.leftAt) > goneSlack+j.slack {
-		j.addWrong("%s (%s, %s): an attempt at %s begins %v after its client has left", r.id, r.class.name, r.node, s.uid, at.Sub(r.leftAt))
+	if !r.closedAt.IsZero() && at.Sub(r.closedAt) > closeSlack+j.slack {
+		j.addViolationLocked("%s (%s, %s): an attempt at %s begins %v after its client has left", r.id, r.class.name, r.node, s.uid, at.Sub(r.closedAt))
 	}
 	var left float64
 	if _, err := fmt.Sscanf(timeLeft, "%fm", &left); err == nil && !r.sentAt.IsZero() {
 		reported := time.Duration(left * float64(time.Millisecond))
-		if more := reported - r.deadline.Sub(at); more > timeSlack+j.slack {
-			j.addWrong("%s (%s, %s): %s is told %v more than is left", r.id, r.class.name, r.node, s.uid, more)
+		if excess := reported - r.deadline.Sub(at); excess > timeSlack+j.slack {
+			j.addViolationLocked("%s (%s, %s): %s is told %v more than is left", r.id, r.class.name, r.node, s.uid, excess)
 		}
 	}
 }
@@ -187,11 +187,11 @@
 }
 
 // draw draws a unit from the hard limit's bucket. The caller holds mu.
-func (j *journal) draw(r *request, at time.Time) {
-	j.hard.tokens = math.Min(hardBurst, j.hard.tokens+hardRate*at.Sub(j.hard.at).Seconds()) - 1
-	j.hard.at = at
-	if slack := hardSlack + hardRate*timeSlack.Seconds(); j.hard.tokens < -slack {
-		j.addWrong("%s (%s): the hard limit is overrun by %.1f", r.id, r.node, -j.hard.tokens)
+func (j *journal) consumeUnit(r *request, at time.Time) {
+	j.bucket.tokens = math.Min(hardBurst, j.bucket.tokens+hardRate*at.Sub(j.bucket.at).Seconds()) - 1
+	j.bucket.at = at
+	if slack := hardSlack + hardRate*timeSlack.Seconds(); j.bucket.tokens < -slack {
+		j.addViolationLocked("%s (%s): the hard limit is overrun by %.1f", r.id, r.node, -j.bucket.tokens)
 	}
 }
 
@@ -200,10 +200,10 @@
 	if startedAt.IsZero() || at.Sub(startedAt) > warmupTime {
 		return
 	}
-	load := j.slowStart[s]
+	load := j.warmupLoads[s]
 	if load == nil || !load.startedAt.Equal(startedAt) {
 		load = &warmupLoad{startedAt: startedAt}
-		j.slowStart[s] = load
+		j.warmupLoads[s] = load
 	}
 	load.times = append(slices.DeleteFunc(load.times, func(t time.Time) bool { return at.Sub(t) > fallTime }), at)
 	fraction := initialCapacity + (1-initialCapacity)*at.Sub(startedAt).Seconds()/warmupTime.Seconds()
@@ -214,7 +214,7 @@
 	}
 	if n := float64(len(load.times)); n > limit && !load.reported {
 		load.reported = true
-		j.addWrong("%s: %v requests within %v, %v after its start, more than %.1f", s.uid, n, fallTime, at.Sub(startedAt), limit)
+		j.addViolationLocked("%s: %v requests within %v, %v after its start, more than %.1f", s.uid, n, fallTime, at.Sub(startedAt), limit)
 	}
 }
 
@@ -227,70 +227,70 @@
 		return
 	}
 	if key != "" {
-		slot := fmt.Sprint(s.cell, " ", key)
-		if first, ok := j.keys[slot]; ok && at.Sub(first) <= idempotencyKeyClass.window+timeSlack {
+		cellKey := fmt.Sprint(s.cell, " ", key)
+		if first, ok := j.keys[cellKey]; ok && at.Sub(first) <= idempotencyKeyClass.window+timeSlack {
 			return
 		}
-		j.keys[slot] = at
+		j.keys[cellKey] = at
 	}
 	j.effects++
 	r.effects = append(r.effects, s.uid+" at "+at.Sub(j.started).Round(time.Millisecond).String())
 	if len(r.effects) > 1 && r.class.effect != "free" {
-		j.addWrong("%s (%s, %s): ran twice: %v", id, r.class.name, r.node, r.effects)
+		j.addViolationLocked("%s (%s, %s): ran twice: %v", id, r.class.name, r.node, r.effects)
 	}
 }
 
 // answered records a final answer and checks it. excuse is the disturbance that explains a failed read of the request, if
 // any.
-func (j *journal) answered(r *request, status int, body, excuse string, at time.Time) {
+func (j *journal) recordAnswer(r *request, status int, body, excuse string, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.statuses[status]++
 	if late := at.Sub(r.deadline); late > lateSlack+j.slack {
-		j.addWrong("%s (%s, %s): answered %d, %v after its deadline", r.id, r.class.name, r.node, status, late)
+		j.addViolationLocked("%s (%s, %s): answered %d, %v after its deadline", r.id, r.class.name, r.node, status, late)
 	}
 	switch {
 	case status == 200 && !strings.HasPrefix(body, "done "+r.id+" by "):
-		j.addWrong("%s (%s, %s): served with %q", r.id, r.class.name, r.node, body)
+		j.addViolationLocked("%s (%s, %s): served with %q", r.id, r.class.name, r.node, body)
 	case status == 200 && len(r.attempts) == 0:
-		j.addWrong("%s (%s, %s): served and never forwarded", r.id, r.class.name, r.node)
+		j.addViolationLocked("%s (%s, %s): served and never forwarded", r.id, r.class.name, r.node)
 	case (status == 429 || status == 503) && r.class.effect == "single_shot" && len(r.effects) > 0:
-		j.addWrong("%s (%s, %s): told %d, that a repeat is harmless, and has run at %v", r.id, r.class.name, r.node, status, r.effects)
+		j.addViolationLocked("%s (%s, %s): told %d, that a repeat is harmless, and has run at %v", r.id, r.class.name, r.node, status, r.effects)
 	case (status == 400 || status == 408) && excuse != "": // the node failed to read the request
 	case status != 200 && status != 429 && status < 500:
-		j.addWrong("%s (%s, %s): answered %d %q", r.id, r.class.name, r.node, status, body)
+		j.addViolationLocked("%s (%s, %s): answered %d %q", r.id, r.class.name, r.node, status, body)
 	}
 }
 
 // unanswered records that a request will get no answer. It is a violation unless a disturbance, the excuse, explains it.
-func (j *journal) unanswered(r *request, excuse, why string) {
+func (j *journal) recordUnanswered(r *request, excuse, why string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if excuse != "" {
 		j.excused++
 		return
 	}
-	j.addWrong("%s (%s, %s): no answer: %s; forwarded to %v", r.id, r.class.name, r.node, why, r.attempts)
+	j.addViolationLocked("%s (%s, %s): no answer: %s; forwarded to %v", r.id, r.class.name, r.node, why, r.attempts)
 }
 
 // resend records that a request is sent again.
-func (j *journal) resend() {
+func (j *journal) countResend() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.resent++
 }
 
 // signalSent records a signal of a series.
-func (j *journal) signalSent() { j.count(&j.signals) }
+func (j *journal) countSignal() { j.increment(&j.signals) }
 
 // killSent records that a process still ran at the earliest SIGKILL.
-func (j *journal) killSent() { j.count(&j.kills) }
+func (j *journal) countKill() { j.increment(&j.kills) }
 
 // floodConnected records a connection of a flood.
-func (j *journal) floodConnected() { j.count(&j.floodConnections) }
+func (j *journal) countFloodConnection() { j.increment(&j.floodConnections) }
 
 // count adds one to a total.
-func (j *journal) count(total *int) {
+func (j *journal) increment(total *int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	*total++
@@ -305,12 +305,12 @@
 		Statuses: j.statuses,
 		Excused:  j.excused,
 		Resent:   j.resent,
-		Left:     j.left,
+		Left:     j.closedEarly,
 		Attempts: j.attempts,
 		Effects:  j.effects,
 		Signals:  j.signals,
 		Kills:    j.kills,
-		Wrong:    slices.Clone(j.errors),
+		Wrong:    slices.Clone(j.violations),
 
 		FloodConnections: j.floodConnections,
 	}
--- a/internal/trials/soak/journal_test.go
+++ b/internal/trials/soak/journal_test.go
@@ -11,16 +11,16 @@
 	j := newJournal(0)
 	j.missedListEvents = func(string, time.Time, time.Time) bool { return false }
 	r := &request{id: "id-1", class: c, node: "n0"}
-	j.sending(r)
-	j.sent(r, time.Now())
+	j.recordSending(r)
+	j.recordSent(r, time.Now())
 	return j, &server{journal: j, uid: "s-0"}, r
 }
 
 // journalCase is a sequence of observations of a request and the number of violations in it.
 type journalCase struct {
-	class class
-	play  func(j *journal, s *server, r *request)
-	wrong int
+	class      class
+	observe    func(j *journal, s *server, r *request)
+	violations int
 }
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
@@ -28,20 +28,20 @@
 var journalCases = map[string]journalCase{
 	"served": {readClass, func(j *journal, s *server, r *request) {
 		j.attempt(s, r.id, r.sentAt.Add(ms(5)), "590m", true)
-		j.answered(r, 200, answerTo(r.id, s.uid), "", r.sentAt.Add(ms(20)))
+		j.recordAnswer(r, 200, responseBody(r.id, s.uid), "", r.sentAt.Add(ms(20)))
 	}, 0},
 	"served and never forwarded": {readClass, func(j *journal, s *server, r *request) {
-		j.answered(r, 200, answerTo(r.id, s.uid), "", r.sentAt)
+		j.recordAnswer(r, 200, responseBody(r.id, s.uid), "", r.sentAt)
 	}, 1},
 	"another request's answer": {readClass, func(j *journal, s *server, r *request) {
 		j.attempt(s, r.id, r.sentAt, "590m", true)
-		j.answered(r, 200, answerTo("id-2", s.uid), "", r.sentAt)
+		j.recordAnswer(r, 200, responseBody("id-2", s.uid), "", r.sentAt)
 	}, 1},
 	"late": {readClass, func(j *journal, _ *server, r *request) {
-		j.answered(r, 503, "", "", r.deadline.Add(lateSlack+defaultSlack+1))
+		j.recordAnswer(r, 503, "", "", r.deadline.Add(lateSlack+defaultSlack+1))
 	}, 1},
-	"no answer":         {readClass, func(j *journal, _ *server, r *request) { j.unanswered(r, "", "EOF") }, 1},
-	"no answer, killed": {readClass, func(j *journal, _ *server, r *request) { j.unanswered(r, "killed", "EOF") }, 0},
+	"no answer":         {readClass, func(j *journal, _ *server, r *request) { j.recordUnanswered(r, "", "EOF") }, 1},
+	"no answer, killed": {readClass, func(j *journal, _ *server, r *request) { j.recordUnanswered(r, "killed", "EOF") }, 0},
 	"ran twice": {notIdempotentClass, func(j *journal, s *server, r *request) {
 		j.effect(s, r.id, "", r.sentAt)
 		j.effect(s, r.id, "", r.sentAt)
@@ -49,7 +49,7 @@
 	"refused after it ran": {notIdempotentClass, func(j *journal, s *server, r *request) {
 		j.attempt(s, r.id, r.sentAt, "", true)
 		j.effect(s, r.id, "", r.sentAt)
-		j.answered(r, 503, "", "", r.sentAt)
+		j.recordAnswer(r, 503, "", "", r.sentAt)
 	}, 1},
 	"key repeated within its window": {idempotencyKeyClass, func(j *journal, s *server, r *request) {
 		j.effect(s, r.id, "k", r.sentAt)
@@ -72,8 +72,8 @@
 		j.attempt(s, r.id, r.sentAt, "", true)
 	}, 0},
 	"begun behind the client's close": {readClass, func(j *journal, s *server, r *request) {
-		j.leaves(r)
-		j.attempt(s, r.id, r.leftAt.Add(goneSlack+defaultSlack+1), "", true)
+		j.recordEarlyClose(r)
+		j.attempt(s, r.id, r.closedAt.Add(closeSlack+defaultSlack+1), "", true)
 	}, 1},
 	"told too much time": {readClass, func(j *journal, s *server, r *request) {
 		j.attempt(s, r.id, r.sentAt.Add(ms(400)), "590m", true)
@@ -84,7 +84,7 @@
 	"hard limit": {readClass, func(j *journal, s *server, r *request) {
 		for i := range int(hardBurst+hardSlack+hardRate*timeSlack.Seconds()) + 1 {
 			one := &request{id: fmt.Sprint("h-", i), class: readClass, isCapped: true}
-			j.sending(one)
+			j.recordSending(one)
 			j.attempt(s, one.id, r.sentAt, "", true)
 		}
 	}, 1},
@@ -92,7 +92,7 @@
 		s.startedAt = r.sentAt
 		for i := range 80 { // the limit is 37.5 and a slack of 12.6
 			one := &request{id: fmt.Sprint("c-", i), class: readClass}
-			j.sending(one)
+			j.recordSending(one)
 			j.attempt(s, one.id, r.sentAt.Add(time.Millisecond), "", true)
 		}
 	}, 1},
@@ -103,9 +103,9 @@
 	for name, tc := range journalCases {
 		t.Run(name, func(t *testing.T) {
 			j, s, r := newTestJournal(tc.class)
-			tc.play(j, s, r)
-			if got := j.judge().Wrong; len(got) != tc.wrong {
-				t.Errorf("%d wrong, not %d: %q", len(got), tc.wrong, got)
+			tc.observe(j, s, r)
+			if got := j.judge().Wrong; len(got) != tc.violations {
+				t.Errorf("%d wrong, not %d: %q", len(got), tc.violations, got)
 			}
 		})
 	}
--- a/internal/trials/soak/node.go
+++ b/internal/trials/soak/node.go
@@ -36,18 +36,18 @@
 	links       []*faultnet.Link   // to each app server
 
 	mu                sync.Mutex
-	following         int           // index of the discovery server that it watches
-	endingAt          time.Time     // when SIGTERM was sent to the running process; zero if it was not
-	newConnections    time.Duration // after endingAt, for which clients still connect
+	watchedDiscovery  int           // index of the discovery server that it watches
+	sigtermAt         time.Time     // when SIGTERM was sent to the running process; zero if it was not
+	newConnectionTime time.Duration // after endingAt, for which clients still connect
 	disturbances      []span        // during which its clients may get no answer
 	missingListEvents []span        // during which its watch may be broken or silent
 }
 
 // span is the period of a disturbance.
 type span struct {
-	from time.Time
-	to   time.Time // zero while the disturbance goes on
-	why  string    // the disturbance
+	from        time.Time
+	to          time.Time // zero while the disturbance goes on
+	disturbance string    // the disturbance
 }
 
 // newNode creates a node, which start starts.
@@ -109,7 +109,7 @@
 // writeConfiguration writes the configuration file with the discovery server that the node watches.
 func (n *node) writeConfiguration() error {
 	n.mu.Lock()
-	discovery := n.discoveries[n.following].Addr()
+	discovery := n.discoveries[n.watchedDiscovery].Addr()
 	n.mu.Unlock()
 	return os.WriteFile(n.configPath(), configuration(n.index, n.play.Nodes, n.play.descriptors(), discovery), 0o600)
 }
@@ -148,7 +148,7 @@
 // start starts the process.
 func (n *node) start() error {
 	n.mu.Lock()
-	n.endingAt = time.Time{}
+	n.sigtermAt = time.Time{}
 	n.mu.Unlock()
 	return n.process.Start()
 }
@@ -182,7 +182,9 @@
 }
 
 // begin records the begin of a disturbance that excuses missing answers, and end its end.
-func (n *node) begin(why string) (end func()) { return n.beginSpan(&n.disturbances, why) }
+func (n *node) beginDisturbance(disturbance string) (end func()) {
+	return n.beginSpan(&n.disturbances, disturbance)
+}
 
 // beginMissingListEvents records the begin of a disturbance that may delay endpoint list events, and end its end.
 func (n *node) beginMissingListEvents(why string) (end func()) {
@@ -190,10 +192,10 @@
 }
 
 // beginSpan appends a span that begins now, and end ends it.
-func (n *node) beginSpan(spans *[]span, why string) (end func()) {
+func (n *node) beginSpan(spans *[]span, disturbance string) (end func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	*spans = append(*spans, span{from: time.Now(), why: why})
+	*spans = append(*spans, span{from: time.Now(), disturbance: disturbance})
 	i := len(*spans) - 1
 	return func() {
 		n.mu.Lock()
@@ -216,7 +218,7 @@
 	defer n.mu.Unlock()
 	for _, s := range *spans {
 		if s.from.Before(to) && (s.to.IsZero() || s.to.After(from)) {
-			return s.why
+			return s.disturbance
 		}
 	}
 	return ""
@@ -226,12 +228,12 @@
 func (n *node) allowsConnections() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.endingAt.IsZero() || time.Since(n.endingAt) <= n.newConnections
+	return n.sigtermAt.IsZero() || time.Since(n.sigtermAt) <= n.newConnectionTime
 }
 
 // kill kills the node and starts it again.
 func (n *node) kill(ctx context.Context) error {
-	end := n.begin("killed")
+	end := n.beginDisturbance("killed")
 	defer end()
 	if err := n.process.Kill(); err != nil {
 		return err
@@ -241,7 +243,7 @@
 
 // restart starts the node again. Until it is ready, missing answers are excused.
 func (n *node) restart(ctx context.Context) error {
-	end := n.begin("starting")
+	end := n.beginDisturbance("starting")
 	defer end()
 	n.table.StepClock(0)
 	if err := n.start(); err != nil {
@@ -251,10 +253,10 @@
 }
 
 // move makes the node watch its other discovery server, by SIGHUP.
-func (n *node) move() error {
+func (n *node) switchDiscovery() error {
 	defer n.beginMissingListEvents("new discovery")()
 	n.mu.Lock()
-	n.following = 1 - n.following
+	n.watchedDiscovery = 1 - n.watchedDiscovery
 	n.mu.Unlock()
 	if err := n.writeConfiguration(); err != nil {
 		return err
@@ -263,7 +265,7 @@
 }
 
 // injected returns the number of failed system calls.
-func (n *node) injected() (sum int) {
+func (n *node) failedCalls() (sum int) {
 	for call := faultbuild.Accept; call <= faultbuild.Open; call++ {
 		sum += n.table.Injected(call)
 	}
@@ -271,18 +273,18 @@
 }
 
 // violationMarks are the texts of log lines that are violations.
-var violationMarks = []string{"invariant violated", "panic", "fatal error", "DATA RACE", "decision module failed"}
+var violationTexts = []string{"invariant violated", "panic", "fatal error", "DATA RACE", "decision module failed"}
 
 // finish stops the node and reports the violations that it has logged.
 func (n *node) finish() {
 	if !n.process.Runs() {
-		n.play.journal.wrong("%s has ended by itself: %v", n.name, n.process.Wait())
+		n.play.journal.addViolation("%s has ended by itself: %v", n.name, n.process.Wait())
 	} else if err := n.process.Stop(killDelay + time.Second + n.play.Slack); err != nil && !errors.Is(err, process.ErrNone) {
-		n.play.journal.wrong("%s at the end: %v", n.name, err)
+		n.play.journal.addViolation("%s at the end: %v", n.name, err)
 	}
 	file, err := os.Open(n.logPath())
 	if err != nil {
-		n.play.journal.wrong("%s: %v", n.name, err)
+		n.play.journal.addViolation("%s: %v", n.name, err)
 		return
 	}
 	defer file.Close() //nolint:errcheck // only read
@@ -290,9 +292,9 @@
 		if n.play.Slack > 0 && strings.Contains(lines.Text(), "rule="+invariant.LateAnswer.String()) {
 			continue // the node may have waited for a processor
 		}
-		for _, mark := range violationMarks {
+		for _, mark := range violationTexts {
 			if strings.Contains(lines.Text(), mark) {
-				n.play.journal.wrong("%s logs: %s", n.name, lines.Text())
+				n.play.journal.addViolation("%s logs: %s", n.name, lines.Text())
 			}
 		}
 	}
--- a/internal/trials/soak/server.go
+++ b/internal/trials/soak/server.go
@@ -20,20 +20,20 @@
 
 // The behaviours.
 const (
-	behaves       behaviour = iota // runs requests and answers 200
-	hangs                          // runs requests and never answers
-	fails                          // runs requests and answers 500
-	rejects                        // answers 503, marked as not processed
-	breaksOff                      // runs requests and resets the connection
-	breaksMidway                   // resets the connection in the middle of the answer
-	hasNoLength                    // answers without a length; the end of the connection ends the body
-	answersTwice                   // sends a second answer some milliseconds after the first
-	closesQuickly                  // closes the connection shortly after the answer
-	behaviours                     // number of behaviours
+	respondsNormally  behaviour = iota // runs requests and answers 200
+	hangs                              // runs requests and never answers
+	fails                              // runs requests and answers 500
+	rejects                            // answers 503, marked as not processed
+	resetsConn                         // runs requests and resets the connection
+	resetsMidResponse                  // resets the connection in the middle of the answer
+	omitsLength                        // answers without a length; the end of the connection ends the body
+	respondsTwice                      // sends a second answer some milliseconds after the first
+	closesQuickly                      // closes the connection shortly after the answer
+	behaviourCount                     // number of behaviours
 )
 
 // behaviourNames are the names of the behaviours in the list of disturbances.
-var behaviourNames = [behaviours]string{"well", "hangs", "fails", "rejects", "breaks off", "breaks midway", "no length", "answers twice", "closes quickly"}
+var behaviourNames = [behaviourCount]string{"well", "hangs", "fails", "rejects", "breaks off", "breaks midway", "no length", "answers twice", "closes quickly"}
 
 // serviceTime is the time in which an app server runs a request.
 const serviceTime = 8 * time.Millisecond
@@ -46,7 +46,7 @@
 	journal *journal
 	uid     string
 	cell    int
-	how     atomic.Int32
+	mode    atomic.Int32
 
 	mu        sync.Mutex
 	listener  net.Listener
@@ -117,43 +117,43 @@
 
 // serve handles one attempt, which counts once its body has been read completely.
 func (s *server) serve(w http.ResponseWriter, r *http.Request) {
-	headAt := time.Now()
+	receivedAt := time.Now()
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return // the attempt is incomplete
 	}
-	how := behaviour(s.how.Load())
+	mode := behaviour(s.mode.Load())
 	id := r.Header.Get(protocol.HeaderID)
 	key := r.Header.Get(protocol.HeaderIdempotencyKey)
-	if how == rejects {
-		s.journal.attempt(s, id, headAt, r.Header.Get(protocol.HeaderTimeLeft), false)
+	if mode == rejects {
+		s.journal.attempt(s, id, receivedAt, r.Header.Get(protocol.HeaderTimeLeft), false)
 		w.Header().Set(protocol.HeaderUnprocessed, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	s.journal.attempt(s, id, headAt, r.Header.Get(protocol.HeaderTimeLeft), true)
+	s.journal.attempt(s, id, receivedAt, r.Header.Get(protocol.HeaderTimeLeft), true)
 	s.journal.effect(s, id, key, time.Now())
-	if how == hangs {
+	if mode == hangs {
 		<-r.Context().Done()
 		return
 	}
 	time.Sleep(serviceTime)
-	s.answer(w, how, id)
+	s.respond(w, mode, id)
 }
 
 // answer answers a request that was run.
-func (s *server) answer(w http.ResponseWriter, how behaviour, id string) {
-	body := answerTo(id, s.uid)
-	switch how {
+func (s *server) respond(w http.ResponseWriter, mode behaviour, id string) {
+	body := responseBody(id, s.uid)
+	switch mode {
 	case fails:
 		w.WriteHeader(http.StatusInternalServerError)
-	case breaksOff, breaksMidway, hasNoLength, answersTwice, closesQuickly:
+	case resetsConn, resetsMidResponse, omitsLength, respondsTwice, closesQuickly:
 		conn, buffered, err := http.NewResponseController(w).Hijack()
 		if err != nil {
 			return
 		}
 		defer conn.Close()
 		_ = buffered.Flush() // nothing was written yet
-		s.answerRaw(conn, how, body)
+		s.respondRaw(conn, mode, body)
 	default:
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 		_, _ = io.WriteString(w, body)
@@ -161,21 +161,21 @@
 }
 
 // answerRaw writes an answer that net/http can't produce.
-func (s *server) answerRaw(conn net.Conn, how behaviour, body string) {
+func (s *server) respondRaw(conn net.Conn, mode behaviour, body string) {
 	head := "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n"
-	switch how {
-	case breaksMidway:
+	switch mode {
+	case resetsMidResponse:
 		_, _ = io.WriteString(conn, head+body[:len(body)/2])
 		time.Sleep(time.Millisecond)
 		fallthrough
-	case breaksOff:
+	case resetsConn:
 		_ = conn.(*net.TCPConn).SetLinger(0)
-	case hasNoLength:
+	case omitsLength:
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\n"+body)
 	case closesQuickly:
 		_, _ = io.WriteString(conn, head+body)
 		time.Sleep(serviceTime)
-	case answersTwice:
+	case respondsTwice:
 		_, _ = io.WriteString(conn, head+body)
 		time.Sleep(serviceTime)
 		_, _ = io.WriteString(conn, strings.Replace(head+body, " 200 OK", " 200 Twice", 1))
@@ -184,4 +184,4 @@
 }
 
 // answerTo returns the body of a server's answer to a request.
-func answerTo(id, uid string) string { return "done " + id + " by " + uid }
+func responseBody(id, uid string) string { return "done " + id + " by " + uid }
--- a/internal/trials/soak/signals.go
+++ b/internal/trials/soak/signals.go
@@ -10,24 +10,24 @@
 
 // Bounds of a series of signals.
 const (
-	maxSignals        = 4                      // beside the first SIGTERM
-	maxSignalInterval = 150 * time.Millisecond // between two of a series
-	minNewConnections = 200 * time.Millisecond // after SIGTERM for which clients still open connections (PROTOCOL), at least
-	maxNewConnections = 400 * time.Millisecond // the same, at most
+	maxSignals           = 4                      // beside the first SIGTERM
+	maxSignalInterval    = 150 * time.Millisecond // between two of a series
+	minNewConnectionTime = 200 * time.Millisecond // after SIGTERM for which clients still open connections (PROTOCOL), at least
+	maxNewConnectionTime = 400 * time.Millisecond // the same, at most
 )
 
 // signalStep is one signal of a series.
 type signalStep struct {
-	after  time.Duration // since the step before
-	signal syscall.Signal
-	broken bool // for SIGHUP: the configuration file is not valid
+	delay         time.Duration // since the step before
+	signal        syscall.Signal
+	invalidConfig bool // for SIGHUP: the configuration file is not valid
 }
 
 // shutdown is a drawn shutdown of a node: signals before SIGTERM and behind it.
 type shutdown struct {
-	before         []signalStep
-	behind         []signalStep
-	newConnections time.Duration // for which clients still connect
+	before            []signalStep
+	after             []signalStep
+	newConnectionTime time.Duration // for which clients still connect
 }
 
 // drawShutdown draws a shutdown. SIGHUP may come before, between and behind, in a row and with a broken configuration.
@@ -35,28 +35,28 @@
 	draw := func(signals ...syscall.Signal) (steps []signalStep) {
 		for range rng.IntN(maxSignals + 1) {
 			steps = append(steps, signalStep{
-				after:  time.Duration(rng.Int64N(int64(maxSignalInterval))),
-				signal: signals[rng.IntN(len(signals))],
-				broken: rng.IntN(3) == 0,
+				delay:         time.Duration(rng.Int64N(int64(maxSignalInterval))),
+				signal:        signals[rng.IntN(len(signals))],
+				invalidConfig: rng.IntN(3) == 0,
 			})
 		}
 		return steps
 	}
 	return shutdown{
-		before:         draw(syscall.SIGHUP),
-		behind:         draw(syscall.SIGHUP, syscall.SIGTERM),
-		newConnections: minNewConnections + time.Duration(rng.Int64N(int64(maxNewConnections-minNewConnections))),
+		before:            draw(syscall.SIGHUP),
+		after:             draw(syscall.SIGHUP, syscall.SIGTERM),
+		newConnectionTime: minNewConnectionTime + time.Duration(rng.Int64N(int64(maxNewConnectionTime-minNewConnectionTime))),
 	}
 }
 
 // brokenConfiguration can't be read.
-const brokenConfiguration = `{"name":`
+const invalidConfiguration = `{"name":`
 
 // send executes the steps of a series, until ctx ends or the process has.
-func (n *node) send(ctx context.Context, steps []signalStep) {
+func (n *node) sendSignals(ctx context.Context, steps []signalStep) {
 	for _, step := range steps {
-		sleep(ctx, step.after)
-		if ctx.Err() != nil || n.sendStep(step) != nil {
+		sleep(ctx, step.delay)
+		if ctx.Err() != nil || n.sendSignal(step) != nil {
 			return
 		}
 	}
@@ -64,15 +64,15 @@
 
 // sendStep sends one signal. For SIGHUP the configuration names the other discovery server, or is broken until a moment
 // later.
-func (n *node) sendStep(step signalStep) error {
-	n.play.journal.signalSent()
+func (n *node) sendSignal(step signalStep) error {
+	n.play.journal.countSignal()
 	switch {
 	case step.signal != syscall.SIGHUP:
 		return n.process.Signal(step.signal)
-	case !step.broken:
-		return n.move()
+	case !step.invalidConfig:
+		return n.switchDiscovery()
 	}
-	if err := os.WriteFile(n.configPath(), []byte(brokenConfiguration), 0o600); err != nil {
+	if err := os.WriteFile(n.configPath(), []byte(invalidConfiguration), 0o600); err != nil {
 		return err
 	}
 	err := n.process.Signal(syscall.SIGHUP)
@@ -86,28 +86,28 @@
 // terminate sends SIGTERM, among other signals, and starts the node again. A process that still runs at the platform's
 // earliest SIGKILL is killed; requests that it has not answered are lost, and count as violations.
 func (n *node) terminate(ctx context.Context, plan shutdown) error {
-	n.send(ctx, plan.before)
+	n.sendSignals(ctx, plan.before)
 	n.mu.Lock()
-	n.endingAt = time.Now()
-	n.newConnections = plan.newConnections
+	n.sigtermAt = time.Now()
+	n.newConnectionTime = plan.newConnectionTime
 	n.mu.Unlock()
 	if err := n.process.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
-	ending, cancel := context.WithTimeout(ctx, killDelay+n.play.Slack)
+	untilKill, cancel := context.WithTimeout(ctx, killDelay+n.play.Slack)
 	defer cancel()
-	sent := make(chan struct{})
-	go func() { defer close(sent); n.send(ending, plan.behind) }()
-	err := n.process.Gone(ending)
+	signalsSent := make(chan struct{})
+	go func() { defer close(signalsSent); n.sendSignals(untilKill, plan.after) }()
+	err := n.process.Gone(untilKill)
 	cancel()
-	<-sent
+	<-signalsSent
 	if err != nil {
-		n.play.journal.killSent()
+		n.play.journal.countKill()
 		if err := n.process.Kill(); err != nil {
 			return err
 		}
 	} else if err := n.process.Wait(); err != nil {
-		n.play.journal.wrong("%s ended after SIGTERM with %v", n.name, err)
+		n.play.journal.addViolation("%s ended after SIGTERM with %v", n.name, err)
 	}
 	if err := n.writeConfiguration(); err != nil {
 		return err
--- a/internal/trials/soak/soak.go
+++ b/internal/trials/soak/soak.go
@@ -55,8 +55,8 @@
 }
 
 const (
-	readyTimeout = 30 * time.Second // from a node's start to a successful health check
-	calmTime     = time.Second      // without disturbances at the begin and the end of a run
+	readyTimeout    = 30 * time.Second // from a node's start to a successful health check
+	undisturbedTime = time.Second      // without disturbances at the begin and the end of a run
 )
 
 // play is the state of a run.
@@ -93,10 +93,10 @@
 	p.disturbances.run(ctx)
 	for _, n := range p.nodes {
 		if err := n.awaitReady(ctx); err != nil {
-			p.journal.wrong("%s does not serve again: %v", n.name, err)
+			p.journal.addViolation("%s does not serve again: %v", n.name, err)
 		}
 	}
-	sleep(ctx, calmTime)
+	sleep(ctx, undisturbedTime)
 	stop()
 	p.tasks.Wait()
 	for _, n := range p.nodes {
@@ -173,7 +173,7 @@
 	r.Disturbances = p.disturbances.counts
 	r.DisturbanceList = p.disturbances.list
 	for _, n := range p.nodes {
-		r.Injected += n.injected()
+		r.Injected += n.failedCalls()
 		r.Starts += n.process.Starts()
 	}
 	return r
--- a/internal/trials/soak/soak_test.go
+++ b/internal/trials/soak/soak_test.go
@@ -33,19 +33,19 @@
 		t.Fatal(err)
 	}
 	t.Logf("%+v", *report)
-	for _, wrong := range report.Wrong {
-		t.Error(wrong)
+	for _, violation := range report.Wrong {
+		t.Error(violation)
 	}
 	if t.Failed() {
-		for _, one := range report.DisturbanceList {
-			t.Log(one)
+		for _, line := range report.DisturbanceList {
+			t.Log(line)
 		}
 	}
 }
 
 // Guards against clients that lose their answers while a flood keeps a node's descriptors, and while signals come in series
 // around a shutdown: both break no rule.
-func TestCrowdAndSignalSeriesBreakNoRule(t *testing.T) {
+func TestFloodAndSignalSeriesBreakNoRule(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "lockflow")
 	if err := faultbuild.Build(t.Context(), "lockflow/cmd/lockflow", program, t.TempDir()); err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 	if report.Signals == 0 || report.FloodConnections == 0 {
 		t.Errorf("%d signals and %d connections of a flood", report.Signals, report.FloodConnections)
 	}
-	for _, wrong := range report.Wrong {
-		t.Error(wrong)
+	for _, violation := range report.Wrong {
+		t.Error(violation)
 	}
 }
