--- a/internal/trials/regiontrial/change.go
+++ b/internal/trials/regiontrial/change.go
@@ -20,7 +20,7 @@
 	"lockflow/internal/rolloutlog"
 )
 
-// Exit codes of a change.
+// Exit codes of a coordinator.
 const (
 	exitCompleted  = 0
 	exitRolledBack = 1
@@ -28,21 +28,21 @@
 	exitKilled     = -1
 )
 
-// coordinatorEnd is the result of a coordinator's process.
+// coordinatorResult is the outcome of a coordinator's process.
 type coordinatorResult struct {
 	exitCode int
 	output   string
 }
 
-// runCoordinator runs the real command over the fleet, and kills it once it has logged a number of decisions; 0
-// is never. Each decision is logged after it was written to the rollout log.
+// runCoordinator runs the real coordinator command, and kills it when it has logged kill decisions; 0 means never. The
+// coordinator logs a decision after it has written it to the rollout log.
 func (r *run) runCoordinator(ctx context.Context, kill int, args ...string) (e coordinatorResult, err error) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, r.options.Program, append([]string{"fleet", "reload"}, args...)...)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	var out bytes.Buffer
-	var mu sync.Mutex // of out
+	var mu sync.Mutex // guards out
 	cmd.Stdout = writerFunc(func(b []byte) (int, error) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -66,7 +66,7 @@
 			}
 		}
 	}
-	_ = cmd.Wait() // ProcessState tells how it ended
+	_ = cmd.Wait() // ProcessState has the exit code
 	e = coordinatorResult{cmd.ProcessState.ExitCode(), out.String()}
 	r.mu.Lock()
 	r.decisions += decisions
@@ -84,7 +84,7 @@
 
 func (w writerFunc) Write(b []byte) (int, error) { return w(b) }
 
-// readRolloutLog returns the change of a coordinator's rollout log; nil if there is none.
+// readRolloutLog returns the change in a coordinator's rollout log, or nil if the log has none.
 func (r *run) readRolloutLog(name string) (*fleet.Change, error) {
 	records, _, err := rolloutlog.Read(filepath.Join(r.options.Dir, name))
 	if err != nil || len(records) == 0 {
@@ -97,7 +97,7 @@
 	return c, nil
 }
 
-// noteGenerations records what members run at each step of a rollout log's change as wanted.
+// recordGenerations records the generations that members run at each step of a rollout log's change as allowed ones.
 func (r *run) recordGenerations(name string) error {
 	c, err := r.readRolloutLog(name)
 	if err != nil || c == nil {
@@ -106,7 +106,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i, m := range c.Plan.Members {
-		// A coordinator that starts during another's change knows fewer of its generations.
+		// The log of a coordinator that starts during another's change has fewer of the change's generations.
 		if n := memberName(i); len(m.Versions) > len(r.generationsByMember[n]) {
 			r.generationsByMember[n] = m.Versions
 		}
@@ -117,13 +117,13 @@
 	return nil
 }
 
-// flags returns the flags of a change with a rollout log of a name.
+// changeFlags returns a coordinator's flags for a fleet file and the name of a rollout log.
 func (r *run) changeFlags(fleetFile, journal string, more ...string) []string {
 	return append([]string{"--fleet", fleetFile, "--journal", filepath.Join(r.options.Dir, journal), "--within", "20s", "--stages", "1, 50%, 100%"}, more...)
 }
 
-// expectRejection requests a change that would bring a conflict. It has to be rejected with an example request
-// before anything is changed.
+// expectRejection requests a change that introduces a conflict between regions. The coordinator has to reject it before
+// it changes anything, and has to name an example request.
 func (r *run) expectRejection(ctx context.Context, file string) error {
 	for {
 		e, err := r.runCoordinator(ctx, 0, r.changeFlags(file, "refused", "--unjudged", "--bake", "100ms")...)
@@ -138,7 +138,7 @@
 			r.exchanges.Wrong("a change with a conflict: exit %d, begun %v: %s", e.exitCode, c != nil, e.output)
 		}
 		if strings.Contains(e.output, "does not answer") || strings.Contains(e.output, "member ") && !strings.Contains(e.output, "loop") {
-			select { // a fault prevented the check: retry
+			select { // a fault prevented the check of the change: retry
 			case <-time.After(retryInterval):
 				continue
 			case <-ctx.Done():
@@ -152,7 +152,8 @@
 	}
 }
 
-// startChange starts coordinators until one has written the change, and kills it after a number of decisions.
+// startChange starts coordinators until one has written the change to its rollout log. Each is killed after kill
+// decisions.
 func (r *run) startChange(ctx context.Context, file string, kill int, more ...string) (e coordinatorResult, err error) {
 	for {
 		if e, err = r.runCoordinator(ctx, kill, r.changeFlags(file, "journal", more...)...); err != nil {
@@ -169,7 +170,7 @@
 			r.exchanges.Wrong("a change could not be begun: exit %d: %s", e.exitCode, e.output)
 			return e, nil
 		}
-		select { // a member did not answer
+		select { // a member did not answer: retry
 		case <-time.After(retryInterval):
 		case <-ctx.Done():
 			return e, ctx.Err()
@@ -177,7 +178,8 @@
 	}
 }
 
-// fleetState returns the kind of settings that all members run. isUniform is false if they differ.
+// fleetState returns the kind of settings that all members run, and a description of each member's state. isUniform is
+// false unless all members are ready and run the same kind.
 func (r *run) fleetState(ctx context.Context, hashes map[kind][]string) (k kind, isUniform bool, description string) {
 	counts := make(map[kind]int)
 	for i := range r.nodes() {
--- a/internal/trials/regiontrial/checks.go
+++ b/internal/trials/regiontrial/checks.go
@@ -8,27 +8,28 @@
 	"time"
 )
 
-// The rules of a trial, checked from observations alone.
+// The checks below use only observations: status replies, logs, and what clients and fake servers receive.
 
-// StatusRead is one status reply of a member.
+// StatusRead is a status reply of a member.
 type StatusRead struct {
 	Member     string
-	From, To   time.Duration // request and reply
+	From, To   time.Duration // times of the request and of the reply
 	PID        int
-	Generation int // counted by the process
+	Generation int // number of the generation, counted by the process
 	Hash       string
 	Epoch      uint64
 	Owner      string
 }
 
-// CheckNeighbours reports members that certainly ran generations at the same time that are no neighbours.
-// generations are each member's hashes in the order of the change. Between two consecutive status reads with the
-// same process and generation a member ran just that one, so reports are certain; changes between reads are missed.
+// CheckNeighbours reports pairs of members that ran generations more than one phase of the change apart at the same time.
+// generations has the hashes of each member in the order of the change. If two consecutive status replies of a member have
+// the same process and generation, the member ran that generation for the whole time between them, so no report is a false
+// alarm. Generations that a member ran only between two replies are missed.
 func CheckNeighbours(reads []StatusRead, generations map[string][]string) (violations []string) {
 	type span struct {
 		member   string
 		from, to time.Duration
-		first    int // places of its hash in the member's generations
+		first    int // first and last index of its hash in the member's generations
 		last     int
 	}
 	last := make(map[string]StatusRead)
@@ -39,7 +40,7 @@
 		if !ok || previous.PID != read.PID || previous.Generation != read.Generation || previous.Hash != read.Hash {
 			continue
 		}
-		s := span{read.Member, previous.To, read.From, -1, -1} // from the reply of one to the request of the other
+		s := span{read.Member, previous.To, read.From, -1, -1} // from the earlier reply to the later request
 		for n, h := range generations[read.Member] {
 			if h != read.Hash {
 				continue
@@ -58,7 +59,7 @@
 	for _, s := range all {
 		open = slices.DeleteFunc(open, func(o span) bool { return o.to < s.from })
 		for _, o := range open {
-			// A hash that a member has at several generations counts as the nearest.
+			// If a member has the same hash at several generations, the nearest one counts.
 			if distance := max(s.first-o.last, o.first-s.last); distance > 1 && len(violations) < maxReported {
 				violations = append(violations, fmt.Sprintf("%v: %s ran generation %d beside %s at %d", s.from.Round(time.Millisecond), s.member, s.first, o.member, o.first))
 			}
@@ -68,13 +69,13 @@
 	return violations
 }
 
-// maxReported bounds the violations that one check reports.
+// maxReported is the largest number of violations that a check reports.
 const maxReported = 20
 
-// CheckOwners reports granted epochs of a member that decrease, and epochs with two owners.
+// CheckOwners reports members whose granted epoch decreased, and epochs that were granted to two owners.
 func CheckOwners(reads []StatusRead) (violations []string) {
 	maxEpochs, owners := make(map[string]uint64), make(map[uint64]string)
-	for _, read := range reads { // of one member in the order in which it answered
+	for _, read := range reads { // the replies of each member are in the order in which it sent them
 		if read.Epoch < maxEpochs[read.Member] {
 			violations = append(violations, fmt.Sprintf("%s: epoch %d after %d", read.Member, read.Epoch, maxEpochs[read.Member]))
 		}
@@ -90,7 +91,7 @@
 	return violations[:min(len(violations), maxReported)]
 }
 
-// MemberLog is what a member logged of coordinators.
+// MemberLog is a summary of what a member logged about coordinators, with the violations found in it.
 type MemberLog struct {
 	Grants, Orders int
 	Wrong          []string
@@ -99,14 +100,15 @@
 	started        map[string]bool
 }
 
-// Read reads a log. A command under an older epoch than one granted before, or by another owner, is a violation.
-// The line of a grant may be lost with the process.
+// Read reads a member's log. A command or grant is a violation if its epoch is older than an earlier one, or if its owner
+// is not the owner of its epoch. owners has the owner of each epoch known from all members. The log line of a grant may be
+// missing, as it is lost if the process is killed, so the epochs of commands count too.
 func (g *MemberLog) Read(member, log string, owners map[uint64]string) {
 	for line := range strings.Lines(log) {
 		_, rest, ok := strings.Cut(line, `msg="`)
 		if _, id, interrupted := strings.Cut(rest, "nothing of it remains\" id="); interrupted {
 			id, _, _ = strings.Cut(id, " ")
-			delete(g.started, id) // it may be started again
+			delete(g.started, id) // the command may be started a second time
 		}
 		grant := strings.HasPrefix(rest, "coordinator epoch granted")
 		if !ok || !grant && !strings.HasPrefix(rest, "command started") {
@@ -115,7 +117,7 @@
 		var epoch uint64
 		fields := fieldsOf(rest)
 		if _, err := fmt.Sscan(fields["epoch"], &epoch); err != nil || fields["owner"] == "" {
-			continue // cut by a kill
+			continue // the line is truncated, as the process was killed
 		}
 		if epoch < g.epoch || epoch == g.epoch && g.owner != fields["owner"] {
 			g.Wrong = append(g.Wrong, fmt.Sprintf("%s: epoch %d of %s after %d of %s: %s", member, epoch, fields["owner"], g.epoch, g.owner, strings.TrimSpace(rest)))
@@ -133,7 +135,7 @@
 	}
 }
 
-// addOrder counts a command that was started. One that was started before is a violation.
+// addOrder counts a started command. A command that was started before is a violation.
 func (g *MemberLog) addCommand(member, id string) {
 	g.Orders++
 	if g.started == nil {
@@ -145,7 +147,7 @@
 	g.started[id] = true
 }
 
-// fieldsOf returns the KEY=VALUE fields of a log line.
+// fieldsOf returns the KEY=VALUE fields of a log line without the quotes of the values.
 func fieldsOf(line string) map[string]string {
 	fields := make(map[string]string)
 	for f := range strings.FieldsSeq(line) {
@@ -156,11 +158,12 @@
 	return fields
 }
 
-// MaxExcess returns the largest excess of requests over rate and burst in any interval. at is sorted.
+// MaxExcess returns the largest number of requests by which any interval exceeds a token bucket's rate per second and
+// burst. at has the sorted times of the requests.
 func MaxExcess(at []time.Duration, rate, burst float64) float64 {
 	maxExcess, minimum := 0.0, 0.0
 	for n, t := range at {
-		// An interval from request k to request n has n-k+1 requests; minimum is the smallest k - rate*t_k.
+		// The interval from request k to request n has n-k+1 requests; minimum is the smallest value of k - rate*t_k.
 		v := float64(n) - rate*t.Seconds()
 		if n == 0 || v < minimum {
 			minimum = v
@@ -170,13 +173,14 @@
 	return maxExcess
 }
 
-// element is the answer of one pool to a query.
+// element is one pool's part of the answer to a query.
 type element struct {
 	Pod string `json:"pod"`
 	ID  string `json:"id"`
 }
 
-// CheckParts returns an error unless a gathered answer of a region has exactly the parts that it claims.
+// CheckParts returns an error unless a gathered answer of a region contains exactly the parts that its headers parts and
+// missing announce, all of them for the request with the given id.
 func CheckParts(region, id, parts, missing, body string) error {
 	var claimed, all int
 	if n, err := fmt.Sscanf(parts, "%d/%d", &claimed, &all); err != nil || n != 2 || all != regionCount || claimed < 1 || claimed > all {
--- a/internal/trials/regiontrial/checks_test.go
+++ b/internal/trials/regiontrial/checks_test.go
@@ -10,11 +10,11 @@
 
 const ms = time.Millisecond
 
-// Each check below finds what it is for, and nothing where all is well: here, neighbours that run settings
-// more than a phase apart.
+// The tests of this file guard against checks that miss violations or report allowed observations. CheckNeighbours reports
+// members that run settings more than one phase apart at the same time.
 func TestCheckNeighbours(t *testing.T) {
 	generations := map[string][]string{"a": {"a0", "a1", "a2"}, "b": {"b0", "b0", "b2"}, "c": {"c0", "c1", "c2"}}
-	// runs is a member at a hash from one time to another, by looks of 2 ms.
+	// runs returns the status replies of a member that runs a hash from one time to another, each with a round trip of 2 ms.
 	runs := func(member, hash string, generation int, from, to time.Duration) (all []StatusRead) {
 		for at := from; at < to; at += 10 * ms {
 			all = append(all, StatusRead{member, at, at + 2*ms, 7, generation, hash, 1, "x"})
--- a/internal/trials/regiontrial/clients.go
+++ b/internal/trials/regiontrial/clients.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	excusedReadTimeout = 4 * time.Second  // of a client that met a fault; above each class's deadline
-	maxReadTimeout     = 30 * time.Second // of one that met none
+	excusedReadTimeout = 4 * time.Second  // read timeout of a client that a fault may have affected; longer than the deadline of each class
+	maxReadTimeout     = 30 * time.Second // read timeout of other clients
 	maxPause           = 16 * time.Millisecond
 )
 
-// client sends requests to one node over persistent connections, one at a time, without retries.
+// client sends requests to one node, one at a time over persistent connections, and does not retry them.
 type client struct {
 	*run
 	node, number int
@@ -46,7 +46,8 @@
 	body, answer               int64
 }
 
-// customers have hard limits over all regions; every client sends requests of each, above their limits.
+// customers are the customers with hard limits, which hold over all regions. Every client sends requests for each of them,
+// so that together they exceed the limits.
 var customers = []string{"gold-1", "silver-1"}
 
 func (c *client) drawRequest() request {
@@ -63,7 +64,7 @@
 	return q
 }
 
-// work sends until ctx ends.
+// sendUntilDone sends random requests until ctx ends.
 func (c *client) sendUntilDone(ctx context.Context) {
 	defer c.conn.Close()
 	for ctx.Err() == nil {
@@ -75,11 +76,11 @@
 	}
 }
 
-// send sends a request, records its outcome, and returns the status; 0 is none.
+// send sends a request, records its outcome, and returns the status of the answer, or 0 if there was none.
 func (c *client) send(q request) int {
 	c.exchanges.Requested(q.id)
 	started := time.Now()
-	resp, body, err := c.exchange(q) //nolint:bodyclose // exchange reads it to its end
+	resp, body, err := c.exchange(q) //nolint:bodyclose // exchange reads the body to its end
 	if err != nil {
 		c.conn.Close()
 		prefix := "unexplained: "
@@ -114,8 +115,8 @@
 	return resp, string(raw), err
 }
 
-// answered checks a final answer. excused tells that a fault on the client's side may have interrupted the
-// request.
+// checkAnswer checks a final answer. isFaultPossible reports whether a fault of the client's link or of the node may have
+// interrupted the request.
 func (r *run) checkAnswer(node int, q request, resp *http.Response, body string, isFaultPossible bool) {
 	r.mu.Lock()
 	r.status[resp.StatusCode]++
--- a/internal/trials/regiontrial/config.go
+++ b/internal/trials/regiontrial/config.go
@@ -14,7 +14,7 @@
 //go:embed config.toml
 var settingsTemplate string
 
-// regionNames are the regions of a trial, in the order of a gathered answer.
+// regionNames are the names of a trial's regions.
 var regionNames = []string{"north", "south", "east"}
 
 const regionCount = 3
@@ -22,27 +22,27 @@
 // Regions returns the names of the regions.
 func Regions() []string { return regionNames }
 
-// Rates and bursts of the plans with a hard limit, in requests: the change lowers one of the two and raises the
-// other, so that neither end is the stricter and the change has to go through settings between.
+// Rates and bursts of the plans with a hard limit, in requests. The change lowers one of the two and raises the other, so
+// that neither the old nor the new settings are the stricter ones and the change has to go through intermediate settings.
 const (
 	unitsLow  = 8
 	unitsHigh = 16
 )
 
-// kind is a version of the complete fleet's settings.
+// kind is a version of the settings of the whole fleet.
 type kind int
 
 const (
 	before      kind = iota // the initial settings
 	after                   // other gather settings, routes and hard limits
-	conflicting             // a query from another region would be gathered again, in a loop
-	harmful                 // as after, with servers that fail every request
+	conflicting             // lacks the route for a region's part of /visits, so that a query from another region is gathered a second time, in a loop
+	harmful                 // like after, but with app servers that fail every request
 )
 
-// partRoute is a route for the part that a region contributes to another one's queries.
+// partRoute is the settings of a route for the part that a region contributes to the queries of another region.
 const partRoute = "[[routes]]\nname = %q\nservice = \"here\"\npath = %q\nheaders = [\"Via\"]\n"
 
-// settingsText returns the settings of a region.
+// settingsText returns the text of a region's settings.
 func (r *run) settingsText(region int, k kind) string {
 	gold, silver := unitsLow, unitsHigh
 	names := []string{"here"}
@@ -85,7 +85,8 @@
 
 func (r *run) customersFile() string { return filepath.Join(r.options.Dir, "customers.csv") }
 
-// writeFleetFile writes a fleet file with its regions' settings, and returns its path and their hashes.
+// writeFleetFile writes a fleet file and the settings of its regions, and returns the path of the fleet file and the
+// hashes of the settings.
 func (r *run) writeFleetFile(name string, k kind) (path string, hashes []string, err error) {
 	dir := filepath.Join(r.options.Dir, name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
--- a/internal/trials/regiontrial/fixture.go
+++ b/internal/trials/regiontrial/fixture.go
@@ -16,14 +16,15 @@
 	"lockflow/internal/trials/faultnet/traffic"
 )
 
-// unusedAddr is an address without a listener.
+// unusedAddr is an address on which no process listens.
 const unusedAddr = "127.0.0.1:1"
 
-// perRegion is how many links a region has: two to its listeners for other regions, two to its app's
-// servers, one to its pool. Those of nodes come first: to each, its clients' and its control socket's.
+// linksPerRegion is the number of links of a region besides those of its nodes: two to listeners of its nodes, for other
+// regions, two to its app servers, and one to its pool. In the list of links the nodes' links come first; each node has one
+// for its clients and one for its control socket.
 const linksPerRegion = 5
 
-// Links returns the number of links of a trial with each nodes a region.
+// Links returns the number of links of a trial.
 func Links(nodesPerRegion int) int { return regionCount * (2*nodesPerRegion + linksPerRegion) }
 
 // Place returns a description of a link.
@@ -42,7 +43,7 @@
 
 func memberName(i int) string { return fmt.Sprint("node-", i) }
 
-// fixture has the links and processes of a trial, and the faults that clients may have met.
+// fixture contains the links and processes of a trial, and records the faults that may have affected clients.
 type fixture struct {
 	nodesPerRegion int
 	dir            string
@@ -50,7 +51,7 @@
 	procs          []*faultnet.Process
 
 	starts sync.WaitGroup
-	faults traffic.Faults[int] // by the node whose clients they affect
+	faults traffic.Faults[int] // by the node whose clients the faults affect
 	mu     sync.Mutex
 	kills  int
 }
@@ -76,7 +77,8 @@
 	return filepath.Join(g.dir, strconv.Itoa(i), "lockflow.toml")
 }
 
-// redirectLinks leads a process's links to its address: its clients', and other regions' if it is one of the first.
+// redirectLinks points the links of a process at an address: that of its clients and, for the first two processes of a
+// region, one of the links from other regions. With one node per region both of these links lead to it.
 func (g *fixture) redirectLinks(i int, addr string) {
 	g.client(i).To(addr)
 	if position := i % g.nodesPerRegion; position < 2 {
@@ -87,7 +89,8 @@
 	}
 }
 
-// openLinks opens the links, to the fake servers of each region: two apps and a pool.
+// openLinks opens the links. servers has the addresses of each region's fake servers: two app servers and a pool. The links
+// to nodes' listeners have no target until the nodes are ready.
 func (g *fixture) openLinks(servers [][3]string) error {
 	var targets []string
 	for i := range regionCount * g.nodesPerRegion {
@@ -109,7 +112,7 @@
 	return nil
 }
 
-// start starts all processes and waits until they are ready.
+// start starts the processes of all nodes and waits until they are ready.
 func (g *fixture) start(ctx context.Context, program string) error {
 	for i := range regionCount * g.nodesPerRegion {
 		dir := filepath.Join(g.dir, strconv.Itoa(i))
@@ -132,14 +135,14 @@
 
 func (g *fixture) close() {
 	for _, p := range g.procs {
-		_ = p.Kill() // it may have ended already
+		_ = p.Kill() // the process may have exited already
 	}
 	for _, l := range g.links {
 		_ = l.Close() // the trial is over
 	}
 }
 
-// awaitReady waits until a process is ready, and leads its links to its listener.
+// awaitReady waits until a process is ready, and points its links at its listener.
 func (g *fixture) awaitReady(ctx context.Context, i int) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -160,7 +163,7 @@
 	}
 }
 
-// tail returns the end of a node's log.
+// logTail returns the end of a node's log, for messages.
 func (g *fixture) logTail(i int) string {
 	raw, err := os.ReadFile(g.procs[i].Log)
 	if err != nil {
@@ -169,7 +172,7 @@
 	return "its log ends with: " + string(raw[max(len(raw)-600, 0):])
 }
 
-// affectedNode returns the node whose clients a fault affects.
+// affectedNode returns the node whose clients a fault affects, if there is one.
 func (g *fixture) affectedNode(e script.Entry) (node int, ok bool) {
 	if e.Kind.OfLink() {
 		return e.On / 2, e.On < 2*len(g.procs) && e.On%2 == 0
@@ -177,7 +180,7 @@
 	return e.On, e.Kind == script.Kill || e.Kind == script.Pause
 }
 
-// beforeStep records faults before they begin, so that clients that meet one find it recorded.
+// beforeStep records faults before they begin, so that a fault is recorded by the time it affects a client.
 func (g *fixture) beforeStep(st script.Step) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -191,11 +194,11 @@
 	}
 }
 
-// afterStep records the end of faults: that of a kill when clients can reach the new process.
+// afterStep records the end of faults. A kill ends when clients can reach the restarted process.
 func (g *fixture) afterStep(ev faultnet.Event, reportViolation func(string, ...any)) {
 	for _, e := range ev.Step.Begins {
 		if e.Kind == script.Kill {
-			g.redirectLinks(e.On, unusedAddr) // the port may be another's by now
+			g.redirectLinks(e.On, unusedAddr) // another process may use the port by now
 		}
 	}
 	for _, e := range ev.Step.Ends {
@@ -208,7 +211,7 @@
 			continue
 		}
 		g.starts.Go(func() {
-			// If it is killed again meanwhile, the start after that counts.
+			// If the process is killed a second time in the meantime, this start is not checked; the next one is.
 			starts := g.procs[i].Starts()
 			if err := g.awaitReady(context.Background(), i); err != nil && g.procs[i].Runs() && g.procs[i].Starts() == starts {
 				reportViolation("%v", err)
@@ -218,13 +221,13 @@
 	}
 }
 
-// isClientFaultPossible tells whether a fault of the link to a node's clients or of its process may have
-// affected a connection since a time.
+// isClientFaultPossible reports whether a fault of the link between a node and its clients, or of the node's process, may
+// have affected a connection since a time.
 func (g *fixture) isClientFaultPossible(node int, since time.Time) bool {
 	return g.faults.IsPossible(node, since)
 }
 
-// Draw draws a script for a trial with each nodes a region.
+// Draw generates the script of a seed for a trial.
 func Draw(seed uint64, nodesPerRegion, faults int, duration time.Duration) faultnet.Script {
 	return faultnet.Draw(seed, faultnet.Spec{
 		Links: Links(nodesPerRegion), Procs: regionCount * nodesPerRegion, For: duration, Faults: faults,
--- a/internal/trials/regiontrial/report.go
+++ b/internal/trials/regiontrial/report.go
@@ -12,27 +12,27 @@
 type Report struct {
 	Seed               uint64        `json:"seed"`
 	Faults             int           `json:"faults"`
-	Kills              int           `json:"kills"` // of nodes
+	Kills              int           `json:"kills"` // kills of nodes
 	KilledCoordinators int           `json:"coordinators_killed"`
-	ExitCodes          []int         `json:"runs"`      // exit codes of coordinators under faults; -1 is killed
-	ExtraCoordinators  int           `json:"again"`     // coordinators that were started after all faults had ended
-	Phases             int           `json:"phases"`    // of the change
+	ExitCodes          []int         `json:"runs"`      // exit codes of the coordinators that ran under faults; -1 is a killed one
+	ExtraCoordinators  int           `json:"again"`     // coordinators that had to be started after all faults had ended
+	Phases             int           `json:"phases"`    // phases of the change
 	Changed            bool          `json:"changed"`   // all members ran the new settings when the faults ended
 	Decisions          int           `json:"decisions"` // logged by all coordinators
-	Epochs             int           `json:"epochs"`    // granted by some member
-	Orders             int           `json:"orders"`    // started by members
+	Epochs             int           `json:"epochs"`    // number of epochs that some member granted
+	Orders             int           `json:"orders"`    // commands started by members
 	Requests           int           `json:"requests"`
 	Served             int           `json:"served"`
-	Broken             int           `json:"broken"`   // without an answer because of a fault
-	Gathered           int           `json:"gathered"` // answers of queries
-	Partial            int           `json:"partial"`  // of them, with a missing part
+	Broken             int           `json:"broken"`   // requests without an answer
+	Gathered           int           `json:"gathered"` // gathered answers
+	Partial            int           `json:"partial"`  // gathered answers with a missing part
 	Effects            int           `json:"effects"`
 	Metered            int           `json:"metered"` // requests of customers with a hard limit that fake servers received
-	MaxExcess          float64       `json:"beyond"`  // largest excess over the hard limit, in requests
+	MaxExcess          float64       `json:"beyond"`  // largest excess over a hard limit, in requests
 	StatusReads        int           `json:"looks"`
-	HarmedRequests     int           `json:"harmed"`         // requests that the harmful change failed
-	HarmedMembers      int           `json:"harmed_at"`      // members that ran it
-	RollbackDuration   time.Duration `json:"harmed_took_ns"` // until it was stopped and rolled back
+	HarmedRequests     int           `json:"harmed"`         // requests that failed because of the harmful change
+	HarmedMembers      int           `json:"harmed_at"`      // members that ran the harmful change
+	RollbackDuration   time.Duration `json:"harmed_took_ns"` // time until the harmful change was stopped and rolled back
 	Duration           time.Duration `json:"took_ns"`
 	Wrong              []string      `json:"wrong"`
 }
@@ -68,7 +68,8 @@
 		at := slices.Clone(r.forwarded.times[c])
 		slices.Sort(at)
 		rep.Metered += len(at)
-		// The change switches between two limits; the larger one holds for all. A bucket starts with its burst at most.
+		// The change replaces one rate and burst by others, so the larger of the two values bounds both the rate and the burst
+		// at any time.
 		excess := MaxExcess(at, unitsHigh, unitsHigh)
 		if rep.MaxExcess = max(rep.MaxExcess, excess); excess > float64(allowedExcess(r.nodes())) {
 			violations = append(violations, fmt.Sprintf("customer %s: %.1f requests beyond its hard limit", c, excess))
@@ -87,6 +88,6 @@
 	rep.Duration = time.Since(r.startedAt)
 }
 
-// slack is the allowed excess over hard limits, in requests: an account that is charged at several instances at
-// once is counted in parts, each of which may be rounded up.
+// allowedExcess returns the allowed excess over a hard limit, in requests. The charges of an account that several instances
+// serve at the same time are counted in one part for each instance, and each part may be rounded up.
 func allowedExcess(nodes int) int { return nodes }
--- a/internal/trials/regiontrial/servers.go
+++ b/internal/trials/regiontrial/servers.go
@@ -11,10 +11,10 @@
 	"lockflow/internal/trials/faultnet/traffic"
 )
 
-// fieldCustomer is the header field that names the customer.
+// fieldCustomer is the header field with the customer of a request.
 const fieldCustomer = "X-Customer"
 
-// serverWork is the time that a fake server takes for a request.
+// serverWork is the time that a fake server takes to process a request.
 const serverWork = 2 * time.Millisecond
 
 // forwardedRequests records when fake servers received requests of customers with a hard limit. It is safe for
@@ -36,12 +36,12 @@
 	}
 }
 
-// startServer starts a fake server. Its unexpected end is a violation.
+// startServer starts a fake server. If the server ends unexpectedly, that is recorded as a violation.
 func startServer(exchanges *history.Exchanges, handle http.HandlerFunc) (*traffic.Server, error) {
 	return traffic.StartServer(handle, func(err error) { exchanges.Wrong("a fake server has ended: %v", err) })
 }
 
-// pool answers queries with one element.
+// pool returns the handler of a region's pool, which responds to a query with one element.
 func (r *run) pool(region string) http.HandlerFunc {
 	return func(w http.ResponseWriter, q *http.Request) {
 		time.Sleep(serverWork)
@@ -49,11 +49,12 @@
 	}
 }
 
-// app answers with bytes, and records writes as effects.
+// app returns the handler of a region's app servers, which responds with the requested number of bytes and records writes
+// as effects.
 func (r *run) app(region string) http.HandlerFunc {
 	return func(w http.ResponseWriter, q *http.Request) {
 		if _, err := io.Copy(io.Discard, q.Body); err != nil {
-			return // the request is incomplete: no effect
+			return // an incomplete request has no effect
 		}
 		if c := q.Header.Get(fieldCustomer); c != "" {
 			r.forwarded.record(c)
--- a/internal/trials/regiontrial/trial.go
+++ b/internal/trials/regiontrial/trial.go
@@ -1,6 +1,6 @@
-// Package regiontrial rolls a staged change out over three regions of real processes that send
-// scatter-gather queries to each other, with clients at work and faults on every link between them. It kills
-// the change's coordinators and checks the observations against rules that hold under any fault.
+// Package regiontrial rolls a staged change out over three regions of real processes that send scatter-gather queries to
+// each other, while clients send requests and faults occur on the links and processes. It kills the coordinators of the
+// change, and checks the observations against rules that hold under any fault.
 package regiontrial
 
 import (
@@ -25,12 +25,12 @@
 
 // Options are the options of a trial.
 type Options struct {
-	Program        string // absolute
-	Dir            string // for the nodes' files; short and empty
-	NodesPerRegion int    // nodes of each of the three regions
-	Clients        int    // of each node
+	Program        string // absolute path of the node's and the coordinator's program
+	Dir            string // empty directory for the nodes' files; its path has to be short, as those of Unix sockets are limited
+	NodesPerRegion int    // number of nodes of each of the three regions
+	Clients        int    // number of clients of each node
 	Script         faultnet.Script
-	Bake           time.Duration // of a stage of the harmful change
+	Bake           time.Duration // bake time of a stage of the harmful change
 }
 
 // Timeouts, intervals and limits of a trial.
@@ -53,26 +53,26 @@
 	forwarded             forwardedRequests
 	servers               []*traffic.Server
 	failing               *traffic.Server
-	effects               sync.Map // ids of writes whose effect happened
+	effects               sync.Map // ids of writes that an app server ran
 	isHarmfulChangeActive atomic.Bool
 	rng                   *rand.Rand
 	startedAt             time.Time
 
 	mu                  sync.Mutex
-	status              map[int]int // of answers
+	status              map[int]int // number of answers by status
 	gathered            int
 	partial             int
 	harmed              int
 	decisions           int
 	coordinatorsKilled  int
-	generationsByMember map[string][]string // of the change, by member
+	generationsByMember map[string][]string // hashes of the change's generations, by member
 	statusReads         []StatusRead
 }
 
 func (r *run) nodes() int { return regionCount * r.options.NodesPerRegion }
 
-// Run runs a trial of one script. It returns an error if the trial could not be run; violated rules are in
-// the report.
+// Run runs the trial of one script. It returns an error if the trial could not be run or was cancelled; violations of the
+// rules are part of the report.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	r := &run{
 		options: o, fixture: &fixture{nodesPerRegion: o.NodesPerRegion, dir: o.Dir}, exchanges: &history.Exchanges{}, status: make(map[int]int), generationsByMember: make(map[string][]string),
@@ -107,14 +107,14 @@
 	}
 	stop()
 	workers.Wait()
-	if err = errors.Join(err, ctx.Err()); err != nil { // an interrupted trial proves nothing
+	if err = errors.Join(err, ctx.Err()); err != nil { // the observations of an interrupted trial are incomplete
 		return nil, err
 	}
 	r.judge(rep)
 	return rep, nil
 }
 
-// start starts all servers and nodes with the old settings, and writes the fleet files.
+// start starts all servers, starts all nodes with the old settings, and writes the fleet files.
 func (r *run) start(ctx context.Context) (hashes map[kind][]string, files map[kind]string, err error) {
 	var addresses [][3]string
 	for _, name := range regionNames {
@@ -178,10 +178,10 @@
 	}
 }
 
-// underFaults checks that the conflicting change is rejected and rolls the valid one out while the script
-// runs. The coordinator is killed twice; in between another one, with a rollout log of its own, is killed too.
+// changeUnderFaults checks that the conflicting change is rejected, and rolls the valid one out, while the script runs. The
+// coordinator of the change is killed twice; between these kills, another coordinator with its own rollout log is killed.
 func (r *run) changeUnderFaults(ctx context.Context, player *faultnet.Player, rep *Report, hashes map[kind][]string, files map[kind]string) error {
-	// The intermediate settings are known once they are in a rollout log, before any command is sent.
+	// The intermediate settings are read from the rollout logs later; a coordinator writes them before it sends any command.
 	for _, h := range hashes[after] {
 		r.exchanges.WantGeneration(h)
 	}
@@ -225,7 +225,8 @@
 	return err
 }
 
-// afterFaults checks the end of the change, completes it if necessary, and runs a harmful change.
+// completeAfterFaults checks the state in which the change ended, completes the change if necessary, and runs the harmful
+// change.
 func (r *run) completeAfterFaults(ctx context.Context, rep *Report, hashes map[kind][]string, files map[kind]string) error {
 	if err := r.awaitServing(ctx); err != nil {
 		r.exchanges.Wrong("%v", err)
@@ -249,8 +250,9 @@
 			r.exchanges.Wrong("the members do not all come to one state:%s; %s", description, strings.Join(outputs, "\n"))
 			return nil
 		}
-		// A member that the second coordinator left at one of its own generations runs settings that the first
-		// one's rollout log doesn't have: the first one ends undecided, and the second one's log rolls it back.
+		// The killed second coordinator may have left a member at a generation that the rollout log of the first coordinator
+		// doesn't have. A coordinator with the first log then ends undecided, and one with the second log has to roll the
+		// member back.
 		recovery := [][]string{{"journal", "--resume"}, {"second", "--take-back"}, {"journal", "--resume"}, {"journal", "--take-back"}}[tries]
 		outcome, err := r.resumeChange(ctx, files[after], recovery[0], recovery[1])
 		if err != nil {
@@ -266,7 +268,7 @@
 	return r.runHarmfulChange(ctx, rep, hashes, files)
 }
 
-// resumeChange runs a coordinator with a flag for the change of a rollout log, if it has one, and returns a
+// resumeChange runs a coordinator with a flag for the change of a rollout log, if the log has one, and returns a
 // description of the outcome.
 func (r *run) resumeChange(ctx context.Context, file, journal, flag string) (description string, err error) {
 	if c, err := r.readRolloutLog(journal); err != nil || c == nil {
@@ -279,7 +281,7 @@
 	return fmt.Sprintf("%s %s: exit %d: %s", journal, flag, e.exitCode, e.output[max(len(e.output)-1500, 0):]), nil
 }
 
-// changeWithoutFaults rolls the change out without faults.
+// changeWithoutFaults rolls the change out after the faults, and reports whether all members run it.
 func (r *run) changeWithoutFaults(ctx context.Context, hashes map[kind][]string, files map[kind]string) (changed bool, err error) {
 	e, err := r.runCoordinator(ctx, 0, r.changeFlags(files[after], "journal", "--unjudged", "--bake", "100ms", "--bake-most", "5s")...)
 	if err != nil {
@@ -295,8 +297,8 @@
 	return true, nil
 }
 
-// runHarmfulChange rolls out a harmful change, which has to be stopped and rolled back, and counts the members
-// that ran it.
+// runHarmfulChange starts the harmful change, which the coordinator has to stop and roll back, and counts the members that
+// ran it.
 func (r *run) runHarmfulChange(ctx context.Context, rep *Report, hashes map[kind][]string, files map[kind]string) error {
 	for _, h := range hashes[harmful] {
 		r.exchanges.WantGeneration(h)
@@ -323,12 +325,12 @@
 	return nil
 }
 
-// awaitServing waits until each node has served a query and a write.
+// awaitServing waits until each node has answered a query and a write successfully.
 func (r *run) awaitServing(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	for i := range r.nodes() {
-		c := r.client(i, 1000+int(time.Since(r.startedAt)/time.Millisecond)) // with ids of its own
+		c := r.client(i, 1000+int(time.Since(r.startedAt)/time.Millisecond)) // a client number that no other client has, so that request ids are unique
 		defer c.conn.Close()
 		for served := make(map[string]bool); len(served) < 2; {
 			q := c.drawRequest()
@@ -343,7 +345,8 @@
 	return nil
 }
 
-// readStatus reads a member's status, without the links, until ctx ends.
+// readStatus reads a member's status repeatedly until ctx ends. It connects without the links, so that faults don't
+// prevent it.
 func (r *run) readStatus(ctx context.Context, i int) {
 	c := manage.Client{Path: r.fixture.controlSocket(i)}
 	for ctx.Err() == nil {
--- a/internal/trials/regiontrial/trial_test.go
+++ b/internal/trials/regiontrial/trial_test.go
@@ -10,7 +10,7 @@
 	"lockflow/internal/trials/regiontrial"
 )
 
-// The test's own program is the node and the coordinator where this variable is set.
+// roleVariable is the environment variable with which the test's own program runs as a node or a coordinator.
 const roleVariable = "LOCKFLOW_TEST_REGIONS"
 
 func TestMain(m *testing.M) {
@@ -20,9 +20,9 @@
 	os.Exit(m.Run())
 }
 
-// Three regions of real processes that gather from each other, a change of their gather settings, routes and
-// ceilings, faults between all, its coordinator killed twice and another one in between: lockflow measure
-// change is the long form.
+// Guards against violations of the rules while a change of gather settings, routes and hard limits is rolled out over three
+// regions of real processes under faults, with its coordinator killed twice and another one killed in between. lockflow
+// measure change runs the same trial for longer.
 func TestAllAtOnce(t *testing.T) {
 	dir, err := os.MkdirTemp("", "lf")
 	if err != nil {
--- a/internal/trials/soak/client.go
+++ b/internal/trials/soak/client.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	maxPause                 = 30 * time.Millisecond   // between two requests of a client
-	maxLongPause             = 600 * time.Millisecond  // of the occasional longer pause
-	incompleteRequestTimeout = 3 * time.Second         // within which a node ends an incomplete request
-	answerWait               = lateSlack + time.Second // after a deadline
+	maxPause                 = 30 * time.Millisecond   // longest usual pause between two requests of a client
+	maxLongPause             = 600 * time.Millisecond  // longest of the pauses that are taken occasionally instead
+	incompleteRequestTimeout = 3 * time.Second         // time in which a node has to end an incomplete request
+	answerWait               = lateSlack + time.Second // time after the deadline for which a client waits for an answer
 )
 
 // client sends requests to one node, one at a time, over a persistent connection. It is not safe for concurrent use.
@@ -28,7 +28,7 @@
 	rng          *rand.Rand
 	requestCount int // number of requests drawn so far
 
-	conn       net.Conn      // nil is none
+	conn       net.Conn      // nil if there is no connection
 	reader     *bufio.Reader // of conn
 	openedAt   time.Time     // of conn
 	sentOnConn int           // number of requests sent on conn
@@ -58,7 +58,7 @@
 	}
 }
 
-// disconnect closes the connection, if any.
+// disconnect closes the connection if there is one.
 func (c *client) disconnect() {
 	if c.conn != nil {
 		c.conn.Close()
@@ -66,7 +66,7 @@
 	}
 }
 
-// draw returns a new request and its bytes.
+// draw generates a random request and returns it with its bytes on the wire.
 func (c *client) draw() (*request, []byte) {
 	c.requestCount++
 	r := &request{
@@ -104,15 +104,15 @@
 	return r, []byte(text.String())
 }
 
-// Parameters of drawn requests.
+// Parameters of the generated requests.
 const (
 	cappedAccount = 999 // the account that all requests of the capped plan share
 	maxSmallBody  = 300 // bytes
 	maxLargeBody  = 60 << 10
 )
 
-// connect opens a connection if there is none, and reports whether there is one. It fails while the node is down, and
-// doesn't dial once the node has been shutting down for some time.
+// connect opens a connection if there is none, and reports whether there is one. It returns false while the node is
+// down, and once the node has been shutting down for longer than clients open new connections to it.
 func (c *client) connect() bool {
 	if c.conn != nil {
 		return true
@@ -131,8 +131,8 @@
 	return true
 }
 
-// request sends a request and waits for its answer. If a reused connection is closed without an answer, it sends the
-// request a second time on a new one.
+// request sends a request and waits for its answer. If a reused connection is closed without an answer, the request is
+// sent a second time on a new connection.
 func (c *client) request() {
 	r, text := c.draw()
 	for range 2 {
@@ -146,7 +146,8 @@
 	}
 }
 
-// exchange sends a request once. It returns false if the request has to be sent again.
+// exchange sends a request on the connection and reads the answer. It returns false if the request has to be sent a
+// second time.
 func (c *client) exchange(r *request, text []byte) (done bool) {
 	started := time.Now()
 	isFirst := c.sentOnConn == 0
@@ -176,7 +177,7 @@
 	return true
 }
 
-// write writes a request, occasionally in two parts with a pause between them.
+// write writes a request. It occasionally pauses at a random position of the request.
 func (c *client) write(r *request, text []byte) error {
 	_ = c.conn.SetWriteDeadline(time.Now().Add(time.Second))
 	if c.rng.IntN(20) == 0 {
@@ -194,15 +195,16 @@
 	return nil
 }
 
-// withoutAnswer judges a request whose connection ended, or timed out, without a byte of an answer. It returns false if
-// the request has to be sent again.
+// judgeUnanswered records the outcome of a request whose connection failed or timed out before a complete answer head.
+// It returns false if the request has to be sent a second time: the node had closed a reused connection before it read
+// the request.
 func (c *client) judgeUnanswered(r *request, started time.Time, isFirst bool, err error) (done bool) {
 	j := c.play.journal
 	now := time.Now()
 	excuse := c.node.excuse(started, now)
 	isSentOnNewConn := isFirst && !r.sentAt.IsZero()
 	if !isTimeout(err) && !j.wasForwarded(r) && !isSentOnNewConn {
-		return excuse != "" // the node closed the idle connection while the request was on its way
+		return excuse != "" // the node closed the idle connection while the request was in transit; an excused request is not sent a second time
 	}
 	j.recordUnanswered(r, excuse, fmt.Sprintf("%v after %v, first of its connection %v (opened %v before)",
 		err, now.Sub(started).Round(time.Millisecond), isFirst, started.Sub(c.openedAt).Round(time.Millisecond)))
@@ -215,7 +217,7 @@
 	return errors.As(err, &netError) && netError.Timeout()
 }
 
-// leave sends a request and closes the connection shortly after, without waiting for the answer.
+// closeEarly sends a request and closes the connection shortly after, without waiting for the answer.
 func (c *client) closeEarly() {
 	if !c.connect() {
 		return
@@ -229,7 +231,7 @@
 	c.disconnect()
 }
 
-// stopMidway sends an incomplete request and waits until the node closes the connection or answers.
+// sendIncomplete sends an incomplete request and waits until the node closes the connection or answers.
 func (c *client) sendIncomplete() {
 	c.disconnect()
 	if !c.connect() {
--- a/internal/trials/soak/disturbances.go
+++ b/internal/trials/soak/disturbances.go
@@ -12,10 +12,10 @@
 	"lockflow/internal/trials/faultnet/script"
 )
 
-// maxDisturbanceTime is the range from which the duration of a disturbance is drawn, above a tenth of it.
+// maxDisturbanceTime bounds the random part of a disturbance's duration; a tenth of it is added as the minimum.
 const maxDisturbanceTime = 1500 * time.Millisecond
 
-// disturbances draws disturbances and runs them concurrently.
+// disturbances generates random disturbances and runs them concurrently.
 type disturbances struct {
 	play *play
 	rng  *rand.Rand
@@ -23,11 +23,11 @@
 	mu         sync.Mutex
 	counts     map[string]int  // by kind
 	list       []string        // a line for each disturbance
-	busyPlaces map[string]bool // the places of running disturbances; each has at most one
+	busyPlaces map[string]bool // the places of running disturbances; a place has at most one at a time
 	active     sync.WaitGroup
 }
 
-// disturbance is one drawn disturbance.
+// disturbance is one randomly generated disturbance.
 type disturbance struct {
 	kind     string
 	place    string // what it disturbs
@@ -40,7 +40,7 @@
 	return &disturbances{play: p, rng: rng, counts: make(map[string]int), busyPlaces: make(map[string]bool)}
 }
 
-// run begins disturbances at random times during Options.Duration, and returns once all have ended.
+// run starts disturbances at random times during Options.Duration, and returns when all have ended.
 func (t *disturbances) run(ctx context.Context) {
 	sleep(ctx, undisturbedTime)
 	drawing, cancel := context.WithTimeout(ctx, t.play.Duration)
@@ -52,7 +52,7 @@
 	t.active.Wait()
 }
 
-// begin starts a disturbance unless one is running at its place.
+// begin starts a disturbance, unless another one is running at its place.
 func (t *disturbances) begin(ctx context.Context, drawn disturbance) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,7 +72,7 @@
 	})
 }
 
-// draw draws a disturbance.
+// draw generates a random disturbance.
 func (t *disturbances) draw() disturbance {
 	duration := maxDisturbanceTime/10 + time.Duration(t.rng.Int64N(int64(maxDisturbanceTime)))
 	n := t.play.nodes[t.rng.IntN(len(t.play.nodes))]
@@ -93,7 +93,7 @@
 	}
 }
 
-// silentDiscovery returns a disturbance during which the discovery servers of a node send no events.
+// silentDiscovery returns a disturbance during which a node's discovery servers send no watch events.
 func silentDiscovery(n *node, duration time.Duration) disturbance {
 	const kind = "discovery is silent"
 	return disturbance{kind, n.name + " discovery", duration, func(ctx context.Context, t *disturbance) error {
@@ -105,8 +105,8 @@
 	}}
 }
 
-// drawOfProcess draws a disturbance of a node's process: killed, suspended, moved to another discovery server or
-// terminated.
+// drawProcessDisturbance generates a disturbance of a node's process, which is killed, suspended, switched to its other
+// discovery server or terminated.
 func (t *disturbances) drawProcessDisturbance(n *node, duration time.Duration) disturbance {
 	place := n.name + " process"
 	switch t.rng.IntN(6) {
@@ -133,13 +133,13 @@
 	return disturbance{"end", place, 0, func(ctx context.Context, _ *disturbance) error { return n.terminate(ctx, plan) }}
 }
 
-// suspensionTime is how long a node is suspended.
+// suspensionTime is the time for which a node's process is suspended.
 const suspensionTime = 150 * time.Millisecond
 
-// clockSteps are the offsets by which wall clocks are stepped.
+// clockSteps are the possible offsets of a stepped wall clock.
 var clockSteps = []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour}
 
-// drawOfClock draws a step of a node's wall clock.
+// drawClockStep generates a step of a node's wall clock, which is undone at the end of the disturbance.
 func (t *disturbances) drawClockStep(n *node, duration time.Duration) disturbance {
 	step := clockSteps[t.rng.IntN(len(clockSteps))]
 	return disturbance{"clock " + step.String(), n.name + " clock", duration, func(ctx context.Context, t *disturbance) error {
@@ -150,15 +150,15 @@
 	}}
 }
 
-// callFault is a system call that fails in one way.
+// callFault is a way in which a system call fails.
 type callFault struct {
 	name         string
 	call         faultbuild.Call
 	errno        syscall.Errno
-	breaksClient bool // whether it may break the connection of a client
+	breaksClient bool // whether the fault may break a client's connection
 }
 
-// callFaults are the faults of system calls that are drawn.
+// callFaults are the system call faults from which drawCallFault chooses.
 var callFaults = []callFault{
 	{"accept ENOBUFS", faultbuild.Accept, syscall.ENOBUFS, false},
 	{"accept ENETDOWN", faultbuild.Accept, syscall.ENETDOWN, false},
@@ -182,25 +182,26 @@
 	{"write ENOBUFS", faultbuild.SocketWrite, syscall.ENOBUFS, true},
 }
 
-// isRetriedImmediately reports whether callers retry the call immediately after the fault.
+// isRetriedImmediately reports whether callers retry the failed call without a delay.
 func (f *callFault) isRetriedImmediately() bool {
 	return f.errno == syscall.EINTR || f.errno == syscall.ECONNABORTED
 }
 
-// drawOfCalls draws a fault of a node's system calls.
+// drawCallFault generates a disturbance in which every interval-th system call of one kind fails in a node.
 func (t *disturbances) drawCallFault(n *node, duration time.Duration) disturbance {
 	fault := callFaults[t.rng.IntN(len(callFaults))]
 	interval := 1 + t.rng.IntN(7)
-	// A call that is retried immediately must not fail each time.
+	// A call that is retried immediately must not fail each time. Faults that may break clients' connections are kept as rare.
 	if fault.breaksClient || fault.isRetriedImmediately() {
 		interval = 5 + t.rng.IntN(40)
 	}
-	// A connection that can't be accepted until the process ends can't be answered.
+	// If every accept failed, a connection could stay in the listener's queue until the process ends, and its request would
+	// get no answer.
 	if fault.call == faultbuild.Accept {
 		interval = max(interval, 2)
 	}
 	return disturbance{fault.name, n.name + " calls", duration, func(ctx context.Context, t *disturbance) error {
-		defer n.beginMissingListEvents(fault.name)() // calls to discovery may fail too
+		defer n.beginMissingListEvents(fault.name)() // system calls on the connection to the discovery server may fail too
 		if fault.breaksClient {
 			end := n.beginDisturbance(fault.name)
 			defer end()
@@ -212,8 +213,8 @@
 	}}
 }
 
-// linkFaults are the faults of the link between a node and an app server. None of them delays bytes, as the journal
-// judges attempts by their time of arrival.
+// linkFaults are the faults of the link between a node and an app server. None of them delays bytes, because the journal
+// checks attempts by their time of arrival.
 var linkFaults = []script.Fault{
 	{Kind: script.Cut},
 	{Kind: script.Lost},
@@ -223,7 +224,7 @@
 	{Kind: script.Reset, Direction: script.Back, Bytes: 30},
 }
 
-// drawOfLink draws a fault of the link between a node and an app server.
+// drawLinkFault generates a fault of the link between a node and an app server.
 func (t *disturbances) drawLinkFault(n *node, s *server, duration time.Duration) disturbance {
 	fault := linkFaults[t.rng.IntN(len(linkFaults))]
 	link := n.linkTo(s)
@@ -237,7 +238,8 @@
 	}}
 }
 
-// drawOfServer draws a disturbance of an app server: not listed as up, restarted or misbehaving.
+// drawServerDisturbance generates a disturbance of an app server, which is listed as draining or removed, restarts, or
+// responds incorrectly.
 func (t *disturbances) drawServerDisturbance(s *server, duration time.Duration) disturbance {
 	p := t.play
 	switch t.rng.IntN(4) {
@@ -270,7 +272,7 @@
 	}}
 }
 
-// publish updates the links to an app server and its entry in all discovery servers.
+// publish points all links to an app server at its current address, and updates its entry in all discovery servers.
 func (p *play) publish(s *server) {
 	for _, n := range p.nodes {
 		link := n.linkTo(s)
@@ -279,7 +281,7 @@
 	}
 }
 
-// silence stops or resumes the events of the node's discovery servers.
+// setDiscoverySilent stops or resumes the watch events of the node's discovery servers.
 func (n *node) setDiscoverySilent(silent bool) {
 	for _, d := range n.discoveries {
 		d.SetSilent(silent)
--- a/internal/trials/soak/flood.go
+++ b/internal/trials/soak/flood.go
@@ -17,45 +17,46 @@
 )
 
 const (
-	// floodDescriptors is a node's limit on descriptors under a flood: it leaves six to clients and six to app servers.
+	// floodDescriptors is a node's descriptor limit under a flood. It leaves six descriptors for client connections and six
+	// for connections to app servers.
 	floodDescriptors = limits.MinDescriptors + 10
 
-	maxConnTime      = 1500 * time.Millisecond // for which a client of a flood keeps its connection at the longest
-	slowReadInterval = 20 * time.Millisecond   // between two reads of a slow reader
-	slowReadBytes    = 64                      // of one read of a slow reader
-	pipelineLength   = 4                       // requests that are sent at once
-	smallSegment     = 536                     // bytes of a slow reader's segments
+	maxConnTime      = 1500 * time.Millisecond // longest time for which a flood client keeps a connection
+	slowReadInterval = 20 * time.Millisecond   // pause before each read of a slow reader
+	slowReadBytes    = 64                      // most bytes of one read of a slow reader
+	pipelineLength   = 4                       // requests that a pipelining client sends in one write
+	smallSegment     = 536                     // maximum TCP segment size of a slow reader, in bytes
 )
 
-// floodBehaviour is what a client of a flood does with a connection.
+// floodBehaviour is what a flood client does with a connection.
 type floodBehaviour int
 
-// The behaviours. Clients that keep a descriptor in spite of the node, half requests and slow readers, are fewer in a flood
-// than a node has descriptors for clients.
+// The behaviours of flood clients. A node can't free the descriptors of clients that send incomplete requests or read
+// slowly, so a flood has fewer of these clients than a node has descriptors for clients.
 const (
-	keepingOpen       floodBehaviour = iota // begins another request behind its first one, and stays
-	silent                                  // sends nothing, and stays
-	closingEarly                            // sends a request and closes
-	pipelining                              // sends several requests at once
-	sendingIncomplete                       // stops in the middle of a request
+	keepingOpen       floodBehaviour = iota // sends one request and the beginning of another, and keeps the connection open
+	silent                                  // sends nothing, and keeps the connection open
+	closingEarly                            // sends a request and closes the connection early
+	pipelining                              // sends several requests in one write
+	sendingIncomplete                       // sends an incomplete request
 	readingSlowly                           // reads its answer slowly
 	floodBehaviourCount
 )
 
-// floodClient is one client of a flood: it connects again and again. Like client it is used by one goroutine.
+// floodClient is one client of a flood, which opens one connection after another. It is not safe for concurrent use.
 type floodClient struct {
 	*client
 	behaviour floodBehaviour
 }
 
-// newFloodClient creates a client of a flood by its number in it.
+// newFloodClient creates a flood client, whose number in the flood determines its behaviour.
 func newFloodClient(p *play, n *node, number int) *floodClient {
 	c := newClient(p, n, p.Clients+number)
 	c.rng = rand.New(rand.NewPCG(p.Seed, uint64(500_000+n.index*1000+number)))
 	return &floodClient{c, floodBehaviour(number % int(floodBehaviourCount))}
 }
 
-// run opens connections until ctx ends.
+// run opens connections and uses them until ctx ends.
 func (c *floodClient) run(ctx context.Context) {
 	defer c.disconnect()
 	for ctx.Err() == nil {
@@ -68,7 +69,7 @@
 	}
 }
 
-// use behaves on a new connection.
+// useConn uses a new connection according to the client's behaviour.
 func (c *floodClient) useConn(ctx context.Context) {
 	switch c.behaviour {
 	case keepingOpen:
@@ -86,12 +87,12 @@
 	}
 }
 
-// stay draws how long a connection is kept.
+// drawConnTime returns the random time for which a connection is kept open.
 func (c *floodClient) drawConnTime() time.Duration {
 	return time.Duration(c.rng.Int64N(int64(maxConnTime)))
 }
 
-// linger sends a request and the beginning of another one, and stays behind the answer.
+// keepOpen sends a request and the beginning of another one, and keeps the connection open after the answer to the first.
 func (c *floodClient) keepOpen(ctx context.Context) {
 	r, text := c.draw()
 	conn := c.conn
@@ -101,14 +102,14 @@
 	conn.Close()
 }
 
-// unclosedConn is a connection that stays open until its owner closes the inner one.
+// unclosedConn is a connection whose Close does nothing; its owner closes the embedded one.
 type unclosedConn struct{ net.Conn }
 
 // Close does nothing.
 func (unclosedConn) Close() error { return nil }
 
-// pipeline sends requests at once and reads what comes. Only the first one is owed an answer, as clients send one request
-// at a time.
+// pipeline sends several requests in one write and reads the answers. Only the first request must get an answer, because
+// clients are required to send one request at a time.
 func (c *floodClient) pipeline() {
 	first, text := c.draw()
 	for range pipelineLength - 1 {
@@ -119,11 +120,12 @@
 	c.exchange(first, text)
 	if c.conn != nil {
 		_ = c.conn.SetReadDeadline(time.Now().Add(c.drawConnTime()))
-		_, _ = io.Copy(io.Discard, c.reader) // what follows is not owed
+		_, _ = io.Copy(io.Discard, c.reader) // answers to the further requests are optional
 	}
 }
 
-// readSlowly asks for an answer that its socket can't hold, and reads it in small pieces.
+// readSlowly sends a request over a connection with the smallest receive buffer and reads the answer in small pieces, so
+// that the node's writes may block.
 func (c *floodClient) readSlowly() {
 	c.disconnect()
 	dialer := net.Dialer{Timeout: time.Second, Control: func(_, _ string, raw syscall.RawConn) error {
@@ -148,10 +150,10 @@
 		return
 	}
 	defer response.Body.Close()
-	_, _ = io.Copy(io.Discard, response.Body) // whether it gets all of it in time is its own fault
+	_, _ = io.Copy(io.Discard, response.Body) // the node need not wait for a slow reader, so an incomplete answer is no violation
 }
 
-// slowReader reads a few bytes at a time, with pauses.
+// slowReader is a connection whose Read pauses and then returns a few bytes.
 type slowReader struct{ net.Conn }
 
 // Read implements io.Reader.
--- a/internal/trials/soak/journal.go
+++ b/internal/trials/soak/journal.go
@@ -9,17 +9,18 @@
 	"time"
 )
 
-// Tolerances of the rules.
+// Tolerances of the checks.
 const (
-	lateSlack     = 500 * time.Millisecond // after a deadline, within which an answer counts as late but not as lost
-	timeSlack     = 150 * time.Millisecond // of the deadline that an attempt carries, and of the grace time of a drain
-	closeSlack    = 100 * time.Millisecond // after a client's close, within which an attempt may begin
-	defaultSlack  = 150 * time.Millisecond // of the journal's own clock readings
-	maxListDelay  = 6 * time.Second        // after which a node counts as notified, even if its watch is broken (PROTOCOL)
-	maxViolations = 40                     // violations reported by a run
+	lateSlack     = 500 * time.Millisecond // time after a request's deadline in which its final answer is still allowed
+	timeSlack     = 150 * time.Millisecond // tolerance of the time left of an attempt, the grace of a drain, the hard limit and the repeat window
+	closeSlack    = 100 * time.Millisecond // time after a client closed its connection in which an attempt may still begin
+	defaultSlack  = 150 * time.Millisecond // tolerance of the journal's own clock readings
+	maxListDelay  = 6 * time.Second        // time after which a node counts as notified of a change, even if its watch is broken (PROTOCOL)
+	maxViolations = 40                     // most violations that a run reports
 )
 
-// journal records what clients and app servers observe and checks it against the rules. It is safe for concurrent use.
+// journal records what clients and app servers observe, and checks it against the rules that hold under any fault. It is
+// safe for concurrent use.
 type journal struct {
 	// missedListEvents reports whether a node may have missed endpoint list events between two times.
 	missedListEvents func(node string, from, to time.Time) bool
@@ -29,19 +30,19 @@
 	mu               sync.Mutex
 	started          time.Time
 	requests         map[string]*request  // by id
-	keys             map[string]time.Time // by cell and idempotency key: when the cell first ran it; repeats within the window are dropped
+	keys             map[string]time.Time // by cell and idempotency key: when the cell first ran the request; the cell drops repeats within the repeat window
 	bucket           hardLimit
 	warmupLoads      map[*server]*warmupLoad
-	violations       []string    // the violations, at most maxWrong
-	excused          int         // requests without an answer that a disturbance explains
-	resent           int         // requests sent again
-	closedEarly      int         // requests whose client closed early
+	violations       []string    // the violations, at most maxViolations
+	excused          int         // requests whose missing answer is explained by a disturbance
+	resent           int         // requests that were sent a second time
+	closedEarly      int         // requests whose client closed the connection early
 	attempts         int         // attempts that reached app servers
-	effects          int         // executions by app servers
+	effects          int         // executions of requests by app servers
 	statuses         map[int]int // number of final answers by HTTP status
-	signals          int         // sent in series around SIGTERM
-	kills            int         // of processes at the earliest SIGKILL
-	floodConnections int         // connections of floods
+	signals          int         // signals sent in series around SIGTERM
+	kills            int         // processes killed because they still ran at the platform's earliest SIGKILL
+	floodConnections int         // connections of flood clients
 }
 
 // request is one request of a client.
@@ -49,12 +50,12 @@
 	id       string
 	class    class
 	node     string
-	sentAt   time.Time // when its last byte was sent; zero if it was not
+	sentAt   time.Time // when its last byte was sent; zero until then
 	deadline time.Time
-	closedAt time.Time // when its client closed early; zero if it did not
+	closedAt time.Time // when its client closed the connection early; zero if it did not
 	attempts []attempt
-	effects  []string // where and when app servers ran it
-	isCapped bool     // whether it is of the plan with a hard limit
+	effects  []string // the app servers that ran the request, each with the time
+	isCapped bool     // whether the request's plan has a hard limit
 }
 
 // attempt is an attempt that reached an app server.
@@ -64,7 +65,7 @@
 	mayRun bool
 }
 
-// hardLimit is the token bucket of the capped plan, which all nodes share.
+// hardLimit is the token bucket of the capped plan's account, whose requests all nodes serve.
 type hardLimit struct {
 	tokens float64
 	at     time.Time
@@ -73,8 +74,8 @@
 // warmupLoad is the load of a server that is warming up.
 type warmupLoad struct {
 	startedAt time.Time
-	times     []time.Time // when attempts arrived, within the last fallTime
-	reported  bool        // whether an overload was reported
+	times     []time.Time // arrival times of attempts within the last fallTime
+	reported  bool        // whether an overload of the server has been reported
 }
 
 func newJournal(slack time.Duration) *journal {
@@ -92,29 +93,29 @@
 	}
 }
 
-// wrong records a violation.
+// addViolation records a violation of a rule.
 func (j *journal) addViolation(format string, args ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.addViolationLocked(format, args...)
 }
 
-// addWrong is wrong with mu held.
+// addViolationLocked is addViolation for callers that hold mu.
 func (j *journal) addViolationLocked(format string, args ...any) {
 	if len(j.violations) < maxViolations {
 		j.violations = append(j.violations, time.Since(j.started).Round(time.Millisecond).String()+": "+fmt.Sprintf(format, args...))
 	}
 }
 
-// sending records a request before its first byte is sent.
+// recordSending records a request before its first byte is sent.
 func (j *journal) recordSending(r *request) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	r.sentAt = time.Time{} // reset if the request is sent again
+	r.sentAt = time.Time{} // resets the time if the request is sent a second time
 	j.requests[r.id] = r
 }
 
-// sent records that the last byte of a request was sent, from which its deadline counts.
+// recordSent records that the last byte of a request was sent; its deadline counts from then.
 func (j *journal) recordSent(r *request, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -122,7 +123,7 @@
 	r.deadline = at.Add(r.class.deadline)
 }
 
-// leaves records that a client is about to close its connection early.
+// recordEarlyClose records that a client is about to close its connection early.
 func (j *journal) recordEarlyClose(r *request) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -137,8 +138,8 @@
 	return len(r.attempts) > 0
 }
 
-// attempt records an attempt that reached an app server, and checks it. timeLeft is the value of its deadline header;
-// mayRun is whether the server runs it.
+// attempt records an attempt that reached an app server, and checks it. timeLeft is the value of its deadline
+// header; mayRun is whether the server runs the request.
 func (j *journal) attempt(s *server, id string, at time.Time, timeLeft string, mayRun bool) {
 	s.mu.Lock()
 	drainedAt := s.drainedAt
@@ -160,8 +161,8 @@
 	j.load(s, startedAt, at)
 }
 
-// checkAttempt checks an attempt against the drain of its server, the close of its client and its deadline. The caller
-// holds mu.
+// checkAttempt checks that an attempt does not begin too late after its server started to drain or its client closed the
+// connection, and that it does not announce more time than the request has left. The caller holds mu.
 func (j *journal) checkAttempt(s *server, r *request, drainedAt, at time.Time, timeLeft string) {
 	if !drainedAt.IsZero() && at.Sub(drainedAt) > drainGrace+j.listDelay(r.node, drainedAt, at)+timeSlack+j.slack {
 		j.addViolationLocked("%s (%s, %s): sent to %s, which drains since %v", r.id, r.class.name, r.node, s.uid, at.Sub(drainedAt))
@@ -178,7 +179,7 @@
 	}
 }
 
-// listDelay returns the time after a change of the endpoint list from which a node counts as notified of it.
+// listDelay returns the time after which a node counts as notified of a change of the endpoint list.
 func (j *journal) listDelay(node string, from, to time.Time) time.Duration {
 	if j.missedListEvents(node, from.Add(-maxListDelay), to) {
 		return maxListDelay
@@ -186,7 +187,7 @@
 	return 0
 }
 
-// draw draws a unit from the hard limit's bucket. The caller holds mu.
+// consumeUnit takes a unit from the hard limit's bucket and reports an overrun. The caller holds mu.
 func (j *journal) consumeUnit(r *request, at time.Time) {
 	j.bucket.tokens = math.Min(hardBurst, j.bucket.tokens+hardRate*at.Sub(j.bucket.at).Seconds()) - 1
 	j.bucket.at = at
@@ -195,7 +196,8 @@
 	}
 }
 
-// load records the load of a server that is warming up, and checks it. The caller holds mu.
+// load records the load of a server that is warming up and checks it against the server's capacity, which
+// grows linearly, with a tolerance of a few standard deviations of the number of arrivals. The caller holds mu.
 func (j *journal) load(s *server, startedAt, at time.Time) {
 	if startedAt.IsZero() || at.Sub(startedAt) > warmupTime {
 		return
@@ -218,7 +220,8 @@
 	}
 }
 
-// effect records that a server runs a request, unless its cell has run the idempotency key within the window.
+// effect records that a server runs a request, unless its cell has run the same idempotency key within the repeat
+// window. It reports a request that is not idempotent and runs twice.
 func (j *journal) effect(s *server, id, key string, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -240,8 +243,8 @@
 	}
 }
 
-// answered records a final answer and checks it. excuse is the disturbance that explains a failed read of the request, if
-// any.
+// recordAnswer records a final answer and checks it. excuse is the disturbance, if any, that explains why the node may
+// have failed to read the request.
 func (j *journal) recordAnswer(r *request, status int, body, excuse string, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -262,7 +265,8 @@
 	}
 }
 
-// unanswered records that a request will get no answer. It is a violation unless a disturbance, the excuse, explains it.
+// recordUnanswered records that a request will get no answer. This is a violation unless excuse names a disturbance that
+// explains it.
 func (j *journal) recordUnanswered(r *request, excuse, why string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -273,23 +277,23 @@
 	j.addViolationLocked("%s (%s, %s): no answer: %s; forwarded to %v", r.id, r.class.name, r.node, why, r.attempts)
 }
 
-// resend records that a request is sent again.
+// countResend counts a request that is sent a second time.
 func (j *journal) countResend() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.resent++
 }
 
-// signalSent records a signal of a series.
+// countSignal counts a signal of a series.
 func (j *journal) countSignal() { j.increment(&j.signals) }
 
-// killSent records that a process still ran at the earliest SIGKILL.
+// countKill counts a process that still ran at the platform's earliest SIGKILL.
 func (j *journal) countKill() { j.increment(&j.kills) }
 
-// floodConnected records a connection of a flood.
+// countFloodConnection counts a connection of a flood client.
 func (j *journal) countFloodConnection() { j.increment(&j.floodConnections) }
 
-// count adds one to a total.
+// increment adds one to a total.
 func (j *journal) increment(total *int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/trials/soak/journal_test.go
+++ b/internal/trials/soak/journal_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// newTestJournal returns a journal, a server, and a request of a class that was sent now.
+// newTestJournal returns a journal, a server, and a request of the class that has just been sent.
 func newTestJournal(c class) (*journal, *server, *request) {
 	j := newJournal(0)
 	j.missedListEvents = func(string, time.Time, time.Time) bool { return false }
@@ -16,7 +16,7 @@
 	return j, &server{journal: j, uid: "s-0"}, r
 }
 
-// journalCase is a sequence of observations of a request and the number of violations in it.
+// journalCase is a sequence of observations and the number of violations that the journal has to find in it.
 type journalCase struct {
 	class      class
 	observe    func(j *journal, s *server, r *request)
@@ -90,7 +90,7 @@
 	}, 1},
 	"cold server": {readClass, func(j *journal, s *server, r *request) {
 		s.startedAt = r.sentAt
-		for i := range 80 { // the limit is 37.5 and a slack of 12.6
+		for i := range 80 { // more than the limit of 37.5 and its tolerance of 12.6
 			one := &request{id: fmt.Sprint("c-", i), class: readClass}
 			j.recordSending(one)
 			j.attempt(s, one.id, r.sentAt.Add(time.Millisecond), "", true)
@@ -98,7 +98,7 @@
 	}, 1},
 }
 
-// The violation of each rule is found, and allowed observations pass.
+// Guards against a journal that misses violations or reports allowed observations, which would make soak tests useless.
 func TestJournalFindsViolations(t *testing.T) {
 	for name, tc := range journalCases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/trials/soak/node.go
+++ b/internal/trials/soak/node.go
@@ -22,8 +22,8 @@
 	"lockflow/internal/trials/faultnet/process"
 )
 
-// node is a real node process with discovery servers and links to the app servers of its own. It is safe for concurrent
-// use, but only one of kill, terminate and move may run at a time.
+// node is a real node process with its own discovery servers and its own links to the app servers. It is safe for
+// concurrent use, but only one of kill, terminate and switchDiscovery may run at a time.
 type node struct {
 	play        *play
 	index       int
@@ -32,25 +32,25 @@
 	dir         string
 	process     *process.Process
 	table       *faultbuild.Table
-	discoveries [2]*fake.Discovery // discovery servers, of which it watches one
+	discoveries [2]*fake.Discovery // discovery servers, one of which the node watches
 	links       []*faultnet.Link   // to each app server
 
 	mu                sync.Mutex
-	watchedDiscovery  int           // index of the discovery server that it watches
-	sigtermAt         time.Time     // when SIGTERM was sent to the running process; zero if it was not
-	newConnectionTime time.Duration // after endingAt, for which clients still connect
-	disturbances      []span        // during which its clients may get no answer
-	missingListEvents []span        // during which its watch may be broken or silent
+	watchedDiscovery  int           // index of the discovery server that the node watches
+	sigtermAt         time.Time     // when SIGTERM was sent to the running process; zero until then
+	newConnectionTime time.Duration // time after sigtermAt in which clients still open connections
+	disturbances      []span        // periods in which its clients may get no answer
+	missingListEvents []span        // periods in which its watch may be broken or silent
 }
 
-// span is the period of a disturbance.
+// span is the period in which a disturbance has an effect.
 type span struct {
 	from        time.Time
-	to          time.Time // zero while the disturbance goes on
+	to          time.Time // zero while the disturbance lasts
 	disturbance string    // the disturbance
 }
 
-// newNode creates a node, which start starts.
+// newNode creates a node; start starts its process.
 func newNode(p *play, index int, dir string) (*node, error) {
 	n := &node{play: p, index: index, name: fmt.Sprint("n", index), dir: dir}
 	var err error
@@ -83,7 +83,8 @@
 	return n, n.writeConfiguration()
 }
 
-// The ports of nodes, below the kernel's ephemeral range, so that a restarted node can listen on its port again.
+// The range of the nodes' ports. It lies below the kernel's ephemeral ports, so that no outgoing connection takes a
+// node's port while the node restarts.
 const (
 	firstPort = 12_000
 	lastPort  = 30_000
@@ -181,17 +182,19 @@
 	}
 }
 
-// begin records the begin of a disturbance that excuses missing answers, and end its end.
+// beginDisturbance records the beginning of a disturbance that explains missing answers. The returned function records
+// its end.
 func (n *node) beginDisturbance(disturbance string) (end func()) {
 	return n.beginSpan(&n.disturbances, disturbance)
 }
 
-// beginMissingListEvents records the begin of a disturbance that may delay endpoint list events, and end its end.
+// beginMissingListEvents records the beginning of a disturbance that may delay events of the endpoint list. The returned
+// function records its end.
 func (n *node) beginMissingListEvents(why string) (end func()) {
 	return n.beginSpan(&n.missingListEvents, why)
 }
 
-// beginSpan appends a span that begins now, and end ends it.
+// beginSpan appends a span that begins now. The returned function ends it.
 func (n *node) beginSpan(spans *[]span, disturbance string) (end func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -204,7 +207,7 @@
 	}
 }
 
-// excuse returns the disturbance that explains a missing answer to a request between two times, or "".
+// excuse returns a disturbance between two times that explains a missing answer, or "" if there was none.
 func (n *node) excuse(from, to time.Time) string { return n.findSpan(&n.disturbances, from, to) }
 
 // missedListEvents reports whether the node's watch may have been broken or silent between two times.
@@ -212,7 +215,7 @@
 	return n.findSpan(&n.missingListEvents, from, to) != ""
 }
 
-// findSpan returns the disturbance of the first span that overlaps the time between from and to, or "".
+// findSpan returns the disturbance of the first span that overlaps the period between from and to, or "".
 func (n *node) findSpan(spans *[]span, from, to time.Time) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -224,14 +227,15 @@
 	return ""
 }
 
-// allowsConnections reports whether clients open new connections: not once the node has been shutting down for some time.
+// allowsConnections reports whether clients may open new connections: at any time before SIGTERM, and after it for
+// newConnectionTime.
 func (n *node) allowsConnections() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.sigtermAt.IsZero() || time.Since(n.sigtermAt) <= n.newConnectionTime
 }
 
-// kill kills the node and starts it again.
+// kill kills the node's process and restarts it.
 func (n *node) kill(ctx context.Context) error {
 	end := n.beginDisturbance("killed")
 	defer end()
@@ -241,7 +245,8 @@
 	return n.restart(ctx)
 }
 
-// restart starts the node again. Until it is ready, missing answers are excused.
+// restart undoes any step of the node's wall clock and starts its process. Until the node is ready, missing answers are
+// excused.
 func (n *node) restart(ctx context.Context) error {
 	end := n.beginDisturbance("starting")
 	defer end()
@@ -252,7 +257,7 @@
 	return n.awaitReady(ctx)
 }
 
-// move makes the node watch its other discovery server, by SIGHUP.
+// switchDiscovery makes the node watch its other discovery server, by a new configuration file and SIGHUP.
 func (n *node) switchDiscovery() error {
 	defer n.beginMissingListEvents("new discovery")()
 	n.mu.Lock()
@@ -264,7 +269,7 @@
 	return n.process.Signal(syscall.SIGHUP)
 }
 
-// injected returns the number of failed system calls.
+// failedCalls returns the number of system calls that the fault table has made fail.
 func (n *node) failedCalls() (sum int) {
 	for call := faultbuild.Accept; call <= faultbuild.Open; call++ {
 		sum += n.table.Injected(call)
@@ -272,10 +277,10 @@
 	return sum
 }
 
-// violationMarks are the texts of log lines that are violations.
+// violationTexts are texts by which a log line counts as a violation.
 var violationTexts = []string{"invariant violated", "panic", "fatal error", "DATA RACE", "decision module failed"}
 
-// finish stops the node and reports the violations that it has logged.
+// finish stops the node's process, and reports a wrong exit and the violations in its log.
 func (n *node) finish() {
 	if !n.process.Runs() {
 		n.play.journal.addViolation("%s has ended by itself: %v", n.name, n.process.Wait())
@@ -287,10 +292,10 @@
 		n.play.journal.addViolation("%s: %v", n.name, err)
 		return
 	}
-	defer file.Close() //nolint:errcheck // only read
+	defer file.Close() //nolint:errcheck // the file is only read
 	for lines := bufio.NewScanner(file); lines.Scan(); {
 		if n.play.Slack > 0 && strings.Contains(lines.Text(), "rule="+invariant.LateAnswer.String()) {
-			continue // the node may have waited for a processor
+			continue // the node may have waited for a processor on a busy machine
 		}
 		for _, mark := range violationTexts {
 			if strings.Contains(lines.Text(), mark) {
@@ -302,14 +307,14 @@
 
 // close kills the process and closes its discovery servers, links and fault table.
 func (n *node) close() {
-	_ = n.process.Kill() // may have exited already
+	_ = n.process.Kill() // the process may have exited already
 	for _, d := range n.discoveries {
 		if d != nil {
 			d.Close()
 		}
 	}
 	for _, link := range n.links {
-		_ = link.Close() // loopback only
+		_ = link.Close() // the run is over
 	}
-	_ = n.table.Close() // no longer used
+	_ = n.table.Close() // the table is no longer used
 }
--- a/internal/trials/soak/server.go
+++ b/internal/trials/soak/server.go
@@ -15,33 +15,33 @@
 	"lockflow/internal/protocol"
 )
 
-// behaviour is how an app server responds to requests.
+// behaviour is the way in which an app server responds to requests.
 type behaviour int32
 
-// The behaviours.
+// The behaviours of app servers.
 const (
-	respondsNormally  behaviour = iota // runs requests and answers 200
-	hangs                              // runs requests and never answers
-	fails                              // runs requests and answers 500
-	rejects                            // answers 503, marked as not processed
+	respondsNormally  behaviour = iota // runs requests and responds with 200
+	hangs                              // runs requests and never responds
+	fails                              // runs requests and responds with 500
+	rejects                            // responds with 503 and the header that marks the request as not processed
 	resetsConn                         // runs requests and resets the connection
-	resetsMidResponse                  // resets the connection in the middle of the answer
-	omitsLength                        // answers without a length; the end of the connection ends the body
-	respondsTwice                      // sends a second answer some milliseconds after the first
-	closesQuickly                      // closes the connection shortly after the answer
+	resetsMidResponse                  // runs requests and resets the connection in the middle of the response
+	omitsLength                        // sends a response without a length, whose body ends with the connection
+	respondsTwice                      // sends a second response some milliseconds after the first
+	closesQuickly                      // closes the connection shortly after the response
 	behaviourCount                     // number of behaviours
 )
 
 // behaviourNames are the names of the behaviours in the list of disturbances.
 var behaviourNames = [behaviourCount]string{"well", "hangs", "fails", "rejects", "breaks off", "breaks midway", "no length", "answers twice", "closes quickly"}
 
-// serviceTime is the time in which an app server runs a request.
+// serviceTime is the time that an app server takes to run a request.
 const serviceTime = 8 * time.Millisecond
 
-// capacity is the capacity of a warm app server in requests a second.
+// capacity is the capacity of a warm app server, in requests per second.
 const capacity = 100.0
 
-// server is a fake app server, whose uid stays the same across restarts.
+// server is a fake app server. It keeps its uid across restarts.
 type server struct {
 	journal *journal
 	uid     string
@@ -51,9 +51,9 @@
 	mu        sync.Mutex
 	listener  net.Listener
 	http      *http.Server
-	startedAt time.Time // of the last restart; zero is a warm server
+	startedAt time.Time // time of the last restart; zero if the server is warm
 	state     string    // its state in the endpoint list
-	drainedAt time.Time // since when it is not listed as up; zero if it is
+	drainedAt time.Time // since when the server is not listed as up; zero if it is
 }
 
 func newServer(j *journal, index int) (*server, error) {
@@ -83,7 +83,7 @@
 	s.http.Close()
 }
 
-// restart closes the server with all its connections and starts it again, warming up.
+// restart closes the server with all its connections and starts it on a new address, warming up.
 func (s *server) restart(now time.Time) error {
 	s.close()
 	if err := s.listen(); err != nil {
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// setState sets the server's state in the endpoint list; publish makes it known.
+// setState sets the server's state in the endpoint list, which is sent to the discovery servers by publish.
 func (s *server) setState(state string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,11 +115,11 @@
 	return s.listener.Addr().String()
 }
 
-// serve handles one attempt, which counts once its body has been read completely.
+// serve handles one attempt. The attempt is recorded only when its body has been read completely.
 func (s *server) serve(w http.ResponseWriter, r *http.Request) {
 	receivedAt := time.Now()
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
-		return // the attempt is incomplete
+		return // an incomplete attempt is not run
 	}
 	mode := behaviour(s.mode.Load())
 	id := r.Header.Get(protocol.HeaderID)
@@ -140,7 +140,7 @@
 	s.respond(w, mode, id)
 }
 
-// answer answers a request that was run.
+// respond sends the response to a request that was run.
 func (s *server) respond(w http.ResponseWriter, mode behaviour, id string) {
 	body := responseBody(id, s.uid)
 	switch mode {
@@ -152,7 +152,7 @@
 			return
 		}
 		defer conn.Close()
-		_ = buffered.Flush() // nothing was written yet
+		_ = buffered.Flush() // empty, as nothing has been written yet
 		s.respondRaw(conn, mode, body)
 	default:
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -160,7 +160,7 @@
 	}
 }
 
-// answerRaw writes an answer that net/http can't produce.
+// respondRaw writes a response that net/http's server can't produce.
 func (s *server) respondRaw(conn net.Conn, mode behaviour, body string) {
 	head := "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n"
 	switch mode {
@@ -179,9 +179,9 @@
 		_, _ = io.WriteString(conn, head+body)
 		time.Sleep(serviceTime)
 		_, _ = io.WriteString(conn, strings.Replace(head+body, " 200 OK", " 200 Twice", 1))
-		time.Sleep(100 * time.Millisecond) // the node may mistake it for the answer to the next request
+		time.Sleep(100 * time.Millisecond) // gives the node time to mistake the second response for that of its next request
 	}
 }
 
-// answerTo returns the body of a server's answer to a request.
+// responseBody returns the body of a server's response to a request.
 func responseBody(id, uid string) string { return "done " + id + " by " + uid }
--- a/internal/trials/soak/settings.go
+++ b/internal/trials/soak/settings.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// class is a class of requests, in the words of the nodes' settings.
+// class is a class of requests with the values of its fields in the nodes' settings.
 type class struct {
 	name     string
 	effect   string // "free", "guarded" or "single_shot"
-	scope    string // of idempotency keys: "cell" or "all"
+	scope    string // within which an idempotency key is unique: "cell" or "all"
 	deadline time.Duration
-	window   time.Duration // within which an idempotency key protects a request
+	window   time.Duration // repeat window: the time for which an idempotency key prevents a second execution
 }
 
-// The classes of requests: idempotent, idempotent with a key, and not idempotent.
+// The classes of requests: idempotent, idempotent with an idempotency key, and not idempotent.
 var (
 	readClass           = class{name: "read", effect: "free", scope: "all", deadline: 600 * time.Millisecond, window: time.Second}
 	idempotencyKeyClass = class{name: "keyed", effect: "guarded", scope: "cell", deadline: 900 * time.Millisecond, window: 2 * time.Second}
@@ -22,26 +22,26 @@
 	classes             = []class{readClass, idempotencyKeyClass, notIdempotentClass}
 )
 
-// Terms of the settings by which the journal judges.
+// Values of the settings against which the journal checks.
 const (
 	longestDeadline = 900 * time.Millisecond
 	killDelay       = longestDeadline + 700*time.Millisecond // minimum time from SIGTERM to SIGKILL (PROTOCOL)
 	drainGrace      = time.Second
 	warmupTime      = 6 * time.Second
 	initialCapacity = 0.15        // fraction of a warm server's capacity
-	fallTime        = time.Second // over which the load of a warming-up server is measured
-	fallMultiple    = 2.5         // of its capacity, above which a warming-up server is overloaded
+	fallTime        = time.Second // period over which the load of a warming-up server is measured
+	fallMultiple    = 2.5         // multiple of a warming-up server's capacity above which it is overloaded
 	keepAlive       = 4 * time.Second
-	hardRate        = 40.0 // units a second of one customer over all nodes
+	hardRate        = 40.0 // units per second of one customer over all nodes
 	hardBurst       = 60.0 // units
 	hardSlack       = 10.0 // units
 	cells           = 3
 )
 
-// milliseconds converts a duration to the unit of the settings.
+// milliseconds converts a duration to the unit that the settings use.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// settings returns the settings of a node by its index in a group of nodes, in the form of PROTOCOL and DEPLOY.
+// settings returns the settings of the node with an index in a group of nodes, in the form that PROTOCOL and DEPLOY define.
 func settings(index, group int) map[string]any {
 	var classList []map[string]any
 	for _, c := range classes {
@@ -73,7 +73,7 @@
 	}
 }
 
-// descriptors is a node's limit on descriptors where there is no flood.
+// descriptors is a node's descriptor limit in runs without a flood.
 const descriptors = 512
 
 // configuration returns the configuration file of a node; discovery is the address of its discovery server.
--- a/internal/trials/soak/signals.go
+++ b/internal/trials/soak/signals.go
@@ -10,27 +10,28 @@
 
 // Bounds of a series of signals.
 const (
-	maxSignals           = 4                      // beside the first SIGTERM
-	maxSignalInterval    = 150 * time.Millisecond // between two of a series
-	minNewConnectionTime = 200 * time.Millisecond // after SIGTERM for which clients still open connections (PROTOCOL), at least
-	maxNewConnectionTime = 400 * time.Millisecond // the same, at most
+	maxSignals           = 4                      // most signals on each side of the first SIGTERM
+	maxSignalInterval    = 150 * time.Millisecond // longest interval between two signals of a series
+	minNewConnectionTime = 200 * time.Millisecond // shortest time after SIGTERM in which clients still open connections (PROTOCOL)
+	maxNewConnectionTime = 400 * time.Millisecond // longest time after SIGTERM in which clients still open connections
 )
 
 // signalStep is one signal of a series.
 type signalStep struct {
-	delay         time.Duration // since the step before
+	delay         time.Duration // pause before the signal
 	signal        syscall.Signal
-	invalidConfig bool // for SIGHUP: the configuration file is not valid
+	invalidConfig bool // for SIGHUP: whether the configuration file is invalid
 }
 
-// shutdown is a drawn shutdown of a node: signals before SIGTERM and behind it.
+// shutdown is a randomly generated shutdown of a node, with signals before and after the first SIGTERM.
 type shutdown struct {
 	before            []signalStep
 	after             []signalStep
-	newConnectionTime time.Duration // for which clients still connect
+	newConnectionTime time.Duration // time after SIGTERM in which clients still open connections
 }
 
-// drawShutdown draws a shutdown. SIGHUP may come before, between and behind, in a row and with a broken configuration.
+// drawShutdown generates a random shutdown. SIGHUP may be sent before, between and after SIGTERMs, several times in a row
+// and with an invalid configuration file.
 func drawShutdown(rng *rand.Rand) shutdown {
 	draw := func(signals ...syscall.Signal) (steps []signalStep) {
 		for range rng.IntN(maxSignals + 1) {
@@ -49,10 +50,10 @@
 	}
 }
 
-// brokenConfiguration can't be read.
+// invalidConfiguration is a configuration file that can't be parsed.
 const invalidConfiguration = `{"name":`
 
-// send executes the steps of a series, until ctx ends or the process has.
+// sendSignals sends the signals of a series until ctx ends or the process has exited.
 func (n *node) sendSignals(ctx context.Context, steps []signalStep) {
 	for _, step := range steps {
 		sleep(ctx, step.delay)
@@ -62,8 +63,8 @@
 	}
 }
 
-// sendStep sends one signal. For SIGHUP the configuration names the other discovery server, or is broken until a moment
-// later.
+// sendSignal sends one signal. Before SIGHUP, the configuration file is changed to name the other discovery server, or is
+// made invalid for a short time.
 func (n *node) sendSignal(step signalStep) error {
 	n.play.journal.countSignal()
 	switch {
@@ -76,15 +77,15 @@
 		return err
 	}
 	err := n.process.Signal(syscall.SIGHUP)
-	time.Sleep(maxSignalInterval / 10) // for which the node may read it
+	time.Sleep(maxSignalInterval / 10) // gives the node time to read the invalid file
 	if writeErr := n.writeConfiguration(); writeErr != nil {
 		return writeErr
 	}
 	return err
 }
 
-// terminate sends SIGTERM, among other signals, and starts the node again. A process that still runs at the platform's
-// earliest SIGKILL is killed; requests that it has not answered are lost, and count as violations.
+// terminate sends SIGTERM, with other signals before and after it, and restarts the node. A process that still runs at
+// the platform's earliest SIGKILL is killed; requests that it has not answered by then count as violations.
 func (n *node) terminate(ctx context.Context, plan shutdown) error {
 	n.sendSignals(ctx, plan.before)
 	n.mu.Lock()
--- a/internal/trials/soak/soak.go
+++ b/internal/trials/soak/soak.go
@@ -1,10 +1,11 @@
-// Package soak runs real node processes over real sockets under faults that overlap in time, and checks the rules that
-// hold under any of them. Nodes are built by package faultbuild, so that their system calls fail and their wall clocks
-// are stepped while they run. They are terminated, killed, suspended and moved to another discovery server; their app
-// servers drain, restart, hang, fail and reset connections; the links to these are cut; discovery goes silent; and
-// clients close early, send incomplete requests and reuse connections that are being closed.
+// Package soak runs real node processes over real sockets under faults that overlap in time, and checks rules that hold
+// under any of these faults. The nodes are built by package faultbuild, so that system calls can be made to fail and wall
+// clocks can be stepped while they run. The nodes are terminated, killed, suspended and switched to another discovery
+// server; their app servers drain, restart, hang, fail and reset connections; the links to the app servers are cut;
+// discovery servers send no events; and clients close early, send incomplete requests and reuse connections that are
+// being closed.
 //
-// The checks use only what clients and app servers observe, and the violations that a node logs itself (package
+// The checks use only what clients and app servers observe, and the violations that a node itself logs (package
 // invariant). The package is used by tests and measurements only.
 package soak
 
@@ -25,12 +26,12 @@
 	Nodes        int           // number of nodes
 	Servers      int           // number of app servers
 	Clients      int           // number of clients of each node
-	Flood        int           // number of further clients of each node that keep its few descriptors; 0 is none
-	Disturbances int           // mean number drawn in a second
-	Duration     time.Duration // during which disturbances begin
+	Flood        int           // number of further clients of each node that occupy its few descriptors; 0 is no flood
+	Disturbances int           // mean number started per second
+	Duration     time.Duration // period in which disturbances are started
 	Seed         uint64
-	// Slack is added to each time limit that is checked, for inexact clock readings and for the time that a process waits
-	// for a processor on a busy machine. 0 is 150 ms; only then do late answers that the nodes log count as violations.
+	// Slack is added to each time limit that is checked, to allow for inexact clock readings and for the time that a process
+	// waits for a processor on a busy machine. 0 is 150 ms; only then do late answers that the nodes log count as violations.
 	Slack time.Duration
 }
 
@@ -39,27 +40,27 @@
 	Seed             uint64         `json:"seed"`
 	Requests         int            `json:"requests"`
 	Statuses         map[int]int    `json:"statuses"`     // number of final answers by HTTP status
-	Excused          int            `json:"excused"`      // requests without an answer that a disturbance of their node explains
-	Resent           int            `json:"resent"`       // requests sent again because their connection was closed between requests
-	Left             int            `json:"left"`         // requests whose client closed early
+	Excused          int            `json:"excused"`      // requests whose missing answer is explained by a disturbance of their node
+	Resent           int            `json:"resent"`       // requests sent a second time because the node closed their connection between requests
+	Left             int            `json:"left"`         // requests whose client closed the connection early
 	Attempts         int            `json:"attempts"`     // attempts that reached app servers
-	Effects          int            `json:"effects"`      // executions by app servers
-	Disturbances     map[string]int `json:"disturbances"` // number by kind
+	Effects          int            `json:"effects"`      // executions of requests by app servers
+	Disturbances     map[string]int `json:"disturbances"` // number of disturbances by kind
 	Injected         int            `json:"injected"`     // failed system calls
-	Starts           int            `json:"starts"`       // of node processes
-	Signals          int            `json:"signals"`      // sent in series around SIGTERM
-	Kills            int            `json:"kills"`        // of processes that still ran at the earliest SIGKILL
-	FloodConnections int            `json:"flood"`        // connections of floods
+	Starts           int            `json:"starts"`       // starts of node processes
+	Signals          int            `json:"signals"`      // signals sent in series around SIGTERM
+	Kills            int            `json:"kills"`        // processes killed because they still ran at the platform's earliest SIGKILL
+	FloodConnections int            `json:"flood"`        // connections of flood clients
 	Wrong            []string       `json:"wrong"`        // violations of the rules
-	DisturbanceList  []string       `json:"-"`            // a line for each disturbance, in order of begin
+	DisturbanceList  []string       `json:"-"`            // a line for each disturbance, in the order in which they began
 }
 
 const (
-	readyTimeout    = 30 * time.Second // from a node's start to a successful health check
-	undisturbedTime = time.Second      // without disturbances at the begin and the end of a run
+	readyTimeout    = 30 * time.Second // longest time from a node's start to a successful health check
+	undisturbedTime = time.Second      // period without disturbances at the beginning and at the end of a run
 )
 
-// play is the state of a run.
+// play is the state of a run: its app servers, nodes, disturbances and journal.
 type play struct {
 	Options
 	journal      *journal
@@ -69,7 +70,8 @@
 	tasks        sync.WaitGroup
 }
 
-// Run runs one seed. It returns an error if the run could not start or was cancelled; violations are in the report.
+// Run performs the run of one seed. It returns an error if the run could not start or was cancelled; violations are part
+// of the report.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	p := &play{Options: o, journal: newJournal(o.Slack)}
 	p.journal.missedListEvents = p.missedListEvents
@@ -138,7 +140,7 @@
 	return nil
 }
 
-// descriptors returns a node's limit on descriptors.
+// descriptors returns a node's descriptor limit.
 func (p *play) descriptors() int {
 	if p.Flood > 0 {
 		return floodDescriptors
@@ -166,7 +168,7 @@
 	}
 }
 
-// report returns the results, once all tasks have ended.
+// report returns the result of the run. It is called when all tasks have ended.
 func (p *play) report() *Report {
 	r := p.journal.judge()
 	r.Seed = p.Seed
--- a/internal/trials/soak/soak_test.go
+++ b/internal/trials/soak/soak_test.go
@@ -10,11 +10,12 @@
 	"lockflow/internal/trials/faultnet/faultbuild"
 )
 
-// busySlack is for a machine that runs all other tests concurrently, so that a violation found here can't be explained by
-// a wait for a processor. lockflow measure soak uses a smaller slack.
+// busySlack is long enough for a machine that runs all other tests concurrently, so that a violation found here can't be
+// explained by a wait for a processor. lockflow measure soak uses a smaller slack.
 const busySlack = 3 * time.Second
 
-// Overlapping disturbances break no rule. LOCKFLOW_SOAK_SEED runs another seed; lockflow measure soak runs many, longer.
+// Guards against faults of the node that occur only when disturbances overlap. LOCKFLOW_SOAK_SEED selects another seed;
+// lockflow measure soak runs many seeds for longer.
 func TestOverlappingDisturbancesBreakNoRule(t *testing.T) {
 	seed := uint64(1)
 	if text := os.Getenv("LOCKFLOW_SOAK_SEED"); text != "" {
@@ -43,8 +44,8 @@
 	}
 }
 
-// Guards against clients that lose their answers while a flood keeps a node's descriptors, and while signals come in series
-// around a shutdown: both break no rule.
+// Guards against requests that get no answer, and other violations, while a flood occupies a node's descriptors and while
+// signals are sent in series around a shutdown.
 func TestFloodAndSignalSeriesBreakNoRule(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "lockflow")
 	if err := faultbuild.Build(t.Context(), "lockflow/cmd/lockflow", program, t.TempDir()); err != nil {
